--- a/internal/router/dissemination/messages.go
+++ b/internal/router/dissemination/messages.go
@@ -7,7 +7,6 @@
 package dissemination
 
 import (
-	"encoding/gob"
 	"time"
 
 	"petrelhook/internal/router/membership"
@@ -18,33 +17,33 @@
 	"petrelhook/internal/router/replication"
 )
 
-// Session is a sidecar's heartbeat to its home, and what it asks for.
-type Session struct {
-	Node      membership.Node
-	Subscribe bool // false: it only asks who the core is
-	View      replication.Epoch
-	Version   uint64 // of the configuration that it has; 0: none
-	HomeLife  uint64 // of the home that Stamp is of
-	Stamp     uint64 // of the registry
-	Sessions  uint64 // stamp of the home's sessions, asked for by other control sidecars
-	Core      bool   // the sender is a control sidecar itself
-	Whole     bool   // it asks for the whole list of servers, for its own differs from the home's
+// SubscriptionHeartbeat is a sidecar's heartbeat to its home, and what it asks for.
+type SubscriptionHeartbeat struct {
+	Node            membership.Process
+	Subscribe       bool // false: it only asks who the core is
+	View            replication.Epoch
+	Version         uint64 // of the configuration that it has; 0: none
+	HomeIncarnation uint64 // of the home that Stamp is of
+	RegistryStamp   uint64 // of the registry
+	SessionsStamp   uint64 // stamp of the home's sessions, asked for by other control sidecars
+	CoreMember      bool   // the sender is a control sidecar itself
+	FullState       bool   // it asks for the whole list of servers, for its own differs from the home's
 }
 
 // Push is what a home tells a subscriber.
 type Push struct {
-	Life     uint64
-	View     *replication.View // where it is newer
-	Eligible []replication.Member
-	InTouch  bool // the home hears a majority of the core
-	Complete bool // its list of servers is whole
-	Fleet    int
-
-	FromStamp, Stamp uint64
-	Instances        []registry.Update
-	Digest           uint64   // of the usable instances at Stamp
-	Whole            bool     // Instances are all that there are
-	Heard            []string // to control sidecars: servers whose heartbeat came here
+	Incarnation uint64
+	View        *replication.View // where it is newer
+	Eligible    []replication.Member
+	InTouch     bool // the home hears a majority of the core
+	Complete    bool // its list of servers is whole
+	Fleet       int
+
+	FromStamp, Stamp   uint64
+	Instances          []registry.Update
+	Digest             uint64   // of the usable instances at Stamp
+	FullState          bool     // Instances are all that there are
+	HeartbeatsReceived []string // to control sidecars: servers whose heartbeat came here
 
 	Version     uint64
 	FromVersion uint64
@@ -52,18 +51,18 @@
 	Snapshot    []byte   // or the whole configuration
 
 	SessionsStamp uint64
-	Nodes         []membership.Node
+	Nodes         []membership.Process
 }
 
-// Used tells where shared parts of prompts were read; it is lost without harm.
-type Used struct{ Uses []placement.Uses }
+// PrefixReport tells where shared parts of prompts were read; it is lost without harm.
+type PrefixReport struct{ Uses []placement.Uses }
 
-// UnderWay tells a home what a subscriber's requests have left to do, another control sidecar what all subscribers' have, and a subscriber
+// LoadReport tells a home what a subscriber's requests have left to do, another control sidecar what all subscribers' have, and a subscriber
 // what all others' have. It stands in place of the sender's last one; it is lost without harm.
-type UnderWay struct{ Loads placement.Loads }
+type LoadReport struct{ Loads placement.Loads }
 
-// Outcomes tells a home how the sends of a subscriber ended; it is lost without harm.
-type Outcomes struct{ Report outlier.Report }
+// OutcomeReport tells a home how the sends of a subscriber ended; it is lost without harm.
+type OutcomeReport struct{ Report outlier.Report }
 
 // OutcomeSums tells another control sidecar what this one's subscribers saw of servers that are in doubt.
 type OutcomeSums struct{ Sums []outlier.Sum }
@@ -71,8 +70,8 @@
 // Ejections are the servers that a home's subscribers leave alone, all that there are.
 type Ejections struct{ Servers []outlier.Ejection }
 
-// Admit tells another control sidecar of an operator's word that a server is not to be ejected.
-type Admit struct {
+// Readmit tells another control sidecar of an operator's word that a server is not to be ejected.
+type Readmit struct {
 	Server string
 	For    time.Duration
 }
@@ -98,12 +97,12 @@
 	View    replication.Epoch
 }
 
-// QuotaAsk tells the primary what a sidecar's tenants want, and what shares it holds.
-type QuotaAsk struct {
-	Nonce  uint64
-	Life   uint64
-	Demand map[string]float64 // units a second
-	Held   map[string]float64 // shares, 0 to 1
+// QuotaRequest tells the primary what a sidecar's tenants want, and what shares it holds.
+type QuotaRequest struct {
+	Nonce       uint64
+	Incarnation uint64
+	Demand      map[string]float64 // units a second
+	Held        map[string]float64 // shares, 0 to 1
 }
 
 // QuotaGrant answers QuotaAsk with the shares to use from now on.
@@ -138,28 +137,16 @@
 	Deposit quota.Deposit
 }
 
-// PoolTake asks for units of a tenant's limit, of a pool that has the sender's deposit.
-type PoolTake struct {
+// PoolAcquire asks for units of a tenant's limit, of a pool that has the sender's deposit.
+type PoolAcquire struct {
 	Request uint64
 	Tenant  string
 	Units   float64
 }
 
-// PoolTaken answers PoolTake.
-type PoolTaken struct {
+// PoolAcquired answers PoolTake.
+type PoolAcquired struct {
 	Request uint64
 	Granted bool
 	Wait    time.Duration
 }
-
-func init() {
-	for _, m := range []any{
-		Session{}, Push{}, Used{}, UnderWay{}, Outcomes{}, OutcomeSums{}, Ejections{}, Admit{}, ForwardedHeartbeat{}, HeartbeatAck{}, Drain{}, DrainAck{}, QuotaAsk{}, QuotaGrant{}, QuotaAcquire{}, QuotaAcquired{},
-		PoolOffer{}, PoolCollect{}, PoolDeposit{}, PoolTake{}, PoolTaken{},
-	} {
-		gob.Register(m)
-	}
-	for _, m := range replication.Messages() {
-		gob.Register(m)
-	}
-}
--- a/internal/router/membership/membership.go
+++ b/internal/router/membership/membership.go
@@ -9,23 +9,23 @@
 	"petrelhook/internal/router/replication"
 )
 
-// Node is one process of the fleet.
-type Node struct {
-	Address string // internal
-	Zone    string
-	Life    uint64              // drawn at each start
-	Member  *replication.Member // where it can be a member of the core
+// Process is one process of the fleet.
+type Process struct {
+	Address     string // internal
+	Zone        string
+	Incarnation uint64              // drawn at each start
+	Member      *replication.Member // where it can be a member of the core
 }
 
 type session struct {
-	node  Node
+	node  Process
 	heard time.Duration
 }
 
 type peerTable struct {
 	life  uint64
 	stamp uint64
-	nodes []Node
+	nodes []Process
 	heard time.Duration
 }
 
@@ -43,9 +43,9 @@
 }
 
 // Heartbeat takes in a session's heartbeat.
-func (s *Sessions) Heartbeat(n Node, now time.Duration) {
+func (s *Sessions) Heartbeat(n Process, now time.Duration) {
 	old := s.own[n.Address]
-	if old == nil || old.node.Life != n.Life {
+	if old == nil || old.node.Incarnation != n.Incarnation {
 		s.stamp++
 	}
 	s.own[n.Address] = &session{node: n, heard: now}
@@ -67,8 +67,8 @@
 }
 
 // Own lists the sessions held here, with a stamp that changes with them.
-func (s *Sessions) Own() ([]Node, uint64) {
-	out := make([]Node, 0, len(s.own))
+func (s *Sessions) Own() ([]Process, uint64) {
+	out := make([]Process, 0, len(s.own))
 	for _, one := range s.own {
 		out = append(out, one.node)
 	}
@@ -84,7 +84,7 @@
 }
 
 // Peer takes in another control sidecar's sessions; nodes is nil where nothing changed.
-func (s *Sessions) Peer(address string, life, stamp uint64, nodes []Node, now time.Duration) {
+func (s *Sessions) Peer(address string, life, stamp uint64, nodes []Process, now time.Duration) {
 	t := s.peers[address]
 	if t == nil || t.life != life {
 		t = &peerTable{life: life}
@@ -97,8 +97,8 @@
 }
 
 // Fleet is the addresses of all sidecars known.
-func (s *Sessions) Fleet() map[string]Node {
-	out := map[string]Node{}
+func (s *Sessions) Fleet() map[string]Process {
+	out := map[string]Process{}
 	for _, t := range s.peers {
 		for _, n := range t.nodes {
 			out[n.Address] = n
--- a/internal/router/node/cutoff_test.go
+++ b/internal/router/node/cutoff_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	v := dissemination.NewVersions(operatorapi.ApplyOrder)
 	require.True(t, v.Set(3, config, nil))
-	p := &dissemination.Push{Life: 1, InTouch: touch, Complete: true, Fleet: 5, Stamp: 1,
+	p := &dissemination.Push{Incarnation: 1, InTouch: touch, Complete: true, Fleet: 5, Stamp: 1,
 		Instances: []registry.Update{{Instance: registry.Instance{ID: "i1", Service: "s", Address: "a"}}}}
 	v.Fill(p, 0)
 	return p
@@ -64,7 +64,7 @@
 	n.self.Member = &self
 	v := view(2, member("10.0.1.1:7000", "z1"), self, member("10.0.2.1:7000", "z2"))
 	v.InSync = []string{self.ID}
-	kept := &replication.Kept{ID: self.ID, Hard: replication.Hard{Promised: v.Epoch, Accepted: v}}
+	kept := &replication.PersistedState{ID: self.ID, Hard: replication.HardState{Promised: v.Epoch, Accepted: v}}
 	var err error
 	n.replica, err = replication.New(replication.Options{Self: self}, kept, n.register, 0)
 	require.NoError(t, err)
@@ -106,7 +106,7 @@
 	subscriber.view = n.view
 	subscriber.reviewHome(0)
 	subscriber.home.touch = true
-	subscriber.onPush(subscriber.home.address, &dissemination.Push{Life: 1, InTouch: n.replica.InTouch(), Stamp: 1}, time.Millisecond)
+	subscriber.onPush(subscriber.home.address, &dissemination.Push{Incarnation: 1, InTouch: n.replica.InTouch(), Stamp: 1}, time.Millisecond)
 	require.False(t, subscriber.home.touch)
 	r := httptest.NewRequest(http.MethodGet, "/-/config/read", nil)
 	w := httptest.NewRecorder()
--- a/internal/router/node/home.go
+++ b/internal/router/node/home.go
@@ -68,7 +68,7 @@
 
 // greet asks the seeds who the core is.
 func (n *Node) greet() {
-	m := dissemination.Session{Node: n.self, View: n.view.Epoch}
+	m := dissemination.SubscriptionHeartbeat{Node: n.self, View: n.view.Epoch}
 	for _, seed := range n.seeds {
 		if seed != n.self.Address {
 			n.transport.Send(seed, m)
@@ -78,13 +78,13 @@
 
 func (n *Node) sendSession(to string) {
 	has := n.upstream[to]
-	m := dissemination.Session{Node: n.self, Subscribe: true, View: n.view.Epoch, Version: n.versions.Version(),
-		HomeLife: has.life, Stamp: has.stamp, Core: n.self.Member != nil}
-	if m.Core {
-		m.Sessions = n.sessions.PeerStamp(to, has.life)
+	m := dissemination.SubscriptionHeartbeat{Node: n.self, Subscribe: true, View: n.view.Epoch, Version: n.versions.Version(),
+		HomeIncarnation: has.life, RegistryStamp: has.stamp, CoreMember: n.self.Member != nil}
+	if m.CoreMember {
+		m.SessionsStamp = n.sessions.PeerStamp(to, has.life)
 	}
 	if to == n.home.address {
-		m.Whole, n.home.wantsWhole = n.home.wantsWhole, false
+		m.FullState, n.home.wantsWhole = n.home.wantsWhole, false
 	}
 	n.transport.Send(to, m)
 }
--- a/internal/router/node/loads.go
+++ b/internal/router/node/loads.go
@@ -28,7 +28,7 @@
 	own := n.gateway.Loads()
 	if !n.core() {
 		if n.home.address != "" && (len(own) > 0 || n.loads.told) {
-			n.transport.Send(n.home.address, dissemination.UnderWay{Loads: own.Message()})
+			n.transport.Send(n.home.address, dissemination.LoadReport{Loads: own.Message()})
 		}
 		n.loads.told = len(own) > 0
 		return
@@ -36,19 +36,19 @@
 	board := n.loads.board
 	board.Expire(now)
 	board.Put(n.self.Address, false, own, now)
-	forPeers := dissemination.UnderWay{Loads: board.ForPeers().Message()}
+	forPeers := dissemination.LoadReport{Loads: board.ForPeers().Message()}
 	all := board.All()
 	for _, s := range n.subscribers {
 		if s.core {
 			n.transport.Send(s.address, forPeers)
 			continue
 		}
-		n.transport.Send(s.address, dissemination.UnderWay{Loads: board.Others(all, s.address).Message()})
+		n.transport.Send(s.address, dissemination.LoadReport{Loads: board.Others(all, s.address).Message()})
 	}
 	n.gateway.SetLoads(board.Others(all, n.self.Address))
 }
 
-func (n *Node) onUnderWay(from string, m dissemination.UnderWay, now time.Duration) {
+func (n *Node) onUnderWay(from string, m dissemination.LoadReport, now time.Duration) {
 	switch {
 	case n.core():
 		n.loads.board.Put(from, n.isMember(from), m.Loads.Sums(), now)
--- a/internal/router/node/loads_test.go
+++ b/internal/router/node/loads_test.go
@@ -11,8 +11,8 @@
 	"petrelhook/internal/router/placement"
 )
 
-func underWay(unread float64) dissemination.UnderWay {
-	return dissemination.UnderWay{Loads: placement.LoadSums{placement.HashServer("i1"): {Requests: 1, Unread: unread}}.Message()}
+func underWay(unread float64) dissemination.LoadReport {
+	return dissemination.LoadReport{Loads: placement.LoadSums{placement.HashServer("i1"): {Requests: 1, Unread: unread}}.Message()}
 }
 
 // A control sidecar adds up what its subscribers tell, and what other control sidecars do; only the first goes on to those.
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -25,6 +25,7 @@
 	"petrelhook/internal/router/replication"
 	"petrelhook/internal/router/settings"
 	"petrelhook/internal/router/transport"
+	"petrelhook/internal/router/wireformat"
 )
 
 // Times of a node's own loops.
@@ -57,7 +58,7 @@
 	start    time.Time
 	seeds    []string // internal addresses; guarded by the lock
 	life     uint64
-	self     membership.Node
+	self     membership.Process
 
 	gateway   *gateway.Gateway
 	transport *transport.Transport
@@ -128,12 +129,12 @@
 	n.pushTimer.Stop()
 	n.loads.board = placement.NewBoard()
 	n.outliers.detector = outlier.NewDetector(usableServers{n})
-	n.self = membership.Node{Address: s.InternalAddress(), Zone: s.Zone, Life: n.life}
+	n.self = membership.Process{Address: s.InternalAddress(), Zone: s.Zone, Incarnation: n.life}
 	b := s.Bounds
 	n.gateway = gateway.New(gateway.Options{Zone: s.Zone, Now: n.now, Life: n.life,
 		Acquirer: n, Missed: n.missed, Again: settings.Seconds(b.AgainS), BodyMemory: int64(s.Limits.MemoryMb) << 20 / bodyShare, BudgetRatio: b.RetryBudgetRatio, BudgetSlack: b.RetryBudgetSlack,
 		BudgetWindow: max(time.Second, settings.Seconds(b.BudgetWindowS))})
-	n.transport = transport.New(n.self.Address, n.receive)
+	n.transport = transport.New(n.self.Address, wireformat.NewCodec(), n.receive)
 	return n
 }
 
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -69,11 +69,11 @@
 	first := n.home.address
 	require.Equal(t, "10.0.1.1:7000", first)
 	now := homeSilent / 2
-	n.onPush(first, &dissemination.Push{Life: 1, InTouch: false, Stamp: 1}, now)
+	n.onPush(first, &dissemination.Push{Incarnation: 1, InTouch: false, Stamp: 1}, now)
 	n.reviewHome(now)
 	require.Equal(t, first, n.home.address, "it has its time")
 	now = homeSilent + time.Millisecond
-	n.onPush(first, &dissemination.Push{Life: 1, InTouch: false, Stamp: 1}, now)
+	n.onPush(first, &dissemination.Push{Incarnation: 1, InTouch: false, Stamp: 1}, now)
 	n.reviewHome(now)
 	require.NotEqual(t, first, n.home.address)
 }
@@ -87,13 +87,13 @@
 	require.NoError(t, err)
 	v := dissemination.NewVersions(operatorapi.ApplyOrder)
 	require.True(t, v.Set(3, config, nil))
-	p := dissemination.Push{Life: 1, InTouch: true, Complete: true, Fleet: 5, Stamp: 1,
+	p := dissemination.Push{Incarnation: 1, InTouch: true, Complete: true, Fleet: 5, Stamp: 1,
 		Instances: []registry.Update{{Instance: registry.Instance{ID: "i1", Service: "s", Address: "a"}}}}
 	v.Fill(&p, 0)
 	n.onPush("10.0.1.1:7000", &p, time.Millisecond)
 	n.apply()
 	require.True(t, n.ready.Load())
-	n.onPush("10.0.1.1:7000", &dissemination.Push{Life: 2, InTouch: true, Stamp: 0, Version: 2, SessionsStamp: 1}, time.Second)
+	n.onPush("10.0.1.1:7000", &dissemination.Push{Incarnation: 2, InTouch: true, Stamp: 0, Version: 2, SessionsStamp: 1}, time.Second)
 	n.apply()
 	require.Equal(t, uint64(3), n.Version())
 	require.Equal(t, map[string]int{"s": 1}, n.gateway.Servers())
@@ -104,9 +104,9 @@
 	folder := t.TempDir()
 	core := "CountsForQuorum = true\nDataDir = \"" + folder + "\"\n"
 	n := newNode(t, core)
-	n.registry.Beat(registry.Instance{ID: "dead", Service: "s", Address: "a"}, 0)
-	n.registry.Beat(registry.Instance{ID: "new", Service: "s", Address: "a"}, time.Second)
-	n.registry.Beat(registry.Instance{ID: "other", Service: "s", Address: "b"}, time.Second)
+	n.registry.Heartbeat(registry.Instance{ID: "dead", Service: "s", Address: "a"}, 0)
+	n.registry.Heartbeat(registry.Instance{ID: "new", Service: "s", Address: "a"}, time.Second)
+	n.registry.Heartbeat(registry.Instance{ID: "other", Service: "s", Address: "b"}, time.Second)
 	n.storeServers(2 * time.Second)
 	n.writers.Wait()
 	again := newNode(t, core)
--- a/internal/router/node/outliers.go
+++ b/internal/router/node/outliers.go
@@ -56,7 +56,7 @@
 	case n.core():
 		n.outliers.detector.Report(n.self.Address, report, now)
 	case n.home.address != "":
-		n.transport.Send(n.home.address, dissemination.Outcomes{Report: report})
+		n.transport.Send(n.home.address, dissemination.OutcomeReport{Report: report})
 	}
 }
 
@@ -95,7 +95,7 @@
 	n.logger.Info().Strs("servers", ids).Msg("ejected")
 }
 
-func (n *Node) onOutcomes(from string, m dissemination.Outcomes, now time.Duration) {
+func (n *Node) onOutcomes(from string, m dissemination.OutcomeReport, now time.Duration) {
 	if n.core() {
 		n.outliers.detector.Report(from, m.Report, now)
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func (n *Node) onAdmit(from string, m dissemination.Admit, now time.Duration) {
+func (n *Node) onAdmit(from string, m dissemination.Readmit, now time.Duration) {
 	if n.core() && n.isMember(from) {
 		n.outliers.detector.Admit(m.Server, m.For, now)
 	}
@@ -142,7 +142,7 @@
 	}
 	for _, m := range n.view.Members {
 		if m.Address != n.self.Address {
-			n.transport.Send(m.Address, dissemination.Admit{Server: server, For: span})
+			n.transport.Send(m.Address, dissemination.Readmit{Server: server, For: span})
 		}
 	}
 	n.logger.Info().Str("server", server).Dur("for", span).Msg("admitted by an operator")
--- a/internal/router/node/pool.go
+++ b/internal/router/node/pool.go
@@ -29,7 +29,7 @@
 	silent    bool          // as logged last
 	collected time.Duration // when the host asked last
 	avoid     map[string]time.Duration
-	takes     map[uint64]chan dissemination.PoolTaken
+	takes     map[uint64]chan dissemination.PoolAcquired
 }
 
 // poolHost is a control sidecar's pool.
@@ -46,7 +46,7 @@
 }
 
 func newPoolMembership() poolMembership {
-	return poolMembership{avoid: map[string]time.Duration{}, takes: map[uint64]chan dissemination.PoolTaken{}, collected: -collectedGood}
+	return poolMembership{avoid: map[string]time.Duration{}, takes: map[uint64]chan dissemination.PoolAcquired{}, collected: -collectedGood}
 }
 
 func newPoolHost() poolHost {
@@ -178,16 +178,16 @@
 }
 
 // onPoolTake spends of the pool for one of its members; where there is not enough, and this sidecar hears the primary, that is asked.
-func (n *Node) onPoolTake(from string, m dissemination.PoolTake, now time.Duration) {
+func (n *Node) onPoolTake(from string, m dissemination.PoolAcquire, now time.Duration) {
 	verdict, wait := n.poolHost.pool.Take(m.Tenant, m.Units, now)
 	if verdict == quota.Granted || n.primarySilent(now) {
-		n.transport.Send(from, dissemination.PoolTaken{Request: m.Request, Granted: verdict == quota.Granted, Wait: wait})
+		n.transport.Send(from, dissemination.PoolAcquired{Request: m.Request, Granted: verdict == quota.Granted, Wait: wait})
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), poolWait)
 		defer cancel()
-		taken := dissemination.PoolTaken{Request: m.Request, Wait: wait}
+		taken := dissemination.PoolAcquired{Request: m.Request, Wait: wait}
 		if acquired := n.acquireOfPrimary(ctx, m.Tenant, m.Units, 0); acquired.From == gateway.FromPrimary {
 			taken.Granted, taken.Wait = acquired.Given >= m.Units, acquired.Wait
 		}
@@ -195,7 +195,7 @@
 	}()
 }
 
-func (n *Node) onPoolTaken(m dissemination.PoolTaken) {
+func (n *Node) onPoolTaken(m dissemination.PoolAcquired) {
 	if to := n.poolMembership.takes[m.Request]; to != nil {
 		delete(n.poolMembership.takes, m.Request)
 		to <- m
@@ -217,12 +217,12 @@
 		n.mutex.Unlock()
 		return pooled(verdict == quota.Granted, units, wait)
 	}
-	answer := make(chan dissemination.PoolTaken, 1)
+	answer := make(chan dissemination.PoolAcquired, 1)
 	n.token++
 	request, host := n.token, p.host
 	p.takes[request] = answer
 	n.mutex.Unlock()
-	n.transport.Send(host, dissemination.PoolTake{Request: request, Tenant: tenant, Units: units})
+	n.transport.Send(host, dissemination.PoolAcquire{Request: request, Tenant: tenant, Units: units})
 	timer := time.NewTimer(poolWait)
 	defer timer.Stop()
 	select {
--- a/internal/router/node/receive.go
+++ b/internal/router/node/receive.go
@@ -16,21 +16,21 @@
 		n.replica.Receive(from, m, now)
 		n.carryOut()
 		n.noteView(n.replica.View())
-	case dissemination.Session:
+	case dissemination.SubscriptionHeartbeat:
 		n.onSession(from, &m, now)
 	case dissemination.Push:
 		n.onPush(from, &m, now)
-	case dissemination.Used:
+	case dissemination.PrefixReport:
 		n.onUsed(from, m)
-	case dissemination.UnderWay:
+	case dissemination.LoadReport:
 		n.onUnderWay(from, m, now)
-	case dissemination.Outcomes:
+	case dissemination.OutcomeReport:
 		n.onOutcomes(from, m, now)
 	case dissemination.OutcomeSums:
 		n.onOutcomeSums(from, m, now)
 	case dissemination.Ejections:
 		n.onEjections(from, m)
-	case dissemination.Admit:
+	case dissemination.Readmit:
 		n.onAdmit(from, m, now)
 	case dissemination.ForwardedHeartbeat:
 		n.onForwardedHeartbeat(from, m, now)
@@ -40,7 +40,7 @@
 		n.onDrain(from, m, now)
 	case dissemination.DrainAck:
 		n.onDrainAck(from, m)
-	case dissemination.QuotaAsk:
+	case dissemination.QuotaRequest:
 		n.onQuotaAsk(from, m)
 	case dissemination.QuotaGrant:
 		n.primaryHeard = now
@@ -59,9 +59,9 @@
 		n.onPoolCollect(from, m, now)
 	case dissemination.PoolDeposit:
 		n.onPoolDeposit(from, m, now)
-	case dissemination.PoolTake:
+	case dissemination.PoolAcquire:
 		n.onPoolTake(from, m, now)
-	case dissemination.PoolTaken:
+	case dissemination.PoolAcquired:
 		n.onPoolTaken(m)
 	}
 	n.tickSessions(now)
--- a/internal/router/node/registration.go
+++ b/internal/router/node/registration.go
@@ -45,12 +45,12 @@
 		return
 	}
 	i := registry.Instance{ID: r.PathValue("id"), Service: b.Service, Address: b.Address, Zone: b.Zone, Generation: b.Generation,
-		Slots: b.Slots, Sequence: b.Sequence, ColdUntil: settings.Milliseconds(b.ColdRemainingMs)}
+		Slots: b.Slots, Sequence: b.Sequence, WarmupRemaining: settings.Milliseconds(b.ColdRemainingMs)}
 	if b.State == "draining" {
 		i.State = registry.Draining
 	}
 	if gone {
-		i.State = registry.Gone
+		i.State = registry.Deregistered
 	}
 	done, ok := n.acceptHeartbeat(i)
 	if !ok {
@@ -109,7 +109,7 @@
 
 // hear takes in a server's call at a control sidecar.
 func (n *Node) hear(i registry.Instance, now time.Duration) {
-	changed := n.registry.Beat(i, now)
+	changed := n.registry.Heartbeat(i, now)
 	for _, id := range n.registry.Fresh() {
 		for _, s := range n.subscribers {
 			if s.core {
--- a/internal/router/node/registration_test.go
+++ b/internal/router/node/registration_test.go
@@ -39,7 +39,7 @@
 // An answer to a question that nobody asked, or that was answered, does nothing.
 func TestAnAnswerToNoDrain(t *testing.T) {
 	n := memberOutOfTouch(t)
-	k := n.spreadDrain("", 0, registry.Instance{ID: "i1", Service: "s", Address: "a", State: registry.Gone, Sequence: 4}, time.Second)
+	k := n.spreadDrain("", 0, registry.Instance{ID: "i1", Service: "s", Address: "a", State: registry.Deregistered, Sequence: 4}, time.Second)
 	n.onDrainAck(n.view.Members[0].Address, dissemination.DrainAck{Request: n.token + 1, View: n.view.Epoch})
 	require.False(t, isClosed(k.done))
 	for range 2 {
--- a/internal/router/node/scrub.go
+++ b/internal/router/node/scrub.go
@@ -39,16 +39,16 @@
 		for _, u := range p.Instances {
 			n.registry.Merge(u, now)
 		}
-	case p.Whole && p.Complete && p.InTouch:
+	case p.FullState && p.Complete && p.InTouch:
 		n.registry.Replace(p.Instances, now)
 	default:
 		for _, u := range p.Instances {
 			n.registry.Adopt(u, now)
 		}
 	}
-	n.registry.Refresh(p.Heard, now)
+	n.registry.Refresh(p.HeartbeatsReceived, now)
 	n.follow(from, p)
-	comparable := !n.core() && from == n.home.address && p.Complete && p.InTouch && n.followed(from, p.Life) == p.Stamp
+	comparable := !n.core() && from == n.home.address && p.Complete && p.InTouch && n.followed(from, p.Incarnation) == p.Stamp
 	if comparable && n.home.scrub.compare(p.Digest == n.registry.Digest(), now) {
 		n.logger.Info().Str("home", from).Msg("the list of servers differs from the home's")
 		n.home.wantsWhole = true
--- a/internal/router/node/scrub_test.go
+++ b/internal/router/node/scrub_test.go
@@ -11,12 +11,12 @@
 )
 
 func beat(g *registry.Registry, id string, sequence int64) {
-	g.Beat(registry.Instance{ID: id, Service: "s", Address: id, Sequence: sequence}, 0)
+	g.Heartbeat(registry.Instance{ID: id, Service: "s", Address: id, Sequence: sequence}, 0)
 }
 
 // pushFrom is what a home tells one that has its list up to a stamp.
 func pushFrom(home *registry.Registry, stamp uint64, now time.Duration) *dissemination.Push {
-	return &dissemination.Push{Life: 1, InTouch: true, Complete: true, Fleet: 2, FromStamp: stamp, Stamp: home.Stamp(),
+	return &dissemination.Push{Incarnation: 1, InTouch: true, Complete: true, Fleet: 2, FromStamp: stamp, Stamp: home.Stamp(),
 		Digest: home.Digest(), Instances: home.Since(stamp, now)}
 }
 
@@ -44,7 +44,7 @@
 	require.False(t, n.home.wantsWhole, "it is asked for once")
 
 	whole := pushFrom(home, 0, 2*scrubAfter)
-	whole.Whole = true
+	whole.FullState = true
 	n.onPush(from, whole, 2*scrubAfter)
 	n.apply()
 	require.Equal(t, map[string]int{"s": 1}, n.gateway.Servers())
@@ -76,7 +76,7 @@
 	}
 	n := newNode(t, "")
 	beat(n.registry, "i", 1)
-	n.takeServers("x", &dissemination.Push{Life: 1, Whole: true, Complete: true}, 0)
+	n.takeServers("x", &dissemination.Push{Incarnation: 1, FullState: true, Complete: true}, 0)
 	require.NotZero(t, n.registry.Digest(), "a home that is out of touch takes nothing away")
 }
 
@@ -86,12 +86,12 @@
 	n.self.Member = &v1
 	n.view = view(1, v1)
 	beat(n.registry, "i1", 1)
-	ask := dissemination.Session{Subscribe: true, HomeLife: n.life, Stamp: n.registry.Stamp()}
+	ask := dissemination.SubscriptionHeartbeat{Subscribe: true, HomeIncarnation: n.life, RegistryStamp: n.registry.Stamp()}
 	ask.Node.Address = "10.0.1.2:7000"
 	n.onSession(ask.Node.Address, &ask, 0)
 	s := n.subscribers[ask.Node.Address]
 	s.stamp, s.sent = n.registry.Stamp(), 0
-	ask.Whole = true
+	ask.FullState = true
 	n.onSession(ask.Node.Address, &ask, time.Millisecond)
 	require.Equal(t, time.Millisecond, s.sent)
 	require.False(t, s.whole, "it has been sent")
--- a/internal/router/node/servers_cache.go
+++ b/internal/router/node/servers_cache.go
@@ -1,13 +1,12 @@
 package node
 
 import (
-	"bytes"
-	"encoding/gob"
 	"time"
 
 	"petrelhook/internal/router/registry"
 	"petrelhook/internal/router/settings"
 	"petrelhook/internal/router/storage"
+	"petrelhook/internal/router/wireformat"
 )
 
 const (
@@ -23,13 +22,13 @@
 		n.logger.Debug().Err(err).Msg("servers")
 		return
 	}
-	var list []registry.Update
-	if err := gob.NewDecoder(bytes.NewReader(text)).Decode(&list); err != nil {
+	list, err := wireformat.DecodeServers(text)
+	if err != nil {
 		n.logger.Warn().Err(err).Msg("servers")
 		return
 	}
 	for _, u := range list {
-		if u.Lost || u.Instance.State == registry.Gone {
+		if u.Lost || u.Instance.State == registry.Deregistered {
 			continue
 		}
 		u.Age += settings.Milliseconds(n.settings.HeartbeatMs) // it was written some time ago; who was heard last stays first
@@ -45,14 +44,14 @@
 		return
 	}
 	n.stored = n.registry.Stamp()
-	var text bytes.Buffer
-	if err := gob.NewEncoder(&text).Encode(n.registry.Since(0, now)); err != nil {
+	text, err := wireformat.EncodeServers(n.registry.Since(0, now))
+	if err != nil {
 		return
 	}
 	n.storing.Store(true)
 	n.writers.Go(func() { // a disk may hang
 		defer n.storing.Store(false)
-		if err := storage.WriteCache(n.settings.DataDir, serversCache, text.Bytes()); err != nil {
+		if err := storage.WriteCache(n.settings.DataDir, serversCache, text); err != nil {
 			n.logger.Debug().Err(err).Msg("servers")
 		}
 	})
--- a/internal/router/node/start.go
+++ b/internal/router/node/start.go
@@ -15,7 +15,7 @@
 	s := n.settings
 	o := replication.Options{Self: replication.Member{Address: n.self.Address, Zone: s.Zone}, Seeds: s.SeedAddresses(),
 		Bootstrap: s.Bootstrap, FaultTolerance: s.FaultTolerance.Machines}
-	var kept *replication.Kept
+	var kept *replication.PersistedState
 	if s.Core() {
 		disk, found, err := storage.Open(s.DataDir, n.self.Address, s.Bootstrap)
 		if err != nil {
--- a/internal/router/node/subscription.go
+++ b/internal/router/node/subscription.go
@@ -33,13 +33,13 @@
 }
 
 // onSession takes in a sidecar's heartbeat and answers with what it lacks.
-func (n *Node) onSession(from string, m *dissemination.Session, now time.Duration) {
+func (n *Node) onSession(from string, m *dissemination.SubscriptionHeartbeat, now time.Duration) {
 	if m.Node.Member != nil {
 		n.eligible[m.Node.Member.ID] = *m.Node.Member
 		n.replica.Eligible(*m.Node.Member)
 	}
 	if n.view.Epoch.Less(m.View) && !m.Subscribe {
-		n.transport.Send(from, dissemination.Session{Node: n.self, View: n.view.Epoch})
+		n.transport.Send(from, dissemination.SubscriptionHeartbeat{Node: n.self, View: n.view.Epoch})
 		return
 	}
 	if !m.Subscribe || !n.core() {
@@ -52,14 +52,14 @@
 		s = &subscriber{address: from, fresh: map[string]bool{}, uses: map[string]*placement.Uses{}}
 		n.subscribers[from] = s
 	}
-	s.core, s.heard, s.view = m.Core, now, m.View
-	restarted := s.life != m.Node.Life
-	s.life = m.Node.Life
+	s.core, s.heard, s.view = m.CoreMember, now, m.View
+	restarted := s.life != m.Node.Incarnation
+	s.life = m.Node.Incarnation
 	if restarted {
 		n.transport.Renew(from)
 	}
 	s.follow(m, n.life, restarted, now)
-	s.whole = m.Whole && !m.Core
+	s.whole = m.FullState && !m.CoreMember
 	if s.whole {
 		s.stamp = 0
 	}
@@ -67,9 +67,9 @@
 }
 
 // follow takes in what a subscriber says that it has. While what was sent may be on its way it counts as there.
-func (s *subscriber) follow(m *dissemination.Session, life uint64, restarted bool, now time.Duration) {
-	same := m.HomeLife == life
-	if same && m.Stamp >= s.stamp && m.Version >= s.version || restarted {
+func (s *subscriber) follow(m *dissemination.SubscriptionHeartbeat, life uint64, restarted bool, now time.Duration) {
+	same := m.HomeIncarnation == life
+	if same && m.RegistryStamp >= s.stamp && m.Version >= s.version || restarted {
 		s.resent = 0
 	} else if now-s.sent <= s.resendWait() {
 		return
@@ -77,7 +77,7 @@
 		s.resent++
 	}
 	if same {
-		s.stamp, s.version, s.sessions = m.Stamp, m.Version, m.Sessions
+		s.stamp, s.version, s.sessions = m.RegistryStamp, m.Version, m.SessionsStamp
 	} else {
 		s.stamp, s.version, s.sessions = 0, m.Version, 0
 	}
@@ -90,8 +90,8 @@
 }
 
 // introduce tells one that does not subscribe here who the core is, or who may become it.
-func (n *Node) introduce(to string, m *dissemination.Session) {
-	p := dissemination.Push{Life: n.life}
+func (n *Node) introduce(to string, m *dissemination.SubscriptionHeartbeat) {
+	p := dissemination.Push{Incarnation: n.life}
 	if m.View.Less(n.view.Epoch) {
 		view := n.view
 		p.View = &view
@@ -108,14 +108,14 @@
 
 // push tells a subscriber what it lacks; it is also the heartbeat of the session.
 func (n *Node) push(s *subscriber, now time.Duration) {
-	p := dissemination.Push{Life: n.life, InTouch: n.replica.InTouch(), Complete: n.complete, Fleet: n.fleet}
+	p := dissemination.Push{Incarnation: n.life, InTouch: n.replica.InTouch(), Complete: n.complete, Fleet: n.fleet}
 	if s.view.Less(n.view.Epoch) {
 		view := n.view
 		p.View = &view
 		s.view = n.view.Epoch
 	}
 	p.FromStamp, p.Stamp, p.Digest = s.stamp, n.registry.Stamp(), n.registry.Digest()
-	p.Whole, s.whole = s.whole, false
+	p.FullState, s.whole = s.whole, false
 	if s.stamp < p.Stamp {
 		p.Instances = n.registry.Since(s.stamp, now)
 		s.stamp, s.listed = p.Stamp, len(p.Instances)
@@ -130,7 +130,7 @@
 	}
 	if s.core {
 		for id := range s.fresh {
-			p.Heard = append(p.Heard, id)
+			p.HeartbeatsReceived = append(p.HeartbeatsReceived, id)
 		}
 		clear(s.fresh)
 		nodes, stamp := n.sessions.Own()
@@ -186,7 +186,7 @@
 			n.setFleet(p.Fleet)
 		}
 	}
-	if p.Complete && p.FromStamp <= n.followed(from, p.Life) {
+	if p.Complete && p.FromStamp <= n.followed(from, p.Incarnation) {
 		n.complete = true // it has a whole list, and this is the rest of it
 	}
 	if p.Stamp == 0 && p.Version == 0 && p.SessionsStamp == 0 {
@@ -195,7 +195,7 @@
 	before := n.registry.Stamp()
 	n.takeServers(from, p, now)
 	if n.core() {
-		n.sessions.Peer(from, p.Life, p.SessionsStamp, p.Nodes, now)
+		n.sessions.Peer(from, p.Incarnation, p.SessionsStamp, p.Nodes, now)
 	}
 	changed, err := n.versions.Take(p)
 	if err != nil {
@@ -218,9 +218,9 @@
 }
 
 func (n *Node) follow(from string, p *dissemination.Push) {
-	stamp := n.followed(from, p.Life)
+	stamp := n.followed(from, p.Incarnation)
 	if p.FromStamp <= stamp {
 		stamp = max(stamp, p.Stamp)
 	}
-	n.upstream[from] = upstreamStamp{life: p.Life, stamp: stamp}
+	n.upstream[from] = upstreamStamp{life: p.Incarnation, stamp: stamp}
 }
--- a/internal/router/node/subscription_test.go
+++ b/internal/router/node/subscription_test.go
@@ -19,7 +19,7 @@
 	n.tick()
 	require.Empty(t, n.home.address)
 	v := view(1, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
-	n.receive("10.0.2.1:7000", dissemination.Push{Life: 1, View: &v})
+	n.receive("10.0.2.1:7000", dissemination.Push{Incarnation: 1, View: &v})
 	require.Equal(t, "10.0.1.1:7000", n.home.address)
 	require.Less(t, n.now()-n.every.session.last, sessionEvery)
 }
@@ -30,8 +30,8 @@
 	n := newNode(t, "")
 	n.self.Member = &v1
 	n.view = view(1, v1)
-	n.registry.Beat(registry.Instance{ID: "i1", Service: "s", Address: "10.1.1.1:80", Sequence: 1}, 0)
-	ask := dissemination.Session{Node: membership.Node{Address: "10.0.1.2:7000", Zone: "z1", Life: 7}, Subscribe: true}
+	n.registry.Heartbeat(registry.Instance{ID: "i1", Service: "s", Address: "10.1.1.1:80", Sequence: 1}, 0)
+	ask := dissemination.SubscriptionHeartbeat{Node: membership.Process{Address: "10.0.1.2:7000", Zone: "z1", Incarnation: 7}, Subscribe: true}
 	now := time.Second
 	n.onSession(ask.Node.Address, &ask, now)
 	s := n.subscribers[ask.Node.Address]
@@ -41,7 +41,7 @@
 	n.onSession(ask.Node.Address, &ask, now+resendAfter+time.Millisecond)
 	require.Equal(t, now+resendAfter+time.Millisecond, s.sent, "it may have been lost")
 
-	ask.Node.Life = 8
+	ask.Node.Incarnation = 8
 	now += resendAfter + startEvery
 	n.onSession(ask.Node.Address, &ask, now)
 	require.Equal(t, now, s.sent, "another process knows nothing")
@@ -57,7 +57,7 @@
 		for i := range servers {
 			beat(n.registry, fmt.Sprint("i", i), 1)
 		}
-		ask := dissemination.Session{Node: membership.Node{Address: "10.0.1.2:7000", Zone: "z1", Life: 7}, Subscribe: true, HomeLife: n.life}
+		ask := dissemination.SubscriptionHeartbeat{Node: membership.Process{Address: "10.0.1.2:7000", Zone: "z1", Incarnation: 7}, Subscribe: true, HomeIncarnation: n.life}
 		last := -time.Hour
 		for now := time.Second; now < 11*time.Second; now += sessionEvery {
 			n.onSession(ask.Node.Address, &ask, now)
@@ -66,7 +66,7 @@
 			}
 		}
 		s := n.subscribers[ask.Node.Address]
-		ask.Stamp = n.registry.Stamp()
+		ask.RegistryStamp = n.registry.Stamp()
 		n.onSession(ask.Node.Address, &ask, 20*time.Second)
 		require.Zero(t, s.resent, "it has it all")
 		return count
@@ -89,11 +89,11 @@
 	update := func(id string) []registry.Update {
 		return []registry.Update{{Instance: registry.Instance{ID: id, Service: "s", Address: id}}}
 	}
-	n.onPush("10.0.1.1:7000", &dissemination.Push{Life: 1, FromStamp: 3, Stamp: 4, Instances: update("i4"), Complete: true}, 0)
+	n.onPush("10.0.1.1:7000", &dissemination.Push{Incarnation: 1, FromStamp: 3, Stamp: 4, Instances: update("i4"), Complete: true}, 0)
 	require.False(t, n.complete)
-	n.onPush("10.0.1.1:7000", &dissemination.Push{Life: 1, FromStamp: 0, Stamp: 4, Instances: update("i1")}, 0)
+	n.onPush("10.0.1.1:7000", &dissemination.Push{Incarnation: 1, FromStamp: 0, Stamp: 4, Instances: update("i1")}, 0)
 	require.False(t, n.complete, "the sender does not have all yet")
-	n.onPush("10.0.1.1:7000", &dissemination.Push{Life: 1, FromStamp: 4, Stamp: 5, Instances: update("i5"), Complete: true}, 0)
+	n.onPush("10.0.1.1:7000", &dissemination.Push{Incarnation: 1, FromStamp: 4, Stamp: 5, Instances: update("i5"), Complete: true}, 0)
 	require.True(t, n.complete)
 }
 
@@ -141,9 +141,9 @@
 	self := v1
 	n.self.Member = &self
 	n.view = view(1, self)
-	ask := dissemination.Session{Node: membership.Node{Address: listener.Addr().String(), Zone: "z1"}, Subscribe: true}
+	ask := dissemination.SubscriptionHeartbeat{Node: membership.Process{Address: listener.Addr().String(), Zone: "z1"}, Subscribe: true}
 	for life := range uint64(2) {
-		ask.Node.Life = life + 1
+		ask.Node.Incarnation = life + 1
 		n.onSession(ask.Node.Address, &ask, time.Duration(life)*time.Second)
 		require.NoError(t, listener.(*net.TCPListener).SetDeadline(time.Now().Add(10*time.Second)))
 		peer, err := listener.Accept()
--- a/internal/router/node/uses.go
+++ b/internal/router/node/uses.go
@@ -18,7 +18,7 @@
 	own := n.gateway.TakeUses()
 	if !n.core() {
 		if len(own) > 0 && n.home.address != "" {
-			n.transport.Send(n.home.address, dissemination.Used{Uses: own})
+			n.transport.Send(n.home.address, dissemination.PrefixReport{Uses: own})
 		}
 		return
 	}
@@ -32,11 +32,11 @@
 			list = append(list, *u)
 		}
 		clear(s.uses)
-		n.transport.Send(s.address, dissemination.Used{Uses: list})
+		n.transport.Send(s.address, dissemination.PrefixReport{Uses: list})
 	}
 }
 
-func (n *Node) onUsed(from string, m dissemination.Used) {
+func (n *Node) onUsed(from string, m dissemination.PrefixReport) {
 	n.gateway.NoteUses(m.Uses)
 	if n.core() {
 		n.spreadUses(from, n.isMember(from), m.Uses)
--- a/internal/router/registry/changes.go
+++ b/internal/router/registry/changes.go
@@ -66,7 +66,7 @@
 func (g *Registry) Since(stamp uint64, now time.Duration) []Update {
 	var out []Update
 	for _, e := range g.Changed(stamp) {
-		out = append(out, Update{Instance: e.Instance, Lost: e.Lost, Age: now - e.Heard})
+		out = append(out, Update{Instance: e.Instance, Lost: e.Lost, Age: now - e.LastContact})
 	}
 	return out
 }
--- a/internal/router/registry/registry.go
+++ b/internal/router/registry/registry.go
@@ -18,20 +18,20 @@
 const (
 	Ready State = iota
 	Draining
-	Gone
+	Deregistered
 )
 
 // Instance is one life of a server.
 type Instance struct {
-	ID         string
-	Service    string
-	Address    string
-	Zone       string
-	Generation string
-	Slots      int
-	State      State
-	ColdUntil  time.Duration // how much longer it is slow, as of Sequence
-	Sequence   int64
+	ID              string
+	Service         string
+	Address         string
+	Zone            string
+	Generation      string
+	Slots           int
+	State           State
+	WarmupRemaining time.Duration // how much longer it is slow, as of Sequence
+	Sequence        int64
 }
 
 // Update is what one sidecar tells another of an instance.
@@ -44,11 +44,11 @@
 // Entry is what a registry holds of an instance.
 type Entry struct {
 	Instance
-	Lost     bool // silent for too long, or another server has its address
-	Stamp    uint64
-	Heard    time.Duration // when
-	changed  time.Duration // when, last
-	digested uint64        // what it adds to the registry's digest
+	Lost        bool // silent for too long, or another server has its address
+	Stamp       uint64
+	LastContact time.Duration // when
+	changed     time.Duration // when, last
+	digested    uint64        // what it adds to the registry's digest
 }
 
 // Usable reports whether requests may go there.
@@ -79,8 +79,8 @@
 // Entry finds an instance.
 func (g *Registry) Entry(id string) *Entry { return g.entries[id] }
 
-// Beat takes in a call of the server itself and reports whether something changed.
-func (g *Registry) Beat(i Instance, now time.Duration) bool {
+// Heartbeat takes in a call of the server itself and reports whether something changed.
+func (g *Registry) Heartbeat(i Instance, now time.Duration) bool {
 	g.fresh = append(g.fresh, i.ID)
 	return g.merge(i, now, now)
 }
@@ -108,7 +108,7 @@
 func (g *Registry) merge(i Instance, heard, now time.Duration) bool {
 	e := g.entries[i.ID]
 	if e == nil {
-		e = &Entry{Instance: i, Heard: heard}
+		e = &Entry{Instance: i, LastContact: heard}
 		g.entries[i.ID] = e
 		g.places[i.Address] = append(g.places[i.Address], e)
 		g.change(e, now)
@@ -116,7 +116,7 @@
 		return true
 	}
 	changed := false
-	if i.Sequence > e.Sequence && e.State != Gone || i.State == Gone && e.State != Gone {
+	if i.Sequence > e.Sequence && e.State != Deregistered || i.State == Deregistered && e.State != Deregistered {
 		changed = e.State != i.State || e.Address != i.Address || e.Service != i.Service || e.Slots != i.Slots
 		sequence := max(i.Sequence, e.Sequence)
 		if i.State < e.State { // a drain is not taken back
@@ -130,8 +130,8 @@
 		e.Instance = i
 		e.Sequence = sequence
 	}
-	if heard > e.Heard {
-		e.Heard = heard
+	if heard > e.LastContact {
+		e.LastContact = heard
 		if e.Lost && now-heard < heardAgain && g.owns(e) {
 			e.Lost = false
 			changed = true
@@ -146,7 +146,7 @@
 // takeAddress marks instances lost that had the address of one that was heard later.
 func (g *Registry) takeAddress(e *Entry, now time.Duration) {
 	for _, other := range g.places[e.Address] {
-		if other != e && !other.Lost && other.State != Gone && other.Heard < e.Heard {
+		if other != e && !other.Lost && other.State != Deregistered && other.LastContact < e.LastContact {
 			other.Lost = true
 			g.change(other, now)
 		}
@@ -156,7 +156,7 @@
 // owns reports whether no other instance was heard later at the same address.
 func (g *Registry) owns(e *Entry) bool {
 	for _, other := range g.places[e.Address] {
-		if other != e && other.Heard > e.Heard {
+		if other != e && other.LastContact > e.LastContact {
 			return false
 		}
 	}
@@ -166,8 +166,8 @@
 // Refresh notes that instances were heard by another sidecar.
 func (g *Registry) Refresh(ids []string, now time.Duration) {
 	for _, id := range ids {
-		if e := g.entries[id]; e != nil && now > e.Heard {
-			e.Heard = now
+		if e := g.entries[id]; e != nil && now > e.LastContact {
+			e.LastContact = now
 			if e.Lost && g.owns(e) {
 				e.Lost = false
 				g.change(e, now)
@@ -188,8 +188,8 @@
 func (g *Registry) Expire(silence, now time.Duration) bool {
 	changed := false
 	for _, e := range g.entries {
-		lost := now-e.Heard > silence || !g.owns(e)
-		if e.State != Gone && e.Lost != lost {
+		lost := now-e.LastContact > silence || !g.owns(e)
+		if e.State != Deregistered && e.Lost != lost {
 			e.Lost = lost
 			g.change(e, now)
 			changed = true
--- a/internal/router/replication/explore_world_test.go
+++ b/internal/router/replication/explore_world_test.go
@@ -76,7 +76,7 @@
 }
 
 // cloneReplica copies a replica that waits for no disk: such a one holds no functions.
-func cloneReplica(r *Replica, m Machine) *Replica {
+func cloneReplica(r *Replica, m StateMachine) *Replica {
 	if len(r.pending) > 0 || len(r.out) > 0 {
 		panic("a replica that waits for its disk cannot be copied")
 	}
@@ -104,7 +104,7 @@
 	}
 	first.Old = first.Members
 	for address, zone := range zones {
-		w.start(address, &Kept{ID: address, Hard: Hard{Promised: first.Epoch, Accepted: first}}, zone)
+		w.start(address, &PersistedState{ID: address, Hard: HardState{Promised: first.Epoch, Accepted: first}}, zone)
 	}
 	for _, n := range w.nodes {
 		n.replica.known = first
@@ -121,7 +121,7 @@
 	return w
 }
 
-func (w *world) start(address string, kept *Kept, zone string) {
+func (w *world) start(address string, kept *PersistedState, zone string) {
 	log := &exploredLog{}
 	r, err := New(Options{Self: Member{ID: kept.ID, Address: address, Zone: zone}, FaultTolerance: 1}, kept, log, exploredNow)
 	if err != nil {
@@ -280,7 +280,7 @@
 		steps = append(steps, step{address + " loses its disk", func(w *world) {
 			w.left.wipes--
 			self := w.nodes[address].replica.Self
-			w.start(address, &Kept{ID: address + "'"}, self.Zone)
+			w.start(address, &PersistedState{ID: address + "'"}, self.Zone)
 			w.forget(address)
 		}})
 	}
@@ -288,7 +288,7 @@
 		steps = append(steps, step{address + " restarts", func(w *world) {
 			w.left.restarts--
 			n := w.nodes[address]
-			kept := &Kept{ID: n.replica.Self.ID, Hard: n.replica.hard,
+			kept := &PersistedState{ID: n.replica.Self.ID, Hard: n.replica.hard,
 				Snapshot: SnapshotRecord{Position: n.replica.position, Data: n.log.Snapshot()}}
 			w.start(address, kept, n.replica.Self.Zone)
 			w.forget(address)
--- a/internal/router/replication/guards_test.go
+++ b/internal/router/replication/guards_test.go
@@ -113,9 +113,9 @@
 	slow.syncTime = 200 * time.Millisecond
 	s.callAt(old, operation{client: 1, write: true, base: old.machine.Version, value: "b"})
 	s.run(s.now + 10*time.Millisecond)
-	takeOver := TakeOver{Epoch: old.replica.View().Epoch}
+	takeOver := TransferLeadership{Epoch: old.replica.View().Epoch}
 	s.mutate = func(to *process, m Message) Message {
-		if _, ok := m.(TakeOver); ok && to.host == fast {
+		if _, ok := m.(TransferLeadership); ok && to.host == fast {
 			return nil
 		}
 		return m
--- a/internal/router/replication/heartbeat.go
+++ b/internal/router/replication/heartbeat.go
@@ -31,7 +31,7 @@
 	}
 	view := l.view
 	for _, address := range sortedKeys(knows) {
-		m := Heartbeat{Epoch: l.view.Epoch, Beat: l.beat, Committed: l.committed}
+		m := Heartbeat{Epoch: l.view.Epoch, Number: l.beat, Committed: l.committed}
 		if !knows[address] {
 			m.View = &view
 		}
@@ -40,7 +40,7 @@
 }
 
 func (r *Replica) onHeartbeat(m Heartbeat, from string) {
-	ack := HeartbeatAck{Epoch: m.Epoch, Beat: m.Beat, From: r.Self, Promised: r.hard.Promised, Known: r.known.Epoch, DiskFails: r.stalled(),
+	ack := HeartbeatAck{Epoch: m.Epoch, Number: m.Number, From: r.Self, Promised: r.hard.Promised, Known: r.known.Epoch, DiskFails: r.stalled(),
 		Disk: !r.Witness, Position: r.durable, Leaving: r.leaving}
 	if m.Epoch.Less(r.hard.Promised) {
 		r.send(from, ack)
@@ -84,7 +84,7 @@
 	}
 	r.Eligible(m.From)
 	a := l.acked[m.From.ID]
-	l.acked[m.From.ID] = memberAck{member: m.From, beat: max(a.beat, m.Beat), at: r.now, fails: m.DiskFails, known: m.Known,
+	l.acked[m.From.ID] = memberAck{member: m.From, beat: max(a.beat, m.Number), at: r.now, fails: m.DiskFails, known: m.Known,
 		disk: m.Disk, position: m.Position, leaving: m.Leaving}
 	r.checkConfirms()
 	r.teach(m.From.ID)
--- a/internal/router/replication/learner.go
+++ b/internal/router/replication/learner.go
@@ -111,7 +111,7 @@
 	s := t.transfer
 	end := min(len(s.data), s.received+pieceBytes)
 	t.sent, t.waits = r.now, true
-	r.send(a.member.Address, SnapshotPiece{Epoch: r.leading.view.Epoch, Position: s.position, Size: len(s.data),
+	r.send(a.member.Address, SnapshotChunk{Epoch: r.leading.view.Epoch, Position: s.position, Size: len(s.data),
 		Offset: s.received, Data: s.data[s.received:end]})
 }
 
@@ -158,7 +158,7 @@
 	return follows && !r.hard.Accepted.joint() && !r.known.inSync(r.Self.ID)
 }
 
-func (r *Replica) onSnapshotPiece(m SnapshotPiece, from string) {
+func (r *Replica) onSnapshotPiece(m SnapshotChunk, from string) {
 	if !r.learns(m.Epoch) || m.Size > maxSnapshot || m.Offset+len(m.Data) > m.Size {
 		return
 	}
--- a/internal/router/replication/learner_test.go
+++ b/internal/router/replication/learner_test.go
@@ -125,7 +125,7 @@
 		r.hard.Promised = one.view.Epoch
 		lesson := (&versionMachine{Version: 9, Value: "taught"}).Snapshot()
 		at := Position{Epoch: one.view.Epoch, Sequence: 9}
-		r.Receive("b", SnapshotPiece{Epoch: one.view.Epoch, Position: at, Size: len(lesson), Data: lesson}, 4*time.Second)
+		r.Receive("b", SnapshotChunk{Epoch: one.view.Epoch, Position: at, Size: len(lesson), Data: lesson}, 4*time.Second)
 		require.Equal(t, one.taken, r.position == at)
 	}
 }
--- a/internal/router/replication/machine.go
+++ b/internal/router/replication/machine.go
@@ -2,8 +2,8 @@
 
 // What a replica is given and what it wants done: the state machine, records on the disk, effects.
 
-// Machine is the state that is replicated. Decide does not change it.
-type Machine interface {
+// StateMachine is the state that is replicated. Decide does not change it.
+type StateMachine interface {
 	Decide(entry []byte) Decision
 	Apply(entry []byte)
 	Snapshot() []byte
@@ -18,8 +18,8 @@
 	Reason string
 }
 
-// Hard is what a witness must not forget.
-type Hard struct {
+// HardState is what a witness must not forget.
+type HardState struct {
 	Promised Epoch
 	Accepted View
 	Genesis  bool // this disk was made at the first start of the whole system
@@ -37,10 +37,10 @@
 	Data     []byte
 }
 
-// Kept is what a replica finds on its disk.
-type Kept struct {
+// PersistedState is what a replica finds on its disk.
+type PersistedState struct {
 	ID       string
-	Hard     Hard
+	Hard     HardState
 	Snapshot SnapshotRecord
 	Entries  []Entry
 }
@@ -57,7 +57,7 @@
 // Save writes to the disk and syncs; the shell then calls Saved or SaveFailed with Number. Saves keep their order.
 type Save struct {
 	Number   uint64
-	Hard     Hard
+	Hard     HardState
 	Entry    *Entry
 	Snapshot *SnapshotRecord
 }
--- a/internal/router/replication/messages.go
+++ b/internal/router/replication/messages.go
@@ -67,14 +67,14 @@
 type Heartbeat struct {
 	Epoch     Epoch
 	View      *View // where the receiver has not said that it knows it
-	Beat      uint64
+	Number    uint64
 	Committed uint64
 }
 
 // HeartbeatAck answers Heartbeat.
 type HeartbeatAck struct {
 	Epoch     Epoch
-	Beat      uint64
+	Number    uint64
 	From      Member
 	Promised  Epoch
 	Known     Epoch // the view that it knows to be in force
@@ -84,8 +84,8 @@
 	Leaving   bool     // its process is about to end
 }
 
-// SnapshotPiece brings a part of the state at a position to a learner: one outside the in-sync set that has a disk.
-type SnapshotPiece struct {
+// SnapshotChunk brings a part of the state at a position to a learner: one outside the in-sync set that has a disk.
+type SnapshotChunk struct {
 	Epoch    Epoch
 	Position Position
 	Size     int // of the whole
@@ -109,28 +109,28 @@
 	Received int      // bytes of it
 }
 
-// TakeOver asks an in-sync replica to become primary: its sender is about to end, or its disk fails.
-type TakeOver struct{ Epoch Epoch }
-
-func (PreVote) replicationMessage()        {}
-func (PreVoteReply) replicationMessage()   {}
-func (Prepare) replicationMessage()        {}
-func (Promise) replicationMessage()        {}
-func (Sync) replicationMessage()           {}
-func (Synced) replicationMessage()         {}
-func (Accept) replicationMessage()         {}
-func (Accepted) replicationMessage()       {}
-func (Replicate) replicationMessage()      {}
-func (Replicated) replicationMessage()     {}
-func (Heartbeat) replicationMessage()      {}
-func (HeartbeatAck) replicationMessage()   {}
-func (TakeOver) replicationMessage()       {}
-func (SnapshotPiece) replicationMessage()  {}
-func (MissingEntries) replicationMessage() {}
-func (LearnerAck) replicationMessage()     {}
+// TransferLeadership asks an in-sync replica to become primary: its sender is about to end, or its disk fails.
+type TransferLeadership struct{ Epoch Epoch }
+
+func (PreVote) replicationMessage()            {}
+func (PreVoteReply) replicationMessage()       {}
+func (Prepare) replicationMessage()            {}
+func (Promise) replicationMessage()            {}
+func (Sync) replicationMessage()               {}
+func (Synced) replicationMessage()             {}
+func (Accept) replicationMessage()             {}
+func (Accepted) replicationMessage()           {}
+func (Replicate) replicationMessage()          {}
+func (Replicated) replicationMessage()         {}
+func (Heartbeat) replicationMessage()          {}
+func (HeartbeatAck) replicationMessage()       {}
+func (TransferLeadership) replicationMessage() {}
+func (SnapshotChunk) replicationMessage()      {}
+func (MissingEntries) replicationMessage()     {}
+func (LearnerAck) replicationMessage()         {}
 
 // Messages has one of each type, for a transport that wants to know them.
 func Messages() []Message {
 	return []Message{PreVote{}, PreVoteReply{}, Prepare{}, Promise{}, Sync{}, Synced{}, Accept{}, Accepted{}, Replicate{}, Replicated{},
-		Heartbeat{}, HeartbeatAck{}, TakeOver{}, SnapshotPiece{}, MissingEntries{}, LearnerAck{}}
+		Heartbeat{}, HeartbeatAck{}, TransferLeadership{}, SnapshotChunk{}, MissingEntries{}, LearnerAck{}}
 }
--- a/internal/router/replication/prevote_test.go
+++ b/internal/router/replication/prevote_test.go
@@ -21,7 +21,7 @@
 // preVoter is the replica "a", which accepted a view and hears nobody any more.
 func preVoter(t *testing.T, accepted View) *Replica {
 	t.Helper()
-	r, err := New(Options{Self: Member{ID: "a", Address: "a"}, FaultTolerance: 1}, &Kept{ID: "a", Hard: Hard{Accepted: accepted}},
+	r, err := New(Options{Self: Member{ID: "a", Address: "a"}, FaultTolerance: 1}, &PersistedState{ID: "a", Hard: HardState{Accepted: accepted}},
 		machineAdapter{&versionMachine{}}, 0)
 	require.NoError(t, err)
 	r.Tick(3 * time.Second)
--- a/internal/router/replication/replica.go
+++ b/internal/router/replication/replica.go
@@ -82,9 +82,9 @@
 // Replica is one member of the core, or a seed that only witnesses the first view.
 type Replica struct {
 	Options
-	machine Machine
+	machine StateMachine
 
-	hard      Hard
+	hard      HardState
 	position  Position // of machine
 	published Position
 	durable   Position // of what is on the disk
@@ -127,7 +127,7 @@
 }
 
 // New makes a replica from what its disk holds; kept is nil without a disk.
-func New(o Options, kept *Kept, machine Machine, now time.Duration) (*Replica, error) {
+func New(o Options, kept *PersistedState, machine StateMachine, now time.Duration) (*Replica, error) {
 	r := &Replica{Options: o, machine: machine, now: now, heard: now - restartLead, lastNewcomer: now}
 	r.candidates = map[string]Member{}
 	if kept == nil {
--- a/internal/router/replication/sim_test.go
+++ b/internal/router/replication/sim_test.go
@@ -47,7 +47,7 @@
 // host is one machine: its disk outlives its processes.
 type host struct {
 	address, zone string
-	disk          *Kept // what is synced; nil: no file yet
+	disk          *PersistedState // what is synced; nil: no file yet
 	genesis       bool
 	process       *process
 	frozenUntil   time.Duration
@@ -168,7 +168,7 @@
 		if !s.sameIdentity || h.wipes == 0 {
 			h.wipes++
 		}
-		h.disk = &Kept{ID: fmt.Sprintf("%s/%d", h.address, h.wipes), Hard: Hard{Genesis: h.genesis}}
+		h.disk = &PersistedState{ID: fmt.Sprintf("%s/%d", h.address, h.wipes), Hard: HardState{Genesis: h.genesis}}
 	}
 	m := &versionMachine{}
 	p := &process{host: h, machine: m, answers: map[uint64]func(Decision){}}
@@ -289,7 +289,7 @@
 	switch m := m.(type) {
 	case Sync:
 		return head + len(m.Snapshot) + entryBytes(m.Entries)
-	case SnapshotPiece:
+	case SnapshotChunk:
 		return head + len(m.Data)
 	case MissingEntries:
 		return head + entryBytes(m.Entries)
--- a/internal/router/replication/step.go
+++ b/internal/router/replication/step.go
@@ -30,13 +30,13 @@
 		r.onHeartbeat(m, from)
 	case HeartbeatAck:
 		r.onHeartbeatAck(m)
-	case SnapshotPiece:
+	case SnapshotChunk:
 		r.onSnapshotPiece(m, from)
 	case MissingEntries:
 		r.onMissingEntries(m, from)
 	case LearnerAck:
 		r.onLearnerAck(m)
-	case TakeOver:
+	case TransferLeadership:
 		if r.role == follower && r.hard.Promised == m.Epoch && r.hard.Accepted.inSync(r.Self.ID) {
 			r.campaign(true)
 		}
@@ -160,6 +160,6 @@
 	epoch := r.leading.view.Epoch
 	r.stepDown()
 	if best != "" {
-		r.send(best, TakeOver{Epoch: epoch})
+		r.send(best, TransferLeadership{Epoch: epoch})
 	}
 }
--- a/internal/router/replication/worst_days_test.go
+++ b/internal/router/replication/worst_days_test.go
@@ -30,7 +30,7 @@
 
 // electionMessages are the kinds that an episode loses or delays.
 var electionMessages = []Message{Prepare{}, Promise{}, Sync{}, Synced{}, Accept{}, Accepted{}, Heartbeat{}, HeartbeatAck{}, Replicate{},
-	Replicated{}, MissingEntries{}, SnapshotPiece{}, LearnerAck{}, PreVoteReply{}}
+	Replicated{}, MissingEntries{}, SnapshotChunk{}, LearnerAck{}, PreVoteReply{}}
 
 func playWorstDay(t testing.TB, seed int64, mutate func(*simulation)) *worstDay {
 	d := &worstDay{simulation: newSimulation(t, seed, 3+int(seed%2), 1)}
--- /dev/null
+++ b/internal/router/storage/recorded_test.go
@@ -0,0 +1,67 @@
+package storage
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"petrelhook/internal/common/gobschema"
+	"petrelhook/internal/router/replication"
+)
+
+// recordedFolder has what revision cfdfdec left on a disk; internal/router/wireformat/testdata says how it was made.
+const recordedFolder = "testdata/cfdfdec"
+
+// A disk that an earlier version wrote is read, and written on, with nothing lost.
+func TestRecordedDiskIsRead(t *testing.T) {
+	database, err := os.ReadFile(filepath.Join(recordedFolder, fileName))
+	require.NoError(t, err)
+	folder := t.TempDir()
+	require.NoError(t, os.WriteFile(filepath.Join(folder, fileName), database, 0o600))
+
+	check := func(state *replication.PersistedState) {
+		t.Helper()
+		require.True(t, strings.HasPrefix(state.ID, "127.0.0.2:7400/"), state.ID)
+		recordedHard, err := os.ReadFile(filepath.Join(recordedFolder, "hard.json"))
+		require.NoError(t, err)
+		hard, err := json.Marshal(state.Hard)
+		require.NoError(t, err)
+		require.JSONEq(t, string(recordedHard), string(hard))
+		epoch := replication.Epoch{Round: 7, Node: "127.0.0.2:7400/a1"}
+		require.Equal(t, replication.Position{Epoch: epoch, Sequence: 1}, state.Snapshot.Position)
+		require.NotEmpty(t, state.Snapshot.Data)
+		require.Equal(t, replication.Entry{Position: replication.Position{Epoch: epoch, Sequence: 2}, Data: []byte("entry 0")}, state.Entries[0])
+		require.Equal(t, replication.Entry{Position: replication.Position{Epoch: epoch, Sequence: 3}, Data: []byte("entry 1")}, state.Entries[1])
+	}
+
+	inspected, err := Inspect(folder)
+	require.NoError(t, err)
+	check(inspected)
+	require.Len(t, inspected.Entries, 2)
+
+	d, state, err := Open(folder, "127.0.0.2:7400", false)
+	require.NoError(t, err)
+	check(state)
+	entry := &replication.Entry{Position: replication.Position{Epoch: replication.Epoch{Round: 8, Node: "b"}, Sequence: 4}, Data: []byte("new")}
+	require.NoError(t, d.Save(replication.Save{Hard: state.Hard, Entry: entry}))
+	require.NoError(t, d.Close())
+
+	again, err := Inspect(folder)
+	require.NoError(t, err)
+	check(again)
+	require.Equal(t, *entry, again.Entries[2])
+}
+
+// What is written has the recorded fields and no others: an earlier version reads it.
+func TestSchemaIsTheRecordedOne(t *testing.T) {
+	recorded, err := os.ReadFile(filepath.Join(recordedFolder, "schema.txt"))
+	require.NoError(t, err)
+	require.Equal(t, string(recorded), "hard "+gobschema.Describe(reflect.TypeFor[replication.HardState]())+
+		"\nentry "+gobschema.Describe(reflect.TypeFor[replication.Entry]())+
+		"\nsnapshot "+gobschema.Describe(reflect.TypeFor[replication.SnapshotRecord]())+"\n")
+}
--- a/internal/router/storage/storage.go
+++ b/internal/router/storage/storage.go
@@ -45,7 +45,7 @@
 
 // Open opens the state in a folder, or makes an empty one: address becomes part of its identity, and genesis says that
 // this is the first start of the whole system.
-func Open(folder, address string, genesis bool) (*Disk, *replication.Kept, error) {
+func Open(folder, address string, genesis bool) (*Disk, *replication.PersistedState, error) {
 	path := filepath.Join(folder, fileName)
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, nil, errors.Wrap(err, "storage")
@@ -95,7 +95,7 @@
 		if err := meta.Put(keyID, []byte(address+"/"+hex.EncodeToString(random[:]))); err != nil {
 			return err
 		}
-		return putGob(meta, keyHard, replication.Hard{Genesis: genesis})
+		return putGob(meta, keyHard, replication.HardState{Genesis: genesis})
 	})
 	if closed := database.Close(); err == nil {
 		err = closed
@@ -119,7 +119,7 @@
 }
 
 // Inspect reads the state in a folder without changing anything.
-func Inspect(folder string) (*replication.Kept, error) {
+func Inspect(folder string) (*replication.PersistedState, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
 		return nil, errors.Wrap(err, "storage")
@@ -133,8 +133,8 @@
 	return d.read()
 }
 
-func (d *Disk) read() (*replication.Kept, error) {
-	kept := &replication.Kept{}
+func (d *Disk) read() (*replication.PersistedState, error) {
+	kept := &replication.PersistedState{}
 	err := d.database.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if meta == nil || meta.Get(keyID) == nil {
--- a/internal/router/storage/storage_test.go
+++ b/internal/router/storage/storage_test.go
@@ -20,7 +20,7 @@
 	require.NoError(t, err)
 	require.True(t, kept.Hard.Genesis)
 	id := kept.ID
-	hard := replication.Hard{Promised: replication.Epoch{Round: 4, Node: "b"}}
+	hard := replication.HardState{Promised: replication.Epoch{Round: 4, Node: "b"}}
 	require.NoError(t, d.Save(replication.Save{Hard: hard, Snapshot: &replication.SnapshotRecord{Position: position(3), Data: []byte("three")}}))
 	require.NoError(t, d.Save(replication.Save{Hard: hard, Entry: &replication.Entry{Position: position(4), Data: []byte("four")}}))
 	require.NoError(t, d.Close())
--- a/internal/router/transport/transport.go
+++ b/internal/router/transport/transport.go
@@ -35,9 +35,17 @@
 // Handler takes in a message. It must not block for long.
 type Handler func(from string, body any)
 
+// Codec converts messages to the values that gob encodes, whose types are registered with gob, and back. It is called from the
+// goroutines of all connections.
+type Codec interface {
+	ToWire(message any) any
+	FromWire(value any) any
+}
+
 // Transport is one sidecar's end of all its connections to others.
 type Transport struct {
 	self    string
+	codec   Codec
 	handler Handler
 	sent    atomic.Uint64
 
@@ -56,8 +64,8 @@
 }
 
 // New makes a transport for the sidecar at an internal address.
-func New(self string, handler Handler) *Transport {
-	return &Transport{self: self, handler: handler, peers: map[string]*peer{}, done: make(chan struct{}), conns: map[net.Conn]bool{}}
+func New(self string, codec Codec, handler Handler) *Transport {
+	return &Transport{self: self, codec: codec, handler: handler, peers: map[string]*peer{}, done: make(chan struct{}), conns: map[net.Conn]bool{}}
 }
 
 // Serve takes connections of others until the listener ends.
@@ -100,7 +108,7 @@
 		if decoder.Decode(&e) != nil {
 			return
 		}
-		t.handler(e.From, e.Body)
+		t.handler(e.From, t.codec.FromWire(e.Body))
 	}
 }
 
@@ -200,11 +208,11 @@
 		}
 	}
 	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	err := l.encoder.Encode(Envelope{From: t.self, Body: body})
+	err := l.encoder.Encode(Envelope{From: t.self, Body: t.codec.ToWire(body)})
 	for more := true; err == nil && more; {
 		select {
 		case next := <-p.queue:
-			err = l.encoder.Encode(Envelope{From: t.self, Body: next})
+			err = l.encoder.Encode(Envelope{From: t.self, Body: t.codec.ToWire(next)})
 		default:
 			more = false
 		}
--- a/internal/router/transport/transport_test.go
+++ b/internal/router/transport/transport_test.go
@@ -14,11 +14,17 @@
 
 func init() { gob.Register(note{}) }
 
+// sameOnWire sends messages as they are.
+type sameOnWire struct{}
+
+func (sameOnWire) ToWire(message any) any { return message }
+func (sameOnWire) FromWire(value any) any { return value }
+
 // A sidecar that sends to itself under a lock that its handler takes must not stand still.
 func TestSendingToItselfUnderALock(t *testing.T) {
 	var mutex sync.Mutex
 	got := make(chan int, 1)
-	one := New("127.0.0.1:1", func(_ string, body any) {
+	one := New("127.0.0.1:1", sameOnWire{}, func(_ string, body any) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		got <- body.(note).Number
@@ -34,11 +40,11 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	got := make(chan int, 200)
-	to := New(listener.Addr().String(), func(from string, body any) { got <- body.(note).Number })
+	to := New(listener.Addr().String(), sameOnWire{}, func(from string, body any) { got <- body.(note).Number })
 	go to.Serve(listener)
 	defer to.Close()
 	defer listener.Close()
-	from := New("127.0.0.1:2", nil)
+	from := New("127.0.0.1:2", sameOnWire{}, nil)
 	defer from.Close()
 	for i := range 100 {
 		from.Send(listener.Addr().String(), note{i})
@@ -52,7 +58,7 @@
 
 // A peer that does not listen costs its messages, not the sender's time.
 func TestAPeerThatIsNotThere(t *testing.T) {
-	from := New("127.0.0.1:2", nil)
+	from := New("127.0.0.1:2", sameOnWire{}, nil)
 	defer from.Close()
 	began := time.Now()
 	for i := range 10 * queueLength {
@@ -71,7 +77,7 @@
 		require.NoError(t, gob.NewDecoder(c).Decode(&e))
 		return e.Body.(note).Number
 	}
-	from := New("127.0.0.1:2", nil)
+	from := New("127.0.0.1:2", sameOnWire{}, nil)
 	defer from.Close()
 	to := listener.Addr().String()
 	from.Send(to, note{1})
