--- a/cmd/petrelagent/main.go
+++ b/cmd/petrelhook-agent/main.go
@@ -1,4 +1,4 @@
-// Command petrelagent is in charge of the sidecars of one machine: it starts them, changes them by a hand-over when a rolling change
+// Command petrelhook-agent is in charge of the sidecars of one machine: it starts them, changes them by a hand-over when a rolling change
 // orders so, and takes them up again when it is started anew.
 package main
 
@@ -31,7 +31,7 @@
 	var path string
 	var check bool
 	cmd := &cobra.Command{
-		Use: "petrelagent --config FILE", Short: "The agent of one machine: starts its sidecars, and changes them as a rolling change orders",
+		Use: "petrelhook-agent --config FILE", Short: "The agent of one machine: starts its sidecars, and changes them as a rolling change orders",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if path == "" {
--- a/cmd/petrelfleet/main.go
+++ b/cmd/petrelhook-coordinator/main.go
@@ -1,4 +1,4 @@
-// Command petrelfleet is a coordinator: one, three or five of them keep the leases of a fleet.
+// Command petrelhook-coordinator is a coordinator: one, three or five of them keep the leases of a fleet.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	var path, data, addr string
 	var check bool
 	cmd := &cobra.Command{
-		Use: "petrelfleet [--config FILE | --data FOLDER]", Short: "A coordinator of petrelhook's fleet: who holds which lease",
+		Use: "petrelhook-coordinator [--config FILE | --data FOLDER]", Short: "A coordinator of petrelhook's fleet: who holds which lease",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var c *fleet.Config
--- a/cmd/petrelrouter/commands.go
+++ b/cmd/petrelhook-router/commands.go
@@ -40,7 +40,7 @@
 
 func version(_ context.Context, c *cli.Command) error {
 	build, _ := debug.ReadBuildInfo()
-	_, err := fmt.Fprintln(c.Root().Writer, "petrelrouter", build.Main.Version, build.GoVersion)
+	_, err := fmt.Fprintln(c.Root().Writer, "petrelhook-router", build.Main.Version, build.GoVersion)
 	return err
 }
 
--- a/cmd/petrelrouter/fleet_test.go
+++ b/cmd/petrelhook-router/fleet_test.go
@@ -26,7 +26,7 @@
 // The test's program is the router as well.
 func TestMain(m *testing.M) {
 	if os.Getenv(roleVariable) != "" {
-		os.Exit(run([]string{"petrelrouter", "router"}, os.Stdout, os.Stderr))
+		os.Exit(run([]string{"petrelhook-router", "router"}, os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
@@ -246,7 +246,7 @@
 	}
 
 	var out bytes.Buffer
-	require.Zero(t, run([]string{"petrelrouter", "status", f.address(f.machines[0].ip, 2)}, &out, &out))
+	require.Zero(t, run([]string{"petrelhook-router", "status", f.address(f.machines[0].ip, 2)}, &out, &out))
 	require.Contains(t, out.String(), `"Generation": 7`)
 	for _, m := range f.machines {
 		require.NoError(t, m.process.Signal(os.Interrupt))
@@ -256,7 +256,7 @@
 	}
 	out.Reset()
 	data := filepath.Join(filepath.Dir(f.machines[0].settings), "data")
-	require.Zero(t, run([]string{"petrelrouter", "state", data}, &out, &out), out.String())
+	require.Zero(t, run([]string{"petrelhook-router", "state", data}, &out, &out), out.String())
 	require.Contains(t, out.String(), `"Generation": 7`)
 }
 
@@ -270,7 +270,7 @@
 		code int
 		says string
 	}{
-		{[]string{"version"}, 0, "petrelrouter"},
+		{[]string{"version"}, 0, "petrelhook-router"},
 		{[]string{"check", bad}, exitBad, "field Settings.Ip"},
 		{[]string{"check", broken}, exitBad, "line 2"},
 		{[]string{"check", "../../deploy/system.toml"}, 0, "roles router: fit"},
@@ -282,7 +282,7 @@
 		{[]string{"--help"}, 0, "status"},
 	} {
 		var out bytes.Buffer
-		require.Equal(t, c.code, run(append([]string{"petrelrouter"}, c.args...), &out, &out), c.args)
+		require.Equal(t, c.code, run(append([]string{"petrelhook-router"}, c.args...), &out, &out), c.args)
 		require.Contains(t, out.String(), c.says, c.args)
 	}
 }
--- a/cmd/petrelrouter/main.go
+++ b/cmd/petrelhook-router/main.go
@@ -1,4 +1,4 @@
-// Command petrelrouter is a router of the fleet; its role is a subcommand.
+// Command petrelhook-router is a router of the fleet; its role is a subcommand.
 package main
 
 import (
@@ -22,7 +22,7 @@
 // run is the program; it returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
 	command := &cli.Command{
-		Name:           "petrelrouter",
+		Name:           "petrelhook-router",
 		Usage:          "a router fleet for a language model",
 		Writer:         stdout,
 		ErrWriter:      stderr,
@@ -48,7 +48,7 @@
 	if err == nil {
 		return 0
 	}
-	io.WriteString(stderr, "petrelrouter: "+err.Error()+"\n")
+	io.WriteString(stderr, "petrelhook-router: "+err.Error()+"\n")
 	if coded, ok := err.(cli.ExitCoder); ok {
 		return coded.ExitCode()
 	}
--- a/cmd/petrelhook/log_test.go
+++ b/cmd/petrelhook/log_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		if d.IsDir() && (d.Name() == "rig" || d.Name() == "petrelctl" || strings.HasPrefix(d.Name(), ".") && len(d.Name()) > 2) {
+		if d.IsDir() && (d.Name() == "rig" || d.Name() == "petrelhookctl" || strings.HasPrefix(d.Name(), ".") && len(d.Name()) > 2) {
 			return filepath.SkipDir
 		}
 		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
--- a/cmd/petrelctl/capacity_test.go
+++ b/cmd/petrelhookctl/capacity_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(now, page) {
-		t.Error("docs/CAPACITY-sidecars.md is not what the figures say: petrelctl capacity --write docs/CAPACITY-sidecars.md")
+		t.Error("docs/CAPACITY-sidecars.md is not what the figures say: petrelhookctl capacity --write docs/CAPACITY-sidecars.md")
 	}
 	r, err := capacityReport(assumedFile, measuredFile)
 	if err != nil {
--- a/cmd/petrelctl/chain_test.go
+++ b/cmd/petrelhookctl/chain_test.go
@@ -50,7 +50,7 @@
 	long := []string{"chain", "--bin", bin, "--fail", "--depths", "3", "--parts", "1", "--length", "60s"}
 	code := run(ctx, long, &out, began)
 	said := string(began.all)
-	if code != 1 || !strings.Contains(said, "petrelctl: stopped early\n") || strings.Contains(out.String(), "look") {
+	if code != 1 || !strings.Contains(said, "petrelhookctl: stopped early\n") || strings.Contains(out.String(), "look") {
 		t.Errorf("exit %d: %s\n%s", code, &out, said)
 	}
 	for _, c := range []struct {
--- a/cmd/petrelctl/lease.go
+++ b/cmd/petrelhookctl/lease.go
@@ -201,7 +201,7 @@
 			}
 			held, err := hold(cmd.Context(), args[0])
 			if err != nil {
-				fmt.Fprintln(cmd.ErrOrStderr(), "petrelctl:", err)
+				fmt.Fprintln(cmd.ErrOrStderr(), "petrelhookctl:", err)
 				return exitCode(exitNoLease)
 			}
 			return under(cmd, held, args[1:], grace)
@@ -219,7 +219,7 @@
 	child := exec.Command(args[0], args[1:]...)
 	child.Stdin, child.Stdout, child.Stderr = cmd.InOrStdin(), cmd.OutOrStdout(), cmd.ErrOrStderr()
 	child.Env = append(os.Environ(), "LEASE_NAME="+held.Name, fmt.Sprint("LEASE_TOKEN=", held.Token))
-	child.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // not even a killed petrelctl leaves it behind
+	child.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // not even a killed petrelhookctl leaves it behind
 	runtime.LockOSThread()                                                              // that signal comes when the thread that started the child ends
 	defer runtime.UnlockOSThread()
 	if err := child.Start(); err != nil {
@@ -241,7 +241,7 @@
 			var exit *exec.ExitError
 			switch {
 			case code != 0:
-				fmt.Fprintf(cmd.ErrOrStderr(), "petrelctl: %s: the lease is lost\n", held.Name)
+				fmt.Fprintf(cmd.ErrOrStderr(), "petrelhookctl: %s: the lease is lost\n", held.Name)
 				return exitCode(code)
 			case errors.As(err, &exit) && exit.ExitCode() >= 0:
 				return exitCode(exit.ExitCode())
--- a/cmd/petrelctl/main.go
+++ b/cmd/petrelhookctl/main.go
@@ -1,4 +1,4 @@
-// Command petrelctl is the operators' tool. Each subcommand is a thin shell over a package.
+// Command petrelhookctl is the operators' tool. Each subcommand is a thin shell over a package.
 //
 // It ends with 0 where all is well, 1 where what it looked at is bad, and 2 where it was called wrongly. Results go to
 // standard output; progress and errors, one line each, to standard error.
@@ -36,7 +36,7 @@
 
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) (code int) {
 	root := &cobra.Command{
-		Use: "petrelctl", Short: "The operators' tool of petrelhook", SilenceErrors: true, SilenceUsage: true,
+		Use: "petrelhookctl", Short: "The operators' tool of petrelhook", SilenceErrors: true, SilenceUsage: true,
 		CompletionOptions: cobra.CompletionOptions{HiddenDefaultCmd: true},
 	}
 	root.AddCommand(rehearseCommand(), loadCommand(), standinCommand(), leaseCommand(), fleetCommand(), rolloutCommand(), releaseCommand(), shareCommand(), revisionCommand(), capacityCommand(), chainCommand(), scaleCommand(), experimentCommand())
@@ -54,10 +54,10 @@
 	case errors.As(err, &exit):
 		return int(exit)
 	case errors.As(err, &ran):
-		fmt.Fprintln(stderr, "petrelctl:", err)
+		fmt.Fprintln(stderr, "petrelhookctl:", err)
 		return 1
 	default: // cobra's, and what a subcommand says of its flags
-		fmt.Fprintln(stderr, "petrelctl:", err)
+		fmt.Fprintln(stderr, "petrelhookctl:", err)
 		return 2
 	}
 }
--- a/cmd/petrelctl/main_test.go
+++ b/cmd/petrelhookctl/main_test.go
@@ -19,7 +19,7 @@
 	"petrelhook/internal/rig/rehearse"
 )
 
-// call runs petrelctl in this process.
+// call runs petrelhookctl in this process.
 func call(ctx context.Context, args ...string) (code int, stdout, stderr string) {
 	var out, err bytes.Buffer
 	code = run(ctx, args, &out, &err)
@@ -226,7 +226,7 @@
 	} {
 		code, stdout, stderr := call(t.Context(), c.args...)
 		line, rest, _ := strings.Cut(stderr, "\n")
-		if code != c.code || stdout != "" || !strings.Contains(line, c.want) || strings.HasPrefix(line, "petrelctl: ") == false {
+		if code != c.code || stdout != "" || !strings.Contains(line, c.want) || strings.HasPrefix(line, "petrelhookctl: ") == false {
 			t.Errorf("%v: exit %d, %q, %q; want %d, %q", c.args, code, stdout, stderr, c.code, c.want)
 		}
 		if rest != "" && !strings.Contains(c.want, "ended at once") && !strings.Contains(c.want, "unknown command") {
@@ -237,8 +237,8 @@
 
 // The tool as a process: SIGINT ends it in order.
 func TestInterrupt(t *testing.T) {
-	tool := filepath.Join(t.TempDir(), "petrelctl")
-	if out, err := exec.Command("go", "build", "-o", tool, "petrelhook/cmd/petrelctl").CombinedOutput(); err != nil {
+	tool := filepath.Join(t.TempDir(), "petrelhookctl")
+	if out, err := exec.Command("go", "build", "-o", tool, "petrelhook/cmd/petrelhookctl").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	trace := filepath.Join(t.TempDir(), "t.jsonl")
--- a/cmd/petrelctl/revision.go
+++ b/cmd/petrelhookctl/revision.go
@@ -62,7 +62,7 @@
 		},
 	}
 	a.flags(cmd)
-	cmd.Flags().BoolVar(&stepsDone, "steps-done", false, "what has to be done elsewhere first was done (petrelctl rollout plan says what)")
+	cmd.Flags().BoolVar(&stepsDone, "steps-done", false, "what has to be done elsewhere first was done (petrelhookctl rollout plan says what)")
 	cmd.Flags().DurationVar(&wait, "wait", 0, "how long to wait until it is in force everywhere; 0: do not")
 	return cmd
 }
--- a/cmd/petrelctl/rollout_show.go
+++ b/cmd/petrelhookctl/rollout_show.go
@@ -90,7 +90,7 @@
 			return err
 		}
 		if err != nil {
-			fmt.Fprintln(out, "petrelctl:", err)
+			fmt.Fprintln(out, "petrelhookctl:", err)
 		} else if stop := show(out, terminal, application, app.Now, &last); stop {
 			return nil
 		}
--- a/cmd/petrelctl/scale.go
+++ b/cmd/petrelhookctl/scale.go
@@ -22,7 +22,7 @@
 	cmd := &cobra.Command{
 		Use: "scale", Args: cobra.NoArgs,
 		Short: "Measure what a fleet of some sizes costs each role, with real coordinators and hollow members",
-		Long: "Starts petrelfleet processes and, beside them, hollow members that make and answer the calls of real ones,\n" +
+		Long: "Starts petrelhook-coordinator processes and, beside them, hollow members that make and answer the calls of real ones,\n" +
 			"many to a process, and measures each role's processes from outside. Everything is on loopback, and has ended\n" +
 			"when it returns.\n\n" +
 			"Workloads:\n" +
--- a/cmd/petrelctl/scale_test.go
+++ b/cmd/petrelhookctl/scale_test.go
@@ -30,11 +30,11 @@
 		{"--workloads sleep", 2, `--workloads: "sleep" is none of renewals, looks, watches, publish`},
 		{"--runs 0", 2, "--runs: 0"},
 		{"--real 65", 2, "--real: 65; write 0 to 64"},
-		{"--sizes 20 --check 0 --bin " + empty, 1, "--bin: there is no " + filepath.Join(empty, "petrelfleet")},
+		{"--sizes 20 --check 0 --bin " + empty, 1, "--bin: there is no " + filepath.Join(empty, "petrelhook-coordinator")},
 		{"now", 2, "unknown command"},
 	} {
 		code, stdout, stderr := call(t.Context(), append([]string{"scale"}, strings.Fields(c.args)...)...)
-		if code != c.code || stdout != "" || !strings.HasPrefix(stderr, "petrelctl: ") || !strings.Contains(stderr, c.want) || strings.Count(stderr, "\n") != 1 {
+		if code != c.code || stdout != "" || !strings.HasPrefix(stderr, "petrelhookctl: ") || !strings.Contains(stderr, c.want) || strings.Count(stderr, "\n") != 1 {
 			t.Errorf("%s: exit %d, %q, %q; want %d, %q", c.args, code, stdout, stderr, c.code, c.want)
 		}
 	}
@@ -51,7 +51,7 @@
 // The tool as a whole: JSON on standard output and in a file; and an interrupt ends it in order, with what it has.
 func TestScale(t *testing.T) {
 	bin := t.TempDir()
-	out, err := exec.Command("go", "build", "-o", bin+"/", "petrelhook/cmd/petrelfleet", "petrelhook/cmd/petrelctl").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", bin+"/", "petrelhook/cmd/petrelhook-coordinator", "petrelhook/cmd/petrelhookctl").CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
--- a/internal/coordination/capacity/points.go
+++ b/internal/coordination/capacity/points.go
@@ -13,7 +13,7 @@
 	d := json.NewDecoder(strings.NewReader(string(text)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(m); err != nil {
-		return nil, fmt.Errorf("%s: %w; write what petrelctl scale --json leaves", file, err)
+		return nil, fmt.Errorf("%s: %w; write what petrelhookctl scale --json leaves", file, err)
 	}
 	for i, p := range m.Points {
 		at := fmt.Sprintf("%s: points[%d]", file, i)
--- a/internal/coordination/capacity/rows_control.go
+++ b/internal/coordination/capacity/rows_control.go
@@ -50,7 +50,7 @@
 			cores(m.at("looks", "driver", "cpu_us_s", m.machines)),
 			cores(m.at("lists", "server", "cpu_us_s", m.servers))),
 		Budget: to(mul(m.is("target.control_machines"), m.used("machines.cores"))), Breaks: BreaksTime,
-		Mechanism: "cmd/petrelfleet, the platform's discovery"})
+		Mechanism: "cmd/petrelhook-coordinator, the platform's discovery"})
 }
 
 func (m *model) renewals() Figure {
@@ -99,7 +99,7 @@
 		Breaks: BreaksRule, Mechanism: "internal/coordination/driver"})
 	m.put(Row{Time: Ordinary, Role: Tool, What: "a change of all, in one answer", Unit: "bytes",
 		Need: m.changeBytes(m.servers), Budget: to(m.is("limits.max_message")), Breaks: BreaksRule,
-		Mechanism: "cmd/petrelctl, internal/coordination/fleet"})
+		Mechanism: "cmd/petrelhookctl, internal/coordination/fleet"})
 	m.put(Row{Time: Ordinary, Role: Tool, What: "what is in force, of all services", Unit: "s",
 		Need: m.at("publish", "tool", "summary_s", m.machines), Budget: to(m.is("target.in_force")),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/distribute (Summaries)"})
--- a/internal/coordination/machine/config.go
+++ b/internal/coordination/machine/config.go
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	for _, f := range []struct{ name, value, what string }{{"application", c.Application, "a name"}, {"data", c.Data, "the folder for what is kept"},
-		{"releases", c.Releases, "the folder of releases"}, {"release", c.Release, "the release to begin with, as petrelctl release add names it"}} {
+		{"releases", c.Releases, "the folder of releases"}, {"release", c.Release, "the release to begin with, as petrelhookctl release add names it"}} {
 		if f.value == "" {
 			return nil, yamlfile.Problem(file, top, f.name, "missing; write "+f.what)
 		}
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -43,7 +43,7 @@
 
 func init() {
 	if os.Getenv("MACHINE_TEST_THREADS") != "" || len(os.Args) > 1 && os.Args[1] == "once" {
-		// What ends, or becomes the program, is the first thread: see cmd/petrelagent.
+		// What ends, or becomes the program, is the first thread: see cmd/petrelhook-agent.
 		runtime.LockOSThread()
 	}
 }
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -28,7 +28,7 @@
 const (
 	fileName = "replica.db"
 	lockTime = time.Second
-	format   = "petrelfleet 1"
+	format   = "petrelhook-coordinator 1"
 )
 
 var (
--- a/internal/coordination/replica/mutation_test.go
+++ b/internal/coordination/replica/mutation_test.go
@@ -22,8 +22,8 @@
 		"an answer that is heard twice":    {"internal/coordination/share/taker.go", "told.Units > 0 && !known", "told.Units > 0 && (true || known)", "./internal/coordination/replica", "TestSharesOfAGroup"},
 		"old answers to who waits anew":    {"internal/coordination/lease/holder.go", "waits && since <= asked &&", "waits && since <= since &&", "./internal/coordination/replica", "TestSchedules"},
 		"the fencing check":                {"lease/guard.go", "token < g.newest || token == 0", "token == 0", "./lease", "TestOneHolder"},
-		"the sync before an answer":        {"internal/coordination/fleet/server.go", "if w.Sync {", "if w.Sync && w.Snapshot != nil {", "./cmd/petrelfleet", "TestAllKilledAtOnce"},
-		"another life of a replica's disk": {"internal/coordination/replica/members.go", `life != "" && life != c.Options.Life`, "false", "./cmd/petrelfleet", "TestLostDisk"},
+		"the sync before an answer":        {"internal/coordination/fleet/server.go", "if w.Sync {", "if w.Sync && w.Snapshot != nil {", "./cmd/petrelhook-coordinator", "TestAllKilledAtOnce"},
+		"another life of a replica's disk": {"internal/coordination/replica/members.go", `life != "" && life != c.Options.Life`, "false", "./cmd/petrelhook-coordinator", "TestLostDisk"},
 		"a client's line of commands":      {"lease/line.go", "	c.last = mine\n", "", "./lease", "TestCommandsKeepTheirOrder"},
 	})
 }
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -72,7 +72,7 @@
 		return "", err
 	}
 	built = dir
-	out, err := exec.Command("go", "build", "-o", dir+"/", "petrelhook/cmd/petrelhook", "petrelhook/cmd/petrelfleet", "petrelhook/cmd/petrelagent", "petrelhook/cmd/petrelctl").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir+"/", "petrelhook/cmd/petrelhook", "petrelhook/cmd/petrelhook-coordinator", "petrelhook/cmd/petrelhook-agent", "petrelhook/cmd/petrelhookctl").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w: %s", err, out)
 	}
@@ -89,7 +89,7 @@
 	d := &Deployment{t: t, bin: bin, Releases: filepath.Join(t.TempDir(), "releases"), PerAgent: 3, Zones: []string{""},
 		Limits: "{ready: 10s, trial: 1s, end: 4s, look: 50ms, cut_off: 20s, heard: 4s, restart_pause: 200ms}"}
 	d.Group = coordinator.NewGroupWith(t, coordinators, "drive: true\ndrive_every: 200ms\n", func(args ...string) *exec.Cmd {
-		return exec.Command(filepath.Join(bin, "petrelfleet"), args...)
+		return exec.Command(filepath.Join(bin, "petrelhook-coordinator"), args...)
 	})
 	return d
 }
@@ -157,7 +157,7 @@
 func (a *Agent) Begin() {
 	a.d.t.Helper()
 	path := filepath.Join(a.Dir, "agent.yaml")
-	a.Process = process.Start(a.d.t, exec.Command(a.d.Program("petrelagent"), "--config", path))
+	a.Process = process.Start(a.d.t, exec.Command(a.d.Program("petrelhook-agent"), "--config", path))
 	c, err := machine.Read(path)
 	if err != nil {
 		a.d.t.Fatal(err)
--- a/internal/rig/rehearse/random_test.go
+++ b/internal/rig/rehearse/random_test.go
@@ -81,7 +81,7 @@
 
 // Whatever goes wrong, the real core breaks no rule. A failure prints the smallest script that still fails, and the seed
 // that plays it again: go test ./internal/rig/rehearse -run TestRandomFaults -rapid.seed=SEED. The script, saved in a file,
-// is played alone with REHEARSE_SCRIPT=FILE, or on sockets with petrelctl rehearse FILE.
+// is played alone with REHEARSE_SCRIPT=FILE, or on sockets with petrelhookctl rehearse FILE.
 func TestRandomFaults(t *testing.T) {
 	if path := os.Getenv("REHEARSE_SCRIPT"); path != "" {
 		text, err := os.ReadFile(path)
--- a/internal/rig/scale/doc.go
+++ b/internal/rig/scale/doc.go
@@ -1,5 +1,5 @@
 // Package scale asks what a fleet of some size costs, and answers with figures of real processes seen from outside.
-// It starts coordinators (petrelfleet) and, beside them, hollow members, many to a process: they make and answer the
+// It starts coordinators (petrelhook-coordinator) and, beside them, hollow members, many to a process: they make and answer the
 // very calls that real ones do, by the product's own client code over loopback, and leave out only the work behind
 // the calls.
 //
--- a/internal/rig/scale/group.go
+++ b/internal/rig/scale/group.go
@@ -80,7 +80,7 @@
 }
 
 func (g *group) start(i int) (*child, error) {
-	return g.family.start(fmt.Sprintf("petrelfleet-%d", i+1), exec.Command(g.program, "--config", g.files[i]), nil, nil)
+	return g.family.start(fmt.Sprintf("petrelhook-coordinator-%d", i+1), exec.Command(g.program, "--config", g.files[i]), nil, nil)
 }
 
 // close ends the ways between them; the processes are the family's.
--- a/internal/rig/scale/machines.go
+++ b/internal/rig/scale/machines.go
@@ -25,7 +25,7 @@
 	machinesDir = "machines" // of a run's folder
 )
 
-// machines are a run's real ones: an agent each (petrelagent), with one sidecar (petrelhook) that it starts. Agents
+// machines are a run's real ones: an agent each (petrelhook-agent), with one sidecar (petrelhook) that it starts. Agents
 // have the settings that operators' files have where nothing else is said. They reach the coordinators by relays,
 // which count for all of them. As a rehearse.Starter they are handed their sidecars by a rehearsal, which sends the
 // load and judges the rules.
@@ -85,7 +85,7 @@
 	}
 	defer theirs.Close()
 	m.input = input
-	m.minder, err = f.startApart("minder", exec.Command(o.program("petrelctl"), "scale", "minder", m.dir), theirs)
+	m.minder, err = f.startApart("minder", exec.Command(o.program("petrelhookctl"), "scale", "minder", m.dir), theirs)
 	return m, err
 }
 
@@ -139,7 +139,7 @@
 	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(path, text, 0o600)); err != nil {
 		return "", err
 	}
-	one.agent, err = m.family.start("petrelagent-"+one.name, exec.Command(m.o.program("petrelagent"), "--config", path),
+	one.agent, err = m.family.start("petrelhook-agent-"+one.name, exec.Command(m.o.program("petrelhook-agent"), "--config", path),
 		nil, nil)
 	if err != nil {
 		return "", err
--- a/internal/rig/scale/options.go
+++ b/internal/rig/scale/options.go
@@ -22,7 +22,7 @@
 
 // Options are what a scale run is told.
 type Options struct {
-	Bin       string   // the folder with petrelfleet, petrelagent, petrelhook and petrelctl
+	Bin       string   // the folder with petrelhook-coordinator, petrelhook-agent, petrelhook and petrelhookctl
 	Workloads []string // of Workloads
 	Sizes     []int    // members; figures of these are fitted on
 	Beyond    int      // a larger size, which a fit is checked with; 0: none
@@ -99,9 +99,9 @@
 
 // programs are those that a run starts.
 func (o *Options) programs() []string {
-	all := []string{"petrelfleet", "petrelctl"}
+	all := []string{"petrelhook-coordinator", "petrelhookctl"}
 	if o.Real > 0 {
-		all = append(all, "petrelagent", "petrelhook")
+		all = append(all, "petrelhook-agent", "petrelhook")
 	}
 	return all
 }
--- a/internal/rig/scale/run.go
+++ b/internal/rig/scale/run.go
@@ -167,11 +167,11 @@
 		}
 	}()
 	r.progress("starts")
-	r.group, err = newGroup(ctx, r.family, r.o.program("petrelfleet"), r.kept, r.workload == Looks)
+	r.group, err = newGroup(ctx, r.family, r.o.program("petrelhook-coordinator"), r.kept, r.workload == Looks)
 	if err != nil {
 		return err
 	}
-	r.crew, err = newCrew(r.family, r.o.program("petrelctl"), r.layout.Hollow)
+	r.crew, err = newCrew(r.family, r.o.program("petrelhookctl"), r.layout.Hollow)
 	if err != nil {
 		return err
 	}
--- a/internal/rig/scale/scale_test.go
+++ b/internal/rig/scale/scale_test.go
@@ -34,7 +34,7 @@
 		return "", err
 	}
 	built = dir
-	out, err := exec.Command("go", "build", "-o", dir+"/", "petrelhook/cmd/petrelfleet", "petrelhook/cmd/petrelctl", "petrelhook/cmd/petrelagent", "petrelhook/cmd/petrelhook").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir+"/", "petrelhook/cmd/petrelhook-coordinator", "petrelhook/cmd/petrelhookctl", "petrelhook/cmd/petrelhook-agent", "petrelhook/cmd/petrelhook").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w: %s", err, out)
 	}
@@ -231,14 +231,16 @@
 // One that is killed leaves no process behind.
 func TestKilled(t *testing.T) {
 	o := options(t)
-	cmd := exec.Command(o.program("petrelctl"), "scale", "--sizes", "50", "--check", "0", "--steady", "30s")
+	cmd := exec.Command(o.program("petrelhookctl"), "scale", "--sizes", "50", "--check", "0", "--steady", "30s")
 	cmd.Env = append(os.Environ(), "TMPDIR="+t.TempDir()) // it leaves its folder
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	members := func() bool { return len(left(o.program("petrelctl"))) == 2 && len(left(o.program("petrelfleet"))) == 3 }
+	members := func() bool {
+		return len(left(o.program("petrelhookctl"))) == 2 && len(left(o.program("petrelhook-coordinator"))) == 3
+	}
 	err := until(ctx, "its members are there", members)
 	cmd.Process.Kill()
 	cmd.Wait()
@@ -258,7 +260,7 @@
 // One that is killed leaves no real sidecar behind either: each has a session of its own, and outlives its agent.
 func TestKilledBesideRealMachines(t *testing.T) {
 	o := options(t)
-	cmd := exec.Command(o.program("petrelctl"), "scale", "--workloads", Watches, "--sizes", "20", "--check", "0", "--real", "2", "--steady", "30s")
+	cmd := exec.Command(o.program("petrelhookctl"), "scale", "--workloads", Watches, "--sizes", "20", "--check", "0", "--real", "2", "--steady", "30s")
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,4 +1,4 @@
-// Package lease lets an application hold leases of the fleet's coordinators (petrelfleet): of all that ask for a name at most one
+// Package lease lets an application hold leases of the fleet's coordinators (petrelhook-coordinator): of all that ask for a name at most one
 // holds it. Hold gives a context that ends before the lease can be another's, and a token; whatever the lease protects should keep a
 // Guard and be sent the token, for a holder may be stopped between its look at the context and its act.
 //
