--- a/cmd/petrelhook-agent/faults_test.go
+++ b/cmd/petrelhook-agent/faults_test.go
@@ -69,7 +69,7 @@
 	}
 	for _, token := range []uint64{1, 1 << 40} { // an older driver; a newer one that says an order once more
 		order := machine.Order{Version: machine.Version, Application: deployment.Application, Token: token, Order: rollout.Order{Number: 1, Sidecar: "n00", Release: string(s.Old)}}
-		res, err := rpc.Client[machine.Order, machine.Taken](http.DefaultClient, s.Agents[0].Link.Addr, machine.PathOrder, 1<<20).CallUnary(t.Context(), connect.NewRequest(&order))
+		res, err := rpc.Client[machine.Order, machine.OrderResponse](http.DefaultClient, s.Agents[0].Link.Addr, machine.PathOrder, 1<<20).CallUnary(t.Context(), connect.NewRequest(&order))
 		if token == 1 && connect.CodeOf(err) != connect.CodeAborted || token > 1 && (err != nil || !res.Msg.Known) {
 			t.Errorf("token %d: %v, %v", token, res, err)
 		}
@@ -147,7 +147,7 @@
 	}
 	peertest.Eventually(t, "it goes back by itself", func() bool {
 		k := cut.Kept()
-		return k[0].Fell == rollout.CutOff && k[0].Now != nil && k[0].Now.Release == string(s.Old) && k[0].Phase == agent.Idle
+		return k[0].FallbackReason == rollout.MachineIsolated && k[0].Serving != nil && k[0].Serving.Release == string(s.Old) && k[0].Phase == agent.Idle
 	})
 	cut.Link.Hold(link.Forth, false)
 	if c := s.Over(time.Minute); c.State.Phase != rollout.Stopped || deployment.Running(c, s.Old) != 6 || c.State.Why != "by hand" {
@@ -167,7 +167,7 @@
 	}
 	s.Until(time.Minute, "it is changed", func(c *rollout.Change) bool { return deployment.Running(c, good) == 1 })
 	a := s.Agents[0]
-	pid := a.Kept()[0].Now.PID
+	pid := a.Kept()[0].Serving.PID
 	syscall.Kill(pid, syscall.SIGSTOP)
 	c := s.Until(time.Minute, "it pauses", func(c *rollout.Change) bool { return c.State.Phase == rollout.Paused })
 	if !strings.Contains(c.State.Why, "nothing came of it") || !strings.HasSuffix(c.State.Why, ": n00") {
@@ -200,7 +200,7 @@
 	a.Link.Hold(link.Forth, true)
 	a.Die()
 	for _, k := range a.Kept() {
-		syscall.Kill(k.Now.PID, syscall.SIGKILL)
+		syscall.Kill(k.Serving.PID, syscall.SIGKILL)
 	}
 	for _, name := range []string{"n00", "n01"} {
 		text := `{"confirmed": "0123456789abcdef0123456789abcdef", "starts": 9}`
@@ -213,7 +213,7 @@
 	a.Link.Hold(link.Forth, false)
 	peertest.Eventually(t, "it runs what is confirmed", func() bool {
 		k := a.Kept()
-		return k[0].Confirmed == string(good) && k[1].Confirmed == string(good) && k[0].Now != nil && k[1].Now != nil && k[0].Now.Release == string(good)
+		return k[0].Confirmed == string(good) && k[1].Confirmed == string(good) && k[0].Serving != nil && k[1].Serving != nil && k[0].Serving.Release == string(good)
 	})
 	s.Until(time.Minute, "all are ready", func(c *rollout.Change) bool {
 		for _, one := range c.State.Sidecars() {
--- a/cmd/petrelhook-agent/version_test.go
+++ b/cmd/petrelhook-agent/version_test.go
@@ -57,8 +57,8 @@
 func (s *listed) serving() (all []int) {
 	for _, a := range s.Agents {
 		for _, k := range a.Kept() {
-			if k.Now != nil {
-				all = append(all, k.Now.PID)
+			if k.Serving != nil {
+				all = append(all, k.Serving.PID)
 			}
 		}
 	}
@@ -98,7 +98,7 @@
 	})
 	for _, a := range s.Agents {
 		for _, k := range a.Kept() {
-			files, _ := filepath.Glob(filepath.Join(a.Dir, "data", fmt.Sprintf("config-*-%d", k.Now.Start)))
+			files, _ := filepath.Glob(filepath.Join(a.Dir, "data", fmt.Sprintf("config-*-%d", k.Serving.Start)))
 			for _, f := range files {
 				if text, _ := os.ReadFile(f); !strings.Contains(string(text), `"quantum_ms":3`) || !strings.Contains(string(text), s.lists[1].Addr) {
 					t.Errorf("%s: %s", f, text)
@@ -207,7 +207,7 @@
 	}
 	for _, a := range s.Agents {
 		for _, k := range a.Kept() {
-			if k.Now.Release != string(third) || k.InForce != newest || k.Failed != "" {
+			if k.Serving.Release != string(third) || k.InForce != newest || k.Failed != "" {
 				t.Errorf("%+v", k)
 			}
 		}
--- a/cmd/petrelhook-coordinator/distribute_test.go
+++ b/cmd/petrelhook-coordinator/distribute_test.go
@@ -135,7 +135,7 @@
 		t.Errorf("the same once more is revision %d, was %d", got, newest["service-1"])
 	}
 	content := json.RawMessage(`{"settings":{"for":"service-1","n":2}}`)
-	told, err := g.Ask(fleet.Ask{Publish: &distribute.Command{Service: "service-1", After: newest["service-1"] - 1, Content: content}})
+	told, err := g.Ask(fleet.Request{Publish: &distribute.Command{Service: "service-1", After: newest["service-1"] - 1, Content: content}})
 	if err != nil || told.Published.Refused == "" {
 		t.Errorf("over what was published meanwhile: %v, %+v", err, told)
 	}
@@ -145,7 +145,7 @@
 		}
 	}
 	for _, bad := range []string{`[1]`, `{"listen": "127.0.0.1:1"}`} {
-		if _, err := g.Ask(fleet.Ask{Publish: &distribute.Command{Service: "service-1", Content: json.RawMessage(bad)}}); err == nil {
+		if _, err := g.Ask(fleet.Request{Publish: &distribute.Command{Service: "service-1", Content: json.RawMessage(bad)}}); err == nil {
 			t.Errorf("taken: %s", bad)
 		}
 	}
@@ -270,7 +270,7 @@
 	newest := publish(t, g, "service-0", 1)
 	m := g.All[(g.NewLeader(-1)+1)%3]
 	addr := g.Clients[m.I].Addr
-	ask := func() (*distribute.Told, error) {
+	ask := func() (*distribute.WatchResponse, error) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		return watchAt(ctx, addr, distribute.Watch{Version: distribute.WireVersion, Service: "service-0", Member: "m"})
@@ -288,8 +288,8 @@
 	peertest.Eventually(t, "it tells again", func() bool { _, err := ask(); return err == nil })
 }
 
-func watchAt(ctx context.Context, addr string, w distribute.Watch) (*distribute.Told, error) {
-	res, err := fleet.Client[distribute.Watch, distribute.Told](http.DefaultClient, addr, distribute.PathWatch).CallUnary(ctx, connect.NewRequest(&w))
+func watchAt(ctx context.Context, addr string, w distribute.Watch) (*distribute.WatchResponse, error) {
+	res, err := fleet.Client[distribute.Watch, distribute.WatchResponse](http.DefaultClient, addr, distribute.PathWatch).CallUnary(ctx, connect.NewRequest(&w))
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/petrelhook-coordinator/figures_test.go
+++ b/cmd/petrelhook-coordinator/figures_test.go
@@ -59,9 +59,9 @@
 			for w := range 32 {
 				sides.Go(func() {
 					for i := w; i < size[1]; i += 32 {
-						a := ask(fleet.Ask{Command: &core.Command{Kind: core.Open, Nonce: fmt.Sprintf("nonce-%d-%v-%d", n, size, i), Owner: "o", TTL: 50 * time.Second}})
+						a := ask(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: fmt.Sprintf("nonce-%d-%v-%d", n, size, i), Owner: "o", TTL: 50 * time.Second}})
 						for l, seq := i, uint64(1); l < size[0]; l, seq = l+size[1], seq+1 {
-							ask(fleet.Ask{Command: &core.Command{Kind: core.Acquire, Session: a.Answer.Session, Seq: seq, Name: fmt.Sprintf("l%d-%d-%d", size[0], size[1], l)}})
+							ask(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: a.Answer.Session, Seq: seq, Name: fmt.Sprintf("l%d-%d-%d", size[0], size[1], l)}})
 						}
 						opened.Lock()
 						sessions = append(sessions, a.Answer.Session)
@@ -73,17 +73,17 @@
 			var seqs [8]uint64
 			var own [8]core.SessionID
 			for w := range own {
-				own[w] = ask(fleet.Ask{Command: &core.Command{Kind: core.Open, Nonce: fmt.Sprintf("worker-%d-%v-%d", n, size, w), Owner: "o", TTL: 50 * time.Second}}).Answer.Session
+				own[w] = ask(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: fmt.Sprintf("worker-%d-%v-%d", n, size, w), Owner: "o", TTL: 50 * time.Second}}).Answer.Session
 			}
 			grant := func(w, _ int) {
 				seqs[w]++
-				ask(fleet.Ask{Command: &core.Command{Kind: core.Acquire, Session: own[w], Seq: seqs[w], Name: fmt.Sprintf("w%d-%d-%d-%d", w, seqs[w], size[0], size[1])}})
+				ask(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: own[w], Seq: seqs[w], Name: fmt.Sprintf("w%d-%d-%d-%d", w, seqs[w], size[0], size[1])}})
 			}
 			_, g50, g99 := timed(1, 2*time.Second, grant)
 			grants, _, _ := timed(8, 2*time.Second, grant)
 			each := uint64(max(1, size[0]/size[1])) // grants, and so the version, of each session
 			renew := func(w, n int) {
-				ask(fleet.Ask{Alive: &replica.Alive{Session: sessions[(w*7919+n)%len(sessions)], Known: each}})
+				ask(fleet.Request{Alive: &replica.Alive{Session: sessions[(w*7919+n)%len(sessions)], Known: each}})
 			}
 			_, r50, r99 := timed(1, 2*time.Second, func(w, n int) { renew(0, n) })
 			renewals, _, _ := timed(32, 2*time.Second, renew)
--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/hard_test.go
@@ -77,7 +77,7 @@
 	g := newGroup(t, 3)
 	held := must(t, patient(t, g), "x")
 	peertest.Eventually(t, "all disks are known", func() bool {
-		told, err := g.Ask(fleet.Ask{Backup: true})
+		told, err := g.Ask(fleet.Request{Backup: true})
 		known := 0
 		if err == nil {
 			for _, m := range told.Members {
@@ -97,7 +97,7 @@
 	if err := c.Wait(); err == nil || !strings.Contains(c.Log.String(), "has lost its disk") {
 		t.Errorf("%v: %s", err, c.Log)
 	}
-	if _, err := g.Ask(fleet.Ask{Remove: uint64(c.I + 1)}); err != nil {
+	if _, err := g.Ask(fleet.Request{Remove: uint64(c.I + 1)}); err != nil {
 		t.Fatal(err)
 	}
 	fourthAddr := join(t, g, c, 4)
@@ -121,11 +121,11 @@
 	os.WriteFile(path, []byte(joins), 0o600)
 	addr = g.Serves(start(t, "coordinator", nil, "--config", path))
 	way.To(addr)
-	if _, err := g.Ask(fleet.Ask{Add: &replica.Member{ID: id, Addr: way.Addr}}); err != nil {
+	if _, err := g.Ask(fleet.Request{Add: &replica.Member{ID: id, Addr: way.Addr}}); err != nil {
 		t.Fatal(err)
 	}
 	peertest.Eventually(t, "it votes", func() bool {
-		told, err := g.Ask(fleet.Ask{Backup: true})
+		told, err := g.Ask(fleet.Request{Backup: true})
 		return err == nil && slices.ContainsFunc(told.Members, func(m replica.Member) bool { return m.ID == id && !m.Learner })
 	})
 	return addr
@@ -136,7 +136,7 @@
 	g := newGroup(t, 3)
 	held := must(t, patient(t, g), "x")
 	leader := g.NewLeader(-1)
-	if _, err := g.Ask(fleet.Ask{Remove: uint64(leader + 1)}); err != nil {
+	if _, err := g.Ask(fleet.Request{Remove: uint64(leader + 1)}); err != nil {
 		t.Fatal(err)
 	}
 	g.NewLeader(leader)
@@ -175,7 +175,7 @@
 // tokens go on beyond.
 func TestRestoredWhileAHolderLives(t *testing.T) {
 	g := newGroup(t, 1)
-	backup, err := g.Ask(fleet.Ask{Backup: true})
+	backup, err := g.Ask(fleet.Request{Backup: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,11 +196,11 @@
 	}
 	c.Start()
 	peertest.Eventually(t, "it leads", func() bool { return g.Leader() == 0 })
-	a, err := g.Ask(fleet.Ask{Command: &core.Command{Kind: core.Open, Nonce: "another client", Owner: "o", TTL: ttl}})
+	a, err := g.Ask(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: "another client", Owner: "o", TTL: ttl}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err = g.Ask(fleet.Ask{Command: &core.Command{Kind: core.Acquire, Session: a.Answer.Session, Seq: 1, Name: "x"}})
+	a, err = g.Ask(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: a.Answer.Session, Seq: 1, Name: "x"}})
 	if err != nil || a.Answer.Status != core.Embargoed {
 		t.Errorf("%v, %+v", err, a)
 	}
@@ -218,7 +218,7 @@
 	waiter := start(t, "holder", out, "w", peertest.NewRaw(t, r.Serve), strings.Join(g.Addrs(), ","))
 	name := "task"
 	queue := func() int {
-		told, err := g.Ask(fleet.Ask{List: &name})
+		told, err := g.Ask(fleet.Request{List: &name})
 		if err != nil || len(told.Holdings) == 0 {
 			return -1
 		}
@@ -251,13 +251,13 @@
 	peertest.Eventually(t, "the last one knows", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		res, err := call(ctx, g.Clients[2].Addr, fleet.Ask{Version: fleet.Version, Command: &core.Command{Kind: core.Open, Nonce: "12345678", Owner: "o", TTL: ttl}})
-		return err == nil && strings.Contains(res.Err, "majority is out of reach") && res.Again > 0
+		res, err := call(ctx, g.Clients[2].Addr, fleet.Request{Version: fleet.Version, Command: &core.Command{Kind: core.Open, Nonce: "12345678", Owner: "o", TTL: ttl}})
+		return err == nil && strings.Contains(res.Err, "majority is out of reach") && res.RetryAfterMs > 0
 	})
 	peertest.Wait(t, held.Context().Done())
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	if _, err := call(ctx, g.Clients[2].Addr, fleet.Ask{Version: 99}); err == nil || !strings.Contains(err.Error(), "version 99") {
+	if _, err := call(ctx, g.Clients[2].Addr, fleet.Request{Version: 99}); err == nil || !strings.Contains(err.Error(), "version 99") {
 		t.Errorf("%v", err)
 	}
 	if _, err := o.Status(ctx, g.Clients[2].Addr); err != nil {
@@ -337,18 +337,18 @@
 	other := (leader + 1) % 3
 	ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
 	defer cancel()
-	told, err := call(ctx, g.Clients[leader].Addr, fleet.Ask{Version: fleet.Version, Remove: uint64(other + 1)})
-	if err != nil || !told.Moved {
+	told, err := call(ctx, g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, Remove: uint64(other + 1)})
+	if err != nil || !told.OutcomeUnknown {
 		t.Errorf("%v, %+v", err, told)
 	}
 	g.NewLeader(leader)
 	join(t, g, g.All[other], 4) // by the two that hear one another
-	if _, err := g.Ask(fleet.Ask{Remove: uint64(leader + 1)}); err != nil {
+	if _, err := g.Ask(fleet.Request{Remove: uint64(leader + 1)}); err != nil {
 		t.Fatal(err)
 	}
 	c.Cut(false, true, true)
 	c.Wait()
-	told, err = g.Ask(fleet.Ask{Backup: true})
+	told, err = g.Ask(fleet.Request{Backup: true})
 	if err != nil || len(told.Members) != 3 || !held.Valid() {
 		t.Errorf("%v, %+v, valid %v", err, told, held.Valid())
 	}
@@ -359,21 +359,21 @@
 func TestALeaderThatIsStoppedForTenSeconds(t *testing.T) {
 	g := newGroup(t, 3)
 	g.NewLeader(-1)
-	told, err := g.Ask(fleet.Ask{Command: &core.Command{Kind: core.Open, Nonce: "12345678", Owner: "o", TTL: ttl}})
+	told, err := g.Ask(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: "12345678", Owner: "o", TTL: ttl}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	session := told.Answer.Session
-	if _, err := g.Ask(fleet.Ask{Command: &core.Command{Kind: core.Acquire, Session: session, Seq: 1, Name: "task"}}); err != nil {
+	if _, err := g.Ask(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: session, Seq: 1, Name: "task"}}); err != nil {
 		t.Fatal(err)
 	}
 	leader := g.Leader()
 	g.All[leader].Stop()
 	next := must(t, patient(t, g), "task")
 	<-time.After(10 * time.Second)
-	asked := make(chan *fleet.Told, 1)
+	asked := make(chan *fleet.Response, 1)
 	go func() { // it is in its queue as it goes on
-		told, _ := call(t.Context(), g.Clients[leader].Addr, fleet.Ask{Version: fleet.Version, Alive: &replica.Alive{Session: session}})
+		told, _ := call(t.Context(), g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, Alive: &replica.Alive{Session: session}})
 		asked <- told
 	}()
 	g.All[leader].Continue()
--- a/cmd/petrelhook-coordinator/process_test.go
+++ b/cmd/petrelhook-coordinator/process_test.go
@@ -39,8 +39,8 @@
 }
 
 // call makes one call to one coordinator.
-func call(ctx context.Context, addr string, in fleet.Ask) (*fleet.Told, error) {
-	res, err := fleet.Client[fleet.Ask, fleet.Told](http.DefaultClient, addr, fleet.PathAsk).CallUnary(ctx, connect.NewRequest(&in))
+func call(ctx context.Context, addr string, in fleet.Request) (*fleet.Response, error) {
+	res, err := fleet.Client[fleet.Request, fleet.Response](http.DefaultClient, addr, fleet.PathRequest).CallUnary(ctx, connect.NewRequest(&in))
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/petrelhook-coordinator/share_test.go
+++ b/cmd/petrelhook-coordinator/share_test.go
@@ -25,7 +25,7 @@
 	const members = 8
 	l := share.Limit{Name: "cold/s-1", Units: 80, Floor: 16, Members: members, Period: 400 * time.Millisecond}
 	set := func(l share.Limit) string {
-		told, err := g.Ask(fleet.Ask{Limit: &share.Command{Set: l}})
+		told, err := g.Ask(fleet.Request{Limit: &share.Command{Set: l}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 			t.Errorf("%+v: %q", one, said)
 		}
 	}
-	if told, err := g.Ask(fleet.Ask{Share: &replica.Share{Limit: "none", Ask: share.Ask{Member: "m"}}}); err != nil || !strings.Contains(told.Refused, "no such limit") {
+	if told, err := g.Ask(fleet.Request{Share: &replica.ShareRequest{Limit: "none", Request: share.AllocationRequest{Member: "m"}}}); err != nil || !strings.Contains(told.Refused, "no such limit") {
 		t.Error(err, told)
 	}
 	limit, _ := json.Marshal(l)
@@ -91,7 +91,7 @@
 		t.Error(said)
 	}
 	more("a lower limit", 4*l.Units)
-	told, err := g.Ask(fleet.Ask{Limits: true})
+	told, err := g.Ask(fleet.Request{Limits: true})
 	if err != nil || len(told.Limits) != 1 || told.Limits[0].Limit != l || len(told.Limits[0].Members) != members || told.Limits[0].Out > 80 {
 		t.Errorf("%v: %+v", err, told.Limits)
 	}
--- a/cmd/petrelhookctl/fleet.go
+++ b/cmd/petrelhookctl/fleet.go
@@ -81,7 +81,7 @@
 		}}
 }
 
-func (a *asking) changed(cmd *cobra.Command, in fleet.Ask) error {
+func (a *asking) changed(cmd *cobra.Command, in fleet.Request) error {
 	told, err := a.ask(cmd, in)
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 			if err != nil || id == 0 {
 				return fmt.Errorf("%q: write an id from 1 on that was never used", args[0])
 			}
-			return a.changed(cmd, fleet.Ask{Add: &replica.Member{ID: id, Addr: args[1]}})
+			return a.changed(cmd, fleet.Request{Add: &replica.Member{ID: id, Addr: args[1]}})
 		}}
 }
 
@@ -115,14 +115,14 @@
 			if err != nil || id == 0 {
 				return fmt.Errorf("%q: write the id of a coordinator", args[0])
 			}
-			return a.changed(cmd, fleet.Ask{Remove: id})
+			return a.changed(cmd, fleet.Request{Remove: id})
 		}}
 }
 
 func (a *asking) backupCommand() *cobra.Command {
 	return &cobra.Command{Use: "backup FILE", Short: "Write all that is held, as of now, to a new file", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			told, err := a.ask(cmd, fleet.Ask{Backup: true})
+			told, err := a.ask(cmd, fleet.Request{Backup: true})
 			if err != nil {
 				return err
 			}
--- a/cmd/petrelhookctl/lease.go
+++ b/cmd/petrelhookctl/lease.go
@@ -51,7 +51,7 @@
 }
 
 // ask asks whoever leads.
-func (a *asking) ask(cmd *cobra.Command, in fleet.Ask) (*fleet.Told, error) {
+func (a *asking) ask(cmd *cobra.Command, in fleet.Request) (*fleet.Response, error) {
 	o, err := a.operator()
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 	list := func(use, short string, args cobra.PositionalArgs, show bool) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
 			prefix := strings.Join(args, "")
-			told, err := a.ask(cmd, fleet.Ask{List: &prefix})
+			told, err := a.ask(cmd, fleet.Request{List: &prefix})
 			if err != nil {
 				return err
 			}
@@ -130,7 +130,7 @@
 
 func (a *asking) breakCommand(use, short string, wait bool) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		told, err := a.ask(cmd, fleet.Ask{Command: &core.Command{Kind: core.Break, Name: args[0]}})
+		told, err := a.ask(cmd, fleet.Request{Command: &core.Command{Kind: core.Break, Name: args[0]}})
 		if err != nil {
 			return err
 		}
@@ -138,7 +138,7 @@
 			return runError{fmt.Errorf("%s: nobody holds it", args[0])}
 		}
 		for broken := told.Answer.Token; wait; {
-			told, err := a.ask(cmd, fleet.Ask{List: &args[0]})
+			told, err := a.ask(cmd, fleet.Request{List: &args[0]})
 			if err != nil {
 				return err
 			}
--- a/cmd/petrelhookctl/revision.go
+++ b/cmd/petrelhookctl/revision.go
@@ -182,7 +182,7 @@
 	cmd := &cobra.Command{
 		Use: "show SERVICE", Args: cobra.ExactArgs(1), Short: "A service's newest version, with its content",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			told, err := a.ask(cmd, fleet.Ask{Versions: &args[0]})
+			told, err := a.ask(cmd, fleet.Request{Versions: &args[0]})
 			if err == nil && len(told.Versions) == 0 {
 				err = runError{fmt.Errorf("%s: nothing was published for it", args[0])}
 			}
--- a/cmd/petrelhookctl/rollout_run.go
+++ b/cmd/petrelhookctl/rollout_run.go
@@ -49,7 +49,7 @@
 
 // change asks for an application's changes, with what the stages of the last one were counted to have done or without.
 func (a *asking) change(cmd *cobra.Command, application string, results bool) (*rollout.Application, error) {
-	told, err := a.ask(cmd, fleet.Ask{Changes: &application, Results: results})
+	told, err := a.ask(cmd, fleet.Request{Changes: &application, Results: results})
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 			if err != nil {
 				return err
 			}
-			told, err := a.ask(cmd, fleet.Ask{Rollout: &rollout.Command{Application: args[0], Change: app.Now.Name, At: time.Now().UnixMilli(), Events: []rollout.Event{say()}}})
+			told, err := a.ask(cmd, fleet.Request{Rollout: &rollout.Command{Application: args[0], Change: app.Now.Name, At: time.Now().UnixMilli(), Events: []rollout.Event{say()}}})
 			if err == nil && told.Rollout.Err != "" {
 				err = runError{errors.New(told.Rollout.Err)}
 			}
--- a/cmd/petrelhookctl/share.go
+++ b/cmd/petrelhookctl/share.go
@@ -28,7 +28,7 @@
 			if l.Name = args[0]; l.Check() != nil {
 				return l.Check()
 			}
-			told, err := a.ask(cmd, fleet.Ask{Limit: &share.Command{Set: l}})
+			told, err := a.ask(cmd, fleet.Request{Limit: &share.Command{Set: l}})
 			if err == nil && told.Refused != "" {
 				err = runError{errors.New(told.Refused)}
 			}
@@ -48,7 +48,7 @@
 	cmd := &cobra.Command{
 		Use: "list", Args: cobra.NoArgs, Short: "All limits: what is out, and who has what, wants what and is due what",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			told, err := a.ask(cmd, fleet.Ask{Limits: true})
+			told, err := a.ask(cmd, fleet.Request{Limits: true})
 			if err != nil {
 				return err
 			}
--- a/internal/coordination/agent/configuration.go
+++ b/internal/coordination/agent/configuration.go
@@ -72,48 +72,48 @@
 
 // configure gives what is due for the newest version, where no change goes on. A version whose turn has come is seen
 // through or fails before a newer one has its own.
-func (s *Sidecar) configure(now time.Duration) []Do {
+func (s *Sidecar) configure(now time.Duration) []Action {
 	switch {
 	case s.Trying != 0:
-		if s.Now != nil && now >= s.again {
+		if s.Serving != nil && now >= s.again {
 			return s.tell(now)
 		}
 		return nil
 	case !s.pending() || s.asking != nil || now < s.held || now < s.again:
 		return nil
-	case s.Now == nil && (s.asked || s.crashes < crashing): // what is in force comes first
+	case s.Serving == nil && (s.asked || s.crashes < crashing): // what is in force comes first
 		return nil
-	case s.Now != nil && !(s.ready && s.heard) && now < s.due: // it has just begun
+	case s.Serving != nil && !(s.ready && s.heard) && now < s.due: // it has just begun
 		return nil
 	}
 	if c := s.question(); s.checked != c {
 		s.asking = &c
-		return []Do{{Check: &c}}
+		return []Action{{Check: &c}}
 	}
 	s.Trying = s.wanted
-	if s.verdict.Live && s.Now != nil && s.told != "" {
+	if s.verdict.Live && s.Serving != nil && s.told != "" {
 		s.Live = true
 		return s.tell(now)
 	}
 	release := s.Confirmed
-	if s.Now != nil {
-		release = s.Now.Release
+	if s.Serving != nil {
+		release = s.Serving.Release
 	}
 	return s.begin(now, release)
 }
 
 func (s *Sidecar) question() Check {
 	c := Check{Version: s.wanted, Releases: [2]string{s.Confirmed}}
-	if s.Now != nil {
-		if c.Process = *s.Now; s.Now.Release != s.Confirmed {
-			c.Releases = [2]string{s.Now.Release, s.Confirmed}
+	if s.Serving != nil {
+		if c.Process = *s.Serving; s.Serving.Release != s.Confirmed {
+			c.Releases = [2]string{s.Serving.Release, s.Confirmed}
 		}
 	}
 	return c
 }
 
 // Checked tells what came of a check.
-func (s *Sidecar) Checked(now time.Duration, c Check, v Verdict) []Do {
+func (s *Sidecar) Checked(now time.Duration, c Check, v Verdict) []Action {
 	s.asking = nil
 	switch {
 	case s.Phase != Idle || !s.pending() || c != s.question(): // it is asked anew when its turn comes
@@ -138,15 +138,15 @@
 }
 
 // tell has the process that serves read its file again, with the version that is on its way.
-func (s *Sidecar) tell(now time.Duration) []Do {
+func (s *Sidecar) tell(now time.Duration) []Action {
 	s.expected, s.again = "", now+s.limits.Ready
-	return []Do{{Tell: s.Now, Version: s.Trying}}
+	return []Action{{Reload: s.Serving, Version: s.Trying}}
 }
 
 // Told tells that the file was written, what its digest is, and that the process was asked to read it; or why not.
 func (s *Sidecar) Told(now time.Duration, p Process, digest string, err error) {
 	switch {
-	case !s.Live || s.Now == nil || *s.Now != p:
+	case !s.Live || s.Serving == nil || *s.Serving != p:
 	case err != nil:
 		s.Trying, s.Live = 0, false
 		s.putOff(now, err.Error())
@@ -157,7 +157,7 @@
 
 // Runs tells the digest of the file that a process read last; "": it does not say.
 func (s *Sidecar) Runs(p Process, digest string) {
-	if s.Now == nil || *s.Now != p {
+	if s.Serving == nil || *s.Serving != p {
 		return
 	}
 	s.heard, s.told = true, digest
@@ -218,7 +218,7 @@
 		return fmt.Sprintf("order %d of a rollout goes on", s.Order)
 	case s.Phase != Idle:
 		return "a change goes on"
-	case s.Now == nil:
+	case s.Serving == nil:
 		return "no process serves"
 	}
 	return s.late
--- a/internal/coordination/agent/configuration_test.go
+++ b/internal/coordination/agent/configuration_test.go
@@ -43,16 +43,16 @@
 	deaf    bool            // processes do not hear that they are to read their file
 	unknown bool            // the program can't be asked
 	killed  func() bool     // whether the agent is killed now
-	check   func(do Do)     // what is to be true of what is done
+	check   func(do Action) // what is to be true of what is done
 	kept    json.RawMessage // as it is on the disk
 	unseen  *Process        // started by an agent that was killed before it could say so
 	most    int
-	todo    []Do // of an agent that is not killed
+	todo    []Action // of an agent that is not killed
 }
 
 func newSite(t testing.TB) *site {
 	w := &site{t: t, runs: map[int]distribute.Revision{}, trial: map[int]time.Duration{}, kinds: map[distribute.Revision]kind{},
-		killed: func() bool { return false }, check: func(Do) {}}
+		killed: func() bool { return false }, check: func(Action) {}}
 	w.s = New("old", limits)
 	w.do(w.s.Tick(0))
 	w.pass(time.Second)
@@ -60,7 +60,7 @@
 }
 
 func (w *site) save() {
-	text, err := json.Marshal(w.s.Kept)
+	text, err := json.Marshal(w.s.PersistedState)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 }
 
 // do does what is to be done; false: the agent was killed and begun again, and what was to be done is lost.
-func (w *site) do(todo []Do) bool {
+func (w *site) do(todo []Action) bool {
 	for len(todo) > 0 {
 		w.save()
 		if w.killed() {
@@ -94,11 +94,11 @@
 			todo = append(todo, w.die(*d.Term)...)
 		case d.Kill != nil:
 			todo = append(todo, w.die(*d.Kill)...)
-		case d.Tell != nil:
-			if !w.deaf && slices.Contains(w.alive, *d.Tell) {
-				w.runs[d.Tell.PID] = d.Version
+		case d.Reload != nil:
+			if !w.deaf && slices.Contains(w.alive, *d.Reload) {
+				w.runs[d.Reload.PID] = d.Version
 			}
-			w.s.Told(w.now, *d.Tell, digest(d.Version), nil)
+			w.s.Told(w.now, *d.Reload, digest(d.Version), nil)
 		case d.Check != nil:
 			v := Verdict{Live: w.kinds[d.Check.Version] == live}
 			if w.kinds[d.Check.Version] == unchecked {
@@ -116,7 +116,7 @@
 
 func digest(r distribute.Revision) string { return fmt.Sprint("of ", r) }
 
-func (w *site) die(p Process) []Do {
+func (w *site) die(p Process) []Action {
 	i := slices.Index(w.alive, p)
 	if i < 0 {
 		return nil
@@ -129,7 +129,7 @@
 func (w *site) again() {
 	killed := w.killed
 	w.killed = func() bool { return false }
-	var k Kept
+	var k PersistedState
 	if err := json.Unmarshal(w.kept, &k); err != nil {
 		w.t.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 		found = p
 	}
 	w.unseen = nil
-	s, todo := Again(k, limits, w.now, func(p Process) bool { return slices.Contains(w.alive, p) }, found)
+	s, todo := Restore(k, limits, w.now, func(p Process) bool { return slices.Contains(w.alive, p) }, found)
 	w.s = s
 	w.s.Want(w.newest)
 	w.do(todo)
@@ -277,7 +277,7 @@
 	w.pass(5 * time.Second)
 	w.stands("its process died as the one before ended", 1, 0, "")
 	if w.s.Refused != 0 {
-		t.Errorf("%+v", w.s.Kept)
+		t.Errorf("%+v", w.s.PersistedState)
 	}
 }
 
@@ -310,7 +310,7 @@
 	w.publish(live)
 	w.pass(time.Second)
 	if !w.s.Live {
-		t.Fatalf("%+v", w.s.Kept)
+		t.Fatalf("%+v", w.s.PersistedState)
 	}
 	w.publish(live)
 	w.deaf = false
@@ -336,7 +336,7 @@
 		w.do(todo)
 	}
 	if w.s.InForce != 1 || w.s.Order != 1 || w.s.Trying != 0 {
-		t.Errorf("%+v", w.s.Kept)
+		t.Errorf("%+v", w.s.PersistedState)
 	}
 	if r := w.s.Report("n0"); r.Why != "order 1 of a rollout goes on" {
 		t.Errorf("%+v", r)
@@ -344,13 +344,13 @@
 	w.pass(30 * time.Second)
 	w.stands("both", 2, 0, "")
 	if release, _ := w.s.Serves(); release != "new" || w.s.Done != 1 || w.s.Failed != "" {
-		t.Errorf("%s, %+v", release, w.s.Kept)
+		t.Errorf("%s, %+v", release, w.s.PersistedState)
 	}
 	w.publish(neverReady)
 	w.pass(30 * time.Second)
 	w.stands("refused", 2, 3, "not ready")
 	if w.s.Done != 1 || w.s.Failed != "" {
-		t.Errorf("what came of the order: %+v", w.s.Kept)
+		t.Errorf("what came of the order: %+v", w.s.PersistedState)
 	}
 
 	w.deaf = true
@@ -362,12 +362,12 @@
 	w.deaf = false
 	w.do(must(w.s.Change(w.now, 2, "old")))
 	if w.s.Order != 2 || w.s.Trying != 0 {
-		t.Errorf("%+v", w.s.Kept)
+		t.Errorf("%+v", w.s.PersistedState)
 	}
 	w.pass(30 * time.Second)
 	w.stands("both again", 4, 0, "")
 	if release, _ := w.s.Serves(); release != "old" || w.s.Done != 2 || w.s.Failed != "" {
-		t.Errorf("%s, %+v", release, w.s.Kept)
+		t.Errorf("%s, %+v", release, w.s.PersistedState)
 	}
 }
 
@@ -409,10 +409,10 @@
 	w.now += time.Second
 	todo := w.s.Tick(w.now)
 	todo = w.s.Checked(w.now, *todo[0].Check, Verdict{Live: true})
-	if len(todo) != 1 || todo[0].Tell == nil {
+	if len(todo) != 1 || todo[0].Reload == nil {
 		t.Fatalf("%+v", todo)
 	}
-	w.s.Told(w.now, *todo[0].Tell, "", errors.New("no room"))
+	w.s.Told(w.now, *todo[0].Reload, "", errors.New("no room"))
 	if r := w.s.Report("n0"); r.Why != "no room" || r.Refused != 0 {
 		t.Errorf("%+v", r)
 	}
@@ -459,8 +459,8 @@
 	w.stands("in force", 1, 0, "")
 	w.publish(good)
 	w.do(w.die(w.alive[0]))
-	var first Do
-	w.check = func(d Do) {
+	var first Action
+	w.check = func(d Action) {
 		if first.Start == "" && d.Start != "" {
 			first = d
 		}
@@ -514,13 +514,13 @@
 				r.Fatalf("%d processes", len(w.alive))
 			}
 		}
-		w.check = func(d Do) {
+		w.check = func(d Action) {
 			look()
 			switch {
-			case d.Tell != nil && (d.Version != w.s.Trying || slices.Contains(refused, d.Version)),
+			case d.Reload != nil && (d.Version != w.s.Trying || slices.Contains(refused, d.Version)),
 				d.Start != "" && d.Version != w.s.InForce && (d.Version != w.s.Trying || w.s.Phase != Starting || w.s.Order != 0),
 				d.Start != "" && slices.Contains(refused, d.Version):
-				r.Fatalf("%+v, refused %v, kept %+v", d, refused, w.s.Kept)
+				r.Fatalf("%+v, refused %v, kept %+v", d, refused, w.s.PersistedState)
 			}
 		}
 		step := func(d time.Duration) {
--- a/internal/coordination/agent/sidecar.go
+++ b/internal/coordination/agent/sidecar.go
@@ -23,11 +23,11 @@
 
 // Process is one that runs. A number is used again by the system; with the time of its start it is one process's.
 type Process struct {
-	PID     int    `json:"pid"`
-	Began   uint64 `json:"began"` // as the system says it
-	Release string `json:"release"`
-	Door    string `json:"door,omitempty"`  // where it hears operators
-	Start   uint64 `json:"start,omitempty"` // which of the sidecar's starts made it; 0: an agent that did not say
+	PID          int    `json:"pid"`
+	Began        uint64 `json:"began"` // as the system says it
+	Release      string `json:"release"`
+	AdminAddress string `json:"door,omitempty"`  // where it hears operators
+	Start        uint64 `json:"start,omitempty"` // which of the sidecar's starts made it; 0: an agent that did not say
 }
 
 // Limits are how long things may take.
@@ -41,35 +41,35 @@
 	Most    time.Duration // the longest such pause
 }
 
-// Kept is what survives the agent: it is written before what it says is done.
-type Kept struct {
-	Confirmed string       `json:"confirmed"` // the release that a change may go back to
-	Now       *Process     `json:"now,omitempty"`
-	Next      *Process     `json:"next,omitempty"`
-	Doomed    *Process     `json:"doomed,omitempty"` // of a change that failed: killed; nothing is started until it is gone
-	To        string       `json:"to,omitempty"`     // Starting: the release that is wanted
-	Order     uint64       `json:"order,omitempty"`  // of the change that goes on, 0: its own
-	Phase     Phase        `json:"phase"`
-	Done      uint64       `json:"done,omitempty"` // the last order that is over
-	Failed    string       `json:"failed,omitempty"`
-	Starts    uint64       `json:"starts,omitempty"` // how many were asked for; the last one may have been made unseen
-	Fell      rollout.Fall `json:"fell,omitempty"`   // why it went back to what is confirmed without an order, until the next order
+// PersistedState is what survives the agent: it is written before what it says is done.
+type PersistedState struct {
+	Confirmed      string                 `json:"confirmed"` // the release that a change may go back to
+	Serving        *Process               `json:"now,omitempty"`
+	Next           *Process               `json:"next,omitempty"`
+	Terminating    *Process               `json:"doomed,omitempty"` // of a change that failed: killed; nothing is started until it is gone
+	Target         string                 `json:"to,omitempty"`     // Starting: the release that is wanted
+	Order          uint64                 `json:"order,omitempty"`  // of the change that goes on, 0: its own
+	Phase          Phase                  `json:"phase"`
+	Done           uint64                 `json:"done,omitempty"` // the last order that is over
+	Failed         string                 `json:"failed,omitempty"`
+	Starts         uint64                 `json:"starts,omitempty"` // how many were asked for; the last one may have been made unseen
+	FallbackReason rollout.FallbackReason `json:"fell,omitempty"`   // why it went back to what is confirmed without an order, until the next order
 	Configured
 }
 
-// Do is something to be done.
-type Do struct {
+// Action is something to be done.
+type Action struct {
 	Start   string              // a release
 	Version distribute.Revision // of the configuration, that the start begins with or the process is told; 0: none
 	Term    *Process
 	Kill    *Process
-	Tell    *Process // its file is replaced by one with the version, and it is asked to read it
+	Reload  *Process // its file is replaced by one with the version, and it is asked to read it
 	Check   *Check
 }
 
 // Sidecar is the machine. Kept is saved whenever it has changed, before anything is done.
 type Sidecar struct {
-	Kept
+	PersistedState
 	limits  Limits
 	ready   bool // the one that serves said yes last
 	yes     bool // the next one did
@@ -83,21 +83,21 @@
 
 // New is a sidecar that nothing was ever done for.
 func New(confirmed string, l Limits) *Sidecar {
-	return &Sidecar{Kept: Kept{Confirmed: confirmed}, limits: l, cutOff: -1}
+	return &Sidecar{PersistedState: PersistedState{Confirmed: confirmed}, limits: l, cutOff: -1}
 }
 
-// Again is a sidecar as an agent before had kept it, with which of its processes still live. A start that was asked for may have
+// Restore is a sidecar as an agent before had kept it, with which of its processes still live. A start that was asked for may have
 // been made: an unknown process that the place of the hand-over knows is found as found.
-func Again(k Kept, l Limits, now time.Duration, lives func(Process) bool, found *Process) (s *Sidecar, todo []Do) {
-	s = &Sidecar{Kept: k, limits: l, cutOff: -1}
-	if found != nil && s.Doomed != nil && found.PID == s.Doomed.PID && found.Began == s.Doomed.Began {
+func Restore(k PersistedState, l Limits, now time.Duration, lives func(Process) bool, found *Process) (s *Sidecar, todo []Action) {
+	s = &Sidecar{PersistedState: k, limits: l, cutOff: -1}
+	if found != nil && s.Terminating != nil && found.PID == s.Terminating.PID && found.Began == s.Terminating.Began {
 		found = nil // it is known
 	}
 	switch {
 	case s.Phase == Starting && s.Next == nil && found != nil:
 		s.Next = found
-	case s.Phase == Idle && s.Now == nil && found != nil:
-		s.Now = found
+	case s.Phase == Idle && s.Serving == nil && found != nil:
+		s.Serving = found
 	}
 	s.due = now + s.limits.Ready
 	switch s.Phase {
@@ -106,86 +106,86 @@
 	case Ending:
 		s.due = now
 	}
-	for _, p := range []*Process{s.Now, s.Next, s.Doomed} {
+	for _, p := range []*Process{s.Serving, s.Next, s.Terminating} {
 		if p != nil && !lives(*p) {
 			todo = append(todo, s.Died(now, *p, "")...)
 		}
 	}
-	if s.Doomed != nil {
-		todo = append(todo, Do{Kill: s.Doomed})
+	if s.Terminating != nil {
+		todo = append(todo, Action{Kill: s.Terminating})
 	}
 	if s.Phase == Starting && s.Next == nil { // it was never begun, and what was found is claimed: it never will be
-		todo = append(todo, s.start(s.To)...)
+		todo = append(todo, s.start(s.Target)...)
 	}
 	return s, append(todo, s.Tick(now)...)
 }
 
 // Change is an order to run a release, by a start anew.
-func (s *Sidecar) Change(now time.Duration, order uint64, release string) ([]Do, error) {
+func (s *Sidecar) Change(now time.Duration, order uint64, release string) ([]Action, error) {
 	switch {
 	case order != 0 && (order == s.Order || order <= s.Done):
 		return nil, nil // it goes on, or is over
 	case s.Phase != Idle:
 		s.held = now + s.limits.Ready // it is said again
 		return nil, s.occupied(order)
-	case s.Doomed != nil:
-		return nil, fmt.Errorf("order %d: process %d of the change before is not gone yet", order, s.Doomed.PID)
+	case s.Terminating != nil:
+		return nil, fmt.Errorf("order %d: process %d of the change before is not gone yet", order, s.Terminating.PID)
 	}
 	return s.change(now, order, release), nil
 }
 
-func (s *Sidecar) change(now time.Duration, order uint64, release string) []Do {
+func (s *Sidecar) change(now time.Duration, order uint64, release string) []Action {
 	s.Order, s.Failed = order, ""
 	s.drop()
 	if order != 0 {
-		s.Fell = ""
+		s.FallbackReason = ""
 	}
 	return s.begin(now, release)
 }
 
 // begin begins a change: of an order, its own, or of the version that is on its way.
-func (s *Sidecar) begin(now time.Duration, release string) []Do {
-	s.To, s.Phase = release, Starting
+func (s *Sidecar) begin(now time.Duration, release string) []Action {
+	s.Target, s.Phase = release, Starting
 	s.due, s.yes = now+s.limits.Ready, false
 	return s.start(release)
 }
 
 // start asks for a start, which is counted: an agent that begins again can tell whether it was made.
-func (s *Sidecar) start(release string) []Do {
+func (s *Sidecar) start(release string) []Action {
 	s.Starts++
 	s.asked = true
-	return []Do{{Start: release, Version: s.version()}}
+	return []Action{{Start: release, Version: s.version()}}
 }
 
 // Confirm says that a change is over for the fleet: what runs is what to go back to.
 func (s *Sidecar) Confirm(release string) {
-	if s.Now != nil && s.Now.Release == release || s.lost {
+	if s.Serving != nil && s.Serving.Release == release || s.lost {
 		s.Confirmed, s.lost = release, false // one that is not to be had either is lost again
 	}
 }
 
 // Lost tells that what is confirmed is not to be had on this machine any more: it was away for long. The fleet's word counts then.
 func (s *Sidecar) Lost(release string) {
-	s.lost = s.Phase == Idle && s.Now == nil && release == s.Confirmed
+	s.lost = s.Phase == Idle && s.Serving == nil && release == s.Confirmed
 }
 
 // Began tells of a process that was started.
-func (s *Sidecar) Began(now time.Duration, p Process) []Do {
+func (s *Sidecar) Began(now time.Duration, p Process) []Action {
 	s.asked, s.lost = false, false
 	switch {
-	case s.Phase == Starting && s.Next == nil && p.Release == s.To:
+	case s.Phase == Starting && s.Next == nil && p.Release == s.Target:
 		s.Next = &p
-	case s.Phase == Idle && s.Now == nil:
-		s.Now, s.ready, s.due = &p, false, now+s.limits.Ready
+	case s.Phase == Idle && s.Serving == nil:
+		s.Serving, s.ready, s.due = &p, false, now+s.limits.Ready
 		s.another()
 	default: // nobody waits for it any more
-		return []Do{{Kill: &p}}
+		return []Action{{Kill: &p}}
 	}
 	return nil
 }
 
 // NotBegun tells that a start did not work.
-func (s *Sidecar) NotBegun(now time.Duration, why string) []Do {
+func (s *Sidecar) NotBegun(now time.Duration, why string) []Action {
 	s.asked = false
 	if s.Phase == Starting && s.Next == nil {
 		return s.fail(now, why, false)
@@ -203,9 +203,9 @@
 }
 
 // Answered tells what the operators' endpoint of a process said.
-func (s *Sidecar) Answered(now time.Duration, p Process, yes bool) []Do {
+func (s *Sidecar) Answered(now time.Duration, p Process, yes bool) []Action {
 	switch {
-	case s.Now != nil && *s.Now == p:
+	case s.Serving != nil && *s.Serving == p:
 		if s.ready = yes; yes {
 			s.crashes = 0
 		} else if s.Phase == Ending && s.Trying != 0 && s.yes { // it takes no new connections: all are the next one's
@@ -220,10 +220,10 @@
 }
 
 // Died tells that a process has ended, of whatever, and what it said last.
-func (s *Sidecar) Died(now time.Duration, p Process, said string) []Do {
+func (s *Sidecar) Died(now time.Duration, p Process, said string) []Action {
 	switch {
-	case s.Doomed != nil && *s.Doomed == p:
-		s.Doomed = nil
+	case s.Terminating != nil && *s.Terminating == p:
+		s.Terminating = nil
 	case s.Next != nil && *s.Next == p:
 		s.Next = nil
 		switch s.Phase {
@@ -234,13 +234,13 @@
 		case Ending: // the new one dies as the one before ends: that one is all there is, or nobody
 			s.Phase = Idle
 			s.over("it ended as the one before was told to", true)
-			if s.Now == nil {
+			if s.Serving == nil {
 				s.crash(now)
 			}
 		}
-	case s.Now != nil && *s.Now == p:
-		if s.Now, s.ready = nil, false; s.Phase == Idle && p.Release != s.Confirmed {
-			s.Fell = rollout.Ended
+	case s.Serving != nil && *s.Serving == p:
+		if s.Serving, s.ready = nil, false; s.Phase == Idle && p.Release != s.Confirmed {
+			s.FallbackReason = rollout.ProcessEnded
 		}
 		s.another()
 		switch s.Phase {
@@ -255,7 +255,7 @@
 
 // promote makes the next process the one that serves.
 func (s *Sidecar) promote() {
-	s.Now, s.Next, s.ready, s.Phase = s.Next, nil, s.yes, Idle
+	s.Serving, s.Next, s.ready, s.Phase = s.Next, nil, s.yes, Idle
 	s.over("", true)
 	s.another()
 }
@@ -263,28 +263,28 @@
 // over ends a change. What came of a version's own is not what came of the last order.
 func (s *Sidecar) over(why string, fault bool) {
 	if s.Trying != 0 {
-		s.To = ""
+		s.Target = ""
 		s.tried(why, fault)
 		return
 	}
 	if s.Order != 0 {
 		s.Done = s.Order
 	}
-	s.Failed, s.Order, s.To = why, 0, ""
+	s.Failed, s.Order, s.Target = why, 0, ""
 }
 
 // fail ends a change that did not work: the one that served goes on. A version that was at no fault is tried again.
-func (s *Sidecar) fail(now time.Duration, why string, fault bool) (todo []Do) {
+func (s *Sidecar) fail(now time.Duration, why string, fault bool) (todo []Action) {
 	if s.Next != nil {
-		todo = append(todo, Do{Kill: s.Next})
-		s.Next, s.Doomed = nil, s.Next
+		todo = append(todo, Action{Kill: s.Next})
+		s.Next, s.Terminating = nil, s.Next
 	}
 	s.Phase = Idle
 	if s.Trying != 0 && !fault {
 		s.putOff(now, why)
 	}
 	s.over(why, fault)
-	if s.Now == nil {
+	if s.Serving == nil {
 		s.crash(now)
 	}
 	return append(todo, s.Tick(now)...)
@@ -310,17 +310,17 @@
 }
 
 // Tick gives what is due.
-func (s *Sidecar) Tick(now time.Duration) []Do {
+func (s *Sidecar) Tick(now time.Duration) []Action {
 	switch s.Phase {
 	case Idle:
-		if s.Doomed != nil {
+		if s.Terminating != nil {
 			return nil
 		}
-		if s.Now == nil && now >= s.due && !s.asked {
+		if s.Serving == nil && now >= s.due && !s.asked {
 			return s.start(s.Confirmed)
 		}
-		if s.Now != nil && s.cutOff >= 0 && now-s.cutOff >= s.limits.CutOff && s.Now.Release != s.Confirmed && s.ready {
-			s.Fell = rollout.CutOff
+		if s.Serving != nil && s.cutOff >= 0 && now-s.cutOff >= s.limits.CutOff && s.Serving.Release != s.Confirmed && s.ready {
+			s.FallbackReason = rollout.MachineIsolated
 			return s.change(now, 0, s.Confirmed)
 		}
 		return s.configure(now)
@@ -335,16 +335,16 @@
 		if !s.yes {
 			return s.fail(now, "it said no at the end of its trial", true)
 		}
-		if s.Now == nil {
+		if s.Serving == nil {
 			s.promote()
 			return nil // what follows is for the next tick
 		}
 		s.Phase, s.due = Ending, now+s.limits.End
-		return []Do{{Term: s.Now}}
+		return []Action{{Term: s.Serving}}
 	case Ending:
-		if now >= s.due && s.Now != nil {
+		if now >= s.due && s.Serving != nil {
 			s.due = now + s.limits.End
-			return []Do{{Kill: s.Now}}
+			return []Action{{Kill: s.Serving}}
 		}
 	}
 	return nil
@@ -353,8 +353,8 @@
 // Serves reports whether a process serves, and of which release.
 func (s *Sidecar) Serves() (release string, ready bool) {
 	switch {
-	case s.Now != nil:
-		return s.Now.Release, s.ready
+	case s.Serving != nil:
+		return s.Serving.Release, s.ready
 	case s.Next != nil:
 		return s.Next.Release, s.yes
 	}
--- a/internal/coordination/agent/sidecar_test.go
+++ b/internal/coordination/agent/sidecar_test.go
@@ -34,7 +34,7 @@
 	return m
 }
 
-func (m *machine) do(todo []Do) {
+func (m *machine) do(todo []Action) {
 	for _, d := range todo {
 		switch {
 		case d.Start != "":
@@ -178,8 +178,8 @@
 	m.pass(10 * time.Second)
 	m.die(m.alive[0])
 	m.pass(2 * time.Second)
-	if m.check("back", "old", 1, ""); m.s.Fell != rollout.Ended {
-		t.Errorf("fell: %q", m.s.Fell)
+	if m.check("back", "old", 1, ""); m.s.FallbackReason != rollout.ProcessEnded {
+		t.Errorf("fell: %q", m.s.FallbackReason)
 	}
 }
 
@@ -187,10 +187,10 @@
 func TestFound(t *testing.T) {
 	p := Process{PID: 7, Began: 7, Release: "new"}
 	alive := func(Process) bool { return true }
-	for _, k := range []Kept{{Confirmed: "new", Starts: 1}, {Confirmed: "old", Starts: 2, Phase: Starting, To: "new", Now: &Process{PID: 3}}} {
-		s, todo := Again(k, limits, 0, alive, &p)
-		if len(todo) > 0 || (s.Now == nil || *s.Now != p) && (s.Next == nil || *s.Next != p) {
-			t.Errorf("%+v: %v, %v, %v", k, s.Now, s.Next, todo)
+	for _, k := range []PersistedState{{Confirmed: "new", Starts: 1}, {Confirmed: "old", Starts: 2, Phase: Starting, Target: "new", Serving: &Process{PID: 3}}} {
+		s, todo := Restore(k, limits, 0, alive, &p)
+		if len(todo) > 0 || (s.Serving == nil || *s.Serving != p) && (s.Next == nil || *s.Next != p) {
+			t.Errorf("%+v: %v, %v, %v", k, s.Serving, s.Next, todo)
 		}
 	}
 }
@@ -205,8 +205,8 @@
 	m.check("not yet", "new", 1, "")
 	m.pass(25 * time.Second)
 	m.check("back", "old", 1, "")
-	if m.s.Fell != rollout.CutOff {
-		t.Errorf("fell: %q", m.s.Fell)
+	if m.s.FallbackReason != rollout.MachineIsolated {
+		t.Errorf("fell: %q", m.s.FallbackReason)
 	}
 	m.s.Cut(m.now, false)
 	m.change(2, "new")
@@ -256,7 +256,7 @@
 			m.do(todo)
 			for range rapid.IntRange(0, 3).Draw(r, "kills") {
 				m.pass(time.Duration(rapid.IntRange(0, 16).Draw(r, "half seconds")) * 500 * time.Millisecond)
-				kept, err := json.Marshal(m.s.Kept)
+				kept, err := json.Marshal(m.s.PersistedState)
 				if err != nil {
 					r.Fatal(err)
 				}
@@ -264,11 +264,11 @@
 					i := rapid.IntRange(0, len(m.alive)-1).Draw(r, "which")
 					m.alive = slices.Delete(m.alive, i, i+1)
 				}
-				var k Kept
+				var k PersistedState
 				if err := json.Unmarshal(kept, &k); err != nil {
 					r.Fatal(err)
 				}
-				s, todo := Again(k, limits, m.now, func(p Process) bool { return slices.Contains(m.alive, p) }, nil)
+				s, todo := Restore(k, limits, m.now, func(p Process) bool { return slices.Contains(m.alive, p) }, nil)
 				m.s = s
 				m.do(todo)
 			}
--- a/internal/coordination/agent/trial_test.go
+++ b/internal/coordination/agent/trial_test.go
@@ -46,11 +46,11 @@
 // start that it noted is claimed by then, so it can't be made twice.
 func TestAStartThatWasNeverMade(t *testing.T) {
 	now := Process{PID: 1, Release: "old"}
-	k := Kept{Confirmed: "old", Now: &now, Phase: Starting, To: "new", Order: 3, Starts: 2}
-	s, todo := Again(k, Limits{Ready: time.Second, Trial: time.Second, End: time.Second, Pause: time.Second, Most: time.Second}, 0,
+	k := PersistedState{Confirmed: "old", Serving: &now, Phase: Starting, Target: "new", Order: 3, Starts: 2}
+	s, todo := Restore(k, Limits{Ready: time.Second, Trial: time.Second, End: time.Second, Pause: time.Second, Most: time.Second}, 0,
 		func(Process) bool { return true }, nil)
 	if len(todo) != 1 || todo[0].Start != "new" || s.Phase != Starting || s.Order != 3 || s.Starts != 3 || s.Failed != "" {
-		t.Errorf("%+v, %+v", todo, s.Kept)
+		t.Errorf("%+v, %+v", todo, s.PersistedState)
 	}
 }
 
--- a/internal/coordination/distribute/agents_test.go
+++ b/internal/coordination/distribute/agents_test.go
@@ -69,7 +69,7 @@
 	})
 }
 
-func (c *call) answered(told Told) {
+func (c *call) answered(told WatchResponse) {
 	s := c.sub
 	if s.asleep {
 		return
@@ -82,7 +82,7 @@
 	}
 	c.end()
 	before := s.Holds()
-	s.outbox.Heard(c.call.Server, c.mark, told.Heard)
+	s.outbox.Heard(c.call.Server, c.mark, told.ReportsReceived)
 	v, err := s.Answered(s.w.now, told)
 	s.took(before, v, err)
 	switch {
--- a/internal/coordination/distribute/distribute.go
+++ b/internal/coordination/distribute/distribute.go
@@ -80,21 +80,21 @@
 	PathSummary = "/petrelfleet.v1.Distribute/Summary"
 	// WireVersion is of the messages of these calls. Another one is refused.
 	WireVersion = 1
-	// MaxWatch and MaxTold bound the messages of a watch, in bytes.
-	MaxWatch = 512 << 10
-	MaxTold  = 256 << 10
+	// MaxWatchRequest and MaxTold bound the messages of a watch, in bytes.
+	MaxWatchRequest  = 512 << 10
+	MaxWatchResponse = 256 << 10
 )
 
-// MaxHold is the longest a coordinator lets a watch wait.
-const MaxHold = 30 * time.Second
+// MaxWatchWait is the longest a coordinator lets a watch wait.
+const MaxWatchWait = 30 * time.Second
 
 // Watch is an agent's question: it is answered when the service's newest version is above Holds, or after Hold.
 type Watch struct {
 	Version int           `json:"version"` // WireVersion
 	Service string        `json:"service"`
 	Member  string        `json:"member"` // who asks: an agent's name
-	Holds   Revision      `json:"holds"`
-	Hold    time.Duration `json:"hold_ns,omitempty"` // at most MaxHold; 0: answered at once, so that reports come at once
+	Known   Revision      `json:"holds"`
+	MaxWait time.Duration `json:"hold_ns,omitempty"` // at most MaxHold; 0: answered at once, so that reports come at once
 	Reports []Report      `json:"reports,omitempty"` // of all its sidecars, where one has changed or the coordinator is another than before
 }
 
@@ -106,38 +106,38 @@
 	Why     string   `json:"why,omitempty"`     // and why, or what the newest waits for
 }
 
-// Told is the answer to a watch. Newer is nil where nothing came in time.
-type Told struct {
-	Newer *Version `json:"newer,omitempty"`
-	Heard bool     `json:"heard,omitempty"` // this coordinator has the member's reports
+// WatchResponse is the answer to a watch. Newer is nil where nothing came in time.
+type WatchResponse struct {
+	Newer           *Version `json:"newer,omitempty"`
+	ReportsReceived bool     `json:"heard,omitempty"` // this coordinator has the member's reports
 }
 
-// Summarize is a question for what is in force, as one coordinator has heard it. Service "": of all services that have a version.
-type Summarize struct {
+// SummaryRequest is a question for what is in force, as one coordinator has heard it. Service "": of all services that have a version.
+type SummaryRequest struct {
 	Version int    `json:"version"`
 	Service string `json:"service,omitempty"`
 }
 
-// Summaries is the answer.
-type Summaries struct {
-	Last  Revision  `json:"last"` // of all services, as this coordinator knows
-	Fresh bool      `json:"fresh"`
-	Of    []Summary `json:"of,omitempty"`
+// SummaryResponse is the answer.
+type SummaryResponse struct {
+	Last     Revision  `json:"last"` // of all services, as this coordinator knows
+	Fresh    bool      `json:"fresh"`
+	Services []Summary `json:"of,omitempty"`
 }
 
 // Summary is of one service.
 type Summary struct {
-	Service string   `json:"service"`
-	Newest  Revision `json:"newest"`
-	Digest  string   `json:"digest,omitempty"`
-	InForce int      `json:"in_force"` // sidecars that run the newest
-	Known   int      `json:"known"`    // sidecars that were heard of here
-	Ahead   Revision `json:"ahead,omitempty"`
-	Members []Heard  `json:"members,omitempty"` // each sidecar: one that moved has been heard at several coordinators
+	Service string          `json:"service"`
+	Newest  Revision        `json:"newest"`
+	Digest  string          `json:"digest,omitempty"`
+	InForce int             `json:"in_force"` // sidecars that run the newest
+	Known   int             `json:"known"`    // sidecars that were heard of here
+	Ahead   Revision        `json:"ahead,omitempty"`
+	Members []SidecarReport `json:"members,omitempty"` // each sidecar: one that moved has been heard at several coordinators
 }
 
-// Heard is a sidecar's last report at this coordinator, and how long ago its agent spoke.
-type Heard struct {
+// SidecarReport is a sidecar's last report at this coordinator, and how long ago its agent spoke.
+type SidecarReport struct {
 	Report
 	Member string        `json:"member"`
 	Ago    time.Duration `json:"ago_ns"`
--- a/internal/coordination/distribute/simulation_test.go
+++ b/internal/coordination/distribute/simulation_test.go
@@ -312,13 +312,13 @@
 			n.sums.Heard(n.w.now, w.Service, w.Member, w.Reports)
 		}
 		n.sums.Spoke(n.w.now, w.Service, w.Member)
-		n.sums.Holds(w.Service, w.Member, w.Holds)
-		c.cancel = n.watches.Ask(n.w.now, w, func(told Told, err error) { n.answer(c, told, err) })
+		n.sums.Holds(w.Service, w.Member, w.Known)
+		c.cancel = n.watches.Ask(n.w.now, w, func(told WatchResponse, err error) { n.answer(c, told, err) })
 	})
 }
 
 // answer sends one, and judges it.
-func (n *node) answer(c *call, told Told, err error) {
+func (n *node) answer(c *call, told WatchResponse, err error) {
 	w, watch := n.w, c.call.Watch
 	if c.gone || c.told {
 		w.t.Errorf("%v: %s is told after it went, or twice", w.now, c.sub.name)
@@ -328,10 +328,10 @@
 		w.after(w.delay(), c.failed)
 		return
 	}
-	known := watch.Holds
+	known := watch.Known
 	if told.Newer != nil {
-		if known = told.Newer.Revision; known <= watch.Holds {
-			w.t.Errorf("%v: %s holds %d and is told %d", w.now, c.sub.name, watch.Holds, known)
+		if known = told.Newer.Revision; known <= watch.Known {
+			w.t.Errorf("%v: %s holds %d and is told %d", w.now, c.sub.name, watch.Known, known)
 		}
 		c.sub.told++
 		w.told++
@@ -340,7 +340,7 @@
 		w.t.Errorf("%v: %s is told that %d is the newest; %d was committed %v ago",
 			w.now, c.sub.name, known, least, simFresh)
 	}
-	told.Heard = n.sums.Knows(watch.Service, watch.Member)
+	told.ReportsReceived = n.sums.Knows(watch.Service, watch.Member)
 	d := w.delay()
 	switch {
 	case w.chance(w.faulty):
--- a/internal/coordination/distribute/subscriber.go
+++ b/internal/coordination/distribute/subscriber.go
@@ -96,7 +96,7 @@
 	hold := s.o.Hold - s.draw(s.o.Hold/4)
 	return Call{
 		Server: s.server,
-		Watch:  Watch{Version: WireVersion, Service: s.o.Service, Member: s.o.Member, Holds: s.holds, Hold: hold},
+		Watch:  Watch{Version: WireVersion, Service: s.o.Service, Member: s.o.Member, Known: s.holds, MaxWait: hold},
 		GiveUp: now + hold + s.o.Answer,
 	}
 }
@@ -114,7 +114,7 @@
 
 // Answered takes in the answer to the call that is out, and gives the version to take, which it holds from here on;
 // nil: nothing newer. A version that it refuses makes the call a failed one.
-func (s *Subscriber) Answered(now time.Duration, told Told) (*Version, error) {
+func (s *Subscriber) Answered(now time.Duration, told WatchResponse) (*Version, error) {
 	v, err := s.Take(told)
 	if err != nil {
 		s.Failed(now)
@@ -128,7 +128,7 @@
 
 // Take is Answered for what comes late, after its call was given up: a newer version is as good, but when to ask
 // stays as it is.
-func (s *Subscriber) Take(told Told) (*Version, error) {
+func (s *Subscriber) Take(told WatchResponse) (*Version, error) {
 	v := told.Newer
 	switch {
 	case v == nil:
--- a/internal/coordination/distribute/subscriber_test.go
+++ b/internal/coordination/distribute/subscriber_test.go
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := NewSubscriber(DefaultSubscriber("a", "m", 3, rand.New(rand.NewPCG(1, 1)).Int64N), 7, 0)
 			call := s.Begin(time.Second)
-			v, err := s.Answered(2*time.Second, Told{Newer: &c.told})
+			v, err := s.Answered(2*time.Second, WatchResponse{Newer: &c.told})
 			if !errors.Is(err, c.want) || (v == nil) != (err != nil) {
 				t.Fatalf("%v %v", v, err)
 			}
@@ -42,10 +42,10 @@
 				t.Fatal("a call is out")
 			}
 			next := s.Begin(at)
-			if err == nil && (s.Holds() != 8 || at != 2*time.Second || next.Server != call.Server || next.Watch.Holds != 8) {
+			if err == nil && (s.Holds() != 8 || at != 2*time.Second || next.Server != call.Server || next.Watch.Known != 8) {
 				t.Errorf("%d at %v, %+v", s.Holds(), at, next)
 			}
-			if err != nil && (s.Holds() != 7 || at <= 2*time.Second || next.Server == call.Server || next.Watch.Holds != 7) {
+			if err != nil && (s.Holds() != 7 || at <= 2*time.Second || next.Server == call.Server || next.Watch.Known != 7) {
 				t.Errorf("%d at %v, %+v", s.Holds(), at, next)
 			}
 		})
@@ -59,7 +59,7 @@
 		now, _ := s.Due()
 		c := s.Begin(now)
 		v := version("a", 8, `{"n":8}`)
-		if got, err := s.Answered(now, Told{Newer: &v}); got == nil || err != nil || c.Watch.Holds != 7 {
+		if got, err := s.Answered(now, WatchResponse{Newer: &v}); got == nil || err != nil || c.Watch.Known != 7 {
 			t.Fatalf("%+v: %v %v", c, got, err)
 		}
 		s.NotKept(now, 7)
@@ -89,7 +89,7 @@
 				t.Fatal("two calls")
 			}
 			if w := c.Watch; w.Check() != nil || w.Service != "a" || w.Member != "m" ||
-				w.Hold > o.Hold || w.Hold < o.Hold*3/4 || c.GiveUp != now+w.Hold+o.Answer {
+				w.MaxWait > o.Hold || w.MaxWait < o.Hold*3/4 || c.GiveUp != now+w.MaxWait+o.Answer {
 				t.Fatalf("%+v", c)
 			}
 			if c.Server < 0 || c.Server >= servers || failed && servers > 1 && c.Server == server {
@@ -112,20 +112,20 @@
 					t.Fatalf("pause of %v", at-now)
 				}
 				pause, _ := s.Due()
-				s.Answered(now, Told{}) // after it was given up
+				s.Answered(now, WatchResponse{}) // after it was given up
 				if at, _ := s.Due(); at != pause {
 					t.Fatalf("a pause to %v became one to %v", pause, at)
 				}
 				continue
 			}
-			now += c.Watch.Hold
-			if v, err := s.Answered(now, Told{}); v != nil || err != nil {
+			now += c.Watch.MaxWait
+			if v, err := s.Answered(now, WatchResponse{}); v != nil || err != nil {
 				t.Fatal(v, err)
 			}
 			if at, ok := s.Due(); !ok || at != now {
 				t.Fatalf("again at %v", at-now)
 			}
-			if v, err := s.Answered(now, Told{}); v != nil || err != nil { // doubled
+			if v, err := s.Answered(now, WatchResponse{}); v != nil || err != nil { // doubled
 				t.Fatal(v, err)
 			}
 		}
@@ -175,7 +175,7 @@
 				s.Failed(now)
 				continue
 			}
-			s.Answered(now+c.Watch.Hold, Told{})
+			s.Answered(now+c.Watch.MaxWait, WatchResponse{})
 		}
 		at[c.Server]++
 	}
@@ -219,10 +219,10 @@
 			var v *Version
 			var err error
 			if late {
-				v, err = s.Take(Told{Newer: &told})
+				v, err = s.Take(WatchResponse{Newer: &told})
 			} else {
 				s.Begin(0)
-				v, err = s.Answered(0, Told{Newer: &told})
+				v, err = s.Answered(0, WatchResponse{Newer: &told})
 			}
 			good := told.Service == s.o.Service && told.Revision > before && told.Digest == Digest(told.Content)
 			if good != (v != nil) || good != (err == nil) || s.Holds() < before {
--- a/internal/coordination/distribute/sums.go
+++ b/internal/coordination/distribute/sums.go
@@ -129,7 +129,7 @@
 	of := s.services[service]
 	for _, name := range slices.Sorted(maps.Keys(of)) {
 		one := of[name]
-		sum.Members = append(sum.Members, Heard{one.report, one.by.member, now - one.by.at})
+		sum.Members = append(sum.Members, SidecarReport{one.report, one.by.member, now - one.by.at})
 	}
 	sum.lastFirst()
 	return sum
@@ -172,7 +172,7 @@
 
 // lastFirst sorts members, which are by name, so that those not in force come first.
 func (s *Summary) lastFirst() {
-	slices.SortStableFunc(s.Members, func(a, b Heard) int {
+	slices.SortStableFunc(s.Members, func(a, b SidecarReport) int {
 		switch in := a.InForce == s.Newest; {
 		case in == (b.InForce == s.Newest):
 			return 0
@@ -187,7 +187,7 @@
 // coordinator has it that its agent spoke to last, and the newest is the largest that one of them knows.
 func Merge(all []Summary) Summary {
 	var sum Summary
-	last := map[string]Heard{}
+	last := map[string]SidecarReport{}
 	for _, one := range all {
 		sum.Service = one.Service
 		if one.Newest > sum.Newest {
--- a/internal/coordination/distribute/sums_test.go
+++ b/internal/coordination/distribute/sums_test.go
@@ -116,7 +116,7 @@
 		t.Error("who is known")
 	}
 	got := s.Of(3*time.Second, "a", newest)
-	want := Summary{Service: "a", Newest: 7, Digest: newest.Digest, InForce: 2, Known: 3, Members: []Heard{
+	want := Summary{Service: "a", Newest: 7, Digest: newest.Digest, InForce: 2, Known: 3, Members: []SidecarReport{
 		{Report{"m2", 6, 7, "port"}, "m", 2 * time.Second},
 		{Report{"m1", 7, 0, ""}, "m", 2 * time.Second},
 		{Report{"n1", 7, 0, ""}, "n", 3 * time.Second},
@@ -195,18 +195,18 @@
 }
 
 func TestMerge(t *testing.T) {
-	of := func(sidecar string, r Revision, ago time.Duration) Heard {
-		return Heard{Report{Sidecar: sidecar, InForce: r}, "m", ago}
+	of := func(sidecar string, r Revision, ago time.Duration) SidecarReport {
+		return SidecarReport{Report{Sidecar: sidecar, InForce: r}, "m", ago}
 	}
 	got := Merge([]Summary{ // of three coordinators, and of one that lags
 		{Service: "a", Newest: 5, Digest: "five", Known: 3, InForce: 1, Ahead: 6,
-			Members: []Heard{of("x", 4, 9), of("y", 4, 1), of("z", 5, 3)}},
-		{Service: "a", Newest: 6, Digest: "six", Known: 2, InForce: 2, Members: []Heard{of("x", 6, 2), of("y", 6, 2)}},
-		{Service: "a", Newest: 6, Digest: "six", Members: []Heard{of("a", 5, 3)}},
+			Members: []SidecarReport{of("x", 4, 9), of("y", 4, 1), of("z", 5, 3)}},
+		{Service: "a", Newest: 6, Digest: "six", Known: 2, InForce: 2, Members: []SidecarReport{of("x", 6, 2), of("y", 6, 2)}},
+		{Service: "a", Newest: 6, Digest: "six", Members: []SidecarReport{of("a", 5, 3)}},
 		{Service: "a", Newest: 4, Digest: "four"},
 	})
 	want := Summary{Service: "a", Newest: 6, Digest: "six", Known: 4, InForce: 1,
-		Members: []Heard{of("a", 5, 3), of("y", 4, 1), of("z", 5, 3), of("x", 6, 2)}}
+		Members: []SidecarReport{of("a", 5, 3), of("y", 4, 1), of("z", 5, 3), of("x", 6, 2)}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
--- a/internal/coordination/distribute/watches.go
+++ b/internal/coordination/distribute/watches.go
@@ -23,8 +23,8 @@
 	if err := checkName("member", w.Member); err != nil {
 		return err
 	}
-	if w.Hold < 0 || w.Hold > MaxHold {
-		return fmt.Errorf("hold_ns: %d; write 0 to %d", w.Hold, MaxHold)
+	if w.MaxWait < 0 || w.MaxWait > MaxWatchWait {
+		return fmt.Errorf("hold_ns: %d; write 0 to %d", w.MaxWait, MaxWatchWait)
 	}
 	if len(w.Reports) > MaxReports {
 		return fmt.Errorf("reports: %d; write at most %d", len(w.Reports), MaxReports)
@@ -60,7 +60,7 @@
 
 type waiter struct {
 	watch  Watch
-	done   func(Told, error)
+	done   func(WatchResponse, error)
 	at     time.Duration // when it is answered, though nothing came
 	place  int           // in due; -1: it was taken out
 	among  int           // in of[its service]
@@ -75,22 +75,22 @@
 
 // Ask takes in a watch that was checked. done is called exactly once, now or later; never after cancel. The version
 // that it gets is shared: it is only to be read. Heard is left to the caller.
-func (w *Watches) Ask(now time.Duration, watch Watch, done func(Told, error)) (cancel func()) {
+func (w *Watches) Ask(now time.Duration, watch Watch, done func(WatchResponse, error)) (cancel func()) {
 	w.expire(now)
 	if !w.Fresh(now) {
-		done(Told{}, ErrStale)
+		done(WatchResponse{}, ErrStale)
 		return func() {}
 	}
-	if v, ok := w.newest(watch.Service); ok && v.Revision > watch.Holds {
-		done(Told{Newer: &v}, nil)
+	if v, ok := w.newest(watch.Service); ok && v.Revision > watch.Known {
+		done(WatchResponse{Newer: &v}, nil)
 		return func() {}
 	}
-	if watch.Hold <= 0 {
-		done(Told{}, nil)
+	if watch.MaxWait <= 0 {
+		done(WatchResponse{}, nil)
 		return func() {}
 	}
 	watch.Reports = nil // they were heard: what waits is small
-	one := &waiter{watch: watch, done: done, at: now + min(watch.Hold, MaxHold)}
+	one := &waiter{watch: watch, done: done, at: now + min(watch.MaxWait, MaxWatchWait)}
 	one.among = len(w.of[watch.Service])
 	w.of[watch.Service] = append(w.of[watch.Service], one)
 	heap.Push(&w.due, one)
@@ -122,8 +122,8 @@
 	if !ok {
 		return
 	}
-	all = slices.DeleteFunc(all, func(one *waiter) bool { return v.Revision <= one.watch.Holds })
-	w.answer(all, Told{Newer: &v}, nil)
+	all = slices.DeleteFunc(all, func(one *waiter) bool { return v.Revision <= one.watch.Known })
+	w.answer(all, WatchResponse{Newer: &v}, nil)
 }
 
 // Confirmed takes in a leader's word, which was asked for at that moment: the register holds everything that was
@@ -146,7 +146,7 @@
 		w.remove(one)
 		all = append(all, one)
 	}
-	w.answer(all, Told{}, nil)
+	w.answer(all, WatchResponse{}, nil)
 }
 
 // Due is when to tick next; false: nothing waits.
@@ -163,12 +163,12 @@
 // expire answers all that wait where freshness has ended.
 func (w *Watches) expire(now time.Duration) {
 	if !w.Fresh(now) {
-		w.answer(slices.Clone(w.due), Told{}, ErrStale)
+		w.answer(slices.Clone(w.due), WatchResponse{}, ErrStale)
 	}
 }
 
 // answer takes all out before it answers any: what is done may ask again, and cancel others.
-func (w *Watches) answer(all []*waiter, told Told, err error) {
+func (w *Watches) answer(all []*waiter, told WatchResponse, err error) {
 	for _, one := range all {
 		w.remove(one)
 	}
--- a/internal/coordination/distribute/watches_test.go
+++ b/internal/coordination/distribute/watches_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestWatchesAreChecked(t *testing.T) {
-	good := Watch{Version: WireVersion, Service: "s", Member: "m", Hold: MaxHold,
+	good := Watch{Version: WireVersion, Service: "s", Member: "m", MaxWait: MaxWatchWait,
 		Reports: []Report{{Sidecar: "a"}, {Sidecar: "b"}}}
 	for want, change := range map[string]func(*Watch){
 		"":                                   func(*Watch) {},
 		"version: 2; write 1":                func(w *Watch) { w.Version = 2 },
 		"service: 0 bytes; write 1 to 128":   func(w *Watch) { w.Service = "" },
 		"member: \"a b\"; write printable":   func(w *Watch) { w.Member = "a b" },
-		"hold_ns: -1; write 0 to":            func(w *Watch) { w.Hold = -1 },
-		"hold_ns: 30000000001; write 0 to":   func(w *Watch) { w.Hold = MaxHold + 1 },
+		"hold_ns: -1; write 0 to":            func(w *Watch) { w.MaxWait = -1 },
+		"hold_ns: 30000000001; write 0 to":   func(w *Watch) { w.MaxWait = MaxWatchWait + 1 },
 		"reports: 257; write at most 256":    func(w *Watch) { w.Reports = make([]Report, MaxReports+1) },
 		"reports[1].sidecar: 0 bytes":        func(w *Watch) { w.Reports[1].Sidecar = "" },
 		"reports[1].sidecar: \"a\" is there": func(w *Watch) { w.Reports[1].Sidecar = "a" },
@@ -50,7 +50,7 @@
 }
 
 func (h *heard) ask(now time.Duration, name, service string, holds Revision, hold time.Duration) func() {
-	return h.w.Ask(now, Watch{Service: service, Holds: holds, Hold: hold}, func(told Told, err error) {
+	return h.w.Ask(now, Watch{Service: service, Known: holds, MaxWait: hold}, func(told WatchResponse, err error) {
 		h.called[name]++
 		switch {
 		case errors.Is(err, ErrStale):
@@ -152,9 +152,9 @@
 	}
 	// A hold beyond the bound is cut.
 	h.ask(5000*ms, "q", "t", 7, time.Hour)
-	h.w.Confirmed(5000*ms + MaxHold)
+	h.w.Confirmed(5000*ms + MaxWatchWait)
 	h.all = nil
-	h.w.Tick(5000*ms + MaxHold)
+	h.w.Tick(5000*ms + MaxWatchWait)
 	h.want(t, "p nothing, q nothing")
 }
 
@@ -163,7 +163,7 @@
 	h := newHeard()
 	h.w.Confirmed(0)
 	var cancel func()
-	h.w.Ask(0, Watch{Service: "s", Hold: time.Second}, func(told Told, err error) {
+	h.w.Ask(0, Watch{Service: "s", MaxWait: time.Second}, func(told WatchResponse, err error) {
 		cancel()
 		h.ask(0, "again", "s", told.Newer.Revision, time.Second)
 		h.of["s"] = version("s", 2, `{}`)
@@ -175,7 +175,7 @@
 	h.w.Changed(0, "s")
 	h.want(t, "again s2, other s1")
 	// A change that is told from within a snapshot's telling: each is told once.
-	h.w.Ask(0, Watch{Service: "s", Holds: 2, Hold: time.Second}, func(Told, error) { h.w.Changed(0, "t") })
+	h.w.Ask(0, Watch{Service: "s", Known: 2, MaxWait: time.Second}, func(WatchResponse, error) { h.w.Changed(0, "t") })
 	h.ask(0, "one", "t", 0, time.Second)
 	h.of["s"], h.of["t"] = version("s", 3, `{}`), version("t", 4, `{}`)
 	h.w.ChangedAll(0)
@@ -209,7 +209,7 @@
 					continue
 				}
 				waits++
-				if !fresh() || c.at <= now && all || of[c.watch.Service].Revision > c.watch.Holds {
+				if !fresh() || c.at <= now && all || of[c.watch.Service].Revision > c.watch.Known {
 					t.Fatalf("%v: %+v waits", now, c)
 				}
 			}
@@ -221,10 +221,10 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(*rapid.T) {
 				c := &call{at: now + time.Duration(rapid.IntRange(0, 3000).Draw(t, "hold"))*time.Millisecond}
-				c.watch = Watch{Service: service(), Hold: c.at - now}
-				c.watch.Holds = rapid.SampledFrom([]Revision{0, last, last + 2, of[c.watch.Service].Revision}).Draw(t, "holds")
+				c.watch = Watch{Service: service(), MaxWait: c.at - now}
+				c.watch.Known = rapid.SampledFrom([]Revision{0, last, last + 2, of[c.watch.Service].Revision}).Draw(t, "holds")
 				calls = append(calls, c)
-				c.cancel = w.Ask(now, c.watch, func(told Told, err error) {
+				c.cancel = w.Ask(now, c.watch, func(told WatchResponse, err error) {
 					if c.over {
 						t.Fatalf("%+v: a second answer, or after cancel", c)
 					}
@@ -238,10 +238,10 @@
 					case !fresh():
 						t.Fatalf("%v: %+v, and it is not fresh", now, told)
 					case told.Newer != nil:
-						if told.Newer.Revision != newest.Revision || newest.Revision <= c.watch.Holds {
+						if told.Newer.Revision != newest.Revision || newest.Revision <= c.watch.Known {
 							t.Fatalf("%+v, newest %d: %+v", c, newest.Revision, told.Newer)
 						}
-					case newest.Revision > c.watch.Holds || c.at > now:
+					case newest.Revision > c.watch.Known || c.at > now:
 						t.Fatalf("%+v: nothing newer at %v, newest %d", c, now, newest.Revision)
 					}
 				})
--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -26,7 +26,7 @@
 )
 
 // Seen is what an agent has told of a sidecar.
-type Seen = machine.SidecarSeen
+type Seen = machine.SidecarStatus
 
 // Lease is what a driver holds.
 const Lease = "rollout-driver"
@@ -134,7 +134,7 @@
 func (d *Driver) read(ctx context.Context, application string, to any) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	told, err := d.operator.Ask(ctx, fleet.Ask{Changes: &application})
+	told, err := d.operator.Ask(ctx, fleet.Request{Changes: &application})
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 func (d *Driver) tell(ctx context.Context, token uint64, application string, c *drive, events []rollout.Event) error {
 	for len(events) > 0 {
 		n := min(len(events), rollout.MaxEvents)
-		told, err := d.operator.Ask(ctx, fleet.Ask{Rollout: &rollout.Command{Application: application, Change: c.Name, Token: token,
+		told, err := d.operator.Ask(ctx, fleet.Request{Rollout: &rollout.Command{Application: application, Change: c.Name, Token: token,
 			After: c.Events, At: time.Now().UnixMilli(), Events: events[:n]}})
 		switch {
 		case err != nil:
@@ -216,7 +216,7 @@
 
 // look asks all agents what there is, and tells them what is confirmed.
 func (d *Driver) look(ctx context.Context, application string, token uint64, c *drive) (map[string]Seen, []rollout.Event, error) {
-	seen, errs := d.ask(ctx, agents(c.Members), machine.Look{Version: machine.Version, Application: application, Token: token, Confirmed: c.State.Confirmed()})
+	seen, errs := d.ask(ctx, agents(c.Members), machine.StatusRequest{Version: machine.Version, Application: application, Token: token, Confirmed: c.State.Confirmed()})
 	for _, err := range errs {
 		if connect.CodeOf(err) == connect.CodeAborted {
 			return nil, nil, errOlder
@@ -266,13 +266,13 @@
 }
 
 // ask asks all agents, some at a time; what they have told, by sidecar, and who has not answered.
-func (d *Driver) ask(ctx context.Context, agents []string, in machine.Look) (map[string]Seen, map[string]error) {
+func (d *Driver) ask(ctx context.Context, agents []string, in machine.StatusRequest) (map[string]Seen, map[string]error) {
 	var mu sync.Mutex
 	all, errs := map[string]Seen{}, map[string]error{}
 	each(len(agents), func(i int) {
 		ctx, cancel := context.WithTimeout(ctx, agentTime)
 		defer cancel()
-		seen, err := call[machine.Look, machine.Seen](ctx, &d.over, agents[i], machine.PathLook, &in)
+		seen, err := call[machine.StatusRequest, machine.Status](ctx, &d.over, agents[i], machine.PathStatus, &in)
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
@@ -316,7 +316,7 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, agentTime)
 		defer cancel()
-		taken, err := call[machine.Order, machine.Taken](ctx, &d.over, where[o.Sidecar], machine.PathOrder,
+		taken, err := call[machine.Order, machine.OrderResponse](ctx, &d.over, where[o.Sidecar], machine.PathOrder,
 			&machine.Order{Version: machine.Version, Application: application, Token: uint64(h.Token), Order: o})
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/coordination/driver/planfile.go
+++ b/internal/coordination/driver/planfile.go
@@ -142,13 +142,13 @@
 	all := make([]told, len(f.Agents))
 	each(len(f.Agents), func(i int) {
 		t, addr := &all[i], f.Agents[i]
-		seen, err := call[machine.Look, machine.Seen](ctx, over, addr, machine.PathLook, &machine.Look{Version: machine.Version, Application: f.Plan.Application})
+		seen, err := call[machine.StatusRequest, machine.Status](ctx, over, addr, machine.PathStatus, &machine.StatusRequest{Version: machine.Version, Application: f.Plan.Application})
 		if t.err = err; err != nil {
 			return
 		}
 		t.sidecars = seen.Sidecars
 		for n, id := range []string{f.Plan.From, f.Plan.To} {
-			checked, err := call[machine.Check, machine.Checked](ctx, over, addr, machine.PathCheck, &machine.Check{Version: machine.Version, Release: id})
+			checked, err := call[machine.CheckRequest, machine.CheckResponse](ctx, over, addr, machine.PathCheck, &machine.CheckRequest{Version: machine.Version, Release: id})
 			if t.err = err; err != nil {
 				return
 			}
@@ -186,7 +186,7 @@
 		return b, fmt.Errorf("old and new must not run side by side (%v): %s", worst, strings.Join(why, "; "))
 	}
 	b.Change = strings.ToLower(rand.Text()[:12])
-	answer, err := o.Ask(ctx, fleet.Ask{Rollout: &rollout.Command{Application: f.Plan.Application, Change: b.Change, At: time.Now().UnixMilli(), Start: start}})
+	answer, err := o.Ask(ctx, fleet.Request{Rollout: &rollout.Command{Application: f.Plan.Application, Change: b.Change, At: time.Now().UnixMilli(), Start: start}})
 	if err == nil && answer.Rollout.Err != "" {
 		err = errors.New(answer.Rollout.Err)
 	}
--- a/internal/coordination/fleet/caller.go
+++ b/internal/coordination/fleet/caller.go
@@ -28,7 +28,7 @@
 }
 
 // Ask asks until there is an answer, the question is found to be wrong, or ctx ends. begin is called before each try; nil: nothing is.
-func (c *Caller) Ask(ctx context.Context, in *Ask, begin func()) (*Told, error) {
+func (c *Caller) Ask(ctx context.Context, in *Request, begin func()) (*Response, error) {
 	in.Version = Version
 	last := errors.New("no coordinator was asked")
 	for tries := 1; ; tries++ {
@@ -45,11 +45,11 @@
 		wait, leader := c.Pause, ""
 		if err == nil {
 			err = errors.New(told.Err)
-			if once(in) && (told.Moved || told.Err == replica.ErrChanging.Error()) {
+			if once(in) && (told.OutcomeUnknown || told.Err == replica.ErrChanging.Error()) {
 				return nil, fmt.Errorf("%s: %w", addr, err)
 			}
 			if leader = told.Leader; tries%len(c.Addrs) == 0 {
-				wait = time.Duration(told.Again) * time.Millisecond
+				wait = time.Duration(told.RetryAfterMs) * time.Millisecond
 			}
 		} else if Final(err) {
 			return nil, fmt.Errorf("%s: %w", addr, err)
@@ -72,13 +72,13 @@
 	}
 }
 
-func (c *Caller) try(ctx context.Context, addr string, in *Ask) (*Told, error) {
+func (c *Caller) try(ctx context.Context, addr string, in *Request) (*Response, error) {
 	if c.Within > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, c.Within)
 		defer cancel()
 	}
-	res, err := Client[Ask, Told](c.Over, addr, PathAsk).CallUnary(ctx, connect.NewRequest(in))
+	res, err := Client[Request, Response](c.Over, addr, PathRequest).CallUnary(ctx, connect.NewRequest(in))
 	if err != nil {
 		return nil, err
 	}
@@ -86,7 +86,7 @@
 }
 
 // once reports whether a question is not asked again where nothing is known of its answer.
-func once(in *Ask) bool { return in.Add != nil || in.Remove != 0 }
+func once(in *Request) bool { return in.Add != nil || in.Remove != 0 }
 
 // Final reports whether an error of a call says that it is wrong, so that it need not be made again.
 func Final(err error) bool {
--- a/internal/coordination/fleet/distribute.go
+++ b/internal/coordination/fleet/distribute.go
@@ -60,7 +60,7 @@
 }
 
 // prepare makes a client's question one that the log can take.
-func (d *distributor) prepare(q *replica.Question, in *Ask) {
+func (d *distributor) prepare(q *replica.Question, in *Request) {
 	last := d.s.core.Versions().Last()
 	if in.Last != nil {
 		d.knows.Hold(in.Last.Held, last)
@@ -114,7 +114,7 @@
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	var asked time.Duration
-	told, err := c.Ask(ctx, &Ask{Last: &Last{Held: held}}, func() { asked = d.now() })
+	told, err := c.Ask(ctx, &Request{Last: &Last{Held: held}}, func() { asked = d.now() })
 	if err != nil {
 		return // what is not confirmed ends by itself
 	}
@@ -138,12 +138,12 @@
 }
 
 // watch answers an agent that waits for a newer version.
-func (s *Server) watch(ctx context.Context, in *distribute.Watch) (*distribute.Told, error) {
+func (s *Server) watch(ctx context.Context, in *distribute.Watch) (*distribute.WatchResponse, error) {
 	if err := in.Check(); err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
 	type result struct {
-		told distribute.Told
+		told distribute.WatchResponse
 		err  error
 	}
 	done, cancel := make(chan result, 1), make(chan func(), 1)
@@ -155,10 +155,10 @@
 			heard = s.distribute.sums.Knows(in.Service, in.Member)
 			s.distribute.sums.Spoke(now, in.Service, in.Member)
 		}
-		s.distribute.knows.Hold(in.Holds, s.core.Versions().Last())
-		s.distribute.sums.Holds(in.Service, in.Member, in.Holds)
-		cancel <- s.distribute.watches.Ask(now, *in, func(t distribute.Told, err error) {
-			t.Heard = heard
+		s.distribute.knows.Hold(in.Known, s.core.Versions().Last())
+		s.distribute.sums.Holds(in.Service, in.Member, in.Known)
+		cancel <- s.distribute.watches.Ask(now, *in, func(t distribute.WatchResponse, err error) {
+			t.ReportsReceived = heard
 			done <- result{t, err}
 		})
 	}) {
@@ -179,20 +179,20 @@
 }
 
 // summary answers what is in force, as this coordinator has heard it.
-func (s *Server) summary(ctx context.Context, in *distribute.Summarize) (*distribute.Summaries, error) {
+func (s *Server) summary(ctx context.Context, in *distribute.SummaryRequest) (*distribute.SummaryResponse, error) {
 	if in.Version != distribute.WireVersion {
 		return nil, CheckVersion(in.Version)
 	}
-	done := make(chan *distribute.Summaries, 1)
+	done := make(chan *distribute.SummaryResponse, 1)
 	if !s.post(func() {
 		d, versions := s.distribute, s.core.Versions()
-		out := &distribute.Summaries{Last: versions.Last(), Fresh: d.watches.Fresh(d.now())}
+		out := &distribute.SummaryResponse{Last: versions.Last(), Fresh: d.watches.Fresh(d.now())}
 		if in.Service != "" {
 			newest, _ := versions.Newest(in.Service)
-			out.Of = []distribute.Summary{d.sums.Of(d.now(), in.Service, newest)}
+			out.Services = []distribute.Summary{d.sums.Of(d.now(), in.Service, newest)}
 		} else {
 			for _, newest := range versions.Services() {
-				out.Of = append(out.Of, d.sums.Of(d.now(), newest.Service, newest))
+				out.Services = append(out.Services, d.sums.Of(d.now(), newest.Service, newest))
 			}
 		}
 		done <- out
--- a/internal/coordination/fleet/operator.go
+++ b/internal/coordination/fleet/operator.go
@@ -36,7 +36,7 @@
 )
 
 // Ask asks until a coordinator that leads has answered, or ctx ends.
-func (o *Operator) Ask(ctx context.Context, in Ask) (*Told, error) {
+func (o *Operator) Ask(ctx context.Context, in Request) (*Response, error) {
 	o.mu.Lock()
 	if o.caller == nil {
 		o.caller = &Caller{Addrs: o.Addrs, Over: &o.over, Pause: operatorPause, Within: operatorTime}
@@ -55,7 +55,7 @@
 
 // Status asks one coordinator for what it knows of itself.
 func (o *Operator) Status(ctx context.Context, addr string) (*Status, error) {
-	res, err := Client[Nothing, Status](&o.over, addr, PathStatus).CallUnary(ctx, connect.NewRequest(&Nothing{Version}))
+	res, err := Client[Empty, Status](&o.over, addr, PathStatus).CallUnary(ctx, connect.NewRequest(&Empty{Version}))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/fleet/peer.go
+++ b/internal/coordination/fleet/peer.go
@@ -54,7 +54,7 @@
 func (p *peer) run(ctx context.Context, addr string) {
 	over := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 2, DisableCompression: true}}
 	defer over.CloseIdleConnections()
-	client := Client[Steps, Nothing](over, addr, PathStep)
+	client := Client[Steps, Empty](over, addr, PathStep)
 	for {
 		var batch []*pb.Message
 		select {
@@ -88,8 +88,8 @@
 	}
 }
 
-func (p *peer) call(ctx context.Context, client *connect.Client[Steps, Nothing], batch []*pb.Message) error {
-	steps, within, snap := &Steps{Version: Version, From: p.s.config.ID, To: p.id, Life: p.s.disk.Life, ToLife: *p.life.Load()}, stepTime, false
+func (p *peer) call(ctx context.Context, client *connect.Client[Steps, Empty], batch []*pb.Message) error {
+	steps, within, snap := &Steps{Version: Version, From: p.s.config.ID, To: p.id, Incarnation: p.s.disk.Life, ToIncarnation: *p.life.Load()}, stepTime, false
 	for _, m := range batch {
 		text, err := proto.Marshal(m)
 		if err != nil {
--- a/internal/coordination/fleet/publish.go
+++ b/internal/coordination/fleet/publish.go
@@ -27,14 +27,14 @@
 	if err := c.Check(); err != nil {
 		return 0, false, err
 	}
-	told, err := o.Ask(ctx, Ask{Versions: &service})
+	told, err := o.Ask(ctx, Request{Versions: &service})
 	if err != nil {
 		return 0, false, err
 	}
 	if len(told.Versions) > 0 {
 		c.After = told.Versions[0].Revision
 	}
-	if told, err = o.Ask(ctx, Ask{Publish: &c}); err != nil {
+	if told, err = o.Ask(ctx, Request{Publish: &c}); err != nil {
 		return 0, false, err
 	}
 	if told.Published.Refused != "" {
@@ -47,7 +47,7 @@
 type Summarized struct {
 	Addr string
 	Err  error
-	distribute.Summaries
+	distribute.SummaryResponse
 }
 
 // Summaries asks all coordinators, also those that only follow, at once: each knows what was told to it. Service "": of all services.
@@ -60,12 +60,12 @@
 		go func() {
 			defer func() { ended <- struct{}{} }()
 			all[i].Addr = addr
-			in := &distribute.Summarize{Version: distribute.WireVersion, Service: service}
-			client := Client[distribute.Summarize, distribute.Summaries](&o.over, addr, distribute.PathSummary)
+			in := &distribute.SummaryRequest{Version: distribute.WireVersion, Service: service}
+			client := Client[distribute.SummaryRequest, distribute.SummaryResponse](&o.over, addr, distribute.PathSummary)
 			if res, err := client.CallUnary(ctx, connect.NewRequest(in)); err != nil {
 				all[i].Err = err
 			} else {
-				all[i].Summaries = *res.Msg
+				all[i].SummaryResponse = *res.Msg
 			}
 		}()
 	}
@@ -80,7 +80,7 @@
 	all := o.Summaries(ctx, service)
 	by := map[string][]distribute.Summary{}
 	for _, s := range all {
-		for _, of := range s.Of {
+		for _, of := range s.Services {
 			by[of.Service] = append(by[of.Service], of)
 		}
 	}
--- a/internal/coordination/fleet/rpc.go
+++ b/internal/coordination/fleet/rpc.go
@@ -23,55 +23,55 @@
 
 // The calls.
 const (
-	PathAsk    = "/petrelfleet.v1.Fleet/Ask"
-	PathStatus = "/petrelfleet.v1.Fleet/Status"
-	PathStep   = "/petrelfleet.v1.Replica/Step"
+	PathRequest = "/petrelfleet.v1.Fleet/Ask"
+	PathStatus  = "/petrelfleet.v1.Fleet/Status"
+	PathStep    = "/petrelfleet.v1.Replica/Step"
 	// MaxMessage bounds a message: a snapshot of the largest state.
 	MaxMessage = 64 << 20
-	maxAsk     = 1 << 20 // the start of a change of the largest fleet
+	maxRequest = 1 << 20 // the start of a change of the largest fleet
 )
 
-// Ask is a question of a client; one field says what.
-type Ask struct {
-	Version  int                 `json:"version"`
-	Command  *lease.Command      `json:"command,omitempty"`
-	Alive    *replica.Alive      `json:"alive,omitempty"`
-	Rollout  *rollout.Command    `json:"rollout,omitempty"`
-	Changes  *string             `json:"changes,omitempty"` // of an application; "": which applications there are
-	Results  bool                `json:"results,omitempty"` // with what the stages of the change were counted to have done
-	Limit    *share.Command      `json:"limit,omitempty"`
-	Share    *replica.Share      `json:"share,omitempty"`
-	Limits   bool                `json:"limits,omitempty"` // how they stand
-	Publish  *distribute.Command `json:"publish,omitempty"`
-	Versions *string             `json:"versions,omitempty"` // the newest of a service, with its content; "": of all, without
-	Last     *Last               `json:"last,omitempty"`     // the revision of the last version of all
-	List     *string             `json:"list,omitempty"`     // leases whose names begin so
-	Backup   bool                `json:"backup,omitempty"`
-	Add      *replica.Member     `json:"add,omitempty"`
-	Remove   uint64              `json:"remove,omitempty"`
+// Request is a question of a client; one field says what.
+type Request struct {
+	Version  int                   `json:"version"`
+	Command  *lease.Command        `json:"command,omitempty"`
+	Alive    *replica.Alive        `json:"alive,omitempty"`
+	Rollout  *rollout.Command      `json:"rollout,omitempty"`
+	Changes  *string               `json:"changes,omitempty"` // of an application; "": which applications there are
+	Results  bool                  `json:"results,omitempty"` // with what the stages of the change were counted to have done
+	Limit    *share.Command        `json:"limit,omitempty"`
+	Share    *replica.ShareRequest `json:"share,omitempty"`
+	Limits   bool                  `json:"limits,omitempty"` // how they stand
+	Publish  *distribute.Command   `json:"publish,omitempty"`
+	Versions *string               `json:"versions,omitempty"` // the newest of a service, with its content; "": of all, without
+	Last     *Last                 `json:"last,omitempty"`     // the revision of the last version of all
+	List     *string               `json:"list,omitempty"`     // leases whose names begin so
+	Backup   bool                  `json:"backup,omitempty"`
+	Add      *replica.Member       `json:"add,omitempty"`
+	Remove   uint64                `json:"remove,omitempty"`
 }
 
-// Told is the answer. Again is when to ask again, in milliseconds, where Err says that nothing, or nothing certain, came of it.
-type Told struct {
-	Err       string               `json:"err,omitempty"`
-	Moved     bool                 `json:"moved,omitempty"` // it may have been done
-	Leader    string               `json:"leader,omitempty"`
-	Again     int                  `json:"again_ms,omitempty"`
-	Answer    lease.Answer         `json:"answer,omitzero"`
-	Alive     bool                 `json:"alive,omitempty"`
-	Grants    []lease.Grant        `json:"grants,omitempty"`
-	Version   uint64               `json:"grants_version,omitempty"`
-	Holdings  []lease.Holding      `json:"holdings,omitempty"`
-	Backup    json.RawMessage      `json:"backup,omitempty"`
-	Members   []replica.Member     `json:"members,omitempty"`
-	Rollout   rollout.Answer       `json:"rollout,omitzero"`
-	Refused   string               `json:"refused,omitempty"` // why a limit was not set, or no part of it is given
-	Share     share.Told           `json:"share,omitzero"`
-	Limits    []share.Standing     `json:"limits,omitempty"`
-	Published distribute.Answer    `json:"published,omitzero"`
-	Versions  []distribute.Version `json:"versions,omitempty"`
-	Last      distribute.Revision  `json:"last,omitempty"`
-	Changes   json.RawMessage      `json:"changes,omitempty"` // a rollout.Application, or names; empty: there is none
+// Response is the answer. Again is when to ask again, in milliseconds, where Err says that nothing, or nothing certain, came of it.
+type Response struct {
+	Err            string               `json:"err,omitempty"`
+	OutcomeUnknown bool                 `json:"moved,omitempty"` // it may have been done
+	Leader         string               `json:"leader,omitempty"`
+	RetryAfterMs   int                  `json:"again_ms,omitempty"`
+	Answer         lease.Answer         `json:"answer,omitzero"`
+	Alive          bool                 `json:"alive,omitempty"`
+	Grants         []lease.Grant        `json:"grants,omitempty"`
+	Version        uint64               `json:"grants_version,omitempty"`
+	Holdings       []lease.Holding      `json:"holdings,omitempty"`
+	Backup         json.RawMessage      `json:"backup,omitempty"`
+	Members        []replica.Member     `json:"members,omitempty"`
+	Rollout        rollout.Answer       `json:"rollout,omitzero"`
+	Refused        string               `json:"refused,omitempty"` // why a limit was not set, or no part of it is given
+	Share          share.Allocation     `json:"share,omitzero"`
+	Limits         []share.Standing     `json:"limits,omitempty"`
+	Published      distribute.Answer    `json:"published,omitzero"`
+	Versions       []distribute.Version `json:"versions,omitempty"`
+	Last           distribute.Revision  `json:"last,omitempty"`
+	Changes        json.RawMessage      `json:"changes,omitempty"` // a rollout.Application, or names; empty: there is none
 }
 
 // Last is a coordinator's question to the leader, with the largest revision that an agent has told it of.
@@ -79,18 +79,18 @@
 	Held distribute.Revision `json:"held,omitempty"`
 }
 
-// Nothing is a message without content but its version.
-type Nothing struct {
+// Empty is a message without content but its version.
+type Empty struct {
 	Version int `json:"version"`
 }
 
 // Steps are messages of one replica to another, in the log's own form.
 type Steps struct {
-	Version  int `json:"version"`
-	From, To uint64
-	Life     string   `json:"life"`              // of the disk that they come from
-	ToLife   string   `json:"to_life,omitempty"` // of the one that they are for, if it is known
-	Messages [][]byte `json:"messages"`
+	Version       int `json:"version"`
+	From, To      uint64
+	Incarnation   string   `json:"life"`              // of the disk that they come from
+	ToIncarnation string   `json:"to_life,omitempty"` // of the one that they are for, if it is known
+	Messages      [][]byte `json:"messages"`
 }
 
 // Client makes calls of a kind to one coordinator.
--- a/internal/coordination/fleet/server.go
+++ b/internal/coordination/fleet/server.go
@@ -79,11 +79,11 @@
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	defer s.disk.Close()
 	mux := http.NewServeMux()
-	rpc.Handle(mux, PathAsk, maxAsk, s.ask)
-	rpc.Handle(mux, PathStatus, maxAsk, s.status)
+	rpc.Handle(mux, PathRequest, maxRequest, s.ask)
+	rpc.Handle(mux, PathStatus, maxRequest, s.status)
 	rpc.Handle(mux, PathStep, MaxMessage+1<<20, s.step)
-	rpc.Handle(mux, distribute.PathWatch, distribute.MaxWatch, s.watch)
-	rpc.Handle(mux, distribute.PathSummary, maxAsk, s.summary)
+	rpc.Handle(mux, distribute.PathWatch, distribute.MaxWatchRequest, s.watch)
+	rpc.Handle(mux, distribute.PathSummary, maxRequest, s.summary)
 	// The time for reading goes on while a call waits for its answer, and would end it: it is longer than distribute.MaxHold.
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: snapTime + 5*time.Second, IdleTimeout: 2 * time.Minute, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug)}
 	var sides sync.WaitGroup
@@ -202,7 +202,7 @@
 var errEnds = connect.NewError(connect.CodeUnavailable, errors.New("this coordinator ends"))
 
 // ask answers a question of a client.
-func (s *Server) ask(ctx context.Context, in *Ask) (*Told, error) {
+func (s *Server) ask(ctx context.Context, in *Request) (*Response, error) {
 	if err := CheckVersion(in.Version); err != nil {
 		return nil, err
 	}
@@ -210,7 +210,7 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	told := make(chan *Told, 1)
+	told := make(chan *Response, 1)
 	q.Done = func(r replica.Reply) { told <- s.told(in, r) }
 	if !s.post(func() { s.distribute.prepare(&q, in); s.core.Ask(q) }) {
 		return nil, errEnds
@@ -226,7 +226,7 @@
 }
 
 // question is a client's, checked.
-func (s *Server) question(in *Ask) (q replica.Question, err error) {
+func (s *Server) question(in *Request) (q replica.Question, err error) {
 	switch {
 	case in.Command != nil:
 		q.Command = in.Command
@@ -242,8 +242,8 @@
 	case in.Limit != nil:
 		q.Limit, err = in.Limit, in.Limit.Set.Check()
 	case in.Share != nil:
-		if q.Share = in.Share; in.Share.Ask.Member == "" || len(in.Share.Ask.Member) > lease.MaxName {
-			err = fmt.Errorf("member: %q; write a name of 1 to %d bytes", in.Share.Ask.Member, lease.MaxName)
+		if q.Share = in.Share; in.Share.Request.Member == "" || len(in.Share.Request.Member) > lease.MaxName {
+			err = fmt.Errorf("member: %q; write a name of 1 to %d bytes", in.Share.Request.Member, lease.MaxName)
 		}
 	case in.Add != nil:
 		if _, _, bad := net.SplitHostPort(in.Add.Addr); in.Add.ID == 0 || bad != nil {
@@ -261,13 +261,13 @@
 }
 
 // told is the answer; it is made by the goroutine that owns the replica.
-func (s *Server) told(in *Ask, r replica.Reply) *Told {
-	t := &Told{Answer: r.Answer, Alive: r.Alive, Grants: r.Grants, Version: r.Version, Members: r.Members}
+func (s *Server) told(in *Request, r replica.Reply) *Response {
+	t := &Response{Answer: r.Answer, Alive: r.Alive, Grants: r.Grants, Version: r.Version, Members: r.Members}
 	if r.Err != nil {
-		t.Err, t.Moved, t.Leader = r.Err.Error(), errors.Is(r.Err, replica.ErrMoved), s.addr(r.Leader)
-		t.Again = int(s.config.Tick.Milliseconds() * replica.ElectionTicks / 2)
+		t.Err, t.OutcomeUnknown, t.Leader = r.Err.Error(), errors.Is(r.Err, replica.ErrMoved), s.addr(r.Leader)
+		t.RetryAfterMs = int(s.config.Tick.Milliseconds() * replica.ElectionTicks / 2)
 		if t.Leader != "" {
-			t.Again = int(s.config.Tick.Milliseconds())
+			t.RetryAfterMs = int(s.config.Tick.Milliseconds())
 		}
 	}
 	if r.State != nil && in.List != nil {
@@ -314,7 +314,7 @@
 	Addr string `json:"addr"`
 }
 
-func (s *Server) status(ctx context.Context, in *Nothing) (*Status, error) {
+func (s *Server) status(ctx context.Context, in *Empty) (*Status, error) {
 	if err := CheckVersion(in.Version); err != nil {
 		return nil, err
 	}
@@ -333,7 +333,7 @@
 }
 
 // step takes in messages of another replica. One whose disk is another than the log knows is refused, and one that was removed.
-func (s *Server) step(ctx context.Context, in *Steps) (*Nothing, error) {
+func (s *Server) step(ctx context.Context, in *Steps) (*Empty, error) {
 	if err := CheckVersion(in.Version); err != nil {
 		return nil, err
 	}
@@ -349,12 +349,12 @@
 	}
 	done := make(chan error, 1)
 	ok := s.post(func() {
-		if err := s.core.Mine(in.ToLife); err != nil {
+		if err := s.core.Mine(in.ToIncarnation); err != nil {
 			s.fail(err)
 			done <- errEnds
 			return
 		}
-		err := s.core.Knows(in.From, in.Life)
+		err := s.core.Knows(in.From, in.Incarnation)
 		if err != nil {
 			err = connect.NewError(connect.CodeFailedPrecondition, err)
 		}
@@ -373,7 +373,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &Nothing{Version}, nil
+		return &Empty{Version}, nil
 	case <-s.ended:
 		return nil, errEnds
 	}
--- a/internal/coordination/fleet/shares.go
+++ b/internal/coordination/fleet/shares.go
@@ -77,12 +77,12 @@
 	now := s.clock()
 	q := s.taker.Ask(s.taker.Wants(now), now)
 	s.mu.Unlock()
-	told, err := s.caller.Ask(ctx, &Ask{Share: &replica.Share{Limit: s.limit.Name, Ask: q}}, func() { asked = s.clock() })
+	told, err := s.caller.Ask(ctx, &Request{Share: &replica.ShareRequest{Limit: s.limit.Name, Request: q}}, func() { asked = s.clock() })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil || told.Refused != "" {
 		s.taker.Unanswered(s.clock())
 		return
 	}
-	s.taker.Told(asked, told.Share, q.Over)
+	s.taker.Told(asked, told.Share, q.Finished)
 }
--- a/internal/coordination/lease/command.go
+++ b/internal/coordination/lease/command.go
@@ -104,14 +104,14 @@
 
 // The statuses.
 const (
-	OK        Status = iota + 1
-	Waiting          // somebody else has it; the session is in the queue
-	Taken            // somebody else has it
-	Gone             // there is no such session, any more
-	NotHeld          // the session does not hold that grant
-	Late             // a command with a larger number came before it; nothing was done
-	Full             // a bound is reached
-	Embargoed        // nothing is granted yet
+	OK          Status = iota + 1
+	Waiting            // somebody else has it; the session is in the queue
+	HeldByOther        // somebody else has it
+	NoSession          // there is no such session, any more
+	NotHeld            // the session does not hold that grant
+	Stale              // a command with a larger number came before it; nothing was done
+	Full               // a bound is reached
+	Embargoed          // nothing is granted yet
 )
 
 // String names the status.
--- a/internal/coordination/lease/explore_test.go
+++ b/internal/coordination/lease/explore_test.go
@@ -298,7 +298,7 @@
 		switch a := q.ask; {
 		case a.what == Acquire && a.answer.Status == OK:
 			q.holder.Granted(q.clock, "x", a.answer.Token)
-		case a.answer.Status == Gone || a.what == 0 && !a.yes:
+		case a.answer.Status == NoSession || a.what == 0 && !a.yes:
 			q.holder.Lost()
 		case a.what == 0:
 			q.holder.Renewed(a.asked, a.grants, a.version)
--- a/internal/coordination/lease/state.go
+++ b/internal/coordination/lease/state.go
@@ -77,11 +77,11 @@
 	own := s.sessions[c.Session]
 	switch {
 	case own == nil || !c.OfClient():
-		return Answer{Status: Gone}
+		return Answer{Status: NoSession}
 	case c.Seq == own.seq:
 		return own.answer
 	case c.Seq < own.seq:
-		return Answer{Status: Late}
+		return Answer{Status: Stale}
 	}
 	own.seq = c.Seq
 	own.answer = s.carryOut(own, c)
@@ -143,7 +143,7 @@
 		s.free(l)
 		return Answer{Status: OK, Token: l.token}
 	}
-	return Answer{Status: Gone}
+	return Answer{Status: NoSession}
 }
 
 func (s *State) acquire(own *session, l *lease, wait bool) Answer {
@@ -162,7 +162,7 @@
 	case !wait && s.embargo > 0 && l.holder == 0:
 		return Answer{Status: Embargoed}
 	case !wait:
-		return Answer{Status: Taken, Holder: s.owner(l.holder)}
+		return Answer{Status: HeldByOther, Holder: s.owner(l.holder)}
 	case len(l.queue) >= MaxQueue:
 		return Answer{Status: Full}
 	default:
--- a/internal/coordination/lease/state_test.go
+++ b/internal/coordination/lease/state_test.go
@@ -35,14 +35,14 @@
 	do(Acquire, 1, 1, 0, OK, 1)
 	do(Acquire, 1, 1, 0, OK, 1) // the answer was lost
 	do(Acquire, 1, 2, 0, OK, 1) // asked anew: no second grant
-	do(Acquire, 2, 1, 0, Taken, 0)
+	do(Acquire, 2, 1, 0, HeldByOther, 0)
 	do(Release, 1, 3, 1, OK, 0)
 	do(Release, 1, 3, 1, OK, 0)
-	do(Acquire, 1, 2, 0, Late, 0) // a copy that the network had kept: nobody would know of its grant
+	do(Acquire, 1, 2, 0, Stale, 0) // a copy that the network had kept: nobody would know of its grant
 	do(Acquire, 2, 2, 0, OK, 2)
 	do(Release, 1, 4, 1, NotHeld, 0)
 	do(Release, 2, 3, 1, NotHeld, 0)
-	do(Acquire, 9, 1, 0, Gone, 0)
+	do(Acquire, 9, 1, 0, NoSession, 0)
 	if h := s.Holdings(""); len(h) != 1 || h[0].Session != 2 || h[0].Token != 2 {
 		t.Errorf("%+v", h)
 	}
--- a/internal/coordination/machine/endpoint.go
+++ b/internal/coordination/machine/endpoint.go
@@ -26,29 +26,29 @@
 
 // The calls.
 const (
-	PathLook  = "/petrelagent.v1.Agent/Look"
-	PathOrder = "/petrelagent.v1.Agent/Order"
-	PathCheck = "/petrelagent.v1.Agent/Check"
-	maxCall   = 64 << 10
+	PathStatus = "/petrelagent.v1.Agent/Look"
+	PathOrder  = "/petrelagent.v1.Agent/Order"
+	PathCheck  = "/petrelagent.v1.Agent/Check"
+	maxCall    = 64 << 10
 	// MaxAnswer bounds an answer: the counts of a machine full of sidecars.
 	MaxAnswer = 16 << 20
 )
 
-// Look asks what is. With a driver's token it also says that the fleet is in reach, and what is confirmed by it.
-type Look struct {
+// StatusRequest asks what is. With a driver's token it also says that the fleet is in reach, and what is confirmed by it.
+type StatusRequest struct {
 	Version     int    `json:"version"`
 	Application string `json:"application"`
 	Token       uint64 `json:"token,omitempty"`
 	Confirmed   string `json:"confirmed,omitempty"`
 }
 
-// Seen is what there is.
-type Seen struct {
-	Sidecars []SidecarSeen `json:"sidecars"`
+// Status is what there is.
+type Status struct {
+	Sidecars []SidecarStatus `json:"sidecars"`
 }
 
-// SidecarSeen is one sidecar.
-type SidecarSeen struct {
+// SidecarStatus is one sidecar.
+type SidecarStatus struct {
 	rollout.Report
 	Zone      string          `json:"zone,omitempty"`
 	Phase     string          `json:"phase"`
@@ -67,19 +67,19 @@
 	Order       rollout.Order `json:"order"`
 }
 
-// Taken says that an order is carried out, or was.
-type Taken struct {
+// OrderResponse says that an order is carried out, or was.
+type OrderResponse struct {
 	Known bool `json:"known"`
 }
 
-// Check asks whether a release could be run here. Settings are the release's own.
-type Check struct {
+// CheckRequest asks whether a release could be run here. Settings are the release's own.
+type CheckRequest struct {
 	Version int    `json:"version"`
 	Release string `json:"release"`
 }
 
-// Checked is the yes.
-type Checked struct {
+// CheckResponse is the yes.
+type CheckResponse struct {
 	Settings json.RawMessage `json:"settings"`
 }
 
@@ -133,17 +133,17 @@
 	return diskError{err}
 }
 
-func (m *Machine) look(ctx context.Context, in *Look) (*Seen, error) {
+func (m *Machine) look(ctx context.Context, in *StatusRequest) (*Status, error) {
 	if err := m.same(in.Version, in.Application); err != nil {
 		return nil, err
 	}
-	return owned(ctx, m, func() (*Seen, error) {
+	return owned(ctx, m, func() (*Status, error) {
 		if in.Token != 0 {
 			if err := m.hear(in.Token); err != nil {
 				return nil, err
 			}
 		}
-		seen := &Seen{}
+		seen := &Status{}
 		for _, u := range m.units {
 			if in.Token != 0 && in.Confirmed != "" {
 				u.Confirm(in.Confirmed)
@@ -177,22 +177,22 @@
 	return nil
 }
 
-func (u *unit) seen() SidecarSeen {
-	s := SidecarSeen{Zone: u.conf.Zone, Phase: u.Phase.String(), Confirmed: u.Confirmed}
-	s.Report = rollout.Report{Sidecar: u.conf.Name, Done: u.Done, Failed: u.Failed, Fell: u.Fell}
+func (u *unit) seen() SidecarStatus {
+	s := SidecarStatus{Zone: u.conf.Zone, Phase: u.Phase.String(), Confirmed: u.Confirmed}
+	s.Report = rollout.Report{Sidecar: u.conf.Name, Done: u.Done, Failed: u.Failed, FallbackReason: u.FallbackReason}
 	s.Release, s.Ready = u.Serves()
-	if u.Now != nil {
-		s.Process, s.Counts = *u.Now, u.said[*u.Now]
-		s.CPU, s.Memory = usage(*u.Now)
+	if u.Serving != nil {
+		s.Process, s.Counts = *u.Serving, u.said[*u.Serving]
+		s.CPU, s.Memory = usage(*u.Serving)
 	}
 	return s
 }
 
-func (m *Machine) order(ctx context.Context, in *Order) (*Taken, error) {
+func (m *Machine) order(ctx context.Context, in *Order) (*OrderResponse, error) {
 	if err := m.same(in.Version, in.Application); err != nil {
 		return nil, err
 	}
-	return owned(ctx, m, func() (*Taken, error) {
+	return owned(ctx, m, func() (*OrderResponse, error) {
 		for _, u := range m.units {
 			if u.conf.Name != in.Order.Sidecar {
 				continue
@@ -212,7 +212,7 @@
 			if err != nil {
 				return nil, connect.NewError(connect.CodeUnavailable, err)
 			}
-			return &Taken{known}, disk(m.after(u, todo))
+			return &OrderResponse{known}, disk(m.after(u, todo))
 		}
 		return nil, connect.NewError(connect.CodeNotFound, fmt.Errorf("there is no sidecar %q on this machine", in.Order.Sidecar))
 	})
@@ -222,7 +222,7 @@
 const checkTime = 10 * time.Second
 
 // check has the program of a release check its settings, for each sidecar of the machine.
-func (m *Machine) check(ctx context.Context, in *Check) (*Checked, error) {
+func (m *Machine) check(ctx context.Context, in *CheckRequest) (*CheckResponse, error) {
 	if err := m.same(in.Version, m.c.Application); err != nil {
 		return nil, err
 	}
@@ -263,7 +263,7 @@
 			return nil, bad(fmt.Errorf("%s: its program does not take its settings for %s: %w: %s", r.ID, m.c.Sidecars[i].Name, err, strings.TrimSpace(string(out))))
 		}
 	}
-	return &Checked{settings}, nil
+	return &CheckResponse{settings}, nil
 }
 
 // askTime is for how long an operators' endpoint is waited for.
@@ -273,8 +273,8 @@
 
 // ask asks a process whether it is ready, and for its counts.
 func (m *Machine) ask(ctx context.Context, u *unit, p agent.Process) {
-	_, yes := call(ctx, p.Door, "/api/ready")
-	counts, counted := call(ctx, p.Door, "/api/counts")
+	_, yes := call(ctx, p.AdminAddress, "/api/ready")
+	counts, counted := call(ctx, p.AdminAddress, "/api/counts")
 	m.post(func() error {
 		delete(u.asked, p)
 		if !u.has(p) {
--- a/internal/coordination/machine/machine.go
+++ b/internal/coordination/machine/machine.go
@@ -63,7 +63,7 @@
 type unit struct {
 	*agent.Sidecar
 	conf  *Sidecar
-	saved agent.Kept
+	saved agent.PersistedState
 	asked map[agent.Process]bool // its endpoint is being asked
 	said  map[agent.Process]json.RawMessage
 
@@ -145,21 +145,21 @@
 		}
 	}
 	var found *agent.Process
-	if u.saved.Starts > 0 && (u.saved.Now == nil || u.saved.Phase == agent.Starting && u.saved.Next == nil) {
+	if u.saved.Starts > 0 && (u.saved.Serving == nil || u.saved.Phase == agent.Starting && u.saved.Next == nil) {
 		if found, err = claim(m.numbered(u, "start", u.saved.Starts)); err != nil {
 			return err
 		}
 		if found != nil {
-			found.Release, found.Door, found.Start = u.saved.To, u.endpoint(), u.saved.Starts
-			if u.saved.To == "" {
+			found.Release, found.AdminAddress, found.Start = u.saved.Target, u.endpoint(), u.saved.Starts
+			if u.saved.Target == "" {
 				found.Release = u.saved.Confirmed
 			}
 		}
 	}
-	kept, todo := u.saved, []agent.Do(nil)
-	u.Sidecar, todo = agent.Again(kept, m.c.Limits, m.now(), Lives, found)
+	kept, todo := u.saved, []agent.Action(nil)
+	u.Sidecar, todo = agent.Restore(kept, m.c.Limits, m.now(), Lives, found)
 	m.want(u)
-	m.log.Info("taken up", "sidecar", conf.Name, "phase", kept.Phase.String(), "now", u.Now, "next", u.Next, "found", found != nil)
+	m.log.Info("taken up", "sidecar", conf.Name, "phase", kept.Phase.String(), "now", u.Serving, "next", u.Next, "found", found != nil)
 	return m.after(u, todo)
 }
 
@@ -173,7 +173,7 @@
 // endpoint is the one for operators that a next process has.
 func (u *unit) endpoint() string {
 	for _, endpoint := range u.conf.Doors {
-		if u.saved.Now == nil || u.saved.Now.Door != endpoint {
+		if u.saved.Serving == nil || u.saved.Serving.AdminAddress != endpoint {
 			return endpoint
 		}
 	}
@@ -229,7 +229,7 @@
 }
 
 // after keeps what has changed, and only then does what is to be done.
-func (m *Machine) after(u *unit, todo []agent.Do) error {
+func (m *Machine) after(u *unit, todo []agent.Action) error {
 	for first := true; first || len(todo) > 0; first = false {
 		if err := m.save(u); err != nil {
 			return err
@@ -246,9 +246,9 @@
 			signal(*do.Term, syscall.SIGTERM)
 		case do.Kill != nil:
 			signal(*do.Kill, syscall.SIGKILL)
-		case do.Tell != nil:
-			digest, err := m.tell(u, *do.Tell, do.Version)
-			u.Told(m.now(), *do.Tell, digest, err)
+		case do.Reload != nil:
+			digest, err := m.tell(u, *do.Reload, do.Version)
+			u.Told(m.now(), *do.Reload, digest, err)
 		case do.Check != nil:
 			m.verify(u, *do.Check)
 		}
@@ -265,26 +265,26 @@
 
 func (m *Machine) save(u *unit) error {
 	was, _ := json.Marshal(u.saved)
-	is, _ := json.Marshal(u.Kept)
+	is, _ := json.Marshal(u.PersistedState)
 	if string(was) == string(is) {
 		return nil
 	}
-	if err := m.keep("sidecar-"+u.conf.Name, u.Kept); err != nil {
+	if err := m.keep("sidecar-"+u.conf.Name, u.PersistedState); err != nil {
 		return err
 	}
 	if u.saved.Phase != u.Phase || u.saved.Done != u.Done {
-		m.log.Info("sidecar", "name", u.conf.Name, "phase", u.Phase.String(), "order", u.Order, "done", u.Done, "failed", u.Failed, "fell", u.Fell)
+		m.log.Info("sidecar", "name", u.conf.Name, "phase", u.Phase.String(), "order", u.Order, "done", u.Done, "failed", u.Failed, "fell", u.FallbackReason)
 	}
 	if was, is := u.saved.Configured, u.Configured; was != is {
 		m.log.Info("configuration", "sidecar", u.conf.Name, "in_force", uint64(is.InForce), "trying", uint64(is.Trying),
 			"live", is.Live, "refused", uint64(is.Refused), "why", is.Why)
 	}
-	u.saved = copied(u.Kept)
+	u.saved = copied(u.PersistedState)
 	return nil
 }
 
-func copied(k agent.Kept) agent.Kept {
-	for _, p := range []**agent.Process{&k.Now, &k.Next, &k.Doomed} {
+func copied(k agent.PersistedState) agent.PersistedState {
+	for _, p := range []**agent.Process{&k.Serving, &k.Next, &k.Terminating} {
 		if *p != nil {
 			own := **p
 			*p = &own
@@ -296,7 +296,7 @@
 const keptStarts = 8 // for how many starts files are left for people
 
 // begin starts a release, with a version of its configuration.
-func (m *Machine) begin(u *unit, id string, version distribute.Revision) []agent.Do {
+func (m *Machine) begin(u *unit, id string, version distribute.Revision) []agent.Action {
 	p, err := m.start(u, id, version)
 	if err != nil {
 		m.log.Warn("not started", "sidecar", u.conf.Name, "release", id, "err", err)
@@ -334,7 +334,7 @@
 				continue
 			}
 			lives := func(p *agent.Process) bool { return p != nil && p.Start == n }
-			if !slices.ContainsFunc([]*agent.Process{u.Now, u.Next, u.Doomed}, lives) {
+			if !slices.ContainsFunc([]*agent.Process{u.Serving, u.Next, u.Terminating}, lives) {
 				os.Remove(filepath.Join(m.c.Data, e.Name()))
 			}
 		}
@@ -370,7 +370,7 @@
 		m.sides.Go(func() { m.tells.Run(ctx) })
 	}
 	mux := http.NewServeMux()
-	rpc.Handle(mux, PathLook, maxCall, m.look)
+	rpc.Handle(mux, PathStatus, maxCall, m.look)
 	rpc.Handle(mux, PathOrder, maxCall, m.order)
 	rpc.Handle(mux, PathCheck, maxCall, m.check)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, IdleTimeout: time.Minute,
@@ -400,8 +400,8 @@
 // tick looks at all processes, and at the clock.
 func (m *Machine) tick(ctx context.Context) error {
 	for _, u := range m.units {
-		var todo []agent.Do
-		for _, p := range []*agent.Process{u.Now, u.Next, u.Doomed} {
+		var todo []agent.Action
+		for _, p := range []*agent.Process{u.Serving, u.Next, u.Terminating} {
 			if p != nil && !Lives(*p) {
 				said := ""
 				if p == u.Next { // whose start was the last
@@ -419,7 +419,7 @@
 				delete(u.said, p)
 			}
 		}
-		for _, p := range []*agent.Process{u.Now, u.Next} {
+		for _, p := range []*agent.Process{u.Serving, u.Next} {
 			if p != nil && !u.asked[*p] {
 				u.asked[*p] = true
 				m.sides.Go(func() { m.ask(ctx, u, *p) })
@@ -430,7 +430,7 @@
 }
 
 func (u *unit) has(p agent.Process) bool {
-	return u.Now != nil && *u.Now == p || u.Next != nil && *u.Next == p
+	return u.Serving != nil && *u.Serving == p || u.Next != nil && *u.Next == p
 }
 
 // post has f run by the goroutine that owns the machine; false: it has ended.
--- a/internal/coordination/machine/start.go
+++ b/internal/coordination/machine/start.go
@@ -149,7 +149,7 @@
 	if err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return agent.Process{}, err
 	}
-	return agent.Process{PID: cmd.Process.Pid, Began: began, Door: endpoint}, nil
+	return agent.Process{PID: cmd.Process.Pid, Began: began, AdminAddress: endpoint}, nil
 }
 
 // maxWords is how much of a log is looked at for what a process said last, and of a line that is passed on.
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -130,14 +130,14 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- m.Run(ctx, ln) }()
-		in := &Look{Version: Version, Application: "a", Token: call.token}
-		_, err = rpc.Client[Look, Seen](http.DefaultClient, ln.Addr().String(), PathLook, MaxAnswer).CallUnary(ctx, connect.NewRequest(in))
+		in := &StatusRequest{Version: Version, Application: "a", Token: call.token}
+		_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxAnswer).CallUnary(ctx, connect.NewRequest(in))
 		if (err != nil) != (call.code != 0) || err != nil && connect.CodeOf(err) != call.code {
 			t.Errorf("token %d: %v", call.token, err)
 		}
-		in = &Look{Version: Version + 1, Application: "a"} // a driver of another version, or of another application
-		for want, in := range map[string]*Look{"version 2; this agent speaks 1": in, `this agent is of "a"`: {Version: Version, Application: "b"}} {
-			_, err = rpc.Client[Look, Seen](http.DefaultClient, ln.Addr().String(), PathLook, MaxAnswer).CallUnary(ctx, connect.NewRequest(in))
+		in = &StatusRequest{Version: Version + 1, Application: "a"} // a driver of another version, or of another application
+		for want, in := range map[string]*StatusRequest{"version 2; this agent speaks 1": in, `this agent is of "a"`: {Version: Version, Application: "b"}} {
+			_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxAnswer).CallUnary(ctx, connect.NewRequest(in))
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("%v, want %s", err, want)
 			}
--- a/internal/coordination/machine/version_test.go
+++ b/internal/coordination/machine/version_test.go
@@ -128,13 +128,13 @@
 	g.begin()
 	t.Cleanup(func() {
 		g.end()
-		for _, p := range []*agent.Process{g.kept().Now, g.kept().Next} {
+		for _, p := range []*agent.Process{g.kept().Serving, g.kept().Next} {
 			if p != nil && Lives(*p) {
 				syscall.Kill(p.PID, syscall.SIGKILL)
 			}
 		}
 	})
-	peertest.Eventually(t, "it serves", func() bool { return g.kept().Now != nil && g.process() != nil })
+	peertest.Eventually(t, "it serves", func() bool { return g.kept().Serving != nil && g.process() != nil })
 	return g
 }
 
@@ -164,7 +164,7 @@
 }
 
 // kept is what is on the disk.
-func (g *rig) kept() (k agent.Kept) {
+func (g *rig) kept() (k agent.PersistedState) {
 	text, _ := os.ReadFile(filepath.Join(g.c.Data, "sidecar-n0.json"))
 	json.Unmarshal(text, &k)
 	return k
@@ -173,13 +173,13 @@
 // process is the one that serves, with what its file holds; nil: it does not answer.
 func (g *rig) process() map[string]any {
 	k := g.kept()
-	if k.Now == nil {
+	if k.Serving == nil {
 		return nil
 	}
-	if _, yes := call(g.t.Context(), k.Now.Door, "/api/counts"); !yes {
+	if _, yes := call(g.t.Context(), k.Serving.AdminAddress, "/api/counts"); !yes {
 		return nil
 	}
-	text, _ := os.ReadFile(filepath.Join(g.c.Data, fmt.Sprintf("config-n0-%d", k.Now.Start)))
+	text, _ := os.ReadFile(filepath.Join(g.c.Data, fmt.Sprintf("config-n0-%d", k.Serving.Start)))
 	var fields map[string]any
 	json.Unmarshal(text, &fields)
 	return fields
@@ -214,17 +214,17 @@
 // what is in force.
 func TestVersionsOnAMachine(t *testing.T) {
 	g := newRig(t)
-	first := g.kept().Now.PID
+	first := g.kept().Serving.PID
 	if r := g.tell(3, `{"discovery": "b"}`); r != (distribute.Report{Sidecar: "n0", InForce: 3}) {
 		t.Errorf("%+v", r)
 	}
-	if f := g.process(); f["discovery"] != "b" || f["third"] != 1.0 || f["name"] != "n0" || g.kept().Now.PID != first {
-		t.Errorf("%v, process %d after %d", f, g.kept().Now.PID, first)
+	if f := g.process(); f["discovery"] != "b" || f["third"] != 1.0 || f["name"] != "n0" || g.kept().Serving.PID != first {
+		t.Errorf("%v, process %d after %d", f, g.kept().Serving.PID, first)
 	}
 	if r := g.tell(5, `{"discovery": "b", "settings": {"y": 2}}`); r != (distribute.Report{Sidecar: "n0", InForce: 5}) {
 		t.Errorf("%+v", r)
 	}
-	peertest.Eventually(t, "the one before ends", func() bool { k := g.kept(); return k.Phase == agent.Idle && k.Now.PID != first })
+	peertest.Eventually(t, "the one before ends", func() bool { k := g.kept(); return k.Phase == agent.Idle && k.Serving.PID != first })
 	if f := g.process(); fmt.Sprint(f["settings"]) != "map[mine:7 y:2]" {
 		t.Errorf("%v", f)
 	}
@@ -246,14 +246,14 @@
 	}
 
 	g.end()
-	serves := *g.kept().Now
+	serves := *g.kept().Serving
 	syscall.Kill(serves.PID, syscall.SIGKILL)
 	peertest.Eventually(t, "it is gone", func() bool { return !Lives(serves) })
 	g.begin()
 	if g.holds != 7 || g.last().InForce != 5 || g.last().Refused != 7 {
 		t.Errorf("it holds %d: %+v", g.holds, g.last())
 	}
-	peertest.Eventually(t, "it is started again", func() bool { p := g.kept().Now; return p != nil && p.PID != serves.PID && g.process() != nil })
+	peertest.Eventually(t, "it is started again", func() bool { p := g.kept().Serving; return p != nil && p.PID != serves.PID && g.process() != nil })
 	if f := g.process(); fmt.Sprint(f["settings"]) != "map[mine:7 y:2]" || f["discovery"] != "b" {
 		t.Errorf("%v", f)
 	}
@@ -272,7 +272,7 @@
 // moment.
 func TestAVersionThatWasTold(t *testing.T) {
 	g := newRig(t)
-	pid := g.kept().Now.PID
+	pid := g.kept().Serving.PID
 	g.tell(1, `{"discovery": "b"}`) // the process has told what it reads
 	syscall.Kill(pid, syscall.SIGSTOP)
 	if err := g.take(version(2, `{"discovery": "c"}`)); err != nil {
@@ -287,7 +287,7 @@
 	}
 	syscall.Kill(pid, syscall.SIGCONT)
 	peertest.Eventually(t, "it is in force", func() bool { return g.last().InForce == 2 })
-	if k := g.kept(); k.Now.PID != pid || k.Starts != 1 {
+	if k := g.kept(); k.Serving.PID != pid || k.Starts != 1 {
 		t.Errorf("%+v", k)
 	}
 }
@@ -296,7 +296,7 @@
 // that asks for another release is answered for what would be started: that release with what is in force.
 func TestManyVersionsThatFail(t *testing.T) {
 	g := newRig(t)
-	pid := g.kept().Now.PID
+	pid := g.kept().Serving.PID
 	for r := range distribute.Revision(keptStarts + 2) {
 		if told := g.tell(r+1, fmt.Sprintf(`{"dies": %d}`, r)); told.InForce != 0 || !strings.Contains(told.Why, "it ended before it was ready") {
 			t.Errorf("%+v", told)
@@ -306,8 +306,8 @@
 		t.Errorf("%d files are left", len(files))
 	}
 	starts := g.kept().Starts
-	if r := g.tell(20, `{"discovery": "b"}`); r.InForce != 20 || g.kept().Now.PID != pid || g.kept().Starts != starts {
-		t.Errorf("%+v, process %d after %d", r, g.kept().Now.PID, pid)
+	if r := g.tell(20, `{"discovery": "b"}`); r.InForce != 20 || g.kept().Serving.PID != pid || g.kept().Starts != starts {
+		t.Errorf("%+v, process %d after %d", r, g.kept().Serving.PID, pid)
 	}
 	g.tell(21, `{"one": 1}`)
 	store, err := release.NewStore(g.c.Releases)
@@ -327,10 +327,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := g.m.check(t.Context(), &Check{Version: Version, Release: string(other.ID)}); err == nil || !strings.Contains(err.Error(), "one and other are no pair") {
+	if _, err := g.m.check(t.Context(), &CheckRequest{Version: Version, Release: string(other.ID)}); err == nil || !strings.Contains(err.Error(), "one and other are no pair") {
 		t.Errorf("%v", err)
 	}
-	if _, err := g.m.check(t.Context(), &Check{Version: Version, Release: g.c.Release}); err != nil {
+	if _, err := g.m.check(t.Context(), &CheckRequest{Version: Version, Release: g.c.Release}); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/coordination/replica/ask.go
+++ b/internal/coordination/replica/ask.go
@@ -18,7 +18,7 @@
 	Command *lease.Command
 	Rollout *rollout.Command
 	Limit   *share.Command
-	Share   *Share
+	Share   *ShareRequest
 	Publish *distribute.Command
 	Alive   *Alive
 	Read    bool    // the state as of now
@@ -33,10 +33,10 @@
 	Known   uint64
 }
 
-// Share asks for a part of a limit.
-type Share struct {
-	Limit string    `json:"limit"`
-	Ask   share.Ask `json:"ask"`
+// ShareRequest asks for a part of a limit.
+type ShareRequest struct {
+	Limit   string                  `json:"limit"`
+	Request share.AllocationRequest `json:"ask"`
 }
 
 // ErrNoLimit: there is no limit of that name.
@@ -54,7 +54,7 @@
 	State     *lease.State
 	Changes   *rollout.Register // as State
 	Refused   error             // why a limit was not set, or no part of it is given
-	Share     share.Told
+	Share     share.Allocation
 	Limits    func() []share.Standing // as State
 	Published distribute.Answer
 	Versions  *distribute.Register // as State
@@ -144,7 +144,7 @@
 		var r Reply
 		switch {
 		case q.Share != nil:
-			told, ok := c.shares.Ask(q.Share.Limit, q.Share.Ask, now)
+			told, ok := c.shares.Allocate(q.Share.Limit, q.Share.Request, now)
 			if r.Share = told; !ok {
 				r.Refused = ErrNoLimit
 			}
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -119,8 +119,8 @@
 var slow func(Order) string
 
 // back is that the first of a stage runs the old release again, without an order.
-func back(why Fall) Event {
-	return Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 1, Fell: why}}
+func back(why FallbackReason) Event {
+	return Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 1, FallbackReason: why}}
 }
 
 // What stops a change, and what becomes of what was changed.
@@ -147,12 +147,12 @@
 		"never ready":          {false, []Event{{Elapsed: 1}}, failsTo("new", 0), Stopped, 0, "not ready in time", 0},
 		"a control fails":      {false, []Event{{Elapsed: 1}}, failsTo("old", 1), Paused, 1, "restarted as it was", 1},
 		"no evidence":          {false, []Event{{Elapsed: 1}, {Elapsed: time.Hour}, {Elapsed: time.Hour}}, never, Paused, 1, "not enough evidence", 0},
-		"falls back":           {false, []Event{{Elapsed: 1}, back(Ended)}, never, Stopped, 1, "without an order: it ended", 0},
-		"cut off":              {false, []Event{{Elapsed: 1}, back(CutOff)}, never, Paused, 1, "cut off", 0},
+		"falls back":           {false, []Event{{Elapsed: 1}, back(ProcessEnded)}, never, Stopped, 1, "without an order: it ended", 0},
+		"cut off":              {false, []Event{{Elapsed: 1}, back(MachineIsolated)}, never, Paused, 1, "cut off", 0},
 		"nothing comes of it":  {false, []Event{{Elapsed: 1}, {Report: &Report{Sidecar: "n00", Release: "new"}}, {Elapsed: 59 * time.Minute}, {Elapsed: time.Minute}}, never, Paused, 1, "nothing came of it in 1h0m0s: n00", 0},
 		"accepted":             {false, []Event{{Elapsed: 1}, {Elapsed: time.Hour}, {Resume: true, Accept: true}, {Elapsed: time.Minute}}, never, Running, 4, "", 0},
 		"fails in a pause":     {false, []Event{{Pause: "lunch"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 1, Failed: "not ready"}}}, slow, Stopped, 0, "not ready", 0},
-		"ends in a pause":      {false, []Event{{Elapsed: 1}, {Pause: "lunch"}, back(Ended)}, never, Stopped, 1, "it ended", 0},
+		"ends in a pause":      {false, []Event{{Elapsed: 1}, {Pause: "lunch"}, back(ProcessEnded)}, never, Stopped, 1, "it ended", 0},
 		"fails after the stop": {false, []Event{{Abort: "by hand"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 1, Failed: "not ready"}}}, slow, Stopped, 0, "by hand", 0},
 		"old ones worse":       {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Old: true, Why: "old"}}}, never, Paused, 1, "old", 0},
 		"aborted":              {false, []Event{{Elapsed: 1}, {Abort: "by hand"}}, never, Stopped, 0, "by hand", 0},
--- a/internal/coordination/rollout/state.go
+++ b/internal/coordination/rollout/state.go
@@ -59,21 +59,21 @@
 
 // Report is what an agent says of one sidecar.
 type Report struct {
-	Sidecar string `json:"sidecar"`
-	Release string `json:"release"`
-	Ready   bool   `json:"ready"`
-	Done    uint64 `json:"done,omitempty"`   // the number of the last order that was carried out, well or not
-	Failed  string `json:"failed,omitempty"` // why that one failed; the sidecar runs what Release says
-	Fell    Fall   `json:"fell,omitempty"`   // why it went to what is confirmed without an order, if it did
+	Sidecar        string         `json:"sidecar"`
+	Release        string         `json:"release"`
+	Ready          bool           `json:"ready"`
+	Done           uint64         `json:"done,omitempty"`   // the number of the last order that was carried out, well or not
+	Failed         string         `json:"failed,omitempty"` // why that one failed; the sidecar runs what Release says
+	FallbackReason FallbackReason `json:"fell,omitempty"`   // why it went to what is confirmed without an order, if it did
 }
 
-// Fall is why an agent brought a sidecar back to what is confirmed.
-type Fall string
+// FallbackReason is why an agent brought a sidecar back to what is confirmed.
+type FallbackReason string
 
 // The kinds.
 const (
-	Ended  Fall = "it ended"
-	CutOff Fall = "its machine was cut off" // which is no fault of a release
+	ProcessEnded    FallbackReason = "it ended"
+	MachineIsolated FallbackReason = "its machine was cut off" // which is no fault of a release
 )
 
 // Verdict is the judge's, of the stage that is watched.
@@ -185,10 +185,10 @@
 	}
 	goes := s.Phase == Running || s.Phase == Paused
 	if c.Order == 0 && goes && was == s.Plan.To && r.Release != was {
-		if r.Fell == CutOff {
-			s.Phase, s.Why = Paused, fmt.Sprintf("%s is back at %s: %s", c.Name, r.Release, r.Fell)
+		if r.FallbackReason == MachineIsolated {
+			s.Phase, s.Why = Paused, fmt.Sprintf("%s is back at %s: %s", c.Name, r.Release, r.FallbackReason)
 		} else {
-			s.stop(fmt.Sprintf("%s went back to %s without an order: %s", c.Name, r.Release, r.Fell))
+			s.stop(fmt.Sprintf("%s went back to %s without an order: %s", c.Name, r.Release, r.FallbackReason))
 		}
 	}
 	if c.Order == 0 || r.Done != c.Order {
--- a/internal/coordination/share/divider.go
+++ b/internal/coordination/share/divider.go
@@ -45,28 +45,28 @@
 	return nil
 }
 
-// Part is the number of a part: that of the leader's term, and of the part in it. Later ones are larger.
-type Part uint64
+// PartID is the number of a part: that of the leader's term, and of the part in it. Later ones are larger.
+type PartID uint64
 
-// Ask is a member's question.
-type Ask struct {
-	Member string  `json:"member"`
-	Weight float64 `json:"weight,omitempty"` // 0: 1
-	Want   int     `json:"want"`             // units that it would spend in the next period
-	Over   []Spent `json:"over,omitempty"`   // parts of which it spends no more
+// AllocationRequest is a member's question.
+type AllocationRequest struct {
+	Member   string  `json:"member"`
+	Weight   float64 `json:"weight,omitempty"` // 0: 1
+	Demand   int     `json:"want"`             // units that it would spend in the next period
+	Finished []Spent `json:"over,omitempty"`   // parts of which it spends no more
 }
 
 // Spent is what was spent of a part, at its end.
 type Spent struct {
-	Part  Part `json:"part"`
-	Units int  `json:"units"`
+	Part  PartID `json:"part"`
+	Units int    `json:"units"`
 }
 
-// Told is the answer.
-type Told struct {
-	Part  Part          `json:"part,omitempty"`
-	Units int           `json:"units,omitempty"` // 0: none now
-	Again time.Duration `json:"again,omitempty"` // when more may be due; 0: whenever it wants
+// Allocation is the answer.
+type Allocation struct {
+	Part       PartID        `json:"part,omitempty"`
+	Units      int           `json:"units,omitempty"` // 0: none now
+	RetryAfter time.Duration `json:"again,omitempty"` // when more may be due; 0: whenever it wants
 }
 
 // Divider gives the parts of one limit, for one term of one leader. Instants are of its own steady clock.
@@ -74,9 +74,9 @@
 	limit   Limit
 	term    uint64
 	from    lease.Instant // nothing is given before
-	parts   map[Part]*part
+	parts   map[PartID]*part
 	out     int // units of all parts
-	last    Part
+	last    PartID
 	members map[string]*member
 	level   float64       // units a period for a weight of 1, where more are wanted
 	divided lease.Instant // when that was worked out
@@ -98,16 +98,16 @@
 
 // Lead begins to give, at an instant at which this leader has confirmed that it leads.
 func Lead(l Limit, term uint64, now lease.Instant) *Divider {
-	return &Divider{limit: l, term: term, from: now.Add(l.Period), last: Part(term << 32), parts: map[Part]*part{}, members: map[string]*member{}}
+	return &Divider{limit: l, term: term, from: now.Add(l.Period), last: PartID(term << 32), parts: map[PartID]*part{}, members: map[string]*member{}}
 }
 
 // Change takes in another number of units. What is out stays out. The rest of a limit stands as long as its name.
 func (d *Divider) Change(units int) { d.limit.Units = max(units, d.limit.Floor) }
 
-// Ask answers a question, now that a majority has confirmed after it came that this leader leads.
-func (d *Divider) Ask(a Ask, now lease.Instant) Told {
+// Allocate answers a question, now that a majority has confirmed after it came that this leader leads.
+func (d *Divider) Allocate(a AllocationRequest, now lease.Instant) Allocation {
 	d.expire(now)
-	for _, s := range a.Over {
+	for _, s := range a.Finished {
 		if p := d.parts[s.Part]; p != nil && p.of == a.Member && s.Units >= 0 && s.Units < p.units {
 			d.back(p, p.units-s.Units)
 		}
@@ -115,7 +115,7 @@
 	m := d.members[a.Member]
 	if m == nil {
 		if len(d.members) >= d.limit.Members {
-			return Told{Again: d.limit.Period}
+			return Allocation{RetryAfter: d.limit.Period}
 		}
 		m = &member{asked: never}
 		d.members[a.Member] = m
@@ -123,7 +123,7 @@
 	if m.weight = a.Weight; !(m.weight > 0) || math.IsInf(m.weight, 1) {
 		m.weight = 1
 	}
-	m.want = max(0, min(a.Want, MaxUnits))
+	m.want = max(0, min(a.Demand, MaxUnits))
 	if len(d.members) == 1 || now.Sub(d.divided) >= d.limit.Period/dividings {
 		d.divide(now)
 	}
@@ -134,19 +134,19 @@
 	m.due = min(m.due+fair*float64(now.Sub(m.asked))/float64(d.limit.Period), max(fair, 1))
 	m.asked = now
 	if now < d.from {
-		return Told{Again: d.from.Sub(now)}
+		return Allocation{RetryAfter: d.from.Sub(now)}
 	}
 	free := d.limit.Units - d.limit.Floor - d.out
 	units := max(0, min(m.want, int(m.due), free))
 	if units == 0 {
-		return Told{Again: d.again(m, fair, free, now)}
+		return Allocation{RetryAfter: d.again(m, fair, free, now)}
 	}
 	m.due -= float64(units)
 	d.last++
 	d.parts[d.last] = &part{units, now.Add(d.limit.Period), a.Member}
 	d.out += units
 	m.out += units
-	return Told{Part: d.last, Units: units}
+	return Allocation{Part: d.last, Units: units}
 }
 
 const never lease.Instant = math.MinInt64
--- a/internal/coordination/share/register.go
+++ b/internal/coordination/share/register.go
@@ -107,13 +107,13 @@
 	d.all[c.Set.Name] = Lead(c.Set, d.term, now)
 }
 
-// Ask is a question to one of them, confirmed; false: there is no such limit.
-func (d *Dividers) Ask(limit string, a Ask, now lease.Instant) (Told, bool) {
+// Allocate is a question to one of them, confirmed; false: there is no such limit.
+func (d *Dividers) Allocate(limit string, a AllocationRequest, now lease.Instant) (Allocation, bool) {
 	one := d.all[limit]
 	if one == nil {
-		return Told{}, false
+		return Allocation{}, false
 	}
-	return one.Ask(a, now), true
+	return one.Allocate(a, now), true
 }
 
 // Standing is how a limit stands.
--- a/internal/coordination/share/share_test.go
+++ b/internal/coordination/share/share_test.go
@@ -90,10 +90,10 @@
 	w.after(w.up(late/2), func() {
 		d := w.leader
 		w.after(w.up(late/2), func() {
-			told := d.Ask(q, w.clocks[d].at(w.now))
+			told := d.Allocate(q, w.clocks[d].at(w.now))
 			for range 1 + w.r.IntN(10)/9 { // the question comes twice now and then; only one answer is heard
 				if w.r.IntN(10) == 0 {
-					told = d.Ask(q, w.clocks[d].at(w.now))
+					told = d.Allocate(q, w.clocks[d].at(w.now))
 				}
 			}
 			if told.Units > 0 && w.r.IntN(4) == 0 { // another one asks in the moment in which this part ends for the leader
@@ -104,7 +104,7 @@
 				w.after(ends+time.Microsecond, func() { w.question(w.r.IntN(len(w.members)), 2) })
 			}
 			if w.r.IntN(5) > 0 {
-				w.after(w.up(late), func() { m.Told(asked, told, q.Over) })
+				w.after(w.up(late), func() { m.Told(asked, told, q.Finished) })
 			}
 		})
 	})
@@ -216,10 +216,10 @@
 			}
 			c.asks++
 			name := fmt.Sprint("m", i)
-			told := c.d.Ask(Ask{Member: name, Want: want(i), Weight: 1 + float64(i%2)}, lease.Instant(now))
+			told := c.d.Allocate(AllocationRequest{Member: name, Demand: want(i), Weight: 1 + float64(i%2)}, lease.Instant(now))
 			c.got[name] += told.Units
 			got += told.Units
-			if next[i] = now + told.Again; told.Again == 0 {
+			if next[i] = now + told.RetryAfter; told.RetryAfter == 0 {
 				next[i] = now + c.limit.Period/2
 			}
 		}
@@ -276,7 +276,7 @@
 	l := Limit{Name: "l", Units: 10, Period: period, Members: 2}
 	d := Lead(l, 1, 0)
 	for i, want := range []int{1, 1, 0} { // one more than the limit knows of gets nothing
-		if told := d.Ask(Ask{Member: fmt.Sprint(i), Want: 5}, lease.Instant(period+time.Duration(i))); min(told.Units, 1) != want {
+		if told := d.Allocate(AllocationRequest{Member: fmt.Sprint(i), Demand: 5}, lease.Instant(period+time.Duration(i))); min(told.Units, 1) != want {
 			t.Errorf("member %d: %+v", i, told)
 		}
 	}
@@ -295,20 +295,20 @@
 		t.Errorf("%d uses of the floor in ten periods", uses)
 	}
 	now := lease.Instant(10 * time.Second)
-	m.Told(now, Told{Part: 1, Units: 4}, nil)
-	m.Told(now-lease.Instant(time.Millisecond), Told{Part: 2, Units: 3}, nil) // it crossed
+	m.Told(now, Allocation{Part: 1, Units: 4}, nil)
+	m.Told(now-lease.Instant(time.Millisecond), Allocation{Part: 2, Units: 3}, nil) // it crossed
 	if !m.Spend(now) || m.Left(now) != 6 {
 		t.Error(m.Left(now))
 	}
 	q := m.Ask(3, now)
-	if len(q.Over) != 1 || q.Over[0] != (Spent{1, 1}) || q.Want != 0 || m.Left(now) != 3 {
+	if len(q.Finished) != 1 || q.Finished[0] != (Spent{1, 1}) || q.Demand != 0 || m.Left(now) != 3 {
 		t.Errorf("%+v", q)
 	}
-	if again := m.Ask(3, now); len(again.Over) != 1 {
+	if again := m.Ask(3, now); len(again.Finished) != 1 {
 		t.Error("what was not heard is not told again")
 	}
-	m.Told(now, Told{}, q.Over)
-	if again := m.Ask(3, now); len(again.Over) != 0 {
+	m.Told(now, Allocation{}, q.Finished)
+	if again := m.Ask(3, now); len(again.Finished) != 0 {
 		t.Error("what was heard is told again")
 	}
 	if end := now + lease.Instant(time.Second); m.Left(end-lease.Instant(9*time.Millisecond)) != 0 {
--- a/internal/coordination/share/taker.go
+++ b/internal/coordination/share/taker.go
@@ -55,7 +55,7 @@
 
 // Ask is the question for what it would spend in the next period. What it wants no more of what it has comes back with it, and is not
 // spent from here on.
-func (t *Taker) Ask(want int, now lease.Instant) Ask {
+func (t *Taker) Ask(want int, now lease.Instant) AllocationRequest {
 	t.expire(now)
 	for i := range t.parts { // the oldest ends first
 		p := &t.parts[i]
@@ -68,15 +68,15 @@
 	if len(over) > maxOver {
 		over = over[len(over)-maxOver:]
 	}
-	return Ask{Member: t.name, Weight: t.weight, Want: max(0, want-t.Left(now)), Over: append([]Spent(nil), over...)}
+	return AllocationRequest{Member: t.name, Weight: t.weight, Demand: max(0, want-t.Left(now)), Finished: append([]Spent(nil), over...)}
 }
 
 const maxOver = 64 // what is not told comes back by itself
 
 // Told takes in the answer to a question asked at an instant.
-func (t *Taker) Told(asked lease.Instant, told Told, sent []Spent) {
+func (t *Taker) Told(asked lease.Instant, told Allocation, sent []Spent) {
 	t.over = keep(t.over, sent)
-	t.due = asked.Add(max(told.Again, t.limit.Period/2))
+	t.due = asked.Add(max(told.RetryAfter, t.limit.Period/2))
 	known := slices.ContainsFunc(t.parts, func(p taken) bool { return p.Part == told.Part }) // heard twice it is one part
 	if told.Units > 0 && !known {
 		t.parts = append(t.parts, taken{Spent{told.Part, 0}, told.Units, lease.Until(asked, t.limit.Period)})
@@ -85,7 +85,7 @@
 
 // keep is all but what was told.
 func keep(all, told []Spent) (left []Spent) {
-	known := map[Part]bool{}
+	known := map[PartID]bool{}
 	for _, s := range told {
 		known[s.Part] = true
 	}
--- a/internal/coordination/subscribe/subscribe.go
+++ b/internal/coordination/subscribe/subscribe.go
@@ -128,20 +128,20 @@
 }
 
 // ask makes one call, with the reports that its coordinator lacks.
-func (c *Client) ask(ctx context.Context, server int, w distribute.Watch, within time.Duration) (*distribute.Told, error) {
+func (c *Client) ask(ctx context.Context, server int, w distribute.Watch, within time.Duration) (*distribute.WatchResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	c.mu.Lock()
 	reports, mark := c.outbox.For(server), c.outbox.Mark()
 	c.mu.Unlock()
 	w.Version, w.Reports = distribute.WireVersion, reports
-	client := rpc.Client[distribute.Watch, distribute.Told](c.over, c.o.Addrs[server], distribute.PathWatch, distribute.MaxTold)
+	client := rpc.Client[distribute.Watch, distribute.WatchResponse](c.over, c.o.Addrs[server], distribute.PathWatch, distribute.MaxWatchResponse)
 	res, err := client.CallUnary(ctx, connect.NewRequest(&w))
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
-	c.outbox.Heard(server, mark, res.Msg.Heard)
+	c.outbox.Heard(server, mark, res.Msg.ReportsReceived)
 	c.mu.Unlock()
 	return res.Msg, nil
 }
@@ -170,7 +170,7 @@
 			continue
 		}
 		w := p.watch
-		w.Hold = 0
+		w.MaxWait = 0
 		c.mu.Lock()
 		reports := c.outbox.For(p.server)
 		c.mu.Unlock()
--- a/internal/coordination/subscribe/subscribe_test.go
+++ b/internal/coordination/subscribe/subscribe_test.go
@@ -18,15 +18,15 @@
 	version := distribute.Version{Service: "s", Revision: 7, Digest: distribute.Digest(content), Content: content}
 	asked := make(chan distribute.Watch, 99)
 	mux := http.NewServeMux()
-	rpc.Handle(mux, distribute.PathWatch, distribute.MaxWatch, func(ctx context.Context, w *distribute.Watch) (*distribute.Told, error) {
+	rpc.Handle(mux, distribute.PathWatch, distribute.MaxWatchRequest, func(ctx context.Context, w *distribute.Watch) (*distribute.WatchResponse, error) {
 		asked <- *w
-		if w.Holds < version.Revision {
-			return &distribute.Told{Newer: &version, Heard: true}, nil
+		if w.Known < version.Revision {
+			return &distribute.WatchResponse{Newer: &version, ReportsReceived: true}, nil
 		}
-		if w.Hold > 0 {
+		if w.MaxWait > 0 {
 			<-ctx.Done()
 		}
-		return &distribute.Told{Heard: true}, nil
+		return &distribute.WatchResponse{ReportsReceived: true}, nil
 	})
 	server := httptest.NewServer(mux)
 	defer server.Close()
@@ -42,11 +42,11 @@
 	go func() { defer close(ended); c.Run(ctx) }()
 	var w distribute.Watch
 	for w = range asked {
-		if w.Hold == 0 {
+		if w.MaxWait == 0 {
 			break
 		}
 	}
-	if w.Holds != version.Revision || len(w.Reports) != 1 || w.Reports[0].InForce != version.Revision {
+	if w.Known != version.Revision || len(w.Reports) != 1 || w.Reports[0].InForce != version.Revision {
 		t.Errorf("%+v", w)
 	}
 	cancel()
--- a/internal/rig/coordinator/group.go
+++ b/internal/rig/coordinator/group.go
@@ -173,21 +173,21 @@
 }
 
 // Ask asks whoever leads, as an operator.
-func (g *Group) Ask(in fleet.Ask) (*fleet.Told, error) {
+func (g *Group) Ask(in fleet.Request) (*fleet.Response, error) {
 	ctx, cancel := context.WithTimeout(g.t.Context(), 20*time.Second)
 	defer cancel()
 	return (&fleet.Operator{Addrs: g.Addrs()}).Ask(ctx, in)
 }
 
 // Asker asks whoever leads, at once and again until there is an answer, with no other pause: for measurements.
-func (g *Group) Asker() func(fleet.Ask) *fleet.Told {
+func (g *Group) Asker() func(fleet.Request) *fleet.Response {
 	over := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext, MaxIdleConnsPerHost: 64}}
 	var at atomic.Int64
-	return func(in fleet.Ask) *fleet.Told {
+	return func(in fleet.Request) *fleet.Response {
 		in.Version = fleet.Version
 		for {
 			i := at.Load()
-			res, err := fleet.Client[fleet.Ask, fleet.Told](over, g.Clients[i].Addr, fleet.PathAsk).CallUnary(context.Background(), connect.NewRequest(&in))
+			res, err := fleet.Client[fleet.Request, fleet.Response](over, g.Clients[i].Addr, fleet.PathRequest).CallUnary(context.Background(), connect.NewRequest(&in))
 			if err == nil && res.Msg.Err == "" {
 				return res.Msg
 			}
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -167,10 +167,10 @@
 }
 
 // Kept is what an agent has kept of its sidecars.
-func (a *Agent) Kept() (all []agent.Kept) {
+func (a *Agent) Kept() (all []agent.PersistedState) {
 	files, _ := filepath.Glob(filepath.Join(a.Dir, "data", "sidecar-*.json"))
 	for _, f := range files {
-		var k agent.Kept
+		var k agent.PersistedState
 		text, _ := os.ReadFile(f)
 		if json.Unmarshal(text, &k) == nil {
 			all = append(all, k)
@@ -183,7 +183,7 @@
 func (a *Agent) end() {
 	a.Die()
 	for _, k := range a.Kept() {
-		for _, p := range []*agent.Process{k.Now, k.Next, k.Doomed} {
+		for _, p := range []*agent.Process{k.Serving, k.Next, k.Terminating} {
 			if p != nil && machine.Lives(*p) {
 				syscall.Kill(p.PID, syscall.SIGKILL)
 			}
@@ -201,7 +201,7 @@
 		}
 		a.Ended <- nil // who waits again has it
 		for _, k := range a.Kept() {
-			for _, p := range []*agent.Process{k.Now, k.Next} {
+			for _, p := range []*agent.Process{k.Serving, k.Next} {
 				if p != nil && machine.Lives(*p) {
 					syscall.Kill(p.PID, syscall.SIGTERM)
 					all = append(all, *p)
@@ -269,7 +269,7 @@
 func (d *Deployment) Changes() *rollout.Application {
 	d.t.Helper()
 	name := Application
-	told, err := d.Ask(fleet.Ask{Changes: &name})
+	told, err := d.Ask(fleet.Request{Changes: &name})
 	app := &rollout.Application{}
 	if err == nil {
 		err = json.Unmarshal(told.Changes, app)
@@ -283,7 +283,7 @@
 // Say is an operator's word on the change that goes on.
 func (d *Deployment) Say(e rollout.Event) {
 	d.t.Helper()
-	told, err := d.Ask(fleet.Ask{Rollout: &rollout.Command{Application: Application, Change: d.Changes().Now.Name, Events: []rollout.Event{e}}})
+	told, err := d.Ask(fleet.Request{Rollout: &rollout.Command{Application: Application, Change: d.Changes().Now.Name, Events: []rollout.Event{e}}})
 	if err != nil || told.Rollout.Err != "" {
 		d.t.Fatal(err, told)
 	}
--- a/internal/rig/deployment/played.go
+++ b/internal/rig/deployment/played.go
@@ -38,7 +38,7 @@
 	}
 	p := &Played{Name: name, Addr: ln.Addr().String(), ln: ln, report: rollout.Report{Sidecar: name, Release: release, Ready: true}, began: time.Now()}
 	mux := http.NewServeMux()
-	rpc.Handle(mux, machine.PathLook, 1<<20, p.look)
+	rpc.Handle(mux, machine.PathStatus, 1<<20, p.look)
 	rpc.Handle(mux, machine.PathOrder, 1<<20, p.order)
 	go http.Serve(ln, mux)
 	return p, nil
@@ -47,7 +47,7 @@
 // Close ends it.
 func (p *Played) Close() { p.ln.Close() }
 
-func (p *Played) look(_ context.Context, in *machine.Look) (*machine.Seen, error) {
+func (p *Played) look(_ context.Context, in *machine.StatusRequest) (*machine.Status, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.looks++
@@ -59,10 +59,10 @@
 	c := counts.Class{Name: "look", Served: uint64(time.Since(p.began) / (20 * time.Millisecond))}
 	c.Took[10] = c.Served
 	text, err := json.Marshal([]counts.Class{c})
-	return &machine.Seen{Sidecars: []machine.SidecarSeen{{Report: p.report, Process: agent.Process{PID: 1, Began: p.starts, Release: p.report.Release}, Counts: text}}}, err
+	return &machine.Status{Sidecars: []machine.SidecarStatus{{Report: p.report, Process: agent.Process{PID: 1, Began: p.starts, Release: p.report.Release}, Counts: text}}}, err
 }
 
-func (p *Played) order(_ context.Context, in *machine.Order) (*machine.Taken, error) {
+func (p *Played) order(_ context.Context, in *machine.Order) (*machine.OrderResponse, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known, err := p.fence.Admit(in.Token, in.Order)
@@ -74,7 +74,7 @@
 		p.report.Done = in.Order.Number
 		p.start(in.Order.Release)
 	}
-	return &machine.Taken{Known: known}, nil
+	return &machine.OrderResponse{Known: known}, nil
 }
 
 func (p *Played) start(release string) {
--- a/internal/rig/group/client.go
+++ b/internal/rig/group/client.go
@@ -179,7 +179,7 @@
 	switch {
 	case cmd.Kind == lease.Open && a.Answer.Status == lease.OK:
 		c.holder = lease.Opened(c.asked, a.Answer.Session, simTTL)
-	case a.Answer.Status == lease.Gone:
+	case a.Answer.Status == lease.NoSession:
 		holder.Lost()
 	case cmd.Kind == lease.Acquire && a.Answer.Status == lease.Waiting:
 		return // it goes on asking; the grant comes with a renewal
--- a/internal/rig/group/shares.go
+++ b/internal/rig/group/shares.go
@@ -23,10 +23,10 @@
 			asked := c.clock()
 			q := c.taker.Ask(ShareLimit.Units, asked)
 			c.to(func(r *simReplica, reply func(func())) {
-				r.core.Ask(replica.Question{Share: &replica.Share{Limit: ShareLimit.Name, Ask: q}, Done: func(a replica.Reply) {
+				r.core.Ask(replica.Question{Share: &replica.ShareRequest{Limit: ShareLimit.Name, Request: q}, Done: func(a replica.Reply) {
 					reply(func() {
 						if a.Err == nil && a.Refused == nil {
-							c.taker.Told(asked, a.Share, q.Over)
+							c.taker.Told(asked, a.Share, q.Finished)
 						}
 						s.judgeShares()
 					})
--- a/internal/rig/scale/agents.go
+++ b/internal/rig/scale/agents.go
@@ -54,7 +54,7 @@
 func joinAgents(j *join) (_ *agents, err error) {
 	a := &agents{application: j.Application, at: map[string]*hollowAgent{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	rpc.Handle(mux, machine.PathLook, maxAgentCall, a.look)
+	rpc.Handle(mux, machine.PathStatus, maxAgentCall, a.look)
 	rpc.Handle(mux, machine.PathOrder, maxAgentCall, a.order)
 	a.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
 		IdleTimeout: time.Minute}
@@ -103,7 +103,7 @@
 	return h, nil
 }
 
-func (a *agents) look(ctx context.Context, in *machine.Look) (*machine.Seen, error) {
+func (a *agents) look(ctx context.Context, in *machine.StatusRequest) (*machine.Status, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h, err := a.hears(ctx, in.Version, in.Application)
@@ -118,9 +118,9 @@
 	h.looks++
 	a.wake()
 	text, err := json.Marshal(h.counts())
-	return &machine.Seen{Sidecars: []machine.SidecarSeen{{
+	return &machine.Status{Sidecars: []machine.SidecarStatus{{
 		Report: h.report, Zone: h.Zone, Phase: agent.Idle.String(), Confirmed: h.report.Release,
-		Process: agent.Process{PID: 100_000, Began: 1_000_000 + h.starts, Release: h.report.Release, Door: h.addr},
+		Process: agent.Process{PID: 100_000, Began: 1_000_000 + h.starts, Release: h.report.Release, AdminAddress: h.addr},
 		Counts:  text, CPU: uint64(time.Since(h.began) / (100 * time.Millisecond)), Memory: 24 << 20,
 	}}}, err
 }
@@ -142,7 +142,7 @@
 // classes are the names of a sidecar's.
 var classes = []string{"look", "book", "void"}
 
-func (a *agents) order(ctx context.Context, in *machine.Order) (*machine.Taken, error) {
+func (a *agents) order(ctx context.Context, in *machine.Order) (*machine.OrderResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h, err := a.hears(ctx, in.Version, in.Application)
@@ -163,7 +163,7 @@
 		h.began, h.since = time.Now(), int64(monotonic.Now())
 		a.wake()
 	}
-	return &machine.Taken{Known: known}, nil
+	return &machine.OrderResponse{Known: known}, nil
 }
 
 // wake tells who waits. The caller holds mu.
--- a/internal/rig/scale/agents_test.go
+++ b/internal/rig/scale/agents_test.go
@@ -23,8 +23,8 @@
 	defer a.close()
 	over := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext}}
 	defer over.CloseIdleConnections()
-	look := func(i int, in machine.Look) (*machine.Seen, error) {
-		res, err := rpc.Client[machine.Look, machine.Seen](over, a.agents()[i], machine.PathLook, machine.MaxAnswer).CallUnary(t.Context(), connect.NewRequest(&in))
+	look := func(i int, in machine.StatusRequest) (*machine.Status, error) {
+		res, err := rpc.Client[machine.StatusRequest, machine.Status](over, a.agents()[i], machine.PathStatus, machine.MaxAnswer).CallUnary(t.Context(), connect.NewRequest(&in))
 		if err != nil {
 			return nil, err
 		}
@@ -32,7 +32,7 @@
 	}
 	order := func(i int, o rollout.Order) (known bool, err error) {
 		in := machine.Order{Version: machine.Version, Application: "app", Token: 4, Order: o}
-		res, err := rpc.Client[machine.Order, machine.Taken](over, a.agents()[i], machine.PathOrder, machine.MaxAnswer).CallUnary(t.Context(), connect.NewRequest(&in))
+		res, err := rpc.Client[machine.Order, machine.OrderResponse](over, a.agents()[i], machine.PathOrder, machine.MaxAnswer).CallUnary(t.Context(), connect.NewRequest(&in))
 		if err != nil {
 			return false, err
 		}
@@ -47,7 +47,7 @@
 			t.Errorf("%+v: %v, want %d of 3", w, err, done)
 		}
 	}
-	good := machine.Look{Version: machine.Version, Application: "app", Token: 4}
+	good := machine.StatusRequest{Version: machine.Version, Application: "app", Token: 4}
 	holds(await{Calls: 1}, 0)
 	for i := range 3 {
 		seen, err := look(i, good)
@@ -56,7 +56,7 @@
 		}
 		holds(await{Calls: 1}, i+1)
 	}
-	for want, in := range map[connect.Code]machine.Look{
+	for want, in := range map[connect.Code]machine.StatusRequest{
 		connect.CodeAborted:            {Version: machine.Version, Application: "app", Token: 3},
 		connect.CodeFailedPrecondition: {Version: machine.Version, Application: "other"},
 	} {
--- a/internal/rig/scale/machines.go
+++ b/internal/rig/scale/machines.go
@@ -200,7 +200,7 @@
 }
 
 // kept is what an agent has kept of its sidecar.
-func (one *oneMachine) kept() (k agent.Kept, err error) {
+func (one *oneMachine) kept() (k agent.PersistedState, err error) {
 	text, err := os.ReadFile(filepath.Join(one.data, "sidecar-"+one.name+".json"))
 	if err == nil {
 		err = json.Unmarshal(text, &k)
@@ -294,7 +294,7 @@
 func (m *machines) usages() (agents, sidecars []usage.Usage, err error) {
 	for _, one := range m.all {
 		k, err := one.kept()
-		if err == nil && k.Now == nil {
+		if err == nil && k.Serving == nil {
 			err = fmt.Errorf("%s: no sidecar serves", one.name)
 		}
 		if err != nil {
@@ -304,7 +304,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		s, err := usage.Of(k.Now.PID)
+		s, err := usage.Of(k.Serving.PID)
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/rig/scale/workloads.go
+++ b/internal/rig/scale/workloads.go
@@ -174,7 +174,7 @@
 	ctx, cancel := context.WithTimeout(ctx, sayWithin)
 	defer cancel()
 	c.At = time.Now().UnixMilli()
-	told, err := r.group.operator.Ask(ctx, fleet.Ask{Rollout: c})
+	told, err := r.group.operator.Ask(ctx, fleet.Request{Rollout: c})
 	if err == nil && told.Rollout.Err != "" {
 		err = refused{errors.New(told.Rollout.Err)}
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -128,9 +128,9 @@
 				return h, nil
 			}
 			continue
-		case a.Status == lease.Gone:
+		case a.Status == lease.NoSession:
 			continue
-		case a.Status == lease.Taken:
+		case a.Status == lease.HeldByOther:
 			return nil, fmt.Errorf("%s: %w: %s", name, ErrTaken, a.Holder)
 		case a.Status != lease.Waiting:
 			return nil, fmt.Errorf("%s: %v", name, a.Status)
--- a/lease/line.go
+++ b/lease/line.go
@@ -58,7 +58,7 @@
 	holder := c.holder
 	if holder == nil {
 		c.mu.Unlock()
-		return lease.Answer{Status: lease.Gone}, nil, errNoSession
+		return lease.Answer{Status: lease.NoSession}, nil, errNoSession
 	}
 	c.seq++
 	cmd.Session, cmd.Seq = holder.Session, c.seq
@@ -71,7 +71,7 @@
 	c.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
-	told, err := c.caller.Ask(ctx, &fleet.Ask{Command: &cmd}, func() {
+	told, err := c.caller.Ask(ctx, &fleet.Request{Command: &cmd}, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.holder != holder || holder.Alive() <= c.o.clock() {
@@ -80,7 +80,7 @@
 	})
 	if errors.Is(err, ErrLost) {
 		c.lost(holder)
-		return lease.Answer{Status: lease.Gone}, holder, nil
+		return lease.Answer{Status: lease.NoSession}, holder, nil
 	}
 	if c.ctx.Err() != nil && err != nil {
 		err = ErrClosed
@@ -88,7 +88,7 @@
 	if err != nil {
 		return lease.Answer{}, holder, err
 	}
-	if told.Answer.Status == lease.Gone {
+	if told.Answer.Status == lease.NoSession {
 		c.lost(holder)
 	}
 	return told.Answer, holder, nil
--- a/lease/session.go
+++ b/lease/session.go
@@ -36,7 +36,7 @@
 	cmd := lease.Command{Kind: lease.Open, TTL: c.o.TTL, Owner: c.o.Owner, Nonce: rand.Text()}
 	for {
 		asked := c.o.clock()
-		told, err := c.caller.Ask(ctx, &fleet.Ask{Command: &cmd}, nil)
+		told, err := c.caller.Ask(ctx, &fleet.Request{Command: &cmd}, nil)
 		if err != nil {
 			return err
 		}
@@ -109,7 +109,7 @@
 	c.mu.Lock()
 	known := holder.Known()
 	c.mu.Unlock()
-	told, err := c.caller.Ask(ctx, &fleet.Ask{Alive: &replica.Alive{Session: holder.Session, Known: known}}, func() { asked = c.o.clock() })
+	told, err := c.caller.Ask(ctx, &fleet.Request{Alive: &replica.Alive{Session: holder.Session, Known: known}}, func() { asked = c.o.clock() })
 	if err != nil {
 		return
 	}
