--- a/internal/sidecar/admit/admit_test.go
+++ b/internal/sidecar/admission/controller_test.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"fmt"
@@ -16,12 +16,12 @@
 // rig is a limiter with its own clock.
 type rig struct {
 	t   *testing.T
-	d   *Door
+	d   *Controller
 	now time.Time
 }
 
 func newRig(t *testing.T, places int) *rig {
-	return &rig{t, New(Config{Places: places, Horizon: 750 * time.Millisecond}, began), began}
+	return &rig{t, New(Config{MaxConnections: places, Horizon: 750 * time.Millisecond}, began), began}
 }
 
 func (r *rig) wait(d time.Duration) { r.now = r.now.Add(d) }
@@ -29,22 +29,22 @@
 func (r *rig) come() *Conn {
 	r.t.Helper()
 	c := &Conn{}
-	if _, taken := r.d.Come(c, r.now, always); !taken {
-		r.t.Fatalf("turned away: %+v", r.d.Figures())
+	if _, taken := r.d.Admit(c, r.now, always); !taken {
+		r.t.Fatalf("turned away: %+v", r.d.Stats())
 	}
 	return c
 }
 
 // serve has a connection ask once and get its answer after a time; it reports whether that ended the connection.
 func (r *rig) serve(c *Conn, after time.Duration) bool {
-	r.d.Asks(c, r.now)
+	r.d.RequestStarted(c, r.now)
 	r.wait(after)
-	if r.d.Answers(c, r.now) {
-		r.d.Leaves(c, r.now)
-		r.d.Gone(c, r.now)
+	if r.d.ResponseStarted(c, r.now) {
+		r.d.Closing(c, r.now)
+		r.d.Closed(c, r.now)
 		return true
 	}
-	r.d.Answered(c, r.now)
+	r.d.ResponseDone(c, r.now)
 	return false
 }
 
@@ -65,10 +65,10 @@
 			continue
 		}
 		o.asked++
-		if c == nil || c.state == out {
+		if c == nil || c.state == notOpen {
 			o.anew++
 			c = &Conn{}
-			if _, taken := o.r.d.Come(c, o.r.now, always); !taken {
+			if _, taken := o.r.d.Admit(c, o.r.now, always); !taken {
 				o.turnedAway++
 				continue
 			}
@@ -92,13 +92,13 @@
 			for range 1500 {
 				o.step()
 				if c := (&Conn{}); true {
-					if _, taken := r.d.Come(c, r.now, always); taken && asks {
+					if _, taken := r.d.Admit(c, r.now, always); taken && asks {
 						r.serve(c, 0)
 					}
 				}
 			}
 			if o.asked < 500 || o.anew > o.asked/20 || o.turnedAway > 0 {
-				t.Errorf("of %d requests %d came on new connections, %d of these were turned away; %+v", o.asked, o.anew, o.turnedAway, r.d.Figures())
+				t.Errorf("of %d requests %d came on new connections, %d of these were turned away; %+v", o.asked, o.anew, o.turnedAway, r.d.Stats())
 			}
 		})
 	}
@@ -122,19 +122,19 @@
 		t.Errorf("%d of 200 connections that ask once were ended", ended)
 	}
 	r.wait(60 * time.Second)
-	for _, c := range r.d.Idlers(r.now, time.Second) {
-		r.d.Gone(c, r.now)
+	for _, c := range r.d.IdleSince(r.now, time.Second) {
+		r.d.Closed(c, r.now)
 	}
 	kept := 0
 	for range 20 {
 		c := r.come()
 		for range 5 {
-			if c.state == out || r.serve(c, 20*time.Millisecond) {
+			if c.state == notOpen || r.serve(c, 20*time.Millisecond) {
 				break
 			}
 			r.wait(80 * time.Millisecond)
 		}
-		if c.state == silent {
+		if c.state == idle {
 			kept++
 		}
 	}
@@ -158,14 +158,14 @@
 func TestWhoNeverMakesRoom(t *testing.T) {
 	r := newRig(t, 2)
 	busyOne, heard := r.come(), r.come()
-	r.d.Asks(busyOne, r.now)
+	r.d.RequestStarted(busyOne, r.now)
 	r.wait(time.Hour)
-	victim, taken := r.d.Come(&Conn{}, r.now, func(c *Conn) bool { return c != heard })
+	victim, taken := r.d.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != heard })
 	if victim != nil || taken {
 		t.Errorf("victim %v, taken %v", victim, taken)
 	}
-	r.d.Leaves(busyOne, r.now) // its last bytes are on their way: it is of no more use
-	if victim, taken = r.d.Come(&Conn{}, r.now, func(c *Conn) bool { return c != heard }); victim != busyOne || !taken {
+	r.d.Closing(busyOne, r.now) // its last bytes are on their way: it is of no more use
+	if victim, taken = r.d.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != heard }); victim != busyOne || !taken {
 		t.Errorf("victim %v, taken %v", victim, taken)
 	}
 }
@@ -174,18 +174,18 @@
 func TestTheFirstCall(t *testing.T) {
 	r := newRig(t, 1)
 	first := r.come()
-	r.wait(FirstCall - 1)
-	if _, taken := r.d.Come(&Conn{}, r.now, always); taken {
+	r.wait(FirstRequestGrace - 1)
+	if _, taken := r.d.Admit(&Conn{}, r.now, always); taken {
 		t.Error("it was not waited for")
 	}
 	r.wait(1)
 	second := &Conn{}
-	if victim, taken := r.d.Come(second, r.now, always); victim != first || !taken {
+	if victim, taken := r.d.Admit(second, r.now, always); victim != first || !taken {
 		t.Errorf("victim %v, taken %v", victim, taken)
 	}
-	r.d.Asks(second, r.now) // for what has no answer of worth, such as its health
-	r.d.Answered(second, r.now)
-	if victim, taken := r.d.Come(&Conn{}, r.now, always); victim != second || !taken {
+	r.d.RequestStarted(second, r.now) // for what has no answer of worth, such as its health
+	r.d.ResponseDone(second, r.now)
+	if victim, taken := r.d.Admit(&Conn{}, r.now, always); victim != second || !taken {
 		t.Errorf("who has asked: victim %v, taken %v", victim, taken)
 	}
 }
@@ -197,7 +197,7 @@
 	r.wait(time.Second)
 	r.come()
 	r.wait(time.Second)
-	if victim, _ := r.d.Come(&Conn{}, r.now, always); victim != first {
+	if victim, _ := r.d.Admit(&Conn{}, r.now, always); victim != first {
 		t.Error("not the first")
 	}
 }
@@ -210,15 +210,15 @@
 		rnd := rand.New(rand.NewPCG(1, 2))
 		for range 200000 {
 			silent := time.Duration(rnd.ExpFloat64() * float64(mean))
-			r.saw(regular, 0, silent)
-			r.answered(regular, silent)
+			r.observe(regular, 0, silent)
+			r.ended(regular, silent)
 		}
 		for _, at := range []time.Duration{0, mean / 3, mean} {
-			if got := r.expect(regular, at) * mean.Seconds(); got < 0.85 || got > 1.15 {
+			if got := r.expected(regular, at) * mean.Seconds(); got < 0.85 || got > 1.15 {
 				t.Errorf("after %v: %.2f of the rate", at, got)
 			}
 		}
-		if got := r.soon(regular, 0, mean); got < 0.6 || got > 0.66 { // 1 - 1/e
+		if got := r.probability(regular, 0, mean); got < 0.6 || got > 0.66 { // 1 - 1/e
 			t.Errorf("mean %v: %.2f within it", mean, got)
 		}
 	}
@@ -232,17 +232,17 @@
 		at := time.Duration(0)
 		for _, c := range cuts {
 			if d := time.Duration(c); d > at {
-				pieces.saw(once, at, d)
+				pieces.observe(once, at, d)
 				at = d
 			}
 		}
-		whole.saw(once, 0, at)
+		whole.observe(once, 0, at)
 		sum := 0.0
-		for c := range cells {
-			if d := whole.stood[once][c] - pieces.stood[once][c]; d > 1e-6 || d < -1e-6 {
-				t.Errorf("cell %d: %v and %v", c, whole.stood[once][c], pieces.stood[once][c])
+		for c := range buckets {
+			if d := whole.idleSeconds[once][c] - pieces.idleSeconds[once][c]; d > 1e-6 || d < -1e-6 {
+				t.Errorf("cell %d: %v and %v", c, whole.idleSeconds[once][c], pieces.idleSeconds[once][c])
 			}
-			sum += pieces.stood[once][c]
+			sum += pieces.idleSeconds[once][c]
 		}
 		if d := sum - at.Seconds(); d > 1e-6 || d < -1e-6 {
 			t.Errorf("%v s of %v", sum, at)
@@ -254,7 +254,7 @@
 func TestPlacesAgainstASet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		places := rapid.IntRange(1, 6).Draw(t, "places")
-		d := New(Config{Places: places, Horizon: time.Second}, began)
+		d := New(Config{MaxConnections: places, Horizon: time.Second}, began)
 		now := began
 		state := map[*Conn]string{} // of those that have a place
 		var all []*Conn
@@ -275,7 +275,7 @@
 				for _, c := range all {
 					loud[c] = rapid.Bool().Draw(t, "loud")
 				}
-				victim, taken := d.Come(c, now, func(c *Conn) bool { return !loud[c] })
+				victim, taken := d.Admit(c, now, func(c *Conn) bool { return !loud[c] })
 				if victim != nil && (state[victim] == "" || state[victim] == "busy" || state[victim] == "silent" && loud[victim]) {
 					t.Fatalf("a victim that is %q, loud %v", state[victim], loud[victim])
 				}
@@ -289,23 +289,23 @@
 				all = append(all, c)
 			},
 			"ask": on(func(c *Conn) {
-				if d.Asks(c, now); state[c] == "silent" {
+				if d.RequestStarted(c, now); state[c] == "silent" {
 					state[c] = "busy"
 				}
 			}),
 			"answer": on(func(c *Conn) {
-				d.Answers(c, now)
-				if d.Answered(c, now); state[c] == "busy" {
+				d.ResponseStarted(c, now)
+				if d.ResponseDone(c, now); state[c] == "busy" {
 					state[c] = "silent"
 				}
 			}),
 			"leave": on(func(c *Conn) {
-				if d.Leaves(c, now); state[c] != "" {
+				if d.Closing(c, now); state[c] != "" {
 					state[c] = "leaving"
 				}
 			}),
 			"gone": on(func(c *Conn) {
-				d.Gone(c, now)
+				d.Closed(c, now)
 				delete(state, c)
 			}),
 			"": func(t *rapid.T) {
@@ -313,12 +313,12 @@
 				for _, s := range state {
 					counts[s]++
 				}
-				f, silent := d.Figures(), 0
-				for _, n := range f.Silent {
+				f, silent := d.Stats(), 0
+				for _, n := range f.Idle {
 					silent += n
 				}
-				if d.held != len(state) || f.Busy != counts["busy"] || f.Leaving != counts["leaving"] || silent != counts["silent"] {
-					t.Fatalf("%d held, %+v; it should be %v", d.held, f, counts)
+				if d.open != len(state) || f.Busy != counts["busy"] || f.Closing != counts["leaving"] || silent != counts["silent"] {
+					t.Fatalf("%d held, %+v; it should be %v", d.open, f, counts)
 				}
 			},
 		})
@@ -327,22 +327,22 @@
 
 // BenchmarkCome is what a connection costs at a limiter at which all places are taken, and one whose silences are followed.
 //
-//	go test ./internal/sidecar/admit -run - -bench Come
+//	go test ./internal/sidecar/admission -run - -bench Come
 func BenchmarkCome(b *testing.B) {
 	for _, places := range []int{224, 16384} {
 		b.Run(fmt.Sprint(places, "-places"), func(b *testing.B) {
-			d, now := New(Config{Places: places, Horizon: time.Second}, began), began
+			d, now := New(Config{MaxConnections: places, Horizon: time.Second}, began), began
 			for range places {
-				d.Come(&Conn{}, now, always)
+				d.Admit(&Conn{}, now, always)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(100 * time.Microsecond)
 				c := &Conn{}
-				d.Come(c, now, always)
-				d.Asks(c, now)
-				d.Answers(c, now)
-				d.Answered(c, now)
+				d.Admit(c, now, always)
+				d.RequestStarted(c, now)
+				d.ResponseStarted(c, now)
+				d.ResponseDone(c, now)
 			}
 		})
 	}
--- a/internal/sidecar/connlimit/close_test.go
+++ b/internal/sidecar/connlimit/close_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"petrelhook/internal/common/peertest"
-	"petrelhook/internal/sidecar/admit"
+	"petrelhook/internal/sidecar/admission"
 	"petrelhook/internal/sidecar/membudget"
 )
 
@@ -26,16 +26,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, written = New(inner, admit.Config{Places: 1, Horizon: time.Second}, time.Second), make(chan struct{}, 9)
+	d, written = New(inner, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second), make(chan struct{}, 9)
 	server := &http.Server{ConnState: func(nc net.Conn, s http.ConnState) {
 		if s == http.StateNew { // all of an answer fits into this side's buffer
 			nc.(*client).Conn.(*net.TCPConn).SetWriteBuffer(2 * much)
 		}
-		if d.State(nc, s); s == http.StateIdle || s == http.StateClosed {
+		if d.ConnState(nc, s); s == http.StateIdle || s == http.StateClosed {
 			written <- struct{}{}
 		}
-	}, ConnContext: d.Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		d.Answers(req.Context())
+	}, ConnContext: d.ConnContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		d.ResponseStarted(req.Context())
 		if last {
 			w.Header().Set("Connection", "close")
 		}
@@ -70,16 +70,16 @@
 	for _, first := range []string{"the close", "the request"} {
 		d, c, in, written := slowReader(t, false)
 		peertest.Wait(t, written)
-		if d.place(c) != nil {
+		if d.admit(c) != nil {
 			t.Error("it made room")
 		}
 		if first == "the close" {
-			d.CloseIdlers(0)
+			d.CloseIdle(0)
 		}
 		io.WriteString(c, get("2"))
 		if first == "the request" { // which has been answered, behind what is on its way
 			peertest.Wait(t, written)
-			d.CloseIdlers(0)
+			d.CloseIdle(0)
 		}
 		whole(t, in)
 		if first == "the request" {
@@ -113,20 +113,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(inner, admit.Config{Places: 1, Horizon: time.Second}, time.Second)
-	d.Memory = membudget.New(0)
+	d := New(inner, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second)
+	d.ReadAheadBudget = membudget.New(0)
 	between, taken := make(chan bool, 9), make(chan struct{}, 9)
-	server := &http.Server{ConnContext: d.Context, ConnState: func(nc net.Conn, s http.ConnState) {
-		if d.State(nc, s); s == http.StateIdle {
-			between <- d.place(nc.(*client).Conn) != nil
+	server := &http.Server{ConnContext: d.ConnContext, ConnState: func(nc net.Conn, s http.ConnState) {
+		if d.ConnState(nc, s); s == http.StateIdle {
+			between <- d.admit(nc.(*client).Conn) != nil
 		}
 	}, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		defer d.Follow(req.Context())()
+		defer d.WatchClient(req.Context())()
 		taken <- struct{}{}
-		for req.URL.Path == "/1" && d.Memory.Held() <= 4<<10 { // until the next is read, beside the piece that is asked for
+		for req.URL.Path == "/1" && d.ReadAheadBudget.Held() <= 4<<10 { // until the next is read, beside the piece that is asked for
 			runtime.Gosched()
 		}
-		d.Answers(req.Context())
+		d.ResponseStarted(req.Context())
 	})}
 	go server.Serve(d)
 	t.Cleanup(func() { server.Close() })
--- a/internal/sidecar/connlimit/limiter_test.go
+++ b/internal/sidecar/connlimit/limiter_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"petrelhook/internal/common/peertest"
-	"petrelhook/internal/sidecar/admit"
+	"petrelhook/internal/sidecar/admission"
 )
 
 func get(path string) string { return "GET /" + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
@@ -21,9 +21,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, release = New(inner, admit.Config{Places: most, Horizon: time.Second}, time.Second), make(chan struct{})
-	server := &http.Server{ConnState: ln.State, ConnContext: ln.Context, Handler: http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
-		defer ln.Answers(req.Context())
+	ln, release = New(inner, admission.Config{MaxConnections: most, Horizon: time.Second}, time.Second), make(chan struct{})
+	server := &http.Server{ConnState: ln.ConnState, ConnContext: ln.ConnContext, Handler: http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
+		defer ln.ResponseStarted(req.Context())
 		if req.URL.Path == "/slow" {
 			select {
 			case <-release:
@@ -37,7 +37,7 @@
 }
 
 func (b *Limiter) idling() (n int) {
-	for _, k := range b.Figures().Silent {
+	for _, k := range b.Stats().Idle {
 		n += k
 	}
 	return n
@@ -49,20 +49,20 @@
 	defer close(release)
 	first, _ := peertest.Open(t, addr)
 	io.WriteString(first, "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
-	peertest.Eventually(t, "it is served", func() bool { return ln.Figures().Busy == 1 })
-	for range 3 * TurnedAway { // whatever those do that were turned away, the next is dealt with
+	peertest.Eventually(t, "it is served", func() bool { return ln.Stats().Busy == 1 })
+	for range 3 * MaxRejecting { // whatever those do that were turned away, the next is dealt with
 		if c, err := net.Dial("tcp", addr); err == nil {
 			defer c.Close()
 		}
 	}
-	peertest.Eventually(t, "some are dealt with", func() bool { return len(ln.away) < TurnedAway })
+	peertest.Eventually(t, "some are dealt with", func() bool { return len(ln.rejecting) < MaxRejecting })
 	second, in := peertest.Open(t, addr)
 	io.WriteString(second, get("2"))
 	if resp, err := http.ReadResponse(in, nil); err == nil && (resp.StatusCode != 503 || !resp.Close) {
 		t.Errorf("%+v", resp)
 	}
 	first.Close()
-	peertest.Eventually(t, "the place is free", func() bool { f := ln.Figures(); return f.Busy+f.Leaving+f.Silent[0]+f.Silent[1] == 0 })
+	peertest.Eventually(t, "the place is free", func() bool { f := ln.Stats(); return f.Busy+f.Closing+f.Idle[0]+f.Idle[1] == 0 })
 	if resp, _ := peertest.Ask(t, addr, get("3")); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
@@ -73,7 +73,7 @@
 	addr, ln, release := boundedRig(t, 3)
 	busy, busyIn := peertest.Open(t, addr)
 	io.WriteString(busy, "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
-	peertest.Eventually(t, "it is served", func() bool { return ln.Figures().Busy == 1 })
+	peertest.Eventually(t, "it is served", func() bool { return ln.Stats().Busy == 1 })
 	stays, staysIn := peertest.Open(t, addr)
 	io.WriteString(stays, get("1"))
 	peertest.Answer(t, staysIn)
@@ -88,7 +88,7 @@
 		}
 		peertest.Eventually(t, "it is idle too", func() bool { return ln.idling() == 2 }) // its answer is read before that is told
 	}
-	if f := ln.Figures(); f.MadeRoom[0]+f.MadeRoom[1] != 2 || f.TurnedAway != 0 {
+	if f := ln.Stats(); f.Evicted[0]+f.Evicted[1] != 2 || f.Rejected != 0 {
 		t.Errorf("%+v", f)
 	}
 	close(release)
@@ -127,15 +127,15 @@
 // and sends it again.
 func TestARequestThatCrossesWithOurClose(t *testing.T) {
 	for name, closes := range map[string]func(b *Limiter){
-		"clients are sent away": func(b *Limiter) { b.CloseIdlers(0) },
-		"room is made":          func(b *Limiter) { b.place(&crossing{}) },
+		"clients are sent away": func(b *Limiter) { b.CloseIdle(0) },
+		"room is made":          func(b *Limiter) { b.admit(&crossing{}) },
 	} {
-		b := New(nil, admit.Config{Places: 1, Horizon: time.Second}, time.Second)
+		b := New(nil, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second)
 		conn := &crossing{arrives: make(chan struct{}), read: make(chan struct{}, 1), closed: make(chan struct{})}
-		c := b.place(conn)
+		c := b.admit(conn)
 		b.mu.Lock() // it has asked before
-		b.admit.Asks(&c.place, time.Now())
-		b.admit.Answered(&c.place, time.Now())
+		b.admission.RequestStarted(&c.record, time.Now())
+		b.admission.ResponseDone(&c.record, time.Now())
 		b.mu.Unlock()
 		type result struct {
 			n   int
@@ -162,19 +162,19 @@
 // that has sent half a head is, and what comes of it later is not read.
 func TestWhoMakesRoom(t *testing.T) {
 	for text, stays := range map[string]bool{get("whole"): true, "GET /half HTTP/1.1\r\nHost": false} {
-		b := New(nil, admit.Config{Places: 1, Horizon: time.Second}, time.Second)
+		b := New(nil, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second)
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		c := b.place(quiet{ours})
+		c := b.admit(quiet{ours})
 		b.mu.Lock()
-		b.admit.Asks(&c.place, time.Now())
-		b.admit.Answered(&c.place, time.Now())
+		b.admission.RequestStarted(&c.record, time.Now())
+		b.admission.ResponseDone(&c.record, time.Now())
 		b.mu.Unlock()
 		go io.WriteString(theirs, text)
 		if n, err := c.Read(make([]byte, 4096)); n != len(text) || err != nil {
 			t.Fatal(n, err)
 		}
-		if placed := b.place(quiet{nil}) != nil; placed == stays {
+		if placed := b.admit(quiet{nil}) != nil; placed == stays {
 			t.Errorf("%q: another has its place: %v", text, placed)
 		}
 	}
--- a/internal/sidecar/front/platform/long_test.go
+++ b/internal/sidecar/front/platform/long_test.go
@@ -17,7 +17,7 @@
 
 	"petrelhook/internal/common/peertest"
 	"petrelhook/internal/rig/memnet"
-	"petrelhook/internal/sidecar/admit"
+	"petrelhook/internal/sidecar/admission"
 	"petrelhook/internal/sidecar/front"
 	"petrelhook/internal/sidecar/lifecycle"
 	"petrelhook/internal/sidecar/membudget"
@@ -387,7 +387,7 @@
 			}
 			return a, nil
 		}}
-		server := New(Settings{Room: membudget.New(0), Door: admit.Config{Places: 9, Horizon: time.Second}, Classes: []front.Class{
+		server := New(Settings{Room: membudget.New(0), Door: admission.Config{MaxConnections: 9, Horizon: time.Second}, Classes: []front.Class{
 			{Name: "look", Effect: front.Safe, Deadline: time.Second}, {Name: "book"}, {Name: "once", Effect: front.Unsafe, Deadline: time.Second},
 		}}, core, life, slog.New(slog.DiscardHandler))
 		ended := make(chan error, 1)
--- a/internal/sidecar/front/platform/platform.go
+++ b/internal/sidecar/front/platform/platform.go
@@ -20,7 +20,7 @@
 	"sync/atomic"
 	"time"
 
-	"petrelhook/internal/sidecar/admit"
+	"petrelhook/internal/sidecar/admission"
 	"petrelhook/internal/sidecar/connlimit"
 	"petrelhook/internal/sidecar/front"
 	"petrelhook/internal/sidecar/lifecycle"
@@ -53,7 +53,7 @@
 type Settings struct {
 	Classes []front.Class
 	Tenants []string
-	Door    admit.Config
+	Door    admission.Config
 	Room    *membudget.Budget // the account of bodies; they share it with answers
 }
 
@@ -74,7 +74,7 @@
 func New(c Settings, core front.Core, life *lifecycle.Machine, log *slog.Logger) *Server {
 	s := &Server{core: core, life: life, settings: c, classes: map[string]int{}, after: time.After}
 	s.clients = connlimit.New(nil, c.Door, bodyTime)
-	s.clients.Memory = c.Room
+	s.clients.ReadAheadBudget = c.Room
 	for i, class := range c.Classes {
 		s.classes[class.Name] = i
 		s.longest = max(s.longest, class.Deadline)
@@ -91,7 +91,7 @@
 func (s *Server) Serve(ln net.Listener) error {
 	failed := make(chan error, 1)
 	s.clients.Listener = ln
-	s.http.ConnState, s.http.ConnContext = s.clients.State, s.clients.Context
+	s.http.ConnState, s.http.ConnContext = s.clients.ConnState, s.clients.ConnContext
 	go func() { failed <- s.http.Serve(s.clients) }()
 	var late <-chan time.Time
 	silent := silentEnough
@@ -107,7 +107,7 @@
 			if late == nil {
 				late = s.after(hurry)
 			}
-			s.clients.CloseIdlers(silent)
+			s.clients.CloseIdle(silent)
 			if s.clients.Open() == 0 {
 				s.life.Tell(lifecycle.Emptied)
 			}
@@ -135,7 +135,7 @@
 	look := time.NewTicker(lookAgain)
 	defer look.Stop()
 	for accepting := true; ; {
-		s.clients.CloseIdlers(silentAtEnd)
+		s.clients.CloseIdle(silentAtEnd)
 		if now, _ := s.life.Now(); accepting && !now.Accepts() {
 			accepting = false
 			s.clients.Listener.Close()
@@ -163,7 +163,7 @@
 func (s *Server) Open() int { return s.clients.Open() }
 
 // SetPlaces bounds the connections of clients anew.
-func (s *Server) SetPlaces(n int) { s.clients.SetPlaces(n) }
+func (s *Server) SetPlaces(n int) { s.clients.SetMaxConnections(n) }
 
 // ServeHTTP answers one request of the application.
 func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
@@ -191,8 +191,8 @@
 	}
 	answered := func() {}
 	if in.Message.Rest == nil { // else what it sends is still read by others
-		in.Gone = func() bool { return s.clients.Gone(ctx) }
-		answered = s.clients.Follow(ctx)
+		in.Gone = func() bool { return s.clients.ClientGone(ctx) }
+		answered = s.clients.WatchClient(ctx)
 	}
 	if in.Message.Rest != nil {
 		var cancel context.CancelCauseFunc
@@ -220,13 +220,13 @@
 	}
 	switch {
 	case err == nil:
-		if !s.leaves(w) && s.clients.Answers(req.Context()) {
+		if !s.leaves(w) && s.clients.ResponseStarted(req.Context()) {
 			w.Header().Set("Connection", "close")
 		}
 		bare := a.Reply.Rest != nil && a.Reply.Size < 0 && !req.ProtoAtLeast(1, 1) // only the connection's end says where it ends
-		s.clients.Unfinished(req.Context(), bare)
+		s.clients.SetResponseOpen(req.Context(), bare)
 		write(w, a)
-		s.clients.Unfinished(req.Context(), false)
+		s.clients.SetResponseOpen(req.Context(), false)
 	case errors.Is(err, front.ErrInUse):
 		reject(w, err.Error(), http.StatusConflict)
 	case errors.Is(err, front.ErrInvalid):
@@ -296,7 +296,7 @@
 	bad := func(code int, text string) (front.Request, *body, int, error) {
 		return front.Request{}, nil, code, errors.New(text)
 	}
-	if err := framed(s.clients.Head(req.Context()), req); err != nil {
+	if err := framed(s.clients.RequestHead(req.Context()), req); err != nil {
 		return bad(http.StatusBadRequest, err.Error())
 	}
 	for _, name := range deciding {
@@ -342,7 +342,7 @@
 	in.Subject = req.URL.Query().Get("sid")
 	in.Repeat = h.Get("X-Second-Try") == "1"
 	if req.ContentLength != 0 {
-		b = newBody(w, req, s.clients.Due(req.Context()))
+		b = newBody(w, req, s.clients.RequestDeadline(req.Context()))
 		b.room = s.settings.Room
 		err := b.take(req, &in.Message)
 		if err == nil && effect == front.Safe && (len(in.Message.Body) > 0 || in.Message.Rest != nil) {
--- a/internal/sidecar/front/platform/platform_test.go
+++ b/internal/sidecar/front/platform/platform_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"petrelhook/internal/common/peertest"
-	"petrelhook/internal/sidecar/admit"
+	"petrelhook/internal/sidecar/admission"
 	"petrelhook/internal/sidecar/front"
 	"petrelhook/internal/sidecar/lifecycle"
 	"petrelhook/internal/sidecar/membudget"
@@ -57,7 +57,7 @@
 	}
 	r := &rig{t: t, core: &fakeCore{answer: answer}, lingered: make(chan time.Time, 1), addr: ln.Addr().String(), life: lifecycle.New(), room: membudget.New(roomOfTests), ended: make(chan error, 1)}
 	long := 10 * time.Second
-	server := New(Settings{Room: r.room, Door: admit.Config{Places: 100, Horizon: time.Second}, Tenants: []string{"acme"}, Classes: []front.Class{
+	server := New(Settings{Room: r.room, Door: admission.Config{MaxConnections: 100, Horizon: time.Second}, Tenants: []string{"acme"}, Classes: []front.Class{
 		{Name: "look", Effect: front.Safe, Deadline: long}, {Name: "book", Effect: front.Keyed, Deadline: long}, {Name: "once", Effect: front.Unsafe, Deadline: long},
 	}}, r.core, r.life, slog.New(slog.DiscardHandler))
 	server.after = func(d time.Duration) <-chan time.Time {
--- a/internal/sidecar/wiring/mutation_test.go
+++ b/internal/sidecar/wiring/mutation_test.go
@@ -11,6 +11,7 @@
 // The guards of rare moments, each taken out: the test that forces its moment fails.
 func TestGuardsOfRareMoments(t *testing.T) {
 	const (
+		client    = "internal/sidecar/connlimit/client.go"
 		limiter   = "internal/sidecar/connlimit/limiter.go"
 		request   = "internal/sidecar/core/request.go"
 		attempt   = "internal/sidecar/core/attempt.go"
@@ -19,11 +20,11 @@
 		cursor    = "internal/sidecar/member/cursor.go"
 	)
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"room for another":         {limiter, " && !sock.Unsent(c.Conn) }", " }", "./internal/sidecar/connlimit", "TestAnAnswerOnItsWayIsNotResetAway"},
-		"an answer on its way":     {limiter, "			c.end(now)\n", "			c.Conn.Close()\n			b.admit.Gone(p, now)\n", "./internal/sidecar/connlimit", "TestAnAnswerOnItsWayIsNotResetAway"},
-		"a last answer":            {limiter, "!half || !sock.Unsent(c.Conn)", "!half || true", "./internal/sidecar/connlimit", "TestALastAnswerIsTakenWhole"},
-		"a request read ahead":     {limiter, "c.ahead.empty() && ", "", "./internal/sidecar/connlimit", "TestARequestReadAheadKeepsItsPlace"},
-		"an answer without length": {limiter, "c.unfinished.Store(is)", "c.unfinished.Store(false)", "./internal/sidecar/front/platform", "TestACutAnswerIsNotWhole"},
+		"room for another":         {client, " && !sock.Unsent(c.Conn) }", " }", "./internal/sidecar/connlimit", "TestAnAnswerOnItsWayIsNotResetAway"},
+		"an answer on its way":     {limiter, "			_ = c.closeWhenDelivered(now) // nothing more is written to it\n", "			c.Conn.Close()\n			l.admission.Closed(record, now)\n", "./internal/sidecar/connlimit", "TestAnAnswerOnItsWayIsNotResetAway"},
+		"a last answer":            {client, "!canHalfClose || !sock.Unsent(c.Conn)", "!canHalfClose || true", "./internal/sidecar/connlimit", "TestALastAnswerIsTakenWhole"},
+		"a request read ahead":     {client, "c.readAhead.empty() && ", "", "./internal/sidecar/connlimit", "TestARequestReadAheadKeepsItsPlace"},
+		"an answer without length": {limiter, "c.responseOpen.Store(open)", "c.responseOpen.Store(false)", "./internal/sidecar/front/platform", "TestACutAnswerIsNotWhole"},
 		"late in the end":          {front, "in.Wait = end.Within(in.Arrived, in.Wait)", "", "./internal/sidecar/wiring", "TestARequestReadLateInTheEndIsAnswered"},
 		"what has not begun":       {request, "if !at.done && at.call.Claim() {", "if false {", "./internal/sidecar/core", "TestNothingBeginsOnceTheClientHasGone"},
 		"a queue before a hang-up": {request, "ctx.Err() != nil || in.Gone", "in.Gone", "./internal/sidecar/core", "TestAHangUpBehindALongQueue"},
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -15,7 +15,7 @@
 	"petrelhook/balance"
 	"petrelhook/internal/common/sock"
 	"petrelhook/internal/sidecar/admin"
-	"petrelhook/internal/sidecar/admit"
+	"petrelhook/internal/sidecar/admission"
 	"petrelhook/internal/sidecar/config"
 	"petrelhook/internal/sidecar/core"
 	"petrelhook/internal/sidecar/counts"
@@ -106,9 +106,9 @@
 		Module: *module, Names: core.Names{Classes: c.Profile.Classes, Zones: c.Profile.Zones, Kinds: c.Profile.Kinds}, Known: c.Known,
 		Legacy: legacy, Listed: func() { close(s.listed) },
 	}, s.source(c.Discovery), servers, log)
-	settings := platform.Settings{Tenants: c.Profile.Tenants, Room: account, Door: admit.Config{Places: c.Limits.Clients()}}
+	settings := platform.Settings{Tenants: c.Profile.Tenants, Room: account, Door: admission.Config{MaxConnections: c.Limits.Clients()}}
 	if c.Admin != "" && c.Limits.Sockets > 0 { // operators' calls are counted too
-		settings.Door.Places = max(1, settings.Door.Places-admin.MaxCalls)
+		settings.Door.MaxConnections = max(1, settings.Door.MaxConnections-admin.MaxCalls)
 	}
 	for i, class := range module.Classes {
 		settings.Door.Horizon = max(settings.Door.Horizon, duration(class.Deadline))
@@ -122,7 +122,7 @@
 		taker = s.count
 	}
 	s.core, s.up, s.asked, s.front = loop, up, asked, platform.New(settings, taker, life, log)
-	s.whole = lifecycle.Room{Clients: settings.Door.Places, Servers: c.Limits.Servers()}
+	s.whole = lifecycle.Room{Clients: settings.Door.MaxConnections, Servers: c.Limits.Servers()}
 	return s
 }
 
