--- a/internal/sidecar/admin/admin_test.go
+++ b/internal/sidecar/admin/admin_test.go
@@ -53,10 +53,10 @@
 		{nil, line("GET", "/api/ready"), 503, "starting"},
 		{nil, line("PUT", "/api/rejoin"), 503, "starting"},
 		{nil, line("GET", "/api/counts"), 200, `["counted"]`},
-		{[]lifecycle.Event{lifecycle.Listed}, line("GET", "/api/ready"), 200, "ready"},
+		{[]lifecycle.Event{lifecycle.ServersKnown}, line("GET", "/api/ready"), 200, "ready"},
 		{nil, line("PUT", "/api/evacuate"), 200, "evacuating"},
 		{nil, line("PUT", "/api/evacuate"), 200, "evacuating"},
-		{[]lifecycle.Event{lifecycle.Emptied}, line("PUT", "/api/evacuate?x=1"), 200, "away"},
+		{[]lifecycle.Event{lifecycle.EvacuationDone}, line("PUT", "/api/evacuate?x=1"), 200, "away"},
 		{nil, line("GET", "/api/ready"), 200, "away"},
 		{nil, "PUT /api/rejoin HTTP/1.0\r\n\r\n", 200, "ready"},
 		{nil, "PUT /api/evacuate HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\n{}\r\n0\r\nA: b\r\n\r\n", 200, "evacuating"},
@@ -74,7 +74,7 @@
 		{nil, line("GET", "/api/ready"), 503, "stopping"},
 	} {
 		for _, e := range c.before {
-			m.Tell(e)
+			m.Apply(e)
 		}
 		resp, body := peertest.Ask(t, addr, c.call)
 		if resp.StatusCode != c.status || !strings.Contains(body, c.says) || !resp.Close || strings.Count(body, "\n") != 1 {
@@ -89,7 +89,7 @@
 // A caller that says nothing, half a call, or all but the last byte of one holds up nobody and changes nothing.
 func TestSilentCallersHoldUpNobody(t *testing.T) {
 	addr, m := endpoint(t)
-	m.Tell(lifecycle.Listed)
+	m.Apply(lifecycle.ServersKnown)
 	half := "PUT /api/evacuate HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n"
 	said := []string{"", "GET /api/re", half, half + "{"}
 	slowest := time.Duration(0)
@@ -117,7 +117,7 @@
 // 200 callers who say nothing come at the same moment, and one who calls in their midst and speaks a little later.
 func TestACallInACrowdIsHeardOut(t *testing.T) {
 	addr, m := patientEndpoint(t, peertest.Patience)
-	m.Tell(lifecycle.Listed)
+	m.Apply(lifecycle.ServersKnown)
 	call, in := peertest.Open(t, addr)
 	for range 200 {
 		c, err := net.Dial("tcp", addr)
--- a/internal/sidecar/admin/calls.go
+++ b/internal/sidecar/admin/calls.go
@@ -64,15 +64,15 @@
 }
 
 func evacuate(a *Server) answer {
-	s, _ := a.machine.Tell(lifecycle.Evacuate)
-	if !s.Out() || s.State() == lifecycle.Stopping {
+	s, _ := a.machine.Apply(lifecycle.Evacuate)
+	if !s.EvacuationRequested() || s.State() == lifecycle.Stopping {
 		return says(http.StatusConflict, s)
 	}
 	return says(http.StatusOK, s)
 }
 
 func rejoin(a *Server) answer {
-	switch s, _ := a.machine.Tell(lifecycle.Rejoin); {
+	switch s, _ := a.machine.Apply(lifecycle.Rejoin); {
 	case s.State() == lifecycle.Stopping:
 		return says(http.StatusConflict, s)
 	case !s.Healthy(): // it was taken in, and holds as soon as a server is known
--- a/internal/sidecar/connlimit/close_test.go
+++ b/internal/sidecar/connlimit/close_test.go
@@ -123,7 +123,7 @@
 	}, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		defer d.WatchClient(req.Context())()
 		taken <- struct{}{}
-		for req.URL.Path == "/1" && d.ReadAheadBudget.Held() <= 4<<10 { // until the next is read, beside the piece that is asked for
+		for req.URL.Path == "/1" && d.ReadAheadBudget.Reserved() <= 4<<10 { // until the next is read, beside the piece that is asked for
 			runtime.Gosched()
 		}
 		d.ResponseStarted(req.Context())
--- a/internal/sidecar/front/platform/body.go
+++ b/internal/sidecar/front/platform/body.go
@@ -40,14 +40,14 @@
 }
 
 func newBody(w http.ResponseWriter, req *http.Request, due time.Time) *body {
-	b := &body{Reader: req.Body, control: http.NewResponseController(w), first: due, progress: progress.Deadline{Least: leastBody, Within: bodyWindow}}
+	b := &body{Reader: req.Body, control: http.NewResponseController(w), first: due, progress: progress.Deadline{MinBytes: leastBody, Interval: bodyWindow}}
 	b.progress.Start(time.Now())
 	return b
 }
 
 // Read reads on until the client's time for it is up.
 func (b *body) Read(p []byte) (int, error) {
-	due := b.progress.Due()
+	due := b.progress.Expires()
 	if due.Before(b.first) {
 		due = b.first
 	}
@@ -56,7 +56,7 @@
 		return 0, errHalted
 	}
 	n, err := b.Reader.Read(p)
-	b.progress.Moved(n, time.Now())
+	b.progress.Progressed(n, time.Now())
 	switch {
 	case err == io.EOF:
 		b.ended.Store(true)
--- a/internal/sidecar/front/platform/gone_test.go
+++ b/internal/sidecar/front/platform/gone_test.go
@@ -52,7 +52,7 @@
 				end(c)
 				peertest.Wait(t, noticed)
 				peertest.Eventually(t, "the loop can see it too", req.Gone)
-				peertest.Eventually(t, "nothing is held", func() bool { return r.room.Held() == 0 })
+				peertest.Eventually(t, "nothing is held", func() bool { return r.room.Reserved() == 0 })
 			})
 		}
 	}
@@ -74,14 +74,14 @@
 	io.WriteString(c, look("2")+strings.Replace(look("3"), "GET", "G", 1)[:1]) // a request, and a byte of the next
 	body := strings.Repeat("x", 40_000)
 	io.WriteString(c, look("3")[1:]+"POST /once HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 4\r\nX-Qos: once\r\nContent-Length: 40000\r\n\r\n"+body+look("5"))
-	peertest.Eventually(t, "they are read ahead", func() bool { return r.room.Held() > 40_000 })
+	peertest.Eventually(t, "they are read ahead", func() bool { return r.room.Reserved() > 40_000 })
 	close(release)
 	for _, want := range []string{"1", "2", "3", "4" + body, "5"} {
 		if resp, got := peertest.Answer(t, in); resp.StatusCode != 200 || got != want {
 			t.Fatalf("%d, %.20q, want %.20q", resp.StatusCode, got, want)
 		}
 	}
-	peertest.Eventually(t, "nothing is held", func() bool { return r.room.Held() == 0 })
+	peertest.Eventually(t, "nothing is held", func() bool { return r.room.Reserved() == 0 })
 }
 
 // An answer that breaks off on its way is not taken for whole: over HTTP/1.0, where it says no length, by the reset alone.
--- a/internal/sidecar/front/platform/long_test.go
+++ b/internal/sidecar/front/platform/long_test.go
@@ -188,7 +188,7 @@
 		peertest.Wait(t, got)
 		held = append(held, in)
 	}
-	if n := r.room.Held(); n < int64(len(held))*size || n > roomOfTests {
+	if n := r.room.Reserved(); n < int64(len(held))*size || n > roomOfTests {
 		t.Errorf("%d bytes are held for %d bodies", n, len(held))
 	}
 	_, refused := ask("refused")
@@ -205,7 +205,7 @@
 			t.Errorf("%d", resp.StatusCode)
 		}
 	}
-	peertest.Eventually(t, "nothing is held", func() bool { return r.room.Held() == 0 })
+	peertest.Eventually(t, "nothing is held", func() bool { return r.room.Reserved() == 0 })
 }
 
 // An answer that breaks off after its beginning ends its connection so that the client can tell, whatever its form.
@@ -422,7 +422,7 @@
 			}
 			c.Close()
 		}
-		life.Tell(lifecycle.Terminate)
+		life.Apply(lifecycle.Terminate)
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
--- a/internal/sidecar/front/platform/platform.go
+++ b/internal/sidecar/front/platform/platform.go
@@ -65,7 +65,7 @@
 	http     *http.Server
 	clients  *connlimit.Limiter
 	longest  time.Duration // the longest deadline
-	ending   atomic.Pointer[lifecycle.Ending]
+	ending   atomic.Pointer[lifecycle.ShutdownWindow]
 	life     *lifecycle.Machine
 	after    func(time.Duration) <-chan time.Time // time.After
 }
@@ -96,12 +96,12 @@
 	var late <-chan time.Time
 	silent := silentEnough
 	for {
-		now, over := s.life.Now()
+		now, over := s.life.Watch()
 		if now.State() == lifecycle.Stopping {
 			break
 		}
 		var look <-chan time.Time
-		if !now.Out() {
+		if !now.EvacuationRequested() {
 			late, silent = nil, silentEnough
 		} else { // until they come back: who was let in late is sent away too
 			if late == nil {
@@ -109,7 +109,7 @@
 			}
 			s.clients.CloseIdle(silent)
 			if s.clients.Open() == 0 {
-				s.life.Tell(lifecycle.Emptied)
+				s.life.Apply(lifecycle.EvacuationDone)
 			}
 			look = time.After(lookAgain)
 		}
@@ -129,14 +129,14 @@
 // they may come, unless the next process takes them.
 func (s *Server) finish(failed <-chan error) error {
 	defer s.http.Close()
-	end := &lifecycle.Ending{Began: time.Now(), Lingering: lingering, Longest: s.longest}
+	end := &lifecycle.ShutdownWindow{Began: time.Now(), AcceptTime: lingering, MaxDeadline: s.longest}
 	s.ending.Store(end)
-	lingered, last := s.after(lingering), s.after(end.Last())
+	lingered, last := s.after(lingering), s.after(end.Duration())
 	look := time.NewTicker(lookAgain)
 	defer look.Stop()
 	for accepting := true; ; {
 		s.clients.CloseIdle(silentAtEnd)
-		if now, _ := s.life.Now(); accepting && !now.Accepts() {
+		if now, _ := s.life.Watch(); accepting && !now.Accepts() {
 			accepting = false
 			s.clients.Listener.Close()
 		}
@@ -187,7 +187,7 @@
 	}
 	ctx := req.Context()
 	if end := s.ending.Load(); end != nil {
-		in.Wait = end.Within(in.Arrived, in.Wait)
+		in.Wait = end.ClampWait(in.Arrived, in.Wait)
 	}
 	answered := func() {}
 	if in.Message.Rest == nil { // else what it sends is still read by others
@@ -240,7 +240,7 @@
 
 // leaves has an answer end its connection where clients are sent away, and says whether it does.
 func (s *Server) leaves(w http.ResponseWriter) bool {
-	if s.life.Status().Keeps() {
+	if s.life.Status().KeepsConnections() {
 		return false
 	}
 	w.Header().Set("Connection", "close")
--- a/internal/sidecar/front/platform/platform_test.go
+++ b/internal/sidecar/front/platform/platform_test.go
@@ -69,13 +69,13 @@
 		}
 		return r.lingered
 	}
-	r.life.Tell(lifecycle.Listed)
+	r.life.Apply(lifecycle.ServersKnown)
 	go func() { r.ended <- server.Serve(ln) }()
 	t.Cleanup(r.stop)
 	return r
 }
 
-func (r *rig) stop() { r.life.Tell(lifecycle.Terminate) }
+func (r *rig) stop() { r.life.Apply(lifecycle.Terminate) }
 
 func (r *rig) ask(request string) (status int, body string, closes bool) {
 	r.t.Helper()
--- a/internal/sidecar/lifecycle/lifecycle.go
+++ b/internal/sidecar/lifecycle/lifecycle.go
@@ -1,34 +1,34 @@
-// Package lifecycle is what a sidecar is about to do with its clients: whether it is ready, sends them away, hands over to
-// its next process, or ends. It is pure: events go in, and what holds then can be asked. It closes nothing and listens
-// nowhere; the front's health answers, the operators' endpoint, signals and upgrades all tell this one machine and ask it,
-// and nobody keeps a flag of his own.
+// Package lifecycle is the state of a sidecar process as its clients and operators see it: starting, ready, evacuating its clients,
+// handing over to its successor process, or stopping. It is pure: events go in, and the resulting status can be read. It closes no
+// connection and opens no listener. Health checks, the operators' endpoint, signals and upgrades all use this one state machine; no
+// other component keeps a flag of its own.
 //
-// Five facts make up the state, each changed by its own events, so that no order of calls is left out:
+// The status consists of five facts, each changed by its own events, so every order of events has a defined result:
 //
-//	fact        becomes true by   becomes false by
-//	listed      Listed            -                  a server is known that takes requests, or was waited for long enough
-//	out         Evacuate          Rejoin             operators want no clients here
-//	empty       Emptied           Evacuate, Rejoin   no client is left of those that were sent away
-//	succeeded   Succeeded         Deserted           the next process has the listener too
-//	ending      Terminate         -                  the process finishes what it has and ends
+//	fact                  becomes true by   becomes false by
+//	serversKnown          ServersKnown      -                  a server that accepts requests is known, or MaxStartWait has passed
+//	evacuationRequested   Evacuate          Rejoin             operators want no clients at this sidecar
+//	evacuationDone        EvacuationDone    Evacuate, Rejoin   no evacuated client is left
+//	hasSuccessor          Succeeded         SuccessorLost      the successor process has the listener too
+//	terminating           Terminate         -                  the process finishes its requests and ends
 //
-// and the state's name is the first line that fits:
+// The state is the first line that applies:
 //
-//	Stopping     ending
-//	Away         out and empty
-//	Evacuating   out
-//	Starting     not listed, and nobody has sent clients away yet
-//	Rejoining    not listed
-//	HandingOver  succeeded
+//	Stopping     terminating
+//	Evacuated    evacuationRequested and evacuationDone
+//	Evacuating   evacuationRequested
+//	Starting     not serversKnown, and no evacuation was requested before
+//	Rejoining    not serversKnown
+//	HandingOver  hasSuccessor
 //	Ready        otherwise
 //
-// Invariants: an event that changes no fact changes nothing, so every call may come twice; nothing leads out of Stopping;
-// a sidecar that is succeeded says yes to whoever asks for its health until its end, for the two processes are one sidecar.
+// Invariants: an event that changes no fact has no effect, so every event may occur twice; nothing leads out of Stopping; a sidecar
+// with a successor is healthy until it ends, because the two processes are one sidecar to its clients.
 package lifecycle
 
 import "sync"
 
-// State is the name of what a sidecar does.
+// State is the state of a sidecar.
 type State uint8
 
 // The states.
@@ -36,119 +36,121 @@
 	Starting State = iota
 	Ready
 	Evacuating
-	Away
+	Evacuated
 	Rejoining
 	HandingOver
 	Stopping
 )
 
-// String names the state, for logs and operators.
+// String returns the name of the state in logs and in answers to operators.
 func (s State) String() string {
 	return [...]string{"starting", "ready", "evacuating", "away", "rejoining", "handing over", "stopping"}[s]
 }
 
-// Event is what happens to a sidecar.
+// Event changes the status of a sidecar.
 type Event uint8
 
 // The events.
 const (
-	Listed    Event = iota // a server is known that takes requests, or ReadyTime has passed without one
-	Evacuate               // operators want the clients to go elsewhere
-	Rejoin                 // operators want them back
-	Emptied                // the last client that was sent away has gone
-	Succeeded              // the next process has taken the listener, and serves soon
-	Deserted               // that process has gone
-	Terminate              // finish and end
+	ServersKnown   Event = iota // a server that accepts requests is known, or MaxStartWait has passed without one
+	Evacuate                    // operators want the clients to use other sidecars
+	Rejoin                      // operators want the clients back
+	EvacuationDone              // the last evacuated client has closed its connection
+	Succeeded                   // the successor process has the listener, and serves soon
+	SuccessorLost               // the successor process has ended
+	Terminate                   // finish the requests in progress, then end
 )
 
-// Status is the facts at one moment. Its zero value is a sidecar that starts.
+// Status is the five facts at one moment, an immutable value. The zero value is a sidecar that starts.
 type Status struct {
-	listed, out, empty, succeeded, ending bool
-	returned                              bool // it was out before
+	serversKnown, evacuationRequested, evacuationDone, hasSuccessor, terminating bool
+	rejoined                                                                     bool // an evacuation was taken back before
 }
 
-// After is what holds after an event.
+// After returns the status after an event.
 func (s Status) After(e Event) Status {
-	if s.ending && e != Deserted && e != Succeeded {
+	if s.terminating && e != SuccessorLost && e != Succeeded {
 		return s
 	}
 	switch e {
-	case Listed:
-		s.listed = true
+	case ServersKnown:
+		s.serversKnown = true
 	case Evacuate:
-		if !s.out {
-			s.out, s.empty = true, false
+		if !s.evacuationRequested {
+			s.evacuationRequested, s.evacuationDone = true, false
 		}
 	case Rejoin:
-		s.returned = s.returned || s.out
-		s.out, s.empty = false, false
-	case Emptied:
-		s.empty = s.out
+		s.rejoined = s.rejoined || s.evacuationRequested
+		s.evacuationRequested, s.evacuationDone = false, false
+	case EvacuationDone:
+		s.evacuationDone = s.evacuationRequested
 	case Succeeded:
-		s.succeeded = true
-	case Deserted:
-		s.succeeded = s.succeeded && s.ending // what has begun to end for a next process goes on as it began
+		s.hasSuccessor = true
+	case SuccessorLost:
+		s.hasSuccessor = s.hasSuccessor && s.terminating // a process that terminates in favour of a successor goes on as it began
 	case Terminate:
-		s.ending = true
+		s.terminating = true
 	}
 	return s
 }
 
-// State is the name of what holds.
+// State returns the state that the facts amount to.
 func (s Status) State() State {
 	switch {
-	case s.ending:
+	case s.terminating:
 		return Stopping
-	case s.out && s.empty:
-		return Away
-	case s.out:
+	case s.evacuationRequested && s.evacuationDone:
+		return Evacuated
+	case s.evacuationRequested:
 		return Evacuating
-	case !s.listed && !s.returned:
+	case !s.serversKnown && !s.rejoined:
 		return Starting
-	case !s.listed:
+	case !s.serversKnown:
 		return Rejoining
-	case s.succeeded:
+	case s.hasSuccessor:
 		return HandingOver
 	}
 	return Ready
 }
 
-// Healthy is the answer to whoever asks whether clients may come.
-func (s Status) Healthy() bool { return s.listed && !s.out && (!s.ending || s.succeeded) }
+// Healthy is the answer to health checks: whether clients may connect.
+func (s Status) Healthy() bool {
+	return s.serversKnown && !s.evacuationRequested && (!s.terminating || s.hasSuccessor)
+}
 
-// Ready is the answer to operators who ask whether this process can serve. One whose clients were sent away can: it takes
-// them again when it is told to.
-func (s Status) Ready() bool { return s.listed && !s.ending }
+// Ready is the answer to operators: whether this process can serve. One whose clients were evacuated can, because it accepts them
+// again when it is told to rejoin.
+func (s Status) Ready() bool { return s.serversKnown && !s.terminating }
 
-// Keeps reports whether a client's connection may be kept after an answer.
-func (s Status) Keeps() bool { return !s.out && !s.ending }
+// KeepsConnections reports whether a client's connection may stay open after a response.
+func (s Status) KeepsConnections() bool { return !s.evacuationRequested && !s.terminating }
 
-// Accepts reports whether new connections are taken. Where the next process has the listener, all that come are its own
-// from the moment on at which this one ends.
-func (s Status) Accepts() bool { return !s.ending || !s.succeeded }
+// Accepts reports whether new connections are accepted. Where a successor has the listener too, it accepts all new ones as soon as
+// this process terminates.
+func (s Status) Accepts() bool { return !s.terminating || !s.hasSuccessor }
 
-// Yields reports whether new connections are to go to whoever else listens at the address: to the next process, where the
-// hand-over to it failed.
-func (s Status) Yields() bool { return s.ending && !s.succeeded }
+// YieldsListener reports whether new connections should go to any other process that listens at the address: to a successor to which
+// the hand-over failed.
+func (s Status) YieldsListener() bool { return s.terminating && !s.hasSuccessor }
 
-// Succeeded reports whether the next process has the listener.
-func (s Status) Succeeded() bool { return s.succeeded }
+// HasSuccessor reports whether the successor process has the listener.
+func (s Status) HasSuccessor() bool { return s.hasSuccessor }
 
-// Out reports whether operators want no clients here.
-func (s Status) Out() bool { return s.out }
+// EvacuationRequested reports whether operators want no clients at this sidecar.
+func (s Status) EvacuationRequested() bool { return s.evacuationRequested }
 
-// Machine is a Status that several goroutines tell and ask.
+// Machine is a Status that several goroutines may change and read.
 type Machine struct {
 	mu      sync.Mutex
 	status  Status
 	changed chan struct{}
 }
 
-// New makes the machine of a sidecar that starts.
+// New returns the state machine of a sidecar that starts.
 func New() *Machine { return &Machine{changed: make(chan struct{})} }
 
-// Tell takes in an event and says what holds now, and whether that is anything new.
-func (m *Machine) Tell(e Event) (now Status, changed bool) {
+// Apply applies an event. It returns the status after it, and whether that differs from the one before.
+func (m *Machine) Apply(e Event) (now Status, changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before := m.status
@@ -159,14 +161,14 @@
 	return m.status, m.status != before
 }
 
-// Now is what holds, and a channel that is closed when that is over.
-func (m *Machine) Now() (Status, <-chan struct{}) {
+// Watch returns the status, and a channel that is closed at its next change.
+func (m *Machine) Watch() (Status, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.status, m.changed
 }
 
-// Status is what holds.
+// Status returns the present status.
 func (m *Machine) Status() Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/sidecar/lifecycle/lifecycle_test.go
+++ b/internal/sidecar/lifecycle/lifecycle_test.go
@@ -17,30 +17,30 @@
 		want   string
 	}{
 		{nil, "starting no no keeps accepts"},
-		{all(Listed), "ready yes yes keeps accepts"},
-		{all(Listed, Evacuate), "evacuating no yes closes accepts"},
-		{all(Listed, Evacuate, Evacuate), "evacuating no yes closes accepts"},
-		{all(Listed, Evacuate, Emptied), "away no yes closes accepts"},
-		{all(Listed, Evacuate, Emptied, Evacuate), "away no yes closes accepts"},
-		{all(Listed, Emptied), "ready yes yes keeps accepts"},
-		{all(Listed, Evacuate, Rejoin), "ready yes yes keeps accepts"},
-		{all(Listed, Evacuate, Emptied, Rejoin, Rejoin), "ready yes yes keeps accepts"},
-		{all(Listed, Evacuate, Emptied, Rejoin, Evacuate), "evacuating no yes closes accepts"},
+		{all(ServersKnown), "ready yes yes keeps accepts"},
+		{all(ServersKnown, Evacuate), "evacuating no yes closes accepts"},
+		{all(ServersKnown, Evacuate, Evacuate), "evacuating no yes closes accepts"},
+		{all(ServersKnown, Evacuate, EvacuationDone), "away no yes closes accepts"},
+		{all(ServersKnown, Evacuate, EvacuationDone, Evacuate), "away no yes closes accepts"},
+		{all(ServersKnown, EvacuationDone), "ready yes yes keeps accepts"},
+		{all(ServersKnown, Evacuate, Rejoin), "ready yes yes keeps accepts"},
+		{all(ServersKnown, Evacuate, EvacuationDone, Rejoin, Rejoin), "ready yes yes keeps accepts"},
+		{all(ServersKnown, Evacuate, EvacuationDone, Rejoin, Evacuate), "evacuating no yes closes accepts"},
 		{all(Evacuate), "evacuating no no closes accepts"}, // during a start
-		{all(Evacuate, Listed), "evacuating no yes closes accepts"},
+		{all(Evacuate, ServersKnown), "evacuating no yes closes accepts"},
 		{all(Evacuate, Rejoin), "rejoining no no keeps accepts"},
-		{all(Evacuate, Rejoin, Listed), "ready yes yes keeps accepts"},
+		{all(Evacuate, Rejoin, ServersKnown), "ready yes yes keeps accepts"},
 		{all(Rejoin), "starting no no keeps accepts"},
-		{all(Listed, Succeeded), "handing over yes yes keeps accepts"},
-		{all(Listed, Succeeded, Deserted), "ready yes yes keeps accepts"},
-		{all(Listed, Succeeded, Terminate), "stopping yes no closes leaves"},
-		{all(Listed, Succeeded, Terminate, Deserted), "stopping yes no closes leaves"},
-		{all(Listed, Terminate), "stopping no no closes accepts"},
-		{all(Listed, Terminate, Succeeded), "stopping yes no closes leaves"}, // the signal came first
-		{all(Listed, Terminate, Rejoin), "stopping no no closes accepts"},
-		{all(Listed, Evacuate, Terminate, Rejoin), "stopping no no closes accepts"},
-		{all(Listed, Succeeded, Evacuate), "evacuating no yes closes accepts"},
-		{all(Listed, Succeeded, Evacuate, Terminate), "stopping no no closes leaves"},
+		{all(ServersKnown, Succeeded), "handing over yes yes keeps accepts"},
+		{all(ServersKnown, Succeeded, SuccessorLost), "ready yes yes keeps accepts"},
+		{all(ServersKnown, Succeeded, Terminate), "stopping yes no closes leaves"},
+		{all(ServersKnown, Succeeded, Terminate, SuccessorLost), "stopping yes no closes leaves"},
+		{all(ServersKnown, Terminate), "stopping no no closes accepts"},
+		{all(ServersKnown, Terminate, Succeeded), "stopping yes no closes leaves"}, // the signal came first
+		{all(ServersKnown, Terminate, Rejoin), "stopping no no closes accepts"},
+		{all(ServersKnown, Evacuate, Terminate, Rejoin), "stopping no no closes accepts"},
+		{all(ServersKnown, Succeeded, Evacuate), "evacuating no yes closes accepts"},
+		{all(ServersKnown, Succeeded, Evacuate, Terminate), "stopping no no closes leaves"},
 	} {
 		var s Status
 		for _, e := range c.events {
@@ -53,7 +53,7 @@
 			return no
 		}
 		got := fmt.Sprint(s.State(), " ", word(s.Healthy(), "yes", "no"), " ", word(s.Ready(), "yes", "no"), " ",
-			word(s.Keeps(), "keeps", "closes"), " ", word(s.Accepts(), "accepts", "leaves"))
+			word(s.KeepsConnections(), "keeps", "closes"), " ", word(s.Accepts(), "accepts", "leaves"))
 		if got != c.want {
 			t.Errorf("%v: %s, want %s", c.events, got, c.want)
 		}
@@ -66,7 +66,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var s Status
 		for range rapid.IntRange(0, 30).Draw(t, "events") {
-			e := Event(rapid.IntRange(int(Listed), int(Terminate)).Draw(t, "event"))
+			e := Event(rapid.IntRange(int(ServersKnown), int(Terminate)).Draw(t, "event"))
 			before := s
 			s = s.After(e)
 			if s != s.After(e) {
@@ -75,10 +75,10 @@
 			if before.State() == Stopping && s.State() != Stopping {
 				t.Fatalf("%v after %v", e, before)
 			}
-			if s.Healthy() && !s.Keeps() && !s.Succeeded() {
+			if s.Healthy() && !s.KeepsConnections() && !s.HasSuccessor() {
 				t.Fatalf("%v is healthy and sends clients away", s)
 			}
-			if s.State() == Ready && !(s.Healthy() && s.Ready() && s.Keeps() && s.Accepts()) {
+			if s.State() == Ready && !(s.Healthy() && s.Ready() && s.KeepsConnections() && s.Accepts()) {
 				t.Fatalf("%v is ready, but not for all", s)
 			}
 		}
@@ -89,9 +89,9 @@
 func TestChangesAreTold(t *testing.T) {
 	m := New()
 	var heard []bool
-	for _, e := range []Event{Listed, Listed, Emptied, Evacuate, Evacuate, Rejoin, Terminate, Rejoin} {
-		_, over := m.Now()
-		now, changed := m.Tell(e)
+	for _, e := range []Event{ServersKnown, ServersKnown, EvacuationDone, Evacuate, Evacuate, Rejoin, Terminate, Rejoin} {
+		_, over := m.Watch()
+		now, changed := m.Apply(e)
 		closed := false
 		select {
 		case <-over:
@@ -110,10 +110,10 @@
 
 // Whatever is held: the parts are the whole together, and nobody has to give up what he holds.
 func TestTheDivisionOfRoom(t *testing.T) {
-	for held, want := range map[Room][2]Room{
+	for held, want := range map[ConnectionShare][2]ConnectionShare{
 		{0, 0}: {{50, 20}, {50, 20}}, {80, 10}: {{80, 20}, {20, 20}}, {100, 40}: {{100, 40}, {0, 0}}, {120, 41}: {{100, 40}, {0, 0}},
 	} {
-		if own, next := (Room{100, 40}).Divide(held); own != want[0] || next != want[1] {
+		if own, next := (ConnectionShare{100, 40}).Divide(held); own != want[0] || next != want[1] {
 			t.Errorf("%v held: %v and %v", held, own, next)
 		}
 	}
--- a/internal/sidecar/membudget/membudget.go
+++ b/internal/sidecar/membudget/membudget.go
@@ -1,9 +1,9 @@
-// Package membudget is the account of the bytes that a process holds of messages: bodies on their way in, answers that are held
-// back. Whoever wants to hold more asks first, and whoever finds no room passes on what he has, waits for a bounded time, or is
-// refused; nobody takes less than he asked for, so none waits while he holds a part of what he asked for in one call.
+// Package membudget bounds the memory that a process uses for messages: request bodies that arrive, and responses that are buffered.
+// Code that needs memory reserves it first. Where none is left it passes on what it has, waits for a bounded time, or refuses the
+// request. A reservation is granted completely or not at all, so nobody waits while holding a part of what one call asked fob.
 //
-// Invariants: what is held never exceeds the bound; who waits is served in the order of coming, so that a large wish is not
-// overtaken for ever by small ones.
+// Invariants: reservations never exceed the limit; waiting ones are granted in the order in which they were made, so that a large
+// one is not overtaken for ever by small ones.
 package membudget
 
 import (
@@ -12,88 +12,89 @@
 	"sync"
 )
 
-// Budget is an account. Its zero value has no bound.
+// Budget is a limit and its reservations. The zero value has no limit. It is safe for concurrent use.
 type Budget struct {
-	mu   sync.Mutex
-	most int64 // bytes; 0: no bound
-	held int64
-	wait list.List // of *waiter
+	mu       sync.Mutex
+	limit    int64 // bytes; 0: no limit
+	reserved int64
+	waiters  list.List // of *waiter, the first to be granted first
 }
 
+// waiter is a reservation that waits.
 type waiter struct {
-	n    int64
-	have chan struct{} // closed when n is held for it
+	n       int64
+	granted chan struct{} // closed when n bytes are reserved for it
 }
 
-// New makes an account with a bound; 0 is none.
-func New(most int64) *Budget { return &Budget{most: most} }
+// New returns a budget of a number of bytes; 0 is no limit.
+func New(limit int64) *Budget { return &Budget{limit: limit} }
 
-func (r *Budget) fits(n int64) bool { return r.most <= 0 || n <= r.most-r.held }
+func (b *Budget) fits(n int64) bool { return b.limit <= 0 || n <= b.limit-b.reserved }
 
-// TryAcquire holds n bytes more, if there is room now and nobody waits for it.
-func (r *Budget) TryAcquire(n int64) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.wait.Len() > 0 || !r.fits(n) {
+// TryAcquire reserves n bytes, if they are free now and nobody waits for them.
+func (b *Budget) TryAcquire(n int64) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.waiters.Len() > 0 || !b.fits(n) {
 		return false
 	}
-	r.held += n
+	b.reserved += n
 	return true
 }
 
-// Acquire holds n bytes more, as soon as there is room. Where ctx ends first, or n is more than there ever is, it holds nothing
-// and is false.
-func (r *Budget) Acquire(ctx context.Context, n int64) bool {
-	r.mu.Lock()
-	if r.wait.Len() == 0 && r.fits(n) {
-		r.held += n
-		r.mu.Unlock()
+// Acquire reserves n bytes as soon as they are free. It returns false, with nothing reserved, where ctx ends first or n exceeds the
+// limit.
+func (b *Budget) Acquire(ctx context.Context, n int64) bool {
+	b.mu.Lock()
+	if b.waiters.Len() == 0 && b.fits(n) {
+		b.reserved += n
+		b.mu.Unlock()
 		return true
 	}
-	if r.most > 0 && n > r.most {
-		r.mu.Unlock()
+	if b.limit > 0 && n > b.limit {
+		b.mu.Unlock()
 		return false
 	}
-	w := &waiter{n: n, have: make(chan struct{})}
-	at := r.wait.PushBack(w)
-	r.mu.Unlock()
+	w := &waiter{n: n, granted: make(chan struct{})}
+	element := b.waiters.PushBack(w)
+	b.mu.Unlock()
 	select {
-	case <-w.have:
+	case <-w.granted:
 		return true
 	case <-ctx.Done():
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	select {
-	case <-w.have: // at the same moment
-		r.held -= n
+	case <-w.granted: // granted at the same moment
+		b.reserved -= n
 	default:
-		r.wait.Remove(at)
+		b.waiters.Remove(element)
 	}
-	r.serve() // whoever stood behind it
+	b.grant() // what waited behind it
 	return false
 }
 
-// Release holds n bytes less.
-func (r *Budget) Release(n int64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.held -= n
-	r.serve()
+// Release returns n reserved bytes.
+func (b *Budget) Release(n int64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.reserved -= n
+	b.grant()
 }
 
-// serve lets in those that wait, in their order. The caller holds mu.
-func (r *Budget) serve() {
-	for e := r.wait.Front(); e != nil && r.fits(e.Value.(*waiter).n); e = r.wait.Front() {
-		w := r.wait.Remove(e).(*waiter)
-		r.held += w.n
-		close(w.have)
+// grant grants waiting reservations in their order, as far as there is memory. The caller holds mu.
+func (b *Budget) grant() {
+	for e := b.waiters.Front(); e != nil && b.fits(e.Value.(*waiter).n); e = b.waiters.Front() {
+		w := b.waiters.Remove(e).(*waiter)
+		b.reserved += w.n
+		close(w.granted)
 	}
 }
 
-// Held is how many bytes are held.
-func (r *Budget) Held() int64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.held
+// Reserved returns how many bytes are reserved.
+func (b *Budget) Reserved() int64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.reserved
 }
--- a/internal/sidecar/membudget/membudget_test.go
+++ b/internal/sidecar/membudget/membudget_test.go
@@ -43,17 +43,17 @@
 		time.Sleep(time.Minute)
 		r.Release(8)
 		synctest.Wait()
-		if want := []string{"too large gives up", "hasty gives up", "large"}; !slices.Equal(served, want) || r.Held() != 9 {
-			t.Errorf("%q, %d held", served, r.Held())
+		if want := []string{"too large gives up", "hasty gives up", "large"}; !slices.Equal(served, want) || r.Reserved() != 9 {
+			t.Errorf("%q, %d held", served, r.Reserved())
 		}
 		r.Release(9)
 		synctest.Wait()
-		if len(served) != 4 || r.Held() != 2 {
-			t.Errorf("%q, %d held", served, r.Held())
+		if len(served) != 4 || r.Reserved() != 2 {
+			t.Errorf("%q, %d held", served, r.Reserved())
 		}
 		r.Release(2)
-		if r.Held() != 0 || !r.TryAcquire(10) {
-			t.Errorf("%d held", r.Held())
+		if r.Reserved() != 0 || !r.TryAcquire(10) {
+			t.Errorf("%d held", r.Reserved())
 		}
 	})
 }
@@ -79,7 +79,7 @@
 					ctx, cancel := context.WithTimeout(t.Context(), time.Duration(n%5)*time.Millisecond)
 					defer cancel()
 					if r.Acquire(ctx, int64(n)) {
-						if held := r.Held(); held > 10 || held < int64(n) {
+						if held := r.Reserved(); held > 10 || held < int64(n) {
 							rt.Errorf("%d are held", held)
 						}
 						time.Sleep(time.Duration(n) * time.Millisecond)
@@ -88,8 +88,8 @@
 				})
 			}
 			all.Wait()
-			if r.Held() != 0 || r.wait.Len() != 0 {
-				rt.Errorf("%d are held, %d wait", r.Held(), r.wait.Len())
+			if r.Reserved() != 0 || r.waiters.Len() != 0 {
+				rt.Errorf("%d are held, %d wait", r.Reserved(), r.waiters.Len())
 			}
 		})
 	})
--- a/internal/sidecar/progress/progress.go
+++ b/internal/sidecar/progress/progress.go
@@ -1,28 +1,28 @@
-// Package progress judges whether a peer that sends or takes a long message moves: so many bytes in every stretch of time. It is
-// pure; whoever does the reading or writing asks until when he may wait.
+// Package progress judges whether a peer that sends or receives a long message makes progress: a minimum number of bytes in every
+// interval. It is pure; the code that reads or writes asks how long it may wait.
 package progress
 
 import "time"
 
-// Deadline is what a peer owes and what it has done. A peer that does not move is ended after Within, one that moves faster than
-// Least bytes in that time never is.
+// Deadline is the moving deadline of one transfer. A peer that makes no progress has until Interval after the last; one that
+// transfers at least MinBytes in every Interval never meets its deadline. It is not safe for concurrent use.
 type Deadline struct {
-	Least  int64
-	Within time.Duration
+	MinBytes int64
+	Interval time.Duration
 
-	mark  time.Time // when it last had moved by Least
-	since int64     // bytes since then
+	intervalStart time.Time // when MinBytes were last completed
+	bytes         int64     // transferred since then
 }
 
-// Start begins at a moment.
-func (p *Deadline) Start(now time.Time) { p.mark, p.since = now, 0 }
+// Start begins an interval.
+func (p *Deadline) Start(now time.Time) { p.intervalStart, p.bytes = now, 0 }
 
-// Moved takes in bytes.
-func (p *Deadline) Moved(n int, now time.Time) {
-	if p.since += int64(n); p.since >= p.Least {
+// Progressed adds transferred bytes.
+func (p *Deadline) Progressed(n int, now time.Time) {
+	if p.bytes += int64(n); p.bytes >= p.MinBytes {
 		p.Start(now)
 	}
 }
 
-// Due is when it must have moved by Least.
-func (p *Deadline) Due() time.Time { return p.mark.Add(p.Within) }
+// Expires returns when MinBytes have to be transferred.
+func (p *Deadline) Expires() time.Time { return p.intervalStart.Add(p.Interval) }
--- a/internal/sidecar/progress/progress_test.go
+++ b/internal/sidecar/progress/progress_test.go
@@ -19,16 +19,16 @@
 		{"half of the least", 500, 100 * time.Millisecond, 2 * time.Second},
 		{"nothing", 0, 100 * time.Millisecond, 2 * time.Second},
 	} {
-		p := Deadline{Least: 32 << 10, Within: 2 * time.Second}
+		p := Deadline{MinBytes: 32 << 10, Interval: 2 * time.Second}
 		start := time.Unix(1000, 0)
 		p.Start(start)
 		ended := time.Duration(0)
 		for at := c.every; at < 10*time.Second; at += c.every {
-			if now := start.Add(at); now.After(p.Due()) {
-				ended = p.Due().Sub(start)
+			if now := start.Add(at); now.After(p.Expires()) {
+				ended = p.Expires().Sub(start)
 				break
 			} else {
-				p.Moved(c.piece, now)
+				p.Progressed(c.piece, now)
 			}
 		}
 		if ended != c.ended {
--- a/internal/sidecar/upstream/http1/room_test.go
+++ b/internal/sidecar/upstream/http1/room_test.go
@@ -61,12 +61,12 @@
 					if got.err != nil || got.Result != upstream.Served || got.size != c.size || got.begun == c.held {
 						t.Fatalf("%v (%v), %d bytes, begun %v, rest %v", got.Result, got.Err, got.size, got.begun, got.err)
 					}
-					if held := u.Room.Held(); c.held && c.size > message.Short && held < int64(c.size) {
+					if held := u.Room.Reserved(); c.held && c.size > message.Short && held < int64(c.size) {
 						t.Errorf("%d bytes are held", held)
 					}
 					got.Reply.Done()
 					got.Reply.Done() // gives back once
-					if held := u.Room.Held(); held != 0 {
+					if held := u.Room.Reserved(); held != 0 {
 						t.Fatalf("%d bytes are still held", held)
 					}
 				}
@@ -126,8 +126,8 @@
 		u := testPool(9)
 		r := send(u.at(p.Addr), look())
 		r.Reply.Done()
-		if r.ended.Result != c.want || r.begun && r.err == nil || u.Room.Held() != 0 {
-			t.Errorf("%s: %v (%v), rest %v, %d bytes are held", name, r.ended.Result, r.ended.Err, r.err, u.Room.Held())
+		if r.ended.Result != c.want || r.begun && r.err == nil || u.Room.Reserved() != 0 {
+			t.Errorf("%s: %v (%v), rest %v, %d bytes are held", name, r.ended.Result, r.ended.Err, r.err, u.Room.Reserved())
 		}
 	}
 }
--- a/internal/sidecar/wiring/service_test.go
+++ b/internal/sidecar/wiring/service_test.go
@@ -250,7 +250,7 @@
 		t.Errorf("%d bytes, %v", n, err)
 	}
 	c.Close() // its answer had begun before: it says nothing of the end of its connection
-	peertest.Eventually(t, "away", func() bool { return r.side.life.Status().State() == lifecycle.Away })
+	peertest.Eventually(t, "away", func() bool { return r.side.life.Status().State() == lifecycle.Evacuated })
 	if n := p.Requests.Load(); n > 3 {
 		t.Errorf("%d requests went on", n)
 	}
--- a/internal/sidecar/wiring/succession.go
+++ b/internal/sidecar/wiring/succession.go
@@ -20,16 +20,16 @@
 // Succession is a sidecar's place among its processes: the one before, and the next, which comes to the place.
 type Succession struct {
 	Place handover.Place
-	From  *handover.Link  // to the process before; nil: there is none
-	Out   bool            // what it said of operators' wishes
-	Room  *lifecycle.Room // what the process before leaves for as long as it lives; nil: all
+	From  *handover.Link             // to the process before; nil: there is none
+	Out   bool                       // what it said of operators' wishes
+	Room  *lifecycle.ConnectionShare // what the process before leaves for as long as it lives; nil: all
 }
 
 // Inheritance is what one process hands to the next.
 type Inheritance struct {
-	Out  bool           `json:"out"` // operators want no clients here
-	Room lifecycle.Room `json:"room"`
-	Core core.Legacy    `json:"core"`
+	Out  bool                      `json:"out"` // operators want no clients here
+	Room lifecycle.ConnectionShare `json:"room"`
+	Core core.Legacy               `json:"core"`
 }
 
 // The lines of a link. Each side tells the other what operators asked of it.
@@ -116,11 +116,11 @@
 
 // give is what the next process gets. From here on this one holds no more than it does, or half.
 func (s *Sidecar) give(file func() (*os.File, error)) (*os.File, []byte, error) {
-	out := Inheritance{Out: s.life.Status().Out()}
+	out := Inheritance{Out: s.life.Status().EvacuationRequested()}
 	s.gave.Store(out.Out)
 	var state []byte
 	var err error
-	own, next := s.whole.Divide(lifecycle.Room{Clients: s.front.Open(), Servers: s.up.Open()})
+	own, next := s.whole.Divide(lifecycle.ConnectionShare{Clients: s.front.Open(), Servers: s.up.Open()})
 	out.Room = next
 	if !s.core.Legacy(func(l core.Legacy) {
 		out.Core = l
@@ -147,12 +147,12 @@
 	var sides sync.WaitGroup
 	sides.Go(func() {
 		for {
-			now, over := s.life.Now()
+			now, over := s.life.Watch()
 			mu.Lock()
-			changed := now.Out() != told && now.State() != lifecycle.Stopping
-			told = now.Out()
+			changed := now.EvacuationRequested() != told && now.State() != lifecycle.Stopping
+			told = now.EvacuationRequested()
 			mu.Unlock()
-			if changed && now.Out() {
+			if changed && now.EvacuationRequested() {
 				l.Say(lineEvacuate)
 			} else if changed {
 				l.Say(lineRejoin)
@@ -176,7 +176,7 @@
 		switch line {
 		case lineReady:
 			if next {
-				s.life.Tell(lifecycle.Succeeded)
+				s.life.Apply(lifecycle.Succeeded)
 				l.Say(lineHeard)
 				l.Say(lineFollows)
 			}
@@ -192,7 +192,7 @@
 			mu.Lock()
 			told = event == lifecycle.Evacuate
 			mu.Unlock()
-			s.life.Tell(event)
+			s.life.Apply(event)
 		}
 	})
 	end()
@@ -200,7 +200,7 @@
 	if next {
 		s.lists.Leave()
 		s.unshare()
-		if now, _ := s.life.Tell(lifecycle.Deserted); now.State() != lifecycle.Stopping {
+		if now, _ := s.life.Apply(lifecycle.SuccessorLost); now.State() != lifecycle.Stopping {
 			select {
 			case s.deserted <- struct{}{}:
 			default: // the place is about to be taken already
@@ -230,11 +230,11 @@
 	if su != nil { // who sees that this one serves may start the next
 		<-s.offered
 	}
-	s.life.Tell(lifecycle.Listed)
+	s.life.Apply(lifecycle.ServersKnown)
 }
 
 // share bounds what this process holds while there are two; unshare ends that.
-func (s *Sidecar) share(r lifecycle.Room) {
+func (s *Sidecar) share(r lifecycle.ConnectionShare) {
 	s.front.SetPlaces(max(1, r.Clients))
 	s.up.SetMost(max(1, r.Servers))
 	if s.OnShare != nil {
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -55,7 +55,7 @@
 	dial  Dial
 	lists *relay.Hub
 	log   *slog.Logger
-	whole lifecycle.Room // what it may hold when there is one process
+	whole lifecycle.ConnectionShare // what it may hold when there is one process
 	file  atomic.Pointer[counts.File]
 
 	listed    chan struct{} // closed when a server is known
@@ -82,7 +82,7 @@
 	var legacy *core.Legacy
 	if from != nil {
 		if legacy = &from.Core; from.Out {
-			life.Tell(lifecycle.Evacuate)
+			life.Apply(lifecycle.Evacuate)
 		}
 	}
 	account := membudget.New(c.Limits.Messages())
@@ -122,7 +122,7 @@
 		taker = s.count
 	}
 	s.core, s.up, s.asked, s.front = loop, up, asked, platform.New(settings, taker, life, log)
-	s.whole = lifecycle.Room{Clients: settings.Door.MaxConnections, Servers: c.Limits.Servers()}
+	s.whole = lifecycle.ConnectionShare{Clients: settings.Door.MaxConnections, Servers: c.Limits.Servers()}
 	return s
 }
 
@@ -147,12 +147,12 @@
 // that was taken is answered and the core has ended. Where su is not nil it gives way to a next process.
 func (s *Sidecar) Run(stop context.Context, ln, calls net.Listener, su *Succession) error {
 	terminated := context.AfterFunc(stop, func() {
-		if su != nil && s.life.Status().After(lifecycle.Terminate).Yields() {
+		if su != nil && s.life.Status().After(lifecycle.Terminate).YieldsListener() {
 			if err := sock.Yield(ln); err != nil {
 				s.log.Warn("new connections may still come to this process", "err", err)
 			}
 		}
-		s.life.Tell(lifecycle.Terminate)
+		s.life.Apply(lifecycle.Terminate)
 	})
 	defer terminated()
 	var sides sync.WaitGroup
@@ -183,12 +183,12 @@
 	sides.Go(func() {
 		var late <-chan time.Time // a next process takes nothing over before it can serve
 		if su == nil {
-			late = time.After(lifecycle.ReadyTime)
+			late = time.After(lifecycle.MaxStartWait)
 		}
 		select {
 		case <-s.listed:
 		case <-late:
-			s.log.Warn("ready without a server", "waited", lifecycle.ReadyTime)
+			s.log.Warn("ready without a server", "waited", lifecycle.MaxStartWait)
 		case <-told.Done():
 			return
 		}
@@ -209,7 +209,7 @@
 // tellStates logs each change of the lifecycle, until ctx ends.
 func (s *Sidecar) tellStates(ctx context.Context) {
 	for last := lifecycle.Starting; ; {
-		now, over := s.life.Now()
+		now, over := s.life.Watch()
 		if now.State() != last {
 			last = now.State()
 			s.log.Info("state", "now", last.String())
