--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -238,7 +238,7 @@
 	all := map[string]evidence.Reading{}
 	for name, s := range seen {
 		r := evidence.Reading{Process: s.Process, CPU: s.CPU, Memory: s.Memory}
-		if json.Unmarshal(s.Counts, &r.Told) == nil {
+		if json.Unmarshal(s.Counts, &r.Report) == nil {
 			all[name] = r
 		}
 	}
--- a/internal/coordination/evidence/before.go
+++ b/internal/coordination/evidence/before.go
@@ -16,13 +16,13 @@
 
 // bound is the step of time that a tenth of some requests took longer than.
 type bound struct {
-	took [counts.Steps]uint64
+	took [counts.Buckets]uint64
 	of   uint64
 	step int // once known; -1
 }
 
 func (b *bound) add(c counts.Class) {
-	for i, n := range c.Took {
+	for i, n := range c.Latency {
 		b.took[i] += n
 		b.of += n
 	}
@@ -41,7 +41,7 @@
 // slow is how many of those served took longer than the bound.
 func (b *bound) slow(c counts.Class) judge.Counts {
 	k := judge.Counts{Of: float64(c.Served)}
-	for _, n := range c.Took[b.step+1:] {
+	for _, n := range c.Latency[b.step+1:] {
 		k.Hit += float64(n)
 	}
 	return k
--- a/internal/coordination/evidence/evidence.go
+++ b/internal/coordination/evidence/evidence.go
@@ -31,7 +31,7 @@
 // Reading is what is known of one sidecar's process.
 type Reading struct {
 	Process agent.Process
-	counts.Told
+	counts.Report
 	CPU, Memory uint64 // ticks that it has used, bytes that it has resident
 }
 
@@ -69,8 +69,8 @@
 	sum.Served += c.Served
 	sum.Refused += c.Refused
 	sum.Failed += c.Failed
-	for i, n := range c.Took {
-		sum.Took[i] += n
+	for i, n := range c.Latency {
+		sum.Latency[i] += n
 	}
 	g[at] = sum
 }
@@ -194,9 +194,9 @@
 			continue
 		}
 		one := step{release: now.Process.Release, use: use{growth: float64(now.Memory) - float64(was.Memory), memory: float64(now.Memory),
-			cpu: float64(now.CPU - was.CPU), windows: 1, untold: now.Effort == nil || was.Effort == nil}}
+			cpu: float64(now.CPU - was.CPU), windows: 1, untold: now.ServerUse == nil || was.ServerUse == nil}}
 		if !one.untold {
-			one.effort = counts.Effort{Tries: now.Effort.Tries - was.Effort.Tries, Connections: now.Effort.Connections - was.Effort.Connections, Probes: now.Effort.Probes - was.Effort.Probes}
+			one.effort = counts.ServerUse{Attempts: now.ServerUse.Attempts - was.ServerUse.Attempts, Connections: now.ServerUse.Connections - was.ServerUse.Connections, HealthChecks: now.ServerUse.HealthChecks - was.ServerUse.HealthChecks}
 		}
 		for i, class := range now.Classes {
 			if i < len(was.Classes) && was.Classes[i].Name == class.Name {
@@ -233,8 +233,8 @@
 	now.Served -= was.Served
 	now.Refused -= was.Refused
 	now.Failed -= was.Failed
-	for i := range now.Took {
-		now.Took[i] -= was.Took[i]
+	for i := range now.Latency {
+		now.Latency[i] -= was.Latency[i]
 	}
 	return now
 }
--- a/internal/coordination/evidence/used.go
+++ b/internal/coordination/evidence/used.go
@@ -24,16 +24,16 @@
 	growth, memory, cpu, requests float64
 	windows                       float64 // of a sidecar
 	untold                        bool    // one of them does not tell its effort
-	effort                        counts.Effort
+	effort                        counts.ServerUse
 }
 
 func (u *use) add(more use) {
 	u.growth, u.cpu, u.requests, u.windows = u.growth+more.growth, u.cpu+more.cpu, u.requests+more.requests, u.windows+more.windows
 	u.memory = more.memory // as it is now
 	u.untold = u.untold || more.untold
-	u.effort.Tries += more.effort.Tries
+	u.effort.Attempts += more.effort.Attempts
 	u.effort.Connections += more.effort.Connections
-	u.effort.Probes += more.effort.Probes
+	u.effort.HealthChecks += more.effort.HealthChecks
 }
 
 // alike reports whether both sides' sidecars were asked about as much. What a process uses of itself is shared by its requests: where it has
@@ -92,13 +92,13 @@
 	if n.untold || o.untold {
 		return nil
 	}
-	if err := larger("probes", float64(n.effort.Probes)/n.windows, float64(o.effort.Probes)/o.windows, openPart); err != nil {
+	if err := larger("probes", float64(n.effort.HealthChecks)/n.windows, float64(o.effort.HealthChecks)/o.windows, openPart); err != nil {
 		return err
 	}
 	if n.requests == 0 || o.requests == 0 {
 		return nil
 	}
-	if err := larger("tries", float64(n.effort.Tries)/n.requests, float64(o.effort.Tries)/o.requests, triesPart); err != nil {
+	if err := larger("tries", float64(n.effort.Attempts)/n.requests, float64(o.effort.Attempts)/o.requests, triesPart); err != nil {
 		return err
 	}
 	return larger("connections", float64(n.effort.Connections)/n.requests, float64(o.effort.Connections)/o.requests, openPart)
--- a/internal/sidecar/admin/admin.go
+++ b/internal/sidecar/admin/admin.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// MaxCalls is how many calls are open at once.
+	// MaxCalls is how many calls may be open at the same time.
 	MaxCalls = 24
-	// unheard is for how long a caller is waited for before it makes room for another: its call may be on its way.
-	unheard = 50 * time.Millisecond
-	// callTime is within how much a call must be whole, and lingerTime how long an answered caller is waited for to close.
+	// evictAfter is how long a caller may stay before it is closed for a new one: its call may be on the way.
+	evictAfter = 50 * time.Millisecond
+	// callTime bounds the time for a call to arrive completely, and lingerTime the time for an answered caller to close.
 	callTime   = 2 * time.Second
 	lingerTime = 500 * time.Millisecond
 
@@ -27,35 +27,35 @@
 	maxBody = 4 << 10
 )
 
-// Server answers operators.
+// Server answers the operators' calls. It is safe for concurrent use.
 type Server struct {
-	// Counts gives what GET /api/counts tells, as JSON has it. It must not wait. nil: nothing is counted.
+	// Counts returns the value that GET /api/counts answers as JSON. It must not block. Nil: nothing is counted.
 	Counts func() any
 
-	machine *lifecycle.Machine
-	unheard time.Duration
+	lifecycle  *lifecycle.Machine
+	evictAfter time.Duration
 
-	mu      sync.Mutex
-	open    list.List     // of *caller, the longest here first
-	changed chan struct{} // closed when a caller has gone
-	ended   bool
-	callers sync.WaitGroup
+	mu         sync.Mutex
+	open       list.List     // of *caller, the oldest first
+	callerLeft chan struct{} // closed and replaced when a caller has left
+	ended      bool
+	callers    sync.WaitGroup
 }
 
 // caller is one open connection.
 type caller struct {
 	net.Conn
-	came     time.Time
-	answered bool // it is only waited for to close
-	at       *list.Element
+	accepted time.Time
+	answered bool // it only has to close
+	element  *list.Element
 }
 
-// New makes a server that answers from a machine; Serve runs it.
+// New returns a server that reads and changes a sidecar's lifecycle. Serve runs it.
 func New(m *lifecycle.Machine) *Server {
-	return &Server{machine: m, unheard: unheard, changed: make(chan struct{})}
+	return &Server{lifecycle: m, evictAfter: evictAfter, callerLeft: make(chan struct{})}
 }
 
-// Serve answers calls on ln until that is closed, then ends those that are open and returns.
+// Serve answers calls on ln until that is closed. It then closes the open ones, waits for their goroutines and returns.
 func (s *Server) Serve(ln net.Listener) error {
 	defer s.end()
 	for {
@@ -63,8 +63,8 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case err != nil: // out of descriptors, or a caller that has gone: the next may do better
-			if !s.wait(s.unheard) {
+		case err != nil: // no descriptor is free, or the caller has left: the next Accept may succeed
+			if !s.waitForCaller(s.evictAfter) {
 				return err
 			}
 			continue
@@ -78,13 +78,13 @@
 		go func() {
 			defer s.callers.Done()
 			s.serve(c)
-			s.leave(c)
+			s.finish(c)
 		}()
 	}
 }
 
-// admit finds room for a caller: that of one that is answered already, or of the one that has been silent for the longest,
-// once it has been heard out. It waits that long, with the others in the listener's queue.
+// admit makes a connection an open caller. Where MaxCalls are open it closes one that is answered already or, once that is older than
+// evictAfter, the oldest one; until then it waits, and the others wait in the listener's queue. It returns nil once the server has ended.
 func (s *Server) admit(nc net.Conn) *caller {
 	for {
 		s.mu.Lock()
@@ -94,46 +94,46 @@
 		}
 		now := time.Now()
 		if s.open.Len() < MaxCalls {
-			c := &caller{Conn: nc, came: now}
-			c.at = s.open.PushBack(c)
+			c := &caller{Conn: nc, accepted: now}
+			c.element = s.open.PushBack(c)
 			s.mu.Unlock()
 			return c
 		}
-		victim, wait := s.victim(now)
-		if victim != nil {
-			s.remove(victim)
-			victim.Close()
+		evicted, wait := s.evictionCandidate(now)
+		if evicted != nil {
+			s.remove(evicted)
+			evicted.Close()
 		}
 		s.mu.Unlock()
-		if victim == nil {
-			s.wait(wait)
+		if evicted == nil {
+			s.waitForCaller(wait)
 		}
 	}
 }
 
-// victim is who makes room, or how long there is nobody who does. The caller holds mu.
-func (s *Server) victim(now time.Time) (*caller, time.Duration) {
+// evictionCandidate returns the caller to close for a new one, or how long there is none. The caller of it holds mu.
+func (s *Server) evictionCandidate(now time.Time) (*caller, time.Duration) {
 	for e := s.open.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*caller); c.answered {
 			return c, 0
 		}
 	}
 	c := s.open.Front().Value.(*caller)
-	if wait := s.unheard - now.Sub(c.came); wait > 0 {
+	if wait := s.evictAfter - now.Sub(c.accepted); wait > 0 {
 		return nil, wait
 	}
 	return c, 0
 }
 
-// wait waits until a caller has gone, or for a time; it is false once the server has ended.
-func (s *Server) wait(most time.Duration) bool {
+// waitForCaller waits until a caller has left, or for a time. It returns false once the server has ended.
+func (s *Server) waitForCaller(limit time.Duration) bool {
 	s.mu.Lock()
-	changed, ended := s.changed, s.ended
+	changed, ended := s.callerLeft, s.ended
 	s.mu.Unlock()
 	if ended {
 		return false
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -142,25 +142,26 @@
 	return true
 }
 
-// remove takes a caller out. The caller of it holds mu.
+// remove removes a caller from the open ones, at most once. The caller of it holds mu.
 func (s *Server) remove(c *caller) {
-	if c.at == nil {
+	if c.element == nil {
 		return
 	}
-	s.open.Remove(c.at)
-	c.at = nil
-	close(s.changed)
-	s.changed = make(chan struct{})
+	s.open.Remove(c.element)
+	c.element = nil
+	close(s.callerLeft)
+	s.callerLeft = make(chan struct{})
 }
 
-func (s *Server) leave(c *caller) {
+// finish closes a caller that was served.
+func (s *Server) finish(c *caller) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(c)
 }
 
-// end closes all that is open and waits for who serves it.
+// end closes all open callers and waits for their goroutines.
 func (s *Server) end() {
 	s.mu.Lock()
 	s.ended = true
@@ -171,9 +172,9 @@
 	s.callers.Wait()
 }
 
-// serve reads one call and answers it. Who goes away or says nothing gets no answer.
+// serve reads one call and answers it. A caller that leaves, or sends no complete call in time, gets no answer.
 func (s *Server) serve(c *caller) {
-	c.SetDeadline(c.came.Add(callTime))
+	c.SetDeadline(c.accepted.Add(callTime))
 	limit := &io.LimitedReader{R: c, N: maxHead}
 	in := bufio.NewReaderSize(limit, 1<<10)
 	a, ok := s.read(c, in, limit)
@@ -191,19 +192,19 @@
 	s.mu.Lock()
 	c.answered = true
 	s.mu.Unlock()
-	if t, ok := c.Conn.(interface{ CloseWrite() error }); ok { // a close with bytes unread would reset the answer away
-		t.CloseWrite()
-		io.Copy(io.Discard, io.LimitReader(c, maxBody))
+	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok { // a close over unread bytes would reset the answer away
+		_ = half.CloseWrite() // the connection is closed in any case
+		_, _ = io.Copy(io.Discard, io.LimitReader(c, maxBody))
 	}
 }
 
-// read reads a call and carries it out once it is whole.
+// read reads a call and carries it out once it has arrived completely. It is not ok where the caller is to get no answer.
 func (s *Server) read(c *caller, in *bufio.Reader, limit *io.LimitedReader) (a answer, ok bool) {
 	req, err := http.ReadRequest(in)
 	switch {
 	case err != nil && limit.N <= 0:
 		return answer{status: http.StatusRequestHeaderFieldsTooLarge, text: "a head over 8 KiB"}, true
-	case err != nil && gone(err):
+	case err != nil && incomplete(err):
 		return a, false
 	case err != nil:
 		return answer{status: http.StatusBadRequest, text: "no HTTP/1.1 call"}, true
@@ -217,16 +218,16 @@
 	switch n, err := io.Copy(io.Discard, io.LimitReader(req.Body, maxBody+1)); {
 	case n > maxBody || err != nil && limit.N <= 0:
 		return answer{status: http.StatusRequestEntityTooLarge, text: "a body over 4 KiB"}, true
-	case err != nil && gone(err):
+	case err != nil && incomplete(err):
 		return a, false
 	case err != nil:
 		return answer{status: http.StatusBadRequest, text: "the body cannot be read"}, true
 	}
-	return call(s, req.Method, req.URL.Path), true
+	return handle(s, req.Method, req.URL.Path), true
 }
 
-// gone reports whether the caller said no more, rather than something that makes no sense.
-func gone(err error) bool {
+// incomplete reports whether an error means that the caller sent no more, rather than something invalid.
+func incomplete(err error) bool {
 	var failed net.Error
 	return errors.As(err, &failed) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
--- a/internal/sidecar/admin/calls.go
+++ b/internal/sidecar/admin/calls.go
@@ -8,17 +8,17 @@
 	"petrelhook/internal/sidecar/lifecycle"
 )
 
-// answer is what a call gets.
+// answer is the response to a call.
 type answer struct {
 	status int
-	allow  string // the method that there is, where another was used
+	allow  string // the method of the path, where the call used another
 	text   string
 }
 
-// calls are the paths, each with its method and what it does.
+// calls has the method and the handler of each path.
 var calls = map[string]struct {
 	method string
-	do     func(*Server) answer
+	handle func(*Server) answer
 }{
 	"/api/ready":    {http.MethodGet, ready},
 	"/api/evacuate": {http.MethodPut, evacuate},
@@ -26,8 +26,8 @@
 	"/api/counts":   {http.MethodGet, counts},
 }
 
-// call carries out a call that is whole.
-func call(s *Server, method, path string) answer {
+// handle carries out a complete call.
+func handle(s *Server, method, path string) answer {
 	c, ok := calls[path]
 	switch {
 	case !ok:
@@ -35,23 +35,23 @@
 	case method != c.method:
 		return answer{http.StatusMethodNotAllowed, c.method, fmt.Sprintf("%s is called with %s", path, c.method)}
 	}
-	return c.do(s)
+	return c.handle(s)
 }
 
-// says is the answer that tells the state.
-func says(status int, s lifecycle.Status) answer {
+// stateAnswer returns an answer with the name of the lifecycle's state.
+func stateAnswer(status int, s lifecycle.Status) answer {
 	return answer{status: status, text: s.State().String()}
 }
 
 func ready(s *Server) answer {
-	now := s.machine.Status()
-	if !now.Ready() {
-		return says(http.StatusServiceUnavailable, now)
+	status := s.lifecycle.Status()
+	if !status.Ready() {
+		return stateAnswer(http.StatusServiceUnavailable, status)
 	}
-	return says(http.StatusOK, now)
+	return stateAnswer(http.StatusOK, status)
 }
 
-// counts is what the process has counted, in JSON on one line.
+// counts returns what the process has counted, as JSON on one line.
 func counts(s *Server) answer {
 	if s.Counts == nil {
 		return answer{status: http.StatusNotFound, text: "nothing is counted"}
@@ -63,21 +63,21 @@
 	return answer{status: http.StatusOK, text: string(text)}
 }
 
-func evacuate(a *Server) answer {
-	s, _ := a.machine.Apply(lifecycle.Evacuate)
-	if !s.EvacuationRequested() || s.State() == lifecycle.Stopping {
-		return says(http.StatusConflict, s)
+func evacuate(server *Server) answer {
+	status, _ := server.lifecycle.Apply(lifecycle.Evacuate)
+	if !status.EvacuationRequested() || status.State() == lifecycle.Stopping {
+		return stateAnswer(http.StatusConflict, status)
 	}
-	return says(http.StatusOK, s)
+	return stateAnswer(http.StatusOK, status)
 }
 
-func rejoin(a *Server) answer {
-	switch s, _ := a.machine.Apply(lifecycle.Rejoin); {
-	case s.State() == lifecycle.Stopping:
-		return says(http.StatusConflict, s)
-	case !s.Healthy(): // it was taken in, and holds as soon as a server is known
-		return says(http.StatusServiceUnavailable, s)
+func rejoin(server *Server) answer {
+	switch status, _ := server.lifecycle.Apply(lifecycle.Rejoin); {
+	case status.State() == lifecycle.Stopping:
+		return stateAnswer(http.StatusConflict, status)
+	case !status.Healthy(): // it is accepted, and takes effect as soon as a server is known
+		return stateAnswer(http.StatusServiceUnavailable, status)
 	default:
-		return says(http.StatusOK, s)
+		return stateAnswer(http.StatusOK, status)
 	}
 }
--- a/internal/sidecar/counts/counts.go
+++ b/internal/sidecar/counts/counts.go
@@ -1,13 +1,15 @@
-// Package counts is what a sidecar tells of the requests that it took: how many of each class came to which end, how long those
-// served took, from arrival, and what was asked of servers for them all. It compares nothing and decides nothing; who judges releases (package judge) reads it.
+// Package counts counts the requests of a sidecar process: by class and outcome, with the latencies of those that were served, measured
+// from arrival, and how much the servers were used for them. It compares and decides nothing; the judge of releases (package judge)
+// reads it by way of the agents.
 //
-// Counts are of one process since its start and only grow: who reads them takes differences, and begins anew with another process. A
-// request is counted once, when it ends. Times are counted in steps of a quarter of an octave, a fifth; the numbers of a class are
-// read one after another, so those of one moment may differ by the requests that end meanwhile.
+// Counters belong to one process and only grow: a reader takes differences, and starts again with another process. A request is counted
+// once, when it ends. Latencies are counted in exponential buckets, four to an octave. The counters of a class are read one after
+// another, so a snapshot may be inconsistent by the requests that end meanwhile.
 package counts
 
 import (
 	"context"
+	"errors"
 	"math"
 	"sync/atomic"
 	"time"
@@ -15,42 +17,42 @@
 	"petrelhook/internal/sidecar/front"
 )
 
-// Steps is how many steps of time there are: up to a quarter of a millisecond, and then 4 to an octave; the last has no end.
-const Steps = 64
+// Buckets is the number of latency buckets: the first ends at firstBucket, four follow to an octave, the last has no upper bound.
+const Buckets = 64
 
-const first = 250 * time.Microsecond
+const firstBucket = 250 * time.Microsecond
 
-// Step is the step that a time falls in.
-func Step(took time.Duration) int {
-	if took <= first {
+// Bucket returns the bucket of a latency.
+func Bucket(latency time.Duration) int {
+	if latency <= firstBucket {
 		return 0
 	}
-	return min(Steps-1, int(math.Ceil(4*math.Log2(float64(took)/float64(first)))))
+	return min(Buckets-1, int(math.Ceil(4*math.Log2(float64(latency)/float64(firstBucket)))))
 }
 
-// Class is what is told of one class.
+// Class has the counters of one class of requests, as they are answered to operators and agents.
 type Class struct {
-	Name    string        `json:"name"`
-	Served  uint64        `json:"served"`
-	Refused uint64        `json:"refused"`
-	Failed  uint64        `json:"failed"`
-	Gone    uint64        `json:"gone"` // clients that went away before their answer
-	Took    [Steps]uint64 `json:"took"` // of those served
+	Name       string          `json:"name"`
+	Served     uint64          `json:"served"`
+	Refused    uint64          `json:"refused"`
+	Failed     uint64          `json:"failed"`
+	ClientGone uint64          `json:"gone"` // whose clients left before the response
+	Latency    [Buckets]uint64 `json:"took"` // of those served, by bucket
 }
 
-// Front counts what goes through a front.Core.
+// Front is a front.Core that counts the requests that it passes to another.
 type Front struct {
 	front.Core
 	classes []class
 }
 
 type class struct {
-	name                          string
-	served, refused, failed, gone atomic.Uint64
-	took                          [Steps]atomic.Uint64
+	name                                string
+	served, refused, failed, clientGone atomic.Uint64
+	latency                             [Buckets]atomic.Uint64
 }
 
-// New counts requests of these classes on their way to core.
+// New returns a Front that counts the requests of these classes on their way to core.
 func New(core front.Core, classes []front.Class) *Front {
 	f := &Front{core, make([]class, len(classes))}
 	for i, c := range classes {
@@ -59,7 +61,7 @@
 	return f
 }
 
-// Answer is core's, counted.
+// Answer passes a request to the core and counts its outcome.
 func (f *Front) Answer(ctx context.Context, r front.Request) (front.Answer, error) {
 	a, err := f.Core.Answer(ctx, r)
 	if r.Class < 0 || r.Class >= len(f.classes) {
@@ -67,12 +69,12 @@
 	}
 	c := &f.classes[r.Class]
 	switch {
-	case err != nil && ctx.Err() != nil, err == front.ErrGone:
-		c.gone.Add(1)
-	case err != nil: // it was not taken
+	case err != nil && ctx.Err() != nil, errors.Is(err, front.ErrGone):
+		c.clientGone.Add(1)
+	case err != nil: // it was not accepted
 	case a.Verdict == front.Served:
 		c.served.Add(1)
-		c.took[Step(time.Since(r.Arrived))].Add(1)
+		c.latency[Bucket(time.Since(r.Arrived))].Add(1)
 	case a.Verdict == front.Refused:
 		c.refused.Add(1)
 	default:
@@ -81,14 +83,14 @@
 	return a, err
 }
 
-// Now is what is counted so far.
-func (f *Front) Now() []Class {
+// Snapshot returns the counters of all classes.
+func (f *Front) Snapshot() []Class {
 	all := make([]Class, len(f.classes))
 	for i := range f.classes {
 		c := &f.classes[i]
-		all[i] = Class{Name: c.name, Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(), Gone: c.gone.Load()}
-		for s := range c.took {
-			all[i].Took[s] = c.took[s].Load()
+		all[i] = Class{Name: c.name, Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(), ClientGone: c.clientGone.Load()}
+		for s := range c.latency {
+			all[i].Latency[s] = c.latency[s].Load()
 		}
 	}
 	return all
--- a/internal/sidecar/logwriter/logwriter.go
+++ b/internal/sidecar/logwriter/logwriter.go
@@ -1,10 +1,9 @@
-// Package logwriter writes log lines without holding up who logs: a standard error that takes nothing for a while (a
-// full pipe, a disk that is busy) must not stop the loop that answers requests.
+// Package logwriter writes log lines without blocking the code that logs: a standard error that accepts nothing for a while (a full
+// pipe, a busy disk) must not stop the loop that answers requests.
 //
-// It does not format, and knows nothing of levels. Invariants: lines are written whole and in order; Write returns
-// within Patience, and at once while lines are behind; at most MaxLines wait; what finds no room is dropped, counted,
-// and told of once there is room again. A line that Write returned for in time has been written: who sees what a
-// process did after it finds the line.
+// It does not format lines and knows no levels. Invariants: lines are written completely and in order; Write returns within MaxWait,
+// and at once while earlier lines are late; at most MaxQueued lines wait; further ones are dropped, counted, and reported once the
+// queue is empty. A line whose Write returned in time has been written, so whoever sees a later effect of the process finds the line.
 package logwriter
 
 import (
@@ -15,57 +14,58 @@
 )
 
 const (
-	// Patience is for how long a line may hold up who logs it.
-	Patience = 5 * time.Millisecond
-	// MaxLines is how many wait.
-	MaxLines = 512
+	// MaxWait is how long a Write may block.
+	MaxWait = 5 * time.Millisecond
+	// MaxQueued is how many lines may wait to be written.
+	MaxQueued = 512
 )
 
-// Writer is one. It has to be closed.
+// Writer is an io.Writer for log lines. It has to be closed. It is safe for concurrent use.
 type Writer struct {
-	to      io.Writer
-	dropped func(lines int) // tells of lines that were dropped, to the same end
-	lines   chan line
-	ended   chan struct{}
+	output    io.Writer
+	onDropped func(lines int) // logs to the same output how many lines were dropped
+	lines     chan line
+	ended     chan struct{}
 
-	mu     sync.Mutex
-	closed bool
-	behind bool // a line was not written in time, and those behind it are not all written yet
-	lost   int  // lines dropped that nobody was told of
+	mu         sync.Mutex
+	closed     bool
+	behind     bool // a line was late, and those behind it are not all written yet
+	unreported int  // dropped lines that were not reported yet
 }
 
-// line is one, and what is closed once it is written.
+// line is a queued line; written is closed once it is written.
 type line struct {
 	text    []byte
 	written chan struct{}
 }
 
-// New begins a writer. dropped is called, from one goroutine, as soon as there is room again after lines were dropped.
-func New(to io.Writer, dropped func(lines int)) *Writer {
-	w := &Writer{to: to, dropped: dropped, lines: make(chan line, MaxLines), ended: make(chan struct{})}
+// New starts a writer. onDropped is called from its goroutine when the queue is empty again after lines were dropped.
+func New(output io.Writer, onDropped func(lines int)) *Writer {
+	w := &Writer{output: output, onDropped: onDropped, lines: make(chan line, MaxQueued), ended: make(chan struct{})}
 	go w.run()
 	return w
 }
 
+// run writes the queued lines until Close.
 func (w *Writer) run() {
 	defer close(w.ended)
 	for l := range w.lines {
-		w.to.Write(l.text) // whom would an error be told
+		_, _ = w.output.Write(l.text) // there is nowhere to report an error of the log itself
 		close(l.written)
 		if len(w.lines) > 0 {
 			continue
 		}
 		w.mu.Lock()
-		lost := w.lost
-		w.behind, w.lost = false, 0
+		dropped := w.unreported
+		w.behind, w.unreported = false, 0
 		w.mu.Unlock()
-		if lost > 0 {
-			w.dropped(lost)
+		if dropped > 0 {
+			w.onDropped(dropped)
 		}
 	}
 }
 
-// Write implements io.Writer: text is one or more whole lines. It never fails.
+// Write implements io.Writer: text is one or more complete lines. It never returns an error.
 func (w *Writer) Write(text []byte) (int, error) {
 	l := line{bytes.Clone(text), make(chan struct{})}
 	w.mu.Lock()
@@ -75,18 +75,18 @@
 		case w.lines <- l:
 			wait = !w.behind
 		default:
-			w.lost++
+			w.unreported++
 		}
 	}
 	w.mu.Unlock()
 	if !wait {
 		return len(text), nil
 	}
-	late := time.NewTimer(Patience)
-	defer late.Stop()
+	timeout := time.NewTimer(MaxWait)
+	defer timeout.Stop()
 	select {
 	case <-l.written:
-	case <-late.C:
+	case <-timeout.C:
 		w.mu.Lock()
 		w.behind = true
 		w.mu.Unlock()
@@ -94,18 +94,18 @@
 	return len(text), nil
 }
 
-// Close waits until all lines are written, for a time at most, and takes no more.
-func (w *Writer) Close(most time.Duration) {
+// Close accepts no more lines, and waits until all are written, for a time at most.
+func (w *Writer) Close(limit time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
 		w.closed = true
 		close(w.lines)
 	}
 	w.mu.Unlock()
-	late := time.NewTimer(most)
-	defer late.Stop()
+	timeout := time.NewTimer(limit)
+	defer timeout.Stop()
 	select {
 	case <-w.ended:
-	case <-late.C:
+	case <-timeout.C:
 	}
 }
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -163,9 +163,9 @@
 			if s.count != nil {
 				endpoint.Counts = func() any {
 					return struct {
-						counts.Told
+						counts.Report
 						File *counts.File `json:"file"`
-					}{counts.Told{Classes: s.count.Now(), Effort: s.asked.Now()}, s.file.Load()}
+					}{counts.Report{Classes: s.count.Snapshot(), ServerUse: s.asked.Snapshot()}, s.file.Load()}
 				}
 			}
 			if err := endpoint.Serve(calls); err != nil {
