--- a/internal/router/node/control.go
+++ b/internal/router/node/control.go
@@ -112,7 +112,7 @@
 // redirect sends a caller to the primary, where this is not it.
 func (n *Node) redirect(w http.ResponseWriter, r *http.Request) bool {
 	n.mutex.Lock()
-	primary := n.replica.Primary()
+	primary := n.replica.IsPrimary()
 	address := n.view.PrimaryAddress()
 	touch := n.core() && n.replica.InTouch() || !n.core() && n.home.touch && n.now()-n.home.heard < homeSilent
 	n.mutex.Unlock()
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -21,7 +21,7 @@
 
 // noteLead begins and ends this sidecar's term as the one that divides limits.
 func (n *Node) noteLead() {
-	if !n.replica.Primary() {
+	if !n.replica.IsPrimary() {
 		if n.replica.View().Primary != n.replica.Self.ID {
 			n.allocator, n.tokenBuckets = nil, nil
 		}
--- a/internal/router/node/start.go
+++ b/internal/router/node/start.go
@@ -34,7 +34,7 @@
 	var err error
 	n.replica, err = replication.New(o, kept, n.register, n.now())
 	if err == nil && n.self.Member != nil {
-		n.replica.Eligible(*n.self.Member)
+		n.replica.AddEligible(*n.self.Member)
 	}
 	return errors.Wrap(err, "replica")
 }
--- a/internal/router/node/status.go
+++ b/internal/router/node/status.go
@@ -45,7 +45,7 @@
 func (n *Node) Status() Status {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	s := Status{Node: n.settings.NodeName, Zone: n.settings.Zone, Ready: n.ready.Load(), Core: n.core(), Primary: n.replica.Primary(),
+	s := Status{Node: n.settings.NodeName, Zone: n.settings.Zone, Ready: n.ready.Load(), Core: n.core(), Primary: n.replica.IsPrimary(),
 		Home: n.home.address, View: n.view, Replica: n.replica.Status(), Version: n.compiled, Fleet: n.fleet, Servers: n.gateway.Servers(),
 		SentBytes: n.transport.Sent()}
 	s.InTouch = s.Core && n.replica.InTouch() || !s.Core && n.home.touch && n.now()-n.home.heard < homeSilent
--- a/internal/router/node/subscription.go
+++ b/internal/router/node/subscription.go
@@ -36,7 +36,7 @@
 func (n *Node) onSession(from string, m *dissemination.SubscriptionHeartbeat, now time.Duration) {
 	if m.Node.Member != nil {
 		n.eligible[m.Node.Member.ID] = *m.Node.Member
-		n.replica.Eligible(*m.Node.Member)
+		n.replica.AddEligible(*m.Node.Member)
 	}
 	if n.view.Epoch.Less(m.View) && !m.Subscribe {
 		n.transport.Send(from, dissemination.SubscriptionHeartbeat{Node: n.self, View: n.view.Epoch})
@@ -175,7 +175,7 @@
 func (n *Node) onPush(from string, p *dissemination.Push, now time.Duration) {
 	for _, m := range p.Eligible {
 		n.eligible[m.ID] = m
-		n.replica.Eligible(m)
+		n.replica.AddEligible(m)
 	}
 	if p.View != nil {
 		n.noteView(*p.View)
--- a/internal/router/replication/abandoned_test.go
+++ b/internal/router/replication/abandoned_test.go
@@ -35,7 +35,7 @@
 func (s *simulation) writeAndRead(round int) {
 	for client, address := range s.addresses() {
 		h := s.hosts[address]
-		if p := h.process; p != nil && p.replica.Primary() {
+		if p := h.process; p != nil && p.replica.IsPrimary() {
 			s.callAt(p, operation{client: client, write: true, base: p.machine.Version, value: string(rune('b'+round)) + address})
 			s.callAt(p, operation{client: 10 + client})
 		}
@@ -160,7 +160,7 @@
 	})
 	for range 20 {
 		s.run(s.now + 50*time.Millisecond)
-		if s.old.replica.Primary() {
+		if s.old.replica.IsPrimary() {
 			s.callAt(s.old, operation{client: 2})
 		}
 	}
--- a/internal/router/replication/explore_heal_test.go
+++ b/internal/router/replication/explore_heal_test.go
@@ -41,7 +41,7 @@
 		for _, address := range sortedKeys(h.nodes) {
 			r := h.nodes[address].replica
 			r.Tick(h.now)
-			if r.Primary() && time.Duration(tick)*healTick%healProbe == 0 {
+			if r.IsPrimary() && time.Duration(tick)*healTick%healProbe == 0 {
 				r.Propose(probeToken, []byte("probe"), h.now)
 			}
 			h.carryOut(address)
--- a/internal/router/replication/explore_world_test.go
+++ b/internal/router/replication/explore_world_test.go
@@ -109,7 +109,7 @@
 	for _, n := range w.nodes {
 		n.replica.known = first
 		for address, zone := range zones {
-			n.replica.Eligible(Member{ID: address, Address: address, Zone: zone})
+			n.replica.AddEligible(Member{ID: address, Address: address, Zone: zone})
 		}
 	}
 	lead := w.nodes["a"].replica
--- a/internal/router/replication/guards_test.go
+++ b/internal/router/replication/guards_test.go
@@ -22,7 +22,7 @@
 // leaderAmong is a process on one of some hosts that says it is primary.
 func leaderAmong(hosts []*host) *process {
 	for _, h := range hosts {
-		if h.process != nil && h.process.replica.Primary() {
+		if h.process != nil && h.process.replica.IsPrimary() {
 			return h.process
 		}
 	}
@@ -99,7 +99,7 @@
 		require.Less(t, i, 19)
 	}
 	old.host.frozenUntil = s.now // it wakes, and the first that it hears is a reader
-	require.True(t, old.replica.Primary())
+	require.True(t, old.replica.IsPrimary())
 	s.callAt(old, operation{client: 2})
 	s.run(s.now + 2*time.Second)
 	require.Equal(t, porcupine.Ok, check(s.history))
@@ -124,12 +124,12 @@
 	next := slow.process
 	s.with(next, func() { next.replica.Receive(old.host.address, takeOver, s.now) })
 	for range 100 {
-		if next.replica.Primary() {
+		if next.replica.IsPrimary() {
 			break
 		}
 		s.run(s.now + 10*time.Millisecond)
 	}
-	require.True(t, next.replica.Primary())
+	require.True(t, next.replica.IsPrimary())
 	s.callAt(next, operation{client: 2})
 	s.run(s.now + 20*time.Millisecond)
 	s.kill(next.host)
@@ -184,7 +184,7 @@
 		}
 		for client, side := range [][]*host{within, followers} {
 			for _, h := range side {
-				if p := h.process; p.replica.Primary() {
+				if p := h.process; p.replica.IsPrimary() {
 					s.callAt(p, operation{client: client, write: true, base: p.machine.Version, value: string(rune('b'+round)) + h.address})
 					s.callAt(p, operation{client: 10 + client})
 				}
--- a/internal/router/replication/heartbeat.go
+++ b/internal/router/replication/heartbeat.go
@@ -40,8 +40,8 @@
 }
 
 func (r *Replica) onHeartbeat(m Heartbeat, from string) {
-	ack := HeartbeatAck{Epoch: m.Epoch, Number: m.Number, From: r.Self, Promised: r.hard.Promised, Known: r.known.Epoch, DiskFails: r.stalled(),
-		Disk: !r.Witness, Position: r.durable, Leaving: r.leaving}
+	ack := HeartbeatAck{Epoch: m.Epoch, Number: m.Number, From: r.Self, Promised: r.hard.Promised, KnownEpoch: r.known.Epoch, DiskFails: r.stalled(),
+		HasDisk: !r.Witness, Position: r.durable, Leaving: r.leaving}
 	if m.Epoch.Less(r.hard.Promised) {
 		r.send(from, ack)
 		return
@@ -54,7 +54,7 @@
 	}
 	r.heard, r.heardEver = r.now, true
 	r.preVote = preVote{}
-	ack.Known = r.known.Epoch
+	ack.KnownEpoch = r.known.Epoch
 	r.send(from, ack)
 	if r.known.Epoch != m.Epoch {
 		return // the next heartbeat brings the view
@@ -82,10 +82,10 @@
 		r.recampaign()
 		return
 	}
-	r.Eligible(m.From)
+	r.AddEligible(m.From)
 	a := l.acked[m.From.ID]
-	l.acked[m.From.ID] = memberAck{member: m.From, beat: max(a.beat, m.Number), at: r.now, fails: m.DiskFails, known: m.Known,
-		disk: m.Disk, position: m.Position, leaving: m.Leaving}
+	l.acked[m.From.ID] = memberAck{member: m.From, beat: max(a.beat, m.Number), at: r.now, fails: m.DiskFails, known: m.KnownEpoch,
+		disk: m.HasDisk, position: m.Position, leaving: m.Leaving}
 	r.checkConfirms()
 	r.teach(m.From.ID)
 }
--- a/internal/router/replication/history_test.go
+++ b/internal/router/replication/history_test.go
@@ -350,7 +350,7 @@
 	next := leaderAmong(s.followers(old))
 	require.NotNil(t, next)
 	old.host.frozenUntil, old.host.deafUntil = s.now, s.now
-	require.True(t, old.replica.Primary())
+	require.True(t, old.replica.IsPrimary())
 	s.callAt(old, operation{client: 1, write: true, base: old.machine.Version, value: "b"})
 	s.run(s.now + 20*time.Millisecond)
 	s.callAt(next, operation{client: 2})
--- a/internal/router/replication/messages.go
+++ b/internal/router/replication/messages.go
@@ -73,15 +73,15 @@
 
 // HeartbeatAck answers Heartbeat.
 type HeartbeatAck struct {
-	Epoch     Epoch
-	Number    uint64
-	From      Member
-	Promised  Epoch
-	Known     Epoch // the view that it knows to be in force
-	DiskFails bool
-	Disk      bool     // it has one: it may become a member
-	Position  Position // of what is on it
-	Leaving   bool     // its process is about to end
+	Epoch      Epoch
+	Number     uint64
+	From       Member
+	Promised   Epoch
+	KnownEpoch Epoch // the view that it knows to be in force
+	DiskFails  bool
+	HasDisk    bool     // it has one: it may become a member
+	Position   Position // of what is on it
+	Leaving    bool     // its process is about to end
 }
 
 // SnapshotChunk brings a part of the state at a position to a learner: one outside the in-sync set that has a disk.
--- a/internal/router/replication/prevote.go
+++ b/internal/router/replication/prevote.go
@@ -15,9 +15,9 @@
 
 // PreVoteReply answers PreVote.
 type PreVoteReply struct {
-	Voters   []string // the witness identities that would promise
-	Accepted View     // what they would say that they accepted
-	Hears    bool     // they would promise nothing, for they hear of a primary or candidate
+	Voters        []string // the witness identities that would promise
+	Accepted      View     // what they would say that they accepted
+	LeaderContact bool     // they would promise nothing, for they hear of a primary or candidate
 }
 
 // preVote is what a follower that suspects the primary has heard from the others.
@@ -63,14 +63,14 @@
 		return
 	}
 	hears := r.role != follower || r.now-r.heard < heardRecently
-	r.send(m.From.Address, PreVoteReply{Voters: voters, Accepted: r.hard.Accepted, Hears: hears})
+	r.send(m.From.Address, PreVoteReply{Voters: voters, Accepted: r.hard.Accepted, LeaderContact: hears})
 }
 
 func (r *Replica) onPreVoteReply(m PreVoteReply, from string) {
 	if r.preVote.replies == nil {
 		return
 	}
-	if m.Hears {
+	if m.LeaderContact {
 		delete(r.preVote.replies, from)
 		return
 	}
--- a/internal/router/replication/replica.go
+++ b/internal/router/replication/replica.go
@@ -34,27 +34,27 @@
 
 // Times of the protocol.
 const (
-	HeartbeatEvery = 100 * time.Millisecond
-	suspectAfter   = 600 * time.Millisecond  // without a heartbeat
-	suspectStep    = 50 * time.Millisecond   // candidates of a view wait in turn
-	restartLead    = suspectAfter            // a process that starts has heard nobody, and asks at once whether others do
-	heardRecently  = 400 * time.Millisecond  // a witness that hears the primary promises nothing to others
-	phaseWait      = 200 * time.Millisecond  // for answers beyond those that are needed, at the most
-	promiseSlack   = 40 * time.Millisecond   // for promises beyond a majority, and twice what the others took
-	phaseLimit     = 1200 * time.Millisecond // after which a candidacy is given up
-	resendEvery    = 100 * time.Millisecond
-	entryLimit     = 350 * time.Millisecond // after which an in-sync member that does not answer is dropped
-	entryLimitByte = 500 * time.Nanosecond  // more of it for each byte of the entry
-	reachable      = 500 * time.Millisecond // since its last heartbeat ack
-	reviewEvery    = 400 * time.Millisecond // between two changes of a view that nobody waits for
-	maxReviewWait  = 4 * time.Second        // where changes bring nothing
-	genesisStep    = 500 * time.Millisecond // candidates for the first view wait in turn
-	genesisWait    = 700 * time.Millisecond // from the last new sidecar of the first start to the first view
-	diskStall      = 500 * time.Millisecond
-	diskRetry      = 300 * time.Millisecond
-	recentEntries  = 32 // published with a state
-	compactEvery   = 32 // entries between two snapshots on the disk
-	maxProposals   = 64
+	HeartbeatInterval = 100 * time.Millisecond
+	suspectAfter      = 600 * time.Millisecond  // without a heartbeat
+	suspectStep       = 50 * time.Millisecond   // candidates of a view wait in turn
+	restartLead       = suspectAfter            // a process that starts has heard nobody, and asks at once whether others do
+	heardRecently     = 400 * time.Millisecond  // a witness that hears the primary promises nothing to others
+	phaseWait         = 200 * time.Millisecond  // for answers beyond those that are needed, at the most
+	promiseSlack      = 40 * time.Millisecond   // for promises beyond a majority, and twice what the others took
+	phaseLimit        = 1200 * time.Millisecond // after which a candidacy is given up
+	resendEvery       = 100 * time.Millisecond
+	entryLimit        = 350 * time.Millisecond // after which an in-sync member that does not answer is dropped
+	entryLimitByte    = 500 * time.Nanosecond  // more of it for each byte of the entry
+	reachable         = 500 * time.Millisecond // since its last heartbeat ack
+	reviewEvery       = 400 * time.Millisecond // between two changes of a view that nobody waits for
+	maxReviewWait     = 4 * time.Second        // where changes bring nothing
+	genesisStep       = 500 * time.Millisecond // candidates for the first view wait in turn
+	genesisWait       = 700 * time.Millisecond // from the last new sidecar of the first start to the first view
+	diskStall         = 500 * time.Millisecond
+	diskRetry         = 300 * time.Millisecond
+	recentEntries     = 32 // published with a state
+	compactEvery      = 32 // entries between two snapshots on the disk
+	maxProposals      = 64
 )
 
 // Options say who a replica is.
@@ -160,8 +160,8 @@
 // View is the newest view that is known to be in force.
 func (r *Replica) View() View { return r.known }
 
-// Primary reports whether this replica leads.
-func (r *Replica) Primary() bool { return r.role == primary }
+// IsPrimary reports whether this replica leads.
+func (r *Replica) IsPrimary() bool { return r.role == primary }
 
 // InTouch reports whether a majority answered this primary, or the primary was heard, lately.
 func (r *Replica) InTouch() bool {
@@ -171,8 +171,8 @@
 	return r.heardEver && r.now-r.heard < suspectAfter
 }
 
-// Eligible notes a sidecar that can be a member.
-func (r *Replica) Eligible(m Member) {
+// AddEligible notes a sidecar that can be a member.
+func (r *Replica) AddEligible(m Member) {
 	if _, ok := r.candidates[m.ID]; !ok {
 		r.lastNewcomer = r.now
 	}
--- a/internal/router/replication/replication_test.go
+++ b/internal/router/replication/replication_test.go
@@ -199,7 +199,7 @@
 	s.heal()
 	s.run(s.now + 2*time.Second)
 	require.Equal(t, epoch, p.replica.View().Epoch)
-	require.True(t, p.replica.Primary())
+	require.True(t, p.replica.IsPrimary())
 }
 
 // When all processes start at once there is a primary as soon as they have asked one another.
--- a/internal/router/replication/sim_test.go
+++ b/internal/router/replication/sim_test.go
@@ -198,7 +198,7 @@
 			q := other.process
 			self := p.replica.Self
 			s.after(s.delay(), func() {
-				s.with(q, func() { q.replica.Eligible(self) })
+				s.with(q, func() { q.replica.AddEligible(self) })
 			})
 		}
 	}
@@ -352,7 +352,7 @@
 func (s *simulation) primary() *process {
 	for _, address := range s.addresses() {
 		h := s.hosts[address]
-		if h.process != nil && h.process.replica.Primary() && h.process.replica.InTouch() {
+		if h.process != nil && h.process.replica.IsPrimary() && h.process.replica.InTouch() {
 			return h.process
 		}
 	}
@@ -390,7 +390,7 @@
 func (s *simulation) call(o operation) {
 	var p *process
 	for _, address := range s.addresses() {
-		if q := s.hosts[address].process; q != nil && q.replica.Primary() && (p == nil || s.random.Intn(2) == 0) {
+		if q := s.hosts[address].process; q != nil && q.replica.IsPrimary() && (p == nil || s.random.Intn(2) == 0) {
 			p = q
 		}
 	}
--- a/internal/router/replication/step.go
+++ b/internal/router/replication/step.go
@@ -122,7 +122,7 @@
 		r.Resign(r.now)
 		return
 	}
-	if r.now-l.lastBeat >= HeartbeatEvery {
+	if r.now-l.lastBeat >= HeartbeatInterval {
 		r.heartbeat()
 	}
 	if l.staged != nil && r.now-l.stagedAt > entryLimit+time.Duration(len(l.staged.data))*entryLimitByte {
--- a/internal/router/replication/worst_days_test.go
+++ b/internal/router/replication/worst_days_test.go
@@ -57,7 +57,7 @@
 			d.read(2)
 		}
 		for _, h := range d.ordered() { // whoever says that it is primary, in touch or not
-			if p := h.process; p != nil && p.replica.Primary() && d.random.Intn(4) == 0 {
+			if p := h.process; p != nil && p.replica.IsPrimary() && d.random.Intn(4) == 0 {
 				d.written++
 				d.callAt(p, operation{client: 3, write: true, base: p.machine.Version, value: fmt.Sprint("w", d.written)})
 				d.callAt(p, operation{client: 4})
--- a/internal/router/wireformat/replication.go
+++ b/internal/router/wireformat/replication.go
@@ -2,6 +2,21 @@
 
 import "petrelhook/internal/router/replication"
 
+// wirePreVoteReply is replication.PreVoteReply as it is sent.
+type wirePreVoteReply struct {
+	Voters   []string
+	Accepted replication.View
+	Hears    bool // LeaderContact
+}
+
+func toWirePreVoteReply(m replication.PreVoteReply) wirePreVoteReply {
+	return wirePreVoteReply{Voters: m.Voters, Accepted: m.Accepted, Hears: m.LeaderContact}
+}
+
+func (w wirePreVoteReply) message() replication.PreVoteReply {
+	return replication.PreVoteReply{Voters: w.Voters, Accepted: w.Accepted, LeaderContact: w.Hears}
+}
+
 // wireHeartbeat is replication.Heartbeat as it is sent.
 type wireHeartbeat struct {
 	Epoch     replication.Epoch
@@ -24,9 +39,9 @@
 	Beat      uint64 // Number
 	From      replication.Member
 	Promised  replication.Epoch
-	Known     replication.Epoch
+	Known     replication.Epoch // KnownEpoch
 	DiskFails bool
-	Disk      bool
+	Disk      bool // HasDisk
 	Position  replication.Position
 	Leaving   bool
 }
@@ -37,9 +52,9 @@
 		Beat:      m.Number,
 		From:      m.From,
 		Promised:  m.Promised,
-		Known:     m.Known,
+		Known:     m.KnownEpoch,
 		DiskFails: m.DiskFails,
-		Disk:      m.Disk,
+		Disk:      m.HasDisk,
 		Position:  m.Position,
 		Leaving:   m.Leaving,
 	}
@@ -47,14 +62,14 @@
 
 func (w wireHeartbeatAck) message() replication.HeartbeatAck {
 	return replication.HeartbeatAck{
-		Epoch:     w.Epoch,
-		Number:    w.Beat,
-		From:      w.From,
-		Promised:  w.Promised,
-		Known:     w.Known,
-		DiskFails: w.DiskFails,
-		Disk:      w.Disk,
-		Position:  w.Position,
-		Leaving:   w.Leaving,
+		Epoch:      w.Epoch,
+		Number:     w.Beat,
+		From:       w.From,
+		Promised:   w.Promised,
+		KnownEpoch: w.Known,
+		DiskFails:  w.DiskFails,
+		HasDisk:    w.Disk,
+		Position:   w.Position,
+		Leaving:    w.Leaving,
 	}
 }
--- a/internal/router/wireformat/wireformat.go
+++ b/internal/router/wireformat/wireformat.go
@@ -50,7 +50,7 @@
 	disseminationPrefix + "PoolTaken":          dissemination.PoolAcquired{},
 
 	replicationPrefix + "PreVote":        replication.PreVote{},
-	replicationPrefix + "PreVoteReply":   replication.PreVoteReply{},
+	replicationPrefix + "PreVoteReply":   wirePreVoteReply{},
 	replicationPrefix + "Prepare":        replication.Prepare{},
 	replicationPrefix + "Promise":        replication.Promise{},
 	replicationPrefix + "Sync":           replication.Sync{},
@@ -96,6 +96,8 @@
 		return wireDrain{Request: m.Request, Instance: toWireInstance(m.Instance)}
 	case dissemination.QuotaRequest:
 		return toWireQuotaRequest(m)
+	case replication.PreVoteReply:
+		return toWirePreVoteReply(m)
 	case replication.Heartbeat:
 		return toWireHeartbeat(m)
 	case replication.HeartbeatAck:
@@ -118,6 +120,8 @@
 		return dissemination.Drain{Request: w.Request, Instance: w.Instance.instance()}
 	case wireQuotaRequest:
 		return w.message()
+	case wirePreVoteReply:
+		return w.message()
 	case wireHeartbeat:
 		return w.message()
 	case wireHeartbeatAck:
--- a/internal/router/wireformat/wireformat_test.go
+++ b/internal/router/wireformat/wireformat_test.go
@@ -134,6 +134,10 @@
 		codec.FromWire(wireQuotaRequest{Nonce: 1, Life: 2, Held: map[string]float64{"t": 3}}))
 	require.Equal(t, replication.Heartbeat{Number: 4, Committed: 5}, codec.FromWire(wireHeartbeat{Beat: 4, Committed: 5}))
 	require.Equal(t, replication.HeartbeatAck{Number: 6, Leaving: true}, codec.FromWire(wireHeartbeatAck{Beat: 6, Leaving: true}))
+	epoch := replication.Epoch{Round: 7, Node: "a"}
+	require.Equal(t, replication.HeartbeatAck{KnownEpoch: epoch}, codec.FromWire(wireHeartbeatAck{Known: epoch}))
+	require.Equal(t, replication.HeartbeatAck{HasDisk: true}, codec.FromWire(wireHeartbeatAck{Disk: true}))
+	require.Equal(t, replication.PreVoteReply{LeaderContact: true}, codec.FromWire(wirePreVoteReply{Hears: true}))
 }
 
 // The list of servers that the recorded version left on a disk is read.
