--- a/internal/router/replication/abandoned_test.go
+++ b/internal/router/replication/abandoned_test.go
@@ -45,19 +45,19 @@
 // abandonedChange is a core of three whose primary has proposed a view of five, which is on its own disk alone.
 type abandonedChange struct {
 	*simulation
-	old       *process
-	followers []*host
-	within    []*host // the primary's and those that join
-	view      Epoch
+	oldPrimary  *process
+	followers   []*host
+	joiningSide []*host // the primary's and those that join
+	view        Epoch
 }
 
 func abandonAChange(t *testing.T) *abandonedChange {
-	s, old := coreWithAValue(t)
-	a := &abandonedChange{simulation: s, old: old, followers: s.followers(old)}
+	s, old := coreWithValue(t)
+	a := &abandonedChange{simulation: s, oldPrimary: old, followers: s.followers(old)}
 	joining := s.join("10.1.0.1:7000", "10.1.1.1:7000")
-	a.within = append([]*host{old.host}, joining...)
+	a.joiningSide = append([]*host{old.host}, joining...)
 	s.mutate = func(_ *process, m Message) Message {
-		if _, accept := m.(Accept); accept || a.ofFollowers(m) {
+		if _, accept := m.(Accept); accept || a.isFromFollower(m) {
 			return nil
 		}
 		return m
@@ -71,14 +71,14 @@
 	return a
 }
 
-// ofFollowers: a message by which a member before would become a candidate.
-func (a *abandonedChange) ofFollowers(m Message) bool {
+// isFromFollower: a message by which a member before would become a candidate.
+func (a *abandonedChange) isFromFollower(m Message) bool {
 	from := sender(m)
 	return from != "" && (from == a.followers[0].process.replica.Self.ID || from == a.followers[1].process.replica.Self.ID)
 }
 
-// late: an Accept of the view that was given up.
-func (a *abandonedChange) late(m Message) bool {
+// isLateAccept: an Accept of the view that was given up.
+func (a *abandonedChange) isLateAccept(m Message) bool {
 	accept, ok := m.(Accept)
 	return ok && accept.View.Epoch == a.view
 }
@@ -94,18 +94,18 @@
 		_, accept := m.(Accept)
 		_, sync := m.(Sync)
 		switch {
-		case s.late(m) || !separated && s.ofFollowers(m):
+		case s.isLateAccept(m) || !separated && s.isFromFollower(m):
 			return nil
-		case to.host == s.followers[1] && sender(m) == s.old.replica.Self.ID:
+		case to.host == s.followers[1] && sender(m) == s.oldPrimary.replica.Self.ID:
 			return nil
 		case !separated && to.host == s.followers[0] && (accept || sync):
 			separated = true
-			s.separate(s.followers, s.within)
+			s.partition(s.followers, s.joiningSide)
 			return nil
 		}
 		return m
 	}
-	s.with(s.old, func() { s.old.replica.campaign(true) })
+	s.runIn(s.oldPrimary, func() { s.oldPrimary.replica.campaign(true) })
 	s.run(s.now + 2*time.Second)
 	require.True(t, separated)
 	for round := range 8 {
@@ -127,9 +127,9 @@
 // though they would accept its view.
 func TestAnAbandonedChangeHidesNoLaterView(t *testing.T) {
 	s := abandonAChange(t)
-	s.separate(s.followers, s.within)
+	s.partition(s.followers, s.joiningSide)
 	s.mutate = func(_ *process, m Message) Message {
-		if s.late(m) {
+		if s.isLateAccept(m) {
 			return nil
 		}
 		return m
@@ -154,14 +154,14 @@
 		}
 		return m
 	}
-	s.with(s.old, func() {
-		s.old.replica.hard.Promised = Epoch{Round: next.replica.hard.Promised.Round}
-		s.old.replica.campaign(true)
+	s.runIn(s.oldPrimary, func() {
+		s.oldPrimary.replica.hard.Promised = Epoch{Round: next.replica.hard.Promised.Round}
+		s.oldPrimary.replica.campaign(true)
 	})
 	for range 20 {
 		s.run(s.now + 50*time.Millisecond)
-		if s.old.replica.IsPrimary() {
-			s.callAt(s.old, operation{client: 2})
+		if s.oldPrimary.replica.IsPrimary() {
+			s.callAt(s.oldPrimary, operation{client: 2})
 		}
 	}
 	s.mutate = nil
@@ -179,8 +179,8 @@
 	r := preVoter(t, joint)
 	view := r.View()
 	require.Zero(t, view.Epoch.Round)
-	require.Zero(t, r.known.Epoch.Round)
-	require.True(t, r.suspicious())
+	require.Zero(t, r.knownView.Epoch.Round)
+	require.True(t, r.suspectsPrimary())
 	inForce := preVoter(t, viewOf(5, "a", "b")).View()
 	require.Equal(t, uint64(5), inForce.Epoch.Round)
 }
--- a/internal/router/replication/explore_heal_test.go
+++ b/internal/router/replication/explore_heal_test.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	recovery   = 12 * time.Second // RecoveryS: by then an order is taken, whatever state the core was left in
-	healTick   = 50 * time.Millisecond
-	healDelay  = time.Millisecond
-	healProbe  = 300 * time.Millisecond // between two orders
-	probeToken = 1 << 32
+	recovery             = 12 * time.Second // RecoveryS: by then an order is taken, whatever state the core was left in
+	healTick             = 50 * time.Millisecond
+	healDelay            = time.Millisecond
+	healProposalInterval = 300 * time.Millisecond // between two orders
+	probeToken           = 1 << 32
 )
 
 // sentMessage is a message on its way while a world heals.
@@ -25,9 +25,9 @@
 // healing is a world in which everything works from now on: messages arrive, disks sync, all machines run.
 type healing struct {
 	*world
-	now   time.Duration
-	sent  []sentMessage
-	taken bool
+	now       time.Duration
+	sent      []sentMessage
+	committed bool
 }
 
 // heal plays a world on and reports whether somebody takes an order within the time for recovery, on top of all that was acknowledged.
@@ -37,21 +37,21 @@
 		h.node(address)
 	}
 	until := h.now + recovery
-	for tick := 0; h.now < until && !h.taken; tick++ {
+	for tick := 0; h.now < until && !h.committed; tick++ {
 		for _, address := range sortedKeys(h.nodes) {
 			r := h.nodes[address].replica
 			r.Tick(h.now)
-			if r.IsPrimary() && time.Duration(tick)*healTick%healProbe == 0 {
+			if r.IsPrimary() && time.Duration(tick)*healTick%healProposalInterval == 0 {
 				r.Propose(probeToken, []byte("probe"), h.now)
 			}
-			h.carryOut(address)
+			h.executeEffects(address)
 		}
 		h.deliverUntil(h.now + healTick)
 	}
-	if !h.taken {
+	if !h.committed {
 		return "nobody takes an order: " + h.status()
 	}
-	return h.broken()
+	return h.violation()
 }
 
 func (h *healing) status() (text string) {
@@ -61,7 +61,7 @@
 	return text
 }
 
-func (h *healing) carryOut(address string) {
+func (h *healing) executeEffects(address string) {
 	r := h.nodes[address].replica
 	for effects := r.Effects(); len(effects) > 0; effects = r.Effects() {
 		for _, one := range effects {
@@ -73,7 +73,7 @@
 					h.sent = append(h.sent, sentMessage{h.now + healDelay, address, e.To, e.Message})
 				}
 			case Answer:
-				h.taken = h.taken || e.Token == probeToken && e.Decision.Accept
+				h.committed = h.committed || e.Token == probeToken && e.Decision.Accept
 				if e.Decision.Accept {
 					h.acknowledge(r)
 				}
@@ -88,26 +88,26 @@
 		h.sent = h.sent[1:]
 		h.now = m.at
 		h.nodes[m.to].replica.Receive(m.from, m.message, h.now)
-		h.carryOut(m.to)
+		h.executeEffects(m.to)
 	}
 	h.now = until
 }
 
-// healEach has every so many states of an exploration healed.
-const healEach = 40
+// healSampling has every so many states of an exploration healed.
+const healSampling = 40
 
 // From what an exploration reaches, somebody leads and takes an order soon after all works again.
 func TestEveryReachedStateHeals(t *testing.T) {
 	all := explorations()
 	for _, name := range sortedKeys(all) {
 		t.Run(name, func(t *testing.T) {
-			x := explore(all[name], mostStates(t, shareOfStates/2), func(w *world) string {
-				if key := w.key(); int(key[0])<<8|int(key[1]) >= 1<<16/healEach {
+			x := explore(all[name], maxStates(t, sampledStates/2), func(w *world) string {
+				if key := w.key(); int(key[0])<<8|int(key[1]) >= 1<<16/healSampling {
 					return ""
 				}
 				return heal(w)
 			})
-			require.Empty(t, x.fault, "%v", x.trace)
+			require.Empty(t, x.violation, "%v", x.trace)
 		})
 	}
 }
--- a/internal/router/replication/explore_share_test.go
+++ b/internal/router/replication/explore_share_test.go
@@ -4,6 +4,6 @@
 
 // How many states each exploration of a usual run visits at the most.
 const (
-	shareOfStates = 20_000
+	sampledStates = 20_000
 	allStates     = 1 << 30
 )
--- a/internal/router/replication/explore_test.go
+++ b/internal/router/replication/explore_test.go
@@ -23,15 +23,15 @@
 func (w *world) decides(r *Replica) bool {
 	votes := map[string]bool{}
 	for _, n := range w.nodes {
-		votes[n.replica.Self.ID] = !r.leading.view.Epoch.Less(n.replica.hard.Promised)
+		votes[n.replica.Self.ID] = !r.leadership.view.Epoch.Less(n.replica.hard.Promised)
 	}
-	return r.role == primary && majority(r.leading.view.Members, votes)
+	return r.role == primary && majority(r.leadership.view.Members, votes)
 }
 
-// broken says which invariant a world breaks, or "".
-func (w *world) broken() string {
-	if w.doubled != "" {
-		return "one number, two entries: " + w.doubled
+// violation says which invariant a world breaks, or "".
+func (w *world) violation() string {
+	if w.conflict != "" {
+		return "one number, two entries: " + w.conflict
 	}
 	deciding := ""
 	for _, address := range sortedKeys(w.nodes) {
@@ -47,7 +47,7 @@
 		if len(has) < len(w.committed) || !slices.Equal(has[:len(w.committed)], w.committed) {
 			return fmt.Sprintf("%s leads with %v where %v was acknowledged", address, has, w.committed)
 		}
-		if len(r.leading.view.InSync) < r.minInSync() {
+		if len(r.leadership.view.InSync) < r.minInSync() {
 			return address + " leads with too few disks in sync"
 		}
 	}
@@ -57,14 +57,14 @@
 // key names a world's state: two with one key go on alike.
 func (w *world) key() [sha256.Size]byte {
 	k := make(keyText, 0, 4<<10)
-	k.number(w.left.candidacies, w.left.writes, w.left.wipes, w.left.restarts, w.left.lates)
+	k.number(w.remaining.candidacies, w.remaining.writes, w.remaining.wipes, w.remaining.restarts, w.remaining.lateAccepts)
 	k.texts(w.committed)
-	for _, to := range sortedRequests(w.on) {
+	for _, to := range sortedRequests(w.inFlight) {
 		k.text(to.from)
 		k.text(to.to)
-		k.request(w.on[to])
+		k.request(w.inFlight[to])
 	}
-	for _, l := range w.late {
+	for _, l := range w.lateAccepts {
 		k.text(l.from)
 		k.text(l.to)
 		k.epoch(l.message.View.Epoch)
@@ -158,74 +158,74 @@
 	}
 }
 
-func (k *keyText) node(n *explored) {
+func (k *keyText) node(n *exploredNode) {
 	r := n.replica
 	k.text(r.Self.ID)
 	k.number(int(r.role))
 	k.epoch(r.hard.Promised)
 	k.view(r.hard.Accepted)
-	k.view(r.known)
-	k.position(r.position)
-	k.position(r.published)
-	k.position(r.history.base)
+	k.view(r.knownView)
+	k.position(r.state.position)
+	k.position(r.state.published)
+	k.position(r.state.history.base)
 	k.texts(n.log.entries)
 	if r.role == candidate {
 		k.election(&r.election)
 	}
 	if r.role != follower {
-		k.leading(&r.leading)
+		k.leading(&r.leadership)
 	}
 }
 
 func (k *keyText) election(e *election) {
 	k.epoch(e.epoch)
 	k.number(int(e.phase))
-	k.texts(sortedKeys(e.votes))
-	k.view(e.newest)
-	k.texts(sortedKeys(e.synced))
-	k.texts(sortedKeys(e.joining))
-	k.texts(sortedKeys(e.accepts))
-	for _, address := range sortedKeys(e.promises) {
+	k.texts(sortedKeys(e.prepare.votes))
+	k.view(e.newestView)
+	k.texts(sortedKeys(e.sync.synced))
+	k.texts(sortedKeys(e.sync.requested))
+	k.texts(sortedKeys(e.accept.votes))
+	for _, address := range sortedKeys(e.prepare.promises) {
 		k.text(address)
-		k.position(e.promises[address].Position)
+		k.position(e.prepare.promises[address].Position)
 	}
 	if e.phase == accepting {
-		k.view(e.view)
+		k.view(e.accept.view)
 	}
 }
 
-func (k *keyText) leading(l *leading) {
+func (k *keyText) leading(l *leadership) {
 	k.epoch(l.view.Epoch)
-	k.flag(l.staged != nil)
-	k.number(int(l.committed), len(l.queue))
-	k.texts(sortedKeys(l.acks))
-	for _, id := range sortedKeys(l.acked) {
-		a := l.acked[id]
+	k.flag(l.staged.proposal != nil)
+	k.number(int(l.committed), len(l.proposals))
+	k.texts(sortedKeys(l.staged.acks))
+	for _, id := range sortedKeys(l.statuses) {
+		a := l.statuses[id]
 		k.text(id)
-		k.epoch(a.known)
-		k.position(a.position)
-		k.flag(a.disk)
-		k.flag(a.at == 0)
+		k.epoch(a.knownEpoch)
+		k.position(a.durablePosition)
+		k.flag(a.hasDisk)
+		k.flag(a.lastContact == 0)
 	}
 }
 
 // exploration visits worlds until none is new, or enough were.
 type exploration struct {
-	mutex   sync.Mutex
-	wake    *sync.Cond
-	seen    map[[sha256.Size]byte]bool
-	stack   []*world
-	busy    int
-	most    int
-	deepest int
-	whole   bool
-	fault   string
-	trace   []string
-	visit   func(w *world) string // beyond broken; "" is fine
+	mutex     sync.Mutex
+	wake      *sync.Cond
+	seen      map[[sha256.Size]byte]bool
+	stack     []*world
+	busy      int
+	maxStates int
+	deepest   int
+	complete  bool
+	violation string
+	trace     []string
+	visit     func(w *world) string // beyond broken; "" is fine
 }
 
-func explore(start *world, most int, visit func(w *world) string) *exploration {
-	x := &exploration{seen: map[[sha256.Size]byte]bool{}, most: most, stack: []*world{start}, visit: visit}
+func explore(start *world, maxStates int, visit func(w *world) string) *exploration {
+	x := &exploration{seen: map[[sha256.Size]byte]bool{}, maxStates: maxStates, stack: []*world{start}, visit: visit}
 	x.wake = sync.NewCond(&x.mutex)
 	x.seen[start.key()] = true
 	var group sync.WaitGroup
@@ -233,7 +233,7 @@
 		group.Go(x.work)
 	}
 	group.Wait()
-	x.whole = x.fault == "" && len(x.stack) == 0
+	x.complete = x.violation == "" && len(x.stack) == 0
 	return x
 }
 
@@ -241,7 +241,7 @@
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	for {
-		if x.fault != "" || len(x.seen) >= x.most || len(x.stack) == 0 && x.busy == 0 {
+		if x.violation != "" || len(x.seen) >= x.maxStates || len(x.stack) == 0 && x.busy == 0 {
 			x.wake.Broadcast()
 			return nil
 		}
@@ -262,7 +262,7 @@
 			next := w.clone()
 			next.trace = append(next.trace, s.name)
 			s.do(next)
-			if x.note(next) {
+			if x.record(next) {
 				fresh = append(fresh, next)
 			}
 		}
@@ -274,8 +274,8 @@
 	}
 }
 
-// note takes in a world, and reports whether it is new and may go on.
-func (x *exploration) note(w *world) bool {
+// record takes in a world, and reports whether it is new and may go on.
+func (x *exploration) record(w *world) bool {
 	key := w.key()
 	x.mutex.Lock()
 	seen := x.seen[key]
@@ -285,7 +285,7 @@
 	if seen {
 		return false
 	}
-	fault := w.broken()
+	fault := w.violation()
 	if fault == "" && x.visit != nil {
 		fault = x.visit(w)
 	}
@@ -294,13 +294,13 @@
 	}
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if x.fault == "" || len(w.trace) < len(x.trace) {
-		x.fault, x.trace = fault, w.trace
+	if x.violation == "" || len(w.trace) < len(x.trace) {
+		x.violation, x.trace = fault, w.trace
 	}
 	return false
 }
 
-func mostStates(t *testing.T, usual int) int {
+func maxStates(t *testing.T, usual int) int {
 	if text := os.Getenv(statesVariable); text != "" {
 		n, err := strconv.Atoi(text)
 		require.NoError(t, err)
@@ -317,11 +317,11 @@
 
 func replacementWorld(left budget) *world {
 	w := newWorld(left, replacementZones)
-	lead := w.nodes["a"].replica
-	lead.leading.since, lead.leading.began = 0, 0
-	gone := lead.leading.acked["c"]
-	gone.at = 0
-	lead.leading.acked["c"] = gone
+	primaryReplica := w.nodes["a"].replica
+	primaryReplica.leadership.viewSince, primaryReplica.leadership.primarySince = 0, 0
+	gone := primaryReplica.leadership.statuses["c"]
+	gone.lastContact = 0
+	primaryReplica.leadership.statuses["c"] = gone
 	return w
 }
 
@@ -335,8 +335,8 @@
 		panic("a proposed nothing: " + w.nodes["a"].replica.Status())
 	}
 	w.node("a").replica.stepDown()
-	clear(w.on)
-	w.left, w.trace = left, nil
+	clear(w.inFlight)
+	w.remaining, w.trace = left, nil
 	return w
 }
 
@@ -351,7 +351,7 @@
 		panic("no order was acknowledged: " + w.nodes["b"].replica.Status())
 	}
 	w.node("a").replica.hard.Promised.Round = w.nodes["b"].replica.hard.Promised.Round
-	w.left, w.trace = left, nil
+	w.remaining, w.trace = left, nil
 	return w
 }
 
@@ -366,8 +366,8 @@
 	if b := w.nodes["b"].replica.hard.Accepted; len(w.committed) != 1 || !b.joint() || b.Epoch == w.nodes["a"].replica.hard.Accepted.Epoch {
 		panic("no order was acknowledged after a joint view: " + w.nodes["a"].replica.Status())
 	}
-	clear(w.on)
-	w.left, w.trace = left, nil
+	clear(w.inFlight)
+	w.remaining, w.trace = left, nil
 	return w
 }
 
@@ -388,10 +388,10 @@
 		"replaced, two candidacies, an order": replacementWorld(budget{candidacies: 2, writes: 1}),
 		"replaced, a lost disk":               replacementWorld(budget{candidacies: 2, wipes: 1}),
 		"replaced, a restart":                 replacementWorld(budget{candidacies: 2, restarts: 1}),
-		"replaced, a late view":               replacementWorld(budget{candidacies: 2, lates: 1}),
+		"replaced, a late view":               replacementWorld(budget{candidacies: 2, lateAccepts: 1}),
 		"abandoned, one candidacy":            abandonedWorld(budget{candidacies: 1, writes: 1}),
 		"abandoned, two candidacies":          abandonedWorld(budget{candidacies: 2}),
-		"overtaken, one candidacy":            overtakenWorld(budget{candidacies: 1, writes: 1, lates: 1}),
+		"overtaken, one candidacy":            overtakenWorld(budget{candidacies: 1, writes: 1, lateAccepts: 1}),
 		"overtaken, two candidacies":          overtakenWorld(budget{candidacies: 2}),
 		"joint in force, one candidacy":       jointWorld(budget{candidacies: 1, writes: 1}),
 		"joint in force, two candidacies":     jointWorld(budget{candidacies: 2}),
@@ -400,28 +400,28 @@
 	}
 }
 
-// wholeInCI are explored to their ends in each run without the race detector: what follows a change of members that was given up.
-var wholeInCI = []string{"overtaken, one candidacy", "abandoned, two candidacies"}
+// completeInCI are explored to their ends in each run without the race detector: what follows a change of members that was given up.
+var completeInCI = []string{"overtaken, one candidacy", "abandoned, two candidacies"}
 
 func TestExplorationOfAbandonedViews(t *testing.T) {
 	all := explorations()
-	for _, name := range wholeInCI {
+	for _, name := range completeInCI {
 		exploreAll(t, name, all[name], allStates)
 	}
 }
 
-func exploreAll(t *testing.T, name string, start *world, most int) {
+func exploreAll(t *testing.T, name string, start *world, maxStates int) {
 	began := time.Now()
-	x := explore(start, most, nil)
-	t.Logf("%s: %d states, %d steps deep, whole %t, %v", name, len(x.seen), x.deepest, x.whole, time.Since(began).Round(time.Millisecond))
-	require.Empty(t, x.fault, strings.Join(x.trace, "\n"))
-	require.True(t, x.whole || len(x.seen) >= most)
+	x := explore(start, maxStates, nil)
+	t.Logf("%s: %d states, %d steps deep, whole %t, %v", name, len(x.seen), x.deepest, x.complete, time.Since(began).Round(time.Millisecond))
+	require.Empty(t, x.violation, strings.Join(x.trace, "\n"))
+	require.True(t, x.complete || len(x.seen) >= maxStates)
 }
 
 // A share of everything, or as much as the variable says.
 func TestExploration(t *testing.T) {
 	all := explorations()
 	for _, name := range sortedKeys(all) {
-		t.Run(name, func(t *testing.T) { exploreAll(t, name, all[name], mostStates(t, shareOfStates)) })
+		t.Run(name, func(t *testing.T) { exploreAll(t, name, all[name], maxStates(t, sampledStates)) })
 	}
 }
--- a/internal/router/replication/explore_world_test.go
+++ b/internal/router/replication/explore_world_test.go
@@ -23,53 +23,53 @@
 	return nil
 }
 
-// explored is one machine of a world.
-type explored struct {
+// exploredNode is one machine of a world.
+type exploredNode struct {
 	replica *Replica
 	log     *exploredLog
 	wiped   bool
 	key     []byte // its state in writing, once it was asked for
 }
 
-// request is the newest question of one replica to another that is on its way.
-type request struct{ from, to string }
+// requestRoute is the newest question of one replica to another that is on its way.
+type requestRoute struct{ from, to string }
 
-// late is an Accept that was overtaken, and may still arrive.
-type late struct {
-	request
+// lateAccept is an Accept that was overtaken, and may still arrive.
+type lateAccept struct {
+	requestRoute
 	message Accept
 }
 
 // budget is what may still happen in a world.
 type budget struct {
-	candidacies, writes, wipes, restarts, lates int
+	candidacies, writes, wipes, restarts, lateAccepts int
 }
 
 type world struct {
-	nodes     map[string]*explored // by address; those that are not owned are other worlds' too, and not changed
-	owned     map[string]bool
-	on        map[request]Message // on their way
-	late      []late
-	committed []string // what was acknowledged, by sequence
-	left      budget
-	doubled   string // an acknowledged number that names two entries
-	trace     []string
+	nodes       map[string]*exploredNode // by address; those that are not owned are other worlds' too, and not changed
+	owned       map[string]bool
+	inFlight    map[requestRoute]Message // on their way
+	lateAccepts []lateAccept
+	committed   []string // what was acknowledged, by sequence
+	remaining   budget
+	conflict    string // an acknowledged number that names two entries
+	trace       []string
 }
 
 const exploredNow = 1_000_000_000_000 // nanoseconds on every replica's clock
 
 func (w *world) clone() *world {
-	next := &world{nodes: maps.Clone(w.nodes), owned: map[string]bool{}, on: maps.Clone(w.on), late: slices.Clone(w.late),
-		committed: slices.Clone(w.committed), left: w.left, doubled: w.doubled, trace: slices.Clip(w.trace)}
+	next := &world{nodes: maps.Clone(w.nodes), owned: map[string]bool{}, inFlight: maps.Clone(w.inFlight), lateAccepts: slices.Clone(w.lateAccepts),
+		committed: slices.Clone(w.committed), remaining: w.remaining, conflict: w.conflict, trace: slices.Clip(w.trace)}
 	return next
 }
 
 // node gives a machine to be changed.
-func (w *world) node(address string) *explored {
+func (w *world) node(address string) *exploredNode {
 	n := w.nodes[address]
 	if !w.owned[address] {
 		log := &exploredLog{entries: n.log.entries}
-		n = &explored{replica: cloneReplica(n.replica, log), log: log, wiped: n.wiped}
+		n = &exploredNode{replica: cloneReplica(n.replica, log), log: log, wiped: n.wiped}
 		w.nodes[address], w.owned[address] = n, true
 	}
 	return n
@@ -77,27 +77,27 @@
 
 // cloneReplica copies a replica that waits for no disk: such a one holds no functions.
 func cloneReplica(r *Replica, m StateMachine) *Replica {
-	if len(r.pending) > 0 || len(r.out) > 0 {
+	if len(r.disk.pendingSaves) > 0 || len(r.effects) > 0 {
 		panic("a replica that waits for its disk cannot be copied")
 	}
 	c := *r
-	c.machine = m
-	c.history.entries = slices.Clip(r.history.entries)
-	c.candidates = maps.Clone(r.candidates)
+	c.state.machine = m
+	c.state.history.entries = slices.Clip(r.state.history.entries)
+	c.eligible.byID = maps.Clone(r.eligible.byID)
 	c.preVote.replies = maps.Clone(r.preVote.replies)
 	e := &c.election
-	e.promises, e.votes, e.synced = maps.Clone(e.promises), maps.Clone(e.votes), maps.Clone(e.synced)
-	e.joining, e.accepts = maps.Clone(e.joining), maps.Clone(e.accepts)
-	l := &c.leading
-	l.queue, l.confirms = slices.Clip(l.queue), slices.Clip(l.confirms)
-	l.acks, l.acked = maps.Clone(l.acks), maps.Clone(l.acked)
-	l.teaching = map[string]*teaching{} // lessons are not explored
+	e.prepare.promises, e.prepare.votes, e.sync.synced = maps.Clone(e.prepare.promises), maps.Clone(e.prepare.votes), maps.Clone(e.sync.synced)
+	e.sync.requested, e.accept.votes = maps.Clone(e.sync.requested), maps.Clone(e.accept.votes)
+	l := &c.leadership
+	l.proposals, l.confirmations = slices.Clip(l.proposals), slices.Clip(l.confirmations)
+	l.staged.acks, l.statuses = maps.Clone(l.staged.acks), maps.Clone(l.statuses)
+	l.learners = map[string]*learnerProgress{} // lessons are not explored
 	return &c
 }
 
 // newWorld is a core of three, a the primary, and two that are caught up and would join.
 func newWorld(left budget, zones map[string]string) *world {
-	w := &world{nodes: map[string]*explored{}, owned: map[string]bool{}, on: map[request]Message{}, left: left}
+	w := &world{nodes: map[string]*exploredNode{}, owned: map[string]bool{}, inFlight: map[requestRoute]Message{}, remaining: left}
 	first := View{Epoch: Epoch{Round: 1, Node: "a"}, Primary: "a", InSync: []string{"a", "b", "c"}}
 	for _, id := range []string{"a", "b", "c"} {
 		first.Members = append(first.Members, Member{ID: id, Address: id, Zone: zones[id], Joined: 1})
@@ -107,16 +107,16 @@
 		w.start(address, &PersistedState{ID: address, Hard: HardState{Promised: first.Epoch, Accepted: first}}, zone)
 	}
 	for _, n := range w.nodes {
-		n.replica.known = first
+		n.replica.knownView = first
 		for address, zone := range zones {
 			n.replica.AddEligible(Member{ID: address, Address: address, Zone: zone})
 		}
 	}
-	lead := w.nodes["a"].replica
-	lead.role = primary
-	lead.leading = leading{view: first, acked: map[string]memberAck{}, teaching: map[string]*teaching{}, since: exploredNow, began: exploredNow}
+	primaryReplica := w.nodes["a"].replica
+	primaryReplica.role = primary
+	primaryReplica.leadership = leadership{view: first, statuses: map[string]replicaStatus{}, learners: map[string]*learnerProgress{}, viewSince: exploredNow, primarySince: exploredNow}
 	for address, n := range w.nodes {
-		lead.leading.acked[address] = memberAck{member: n.replica.Self, at: exploredNow, known: first.Epoch, disk: true}
+		primaryReplica.leadership.statuses[address] = replicaStatus{member: n.replica.Self, lastContact: exploredNow, knownEpoch: first.Epoch, hasDisk: true}
 	}
 	return w
 }
@@ -127,7 +127,7 @@
 	if err != nil {
 		panic(err)
 	}
-	w.nodes[address], w.owned[address] = &explored{replica: r, log: log, wiped: kept.ID != address}, true
+	w.nodes[address], w.owned[address] = &exploredNode{replica: r, log: log, wiped: kept.ID != address}, true
 }
 
 // settle carries out what a replica wants, with a disk that syncs at once. Its answers to the asker are returned.
@@ -148,7 +148,7 @@
 						answers = append(answers, e.Message)
 					}
 				} else {
-					w.post(request{address, e.To}, e.Message)
+					w.post(requestRoute{address, e.To}, e.Message)
 				}
 			}
 		}
@@ -165,7 +165,7 @@
 }
 
 // post puts a request on its way; an Accept that it overtakes may arrive late.
-func (w *world) post(to request, m Message) {
+func (w *world) post(to requestRoute, m Message) {
 	switch m := m.(type) {
 	case Prepare, Sync, Accept, Replicate:
 	case Heartbeat:
@@ -175,17 +175,17 @@
 	default:
 		return // catching up and hints are not explored
 	}
-	if before, ok := w.on[to].(Accept); ok && w.left.lates > 0 {
-		w.late = append(w.late, late{to, before})
+	if before, ok := w.inFlight[to].(Accept); ok && w.remaining.lateAccepts > 0 {
+		w.lateAccepts = append(w.lateAccepts, lateAccept{to, before})
 	}
-	w.on[to] = m
+	w.inFlight[to] = m
 }
 
 func (w *world) acknowledge(r *Replica) {
-	entries := r.machine.(*exploredLog).entries
+	entries := r.state.machine.(*exploredLog).entries
 	for i, e := range entries {
 		if i < len(w.committed) && w.committed[i] != e {
-			w.doubled = fmt.Sprintf("%d names %q and %q", i, w.committed[i], e)
+			w.conflict = fmt.Sprintf("%d names %q and %q", i, w.committed[i], e)
 		}
 		if i >= len(w.committed) {
 			w.committed = append(slices.Clip(w.committed), e)
@@ -194,7 +194,7 @@
 }
 
 // deliver brings a request to its receiver, and the answer back where it is not lost.
-func (w *world) deliver(to request, m Message, answered bool) {
+func (w *world) deliver(to requestRoute, m Message, answered bool) {
 	n := w.node(to.to)
 	n.replica.Receive(to.from, m, exploredNow)
 	answers := w.settle(to.to, to.from)
@@ -221,26 +221,26 @@
 
 // steps are all that may happen next.
 func (w *world) steps() (steps []step) {
-	for _, to := range sortedRequests(w.on) {
-		m := w.on[to]
+	for _, to := range sortedRequests(w.inFlight) {
+		m := w.inFlight[to]
 		for _, answered := range []bool{true, false} {
 			if _, beat := m.(Heartbeat); beat && !answered {
 				continue
 			}
 			steps = append(steps, step{fmt.Sprintf("%s>%s %T answered %t", to.from, to.to, m, answered), func(w *world) {
 				if answered {
-					delete(w.on, to)
+					delete(w.inFlight, to)
 				}
 				w.deliver(to, m, answered)
 			}})
 		}
 	}
-	for i, l := range w.late {
-		if w.left.lates > 0 {
+	for i, l := range w.lateAccepts {
+		if w.remaining.lateAccepts > 0 {
 			steps = append(steps, step{fmt.Sprintf("late %s>%s Accept %v", l.from, l.to, l.message.View.Epoch), func(w *world) {
-				w.left.lates--
-				w.late = slices.Delete(slices.Clone(w.late), i, i+1)
-				w.deliver(l.request, l.message, false)
+				w.remaining.lateAccepts--
+				w.lateAccepts = slices.Delete(slices.Clone(w.lateAccepts), i, i+1)
+				w.deliver(l.requestRoute, l.message, false)
 			}})
 		}
 	}
@@ -256,9 +256,9 @@
 		steps = append(steps, step{address + " waits no longer", func(w *world) { w.waitNoLonger(address) }})
 	}
 	newest := r.newestKnown()
-	if w.left.candidacies > 0 && slices.Contains(exploredCandidates, address) && (r.role == primary || newest.Member(r.Self.ID) != nil) {
+	if w.remaining.candidacies > 0 && slices.Contains(exploredCandidates, address) && (r.role == primary || newest.Member(r.Self.ID) != nil) {
 		steps = append(steps, step{address + " campaigns", func(w *world) {
-			w.left.candidacies--
+			w.remaining.candidacies--
 			r := w.node(address).replica
 			if r.role == candidate {
 				r.stepDown()
@@ -268,28 +268,28 @@
 			w.settle(address, "")
 		}})
 	}
-	if w.left.writes > 0 && r.role == primary && r.leading.staged == nil {
+	if w.remaining.writes > 0 && r.role == primary && r.leadership.staged.proposal == nil {
 		steps = append(steps, step{address + " takes an order", func(w *world) {
-			w.left.writes--
+			w.remaining.writes--
 			r := w.node(address).replica
-			r.Propose(uint64(1), []byte(fmt.Sprint(address, w.left.writes)), exploredNow)
+			r.Propose(uint64(1), []byte(fmt.Sprint(address, w.remaining.writes)), exploredNow)
 			w.settle(address, "")
 		}})
 	}
-	if w.left.wipes > 0 && !w.nodes[address].wiped {
+	if w.remaining.wipes > 0 && !w.nodes[address].wiped {
 		steps = append(steps, step{address + " loses its disk", func(w *world) {
-			w.left.wipes--
+			w.remaining.wipes--
 			self := w.nodes[address].replica.Self
 			w.start(address, &PersistedState{ID: address + "'"}, self.Zone)
 			w.forget(address)
 		}})
 	}
-	if w.left.restarts > 0 {
+	if w.remaining.restarts > 0 {
 		steps = append(steps, step{address + " restarts", func(w *world) {
-			w.left.restarts--
+			w.remaining.restarts--
 			n := w.nodes[address]
 			kept := &PersistedState{ID: n.replica.Self.ID, Hard: n.replica.hard,
-				Snapshot: SnapshotRecord{Position: n.replica.position, Data: n.log.Snapshot()}}
+				Snapshot: SnapshotRecord{Position: n.replica.state.position, Data: n.log.Snapshot()}}
 			w.start(address, kept, n.replica.Self.Zone)
 			w.forget(address)
 		}})
@@ -299,9 +299,9 @@
 
 // forget drops what a process that ended had on its way but for Accepts, which may have left.
 func (w *world) forget(address string) {
-	for to := range w.on {
+	for to := range w.inFlight {
 		if to.from == address {
-			delete(w.on, to)
+			delete(w.inFlight, to)
 		}
 	}
 }
@@ -309,7 +309,7 @@
 // waitNoLonger ends a candidate's wait for answers beyond those that it needs.
 func (w *world) waitNoLonger(address string) {
 	r := w.node(address).replica
-	r.now = exploredNow + phaseWait + 1
+	r.now = exploredNow + maxPhaseWait + 1
 	switch r.election.phase {
 	case preparing:
 		r.advancePreparing()
@@ -317,12 +317,12 @@
 		r.advanceSyncing()
 	}
 	r.now = exploredNow
-	r.election.agreed, r.election.began = min(r.election.agreed, exploredNow), min(r.election.began, exploredNow)
+	r.election.prepare.majoritySince, r.election.phaseSince = min(r.election.prepare.majoritySince, exploredNow), min(r.election.phaseSince, exploredNow)
 	w.settle(address, "")
 }
 
-func sortedRequests(m map[request]Message) []request {
-	return slices.SortedFunc(maps.Keys(m), func(a, b request) int {
+func sortedRequests(m map[requestRoute]Message) []requestRoute {
+	return slices.SortedFunc(maps.Keys(m), func(a, b requestRoute) int {
 		return strings.Compare(a.from+">"+a.to, b.from+">"+b.to)
 	})
 }
--- a/internal/router/replication/guards_test.go
+++ b/internal/router/replication/guards_test.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// coreWithAValue is a core of three that has acknowledged "a", and its primary.
-func coreWithAValue(t *testing.T) (*simulation, *process) {
+// coreWithValue is a core of three that has acknowledged "a", and its primary.
+func coreWithValue(t *testing.T) (*simulation, *process) {
 	s := newSimulation(t, 1, 3, 1)
 	s.run(4 * time.Second)
 	primary := s.primary()
@@ -39,11 +39,11 @@
 	return s, primary
 }
 
-// separate cuts every link between two groups of hosts.
-func (s *simulation) separate(these, those []*host) {
+// partition cuts every link between two groups of hosts.
+func (s *simulation) partition(these, those []*host) {
 	for _, a := range these {
 		for _, b := range those {
-			s.cut(a, b, false)
+			s.blockLink(a, b, false)
 		}
 	}
 }
@@ -73,17 +73,17 @@
 		if h == next.host {
 			continue
 		}
-		before := h.process.replica.position
+		before := h.process.replica.state.position
 		require.Equal(t, before.Sequence+1, late.Sequence, "the entry would fit")
 		h.process.replica.Receive(old.host.address, late, s.now)
-		require.Equal(t, before, h.process.replica.position)
+		require.Equal(t, before, h.process.replica.state.position)
 		require.Empty(t, h.process.replica.Effects())
 	}
 }
 
 // A primary that was frozen while another took over does not answer a read with what it knew.
 func TestAFrozenPrimaryAnswersNoRead(t *testing.T) {
-	s, old := coreWithAValue(t)
+	s, old := coreWithValue(t)
 	old.host.frozenUntil = s.now + 3*time.Second
 	s.run(old.host.frozenUntil - time.Millisecond)
 	next := leaderAmong(s.followers(old))
@@ -108,7 +108,7 @@
 // A primary gives its lead away while the next one's disk has not yet synced the last entry; the next one loses power as soon as it has
 // shown what it leads with.
 func TestACandidateWaitsForItsOwnDisk(t *testing.T) {
-	s, old := coreWithAValue(t)
+	s, old := coreWithValue(t)
 	slow, fast := s.followers(old)[0], s.followers(old)[1]
 	slow.syncTime = 200 * time.Millisecond
 	s.callAt(old, operation{client: 1, write: true, base: old.machine.Version, value: "b"})
@@ -120,9 +120,9 @@
 		}
 		return m
 	}
-	s.with(old, func() { old.replica.Resign(s.now) })
+	s.runIn(old, func() { old.replica.Resign(s.now) })
 	next := slow.process
-	s.with(next, func() { next.replica.Receive(old.host.address, takeOver, s.now) })
+	s.runIn(next, func() { next.replica.Receive(old.host.address, takeOver, s.now) })
 	for range 100 {
 		if next.replica.IsPrimary() {
 			break
@@ -148,7 +148,7 @@
 // Two machines join while the two followers of a three-member core can promise and hear nothing more: the primary and those that join
 // are a majority of the members to be, and the followers one of the members that are.
 func TestTheMembersBeforeHaveToAgree(t *testing.T) {
-	s, old := coreWithAValue(t)
+	s, old := coreWithValue(t)
 	followers := s.followers(old)
 	joining := []*host{}
 	for _, address := range []string{"10.1.0.1:7000", "10.1.1.1:7000"} {
@@ -161,7 +161,7 @@
 	s.mutate = func(to *process, m Message) Message {
 		if _, ok := m.(Sync); ok && (to.host == followers[0] || to.host == followers[1]) {
 			separated = true
-			s.separate(followers, within)
+			s.partition(followers, within)
 		}
 		if separated && (to.host == followers[0]) != (to.host == followers[1]) {
 			switch m.(type) {
@@ -180,7 +180,7 @@
 	for round := range 8 { // on both sides, whoever leads there
 		if round == 4 { // and one that joined is told to take over, without asking first whether others hear a primary
 			p := joining[0].process
-			s.with(p, func() { p.replica.campaign(true) })
+			s.runIn(p, func() { p.replica.campaign(true) })
 		}
 		for client, side := range [][]*host{within, followers} {
 			for _, h := range side {
--- /dev/null
+++ b/internal/router/replication/handover.go
@@ -0,0 +1,42 @@
+package replication
+
+import "time"
+
+// Leave says that this process is about to end: it transfers its leadership, and another replica replaces it among the members as
+// soon as one that could has all that it has.
+func (r *Replica) Leave(now time.Duration) {
+	r.leaving = true
+	r.Resign(now)
+}
+
+// Resign transfers the leadership to another in-sync replica, as far as that is possible. It does nothing where this is not the primary.
+func (r *Replica) Resign(now time.Duration) {
+	r.now = now
+	if r.role != primary {
+		return
+	}
+	successor, epoch := r.successor(), r.leadership.view.Epoch
+	r.stepDown()
+	if successor != "" {
+		r.send(successor, TransferLeadership{Epoch: epoch})
+	}
+}
+
+// successor returns the address of the in-sync replica that answered last of those that could be primary, or "".
+func (r *Replica) successor() string {
+	l := &r.leadership
+	address, latest := "", time.Duration(-1)
+	for _, id := range l.view.InSync {
+		status, ok := l.statuses[id]
+		if ok && id != r.Self.ID && !status.diskFails && !status.leaving && status.lastContact > latest {
+			address, latest = l.view.Member(id).Address, status.lastContact
+		}
+	}
+	return address
+}
+
+func (r *Replica) handleTransferLeadership(m TransferLeadership) {
+	if r.role == follower && r.hard.Promised == m.Epoch && r.hard.Accepted.inSync(r.Self.ID) {
+		r.campaign(true)
+	}
+}
--- a/internal/router/replication/heartbeat.go
+++ b/internal/router/replication/heartbeat.go
@@ -2,48 +2,59 @@
 
 import "time"
 
-// Heartbeats: they tell everybody who is primary and what is committed, and the primary who hears it and what is on whose disk.
-
-// memberAck is what a replica said in its last answer to a heartbeat.
-type memberAck struct {
-	member   Member
-	beat     uint64
-	at       time.Duration // when it came
-	fails    bool          // its disk
-	known    Epoch
-	disk     bool
-	position Position // of what is on the disk
-	leaving  bool
+// replicaStatus is what a replica reported in its last answer to a heartbeat.
+type replicaStatus struct {
+	member          Member
+	heartbeatNumber uint64        // the newest that it answered
+	lastContact     time.Duration // when the answer came
+	diskFails       bool
+	knownEpoch      Epoch // of the view that it knows to be in force
+	hasDisk         bool
+	durablePosition Position // of what is on its disk
+	leaving         bool
 }
 
-// heartbeat tells everybody who is primary.
-func (r *Replica) heartbeat() {
-	l := &r.leading
-	l.beat++
-	l.lastBeat = r.now
-	l.acked[r.Self.ID] = memberAck{member: r.Self, beat: l.beat, at: r.now, known: l.view.Epoch, disk: true, position: r.position}
-	knows := map[string]bool{} // by address
-	for _, to := range r.candidates {
-		knows[to.Address] = knows[to.Address] || l.acked[to.ID].known == l.view.Epoch
-	}
-	for _, to := range l.view.Members {
-		knows[to.Address] = l.acked[to.ID].known == l.view.Epoch
+// broadcastHeartbeat sends a heartbeat to all members and all that may become members.
+func (r *Replica) broadcastHeartbeat() {
+	l := &r.leadership
+	l.heartbeatNumber++
+	l.lastHeartbeat = r.now
+	l.statuses[r.Self.ID] = replicaStatus{
+		member:          r.Self,
+		heartbeatNumber: l.heartbeatNumber,
+		lastContact:     r.now,
+		knownEpoch:      l.view.Epoch,
+		hasDisk:         true,
+		durablePosition: r.state.position,
 	}
 	view := l.view
-	for _, address := range sortedKeys(knows) {
-		m := Heartbeat{Epoch: l.view.Epoch, Number: l.beat, Committed: l.committed}
-		if !knows[address] {
+	knowsView := r.recipientsKnowingView()
+	for _, address := range sortedKeys(knowsView) {
+		m := Heartbeat{Epoch: l.view.Epoch, Number: l.heartbeatNumber, Committed: l.committed}
+		if !knowsView[address] {
 			m.View = &view
 		}
 		r.send(address, m)
 	}
 }
 
-func (r *Replica) onHeartbeat(m Heartbeat, from string) {
-	ack := HeartbeatAck{Epoch: m.Epoch, Number: m.Number, From: r.Self, Promised: r.hard.Promised, KnownEpoch: r.known.Epoch, DiskFails: r.stalled(),
-		HasDisk: !r.Witness, Position: r.durable, Leaving: r.leaving}
+// recipientsKnowingView returns the addresses that get heartbeats, and whether the replica there knows the view. At a member's address
+// the member's answer counts.
+func (r *Replica) recipientsKnowingView() map[string]bool {
+	l := &r.leadership
+	knowsView := map[string]bool{}
+	for _, m := range r.eligible.byID {
+		knowsView[m.Address] = knowsView[m.Address] || l.statuses[m.ID].knownEpoch == l.view.Epoch
+	}
+	for _, m := range l.view.Members {
+		knowsView[m.Address] = l.statuses[m.ID].knownEpoch == l.view.Epoch
+	}
+	return knowsView
+}
+
+func (r *Replica) handleHeartbeat(m Heartbeat, from string) {
 	if m.Epoch.Less(r.hard.Promised) {
-		r.send(from, ack)
+		r.send(from, r.heartbeatAck(m)) // which says the larger epoch
 		return
 	}
 	if r.role != follower {
@@ -52,26 +63,49 @@
 	if m.View != nil {
 		r.LearnView(*m.View)
 	}
-	r.heard, r.heardEver = r.now, true
-	r.preVote = preVote{}
-	ack.KnownEpoch = r.known.Epoch
-	r.send(from, ack)
-	if r.known.Epoch != m.Epoch {
+	r.follower.lastContact, r.follower.everContacted = r.now, true
+	r.preVote = preVoteRequests{}
+	r.send(from, r.heartbeatAck(m))
+	if r.knownView.Epoch != m.Epoch {
 		return // the next heartbeat brings the view
 	}
-	r.known.Old = r.known.Members // it is in force
-	if r.hard.Accepted.Epoch.Less(m.Epoch) || r.hard.Accepted.joint() {
-		r.hard.Promised, r.hard.Accepted = m.Epoch, r.known // it is in force: to accept it late does no harm
-		r.save(nil, false, func() {})
-	}
-	current := r.position.Sequence <= m.Committed && r.known.inSync(r.Self.ID) && r.hard.Accepted.Epoch == m.Epoch
-	if current && r.position.Sequence == m.Committed {
+	r.acceptKnownView()
+	if r.hasCommittedState(m) {
 		r.publish()
 	}
 }
 
-func (r *Replica) onHeartbeatAck(m HeartbeatAck) {
-	l := &r.leading
+func (r *Replica) heartbeatAck(m Heartbeat) HeartbeatAck {
+	return HeartbeatAck{
+		Epoch:      m.Epoch,
+		Number:     m.Number,
+		From:       r.Self,
+		Promised:   r.hard.Promised,
+		KnownEpoch: r.knownView.Epoch,
+		DiskFails:  r.diskStalled(),
+		HasDisk:    !r.Witness,
+		Position:   r.disk.durablePosition,
+		Leaving:    r.leaving,
+	}
+}
+
+// acceptKnownView accepts the view whose primary sends heartbeats. It is in force, so accepting it late does no harm, and the members
+// before need not agree to what follows it.
+func (r *Replica) acceptKnownView() {
+	r.knownView.Old = r.knownView.Members
+	if r.hard.Accepted.Epoch.Less(r.knownView.Epoch) || r.hard.Accepted.joint() {
+		r.hard.Promised, r.hard.Accepted = r.knownView.Epoch, r.knownView
+		r.saveHardState(nil)
+	}
+}
+
+// hasCommittedState reports whether this replica's state is the committed one that a heartbeat names.
+func (r *Replica) hasCommittedState(m Heartbeat) bool {
+	return r.state.position.Sequence == m.Committed && r.knownView.inSync(r.Self.ID) && r.hard.Accepted.Epoch == m.Epoch
+}
+
+func (r *Replica) handleHeartbeatAck(m HeartbeatAck) {
+	l := &r.leadership
 	if r.role != primary || m.Epoch != l.view.Epoch {
 		return
 	}
@@ -79,21 +113,29 @@
 		if r.hard.Promised.Round < m.Promised.Round {
 			r.hard.Promised = Epoch{Round: m.Promised.Round}
 		}
-		r.recampaign()
+		r.campaignAsPrimary()
 		return
 	}
 	r.AddEligible(m.From)
-	a := l.acked[m.From.ID]
-	l.acked[m.From.ID] = memberAck{member: m.From, beat: max(a.beat, m.Number), at: r.now, fails: m.DiskFails, known: m.KnownEpoch,
-		disk: m.HasDisk, position: m.Position, leaving: m.Leaving}
-	r.checkConfirms()
-	r.teach(m.From.ID)
+	l.statuses[m.From.ID] = replicaStatus{
+		member:          m.From,
+		heartbeatNumber: max(l.statuses[m.From.ID].heartbeatNumber, m.Number),
+		lastContact:     r.now,
+		diskFails:       m.DiskFails,
+		knownEpoch:      m.KnownEpoch,
+		hasDisk:         m.HasDisk,
+		durablePosition: m.Position,
+		leaving:         m.Leaving,
+	}
+	r.answerConfirmed()
+	r.catchUp(m.From.ID)
 }
 
+// majorityReachable reports whether a majority of this primary's members, itself included, answered lately.
 func (r *Replica) majorityReachable() bool {
 	votes := map[string]bool{}
-	for id, a := range r.leading.acked {
-		votes[id] = id == r.Self.ID || r.now-a.at < suspectAfter
+	for id, status := range r.leadership.statuses {
+		votes[id] = id == r.Self.ID || r.now-status.lastContact < electionTimeout
 	}
-	return majority(r.leading.view.Members, votes)
+	return majority(r.leadership.view.Members, votes)
 }
--- a/internal/router/replication/history.go
+++ b/internal/router/replication/history.go
@@ -2,26 +2,26 @@
 
 // Bounds on the entries that are kept in memory for replicas that lack them.
 const (
-	historyEntries = 512
-	historyBytes   = 1 << 20
+	maxHistoryEntries = 512
+	maxHistoryBytes   = 1 << 20
 )
 
-// history is the last entries that led to the machine's state.
+// history holds the last entries that led to the machine's state.
 type history struct {
 	base    Position // of the state before the first of them
 	entries []Entry
 	bytes   int
 }
 
-// restart forgets all entries: the state at a position did not come by them.
+// restart drops all entries: the state at a position was not reached by them.
 func (h *history) restart(p Position) { *h = history{base: p} }
 
-// add takes in the entry that was applied last. The newest is always kept.
+// add appends the entry that was applied last, and drops the oldest beyond the bounds. The newest is always kept.
 func (h *history) add(e Entry) {
 	h.entries = append(h.entries, e)
 	h.bytes += len(e.Data)
 	drop := 0
-	for len(h.entries)-drop > 1 && (len(h.entries)-drop > historyEntries || h.bytes > historyBytes) {
+	for len(h.entries)-drop > 1 && (len(h.entries)-drop > maxHistoryEntries || h.bytes > maxHistoryBytes) {
 		h.base = h.entries[drop].Position
 		h.bytes -= len(h.entries[drop].Data)
 		drop++
@@ -31,8 +31,8 @@
 	}
 }
 
-// after gives the entries after a position, and false where they are not all there. A position names one history, so one that is
-// found is that of a state from which these entries go on.
+// after returns the entries after a position, and false where not all of them are there. A position names one history, so one that
+// is found is that of a state which these entries follow.
 func (h *history) after(p Position) ([]Entry, bool) {
 	if p == h.base {
 		return h.entries, true
@@ -45,12 +45,12 @@
 	return nil, false
 }
 
-// last gives the data of the newest entries.
-func (h *history) last(n int) [][]byte {
+// newest returns the data of the newest entries, n at most.
+func (h *history) newest(n int) [][]byte {
 	from := max(0, len(h.entries)-n)
-	var out [][]byte
+	var data [][]byte
 	for _, e := range h.entries[from:] {
-		out = append(out, e.Data)
+		data = append(data, e.Data)
 	}
-	return out
+	return data
 }
--- a/internal/router/replication/history_test.go
+++ b/internal/router/replication/history_test.go
@@ -80,8 +80,8 @@
 	return porcupine.CheckOperationsTimeout(registerModel, list, 20*time.Second)
 }
 
-// struck are the machines that a fault strikes: one, or up to as many as may be lost at once.
-func (s *simulation) struck() []*host {
+// faultTargets are the machines that a fault strikes: one, or up to as many as may be lost at once.
+func (s *simulation) faultTargets() []*host {
 	hosts := s.addresses()
 	h := s.hosts[hosts[s.random.Intn(len(hosts))]]
 	if p := s.primary(); p != nil && s.random.Intn(2) == 0 {
@@ -97,21 +97,21 @@
 	return list
 }
 
-// fault does one thing to the fleet, and undoes it later.
-func (s *simulation) fault() {
-	struck := s.struck()
+// injectFault does one thing to the fleet, and undoes it later.
+func (s *simulation) injectFault() {
+	struck := s.faultTargets()
 	back := time.Duration(200+s.random.Intn(2500)) * time.Millisecond
 	kind := s.random.Intn(10)
 	if kind == 2 && !s.mayWipe(struck[0]) {
 		return
 	}
 	for _, h := range struck {
-		s.strike(kind, h, back)
+		s.applyFault(kind, h, back)
 	}
 }
 
-// strike does one thing to a machine, or, where it has to do with others, to all.
-func (s *simulation) strike(kind int, h *host, back time.Duration) {
+// applyFault does one thing to a machine, or, where it has to do with others, to all.
+func (s *simulation) applyFault(kind int, h *host, back time.Duration) {
 	switch kind {
 	case 0: // a kill, or a loss of power: the disk holds what was synced
 		s.kill(h)
@@ -128,24 +128,24 @@
 	case 3:
 		h.frozenUntil = s.now + back
 	case 4:
-		h.fullUntil = s.now + back
+		h.diskFullUntil = s.now + back
 	case 5:
 		for _, other := range s.ordered() {
 			if other != h {
-				s.cut(h, other, s.random.Intn(2) == 0)
+				s.blockLink(h, other, s.random.Intn(2) == 0)
 			}
 		}
 		s.after(back, s.heal)
 	case 6:
 		hosts := s.addresses()
-		s.cut(h, s.hosts[hosts[s.random.Intn(len(hosts))]], true)
+		s.blockLink(h, s.hosts[hosts[s.random.Intn(len(hosts))]], true)
 		s.after(back, s.heal)
 	case 7:
 		h.syncTime = 40 * time.Millisecond
 		s.after(back, func() { h.syncTime = 2 * time.Millisecond })
 	case 8: // it stands still, and hears nothing of what the others said meanwhile
 		h.frozenUntil = s.now + back
-		h.deafUntil = h.frozenUntil
+		h.inboundLostUntil = h.frozenUntil
 	case 9:
 		s.loss = 0.2
 		s.after(back, func() { s.loss = 0 })
@@ -163,15 +163,15 @@
 		if one.disk != nil && (one.disk.Hard.Accepted.joint() || one.disk.Hard.Accepted.Epoch != p.replica.View().Epoch) {
 			return false
 		}
-		if one.process == nil || one.disk == nil || s.now < one.fullUntil || !isMember(p.replica.View(), one.disk.ID) {
+		if one.process == nil || one.disk == nil || s.now < one.diskFullUntil || !isMember(p.replica.View(), one.disk.ID) {
 			return false
 		}
 	}
 	return true
 }
 
-// play runs one random schedule of faults and calls, and returns the simulation after everything is whole again.
-func play(t testing.TB, seed int64, mutate func(*simulation)) *simulation {
+// playSchedule runs one random schedule of faults and calls, and returns the simulation after everything is whole again.
+func playSchedule(t testing.TB, seed int64, mutate func(*simulation)) *simulation {
 	return playCore(t, seed, 3+int(seed%3), 1, mutate)
 }
 
@@ -184,7 +184,7 @@
 	s.run(4 * time.Second)
 	for round := range 14 {
 		if s.random.Intn(2) == 0 {
-			s.fault()
+			s.injectFault()
 		}
 		for client := range 2 {
 			if p := s.primary(); p != nil {
@@ -208,8 +208,8 @@
 // some seconds after the last fault.
 func TestHistories(t *testing.T) {
 	inShards(t, schedules(t, 400), func(seed int64) bool {
-		s := play(t, seed, nil)
-		if fault := judge(s); fault != "" {
+		s := playSchedule(t, seed, nil)
+		if fault := scheduleViolation(s); fault != "" {
 			t.Errorf("seed %d: %s", seed, fault)
 			return false
 		}
@@ -220,7 +220,7 @@
 // A schedule is the same each time it is played: what fails once can be looked into.
 func TestSchedulesRepeat(t *testing.T) {
 	inShards(t, 24, func(seed int64) bool {
-		first, second := play(t, seed, nil), play(t, seed, nil)
+		first, second := playSchedule(t, seed, nil), playSchedule(t, seed, nil)
 		return assert.Equal(t, first.history, second.history, "seed %d", seed)
 	})
 }
@@ -230,7 +230,7 @@
 func TestHistoriesOfLargerCores(t *testing.T) {
 	inShards(t, schedules(t, 60), func(seed int64) bool {
 		s := playCore(t, seed, 5+int(seed%3), 2, nil)
-		if fault := judge(s); fault != "" {
+		if fault := scheduleViolation(s); fault != "" {
 			t.Errorf("seed %d: %s", seed, fault)
 			return false
 		}
@@ -268,10 +268,10 @@
 	return ""
 }
 
-// judge says what is wrong with a schedule that was played, or "".
-func judge(s *simulation) string {
-	if s.failed != nil {
-		return s.failed.Error()
+// scheduleViolation says what is wrong with a schedule that was played, or "".
+func scheduleViolation(s *simulation) string {
+	if s.restoreError != nil {
+		return s.restoreError.Error()
 	}
 	if fault := linearizable(s.history); fault != "" {
 		return fault
@@ -304,8 +304,8 @@
 			var noticed atomic.Int64
 			noticed.Store(-1)
 			inShards(t, noticedWithin, func(seed int64) bool {
-				s := play(t, seed, without)
-				if s.failed == nil && check(s.history) != porcupine.Illegal {
+				s := playSchedule(t, seed, without)
+				if s.restoreError == nil && check(s.history) != porcupine.Illegal {
 					return true
 				}
 				noticed.Store(seed)
@@ -328,7 +328,7 @@
 			to.replica.hard.Accepted.Epoch = m.Epoch
 			return m
 		case Replicated:
-			m.Epoch = to.replica.leading.view.Epoch
+			m.Epoch = to.replica.leadership.view.Epoch
 			return m
 		case Heartbeat:
 			if m.Epoch.Less(to.replica.hard.Promised) {
@@ -342,14 +342,14 @@
 // A primary is suspended, another takes over, and the first that the old one gets when it is back is an order, at some time
 // before its own next tick; the new one is read after that.
 func suspendedPrimaryTakesAnOrder(t *testing.T, early time.Duration, without func(*simulation)) *simulation {
-	s, old := coreWithAValue(t)
+	s, old := coreWithValue(t)
 	without(s)
 	old.host.frozenUntil = s.now + 2*time.Second
-	old.host.deafUntil = old.host.frozenUntil
+	old.host.inboundLostUntil = old.host.frozenUntil
 	s.run(old.host.frozenUntil - early)
 	next := leaderAmong(s.followers(old))
 	require.NotNil(t, next)
-	old.host.frozenUntil, old.host.deafUntil = s.now, s.now
+	old.host.frozenUntil, old.host.inboundLostUntil = s.now, s.now
 	require.True(t, old.replica.IsPrimary())
 	s.callAt(old, operation{client: 1, write: true, base: old.machine.Version, value: "b"})
 	s.run(s.now + 20*time.Millisecond)
@@ -372,7 +372,7 @@
 
 // A member is cut off, a value is acknowledged, and then all lose power and one disk of the in-sync set is lost; the
 // member that was cut off and the one without its disk are back first.
-func lostDiskAndAStaleMember(t *testing.T, without func(*simulation)) *simulation {
+func lostDiskAndStaleMember(t *testing.T, without func(*simulation)) *simulation {
 	s := newSimulation(t, 1, 3, 1)
 	without(s)
 	s.run(4 * time.Second)
@@ -385,8 +385,8 @@
 		}
 	}
 	stale, wiped := others[0], others[1]
-	s.cut(stale, p.host, false)
-	s.cut(stale, wiped, false)
+	s.blockLink(stale, p.host, false)
+	s.blockLink(stale, wiped, false)
 	s.run(s.now + 2*time.Second)
 	require.Equal(t, http.StatusOK, writeNow(s, "a").status)
 	for _, h := range s.ordered() {
@@ -407,8 +407,8 @@
 }
 
 func TestALostDiskHasNoVote(t *testing.T) {
-	require.Equal(t, porcupine.Ok, check(lostDiskAndAStaleMember(t, func(*simulation) {}).history))
-	require.Equal(t, porcupine.Illegal, check(lostDiskAndAStaleMember(t, func(s *simulation) { s.sameIdentity = true }).history),
+	require.Equal(t, porcupine.Ok, check(lostDiskAndStaleMember(t, func(*simulation) {}).history))
+	require.Equal(t, porcupine.Illegal, check(lostDiskAndStaleMember(t, func(s *simulation) { s.sameIdentity = true }).history),
 		"a disk that was lost votes under its old identity, and that is not noticed")
 }
 
--- a/internal/router/replication/learner_test.go
+++ b/internal/router/replication/learner_test.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	slowLink   = 10_000_000 / 8 // bytes a second: 10 Mbit/s
-	bulkBytes  = 400_000        // about what 500 routes and 4,096 digests take
-	orderEvery = 100 * time.Millisecond
+	slowLink         = 10_000_000 / 8 // bytes a second: 10 Mbit/s
+	bulkBytes        = 400_000        // about what 500 routes and 4,096 digests take
+	proposalInterval = 100 * time.Millisecond
 )
 
-// orders is what became of a series of orders.
-type orders struct {
-	taken, refused, late, silent int
-	slowest                      time.Duration
+// proposalOutcomes is what became of a series of orders.
+type proposalOutcomes struct {
+	accepted, rejected, late, unanswered int
+	slowest                              time.Duration
 }
 
-const lateAfter = 500 * time.Millisecond
+const lateThreshold = 500 * time.Millisecond
 
-// order proposes a value each 100 ms for a time, as an operator that knows the newest version.
-func (s *simulation) order(during time.Duration) {
+// proposeFor proposes a value each 100 ms for a time, as an operator that knows the newest version.
+func (s *simulation) proposeFor(during time.Duration) {
 	for until := s.now + during; s.now < until; {
 		if p := s.primary(); p != nil && s.history[len(s.history)-1].end >= 0 {
 			s.callAt(p, operation{client: 1, write: true, base: p.machine.Version, value: fmt.Sprint("v", p.machine.Version)})
 		}
-		s.run(s.now + orderEvery)
+		s.run(s.now + proposalInterval)
 	}
 }
 
-// tally counts what became of operations.
-func tally(history []operation) (total orders) {
+// countOutcomes counts what became of operations.
+func countOutcomes(history []operation) (total proposalOutcomes) {
 	for _, o := range history {
 		took := o.end - o.begin
 		switch {
 		case o.end < 0:
-			total.silent++
+			total.unanswered++
 		case o.status != http.StatusOK:
-			total.refused++
+			total.rejected++
 		default:
-			total.taken++
+			total.accepted++
 			total.slowest = max(total.slowest, took)
-			if took > lateAfter {
+			if took > lateThreshold {
 				total.late++
 			}
 		}
@@ -57,10 +57,10 @@
 // absence is a core on slow links of which one member misses orders and comes back while there are more.
 type absence struct {
 	*simulation
-	away   *host
-	during orders // while it catches up
-	inSync time.Duration
-	bytes  int
+	away            *host
+	whileCatchingUp proposalOutcomes // while it catches up
+	inSyncAfter     time.Duration
+	catchUpBytes    int
 }
 
 func playAbsence(t *testing.T, seed int64, syncTime time.Duration, wiped bool) *absence {
@@ -69,23 +69,23 @@
 	require.NotNil(t, s.primary())
 	require.Equal(t, http.StatusOK, writeNow(s, bulk+strings.Repeat("x", bulkBytes)).status)
 	s.bytesPerSecond = slowLink
-	a := &absence{simulation: s, away: s.followers(s.primary())[seed%3], inSync: -1}
+	a := &absence{simulation: s, away: s.followers(s.primary())[seed%3], inSyncAfter: -1}
 	a.away.syncTime = syncTime
 	s.kill(a.away)
 	if wiped {
 		s.wipe(a.away)
 	}
-	s.order(30 * time.Second)
+	s.proposeFor(30 * time.Second)
 	s.boot(a.away)
-	back, sent, from := s.now, s.sent, len(s.history)
+	back, sent, from := s.now, s.sentBytes, len(s.history)
 	for range 100 {
-		s.order(orderEvery)
-		if p := s.primary(); a.inSync < 0 && p != nil && p.replica.known.inSync(a.away.process.replica.Self.ID) {
-			a.inSync, a.bytes = s.now-back, s.sent-sent
+		s.proposeFor(proposalInterval)
+		if p := s.primary(); a.inSyncAfter < 0 && p != nil && p.replica.knownView.inSync(a.away.process.replica.Self.ID) {
+			a.inSyncAfter, a.catchUpBytes = s.now-back, s.sentBytes-sent
 		}
 	}
 	s.run(s.now + time.Second)
-	a.during = tally(s.history[from:])
+	a.whileCatchingUp = countOutcomes(s.history[from:])
 	return a
 }
 
@@ -105,11 +105,11 @@
 		t.Run(one.name, func(t *testing.T) {
 			for seed := range int64(6) {
 				a := playAbsence(t, seed, one.syncTime, one.wiped)
-				t.Logf("seed %d: in sync after %v, %d bytes sent, orders %+v", seed, a.inSync, a.bytes, a.during)
-				require.Positive(t, a.inSync, "it never caught up")
-				require.Less(t, a.inSync, 1200*time.Millisecond)
-				require.Zero(t, a.during.refused+a.during.silent)
-				require.Zero(t, a.during.late)
+				t.Logf("seed %d: in sync after %v, %d bytes sent, orders %+v", seed, a.inSyncAfter, a.catchUpBytes, a.whileCatchingUp)
+				require.Positive(t, a.inSyncAfter, "it never caught up")
+				require.Less(t, a.inSyncAfter, 1200*time.Millisecond)
+				require.Zero(t, a.whileCatchingUp.rejected+a.whileCatchingUp.unanswered)
+				require.Zero(t, a.whileCatchingUp.late)
 			}
 		})
 	}
@@ -123,9 +123,9 @@
 	}{{viewOf(5, "b", "a"), false}, {viewOf(5, "b", "c"), true}} {
 		r := preVoter(t, one.view)
 		r.hard.Promised = one.view.Epoch
-		lesson := (&versionMachine{Version: 9, Value: "taught"}).Snapshot()
+		snapshot := (&versionMachine{Version: 9, Value: "taught"}).Snapshot()
 		at := Position{Epoch: one.view.Epoch, Sequence: 9}
-		r.Receive("b", SnapshotChunk{Epoch: one.view.Epoch, Position: at, Size: len(lesson), Data: lesson}, 4*time.Second)
-		require.Equal(t, one.taken, r.position == at)
+		r.Receive("b", SnapshotChunk{Epoch: one.view.Epoch, Position: at, Size: len(snapshot), Data: snapshot}, 4*time.Second)
+		require.Equal(t, one.taken, r.state.position == at)
 	}
 }
--- a/internal/router/replication/machine.go
+++ b/internal/router/replication/machine.go
@@ -1,81 +1,23 @@
 package replication
 
-// What a replica is given and what it wants done: the state machine, records on the disk, effects.
-
-// StateMachine is the state that is replicated. Decide does not change it.
+// StateMachine is the state that is replicated. It is deterministic: the same entries in the same order give the same state on
+// every replica. The replica alone calls it, within the shell's calls.
 type StateMachine interface {
+	// Decide says what becomes of a proposed entry on top of the present state, which it does not change.
 	Decide(entry []byte) Decision
+	// Apply changes the state by an entry that Decide accepted, here or on another replica.
 	Apply(entry []byte)
+	// Snapshot returns the complete state. The caller keeps it; it must not change afterwards.
 	Snapshot() []byte
+	// Restore replaces the state by a snapshot. On an error the state is as before.
 	Restore(snapshot []byte) error
-	Value() any // the state as it is published; it is immutable
+	// Value returns the state as it is published. It is immutable.
+	Value() any
 }
 
-// Decision is what a state machine makes of a proposed entry.
+// Decision is what becomes of a proposal or of a read.
 type Decision struct {
-	Accept bool
-	Status int // what the proposer is told
-	Reason string
-}
-
-// HardState is what a witness must not forget.
-type HardState struct {
-	Promised Epoch
-	Accepted View
-	Genesis  bool // this disk was made at the first start of the whole system
-}
-
-// Entry is one entry on the disk.
-type Entry struct {
-	Position Position
-	Data     []byte
+	Accept bool   // the entry is to be replicated, or was committed
+	Status int    // HTTP status for the caller
+	Reason string // for the caller, where the status is not 200
 }
-
-// SnapshotRecord is a whole state on the disk; entries before it are forgotten.
-type SnapshotRecord struct {
-	Position Position
-	Data     []byte
-}
-
-// PersistedState is what a replica finds on its disk.
-type PersistedState struct {
-	ID       string
-	Hard     HardState
-	Snapshot SnapshotRecord
-	Entries  []Entry
-}
-
-// Effect is what the shell carries out.
-type Effect interface{ replicationEffect() }
-
-// Send sends a message to the sidecar at an address; it may be lost.
-type Send struct {
-	To      string
-	Message Message
-}
-
-// Save writes to the disk and syncs; the shell then calls Saved or SaveFailed with Number. Saves keep their order.
-type Save struct {
-	Number   uint64
-	Hard     HardState
-	Entry    *Entry
-	Snapshot *SnapshotRecord
-}
-
-// Publish says that a state of the machine is committed.
-type Publish struct {
-	Position Position
-	Entries  [][]byte // the last ones that led to it, as far as they are known
-	Value    any      // the machine's
-}
-
-// Answer ends a proposal.
-type Answer struct {
-	Token    uint64
-	Decision Decision
-}
-
-func (Send) replicationEffect()    {}
-func (Save) replicationEffect()    {}
-func (Publish) replicationEffect() {}
-func (Answer) replicationEffect()  {}
--- a/internal/router/replication/members.go
+++ b/internal/router/replication/members.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Who is a member of the next view. A newcomer takes the place of one member in one step, so that a repair never needs more votes than
-// there were before it; the number of members grows only where a zone has none, or where there are too few to bear the losses that
+// Who is a member of the next view. A newcomer replaces one member in one step, so that a repair never needs more votes than there were
+// before it; the number of members grows only where a zone has none, or where there are too few to tolerate the losses that
 // FaultTolerance names.
 
 const (
-	replaceAfter  = time.Second     // of silence: a newcomer of its zone takes a member's place
-	successorWait = 4 * time.Second // of silence: a newcomer of any zone does
+	replacementTimeout          = time.Second     // without contact: a newcomer of its zone replaces a member
+	crossZoneReplacementTimeout = 4 * time.Second // without contact: a newcomer of a zone without a member does
 )
 
-// nextView is the view that a candidate proposes. A change of members that was begun and is not known to be in force is
+// nextView returns the view that a candidate proposes. A change of members that was begun and is not known to be in force is
 // finished first, with the same members and the same ones before: a view built on members that never were in force would be
 // decided without those that still may decide.
 func (r *Replica) nextView() View {
 	e := &r.election
-	v := View{Epoch: e.epoch, Primary: r.Self.ID, Members: e.newest.Members, Old: e.newest.Old}
-	if !e.newest.joint() {
-		v.Members, v.Old = r.nextMembers(), e.newest.Members
+	v := View{Epoch: e.epoch, Primary: r.Self.ID, Members: e.newestView.Members, Old: e.newestView.Old}
+	if !e.newestView.joint() {
+		v.Members, v.Old = r.nextMembers(), e.newestView.Members
 	}
-	for id := range e.synced {
+	for id := range e.sync.synced {
 		if v.Member(id) != nil {
 			v.InSync = append(v.InSync, id)
 		}
@@ -34,30 +34,30 @@
 	return v
 }
 
-// nextMembers are the members of a view built on one that is in force.
+// nextMembers returns the members of a view built on one that is in force.
 func (r *Replica) nextMembers() []Member {
 	e := &r.election
 	switch {
-	case e.newest.Epoch.Round == 0:
+	case e.newestView.Epoch.Round == 0:
 		return r.firstMembers()
-	case r.leading.view.Epoch != e.newest.Epoch:
-		return e.newest.Members // who was not primary just now does not know who is silent, or leaves
+	case r.leadership.view.Epoch != e.newestView.Epoch:
+		return e.newestView.Members // who was not primary just now does not know who is unreachable or leaving
 	}
-	members := r.planMembers(func(id string) bool { return e.synced[id] })
+	members := r.planMembers(func(id string) bool { return e.sync.synced[id] })
 	for i := range members {
-		if e.newest.Member(members[i].ID) == nil {
+		if e.newestView.Member(members[i].ID) == nil {
 			members[i].Joined = e.epoch.Round
 		}
 	}
 	return members
 }
 
-// firstMembers are those of the first view: all disks that were brought to the candidate's state.
+// firstMembers returns those of the first view: all disks that were brought to the candidate's state.
 func (r *Replica) firstMembers() []Member {
 	e := &r.election
 	var members []Member
-	for _, id := range sortedKeys(e.synced) {
-		m, ok := e.joining[id]
+	for _, id := range sortedKeys(e.sync.synced) {
+		m, ok := e.sync.requested[id]
 		if id == r.Self.ID {
 			m, ok = r.Self, true
 		}
@@ -69,31 +69,33 @@
 	return members
 }
 
-// planMembers is what a primary makes of the members of its view; ready says which replicas have its state.
+// planMembers returns the members that a primary wants instead of those of its view; ready says which replicas have its state.
 func (r *Replica) planMembers(ready func(id string) bool) []Member {
-	members := slices.Clone(r.leading.view.Members)
-	for _, id := range sortedKeys(r.leading.acked) {
-		a := r.leading.acked[id]
+	members := slices.Clone(r.leadership.view.Members)
+	for _, id := range sortedKeys(r.leadership.statuses) {
+		status := r.leadership.statuses[id]
 		isMember := slices.ContainsFunc(members, func(m Member) bool { return m.ID == id })
-		if isMember || !a.disk || a.leaving || !ready(id) {
+		if isMember || !status.hasDisk || status.leaving || !ready(id) {
 			continue
 		}
-		if i := r.placeFor(a.member, members); i < 0 {
-			continue
-		} else if i < len(members) {
-			members[i] = a.member
-		} else {
-			members = append(members, a.member)
+		index, ok := r.replacedBy(status.member, members)
+		switch {
+		case !ok:
+		case index < len(members):
+			members[index] = status.member
+		default:
+			members = append(members, status.member)
 		}
 	}
 	return r.withoutPredecessor(members, ready)
 }
 
-// placeFor says whose place a newcomer takes: an index of members, their number where it is added, or -1 where it has to wait.
-func (r *Replica) placeFor(newcomer Member, members []Member) int {
+// replacedBy returns the index of the member that a newcomer replaces, or the number of members where the newcomer is added; false
+// where it has to wait.
+func (r *Replica) replacedBy(newcomer Member, members []Member) (index int, ok bool) {
 	for i, m := range members {
 		if m.Address == newcomer.Address {
-			return i // its disk is gone
+			return i, true // its disk is gone
 		}
 	}
 	zoneHasMember := false
@@ -102,31 +104,28 @@
 			continue
 		}
 		zoneHasMember = true
-		if r.leaves(m) || r.silentFor(m, replaceAfter) {
-			return i
+		if r.isLeaving(m) || r.unreachableFor(m, replacementTimeout) {
+			return i, true
 		}
 	}
-	allHeard := true
+	allReachable := true
 	for i, m := range members {
-		if r.silentFor(m, successorWait) && !zoneHasMember {
-			return i
+		if r.unreachableFor(m, crossZoneReplacementTimeout) && !zoneHasMember {
+			return i, true
 		}
-		allHeard = allHeard && !r.silentFor(m, reachable)
+		allReachable = allReachable && !r.unreachableFor(m, reachableWindow)
 	}
 	tooFew := len(members) < 2*r.FaultTolerance+1
-	if allHeard && (!zoneHasMember || tooFew) {
-		return len(members)
-	}
-	return -1
+	return len(members), allReachable && (!zoneHasMember || tooFew)
 }
 
-// withoutPredecessor leaves out one that has long been silent and whose zone has a newer member, where enough are left.
+// withoutPredecessor drops one member that has long been unreachable and whose zone has a newer member, where enough remain.
 func (r *Replica) withoutPredecessor(members []Member, ready func(id string) bool) []Member {
 	if len(members) <= 2*r.FaultTolerance+1 {
 		return members
 	}
 	for i, old := range members {
-		if !r.silentFor(old, successorWait) {
+		if !r.unreachableFor(old, crossZoneReplacementTimeout) {
 			continue
 		}
 		for _, m := range members {
@@ -138,21 +137,22 @@
 	return members
 }
 
-// leaves reports whether a member said in its last answer that its process is about to end.
-func (r *Replica) leaves(m Member) bool { return r.leading.acked[m.ID].leaving }
+// isLeaving reports whether a member said in its last answer that its process is about to end.
+func (r *Replica) isLeaving(m Member) bool { return r.leadership.statuses[m.ID].leaving }
 
-// silentFor reports whether the primary has not heard a member for a time.
-func (r *Replica) silentFor(m Member, limit time.Duration) bool {
+// unreachableFor reports whether the primary has had no contact with a member for longer than a limit. What happened before it became
+// primary does not count.
+func (r *Replica) unreachableFor(m Member, limit time.Duration) bool {
 	if m.ID == r.Self.ID {
 		return false
 	}
-	return r.now-max(r.leading.acked[m.ID].at, r.leading.began) > limit
+	return r.now-max(r.leadership.statuses[m.ID].lastContact, r.leadership.primarySince) > limit
 }
 
 // wantedChange names what the next view would have that this one has not: other members, or more of them in sync. It is "" where there is
 // nothing.
 func (r *Replica) wantedChange() string {
-	l := &r.leading
+	l := &r.leadership
 	var wanted []string
 	for _, m := range l.view.Members {
 		if !l.view.inSync(m.ID) && r.caughtUp(m.ID) {
@@ -166,6 +166,3 @@
 	}
 	return strings.Join(wanted, " ")
 }
-
-// mayJoin: a sidecar with a disk that promised in its own name.
-func (r *Replica) mayJoin(m Member, p Promise) bool { return slices.Contains(p.Voters, m.ID) }
--- a/internal/router/replication/messages.go
+++ b/internal/router/replication/messages.go
@@ -1,47 +1,64 @@
 package replication
 
-// Message is what replicas say to one another.
+// Message is what replicas send one another. Messages are encoded by gob under their field names; internal/router/wireformat has
+// the forms of those whose fields were renamed. Each carries an epoch, or answers a request that did not need one (PreVote): what
+// does not belong to the receiver's present epoch and phase is dropped.
 type Message interface{ replicationMessage() }
 
-// Prepare asks for a promise to follow no smaller epoch.
+// PreVote is sent by a follower that suspects the primary, to all whose promise it may need. The receiver answers with what it would
+// say to a Prepare, and promises nothing.
+type PreVote struct{ From Member }
+
+// PreVoteReply is the answer to PreVote. The follower becomes candidate once a majority has no contact with a primary either and it is
+// in the in-sync set of the newest view accepted among them.
+type PreVoteReply struct {
+	Voters        []string // the witness identities that would promise
+	Accepted      View     // the newest view that they accepted
+	LeaderContact bool     // they would promise nothing: they have contact with a primary or a candidate
+}
+
+// Prepare is sent by a candidate to all whose promise it may need. The receiver promises to follow no smaller epoch, and answers once
+// that is on its disk. It refuses if it has promised a larger one, or if it has contact with a primary and the candidate does not force it.
 type Prepare struct {
 	Epoch Epoch
 	From  Member
-	Force bool // also while a primary is heard of: it asked for this itself
+	Force bool // also while the receiver has contact with a primary: that primary asked for this itself
 }
 
-// Promise answers Prepare. Refused: the receiver has promised Promised, or hears a primary.
+// Promise is the answer to Prepare. The candidate counts its voters, builds on the newest accepted view that it learns of, and brings
+// the sender to its own state in the next phase.
 type Promise struct {
 	Epoch    Epoch
 	From     Member
-	Refused  bool
-	Promised Epoch
+	Refused  bool     // the sender has promised Promised, or has contact with a primary
+	Promised Epoch    // the largest epoch that the sender promised
 	Voters   []string // the witness identities that promise
-	Accepted View
-	Position Position
+	Accepted View     // the newest view that the sender accepted
+	Position Position // of the sender's state
 }
 
-// Sync brings a member to the candidate's state: by the entries that it lacks, or by a whole state. A member whose position is the
-// candidate's gets neither.
+// Sync is sent by a candidate to those that promised. The receiver adopts the candidate's state, by the entries that it lacks or by a
+// complete state, and answers once that is on its disk. A receiver whose position is the candidate's gets neither.
 type Sync struct {
 	Epoch    Epoch
 	Position Position
-	After    Position // of the state that Entries go on from
+	After    Position // of the state that Entries follow
 	Entries  []Entry
 	Snapshot []byte
 }
 
-// Synced answers Sync once the state is on the disk.
+// Synced is the answer to Sync. The candidate adds the sender to the in-sync set of the view that it proposes.
 type Synced struct {
 	Epoch    Epoch
 	From     string
 	Position Position
 }
 
-// Accept asks the witnesses to accept a view.
+// Accept is sent by a candidate to all witnesses. The receiver accepts the view unless it has promised a larger epoch, and answers once
+// that is on its disk.
 type Accept struct{ View View }
 
-// Accepted answers Accept once it is on the disk.
+// Accepted is the answer to Accept. The candidate becomes primary once a majority of the members, and of the members before, accepted.
 type Accepted struct {
 	Epoch    Epoch
 	Voters   []string
@@ -49,67 +66,73 @@
 	Promised Epoch
 }
 
-// Replicate brings one entry to an in-sync replica.
+// Replicate is sent by the primary to the in-sync set for each entry. The receiver applies the entry if it follows its state, and
+// answers once it is on its disk; it ignores an entry of an epoch that it has left.
 type Replicate struct {
 	Epoch    Epoch
 	Sequence uint64
 	Entry    []byte
 }
 
-// Replicated answers Replicate once the entry is on the disk.
+// Replicated is the answer to Replicate. The primary commits the entry once all of the in-sync set have answered.
 type Replicated struct {
 	Epoch    Epoch
 	From     string
 	Sequence uint64
 }
 
-// Heartbeat tells members and those that wait to be one who is primary, and what is committed.
+// Heartbeat is sent by the primary to all members and all that may become members. The receiver follows the primary, accepts its view,
+// and publishes its state once that is the committed one.
 type Heartbeat struct {
 	Epoch     Epoch
-	View      *View // where the receiver has not said that it knows it
-	Number    uint64
-	Committed uint64
+	View      *View  // nil where the receiver has said that it knows it
+	Number    uint64 // counts this primary's heartbeats
+	Committed uint64 // sequence of the last committed entry
 }
 
-// HeartbeatAck answers Heartbeat.
+// HeartbeatAck is the answer to Heartbeat. The primary learns from it who is reachable and what is on whose disk, and counts it as a
+// confirmation that it is still primary. One with a larger promised epoch makes it campaign for a new view.
 type HeartbeatAck struct {
 	Epoch      Epoch
-	Number     uint64
+	Number     uint64 // of the heartbeat
 	From       Member
 	Promised   Epoch
-	KnownEpoch Epoch // the view that it knows to be in force
+	KnownEpoch Epoch // of the view that the sender knows to be in force
 	DiskFails  bool
-	HasDisk    bool     // it has one: it may become a member
-	Position   Position // of what is on it
+	HasDisk    bool     // it may become a member
+	Position   Position // of what is on its disk
 	Leaving    bool     // its process is about to end
 }
 
-// SnapshotChunk brings a part of the state at a position to a learner: one outside the in-sync set that has a disk.
+// SnapshotChunk is sent by the primary to a learner: a replica with a disk outside the in-sync set. The receiver collects the
+// chunks, restores the state when it has all of them, and answers each.
 type SnapshotChunk struct {
 	Epoch    Epoch
 	Position Position
-	Size     int // of the whole
-	Offset   int
+	Size     int // of the complete snapshot, in bytes
+	Offset   int // of Data in it
 	Data     []byte
 }
 
-// MissingEntries brings a learner the entries after its position.
+// MissingEntries is sent by the primary to a learner. The receiver applies the entries if they follow its state, and answers once they
+// are on its disk.
 type MissingEntries struct {
 	Epoch   Epoch
-	After   Position
+	After   Position // of the state that the entries follow
 	Entries []Entry
 }
 
-// LearnerAck answers SnapshotPiece and MissingEntries.
+// LearnerAck is the answer to SnapshotChunk and MissingEntries. The primary sends what follows.
 type LearnerAck struct {
 	Epoch    Epoch
 	From     Member
 	Position Position // of what is on its disk
 	Transfer Position // of the snapshot that it is receiving
-	Received int      // bytes of it
+	Received int      // bytes of that snapshot
 }
 
-// TransferLeadership asks an in-sync replica to become primary: its sender is about to end, or its disk fails.
+// TransferLeadership is sent by a primary that is about to end or whose disk fails, to one of the in-sync set. The receiver becomes candidate
+// at once, if it still follows that epoch.
 type TransferLeadership struct{ Epoch Epoch }
 
 func (PreVote) replicationMessage()            {}
@@ -129,7 +152,7 @@
 func (MissingEntries) replicationMessage()     {}
 func (LearnerAck) replicationMessage()         {}
 
-// Messages has one of each type, for a transport that wants to know them.
+// Messages returns one message of each type, for whoever encodes them.
 func Messages() []Message {
 	return []Message{PreVote{}, PreVoteReply{}, Prepare{}, Promise{}, Sync{}, Synced{}, Accept{}, Accepted{}, Replicate{}, Replicated{},
 		Heartbeat{}, HeartbeatAck{}, TransferLeadership{}, SnapshotChunk{}, MissingEntries{}, LearnerAck{}}
--- a/internal/router/replication/prevote.go
+++ b/internal/router/replication/prevote.go
@@ -2,71 +2,62 @@
 
 import "time"
 
-// A replica that hears no primary asks the others first whether they hear one, and promises nothing meanwhile: one that has just
-// started, or that a cut keeps from hearing, would otherwise end a view that works.
+// A replica without contact with a primary asks the others first whether they have it, and promises nothing meanwhile: one that has just
+// started, or that a partition keeps from receiving, would otherwise end a view that works.
 
 const (
-	preVoteEvery = 100 * time.Millisecond
-	preVoteGood  = 300 * time.Millisecond // for which an answer counts
+	preVoteInterval      = 100 * time.Millisecond
+	preVoteReplyLifetime = 300 * time.Millisecond // for which an answer counts
 )
 
-// PreVote asks whether the receiver would promise an epoch to the sender.
-type PreVote struct{ From Member }
-
-// PreVoteReply answers PreVote.
-type PreVoteReply struct {
-	Voters        []string // the witness identities that would promise
-	Accepted      View     // what they would say that they accepted
-	LeaderContact bool     // they would promise nothing, for they hear of a primary or candidate
-}
-
-// preVote is what a follower that suspects the primary has heard from the others.
-type preVote struct {
-	asked   time.Duration
-	replies map[string]datedReply // by address
+// preVoteRequests is what a follower that suspects the primary has asked and been answered. It is empty while it suspects nobody.
+type preVoteRequests struct {
+	lastRequest time.Duration
+	replies     map[string]receivedPreVote // by address; nil before the first request
 }
 
-type datedReply struct {
+// receivedPreVote is an answer and when it came.
+type receivedPreVote struct {
 	PreVoteReply
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// suspicious reports whether a follower should become a candidate, if the others agree.
-func (r *Replica) suspicious() bool {
+// suspectsPrimary reports whether a follower should become a candidate, if the others agree.
+func (r *Replica) suspectsPrimary() bool {
 	newest := r.newestKnown()
-	if r.role != follower || r.Witness || r.stalled() || newest.Epoch.Round == 0 {
+	if r.role != follower || r.Witness || r.diskStalled() || newest.Epoch.Round == 0 {
 		return false
 	}
-	if r.known.Member(r.Self.ID) == nil && r.hard.Accepted.Member(r.Self.ID) == nil {
-		return false // it waits to be taken in
+	if r.knownView.Member(r.Self.ID) == nil && r.hard.Accepted.Member(r.Self.ID) == nil {
+		return false // it waits to become a member
 	}
-	return r.now-r.heard > suspectAfter+r.electionTurn()
+	return r.now-r.follower.lastContact > electionTimeout+r.electionDelay()
 }
 
-// askPreVotes asks all whose promise may be needed.
-func (r *Replica) askPreVotes() {
+// requestPreVotes asks all whose promise may be needed, at most once in preVoteInterval.
+func (r *Replica) requestPreVotes() {
 	if r.preVote.replies == nil {
-		r.preVote.replies = map[string]datedReply{}
-	} else if r.now-r.preVote.asked < preVoteEvery {
+		r.preVote.replies = map[string]receivedPreVote{}
+	} else if r.now-r.preVote.lastRequest < preVoteInterval {
 		return
 	}
-	r.preVote.asked = r.now
+	r.preVote.lastRequest = r.now
 	for _, address := range r.contacts() {
 		r.send(address, PreVote{From: r.Self})
 	}
 	r.countPreVotes()
 }
 
-func (r *Replica) onPreVote(m PreVote) {
+func (r *Replica) handlePreVote(m PreVote) {
 	voters := r.voters()
 	if len(voters) == 0 {
 		return
 	}
-	hears := r.role != follower || r.now-r.heard < heardRecently
-	r.send(m.From.Address, PreVoteReply{Voters: voters, Accepted: r.hard.Accepted, LeaderContact: hears})
+	leaderContact := r.role != follower || r.now-r.follower.lastContact < leaderStickiness
+	r.send(m.From.Address, PreVoteReply{Voters: voters, Accepted: r.hard.Accepted, LeaderContact: leaderContact})
 }
 
-func (r *Replica) onPreVoteReply(m PreVoteReply, from string) {
+func (r *Replica) handlePreVoteReply(m PreVoteReply, from string) {
 	if r.preVote.replies == nil {
 		return
 	}
@@ -74,38 +65,38 @@
 		delete(r.preVote.replies, from)
 		return
 	}
-	r.preVote.replies[from] = datedReply{m, r.now}
+	r.preVote.replies[from] = receivedPreVote{m, r.now}
 	r.countPreVotes()
 }
 
-// countPreVotes begins a candidacy when a majority hears no primary and the promises would let this replica lead. One that is not in the
-// in-sync set would stop those that are by asking: a promise gives the candidate time.
+// countPreVotes begins a candidacy when a majority has no contact with a primary and the promises would let this replica lead. One that
+// is not in the in-sync set would hinder those that are by asking for promises: a promise gives the candidate time.
 func (r *Replica) countPreVotes() {
 	newest := r.newestKnown()
-	agree := map[string]bool{}
+	votes := map[string]bool{}
 	for _, id := range r.voters() {
-		agree[id] = true
+		votes[id] = true
 	}
 	for _, reply := range r.preVote.replies {
-		if r.now-reply.at >= preVoteGood {
+		if r.now-reply.receivedAt >= preVoteReplyLifetime {
 			continue
 		}
 		newest = laterView(newest, reply.Accepted)
 		for _, id := range reply.Voters {
-			agree[id] = true
+			votes[id] = true
 		}
 	}
-	if !r.suspicious() || !newest.inSync(r.Self.ID) || !majority(newest.Members, agree) || !majority(newest.Old, agree) {
+	if !r.suspectsPrimary() || !newest.inSync(r.Self.ID) || !majority(newest.Members, votes) || !majority(newest.Old, votes) {
 		return
 	}
-	r.preVote = preVote{}
+	r.preVote = preVoteRequests{}
 	r.campaign(false)
 }
 
-// newestKnown is the newest view that this replica accepted or knows to be in force.
+// newestKnown returns the newest view that this replica accepted or knows to be in force.
 func (r *Replica) newestKnown() View {
-	if r.known.Epoch.Less(r.hard.Accepted.Epoch) {
+	if r.knownView.Epoch.Less(r.hard.Accepted.Epoch) {
 		return r.hard.Accepted
 	}
-	return r.known
+	return r.knownView
 }
--- a/internal/router/replication/prevote_test.go
+++ b/internal/router/replication/prevote_test.go
@@ -64,7 +64,7 @@
 
 // Schedules after whose faults two replicas outside the in-sync set kept the others from electing a primary.
 func TestOutsidersDoNotHinderAnElection(t *testing.T) {
-	assert.Empty(t, judge(play(t, 140690, nil)))
-	assert.Empty(t, judge(playCore(t, 116838, 5, 2, nil)))
-	assert.Empty(t, judge(playCore(t, 148364, 7, 2, nil)))
+	assert.Empty(t, scheduleViolation(playSchedule(t, 140690, nil)))
+	assert.Empty(t, scheduleViolation(playCore(t, 116838, 5, 2, nil)))
+	assert.Empty(t, scheduleViolation(playCore(t, 148364, 7, 2, nil)))
 }
--- a/internal/router/replication/primary.go
+++ b/internal/router/replication/primary.go
@@ -6,169 +6,109 @@
 	"time"
 )
 
-const statusUnavailable = http.StatusServiceUnavailable
+// leadership is what a primary knows. A primary that campaigns for the view after its own keeps it.
+type leadership struct {
+	view         View
+	viewSince    time.Duration // when the view came into force
+	primarySince time.Duration // when this replica became primary: all views since then are its own
 
-// leading is what a primary knows.
-type leading struct {
-	view      View
-	queue     []proposal
-	staged    *proposal
-	stagedAt  time.Duration
-	acks      map[string]bool // in-sync members that have the staged entry
-	committed uint64
-	beat      uint64
-	lastBeat  time.Duration
-	acked     map[string]memberAck // by ID
-	teaching  map[string]*teaching // by ID
-	confirms  []confirmation
-	reviewed  time.Duration
-	wanted    string        // the change that was last proposed
-	wait      time.Duration // until that change is proposed again
-	since     time.Duration // when the view came into force
-	began     time.Duration // when this replica became primary: views since then are its own
-}
+	proposals []proposal // that wait for the staged one
+	staged    stagedEntry
+	committed uint64 // sequence of the last committed entry
 
-// lead begins a primary's time: the view has been accepted.
-func (r *Replica) lead() {
-	old := r.leading
-	r.role = primary
-	next := leading{view: r.election.view, queue: old.queue, confirms: old.confirms, acked: map[string]memberAck{}, teaching: map[string]*teaching{},
-		committed: r.position.Sequence, since: r.now, began: r.now, reviewed: r.now, beat: old.beat}
-	if old.acked != nil { // it was primary before: who was silent then is so still
-		next.acked, next.began, next.wanted = old.acked, old.began, old.wanted
-	}
-	if slices.Equal(old.view.InSync, next.view.InSync) && slices.Equal(old.view.Members, next.view.Members) {
-		next.wait = min(maxReviewWait, max(reviewEvery, 2*old.wait)) // the change brought nothing
-	}
-	next.view.Old = next.view.Members // it is in force: the members before need not agree any more
-	r.known = next.view
-	r.hard.Accepted = r.known
-	r.save(nil, false, func() {})
-	r.leading = next
-	for address := range r.election.promises {
-		for _, m := range r.known.Members {
-			if m.Address == address {
-				a := r.leading.acked[m.ID]
-				a.member, a.at = m, r.now
-				r.leading.acked[m.ID] = a
-			}
-		}
-	}
-	r.publish()
-	if old.staged != nil { // its entry is part of the state that this view began with
-		r.answer(old.staged.token, Decision{Accept: true, Status: http.StatusOK})
-	}
-	r.heartbeat()
-	r.nextProposal()
-}
+	heartbeatNumber uint64 // of the last heartbeat
+	lastHeartbeat   time.Duration
+	statuses        map[string]replicaStatus    // by ID; nil where this is no leadership
+	learners        map[string]*learnerProgress // by ID
+	confirmations   []confirmation
 
-// Propose hands in an entry; an Answer with the token follows, unless the replica ends.
-func (r *Replica) Propose(token uint64, data []byte, now time.Duration) {
-	r.now = now
-	if r.role != primary && !(r.role == candidate && r.leading.acked != nil) || len(r.leading.queue) >= maxProposals {
-		r.answer(token, Decision{Status: statusUnavailable, Reason: "not the primary"})
-		return
-	}
-	r.leading.queue = append(r.leading.queue, proposal{token: token, data: data})
-	r.nextProposal()
+	review viewReview
 }
 
-func (r *Replica) answer(token uint64, d Decision) {
-	r.out = append(r.out, Answer{Token: token, Decision: d})
+// viewReview is when a primary last proposed a change of its view.
+type viewReview struct {
+	reviewedAt time.Duration
+	lastChange string        // as wantedChange named it
+	backoff    time.Duration // until that change is proposed again
 }
 
-// nextProposal decides on proposals until one is staged: it has to be committed before the next is looked at.
-func (r *Replica) nextProposal() {
-	l := &r.leading
-	for r.role == primary && l.staged == nil && len(l.queue) > 0 {
-		p := l.queue[0]
-		l.queue = l.queue[1:]
-		d := r.machine.Decide(p.data)
-		if !d.Accept {
-			r.confirm(p.token, d)
-			continue
-		}
-		r.stage(p)
-	}
-}
-
-func (r *Replica) stage(p proposal) {
-	l := &r.leading
-	l.staged, l.stagedAt, l.acks = &p, r.now, map[string]bool{}
-	entry := Entry{Position: Position{Epoch: l.view.Epoch, Sequence: r.position.Sequence + 1}, Data: p.data}
-	r.apply(entry)
-	epoch, sequence := l.view.Epoch, r.position.Sequence
-	r.save(&entry, false, func() {
-		r.onReplicated(Replicated{Epoch: epoch, From: r.Self.ID, Sequence: sequence})
-	})
-	for _, id := range l.view.InSync {
-		if m := l.view.Member(id); m != nil && id != r.Self.ID {
-			r.send(m.Address, Replicate{Epoch: epoch, Sequence: sequence, Entry: p.data})
-		}
+// becomePrimary begins a leadership, or continues one: the candidate's view is in force.
+func (r *Replica) becomePrimary() {
+	old := r.leadership
+	next := r.nextLeadership(&old)
+	r.role = primary
+	r.knownView = next.view
+	r.hard.Accepted = r.knownView
+	r.saveHardState(nil)
+	r.leadership = next
+	r.countPromisesAsContact()
+	r.publish()
+	if old.staged.proposal != nil { // its entry is part of the state that this view began with
+		r.answer(old.staged.proposal.token, Decision{Accept: true, Status: http.StatusOK})
 	}
+	r.broadcastHeartbeat()
+	r.nextProposal()
 }
 
-func (r *Replica) onReplicate(m Replicate, from string) {
-	if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Witness {
-		return
-	}
-	epoch, sequence := m.Epoch, m.Sequence
-	done := func() {
-		if r.hard.Promised == epoch {
-			r.send(from, Replicated{Epoch: epoch, From: r.Self.ID, Sequence: sequence})
-		}
+// nextLeadership returns the leadership for the accepted view; old is the one before, or empty.
+func (r *Replica) nextLeadership(old *leadership) leadership {
+	next := leadership{
+		view:            r.election.accept.view,
+		viewSince:       r.now,
+		primarySince:    r.now,
+		proposals:       old.proposals,
+		committed:       r.state.position.Sequence,
+		heartbeatNumber: old.heartbeatNumber,
+		statuses:        map[string]replicaStatus{},
+		learners:        map[string]*learnerProgress{},
+		confirmations:   old.confirmations,
+		review:          viewReview{reviewedAt: r.now},
+	}
+	if old.statuses != nil { // it was primary before: who was unreachable then still is
+		next.statuses, next.primarySince, next.review.lastChange = old.statuses, old.primarySince, old.review.lastChange
 	}
-	if sequence != r.position.Sequence+1 {
-		return
+	if slices.Equal(old.view.InSync, next.view.InSync) && slices.Equal(old.view.Members, next.view.Members) {
+		next.review.backoff = min(maxViewReviewBackoff, max(viewReviewInterval, 2*old.review.backoff)) // the change brought nothing
 	}
-	entry := Entry{Position: Position{Epoch: epoch, Sequence: sequence}, Data: m.Entry}
-	r.apply(entry)
-	r.save(&entry, false, done)
+	next.view.Old = next.view.Members // it is in force: the members before need not agree any more
+	return next
 }
 
-func (r *Replica) onReplicated(m Replicated) {
-	l := &r.leading
-	if r.role != primary || m.Epoch != l.view.Epoch || l.staged == nil || m.Sequence != r.position.Sequence {
-		return
-	}
-	l.acks[m.From] = true
-	for _, id := range l.view.InSync {
-		if !l.acks[id] {
-			return
+// countPromisesAsContact notes that the members that promised are reachable.
+func (r *Replica) countPromisesAsContact() {
+	for address := range r.election.prepare.promises {
+		for _, m := range r.knownView.Members {
+			if m.Address == address {
+				status := r.leadership.statuses[m.ID]
+				status.member, status.lastContact = m, r.now
+				r.leadership.statuses[m.ID] = status
+			}
 		}
 	}
-	token := l.staged.token
-	l.staged = nil
-	l.committed = r.position.Sequence
-	r.publish()
-	r.answer(token, Decision{Accept: true, Status: http.StatusOK})
-	r.heartbeat()
-	r.teachAll()
-	r.nextProposal()
 }
 
-// recampaign takes the next epoch with what this primary has, staged entry included.
-func (r *Replica) recampaign() {
-	for _, c := range r.leading.confirms {
-		r.answer(c.token, Decision{Status: statusUnavailable, Reason: "the view changes"})
+// campaignAsPrimary proposes the next view with what this primary has, staged entry included.
+func (r *Replica) campaignAsPrimary() {
+	for _, c := range r.leadership.confirmations {
+		r.answer(c.token, unavailable(reasonViewChanges))
 	}
-	r.leading.confirms = nil
+	r.leadership.confirmations = nil
 	r.campaign(true)
 }
 
-// review looks whether the view should change. A change that was proposed and brought nothing waits longer each time; another one does not.
-func (r *Replica) review() {
-	l := &r.leading
-	if r.now-l.reviewed < reviewEvery {
+// reviewView proposes a change of the view where one is wanted. A change that was proposed and brought nothing has a backoff; another one has none.
+func (r *Replica) reviewView() {
+	review := &r.leadership.review
+	if r.now-review.reviewedAt < viewReviewInterval {
 		return
 	}
 	wanted := r.wantedChange()
-	if wanted == "" || wanted == l.wanted && r.now-l.reviewed < l.wait {
+	if wanted == "" || wanted == review.lastChange && r.now-review.reviewedAt < review.backoff {
 		return
 	}
-	l.reviewed = r.now
+	review.reviewedAt = r.now
 	if r.majorityReachable() {
-		l.wanted = wanted
-		r.recampaign()
+		review.lastChange = wanted
+		r.campaignAsPrimary()
 	}
 }
--- /dev/null
+++ b/internal/router/replication/proposals.go
@@ -0,0 +1,123 @@
+package replication
+
+import (
+	"net/http"
+	"time"
+)
+
+// Reasons for a caller that gets status 503.
+const (
+	reasonNotPrimary      = "not the primary"
+	reasonNoLongerPrimary = "no longer primary"
+	reasonViewChanges     = "the view changes"
+)
+
+// unavailable is the decision that says nothing clear: the caller asks again.
+func unavailable(reason string) Decision {
+	return Decision{Status: http.StatusServiceUnavailable, Reason: reason}
+}
+
+// proposal is an entry that waits for its turn or for its commit.
+type proposal struct {
+	token uint64
+	data  []byte
+}
+
+// stagedEntry is the one proposal that is applied at the primary and not yet committed.
+type stagedEntry struct {
+	proposal *proposal // nil: there is none
+	stagedAt time.Duration
+	acks     map[string]bool // IDs of in-sync members that have it on the disk
+}
+
+// timedOut reports whether in-sync members take too long to acknowledge the entry.
+func (s *stagedEntry) timedOut(now time.Duration) bool {
+	return s.proposal != nil && now-s.stagedAt > entryTimeout+time.Duration(len(s.proposal.data))*entryTimeoutPerByte
+}
+
+// Propose submits an entry. An Answer with the token follows, unless the replica ends: with Accept once the entry is committed, with the
+// machine's decision where it rejects the entry, and with status 503 where it is unclear whether the entry will be committed.
+func (r *Replica) Propose(token uint64, data []byte, now time.Duration) {
+	r.now = now
+	l := &r.leadership
+	campaignsAsPrimary := r.role == candidate && l.statuses != nil
+	if r.role != primary && !campaignsAsPrimary || len(l.proposals) >= maxProposals {
+		r.answer(token, unavailable(reasonNotPrimary))
+		return
+	}
+	l.proposals = append(l.proposals, proposal{token: token, data: data})
+	r.nextProposal()
+}
+
+// nextProposal decides on proposals until one is staged: it has to be committed before the next is decided.
+func (r *Replica) nextProposal() {
+	l := &r.leadership
+	for r.role == primary && l.staged.proposal == nil && len(l.proposals) > 0 {
+		p := l.proposals[0]
+		l.proposals = l.proposals[1:]
+		d := r.state.machine.Decide(p.data)
+		if !d.Accept {
+			r.confirmThenAnswer(p.token, d)
+			continue
+		}
+		r.stage(p)
+	}
+}
+
+// stage applies an entry at the primary and sends it to the in-sync set.
+func (r *Replica) stage(p proposal) {
+	l := &r.leadership
+	l.staged = stagedEntry{proposal: &p, stagedAt: r.now, acks: map[string]bool{}}
+	entry := Entry{Position: Position{Epoch: l.view.Epoch, Sequence: r.state.position.Sequence + 1}, Data: p.data}
+	r.state.apply(entry)
+	epoch, sequence := entry.Position.Epoch, entry.Position.Sequence
+	r.saveEntry(&entry, func() {
+		r.handleReplicated(Replicated{Epoch: epoch, From: r.Self.ID, Sequence: sequence})
+	})
+	for _, id := range l.view.InSync {
+		if m := l.view.Member(id); m != nil && id != r.Self.ID {
+			r.send(m.Address, Replicate{Epoch: epoch, Sequence: sequence, Entry: p.data})
+		}
+	}
+}
+
+func (r *Replica) handleReplicate(m Replicate, from string) {
+	if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Witness {
+		return
+	}
+	if m.Sequence != r.state.position.Sequence+1 {
+		return
+	}
+	entry := Entry{Position: Position{Epoch: m.Epoch, Sequence: m.Sequence}, Data: m.Entry}
+	r.state.apply(entry)
+	r.saveEntry(&entry, r.ifStillPromised(m.Epoch, func() {
+		r.send(from, Replicated{Epoch: m.Epoch, From: r.Self.ID, Sequence: m.Sequence})
+	}))
+}
+
+func (r *Replica) handleReplicated(m Replicated) {
+	l := &r.leadership
+	if r.role != primary || m.Epoch != l.view.Epoch || l.staged.proposal == nil || m.Sequence != r.state.position.Sequence {
+		return
+	}
+	l.staged.acks[m.From] = true
+	for _, id := range l.view.InSync {
+		if !l.staged.acks[id] {
+			return
+		}
+	}
+	r.commitStaged()
+}
+
+// commitStaged commits the staged entry: all of the in-sync set have it on the disk.
+func (r *Replica) commitStaged() {
+	l := &r.leadership
+	token := l.staged.proposal.token
+	l.staged.proposal = nil
+	l.committed = r.state.position.Sequence
+	r.publish()
+	r.answer(token, Decision{Accept: true, Status: http.StatusOK})
+	r.broadcastHeartbeat()
+	r.catchUpAll()
+	r.nextProposal()
+}
--- a/internal/router/replication/reads.go
+++ b/internal/router/replication/reads.go
@@ -6,37 +6,39 @@
 	"time"
 )
 
-// Reads and refusals. Both are answered only after a majority has confirmed, since the question came, that this is the primary still.
-
-// confirmation is an answer that waits until a majority has said that this is still the primary.
+// confirmation is a read or a rejection that waits until a majority has confirmed, since the request came, that this is still the
+// primary: another primary may have committed what this one does not know.
 type confirmation struct {
-	token    uint64
-	beat     uint64
-	decision Decision
+	token           uint64
+	heartbeatNumber uint64 // a majority has to answer this heartbeat or a later one
+	decision        Decision
 }
 
-// Confirm asks for an Answer with status 200 as soon as a majority has said that this is still the primary.
+// Confirm asks for an Answer with status 200 as soon as a majority has confirmed that this is still the primary. What was published by
+// then may be read. The Answer has status 503 where this is not the primary or stops being it.
 func (r *Replica) Confirm(token uint64, now time.Duration) {
 	r.now = now
 	if r.role != primary {
-		r.answer(token, Decision{Status: statusUnavailable, Reason: "not the primary"})
+		r.answer(token, unavailable(reasonNotPrimary))
 		return
 	}
-	r.confirm(token, Decision{Status: http.StatusOK})
+	r.confirmThenAnswer(token, Decision{Status: http.StatusOK})
 }
 
-func (r *Replica) confirm(token uint64, d Decision) {
-	r.heartbeat()
-	r.leading.confirms = append(r.leading.confirms, confirmation{token: token, beat: r.leading.beat, decision: d})
-	r.checkConfirms()
+func (r *Replica) confirmThenAnswer(token uint64, d Decision) {
+	r.broadcastHeartbeat()
+	l := &r.leadership
+	l.confirmations = append(l.confirmations, confirmation{token: token, heartbeatNumber: l.heartbeatNumber, decision: d})
+	r.answerConfirmed()
 }
 
-func (r *Replica) checkConfirms() {
-	l := &r.leading
-	l.confirms = slices.DeleteFunc(l.confirms, func(c confirmation) bool {
+// answerConfirmed gives the answers that a majority has confirmed.
+func (r *Replica) answerConfirmed() {
+	l := &r.leadership
+	l.confirmations = slices.DeleteFunc(l.confirmations, func(c confirmation) bool {
 		votes := map[string]bool{}
-		for id, a := range l.acked {
-			votes[id] = a.beat >= c.beat
+		for id, status := range l.statuses {
+			votes[id] = status.heartbeatNumber >= c.heartbeatNumber
 		}
 		if !majority(l.view.Members, votes) {
 			return false
--- a/internal/router/replication/replacement_test.go
+++ b/internal/router/replication/replacement_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	successorLead = time.Second     // before the end of the one that it replaces
-	catchUp       = 4 * time.Second // CatchUpS: for so long after its start a successor counts as lost
+	successorStartLead = time.Second     // before the end of the one that it replaces
+	catchUpTime        = 4 * time.Second // CatchUpS: for so long after its start a successor counts as lost
 )
 
 // replace starts a successor in a machine's zone, ends that machine as planned or by a kill, and returns the successor.
@@ -19,7 +19,7 @@
 	next := &host{address: address, zone: old.zone, syncTime: 2 * time.Millisecond}
 	s.hosts[address] = next
 	s.boot(next)
-	s.run(s.now + successorLead)
+	s.run(s.now + successorStartLead)
 	if planned {
 		s.terminate(old)
 	} else {
@@ -34,7 +34,7 @@
 	for seed := range int64(10) {
 		for _, planned := range []bool{true, false} {
 			for machines := 3; machines <= 4; machines++ {
-				for _, after := range []time.Duration{catchUp - successorLead, catchUp - successorLead + 500*time.Millisecond, 8 * time.Second} {
+				for _, after := range []time.Duration{catchUpTime - successorStartLead, catchUpTime - successorStartLead + 500*time.Millisecond, 8 * time.Second} {
 					t.Run(fmt.Sprintf("seed %d, planned %t, %d machines, %v", seed, planned, machines, after), func(t *testing.T) {
 						loseADiskAfterAReplacement(t, seed, planned, machines, after)
 					})
@@ -68,6 +68,6 @@
 // terminate stands for SIGTERM: a process says that it leaves, and ends a little later.
 func (s *simulation) terminate(h *host) {
 	p := h.process
-	s.with(p, func() { p.replica.Leave(s.now) })
+	s.runIn(p, func() { p.replica.Leave(s.now) })
 	s.after(200*time.Millisecond, func() { s.kill(h) })
 }
--- a/internal/router/replication/replication_test.go
+++ b/internal/router/replication/replication_test.go
@@ -93,7 +93,7 @@
 		s := newSimulation(t, seed, 4, 1)
 		s.run(4 * time.Second)
 		full := s.hosts[s.addresses()[seed%4]]
-		full.fullUntil = s.now + 4*time.Second
+		full.diskFullUntil = s.now + 4*time.Second
 		require.Equal(t, http.StatusOK, func() int {
 			writeNow(s, "a")
 			return writeNow(s, "b").status
@@ -180,7 +180,7 @@
 		longest = max(longest, s.now-began)
 	}
 	t.Logf("at most %v", longest)
-	require.Less(t, longest, suspectAfter+3*suspectStep+promiseSlack+2*50*time.Millisecond)
+	require.Less(t, longest, electionTimeout+3*electionStagger+promiseWaitMargin+2*50*time.Millisecond)
 }
 
 // A member that hears nothing and is heard asks whether others hear a primary, and promises nothing meanwhile: the view stays when it
@@ -193,7 +193,7 @@
 	epoch := p.replica.View().Epoch
 	deaf := s.followers(p)[0]
 	for _, h := range s.ordered() {
-		s.cut(h, deaf, true)
+		s.blockLink(h, deaf, true)
 	}
 	s.run(s.now + 3*time.Second)
 	s.heal()
@@ -224,7 +224,7 @@
 
 // A share of a processor that is a quota: all stand still for the rest of each tenth of a second. No view changes, and orders are taken.
 func TestAProcessorThatIsAQuota(t *testing.T) {
-	s, p := coreWithAValue(t)
+	s, p := coreWithValue(t)
 	epoch := p.replica.View().Epoch
 	for at := time.Duration(0); at < 8*time.Second; at += 100 * time.Millisecond {
 		for _, h := range s.ordered() {
--- a/internal/router/replication/sim_test.go
+++ b/internal/router/replication/sim_test.go
@@ -15,20 +15,20 @@
 // simulation plays several replicas in virtual time, with a network that delays and loses messages and disks that forget
 // what was not synced. Everything comes of one seed.
 type simulation struct {
-	t       testing.TB
-	random  *rand.Rand
-	now     time.Duration
-	events  []event
-	number  uint64
-	hosts   map[string]*host
-	seeds   []string
-	cuts    map[[2]string]bool
-	history []operation
-	loss    float64
-	failed  error // what a process could not go on from
+	t            testing.TB
+	random       *rand.Rand
+	now          time.Duration
+	events       []event
+	eventNumber  uint64
+	hosts        map[string]*host
+	seeds        []string
+	blockedLinks map[[2]string]bool
+	history      []operation
+	loss         float64
+	restoreError error // what a process could not go on from
 
 	bytesPerSecond int // that a machine's link carries; 0: no bound
-	sent           int // bytes
+	sentBytes      int // bytes
 
 	// Guards that a test takes out.
 	tolerance    int // FaultTolerance of the replicas
@@ -46,27 +46,27 @@
 
 // host is one machine: its disk outlives its processes.
 type host struct {
-	address, zone string
-	disk          *PersistedState // what is synced; nil: no file yet
-	genesis       bool
-	process       *process
-	frozenUntil   time.Duration
-	deafUntil     time.Duration // what is sent to it is lost, as to a machine that is suspended
-	fullUntil     time.Duration
-	syncTime      time.Duration
-	wipes         int
-	linkFree      time.Duration // when all that was sent has left
+	address, zone    string
+	disk             *PersistedState // what is synced; nil: no file yet
+	genesis          bool
+	process          *process
+	frozenUntil      time.Duration
+	inboundLostUntil time.Duration // what is sent to it is lost, as to a machine that is suspended
+	diskFullUntil    time.Duration
+	syncTime         time.Duration
+	wipes            int
+	linkFreeAt       time.Duration // when all that was sent has left
 }
 
 // process is one life of a replica.
 type process struct {
-	host    *host
-	replica *Replica
-	machine *versionMachine
-	answers map[uint64]func(Decision)
-	shown   versionMachine // what was published last
-	gap     bool
-	saving  time.Duration // when the disk is free again
+	host       *host
+	replica    *Replica
+	machine    *versionMachine
+	answers    map[uint64]func(Decision)
+	published  versionMachine // what was published last
+	saveGap    bool
+	diskFreeAt time.Duration // when the disk is free again
 }
 
 // versionMachine takes an entry only on top of the version it names.
@@ -125,7 +125,7 @@
 func (a machineAdapter) Value() any { return a.value() }
 
 func newSimulation(t testing.TB, seed int64, machines, tolerance int) *simulation {
-	s := &simulation{t: t, random: rand.New(rand.NewSource(seed)), hosts: map[string]*host{}, cuts: map[[2]string]bool{}, tolerance: tolerance}
+	s := &simulation{t: t, random: rand.New(rand.NewSource(seed)), hosts: map[string]*host{}, blockedLinks: map[[2]string]bool{}, tolerance: tolerance}
 	for i := range machines {
 		h := &host{address: fmt.Sprintf("10.0.%d.1:7000", i), zone: fmt.Sprintf("zone-%d", i), genesis: true, syncTime: 2 * time.Millisecond}
 		s.hosts[h.address] = h
@@ -140,8 +140,8 @@
 }
 
 func (s *simulation) after(d time.Duration, do func()) {
-	s.number++
-	e := event{at: s.now + d, number: s.number, do: do}
+	s.eventNumber++
+	e := event{at: s.now + d, number: s.eventNumber, do: do}
 	i := sort.Search(len(s.events), func(i int) bool { return s.events[i].at > e.at })
 	s.events = append(s.events, event{})
 	copy(s.events[i+1:], s.events[i:])
@@ -177,28 +177,28 @@
 	r, err := New(Options{Self: Member{ID: kept.ID, Address: h.address, Zone: h.zone}, Seeds: s.seeds, Bootstrap: h.genesis,
 		FaultTolerance: s.tolerance}, &kept, machineAdapter{m}, s.now)
 	if err != nil {
-		s.failed = err
+		s.restoreError = err
 		return
 	}
 	h.genesis = false
 	p.replica = r
 	h.process = p
 	s.tick(p)
-	s.greet(p)
+	s.announce(p)
 }
 
-// greet stands for the sessions by which sidecars hear of one another.
-func (s *simulation) greet(p *process) {
+// announce stands for the sessions by which sidecars hear of one another.
+func (s *simulation) announce(p *process) {
 	if p.host.process != p {
 		return
 	}
-	s.after(400*time.Millisecond, func() { s.greet(p) })
+	s.after(400*time.Millisecond, func() { s.announce(p) })
 	for _, other := range s.ordered() {
 		if other.process != nil && other != p.host && s.reaches(p.host, other) {
 			q := other.process
 			self := p.replica.Self
 			s.after(s.delay(), func() {
-				s.with(q, func() { q.replica.AddEligible(self) })
+				s.runIn(q, func() { q.replica.AddEligible(self) })
 			})
 		}
 	}
@@ -209,20 +209,20 @@
 		return
 	}
 	s.after(50*time.Millisecond, func() { s.tick(p) })
-	s.with(p, func() { p.replica.Tick(s.now) })
+	s.runIn(p, func() { p.replica.Tick(s.now) })
 }
 
-// with runs something in a process, after its freeze, if it lives.
-func (s *simulation) with(p *process, do func()) {
+// runIn runs something in a process, after its freeze, if it lives.
+func (s *simulation) runIn(p *process, do func()) {
 	if p.host.process != p {
 		return
 	}
 	if s.now < p.host.frozenUntil {
-		s.after(p.host.frozenUntil-s.now, func() { s.with(p, do) })
+		s.after(p.host.frozenUntil-s.now, func() { s.runIn(p, do) })
 		return
 	}
 	do()
-	s.carryOut(p)
+	s.executeEffects(p)
 }
 
 func (s *simulation) delay() time.Duration {
@@ -230,10 +230,10 @@
 }
 
 func (s *simulation) reaches(from, to *host) bool {
-	return !s.cuts[[2]string{from.address, to.address}] && s.random.Float64() >= s.loss
+	return !s.blockedLinks[[2]string{from.address, to.address}] && s.random.Float64() >= s.loss
 }
 
-func (s *simulation) carryOut(p *process) {
+func (s *simulation) executeEffects(p *process) {
 	for _, one := range p.replica.Effects() {
 		switch e := one.(type) {
 		case Send:
@@ -241,7 +241,7 @@
 		case Save:
 			s.save(p, e)
 		case Publish:
-			p.shown = e.Value.(versionMachine)
+			p.published = e.Value.(versionMachine)
 		case Answer:
 			if then := p.answers[e.Token]; then != nil {
 				delete(p.answers, e.Token)
@@ -257,11 +257,11 @@
 		return
 	}
 	q, m := to.process, e.Message
-	s.after(s.leaves(p.host, m)+s.delay(), func() {
-		if s.now < to.deafUntil {
+	s.after(s.transmissionDelay(p.host, m)+s.delay(), func() {
+		if s.now < to.inboundLostUntil {
 			return
 		}
-		s.with(q, func() {
+		s.runIn(q, func() {
 			if s.mutate != nil {
 				m = s.mutate(q, m)
 			}
@@ -272,15 +272,15 @@
 	})
 }
 
-// leaves is how long it takes until a message has left its sender's link.
-func (s *simulation) leaves(h *host, m Message) time.Duration {
+// transmissionDelay is how long it takes until a message has left its sender's link.
+func (s *simulation) transmissionDelay(h *host, m Message) time.Duration {
 	size := messageBytes(m)
-	s.sent += size
+	s.sentBytes += size
 	if s.bytesPerSecond == 0 {
 		return 0
 	}
-	h.linkFree = max(h.linkFree, s.now) + time.Duration(size)*time.Second/time.Duration(s.bytesPerSecond)
-	return h.linkFree - s.now
+	h.linkFreeAt = max(h.linkFreeAt, s.now) + time.Duration(size)*time.Second/time.Duration(s.bytesPerSecond)
+	return h.linkFreeAt - s.now
 }
 
 // messageBytes is about what a message takes on the wire.
@@ -310,20 +310,20 @@
 func (s *simulation) save(p *process, e Save) {
 	h := p.host
 	if s.lyingDisks {
-		s.after(time.Millisecond, func() { s.with(p, func() { p.replica.Saved(e.Number, s.now) }) })
+		s.after(time.Millisecond, func() { s.runIn(p, func() { p.replica.Saved(e.Number, s.now) }) })
 	}
-	begin := max(s.now, p.saving)
-	p.saving = begin + h.syncTime
-	s.after(p.saving-s.now, func() {
+	begin := max(s.now, p.diskFreeAt)
+	p.diskFreeAt = begin + h.syncTime
+	s.after(p.diskFreeAt-s.now, func() {
 		if h.process != p {
 			return
 		}
-		if s.now < h.fullUntil || p.gap && e.Snapshot == nil {
-			p.gap = true
-			s.with(p, func() { p.replica.SaveFailed(e.Number, s.now) })
+		if s.now < h.diskFullUntil || p.saveGap && e.Snapshot == nil {
+			p.saveGap = true
+			s.runIn(p, func() { p.replica.SaveFailed(e.Number, s.now) })
 			return
 		}
-		p.gap = false
+		p.saveGap = false
 		h.disk.Hard = e.Hard
 		if e.Snapshot != nil {
 			h.disk.Snapshot, h.disk.Entries = *e.Snapshot, nil
@@ -331,7 +331,7 @@
 			h.disk.Entries = append(h.disk.Entries, *e.Entry)
 		}
 		if !s.lyingDisks {
-			s.with(p, func() { p.replica.Saved(e.Number, s.now) })
+			s.runIn(p, func() { p.replica.Saved(e.Number, s.now) })
 		}
 	})
 }
@@ -340,14 +340,14 @@
 
 func (s *simulation) wipe(h *host) { h.disk = nil }
 
-func (s *simulation) cut(a, b *host, oneWay bool) {
-	s.cuts[[2]string{a.address, b.address}] = true
+func (s *simulation) blockLink(a, b *host, oneWay bool) {
+	s.blockedLinks[[2]string{a.address, b.address}] = true
 	if !oneWay {
-		s.cuts[[2]string{b.address, a.address}] = true
+		s.blockedLinks[[2]string{b.address, a.address}] = true
 	}
 }
 
-func (s *simulation) heal() { s.cuts = map[[2]string]bool{} }
+func (s *simulation) heal() { s.blockedLinks = map[[2]string]bool{} }
 
 func (s *simulation) primary() *process {
 	for _, address := range s.addresses() {
@@ -408,9 +408,9 @@
 	p.answers[token] = func(d Decision) {
 		r := &s.history[index]
 		r.end, r.status = s.now, d.Status
-		r.seenVersion, r.seenValue = p.shown.Version, p.shown.Value
+		r.seenVersion, r.seenValue = p.published.Version, p.published.Value
 	}
-	s.with(p, func() {
+	s.runIn(p, func() {
 		if o.write {
 			p.replica.Propose(token, encodeEntry(versionEntry{o.base, o.value}), s.now)
 		} else if s.readsAtOnce {
--- a/internal/router/replication/step.go
+++ b/internal/router/replication/step.go
@@ -2,51 +2,49 @@
 
 import "time"
 
-// Receive takes in a message from the sidecar at an address.
+// Receive handles a message from the router at an address. Messages that do not fit the replica's role, epoch or phase change nothing.
 func (r *Replica) Receive(from string, m Message, now time.Duration) {
 	r.now = now
 	switch m := m.(type) {
 	case PreVote:
-		r.onPreVote(m)
+		r.handlePreVote(m)
 	case PreVoteReply:
-		r.onPreVoteReply(m, from)
+		r.handlePreVoteReply(m, from)
 	case Prepare:
-		r.onPrepare(m)
+		r.handlePrepare(m)
 	case Promise:
-		r.onPromise(m)
+		r.handlePromise(m)
 	case Sync:
-		r.onSync(m, from)
+		r.handleSync(m, from)
 	case Synced:
-		r.onSynced(m)
+		r.handleSynced(m)
 	case Accept:
-		r.onAccept(m, from)
+		r.handleAccept(m, from)
 	case Accepted:
-		r.onAccepted(m)
+		r.handleAccepted(m)
 	case Replicate:
-		r.onReplicate(m, from)
+		r.handleReplicate(m, from)
 	case Replicated:
-		r.onReplicated(m)
+		r.handleReplicated(m)
 	case Heartbeat:
-		r.onHeartbeat(m, from)
+		r.handleHeartbeat(m, from)
 	case HeartbeatAck:
-		r.onHeartbeatAck(m)
+		r.handleHeartbeatAck(m)
 	case SnapshotChunk:
-		r.onSnapshotPiece(m, from)
+		r.handleSnapshotChunk(m, from)
 	case MissingEntries:
-		r.onMissingEntries(m, from)
+		r.handleMissingEntries(m, from)
 	case LearnerAck:
-		r.onLearnerAck(m)
+		r.handleLearnerAck(m)
 	case TransferLeadership:
-		if r.role == follower && r.hard.Promised == m.Epoch && r.hard.Accepted.inSync(r.Self.ID) {
-			r.campaign(true)
-		}
+		r.handleTransferLeadership(m)
 	}
 }
 
 // Tick lets time pass; the shell calls it every few tens of milliseconds.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = now
-	r.retryDisk()
+	r.retryFailedDisk()
 	switch r.role {
 	case follower:
 		r.tickFollower()
@@ -57,40 +55,33 @@
 	}
 }
 
-func (r *Replica) retryDisk() {
-	if r.diskFails && len(r.pending) == 0 && r.now-r.diskTried > diskRetry {
-		r.diskTried = r.now
-		r.save(nil, true, func() {})
-	}
-}
-
 func (r *Replica) tickFollower() {
-	if r.Witness || r.stalled() {
+	if r.Witness || r.diskStalled() {
 		return
 	}
-	if r.known.Epoch.Round == 0 && r.hard.Accepted.Epoch.Round == 0 {
-		if r.hard.Genesis && r.now-max(r.lastNewcomer, r.heard) > r.firstTurn() {
+	if r.noViewYet() {
+		if r.hard.Genesis && r.now-max(r.eligible.lastAddedAt, r.follower.lastContact) > r.bootstrapDelay() {
 			r.campaign(false)
 		}
 		return
 	}
-	if r.known.Epoch.Round == 0 && !r.hard.Accepted.joint() {
-		r.known = r.hard.Accepted // a joint view may never have been in force: nobody is told of it
+	if r.knownView.Epoch.Round == 0 && !r.hard.Accepted.joint() {
+		r.knownView = r.hard.Accepted // a joint view may never have been in force: it is not reported to anybody
 	}
-	if r.suspicious() {
-		r.askPreVotes()
+	if r.suspectsPrimary() {
+		r.requestPreVotes()
 	}
 }
 
 func (r *Replica) tickCandidate() {
 	e := &r.election
-	if r.now-e.start > phaseLimit || r.stalled() {
+	if r.now-e.candidateSince > candidacyTimeout || r.diskStalled() {
 		r.stepDown()
 		return
 	}
-	if r.now-e.asked >= resendEvery {
-		e.asked = r.now
-		r.askAgain()
+	if r.now-e.lastRequest >= resendInterval {
+		e.lastRequest = r.now
+		r.resendRequests()
 	}
 	switch e.phase {
 	case preparing:
@@ -100,66 +91,24 @@
 	}
 }
 
-// askAgain sends a phase's question to those that have not answered: they may just have started.
-func (r *Replica) askAgain() {
-	e := &r.election
-	for _, address := range r.contacts() {
-		_, promised := e.promises[address]
-		switch {
-		case e.phase == preparing && !promised:
-			r.send(address, Prepare{Epoch: e.epoch, From: r.Self, Force: e.force})
-		case e.phase == syncing && promised:
-			r.send(address, Prepare{Epoch: e.epoch, From: r.Self, Force: e.force}) // it gives this candidate more time
-		case e.phase == accepting:
-			r.send(address, Accept{View: e.view})
-		}
-	}
-}
-
 func (r *Replica) tickPrimary() {
-	l := &r.leading
-	if r.stalled() {
+	l := &r.leadership
+	if r.diskStalled() {
 		r.Resign(r.now)
 		return
 	}
-	if r.now-l.lastBeat >= HeartbeatInterval {
-		r.heartbeat()
+	if r.now-l.lastHeartbeat >= HeartbeatInterval {
+		r.broadcastHeartbeat()
 	}
-	if l.staged != nil && r.now-l.stagedAt > entryLimit+time.Duration(len(l.staged.data))*entryLimitByte {
-		r.recampaign()
+	if l.staged.timedOut(r.now) {
+		r.campaignAsPrimary()
 		return
 	}
-	if !r.majorityReachable() && r.now-l.since > suspectAfter {
+	if !r.majorityReachable() && r.now-l.viewSince > electionTimeout {
 		r.stepDown()
 		return
 	}
-	if l.staged == nil {
-		r.review()
-	}
-}
-
-// Leave says that this process is about to end: it gives its lead away, and another takes its place among the members as soon as one
-// that could has all that it has.
-func (r *Replica) Leave(now time.Duration) {
-	r.leaving = true
-	r.Resign(now)
-}
-
-// Resign gives the lead to another in-sync replica, as far as that is possible.
-func (r *Replica) Resign(now time.Duration) {
-	r.now = now
-	if r.role != primary {
-		return
-	}
-	best, latest := "", time.Duration(-1)
-	for _, id := range r.leading.view.InSync {
-		if a, ok := r.leading.acked[id]; ok && id != r.Self.ID && !a.fails && !a.leaving && a.at > latest {
-			best, latest = r.leading.view.Member(id).Address, a.at
-		}
-	}
-	epoch := r.leading.view.Epoch
-	r.stepDown()
-	if best != "" {
-		r.send(best, TransferLeadership{Epoch: epoch})
+	if l.staged.proposal == nil {
+		r.reviewView()
 	}
 }
--- a/internal/router/replication/view.go
+++ b/internal/router/replication/view.go
@@ -1,13 +1,11 @@
 package replication
 
-// Views: who is primary, whose disks hold everything that was acknowledged, and who decides what follows.
-
 import "slices"
 
 // Epoch numbers views; a larger one supersedes. The node's identity breaks ties, so that no two candidates share one.
 type Epoch struct {
 	Round uint64
-	Node  string
+	Node  string // the candidate's Member.ID
 }
 
 // Less orders epochs.
@@ -23,10 +21,10 @@
 	ID      string
 	Address string
 	Zone    string
-	Joined  uint64 // the round of the view that took it in
+	Joined  uint64 // the round of the view that added it
 }
 
-// View says who is primary, and whose disks hold everything that was acknowledged.
+// View says who is primary, whose disks hold everything that was acknowledged, and who decides what follows.
 type View struct {
 	Epoch   Epoch
 	Primary string   // its ID
@@ -35,7 +33,7 @@
 	Old     []Member // the members of the view before, who have to agree too until this one is known to be in force
 }
 
-// Member finds a member by ID.
+// Member returns the member with an ID, or nil.
 func (v *View) Member(id string) *Member {
 	for i := range v.Members {
 		if v.Members[i].ID == id {
@@ -45,12 +43,7 @@
 	return nil
 }
 
-// joint reports whether the members of the view before have to agree to what follows.
-func (v *View) joint() bool {
-	return !slices.Equal(v.Old, v.Members)
-}
-
-// PrimaryAddress is where the primary is, or "".
+// PrimaryAddress returns the address of the primary, or "".
 func (v *View) PrimaryAddress() string {
 	if m := v.Member(v.Primary); m != nil {
 		return m.Address
@@ -58,9 +51,14 @@
 	return ""
 }
 
+// joint reports whether the members of the view before have to agree to what follows.
+func (v *View) joint() bool {
+	return !slices.Equal(v.Old, v.Members)
+}
+
 func (v *View) inSync(id string) bool { return slices.Contains(v.InSync, id) }
 
-// Position names a state: the epoch in which its last entry was made, and that entry's number.
+// Position names a state: the epoch in which its last entry was made, and that entry's number. Two states with one position are equal.
 type Position struct {
 	Epoch    Epoch
 	Sequence uint64
@@ -77,7 +75,7 @@
 	return n > len(members)/2
 }
 
-// laterView is the one of two views that a candidate has to go by. Of one view the form that is known to be in force counts.
+// laterView returns the one of two views that a candidate has to build on. Of one view the form that is known to be in force counts.
 func laterView(a, b View) View {
 	inForce := a.Epoch == b.Epoch && a.joint() && !b.joint()
 	if inForce || a.Epoch.Less(b.Epoch) {
--- a/internal/router/replication/witness.go
+++ b/internal/router/replication/witness.go
@@ -1,78 +1,79 @@
 package replication
 
-// What a member does for a candidate of another: it promises an epoch, takes the candidate's state, and accepts its view.
+// What a replica does for a candidate: it promises an epoch, adopts the candidate's state, and accepts its view.
 
-func (r *Replica) ownPromise(epoch Epoch) Promise {
+// promiseFor returns the promise of an epoch with what this replica has now.
+func (r *Replica) promiseFor(epoch Epoch) Promise {
 	return Promise{Epoch: epoch, From: r.Self, Promised: r.hard.Promised, Voters: r.voters(),
-		Accepted: r.hard.Accepted, Position: r.position}
+		Accepted: r.hard.Accepted, Position: r.state.position}
 }
 
-func (r *Replica) onPrepare(m Prepare) {
+func (r *Replica) handlePrepare(m Prepare) {
 	if len(r.voters()) == 0 {
 		return
 	}
-	busy := r.role == primary || r.role == follower && r.heardEver && r.now-r.heard < heardRecently
-	mine := m.From.ID == r.known.Primary
-	if m.Epoch.Less(r.hard.Promised) || m.Epoch == r.hard.Promised && m.Epoch.Node != m.From.ID || busy && !m.Force && !mine {
+	if r.refusesPrepare(&m) {
 		r.send(m.From.Address, Promise{Epoch: m.Epoch, From: r.Self, Refused: true, Promised: r.hard.Promised})
 		return
 	}
-	r.follow(m.Epoch)
-	to, epoch := m.From.Address, m.Epoch
-	r.save(nil, false, func() {
-		if r.hard.Promised == epoch {
-			r.send(to, r.ownPromise(epoch))
-		}
-	})
+	r.adoptEpoch(m.Epoch)
+	r.saveHardState(r.ifStillPromised(m.Epoch, func() { r.send(m.From.Address, r.promiseFor(m.Epoch)) }))
+}
+
+// refusesPrepare reports whether a larger epoch, or the same of another candidate, was promised, or whether there is contact with a primary
+// that neither the candidate is nor asked for this.
+func (r *Replica) refusesPrepare(m *Prepare) bool {
+	if m.Epoch.Less(r.hard.Promised) || m.Epoch == r.hard.Promised && m.Epoch.Node != m.From.ID {
+		return true
+	}
+	leaderContact := r.role == primary ||
+		r.role == follower && r.follower.everContacted && r.now-r.follower.lastContact < leaderStickiness
+	fromPrimary := m.From.ID == r.knownView.Primary
+	return leaderContact && !m.Force && !fromPrimary
 }
 
-// follow promises an epoch; a primary or candidate of a smaller one is none any more.
-func (r *Replica) follow(e Epoch) {
+// adoptEpoch promises an epoch; a primary or candidate of a smaller one steps down.
+func (r *Replica) adoptEpoch(e Epoch) {
 	if r.role != follower && r.hard.Promised != e {
 		r.stepDown()
 	}
 	r.hard.Promised = e
-	r.heard = r.now // the candidate has its chance
+	r.follower.lastContact = r.now // the candidate gets an election timeout's time
 }
 
-func (r *Replica) onSync(m Sync, from string) {
+func (r *Replica) handleSync(m Sync, from string) {
 	if m.Epoch.Less(r.hard.Promised) || r.Witness {
 		return
 	}
-	r.follow(m.Epoch)
-	epoch, position := m.Epoch, m.Position
-	done := func() {
-		if r.hard.Promised == epoch {
-			r.send(from, Synced{Epoch: epoch, From: r.Self.ID, Position: position})
-		}
-	}
+	r.adoptEpoch(m.Epoch)
+	onDurable := r.ifStillPromised(m.Epoch, func() {
+		r.send(from, Synced{Epoch: m.Epoch, From: r.Self.ID, Position: m.Position})
+	})
 	switch {
-	case r.position == m.Position:
-		r.save(nil, false, done)
+	case r.state.position == m.Position:
+		r.saveHardState(onDurable)
 	case m.Snapshot != nil:
-		if r.machine.Restore(m.Snapshot) != nil {
-			return
+		if r.state.restore(m.Snapshot, m.Position) != nil {
+			return // it stays outside the in-sync set
 		}
-		r.position = m.Position
-		r.history.restart(m.Position)
-		r.save(nil, true, done)
-	case m.follows(r.position):
-		r.applyEntries(m.Entries, done)
+		r.saveSnapshot(onDurable)
+	case m.follows(r.state.position):
+		r.applyEntries(m.Entries, onDurable)
 	}
 }
 
-// follows reports whether the entries of a Sync go on from a position.
+// follows reports whether the entries of a Sync follow the state at a position.
 func (m *Sync) follows(p Position) bool { return len(m.Entries) > 0 && m.After == p }
 
-func (r *Replica) onAccept(m Accept, from string) {
+func (r *Replica) handleAccept(m Accept, from string) {
 	if m.View.Epoch.Less(r.hard.Promised) {
 		r.send(from, Accepted{Epoch: m.View.Epoch, Refused: true, Promised: r.hard.Promised})
 		return
 	}
-	r.follow(m.View.Epoch)
+	r.adoptEpoch(m.View.Epoch)
 	r.hard.Accepted = m.View
 	epoch := m.View.Epoch
-	r.save(nil, false, func() {
+	r.saveHardState(func() {
 		if !r.hard.Promised.Less(epoch) {
 			r.send(from, Accepted{Epoch: epoch, Voters: r.voters()})
 		}
--- a/internal/router/replication/witness_test.go
+++ b/internal/router/replication/witness_test.go
@@ -23,7 +23,7 @@
 		r.Receive("c", older, 4*time.Second)
 		require.Equal(t, promised, r.hard.Promised)
 		require.Equal(t, accepted.Epoch, r.hard.Accepted.Epoch)
-		require.Zero(t, r.position.Sequence)
+		require.Zero(t, r.state.position.Sequence)
 		for _, effect := range r.Effects() {
 			_, saved := effect.(Save)
 			require.False(t, saved, "nothing of it goes to the disk")
--- a/internal/router/replication/worst_days_test.go
+++ b/internal/router/replication/worst_days_test.go
@@ -17,15 +17,15 @@
 // or late, candidacies that are broken off, and losses as close to each other as the deployment's page permits.
 type worstDay struct {
 	*simulation
-	lossAt  time.Duration // the next machine may be lost then: the one before counts no more
-	made    int           // machines that were added
-	written int
+	nextLossAt    time.Duration // the next machine may be lost then: the one before counts no more
+	addedMachines int           // machines that were added
+	writes        int
 }
 
 const (
-	worstEpisodes = 8
-	worstRecovery = 12 * time.Second
-	closingSync   = 20 * time.Millisecond
+	episodesPerDay = 8
+	recoveryTime   = 12 * time.Second
+	closingSync    = 20 * time.Millisecond
 )
 
 // electionMessages are the kinds that an episode loses or delays.
@@ -38,28 +38,28 @@
 		mutate(d.simulation)
 	}
 	d.run(4 * time.Second)
-	for range worstEpisodes {
+	for range episodesPerDay {
 		d.episode()
-		d.work(time.Duration(200+d.random.Intn(2500)) * time.Millisecond)
+		d.runClients(time.Duration(200+d.random.Intn(2500)) * time.Millisecond)
 	}
-	d.calm()
-	d.run(d.now + worstRecovery)
+	d.endFaults()
+	d.run(d.now + recoveryTime)
 	d.closing()
 	return d
 }
 
-// work has clients order and read for a time.
-func (d *worstDay) work(during time.Duration) {
+// runClients has clients order and read for a time.
+func (d *worstDay) runClients(during time.Duration) {
 	for until := d.now + during; d.now < until; {
 		if p := d.primary(); p != nil {
-			d.written++
-			d.write(1, p.machine.Version, fmt.Sprint("w", d.written))
+			d.writes++
+			d.write(1, p.machine.Version, fmt.Sprint("w", d.writes))
 			d.read(2)
 		}
 		for _, h := range d.ordered() { // whoever says that it is primary, in touch or not
 			if p := h.process; p != nil && p.replica.IsPrimary() && d.random.Intn(4) == 0 {
-				d.written++
-				d.callAt(p, operation{client: 3, write: true, base: p.machine.Version, value: fmt.Sprint("w", d.written)})
+				d.writes++
+				d.callAt(p, operation{client: 3, write: true, base: p.machine.Version, value: fmt.Sprint("w", d.writes)})
 				d.callAt(p, operation{client: 4})
 			}
 		}
@@ -67,12 +67,12 @@
 	}
 }
 
-func (d *worstDay) calm() {
+func (d *worstDay) endFaults() {
 	d.heal()
 	d.loss, d.mutate = 0, nil
 }
 
-func (d *worstDay) pick() *host {
+func (d *worstDay) randomHost() *host {
 	hosts := d.ordered()
 	return hosts[d.random.Intn(len(hosts))]
 }
@@ -96,10 +96,10 @@
 	case 7:
 		for _, h := range d.ordered() {
 			d.kill(h)
-			d.after(d.until(time.Duration(300+d.random.Intn(500))*time.Millisecond), func() { d.boot(h) })
+			d.after(d.countAsLoss(time.Duration(300+d.random.Intn(500))*time.Millisecond), func() { d.boot(h) })
 		}
 	case 8:
-		d.calm()
+		d.endFaults()
 	case 9:
 		d.abandonAChange()
 	}
@@ -124,7 +124,7 @@
 	for end := d.now + 2*time.Second; d.now < end && p.host.disk != nil && !p.host.disk.Hard.Accepted.joint(); {
 		d.run(d.now + time.Millisecond)
 	}
-	d.with(p, func() { p.replica.campaign(true) })
+	d.runIn(p, func() { p.replica.campaign(true) })
 	d.after(4*time.Millisecond, func() { lost = false })
 	d.run(d.now + time.Duration(d.random.Intn(8_000))*time.Microsecond)
 	d.split()
@@ -134,40 +134,40 @@
 func (d *worstDay) joinMany() {
 	for range 1 + d.random.Intn(2) {
 		if len(d.hosts) < 6 {
-			d.made++
-			d.join(fmt.Sprintf("10.1.%d.1:7000", d.made))
+			d.addedMachines++
+			d.join(fmt.Sprintf("10.1.%d.1:7000", d.addedMachines))
 		}
 	}
 }
 
 // replaceOne replaces a machine; it counts as lost from its end until its successor has been there for CatchUpS.
 func (d *worstDay) replaceOne(planned bool) {
-	if d.now < d.lossAt {
+	if d.now < d.nextLossAt {
 		return
 	}
-	old := d.pick()
+	old := d.randomHost()
 	if old.process == nil {
 		return
 	}
-	d.made++
-	d.replace(old, fmt.Sprintf("10.2.%d.1:7000", d.made), planned)
-	d.lossAt = d.now - successorLead + catchUp
+	d.addedMachines++
+	d.replace(old, fmt.Sprintf("10.2.%d.1:7000", d.addedMachines), planned)
+	d.nextLossAt = d.now - successorStartLead + catchUpTime
 }
 
 // loseDisk takes a disk as soon as that is permitted; its machine counts as lost until CatchUpS after its return.
 func (d *worstDay) loseDisk() {
-	d.run(max(d.now, d.lossAt))
-	h := d.pick()
+	d.run(max(d.now, d.nextLossAt))
+	h := d.randomHost()
 	away := time.Duration(300+d.random.Intn(1500)) * time.Millisecond
 	d.kill(h)
 	d.wipe(h)
 	d.after(away, func() { d.boot(h) })
-	d.lossAt = d.now + away + catchUp
+	d.nextLossAt = d.now + away + catchUpTime
 }
 
-// until gives the end of a disturbance that begins now. Machines count as lost meanwhile, and for CatchUpS after it.
-func (d *worstDay) until(during time.Duration) time.Duration {
-	d.lossAt = max(d.lossAt, d.now+during+catchUp)
+// countAsLoss gives the end of a disturbance that begins now. Machines count as lost meanwhile, and for CatchUpS after it.
+func (d *worstDay) countAsLoss(during time.Duration) time.Duration {
+	d.nextLossAt = max(d.nextLossAt, d.now+during+catchUpTime)
 	return during
 }
 
@@ -181,11 +181,11 @@
 			return m
 		}
 		if d.random.Intn(2) == 0 {
-			d.after(time.Duration(d.random.Intn(1500))*time.Millisecond, func() { d.with(to, func() { to.replica.Receive(sentBy(m), m, d.now) }) })
+			d.after(time.Duration(d.random.Intn(1500))*time.Millisecond, func() { d.runIn(to, func() { to.replica.Receive(sentBy(m), m, d.now) }) })
 		}
 		return nil
 	}
-	d.after(d.until(time.Duration(500+d.random.Intn(2500))*time.Millisecond), func() { d.mutate = nil })
+	d.after(d.countAsLoss(time.Duration(500+d.random.Intn(2500))*time.Millisecond), func() { d.mutate = nil })
 }
 
 // sentBy is the address of a message's sender, as far as it says: what is answered to another is lost.
@@ -201,13 +201,13 @@
 
 // breakOffACandidacy has somebody campaign, and cuts it off from a part of the others once it is in some phase.
 func (d *worstDay) breakOffACandidacy() {
-	h := d.pick()
+	h := d.randomHost()
 	p := h.process
 	if p == nil {
 		return
 	}
-	d.with(p, func() { p.replica.campaign(true) })
-	until := phase(d.random.Intn(3))
+	d.runIn(p, func() { p.replica.campaign(true) })
+	until := electionPhase(d.random.Intn(3))
 	for end := d.now + time.Second; d.now < end; {
 		if p.replica.role == candidate && p.replica.election.phase >= until {
 			break
@@ -216,10 +216,10 @@
 	}
 	for _, other := range d.ordered() {
 		if other != h && d.random.Intn(3) > 0 {
-			d.cut(h, other, d.random.Intn(3) == 0)
+			d.blockLink(h, other, d.random.Intn(3) == 0)
 		}
 	}
-	d.after(d.until(time.Duration(300+d.random.Intn(2500))*time.Millisecond), d.heal)
+	d.after(d.countAsLoss(time.Duration(300+d.random.Intn(2500))*time.Millisecond), d.heal)
 }
 
 // split cuts all into two groups.
@@ -229,14 +229,14 @@
 		side := d.random.Intn(2)
 		groups[side] = append(groups[side], h)
 	}
-	d.separate(groups[0], groups[1])
-	d.after(d.until(time.Duration(300+d.random.Intn(4000))*time.Millisecond), d.heal)
+	d.partition(groups[0], groups[1])
+	d.after(d.countAsLoss(time.Duration(300+d.random.Intn(4000))*time.Millisecond), d.heal)
 }
 
 // closing: right after one more change was acknowledged all lose power, and one its disk.
 func (d *worstDay) closing() {
 	p := d.primary()
-	if p == nil || d.now < d.lossAt {
+	if p == nil || d.now < d.nextLossAt {
 		return
 	}
 	for _, h := range d.ordered() { // a disk that is no faster than the network is what an early answer is seen by
@@ -246,7 +246,7 @@
 	for last := len(d.history) - 1; d.history[last].end < 0 && p.host.process == p; {
 		d.run(d.now + 200*time.Microsecond)
 	}
-	lost := d.pick()
+	lost := d.randomHost()
 	for _, h := range d.ordered() {
 		d.kill(h)
 	}
@@ -255,15 +255,15 @@
 		h.syncTime = 2 * time.Millisecond
 		d.after(time.Duration(d.random.Intn(1000))*time.Millisecond, func() { d.boot(h) })
 	}
-	d.run(d.now + worstRecovery)
+	d.run(d.now + recoveryTime)
 	d.read(9)
 	d.run(d.now + time.Second)
 }
 
-// judge says what is wrong with a worst day, or "". All that are there are in sync at its end, but for a machine whose zone has a member.
-func (d *worstDay) judge() string {
-	if d.failed != nil {
-		return d.failed.Error()
+// violation says what is wrong with a worst day, or "". All that are there are in sync at its end, but for a machine whose zone has a member.
+func (d *worstDay) violation() string {
+	if d.restoreError != nil {
+		return d.restoreError.Error()
 	}
 	if fault := linearizable(d.history); fault != "" {
 		return fault
@@ -289,7 +289,7 @@
 
 func TestWorstDays(t *testing.T) {
 	inShards(t, schedules(t, 400), func(seed int64) bool {
-		if fault := playWorstDay(t, seed, nil).judge(); fault != "" {
+		if fault := playWorstDay(t, seed, nil).violation(); fault != "" {
 			t.Errorf("seed %d: %s", seed, fault)
 			return false
 		}
@@ -303,15 +303,15 @@
 	})
 }
 
-// worstDaysNotice: a fault that is put back is found within so many worst days.
-const worstDaysNotice = 2_000
+// worstDaysNoticedWithin: a fault that is put back is found within so many worst days.
+const worstDaysNoticedWithin = 2_000
 
 // A disk that answers before it has synced is found.
 func TestWorstDaysNotice(t *testing.T) {
 	var noticed atomic.Int64
 	noticed.Store(-1)
-	inShards(t, worstDaysNotice, func(seed int64) bool {
-		if playWorstDay(t, seed, func(s *simulation) { s.lyingDisks = true }).judge() == "" {
+	inShards(t, worstDaysNoticedWithin, func(seed int64) bool {
+		if playWorstDay(t, seed, func(s *simulation) { s.lyingDisks = true }).violation() == "" {
 			return true
 		}
 		noticed.Store(seed)
