--- /dev/null
+++ b/internal/coordination/machine/recorded_test.go
@@ -0,0 +1,84 @@
+package machine
+
+import (
+	"log/slog"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"petrelhook/internal/common/jsonform"
+	"petrelhook/internal/coordination/agent"
+	"petrelhook/internal/coordination/distribute"
+	"petrelhook/internal/coordination/rollout"
+)
+
+// recordedFolder has what revision cfdfdec wrote; the README in it says how it was made.
+const recordedFolder = "testdata/cfdfdec"
+
+// The messages of an agent's calls and the state of a sidecar are read, and written in the same form.
+func TestRecordedMessagesAreRead(t *testing.T) {
+	for name, v := range map[string]any{
+		"status-request.json": &StatusRequest{},
+		"status.json":         &Status{},
+		"order.json":          &Order{},
+		"order-response.json": &OrderResponse{},
+		"check-request.json":  &CheckRequest{},
+		"check-response.json": &CheckResponse{},
+		"sidecar-state.json":  &agent.PersistedState{},
+	} {
+		jsonform.CheckRecorded(t, filepath.Join(recordedFolder, name), v)
+	}
+	for path, want := range map[string]string{
+		PathStatus: "/petrelagent.v1.Agent/Look", PathOrder: "/petrelagent.v1.Agent/Order", PathCheck: "/petrelagent.v1.Agent/Check",
+	} {
+		if path != want {
+			t.Errorf("%s, recorded %s", path, want)
+		}
+	}
+}
+
+// An agent takes up the data folder that an earlier version left.
+func TestRecordedDataIsTakenUp(t *testing.T) {
+	g := newRig(t)
+	g.end()
+	serving := g.kept().Serving
+	recorded := filepath.Join(recordedFolder, "data")
+	c := *g.c
+	c.Data = filepath.Join(t.TempDir(), "data")
+	if err := os.CopyFS(c.Data, os.DirFS(recorded)); err != nil {
+		t.Fatal(err)
+	}
+	m, err := Open(&c, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer m.lock.Close()
+	if m.fence.Token != 9 || m.fence.Last["n0"] != 4 {
+		t.Errorf("%+v", m.fence)
+	}
+	if known, err := m.fence.Admit(9, rollout.Order{Number: 4, Sidecar: "n0"}); !known || err != nil {
+		t.Errorf("%v, %v", known, err)
+	}
+	if m.holds != 6 || string(m.versions[5].Content) != `{"discovery":"b","settings":{"y":2}}` {
+		t.Errorf("%d, %+v", m.holds, m.versions)
+	}
+	k := m.units[0].PersistedState
+	if k.Confirmed != "dd2d610c130bf85e584e3bbb283828c2" || k.Done != 4 || k.Starts != 3 || k.InForce != 5 || k.Refused != 6 {
+		t.Errorf("%+v", k)
+	}
+	if k.Serving != nil { // its process has ended long ago
+		t.Errorf("%+v", k.Serving)
+	}
+	if serving == nil || !Lives(*serving) {
+		t.Errorf("the process of another agent was touched: %+v", serving)
+	}
+
+	found, err := claim(filepath.Join(c.Data, "start-n0-3"))
+	if err != nil || found == nil || *found != (agent.Process{PID: 18162, Began: 79747}) {
+		t.Errorf("%+v, %v", found, err)
+	}
+	version := distribute.Version{}
+	if was, err := m.read("version-6", &version); !was || err != nil || version.Revision != 6 {
+		t.Errorf("%v, %v, %+v", was, err, version)
+	}
+}
--- /dev/null
+++ b/internal/coordination/release/recorded_test.go
@@ -0,0 +1,41 @@
+package release
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// A store that revision cfdfdec made is opened, and its release has the content that its name says.
+func TestRecordedStoreIsOpened(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "store")
+	if err := os.CopyFS(dir, os.DirFS("testdata/cfdfdec/store")); err != nil {
+		t.Fatal(err)
+	}
+	s, err := NewStore(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const id = "9a3f74c8a7754141858e9dc4c4c0ef17"
+	r, err := s.Open(id)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(r.Settings)
+	if err != nil || string(text) != `{"discovery": "a", "settings": {"x": 1}}` {
+		t.Errorf("%s, %v", text, err)
+	}
+	program, err := os.Open(r.Program)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = program.Close() }() // read only
+	settings, err := os.Open(r.Settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = settings.Close() }() // read only
+	if again, err := s.Add(program, settings); err != nil || again.ID != id {
+		t.Errorf("%+v, %v", again, err)
+	}
+}
--- /dev/null
+++ b/internal/coordination/rollout/recorded_test.go
@@ -0,0 +1,53 @@
+package rollout
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"petrelhook/internal/common/jsonform"
+)
+
+// recordedFolder has what revision cfdfdec wrote; the README in it says how it was made.
+const recordedFolder = "testdata/cfdfdec"
+
+// What the coordinators' log holds is read, and written in the same form.
+func TestRecordedCommandsAreRead(t *testing.T) {
+	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "command.json"), &Command{})
+	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "answer.json"), &Answer{})
+	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "fence.json"), &Fence{})
+	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "application.json"), &Application{})
+}
+
+// A register of a snapshot goes on as the one that was recorded.
+func TestRecordedRegisterGoesOn(t *testing.T) {
+	recorded, err := os.ReadFile(filepath.Join(recordedFolder, "register.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := RestoreRegister(recorded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if written := r.Snapshot(); !bytes.Equal(written, recorded) {
+		t.Errorf("written  %s\nrecorded %s", written, recorded)
+	}
+	s := r.all["app"].Now.State
+	orders := s.Orders()
+	if s.Phase != Running || s.Stage != 2 || len(orders) != 2 || orders[0] != (Order{Number: 6, Sidecar: "n03", Release: "newer"}) {
+		t.Errorf("%+v, %+v", s, orders)
+	}
+	answer := r.Apply(Command{Application: "app", Change: "two", Token: 6, After: 4, Events: []Event{
+		{Report: &Report{Sidecar: "n03", Release: "newer", Ready: true, Done: 6}}}})
+	if answer.Err != "" || answer.Events != 5 || len(s.Orders()) != 2 { // the next one is ordered in its place
+		t.Errorf("%+v, %+v", answer, s.Orders())
+	}
+}
+
+// Reasons that agents report and the log keeps have the recorded texts.
+func TestReasonsHaveTheirTexts(t *testing.T) {
+	if ProcessEnded != "it ended" || MachineIsolated != "its machine was cut off" {
+		t.Errorf("%q, %q", ProcessEnded, MachineIsolated)
+	}
+}
--- a/internal/sidecar/wiring/imports_test.go
+++ b/internal/sidecar/wiring/imports_test.go
@@ -74,6 +74,7 @@
 	{"internal/router/dissemination", "internal/router/outlier internal/router/placement internal/router/quota internal/router/rotation internal/router/membership internal/router/registry internal/router/replication internal/router/routetable"},
 	{"internal/router/wireformat", "internal/router/dissemination internal/router/outlier internal/router/placement internal/router/quota internal/router/rotation internal/router/membership internal/router/registry internal/router/replication internal/router/routetable"},
 	{"internal/common/gobschema", ""},
+	{"internal/common/jsonform", ""},
 	{"internal/router/gateway", "internal/router/backend internal/router/eventstream internal/router/latency internal/router/outlier internal/router/placement internal/router/quota internal/router/registry internal/router/rotation internal/router/routetable internal/common/sock internal/router/transport"},
 	{"internal/router/node", "internal/*"},
 	{"cmd/petrelhook-router", "internal/*"},
