--- a/internal/coordination/fleet/rpc.go
+++ b/internal/coordination/fleet/rpc.go
@@ -86,8 +86,9 @@
 
 // Steps are messages of one replica to another, in the log's own form.
 type Steps struct {
-	Version       int `json:"version"`
-	From, To      uint64
+	Version       int      `json:"version"`
+	From          uint64   `json:"From"`
+	To            uint64   `json:"To"`
 	Incarnation   string   `json:"life"`              // of the disk that they come from
 	ToIncarnation string   `json:"to_life,omitempty"` // of the one that they are for, if it is known
 	Messages      [][]byte `json:"messages"`
--- a/internal/coordination/replica/ask.go
+++ b/internal/coordination/replica/ask.go
@@ -29,8 +29,8 @@
 
 // Alive asks whether a session lives, with the version of its grants that the client knows.
 type Alive struct {
-	Session lease.SessionID
-	Known   uint64
+	Session lease.SessionID `json:"Session"`
+	Known   uint64          `json:"Known"`
 }
 
 // ShareRequest asks for a part of a limit.
--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -455,11 +455,16 @@
 
 // Status is what a replica knows of itself, without asking others.
 type Status struct {
-	ID, Leader, Term, Applied, Log uint64
-	Leads                          bool
-	Sessions, Leases               int
-	Token                          lease.Token
-	Members                        []Member
+	ID       uint64      `json:"ID"`
+	Leader   uint64      `json:"Leader"`  // 0: none is known
+	Term     uint64      `json:"Term"`    // of the log
+	Applied  uint64      `json:"Applied"` // the index of the last entry that is applied
+	Log      uint64      `json:"Log"`     // entries in the log, since the last compaction
+	Leads    bool        `json:"Leads"`   // this replica leads and has applied an entry of its own term
+	Sessions int         `json:"Sessions"`
+	Leases   int         `json:"Leases"`
+	Token    lease.Token `json:"Token"` // the last one that was granted
+	Members  []Member    `json:"Members"`
 }
 
 // Status is what the replica knows.
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -28,7 +28,8 @@
 const (
 	fileName = "replica.db"
 	lockTime = time.Second
-	format   = "petrelhook-coordinator 1"
+	// format marks the files of this package. It is the name that the program had when the format was made, and is on the disks.
+	format = "petrelfleet 1"
 )
 
 var (
