--- a/internal/router/dissemination/messages.go
+++ b/internal/router/dissemination/messages.go
@@ -19,7 +19,7 @@
 
 // SubscriptionHeartbeat is a sidecar's heartbeat to its home, and what it asks for.
 type SubscriptionHeartbeat struct {
-	Node            membership.Process
+	Router          membership.Router
 	Subscribe       bool // false: it only asks who the core is
 	View            replication.Epoch
 	Version         uint64 // of the configuration that it has; 0: none
@@ -37,7 +37,7 @@
 	Eligible    []replication.Member
 	InTouch     bool // the home hears a majority of the core
 	Complete    bool // its list of servers is whole
-	Fleet       int
+	FleetSize   int
 
 	FromStamp, Stamp   uint64
 	Instances          []registry.Update
@@ -51,7 +51,7 @@
 	Snapshot    []byte   // or the whole configuration
 
 	SessionsStamp uint64
-	Nodes         []membership.Process
+	Routers       []membership.Router
 }
 
 // PrefixReport tells where shared parts of prompts were read; it is lost without harm.
@@ -102,7 +102,7 @@
 	Nonce       uint64
 	Incarnation uint64
 	Demand      map[string]float64 // units a second
-	Held        map[string]float64 // shares, 0 to 1
+	HeldShares  map[string]float64 // shares, 0 to 1
 }
 
 // QuotaGrant answers QuotaAsk with the shares to use from now on.
--- a/internal/router/dissemination/versions.go
+++ b/internal/router/dissemination/versions.go
@@ -10,8 +10,8 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// keptOrders is how many orders a sidecar keeps for subscribers that are a little behind.
-const keptOrders = 64
+// maxRetainedOrders is how many orders a sidecar keeps for subscribers that are a little behind.
+const maxRetainedOrders = 64
 
 // ErrBehind says that orders do not follow the version that is held.
 var ErrBehind = errors.New("orders do not follow this version")
@@ -26,8 +26,8 @@
 	config  *routetable.Config
 	orders  [][]byte // the last ones, up to version
 
-	packed        []byte // the snapshot of packedVersion
-	packedVersion uint64
+	compressedSnapshot []byte // the snapshot of packedVersion
+	compressedVersion  uint64
 }
 
 // NewVersions makes an empty one.
@@ -39,14 +39,14 @@
 // Config is the configuration held, or nil.
 func (v *Versions) Config() *routetable.Config { return v.config }
 
-// Set takes a committed configuration, with the last orders that led to it as far as they are known; it reports whether it
+// Commit takes a committed configuration, with the last orders that led to it as far as they are known; it reports whether it
 // is newer.
-func (v *Versions) Set(version uint64, config *routetable.Config, orders [][]byte) bool {
+func (v *Versions) Commit(version uint64, config *routetable.Config, orders [][]byte) bool {
 	if version <= v.version || config == nil {
 		return false
 	}
 	if missing := version - v.version; v.version > 0 && missing <= uint64(len(orders)) {
-		v.keep(orders[uint64(len(orders))-missing:])
+		v.appendOrders(orders[uint64(len(orders))-missing:])
 	} else {
 		v.orders = nil
 	}
@@ -54,15 +54,15 @@
 	return true
 }
 
-func (v *Versions) keep(orders [][]byte) {
+func (v *Versions) appendOrders(orders [][]byte) {
 	v.orders = append(v.orders, orders...)
-	if len(v.orders) > keptOrders {
-		v.orders = append([][]byte(nil), v.orders[len(v.orders)-keptOrders:]...)
+	if len(v.orders) > maxRetainedOrders {
+		v.orders = append([][]byte(nil), v.orders[len(v.orders)-maxRetainedOrders:]...)
 	}
 }
 
-// Fill puts into a push what a subscriber with a version lacks.
-func (v *Versions) Fill(p *Push, has uint64) {
+// FillPush puts into a push what a subscriber with a version lacks.
+func (v *Versions) FillPush(p *Push, has uint64) {
 	p.Version = v.version
 	if has >= v.version {
 		return
@@ -76,19 +76,19 @@
 }
 
 func (v *Versions) snapshot() []byte {
-	if v.packedVersion != v.version {
-		v.packed, v.packedVersion = pack(v.config.Encode()), v.version
+	if v.compressedVersion != v.version {
+		v.compressedSnapshot, v.compressedVersion = compress(v.config.Encode()), v.version
 	}
-	return v.packed
+	return v.compressedSnapshot
 }
 
-// Take takes in a push; it reports whether the configuration is newer, and ErrBehind where a snapshot is needed.
-func (v *Versions) Take(p *Push) (bool, error) {
+// ApplyPush takes in a push; it reports whether the configuration is newer, and ErrBehind where a snapshot is needed.
+func (v *Versions) ApplyPush(p *Push) (bool, error) {
 	if p.Version <= v.version {
 		return false, nil
 	}
 	if len(p.Snapshot) > 0 {
-		text, err := unpack(p.Snapshot)
+		text, err := decompress(p.Snapshot)
 		if err != nil {
 			return false, err
 		}
@@ -96,7 +96,7 @@
 		if err != nil {
 			return false, err
 		}
-		return v.Set(p.Version, config, nil), nil
+		return v.Commit(p.Version, config, nil), nil
 	}
 	if len(p.Orders) == 0 || p.FromVersion > v.version {
 		return false, ErrBehind
@@ -111,12 +111,12 @@
 		if err != nil {
 			return changed, err
 		}
-		changed = v.Set(version, config, [][]byte{order}) || changed
+		changed = v.Commit(version, config, [][]byte{order}) || changed
 	}
 	return changed, nil
 }
 
-func pack(text []byte) []byte {
+func compress(text []byte) []byte {
 	var out bytes.Buffer
 	w, _ := flate.NewWriter(&out, flate.BestSpeed)
 	w.Write(text)
@@ -124,6 +124,6 @@
 	return out.Bytes()
 }
 
-func unpack(packed []byte) ([]byte, error) {
+func decompress(packed []byte) ([]byte, error) {
 	return io.ReadAll(flate.NewReader(bytes.NewReader(packed)))
 }
--- a/internal/router/dissemination/versions_test.go
+++ b/internal/router/dissemination/versions_test.go
@@ -36,14 +36,14 @@
 		var onTheWay []Push
 		told := uint64(0)
 		for version := uint64(1); version <= uint64(rapid.IntRange(1, 150).Draw(t, "versions")); version++ {
-			require.True(t, home.Set(version, configuration(t, int(version)), [][]byte{fmt.Append(nil, version)}))
+			require.True(t, home.Commit(version, configuration(t, int(version)), [][]byte{fmt.Append(nil, version)}))
 			var p Push
-			home.Fill(&p, told)
+			home.FillPush(&p, told)
 			onTheWay = append(onTheWay, p)
 			told = version
 			for range rapid.IntRange(0, 2).Draw(t, "arrivals") {
 				before := subscriber.Version()
-				subscriber.Take(&onTheWay[rapid.IntRange(0, len(onTheWay)-1).Draw(t, "which")])
+				subscriber.ApplyPush(&onTheWay[rapid.IntRange(0, len(onTheWay)-1).Draw(t, "which")])
 				require.GreaterOrEqual(t, subscriber.Version(), before)
 				if subscriber.Version() > 0 {
 					require.EqualValues(t, subscriber.Version(), subscriber.Config().Generation)
@@ -54,8 +54,8 @@
 			}
 		}
 		var last Push
-		home.Fill(&last, subscriber.Version())
-		_, err := subscriber.Take(&last)
+		home.FillPush(&last, subscriber.Version())
+		_, err := subscriber.ApplyPush(&last)
 		require.NoError(t, err)
 		require.Equal(t, home.Version(), subscriber.Version())
 	})
@@ -64,22 +64,22 @@
 // One that is far behind, or has nothing, gets a snapshot; one that is a little behind gets the orders.
 func TestOrdersOrASnapshot(t *testing.T) {
 	home := NewVersions(applyGeneration)
-	for version := 1; version <= keptOrders+10; version++ {
-		home.Set(uint64(version), configuration(t, version), [][]byte{fmt.Append(nil, version)})
+	for version := 1; version <= maxRetainedOrders+10; version++ {
+		home.Commit(uint64(version), configuration(t, version), [][]byte{fmt.Append(nil, version)})
 	}
-	for has, snapshot := range map[uint64]bool{0: true, 3: true, 10: false, keptOrders + 9: false} {
+	for has, snapshot := range map[uint64]bool{0: true, 3: true, 10: false, maxRetainedOrders + 9: false} {
 		var p Push
-		home.Fill(&p, has)
+		home.FillPush(&p, has)
 		require.Equal(t, snapshot, len(p.Snapshot) > 0, "has %d", has)
 		require.Equal(t, snapshot, len(p.Orders) == 0, "has %d", has)
 	}
 	var p Push
-	home.Fill(&p, home.Version())
+	home.FillPush(&p, home.Version())
 	require.Empty(t, p.Orders)
 	require.Empty(t, p.Snapshot)
 
 	behind := NewVersions(applyGeneration)
-	home.Fill(&p, home.Version()-1)
-	_, err := behind.Take(&p)
+	home.FillPush(&p, home.Version()-1)
+	_, err := behind.ApplyPush(&p)
 	require.ErrorIs(t, err, ErrBehind)
 }
--- a/internal/router/gateway/account.go
+++ b/internal/router/gateway/account.go
@@ -39,8 +39,8 @@
 	if req.trace.Ended != "" && errors.Is(r.Context().Err(), context.Canceled) {
 		req.trace.Ended = latency.ClientGone
 	}
-	pause := req.route.GapAim
-	reason := req.trace.Reason(req.route.Aim, pause)
+	pause := req.route.TargetGap
+	reason := req.trace.Reason(req.route.TargetLatency, pause)
 	g.mutex.Lock()
 	g.totals.Note(req.route.Name, &req.trace, reason)
 	g.mutex.Unlock()
--- a/internal/router/gateway/cost_test.go
+++ b/internal/router/gateway/cost_test.go
@@ -70,14 +70,14 @@
 	r := newRig(b)
 	known := registry.New()
 	for i := range servers {
-		known.Heartbeat(registry.Instance{ID: fmt.Sprint("i", i), Service: "s", Address: fmt.Sprint("10.0.0.1:", i), Zone: "z", Slots: 16, Sequence: 1}, 0)
+		known.ReceiveHeartbeat(registry.Instance{ID: fmt.Sprint("i", i), Service: "s", Address: fmt.Sprint("10.0.0.1:", i), Zone: "z", Slots: 16, Sequence: 1}, 0)
 	}
-	r.gateway.UpdateServers(known.Changed(0))
+	r.gateway.UpdateServers(known.ChangedSince(0))
 	sequence := int64(1)
 	for b.Loop() {
 		followed := known.Stamp()
 		sequence++
-		known.Heartbeat(registry.Instance{ID: "i7", Service: "s", Address: "10.0.0.1:7", Zone: "z", Slots: int(sequence), Sequence: sequence}, 0)
-		r.gateway.UpdateServers(known.Changed(followed))
+		known.ReceiveHeartbeat(registry.Instance{ID: "i7", Service: "s", Address: "10.0.0.1:7", Zone: "z", Slots: int(sequence), Sequence: sequence}, 0)
+		r.gateway.UpdateServers(known.ChangedSince(followed))
 	}
 }
--- a/internal/router/gateway/judgement.go
+++ b/internal/router/gateway/judgement.go
@@ -31,7 +31,7 @@
 	switch {
 	case errors.Is(err, backend.ErrNoRoom):
 		return saysNothing
-	case errors.Is(ctx.Err(), context.DeadlineExceeded) && took >= max(leastToAwait, req.route.Aim):
+	case errors.Is(ctx.Err(), context.DeadlineExceeded) && took >= max(leastToAwait, req.route.TargetLatency):
 		return timedOut
 	case ctx.Err() != nil:
 		return saysNothing
--- a/internal/router/gateway/lateness.go
+++ b/internal/router/gateway/lateness.go
@@ -22,10 +22,10 @@
 // is granted then goes to requests that can still be answered in time. The lock is held.
 func (g *Gateway) tooLateForPressed(r *http.Request, req *request) bool {
 	left, ok := clientTime(r)
-	if !ok || req.route.Aim <= 0 {
+	if !ok || req.route.TargetLatency <= 0 {
 		return false
 	}
 	seen := recentOf(g.deadlines, req.route.Name)
 	seen.add(left)
-	return g.quota.Pressed(req.tenant.Name, g.options.Now()) && seen.quantile(usualDeadline)-left >= req.route.Aim
+	return g.quota.Pressed(req.tenant.Name, g.options.Now()) && seen.quantile(usualDeadline)-left >= req.route.TargetLatency
 }
--- a/internal/router/gateway/request.go
+++ b/internal/router/gateway/request.go
@@ -160,7 +160,7 @@
 	}
 	req.units = unitsOf(r, req.tenant)
 	req.place = placeOf(r)
-	req.place.Pause = req.route.GapAim
+	req.place.Pause = req.route.TargetGap
 	if req.tenant != nil {
 		g.mutex.Lock()
 		late := g.tooLateForPressed(r, req)
--- a/internal/router/gateway/stall.go
+++ b/internal/router/gateway/stall.go
@@ -43,8 +43,8 @@
 	if usual == 0 {
 		return w
 	}
-	w.pause = patience(req.route.GapAim, usual)
-	first := patience(req.route.Aim, usual) - time.Since(req.began)
+	w.pause = patience(req.route.TargetGap, usual)
+	first := patience(req.route.TargetLatency, usual) - time.Since(req.began)
 	if req.headSent {
 		first = w.pause
 	}
--- a/internal/router/membership/membership.go
+++ b/internal/router/membership/membership.go
@@ -9,8 +9,8 @@
 	"petrelhook/internal/router/replication"
 )
 
-// Process is one process of the fleet.
-type Process struct {
+// Router is one process of the fleet.
+type Router struct {
 	Address     string // internal
 	Zone        string
 	Incarnation uint64              // drawn at each start
@@ -18,15 +18,15 @@
 }
 
 type session struct {
-	node  Process
-	heard time.Duration
+	router      Router
+	lastContact time.Duration
 }
 
 type peerTable struct {
-	life  uint64
-	stamp uint64
-	nodes []Process
-	heard time.Duration
+	incarnation uint64
+	stamp       uint64
+	routers     []Router
+	lastContact time.Duration
 }
 
 // Sessions are the sessions that a control sidecar holds, and what other control sidecars say of theirs.
@@ -42,70 +42,70 @@
 	return &Sessions{timeout: timeout, own: map[string]*session{}, peers: map[string]*peerTable{}}
 }
 
-// Heartbeat takes in a session's heartbeat.
-func (s *Sessions) Heartbeat(n Process, now time.Duration) {
-	old := s.own[n.Address]
-	if old == nil || old.node.Incarnation != n.Incarnation {
+// ReceiveHeartbeat takes in a session's heartbeat.
+func (s *Sessions) ReceiveHeartbeat(router Router, now time.Duration) {
+	old := s.own[router.Address]
+	if old == nil || old.router.Incarnation != router.Incarnation {
 		s.stamp++
 	}
-	s.own[n.Address] = &session{node: n, heard: now}
+	s.own[router.Address] = &session{router: router, lastContact: now}
 }
 
 // Expire ends sessions that have been silent.
 func (s *Sessions) Expire(now time.Duration) {
 	for address, one := range s.own {
-		if now-one.heard > s.timeout {
+		if now-one.lastContact > s.timeout {
 			delete(s.own, address)
 			s.stamp++
 		}
 	}
 	for address, table := range s.peers {
-		if now-table.heard > 4*s.timeout {
+		if now-table.lastContact > 4*s.timeout {
 			delete(s.peers, address)
 		}
 	}
 }
 
 // Own lists the sessions held here, with a stamp that changes with them.
-func (s *Sessions) Own() ([]Process, uint64) {
-	out := make([]Process, 0, len(s.own))
+func (s *Sessions) Own() ([]Router, uint64) {
+	out := make([]Router, 0, len(s.own))
 	for _, one := range s.own {
-		out = append(out, one.node)
+		out = append(out, one.router)
 	}
 	return out, s.stamp
 }
 
 // PeerStamp is the stamp of what is known of another control sidecar's sessions.
-func (s *Sessions) PeerStamp(address string, life uint64) uint64 {
-	if t := s.peers[address]; t != nil && t.life == life {
-		return t.stamp
+func (s *Sessions) PeerStamp(address string, incarnation uint64) uint64 {
+	if table := s.peers[address]; table != nil && table.incarnation == incarnation {
+		return table.stamp
 	}
 	return 0
 }
 
-// Peer takes in another control sidecar's sessions; nodes is nil where nothing changed.
-func (s *Sessions) Peer(address string, life, stamp uint64, nodes []Process, now time.Duration) {
-	t := s.peers[address]
-	if t == nil || t.life != life {
-		t = &peerTable{life: life}
-		s.peers[address] = t
+// UpdatePeer takes in another control sidecar's sessions; nodes is nil where nothing changed.
+func (s *Sessions) UpdatePeer(address string, incarnation, stamp uint64, routers []Router, now time.Duration) {
+	table := s.peers[address]
+	if table == nil || table.incarnation != incarnation {
+		table = &peerTable{incarnation: incarnation}
+		s.peers[address] = table
 	}
-	t.heard = now
-	if nodes != nil {
-		t.stamp, t.nodes = stamp, nodes
+	table.lastContact = now
+	if routers != nil {
+		table.stamp, table.routers = stamp, routers
 	}
 }
 
 // Fleet is the addresses of all sidecars known.
-func (s *Sessions) Fleet() map[string]Process {
-	out := map[string]Process{}
+func (s *Sessions) Fleet() map[string]Router {
+	out := map[string]Router{}
 	for _, t := range s.peers {
-		for _, n := range t.nodes {
+		for _, n := range t.routers {
 			out[n.Address] = n
 		}
 	}
 	for address, one := range s.own {
-		out[address] = one.node
+		out[address] = one.router
 	}
 	return out
 }
--- a/internal/router/membership/membership_test.go
+++ b/internal/router/membership/membership_test.go
@@ -9,8 +9,8 @@
 
 func TestSessionsEnd(t *testing.T) {
 	s := New(3 * time.Second)
-	s.Heartbeat(Process{Address: "a", Incarnation: 1}, 0)
-	s.Heartbeat(Process{Address: "b", Incarnation: 1}, time.Second)
+	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
+	s.ReceiveHeartbeat(Router{Address: "b", Incarnation: 1}, time.Second)
 	s.Expire(3500 * time.Millisecond)
 	require.Len(t, s.Fleet(), 1)
 	require.Contains(t, s.Fleet(), "b")
@@ -19,12 +19,12 @@
 // The stamp of the sessions held here changes with them, and not with a heartbeat that says nothing new.
 func TestTheStampOfSessions(t *testing.T) {
 	s := New(3 * time.Second)
-	s.Heartbeat(Process{Address: "a", Incarnation: 1}, 0)
+	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
 	_, first := s.Own()
-	s.Heartbeat(Process{Address: "a", Incarnation: 1}, time.Second)
+	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, time.Second)
 	_, again := s.Own()
 	require.Equal(t, first, again)
-	s.Heartbeat(Process{Address: "a", Incarnation: 2}, time.Second)
+	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 2}, time.Second)
 	_, restarted := s.Own()
 	require.Greater(t, restarted, first)
 	s.Expire(time.Minute)
@@ -36,12 +36,12 @@
 // its sidecars are not missing before they have found another home.
 func TestTheFleetIsKnownThroughPeers(t *testing.T) {
 	s := New(3 * time.Second)
-	s.Heartbeat(Process{Address: "a", Incarnation: 1}, 0)
-	s.Peer("peer", 7, 4, []Process{{Address: "b"}, {Address: "c"}}, 0)
+	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
+	s.UpdatePeer("peer", 7, 4, []Router{{Address: "b"}, {Address: "c"}}, 0)
 	require.Len(t, s.Fleet(), 3)
 	require.Equal(t, uint64(4), s.PeerStamp("peer", 7))
 	require.Zero(t, s.PeerStamp("peer", 8), "another process holds other sessions")
-	s.Peer("peer", 7, 4, nil, 10*time.Second)
+	s.UpdatePeer("peer", 7, 4, nil, 10*time.Second)
 	require.Len(t, s.Fleet(), 3, "nothing changed")
 	s.Expire(21 * time.Second)
 	require.Contains(t, s.Fleet(), "b")
--- a/internal/router/node/apply.go
+++ b/internal/router/node/apply.go
@@ -19,7 +19,7 @@
 		n.logger.Info().Uint64("version", v).Int64("generation", n.versions.Config().Generation).Msg("configuration in force")
 	}
 	if n.registry.Stamp() != n.listed {
-		n.gateway.UpdateServers(n.registry.Changed(n.listed))
+		n.gateway.UpdateServers(n.registry.ChangedSince(n.listed))
 		n.listed = n.registry.Stamp()
 		n.logServers()
 	}
--- a/internal/router/node/cutoff_test.go
+++ b/internal/router/node/cutoff_test.go
@@ -21,10 +21,10 @@
 	config, err := routetable.ParseConfig([]byte(`{"Generation":4,"Routes":[],"Services":[{"Name":"s"}]}`))
 	require.NoError(t, err)
 	v := dissemination.NewVersions(operatorapi.ApplyOrder)
-	require.True(t, v.Set(3, config, nil))
-	p := &dissemination.Push{Incarnation: 1, InTouch: touch, Complete: true, Fleet: 5, Stamp: 1,
+	require.True(t, v.Commit(3, config, nil))
+	p := &dissemination.Push{Incarnation: 1, InTouch: touch, Complete: true, FleetSize: 5, Stamp: 1,
 		Instances: []registry.Update{{Instance: registry.Instance{ID: "i1", Service: "s", Address: "a"}}}}
-	v.Fill(p, 0)
+	v.FillPush(p, 0)
 	return p
 }
 
--- a/internal/router/node/home.go
+++ b/internal/router/node/home.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if n.core() {
-		n.sessions.Heartbeat(n.self, now)
+		n.sessions.ReceiveHeartbeat(n.self, now)
 		greetEvery := seedsEvery
 		if now < justStarted { // whoever starts anew asks the seeds, which may have started anew too
 			greetEvery = 0
@@ -68,7 +68,7 @@
 
 // greet asks the seeds who the core is.
 func (n *Node) greet() {
-	m := dissemination.SubscriptionHeartbeat{Node: n.self, View: n.view.Epoch}
+	m := dissemination.SubscriptionHeartbeat{Router: n.self, View: n.view.Epoch}
 	for _, seed := range n.seeds {
 		if seed != n.self.Address {
 			n.transport.Send(seed, m)
@@ -78,7 +78,7 @@
 
 func (n *Node) sendSession(to string) {
 	has := n.upstream[to]
-	m := dissemination.SubscriptionHeartbeat{Node: n.self, Subscribe: true, View: n.view.Epoch, Version: n.versions.Version(),
+	m := dissemination.SubscriptionHeartbeat{Router: n.self, Subscribe: true, View: n.view.Epoch, Version: n.versions.Version(),
 		HomeIncarnation: has.life, RegistryStamp: has.stamp, CoreMember: n.self.Member != nil}
 	if m.CoreMember {
 		m.SessionsStamp = n.sessions.PeerStamp(to, has.life)
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -58,7 +58,7 @@
 	start    time.Time
 	seeds    []string // internal addresses; guarded by the lock
 	life     uint64
-	self     membership.Process
+	self     membership.Router
 
 	gateway   *gateway.Gateway
 	transport *transport.Transport
@@ -129,7 +129,7 @@
 	n.pushTimer.Stop()
 	n.loads.board = placement.NewBoard()
 	n.outliers.detector = outlier.NewDetector(usableServers{n})
-	n.self = membership.Process{Address: s.InternalAddress(), Zone: s.Zone, Incarnation: n.life}
+	n.self = membership.Router{Address: s.InternalAddress(), Zone: s.Zone, Incarnation: n.life}
 	b := s.Bounds
 	n.gateway = gateway.New(gateway.Options{Zone: s.Zone, Now: n.now, Life: n.life,
 		Acquirer: n, Missed: n.missed, Again: settings.Seconds(b.AgainS), BodyMemory: int64(s.Limits.MemoryMb) << 20 / bodyShare, BudgetRatio: b.RetryBudgetRatio, BudgetSlack: b.RetryBudgetSlack,
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -86,10 +86,10 @@
 	config, err := routetable.ParseConfig([]byte(`{"Generation":4,"Routes":[],"Services":[{"Name":"s"}]}`))
 	require.NoError(t, err)
 	v := dissemination.NewVersions(operatorapi.ApplyOrder)
-	require.True(t, v.Set(3, config, nil))
-	p := dissemination.Push{Incarnation: 1, InTouch: true, Complete: true, Fleet: 5, Stamp: 1,
+	require.True(t, v.Commit(3, config, nil))
+	p := dissemination.Push{Incarnation: 1, InTouch: true, Complete: true, FleetSize: 5, Stamp: 1,
 		Instances: []registry.Update{{Instance: registry.Instance{ID: "i1", Service: "s", Address: "a"}}}}
-	v.Fill(&p, 0)
+	v.FillPush(&p, 0)
 	n.onPush("10.0.1.1:7000", &p, time.Millisecond)
 	n.apply()
 	require.True(t, n.ready.Load())
@@ -104,15 +104,15 @@
 	folder := t.TempDir()
 	core := "CountsForQuorum = true\nDataDir = \"" + folder + "\"\n"
 	n := newNode(t, core)
-	n.registry.Heartbeat(registry.Instance{ID: "dead", Service: "s", Address: "a"}, 0)
-	n.registry.Heartbeat(registry.Instance{ID: "new", Service: "s", Address: "a"}, time.Second)
-	n.registry.Heartbeat(registry.Instance{ID: "other", Service: "s", Address: "b"}, time.Second)
+	n.registry.ReceiveHeartbeat(registry.Instance{ID: "dead", Service: "s", Address: "a"}, 0)
+	n.registry.ReceiveHeartbeat(registry.Instance{ID: "new", Service: "s", Address: "a"}, time.Second)
+	n.registry.ReceiveHeartbeat(registry.Instance{ID: "other", Service: "s", Address: "b"}, time.Second)
 	n.storeServers(2 * time.Second)
 	n.writers.Wait()
 	again := newNode(t, core)
 	again.loadServers()
 	var ids []string
-	for _, e := range again.registry.Changed(0) {
+	for _, e := range again.registry.ChangedSince(0) {
 		if e.Usable() {
 			ids = append(ids, e.ID)
 		}
--- a/internal/router/node/outliers_test.go
+++ b/internal/router/node/outliers_test.go
@@ -20,7 +20,7 @@
 	peer := member("10.0.2.1:7000", "z2")
 	n.view = view(1, v1, peer)
 	for _, id := range []string{"i1", "i2", "i3"} {
-		n.registry.Heartbeat(registry.Instance{ID: id, Service: "s", Address: id, Sequence: 1}, 0)
+		n.registry.ReceiveHeartbeat(registry.Instance{ID: id, Service: "s", Address: id, Sequence: 1}, 0)
 	}
 	n.apply()
 	report := dissemination.OutcomeReport{Report: outlier.Report{Servers: []string{"i1", "i2"}, Sent: []uint16{4, 4}, Failed: []uint16{2, 0}}}
@@ -43,7 +43,7 @@
 	n.judge(now + ejectionsRenew)
 	require.Equal(t, now+ejectionsRenew, n.outliers.told)
 
-	n.registry.Heartbeat(registry.Instance{ID: "i1", Service: "s", Address: "i1", State: registry.Deregistered, Sequence: 2}, now)
+	n.registry.ReceiveHeartbeat(registry.Instance{ID: "i1", Service: "s", Address: "i1", State: registry.Deregistered, Sequence: 2}, now)
 	n.judge(now + ejectionsRenew + judgeEvery)
 	require.Empty(t, n.outliers.ejected)
 	require.Equal(t, now+ejectionsRenew+judgeEvery, n.outliers.told, "that it has ended is told too")
@@ -62,14 +62,14 @@
 	peer := member("10.0.2.1:7000", "z2")
 	n.view = view(1, v1, peer)
 	require.Equal(t, http.StatusNotFound, post("/-/servers/i1/admit?for=1m"))
-	n.registry.Heartbeat(registry.Instance{ID: "i1", Service: "s", Address: "i1", Sequence: 1}, 0)
+	n.registry.ReceiveHeartbeat(registry.Instance{ID: "i1", Service: "s", Address: "i1", Sequence: 1}, 0)
 	for _, bad := range []string{"", "?for=x", "?for=-1s", "?for=25h"} {
 		require.Equal(t, http.StatusBadRequest, post("/-/servers/i1/admit"+bad))
 	}
 	require.Equal(t, http.StatusOK, post("/-/servers/i1/admit?for=1m"))
 	require.InDelta(t, time.Minute, n.Status().Doubted[0].Admitted, float64(5*time.Second))
 
-	n.registry.Heartbeat(registry.Instance{ID: "i2", Service: "s", Address: "i2", Sequence: 1}, 0)
+	n.registry.ReceiveHeartbeat(registry.Instance{ID: "i2", Service: "s", Address: "i2", Sequence: 1}, 0)
 	n.onAdmit("10.9.9.9:7000", dissemination.Readmit{Server: "i2", For: time.Minute}, n.now())
 	require.Len(t, n.Status().Doubted, 1, "one that is no member")
 	n.onAdmit(peer.Address, dissemination.Readmit{Server: "i2", For: time.Minute}, n.now())
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -65,7 +65,7 @@
 		n.tokenBuckets.SetReserve(reserve)
 	}
 	nonce, demand, held := n.gateway.AskQuota() // also where nothing is wanted: it tells that this sidecar hears the primary
-	ask := dissemination.QuotaRequest{Nonce: nonce, Incarnation: n.life, Demand: demand, Held: held}
+	ask := dissemination.QuotaRequest{Nonce: nonce, Incarnation: n.life, Demand: demand, HeldShares: held}
 	if n.leads() {
 		n.onQuotaAsk(n.self.Address, ask)
 		return
@@ -77,7 +77,7 @@
 	if !n.leads() {
 		return
 	}
-	shares := n.allocator.Ask(from, m.Incarnation, m.Demand, m.Held, n.fleet, n.now())
+	shares := n.allocator.Ask(from, m.Incarnation, m.Demand, m.HeldShares, n.fleet, n.now())
 	if from == n.self.Address {
 		n.gateway.QuotaGranted(m.Nonce, shares)
 		return
--- a/internal/router/node/receive.go
+++ b/internal/router/node/receive.go
@@ -131,7 +131,7 @@
 func (n *Node) publish(e replication.Publish) {
 	n.current = true
 	config, ok := e.Value.(*routetable.Config)
-	if ok && n.versions.Set(e.Position.Sequence, config, e.Entries) {
+	if ok && n.versions.Commit(e.Position.Sequence, config, e.Entries) {
 		n.pushAll()
 	}
 }
--- a/internal/router/node/registration.go
+++ b/internal/router/node/registration.go
@@ -109,8 +109,8 @@
 
 // hear takes in a server's call at a control sidecar.
 func (n *Node) hear(i registry.Instance, now time.Duration) {
-	changed := n.registry.Heartbeat(i, now)
-	for _, id := range n.registry.Fresh() {
+	changed := n.registry.ReceiveHeartbeat(i, now)
+	for _, id := range n.registry.TakeReceived() {
 		for _, s := range n.subscribers {
 			if s.core {
 				s.fresh[id] = true
--- a/internal/router/node/scrub.go
+++ b/internal/router/node/scrub.go
@@ -46,7 +46,7 @@
 			n.registry.Adopt(u, now)
 		}
 	}
-	n.registry.Refresh(p.HeartbeatsReceived, now)
+	n.registry.RefreshContact(p.HeartbeatsReceived, now)
 	n.follow(from, p)
 	comparable := !n.core() && from == n.home.address && p.Complete && p.InTouch && n.followed(from, p.Incarnation) == p.Stamp
 	if comparable && n.home.scrub.compare(p.Digest == n.registry.Digest(), now) {
--- a/internal/router/node/scrub_test.go
+++ b/internal/router/node/scrub_test.go
@@ -11,13 +11,13 @@
 )
 
 func beat(g *registry.Registry, id string, sequence int64) {
-	g.Heartbeat(registry.Instance{ID: id, Service: "s", Address: id, Sequence: sequence}, 0)
+	g.ReceiveHeartbeat(registry.Instance{ID: id, Service: "s", Address: id, Sequence: sequence}, 0)
 }
 
 // pushFrom is what a home tells one that has its list up to a stamp.
 func pushFrom(home *registry.Registry, stamp uint64, now time.Duration) *dissemination.Push {
-	return &dissemination.Push{Incarnation: 1, InTouch: true, Complete: true, Fleet: 2, FromStamp: stamp, Stamp: home.Stamp(),
-		Digest: home.Digest(), Instances: home.Since(stamp, now)}
+	return &dissemination.Push{Incarnation: 1, InTouch: true, Complete: true, FleetSize: 2, FromStamp: stamp, Stamp: home.Stamp(),
+		Digest: home.Digest(), Instances: home.UpdatesSince(stamp, now)}
 }
 
 // A sidecar that missed the end of a server for so long that its home has forgotten it asks for the whole list, and follows it.
@@ -87,12 +87,12 @@
 	n.view = view(1, v1)
 	beat(n.registry, "i1", 1)
 	ask := dissemination.SubscriptionHeartbeat{Subscribe: true, HomeIncarnation: n.life, RegistryStamp: n.registry.Stamp()}
-	ask.Node.Address = "10.0.1.2:7000"
-	n.onSession(ask.Node.Address, &ask, 0)
-	s := n.subscribers[ask.Node.Address]
+	ask.Router.Address = "10.0.1.2:7000"
+	n.onSession(ask.Router.Address, &ask, 0)
+	s := n.subscribers[ask.Router.Address]
 	s.stamp, s.sent = n.registry.Stamp(), 0
 	ask.FullState = true
-	n.onSession(ask.Node.Address, &ask, time.Millisecond)
+	n.onSession(ask.Router.Address, &ask, time.Millisecond)
 	require.Equal(t, time.Millisecond, s.sent)
 	require.False(t, s.whole, "it has been sent")
 }
--- a/internal/router/node/servers_cache.go
+++ b/internal/router/node/servers_cache.go
@@ -44,7 +44,7 @@
 		return
 	}
 	n.stored = n.registry.Stamp()
-	text, err := wireformat.EncodeServers(n.registry.Since(0, now))
+	text, err := wireformat.EncodeServers(n.registry.UpdatesSince(0, now))
 	if err != nil {
 		return
 	}
--- a/internal/router/node/status.go
+++ b/internal/router/node/status.go
@@ -47,7 +47,7 @@
 	defer n.mutex.Unlock()
 	s := Status{Node: n.settings.NodeName, Zone: n.settings.Zone, Ready: n.ready.Load(), Core: n.core(), Primary: n.replica.Primary(),
 		Home: n.home.address, View: n.view, Replica: n.replica.Status(), Version: n.compiled, Fleet: n.fleet, Servers: n.gateway.Servers(),
-		SentBytes: n.transport.Sent()}
+		SentBytes: n.transport.SentBytes()}
 	s.InTouch = s.Core && n.replica.InTouch() || !s.Core && n.home.touch && n.now()-n.home.heard < homeSilent
 	if t := n.gateway.Table(); t != nil {
 		s.Generation = t.Generation
--- a/internal/router/node/subscription.go
+++ b/internal/router/node/subscription.go
@@ -34,29 +34,29 @@
 
 // onSession takes in a sidecar's heartbeat and answers with what it lacks.
 func (n *Node) onSession(from string, m *dissemination.SubscriptionHeartbeat, now time.Duration) {
-	if m.Node.Member != nil {
-		n.eligible[m.Node.Member.ID] = *m.Node.Member
-		n.replica.Eligible(*m.Node.Member)
+	if m.Router.Member != nil {
+		n.eligible[m.Router.Member.ID] = *m.Router.Member
+		n.replica.Eligible(*m.Router.Member)
 	}
 	if n.view.Epoch.Less(m.View) && !m.Subscribe {
-		n.transport.Send(from, dissemination.SubscriptionHeartbeat{Node: n.self, View: n.view.Epoch})
+		n.transport.Send(from, dissemination.SubscriptionHeartbeat{Router: n.self, View: n.view.Epoch})
 		return
 	}
 	if !m.Subscribe || !n.core() {
 		n.introduce(from, m)
 		return
 	}
-	n.sessions.Heartbeat(m.Node, now)
+	n.sessions.ReceiveHeartbeat(m.Router, now)
 	s := n.subscribers[from]
 	if s == nil {
 		s = &subscriber{address: from, fresh: map[string]bool{}, uses: map[string]*placement.Uses{}}
 		n.subscribers[from] = s
 	}
 	s.core, s.heard, s.view = m.CoreMember, now, m.View
-	restarted := s.life != m.Node.Incarnation
-	s.life = m.Node.Incarnation
+	restarted := s.life != m.Router.Incarnation
+	s.life = m.Router.Incarnation
 	if restarted {
-		n.transport.Renew(from)
+		n.transport.Reconnect(from)
 	}
 	s.follow(m, n.life, restarted, now)
 	s.whole = m.FullState && !m.CoreMember
@@ -108,7 +108,7 @@
 
 // push tells a subscriber what it lacks; it is also the heartbeat of the session.
 func (n *Node) push(s *subscriber, now time.Duration) {
-	p := dissemination.Push{Incarnation: n.life, InTouch: n.replica.InTouch(), Complete: n.complete, Fleet: n.fleet}
+	p := dissemination.Push{Incarnation: n.life, InTouch: n.replica.InTouch(), Complete: n.complete, FleetSize: n.fleet}
 	if s.view.Less(n.view.Epoch) {
 		view := n.view
 		p.View = &view
@@ -117,12 +117,12 @@
 	p.FromStamp, p.Stamp, p.Digest = s.stamp, n.registry.Stamp(), n.registry.Digest()
 	p.FullState, s.whole = s.whole, false
 	if s.stamp < p.Stamp {
-		p.Instances = n.registry.Since(s.stamp, now)
+		p.Instances = n.registry.UpdatesSince(s.stamp, now)
 		s.stamp, s.listed = p.Stamp, len(p.Instances)
 		s.sent = now
 	}
 	if s.version < n.versions.Version() {
-		n.versions.Fill(&p, s.version)
+		n.versions.FillPush(&p, s.version)
 		s.version = n.versions.Version()
 		s.sent = now
 	} else {
@@ -136,7 +136,7 @@
 		nodes, stamp := n.sessions.Own()
 		p.SessionsStamp = stamp
 		if s.sessions != stamp {
-			p.Nodes = nodes
+			p.Routers = nodes
 			s.sessions = stamp
 		}
 	}
@@ -183,7 +183,7 @@
 	if from == n.home.address {
 		n.home.heard, n.home.touch = now, p.InTouch
 		if p.Complete && !n.core() {
-			n.setFleet(p.Fleet)
+			n.setFleet(p.FleetSize)
 		}
 	}
 	if p.Complete && p.FromStamp <= n.followed(from, p.Incarnation) {
@@ -195,9 +195,9 @@
 	before := n.registry.Stamp()
 	n.takeServers(from, p, now)
 	if n.core() {
-		n.sessions.Peer(from, p.Incarnation, p.SessionsStamp, p.Nodes, now)
+		n.sessions.UpdatePeer(from, p.Incarnation, p.SessionsStamp, p.Routers, now)
 	}
-	changed, err := n.versions.Take(p)
+	changed, err := n.versions.ApplyPush(p)
 	if err != nil {
 		n.logger.Debug().Err(err).Str("from", from).Msg("push")
 	}
--- a/internal/router/node/subscription_test.go
+++ b/internal/router/node/subscription_test.go
@@ -30,20 +30,20 @@
 	n := newNode(t, "")
 	n.self.Member = &v1
 	n.view = view(1, v1)
-	n.registry.Heartbeat(registry.Instance{ID: "i1", Service: "s", Address: "10.1.1.1:80", Sequence: 1}, 0)
-	ask := dissemination.SubscriptionHeartbeat{Node: membership.Process{Address: "10.0.1.2:7000", Zone: "z1", Incarnation: 7}, Subscribe: true}
+	n.registry.ReceiveHeartbeat(registry.Instance{ID: "i1", Service: "s", Address: "10.1.1.1:80", Sequence: 1}, 0)
+	ask := dissemination.SubscriptionHeartbeat{Router: membership.Router{Address: "10.0.1.2:7000", Zone: "z1", Incarnation: 7}, Subscribe: true}
 	now := time.Second
-	n.onSession(ask.Node.Address, &ask, now)
-	s := n.subscribers[ask.Node.Address]
+	n.onSession(ask.Router.Address, &ask, now)
+	s := n.subscribers[ask.Router.Address]
 	require.Equal(t, now, s.sent)
-	n.onSession(ask.Node.Address, &ask, now+startEvery)
+	n.onSession(ask.Router.Address, &ask, now+startEvery)
 	require.Equal(t, now, s.sent, "it is on its way")
-	n.onSession(ask.Node.Address, &ask, now+resendAfter+time.Millisecond)
+	n.onSession(ask.Router.Address, &ask, now+resendAfter+time.Millisecond)
 	require.Equal(t, now+resendAfter+time.Millisecond, s.sent, "it may have been lost")
 
-	ask.Node.Incarnation = 8
+	ask.Router.Incarnation = 8
 	now += resendAfter + startEvery
-	n.onSession(ask.Node.Address, &ask, now)
+	n.onSession(ask.Router.Address, &ask, now)
 	require.Equal(t, now, s.sent, "another process knows nothing")
 }
 
@@ -57,17 +57,17 @@
 		for i := range servers {
 			beat(n.registry, fmt.Sprint("i", i), 1)
 		}
-		ask := dissemination.SubscriptionHeartbeat{Node: membership.Process{Address: "10.0.1.2:7000", Zone: "z1", Incarnation: 7}, Subscribe: true, HomeIncarnation: n.life}
+		ask := dissemination.SubscriptionHeartbeat{Router: membership.Router{Address: "10.0.1.2:7000", Zone: "z1", Incarnation: 7}, Subscribe: true, HomeIncarnation: n.life}
 		last := -time.Hour
 		for now := time.Second; now < 11*time.Second; now += sessionEvery {
-			n.onSession(ask.Node.Address, &ask, now)
-			if sent := n.subscribers[ask.Node.Address].sent; sent != last {
+			n.onSession(ask.Router.Address, &ask, now)
+			if sent := n.subscribers[ask.Router.Address].sent; sent != last {
 				count, last = count+1, sent
 			}
 		}
-		s := n.subscribers[ask.Node.Address]
+		s := n.subscribers[ask.Router.Address]
 		ask.RegistryStamp = n.registry.Stamp()
-		n.onSession(ask.Node.Address, &ask, 20*time.Second)
+		n.onSession(ask.Router.Address, &ask, 20*time.Second)
 		require.Zero(t, s.resent, "it has it all")
 		return count
 	}
@@ -141,10 +141,10 @@
 	self := v1
 	n.self.Member = &self
 	n.view = view(1, self)
-	ask := dissemination.SubscriptionHeartbeat{Node: membership.Process{Address: listener.Addr().String(), Zone: "z1"}, Subscribe: true}
+	ask := dissemination.SubscriptionHeartbeat{Router: membership.Router{Address: listener.Addr().String(), Zone: "z1"}, Subscribe: true}
 	for life := range uint64(2) {
-		ask.Node.Incarnation = life + 1
-		n.onSession(ask.Node.Address, &ask, time.Duration(life)*time.Second)
+		ask.Router.Incarnation = life + 1
+		n.onSession(ask.Router.Address, &ask, time.Duration(life)*time.Second)
 		require.NoError(t, listener.(*net.TCPListener).SetDeadline(time.Now().Add(10*time.Second)))
 		peer, err := listener.Accept()
 		require.NoError(t, err, "no connection of its own for life %d", life+1)
--- a/internal/router/registry/changes.go
+++ b/internal/router/registry/changes.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// keepEnded is for how long an instance that requests may not go to any more is remembered after its last change, so that
+// endedRetention is for how long an instance that requests may not go to any more is remembered after its last change, so that
 // all that follow this registry hear of its end.
-const keepEnded = 2 * time.Minute
+const endedRetention = 2 * time.Minute
 
 // spareChanges is how many changes that others have followed are kept beside two for each entry.
 const spareChanges = 64
@@ -20,19 +20,19 @@
 	entry *Entry
 }
 
-// last reports whether the entry has not changed since, and is still there.
-func (c change) last() bool { return c.entry.Stamp == c.stamp }
+// isLatest reports whether the entry has not changed since, and is still there.
+func (c change) isLatest() bool { return c.entry.Stamp == c.stamp }
 
-// change notes that an entry is another than before.
-func (g *Registry) change(e *Entry, now time.Duration) {
+// recordChange notes that an entry is another than before.
+func (g *Registry) recordChange(e *Entry, now time.Duration) {
 	g.stamp++
-	e.Stamp, e.changed = g.stamp, now
+	e.Stamp, e.lastChange = g.stamp, now
 	digest := e.digest()
-	g.digest ^= e.digested ^ digest
-	e.digested = digest
+	g.digest ^= e.digestPart ^ digest
+	e.digestPart = digest
 	g.changes = append(g.changes, change{g.stamp, e})
 	if len(g.changes) > 2*len(g.entries)+spareChanges {
-		g.changes = slices.DeleteFunc(g.changes, func(c change) bool { return !c.last() })
+		g.changes = slices.DeleteFunc(g.changes, func(c change) bool { return !c.isLatest() })
 	}
 }
 
@@ -49,23 +49,23 @@
 // Digest is the same for registries that list the same usable instances, whatever the order in which they heard of them.
 func (g *Registry) Digest() uint64 { return g.digest }
 
-// Changed lists the entries that changed after a stamp, in the order of their changes. It takes as long as there are changes since,
+// ChangedSince lists the entries that changed after a stamp, in the order of their changes. It takes as long as there are changes since,
 // for it is asked for every subscriber at every push.
-func (g *Registry) Changed(stamp uint64) []*Entry {
+func (g *Registry) ChangedSince(stamp uint64) []*Entry {
 	first := sort.Search(len(g.changes), func(i int) bool { return g.changes[i].stamp > stamp })
 	var out []*Entry
 	for _, c := range g.changes[first:] {
-		if c.last() {
+		if c.isLatest() {
 			out = append(out, c.entry)
 		}
 	}
 	return out
 }
 
-// Since is Changed in the form in which others are told.
-func (g *Registry) Since(stamp uint64, now time.Duration) []Update {
+// UpdatesSince is Changed in the form in which others are told.
+func (g *Registry) UpdatesSince(stamp uint64, now time.Duration) []Update {
 	var out []Update
-	for _, e := range g.Changed(stamp) {
+	for _, e := range g.ChangedSince(stamp) {
 		out = append(out, Update{Instance: e.Instance, Lost: e.Lost, Age: now - e.LastContact})
 	}
 	return out
@@ -81,7 +81,7 @@
 	for id, e := range g.entries {
 		if !listed[id] && e.Usable() {
 			e.Lost = true
-			g.change(e, now)
+			g.recordChange(e, now)
 		}
 	}
 }
@@ -89,11 +89,11 @@
 // Forget drops instances that ended long ago, up to a stamp that the sidecar's own data plane has followed.
 func (g *Registry) Forget(followed uint64, now time.Duration) {
 	for id, e := range g.entries {
-		if e.Usable() || e.Stamp > followed || now-e.changed <= keepEnded {
+		if e.Usable() || e.Stamp > followed || now-e.lastChange <= endedRetention {
 			continue
 		}
 		delete(g.entries, id)
 		e.Stamp = 0 // its changes are told no more
-		g.leave(e)
+		g.detachAddress(e)
 	}
 }
--- a/internal/router/registry/registry.go
+++ b/internal/router/registry/registry.go
@@ -47,8 +47,8 @@
 	Lost        bool // silent for too long, or another server has its address
 	Stamp       uint64
 	LastContact time.Duration // when
-	changed     time.Duration // when, last
-	digested    uint64        // what it adds to the registry's digest
+	lastChange  time.Duration // when, last
+	digestPart  uint64        // what it adds to the registry's digest
 }
 
 // Usable reports whether requests may go there.
@@ -56,19 +56,21 @@
 
 // Registry is one sidecar's list.
 type Registry struct {
-	entries map[string]*Entry
-	places  map[string][]*Entry // by address: more than one only while an address passes on
-	stamp   uint64
-	changes []change // in the order of their stamps; each entry's last change is in it
-	digest  uint64
-	fresh   []string // heard here since Fresh was called
+	entries   map[string]*Entry
+	byAddress map[string][]*Entry // by address: more than one only while an address passes on
+	stamp     uint64
+	changes   []change // in the order of their stamps; each entry's last change is in it
+	digest    uint64
+	received  []string // heard here since Fresh was called
 }
 
-// heardAgain is how recent a heartbeat has to be for an instance that was lost to be back.
-const heardAgain = time.Second
+// freshHeartbeatAge is how recent a heartbeat has to be for an instance that was lost to be back.
+const freshHeartbeatAge = time.Second
 
 // New makes an empty registry.
-func New() *Registry { return &Registry{entries: map[string]*Entry{}, places: map[string][]*Entry{}} }
+func New() *Registry {
+	return &Registry{entries: map[string]*Entry{}, byAddress: map[string][]*Entry{}}
+}
 
 // Stamp is the stamp of the newest change.
 func (g *Registry) Stamp() uint64 { return g.stamp }
@@ -79,9 +81,9 @@
 // Entry finds an instance.
 func (g *Registry) Entry(id string) *Entry { return g.entries[id] }
 
-// Heartbeat takes in a call of the server itself and reports whether something changed.
-func (g *Registry) Heartbeat(i Instance, now time.Duration) bool {
-	g.fresh = append(g.fresh, i.ID)
+// ReceiveHeartbeat takes in a call of the server itself and reports whether something changed.
+func (g *Registry) ReceiveHeartbeat(i Instance, now time.Duration) bool {
+	g.received = append(g.received, i.ID)
 	return g.merge(i, now, now)
 }
 
@@ -99,63 +101,63 @@
 	changed := g.merge(u.Instance, now-u.Age, now)
 	if e := g.entries[u.Instance.ID]; e.Lost != u.Lost {
 		e.Lost = u.Lost
-		g.change(e, now)
+		g.recordChange(e, now)
 		changed = true
 	}
 	return changed
 }
 
-func (g *Registry) merge(i Instance, heard, now time.Duration) bool {
-	e := g.entries[i.ID]
-	if e == nil {
-		e = &Entry{Instance: i, LastContact: heard}
-		g.entries[i.ID] = e
-		g.places[i.Address] = append(g.places[i.Address], e)
-		g.change(e, now)
-		g.takeAddress(e, now)
+func (g *Registry) merge(observed Instance, lastContact, now time.Duration) bool {
+	entry := g.entries[observed.ID]
+	if entry == nil {
+		entry = &Entry{Instance: observed, LastContact: lastContact}
+		g.entries[observed.ID] = entry
+		g.byAddress[observed.Address] = append(g.byAddress[observed.Address], entry)
+		g.recordChange(entry, now)
+		g.claimAddress(entry, now)
 		return true
 	}
 	changed := false
-	if i.Sequence > e.Sequence && e.State != Deregistered || i.State == Deregistered && e.State != Deregistered {
-		changed = e.State != i.State || e.Address != i.Address || e.Service != i.Service || e.Slots != i.Slots
-		sequence := max(i.Sequence, e.Sequence)
-		if i.State < e.State { // a drain is not taken back
-			i.State = e.State
-			changed = e.Address != i.Address
+	if observed.Sequence > entry.Sequence && entry.State != Deregistered || observed.State == Deregistered && entry.State != Deregistered {
+		changed = entry.State != observed.State || entry.Address != observed.Address || entry.Service != observed.Service || entry.Slots != observed.Slots
+		sequence := max(observed.Sequence, entry.Sequence)
+		if observed.State < entry.State { // a drain is not taken back
+			observed.State = entry.State
+			changed = entry.Address != observed.Address
 		}
-		if e.Address != i.Address {
-			g.leave(e)
-			g.places[i.Address] = append(g.places[i.Address], e)
+		if entry.Address != observed.Address {
+			g.detachAddress(entry)
+			g.byAddress[observed.Address] = append(g.byAddress[observed.Address], entry)
 		}
-		e.Instance = i
-		e.Sequence = sequence
+		entry.Instance = observed
+		entry.Sequence = sequence
 	}
-	if heard > e.LastContact {
-		e.LastContact = heard
-		if e.Lost && now-heard < heardAgain && g.owns(e) {
-			e.Lost = false
+	if lastContact > entry.LastContact {
+		entry.LastContact = lastContact
+		if entry.Lost && now-lastContact < freshHeartbeatAge && g.ownsAddress(entry) {
+			entry.Lost = false
 			changed = true
 		}
 	}
 	if changed {
-		g.change(e, now)
+		g.recordChange(entry, now)
 	}
 	return changed
 }
 
-// takeAddress marks instances lost that had the address of one that was heard later.
-func (g *Registry) takeAddress(e *Entry, now time.Duration) {
-	for _, other := range g.places[e.Address] {
+// claimAddress marks instances lost that had the address of one that was heard later.
+func (g *Registry) claimAddress(e *Entry, now time.Duration) {
+	for _, other := range g.byAddress[e.Address] {
 		if other != e && !other.Lost && other.State != Deregistered && other.LastContact < e.LastContact {
 			other.Lost = true
-			g.change(other, now)
+			g.recordChange(other, now)
 		}
 	}
 }
 
-// owns reports whether no other instance was heard later at the same address.
-func (g *Registry) owns(e *Entry) bool {
-	for _, other := range g.places[e.Address] {
+// ownsAddress reports whether no other instance was heard later at the same address.
+func (g *Registry) ownsAddress(e *Entry) bool {
+	for _, other := range g.byAddress[e.Address] {
 		if other != e && other.LastContact > e.LastContact {
 			return false
 		}
@@ -163,47 +165,47 @@
 	return true
 }
 
-// Refresh notes that instances were heard by another sidecar.
-func (g *Registry) Refresh(ids []string, now time.Duration) {
+// RefreshContact notes that instances were heard by another sidecar.
+func (g *Registry) RefreshContact(ids []string, now time.Duration) {
 	for _, id := range ids {
 		if e := g.entries[id]; e != nil && now > e.LastContact {
 			e.LastContact = now
-			if e.Lost && g.owns(e) {
+			if e.Lost && g.ownsAddress(e) {
 				e.Lost = false
-				g.change(e, now)
+				g.recordChange(e, now)
 			}
 		}
 	}
 }
 
-// Fresh takes the instances that were heard here since the last call.
-func (g *Registry) Fresh() []string {
-	out := g.fresh
-	g.fresh = nil
+// TakeReceived takes the instances that were heard here since the last call.
+func (g *Registry) TakeReceived() []string {
+	out := g.received
+	g.received = nil
 	return out
 }
 
 // Expire judges who is lost: those that have been silent for longer than a time, and those at whose address another was
 // heard later.
-func (g *Registry) Expire(silence, now time.Duration) bool {
+func (g *Registry) Expire(timeout, now time.Duration) bool {
 	changed := false
 	for _, e := range g.entries {
-		lost := now-e.LastContact > silence || !g.owns(e)
+		lost := now-e.LastContact > timeout || !g.ownsAddress(e)
 		if e.State != Deregistered && e.Lost != lost {
 			e.Lost = lost
-			g.change(e, now)
+			g.recordChange(e, now)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// leave takes an entry from its address.
-func (g *Registry) leave(e *Entry) {
-	rest := slices.DeleteFunc(g.places[e.Address], func(other *Entry) bool { return other == e })
+// detachAddress takes an entry from its address.
+func (g *Registry) detachAddress(e *Entry) {
+	rest := slices.DeleteFunc(g.byAddress[e.Address], func(other *Entry) bool { return other == e })
 	if len(rest) == 0 {
-		delete(g.places, e.Address)
+		delete(g.byAddress, e.Address)
 		return
 	}
-	g.places[e.Address] = rest
+	g.byAddress[e.Address] = rest
 }
--- a/internal/router/registry/registry_test.go
+++ b/internal/router/registry/registry_test.go
@@ -28,34 +28,34 @@
 
 func TestALateCallChangesNothing(t *testing.T) {
 	g := New()
-	require.True(t, g.Heartbeat(instance("a", 5, Draining), time.Second))
-	require.False(t, g.Heartbeat(instance("a", 4, Ready), 2*time.Second))
+	require.True(t, g.ReceiveHeartbeat(instance("a", 5, Draining), time.Second))
+	require.False(t, g.ReceiveHeartbeat(instance("a", 4, Ready), 2*time.Second))
 	require.Empty(t, usable(g, "llm"))
 }
 
 func TestADrainIsNotTakenBack(t *testing.T) {
 	g := New()
-	g.Heartbeat(instance("a", 5, Draining), time.Second)
-	g.Heartbeat(instance("a", 6, Ready), 2*time.Second)
+	g.ReceiveHeartbeat(instance("a", 5, Draining), time.Second)
+	g.ReceiveHeartbeat(instance("a", 6, Ready), 2*time.Second)
 	require.Equal(t, Draining, g.Entry("a").State)
 }
 
 func TestSilenceAndReturn(t *testing.T) {
 	g := New()
-	g.Heartbeat(instance("a", 1, Ready), 0)
+	g.ReceiveHeartbeat(instance("a", 1, Ready), 0)
 	require.False(t, g.Expire(5*time.Second, 4*time.Second))
 	require.True(t, g.Expire(5*time.Second, 6*time.Second))
 	require.Empty(t, usable(g, "llm"))
-	require.True(t, g.Heartbeat(instance("a", 2, Ready), 7*time.Second))
+	require.True(t, g.ReceiveHeartbeat(instance("a", 2, Ready), 7*time.Second))
 	require.Len(t, usable(g, "llm"), 1)
 }
 
 func TestAnAddressIsTakenOver(t *testing.T) {
 	g := New()
-	g.Heartbeat(instance("a", 1, Ready), 0)
+	g.ReceiveHeartbeat(instance("a", 1, Ready), 0)
 	other := instance("b", 1, Ready)
 	other.Service = "registry"
-	g.Heartbeat(other, 3*time.Second)
+	g.ReceiveHeartbeat(other, 3*time.Second)
 	require.Empty(t, usable(g, "llm"))
 	require.Len(t, usable(g, "registry"), 1)
 }
@@ -64,14 +64,14 @@
 // other's word.
 func TestJudgementsDoNotGoBackAndForth(t *testing.T) {
 	a, b := New(), New()
-	a.Heartbeat(instance("x", 1, Ready), 0)
-	b.Heartbeat(instance("x", 1, Ready), 5*time.Second)
+	a.ReceiveHeartbeat(instance("x", 1, Ready), 0)
+	b.ReceiveHeartbeat(instance("x", 1, Ready), 5*time.Second)
 	now := 6 * time.Second
 	a.Expire(4*time.Second, now)
 	var fromA, fromB uint64
 	messages := 0
 	for range 50 {
-		toB, toA := a.Since(fromA, now), b.Since(fromB, now)
+		toB, toA := a.UpdatesSince(fromA, now), b.UpdatesSince(fromB, now)
 		fromA, fromB = a.Stamp(), b.Stamp()
 		messages += len(toA) + len(toB)
 		now += time.Millisecond
@@ -100,10 +100,10 @@
 // is heard.
 func TestTheLivingInstanceGetsItsAddressBack(t *testing.T) {
 	g := New()
-	g.Heartbeat(instance("new", 1, Ready), time.Second)
+	g.ReceiveHeartbeat(instance("new", 1, Ready), time.Second)
 	g.Merge(Update{Instance: instance("dead", 9, Ready)}, 2*time.Second)
 	require.Equal(t, "dead", usable(g, "llm")[0])
-	g.Heartbeat(instance("new", 2, Ready), 3*time.Second)
+	g.ReceiveHeartbeat(instance("new", 2, Ready), 3*time.Second)
 	g.Expire(5*time.Second, 3*time.Second)
 	require.Len(t, usable(g, "llm"), 1)
 	require.Equal(t, "new", usable(g, "llm")[0])
@@ -118,7 +118,7 @@
 	for step := range 5_000 {
 		now += time.Duration(random.Intn(400)) * time.Millisecond
 		id := fmt.Sprint("i", random.Intn(40))
-		g.Heartbeat(Instance{ID: id, Service: "s", Address: fmt.Sprint("a", random.Intn(30)), State: State(random.Intn(3) / 2), Sequence: int64(step)}, now)
+		g.ReceiveHeartbeat(Instance{ID: id, Service: "s", Address: fmt.Sprint("a", random.Intn(30)), State: State(random.Intn(3) / 2), Sequence: int64(step)}, now)
 		if random.Intn(5) == 0 {
 			g.Expire(5*time.Second, now)
 			g.Forget(g.Stamp(), now)
@@ -132,7 +132,7 @@
 		}
 		sort.Slice(want, func(i, j int) bool { return g.entries[want[i]].Stamp < g.entries[want[j]].Stamp })
 		var got []string
-		for _, u := range g.Since(stamp, now) {
+		for _, u := range g.UpdatesSince(stamp, now) {
 			got = append(got, u.Instance.ID)
 		}
 		require.Equal(t, want, got)
@@ -146,26 +146,26 @@
 	g := New()
 	g.Merge(Update{Instance: instance("a", 1, Ready), Lost: true, Age: time.Minute}, 2*time.Minute)
 	require.Empty(t, usable(g, "llm"))
-	g.Heartbeat(instance("a", 2, Ready), 3*time.Minute)
+	g.ReceiveHeartbeat(instance("a", 2, Ready), 3*time.Minute)
 	require.Len(t, usable(g, "llm"), 1)
 }
 
 // Whoever follows a registry hears of an end before it is forgotten, and ends are forgotten.
 func TestEndsAreForgottenOnceTheyWereFollowed(t *testing.T) {
 	g := New()
-	g.Heartbeat(instance("a", 1, Ready), 0)
+	g.ReceiveHeartbeat(instance("a", 1, Ready), 0)
 	stamp := g.Stamp()
 	g.Expire(5*time.Second, time.Hour) // a process that was suspended
 	g.Forget(stamp, time.Hour)
-	require.Len(t, g.Changed(stamp), 1, "it has just been lost")
-	g.Forget(g.Stamp(), time.Hour+keepEnded)
-	require.Len(t, g.Changed(stamp), 1)
+	require.Len(t, g.ChangedSince(stamp), 1, "it has just been lost")
+	g.Forget(g.Stamp(), time.Hour+endedRetention)
+	require.Len(t, g.ChangedSince(stamp), 1)
 	g.Forget(stamp, 2*time.Hour)
-	require.Len(t, g.Changed(stamp), 1, "nobody has followed it")
+	require.Len(t, g.ChangedSince(stamp), 1, "nobody has followed it")
 	g.Forget(g.Stamp(), 2*time.Hour)
 	require.Zero(t, g.Len())
-	require.Empty(t, g.places)
-	require.Empty(t, g.Changed(0))
+	require.Empty(t, g.byAddress)
+	require.Empty(t, g.ChangedSince(0))
 }
 
 // Registries that list the same usable instances have the same digest, however they came to it.
@@ -176,13 +176,13 @@
 	for step := range 3_000 {
 		now += time.Duration(random.Intn(400)) * time.Millisecond
 		id := fmt.Sprint("i", random.Intn(40))
-		home.Heartbeat(Instance{ID: id, Service: "s", Address: fmt.Sprint("a", random.Intn(30)), State: State(random.Intn(3) / 2), Sequence: int64(step)}, now)
+		home.ReceiveHeartbeat(Instance{ID: id, Service: "s", Address: fmt.Sprint("a", random.Intn(30)), State: State(random.Intn(3) / 2), Sequence: int64(step)}, now)
 		home.Expire(5*time.Second, now)
 		home.Forget(home.Stamp(), now)
 		if random.Intn(3) > 0 {
 			continue
 		}
-		for _, u := range home.Since(followed, now) {
+		for _, u := range home.UpdatesSince(followed, now) {
 			subscriber.Adopt(u, now)
 		}
 		followed = home.Stamp()
@@ -190,7 +190,7 @@
 		require.Equal(t, usable(home, "s"), usable(subscriber, "s"))
 		require.Equal(t, home.Digest(), subscriber.Digest())
 	}
-	home.Heartbeat(Instance{ID: "more", Service: "s", Address: "more", Sequence: 1}, now)
+	home.ReceiveHeartbeat(Instance{ID: "more", Service: "s", Address: "more", Sequence: 1}, now)
 	require.NotEqual(t, home.Digest(), subscriber.Digest())
 }
 
@@ -198,11 +198,11 @@
 func TestAWholeListReplaces(t *testing.T) {
 	home, subscriber := New(), New()
 	for _, g := range []*Registry{home, subscriber} {
-		g.Heartbeat(Instance{ID: "stays", Service: "s", Address: "a", Sequence: 1}, 0)
+		g.ReceiveHeartbeat(Instance{ID: "stays", Service: "s", Address: "a", Sequence: 1}, 0)
 	}
-	subscriber.Heartbeat(Instance{ID: "ended", Service: "s", Address: "b", Sequence: 1}, 0)
-	home.Heartbeat(Instance{ID: "new", Service: "s", Address: "c", Sequence: 1}, 0)
-	subscriber.Replace(home.Since(0, time.Second), time.Second)
+	subscriber.ReceiveHeartbeat(Instance{ID: "ended", Service: "s", Address: "b", Sequence: 1}, 0)
+	home.ReceiveHeartbeat(Instance{ID: "new", Service: "s", Address: "c", Sequence: 1}, 0)
+	subscriber.Replace(home.UpdatesSince(0, time.Second), time.Second)
 	require.Equal(t, []string{"new", "stays"}, usable(subscriber, "s"))
 	require.Equal(t, home.Digest(), subscriber.Digest())
 }
--- a/internal/router/routetable/table.go
+++ b/internal/router/routetable/table.go
@@ -18,12 +18,12 @@
 // Compiled is a route as the data plane uses it.
 type Compiled struct {
 	Route
-	Kind     Kind
-	Timeout  time.Duration
-	Aim      time.Duration
-	GapAim   time.Duration
-	Attempts int
-	Backends []WeightedBackend
+	Kind          Kind
+	Timeout       time.Duration
+	TargetLatency time.Duration
+	TargetGap     time.Duration
+	Attempts      int
+	Backends      []WeightedBackend
 }
 
 // Idempotent reports whether a request of the route may run again after it may have run.
@@ -94,12 +94,12 @@
 
 func compile(r *Route) *Compiled {
 	compiled := &Compiled{
-		Route:    *r,
-		Timeout:  time.Duration(r.TimeoutMs * float64(time.Millisecond)),
-		Aim:      time.Duration(r.TargetLatencyMs * float64(time.Millisecond)),
-		GapAim:   time.Duration(r.GapAimMs * float64(time.Millisecond)),
-		Attempts: max(1, r.MaxAttempts),
-		Backends: r.WeightedBackends,
+		Route:         *r,
+		Timeout:       time.Duration(r.TimeoutMs * float64(time.Millisecond)),
+		TargetLatency: time.Duration(r.TargetLatencyMs * float64(time.Millisecond)),
+		TargetGap:     time.Duration(r.GapAimMs * float64(time.Millisecond)),
+		Attempts:      max(1, r.MaxAttempts),
+		Backends:      r.WeightedBackends,
 	}
 	switch r.RouteType {
 	case "safe":
--- a/internal/router/transport/transport.go
+++ b/internal/router/transport/transport.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	queueLength  = 256
-	dialTimeout  = 300 * time.Millisecond // a machine without power says nothing; one that is back is dialled anew
-	writeTimeout = 700 * time.Millisecond
-	deadPeer     = 700 * time.Millisecond
-	redialAfter  = 50 * time.Millisecond
-	idleAfter    = 15 * time.Second
-	bufferBytes  = 16 << 10
+	queueLength     = 256
+	dialTimeout     = 300 * time.Millisecond // a machine without power says nothing; one that is back is dialled anew
+	writeTimeout    = 700 * time.Millisecond
+	deadPeerTimeout = 700 * time.Millisecond
+	redialDelay     = 50 * time.Millisecond
+	idleTimeout     = 15 * time.Second
+	bufferBytes     = 16 << 10
 )
 
 // Envelope is what goes over a connection.
@@ -44,23 +44,23 @@
 
 // Transport is one sidecar's end of all its connections to others.
 type Transport struct {
-	self    string
-	codec   Codec
-	handler Handler
-	sent    atomic.Uint64
+	self      string
+	codec     Codec
+	handler   Handler
+	sentBytes atomic.Uint64
 
-	mutex  sync.Mutex
-	peers  map[string]*peer
-	closed bool
-	done   chan struct{}
-	groups sync.WaitGroup
-	conns  map[net.Conn]bool
+	mutex      sync.Mutex
+	peers      map[string]*peer
+	closed     bool
+	done       chan struct{}
+	goroutines sync.WaitGroup
+	conns      map[net.Conn]bool
 }
 
 type peer struct {
-	address string
-	queue   chan any
-	renew   atomic.Bool // the connection is to a process that has ended
+	address   string
+	queue     chan any
+	reconnect atomic.Bool // the connection is to a process that has ended
 }
 
 // New makes a transport for the sidecar at an internal address.
@@ -79,7 +79,7 @@
 			conn.Close()
 			return net.ErrClosed
 		}
-		t.groups.Go(func() { t.receive(conn) })
+		t.goroutines.Go(func() { t.receive(conn) })
 	}
 }
 
@@ -103,7 +103,7 @@
 	defer t.forget(conn)
 	decoder := gob.NewDecoder(bufio.NewReaderSize(conn, bufferBytes))
 	for {
-		conn.SetReadDeadline(time.Now().Add(2 * idleAfter))
+		conn.SetReadDeadline(time.Now().Add(2 * idleTimeout))
 		var e Envelope
 		if decoder.Decode(&e) != nil {
 			return
@@ -121,9 +121,9 @@
 		p = &peer{address: to, queue: make(chan any, queueLength)}
 		t.peers[to] = p
 		if to == t.self {
-			t.groups.Go(func() { t.loop(p) })
+			t.goroutines.Go(func() { t.deliverToSelf(p) })
 		} else {
-			t.groups.Go(func() { t.run(p) })
+			t.goroutines.Go(func() { t.writeQueue(p) })
 		}
 	}
 	if p != nil {
@@ -135,18 +135,18 @@
 	t.mutex.Unlock()
 }
 
-// Renew says that the process at an address is another one than before: what is sent next goes over a new connection. The old one
+// Reconnect says that the process at an address is another one than before: what is sent next goes over a new connection. The old one
 // may not have noticed, where a machine lost its power.
-func (t *Transport) Renew(address string) {
+func (t *Transport) Reconnect(address string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if p := t.peers[address]; p != nil {
-		p.renew.Store(true)
+		p.reconnect.Store(true)
 	}
 }
 
-// loop hands over what the sidecar sends to itself.
-func (t *Transport) loop(p *peer) {
+// deliverToSelf hands over what the sidecar sends to itself.
+func (t *Transport) deliverToSelf(p *peer) {
 	for {
 		select {
 		case <-t.done:
@@ -157,9 +157,9 @@
 	}
 }
 
-// run writes a peer's queue until it has been idle for long.
-func (t *Transport) run(p *peer) {
-	idle := time.NewTimer(idleAfter)
+// writeQueue writes a peer's queue until it has been idle for long.
+func (t *Transport) writeQueue(p *peer) {
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	var link *link
 	defer func() {
@@ -172,12 +172,12 @@
 		case <-t.done:
 			return
 		case body := <-p.queue:
-			if p.renew.Swap(false) && link != nil {
+			if p.reconnect.Swap(false) && link != nil {
 				t.forget(link.conn)
 				link = nil
 			}
 			link = t.write(link, p, body)
-			idle.Reset(idleAfter)
+			idle.Reset(idleTimeout)
 		case <-idle.C:
 			t.mutex.Lock()
 			empty := len(p.queue) == 0
@@ -188,7 +188,7 @@
 			if empty {
 				return
 			}
-			idle.Reset(idleAfter)
+			idle.Reset(idleTimeout)
 		}
 	}
 }
@@ -200,38 +200,38 @@
 }
 
 // write writes a message and what waits behind it in one go.
-func (t *Transport) write(l *link, p *peer, body any) *link {
-	if l == nil {
-		if l = t.dial(p.address); l == nil {
-			t.pause(p)
+func (t *Transport) write(current *link, p *peer, body any) *link {
+	if current == nil {
+		if current = t.dial(p.address); current == nil {
+			t.dropUntilRedial(p)
 			return nil
 		}
 	}
-	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	err := l.encoder.Encode(Envelope{From: t.self, Body: t.codec.ToWire(body)})
+	current.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	err := current.encoder.Encode(Envelope{From: t.self, Body: t.codec.ToWire(body)})
 	for more := true; err == nil && more; {
 		select {
 		case next := <-p.queue:
-			err = l.encoder.Encode(Envelope{From: t.self, Body: t.codec.ToWire(next)})
+			err = current.encoder.Encode(Envelope{From: t.self, Body: t.codec.ToWire(next)})
 		default:
 			more = false
 		}
 	}
 	if err == nil {
-		err = l.writer.Flush()
+		err = current.writer.Flush()
 	}
 	if err != nil {
-		t.forget(l.conn)
+		t.forget(current.conn)
 		return nil
 	}
-	return l
+	return current
 }
 
-// pause waits before the next dial; what came meanwhile is old and dropped.
-func (t *Transport) pause(p *peer) {
+// dropUntilRedial waits before the next dial; what came meanwhile is old and dropped.
+func (t *Transport) dropUntilRedial(p *peer) {
 	select {
 	case <-t.done:
-	case <-time.After(redialAfter):
+	case <-time.After(redialDelay):
 	}
 	for {
 		select {
@@ -245,7 +245,7 @@
 func (t *Transport) dial(address string) *link {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: time.Second, Interval: time.Second, Count: 2,
-	}, Control: userTimeout(deadPeer)}
+	}, Control: userTimeout(deadPeerTimeout)}
 	conn, err := dialer.DialContext(context.Background(), "tcp", address)
 	if err != nil {
 		return nil
@@ -254,21 +254,21 @@
 		conn.Close()
 		return nil
 	}
-	t.groups.Go(func() { t.watch(conn) })
-	counted := &countingWriter{conn: conn, total: &t.sent}
+	t.goroutines.Go(func() { t.closeWithPeer(conn) })
+	counted := &countingWriter{conn: conn, total: &t.sentBytes}
 	writer := bufio.NewWriterSize(counted, bufferBytes)
 	return &link{conn: conn, writer: writer, encoder: gob.NewEncoder(writer)}
 }
 
-// watch closes a connection as soon as its peer does: nothing is ever read from it.
-func (t *Transport) watch(conn net.Conn) {
+// closeWithPeer closes a connection as soon as its peer does: nothing is ever read from it.
+func (t *Transport) closeWithPeer(conn net.Conn) {
 	var one [1]byte
 	conn.Read(one[:])
 	t.forget(conn)
 }
 
-// Sent is how many bytes were sent.
-func (t *Transport) Sent() uint64 { return t.sent.Load() }
+// SentBytes is how many bytes were sent.
+func (t *Transport) SentBytes() uint64 { return t.sentBytes.Load() }
 
 // Close ends all connections and waits for what reads and writes them.
 func (t *Transport) Close() {
@@ -283,7 +283,7 @@
 		conn.Close()
 	}
 	t.mutex.Unlock()
-	t.groups.Wait()
+	t.goroutines.Wait()
 }
 
 type countingWriter struct {
--- a/internal/router/transport/transport_test.go
+++ b/internal/router/transport/transport_test.go
@@ -53,7 +53,7 @@
 		require.Equal(t, i, <-got)
 	}
 	from.Close() // it waits for the writer, which counts after it has written
-	require.Positive(t, from.Sent())
+	require.Positive(t, from.SentBytes())
 }
 
 // A peer that does not listen costs its messages, not the sender's time.
@@ -85,7 +85,7 @@
 	require.NoError(t, err)
 	defer first.Close()
 	require.Equal(t, 1, read(first))
-	from.Renew(to)
+	from.Reconnect(to)
 	from.Send(to, note{2})
 	second, err := listener.Accept()
 	require.NoError(t, err)
--- a/internal/router/wireformat/dissemination.go
+++ b/internal/router/wireformat/dissemination.go
@@ -14,15 +14,15 @@
 	Member  *replication.Member
 }
 
-func toWireProcess(p membership.Process) wireProcess {
+func toWireProcess(p membership.Router) wireProcess {
 	return wireProcess{Address: p.Address, Zone: p.Zone, Life: p.Incarnation, Member: p.Member}
 }
 
-func (w wireProcess) process() membership.Process {
-	return membership.Process{Address: w.Address, Zone: w.Zone, Incarnation: w.Life, Member: w.Member}
+func (w wireProcess) process() membership.Router {
+	return membership.Router{Address: w.Address, Zone: w.Zone, Incarnation: w.Life, Member: w.Member}
 }
 
-func toWireProcesses(processes []membership.Process) []wireProcess {
+func toWireProcesses(processes []membership.Router) []wireProcess {
 	if processes == nil {
 		return nil
 	}
@@ -33,11 +33,11 @@
 	return wire
 }
 
-func fromWireProcesses(wire []wireProcess) []membership.Process {
+func fromWireProcesses(wire []wireProcess) []membership.Router {
 	if wire == nil {
 		return nil
 	}
-	processes := make([]membership.Process, 0, len(wire))
+	processes := make([]membership.Router, 0, len(wire))
 	for _, w := range wire {
 		processes = append(processes, w.process())
 	}
@@ -59,7 +59,7 @@
 
 func toWireSubscriptionHeartbeat(m dissemination.SubscriptionHeartbeat) wireSubscriptionHeartbeat {
 	return wireSubscriptionHeartbeat{
-		Node:      toWireProcess(m.Node),
+		Node:      toWireProcess(m.Router),
 		Subscribe: m.Subscribe,
 		View:      m.View,
 		Version:   m.Version,
@@ -73,7 +73,7 @@
 
 func (w wireSubscriptionHeartbeat) message() dissemination.SubscriptionHeartbeat {
 	return dissemination.SubscriptionHeartbeat{
-		Node:            w.Node.process(),
+		Router:          w.Node.process(),
 		Subscribe:       w.Subscribe,
 		View:            w.View,
 		Version:         w.Version,
@@ -116,7 +116,7 @@
 		Eligible:      m.Eligible,
 		InTouch:       m.InTouch,
 		Complete:      m.Complete,
-		Fleet:         m.Fleet,
+		Fleet:         m.FleetSize,
 		FromStamp:     m.FromStamp,
 		Stamp:         m.Stamp,
 		Instances:     toWireUpdates(m.Instances),
@@ -128,7 +128,7 @@
 		Orders:        m.Orders,
 		Snapshot:      m.Snapshot,
 		SessionsStamp: m.SessionsStamp,
-		Nodes:         toWireProcesses(m.Nodes),
+		Nodes:         toWireProcesses(m.Routers),
 	}
 }
 
@@ -139,7 +139,7 @@
 		Eligible:           w.Eligible,
 		InTouch:            w.InTouch,
 		Complete:           w.Complete,
-		Fleet:              w.Fleet,
+		FleetSize:          w.Fleet,
 		FromStamp:          w.FromStamp,
 		Stamp:              w.Stamp,
 		Instances:          fromWireUpdates(w.Instances),
@@ -151,7 +151,7 @@
 		Orders:             w.Orders,
 		Snapshot:           w.Snapshot,
 		SessionsStamp:      w.SessionsStamp,
-		Nodes:              fromWireProcesses(w.Nodes),
+		Routers:            fromWireProcesses(w.Nodes),
 	}
 }
 
@@ -176,9 +176,9 @@
 }
 
 func toWireQuotaRequest(m dissemination.QuotaRequest) wireQuotaRequest {
-	return wireQuotaRequest{Nonce: m.Nonce, Life: m.Incarnation, Demand: m.Demand, Held: m.Held}
+	return wireQuotaRequest{Nonce: m.Nonce, Life: m.Incarnation, Demand: m.Demand, Held: m.HeldShares}
 }
 
 func (w wireQuotaRequest) message() dissemination.QuotaRequest {
-	return dissemination.QuotaRequest{Nonce: w.Nonce, Incarnation: w.Life, Demand: w.Demand, Held: w.Held}
+	return dissemination.QuotaRequest{Nonce: w.Nonce, Incarnation: w.Life, Demand: w.Demand, HeldShares: w.Held}
 }
--- a/internal/router/wireformat/wireformat_test.go
+++ b/internal/router/wireformat/wireformat_test.go
@@ -104,7 +104,7 @@
 	require.True(t, ok)
 	session, ok := codec.FromWire(value).(dissemination.SubscriptionHeartbeat)
 	require.True(t, ok)
-	require.Equal(t, wireSession.Node.Life, session.Node.Incarnation)
+	require.Equal(t, wireSession.Node.Life, session.Router.Incarnation)
 	require.Equal(t, wireSession.HomeLife, session.HomeIncarnation)
 	require.Equal(t, wireSession.Stamp, session.RegistryStamp)
 	require.Equal(t, wireSession.Sessions, session.SessionsStamp)
@@ -125,12 +125,12 @@
 	require.Equal(t, wirePushed.Version, push.Version)
 	require.Equal(t, wirePushed.FromVersion, push.FromVersion)
 	require.Equal(t, wirePushed.Instances[1].Instance.ColdUntil, push.Instances[1].Instance.WarmupRemaining)
-	require.Equal(t, wirePushed.Nodes[1].Life, push.Nodes[1].Incarnation)
+	require.Equal(t, wirePushed.Nodes[1].Life, push.Routers[1].Incarnation)
 	push, ok = codec.FromWire(wirePush{Whole: true}).(dissemination.Push)
 	require.True(t, ok)
 	require.Equal(t, dissemination.Push{FullState: true}, push)
 
-	require.Equal(t, dissemination.QuotaRequest{Nonce: 1, Incarnation: 2, Held: map[string]float64{"t": 3}},
+	require.Equal(t, dissemination.QuotaRequest{Nonce: 1, Incarnation: 2, HeldShares: map[string]float64{"t": 3}},
 		codec.FromWire(wireQuotaRequest{Nonce: 1, Life: 2, Held: map[string]float64{"t": 3}}))
 	require.Equal(t, replication.Heartbeat{Number: 4, Committed: 5}, codec.FromWire(wireHeartbeat{Beat: 4, Committed: 5}))
 	require.Equal(t, replication.HeartbeatAck{Number: 6, Leaving: true}, codec.FromWire(wireHeartbeatAck{Beat: 6, Leaving: true}))
