--- a/internal/router/dissemination/versions.go
+++ b/internal/router/dissemination/versions.go
@@ -10,37 +10,38 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// maxRetainedOrders is how many orders a sidecar keeps for subscribers that are a little behind.
+// maxRetainedOrders is how many orders a router keeps for subscribers that are a little behind. One that lacks more gets a snapshot.
 const maxRetainedOrders = 64
 
-// ErrBehind says that orders do not follow the version that is held.
-var ErrBehind = errors.New("orders do not follow this version")
+// ErrVersionGap says that the orders of a Push do not follow the version that is held: a snapshot is needed.
+var ErrVersionGap = errors.New("orders do not follow the version held")
 
-// ApplyOrder makes the configuration that an order leads to.
+// ApplyOrder returns the configuration that an order makes of another.
 type ApplyOrder func(base *routetable.Config, order []byte) (*routetable.Config, error)
 
-// Versions is the committed configuration as one sidecar holds it. It never goes back.
+// Versions is the committed configuration as one router holds it, with the last orders that led to it. Its version never goes back. The
+// caller holds a lock around every call.
 type Versions struct {
 	apply   ApplyOrder
 	version uint64
 	config  *routetable.Config
 	orders  [][]byte // the last ones, up to version
 
-	compressedSnapshot []byte // the snapshot of packedVersion
+	compressedSnapshot []byte // of compressedVersion, made when it is first needed
 	compressedVersion  uint64
 }
 
-// NewVersions makes an empty one.
+// NewVersions returns one that holds no configuration.
 func NewVersions(apply ApplyOrder) *Versions { return &Versions{apply: apply} }
 
-// Version is the number of the version held; 0 is none.
+// Version returns the number of the version held; 0 is none.
 func (v *Versions) Version() uint64 { return v.version }
 
-// Config is the configuration held, or nil.
+// Config returns the configuration held, or nil.
 func (v *Versions) Config() *routetable.Config { return v.config }
 
-// Commit takes a committed configuration, with the last orders that led to it as far as they are known; it reports whether it
-// is newer.
+// Commit replaces the configuration by a committed one where that is newer, and reports whether it is. Orders are the last ones that led
+// to it, as many as are known.
 func (v *Versions) Commit(version uint64, config *routetable.Config, orders [][]byte) bool {
 	if version <= v.version || config == nil {
 		return false
@@ -61,7 +62,7 @@
 	}
 }
 
-// FillPush puts into a push what a subscriber with a version lacks.
+// FillPush puts into a push what a subscriber lacks that has a version: the orders since, or a snapshot where these are not known.
 func (v *Versions) FillPush(p *Push, has uint64) {
 	p.Version = v.version
 	if has >= v.version {
@@ -82,25 +83,34 @@
 	return v.compressedSnapshot
 }
 
-// ApplyPush takes in a push; it reports whether the configuration is newer, and ErrBehind where a snapshot is needed.
+// ApplyPush applies the configuration of a push. It reports whether the configuration held is newer than before, also beside an error;
+// the error is ErrVersionGap where a snapshot is needed.
 func (v *Versions) ApplyPush(p *Push) (bool, error) {
-	if p.Version <= v.version {
+	switch {
+	case p.Version <= v.version:
 		return false, nil
+	case len(p.Snapshot) > 0:
+		return v.applySnapshot(p)
+	case len(p.Orders) == 0 || p.FromVersion > v.version:
+		return false, ErrVersionGap
+	default:
+		return v.applyOrders(p)
 	}
-	if len(p.Snapshot) > 0 {
-		text, err := decompress(p.Snapshot)
-		if err != nil {
-			return false, err
-		}
-		config, err := routetable.ParseConfig(text)
-		if err != nil {
-			return false, err
-		}
-		return v.Commit(p.Version, config, nil), nil
+}
+
+func (v *Versions) applySnapshot(p *Push) (bool, error) {
+	text, err := decompress(p.Snapshot)
+	if err != nil {
+		return false, errors.Wrapf(err, "decompress snapshot of version %d", p.Version)
 	}
-	if len(p.Orders) == 0 || p.FromVersion > v.version {
-		return false, ErrBehind
+	config, err := routetable.ParseConfig(text)
+	if err != nil {
+		return false, errors.Wrapf(err, "parse snapshot of version %d", p.Version)
 	}
+	return v.Commit(p.Version, config, nil), nil
+}
+
+func (v *Versions) applyOrders(p *Push) (bool, error) {
 	changed := false
 	for i, order := range p.Orders {
 		version := p.FromVersion + uint64(i) + 1
@@ -109,21 +119,22 @@
 		}
 		config, err := v.apply(v.config, order)
 		if err != nil {
-			return changed, err
+			return changed, errors.Wrapf(err, "apply order of version %d", version)
 		}
 		changed = v.Commit(version, config, [][]byte{order}) || changed
 	}
 	return changed, nil
 }
 
+// compress has no error to report: the level is one that flate knows, and a buffer accepts all that is written.
 func compress(text []byte) []byte {
-	var out bytes.Buffer
-	w, _ := flate.NewWriter(&out, flate.BestSpeed)
-	w.Write(text)
-	w.Close()
-	return out.Bytes()
+	var compressed bytes.Buffer
+	w, _ := flate.NewWriter(&compressed, flate.BestSpeed)
+	_, _ = w.Write(text)
+	_ = w.Close()
+	return compressed.Bytes()
 }
 
-func decompress(packed []byte) ([]byte, error) {
-	return io.ReadAll(flate.NewReader(bytes.NewReader(packed)))
+func decompress(compressed []byte) ([]byte, error) {
+	return io.ReadAll(flate.NewReader(bytes.NewReader(compressed)))
 }
--- a/internal/router/dissemination/versions_test.go
+++ b/internal/router/dissemination/versions_test.go
@@ -16,7 +16,7 @@
 	return c
 }
 
-// applyGeneration takes an order that is the next generation.
+// applyGeneration applies an order that is the next generation.
 func applyGeneration(base *routetable.Config, order []byte) (*routetable.Config, error) {
 	var generation int
 	if _, err := fmt.Sscan(string(order), &generation); err != nil {
@@ -28,29 +28,29 @@
 	return routetable.ParseConfig(fmt.Appendf(nil, `{"Generation":%d,"Routes":[],"Services":[]}`, generation))
 }
 
-// However pushes are lost, doubled and late, a subscriber's version never goes back, is always the configuration of that version, and
+// Whichever pushes are lost, duplicated or late, a subscriber's version never goes back, is always the configuration of that version, and
 // is the newest once one push arrives that was made for what it has.
 func TestVersionsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		home, subscriber := NewVersions(applyGeneration), NewVersions(applyGeneration)
-		var onTheWay []Push
-		told := uint64(0)
+		var inFlight []Push
+		assumed := uint64(0)
 		for version := uint64(1); version <= uint64(rapid.IntRange(1, 150).Draw(t, "versions")); version++ {
 			require.True(t, home.Commit(version, configuration(t, int(version)), [][]byte{fmt.Append(nil, version)}))
 			var p Push
-			home.FillPush(&p, told)
-			onTheWay = append(onTheWay, p)
-			told = version
+			home.FillPush(&p, assumed)
+			inFlight = append(inFlight, p)
+			assumed = version
 			for range rapid.IntRange(0, 2).Draw(t, "arrivals") {
 				before := subscriber.Version()
-				subscriber.ApplyPush(&onTheWay[rapid.IntRange(0, len(onTheWay)-1).Draw(t, "which")])
+				subscriber.ApplyPush(&inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")])
 				require.GreaterOrEqual(t, subscriber.Version(), before)
 				if subscriber.Version() > 0 {
 					require.EqualValues(t, subscriber.Version(), subscriber.Config().Generation)
 				}
 			}
-			if rapid.IntRange(0, 9).Draw(t, "says what it has") == 0 {
-				told = subscriber.Version()
+			if rapid.IntRange(0, 9).Draw(t, "reports its version") == 0 {
+				assumed = subscriber.Version()
 			}
 		}
 		var last Push
@@ -61,7 +61,7 @@
 	})
 }
 
-// One that is far behind, or has nothing, gets a snapshot; one that is a little behind gets the orders.
+// A subscriber that is far behind, or has nothing, gets a snapshot; one that is a little behind gets the orders.
 func TestOrdersOrASnapshot(t *testing.T) {
 	home := NewVersions(applyGeneration)
 	for version := 1; version <= maxRetainedOrders+10; version++ {
@@ -81,5 +81,5 @@
 	behind := NewVersions(applyGeneration)
 	home.FillPush(&p, home.Version()-1)
 	_, err := behind.ApplyPush(&p)
-	require.ErrorIs(t, err, ErrBehind)
+	require.ErrorIs(t, err, ErrVersionGap)
 }
--- a/internal/router/membership/membership.go
+++ b/internal/router/membership/membership.go
@@ -1,6 +1,8 @@
-// Package membership knows which sidecars are in the fleet. Each sidecar holds a session with a control sidecar, by
-// heartbeats; control sidecars tell one another of the sessions that they hold, so that each knows the whole fleet. It is
-// pure.
+// Package membership knows which routers are in the fleet.
+//
+// Each router has a session with a core member, kept alive by heartbeats. Core members send one another the sessions that they hold, so
+// that each of them knows the complete fleet. The package does not decide who is a member of the core; that is a view of package
+// replication. It is pure: the caller passes the time and holds a lock around every call.
 package membership
 
 import (
@@ -9,40 +11,46 @@
 	"petrelhook/internal/router/replication"
 )
 
-// Router is one process of the fleet.
+// Router is one incarnation of a router.
 type Router struct {
 	Address     string // internal
 	Zone        string
-	Incarnation uint64              // drawn at each start
-	Member      *replication.Member // where it can be a member of the core
+	Incarnation uint64              // drawn at random at each start
+	Member      *replication.Member // how it would be a member of the core; nil where it cannot be one
 }
 
+// session is a router's session with this core member.
 type session struct {
 	router      Router
 	lastContact time.Duration
 }
 
+// peerTable is the sessions that another core member holds, as it sent them.
 type peerTable struct {
-	incarnation uint64
+	incarnation uint64 // of the core member; stamp counts in it alone
 	stamp       uint64
 	routers     []Router
 	lastContact time.Duration
 }
 
-// Sessions are the sessions that a control sidecar holds, and what other control sidecars say of theirs.
+// peerTimeouts is how many session time-outs the sessions of a core member that is silent are kept for. Its routers need that time to
+// find another core member; until then they must not be missing from the fleet.
+const peerTimeouts = 4
+
+// Sessions is the sessions that one core member holds, and those that other core members reported. Make it by New.
 type Sessions struct {
 	timeout time.Duration
-	own     map[string]*session
-	stamp   uint64
+	own     map[string]*session // by the router's address
+	stamp   uint64              // grows with each change of own
 	peers   map[string]*peerTable
 }
 
-// New makes an empty table; a session ends after a time without a heartbeat.
+// New returns an empty table of sessions that end after a time-out without a heartbeat.
 func New(timeout time.Duration) *Sessions {
 	return &Sessions{timeout: timeout, own: map[string]*session{}, peers: map[string]*peerTable{}}
 }
 
-// ReceiveHeartbeat takes in a session's heartbeat.
+// ReceiveHeartbeat opens or renews a router's session.
 func (s *Sessions) ReceiveHeartbeat(router Router, now time.Duration) {
 	old := s.own[router.Address]
 	if old == nil || old.router.Incarnation != router.Incarnation {
@@ -51,31 +59,31 @@
 	s.own[router.Address] = &session{router: router, lastContact: now}
 }
 
-// Expire ends sessions that have been silent.
+// Expire ends the sessions without a heartbeat in time, and drops what core members reported that have been silent for long.
 func (s *Sessions) Expire(now time.Duration) {
-	for address, one := range s.own {
-		if now-one.lastContact > s.timeout {
+	for address, held := range s.own {
+		if now-held.lastContact > s.timeout {
 			delete(s.own, address)
 			s.stamp++
 		}
 	}
 	for address, table := range s.peers {
-		if now-table.lastContact > 4*s.timeout {
+		if now-table.lastContact > peerTimeouts*s.timeout {
 			delete(s.peers, address)
 		}
 	}
 }
 
-// Own lists the sessions held here, with a stamp that changes with them.
+// Own returns the routers whose sessions are held here, and a stamp that is greater than before whenever they are others.
 func (s *Sessions) Own() ([]Router, uint64) {
-	out := make([]Router, 0, len(s.own))
-	for _, one := range s.own {
-		out = append(out, one.router)
+	routers := make([]Router, 0, len(s.own))
+	for _, held := range s.own {
+		routers = append(routers, held.router)
 	}
-	return out, s.stamp
+	return routers, s.stamp
 }
 
-// PeerStamp is the stamp of what is known of another control sidecar's sessions.
+// PeerStamp returns the stamp of what is known of another core member's sessions; 0 where nothing is known of this incarnation.
 func (s *Sessions) PeerStamp(address string, incarnation uint64) uint64 {
 	if table := s.peers[address]; table != nil && table.incarnation == incarnation {
 		return table.stamp
@@ -83,7 +91,7 @@
 	return 0
 }
 
-// UpdatePeer takes in another control sidecar's sessions; nodes is nil where nothing changed.
+// UpdatePeer applies what another core member sent of its sessions; routers is nil where they did not change.
 func (s *Sessions) UpdatePeer(address string, incarnation, stamp uint64, routers []Router, now time.Duration) {
 	table := s.peers[address]
 	if table == nil || table.incarnation != incarnation {
@@ -96,16 +104,17 @@
 	}
 }
 
-// Fleet is the addresses of all sidecars known.
+// Fleet returns all routers with a session at any core member, by address. A session that is held here counts before one that a peer
+// reported.
 func (s *Sessions) Fleet() map[string]Router {
-	out := map[string]Router{}
-	for _, t := range s.peers {
-		for _, n := range t.routers {
-			out[n.Address] = n
+	fleet := map[string]Router{}
+	for _, table := range s.peers {
+		for _, router := range table.routers {
+			fleet[router.Address] = router
 		}
 	}
-	for address, one := range s.own {
-		out[address] = one.router
+	for address, held := range s.own {
+		fleet[address] = held.router
 	}
-	return out
+	return fleet
 }
--- a/internal/router/membership/membership_test.go
+++ b/internal/router/membership/membership_test.go
@@ -16,7 +16,7 @@
 	require.Contains(t, s.Fleet(), "b")
 }
 
-// The stamp of the sessions held here changes with them, and not with a heartbeat that says nothing new.
+// The stamp of the sessions held here changes with them, and not with a heartbeat that only renews one.
 func TestTheStampOfSessions(t *testing.T) {
 	s := New(3 * time.Second)
 	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
@@ -32,8 +32,8 @@
 	require.Greater(t, ended, restarted)
 }
 
-// The fleet is all sessions of all control sidecars; a table of a control sidecar that is gone counts for a while longer, so that
-// its sidecars are not missing before they have found another home.
+// The fleet is all sessions of all core members; those of a core member that has ended count for a while longer, so that its routers
+// are not missing before they have found another core member.
 func TestTheFleetIsKnownThroughPeers(t *testing.T) {
 	s := New(3 * time.Second)
 	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
--- a/internal/router/registry/changes.go
+++ b/internal/router/registry/changes.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// endedRetention is for how long an instance that requests may not go to any more is remembered after its last change, so that
-// all that follow this registry hear of its end.
+// endedRetention is how long an instance that requests may not go to any more is remembered after its last change, so that all
+// subscribers of this registry learn of its end.
 const endedRetention = 2 * time.Minute
 
-// spareChanges is how many changes that others have followed are kept beside two for each entry.
+// spareChanges is how many superseded changes are kept besides two changes for each entry, before they are removed in one go.
 const spareChanges = 64
 
 // change is one change of an entry.
@@ -20,80 +20,82 @@
 	entry *Entry
 }
 
-// isLatest reports whether the entry has not changed since, and is still there.
+// isLatest reports whether the entry has not changed since, and was not dropped.
 func (c change) isLatest() bool { return c.entry.Stamp == c.stamp }
 
-// recordChange notes that an entry is another than before.
-func (g *Registry) recordChange(e *Entry, now time.Duration) {
+// recordChange gives an entry that has changed the next stamp.
+func (g *Registry) recordChange(entry *Entry, now time.Duration) {
 	g.stamp++
-	e.Stamp, e.lastChange = g.stamp, now
-	digest := e.digest()
-	g.digest ^= e.digestPart ^ digest
-	e.digestPart = digest
-	g.changes = append(g.changes, change{g.stamp, e})
+	entry.Stamp, entry.lastChange = g.stamp, now
+	digestPart := entry.digest()
+	g.digest ^= entry.digestPart ^ digestPart
+	entry.digestPart = digestPart
+	g.changes = append(g.changes, change{g.stamp, entry})
 	if len(g.changes) > 2*len(g.entries)+spareChanges {
 		g.changes = slices.DeleteFunc(g.changes, func(c change) bool { return !c.isLatest() })
 	}
 }
 
-// digest is what an entry adds to the registry's digest: 0 where requests may not go there.
+// digest is what an entry contributes to the registry's digest: 0 where it is not usable.
 func (e *Entry) digest() uint64 {
 	if !e.Usable() {
 		return 0
 	}
-	h := fnv.New64a()
-	h.Write([]byte(e.ID + "\n" + e.Service + "\n" + e.Address))
-	return h.Sum64()
+	hash := fnv.New64a()
+	hash.Write([]byte(e.ID + "\n" + e.Service + "\n" + e.Address))
+	return hash.Sum64()
 }
 
-// Digest is the same for registries that list the same usable instances, whatever the order in which they heard of them.
+// Digest returns a hash of the usable instances. It is equal for registries that list the same ones, in whatever order they learned of
+// them.
 func (g *Registry) Digest() uint64 { return g.digest }
 
-// ChangedSince lists the entries that changed after a stamp, in the order of their changes. It takes as long as there are changes since,
-// for it is asked for every subscriber at every push.
+// ChangedSince returns the entries that changed after a stamp, in the order of their last changes. It takes time in proportion to the
+// number of changes since, not of entries: it is called for every subscriber at every push.
 func (g *Registry) ChangedSince(stamp uint64) []*Entry {
 	first := sort.Search(len(g.changes), func(i int) bool { return g.changes[i].stamp > stamp })
-	var out []*Entry
+	var changed []*Entry
 	for _, c := range g.changes[first:] {
 		if c.isLatest() {
-			out = append(out, c.entry)
+			changed = append(changed, c.entry)
 		}
 	}
-	return out
+	return changed
 }
 
-// UpdatesSince is Changed in the form in which others are told.
+// UpdatesSince returns what ChangedSince does, as updates to be sent to another router.
 func (g *Registry) UpdatesSince(stamp uint64, now time.Duration) []Update {
-	var out []Update
-	for _, e := range g.ChangedSince(stamp) {
-		out = append(out, Update{Instance: e.Instance, Lost: e.Lost, Age: now - e.LastContact})
+	var updates []Update
+	for _, entry := range g.ChangedSince(stamp) {
+		updates = append(updates, Update{Instance: entry.Instance, Lost: entry.Lost, Age: now - entry.LastContact})
 	}
-	return out
+	return updates
 }
 
-// Replace takes in the whole list of a home: what is not in it is lost.
+// Replace applies the complete list of the core member that this router subscribes to: usable instances that are not in it are lost.
 func (g *Registry) Replace(list []Update, now time.Duration) {
 	listed := make(map[string]bool, len(list))
 	for _, u := range list {
 		listed[u.Instance.ID] = true
 		g.Adopt(u, now)
 	}
-	for id, e := range g.entries {
-		if !listed[id] && e.Usable() {
-			e.Lost = true
-			g.recordChange(e, now)
+	for id, entry := range g.entries {
+		if !listed[id] && entry.Usable() {
+			entry.Lost = true
+			g.recordChange(entry, now)
 		}
 	}
 }
 
-// Forget drops instances that ended long ago, up to a stamp that the sidecar's own data plane has followed.
-func (g *Registry) Forget(followed uint64, now time.Duration) {
-	for id, e := range g.entries {
-		if e.Usable() || e.Stamp > followed || now-e.lastChange <= endedRetention {
+// Forget drops instances that ended long ago. Only those go whose last change has a stamp up to applied, which the data plane of this
+// router has applied.
+func (g *Registry) Forget(applied uint64, now time.Duration) {
+	for id, entry := range g.entries {
+		if entry.Usable() || entry.Stamp > applied || now-entry.lastChange <= endedRetention {
 			continue
 		}
 		delete(g.entries, id)
-		e.Stamp = 0 // its changes are told no more
-		g.detachAddress(e)
+		entry.Stamp = 0 // its changes are no longer listed
+		g.detachAddress(entry)
 	}
 }
--- a/internal/router/registry/registry.go
+++ b/internal/router/registry/registry.go
@@ -1,9 +1,14 @@
-// Package registry is the list of servers: what their heartbeats said, what other sidecars said of them, and who has been
-// silent for too long. It is pure; each sidecar holds one.
+// Package registry is one router's list of model servers: what their heartbeats said, what other routers reported of them, and
+// which of them have been silent for too long.
 //
-// Merging is by the sequence number that a server counts up with every call, so that it does not matter in which order, how
-// often or by which way news comes. Deregistration is final for an instance. Invariant: an entry's stamp grows whenever
-// what the data plane has to know of it changes, so that a subscriber is told of exactly that.
+// It does not decide where a request goes, nor who sends what to whom. It is pure: no clock, network or goroutine of its own; the
+// caller passes the time and holds a lock around every call.
+//
+// A server counts up a sequence number with each of its heartbeats, and entries are merged by that number. So the order in which
+// reports arrive, how often, and by way of which routers does not matter. Deregistration is final for an instance.
+//
+// Invariant: an entry's stamp grows whenever anything changes that the data plane has to know of it, so a subscriber that has
+// applied all changes up to a stamp lacks exactly the changes after it.
 package registry
 
 import (
@@ -11,84 +16,87 @@
 	"time"
 )
 
-// State is what a server says of itself.
+// State is the state that a server reports of itself.
 type State uint8
 
-// The states of a server. Gone is final.
+// The states of a server, in the only order in which an instance passes through them. Deregistered is final.
 const (
 	Ready State = iota
 	Draining
 	Deregistered
 )
 
-// Instance is one life of a server.
+// Instance is one incarnation of a model server, as it describes itself in heartbeats.
 type Instance struct {
 	ID              string
 	Service         string
 	Address         string
 	Zone            string
 	Generation      string
-	Slots           int
+	Slots           int // requests that it serves at the same time
 	State           State
-	WarmupRemaining time.Duration // how much longer it is slow, as of Sequence
-	Sequence        int64
+	WarmupRemaining time.Duration // how much longer it is slow, counted from the heartbeat with Sequence
+	Sequence        int64         // counted up by the server with every call
 }
 
-// Update is what one sidecar tells another of an instance.
+// Update is what one router sends another about an instance.
 type Update struct {
 	Instance Instance
-	Lost     bool
-	Age      time.Duration // since it was last heard
+	Lost     bool          // the sender judges that the server has been silent for too long
+	Age      time.Duration // time since the server's last heartbeat that the sender knows of
 }
 
-// Entry is what a registry holds of an instance.
+// Entry is what a registry holds of an instance. Callers may read an entry until they release the lock that guards the registry.
 type Entry struct {
 	Instance
-	Lost        bool // silent for too long, or another server has its address
-	Stamp       uint64
-	LastContact time.Duration // when
-	lastChange  time.Duration // when, last
-	digestPart  uint64        // what it adds to the registry's digest
+	Lost        bool          // silent for too long, or another instance has its address
+	Stamp       uint64        // of the entry's last change; 0 once the entry was dropped
+	LastContact time.Duration // when the server's last heartbeat was received, here or at another router
+	lastChange  time.Duration // when Stamp was given
+	digestPart  uint64        // what the entry contributes to the registry's digest
 }
 
-// Usable reports whether requests may go there.
+// Usable reports whether requests may go to the instance.
 func (e *Entry) Usable() bool { return e.State == Ready && !e.Lost }
 
-// Registry is one sidecar's list.
+// Registry is one router's list of servers. Make one by New.
 type Registry struct {
-	entries   map[string]*Entry
-	byAddress map[string][]*Entry // by address: more than one only while an address passes on
+	entries   map[string]*Entry   // by instance ID
+	byAddress map[string][]*Entry // more than one only while an address passes from one instance to the next
 	stamp     uint64
-	changes   []change // in the order of their stamps; each entry's last change is in it
+	changes   []change // in the order of their stamps; each entry's last change is among them
 	digest    uint64
-	received  []string // heard here since Fresh was called
+	received  []string // instances whose heartbeats were received here since TakeReceived was called
 }
 
-// freshHeartbeatAge is how recent a heartbeat has to be for an instance that was lost to be back.
-const freshHeartbeatAge = time.Second
+// maxRevivalAge is the largest age of a heartbeat by which an instance that was lost becomes usable again. An older one proves only that
+// the server lived at some time after the last one known.
+const maxRevivalAge = time.Second
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New() *Registry {
 	return &Registry{entries: map[string]*Entry{}, byAddress: map[string][]*Entry{}}
 }
 
-// Stamp is the stamp of the newest change.
+// Stamp returns the stamp of the newest change.
 func (g *Registry) Stamp() uint64 { return g.stamp }
 
-// Len is the number of instances known, ended ones included.
+// Len returns the number of instances known, ended ones included.
 func (g *Registry) Len() int { return len(g.entries) }
 
-// Entry finds an instance.
+// Entry returns the entry of an instance, or nil where the instance is not known.
 func (g *Registry) Entry(id string) *Entry { return g.entries[id] }
 
-// ReceiveHeartbeat takes in a call of the server itself and reports whether something changed.
+// ReceiveHeartbeat applies a heartbeat that a server sent to this router, directly or forwarded by one of its subscribers. It reports
+// whether an entry changed.
 func (g *Registry) ReceiveHeartbeat(i Instance, now time.Duration) bool {
 	g.received = append(g.received, i.ID)
 	return g.merge(i, now, now)
 }
 
-// Merge takes in what another control sidecar says. Whether an instance that is known is lost each of them judges by itself,
-// from when it was heard: a word that is taken over both ways would go back and forth for ever.
+// Merge applies an update of another core member and reports whether an entry changed. Of an instance that is known, Update.Lost is
+// ignored: each core member judges by itself, from the time of the last heartbeat, who is lost. If members adopted one another's
+// judgement, two that differ would exchange it for ever.
 func (g *Registry) Merge(u Update, now time.Duration) bool {
 	if g.entries[u.Instance.ID] == nil {
 		return g.Adopt(u, now)
@@ -96,45 +104,30 @@
 	return g.merge(u.Instance, now-u.Age, now)
 }
 
-// Adopt takes in what the home says, which judges for its subscribers who is lost.
+// Adopt applies an update of the core member that this router subscribes to, which judges for its subscribers who is lost. It reports
+// whether an entry changed.
 func (g *Registry) Adopt(u Update, now time.Duration) bool {
 	changed := g.merge(u.Instance, now-u.Age, now)
-	if e := g.entries[u.Instance.ID]; e.Lost != u.Lost {
-		e.Lost = u.Lost
-		g.recordChange(e, now)
+	if entry := g.entries[u.Instance.ID]; entry.Lost != u.Lost {
+		entry.Lost = u.Lost
+		g.recordChange(entry, now)
 		changed = true
 	}
 	return changed
 }
 
+// merge applies what a server said of itself in a heartbeat that was received at lastContact. It reports whether its entry changed in a
+// way that the data plane has to know.
 func (g *Registry) merge(observed Instance, lastContact, now time.Duration) bool {
 	entry := g.entries[observed.ID]
 	if entry == nil {
-		entry = &Entry{Instance: observed, LastContact: lastContact}
-		g.entries[observed.ID] = entry
-		g.byAddress[observed.Address] = append(g.byAddress[observed.Address], entry)
-		g.recordChange(entry, now)
-		g.claimAddress(entry, now)
+		g.add(observed, lastContact, now)
 		return true
 	}
-	changed := false
-	if observed.Sequence > entry.Sequence && entry.State != Deregistered || observed.State == Deregistered && entry.State != Deregistered {
-		changed = entry.State != observed.State || entry.Address != observed.Address || entry.Service != observed.Service || entry.Slots != observed.Slots
-		sequence := max(observed.Sequence, entry.Sequence)
-		if observed.State < entry.State { // a drain is not taken back
-			observed.State = entry.State
-			changed = entry.Address != observed.Address
-		}
-		if entry.Address != observed.Address {
-			g.detachAddress(entry)
-			g.byAddress[observed.Address] = append(g.byAddress[observed.Address], entry)
-		}
-		entry.Instance = observed
-		entry.Sequence = sequence
-	}
+	changed := g.mergeInstance(entry, observed)
 	if lastContact > entry.LastContact {
 		entry.LastContact = lastContact
-		if entry.Lost && now-lastContact < freshHeartbeatAge && g.ownsAddress(entry) {
+		if entry.Lost && now-lastContact < maxRevivalAge && g.ownsAddress(entry) {
 			entry.Lost = false
 			changed = true
 		}
@@ -145,67 +138,100 @@
 	return changed
 }
 
-// claimAddress marks instances lost that had the address of one that was heard later.
-func (g *Registry) claimAddress(e *Entry, now time.Duration) {
-	for _, other := range g.byAddress[e.Address] {
-		if other != e && !other.Lost && other.State != Deregistered && other.LastContact < e.LastContact {
+// add makes the entry of an instance that was not known.
+func (g *Registry) add(observed Instance, lastContact, now time.Duration) {
+	entry := &Entry{Instance: observed, LastContact: lastContact}
+	g.entries[observed.ID] = entry
+	g.byAddress[observed.Address] = append(g.byAddress[observed.Address], entry)
+	g.recordChange(entry, now)
+	g.claimAddress(entry, now)
+}
+
+// mergeInstance replaces an entry's instance by a newer one. Its state never goes back: an instance that is draining does not become
+// ready again, and a deregistration counts whatever its sequence number is.
+func (g *Registry) mergeInstance(entry *Entry, observed Instance) (changed bool) {
+	newer := observed.Sequence > entry.Sequence || observed.State == Deregistered
+	if !newer || entry.State == Deregistered {
+		return false
+	}
+	changed = entry.State != observed.State || entry.Address != observed.Address || entry.Service != observed.Service || entry.Slots != observed.Slots
+	sequence := max(observed.Sequence, entry.Sequence)
+	if observed.State < entry.State {
+		observed.State = entry.State
+		changed = entry.Address != observed.Address
+	}
+	if entry.Address != observed.Address {
+		g.detachAddress(entry)
+		g.byAddress[observed.Address] = append(g.byAddress[observed.Address], entry)
+	}
+	entry.Instance = observed
+	entry.Sequence = sequence
+	return changed
+}
+
+// claimAddress marks the instances lost that had the address of an entry and sent their last heartbeat before it.
+func (g *Registry) claimAddress(entry *Entry, now time.Duration) {
+	for _, other := range g.byAddress[entry.Address] {
+		if other != entry && !other.Lost && other.State != Deregistered && other.LastContact < entry.LastContact {
 			other.Lost = true
 			g.recordChange(other, now)
 		}
 	}
 }
 
-// ownsAddress reports whether no other instance was heard later at the same address.
-func (g *Registry) ownsAddress(e *Entry) bool {
-	for _, other := range g.byAddress[e.Address] {
-		if other != e && other.LastContact > e.LastContact {
+// ownsAddress reports whether no other instance sent a later heartbeat with the same address.
+func (g *Registry) ownsAddress(entry *Entry) bool {
+	for _, other := range g.byAddress[entry.Address] {
+		if other != entry && other.LastContact > entry.LastContact {
 			return false
 		}
 	}
 	return true
 }
 
-// RefreshContact notes that instances were heard by another sidecar.
+// detachAddress removes an entry from the instances at its address.
+func (g *Registry) detachAddress(entry *Entry) {
+	rest := slices.DeleteFunc(g.byAddress[entry.Address], func(other *Entry) bool { return other == entry })
+	if len(rest) == 0 {
+		delete(g.byAddress, entry.Address)
+		return
+	}
+	g.byAddress[entry.Address] = rest
+}
+
+// RefreshContact records that another core member has just received heartbeats of these instances.
 func (g *Registry) RefreshContact(ids []string, now time.Duration) {
 	for _, id := range ids {
-		if e := g.entries[id]; e != nil && now > e.LastContact {
-			e.LastContact = now
-			if e.Lost && g.ownsAddress(e) {
-				e.Lost = false
-				g.recordChange(e, now)
-			}
+		entry := g.entries[id]
+		if entry == nil || now <= entry.LastContact {
+			continue
+		}
+		entry.LastContact = now
+		if entry.Lost && g.ownsAddress(entry) {
+			entry.Lost = false
+			g.recordChange(entry, now)
 		}
 	}
 }
 
-// TakeReceived takes the instances that were heard here since the last call.
+// TakeReceived returns the instances whose heartbeats were received here since the last call.
 func (g *Registry) TakeReceived() []string {
-	out := g.received
+	received := g.received
 	g.received = nil
-	return out
+	return received
 }
 
-// Expire judges who is lost: those that have been silent for longer than a time, and those at whose address another was
-// heard later.
+// Expire judges who is lost: the instances without a heartbeat for longer than timeout, and those at whose address another instance was
+// seen later. It reports whether an entry changed. Core members call it; other routers adopt the judgement of theirs.
 func (g *Registry) Expire(timeout, now time.Duration) bool {
 	changed := false
-	for _, e := range g.entries {
-		lost := now-e.LastContact > timeout || !g.ownsAddress(e)
-		if e.State != Deregistered && e.Lost != lost {
-			e.Lost = lost
-			g.recordChange(e, now)
+	for _, entry := range g.entries {
+		lost := now-entry.LastContact > timeout || !g.ownsAddress(entry)
+		if entry.State != Deregistered && entry.Lost != lost {
+			entry.Lost = lost
+			g.recordChange(entry, now)
 			changed = true
 		}
 	}
 	return changed
 }
-
-// detachAddress takes an entry from its address.
-func (g *Registry) detachAddress(e *Entry) {
-	rest := slices.DeleteFunc(g.byAddress[e.Address], func(other *Entry) bool { return other == e })
-	if len(rest) == 0 {
-		delete(g.byAddress, e.Address)
-		return
-	}
-	g.byAddress[e.Address] = rest
-}
--- a/internal/router/registry/registry_test.go
+++ b/internal/router/registry/registry_test.go
@@ -40,7 +40,7 @@
 	require.Equal(t, Draining, g.Entry("a").State)
 }
 
-func TestSilenceAndReturn(t *testing.T) {
+func TestExpiryAndReturn(t *testing.T) {
 	g := New()
 	g.ReceiveHeartbeat(instance("a", 1, Ready), 0)
 	require.False(t, g.Expire(5*time.Second, 4*time.Second))
@@ -60,8 +60,8 @@
 	require.Len(t, usable(g, "registry"), 1)
 }
 
-// Two control sidecars that judge differently who is lost tell one another no end of news, if either takes over the
-// other's word.
+// Two core members that judge differently who is lost would send each other updates without end if either adopted the
+// judgement of the other.
 func TestJudgementsDoNotGoBackAndForth(t *testing.T) {
 	a, b := New(), New()
 	a.ReceiveHeartbeat(instance("x", 1, Ready), 0)
@@ -88,7 +88,7 @@
 	require.Len(t, usable(b, "llm"), 1)
 }
 
-func TestASubscriberAdoptsItsHomesWord(t *testing.T) {
+func TestASubscriberAdoptsTheJudgementOfItsHome(t *testing.T) {
 	g := New()
 	g.Adopt(Update{Instance: instance("a", 1, Ready)}, time.Second)
 	require.Len(t, usable(g, "llm"), 1)
@@ -96,8 +96,8 @@
 	require.Empty(t, usable(g, "llm"))
 }
 
-// What is read from a disk after a restart is older than it looks: the instance that lives at an address wins as soon as it
-// is heard.
+// What is read from a disk after a restart is older than it looks: the living instance at an address wins with its next
+// heartbeat.
 func TestTheLivingInstanceGetsItsAddressBack(t *testing.T) {
 	g := New()
 	g.ReceiveHeartbeat(instance("new", 1, Ready), time.Second)
@@ -109,9 +109,9 @@
 	require.Equal(t, "new", usable(g, "llm")[0])
 }
 
-// What changed since any stamp is what a look at all entries would find, however often entries change, come and are forgotten; and
-// what is kept of changes is bounded by the entries.
-func TestSinceIsWhatALookAtAllEntriesFinds(t *testing.T) {
+// The changes since any stamp are those that a search of all entries finds, however often entries change, come and are forgotten; and
+// the number of changes kept is bounded by the number of entries.
+func TestUpdatesSinceFindsWhatASearchOfAllEntriesFinds(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	g := New()
 	now := time.Duration(0)
@@ -140,8 +140,7 @@
 	}
 }
 
-// An instance that is heard of for the first time from another control sidecar, which has lost it, is not taken for usable until
-// the next judgement.
+// An instance that another core member, which has lost it, is the first to report is not usable before the next judgement.
 func TestAnUnknownInstanceThatOthersHaveLost(t *testing.T) {
 	g := New()
 	g.Merge(Update{Instance: instance("a", 1, Ready), Lost: true, Age: time.Minute}, 2*time.Minute)
@@ -150,7 +149,7 @@
 	require.Len(t, usable(g, "llm"), 1)
 }
 
-// Whoever follows a registry hears of an end before it is forgotten, and ends are forgotten.
+// A subscriber learns of an end before it is forgotten, and ends are forgotten.
 func TestEndsAreForgottenOnceTheyWereFollowed(t *testing.T) {
 	g := New()
 	g.ReceiveHeartbeat(instance("a", 1, Ready), 0)
@@ -161,14 +160,14 @@
 	g.Forget(g.Stamp(), time.Hour+endedRetention)
 	require.Len(t, g.ChangedSince(stamp), 1)
 	g.Forget(stamp, 2*time.Hour)
-	require.Len(t, g.ChangedSince(stamp), 1, "nobody has followed it")
+	require.Len(t, g.ChangedSince(stamp), 1, "the data plane has not applied it")
 	g.Forget(g.Stamp(), 2*time.Hour)
 	require.Zero(t, g.Len())
 	require.Empty(t, g.byAddress)
 	require.Empty(t, g.ChangedSince(0))
 }
 
-// Registries that list the same usable instances have the same digest, however they came to it.
+// Registries that list the same usable instances have the same digest, however they learned of them.
 func TestDigest(t *testing.T) {
 	random := rand.New(rand.NewSource(2))
 	home, subscriber := New(), New()
@@ -194,8 +193,8 @@
 	require.NotEqual(t, home.Digest(), subscriber.Digest())
 }
 
-// A whole list takes away what the home no longer has, which a subscriber that was cut off for long never hears of.
-func TestAWholeListReplaces(t *testing.T) {
+// A complete list removes what the home no longer has; a subscriber that was partitioned for long never receives those changes.
+func TestACompleteListReplaces(t *testing.T) {
 	home, subscriber := New(), New()
 	for _, g := range []*Registry{home, subscriber} {
 		g.ReceiveHeartbeat(Instance{ID: "stays", Service: "s", Address: "a", Sequence: 1}, 0)
