--- a/internal/router/transport/transport_test.go
+++ b/internal/router/transport/transport_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-type note struct{ Number int }
+type message struct{ Number int }
 
-func init() { gob.Register(note{}) }
+func init() { gob.Register(message{}) }
 
 // sameOnWire sends messages as they are.
 type sameOnWire struct{}
@@ -20,18 +20,18 @@
 func (sameOnWire) ToWire(message any) any { return message }
 func (sameOnWire) FromWire(value any) any { return value }
 
-// A sidecar that sends to itself under a lock that its handler takes must not stand still.
+// A router that sends to itself under a lock that its handler acquires must not deadlock.
 func TestSendingToItselfUnderALock(t *testing.T) {
 	var mutex sync.Mutex
 	got := make(chan int, 1)
 	one := New("127.0.0.1:1", sameOnWire{}, func(_ string, body any) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		got <- body.(note).Number
+		got <- body.(message).Number
 	})
 	defer one.Close()
 	mutex.Lock()
-	one.Send("127.0.0.1:1", note{7})
+	one.Send("127.0.0.1:1", message{7})
 	mutex.Unlock()
 	require.Equal(t, 7, <-got)
 }
@@ -40,14 +40,14 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	got := make(chan int, 200)
-	to := New(listener.Addr().String(), sameOnWire{}, func(from string, body any) { got <- body.(note).Number })
+	to := New(listener.Addr().String(), sameOnWire{}, func(from string, body any) { got <- body.(message).Number })
 	go to.Serve(listener)
 	defer to.Close()
 	defer listener.Close()
 	from := New("127.0.0.1:2", sameOnWire{}, nil)
 	defer from.Close()
 	for i := range 100 {
-		from.Send(listener.Addr().String(), note{i})
+		from.Send(listener.Addr().String(), message{i})
 	}
 	for i := range 100 {
 		require.Equal(t, i, <-got)
@@ -56,18 +56,18 @@
 	require.Positive(t, from.SentBytes())
 }
 
-// A peer that does not listen costs its messages, not the sender's time.
+// Messages to a peer that does not listen are lost, and the sender does not wait.
 func TestAPeerThatIsNotThere(t *testing.T) {
 	from := New("127.0.0.1:2", sameOnWire{}, nil)
 	defer from.Close()
 	began := time.Now()
 	for i := range 10 * queueLength {
-		from.Send("127.0.0.1:9", note{i})
+		from.Send("127.0.0.1:9", message{i})
 	}
 	require.Less(t, time.Since(began), time.Second)
 }
 
-// What is sent after the peer is known to have started anew goes over a new connection, although the old one shows no fault.
+// What is sent after a new incarnation of the peer is known goes over a new connection, although the old one shows no fault.
 func TestRenew(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -75,18 +75,18 @@
 	read := func(c net.Conn) int {
 		var e Envelope
 		require.NoError(t, gob.NewDecoder(c).Decode(&e))
-		return e.Body.(note).Number
+		return e.Body.(message).Number
 	}
 	from := New("127.0.0.1:2", sameOnWire{}, nil)
 	defer from.Close()
 	to := listener.Addr().String()
-	from.Send(to, note{1})
+	from.Send(to, message{1})
 	first, err := listener.Accept()
 	require.NoError(t, err)
 	defer first.Close()
 	require.Equal(t, 1, read(first))
 	from.Reconnect(to)
-	from.Send(to, note{2})
+	from.Send(to, message{2})
 	second, err := listener.Accept()
 	require.NoError(t, err)
 	defer second.Close()
