--- a/internal/router/dissemination/versions.go
+++ b/internal/router/dissemination/versions.go
@@ -10,43 +10,44 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// keptOrders is how many orders a sidecar keeps for subscribers that are a little behind.
-const keptOrders = 64
+// maxRetainedOrders is how many orders a router keeps for subscribers that are a little behind. One that lacks more gets a snapshot.
+const maxRetainedOrders = 64
 
-// ErrBehind says that orders do not follow the version that is held.
-var ErrBehind = errors.New("orders do not follow this version")
+// ErrVersionGap says that the orders of a Push do not follow the version that is held: a snapshot is needed.
+var ErrVersionGap = errors.New("orders do not follow the version held")
 
-// ApplyOrder makes the configuration that an order leads to.
+// ApplyOrder returns the configuration that an order makes of another.
 type ApplyOrder func(base *routetable.Config, order []byte) (*routetable.Config, error)
 
-// Versions is the committed configuration as one sidecar holds it. It never goes back.
+// Versions is the committed configuration as one router holds it, with the last orders that led to it. Its version never goes back. The
+// caller holds a lock around every call.
 type Versions struct {
 	apply   ApplyOrder
 	version uint64
 	config  *routetable.Config
 	orders  [][]byte // the last ones, up to version
 
-	packed        []byte // the snapshot of packedVersion
-	packedVersion uint64
+	compressedSnapshot []byte // of compressedVersion, made when it is first needed
+	compressedVersion  uint64
 }
 
-// NewVersions makes an empty one.
+// NewVersions returns one that holds no configuration.
 func NewVersions(apply ApplyOrder) *Versions { return &Versions{apply: apply} }
 
-// Version is the number of the version held; 0 is none.
+// Version returns the number of the version held; 0 is none.
 func (v *Versions) Version() uint64 { return v.version }
 
-// Config is the configuration held, or nil.
+// Config returns the configuration held, or nil.
 func (v *Versions) Config() *routetable.Config { return v.config }
 
-// Set takes a committed configuration, with the last orders that led to it as far as they are known; it reports whether it
-// is newer.
-func (v *Versions) Set(version uint64, config *routetable.Config, orders [][]byte) bool {
+// Commit replaces the configuration by a committed one where that is newer, and reports whether it is. Orders are the last ones that led
+// to it, as many as are known.
+func (v *Versions) Commit(version uint64, config *routetable.Config, orders [][]byte) bool {
 	if version <= v.version || config == nil {
 		return false
 	}
 	if missing := version - v.version; v.version > 0 && missing <= uint64(len(orders)) {
-		v.keep(orders[uint64(len(orders))-missing:])
+		v.appendOrders(orders[uint64(len(orders))-missing:])
 	} else {
 		v.orders = nil
 	}
@@ -54,15 +55,15 @@
 	return true
 }
 
-func (v *Versions) keep(orders [][]byte) {
+func (v *Versions) appendOrders(orders [][]byte) {
 	v.orders = append(v.orders, orders...)
-	if len(v.orders) > keptOrders {
-		v.orders = append([][]byte(nil), v.orders[len(v.orders)-keptOrders:]...)
+	if len(v.orders) > maxRetainedOrders {
+		v.orders = append([][]byte(nil), v.orders[len(v.orders)-maxRetainedOrders:]...)
 	}
 }
 
-// Fill puts into a push what a subscriber with a version lacks.
-func (v *Versions) Fill(p *Push, has uint64) {
+// FillPush puts into a push what a subscriber lacks that has a version: the orders since, or a snapshot where these are not known.
+func (v *Versions) FillPush(p *Push, has uint64) {
 	p.Version = v.version
 	if has >= v.version {
 		return
@@ -76,31 +77,40 @@
 }
 
 func (v *Versions) snapshot() []byte {
-	if v.packedVersion != v.version {
-		v.packed, v.packedVersion = pack(v.config.Encode()), v.version
+	if v.compressedVersion != v.version {
+		v.compressedSnapshot, v.compressedVersion = compress(v.config.Encode()), v.version
 	}
-	return v.packed
+	return v.compressedSnapshot
 }
 
-// Take takes in a push; it reports whether the configuration is newer, and ErrBehind where a snapshot is needed.
-func (v *Versions) Take(p *Push) (bool, error) {
-	if p.Version <= v.version {
+// ApplyPush applies the configuration of a push. It reports whether the configuration held is newer than before, also beside an error;
+// the error is ErrVersionGap where a snapshot is needed.
+func (v *Versions) ApplyPush(p *Push) (bool, error) {
+	switch {
+	case p.Version <= v.version:
 		return false, nil
+	case len(p.Snapshot) > 0:
+		return v.applySnapshot(p)
+	case len(p.Orders) == 0 || p.FromVersion > v.version:
+		return false, ErrVersionGap
+	default:
+		return v.applyOrders(p)
 	}
-	if len(p.Snapshot) > 0 {
-		text, err := unpack(p.Snapshot)
-		if err != nil {
-			return false, err
-		}
-		config, err := routetable.ParseConfig(text)
-		if err != nil {
-			return false, err
-		}
-		return v.Set(p.Version, config, nil), nil
+}
+
+func (v *Versions) applySnapshot(p *Push) (bool, error) {
+	text, err := decompress(p.Snapshot)
+	if err != nil {
+		return false, errors.Wrapf(err, "decompress snapshot of version %d", p.Version)
 	}
-	if len(p.Orders) == 0 || p.FromVersion > v.version {
-		return false, ErrBehind
+	config, err := routetable.ParseConfig(text)
+	if err != nil {
+		return false, errors.Wrapf(err, "parse snapshot of version %d", p.Version)
 	}
+	return v.Commit(p.Version, config, nil), nil
+}
+
+func (v *Versions) applyOrders(p *Push) (bool, error) {
 	changed := false
 	for i, order := range p.Orders {
 		version := p.FromVersion + uint64(i) + 1
@@ -109,21 +119,22 @@
 		}
 		config, err := v.apply(v.config, order)
 		if err != nil {
-			return changed, err
+			return changed, errors.Wrapf(err, "apply order of version %d", version)
 		}
-		changed = v.Set(version, config, [][]byte{order}) || changed
+		changed = v.Commit(version, config, [][]byte{order}) || changed
 	}
 	return changed, nil
 }
 
-func pack(text []byte) []byte {
-	var out bytes.Buffer
-	w, _ := flate.NewWriter(&out, flate.BestSpeed)
-	w.Write(text)
-	w.Close()
-	return out.Bytes()
+// compress has no error to report: the level is one that flate knows, and a buffer accepts all that is written.
+func compress(text []byte) []byte {
+	var compressed bytes.Buffer
+	w, _ := flate.NewWriter(&compressed, flate.BestSpeed)
+	_, _ = w.Write(text)
+	_ = w.Close()
+	return compressed.Bytes()
 }
 
-func unpack(packed []byte) ([]byte, error) {
-	return io.ReadAll(flate.NewReader(bytes.NewReader(packed)))
+func decompress(compressed []byte) ([]byte, error) {
+	return io.ReadAll(flate.NewReader(bytes.NewReader(compressed)))
 }
--- a/internal/router/membership/membership_test.go
+++ b/internal/router/membership/membership_test.go
@@ -9,22 +9,22 @@
 
 func TestSessionsEnd(t *testing.T) {
 	s := New(3 * time.Second)
-	s.Heartbeat(Process{Address: "a", Incarnation: 1}, 0)
-	s.Heartbeat(Process{Address: "b", Incarnation: 1}, time.Second)
+	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
+	s.ReceiveHeartbeat(Router{Address: "b", Incarnation: 1}, time.Second)
 	s.Expire(3500 * time.Millisecond)
 	require.Len(t, s.Fleet(), 1)
 	require.Contains(t, s.Fleet(), "b")
 }
 
-// The stamp of the sessions held here changes with them, and not with a heartbeat that says nothing new.
+// The stamp of the sessions held here changes with them, and not with a heartbeat that only renews one.
 func TestTheStampOfSessions(t *testing.T) {
 	s := New(3 * time.Second)
-	s.Heartbeat(Process{Address: "a", Incarnation: 1}, 0)
+	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
 	_, first := s.Own()
-	s.Heartbeat(Process{Address: "a", Incarnation: 1}, time.Second)
+	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, time.Second)
 	_, again := s.Own()
 	require.Equal(t, first, again)
-	s.Heartbeat(Process{Address: "a", Incarnation: 2}, time.Second)
+	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 2}, time.Second)
 	_, restarted := s.Own()
 	require.Greater(t, restarted, first)
 	s.Expire(time.Minute)
@@ -32,16 +32,16 @@
 	require.Greater(t, ended, restarted)
 }
 
-// The fleet is all sessions of all control sidecars; a table of a control sidecar that is gone counts for a while longer, so that
-// its sidecars are not missing before they have found another home.
+// The fleet is all sessions of all core members; those of a core member that has ended count for a while longer, so that its routers
+// are not missing before they have found another core member.
 func TestTheFleetIsKnownThroughPeers(t *testing.T) {
 	s := New(3 * time.Second)
-	s.Heartbeat(Process{Address: "a", Incarnation: 1}, 0)
-	s.Peer("peer", 7, 4, []Process{{Address: "b"}, {Address: "c"}}, 0)
+	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
+	s.UpdatePeer("peer", 7, 4, []Router{{Address: "b"}, {Address: "c"}}, 0)
 	require.Len(t, s.Fleet(), 3)
 	require.Equal(t, uint64(4), s.PeerStamp("peer", 7))
 	require.Zero(t, s.PeerStamp("peer", 8), "another process holds other sessions")
-	s.Peer("peer", 7, 4, nil, 10*time.Second)
+	s.UpdatePeer("peer", 7, 4, nil, 10*time.Second)
 	require.Len(t, s.Fleet(), 3, "nothing changed")
 	s.Expire(21 * time.Second)
 	require.Contains(t, s.Fleet(), "b")
