--- a/internal/sidecar/wiring/mutation_test.go
+++ b/internal/sidecar/wiring/mutation_test.go
@@ -25,7 +25,7 @@
 		"a last answer":            {client, "!canHalfClose || !sock.Unsent(c.Conn)", "!canHalfClose || true", "./internal/sidecar/connlimit", "TestALastAnswerIsTakenWhole"},
 		"a request read ahead":     {client, "c.readAhead.empty() && ", "", "./internal/sidecar/connlimit", "TestARequestReadAheadKeepsItsPlace"},
 		"an answer without length": {limiter, "c.responseOpen.Store(open)", "c.responseOpen.Store(false)", "./internal/sidecar/front/platform", "TestACutAnswerIsNotWhole"},
-		"late in the end":          {front, "in.Wait = end.Within(in.Arrived, in.Wait)", "", "./internal/sidecar/wiring", "TestARequestReadLateInTheEndIsAnswered"},
+		"late in the end":          {front, "in.Wait = end.ClampWait(in.Arrived, in.Wait)", "", "./internal/sidecar/wiring", "TestARequestReadLateInTheEndIsAnswered"},
 		"what has not begun":       {request, "if !at.done && at.call.Claim() {", "if false {", "./internal/sidecar/core", "TestNothingBeginsOnceTheClientHasGone"},
 		"a queue before a hang-up": {request, "ctx.Err() != nil || in.Gone", "in.Gone", "./internal/sidecar/core", "TestAHangUpBehindALongQueue"},
 		"an end seen by the send":  {attempt, "errors.Is(out.Err, upstream.ErrGone) && !r.closed", "false", "./internal/sidecar/core", "TestAnEndThatIsSeenFirstByTheSender"},
