--- a/cmd/petrelhookctl/chain.go
+++ b/cmd/petrelhookctl/chain.go
@@ -1,9 +1,11 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"time"
@@ -13,13 +15,18 @@
 	"petrelhook/internal/rig/chain"
 )
 
+// chainOptions are the flags of the chain command besides those of the study.
+type chainOptions struct {
+	study               *chain.Study
+	bin, output, pass   string
+	onlyAdded, onlyFail bool
+}
+
 func chainCommand() *cobra.Command {
-	s := &chain.Study{
+	o := &chainOptions{study: &chain.Study{
 		Depths: []int{1, 2, 3, 5, 8, 15}, Parts: []float64{0.1, 0.5, 1},
 		Rates: []float64{250, 2500}, Chains: []int{1, 5, 15},
-	}
-	var bin, output, pass string
-	var added, fail bool
+	}}
 	cmd := &cobra.Command{
 		Use:   "chain [--added] [--fail]",
 		Short: "Measure what sidecars add to a call, and what repeats do over a depth of calls",
@@ -29,57 +36,18 @@
 			"  --fail   attempts at the leaf for a call at the top, where a part of the leaf's requests fails\n\n" +
 			"Without either, both.",
 		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if output != "text" && output != "json" {
-				return fmt.Errorf("--output: %q is neither text nor json", output)
-			}
-			if bin == "" {
-				self, err := os.Executable()
-				if err != nil {
-					return runError{err}
-				}
-				bin = filepath.Dir(self)
-			}
-			var err error
-			if s.Program, err = sidecarProgram(filepath.Join(bin, "petrelhook")); err != nil {
-				return runError{err}
-			}
-			s.Pass = chain.Pass(pass)
-			if err := s.Check(); err != nil {
-				return err
-			}
-			if output == "text" {
-				s.Started = func(what string) { fmt.Fprintln(cmd.ErrOrStderr(), what) }
-			}
-			began := time.Now()
-			if added || !fail {
-				err = s.Added(cmd.Context())
-			}
-			if err == nil && (fail || !added) {
-				err = s.Failing(cmd.Context())
-			}
-			report := s.Report(began)
-			if output == "json" {
-				e := json.NewEncoder(cmd.OutOrStdout())
-				e.SetIndent("", "  ")
-				err = errors.Join(err, e.Encode(report))
-			} else {
-				err = errors.Join(err, report.WriteText(cmd.OutOrStdout()))
-			}
-			if err != nil {
-				return runError{err}
-			}
-			if !report.OK() {
-				return errBad
-			}
-			return nil
-		},
+		RunE: func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
 	}
-	f := cmd.Flags()
-	f.StringVar(&bin, "bin", "", "`FOLDER` of petrelhook (default: that of this program)")
-	f.StringVar(&output, "output", "text", "form of the report: text or json")
-	f.BoolVar(&added, "added", false, "only what sidecars add, and --fail where it is given too")
-	f.BoolVar(&fail, "fail", false, "only what repeats do, and --added where it is given too")
+	o.addFlags(cmd)
+	return cmd
+}
+
+func (o *chainOptions) addFlags(cmd *cobra.Command) {
+	f, s := cmd.Flags(), o.study
+	f.StringVar(&o.bin, "bin", "", "`FOLDER` of petrelhook (default: that of this program)")
+	f.StringVar(&o.output, "output", "text", "form of the report: text or json")
+	f.BoolVar(&o.onlyAdded, "added", false, "only what sidecars add, and --fail where it is given too")
+	f.BoolVar(&o.onlyFail, "fail", false, "only what repeats do, and --added where it is given too")
 	f.IntSliceVar(&s.Depths, "depths", s.Depths, "sidecars in a row, where a part fails")
 	f.Float64SliceVar(&s.Parts, "parts", s.Parts, "parts of the leaf's requests that fail")
 	f.Float64SliceVar(&s.Rates, "rates", s.Rates, "calls a second at which one sidecar is measured")
@@ -91,8 +59,72 @@
 	f.DurationVar(&s.Deadline, "deadline", 2*time.Second, "time that a call at the top has; what is left is passed on")
 	f.DurationVar(&s.Work, "work", 0, "time that the leaf takes for each request")
 	f.IntVar(&s.Servers, "servers", 3, "servers a level")
-	f.StringVar(&pass, "pass", string(chain.PassStatus),
+	f.StringVar(&o.pass, "pass", string(chain.PassStatus),
 		"what an application says of a call not served: status (the same), marked (a refusal as never run), error (500)")
 	f.Uint64Var(&s.Seed, "seed", 1, "of all that is drawn")
-	return cmd
+}
+
+// run checks the flags, runs the studies and writes the report.
+func (o *chainOptions) run(cmd *cobra.Command) error {
+	if err := o.prepare(cmd); err != nil {
+		return err
+	}
+	began := time.Now()
+	err := o.measure(cmd.Context())
+	report := o.study.Report(began)
+	if err = errors.Join(err, o.write(cmd.OutOrStdout(), report)); err != nil {
+		return runError{err}
+	}
+	if !report.OK() {
+		return errBad
+	}
+	return nil
+}
+
+// prepare checks the flags and finds the sidecar's program.
+func (o *chainOptions) prepare(cmd *cobra.Command) error {
+	if o.output != "text" && o.output != "json" {
+		return fmt.Errorf("--output: %q is neither text nor json", o.output)
+	}
+	if o.bin == "" {
+		self, err := os.Executable()
+		if err != nil {
+			return runError{err}
+		}
+		o.bin = filepath.Dir(self)
+	}
+	var err error
+	if o.study.Program, err = sidecarProgram(filepath.Join(o.bin, "petrelhook")); err != nil {
+		return runError{err}
+	}
+	o.study.Pass = chain.Pass(o.pass)
+	if err := o.study.Check(); err != nil {
+		return err
+	}
+	if o.output == "text" {
+		o.study.Started = func(what string) { fmt.Fprintln(cmd.ErrOrStderr(), what) }
+	}
+	return nil
+}
+
+// measure runs the studies that the flags name; without either flag, both.
+func (o *chainOptions) measure(ctx context.Context) error {
+	if o.onlyAdded || !o.onlyFail {
+		if err := o.study.Added(ctx); err != nil {
+			return err
+		}
+	}
+	if o.onlyFail || !o.onlyAdded {
+		return o.study.Failing(ctx)
+	}
+	return nil
+}
+
+func (o *chainOptions) write(out io.Writer, report *chain.Report) error {
+	if o.output != "json" {
+		return report.WriteText(out)
+	}
+	e := json.NewEncoder(out)
+	e.SetIndent("", "  ")
+	return e.Encode(report)
 }
--- a/cmd/petrelhookctl/fleet.go
+++ b/cmd/petrelhookctl/fleet.go
@@ -137,7 +137,7 @@
 				err = failed
 			}
 			if err != nil {
-				os.Remove(args[0])
+				_ = os.Remove(args[0]) // a partial back-up must not be taken for one; the first error says more
 				return runError{err}
 			}
 			return nil
--- a/cmd/petrelhookctl/lease.go
+++ b/cmd/petrelhookctl/lease.go
@@ -163,15 +163,15 @@
 
 // The exit codes of lease run beside the command's own.
 const (
-	exitNoLease = 69 // it was not had
-	exitLost    = 75 // it was lost, and the command ended when it was told to
-	exitKilled  = 76 // it was lost, and the command had to be killed
+	exitNoLease = 69 // the lease was not acquired
+	exitLost    = 75 // the lease was lost, and the command ended on SIGTERM
+	exitKilled  = 76 // the lease was lost, and the command had to be killed
 )
 
-// exitCode is a code that a subcommand ends with.
-type exitCode int
+// exitCodeError is the exit code that a subcommand ends with.
+type exitCodeError int
 
-func (e exitCode) Error() string { return fmt.Sprint("exit ", int(e)) }
+func (e exitCodeError) Error() string { return fmt.Sprint("exit ", int(e)) }
 
 func (a *asking) runCommand() *cobra.Command {
 	var ttl, grace time.Duration
@@ -194,7 +194,7 @@
 			if err != nil {
 				return err
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }() // the session ends by itself where it cannot be closed
 			hold := c.Hold
 			if try {
 				hold = c.Try
@@ -202,7 +202,7 @@
 			held, err := hold(cmd.Context(), args[0])
 			if err != nil {
 				fmt.Fprintln(cmd.ErrOrStderr(), "petrelhookctl:", err)
-				return exitCode(exitNoLease)
+				return exitCodeError(exitNoLease)
 			}
 			return under(cmd, held, args[1:], grace)
 		},
@@ -214,7 +214,8 @@
 	return cmd
 }
 
-// under runs a command under a lease.
+// under runs a command while a lease is held. It signals the command's process group when the lease is about to be lost, and kills it
+// before the lease can be granted to another.
 func under(cmd *cobra.Command, held *lease.Held, args []string, grace time.Duration) error {
 	child := exec.Command(args[0], args[1:]...)
 	child.Stdin, child.Stdout, child.Stderr = cmd.InOrStdin(), cmd.OutOrStdout(), cmd.ErrOrStderr()
@@ -225,49 +226,49 @@
 	if err := child.Start(); err != nil {
 		return runError{errors.Join(err, held.Release(context.Background()))}
 	}
-	all := func(s syscall.Signal) { syscall.Kill(-child.Process.Pid, s) }
+	signalGroup := func(s syscall.Signal) { syscall.Kill(-child.Process.Pid, s) }
 	ended := make(chan error, 1)
 	go func() { ended <- child.Wait() }()
-	look := time.NewTicker(min(grace/10, 50*time.Millisecond))
-	defer look.Stop()
-	told, code, interrupted, over := false, 0, cmd.Context().Done(), held.Context().Done()
+	poll := time.NewTicker(min(grace/10, 50*time.Millisecond))
+	defer poll.Stop()
+	terminated, code, interrupted, lost := false, 0, cmd.Context().Done(), held.Context().Done()
 	for {
 		select {
 		case err := <-ended:
-			all(syscall.SIGKILL) // what it left behind
+			signalGroup(syscall.SIGKILL) // what it left behind
 			release, cancel := context.WithTimeout(context.Background(), grace)
 			defer cancel()
-			held.Release(release)
+			_ = held.Release(release) // a lease that cannot be released ends after its TTL
 			var exit *exec.ExitError
 			switch {
 			case code != 0:
 				fmt.Fprintf(cmd.ErrOrStderr(), "petrelhookctl: %s: the lease is lost\n", held.Name)
-				return exitCode(code)
+				return exitCodeError(code)
 			case errors.As(err, &exit) && exit.ExitCode() >= 0:
-				return exitCode(exit.ExitCode())
+				return exitCodeError(exit.ExitCode())
 			case errors.As(err, &exit):
-				return exitCode(128 + int(exit.Sys().(syscall.WaitStatus).Signal()))
+				return exitCodeError(128 + int(exit.Sys().(syscall.WaitStatus).Signal()))
 			case err != nil:
 				return runError{err}
 			}
 			return nil
 		case <-interrupted:
 			interrupted = nil
-			all(syscall.SIGTERM)
-		case <-over: // broken, or lost
-			over = nil
-			if !told && held.Left() > grace/5 {
-				all(syscall.SIGTERM)
-				told, code = true, exitLost
+			signalGroup(syscall.SIGTERM)
+		case <-lost: // broken, or lost
+			lost = nil
+			if !terminated && held.Left() > grace/5 {
+				signalGroup(syscall.SIGTERM)
+				terminated, code = true, exitLost
 			}
-		case <-look.C:
+		case <-poll.C:
 			switch left := held.Left(); {
 			case left <= grace/5:
-				all(syscall.SIGKILL)
+				signalGroup(syscall.SIGKILL)
 				code = exitKilled
-			case left <= grace && !told:
-				all(syscall.SIGTERM)
-				told, code = true, exitLost
+			case left <= grace && !terminated:
+				signalGroup(syscall.SIGTERM)
+				terminated, code = true, exitLost
 			}
 		}
 	}
--- a/cmd/petrelhookctl/main.go
+++ b/cmd/petrelhookctl/main.go
@@ -45,7 +45,7 @@
 	root.SetErr(stderr)
 	err := root.ExecuteContext(ctx)
 	var ran runError
-	var exit exitCode
+	var exit exitCodeError
 	switch {
 	case err == nil:
 		return 0
--- a/cmd/petrelhookctl/options.go
+++ b/cmd/petrelhookctl/options.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -90,7 +91,7 @@
 	return free, nil
 }
 
-// recorder opens the file of --record, if it was given; end closes it.
+// recorder opens the file of --record, if it was given. The caller calls end when the last request was recorded.
 func (o *options) recorder() (w *arrival.TraceWriter, end func() error, err error) {
 	if o.record == "" {
 		return nil, func() error { return nil }, nil
@@ -102,8 +103,7 @@
 	w = arrival.NewTraceWriter(f)
 	return w, func() error {
 		if err := w.Flush(); err != nil {
-			f.Close()
-			return err
+			return errors.Join(err, f.Close())
 		}
 		return f.Close()
 	}, nil
@@ -117,8 +117,7 @@
 			return runError{err}
 		}
 		if err := r.WritePage(f); err != nil {
-			f.Close()
-			return runError{err}
+			return runError{errors.Join(err, f.Close())}
 		}
 		if err := f.Close(); err != nil {
 			return runError{err}
--- a/cmd/petrelhookctl/rollout_run.go
+++ b/cmd/petrelhookctl/rollout_run.go
@@ -213,12 +213,12 @@
 	if err != nil {
 		return r, err
 	}
-	defer p.Close()
+	defer func() { _ = p.Close() }() // it was only read
 	s, err := os.Open(settings)
 	if err != nil {
 		return r, err
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	store, err := release.NewStore(dir)
 	if err != nil {
 		return r, err
--- a/cmd/petrelhookctl/rollout_show.go
+++ b/cmd/petrelhookctl/rollout_show.go
@@ -114,7 +114,7 @@
 		for _, l := range report.Explain(c) {
 			fmt.Fprintf(w, "%s\t%s\n", l.Rule, l.Text)
 		}
-		w.Flush()
+		_ = w.Flush() // to memory
 		fmt.Fprintf(out, "\033[H\033[2J%s", text.Bytes())
 	case line != *last:
 		fmt.Fprintln(out, line)
--- a/cmd/petrelhookctl/scale.go
+++ b/cmd/petrelhookctl/scale.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
 
 	"petrelhook/internal/rig/scale"
 	"petrelhook/internal/rig/usage"
@@ -58,7 +59,15 @@
 			return measure(cmd, o, output, file)
 		},
 	}
-	f := cmd.Flags()
+	addScaleFlags(cmd.Flags(), &o)
+	cmd.Flags().StringVar(&memory, "memory", "", "memory of all processes together, such as 6G (default: a quarter of the machine's)")
+	cmd.Flags().StringVar(&output, "output", "text", "form of what is measured: text or json")
+	cmd.Flags().StringVar(&file, "json", "", "also write what is measured to `FILE`")
+	cmd.AddCommand(scaleMembersCommand(), scaleMinderCommand())
+	return cmd
+}
+
+func addScaleFlags(f *pflag.FlagSet, o *scale.Options) {
 	f.StringVar(&o.Bin, "bin", "", "`FOLDER` of the programs (default: that of this program)")
 	f.StringSliceVar(&o.Workloads, "workloads", scale.Workloads, "what members do")
 	f.IntSliceVar(&o.Sizes, "sizes", []int{250, 500, 1000, 2000, 4000}, "members; a fit is made of these")
@@ -67,25 +76,29 @@
 	f.IntVar(&o.Real, "real", 0, "machines with a real agent and sidecar beside hollow members")
 	f.DurationVar(&o.Steady, "steady", 4*time.Second, "for how long a fleet is measured once all have joined")
 	f.Uint64Var(&o.Seed, "seed", 1, "the same draws the same members")
-	f.StringVar(&memory, "memory", "", "memory of all processes together, such as 6G (default: a quarter of the machine's)")
 	f.DurationVar(&o.Within, "within", 40*time.Minute, "for how long it may run; the default sizes and runs take about 30m")
-	f.StringVar(&output, "output", "text", "form of what is measured: text or json")
-	f.StringVar(&file, "json", "", "also write what is measured to `FILE`")
-	cmd.AddCommand(&cobra.Command{Use: "members", Hidden: true, Args: cobra.NoArgs,
+}
+
+// scaleMembersCommand is the program of the hollow members' processes, which scale starts.
+func scaleMembersCommand() *cobra.Command {
+	return &cobra.Command{Use: "members", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := scale.Members(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout()); err != nil {
 				return runError{err}
 			}
 			return nil
-		}})
-	cmd.AddCommand(&cobra.Command{Use: "minder FOLDER", Hidden: true, Args: cobra.ExactArgs(1),
+		}}
+}
+
+// scaleMinderCommand is the program that ends what scale started when scale itself was killed.
+func scaleMinderCommand() *cobra.Command {
+	return &cobra.Command{Use: "minder FOLDER", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := scale.Mind(cmd.Context(), args[0], cmd.InOrStdin()); err != nil {
 				return runError{err}
 			}
 			return nil
-		}})
-	return cmd
+		}}
 }
 
 // measure makes the runs and shows them; what was measured before an error is shown too.
