--- a/internal/router/replication/abandoned_test.go
+++ b/internal/router/replication/abandoned_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// join adds machines, each in a zone of its own, and starts them.
-func (s *simulation) join(addresses ...string) (joined []*host) {
+// startInOwnZones adds machines, each in a zone of its own, and starts them.
+func (s *simulation) startInOwnZones(addresses ...string) (joined []*host) {
 	for _, address := range addresses {
 		h := &host{address: address, zone: "zone-" + address, syncTime: 2 * time.Millisecond}
 		s.hosts[address] = h
@@ -20,8 +20,8 @@
 	return joined
 }
 
-// sender is who a message of an election is from, or "".
-func sender(m Message) string {
+// candidateID is who a message of an election is from, or "".
+func candidateID(m Message) string {
 	switch m := m.(type) {
 	case Prepare:
 		return m.From.ID
@@ -31,7 +31,7 @@
 	return ""
 }
 
-// writeAndRead has every process that says it is primary take a value and answer a read.
+// writeAndRead proposes a value to every process that says it is primary, and reads there.
 func (s *simulation) writeAndRead(round int) {
 	for client, address := range s.addresses() {
 		h := s.hosts[address]
@@ -45,16 +45,17 @@
 // abandonedChange is a core of three whose primary has proposed a view of five, which is on its own disk alone.
 type abandonedChange struct {
 	*simulation
-	oldPrimary  *process
-	followers   []*host
-	joiningSide []*host // the primary's and those that join
-	view        Epoch
+	oldPrimary     *process
+	followers      []*host
+	joiningSide    []*host // the primary's host and those that join
+	abandonedEpoch Epoch
 }
 
-func abandonAChange(t *testing.T) *abandonedChange {
+func newAbandonedChange(t *testing.T) *abandonedChange {
+	t.Helper()
 	s, old := coreWithValue(t)
 	a := &abandonedChange{simulation: s, oldPrimary: old, followers: s.followers(old)}
-	joining := s.join("10.1.0.1:7000", "10.1.1.1:7000")
+	joining := s.startInOwnZones("10.1.0.1:7000", "10.1.1.1:7000")
 	a.joiningSide = append([]*host{old.host}, joining...)
 	s.mutate = func(_ *process, m Message) Message {
 		if _, accept := m.(Accept); accept || a.isFromFollower(m) {
@@ -67,28 +68,28 @@
 		s.run(s.now + time.Millisecond)
 	}
 	require.Len(t, old.host.disk.Hard.Accepted.Members, 5)
-	a.view = old.host.disk.Hard.Accepted.Epoch
+	a.abandonedEpoch = old.host.disk.Hard.Accepted.Epoch
 	return a
 }
 
-// isFromFollower: a message by which a member before would become a candidate.
+// isFromFollower: reports whether by this message one of the two followers would become candidate.
 func (a *abandonedChange) isFromFollower(m Message) bool {
-	from := sender(m)
+	from := candidateID(m)
 	return from != "" && (from == a.followers[0].process.replica.Self.ID || from == a.followers[1].process.replica.Self.ID)
 }
 
-// isLateAccept: an Accept of the view that was given up.
+// isLateAccept: reports whether a message is the Accept of the abandoned view.
 func (a *abandonedChange) isLateAccept(m Message) bool {
 	accept, ok := m.(Accept)
-	return ok && accept.View.Epoch == a.view
+	return ok && accept.View.Epoch == a.abandonedEpoch
 }
 
 func (a *abandonedChange) isFollower(h *host) bool { return h == a.followers[0] || h == a.followers[1] }
 
-// The primary proposes again; a majority of the five takes the second view, and the two of the three members before that do not are cut
-// off. They know the view of three alone.
+// The primary proposes again; a majority of the five accepts the second view, and the two of the three members before that do not are
+// partitioned from it. They know the view of three alone.
 func TestAnAbandonedChangeOfMembers(t *testing.T) {
-	s := abandonAChange(t)
+	s := newAbandonedChange(t)
 	separated := false
 	s.mutate = func(to *process, m Message) Message {
 		_, accept := m.(Accept)
@@ -96,7 +97,7 @@
 		switch {
 		case s.isLateAccept(m) || !separated && s.isFromFollower(m):
 			return nil
-		case to.host == s.followers[1] && sender(m) == s.oldPrimary.replica.Self.ID:
+		case to.host == s.followers[1] && candidateID(m) == s.oldPrimary.replica.Self.ID:
 			return nil
 		case !separated && to.host == s.followers[0] && (accept || sync):
 			separated = true
@@ -123,10 +124,10 @@
 	require.NotEqual(t, porcupine.Illegal, check(s.history))
 }
 
-// The two other members before elect a primary and take a value; then the first one finishes its change, and gets no promise of theirs
+// The two other members before elect a primary and commit a value; then the first one finishes its change, and gets no promise of theirs
 // though they would accept its view.
 func TestAnAbandonedChangeHidesNoLaterView(t *testing.T) {
-	s := abandonAChange(t)
+	s := newAbandonedChange(t)
 	s.partition(s.followers, s.joiningSide)
 	s.mutate = func(_ *process, m Message) Message {
 		if s.isLateAccept(m) {
@@ -172,7 +173,8 @@
 	require.NotEqual(t, porcupine.Illegal, check(s.history))
 }
 
-// A process that starts with a view on its disk that may never have been in force tells nobody that it is, and asks to lead by it all the same.
+// A process that starts with a view on its disk that may never have been in force does not report it as known, and requests pre-votes by it
+// all the same.
 func TestAnAbandonedViewIsNotTold(t *testing.T) {
 	joint := viewOf(5, "a", "b")
 	joint.Old = joint.Members[:3]
--- a/internal/router/replication/explore_heal_test.go
+++ b/internal/router/replication/explore_heal_test.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	recovery             = 12 * time.Second // RecoveryS: by then an order is taken, whatever state the core was left in
+	recovery             = 12 * time.Second // RecoveryS: by then an entry is committed, whatever state the core was left in
 	healTick             = 50 * time.Millisecond
 	healDelay            = time.Millisecond
-	healProposalInterval = 300 * time.Millisecond // between two orders
+	healProposalInterval = 300 * time.Millisecond // between two proposals
 	probeToken           = 1 << 32
 )
 
@@ -30,7 +30,8 @@
 	committed bool
 }
 
-// heal plays a world on and reports whether somebody takes an order within the time for recovery, on top of all that was acknowledged.
+// heal continues a world without faults. It returns "" if a primary commits an entry within the recovery time, on top of all that was
+// acknowledged.
 func heal(w *world) (fault string) {
 	h := &healing{world: w.clone(), now: exploredNow}
 	for address := range h.nodes {
@@ -49,7 +50,7 @@
 		h.deliverUntil(h.now + healTick)
 	}
 	if !h.committed {
-		return "nobody takes an order: " + h.status()
+		return "no entry is committed: " + h.status()
 	}
 	return h.violation()
 }
@@ -64,8 +65,8 @@
 func (h *healing) executeEffects(address string) {
 	r := h.nodes[address].replica
 	for effects := r.Effects(); len(effects) > 0; effects = r.Effects() {
-		for _, one := range effects {
-			switch e := one.(type) {
+		for _, effect := range effects {
+			switch e := effect.(type) {
 			case Save:
 				r.Saved(e.Number, h.now)
 			case Send:
@@ -93,10 +94,10 @@
 	h.now = until
 }
 
-// healSampling has every so many states of an exploration healed.
+// healSampling: one of so many states of an exploration is healed.
 const healSampling = 40
 
-// From what an exploration reaches, somebody leads and takes an order soon after all works again.
+// From every state that an exploration reaches, a primary commits an entry soon after all works again.
 func TestEveryReachedStateHeals(t *testing.T) {
 	all := explorations()
 	for _, name := range sortedKeys(all) {
@@ -112,10 +113,10 @@
 	}
 }
 
-// A world that cannot heal is seen: two of three disks are lost.
+// A world that cannot heal is noticed: two of three disks are lost.
 func TestAWorldWithoutAMajorityDoesNotHeal(t *testing.T) {
 	w := newWorld(budget{wipes: 2}, joiningZones)
-	w.play("a loses")
-	w.play("b loses")
-	require.Contains(t, heal(w), "nobody takes an order")
+	w.playStep("a loses")
+	w.playStep("b loses")
+	require.Contains(t, heal(w), "no entry is committed")
 }
--- a/internal/router/replication/explore_test.go
+++ b/internal/router/replication/explore_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// statesVariable sets how many states an exploration visits at the most; without it, a share that takes some seconds.
+// statesVariable sets how many states an exploration visits at most; without it, a sample that needs some seconds.
 const statesVariable = "PETRELHOOK_STATES"
 
 // decides reports whether a majority of a primary's members would still confirm it.
@@ -28,10 +28,10 @@
 	return r.role == primary && majority(r.leadership.view.Members, votes)
 }
 
-// violation says which invariant a world breaks, or "".
+// violation names the invariant that a world violates, or is "".
 func (w *world) violation() string {
 	if w.conflict != "" {
-		return "one number, two entries: " + w.conflict
+		return "one sequence number, two entries: " + w.conflict
 	}
 	deciding := ""
 	for _, address := range sortedKeys(w.nodes) {
@@ -54,7 +54,7 @@
 	return ""
 }
 
-// key names a world's state: two with one key go on alike.
+// key is a hash of a world's state: two worlds with one key behave alike from there.
 func (w *world) key() [sha256.Size]byte {
 	k := make(keyText, 0, 4<<10)
 	k.number(w.remaining.candidacies, w.remaining.writes, w.remaining.wipes, w.remaining.restarts, w.remaining.lateAccepts)
@@ -81,7 +81,7 @@
 	return sha256.Sum256(k)
 }
 
-// keyText is a state in writing: values in a fixed order, each with its end.
+// keyText is an encoded state: values in a fixed order, each delimited.
 type keyText []byte
 
 func (k *keyText) number(values ...int) {
@@ -209,7 +209,7 @@
 	}
 }
 
-// exploration visits worlds until none is new, or enough were.
+// exploration visits worlds until none is new, or until it has visited enough.
 type exploration struct {
 	mutex     sync.Mutex
 	wake      *sync.Cond
@@ -221,7 +221,7 @@
 	complete  bool
 	violation string
 	trace     []string
-	visit     func(w *world) string // beyond broken; "" is fine
+	visit     func(w *world) string // a check beyond violation; "" is fine
 }
 
 func explore(start *world, maxStates int, visit func(w *world) string) *exploration {
@@ -274,7 +274,7 @@
 	}
 }
 
-// record takes in a world, and reports whether it is new and may go on.
+// record adds a world to those seen, and reports whether it is new and violates nothing.
 func (x *exploration) record(w *world) bool {
 	key := w.key()
 	x.mutex.Lock()
@@ -301,6 +301,7 @@
 }
 
 func maxStates(t *testing.T, usual int) int {
+	t.Helper()
 	if text := os.Getenv(statesVariable); text != "" {
 		n, err := strconv.Atoi(text)
 		require.NoError(t, err)
@@ -309,7 +310,7 @@
 	return usual
 }
 
-// Two more zones: d and e are added. c's zone has a second machine: d takes c's place, which a has not heard for long.
+// Two more zones: d and e are added. c's zone has a second machine: d replaces c, with which a has had no contact for long.
 var (
 	joiningZones     = map[string]string{"a": "1", "b": "2", "c": "3", "d": "4", "e": "5"}
 	replacementZones = map[string]string{"a": "1", "b": "2", "c": "3", "d": "3"}
@@ -325,11 +326,11 @@
 	return w
 }
 
-// abandonedWorld is a replacement whose first view was proposed by a, which gave it up with that view on its own disk alone.
+// abandonedWorld is a replacement whose first view was proposed by a, which stepped down with that view on its own disk alone.
 func abandonedWorld(left budget) *world {
 	w := replacementWorld(budget{candidacies: 1})
 	for _, name := range []string{"a campaigns", "a>b Prepare", "a>d Prepare", "a waits no longer", "a>b Sync", "a>d Sync"} {
-		w.play(name)
+		w.playStep(name)
 	}
 	if accepted := w.nodes["a"].replica.hard.Accepted; !accepted.joint() {
 		panic("a proposed nothing: " + w.nodes["a"].replica.Status())
@@ -340,39 +341,39 @@
 	return w
 }
 
-// overtakenWorld goes on from an abandoned view: b has taken over with c, which know nothing of it, and an order was acknowledged. a has heard
-// of a later epoch.
+// overtakenWorld continues from an abandoned view: b, which does not know of it, has become primary with c, and an entry was acknowledged.
+// a knows of a later epoch.
 func overtakenWorld(left budget) *world {
 	w := abandonedWorld(budget{candidacies: 1, writes: 1})
-	for _, name := range []string{"b campaigns", "b>c Prepare", "b waits no longer", "b>c Sync", "b>c Accept", "b takes an order", "b>c Replicate"} {
-		w.play(name)
+	for _, name := range []string{"b campaigns", "b>c Prepare", "b waits no longer", "b>c Sync", "b>c Accept", "b commits an entry", "b>c Replicate"} {
+		w.playStep(name)
 	}
 	if len(w.committed) != 1 {
-		panic("no order was acknowledged: " + w.nodes["b"].replica.Status())
+		panic("no entry was acknowledged: " + w.nodes["b"].replica.Status())
 	}
 	w.node("a").replica.hard.Promised.Round = w.nodes["b"].replica.hard.Promised.Round
 	w.remaining, w.trace = left, nil
 	return w
 }
 
-// jointWorld goes on from a replacement that is in force, which b has accepted and does not know to be; a and d have gone on to another view
-// without b, and an order was acknowledged there.
+// jointWorld continues from a replacement that is in force, which b has accepted and does not know to be; a and d have moved to another view
+// without b, and an entry was acknowledged there.
 func jointWorld(left budget) *world {
 	w := replacementWorld(budget{candidacies: 2, writes: 1})
 	for _, name := range []string{"a campaigns", "a>b Prepare", "a>d Prepare", "a waits no longer", "a>b Sync", "a>d Sync", "a>b Accept",
-		"a campaigns", "a>d Prepare", "a waits no longer", "a>d Sync", "a>d Accept", "a takes an order", "a>d Replicate"} {
-		w.play(name)
+		"a campaigns", "a>d Prepare", "a waits no longer", "a>d Sync", "a>d Accept", "a commits an entry", "a>d Replicate"} {
+		w.playStep(name)
 	}
 	if b := w.nodes["b"].replica.hard.Accepted; len(w.committed) != 1 || !b.joint() || b.Epoch == w.nodes["a"].replica.hard.Accepted.Epoch {
-		panic("no order was acknowledged after a joint view: " + w.nodes["a"].replica.Status())
+		panic("no entry was acknowledged after a joint view: " + w.nodes["a"].replica.Status())
 	}
 	clear(w.inFlight)
 	w.remaining, w.trace = left, nil
 	return w
 }
 
-// play does the first step whose name begins so.
-func (w *world) play(name string) {
+// playStep does the first step whose name has a prefix.
+func (w *world) playStep(name string) {
 	for _, s := range w.steps() {
 		if strings.HasPrefix(strings.ReplaceAll(s.name, "replication.", ""), name) {
 			s.do(w)
@@ -400,7 +401,7 @@
 	}
 }
 
-// completeInCI are explored to their ends in each run without the race detector: what follows a change of members that was given up.
+// completeInCI are explored completely in each run without the race detector: what follows an abandoned change of members.
 var completeInCI = []string{"overtaken, one candidacy", "abandoned, two candidacies"}
 
 func TestExplorationOfAbandonedViews(t *testing.T) {
@@ -411,14 +412,15 @@
 }
 
 func exploreAll(t *testing.T, name string, start *world, maxStates int) {
+	t.Helper()
 	began := time.Now()
 	x := explore(start, maxStates, nil)
-	t.Logf("%s: %d states, %d steps deep, whole %t, %v", name, len(x.seen), x.deepest, x.complete, time.Since(began).Round(time.Millisecond))
+	t.Logf("%s: %d states, %d steps deep, complete %t, %v", name, len(x.seen), x.deepest, x.complete, time.Since(began).Round(time.Millisecond))
 	require.Empty(t, x.violation, strings.Join(x.trace, "\n"))
 	require.True(t, x.complete || len(x.seen) >= maxStates)
 }
 
-// A share of everything, or as much as the variable says.
+// A sample of all worlds, or as many states as the variable says.
 func TestExploration(t *testing.T) {
 	all := explorations()
 	for _, name := range sortedKeys(all) {
--- a/internal/router/replication/explore_world_test.go
+++ b/internal/router/replication/explore_world_test.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// A world is a core as the exploration sees it: the real replicas, the requests that are on their way, and what was acknowledged. Disks sync at
-// once (schedules with slow ones are the simulation's); messages are lost, late or doubled in any order; time passes where a step says so.
+// A world is a core as the exploration sees it: the real replicas, the requests in flight, and what was acknowledged. Disks sync at once
+// (the simulation has slow ones); messages are lost, delayed or duplicated in any order; time passes where a step says so.
 
 // exploredLog is a state machine that keeps all its entries.
 type exploredLog struct{ entries []string }
@@ -28,31 +28,31 @@
 	replica *Replica
 	log     *exploredLog
 	wiped   bool
-	key     []byte // its state in writing, once it was asked for
+	key     []byte // its encoded state, once it was needed
 }
 
-// requestRoute is the newest question of one replica to another that is on its way.
+// requestRoute is from whom to whom a request is in flight; only the newest one is kept.
 type requestRoute struct{ from, to string }
 
-// lateAccept is an Accept that was overtaken, and may still arrive.
+// lateAccept is an Accept that a newer request overtook, and that may still arrive.
 type lateAccept struct {
 	requestRoute
 	message Accept
 }
 
-// budget is what may still happen in a world.
+// budget is how many events of each kind may still happen in a world.
 type budget struct {
 	candidacies, writes, wipes, restarts, lateAccepts int
 }
 
 type world struct {
-	nodes       map[string]*exploredNode // by address; those that are not owned are other worlds' too, and not changed
+	nodes       map[string]*exploredNode // by address; those that are not owned are shared with other worlds, and not changed
 	owned       map[string]bool
-	inFlight    map[requestRoute]Message // on their way
+	inFlight    map[requestRoute]Message
 	lateAccepts []lateAccept
 	committed   []string // what was acknowledged, by sequence
 	remaining   budget
-	conflict    string // an acknowledged number that names two entries
+	conflict    string // an acknowledged sequence number that names two entries
 	trace       []string
 }
 
@@ -64,7 +64,7 @@
 	return next
 }
 
-// node gives a machine to be changed.
+// node returns a machine that may be changed: a copy, if other worlds share it.
 func (w *world) node(address string) *exploredNode {
 	n := w.nodes[address]
 	if !w.owned[address] {
@@ -75,7 +75,7 @@
 	return n
 }
 
-// cloneReplica copies a replica that waits for no disk: such a one holds no functions.
+// cloneReplica copies a replica without pending saves: it has no callbacks.
 func cloneReplica(r *Replica, m StateMachine) *Replica {
 	if len(r.disk.pendingSaves) > 0 || len(r.effects) > 0 {
 		panic("a replica that waits for its disk cannot be copied")
@@ -91,7 +91,7 @@
 	l := &c.leadership
 	l.proposals, l.confirmations = slices.Clip(l.proposals), slices.Clip(l.confirmations)
 	l.staged.acks, l.statuses = maps.Clone(l.staged.acks), maps.Clone(l.statuses)
-	l.learners = map[string]*learnerProgress{} // lessons are not explored
+	l.learners = map[string]*learnerProgress{} // catching up is not explored
 	return &c
 }
 
@@ -121,21 +121,21 @@
 	return w
 }
 
-func (w *world) start(address string, kept *PersistedState, zone string) {
+func (w *world) start(address string, persisted *PersistedState, zone string) {
 	log := &exploredLog{}
-	r, err := New(Options{Self: Member{ID: kept.ID, Address: address, Zone: zone}, FaultTolerance: 1}, kept, log, exploredNow)
+	r, err := New(Options{Self: Member{ID: persisted.ID, Address: address, Zone: zone}, FaultTolerance: 1}, persisted, log, exploredNow)
 	if err != nil {
 		panic(err)
 	}
-	w.nodes[address], w.owned[address] = &exploredNode{replica: r, log: log, wiped: kept.ID != address}, true
+	w.nodes[address], w.owned[address] = &exploredNode{replica: r, log: log, wiped: persisted.ID != address}, true
 }
 
-// settle carries out what a replica wants, with a disk that syncs at once. Its answers to the asker are returned.
-func (w *world) settle(address, asker string) (answers []Message) {
+// settle executes a replica's effects, with a disk that syncs at once. It returns the answers to the requester.
+func (w *world) settle(address, requester string) (answers []Message) {
 	r := w.node(address).replica
 	for effects := r.Effects(); len(effects) > 0; effects = r.Effects() {
-		for _, one := range effects {
-			switch e := one.(type) {
+		for _, effect := range effects {
+			switch e := effect.(type) {
 			case Save:
 				r.Saved(e.Number, exploredNow)
 			case Answer:
@@ -144,7 +144,7 @@
 				}
 			case Send:
 				if isAnswer(e.Message) {
-					if e.To == asker {
+					if e.To == requester {
 						answers = append(answers, e.Message)
 					}
 				} else {
@@ -164,16 +164,16 @@
 	return false
 }
 
-// post puts a request on its way; an Accept that it overtakes may arrive late.
+// post puts a request in flight; an Accept that it overtakes may arrive late.
 func (w *world) post(to requestRoute, m Message) {
 	switch m := m.(type) {
 	case Prepare, Sync, Accept, Replicate:
 	case Heartbeat:
 		if m.View == nil {
-			return // it tells nothing but the time
+			return // it has no content but the time
 		}
 	default:
-		return // catching up and hints are not explored
+		return // catching up and transfers of leadership are not explored
 	}
 	if before, ok := w.inFlight[to].(Accept); ok && w.remaining.lateAccepts > 0 {
 		w.lateAccepts = append(w.lateAccepts, lateAccept{to, before})
@@ -193,7 +193,7 @@
 	}
 }
 
-// deliver brings a request to its receiver, and the answer back where it is not lost.
+// deliver gives a request to its receiver, and the answer to the sender where it is not lost.
 func (w *world) deliver(to requestRoute, m Message, answered bool) {
 	n := w.node(to.to)
 	n.replica.Receive(to.from, m, exploredNow)
@@ -210,16 +210,16 @@
 	}
 }
 
-// step is one thing that may happen next.
+// step is one event that may happen next.
 type step struct {
 	name string
 	do   func(w *world)
 }
 
-// candidates may campaign: the primary, one other member, one that joins. The others are like these but for their names.
+// exploredCandidates may campaign: the primary, one other member, one that joins. The others are like these but for their names.
 var exploredCandidates = []string{"a", "b", "d"}
 
-// steps are all that may happen next.
+// steps returns all events that may happen next.
 func (w *world) steps() (steps []step) {
 	for _, to := range sortedRequests(w.inFlight) {
 		m := w.inFlight[to]
@@ -253,7 +253,7 @@
 func (w *world) stepsOf(address string) (steps []step) {
 	r := w.nodes[address].replica
 	if r.role == candidate && r.election.phase != accepting {
-		steps = append(steps, step{address + " waits no longer", func(w *world) { w.waitNoLonger(address) }})
+		steps = append(steps, step{address + " waits no longer", func(w *world) { w.endWait(address) }})
 	}
 	newest := r.newestKnown()
 	if w.remaining.candidacies > 0 && slices.Contains(exploredCandidates, address) && (r.role == primary || newest.Member(r.Self.ID) != nil) {
@@ -269,7 +269,7 @@
 		}})
 	}
 	if w.remaining.writes > 0 && r.role == primary && r.leadership.staged.proposal == nil {
-		steps = append(steps, step{address + " takes an order", func(w *world) {
+		steps = append(steps, step{address + " commits an entry", func(w *world) {
 			w.remaining.writes--
 			r := w.node(address).replica
 			r.Propose(uint64(1), []byte(fmt.Sprint(address, w.remaining.writes)), exploredNow)
@@ -288,16 +288,16 @@
 		steps = append(steps, step{address + " restarts", func(w *world) {
 			w.remaining.restarts--
 			n := w.nodes[address]
-			kept := &PersistedState{ID: n.replica.Self.ID, Hard: n.replica.hard,
+			persisted := &PersistedState{ID: n.replica.Self.ID, Hard: n.replica.hard,
 				Snapshot: SnapshotRecord{Position: n.replica.state.position, Data: n.log.Snapshot()}}
-			w.start(address, kept, n.replica.Self.Zone)
+			w.start(address, persisted, n.replica.Self.Zone)
 			w.forget(address)
 		}})
 	}
 	return steps
 }
 
-// forget drops what a process that ended had on its way but for Accepts, which may have left.
+// forget drops the requests in flight of a process that ended, but for late Accepts.
 func (w *world) forget(address string) {
 	for to := range w.inFlight {
 		if to.from == address {
@@ -306,8 +306,8 @@
 	}
 }
 
-// waitNoLonger ends a candidate's wait for answers beyond those that it needs.
-func (w *world) waitNoLonger(address string) {
+// endWait ends a candidate's wait for answers beyond those that it needs.
+func (w *world) endWait(address string) {
 	r := w.node(address).replica
 	r.now = exploredNow + maxPhaseWait + 1
 	switch r.election.phase {
--- a/internal/router/replication/guards_test.go
+++ b/internal/router/replication/guards_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// followers are the hosts other than the primary's, in the order of their addresses.
+// followers returns the hosts other than the primary's, in the order of their addresses.
 func (s *simulation) followers(p *process) (out []*host) {
 	for _, address := range s.addresses() {
 		if h := s.hosts[address]; h != p.host {
@@ -19,7 +19,7 @@
 	return out
 }
 
-// leaderAmong is a process on one of some hosts that says it is primary.
+// leaderAmong returns a process on one of some hosts that says it is primary, or nil.
 func leaderAmong(hosts []*host) *process {
 	for _, h := range hosts {
 		if h.process != nil && h.process.replica.IsPrimary() {
@@ -31,6 +31,7 @@
 
 // coreWithValue is a core of three that has acknowledged "a", and its primary.
 func coreWithValue(t *testing.T) (*simulation, *process) {
+	t.Helper()
 	s := newSimulation(t, 1, 3, 1)
 	s.run(4 * time.Second)
 	primary := s.primary()
@@ -39,7 +40,7 @@
 	return s, primary
 }
 
-// partition cuts every link between two groups of hosts.
+// partition blocks every link between two groups of hosts.
 func (s *simulation) partition(these, those []*host) {
 	for _, a := range these {
 		for _, b := range those {
@@ -81,7 +82,7 @@
 	}
 }
 
-// A primary that was frozen while another took over does not answer a read with what it knew.
+// A primary that was frozen while another was elected does not answer a read with its stale state.
 func TestAFrozenPrimaryAnswersNoRead(t *testing.T) {
 	s, old := coreWithValue(t)
 	old.host.frozenUntil = s.now + 3*time.Second
@@ -98,15 +99,15 @@
 		s.run(s.now + 2*time.Millisecond)
 		require.Less(t, i, 19)
 	}
-	old.host.frozenUntil = s.now // it wakes, and the first that it hears is a reader
+	old.host.frozenUntil = s.now // it resumes, and the first request that it gets is a read
 	require.True(t, old.replica.IsPrimary())
 	s.callAt(old, operation{client: 2})
 	s.run(s.now + 2*time.Second)
 	require.Equal(t, porcupine.Ok, check(s.history))
 }
 
-// A primary gives its lead away while the next one's disk has not yet synced the last entry; the next one loses power as soon as it has
-// shown what it leads with.
+// A primary transfers its leadership while the next one's disk has not yet synced the last entry; the next one loses power as soon as it
+// has answered a read.
 func TestACandidateWaitsForItsOwnDisk(t *testing.T) {
 	s, old := coreWithValue(t)
 	slow, fast := s.followers(old)[0], s.followers(old)[1]
@@ -145,7 +146,7 @@
 	require.Equal(t, porcupine.Ok, check(s.history))
 }
 
-// Two machines join while the two followers of a three-member core can promise and hear nothing more: the primary and those that join
+// Two machines join while the two followers of a three-member core can promise and receive nothing more: the primary and those that join
 // are a majority of the members to be, and the followers one of the members that are.
 func TestTheMembersBeforeHaveToAgree(t *testing.T) {
 	s, old := coreWithValue(t)
@@ -166,7 +167,7 @@
 		if separated && (to.host == followers[0]) != (to.host == followers[1]) {
 			switch m.(type) {
 			case Sync, Accept:
-				return nil // what was on its way
+				return nil // what was in flight
 			}
 		}
 		return m
@@ -178,7 +179,7 @@
 	require.True(t, separated)
 	s.mutate = nil
 	for round := range 8 { // on both sides, whoever leads there
-		if round == 4 { // and one that joined is told to take over, without asking first whether others hear a primary
+		if round == 4 { // and one that joined campaigns without pre-votes
 			p := joining[0].process
 			s.runIn(p, func() { p.replica.campaign(true) })
 		}
@@ -193,13 +194,13 @@
 		s.run(s.now + 500*time.Millisecond)
 	}
 	require.NotEqual(t, porcupine.Illegal, check(s.history))
-	taken := 0
+	acceptedWrites := 0
 	for _, o := range s.history[1:] {
 		if o.write && o.status == http.StatusOK {
-			taken++
+			acceptedWrites++
 		}
 	}
-	require.NotZero(t, taken, "a majority of the members goes on")
+	require.NotZero(t, acceptedWrites, "a majority of the members continues")
 	s.heal()
 	s.run(s.now + 12*time.Second)
 	require.Len(t, s.primary().replica.View().InSync, 5)
--- a/internal/router/replication/history_test.go
+++ b/internal/router/replication/history_test.go
@@ -17,10 +17,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// schedulesVariable sets how many random schedules are played; a seeded few are in every run.
+// schedulesVariable sets how many random schedules are played; every run has a few with fixed seeds.
 const schedulesVariable = "PETRELHOOK_SCHEDULES"
 
-func schedules(t *testing.T, usual int) int {
+func scheduleCount(t *testing.T, usual int) int {
+	t.Helper()
 	if text := os.Getenv(schedulesVariable); text != "" {
 		n, err := strconv.Atoi(text)
 		require.NoError(t, err)
@@ -34,7 +35,7 @@
 	value   string
 }
 
-// registerModel is a register that takes a value on top of the version it names.
+// registerModel is a register that accepts a value on top of the version that the write names.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -49,28 +50,27 @@
 		case http.StatusPreconditionFailed:
 			return !matches, s
 		}
-		if matches { // nothing clear was said: it may have been taken
+		if matches { // the answer was unclear: it may have been committed
 			return true, registerState{s.version + 1, o.value}
 		}
 		return true, s
 	},
 }
 
-// check asks porcupine whether what clients saw is what one register could have done. A write without a clear answer
-// may be taken at any time after it was made, or never; both are in the model by two operations' worth of freedom: it ends
-// at infinity, and where it does not fit it changes nothing.
+// check asks porcupine whether what clients observed is linearizable. A write without a clear answer may be committed at any time after
+// it was proposed, or never; the model permits both: it ends at infinity, and where it does not fit it changes nothing.
 func check(history []operation) porcupine.CheckResult {
-	taken := map[int]bool{} // versions on top of which a value was acknowledged
+	acknowledged := map[int]bool{} // versions on top of which a value was acknowledged
 	for _, o := range history {
 		if o.write && o.status == http.StatusOK {
-			taken[o.base] = true
+			acknowledged[o.base] = true
 		}
 	}
 	var list []porcupine.Operation
 	for i, o := range history {
 		if o.status != http.StatusOK && o.status != http.StatusPreconditionFailed {
-			// Versions never go back: a write on top of one that an acknowledged write took was never taken.
-			if !o.write || taken[o.base] {
+			// Versions only rise: a write on top of one that an acknowledged write has replaced was never committed.
+			if !o.write || acknowledged[o.base] {
 				continue
 			}
 			o.end = 1 << 60
@@ -80,7 +80,7 @@
 	return porcupine.CheckOperationsTimeout(registerModel, list, 20*time.Second)
 }
 
-// faultTargets are the machines that a fault strikes: one, or up to as many as may be lost at once.
+// faultTargets draws the machines of a fault: one, or up to as many as may be lost at once.
 func (s *simulation) faultTargets() []*host {
 	hosts := s.addresses()
 	h := s.hosts[hosts[s.random.Intn(len(hosts))]]
@@ -97,86 +97,105 @@
 	return list
 }
 
-// injectFault does one thing to the fleet, and undoes it later.
+// faultKind is a kind of fault that injectFault draws.
+type faultKind int
+
+const (
+	killOne faultKind = iota // or a loss of power: the disk holds what was synced
+	killAll
+	loseDisk
+	freeze
+	fillDisk
+	isolate
+	blockOneLink
+	slowDisk
+	suspend // freeze, and what is sent to it meanwhile is lost
+	loseMessages
+	faultKinds // their number
+)
+
+// injectFault injects a random fault, and ends it later.
 func (s *simulation) injectFault() {
-	struck := s.faultTargets()
+	targets := s.faultTargets()
 	back := time.Duration(200+s.random.Intn(2500)) * time.Millisecond
-	kind := s.random.Intn(10)
-	if kind == 2 && !s.mayWipe(struck[0]) {
+	kind := faultKind(s.random.Intn(int(faultKinds)))
+	if kind == loseDisk && !s.mayWipe() {
 		return
 	}
-	for _, h := range struck {
+	for _, h := range targets {
 		s.applyFault(kind, h, back)
 	}
 }
 
-// applyFault does one thing to a machine, or, where it has to do with others, to all.
-func (s *simulation) applyFault(kind int, h *host, back time.Duration) {
+// applyFault injects a fault of a kind at a machine, or, where it is about links or all machines, at all.
+func (s *simulation) applyFault(kind faultKind, h *host, back time.Duration) {
 	switch kind {
-	case 0: // a kill, or a loss of power: the disk holds what was synced
+	case killOne:
 		s.kill(h)
 		s.after(back, func() { s.boot(h) })
-	case 1: // all at once
-		for _, one := range s.ordered() {
-			s.kill(one)
-			s.after(time.Duration(200+s.random.Intn(800))*time.Millisecond, func() { s.boot(one) })
+	case killAll:
+		for _, target := range s.ordered() {
+			s.kill(target)
+			s.after(time.Duration(200+s.random.Intn(800))*time.Millisecond, func() { s.boot(target) })
 		}
-	case 2: // a lost disk
+	case loseDisk:
 		s.kill(h)
 		s.wipe(h)
 		s.after(back, func() { s.boot(h) })
-	case 3:
+	case freeze:
 		h.frozenUntil = s.now + back
-	case 4:
+	case fillDisk:
 		h.diskFullUntil = s.now + back
-	case 5:
+	case isolate:
 		for _, other := range s.ordered() {
 			if other != h {
 				s.blockLink(h, other, s.random.Intn(2) == 0)
 			}
 		}
 		s.after(back, s.heal)
-	case 6:
+	case blockOneLink:
 		hosts := s.addresses()
 		s.blockLink(h, s.hosts[hosts[s.random.Intn(len(hosts))]], true)
 		s.after(back, s.heal)
-	case 7:
+	case slowDisk:
 		h.syncTime = 40 * time.Millisecond
 		s.after(back, func() { h.syncTime = 2 * time.Millisecond })
-	case 8: // it stands still, and hears nothing of what the others said meanwhile
+	case suspend:
 		h.frozenUntil = s.now + back
 		h.inboundLostUntil = h.frozenUntil
-	case 9:
+	case loseMessages:
 		s.loss = 0.2
 		s.after(back, func() { s.loss = 0 })
 	}
 }
 
-// mayWipe: as many disks may be lost at one time as FaultTolerance says, and each counts as lost until its machine is back in the
-// in-sync set.
-func (s *simulation) mayWipe(h *host) bool {
+// mayWipe reports whether a disk may be lost: as many may be lost at one time as FaultTolerance says, and each counts as lost until its
+// machine is back in the in-sync set.
+func (s *simulation) mayWipe() bool {
 	p := s.primary()
 	if p == nil || len(p.replica.View().InSync) < len(s.hosts) {
 		return false
 	}
-	for _, one := range s.hosts {
-		if one.disk != nil && (one.disk.Hard.Accepted.joint() || one.disk.Hard.Accepted.Epoch != p.replica.View().Epoch) {
+	for _, h := range s.hosts {
+		if h.disk != nil && (h.disk.Hard.Accepted.joint() || h.disk.Hard.Accepted.Epoch != p.replica.View().Epoch) {
 			return false
 		}
-		if one.process == nil || one.disk == nil || s.now < one.diskFullUntil || !isMember(p.replica.View(), one.disk.ID) {
+		if h.process == nil || h.disk == nil || s.now < h.diskFullUntil || !isMember(p.replica.View(), h.disk.ID) {
 			return false
 		}
 	}
 	return true
 }
 
-// playSchedule runs one random schedule of faults and calls, and returns the simulation after everything is whole again.
+// playSchedule runs one random schedule of faults and calls, and returns the simulation after it has recovered.
 func playSchedule(t testing.TB, seed int64, mutate func(*simulation)) *simulation {
+	t.Helper()
 	return playCore(t, seed, 3+int(seed%3), 1, mutate)
 }
 
-// playCore is play with a core of a size, of which some machines may be lost at once.
+// playCore is playSchedule with a core of a size, of which some machines may be lost at once.
 func playCore(t testing.TB, seed int64, machines, tolerance int, mutate func(*simulation)) *simulation {
+	t.Helper()
 	s := newSimulation(t, seed, machines, tolerance)
 	if mutate != nil {
 		mutate(s)
@@ -204,10 +223,9 @@
 	return s
 }
 
-// What clients were told under random faults is what one register could have told them, and the fleet is whole again
-// some seconds after the last fault.
+// What clients observe under random faults is linearizable, and the core has recovered some seconds after the last fault.
 func TestHistories(t *testing.T) {
-	inShards(t, schedules(t, 400), func(seed int64) bool {
+	runSeedsInParallel(t, scheduleCount(t, 400), func(seed int64) bool {
 		s := playSchedule(t, seed, nil)
 		if fault := scheduleViolation(s); fault != "" {
 			t.Errorf("seed %d: %s", seed, fault)
@@ -217,18 +235,18 @@
 	})
 }
 
-// A schedule is the same each time it is played: what fails once can be looked into.
+// A schedule is the same each time it is played: a failure can be reproduced.
 func TestSchedulesRepeat(t *testing.T) {
-	inShards(t, 24, func(seed int64) bool {
+	runSeedsInParallel(t, 24, func(seed int64) bool {
 		first, second := playSchedule(t, seed, nil), playSchedule(t, seed, nil)
 		return assert.Equal(t, first.history, second.history, "seed %d", seed)
 	})
 }
 
-// The same with cores of five, six and seven machines, of which two may be lost at once: killed, wiped, cut off, suspended, or with disks
-// that are full or slow.
+// The same with cores of five, six and seven machines, of which two may be lost at once: killed, wiped, partitioned, suspended, or with
+// disks that are full or slow.
 func TestHistoriesOfLargerCores(t *testing.T) {
-	inShards(t, schedules(t, 60), func(seed int64) bool {
+	runSeedsInParallel(t, scheduleCount(t, 60), func(seed int64) bool {
 		s := playCore(t, seed, 5+int(seed%3), 2, nil)
 		if fault := scheduleViolation(s); fault != "" {
 			t.Errorf("seed %d: %s", seed, fault)
@@ -238,8 +256,8 @@
 	})
 }
 
-// inShards runs seeds side by side until one returns false.
-func inShards(t *testing.T, seeds int, run func(seed int64) bool) {
+// runSeedsInParallel runs seeds side by side until one returns false.
+func runSeedsInParallel(t *testing.T, seeds int, run func(seed int64) bool) {
 	t.Helper()
 	var next atomic.Int64
 	var stop atomic.Bool
@@ -260,15 +278,15 @@
 	group.Wait()
 }
 
-// linearizable says "" where one register could have told what clients saw.
+// linearizable returns "" where one register could have given the answers that clients got.
 func linearizable(history []operation) string {
 	if check(history) == porcupine.Illegal {
-		return "no register could have told this"
+		return "the history is not linearizable"
 	}
 	return ""
 }
 
-// scheduleViolation says what is wrong with a schedule that was played, or "".
+// scheduleViolation says what is wrong with a schedule that was played, or is "".
 func scheduleViolation(s *simulation) string {
 	if s.restoreError != nil {
 		return s.restoreError.Error()
@@ -290,20 +308,20 @@
 	return ""
 }
 
-// guards are taken out one by one; each has to be noticed within so many schedules.
-const noticedWithin = 5_000
+// maxSchedulesUntilNoticed: a guard that is removed has to be noticed within so many schedules.
+const maxSchedulesUntilNoticed = 5_000
 
 func TestGuards(t *testing.T) {
 	for name, without := range map[string]func(*simulation){
 		// A replica answers before its disk has what it answers for.
 		"sync before answer": func(s *simulation) { s.lyingDisks = true },
-		// A read is answered without asking whether this is the primary still.
+		// A read is answered without a confirmation that this is still the primary.
 		"read confirmation": func(s *simulation) { s.readsAtOnce = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var noticed atomic.Int64
 			noticed.Store(-1)
-			inShards(t, noticedWithin, func(seed int64) bool {
+			runSeedsInParallel(t, maxSchedulesUntilNoticed, func(seed int64) bool {
 				s := playSchedule(t, seed, without)
 				if s.restoreError == nil && check(s.history) != porcupine.Illegal {
 					return true
@@ -312,14 +330,14 @@
 				return false
 			})
 			if noticed.Load() < 0 {
-				t.Errorf("taken out, and not noticed in %d schedules", noticedWithin)
+				t.Errorf("removed, and not noticed in %d schedules", maxSchedulesUntilNoticed)
 			}
 			t.Logf("noticed by schedule %d", noticed.Load())
 		})
 	}
 }
 
-// withoutEpochCheck has replicas take what a primary of an older epoch sends, and it takes their answers.
+// withoutEpochCheck has replicas accept what a primary of an older epoch sends, and that primary accept their answers.
 func withoutEpochCheck(s *simulation) {
 	s.mutate = func(to *process, m Message) Message {
 		switch m := m.(type) {
@@ -332,16 +350,17 @@
 			return m
 		case Heartbeat:
 			if m.Epoch.Less(to.replica.hard.Promised) {
-				return nil // nor does it hear that it is none any more
+				return nil // nor does it learn that it is not the primary any more
 			}
 		}
 		return m
 	}
 }
 
-// A primary is suspended, another takes over, and the first that the old one gets when it is back is an order, at some time
-// before its own next tick; the new one is read after that.
-func suspendedPrimaryTakesAnOrder(t *testing.T, early time.Duration, without func(*simulation)) *simulation {
+// A primary is suspended, another is elected, and the first that the old one receives when it resumes is a proposal, at some time
+// before its own next tick; after that the new one is read.
+func suspendedPrimaryGetsProposal(t *testing.T, early time.Duration, without func(*simulation)) *simulation {
+	t.Helper()
 	s, old := coreWithValue(t)
 	without(s)
 	old.host.frozenUntil = s.now + 2*time.Second
@@ -361,18 +380,19 @@
 func TestAnOlderEpochIsRefused(t *testing.T) {
 	noticed := 0
 	for early := time.Millisecond; early < 50*time.Millisecond; early += 3 * time.Millisecond {
-		require.Equal(t, porcupine.Ok, check(suspendedPrimaryTakesAnOrder(t, early, func(*simulation) {}).history))
-		if check(suspendedPrimaryTakesAnOrder(t, early, withoutEpochCheck).history) == porcupine.Illegal {
+		require.Equal(t, porcupine.Ok, check(suspendedPrimaryGetsProposal(t, early, func(*simulation) {}).history))
+		if check(suspendedPrimaryGetsProposal(t, early, withoutEpochCheck).history) == porcupine.Illegal {
 			noticed++
 		}
 	}
-	require.NotZero(t, noticed, "an order of an epoch that was left is acknowledged, and that is not noticed")
+	require.NotZero(t, noticed, "an entry of an epoch that was left is acknowledged, and that is not noticed")
 	t.Logf("noticed %d times", noticed)
 }
 
-// A member is cut off, a value is acknowledged, and then all lose power and one disk of the in-sync set is lost; the
-// member that was cut off and the one without its disk are back first.
+// A member is partitioned, a value is acknowledged, and then all lose power and one disk of the in-sync set is lost; the
+// partitioned member and the one without its disk are back first.
 func lostDiskAndStaleMember(t *testing.T, without func(*simulation)) *simulation {
+	t.Helper()
 	s := newSimulation(t, 1, 3, 1)
 	without(s)
 	s.run(4 * time.Second)
@@ -414,6 +434,7 @@
 
 // A view in which no other disk could be brought to the primary's state, then the primary's disk is lost.
 func oneDiskInSync(t *testing.T, without func(*simulation)) *simulation {
+	t.Helper()
 	s := newSimulation(t, 1, 4, 1)
 	without(s)
 	s.run(4 * time.Second)
@@ -445,15 +466,15 @@
 }
 
 func TestTheInSyncMinimum(t *testing.T) {
-	whole := oneDiskInSync(t, func(*simulation) {})
-	require.Equal(t, porcupine.Ok, check(whole.history))
-	require.NotNil(t, whole.primary())
-	lost := oneDiskInSync(t, func(s *simulation) { s.tolerance = 0 })
-	require.Equal(t, http.StatusOK, lost.history[0].status)
-	require.Nil(t, lost.primary(), "what was acknowledged was on one disk, which is lost, and somebody leads without it")
+	withMinimum := oneDiskInSync(t, func(*simulation) {})
+	require.Equal(t, porcupine.Ok, check(withMinimum.history))
+	require.NotNil(t, withMinimum.primary())
+	withoutMinimum := oneDiskInSync(t, func(s *simulation) { s.tolerance = 0 })
+	require.Equal(t, http.StatusOK, withoutMinimum.history[0].status)
+	require.Nil(t, withoutMinimum.primary(), "what was acknowledged was on one disk, which is lost, and somebody leads without it")
 }
 
-// The check can fail: an acknowledged value that is not there is seen.
+// The check can fail: it notices an acknowledged value that is not there.
 func TestTheCheckCanFail(t *testing.T) {
 	written := operation{write: true, value: "a", begin: 1, end: 2, status: http.StatusOK}
 	require.Equal(t, porcupine.Ok, check([]operation{written, {begin: 3, end: 4, status: 200, seenVersion: 1, seenValue: "a"}}))
--- a/internal/router/replication/learner_test.go
+++ b/internal/router/replication/learner_test.go
@@ -12,11 +12,11 @@
 
 const (
 	slowLink         = 10_000_000 / 8 // bytes a second: 10 Mbit/s
-	bulkBytes        = 400_000        // about what 500 routes and 4,096 digests take
+	bulkBytes        = 400_000        // about the size of 500 routes and 4,096 digests
 	proposalInterval = 100 * time.Millisecond
 )
 
-// proposalOutcomes is what became of a series of orders.
+// proposalOutcomes counts the outcomes of a series of proposals.
 type proposalOutcomes struct {
 	accepted, rejected, late, unanswered int
 	slowest                              time.Duration
@@ -34,7 +34,7 @@
 	}
 }
 
-// countOutcomes counts what became of operations.
+// countOutcomes counts the outcomes of operations.
 func countOutcomes(history []operation) (total proposalOutcomes) {
 	for _, o := range history {
 		took := o.end - o.begin
@@ -54,7 +54,7 @@
 	return total
 }
 
-// absence is a core on slow links of which one member misses orders and comes back while there are more.
+// absence is a core on slow links of which one member misses entries and comes back while there are more.
 type absence struct {
 	*simulation
 	away            *host
@@ -64,6 +64,7 @@
 }
 
 func playAbsence(t *testing.T, seed int64, syncTime time.Duration, wiped bool) *absence {
+	t.Helper()
 	s := newSimulation(t, seed, 4, 1)
 	s.run(4 * time.Second)
 	require.NotNil(t, s.primary())
@@ -89,23 +90,23 @@
 	return a
 }
 
-// A member that was down for 300 orders, with a slow disk or an empty one, catches up over a slow link while orders go on: none is
-// refused, and none waits for it.
+// A member that was down for 300 entries, with a slow disk or an empty one, catches up over a slow link while proposals continue: none is
+// rejected, and none waits for it.
 func TestCatchingUpBesideOrders(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name     string
 		syncTime time.Duration
 		wiped    bool
 	}{
-		{"disk kept", 2 * time.Millisecond, false},
-		{"disk kept, slow", 60 * time.Millisecond, false},
+		{"disk intact", 2 * time.Millisecond, false},
+		{"disk intact, slow", 60 * time.Millisecond, false},
 		{"disk lost", 2 * time.Millisecond, true},
 		{"disk lost, slow", 60 * time.Millisecond, true},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			for seed := range int64(6) {
-				a := playAbsence(t, seed, one.syncTime, one.wiped)
-				t.Logf("seed %d: in sync after %v, %d bytes sent, orders %+v", seed, a.inSyncAfter, a.catchUpBytes, a.whileCatchingUp)
+				a := playAbsence(t, seed, test.syncTime, test.wiped)
+				t.Logf("seed %d: in sync after %v, %d bytes sent, proposals %+v", seed, a.inSyncAfter, a.catchUpBytes, a.whileCatchingUp)
 				require.Positive(t, a.inSyncAfter, "it never caught up")
 				require.Less(t, a.inSyncAfter, 1200*time.Millisecond)
 				require.Zero(t, a.whileCatchingUp.rejected+a.whileCatchingUp.unanswered)
@@ -115,17 +116,17 @@
 	}
 }
 
-// A replica in the in-sync set takes no lesson: what was acknowledged rests on what it has. One outside does.
-func TestAMemberInSyncTakesNoLesson(t *testing.T) {
-	for _, one := range []struct {
+// A replica in the in-sync set adopts no state to catch up: what was acknowledged depends on what it has. One outside does.
+func TestAnInSyncReplicaRejectsCatchUp(t *testing.T) {
+	for _, test := range []struct {
 		view  View
 		taken bool
 	}{{viewOf(5, "b", "a"), false}, {viewOf(5, "b", "c"), true}} {
-		r := preVoter(t, one.view)
-		r.hard.Promised = one.view.Epoch
-		snapshot := (&versionMachine{Version: 9, Value: "taught"}).Snapshot()
-		at := Position{Epoch: one.view.Epoch, Sequence: 9}
-		r.Receive("b", SnapshotChunk{Epoch: one.view.Epoch, Position: at, Size: len(snapshot), Data: snapshot}, 4*time.Second)
-		require.Equal(t, one.taken, r.state.position == at)
+		r := preVoter(t, test.view)
+		r.hard.Promised = test.view.Epoch
+		snapshot := (&versionMachine{Version: 9, Value: "caught up"}).Snapshot()
+		at := Position{Epoch: test.view.Epoch, Sequence: 9}
+		r.Receive("b", SnapshotChunk{Epoch: test.view.Epoch, Position: at, Size: len(snapshot), Data: snapshot}, 4*time.Second)
+		require.Equal(t, test.taken, r.state.position == at)
 	}
 }
--- a/internal/router/replication/mutation_test.go
+++ b/internal/router/replication/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each guard that the argument of this package rests on is taken out of the code, and a directed schedule notices.
+// Each guard that the argument of this package depends on is removed from the code, and a directed schedule notices.
 func TestGuardsOfTheCode(t *testing.T) {
 	const here = "petrelhook/internal/router/replication"
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
@@ -30,7 +30,7 @@
 			here, "TestExplorationOfAbandonedViews"},
 		"a change that was begun is finished, on worst days": {"internal/router/replication/members.go", "if !e.newestView.joint() {", "if true {",
 			here, "TestWorstDays"},
-		"a newcomer takes a place, on worst days": {"internal/router/replication/members.go", "index, ok := r.replacedBy(status.member, members)", "index, ok := len(members), true",
+		"a newcomer replaces a member, on worst days": {"internal/router/replication/members.go", "index, ok := r.replacedBy(status.member, members)", "index, ok := len(members), true",
 			here, "TestWorstDays"},
 		"a change that was begun is finished": {"internal/router/replication/members.go", "if !e.newestView.joint() {", "if true {",
 			here, "TestAnAbandonedChangeOfMembers"},
@@ -38,13 +38,13 @@
 			here, "TestTheMembersBeforeHaveToAgree"},
 		"disks in the in-sync set": {"internal/router/replication/election.go", "if len(view.InSync) < r.minInSync() {", "if false {",
 			here, "TestTheInSyncMinimum"},
-		"a newcomer takes a place": {"internal/router/replication/members.go", "index, ok := r.replacedBy(status.member, members)", "index, ok := len(members), true",
+		"a newcomer replaces a member": {"internal/router/replication/members.go", "index, ok := r.replacedBy(status.member, members)", "index, ok := len(members), true",
 			here, "TestALostDiskAfterAReplacement"},
-		"one that leaves says so": {"internal/router/replication/members.go", "if r.isLeaving(m) || r.unreachableFor(m, replacementTimeout) {", "if r.unreachableFor(m, time.Hour) {",
+		"a leaving member is replaced": {"internal/router/replication/members.go", "if r.isLeaving(m) || r.unreachableFor(m, replacementTimeout) {", "if r.unreachableFor(m, time.Hour) {",
 			here, "TestALostDiskAfterAReplacement"},
-		"who is in sync learns nothing": {"internal/router/replication/learner.go", "&& !r.knownView.inSync(r.Self.ID)\n}", "\n}",
-			here, "TestAMemberInSyncTakesNoLesson"},
-		"learners catch up beside orders": {"internal/router/replication/catchup.go", "	r.sendSnapshotChunk(status, learner)\n}", "}",
+		"an in-sync replica rejects catching up": {"internal/router/replication/learner.go", "&& !r.knownView.inSync(r.Self.ID)\n}", "\n}",
+			here, "TestAnInSyncReplicaRejectsCatchUp"},
+		"learners catch up beside proposals": {"internal/router/replication/catchup.go", "	r.sendSnapshotChunk(status, learner)\n}", "}",
 			here, "TestCatchingUpBesideOrders"},
 		"a learner that is caught up is waited for": {"internal/router/replication/election.go", "!ok && r.caughtUp(id) {", "!ok && false {",
 			here, "TestCatchingUpBesideOrders"},
--- a/internal/router/replication/prevote_test.go
+++ b/internal/router/replication/prevote_test.go
@@ -18,22 +18,22 @@
 	return v
 }
 
-// preVoter is the replica "a", which accepted a view and hears nobody any more.
+// preVoter returns the replica "a", which accepted a view and has no contact with anybody.
 func preVoter(t *testing.T, accepted View) *Replica {
 	t.Helper()
 	r, err := New(Options{Self: Member{ID: "a", Address: "a"}, FaultTolerance: 1}, &PersistedState{ID: "a", Hard: HardState{Accepted: accepted}},
 		machineAdapter{&versionMachine{}}, 0)
 	require.NoError(t, err)
 	r.Tick(3 * time.Second)
-	require.NotEmpty(t, r.Effects(), "it asks for pre-votes")
+	require.NotEmpty(t, r.Effects(), "it requests pre-votes")
 	return r
 }
 
-// A replica asks for promises where the answers to its pre-vote say that it would lead with them. One outside the in-sync set does not:
-// each promise gives a candidate time, and two such replicas took it by turns from those who could lead, for ever.
+// A replica campaigns where the answers to its pre-vote say that it could lead. One outside the in-sync set does not: each promise gives
+// a candidate time, and two such replicas alternating would keep those who could lead from being elected, for ever.
 func TestOnlyOneThatCouldLeadIsACandidate(t *testing.T) {
 	without, with := viewOf(4, "b", "c"), viewOf(5, "a", "b")
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name      string
 		own       View
 		accepted  []View // of c, d, e
@@ -45,19 +45,19 @@
 		{"others are further, without it", with, []View{viewOf(6, "b", "c"), with, with}, false},
 		{"one other accepted a view in which it is", without, []View{without, without, with}, true},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			r := preVoter(t, one.own)
+		t.Run(test.name, func(t *testing.T) {
+			r := preVoter(t, test.own)
 			for i, from := range []string{"c", "d", "e"} {
-				r.Receive(from, PreVoteReply{Voters: []string{from}, Accepted: one.accepted[i]}, r.now)
+				r.Receive(from, PreVoteReply{Voters: []string{from}, Accepted: test.accepted[i]}, r.now)
 			}
-			asked := false
+			prepared := false
 			for _, effect := range r.Effects() {
 				if send, ok := effect.(Send); ok {
 					_, prepare := send.Message.(Prepare)
-					asked = asked || prepare
+					prepared = prepared || prepare
 				}
 			}
-			require.Equal(t, one.candidate, asked)
+			require.Equal(t, test.candidate, prepared)
 		})
 	}
 }
--- a/internal/router/replication/replacement_test.go
+++ b/internal/router/replication/replacement_test.go
@@ -10,23 +10,22 @@
 )
 
 const (
-	successorStartLead = time.Second     // before the end of the one that it replaces
-	catchUpTime        = 4 * time.Second // CatchUpS: for so long after its start a successor counts as lost
+	successorLead = time.Second     // before the end of the one that it replaces
+	catchUpTime   = 4 * time.Second // CatchUpS: for so long after its start a successor counts as lost
 )
 
-// replace starts a successor in a machine's zone, ends that machine as planned or by a kill, and returns the successor.
-func (s *simulation) replace(old *host, address string, planned bool) *host {
+// replace starts a successor in a machine's zone, and ends that machine as planned or by a kill.
+func (s *simulation) replace(old *host, address string, planned bool) {
 	next := &host{address: address, zone: old.zone, syncTime: 2 * time.Millisecond}
 	s.hosts[address] = next
 	s.boot(next)
-	s.run(s.now + successorStartLead)
+	s.run(s.now + successorLead)
 	if planned {
 		s.terminate(old)
 	} else {
 		s.kill(old)
 	}
 	s.after(300*time.Millisecond, func() { delete(s.hosts, old.address) })
-	return next
 }
 
 // A member is replaced, and another one loses its disk as soon as the first does not count as lost any more.
@@ -34,7 +33,7 @@
 	for seed := range int64(10) {
 		for _, planned := range []bool{true, false} {
 			for machines := 3; machines <= 4; machines++ {
-				for _, after := range []time.Duration{catchUpTime - successorStartLead, catchUpTime - successorStartLead + 500*time.Millisecond, 8 * time.Second} {
+				for _, after := range []time.Duration{catchUpTime - successorLead, catchUpTime - successorLead + 500*time.Millisecond, 8 * time.Second} {
 					t.Run(fmt.Sprintf("seed %d, planned %t, %d machines, %v", seed, planned, machines, after), func(t *testing.T) {
 						loseADiskAfterAReplacement(t, seed, planned, machines, after)
 					})
@@ -45,6 +44,7 @@
 }
 
 func loseADiskAfterAReplacement(t *testing.T, seed int64, planned bool, machines int, after time.Duration) {
+	t.Helper()
 	s := newSimulation(t, seed, machines, 1)
 	s.run(4 * time.Second)
 	require.Equal(t, http.StatusOK, writeNow(s, "a").status)
--- a/internal/router/replication/replication_test.go
+++ b/internal/router/replication/replication_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// The primary is lost: another takes over and has what was acknowledged.
+// The primary is lost: another is elected and has what was acknowledged.
 func TestPrimaryIsLost(t *testing.T) {
 	s := newSimulation(t, 1, 4, 1)
 	s.run(4 * time.Second)
@@ -44,7 +44,7 @@
 	require.Equal(t, http.StatusOK, writeNow(s, "b").status)
 }
 
-// A disk is lost: its machine comes back as another member, is taken in, and the one before is no member any more.
+// A disk is lost: its machine comes back as another member and replaces the one before.
 func TestLostDiskRejoins(t *testing.T) {
 	for seed := range int64(20) {
 		s := newSimulation(t, seed, 4, 1)
@@ -163,7 +163,7 @@
 	require.Len(t, s.primary().replica.View().InSync, 3)
 }
 
-// A lost primary says nothing to the next one's candidacy, which does not wait for it longer than for the others.
+// A lost primary does not answer the next one's candidacy, which does not wait for it longer than for the others.
 func TestTheNextPrimaryDoesNotWaitForTheLostOne(t *testing.T) {
 	const step = 5 * time.Millisecond
 	longest := time.Duration(0)
@@ -183,8 +183,8 @@
 	require.Less(t, longest, electionTimeout+3*electionStagger+promiseWaitMargin+2*50*time.Millisecond)
 }
 
-// A member that hears nothing and is heard asks whether others hear a primary, and promises nothing meanwhile: the view stays when it
-// hears again.
+// A member that can send and not receive requests pre-votes, and promises nothing meanwhile: the view stays the same when it can
+// receive again.
 func TestAMemberThatHearsNothingEndsNoView(t *testing.T) {
 	s := newSimulation(t, 1, 4, 1)
 	s.run(4 * time.Second)
@@ -202,7 +202,7 @@
 	require.True(t, p.replica.IsPrimary())
 }
 
-// When all processes start at once there is a primary as soon as they have asked one another.
+// When all processes start at once there is a primary as soon as they have exchanged pre-votes.
 func TestAllStartAtOnce(t *testing.T) {
 	for seed := range int64(10) {
 		s := newSimulation(t, seed, 4, 1)
@@ -222,7 +222,7 @@
 	}
 }
 
-// A share of a processor that is a quota: all stand still for the rest of each tenth of a second. No view changes, and orders are taken.
+// A CPU quota: all processes are suspended for the rest of each tenth of a second. No view changes, and entries are committed.
 func TestAProcessorThatIsAQuota(t *testing.T) {
 	s, p := coreWithValue(t)
 	epoch := p.replica.View().Epoch
--- a/internal/router/replication/sim_test.go
+++ b/internal/router/replication/sim_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// simulation plays several replicas in virtual time, with a network that delays and loses messages and disks that forget
-// what was not synced. Everything comes of one seed.
+// simulation runs several replicas in virtual time, with a network that delays and loses messages and disks that lose what was not
+// synced. Everything is drawn from one seed.
 type simulation struct {
 	t            testing.TB
 	random       *rand.Rand
@@ -25,12 +25,12 @@
 	blockedLinks map[[2]string]bool
 	history      []operation
 	loss         float64
-	restoreError error // what a process could not go on from
+	restoreError error // of a process that could not start from its disk
 
-	bytesPerSecond int // that a machine's link carries; 0: no bound
+	bytesPerSecond int // that a machine's link carries; 0: unlimited
 	sentBytes      int // bytes
 
-	// Guards that a test takes out.
+	// Guards that a test removes.
 	tolerance    int // FaultTolerance of the replicas
 	lyingDisks   bool
 	sameIdentity bool
@@ -51,14 +51,14 @@
 	genesis          bool
 	process          *process
 	frozenUntil      time.Duration
-	inboundLostUntil time.Duration // what is sent to it is lost, as to a machine that is suspended
+	inboundLostUntil time.Duration // what is sent to it until then is lost, as for a suspended machine
 	diskFullUntil    time.Duration
 	syncTime         time.Duration
 	wipes            int
-	linkFreeAt       time.Duration // when all that was sent has left
+	linkFreeAt       time.Duration // when the link has transmitted all that was sent
 }
 
-// process is one life of a replica.
+// process is one incarnation of a replica.
 type process struct {
 	host       *host
 	replica    *Replica
@@ -69,7 +69,7 @@
 	diskFreeAt time.Duration // when the disk is free again
 }
 
-// versionMachine takes an entry only on top of the version it names.
+// versionMachine accepts an entry only on top of the version that the entry names.
 type versionMachine struct {
 	Version int
 	Value   string
@@ -119,12 +119,13 @@
 
 func (m *versionMachine) value() versionMachine { return *m }
 
-// machineAdapter gives a versionMachine as a Machine; its Value method is taken by a field there.
+// machineAdapter makes a versionMachine a StateMachine: versionMachine has a field Value and so no method of that name.
 type machineAdapter struct{ *versionMachine }
 
 func (a machineAdapter) Value() any { return a.value() }
 
 func newSimulation(t testing.TB, seed int64, machines, tolerance int) *simulation {
+	t.Helper()
 	s := &simulation{t: t, random: rand.New(rand.NewSource(seed)), hosts: map[string]*host{}, blockedLinks: map[[2]string]bool{}, tolerance: tolerance}
 	for i := range machines {
 		h := &host{address: fmt.Sprintf("10.0.%d.1:7000", i), zone: fmt.Sprintf("zone-%d", i), genesis: true, syncTime: 2 * time.Millisecond}
@@ -148,7 +149,7 @@
 	s.events[i] = e
 }
 
-// run plays until a time.
+// run processes all events until a time.
 func (s *simulation) run(until time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		e := s.events[0]
@@ -172,10 +173,10 @@
 	}
 	m := &versionMachine{}
 	p := &process{host: h, machine: m, answers: map[uint64]func(Decision){}}
-	kept := *h.disk
-	kept.Entries = append([]Entry(nil), kept.Entries...)
-	r, err := New(Options{Self: Member{ID: kept.ID, Address: h.address, Zone: h.zone}, Seeds: s.seeds, Bootstrap: h.genesis,
-		FaultTolerance: s.tolerance}, &kept, machineAdapter{m}, s.now)
+	persisted := *h.disk
+	persisted.Entries = append([]Entry(nil), persisted.Entries...)
+	r, err := New(Options{Self: Member{ID: persisted.ID, Address: h.address, Zone: h.zone}, Seeds: s.seeds, Bootstrap: h.genesis,
+		FaultTolerance: s.tolerance}, &persisted, machineAdapter{m}, s.now)
 	if err != nil {
 		s.restoreError = err
 		return
@@ -187,7 +188,7 @@
 	s.announce(p)
 }
 
-// announce stands for the sessions by which sidecars hear of one another.
+// announce stands for the sessions by which routers learn of one another.
 func (s *simulation) announce(p *process) {
 	if p.host.process != p {
 		return
@@ -212,7 +213,7 @@
 	s.runIn(p, func() { p.replica.Tick(s.now) })
 }
 
-// runIn runs something in a process, after its freeze, if it lives.
+// runIn calls do in a process, after its freeze, unless the process has ended.
 func (s *simulation) runIn(p *process, do func()) {
 	if p.host.process != p {
 		return
@@ -234,8 +235,8 @@
 }
 
 func (s *simulation) executeEffects(p *process) {
-	for _, one := range p.replica.Effects() {
-		switch e := one.(type) {
+	for _, effect := range p.replica.Effects() {
+		switch e := effect.(type) {
 		case Send:
 			s.send(p, e)
 		case Save:
@@ -272,7 +273,7 @@
 	})
 }
 
-// transmissionDelay is how long it takes until a message has left its sender's link.
+// transmissionDelay returns how long it lasts until a message has left its sender's link.
 func (s *simulation) transmissionDelay(h *host, m Message) time.Duration {
 	size := messageBytes(m)
 	s.sentBytes += size
@@ -283,7 +284,7 @@
 	return h.linkFreeAt - s.now
 }
 
-// messageBytes is about what a message takes on the wire.
+// messageBytes is about the size of a message on the wire.
 func messageBytes(m Message) int {
 	const head = 200
 	switch m := m.(type) {
@@ -306,7 +307,7 @@
 	return n
 }
 
-// save writes in order; what is not done when power goes is lost.
+// save writes in order; what is not synced when the process ends is lost.
 func (s *simulation) save(p *process, e Save) {
 	h := p.host
 	if s.lyingDisks {
@@ -368,19 +369,19 @@
 	return out
 }
 
-// operation is a call of a client and what it was told.
+// operation is a call of a client and the answer that it got.
 type operation struct {
 	client      int
 	write       bool
 	base        int
 	value       string
 	begin, end  time.Duration
-	status      int // 0: nothing clear
+	status      int // 0: no answer
 	seenVersion int
 	seenValue   string
 }
 
-// write proposes a value at whoever says it is primary.
+// write proposes a value at a process that says it is primary.
 func (s *simulation) write(client, base int, value string) {
 	s.call(operation{client: client, write: true, base: base, value: value})
 }
@@ -399,7 +400,7 @@
 	}
 }
 
-// callAt makes a call at one process, whatever it thinks that it is.
+// callAt makes a call at one process, whatever its role.
 func (s *simulation) callAt(p *process, o operation) {
 	o.begin, o.end = s.now, -1
 	index := len(s.history)
@@ -421,7 +422,7 @@
 	})
 }
 
-// ordered are the hosts by address: the same schedule each time has the same draws.
+// ordered returns the hosts by address: a schedule has the same draws each time.
 func (s *simulation) ordered() []*host {
 	var out []*host
 	for _, address := range s.addresses() {
--- a/internal/router/replication/witness_test.go
+++ b/internal/router/replication/witness_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A replica that promised an epoch takes neither the view nor the state of a candidate of an older one.
+// A replica that promised an epoch adopts neither the view nor the state of a candidate of an older one.
 func TestAnOlderCandidateIsRefused(t *testing.T) {
 	for _, older := range []Message{
 		Accept{View: viewOf(6, "c", "d")},
--- a/internal/router/replication/worst_days_test.go
+++ b/internal/router/replication/worst_days_test.go
@@ -13,11 +13,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A worst day is a random schedule of what operators fear: machines that join, are replaced and leave while messages of one kind are lost
-// or late, candidacies that are broken off, and losses as close to each other as the deployment's page permits.
+// worstDay is a random schedule of what operators fear: machines that join, are replaced and leave while messages of one type are lost
+// or delayed, candidacies that are interrupted, and losses as close to each other as the deployment's page permits.
 type worstDay struct {
 	*simulation
-	nextLossAt    time.Duration // the next machine may be lost then: the one before counts no more
+	nextLossAt    time.Duration // the next machine may be lost then: the one before does not count any more
 	addedMachines int           // machines that were added
 	writes        int
 }
@@ -28,11 +28,12 @@
 	closingSync    = 20 * time.Millisecond
 )
 
-// electionMessages are the kinds that an episode loses or delays.
+// electionMessages are the types that an episode loses or delays.
 var electionMessages = []Message{Prepare{}, Promise{}, Sync{}, Synced{}, Accept{}, Accepted{}, Heartbeat{}, HeartbeatAck{}, Replicate{},
 	Replicated{}, MissingEntries{}, SnapshotChunk{}, LearnerAck{}, PreVoteReply{}}
 
 func playWorstDay(t testing.TB, seed int64, mutate func(*simulation)) *worstDay {
+	t.Helper()
 	d := &worstDay{simulation: newSimulation(t, seed, 3+int(seed%2), 1)}
 	if mutate != nil {
 		mutate(d.simulation)
@@ -44,11 +45,11 @@
 	}
 	d.endFaults()
 	d.run(d.now + recoveryTime)
-	d.closing()
+	d.loseAllPower()
 	return d
 }
 
-// runClients has clients order and read for a time.
+// runClients has clients propose and read for a time.
 func (d *worstDay) runClients(during time.Duration) {
 	for until := d.now + during; d.now < until; {
 		if p := d.primary(); p != nil {
@@ -56,7 +57,7 @@
 			d.write(1, p.machine.Version, fmt.Sprint("w", d.writes))
 			d.read(2)
 		}
-		for _, h := range d.ordered() { // whoever says that it is primary, in touch or not
+		for _, h := range d.ordered() { // every process that says it is primary, reachable or not
 			if p := h.process; p != nil && p.replica.IsPrimary() && d.random.Intn(4) == 0 {
 				d.writes++
 				d.callAt(p, operation{client: 3, write: true, base: p.machine.Version, value: fmt.Sprint("w", d.writes)})
@@ -80,19 +81,19 @@
 func (d *worstDay) episode() {
 	switch d.random.Intn(10) {
 	case 0:
-		d.joinMany()
+		d.addMachines()
 	case 1:
-		d.replaceOne(true)
+		d.replaceMachine(true)
 	case 2:
-		d.replaceOne(false)
+		d.replaceMachine(false)
 	case 3:
 		d.loseDisk()
 	case 4:
-		d.loseKind()
+		d.loseOneMessageType()
 	case 5:
-		d.breakOffACandidacy()
+		d.interruptCandidacy()
 	case 6:
-		d.split()
+		d.partitionRandomly()
 	case 7:
 		for _, h := range d.ordered() {
 			d.kill(h)
@@ -101,19 +102,19 @@
 	case 8:
 		d.endFaults()
 	case 9:
-		d.abandonAChange()
+		d.abandonChange()
 	}
 }
 
-// abandonAChange has two machines join, loses the view that takes them in on its way from the primary, and has the primary propose again
-// while some are cut off at some moment.
-func (d *worstDay) abandonAChange() {
+// abandonChange has two machines join, loses the Accept of the view that adds them, and has the primary propose again while a random
+// partition begins.
+func (d *worstDay) abandonChange() {
 	if len(d.hosts) > 4 || d.primary() == nil {
 		return
 	}
 	p := d.primary()
-	d.joinMany()
-	d.joinMany()
+	d.addMachines()
+	d.addMachines()
 	lost := true
 	d.mutate = func(_ *process, m Message) Message {
 		if _, accept := m.(Accept); accept && lost {
@@ -127,21 +128,21 @@
 	d.runIn(p, func() { p.replica.campaign(true) })
 	d.after(4*time.Millisecond, func() { lost = false })
 	d.run(d.now + time.Duration(d.random.Intn(8_000))*time.Microsecond)
-	d.split()
+	d.partitionRandomly()
 }
 
-// joinMany adds one or two machines in zones of their own, as far as the core stays small.
-func (d *worstDay) joinMany() {
+// addMachines adds one or two machines in zones of their own, while the core is small.
+func (d *worstDay) addMachines() {
 	for range 1 + d.random.Intn(2) {
 		if len(d.hosts) < 6 {
 			d.addedMachines++
-			d.join(fmt.Sprintf("10.1.%d.1:7000", d.addedMachines))
+			d.startInOwnZones(fmt.Sprintf("10.1.%d.1:7000", d.addedMachines))
 		}
 	}
 }
 
-// replaceOne replaces a machine; it counts as lost from its end until its successor has been there for CatchUpS.
-func (d *worstDay) replaceOne(planned bool) {
+// replaceMachine replaces a machine; it counts as lost from its end until its successor has been there for CatchUpS.
+func (d *worstDay) replaceMachine(planned bool) {
 	if d.now < d.nextLossAt {
 		return
 	}
@@ -151,10 +152,10 @@
 	}
 	d.addedMachines++
 	d.replace(old, fmt.Sprintf("10.2.%d.1:7000", d.addedMachines), planned)
-	d.nextLossAt = d.now - successorStartLead + catchUpTime
+	d.nextLossAt = d.now - successorLead + catchUpTime
 }
 
-// loseDisk takes a disk as soon as that is permitted; its machine counts as lost until CatchUpS after its return.
+// loseDisk loses a disk as soon as that is permitted; its machine counts as lost until CatchUpS after its return.
 func (d *worstDay) loseDisk() {
 	d.run(max(d.now, d.nextLossAt))
 	h := d.randomHost()
@@ -165,14 +166,14 @@
 	d.nextLossAt = d.now + away + catchUpTime
 }
 
-// countAsLoss gives the end of a disturbance that begins now. Machines count as lost meanwhile, and for CatchUpS after it.
+// countAsLoss has machines count as lost during a fault that begins now and for CatchUpS after it. It returns the fault's duration.
 func (d *worstDay) countAsLoss(during time.Duration) time.Duration {
 	d.nextLossAt = max(d.nextLossAt, d.now+during+catchUpTime)
 	return during
 }
 
-// loseKind loses or delays the messages of one kind for some seconds, to all or to one half.
-func (d *worstDay) loseKind() {
+// loseOneMessageType loses or delays the messages of one type for some seconds, to all or to some.
+func (d *worstDay) loseOneMessageType() {
 	kind := reflect.TypeOf(electionMessages[d.random.Intn(len(electionMessages))])
 	hosts := d.ordered()
 	spared := hosts[:d.random.Intn(len(hosts)+1)]
@@ -181,15 +182,15 @@
 			return m
 		}
 		if d.random.Intn(2) == 0 {
-			d.after(time.Duration(d.random.Intn(1500))*time.Millisecond, func() { d.runIn(to, func() { to.replica.Receive(sentBy(m), m, d.now) }) })
+			d.after(time.Duration(d.random.Intn(1500))*time.Millisecond, func() { d.runIn(to, func() { to.replica.Receive(candidateAddress(m), m, d.now) }) })
 		}
 		return nil
 	}
 	d.after(d.countAsLoss(time.Duration(500+d.random.Intn(2500))*time.Millisecond), func() { d.mutate = nil })
 }
 
-// sentBy is the address of a message's sender, as far as it says: what is answered to another is lost.
-func sentBy(m Message) string {
+// candidateAddress returns the address of a message's sender where the message has it: answers to other messages are lost.
+func candidateAddress(m Message) string {
 	switch m := m.(type) {
 	case Prepare:
 		return m.From.Address
@@ -199,8 +200,8 @@
 	return ""
 }
 
-// breakOffACandidacy has somebody campaign, and cuts it off from a part of the others once it is in some phase.
-func (d *worstDay) breakOffACandidacy() {
+// interruptCandidacy has a replica campaign, and partitions it from some others once it is in some phase.
+func (d *worstDay) interruptCandidacy() {
 	h := d.randomHost()
 	p := h.process
 	if p == nil {
@@ -222,8 +223,8 @@
 	d.after(d.countAsLoss(time.Duration(300+d.random.Intn(2500))*time.Millisecond), d.heal)
 }
 
-// split cuts all into two groups.
-func (d *worstDay) split() {
+// partitionRandomly partitions all machines into two groups.
+func (d *worstDay) partitionRandomly() {
 	var groups [2][]*host
 	for _, h := range d.ordered() {
 		side := d.random.Intn(2)
@@ -233,13 +234,13 @@
 	d.after(d.countAsLoss(time.Duration(300+d.random.Intn(4000))*time.Millisecond), d.heal)
 }
 
-// closing: right after one more change was acknowledged all lose power, and one its disk.
-func (d *worstDay) closing() {
+// loseAllPower: right after one more change was acknowledged all lose power, and one its disk.
+func (d *worstDay) loseAllPower() {
 	p := d.primary()
 	if p == nil || d.now < d.nextLossAt {
 		return
 	}
-	for _, h := range d.ordered() { // a disk that is no faster than the network is what an early answer is seen by
+	for _, h := range d.ordered() { // an answer before the sync is noticed with disks that are no faster than the network
 		h.syncTime = closingSync
 	}
 	d.write(1, p.machine.Version, "last")
@@ -260,7 +261,7 @@
 	d.run(d.now + time.Second)
 }
 
-// violation says what is wrong with a worst day, or "". All that are there are in sync at its end, but for a machine whose zone has a member.
+// violation says what is wrong with a worst day, or is "". All machines are in sync at its end, but for one whose zone has a member.
 func (d *worstDay) violation() string {
 	if d.restoreError != nil {
 		return d.restoreError.Error()
@@ -288,7 +289,7 @@
 }
 
 func TestWorstDays(t *testing.T) {
-	inShards(t, schedules(t, 400), func(seed int64) bool {
+	runSeedsInParallel(t, scheduleCount(t, 400), func(seed int64) bool {
 		if fault := playWorstDay(t, seed, nil).violation(); fault != "" {
 			t.Errorf("seed %d: %s", seed, fault)
 			return false
@@ -298,19 +299,19 @@
 }
 
 func TestWorstDaysRepeat(t *testing.T) {
-	inShards(t, 12, func(seed int64) bool {
+	runSeedsInParallel(t, 12, func(seed int64) bool {
 		return assert.Equal(t, playWorstDay(t, seed, nil).history, playWorstDay(t, seed, nil).history, "seed %d", seed)
 	})
 }
 
-// worstDaysNoticedWithin: a fault that is put back is found within so many worst days.
-const worstDaysNoticedWithin = 2_000
+// maxWorstDaysUntilNoticed: a guard that is removed has to be noticed within so many worst days.
+const maxWorstDaysUntilNoticed = 2_000
 
-// A disk that answers before it has synced is found.
+// A disk that answers before it has synced is noticed.
 func TestWorstDaysNotice(t *testing.T) {
 	var noticed atomic.Int64
 	noticed.Store(-1)
-	inShards(t, worstDaysNoticedWithin, func(seed int64) bool {
+	runSeedsInParallel(t, maxWorstDaysUntilNoticed, func(seed int64) bool {
 		if playWorstDay(t, seed, func(s *simulation) { s.lyingDisks = true }).violation() == "" {
 			return true
 		}
