--- a/internal/router/operatorapi/recorded_test.go
+++ b/internal/router/operatorapi/recorded_test.go
@@ -20,7 +20,7 @@
 	require.NoError(t, register.Restore(recorded))
 	require.Equal(t, int64(3), register.Generation())
 	require.Equal(t, "r1", register.Config().Routes[0].Value.Name)
-	decision := register.Decide(order(Replace, 0, whole))
+	decision := register.Decide(order(Replace, 0, completeConfig))
 	require.False(t, decision.Accept)
 	require.Equal(t, http.StatusOK, decision.Status, "an order that was accepted before is acknowledged again")
 
--- a/internal/router/operatorapi/register.go
+++ b/internal/router/operatorapi/register.go
@@ -21,8 +21,8 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// orderMemory is how many orders that were taken are remembered.
-const orderMemory = 4096
+// maxRememberedOrders is how many orders that were taken are remembered.
+const maxRememberedOrders = 4096
 
 // OrderKind says what an order does.
 type OrderKind uint8
@@ -46,11 +46,11 @@
 // Digest is the content of an order: a call that is sent again has the same.
 func (o *Order) Digest() Digest { return sha256.Sum256(o.Encode()) }
 
-const orderHead = 1 + 8 // kind and base
+const orderHeaderBytes = 1 + 8 // kind and base
 
 // Encode gives an order as an entry.
 func (o *Order) Encode() []byte {
-	out := make([]byte, orderHead, orderHead+len(o.Body))
+	out := make([]byte, orderHeaderBytes, orderHeaderBytes+len(o.Body))
 	out[0] = byte(o.Kind)
 	binary.BigEndian.PutUint64(out[1:], uint64(o.Base))
 	return append(out, o.Body...)
@@ -58,10 +58,10 @@
 
 // DecodeOrder reads an entry.
 func DecodeOrder(entry []byte) (*Order, error) {
-	if len(entry) < orderHead {
+	if len(entry) < orderHeaderBytes {
 		return nil, errors.New("an order is cut off")
 	}
-	return &Order{Kind: OrderKind(entry[0]), Base: int64(binary.BigEndian.Uint64(entry[1:])), Body: entry[orderHead:]}, nil
+	return &Order{Kind: OrderKind(entry[0]), Base: int64(binary.BigEndian.Uint64(entry[1:])), Body: entry[orderHeaderBytes:]}, nil
 }
 
 // Register is the replicated configuration.
@@ -73,8 +73,8 @@
 	// forgotten is the version that the newest of the orders that are not remembered was taken on top of; -1: all are.
 	forgotten int64
 
-	cached Digest // the order that next was worked out for
-	next   *routetable.Config
+	pendingDigest Digest // the order that next was worked out for
+	pendingConfig   *routetable.Config
 }
 
 // NewRegister makes an empty register.
@@ -117,8 +117,8 @@
 
 // result is the configuration that an order leads to.
 func (g *Register) result(o *Order) (*routetable.Config, error) {
-	if d := o.Digest(); g.next != nil && g.cached == d {
-		return g.next, nil
+	if d := o.Digest(); g.pendingConfig != nil && g.pendingDigest == d {
+		return g.pendingConfig, nil
 	}
 	next, err := Result(g.config, o)
 	if err != nil {
@@ -127,7 +127,7 @@
 	if err := next.Validate(g.config); err != nil {
 		return nil, err
 	}
-	g.cached, g.next = o.Digest(), next
+	g.pendingDigest, g.pendingConfig = o.Digest(), next
 	return next, nil
 }
 
@@ -165,11 +165,11 @@
 	if err != nil {
 		return
 	}
-	g.config, g.next = next, nil
+	g.config, g.pendingConfig = next, nil
 	d := o.Digest()
 	g.taken, g.bases = append(g.taken, d), append(g.bases, o.Base)
 	g.known[d] = true
-	if len(g.taken) > orderMemory {
+	if len(g.taken) > maxRememberedOrders {
 		delete(g.known, g.taken[0])
 		g.forgotten = g.bases[0]
 		g.taken, g.bases = slices.Clone(g.taken[1:]), slices.Clone(g.bases[1:])
@@ -216,7 +216,7 @@
 	case len(s.Bases) != orders:
 		return errors.New("a snapshot's orders and their versions are not as many")
 	}
-	g.config, g.next, g.taken, g.known = config, nil, nil, map[Digest]bool{}
+	g.config, g.pendingConfig, g.taken, g.known = config, nil, nil, map[Digest]bool{}
 	g.bases, g.forgotten = s.Bases, s.Forgotten-1
 	for rest := s.Taken; len(rest) >= sha256.Size; rest = rest[sha256.Size:] {
 		d := Digest(rest[:sha256.Size])
--- a/internal/router/operatorapi/register_test.go
+++ b/internal/router/operatorapi/register_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-const whole = `{"Generation":3,"Routes":[{"Name":"r1","Host":"a.example","PathPrefix":"/x/","RouteType":"safe","TimeoutMs":1000,
+const completeConfig = `{"Generation":3,"Routes":[{"Name":"r1","Host":"a.example","PathPrefix":"/x/","RouteType":"safe","TimeoutMs":1000,
 "TargetLatencyMs":100,"Priority":0,"Service":"s1","MaxAttempts":2,"Unknown":{"kept":true}}],
 "Services":[{"Name":"s1","HealthPath":"/health","MaxConnections":10}],
 "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000},
 "Tenants":[{"Name":"t1","ApiKeys":["k1"],"Unit":"token_based","RatePerS":10,"Burst":5}]}`
 
-func route(name, prefix string) string {
+func secondRoute(name, prefix string) string {
 	return fmt.Sprintf(`{"Name":%q,"Host":"a.example","PathPrefix":%q,"RouteType":"unsafe","TimeoutMs":500,"Service":"s1"}`, name, prefix)
 }
 
@@ -23,8 +23,8 @@
 	return o.Encode()
 }
 
-// take decides on an order and applies it where it is accepted.
-func take(g *Register, entry []byte) int {
+// decideAndApply decides on an order and applies it where it is accepted.
+func decideAndApply(g *Register, entry []byte) int {
 	d := g.Decide(entry)
 	if d.Accept {
 		g.Apply(entry)
@@ -34,35 +34,35 @@
 
 func TestOrders(t *testing.T) {
 	g := NewRegister()
-	first := order(Replace, 0, whole)
-	require.Equal(t, http.StatusOK, take(g, first))
-	update := order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+route("r2", "/y/")+`]}}`)
-	require.Equal(t, http.StatusOK, take(g, update))
+	first := order(Replace, 0, completeConfig)
+	require.Equal(t, http.StatusOK, decideAndApply(g, first))
+	update := order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("r2", "/y/")+`]}}`)
+	require.Equal(t, http.StatusOK, decideAndApply(g, update))
 	require.Equal(t, int64(5), g.Generation())
-	require.Equal(t, http.StatusOK, take(g, first), "an order that was taken is acknowledged again")
-	require.Equal(t, http.StatusOK, take(g, update))
+	require.Equal(t, http.StatusOK, decideAndApply(g, first), "an order that was taken is acknowledged again")
+	require.Equal(t, http.StatusOK, decideAndApply(g, update))
 	require.Equal(t, int64(5), g.Generation())
-	require.Equal(t, http.StatusPreconditionFailed, take(g, order(Update, 3, `{"Generation":6}`)))
-	require.Equal(t, http.StatusOK, take(g, order(Update, 5, `{"Generation":9,"Remove":{"Routes":["r1"]}}`)))
+	require.Equal(t, http.StatusPreconditionFailed, decideAndApply(g, order(Update, 3, `{"Generation":6}`)))
+	require.Equal(t, http.StatusOK, decideAndApply(g, order(Update, 5, `{"Generation":9,"Remove":{"Routes":["r1"]}}`)))
 	require.Len(t, g.Config().Routes, 1)
 	require.Equal(t, "r2", g.Config().Routes[0].Value.Name)
 }
 
 func TestInvalidOrders(t *testing.T) {
 	g := NewRegister()
-	require.Equal(t, http.StatusOK, take(g, order(Replace, 0, whole)))
+	require.Equal(t, http.StatusOK, decideAndApply(g, order(Replace, 0, completeConfig)))
 	for name, body := range map[string]string{
 		"cut short":       `{"Generation":5,"Upsert":{"Routes":[`,
 		"old number":      `{"Generation":3}`,
 		"unknown service": `{"Generation":5,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","TimeoutMs":5,"Service":"s9"}]}}`,
-		"same place":      `{"Generation":5,"Upsert":{"Routes":[` + route("r2", "/x/") + `]}}`,
+		"same place":      `{"Generation":5,"Upsert":{"Routes":[` + secondRoute("r2", "/x/") + `]}}`,
 		"no weight":       `{"Generation":5,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","TimeoutMs":5,"WeightedBackends":[{"Service":"s1","Weight":0}]}]}}`,
 		"no time-out":     `{"Generation":5,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","TimeoutMs":0,"Service":"s1"}]}}`,
 		"shared key":      `{"Generation":5,"Upsert":{"Tenants":[{"Name":"t2","ApiKeys":["k1"]}]}}`,
 		"null route":      `{"Generation":5,"Upsert":{"Routes":[null]}}`,
 		"service in use":  `{"Generation":5,"Remove":{"Services":["s1"]}}`,
 	} {
-		require.Equal(t, http.StatusBadRequest, take(g, order(Update, 3, body)), name)
+		require.Equal(t, http.StatusBadRequest, decideAndApply(g, order(Update, 3, body)), name)
 	}
 	require.Equal(t, int64(3), g.Generation())
 }
@@ -70,25 +70,25 @@
 // A snapshot gives back what was sent, fields that are not known included, and the memory of orders.
 func TestSnapshot(t *testing.T) {
 	g := NewRegister()
-	first := order(Replace, 0, whole)
-	require.Equal(t, http.StatusOK, take(g, first))
-	require.Equal(t, http.StatusOK, take(g, order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+route("r2", "/y/")+`]}}`)))
+	first := order(Replace, 0, completeConfig)
+	require.Equal(t, http.StatusOK, decideAndApply(g, first))
+	require.Equal(t, http.StatusOK, decideAndApply(g, order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("r2", "/y/")+`]}}`)))
 	h := NewRegister()
 	require.NoError(t, h.Restore(g.Snapshot()))
 	require.Equal(t, string(g.Config().Encode()), string(h.Config().Encode()))
 	require.Contains(t, string(h.Config().Encode()), `"Unknown":{"kept":true}`)
-	require.Equal(t, http.StatusOK, take(h, first))
+	require.Equal(t, http.StatusOK, decideAndApply(h, first))
 	require.Equal(t, int64(5), h.Generation())
 	g.bases = nil // as an earlier program wrote it
 	require.NoError(t, h.Restore(g.Snapshot()))
-	require.Equal(t, http.StatusOK, take(h, first))
+	require.Equal(t, http.StatusOK, decideAndApply(h, first))
 	empty := NewRegister()
 	require.NoError(t, h.Restore(empty.Snapshot()))
 	require.Zero(t, h.Generation())
 }
 
-// numbered is the n-th order of a series, each on top of the one before.
-func numbered(n int64) []byte {
+// orderNumber is the n-th order of a series, each on top of the one before.
+func orderNumber(n int64) []byte {
 	return order(Replace, n-1, fmt.Sprintf(`{"Generation":%d,"Routes":[],"Services":[{"Name":"s%d"}]}`, n, n))
 }
 
@@ -96,9 +96,9 @@
 // are remembered nothing clear is said, also by a replica that has a snapshot alone.
 func TestAnOrderIsNeverRefusedLater(t *testing.T) {
 	g := NewRegister()
-	const orders = orderMemory + 10
+	const orders = maxRememberedOrders + 10
 	for n := int64(1); n <= orders; n++ {
-		require.Equal(t, http.StatusOK, take(g, numbered(n)))
+		require.Equal(t, http.StatusOK, decideAndApply(g, orderNumber(n)))
 	}
 	restored := NewRegister()
 	require.NoError(t, restored.Restore(g.Snapshot()))
@@ -106,12 +106,12 @@
 		t.Run(name, func(t *testing.T) {
 			for n := int64(1); n <= orders; n++ {
 				want := http.StatusOK
-				if n <= orders-orderMemory {
+				if n <= orders-maxRememberedOrders {
 					want = http.StatusServiceUnavailable
 				}
-				require.Equal(t, want, take(register, numbered(n)), "order %d", n)
+				require.Equal(t, want, decideAndApply(register, orderNumber(n)), "order %d", n)
 			}
-			require.Equal(t, http.StatusPreconditionFailed, take(register, order(Update, orders-1, `{"Generation":9000}`)))
+			require.Equal(t, http.StatusPreconditionFailed, decideAndApply(register, order(Update, orders-1, `{"Generation":9000}`)))
 			require.Equal(t, int64(orders), register.Generation())
 		})
 	}
@@ -121,11 +121,11 @@
 // Two operators who choose one number on top of one version: one content gets it. Two who send the same bytes are both told that it is taken.
 func TestOneNumberNamesOneContent(t *testing.T) {
 	g := NewRegister()
-	require.Equal(t, http.StatusOK, take(g, order(Replace, 0, whole)))
-	one, other := order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+route("r2", "/y/")+`]}}`), order(Update, 3, `{"Generation":5}`)
-	require.Equal(t, http.StatusOK, take(g, one))
-	require.Equal(t, http.StatusOK, take(g, one), "another operator, the same bytes")
-	require.Equal(t, http.StatusPreconditionFailed, take(g, other))
-	require.Equal(t, http.StatusPreconditionFailed, take(g, other), "refused once, refused again")
+	require.Equal(t, http.StatusOK, decideAndApply(g, order(Replace, 0, completeConfig)))
+	one, other := order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("r2", "/y/")+`]}}`), order(Update, 3, `{"Generation":5}`)
+	require.Equal(t, http.StatusOK, decideAndApply(g, one))
+	require.Equal(t, http.StatusOK, decideAndApply(g, one), "another operator, the same bytes")
+	require.Equal(t, http.StatusPreconditionFailed, decideAndApply(g, other))
+	require.Equal(t, http.StatusPreconditionFailed, decideAndApply(g, other), "refused once, refused again")
 	require.Len(t, g.Config().Routes, 2)
 }
--- a/internal/router/storage/cache.go
+++ b/internal/router/storage/cache.go
@@ -9,44 +9,50 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrDamaged says that a cache is not what was written last.
-var ErrDamaged = errors.New("the cache is damaged")
+// ErrCacheDamaged is returned for a cache whose content is not what was written last.
+var ErrCacheDamaged = errors.New("the cache is damaged")
 
+// checksumBytes precede the content: CRC-32 (IEEE), big-endian.
 const checksumBytes = 4
 
-// WriteCache writes a file that is whole, or that ReadCache finds missing or damaged.
+// WriteCache replaces a file in a folder. After a loss of power ReadCache finds the old content, the new one, or damage. Calls for
+// one file must not overlap.
 func WriteCache(folder, name string, content []byte) error {
 	path := filepath.Join(folder, name)
-	text := binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(content))
-	if err := writeSynced(path+".new", append(text, content...)); err != nil {
+	checked := binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(content))
+	if err := writeSynced(path+newSuffix, append(checked, content...)); err != nil {
 		return errors.Wrap(err, "storage: cache")
 	}
-	if err := os.Rename(path+".new", path); err != nil {
+	if err := os.Rename(path+newSuffix, path); err != nil {
 		return errors.Wrap(err, "storage: cache")
 	}
 	return syncFolder(folder)
 }
 
-func writeSynced(path string, text []byte) error {
+func writeSynced(path string, content []byte) (err error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	if _, err := f.Write(text); err != nil {
+	defer func() {
+		if closeErr := f.Close(); err == nil {
+			err = closeErr
+		}
+	}()
+	if _, err := f.Write(content); err != nil {
 		return err
 	}
 	return f.Sync()
 }
 
-// ReadCache reads what WriteCache wrote.
+// ReadCache returns what WriteCache wrote. The error is os.ErrNotExist or ErrCacheDamaged where there is nothing that can be used.
 func ReadCache(folder, name string) ([]byte, error) {
-	text, err := os.ReadFile(filepath.Join(folder, name))
+	checked, err := os.ReadFile(filepath.Join(folder, name))
 	if err != nil {
 		return nil, errors.Wrap(err, "storage: cache")
 	}
-	if len(text) < checksumBytes || crc32.ChecksumIEEE(text[checksumBytes:]) != binary.BigEndian.Uint32(text) {
-		return nil, errors.Wrapf(ErrDamaged, "storage: %s", name)
+	if len(checked) < checksumBytes || crc32.ChecksumIEEE(checked[checksumBytes:]) != binary.BigEndian.Uint32(checked) {
+		return nil, errors.Wrapf(ErrCacheDamaged, "storage: %s", name)
 	}
-	return text[checksumBytes:], nil
+	return checked[checksumBytes:], nil
 }
--- a/internal/router/storage/recorded_test.go
+++ b/internal/router/storage/recorded_test.go
@@ -17,7 +17,7 @@
 // recordedFolder has what revision cfdfdec left on a disk; internal/router/wireformat/testdata says how it was made.
 const recordedFolder = "testdata/cfdfdec"
 
-// A disk that an earlier version wrote is read, and written on, with nothing lost.
+// A disk that an earlier version wrote is read, and further entries are added to it, with nothing lost.
 func TestRecordedDiskIsRead(t *testing.T) {
 	database, err := os.ReadFile(filepath.Join(recordedFolder, fileName))
 	require.NoError(t, err)
--- a/internal/router/storage/storage.go
+++ b/internal/router/storage/storage.go
@@ -1,19 +1,19 @@
 // Package storage keeps a replica's state on its disk: what a witness must not forget, the last snapshot, and the entries
-// since. It is one bbolt file, in which a transaction is there whole or not at all.
+// since. It also keeps caches, files that may be lost (WriteCache). It does not know what the entries mean.
 //
-// The design note says why it is not pebble: pebble ends the process where its log cannot be written, and a full disk
-// must not end a sidecar.
+// The state is one bbolt file, in which a transaction is there completely or not at all. The design note says why it is not pebble:
+// pebble ends the process where its log cannot be written, and a full disk must not end a router.
 //
-// Invariants: what Save returned nil for is found by Open after any loss of power; after a failed Save nothing that needs it
-// is taken until a save with a snapshot succeeds.
+// Invariants: Open finds, after any loss of power, what Save returned nil for; after a failed Save nothing that depends on it
+// is accepted until a save with a snapshot succeeds.
+//
+// A Disk is for one goroutine at a time: the router has one for all saves, as a disk may hang. The caches have no state in memory.
+//
+// The encoding is gob, by the field names of replication's types; testdata/cfdfdec has a disk that is read in the tests.
 package storage
 
 import (
-	"bytes"
-	"crypto/rand"
 	"encoding/binary"
-	"encoding/gob"
-	"encoding/hex"
 	"os"
 	"path/filepath"
 	"time"
@@ -26,25 +26,29 @@
 
 const fileName = "replica.db"
 
-// ErrGap is returned for a save that follows one that failed and has no snapshot.
-var ErrGap = errors.New("an earlier save failed: a snapshot is needed")
+// lockTimeout is for how long another process that has the file open is waited for.
+const lockTimeout = time.Second
+
+// ErrSnapshotRequired is returned for a save without a snapshot that follows one that failed.
+var ErrSnapshotRequired = errors.New("an earlier save failed: a snapshot is needed")
 
+// Buckets and keys of the file.
 var (
 	bucketMeta    = []byte("meta")
-	bucketEntries = []byte("entries")
+	bucketEntries = []byte("entries") // by sequence, big-endian
 	keyID         = []byte("id")
 	keyHard       = []byte("hard")
 	keySnapshot   = []byte("snapshot")
 )
 
-// Disk is an open state. Its methods are for one goroutine.
+// Disk is an open state. Its methods are for one goroutine at a time.
 type Disk struct {
-	database *bbolt.DB
-	gap      bool
+	database         *bbolt.DB
+	snapshotRequired bool // the last save failed
 }
 
 // Open opens the state in a folder, or makes an empty one: address becomes part of its identity, and genesis says that
-// this is the first start of the whole system.
+// this is the first start of the whole system. The caller closes the Disk, and may keep the state.
 func Open(folder, address string, genesis bool) (*Disk, *replication.PersistedState, error) {
 	path := filepath.Join(folder, fileName)
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -55,153 +59,104 @@
 			return nil, nil, err
 		}
 	}
-	database, err := open(path)
+	database, err := openDatabase(path)
 	if err != nil {
 		return nil, nil, errors.Wrapf(err, "storage: %s", path)
 	}
 	d := &Disk{database: database}
-	kept, err := d.read()
+	state, err := d.read()
 	if err != nil {
-		database.Close()
+		_ = database.Close() // nothing was written
 		return nil, nil, errors.Wrapf(err, "storage: %s", path)
 	}
-	return d, kept, nil
-}
-
-func open(path string) (*bbolt.DB, error) {
-	return bbolt.Open(path, 0o644, &bbolt.Options{
-		Timeout: time.Second, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType,
-	})
-}
-
-// create makes the file beside and renames it, so that there is all of it or none.
-func create(folder, path, address string, genesis bool) error {
-	temporary := path + ".new"
-	os.Remove(temporary)
-	database, err := open(temporary)
-	if err != nil {
-		return errors.Wrapf(err, "storage: %s", temporary)
-	}
-	var random [8]byte
-	rand.Read(random[:])
-	err = database.Update(func(tx *bbolt.Tx) error {
-		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
-		if err != nil {
-			return err
-		}
-		if _, err := tx.CreateBucketIfNotExists(bucketEntries); err != nil {
-			return err
-		}
-		if err := meta.Put(keyID, []byte(address+"/"+hex.EncodeToString(random[:]))); err != nil {
-			return err
-		}
-		return putGob(meta, keyHard, replication.HardState{Genesis: genesis})
-	})
-	if closed := database.Close(); err == nil {
-		err = closed
-	}
-	if err != nil {
-		return errors.Wrapf(err, "storage: %s", temporary)
-	}
-	if err := os.Rename(temporary, path); err != nil {
-		return errors.Wrap(err, "storage")
-	}
-	return syncFolder(folder)
-}
-
-func syncFolder(folder string) error {
-	f, err := os.Open(folder)
-	if err != nil {
-		return errors.Wrap(err, "storage")
-	}
-	defer f.Close()
-	return errors.Wrapf(f.Sync(), "storage: sync %s", folder)
+	return d, state, nil
 }
 
-// Inspect reads the state in a folder without changing anything.
+// Inspect reads the state in a folder without changing anything. It waits a second for a process that has it open, and fails then.
 func Inspect(folder string) (*replication.PersistedState, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
 		return nil, errors.Wrap(err, "storage")
 	}
-	database, err := bbolt.Open(path, 0o644, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	database, err := bbolt.Open(path, 0o644, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
 	if err != nil {
 		return nil, errors.Wrapf(err, "storage: %s", path)
 	}
 	d := &Disk{database: database}
-	defer d.Close()
+	defer func() { _ = d.Close() }() // it was opened to read
 	return d.read()
 }
 
+func openDatabase(path string) (*bbolt.DB, error) {
+	return bbolt.Open(path, 0o644, &bbolt.Options{
+		Timeout: lockTimeout, NoFreelistSync: true, FreelistType: bbolt.FreelistMapType,
+	})
+}
+
+// read returns all that is in the file.
 func (d *Disk) read() (*replication.PersistedState, error) {
-	kept := &replication.PersistedState{}
+	state := &replication.PersistedState{}
 	err := d.database.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if meta == nil || meta.Get(keyID) == nil {
-			return errors.New("no identity in it")
+			return errors.New("the file has no identity")
 		}
-		kept.ID = string(meta.Get(keyID))
-		if err := getGob(meta, keyHard, &kept.Hard); err != nil {
+		state.ID = string(meta.Get(keyID))
+		if err := decodeGob(meta.Get(keyHard), &state.Hard); err != nil {
 			return errors.Wrap(err, "hard state")
 		}
-		if meta.Get(keySnapshot) != nil {
-			if err := getGob(meta, keySnapshot, &kept.Snapshot); err != nil {
+		if encoded := meta.Get(keySnapshot); encoded != nil {
+			if err := decodeGob(encoded, &state.Snapshot); err != nil {
 				return errors.Wrap(err, "snapshot")
 			}
 		}
-		return tx.Bucket(bucketEntries).ForEach(func(key, value []byte) error {
+		return tx.Bucket(bucketEntries).ForEach(func(key, encoded []byte) error {
 			var e replication.Entry
-			if err := gob.NewDecoder(bytes.NewReader(value)).Decode(&e); err != nil {
+			if err := decodeGob(encoded, &e); err != nil {
 				return errors.Wrapf(err, "entry %x", key)
 			}
-			kept.Entries = append(kept.Entries, e)
+			state.Entries = append(state.Entries, e)
 			return nil
 		})
 	})
-	return kept, err
+	return state, err
 }
 
-// Save writes a save of the replica and syncs it.
+// Save writes a save of the replica and syncs it, in one transaction. On an error it is unclear whether the disk has it, and the next
+// save needs a snapshot.
 func (d *Disk) Save(s replication.Save) error {
-	if d.gap && s.Snapshot == nil {
-		return ErrGap
+	if d.snapshotRequired && s.Snapshot == nil {
+		return ErrSnapshotRequired
 	}
-	err := d.database.Update(func(tx *bbolt.Tx) error {
-		meta := tx.Bucket(bucketMeta)
-		if err := putGob(meta, keyHard, s.Hard); err != nil {
-			return err
-		}
-		if s.Snapshot != nil {
-			if err := tx.DeleteBucket(bucketEntries); err != nil {
-				return err
-			}
-			if _, err := tx.CreateBucket(bucketEntries); err != nil {
-				return err
-			}
-			return putGob(meta, keySnapshot, s.Snapshot)
-		}
-		if s.Entry == nil {
-			return nil
-		}
-		var key [8]byte
-		binary.BigEndian.PutUint64(key[:], s.Entry.Position.Sequence)
-		return putGob(tx.Bucket(bucketEntries), key[:], s.Entry)
-	})
-	d.gap = err != nil
+	err := d.database.Update(func(tx *bbolt.Tx) error { return write(tx, &s) })
+	d.snapshotRequired = err != nil
 	return errors.Wrap(err, "storage: save")
 }
 
-// Close closes the state.
-func (d *Disk) Close() error { return d.database.Close() }
-
-func putGob(bucket *bbolt.Bucket, key []byte, value any) error {
-	var text bytes.Buffer
-	if err := gob.NewEncoder(&text).Encode(value); err != nil {
+func write(tx *bbolt.Tx, s *replication.Save) error {
+	meta := tx.Bucket(bucketMeta)
+	if err := putGob(meta, keyHard, s.Hard); err != nil {
 		return err
 	}
-	return bucket.Put(key, text.Bytes())
+	switch {
+	case s.Snapshot != nil:
+		if err := tx.DeleteBucket(bucketEntries); err != nil {
+			return err
+		}
+		if _, err := tx.CreateBucket(bucketEntries); err != nil {
+			return err
+		}
+		return putGob(meta, keySnapshot, s.Snapshot)
+	case s.Entry != nil:
+		return putGob(tx.Bucket(bucketEntries), entryKey(s.Entry), s.Entry)
+	}
+	return nil
 }
 
-func getGob(bucket *bbolt.Bucket, key []byte, value any) error {
-	return gob.NewDecoder(bytes.NewReader(bucket.Get(key))).Decode(value)
+// entryKey orders the entries by their sequence.
+func entryKey(e *replication.Entry) []byte {
+	return binary.BigEndian.AppendUint64(nil, e.Position.Sequence)
 }
+
+// Close closes the state. What Save returned nil for is on the disk already.
+func (d *Disk) Close() error { return d.database.Close() }
--- a/internal/router/storage/storage_test.go
+++ b/internal/router/storage/storage_test.go
@@ -16,26 +16,26 @@
 
 func TestWhatIsSavedIsFound(t *testing.T) {
 	folder := t.TempDir()
-	d, kept, err := Open(folder, "10.0.0.1:7000", true)
+	d, persisted, err := Open(folder, "10.0.0.1:7000", true)
 	require.NoError(t, err)
-	require.True(t, kept.Hard.Genesis)
-	id := kept.ID
+	require.True(t, persisted.Hard.Genesis)
+	id := persisted.ID
 	hard := replication.HardState{Promised: replication.Epoch{Round: 4, Node: "b"}}
 	require.NoError(t, d.Save(replication.Save{Hard: hard, Snapshot: &replication.SnapshotRecord{Position: position(3), Data: []byte("three")}}))
 	require.NoError(t, d.Save(replication.Save{Hard: hard, Entry: &replication.Entry{Position: position(4), Data: []byte("four")}}))
 	require.NoError(t, d.Close())
 
-	d, kept, err = Open(folder, "10.0.0.1:7000", false)
+	d, persisted, err = Open(folder, "10.0.0.1:7000", false)
 	require.NoError(t, err)
 	defer d.Close()
-	require.Equal(t, id, kept.ID)
-	require.Equal(t, hard, kept.Hard)
-	require.Equal(t, "three", string(kept.Snapshot.Data))
-	require.Len(t, kept.Entries, 1)
-	require.Equal(t, "four", string(kept.Entries[0].Data))
+	require.Equal(t, id, persisted.ID)
+	require.Equal(t, hard, persisted.Hard)
+	require.Equal(t, "three", string(persisted.Snapshot.Data))
+	require.Len(t, persisted.Entries, 1)
+	require.Equal(t, "four", string(persisted.Entries[0].Data))
 }
 
-// A disk that was lost makes another member.
+// A disk that is made anew after a loss is another member.
 func TestALostDiskIsAnotherMember(t *testing.T) {
 	folder := t.TempDir()
 	d, first, err := Open(folder, "10.0.0.1:7000", true)
@@ -49,7 +49,7 @@
 	require.False(t, second.Hard.Genesis)
 }
 
-// A start that lost its power leaves a file beside, or none.
+// A start that was interrupted leaves a temporary file, or none.
 func TestAStartThatWasCutOff(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, fileName+".new"), []byte("torn"), 0o644))
@@ -58,14 +58,14 @@
 	require.NoError(t, d.Close())
 }
 
-// After a failed save nothing is taken that builds on it, until a snapshot is.
+// After a failed save nothing that depends on it is accepted, until a snapshot is.
 func TestAGapNeedsASnapshot(t *testing.T) {
 	d, _, err := Open(t.TempDir(), "10.0.0.1:7000", true)
 	require.NoError(t, err)
 	defer d.Close()
-	d.gap = true
+	d.snapshotRequired = true
 	entry := replication.Save{Entry: &replication.Entry{Position: position(4)}}
-	require.ErrorIs(t, d.Save(entry), ErrGap)
+	require.ErrorIs(t, d.Save(entry), ErrSnapshotRequired)
 	require.NoError(t, d.Save(replication.Save{Snapshot: &replication.SnapshotRecord{Position: position(5), Data: []byte("x")}}))
 	require.NoError(t, d.Save(entry))
 }
@@ -80,5 +80,5 @@
 	require.Equal(t, "list", string(got))
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "servers"), []byte("torn something"), 0o644))
 	_, err = ReadCache(folder, "servers")
-	require.ErrorIs(t, err, ErrDamaged)
+	require.ErrorIs(t, err, ErrCacheDamaged)
 }
