--- a/internal/router/operatorapi/register_test.go
+++ b/internal/router/operatorapi/register_test.go
@@ -14,8 +14,8 @@
 "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000},
 "Tenants":[{"Name":"t1","ApiKeys":["k1"],"Unit":"token_based","RatePerS":10,"Burst":5}]}`
 
-func secondRoute(name, prefix string) string {
-	return fmt.Sprintf(`{"Name":%q,"Host":"a.example","PathPrefix":%q,"RouteType":"unsafe","TimeoutMs":500,"Service":"s1"}`, name, prefix)
+func secondRoute(prefix string) string {
+	return fmt.Sprintf(`{"Name":"r2","Host":"a.example","PathPrefix":%q,"RouteType":"unsafe","TimeoutMs":500,"Service":"s1"}`, prefix)
 }
 
 func order(kind OrderKind, base int64, body string) []byte {
@@ -36,10 +36,10 @@
 	g := NewRegister()
 	first := order(Replace, 0, completeConfig)
 	require.Equal(t, http.StatusOK, decideAndApply(g, first))
-	update := order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("r2", "/y/")+`]}}`)
+	update := order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("/y/")+`]}}`)
 	require.Equal(t, http.StatusOK, decideAndApply(g, update))
 	require.Equal(t, int64(5), g.Generation())
-	require.Equal(t, http.StatusOK, decideAndApply(g, first), "an order that was taken is acknowledged again")
+	require.Equal(t, http.StatusOK, decideAndApply(g, first), "an order that was accepted is acknowledged again")
 	require.Equal(t, http.StatusOK, decideAndApply(g, update))
 	require.Equal(t, int64(5), g.Generation())
 	require.Equal(t, http.StatusPreconditionFailed, decideAndApply(g, order(Update, 3, `{"Generation":6}`)))
@@ -55,7 +55,7 @@
 		"cut short":       `{"Generation":5,"Upsert":{"Routes":[`,
 		"old number":      `{"Generation":3}`,
 		"unknown service": `{"Generation":5,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","TimeoutMs":5,"Service":"s9"}]}}`,
-		"same place":      `{"Generation":5,"Upsert":{"Routes":[` + secondRoute("r2", "/x/") + `]}}`,
+		"same prefix":      `{"Generation":5,"Upsert":{"Routes":[` + secondRoute("/x/") + `]}}`,
 		"no weight":       `{"Generation":5,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","TimeoutMs":5,"WeightedBackends":[{"Service":"s1","Weight":0}]}]}}`,
 		"no time-out":     `{"Generation":5,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","TimeoutMs":0,"Service":"s1"}]}}`,
 		"shared key":      `{"Generation":5,"Upsert":{"Tenants":[{"Name":"t2","ApiKeys":["k1"]}]}}`,
@@ -67,19 +67,19 @@
 	require.Equal(t, int64(3), g.Generation())
 }
 
-// A snapshot gives back what was sent, fields that are not known included, and the memory of orders.
+// A snapshot restores the configuration, with fields that this version does not know, and the memory of orders.
 func TestSnapshot(t *testing.T) {
 	g := NewRegister()
 	first := order(Replace, 0, completeConfig)
 	require.Equal(t, http.StatusOK, decideAndApply(g, first))
-	require.Equal(t, http.StatusOK, decideAndApply(g, order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("r2", "/y/")+`]}}`)))
+	require.Equal(t, http.StatusOK, decideAndApply(g, order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("/y/")+`]}}`)))
 	h := NewRegister()
 	require.NoError(t, h.Restore(g.Snapshot()))
 	require.Equal(t, string(g.Config().Encode()), string(h.Config().Encode()))
 	require.Contains(t, string(h.Config().Encode()), `"Unknown":{"kept":true}`)
 	require.Equal(t, http.StatusOK, decideAndApply(h, first))
 	require.Equal(t, int64(5), h.Generation())
-	g.bases = nil // as an earlier program wrote it
+	g.accepted.bases = nil // as an earlier version wrote it
 	require.NoError(t, h.Restore(g.Snapshot()))
 	require.Equal(t, http.StatusOK, decideAndApply(h, first))
 	empty := NewRegister()
@@ -92,8 +92,8 @@
 	return order(Replace, n-1, fmt.Sprintf(`{"Generation":%d,"Routes":[],"Services":[{"Name":"s%d"}]}`, n, n))
 }
 
-// An order that was taken is acknowledged again by its content for as long as it is remembered, and is refused never: after more orders than
-// are remembered nothing clear is said, also by a replica that has a snapshot alone.
+// An order that was accepted is acknowledged again by its content for as long as it is remembered, and is never rejected: after more orders
+// than are remembered the answer is unclear, also from a replica that was restored from a snapshot.
 func TestAnOrderIsNeverRefusedLater(t *testing.T) {
 	g := NewRegister()
 	const orders = maxRememberedOrders + 10
@@ -118,14 +118,14 @@
 	t.Logf("a snapshot has %d bytes", len(g.Snapshot()))
 }
 
-// Two operators who choose one number on top of one version: one content gets it. Two who send the same bytes are both told that it is taken.
+// Two operators choose one number on top of one version: one content gets it. Two who send the same bytes both get 200.
 func TestOneNumberNamesOneContent(t *testing.T) {
 	g := NewRegister()
 	require.Equal(t, http.StatusOK, decideAndApply(g, order(Replace, 0, completeConfig)))
-	one, other := order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("r2", "/y/")+`]}}`), order(Update, 3, `{"Generation":5}`)
+	one, other := order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("/y/")+`]}}`), order(Update, 3, `{"Generation":5}`)
 	require.Equal(t, http.StatusOK, decideAndApply(g, one))
 	require.Equal(t, http.StatusOK, decideAndApply(g, one), "another operator, the same bytes")
 	require.Equal(t, http.StatusPreconditionFailed, decideAndApply(g, other))
-	require.Equal(t, http.StatusPreconditionFailed, decideAndApply(g, other), "refused once, refused again")
+	require.Equal(t, http.StatusPreconditionFailed, decideAndApply(g, other), "rejected once, rejected again")
 	require.Len(t, g.Config().Routes, 2)
 }
