--- a/internal/router/operatorapi/register_test.go
+++ b/internal/router/operatorapi/register_test.go
@@ -55,7 +55,7 @@
 		"cut short":       `{"Generation":5,"Upsert":{"Routes":[`,
 		"old number":      `{"Generation":3}`,
 		"unknown service": `{"Generation":5,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","TimeoutMs":5,"Service":"s9"}]}}`,
-		"same prefix":      `{"Generation":5,"Upsert":{"Routes":[` + secondRoute("/x/") + `]}}`,
+		"same prefix":     `{"Generation":5,"Upsert":{"Routes":[` + secondRoute("/x/") + `]}}`,
 		"no weight":       `{"Generation":5,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","TimeoutMs":5,"WeightedBackends":[{"Service":"s1","Weight":0}]}]}}`,
 		"no time-out":     `{"Generation":5,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","TimeoutMs":0,"Service":"s1"}]}}`,
 		"shared key":      `{"Generation":5,"Upsert":{"Tenants":[{"Name":"t2","ApiKeys":["k1"]}]}}`,
