--- a/cmd/petrelhook-agent/version_test.go
+++ b/cmd/petrelhook-agent/version_test.go
@@ -129,16 +129,16 @@
 		return n == 6
 	})
 	sum := s.InForce()
-	if sum.Newest != bad || sum.InForce != 0 || sum.Known != 6 {
+	if sum.Newest != bad || sum.InForce != 0 || sum.Reported != 6 {
 		t.Errorf("%+v", sum)
 	}
 	for _, m := range sum.Members {
-		place, rest, _ := strings.Cut(strings.TrimPrefix(m.Why, "petrelhook: "), ".json:")
+		place, rest, _ := strings.Cut(strings.TrimPrefix(m.Reason, "petrelhook: "), ".json:")
 		var line, column int
 		fmt.Sscanf(rest, "%d:%d:", &line, &column)
 		text, _ := os.ReadFile(place + ".json")
 		lines := strings.Split(string(text), "\n")
-		if m.InForce != first || !strings.Contains(m.Why, `effect: unknown effect "odd"`) || strings.Contains(m.Why, "\n") || line < 1 || line > len(lines) ||
+		if m.InForce != first || !strings.Contains(m.Reason, `effect: unknown effect "odd"`) || strings.Contains(m.Reason, "\n") || line < 1 || line > len(lines) ||
 			!strings.HasPrefix(lines[line-1][column-1:], `"odd"`) {
 			t.Errorf("%+v", m)
 		}
--- a/cmd/petrelhook-coordinator/distribute_test.go
+++ b/cmd/petrelhook-coordinator/distribute_test.go
@@ -45,7 +45,7 @@
 	})
 	for i := range n {
 		r.of[i] = fmt.Sprintf("service-%d", i%services)
-		r.client[i] = subscribe.New(subscribe.Options{Addrs: addrs, Service: r.of[i], Member: fmt.Sprintf("m%d", i), Take: func(v distribute.Version) error {
+		r.client[i] = subscribe.New(subscribe.Options{Addrs: addrs, Service: r.of[i], Member: fmt.Sprintf("m%d", i), Store: func(v distribute.Version) error {
 			r.mu.Lock()
 			if v.Revision <= r.held[i] || v.Service != r.of[i] || !strings.Contains(string(v.Content), `"`+v.Service+`"`) {
 				r.wrong = append(r.wrong, fmt.Sprintf("m%d of %s held %d and took %d of %s: %s", i, r.of[i], r.held[i], v.Revision, v.Service, v.Content))
@@ -112,7 +112,7 @@
 	peertest.Eventually(t, "the sums say so", func() bool {
 		of, _ := o.InForce(t.Context(), "")
 		for service, revision := range newest {
-			if s := of[service]; s.Newest != revision || s.Known == 0 || s.InForce != s.Known {
+			if s := of[service]; s.Newest != revision || s.Reported == 0 || s.InForce != s.Reported {
 				return false
 			}
 		}
@@ -166,7 +166,7 @@
 	peertest.Eventually(t, "the new group has heard what they hold", func() bool {
 		of, _ := o.InForce(t.Context(), "service-2")
 		s := of["service-2"]
-		return s.Known == 10 && s.Ahead >= newest["service-2"]
+		return s.Reported == 10 && s.Ahead >= newest["service-2"]
 	})
 	after := publish(t, g, "service-2", 99)
 	if after <= newest["service-2"] {
--- a/cmd/petrelhook-coordinator/figures_test.go
+++ b/cmd/petrelhook-coordinator/figures_test.go
@@ -83,7 +83,7 @@
 			grants, _, _ := timed(8, 2*time.Second, grant)
 			each := uint64(max(1, size[0]/size[1])) // grants, and so the version, of each session
 			renew := func(w, n int) {
-				ask(fleet.Request{Alive: &replica.Alive{Session: sessions[(w*7919+n)%len(sessions)], Known: each}})
+				ask(fleet.Request{KeepAlive: &replica.KeepAlive{Session: sessions[(w*7919+n)%len(sessions)], KnownVersion: each}})
 			}
 			_, r50, r99 := timed(1, 2*time.Second, func(w, n int) { renew(0, n) })
 			renewals, _, _ := timed(32, 2*time.Second, renew)
@@ -224,7 +224,7 @@
 	runtime.KeepAlive(s)
 
 	dir := t.TempDir()
-	if err := disk.Create(dir, 1, replica.First([]replica.Member{{ID: 1}}, core.NewState())); err != nil {
+	if err := disk.Create(dir, 1, replica.InitialState([]replica.Member{{ID: 1}}, core.NewState())); err != nil {
 		t.Fatal(err)
 	}
 	d, kept, err := disk.Open(dir)
@@ -243,26 +243,26 @@
 					t.Fatal(err)
 				}
 			}
-			own, compact, err := c.Done(w, now)
+			own, compact, err := c.Advance(w, now)
 			if err == nil && own != nil {
-				err = d.Snapshot(own, compact)
+				err = d.SaveSnapshot(own, compact)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	for !c.Status().Leads {
+	for !c.Status().IsLeader {
 		c.Tick(now)
 		pump()
 	}
 	var session core.SessionID
-	c.Ask(replica.Question{Command: &core.Command{Kind: core.Open, Nonce: "the session", Owner: "o", TTL: time.Minute}, Done: func(r replica.Reply) { session = r.Answer.Session }})
+	c.Submit(replica.Request{Command: &core.Command{Kind: core.Open, Nonce: "the session", Owner: "o", TTL: time.Minute}, Done: func(r replica.Response) { session = r.Answer.Session }})
 	pump()
 	began := time.Now()
 	for i := range 1_000_000 {
 		cmd := core.Command{Kind: core.Acquire, Session: session, Seq: uint64(i + 1), Name: fmt.Sprintf("duty/%04d", i%5000)}
-		c.Ask(replica.Question{Command: &cmd, Done: func(replica.Reply) {}})
+		c.Submit(replica.Request{Command: &cmd, Done: func(replica.Response) {}})
 		if i%500 == 0 {
 			pump()
 		}
@@ -282,7 +282,7 @@
 	if c, err = replica.New(replica.Options{ID: 1, Rand: rand.IntN}, kept); err != nil {
 		t.Fatal(err)
 	}
-	for !c.Status().Leads {
+	for !c.Status().IsLeader {
 		c.Tick(now)
 		pump()
 	}
--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/hard_test.go
@@ -81,7 +81,7 @@
 		known := 0
 		if err == nil {
 			for _, m := range told.Members {
-				if m.Life != "" {
+				if m.Incarnation != "" {
 					known++
 				}
 			}
@@ -97,7 +97,7 @@
 	if err := c.Wait(); err == nil || !strings.Contains(c.Log.String(), "has lost its disk") {
 		t.Errorf("%v: %s", err, c.Log)
 	}
-	if _, err := g.Ask(fleet.Request{Remove: uint64(c.I + 1)}); err != nil {
+	if _, err := g.Ask(fleet.Request{RemoveMember: uint64(c.I + 1)}); err != nil {
 		t.Fatal(err)
 	}
 	fourthAddr := join(t, g, c, 4)
@@ -121,7 +121,7 @@
 	os.WriteFile(path, []byte(joins), 0o600)
 	addr = g.Serves(start(t, "coordinator", nil, "--config", path))
 	way.To(addr)
-	if _, err := g.Ask(fleet.Request{Add: &replica.Member{ID: id, Addr: way.Addr}}); err != nil {
+	if _, err := g.Ask(fleet.Request{AddMember: &replica.Member{ID: id, Addr: way.Addr}}); err != nil {
 		t.Fatal(err)
 	}
 	peertest.Eventually(t, "it votes", func() bool {
@@ -136,7 +136,7 @@
 	g := newGroup(t, 3)
 	held := must(t, patient(t, g), "x")
 	leader := g.NewLeader(-1)
-	if _, err := g.Ask(fleet.Request{Remove: uint64(leader + 1)}); err != nil {
+	if _, err := g.Ask(fleet.Request{RemoveMember: uint64(leader + 1)}); err != nil {
 		t.Fatal(err)
 	}
 	g.NewLeader(leader)
@@ -187,9 +187,9 @@
 	os.RemoveAll(filepath.Join(g.Dir, "data1"))
 	text, _ := os.ReadFile(g.File(0))
 	os.WriteFile(g.File(0), append(text, "longest_ttl: 2s\n"...), 0o600)
-	cfg, err := fleet.Read(g.File(0))
+	cfg, err := fleet.ReadConfig(g.File(0))
 	if err == nil {
-		err = fleet.RestoreTo(cfg, path, 0)
+		err = fleet.Restore(cfg, path, 0)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -218,11 +218,11 @@
 	waiter := start(t, "holder", out, "w", peertest.NewRaw(t, r.Serve), strings.Join(g.Addrs(), ","))
 	name := "task"
 	queue := func() int {
-		told, err := g.Ask(fleet.Request{List: &name})
-		if err != nil || len(told.Holdings) == 0 {
+		told, err := g.Ask(fleet.Request{ListLeases: &name})
+		if err != nil || len(told.Leases) == 0 {
 			return -1
 		}
-		return len(told.Holdings[0].Queue)
+		return len(told.Leases[0].Queue)
 	}
 	peertest.Eventually(t, "it waits", func() bool { return queue() == 1 })
 	got := make(chan *lease.Held, 1)
@@ -337,13 +337,13 @@
 	other := (leader + 1) % 3
 	ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
 	defer cancel()
-	told, err := call(ctx, g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, Remove: uint64(other + 1)})
+	told, err := call(ctx, g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, RemoveMember: uint64(other + 1)})
 	if err != nil || !told.OutcomeUnknown {
 		t.Errorf("%v, %+v", err, told)
 	}
 	g.NewLeader(leader)
 	join(t, g, g.All[other], 4) // by the two that hear one another
-	if _, err := g.Ask(fleet.Request{Remove: uint64(leader + 1)}); err != nil {
+	if _, err := g.Ask(fleet.Request{RemoveMember: uint64(leader + 1)}); err != nil {
 		t.Fatal(err)
 	}
 	c.Cut(false, true, true)
@@ -373,11 +373,11 @@
 	<-time.After(10 * time.Second)
 	asked := make(chan *fleet.Response, 1)
 	go func() { // it is in its queue as it goes on
-		told, _ := call(t.Context(), g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, Alive: &replica.Alive{Session: session}})
+		told, _ := call(t.Context(), g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, KeepAlive: &replica.KeepAlive{Session: session}})
 		asked <- told
 	}()
 	g.All[leader].Continue()
-	if told := peertest.Wait(t, asked); told != nil && told.Alive {
+	if told := peertest.Wait(t, asked); told != nil && told.SessionAlive {
 		t.Error("it says yes")
 	}
 	if !next.Valid() {
--- a/cmd/petrelhook-coordinator/main.go
+++ b/cmd/petrelhook-coordinator/main.go
@@ -33,9 +33,9 @@
 			case (path == "") == (data == ""):
 				return errors.New("write --config FILE, or --data FOLDER for the one coordinator of this machine")
 			case path != "":
-				c, err = fleet.Read(path)
+				c, err = fleet.ReadConfig(path)
 			default:
-				c = fleet.Single(data, addr)
+				c = fleet.SingleConfig(data, addr)
 			}
 			if err != nil {
 				return command.Fail(err)
--- a/cmd/petrelhook-coordinator/share_test.go
+++ b/cmd/petrelhook-coordinator/share_test.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return told.Refused
+		return told.LimitError
 	}
 	other := l
 	other.Floor++
@@ -38,7 +38,7 @@
 			t.Errorf("%+v: %q", one, said)
 		}
 	}
-	if told, err := g.Ask(fleet.Request{Share: &replica.ShareRequest{Limit: "none", Request: share.AllocationRequest{Member: "m"}}}); err != nil || !strings.Contains(told.Refused, "no such limit") {
+	if told, err := g.Ask(fleet.Request{Share: &replica.ShareRequest{Limit: "none", Request: share.AllocationRequest{Member: "m"}}}); err != nil || !strings.Contains(told.LimitError, "no such limit") {
 		t.Error(err, told)
 	}
 	limit, _ := json.Marshal(l)
@@ -91,9 +91,9 @@
 		t.Error(said)
 	}
 	more("a lower limit", 4*l.Units)
-	told, err := g.Ask(fleet.Request{Limits: true})
-	if err != nil || len(told.Limits) != 1 || told.Limits[0].Limit != l || len(told.Limits[0].Members) != members || told.Limits[0].Out > 80 {
-		t.Errorf("%v: %+v", err, told.Limits)
+	told, err := g.Ask(fleet.Request{ListLimits: true})
+	if err != nil || len(told.LimitStatuses) != 1 || told.LimitStatuses[0].Limit != l || len(told.LimitStatuses[0].Members) != members || told.LimitStatuses[0].Outstanding > 80 {
+		t.Errorf("%v: %+v", err, told.LimitStatuses)
 	}
 	var at []lease.Instant
 	for i, p := range all {
--- a/cmd/petrelhookctl/fleet.go
+++ b/cmd/petrelhookctl/fleet.go
@@ -104,7 +104,7 @@
 			if err != nil || id == 0 {
 				return fmt.Errorf("%q: write an id from 1 on that was never used", args[0])
 			}
-			return a.changed(cmd, fleet.Request{Add: &replica.Member{ID: id, Addr: args[1]}})
+			return a.changed(cmd, fleet.Request{AddMember: &replica.Member{ID: id, Addr: args[1]}})
 		}}
 }
 
@@ -115,7 +115,7 @@
 			if err != nil || id == 0 {
 				return fmt.Errorf("%q: write the id of a coordinator", args[0])
 			}
-			return a.changed(cmd, fleet.Request{Remove: id})
+			return a.changed(cmd, fleet.Request{RemoveMember: id})
 		}}
 }
 
@@ -152,9 +152,9 @@
 			if config == "" {
 				return fmt.Errorf("--config: missing: the coordinator's settings")
 			}
-			c, err := fleet.Read(config)
+			c, err := fleet.ReadConfig(config)
 			if err == nil {
-				err = fleet.RestoreTo(c, args[0], lease.Token(above))
+				err = fleet.Restore(c, args[0], lease.Token(above))
 			}
 			if err != nil {
 				return runError{err}
--- a/cmd/petrelhookctl/lease.go
+++ b/cmd/petrelhookctl/lease.go
@@ -58,7 +58,7 @@
 	}
 	ctx, cancel := context.WithTimeout(cmd.Context(), a.within)
 	defer cancel()
-	told, err := o.Ask(ctx, in)
+	told, err := o.Call(ctx, in)
 	if err != nil {
 		return nil, runError{err}
 	}
@@ -84,14 +84,14 @@
 	list := func(use, short string, args cobra.PositionalArgs, show bool) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
 			prefix := strings.Join(args, "")
-			told, err := a.ask(cmd, fleet.Request{List: &prefix})
+			told, err := a.ask(cmd, fleet.Request{ListLeases: &prefix})
 			if err != nil {
 				return err
 			}
-			all := told.Holdings
+			all := told.Leases
 			if show {
 				all = nil
-				for _, h := range told.Holdings {
+				for _, h := range told.Leases {
 					if h.Name == prefix {
 						all = append(all, h)
 					}
@@ -112,7 +112,7 @@
 	return cmd
 }
 
-func writeHoldings(w *tabwriter.Writer, all []core.Holding, waiters bool) {
+func writeHoldings(w *tabwriter.Writer, all []core.Info, waiters bool) {
 	fmt.Fprintln(w, "LEASE\tHOLDER\tSESSION\tTOKEN\tTTL\tWAIT\t")
 	for _, h := range all {
 		more := ""
@@ -138,12 +138,12 @@
 			return runError{fmt.Errorf("%s: nobody holds it", args[0])}
 		}
 		for broken := told.Answer.Token; wait; {
-			told, err := a.ask(cmd, fleet.Request{List: &args[0]})
+			told, err := a.ask(cmd, fleet.Request{ListLeases: &args[0]})
 			if err != nil {
 				return err
 			}
 			held := false
-			for _, h := range told.Holdings {
+			for _, h := range told.Leases {
 				held = held || h.Name == args[0] && h.Token == broken
 			}
 			if !held {
--- a/cmd/petrelhookctl/lease_test.go
+++ b/cmd/petrelhookctl/lease_test.go
@@ -18,7 +18,7 @@
 func TestLeaseRun(t *testing.T) {
 	held := func(addr string) bool {
 		_, out, _ := call(t.Context(), "lease", "list", "--addrs", addr, "--output", "json")
-		var all []core.Holding
+		var all []core.Info
 		return json.Unmarshal([]byte(out), &all) == nil && len(all) == 1
 	}
 	for name, c := range map[string]struct {
--- a/cmd/petrelhookctl/revision.go
+++ b/cmd/petrelhookctl/revision.go
@@ -78,7 +78,7 @@
 	for late := false; ; {
 		of, all := o.InForce(cmd.Context(), service)
 		s := of[service]
-		if done := s.Newest >= revision && s.Known > 0 && s.InForce == s.Known; done || late {
+		if done := s.Newest >= revision && s.Reported > 0 && s.InForce == s.Reported; done || late {
 			err := a.printSummary(cmd, s, all)
 			if err == nil && !done {
 				err = errBad
@@ -111,7 +111,7 @@
 				if err := a.printSummary(cmd, s, all); err != nil {
 					return err
 				}
-				if s.InForce != s.Known {
+				if s.InForce != s.Reported {
 					return errBad
 				}
 				return nil
@@ -130,14 +130,14 @@
 	behind := false
 	for _, service := range slices.Sorted(maps.Keys(of)) {
 		s := of[service]
-		behind = behind || s.InForce != s.Known
+		behind = behind || s.InForce != s.Reported
 		s.Members = nil
 		all = append(all, s)
 	}
 	err := a.print(cmd, all, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "SERVICE\tREVISION\tIN FORCE\tDIGEST")
 		for _, s := range all {
-			fmt.Fprintf(w, "%s\t%d\t%d of %d\t%.12s\n", s.Service, s.Newest, s.InForce, s.Known, s.Digest)
+			fmt.Fprintf(w, "%s\t%d\t%d of %d\t%.12s\n", s.Service, s.Newest, s.InForce, s.Reported, s.Digest)
 		}
 		printCoordinators(w, coordinators)
 	})
@@ -148,7 +148,7 @@
 }
 
 // printCoordinators prints those that can't tell.
-func printCoordinators(w *tabwriter.Writer, all []fleet.Summarized) {
+func printCoordinators(w *tabwriter.Writer, all []fleet.CoordinatorSummary) {
 	for _, c := range all {
 		switch {
 		case c.Err != nil:
@@ -160,18 +160,18 @@
 }
 
 // printSummary prints how a service stands: the sum, and those where the newest is not in force.
-func (a *asking) printSummary(cmd *cobra.Command, s distribute.Summary, all []fleet.Summarized) error {
+func (a *asking) printSummary(cmd *cobra.Command, s distribute.Summary, all []fleet.CoordinatorSummary) error {
 	return a.print(cmd, s, func(w *tabwriter.Writer) {
-		fmt.Fprintf(w, "%s\trevision %d\tin force at %d of %d\n", s.Service, s.Newest, s.InForce, s.Known)
+		fmt.Fprintf(w, "%s\trevision %d\tin force at %d of %d\n", s.Service, s.Newest, s.InForce, s.Reported)
 		for _, m := range s.Members {
 			if m.InForce == s.Newest {
 				continue
 			}
-			why := m.Why
+			why := m.Reason
 			if m.InForce > s.Newest {
 				why = "it holds what these coordinators have forgotten; publish once more"
 			}
-			fmt.Fprintf(w, "  %s\trevision %d\theard %v ago\t%s\n", m.Sidecar, m.InForce, m.Ago.Round(100*time.Millisecond), why)
+			fmt.Fprintf(w, "  %s\trevision %d\theard %v ago\t%s\n", m.Sidecar, m.InForce, m.Age.Round(100*time.Millisecond), why)
 		}
 		printCoordinators(w, all)
 	})
--- a/cmd/petrelhookctl/rollout_run.go
+++ b/cmd/petrelhookctl/rollout_run.go
@@ -49,7 +49,7 @@
 
 // change asks for an application's changes, with what the stages of the last one were counted to have done or without.
 func (a *asking) change(cmd *cobra.Command, application string, results bool) (*rollout.Application, error) {
-	told, err := a.ask(cmd, fleet.Request{Changes: &application, Results: results})
+	told, err := a.ask(cmd, fleet.Request{Changes: &application, StageResults: results})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/petrelhookctl/rollout_run_test.go
+++ b/cmd/petrelhookctl/rollout_run_test.go
@@ -20,7 +20,7 @@
 	start := &rollout.Start{Plan: rollout.Plan{Application: "permits", From: "old", To: "new", AtOnce: 1, Unavailable: 1, Patience: time.Hour,
 		Stages: []rollout.Stage{{Select: rollout.Select{Share: 1}}}}, Members: []rollout.Member{{Name: "n0"}}, Now: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
 	begin := func() {
-		told, err := (&fleet.Operator{Addrs: []string{addr}}).Ask(t.Context(), fleet.Request{Rollout: &rollout.Command{Application: "permits", Change: "c1", Start: start}})
+		told, err := (&fleet.Operator{Addrs: []string{addr}}).Call(t.Context(), fleet.Request{Rollout: &rollout.Command{Application: "permits", Change: "c1", Start: start}})
 		if err != nil || told.Rollout.Err != "" {
 			t.Fatal(err, told)
 		}
@@ -101,7 +101,7 @@
 	} {
 		if c.args == "" {
 			peertest.Eventually(t, "a part is given", func() bool {
-				told, err := o.Ask(t.Context(), fleet.Request{Share: &replica.ShareRequest{Limit: "probes", Request: share.AllocationRequest{Member: "m1", Demand: 5}}})
+				told, err := o.Call(t.Context(), fleet.Request{Share: &replica.ShareRequest{Limit: "probes", Request: share.AllocationRequest{Member: "m1", Demand: 5}}})
 				return err == nil && told.Share.Units > 0
 			})
 			continue
--- a/cmd/petrelhookctl/share.go
+++ b/cmd/petrelhookctl/share.go
@@ -29,8 +29,8 @@
 				return l.Check()
 			}
 			told, err := a.ask(cmd, fleet.Request{Limit: &share.Command{Set: l}})
-			if err == nil && told.Refused != "" {
-				err = runError{errors.New(told.Refused)}
+			if err == nil && told.LimitError != "" {
+				err = runError{errors.New(told.LimitError)}
 			}
 			return err
 		},
@@ -48,23 +48,23 @@
 	cmd := &cobra.Command{
 		Use: "list", Args: cobra.NoArgs, Short: "All limits: what is out, and who has what, wants what and is due what",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			told, err := a.ask(cmd, fleet.Request{Limits: true})
+			told, err := a.ask(cmd, fleet.Request{ListLimits: true})
 			if err != nil {
 				return err
 			}
-			return a.print(cmd, told.Limits, func(w *tabwriter.Writer) {
-				for _, s := range told.Limits {
+			return a.print(cmd, told.LimitStatuses, func(w *tabwriter.Writer) {
+				for _, s := range told.LimitStatuses {
 					l, waits := s.Limit, ""
-					if s.Waits {
+					if s.Starting {
 						waits = "nothing is given yet: the leader is new"
 					}
-					fmt.Fprintf(w, "%s\t%d of %d out a period of %v\tfloor %d for %d members\t%s\n", l.Name, s.Out, l.Units, l.Period, l.Floor, l.Members, waits)
+					fmt.Fprintf(w, "%s\t%d of %d out a period of %v\tfloor %d for %d members\t%s\n", l.Name, s.Outstanding, l.Units, l.Period, l.Floor, l.Members, waits)
 					for _, m := range s.Members {
 						alone := 0.0 // what it has without a word of anybody
 						if l.Members > 0 {
 							alone = float64(l.Floor) / float64(l.Members)
 						}
-						fmt.Fprintf(w, "\t%s\thas %d, wants %d, is due %.2f a period\tweight %g, alone %.2f\n", m.Name, m.Out, m.Want, m.Fair, m.Weight, alone)
+						fmt.Fprintf(w, "\t%s\thas %d, wants %d, is due %.2f a period\tweight %g, alone %.2f\n", m.Name, m.Outstanding, m.Demand, m.FairShare, m.Weight, alone)
 					}
 				}
 			})
--- a/internal/coordination/agent/configuration.go
+++ b/internal/coordination/agent/configuration.go
@@ -195,13 +195,13 @@
 func (s *Sidecar) Report(name string) distribute.Report {
 	r := distribute.Report{Sidecar: name, InForce: s.InForce}
 	if s.Refused > s.InForce {
-		r.Refused, r.Why = s.Refused, s.Why
+		r.Refused, r.Reason = s.Refused, s.Why
 	}
 	if s.pending() {
-		r.Why = s.waits()
+		r.Reason = s.waits()
 	}
-	r.Why = strings.ReplaceAll(r.Why, "\n", " ")
-	r.Why = strings.ToValidUTF8(r.Why[:min(len(r.Why), distribute.MaxWhy)], "")
+	r.Reason = strings.ReplaceAll(r.Reason, "\n", " ")
+	r.Reason = strings.ToValidUTF8(r.Reason[:min(len(r.Reason), distribute.MaxReasonBytes)], "")
 	return r
 }
 
--- a/internal/coordination/agent/configuration_test.go
+++ b/internal/coordination/agent/configuration_test.go
@@ -184,7 +184,7 @@
 func (w *site) stands(what string, inForce, refused distribute.Revision, why string) {
 	w.t.Helper()
 	r := w.s.Report("n0")
-	if r.InForce != inForce || r.Refused != refused || !strings.Contains(r.Why, why) || why == "" && r.Why != "" ||
+	if r.InForce != inForce || r.Refused != refused || !strings.Contains(r.Reason, why) || why == "" && r.Reason != "" ||
 		len(w.alive) != 1 || w.runs[w.alive[0].PID] != inForce || w.s.Phase != Idle {
 		w.t.Errorf("%s: %+v, %v, processes %v run %v", what, r, w.s.Phase, w.alive, w.runs)
 	}
@@ -243,7 +243,7 @@
 	w := newSite(t)
 	w.publish(good)
 	w.pass(4 * time.Second)
-	if r := w.s.Report("n0"); r.InForce != 0 || r.Why != "its process is on trial" || len(w.alive) != 2 {
+	if r := w.s.Report("n0"); r.InForce != 0 || r.Reason != "its process is on trial" || len(w.alive) != 2 {
 		t.Errorf("%+v, %v", r, w.alive)
 	}
 	before := w.alive[0]
@@ -258,7 +258,7 @@
 		w.s.Tick(w.now)
 	}
 	w.s.Answered(w.now, before, true)
-	if r := w.s.Report("n0"); r.InForce != 0 || r.Why != "the process before ends" {
+	if r := w.s.Report("n0"); r.InForce != 0 || r.Reason != "the process before ends" {
 		t.Errorf("%+v", r)
 	}
 	w.s.Answered(w.now, w.alive[1], false)
@@ -268,7 +268,7 @@
 	}
 	w.s.Answered(w.now, w.alive[1], true)
 	w.s.Answered(w.now, before, false)
-	if r := w.s.Report("n0"); r.InForce != 1 || r.Why != "" || w.s.Phase != Ending {
+	if r := w.s.Report("n0"); r.InForce != 1 || r.Reason != "" || w.s.Phase != Ending {
 		t.Errorf("%+v", r)
 	}
 	w.do(w.s.Died(w.now, w.alive[1], "")) // what is in force stays so
@@ -293,7 +293,7 @@
 	w.publish(good)
 	w.s.Want(2) // late
 	w.pass(time.Second)
-	if r := w.s.Report("n0"); r.Why != "revision 1 is on its way in" {
+	if r := w.s.Report("n0"); r.Reason != "revision 1 is on its way in" {
 		t.Errorf("%+v", r)
 	}
 	w.pass(30 * time.Second)
@@ -338,7 +338,7 @@
 	if w.s.InForce != 1 || w.s.Order != 1 || w.s.Trying != 0 {
 		t.Errorf("%+v", w.s.PersistedState)
 	}
-	if r := w.s.Report("n0"); r.Why != "order 1 of a rollout goes on" {
+	if r := w.s.Report("n0"); r.Reason != "order 1 of a rollout goes on" {
 		t.Errorf("%+v", r)
 	}
 	w.pass(30 * time.Second)
@@ -356,7 +356,7 @@
 	w.deaf = true
 	w.publish(live)
 	w.pass(8 * time.Second)
-	if r := w.s.Report("n0"); r.InForce != 2 || r.Why != "the process that serves was told to read it" {
+	if r := w.s.Report("n0"); r.InForce != 2 || r.Reason != "the process that serves was told to read it" {
 		t.Errorf("%+v", r)
 	}
 	w.deaf = false
@@ -413,7 +413,7 @@
 		t.Fatalf("%+v", todo)
 	}
 	w.s.Told(w.now, *todo[0].Reload, "", errors.New("no room"))
-	if r := w.s.Report("n0"); r.Why != "no room" || r.Refused != 0 {
+	if r := w.s.Report("n0"); r.Reason != "no room" || r.Refused != 0 {
 		t.Errorf("%+v", r)
 	}
 	w.pass(5 * time.Second)
@@ -426,7 +426,7 @@
 		t.Fatalf("%+v", todo)
 	}
 	w.do(w.s.NotBegun(w.now, "no process"))
-	if r := w.s.Report("n0"); r.Why != "no process" || r.Refused != 0 || w.s.Failed != "" {
+	if r := w.s.Report("n0"); r.Reason != "no process" || r.Refused != 0 || w.s.Failed != "" {
 		t.Errorf("%+v", r)
 	}
 	w.pass(20 * time.Second)
--- a/internal/coordination/capacity/assume_test.go
+++ b/internal/coordination/capacity/assume_test.go
@@ -94,10 +94,10 @@
 	a := theAssumptions(t)
 	for name, want := range map[string]float64{
 		"limits.max_message": fleet.MaxMessage, "limits.max_content": distribute.MaxContent,
-		"limits.max_total":    distribute.MaxTotal,
+		"limits.max_total":    distribute.MaxTotalContent,
 		"limits.max_services": distribute.MaxServices,
 		"limits.max_reports":  distribute.MaxReports,
-		"limits.max_ask":      constant(t, "../fleet/rpc.go", "maxAsk"),
+		"limits.max_ask":      constant(t, "../fleet/rpc.go", "maxRequest"),
 		"limits.max_waiting":  constant(t, "../replica/core.go", "maxWaiting"),
 		"limits.max_list":     constant(t, "../../sidecar/member/discovery/discovery.go", "maxMessage"),
 		"limits.repeat_share": constant(t, "../../../balance/parameters.go", "repeatShare"),
@@ -107,12 +107,12 @@
 			t.Errorf("%s: %v in the file, %v in the code", name, got, want)
 		}
 	}
-	o := distribute.DefaultSubscriber("s", "m", 3, func(n int64) int64 { return n / 2 })
+	o := distribute.DefaultSubscriberOptions("s", "m", 3, func(n int64) int64 { return n / 2 })
 	// each is drawn from 3/4 of it to the whole
-	if got, want := a.Get("periods.watch_hold"), o.Hold.Seconds()*7/8; got != want {
+	if got, want := a.Get("periods.watch_hold"), o.MaxWait.Seconds()*7/8; got != want {
 		t.Errorf("periods.watch_hold: %v in the file, %v in the code", got, want)
 	}
-	if got, want := a.Get("periods.back_within"), o.Spread.Seconds(); got != want {
+	if got, want := a.Get("periods.back_within"), o.ReconnectWindow.Seconds(); got != want {
 		t.Errorf("periods.back_within: %v in the file, %v in the code", got, want)
 	}
 }
--- a/internal/coordination/distribute/agents_test.go
+++ b/internal/coordination/distribute/agents_test.go
@@ -28,7 +28,7 @@
 
 // wake begins the next call when it is due.
 func (s *sub) wake() {
-	at, ok := s.Due()
+	at, ok := s.NextCallAt()
 	if !ok {
 		return
 	}
@@ -40,10 +40,10 @@
 		}
 		s.w.asks[asked{int(s.w.now / simCount), s.why}]++
 		c := &call{sub: s, call: s.Begin(s.w.now)}
-		c.mark, c.call.Watch.Reports = s.outbox.Mark(), s.outbox.For(c.call.Server)
+		c.mark, c.call.Watch.Reports = s.outbox.Sequence(), s.outbox.Unacknowledged(c.call.Server)
 		s.calls = c
 		s.w.after(s.w.delay(), func() { s.w.nodes[c.call.Server].ask(c) })
-		s.w.after(c.call.GiveUp-s.w.now, c.failed)
+		s.w.after(c.call.Deadline-s.w.now, c.failed)
 	})
 }
 
@@ -75,14 +75,14 @@
 		return
 	}
 	if c.over { // late
-		before := s.Holds()
-		v, err := s.Take(told)
+		before := s.Revision()
+		v, err := s.Accept(told)
 		s.took(before, v, err)
 		return
 	}
 	c.end()
-	before := s.Holds()
-	s.outbox.Heard(c.call.Server, c.mark, told.ReportsReceived)
+	before := s.Revision()
+	s.outbox.Acknowledge(c.call.Server, c.mark, told.ReportsReceived)
 	v, err := s.Answered(s.w.now, told)
 	s.took(before, v, err)
 	switch {
@@ -100,8 +100,8 @@
 func (s *sub) took(before Revision, v *Version, err error) {
 	w := s.w
 	w.refused[err]++
-	if s.Holds() < before || v == nil && s.Holds() != before {
-		w.t.Errorf("%v: %s had %d and has %d", w.now, s.name, before, s.Holds())
+	if s.Revision() < before || v == nil && s.Revision() != before {
+		w.t.Errorf("%v: %s had %d and has %d", w.now, s.name, before, s.Revision())
 	}
 	if v == nil {
 		return
@@ -111,10 +111,10 @@
 	for _, c := range w.history[s.service] {
 		whole = whole || c.Revision == v.Revision && c.Service == v.Service && string(c.Content) == string(v.Content)
 	}
-	if !whole || v.Revision <= before || v.Revision != s.Holds() {
+	if !whole || v.Revision <= before || v.Revision != s.Revision() {
 		w.t.Errorf("%v: %s had %d of %s and took %+v", w.now, s.name, before, s.service, v)
 	}
 	w.after(w.between(10*time.Millisecond, 500*time.Millisecond), func() {
-		s.outbox.Set(Report{Sidecar: "sidecar-" + s.name, InForce: s.Holds()})
+		s.outbox.Set(Report{Sidecar: "sidecar-" + s.name, InForce: s.Revision()})
 	})
 }
--- a/internal/coordination/distribute/command.go
+++ b/internal/coordination/distribute/command.go
@@ -42,8 +42,8 @@
 
 // checkName is the rule for names of services, members and sidecars.
 func checkName(field, name string) error {
-	if len(name) < 1 || len(name) > MaxName {
-		return fmt.Errorf("%s: %d bytes; write 1 to %d", field, len(name), MaxName)
+	if len(name) < 1 || len(name) > MaxNameBytes {
+		return fmt.Errorf("%s: %d bytes; write 1 to %d", field, len(name), MaxNameBytes)
 	}
 	for i := range len(name) {
 		if name[i] <= ' ' || name[i] > '~' {
--- a/internal/coordination/distribute/distribute.go
+++ b/internal/coordination/distribute/distribute.go
@@ -26,11 +26,11 @@
 
 // Bounds.
 const (
-	MaxContent  = 64 << 10 // bytes of a version's content
-	MaxServices = 10_000
-	MaxName     = 128 // bytes of a service's or a sidecar's name
-	MaxReports  = 256 // in one watch: sidecars of one machine
-	MaxWhy      = 512 // bytes of a report's reason
+	MaxContent     = 64 << 10 // bytes of a version's content
+	MaxServices    = 10_000
+	MaxNameBytes   = 128 // bytes of a service's or a sidecar's name
+	MaxReports     = 256 // in one watch: sidecars of one machine
+	MaxReasonBytes = 512 // bytes of a report's reason
 )
 
 // Version is one service's configuration: a JSON object whose fields go over those of the release that a sidecar runs.
@@ -51,9 +51,9 @@
 
 // What a version may be refused for.
 var (
-	ErrOlder   = errors.New("it is not newer than the one that is held")
-	ErrForeign = errors.New("it is of another service")
-	ErrBroken  = errors.New("its content does not have its digest")
+	ErrNotNewer       = errors.New("it is not newer than the one that is held")
+	ErrWrongService   = errors.New("it is of another service")
+	ErrDigestMismatch = errors.New("its content does not have its digest")
 )
 
 // Command is an entry of the replicated log: a service gets a version. It is accepted only where the service's newest has revision
@@ -103,7 +103,7 @@
 	Sidecar string   `json:"sidecar"`
 	InForce Revision `json:"in_force"`          // 0: only what its release says
 	Refused Revision `json:"refused,omitempty"` // the newest one that was not put in force, for good
-	Why     string   `json:"why,omitempty"`     // and why, or what the newest waits for
+	Reason  string   `json:"why,omitempty"`     // and why, or what the newest waits for
 }
 
 // WatchResponse is the answer to a watch. Newer is nil where nothing came in time.
@@ -127,18 +127,18 @@
 
 // Summary is of one service.
 type Summary struct {
-	Service string          `json:"service"`
-	Newest  Revision        `json:"newest"`
-	Digest  string          `json:"digest,omitempty"`
-	InForce int             `json:"in_force"` // sidecars that run the newest
-	Known   int             `json:"known"`    // sidecars that were heard of here
-	Ahead   Revision        `json:"ahead,omitempty"`
-	Members []SidecarReport `json:"members,omitempty"` // each sidecar: one that moved has been heard at several coordinators
+	Service  string          `json:"service"`
+	Newest   Revision        `json:"newest"`
+	Digest   string          `json:"digest,omitempty"`
+	InForce  int             `json:"in_force"` // sidecars that run the newest
+	Reported int             `json:"known"`    // sidecars that were heard of here
+	Ahead    Revision        `json:"ahead,omitempty"`
+	Members  []SidecarReport `json:"members,omitempty"` // each sidecar: one that moved has been heard at several coordinators
 }
 
 // SidecarReport is a sidecar's last report at this coordinator, and how long ago its agent spoke.
 type SidecarReport struct {
 	Report
 	Member string        `json:"member"`
-	Ago    time.Duration `json:"ago_ns"`
+	Age    time.Duration `json:"ago_ns"`
 }
--- a/internal/coordination/distribute/distribute_test.go
+++ b/internal/coordination/distribute/distribute_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-var simOptions = DefaultSubscriber("", "", 3, nil)
+var simOptions = DefaultSubscriberOptions("", "", 3, nil)
 
 // One miss: a call that is not answered, and the pause after it.
-var simMiss = simOptions.Hold + simOptions.Answer + simOptions.Most
+var simMiss = simOptions.MaxWait + simOptions.ResponseTimeout + simOptions.MaxBackoff
 
 // A version is with all after a second without faults; after two misses, with one coordinator at a time away,
 // stopped or cut off, and some answers lost, late, doubled and broken; and after one miss, and a second, when
@@ -62,26 +62,26 @@
 			end := w.now + simMiss + time.Second
 			w.run(end)
 			for _, s := range w.subs {
-				if v, _ := w.truth.Newest(s.service); s.Holds() != v.Revision {
-					t.Errorf("%s holds %d of %s, of which %d is the newest", s.name, s.Holds(), s.service, v.Revision)
+				if v, _ := w.truth.Newest(s.service); s.Revision() != v.Revision {
+					t.Errorf("%s holds %d of %s, of which %d is the newest", s.name, s.Revision(), s.service, v.Revision)
 				}
 			}
 			// What all say is known where they ask, and comes together to what is so.
-			w.run(end + 3*simOptions.Hold)
+			w.run(end + 3*simOptions.MaxWait)
 			for i := range 40 {
 				name := fmt.Sprint("service-", i)
 				v, _ := w.truth.Newest(name)
 				var all []Summary
 				for _, n := range w.nodes {
-					all = append(all, n.sums.Of(w.now, name, v))
+					all = append(all, n.sums.Summary(w.now, name, v))
 				}
 				known := (500 + 39 - i) / 40
-				if sum := Merge(all); sum.Known != known || sum.InForce != known || sum.Ahead != 0 || sum.Newest != v.Revision {
+				if sum := Merge(all); sum.Reported != known || sum.InForce != known || sum.Ahead != 0 || sum.Newest != v.Revision {
 					t.Errorf("%d subscribers: %+v", known, sum)
 				}
 			}
 			for _, s := range w.subs {
-				if n := w.nodes[s.calls.call.Server]; !n.sums.Knows(s.service, s.name) {
+				if n := w.nodes[s.calls.call.Server]; !n.sums.HasReports(s.service, s.name) {
 					t.Errorf("%s's coordinator does not know its reports", s.name)
 				}
 			}
@@ -141,12 +141,12 @@
 		at := time.Duration(a.window) * simCount
 		switch a.kind {
 		case "return":
-			if most = max(most, count); count > bound(simOptions.Spread) {
-				t.Errorf("%v: %d come back in %v; %d are the most", at, count, simCount, bound(simOptions.Spread))
+			if most = max(most, count); count > bound(simOptions.ReconnectWindow) {
+				t.Errorf("%v: %d come back in %v; %d are the most", at, count, simCount, bound(simOptions.ReconnectWindow))
 			}
 		case "hold":
-			if count > bound(simOptions.Hold/4) {
-				t.Errorf("%v: %d ask again in %v; %d are the most", at, count, simCount, bound(simOptions.Hold/4))
+			if count > bound(simOptions.MaxWait/4) {
+				t.Errorf("%v: %d ask again in %v; %d are the most", at, count, simCount, bound(simOptions.MaxWait/4))
 			}
 		}
 	}
@@ -201,10 +201,10 @@
 		s.Failed(w.now) // its connection is gone
 		s.wake()
 	}
-	w.run(w.now + simOptions.Spread + time.Second)
+	w.run(w.now + simOptions.ReconnectWindow + time.Second)
 	for _, s := range w.subs[:20] {
-		if v, _ := w.truth.Newest(s.service); s.Holds() != v.Revision || s.told != 1 {
-			t.Errorf("%s holds %d of %d and was told %d versions", s.name, s.Holds(), v.Revision, s.told)
+		if v, _ := w.truth.Newest(s.service); s.Revision() != v.Revision || s.told != 1 {
+			t.Errorf("%s holds %d of %d and was told %d versions", s.name, s.Revision(), v.Revision, s.told)
 		}
 	}
 }
--- a/internal/coordination/distribute/register.go
+++ b/internal/coordination/distribute/register.go
@@ -9,12 +9,12 @@
 
 // More bounds.
 const (
-	// MaxTotal bounds the contents of all newest versions together, in bytes: a snapshot, with the rest of what it
+	// MaxTotalContent bounds the contents of all newest versions together, in bytes: a snapshot, with the rest of what it
 	// holds, has to stay below 64 MiB.
-	MaxTotal = 24 << 20
-	// MaxLeap bounds how far a command's Above may be over the last revision: one slip of the hand must not use up
+	MaxTotalContent = 24 << 20
+	// MaxRevisionSkip bounds how far a command's Above may be over the last revision: one slip of the hand must not use up
 	// the numbers.
-	MaxLeap = 1 << 32
+	MaxRevisionSkip = 1 << 32
 )
 
 // Register is the newest version of each service, as the log makes it. Equal logs make equal registers.
@@ -46,13 +46,13 @@
 	case c.After != newest.Revision:
 		return refuse("after: the newest of service %s is revision %d, not %d: another was published meanwhile; "+
 			"look at it and write after: %d", c.Service, newest.Revision, c.After, newest.Revision)
-	case c.Above > r.last && c.Above-r.last > MaxLeap:
+	case c.Above > r.last && c.Above-r.last > MaxRevisionSkip:
 		return refuse("above: %d is more than %d over the last revision, %d; write the largest one that a sidecar holds",
-			c.Above, uint64(MaxLeap), r.last)
+			c.Above, uint64(MaxRevisionSkip), r.last)
 	case !known && len(r.all) >= MaxServices:
 		return refuse("service: there are %d services already, which is the most", MaxServices)
-	case size > MaxTotal:
-		return refuse("content: all contents would be %d bytes together; at most %d are held", size, MaxTotal)
+	case size > MaxTotalContent:
+		return refuse("content: all contents would be %d bytes together; at most %d are held", size, MaxTotalContent)
 	}
 	r.last, r.size = max(r.last, c.Above)+1, size
 	r.all[c.Service] = Version{c.Service, r.last, digest, content, c.StepsDone}
@@ -135,8 +135,8 @@
 		given[v.Revision], r.all[v.Service] = v.Service, v
 		r.size += len(v.Content)
 	}
-	if r.size > MaxTotal {
-		return nil, fmt.Errorf("versions: contents of %d bytes together; %d are the most", r.size, MaxTotal)
+	if r.size > MaxTotalContent {
+		return nil, fmt.Errorf("versions: contents of %d bytes together; %d are the most", r.size, MaxTotalContent)
 	}
 	r.last = s.Last
 	return r, nil
@@ -153,7 +153,7 @@
 	case len(v.Content) == 0 || len(v.Content) > MaxContent:
 		return fmt.Errorf("content: %d bytes; 1 to %d are held", len(v.Content), MaxContent)
 	case v.Digest != Digest(v.Content):
-		return fmt.Errorf("content: %w", ErrBroken)
+		return fmt.Errorf("content: %w", ErrDigestMismatch)
 	}
 	return nil
 }
--- a/internal/coordination/distribute/register_test.go
+++ b/internal/coordination/distribute/register_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestCommandsAreChecked(t *testing.T) {
-	long := strings.Repeat("x", MaxName)
+	long := strings.Repeat("x", MaxNameBytes)
 	full := `{"a":"` + strings.Repeat("x", MaxContent-8) + `"}`
 	for _, c := range []struct{ service, content, want string }{
 		{"payments", `{}`, ""},
@@ -73,11 +73,11 @@
 		{"b", 2, 10, `{"n":1}`, 11, ""},
 		{"b", 2, 11, `{"n":1}`, 11, "after:"},
 		{"a", 4, 11, `{"n":3}`, 12, ""},
-		{"a", 12, 12 + MaxLeap + 1, `{"n":4}`, 12,
+		{"a", 12, 12 + MaxRevisionSkip + 1, `{"n":4}`, 12,
 			"above: 4294967309 is more than 4294967296 over the last revision, 12; write the largest one"},
-		{"a", 12, 12 + MaxLeap, `{"n":4}`, 13 + MaxLeap, ""},
-		{"a", 13 + MaxLeap, 1<<64 - 1, `{"n":5}`, 13 + MaxLeap, "above:"},
-		{"a", 13 + MaxLeap, 0, `{"n":`, 13 + MaxLeap, "content: it is no JSON; write a JSON object"},
+		{"a", 12, 12 + MaxRevisionSkip, `{"n":4}`, 13 + MaxRevisionSkip, ""},
+		{"a", 13 + MaxRevisionSkip, 1<<64 - 1, `{"n":5}`, 13 + MaxRevisionSkip, "above:"},
+		{"a", 13 + MaxRevisionSkip, 0, `{"n":`, 13 + MaxRevisionSkip, "content: it is no JSON; write a JSON object"},
 	} {
 		was := r.Snapshot()
 		got := r.Apply(Command{c.service, c.after, c.above, json.RawMessage(c.content), false})
@@ -101,7 +101,7 @@
 	if v, _ := r.Newest("a"); v.Content == nil {
 		t.Error("Services took the content away")
 	}
-	if r.Bytes() != 14 || r.Last() != 13+MaxLeap {
+	if r.Bytes() != 14 || r.Last() != 13+MaxRevisionSkip {
 		t.Errorf("%d bytes, last %d", r.Bytes(), r.Last())
 	}
 }
@@ -123,7 +123,7 @@
 
 	r = NewRegister()
 	full := []byte(`{"a":"` + strings.Repeat("x", MaxContent-8) + `"}`)
-	for i := range MaxTotal / MaxContent {
+	for i := range MaxTotalContent / MaxContent {
 		if a := r.Apply(Command{Service: fmt.Sprint(i), Content: full}); a.Refused != "" {
 			t.Fatal(a)
 		}
@@ -136,7 +136,7 @@
 	if len(text) > 32<<20 {
 		t.Errorf("a snapshot of %d bytes", len(text))
 	}
-	if again, err := RestoreRegister(text); err != nil || again.Bytes() != MaxTotal {
+	if again, err := RestoreRegister(text); err != nil || again.Bytes() != MaxTotalContent {
 		t.Errorf("%v", err)
 	}
 	if a := r.Apply(Command{Service: "0", After: 1, Content: []byte(`{}`)}); a.Refused != "" { // room again
@@ -163,7 +163,7 @@
 		{`{"last":2,"all":[` + good + `]}`, `versions: service "a" has revision 3, above the last one, 2`},
 		{`{"last":7,"all":[` + good + `,` + one("a", 4, `{}`, `{}`) + `]}`, `versions: service "a" is there twice`},
 		{`{"last":7,"all":[` + good + `,` + one("b", 3, `{}`, `{}`) + `]}`, `services "a" and "b" have the one revision 3`},
-		{`{"last":7,"all":[` + one("a", 3, `{"n":2}`, `{"n":1}`) + `]}`, `"a": content: ` + ErrBroken.Error()},
+		{`{"last":7,"all":[` + one("a", 3, `{"n":2}`, `{"n":1}`) + `]}`, `"a": content: ` + ErrDigestMismatch.Error()},
 		{`{"last":7,"all":[` + one("a", 0, `{}`, `{}`) + `]}`, "revision: 0"},
 		{`{"last":7,"all":[` + one("", 1, `{}`, `{}`) + `]}`, "service: 0 bytes"},
 		{`{"last":7,"all":[` + one("a", 1, big, big) + `]}`, "content: 65544 bytes; 1 to 65536 are held"},
@@ -181,7 +181,7 @@
 	}
 	var all []string
 	full := `{"a":"` + strings.Repeat("x", MaxContent-8) + `"}`
-	for i := range MaxTotal/MaxContent + 1 {
+	for i := range MaxTotalContent/MaxContent + 1 {
 		all = append(all, one(fmt.Sprint(i), Revision(i+1), full, full))
 	}
 	if _, err := RestoreRegister([]byte(`{"last":999,"all":[` + strings.Join(all, ",") + `]}`)); err == nil ||
--- a/internal/coordination/distribute/reports.go
+++ b/internal/coordination/distribute/reports.go
@@ -25,11 +25,11 @@
 	o.mark++
 }
 
-// Mark names the state that For gives now: it is for Heard, when the call is answered.
-func (o *Outbox) Mark() uint64 { return o.mark }
+// Sequence names the state that For gives now: it is for Heard, when the call is answered.
+func (o *Outbox) Sequence() uint64 { return o.mark }
 
-// For is all reports, by name, where a coordinator may lack one of them as it is now; else nil.
-func (o *Outbox) For(server int) []Report {
+// Unacknowledged is all reports, by name, where a coordinator may lack one of them as it is now; else nil.
+func (o *Outbox) Unacknowledged(server int) []Report {
 	if o.mark == o.heard[server] {
 		return nil
 	}
@@ -40,9 +40,9 @@
 	return all
 }
 
-// Heard takes in the answer to a call that was begun at that mark. Where the coordinator has no reports, as one
+// Acknowledge takes in the answer to a call that was begun at that mark. Where the coordinator has no reports, as one
 // that was begun anew, it gets all again; what was set since the mark is still to be told.
-func (o *Outbox) Heard(server int, mark uint64, has bool) {
+func (o *Outbox) Acknowledge(server int, mark uint64, has bool) {
 	switch {
 	case !has:
 		delete(o.heard, server)
--- a/internal/coordination/distribute/simulation_test.go
+++ b/internal/coordination/distribute/simulation_test.go
@@ -83,7 +83,7 @@
 	}
 	for i := range subs {
 		s := &sub{w: w, service: fmt.Sprintf("service-%d", i%services), name: fmt.Sprintf("agent-%d", i), why: "return"}
-		s.Subscriber = NewSubscriber(DefaultSubscriber(s.service, s.name, nodes, w.rnd.Int64N), 0, 0)
+		s.Subscriber = NewSubscriber(DefaultSubscriberOptions(s.service, s.name, nodes, w.rnd.Int64N), 0, 0)
 		s.outbox.Set(Report{Sidecar: "sidecar-" + s.name})
 		w.subs = append(w.subs, s)
 		s.wake()
@@ -143,8 +143,8 @@
 			return
 		}
 		for _, s := range w.subs {
-			if s.service == service && s.Holds() < r && !s.asleep {
-				w.t.Errorf("%v: %s holds %d of %s; %d was published %v ago", w.now, s.name, s.Holds(), service, r, in)
+			if s.service == service && s.Revision() < r && !s.asleep {
+				w.t.Errorf("%v: %s holds %d of %s; %d was published %v ago", w.now, s.name, s.Revision(), service, r, in)
 			}
 		}
 	})
@@ -166,7 +166,7 @@
 	reg     *Register
 	applied int
 	watches *Watches
-	sums    *Sums
+	sums    *ReportTable
 	up      bool
 	stopped bool
 	cut     bool // from the leader: it gets no entries, and no word
@@ -187,7 +187,7 @@
 func (n *node) begin() {
 	n.life++
 	n.watches = NewWatches(func(s string) (Version, bool) { return n.reg.Newest(s) }, simFresh)
-	n.sums, n.open, n.words, n.backlog = NewSums(), nil, nil, nil
+	n.sums, n.open, n.words, n.backlog = NewReportTable(), nil, nil, nil
 }
 
 // later does something at this process, after a delay and when it runs.
@@ -309,11 +309,11 @@
 			n.w.t.Errorf("%+v: %v", w, err)
 		}
 		if w.Reports != nil {
-			n.sums.Heard(n.w.now, w.Service, w.Member, w.Reports)
+			n.sums.SetReports(n.w.now, w.Service, w.Member, w.Reports)
 		}
-		n.sums.Spoke(n.w.now, w.Service, w.Member)
-		n.sums.Holds(w.Service, w.Member, w.Known)
-		c.cancel = n.watches.Ask(n.w.now, w, func(told WatchResponse, err error) { n.answer(c, told, err) })
+		n.sums.Touch(n.w.now, w.Service, w.Member)
+		n.sums.SetKnownRevision(w.Service, w.Member, w.Known)
+		c.cancel = n.watches.Add(n.w.now, w, func(told WatchResponse, err error) { n.answer(c, told, err) })
 	})
 }
 
@@ -340,7 +340,7 @@
 		w.t.Errorf("%v: %s is told that %d is the newest; %d was committed %v ago",
 			w.now, c.sub.name, known, least, simFresh)
 	}
-	told.ReportsReceived = n.sums.Knows(watch.Service, watch.Member)
+	told.ReportsReceived = n.sums.HasReports(watch.Service, watch.Member)
 	d := w.delay()
 	switch {
 	case w.chance(w.faulty):
--- a/internal/coordination/distribute/subscriber.go
+++ b/internal/coordination/distribute/subscriber.go
@@ -10,25 +10,25 @@
 
 	// Hold is the longest a call waits for something newer: each is drawn from 3/4 of it to the whole, so that none go
 	// in step.
-	Hold   time.Duration
-	Answer time.Duration // beyond the hold: then a call is given up
+	MaxWait         time.Duration
+	ResponseTimeout time.Duration // beyond the hold: then a call is given up
 	// Spread is the window that the first ask falls into, and the first after a coordinator was lost: N agents that
 	// lose one together are back at a rate of N/Spread in the mean.
-	Spread time.Duration
-	Most   time.Duration // the longest pause while nobody answers; at least twice Spread
+	ReconnectWindow time.Duration
+	MaxBackoff      time.Duration // the longest pause while nobody answers; at least twice Spread
 	// Stay is how long one coordinator is asked: after half to the whole of it another is drawn, so that load spreads
 	// again after restarts.
-	Stay time.Duration
+	RebalanceAfter time.Duration
 
 	Rand func(n int64) int64 // a random number from 0 up to n, n not included; n is above 0
 }
 
-// DefaultSubscriber are the options of an agent at so many coordinators.
-func DefaultSubscriber(service, member string, servers int, rand func(n int64) int64) SubscriberOptions {
+// DefaultSubscriberOptions are the options of an agent at so many coordinators.
+func DefaultSubscriberOptions(service, member string, servers int, rand func(n int64) int64) SubscriberOptions {
 	return SubscriberOptions{
 		Service: service, Member: member, Servers: servers, Rand: rand,
-		Hold: 5 * time.Second, Answer: 1500 * time.Millisecond,
-		Spread: 2 * time.Second, Most: 5 * time.Second, Stay: time.Minute,
+		MaxWait: 5 * time.Second, ResponseTimeout: 1500 * time.Millisecond,
+		ReconnectWindow: 2 * time.Second, MaxBackoff: 5 * time.Second, RebalanceAfter: time.Minute,
 	}
 }
 
@@ -54,15 +54,15 @@
 
 // Call is an ask.
 type Call struct {
-	Server int
-	Watch  Watch         // without Reports: the caller adds them
-	GiveUp time.Duration // the moment, not the time, at which the call has failed
+	Server   int
+	Watch    Watch         // without Reports: the caller adds them
+	Deadline time.Duration // the moment, not the time, at which the call has failed
 }
 
 // NewSubscriber is one that has a version, or none (0).
 func NewSubscriber(o SubscriberOptions, holds Revision, now time.Duration) *Subscriber {
 	s := &Subscriber{o: o, holds: holds, server: -1, lost: -1}
-	s.pause(now, o.Spread)
+	s.pause(now, o.ReconnectWindow)
 	return s
 }
 
@@ -80,8 +80,8 @@
 	return time.Duration(s.o.Rand(int64(d)))
 }
 
-// Due is when to begin the next call; false: one is out.
-func (s *Subscriber) Due() (at time.Duration, ok bool) { return s.at, !s.out }
+// NextCallAt is when to begin the next call; false: one is out.
+func (s *Subscriber) NextCallAt() (at time.Duration, ok bool) { return s.at, !s.out }
 
 // Begin is the next call. One that is out still is as good as failed: what comes of it is for Take.
 func (s *Subscriber) Begin(now time.Duration) Call {
@@ -90,14 +90,14 @@
 	}
 	if s.server < 0 {
 		s.server = s.other(s.lost)
-		s.until = now + s.o.Stay/2 + s.draw(s.o.Stay-s.o.Stay/2)
+		s.until = now + s.o.RebalanceAfter/2 + s.draw(s.o.RebalanceAfter-s.o.RebalanceAfter/2)
 	}
 	s.out = true
-	hold := s.o.Hold - s.draw(s.o.Hold/4)
+	hold := s.o.MaxWait - s.draw(s.o.MaxWait/4)
 	return Call{
-		Server: s.server,
-		Watch:  Watch{Version: WireVersion, Service: s.o.Service, Member: s.o.Member, Known: s.holds, MaxWait: hold},
-		GiveUp: now + hold + s.o.Answer,
+		Server:   s.server,
+		Watch:    Watch{Version: WireVersion, Service: s.o.Service, Member: s.o.Member, Known: s.holds, MaxWait: hold},
+		Deadline: now + hold + s.o.ResponseTimeout,
 	}
 }
 
@@ -115,7 +115,7 @@
 // Answered takes in the answer to the call that is out, and gives the version to take, which it holds from here on;
 // nil: nothing newer. A version that it refuses makes the call a failed one.
 func (s *Subscriber) Answered(now time.Duration, told WatchResponse) (*Version, error) {
-	v, err := s.Take(told)
+	v, err := s.Accept(told)
 	if err != nil {
 		s.Failed(now)
 		return nil, err
@@ -126,19 +126,19 @@
 	return v, nil
 }
 
-// Take is Answered for what comes late, after its call was given up: a newer version is as good, but when to ask
+// Accept is Answered for what comes late, after its call was given up: a newer version is as good, but when to ask
 // stays as it is.
-func (s *Subscriber) Take(told WatchResponse) (*Version, error) {
+func (s *Subscriber) Accept(told WatchResponse) (*Version, error) {
 	v := told.Newer
 	switch {
 	case v == nil:
 		return nil, nil
 	case v.Service != s.o.Service:
-		return nil, ErrForeign
+		return nil, ErrWrongService
 	case v.Revision <= s.holds:
-		return nil, ErrOlder
+		return nil, ErrNotNewer
 	case v.check() != nil:
-		return nil, ErrBroken
+		return nil, ErrDigestMismatch
 	}
 	s.holds = v.Revision
 	return v, nil
@@ -150,13 +150,13 @@
 		return
 	}
 	s.out, s.lost, s.server = false, s.server, -1
-	length := s.o.Spread
+	length := s.o.ReconnectWindow
 	for range min(s.failed, 32) {
-		length = min(2*length, max(s.o.Most/2, s.o.Spread))
+		length = min(2*length, max(s.o.MaxBackoff/2, s.o.ReconnectWindow))
 	}
 	s.failed++
 	s.pause(now, length)
 }
 
-// Holds is the revision of the version that it took last, or began with.
-func (s *Subscriber) Holds() Revision { return s.holds }
+// Revision is the revision of the version that it took last, or began with.
+func (s *Subscriber) Revision() Revision { return s.holds }
--- a/internal/coordination/distribute/subscriber_test.go
+++ b/internal/coordination/distribute/subscriber_test.go
@@ -24,29 +24,29 @@
 		want error
 	}{
 		"newer":           {version("a", 8, `{"n":8}`), nil},
-		"the same":        {version("a", 7, `{"n":8}`), ErrOlder},
-		"older":           {version("a", 6, `{"n":8}`), ErrOlder},
-		"another's":       {version("b", 8, `{"n":8}`), ErrForeign},
-		"half":            {broken, ErrBroken},
-		"without content": {empty, ErrBroken},
+		"the same":        {version("a", 7, `{"n":8}`), ErrNotNewer},
+		"older":           {version("a", 6, `{"n":8}`), ErrNotNewer},
+		"another's":       {version("b", 8, `{"n":8}`), ErrWrongService},
+		"half":            {broken, ErrDigestMismatch},
+		"without content": {empty, ErrDigestMismatch},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := NewSubscriber(DefaultSubscriber("a", "m", 3, rand.New(rand.NewPCG(1, 1)).Int64N), 7, 0)
+			s := NewSubscriber(DefaultSubscriberOptions("a", "m", 3, rand.New(rand.NewPCG(1, 1)).Int64N), 7, 0)
 			call := s.Begin(time.Second)
 			v, err := s.Answered(2*time.Second, WatchResponse{Newer: &c.told})
 			if !errors.Is(err, c.want) || (v == nil) != (err != nil) {
 				t.Fatalf("%v %v", v, err)
 			}
-			at, ok := s.Due()
+			at, ok := s.NextCallAt()
 			if !ok {
 				t.Fatal("a call is out")
 			}
 			next := s.Begin(at)
-			if err == nil && (s.Holds() != 8 || at != 2*time.Second || next.Server != call.Server || next.Watch.Known != 8) {
-				t.Errorf("%d at %v, %+v", s.Holds(), at, next)
+			if err == nil && (s.Revision() != 8 || at != 2*time.Second || next.Server != call.Server || next.Watch.Known != 8) {
+				t.Errorf("%d at %v, %+v", s.Revision(), at, next)
 			}
-			if err != nil && (s.Holds() != 7 || at <= 2*time.Second || next.Server == call.Server || next.Watch.Known != 7) {
-				t.Errorf("%d at %v, %+v", s.Holds(), at, next)
+			if err != nil && (s.Revision() != 7 || at <= 2*time.Second || next.Server == call.Server || next.Watch.Known != 7) {
+				t.Errorf("%d at %v, %+v", s.Revision(), at, next)
 			}
 		})
 	}
@@ -54,17 +54,17 @@
 
 // A version that a machine could not keep is asked for again, after a pause, and taken again.
 func TestNotKept(t *testing.T) {
-	s := NewSubscriber(DefaultSubscriber("a", "m", 3, func(n int64) int64 { return n / 2 }), 7, 0)
+	s := NewSubscriber(DefaultSubscriberOptions("a", "m", 3, func(n int64) int64 { return n / 2 }), 7, 0)
 	for range 3 {
-		now, _ := s.Due()
+		now, _ := s.NextCallAt()
 		c := s.Begin(now)
 		v := version("a", 8, `{"n":8}`)
 		if got, err := s.Answered(now, WatchResponse{Newer: &v}); got == nil || err != nil || c.Watch.Known != 7 {
 			t.Fatalf("%+v: %v %v", c, got, err)
 		}
-		s.NotKept(now, 7)
-		if at, ok := s.Due(); !ok || s.Holds() != 7 || at < now+s.o.Spread/2 || at > now+2*s.o.Spread {
-			t.Fatalf("holds %d, again at %v", s.Holds(), at-now)
+		s.StoreFailed(now, 7)
+		if at, ok := s.NextCallAt(); !ok || s.Revision() != 7 || at < now+s.o.ReconnectWindow/2 || at > now+2*s.o.ReconnectWindow {
+			t.Fatalf("holds %d, again at %v", s.Revision(), at-now)
 		}
 	}
 }
@@ -75,45 +75,45 @@
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		servers := rapid.IntRange(1, 4).Draw(t, "servers")
 		now := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "now"))
-		o := DefaultSubscriber("a", "m", servers, rnd.Int64N)
+		o := DefaultSubscriberOptions("a", "m", servers, rnd.Int64N)
 		s := NewSubscriber(o, 0, now)
-		if at, ok := s.Due(); !ok || at < now || at >= now+o.Spread {
+		if at, ok := s.NextCallAt(); !ok || at < now || at >= now+o.ReconnectWindow {
 			t.Fatalf("first at %v", at-now)
 		}
 		server, since, failed := -1, now, false
 		for range rapid.IntRange(1, 60).Draw(t, "calls") {
-			at, _ := s.Due()
+			at, _ := s.NextCallAt()
 			now = max(now, at)
 			c := s.Begin(now)
-			if _, ok := s.Due(); ok {
+			if _, ok := s.NextCallAt(); ok {
 				t.Fatal("two calls")
 			}
 			if w := c.Watch; w.Check() != nil || w.Service != "a" || w.Member != "m" ||
-				w.MaxWait > o.Hold || w.MaxWait < o.Hold*3/4 || c.GiveUp != now+w.MaxWait+o.Answer {
+				w.MaxWait > o.MaxWait || w.MaxWait < o.MaxWait*3/4 || c.Deadline != now+w.MaxWait+o.ResponseTimeout {
 				t.Fatalf("%+v", c)
 			}
 			if c.Server < 0 || c.Server >= servers || failed && servers > 1 && c.Server == server {
 				t.Fatalf("%+v after %d", c, server)
 			}
 			if c.Server != server || failed {
-				if !failed && server >= 0 && now-since < o.Stay/2 {
+				if !failed && server >= 0 && now-since < o.RebalanceAfter/2 {
 					t.Fatalf("left after %v", now-since)
 				}
 				since = now
-			} else if servers > 1 && now-since > o.Stay {
+			} else if servers > 1 && now-since > o.RebalanceAfter {
 				t.Fatalf("stays for %v", now-since)
 			}
 			server = c.Server
 			if failed = rapid.IntRange(0, 3).Draw(t, "fails") == 0; failed {
-				now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, c.GiveUp - now}).Draw(t, "after")
+				now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, c.Deadline - now}).Draw(t, "after")
 				s.Failed(now)
 				s.Failed(now) // said twice: nothing
-				if at, ok := s.Due(); !ok || at < now || at > now+o.Most {
+				if at, ok := s.NextCallAt(); !ok || at < now || at > now+o.MaxBackoff {
 					t.Fatalf("pause of %v", at-now)
 				}
-				pause, _ := s.Due()
+				pause, _ := s.NextCallAt()
 				s.Answered(now, WatchResponse{}) // after it was given up
-				if at, _ := s.Due(); at != pause {
+				if at, _ := s.NextCallAt(); at != pause {
 					t.Fatalf("a pause to %v became one to %v", pause, at)
 				}
 				continue
@@ -122,7 +122,7 @@
 			if v, err := s.Answered(now, WatchResponse{}); v != nil || err != nil {
 				t.Fatal(v, err)
 			}
-			if at, ok := s.Due(); !ok || at != now {
+			if at, ok := s.NextCallAt(); !ok || at != now {
 				t.Fatalf("again at %v", at-now)
 			}
 			if v, err := s.Answered(now, WatchResponse{}); v != nil || err != nil { // doubled
@@ -137,10 +137,10 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var late, early int
 	for range 1000 {
-		s := NewSubscriber(DefaultSubscriber("a", "m", 1, rnd.Int64N), 0, 0)
+		s := NewSubscriber(DefaultSubscriberOptions("a", "m", 1, rnd.Int64N), 0, 0)
 		from, to := time.Duration(0), 2*time.Second
 		for n := range 40 {
-			at, _ := s.Due()
+			at, _ := s.NextCallAt()
 			if at < from || at >= to {
 				t.Fatalf("ask %d at %v, want %v to %v", n, at, from, to)
 			}
@@ -167,10 +167,10 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	at := make([]int, 3)
 	for range 3000 {
-		s := NewSubscriber(DefaultSubscriber("a", "m", 3, rnd.Int64N), 0, 0)
+		s := NewSubscriber(DefaultSubscriberOptions("a", "m", 3, rnd.Int64N), 0, 0)
 		var c Call
 		for now := time.Duration(0); now < 4*time.Minute; {
-			now, _ = s.Due()
+			now, _ = s.NextCallAt()
 			if c = s.Begin(now); now < time.Minute && c.Server == 0 { // it is away for a minute
 				s.Failed(now)
 				continue
@@ -197,7 +197,7 @@
 		versions := []Version{}
 		var subs []*Subscriber
 		for i := range 4 {
-			subs = append(subs, NewSubscriber(DefaultSubscriber(services[i%2], fmt.Sprint(i), 3,
+			subs = append(subs, NewSubscriber(DefaultSubscriberOptions(services[i%2], fmt.Sprint(i), 3,
 				rand.New(rand.NewPCG(uint64(i), 1)).Int64N), 0, 0))
 		}
 		content := 0
@@ -214,22 +214,22 @@
 			return v
 		}
 		tell := func(s *Subscriber, told Version) {
-			before := s.Holds()
+			before := s.Revision()
 			late := rapid.Bool().Draw(t, "late")
 			var v *Version
 			var err error
 			if late {
-				v, err = s.Take(WatchResponse{Newer: &told})
+				v, err = s.Accept(WatchResponse{Newer: &told})
 			} else {
 				s.Begin(0)
 				v, err = s.Answered(0, WatchResponse{Newer: &told})
 			}
 			good := told.Service == s.o.Service && told.Revision > before && told.Digest == Digest(told.Content)
-			if good != (v != nil) || good != (err == nil) || s.Holds() < before {
-				t.Fatalf("%s at %d: %+v, %v, holds %d", s.o.Service, before, told, err, s.Holds())
+			if good != (v != nil) || good != (err == nil) || s.Revision() < before {
+				t.Fatalf("%s at %d: %+v, %v, holds %d", s.o.Service, before, told, err, s.Revision())
 			}
-			if good && (s.Holds() != v.Revision || v.Revision <= before) || !good && s.Holds() != before {
-				t.Fatalf("%d became %d by %+v", before, s.Holds(), told)
+			if good && (s.Revision() != v.Revision || v.Revision <= before) || !good && s.Revision() != before {
+				t.Fatalf("%d became %d by %+v", before, s.Revision(), told)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -260,13 +260,13 @@
 				service := rapid.SampledFrom(services).Draw(t, "service")
 				held := Revision(0)
 				for _, s := range subs {
-					held = max(held, s.Holds())
+					held = max(held, s.Revision())
 				}
 				v := publish(service, held)
 				for _, s := range subs {
 					if s.o.Service == service {
-						if tell(s, v); s.Holds() != v.Revision {
-							t.Fatalf("%d is held, not %d", s.Holds(), v.Revision)
+						if tell(s, v); s.Revision() != v.Revision {
+							t.Fatalf("%d is held, not %d", s.Revision(), v.Revision)
 						}
 					}
 				}
--- a/internal/coordination/distribute/sums.go
+++ b/internal/coordination/distribute/sums.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// MaxMembers bounds what Sums hold: the members of all services together, and their sidecars together. Beyond it
+// MaxReporters bounds what Sums hold: the members of all services together, and their sidecars together. Beyond it
 // the member that was not heard for longest goes.
-const MaxMembers = 65_536
+const MaxReporters = 65_536
 
-// Forget is how long a member that does not speak is counted.
-const Forget = time.Hour
+// MemberTimeout is how long a member that does not speak is counted.
+const MemberTimeout = time.Hour
 
-// Sums are what agents have said to one coordinator. Moments are of its steady clock. One goroutine owns them.
-type Sums struct {
+// ReportTable are what agents have said to one coordinator. Moments are of its steady clock. One goroutine owns them.
+type ReportTable struct {
 	members  map[memberOf]*spoken
 	services map[string]map[string]*said // by service, by sidecar
 	order    list.List                   // of *spoken, the longest unheard first
@@ -38,14 +38,14 @@
 	by     *spoken
 }
 
-// NewSums has heard nothing.
-func NewSums() *Sums {
-	return &Sums{members: map[memberOf]*spoken{}, services: map[string]map[string]*said{}}
+// NewReportTable has heard nothing.
+func NewReportTable() *ReportTable {
+	return &ReportTable{members: map[memberOf]*spoken{}, services: map[string]map[string]*said{}}
 }
 
-// Heard takes in a member's reports, which are of all its sidecars: one that it has no report of any more is
+// SetReports takes in a member's reports, which are of all its sidecars: one that it has no report of any more is
 // forgotten. A sidecar is the member's that reported it last.
-func (s *Sums) Heard(now time.Duration, service, member string, reports []Report) {
+func (s *ReportTable) SetReports(now time.Duration, service, member string, reports []Report) {
 	key := memberOf{service, member}
 	m := s.members[key]
 	if m == nil {
@@ -66,35 +66,37 @@
 		of[r.Sidecar] = &said{r, m}
 		m.names = append(m.names, r.Sidecar)
 	}
-	s.Spoke(now, service, member)
-	for s.order.Len() > 1 && (s.order.Len() > MaxMembers || s.sidecars > MaxMembers) {
+	s.Touch(now, service, member)
+	for s.order.Len() > 1 && (s.order.Len() > MaxReporters || s.sidecars > MaxReporters) {
 		s.drop(s.order.Front().Value.(*spoken))
 	}
 }
 
-// Knows tells whether the member's reports are here.
-func (s *Sums) Knows(service, member string) bool { return s.members[memberOf{service, member}] != nil }
+// HasReports tells whether the member's reports are here.
+func (s *ReportTable) HasReports(service, member string) bool {
+	return s.members[memberOf{service, member}] != nil
+}
 
-// Spoke takes in that a member asked without reports: what it said is so still. One that is not known stays so.
-func (s *Sums) Spoke(now time.Duration, service, member string) {
+// Touch takes in that a member asked without reports: what it said is so still. One that is not known stays so.
+func (s *ReportTable) Touch(now time.Duration, service, member string) {
 	if m := s.members[memberOf{service, member}]; m != nil {
 		m.at = now
 		s.order.MoveToBack(m.place)
 	}
 }
 
-// Holds takes in the revision that a known member's watch says it holds, in force or not.
-func (s *Sums) Holds(service, member string, holds Revision) {
+// SetKnownRevision takes in the revision that a known member's watch says it holds, in force or not.
+func (s *ReportTable) SetKnownRevision(service, member string, holds Revision) {
 	if m := s.members[memberOf{service, member}]; m != nil {
 		m.holds = holds
 	}
 }
 
 // Tick forgets who has not spoken for long.
-func (s *Sums) Tick(now time.Duration) {
+func (s *ReportTable) Tick(now time.Duration) {
 	for e := s.order.Front(); e != nil; e = s.order.Front() {
 		m := e.Value.(*spoken)
-		if now-m.at < Forget {
+		if now-m.at < MemberTimeout {
 			return
 		}
 		s.drop(m)
@@ -102,7 +104,7 @@
 }
 
 // clear takes a member's sidecars out.
-func (s *Sums) clear(m *spoken) {
+func (s *ReportTable) clear(m *spoken) {
 	of := s.services[m.service]
 	for _, name := range m.names {
 		if one := of[name]; one != nil && one.by == m {
@@ -115,15 +117,15 @@
 	}
 }
 
-func (s *Sums) drop(m *spoken) {
+func (s *ReportTable) drop(m *spoken) {
 	s.clear(m)
 	s.order.Remove(m.place)
 	delete(s.members, m.memberOf)
 }
 
-// Of is how a service stands, with each sidecar: those first that do not run the newest. A service without a
+// Summary is how a service stands, with each sidecar: those first that do not run the newest. A service without a
 // version has the zero one.
-func (s *Sums) Of(now time.Duration, service string, newest Version) Summary {
+func (s *ReportTable) Summary(now time.Duration, service string, newest Version) Summary {
 	s.Tick(now)
 	sum := s.sum(service, newest)
 	of := s.services[service]
@@ -135,8 +137,8 @@
 	return sum
 }
 
-// All are the sums of the given services' newest versions, in that order, without names.
-func (s *Sums) All(now time.Duration, newest []Version) []Summary {
+// Summaries are the sums of the given services' newest versions, in that order, without names.
+func (s *ReportTable) Summaries(now time.Duration, newest []Version) []Summary {
 	s.Tick(now)
 	all := make([]Summary, 0, len(newest))
 	for _, v := range newest {
@@ -145,7 +147,7 @@
 	return all
 }
 
-func (s *Sums) sum(service string, newest Version) Summary {
+func (s *ReportTable) sum(service string, newest Version) Summary {
 	sum := Summary{Service: service, Newest: newest.Revision, Digest: newest.Digest}
 	for _, one := range s.services[service] {
 		sum.count(one.report)
@@ -156,7 +158,7 @@
 
 // count takes a report into the sums.
 func (s *Summary) count(r Report) {
-	s.Known++
+	s.Reported++
 	if r.InForce == s.Newest {
 		s.InForce++
 	}
@@ -194,7 +196,7 @@
 			sum.Newest, sum.Digest = one.Newest, one.Digest
 		}
 		for _, h := range one.Members {
-			if was, known := last[h.Sidecar]; !known || h.Ago < was.Ago {
+			if was, known := last[h.Sidecar]; !known || h.Age < was.Age {
 				last[h.Sidecar] = h
 			}
 		}
--- a/internal/coordination/distribute/sums_test.go
+++ b/internal/coordination/distribute/sums_test.go
@@ -11,35 +11,35 @@
 
 func TestOutbox(t *testing.T) {
 	var o Outbox
-	if o.For(0) != nil {
+	if o.Unacknowledged(0) != nil {
 		t.Error("reports of none")
 	}
-	o.Heard(0, o.Mark(), true)
+	o.Acknowledge(0, o.Sequence(), true)
 	a, b := Report{Sidecar: "a", InForce: 1}, Report{Sidecar: "b"}
 	o.Set(b)
 	o.Set(a)
 	want := func(what string, server int, want ...Report) {
 		t.Helper()
-		if got := o.For(server); !reflect.DeepEqual(got, want) {
+		if got := o.Unacknowledged(server); !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %+v, want %+v", what, got, want)
 		}
 	}
 	want("to the first", 0, a, b)
-	o.Heard(0, o.Mark(), true)
+	o.Acknowledge(0, o.Sequence(), true)
 	want("heard", 0)
 	want("another has not heard", 1, a, b)
 	o.Set(a)
 	want("set to what it is", 0)
-	mark := o.Mark()
+	mark := o.Sequence()
 	a.InForce = 2
 	o.Set(a) // while the call is out
-	o.Heard(1, mark, true)
+	o.Acknowledge(1, mark, true)
 	want("set since the call began", 1, a, b)
-	o.Heard(1, o.Mark(), true)
+	o.Acknowledge(1, o.Sequence(), true)
 	want("heard", 1)
-	o.Heard(1, mark, true) // a late answer to an older call
+	o.Acknowledge(1, mark, true) // a late answer to an older call
 	want("heard stays", 1)
-	o.Heard(1, o.Mark(), false)
+	o.Acknowledge(1, o.Sequence(), false)
 	want("begun anew", 1, a, b)
 	want("the other, set since", 0, a, b)
 }
@@ -69,8 +69,8 @@
 				if out != nil {
 					return
 				}
-				out = &call{server: rapid.IntRange(0, 1).Draw(t, "server"), mark: o.Mark()}
-				if out.reports = o.For(out.server); out.reports != nil {
+				out = &call{server: rapid.IntRange(0, 1).Draw(t, "server"), mark: o.Sequence()}
+				if out.reports = o.Unacknowledged(out.server); out.reports != nil {
 					if len(out.reports) != len(now) {
 						t.Fatalf("%+v of %+v", out.reports, now)
 					}
@@ -86,8 +86,8 @@
 			},
 			"answered": func(*rapid.T) {
 				if out != nil {
-					o.Heard(out.server, out.mark, out.has)
-					if reports := o.For(out.server); !out.has && len(now) > 0 && reports == nil {
+					o.Acknowledge(out.server, out.mark, out.has)
+					if reports := o.Unacknowledged(out.server); !out.has && len(now) > 0 && reports == nil {
 						t.Fatal("it has none, and gets none")
 					}
 					out = nil
@@ -105,18 +105,18 @@
 }
 
 func TestSums(t *testing.T) {
-	s := NewSums()
+	s := NewReportTable()
 	newest := version("a", 7, `{}`)
-	s.Heard(0, "a", "m", []Report{{Sidecar: "m1", InForce: 7}, {Sidecar: "m2", InForce: 6, Refused: 7, Why: "port"}})
-	s.Heard(0, "a", "n", []Report{{Sidecar: "n1", InForce: 7}})
-	s.Heard(0, "b", "m", []Report{{Sidecar: "m1"}})
-	s.Spoke(time.Second, "a", "m")
-	s.Spoke(time.Second, "a", "stranger")
-	if !s.Knows("a", "m") || !s.Knows("b", "m") || s.Knows("b", "n") || s.Knows("a", "stranger") {
+	s.SetReports(0, "a", "m", []Report{{Sidecar: "m1", InForce: 7}, {Sidecar: "m2", InForce: 6, Refused: 7, Reason: "port"}})
+	s.SetReports(0, "a", "n", []Report{{Sidecar: "n1", InForce: 7}})
+	s.SetReports(0, "b", "m", []Report{{Sidecar: "m1"}})
+	s.Touch(time.Second, "a", "m")
+	s.Touch(time.Second, "a", "stranger")
+	if !s.HasReports("a", "m") || !s.HasReports("b", "m") || s.HasReports("b", "n") || s.HasReports("a", "stranger") {
 		t.Error("who is known")
 	}
-	got := s.Of(3*time.Second, "a", newest)
-	want := Summary{Service: "a", Newest: 7, Digest: newest.Digest, InForce: 2, Known: 3, Members: []SidecarReport{
+	got := s.Summary(3*time.Second, "a", newest)
+	want := Summary{Service: "a", Newest: 7, Digest: newest.Digest, InForce: 2, Reported: 3, Members: []SidecarReport{
 		{Report{"m2", 6, 7, "port"}, "m", 2 * time.Second},
 		{Report{"m1", 7, 0, ""}, "m", 2 * time.Second},
 		{Report{"n1", 7, 0, ""}, "n", 3 * time.Second},
@@ -125,71 +125,71 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	// A restored group: some run, refused or hold what it has forgotten.
-	if got := s.Of(0, "a", version("a", 5, `{}`)); got.Ahead != 7 || got.InForce != 0 {
+	if got := s.Summary(0, "a", version("a", 5, `{}`)); got.Ahead != 7 || got.InForce != 0 {
 		t.Errorf("%+v", got)
 	}
-	s.Heard(0, "d", "m", []Report{{Sidecar: "m1", InForce: 3, Refused: 4}})
-	if got := s.Of(0, "d", Version{Service: "d", Revision: 3}); got.Ahead != 4 || got.InForce != 1 {
+	s.SetReports(0, "d", "m", []Report{{Sidecar: "m1", InForce: 3, Refused: 4}})
+	if got := s.Summary(0, "d", Version{Service: "d", Revision: 3}); got.Ahead != 4 || got.InForce != 1 {
 		t.Errorf("%+v", got)
 	}
-	s.Heard(0, "d", "m", nil)
-	s.Holds("a", "n", 9)
-	s.Holds("a", "stranger", 11)
-	if got := s.Of(0, "a", newest); got.Ahead != 9 {
+	s.SetReports(0, "d", "m", nil)
+	s.SetKnownRevision("a", "n", 9)
+	s.SetKnownRevision("a", "stranger", 11)
+	if got := s.Summary(0, "a", newest); got.Ahead != 9 {
 		t.Errorf("%+v", got)
 	}
-	all := s.All(3*time.Second, []Version{newest, {Service: "b"}, {Service: "c", Revision: 3}})
+	all := s.Summaries(3*time.Second, []Version{newest, {Service: "b"}, {Service: "c", Revision: 3}})
 	want.Members, want.Ahead = nil, 9
-	if !reflect.DeepEqual(all, []Summary{want, {Service: "b", InForce: 1, Known: 1}, {Service: "c", Newest: 3}}) {
+	if !reflect.DeepEqual(all, []Summary{want, {Service: "b", InForce: 1, Reported: 1}, {Service: "c", Newest: 3}}) {
 		t.Errorf("%+v", all)
 	}
 	// m2 moves to n, and m1 is gone.
-	s.Heard(4*time.Second, "a", "n", []Report{{Sidecar: "m2", InForce: 7}, {Sidecar: "n1", InForce: 7}})
-	s.Heard(5*time.Second, "a", "m", []Report{{Sidecar: "m3", InForce: 7}})
-	got = s.Of(5*time.Second, "a", newest)
-	if got.Known != 3 || got.InForce != 3 || s.sidecars != 4 ||
+	s.SetReports(4*time.Second, "a", "n", []Report{{Sidecar: "m2", InForce: 7}, {Sidecar: "n1", InForce: 7}})
+	s.SetReports(5*time.Second, "a", "m", []Report{{Sidecar: "m3", InForce: 7}})
+	got = s.Summary(5*time.Second, "a", newest)
+	if got.Reported != 3 || got.InForce != 3 || s.sidecars != 4 ||
 		got.Members[0].Member != "n" || got.Members[1].Sidecar != "m3" {
 		t.Errorf("%+v, %d sidecars", got, s.sidecars)
 	}
 	// An hour of silence: a member's sidecars go, but not one that has moved.
-	s.Spoke(10*time.Second, "a", "n")
-	got = s.Of(5*time.Second+Forget, "a", newest)
-	if got.Known != 2 || s.Knows("a", "m") || s.Knows("b", "m") || s.sidecars != 2 {
+	s.Touch(10*time.Second, "a", "n")
+	got = s.Summary(5*time.Second+MemberTimeout, "a", newest)
+	if got.Reported != 2 || s.HasReports("a", "m") || s.HasReports("b", "m") || s.sidecars != 2 {
 		t.Errorf("%+v", got)
 	}
-	if all := s.All(10*time.Second+Forget, []Version{newest}); all[0].Known != 0 {
+	if all := s.Summaries(10*time.Second+MemberTimeout, []Version{newest}); all[0].Reported != 0 {
 		t.Errorf("%+v", all)
 	}
-	s.Heard(10*time.Second, "a", "n", []Report{{Sidecar: "n1"}})
-	if s.Tick(10*time.Second + Forget); len(s.services)+len(s.members)+s.sidecars+s.order.Len() != 0 {
+	s.SetReports(10*time.Second, "a", "n", []Report{{Sidecar: "n1"}})
+	if s.Tick(10*time.Second + MemberTimeout); len(s.services)+len(s.members)+s.sidecars+s.order.Len() != 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
 func TestSumsAreBounded(t *testing.T) {
-	s := NewSums()
-	for i := range MaxMembers {
-		s.Heard(time.Duration(i), "a", fmt.Sprint("m", i), []Report{{Sidecar: fmt.Sprint("s", i)}})
-	}
-	s.Spoke(MaxMembers, "a", "m0")
-	s.Heard(MaxMembers, "b", "one more", []Report{{Sidecar: "s"}})
-	if s.Knows("a", "m1") || !s.Knows("a", "m0") || !s.Knows("a", "m2") || !s.Knows("b", "one more") ||
-		s.sidecars != MaxMembers {
+	s := NewReportTable()
+	for i := range MaxReporters {
+		s.SetReports(time.Duration(i), "a", fmt.Sprint("m", i), []Report{{Sidecar: fmt.Sprint("s", i)}})
+	}
+	s.Touch(MaxReporters, "a", "m0")
+	s.SetReports(MaxReporters, "b", "one more", []Report{{Sidecar: "s"}})
+	if s.HasReports("a", "m1") || !s.HasReports("a", "m0") || !s.HasReports("a", "m2") || !s.HasReports("b", "one more") ||
+		s.sidecars != MaxReporters {
 		t.Error("the longest unheard is not the one that goes")
 	}
 	var many []Report
 	for i := range MaxReports {
 		many = append(many, Report{Sidecar: fmt.Sprint("t", i)})
 	}
-	s.Heard(MaxMembers, "b", "many", many)
-	if s.sidecars != MaxMembers || !s.Knows("b", "many") || len(s.members) != MaxMembers-MaxReports+1 {
+	s.SetReports(MaxReporters, "b", "many", many)
+	if s.sidecars != MaxReporters || !s.HasReports("b", "many") || len(s.members) != MaxReporters-MaxReports+1 {
 		t.Errorf("%d sidecars of %d members", s.sidecars, len(s.members))
 	}
 	// Members without sidecars are bounded too.
-	for i := range MaxMembers + 1 {
-		s.Heard(MaxMembers, "c", fmt.Sprint("m", i), nil)
+	for i := range MaxReporters + 1 {
+		s.SetReports(MaxReporters, "c", fmt.Sprint("m", i), nil)
 	}
-	if len(s.members) != MaxMembers || s.order.Len() != MaxMembers {
+	if len(s.members) != MaxReporters || s.order.Len() != MaxReporters {
 		t.Errorf("%d members", len(s.members))
 	}
 }
@@ -199,13 +199,13 @@
 		return SidecarReport{Report{Sidecar: sidecar, InForce: r}, "m", ago}
 	}
 	got := Merge([]Summary{ // of three coordinators, and of one that lags
-		{Service: "a", Newest: 5, Digest: "five", Known: 3, InForce: 1, Ahead: 6,
+		{Service: "a", Newest: 5, Digest: "five", Reported: 3, InForce: 1, Ahead: 6,
 			Members: []SidecarReport{of("x", 4, 9), of("y", 4, 1), of("z", 5, 3)}},
-		{Service: "a", Newest: 6, Digest: "six", Known: 2, InForce: 2, Members: []SidecarReport{of("x", 6, 2), of("y", 6, 2)}},
+		{Service: "a", Newest: 6, Digest: "six", Reported: 2, InForce: 2, Members: []SidecarReport{of("x", 6, 2), of("y", 6, 2)}},
 		{Service: "a", Newest: 6, Digest: "six", Members: []SidecarReport{of("a", 5, 3)}},
 		{Service: "a", Newest: 4, Digest: "four"},
 	})
-	want := Summary{Service: "a", Newest: 6, Digest: "six", Known: 4, InForce: 1,
+	want := Summary{Service: "a", Newest: 6, Digest: "six", Reported: 4, InForce: 1,
 		Members: []SidecarReport{of("a", 5, 3), of("y", 4, 1), of("z", 5, 3), of("x", 6, 2)}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
--- a/internal/coordination/distribute/watches.go
+++ b/internal/coordination/distribute/watches.go
@@ -37,8 +37,8 @@
 		if seen[r.Sidecar] {
 			return fmt.Errorf("reports[%d].sidecar: %q is there twice; write it once", i, r.Sidecar)
 		}
-		if seen[r.Sidecar] = true; len(r.Why) > MaxWhy {
-			return fmt.Errorf("reports[%d].why: %d bytes; write at most %d", i, len(r.Why), MaxWhy)
+		if seen[r.Sidecar] = true; len(r.Reason) > MaxReasonBytes {
+			return fmt.Errorf("reports[%d].why: %d bytes; write at most %d", i, len(r.Reason), MaxReasonBytes)
 		}
 	}
 	return nil
@@ -73,9 +73,9 @@
 	return &Watches{newest: newest, fresh: fresh, of: map[string][]*waiter{}}
 }
 
-// Ask takes in a watch that was checked. done is called exactly once, now or later; never after cancel. The version
+// Add takes in a watch that was checked. done is called exactly once, now or later; never after cancel. The version
 // that it gets is shared: it is only to be read. Heard is left to the caller.
-func (w *Watches) Ask(now time.Duration, watch Watch, done func(WatchResponse, error)) (cancel func()) {
+func (w *Watches) Add(now time.Duration, watch Watch, done func(WatchResponse, error)) (cancel func()) {
 	w.expire(now)
 	if !w.Fresh(now) {
 		done(WatchResponse{}, ErrStale)
@@ -149,8 +149,8 @@
 	w.answer(all, WatchResponse{}, nil)
 }
 
-// Due is when to tick next; false: nothing waits.
-func (w *Watches) Due() (at time.Duration, ok bool) {
+// NextDeadline is when to tick next; false: nothing waits.
+func (w *Watches) NextDeadline() (at time.Duration, ok bool) {
 	if len(w.due) == 0 {
 		return 0, false
 	}
--- a/internal/coordination/distribute/watches_test.go
+++ b/internal/coordination/distribute/watches_test.go
@@ -23,7 +23,7 @@
 		"reports: 257; write at most 256":    func(w *Watch) { w.Reports = make([]Report, MaxReports+1) },
 		"reports[1].sidecar: 0 bytes":        func(w *Watch) { w.Reports[1].Sidecar = "" },
 		"reports[1].sidecar: \"a\" is there": func(w *Watch) { w.Reports[1].Sidecar = "a" },
-		"reports[1].why: 513 bytes":          func(w *Watch) { w.Reports[1].Why = strings.Repeat("x", MaxWhy+1) },
+		"reports[1].why: 513 bytes":          func(w *Watch) { w.Reports[1].Reason = strings.Repeat("x", MaxReasonBytes+1) },
 	} {
 		w := good
 		w.Reports = append([]Report(nil), good.Reports...)
@@ -50,7 +50,7 @@
 }
 
 func (h *heard) ask(now time.Duration, name, service string, holds Revision, hold time.Duration) func() {
-	return h.w.Ask(now, Watch{Service: service, Known: holds, MaxWait: hold}, func(told WatchResponse, err error) {
+	return h.w.Add(now, Watch{Service: service, Known: holds, MaxWait: hold}, func(told WatchResponse, err error) {
 		h.called[name]++
 		switch {
 		case errors.Is(err, ErrStale):
@@ -88,7 +88,7 @@
 	h.want(t, "f nothing")
 	cancelled()
 	cancelled()
-	if at, ok := h.w.Due(); !ok || at != 300*ms || h.w.Waiting() != 3 {
+	if at, ok := h.w.NextDeadline(); !ok || at != 300*ms || h.w.Waiting() != 3 {
 		t.Errorf("due at %v, %d wait", at, h.w.Waiting())
 	}
 	h.of["s"] = version("s", 3, `{}`)
@@ -103,7 +103,7 @@
 	h.want(t, "")
 	h.w.Tick(300 * ms)
 	h.want(t, "d nothing")
-	if at, ok := h.w.Due(); !ok || at != time.Second {
+	if at, ok := h.w.NextDeadline(); !ok || at != time.Second {
 		t.Errorf("due at %v", at)
 	}
 	h.w.Confirmed(500 * ms)
@@ -113,14 +113,14 @@
 	h.want(t, "c nothing")
 	h.w.Tick(1499 * ms)
 	h.want(t, "")
-	if at, _ := h.w.Due(); at != 1500*ms {
+	if at, _ := h.w.NextDeadline(); at != 1500*ms {
 		t.Errorf("due at %v", at)
 	}
 	h.w.Tick(1500 * ms)
 	h.want(t, "h stale")
 	h.ask(1500*ms, "i", "s", 0, 10*time.Second)
 	h.want(t, "i stale")
-	if _, ok := h.w.Due(); ok || h.w.Waiting() != 0 || h.w.Fresh(1500*ms) {
+	if _, ok := h.w.NextDeadline(); ok || h.w.Waiting() != 0 || h.w.Fresh(1500*ms) {
 		t.Errorf("%d wait", h.w.Waiting())
 	}
 	// A change that comes in before the tick does not go over the end of freshness, nor does a snapshot.
@@ -163,7 +163,7 @@
 	h := newHeard()
 	h.w.Confirmed(0)
 	var cancel func()
-	h.w.Ask(0, Watch{Service: "s", MaxWait: time.Second}, func(told WatchResponse, err error) {
+	h.w.Add(0, Watch{Service: "s", MaxWait: time.Second}, func(told WatchResponse, err error) {
 		cancel()
 		h.ask(0, "again", "s", told.Newer.Revision, time.Second)
 		h.of["s"] = version("s", 2, `{}`)
@@ -175,7 +175,7 @@
 	h.w.Changed(0, "s")
 	h.want(t, "again s2, other s1")
 	// A change that is told from within a snapshot's telling: each is told once.
-	h.w.Ask(0, Watch{Service: "s", Known: 2, MaxWait: time.Second}, func(WatchResponse, error) { h.w.Changed(0, "t") })
+	h.w.Add(0, Watch{Service: "s", Known: 2, MaxWait: time.Second}, func(WatchResponse, error) { h.w.Changed(0, "t") })
 	h.ask(0, "one", "t", 0, time.Second)
 	h.of["s"], h.of["t"] = version("s", 3, `{}`), version("t", 4, `{}`)
 	h.w.ChangedAll(0)
@@ -224,7 +224,7 @@
 				c.watch = Watch{Service: service(), MaxWait: c.at - now}
 				c.watch.Known = rapid.SampledFrom([]Revision{0, last, last + 2, of[c.watch.Service].Revision}).Draw(t, "holds")
 				calls = append(calls, c)
-				c.cancel = w.Ask(now, c.watch, func(told WatchResponse, err error) {
+				c.cancel = w.Add(now, c.watch, func(told WatchResponse, err error) {
 					if c.over {
 						t.Fatalf("%+v: a second answer, or after cancel", c)
 					}
@@ -282,7 +282,7 @@
 				now += time.Duration(rapid.IntRange(0, 800).Draw(t, "ms")) * time.Millisecond
 				w.Tick(now)
 				settled(true)
-				if at, ok := w.Due(); ok && at <= now {
+				if at, ok := w.NextDeadline(); ok && at <= now {
 					t.Fatalf("%v: due at %v", now, at)
 				}
 			},
--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -134,7 +134,7 @@
 func (d *Driver) read(ctx context.Context, application string, to any) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	told, err := d.operator.Ask(ctx, fleet.Request{Changes: &application})
+	told, err := d.operator.Call(ctx, fleet.Request{Changes: &application})
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 func (d *Driver) tell(ctx context.Context, token uint64, application string, c *drive, events []rollout.Event) error {
 	for len(events) > 0 {
 		n := min(len(events), rollout.MaxEvents)
-		told, err := d.operator.Ask(ctx, fleet.Request{Rollout: &rollout.Command{Application: application, Change: c.Name, Token: token,
+		told, err := d.operator.Call(ctx, fleet.Request{Rollout: &rollout.Command{Application: application, Change: c.Name, Token: token,
 			After: c.Events, At: time.Now().UnixMilli(), Events: events[:n]}})
 		switch {
 		case err != nil:
--- a/internal/coordination/driver/many_test.go
+++ b/internal/coordination/driver/many_test.go
@@ -48,14 +48,14 @@
 			t.Fatal(err)
 		}
 		began := time.Now()
-		told, err := o.Ask(ctx, fleet.Request{Rollout: &rollout.Command{Application: "a", Change: "c", Start: start}})
+		told, err := o.Call(ctx, fleet.Request{Rollout: &rollout.Command{Application: "a", Change: "c", Start: start}})
 		if err != nil || told.Rollout.Err != "" {
 			t.Fatal(err, told)
 		}
 		var app rollout.Application
 		name := "a"
 		for end := time.Now().Add(2 * time.Minute); app.Now == nil || !app.Now.State.Phase.Over(); {
-			told, err := o.Ask(ctx, fleet.Request{Changes: &name})
+			told, err := o.Call(ctx, fleet.Request{Changes: &name})
 			if err != nil || json.Unmarshal(told.Changes, &app) != nil || time.Now().After(end) {
 				t.Fatal(err, app.Now.State.Phase, app.Now.State.Waits())
 			}
@@ -78,7 +78,7 @@
 		}
 		all[0].Fall("old") // after the end: it is shown, and nothing is done about it
 		for end := time.Now().Add(20 * time.Second); app.Now.State.Sidecars()[0].Release != "old"; time.Sleep(50 * time.Millisecond) {
-			told, err := o.Ask(ctx, fleet.Request{Changes: &name})
+			told, err := o.Call(ctx, fleet.Request{Changes: &name})
 			if err != nil || json.Unmarshal(told.Changes, &app) != nil || time.Now().After(end) {
 				t.Fatal("it is not shown", err)
 			}
--- a/internal/coordination/driver/planfile.go
+++ b/internal/coordination/driver/planfile.go
@@ -186,7 +186,7 @@
 		return b, fmt.Errorf("old and new must not run side by side (%v): %s", worst, strings.Join(why, "; "))
 	}
 	b.Change = strings.ToLower(rand.Text()[:12])
-	answer, err := o.Ask(ctx, fleet.Request{Rollout: &rollout.Command{Application: f.Plan.Application, Change: b.Change, At: time.Now().UnixMilli(), Start: start}})
+	answer, err := o.Call(ctx, fleet.Request{Rollout: &rollout.Command{Application: f.Plan.Application, Change: b.Change, At: time.Now().UnixMilli(), Start: start}})
 	if err == nil && answer.Rollout.Err != "" {
 		err = errors.New(answer.Rollout.Err)
 	}
--- a/internal/coordination/duty/duty.go
+++ b/internal/coordination/duty/duty.go
@@ -15,10 +15,10 @@
 
 // Member is one that takes tasks.
 type Member struct {
-	Name   string
-	Zone   string
-	Weight float64 // 0: 1
-	Leaves bool    // it keeps nothing and takes nothing: it drains, is full, or is too slow
+	Name     string
+	Zone     string
+	Weight   float64 // 0: 1
+	Draining bool    // it keeps nothing and takes nothing: it drains, is full, or is too slow
 }
 
 // Task is one task.
@@ -29,25 +29,25 @@
 
 // Limits bound an assignment.
 type Limits struct {
-	Uneven float64 // by how much of its fair part a member may have more; 0: a quarter
-	Moves  int     // tasks at one time, of those that their holder could keep; 0: one in a hundred, at least one
+	MaxImbalance float64 // by how much of its fair part a member may have more; 0: a quarter
+	MaxMoves     int     // tasks at one time, of those that their holder could keep; 0: one in a hundred, at least one
 }
 
-// Moved is a task that goes from one member to another.
-type Moved struct{ Task, From, To string }
+// Move is a task that goes from one member to another.
+type Move struct{ Task, From, To string }
 
 // Assign says who should hold each task, by name, given who does now. A task that nobody may have is left out.
-func Assign(tasks []Task, members []Member, now map[string]string, l Limits) (next map[string]string, moved []Moved) {
-	if l.Uneven <= 0 {
-		l.Uneven = 0.25
+func Assign(tasks []Task, members []Member, now map[string]string, l Limits) (next map[string]string, moved []Move) {
+	if l.MaxImbalance <= 0 {
+		l.MaxImbalance = 0.25
 	}
-	if l.Moves <= 0 {
-		l.Moves = max(1, len(tasks)/100)
+	if l.MaxMoves <= 0 {
+		l.MaxMoves = max(1, len(tasks)/100)
 	}
 	a := newAssignment(tasks, members, l)
 	a.keep(now)
 	a.place()
-	a.improve(l.Moves)
+	a.improve(l.MaxMoves)
 	next = map[string]string{}
 	for _, t := range a.tasks {
 		if t.to == nil {
@@ -55,7 +55,7 @@
 		}
 		next[t.Name] = t.to.Name
 		if was, ok := now[t.Name]; ok && was != t.to.Name {
-			moved = append(moved, Moved{t.Name, was, t.to.Name})
+			moved = append(moved, Move{t.Name, was, t.to.Name})
 		}
 	}
 	return next, moved
@@ -91,7 +91,7 @@
 	a := &assignment{zones: map[string]*zone{}}
 	all := []*member{}
 	for _, m := range members {
-		if m.Leaves {
+		if m.Draining {
 			continue
 		}
 		if !(m.Weight > 0) || math.IsInf(m.Weight, 1) {
@@ -121,7 +121,7 @@
 			weight += m.Weight
 		}
 		for _, m := range z.members {
-			m.bound[z] = int(math.Ceil((1 + l.Uneven) * float64(z.tasks) * m.Weight / weight))
+			m.bound[z] = int(math.Ceil((1 + l.MaxImbalance) * float64(z.tasks) * m.Weight / weight))
 		}
 	}
 	return a
--- a/internal/coordination/duty/duty_test.go
+++ b/internal/coordination/duty/duty_test.go
@@ -39,7 +39,7 @@
 	}
 	for _, size := range sizes {
 		ms, ts := fleet(size[0], size[1])
-		l := Limits{Moves: max(1, size[1]/100)}
+		l := Limits{MaxMoves: max(1, size[1]/100)}
 		began := time.Now()
 		held, _ := Assign(ts, ms, nil, l)
 		took := time.Since(began)
@@ -52,15 +52,15 @@
 			t.Errorf("%d tasks are held, %d by one", len(held), most)
 		}
 		gone, moved := Assign(ts, ms[1:], held, l)
-		if orphans := has["m0"]; len(moved) > orphans+l.Moves || len(gone) != size[1] {
+		if orphans := has["m0"]; len(moved) > orphans+l.MaxMoves || len(gone) != size[1] {
 			t.Errorf("%d moved, %d were of the one that went", len(moved), orphans)
 		}
 		back, rounds, moves := gone, 0, 0
 		for ; rounds < 200; rounds++ {
-			var m []Moved
+			var m []Move
 			if back, m = Assign(ts, ms, back, l); len(m) == 0 {
 				break
-			} else if len(m) > l.Moves {
+			} else if len(m) > l.MaxMoves {
 				t.Errorf("%d moved at one time", len(m))
 			}
 			moves += len(m)
@@ -68,7 +68,7 @@
 		if got := counts(back)["m0"]; float64(got) < 0.4*fair {
 			t.Errorf("the one that is back has %d, fair are %.1f", got, fair)
 		}
-		if moves > 4*has["m0"]+2*l.Moves {
+		if moves > 4*has["m0"]+2*l.MaxMoves {
 			t.Errorf("%d moves for one that is back, which had %d", moves, has["m0"])
 		}
 		t.Logf("%d members, %d tasks: assigned in %v, the fullest has %d of %.0f; one goes: %d of its own move, %d others; it is back after %d moves in %d rounds", size[0], size[1],
@@ -83,7 +83,7 @@
 		ms, ts := fleet(rapid.IntRange(0, 12).Draw(t, "members"), rapid.IntRange(0, 40).Draw(t, "tasks"))
 		for i := range ms {
 			ms[i].Weight = float64(rapid.IntRange(0, 3).Draw(t, "weight"))
-			ms[i].Leaves = rapid.IntRange(0, 4).Draw(t, "leaves") == 0
+			ms[i].Draining = rapid.IntRange(0, 4).Draw(t, "leaves") == 0
 		}
 		for i := range ts {
 			ts[i].Zone = rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "zone")
@@ -94,11 +94,11 @@
 				now[ts[i].Name] = fmt.Sprint("m", n) // some are of members that are gone
 			}
 		}
-		l := Limits{Uneven: 0.5, Moves: rapid.IntRange(1, 5).Draw(t, "moves")}
+		l := Limits{MaxImbalance: 0.5, MaxMoves: rapid.IntRange(1, 5).Draw(t, "moves")}
 		next, moved := Assign(ts, ms, now, l)
 		may := func(task Task) (n int) {
 			for _, m := range ms {
-				if !m.Leaves && (task.Zone == "" || task.Zone == m.Zone) {
+				if !m.Draining && (task.Zone == "" || task.Zone == m.Zone) {
 					n++
 				}
 			}
@@ -115,14 +115,14 @@
 			if held != (may(task) > 0) {
 				t.Fatalf("%v: held %v, %d may", task, held, may(task))
 			}
-			if one := by[m]; held && (one.Leaves || task.Zone != "" && task.Zone != one.Zone) {
+			if one := by[m]; held && (one.Draining || task.Zone != "" && task.Zone != one.Zone) {
 				t.Fatalf("%v is of %v", task, one)
 			}
 			has[[2]string{m, task.Zone}]++
 		}
 		for zone := range sum {
 			for _, m := range ms {
-				if !m.Leaves && (zone == "" || zone == m.Zone) {
+				if !m.Draining && (zone == "" || zone == m.Zone) {
 					weight[zone] += max(m.Weight, map[bool]float64{true: 1}[m.Weight == 0])
 				}
 			}
@@ -140,20 +140,20 @@
 			full[[2]string{now[task.Name], task.Zone}]++
 		}
 		for _, m := range moved {
-			if one, lives := by[m.From]; lives && !one.Leaves {
+			if one, lives := by[m.From]; lives && !one.Draining {
 				free++
 			}
 		}
 		for at, n := range full {
-			if m, ok := by[at[0]]; ok && !m.Leaves && (at[1] == "" || at[1] == m.Zone) {
+			if m, ok := by[at[0]]; ok && !m.Draining && (at[1] == "" || at[1] == m.Zone) {
 				bound := math.Ceil(1.5 * float64(sum[at[1]]) * max(m.Weight, map[bool]float64{true: 1}[m.Weight == 0]) / weight[at[1]])
 				over += max(0, n-int(bound))
-			} else if ok && !m.Leaves {
+			} else if ok && !m.Draining {
 				over += n // of another zone
 			}
 		}
-		if free > over+l.Moves {
-			t.Fatalf("%d moved, %d had to and %d may", free, over, l.Moves)
+		if free > over+l.MaxMoves {
+			t.Fatalf("%d moved, %d had to and %d may", free, over, l.MaxMoves)
 		}
 		ms, ts = rapid.Permutation(ms).Draw(t, "members' order"), rapid.Permutation(ts).Draw(t, "tasks' order")
 		if again, _ := Assign(ts, ms, maps.Clone(now), l); !reflect.DeepEqual(again, next) {
--- a/internal/coordination/fleet/caller.go
+++ b/internal/coordination/fleet/caller.go
@@ -18,17 +18,17 @@
 // Caller asks coordinators, from the one that answered last on, until one that leads has answered. What is asked must do no harm if
 // it is asked twice; a change of the replicas is asked once.
 type Caller struct {
-	Addrs  []string
-	Over   *http.Client
-	Within time.Duration // for one call; 0: what the context leaves
-	Pause  time.Duration // at most, before the next coordinator is asked; once all have been, they say how long
+	Addrs         []string
+	HTTPClient    *http.Client
+	Timeout       time.Duration // for one call; 0: what the context leaves
+	RetryInterval time.Duration // at most, before the next coordinator is asked; once all have been, they say how long
 
 	mu sync.Mutex
 	at int
 }
 
-// Ask asks until there is an answer, the question is found to be wrong, or ctx ends. begin is called before each try; nil: nothing is.
-func (c *Caller) Ask(ctx context.Context, in *Request, begin func()) (*Response, error) {
+// Call asks until there is an answer, the question is found to be wrong, or ctx ends. begin is called before each try; nil: nothing is.
+func (c *Caller) Call(ctx context.Context, in *Request, begin func()) (*Response, error) {
 	in.Version = Version
 	last := errors.New("no coordinator was asked")
 	for tries := 1; ; tries++ {
@@ -42,16 +42,16 @@
 		if err == nil && told.Err == "" {
 			return told, nil
 		}
-		wait, leader := c.Pause, ""
+		wait, leader := c.RetryInterval, ""
 		if err == nil {
 			err = errors.New(told.Err)
-			if once(in) && (told.OutcomeUnknown || told.Err == replica.ErrChanging.Error()) {
+			if once(in) && (told.OutcomeUnknown || told.Err == replica.ErrMembershipChangePending.Error()) {
 				return nil, fmt.Errorf("%s: %w", addr, err)
 			}
 			if leader = told.Leader; tries%len(c.Addrs) == 0 {
 				wait = time.Duration(told.RetryAfterMs) * time.Millisecond
 			}
-		} else if Final(err) {
+		} else if IsPermanent(err) {
 			return nil, fmt.Errorf("%s: %w", addr, err)
 		}
 		last = fmt.Errorf("%s: %w", addr, err)
@@ -73,12 +73,12 @@
 }
 
 func (c *Caller) try(ctx context.Context, addr string, in *Request) (*Response, error) {
-	if c.Within > 0 {
+	if c.Timeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, c.Within)
+		ctx, cancel = context.WithTimeout(ctx, c.Timeout)
 		defer cancel()
 	}
-	res, err := Client[Request, Response](c.Over, addr, PathRequest).CallUnary(ctx, connect.NewRequest(in))
+	res, err := Client[Request, Response](c.HTTPClient, addr, PathRequest).CallUnary(ctx, connect.NewRequest(in))
 	if err != nil {
 		return nil, err
 	}
@@ -86,10 +86,10 @@
 }
 
 // once reports whether a question is not asked again where nothing is known of its answer.
-func once(in *Request) bool { return in.Add != nil || in.Remove != 0 }
+func once(in *Request) bool { return in.AddMember != nil || in.RemoveMember != 0 }
 
-// Final reports whether an error of a call says that it is wrong, so that it need not be made again.
-func Final(err error) bool {
+// IsPermanent reports whether an error of a call says that it is wrong, so that it need not be made again.
+func IsPermanent(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument, connect.CodeFailedPrecondition, connect.CodeUnimplemented, connect.CodeResourceExhausted:
 		return true
--- a/internal/coordination/fleet/config.go
+++ b/internal/coordination/fleet/config.go
@@ -49,26 +49,26 @@
 	defaultLongestTTL = time.Minute
 )
 
-// Single is the one coordinator of a machine that needs no file.
-func Single(data, addr string) *Config {
+// SingleConfig is the one coordinator of a machine that needs no file.
+func SingleConfig(data, addr string) *Config {
 	return &Config{ID: 1, Data: data, Replicas: []replica.Member{{ID: 1, Addr: addr}}, LongestTTL: defaultLongestTTL, Tick: defaultTick}
 }
 
-// Read reads a file.
-func Read(path string) (*Config, error) {
+// ReadConfig reads a file.
+func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	c, err := Parse(path, text)
+	c, err := ParseConfig(path, text)
 	if err == nil && !filepath.IsAbs(c.Data) {
 		c.Data = filepath.Join(filepath.Dir(path), c.Data)
 	}
 	return c, err
 }
 
-// Parse reads the text of a file. Every error names file, line, column and field, and says what to write.
-func Parse(file string, text []byte) (*Config, error) {
+// ParseConfig reads the text of a file. Every error names file, line, column and field, and says what to write.
+func ParseConfig(file string, text []byte) (*Config, error) {
 	top, err := yamlfile.Mapping(file, text, "fields such as id: 1")
 	if err != nil {
 		return nil, err
--- a/internal/coordination/fleet/distribute.go
+++ b/internal/coordination/fleet/distribute.go
@@ -26,12 +26,12 @@
 	s       *Server
 	began   time.Time
 	watches *distribute.Watches
-	sums    *distribute.Sums
-	knows   distribute.Knowledge
+	sums    *distribute.ReportTable
+	knows   distribute.RevisionTracker
 }
 
 func newDistributor(s *Server) *distributor {
-	d := &distributor{s: s, began: time.Now(), sums: distribute.NewSums()}
+	d := &distributor{s: s, began: time.Now(), sums: distribute.NewReportTable()}
 	d.watches = distribute.NewWatches(func(service string) (distribute.Version, bool) {
 		return s.core.Versions().Newest(service)
 	}, freshTicks*s.config.Tick)
@@ -42,10 +42,10 @@
 
 // applied tells those who wait what has changed.
 func (d *distributor) applied() {
-	if changed := d.s.core.Changed(); changed.All {
+	if changed := d.s.core.TakeChangedServices(); changed.All {
 		d.watches.ChangedAll(d.now())
 	} else {
-		for _, service := range changed.Services {
+		for _, service := range changed.Names {
 			d.watches.Changed(d.now(), service)
 		}
 	}
@@ -54,20 +54,20 @@
 
 // catchUp takes in what the leader's word confirms.
 func (d *distributor) catchUp() {
-	if asked, ok := d.knows.Applied(d.s.core.Versions().Last()); ok {
+	if asked, ok := d.knows.ConfirmedAt(d.s.core.Versions().Last()); ok {
 		d.watches.Confirmed(asked)
 	}
 }
 
 // prepare makes a client's question one that the log can take.
-func (d *distributor) prepare(q *replica.Question, in *Request) {
+func (d *distributor) prepare(q *replica.Request, in *Request) {
 	last := d.s.core.Versions().Last()
-	if in.Last != nil {
-		d.knows.Hold(in.Last.Held, last)
+	if in.LastRevision != nil {
+		d.knows.ObserveHeld(in.LastRevision.HeldRevision, last)
 	}
 	if q.Publish != nil {
 		command := *q.Publish
-		command.Above = max(command.Above, d.knows.Above(last))
+		command.Above = max(command.Above, d.knows.MinAbove(last))
 		q.Publish = &command
 	}
 }
@@ -91,13 +91,13 @@
 			held  distribute.Revision
 		}
 		now := make(chan state, 1)
-		if !d.s.post(func() { now <- state{d.s.addrs(), d.knows.Held()} }) {
+		if !d.s.post(func() { now <- state{d.s.addrs(), d.knows.MaxHeld()} }) {
 			return
 		}
 		select {
 		case st := <-now:
 			if len(st.addrs) > 0 {
-				d.confirmOnce(ctx, &Caller{Addrs: st.addrs, Over: over, Within: 2 * every, Pause: every / 4}, 4*every, st.held)
+				d.confirmOnce(ctx, &Caller{Addrs: st.addrs, HTTPClient: over, Timeout: 2 * every, RetryInterval: every / 4}, 4*every, st.held)
 			}
 		case <-d.s.ended:
 			return
@@ -114,12 +114,12 @@
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	var asked time.Duration
-	told, err := c.Ask(ctx, &Request{Last: &Last{Held: held}}, func() { asked = d.now() })
+	told, err := c.Call(ctx, &Request{LastRevision: &LastRevisionRequest{HeldRevision: held}}, func() { asked = d.now() })
 	if err != nil {
 		return // what is not confirmed ends by itself
 	}
 	d.s.post(func() {
-		d.knows.Word(asked, told.Last)
+		d.knows.LeaderRevision(asked, told.LastRevision)
 		d.catchUp()
 	})
 }
@@ -150,14 +150,14 @@
 	if !s.post(func() {
 		now, heard := s.distribute.now(), true
 		if len(in.Reports) > 0 {
-			s.distribute.sums.Heard(now, in.Service, in.Member, in.Reports)
+			s.distribute.sums.SetReports(now, in.Service, in.Member, in.Reports)
 		} else {
-			heard = s.distribute.sums.Knows(in.Service, in.Member)
-			s.distribute.sums.Spoke(now, in.Service, in.Member)
+			heard = s.distribute.sums.HasReports(in.Service, in.Member)
+			s.distribute.sums.Touch(now, in.Service, in.Member)
 		}
-		s.distribute.knows.Hold(in.Known, s.core.Versions().Last())
-		s.distribute.sums.Holds(in.Service, in.Member, in.Known)
-		cancel <- s.distribute.watches.Ask(now, *in, func(t distribute.WatchResponse, err error) {
+		s.distribute.knows.ObserveHeld(in.Known, s.core.Versions().Last())
+		s.distribute.sums.SetKnownRevision(in.Service, in.Member, in.Known)
+		cancel <- s.distribute.watches.Add(now, *in, func(t distribute.WatchResponse, err error) {
 			t.ReportsReceived = heard
 			done <- result{t, err}
 		})
@@ -189,10 +189,10 @@
 		out := &distribute.SummaryResponse{Last: versions.Last(), Fresh: d.watches.Fresh(d.now())}
 		if in.Service != "" {
 			newest, _ := versions.Newest(in.Service)
-			out.Services = []distribute.Summary{d.sums.Of(d.now(), in.Service, newest)}
+			out.Services = []distribute.Summary{d.sums.Summary(d.now(), in.Service, newest)}
 		} else {
 			for _, newest := range versions.Services() {
-				out.Services = append(out.Services, d.sums.Of(d.now(), newest.Service, newest))
+				out.Services = append(out.Services, d.sums.Summary(d.now(), newest.Service, newest))
 			}
 		}
 		done <- out
--- a/internal/coordination/fleet/operator.go
+++ b/internal/coordination/fleet/operator.go
@@ -35,18 +35,18 @@
 	operatorTime = 3 * time.Second
 )
 
-// Ask asks until a coordinator that leads has answered, or ctx ends.
-func (o *Operator) Ask(ctx context.Context, in Request) (*Response, error) {
+// Call asks until a coordinator that leads has answered, or ctx ends.
+func (o *Operator) Call(ctx context.Context, in Request) (*Response, error) {
 	o.mu.Lock()
 	if o.caller == nil {
-		o.caller = &Caller{Addrs: o.Addrs, Over: &o.over, Pause: operatorPause, Within: operatorTime}
+		o.caller = &Caller{Addrs: o.Addrs, HTTPClient: &o.over, RetryInterval: operatorPause, Timeout: operatorTime}
 	}
 	c := o.caller
 	o.mu.Unlock()
 	if once(&in) { // it is not given up while it may be done
-		c = &Caller{Addrs: o.Addrs, Over: &o.over, Pause: operatorPause}
+		c = &Caller{Addrs: o.Addrs, HTTPClient: &o.over, RetryInterval: operatorPause}
 	}
-	told, err := c.Ask(ctx, &in, nil)
+	told, err := c.Call(ctx, &in, nil)
 	if err != nil && ctx.Err() != nil {
 		err = fmt.Errorf("%w: %w", ErrUnanswered, err)
 	}
@@ -75,15 +75,15 @@
 	return nil
 }
 
-// RestoreTo begins a replica of a new group from a back-up; each of the group is begun with the same.
-func RestoreTo(c *Config, path string, above lease.Token) error {
+// Restore begins a replica of a new group from a back-up; each of the group is begun with the same.
+func Restore(c *Config, path string, above lease.Token) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	state, err := lease.Restored(text, above, c.LongestTTL)
+	state, err := lease.RestoreNewGroup(text, above, c.LongestTTL)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	return disk.Create(c.Data, c.ID, replica.First(c.Replicas, state))
+	return disk.Create(c.Data, c.ID, replica.InitialState(c.Replicas, state))
 }
--- a/internal/coordination/fleet/peer.go
+++ b/internal/coordination/fleet/peer.go
@@ -40,13 +40,13 @@
 }
 
 func (p *peer) send(m *pb.Message) {
-	life := p.s.core.LifeOf(p.id)
+	life := p.s.core.IncarnationOf(p.id)
 	p.life.Store(&life)
 	select {
 	case p.queue <- m:
 	default: // it is slow, or gone
 		if m.GetType() == pb.MessageType_MsgSnap {
-			p.s.core.Sent(p.id, false)
+			p.s.core.ReportSnapshot(p.id, false)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 func (p *peer) run(ctx context.Context, addr string) {
 	over := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 2, DisableCompression: true}}
 	defer over.CloseIdleConnections()
-	client := Client[Steps, Empty](over, addr, PathStep)
+	client := Client[StepRequest, Empty](over, addr, PathStep)
 	for {
 		var batch []*pb.Message
 		select {
@@ -79,7 +79,7 @@
 			p.s.fail(err)
 			return
 		}
-		p.s.post(func() { p.s.core.Unreachable(p.id) })
+		p.s.post(func() { p.s.core.ReportUnreachable(p.id) })
 		select {
 		case <-ctx.Done():
 			return
@@ -88,8 +88,8 @@
 	}
 }
 
-func (p *peer) call(ctx context.Context, client *connect.Client[Steps, Empty], batch []*pb.Message) error {
-	steps, within, snap := &Steps{Version: Version, From: p.s.config.ID, To: p.id, Incarnation: p.s.disk.Life, ToIncarnation: *p.life.Load()}, stepTime, false
+func (p *peer) call(ctx context.Context, client *connect.Client[StepRequest, Empty], batch []*pb.Message) error {
+	steps, within, snap := &StepRequest{Version: Version, From: p.s.config.ID, To: p.id, Incarnation: p.s.disk.Incarnation, ToIncarnation: *p.life.Load()}, stepTime, false
 	for _, m := range batch {
 		text, err := proto.Marshal(m)
 		if err != nil {
@@ -104,7 +104,7 @@
 	defer cancel()
 	_, err := client.CallUnary(ctx, connect.NewRequest(steps))
 	if snap {
-		p.s.post(func() { p.s.core.Sent(p.id, err == nil) })
+		p.s.post(func() { p.s.core.ReportSnapshot(p.id, err == nil) })
 	}
 	return err
 }
--- a/internal/coordination/fleet/publish.go
+++ b/internal/coordination/fleet/publish.go
@@ -27,14 +27,14 @@
 	if err := c.Check(); err != nil {
 		return 0, false, err
 	}
-	told, err := o.Ask(ctx, Request{Versions: &service})
+	told, err := o.Call(ctx, Request{Versions: &service})
 	if err != nil {
 		return 0, false, err
 	}
 	if len(told.Versions) > 0 {
 		c.After = told.Versions[0].Revision
 	}
-	if told, err = o.Ask(ctx, Request{Publish: &c}); err != nil {
+	if told, err = o.Call(ctx, Request{Publish: &c}); err != nil {
 		return 0, false, err
 	}
 	if told.Published.Refused != "" {
@@ -43,18 +43,18 @@
 	return told.Published.Revision, told.Published.Revision == c.After, nil
 }
 
-// Summarized is one coordinator's summary.
-type Summarized struct {
+// CoordinatorSummary is one coordinator's summary.
+type CoordinatorSummary struct {
 	Addr string
 	Err  error
 	distribute.SummaryResponse
 }
 
 // Summaries asks all coordinators, also those that only follow, at once: each knows what was told to it. Service "": of all services.
-func (o *Operator) Summaries(ctx context.Context, service string) []Summarized {
+func (o *Operator) Summaries(ctx context.Context, service string) []CoordinatorSummary {
 	ctx, cancel := context.WithTimeout(ctx, summaryTime)
 	defer cancel()
-	all := make([]Summarized, len(o.Addrs))
+	all := make([]CoordinatorSummary, len(o.Addrs))
 	ended := make(chan struct{})
 	for i, addr := range o.Addrs {
 		go func() {
@@ -76,7 +76,7 @@
 }
 
 // InForce is how the newest versions stand, by service, by what all coordinators that answer have heard. Service "": of all services.
-func (o *Operator) InForce(ctx context.Context, service string) (map[string]distribute.Summary, []Summarized) {
+func (o *Operator) InForce(ctx context.Context, service string) (map[string]distribute.Summary, []CoordinatorSummary) {
 	all := o.Summaries(ctx, service)
 	by := map[string][]distribute.Summary{}
 	for _, s := range all {
--- a/internal/coordination/fleet/recorded_test.go
+++ b/internal/coordination/fleet/recorded_test.go
@@ -13,7 +13,7 @@
 	for name, message := range map[string]any{
 		"request": &Request{}, "response": &Response{},
 		"status_request": &Empty{}, "status": &Status{},
-		"step": &Steps{}, "step_response": &Empty{},
+		"step": &StepRequest{}, "step_response": &Empty{},
 		"watch": &distribute.Watch{}, "watch_response": &distribute.WatchResponse{},
 		"summary_request": &distribute.SummaryRequest{}, "summary_response": &distribute.SummaryResponse{},
 	} {
--- a/internal/coordination/fleet/rpc.go
+++ b/internal/coordination/fleet/rpc.go
@@ -33,22 +33,22 @@
 
 // Request is a question of a client; one field says what.
 type Request struct {
-	Version  int                   `json:"version"`
-	Command  *lease.Command        `json:"command,omitempty"`
-	Alive    *replica.Alive        `json:"alive,omitempty"`
-	Rollout  *rollout.Command      `json:"rollout,omitempty"`
-	Changes  *string               `json:"changes,omitempty"` // of an application; "": which applications there are
-	Results  bool                  `json:"results,omitempty"` // with what the stages of the change were counted to have done
-	Limit    *share.Command        `json:"limit,omitempty"`
-	Share    *replica.ShareRequest `json:"share,omitempty"`
-	Limits   bool                  `json:"limits,omitempty"` // how they stand
-	Publish  *distribute.Command   `json:"publish,omitempty"`
-	Versions *string               `json:"versions,omitempty"` // the newest of a service, with its content; "": of all, without
-	Last     *Last                 `json:"last,omitempty"`     // the revision of the last version of all
-	List     *string               `json:"list,omitempty"`     // leases whose names begin so
-	Backup   bool                  `json:"backup,omitempty"`
-	Add      *replica.Member       `json:"add,omitempty"`
-	Remove   uint64                `json:"remove,omitempty"`
+	Version      int                   `json:"version"`
+	Command      *lease.Command        `json:"command,omitempty"`
+	KeepAlive    *replica.KeepAlive    `json:"alive,omitempty"`
+	Rollout      *rollout.Command      `json:"rollout,omitempty"`
+	Changes      *string               `json:"changes,omitempty"` // of an application; "": which applications there are
+	StageResults bool                  `json:"results,omitempty"` // with what the stages of the change were counted to have done
+	Limit        *share.Command        `json:"limit,omitempty"`
+	Share        *replica.ShareRequest `json:"share,omitempty"`
+	ListLimits   bool                  `json:"limits,omitempty"` // how they stand
+	Publish      *distribute.Command   `json:"publish,omitempty"`
+	Versions     *string               `json:"versions,omitempty"` // the newest of a service, with its content; "": of all, without
+	LastRevision *LastRevisionRequest  `json:"last,omitempty"`     // the revision of the last version of all
+	ListLeases   *string               `json:"list,omitempty"`     // leases whose names begin so
+	Backup       bool                  `json:"backup,omitempty"`
+	AddMember    *replica.Member       `json:"add,omitempty"`
+	RemoveMember uint64                `json:"remove,omitempty"`
 }
 
 // Response is the answer. Again is when to ask again, in milliseconds, where Err says that nothing, or nothing certain, came of it.
@@ -58,25 +58,25 @@
 	Leader         string               `json:"leader,omitempty"`
 	RetryAfterMs   int                  `json:"again_ms,omitempty"`
 	Answer         lease.Answer         `json:"answer,omitzero"`
-	Alive          bool                 `json:"alive,omitempty"`
+	SessionAlive   bool                 `json:"alive,omitempty"`
 	Grants         []lease.Grant        `json:"grants,omitempty"`
-	Version        uint64               `json:"grants_version,omitempty"`
-	Holdings       []lease.Holding      `json:"holdings,omitempty"`
+	GrantsVersion  uint64               `json:"grants_version,omitempty"`
+	Leases         []lease.Info         `json:"holdings,omitempty"`
 	Backup         json.RawMessage      `json:"backup,omitempty"`
 	Members        []replica.Member     `json:"members,omitempty"`
 	Rollout        rollout.Answer       `json:"rollout,omitzero"`
-	Refused        string               `json:"refused,omitempty"` // why a limit was not set, or no part of it is given
+	LimitError     string               `json:"refused,omitempty"` // why a limit was not set, or no part of it is given
 	Share          share.Allocation     `json:"share,omitzero"`
-	Limits         []share.Standing     `json:"limits,omitempty"`
+	LimitStatuses  []share.LimitStatus  `json:"limits,omitempty"`
 	Published      distribute.Answer    `json:"published,omitzero"`
 	Versions       []distribute.Version `json:"versions,omitempty"`
-	Last           distribute.Revision  `json:"last,omitempty"`
+	LastRevision   distribute.Revision  `json:"last,omitempty"`
 	Changes        json.RawMessage      `json:"changes,omitempty"` // a rollout.Application, or names; empty: there is none
 }
 
-// Last is a coordinator's question to the leader, with the largest revision that an agent has told it of.
-type Last struct {
-	Held distribute.Revision `json:"held,omitempty"`
+// LastRevisionRequest is a coordinator's question to the leader, with the largest revision that an agent has told it of.
+type LastRevisionRequest struct {
+	HeldRevision distribute.Revision `json:"held,omitempty"`
 }
 
 // Empty is a message without content but its version.
@@ -84,8 +84,8 @@
 	Version int `json:"version"`
 }
 
-// Steps are messages of one replica to another, in the log's own form.
-type Steps struct {
+// StepRequest are messages of one replica to another, in the log's own form.
+type StepRequest struct {
 	Version       int      `json:"version"`
 	From          uint64   `json:"From"`
 	To            uint64   `json:"To"`
--- a/internal/coordination/fleet/server.go
+++ b/internal/coordination/fleet/server.go
@@ -47,9 +47,9 @@
 // Open opens what the coordinator has kept, or begins with nothing.
 func Open(c *Config, log *slog.Logger) (*Server, error) {
 	if !disk.Exists(c.Data) {
-		first := &replica.Kept{}
+		first := &replica.PersistedState{}
 		if !c.Join {
-			first = replica.First(c.Replicas, lease.NewState())
+			first = replica.InitialState(c.Replicas, lease.NewState())
 		}
 		if err := disk.Create(c.Data, c.ID, first); err != nil {
 			return nil, err
@@ -64,7 +64,7 @@
 		d.Close()
 		return nil, fmt.Errorf("%s: it is of replica %d, and the file says id %d", c.Data, d.ID, c.ID)
 	}
-	core, err := replica.New(replica.Options{ID: c.ID, Life: d.Life, Rand: rand.IntN}, kept)
+	core, err := replica.New(replica.Options{ID: c.ID, Incarnation: d.Incarnation, Rand: rand.IntN}, kept)
 	if err != nil {
 		d.Close()
 		return nil, err
@@ -111,7 +111,7 @@
 			return err
 		case <-tick.C:
 			s.core.Tick(monotonic.Now())
-			if err := s.core.Over(); err != nil {
+			if err := s.core.RemovedErr(); err != nil {
 				return err
 			}
 		case <-look.C:
@@ -132,10 +132,10 @@
 			return err
 		}
 		s.distribute.applied()
-		if now := s.core.Status(); now.Leads != leads {
-			leads = now.Leads
+		if now := s.core.Status(); now.IsLeader != leads {
+			leads = now.IsLeader
 			s.log.Info("leads", "now", leads, "term", now.Term, "sessions", now.Sessions, "leases", now.Leases)
-			s.core.Lives(s.config.ID, s.disk.Life)
+			s.core.RecordIncarnation(s.config.ID, s.disk.Incarnation)
 		}
 	}
 }
@@ -155,12 +155,12 @@
 		for _, m := range w.Messages {
 			s.peer(peers, sides, m.GetTo()).send(m)
 		}
-		own, compact, err := s.core.Done(w, monotonic.Now())
+		own, compact, err := s.core.Advance(w, monotonic.Now())
 		if err != nil {
 			return err
 		}
 		if own != nil {
-			if err := s.disk.Snapshot(own, compact); err != nil {
+			if err := s.disk.SaveSnapshot(own, compact); err != nil {
 				return fmt.Errorf("the disk: %w", err)
 			}
 		}
@@ -211,8 +211,8 @@
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
 	told := make(chan *Response, 1)
-	q.Done = func(r replica.Reply) { told <- s.told(in, r) }
-	if !s.post(func() { s.distribute.prepare(&q, in); s.core.Ask(q) }) {
+	q.Done = func(r replica.Response) { told <- s.told(in, r) }
+	if !s.post(func() { s.distribute.prepare(&q, in); s.core.Submit(q) }) {
 		return nil, errEnds
 	}
 	select {
@@ -226,7 +226,7 @@
 }
 
 // question is a client's, checked.
-func (s *Server) question(in *Request) (q replica.Question, err error) {
+func (s *Server) question(in *Request) (q replica.Request, err error) {
 	switch {
 	case in.Command != nil:
 		q.Command = in.Command
@@ -235,24 +235,24 @@
 		}
 	case in.Rollout != nil:
 		q.Rollout, err = in.Rollout, in.Rollout.Check()
-	case in.Alive != nil:
-		q.Alive = in.Alive
+	case in.KeepAlive != nil:
+		q.KeepAlive = in.KeepAlive
 	case in.Publish != nil:
 		q.Publish, err = in.Publish, in.Publish.Check()
 	case in.Limit != nil:
 		q.Limit, err = in.Limit, in.Limit.Set.Check()
 	case in.Share != nil:
-		if q.Share = in.Share; in.Share.Request.Member == "" || len(in.Share.Request.Member) > lease.MaxName {
-			err = fmt.Errorf("member: %q; write a name of 1 to %d bytes", in.Share.Request.Member, lease.MaxName)
+		if q.Share = in.Share; in.Share.Request.Member == "" || len(in.Share.Request.Member) > lease.MaxNameBytes {
+			err = fmt.Errorf("member: %q; write a name of 1 to %d bytes", in.Share.Request.Member, lease.MaxNameBytes)
 		}
-	case in.Add != nil:
-		if _, _, bad := net.SplitHostPort(in.Add.Addr); in.Add.ID == 0 || bad != nil {
-			err = fmt.Errorf("add: %d, %q: write an id from 1 on and host:port", in.Add.ID, in.Add.Addr)
+	case in.AddMember != nil:
+		if _, _, bad := net.SplitHostPort(in.AddMember.Addr); in.AddMember.ID == 0 || bad != nil {
+			err = fmt.Errorf("add: %d, %q: write an id from 1 on and host:port", in.AddMember.ID, in.AddMember.Addr)
 		}
-		q.Add = &replica.Member{ID: in.Add.ID, Addr: in.Add.Addr}
-	case in.Remove != 0:
-		q.Remove = in.Remove
-	case in.List != nil || in.Backup || in.Changes != nil || in.Limits || in.Last != nil || in.Versions != nil:
+		q.AddMember = &replica.Member{ID: in.AddMember.ID, Addr: in.AddMember.Addr}
+	case in.RemoveMember != 0:
+		q.RemoveMember = in.RemoveMember
+	case in.ListLeases != nil || in.Backup || in.Changes != nil || in.ListLimits || in.LastRevision != nil || in.Versions != nil:
 		q.Read = true
 	default:
 		err = errors.New("nothing is asked")
@@ -261,34 +261,34 @@
 }
 
 // told is the answer; it is made by the goroutine that owns the replica.
-func (s *Server) told(in *Request, r replica.Reply) *Response {
-	t := &Response{Answer: r.Answer, Alive: r.Alive, Grants: r.Grants, Version: r.Version, Members: r.Members}
+func (s *Server) told(in *Request, r replica.Response) *Response {
+	t := &Response{Answer: r.Answer, SessionAlive: r.SessionAlive, Grants: r.Grants, GrantsVersion: r.GrantsVersion, Members: r.Members}
 	if r.Err != nil {
-		t.Err, t.OutcomeUnknown, t.Leader = r.Err.Error(), errors.Is(r.Err, replica.ErrMoved), s.addr(r.Leader)
+		t.Err, t.OutcomeUnknown, t.Leader = r.Err.Error(), errors.Is(r.Err, replica.ErrLeaderChanged), s.addr(r.Leader)
 		t.RetryAfterMs = int(s.config.Tick.Milliseconds() * replica.ElectionTicks / 2)
 		if t.Leader != "" {
 			t.RetryAfterMs = int(s.config.Tick.Milliseconds())
 		}
 	}
-	if r.State != nil && in.List != nil {
-		t.Holdings = r.State.Holdings(*in.List)
+	if r.State != nil && in.ListLeases != nil {
+		t.Leases = r.State.List(*in.ListLeases)
 	}
 	t.Rollout, t.Share, t.Published = r.Rollout, r.Share, r.Published
 	if r.Versions != nil {
-		t.Last = r.Versions.Last()
+		t.LastRevision = r.Versions.Last()
 		if in.Versions != nil {
 			t.Versions = versions(r.Versions, *in.Versions)
 		}
 	}
-	if r.Refused != nil {
-		t.Refused = r.Refused.Error()
+	if r.LimitErr != nil {
+		t.LimitError = r.LimitErr.Error()
 	}
-	if in.Limits && r.Limits != nil {
-		t.Limits = r.Limits()
+	if in.ListLimits && r.LimitStatuses != nil {
+		t.LimitStatuses = r.LimitStatuses()
 	}
-	if r.Changes != nil && in.Changes != nil {
-		if t.Changes = r.Changes.Application(*in.Changes, in.Results); *in.Changes == "" {
-			t.Changes, _ = json.Marshal(r.Changes.Applications())
+	if r.Rollouts != nil && in.Changes != nil {
+		if t.Changes = r.Rollouts.Application(*in.Changes, in.StageResults); *in.Changes == "" {
+			t.Changes, _ = json.Marshal(r.Rollouts.Applications())
 		}
 	}
 	if r.State != nil && in.Backup {
@@ -333,7 +333,7 @@
 }
 
 // step takes in messages of another replica. One whose disk is another than the log knows is refused, and one that was removed.
-func (s *Server) step(ctx context.Context, in *Steps) (*Empty, error) {
+func (s *Server) step(ctx context.Context, in *StepRequest) (*Empty, error) {
 	if err := CheckVersion(in.Version); err != nil {
 		return nil, err
 	}
@@ -349,12 +349,12 @@
 	}
 	done := make(chan error, 1)
 	ok := s.post(func() {
-		if err := s.core.Mine(in.ToIncarnation); err != nil {
+		if err := s.core.CheckReceiver(in.ToIncarnation); err != nil {
 			s.fail(err)
 			done <- errEnds
 			return
 		}
-		err := s.core.Knows(in.From, in.Incarnation)
+		err := s.core.CheckSender(in.From, in.Incarnation)
 		if err != nil {
 			err = connect.NewError(connect.CodeFailedPrecondition, err)
 		}
--- a/internal/coordination/fleet/shares.go
+++ b/internal/coordination/fleet/shares.go
@@ -10,25 +10,25 @@
 	"petrelhook/internal/coordination/share"
 )
 
-// Share is one member's part of one limit, asked of the coordinators beside its uses: Allow never waits, and goes on with what there is,
+// LimitClient is one member's part of one limit, asked of the coordinators beside its uses: Allow never waits, and goes on with what there is,
 // and then with the floor, where they are out of reach.
-type Share struct {
+type LimitClient struct {
 	caller *Caller
 	limit  share.Limit
 	clock  func() lease.Instant
 	wake   chan struct{}
 
 	mu    sync.Mutex
-	taker *share.Taker
+	taker *share.Consumer
 }
 
-// NewShare makes a member's part. Run asks for it.
-func NewShare(caller *Caller, l share.Limit, member string, weight float64, clock func() lease.Instant) *Share {
-	return &Share{caller: caller, limit: l, clock: clock, wake: make(chan struct{}, 1), taker: share.NewTaker(l, member, weight)}
+// NewLimitClient makes a member's part. Run asks for it.
+func NewLimitClient(caller *Caller, l share.Limit, member string, weight float64, clock func() lease.Instant) *LimitClient {
+	return &LimitClient{caller: caller, limit: l, clock: clock, wake: make(chan struct{}, 1), taker: share.NewConsumer(l, member, weight)}
 }
 
 // Allow reports whether one use is allowed now, and counts it.
-func (s *Share) Allow() bool {
+func (s *LimitClient) Allow() bool {
 	s.mu.Lock()
 	ok := s.taker.Spend(s.clock())
 	s.mu.Unlock()
@@ -40,11 +40,11 @@
 }
 
 // Run asks whenever something is wanted, until ctx ends.
-func (s *Share) Run(ctx context.Context) {
+func (s *LimitClient) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
 		now := s.clock()
-		due, ok := s.taker.Due(now)
+		due, ok := s.taker.NextRequestAt(now)
 		s.mu.Unlock()
 		if wait := due.Sub(now); !ok || wait > 0 {
 			if !ok {
@@ -69,20 +69,20 @@
 	}
 }
 
-func (s *Share) ask(ctx context.Context) {
+func (s *LimitClient) ask(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.limit.Period)
 	defer cancel()
 	var asked lease.Instant
 	s.mu.Lock()
 	now := s.clock()
-	q := s.taker.Ask(s.taker.Wants(now), now)
+	q := s.taker.NewRequest(s.taker.Demand(now), now)
 	s.mu.Unlock()
-	told, err := s.caller.Ask(ctx, &Request{Share: &replica.ShareRequest{Limit: s.limit.Name, Request: q}}, func() { asked = s.clock() })
+	told, err := s.caller.Call(ctx, &Request{Share: &replica.ShareRequest{Limit: s.limit.Name, Request: q}}, func() { asked = s.clock() })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err != nil || told.Refused != "" {
-		s.taker.Unanswered(s.clock())
+	if err != nil || told.LimitError != "" {
+		s.taker.RequestFailed(s.clock())
 		return
 	}
-	s.taker.Told(asked, told.Share, q.Finished)
+	s.taker.ApplyAllocation(asked, told.Share, q.Finished)
 }
--- a/internal/coordination/lease/clock.go
+++ b/internal/coordination/lease/clock.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Clock is the granting side's view of time: until when each session, and each grant that was broken, has to be left alone. It
+// Lessor is the granting side's view of time: until when each session, and each grant that was broken, has to be left alone. It
 // belongs to one term of one leader; nothing of it is in the log. All instants are of the leader's own steady clock.
-type Clock struct {
+type Lessor struct {
 	state   *State
 	alone   map[SessionID]Instant // not to be ended before
 	ending  map[SessionID]bool    // Expire is proposed
@@ -20,13 +20,13 @@
 	until Instant
 }
 
-// Lead begins a term, at an instant at which this leader has applied all that was in the log before it. Whoever it inherits
+// NewLessor begins a term, at an instant at which this leader has applied all that was in the log before it. Whoever it inherits
 // lives a whole time more: the leader before may have said yes just before it was succeeded.
-func Lead(s *State, now Instant) *Clock {
-	c := &Clock{state: s, alone: map[SessionID]Instant{}, ending: map[SessionID]bool{}, broken: map[string]broken{}}
+func NewLessor(s *State, now Instant) *Lessor {
+	c := &Lessor{state: s, alone: map[SessionID]Instant{}, ending: map[SessionID]bool{}, broken: map[string]broken{}}
 	c.embargo = now.Add(s.embargo)
 	for id := range s.sessions {
-		c.Heard(id, now)
+		c.Renew(id, now)
 	}
 	for name := range s.leases {
 		c.see(name, now)
@@ -34,21 +34,21 @@
 	return c
 }
 
-// Heard is a yes that is given now: the session lives its time from now on.
-func (c *Clock) Heard(id SessionID, now Instant) {
+// Renew is a yes that is given now: the session lives its time from now on.
+func (c *Lessor) Renew(id SessionID, now Instant) {
 	if own := c.state.sessions[id]; own != nil && !c.ending[id] {
 		c.alone[id] = now.Add(own.ttl)
 	}
 }
 
-// Alive reports whether a yes may still be said to a session.
-func (c *Clock) Alive(id SessionID) bool {
+// Renewable reports whether a yes may still be said to a session.
+func (c *Lessor) Renewable(id SessionID) bool {
 	_, ok := c.state.sessions[id]
 	return ok && !c.ending[id]
 }
 
-// Due are the commands that are due. They come again until they are in the state: a proposal may get lost.
-func (c *Clock) Due(now Instant) (all []Command) {
+// ExpiryCommands are the commands that are due. They come again until they are in the state: a proposal may get lost.
+func (c *Lessor) ExpiryCommands(now Instant) (all []Command) {
 	for _, id := range slices.Sorted(maps.Keys(c.alone)) {
 		own := c.state.sessions[id]
 		if own == nil {
@@ -75,11 +75,11 @@
 }
 
 // Applied is told of each command of this term as it is applied, with its answer.
-func (c *Clock) Applied(cmd Command, a Answer, now Instant) {
+func (c *Lessor) Applied(cmd Command, a Answer, now Instant) {
 	switch cmd.Kind {
 	case Open:
 		if _, known := c.alone[a.Session]; a.Status == OK && !known {
-			c.Heard(a.Session, now)
+			c.Renew(a.Session, now)
 		}
 	case Break:
 		c.see(cmd.Name, now)
@@ -87,7 +87,7 @@
 }
 
 // see begins the time after which a broken grant is free: its holder may have been told yes until now.
-func (c *Clock) see(name string, now Instant) {
+func (c *Lessor) see(name string, now Instant) {
 	l := c.state.leases[name]
 	if l == nil || !l.broken || l.holder == 0 || c.broken[name].token == l.token {
 		return
--- a/internal/coordination/lease/command.go
+++ b/internal/coordination/lease/command.go
@@ -42,16 +42,16 @@
 
 // Command is one entry of the log.
 type Command struct {
-	Kind    Kind          `json:"k"`
-	Session SessionID     `json:"s,omitempty"`
-	Seq     uint64        `json:"n,omitempty"` // 1, 2, ... in the session; only commands of clients have one
-	Name    string        `json:"l,omitempty"` // of the lease
-	Token   Token         `json:"t,omitempty"` // Release, Transfer, Break, Free: of which grant
-	Wait    bool          `json:"w,omitempty"`
-	To      SessionID     `json:"o,omitempty"` // Transfer
-	Nonce   string        `json:"c,omitempty"` // Open: drawn by the client
-	Owner   string        `json:"u,omitempty"` // Open: a name for people; two sessions may have the same
-	TTL     time.Duration `json:"d,omitempty"` // Open
+	Kind       Kind          `json:"k"`
+	Session    SessionID     `json:"s,omitempty"`
+	Seq        uint64        `json:"n,omitempty"` // 1, 2, ... in the session; only commands of clients have one
+	Name       string        `json:"l,omitempty"` // of the lease
+	Token      Token         `json:"t,omitempty"` // Release, Transfer, Break, Free: of which grant
+	Wait       bool          `json:"w,omitempty"`
+	TransferTo SessionID     `json:"o,omitempty"` // Transfer
+	Nonce      string        `json:"c,omitempty"` // Open: drawn by the client
+	Owner      string        `json:"u,omitempty"` // Open: a name for people; two sessions may have the same
+	TTL        time.Duration `json:"d,omitempty"` // Open
 }
 
 // OfClient reports whether a command is one of a session's own.
@@ -64,8 +64,8 @@
 		switch {
 		case c.TTL < MinTTL || c.TTL > MaxTTL:
 			return fmt.Errorf("ttl: %v is out of bounds; write one from %v to %v", c.TTL, MinTTL, MaxTTL)
-		case len(c.Nonce) < 8 || len(c.Nonce) > MaxName:
-			return fmt.Errorf("nonce: %d bytes; draw 8 to %d at random", len(c.Nonce), MaxName)
+		case len(c.Nonce) < 8 || len(c.Nonce) > MaxNameBytes:
+			return fmt.Errorf("nonce: %d bytes; draw 8 to %d at random", len(c.Nonce), MaxNameBytes)
 		}
 		return checkName("owner", c.Owner)
 	case Acquire, Cancel, Release, Transfer, Break:
@@ -75,7 +75,7 @@
 		if c.Token == 0 && (c.Kind == Release || c.Kind == Transfer) {
 			return fmt.Errorf("token: missing; %s needs that of the grant", c.Kind)
 		}
-		if c.To == 0 && c.Kind == Transfer {
+		if c.TransferTo == 0 && c.Kind == Transfer {
 			return fmt.Errorf("to: missing; write the session that is to have the lease")
 		}
 	case Close:
@@ -90,8 +90,8 @@
 
 // checkName keeps names to what can be printed and typed.
 func checkName(field, name string) error {
-	if name == "" || len(name) > MaxName {
-		return fmt.Errorf("%s: %d bytes; write 1 to %d", field, len(name), MaxName)
+	if name == "" || len(name) > MaxNameBytes {
+		return fmt.Errorf("%s: %d bytes; write 1 to %d", field, len(name), MaxNameBytes)
 	}
 	if i := strings.IndexFunc(name, func(r rune) bool { return r <= ' ' || r > '~' }); i >= 0 {
 		return fmt.Errorf("%s: %q has a character at %d that is not plain; write letters, digits and signs without spaces", field, name, i+1)
@@ -121,9 +121,9 @@
 
 // Answer is what a command is answered.
 type Answer struct {
-	Status  Status    `json:"status"`
-	Session SessionID `json:"session,omitempty"`
-	Token   Token     `json:"token,omitempty"`
-	Holder  string    `json:"holder,omitempty"` // Taken and Waiting: the owner of the session that has it
-	Ahead   int       `json:"ahead,omitempty"`  // Waiting: how many come before, the holder not counted
+	Status       Status    `json:"status"`
+	Session      SessionID `json:"session,omitempty"`
+	Token        Token     `json:"token,omitempty"`
+	Holder       string    `json:"holder,omitempty"` // Taken and Waiting: the owner of the session that has it
+	WaitersAhead int       `json:"ahead,omitempty"`  // Waiting: how many come before, the holder not counted
 }
--- a/internal/coordination/lease/doc.go
+++ b/internal/coordination/lease/doc.go
@@ -38,9 +38,9 @@
 
 import "time"
 
-// Drift is by how much the rates of two steady clocks may differ, as a part. Crystals keep to 0.0001, and the kernel slews by
+// MaxDrift is by how much the rates of two steady clocks may differ, as a part. Crystals keep to 0.0001, and the kernel slews by
 // 0.0005 at most; 0.01 leaves room for machines that are virtual.
-const Drift = 0.01
+const MaxDrift = 0.01
 
 // Instant is a reading of a steady clock, counted from any start. Readings of two clocks are never compared.
 type Instant time.Duration
@@ -51,16 +51,16 @@
 // Sub is the time from another instant to this one.
 func (i Instant) Sub(o Instant) time.Duration { return time.Duration(i - o) }
 
-// Until is the end of what a client may believe that asked at an instant and was told yes.
-func Until(asked Instant, ttl time.Duration) Instant {
-	return asked.Add(time.Duration(float64(ttl) / (1 + Drift)))
+// ValidUntil is the end of what a client may believe that asked at an instant and was told yes.
+func ValidUntil(asked Instant, ttl time.Duration) Instant {
+	return asked.Add(time.Duration(float64(ttl) / (1 + MaxDrift)))
 }
 
 // The bounds of what is asked for.
 const (
-	MinTTL, MaxTTL = 100 * time.Millisecond, 10 * time.Minute
-	MaxName        = 200     // bytes
-	MaxHeld        = 20_000  // leases that one session holds or waits for
-	MaxQueue       = 4_000   // sessions that wait for one lease
-	MaxSessions    = 100_000 // at one time
+	MinTTL, MaxTTL   = 100 * time.Millisecond, 10 * time.Minute
+	MaxNameBytes     = 200     // bytes
+	MaxSessionLeases = 20_000  // leases that one session holds or waits for
+	MaxWaiters       = 4_000   // sessions that wait for one lease
+	MaxSessions      = 100_000 // at one time
 )
--- a/internal/coordination/lease/explore_test.go
+++ b/internal/coordination/lease/explore_test.go
@@ -54,7 +54,7 @@
 
 type modelClient struct {
 	clock  Instant
-	holder *Holder
+	holder *SessionState
 	ask    ask
 	asks   uint8
 	seq    uint64
@@ -62,7 +62,7 @@
 
 type modelLeader struct {
 	clock Instant // runs all the time
-	view  *Clock  // nil: it does not think that it leads
+	view  *Lessor // nil: it does not think that it leads
 }
 
 type world struct {
@@ -91,7 +91,7 @@
 	return &n
 }
 
-func (c *Clock) clone(s *State) *Clock {
+func (c *Lessor) clone(s *State) *Lessor {
 	n := *c
 	n.state, n.alone, n.ending, n.broken = s, maps.Clone(c.alone), maps.Clone(c.ending), maps.Clone(c.broken)
 	return &n
@@ -203,7 +203,7 @@
 	top := &w.leaders[w.top]
 	if len(w.log) == 0 {
 		if n := w.clone(); true {
-			if n.log = n.leaders[n.top].view.Due(top.clock); len(n.log) > 0 {
+			if n.log = n.leaders[n.top].view.ExpiryCommands(top.clock); len(n.log) > 0 {
 				visit(n)
 			}
 		}
@@ -224,7 +224,7 @@
 				n.state.Apply(c)
 			}
 			n.log = nil
-			n.leaders[n.top].view = Lead(n.state, n.leaders[n.top].clock)
+			n.leaders[n.top].view = NewLessor(n.state, n.leaders[n.top].clock)
 			visit(n)
 		}
 	}
@@ -243,7 +243,7 @@
 			c.seq++
 		}
 		if what == Release {
-			c.holder.Drop("x")
+			c.holder.Forget("x")
 		}
 		visit(n)
 	}
@@ -252,7 +252,7 @@
 		if c.asks >= questions[i] {
 			return
 		}
-		if c.holder.Alive() < 0 {
+		if c.holder.Expiry() < 0 {
 			return
 		}
 		if token, _, ok := c.holder.Held("x", c.clock); ok {
@@ -284,8 +284,8 @@
 		n := w.clone()
 		q, l := &n.clients[i], &n.leaders[c.ask.leader]
 		if q.ask.phase = answered; q.ask.what == 0 {
-			if q.ask.yes = l.view.Alive(q.holder.Session); q.ask.yes {
-				l.view.Heard(q.holder.Session, l.clock)
+			if q.ask.yes = l.view.Renewable(q.holder.Session); q.ask.yes {
+				l.view.Renew(q.holder.Session, l.clock)
 			}
 		}
 		visit(n)
@@ -297,11 +297,11 @@
 		q := &n.clients[i]
 		switch a := q.ask; {
 		case a.what == Acquire && a.answer.Status == OK:
-			q.holder.Granted(q.clock, "x", a.answer.Token)
+			q.holder.ApplyGrant(q.clock, "x", a.answer.Token)
 		case a.answer.Status == NoSession || a.what == 0 && !a.yes:
-			q.holder.Lost()
+			q.holder.Invalidate()
 		case a.what == 0:
-			q.holder.Renewed(a.asked, a.grants, a.version)
+			q.holder.ApplyKeepAlive(a.asked, a.grants, a.version)
 		}
 		q.ask = ask{}
 		visit(n)
@@ -312,13 +312,13 @@
 func explore(rates [5]Instant, out leftOut) (states, held int, two bool) {
 	s := NewState()
 	first := &world{state: s} // one holds, and both have sessions, the other's a longer one
-	first.leaders[0].view = Lead(s, 0)
+	first.leaders[0].view = NewLessor(s, 0)
 	for i := range first.clients {
 		a := first.apply(Command{Kind: Open, Nonce: fmt.Sprint(i), Owner: "same", TTL: modelTTL * time.Duration(1+4*i)})
-		first.clients[i].holder = Opened(0, a.Session, modelTTL*time.Duration(1+4*i))
+		first.clients[i].holder = NewSessionState(0, a.Session, modelTTL*time.Duration(1+4*i))
 	}
 	first.clients[0].seq = 1
-	first.clients[0].holder.Granted(0, "x", first.apply(Command{Kind: Acquire, Session: 1, Seq: 1, Name: "x"}).Token)
+	first.clients[0].holder.ApplyGrant(0, "x", first.apply(Command{Kind: Acquire, Session: 1, Seq: 1, Name: "x"}).Token)
 	type hash [32]byte
 	seen, todo := map[hash]struct{}{}, []*world{first}
 	for len(todo) > 0 && !two {
--- a/internal/coordination/lease/holder.go
+++ b/internal/coordination/lease/holder.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Holder is what a client believes: which leases its session holds, and until when by its own steady clock. Every answer is taken in
+// SessionState is what a client believes: which leases its session holds, and until when by its own steady clock. Every answer is taken in
 // with the instant at which the client had begun to ask, never with that at which the answer came.
-type Holder struct {
+type SessionState struct {
 	Session SessionID
 	ttl     time.Duration
 	until   Instant // of the session
@@ -24,18 +24,18 @@
 	broken bool
 }
 
-// Opened begins to believe in a session.
-func Opened(asked Instant, id SessionID, ttl time.Duration) *Holder {
-	return &Holder{Session: id, ttl: ttl, until: Until(asked, ttl), held: map[string]*held{}, wants: map[string]Instant{}}
+// NewSessionState begins to believe in a session.
+func NewSessionState(asked Instant, id SessionID, ttl time.Duration) *SessionState {
+	return &SessionState{Session: id, ttl: ttl, until: ValidUntil(asked, ttl), held: map[string]*held{}, wants: map[string]Instant{}}
 }
 
-// Wants begins to wait for a lease. Every release of it has been answered by now: a grant that a later question is told of is new.
-func (h *Holder) Wants(name string, now Instant) { h.wants[name] = now }
+// BeginWait begins to wait for a lease. Every release of it has been answered by now: a grant that a later question is told of is new.
+func (h *SessionState) BeginWait(name string, now Instant) { h.wants[name] = now }
 
-// Renewed takes in a yes to a question whether the session lives, with what it holds, or nil where that is as in version. It gives what
+// ApplyKeepAlive takes in a yes to a question whether the session lives, with what it holds, or nil where that is as in version. It gives what
 // it has waited for and holds by now.
-func (h *Holder) Renewed(asked Instant, grants []Grant, version uint64) (granted []Grant) {
-	until := Until(asked, h.ttl)
+func (h *SessionState) ApplyKeepAlive(asked Instant, grants []Grant, version uint64) (granted []Grant) {
+	until := ValidUntil(asked, h.ttl)
 	h.until = max(h.until, until)
 	if grants != nil && version > h.version {
 		h.version = version
@@ -54,7 +54,7 @@
 	}
 	for _, g := range grants { // whatever the version: what is waited for may have been granted before the wait was known of
 		if since, waits := h.wants[g.Name]; waits && since <= asked && !g.Broken {
-			h.Granted(asked, g.Name, g.Token)
+			h.ApplyGrant(asked, g.Name, g.Token)
 			granted = append(granted, g)
 		}
 	}
@@ -66,28 +66,30 @@
 	return granted
 }
 
-// Granted takes in a grant, heard of now.
-func (h *Holder) Granted(now Instant, name string, token Token) {
+// ApplyGrant takes in a grant, heard of now.
+func (h *SessionState) ApplyGrant(now Instant, name string, token Token) {
 	delete(h.wants, name)
 	if l := h.held[name]; l == nil || l.token < token {
 		h.held[name] = &held{token: token, until: h.until, since: now}
 	}
 }
 
-// Drop stops to believe in a lease, or to wait for it. A release is sent after it.
-func (h *Holder) Drop(name string) {
+// Forget stops to believe in a lease, or to wait for it. A release is sent after it.
+func (h *SessionState) Forget(name string) {
 	delete(h.held, name)
 	delete(h.wants, name)
 }
 
-// Lost stops to believe in anything: the session is gone.
-func (h *Holder) Lost() { h.until, h.held, h.wants = -1<<62, map[string]*held{}, map[string]Instant{} }
+// Invalidate stops to believe in anything: the session is gone.
+func (h *SessionState) Invalidate() {
+	h.until, h.held, h.wants = -1<<62, map[string]*held{}, map[string]Instant{}
+}
 
-// Alive is until when the session is believed to live.
-func (h *Holder) Alive() Instant { return h.until }
+// Expiry is until when the session is believed to live.
+func (h *SessionState) Expiry() Instant { return h.until }
 
 // Held is the token of a lease and until when it is believed to be held; ok is false where it is not.
-func (h *Holder) Held(name string, now Instant) (token Token, until Instant, ok bool) {
+func (h *SessionState) Held(name string, now Instant) (token Token, until Instant, ok bool) {
 	l := h.held[name]
 	if l == nil || now >= l.until {
 		return 0, 0, false
@@ -95,9 +97,9 @@
 	return l.token, l.until, true
 }
 
-// Known is the version of what the session holds that a question need not be answered with again. While something is waited for all is
+// KnownVersion is the version of what the session holds that a question need not be answered with again. While something is waited for all is
 // asked for: it may have been granted before the wait was known of.
-func (h *Holder) Known() uint64 {
+func (h *SessionState) KnownVersion() uint64 {
 	if len(h.wants) > 0 {
 		return 0
 	}
@@ -105,4 +107,4 @@
 }
 
 // Broken reports whether operators want a lease that is held to be let go.
-func (h *Holder) Broken(name string) bool { return h.held[name] != nil && h.held[name].broken }
+func (h *SessionState) Broken(name string) bool { return h.held[name] != nil && h.held[name].broken }
--- a/internal/coordination/lease/snapshot.go
+++ b/internal/coordination/lease/snapshot.go
@@ -95,11 +95,11 @@
 // restoredAhead is by how many tokens a restored state goes beyond its back-up: more than a group gives in a year at 10,000 a second.
 const restoredAhead = 1 << 40
 
-// Restored is the state with which a new group begins from a back-up, while holders of the old one may still live: what they
+// RestoreNewGroup is the state with which a new group begins from a back-up, while holders of the old one may still live: what they
 // hold stays theirs for their time, nothing is granted until all that the back-up lacks is over, and tokens, and numbers of sessions, go
 // on beyond those of the old group. above is the largest token that is known to have been given after the back-up, or 0; longest
 // is the longest TTL that the old group allowed.
-func Restored(backup []byte, above Token, longest time.Duration) (*State, error) {
+func RestoreNewGroup(backup []byte, above Token, longest time.Duration) (*State, error) {
 	s, err := Restore(backup)
 	if err != nil {
 		return nil, err
@@ -110,8 +110,8 @@
 	return s, nil
 }
 
-// Holding is one lease, for people.
-type Holding struct {
+// Info is one lease, for people.
+type Info struct {
 	Name    string        `json:"name"`
 	Token   Token         `json:"token,omitempty"`
 	Session SessionID     `json:"session,omitempty"`
@@ -127,13 +127,13 @@
 	Owner   string    `json:"owner"`
 }
 
-// Holdings are the leases whose names begin with a prefix, in order.
-func (s *State) Holdings(prefix string) (all []Holding) {
+// List are the leases whose names begin with a prefix, in order.
+func (s *State) List(prefix string) (all []Info) {
 	for name, l := range s.leases {
 		if len(name) < len(prefix) || name[:len(prefix)] != prefix {
 			continue
 		}
-		h := Holding{Name: name, Session: l.holder, Broken: l.broken}
+		h := Info{Name: name, Session: l.holder, Broken: l.broken}
 		if own := s.sessions[l.holder]; own != nil {
 			h.Token, h.Owner, h.TTL = l.token, own.owner, own.ttl
 		}
@@ -142,7 +142,7 @@
 		}
 		all = append(all, h)
 	}
-	slices.SortFunc(all, func(a, b Holding) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b Info) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
--- a/internal/coordination/lease/state.go
+++ b/internal/coordination/lease/state.go
@@ -135,11 +135,11 @@
 		s.free(l)
 		return Answer{Status: OK}
 	case Transfer:
-		i := slices.Index(l.queue, c.To)
+		i := slices.Index(l.queue, c.TransferTo)
 		if !held || l.token != c.Token || i < 0 || l.broken {
 			return Answer{Status: NotHeld}
 		}
-		l.queue = slices.Insert(slices.Delete(l.queue, i, i+1), 0, c.To)
+		l.queue = slices.Insert(slices.Delete(l.queue, i, i+1), 0, c.TransferTo)
 		s.free(l)
 		return Answer{Status: OK, Token: l.token}
 	}
@@ -153,7 +153,7 @@
 	at := slices.Index(l.queue, own.id)
 	switch {
 	case at >= 0: // it waits already
-	case len(own.holds)+len(own.waits) >= MaxHeld:
+	case len(own.holds)+len(own.waits) >= MaxSessionLeases:
 		return Answer{Status: Full}
 	case l.holder == 0 && s.embargo == 0:
 		l.queue = append(l.queue, own.id)
@@ -163,14 +163,14 @@
 		return Answer{Status: Embargoed}
 	case !wait:
 		return Answer{Status: HeldByOther, Holder: s.owner(l.holder)}
-	case len(l.queue) >= MaxQueue:
+	case len(l.queue) >= MaxWaiters:
 		return Answer{Status: Full}
 	default:
 		at = len(l.queue)
 		l.queue = append(l.queue, own.id)
 		own.waits[l.name] = struct{}{}
 	}
-	return Answer{Status: Waiting, Holder: s.owner(l.holder), Ahead: at}
+	return Answer{Status: Waiting, Holder: s.owner(l.holder), WaitersAhead: at}
 }
 
 // grant gives a lease that nobody holds to whoever is first in its queue.
@@ -226,8 +226,8 @@
 	return ""
 }
 
-// Has reports whether a session exists, and how long it lives without a word.
-func (s *State) Has(id SessionID) (ttl time.Duration, ok bool) {
+// SessionTTL reports whether a session exists, and how long it lives without a word.
+func (s *State) SessionTTL(id SessionID) (ttl time.Duration, ok bool) {
 	own := s.sessions[id]
 	if own == nil {
 		return 0, false
--- a/internal/coordination/lease/state_test.go
+++ b/internal/coordination/lease/state_test.go
@@ -43,7 +43,7 @@
 	do(Release, 1, 4, 1, NotHeld, 0)
 	do(Release, 2, 3, 1, NotHeld, 0)
 	do(Acquire, 9, 1, 0, NoSession, 0)
-	if h := s.Holdings(""); len(h) != 1 || h[0].Session != 2 || h[0].Token != 2 {
+	if h := s.List(""); len(h) != 1 || h[0].Session != 2 || h[0].Token != 2 {
 		t.Errorf("%+v", h)
 	}
 }
@@ -52,27 +52,27 @@
 func TestQueue(t *testing.T) {
 	s := opened(5)
 	for id := SessionID(1); id <= 5; id++ {
-		if a := s.Apply(Command{Kind: Acquire, Session: id, Seq: 1, Name: "x", Wait: true}); id > 1 && (a.Status != Waiting || a.Ahead != int(id)-2) {
+		if a := s.Apply(Command{Kind: Acquire, Session: id, Seq: 1, Name: "x", Wait: true}); id > 1 && (a.Status != Waiting || a.WaitersAhead != int(id)-2) {
 			t.Errorf("%d: %v", id, a)
 		}
 	}
 	holder := func(want SessionID, token Token) {
 		t.Helper()
-		if h := s.Holdings("x")[0]; h.Session != want || h.Token != token {
+		if h := s.List("x")[0]; h.Session != want || h.Token != token {
 			t.Errorf("%+v, want session %d, token %d", h, want, token)
 		}
 	}
 	s.Apply(Command{Kind: Expire, Session: 2})
 	s.Apply(Command{Kind: Cancel, Session: 4, Seq: 2, Name: "x"})
-	s.Apply(Command{Kind: Transfer, Session: 1, Seq: 2, Name: "x", Token: 1, To: 5})
+	s.Apply(Command{Kind: Transfer, Session: 1, Seq: 2, Name: "x", Token: 1, TransferTo: 5})
 	holder(5, 2)
-	if a := s.Apply(Command{Kind: Transfer, Session: 5, Seq: 2, Name: "x", Token: 2, To: 4}); a.Status != NotHeld {
+	if a := s.Apply(Command{Kind: Transfer, Session: 5, Seq: 2, Name: "x", Token: 2, TransferTo: 4}); a.Status != NotHeld {
 		t.Errorf("to one that does not wait: %v", a)
 	}
 	s.Apply(Command{Kind: Close, Session: 5, Seq: 3})
 	holder(3, 3)
 	s.Apply(Command{Kind: Expire, Session: 3})
-	if h := s.Holdings(""); len(h) != 0 {
+	if h := s.List(""); len(h) != 0 {
 		t.Errorf("%+v", h)
 	}
 }
@@ -80,25 +80,25 @@
 // A renewal tells what a session holds only where that is new to it, or while it waits for something.
 func TestKnown(t *testing.T) {
 	s := opened(1)
-	h := Opened(0, 1, time.Second)
+	h := NewSessionState(0, 1, time.Second)
 	s.Apply(Command{Kind: Acquire, Session: 1, Seq: 1, Name: "x"})
-	h.Wants("x", 1)
-	if h.Known() != 0 {
+	h.BeginWait("x", 1)
+	if h.KnownVersion() != 0 {
 		t.Error("it waits, and asks for less than all")
 	}
-	grants, version := s.Grants(1, h.Known())
-	if got := h.Renewed(2, grants, version); len(got) != 1 || got[0].Name != "x" || h.Known() != version {
-		t.Errorf("%v, known %d of %d", got, h.Known(), version)
+	grants, version := s.Grants(1, h.KnownVersion())
+	if got := h.ApplyKeepAlive(2, grants, version); len(got) != 1 || got[0].Name != "x" || h.KnownVersion() != version {
+		t.Errorf("%v, known %d of %d", got, h.KnownVersion(), version)
 	}
-	if grants, same := s.Grants(1, h.Known()); grants != nil || same != version {
+	if grants, same := s.Grants(1, h.KnownVersion()); grants != nil || same != version {
 		t.Errorf("told again: %v, %d", grants, same)
 	}
-	h.Renewed(Instant(time.Second/2), nil, version)
+	h.ApplyKeepAlive(Instant(time.Second/2), nil, version)
 	if _, until, ok := h.Held("x", Instant(time.Second)); !ok || until <= Instant(time.Second) {
 		t.Errorf("not renewed: %v, %v", until, ok)
 	}
 	s.Apply(Command{Kind: Expire, Session: 1})
-	if _, version := s.Grants(1, h.Known()); version != h.Known() {
+	if _, version := s.Grants(1, h.KnownVersion()); version != h.KnownVersion() {
 		t.Errorf("%d of a session that is gone", version)
 	}
 }
@@ -107,32 +107,32 @@
 // session go on, and a grant that was broken is not renewed.
 func TestBreak(t *testing.T) {
 	s := opened(1)
-	c := Lead(s, 0)
-	h := Opened(0, 1, time.Second)
+	c := NewLessor(s, 0)
+	h := NewSessionState(0, 1, time.Second)
 	for i, name := range []string{"x", "y"} {
-		h.Granted(0, name, s.Apply(Command{Kind: Acquire, Session: 1, Seq: uint64(i + 1), Name: name}).Token)
+		h.ApplyGrant(0, name, s.Apply(Command{Kind: Acquire, Session: 1, Seq: uint64(i + 1), Name: name}).Token)
 	}
 	at := func(ms int) Instant { return Instant(time.Duration(ms) * time.Millisecond) }
 	cmd := Command{Kind: Break, Name: "x", Token: 1}
 	c.Applied(cmd, s.Apply(cmd), at(500))
-	c.Heard(1, at(600))
+	c.Renew(1, at(600))
 	grants, version := s.Grants(1, 0)
-	h.Renewed(at(600), grants, version)
+	h.ApplyKeepAlive(at(600), grants, version)
 	if _, until, ok := h.Held("x", at(700)); !ok || until >= at(1000) {
 		t.Errorf("the broken one: until %v, %v", until, ok)
 	}
 	if _, until, _ := h.Held("y", at(700)); until < at(1500) {
 		t.Errorf("the other: until %v", until)
 	}
-	if due := c.Due(at(1499)); len(due) != 0 {
+	if due := c.ExpiryCommands(at(1499)); len(due) != 0 {
 		t.Errorf("%v", due)
 	}
-	next := Lead(s, at(1400)) // another leader counts from its own beginning
-	next.Heard(1, at(2000))
-	if due := next.Due(at(2399)); len(due) != 0 {
+	next := NewLessor(s, at(1400)) // another leader counts from its own beginning
+	next.Renew(1, at(2000))
+	if due := next.ExpiryCommands(at(2399)); len(due) != 0 {
 		t.Errorf("%v", due)
 	}
-	if due := next.Due(at(2400)); len(due) != 1 || due[0] != (Command{Kind: Free, Name: "x", Token: 1}) {
+	if due := next.ExpiryCommands(at(2400)); len(due) != 1 || due[0] != (Command{Kind: Free, Name: "x", Token: 1}) {
 		t.Errorf("%v", due)
 	}
 }
@@ -145,25 +145,25 @@
 	backup := s.Snapshot()
 	var last Token
 	for range 2 {
-		r, err := Restored(backup, last, time.Minute)
+		r, err := RestoreNewGroup(backup, last, time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := Lead(r, 0)
+		c := NewLessor(r, 0)
 		if a := r.Apply(Command{Kind: Acquire, Session: 2, Seq: 1, Name: "new"}); a.Status != Embargoed {
 			t.Errorf("%v", a)
 		}
 		r.Apply(Command{Kind: Acquire, Session: 2, Seq: 2, Name: "x", Wait: true})
 		r.Apply(Command{Kind: Expire, Session: 1})
-		if h := r.Holdings("x"); len(h) != 1 || h[0].Session != 0 {
+		if h := r.List("x"); len(h) != 1 || h[0].Session != 0 {
 			t.Errorf("granted under the embargo: %+v", h)
 		}
-		c.Heard(2, Instant(time.Hour))
-		if due := c.Due(Instant(time.Minute)); len(due) != 1 || due[0].Kind != EndEmbargo {
+		c.Renew(2, Instant(time.Hour))
+		if due := c.ExpiryCommands(Instant(time.Minute)); len(due) != 1 || due[0].Kind != EndEmbargo {
 			t.Fatalf("%v", due)
 		}
 		r.Apply(Command{Kind: EndEmbargo})
-		h := r.Holdings("x")
+		h := r.List("x")
 		if len(h) != 1 || h[0].Session != 2 || h[0].Token <= max(last, 1<<40) {
 			t.Errorf("%+v after token %d", h, last)
 		}
@@ -183,7 +183,7 @@
 			c := Command{
 				Kind:    rapid.SampledFrom([]Kind{Open, Acquire, Acquire, Acquire, Cancel, Release, Transfer, Close, Break, Expire, Free}).Draw(t, "kind"),
 				Session: SessionID(rapid.IntRange(0, 4).Draw(t, "session")), Seq: uint64(i + 1), Wait: rapid.Bool().Draw(t, "wait"),
-				Name: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), To: SessionID(rapid.IntRange(1, 4).Draw(t, "to")),
+				Name: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name"), TransferTo: SessionID(rapid.IntRange(1, 4).Draw(t, "to")),
 				Token: Token(rapid.IntRange(0, 9).Draw(t, "token")), TTL: time.Second, Nonce: fmt.Sprint("n", i%7),
 			}
 			before := s.Snapshot()
@@ -227,7 +227,7 @@
 
 // What comes from outside is checked before it gets into the log.
 func TestCheck(t *testing.T) {
-	long := string(bytes.Repeat([]byte("x"), MaxName+1))
+	long := string(bytes.Repeat([]byte("x"), MaxNameBytes+1))
 	good := Command{Kind: Acquire, Session: 1, Seq: 1, Name: "a/b"}
 	for want, c := range map[string]Command{
 		"ttl: 1ms is out of bounds":           {Kind: Open, TTL: time.Millisecond, Nonce: "12345678", Owner: "o"},
--- a/internal/coordination/machine/config.go
+++ b/internal/coordination/machine/config.go
@@ -182,8 +182,8 @@
 		},
 		"member": func(n *yaml.Node) error {
 			err := yamlfile.Decode(n, &c.Member, "a name")
-			if err == nil && (c.Member == "" || len(c.Member) > distribute.MaxName) {
-				err = fmt.Errorf("%d bytes; write a name of 1 to %d", len(c.Member), distribute.MaxName)
+			if err == nil && (c.Member == "" || len(c.Member) > distribute.MaxNameBytes) {
+				err = fmt.Errorf("%d bytes; write a name of 1 to %d", len(c.Member), distribute.MaxNameBytes)
 			}
 			return err
 		},
@@ -209,7 +209,7 @@
 	}
 	if err == nil && c.Member == "" {
 		host, _ := os.Hostname() // "": the address is all there is
-		c.Member = host[:min(len(host), distribute.MaxName/2)] + "/" + c.Listen
+		c.Member = host[:min(len(host), distribute.MaxNameBytes/2)] + "/" + c.Listen
 	}
 	return err
 }
--- a/internal/coordination/machine/machine.go
+++ b/internal/coordination/machine/machine.go
@@ -77,7 +77,7 @@
 			return nil
 		}
 		return subscribe.New(subscribe.Options{
-			Addrs: c.Coordinators, Service: c.Application, Member: c.Member, Holds: holds, Take: take, Log: log,
+			Addrs: c.Coordinators, Service: c.Application, Member: c.Member, Revision: holds, Store: take, Log: log,
 		})
 	})
 }
--- a/internal/coordination/machine/version.go
+++ b/internal/coordination/machine/version.go
@@ -54,7 +54,7 @@
 				path, v.Service, m.c.Application)
 		}
 		if err == nil && (v.Revision != distribute.Revision(n) || distribute.Digest(v.Content) != v.Digest) {
-			err = distribute.ErrBroken
+			err = distribute.ErrDigestMismatch
 		}
 		if err != nil {
 			m.log.Warn("a version is not read", "file", path, "err", err)
@@ -71,11 +71,11 @@
 		content, err := distribute.Canonical(v.Content)
 		switch {
 		case v.Service != m.c.Application:
-			return struct{}{}, distribute.ErrForeign
+			return struct{}{}, distribute.ErrWrongService
 		case v.Revision <= m.holds:
-			return struct{}{}, distribute.ErrOlder
+			return struct{}{}, distribute.ErrNotNewer
 		case err != nil || distribute.Digest(content) != v.Digest:
-			return struct{}{}, distribute.ErrBroken
+			return struct{}{}, distribute.ErrDigestMismatch
 		}
 		v.Content = content
 		if err := m.keep(fmt.Sprint(versionName, v.Revision), v); err != nil {
--- a/internal/coordination/machine/version_test.go
+++ b/internal/coordination/machine/version_test.go
@@ -230,17 +230,17 @@
 	}
 
 	r := g.tell(6, `{"bad": 1, "discovery": "c"}`)
-	file, why, _ := strings.Cut(strings.TrimPrefix(r.Why, "fake: "), ":")
+	file, why, _ := strings.Cut(strings.TrimPrefix(r.Reason, "fake: "), ":")
 	lines, _ := os.ReadFile(file)
 	if r.InForce != 5 || r.Refused != 6 || why != "2:2: bad: is there; leave it out" || !strings.Contains(strings.Split(string(lines), "\n")[1], `"bad"`) {
 		t.Errorf("%+v in %s", r, lines)
 	}
-	if r := g.tell(7, `{"never": 1}`); r.InForce != 5 || r.Refused != 7 || r.Why != "not ready in 5s" {
+	if r := g.tell(7, `{"never": 1}`); r.InForce != 5 || r.Refused != 7 || r.Reason != "not ready in 5s" {
 		t.Errorf("%+v", r)
 	}
 	for _, v := range []distribute.Version{version(5, `{"x": 1}`), version(7, `{"x": 1}`), {Service: "other", Revision: 9, Content: []byte("{}"), Digest: distribute.Digest([]byte("{}"))},
 		{Service: "app", Revision: 9, Content: []byte("{}"), Digest: distribute.Digest([]byte("[]"))}} {
-		if err := g.take(v); !errors.Is(err, distribute.ErrOlder) && !errors.Is(err, distribute.ErrForeign) && !errors.Is(err, distribute.ErrBroken) {
+		if err := g.take(v); !errors.Is(err, distribute.ErrNotNewer) && !errors.Is(err, distribute.ErrWrongService) && !errors.Is(err, distribute.ErrDigestMismatch) {
 			t.Errorf("%+v: %v", v, err)
 		}
 	}
@@ -298,7 +298,7 @@
 	g := newRig(t)
 	pid := g.kept().Serving.PID
 	for r := range distribute.Revision(keptStarts + 2) {
-		if told := g.tell(r+1, fmt.Sprintf(`{"dies": %d}`, r)); told.InForce != 0 || !strings.Contains(told.Why, "it ended before it was ready") {
+		if told := g.tell(r+1, fmt.Sprintf(`{"dies": %d}`, r)); told.InForce != 0 || !strings.Contains(told.Reason, "it ended before it was ready") {
 			t.Errorf("%+v", told)
 		}
 	}
@@ -364,7 +364,7 @@
 	if err != nil || m.tells != nil {
 		t.Fatal(err)
 	}
-	if r := m.units[0].Report("n0"); r.InForce != 4 || r.Why != "" {
+	if r := m.units[0].Report("n0"); r.InForce != 4 || r.Reason != "" {
 		t.Errorf("%+v", r)
 	}
 	if todo := m.units[0].Tick(time.Hour); len(todo) != 0 {
--- a/internal/coordination/replica/ask.go
+++ b/internal/coordination/replica/ask.go
@@ -13,24 +13,24 @@
 	"petrelhook/internal/coordination/share"
 )
 
-// Question is what a replica is asked; one of its fields says what.
-type Question struct {
-	Command *lease.Command
-	Rollout *rollout.Command
-	Limit   *share.Command
-	Share   *ShareRequest
-	Publish *distribute.Command
-	Alive   *Alive
-	Read    bool    // the state as of now
-	Add     *Member // as a learner; it votes once it has caught up
-	Remove  uint64
-	Done    func(Reply) // called once, from a call of Core
+// Request is what a replica is asked; one of its fields says what.
+type Request struct {
+	Command      *lease.Command
+	Rollout      *rollout.Command
+	Limit        *share.Command
+	Share        *ShareRequest
+	Publish      *distribute.Command
+	KeepAlive    *KeepAlive
+	Read         bool    // the state as of now
+	AddMember    *Member // as a learner; it votes once it has caught up
+	RemoveMember uint64
+	Done         func(Response) // called once, from a call of Core
 }
 
-// Alive asks whether a session lives, with the version of its grants that the client knows.
-type Alive struct {
-	Session lease.SessionID `json:"Session"`
-	Known   uint64          `json:"Known"`
+// KeepAlive asks whether a session lives, with the version of its grants that the client knows.
+type KeepAlive struct {
+	Session      lease.SessionID `json:"Session"`
+	KnownVersion uint64          `json:"Known"`
 }
 
 // ShareRequest asks for a part of a limit.
@@ -42,23 +42,23 @@
 // ErrNoLimit: there is no limit of that name.
 var ErrNoLimit = errors.New("there is no such limit")
 
-// Reply is the answer. State is the core's own and good until Done returns.
-type Reply struct {
-	Err       error
-	Leader    uint64 // with ErrNotLeader, if it is known
-	Answer    lease.Answer
-	Alive     bool
-	Grants    []lease.Grant
-	Version   uint64
-	Rollout   rollout.Answer
-	State     *lease.State
-	Changes   *rollout.Register // as State
-	Refused   error             // why a limit was not set, or no part of it is given
-	Share     share.Allocation
-	Limits    func() []share.Standing // as State
-	Published distribute.Answer
-	Versions  *distribute.Register // as State
-	Members   []Member
+// Response is the answer. State is the core's own and good until Done returns.
+type Response struct {
+	Err           error
+	Leader        uint64 // with ErrNotLeader, if it is known
+	Answer        lease.Answer
+	SessionAlive  bool
+	Grants        []lease.Grant
+	GrantsVersion uint64
+	Rollout       rollout.Answer
+	State         *lease.State
+	Rollouts      *rollout.Register // as State
+	LimitErr      error             // why a limit was not set, or no part of it is given
+	Share         share.Allocation
+	LimitStatuses func() []share.LimitStatus // as State
+	Published     distribute.Answer
+	Versions      *distribute.Register // as State
+	Members       []Member
 }
 
 // confirmation is questions that wait for a majority to confirm that this replica leads.
@@ -66,44 +66,44 @@
 	number uint64
 	index  uint64 // above 0: confirmed, and to be applied up to there
 	age    int
-	asks   []Question
+	asks   []Request
 }
 
-// Ask takes in a question.
-func (c *Core) Ask(q Question) {
+// Submit takes in a question.
+func (c *Core) Submit(q Request) {
 	if !c.leads {
 		err := ErrNotLeader
 		if c.leader == 0 {
 			err = ErrNoLeader
 		}
-		q.Done(Reply{Err: err, Leader: c.leader})
+		q.Done(Response{Err: err, Leader: c.leader})
 		return
 	}
 	if len(c.waiting)+len(c.asked) > maxWaiting {
-		q.Done(Reply{Err: ErrBusy})
+		q.Done(Response{Err: ErrBusy})
 		return
 	}
 	switch {
 	case q.Command != nil || q.Rollout != nil || q.Limit != nil || q.Publish != nil:
 		c.number++
 		if err := c.propose(entry{From: c.ID, Number: c.number, Lease: q.Command, Rollout: q.Rollout, Limit: q.Limit, Publish: q.Publish}); err != nil {
-			q.Done(Reply{Err: ErrBusy})
+			q.Done(Response{Err: ErrBusy})
 			return
 		}
 		c.waiting[c.number] = q.Done
-	case q.Add != nil || q.Remove != 0:
-		m, kind := Member{ID: q.Remove}, pb.ConfChangeRemoveNode
-		if q.Add != nil {
-			m, kind = *q.Add, pb.ConfChangeAddLearnerNode
+	case q.AddMember != nil || q.RemoveMember != 0:
+		m, kind := Member{ID: q.RemoveMember}, pb.ConfChangeRemoveNode
+		if q.AddMember != nil {
+			m, kind = *q.AddMember, pb.ConfChangeAddLearnerNode
 			m.Learner = true
 		}
-		if _, member := c.members[m.ID]; c.clock != nil && member == (q.Add != nil) { // asked again
-			q.Done(Reply{Members: c.Members()})
+		if _, member := c.members[m.ID]; c.clock != nil && member == (q.AddMember != nil) { // asked again
+			q.Done(Response{Members: c.Members()})
 			return
 		}
 		number, err := c.change(m, kind)
 		if err != nil {
-			q.Done(Reply{Err: err})
+			q.Done(Response{Err: err})
 			return
 		}
 		c.waiting[number] = q.Done
@@ -119,17 +119,17 @@
 		all = append(all, c.confirm.asks...)
 		c.confirm = nil
 	}
-	c.fail(all, ErrMoved)
+	c.fail(all, ErrLeaderChanged)
 	for _, n := range slices.Sorted(maps.Keys(c.waiting)) {
 		done := c.waiting[n]
 		delete(c.waiting, n)
-		done(Reply{Err: ErrMoved})
+		done(Response{Err: ErrLeaderChanged})
 	}
 }
 
-func (c *Core) fail(asks []Question, err error) {
+func (c *Core) fail(asks []Request, err error) {
 	for _, q := range asks {
-		q.Done(Reply{Err: err, Leader: c.leader})
+		q.Done(Response{Err: err, Leader: c.leader})
 	}
 }
 
@@ -141,21 +141,21 @@
 	asks := c.confirm.asks
 	c.confirm = nil
 	for _, q := range asks {
-		var r Reply
+		var r Response
 		switch {
 		case q.Share != nil:
 			told, ok := c.shares.Allocate(q.Share.Limit, q.Share.Request, now)
 			if r.Share = told; !ok {
-				r.Refused = ErrNoLimit
+				r.LimitErr = ErrNoLimit
 			}
-		case q.Alive != nil:
-			if r.Alive = c.clock.Alive(q.Alive.Session); r.Alive {
-				c.clock.Heard(q.Alive.Session, now)
-				r.Grants, r.Version = c.state.Grants(q.Alive.Session, q.Alive.Known)
+		case q.KeepAlive != nil:
+			if r.SessionAlive = c.clock.Renewable(q.KeepAlive.Session); r.SessionAlive {
+				c.clock.Renew(q.KeepAlive.Session, now)
+				r.Grants, r.GrantsVersion = c.state.Grants(q.KeepAlive.Session, q.KeepAlive.KnownVersion)
 			}
 		default:
-			r.State, r.Changes, r.Versions, r.Members = c.state, c.changes, c.versions, c.Members()
-			r.Limits = func() []share.Standing { return c.shares.Standings(now) }
+			r.State, r.Rollouts, r.Versions, r.Members = c.state, c.changes, c.versions, c.Members()
+			r.LimitStatuses = func() []share.LimitStatus { return c.shares.Statuses(now) }
 		}
 		q.Done(r)
 	}
--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -51,11 +51,11 @@
 
 // Options are the bounds of a replica.
 type Options struct {
-	ID            uint64
-	Life          string          // of its disk
-	Rand          func(n int) int // below n
-	SnapshotEvery uint64          // entries; 0: 20,000
-	Keep          uint64          // entries that stay in the log behind a snapshot; 0: 5,000
+	ID             uint64
+	Incarnation    string          // of its disk
+	Rand           func(n int) int // below n
+	SnapshotEvery  uint64          // entries; 0: 20,000
+	CatchUpEntries uint64          // entries that stay in the log behind a snapshot; 0: 5,000
 }
 
 // Core is one replica.
@@ -67,7 +67,7 @@
 	changes  *rollout.Register
 	limits   *share.Register
 	versions *distribute.Register
-	changed  Changed
+	changed  ChangedServices
 	members  map[uint64]Member
 	conf     *pb.ConfState
 	applied  uint64
@@ -76,37 +76,37 @@
 	term    uint64 // of the last hard state
 	leads   bool
 	leader  uint64
-	clock   *lease.Clock    // while it leads and has applied what was before
-	shares  *share.Dividers // as clock
-	quiet   int             // ticks without a leader's word
-	patient int             // how many it bears
+	clock   *lease.Lessor     // while it leads and has applied what was before
+	shares  *share.Allocators // as clock
+	quiet   int               // ticks without a leader's word
+	patient int               // how many it bears
 	number  uint64
 
 	changing bool // a change of the members is proposed
 	fresh    bool // a snapshot is due: one of before a change is of no use to a replica that is added
 	removed  int  // above 0: this replica is none of the group any more, for so many ticks
-	waiting  map[uint64]func(Reply)
-	asked    []Question // for the next confirmation
+	waiting  map[uint64]func(Response)
+	asked    []Request // for the next confirmation
 	confirm  *confirmation
 }
 
-// Kept is what a disk holds of a replica.
-type Kept struct {
-	Hard     *pb.HardState
-	Snapshot *pb.Snapshot // nil: none; a replica that is to be added begins with nothing
-	Entries  []*pb.Entry
+// PersistedState is what a disk holds of a replica.
+type PersistedState struct {
+	HardState *pb.HardState
+	Snapshot  *pb.Snapshot // nil: none; a replica that is to be added begins with nothing
+	Entries   []*pb.Entry
 }
 
-// First is what the disks of all replicas of a new group begin with, each with the same.
-func First(members []Member, state *lease.State) *Kept {
+// InitialState is what the disks of all replicas of a new group begin with, each with the same.
+func InitialState(members []Member, state *lease.State) *PersistedState {
 	conf := &pb.ConfState{}
 	for _, m := range members {
 		conf.Voters = append(conf.Voters, m.ID)
 	}
 	slices.Sort(conf.Voters)
-	return &Kept{
-		Hard:     &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)},
-		Snapshot: &pb.Snapshot{Data: encode(members, state, rollout.NewRegister(), share.NewRegister(), distribute.NewRegister()), Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}},
+	return &PersistedState{
+		HardState: &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)},
+		Snapshot:  &pb.Snapshot{Data: encode(members, state, rollout.NewRegister(), share.NewRegister(), distribute.NewRegister()), Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}},
 	}
 }
 
@@ -123,15 +123,15 @@
 }
 
 // New makes a replica from what its disk holds.
-func New(o Options, k *Kept) (*Core, error) {
+func New(o Options, k *PersistedState) (*Core, error) {
 	if o.SnapshotEvery == 0 {
 		o.SnapshotEvery = 20_000
 	}
-	if o.Keep == 0 {
-		o.Keep = 5_000
+	if o.CatchUpEntries == 0 {
+		o.CatchUpEntries = 5_000
 	}
 	c := &Core{Options: o, store: raft.NewMemoryStorage(), state: lease.NewState(), changes: rollout.NewRegister(), limits: share.NewRegister(),
-		versions: distribute.NewRegister(), members: map[uint64]Member{}, waiting: map[uint64]func(Reply){}}
+		versions: distribute.NewRegister(), members: map[uint64]Member{}, waiting: map[uint64]func(Response){}}
 	if k.Snapshot != nil {
 		if err := c.store.ApplySnapshot(k.Snapshot); err != nil {
 			return nil, err
@@ -140,8 +140,8 @@
 			return nil, err
 		}
 	}
-	if k.Hard != nil {
-		hard := proto.Clone(k.Hard).(*pb.HardState)
+	if k.HardState != nil {
+		hard := proto.Clone(k.HardState).(*pb.HardState)
 		if hard.GetCommit() < c.applied { // a commit alone is not written at once, and a snapshot is of what was committed
 			hard.Commit = proto.Uint64(c.applied)
 		}
@@ -187,7 +187,7 @@
 	if err != nil {
 		return fmt.Errorf("snapshot at %d: %w", s.Metadata.GetIndex(), err)
 	}
-	c.changes, c.limits, c.versions, c.changed = changes, limits, versions, Changed{All: true}
+	c.changes, c.limits, c.versions, c.changed = changes, limits, versions, ChangedServices{All: true}
 	c.state, c.members, c.clock, c.shares = state, map[uint64]Member{}, nil, nil
 	for _, m := range im.Members {
 		c.members[m.ID] = m
@@ -230,7 +230,7 @@
 	if c.clock == nil {
 		return
 	}
-	for _, cmd := range c.clock.Due(now) {
+	for _, cmd := range c.clock.ExpiryCommands(now) {
 		if c.propose(entry{Lease: &cmd}) != nil {
 			return // it comes again
 		}
@@ -262,11 +262,11 @@
 	c.raw.Step(m) // an error says that it is of no use here
 }
 
-// Unreachable tells that a message to a replica did not get there.
-func (c *Core) Unreachable(id uint64) { c.raw.ReportUnreachable(id) }
+// ReportUnreachable tells that a message to a replica did not get there.
+func (c *Core) ReportUnreachable(id uint64) { c.raw.ReportUnreachable(id) }
 
-// Sent tells what became of a snapshot that was sent.
-func (c *Core) Sent(id uint64, ok bool) {
+// ReportSnapshot tells what became of a snapshot that was sent.
+func (c *Core) ReportSnapshot(id uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
 		status = raft.SnapshotFailure
@@ -274,16 +274,16 @@
 	c.raw.ReportSnapshot(id, status)
 }
 
-// Work is what is to be done now, in this order: keep Kept (durably, if Sync), send Messages, call Done.
-type Work struct {
-	Kept
+// Ready is what is to be done now, in this order: keep Kept (durably, if Sync), send Messages, call Done.
+type Ready struct {
+	PersistedState
 	Sync     bool
 	Messages []*pb.Message
 	ready    raft.Ready
 }
 
 // Ready is what is to be done, if anything is.
-func (c *Core) Ready() (w Work, ok bool) {
+func (c *Core) Ready() (w Ready, ok bool) {
 	if c.confirm == nil && len(c.asked) > 0 && c.clock != nil {
 		c.number++
 		c.confirm = &confirmation{number: c.number, asks: c.asked}
@@ -294,8 +294,8 @@
 		return w, false
 	}
 	rd := c.raw.Ready()
-	w = Work{ready: rd, Messages: rd.Messages, Sync: rd.MustSync}
-	w.Hard, w.Entries = rd.HardState, rd.Entries
+	w = Ready{ready: rd, Messages: rd.Messages, Sync: rd.MustSync}
+	w.HardState, w.Entries = rd.HardState, rd.Entries
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		w.Snapshot, w.Sync = rd.Snapshot, true
 	}
@@ -306,9 +306,9 @@
 	return w, true
 }
 
-// Done takes in that a work was done: what is committed is applied, and answered. If it is time for a snapshot, own is one that is to
+// Advance takes in that a work was done: what is committed is applied, and answered. If it is time for a snapshot, own is one that is to
 // be kept before the log is cut before compact.
-func (c *Core) Done(w Work, now lease.Instant) (own *pb.Snapshot, compact uint64, err error) {
+func (c *Core) Advance(w Ready, now lease.Instant) (own *pb.Snapshot, compact uint64, err error) {
 	rd := w.ready
 	if w.Snapshot != nil {
 		if err := c.store.ApplySnapshot(w.Snapshot); err != nil {
@@ -375,7 +375,7 @@
 			return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 		}
 	}
-	var r Reply
+	var r Response
 	switch {
 	case change != nil && change.GetType() == pb.ConfChangeRemoveNode:
 		delete(c.members, change.GetNodeId())
@@ -384,23 +384,23 @@
 		}
 	case change != nil && in.Member != nil:
 		in.Member.Learner = change.GetType() == pb.ConfChangeAddLearnerNode
-		in.Member.Life = c.members[in.Member.ID].Life
+		in.Member.Incarnation = c.members[in.Member.ID].Incarnation
 		c.members[in.Member.ID] = *in.Member
 	case in.Member != nil:
-		if m, ok := c.members[in.Member.ID]; ok && m.Life == "" {
-			m.Life = in.Member.Life
+		if m, ok := c.members[in.Member.ID]; ok && m.Incarnation == "" {
+			m.Incarnation = in.Member.Incarnation
 			c.members[m.ID] = m
 		}
 	case in.Rollout != nil:
 		r.Rollout = c.changes.Apply(*in.Rollout)
 	case in.Limit != nil:
-		if r.Refused = c.limits.Apply(*in.Limit); r.Refused == nil && c.shares != nil {
+		if r.LimitErr = c.limits.Apply(*in.Limit); r.LimitErr == nil && c.shares != nil {
 			c.shares.Applied(*in.Limit, now)
 		}
 	case in.Publish != nil:
 		before := c.versions.Last()
 		if r.Published = c.versions.Apply(*in.Publish); c.versions.Last() != before {
-			c.changed.Services = append(c.changed.Services, in.Publish.Service)
+			c.changed.Names = append(c.changed.Names, in.Publish.Service)
 		}
 	case in.Lease != nil:
 		r.Answer = c.state.Apply(*in.Lease)
@@ -409,8 +409,8 @@
 		}
 	}
 	if c.leads && c.clock == nil && e.GetTerm() == c.term {
-		c.clock = lease.Lead(c.state, now)
-		c.shares = share.LeadAll(c.limits, c.term, now)
+		c.clock = lease.NewLessor(c.state, now)
+		c.shares = share.NewAllocators(c.limits, c.term, now)
 	}
 	if done := c.waiting[in.Number]; in.From == c.ID && done != nil && e.GetTerm() == c.term {
 		delete(c.waiting, in.Number)
@@ -427,8 +427,8 @@
 		return nil, 0, err
 	}
 	c.saved, c.fresh = c.applied, false
-	if first, _ := c.store.FirstIndex(); c.applied > c.Keep+first {
-		compact = c.applied - c.Keep
+	if first, _ := c.store.FirstIndex(); c.applied > c.CatchUpEntries+first {
+		compact = c.applied - c.CatchUpEntries
 		err = c.store.Compact(compact)
 	}
 	return own, compact, err
@@ -437,21 +437,21 @@
 // Versions are the newest versions of configurations as this replica has applied them; the core's own.
 func (c *Core) Versions() *distribute.Register { return c.versions }
 
-// Changed is which services have got a version.
-type Changed struct {
-	All      bool // any may have: a snapshot came in
-	Services []string
+// ChangedServices is which services have got a version.
+type ChangedServices struct {
+	All   bool // any may have: a snapshot came in
+	Names []string
 }
 
-// Changed is what has changed since it was asked last.
-func (c *Core) Changed() Changed {
+// TakeChangedServices is what has changed since it was asked last.
+func (c *Core) TakeChangedServices() ChangedServices {
 	was := c.changed
-	c.changed = Changed{}
+	c.changed = ChangedServices{}
 	return was
 }
 
-// Leads reports whether the log has this replica for its leader; it may not have applied all that was before.
-func (c *Core) Leads() bool { return c.leads }
+// IsLeader reports whether the log has this replica for its leader; it may not have applied all that was before.
+func (c *Core) IsLeader() bool { return c.leads }
 
 // Status is what a replica knows of itself, without asking others.
 type Status struct {
@@ -460,7 +460,7 @@
 	Term     uint64      `json:"Term"`    // of the log
 	Applied  uint64      `json:"Applied"` // the index of the last entry that is applied
 	Log      uint64      `json:"Log"`     // entries in the log, since the last compaction
-	Leads    bool        `json:"Leads"`   // this replica leads and has applied an entry of its own term
+	IsLeader bool        `json:"Leads"`   // this replica leads and has applied an entry of its own term
 	Sessions int         `json:"Sessions"`
 	Leases   int         `json:"Leases"`
 	Token    lease.Token `json:"Token"` // the last one that was granted
@@ -469,7 +469,7 @@
 
 // Status is what the replica knows.
 func (c *Core) Status() Status {
-	s := Status{ID: c.ID, Leader: c.leader, Term: c.term, Applied: c.applied, Leads: c.leads && c.clock != nil, Members: c.Members()}
+	s := Status{ID: c.ID, Leader: c.leader, Term: c.term, Applied: c.applied, IsLeader: c.leads && c.clock != nil, Members: c.Members()}
 	first, _ := c.store.FirstIndex()
 	last, _ := c.store.LastIndex()
 	s.Log = last + 1 - first
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -42,10 +42,10 @@
 
 // Disk is an open file.
 type Disk struct {
-	db   *bbolt.DB
-	path string
-	Life string
-	ID   uint64
+	db          *bbolt.DB
+	path        string
+	Incarnation string
+	ID          uint64
 }
 
 // Exists reports whether a folder holds a replica.
@@ -55,7 +55,7 @@
 }
 
 // Create makes the file of a replica that begins. It is made beside and renamed, so that there is all of it or none.
-func Create(dir string, id uint64, first *replica.Kept) (err error) {
+func Create(dir string, id uint64, first *replica.PersistedState) (err error) {
 	if Exists(dir) {
 		return fmt.Errorf("%s: there is a replica already", filepath.Join(dir, fileName))
 	}
@@ -80,7 +80,7 @@
 		return errors.Join(put(meta, keyFormat, []byte(format)), put(meta, keyLife, []byte(rand.Text())), put(meta, keyID, binary.BigEndian.AppendUint64(nil, id)))
 	})
 	if err == nil {
-		err = d.Save(replica.Work{Kept: *first})
+		err = d.Save(replica.Ready{PersistedState: *first})
 	}
 	if err = errors.Join(err, db.Close()); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -100,7 +100,7 @@
 }
 
 // Open reads a replica. What is damaged is an error that names the offset, and nothing is changed.
-func Open(dir string) (d *Disk, kept *replica.Kept, err error) {
+func Open(dir string) (d *Disk, kept *replica.PersistedState, err error) {
 	path := filepath.Join(dir, fileName)
 	if !Exists(dir) {
 		return nil, nil, fmt.Errorf("%s: %w", path, errNone)
@@ -124,7 +124,7 @@
 		if err != nil {
 			return nil, nil, fmt.Errorf("%s: offset 0: %w", path, err)
 		}
-		d, kept = &Disk{db: db, path: path}, &replica.Kept{}
+		d, kept = &Disk{db: db, path: path}, &replica.PersistedState{}
 		if err := db.View(func(tx *bbolt.Tx) error { return d.read(tx, kept) }); err != nil {
 			return nil, nil, errors.Join(err, db.Close())
 		}
@@ -142,7 +142,7 @@
 	return &bbolt.Options{Timeout: lockTime, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true}
 }
 
-func (d *Disk) read(tx *bbolt.Tx, kept *replica.Kept) error {
+func (d *Disk) read(tx *bbolt.Tx, kept *replica.PersistedState) error {
 	if info, err := os.Stat(d.path); err != nil {
 		return err
 	} else if info.Size() < tx.Size() {
@@ -159,7 +159,7 @@
 			}
 			return nil
 		},
-		string(keyLife): func(v []byte) error { d.Life = string(v); return nil },
+		string(keyLife): func(v []byte) error { d.Incarnation = string(v); return nil },
 		string(keyID): func(v []byte) error {
 			if len(v) != 8 {
 				return fmt.Errorf("%d bytes", len(v))
@@ -167,7 +167,7 @@
 			d.ID = binary.BigEndian.Uint64(v)
 			return nil
 		},
-		string(keyHard): func(v []byte) error { kept.Hard = &pb.HardState{}; return proto.Unmarshal(v, kept.Hard) },
+		string(keyHard): func(v []byte) error { kept.HardState = &pb.HardState{}; return proto.Unmarshal(v, kept.HardState) },
 		string(keySnapshot): func(v []byte) error {
 			kept.Snapshot = &pb.Snapshot{}
 			return proto.Unmarshal(v, kept.Snapshot)
@@ -222,7 +222,7 @@
 }
 
 // Save keeps what a work has to have kept, durably. After an error nothing is known of the disk: the process has to end.
-func (d *Disk) Save(w replica.Work) error {
+func (d *Disk) Save(w replica.Ready) error {
 	return d.update(func(meta, log *bbolt.Bucket) error {
 		if w.Snapshot != nil {
 			if err := d.putSnapshot(meta, w.Snapshot); err != nil {
@@ -232,8 +232,8 @@
 				return err
 			}
 		}
-		if w.Hard != nil {
-			text, err := proto.Marshal(w.Hard)
+		if w.HardState != nil {
+			text, err := proto.Marshal(w.HardState)
 			if err != nil {
 				return err
 			}
@@ -265,8 +265,8 @@
 	})
 }
 
-// Snapshot keeps a snapshot of the replica's own, and cuts the log before an index.
-func (d *Disk) Snapshot(s *pb.Snapshot, compact uint64) error {
+// SaveSnapshot keeps a snapshot of the replica's own, and cuts the log before an index.
+func (d *Disk) SaveSnapshot(s *pb.Snapshot, compact uint64) error {
 	return d.update(func(meta, log *bbolt.Bucket) error {
 		if err := d.putSnapshot(meta, s); err != nil {
 			return err
--- a/internal/coordination/replica/disk/disk_test.go
+++ b/internal/coordination/replica/disk/disk_test.go
@@ -28,7 +28,7 @@
 	if err := os.WriteFile(filepath.Join(dir, fileName+".new"), []byte("half written"), 0o600); err != nil { // by one that died
 		t.Fatal(err)
 	}
-	if err := Create(dir, 3, replica.First([]replica.Member{{ID: 3}}, lease.NewState())); err != nil {
+	if err := Create(dir, 3, replica.InitialState([]replica.Member{{ID: 3}}, lease.NewState())); err != nil {
 		t.Fatal(err)
 	}
 	d, kept, err := Open(dir)
@@ -36,26 +36,26 @@
 		t.Fatalf("%v, %v", err, kept)
 	}
 	defer d.Close()
-	if err := d.Save(replica.Work{Kept: replica.Kept{Entries: entries(1, 2, 250)}}); err != nil {
+	if err := d.Save(replica.Ready{PersistedState: replica.PersistedState{Entries: entries(1, 2, 250)}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Save(replica.Work{Kept: replica.Kept{Hard: &pb.HardState{Term: proto.Uint64(2)}, Entries: entries(2, 151, 200)}}); err != nil {
+	if err := d.Save(replica.Ready{PersistedState: replica.PersistedState{HardState: &pb.HardState{Term: proto.Uint64(2)}, Entries: entries(2, 151, 200)}}); err != nil {
 		t.Fatal(err)
 	}
-	return dir, d.Life
+	return dir, d.Incarnation
 }
 
 // What is kept is there again, entries of a leader that was succeeded are not, and a log that is cut begins later.
 func TestKept(t *testing.T) {
 	dir, life := filled(t)
 	d, kept, err := Open(dir)
-	if err != nil || d.Life != life || len(kept.Entries) != 199 || kept.Entries[198].GetTerm() != 2 || kept.Hard.GetTerm() != 2 {
+	if err != nil || d.Incarnation != life || len(kept.Entries) != 199 || kept.Entries[198].GetTerm() != 2 || kept.HardState.GetTerm() != 2 {
 		t.Fatalf("%v, %d entries", err, len(kept.Entries))
 	}
 	if _, _, err := Open(dir); err == nil || !strings.Contains(err.Error(), "another process has it") {
 		t.Errorf("%v", err)
 	}
-	if err := d.Snapshot(&pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(180)}}, 170); err != nil {
+	if err := d.SaveSnapshot(&pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(180)}}, 170); err != nil {
 		t.Fatal(err)
 	}
 	d.Close()
@@ -63,7 +63,7 @@
 		t.Fatalf("%v, %v", err, kept)
 	}
 	d.Close()
-	if err := Create(dir, 3, &replica.Kept{}); err == nil {
+	if err := Create(dir, 3, &replica.PersistedState{}); err == nil {
 		t.Error("made twice")
 	}
 }
--- a/internal/coordination/replica/disk/recorded_test.go
+++ b/internal/coordination/replica/disk/recorded_test.go
@@ -38,10 +38,10 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = d.Close() }()
-	if d.ID != 1 || d.Life == "" || kept.Snapshot == nil || kept.Hard == nil || len(kept.Entries) == 0 {
-		t.Fatalf("id %d, incarnation %q, %d entries", d.ID, d.Life, len(kept.Entries))
+	if d.ID != 1 || d.Incarnation == "" || kept.Snapshot == nil || kept.HardState == nil || len(kept.Entries) == 0 {
+		t.Fatalf("id %d, incarnation %q, %d entries", d.ID, d.Incarnation, len(kept.Entries))
 	}
-	core, err := replica.New(replica.Options{ID: 1, Life: d.Life, Rand: func(int) int { return 0 }}, kept)
+	core, err := replica.New(replica.Options{ID: 1, Incarnation: d.Incarnation, Rand: func(int) int { return 0 }}, kept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 			if err := d.Save(w); err != nil {
 				t.Fatal(err)
 			}
-			if _, _, err := core.Done(w, 0); err != nil {
+			if _, _, err := core.Advance(w, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -61,16 +61,16 @@
 		pump()
 	}
 	var state []byte
-	core.Ask(replica.Question{Read: true, Done: func(r replica.Reply) {
+	core.Submit(replica.Request{Read: true, Done: func(r replica.Response) {
 		if r.Err != nil {
 			t.Fatal(r.Err)
 		}
 		var limits []share.Limit
-		for _, standing := range r.Limits() {
+		for _, standing := range r.LimitStatuses() {
 			limits = append(limits, standing.Limit)
 		}
 		state, err = json.MarshalIndent(map[string]any{"members": r.Members, "lease": json.RawMessage(r.State.Snapshot()),
-			"rollouts": json.RawMessage(r.Changes.Snapshot()), "limits": limits, "versions": json.RawMessage(r.Versions.Snapshot())}, "", " ")
+			"rollouts": json.RawMessage(r.Rollouts.Snapshot()), "limits": limits, "versions": json.RawMessage(r.Versions.Snapshot())}, "", " ")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,14 +96,14 @@
 		t.Fatal(err)
 	}
 	again := t.TempDir()
-	if err := Create(again, d.ID, replica.First([]replica.Member{{ID: 1}}, lease.NewState())); err != nil {
+	if err := Create(again, d.ID, replica.InitialState([]replica.Member{{ID: 1}}, lease.NewState())); err != nil {
 		t.Fatal(err)
 	}
 	written, _, err := Open(again)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := written.Save(replica.Work{Kept: *kept}); err != nil {
+	if err := written.Save(replica.Ready{PersistedState: *kept}); err != nil {
 		t.Fatal(err)
 	}
 	if err := written.Close(); err != nil {
--- a/internal/coordination/replica/doc.go
+++ b/internal/coordination/replica/doc.go
@@ -15,9 +15,9 @@
 
 // What may come of a question beside an answer.
 var (
-	ErrNotLeader = errors.New("another replica leads")                        // nothing was done
-	ErrNoLeader  = errors.New("no replica leads: a majority is out of reach") // nothing was done
-	ErrMoved     = errors.New("the lead has changed: it may have been done")
-	ErrBusy      = errors.New("too much waits")                         // nothing was done
-	ErrChanging  = errors.New("a change of the replicas is on its way") // nothing was done
+	ErrNotLeader               = errors.New("another replica leads")                        // nothing was done
+	ErrNoLeader                = errors.New("no replica leads: a majority is out of reach") // nothing was done
+	ErrLeaderChanged           = errors.New("the lead has changed: it may have been done")
+	ErrBusy                    = errors.New("too much waits")                         // nothing was done
+	ErrMembershipChangePending = errors.New("a change of the replicas is on its way") // nothing was done
 )
--- a/internal/coordination/replica/members.go
+++ b/internal/coordination/replica/members.go
@@ -13,10 +13,10 @@
 
 // Member is a replica of the group.
 type Member struct {
-	ID      uint64 `json:"id"`
-	Addr    string `json:"addr"`
-	Life    string `json:"life,omitempty"` // of its disk; "": not known yet
-	Learner bool   `json:"learner,omitempty"`
+	ID          uint64 `json:"id"`
+	Addr        string `json:"addr"`
+	Incarnation string `json:"life,omitempty"` // of its disk; "": not known yet
+	Learner     bool   `json:"learner,omitempty"`
 }
 
 // caughtUp reports whether a learner has nearly all of the log.
@@ -29,7 +29,7 @@
 // change proposes a change of the members, one at a time.
 func (c *Core) change(m Member, kind pb.ConfChangeType) (number uint64, err error) {
 	if c.changing || c.clock == nil {
-		return 0, ErrChanging
+		return 0, ErrMembershipChangePending
 	}
 	c.number++
 	text, err := json.Marshal(entry{From: c.ID, Number: c.number, Member: &m})
@@ -41,10 +41,10 @@
 	return c.number, err
 }
 
-// Lives tells of the disk of a member, as it said itself. It is kept in the log: another disk under the same id is refused.
-func (c *Core) Lives(id uint64, life string) {
-	if m, ok := c.members[id]; ok && m.Life == "" && c.leads && c.clock != nil {
-		m.Life = life
+// RecordIncarnation tells of the disk of a member, as it said itself. It is kept in the log: another disk under the same id is refused.
+func (c *Core) RecordIncarnation(id uint64, life string) {
+	if m, ok := c.members[id]; ok && m.Incarnation == "" && c.leads && c.clock != nil {
+		m.Incarnation = life
 		c.propose(entry{Member: &m})
 	}
 }
@@ -58,36 +58,36 @@
 // farewell is for how many ticks a removed replica stays: who asked for its end has his answer by then.
 const farewell = 2 * ElectionTicks
 
-// Over says why this replica has to end; nil: it goes on.
-func (c *Core) Over() error {
+// RemovedErr says why this replica has to end; nil: it goes on.
+func (c *Core) RemovedErr() error {
 	if c.removed > farewell {
 		return fmt.Errorf("replica %d: %w", c.ID, ErrRemoved)
 	}
 	return nil
 }
 
-// Mine says why this replica has to end that is sent messages for a disk of another life: what they rest on is not here.
-func (c *Core) Mine(life string) error {
-	if life != "" && life != c.Options.Life {
+// CheckReceiver says why this replica has to end that is sent messages for a disk of another life: what they rest on is not here.
+func (c *Core) CheckReceiver(life string) error {
+	if life != "" && life != c.Options.Incarnation {
 		return fmt.Errorf("replica %d: %w", c.ID, ErrLostDisk)
 	}
 	return nil
 }
 
-// LifeOf is that of a member's disk, as the log has it; "": it is not known.
-func (c *Core) LifeOf(id uint64) string { return c.members[id].Life }
+// IncarnationOf is that of a member's disk, as the log has it; "": it is not known.
+func (c *Core) IncarnationOf(id uint64) string { return c.members[id].Incarnation }
 
-// Knows says why nothing is to be taken from a replica whose disk has a life: it is another disk than the log knows, or the group
+// CheckSender says why nothing is to be taken from a replica whose disk has a life: it is another disk than the log knows, or the group
 // has removed it. A leader keeps in the log what it hears first.
-func (c *Core) Knows(id uint64, life string) error {
+func (c *Core) CheckSender(id uint64, life string) error {
 	m, member := c.members[id]
 	switch {
-	case member && m.Life != "" && m.Life != life:
+	case member && m.Incarnation != "" && m.Incarnation != life:
 		return fmt.Errorf("replica %d: %w", id, ErrLostDisk)
 	case !member && c.leads && c.clock != nil:
 		return fmt.Errorf("replica %d: %w", id, ErrRemoved)
 	}
-	c.Lives(id, life)
+	c.RecordIncarnation(id, life)
 	return nil
 }
 
--- a/internal/coordination/replica/recorded_test.go
+++ b/internal/coordination/replica/recorded_test.go
@@ -46,10 +46,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := First([]Member{{ID: 1}}, lease.NewState())
+	first := InitialState([]Member{{ID: 1}}, lease.NewState())
 	snapshot := proto.Clone(first.Snapshot).(*pb.Snapshot)
 	snapshot.Data = recorded
-	c, err := New(Options{ID: 1, Rand: func(int) int { return 0 }}, &Kept{Hard: first.Hard, Snapshot: snapshot})
+	c, err := New(Options{ID: 1, Rand: func(int) int { return 0 }}, &PersistedState{HardState: first.HardState, Snapshot: snapshot})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/share/divider.go
+++ b/internal/coordination/share/divider.go
@@ -31,8 +31,8 @@
 // Check says what is wrong with a limit.
 func (l *Limit) Check() error {
 	switch {
-	case l.Name == "" || len(l.Name) > lease.MaxName:
-		return fmt.Errorf("name: %q; write 1 to %d bytes", l.Name, lease.MaxName)
+	case l.Name == "" || len(l.Name) > lease.MaxNameBytes:
+		return fmt.Errorf("name: %q; write 1 to %d bytes", l.Name, lease.MaxNameBytes)
 	case l.Units < 0 || l.Units > MaxUnits:
 		return fmt.Errorf("units: %d; write 0 to %d", l.Units, MaxUnits)
 	case l.Period < MinPeriod || l.Period > MaxPeriod:
@@ -45,38 +45,38 @@
 	return nil
 }
 
-// PartID is the number of a part: that of the leader's term, and of the part in it. Later ones are larger.
-type PartID uint64
+// AllocationID is the number of a part: that of the leader's term, and of the part in it. Later ones are larger.
+type AllocationID uint64
 
 // AllocationRequest is a member's question.
 type AllocationRequest struct {
 	Member   string  `json:"member"`
 	Weight   float64 `json:"weight,omitempty"` // 0: 1
 	Demand   int     `json:"want"`             // units that it would spend in the next period
-	Finished []Spent `json:"over,omitempty"`   // parts of which it spends no more
+	Finished []Usage `json:"over,omitempty"`   // parts of which it spends no more
 }
 
-// Spent is what was spent of a part, at its end.
-type Spent struct {
-	Part  PartID `json:"part"`
-	Units int    `json:"units"`
+// Usage is what was spent of a part, at its end.
+type Usage struct {
+	Allocation AllocationID `json:"part"`
+	Units      int          `json:"units"`
 }
 
 // Allocation is the answer.
 type Allocation struct {
-	Part       PartID        `json:"part,omitempty"`
+	ID         AllocationID  `json:"part,omitempty"`
 	Units      int           `json:"units,omitempty"` // 0: none now
 	RetryAfter time.Duration `json:"again,omitempty"` // when more may be due; 0: whenever it wants
 }
 
-// Divider gives the parts of one limit, for one term of one leader. Instants are of its own steady clock.
-type Divider struct {
+// Allocator gives the parts of one limit, for one term of one leader. Instants are of its own steady clock.
+type Allocator struct {
 	limit   Limit
 	term    uint64
 	from    lease.Instant // nothing is given before
-	parts   map[PartID]*part
+	parts   map[AllocationID]*part
 	out     int // units of all parts
-	last    PartID
+	last    AllocationID
 	members map[string]*member
 	level   float64       // units a period for a weight of 1, where more are wanted
 	divided lease.Instant // when that was worked out
@@ -96,19 +96,19 @@
 	out    int
 }
 
-// Lead begins to give, at an instant at which this leader has confirmed that it leads.
-func Lead(l Limit, term uint64, now lease.Instant) *Divider {
-	return &Divider{limit: l, term: term, from: now.Add(l.Period), last: PartID(term << 32), parts: map[PartID]*part{}, members: map[string]*member{}}
+// NewAllocator begins to give, at an instant at which this leader has confirmed that it leads.
+func NewAllocator(l Limit, term uint64, now lease.Instant) *Allocator {
+	return &Allocator{limit: l, term: term, from: now.Add(l.Period), last: AllocationID(term << 32), parts: map[AllocationID]*part{}, members: map[string]*member{}}
 }
 
-// Change takes in another number of units. What is out stays out. The rest of a limit stands as long as its name.
-func (d *Divider) Change(units int) { d.limit.Units = max(units, d.limit.Floor) }
+// SetUnits takes in another number of units. What is out stays out. The rest of a limit stands as long as its name.
+func (d *Allocator) SetUnits(units int) { d.limit.Units = max(units, d.limit.Floor) }
 
 // Allocate answers a question, now that a majority has confirmed after it came that this leader leads.
-func (d *Divider) Allocate(a AllocationRequest, now lease.Instant) Allocation {
+func (d *Allocator) Allocate(a AllocationRequest, now lease.Instant) Allocation {
 	d.expire(now)
 	for _, s := range a.Finished {
-		if p := d.parts[s.Part]; p != nil && p.of == a.Member && s.Units >= 0 && s.Units < p.units {
+		if p := d.parts[s.Allocation]; p != nil && p.of == a.Member && s.Units >= 0 && s.Units < p.units {
 			d.back(p, p.units-s.Units)
 		}
 	}
@@ -146,7 +146,7 @@
 	d.parts[d.last] = &part{units, now.Add(d.limit.Period), a.Member}
 	d.out += units
 	m.out += units
-	return Allocation{Part: d.last, Units: units}
+	return Allocation{ID: d.last, Units: units}
 }
 
 const never lease.Instant = math.MinInt64
@@ -160,7 +160,7 @@
 }
 
 // again is when there may be something for a member.
-func (d *Divider) again(m *member, fair float64, free int, now lease.Instant) time.Duration {
+func (d *Allocator) again(m *member, fair float64, free int, now lease.Instant) time.Duration {
 	wait := d.limit.Period / 8
 	if m.want > 0 && m.due < 1 && fair > 0 {
 		wait = max(wait, time.Duration((1-m.due)/fair*float64(d.limit.Period)))
@@ -176,7 +176,7 @@
 }
 
 // expire ends what is over, and forgets who has not asked for long.
-func (d *Divider) expire(now lease.Instant) {
+func (d *Allocator) expire(now lease.Instant) {
 	for n, p := range d.parts {
 		if p.until <= now {
 			d.back(p, p.units)
@@ -190,7 +190,7 @@
 	}
 }
 
-func (d *Divider) back(p *part, units int) {
+func (d *Allocator) back(p *part, units int) {
 	p.units -= units
 	d.out -= units
 	if m := d.members[p.of]; m != nil {
@@ -202,10 +202,10 @@
 const dividings = 16
 
 // fair is what is due to a member a period.
-func (d *Divider) fair(m *member) float64 { return min(float64(m.want), d.level*m.weight) }
+func (d *Allocator) fair(m *member) float64 { return min(float64(m.want), d.level*m.weight) }
 
 // divide works out what is fair: all that is wanted where there is enough; else each as much for its weight, and none more than it wants.
-func (d *Divider) divide(now lease.Instant) {
+func (d *Allocator) divide(now lease.Instant) {
 	d.divided, d.level = now, math.Inf(1)
 	all := slices.SortedFunc(maps.Values(d.members), func(a, b *member) int { // who wants least for its weight first
 		return cmp.Compare(float64(a.want)/a.weight, float64(b.want)/b.weight)
@@ -223,8 +223,8 @@
 	}
 }
 
-// Out is the units that are out.
-func (d *Divider) Out(now lease.Instant) int {
+// Outstanding is the units that are out.
+func (d *Allocator) Outstanding(now lease.Instant) int {
 	d.expire(now)
 	return d.out
 }
