--- a/internal/coordination/share/register.go
+++ b/internal/coordination/share/register.go
@@ -20,8 +20,8 @@
 
 // What a command may meet.
 var (
-	ErrFixed = errors.New("period, floor and members of a limit do not change: members count by what they were told once; use another name")
-	ErrMany  = fmt.Errorf("there are %d limits already", MaxLimits)
+	ErrLimitImmutable = errors.New("period, floor and members of a limit do not change: members count by what they were told once; use another name")
+	ErrTooManyLimits  = fmt.Errorf("there are %d limits already", MaxLimits)
 )
 
 // Register is the limits, as the log makes them. One that is not wanted any more stays, with no more units than its floor: what was
@@ -37,9 +37,9 @@
 	was, known := r.all[l.Name]
 	switch {
 	case known && (was.Period != l.Period || was.Floor != l.Floor || was.Members != l.Members):
-		return ErrFixed
+		return ErrLimitImmutable
 	case !known && len(r.all) >= MaxLimits:
-		return ErrMany
+		return ErrTooManyLimits
 	}
 	r.all[l.Name] = l
 	return nil
@@ -83,32 +83,32 @@
 	return r, nil
 }
 
-// Dividers are those of all limits, for one term of one leader.
-type Dividers struct {
+// Allocators are those of all limits, for one term of one leader.
+type Allocators struct {
 	term uint64
-	all  map[string]*Divider
+	all  map[string]*Allocator
 }
 
-// LeadAll begins to divide all limits.
-func LeadAll(r *Register, term uint64, now lease.Instant) *Dividers {
-	d := &Dividers{term, map[string]*Divider{}}
+// NewAllocators begins to divide all limits.
+func NewAllocators(r *Register, term uint64, now lease.Instant) *Allocators {
+	d := &Allocators{term, map[string]*Allocator{}}
 	for _, l := range r.Limits() {
-		d.all[l.Name] = Lead(l, term, now)
+		d.all[l.Name] = NewAllocator(l, term, now)
 	}
 	return d
 }
 
 // Applied is told of a command of this term. A limit that is new waits a period too: a group that was restored may have forgotten it.
-func (d *Dividers) Applied(c Command, now lease.Instant) {
+func (d *Allocators) Applied(c Command, now lease.Instant) {
 	if one := d.all[c.Set.Name]; one != nil {
-		one.Change(c.Set.Units)
+		one.SetUnits(c.Set.Units)
 		return
 	}
-	d.all[c.Set.Name] = Lead(c.Set, d.term, now)
+	d.all[c.Set.Name] = NewAllocator(c.Set, d.term, now)
 }
 
 // Allocate is a question to one of them, confirmed; false: there is no such limit.
-func (d *Dividers) Allocate(limit string, a AllocationRequest, now lease.Instant) (Allocation, bool) {
+func (d *Allocators) Allocate(limit string, a AllocationRequest, now lease.Instant) (Allocation, bool) {
 	one := d.all[limit]
 	if one == nil {
 		return Allocation{}, false
@@ -116,31 +116,31 @@
 	return one.Allocate(a, now), true
 }
 
-// Standing is how a limit stands.
-type Standing struct {
-	Limit   Limit   `json:"limit"`
-	Out     int     `json:"out"`
-	Waits   bool    `json:"waits,omitempty"` // nothing is given yet: the leader is new
-	Members []Stand `json:"members,omitempty"`
+// LimitStatus is how a limit stands.
+type LimitStatus struct {
+	Limit       Limit          `json:"limit"`
+	Outstanding int            `json:"out"`
+	Starting    bool           `json:"waits,omitempty"` // nothing is given yet: the leader is new
+	Members     []MemberStatus `json:"members,omitempty"`
 }
 
-// Stand is how a member stands.
-type Stand struct {
-	Name   string  `json:"name"`
-	Weight float64 `json:"weight"`
-	Want   int     `json:"want"` // units a period that it asked for last
-	Fair   float64 `json:"fair"` // units a period that are its due
-	Out    int     `json:"out"`  // units that it has or has spent
+// MemberStatus is how a member stands.
+type MemberStatus struct {
+	Name        string  `json:"name"`
+	Weight      float64 `json:"weight"`
+	Demand      int     `json:"want"` // units a period that it asked for last
+	FairShare   float64 `json:"fair"` // units a period that are its due
+	Outstanding int     `json:"out"`  // units that it has or has spent
 }
 
-// Standings are how all limits stand.
-func (d *Dividers) Standings(now lease.Instant) (all []Standing) {
+// Statuses are how all limits stand.
+func (d *Allocators) Statuses(now lease.Instant) (all []LimitStatus) {
 	for _, name := range slices.Sorted(maps.Keys(d.all)) {
 		one := d.all[name]
-		s := Standing{Limit: one.limit, Out: one.Out(now), Waits: now < one.from}
+		s := LimitStatus{Limit: one.limit, Outstanding: one.Outstanding(now), Starting: now < one.from}
 		for _, name := range slices.Sorted(maps.Keys(one.members)) {
 			m := one.members[name]
-			s.Members = append(s.Members, Stand{name, m.weight, m.want, min(one.fair(m), float64(one.limit.Units)), m.out})
+			s.Members = append(s.Members, MemberStatus{name, m.weight, m.want, min(one.fair(m), float64(one.limit.Units)), m.out})
 		}
 		all = append(all, s)
 	}
--- a/internal/coordination/share/share_test.go
+++ b/internal/coordination/share/share_test.go
@@ -39,7 +39,7 @@
 
 func (c clock) at(t time.Duration) lease.Instant {
 	if c.fast {
-		t = time.Duration(float64(t) * (1 + lease.Drift))
+		t = time.Duration(float64(t) * (1 + lease.MaxDrift))
 	}
 	return c.begin + lease.Instant(t)
 }
@@ -54,9 +54,9 @@
 	changed []time.Duration // since when the limits below count no more
 	before  []int
 	term    uint64
-	leader  *Divider
-	clocks  map[*Divider]clock
-	members []*Taker
+	leader  *Allocator
+	clocks  map[*Allocator]clock
+	members []*Consumer
 	own     []clock
 	over    string
 	largest float64 // use of the limit
@@ -74,7 +74,7 @@
 func (w *world) elect() {
 	w.term++
 	c := clock{w.r.IntN(2) == 0, lease.Instant(w.up(time.Hour))}
-	w.leader = Lead(w.limit, w.term, c.at(w.now))
+	w.leader = NewAllocator(w.limit, w.term, c.at(w.now))
 	w.clocks[w.leader] = c
 }
 
@@ -86,7 +86,7 @@
 
 func (w *world) question(i int, late time.Duration) {
 	m, asked := w.members[i], w.own[i].at(w.now)
-	q := m.Ask(w.r.IntN(w.limit.Units), asked)
+	q := m.NewRequest(w.r.IntN(w.limit.Units), asked)
 	w.after(w.up(late/2), func() {
 		d := w.leader
 		w.after(w.up(late/2), func() {
@@ -99,12 +99,12 @@
 			if told.Units > 0 && w.r.IntN(4) == 0 { // another one asks in the moment in which this part ends for the leader
 				ends := w.limit.Period
 				if w.clocks[d].fast {
-					ends = time.Duration(float64(ends) / (1 + lease.Drift))
+					ends = time.Duration(float64(ends) / (1 + lease.MaxDrift))
 				}
 				w.after(ends+time.Microsecond, func() { w.question(w.r.IntN(len(w.members)), 2) })
 			}
 			if w.r.IntN(5) > 0 {
-				w.after(w.up(late), func() { m.Told(asked, told, q.Finished) })
+				w.after(w.up(late), func() { m.ApplyAllocation(asked, told, q.Finished) })
 			}
 		})
 	})
@@ -114,7 +114,7 @@
 func (w *world) check() {
 	sum, most := w.limit.Floor, w.limit.Units
 	for i, m := range w.members {
-		sum += m.Believed(w.own[i].at(w.now))
+		sum += m.Allocated(w.own[i].at(w.now))
 	}
 	for i, until := range w.changed {
 		if w.now < until {
@@ -127,12 +127,12 @@
 }
 
 func play(seed uint64) *world {
-	w := &world{r: rand.New(rand.NewPCG(seed, 1)), clocks: map[*Divider]clock{}}
+	w := &world{r: rand.New(rand.NewPCG(seed, 1)), clocks: map[*Allocator]clock{}}
 	w.limit = Limit{Name: "l", Units: 4 + w.r.IntN(40), Period: time.Second, Members: 8}
 	w.limit.Floor = w.r.IntN(w.limit.Units / 2)
 	w.elect()
 	for i := range 2 + w.r.IntN(5) {
-		w.members = append(w.members, NewTaker(w.limit, fmt.Sprint("m", i), 1))
+		w.members = append(w.members, NewConsumer(w.limit, fmt.Sprint("m", i), 1))
 		w.own = append(w.own, clock{w.r.IntN(2) == 0, lease.Instant(w.up(time.Hour))})
 		w.after(w.up(time.Second), func() { w.ask(i) })
 	}
@@ -149,10 +149,10 @@
 			w.elect()
 		} else {
 			units := max(w.limit.Floor, 1+w.r.IntN(2*w.limit.Units))
-			w.changed = append(w.changed, w.now+time.Duration(float64(w.limit.Period)*(1+lease.Drift)))
+			w.changed = append(w.changed, w.now+time.Duration(float64(w.limit.Period)*(1+lease.MaxDrift)))
 			w.before = append(w.before, w.limit.Units)
 			w.limit.Units = units
-			w.leader.Change(units)
+			w.leader.SetUnits(units)
 		}
 		w.after(w.up(4*time.Second), again)
 	}
@@ -200,7 +200,7 @@
 
 // crowd is members that want so much a period each, of which every one asks when it was told to.
 type crowd struct {
-	d     *Divider
+	d     *Allocator
 	limit Limit
 	got   map[string]int
 	asks  int
@@ -232,7 +232,7 @@
 	const period = time.Second
 	begin := func(units int) *crowd {
 		l := Limit{Name: "l", Units: units, Period: period, Members: 4000}
-		d := Lead(l, 1, 0)
+		d := NewAllocator(l, 1, 0)
 		return &crowd{d: d, limit: l, got: map[string]int{}}
 	}
 	within := func(what string, got, low, high int) {
@@ -263,18 +263,18 @@
 	c = begin(100) // as many again come, and the limit halves
 	c.run(period, 6*period+period/2, 10, func(int) int { return 10 })
 	before := c.got["m0"]
-	c.d.Change(50)
-	if got := c.d.Out(lease.Instant(6*period + period/2)); got < 90 {
+	c.d.SetUnits(50)
+	if got := c.d.Outstanding(lease.Instant(6*period + period/2)); got < 90 {
 		t.Errorf("%d are out", got)
 	}
 	within("all, in nine periods and a half of the half", c.run(6*period+period/2, 16*period, 20, func(int) int { return 10 }), 9*50*10/13, 10*50)
 	within("an old one of weight 1, of its part", c.got["m0"]-before, 8, 25)
-	if got := c.d.Out(lease.Instant(16 * period)); got > 50 {
+	if got := c.d.Outstanding(lease.Instant(16 * period)); got > 50 {
 		t.Errorf("%d are out of 50", got)
 	}
 
 	l := Limit{Name: "l", Units: 10, Period: period, Members: 2}
-	d := Lead(l, 1, 0)
+	d := NewAllocator(l, 1, 0)
 	for i, want := range []int{1, 1, 0} { // one more than the limit knows of gets nothing
 		if told := d.Allocate(AllocationRequest{Member: fmt.Sprint(i), Demand: 5}, lease.Instant(period+time.Duration(i))); min(told.Units, 1) != want {
 			t.Errorf("member %d: %+v", i, told)
@@ -285,7 +285,7 @@
 // A member that is told nothing uses its floor and no more; what it gives back it does not spend; what is wrong with a limit is said.
 func TestTaker(t *testing.T) {
 	l := Limit{Name: "l", Units: 100, Floor: 10, Members: 5, Period: time.Second}
-	m, uses := NewTaker(l, "m", 1), 0
+	m, uses := NewConsumer(l, "m", 1), 0
 	for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
 		if m.Spend(lease.Instant(at)) {
 			uses++
@@ -295,23 +295,23 @@
 		t.Errorf("%d uses of the floor in ten periods", uses)
 	}
 	now := lease.Instant(10 * time.Second)
-	m.Told(now, Allocation{Part: 1, Units: 4}, nil)
-	m.Told(now-lease.Instant(time.Millisecond), Allocation{Part: 2, Units: 3}, nil) // it crossed
-	if !m.Spend(now) || m.Left(now) != 6 {
-		t.Error(m.Left(now))
+	m.ApplyAllocation(now, Allocation{ID: 1, Units: 4}, nil)
+	m.ApplyAllocation(now-lease.Instant(time.Millisecond), Allocation{ID: 2, Units: 3}, nil) // it crossed
+	if !m.Spend(now) || m.Remaining(now) != 6 {
+		t.Error(m.Remaining(now))
 	}
-	q := m.Ask(3, now)
-	if len(q.Finished) != 1 || q.Finished[0] != (Spent{1, 1}) || q.Demand != 0 || m.Left(now) != 3 {
+	q := m.NewRequest(3, now)
+	if len(q.Finished) != 1 || q.Finished[0] != (Usage{1, 1}) || q.Demand != 0 || m.Remaining(now) != 3 {
 		t.Errorf("%+v", q)
 	}
-	if again := m.Ask(3, now); len(again.Finished) != 1 {
+	if again := m.NewRequest(3, now); len(again.Finished) != 1 {
 		t.Error("what was not heard is not told again")
 	}
-	m.Told(now, Allocation{}, q.Finished)
-	if again := m.Ask(3, now); len(again.Finished) != 0 {
+	m.ApplyAllocation(now, Allocation{}, q.Finished)
+	if again := m.NewRequest(3, now); len(again.Finished) != 0 {
 		t.Error("what was heard is told again")
 	}
-	if end := now + lease.Instant(time.Second); m.Left(end-lease.Instant(9*time.Millisecond)) != 0 {
+	if end := now + lease.Instant(time.Second); m.Remaining(end-lease.Instant(9*time.Millisecond)) != 0 {
 		t.Error("it believes as long as the leader counts")
 	}
 	for want, bad := range map[string]Limit{"name": {}, "units": {Name: "l", Units: -1}, "period": {Name: "l", Units: 1}, "floor": {Name: "l", Units: 1, Period: time.Second, Floor: 2}, "members": {Name: "l", Units: 1, Period: time.Second}} {
--- a/internal/coordination/subscribe/subscribe.go
+++ b/internal/coordination/subscribe/subscribe.go
@@ -23,20 +23,20 @@
 
 // Options are what a client is told.
 type Options struct {
-	Addrs   []string // of the coordinators
-	Service string
-	Member  string                         // the agent's name; no two of a service have the same
-	Holds   distribute.Revision            // kept from before
-	Take    func(distribute.Version) error // keeps a newer version, or says why it can't; then it is told again
-	Log     *slog.Logger                   // nil: nothing is logged
-	Over    *http.Client                   // nil: one of its own
+	Addrs      []string // of the coordinators
+	Service    string
+	Member     string                         // the agent's name; no two of a service have the same
+	Revision   distribute.Revision            // kept from before
+	Store      func(distribute.Version) error // keeps a newer version, or says why it can't; then it is told again
+	Log        *slog.Logger                   // nil: nothing is logged
+	HTTPClient *http.Client                   // nil: one of its own
 }
 
 // Client is one agent's.
 type Client struct {
-	o    Options
-	over *http.Client
-	wake chan struct{} // there is something to tell
+	o          Options
+	httpClient *http.Client
+	wake       chan struct{} // there is something to tell
 
 	mu     sync.Mutex
 	outbox distribute.Outbox
@@ -50,9 +50,9 @@
 
 // New makes a client; Run runs it.
 func New(o Options) *Client {
-	c := &Client{o: o, over: o.Over, wake: make(chan struct{}, 1)}
-	if c.over == nil {
-		c.over = &http.Client{Transport: &http.Transport{
+	c := &Client{o: o, httpClient: o.HTTPClient, wake: make(chan struct{}, 1)}
+	if c.httpClient == nil {
+		c.httpClient = &http.Client{Transport: &http.Transport{
 			DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 1, DisableCompression: true,
 		}}
 	}
@@ -75,10 +75,10 @@
 
 // Run asks until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	defer c.over.CloseIdleConnections()
+	defer c.httpClient.CloseIdleConnections()
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	s := distribute.NewSubscriber(distribute.DefaultSubscriber(c.o.Service, c.o.Member, len(c.o.Addrs), rand.Int64N), c.o.Holds, now())
+	s := distribute.NewSubscriber(distribute.DefaultSubscriberOptions(c.o.Service, c.o.Member, len(c.o.Addrs), rand.Int64N), c.o.Revision, now())
 	var sides sync.WaitGroup
 	defer sides.Wait()
 	at := make(chan place, 1) // where reports go
@@ -86,7 +86,7 @@
 	defer cancel()
 	sides.Go(func() { c.tell(ctx, at) })
 	for {
-		due, _ := s.Due()
+		due, _ := s.NextCallAt()
 		if !pause(ctx, due-now()) {
 			return
 		}
@@ -96,7 +96,7 @@
 		default:
 		}
 		at <- place{call.Server, call.Watch}
-		told, err := c.ask(ctx, call.Server, call.Watch, call.GiveUp-now())
+		told, err := c.ask(ctx, call.Server, call.Watch, call.Deadline-now())
 		if ctx.Err() != nil {
 			return
 		}
@@ -105,15 +105,15 @@
 			s.Failed(now())
 			continue
 		}
-		was := s.Holds()
+		was := s.Revision()
 		newer, err := s.Answered(now(), *told)
 		switch {
 		case err != nil:
 			c.o.Log.Warn("a version is refused", "addr", c.o.Addrs[call.Server], "err", err)
 		case newer != nil:
-			if err := c.o.Take(*newer); err != nil {
+			if err := c.o.Store(*newer); err != nil {
 				c.o.Log.Warn("not kept", "revision", uint64(newer.Revision), "err", err)
-				s.NotKept(now(), was)
+				s.StoreFailed(now(), was)
 				continue
 			}
 			c.o.Log.Info("taken", "revision", uint64(newer.Revision), "digest", newer.Digest)
@@ -132,16 +132,16 @@
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	c.mu.Lock()
-	reports, mark := c.outbox.For(server), c.outbox.Mark()
+	reports, mark := c.outbox.Unacknowledged(server), c.outbox.Sequence()
 	c.mu.Unlock()
 	w.Version, w.Reports = distribute.WireVersion, reports
-	client := rpc.Client[distribute.Watch, distribute.WatchResponse](c.over, c.o.Addrs[server], distribute.PathWatch, distribute.MaxWatchResponse)
+	client := rpc.Client[distribute.Watch, distribute.WatchResponse](c.httpClient, c.o.Addrs[server], distribute.PathWatch, distribute.MaxWatchResponse)
 	res, err := client.CallUnary(ctx, connect.NewRequest(&w))
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
-	c.outbox.Heard(server, mark, res.Msg.ReportsReceived)
+	c.outbox.Acknowledge(server, mark, res.Msg.ReportsReceived)
 	c.mu.Unlock()
 	return res.Msg, nil
 }
@@ -172,7 +172,7 @@
 		w := p.watch
 		w.MaxWait = 0
 		c.mu.Lock()
-		reports := c.outbox.For(p.server)
+		reports := c.outbox.Unacknowledged(p.server)
 		c.mu.Unlock()
 		if reports != nil {
 			c.ask(ctx, p.server, w, reportTime) // what does not get there goes with the next watch
--- a/internal/coordination/subscribe/subscribe_test.go
+++ b/internal/coordination/subscribe/subscribe_test.go
@@ -32,7 +32,7 @@
 	defer server.Close()
 	var c *Client
 	took := 0
-	c = New(Options{Addrs: []string{server.Listener.Addr().String()}, Service: "s", Member: "m", Take: func(v distribute.Version) error {
+	c = New(Options{Addrs: []string{server.Listener.Addr().String()}, Service: "s", Member: "m", Store: func(v distribute.Version) error {
 		took++
 		c.Report(distribute.Report{Sidecar: "n0", InForce: v.Revision})
 		return nil
--- a/internal/rig/contend/spend.go
+++ b/internal/rig/contend/spend.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		panic(err)
 	}
-	s := fleet.NewShare(&fleet.Caller{Addrs: addrs, Over: &http.Client{}, Within: l.Period / 2, Pause: l.Period / 20}, l, name, 1, monotonic.Now)
+	s := fleet.NewLimitClient(&fleet.Caller{Addrs: addrs, HTTPClient: &http.Client{}, Timeout: l.Period / 2, RetryInterval: l.Period / 20}, l, name, 1, monotonic.Now)
 	go s.Run(context.Background())
 	for range time.Tick(every) {
 		if at := monotonic.Now(); s.Allow() {
--- a/internal/rig/coordinator/coordinator.go
+++ b/internal/rig/coordinator/coordinator.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	s, err := fleet.Open(fleet.Single(dir, ln.Addr().String()), slog.New(slog.DiscardHandler))
+	s, err := fleet.Open(fleet.SingleConfig(dir, ln.Addr().String()), slog.New(slog.DiscardHandler))
 	if err != nil {
 		ln.Close()
 		return "", nil, err
--- a/internal/rig/coordinator/group.go
+++ b/internal/rig/coordinator/group.go
@@ -152,7 +152,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	s, err := (&fleet.Operator{}).Status(ctx, addr)
-	return err == nil && s.Leads
+	return err == nil && s.IsLeader
 }
 
 // Leader is who leads; -1: nobody.
@@ -176,7 +176,7 @@
 func (g *Group) Ask(in fleet.Request) (*fleet.Response, error) {
 	ctx, cancel := context.WithTimeout(g.t.Context(), 20*time.Second)
 	defer cancel()
-	return (&fleet.Operator{Addrs: g.Addrs()}).Ask(ctx, in)
+	return (&fleet.Operator{Addrs: g.Addrs()}).Call(ctx, in)
 }
 
 // Asker asks whoever leads, at once and again until there is an answer, with no other pause: for measurements.
@@ -191,7 +191,7 @@
 			if err == nil && res.Msg.Err == "" {
 				return res.Msg
 			}
-			if err != nil && fleet.Final(err) {
+			if err != nil && fleet.IsPermanent(err) {
 				panic(err)
 			}
 			at.CompareAndSwap(i, (i+1)%int64(len(g.Clients)))
--- a/internal/rig/deployment/version.go
+++ b/internal/rig/deployment/version.go
@@ -42,7 +42,7 @@
 func (d *Deployment) UntilInForce(within time.Duration, revision distribute.Revision) time.Duration {
 	d.t.Helper()
 	return d.UntilHeard(within, "it is in force on all", func(s distribute.Summary) bool {
-		return s.Newest == revision && s.InForce == d.Sidecars() && s.Known == d.Sidecars()
+		return s.Newest == revision && s.InForce == d.Sidecars() && s.Reported == d.Sidecars()
 	})
 }
 
--- a/internal/rig/group/client.go
+++ b/internal/rig/group/client.go
@@ -15,7 +15,7 @@
 	s       *sim
 	i       int
 	rate    float64
-	holder  *lease.Holder
+	holder  *lease.SessionState
 	nonce   int
 	seq     uint64
 	pending *lease.Command // asked until it is answered
@@ -23,7 +23,7 @@
 	leader  int
 	token   lease.Token
 	stopped bool
-	taker   *share.Taker
+	taker   *share.Consumer
 	begun   int64
 	round   int
 }
@@ -77,7 +77,7 @@
 		c.leader = c.s.rand.IntN(len(c.s.replicas))
 	}
 	switch {
-	case c.holder == nil || c.holder.Alive() <= c.clock() && c.pending == nil:
+	case c.holder == nil || c.holder.Expiry() <= c.clock() && c.pending == nil:
 		if c.holder != nil {
 			c.holder, c.token = nil, 0
 		}
@@ -94,7 +94,7 @@
 		}
 		if held && c.s.rand.IntN(4) == 0 {
 			token := c.token
-			c.holder.Drop("x")
+			c.holder.Forget("x")
 			c.begin(&lease.Command{Kind: lease.Release, Name: "x", Token: token})
 			c.token = 0
 		} else if !held {
@@ -107,7 +107,7 @@
 	}
 	cmd, holder := *c.pending, c.holder
 	c.to(func(r *simReplica, reply func(func())) {
-		r.core.Ask(replica.Question{Command: &cmd, Done: func(a replica.Reply) { reply(func() { c.answered(cmd, holder, a) }) }})
+		r.core.Submit(replica.Request{Command: &cmd, Done: func(a replica.Response) { reply(func() { c.answered(cmd, holder, a) }) }})
 	})
 }
 
@@ -116,7 +116,7 @@
 	cmd.Session, cmd.Seq = c.holder.Session, c.seq
 	c.pending, c.begun = cmd, int64(c.s.now)
 	if cmd.Kind == lease.Acquire {
-		c.holder.Wants("x", c.clock())
+		c.holder.BeginWait("x", c.clock())
 	}
 }
 
@@ -125,19 +125,19 @@
 	if c.holder == nil {
 		return
 	}
-	asked, holder, known := c.clock(), c.holder, c.holder.Known()
+	asked, holder, known := c.clock(), c.holder, c.holder.KnownVersion()
 	c.to(func(r *simReplica, reply func(func())) {
-		r.core.Ask(replica.Question{Alive: &replica.Alive{Session: holder.Session, Known: known}, Done: func(a replica.Reply) {
+		r.core.Submit(replica.Request{KeepAlive: &replica.KeepAlive{Session: holder.Session, KnownVersion: known}, Done: func(a replica.Response) {
 			reply(func() {
 				if c.holder != holder || a.Err != nil {
 					return
 				}
-				if !a.Alive {
-					holder.Lost()
+				if !a.SessionAlive {
+					holder.Invalidate()
 					c.pending = nil
 					return
 				}
-				for _, g := range holder.Renewed(asked, a.Grants, a.Version) {
+				for _, g := range holder.ApplyKeepAlive(asked, a.Grants, a.GrantsVersion) {
 					if c.pending == nil || c.pending.Kind != lease.Acquire {
 						c.s.Wrong = fmt.Sprintf("at %v client %d has a grant that it does not wait for", c.s.now, c.i)
 						return
@@ -166,7 +166,7 @@
 	})
 }
 
-func (c *simClient) answered(cmd lease.Command, holder *lease.Holder, a replica.Reply) {
+func (c *simClient) answered(cmd lease.Command, holder *lease.SessionState, a replica.Response) {
 	if a.Err != nil {
 		if a.Leader > 0 {
 			c.leader = int(a.Leader) - 1
@@ -178,9 +178,9 @@
 	}
 	switch {
 	case cmd.Kind == lease.Open && a.Answer.Status == lease.OK:
-		c.holder = lease.Opened(c.asked, a.Answer.Session, simTTL)
+		c.holder = lease.NewSessionState(c.asked, a.Answer.Session, simTTL)
 	case a.Answer.Status == lease.NoSession:
-		holder.Lost()
+		holder.Invalidate()
 	case cmd.Kind == lease.Acquire && a.Answer.Status == lease.Waiting:
 		return // it goes on asking; the grant comes with a renewal
 	case cmd.Kind == lease.Acquire && a.Answer.Status == lease.OK:
@@ -192,7 +192,7 @@
 }
 
 func (c *simClient) granted(cmd lease.Command, token lease.Token) {
-	c.holder.Granted(c.clock(), "x", token) // once more where a renewal brought it
+	c.holder.ApplyGrant(c.clock(), "x", token) // once more where a renewal brought it
 	c.token = token
 	c.s.Grants++
 	c.record(cmd, lease.Answer{Status: lease.OK, Token: token})
--- a/internal/rig/group/faults.go
+++ b/internal/rig/group/faults.go
@@ -32,7 +32,7 @@
 	n /= 7
 	r := s.replicas[n%len(s.replicas)]
 	for _, l := range s.replicas { // mostly the leader
-		if n/5%3 > 0 && l.core != nil && l.core.Leads() {
+		if n/5%3 > 0 && l.core != nil && l.core.IsLeader() {
 			r = l
 		}
 	}
--- a/internal/rig/group/group.go
+++ b/internal/rig/group/group.go
@@ -122,7 +122,7 @@
 	to := int(m.GetTo()) - 1
 	m = proto.Clone(m).(*pb.Message)
 	if m.GetType() == pb.MessageType_MsgSnap {
-		s.replicas[from].core.Sent(m.GetTo(), true)
+		s.replicas[from].core.ReportSnapshot(m.GetTo(), true)
 	}
 	s.carry(from, to, func() {
 		r := s.replicas[to]
@@ -138,7 +138,7 @@
 	for i := range o.Replicas {
 		members = append(members, replica.Member{ID: uint64(i + 1)})
 	}
-	first := replica.First(members, lease.NewState())
+	first := replica.InitialState(members, lease.NewState())
 	for i := range o.Replicas {
 		s.replicas = append(s.replicas, &simReplica{s: s, i: i, rate: []float64{1, 1.0099}[s.rand.IntN(2)], disk: *first})
 	}
@@ -153,7 +153,7 @@
 		s.clients = append(s.clients, c)
 		c.step()
 		if o.Shares {
-			c.taker = share.NewTaker(ShareLimit, fmt.Sprint(i), 1)
+			c.taker = share.NewConsumer(ShareLimit, fmt.Sprint(i), 1)
 			c.take()
 		}
 	}
--- a/internal/rig/group/replica.go
+++ b/internal/rig/group/replica.go
@@ -16,8 +16,8 @@
 	s       *sim
 	i       int
 	rate    float64
-	core    *replica.Core // nil: it is down
-	disk    replica.Kept  // as synced
+	core    *replica.Core          // nil: it is down
+	disk    replica.PersistedState // as synced
 	stopped bool
 	held    []func() // what came while it was stopped
 	life    int
@@ -45,7 +45,7 @@
 func (r *simReplica) start() {
 	disk := r.disk
 	disk.Entries = slices.Clone(disk.Entries)
-	o := replica.Options{ID: uint64(r.i + 1), Rand: r.s.rand.IntN, SnapshotEvery: 40, Keep: 10}
+	o := replica.Options{ID: uint64(r.i + 1), Rand: r.s.rand.IntN, SnapshotEvery: 40, CatchUpEntries: 10}
 	if r.s.o.NoSync {
 		o.SnapshotEvery = 1 << 40
 	}
@@ -84,7 +84,7 @@
 		for _, m := range w.Messages {
 			r.s.send(r.i, m)
 		}
-		own, compact, err := r.core.Done(w, r.clock())
+		own, compact, err := r.core.Advance(w, r.clock())
 		if err != nil {
 			r.s.Wrong = fmt.Sprint("done: ", err)
 			return
@@ -105,8 +105,8 @@
 		if w.Snapshot != nil {
 			r.disk.Snapshot, r.disk.Entries = w.Snapshot, nil
 		}
-		if w.Hard != nil {
-			r.disk.Hard = proto.Clone(w.Hard).(*pb.HardState)
+		if w.HardState != nil {
+			r.disk.HardState = proto.Clone(w.HardState).(*pb.HardState)
 		}
 		if len(w.Entries) > 0 {
 			first := w.Entries[0].GetIndex()
--- a/internal/rig/group/shares.go
+++ b/internal/rig/group/shares.go
@@ -18,15 +18,15 @@
 	s.after(s.between(5*time.Millisecond, 150*time.Millisecond), func() {
 		if !c.stopped {
 			c.to(func(r *simReplica, _ func(func())) {
-				r.core.Ask(replica.Question{Limit: &share.Command{Set: ShareLimit}, Done: func(replica.Reply) {}})
+				r.core.Submit(replica.Request{Limit: &share.Command{Set: ShareLimit}, Done: func(replica.Response) {}})
 			})
 			asked := c.clock()
-			q := c.taker.Ask(ShareLimit.Units, asked)
+			q := c.taker.NewRequest(ShareLimit.Units, asked)
 			c.to(func(r *simReplica, reply func(func())) {
-				r.core.Ask(replica.Question{Share: &replica.ShareRequest{Limit: ShareLimit.Name, Request: q}, Done: func(a replica.Reply) {
+				r.core.Submit(replica.Request{Share: &replica.ShareRequest{Limit: ShareLimit.Name, Request: q}, Done: func(a replica.Response) {
 					reply(func() {
-						if a.Err == nil && a.Refused == nil {
-							c.taker.Told(asked, a.Share, q.Finished)
+						if a.Err == nil && a.LimitErr == nil {
+							c.taker.ApplyAllocation(asked, a.Share, q.Finished)
 						}
 						s.judgeShares()
 					})
@@ -40,7 +40,7 @@
 func (s *sim) judgeShares() {
 	sum := ShareLimit.Floor
 	for _, c := range s.clients {
-		sum += c.taker.Believed(c.clock())
+		sum += c.taker.Allocated(c.clock())
 	}
 	if s.Largest = max(s.Largest, sum); sum > ShareLimit.Units {
 		s.Wrong = fmt.Sprintf("at %v clients believe in %d of %d units", s.now, sum, ShareLimit.Units)
--- a/internal/rig/scale/group.go
+++ b/internal/rig/scale/group.go
@@ -120,7 +120,7 @@
 				follow++
 			}
 		}
-		if s != nil && s.Leads && follow == len(all) {
+		if s != nil && s.IsLeader && follow == len(all) {
 			return i
 		}
 	}
@@ -142,7 +142,7 @@
 // known is how many sidecars of a service the coordinators have heard of.
 func (g *group) known(ctx context.Context, service string) int {
 	of, _ := g.operator.InForce(ctx, service)
-	return of[service].Known
+	return of[service].Reported
 }
 
 // drives is who drives; -1: nobody. Each says so in its log.
--- a/internal/rig/scale/killed.go
+++ b/internal/rig/scale/killed.go
@@ -101,7 +101,7 @@
 		is, _ := sum(after, addr)
 		if rate := (is - was) / took; rate >= most {
 			most = rate
-			bound = lost/subscriber().Spread.Seconds() + waited/(subscriber().Hold*3/4).Seconds() + 2*told/took
+			bound = lost/subscriber().ReconnectWindow.Seconds() + waited/(subscriber().MaxWait*3/4).Seconds() + 2*told/took
 		}
 	}
 	p.add("coordinator", prefix+"asks_s", most)
--- a/internal/rig/scale/publish.go
+++ b/internal/rig/scale/publish.go
@@ -286,7 +286,7 @@
 		took := time.Since(began)
 		known, in := 0, 0
 		for service, s := range of {
-			known += s.Known
+			known += s.Reported
 			if s.Newest == last[service] {
 				in += s.InForce
 			}
--- a/internal/rig/scale/run.go
+++ b/internal/rig/scale/run.go
@@ -231,13 +231,13 @@
 	if err != nil {
 		return err
 	}
-	told, err := r.group.operator.Ask(ctx, fleet.Request{Backup: true})
+	told, err := r.group.operator.Call(ctx, fleet.Request{Backup: true})
 	if err != nil {
 		return err
 	}
 	bytes := len(told.Backup)
 	if application != "" {
-		if told, err = r.group.operator.Ask(ctx, fleet.Request{Changes: &application}); err != nil {
+		if told, err = r.group.operator.Call(ctx, fleet.Request{Changes: &application}); err != nil {
 			return err
 		}
 		bytes += len(told.Changes)
--- a/internal/rig/scale/watchers.go
+++ b/internal/rig/scale/watchers.go
@@ -59,8 +59,8 @@
 		var client *subscribe.Client
 		client = subscribe.New(subscribe.Options{
 			Addrs: j.Coordinators, Service: m.service, Member: m.Name,
-			Over: &http.Client{Transport: newCounting(w.of, func() { w.wasAnswered(m) })},
-			Take: func(v distribute.Version) error {
+			HTTPClient: &http.Client{Transport: newCounting(w.of, func() { w.wasAnswered(m) })},
+			Store: func(v distribute.Version) error {
 				w.take(m, &v)
 				client.Report(distribute.Report{Sidecar: m.Name, InForce: v.Revision})
 				return nil
--- a/internal/rig/scale/watching.go
+++ b/internal/rig/scale/watching.go
@@ -12,11 +12,11 @@
 // no multiple of that between two asks (a hold, drawn from 3/4 of it to the whole) one would count too many or too few.
 func restWindow() time.Duration { return 2 * meanHold() }
 
-func meanHold() time.Duration { return subscriber().Hold * 7 / 8 }
+func meanHold() time.Duration { return subscriber().MaxWait * 7 / 8 }
 
 // subscriber are the options that agents' clients have.
 func subscriber() distribute.SubscriberOptions {
-	return distribute.DefaultSubscriber("", "", coordinators, nil)
+	return distribute.DefaultSubscriberOptions("", "", coordinators, nil)
 }
 
 // watches is N agents that wait for versions, at rest.
--- a/internal/rig/scale/workloads.go
+++ b/internal/rig/scale/workloads.go
@@ -161,7 +161,7 @@
 		return nil
 	}
 	err = fmt.Errorf("the change does not begin: %w", err)
-	if errors.As(err, &refused{}) || fleet.Final(err) {
+	if errors.As(err, &refused{}) || fleet.IsPermanent(err) {
 		return refused{err}
 	}
 	return err
@@ -174,7 +174,7 @@
 	ctx, cancel := context.WithTimeout(ctx, sayWithin)
 	defer cancel()
 	c.At = time.Now().UnixMilli()
-	told, err := r.group.operator.Ask(ctx, fleet.Request{Rollout: c})
+	told, err := r.group.operator.Call(ctx, fleet.Request{Rollout: c})
 	if err == nil && told.Rollout.Err != "" {
 		err = refused{errors.New(told.Rollout.Err)}
 	}
--- a/lease/asleep_test.go
+++ b/lease/asleep_test.go
@@ -97,8 +97,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &recorder{RoundTripper: c.caller.Over.Transport, began: began}
-		c.caller.Over.Transport = r
+		r := &recorder{RoundTripper: c.caller.HTTPClient.Transport, began: began}
+		c.caller.HTTPClient.Transport = r
 		all, recorders = append(all, c), append(recorders, r)
 		if _, err := c.Hold(ctx, fmt.Sprint("x", i)); err != nil {
 			t.Fatal(err)
--- a/lease/held.go
+++ b/lease/held.go
@@ -64,7 +64,7 @@
 	}
 	delete(c.held, h.Name)
 	if c.holder != nil {
-		c.holder.Drop(h.Name)
+		c.holder.Forget(h.Name)
 	}
 	h.timer.Stop()
 	h.cancel(why)
@@ -107,7 +107,7 @@
 	if !h.end() {
 		return ErrLost
 	}
-	a, _, err := h.c.command(ctx, lease.Command{Kind: lease.Transfer, Name: h.Name, Token: h.Token, To: lease.SessionID(to)})
+	a, _, err := h.c.command(ctx, lease.Command{Kind: lease.Transfer, Name: h.Name, Token: h.Token, TransferTo: lease.SessionID(to)})
 	if err != nil || a.Status == lease.OK {
 		return err
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -49,9 +49,9 @@
 	sides  sync.WaitGroup
 
 	mu      sync.Mutex
-	last    chan struct{}   // closed when the last command in the line is over
-	asking  map[string]bool // names that a call of Hold or Try is about
-	holder  *lease.Holder   // nil: there is no session
+	last    chan struct{}       // closed when the last command in the line is over
+	asking  map[string]bool     // names that a call of Hold or Try is about
+	holder  *lease.SessionState // nil: there is no session
 	seq     uint64
 	held    map[string]*Held
 	changed chan struct{} // closed when a grant has come or the session has changed
@@ -80,8 +80,8 @@
 	first := make(chan struct{})
 	close(first)
 	c := &Client{o: o, last: first, asking: map[string]bool{}, held: map[string]*Held{}, changed: make(chan struct{}), caller: fleet.Caller{
-		Addrs: o.Addrs, Within: max(o.TTL/4, 250*time.Millisecond), Pause: o.TTL / 100,
-		Over: &http.Client{Transport: &http.Transport{
+		Addrs: o.Addrs, Timeout: max(o.TTL/4, 250*time.Millisecond), RetryInterval: o.TTL / 100,
+		HTTPClient: &http.Client{Transport: &http.Transport{
 			DialContext: (&net.Dialer{Timeout: o.TTL / 4}).DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true}},
 	}}
 	c.ctx, c.end = context.WithCancel(context.Background())
@@ -142,7 +142,7 @@
 }
 
 // await waits for a grant that a renewal tells of; neither: the session is over.
-func (c *Client) await(ctx context.Context, holder *lease.Holder, name string) (*Held, error) {
+func (c *Client) await(ctx context.Context, holder *lease.SessionState, name string) (*Held, error) {
 	for {
 		c.mu.Lock()
 		if c.holder != holder {
@@ -167,13 +167,13 @@
 }
 
 // granted begins to hold; nil: it is over already.
-func (c *Client) granted(holder *lease.Holder, name string, token Token) *Held {
+func (c *Client) granted(holder *lease.SessionState, name string, token Token) *Held {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.holder != holder {
 		return nil
 	}
-	holder.Granted(c.o.clock(), name, token)
+	holder.ApplyGrant(c.o.clock(), name, token)
 	if _, _, ok := holder.Held(name, c.o.clock()); !ok {
 		return nil
 	}
@@ -192,11 +192,11 @@
 }
 
 // cancel waits no more for a lease, or for its grant.
-func (c *Client) cancel(holder *lease.Holder, name string) {
+func (c *Client) cancel(holder *lease.SessionState, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if holder != nil && c.holder == holder {
-		holder.Drop(name)
+		holder.Forget(name)
 		c.begin(lease.Command{Kind: lease.Cancel, Name: name})
 	}
 }
@@ -223,7 +223,7 @@
 	cancel()
 	c.end()
 	c.sides.Wait()
-	c.caller.Over.CloseIdleConnections()
+	c.caller.HTTPClient.CloseIdleConnections()
 	if errors.Is(err, errNoSession) {
 		return nil
 	}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	o := fleet.Operator{Addrs: []string{addr}}
-	if _, err := o.Ask(ctx, fleet.Request{Command: &core.Command{Kind: core.Break, Name: "x"}}); err != nil {
+	if _, err := o.Call(ctx, fleet.Request{Command: &core.Command{Kind: core.Break, Name: "x"}}); err != nil {
 		t.Fatal(err)
 	}
 	<-first.Context().Done()
@@ -164,8 +164,8 @@
 		for there := 0; there != i+1; { // in this order
 			o := fleet.Operator{Addrs: []string{addr}}
 			name := "x"
-			if told, err := o.Ask(ctx, fleet.Request{List: &name}); err == nil && len(told.Holdings) == 1 {
-				there = 1 + len(told.Holdings[0].Queue)
+			if told, err := o.Call(ctx, fleet.Request{ListLeases: &name}); err == nil && len(told.Leases) == 1 {
+				there = 1 + len(told.Leases[0].Queue)
 			} else if ctx.Err() != nil {
 				t.Fatal("it waits in vain")
 			}
--- a/lease/line.go
+++ b/lease/line.go
@@ -18,7 +18,7 @@
 
 type result struct {
 	a      lease.Answer
-	holder *lease.Holder
+	holder *lease.SessionState
 	err    error
 }
 
@@ -38,7 +38,7 @@
 }
 
 // command begins a command and waits for its answer.
-func (c *Client) command(ctx context.Context, cmd lease.Command) (lease.Answer, *lease.Holder, error) {
+func (c *Client) command(ctx context.Context, cmd lease.Command) (lease.Answer, *lease.SessionState, error) {
 	c.mu.Lock()
 	out := c.begin(cmd)
 	c.mu.Unlock()
@@ -53,7 +53,7 @@
 }
 
 // carryOut asks until there is an answer, or the session is over. It is this command's turn.
-func (c *Client) carryOut(cmd lease.Command) (lease.Answer, *lease.Holder, error) {
+func (c *Client) carryOut(cmd lease.Command) (lease.Answer, *lease.SessionState, error) {
 	c.mu.Lock()
 	holder := c.holder
 	if holder == nil {
@@ -64,17 +64,17 @@
 	cmd.Session, cmd.Seq = holder.Session, c.seq
 	switch cmd.Kind {
 	case lease.Acquire:
-		holder.Wants(cmd.Name, c.o.clock())
+		holder.BeginWait(cmd.Name, c.o.clock())
 	case lease.Cancel: // what the command before it began to want, or has been granted
-		holder.Drop(cmd.Name)
+		holder.Forget(cmd.Name)
 	}
 	c.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	defer cancel(nil)
-	told, err := c.caller.Ask(ctx, &fleet.Request{Command: &cmd}, func() {
+	told, err := c.caller.Call(ctx, &fleet.Request{Command: &cmd}, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.holder != holder || holder.Alive() <= c.o.clock() {
+		if c.holder != holder || holder.Expiry() <= c.o.clock() {
 			cancel(ErrLost)
 		}
 	})
--- a/lease/session.go
+++ b/lease/session.go
@@ -25,7 +25,7 @@
 		return ctx.Err()
 	}
 	c.mu.Lock()
-	alive := c.holder != nil && c.holder.Alive() > c.o.clock()
+	alive := c.holder != nil && c.holder.Expiry() > c.o.clock()
 	c.mu.Unlock()
 	if alive {
 		return nil
@@ -36,15 +36,15 @@
 	cmd := lease.Command{Kind: lease.Open, TTL: c.o.TTL, Owner: c.o.Owner, Nonce: rand.Text()}
 	for {
 		asked := c.o.clock()
-		told, err := c.caller.Ask(ctx, &fleet.Request{Command: &cmd}, nil)
+		told, err := c.caller.Call(ctx, &fleet.Request{Command: &cmd}, nil)
 		if err != nil {
 			return err
 		}
 		if told.Answer.Status != lease.OK {
 			return fmt.Errorf("session: %v", told.Answer.Status)
 		}
-		h := lease.Opened(asked, told.Answer.Session, c.o.TTL)
-		if h.Alive() <= c.o.clock() { // it took too long: a renewal may still say that it lives, another one certainly does
+		h := lease.NewSessionState(asked, told.Answer.Session, c.o.TTL)
+		if h.Expiry() <= c.o.clock() { // it took too long: a renewal may still say that it lives, another one certainly does
 			cmd.Nonce = rand.Text()
 			continue
 		}
@@ -63,18 +63,18 @@
 }
 
 // endAll ends all that a session holds. The caller holds Client.mu.
-func (c *Client) endAll(holder *lease.Holder) {
+func (c *Client) endAll(holder *lease.SessionState) {
 	if holder == nil || c.holder != holder {
 		return
 	}
 	for _, h := range c.held {
 		c.drop(h, ErrLost)
 	}
-	holder.Lost()
+	holder.Invalidate()
 	c.holder = nil
 }
 
-func (c *Client) lost(holder *lease.Holder) {
+func (c *Client) lost(holder *lease.SessionState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endAll(holder)
@@ -102,18 +102,18 @@
 	}
 }
 
-func (c *Client) renew(holder *lease.Holder) {
+func (c *Client) renew(holder *lease.SessionState) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.o.TTL)
 	defer cancel()
 	asked := c.o.clock()
 	c.mu.Lock()
-	known := holder.Known()
+	known := holder.KnownVersion()
 	c.mu.Unlock()
-	told, err := c.caller.Ask(ctx, &fleet.Request{Alive: &replica.Alive{Session: holder.Session, Known: known}}, func() { asked = c.o.clock() })
+	told, err := c.caller.Call(ctx, &fleet.Request{KeepAlive: &replica.KeepAlive{Session: holder.Session, KnownVersion: known}}, func() { asked = c.o.clock() })
 	if err != nil {
 		return
 	}
-	if !told.Alive {
+	if !told.SessionAlive {
 		c.lost(holder)
 		return
 	}
@@ -123,10 +123,10 @@
 		return
 	}
 	grants := told.Grants
-	if grants == nil && told.Version != known {
+	if grants == nil && told.GrantsVersion != known {
 		grants = []lease.Grant{} // it holds nothing
 	}
-	holder.Renewed(asked, grants, told.Version)
+	holder.ApplyKeepAlive(asked, grants, told.GrantsVersion)
 	for _, h := range c.held {
 		if holder.Broken(h.Name) { // its holder is told, and has what is left of its time to stop and let go
 			h.cancel(ErrBroken)
