--- a/cmd/petrelhook-agent/change_test.go
+++ b/cmd/petrelhook-agent/change_test.go
@@ -52,9 +52,9 @@
 		t.Fatal(err)
 	}
 	c := s.Over(2 * time.Minute)
-	t.Logf("a good one: %v, %d events", c.State.Phase, c.Events)
+	t.Logf("a good one: %v, %d events", c.State.Phase, c.EventCount)
 	if c.State.Phase != rollout.Done || deployment.Running(c, good) != 6 {
-		t.Fatalf("%v: %s", c.State.Phase, c.State.Why)
+		t.Fatalf("%v: %s", c.State.Phase, c.State.Reason)
 	}
 	fiftieth := worse("refuses one in fifty", "", "of class")
 	fiftieth.Plan = strings.Replace(short, "0.15", "0.02", 1)
@@ -91,9 +91,9 @@
 		t.Errorf("two changes at once: %v", err)
 	}
 	c := s.Until(90*time.Second, "it does not go on", func(c *rollout.Change) bool { return c.State.Phase != rollout.Running })
-	t.Logf("%v: %s", c.State.Phase, c.State.Why)
-	if c.State.Stage != 1 || c.State.Phase != rollout.Paused || !strings.Contains(c.State.Why, "old sidecars do worse") {
-		t.Errorf("%v in stage %d: %s", c.State.Phase, c.State.Stage, c.State.Why)
+	t.Logf("%v: %s", c.State.Phase, c.State.Reason)
+	if c.State.Stage != 1 || c.State.Phase != rollout.Paused || !strings.Contains(c.State.Reason, "old sidecars do worse") {
+		t.Errorf("%v in stage %d: %s", c.State.Phase, c.State.Stage, c.State.Reason)
 	}
 	s.Say(rollout.Event{Abort: "seen"})
 	if c := s.Over(time.Minute); deployment.Running(c, s.Old) != 6 {
@@ -119,9 +119,9 @@
 	s.Until(time.Minute, "it is stopped", func(c *rollout.Change) bool { return c.State.Phase > rollout.Paused })
 	stopped := time.Since(began)
 	c := s.Over(time.Minute)
-	t.Logf("stopped after %v, the load rose after %v: %s", stopped.Round(time.Second), rises, c.State.Why)
-	if stopped < rises || c.State.Stage != 1 || deployment.Running(c, s.Old) != 6 || !strings.Contains(c.State.Why, "worse") {
-		t.Errorf("%v in stage %d: %s", c.State.Phase, c.State.Stage, c.State.Why)
+	t.Logf("stopped after %v, the load rose after %v: %s", stopped.Round(time.Second), rises, c.State.Reason)
+	if stopped < rises || c.State.Stage != 1 || deployment.Running(c, s.Old) != 6 || !strings.Contains(c.State.Reason, "worse") {
+		t.Errorf("%v in stage %d: %s", c.State.Phase, c.State.Stage, c.State.Reason)
 	}
 	s.Check()
 }
@@ -134,9 +134,9 @@
 		t.Fatal(err)
 	}
 	c := s.Over(90 * time.Second)
-	t.Logf("%v, %d events", c.State.Phase, c.Events)
+	t.Logf("%v, %d events", c.State.Phase, c.EventCount)
 	if c.State.Phase != rollout.Done || deployment.Running(c, good) != 6 {
-		t.Errorf("%v: %s", c.State.Phase, c.State.Why)
+		t.Errorf("%v: %s", c.State.Phase, c.State.Reason)
 	}
 	s.Check()
 }
--- a/cmd/petrelhook-agent/faults_test.go
+++ b/cmd/petrelhook-agent/faults_test.go
@@ -35,8 +35,8 @@
 	}
 	for round := range 3 {
 		peertest.Eventually(t, "one drives", func() bool { return s.Drives() >= 0 })
-		was := s.Changes().Now.Events
-		s.Until(30*time.Second, "it moves", func(c *rollout.Change) bool { return c.Events > was || c.State.Phase.Over() })
+		was := s.Changes().Current.EventCount
+		s.Until(30*time.Second, "it moves", func(c *rollout.Change) bool { return c.EventCount > was || c.State.Phase.Over() })
 		i := s.Drives()
 		if i < 0 {
 			continue
@@ -51,14 +51,14 @@
 		s.All[i].Die()
 		died := time.Now()
 		peertest.Eventually(t, "another drives", func() bool { return s.Drives() != i && s.Drives() >= 0 })
-		events := s.Changes().Now.Events
-		s.Until(30*time.Second, "its word is taken", func(c *rollout.Change) bool { return c.Events > events || c.State.Phase.Over() })
+		events := s.Changes().Current.EventCount
+		s.Until(30*time.Second, "its word is taken", func(c *rollout.Change) bool { return c.EventCount > events || c.State.Phase.Over() })
 		t.Logf("%v from a driver's death to the word of the next", time.Since(died).Round(10*time.Millisecond))
 		s.All[i].Start()
 	}
 	c := s.Over(2 * time.Minute)
 	if c.State.Phase != rollout.Done || deployment.Running(c, good) != 6 {
-		t.Errorf("%v: %s", c.State.Phase, c.State.Why)
+		t.Errorf("%v: %s", c.State.Phase, c.State.Reason)
 	}
 	starts := 0
 	for _, a := range s.Agents {
@@ -117,7 +117,7 @@
 	}
 	end := kill(t, s, 1200*time.Millisecond)
 	c := s.Until(2*time.Minute, "over", func(c *rollout.Change) bool { return c.State.Phase.Over() || c.State.Phase == rollout.Paused })
-	t.Logf("%d kills of agents; %v: %s", end(), c.State.Phase, c.State.Why)
+	t.Logf("%d kills of agents; %v: %s", end(), c.State.Phase, c.State.Reason)
 	if c.State.Phase != rollout.Done || deployment.Running(c, good) != 6 {
 		text, _ := json.Marshal(c.State)
 		t.Errorf("%v: %s", c.State.Phase, text)
@@ -142,15 +142,15 @@
 	s.Until(time.Minute, "it is seen", func(c *rollout.Change) bool { return !c.State.Sidecars()[0].Ready })
 	s.Say(rollout.Event{Abort: "by hand"})
 	s.Until(time.Minute, "the others are back", func(c *rollout.Change) bool { return deployment.Running(c, s.Old) >= 5 })
-	if c := s.Changes().Now; c.State.Phase != rollout.TakingBack || len(c.State.Orders()) != 1 {
-		t.Errorf("%v: %v", c.State.Phase, c.State.Orders())
+	if c := s.Changes().Current; c.State.Phase != rollout.RollingBack || len(c.State.OpenOrders()) != 1 {
+		t.Errorf("%v: %v", c.State.Phase, c.State.OpenOrders())
 	}
 	peertest.Eventually(t, "it goes back by itself", func() bool {
 		k := cut.Kept()
 		return k[0].FallbackReason == rollout.MachineIsolated && k[0].Serving != nil && k[0].Serving.Release == string(s.Old) && k[0].Phase == agent.Idle
 	})
 	cut.Link.Hold(link.Forth, false)
-	if c := s.Over(time.Minute); c.State.Phase != rollout.Stopped || deployment.Running(c, s.Old) != 6 || c.State.Why != "by hand" {
+	if c := s.Over(time.Minute); c.State.Phase != rollout.Stopped || deployment.Running(c, s.Old) != 6 || c.State.Reason != "by hand" {
 		text, _ := json.Marshal(c.State)
 		t.Errorf("%s", text)
 	}
@@ -170,16 +170,16 @@
 	pid := a.Kept()[0].Serving.PID
 	syscall.Kill(pid, syscall.SIGSTOP)
 	c := s.Until(time.Minute, "it pauses", func(c *rollout.Change) bool { return c.State.Phase == rollout.Paused })
-	if !strings.Contains(c.State.Why, "nothing came of it") || !strings.HasSuffix(c.State.Why, ": n00") {
-		t.Errorf("%s", c.State.Why)
+	if !strings.Contains(c.State.Reason, "nothing came of it") || !strings.HasSuffix(c.State.Reason, ": n00") {
+		t.Errorf("%s", c.State.Reason)
 	}
 	syscall.Kill(pid, syscall.SIGCONT)
 	s.Until(time.Minute, "it is ready", func(c *rollout.Change) bool { return c.State.Sidecars()[0].Ready })
 	a.Stop()
 	s.Say(rollout.Event{Abort: "by hand"})
 	c = s.Until(time.Minute, "it is out of reach", func(c *rollout.Change) bool { return !c.State.Sidecars()[0].Ready })
-	if c.State.Phase != rollout.TakingBack || len(c.State.Orders()) != 1 {
-		t.Errorf("%v: %v", c.State.Phase, c.State.Orders())
+	if c.State.Phase != rollout.RollingBack || len(c.State.OpenOrders()) != 1 {
+		t.Errorf("%v: %v", c.State.Phase, c.State.OpenOrders())
 	}
 	a.Continue()
 	if c := s.Over(time.Minute); deployment.Running(c, s.Old) != 4 || strings.Count(a.Log.String(), "msg=started sidecar=n00") != 3 {
--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -30,8 +30,8 @@
 			t.Fatal(err)
 		}
 		<-time.After(horizon)
-		c := s.Changes().Now
-		t.Logf("%s: %v in stage %d after %v: %s", names[i], c.State.Phase, c.State.Stage, horizon, c.State.Why)
+		c := s.Changes().Current
+		t.Logf("%s: %v in stage %d after %v: %s", names[i], c.State.Phase, c.State.Stage, horizon, c.State.Reason)
 		if !c.State.Phase.Over() {
 			s.Say(rollout.Event{Abort: "measured"})
 		}
@@ -72,7 +72,7 @@
 		c := s.Over(3 * time.Minute)
 		t.Logf("change %d: %v after %v", i+1, c.State.Phase, time.Since(began).Round(100*time.Millisecond))
 		if c.State.Phase != rollout.Done {
-			t.Fatal(c.State.Why)
+			t.Fatal(c.State.Reason)
 		}
 		now, next = next, now
 	}
--- a/cmd/petrelhook-agent/main.go
+++ b/cmd/petrelhook-agent/main.go
@@ -52,7 +52,7 @@
 	cmd.Flags().BoolVar(&check, "check", false, "say whether the file is good, and end")
 	cmd.AddCommand(&cobra.Command{Use: "once FILE PROGRAM", Hidden: true, DisableFlagParsing: true, Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return command.Fail(machine.Once(args[0], args[1], args[2:]))
+			return command.Fail(machine.BecomeSidecar(args[0], args[1], args[2:]))
 		}})
 	return command.Run(cmd, args, out, errs)
 }
--- a/cmd/petrelhook-agent/version_test.go
+++ b/cmd/petrelhook-agent/version_test.go
@@ -98,7 +98,7 @@
 	})
 	for _, a := range s.Agents {
 		for _, k := range a.Kept() {
-			files, _ := filepath.Glob(filepath.Join(a.Dir, "data", fmt.Sprintf("config-*-%d", k.Serving.Start)))
+			files, _ := filepath.Glob(filepath.Join(a.Dir, "data", fmt.Sprintf("config-*-%d", k.Serving.StartNumber)))
 			for _, f := range files {
 				if text, _ := os.ReadFile(f); !strings.Contains(string(text), `"quantum_ms":3`) || !strings.Contains(string(text), s.lists[1].Addr) {
 					t.Errorf("%s: %s", f, text)
@@ -183,11 +183,11 @@
 	if _, err := s.Begin(deployment.Plan(s.Old, good, "at_once: 2\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {share: 1}\n")); err != nil {
 		t.Fatal(err)
 	}
-	s.Until(time.Minute, "it moves", func(c *rollout.Change) bool { return len(c.State.Orders()) > 0 })
+	s.Until(time.Minute, "it moves", func(c *rollout.Change) bool { return len(c.State.OpenOrders()) > 0 })
 	during := s.Publish(s.quantum(1, 3))
 	c := s.Over(2 * time.Minute)
 	if c.State.Phase != rollout.Done || deployment.Running(c, good) != 6 {
-		t.Errorf("%v: %s", c.State.Phase, c.State.Why)
+		t.Errorf("%v: %s", c.State.Phase, c.State.Reason)
 	}
 	s.UntilInForce(30*time.Second, during)
 
@@ -196,10 +196,10 @@
 	if _, err := s.Begin(deployment.Plan(good, third, "at_once: 3\nunavailable: 3\njudge: none\nstages: [{share: 1}]\n")); err != nil {
 		t.Fatal(err)
 	}
-	s.Until(time.Minute, "both go on", func(c *rollout.Change) bool { return len(c.State.Orders()) > 0 })
+	s.Until(time.Minute, "both go on", func(c *rollout.Change) bool { return len(c.State.OpenOrders()) > 0 })
 	newest := s.Publish(s.live(1))
 	if c = s.Over(2 * time.Minute); c.State.Phase != rollout.Done || deployment.Running(c, third) != 6 {
-		t.Errorf("%v: %s", c.State.Phase, c.State.Why)
+		t.Errorf("%v: %s", c.State.Phase, c.State.Reason)
 	}
 	s.UntilInForce(30*time.Second, newest)
 	if before >= newest {
@@ -207,7 +207,7 @@
 	}
 	for _, a := range s.Agents {
 		for _, k := range a.Kept() {
-			if k.Serving.Release != string(third) || k.InForce != newest || k.Failed != "" {
+			if k.Serving.Release != string(third) || k.InForce != newest || k.FailureReason != "" {
 				t.Errorf("%+v", k)
 			}
 		}
--- a/cmd/petrelhook-coordinator/main.go
+++ b/cmd/petrelhook-coordinator/main.go
@@ -77,9 +77,9 @@
 	if c.Drive {
 		drives := make(chan struct{})
 		driving, ended := context.WithCancel(ctx)
-		d := &driver.Driver{TTL: driverTTL, Every: c.DriveEvery, Log: log}
+		d := &driver.Driver{TTL: driverTTL, Interval: c.DriveEvery, Log: log}
 		for _, m := range c.Replicas {
-			d.Addrs = append(d.Addrs, m.Addr)
+			d.Coordinators = append(d.Coordinators, m.Addr)
 		}
 		go func() {
 			defer close(drives)
--- a/cmd/petrelhookctl/capacity.go
+++ b/cmd/petrelhookctl/capacity.go
@@ -75,7 +75,7 @@
 			return nil, err
 		}
 	}
-	return capacity.Make(a, m), nil
+	return capacity.NewReport(a, m), nil
 }
 
 // writePage puts the tables into a page that is there.
--- a/cmd/petrelhookctl/rollout.go
+++ b/cmd/petrelhookctl/rollout.go
@@ -68,7 +68,7 @@
 			worst := release.Worst(all)
 			err = a.print(cmd, rolloutPlan{worst.String(), all}, func(w *tabwriter.Writer) {
 				for _, f := range all {
-					fmt.Fprintf(w, "%s\t%s -> %s\t%s\t%s\n", f.Field, f.Old, f.New, f.Verdict, f.Why)
+					fmt.Fprintf(w, "%s\t%s -> %s\t%s\t%s\n", f.Field, f.Old, f.New, f.Verdict, f.Reason)
 				}
 				fmt.Fprintln(w, "the change:", worst)
 			})
--- a/cmd/petrelhookctl/rollout_run.go
+++ b/cmd/petrelhookctl/rollout_run.go
@@ -82,9 +82,9 @@
 			if err != nil {
 				return err
 			}
-			s := app.Now.State
-			err = a.print(cmd, app.Now, func(w *tabwriter.Writer) { status(w, app.Now) })
-			if err == nil && (s.Phase == rollout.Paused || s.Phase == rollout.TakingBack || s.Phase == rollout.Stopped) {
+			s := app.Current.State
+			err = a.print(cmd, app.Current, func(w *tabwriter.Writer) { status(w, app.Current) })
+			if err == nil && (s.Phase == rollout.Paused || s.Phase == rollout.RollingBack || s.Phase == rollout.Stopped) {
 				return errBad
 			}
 			return err
@@ -98,18 +98,18 @@
 
 func status(w *tabwriter.Writer, c *rollout.Change) {
 	s := c.State
-	fmt.Fprintf(w, "%s\tchange %s\t%v\tstage %d of %d\t%s\n", s.Plan.Application, c.Name, s.Phase, s.Stage, len(s.Plan.Stages), s.Why)
+	fmt.Fprintf(w, "%s\tchange %s\t%v\tstage %d of %d\t%s\n", s.Plan.Application, c.Name, s.Phase, s.Stage, len(s.Plan.Stages), s.Reason)
 	if s.Phase == rollout.Running {
-		fmt.Fprintf(w, "waits for\t%s\n", s.Waits())
+		fmt.Fprintf(w, "waits for\t%s\n", s.WaitingFor())
 	}
 	fmt.Fprintln(w, "SIDECAR\tSTAGE\tRELEASE\tREADY\tORDER\t")
 	for _, side := range s.Sidecars() {
 		order := ""
 		switch {
-		case side.Alone != "":
-			order = "left alone: " + side.Alone
-		case side.Order != 0:
-			order = fmt.Sprintf("%d: to %s", side.Order, side.To)
+		case side.AbandonedReason != "":
+			order = "left alone: " + side.AbandonedReason
+		case side.OpenOrder != 0:
+			order = fmt.Sprintf("%d: to %s", side.OpenOrder, side.OrderedRelease)
 		}
 		fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%s\t\n", side.Name, s.StageOf(side.Name), side.Release, side.Ready, order)
 	}
@@ -125,9 +125,9 @@
 			if err != nil {
 				return err
 			}
-			told, err := a.ask(cmd, fleet.Request{Rollout: &rollout.Command{Application: args[0], Change: app.Now.Name, At: time.Now().UnixMilli(), Events: []rollout.Event{say()}}})
-			if err == nil && told.Rollout.Err != "" {
-				err = runError{errors.New(told.Rollout.Err)}
+			told, err := a.ask(cmd, fleet.Request{Rollout: &rollout.Command{Application: args[0], Change: app.Current.Name, AtMillis: time.Now().UnixMilli(), Events: []rollout.Event{say()}}})
+			if err == nil && told.Rollout.Error != "" {
+				err = runError{errors.New(told.Rollout.Error)}
 			}
 			if err != nil {
 				return err
@@ -135,7 +135,7 @@
 			if app, err = a.change(cmd, args[0], false); err != nil {
 				return err
 			}
-			return a.print(cmd, app.Now, func(w *tabwriter.Writer) { status(w, app.Now) })
+			return a.print(cmd, app.Current, func(w *tabwriter.Writer) { status(w, app.Current) })
 		},
 	}
 	a.flags(cmd)
@@ -169,16 +169,16 @@
 				return err
 			}
 			return a.print(cmd, app, func(w *tabwriter.Writer) {
-				line := func(name, plan string, all []rollout.Moment) {
+				line := func(name, plan string, all []rollout.Transition) {
 					fmt.Fprintf(w, "%s\t%s\n", name, plan)
 					for _, m := range all {
-						fmt.Fprintf(w, "\t%s\t%s\tstage %d\t%s\n", time.UnixMilli(m.At).UTC().Format(time.RFC3339), m.Phase, m.Stage, m.Why)
+						fmt.Fprintf(w, "\t%s\t%s\tstage %d\t%s\n", time.UnixMilli(m.AtMillis).UTC().Format(time.RFC3339), m.Phase, m.Stage, m.Reason)
 					}
 				}
 				for _, p := range app.Past {
-					line(p.Name, p.Plan, p.Moments)
+					line(p.Name, p.Plan, p.Transitions)
 				}
-				line(app.Now.Name, app.Now.State.Plan.String(), app.Now.Moments)
+				line(app.Current.Name, app.Current.State.Plan.String(), app.Current.Transitions)
 			})
 		},
 	}
--- a/cmd/petrelhookctl/rollout_run_test.go
+++ b/cmd/petrelhookctl/rollout_run_test.go
@@ -17,11 +17,11 @@
 // What operators say of a change, and what they are shown, in the order of a bad day.
 func TestRolloutCommands(t *testing.T) {
 	addr, _ := coordinator.For(t)
-	start := &rollout.Start{Plan: rollout.Plan{Application: "permits", From: "old", To: "new", AtOnce: 1, Unavailable: 1, Patience: time.Hour,
-		Stages: []rollout.Stage{{Select: rollout.Select{Share: 1}}}}, Members: []rollout.Member{{Name: "n0"}}, Now: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
+	start := &rollout.Start{Plan: rollout.Plan{Application: "permits", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: time.Hour,
+		Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}}, Members: []rollout.Member{{Name: "n0"}}, Reports: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
 	begin := func() {
 		told, err := (&fleet.Operator{Addrs: []string{addr}}).Ask(t.Context(), fleet.Request{Rollout: &rollout.Command{Application: "permits", Change: "c1", Start: start}})
-		if err != nil || told.Rollout.Err != "" {
+		if err != nil || told.Rollout.Error != "" {
 			t.Fatal(err, told)
 		}
 	}
--- a/cmd/petrelhookctl/rollout_show.go
+++ b/cmd/petrelhookctl/rollout_show.go
@@ -24,7 +24,7 @@
 			if err != nil {
 				return err
 			}
-			lines := report.Explain(app.Now)
+			lines := report.Explain(app.Current)
 			return a.print(cmd, lines, func(w *tabwriter.Writer) {
 				for _, l := range lines {
 					fmt.Fprintf(w, "%s\t%s\n", l.Rule, l.Text)
@@ -57,7 +57,7 @@
 					continue
 				}
 				var text bytes.Buffer
-				err := f.write(&text, app.Now)
+				err := f.write(&text, app.Current)
 				if err == nil {
 					err = os.WriteFile(f.path, text.Bytes(), 0o644)
 				}
@@ -91,7 +91,7 @@
 		}
 		if err != nil {
 			fmt.Fprintln(out, "petrelhookctl:", err)
-		} else if stop := show(out, terminal, application, app.Now, &last); stop {
+		} else if stop := show(out, terminal, application, app.Current, &last); stop {
 			return nil
 		}
 		select {
@@ -105,7 +105,7 @@
 // show shows a change; true: nothing follows by itself. last is the line that was shown last.
 func show(out io.Writer, terminal bool, application string, c *rollout.Change, last *string) bool {
 	s := c.State
-	line := fmt.Sprintf("%s: change %s %v, stage %d of %d %s", application, c.Name, s.Phase, s.Stage, len(s.Plan.Stages), s.Why)
+	line := fmt.Sprintf("%s: change %s %v, stage %d of %d %s", application, c.Name, s.Phase, s.Stage, len(s.Plan.Stages), s.Reason)
 	switch {
 	case terminal:
 		var text bytes.Buffer
--- a/internal/coordination/agent/configuration_test.go
+++ b/internal/coordination/agent/configuration_test.go
@@ -53,7 +53,7 @@
 func newSite(t testing.TB) *site {
 	w := &site{t: t, runs: map[int]distribute.Revision{}, trial: map[int]time.Duration{}, kinds: map[distribute.Revision]kind{},
 		killed: func() bool { return false }, check: func(Action) {}}
-	w.s = New("old", limits)
+	w.s = New("old", testLimits)
 	w.do(w.s.Tick(0))
 	w.pass(time.Second)
 	return w
@@ -81,7 +81,7 @@
 		switch {
 		case d.Start != "":
 			w.pid++
-			p := Process{PID: w.pid, Began: uint64(w.pid), Release: d.Start, Start: w.s.Starts}
+			p := Process{PID: w.pid, StartTicks: uint64(w.pid), Release: d.Start, StartNumber: w.s.StartCount}
 			w.alive, w.runs[w.pid] = append(w.alive, p), d.Version
 			w.most = max(w.most, len(w.alive))
 			if w.unseen = &p; w.killed() {
@@ -89,7 +89,7 @@
 				return false
 			}
 			w.unseen = nil
-			todo = append(todo, w.s.Began(w.now, p)...)
+			todo = append(todo, w.s.ProcessStarted(w.now, p)...)
 		case d.Term != nil:
 			todo = append(todo, w.die(*d.Term)...)
 		case d.Kill != nil:
@@ -98,16 +98,16 @@
 			if !w.deaf && slices.Contains(w.alive, *d.Reload) {
 				w.runs[d.Reload.PID] = d.Version
 			}
-			w.s.Told(w.now, *d.Reload, digest(d.Version), nil)
+			w.s.ReloadRequested(w.now, *d.Reload, digest(d.Version), nil)
 		case d.Check != nil:
-			v := Verdict{Live: w.kinds[d.Check.Version] == live}
+			v := CheckResult{Reloadable: w.kinds[d.Check.Version] == live}
 			if w.kinds[d.Check.Version] == unchecked {
-				v.Refused = "f.json:1:2: field: is bad"
+				v.Rejection = "f.json:1:2: field: is bad"
 			}
 			if w.unknown {
-				v = Verdict{Unknown: "no program"}
+				v = CheckResult{Unavailable: "no program"}
 			}
-			todo = append(todo, w.s.Checked(w.now, *d.Check, v)...)
+			todo = append(todo, w.s.CheckCompleted(w.now, *d.Check, v)...)
 		}
 	}
 	w.save()
@@ -122,7 +122,7 @@
 		return nil
 	}
 	w.alive = slices.Delete(w.alive, i, i+1)
-	return w.s.Died(w.now, p, "")
+	return w.s.ProcessExited(w.now, p, "")
 }
 
 // again begins the agent anew, with what is kept.
@@ -134,13 +134,13 @@
 		w.t.Fatal(err)
 	}
 	var found *Process
-	if p := w.unseen; p != nil && slices.Contains(w.alive, *p) && k.Starts == p.Start {
+	if p := w.unseen; p != nil && slices.Contains(w.alive, *p) && k.StartCount == p.StartNumber {
 		found = p
 	}
 	w.unseen = nil
-	s, todo := Restore(k, limits, w.now, func(p Process) bool { return slices.Contains(w.alive, p) }, found)
+	s, todo := Restore(k, testLimits, w.now, func(p Process) bool { return slices.Contains(w.alive, p) }, found)
 	w.s = s
-	w.s.Want(w.newest)
+	w.s.SetNewestVersion(w.newest)
 	w.do(todo)
 	w.killed = killed
 }
@@ -149,7 +149,7 @@
 func (w *site) publish(k kind) distribute.Revision {
 	w.newest++
 	w.kinds[w.newest] = k
-	w.s.Want(w.newest)
+	w.s.SetNewestVersion(w.newest)
 	return w.newest
 }
 
@@ -167,13 +167,13 @@
 			if yes && w.trial[p.PID] == 0 {
 				w.trial[p.PID] = w.now
 			}
-			if !w.do(w.s.Answered(w.now, p, yes)) {
+			if !w.do(w.s.ReadinessObserved(w.now, p, yes)) {
 				continue
 			}
 			if told := digest(w.runs[p.PID]); w.silent {
-				w.s.Runs(p, "")
+				w.s.DigestReported(p, "")
 			} else {
-				w.s.Runs(p, told)
+				w.s.DigestReported(p, told)
 			}
 		}
 		w.do(w.s.Tick(w.now))
@@ -194,7 +194,7 @@
 // is, and is not tried again, and the next one gets in.
 func TestVersions(t *testing.T) {
 	w := newSite(t)
-	starts := func() uint64 { return w.s.Starts }
+	starts := func() uint64 { return w.s.StartCount }
 	w.publish(live)
 	w.pass(time.Second)
 	w.stands("live", 1, 0, "")
@@ -247,36 +247,36 @@
 		t.Errorf("%+v, %v", r, w.alive)
 	}
 	before := w.alive[0]
-	w.do(w.s.Answered(w.now, before, false))
+	w.do(w.s.ReadinessObserved(w.now, before, false))
 	if r := w.s.Report("n0"); r.InForce != 0 || w.s.Phase != Trial {
 		t.Errorf("%+v", r)
 	}
-	w.do(w.s.Answered(w.now, before, true))
+	w.do(w.s.ReadinessObserved(w.now, before, true))
 	for w.s.Phase != Ending { // without the world's TERM
 		w.now += 500 * time.Millisecond
-		w.s.Answered(w.now, w.alive[1], true)
+		w.s.ReadinessObserved(w.now, w.alive[1], true)
 		w.s.Tick(w.now)
 	}
-	w.s.Answered(w.now, before, true)
+	w.s.ReadinessObserved(w.now, before, true)
 	if r := w.s.Report("n0"); r.InForce != 0 || r.Why != "the process before ends" {
 		t.Errorf("%+v", r)
 	}
-	w.s.Answered(w.now, w.alive[1], false)
-	w.s.Answered(w.now, before, false)
+	w.s.ReadinessObserved(w.now, w.alive[1], false)
+	w.s.ReadinessObserved(w.now, before, false)
 	if r := w.s.Report("n0"); r.InForce != 0 { // nobody takes any
 		t.Errorf("%+v", r)
 	}
-	w.s.Answered(w.now, w.alive[1], true)
-	w.s.Answered(w.now, before, false)
+	w.s.ReadinessObserved(w.now, w.alive[1], true)
+	w.s.ReadinessObserved(w.now, before, false)
 	if r := w.s.Report("n0"); r.InForce != 1 || r.Why != "" || w.s.Phase != Ending {
 		t.Errorf("%+v", r)
 	}
-	w.do(w.s.Died(w.now, w.alive[1], "")) // what is in force stays so
+	w.do(w.s.ProcessExited(w.now, w.alive[1], "")) // what is in force stays so
 	w.alive = w.alive[:1]
 	w.do(w.die(before))
 	w.pass(5 * time.Second)
 	w.stands("its process died as the one before ended", 1, 0, "")
-	if w.s.Refused != 0 {
+	if w.s.Rejected != 0 {
 		t.Errorf("%+v", w.s.PersistedState)
 	}
 }
@@ -291,15 +291,15 @@
 	w.pass(time.Second)
 	w.publish(neverReady)
 	w.publish(good)
-	w.s.Want(2) // late
+	w.s.SetNewestVersion(2) // late
 	w.pass(time.Second)
 	if r := w.s.Report("n0"); r.Why != "revision 1 is on its way in" {
 		t.Errorf("%+v", r)
 	}
 	w.pass(30 * time.Second)
 	w.stands("the newest", 4, 0, "")
-	if w.s.Starts != 3 {
-		t.Errorf("%d starts", w.s.Starts)
+	if w.s.StartCount != 3 {
+		t.Errorf("%d starts", w.s.StartCount)
 	}
 }
 
@@ -309,7 +309,7 @@
 	w.deaf = true
 	w.publish(live)
 	w.pass(time.Second)
-	if !w.s.Live {
+	if !w.s.ByReload {
 		t.Fatalf("%+v", w.s.PersistedState)
 	}
 	w.publish(live)
@@ -325,17 +325,17 @@
 	w := newSite(t)
 	w.publish(good)
 	w.pass(time.Second)
-	if _, err := w.s.Change(w.now, 1, "new"); err == nil || !strings.Contains(err.Error(), "version 1 of the configuration is not over") {
+	if _, err := w.s.ChangeRelease(w.now, 1, "new"); err == nil || !strings.Contains(err.Error(), "version 1 of the configuration is not over") {
 		t.Errorf("%v", err)
 	}
 	w.publish(good)
 	taken := false
 	for end := w.now + time.Minute; !taken && w.now < end; w.pass(3 * time.Second) {
-		todo, err := w.s.Change(w.now, 1, "new")
+		todo, err := w.s.ChangeRelease(w.now, 1, "new")
 		taken = err == nil
 		w.do(todo)
 	}
-	if w.s.InForce != 1 || w.s.Order != 1 || w.s.Trying != 0 {
+	if w.s.InForce != 1 || w.s.Order != 1 || w.s.Candidate != 0 {
 		t.Errorf("%+v", w.s.PersistedState)
 	}
 	if r := w.s.Report("n0"); r.Why != "order 1 of a rollout goes on" {
@@ -343,13 +343,13 @@
 	}
 	w.pass(30 * time.Second)
 	w.stands("both", 2, 0, "")
-	if release, _ := w.s.Serves(); release != "new" || w.s.Done != 1 || w.s.Failed != "" {
+	if release, _ := w.s.Serves(); release != "new" || w.s.CompletedOrder != 1 || w.s.FailureReason != "" {
 		t.Errorf("%s, %+v", release, w.s.PersistedState)
 	}
 	w.publish(neverReady)
 	w.pass(30 * time.Second)
 	w.stands("refused", 2, 3, "not ready")
-	if w.s.Done != 1 || w.s.Failed != "" {
+	if w.s.CompletedOrder != 1 || w.s.FailureReason != "" {
 		t.Errorf("what came of the order: %+v", w.s.PersistedState)
 	}
 
@@ -360,13 +360,13 @@
 		t.Errorf("%+v", r)
 	}
 	w.deaf = false
-	w.do(must(w.s.Change(w.now, 2, "old")))
-	if w.s.Order != 2 || w.s.Trying != 0 {
+	w.do(must(w.s.ChangeRelease(w.now, 2, "old")))
+	if w.s.Order != 2 || w.s.Candidate != 0 {
 		t.Errorf("%+v", w.s.PersistedState)
 	}
 	w.pass(30 * time.Second)
 	w.stands("both again", 4, 0, "")
-	if release, _ := w.s.Serves(); release != "old" || w.s.Done != 2 || w.s.Failed != "" {
+	if release, _ := w.s.Serves(); release != "old" || w.s.CompletedOrder != 2 || w.s.FailureReason != "" {
 		t.Errorf("%s, %+v", release, w.s.PersistedState)
 	}
 }
@@ -385,11 +385,11 @@
 	w.deaf = true
 	w.publish(live)
 	w.pass(time.Minute)
-	if r := w.s.Report("n0"); r.InForce != 0 || w.s.Starts != 1 {
-		t.Errorf("%+v, %d starts", r, w.s.Starts)
+	if r := w.s.Report("n0"); r.InForce != 0 || w.s.StartCount != 1 {
+		t.Errorf("%+v, %d starts", r, w.s.StartCount)
 	}
 	w.deaf = false
-	w.pass(limits.Ready + time.Second)
+	w.pass(testLimits.ReadyTimeout + time.Second)
 	w.stands("it goes on", 1, 0, "")
 }
 
@@ -408,11 +408,11 @@
 	w.publish(live)
 	w.now += time.Second
 	todo := w.s.Tick(w.now)
-	todo = w.s.Checked(w.now, *todo[0].Check, Verdict{Live: true})
+	todo = w.s.CheckCompleted(w.now, *todo[0].Check, CheckResult{Reloadable: true})
 	if len(todo) != 1 || todo[0].Reload == nil {
 		t.Fatalf("%+v", todo)
 	}
-	w.s.Told(w.now, *todo[0].Reload, "", errors.New("no room"))
+	w.s.ReloadRequested(w.now, *todo[0].Reload, "", errors.New("no room"))
 	if r := w.s.Report("n0"); r.Why != "no room" || r.Refused != 0 {
 		t.Errorf("%+v", r)
 	}
@@ -422,11 +422,11 @@
 	w.publish(good)
 	w.now += time.Second
 	todo = w.s.Tick(w.now)
-	if todo = w.s.Checked(w.now, *todo[0].Check, Verdict{}); len(todo) != 1 || todo[0].Version != 3 {
+	if todo = w.s.CheckCompleted(w.now, *todo[0].Check, CheckResult{}); len(todo) != 1 || todo[0].Version != 3 {
 		t.Fatalf("%+v", todo)
 	}
-	w.do(w.s.NotBegun(w.now, "no process"))
-	if r := w.s.Report("n0"); r.Why != "no process" || r.Refused != 0 || w.s.Failed != "" {
+	w.do(w.s.StartFailed(w.now, "no process"))
+	if r := w.s.Report("n0"); r.Why != "no process" || r.Refused != 0 || w.s.FailureReason != "" {
 		t.Errorf("%+v", r)
 	}
 	w.pass(20 * time.Second)
@@ -436,7 +436,7 @@
 // The release that a crash would bring back has to take a version as well as the one that runs.
 func TestBothReleasesAreAsked(t *testing.T) {
 	w := newSite(t)
-	w.do(must(w.s.Change(w.now, 1, "new")))
+	w.do(must(w.s.ChangeRelease(w.now, 1, "new")))
 	w.pass(20 * time.Second)
 	w.publish(good)
 	w.now += time.Second
@@ -445,7 +445,7 @@
 		t.Fatalf("%+v", todo)
 	}
 	w.s.Confirm("new") // meanwhile: the answer is to another question
-	if todo = w.s.Checked(w.now, *todo[0].Check, Verdict{Refused: "no"}); len(todo) != 1 || todo[0].Check.Releases != [2]string{"new"} {
+	if todo = w.s.CheckCompleted(w.now, *todo[0].Check, CheckResult{Rejection: "no"}); len(todo) != 1 || todo[0].Check.Releases != [2]string{"new"} {
 		t.Fatalf("%+v", todo)
 	}
 }
@@ -495,20 +495,20 @@
 				r.Fatalf("%d is in force after %d", w.s.InForce, inForce)
 			}
 			inForce = w.s.InForce
-			if w.s.Refused != 0 && !slices.Contains(refused, w.s.Refused) {
-				refused = append(refused, w.s.Refused)
-				if k := w.kinds[w.s.Refused]; k <= live && !excused[w.s.Refused] {
-					r.Fatalf("%d was refused, and is good: %s", w.s.Refused, w.s.Why)
+			if w.s.Rejected != 0 && !slices.Contains(refused, w.s.Rejected) {
+				refused = append(refused, w.s.Rejected)
+				if k := w.kinds[w.s.Rejected]; k <= live && !excused[w.s.Rejected] {
+					r.Fatalf("%d was refused, and is good: %s", w.s.Rejected, w.s.RejectionReason)
 				}
 			}
 			if slices.Contains(refused, inForce) {
 				r.Fatalf("%d was refused, and is in force", inForce)
 			}
 			if w.s.Order == 0 { // else what came of the one before is over
-				if failed, known := ended[w.s.Done]; known && failed != w.s.Failed {
-					r.Fatalf("order %d ended with %q, and now with %q", w.s.Done, failed, w.s.Failed)
+				if failed, known := ended[w.s.CompletedOrder]; known && failed != w.s.FailureReason {
+					r.Fatalf("order %d ended with %q, and now with %q", w.s.CompletedOrder, failed, w.s.FailureReason)
 				}
-				ended[w.s.Done] = w.s.Failed
+				ended[w.s.CompletedOrder] = w.s.FailureReason
 			}
 			if len(w.alive) > 2 {
 				r.Fatalf("%d processes", len(w.alive))
@@ -517,8 +517,8 @@
 		w.check = func(d Action) {
 			look()
 			switch {
-			case d.Reload != nil && (d.Version != w.s.Trying || slices.Contains(refused, d.Version)),
-				d.Start != "" && d.Version != w.s.InForce && (d.Version != w.s.Trying || w.s.Phase != Starting || w.s.Order != 0),
+			case d.Reload != nil && (d.Version != w.s.Candidate || slices.Contains(refused, d.Version)),
+				d.Start != "" && d.Version != w.s.InForce && (d.Version != w.s.Candidate || w.s.Phase != Starting || w.s.Order != 0),
 				d.Start != "" && slices.Contains(refused, d.Version):
 				r.Fatalf("%+v, refused %v, kept %+v", d, refused, w.s.PersistedState)
 			}
@@ -526,8 +526,8 @@
 		step := func(d time.Duration) {
 			w.pass(d)
 			look()
-			if order > w.s.Done { // the driver says it again
-				if todo, err := w.s.Change(w.now, order, []string{"old", "new"}[order%2]); err == nil {
+			if order > w.s.CompletedOrder { // the driver says it again
+				if todo, err := w.s.ChangeRelease(w.now, order, []string{"old", "new"}[order%2]); err == nil {
 					w.do(todo)
 				}
 			}
@@ -539,7 +539,7 @@
 			case 0, 1, 2:
 				w.publish(kind(rapid.IntRange(0, int(kinds)-1).Draw(r, "kind")))
 			case 3:
-				if order == w.s.Done {
+				if order == w.s.CompletedOrder {
 					order++
 				}
 			case 4:
@@ -564,8 +564,8 @@
 		for range 300 {
 			step(time.Second)
 		}
-		if w.s.Done != order || w.s.Phase != Idle || len(w.alive) != 1 || w.newest > max(w.s.InForce, w.s.Refused) {
-			r.Fatalf("order %d of %d over, %v, version %d of %d in force, %d refused, %v", w.s.Done, order, w.s.Phase, w.s.InForce, w.newest, w.s.Refused, w.alive)
+		if w.s.CompletedOrder != order || w.s.Phase != Idle || len(w.alive) != 1 || w.newest > max(w.s.InForce, w.s.Rejected) {
+			r.Fatalf("order %d of %d over, %v, version %d of %d in force, %d refused, %v", w.s.CompletedOrder, order, w.s.Phase, w.s.InForce, w.newest, w.s.Rejected, w.alive)
 		}
 		if w.runs[w.alive[0].PID] != w.s.InForce {
 			r.Fatalf("it runs %d, and %d is in force", w.runs[w.alive[0].PID], w.s.InForce)
--- a/internal/coordination/agent/sidecar_test.go
+++ b/internal/coordination/agent/sidecar_test.go
@@ -12,7 +12,7 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-var limits = Limits{Ready: 6 * time.Second, Trial: 5 * time.Second, End: 4 * time.Second, CutOff: time.Minute, Pause: time.Second, Most: 30 * time.Second}
+var testLimits = Limits{ReadyTimeout: 6 * time.Second, TrialPeriod: 5 * time.Second, TerminationTimeout: 4 * time.Second, IsolationTimeout: time.Minute, InitialBackoff: time.Second, MaxBackoff: 30 * time.Second}
 
 // machine carries out what a sidecar says, in a world of processes.
 type machine struct {
@@ -28,7 +28,7 @@
 }
 
 func newMachine(t testing.TB) *machine {
-	m := &machine{t: t, s: New("old", limits), no: map[string]bool{}}
+	m := &machine{t: t, s: New("old", testLimits), no: map[string]bool{}}
 	m.do(m.s.Tick(0))
 	m.pass(time.Second)
 	return m
@@ -39,10 +39,10 @@
 		switch {
 		case d.Start != "":
 			m.pid++
-			p := Process{PID: m.pid, Began: uint64(m.pid), Release: d.Start}
+			p := Process{PID: m.pid, StartTicks: uint64(m.pid), Release: d.Start}
 			m.alive = append(m.alive, p)
 			m.most = max(m.most, len(m.alive))
-			m.do(m.s.Began(m.now, p))
+			m.do(m.s.ProcessStarted(m.now, p))
 		case d.Term != nil && !m.deaf:
 			m.die(*d.Term)
 		case d.Kill != nil:
@@ -54,7 +54,7 @@
 func (m *machine) die(p Process) {
 	if i := slices.Index(m.alive, p); i >= 0 {
 		m.alive = slices.Delete(m.alive, i, i+1)
-		m.do(m.s.Died(m.now, p, ""))
+		m.do(m.s.ProcessExited(m.now, p, ""))
 	}
 }
 
@@ -63,7 +63,7 @@
 	for end := m.now + d; m.now < end; {
 		m.now += 500 * time.Millisecond
 		for _, p := range slices.Clone(m.alive) {
-			m.do(m.s.Answered(m.now, p, !m.no[p.Release]))
+			m.do(m.s.ReadinessObserved(m.now, p, !m.no[p.Release]))
 		}
 		m.do(m.s.Tick(m.now))
 		if len(m.alive) == 0 {
@@ -74,7 +74,7 @@
 
 func (m *machine) change(order uint64, release string) {
 	m.t.Helper()
-	todo, err := m.s.Change(m.now, order, release)
+	todo, err := m.s.ChangeRelease(m.now, order, release)
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -84,8 +84,8 @@
 func (m *machine) check(what, release string, done uint64, failed string) {
 	m.t.Helper()
 	got, ready := m.s.Serves()
-	if got != release || !ready || m.s.Done != done || !strings.Contains(m.s.Failed, failed) || failed == "" && m.s.Failed != "" || m.s.Phase != Idle || len(m.alive) != 1 {
-		m.t.Errorf("%s: %s, ready %v, order %d over (%s), %v, %d processes", what, got, ready, m.s.Done, m.s.Failed, m.s.Phase, len(m.alive))
+	if got != release || !ready || m.s.CompletedOrder != done || !strings.Contains(m.s.FailureReason, failed) || failed == "" && m.s.FailureReason != "" || m.s.Phase != Idle || len(m.alive) != 1 {
+		m.t.Errorf("%s: %s, ready %v, order %d over (%s), %v, %d processes", what, got, ready, m.s.CompletedOrder, m.s.FailureReason, m.s.Phase, len(m.alive))
 	}
 }
 
@@ -98,7 +98,7 @@
 		t.Fatalf("%v, %v", m.s.Phase, m.alive)
 	}
 	m.change(1, "new") // said again
-	if _, err := m.s.Change(m.now, 2, "other"); err == nil {
+	if _, err := m.s.ChangeRelease(m.now, 2, "other"); err == nil {
 		t.Error("two changes at once")
 	}
 	m.pass(6 * time.Second)
@@ -185,10 +185,10 @@
 
 // A process that was started by an agent that was killed before it could say so is found, whatever it was started for.
 func TestFound(t *testing.T) {
-	p := Process{PID: 7, Began: 7, Release: "new"}
+	p := Process{PID: 7, StartTicks: 7, Release: "new"}
 	alive := func(Process) bool { return true }
-	for _, k := range []PersistedState{{Confirmed: "new", Starts: 1}, {Confirmed: "old", Starts: 2, Phase: Starting, Target: "new", Serving: &Process{PID: 3}}} {
-		s, todo := Restore(k, limits, 0, alive, &p)
+	for _, k := range []PersistedState{{Confirmed: "new", StartCount: 1}, {Confirmed: "old", StartCount: 2, Phase: Starting, Target: "new", Serving: &Process{PID: 3}}} {
+		s, todo := Restore(k, testLimits, 0, alive, &p)
 		if len(todo) > 0 || (s.Serving == nil || *s.Serving != p) && (s.Next == nil || *s.Next != p) {
 			t.Errorf("%+v: %v, %v, %v", k, s.Serving, s.Next, todo)
 		}
@@ -200,7 +200,7 @@
 	m := newMachine(t)
 	m.change(1, "new")
 	m.pass(10 * time.Second)
-	m.s.Cut(m.now, true)
+	m.s.SetIsolated(m.now, true)
 	m.pass(50 * time.Second)
 	m.check("not yet", "new", 1, "")
 	m.pass(25 * time.Second)
@@ -208,11 +208,11 @@
 	if m.s.FallbackReason != rollout.MachineIsolated {
 		t.Errorf("fell: %q", m.s.FallbackReason)
 	}
-	m.s.Cut(m.now, false)
+	m.s.SetIsolated(m.now, false)
 	m.change(2, "new")
 	m.pass(10 * time.Second)
 	m.s.Confirm("new")
-	m.s.Cut(m.now, true)
+	m.s.SetIsolated(m.now, true)
 	m.pass(2 * time.Minute)
 	m.check("confirmed", "new", 2, "")
 }
@@ -220,24 +220,24 @@
 // What is confirmed is not to be had: the fleet's word counts, until something runs again.
 func TestLost(t *testing.T) {
 	m := newMachine(t)
-	m.s.Lost("old")
+	m.s.ReleaseMissing("old")
 	m.s.Confirm("x")
 	m.check("it runs", "old", 0, "")
 	s := New("gone", m.s.limits)
 	if todo := s.Tick(0); len(todo) != 1 || todo[0].Start != "gone" {
 		t.Fatal(todo)
 	}
-	s.Lost("another")
+	s.ReleaseMissing("another")
 	s.Confirm("x")
-	s.Lost("gone")
-	p := Process{PID: 7, Began: 7, Release: "gone"}
-	s.Began(0, p) // somebody has put it there again
+	s.ReleaseMissing("gone")
+	p := Process{PID: 7, StartTicks: 7, Release: "gone"}
+	s.ProcessStarted(0, p) // somebody has put it there again
 	s.Confirm("x")
 	if s.Confirmed != "gone" {
 		t.Errorf("%q is confirmed, and gone runs", s.Confirmed)
 	}
-	s.Died(0, p, "")
-	s.Lost("gone")
+	s.ProcessExited(0, p, "")
+	s.ReleaseMissing("gone")
 	if s.Confirm("new"); s.Confirmed != "new" {
 		t.Errorf("%q is confirmed", s.Confirmed)
 	}
@@ -249,7 +249,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		m := newMachine(t)
 		for order := uint64(1); order < 6; order++ {
-			todo, err := m.s.Change(m.now, order, []string{"old", "new"}[order%2])
+			todo, err := m.s.ChangeRelease(m.now, order, []string{"old", "new"}[order%2])
 			if err != nil {
 				r.Fatal(err)
 			}
@@ -268,15 +268,15 @@
 				if err := json.Unmarshal(kept, &k); err != nil {
 					r.Fatal(err)
 				}
-				s, todo := Restore(k, limits, m.now, func(p Process) bool { return slices.Contains(m.alive, p) }, nil)
+				s, todo := Restore(k, testLimits, m.now, func(p Process) bool { return slices.Contains(m.alive, p) }, nil)
 				m.s = s
 				m.do(todo)
 			}
 			m.pass(90 * time.Second)
-			if m.s.Done != order || len(m.alive) != 1 || m.s.Phase != Idle {
-				r.Fatalf("order %d: %d over, %v, %v", order, m.s.Done, m.s.Phase, m.alive)
+			if m.s.CompletedOrder != order || len(m.alive) != 1 || m.s.Phase != Idle {
+				r.Fatalf("order %d: %d over, %v, %v", order, m.s.CompletedOrder, m.s.Phase, m.alive)
 			}
-			if release, _ := m.s.Serves(); m.s.Failed == "" && release != []string{"old", "new"}[order%2] && m.s.Confirmed == release {
+			if release, _ := m.s.Serves(); m.s.FailureReason == "" && release != []string{"old", "new"}[order%2] && m.s.Confirmed == release {
 				r.Logf("order %d was done, and its process died after it", order)
 			}
 		}
--- a/internal/coordination/capacity/assume.go
+++ b/internal/coordination/capacity/assume.go
@@ -15,10 +15,10 @@
 
 // Assumption is one field of the file: what is asked for, or what is taken for true without a measurement.
 type Assumption struct {
-	Name  string  `json:"name"` // with its section, as shape.fan_out
-	Value float64 `json:"value"`
-	Unit  string  `json:"unit"` // "s", "bytes", ...; "": a plain number
-	Why   string  `json:"why"`  // the comment beside it
+	Name   string  `json:"name"` // with its section, as shape.fan_out
+	Value  float64 `json:"value"`
+	Unit   string  `json:"unit"` // "s", "bytes", ...; "": a plain number
+	Reason string  `json:"why"`  // the comment beside it
 }
 
 // Assumptions are a whole file.
@@ -27,17 +27,17 @@
 	all  map[string]Assumption
 }
 
-// field is one that the file must have, with the bounds of its value.
-type field struct {
-	name        string
-	unit        string
-	least, most float64
+// fieldSpec is one that the file must have, with the bounds of its value.
+type fieldSpec struct {
+	name     string
+	unit     string
+	min, max float64
 }
 
 // fields are all, in the order of the page.
-func fields() []field {
+func fields() []fieldSpec {
 	const day = 86400
-	return []field{
+	return []fieldSpec{
 		{"target.servers", "", 1, 1e6},
 		{"target.services", "", 1, 1e5},
 		{"target.calls", "1/s", 1, 1e10},
@@ -173,14 +173,14 @@
 			sections[section] = nil
 		}
 		if nodes[f.name] == nil {
-			return nil, yamlfile.Problem(file, n, f.name, "missing; write "+f.want()+", as "+name+": ... # why")
+			return nil, yamlfile.Problem(file, n, f.name, "missing; write "+f.expected()+", as "+name+": ... # why")
 		}
 	}
-	return a, a.together(file, nodes)
+	return a, a.checkConsistency(file, nodes)
 }
 
-// together checks what must agree among fields.
-func (a *Assumptions) together(file string, nodes map[string]*yaml.Node) error {
+// checkConsistency checks what must agree among fields.
+func (a *Assumptions) checkConsistency(file string, nodes map[string]*yaml.Node) error {
 	wrong := func(name, what string) error { return yamlfile.Problem(file, nodes[name], name, what) }
 	servers, services, largest := a.Get("target.servers"), a.Get("target.services"), a.Get("shape.largest")
 	switch {
@@ -203,29 +203,29 @@
 }
 
 // read reads a value, in the field's unit.
-func (f *field) read(n *yaml.Node) (float64, error) {
+func (f *fieldSpec) read(n *yaml.Node) (float64, error) {
 	v, err := strconv.ParseFloat(n.Value, 64)
 	if f.unit == "s" {
 		var d time.Duration
 		d, err = time.ParseDuration(n.Value)
 		v = d.Seconds()
 	}
-	if n.Kind != yaml.ScalarNode || err != nil || !(v >= f.least && v <= f.most) {
-		return 0, fmt.Errorf("%q; write %s", n.Value, f.want())
+	if n.Kind != yaml.ScalarNode || err != nil || !(v >= f.min && v <= f.max) {
+		return 0, fmt.Errorf("%q; write %s", n.Value, f.expected())
 	}
 	return v, nil
 }
 
-// want says what a field's value has to be.
-func (f *field) want() string {
+// expected says what a field's value has to be.
+func (f *fieldSpec) expected() string {
 	if f.unit == "s" {
-		return fmt.Sprintf("a time from %v to %v, such as 30s", seconds(f.least), seconds(f.most))
+		return fmt.Sprintf("a time from %v to %v, such as 30s", seconds(f.min), seconds(f.max))
 	}
 	unit := f.unit
 	if unit != "" {
 		unit = " of " + unit
 	}
-	return fmt.Sprintf("a number%s from %v to %v", unit, f.least, f.most)
+	return fmt.Sprintf("a number%s from %v to %v", unit, f.min, f.max)
 }
 
 func seconds(v float64) time.Duration { return time.Duration(math.Round(v * 1e9)) }
@@ -251,8 +251,8 @@
 // beside it. It reports how many times it became.
 func (a *Assumptions) Times(name string, times float64) (*Assumptions, float64) {
 	all := fields()
-	f := all[slices.IndexFunc(all, func(f field) bool { return f.name == name })]
-	least, most := f.least, f.most
+	f := all[slices.IndexFunc(all, func(f fieldSpec) bool { return f.name == name })]
+	least, most := f.min, f.max
 	servers, services := a.Get("target.servers"), a.Get("target.services")
 	largest := a.Get("shape.largest")
 	switch name {
--- a/internal/coordination/capacity/assume_test.go
+++ b/internal/coordination/capacity/assume_test.go
@@ -97,11 +97,11 @@
 		"limits.max_total":    distribute.MaxTotal,
 		"limits.max_services": distribute.MaxServices,
 		"limits.max_reports":  distribute.MaxReports,
-		"limits.max_ask":      constant(t, "../fleet/rpc.go", "maxAsk"),
+		"limits.max_ask":      constant(t, "../fleet/rpc.go", "maxRequest"),
 		"limits.max_waiting":  constant(t, "../replica/core.go", "maxWaiting"),
 		"limits.max_list":     constant(t, "../../sidecar/member/discovery/discovery.go", "maxMessage"),
 		"limits.repeat_share": constant(t, "../../../balance/parameters.go", "repeatShare"),
-		"periods.look_rest":   constant(t, "../driver/driver.go", "rest"),
+		"periods.look_rest":   constant(t, "../driver/driver.go", "idlePollDivisor"),
 	} {
 		if got := a.Get(name); got != want {
 			t.Errorf("%s: %v in the file, %v in the code", name, got, want)
@@ -153,7 +153,7 @@
 			t.Errorf("%v: %d services, %v servers", c, len(all), sum)
 		}
 	}
-	if got := seen([]float64{3, 1}); got != 2.5 {
+	if got := sizeWeightedMean([]float64{3, 1}); got != 2.5 {
 		t.Errorf("three servers see three, one sees one: %v", got)
 	}
 }
--- a/internal/coordination/capacity/chain.go
+++ b/internal/coordination/capacity/chain.go
@@ -13,15 +13,15 @@
 // counts, and end with what the run was sent, as look_added_p99_us_at_250_s or once_attempts_call_fail_50_pc; see
 // internal/rig/chain.
 
-// rated is what was seen of calls at a depth and at a rate, or at the next larger one: the worst of the classes and
+// measuredAtRate is what was seen of calls at a depth and at a rate, or at the next larger one: the worst of the classes and
 // runs.
-func (in *inputs) rated(metric string, depth, rate Figure) Figure {
+func (in *inputs) measuredAtRate(metric string, depth, rate Figure) Figure {
 	name := regexp.MustCompile(`^(?:[a-z]+_)?` + metric + `_at_([0-9.]+)_s$`)
 	at := math.Inf(1) // the rate that is taken
 	var best []Key
 	for _, k := range slices.SortedFunc(maps.Keys(in.points), byName) {
 		m := name.FindStringSubmatch(k.Metric)
-		if m == nil || k.Workload != "calls" || k.Role != "sidecar" || in.size(k, depth) == 0 {
+		if m == nil || k.Workload != "calls" || k.Role != "sidecar" || in.nextSize(k, depth) == 0 {
 			continue
 		}
 		if r, err := strconv.ParseFloat(m[1], 64); err != nil || r < rate.Value*(1-1e-9) || r > at {
@@ -33,12 +33,12 @@
 	}
 	what := fmt.Sprintf("calls/sidecar/%s at %s calls a second, depth %s", metric, number(rate.Value),
 		number(depth.Value))
-	return in.worst(best, what, depth).with(rate)
+	return in.largest(best, what, depth).with(rate)
 }
 
-// failing is what was seen where a part of the leaf's requests failed, at a depth or the next larger one: the worst
+// measuredWithFailures is what was seen where a part of the leaf's requests failed, at a depth or the next larger one: the worst
 // of parts, classes and runs.
-func (in *inputs) failing(metric string, depth Figure) Figure {
+func (in *inputs) measuredWithFailures(metric string, depth Figure) Figure {
 	name := regexp.MustCompile(`^(?:[a-z]+_)?` + metric + `_fail_[0-9.]+_pc$`)
 	var all []Key
 	for _, k := range slices.SortedFunc(maps.Keys(in.points), byName) {
@@ -46,7 +46,7 @@
 			all = append(all, k)
 		}
 	}
-	return in.worst(all, fmt.Sprintf("chain/leaf/%s at depth %s", metric, number(depth.Value)), depth)
+	return in.largest(all, fmt.Sprintf("chain/leaf/%s at depth %s", metric, number(depth.Value)), depth)
 }
 
 func byName(a, b Key) int {
@@ -56,8 +56,8 @@
 	return 1
 }
 
-// size is the least size of a series' points that is no smaller; 0: there is none.
-func (in *inputs) size(k Key, least Figure) int {
+// nextSize is the least size of a series' points that is no smaller; 0: there is none.
+func (in *inputs) nextSize(k Key, least Figure) int {
 	for _, s := range slices.Sorted(maps.Keys(in.points[k])) {
 		if float64(s) >= least.Value*(1-1e-9) {
 			return s
@@ -66,11 +66,11 @@
 	return 0
 }
 
-// worst is the largest of what was seen of some series; what says what is missing where there is none.
-func (in *inputs) worst(all []Key, what string, size Figure) Figure {
+// largest is the largest of what was seen of some series; what says what is missing where there is none.
+func (in *inputs) largest(all []Key, what string, size Figure) Figure {
 	f := Figure{Missing: []string{what}}
 	for _, k := range all {
-		if one := in.seen(k, size); len(f.Missing) > 0 || one.Value > f.Value {
+		if one := in.observed(k, size); len(f.Missing) > 0 || one.Value > f.Value {
 			f = one
 		}
 	}
--- a/internal/coordination/capacity/figure.go
+++ b/internal/coordination/capacity/figure.go
@@ -60,15 +60,15 @@
 
 // inputs is what figures are made of: assumptions and what was measured.
 type inputs struct {
-	assumed *Assumptions
-	lines   map[Key]Line
-	points  map[Key]series
+	assumptions *Assumptions
+	lines       map[Key]Line
+	points      map[Key]series
 	// what seen gave for servers, services and largest: it takes long, and few of them differ
-	sizes map[[3]float64]float64
+	weightedMeanSizes map[[3]float64]float64
 }
 
 func newInputs(a *Assumptions, m *Measured) *inputs {
-	in := &inputs{assumed: a, lines: map[Key]Line{}, sizes: map[[3]float64]float64{}}
+	in := &inputs{assumptions: a, lines: map[Key]Line{}, weightedMeanSizes: map[[3]float64]float64{}}
 	_, in.points = m.bySeries()
 	if m != nil {
 		for _, l := range Fit(m) {
@@ -78,54 +78,54 @@
 	return in
 }
 
-// seenSize is the mean size of a service as a server sees its own.
-func (in *inputs) seenSize() Figure {
-	of := [3]float64{in.assumed.Get("target.servers"), in.assumed.Get("target.services"),
-		in.assumed.Get("shape.largest")}
-	v, known := in.sizes[of]
+// weightedMeanSize is the mean size of a service as a server sees its own.
+func (in *inputs) weightedMeanSize() Figure {
+	of := [3]float64{in.assumptions.Get("target.servers"), in.assumptions.Get("target.services"),
+		in.assumptions.Get("shape.largest")}
+	v, known := in.weightedMeanSizes[of]
 	if !known {
-		v = seen(Sizes(of[0], of[1], of[2]))
-		in.sizes[of] = v
+		v = sizeWeightedMean(Sizes(of[0], of[1], of[2]))
+		in.weightedMeanSizes[of] = v
 	}
-	return Figure{Value: v}.with(in.is("target.servers"), in.is("target.services"), in.is("shape.largest"))
+	return Figure{Value: v}.with(in.assumption("target.servers"), in.assumption("target.services"), in.assumption("shape.largest"))
 }
 
-// is an assumption.
-func (in *inputs) is(name string) Figure {
-	return Figure{Value: in.assumed.Get(name), From: []string{name}}
+// assumption an assumption.
+func (in *inputs) assumption(name string) Figure {
+	return Figure{Value: in.assumptions.Get(name), From: []string{name}}
 }
 
-// at is what was measured of a series for a size: by its line where that is believed, else what was seen at that size
+// measured is what was measured of a series for a size: by its line where that is believed, else what was seen at that size
 // or the next larger one, the largest of the runs; else it is missing.
-func (in *inputs) at(workload, role, metric string, size Figure) Figure {
+func (in *inputs) measured(workload, role, metric string, size Figure) Figure {
 	k := Key{workload, role, metric}
 	n := size.Value
 	if l, ok := in.lines[k]; ok && l.Believed {
-		return Figure{Value: l.At(n), From: []string{"slope " + k.String()}, Error: math.Abs(l.Check.Error)}.with(size)
+		return Figure{Value: l.Predict(n), From: []string{"slope " + k.String()}, Error: math.Abs(l.Check.Error)}.with(size)
 	}
-	return in.seen(k, size)
+	return in.observed(k, size)
 }
 
-// seen is the point at a size or the next larger one.
-func (in *inputs) seen(k Key, size Figure) Figure {
-	if s := in.size(k, size); s > 0 {
+// observed is the point at a size or the next larger one.
+func (in *inputs) observed(k Key, size Figure) Figure {
+	if s := in.nextSize(k, size); s > 0 {
 		return Figure{Value: slices.Max(in.points[k][s]),
 			From: []string{fmt.Sprintf("point %s at %s", k, number(float64(s)))}}.with(size)
 	}
-	return Figure{Missing: []string{in.why(k, size.Value)}}.with(size)
+	return Figure{Missing: []string{in.missingReason(k, size.Value)}}.with(size)
 }
 
 // inForce is when a change was in force at the last of the members, which workloads call by two names.
 func (in *inputs) inForce(workload, role string, size Figure) Figure {
 	if len(in.points[Key{workload, role, "in_force_s"}]) > 0 {
-		return in.at(workload, role, "in_force_s", size)
+		return in.measured(workload, role, "in_force_s", size)
 	}
-	return in.at(workload, role, "in_force_max_s", size)
+	return in.measured(workload, role, "in_force_max_s", size)
 }
 
-func (in *inputs) why(k Key, size float64) string {
+func (in *inputs) missingReason(k Key, size float64) string {
 	if l, ok := in.lines[k]; ok {
-		return fmt.Sprintf("%s (its slope is not believed: %s)", k, l.Why)
+		return fmt.Sprintf("%s (its slope is not believed: %s)", k, l.Reason)
 	}
 	if len(in.points[k]) > 0 && size > 0 {
 		return fmt.Sprintf("%s at %s", k, number(size))
--- a/internal/coordination/capacity/fit.go
+++ b/internal/coordination/capacity/fit.go
@@ -11,23 +11,23 @@
 
 // The bounds of a fit.
 const (
-	leastSizes = 4    // that a line is fitted on
-	leastRuns  = 3    // at each of them
-	believable = 0.2  // part of what was seen by which a prediction may be wrong
-	tooSteep   = 1.15 // exponent from which on growth is called faster than linear
+	minSizes          = 4    // that a line is fitted on
+	minRuns           = 3    // at each of them
+	maxError          = 0.2  // part of what was seen by which a prediction may be wrong
+	maxLinearExponent = 1.15 // exponent from which on growth is called faster than linear
 )
 
 // Line is a straight line through what was measured: Base + Each × members, and what speaks for it.
 type Line struct {
 	Key
-	Base     float64 `json:"base"`
-	Each     float64 `json:"each"`
-	Sizes    []int   `json:"sizes"`    // that it was fitted on
-	Spread   float64 `json:"spread"`   // root of the mean square of what it misses on them, over their mean
-	Exponent float64 `json:"exponent"` // of all sizes by logarithms: 1 is linear
-	Check    *Check  `json:"check,omitempty"`
-	Believed bool    `json:"believed"`
-	Why      string  `json:"why"` // it is believed, or not
+	Intercept float64 `json:"base"`
+	Slope     float64 `json:"each"`
+	Sizes     []int   `json:"sizes"`    // that it was fitted on
+	Spread    float64 `json:"spread"`   // root of the mean square of what it misses on them, over their mean
+	Exponent  float64 `json:"exponent"` // of all sizes by logarithms: 1 is linear
+	Check     *Check  `json:"check,omitempty"`
+	Believed  bool    `json:"believed"`
+	Reason    string  `json:"why"` // it is believed, or not
 }
 
 // Check is a prediction beside what was seen.
@@ -40,11 +40,11 @@
 	Error     float64 `json:"error"` // of the prediction, a part of what was seen
 }
 
-// At is what the line says for a number of members.
-func (l *Line) At(members float64) float64 { return l.Base + l.Each*members }
+// Predict is what the line says for a number of members.
+func (l *Line) Predict(members float64) float64 { return l.Intercept + l.Slope*members }
 
 // Steep reports whether it grows faster than linear.
-func (l *Line) Steep() bool { return l.Exponent > tooSteep }
+func (l *Line) Steep() bool { return l.Exponent > maxLinearExponent }
 
 // Fit fits a line to each series that has enough sizes and runs up to FitUpTo, and checks it at the largest size above. Where there is
 // none above, the largest is held out for the check, if enough are left.
@@ -64,11 +64,11 @@
 	sizes := slices.Sorted(maps.Keys(points))
 	largest := sizes[len(sizes)-1]
 	check := 0
-	if largest > upTo || len(sizes) > leastSizes {
+	if largest > upTo || len(sizes) > minSizes {
 		check = largest
 	}
 	for _, size := range sizes {
-		if size <= upTo && size != check && len(points[size]) >= leastRuns {
+		if size <= upTo && size != check && len(points[size]) >= minRuns {
 			l.Sizes = append(l.Sizes, size)
 			for _, v := range points[size] {
 				x, y = append(x, float64(size)), append(y, v)
@@ -80,13 +80,13 @@
 			}
 		}
 	}
-	if len(l.Sizes) < leastSizes {
+	if len(l.Sizes) < minSizes {
 		return l, false
 	}
-	l.Base, l.Each = stat.LinearRegression(x, y, nil, false)
+	l.Intercept, l.Slope = stat.LinearRegression(x, y, nil, false)
 	var squares float64
 	for i := range x {
-		squares += math.Pow(y[i]-l.At(x[i]), 2)
+		squares += math.Pow(y[i]-l.Predict(x[i]), 2)
 	}
 	if mean := math.Abs(stat.Mean(y, nil)); mean > 0 {
 		l.Spread = math.Sqrt(squares/float64(len(x))) / mean
@@ -106,10 +106,10 @@
 		grows = fmt.Sprintf("grows faster than linear, with the power %.2f", l.Exponent)
 	}
 	if len(runs) == 0 {
-		l.Why = "no run above the sizes that it was fitted on checks it; it " + grows
+		l.Reason = "no run above the sizes that it was fitted on checks it; it " + grows
 		return
 	}
-	c := &Check{Size: size, Predicted: l.At(float64(size)), Seen: stat.Mean(runs, nil), Low: slices.Min(runs),
+	c := &Check{Size: size, Predicted: l.Predict(float64(size)), Seen: stat.Mean(runs, nil), Low: slices.Min(runs),
 		High: slices.Max(runs)}
 	l.Check = c
 	if c.Seen != 0 {
@@ -118,14 +118,14 @@
 		c.Error = math.Copysign(1, c.Predicted)
 	}
 	within := c.Predicted >= c.Low && c.Predicted <= c.High
-	l.Believed = math.Abs(c.Error) <= believable || within
+	l.Believed = math.Abs(c.Error) <= maxError || within
 	what := fmt.Sprintf("%+.0f%% at %s", 100*c.Error, number(float64(size)))
 	switch {
 	case !l.Believed:
-		l.Why = "wrong by " + what + "; it " + grows
-	case math.Abs(c.Error) > believable:
-		l.Why = "within the runs, " + what + "; it " + grows
+		l.Reason = "wrong by " + what + "; it " + grows
+	case math.Abs(c.Error) > maxError:
+		l.Reason = "within the runs, " + what + "; it " + grows
 	default:
-		l.Why = what + "; it " + grows
+		l.Reason = what + "; it " + grows
 	}
 }
--- a/internal/coordination/capacity/model.go
+++ b/internal/coordination/capacity/model.go
@@ -37,15 +37,15 @@
 type model struct {
 	*inputs
 	servers, machines, sessions Figure // sessions: one a machine, its agent's
-	mean                        Figure // servers of a service
-	seen                        Figure // ... as a server sees it, on the average
-	known                       Figure // servers that a sidecar has in its lists
+	meanServiceSize             Figure // servers of a service
+	weightedServiceSize         Figure // ... as a server sees it, on the average
+	knownServers                Figure // servers that a sidecar has in its lists
 	watchers                    Figure // sidecars that have a server in their lists
-	listed                      Figure // changes of lists, 1/s, on an ordinary day
-	changed                     Figure // changes of configuration, 1/s, on an ordinary day
-	tellers                     Figure // machines set aside that tell lists
+	listChangeRate              Figure // changes of lists, 1/s, on an ordinary day
+	changeRate                  Figure // changes of configuration, 1/s, on an ordinary day
+	listMachines                Figure // machines set aside that tell lists
 	derived                     []Derived
-	all                         []Row
+	evaluated                   []Row
 }
 
 // Derived is a figure that many rows rest on; they name it, and it names its sources.
@@ -57,23 +57,23 @@
 
 func newModel(in *inputs) *model {
 	m := &model{inputs: in}
-	m.servers = in.is("target.servers")
-	m.machines = m.derive("machines with an agent", "", div(m.servers, in.is("places.sidecars_a_machine")))
-	m.sessions = m.derive("sessions", "", mul(m.machines, in.is("places.sessions_a_machine")))
-	m.mean = m.derive("servers of a mean service", "", div(m.servers, in.is("target.services")))
-	m.seen = m.derive("servers of a service, as a server sees its own", "", in.seenSize())
+	m.servers = in.assumption("target.servers")
+	m.machines = m.derive("machines with an agent", "", div(m.servers, in.assumption("places.sidecars_a_machine")))
+	m.sessions = m.derive("sessions", "", mul(m.machines, in.assumption("places.sessions_a_machine")))
+	m.meanServiceSize = m.derive("servers of a mean service", "", div(m.servers, in.assumption("target.services")))
+	m.weightedServiceSize = m.derive("servers of a service, as a server sees its own", "", in.weightedMeanSize())
 	// A service is called by as many as its size says, so each of a sidecar's lists is of a size as a server sees its
 	// own. Each pair of who knows and who is known counts at both its ends: as many have a server in their lists as
 	// it has in its own.
-	m.known = m.derive("servers known to a sidecar, and sidecars that know a server", "",
-		least(mul(in.is("shape.fan_out"), m.seen), m.servers))
-	m.watchers = m.known
-	m.listed = m.derive("changes of lists", "1/s",
-		add(mul(in.is("target.failed_a_day"), in.is("lists.changes_a_failure")),
-			mul(in.is("target.restarted_a_day"), in.is("lists.changes_a_restart"))).times(1./day))
-	m.changed = m.derive("changes of configuration", "1/s", in.is("target.changes_a_day").times(1./day))
-	m.tellers = m.derive("machines that tell lists", "", add(in.is("target.control_machines"),
-		in.is("machines.replicas").times(-1)))
+	m.knownServers = m.derive("servers known to a sidecar, and sidecars that know a server", "",
+		smaller(mul(in.assumption("shape.fan_out"), m.weightedServiceSize), m.servers))
+	m.watchers = m.knownServers
+	m.listChangeRate = m.derive("changes of lists", "1/s",
+		add(mul(in.assumption("target.failed_a_day"), in.assumption("lists.changes_a_failure")),
+			mul(in.assumption("target.restarted_a_day"), in.assumption("lists.changes_a_restart"))).times(1./secondsPerDay))
+	m.changeRate = m.derive("changes of configuration", "1/s", in.assumption("target.changes_a_day").times(1./secondsPerDay))
+	m.listMachines = m.derive("machines that tell lists", "", add(in.assumption("target.control_machines"),
+		in.assumption("machines.replicas").times(-1)))
 	return m
 }
 
@@ -84,10 +84,10 @@
 	return f
 }
 
-const day = 86400 // s
+const secondsPerDay = 86400 // s
 
-// least is the smaller of two.
-func least(a, b Figure) Figure {
+// smaller is the smaller of two.
+func smaller(a, b Figure) Figure {
 	f := a
 	if b.Value < a.Value {
 		f = b
@@ -95,10 +95,10 @@
 	return f.with(a, b)
 }
 
-// put adds a row and judges it. budget may be nil.
-func (m *model) put(r Row) {
+// addRow adds a row and judges it. budget may be nil.
+func (m *model) addRow(r Row) {
 	r.judge()
-	m.all = append(m.all, r)
+	m.evaluated = append(m.evaluated, r)
 }
 
 func (m *model) rows() []Row {
@@ -113,13 +113,15 @@
 	m.faults()
 	m.restarts()
 	m.outage()
-	return m.all
+	return m.evaluated
 }
 
-func to(f Figure) *Figure { return &f }
+func pointerTo(f Figure) *Figure { return &f }
 
-// used is the part of something that may be used of a machine set aside.
-func (m *model) used(name string) Figure { return mul(m.is(name), m.is("machines.used_share")) }
+// usable is the part of something that may be used of a machine set aside.
+func (m *model) usable(name string) Figure {
+	return mul(m.assumption(name), m.assumption("machines.used_share"))
+}
 
 // microseconds a second are cores.
-func cores(f Figure) Figure { return f.times(1e-6) }
+func coresFromMicros(f Figure) Figure { return f.times(1e-6) }
--- a/internal/coordination/capacity/model_test.go
+++ b/internal/coordination/capacity/model_test.go
@@ -177,11 +177,11 @@
 		}
 	}
 	rest := row(t, Evaluate(small(t), m), Ordinary, Control, "processor time of a real agent and sidecar at rest, with one short list")
-	if rest.Class != FitsNot || rest.Verdict != "does not: 1.54 times over" { // 20 of 13 ms a second
+	if rest.Class != DoesNotFit || rest.Verdict != "does not: 1.54 times over" { // 20 of 13 ms a second
 		t.Errorf("%+v", rest)
 	}
 	r = row(t, Evaluate(small(t), m), Ordinary, Control, "processor time")
-	if r.Class != FitsNot || r.Verdict != "does not: at least 1.57 times over" { // 20.4 of 13 ms a second
+	if r.Class != DoesNotFit || r.Verdict != "does not: at least 1.57 times over" { // 20.4 of 13 ms a second
 		t.Errorf("%+v", r)
 	}
 }
@@ -198,7 +198,7 @@
 	}
 	grow(40)
 	r := row(t, Evaluate(small(t), m), Ordinary, Leader, "processor time of renewals and watches")
-	if r.Class != FitsNot || !slices.Contains(r.Need.From, "point watches/leader/cpu_us_s at 100") {
+	if r.Class != DoesNotFit || !slices.Contains(r.Need.From, "point watches/leader/cpu_us_s at 100") {
 		t.Errorf("%+v", r)
 	}
 	m.Points = slices.DeleteFunc(m.Points, func(p Point) bool {
@@ -223,7 +223,7 @@
 		if len(r.Need.Missing) > 0 && r.Class == Fits {
 			t.Errorf("%s: %s, and %v is missing", r.Name(), r.Verdict, r.Need.Missing)
 		}
-		if r.Class == FitsNot && r.Breaks == "" {
+		if r.Class == DoesNotFit && r.Breaks == "" {
 			t.Errorf("%s: it does not say what breaks", r.Name())
 		}
 	}
@@ -232,8 +232,8 @@
 // A sidecar knows no more servers than there are.
 func TestKnownServers(t *testing.T) {
 	a, _ := small(t).Times("shape.fan_out", 20)
-	if m := newModel(newInputs(a, nil)); m.known.Value != 100 {
-		t.Error(m.known)
+	if m := newModel(newInputs(a, nil)); m.knownServers.Value != 100 {
+		t.Error(m.knownServers)
 	}
 }
 
@@ -260,7 +260,7 @@
 		seen[r.Name()] = true
 	}
 	for _, time := range Times() {
-		if !slices.ContainsFunc(model.all, func(r Row) bool { return r.Time == time }) {
+		if !slices.ContainsFunc(model.evaluated, func(r Row) bool { return r.Time == time }) {
 			t.Errorf("%s: no row", time)
 		}
 	}
@@ -298,13 +298,13 @@
 
 // What breaks a rule stands first, then what is further over.
 func TestRank(t *testing.T) {
-	rows := []Row{{What: "a", Class: FitsNot, Breaks: BreaksTime, Times: 9}, {What: "b", Class: Fits, Times: 99},
-		{What: "c", Class: FitsNot, Breaks: BreaksRule, Times: 2},
-		{What: "d", Class: FitsNot, Breaks: BreaksRule, Times: 3},
-		{What: "e", Class: FitsNot, Breaks: BreaksTime, Times: 9, Needs: []string{"x"}},
+	rows := []Row{{What: "a", Class: DoesNotFit, Breaks: BreaksTime, Times: 9}, {What: "b", Class: Fits, Times: 99},
+		{What: "c", Class: DoesNotFit, Breaks: BreaksRule, Times: 2},
+		{What: "d", Class: DoesNotFit, Breaks: BreaksRule, Times: 3},
+		{What: "e", Class: DoesNotFit, Breaks: BreaksTime, Times: 9, Needs: []string{"x"}},
 		{What: "f", Class: NotMeasured}}
 	var order []string
-	for _, r := range Rank(rows) {
+	for _, r := range RankMisfits(rows) {
 		order = append(order, r.What)
 	}
 	if got := strings.Join(order, ""); got != "dcea" {
@@ -315,17 +315,17 @@
 // The weights of assumptions are the verdicts that they move, and the file's own bounds hold.
 func TestWeights(t *testing.T) {
 	var moved []string
-	for _, w := range Weights(small(t), measuredSmall()) {
+	for _, w := range Sensitivities(small(t), measuredSmall()) {
 		if w.Name == "earlier.start_bytes_12000" || w.Name == "changes.head_bytes" || w.Name == "earlier.staged_2000" {
-			for _, m := range w.Moves {
+			for _, m := range w.Changes {
 				moved = append(moved, w.Name+" "+m.Times+": "+m.Row+": "+m.Before+" -> "+m.After)
 			}
-			if w.Double != 2 || w.Half != 0.5 {
+			if w.DoubleFactor != 2 || w.HalfFactor != 0.5 {
 				t.Errorf("%+v", w)
 			}
 		}
 		// no service can have more than a mean of 10, with the largest below it
-		if w.Name == "shape.largest" && (w.Half != 1 || w.Double != 2) {
+		if w.Name == "shape.largest" && (w.HalfFactor != 1 || w.DoubleFactor != 2) {
 			t.Errorf("%+v", w)
 		}
 	}
@@ -345,7 +345,7 @@
 
 // A page keeps its prose, and gets each table between its marks.
 func TestPage(t *testing.T) {
-	r := Make(small(t), measuredSmall())
+	r := NewReport(small(t), measuredSmall())
 	const page = "# Title\n\nprose\n\n<!-- tables: begin ranking -->\nof-before\n<!-- tables: end -->\n\n" +
 		"more\n<!-- tables: begin -->\n<!-- tables: end -->\nlast\n"
 	got, err := r.Page("f", page)
@@ -378,7 +378,7 @@
 
 // All forms of a report tell all its rows.
 func TestForms(t *testing.T) {
-	r := Make(small(t), measuredSmall())
+	r := NewReport(small(t), measuredSmall())
 	var text, markdown bytes.Buffer
 	if err := r.WriteText(&text); err != nil {
 		t.Fatal(err)
--- a/internal/coordination/capacity/page.go
+++ b/internal/coordination/capacity/page.go
@@ -67,17 +67,17 @@
 
 // The marks of a table in a page. What stands between them is the program's, all else the writer's.
 const (
-	begin = "<!-- tables: begin"
-	end   = "<!-- tables: end -->"
+	beginMark = "<!-- tables: begin"
+	endMark   = "<!-- tables: end -->"
 )
 
-var mark = regexp.MustCompile(`(?m)^<!-- tables: begin((?: [a-z0-9-]+)*) -->\n`)
+var tableMark = regexp.MustCompile(`(?m)^<!-- tables: begin((?: [a-z0-9-]+)*) -->\n`)
 
 // Page puts the tables into a page between their marks: a line `<!-- tables: begin NAME ... -->`, where no name
 // stands for all that no other marks name, and `<!-- tables: end -->`. Every error names the file and line.
 func (r *Report) Page(file, page string) (string, error) {
 	tables := r.Tables()
-	at := mark.FindAllStringSubmatchIndex(page, -1)
+	at := tableMark.FindAllStringSubmatchIndex(page, -1)
 	named := map[string]bool{}
 	for _, m := range at {
 		for _, name := range strings.Fields(page[m[2]:m[3]]) {
@@ -92,7 +92,7 @@
 		}
 	}
 	if len(at) == 0 {
-		return "", fmt.Errorf("%s: no marks; write a line %s --> and a line %s", file, begin, end)
+		return "", fmt.Errorf("%s: no marks; write a line %s --> and a line %s", file, beginMark, endMark)
 	}
 	var b strings.Builder
 	rest := 0
@@ -101,9 +101,9 @@
 		if m[0] < rest {
 			return "", fmt.Errorf("%s:%d: a begin before the end of the one above", file, line)
 		}
-		close := strings.Index(page[m[1]:], end)
+		close := strings.Index(page[m[1]:], endMark)
 		if close < 0 {
-			return "", fmt.Errorf("%s:%d: no end; write a line %s", file, line, end)
+			return "", fmt.Errorf("%s:%d: no end; write a line %s", file, line, endMark)
 		}
 		b.WriteString(page[rest:m[1]])
 		asked := strings.Fields(page[m[2]:m[3]])
--- a/internal/coordination/capacity/rank.go
+++ b/internal/coordination/capacity/rank.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Rank is the rows that do not fit: what breaks a rule first, then by how far, then by how much else needs it.
-func Rank(rows []Row) (all []Row) {
+// RankMisfits is the rows that do not fit: what breaks a rule first, then by how far, then by how much else needs it.
+func RankMisfits(rows []Row) (all []Row) {
 	for _, r := range rows {
-		if r.Class == FitsNot {
+		if r.Class == DoesNotFit {
 			all = append(all, r)
 		}
 	}
--- a/internal/coordination/capacity/report.go
+++ b/internal/coordination/capacity/report.go
@@ -9,13 +9,13 @@
 
 // Report is all that is said of a size.
 type Report struct {
-	Assumptions []Assumption `json:"assumptions"`
-	Measured    *Origin      `json:"measured,omitempty"` // nil: nothing was
-	Derived     []Derived    `json:"derived"`
-	Lines       []Line       `json:"lines,omitempty"`
-	Rows        []Row        `json:"rows"`
-	Ranking     []Row        `json:"ranking"`
-	Weights     []Weight     `json:"weights"`
+	Assumptions []Assumption  `json:"assumptions"`
+	Measured    *Origin       `json:"measured,omitempty"` // nil: nothing was
+	Derived     []Derived     `json:"derived"`
+	Lines       []Line        `json:"lines,omitempty"`
+	Rows        []Row         `json:"rows"`
+	Ranking     []Row         `json:"ranking"`
+	Weights     []Sensitivity `json:"weights"`
 }
 
 // Origin is where points come from.
@@ -29,12 +29,12 @@
 	Findings []string  `json:"findings,omitempty"`
 }
 
-// Make works out a report; m may be nil: nothing was measured.
-func Make(a *Assumptions, m *Measured) *Report {
-	r := &Report{Assumptions: a.All(), Weights: Weights(a, m)}
+// NewReport works out a report; m may be nil: nothing was measured.
+func NewReport(a *Assumptions, m *Measured) *Report {
+	r := &Report{Assumptions: a.All(), Weights: Sensitivities(a, m)}
 	model := newModel(newInputs(a, m))
 	r.Rows, r.Derived = model.rows(), model.derived
-	r.Ranking = Rank(r.Rows)
+	r.Ranking = RankMisfits(r.Rows)
 	if m != nil {
 		r.Measured = &Origin{m.At, m.Commit, m.Machine, m.Seed, len(m.Points), m.FitUpTo, m.Findings}
 		r.Lines = Fit(m)
@@ -53,24 +53,24 @@
 
 // Tables are all of a report, in the order of the page.
 func (r *Report) Tables() []Table {
-	all := []Table{r.asked(), r.counts(), r.derived(), r.slopes()}
-	all = append(all, r.times()...)
-	return append(all, r.ranking(), r.assumed(), r.missing(), r.findings())
+	all := []Table{r.targetTable(), r.verdictTable(), r.derivedTable(), r.slopeTable()}
+	all = append(all, r.timeTables()...)
+	return append(all, r.rankingTable(), r.assumptionTable(), r.missingTable(), r.runTable())
 }
 
-func (r *Report) asked() Table {
+func (r *Report) targetTable() Table {
 	t := Table{Name: "asked", Title: "Asked", Head: []string{"what", "how much", "of it"}}
 	for _, a := range r.Assumptions {
 		if rest, ok := strings.CutPrefix(a.Name, "target."); ok {
-			t.Rows = append(t.Rows, []string{strings.ReplaceAll(rest, "_", " "), quantity(a.Value, a.Unit), a.Why})
+			t.Rows = append(t.Rows, []string{strings.ReplaceAll(rest, "_", " "), quantity(a.Value, a.Unit), a.Reason})
 		}
 	}
 	return t
 }
 
-func (r *Report) counts() Table {
+func (r *Report) verdictTable() Table {
 	t := Table{Name: "verdicts", Title: "Verdicts", Head: []string{"verdict", "rows"}}
-	for _, c := range []Class{Fits, FitsNot, NotMeasured, NoBudget} {
+	for _, c := range []Class{Fits, DoesNotFit, NotMeasured, NoBudget} {
 		n := 0
 		for _, row := range r.Rows {
 			if row.Class == c {
@@ -82,7 +82,7 @@
 	return t
 }
 
-func (r *Report) derived() Table {
+func (r *Report) derivedTable() Table {
 	t := Table{Name: "derived", Title: "Worked out, and named by other rows",
 		Head: []string{"what", "how much", "from"}}
 	for _, d := range r.Derived {
@@ -91,18 +91,18 @@
 	return t
 }
 
-func (r *Report) slopes() Table {
+func (r *Report) slopeTable() Table {
 	t := Table{Name: "slopes", Title: "Slopes", Empty: "Not measured.",
 		Head: []string{"slope", "none of them", "each 1,000", "fitted on", "spread", "check: said", "seen", "believed"}}
 	for _, l := range r.Lines {
-		said, saw, believed := "", "", "no: "+l.Why
+		said, saw, believed := "", "", "no: "+l.Reason
 		if l.Check != nil {
 			said, saw = number(l.Check.Predicted), number(l.Check.Seen)+" at "+number(float64(l.Check.Size))
 		}
 		if l.Believed {
-			believed = "yes: " + l.Why
+			believed = "yes: " + l.Reason
 		}
-		t.Rows = append(t.Rows, []string{l.Key.String(), number(l.Base), number(1000 * l.Each), sizes(l.Sizes),
+		t.Rows = append(t.Rows, []string{l.Key.String(), number(l.Intercept), number(1000 * l.Slope), sizes(l.Sizes),
 			fmt.Sprintf("%.0f%%", 100*l.Spread), said, saw, believed})
 	}
 	return t
@@ -116,7 +116,7 @@
 	return strings.Join(texts, "; ")
 }
 
-func (r *Report) times() (all []Table) {
+func (r *Report) timeTables() (all []Table) {
 	for i, time := range Times() {
 		t := Table{Name: fmt.Sprintf("time-%d", i+1), Title: strings.ToUpper(time[:1]) + time[1:],
 			Head: []string{"role", "what", "need", "budget", "verdict", "carried by", "from"}}
@@ -157,7 +157,7 @@
 	return strings.Join(from, ", ")
 }
 
-func (r *Report) ranking() Table {
+func (r *Report) rankingTable() Table {
 	t := Table{Name: "ranking", Title: "What does not fit", Head: []string{"time", "role", "what", "over", "breaks",
 		"needed by", "carried by"},
 		Empty: "Nothing that could be judged is over."}
@@ -170,20 +170,20 @@
 	return t
 }
 
-func (r *Report) assumed() Table {
+func (r *Report) assumptionTable() Table {
 	t := Table{Name: "assumptions", Title: "What is assumed, and its weight",
 		Head: []string{"field", "value", "why", "verdicts that move at twice or half of it"}}
 	for _, w := range r.Weights {
 		var moves []string
-		for _, m := range w.Moves {
+		for _, m := range w.Changes {
 			moves = append(moves, fmt.Sprintf("%s: %s (%s -> %s)", m.Times, m.Row, m.Before, m.After))
 		}
-		t.Rows = append(t.Rows, []string{w.Name, quantity(w.Value, w.Unit), w.Why, strings.Join(moves, "; ")})
+		t.Rows = append(t.Rows, []string{w.Name, quantity(w.Value, w.Unit), w.Reason, strings.Join(moves, "; ")})
 	}
 	return t
 }
 
-func (r *Report) missing() Table {
+func (r *Report) missingTable() Table {
 	t := Table{Name: "missing", Title: "What was not measured", Head: []string{"time", "role", "what", "missing"},
 		Empty: "Nothing is missing."}
 	for _, row := range r.Rows {
@@ -194,7 +194,7 @@
 	return t
 }
 
-func (r *Report) findings() Table {
+func (r *Report) runTable() Table {
 	t := Table{Name: "findings", Title: "The run", Head: []string{"what", "of the run"},
 		Empty: "Not measured: there is no file of points."}
 	if o := r.Measured; o != nil {
--- a/internal/coordination/capacity/row.go
+++ b/internal/coordination/capacity/row.go
@@ -17,7 +17,7 @@
 // The classes.
 const (
 	Fits        Class = "fits"
-	FitsNot     Class = "does not"
+	DoesNotFit  Class = "does not"
 	NotMeasured Class = "not measured"
 	NoBudget    Class = "no budget"
 )
@@ -50,7 +50,7 @@
 	}
 	switch need := r.Need.Value; {
 	case r.Budget != nil && len(r.Budget.Missing) == 0 && need > r.Budget.Value:
-		r.Class, r.Times = FitsNot, need/r.Budget.Value
+		r.Class, r.Times = DoesNotFit, need/r.Budget.Value
 		r.Verdict = fmt.Sprintf("does not: %s times over", atMost(r.Times))
 		if len(missing) > 0 {
 			r.Verdict = fmt.Sprintf("does not: at least %s times over", atMost(r.Times))
--- a/internal/coordination/capacity/rows_control.go
+++ b/internal/coordination/capacity/rows_control.go
@@ -3,121 +3,121 @@
 // coordinators are the rows of an ordinary minute there.
 func (m *model) coordinators() {
 	const ask = "internal/coordination/replica (confirmed reads), internal/coordination/fleet"
-	m.put(Row{Time: Ordinary, Role: Leader, What: "renewals, by a trial with as many sessions", Unit: "1/s",
-		Need: m.renewals(), Budget: to(m.is("earlier.renewals_a_second_12000")), Breaks: BreaksRule, Mechanism: ask,
+	m.addRow(Row{Time: Ordinary, Role: Leader, What: "renewals, by a trial with as many sessions", Unit: "1/s",
+		Need: m.renewals(), Budget: pointerTo(m.assumption("earlier.renewals_a_second_12000")), Breaks: BreaksRule, Mechanism: ask,
 		Needs: []string{"duties", "budgets of the fleet", "the driver's lease"}})
-	m.put(Row{Time: Ordinary, Role: Leader, What: "renewals, by the figure with 2,000 sessions", Unit: "1/s",
-		Need: m.renewals(), Budget: to(m.is("earlier.renewals_a_second")), Breaks: BreaksRule, Mechanism: ask,
+	m.addRow(Row{Time: Ordinary, Role: Leader, What: "renewals, by the figure with 2,000 sessions", Unit: "1/s",
+		Need: m.renewals(), Budget: pointerTo(m.assumption("earlier.renewals_a_second")), Breaks: BreaksRule, Mechanism: ask,
 		Needs: []string{"duties", "budgets of the fleet", "the driver's lease"}})
 	for _, c := range []struct{ role, name string }{{Leader, "leader"}, {Follower, "follower"}} {
-		m.put(Row{Time: Ordinary, Role: c.role, What: "processor time of renewals and watches", Unit: "cores",
-			Need: cores(m.both(c.name, "cpu_us_s")), Budget: to(m.used("machines.cores")), Breaks: BreaksTime,
+		m.addRow(Row{Time: Ordinary, Role: c.role, What: "processor time of renewals and watches", Unit: "cores",
+			Need: coresFromMicros(m.both(c.name, "cpu_us_s")), Budget: pointerTo(m.usable("machines.cores")), Breaks: BreaksTime,
 			Mechanism: ask + ", internal/coordination/distribute", Needs: []string{After}})
-		m.put(Row{Time: Ordinary, Role: c.role, What: "memory", Unit: "bytes", Need: m.both(c.name, "memory_bytes"),
-			Budget: to(m.used("machines.memory")), Breaks: BreaksRule, Mechanism: ask + ", internal/coordination/distribute"})
-		m.put(Row{Time: Ordinary, Role: c.role, What: "bytes out", Unit: "bytes/s",
-			Need: m.both(c.name, "bytes_out_s"), Budget: to(m.used("machines.network")), Breaks: BreaksTime,
+		m.addRow(Row{Time: Ordinary, Role: c.role, What: "memory", Unit: "bytes", Need: m.both(c.name, "memory_bytes"),
+			Budget: pointerTo(m.usable("machines.memory")), Breaks: BreaksRule, Mechanism: ask + ", internal/coordination/distribute"})
+		m.addRow(Row{Time: Ordinary, Role: c.role, What: "bytes out", Unit: "bytes/s",
+			Need: m.both(c.name, "bytes_out_s"), Budget: pointerTo(m.usable("machines.network")), Breaks: BreaksTime,
 			Mechanism: "internal/coordination/rpc"})
-		m.put(Row{Time: Ordinary, Role: c.role, What: "messages in", Unit: "1/s",
+		m.addRow(Row{Time: Ordinary, Role: c.role, What: "messages in", Unit: "1/s",
 			Need: m.both(c.name, "messages_in_s"), Mechanism: "internal/coordination/rpc, " + ask})
-		m.put(Row{Time: Ordinary, Role: c.role, What: "descriptors", Unit: "", Need: m.both(c.name, "descriptors"),
-			Budget: to(m.used("machines.descriptors")), Breaks: BreaksRule, Mechanism: "internal/coordination/rpc",
+		m.addRow(Row{Time: Ordinary, Role: c.role, What: "descriptors", Unit: "", Need: m.both(c.name, "descriptors"),
+			Budget: pointerTo(m.usable("machines.descriptors")), Breaks: BreaksRule, Mechanism: "internal/coordination/rpc",
 			Needs: []string{Coordinators}})
 	}
-	m.put(Row{Time: Ordinary, Role: Leader, What: "state of sessions and one change of all, as runs had it",
+	m.addRow(Row{Time: Ordinary, Role: Leader, What: "state of sessions and one change of all, as runs had it",
 		Unit: "bytes",
-		Need: add(m.at("renewals", "leader", "state_bytes", m.sessions),
-			m.at("looks", "driver", "state_bytes", m.machines)),
-		Budget: to(m.is("limits.max_message")), Breaks: BreaksRule, Mechanism: "internal/coordination/replica (snapshots)",
+		Need: add(m.measured("renewals", "leader", "state_bytes", m.sessions),
+			m.measured("looks", "driver", "state_bytes", m.machines)),
+		Budget: pointerTo(m.assumption("limits.max_message")), Breaks: BreaksRule, Mechanism: "internal/coordination/replica (snapshots)",
 		Needs: []string{Coordinators}})
-	m.put(Row{Time: Ordinary, Role: Leader, What: "snapshot: sessions, versions, changes of all", Unit: "bytes",
-		Need: m.snapshot(m.is("changes.bytes")), Budget: to(m.is("limits.max_message")), Breaks: BreaksRule,
+	m.addRow(Row{Time: Ordinary, Role: Leader, What: "snapshot: sessions, versions, changes of all", Unit: "bytes",
+		Need: m.snapshot(m.assumption("changes.bytes")), Budget: pointerTo(m.assumption("limits.max_message")), Breaks: BreaksRule,
 		Mechanism: "internal/coordination/replica (snapshots)", Needs: []string{Coordinators}})
-	m.put(Row{Time: Ordinary, Role: Leader, What: "snapshot, where each version is as large as it may be",
-		Unit: "bytes", Need: m.snapshot(m.is("limits.max_content")), Budget: to(m.is("limits.max_message")),
+	m.addRow(Row{Time: Ordinary, Role: Leader, What: "snapshot, where each version is as large as it may be",
+		Unit: "bytes", Need: m.snapshot(m.assumption("limits.max_content")), Budget: pointerTo(m.assumption("limits.max_message")),
 		Breaks: BreaksRule, Mechanism: "internal/coordination/replica (snapshots), internal/coordination/distribute (MaxContent)",
 		Needs: []string{Coordinators, "a replica that is replaced"}})
-	m.put(Row{Time: Ordinary, Role: Leader, What: "services with a version", Unit: "", Need: m.is("target.services"),
-		Budget: to(m.is("limits.max_services")), Breaks: BreaksRule, Mechanism: "internal/coordination/distribute"})
-	opened := add(m.is("target.failed_a_day"), m.is("target.restarted_a_day")).times(2. / day) // an end and an opening
-	m.put(Row{Time: Ordinary, Role: Leader, What: "entries of the log", Unit: "1/s", Need: add(opened, m.changed),
-		Budget: to(m.is("earlier.grants_a_second")), Breaks: BreaksTime,
+	m.addRow(Row{Time: Ordinary, Role: Leader, What: "services with a version", Unit: "", Need: m.assumption("target.services"),
+		Budget: pointerTo(m.assumption("limits.max_services")), Breaks: BreaksRule, Mechanism: "internal/coordination/distribute"})
+	opened := add(m.assumption("target.failed_a_day"), m.assumption("target.restarted_a_day")).times(2. / secondsPerDay) // an end and an opening
+	m.addRow(Row{Time: Ordinary, Role: Leader, What: "entries of the log", Unit: "1/s", Need: add(opened, m.changeRate),
+		Budget: pointerTo(m.assumption("earlier.grants_a_second")), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/replica, internal/coordination/replica/disk"})
-	followers := add(m.is("machines.replicas"), Figure{Value: -1})
-	m.put(Row{Time: Ordinary, Role: Leader, What: "machines set aside: processor time of all that runs there",
+	followers := add(m.assumption("machines.replicas"), Figure{Value: -1})
+	m.addRow(Row{Time: Ordinary, Role: Leader, What: "machines set aside: processor time of all that runs there",
 		Unit: "cores",
-		Need: add(cores(m.both("leader", "cpu_us_s")), mul(followers, cores(m.both("follower", "cpu_us_s"))),
-			cores(m.at("looks", "driver", "cpu_us_s", m.machines)),
-			cores(m.at("lists", "server", "cpu_us_s", m.servers))),
-		Budget: to(mul(m.is("target.control_machines"), m.used("machines.cores"))), Breaks: BreaksTime,
+		Need: add(coresFromMicros(m.both("leader", "cpu_us_s")), mul(followers, coresFromMicros(m.both("follower", "cpu_us_s"))),
+			coresFromMicros(m.measured("looks", "driver", "cpu_us_s", m.machines)),
+			coresFromMicros(m.measured("lists", "server", "cpu_us_s", m.servers))),
+		Budget: pointerTo(mul(m.assumption("target.control_machines"), m.usable("machines.cores"))), Breaks: BreaksTime,
 		Mechanism: "cmd/petrelhook-coordinator, the platform's discovery"})
 }
 
 func (m *model) renewals() Figure {
-	return div(mul(m.sessions, m.is("periods.renewals_a_ttl")), m.is("periods.lease_ttl"))
+	return div(mul(m.sessions, m.assumption("periods.renewals_a_ttl")), m.assumption("periods.lease_ttl"))
 }
 
 // both is what a coordinator needs for renewals and watches of the whole fleet.
 func (m *model) both(role, metric string) Figure {
-	return add(m.at("renewals", role, metric, m.sessions), m.at("watches", role, metric, m.machines))
+	return add(m.measured("renewals", role, metric, m.sessions), m.measured("watches", role, metric, m.machines))
 }
 
 // snapshot is the state in the log where a version has so many bytes.
 func (m *model) snapshot(version Figure) Figure {
-	versions := least(mul(m.is("target.services"), version), m.is("limits.max_total"))
-	return add(mul(m.sessions, m.is("earlier.lease_snapshot_bytes")), versions, m.changeBytes(m.servers))
+	versions := smaller(mul(m.assumption("target.services"), version), m.assumption("limits.max_total"))
+	return add(mul(m.sessions, m.assumption("earlier.lease_snapshot_bytes")), versions, m.changeBytes(m.servers))
 }
 
 // changeBytes are those of staged changes of so many sidecars in all, by the message that began one of 12,000.
 func (m *model) changeBytes(sidecars Figure) Figure {
-	return mul(sidecars, m.is("earlier.start_bytes_12000")).times(1. / 12000)
+	return mul(sidecars, m.assumption("earlier.start_bytes_12000")).times(1. / 12000)
 }
 
 // driver are the rows of who looks at agents, and of the tool that asks.
 func (m *model) driver() {
 	// A turn reads each application's change, one after the other, then asks its agents; where a change is over, each
 	// few turns.
-	reads := mul(m.is("target.services"), m.is("earlier.read"))
-	looks := div(mul(m.machines, m.is("earlier.looks_2000")).times(1./2000), m.is("periods.look_rest"))
-	m.put(Row{Time: Ordinary, Role: Driver, What: "a turn over all applications, each changed once", Unit: "s",
-		Need: add(reads, looks), Budget: to(m.is("periods.look_every")), Breaks: BreaksTime,
+	reads := mul(m.assumption("target.services"), m.assumption("earlier.read"))
+	looks := div(mul(m.machines, m.assumption("earlier.looks_2000")).times(1./2000), m.assumption("periods.look_rest"))
+	m.addRow(Row{Time: Ordinary, Role: Driver, What: "a turn over all applications, each changed once", Unit: "s",
+		Need: add(reads, looks), Budget: pointerTo(m.assumption("periods.look_every")), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/driver (turn, step, look)", Needs: []string{Now, Restarts, "the judge's windows"}})
-	m.put(Row{Time: Busiest, Role: Driver, What: "a look at all agents, as one change of all has it", Unit: "s",
-		Need: mul(m.machines, m.is("earlier.looks_2000")).times(1. / 2000), Budget: to(m.is("periods.look_every")),
+	m.addRow(Row{Time: Busiest, Role: Driver, What: "a look at all agents, as one change of all has it", Unit: "s",
+		Need: mul(m.machines, m.assumption("earlier.looks_2000")).times(1. / 2000), Budget: pointerTo(m.assumption("periods.look_every")),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/driver (ask, 64 at once)", Needs: []string{Now, Restarts}})
-	m.put(Row{Time: Ordinary, Role: Driver, What: "bytes of changes read at each look", Unit: "bytes/s",
-		Need: div(m.changeBytes(m.servers), m.is("periods.look_every")), Budget: to(m.used("machines.network")),
+	m.addRow(Row{Time: Ordinary, Role: Driver, What: "bytes of changes read at each look", Unit: "bytes/s",
+		Need: div(m.changeBytes(m.servers), m.assumption("periods.look_every")), Budget: pointerTo(m.usable("machines.network")),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/driver (read), internal/coordination/rollout"})
-	m.put(Row{Time: Ordinary, Role: Driver, What: "processor time of looks at all agents", Unit: "cores",
-		Need: cores(m.at("looks", "driver", "cpu_us_s", m.machines)), Budget: to(m.used("machines.cores")),
+	m.addRow(Row{Time: Ordinary, Role: Driver, What: "processor time of looks at all agents", Unit: "cores",
+		Need: coresFromMicros(m.measured("looks", "driver", "cpu_us_s", m.machines)), Budget: pointerTo(m.usable("machines.cores")),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/driver", Needs: []string{Now, Restarts}})
-	m.put(Row{Time: Ordinary, Role: Driver, What: "bytes in from all agents", Unit: "bytes/s",
-		Need: m.at("looks", "driver", "bytes_in_s", m.machines), Budget: to(m.used("machines.network")),
+	m.addRow(Row{Time: Ordinary, Role: Driver, What: "bytes in from all agents", Unit: "bytes/s",
+		Need: m.measured("looks", "driver", "bytes_in_s", m.machines), Budget: pointerTo(m.usable("machines.network")),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/driver, internal/coordination/machine"})
-	m.put(Row{Time: Ordinary, Role: Driver, What: "memory", Unit: "bytes",
-		Need: m.at("looks", "driver", "memory_bytes", m.machines), Budget: to(m.used("machines.memory")),
+	m.addRow(Row{Time: Ordinary, Role: Driver, What: "memory", Unit: "bytes",
+		Need: m.measured("looks", "driver", "memory_bytes", m.machines), Budget: pointerTo(m.usable("machines.memory")),
 		Breaks: BreaksRule, Mechanism: "internal/coordination/driver"})
-	m.put(Row{Time: Ordinary, Role: Tool, What: "a change of all, in one answer", Unit: "bytes",
-		Need: m.changeBytes(m.servers), Budget: to(m.is("limits.max_message")), Breaks: BreaksRule,
+	m.addRow(Row{Time: Ordinary, Role: Tool, What: "a change of all, in one answer", Unit: "bytes",
+		Need: m.changeBytes(m.servers), Budget: pointerTo(m.assumption("limits.max_message")), Breaks: BreaksRule,
 		Mechanism: "cmd/petrelhookctl, internal/coordination/fleet"})
-	m.put(Row{Time: Ordinary, Role: Tool, What: "what is in force, of all services", Unit: "s",
-		Need: m.at("publish", "tool", "summary_s", m.machines), Budget: to(m.is("target.in_force")),
+	m.addRow(Row{Time: Ordinary, Role: Tool, What: "what is in force, of all services", Unit: "s",
+		Need: m.measured("publish", "tool", "summary_s", m.machines), Budget: pointerTo(m.assumption("target.in_force")),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/distribute (Summaries)"})
 }
 
 // lists are the rows of who tells all sidecars which servers there are.
 func (m *model) lists() {
 	const by = "the platform's discovery; internal/sidecar/member/discovery"
-	watches := mul(m.servers, m.is("shape.fan_out"))
-	m.put(Row{Time: Ordinary, Role: Lists, What: "watches open at a machine", Unit: "", Need: div(watches, m.tellers),
-		Budget: to(m.used("machines.descriptors")), Breaks: BreaksRule, Mechanism: by,
+	watches := mul(m.servers, m.assumption("shape.fan_out"))
+	m.addRow(Row{Time: Ordinary, Role: Lists, What: "watches open at a machine", Unit: "", Need: div(watches, m.listMachines),
+		Budget: pointerTo(m.usable("machines.descriptors")), Breaks: BreaksRule, Mechanism: by,
 		Needs: []string{Zone, Restarts}})
-	m.put(Row{Time: Ordinary, Role: Lists, What: "empty lines of a machine", Unit: "1/s",
-		Need: div(div(watches, m.is("lists.empty_line_every")), m.tellers), Mechanism: by})
-	m.put(Row{Time: Ordinary, Role: Lists, What: "bytes out of a machine", Unit: "bytes/s",
-		Need: div(mul(m.servers, m.listBytes(m.listed)), m.tellers), Budget: to(m.used("machines.network")),
+	m.addRow(Row{Time: Ordinary, Role: Lists, What: "empty lines of a machine", Unit: "1/s",
+		Need: div(div(watches, m.assumption("lists.empty_line_every")), m.listMachines), Mechanism: by})
+	m.addRow(Row{Time: Ordinary, Role: Lists, What: "bytes out of a machine", Unit: "bytes/s",
+		Need: div(mul(m.servers, m.listBytes(m.listChangeRate)), m.listMachines), Budget: pointerTo(m.usable("machines.network")),
 		Breaks: BreaksTime, Mechanism: by})
-	m.put(Row{Time: Ordinary, Role: Lists, What: "processor time of a machine", Unit: "cores",
-		Need:   div(cores(m.at("lists", "server", "cpu_us_s", m.servers)), m.tellers),
-		Budget: to(m.used("machines.cores")), Breaks: BreaksTime, Mechanism: by, Needs: []string{Zone, Region}})
+	m.addRow(Row{Time: Ordinary, Role: Lists, What: "processor time of a machine", Unit: "cores",
+		Need:   div(coresFromMicros(m.measured("lists", "server", "cpu_us_s", m.servers)), m.listMachines),
+		Budget: pointerTo(m.usable("machines.cores")), Breaks: BreaksTime, Mechanism: by, Needs: []string{Zone, Region}})
 }
--- a/internal/coordination/capacity/sizes.go
+++ b/internal/coordination/capacity/sizes.go
@@ -26,9 +26,9 @@
 	return all
 }
 
-// seen is the mean size of a service as a server sees it that is asked for the size of its own: large ones count more
+// sizeWeightedMean is the mean size of a service as a server sees it that is asked for the size of its own: large ones count more
 // often.
-func seen(sizes []float64) float64 {
+func sizeWeightedMean(sizes []float64) float64 {
 	var sum, squares float64
 	for _, n := range sizes {
 		sum, squares = sum+n, squares+n*n
--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -25,82 +25,82 @@
 	"petrelhook/lease"
 )
 
-// Seen is what an agent has told of a sidecar.
-type Seen = machine.SidecarStatus
+// SidecarStatus is what an agent has told of a sidecar.
+type SidecarStatus = machine.SidecarStatus
 
-// Lease is what a driver holds.
-const Lease = "rollout-driver"
+// LeaseName is what a driver holds.
+const LeaseName = "rollout-driver"
 
 // The times.
 const (
-	agentTime = 2 * time.Second // for one call of an agent
-	calls     = 64              // of agents at once
-	rest      = 3               // agents are asked this much more seldom once a change is over
+	agentTimeout       = 2 * time.Second // for one call of an agent
+	maxConcurrentCalls = 64              // of agents at once
+	idlePollDivisor    = 3               // agents are asked this much more seldom once a change is over
 )
 
 // Driver is one.
 type Driver struct {
-	Addrs []string // of the coordinators
-	TTL   time.Duration
-	Every time.Duration
-	Log   *slog.Logger
+	Coordinators []string // of the coordinators
+	TTL          time.Duration
+	Interval     time.Duration
+	Log          *slog.Logger
 
 	operator fleet.Operator
-	over     http.Client
-	changes  map[string]*drive
+	client   http.Client
+	changes  map[string]*applicationDriver
 }
 
-// drive is one application's change, as this driver knows it.
-type drive struct {
+// applicationDriver is one application's change, as this driver knows it.
+type applicationDriver struct {
 	*rollout.Change
-	evidence evidence.Evidence
-	told     time.Time // when time was last told of
-	turn     int
-	watch    rollout.Watch
+	evidence      evidence.Evidence
+	lastElapsedAt time.Time // when time was last told of
+	polls         int
+	reachability  rollout.ReachabilityTracker
 }
 
 // Run drives while it holds the lease, until ctx ends.
 func (d *Driver) Run(ctx context.Context) error {
-	d.operator = fleet.Operator{Addrs: d.Addrs}
-	d.over = http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 2}}
-	defer d.over.CloseIdleConnections()
-	client, err := lease.New(lease.Options{Addrs: d.Addrs, Owner: "rollout-driver", TTL: d.TTL})
+	d.operator = fleet.Operator{Addrs: d.Coordinators}
+	d.client = http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 2}}
+	defer d.client.CloseIdleConnections()
+	client, err := lease.New(lease.Options{Addrs: d.Coordinators, Owner: "rollout-driver", TTL: d.TTL})
 	if err != nil {
 		return err
 	}
 	defer client.Close()
 	for ctx.Err() == nil {
-		h, err := client.Hold(ctx, Lease)
+		h, err := client.Hold(ctx, LeaseName)
 		if err != nil {
 			select {
 			case <-ctx.Done():
-			case <-time.After(d.Every):
+			case <-time.After(d.Interval):
 			}
 			continue
 		}
 		d.Log.Info("drives", "token", uint64(h.Token))
-		d.changes = map[string]*drive{}
-		err = d.drive(ctx, h)
+		d.changes = map[string]*applicationDriver{}
+		err = d.driveWhileHeld(ctx, h)
 		d.Log.Info("drives no more", "token", uint64(h.Token), "err", err)
-		release, cancel := context.WithTimeout(context.WithoutCancel(ctx), agentTime)
+		release, cancel := context.WithTimeout(context.WithoutCancel(ctx), agentTimeout)
 		h.Release(release) // an error says that it is lost already
 		cancel()
 	}
 	return nil
 }
 
-// errOlder says that a newer driver was heard of.
-var errOlder = errors.New("a newer driver was heard")
+// errStaleDriver says that a newer driver was heard of.
+var errStaleDriver = errors.New("a newer driver was heard")
 
-// drive drives until the lease is lost, or stop ends.
-func (d *Driver) drive(stop context.Context, h *lease.Held) error {
+// driveWhileHeld drives until the lease is lost, or stop ends.
+func (d *Driver) driveWhileHeld(stop context.Context, h *lease.Held) error {
 	ctx, cancel := context.WithCancelCause(h.Context())
 	defer cancel(nil)
 	defer context.AfterFunc(stop, func() { cancel(context.Cause(stop)) })()
-	tick := time.NewTicker(d.Every)
+	tick := time.NewTicker(d.Interval)
 	defer tick.Stop()
 	for {
-		if err := d.turn(ctx, h); errors.Is(err, errOlder) {
+		if err := d.pollAll(ctx, h); errors.Is(err, errStaleDriver) {
 			return err
 		} else if err != nil && ctx.Err() == nil {
 			d.Log.Warn("a look at the changes has failed", "err", err)
@@ -113,15 +113,15 @@
 	}
 }
 
-// turn is one look at everything.
-func (d *Driver) turn(ctx context.Context, h *lease.Held) error {
+// pollAll is one look at everything.
+func (d *Driver) pollAll(ctx context.Context, h *lease.Held) error {
 	var names []string
-	if err := d.read(ctx, "", &names); err != nil {
+	if err := d.readChanges(ctx, "", &names); err != nil {
 		return err
 	}
 	var all []error
 	for _, name := range names {
-		if err := d.step(ctx, h, name); errors.Is(err, errOlder) {
+		if err := d.driveApplication(ctx, h, name); errors.Is(err, errStaleDriver) {
 			return err
 		} else {
 			all = append(all, err)
@@ -130,114 +130,114 @@
 	return errors.Join(all...)
 }
 
-// read asks the coordinators for changes.
-func (d *Driver) read(ctx context.Context, application string, to any) error {
+// readChanges asks the coordinators for changes.
+func (d *Driver) readChanges(ctx context.Context, application string, to any) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	told, err := d.operator.Ask(ctx, fleet.Request{Changes: &application})
+	response, err := d.operator.Ask(ctx, fleet.Request{Changes: &application})
 	if err != nil {
 		return err
 	}
-	if len(told.Changes) == 0 {
+	if len(response.Changes) == 0 {
 		return rollout.ErrNoChange
 	}
-	return json.Unmarshal(told.Changes, to)
+	return json.Unmarshal(response.Changes, to)
 }
 
-// step is one look at one application: agents, log, judge, log, orders.
-func (d *Driver) step(ctx context.Context, h *lease.Held, application string) error {
-	c := d.changes[application]
-	if c == nil {
-		c = &drive{}
-		d.changes[application] = c
+// driveApplication is one look at one application: agents, log, judge, log, orders.
+func (d *Driver) driveApplication(ctx context.Context, held *lease.Held, application string) error {
+	change := d.changes[application]
+	if change == nil {
+		change = &applicationDriver{}
+		d.changes[application] = change
 	}
-	var kept rollout.Application // operators may have said something, or begun another
-	if err := d.read(ctx, application, &kept); err != nil {
+	var stored rollout.Application // operators may have said something, or begun another
+	if err := d.readChanges(ctx, application, &stored); err != nil {
 		return err
 	}
-	if c.Change == nil || c.Name != kept.Now.Name {
-		c.told = time.Time{}
+	if change.Change == nil || change.Name != stored.Current.Name {
+		change.lastElapsedAt = time.Time{}
 	}
-	c.Change = kept.Now
-	if c.turn++; c.State.Phase.Over() && c.turn%rest != 0 {
+	change.Change = stored.Current
+	if change.polls++; change.State.Phase.Over() && change.polls%idlePollDivisor != 0 {
 		return nil
 	}
-	seen, events, err := d.look(ctx, application, uint64(h.Token), c)
+	statuses, events, err := d.pollAgents(ctx, application, uint64(held.Token), change)
 	if err != nil {
 		return err
 	}
-	now, took := time.Now(), time.Duration(0)
-	if !c.told.IsZero() {
-		took = min(now.Sub(c.told), 3*d.Every)
+	now, elapsed := time.Now(), time.Duration(0)
+	if !change.lastElapsedAt.IsZero() {
+		elapsed = min(now.Sub(change.lastElapsedAt), 3*d.Interval)
 	}
-	v, err := c.evidence.Window(c.Change, readings(seen), took)
+	verdict, err := change.evidence.Window(change.Change, readings(statuses), elapsed)
 	if err != nil {
 		return err
 	}
-	if v != nil {
-		events = append(events, rollout.Event{Verdict: v})
+	if verdict != nil {
+		events = append(events, rollout.Event{Verdict: verdict})
 	}
-	if took > 0 && c.State.Phase == rollout.Running {
-		events = append(events, rollout.Event{Elapsed: took})
+	if elapsed > 0 && change.State.Phase == rollout.Running {
+		events = append(events, rollout.Event{Elapsed: elapsed})
 	}
-	c.told = now
-	if err := d.tell(ctx, uint64(h.Token), application, c, events); err != nil {
+	change.lastElapsedAt = now
+	if err := d.appendEvents(ctx, uint64(held.Token), application, change, events); err != nil {
 		return err
 	}
-	return d.order(ctx, h, application, c)
+	return d.deliverOrders(ctx, held, application, change)
 }
 
-// tell puts events into the log, and follows it.
-func (d *Driver) tell(ctx context.Context, token uint64, application string, c *drive, events []rollout.Event) error {
+// appendEvents puts events into the log, and follows it.
+func (d *Driver) appendEvents(ctx context.Context, token uint64, application string, change *applicationDriver, events []rollout.Event) error {
 	for len(events) > 0 {
 		n := min(len(events), rollout.MaxEvents)
-		told, err := d.operator.Ask(ctx, fleet.Request{Rollout: &rollout.Command{Application: application, Change: c.Name, Token: token,
-			After: c.Events, At: time.Now().UnixMilli(), Events: events[:n]}})
+		response, err := d.operator.Ask(ctx, fleet.Request{Rollout: &rollout.Command{Application: application, Change: change.Name, Token: token,
+			KnownEvents: change.EventCount, AtMillis: time.Now().UnixMilli(), Events: events[:n]}})
 		switch {
 		case err != nil:
 			return err
-		case told.Rollout.Err == rollout.ErrOlder.Error():
-			return errOlder
-		case told.Rollout.Err != "": // there were others meanwhile, or this came twice: the next look begins with what holds
+		case response.Rollout.Error == rollout.ErrStaleDriver.Error():
+			return errStaleDriver
+		case response.Rollout.Error != "": // there were others meanwhile, or this came twice: the next look begins with what holds
 			return nil
 		}
-		was, why := c.State.Phase, c.State.Why
+		phase, reason := change.State.Phase, change.State.Reason
 		for _, e := range events[:n] {
-			c.State.Apply(e)
-			c.Events++
+			change.State.Apply(e)
+			change.EventCount++
 		}
-		if c.State.Phase != was || c.State.Why != why {
-			d.Log.Info("rollout", "application", application, "change", c.Name, "phase", c.State.Phase.String(), "stage", c.State.Stage, "why", c.State.Why)
+		if change.State.Phase != phase || change.State.Reason != reason {
+			d.Log.Info("rollout", "application", application, "change", change.Name, "phase", change.State.Phase.String(), "stage", change.State.Stage, "why", change.State.Reason)
 		}
 		events = events[n:]
 	}
 	return nil
 }
 
-// look asks all agents what there is, and tells them what is confirmed.
-func (d *Driver) look(ctx context.Context, application string, token uint64, c *drive) (map[string]Seen, []rollout.Event, error) {
-	seen, errs := d.ask(ctx, agents(c.Members), machine.StatusRequest{Version: machine.Version, Application: application, Token: token, Confirmed: c.State.Confirmed()})
+// pollAgents asks all agents what there is, and tells them what is confirmed.
+func (d *Driver) pollAgents(ctx context.Context, application string, token uint64, change *applicationDriver) (map[string]SidecarStatus, []rollout.Event, error) {
+	statuses, errs := d.queryAgents(ctx, agentAddresses(change.Members), machine.StatusRequest{Version: machine.Version, Application: application, Token: token, Confirmed: change.State.Confirmed()})
 	for _, err := range errs {
 		if connect.CodeOf(err) == connect.CodeAborted {
-			return nil, nil, errOlder
+			return nil, nil, errStaleDriver
 		}
 	}
 	reports := map[string]rollout.Report{}
-	for name, s := range seen {
+	for name, s := range statuses {
 		reports[name] = s.Report
 	}
-	events, lost := c.watch.Look(c.Change, reports, func(agent string) bool { return errs[agent] != nil })
-	for _, addr := range lost {
+	events, unreachable := change.reachability.Observe(change.Change, reports, func(agent string) bool { return errs[agent] != nil })
+	for _, addr := range unreachable {
 		d.Log.Warn("an agent is out of reach", "agent", addr, "err", errs[addr])
 	}
-	return seen, events, nil
+	return statuses, events, nil
 }
 
 // readings are what sidecars have counted; one whose counts cannot be read has none.
-func readings(seen map[string]Seen) map[string]evidence.Reading {
+func readings(statuses map[string]SidecarStatus) map[string]evidence.Reading {
 	all := map[string]evidence.Reading{}
-	for name, s := range seen {
-		r := evidence.Reading{Process: s.Process, CPU: s.CPU, Memory: s.Memory}
+	for name, s := range statuses {
+		r := evidence.Reading{Process: s.Process, CPUTicks: s.CPUTicks, ResidentBytes: s.ResidentBytes}
 		if json.Unmarshal(s.Counts, &r.Told) == nil {
 			all[name] = r
 		}
@@ -245,7 +245,7 @@
 	return all
 }
 
-func agents(members []rollout.Member) (all []string) {
+func agentAddresses(members []rollout.Member) (all []string) {
 	known := map[string]bool{}
 	for _, m := range members {
 		if !known[m.Agent] {
@@ -256,40 +256,40 @@
 	return all
 }
 
-// call makes one call of an agent.
-func call[Req, Res any](ctx context.Context, over *http.Client, addr, path string, in *Req) (*Res, error) {
-	res, err := rpc.Client[Req, Res](over, addr, path, machine.MaxAnswer).CallUnary(ctx, connect.NewRequest(in))
+// callAgent makes one call of an agent.
+func callAgent[Req, Res any](ctx context.Context, client *http.Client, addr, path string, in *Req) (*Res, error) {
+	res, err := rpc.Client[Req, Res](client, addr, path, machine.MaxResponseBytes).CallUnary(ctx, connect.NewRequest(in))
 	if err != nil {
 		return nil, err
 	}
 	return res.Msg, nil
 }
 
-// ask asks all agents, some at a time; what they have told, by sidecar, and who has not answered.
-func (d *Driver) ask(ctx context.Context, agents []string, in machine.StatusRequest) (map[string]Seen, map[string]error) {
+// queryAgents asks all agents, some at a time; what they have told, by sidecar, and who has not answered.
+func (d *Driver) queryAgents(ctx context.Context, agents []string, request machine.StatusRequest) (map[string]SidecarStatus, map[string]error) {
 	var mu sync.Mutex
-	all, errs := map[string]Seen{}, map[string]error{}
-	each(len(agents), func(i int) {
-		ctx, cancel := context.WithTimeout(ctx, agentTime)
+	statuses, errs := map[string]SidecarStatus{}, map[string]error{}
+	forEach(len(agents), func(i int) {
+		ctx, cancel := context.WithTimeout(ctx, agentTimeout)
 		defer cancel()
-		seen, err := call[machine.StatusRequest, machine.Status](ctx, &d.over, agents[i], machine.PathStatus, &in)
+		status, err := callAgent[machine.StatusRequest, machine.Status](ctx, &d.client, agents[i], machine.PathStatus, &request)
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
 			errs[agents[i]] = err
 			return
 		}
-		for _, s := range seen.Sidecars {
-			all[s.Sidecar] = s
+		for _, s := range status.Sidecars {
+			statuses[s.Sidecar] = s
 		}
 	})
-	return all, errs
+	return statuses, errs
 }
 
-// each does something n times, some at a time.
-func each(n int, do func(i int)) {
+// forEach does something n times, some at a time.
+func forEach(n int, do func(i int)) {
 	var sides sync.WaitGroup
-	limit := make(chan struct{}, calls)
+	limit := make(chan struct{}, maxConcurrentCalls)
 	for i := range n {
 		limit <- struct{}{}
 		sides.Go(func() {
@@ -300,38 +300,38 @@
 	sides.Wait()
 }
 
-// order brings the orders that are open to their agents, each time anew until they are reported: an agent carries one out once.
-func (d *Driver) order(ctx context.Context, h *lease.Held, application string, c *drive) error {
-	where := map[string]string{}
-	for _, m := range c.Members {
-		where[m.Name] = m.Agent
+// deliverOrders brings the orders that are open to their agents, each time anew until they are reported: an agent carries one out once.
+func (d *Driver) deliverOrders(ctx context.Context, held *lease.Held, application string, change *applicationDriver) error {
+	agentOf := map[string]string{}
+	for _, m := range change.Members {
+		agentOf[m.Name] = m.Agent
 	}
 	var mu sync.Mutex
-	var older bool
-	orders := c.State.Orders()
-	each(len(orders), func(i int) {
-		o := orders[i]
-		if !h.Valid() {
+	var staleToken bool
+	orders := change.State.OpenOrders()
+	forEach(len(orders), func(i int) {
+		order := orders[i]
+		if !held.Valid() {
 			return
 		}
-		ctx, cancel := context.WithTimeout(ctx, agentTime)
+		ctx, cancel := context.WithTimeout(ctx, agentTimeout)
 		defer cancel()
-		taken, err := call[machine.Order, machine.OrderResponse](ctx, &d.over, where[o.Sidecar], machine.PathOrder,
-			&machine.Order{Version: machine.Version, Application: application, Token: uint64(h.Token), Order: o})
+		response, err := callAgent[machine.Order, machine.OrderResponse](ctx, &d.client, agentOf[order.Sidecar], machine.PathOrder,
+			&machine.Order{Version: machine.Version, Application: application, Token: uint64(held.Token), Order: order})
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
-		case err == nil && !taken.Known:
-			d.Log.Info("ordered", "application", application, "order", o.Number, "sidecar", o.Sidecar, "release", o.Release)
+		case err == nil && !response.Known:
+			d.Log.Info("ordered", "application", application, "order", order.Number, "sidecar", order.Sidecar, "release", order.Release)
 		case err != nil && connect.CodeOf(err) == connect.CodeAborted:
-			older = true
-			d.Log.Warn("refused", "order", o.Number, "sidecar", o.Sidecar, "err", err)
+			staleToken = true
+			d.Log.Warn("refused", "order", order.Number, "sidecar", order.Sidecar, "err", err)
 		case err != nil:
-			d.Log.Info("not taken yet", "order", o.Number, "sidecar", o.Sidecar, "err", err)
+			d.Log.Info("not taken yet", "order", order.Number, "sidecar", order.Sidecar, "err", err)
 		}
 	})
-	if older {
-		return errOlder
+	if staleToken {
+		return errStaleDriver
 	}
 	return nil
 }
--- a/internal/coordination/driver/many_test.go
+++ b/internal/coordination/driver/many_test.go
@@ -25,9 +25,9 @@
 	}
 	for _, n := range sizes {
 		addr, stop := coordinator.For(t)
-		start := &rollout.Start{Plan: rollout.Plan{Application: "a", From: "old", To: "new", AtOnce: max(1, n/20), Unavailable: max(1, n/20), Patience: time.Minute,
-			Judge:  rollout.Judgement{FalseStops: 0.01, MissedStops: 0.05, Effect: 0.2},
-			Stages: []rollout.Stage{{Select: rollout.Select{Share: 0.05}, Control: max(1, n/20)}, {Select: rollout.Select{Share: 0.25}, Control: max(1, n/20)}, {Select: rollout.Select{Share: 1}}}}}
+		start := &rollout.Start{Plan: rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: max(1, n/20), MaxUnavailable: max(1, n/20), EvidenceTimeout: time.Minute,
+			Judge:  rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.2},
+			Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 0.05}, ControlCount: max(1, n/20)}, {Selector: rollout.Selector{Share: 0.25}, ControlCount: max(1, n/20)}, {Selector: rollout.Selector{Share: 1}}}}}
 		var all []*deployment.Played
 		for i := range n {
 			p, err := deployment.Play(fmt.Sprintf("n%04d", i), "old")
@@ -36,10 +36,10 @@
 			}
 			all = append(all, p)
 			start.Members = append(start.Members, rollout.Member{Name: p.Name, Agent: p.Addr})
-			start.Now = append(start.Now, p.Report())
+			start.Reports = append(start.Reports, p.Report())
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		d := &driver.Driver{Addrs: []string{addr}, TTL: 3 * time.Second, Every: 200 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
+		d := &driver.Driver{Coordinators: []string{addr}, TTL: 3 * time.Second, Interval: 200 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
 		ended := make(chan error, 1)
 		go func() { ended <- d.Run(ctx) }()
 		o := &fleet.Operator{Addrs: []string{addr}}
@@ -49,15 +49,15 @@
 		}
 		began := time.Now()
 		told, err := o.Ask(ctx, fleet.Request{Rollout: &rollout.Command{Application: "a", Change: "c", Start: start}})
-		if err != nil || told.Rollout.Err != "" {
+		if err != nil || told.Rollout.Error != "" {
 			t.Fatal(err, told)
 		}
 		var app rollout.Application
 		name := "a"
-		for end := time.Now().Add(2 * time.Minute); app.Now == nil || !app.Now.State.Phase.Over(); {
+		for end := time.Now().Add(2 * time.Minute); app.Current == nil || !app.Current.State.Phase.Over(); {
 			told, err := o.Ask(ctx, fleet.Request{Changes: &name})
 			if err != nil || json.Unmarshal(told.Changes, &app) != nil || time.Now().After(end) {
-				t.Fatal(err, app.Now.State.Phase, app.Now.State.Waits())
+				t.Fatal(err, app.Current.State.Phase, app.Current.State.WaitingFor())
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -70,14 +70,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d agents: %v after %v; %d entries of the log (%.1f a second), %d events, %d looks at agents (%.0f a second), %d orders; state of %d bytes", n, app.Now.State.Phase,
-			took.Round(100*time.Millisecond), after.Applied-before.Applied, float64(after.Applied-before.Applied)/took.Seconds(), app.Now.Events, looks, float64(looks)/took.Seconds(),
-			orders, len(must(json.Marshal(app.Now))))
-		if want := n + 2*max(1, n/20); app.Now.State.Phase != rollout.Done || orders != want {
-			t.Errorf("%v (%s), %d orders, want %d", app.Now.State.Phase, app.Now.State.Why, orders, want)
+		t.Logf("%d agents: %v after %v; %d entries of the log (%.1f a second), %d events, %d looks at agents (%.0f a second), %d orders; state of %d bytes", n, app.Current.State.Phase,
+			took.Round(100*time.Millisecond), after.Applied-before.Applied, float64(after.Applied-before.Applied)/took.Seconds(), app.Current.EventCount, looks, float64(looks)/took.Seconds(),
+			orders, len(must(json.Marshal(app.Current))))
+		if want := n + 2*max(1, n/20); app.Current.State.Phase != rollout.Done || orders != want {
+			t.Errorf("%v (%s), %d orders, want %d", app.Current.State.Phase, app.Current.State.Reason, orders, want)
 		}
 		all[0].Fall("old") // after the end: it is shown, and nothing is done about it
-		for end := time.Now().Add(20 * time.Second); app.Now.State.Sidecars()[0].Release != "old"; time.Sleep(50 * time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); app.Current.State.Sidecars()[0].Release != "old"; time.Sleep(50 * time.Millisecond) {
 			told, err := o.Ask(ctx, fleet.Request{Changes: &name})
 			if err != nil || json.Unmarshal(told.Changes, &app) != nil || time.Now().After(end) {
 				t.Fatal("it is not shown", err)
--- a/internal/coordination/evidence/before.go
+++ b/internal/coordination/evidence/before.go
@@ -11,27 +11,27 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// boundOf is from how many requests a bound is drawn.
-const boundOf = 100
+// slowBoundSample is from how many requests a bound is drawn.
+const slowBoundSample = 100
 
-// bound is the step of time that a tenth of some requests took longer than.
-type bound struct {
-	took [counts.Steps]uint64
-	of   uint64
-	step int // once known; -1
+// slowBound is the step of time that a tenth of some requests took longer than.
+type slowBound struct {
+	took     [counts.Steps]uint64
+	requests uint64
+	step     int // once known; -1
 }
 
-func (b *bound) add(c counts.Class) {
+func (b *slowBound) add(c counts.Class) {
 	for i, n := range c.Took {
 		b.took[i] += n
-		b.of += n
+		b.requests += n
 	}
-	if b.step >= 0 || b.of < boundOf {
+	if b.step >= 0 || b.requests < slowBoundSample {
 		return
 	}
-	above := b.of
+	above := b.requests
 	for i, n := range b.took {
-		if above -= n; above*10 <= b.of {
+		if above -= n; above*10 <= b.requests {
 			b.step = i
 			return
 		}
@@ -39,35 +39,35 @@
 }
 
 // slow is how many of those served took longer than the bound.
-func (b *bound) slow(c counts.Class) judge.Counts {
-	k := judge.Counts{Of: float64(c.Served)}
+func (b *slowBound) slow(c counts.Class) judge.Counts {
+	k := judge.Counts{Total: float64(c.Served)}
 	for _, n := range c.Took[b.step+1:] {
-		k.Hit += float64(n)
+		k.Hits += float64(n)
 	}
 	return k
 }
 
-// before says how the old sidecars that nobody has touched do worse than all did before the change; "": it is not known that they do.
-func (e *Evidence) before(p rollout.Judgement) string {
-	now, was := group{}, group{} // by class, over all zones
-	for from, to := range map[*group]group{&e.since: now, &e.base: was} {
+// baselineDifference says how the old sidecars that nobody has touched do worse than all did before the change; "": it is not known that they do.
+func (e *Evidence) baselineDifference(p rollout.JudgeConfig) string {
+	now, was := countsByCell{}, countsByCell{} // by class, over all zones
+	for from, to := range map[*countsByCell]countsByCell{&e.untouched: now, &e.baseline: was} {
 		for at, c := range *from {
-			to.add(place{class: at.class}, c)
+			to.add(cellKey{class: at.class}, c)
 		}
 	}
-	for _, at := range slices.SortedFunc(maps.Keys(now), func(a, b place) int { return cmp.Compare(a.class, b.class) }) {
-		all := ends
-		b := bound{step: -1}
+	for _, at := range slices.SortedFunc(maps.Keys(now), func(a, b cellKey) int { return cmp.Compare(a.class, b.class) }) {
+		all := outcomeMetrics
+		b := slowBound{step: -1}
 		if b.add(was[at]); b.step >= 0 {
-			all = append(slices.Clip(ends), metric{"slow", b.slow})
+			all = append(slices.Clip(outcomeMetrics), rateMetric{"slow", b.slow})
 		}
 		for _, m := range all {
-			n, o := m.of(now[at]), m.of(was[at])
-			if o.Of < boundOf || n.Of == 0 {
+			n, o := m.counts(now[at]), m.counts(was[at])
+			if o.Total < slowBoundSample || n.Total == 0 {
 				continue
 			}
-			least := judge.Least(n, o, p.FalseStops/float64((len(ends)+1)*len(now)))
-			if a, b := n.Hit/n.Of, o.Hit/o.Of; least > 0 && a > b+p.Effect {
+			least := judge.MinDifference(n, o, p.FalseStopRate/float64((len(outcomeMetrics)+1)*len(now)))
+			if a, b := n.Hits/n.Total, o.Hits/o.Total; least > 0 && a > b+p.MinEffect {
 				return fmt.Sprintf("old sidecars do worse than before the change: %s of class %s: %.4f, before %.4f (at least %.4f more)", m.name, at.class, a, b, least)
 			}
 		}
--- a/internal/coordination/evidence/chain_test.go
+++ b/internal/coordination/evidence/chain_test.go
@@ -23,7 +23,7 @@
 func (s *side) serve(class, n int, failed, refused float64, step int) {
 	c := &s.now.Classes[class]
 	for range int(float64(n) * (0.5 + s.r.Float64())) {
-		s.now.CPU += uint64(s.r.IntN(7))
+		s.now.CPUTicks += uint64(s.r.IntN(7))
 		s.now.Effort.Tries++
 		switch p := s.r.Float64(); {
 		case p < failed:
@@ -39,14 +39,14 @@
 }
 
 func (s *side) begin(release string, number uint64) {
-	s.now = Reading{Process: agent.Process{PID: 1, Began: number, Release: release}, Told: counts.Told{Classes: []counts.Class{{Name: "look"}, {Name: "book"}, {Name: "void"}}, Effort: &counts.Effort{}}, Memory: 18 << 20}
+	s.now = Reading{Process: agent.Process{PID: 1, StartTicks: number, Release: release}, Told: counts.Told{Classes: []counts.Class{{Name: "look"}, {Name: "book"}, {Name: "void"}}, Effort: &counts.Effort{}}, ResidentBytes: 18 << 20}
 }
 
 // play is a whole change of 12 sidecars in 3 zones and 3 stages, with its control, from its begin to its end or pause: the state that the
 // log keeps, the evidence and the judge, by windows of 2 s, a look after each.
 func play(t *testing.T, r *rand.Rand, rate func(zone, window int, release string) (n int, failed float64, step int)) *rollout.Change {
-	p := rollout.Plan{Application: "a", From: "old", To: "new", AtOnce: 2, Unavailable: 2, Patience: 20 * time.Minute, Judge: rollout.Judgement{FalseStops: 0.01, MissedStops: 0.05, Effect: 0.05},
-		Stages: []rollout.Stage{{Select: rollout.Select{Count: 2}, Control: 2}, {Select: rollout.Select{Count: 4}, Control: 2}, {Select: rollout.Select{Share: 1}}}}
+	p := rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: 2, MaxUnavailable: 2, EvidenceTimeout: 20 * time.Minute, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.05},
+		Stages: []rollout.Stage{{Selector: rollout.Selector{Count: 2}, ControlCount: 2}, {Selector: rollout.Selector{Count: 4}, ControlCount: 2}, {Selector: rollout.Selector{Share: 1}}}}
 	var members []rollout.Member
 	var now []rollout.Report
 	sides := map[string]*side{}
@@ -71,17 +71,17 @@
 			if o := one.order; o.Number != 0 {
 				one.begin(o.Release, o.Number)
 				one.order = rollout.Order{}
-				s.Apply(rollout.Event{Report: &rollout.Report{Sidecar: m.Name, Release: o.Release, Ready: true, Done: o.Number}})
+				s.Apply(rollout.Event{Report: &rollout.Report{Sidecar: m.Name, Release: o.Release, Ready: true, CompletedOrder: o.Number}})
 			}
 			n, failed, step := rate(i%3, w, one.now.Process.Release)
 			for class, part := range []int{10, 4, 2} {
 				one.serve(class, n*part, failed, 0.002, step)
 			}
 			if r.IntN(10) == 0 { // it grows in bursts, and gives some back
-				one.now.Memory += uint64(r.IntN(2<<20)) - 1<<20
+				one.now.ResidentBytes += uint64(r.IntN(2<<20)) - 1<<20
 			}
 			read[m.Name] = one.now
-			read[m.Name] = Reading{one.now.Process, counts.Told{Classes: append([]counts.Class(nil), one.now.Classes...), Effort: &counts.Effort{Tries: one.now.Effort.Tries}}, one.now.CPU, one.now.Memory}
+			read[m.Name] = Reading{one.now.Process, counts.Told{Classes: append([]counts.Class(nil), one.now.Classes...), Effort: &counts.Effort{Tries: one.now.Effort.Tries}}, one.now.CPUTicks, one.now.ResidentBytes}
 		}
 		v, err := e.Window(c, read, window)
 		if err != nil {
@@ -91,8 +91,8 @@
 			s.Apply(rollout.Event{Verdict: v})
 		}
 		s.Apply(rollout.Event{Elapsed: window})
-		for _, o := range s.Orders() {
-			if one := sides[o.Sidecar]; one.now.Process.Began != o.Number {
+		for _, o := range s.OpenOrders() {
+			if one := sides[o.Sidecar]; one.now.Process.StartTicks != o.Number {
 				one.order = o
 			}
 		}
@@ -132,8 +132,8 @@
 			r, ends := rand.New(rand.NewPCG(11, uint64(len(name)))), map[string]int{}
 			for range n {
 				c := play(t, r, rate)
-				if ends[c.State.Phase.String()]++; name[:5] == "equal" && c.State.Phase == rollout.TakingBack {
-					t.Logf("%v in stage %d: %s", c.State.Phase, c.State.Stage, c.State.Why)
+				if ends[c.State.Phase.String()]++; name[:5] == "equal" && c.State.Phase == rollout.RollingBack {
+					t.Logf("%v in stage %d: %s", c.State.Phase, c.State.Stage, c.State.Reason)
 				}
 			}
 			t.Logf("%d changes: %v", n, ends)
--- a/internal/coordination/evidence/evidence.go
+++ b/internal/coordination/evidence/evidence.go
@@ -32,38 +32,38 @@
 type Reading struct {
 	Process agent.Process
 	counts.Told
-	CPU, Memory uint64 // ticks that it has used, bytes that it has resident
+	CPUTicks, ResidentBytes uint64 // ticks that it has used, bytes that it has resident
 }
 
-const everyZone = "*"
+const allZones = "*"
 
 // Evidence is that of one change, as far as one driver has watched it.
 type Evidence struct {
-	change string
-	stage  int
-	judge  *judge.Judge
-	last   map[string]Reading // by sidecar
-	bounds map[place]*bound
-	open   map[place]*pair // counted, and one side of it has nothing yet
-	base   group           // what all had counted before anything moved
-	since  group           // what the old ones that nobody touches have counted since
-	spans  [2]span         // what was used since the last comparisons, short and long
-	told   judge.Kind      // of the last tally
-	untold time.Duration   // since that
+	change         string
+	stage          int
+	judge          *judge.Judge
+	lastReadings   map[string]Reading // by sidecar
+	slowBounds     map[cellKey]*slowBound
+	incomplete     map[cellKey]*windowCounts // counted, and one side of it has nothing yet
+	baseline       countsByCell              // what all had counted before anything moved
+	untouched      countsByCell              // what the old ones that nobody touches have counted since
+	usageSpans     [2]usageSpan              // what was used since the last comparisons, short and long
+	lastKind       judge.Kind                // of the last tally
+	sinceLastCells time.Duration             // since that
 }
 
-type place struct{ class, zone string }
+type cellKey struct{ class, zone string }
 
-// pair is the counts of a window.
-type pair struct {
-	place
+// windowCounts is the counts of a window.
+type windowCounts struct {
+	cellKey
 	new, control counts.Class
 }
 
-// group is counts by class and zone.
-type group map[place]counts.Class
+// countsByCell is counts by class and zone.
+type countsByCell map[cellKey]counts.Class
 
-func (g group) add(at place, c counts.Class) {
+func (g countsByCell) add(at cellKey, c counts.Class) {
 	sum := g[at]
 	sum.Name = c.Name
 	sum.Served += c.Served
@@ -75,284 +75,290 @@
 	g[at] = sum
 }
 
-func (g group) sum(more group) {
+func (g countsByCell) addAll(more countsByCell) {
 	for at, c := range more {
 		g.add(at, c)
 	}
 }
 
-func of(c counts.Class) float64 { return float64(c.Served + c.Refused + c.Failed) }
+func finished(c counts.Class) float64 { return float64(c.Served + c.Refused + c.Failed) }
 
-// metric is a rate: how many of how many.
-type metric struct {
-	name string
-	of   func(counts.Class) judge.Counts
+// rateMetric is a rate: how many of how many.
+type rateMetric struct {
+	name   string
+	counts func(counts.Class) judge.Counts
 }
 
-var ends = []metric{
-	{"refused", func(c counts.Class) judge.Counts { return judge.Counts{Hit: float64(c.Refused), Of: of(c)} }},
-	{"failed", func(c counts.Class) judge.Counts { return judge.Counts{Hit: float64(c.Failed), Of: of(c)} }},
+var outcomeMetrics = []rateMetric{
+	{"refused", func(c counts.Class) judge.Counts { return judge.Counts{Hits: float64(c.Refused), Total: finished(c)} }},
+	{"failed", func(c counts.Class) judge.Counts { return judge.Counts{Hits: float64(c.Failed), Total: finished(c)} }},
 }
 
 // Window takes in what was read since the last one, some time ago, and says what holds now; nil: nothing does yet.
-func (e *Evidence) Window(c *rollout.Change, read map[string]Reading, took time.Duration) (*rollout.Verdict, error) {
+func (e *Evidence) Window(c *rollout.Change, readings map[string]Reading, elapsed time.Duration) (*rollout.Verdict, error) {
 	s := c.State
 	if s.Phase != rollout.Running {
-		e.stage, e.since = 0, group{}
+		e.stage, e.untouched = 0, countsByCell{}
 		return nil, nil
 	}
-	if s.Plan.Judge.None {
-		return &rollout.Verdict{Stage: s.Stage, Fine: true, Why: "the plan has no judge"}, nil
+	if s.Plan.Judge.Disabled {
+		return &rollout.Verdict{Stage: s.Stage, NoWorse: true, Reason: "the plan has no judge"}, nil
 	}
 	if e.change != c.Name {
-		e.base, e.since = group{}, group{}
+		e.baseline, e.untouched = countsByCell{}, countsByCell{}
 	}
 	if e.change != c.Name || e.stage != s.Stage {
 		e.change, e.stage, e.judge = c.Name, s.Stage, nil
-		e.last, e.bounds, e.open, e.spans = map[string]Reading{}, map[place]*bound{}, map[place]*pair{}, [2]span{}
-		e.told, e.untold = judge.NotEnough, 0
+		e.lastReadings, e.slowBounds, e.incomplete, e.usageSpans = map[string]Reading{}, map[cellKey]*slowBound{}, map[cellKey]*windowCounts{}, [2]usageSpan{}
+		e.lastKind, e.sinceLastCells = judge.NotEnough, 0
 	}
-	steps := e.steps(read)
-	among := func(release string, is func(rollout.Sidecar) bool) (group, use) { return total(s, steps, release, is) }
-	if s.Settled < s.Plan.Before {
+	increments := e.increments(readings)
+	among := func(release string, is func(rollout.Sidecar) bool) (countsByCell, usage) {
+		return sumOver(s, increments, release, is)
+	}
+	if s.BaselineElapsed < s.Plan.BaselinePeriod {
 		all, _ := among(s.Plan.From, func(rollout.Sidecar) bool { return true })
-		e.base.sum(all)
+		e.baseline.addAll(all)
 		return nil, nil
 	}
 	changed, control := s.Groups()
 	is := func(names []string) func(rollout.Sidecar) bool {
 		return func(one rollout.Sidecar) bool { return slices.Contains(names, one.Name) }
 	}
-	old := func(one rollout.Sidecar) bool { return one.Order == 0 && one.Alone == "" && !is(changed)(one) }
+	old := func(one rollout.Sidecar) bool {
+		return one.OpenOrder == 0 && one.AbandonedReason == "" && !is(changed)(one)
+	}
 	if len(control) > 0 {
 		old = is(control)
 	} else if !slices.ContainsFunc(s.Sidecars(), func(one rollout.Sidecar) bool { return old(one) && one.Release == s.Plan.From }) {
-		return &rollout.Verdict{Stage: s.Stage, Fine: true, Why: "none is left to compare with"}, nil
+		return &rollout.Verdict{Stage: s.Stage, NoWorse: true, Reason: "none is left to compare with"}, nil
 	}
-	news, newsUsed := among(s.Plan.To, is(changed))
-	olds, oldsUsed := among(s.Plan.From, old)
-	for i := range e.spans {
-		e.spans[i].add([2]use{newsUsed, oldsUsed}, took)
+	newCounts, newUsage := among(s.Plan.To, is(changed))
+	controlCounts, controlUsage := among(s.Plan.From, old)
+	for i := range e.usageSpans {
+		e.usageSpans[i].add([2]usage{newUsage, controlUsage}, elapsed)
 	}
-	untouched, _ := among(s.Plan.From, func(one rollout.Sidecar) bool { return one.Order == 0 && one.Alone == "" && one.Control == 0 })
-	e.since.sum(untouched)
-	if err := e.judged(c, news, olds); err != nil || e.judge == nil {
+	untouched, _ := among(s.Plan.From, func(one rollout.Sidecar) bool {
+		return one.OpenOrder == 0 && one.AbandonedReason == "" && one.ControlStage == 0
+	})
+	e.untouched.addAll(untouched)
+	if err := e.judgeWindow(c, newCounts, controlCounts); err != nil || e.judge == nil {
 		return nil, err
 	}
 	v := e.judge.Verdict()
 	if v.Kind != judge.Worse {
-		if why := e.before(s.Plan.Judge); why != "" {
-			return &rollout.Verdict{Stage: s.Stage, Old: true, Why: why}, nil
+		if why := e.baselineDifference(s.Plan.Judge); why != "" {
+			return &rollout.Verdict{Stage: s.Stage, BaselineWorse: true, Reason: why}, nil
 		}
 	}
-	return &rollout.Verdict{Stage: s.Stage, Worse: v.Kind == judge.Worse, Fine: v.Kind == judge.NoWorse, Why: v.String(), Tally: e.tally(v.Kind, took, s.Plan.Patience)}, nil
+	return &rollout.Verdict{Stage: s.Stage, Worse: v.Kind == judge.Worse, NoWorse: v.Kind == judge.NoWorse, Reason: v.String(), Cells: e.cellResults(v.Kind, elapsed, s.Plan.EvidenceTimeout)}, nil
 }
 
-// maxTally is how many cells a tally has.
-const maxTally = 256
+// maxCells is how many cells a tally has.
+const maxCells = 256
 
-// tally is what a verdict was reached by, where it is another than before or the last tally is some time ago.
-func (e *Evidence) tally(kind judge.Kind, took, patience time.Duration) (all []rollout.Counted) {
-	if e.untold += took; kind == e.told && e.untold < patience/comparisons {
+// cellResults is what a verdict was reached by, where it is another than before or the last tally is some time ago.
+func (e *Evidence) cellResults(kind judge.Kind, took, evidenceTimeout time.Duration) (results []rollout.CellResult) {
+	if e.sinceLastCells += took; kind == e.lastKind && e.sinceLastCells < evidenceTimeout/comparisonsPerTimeout {
 		return nil
 	}
-	e.told, e.untold = kind, 0
+	e.lastKind, e.sinceLastCells = kind, 0
 	cells := e.judge.Cells()
 	slices.SortStableFunc(cells, func(a, b judge.Verdict) int { // what is worse, then what is waited for
 		rank := func(v judge.Verdict) int {
 			switch {
 			case v.Kind == judge.Worse:
 				return 0
-			case !v.Cell.Part:
+			case !v.Cell.Advisory:
 				return 1
 			}
 			return 2
 		}
 		return cmp.Compare(rank(a), rank(b))
 	})
-	for _, v := range cells[:min(len(cells), maxTally)] {
-		all = append(all, rollout.Counted{Class: v.Cell.Class, Zone: v.Cell.Zone, Metric: v.Cell.Metric, Part: v.Cell.Part, Verdict: v.Kind.String(),
-			New: v.Counts[0].Hit, NewOf: v.Counts[0].Of, Control: v.Counts[1].Hit, ControlOf: v.Counts[1].Of, Odds: v.Odds, Most: v.Most})
+	for _, v := range cells[:min(len(cells), maxCells)] {
+		results = append(results, rollout.CellResult{Class: v.Cell.Class, Zone: v.Cell.Zone, Metric: v.Cell.Metric, Advisory: v.Cell.Advisory, Verdict: v.Kind.String(),
+			NewHits: v.Counts[0].Hits, NewTotal: v.Counts[0].Total, ControlHits: v.Counts[1].Hits, ControlTotal: v.Counts[1].Total, Odds: v.Odds, MaxDifference: v.MaxDifference})
 	}
-	return all
+	return results
 }
 
-// step is what one process has counted and used between two readings.
-type step struct {
+// increment is what one process has counted and used between two readings.
+type increment struct {
 	release string
 	classes []counts.Class
-	use
+	usage
 }
 
-// steps are those since the last readings.
-func (e *Evidence) steps(read map[string]Reading) map[string]step {
-	all := map[string]step{}
+// increments are those since the last readings.
+func (e *Evidence) increments(read map[string]Reading) map[string]increment {
+	all := map[string]increment{}
 	for name, now := range read {
-		was, known := e.last[name]
-		e.last[name] = now
-		if !known || was.Process != now.Process {
+		before, known := e.lastReadings[name]
+		e.lastReadings[name] = now
+		if !known || before.Process != now.Process {
 			continue
 		}
-		one := step{release: now.Process.Release, use: use{growth: float64(now.Memory) - float64(was.Memory), memory: float64(now.Memory),
-			cpu: float64(now.CPU - was.CPU), windows: 1, untold: now.Effort == nil || was.Effort == nil}}
-		if !one.untold {
-			one.effort = counts.Effort{Tries: now.Effort.Tries - was.Effort.Tries, Connections: now.Effort.Connections - was.Effort.Connections, Probes: now.Effort.Probes - was.Effort.Probes}
+		delta := increment{release: now.Process.Release, usage: usage{growthBytes: float64(now.ResidentBytes) - float64(before.ResidentBytes), memoryBytes: float64(now.ResidentBytes),
+			cpuTicks: float64(now.CPUTicks - before.CPUTicks), sidecarWindows: 1, effortMissing: now.Effort == nil || before.Effort == nil}}
+		if !delta.effortMissing {
+			delta.effort = counts.Effort{Tries: now.Effort.Tries - before.Effort.Tries, Connections: now.Effort.Connections - before.Effort.Connections, Probes: now.Effort.Probes - before.Effort.Probes}
 		}
 		for i, class := range now.Classes {
-			if i < len(was.Classes) && was.Classes[i].Name == class.Name {
-				d := since(class, was.Classes[i])
-				one.classes = append(one.classes, d)
-				one.requests += of(d)
+			if i < len(before.Classes) && before.Classes[i].Name == class.Name {
+				d := difference(class, before.Classes[i])
+				delta.classes = append(delta.classes, d)
+				delta.requests += finished(d)
 			}
 		}
-		all[name] = one
+		all[name] = delta
 	}
 	return all
 }
 
-// total is what those of some sidecars have that run a release.
-func total(s *rollout.State, steps map[string]step, release string, is func(rollout.Sidecar) bool) (all group, used use) {
-	all = group{}
-	for _, one := range s.Sidecars() {
-		did, ok := steps[one.Name]
-		if !ok || did.release != release || !is(one) {
+// sumOver is what those of some sidecars have that run a release.
+func sumOver(s *rollout.State, steps map[string]increment, release string, selected func(rollout.Sidecar) bool) (totals countsByCell, used usage) {
+	totals = countsByCell{}
+	for _, sidecar := range s.Sidecars() {
+		delta, ok := steps[sidecar.Name]
+		if !ok || delta.release != release || !selected(sidecar) {
 			continue
 		}
-		memory := used.memory + did.memory
-		used.add(did.use)
-		used.memory = memory
-		for _, c := range did.classes {
-			all.add(place{c.Name, one.Zone}, c)
+		memory := used.memoryBytes + delta.memoryBytes
+		used.add(delta.usage)
+		used.memoryBytes = memory
+		for _, c := range delta.classes {
+			totals.add(cellKey{c.Name, sidecar.Zone}, c)
 		}
 	}
-	return all, used
+	return totals, used
 }
 
-// since is what was counted since a reading of the same process.
-func since(now, was counts.Class) counts.Class {
-	now.Served -= was.Served
-	now.Refused -= was.Refused
-	now.Failed -= was.Failed
+// difference is what was counted since a reading of the same process.
+func difference(now, before counts.Class) counts.Class {
+	now.Served -= before.Served
+	now.Refused -= before.Refused
+	now.Failed -= before.Failed
 	for i := range now.Took {
-		now.Took[i] -= was.Took[i]
+		now.Took[i] -= before.Took[i]
 	}
 	return now
 }
 
-// judged hands the judge what there is of both sides.
-func (e *Evidence) judged(c *rollout.Change, news, olds group) error {
+// judgeWindow hands the judge what there is of both sides.
+func (e *Evidence) judgeWindow(c *rollout.Change, newCounts, controlCounts countsByCell) error {
 	classes := map[string]bool{}
-	for at, n := range news {
-		p := e.open[at]
+	for at, n := range newCounts {
+		p := e.incomplete[at]
 		if p == nil {
-			p = &pair{place: at}
-			e.open[at] = p
+			p = &windowCounts{cellKey: at}
+			e.incomplete[at] = p
 		}
-		p.new = sum(p.new, n)
+		p.new = addClasses(p.new, n)
 	}
-	for at, o := range olds {
-		if p := e.open[at]; p != nil { // a zone where none is new has nothing to say
-			p.control = sum(p.control, o)
+	for at, o := range controlCounts {
+		if p := e.incomplete[at]; p != nil { // a zone where none is new has nothing to say
+			p.control = addClasses(p.control, o)
 		}
 	}
-	whole := map[string][]pair{}
-	for _, at := range slices.SortedFunc(maps.Keys(e.open), func(a, b place) int { return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.zone, b.zone)) }) {
+	complete := map[string][]windowCounts{}
+	for _, at := range slices.SortedFunc(maps.Keys(e.incomplete), func(a, b cellKey) int { return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.zone, b.zone)) }) {
 		classes[at.class] = true
-		if p := e.open[at]; of(p.new) > 0 && of(p.control) > 0 {
-			whole[at.class] = append(whole[at.class], *p)
-			delete(e.open, at)
+		if p := e.incomplete[at]; finished(p.new) > 0 && finished(p.control) > 0 {
+			complete[at.class] = append(complete[at.class], *p)
+			delete(e.incomplete, at)
 		}
 	}
 	if e.judge == nil {
-		if len(whole) == 0 {
+		if len(complete) == 0 {
 			return nil
 		}
-		if err := e.begin(c, len(classes)); err != nil {
+		if err := e.newJudge(c, len(classes)); err != nil {
 			return err
 		}
 	}
-	for _, class := range slices.Sorted(maps.Keys(whole)) {
-		if err := e.add(class, whole[class]); err != nil {
+	for _, class := range slices.Sorted(maps.Keys(complete)) {
+		if err := e.addWindow(class, complete[class]); err != nil {
 			return err
 		}
 	}
-	return e.compare(c.State.Plan.Patience)
+	return e.compareUsage(c.State.Plan.EvidenceTimeout)
 }
 
-func sum(a, b counts.Class) counts.Class {
-	g := group{{}: a}
-	g.add(place{}, b)
-	return g[place{}]
+func addClasses(a, b counts.Class) counts.Class {
+	g := countsByCell{{}: a}
+	g.add(cellKey{}, b)
+	return g[cellKey{}]
 }
 
-// begin begins the judgement of a stage. Its cells, with those of all stages, share one rate of false stops.
-func (e *Evidence) begin(c *rollout.Change, classes int) (err error) {
+// newJudge begins the judgement of a stage. Its cells, with those of all stages, share one rate of false stops.
+func (e *Evidence) newJudge(c *rollout.Change, classes int) (err error) {
 	s, zones := c.State, map[string]bool{}
 	for _, m := range c.Members {
 		zones[m.Zone] = true
 	}
-	for _, r := range e.last { // one that nobody has asked for yet may come
+	for _, r := range e.lastReadings { // one that nobody has asked for yet may come
 		classes = max(classes, len(r.Classes))
 	}
-	e.judge, err = judge.New(judge.Plan{FalseStop: s.Plan.Judge.FalseStops, Missed: s.Plan.Judge.MissedStops, Effect: s.Plan.Judge.Effect,
-		Cells: ((len(ends)+1)*classes*(len(zones)+1) + pairs) * len(s.Plan.Stages)})
+	e.judge, err = judge.New(judge.Plan{FalseStopRate: s.Plan.Judge.FalseStopRate, MissedStopRate: s.Plan.Judge.MissedStopRate, MinEffect: s.Plan.Judge.MinEffect,
+		MaxCells: ((len(outcomeMetrics)+1)*classes*(len(zones)+1) + pairedMetrics) * len(s.Plan.Stages)})
 	return err
 }
 
-// add hands in a window of a class: each zone's by itself, and all together.
-func (e *Evidence) add(class string, zones []pair) error {
+// addWindow hands in a window of a class: each zone's by itself, and all together.
+func (e *Evidence) addWindow(class string, zones []windowCounts) error {
 	var slow []judge.Counts // of new and control, for each zone that has a bound
 	for _, p := range zones {
-		for _, m := range ends {
-			if err := e.judge.Add(judge.Cell{Class: class, Zone: p.zone, Metric: m.name, Part: true}, m.of(p.new), m.of(p.control)); err != nil {
+		for _, m := range outcomeMetrics {
+			if err := e.judge.Add(judge.Cell{Class: class, Zone: p.zone, Metric: m.name, Advisory: true}, m.counts(p.new), m.counts(p.control)); err != nil {
 				return err
 			}
 		}
-		b := e.bounds[p.place]
+		b := e.slowBounds[p.cellKey]
 		if b == nil {
-			b = &bound{step: -1}
-			e.bounds[p.place] = b
+			b = &slowBound{step: -1}
+			e.slowBounds[p.cellKey] = b
 		}
 		if b.step < 0 {
 			b.add(p.control)
 			continue
 		}
 		n, o := b.slow(p.new), b.slow(p.control)
-		if err := e.judge.Add(judge.Cell{Class: class, Zone: p.zone, Metric: "slow", Part: true}, n, o); err != nil {
+		if err := e.judge.Add(judge.Cell{Class: class, Zone: p.zone, Metric: "slow", Advisory: true}, n, o); err != nil {
 			return err
 		}
 		slow = append(slow, n, o)
 	}
-	for _, m := range ends {
+	for _, m := range outcomeMetrics {
 		var all []judge.Counts
 		for _, p := range zones {
-			all = append(all, m.of(p.new), m.of(p.control))
+			all = append(all, m.counts(p.new), m.counts(p.control))
 		}
-		n, o := weighed(all)
-		if err := e.judge.Add(judge.Cell{Class: class, Zone: everyZone, Metric: m.name}, n, o); err != nil {
+		n, o := weightByZone(all)
+		if err := e.judge.Add(judge.Cell{Class: class, Zone: allZones, Metric: m.name}, n, o); err != nil {
 			return err
 		}
 	}
-	n, o := weighed(slow) // none yet: not judged, and so not fine
-	return e.judge.Add(judge.Cell{Class: class, Zone: everyZone, Metric: "slow"}, n, o)
+	n, o := weightByZone(slow) // none yet: not judged, and so not fine
+	return e.judge.Add(judge.Cell{Class: class, Zone: allZones, Metric: "slow"}, n, o)
 }
 
-// weighed adds up zones, new and control in turn, with each zone's control weighed as its new is, at most as it is.
-func weighed(zones []judge.Counts) (new, control judge.Counts) {
-	most := 0.0
+// weightByZone adds up zones, new and control in turn, with each zone's control weighed as its new is, at most as it is.
+func weightByZone(zones []judge.Counts) (new, control judge.Counts) {
+	maxRatio := 0.0
 	for i := 0; i < len(zones); i += 2 {
-		if zones[i+1].Of > 0 {
-			most = max(most, zones[i].Of/zones[i+1].Of)
+		if zones[i+1].Total > 0 {
+			maxRatio = max(maxRatio, zones[i].Total/zones[i+1].Total)
 		}
 	}
 	for i := 0; i < len(zones); i += 2 {
 		n, o := zones[i], zones[i+1]
-		if n.Of == 0 || o.Of == 0 {
+		if n.Total == 0 || o.Total == 0 {
 			continue
 		}
-		w := n.Of / o.Of / most
-		new = judge.Counts{Hit: new.Hit + n.Hit, Of: new.Of + n.Of}
-		control = judge.Counts{Hit: control.Hit + w*o.Hit, Of: control.Of + w*o.Of}
+		w := n.Total / o.Total / maxRatio
+		new = judge.Counts{Hits: new.Hits + n.Hits, Total: new.Total + n.Total}
+		control = judge.Counts{Hits: control.Hits + w*o.Hits, Total: control.Total + w*o.Total}
 	}
 	return new, control
 }
--- a/internal/coordination/evidence/evidence_test.go
+++ b/internal/coordination/evidence/evidence_test.go
@@ -40,14 +40,14 @@
 		now = append(now, rollout.Report{Sidecar: name, Release: "old", Ready: true})
 		w.counts[name], w.began[name] = &counts.Class{Name: "look"}, 1
 	}
-	p := rollout.Plan{Application: "a", From: "old", To: "new", AtOnce: 4, Unavailable: 4, Patience: 1000 * time.Second, Judge: rollout.Judgement{FalseStops: 0.01, MissedStops: 0.05, Effect: 0.1},
-		Stages: []rollout.Stage{first, {Select: rollout.Select{Share: 1}}}}
+	p := rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: 4, MaxUnavailable: 4, EvidenceTimeout: 1000 * time.Second, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.1},
+		Stages: []rollout.Stage{first, {Selector: rollout.Selector{Share: 1}}}}
 	s, err := rollout.New(p, members, now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, o := range s.Apply(rollout.Event{}) {
-		s.Apply(rollout.Event{Report: &rollout.Report{Sidecar: o.Sidecar, Release: o.Release, Ready: true, Done: o.Number}})
+		s.Apply(rollout.Event{Report: &rollout.Report{Sidecar: o.Sidecar, Release: o.Release, Ready: true, CompletedOrder: o.Number}})
 	}
 	w.change = &rollout.Change{Name: "c", Members: members, State: s}
 	return w
@@ -58,7 +58,7 @@
 	read := map[string]Reading{}
 	for _, s := range w.change.State.Sidecars() {
 		count(s.Name, s.Release, w.counts[s.Name])
-		read[s.Name] = Reading{Process: agent.Process{PID: 1, Began: w.began[s.Name], Release: s.Release}, Told: counts.Told{Classes: []counts.Class{*w.counts[s.Name]}, Effort: w.effort(s.Name)}, CPU: w.cpu[s.Name], Memory: 20<<20 + w.memory[s.Name]}
+		read[s.Name] = Reading{Process: agent.Process{PID: 1, StartTicks: w.began[s.Name], Release: s.Release}, Told: counts.Told{Classes: []counts.Class{*w.counts[s.Name]}, Effort: w.effort(s.Name)}, CPUTicks: w.cpu[s.Name], ResidentBytes: 20<<20 + w.memory[s.Name]}
 	}
 	v, err := w.e.Window(w.change, read, 10*time.Second)
 	if err != nil {
@@ -89,9 +89,9 @@
 		verdict string // "": fine
 		stage   rollout.Stage
 	}{
-		"a zone where all fail more": {zoneA, "", rollout.Stage{Select: rollout.Select{Count: 1}, Control: 1}},
-		"the same, no control":       {zoneA, "", rollout.Stage{Select: rollout.Select{Count: 1}}},
-		"the same, more of the new":  {zoneA, "", rollout.Stage{Select: rollout.Select{Names: []string{"n0", "n2", "n1"}}}},
+		"a zone where all fail more": {zoneA, "", rollout.Stage{Selector: rollout.Selector{Count: 1}, ControlCount: 1}},
+		"the same, no control":       {zoneA, "", rollout.Stage{Selector: rollout.Selector{Count: 1}}},
+		"the same, more of the new":  {zoneA, "", rollout.Stage{Selector: rollout.Selector{Names: []string{"n0", "n2", "n1"}}}},
 		"equal":                      {func(_ *world, _ int, _, _ string, c *counts.Class) { serve(c, 20, 10) }, "", rollout.Stage{}},
 		"better": {func(_ *world, _ int, _, r string, c *counts.Class) {
 			serve(c, 20, map[string]int{"old": 12, "new": 8}[r])
@@ -176,8 +176,8 @@
 		}, "worse: failed of class look", rollout.Stage{}},
 		"nobody asks": {func(*world, int, string, string, *counts.Class) {}, "none", rollout.Stage{}},
 	} {
-		if len(c.stage.Select.Names) == 0 && c.stage.Select.Count == 0 {
-			c.stage = rollout.Stage{Select: rollout.Select{Count: 2}, Control: 2}
+		if len(c.stage.Selector.Names) == 0 && c.stage.Selector.Count == 0 {
+			c.stage = rollout.Stage{Selector: rollout.Selector{Count: 2}, ControlCount: 2}
 		}
 		w := newWorld(t, c.stage)
 		var v *rollout.Verdict
@@ -186,10 +186,10 @@
 		}
 		switch {
 		case c.verdict == "none":
-			if v != nil && (v.Fine || v.Worse) {
+			if v != nil && (v.NoWorse || v.Worse) {
 				t.Errorf("%s: %+v", name, v)
 			}
-		case v == nil || v.Fine != (c.verdict == "") || v.Worse == (c.verdict == "") || !strings.Contains(v.Why, c.verdict):
+		case v == nil || v.NoWorse != (c.verdict == "") || v.Worse == (c.verdict == "") || !strings.Contains(v.Reason, c.verdict):
 			t.Errorf("%s: %+v, want %q", name, v, c.verdict)
 		}
 	}
@@ -197,13 +197,13 @@
 
 // Where a plan has none restarted all old ones are the control; in the last stage there is none.
 func TestControl(t *testing.T) {
-	w := newWorld(t, rollout.Stage{Select: rollout.Select{Count: 2}})
+	w := newWorld(t, rollout.Stage{Selector: rollout.Selector{Count: 2}})
 	var v *rollout.Verdict
 	count := func(_, _ string, c *counts.Class) { serve(c, 20, 10) }
 	for range 100 {
 		v = w.window(t, count)
 	}
-	if v == nil || !v.Fine {
+	if v == nil || !v.NoWorse {
 		t.Fatalf("%+v", v)
 	}
 	w.change.State.Apply(rollout.Event{Verdict: v})
@@ -211,9 +211,9 @@
 		t.Fatal("it waits in its first stage")
 	}
 	for _, s := range w.change.State.Sidecars() {
-		w.change.State.Apply(rollout.Event{Report: &rollout.Report{Sidecar: s.Name, Release: "new", Ready: true, Done: s.Order}})
+		w.change.State.Apply(rollout.Event{Report: &rollout.Report{Sidecar: s.Name, Release: "new", Ready: true, CompletedOrder: s.OpenOrder}})
 	}
-	if v = w.window(t, count); v == nil || !v.Fine || !strings.Contains(v.Why, "none is left") {
+	if v = w.window(t, count); v == nil || !v.NoWorse || !strings.Contains(v.Reason, "none is left") {
 		t.Errorf("%+v", v)
 	}
 }
@@ -224,8 +224,8 @@
 		before, after uint64
 		restarted     bool // it befalls those alone that this change has started anew
 	}{"worse": {0, 6, false}, "as before": {6, 6, false}, "better": {6, 0, false}, "cold": {0, 6, true}} {
-		w := newWorld(t, rollout.Stage{Select: rollout.Select{Count: 2}, Control: 2})
-		w.change.State.Plan.Before = time.Minute
+		w := newWorld(t, rollout.Stage{Selector: rollout.Selector{Count: 2}, ControlCount: 2})
+		w.change.State.Plan.BaselinePeriod = time.Minute
 		var v *rollout.Verdict
 		count := func(failed uint64) func(string, string, *counts.Class) {
 			return func(name, _ string, k *counts.Class) {
@@ -239,11 +239,11 @@
 				t.Fatalf("%+v", v)
 			}
 		}
-		w.change.State.Settled = time.Minute
-		for i := 0; i < 60 && (v == nil || !v.Old); i++ {
+		w.change.State.BaselineElapsed = time.Minute
+		for i := 0; i < 60 && (v == nil || !v.BaselineWorse); i++ {
 			v = w.window(t, count(c.after))
 		}
-		if v == nil || v.Worse || v.Old != (name == "worse") || v.Old && !strings.Contains(v.Why, "failed of class look: 0.3000, before 0.0000") {
+		if v == nil || v.Worse || v.BaselineWorse != (name == "worse") || v.BaselineWorse && !strings.Contains(v.Reason, "failed of class look: 0.3000, before 0.0000") {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
--- a/internal/coordination/fleet/rpc.go
+++ b/internal/coordination/fleet/rpc.go
@@ -64,7 +64,7 @@
 	Holdings       []lease.Holding      `json:"holdings,omitempty"`
 	Backup         json.RawMessage      `json:"backup,omitempty"`
 	Members        []replica.Member     `json:"members,omitempty"`
-	Rollout        rollout.Answer       `json:"rollout,omitzero"`
+	Rollout        rollout.Response     `json:"rollout,omitzero"`
 	Refused        string               `json:"refused,omitempty"` // why a limit was not set, or no part of it is given
 	Share          share.Allocation     `json:"share,omitzero"`
 	Limits         []share.Standing     `json:"limits,omitempty"`
--- a/internal/coordination/judge/judge_test.go
+++ b/internal/coordination/judge/judge_test.go
@@ -10,10 +10,10 @@
 
 // draw is how many of n requests something happens to.
 func draw(r *rand.Rand, n int, p float64) (c Counts) {
-	c.Of = float64(n)
+	c.Total = float64(n)
 	for range n {
 		if r.Float64() < p {
-			c.Hit++
+			c.Hits++
 		}
 	}
 	return c
@@ -26,7 +26,7 @@
 	rate                    func(window, class, zone int, new bool) float64
 }
 
-var plan = Plan{FalseStop: 0.01, Missed: 0.05, Effect: 0.02, Cells: 18}
+var plan = Plan{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02, MaxCells: 18}
 
 // judge plays a change until it is worse, or all windows are over; at is when, NoWorse has to last to the end.
 func (c change) judge(t testing.TB, r *rand.Rand, p Plan) (v Verdict, at int) {
@@ -170,7 +170,7 @@
 	}
 	evidence := func(bunch float64) float64 {
 		p := plan
-		p.Bunch = bunch
+		p.ClusterSize = bunch
 		j, _ := New(p)
 		for range 10 {
 			j.Add(Cell{}, Counts{10, 100}, Counts{2, 100})
@@ -188,11 +188,11 @@
 // Bad plans and counts are errors that say what to write.
 func TestBadInput(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
-		"false_stops: 0;":  func(p *Plan) { p.FalseStop = 0 },
-		"missed_stops: 1;": func(p *Plan) { p.Missed = 1 },
-		"effect: -1;":      func(p *Plan) { p.Effect = -1 },
-		"cells: 0;":        func(p *Plan) { p.Cells = 0 },
-		"bunch: 0.5;":      func(p *Plan) { p.Bunch = 0.5 },
+		"false_stops: 0;":  func(p *Plan) { p.FalseStopRate = 0 },
+		"missed_stops: 1;": func(p *Plan) { p.MissedStopRate = 1 },
+		"effect: -1;":      func(p *Plan) { p.MinEffect = -1 },
+		"cells: 0;":        func(p *Plan) { p.MaxCells = 0 },
+		"bunch: 0.5;":      func(p *Plan) { p.ClusterSize = 0.5 },
 	} {
 		p := plan
 		change(&p)
@@ -201,7 +201,7 @@
 		}
 	}
 	p := plan
-	p.Cells = 1
+	p.MaxCells = 1
 	j, _ := New(p)
 	if err := j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{2, 1}, Counts{0, 1}); err == nil {
 		t.Error("2 of 1")
--- a/internal/coordination/machine/apart_test.go
+++ b/internal/coordination/machine/apart_test.go
@@ -23,7 +23,7 @@
 		"that servers remember":  {`"window_ms": 2000`, `"window_ms": 3000`, true, ""},
 		"what is no JSON object": {`{"name"`, `["name"`, false, ""}, // the program says where
 	} {
-		got := apart([]byte(old), []byte(strings.Replace(old, c.from, c.to, 1)), c.done)
+		got := incompatibility([]byte(old), []byte(strings.Replace(old, c.from, c.to, 1)), c.done)
 		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
--- a/internal/coordination/machine/config.go
+++ b/internal/coordination/machine/config.go
@@ -22,40 +22,40 @@
 
 // Config is what an agent is told.
 type Config struct {
-	Application string
-	Listen      string
-	Data        string // the folder for what is kept
-	Releases    string // the store
-	Release     string // what sidecars begin with for which nothing is kept yet
-	Limits      agent.Limits
-	Heard       time.Duration // without a driver's word for this long, the machine is cut off
-	Look        time.Duration // between two looks at the processes
-	Sidecars    []Sidecar
+	Application    string
+	Listen         string
+	Data           string // the folder for what is kept
+	Releases       string // the store
+	Release        string // what sidecars begin with for which nothing is kept yet
+	Limits         agent.Limits
+	ContactTimeout time.Duration // without a driver's word for this long, the machine is cut off
+	PollInterval   time.Duration // between two looks at the processes
+	Sidecars       []SidecarConfig
 
 	Coordinators []string // that tell versions of the application's configuration; none: nobody does
 	Member       string   // the agent's name for them
 }
 
-// Sidecar is one of the machine's.
-type Sidecar struct {
+// SidecarConfig is one of the machine's.
+type SidecarConfig struct {
 	Name, Zone, Listen string
-	Doors              [2]string                  // for operators; two processes of a hand-over have one each
-	Set                map[string]json.RawMessage // fields of the settings that are this sidecar's own
+	AdminAddresses     [2]string                  // for operators; two processes of a hand-over have one each
+	Overrides          map[string]json.RawMessage // fields of the settings that are this sidecar's own
 }
 
-// own are the fields of the settings that an agent writes for each sidecar.
-var own = []string{"name", "listen", "admin_addr"}
+// agentFields are the fields of the settings that an agent writes for each sidecar.
+var agentFields = []string{"name", "listen", "admin_addr"}
 
 // The defaults.
 const (
-	DefaultListen = "127.0.0.1:7500"
-	defaultHeard  = 5 * time.Second
-	defaultLook   = 200 * time.Millisecond
-	// defaultVersion is the trial of a process with a new version: it has to be in force within seconds of its publication.
-	defaultVersion = 2 * time.Second
+	DefaultListen         = "127.0.0.1:7500"
+	defaultContactTimeout = 5 * time.Second
+	defaultPollInterval   = 200 * time.Millisecond
+	// defaultVersionTrialPeriod is the trial of a process with a new version: it has to be in force within seconds of its publication.
+	defaultVersionTrialPeriod = 2 * time.Second
 )
 
-var defaultLimits = agent.Limits{Ready: 6 * time.Second, Trial: 10 * time.Second, End: 4 * time.Second, CutOff: 5 * time.Minute, Pause: time.Second, Most: time.Minute}
+var defaultLimits = agent.Limits{ReadyTimeout: 6 * time.Second, TrialPeriod: 10 * time.Second, TerminationTimeout: 4 * time.Second, IsolationTimeout: 5 * time.Minute, InitialBackoff: time.Second, MaxBackoff: time.Minute}
 
 // Read reads a file.
 func Read(path string) (*Config, error) {
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{Listen: DefaultListen, Limits: defaultLimits, Heard: defaultHeard, Look: defaultLook}
+	c := &Config{Listen: DefaultListen, Limits: defaultLimits, ContactTimeout: defaultContactTimeout, PollInterval: defaultPollInterval}
 	remote := false
 	var sidecars, limits, configuration *yaml.Node
 	text1 := func(to *string, what string) func(*yaml.Node) error {
@@ -115,12 +115,12 @@
 		return nil, yamlfile.Problem(file, top, "listen", c.Listen+" is not of loopback; write allow_remote: true where everybody who reaches it may give orders")
 	}
 	if limits != nil {
-		if err := c.limits(file, limits); err != nil {
+		if err := c.parseLimits(file, limits); err != nil {
 			return nil, err
 		}
 	}
 	if configuration != nil {
-		if err := c.configuration(file, configuration, remote); err != nil {
+		if err := c.parseConfiguration(file, configuration, remote); err != nil {
 			return nil, err
 		}
 	}
@@ -129,11 +129,11 @@
 	}
 	lines := map[string]int{}
 	err = yamlfile.Each(file, "sidecars", sidecars, func(at string, n *yaml.Node) error {
-		s, err := sidecar(file, at, n)
+		s, err := parseSidecar(file, at, n)
 		if err != nil {
 			return err
 		}
-		for _, own := range []string{"name " + s.Name, s.Listen, s.Doors[0], s.Doors[1]} {
+		for _, own := range []string{"name " + s.Name, s.Listen, s.AdminAddresses[0], s.AdminAddresses[1]} {
 			if lines[own] != 0 {
 				return yamlfile.Problem(file, n, at, fmt.Sprintf("%s is in line %d already", own, lines[own]))
 			}
@@ -154,7 +154,7 @@
 	return c, err
 }
 
-func (c *Config) limits(file string, n *yaml.Node) error {
+func (c *Config) parseLimits(file string, n *yaml.Node) error {
 	if n.Kind != yaml.MappingNode {
 		return yamlfile.Problem(file, n, "limits", "write fields such as ready: 6s")
 	}
@@ -162,23 +162,23 @@
 		return func(n *yaml.Node) error { return yamlfile.Within(n, d, least, 24*time.Hour) }
 	}
 	return yamlfile.Fields(file, "limits.", n, map[string]func(*yaml.Node) error{
-		"ready": time1(&c.Limits.Ready, 100*time.Millisecond), "trial": time1(&c.Limits.Trial, 0), "end": time1(&c.Limits.End, 100*time.Millisecond),
-		"cut_off": time1(&c.Limits.CutOff, time.Second), "restart_pause": time1(&c.Limits.Pause, 10*time.Millisecond),
-		"restart_pause_most": time1(&c.Limits.Most, 10*time.Millisecond), "heard": time1(&c.Heard, 100*time.Millisecond),
-		"look": time1(&c.Look, 10*time.Millisecond),
+		"ready": time1(&c.Limits.ReadyTimeout, 100*time.Millisecond), "trial": time1(&c.Limits.TrialPeriod, 0), "end": time1(&c.Limits.TerminationTimeout, 100*time.Millisecond),
+		"cut_off": time1(&c.Limits.IsolationTimeout, time.Second), "restart_pause": time1(&c.Limits.InitialBackoff, 10*time.Millisecond),
+		"restart_pause_most": time1(&c.Limits.MaxBackoff, 10*time.Millisecond), "heard": time1(&c.ContactTimeout, 100*time.Millisecond),
+		"look": time1(&c.PollInterval, 10*time.Millisecond),
 	})
 }
 
-// configuration reads who tells versions of the configuration.
-func (c *Config) configuration(file string, n *yaml.Node, remote bool) error {
+// parseConfiguration reads who tells versions of the configuration.
+func (c *Config) parseConfiguration(file string, n *yaml.Node, remote bool) error {
 	const at = "configuration"
 	if n.Kind != yaml.MappingNode {
 		return yamlfile.Problem(file, n, at, `write fields such as coordinators: ["127.0.0.1:7400"]`)
 	}
-	c.Limits.Version = min(defaultVersion, c.Limits.Trial)
+	c.Limits.VersionTrialPeriod = min(defaultVersionTrialPeriod, c.Limits.TrialPeriod)
 	err := yamlfile.Fields(file, at+".", n, map[string]func(*yaml.Node) error{
 		"trial": func(n *yaml.Node) error {
-			return yamlfile.Within(n, &c.Limits.Version, 10*time.Millisecond, 24*time.Hour)
+			return yamlfile.Within(n, &c.Limits.VersionTrialPeriod, 10*time.Millisecond, 24*time.Hour)
 		},
 		"member": func(n *yaml.Node) error {
 			err := yamlfile.Decode(n, &c.Member, "a name")
@@ -214,7 +214,7 @@
 	return err
 }
 
-func sidecar(file, at string, n *yaml.Node) (s Sidecar, err error) {
+func parseSidecar(file, at string, n *yaml.Node) (s SidecarConfig, err error) {
 	var doors []string
 	var set map[string]any
 	err = yamlfile.Fields(file, at+".", n, map[string]func(*yaml.Node) error{
@@ -245,16 +245,16 @@
 	case s.Listen == "" || doors == nil:
 		return s, yamlfile.Problem(file, n, at, "write listen, and two doors")
 	}
-	s.Doors, s.Set = [2]string(doors), map[string]json.RawMessage{}
+	s.AdminAddresses, s.Overrides = [2]string(doors), map[string]json.RawMessage{}
 	for name, v := range set {
 		text, err := json.Marshal(v)
 		if err != nil {
 			return s, yamlfile.Problem(file, n, at+".set."+name, err.Error())
 		}
-		s.Set[name] = text
+		s.Overrides[name] = text
 	}
-	for _, name := range own {
-		if s.Set[name] != nil {
+	for _, name := range agentFields {
+		if s.Overrides[name] != nil {
 			return s, yamlfile.Problem(file, n, at+".set."+name, "the agent writes it; leave it out")
 		}
 	}
@@ -263,20 +263,20 @@
 
 // settings are a release's for one sidecar, with a version's over them; nil: there is none. The sidecar's own come
 // last. A name in Set may go into fields by dots: settings.my_number.
-func (s *Sidecar) settings(release, version []byte) ([]byte, error) {
+func (s *SidecarConfig) settings(release, version []byte) ([]byte, error) {
 	fields, over := map[string]any{}, map[string]any{}
-	if err := decode(release, &fields); err != nil {
+	if err := decodeFields(release, &fields); err != nil {
 		return nil, fmt.Errorf("the settings of the release: %w", err)
 	}
 	if version != nil {
-		if err := decode(version, &over); err != nil {
+		if err := decodeFields(version, &over); err != nil {
 			return nil, fmt.Errorf("the version of the configuration: %w", err)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(over)) {
-		put(fields, name, over[name])
+		setField(fields, name, over[name])
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.Set)) {
+	for _, name := range slices.Sorted(maps.Keys(s.Overrides)) {
 		at, parts := fields, strings.Split(name, ".")
 		for _, part := range parts[:len(parts)-1] {
 			in, ok := at[part].(map[string]any)
@@ -285,24 +285,24 @@
 			}
 			at = in
 		}
-		put(at, parts[len(parts)-1], s.Set[name])
+		setField(at, parts[len(parts)-1], s.Overrides[name])
 	}
 	maps.DeleteFunc(fields, func(name string, _ any) bool {
-		return slices.ContainsFunc(own, func(o string) bool { return strings.EqualFold(o, name) })
+		return slices.ContainsFunc(agentFields, func(o string) bool { return strings.EqualFold(o, name) })
 	})
 	fields["name"], fields["listen"] = s.Name, s.Listen
 	return json.Marshal(fields)
 }
 
-func decode(text []byte, to *map[string]any) error {
+func decodeFields(text []byte, to *map[string]any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	return d.Decode(to)
 }
 
-// put sets a field. One of the same letters in another case is the same to whoever reads the text with package json:
+// setField sets a field. One of the same letters in another case is the same to whoever reads the text with package json:
 // it is set.
-func put(fields map[string]any, name string, v any) {
+func setField(fields map[string]any, name string, v any) {
 	same := slices.Sorted(func(yield func(string) bool) {
 		for other := range fields {
 			if strings.EqualFold(other, name) && !yield(other) {
@@ -317,8 +317,8 @@
 	fields[name] = v
 }
 
-// differing are the top fields of two settings of one sidecar that are not the same.
-func differing(a, b []byte) (all []string, err error) {
+// differingFields are the top fields of two settings of one sidecar that are not the same.
+func differingFields(a, b []byte) (all []string, err error) {
 	var one, other map[string]json.RawMessage
 	if err := errors.Join(json.Unmarshal(a, &one), json.Unmarshal(b, &other)); err != nil {
 		return nil, err
--- a/internal/coordination/machine/machine.go
+++ b/internal/coordination/machine/machine.go
@@ -33,85 +33,85 @@
 
 // Machine is the agent's process.
 type Machine struct {
-	c      *Config
-	log    *slog.Logger
-	store  *release.Store
-	lock   *os.File
-	began  time.Time
-	units  []*unit
-	fence  rollout.Fence
-	kept   rollout.Fence // as it is on the disk
-	heard  time.Duration // when a driver spoke last
-	events chan func() error
-	ended  chan struct{}
+	config      *Config
+	log         *slog.Logger
+	store       *release.Store
+	lockFile    *os.File
+	startedAt   time.Time
+	sidecars    []*managedSidecar
+	fence       rollout.Fence
+	savedFence  rollout.Fence // as it is on the disk
+	lastContact time.Duration // when a driver spoke last
+	posted      chan func() error
+	ended       chan struct{}
 
-	ctx      context.Context // of Run, for what is begun beside
-	sides    sync.WaitGroup
-	checks   chan struct{} // one for each check that runs
-	versions map[distribute.Revision]distribute.Version
-	holds    distribute.Revision // the newest of them
-	tells    subscription        // nil: nobody does
+	runContext    context.Context // of Run, for what is begun beside
+	background    sync.WaitGroup
+	checkSlots    chan struct{} // one for each check that runs
+	versions      map[distribute.Revision]distribute.Version
+	newestVersion distribute.Revision // the newest of them
+	subscription  versionSubscription // nil: nobody does
 }
 
-// subscription tells of newer versions; a subscribe.Client is one.
-type subscription interface {
+// versionSubscription tells of newer versions; a subscribe.Client is one.
+type versionSubscription interface {
 	Run(context.Context)
 	Report(distribute.Report)
 }
 
-// unit is one sidecar.
-type unit struct {
+// managedSidecar is one sidecar.
+type managedSidecar struct {
 	*agent.Sidecar
-	conf  *Sidecar
-	saved agent.PersistedState
-	asked map[agent.Process]bool // its endpoint is being asked
-	said  map[agent.Process]json.RawMessage
+	config     *SidecarConfig
+	savedState agent.PersistedState
+	probing    map[agent.Process]bool // its endpoint is being asked
+	counts     map[agent.Process]json.RawMessage
 
-	reported distribute.Report
+	lastReport distribute.Report
 }
 
 // Open takes up the machine as it was left: what is kept, and what lives.
-func Open(c *Config, log *slog.Logger) (*Machine, error) {
-	return open(c, log, func(holds distribute.Revision, take func(distribute.Version) error) subscription {
-		if len(c.Coordinators) == 0 {
+func Open(config *Config, log *slog.Logger) (*Machine, error) {
+	return open(config, log, func(newest distribute.Revision, accept func(distribute.Version) error) versionSubscription {
+		if len(config.Coordinators) == 0 {
 			return nil
 		}
 		return subscribe.New(subscribe.Options{
-			Addrs: c.Coordinators, Service: c.Application, Member: c.Member, Holds: holds, Take: take, Log: log,
+			Addrs: config.Coordinators, Service: config.Application, Member: config.Member, Holds: newest, Take: accept, Log: log,
 		})
 	})
 }
 
 func open(
-	c *Config, log *slog.Logger, tells func(distribute.Revision, func(distribute.Version) error) subscription,
+	config *Config, log *slog.Logger, newSubscription func(distribute.Revision, func(distribute.Version) error) versionSubscription,
 ) (*Machine, error) {
-	if err := os.MkdirAll(filepath.Join(c.Data, "tmp"), 0o700); err != nil {
+	if err := os.MkdirAll(filepath.Join(config.Data, "tmp"), 0o700); err != nil {
 		return nil, err
 	}
-	lock, err := os.OpenFile(filepath.Join(c.Data, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
+	lock, err := os.OpenFile(filepath.Join(config.Data, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, fmt.Errorf("%s: another agent is in charge of it: %w", c.Data, err)
+		return nil, fmt.Errorf("%s: another agent is in charge of it: %w", config.Data, err)
 	}
-	m := &Machine{c: c, log: log, lock: lock, began: time.Now(),
-		events: make(chan func() error, 256), ended: make(chan struct{}),
-		checks: make(chan struct{}, atOnce), versions: map[distribute.Revision]distribute.Version{}}
-	if m.store, err = release.NewStore(c.Releases); err == nil {
-		_, err = m.read("fence", &m.fence)
+	m := &Machine{config: config, log: log, lockFile: lock, startedAt: time.Now(),
+		posted: make(chan func() error, 256), ended: make(chan struct{}),
+		checkSlots: make(chan struct{}, maxConcurrentChecks), versions: map[distribute.Revision]distribute.Version{}}
+	if m.store, err = release.NewStore(config.Releases); err == nil {
+		_, err = m.readState("fence", &m.fence)
 	}
 	if err == nil {
-		_, err = m.read("fence", &m.kept)
+		_, err = m.readState("fence", &m.savedFence)
 	}
 	if err == nil {
 		err = m.readVersions()
 	}
-	m.tells = tells(m.holds, m.taken)
-	for i := range c.Sidecars {
+	m.subscription = newSubscription(m.newestVersion, m.acceptVersion)
+	for i := range config.Sidecars {
 		if err == nil {
-			err = m.take(&c.Sidecars[i])
+			err = m.restoreSidecar(&config.Sidecars[i])
 		}
 	}
 	if err != nil {
@@ -121,68 +121,70 @@
 	return m, nil
 }
 
-func (m *Machine) now() time.Duration { return time.Since(m.began) }
+func (m *Machine) now() time.Duration { return time.Since(m.startedAt) }
 
-// take takes up one sidecar.
-func (m *Machine) take(conf *Sidecar) error {
-	u := &unit{conf: conf, asked: map[agent.Process]bool{}, said: map[agent.Process]json.RawMessage{}}
-	m.units = append(m.units, u)
-	was, err := m.read("sidecar-"+conf.Name, &u.saved)
+// restoreSidecar takes up one sidecar.
+func (m *Machine) restoreSidecar(conf *SidecarConfig) error {
+	u := &managedSidecar{config: conf, probing: map[agent.Process]bool{}, counts: map[agent.Process]json.RawMessage{}}
+	m.sidecars = append(m.sidecars, u)
+	was, err := m.readState("sidecar-"+conf.Name, &u.savedState)
 	if err != nil {
 		return err
 	}
 	if !was {
-		if _, err := m.store.Open(release.ID(m.c.Release)); err != nil {
+		if _, err := m.store.Open(release.ID(m.config.Release)); err != nil {
 			return err
 		}
-		u.Sidecar = agent.New(m.c.Release, m.c.Limits)
-		m.want(u)
-		return m.after(u, nil)
+		u.Sidecar = agent.New(m.config.Release, m.config.Limits)
+		m.adoptNewestVersion(u)
+		return m.carryOut(u, nil)
 	}
-	for _, version := range []distribute.Revision{u.saved.InForce, u.saved.Trying} {
+	for _, version := range []distribute.Revision{u.savedState.InForce, u.savedState.Candidate} {
 		if _, known := m.versions[version]; version != 0 && !known {
 			return fmt.Errorf("%s: sidecar %s runs with it, and it is not there or damaged", m.versionFile(version), conf.Name)
 		}
 	}
 	var found *agent.Process
-	if u.saved.Starts > 0 && (u.saved.Serving == nil || u.saved.Phase == agent.Starting && u.saved.Next == nil) {
-		if found, err = claim(m.numbered(u, "start", u.saved.Starts)); err != nil {
+	if u.savedState.StartCount > 0 && (u.savedState.Serving == nil || u.savedState.Phase == agent.Starting && u.savedState.Next == nil) {
+		if found, err = claim(m.startFile(u, "start", u.savedState.StartCount)); err != nil {
 			return err
 		}
 		if found != nil {
-			found.Release, found.AdminAddress, found.Start = u.saved.Target, u.endpoint(), u.saved.Starts
-			if u.saved.Target == "" {
-				found.Release = u.saved.Confirmed
+			found.Release, found.AdminAddress, found.StartNumber = u.savedState.Target, u.nextAdminAddress(), u.savedState.StartCount
+			if u.savedState.Target == "" {
+				found.Release = u.savedState.Confirmed
 			}
 		}
 	}
-	kept, todo := u.saved, []agent.Action(nil)
-	u.Sidecar, todo = agent.Restore(kept, m.c.Limits, m.now(), Lives, found)
-	m.want(u)
+	kept, todo := u.savedState, []agent.Action(nil)
+	u.Sidecar, todo = agent.Restore(kept, m.config.Limits, m.now(), Lives, found)
+	m.adoptNewestVersion(u)
 	m.log.Info("taken up", "sidecar", conf.Name, "phase", kept.Phase.String(), "now", u.Serving, "next", u.Next, "found", found != nil)
-	return m.after(u, todo)
+	return m.carryOut(u, todo)
 }
 
-// path is the name of a file of a sidecar's last start.
-func (m *Machine) path(u *unit, what string) string { return m.numbered(u, what, u.Starts) }
+// lastStartFile is the name of a file of a sidecar's last start.
+func (m *Machine) lastStartFile(u *managedSidecar, kind string) string {
+	return m.startFile(u, kind, u.StartCount)
+}
 
-func (m *Machine) numbered(u *unit, what string, n uint64) string {
-	return filepath.Join(m.c.Data, fmt.Sprintf("%s-%s-%d", what, u.conf.Name, n))
+func (m *Machine) startFile(u *managedSidecar, kind string, startNumber uint64) string {
+	return filepath.Join(m.config.Data, fmt.Sprintf("%s-%s-%d", kind, u.config.Name, startNumber))
 }
 
-// endpoint is the one for operators that a next process has.
-func (u *unit) endpoint() string {
-	for _, endpoint := range u.conf.Doors {
-		if u.saved.Serving == nil || u.saved.Serving.AdminAddress != endpoint {
+// nextAdminAddress is the one for operators that a next process has.
+func (u *managedSidecar) nextAdminAddress() string {
+	for _, endpoint := range u.config.AdminAddresses {
+		if u.savedState.Serving == nil || u.savedState.Serving.AdminAddress != endpoint {
 			return endpoint
 		}
 	}
 	return ""
 }
 
-// read reads what is kept under a name; false: nothing is.
-func (m *Machine) read(name string, to any) (bool, error) {
-	path := filepath.Join(m.c.Data, name+".json")
+// readState reads what is kept under a name; false: nothing is.
+func (m *Machine) readState(name string, to any) (bool, error) {
+	path := filepath.Join(m.config.Data, name+".json")
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return false, nil
@@ -196,17 +198,17 @@
 	return true, nil
 }
 
-// keep writes what is kept: beside, synced, renamed.
-func (m *Machine) keep(name string, v any) error {
+// writeState writes what is kept: beside, synced, renamed.
+func (m *Machine) writeState(name string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return replace(filepath.Join(m.c.Data, name+".json"), text)
+	return replaceFile(filepath.Join(m.config.Data, name+".json"), text)
 }
 
-// replace replaces a file as a whole: whoever reads it has the one or the other, also after a failure of the machine.
-func replace(path string, text []byte) error {
+// replaceFile replaces a file as a whole: whoever reads it has the one or the other, also after a failure of the machine.
+func replaceFile(path string, text []byte) error {
 	f, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
@@ -228,62 +230,62 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// after keeps what has changed, and only then does what is to be done.
-func (m *Machine) after(u *unit, todo []agent.Action) error {
-	for first := true; first || len(todo) > 0; first = false {
-		if err := m.save(u); err != nil {
+// carryOut keeps what has changed, and only then does what is to be done.
+func (m *Machine) carryOut(u *managedSidecar, actions []agent.Action) error {
+	for first := true; first || len(actions) > 0; first = false {
+		if err := m.saveState(u); err != nil {
 			return err
 		}
-		if len(todo) == 0 {
+		if len(actions) == 0 {
 			break
 		}
-		do := todo[0]
-		todo = todo[1:]
+		action := actions[0]
+		actions = actions[1:]
 		switch {
-		case do.Start != "":
-			todo = append(todo, m.begin(u, do.Start, do.Version)...)
-		case do.Term != nil:
-			signal(*do.Term, syscall.SIGTERM)
-		case do.Kill != nil:
-			signal(*do.Kill, syscall.SIGKILL)
-		case do.Reload != nil:
-			digest, err := m.tell(u, *do.Reload, do.Version)
-			u.Told(m.now(), *do.Reload, digest, err)
-		case do.Check != nil:
-			m.verify(u, *do.Check)
+		case action.Start != "":
+			actions = append(actions, m.startProcess(u, action.Start, action.Version)...)
+		case action.Term != nil:
+			signal(*action.Term, syscall.SIGTERM)
+		case action.Kill != nil:
+			signal(*action.Kill, syscall.SIGKILL)
+		case action.Reload != nil:
+			digest, err := m.reloadProcess(u, *action.Reload, action.Version)
+			u.ReloadRequested(m.now(), *action.Reload, digest, err)
+		case action.Check != nil:
+			m.checkInBackground(u, *action.Check)
 		}
 	}
-	err := m.save(u)
-	if r := u.Report(u.conf.Name); err == nil && r != u.reported { // what is reported is on the disk
-		u.reported = r
-		if m.tells != nil {
-			m.tells.Report(r)
+	err := m.saveState(u)
+	if r := u.Report(u.config.Name); err == nil && r != u.lastReport { // what is reported is on the disk
+		u.lastReport = r
+		if m.subscription != nil {
+			m.subscription.Report(r)
 		}
 	}
 	return err
 }
 
-func (m *Machine) save(u *unit) error {
-	was, _ := json.Marshal(u.saved)
+func (m *Machine) saveState(u *managedSidecar) error {
+	was, _ := json.Marshal(u.savedState)
 	is, _ := json.Marshal(u.PersistedState)
 	if string(was) == string(is) {
 		return nil
 	}
-	if err := m.keep("sidecar-"+u.conf.Name, u.PersistedState); err != nil {
+	if err := m.writeState("sidecar-"+u.config.Name, u.PersistedState); err != nil {
 		return err
 	}
-	if u.saved.Phase != u.Phase || u.saved.Done != u.Done {
-		m.log.Info("sidecar", "name", u.conf.Name, "phase", u.Phase.String(), "order", u.Order, "done", u.Done, "failed", u.Failed, "fell", u.FallbackReason)
+	if u.savedState.Phase != u.Phase || u.savedState.CompletedOrder != u.CompletedOrder {
+		m.log.Info("sidecar", "name", u.config.Name, "phase", u.Phase.String(), "order", u.Order, "done", u.CompletedOrder, "failed", u.FailureReason, "fell", u.FallbackReason)
 	}
-	if was, is := u.saved.Configured, u.Configured; was != is {
-		m.log.Info("configuration", "sidecar", u.conf.Name, "in_force", uint64(is.InForce), "trying", uint64(is.Trying),
-			"live", is.Live, "refused", uint64(is.Refused), "why", is.Why)
+	if was, is := u.savedState.ConfigurationState, u.ConfigurationState; was != is {
+		m.log.Info("configuration", "sidecar", u.config.Name, "in_force", uint64(is.InForce), "trying", uint64(is.Candidate),
+			"live", is.ByReload, "refused", uint64(is.Rejected), "why", is.RejectionReason)
 	}
-	u.saved = copied(u.PersistedState)
+	u.savedState = cloneState(u.PersistedState)
 	return nil
 }
 
-func copied(k agent.PersistedState) agent.PersistedState {
+func cloneState(k agent.PersistedState) agent.PersistedState {
 	for _, p := range []**agent.Process{&k.Serving, &k.Next, &k.Terminating} {
 		if *p != nil {
 			own := **p
@@ -293,64 +295,64 @@
 	return k
 }
 
-const keptStarts = 8 // for how many starts files are left for people
+const retainedStarts = 8 // for how many starts files are left for people
 
-// begin starts a release, with a version of its configuration.
-func (m *Machine) begin(u *unit, id string, version distribute.Revision) []agent.Action {
-	p, err := m.start(u, id, version)
+// startProcess starts a release, with a version of its configuration.
+func (m *Machine) startProcess(u *managedSidecar, id string, version distribute.Revision) []agent.Action {
+	p, err := m.launch(u, id, version)
 	if err != nil {
-		m.log.Warn("not started", "sidecar", u.conf.Name, "release", id, "err", err)
-		if errors.Is(err, release.ErrNone) {
-			u.Lost(id)
+		m.log.Warn("not started", "sidecar", u.config.Name, "release", id, "err", err)
+		if errors.Is(err, release.ErrNotFound) {
+			u.ReleaseMissing(id)
 		}
-		return u.NotBegun(m.now(), err.Error())
+		return u.StartFailed(m.now(), err.Error())
 	}
-	p.Release, p.Start = id, u.Starts
-	m.log.Info("started", "sidecar", u.conf.Name, "release", id, "pid", p.PID)
-	return u.Began(m.now(), p)
+	p.Release, p.StartNumber = id, u.StartCount
+	m.log.Info("started", "sidecar", u.config.Name, "release", id, "pid", p.PID)
+	return u.ProcessStarted(m.now(), p)
 }
 
-func (m *Machine) start(u *unit, id string, version distribute.Revision) (p agent.Process, err error) {
+func (m *Machine) launch(u *managedSidecar, id string, version distribute.Revision) (p agent.Process, err error) {
 	r, err := m.store.Open(release.ID(id))
 	if err != nil {
 		return p, err
 	}
-	config := m.path(u, "config")
-	if err := m.write(u.conf, r, m.versions[version].Content, config); err != nil {
+	config := m.lastStartFile(u, "config")
+	if err := m.writeSettings(u.config, r, m.versions[version].Content, config); err != nil {
 		return p, err
 	}
-	m.forget(u)
-	return start(m.path(u, "start"), m.path(u, "log"), r.Program, config, filepath.Join(m.c.Data, "tmp"), u.endpoint())
+	m.removeOldFiles(u)
+	return startProgram(m.lastStartFile(u, "start"), m.lastStartFile(u, "log"), r.Program, config, filepath.Join(m.config.Data, "tmp"), u.nextAdminAddress())
 }
 
-// forget removes the files of old starts, but not those of a process that lives: it reads its configuration again.
-func (m *Machine) forget(u *unit) {
-	entries, _ := os.ReadDir(m.c.Data)
+// removeOldFiles removes the files of old starts, but not those of a process that lives: it reads its configuration again.
+func (m *Machine) removeOldFiles(u *managedSidecar) {
+	entries, _ := os.ReadDir(m.config.Data)
 	for _, e := range entries {
 		for _, what := range []string{"start", "config", "log"} {
-			rest, ok := strings.CutPrefix(e.Name(), what+"-"+u.conf.Name+"-")
+			rest, ok := strings.CutPrefix(e.Name(), what+"-"+u.config.Name+"-")
 			n, err := strconv.ParseUint(rest, 10, 64)
-			if !ok || err != nil || n+keptStarts > u.Starts {
+			if !ok || err != nil || n+retainedStarts > u.StartCount {
 				continue
 			}
-			lives := func(p *agent.Process) bool { return p != nil && p.Start == n }
+			lives := func(p *agent.Process) bool { return p != nil && p.StartNumber == n }
 			if !slices.ContainsFunc([]*agent.Process{u.Serving, u.Next, u.Terminating}, lives) {
-				os.Remove(filepath.Join(m.c.Data, e.Name()))
+				os.Remove(filepath.Join(m.config.Data, e.Name()))
 			}
 		}
 	}
 }
 
-// write writes a release's settings for a sidecar, with a version's over them.
-func (m *Machine) write(s *Sidecar, r release.Release, version []byte, path string) error {
-	text, err := merged(s, r, version)
+// writeSettings writes a release's settings for a sidecar, with a version's over them.
+func (m *Machine) writeSettings(s *SidecarConfig, r release.Release, version []byte, path string) error {
+	text, err := mergedSettings(s, r, version)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(path, text, 0o600)
 }
 
-func merged(s *Sidecar, r release.Release, version []byte) ([]byte, error) {
+func mergedSettings(s *SidecarConfig, r release.Release, version []byte) ([]byte, error) {
 	text, err := os.ReadFile(r.Settings)
 	if err != nil {
 		return nil, err
@@ -360,25 +362,25 @@
 
 // Run is in charge until ctx ends. An error is one of the disk: what is kept is not known, and only a new start can tell.
 func (m *Machine) Run(ctx context.Context, ln net.Listener) error {
-	defer m.lock.Close()
-	defer m.sides.Wait()
+	defer m.lockFile.Close()
+	defer m.background.Wait()
 	defer close(m.ended)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	m.ctx = ctx
-	if m.tells != nil {
-		m.sides.Go(func() { m.tells.Run(ctx) })
+	m.runContext = ctx
+	if m.subscription != nil {
+		m.background.Go(func() { m.subscription.Run(ctx) })
 	}
 	mux := http.NewServeMux()
-	rpc.Handle(mux, PathStatus, maxCall, m.look)
-	rpc.Handle(mux, PathOrder, maxCall, m.order)
-	rpc.Handle(mux, PathCheck, maxCall, m.check)
+	rpc.Handle(mux, PathStatus, maxRequestBytes, m.handleStatus)
+	rpc.Handle(mux, PathOrder, maxRequestBytes, m.handleOrder)
+	rpc.Handle(mux, PathCheck, maxRequestBytes, m.handleCheck)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, IdleTimeout: time.Minute,
 		ErrorLog: slog.NewLogLogger(m.log.Handler(), slog.LevelDebug)}
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(ln) }()
 	defer server.Close()
-	tick := time.NewTicker(m.c.Look)
+	tick := time.NewTicker(m.config.PollInterval)
 	defer tick.Stop()
 	for {
 		var err error
@@ -386,7 +388,7 @@
 		case <-ctx.Done():
 			return nil
 		case err = <-failed:
-		case f := <-m.events:
+		case f := <-m.posted:
 			err = f()
 		case <-tick.C:
 			err = m.tick(ctx)
@@ -399,44 +401,44 @@
 
 // tick looks at all processes, and at the clock.
 func (m *Machine) tick(ctx context.Context) error {
-	for _, u := range m.units {
+	for _, u := range m.sidecars {
 		var todo []agent.Action
 		for _, p := range []*agent.Process{u.Serving, u.Next, u.Terminating} {
 			if p != nil && !Lives(*p) {
 				said := ""
 				if p == u.Next { // whose start was the last
-					said = lastWords(m.path(u, "log"))
+					said = lastLogLine(m.lastStartFile(u, "log"))
 				}
-				todo = append(todo, u.Died(m.now(), *p, said)...)
+				todo = append(todo, u.ProcessExited(m.now(), *p, said)...)
 			}
 		}
-		u.Cut(m.now(), m.now()-m.heard >= m.c.Heard)
-		if err := m.after(u, append(todo, u.Tick(m.now())...)); err != nil {
+		u.SetIsolated(m.now(), m.now()-m.lastContact >= m.config.ContactTimeout)
+		if err := m.carryOut(u, append(todo, u.Tick(m.now())...)); err != nil {
 			return err
 		}
-		for p := range u.said {
-			if !u.has(p) {
-				delete(u.said, p)
+		for p := range u.counts {
+			if !u.runs(p) {
+				delete(u.counts, p)
 			}
 		}
 		for _, p := range []*agent.Process{u.Serving, u.Next} {
-			if p != nil && !u.asked[*p] {
-				u.asked[*p] = true
-				m.sides.Go(func() { m.ask(ctx, u, *p) })
+			if p != nil && !u.probing[*p] {
+				u.probing[*p] = true
+				m.background.Go(func() { m.probe(ctx, u, *p) })
 			}
 		}
 	}
 	return nil
 }
 
-func (u *unit) has(p agent.Process) bool {
+func (u *managedSidecar) runs(p agent.Process) bool {
 	return u.Serving != nil && *u.Serving == p || u.Next != nil && *u.Next == p
 }
 
 // post has f run by the goroutine that owns the machine; false: it has ended.
 func (m *Machine) post(f func() error) bool {
 	select {
-	case m.events <- f:
+	case m.posted <- f:
 		return true
 	case <-m.ended:
 		return false
--- a/internal/coordination/machine/recorded_test.go
+++ b/internal/coordination/machine/recorded_test.go
@@ -52,18 +52,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer m.lock.Close()
-	if m.fence.Token != 9 || m.fence.Last["n0"] != 4 {
+	defer m.lockFile.Close()
+	if m.fence.Token != 9 || m.fence.LastOrders["n0"] != 4 {
 		t.Errorf("%+v", m.fence)
 	}
 	if known, err := m.fence.Admit(9, rollout.Order{Number: 4, Sidecar: "n0"}); !known || err != nil {
 		t.Errorf("%v, %v", known, err)
 	}
-	if m.holds != 6 || string(m.versions[5].Content) != `{"discovery":"b","settings":{"y":2}}` {
-		t.Errorf("%d, %+v", m.holds, m.versions)
+	if m.newestVersion != 6 || string(m.versions[5].Content) != `{"discovery":"b","settings":{"y":2}}` {
+		t.Errorf("%d, %+v", m.newestVersion, m.versions)
 	}
-	k := m.units[0].PersistedState
-	if k.Confirmed != "dd2d610c130bf85e584e3bbb283828c2" || k.Done != 4 || k.Starts != 3 || k.InForce != 5 || k.Refused != 6 {
+	k := m.sidecars[0].PersistedState
+	if k.Confirmed != "dd2d610c130bf85e584e3bbb283828c2" || k.CompletedOrder != 4 || k.StartCount != 3 || k.InForce != 5 || k.Rejected != 6 {
 		t.Errorf("%+v", k)
 	}
 	if k.Serving != nil { // its process has ended long ago
@@ -74,11 +74,11 @@
 	}
 
 	found, err := claim(filepath.Join(c.Data, "start-n0-3"))
-	if err != nil || found == nil || *found != (agent.Process{PID: 18162, Began: 79747}) {
+	if err != nil || found == nil || *found != (agent.Process{PID: 18162, StartTicks: 79747}) {
 		t.Errorf("%+v, %v", found, err)
 	}
 	version := distribute.Version{}
-	if was, err := m.read("version-6", &version); !was || err != nil || version.Revision != 6 {
+	if was, err := m.readState("version-6", &version); !was || err != nil || version.Revision != 6 {
 		t.Errorf("%v, %v, %+v", was, err, version)
 	}
 }
--- a/internal/coordination/machine/start.go
+++ b/internal/coordination/machine/start.go
@@ -22,9 +22,9 @@
 
 const claimed = "claimed"
 
-// Once is the helper: it becomes program, unless the start was claimed. It returns only with an error.
-func Once(file, program string, args []string) error {
-	began, err := startOf(os.Getpid())
+// BecomeSidecar is the helper: it becomes program, unless the start was claimed. It returns only with an error.
+func BecomeSidecar(file, program string, args []string) error {
+	began, err := startTicks(os.Getpid())
 	if err != nil {
 		return err
 	}
@@ -59,14 +59,14 @@
 		return nil, err
 	}
 	p := &agent.Process{}
-	if n, _ := fmt.Sscan(string(text), &p.PID, &p.Began); n != 2 {
+	if n, _ := fmt.Sscan(string(text), &p.PID, &p.StartTicks); n != 2 {
 		return nil, fmt.Errorf("%s: %q is no process", file, text)
 	}
 	return p, nil
 }
 
-// startOf is when a process began, as the system counts; an error where there is none, or one that has ended and is not reaped.
-func startOf(pid int) (uint64, error) {
+// startTicks is when a process began, as the system counts; an error where there is none, or one that has ended and is not reaped.
+func startTicks(pid int) (uint64, error) {
 	fields, err := stat(pid)
 	if err != nil {
 		return 0, err
@@ -77,7 +77,7 @@
 // usage is the processor time that a process has used, in ticks of the system, and the bytes that it has resident.
 func usage(p agent.Process) (ticks, resident uint64) {
 	fields, err := stat(p.PID)
-	if err != nil || fields[19] != strconv.FormatUint(p.Began, 10) {
+	if err != nil || fields[19] != strconv.FormatUint(p.StartTicks, 10) {
 		return 0, 0
 	}
 	for _, f := range fields[11:13] {
@@ -115,8 +115,8 @@
 
 // Lives reports whether a process is there and is the one that is meant: numbers are used again.
 func Lives(p agent.Process) bool {
-	began, err := startOf(p.PID)
-	return err == nil && began == p.Began
+	began, err := startTicks(p.PID)
+	return err == nil && began == p.StartTicks
 }
 
 // signal sends a signal to the process that is meant.
@@ -126,8 +126,8 @@
 	}
 }
 
-// start starts a program by way of the helper. It goes on if the agent ends: it has a session of its own, and writes to a file.
-func start(file, log, program, config, tmp, endpoint string) (agent.Process, error) {
+// startProgram starts a program by way of the helper. It goes on if the agent ends: it has a session of its own, and writes to a file.
+func startProgram(file, log, program, config, tmp, endpoint string) (agent.Process, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return agent.Process{}, err
@@ -144,28 +144,28 @@
 	if err := cmd.Start(); err != nil {
 		return agent.Process{}, err
 	}
-	began, err := startOf(cmd.Process.Pid)
+	began, err := startTicks(cmd.Process.Pid)
 	go cmd.Wait() // no more than reaping: whether it lives is looked up
 	if err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return agent.Process{}, err
 	}
-	return agent.Process{PID: cmd.Process.Pid, Began: began, AdminAddress: endpoint}, nil
+	return agent.Process{PID: cmd.Process.Pid, StartTicks: began, AdminAddress: endpoint}, nil
 }
 
-// maxWords is how much of a log is looked at for what a process said last, and of a line that is passed on.
-const maxWords, maxLine = 16 << 10, 240
+// maxLogTail is how much of a log is looked at for what a process said last, and of a line that is passed on.
+const maxLogTail, maxLogLine = 16 << 10, 240
 
-// lastWords is the line of a log that says best why its process ended: the panic, else the last one. "": it said nothing.
-func lastWords(log string) string {
+// lastLogLine is the line of a log that says best why its process ended: the panic, else the last one. "": it said nothing.
+func lastLogLine(log string) string {
 	f, err := os.Open(log)
 	if err != nil {
 		return ""
 	}
 	defer f.Close()
 	if end, err := f.Seek(0, io.SeekEnd); err == nil {
-		f.Seek(max(0, end-maxWords), io.SeekStart)
+		f.Seek(max(0, end-maxLogTail), io.SeekStart)
 	}
-	text, _ := io.ReadAll(io.LimitReader(f, maxWords))
+	text, _ := io.ReadAll(io.LimitReader(f, maxLogTail))
 	said := ""
 	for line := range strings.Lines(string(text)) {
 		if line = strings.TrimSpace(line); strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
@@ -175,5 +175,5 @@
 			said = line
 		}
 	}
-	return strings.ToValidUTF8(said[:min(len(said), maxLine)], "")
+	return strings.ToValidUTF8(said[:min(len(said), maxLogLine)], "")
 }
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -25,7 +25,7 @@
 // The test's program is the helper as well, and says so as the program that it becomes.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("MACHINE_TEST_START"); file != "" {
-		fmt.Println(Once(file, "/bin/echo", []string{"it", "runs"}))
+		fmt.Println(BecomeSidecar(file, "/bin/echo", []string{"it", "runs"}))
 		os.Exit(1)
 	}
 	if os.Getenv("MACHINE_TEST_THREADS") != "" {
@@ -35,7 +35,7 @@
 		fake(os.Args[1:])
 	}
 	if len(os.Args) > 3 && os.Args[1] == "once" {
-		fmt.Fprintln(os.Stderr, Once(os.Args[2], os.Args[3], os.Args[4:]))
+		fmt.Fprintln(os.Stderr, BecomeSidecar(os.Args[2], os.Args[3], os.Args[4:]))
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
@@ -53,12 +53,12 @@
 func TestAFirstThreadIsNotAProcess(t *testing.T) {
 	s := process.Start(t, process.Again("MACHINE_TEST_THREADS", "1"))
 	process.Until(t, "its first thread has ended", func() bool { return s.State() == "Z" })
-	began, _ := startOf(s.Pid)
-	if p := (agent.Process{PID: s.Pid, Began: began}); !Lives(p) {
+	began, _ := startTicks(s.Pid)
+	if p := (agent.Process{PID: s.Pid, StartTicks: began}); !Lives(p) {
 		t.Error("it is taken for ended")
 	}
 	s.Kill()
-	process.Until(t, "it ends", func() bool { _, err := startOf(s.Pid); return err != nil })
+	process.Until(t, "it ends", func() bool { _, err := startTicks(s.Pid); return err != nil })
 }
 
 // A start is made, or claimed, never both: one that was claimed is not made any more, and one that was made is found.
@@ -75,7 +75,7 @@
 		t.Fatal(out)
 	}
 	for range 2 {
-		if p, err := claim(made); err != nil || p == nil || p.PID != pid || p.Began == 0 || Lives(*p) {
+		if p, err := claim(made); err != nil || p == nil || p.PID != pid || p.StartTicks == 0 || Lives(*p) {
 			t.Errorf("%v, %v", p, err)
 		}
 		if p, err := claim(unmade); err != nil || p != nil {
@@ -92,15 +92,15 @@
 
 // A process is known by its number and its start: another one with its number is another.
 func TestLives(t *testing.T) {
-	began, err := startOf(os.Getpid())
+	began, err := startTicks(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := agent.Process{PID: os.Getpid(), Began: began}
+	p := agent.Process{PID: os.Getpid(), StartTicks: began}
 	if ticks, memory := usage(p); !Lives(p) || memory < 1<<20 {
 		t.Errorf("%d ticks, %d bytes", ticks, memory)
 	}
-	if p.Began++; Lives(p) {
+	if p.StartTicks++; Lives(p) {
 		t.Error("another process is taken for it")
 	}
 	if _, memory := usage(p); memory != 0 {
@@ -111,7 +111,7 @@
 // An agent that is started again refuses a driver that is older than one that the agent before had heard; two have no machine at once.
 func TestTheFenceIsKept(t *testing.T) {
 	dir := t.TempDir()
-	c := &Config{Application: "a", Data: filepath.Join(dir, "data"), Releases: filepath.Join(dir, "releases"), Look: time.Second}
+	c := &Config{Application: "a", Data: filepath.Join(dir, "data"), Releases: filepath.Join(dir, "releases"), PollInterval: time.Second}
 	for _, call := range []struct {
 		token uint64
 		code  connect.Code
@@ -131,13 +131,13 @@
 		ended := make(chan error, 1)
 		go func() { ended <- m.Run(ctx, ln) }()
 		in := &StatusRequest{Version: Version, Application: "a", Token: call.token}
-		_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxAnswer).CallUnary(ctx, connect.NewRequest(in))
+		_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxResponseBytes).CallUnary(ctx, connect.NewRequest(in))
 		if (err != nil) != (call.code != 0) || err != nil && connect.CodeOf(err) != call.code {
 			t.Errorf("token %d: %v", call.token, err)
 		}
 		in = &StatusRequest{Version: Version + 1, Application: "a"} // a driver of another version, or of another application
 		for want, in := range map[string]*StatusRequest{"version 2; this agent speaks 1": in, `this agent is of "a"`: {Version: Version, Application: "b"}} {
-			_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxAnswer).CallUnary(ctx, connect.NewRequest(in))
+			_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxResponseBytes).CallUnary(ctx, connect.NewRequest(in))
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("%v, want %s", err, want)
 			}
