--- a/internal/coordination/machine/version_test.go
+++ b/internal/coordination/machine/version_test.go
@@ -121,9 +121,9 @@
 		t.Fatal(err)
 	}
 	c := &Config{Application: "app", Data: filepath.Join(dir, "data"), Releases: filepath.Join(dir, "releases"), Release: string(r.ID),
-		Look: 20 * time.Millisecond, Heard: time.Hour, Sidecars: []Sidecar{{Name: "n0", Listen: "127.0.0.1:1",
-			Doors: [2]string{peertest.Reserved(t), peertest.Reserved(t)}, Set: map[string]json.RawMessage{"settings.mine": []byte("7")}}},
-		Limits: agent.Limits{Ready: 5 * time.Second, Trial: 100 * time.Millisecond, End: 2 * time.Second, CutOff: time.Hour, Pause: 10 * time.Millisecond, Most: time.Second}}
+		PollInterval: 20 * time.Millisecond, ContactTimeout: time.Hour, Sidecars: []SidecarConfig{{Name: "n0", Listen: "127.0.0.1:1",
+			AdminAddresses: [2]string{peertest.Reserved(t), peertest.Reserved(t)}, Overrides: map[string]json.RawMessage{"settings.mine": []byte("7")}}},
+		Limits: agent.Limits{ReadyTimeout: 5 * time.Second, TrialPeriod: 100 * time.Millisecond, TerminationTimeout: 2 * time.Second, IsolationTimeout: time.Hour, InitialBackoff: 10 * time.Millisecond, MaxBackoff: time.Second}}
 	g := &rig{t: t, c: c}
 	g.begin()
 	t.Cleanup(func() {
@@ -141,7 +141,7 @@
 // begin starts the agent on its folder as it is.
 func (g *rig) begin() {
 	g.t.Helper()
-	m, err := open(g.c, slog.New(slog.DiscardHandler), func(holds distribute.Revision, take func(distribute.Version) error) subscription {
+	m, err := open(g.c, slog.New(slog.DiscardHandler), func(holds distribute.Revision, take func(distribute.Version) error) versionSubscription {
 		g.reports = &reports{holds: holds, take: take}
 		return g.reports
 	})
@@ -176,10 +176,10 @@
 	if k.Serving == nil {
 		return nil
 	}
-	if _, yes := call(g.t.Context(), k.Serving.AdminAddress, "/api/counts"); !yes {
+	if _, yes := adminGet(g.t.Context(), k.Serving.AdminAddress, "/api/counts"); !yes {
 		return nil
 	}
-	text, _ := os.ReadFile(filepath.Join(g.c.Data, fmt.Sprintf("config-n0-%d", k.Serving.Start)))
+	text, _ := os.ReadFile(filepath.Join(g.c.Data, fmt.Sprintf("config-n0-%d", k.Serving.StartNumber)))
 	var fields map[string]any
 	json.Unmarshal(text, &fields)
 	return fields
@@ -257,12 +257,12 @@
 	if f := g.process(); fmt.Sprint(f["settings"]) != "map[mine:7 y:2]" || f["discovery"] != "b" {
 		t.Errorf("%v", f)
 	}
-	starts := g.kept().Starts
-	if r := g.tell(8, `{}`); r.InForce != 8 || g.kept().Starts != starts+1 { // what was refused is not tried again meanwhile
-		t.Errorf("%+v, %d starts after %d", r, g.kept().Starts, starts)
+	starts := g.kept().StartCount
+	if r := g.tell(8, `{}`); r.InForce != 8 || g.kept().StartCount != starts+1 { // what was refused is not tried again meanwhile
+		t.Errorf("%+v, %d starts after %d", r, g.kept().StartCount, starts)
 	}
 	peertest.Eventually(t, "old versions are removed", func() bool {
-		g.take(version(g.m.holds+1, `{"discovery": "d"}`))
+		g.take(version(g.m.newestVersion+1, `{"discovery": "d"}`))
 		files, _ := filepath.Glob(filepath.Join(g.c.Data, "version-*"))
 		return !slices.ContainsFunc(files, func(f string) bool { return strings.Contains(f, "version-5") || strings.Contains(f, "version-7") })
 	})
@@ -278,7 +278,7 @@
 	if err := g.take(version(2, `{"discovery": "c"}`)); err != nil {
 		t.Fatal(err)
 	}
-	told := func() bool { k := g.kept(); return k.Trying == 2 && k.Live && k.InForce == 1 }
+	told := func() bool { k := g.kept(); return k.Candidate == 2 && k.ByReload && k.InForce == 1 }
 	peertest.Eventually(t, "it is told", told)
 	g.end()
 	g.begin()
@@ -287,7 +287,7 @@
 	}
 	syscall.Kill(pid, syscall.SIGCONT)
 	peertest.Eventually(t, "it is in force", func() bool { return g.last().InForce == 2 })
-	if k := g.kept(); k.Serving.PID != pid || k.Starts != 1 {
+	if k := g.kept(); k.Serving.PID != pid || k.StartCount != 1 {
 		t.Errorf("%+v", k)
 	}
 }
@@ -297,16 +297,16 @@
 func TestManyVersionsThatFail(t *testing.T) {
 	g := newRig(t)
 	pid := g.kept().Serving.PID
-	for r := range distribute.Revision(keptStarts + 2) {
+	for r := range distribute.Revision(retainedStarts + 2) {
 		if told := g.tell(r+1, fmt.Sprintf(`{"dies": %d}`, r)); told.InForce != 0 || !strings.Contains(told.Why, "it ended before it was ready") {
 			t.Errorf("%+v", told)
 		}
 	}
-	if files, _ := filepath.Glob(filepath.Join(g.c.Data, "config-n0-*")); len(files) > keptStarts+1 {
+	if files, _ := filepath.Glob(filepath.Join(g.c.Data, "config-n0-*")); len(files) > retainedStarts+1 {
 		t.Errorf("%d files are left", len(files))
 	}
-	starts := g.kept().Starts
-	if r := g.tell(20, `{"discovery": "b"}`); r.InForce != 20 || g.kept().Serving.PID != pid || g.kept().Starts != starts {
+	starts := g.kept().StartCount
+	if r := g.tell(20, `{"discovery": "b"}`); r.InForce != 20 || g.kept().Serving.PID != pid || g.kept().StartCount != starts {
 		t.Errorf("%+v, process %d after %d", r, g.kept().Serving.PID, pid)
 	}
 	g.tell(21, `{"one": 1}`)
@@ -327,10 +327,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := g.m.check(t.Context(), &CheckRequest{Version: Version, Release: string(other.ID)}); err == nil || !strings.Contains(err.Error(), "one and other are no pair") {
+	if _, err := g.m.handleCheck(t.Context(), &CheckRequest{Version: Version, Release: string(other.ID)}); err == nil || !strings.Contains(err.Error(), "one and other are no pair") {
 		t.Errorf("%v", err)
 	}
-	if _, err := g.m.check(t.Context(), &CheckRequest{Version: Version, Release: g.c.Release}); err != nil {
+	if _, err := g.m.handleCheck(t.Context(), &CheckRequest{Version: Version, Release: g.c.Release}); err != nil {
 		t.Error(err)
 	}
 }
@@ -361,16 +361,16 @@
 
 	write("version-9.json", string(whole))
 	m, err := Open(g.c, slog.New(slog.DiscardHandler)) // without coordinators
-	if err != nil || m.tells != nil {
+	if err != nil || m.subscription != nil {
 		t.Fatal(err)
 	}
-	if r := m.units[0].Report("n0"); r.InForce != 4 || r.Why != "" {
+	if r := m.sidecars[0].Report("n0"); r.InForce != 4 || r.Why != "" {
 		t.Errorf("%+v", r)
 	}
-	if todo := m.units[0].Tick(time.Hour); len(todo) != 0 {
+	if todo := m.sidecars[0].Tick(time.Hour); len(todo) != 0 {
 		t.Errorf("%+v", todo)
 	}
-	m.lock.Close()
+	m.lockFile.Close()
 
 	kept, _ := os.ReadFile(filepath.Join(g.c.Data, "version-4.json"))
 	for text, want := range map[string]string{string(kept[:9]): "version-4.json: sidecar n0 runs with it, and it is not there or damaged",
@@ -386,7 +386,7 @@
 // A version's top fields replace those of the release; the sidecar's own come last, in whatever case they are
 // written.
 func TestSettings(t *testing.T) {
-	s := &Sidecar{Name: "n0", Listen: "127.0.0.1:1", Set: map[string]json.RawMessage{"seed": []byte(`"1f"`), "settings.mine": []byte("7")}}
+	s := &SidecarConfig{Name: "n0", Listen: "127.0.0.1:1", Overrides: map[string]json.RawMessage{"seed": []byte(`"1f"`), "settings.mine": []byte("7")}}
 	const release = `{"name": "x", "discovery": "a", "seed": "0", "settings": {"a": 1, "mine": 0}, "n": 12345678901234567890}`
 	for version, want := range map[string]string{
 		"":                                 `{"discovery":"a","listen":"127.0.0.1:1","n":12345678901234567890,"name":"n0","seed":"1f","settings":{"a":1,"mine":7}}`,
@@ -425,11 +425,11 @@
 		`{"discovery":"b","settings":{"x":1},"seed":"1","limits":{}}`: false,
 		`{`: false,
 	} {
-		if live(path, []byte(text)) != want {
+		if reloadable(path, []byte(text)) != want {
 			t.Errorf("%s: %v", text, !want)
 		}
 	}
-	if live(path+"x", []byte(`{}`)) {
+	if reloadable(path+"x", []byte(`{}`)) {
 		t.Error("no file")
 	}
 }
--- a/internal/coordination/release/compare.go
+++ b/internal/coordination/release/compare.go
@@ -24,15 +24,16 @@
 
 // Finding is one field that differs.
 type Finding struct {
-	Field    string `json:"field"` // as settings.classes[plate-reserve].window_ms
-	Old, New string
-	Kind     Kind   `json:"-"`
-	Verdict  string `json:"verdict"`
-	Why      string `json:"why"`
+	Field   string `json:"field"` // as settings.classes[plate-reserve].window_ms
+	Old     string `json:"Old"`
+	New     string `json:"New"`
+	Kind    Kind   `json:"-"`
+	Verdict string `json:"verdict"`
+	Reason  string `json:"why"`
 }
 
 func (f Finding) String() string {
-	return fmt.Sprintf("%s: %s, was %s: %v: %s", f.Field, f.New, f.Old, f.Kind, f.Why)
+	return fmt.Sprintf("%s: %s, was %s: %v: %s", f.Field, f.New, f.Old, f.Kind, f.Reason)
 }
 
 // Worst is the kind of a change as a whole.
@@ -43,15 +44,15 @@
 	return k
 }
 
-const none = "none" // how a field that is not there is shown
+const absent = "none" // how a field that is not there is shown
 
 // rule says what a change of a field means. Patterns have a star for what stands in brackets.
 type rule struct {
-	field string
-	judge func(old, new any) (Kind, string)
+	field    string
+	classify func(old, new any) (Kind, string)
 }
 
-func always(k Kind, why string) func(any, any) (Kind, string) {
+func alwaysKind(k Kind, why string) func(any, any) (Kind, string) {
 	return func(any, any) (Kind, string) { return k, why }
 }
 
@@ -65,8 +66,8 @@
 	return otherwise
 }
 
-// grows judges by whether a number becomes larger.
-func grows(otherwise float64, more Kind, whyMore string, less Kind, whyLess string) func(any, any) (Kind, string) {
+// byGrowth judges by whether a number becomes larger.
+func byGrowth(otherwise float64, more Kind, whyMore string, less Kind, whyLess string) func(any, any) (Kind, string) {
 	return func(old, new any) (Kind, string) {
 		if number(new, otherwise) > number(old, otherwise) {
 			return more, whyMore
@@ -75,19 +76,19 @@
 	}
 }
 
-const forever = 1e300 // a window that is not there
+const noWindow = 1e300 // a window that is not there
 
-var reach = map[any]int{nil: 2, "": 2, "all": 2, "zone": 1, "cell": 0}
+var groupReach = map[any]int{nil: 2, "": 2, "all": 2, "zone": 1, "cell": 0}
 
 // rules are all fields that the program reads; a field without one that it does not read may differ.
 var rules = []rule{
-	{"name", always(Refused, "processes of a sidecar meet by their name: the next would not find the one in service")},
-	{"listen", always(Refused, "clients, and the next process, find the sidecar there; move clients to a sidecar of its own")},
-	{"discovery", always(SideBySide, "each process asks its own; both must tell of the same servers")},
-	{"admin_addr", always(SideBySide, "each process has its own")},
-	{"seed", always(SideBySide, "it only draws")},
-	{"limits.*", always(SideBySide, "each process keeps to its own; while there are two they share what the first has")},
-	{"settings.classes", atTheEnd},
+	{"name", alwaysKind(Refused, "processes of a sidecar meet by their name: the next would not find the one in service")},
+	{"listen", alwaysKind(Refused, "clients, and the next process, find the sidecar there; move clients to a sidecar of its own")},
+	{"discovery", alwaysKind(SideBySide, "each process asks its own; both must tell of the same servers")},
+	{"admin_addr", alwaysKind(SideBySide, "each process has its own")},
+	{"seed", alwaysKind(SideBySide, "it only draws")},
+	{"limits.*", alwaysKind(SideBySide, "each process keeps to its own; while there are two they share what the first has")},
+	{"settings.classes", appendedOnly},
 	{"settings.classes[*]", func(old, new any) (Kind, string) {
 		if old == nil {
 			return TwoSteps, "old sidecars refuse the class as unknown: first change all sidecars, then let clients send it"
@@ -102,70 +103,70 @@
 		return TwoSteps, "method and key of a request fit one effect only: add a class of another name, move clients to it, then remove this one"
 	}},
 	{"settings.classes[*].group", func(old, new any) (Kind, string) {
-		if reach[new] > reach[old] {
+		if groupReach[new] > groupReach[old] {
 			return TwoSteps, "repeats go to more servers: first all of the wider group must drop them, then the sidecars"
 		}
 		return SideBySide, "repeats go to fewer servers; change the servers after the sidecars"
 	}},
-	{"settings.classes[*].window_ms", grows(forever,
+	{"settings.classes[*].window_ms", byGrowth(noWindow,
 		TwoSteps, "repeats come later: first servers must remember keys for longer, then the sidecars",
 		Refused, "old sidecars repeat within the longer window until all are changed: keep servers at it, and shrink theirs last")},
-	{"settings.classes[*].hard_limit_ms", grows(0,
+	{"settings.classes[*].hard_limit_ms", byGrowth(0,
 		Refused, "clients wait no longer than the old one: what is sent after that runs for nobody; have clients wait longer, under a class of another name",
 		SideBySide, "new sidecars give up sooner")},
-	{"settings.classes[*].stream", always(TwoSteps, "a stream is another exchange: add a class of another name, move clients to it")},
-	{"settings.classes[*].on_time_ms", always(SideBySide, "it is an aim of each sidecar")},
-	{"settings.classes[*].aim_stretch", always(SideBySide, "it is an aim of each sidecar")},
-	{"settings.classes[*].worth", always(SideBySide, "each sidecar sheds by its own; shares of classes differ until all are changed")},
-	{"settings.classes[*].late_worth", always(SideBySide, "each sidecar sheds by its own")},
-	{"settings.tenants", atTheEnd},
-	{"settings.tenants[*]", always(SideBySide, "one that a sidecar does not know has no allowance there")},
-	{"settings.tenants[*].allowance_per_s", always(SideBySide, "each sidecar keeps to its own part")},
-	{"settings.tenants[*].share", always(SideBySide, "each sidecar keeps to its own part")},
-	{"settings.zones*", always(Refused, "what was learned of zones is handed over by place: keep the list, or restart from nothing")},
-	{"settings.kinds*", always(Refused, "what was learned of kinds of servers is handed over by place: keep the list, or restart from nothing")},
-	{"settings.zone", always(Refused, "a sidecar does not move: start it elsewhere")},
-	{"settings.discovery", always(TwoSteps, "lists are asked for or pushed: first discovery must do both, then change the sidecars, then end the old way")},
-	{"settings.my_number", always(Refused, "it is one sidecar's own")},
-	{"settings.peers_total", grows(1,
+	{"settings.classes[*].stream", alwaysKind(TwoSteps, "a stream is another exchange: add a class of another name, move clients to it")},
+	{"settings.classes[*].on_time_ms", alwaysKind(SideBySide, "it is an aim of each sidecar")},
+	{"settings.classes[*].aim_stretch", alwaysKind(SideBySide, "it is an aim of each sidecar")},
+	{"settings.classes[*].worth", alwaysKind(SideBySide, "each sidecar sheds by its own; shares of classes differ until all are changed")},
+	{"settings.classes[*].late_worth", alwaysKind(SideBySide, "each sidecar sheds by its own")},
+	{"settings.tenants", appendedOnly},
+	{"settings.tenants[*]", alwaysKind(SideBySide, "one that a sidecar does not know has no allowance there")},
+	{"settings.tenants[*].allowance_per_s", alwaysKind(SideBySide, "each sidecar keeps to its own part")},
+	{"settings.tenants[*].share", alwaysKind(SideBySide, "each sidecar keeps to its own part")},
+	{"settings.zones*", alwaysKind(Refused, "what was learned of zones is handed over by place: keep the list, or restart from nothing")},
+	{"settings.kinds*", alwaysKind(Refused, "what was learned of kinds of servers is handed over by place: keep the list, or restart from nothing")},
+	{"settings.zone", alwaysKind(Refused, "a sidecar does not move: start it elsewhere")},
+	{"settings.discovery", alwaysKind(TwoSteps, "lists are asked for or pushed: first discovery must do both, then change the sidecars, then end the old way")},
+	{"settings.my_number", alwaysKind(Refused, "it is one sidecar's own")},
+	{"settings.peers_total", byGrowth(1,
 		SideBySide, "each takes a smaller part",
 		TwoSteps, "each takes a larger part of the servers: first end the sidecars that are too many, then change the others")},
-	{"settings.report.*", always(TwoSteps, "reports are read as the settings say: servers must send both forms until all sidecars are changed")},
-	{"settings.limits.max_attempts", always(SideBySide, "each sidecar repeats by its own; attempts a request may grow: watch them")},
-	{"settings.limits.conn_idle_ms", grows(0,
+	{"settings.report.*", alwaysKind(TwoSteps, "reports are read as the settings say: servers must send both forms until all sidecars are changed")},
+	{"settings.limits.max_attempts", alwaysKind(SideBySide, "each sidecar repeats by its own; attempts a request may grow: watch them")},
+	{"settings.limits.conn_idle_ms", byGrowth(0,
 		TwoSteps, "connections are used for longer: first servers must keep them, then the sidecars",
 		SideBySide, "new sidecars close sooner; change the servers after them")},
-	{"settings.limits.probes", gate("probes: servers must answer them first")},
-	{"settings.limits.may_tell", gate("messages between sidecars: old ones must take them first")},
-	{"settings.limits.parallel_tries", gate("two tries at once: servers must allow them first")},
-	{"settings.limits.cancel", always(SideBySide, own)},
-	{"settings.limits.connect_timeout_ms", always(SideBySide, own)},
-	{"settings.limits.max_retry_after_ms", always(SideBySide, own)},
-	{"settings.limits.retry_after", always(SideBySide, own)},
-	{"settings.rules.drain_grace_ms", grows(0,
+	{"settings.limits.probes", permission("probes: servers must answer them first")},
+	{"settings.limits.may_tell", permission("messages between sidecars: old ones must take them first")},
+	{"settings.limits.parallel_tries", permission("two tries at once: servers must allow them first")},
+	{"settings.limits.cancel", alwaysKind(SideBySide, localLimit)},
+	{"settings.limits.connect_timeout_ms", alwaysKind(SideBySide, localLimit)},
+	{"settings.limits.max_retry_after_ms", alwaysKind(SideBySide, localLimit)},
+	{"settings.limits.retry_after", alwaysKind(SideBySide, localLimit)},
+	{"settings.rules.drain_grace_ms", byGrowth(0,
 		TwoSteps, "work is sent to draining servers for longer: first they must take it, then the sidecars",
 		Refused, "old sidecars send for the longer grace until all are changed: servers must keep it until then; change the servers last, and then the sidecars")},
-	{"settings.rules.cold_from", always(SideBySide, "how large a cold server is taken to be; see the budget")},
-	{"settings.rules.cold_ms", grows(0, SideBySide, "servers are taken to be cold for longer",
+	{"settings.rules.cold_from", alwaysKind(SideBySide, "how large a cold server is taken to be; see the budget")},
+	{"settings.rules.cold_ms", byGrowth(0, SideBySide, "servers are taken to be cold for longer",
 		Refused, "new sidecars take servers for warm that old ones, and perhaps the servers, take for cold")},
-	{"settings.rules.fall_multiple", always(SideBySide, "see the budget")},
-	{"settings.rules.answer_slack_ms", always(SideBySide, own)},
-	{"settings.rules.ask_within_ms", always(SideBySide, own)},
-	{"settings.rules.fall_ms", always(SideBySide, "see the budget")},
-	{"settings.over_share_worth", always(SideBySide, weighs)},
-	{"settings.quantum_ms", always(SideBySide, weighs)},
-	{"settings.result_mix.*", always(SideBySide, weighs)},
-	{"settings.penalties.*", always(SideBySide, weighs)},
-	{"settings.family_info.warm_keys", always(SideBySide, "keys move to other servers until all are changed")},
+	{"settings.rules.fall_multiple", alwaysKind(SideBySide, "see the budget")},
+	{"settings.rules.answer_slack_ms", alwaysKind(SideBySide, localLimit)},
+	{"settings.rules.ask_within_ms", alwaysKind(SideBySide, localLimit)},
+	{"settings.rules.fall_ms", alwaysKind(SideBySide, "see the budget")},
+	{"settings.over_share_worth", alwaysKind(SideBySide, localWeight)},
+	{"settings.quantum_ms", alwaysKind(SideBySide, localWeight)},
+	{"settings.result_mix.*", alwaysKind(SideBySide, localWeight)},
+	{"settings.penalties.*", alwaysKind(SideBySide, localWeight)},
+	{"settings.family_info.warm_keys", alwaysKind(SideBySide, "keys move to other servers until all are changed")},
 }
 
 const (
-	weighs = "it weighs what each sidecar does by itself"
-	own    = "each sidecar keeps to its own"
+	localWeight = "it weighs what each sidecar does by itself"
+	localLimit  = "each sidecar keeps to its own"
 )
 
-// atTheEnd judges an order of names: what was learned is handed over by place.
-func atTheEnd(old, new any) (Kind, string) {
+// appendedOnly judges an order of names: what was learned is handed over by place.
+func appendedOnly(old, new any) (Kind, string) {
 	a, b := fmt.Sprint(old)+", ", fmt.Sprint(new)+", "
 	if strings.HasPrefix(a, b) || strings.HasPrefix(b, a) {
 		return SideBySide, "the others keep their places"
@@ -173,8 +174,8 @@
 	return Refused, "what was learned is handed over by place: keep the order, add at the end and remove from the end"
 }
 
-// gate is a permission: to give one is for others first.
-func gate(first string) func(any, any) (Kind, string) {
+// permission is a permission: to give one is for others first.
+func permission(first string) func(any, any) (Kind, string) {
 	return func(_, new any) (Kind, string) {
 		if new == true {
 			return TwoSteps, first
@@ -185,11 +186,11 @@
 
 // Compare says what differs between two configurations, field by field, and what that means while both are in use.
 func Compare(old, new []byte) ([]Finding, error) {
-	a, err := flat(old)
+	a, err := flattenSettings(old)
 	if err != nil {
 		return nil, fmt.Errorf("the old settings: %w", err)
 	}
-	b, err := flat(new)
+	b, err := flattenSettings(new)
 	if err != nil {
 		return nil, fmt.Errorf("the new settings: %w", err)
 	}
@@ -199,16 +200,16 @@
 	for _, field := range slices.Sorted(maps.Keys(fields)) {
 		before, was := a[field]
 		now, is := b[field]
-		if was == is && before == now || whole(field, a, b) {
+		if was == is && before == now || coveredByEntry(field, a, b) {
 			continue
 		}
-		f := Finding{Field: field, Old: show(before, was), New: show(now, is), Kind: SideBySide, Why: "the program does not read it"}
-		if r := find(field); r != nil {
-			f.Kind, f.Why = r.judge(before, now)
+		f := Finding{Field: field, Old: display(before, was), New: display(now, is), Kind: SideBySide, Reason: "the program does not read it"}
+		if r := ruleFor(field); r != nil {
+			f.Kind, f.Reason = r.classify(before, now)
 		}
 		all = append(all, f)
 	}
-	if f, bad := budget(a, b); bad {
+	if f, bad := warmUpBudget(a, b); bad {
 		all = append(all, f)
 	}
 	for i := range all {
@@ -217,8 +218,8 @@
 	return all, nil
 }
 
-// whole reports whether a field is part of a class or tenant that is there on one side only: that is one finding.
-func whole(field string, a, b map[string]any) bool {
+// coveredByEntry reports whether a field is part of a class or tenant that is there on one side only: that is one finding.
+func coveredByEntry(field string, a, b map[string]any) bool {
 	at := strings.LastIndex(field, "].")
 	if at < 0 {
 		return false
@@ -228,18 +229,18 @@
 	return before != now
 }
 
-// find is the rule of a field: the first pattern that fits.
-func find(field string) *rule {
+// ruleFor is the rule of a field: the first pattern that fits.
+func ruleFor(field string) *rule {
 	for i := range rules {
-		if fits(rules[i].field, field) {
+		if matches(rules[i].field, field) {
 			return &rules[i]
 		}
 	}
 	return nil
 }
 
-// fits reports whether a field is that of a pattern, whose stars stand for any text.
-func fits(pattern, field string) bool {
+// matches reports whether a field is that of a pattern, whose stars stand for any text.
+func matches(pattern, field string) bool {
 	parts := strings.Split(pattern, "*")
 	if !strings.HasPrefix(field, parts[0]) {
 		return false
@@ -258,9 +259,9 @@
 	return field == ""
 }
 
-// budget is whether cold servers bear a mixed fleet: a sidecar gives a server that takes part s of its full work while cold, and falls
+// warmUpBudget is whether cold servers bear a mixed fleet: a sidecar gives a server that takes part s of its full work while cold, and falls
 // over at f times that, s x f / 2 of its own part. The settings with the smaller s x f may be the true ones.
-func budget(a, b map[string]any) (f Finding, bad bool) {
+func warmUpBudget(a, b map[string]any) (f Finding, bad bool) {
 	part := func(m map[string]any) (fall, used float64) {
 		size, multiple := number(m["settings.rules.cold_from"], 1), number(m["settings.rules.fall_multiple"], 0)
 		return size * multiple, size * max(1, multiple/2)
@@ -272,11 +273,11 @@
 		return f, false
 	}
 	return Finding{Field: "settings.rules (cold budgets)", Old: fmt.Sprintf("falls at %.3g", oldFall), New: fmt.Sprintf("falls at %.3g", newFall), Kind: Refused,
-		Why: fmt.Sprintf("while both are in use cold servers may be given %.3g of their full work, and by the stricter of both settings fall over at %.3g: change by smaller steps", used, falls)}, true
+		Reason: fmt.Sprintf("while both are in use cold servers may be given %.3g of their full work, and by the stricter of both settings fall over at %.3g: change by smaller steps", used, falls)}, true
 }
 
-// flat is a configuration as fields; members of lists that have a name go by it.
-func flat(text []byte) (map[string]any, error) {
+// flattenSettings is a configuration as fields; members of lists that have a name go by it.
+func flattenSettings(text []byte) (map[string]any, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	var v map[string]any
@@ -322,9 +323,9 @@
 	}
 }
 
-func show(v any, is bool) string {
+func display(v any, is bool) string {
 	if !is {
-		return none
+		return absent
 	}
 	return fmt.Sprint(v)
 }
--- a/internal/coordination/release/release_test.go
+++ b/internal/coordination/release/release_test.go
@@ -59,7 +59,7 @@
 		}
 		found := false
 		for _, f := range all {
-			found = found || f.Field == c.field && f.Kind == c.kind && strings.Contains(f.Why, c.why)
+			found = found || f.Field == c.field && f.Kind == c.kind && strings.Contains(f.Reason, c.why)
 		}
 		if !found || Worst(all) != c.kind {
 			t.Errorf("%s: %v", name, all)
@@ -108,7 +108,7 @@
 			if strings.HasSuffix(field, "].name") {
 				continue
 			}
-			if n++; find(field) == nil {
+			if n++; ruleFor(field) == nil {
 				t.Errorf("%s: no rule", field)
 			}
 		}
@@ -143,7 +143,7 @@
 	if _, err := s.Add(io.MultiReader(strings.NewReader("half"), broken{}), strings.NewReader("{}")); err == nil {
 		t.Error("half a program was added")
 	}
-	os.Mkdir(filepath.Join(dir, adding+"died"), 0o700)
+	os.Mkdir(filepath.Join(dir, stagingPrefix+"died"), 0o700)
 	if s, err = NewStore(dir); err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 	if err := s.Remove(a.ID); err != nil {
 		t.Error(err)
 	}
-	if _, err := s.Open(a.ID); !errors.Is(err, ErrNone) {
+	if _, err := s.Open(a.ID); !errors.Is(err, ErrNotFound) {
 		t.Errorf("%v", err)
 	}
 	if _, err := s.Open("../x"); err == nil || !strings.Contains(err.Error(), "32 hexadecimal digits") {
--- a/internal/coordination/release/store.go
+++ b/internal/coordination/release/store.go
@@ -23,7 +23,7 @@
 
 const (
 	programName, settingsName = "program", "settings.json"
-	adding                    = ".adding-"
+	stagingPrefix             = ".adding-"
 )
 
 // Store is a folder of releases.
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), adding) {
+		if strings.HasPrefix(e.Name(), stagingPrefix) {
 			if err := os.RemoveAll(filepath.Join(dir, e.Name())); err != nil {
 				return nil, err
 			}
@@ -48,7 +48,7 @@
 	return &Store{dir}, nil
 }
 
-func name(program, settings []byte) ID {
+func contentID(program, settings []byte) ID {
 	sum := sha256.Sum256(append(append([]byte("petrelhook release 1\n"), program...), settings...))
 	return ID(hex.EncodeToString(sum[:16]))
 }
@@ -56,24 +56,24 @@
 // Add copies a program and its settings into the store: beside, synced, and then renamed. One that is there already is checked and
 // left as it is.
 func (s *Store) Add(program, settings io.Reader) (Release, error) {
-	beside, err := os.MkdirTemp(s.dir, adding)
+	staging, err := os.MkdirTemp(s.dir, stagingPrefix)
 	if err != nil {
 		return Release{}, err
 	}
-	defer os.RemoveAll(beside)
-	p, err := write(filepath.Join(beside, programName), program, 0o500)
+	defer os.RemoveAll(staging)
+	p, err := writeAndHash(filepath.Join(staging, programName), program, 0o500)
 	if err != nil {
 		return Release{}, err
 	}
-	c, err := write(filepath.Join(beside, settingsName), settings, 0o400)
+	c, err := writeAndHash(filepath.Join(staging, settingsName), settings, 0o400)
 	if err != nil {
 		return Release{}, err
 	}
-	id := name(p, c)
-	if err := syncDir(beside); err != nil {
+	id := contentID(p, c)
+	if err := syncDir(staging); err != nil {
 		return Release{}, err
 	}
-	if err := os.Rename(beside, filepath.Join(s.dir, string(id))); err != nil {
+	if err := os.Rename(staging, filepath.Join(s.dir, string(id))); err != nil {
 		if r, failed := s.Open(id); failed == nil { // it was there
 			return r, nil
 		}
@@ -85,8 +85,8 @@
 	return s.Open(id)
 }
 
-// write writes a file and gives the hash of what it holds. A failure leaves nothing that is taken for whole.
-func write(path string, from io.Reader, mode os.FileMode) (sum []byte, err error) {
+// writeAndHash writes a file and gives the hash of what it holds. A failure leaves nothing that is taken for whole.
+func writeAndHash(path string, from io.Reader, mode os.FileMode) (sum []byte, err error) {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return nil, err
@@ -107,8 +107,8 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// ErrNone says that a release is not in the store.
-var ErrNone = errors.New("there is no such release here")
+// ErrNotFound says that a release is not in the store.
+var ErrNotFound = errors.New("there is no such release here")
 
 // Open gives a release whose content is what its name says.
 func (s *Store) Open(id ID) (Release, error) {
@@ -121,7 +121,7 @@
 	for i, path := range []string{r.Program, r.Settings} {
 		f, err := os.Open(path)
 		if errors.Is(err, os.ErrNotExist) && i == 0 {
-			return Release{}, fmt.Errorf("%s: %w", id, ErrNone)
+			return Release{}, fmt.Errorf("%s: %w", id, ErrNotFound)
 		}
 		if err != nil {
 			return Release{}, err
@@ -133,7 +133,7 @@
 		}
 		sums[i] = h.Sum(nil)
 	}
-	if got := name(sums[0], sums[1]); got != id {
+	if got := contentID(sums[0], sums[1]); got != id {
 		return Release{}, fmt.Errorf("%s: damaged: its content is that of %s; add it again", dir, got)
 	}
 	return r, nil
@@ -141,10 +141,10 @@
 
 // Remove removes a release. It is renamed first: nobody sees half of one.
 func (s *Store) Remove(id ID) error {
-	if _, err := s.Open(id); errors.Is(err, ErrNone) {
+	if _, err := s.Open(id); errors.Is(err, ErrNotFound) {
 		return err
 	}
-	away := filepath.Join(s.dir, adding+string(id))
+	away := filepath.Join(s.dir, stagingPrefix+string(id))
 	if err := os.Rename(filepath.Join(s.dir, string(id)), away); err != nil {
 		return err
 	}
--- a/internal/coordination/replica/ask.go
+++ b/internal/coordination/replica/ask.go
@@ -50,7 +50,7 @@
 	Alive     bool
 	Grants    []lease.Grant
 	Version   uint64
-	Rollout   rollout.Answer
+	Rollout   rollout.Response
 	State     *lease.State
 	Changes   *rollout.Register // as State
 	Refused   error             // why a limit was not set, or no part of it is given
--- a/internal/coordination/replica/changes_test.go
+++ b/internal/coordination/replica/changes_test.go
@@ -44,9 +44,9 @@
 		return text
 	}
 	c, pump := begin(First([]Member{{ID: 1}}, lease.NewState()))
-	start := &rollout.Start{Plan: rollout.Plan{From: "old", To: "new", AtOnce: 1, Unavailable: 1, Patience: 1, Stages: []rollout.Stage{{Select: rollout.Select{Share: 1}}}},
-		Members: []rollout.Member{{Name: "n0"}}, Now: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
-	var a rollout.Answer
+	start := &rollout.Start{Plan: rollout.Plan{From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: 1, Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}},
+		Members: []rollout.Member{{Name: "n0"}}, Reports: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
+	var a rollout.Response
 	c.Ask(Question{Rollout: &rollout.Command{Application: "app", Change: "c", Start: start}, Done: func(r Reply) { a = r.Rollout }})
 	pump()
 	limit := share.Limit{Name: "l", Units: 3, Period: time.Second, Members: 1}
@@ -67,7 +67,7 @@
 		t.Fatalf("%+v, %+v, %+v", published, newest, changed)
 	}
 	was := kept(c, pump)
-	if a.Err != "" || len(was) == 0 {
+	if a.Error != "" || len(was) == 0 {
 		t.Fatalf("%+v: %s", a, was)
 	}
 	again, pump := begin(&Kept{Hard: First(nil, lease.NewState()).Hard, Snapshot: last})
--- a/internal/coordination/rollout/recorded_test.go
+++ b/internal/coordination/rollout/recorded_test.go
@@ -15,7 +15,7 @@
 // What the coordinators' log holds is read, and written in the same form.
 func TestRecordedCommandsAreRead(t *testing.T) {
 	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "command.json"), &Command{})
-	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "answer.json"), &Answer{})
+	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "answer.json"), &Response{})
 	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "fence.json"), &Fence{})
 	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "application.json"), &Application{})
 }
@@ -33,15 +33,15 @@
 	if written := r.Snapshot(); !bytes.Equal(written, recorded) {
 		t.Errorf("written  %s\nrecorded %s", written, recorded)
 	}
-	s := r.all["app"].Now.State
-	orders := s.Orders()
+	s := r.applications["app"].Current.State
+	orders := s.OpenOrders()
 	if s.Phase != Running || s.Stage != 2 || len(orders) != 2 || orders[0] != (Order{Number: 6, Sidecar: "n03", Release: "newer"}) {
 		t.Errorf("%+v, %+v", s, orders)
 	}
-	answer := r.Apply(Command{Application: "app", Change: "two", Token: 6, After: 4, Events: []Event{
-		{Report: &Report{Sidecar: "n03", Release: "newer", Ready: true, Done: 6}}}})
-	if answer.Err != "" || answer.Events != 5 || len(s.Orders()) != 2 { // the next one is ordered in its place
-		t.Errorf("%+v, %+v", answer, s.Orders())
+	answer := r.Apply(Command{Application: "app", Change: "two", Token: 6, KnownEvents: 4, Events: []Event{
+		{Report: &Report{Sidecar: "n03", Release: "newer", Ready: true, CompletedOrder: 6}}}})
+	if answer.Error != "" || answer.EventCount != 5 || len(s.OpenOrders()) != 2 { // the next one is ordered in its place
+		t.Errorf("%+v, %+v", answer, s.OpenOrders())
 	}
 }
 
--- a/internal/coordination/rollout/register_test.go
+++ b/internal/coordination/rollout/register_test.go
@@ -14,14 +14,14 @@
 	all, now := members(4)
 	begin := func(change, from, to string) Command {
 		p := plan()
-		p.From, p.To, p.Stages = from, to, []Stage{{Select: Select{Count: 1}}, {Select: Select{Share: 1}}}
-		return Command{Application: "app", Change: change, Start: &Start{Plan: p, Members: all, Now: now}}
+		p.From, p.To, p.Stages = from, to, []Stage{{Selector: Selector{Count: 1}}, {Selector: Selector{Share: 1}}}
+		return Command{Application: "app", Change: change, Start: &Start{Plan: p, Members: all, Reports: now}}
 	}
 	driver := func(change string, token, after uint64, e ...Event) Command {
-		return Command{Application: "app", Change: change, Token: token, After: after, Events: e}
+		return Command{Application: "app", Change: change, Token: token, KnownEvents: after, Events: e}
 	}
 	done := func(name string, order uint64) Event {
-		return Event{Report: &Report{Sidecar: name, Release: "new", Ready: true, Done: order}}
+		return Event{Report: &Report{Sidecar: name, Release: "new", Ready: true, CompletedOrder: order}}
 	}
 	r := NewRegister()
 	for i, c := range []struct {
@@ -43,14 +43,14 @@
 		{driver("one", 6, 3, Event{Elapsed: 1}), "other events", 4}, // it had not heard of the pause
 		{driver("one", 0, 0, Event{Abort: "enough"}), "", 5},
 		{begin("two", "old", "new"), "taking back", 0}, // a new one while the last is taken back
-		{driver("one", 6, 5, Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 2}}), "", 6},
+		{driver("one", 6, 5, Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 2}}), "", 6},
 		{begin("two", "old", "new"), "", 0},
 		{driver("one", 6, 6, Event{Elapsed: 1}), "no such change", 0},
 	} {
 		if err := c.Check(); err != nil {
 			t.Fatal(i, err)
 		}
-		if a := r.Apply(c.Command); (a.Err == "") != (c.err == "") || !strings.Contains(a.Err, c.err) || a.Events != c.events {
+		if a := r.Apply(c.Command); (a.Error == "") != (c.err == "") || !strings.Contains(a.Error, c.err) || a.EventCount != c.events {
 			t.Errorf("%d: %+v, want %q, %d", i, a, c.err, c.events)
 		}
 		kept := r.Snapshot()
@@ -59,11 +59,11 @@
 			t.Fatalf("%d: %v: %s", i, err, kept)
 		}
 	}
-	two := r.all["app"].Now
-	if orders := two.State.Orders(); len(orders) != 1 || orders[0].Number <= 2 { // agents know 1 and 2
+	two := r.applications["app"].Current
+	if orders := two.State.OpenOrders(); len(orders) != 1 || orders[0].Number <= 2 { // agents know 1 and 2
 		t.Errorf("%v", orders)
 	}
-	if past := r.all["app"].Past; len(past) != 1 || past[0].Phase != "stopped" || past[0].Why != "enough" || len(past[0].Moments) != 4 {
+	if past := r.applications["app"].Past; len(past) != 1 || past[0].Phase != "stopped" || past[0].Reason != "enough" || len(past[0].Transitions) != 4 {
 		t.Errorf("%+v", past)
 	}
 	if got := r.Applications(); fmt.Sprint(got) != "[app]" {
@@ -102,25 +102,25 @@
 		t.Fatal(err)
 	}
 	s.Apply(Event{})
-	c, w := &Change{State: s, Members: all}, Watch{}
-	seen := map[string]Report{"n00": {Sidecar: "n00", Release: "old", Ready: true, Done: 1, Failed: "f"}, "n02": now[2], "stranger": {Sidecar: "stranger"}}
+	c, w := &Change{State: s, Members: all}, ReachabilityTracker{}
+	seen := map[string]Report{"n00": {Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "f"}, "n02": now[2], "stranger": {Sidecar: "stranger"}}
 	for look := 1; look <= 4; look++ {
-		got, lost := w.Look(c, seen, func(agent string) bool { return agent == "of n01" })
-		if len(got) < 1 || got[0].Report.Failed != "f" || len(got) > 1 != (look >= unreached) || (look == unreached) != (len(lost) == 1) {
+		got, lost := w.Observe(c, seen, func(agent string) bool { return agent == "of n01" })
+		if len(got) < 1 || got[0].Report.FailureReason != "f" || len(got) > 1 != (look >= maxMissedPolls) || (look == maxMissedPolls) != (len(lost) == 1) {
 			t.Errorf("look %d: %+v, %v", look, got, lost)
 		}
-		if look >= unreached && (got[1].Report.Release != "old" || got[1].Report.Ready || got[1].Report.Sidecar != "n01") {
+		if look >= maxMissedPolls && (got[1].Report.Release != "old" || got[1].Report.Ready || got[1].Report.Sidecar != "n01") {
 			t.Errorf("%+v", got[1].Report)
 		}
 	}
 	seen["n01"] = now[1]
-	if got, _ := w.Look(c, seen, func(string) bool { return false }); len(got) != 1 {
+	if got, _ := w.Observe(c, seen, func(string) bool { return false }); len(got) != 1 {
 		t.Errorf("%+v", got)
 	}
 }
 
 func plan3() Plan {
 	p := plan()
-	p.Stages = []Stage{{Select: Select{Count: 1}}, {Select: Select{Share: 1}}}
+	p.Stages = []Stage{{Selector: Selector{Count: 1}}, {Selector: Selector{Share: 1}}}
 	return p
 }
--- a/internal/coordination/rollout/report/report_test.go
+++ b/internal/coordination/rollout/report/report_test.go
@@ -18,22 +18,22 @@
 func change(t *testing.T, events ...rollout.Event) *rollout.Change {
 	t.Helper()
 	r := rollout.NewRegister()
-	start := &rollout.Start{Plan: rollout.Plan{Application: "a<b>", From: "old", To: "new", AtOnce: 1, Unavailable: 1, Patience: time.Hour, Judge: rollout.Judgement{FalseStops: 0.01, MissedStops: 0.05, Effect: 0.02},
-		Stages: []rollout.Stage{{Select: rollout.Select{Count: 2}, Control: 1, Least: time.Minute}, {Select: rollout.Select{Share: 1}}}}}
+	start := &rollout.Start{Plan: rollout.Plan{Application: "a<b>", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: time.Hour, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02},
+		Stages: []rollout.Stage{{Selector: rollout.Selector{Count: 2}, ControlCount: 1, MinWatch: time.Minute}, {Selector: rollout.Selector{Share: 1}}}}}
 	for i := range 4 {
 		start.Members = append(start.Members, rollout.Member{Name: fmt.Sprint("n", i)})
-		start.Now = append(start.Now, rollout.Report{Sidecar: fmt.Sprint("n", i), Release: "old", Ready: true})
+		start.Reports = append(start.Reports, rollout.Report{Sidecar: fmt.Sprint("n", i), Release: "old", Ready: true})
 	}
 	command := rollout.Command{Application: "a<b>", Change: "c", Start: start}
 	for i := range len(events) + 1 {
 		if err := command.Check(); err != nil {
 			t.Fatal(err)
 		}
-		if a := r.Apply(command); a.Err != "" {
-			t.Fatal(i, a.Err)
+		if a := r.Apply(command); a.Error != "" {
+			t.Fatal(i, a.Error)
 		}
 		if i < len(events) {
-			command = rollout.Command{Application: "a<b>", Change: "c", After: uint64(i), At: int64(1e12 + 1000*i), Events: events[i : i+1]}
+			command = rollout.Command{Application: "a<b>", Change: "c", KnownEvents: uint64(i), AtMillis: int64(1e12 + 1000*i), Events: events[i : i+1]}
 			if e := events[i]; e.Abort == "" && e.Pause == "" && !e.Resume {
 				command.Token = 1
 			}
@@ -47,18 +47,18 @@
 	if err := json.Unmarshal(kept.Application("a<b>", true), &app); err != nil {
 		t.Fatal(err)
 	}
-	return app.Now
+	return app.Current
 }
 
 func done(name, release string, order uint64) rollout.Event {
-	return rollout.Event{Report: &rollout.Report{Sidecar: name, Release: release, Ready: true, Done: order}}
+	return rollout.Event{Report: &rollout.Report{Sidecar: name, Release: release, Ready: true, CompletedOrder: order}}
 }
 
 // told is a verdict of the first stage with a tally: hits of 100 requests times n, new and control.
 func told(kind string, n, new, control float64) rollout.Event {
-	return rollout.Event{Verdict: &rollout.Verdict{Stage: 1, Worse: kind == "worse", Fine: kind == "no worse", Why: kind, Tally: []rollout.Counted{
-		{Class: "look", Zone: "*", Metric: "failed", Verdict: kind, New: new * n, NewOf: 100 * n, Control: control * n, ControlOf: 100 * n, Odds: 2, Most: 0.3},
-		{Class: "look", Zone: "z", Metric: "slow", Part: true, Verdict: "no worse", NewOf: 5, ControlOf: 5}}}}
+	return rollout.Event{Verdict: &rollout.Verdict{Stage: 1, Worse: kind == "worse", NoWorse: kind == "no worse", Reason: kind, Cells: []rollout.CellResult{
+		{Class: "look", Zone: "*", Metric: "failed", Verdict: kind, NewHits: new * n, NewTotal: 100 * n, ControlHits: control * n, ControlTotal: 100 * n, Odds: 2, MaxDifference: 0.3},
+		{Class: "look", Zone: "z", Metric: "slow", Advisory: true, Verdict: "no worse", NewTotal: 5, ControlTotal: 5}}}}
 }
 
 var changed = []rollout.Event{done("n0", "new", 1), done("n1", "new", 2), done("n3", "old", 3)}
@@ -79,7 +79,7 @@
 		"time":           {with(told("no worse", 9, 0, 0)), []string{"time-least stage 1 is no worse; it is watched for 1m0s"}},
 		"worse":          {with(told("worse", 1, 50, 0)), []string{"taking-back taken back from stage 1: worse", "worse failed of class look in zone *: new 50 of 100, control 0 of 100: worse, odds 2"}},
 		"paused":         {with(rollout.Event{Pause: "lunch"}), []string{"paused paused in stage 1: lunch", "resume rollout resume a<b>"}},
-		"left alone":     {[]rollout.Event{done("n0", "new", 1), {Abort: "x"}, {Report: &rollout.Report{Sidecar: "n1", Release: "old", Ready: true, Done: 2}}, {Report: &rollout.Report{Sidecar: "n0", Release: "new", Done: 3, Failed: "no disk"}}}, []string{"stopped stopped in stage 1: x", "left-alone n0 is left alone at new: order 3: no disk"}},
+		"left alone":     {[]rollout.Event{done("n0", "new", 1), {Abort: "x"}, {Report: &rollout.Report{Sidecar: "n1", Release: "old", Ready: true, CompletedOrder: 2}}, {Report: &rollout.Report{Sidecar: "n0", Release: "new", CompletedOrder: 3, FailureReason: "no disk"}}}, []string{"stopped stopped in stage 1: x", "left-alone n0 is left alone at new: order 3: no disk"}},
 		"the last stage": {with(told("no worse", 9, 0, 0), rollout.Event{Elapsed: time.Minute}), []string{"ordered n2 carries out order 4", "no-control the last stage has nobody"}},
 	} {
 		var text strings.Builder
@@ -106,7 +106,7 @@
 		t.Errorf("%d points", n)
 	}
 	passed := change(t, with(told("not enough evidence", 1, 0, 0), rollout.Event{Elapsed: 2 * time.Minute}, told("no worse", 9, 0, 0))...)
-	if course := passed.Results[0].Course; passed.State.Stage != 2 || course[len(course)-1].Watched != 2*time.Minute {
+	if course := passed.Results[0].Course; passed.State.Stage != 2 || course[len(course)-1].StageElapsed != 2*time.Minute {
 		t.Errorf("stage %d: %+v", passed.State.Stage, course)
 	}
 	var text bytes.Buffer
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -22,8 +22,8 @@
 }
 
 func plan() Plan {
-	return Plan{Application: "app", From: "old", To: "new", AtOnce: 2, Unavailable: 3, Patience: time.Hour, Stages: []Stage{
-		{Select: Select{Count: 1}, Control: 1, Least: time.Minute}, {Select: Select{Share: 0.25}, Control: 2}, {Select: Select{Share: 1}}}}
+	return Plan{Application: "app", From: "old", To: "new", MaxConcurrent: 2, MaxUnavailable: 3, EvidenceTimeout: time.Hour, Stages: []Stage{
+		{Selector: Selector{Count: 1}, ControlCount: 1, MinWatch: time.Minute}, {Selector: Selector{Share: 0.25}, ControlCount: 2}, {Selector: Selector{Share: 1}}}}
 }
 
 // fleet is agents that carry orders out.
@@ -53,13 +53,13 @@
 func (f *fleet) apply(e Event, fails func(Order) string) {
 	todo := f.s.Apply(e)
 	for len(todo) > 0 {
-		if len(f.s.Orders()) > f.s.Plan.AtOnce {
-			f.t.Errorf("%d change at once", len(f.s.Orders()))
+		if len(f.s.OpenOrders()) > f.s.Plan.MaxConcurrent {
+			f.t.Errorf("%d change at once", len(f.s.OpenOrders()))
 		}
 		o := todo[0]
 		todo = todo[1:]
-		r := Report{Sidecar: o.Sidecar, Ready: true, Done: o.Number}
-		if r.Failed = fails(o); r.Failed == "" {
+		r := Report{Sidecar: o.Sidecar, Ready: true, CompletedOrder: o.Number}
+		if r.FailureReason = fails(o); r.FailureReason == "" {
 			f.run[o.Sidecar] = o.Release
 		}
 		r.Release = f.run[o.Sidecar]
@@ -85,7 +85,7 @@
 	if c, control := f.s.Groups(); f.running("new") != 1 || len(c) != 1 || len(control) != 1 || control[0] != "n09" { // the last of its zone
 		t.Fatalf("%d changed; %v, %v", f.running("new"), c, control)
 	}
-	f.apply(Event{Verdict: &Verdict{Stage: 1, Fine: true}}, never)
+	f.apply(Event{Verdict: &Verdict{Stage: 1, NoWorse: true}}, never)
 	if f.s.Stage != 1 {
 		t.Error("its time was not watched")
 	}
@@ -94,8 +94,8 @@
 		t.Fatalf("stage %d, %d changed", f.s.Stage, f.running("new"))
 	}
 	f.apply(Event{Verdict: &Verdict{Stage: 1, Worse: true}}, never) // late
-	f.apply(Event{Verdict: &Verdict{Stage: 2, Fine: true}}, never)
-	f.apply(Event{Verdict: &Verdict{Stage: 3, Fine: true}}, never)
+	f.apply(Event{Verdict: &Verdict{Stage: 2, NoWorse: true}}, never)
+	f.apply(Event{Verdict: &Verdict{Stage: 3, NoWorse: true}}, never)
 	if f.s.Phase != Done || f.running("new") != 12 {
 		t.Errorf("%v, %d changed", f.s.Phase, f.running("new"))
 	}
@@ -104,11 +104,11 @@
 // Nothing moves before the time before is watched.
 func TestBefore(t *testing.T) {
 	p := plan()
-	p.Before = time.Minute
+	p.BaselinePeriod = time.Minute
 	f := begin(t, p, 12)
 	f.apply(Event{Elapsed: 59 * time.Second}, never)
-	if f.running("new") != 0 || f.s.Waits() != "what is before: 59s of 1m0s" {
-		t.Errorf("%d are changed; waits for %s", f.running("new"), f.s.Waits())
+	if f.running("new") != 0 || f.s.WaitingFor() != "what is before: 59s of 1m0s" {
+		t.Errorf("%d are changed; waits for %s", f.running("new"), f.s.WaitingFor())
 	}
 	if f.apply(Event{Elapsed: time.Second}, never); f.running("new") != 1 {
 		t.Errorf("%d are changed", f.running("new"))
@@ -120,7 +120,7 @@
 
 // back is that the first of a stage runs the old release again, without an order.
 func back(why FallbackReason) Event {
-	return Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 1, FallbackReason: why}}
+	return Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FallbackReason: why}}
 }
 
 // What stops a change, and what becomes of what was changed.
@@ -142,8 +142,8 @@
 		why    string
 		alone  int
 	}{
-		"worse":                {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Why: "failed"}}}, never, Stopped, 0, "failed", 0},
-		"worse, and held":      {true, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Why: "failed"}}}, never, Stopped, 1, "failed", 0},
+		"worse":                {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "failed"}}}, never, Stopped, 0, "failed", 0},
+		"worse, and held":      {true, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "failed"}}}, never, Stopped, 1, "failed", 0},
 		"never ready":          {false, []Event{{Elapsed: 1}}, failsTo("new", 0), Stopped, 0, "not ready in time", 0},
 		"a control fails":      {false, []Event{{Elapsed: 1}}, failsTo("old", 1), Paused, 1, "restarted as it was", 1},
 		"no evidence":          {false, []Event{{Elapsed: 1}, {Elapsed: time.Hour}, {Elapsed: time.Hour}}, never, Paused, 1, "not enough evidence", 0},
@@ -151,19 +151,19 @@
 		"cut off":              {false, []Event{{Elapsed: 1}, back(MachineIsolated)}, never, Paused, 1, "cut off", 0},
 		"nothing comes of it":  {false, []Event{{Elapsed: 1}, {Report: &Report{Sidecar: "n00", Release: "new"}}, {Elapsed: 59 * time.Minute}, {Elapsed: time.Minute}}, never, Paused, 1, "nothing came of it in 1h0m0s: n00", 0},
 		"accepted":             {false, []Event{{Elapsed: 1}, {Elapsed: time.Hour}, {Resume: true, Accept: true}, {Elapsed: time.Minute}}, never, Running, 4, "", 0},
-		"fails in a pause":     {false, []Event{{Pause: "lunch"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 1, Failed: "not ready"}}}, slow, Stopped, 0, "not ready", 0},
+		"fails in a pause":     {false, []Event{{Pause: "lunch"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "not ready"}}}, slow, Stopped, 0, "not ready", 0},
 		"ends in a pause":      {false, []Event{{Elapsed: 1}, {Pause: "lunch"}, back(ProcessEnded)}, never, Stopped, 1, "it ended", 0},
-		"fails after the stop": {false, []Event{{Abort: "by hand"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 1, Failed: "not ready"}}}, slow, Stopped, 0, "by hand", 0},
-		"old ones worse":       {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Old: true, Why: "old"}}}, never, Paused, 1, "old", 0},
+		"fails after the stop": {false, []Event{{Abort: "by hand"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "not ready"}}}, slow, Stopped, 0, "by hand", 0},
+		"old ones worse":       {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, BaselineWorse: true, Reason: "old"}}}, never, Paused, 1, "old", 0},
 		"aborted":              {false, []Event{{Elapsed: 1}, {Abort: "by hand"}}, never, Stopped, 0, "by hand", 0},
 		"paused, then aborted": {false, []Event{{Elapsed: 1}, {Pause: "lunch"}, {Abort: "by hand"}, {Resume: true}}, never, Stopped, 0, "by hand", 0},
-		"taking back fails":    {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Why: "w"}}, {Abort: "again"}, {Elapsed: 1}}, failsTo("old", 2), Stopped, 1, "w", 1},
+		"taking back fails":    {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "w"}}, {Abort: "again"}, {Elapsed: 1}}, failsTo("old", 2), Stopped, 1, "w", 1},
 	} {
 		p := plan()
-		p.Hold = c.hold
+		p.KeepOnStop = c.hold
 		f := begin(t, p, 12)
 		if c.fails == nil { // agents that have not done anything yet
-			f.s.Plan.Stages[0].Control = 0
+			f.s.Plan.Stages[0].ControlCount = 0
 			f.s.Apply(Event{})
 		}
 		for _, e := range c.events {
@@ -175,12 +175,12 @@
 		}
 		alone := 0
 		for _, s := range f.s.Sidecars() {
-			if s.Alone != "" {
+			if s.AbandonedReason != "" {
 				alone++
 			}
 		}
-		if f.s.Phase != c.phase || f.running("new") != c.new || !strings.Contains(f.s.Why, c.why) || alone != c.alone || len(f.s.Orders()) > 0 {
-			t.Errorf("%s: %v (%s), %d new, %d left alone, open %v", name, f.s.Phase, f.s.Why, f.running("new"), alone, f.s.Orders())
+		if f.s.Phase != c.phase || f.running("new") != c.new || !strings.Contains(f.s.Reason, c.why) || alone != c.alone || len(f.s.OpenOrders()) > 0 {
+			t.Errorf("%s: %v (%s), %d new, %d left alone, open %v", name, f.s.Phase, f.s.Reason, f.running("new"), alone, f.s.OpenOrders())
 		}
 	}
 }
@@ -188,12 +188,12 @@
 // What was changed and is out of service goes back, though more are out of service than the plan allows.
 func TestTakingBackWhatDoesNotServe(t *testing.T) {
 	p := plan()
-	p.AtOnce, p.Unavailable = 1, 1
-	p.Stages = []Stage{{Select: Select{Count: 3}}, {Select: Select{Share: 1}}}
+	p.MaxConcurrent, p.MaxUnavailable = 1, 1
+	p.Stages = []Stage{{Selector: Selector{Count: 3}}, {Selector: Selector{Share: 1}}}
 	f := begin(t, p, 6)
 	f.apply(Event{Elapsed: 1}, never)
 	for _, name := range []string{"n00", "n01", "n02"} {
-		f.apply(Event{Report: &Report{Sidecar: name, Release: "new", Done: 9}}, never)
+		f.apply(Event{Report: &Report{Sidecar: name, Release: "new", CompletedOrder: 9}}, never)
 	}
 	f.apply(Event{Abort: "a"}, never)
 	if f.s.Phase != Stopped || f.running("old") != 6 {
@@ -206,8 +206,8 @@
 func TestAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := plan()
-		p.AtOnce = rapid.IntRange(1, 3).Draw(t, "at once")
-		p.Unavailable = p.AtOnce + rapid.IntRange(0, 2).Draw(t, "unavailable")
+		p.MaxConcurrent = rapid.IntRange(1, 3).Draw(t, "at once")
+		p.MaxUnavailable = p.MaxConcurrent + rapid.IntRange(0, 2).Draw(t, "unavailable")
 		all, now := members(9)
 		s, err := New(p, all, now)
 		if err != nil {
@@ -225,7 +225,7 @@
 			var e Event
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				e.Verdict = &Verdict{Stage: rapid.IntRange(1, 3).Draw(t, "stage"), Worse: rapid.IntRange(0, 9).Draw(t, "worse") == 0, Fine: rapid.Bool().Draw(t, "fine"), Why: "w"}
+				e.Verdict = &Verdict{Stage: rapid.IntRange(1, 3).Draw(t, "stage"), Worse: rapid.IntRange(0, 9).Draw(t, "worse") == 0, NoWorse: rapid.Bool().Draw(t, "fine"), Reason: "w"}
 			case 1:
 				e.Elapsed = time.Minute
 			case 2:
@@ -242,9 +242,9 @@
 				r := Report{Sidecar: rapid.SampledFrom(all).Draw(t, "sidecar").Name, Release: rapid.SampledFrom([]string{"old", "new"}).Draw(t, "release"), Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0}
 				if len(known) > 0 && rapid.IntRange(0, 3).Draw(t, "done") > 0 {
 					o := rapid.SampledFrom(known).Draw(t, "order")
-					r.Sidecar, r.Done = o.Sidecar, o.Number
+					r.Sidecar, r.CompletedOrder = o.Sidecar, o.Number
 					if rapid.IntRange(0, 5).Draw(t, "fails") == 0 {
-						r.Failed = "f"
+						r.FailureReason = "f"
 					} else {
 						r.Release = o.Release
 					}
@@ -262,12 +262,12 @@
 					t.Fatalf("%v: %s", err, text)
 				}
 			}
-			open := s.Orders()
-			if len(open) > p.AtOnce {
-				t.Fatalf("%d change at once, of %d", len(open), p.AtOnce)
+			open := s.OpenOrders()
+			if len(open) > p.MaxConcurrent {
+				t.Fatalf("%d change at once, of %d", len(open), p.MaxConcurrent)
 			}
 			if len(orders) > 0 {
-				out, mended := map[string]bool{}, s.Phase == TakingBack // those that are out of service already may always go back
+				out, mended := map[string]bool{}, s.Phase == RollingBack // those that are out of service already may always go back
 				for _, o := range open {
 					out[o.Sidecar] = true
 				}
@@ -279,8 +279,8 @@
 				for _, o := range orders {
 					mended = mended && !ready[o.Sidecar]
 				}
-				if len(out) > p.Unavailable && !mended {
-					t.Fatalf("%d are out of service, of %d, and one more was ordered", len(out), p.Unavailable)
+				if len(out) > p.MaxUnavailable && !mended {
+					t.Fatalf("%d are out of service, of %d, and one more was ordered", len(out), p.MaxUnavailable)
 				}
 			}
 			for _, o := range orders {
@@ -289,7 +289,7 @@
 				}
 				known = append(known, o)
 			}
-			stopped = stopped || s.Phase == TakingBack || s.Phase == Stopped
+			stopped = stopped || s.Phase == RollingBack || s.Phase == Stopped
 			for _, o := range append(orders, open...) { // and said again, by this driver or the next
 				if fences[o.Sidecar] == nil {
 					fences[o.Sidecar] = &Fence{}
@@ -334,16 +334,16 @@
 		"from, to: write both":                   func(p *Plan) { p.To = "" },
 		"to: old is what is there":               func(p *Plan) { p.To = "old" },
 		"stages: write one":                      func(p *Plan) { p.Stages = nil },
-		"at_once: 0":                             func(p *Plan) { p.AtOnce = 0 },
-		"unavailable: 1":                         func(p *Plan) { p.Unavailable = 1 },
-		"patience: 0s":                           func(p *Plan) { p.Patience = 0 },
-		"stages[0]: write one of":                func(p *Plan) { p.Stages[0].Select = Select{Count: 1, Zone: "a"} },
-		"stages[0]: share: 2":                    func(p *Plan) { p.Stages[0].Select = Select{Share: 2} },
-		"stages[0]: count: 9, and 6":             func(p *Plan) { p.Stages[0].Select = Select{Count: 9} },
-		"stages[0]: names: x is no":              func(p *Plan) { p.Stages[0].Select = Select{Names: []string{"x"}} },
-		"stages[0]: it takes nobody":             func(p *Plan) { p.Stages[0].Select = Select{Zone: "z"} },
-		"stages[2].control: 1, and 0":            func(p *Plan) { p.Stages[2].Control = 1 },
-		"stages[0].least: 2h0m0s":                func(p *Plan) { p.Stages[0].Least = 2 * time.Hour },
+		"at_once: 0":                             func(p *Plan) { p.MaxConcurrent = 0 },
+		"unavailable: 1":                         func(p *Plan) { p.MaxUnavailable = 1 },
+		"patience: 0s":                           func(p *Plan) { p.EvidenceTimeout = 0 },
+		"stages[0]: write one of":                func(p *Plan) { p.Stages[0].Selector = Selector{Count: 1, Zone: "a"} },
+		"stages[0]: share: 2":                    func(p *Plan) { p.Stages[0].Selector = Selector{Share: 2} },
+		"stages[0]: count: 9, and 6":             func(p *Plan) { p.Stages[0].Selector = Selector{Count: 9} },
+		"stages[0]: names: x is no":              func(p *Plan) { p.Stages[0].Selector = Selector{Names: []string{"x"}} },
+		"stages[0]: it takes nobody":             func(p *Plan) { p.Stages[0].Selector = Selector{Zone: "z"} },
+		"stages[2].control: 1, and 0":            func(p *Plan) { p.Stages[2].ControlCount = 1 },
+		"stages[0].least: 2h0m0s":                func(p *Plan) { p.Stages[0].MinWatch = 2 * time.Hour },
 		"stages: 3 of 6 sidecars are in none":    func(p *Plan) { p.Stages = p.Stages[:2] },
 		`n00 runs "old", and the change is from`: func(p *Plan) { p.From = "older" },
 	} {
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -251,7 +251,7 @@
 }
 
 // Begin begins a change by a plan's text, whose agents are all.
-func (d *Deployment) Begin(plan string) (*driver.Begun, error) {
+func (d *Deployment) Begin(plan string) (*driver.BeginResult, error) {
 	var agents []string
 	for _, a := range d.Agents {
 		agents = append(agents, a.Link.Addr)
@@ -283,8 +283,8 @@
 // Say is an operator's word on the change that goes on.
 func (d *Deployment) Say(e rollout.Event) {
 	d.t.Helper()
-	told, err := d.Ask(fleet.Request{Rollout: &rollout.Command{Application: Application, Change: d.Changes().Now.Name, Events: []rollout.Event{e}}})
-	if err != nil || told.Rollout.Err != "" {
+	told, err := d.Ask(fleet.Request{Rollout: &rollout.Command{Application: Application, Change: d.Changes().Current.Name, Events: []rollout.Event{e}}})
+	if err != nil || told.Rollout.Error != "" {
 		d.t.Fatal(err, told)
 	}
 }
@@ -293,13 +293,13 @@
 func (d *Deployment) Until(within time.Duration, what string, ok func(*rollout.Change) bool) *rollout.Change {
 	d.t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(50 * time.Millisecond) {
-		c := d.Changes().Now
+		c := d.Changes().Current
 		if ok(c) {
 			return c
 		}
 		if time.Now().After(end) {
 			text, _ := json.Marshal(c.State)
-			d.t.Fatalf("never: %s: %v, stage %d, %s: %s", what, c.State.Phase, c.State.Stage, c.State.Why, text)
+			d.t.Fatalf("never: %s: %v, stage %d, %s: %s", what, c.State.Phase, c.State.Stage, c.State.Reason, text)
 		}
 	}
 }
@@ -335,7 +335,7 @@
 	for _, f := range files {
 		var p agent.Process
 		text, _ := os.ReadFile(f)
-		if got, _ := fmt.Sscan(string(text), &p.PID, &p.Began); got == 2 && machine.Lives(p) {
+		if got, _ := fmt.Sscan(string(text), &p.PID, &p.StartTicks); got == 2 && machine.Lives(p) {
 			name := strings.Split(filepath.Base(f), "-")[1]
 			by[name]++
 			n = max(n, by[name])
--- a/internal/rig/deployment/played.go
+++ b/internal/rig/deployment/played.go
@@ -52,14 +52,14 @@
 	defer p.mu.Unlock()
 	p.looks++
 	if in.Token != 0 {
-		if err := p.fence.Hear(in.Token); err != nil {
+		if err := p.fence.ObserveToken(in.Token); err != nil {
 			return nil, connect.NewError(connect.CodeAborted, err)
 		}
 	}
 	c := counts.Class{Name: "look", Served: uint64(time.Since(p.began) / (20 * time.Millisecond))}
 	c.Took[10] = c.Served
 	text, err := json.Marshal([]counts.Class{c})
-	return &machine.Status{Sidecars: []machine.SidecarStatus{{Report: p.report, Process: agent.Process{PID: 1, Began: p.starts, Release: p.report.Release}, Counts: text}}}, err
+	return &machine.Status{Sidecars: []machine.SidecarStatus{{Report: p.report, Process: agent.Process{PID: 1, StartTicks: p.starts, Release: p.report.Release}, Counts: text}}}, err
 }
 
 func (p *Played) order(_ context.Context, in *machine.Order) (*machine.OrderResponse, error) {
@@ -71,7 +71,7 @@
 	}
 	if !known {
 		p.orders++
-		p.report.Done = in.Order.Number
+		p.report.CompletedOrder = in.Order.Number
 		p.start(in.Order.Release)
 	}
 	return &machine.OrderResponse{Known: known}, nil
--- a/internal/rig/deployment/site.go
+++ b/internal/rig/deployment/site.go
@@ -165,8 +165,8 @@
 		stopped := s.Until(90*time.Second, b.Name+" is stopped", func(c *rollout.Change) bool { return c.State.Phase > rollout.Paused })
 		took := time.Since(began)
 		c := s.Over(time.Minute)
-		s.t.Logf("%s: stopped after %v, back after %v: %s", b.Name, took.Round(100*time.Millisecond), time.Since(began).Round(100*time.Millisecond), c.State.Why)
-		if c.State.Phase != rollout.Stopped || stopped.State.Stage != 1 || Running(c, from) != 6 || !strings.Contains(c.State.Why, b.Why) {
+		s.t.Logf("%s: stopped after %v, back after %v: %s", b.Name, took.Round(100*time.Millisecond), time.Since(began).Round(100*time.Millisecond), c.State.Reason)
+		if c.State.Phase != rollout.Stopped || stopped.State.Stage != 1 || Running(c, from) != 6 || !strings.Contains(c.State.Reason, b.Why) {
 			text, _ := json.Marshal(c.State)
 			s.t.Errorf("%s: %v in stage %d, %d run the one before: %s", b.Name, c.State.Phase, c.State.Stage, Running(c, from), text)
 		}
--- a/internal/rig/scale/agents.go
+++ b/internal/rig/scale/agents.go
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	if in.Token != 0 {
-		if err := h.fence.Hear(in.Token); err != nil {
+		if err := h.fence.ObserveToken(in.Token); err != nil {
 			return nil, connect.NewError(connect.CodeAborted, err)
 		}
 	}
@@ -120,8 +120,8 @@
 	text, err := json.Marshal(h.counts())
 	return &machine.Status{Sidecars: []machine.SidecarStatus{{
 		Report: h.report, Zone: h.Zone, Phase: agent.Idle.String(), Confirmed: h.report.Release,
-		Process: agent.Process{PID: 100_000, Began: 1_000_000 + h.starts, Release: h.report.Release, AdminAddress: h.addr},
-		Counts:  text, CPU: uint64(time.Since(h.began) / (100 * time.Millisecond)), Memory: 24 << 20,
+		Process: agent.Process{PID: 100_000, StartTicks: 1_000_000 + h.starts, Release: h.report.Release, AdminAddress: h.addr},
+		Counts:  text, CPUTicks: uint64(time.Since(h.began) / (100 * time.Millisecond)), ResidentBytes: 24 << 20,
 	}}}, err
 }
 
@@ -158,7 +158,7 @@
 		return nil, connect.NewError(connect.CodeAborted, err)
 	}
 	if !known {
-		h.report.Done, h.report.Release = in.Order.Number, in.Order.Release
+		h.report.CompletedOrder, h.report.Release = in.Order.Number, in.Order.Release
 		h.starts++
 		h.began, h.since = time.Now(), int64(monotonic.Now())
 		a.wake()
--- a/internal/rig/scale/agents_test.go
+++ b/internal/rig/scale/agents_test.go
@@ -24,7 +24,7 @@
 	over := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext}}
 	defer over.CloseIdleConnections()
 	look := func(i int, in machine.StatusRequest) (*machine.Status, error) {
-		res, err := rpc.Client[machine.StatusRequest, machine.Status](over, a.agents()[i], machine.PathStatus, machine.MaxAnswer).CallUnary(t.Context(), connect.NewRequest(&in))
+		res, err := rpc.Client[machine.StatusRequest, machine.Status](over, a.agents()[i], machine.PathStatus, machine.MaxResponseBytes).CallUnary(t.Context(), connect.NewRequest(&in))
 		if err != nil {
 			return nil, err
 		}
@@ -32,7 +32,7 @@
 	}
 	order := func(i int, o rollout.Order) (known bool, err error) {
 		in := machine.Order{Version: machine.Version, Application: "app", Token: 4, Order: o}
-		res, err := rpc.Client[machine.Order, machine.OrderResponse](over, a.agents()[i], machine.PathOrder, machine.MaxAnswer).CallUnary(t.Context(), connect.NewRequest(&in))
+		res, err := rpc.Client[machine.Order, machine.OrderResponse](over, a.agents()[i], machine.PathOrder, machine.MaxResponseBytes).CallUnary(t.Context(), connect.NewRequest(&in))
 		if err != nil {
 			return false, err
 		}
--- a/internal/rig/scale/workloads.go
+++ b/internal/rig/scale/workloads.go
@@ -78,16 +78,16 @@
 		for n, addr := range answers[i].Agents {
 			m := drawMember(r.o.Seed, s.First+n)
 			start.Members = append(start.Members, rollout.Member{Name: m.Name, Zone: m.Zone, Agent: addr})
-			start.Now = append(start.Now, rollout.Report{Sidecar: m.Name, Release: oldRelease, Ready: true})
+			start.Reports = append(start.Reports, rollout.Report{Sidecar: m.Name, Release: oldRelease, Ready: true})
 		}
 	}
 	if len(start.Members) != r.size {
 		return fmt.Errorf("%d agents listen, of %d", len(start.Members), r.size)
 	}
 	start.Plan = rollout.Plan{Application: application, From: oldRelease, To: newRelease,
-		AtOnce: r.size, Unavailable: r.size, Before: time.Hour, Patience: time.Hour,
-		Judge:  rollout.Judgement{FalseStops: 0.01, MissedStops: 0.05, Effect: 0.02},
-		Stages: []rollout.Stage{{Select: rollout.Select{Share: 1}}}}
+		MaxConcurrent: r.size, MaxUnavailable: r.size, BaselinePeriod: time.Hour, EvidenceTimeout: time.Hour,
+		Judge:  rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02},
+		Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}}
 	if err := r.begin(ctx, "watched", &start); err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 	if err := r.say(ctx, &rollout.Command{Application: application, Change: "watched", Events: abort}); err != nil {
 		return err
 	}
-	start.Plan.Before, start.Plan.Judge = 0, rollout.Judgement{None: true}
+	start.Plan.BaselinePeriod, start.Plan.Judge = 0, rollout.JudgeConfig{Disabled: true}
 	if err := r.begin(ctx, "changed", &start); err != nil {
 		return err
 	}
@@ -173,10 +173,10 @@
 func (r *run) say(ctx context.Context, c *rollout.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, sayWithin)
 	defer cancel()
-	c.At = time.Now().UnixMilli()
+	c.AtMillis = time.Now().UnixMilli()
 	told, err := r.group.operator.Ask(ctx, fleet.Request{Rollout: c})
-	if err == nil && told.Rollout.Err != "" {
-		err = refused{errors.New(told.Rollout.Err)}
+	if err == nil && told.Rollout.Error != "" {
+		err = refused{errors.New(told.Rollout.Error)}
 	}
 	return err
 }
