--- a/internal/coordination/agent/configuration.go
+++ b/internal/coordination/agent/configuration.go
@@ -8,61 +8,52 @@
 	"petrelhook/internal/coordination/distribute"
 )
 
-// ConfigurationState is what survives the agent of a sidecar's configuration. Revisions are of versions of its service; 0:
-// what its release says by itself.
-type ConfigurationState struct {
-	InForce         distribute.Revision `json:"in_force,omitempty"` // every start begins with it, but a version's own change
-	Candidate       distribute.Revision `json:"trying,omitempty"`   // on its way in; 0: none
-	ByReload        bool                `json:"live,omitempty"`     // by the process that serves; else by a change that goes on
-	Rejected        distribute.Revision `json:"refused,omitempty"`  // the newest that was not put in force, for good
-	RejectionReason string              `json:"why,omitempty"`      // and why
-}
-
-// Check is a question whether a version can go in: each release that may be started with it has to take it. Where a
-// process serves, it is also how it goes in: live, or by a change.
+// Check is a request to check whether a version can be applied: the program of each release that may be started with it has to accept
+// it. If a process serves, the check also finds out whether that process can reload. It is comparable: a result belongs to an equal
+// Check.
 type Check struct {
 	Version  distribute.Revision
-	Releases [2]string // that runs, and that is confirmed where it is another; "": there is none
-	Process  Process   // that serves; the zero one: none does
+	Releases [2]string // the release that runs, and the confirmed one where it is another; "": none
+	Process  Process   // the process that serves; the zero value: none does
 }
 
-// CheckResult is the answer.
+// CheckResult is the result of a Check.
 type CheckResult struct {
-	Rejection   string // by the program of a release, in its own words; "": it is taken
-	Unavailable string // why it can't be said now; "": it is known
-	Reloadable  bool   // the process that serves can take it as it runs: no field differs that it reads only as it starts
+	Rejection   string // what a release's program says against the version; "": it is accepted
+	Unavailable string // why the check could not be made now; "": it was made
+	Reloadable  bool   // the serving process can reload: no field differs that it reads at its start alone
 }
 
-// configurationProgress is what a sidecar knows of the versions of its configuration while the agent lives.
+// configurationProgress is what a sidecar knows of versions of its configuration while its agent lives.
 type configurationProgress struct {
-	newest         distribute.Revision // the newest that was taken
-	pendingCheck   *Check              // it is out
-	lastCheck      Check               // was answered with verdict
+	newest         distribute.Revision // the newest version that the agent has accepted
+	pendingCheck   *Check              // requested, and not completed
+	lastCheck      Check               // completed with lastResult
 	lastResult     CheckResult
-	digestReported bool          // the process that serves has told what it runs
-	reportedDigest string        // the digest of the file that it read last; "": it does not tell
-	expectedDigest string        // the digest of the file that was written for it last; "": none was
-	retryAt        time.Duration // when to try again, or to tell again
-	failures       int           // in a row, of which nothing came
-	delayReason    string        // why
-	reservedUntil  time.Duration // until then an order of a rollout that found no room comes first
+	digestReported bool          // DigestReported was called for the serving process
+	reportedDigest string        // the digest of the file that it read last; "": its program does not report one
+	expectedDigest string        // the digest of the file that was written for its reload; "": none was
+	retryAt        time.Duration // when to try again, or to request the reload again
+	failures       int           // attempts in a row that failed without the version's fault
+	delayReason    string        // why the last of them failed
+	reservedUntil  time.Duration // until then no version is applied: a rollout's order found the sidecar busy and is repeated
 }
 
-// crashLoopThreshold is after how many ends in a row, without a yes between, a sidecar is taken not to come up with what is in
-// force.
+// crashLoopThreshold is the number of exits in a row, without readiness in between, from which on a sidecar is taken not to come up
+// with the version in force; then a newer version is applied although nothing serves.
 const crashLoopThreshold = 2
 
-// SetNewestVersion tells of the newest version that was taken. An older one is never wanted again.
+// SetNewestVersion reports the newest version that the agent has accepted. An older one has no effect.
 func (s *Sidecar) SetNewestVersion(version distribute.Revision) {
 	if version > s.newest {
 		s.newest, s.delayReason, s.retryAt, s.failures = version, "", 0, 0
 	}
 }
 
-// hasPendingVersion reports whether there is a version to be put in force.
+// hasPendingVersion reports whether the newest version is neither in force nor rejected.
 func (s *Sidecar) hasPendingVersion() bool { return s.newest > max(s.InForce, s.Rejected) }
 
-// startVersion is what a start begins with.
+// startVersion is the version that a process is started with.
 func (s *Sidecar) startVersion() distribute.Revision {
 	if s.Phase == Starting && s.Candidate != 0 {
 		return s.Candidate
@@ -70,8 +61,8 @@
 	return s.InForce
 }
 
-// advanceConfiguration gives what is due for the newest version, where no change goes on. A version whose turn has come is seen
-// through or fails before a newer one has its own.
+// advanceConfiguration takes the next step towards the newest version while no change is in progress. A candidate is applied or fails
+// before a newer version becomes the candidate.
 func (s *Sidecar) advanceConfiguration(now time.Duration) []Action {
 	switch {
 	case s.Candidate != 0:
@@ -81,9 +72,9 @@
 		return nil
 	case !s.hasPendingVersion() || s.pendingCheck != nil || now < s.reservedUntil || now < s.retryAt:
 		return nil
-	case s.Serving == nil && (s.startRequested || s.consecutiveCrashes < crashLoopThreshold): // what is in force comes first
+	case s.Serving == nil && (s.startRequested || s.consecutiveCrashes < crashLoopThreshold): // the version in force comes first
 		return nil
-	case s.Serving != nil && !(s.servingReady && s.digestReported) && now < s.deadline: // it has just begun
+	case s.Serving != nil && (!s.servingReady || !s.digestReported) && now < s.deadline: // it has just been started
 		return nil
 	}
 	if check := s.nextCheck(); s.lastCheck != check {
@@ -102,6 +93,7 @@
 	return s.startNext(now, release)
 }
 
+// nextCheck is the check that the newest version has to pass as things stand now.
 func (s *Sidecar) nextCheck() Check {
 	check := Check{Version: s.newest, Releases: [2]string{s.Confirmed}}
 	if s.Serving != nil {
@@ -112,11 +104,11 @@
 	return check
 }
 
-// CheckCompleted tells what came of a check.
+// CheckCompleted reports the result of a check. A result that has become outdated is dropped, and the check is requested again.
 func (s *Sidecar) CheckCompleted(now time.Duration, check Check, result CheckResult) []Action {
 	s.pendingCheck = nil
 	switch {
-	case s.Phase != Idle || !s.hasPendingVersion() || check != s.nextCheck(): // it is asked anew when its turn comes
+	case s.Phase != Idle || !s.hasPendingVersion() || check != s.nextCheck(): // outdated
 	case result.Unavailable != "":
 		s.retryVersionLater(now, result.Unavailable)
 	case result.Rejection != "":
@@ -127,23 +119,20 @@
 	return s.Tick(now)
 }
 
-// retryVersionLater has what came to nothing by nobody's fault tried again, after a pause that doubles.
+// retryVersionLater schedules another attempt after one that failed without the version's fault.
 func (s *Sidecar) retryVersionLater(now time.Duration, reason string) {
-	pause := s.limits.InitialBackoff << min(s.failures, 30)
-	if pause <= 0 || pause > s.limits.MaxBackoff {
-		pause = s.limits.MaxBackoff
-	}
+	s.delayReason, s.retryAt, s.lastCheck = reason, now+s.limits.backoff(s.failures), Check{}
 	s.failures++
-	s.delayReason, s.retryAt, s.lastCheck = reason, now+pause, Check{}
 }
 
-// requestReload has the process that serves read its file again, with the version that is on its way.
+// requestReload has the serving process reload its file with the candidate.
 func (s *Sidecar) requestReload(now time.Duration) []Action {
 	s.expectedDigest, s.retryAt = "", now+s.limits.ReadyTimeout
 	return []Action{{Reload: s.Serving, Version: s.Candidate}}
 }
 
-// ReloadRequested tells that the file was written, what its digest is, and that the process was asked to read it; or why not.
+// ReloadRequested reports that the file of a process was written, with this digest, and that the process was asked to reload it; or the
+// error that prevented it.
 func (s *Sidecar) ReloadRequested(now time.Duration, p Process, digest string, err error) {
 	switch {
 	case !s.ByReload || s.Serving == nil || *s.Serving != p:
@@ -155,7 +144,8 @@
 	}
 }
 
-// DigestReported tells the digest of the file that a process read last; "": it does not say.
+// DigestReported reports the digest of the file that a process says it has read last, "" if its program reports none. The candidate of
+// a reload is in force once the process reports the expected digest.
 func (s *Sidecar) DigestReported(p Process, digest string) {
 	if s.Serving == nil || *s.Serving != p {
 		return
@@ -166,8 +156,8 @@
 	}
 }
 
-// finishCandidate ends what is on its way: "" puts it in force. What is in force stays so whatever comes after, and what is at
-// no fault is tried again.
+// finishCandidate ends the attempt to apply the candidate: a failure of "" puts it in force. A version that has come into force stays
+// in force whatever happens to its process afterwards. A candidate that is not at fault stays pending.
 func (s *Sidecar) finishCandidate(failure string, versionAtFault bool) {
 	switch {
 	case failure == "":
@@ -178,20 +168,20 @@
 	s.Candidate, s.ByReload = 0, false
 }
 
-// resetReportedDigest tells that another process serves, or none: nothing was heard of it yet.
+// resetReportedDigest forgets what the last serving process reported: another one serves now, or none.
 func (s *Sidecar) resetReportedDigest() {
 	s.digestReported, s.reportedDigest, s.expectedDigest = false, "", ""
 	s.withdrawReload()
 }
 
-// withdrawReload takes back what was told and not read yet: it has its turn later.
+// withdrawReload gives up a reload that the process has not confirmed. The version stays pending.
 func (s *Sidecar) withdrawReload() {
 	if s.ByReload {
 		s.Candidate, s.ByReload, s.retryAt = 0, false, 0
 	}
 }
 
-// Report is how the sidecar of a name stands with its versions.
+// Report returns what the coordinators are told of the versions of this sidecar, which is called name.
 func (s *Sidecar) Report(name string) distribute.Report {
 	report := distribute.Report{Sidecar: name, InForce: s.InForce}
 	if s.Rejected > s.InForce {
@@ -223,11 +213,3 @@
 	}
 	return s.delayReason
 }
-
-// busyError is why an order finds no room: what came first.
-func (s *Sidecar) busyError(order uint64) error {
-	if s.Candidate != 0 {
-		return fmt.Errorf("order %d: version %d of the configuration is not over: %v", order, s.Candidate, s.Phase)
-	}
-	return fmt.Errorf("order %d: order %d is not over: %v", order, s.Order, s.Phase)
-}
--- a/internal/coordination/agent/doc.go
+++ b/internal/coordination/agent/doc.go
@@ -1,20 +1,27 @@
-// Package agent is the processes of one sidecar on one machine: how it is started, changed by a hand-over, put on trial and taken
-// back. Sidecar is that as a pure machine: orders and what is seen go in, what to do comes out. It starts no process and reads no clock.
+// Package agent decides how the processes of one sidecar on one machine are supervised: which one is started, how a new release takes
+// over from the one that serves, when a change is abandoned, and how a version of the configuration comes into force. Sidecar is a pure
+// state machine: orders and observations go in, actions come out. It starts no process, reads no clock and writes no file; package
+// machine does that.
 //
-//	Idle      one process serves, or none: then one is started, after a pause that doubles with each crash
-//	Starting  the next one is started beside it, and has to say yes in time
-//	Trial     both live; the next one has to live through its trial
-//	Ending    the one before is told to end, and killed if it does not
+// The phases of a sidecar:
 //
-// A release is confirmed by the fleet when a change is over. Until then it is on trial with the fleet: a machine that is cut off for
-// longer than it may be goes back to what was confirmed.
+//	Idle      at most one process, which serves; if there is none, one is started after a backoff that doubles with each crash
+//	Starting  a second process is started beside the one that serves and has to become ready in time
+//	Trial     both processes live; the new one has to survive its trial period
+//	Ending    the old process was sent SIGTERM, and is killed if it does not exit in time
 //
-// A version of the service's configuration goes in where no change goes on: the release's program is asked whether it
-// takes the version; then the process that serves reads it, or a process is started with it as by a change. What is in
-// force is what every other start begins with. A rollout's order comes first. See Configured.
+// A release is confirmed when the coordinators say that its rollout is over. Until then a machine that is isolated from them for longer
+// than Limits.IsolationTimeout falls back to the confirmed release.
 //
-// Invariants: never more than two processes, and one of a hand-over is ended only after the other has said yes and lived through its
-// trial; a change that fails leaves the one that served as it was; what was asked for once is done once, also by an agent that is killed
-// at any moment and begins again with what it kept and what it finds alive; what is in force never goes back to an
-// older version, and one that was refused is not tried again.
+// A version of the service's configuration is applied while no change of the release is in progress. The program of each release that
+// may be started with the version checks it first. Then either the serving process reloads its file, or a new process is started with
+// the version, as in a change of the release. Every other start uses the version in force. An order of a rollout takes precedence.
+// See ConfigurationState.
+//
+// Invariants: there are never more than two processes; the old process of a change is ended only after the new one has become ready
+// and survived its trial; a change that fails leaves the serving process as it was; an order is carried out once, even if the agent is
+// killed at any moment and another continues from the persisted state and the processes that it finds alive; the version in force never
+// becomes an older one, and a rejected version is not tried again.
+//
+// A Sidecar is not safe for concurrent use.
 package agent
