--- a/cmd/petrelhook-agent/main.go
+++ b/cmd/petrelhook-agent/main.go
@@ -1,5 +1,5 @@
-// Command petrelhook-agent is in charge of the sidecars of one machine: it starts them, changes them by a hand-over when a rolling change
-// orders so, and takes them up again when it is started anew.
+// Command petrelhook-agent runs the sidecars of one machine: it starts them, replaces their processes when a rolling change orders so, and
+// supervises them again after it was started anew.
 package main
 
 import (
@@ -17,10 +17,13 @@
 	"petrelhook/internal/coordination/machine"
 )
 
-// A start becomes its program from the process' first thread: from another one the first would be a zombie for a moment, and who looks
-// then takes the process for ended.
+// startCommand is the hidden subcommand by which the agent starts a sidecar: see machine.BecomeSidecar.
+const startCommand = "once"
+
+// The process of a start becomes the sidecar's program from its first thread. From another thread, the first would be a zombie for a
+// moment, and an observer would take the process for ended.
 func init() {
-	if len(os.Args) > 1 && os.Args[1] == "once" {
+	if len(os.Args) > 1 && os.Args[1] == startCommand {
 		runtime.LockOSThread()
 	}
 }
@@ -33,7 +36,7 @@
 	cmd := &cobra.Command{
 		Use: "petrelhook-agent --config FILE", Short: "The agent of one machine: starts its sidecars, and changes them as a rolling change orders",
 		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
+		RunE: func(*cobra.Command, []string) error {
 			if path == "" {
 				return errors.New("write --config FILE")
 			}
@@ -41,23 +44,27 @@
 			if err != nil {
 				return command.Fail(err)
 			}
+			log := slog.New(slog.NewTextHandler(errs, nil))
+			for _, warning := range c.Warnings {
+				log.Warn("settings", "warning", warning)
+			}
 			if check {
 				fmt.Fprintf(out, "%s: good: %d sidecars of %s\n", path, len(c.Sidecars), c.Application)
 				return nil
 			}
-			return serve(c, slog.New(slog.NewTextHandler(errs, nil)))
+			return serve(c, log)
 		},
 	}
 	cmd.Flags().StringVar(&path, "config", "", "the settings' `FILE` (YAML)")
 	cmd.Flags().BoolVar(&check, "check", false, "say whether the file is good, and end")
-	cmd.AddCommand(&cobra.Command{Use: "once FILE PROGRAM", Hidden: true, DisableFlagParsing: true, Args: cobra.MinimumNArgs(2),
+	cmd.AddCommand(&cobra.Command{Use: startCommand + " FILE PROGRAM", Hidden: true, DisableFlagParsing: true, Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return command.Fail(machine.BecomeSidecar(args[0], args[1], args[2:]))
 		}})
 	return command.Run(cmd, args, out, errs)
 }
 
-// serve is in charge until SIGTERM or an interrupt; the sidecars go on.
+// serve runs the agent until SIGTERM or an interrupt. The sidecars outlive it.
 func serve(c *machine.Config, log *slog.Logger) error {
 	ctx, release := command.Terminated()
 	defer release()
--- a/cmd/petrelhook-agent/main_test.go
+++ b/cmd/petrelhook-agent/main_test.go
@@ -26,18 +26,18 @@
 	}
 	path := filepath.Join(t.TempDir(), "a.yaml")
 	for want, c := range map[string][2]string{
-		"a.yaml:2:1: aplication: unknown field":                  {"application:", "aplication:"},
-		"a.yaml:2:1: data: missing":                              {"data: /var/lib/petrelagent\n", ""},
-		"a.yaml:2:1: release: missing":                           {"release: 0123", "#"},
-		"a.yaml:2:1: listen: 10.0.0.1:7500 is not of loopback":   {"listen: 127.0.0.1:7500", "listen: 10.0.0.1:7500"},
-		`a.yaml:3:9: listen: "here" is no address`:               {"listen: 127.0.0.1:7500", "listen: here"},
-		`a.yaml:7:17: limits.ready: "6"; write a time`:           {"ready: 6s", "ready: 6"},
-		"a.yaml:10:5: sidecars[1]: name n0 is in line 9 already": {"name: n1", "name: n0"},
-		"a.yaml:10:5: sidecars[1]: 127.0.0.1:9600 is in line 9":  {"127.0.0.1:9602", "127.0.0.1:9600"},
-		"a.yaml:9:5: sidecars[0].name: \"../x\"":                 {"name: n0", "name: ../x"},
-		"a.yaml:9:58: sidecars[0].doors: 1 addresses; write two": {`["127.0.0.1:9600", "127.0.0.1:9601"]`, `["127.0.0.1:9600"]`},
-		"a.yaml:9:5: sidecars[0].set.name: the agent writes it":  {`set: {seed: "1f"`, `set: {name: "1f"`},
-		"a.yaml:9:5: sidecars[0]: write listen, and two doors":   {`listen: "127.0.0.1:8100", `, ""},
+		"a.yaml:2:1: aplication: unknown field":                            {"application:", "aplication:"},
+		"a.yaml:2:1: data: missing":                                        {"data: /var/lib/petrelagent\n", ""},
+		"a.yaml:2:1: release: missing":                                     {"release: 0123", "#"},
+		"a.yaml:2:1: listen: 10.0.0.1:7500 is not of loopback":             {"listen: 127.0.0.1:7500", "listen: 10.0.0.1:7500"},
+		`a.yaml:3:9: listen: "here" is no address`:                         {"listen: 127.0.0.1:7500", "listen: here"},
+		`a.yaml:7:17: limits.ready: "6"; write a time`:                     {"ready: 6s", "ready: 6"},
+		"a.yaml:10:5: sidecars[1]: name n0 is in line 9 already":           {"name: n1", "name: n0"},
+		"a.yaml:10:5: sidecars[1]: 127.0.0.1:9600 is in line 9":            {"127.0.0.1:9602", "127.0.0.1:9600"},
+		"a.yaml:9:5: sidecars[0].name: \"../x\"":                           {"name: n0", "name: ../x"},
+		"a.yaml:9:68: sidecars[0].admin_addresses: 1 addresses; write two": {`["127.0.0.1:9600", "127.0.0.1:9601"]`, `["127.0.0.1:9600"]`},
+		"a.yaml:9:5: sidecars[0].set.name: the agent writes it":            {`set: {seed: "1f"`, `set: {name: "1f"`},
+		"a.yaml:9:5: sidecars[0]: write listen, and two admin_addresses":   {`listen: "127.0.0.1:8100", `, ""},
 
 		"a.yaml:11:17: configuration.coordinator: unknown field":             {"{coordinators:", "{coordinator:"},
 		"a.yaml:11:16: configuration.coordinators: missing; write":           {`coordinators: ["127.0.0.1:7400"]`, ""},
@@ -69,3 +69,49 @@
 		t.Errorf("%d %s", code, out)
 	}
 }
+
+// The name that earlier versions had for admin_addresses is read as before, with one warning that says the new one. A file with both
+// names is an error.
+func TestAdminAddressesUnderTheirOldName(t *testing.T) {
+	example, err := os.ReadFile("../../deploy/agent.yaml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "a.yaml")
+	check := func(text string) (code int, out, errs string) {
+		t.Helper()
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		var stdout, stderr bytes.Buffer
+		code = run([]string{"--check", "--config", path}, &stdout, &stderr)
+		return code, stdout.String(), stderr.String()
+	}
+	const key, oldKey = "admin_addresses:", "doors:"
+	if n := strings.Count(string(example), key); n != 2 {
+		t.Fatalf("the example has %d", n)
+	}
+
+	if code, out, errs := check(string(example)); code != 0 || errs != "" {
+		t.Errorf("the example: %d %s%s", code, out, errs)
+	}
+	code, out, errs := check(strings.ReplaceAll(string(example), key, oldKey))
+	if code != 0 || !strings.Contains(out, "2 sidecars of permits") {
+		t.Errorf("the old name: %d %s%s", code, out, errs)
+	}
+	const warning = "a.yaml:9:58: sidecars[0].doors: this is called admin_addresses now; write that"
+	if strings.Count(errs, "\n") != 1 || !strings.Contains(errs, warning) {
+		t.Errorf("the old name: warned %q, want one line with %q", errs, warning)
+	}
+
+	for what, text := range map[string]string{
+		"one sidecar each": strings.Replace(string(example), key, oldKey, 1),
+		"in one sidecar":   strings.Replace(string(example), key, `doors: ["127.0.0.1:9600", "127.0.0.1:9601"], `+key, 1),
+	} {
+		const want = "a.yaml:9:58: sidecars[0].doors: the file has admin_addresses as well; write admin_addresses alone"
+		code, out, errs := check(text)
+		if code != 1 || out != "" || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, want) {
+			t.Errorf("%s: %d %s%s, want %q", what, code, out, errs, want)
+		}
+	}
+}
--- a/internal/coordination/agent/mutation_test.go
+++ b/internal/coordination/agent/mutation_test.go
@@ -15,7 +15,8 @@
 		versions     = "internal/coordination/agent/configuration.go"
 		sidecar      = "internal/coordination/agent/sidecar.go"
 		change       = "internal/coordination/agent/change.go"
-		shell        = "internal/coordination/machine/version.go"
+		store        = "internal/coordination/machine/version.go"
+		checks       = "internal/coordination/machine/check.go"
 	)
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
 		"an older one is not wanted":          {versions, "version > s.newest", "version != s.newest", pkg, "TestVersionsInARow"},
@@ -27,9 +28,9 @@
 		"the start that was not made":         {sidecar, "\t\tactions = append(actions, s.requestStart(s.Target)...)\n", "", pkg, "TestAStartThatWasNeverMade"},
 		"a terminating process, for a start":  {sidecar, "\tcase s.Terminating != nil:\n\t\treturn nil\n", "", pkg, "TestTheDoomedAreGoneFirst"},
 		"a terminating process, for an order": {change, "\tcase s.Terminating != nil:\n\t\treturn nil, fmt", "\tcase false:\n\t\treturn nil, fmt", pkg, "TestTheDoomedAreGoneFirst"},
-		"older than what is kept":             {shell, "v.Revision <= m.newestVersion", "false", machine, "TestVersionsOnAMachine"},
-		"another service's":                   {shell, "v.Service != m.config.Application:\n\t\t\treturn struct{}", "false:\n\t\t\treturn struct{}", machine, "TestVersionsOnAMachine"},
-		"the digest of what is kept":          {shell, "|| distribute.Digest(content) != v.Digest:", "|| false:", machine, "TestVersionsOnAMachine"},
-		"what must not be side by side":       {shell, "f.Kind == release.Refused", "false", machine, "TestApart"},
+		"older than what is kept":             {store, "v.Revision <= m.versions.newest", "false", machine, "TestVersionsOnAMachine"},
+		"another service's":                   {store, "v.Service != m.config.Application:\n\t\t\treturn struct{}", "false:\n\t\t\treturn struct{}", machine, "TestVersionsOnAMachine"},
+		"the digest of what is kept":          {store, "|| distribute.Digest(content) != v.Digest:", "|| false:", machine, "TestVersionsOnAMachine"},
+		"what must not be side by side":       {checks, "f.Kind == release.Refused", "false", machine, "TestApart"},
 	})
 }
--- /dev/null
+++ b/internal/coordination/machine/parse.go
@@ -0,0 +1,318 @@
+package machine
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"time"
+
+	"go.yaml.in/yaml/v3"
+
+	"petrelhook/internal/common/yamlfile"
+	"petrelhook/internal/coordination/distribute"
+)
+
+// The key of a sidecar's operators' addresses, and the one that earlier versions had for it, which is still read.
+const (
+	adminAddressesKey    = "admin_addresses"
+	oldAdminAddressesKey = "doors"
+)
+
+type fieldReader = func(*yaml.Node) error
+
+// parser reads one file of settings.
+type parser struct {
+	file        string
+	config      *Config
+	allowRemote bool
+
+	// Sections, which are read after the fields of the top; the zero node: the file does not have it.
+	limits, sidecars, configuration yaml.Node
+
+	oldAdminAddresses    *fieldPlace // the first use of oldAdminAddressesKey; nil: there is none
+	adminAddressesInFile bool        // adminAddressesKey is used
+}
+
+// fieldPlace is where a field stands in a file.
+type fieldPlace struct {
+	node *yaml.Node
+	path string
+}
+
+// Parse reads the text of a file. Every error names file, line, column and field, and says what to write.
+func Parse(file string, text []byte) (*Config, error) {
+	top, err := yamlfile.Mapping(file, text, "fields such as application: permits")
+	if err != nil {
+		return nil, err
+	}
+	p := &parser{file: file, config: &Config{Listen: DefaultListen, Limits: defaultLimits, ContactTimeout: defaultContactTimeout,
+		PollInterval: defaultPollInterval}}
+	if err := p.readTop(top); err != nil {
+		return nil, err
+	}
+	if err := p.checkTop(top); err != nil {
+		return nil, err
+	}
+	if !p.limits.IsZero() {
+		if err := p.readLimits(&p.limits); err != nil {
+			return nil, err
+		}
+	}
+	if !p.configuration.IsZero() {
+		if err := p.readConfiguration(&p.configuration); err != nil {
+			return nil, err
+		}
+	}
+	if p.sidecars.IsZero() {
+		return nil, p.problem(top, "sidecars", "missing; write a list")
+	}
+	if err := p.readSidecars(); err != nil {
+		return nil, err
+	}
+	if err := p.checkMember(); err != nil {
+		return nil, err
+	}
+	return p.config, nil
+}
+
+func (p *parser) problem(n *yaml.Node, field, what string) error {
+	return yamlfile.Problem(p.file, n, field, what)
+}
+
+// decodes returns a reader of a value; want says what is expected of it.
+func decodes(to any, want string) fieldReader {
+	return func(n *yaml.Node) error { return yamlfile.Decode(n, to, want) }
+}
+
+func readsAddress(to *string) fieldReader {
+	return func(n *yaml.Node) error { return yamlfile.Address(n, to) }
+}
+
+func readsDuration(to *time.Duration, minimum time.Duration) fieldReader {
+	return func(n *yaml.Node) error { return yamlfile.Within(n, to, minimum, 24*time.Hour) }
+}
+
+func (p *parser) readTop(top *yaml.Node) error {
+	c := p.config
+	return yamlfile.Fields(p.file, "", top, map[string]fieldReader{
+		"application":  decodes(&c.Application, "a name"),
+		"listen":       readsAddress(&c.Listen),
+		"allow_remote": decodes(&p.allowRemote, "true or false"),
+		"data":         decodes(&c.Data, "a folder"),
+		"releases":     decodes(&c.Releases, "a folder"),
+		"release":      decodes(&c.Release, "the name of a release"),
+
+		"limits":        decodes(&p.limits, "fields"),
+		"sidecars":      decodes(&p.sidecars, "a list"),
+		"configuration": decodes(&p.configuration, "fields"),
+	})
+}
+
+func (p *parser) checkTop(top *yaml.Node) error {
+	c := p.config
+	for _, f := range []struct{ name, value, what string }{
+		{"application", c.Application, "a name"},
+		{"data", c.Data, "the folder for what is kept"},
+		{"releases", c.Releases, "the folder of releases"},
+		{"release", c.Release, "the release to begin with, as petrelhookctl release add names it"},
+	} {
+		if f.value == "" {
+			return p.problem(top, f.name, "missing; write "+f.what)
+		}
+	}
+	if !p.reachable(c.Listen) {
+		return p.problem(top, "listen", c.Listen+" is not of loopback; write allow_remote: true where everybody who reaches it may give orders")
+	}
+	return nil
+}
+
+// reachable reports whether the file allows an address: any address of loopback, and others only with allow_remote.
+func (p *parser) reachable(address string) bool {
+	host, _, _ := net.SplitHostPort(address)
+	return p.allowRemote || yamlfile.Loopback(host)
+}
+
+func (p *parser) readLimits(n *yaml.Node) error {
+	if n.Kind != yaml.MappingNode {
+		return p.problem(n, "limits", "write fields such as ready: 6s")
+	}
+	c := p.config
+	return yamlfile.Fields(p.file, "limits.", n, map[string]fieldReader{
+		"ready":              readsDuration(&c.Limits.ReadyTimeout, 100*time.Millisecond),
+		"trial":              readsDuration(&c.Limits.TrialPeriod, 0),
+		"end":                readsDuration(&c.Limits.TerminationTimeout, 100*time.Millisecond),
+		"cut_off":            readsDuration(&c.Limits.IsolationTimeout, time.Second),
+		"restart_pause":      readsDuration(&c.Limits.InitialBackoff, 10*time.Millisecond),
+		"restart_pause_most": readsDuration(&c.Limits.MaxBackoff, 10*time.Millisecond),
+		"heard":              readsDuration(&c.ContactTimeout, 100*time.Millisecond),
+		"look":               readsDuration(&c.PollInterval, 10*time.Millisecond),
+	})
+}
+
+// readConfiguration reads where versions of the configuration come from.
+func (p *parser) readConfiguration(n *yaml.Node) error {
+	const section = "configuration"
+	if n.Kind != yaml.MappingNode {
+		return p.problem(n, section, `write fields such as coordinators: ["127.0.0.1:7400"]`)
+	}
+	c := p.config
+	c.Limits.VersionTrialPeriod = min(defaultVersionTrialPeriod, c.Limits.TrialPeriod)
+	err := yamlfile.Fields(p.file, section+".", n, map[string]fieldReader{
+		"trial":        readsDuration(&c.Limits.VersionTrialPeriod, 10*time.Millisecond),
+		"member":       p.readMember,
+		"coordinators": p.readCoordinators,
+	})
+	switch {
+	case err != nil:
+		return err
+	case len(c.Coordinators) == 0:
+		return p.problem(n, section+".coordinators", "missing; write the coordinators' addresses")
+	}
+	if c.Member == "" {
+		host, _ := os.Hostname() // without a name the address has to do
+		c.Member = host[:min(len(host), distribute.MaxName/2)] + "/" + c.Listen
+	}
+	return nil
+}
+
+func (p *parser) readMember(n *yaml.Node) error {
+	c := p.config
+	if err := yamlfile.Decode(n, &c.Member, "a name"); err != nil {
+		return err
+	}
+	if c.Member == "" || len(c.Member) > distribute.MaxName {
+		return fmt.Errorf("%d bytes; write a name of 1 to %d", len(c.Member), distribute.MaxName)
+	}
+	return nil
+}
+
+func (p *parser) readCoordinators(n *yaml.Node) error {
+	if err := yamlfile.Decode(n, &p.config.Coordinators, `a list such as ["127.0.0.1:7400"]`); err != nil {
+		return err
+	}
+	for _, one := range n.Content {
+		var address string
+		if err := yamlfile.Address(one, &address); err != nil {
+			return err
+		}
+		if !p.reachable(address) {
+			return fmt.Errorf("%s is not of loopback; "+
+				"write allow_remote: true where everybody who reaches it may give versions", address)
+		}
+	}
+	return nil
+}
+
+// readSidecars reads all sidecars. No two may have the same name or address.
+func (p *parser) readSidecars() error {
+	lines := map[string]int{} // where a name or address was used first
+	err := yamlfile.Each(p.file, "sidecars", &p.sidecars, func(path string, n *yaml.Node) error {
+		s, err := p.readSidecar(path, n)
+		if err != nil {
+			return err
+		}
+		for _, own := range []string{"name " + s.Name, s.Listen, s.AdminAddresses[0], s.AdminAddresses[1]} {
+			if lines[own] != 0 {
+				return p.problem(n, path, fmt.Sprintf("%s is in line %d already", own, lines[own]))
+			}
+			lines[own] = n.Line
+		}
+		p.config.Sidecars = append(p.config.Sidecars, s)
+		return nil
+	})
+	if err != nil || p.oldAdminAddresses == nil {
+		return err
+	}
+	old := p.oldAdminAddresses
+	if p.adminAddressesInFile {
+		return p.problem(old.node, old.path, "the file has "+adminAddressesKey+" as well; write "+adminAddressesKey+" alone")
+	}
+	p.config.Warnings = append(p.config.Warnings, p.problem(old.node, old.path, "this is called "+adminAddressesKey+" now; write that").Error())
+	return nil
+}
+
+func (p *parser) readSidecar(path string, n *yaml.Node) (s SidecarConfig, err error) {
+	var addresses []string
+	var overrides map[string]any
+	readsAddresses := func(n *yaml.Node) (err error) {
+		addresses, err = readAdminAddresses(n)
+		return err
+	}
+	err = yamlfile.Fields(p.file, path+".", n, map[string]fieldReader{
+		"name":   decodes(&s.Name, "a name"),
+		"zone":   decodes(&s.Zone, "a name"),
+		"listen": readsAddress(&s.Listen),
+		"set":    decodes(&overrides, "fields of the settings"),
+		adminAddressesKey: func(n *yaml.Node) error {
+			p.adminAddressesInFile = true
+			return readsAddresses(n)
+		},
+		oldAdminAddressesKey: func(n *yaml.Node) error {
+			if p.oldAdminAddresses == nil {
+				p.oldAdminAddresses = &fieldPlace{n, path + "." + oldAdminAddressesKey}
+			}
+			return readsAddresses(n)
+		},
+	})
+	switch {
+	case err != nil:
+		return s, err
+	case s.Name == "" || s.Name != filepath.Base(s.Name) || s.Name[0] == '.':
+		return s, p.problem(n, path+".name", fmt.Sprintf("%q; write a name without slashes that begins with no dot", s.Name))
+	case s.Listen == "" || addresses == nil:
+		return s, p.problem(n, path, "write listen, and two "+adminAddressesKey)
+	}
+	s.AdminAddresses = [2]string(addresses)
+	s.Overrides, err = p.readOverrides(path, n, overrides)
+	return s, err
+}
+
+func readAdminAddresses(n *yaml.Node) (addresses []string, err error) {
+	if err := yamlfile.Decode(n, &addresses, "two addresses"); err != nil {
+		return nil, err
+	}
+	for _, one := range n.Content {
+		if err := yamlfile.Address(one, new(string)); err != nil {
+			return nil, err
+		}
+	}
+	if len(addresses) != 2 {
+		return nil, fmt.Errorf("%d addresses; write two: both processes of a hand-over have one", len(addresses))
+	}
+	return addresses, nil
+}
+
+// readOverrides converts a sidecar's own fields to JSON. None of them may be one that the agent writes.
+func (p *parser) readOverrides(path string, n *yaml.Node, fields map[string]any) (map[string]json.RawMessage, error) {
+	overrides := map[string]json.RawMessage{}
+	for name, value := range fields {
+		text, err := json.Marshal(value)
+		if err != nil {
+			return nil, p.problem(n, path+".set."+name, err.Error())
+		}
+		overrides[name] = text
+	}
+	for _, name := range agentFields {
+		if overrides[name] != nil {
+			return nil, p.problem(n, path+".set."+name, "the agent writes it; leave it out")
+		}
+	}
+	return overrides, nil
+}
+
+// checkMember checks what the coordinators would refuse in the agent's watches.
+func (p *parser) checkMember() error {
+	if p.configuration.IsZero() {
+		return nil
+	}
+	watch := distribute.Watch{Version: distribute.WireVersion, Service: p.config.Application, Member: p.config.Member}
+	for _, s := range p.config.Sidecars {
+		watch.Reports = append(watch.Reports, distribute.Report{Sidecar: s.Name})
+	}
+	if err := watch.Check(); err != nil {
+		return p.problem(&p.configuration, "configuration", err.Error())
+	}
+	return nil
+}
--- a/internal/coordination/machine/recorded_test.go
+++ b/internal/coordination/machine/recorded_test.go
@@ -53,14 +53,14 @@
 		t.Fatal(err)
 	}
 	defer m.lockFile.Close()
-	if m.fence.Token != 9 || m.fence.LastOrders["n0"] != 4 {
-		t.Errorf("%+v", m.fence)
+	if m.driver.fence.Token != 9 || m.driver.fence.LastOrders["n0"] != 4 {
+		t.Errorf("%+v", m.driver.fence)
 	}
-	if known, err := m.fence.Admit(9, rollout.Order{Number: 4, Sidecar: "n0"}); !known || err != nil {
+	if known, err := m.driver.fence.Admit(9, rollout.Order{Number: 4, Sidecar: "n0"}); !known || err != nil {
 		t.Errorf("%v, %v", known, err)
 	}
-	if m.newestVersion != 6 || string(m.versions[5].Content) != `{"discovery":"b","settings":{"y":2}}` {
-		t.Errorf("%d, %+v", m.newestVersion, m.versions)
+	if m.versions.newest != 6 || string(m.versions.content(5)) != `{"discovery":"b","settings":{"y":2}}` {
+		t.Errorf("%d, %+v", m.versions.newest, m.versions.byRevision)
 	}
 	k := m.sidecars[0].PersistedState
 	if k.Confirmed != "dd2d610c130bf85e584e3bbb283828c2" || k.CompletedOrder != 4 || k.StartCount != 3 || k.InForce != 5 || k.Rejected != 6 {
@@ -78,7 +78,7 @@
 		t.Errorf("%+v, %v", found, err)
 	}
 	version := distribute.Version{}
-	if was, err := m.readState("version-6", &version); !was || err != nil || version.Revision != 6 {
+	if was, err := m.data.readJSON("version-6", &version); !was || err != nil || version.Revision != 6 {
 		t.Errorf("%v, %v, %+v", was, err, version)
 	}
 }
--- /dev/null
+++ b/internal/coordination/machine/service.go
@@ -0,0 +1,240 @@
+package machine
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"time"
+
+	"connectrpc.com/connect"
+
+	"petrelhook/internal/coordination/release"
+	"petrelhook/internal/coordination/rollout"
+)
+
+// driverContact is what an agent knows of the drivers that called it.
+type driverContact struct {
+	fence       rollout.Fence
+	savedFence  rollout.Fence // as it is on the disk
+	lastContact time.Duration // by Machine.now
+}
+
+const fenceName = "fence"
+
+func (d *driverContact) load(data dataFolder) error {
+	if _, err := data.readJSON(fenceName, &d.fence); err != nil {
+		return err
+	}
+	_, err := data.readJSON(fenceName, &d.savedFence)
+	return err
+}
+
+// save writes the fence if it has changed.
+func (d *driverContact) save(data dataFolder) error {
+	if d.savedFence.Equal(d.fence) {
+		return nil
+	}
+	if err := data.writeJSON(fenceName, d.fence); err != nil {
+		return err
+	}
+	d.savedFence = rollout.Fence{Token: d.fence.Token, LastOrders: maps.Clone(d.fence.LastOrders)}
+	return nil
+}
+
+// errStopping answers calls that the agent can no longer carry out.
+var errStopping = connect.NewError(connect.CodeUnavailable, errors.New("this agent is stopping"))
+
+// diskError is an error of the agent's disk. It ends the agent: the state on the disk is unknown.
+type diskError struct{ error }
+
+func (e diskError) Unwrap() error { return e.error }
+
+// asDiskError marks an error, if there is one, as one of the disk.
+func asDiskError(err error) error {
+	if err == nil {
+		return nil
+	}
+	return diskError{err}
+}
+
+// runOwned has f run by the goroutine that owns the machine, and returns its result. A diskError of f ends the agent.
+func runOwned[T any](ctx context.Context, m *Machine, f func() (T, error)) (T, error) {
+	type result struct {
+		value T
+		err   error
+	}
+	var none T
+	done := make(chan result, 1)
+	posted := m.post(func() error {
+		value, err := f()
+		done <- result{value, err}
+		var onDisk diskError
+		if errors.As(err, &onDisk) {
+			return onDisk.error
+		}
+		return nil
+	})
+	if !posted {
+		return none, errStopping
+	}
+	select {
+	case r := <-done:
+		return r.value, r.err
+	case <-ctx.Done():
+		return none, ctx.Err()
+	case <-m.ended:
+		return none, errStopping
+	}
+}
+
+// checkAddressee refuses a message of another version or for another application's agent.
+func (m *Machine) checkAddressee(version int, application string) error {
+	if version != Version {
+		return connect.NewError(connect.CodeFailedPrecondition, fmt.Errorf("version %d; this agent speaks %d", version, Version))
+	}
+	if application != m.config.Application {
+		return connect.NewError(connect.CodeFailedPrecondition, fmt.Errorf("application %q; this agent is of %q", application, m.config.Application))
+	}
+	return nil
+}
+
+func (m *Machine) handleStatus(ctx context.Context, request *StatusRequest) (*Status, error) {
+	if err := m.checkAddressee(request.Version, request.Application); err != nil {
+		return nil, err
+	}
+	return runOwned(ctx, m, func() (*Status, error) {
+		if request.Token != 0 {
+			if err := m.observeToken(request.Token); err != nil {
+				return nil, err
+			}
+		}
+		status := &Status{}
+		for _, managed := range m.sidecars {
+			if request.Token != 0 && request.Confirmed != "" {
+				managed.Confirm(request.Confirmed)
+				if err := asDiskError(m.carryOut(managed, nil)); err != nil {
+					return nil, err
+				}
+			}
+			status.Sidecars = append(status.Sidecars, managed.status())
+		}
+		return status, nil
+	})
+}
+
+// observeToken notes a call of the driver with a fencing token. Drivers with older tokens are refused from then on.
+func (m *Machine) observeToken(token uint64) error {
+	if err := m.driver.fence.ObserveToken(token); err != nil {
+		return connect.NewError(connect.CodeAborted, err)
+	}
+	m.driver.lastContact = m.now()
+	return asDiskError(m.driver.save(m.data))
+}
+
+// status is what a driver is answered of a sidecar.
+func (s *managedSidecar) status() SidecarStatus {
+	status := SidecarStatus{Zone: s.config.Zone, Phase: s.Phase.String(), Confirmed: s.Confirmed}
+	status.Report = rollout.Report{Sidecar: s.config.Name, CompletedOrder: s.CompletedOrder, FailureReason: s.FailureReason,
+		FallbackReason: s.FallbackReason}
+	status.Release, status.Ready = s.Serves()
+	if s.Serving != nil {
+		status.Process, status.Counts = *s.Serving, s.counts[*s.Serving]
+		status.CPUTicks, status.ResidentBytes = usage(*s.Serving)
+	}
+	return status
+}
+
+func (m *Machine) handleOrder(ctx context.Context, request *Order) (*OrderResponse, error) {
+	if err := m.checkAddressee(request.Version, request.Application); err != nil {
+		return nil, err
+	}
+	return runOwned(ctx, m, func() (*OrderResponse, error) {
+		for _, managed := range m.sidecars {
+			if managed.config.Name == request.Order.Sidecar {
+				return m.acceptOrder(managed, request.Token, request.Order)
+			}
+		}
+		return nil, connect.NewError(connect.CodeNotFound, fmt.Errorf("there is no sidecar %q on this machine", request.Order.Sidecar))
+	})
+}
+
+// acceptOrder begins to carry out an order. The fence with its number is on the disk before anything is done.
+func (m *Machine) acceptOrder(managed *managedSidecar, token uint64, order rollout.Order) (*OrderResponse, error) {
+	if err := m.driver.fence.ObserveToken(token); err != nil {
+		return nil, connect.NewError(connect.CodeAborted, err)
+	}
+	known, err := m.driver.fence.Admit(token, order)
+	if err != nil {
+		return nil, connect.NewError(connect.CodeFailedPrecondition, err)
+	}
+	m.driver.lastContact = m.now()
+	if err := asDiskError(m.driver.save(m.data)); err != nil {
+		return nil, err
+	}
+	// The sidecar is asked even if the fence knows the order: the agent may have been killed in between, and the sidecar ignores
+	// an order that it has carried out.
+	actions, err := managed.ChangeRelease(m.now(), order.Number, order.Release)
+	if err != nil {
+		return nil, connect.NewError(connect.CodeUnavailable, err)
+	}
+	return &OrderResponse{known}, asDiskError(m.carryOut(managed, actions))
+}
+
+// handleCheck has the program of a release check its settings for each sidecar, with the version that the sidecar has in force.
+func (m *Machine) handleCheck(ctx context.Context, request *CheckRequest) (*CheckResponse, error) {
+	if err := m.checkAddressee(request.Version, m.config.Application); err != nil {
+		return nil, err
+	}
+	rejected := func(err error) error { return connect.NewError(connect.CodeFailedPrecondition, err) }
+	r, err := m.store.Open(release.ID(request.Release))
+	if err != nil {
+		return nil, rejected(err)
+	}
+	settings, err := os.ReadFile(r.Settings)
+	if err != nil {
+		return nil, rejected(err)
+	}
+	inForce, err := runOwned(ctx, m, func() ([]json.RawMessage, error) {
+		var contents []json.RawMessage
+		for _, managed := range m.sidecars {
+			contents = append(contents, m.versions.content(managed.InForce))
+		}
+		return contents, nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	dir, err := os.MkdirTemp(string(m.data), ".check-")
+	if err != nil {
+		return nil, rejected(err)
+	}
+	defer func() { _ = os.RemoveAll(dir) }() // what is left of it is read by nobody
+	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
+	defer cancel()
+	for i := range m.config.Sidecars {
+		if err := checkRelease(ctx, r, &m.config.Sidecars[i], inForce[i], dir); err != nil {
+			return nil, rejected(err)
+		}
+	}
+	return &CheckResponse{settings}, nil
+}
+
+// checkRelease has the program of a release check the settings of one sidecar, which it writes into dir.
+func checkRelease(ctx context.Context, r release.Release, config *SidecarConfig, version []byte, dir string) error {
+	text, err := config.releaseSettings(r, version)
+	if err != nil {
+		return err
+	}
+	path := filepath.Join(dir, config.Name+".json")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		return err
+	}
+	if output, err := runCheck(ctx, r.Program, path); err != nil {
+		return fmt.Errorf("%s: its program does not take its settings for %s: %w: %s", r.ID, config.Name, err, output)
+	}
+	return nil
+}
--- a/internal/coordination/machine/start.go
+++ b/internal/coordination/machine/start.go
@@ -1,179 +1,131 @@
 package machine
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"syscall"
 
 	"petrelhook/internal/coordination/agent"
 )
 
-// A start is made at most once, and is never unseen. The agent starts itself with the word once; that helper links a file with its own
-// id to the start's name and only then becomes the sidecar's program, as the same process. Who begins again after an agent that was
-// killed links a file of its own to that name: where that works nothing was started, and never will be, for the helper's link fails
-// then; where it fails the file says which process it is.
+// A start is made at most once, and it can always be found out whether it was made. The agent starts its own program with the argument
+// once; that helper links a file with its own process ID to the name of the start's claim file, and only then becomes the sidecar's
+// program, as the same process. An agent that is started after one that was killed links a file of its own to that name. If that works,
+// no process was started, and none will be, because the helper's link fails from then on. If it fails, the file says which process it is.
 
-const claimed = "claimed"
+// claimedByAgent is the content of the claim file of a start that was given up.
+const claimedByAgent = "claimed"
 
-// BecomeSidecar is the helper: it becomes program, unless the start was claimed. It returns only with an error.
-func BecomeSidecar(file, program string, args []string) error {
-	began, err := startTicks(os.Getpid())
+// BecomeSidecar is the helper's work: it claims a start and replaces this process by program. It returns only with an error, such as that
+// the start was given up.
+func BecomeSidecar(claimFile, program string, args []string) error {
+	ticks, err := startTicks(os.Getpid())
 	if err != nil {
 		return err
 	}
-	if err := link(file, fmt.Sprintf("%d %d", os.Getpid(), began)); err != nil {
+	if err := link(claimFile, fmt.Sprintf("%d %d", os.Getpid(), ticks)); err != nil {
 		return fmt.Errorf("this start is not to be made any more: %w", err)
 	}
 	return syscall.Exec(program, append([]string{program}, args...), os.Environ())
 }
 
-// link makes a file with its whole text, or fails because it is there.
-func link(file, text string) error {
-	f, err := os.CreateTemp(filepath.Dir(file), ".start-")
+// link makes a file with all of its text, or fails with os.ErrExist.
+func link(path, text string) error {
+	f, err := os.CreateTemp(filepath.Dir(path), ".start-")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name())
+	defer func() { _ = os.Remove(f.Name()) }() // what is left of it is read by nobody
 	_, err = f.WriteString(text)
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	return os.Link(f.Name(), file)
+	return os.Link(f.Name(), path)
 }
 
-// claim says which process a start has made; nil: none, and it never will.
-func claim(file string) (*agent.Process, error) {
-	err := link(file, claimed)
+// claim returns the process of a start, nil if it was not made; then it will not be made.
+func claim(claimFile string) (*agent.Process, error) {
+	err := link(claimFile, claimedByAgent)
 	if !errors.Is(err, os.ErrExist) {
 		return nil, err
 	}
-	text, err := os.ReadFile(file)
-	if err != nil || string(text) == claimed {
+	text, err := os.ReadFile(claimFile)
+	if err != nil || string(text) == claimedByAgent {
 		return nil, err
 	}
 	p := &agent.Process{}
 	if n, _ := fmt.Sscan(string(text), &p.PID, &p.StartTicks); n != 2 {
-		return nil, fmt.Errorf("%s: %q is no process", file, text)
+		return nil, fmt.Errorf("%s: %q is no process", claimFile, text)
 	}
 	return p, nil
 }
 
-// startTicks is when a process began, as the system counts; an error where there is none, or one that has ended and is not reaped.
-func startTicks(pid int) (uint64, error) {
-	fields, err := stat(pid)
-	if err != nil {
-		return 0, err
-	}
-	return strconv.ParseUint(fields[19], 10, 64)
-}
-
-// usage is the processor time that a process has used, in ticks of the system, and the bytes that it has resident.
-func usage(p agent.Process) (ticks, resident uint64) {
-	fields, err := stat(p.PID)
-	if err != nil || fields[19] != strconv.FormatUint(p.StartTicks, 10) {
-		return 0, 0
-	}
-	for _, f := range fields[11:13] {
-		n, _ := strconv.ParseUint(f, 10, 64)
-		ticks += n
-	}
-	pages, _ := strconv.ParseUint(fields[21], 10, 64)
-	return ticks, pages * uint64(os.Getpagesize())
-}
-
-// stat is what the system says of a process, from its state on.
-func stat(pid int) ([]string, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	if err != nil {
-		return nil, err
-	}
-	_, rest, ok := bytes.Cut(text, []byte(") ")) // the name before may hold anything but this
-	for next := true; next; {                    // up to the last
-		var more []byte
-		if _, more, next = bytes.Cut(rest, []byte(") ")); next {
-			rest = more
-		}
-	}
-	fields := strings.Fields(string(rest))
-	if !ok || len(fields) < 22 {
-		return nil, fmt.Errorf("/proc/%d/stat: it cannot be read", pid)
-	}
-	// A first thread that has ended is not the process: while another one of its threads becomes a new program, as Once does, the
-	// first is a zombie for a moment.
-	if threads := fields[17]; fields[0] == "X" || fields[0] == "Z" && (threads == "0" || threads == "1") {
-		return nil, os.ErrProcessDone
-	}
-	return fields, nil
-}
-
-// Lives reports whether a process is there and is the one that is meant: numbers are used again.
-func Lives(p agent.Process) bool {
-	began, err := startTicks(p.PID)
-	return err == nil && began == p.StartTicks
-}
-
-// signal sends a signal to the process that is meant.
-func signal(p agent.Process, s syscall.Signal) {
-	if Lives(p) {
-		syscall.Kill(p.PID, s)
-	}
+// startOptions are what startProgram needs.
+type startOptions struct {
+	claimFile    string
+	logFile      string
+	program      string
+	settings     string // the path of its settings
+	temporary    string // its folder for temporary files
+	adminAddress string // where it serves its operators' endpoint
 }
 
-// startProgram starts a program by way of the helper. It goes on if the agent ends: it has a session of its own, and writes to a file.
-func startProgram(file, log, program, config, tmp, endpoint string) (agent.Process, error) {
+// startProgram starts a sidecar's program by way of the helper. The process outlives the agent: it has a session of its own and writes
+// to a file.
+func startProgram(o startOptions) (agent.Process, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return agent.Process{}, err
 	}
-	out, err := os.OpenFile(log, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
+	log, err := os.OpenFile(o.logFile, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
 		return agent.Process{}, err
 	}
-	defer out.Close()
-	cmd := exec.Command(self, "once", file, program, "--config", config)
-	cmd.Env = append(os.Environ(), "LB_ADMIN_ADDR="+endpoint, "LB_CONFIG="+config, "TMPDIR="+tmp)
-	cmd.Stdout, cmd.Stderr = out, out
+	defer func() { _ = log.Close() }() // the process has a descriptor of its own; nothing is written by this one
+	cmd := exec.Command(self, "once", o.claimFile, o.program, "--config", o.settings)
+	cmd.Env = append(os.Environ(), "LB_ADMIN_ADDR="+o.adminAddress, "LB_CONFIG="+o.settings, "TMPDIR="+o.temporary)
+	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
 	if err := cmd.Start(); err != nil {
 		return agent.Process{}, err
 	}
-	began, err := startTicks(cmd.Process.Pid)
-	go cmd.Wait() // no more than reaping: whether it lives is looked up
+	ticks, err := startTicks(cmd.Process.Pid)
+	go func() { _ = cmd.Wait() }() // reaps the process, which may outlive the agent; Lives says whether it has ended
 	if err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return agent.Process{}, err
 	}
-	return agent.Process{PID: cmd.Process.Pid, StartTicks: began, AdminAddress: endpoint}, nil
+	return agent.Process{PID: cmd.Process.Pid, StartTicks: ticks, AdminAddress: o.adminAddress}, nil
 }
 
-// maxLogTail is how much of a log is looked at for what a process said last, and of a line that is passed on.
+// maxLogTail is how many bytes at the end of a log are searched for the reason of an exit, and maxLogLine how many of the line are
+// reported.
 const maxLogTail, maxLogLine = 16 << 10, 240
 
-// lastLogLine is the line of a log that says best why its process ended: the panic, else the last one. "": it said nothing.
-func lastLogLine(log string) string {
-	f, err := os.Open(log)
+// lastLogLine returns the line of a log that explains best why its process ended: the first of a panic, or else the last one. "": there
+// is none, or the log cannot be read.
+func lastLogLine(path string) string {
+	f, err := os.Open(path)
 	if err != nil {
 		return ""
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was read only
 	if end, err := f.Seek(0, io.SeekEnd); err == nil {
-		f.Seek(max(0, end-maxLogTail), io.SeekStart)
+		_, _ = f.Seek(max(0, end-maxLogTail), io.SeekStart) // otherwise the rest is empty
 	}
 	text, _ := io.ReadAll(io.LimitReader(f, maxLogTail))
-	said := ""
+	found := ""
 	for line := range strings.Lines(string(text)) {
 		if line = strings.TrimSpace(line); strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
-			said = line
+			found = line
 			break
 		} else if line != "" {
-			said = line
+			found = line
 		}
 	}
-	return strings.ToValidUTF8(said[:min(len(said), maxLogLine)], "")
+	return strings.ToValidUTF8(found[:min(len(found), maxLogLine)], "")
 }
--- a/internal/coordination/machine/version_test.go
+++ b/internal/coordination/machine/version_test.go
@@ -262,7 +262,7 @@
 		t.Errorf("%+v, %d starts after %d", r, g.kept().StartCount, starts)
 	}
 	peertest.Eventually(t, "old versions are removed", func() bool {
-		g.take(version(g.m.newestVersion+1, `{"discovery": "d"}`))
+		g.take(version(g.m.versions.newest+1, `{"discovery": "d"}`))
 		files, _ := filepath.Glob(filepath.Join(g.c.Data, "version-*"))
 		return !slices.ContainsFunc(files, func(f string) bool { return strings.Contains(f, "version-5") || strings.Contains(f, "version-7") })
 	})
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -130,7 +130,7 @@
 		text, _ := json.Marshal(fields)
 		d.first = d.First(text)
 	}
-	d.waiting = append(d.waiting, fmt.Sprintf("  - {name: n%02d, zone: %q, listen: %q, doors: [%q, %q], set: {%ssettings.my_number: %d}}\n", number,
+	d.waiting = append(d.waiting, fmt.Sprintf("  - {name: n%02d, zone: %q, listen: %q, admin_addresses: [%q, %q], set: {%ssettings.my_number: %d}}\n", number,
 		d.Zones[number%len(d.Zones)], addr, d.Reserved(), d.Reserved(), set.String(), numbered.MyNumber))
 	if len(d.waiting) < d.PerAgent {
 		return addr, nil
--- a/internal/rig/scale/machines.go
+++ b/internal/rig/scale/machines.go
@@ -100,7 +100,7 @@
 			return "", err
 		}
 	}
-	var addrs [4]string // of the sidecar, its two doors and the agent
+	var addrs [4]string // of the sidecar, its two operators' endpoints and the agent
 	for i := range addrs {
 		addr, fd, err := reserve()
 		if err != nil {
@@ -130,7 +130,7 @@
 		"release":       m.first,
 		"configuration": map[string]any{"coordinators": ways, "member": one.name},
 		"sidecars": []any{map[string]any{"name": one.name, "zone": "a", "listen": addrs[0],
-			"doors": []string{addrs[1], addrs[2]}, "set": set}},
+			"admin_addresses": []string{addrs[1], addrs[2]}, "set": set}},
 	})
 	if err != nil {
 		return "", err
