--- a/internal/coordination/replica/ask.go
+++ b/internal/coordination/replica/ask.go
@@ -50,7 +50,7 @@
 	SessionAlive  bool
 	Grants        []lease.Grant
 	GrantsVersion uint64
-	Rollout       rollout.Answer
+	Rollout       rollout.Response
 	State         *lease.State
 	Rollouts      *rollout.Register // as State
 	LimitErr      error             // why a limit was not set, or no part of it is given
