--- a/internal/router/node/end.go
+++ b/internal/router/node/end.go
@@ -9,92 +9,111 @@
 	"petrelhook/internal/router/settings"
 )
 
-// servers are what listens.
+// servers are what listens. Those of addresses that the settings leave out are nil.
 type servers struct {
-	internal net.Listener
-	front    *http.Server
-	ready    *http.Server
-	control  *http.Server
+	internal net.Listener // for other routers
+	front    *http.Server // for clients
+	ready    *http.Server // for the platform
+	control  *http.Server // for model servers and operators
 }
 
-// Bounds on callers before the configuration is known, and above what it may say: clients may take up a connection that has
-// rested for four fifths of the configuration's time.
+// Bounds on callers before the configuration is known, and on what it may allow.
 const (
 	headerTimeout = 10 * time.Second
-	idleTimeout   = 90 * time.Second
-	maxHeader     = 256 << 10
+	// idleTimeout is the longest time between two requests on a connection. Clients may use one that has rested for four fifths of the
+	// configuration's time.
+	idleTimeout    = 90 * time.Second
+	maxHeaderBytes = 256 << 10
 )
 
 func newServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader}
+	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// Times of an end.
 const (
-	lingering  = 3200 * time.Millisecond // the platform asks for readiness once a second, and needs two misses
-	takesLong  = 0.125                   // of the grace: how long requests are taken that may last beyond it
-	endMargin  = 500 * time.Millisecond
-	shortGrace = 0.5 // of the grace at the most: lingering, where the grace is short
+	// notReadyPeriod is how long clients' connections are accepted after the router said that it is not ready: the platform asks once a
+	// second, and needs two answers.
+	notReadyPeriod = 3200 * time.Millisecond
+	// longRequestFraction is the fraction of the grace period in which requests are still accepted that may last beyond its end.
+	longRequestFraction = 0.125
+	// exitMargin is how long before the end of the grace period the process ends at the latest.
+	exitMargin = 500 * time.Millisecond
+	// minOpenFraction is the fraction of the grace period for which clients are served at least, where it is short; connections are accepted
+	// for no more than that either.
+	minOpenFraction = 0.5
 )
 
-// schedule is when the steps of an end are due.
-type schedule struct {
-	longUntil time.Time // requests that may last beyond the end are refused from here on
-	closed    time.Time // no listener and no idle connection from here on
-	by        time.Time // what is open is cut off
+// shutdownSchedule is when the steps of a graceful shutdown come.
+type shutdownSchedule struct {
+	longUntil  time.Time // requests that may last beyond the end are rejected from here on
+	closeIdle  time.Time // the listener and idle connections are closed here
+	forceClose time.Time // what is still open is closed here
 }
 
-func newSchedule(began time.Time, grace time.Duration) schedule {
-	part := func(of float64) time.Duration { return time.Duration(of * float64(grace)) }
-	last := max(part(shortGrace), grace-endMargin)
-	return schedule{longUntil: began.Add(part(takesLong)), closed: began.Add(min(lingering, part(shortGrace))), by: began.Add(last)}
+func newShutdownSchedule(began time.Time, grace time.Duration) shutdownSchedule {
+	fraction := func(of float64) time.Duration { return time.Duration(of * float64(grace)) }
+	last := max(fraction(minOpenFraction), grace-exitMargin)
+	return shutdownSchedule{
+		longUntil:  began.Add(fraction(longRequestFraction)),
+		closeIdle:  began.Add(min(notReadyPeriod, fraction(minOpenFraction))),
+		forceClose: began.Add(last),
+	}
 }
 
-// end finishes what is there: the platform sends no new connections any more, the lead goes to another replica, and
-// what was read is answered.
+// end shuts down gracefully: the platform learns that the router is not ready and sends no new connections, another replica becomes primary,
+// and requests that were read are answered. It returns when all is closed. Run calls it, with the ticker of its loop.
 func (n *Node) end(s *servers, ticker *time.Ticker) {
 	n.ending.Store(true)
-	plan := newSchedule(time.Now(), settings.Seconds(n.settings.Bounds.GraceS))
-	n.gateway.End(plan.longUntil, plan.by)
+	schedule := newShutdownSchedule(time.Now(), settings.Seconds(n.settings.Bounds.GraceS))
+	n.gateway.End(schedule.longUntil, schedule.forceClose)
 	n.mutex.Lock()
-	n.replica.Leave(n.now())
-	n.carryOut()
+	n.control.replica.Leave(n.now())
+	n.performEffects()
 	n.mutex.Unlock()
 	for range ticker.C {
 		n.tick()
-		if !time.Now().Before(plan.closed) {
+		if !time.Now().Before(schedule.closeIdle) {
 			break
 		}
 	}
-	for done := s.shutdown(plan.by); ; {
+	n.tickUntil(s.shutdown(schedule.forceClose), ticker)
+	s.close()
+}
+
+// tickUntil keeps ticking until done is closed.
+func (n *Node) tickUntil(done <-chan struct{}, ticker *time.Ticker) {
+	for {
 		select {
 		case <-ticker.C:
 			n.tick()
-			continue
 		case <-done:
-		}
-		break
-	}
-	for _, server := range []*http.Server{s.front, s.ready, s.control} {
-		if server != nil {
-			server.Close()
+			return
 		}
 	}
-	s.internal.Close()
 }
 
-// shutdown closes the clients' listener and idle connections, and tells when the others have ended, or their time has: what
-// is read by now is answered; the rest is closed unread.
-func (s *servers) shutdown(by time.Time) <-chan struct{} {
+// shutdown closes the clients' listener and idle connections. The channel that it returns is closed when the other connections have ended, or
+// at forceClose.
+func (s *servers) shutdown(forceClose time.Time) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		if s.front == nil {
 			return
 		}
-		ctx, cancel := context.WithDeadline(context.Background(), by)
+		ctx, cancel := context.WithDeadline(context.Background(), forceClose)
 		defer cancel()
-		s.front.Shutdown(ctx)
+		_ = s.front.Shutdown(ctx) // its error is that time is up: close ends the rest
 	}()
 	return done
 }
+
+// close closes all listeners and connections. The process ends next, so errors of closing matter to nobody.
+func (s *servers) close() {
+	for _, server := range []*http.Server{s.front, s.ready, s.control} {
+		if server != nil {
+			_ = server.Close()
+		}
+	}
+	_ = s.internal.Close()
+}
--- a/internal/router/node/end_test.go
+++ b/internal/router/node/end_test.go
@@ -14,17 +14,17 @@
 
 func TestScheduleOfAnEnd(t *testing.T) {
 	began := time.Now()
-	usual := newSchedule(began, 8*time.Second)
+	usual := newShutdownSchedule(began, 8*time.Second)
 	require.Equal(t, time.Second, usual.longUntil.Sub(began))
-	require.Equal(t, 3200*time.Millisecond, usual.closed.Sub(began), "two misses of readiness, a second apart, have passed")
-	require.Equal(t, 7500*time.Millisecond, usual.by.Sub(began))
-	short := newSchedule(began, time.Second)
-	require.Equal(t, 500*time.Millisecond, short.closed.Sub(began))
-	require.Equal(t, 500*time.Millisecond, short.by.Sub(began))
-	require.Equal(t, began, newSchedule(began, 0).by)
+	require.Equal(t, 3200*time.Millisecond, usual.closeIdle.Sub(began), "two checks of readiness, a second apart, have failed")
+	require.Equal(t, 7500*time.Millisecond, usual.forceClose.Sub(began))
+	short := newShutdownSchedule(began, time.Second)
+	require.Equal(t, 500*time.Millisecond, short.closeIdle.Sub(began))
+	require.Equal(t, 500*time.Millisecond, short.forceClose.Sub(began))
+	require.Equal(t, began, newShutdownSchedule(began, 0).forceClose)
 }
 
-// While an answer is still on its way, connections that rest are closed: what came on them might not be answered whole any more.
+// While an answer is still in progress, idle connections are closed: a request that came on them might not be answered completely any more.
 func TestIdleConnectionsAreClosedBeforeTheLastAnswerEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -36,26 +36,27 @@
 		}
 	})}
 	go front.Serve(listener)
-	request := func(path string) (net.Conn, *bufio.Reader) {
+	request := func(path string) *bufio.Reader {
+		t.Helper()
 		c, err := net.Dial("tcp", listener.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		_, err = c.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n"))
 		require.NoError(t, err)
-		return c, bufio.NewReader(c)
+		return bufio.NewReader(c)
 	}
-	_, resting := request("/rest")
-	_, err = http.ReadResponse(resting, nil)
+	idle := request("/rest")
+	_, err = http.ReadResponse(idle, nil)
 	require.NoError(t, err)
-	_, busy := request("/work")
+	busy := request("/work")
 	<-working
 
 	done := (&servers{front: front}).shutdown(time.Now().Add(time.Minute))
-	_, err = resting.ReadByte()
+	_, err = idle.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	select {
 	case <-done:
-		t.Fatal("an answer is still on its way")
+		t.Fatal("an answer is still in progress")
 	default:
 	}
 	close(answer)
@@ -64,16 +65,16 @@
 	<-done
 }
 
-// From SIGTERM on the platform is told that this sidecar is not ready, whatever is open still.
+// From SIGTERM on the router answers that it is not ready, whatever is still open.
 func TestReadinessEndsWithTheSignal(t *testing.T) {
 	n := newNode(t, "")
 	n.ready.Store(true)
-	ask := func() int {
+	readiness := func() int {
 		w := httptest.NewRecorder()
 		n.serveReady(w, httptest.NewRequest(http.MethodGet, "/-/readiness", nil))
 		return w.Code
 	}
-	require.Equal(t, http.StatusOK, ask())
-	n.ending.Store(true) // the first that end does
-	require.Equal(t, http.StatusServiceUnavailable, ask())
+	require.Equal(t, http.StatusOK, readiness())
+	n.ending.Store(true) // the first thing that end does
+	require.Equal(t, http.StatusServiceUnavailable, readiness())
 }
--- a/internal/router/node/loads.go
+++ b/internal/router/node/loads.go
@@ -8,29 +8,33 @@
 )
 
 const (
-	loadsEvery = tickEvery - tickEvery/8 // between two words of what a sidecar has under way: each tick, also one that comes early
-	loadsEach  = 2 * time.Millisecond    // more of it for each subscriber, so that a home spends a few percent of a processor on this
+	// loadsInterval is the time between two load reports: each tick, also one that comes a little early.
+	loadsInterval = tickInterval - tickInterval/8
+	// loadsIntervalPerSubscriber is the same for each subscriber, where that is longer, so that a core member spends a few percent of a
+	// processor on it.
+	loadsIntervalPerSubscriber = 2 * time.Millisecond
 )
 
-// loads is a node's part in telling what requests have left to do at the servers.
+// loads is a router's part in the exchange of what work requests have left at servers.
 type loads struct {
-	board *placement.Board // of a control sidecar
-	told  bool             // the last word was of something
+	board    *placement.Board // of a core member: the last report of each router
+	reported bool             // the last report to the home was of some work
 }
 
-// tickLoads tells the home what this sidecar has under way; a control sidecar tells other control sidecars what its subscribers have, and
-// each subscriber what all others have.
+// tickLoads reports this router's loads to the home, once more when there are none any more. A core member sends the sum of its subscribers'
+// loads to other core members, and to each subscriber the sum of all others'.
 func (n *Node) tickLoads(now time.Duration) {
-	every := max(loadsEvery, time.Duration(len(n.subscribers))*loadsEach)
-	if !n.every.loads.due(every, now) {
+	interval := max(loadsInterval, time.Duration(len(n.distributor.subscribers))*loadsIntervalPerSubscriber)
+	if !n.timers.loads.elapsed(interval, now) {
 		return
 	}
 	own := n.gateway.Loads()
-	if !n.core() {
-		if n.home.address != "" && (len(own) > 0 || n.loads.told) {
-			n.transport.Send(n.home.address, dissemination.LoadReport{Loads: own.Message()})
+	if !n.isCoreMember() {
+		home := n.subscription.home.Current()
+		if home != "" && (len(own) > 0 || n.loads.reported) {
+			n.transport.Send(home, dissemination.LoadReport{Loads: own.Message()})
 		}
-		n.loads.told = len(own) > 0
+		n.loads.reported = len(own) > 0
 		return
 	}
 	board := n.loads.board
@@ -38,8 +42,8 @@
 	board.Put(n.self.Address, false, own, now)
 	forPeers := dissemination.LoadReport{Loads: board.ForPeers().Message()}
 	all := board.All()
-	for _, s := range n.subscribers {
-		if s.core {
+	for _, s := range n.distributor.subscribers {
+		if s.coreMember {
 			n.transport.Send(s.address, forPeers)
 			continue
 		}
@@ -48,11 +52,12 @@
 	n.gateway.SetLoads(board.Others(all, n.self.Address))
 }
 
-func (n *Node) onUnderWay(from string, m dissemination.LoadReport, now time.Duration) {
+// receiveLoadReport records a router's loads at a core member, and passes those of all others to the gateway elsewhere.
+func (n *Node) receiveLoadReport(from string, m dissemination.LoadReport, now time.Duration) {
 	switch {
-	case n.core():
-		n.loads.board.Put(from, n.isMember(from), m.Loads.Sums(), now)
-	case from == n.home.address:
+	case n.isCoreMember():
+		n.loads.board.Put(from, n.control.isMember(from), m.Loads.Sums(), now)
+	case from == n.subscription.home.Current():
 		n.gateway.SetLoads(m.Loads.Sums())
 	}
 }
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -1,148 +1,114 @@
-// Package node puts one router process together from its settings: the clients' side, the control side, and, where the
-// machine counts for the core, a replica of the configuration. It holds no decisions of its own beyond who talks to whom;
-// those are in the pure packages that it feeds.
+// Package node puts one router together from its settings: the clients' side, the control side, and, where the machine counts for the
+// core, a replica of the configuration. It is the shell: sockets, loops, the disk's goroutine, and who sends what to whom. The decisions are
+// in the pure packages that it calls, which have no clock or network of their own.
+//
+// A *router* is one process of the fleet, a *core member* a router that the current view names, a *server* a model server. The *home* of a
+// router is the core member that it subscribes to.
+//
+// One lock guards the state of all pure packages and of this one. It is acquired by whatever brings an event: a message, a tick, an HTTP
+// call, a save that ended. Unless a comment says otherwise, an unexported method is called with the lock held. Nothing waits while it
+// holds the lock; the transport and the gateway never call back from within a call.
 package node
 
 import (
 	"context"
 	"math/rand/v2"
 	"os"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/phuslu/log"
 
-	"petrelhook/internal/router/dissemination"
 	"petrelhook/internal/router/gateway"
 	"petrelhook/internal/router/membership"
-	"petrelhook/internal/router/operatorapi"
 	"petrelhook/internal/router/outlier"
 	"petrelhook/internal/router/placement"
-	"petrelhook/internal/router/quota"
+	"petrelhook/internal/router/proximity"
 	"petrelhook/internal/router/registry"
-	"petrelhook/internal/router/replication"
 	"petrelhook/internal/router/settings"
 	"petrelhook/internal/router/transport"
 	"petrelhook/internal/router/wireformat"
 )
 
-// Times of a node's own loops.
 const (
-	tickEvery      = 50 * time.Millisecond
-	sessionEvery   = 400 * time.Millisecond
-	seedsEvery     = time.Second            // at which the core tells seeds who it is
-	startEvery     = 100 * time.Millisecond // the same while it starts
-	homeSilent     = 1200 * time.Millisecond
-	startSilent    = 300 * time.Millisecond // the same while it starts
-	sessionTimeout = 3 * time.Second
-	quotaEvery     = 500 * time.Millisecond
-	pruneEvery     = 2 * time.Second
-	homeReview     = 5 * time.Second
-	forgetEvery    = 5 * time.Second
-	silentBeats    = 4.5 // heartbeats that a server may miss
-	bodyShare      = 4   // of the machine's memory one part is for clients' bodies
-	expireEvery    = 250 * time.Millisecond
-	pushGap        = 15 * time.Millisecond  // between two pushes at the least
-	pushGapEach    = 500 * time.Microsecond // for each subscriber, where that is more
-	resendAfter    = 300 * time.Millisecond
-	resendDoubled  = 2                      // times at the most
-	resendEach     = 500 * time.Microsecond // for each server that was sent, where that is more
+	// tickInterval is the time between two looks at all that depends on time alone.
+	tickInterval = 50 * time.Millisecond
+	// startupPeriod is how long after its start a router counts as just started: it contacts others more often, and a primary that is that
+	// young assumes that routers hold quota of a primary before it.
+	startupPeriod = 5 * time.Second
+	// pruneInterval is the time between two removals of idle connections to servers.
+	pruneInterval = 2 * time.Second
+	// forgetInterval is the time between two removals of ended servers from the registry.
+	forgetInterval = 5 * time.Second
+	// memoryPerBodyMemory: one part in so many of the machine's memory is for the bodies of clients' requests.
+	memoryPerBodyMemory = 4
 )
 
-// Node is one process.
+// Node is one router. Make it by New; Run serves.
 type Node struct {
 	settings *settings.Settings
 	logger   *log.Logger
 	start    time.Time
-	seeds    []string // internal addresses; guarded by the lock
-	life     uint64
-	self     membership.Router
 
-	gateway   *gateway.Gateway
-	transport *transport.Transport
-	disk      *diskWriter
+	gateway       *gateway.Gateway
+	transport     *transport.Transport
+	missedTargets missedTargetLog
 
-	missedLog missedLog
-
-	pushTimer *time.Timer // for what came just after a push; Run waits for it
-
-	ready  atomic.Bool
+	ready  atomic.Bool // it has had a configuration and the servers; this stays
 	ending atomic.Bool
 
 	mutex        sync.Mutex // guards all below
-	replica      *replication.Replica
-	register     *operatorapi.Register
+	seeds        []string   // internal addresses
+	self         membership.Router
+	lastRequest  uint64 // number of the last request to others; the first is drawn, so that no answer to an incarnation before fits
+	fleetSize    int    // routers, this one included
 	registry     *registry.Registry
-	sessions     *membership.Sessions
-	versions     *dissemination.Versions
-	allocator    *quota.Allocator
-	tokenBuckets *quota.TokenBuckets
-	acquires     map[uint64]chan dissemination.QuotaAcquired
-	silentUntil  time.Duration // the primary did not answer
-	primaryHeard time.Duration // when it answered last
-
-	poolHost       poolHost
-	poolMembership poolMembership
-
-	view     replication.View
-	eligible map[string]replication.Member
-
-	home          home
-	outliers      outliers
-	loads         loads
-	subscribers   map[string]*subscriber
-	upstream      map[string]upstreamStamp // by address of who pushes
-	complete      bool                     // the list of servers is whole
-	current       bool                     // the configuration was the core's newest, by the word of one in touch with it
-	fleet         int
-	answers       map[uint64]chan replication.Decision
-	pendingDrains map[uint64]*pendingDrain
-	token         uint64 // of the last question; the first is drawn, so that no answer to a process before fits
-
-	compiled     uint64         // version of the gateway's table
-	listed       uint64         // stamp of the gateway's servers
-	logged       map[string]int // usable servers by service, as logged last
-	lastPush     time.Duration
-	every        periodics
-	pushLater    bool
-	touchedSince time.Duration
-	cached       bool   // the servers were read from the disk
-	stored       uint64 // stamp of the servers on the disk
-	storing      atomic.Bool
-	writers      sync.WaitGroup // of the servers on the disk
+	control      controlPlane
+	subscription subscription
+	distributor  distributor
+	drains       map[uint64]*pendingDrain // by request number
+	quotas       quotas
+	outliers     outliers
+	loads        loads
+	applied      applied
+	serversCache serversCache
+	timers       timers
 }
 
-// New makes a node; nothing is started or opened.
+// New returns a router of which nothing is started or opened.
 func New(s *settings.Settings, logger *log.Logger) *Node {
-	n := &Node{settings: s, logger: logger, start: time.Now(), seeds: s.SeedAddresses(), life: rand.Uint64() | 1,
-		register: operatorapi.NewRegister(), registry: registry.New(), sessions: membership.New(sessionTimeout),
-		versions: dissemination.NewVersions(operatorapi.ApplyOrder), eligible: map[string]replication.Member{},
-		subscribers: map[string]*subscriber{}, upstream: map[string]upstreamStamp{}, fleet: 1,
-		answers: map[uint64]chan replication.Decision{}, pendingDrains: map[uint64]*pendingDrain{}, touchedSince: -1, logged: map[string]int{},
-		acquires: map[uint64]chan dissemination.QuotaAcquired{}, poolHost: newPoolHost(), poolMembership: newPoolMembership()}
-	n.token = rand.Uint64()
-	n.every.store.due(0, 0) // what is on the disk is as good, at first
-	n.every.expire.due(0, 0)
-	n.pushTimer = time.NewTimer(time.Hour)
-	n.pushTimer.Stop()
+	incarnation := rand.Uint64() | 1
+	n := &Node{settings: s, logger: logger, start: time.Now(), seeds: s.SeedAddresses(), registry: registry.New(), fleetSize: 1,
+		self: membership.Router{Address: s.InternalAddress(), Zone: s.Zone, Incarnation: incarnation}, drains: map[uint64]*pendingDrain{},
+		control: newControlPlane(), distributor: newDistributor(), applied: newApplied()}
+	n.lastRequest = rand.Uint64()
+	locality := proximity.Locality{Zone: s.Zone, Region: s.Region, RegionOf: s.Zones}
+	n.subscription = newSubscription(n.self.Address, locality)
+	n.quotas = newQuotas(locality)
 	n.loads.board = placement.NewBoard()
 	n.outliers.detector = outlier.NewDetector(usableServers{n})
-	n.self = membership.Router{Address: s.InternalAddress(), Zone: s.Zone, Incarnation: n.life}
+	n.timers.storeServers.restart(0) // what is on the disk is good enough, at first
+	n.timers.expireServers.restart(0)
 	b := s.Bounds
-	n.gateway = gateway.New(gateway.Options{Zone: s.Zone, Now: n.now, Life: n.life,
-		Acquirer: n, Missed: n.missed, Again: settings.Seconds(b.AgainS), BodyMemory: int64(s.Limits.MemoryMb) << 20 / bodyShare, BudgetRatio: b.RetryBudgetRatio, BudgetSlack: b.RetryBudgetSlack,
+	n.gateway = gateway.New(gateway.Options{Zone: s.Zone, Now: n.now, Life: incarnation,
+		Acquirer: n, Missed: n.logMissedTarget, Again: settings.Seconds(b.AgainS), BodyMemory: int64(s.Limits.MemoryMb) << 20 / memoryPerBodyMemory, BudgetRatio: b.RetryBudgetRatio, BudgetSlack: b.RetryBudgetSlack,
 		BudgetWindow: max(time.Second, settings.Seconds(b.BudgetWindowS))})
 	n.transport = transport.New(n.self.Address, wireformat.NewCodec(), n.receive)
 	return n
 }
 
-// now is the steady clock since the start.
+// now is the time on the steady clock since the start. It needs no lock.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
-// Run serves until the context ends, and then until the process may end. When reload tells of it, the settings are read
-// again; the seeds count from then on, all else from the next start.
+// nextRequest returns the number of a new request to another router.
+func (n *Node) nextRequest() uint64 {
+	n.lastRequest++
+	return n.lastRequest
+}
+
+// Run serves until the context ends, and then until open requests have ended or their time has. On a signal of reload it reads the
+// settings again by load; of these the seeds count from then on, all else from the next start. Its error is one of the start.
 func (n *Node) Run(ctx context.Context, reload <-chan os.Signal, load func(path string) (*settings.Settings, error)) error {
 	if err := n.open(); err != nil {
 		return err
@@ -151,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	n.tick()
 	for ctx.Err() == nil {
@@ -159,39 +125,30 @@
 		case <-ctx.Done():
 		case <-reload:
 			n.reload(load)
-		case <-n.pushTimer.C:
-			n.pushWaiting()
+		case <-n.distributor.pushTimer.C:
+			n.pushPending()
 		case <-ticker.C:
 			n.tick()
 		}
 	}
-	n.pushTimer.Stop()
+	n.distributor.pushTimer.Stop()
 	n.end(servers, ticker)
 	n.transport.Close()
-	if n.disk != nil {
-		n.disk.close()
+	if n.control.disk != nil {
+		n.control.disk.close()
 	}
 	return nil
 }
 
-// reload takes the seeds of the settings as they are now; a file that cannot be used changes nothing.
+// reload replaces the seeds by those of the settings as they are now; settings that cannot be used change nothing. It acquires the lock.
 func (n *Node) reload(load func(path string) (*settings.Settings, error)) {
 	next, err := load(os.Getenv(settings.Variable))
 	if err != nil {
-		n.logger.Error().Err(err).Msg("settings are not taken")
+		n.logger.Error().Err(err).Msg("settings not reloaded")
 		return
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.seeds = next.SeedAddresses()
-	n.logger.Info().Strs("seeds", n.seeds).Msg("settings read again")
-}
-
-// core reports whether this node is a member of the core, as far as it knows. The lock is held.
-func (n *Node) core() bool {
-	return n.self.Member != nil && n.view.Member(n.self.Member.ID) != nil
-}
-
-func (n *Node) isMember(address string) bool {
-	return slices.ContainsFunc(n.view.Members, func(m replication.Member) bool { return m.Address == address })
+	n.logger.Info().Strs("seeds", n.seeds).Msg("settings reloaded")
 }
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"petrelhook/internal/router/dissemination"
+	"petrelhook/internal/router/homeselection"
 	"petrelhook/internal/router/operatorapi"
 	"petrelhook/internal/router/registry"
 	"petrelhook/internal/router/replication"
@@ -16,7 +17,7 @@
 	"petrelhook/internal/router/settings"
 )
 
-const text = `NodeName = "edge-1"
+const settingsText = `NodeName = "edge-1"
 Ip = "127.0.0.1"
 Zone = "z1"
 Region = "r1"
@@ -31,13 +32,14 @@
 Control = "127.0.0.1:80"
 `
 
-// newNode is a node that nothing was started of.
+// newNode is a router of which nothing was started.
 func newNode(t *testing.T, more string) *Node {
-	s, err := settings.Parse([]byte(more + text))
+	t.Helper()
+	s, err := settings.Parse([]byte(more + settingsText))
 	require.NoError(t, err)
 	n := New(s, &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}})
 	t.Cleanup(n.transport.Close)
-	n.replica, err = replication.New(replication.Options{Self: replication.Member{ID: "self", Address: n.self.Address}, Witness: true}, nil, n.register, 0)
+	n.control.replica, err = replication.New(replication.Options{Self: replication.Member{ID: "self", Address: n.self.Address}, Witness: true}, nil, n.control.register, 0)
 	require.NoError(t, err)
 	return n
 }
@@ -50,38 +52,26 @@
 	return replication.View{Epoch: replication.Epoch{Round: round, Node: "x"}, Primary: members[0].ID, Members: members, Old: members}
 }
 
-func TestTheHomeIsInTheOwnZoneThenTheRegion(t *testing.T) {
-	n := newNode(t, "")
-	far, near, here := member("10.0.3.1:7000", "z3"), member("10.0.2.1:7000", "z2"), member("10.0.1.1:7000", "z1")
-	n.view = view(1, far, near, here)
-	require.Equal(t, here.Address, n.bestHome(0))
-	n.view = view(2, far, near)
-	require.Equal(t, near.Address, n.bestHome(0))
-	n.home.avoid = map[string]time.Duration{near.Address: time.Second}
-	require.Equal(t, far.Address, n.bestHome(0))
-	require.Equal(t, near.Address, n.bestHome(2*time.Second))
-}
-
 func TestAHomeThatLostTheCoreIsLeft(t *testing.T) {
 	n := newNode(t, "")
-	n.view = view(1, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
+	n.control.view = view(1, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
 	n.reviewHome(0)
-	first := n.home.address
+	first := n.subscription.home.Current()
 	require.Equal(t, "10.0.1.1:7000", first)
-	now := homeSilent / 2
-	n.onPush(first, &dissemination.Push{Incarnation: 1, InTouch: false, Stamp: 1}, now)
+	now := homeselection.Timeout / 2
+	n.receivePush(first, &dissemination.Push{Incarnation: 1, InTouch: false, Stamp: 1}, now)
 	n.reviewHome(now)
-	require.Equal(t, first, n.home.address, "it has its time")
-	now = homeSilent + time.Millisecond
-	n.onPush(first, &dissemination.Push{Incarnation: 1, InTouch: false, Stamp: 1}, now)
+	require.Equal(t, first, n.subscription.home.Current(), "its time-out has not passed")
+	now = homeselection.Timeout + time.Millisecond
+	n.receivePush(first, &dissemination.Push{Incarnation: 1, InTouch: false, Stamp: 1}, now)
 	n.reviewHome(now)
-	require.NotEqual(t, first, n.home.address)
+	require.NotEqual(t, first, n.subscription.home.Current())
 }
 
-// A home that starts anew knows less: what this sidecar has stands, and its configuration never goes back.
+// A home that starts anew knows less: what this router has stays, and its configuration never goes back.
 func TestAnEmptyHomeTakesNothingAway(t *testing.T) {
 	n := newNode(t, "")
-	n.view = view(1, member("10.0.1.1:7000", "z1"))
+	n.control.view = view(1, member("10.0.1.1:7000", "z1"))
 	n.reviewHome(0)
 	config, err := routetable.ParseConfig([]byte(`{"Generation":4,"Routes":[],"Services":[{"Name":"s"}]}`))
 	require.NoError(t, err)
@@ -90,16 +80,16 @@
 	p := dissemination.Push{Incarnation: 1, InTouch: true, Complete: true, FleetSize: 5, Stamp: 1,
 		Instances: []registry.Update{{Instance: registry.Instance{ID: "i1", Service: "s", Address: "a"}}}}
 	v.FillPush(&p, 0)
-	n.onPush("10.0.1.1:7000", &p, time.Millisecond)
+	n.receivePush("10.0.1.1:7000", &p, time.Millisecond)
 	n.apply()
 	require.True(t, n.ready.Load())
-	n.onPush("10.0.1.1:7000", &dissemination.Push{Incarnation: 2, InTouch: true, Stamp: 0, Version: 2, SessionsStamp: 1}, time.Second)
+	n.receivePush("10.0.1.1:7000", &dissemination.Push{Incarnation: 2, InTouch: true, Stamp: 0, Version: 2, SessionsStamp: 1}, time.Second)
 	n.apply()
 	require.Equal(t, uint64(3), n.Version())
 	require.Equal(t, map[string]int{"s": 1}, n.gateway.Servers())
 }
 
-// Servers come from the disk after a restart, without those that were lost, and in the order in which they were heard.
+// Servers come from the disk after a restart, without those that were lost, and in the order of their last contacts.
 func TestServersOnTheDisk(t *testing.T) {
 	folder := t.TempDir()
 	core := "CountsForQuorum = true\nDataDir = \"" + folder + "\"\n"
@@ -108,7 +98,7 @@
 	n.registry.ReceiveHeartbeat(registry.Instance{ID: "new", Service: "s", Address: "a"}, time.Second)
 	n.registry.ReceiveHeartbeat(registry.Instance{ID: "other", Service: "s", Address: "b"}, time.Second)
 	n.storeServers(2 * time.Second)
-	n.writers.Wait()
+	n.serversCache.writers.Wait()
 	again := newNode(t, core)
 	again.loadServers()
 	var ids []string
@@ -118,7 +108,7 @@
 		}
 	}
 	require.ElementsMatch(t, []string{"new", "other"}, ids)
-	require.True(t, again.cached)
+	require.True(t, again.serversCache.loaded)
 }
 
 // A drain is acknowledged only once a majority of the core has it.
@@ -126,19 +116,19 @@
 	n := newNode(t, "")
 	self := replication.Member{ID: "self", Address: n.self.Address, Zone: "z1"}
 	n.self.Member = &self
-	n.view = view(1, self, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
-	k := n.spreadDrain("", 0, registry.Instance{ID: "i1", Service: "s", State: registry.Draining, Sequence: 2}, 0)
+	n.control.view = view(1, self, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
+	d := n.startDrain("", 0, registry.Instance{ID: "i1", Service: "s", State: registry.Draining, Sequence: 2}, 0)
 	select {
-	case <-k.done:
-		require.Fail(t, "acknowledged by one of three")
+	case <-d.done:
+		require.Fail(t, "acknowledged by one member of three")
 	default:
 	}
-	n.onDrainAck("10.9.9.9:7000", dissemination.DrainAck{Request: n.token})
+	n.receiveDrainAck("10.9.9.9:7000", dissemination.DrainAck{Request: n.lastRequest})
 	select {
-	case <-k.done:
-		require.Fail(t, "acknowledged by one that is no member")
+	case <-d.done:
+		require.Fail(t, "acknowledged by a router that is no member")
 	default:
 	}
-	n.onDrainAck("10.0.2.1:7000", dissemination.DrainAck{Request: n.token})
-	<-k.done
+	n.receiveDrainAck("10.0.2.1:7000", dissemination.DrainAck{Request: n.lastRequest})
+	<-d.done
 }
--- a/internal/router/node/control.go
+++ b/internal/router/node/operator_http.go
@@ -7,18 +7,18 @@
 	"time"
 
 	"petrelhook/internal/router/operatorapi"
-	"petrelhook/internal/router/replication"
 )
 
 const (
 	maxHeartbeatBytes = 4 << 10
 	maxOrderBytes     = 16 << 20
-	drainWait         = 850 * time.Millisecond // a server calls the next sidecar after a second
-	orderWait         = 900 * time.Millisecond // the operator too
-	readWait          = 700 * time.Millisecond
-	statusRedirect    = http.StatusTemporaryRedirect
+	// orderTimeout bounds the wait for the core's decision on an order. Operators give a router a second, as servers do.
+	orderTimeout = 900 * time.Millisecond
+	// readTimeout bounds the wait until the primary is confirmed for a read.
+	readTimeout = 700 * time.Millisecond
 )
 
+// controlHandler serves servers' heartbeats and operators, on the control address.
 func (n *Node) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /-/instances/{id}/heartbeat", func(w http.ResponseWriter, r *http.Request) { n.serveHeartbeat(w, r, false) })
@@ -26,11 +26,12 @@
 	mux.HandleFunc("POST /-/config/replace", func(w http.ResponseWriter, r *http.Request) { n.serveOrder(w, r, operatorapi.Replace) })
 	mux.HandleFunc("POST /-/config/update", func(w http.ResponseWriter, r *http.Request) { n.serveOrder(w, r, operatorapi.Update) })
 	mux.HandleFunc("GET /-/config/read", n.serveRead)
-	mux.HandleFunc("POST /-/servers/{id}/admit", n.serveAdmit)
+	mux.HandleFunc("POST /-/servers/{id}/admit", n.serveReadmit)
 	mux.HandleFunc("GET "+StatusPath, n.serveStatus)
 	return mux
 }
 
+// serveReady answers the platform's question whether this router takes clients.
 func (n *Node) serveReady(w http.ResponseWriter, r *http.Request) {
 	if n.Ready() {
 		w.WriteHeader(http.StatusOK)
@@ -39,9 +40,9 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// serveOrder takes an order of the operator, or says where the primary is.
+// serveOrder has the core decide on an operator's order, or redirects the caller to the primary.
 func (n *Node) serveOrder(w http.ResponseWriter, r *http.Request, kind operatorapi.OrderKind) {
-	if n.redirect(w, r) {
+	if n.redirectToPrimary(w, r) {
 		return
 	}
 	base, err := strconv.ParseInt(r.Header.Get("X-Base-Version"), 10, 64)
@@ -55,8 +56,8 @@
 		return
 	}
 	order := operatorapi.Order{Kind: kind, Base: base, Body: body}
-	d := n.ask(orderWait, func(token uint64) { n.replica.Propose(token, order.Encode(), n.now()) })
-	n.logger.Info().Int64("base", base).Int("bytes", len(body)).Int("status", d.Status).Str("reason", d.Reason).Msg("order")
+	d := n.decide(orderTimeout, func(request uint64) { n.control.replica.Propose(request, order.Encode(), n.now()) })
+	n.logger.Info().Int64("base_version", base).Int("size_bytes", len(body)).Int("status", d.Status).Str("reason", d.Reason).Msg("order decided")
 	if d.Status == http.StatusOK {
 		w.WriteHeader(http.StatusOK)
 		return
@@ -64,18 +65,18 @@
 	http.Error(w, d.Reason, d.Status)
 }
 
-// serveRead answers with the newest configuration, once it is sure that this is the primary still.
+// serveRead answers with the newest configuration, once a majority has confirmed that this router is still the primary.
 func (n *Node) serveRead(w http.ResponseWriter, r *http.Request) {
-	if n.redirect(w, r) {
+	if n.redirectToPrimary(w, r) {
 		return
 	}
-	d := n.ask(readWait, func(token uint64) { n.replica.Confirm(token, n.now()) })
+	d := n.decide(readTimeout, func(request uint64) { n.control.replica.Confirm(request, n.now()) })
 	if d.Status != http.StatusOK {
 		http.Error(w, d.Reason, d.Status)
 		return
 	}
 	n.mutex.Lock()
-	config := n.versions.Config()
+	config := n.subscription.versions.Config()
 	n.mutex.Unlock()
 	if config == nil {
 		http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
@@ -85,46 +86,24 @@
 	w.Write(config.Encode())
 }
 
-// ask hands something to the replica and waits for its answer.
-func (n *Node) ask(wait time.Duration, propose func(token uint64)) replication.Decision {
-	answer := make(chan replication.Decision, 1)
+// redirectToPrimary answers a caller that has to go to another router, or that there is no primary to go to; it reports false where this router
+// is the primary and the caller is not answered yet. A router without contact with the core names no primary: the one that it knows may not
+// be the primary any more.
+func (n *Node) redirectToPrimary(w http.ResponseWriter, r *http.Request) bool {
 	n.mutex.Lock()
-	n.token++
-	token := n.token
-	n.answers[token] = answer
-	propose(token)
-	n.carryOut()
-	n.apply()
-	n.mutex.Unlock()
-	timer := time.NewTimer(wait)
-	defer timer.Stop()
-	select {
-	case d := <-answer:
-		return d
-	case <-timer.C:
-	}
-	n.mutex.Lock()
-	delete(n.answers, token)
-	n.mutex.Unlock()
-	return replication.Decision{Status: http.StatusServiceUnavailable, Reason: "no answer of the core in time"}
-}
-
-// redirect sends a caller to the primary, where this is not it.
-func (n *Node) redirect(w http.ResponseWriter, r *http.Request) bool {
-	n.mutex.Lock()
-	primary := n.replica.Primary()
-	address := n.view.PrimaryAddress()
-	touch := n.core() && n.replica.InTouch() || !n.core() && n.home.touch && n.now()-n.home.heard < homeSilent
+	isPrimary := n.control.replica.Primary()
+	primary := n.control.view.PrimaryAddress()
+	hasContact := n.hasCoreContact(n.now())
 	n.mutex.Unlock()
 	switch {
-	case primary:
+	case isPrimary:
 		return false
-	case address == "" || address == n.self.Address || !touch:
+	case primary == "" || primary == n.self.Address || !hasContact:
 		w.Header().Set("Retry-After", "0.3")
 		http.Error(w, "the primary is not known", http.StatusServiceUnavailable)
 	default:
-		w.Header().Set("Location", "http://"+n.settings.ControlOf(address)+r.URL.Path)
-		w.WriteHeader(statusRedirect)
+		w.Header().Set("Location", "http://"+n.settings.ControlOf(primary)+r.URL.Path)
+		w.WriteHeader(http.StatusTemporaryRedirect)
 	}
 	return true
 }
--- /dev/null
+++ b/internal/router/node/periodic_timer_test.go
@@ -0,0 +1,18 @@
+package node
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestPeriodicTimer(t *testing.T) {
+	var p periodicTimer
+	require.True(t, p.elapsed(time.Second, 0), "it was never restarted")
+	require.False(t, p.elapsed(time.Second, time.Second-1))
+	require.True(t, p.elapsed(time.Second, time.Second))
+	p.expire()
+	require.True(t, p.elapsed(time.Second, time.Second+1))
+	require.False(t, p.elapsed(time.Second, time.Second+2))
+}
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -10,6 +10,7 @@
 	"petrelhook/internal/router/dissemination"
 	"petrelhook/internal/router/gateway"
 	"petrelhook/internal/router/quota"
+	"petrelhook/internal/router/quotapool"
 	"petrelhook/internal/router/routetable"
 )
 
@@ -17,121 +18,123 @@
 "Services":[{"Name":"s","MaxConnections":50}],"Limits":{"MaxBodyBytes":1000,"MaxHeaderBytes":4000},
 "Tenants":[{"Name":"t1","ApiKeys":["k1"],"Unit":"request_based","RatePerS":100,"Burst":100}]}`
 
-// poolNode is a member of the core that has heard no primary for a minute, of a fleet of four, with half of the limit of t1 as a lease.
+// poolNode is a core member that has had no contact with a primary for a minute, of a fleet of four, with half of the limit of t1 as a lease.
 func poolNode(t *testing.T) *Node {
 	t.Helper()
 	n := newNode(t, "")
 	n.start = time.Now().Add(-time.Minute)
 	n.self.Member = &v1
 	primary := member("10.0.2.1:7000", "z1")
-	n.view = view(1, primary, v1)
+	n.control.view = view(1, primary, v1)
 	c, err := routetable.ParseConfig([]byte(limitedTenant))
 	require.NoError(t, err)
 	n.gateway.SetTable(routetable.Compile(c, nil))
 	n.setLimits()
-	n.setFleet(4)
+	n.setFleetSize(4)
 	nonce, _, _ := n.gateway.AskQuota()
 	n.gateway.QuotaGranted(nonce, map[string]float64{"t1": 0.5})
 	return n
 }
 
-// A sidecar that hears no primary spends of the pool of its zone, which is never the silent primary's; others' deposits count there once each
-// was asked for.
+// A router without contact with a primary spends of the pool of its zone, which the primary does not host; others' deposits count there
+// once each was asked for.
 func TestASidecarSpendsOfThePool(t *testing.T) {
 	n := poolNode(t)
-	require.Equal(t, n.self.Address, n.choosePoolHost(n.now()))
-	first := n.acquireOfPool(context.Background(), "t1", 1000)
-	require.Equal(t, gateway.Acquisition{From: gateway.FromPool, Given: 1000}, first, "one request may go ahead of what drips in")
-	require.Positive(t, n.gateway.QuotaPooled(), "its own lease is the pool's now")
+	require.Equal(t, n.self.Address, n.quotas.contributor.ChooseHost(n.control.view.Members, n.control.view.PrimaryAddress(), n.now()))
+	first := n.acquireFromPool(context.Background(), "t1", 1000)
+	require.Equal(t, gateway.Acquisition{From: gateway.FromPool, Given: 1000}, first, "one request may overdraw what is replenished")
+	require.Positive(t, n.gateway.QuotaPooled(), "its own lease belongs to the pool now")
 	status := n.Status()
-	require.True(t, status.Silent)
-	require.Equal(t, n.self.Address, status.Pool)
+	require.True(t, status.LacksPrimary)
+	require.Equal(t, n.self.Address, status.PoolHost)
 	require.Equal(t, 1, status.Deposits)
-	refused := n.acquireOfPool(context.Background(), "t1", 1)
-	require.Equal(t, gateway.FromPool, refused.From)
-	require.Zero(t, refused.Given)
-	alone := refused.Wait // 20 s
+	rejected := n.acquireFromPool(context.Background(), "t1", 1)
+	require.Equal(t, gateway.FromPool, rejected.From)
+	require.Zero(t, rejected.Given)
+	alone := rejected.Wait // 20 s
 
 	const other = "10.0.1.2:7000"
-	n.onPoolOffer(other, n.now())
-	deposit := dissemination.PoolDeposit{Nonce: n.token + 1, Deposit: quota.Deposit{Standing: 0.5, For: time.Hour}}
-	n.onPoolDeposit(other, deposit, n.now())
-	require.Greater(t, n.acquireOfPool(context.Background(), "t1", 1).Wait, alone/2+time.Second, "it was not asked for")
-	deposit.Nonce = n.poolHost.offers[other].nonce
-	n.onPoolDeposit(other, deposit, n.now())
-	require.Less(t, n.acquireOfPool(context.Background(), "t1", 1).Wait, alone/2+time.Second)
+	n.receivePoolOffer(other, n.now())
+	nonce := n.lastRequest
+	deposit := dissemination.PoolDeposit{Nonce: n.lastRequest + 1, Deposit: quota.Deposit{Standing: 0.5, For: time.Hour}}
+	n.receivePoolDeposit(other, deposit, n.now())
+	require.Greater(t, n.acquireFromPool(context.Background(), "t1", 1).Wait, alone/2+time.Second, "this deposit was not asked for")
+	deposit.Nonce = nonce
+	n.receivePoolDeposit(other, deposit, n.now())
+	require.Less(t, n.acquireFromPool(context.Background(), "t1", 1).Wait, alone/2+time.Second)
 }
 
-// Once a primary is heard again the next deposit is an empty one, and the sidecar is asked for none any more.
-func TestASidecarLeavesThePool(t *testing.T) {
+// Once there is contact with a primary again the next deposit is an empty one, and the router is not asked for deposits any more.
+func TestARouterLeavesThePool(t *testing.T) {
 	n := poolNode(t)
-	n.acquireOfPool(context.Background(), "t1", 1)
-	require.Len(t, n.poolHost.offers, 1)
-	n.tickPool(n.now() + collectEvery)
-	require.Len(t, n.poolHost.offers, 1)
-	n.primaryHeard = n.now()
-	require.False(t, n.primarySilent(n.now()))
-	n.tickPool(n.now() + 2*collectEvery)
-	require.Empty(t, n.poolHost.offers)
-	require.Zero(t, n.acquireOfPool(context.Background(), "t1", 1).Given)
+	n.acquireFromPool(context.Background(), "t1", 1)
+	require.Equal(t, 1, n.quotas.pool.Offers())
+	n.tickPool(n.now() + quotapool.CollectInterval)
+	require.Equal(t, 1, n.quotas.pool.Offers())
+	n.quotas.primaryContact = n.now()
+	require.False(t, n.lacksPrimary(n.now()))
+	n.tickPool(n.now() + 2*quotapool.CollectInterval)
+	require.Zero(t, n.quotas.pool.Offers())
+	require.Zero(t, n.acquireFromPool(context.Background(), "t1", 1).Given)
 }
 
-// One that offers and does not answer is asked no more, and a sidecar that is no member of the core takes no offers.
+// A router that offers and does not answer is asked no more, and a router that is no core member ignores offers.
 func TestOffersAreForgotten(t *testing.T) {
 	n := poolNode(t)
-	n.onPoolOffer("10.0.1.2:7000", n.now())
-	require.Len(t, n.poolHost.offers, 1)
-	n.primaryHeard = n.now() + time.Hour
-	n.tickPool(n.now() + offerGood + time.Second)
-	require.Empty(t, n.poolHost.offers)
+	n.receivePoolOffer("10.0.1.2:7000", n.now())
+	require.Equal(t, 1, n.quotas.pool.Offers())
+	n.quotas.primaryContact = n.now() + time.Hour
+	n.tickPool(n.now() + quotapool.OfferValidity + time.Second)
+	require.Zero(t, n.quotas.pool.Offers())
 	n.self.Member = nil
-	n.onPoolOffer("10.0.1.2:7000", n.now())
-	require.Empty(t, n.poolHost.offers)
+	n.receivePoolOffer("10.0.1.2:7000", n.now())
+	require.Zero(t, n.quotas.pool.Offers())
 }
 
-// A pool whose host does not answer is left: the next one is another member of the core, as soon as the deposit there has ended.
+// A pool whose host does not answer is left: the next host is another core member, as soon as the deposit there has ended.
 func TestASilentPoolIsLeft(t *testing.T) {
 	n := poolNode(t)
 	host := member("10.0.1.9:7000", "z1")
-	n.view = view(2, member("10.0.2.1:7000", "z1"), host)
-	n.poolMembership.host, n.poolMembership.collected = host.Address, n.now()
-	n.gateway.QuotaDeposit()
-	require.Equal(t, gateway.FromNobody, n.acquireOfPool(context.Background(), "t1", 1).From)
-	require.Greater(t, n.poolMembership.avoid[host.Address], n.now())
-	require.Empty(t, n.poolMembership.takes)
-	n.view = view(3, member("10.0.2.1:7000", "z1"), host, v1)
-	n.joinPool(n.now() + offerEvery)
-	require.Equal(t, host.Address, n.poolMembership.host, "it still has the deposit")
-	n.joinPool(n.now() + time.Second)
-	require.Equal(t, n.self.Address, n.poolMembership.host)
+	n.control.view = view(2, member("10.0.2.1:7000", "z1"), host)
+	n.offerDeposit(n.now())
+	require.Equal(t, host.Address, n.quotas.contributor.Host())
+	n.receivePoolCollect(host.Address, dissemination.PoolCollect{}, n.now())
+	require.Equal(t, gateway.FromNobody, n.acquireFromPool(context.Background(), "t1", 1).From)
+	require.True(t, n.quotas.contributor.Avoids(host.Address, n.now()))
+	require.Empty(t, n.quotas.poolAcquisitions)
+	n.control.view = view(3, member("10.0.2.1:7000", "z1"), host, v1)
+	n.offerDeposit(n.now() + quotapool.OfferInterval)
+	require.Equal(t, host.Address, n.quotas.contributor.Host(), "it still has the deposit")
+	n.offerDeposit(n.now() + time.Second)
+	require.Equal(t, n.self.Address, n.quotas.contributor.Host())
 }
 
-// While the primary is silent one request, now and then, waits for it, and not all that come.
-func TestOneRequestAsksASilentPrimary(t *testing.T) {
+// While the primary does not answer, one request at a time waits for it, and not all that come.
+func TestOneRequestWaitsForAPrimaryThatDoesNotAnswer(t *testing.T) {
 	n := poolNode(t)
-	n.primaryHeard = n.now()
-	require.Equal(t, gateway.FromNobody, n.acquireOfPrimary(context.Background(), "t1", 1, 0).From)
-	require.Greater(t, n.silentUntil, n.now())
-	n.silentUntil = n.now() // it may be asked again
+	n.quotas.primaryContact = n.now()
+	require.Equal(t, gateway.FromNobody, n.acquireFromPrimary(context.Background(), "t1", 1, 0).From)
+	require.Greater(t, n.quotas.primaryAvoidedUntil, n.now())
+	n.quotas.primaryAvoidedUntil = n.now() // it may be asked again
 	before := n.now()
-	gone, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	n.acquireOfPrimary(gone, "t1", 1, 0)
-	require.GreaterOrEqual(t, n.silentUntil, before+acquireWait, "for others it is silent until this one knows")
+	n.acquireFromPrimary(canceled, "t1", 1, 0)
+	require.GreaterOrEqual(t, n.quotas.primaryAvoidedUntil, before+acquireTimeout, "others do not wait for it until this request knows")
 }
 
-// A member of the core that does not ask for a deposit after offers is left for another; the next silence begins with the zone's own again.
+// A core member that does not ask for a deposit after offers is left for another; the next loss of contact begins with the zone's own again.
 func TestAHostThatAsksForNothingIsLeft(t *testing.T) {
 	n := poolNode(t)
 	near, far := member("10.0.1.9:7000", "z1"), member("10.0.3.9:7000", "z3")
-	n.view = view(2, member("10.0.2.1:7000", "z1"), near, far)
+	n.control.view = view(2, member("10.0.2.1:7000", "z1"), near, far)
 	began := n.now()
-	for passed := time.Duration(0); passed <= collectWait; passed += offerEvery {
-		n.joinPool(began + passed)
-		require.Equal(t, near.Address, n.poolMembership.host)
+	for passed := time.Duration(0); passed <= quotapool.CollectTimeout; passed += quotapool.OfferInterval {
+		n.offerDeposit(began + passed)
+		require.Equal(t, near.Address, n.quotas.contributor.Host())
 	}
-	n.joinPool(began + collectWait + offerEvery)
-	require.Equal(t, far.Address, n.poolMembership.host)
-	n.joinPool(began + time.Minute)
-	require.Equal(t, near.Address, n.poolMembership.host)
+	n.offerDeposit(began + quotapool.CollectTimeout + quotapool.OfferInterval)
+	require.Equal(t, far.Address, n.quotas.contributor.Host())
+	n.offerDeposit(began + time.Minute)
+	require.Equal(t, near.Address, n.quotas.contributor.Host())
 }
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -6,78 +6,116 @@
 
 	"petrelhook/internal/router/dissemination"
 	"petrelhook/internal/router/gateway"
+	"petrelhook/internal/router/proximity"
 	"petrelhook/internal/router/quota"
+	"petrelhook/internal/router/quotapool"
 	"petrelhook/internal/router/settings"
 )
 
-// How long a request waits for the primary before its sidecar's lease decides.
 const (
-	acquireWait    = 60 * time.Millisecond
-	primarySilence = 250 * time.Millisecond // for which a primary that did not answer is not asked again
+	// quotaInterval is the time between two requests for shares.
+	quotaInterval = 500 * time.Millisecond
+	// acquireTimeout bounds how long a client's request waits for the primary before its router's pool or lease decides.
+	acquireTimeout = 60 * time.Millisecond
+	// primaryRetryDelay is how long a primary that did not answer is not asked for units.
+	primaryRetryDelay = 250 * time.Millisecond
+	// primaryTimeout is how long a router may go without an answer to its requests for shares before it has no contact with the primary. It
+	// is more than one quotaInterval.
+	primaryTimeout = 800 * time.Millisecond
 )
 
-// justStarted is for how long after its start a sidecar counts as new.
-const justStarted = 5 * time.Second
+// quotas is a router's part in dividing tenants' limits: at the primary among all routers, and between routers without it.
+type quotas struct {
+	allocator    *quota.Allocator // of the primary, in its term; nil elsewhere
+	tokenBuckets *quota.TokenBuckets
 
-// noteLead begins and ends this sidecar's term as the one that divides limits.
-func (n *Node) noteLead() {
-	if !n.replica.Primary() {
-		if n.replica.View().Primary != n.replica.Self.ID {
-			n.allocator, n.tokenBuckets = nil, nil
+	acquisitions        pendingReplies[dissemination.QuotaAcquired] // that client requests wait for
+	primaryAvoidedUntil time.Duration                               // the primary did not answer; 0 once it did
+	primaryContact      time.Duration                               // when the primary last answered
+	lostPrimary         bool                                        // as logged last
+
+	pool             *quotapool.Host
+	contributor      *quotapool.Contributor
+	poolAcquisitions pendingReplies[dissemination.PoolAcquired] // that client requests wait for
+}
+
+func newQuotas(locality proximity.Locality) quotas {
+	return quotas{acquisitions: pendingReplies[dissemination.QuotaAcquired]{}, pool: quotapool.NewHost(),
+		contributor: quotapool.NewContributor(locality), poolAcquisitions: pendingReplies[dissemination.PoolAcquired]{}}
+}
+
+// updateQuotaTerm begins this router's term as the one that divides limits when it becomes primary, and ends it when another one does.
+func (n *Node) updateQuotaTerm() {
+	q := &n.quotas
+	if !n.control.replica.Primary() {
+		if n.control.replica.View().Primary != n.control.replica.Self.ID {
+			q.allocator, q.tokenBuckets = nil, nil
 		}
 		return
 	}
-	if n.allocator != nil {
+	if q.allocator != nil {
 		return
 	}
 	now := n.now()
 	b := n.settings.Bounds
-	n.allocator = quota.NewAllocator(now)
-	n.tokenBuckets = quota.NewTokenBuckets(quota.Bounds{Window: settings.Seconds(b.QuotaWindowS), Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack}, now < justStarted, now)
+	q.allocator = quota.NewAllocator(now)
+	q.tokenBuckets = quota.NewTokenBuckets(quota.Bounds{Window: settings.Seconds(b.QuotaWindowS), Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack}, now < startupPeriod, now)
 	n.setLimits()
 }
 
-// setLimits takes in the limits of the configuration in force.
+// setLimits adopts the limits of the configuration in force.
 func (n *Node) setLimits() {
-	t := n.gateway.Table()
-	if t == nil {
+	table := n.gateway.Table()
+	if table == nil {
 		return
 	}
-	limits := gateway.Limits(t)
-	n.poolHost.pool.SetLimits(limits)
-	if n.tokenBuckets != nil {
-		n.tokenBuckets.SetLimits(limits)
+	limits := gateway.Limits(table)
+	n.quotas.pool.SetLimits(limits)
+	if n.quotas.tokenBuckets != nil {
+		n.quotas.tokenBuckets.SetLimits(limits)
 	}
 }
 
-// leads reports whether this sidecar may divide limits now: it is primary, and a majority says so.
-func (n *Node) leads() bool {
-	return n.allocator != nil && n.replica.InTouch() && n.view.Primary == n.replica.Self.ID
+// dividesQuota reports whether this router may divide limits now: it is the primary, and has contact with a majority.
+func (n *Node) dividesQuota() bool {
+	return n.quotas.allocator != nil && n.control.replica.InTouch() && n.control.view.Primary == n.control.replica.Self.ID
 }
 
+// lacksPrimary reports whether this router has no contact with a primary.
+func (n *Node) lacksPrimary(now time.Duration) bool {
+	if n.dividesQuota() {
+		return false
+	}
+	return n.control.view.PrimaryAddress() == "" || now < n.quotas.primaryAvoidedUntil || now-n.quotas.primaryContact > primaryTimeout
+}
+
+// tickQuota requests shares of the primary. It does so also where no tenant wants anything, to keep contact.
 func (n *Node) tickQuota(now time.Duration) {
-	if n.view.PrimaryAddress() == "" || !n.every.quota.due(quotaEvery, now) {
+	primary := n.control.view.PrimaryAddress()
+	if primary == "" || !n.timers.quotas.elapsed(quotaInterval, now) {
 		return
 	}
-	if n.leads() {
-		reserve := quota.Reserve(n.gateway.Fleet(), n.allocator.Heard(now), n.allocator.Term(now))
-		n.allocator.SetReserve(reserve)
-		n.tokenBuckets.SetReserve(reserve)
+	if n.dividesQuota() {
+		allocator := n.quotas.allocator
+		reserve := quota.Reserve(n.gateway.Fleet(), allocator.Heard(now), allocator.Term(now))
+		allocator.SetReserve(reserve)
+		n.quotas.tokenBuckets.SetReserve(reserve)
 	}
-	nonce, demand, held := n.gateway.AskQuota() // also where nothing is wanted: it tells that this sidecar hears the primary
-	ask := dissemination.QuotaRequest{Nonce: nonce, Incarnation: n.life, Demand: demand, HeldShares: held}
-	if n.leads() {
-		n.onQuotaAsk(n.self.Address, ask)
+	nonce, demand, held := n.gateway.AskQuota()
+	request := dissemination.QuotaRequest{Nonce: nonce, Incarnation: n.self.Incarnation, Demand: demand, HeldShares: held}
+	if n.dividesQuota() {
+		n.receiveQuotaRequest(n.self.Address, request)
 		return
 	}
-	n.transport.Send(n.view.PrimaryAddress(), ask)
+	n.transport.Send(primary, request)
 }
 
-func (n *Node) onQuotaAsk(from string, m dissemination.QuotaRequest) {
-	if !n.leads() {
+// receiveQuotaRequest grants a router its shares.
+func (n *Node) receiveQuotaRequest(from string, m dissemination.QuotaRequest) {
+	if !n.dividesQuota() {
 		return
 	}
-	shares := n.allocator.Ask(from, m.Incarnation, m.Demand, m.HeldShares, n.fleet, n.now())
+	shares := n.quotas.allocator.Ask(from, m.Incarnation, m.Demand, m.HeldShares, n.fleetSize, n.now())
 	if from == n.self.Address {
 		n.gateway.QuotaGranted(m.Nonce, shares)
 		return
@@ -85,58 +123,64 @@
 	n.transport.Send(from, dissemination.QuotaGrant{Nonce: m.Nonce, Shares: shares})
 }
 
-func (n *Node) onQuotaAcquire(from string, m dissemination.QuotaAcquire, now time.Duration) {
-	if !n.leads() {
+// receiveQuotaGrant adopts the shares that the primary grants.
+func (n *Node) receiveQuotaGrant(m dissemination.QuotaGrant, now time.Duration) {
+	n.quotas.primaryContact = now
+	n.gateway.QuotaGranted(m.Nonce, m.Shares)
+}
+
+// receiveQuotaAcquire answers a router's request for units.
+func (n *Node) receiveQuotaAcquire(from string, m dissemination.QuotaAcquire, now time.Duration) {
+	if !n.dividesQuota() {
 		return
 	}
-	given, wait := n.tokenBuckets.Acquire(m.Tenant, m.Need, m.Extra, now)
+	given, wait := n.quotas.tokenBuckets.Acquire(m.Tenant, m.Need, m.Extra, now)
 	n.transport.Send(from, dissemination.QuotaAcquired{Request: m.Request, Given: given, Wait: wait})
 }
 
-// Acquire implements gateway.Acquirer.
+// receiveQuotaAcquired passes the primary's answer to the client request that waits for it.
+func (n *Node) receiveQuotaAcquired(m dissemination.QuotaAcquired, now time.Duration) {
+	n.quotas.primaryAvoidedUntil, n.quotas.primaryContact = 0, now
+	n.quotas.acquisitions.deliver(m.Request, m)
+}
+
+// Acquire implements gateway.Acquirer: it acquires units from the primary, or else from the pool. It acquires the lock.
 func (n *Node) Acquire(ctx context.Context, tenant string, need, extra float64) gateway.Acquisition {
-	if acquired := n.acquireOfPrimary(ctx, tenant, need, extra); acquired.From == gateway.FromPrimary || ctx.Err() != nil {
+	if acquired := n.acquireFromPrimary(ctx, tenant, need, extra); acquired.From == gateway.FromPrimary || ctx.Err() != nil {
 		return acquired
 	}
-	return n.acquireOfPool(ctx, tenant, need)
+	return n.acquireFromPool(ctx, tenant, need)
 }
 
-// acquireOfPrimary acquires units of the primary for a request of this sidecar. Of those that come while it is silent one, now and then,
-// waits for it to speak again.
-func (n *Node) acquireOfPrimary(ctx context.Context, tenant string, need, extra float64) gateway.Acquisition {
-	answer := make(chan dissemination.QuotaAcquired, 1)
+// acquireFromPrimary acquires units from the primary for a client request. While the primary does not answer, only one of the requests that
+// come waits for it, once each primaryRetryDelay. It acquires the lock.
+func (n *Node) acquireFromPrimary(ctx context.Context, tenant string, need, extra float64) gateway.Acquisition {
+	q := &n.quotas
 	n.mutex.Lock()
-	if n.leads() {
-		given, wait := n.tokenBuckets.Acquire(tenant, need, extra, n.now())
+	if n.dividesQuota() {
+		given, wait := q.tokenBuckets.Acquire(tenant, need, extra, n.now())
 		n.mutex.Unlock()
 		return gateway.Acquisition{From: gateway.FromPrimary, Given: given, Wait: wait}
 	}
-	primary := n.view.PrimaryAddress()
-	if primary == "" || primary == n.self.Address || n.now() < n.silentUntil {
+	primary := n.control.view.PrimaryAddress()
+	if primary == "" || primary == n.self.Address || n.now() < q.primaryAvoidedUntil {
 		n.mutex.Unlock()
 		return gateway.Acquisition{}
 	}
-	if n.silentUntil > 0 {
-		n.silentUntil = n.now() + acquireWait
+	if q.primaryAvoidedUntil > 0 {
+		q.primaryAvoidedUntil = n.now() + acquireTimeout // others do not wait for it until this request knows
 	}
-	n.token++
-	request := n.token
-	n.acquires[request] = answer
+	request := n.nextRequest()
+	reply := q.acquisitions.add(request)
 	n.mutex.Unlock()
 	n.transport.Send(primary, dissemination.QuotaAcquire{Request: request, Tenant: tenant, Need: need, Extra: extra})
-	timer := time.NewTimer(acquireWait)
-	defer timer.Stop()
-	select {
-	case acquired := <-answer:
-		return gateway.Acquisition{From: gateway.FromPrimary, Given: acquired.Given, Wait: acquired.Wait}
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-	n.mutex.Lock()
-	delete(n.acquires, request)
-	if ctx.Err() == nil && primary == n.view.PrimaryAddress() {
-		n.silentUntil = n.now() + primarySilence
+	acquired, ok := awaitReply(ctx, n, q.acquisitions, request, reply, acquireTimeout, func() {
+		if primary == n.control.view.PrimaryAddress() {
+			q.primaryAvoidedUntil = n.now() + primaryRetryDelay
+		}
+	})
+	if !ok {
+		return gateway.Acquisition{}
 	}
-	n.mutex.Unlock()
-	return gateway.Acquisition{}
+	return gateway.Acquisition{From: gateway.FromPrimary, Given: acquired.Given, Wait: acquired.Wait}
 }
--- a/internal/router/node/registration_test.go
+++ b/internal/router/node/registration_test.go
@@ -19,31 +19,31 @@
 	}
 }
 
-// A drain is acknowledged by a majority of the newest members: an answer of one that knows a later view does not count in the one before,
-// and the members of a new view are asked anew.
+// A drain is acknowledged by a majority of the newest members: the answer of one that knows a later view does not count in the one before,
+// and the drain is sent to the members of a new view.
 func TestADrainAcrossAChangeOfMembers(t *testing.T) {
 	n := memberOutOfTouch(t)
-	members := n.view.Members
-	k := n.spreadDrain("", 0, registry.Instance{ID: "i1", Service: "s", Address: "a", State: registry.Draining, Sequence: 4}, time.Second)
-	request := n.token
+	members := n.control.view.Members
+	d := n.startDrain("", 0, registry.Instance{ID: "i1", Service: "s", Address: "a", State: registry.Draining, Sequence: 4}, time.Second)
+	request := n.lastRequest
 	next := view(3, members[1], member("10.0.8.1:7000", "z1"), member("10.0.9.1:7000", "z2"))
-	n.onDrainAck(members[0].Address, dissemination.DrainAck{Request: request, View: next.Epoch})
-	require.False(t, isClosed(k.done), "of these members there may be no majority any more")
-	n.noteView(next)
-	n.onDrainAck(members[2].Address, dissemination.DrainAck{Request: request, View: n.view.Epoch})
-	require.False(t, isClosed(k.done), "it is no member any more")
-	n.onDrainAck("10.0.9.1:7000", dissemination.DrainAck{Request: request, View: n.view.Epoch})
-	require.True(t, isClosed(k.done))
+	n.receiveDrainAck(members[0].Address, dissemination.DrainAck{Request: request, View: next.Epoch})
+	require.False(t, isClosed(d.done), "of these members there may be no majority any more")
+	n.applyView(next)
+	n.receiveDrainAck(members[2].Address, dissemination.DrainAck{Request: request, View: n.control.view.Epoch})
+	require.False(t, isClosed(d.done), "the sender is no member any more")
+	n.receiveDrainAck("10.0.9.1:7000", dissemination.DrainAck{Request: request, View: n.control.view.Epoch})
+	require.True(t, isClosed(d.done))
 }
 
-// An answer to a question that nobody asked, or that was answered, does nothing.
+// An acknowledgement of a request that was not made, or that is done, changes nothing.
 func TestAnAnswerToNoDrain(t *testing.T) {
 	n := memberOutOfTouch(t)
-	k := n.spreadDrain("", 0, registry.Instance{ID: "i1", Service: "s", Address: "a", State: registry.Deregistered, Sequence: 4}, time.Second)
-	n.onDrainAck(n.view.Members[0].Address, dissemination.DrainAck{Request: n.token + 1, View: n.view.Epoch})
-	require.False(t, isClosed(k.done))
+	d := n.startDrain("", 0, registry.Instance{ID: "i1", Service: "s", Address: "a", State: registry.Deregistered, Sequence: 4}, time.Second)
+	n.receiveDrainAck(n.control.view.Members[0].Address, dissemination.DrainAck{Request: n.lastRequest + 1, View: n.control.view.Epoch})
+	require.False(t, isClosed(d.done))
 	for range 2 {
-		n.onDrainAck(n.view.Members[0].Address, dissemination.DrainAck{Request: n.token, View: n.view.Epoch})
+		n.receiveDrainAck(n.control.view.Members[0].Address, dissemination.DrainAck{Request: n.lastRequest, View: n.control.view.Epoch})
 	}
-	require.True(t, isClosed(k.done))
+	require.True(t, isClosed(d.done))
 }
--- a/internal/router/node/servers_cache.go
+++ b/internal/router/node/servers_cache.go
@@ -1,6 +1,8 @@
 package node
 
 import (
+	"sync"
+	"sync/atomic"
 	"time"
 
 	"petrelhook/internal/router/registry"
@@ -10,49 +12,61 @@
 )
 
 const (
-	serversCache = "servers.cache"
-	serversEvery = time.Second
+	serversCacheFile = "servers.cache"
+	// storeServersInterval is the time between two writes of the file.
+	storeServersInterval = time.Second
 )
 
-// loadServers takes the servers that this disk remembers: after all sidecars ended at once they are served until their
-// heartbeats come, or do not. That a server is another one by now costs a 421.
+// serversCache is the copy of the registry on the disk of a router that can be a core member. After all routers ended at once, servers are
+// used by it until their heartbeats come, or do not.
+type serversCache struct {
+	loaded      bool   // servers were read from the disk
+	storedStamp uint64 // of the registry on the disk
+	storing     atomic.Bool
+	writers     sync.WaitGroup
+}
+
+// loadServers adds the servers on the disk to the registry. Where another server has one's address by now, a request to it costs a 421.
 func (n *Node) loadServers() {
-	text, err := storage.ReadCache(n.settings.DataDir, serversCache)
+	encoded, err := storage.ReadCache(n.settings.DataDir, serversCacheFile)
 	if err != nil {
-		n.logger.Debug().Err(err).Msg("servers")
+		n.logger.Debug().Err(err).Msg("servers cache not read")
 		return
 	}
-	list, err := wireformat.DecodeServers(text)
+	updates, err := wireformat.DecodeServers(encoded)
 	if err != nil {
-		n.logger.Warn().Err(err).Msg("servers")
+		n.logger.Warn().Err(err).Msg("servers cache not decoded")
 		return
 	}
-	for _, u := range list {
+	for _, u := range updates {
 		if u.Lost || u.Instance.State == registry.Deregistered {
 			continue
 		}
-		u.Age += settings.Milliseconds(n.settings.HeartbeatMs) // it was written some time ago; who was heard last stays first
+		u.Age += settings.Milliseconds(n.settings.HeartbeatMs) // it was written some time ago; the order of last contacts stays
 		n.registry.Merge(u, n.now())
-		n.cached = true
+		n.serversCache.loaded = true
 	}
-	n.stored = n.registry.Stamp()
+	n.serversCache.storedStamp = n.registry.Stamp()
 }
 
-// storeServers remembers the servers, now and then.
+// storeServers writes the registry to the disk where it has changed, in a goroutine, since a disk may hang. The next write comes after its
+// end only. One that fails is not repeated before the next change: the file saves time after a restart alone.
 func (n *Node) storeServers(now time.Duration) {
-	if n.registry.Stamp() == n.stored || n.storing.Load() || !n.every.store.due(serversEvery, now) {
+	c := &n.serversCache
+	if n.registry.Stamp() == c.storedStamp || c.storing.Load() || !n.timers.storeServers.elapsed(storeServersInterval, now) {
 		return
 	}
-	n.stored = n.registry.Stamp()
-	text, err := wireformat.EncodeServers(n.registry.UpdatesSince(0, now))
+	c.storedStamp = n.registry.Stamp()
+	encoded, err := wireformat.EncodeServers(n.registry.UpdatesSince(0, now))
 	if err != nil {
+		n.logger.Debug().Err(err).Msg("servers cache not encoded")
 		return
 	}
-	n.storing.Store(true)
-	n.writers.Go(func() { // a disk may hang
-		defer n.storing.Store(false)
-		if err := storage.WriteCache(n.settings.DataDir, serversCache, text); err != nil {
-			n.logger.Debug().Err(err).Msg("servers")
+	c.storing.Store(true)
+	c.writers.Go(func() {
+		defer c.storing.Store(false)
+		if err := storage.WriteCache(n.settings.DataDir, serversCacheFile, encoded); err != nil {
+			n.logger.Debug().Err(err).Msg("servers cache not written")
 		}
 	})
 }
--- a/internal/router/node/start.go
+++ b/internal/router/node/start.go
@@ -10,41 +10,42 @@
 	"petrelhook/internal/router/storage"
 )
 
-// open reads the disk, where there is one, and makes the replica.
+// open reads the disk, where there is one, and makes the replica. It is called before anything else runs, without the lock.
 func (n *Node) open() error {
 	s := n.settings
-	o := replication.Options{Self: replication.Member{Address: n.self.Address, Zone: s.Zone}, Seeds: s.SeedAddresses(),
+	options := replication.Options{Self: replication.Member{Address: n.self.Address, Zone: s.Zone}, Seeds: s.SeedAddresses(),
 		Bootstrap: s.Bootstrap, FaultTolerance: s.FaultTolerance.Machines}
-	var kept *replication.PersistedState
+	var persisted *replication.PersistedState
 	if s.Core() {
 		disk, found, err := storage.Open(s.DataDir, n.self.Address, s.Bootstrap)
 		if err != nil {
 			return err
 		}
-		kept = found
-		o.Self.ID = kept.ID
-		n.self.Member = &o.Self
-		n.disk = newDiskWriter(disk, n.saved)
-		n.eligible[kept.ID] = o.Self
+		persisted = found
+		options.Self.ID = persisted.ID
+		n.self.Member = &options.Self
+		n.control.disk = newDiskWriter(disk, n.saved)
+		n.control.eligible[persisted.ID] = options.Self
 		n.loadServers()
 	} else {
-		o.Witness = true
-		o.Self.ID = n.self.Address
+		options.Witness = true
+		options.Self.ID = n.self.Address
 	}
 	var err error
-	n.replica, err = replication.New(o, kept, n.register, n.now())
+	n.control.replica, err = replication.New(options, persisted, n.control.register, n.now())
 	if err == nil && n.self.Member != nil {
-		n.replica.Eligible(*n.self.Member)
+		n.control.replica.Eligible(*n.self.Member)
 	}
 	return errors.Wrap(err, "replica")
 }
 
+// listen opens the addresses of the settings and serves them, each in a goroutine that ends with its listener.
 func (n *Node) listen() (*servers, error) {
 	internal, err := net.Listen("tcp", n.self.Address)
 	if err != nil {
-		return nil, errors.Wrap(err, "internal")
+		return nil, errors.Wrap(err, "listen for other routers")
 	}
-	go n.transport.Serve(internal)
+	go func() { _ = n.transport.Serve(internal) }() // ends when end closes the listener
 	s := &servers{internal: internal}
 	for _, one := range []struct {
 		address string
@@ -58,13 +59,20 @@
 		if one.address == "" {
 			continue
 		}
-		listener, err := net.Listen("tcp", one.address)
-		if err != nil {
+		if *one.server, err = serve(one.address, one.handler); err != nil {
 			return nil, errors.Wrap(err, "listen")
 		}
-		server := newServer(one.handler)
-		*one.server = server
-		go server.Serve(listener)
 	}
 	return s, nil
 }
+
+// serve listens on an address and has a new server serve it until the server is closed.
+func serve(address string, handler http.Handler) (*http.Server, error) {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	server := newServer(handler)
+	go func() { _ = server.Serve(listener) }() // ends when end shuts the server down
+	return server, nil
+}
--- a/internal/router/node/status.go
+++ b/internal/router/node/status.go
@@ -9,74 +9,73 @@
 	"petrelhook/internal/router/replication"
 )
 
-// StatusPath is where a router tells its status, on its control address.
+// StatusPath is where a router serves its status, on its control address.
 const StatusPath = "/-/status"
 
-// Status is what a router knows of itself and of the fleet.
+// Status is what a router knows of itself and of the fleet. It is sent as JSON, with the names that docs/operate gives.
 type Status struct {
-	Node       string
-	Zone       string
-	Ready      bool
-	Core       bool
-	Primary    bool
-	InTouch    bool // with a majority of the core, itself or by its home
-	Home       string
-	View       replication.View
-	Replica    string
-	Version    uint64 // of the configuration in force here, counted by the core
-	Generation int64
-	Fleet      int
-	Servers    map[string]int // usable ones by service
-	Requests   int64
-	Served     int64
-	Refused    int64
-	Failed     int64
-	Retried    int64
-	SentBytes  uint64            // to other sidecars
-	Doubted    []outlier.Finding // servers that fail more than others, at a control sidecar
-	Silent     bool              // it hears no primary
-	Pool       string            // whose pool has what it may spend of tenants' limits meanwhile
-	Deposits   int               // in its own pool
-	Moved      int64             // streams that went on at another server because they stalled
-	Latency    []latency.Report  // what became of requests, by route, and what they waited for
+	Node         string // name of the machine, as in the settings
+	Zone         string
+	Ready        bool // it has served, or could have, since its start
+	Core         bool // it is a core member
+	Primary      bool
+	InTouch      bool   // it has contact with a majority of the core, itself or by way of its home
+	Home         string // internal address of the core member that it subscribes to
+	View         replication.View
+	Replica      string         // state of the replica, for people to read
+	Version      uint64         // of the configuration in force here, counted by the core
+	Generation   int64          // of the same, counted by the operator
+	Fleet        int            // number of routers
+	Servers      map[string]int // usable ones by service
+	Requests     int64
+	Served       int64
+	Rejected     int64 `json:"Refused"`
+	Failed       int64
+	Retried      int64
+	SentBytes    uint64            // to other routers
+	Findings     []outlier.Finding `json:"Doubted"` // servers that fail more than others, at a core member
+	LacksPrimary bool              `json:"Silent"`  // it has no contact with a primary
+	PoolHost     string            `json:"Pool"`    // whose pool has what it may spend of tenants' limits meanwhile
+	Deposits     int               // of routers, in the pool hosted here
+	Migrated     int64             `json:"Moved"` // streams that were continued at another server because they stalled
+	Latency      []latency.Report  // what became of requests, by route, and what they waited for
 }
 
-// Status tells the status.
+// Status returns the status. It acquires the lock.
 func (n *Node) Status() Status {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	s := Status{Node: n.settings.NodeName, Zone: n.settings.Zone, Ready: n.ready.Load(), Core: n.core(), Primary: n.replica.Primary(),
-		Home: n.home.address, View: n.view, Replica: n.replica.Status(), Version: n.compiled, Fleet: n.fleet, Servers: n.gateway.Servers(),
-		SentBytes: n.transport.SentBytes()}
-	s.InTouch = s.Core && n.replica.InTouch() || !s.Core && n.home.touch && n.now()-n.home.heard < homeSilent
-	if t := n.gateway.Table(); t != nil {
-		s.Generation = t.Generation
+	now := n.now()
+	s := Status{Node: n.settings.NodeName, Zone: n.settings.Zone, Ready: n.ready.Load(), Core: n.isCoreMember(), Primary: n.control.replica.Primary(),
+		InTouch: n.hasCoreContact(now), Home: n.subscription.home.Current(), View: n.control.view, Replica: n.control.replica.Status(),
+		Version: n.applied.configVersion, Fleet: n.fleetSize, Servers: n.gateway.Servers(), SentBytes: n.transport.SentBytes(),
+		LacksPrimary: n.lacksPrimary(now), Deposits: n.quotas.pool.Deposits(now), Latency: n.gateway.Latency()}
+	if table := n.gateway.Table(); table != nil {
+		s.Generation = table.Generation
 	}
 	if s.Core {
-		s.Doubted = n.outliers.detector.Explain(n.now())
+		s.Findings = n.outliers.detector.Explain(now)
 	}
-	s.Silent, s.Deposits = n.primarySilent(n.now()), n.poolHost.pool.Deposits(n.now())
-	if n.now() < n.gateway.QuotaPooled() {
-		s.Pool = n.poolMembership.host
+	if now < n.gateway.QuotaPooled() {
+		s.PoolHost = n.quotas.contributor.Host()
 	}
 	c := &n.gateway.Counts
-	s.Requests, s.Served, s.Refused = c.Requests.Load(), c.Served.Load(), c.Refused.Load()
-	s.Failed, s.Retried, s.Moved = c.Failed.Load(), c.Retried.Load(), c.Moved.Load()
-	s.Latency = n.gateway.Latency()
+	s.Requests, s.Served, s.Rejected = c.Requests.Load(), c.Served.Load(), c.Refused.Load()
+	s.Failed, s.Retried, s.Migrated = c.Failed.Load(), c.Retried.Load(), c.Moved.Load()
 	return s
 }
 
 func (n *Node) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(n.Status())
+	_ = json.NewEncoder(w).Encode(n.Status()) // fails where the caller has gone
 }
 
-// Version is the version of the configuration in force here.
+// Version returns the version of the configuration in force here; 0 is none. It acquires the lock.
 func (n *Node) Version() uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.compiled
+	return n.applied.configVersion
 }
 
-// Ready reports whether this sidecar takes clients.
+// Ready reports whether this router takes clients. It needs no lock.
 func (n *Node) Ready() bool { return n.ready.Load() && !n.ending.Load() }
--- a/internal/router/node/subscription.go
+++ b/internal/router/node/subscription.go
@@ -4,223 +4,115 @@
 	"time"
 
 	"petrelhook/internal/router/dissemination"
-	"petrelhook/internal/router/placement"
-	"petrelhook/internal/router/replication"
+	"petrelhook/internal/router/homeselection"
+	"petrelhook/internal/router/operatorapi"
+	"petrelhook/internal/router/proximity"
 )
 
-// subscriber is what a control sidecar knows of one that subscribes to it.
-type subscriber struct {
-	address  string
-	life     uint64 // of its process
-	core     bool
-	view     replication.Epoch
-	version  uint64
-	stamp    uint64
-	sessions uint64
-	sent     time.Duration // when something was last sent that it lacked
-	listed   int           // servers in that
-	resent   int           // how often in a row it was sent anew, for it did not have it
-	heard    time.Duration
-	whole    bool                       // it asked for the whole list of servers
-	fresh    map[string]bool            // servers heard here that it was not told of
-	uses     map[string]*placement.Uses // not yet told, by service
+// subscription is what a router follows of core members: a router its home, a core member all others.
+type subscription struct {
+	home             *homeselection.Selector
+	positions        map[string]registryPosition // by the internal address of a core member
+	versions         *dissemination.Versions     // the committed configuration
+	serversComplete  bool                        // the registry has every server that lives
+	configCurrent    bool                        // the configuration was the core's newest, according to a core member in contact with a majority
+	comparison       listComparison
+	requestFullState bool // the next heartbeat to the home asks for the complete list of servers
 }
 
-// upstreamStamp is how far one has followed another's registry.
-type upstreamStamp struct {
-	life  uint64
-	stamp uint64
+// registryPosition is up to which stamp a router has all changes of a core member's registry.
+type registryPosition struct {
+	incarnation uint64 // of the core member; stamps count in it alone
+	stamp       uint64
 }
 
-// onSession takes in a sidecar's heartbeat and answers with what it lacks.
-func (n *Node) onSession(from string, m *dissemination.SubscriptionHeartbeat, now time.Duration) {
-	if m.Router.Member != nil {
-		n.eligible[m.Router.Member.ID] = *m.Router.Member
-		n.replica.Eligible(*m.Router.Member)
-	}
-	if n.view.Epoch.Less(m.View) && !m.Subscribe {
-		n.transport.Send(from, dissemination.SubscriptionHeartbeat{Router: n.self, View: n.view.Epoch})
-		return
-	}
-	if !m.Subscribe || !n.core() {
-		n.introduce(from, m)
-		return
-	}
-	n.sessions.ReceiveHeartbeat(m.Router, now)
-	s := n.subscribers[from]
-	if s == nil {
-		s = &subscriber{address: from, fresh: map[string]bool{}, uses: map[string]*placement.Uses{}}
-		n.subscribers[from] = s
-	}
-	s.core, s.heard, s.view = m.CoreMember, now, m.View
-	restarted := s.life != m.Router.Incarnation
-	s.life = m.Router.Incarnation
-	if restarted {
-		n.transport.Reconnect(from)
-	}
-	s.follow(m, n.life, restarted, now)
-	s.whole = m.FullState && !m.CoreMember
-	if s.whole {
-		s.stamp = 0
-	}
-	n.push(s, now)
-}
-
-// follow takes in what a subscriber says that it has. While what was sent may be on its way it counts as there.
-func (s *subscriber) follow(m *dissemination.SubscriptionHeartbeat, life uint64, restarted bool, now time.Duration) {
-	same := m.HomeIncarnation == life
-	if same && m.RegistryStamp >= s.stamp && m.Version >= s.version || restarted {
-		s.resent = 0
-	} else if now-s.sent <= s.resendWait() {
-		return
-	} else {
-		s.resent++
-	}
-	if same {
-		s.stamp, s.version, s.sessions = m.RegistryStamp, m.Version, m.SessionsStamp
-	} else {
-		s.stamp, s.version, s.sessions = 0, m.Version, 0
-	}
+func newSubscription(self string, locality proximity.Locality) subscription {
+	return subscription{home: homeselection.New(self, locality), positions: map[string]registryPosition{},
+		versions: dissemination.NewVersions(operatorapi.ApplyOrder)}
 }
 
-// resendWait is how long after something was sent it is sent anew: longer for a subscriber that did not get to it again and again, and
-// for a long list, since all subscribers that are slow to take it in would be sent it over and over.
-func (s *subscriber) resendWait() time.Duration {
-	return max(resendAfter<<min(s.resent, resendDoubled), time.Duration(s.listed)*resendEach)
-}
-
-// introduce tells one that does not subscribe here who the core is, or who may become it.
-func (n *Node) introduce(to string, m *dissemination.SubscriptionHeartbeat) {
-	p := dissemination.Push{Incarnation: n.life}
-	if m.View.Less(n.view.Epoch) {
-		view := n.view
-		p.View = &view
-	}
-	if n.view.Epoch.Round == 0 {
-		for _, one := range n.eligible {
-			p.Eligible = append(p.Eligible, one)
-		}
-	}
-	if p.View != nil || len(p.Eligible) > 0 {
-		n.transport.Send(to, p)
-	}
-}
-
-// push tells a subscriber what it lacks; it is also the heartbeat of the session.
-func (n *Node) push(s *subscriber, now time.Duration) {
-	p := dissemination.Push{Incarnation: n.life, InTouch: n.replica.InTouch(), Complete: n.complete, FleetSize: n.fleet}
-	if s.view.Less(n.view.Epoch) {
-		view := n.view
-		p.View = &view
-		s.view = n.view.Epoch
-	}
-	p.FromStamp, p.Stamp, p.Digest = s.stamp, n.registry.Stamp(), n.registry.Digest()
-	p.FullState, s.whole = s.whole, false
-	if s.stamp < p.Stamp {
-		p.Instances = n.registry.UpdatesSince(s.stamp, now)
-		s.stamp, s.listed = p.Stamp, len(p.Instances)
-		s.sent = now
-	}
-	if s.version < n.versions.Version() {
-		n.versions.FillPush(&p, s.version)
-		s.version = n.versions.Version()
-		s.sent = now
-	} else {
-		p.Version = n.versions.Version()
+// stamp returns up to which stamp all changes of a core member's registry have come, in its present incarnation.
+func (s *subscription) stamp(from string, incarnation uint64) uint64 {
+	if position := s.positions[from]; position.incarnation == incarnation {
+		return position.stamp
 	}
-	if s.core {
-		for id := range s.fresh {
-			p.HeartbeatsReceived = append(p.HeartbeatsReceived, id)
-		}
-		clear(s.fresh)
-		nodes, stamp := n.sessions.Own()
-		p.SessionsStamp = stamp
-		if s.sessions != stamp {
-			p.Routers = nodes
-			s.sessions = stamp
-		}
-	}
-	n.transport.Send(s.address, p)
+	return 0
 }
 
-// pushAll tells all subscribers that something changed: at once, or soon where they were told just now.
-func (n *Node) pushAll() {
-	now := n.now()
-	if wait := max(pushGap, time.Duration(len(n.subscribers))*pushGapEach) - (now - n.lastPush); wait > 0 {
-		if !n.pushLater {
-			n.pushLater = true
-			n.pushTimer.Reset(wait)
-		}
-		return
-	}
-	n.lastPush, n.pushLater = now, false
-	for address, s := range n.subscribers {
-		if now-s.heard > sessionTimeout {
-			delete(n.subscribers, address)
-			continue
-		}
-		n.push(s, now)
+// advance records that the changes of a push were applied. A push that begins after the position leaves it: a push before was lost.
+func (s *subscription) advance(from string, p *dissemination.Push) {
+	stamp := s.stamp(from, p.Incarnation)
+	if p.FromStamp <= stamp {
+		stamp = max(stamp, p.Stamp)
 	}
+	s.positions[from] = registryPosition{incarnation: p.Incarnation, stamp: stamp}
 }
 
-// pushWaiting tells what came just after the last push.
-func (n *Node) pushWaiting() {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.lastPush = -time.Hour
-	n.pushAll()
-}
-
-// onPush takes in what a home, or another control sidecar, tells.
-func (n *Node) onPush(from string, p *dissemination.Push, now time.Duration) {
+// receivePush applies what a core member pushes.
+func (n *Node) receivePush(from string, p *dissemination.Push, now time.Duration) {
+	s := &n.subscription
 	for _, m := range p.Eligible {
-		n.eligible[m.ID] = m
-		n.replica.Eligible(m)
+		n.addEligible(m)
 	}
 	if p.View != nil {
-		n.noteView(*p.View)
+		n.applyView(*p.View)
 	}
-	if from == n.home.address {
-		n.home.heard, n.home.touch = now, p.InTouch
-		if p.Complete && !n.core() {
-			n.setFleet(p.FleetSize)
+	if from == s.home.Current() {
+		s.home.Observe(p.InTouch, now)
+		if p.Complete && !n.isCoreMember() {
+			n.setFleetSize(p.FleetSize)
 		}
 	}
-	if p.Complete && p.FromStamp <= n.followed(from, p.Incarnation) {
-		n.complete = true // it has a whole list, and this is the rest of it
+	if p.Complete && p.FromStamp <= s.stamp(from, p.Incarnation) {
+		s.serversComplete = true // the sender has the complete list, and this is the rest of it
 	}
 	if p.Stamp == 0 && p.Version == 0 && p.SessionsStamp == 0 {
-		return // an introduction
+		return // it only introduces the core
 	}
+	n.applyPush(from, p, now)
+}
+
+// applyPush applies the servers, sessions and configuration of a push, and pushes what has changed by them to this router's own subscribers.
+func (n *Node) applyPush(from string, p *dissemination.Push, now time.Duration) {
+	s := &n.subscription
 	before := n.registry.Stamp()
-	n.takeServers(from, p, now)
-	if n.core() {
-		n.sessions.UpdatePeer(from, p.Incarnation, p.SessionsStamp, p.Routers, now)
+	n.applyServers(from, p, now)
+	if n.isCoreMember() {
+		n.distributor.sessions.UpdatePeer(from, p.Incarnation, p.SessionsStamp, p.Routers, now)
 	}
-	changed, err := n.versions.ApplyPush(p)
+	changed, err := s.versions.ApplyPush(p)
 	if err != nil {
-		n.logger.Debug().Err(err).Str("from", from).Msg("push")
+		n.logger.Debug().Err(err).Str("from", from).Msg("pushed configuration not applied")
 	}
-	if p.InTouch && n.versions.Version() >= p.Version {
-		n.current = true
+	if p.InTouch && s.versions.Version() >= p.Version {
+		s.configCurrent = true
 	}
 	if changed || n.registry.Stamp() != before {
 		n.pushAll()
 	}
 }
 
-// followed is up to which stamp all changes of a control sidecar's list have come, in its present life.
-func (n *Node) followed(from string, life uint64) uint64 {
-	if has := n.upstream[from]; has.life == life {
-		return has.stamp
+// applyServers applies what a push says of servers.
+func (n *Node) applyServers(from string, p *dissemination.Push, now time.Duration) {
+	s := &n.subscription
+	isCoreMember := n.isCoreMember()
+	switch {
+	case isCoreMember:
+		for _, u := range p.Instances {
+			n.registry.Merge(u, now)
+		}
+	case p.FullState && p.Complete && p.InTouch:
+		n.registry.Replace(p.Instances, now)
+	default:
+		for _, u := range p.Instances {
+			n.registry.Adopt(u, now)
+		}
 	}
-	return 0
-}
-
-func (n *Node) follow(from string, p *dissemination.Push) {
-	stamp := n.followed(from, p.Incarnation)
-	if p.FromStamp <= stamp {
-		stamp = max(stamp, p.Stamp)
+	n.registry.RefreshContact(p.HeartbeatsReceived, now)
+	s.advance(from, p)
+	comparable := !isCoreMember && from == s.home.Current() && p.Complete && p.InTouch && s.stamp(from, p.Incarnation) == p.Stamp
+	if comparable && s.comparison.observe(p.Digest == n.registry.Digest(), now) {
+		n.logger.Info().Str("home", from).Msg("list of servers differs from the home's")
+		s.requestFullState = true
 	}
-	n.upstream[from] = upstreamStamp{life: p.Incarnation, stamp: stamp}
 }
