--- /dev/null
+++ b/internal/router/quotapool/quotapool_test.go
@@ -0,0 +1,82 @@
+package quotapool
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"petrelhook/internal/router/proximity"
+	"petrelhook/internal/router/quota"
+	"petrelhook/internal/router/replication"
+)
+
+const primary = "10.0.2.1:7000"
+
+var members = []replication.Member{
+	{ID: "p", Address: primary, Zone: "z1"},
+	{ID: "n", Address: "10.0.1.9:7000", Zone: "z1"},
+	{ID: "f", Address: "10.0.3.9:7000", Zone: "z3"},
+}
+
+func newContributor() *Contributor {
+	return NewContributor(proximity.Locality{Zone: "z1", Region: "r1", RegionOf: map[string]string{"z1": "r1", "z3": "r2"}})
+}
+
+// The host is in the own zone, and not the primary; it is offered a deposit until it asks for it.
+func TestOffersEndWhenTheHostAsks(t *testing.T) {
+	c := newContributor()
+	require.False(t, c.Active(0))
+	host, ok := c.Offer(members, primary, 0, time.Second)
+	require.True(t, ok)
+	require.Equal(t, "10.0.1.9:7000", host)
+	_, ok = c.Offer(members, primary, 0, time.Second+OfferInterval-1)
+	require.False(t, ok, "it was offered just now")
+	c.RecordCollection(time.Second + OfferInterval)
+	require.True(t, c.Active(time.Second+OfferInterval))
+	_, ok = c.Offer(members, primary, 0, time.Second+2*OfferInterval)
+	require.False(t, ok, "the host has it")
+	require.False(t, c.Active(time.Second+OfferInterval+collectionValidity), "the host asks no more")
+}
+
+// A host that does not answer a request is avoided for a time, but has the deposit until that ends.
+func TestAHostThatTimedOutIsAvoided(t *testing.T) {
+	c := newContributor()
+	now := time.Second
+	near, _ := c.Offer(members, primary, 0, now)
+	c.RecordCollection(now)
+	c.HostTimedOut(near, now)
+	require.False(t, c.Active(now))
+	require.True(t, c.Avoids(near, now+hostRetryDelay-1))
+	require.False(t, c.Avoids(near, now+hostRetryDelay))
+	depositEnd := now + 2*OfferInterval
+	host, _ := c.Offer(members, primary, depositEnd, now+OfferInterval)
+	require.Equal(t, near, host, "it still has the deposit")
+	host, _ = c.Offer(members, primary, depositEnd, depositEnd)
+	require.Equal(t, "10.0.3.9:7000", host)
+}
+
+// A host asks for a deposit again and again, and no more after an empty one or a time without an answer.
+func TestAHostAsksForDeposits(t *testing.T) {
+	h := NewHost()
+	h.SetLimits(map[string]quota.Limit{"t": {Rate: 100, Burst: 100}})
+	deposit := quota.Deposit{Standing: 0.5, For: time.Hour}
+	now := time.Second
+	h.ReceiveOffer("a", now)
+	require.Equal(t, []string{"a"}, h.Review(now))
+	h.Collect("a", 7, now)
+	require.Empty(t, h.Review(now+CollectInterval-1))
+	h.ReceiveDeposit("a", 6, deposit, now)
+	require.Zero(t, h.Deposits(now), "it answers another question")
+	h.ReceiveDeposit("a", 7, deposit, now)
+	require.Equal(t, 1, h.Deposits(now))
+	require.Equal(t, []string{"a"}, h.Review(now+CollectInterval))
+	h.Collect("a", 8, now+CollectInterval)
+	h.ReceiveDeposit("a", 8, quota.Deposit{}, now+CollectInterval)
+	require.Zero(t, h.Deposits(now+CollectInterval))
+	require.Zero(t, h.Offers())
+
+	h.ReceiveOffer("b", now)
+	require.Empty(t, h.Review(now+OfferValidity+1))
+	require.Zero(t, h.Offers())
+}
