--- a/internal/router/routetable/table.go
+++ b/internal/router/routetable/table.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind says whether requests of a route are idempotent.
 type Kind int
 
 // The kinds of routes.
 const (
-	Unsafe    Kind = iota // runs at most once for each try
-	Safe                  // may run more than once
-	Streaming             // events; as Unsafe unless it may be resumed
+	Unsafe    Kind = iota // a request must not run twice
+	Safe                  // a request may run more than once
+	Streaming             // the answer is a stream of events; as Unsafe, unless the route allows to resume it
 )
 
-// Compiled is a route as the data plane uses it.
+// Compiled is a route as the data plane uses it. It is immutable.
 type Compiled struct {
 	Route
 	Kind          Kind
 	Timeout       time.Duration
-	TargetLatency time.Duration
-	TargetGap     time.Duration
-	Attempts      int
+	TargetLatency time.Duration // for the first part of the answer; 0: none
+	TargetGap     time.Duration // for the longest time between two parts of the answer; 0: none
+	Attempts      int           // servers that a request is sent to at most; at least 1
 	Backends      []WeightedBackend
 }
 
-// Idempotent reports whether a request of the route may run again after it may have run.
+// Idempotent reports whether a request of the route may be sent again after a server may have run it.
 func (r *Compiled) Idempotent() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.StreamResume
 }
 
-// Table is a configuration compiled for lookups. It is immutable.
+// Table is a configuration compiled for lookups. It is immutable; a request holds the one that it began with.
 type Table struct {
 	Generation int64
 	Limits     ClientLimits
-	hosts      map[string]map[string]*Compiled // host, prefix
+	hosts      map[string]map[string]*Compiled // by host, in lower case, and prefix
 	routes     map[*Route]*Compiled
 	names      map[string]bool // of the routes
 	services   map[string]*Service
 	*tenancy
 }
 
-// tenancy is the tenants of a configuration. Tables of configurations that share their list of tenants share it.
+// tenancy is the tenants of a configuration. Tables share it where their configurations share the list of tenants.
 type tenancy struct {
 	list    []Item[Tenant]
 	keys    map[string]*Tenant
@@ -61,7 +61,7 @@
 	return t
 }
 
-// Compile makes the table of a valid configuration. What did not change is shared with the table before, which may be nil.
+// Compile returns the table of a valid configuration. It shares with the previous table, which may be nil, what did not change.
 func Compile(c *Config, previous *Table) *Table {
 	if previous == nil {
 		previous = &Table{tenancy: newTenancy(nil)}
@@ -74,7 +74,7 @@
 		names:      make(map[string]bool, len(c.Routes)),
 		services:   map[string]*Service{},
 	}
-	t.Limits, _ = c.ClientLimits()
+	t.Limits, _ = c.ClientLimits() // a valid configuration has limits that can be read
 	for i := range c.Routes {
 		r := c.Routes[i].Value
 		compiled := previous.routes[r]
@@ -113,6 +113,7 @@
 	return compiled
 }
 
+// add makes a route findable.
 func (t *Table) add(r *Route, compiled *Compiled) {
 	t.routes[r] = compiled
 	t.names[r.Name] = true
@@ -123,7 +124,7 @@
 	t.hosts[host][r.PathPrefix] = compiled
 }
 
-// Route finds the route with the longest prefix of a path; it takes as many steps as the path has slashes.
+// Route returns the route with the longest prefix of a path, or nil. It takes as many steps as the path has slashes.
 func (t *Table) Route(host, path string) *Compiled {
 	prefixes := t.hosts[strings.ToLower(stripPort(host))]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
@@ -134,9 +135,10 @@
 	return nil
 }
 
-// HasRoute reports whether there is a route of a name.
+// HasRoute reports whether there is a route with a name.
 func (t *Table) HasRoute(name string) bool { return t.names[name] }
 
+// stripPort returns a host without its port; an IPv6 address in brackets may have none.
 func stripPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
@@ -150,17 +152,17 @@
 // HasTenants reports whether requests must carry a key.
 func (t *Table) HasTenants() bool { return len(t.tenants) > 0 }
 
-// TenantOf finds the tenant that holds a key.
+// TenantOf returns the tenant that holds a key, or nil.
 func (t *Table) TenantOf(key string) *Tenant { return t.keys[key] }
 
-// Tenant finds a tenant by name.
+// Tenant returns the tenant with a name, or nil.
 func (t *Table) Tenant(name string) *Tenant { return t.tenants[name] }
 
-// Tenants are all tenants by name.
+// Tenants returns all tenants by name. The map must not be changed.
 func (t *Table) Tenants() map[string]*Tenant { return t.tenants }
 
-// Service finds a service.
+// Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services are all services by name.
+// Services returns all services by name. The map must not be changed.
 func (t *Table) Services() map[string]*Service { return t.services }
--- a/internal/router/routetable/table_test.go
+++ b/internal/router/routetable/table_test.go
@@ -10,6 +10,9 @@
 )
 
 func config(t require.TestingT, text string) *Config {
+	if helper, ok := t.(interface{ Helper() }); ok {
+		helper.Helper()
+	}
 	c, err := ParseConfig([]byte(text))
 	require.NoError(t, err)
 	require.NoError(t, c.Validate(nil))
@@ -59,7 +62,7 @@
 	})
 }
 
-// What did not change is shared, and what a next version was compiled to is what it would be alone.
+// What did not change is shared, and the table of the next version finds what it would find if compiled alone.
 func TestCompileShares(t *testing.T) {
 	first := config(t, three)
 	u, err := ParseUpdate([]byte(`{"Generation":2,"Upsert":{"Routes":[{"Name":"b","Host":"a.example","PathPrefix":"/z/","TimeoutMs":5,"Service":"u"}]},"Remove":{"Routes":["a"]}}`))
@@ -71,10 +74,10 @@
 	require.Same(t, before.Route("a.example", "/x/y/"), after.Route("a.example", "/x/y/"))
 	require.Nil(t, after.Route("a.example", "/x/q/"))
 	require.Equal(t, "u", after.Route("a.example", "/z/").Backends[0].Service)
-	require.Equal(t, "a", before.Route("a.example", "/q").Name, "the version before is as it was")
+	require.Equal(t, "a", before.Route("a.example", "/q").Name, "the table before is unchanged")
 }
 
-// Judging a configuration grows with its size, and no faster: 20,000 tenants took minutes where each was compared by a new
+// Validation takes time in proportion to the size of a configuration: 20,000 tenants took minutes where each was compared with a new
 // set of all keys.
 func TestManyTenants(t *testing.T) {
 	var tenants []string
