--- a/cmd/petrelhook-router/commands.go
+++ b/cmd/petrelhook-router/commands.go
@@ -25,12 +25,13 @@
 )
 
 const (
-	memoryShare  = 0.7 // of the limit, at which the collector works harder
-	megabyte     = 1 << 20
-	callTimeout  = 3 * time.Second
-	defaultAdmit = 10 * time.Minute
+	memoryLimitFraction = 0.7 // of the machine's memory, beyond which garbage is collected harder
+	megabyte            = 1 << 20
+	callTimeout         = 3 * time.Second // of an operator's call to a router
+	defaultAdmission    = 10 * time.Minute
 )
 
+// argument returns the command's only argument.
 func argument(c *cli.Command) (string, error) {
 	if c.Args().Len() != 1 {
 		return "", cli.Exit(c.Name+" takes one "+c.ArgsUsage, exitUsage)
@@ -38,12 +39,14 @@
 	return c.Args().First(), nil
 }
 
+// version prints the version of the program.
 func version(_ context.Context, c *cli.Command) error {
 	build, _ := debug.ReadBuildInfo()
 	_, err := fmt.Fprintln(c.Root().Writer, "petrelhook-router", build.Main.Version, build.GoVersion)
 	return err
 }
 
+// check tells whether a settings file or a deploy file is usable.
 func check(_ context.Context, c *cli.Command) error {
 	path, err := argument(c)
 	if err != nil {
@@ -54,7 +57,7 @@
 	}
 	s, err := settings.Load(path)
 	if err != nil {
-		return cli.Exit(err, exitBad)
+		return cli.Exit(err, exitFailure)
 	}
 	fmt.Fprintf(c.Root().Writer, "%s: %s in zone %s: fit\n", path, s.NodeName, s.Zone)
 	return nil
@@ -63,40 +66,40 @@
 func checkDeploy(c *cli.Command, path string) error {
 	d, err := settings.LoadDeploy(path)
 	if err != nil {
-		return cli.Exit(err, exitBad)
+		return cli.Exit(err, exitFailure)
 	}
 	fmt.Fprintf(c.Root().Writer, "%s: roles %s: fit\n", path, strings.Join(d.RoleNames(), ", "))
 	return nil
 }
 
-// state prints a disk without changing it.
+// state prints what the disk of a stopped router holds, without changing it.
 func state(_ context.Context, c *cli.Command) error {
 	folder, err := argument(c)
 	if err != nil {
 		return err
 	}
-	kept, err := storage.Inspect(folder)
+	persisted, err := storage.Inspect(folder)
 	if err != nil {
-		return cli.Exit(err, exitBad)
+		return cli.Exit(err, exitFailure)
 	}
 	register := operatorapi.NewRegister()
-	if len(kept.Snapshot.Data) > 0 {
-		if err := register.Restore(kept.Snapshot.Data); err != nil {
-			return cli.Exit(err, exitBad)
+	if len(persisted.Snapshot.Data) > 0 {
+		if err := register.Restore(persisted.Snapshot.Data); err != nil {
+			return cli.Exit(err, exitFailure)
 		}
 	}
-	position := kept.Snapshot.Position
-	for _, e := range kept.Entries {
+	position := persisted.Snapshot.Position
+	for _, e := range persisted.Entries {
 		register.Apply(e.Data)
 		position = e.Position
 	}
 	return printJSON(c, map[string]any{
-		"ID": kept.ID, "Promised": kept.Hard.Promised, "Accepted": kept.Hard.Accepted, "Position": position,
-		"Entries": len(kept.Entries), "Generation": register.Generation(),
+		"ID": persisted.ID, "Promised": persisted.Hard.Promised, "Accepted": persisted.Hard.Accepted, "Position": position,
+		"Entries": len(persisted.Entries), "Generation": register.Generation(),
 	})
 }
 
-// status asks a running router.
+// status prints the status of a running router.
 func status(_ context.Context, c *cli.Command) error {
 	address, err := argument(c)
 	if err != nil {
@@ -105,15 +108,16 @@
 	var got node.Status
 	answer, err := call(address).Get(node.StatusPath).ReceiveSuccess(&got)
 	if err != nil {
-		return cli.Exit(err, exitBad)
+		return cli.Exit(err, exitFailure)
 	}
+	_ = answer.Body.Close() // it was read, and closed by sling
 	if answer.StatusCode != http.StatusOK {
-		return cli.Exit("it answers "+answer.Status, exitBad)
+		return cli.Exit("it answers "+answer.Status, exitFailure)
 	}
 	return printJSON(c, got)
 }
 
-// admit tells a machine of the core that a server is not to be ejected for some time.
+// admit tells a core member that a server is not to be ejected for some time.
 func admit(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 2 {
 		return cli.Exit(c.Name+" takes "+c.ArgsUsage, exitUsage)
@@ -128,37 +132,39 @@
 	}
 	answer, err := (&http.Client{Timeout: callTimeout}).Do(request)
 	if err != nil {
-		return cli.Exit(err, exitBad)
+		return cli.Exit(err, exitFailure)
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(answer.Body, megabyte))
-		return cli.Exit("it answers "+answer.Status+": "+strings.TrimSpace(string(text)), exitBad)
+		return cli.Exit("it answers "+answer.Status+": "+strings.TrimSpace(string(text)), exitFailure)
 	}
 	return nil
 }
 
-// call begins a call to a router's control address.
+// call prepares a call to a router's control address.
 func call(address string) *sling.Sling {
 	return sling.New().Client(&http.Client{Timeout: callTimeout}).Base("http://" + address)
 }
 
+// printJSON prints a value for people and for programs such as jq.
 func printJSON(c *cli.Command, value any) error {
 	encoder := json.NewEncoder(c.Root().Writer)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
+// serve runs the router until SIGTERM or an interrupt; on SIGHUP it reads the settings again.
 func serve(parent context.Context, c *cli.Command) error {
 	if c.Args().Len() > 0 {
 		return cli.Exit("router takes no arguments", exitUsage)
 	}
 	s, err := settings.Load(os.Getenv(settings.Variable))
 	if err != nil {
-		return cli.Exit(err, exitBad)
+		return cli.Exit(err, exitFailure)
 	}
 	if s.Limits.MemoryMb > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * megabyte * float64(s.Limits.MemoryMb)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * megabyte * float64(s.Limits.MemoryMb)))
 	}
 	logger := &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: c.Root().ErrWriter}}
 	ctx, stop := signal.NotifyContext(parent, syscall.SIGTERM, os.Interrupt)
@@ -167,7 +173,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 	if err := node.New(s, logger).Run(ctx, reload, settings.Load); err != nil {
-		return cli.Exit(err, exitBad)
+		return cli.Exit(err, exitFailure)
 	}
 	return nil
 }
--- a/cmd/petrelhook-router/fleet_test.go
+++ b/cmd/petrelhook-router/fleet_test.go
@@ -23,7 +23,7 @@
 
 const roleVariable = "PETRELROUTER_TEST"
 
-// The test's program is the router as well.
+// The test's binary is the router as well.
 func TestMain(m *testing.M) {
 	if os.Getenv(roleVariable) != "" {
 		os.Exit(run([]string{"petrelhook-router", "router"}, os.Stdout, os.Stderr))
@@ -48,6 +48,7 @@
 }
 
 func newFleet(t *testing.T, disks, others int) *fleet {
+	t.Helper()
 	f := &fleet{t: t, ports: freePorts(t), client: &http.Client{Timeout: 5 * time.Second}}
 	var seeds []string
 	for i := range min(3, disks) {
@@ -105,6 +106,7 @@
 
 // freePorts finds ports that are free on all addresses of the test.
 func freePorts(t *testing.T) (ports [4]int) {
+	t.Helper()
 	for i := range ports {
 		l, err := net.Listen("tcp", "127.9.0.1:0")
 		require.NoError(t, err)
@@ -133,7 +135,7 @@
 	return answer.StatusCode, string(text)
 }
 
-// order sends an order to one control sidecar after the other until it is answered clearly.
+// order sends an order to one router after the other until it gets an answer other than 5xx.
 func (f *fleet) order(path string, base int, body string) (status int) {
 	process.Until(f.t, "an answer to an order", func() bool {
 		for _, m := range f.machines {
@@ -177,18 +179,18 @@
 	})
 }
 
-// beat is a server's call.
-func (f *fleet) beat(m *machine, id, address, state string, sequence int) int {
+// sendHeartbeat is a call of the one server.
+func (f *fleet) sendHeartbeat(m *machine, address, state string, sequence int) int {
 	body := fmt.Sprintf(`{"Service":"s","Address":%q,"Zone":"zone-0","Slots":4,"State":%q,"Sequence":%d}`, address, state, sequence)
-	code, _ := f.call(http.MethodPost, "http://"+f.address(m.ip, 2)+"/-/instances/"+id+"/heartbeat", body)
+	code, _ := f.call(http.MethodPost, "http://"+f.address(m.ip, 2)+"/-/instances/i1/heartbeat", body)
 	return code
 }
 
 const firstConfiguration = `{"Generation":3,"Routes":[{"Name":"r1","Host":"a.example","PathPrefix":"/x/","RouteType":"safe","TimeoutMs":2000,"Service":"s","MaxAttempts":2}],
 "Services":[{"Name":"s","MaxConnections":50}],"Tenants":[{"Name":"t1","ApiKeys":["k1"],"RatePerS":1000,"Burst":1000}]}`
 
-// A whole fleet of processes: it forms a core, takes a configuration, serves; the primary is killed and comes back; a drain
-// is known everywhere once it is acknowledged.
+// A fleet of processes forms a core, accepts a configuration and serves; the primary is killed and comes back; a drain is known everywhere
+// once it is acknowledged.
 func TestFleet(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	require.Equal(t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration))
@@ -202,15 +204,15 @@
 	}))
 	defer server.Close()
 	at, sequence := server.Listener.Addr().String(), 0
-	process.Until(t, "a heartbeat is taken", func() bool {
+	process.Until(t, "a heartbeat is accepted", func() bool {
 		sequence++
-		return f.beat(f.machines[4], "i1", at, "ready", sequence) == http.StatusOK
+		return f.sendHeartbeat(f.machines[4], at, "ready", sequence) == http.StatusOK
 	})
 	for _, m := range f.machines {
 		f.waitReady(m)
 		process.Until(t, m.ip+" serves", func() bool {
 			sequence++
-			f.beat(m, "i1", at, "ready", sequence)
+			f.sendHeartbeat(m, at, "ready", sequence)
 			code, text := f.request(m, "/x/1")
 			return code == http.StatusOK && text == "answer"
 		})
@@ -227,7 +229,7 @@
 	for _, m := range f.machines {
 		process.Until(t, m.ip+" has the new route", func() bool {
 			sequence++
-			f.beat(m, "i1", at, "ready", sequence)
+			f.sendHeartbeat(m, at, "ready", sequence)
 			code, _ := f.request(m, "/y/1")
 			return code == http.StatusOK
 		})
@@ -239,7 +241,7 @@
 
 	process.Until(t, "a drain is acknowledged", func() bool {
 		sequence++
-		return f.beat(f.machines[3], "i1", at, "draining", sequence) == http.StatusOK
+		return f.sendHeartbeat(f.machines[3], at, "draining", sequence) == http.StatusOK
 	})
 	for _, m := range f.machines {
 		process.Until(t, m.ip+" knows the drain", func() bool { return f.status(m).Servers["s"] == 0 })
@@ -271,12 +273,12 @@
 		says string
 	}{
 		{[]string{"version"}, 0, "petrelhook-router"},
-		{[]string{"check", bad}, exitBad, "field Settings.Ip"},
-		{[]string{"check", broken}, exitBad, "line 2"},
+		{[]string{"check", bad}, exitFailure, "field Settings.Ip"},
+		{[]string{"check", broken}, exitFailure, "line 2"},
 		{[]string{"check", "../../deploy/system.toml"}, 0, "roles router: fit"},
 		{[]string{"check"}, exitUsage, "takes one FILE"},
-		{[]string{"state", filepath.Join(t.TempDir(), "none")}, exitBad, "no such file"},
-		{[]string{"status", "127.0.0.1:9"}, exitBad, "refused"},
+		{[]string{"state", filepath.Join(t.TempDir(), "none")}, exitFailure, "no such file"},
+		{[]string{"status", "127.0.0.1:9"}, exitFailure, "refused"},
 		{[]string{"other"}, exitUsage, "no such command"},
 		{[]string{"check", "--what"}, exitUsage, "flag"},
 		{[]string{"--help"}, 0, "status"},
--- a/cmd/petrelhook-router/main.go
+++ b/cmd/petrelhook-router/main.go
@@ -1,25 +1,28 @@
-// Command petrelhook-router is a router of the fleet; its role is a subcommand.
+// Command petrelhook-router is a router of the fleet, and the operators' commands for one: check a file, ask a running router, look at a disk.
+//
+// Results go to standard output, logs and errors to standard error.
 package main
 
 import (
 	"context"
+	"errors"
 	"io"
 	"os"
 
 	"github.com/urfave/cli/v3"
 )
 
-// Exit codes: what was checked is bad, or the command was used wrongly.
+// Exit codes besides 0.
 const (
-	exitBad   = 1
-	exitUsage = 2
+	exitFailure = 1 // what was checked is not usable, or the router or the call failed
+	exitUsage   = 2
 )
 
 func main() {
 	os.Exit(run(os.Args, os.Stdout, os.Stderr))
 }
 
-// run is the program; it returns the exit code.
+// run executes the command line and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
 	command := &cli.Command{
 		Name:           "petrelhook-router",
@@ -30,11 +33,11 @@
 		OnUsageError:   func(_ context.Context, _ *cli.Command, err error, _ bool) error { return cli.Exit(err, exitUsage) },
 		Commands: []*cli.Command{
 			{Name: "router", Usage: "serve clients, servers and the operator, as the file named by PETRELHOOK_SETTINGS says", Action: serve},
-			{Name: "check", Usage: "judge a settings file or a deploy file", ArgsUsage: "FILE", Action: check},
+			{Name: "check", Usage: "check a settings file or a deploy file", ArgsUsage: "FILE", Action: check},
 			{Name: "state", Usage: "print what the disk of a stopped router holds", ArgsUsage: "FOLDER", Action: state},
 			{Name: "status", Usage: "ask a router who it is, who leads, and what is in force there", ArgsUsage: "CONTROL-ADDRESS", Action: status},
-			{Name: "admit", Usage: "have requests go to a server for some time, whatever is believed of it", ArgsUsage: "CONTROL-ADDRESS SERVER",
-				Flags: []cli.Flag{&cli.DurationFlag{Name: "for", Value: defaultAdmit, Usage: "how long"}}, Action: admit},
+			{Name: "admit", Usage: "have requests go to a server for some time, even if it would be ejected", ArgsUsage: "CONTROL-ADDRESS SERVER",
+				Flags: []cli.Flag{&cli.DurationFlag{Name: "for", Value: defaultAdmission, Usage: "how long"}}, Action: admit},
 			{Name: "version", Usage: "print the version", Action: version},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
@@ -49,8 +52,9 @@
 		return 0
 	}
 	io.WriteString(stderr, "petrelhook-router: "+err.Error()+"\n")
-	if coded, ok := err.(cli.ExitCoder); ok {
-		return coded.ExitCode()
+	var coder cli.ExitCoder
+	if errors.As(err, &coder) {
+		return coder.ExitCode()
 	}
 	return exitUsage
 }
--- a/cmd/petrelhook-router/recovery_test.go
+++ b/cmd/petrelhook-router/recovery_test.go
@@ -22,15 +22,16 @@
 const streamConfiguration = `{"Generation":3,"Routes":[{"Name":"r1","Host":"a.example","PathPrefix":"/x/","RouteType":"safe","TimeoutMs":2000,"Service":"s","MaxAttempts":2},
 {"Name":"r2","Host":"a.example","PathPrefix":"/stream/","RouteType":"streaming","TimeoutMs":60000,"Service":"s"}],"Services":[{"Name":"s","MaxConnections":50}]}`
 
-// engine is a server whose streams have one event at once and another when the test lets it.
+// engine is a model server whose streams send one event at once and another when the test allows it.
 type engine struct {
 	*httptest.Server
-	began, goOn chan struct{} // closed when the first stream begins, and by the test
+	streaming, proceed chan struct{} // closed when the first stream begins, and by the test
 }
 
 func newEngine(t *testing.T) *engine {
-	e := &engine{began: make(chan struct{}), goOn: make(chan struct{})}
-	first := sync.OnceFunc(func() { close(e.began) })
+	t.Helper()
+	e := &engine{streaming: make(chan struct{}), proceed: make(chan struct{})}
+	first := sync.OnceFunc(func() { close(e.streaming) })
 	e.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		if !strings.HasPrefix(r.URL.Path, "/stream/") {
@@ -41,7 +42,7 @@
 		io.WriteString(w, "id: 1\ndata: a\n\n")
 		http.NewResponseController(w).Flush()
 		first()
-		<-e.goOn
+		<-e.proceed
 		io.WriteString(w, "id: 2\ndata: b\n\n")
 	}))
 	t.Cleanup(e.Close)
@@ -50,6 +51,7 @@
 
 // serving is a fleet with a configuration and one server, which every machine serves from.
 func serving(t *testing.T, disks, others int) (*fleet, *engine) {
+	t.Helper()
 	f := newFleet(t, disks, others)
 	e := newEngine(t)
 	require.Equal(t, http.StatusOK, f.order("/-/config/replace", 0, streamConfiguration))
@@ -57,7 +59,7 @@
 	for _, m := range f.machines {
 		process.Until(t, m.ip+" serves", func() bool {
 			sequence++
-			f.beat(m, "i1", e.Listener.Addr().String(), "ready", sequence)
+			f.sendHeartbeat(m, e.Listener.Addr().String(), "ready", sequence)
 			code, text := f.request(m, "/x/1")
 			return code == http.StatusOK && text == "answer"
 		})
@@ -73,8 +75,8 @@
 	m.start()
 }
 
-// All processes are killed at once and start again, one machine of the core without its disk: each serves with the configuration
-// and the servers that the disks have, though no server calls.
+// All processes are killed at once and start again, one core member without its disk: each serves with the configuration and the servers that
+// the disks have, although no server sends heartbeats.
 func TestAllAreKilledAndOneDiskIsLost(t *testing.T) {
 	f, _ := serving(t, 3, 2)
 	process.Until(t, "the servers are on the disks", func() bool {
@@ -106,8 +108,8 @@
 	require.Contains(t, text, `"Generation":3`)
 }
 
-// A machine gets SIGTERM while a stream is on its way: the stream ends whole, a connection that rests is closed before, and a
-// request that may take longer than the machine has is sent elsewhere.
+// A router gets SIGTERM while a stream is in progress: the stream is completed, an idle connection is closed before, and a request that may take
+// longer than the router has is rejected.
 func TestAnEndWhileAStreamIsOnItsWay(t *testing.T) {
 	f, e := serving(t, 3, 0)
 	m := f.machines[2]
@@ -126,11 +128,11 @@
 		require.NoError(t, err)
 		return answer, string(body)
 	}
-	_, resting := dial("/x/1", 1000)
-	_, text := read(resting)
+	_, idle := dial("/x/1", 1000)
+	_, text := read(idle)
 	require.Equal(t, "answer", text)
 	_, streaming := dial("/stream/1", 60000)
-	<-e.began
+	<-e.streaming
 
 	require.NoError(t, m.process.Signal(syscall.SIGTERM))
 	process.Until(t, "what may outlast the end is refused", func() bool {
@@ -147,9 +149,9 @@
 	answer, text := read(in)
 	require.Equal(t, "answer", text, "it ends in time")
 	require.True(t, answer.Close)
-	_, err := resting.ReadByte()
+	_, err := idle.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
-	close(e.goOn)
+	close(e.proceed)
 	_, text = read(streaming)
 	require.Equal(t, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", text)
 	require.NoError(t, <-m.process.Ended)
--- a/internal/router/settings/deploy.go
+++ b/internal/router/settings/deploy.go
@@ -14,7 +14,7 @@
 	Roles    map[string]Role `toml:"roles" validate:"required,min=1,dive"`
 }
 
-// Role is one program that runs on a class of machines, on a share of them in each zone or on a number.
+// Role is one program that runs on a class of machines (On): on a share of them in each zone, or on a number.
 type Role struct {
 	Run    string   `toml:"run" validate:"required"`
 	On     string   `toml:"on" validate:"required"`
@@ -24,10 +24,10 @@
 	Serves []string `toml:"serves" validate:"dive,oneof=edge control_plane"`
 }
 
-// maxRoles is how many roles one machine runs.
-const maxRoles = 2
+// maxRolesPerMachine bounds the roles that one machine runs.
+const maxRolesPerMachine = 2
 
-// LoadDeploy reads and checks a deploy file.
+// LoadDeploy reads and checks a deploy file. Its error names the file, and the field or position where it is not usable.
 func LoadDeploy(path string) (*Deploy, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return d, errors.Wrapf(err, "deploy file %s", path)
 }
 
-// ParseDeploy checks the text of a deploy file.
+// ParseDeploy reads and checks the text of a deploy file.
 func ParseDeploy(text []byte) (*Deploy, error) {
 	d := &Deploy{}
 	if err := decode(text, d); err != nil {
@@ -51,31 +51,31 @@
 	return d, d.checkClasses()
 }
 
-// checkClasses: no two roles on a class of machines serve the same callers, and no machine runs too many.
+// checkClasses checks that no two roles on a class of machines serve the same callers, and that no machine runs too many.
 func (d *Deploy) checkClasses() error {
-	type place struct{ class, callers string }
-	serving := map[place]string{}
-	everywhere := map[string]int{}
+	type service struct{ class, callers string }
+	servedBy := map[service]string{}
+	onAllMachines := map[string]int{} // roles that run on all machines of a class
 	for _, name := range d.RoleNames() {
 		role := d.Roles[name]
 		for _, callers := range role.Serves {
-			at := place{role.On, callers}
-			if other := serving[at]; other != "" {
+			served := service{role.On, callers}
+			if other := servedBy[served]; other != "" {
 				return errors.Newf("roles %s and %s both serve %s on %s", other, name, callers, role.On)
 			}
-			serving[at] = name
+			servedBy[served] = name
 		}
 		if role.Share == 1 {
-			everywhere[role.On]++
+			onAllMachines[role.On]++
 		}
-		if everywhere[role.On] > maxRoles {
-			return errors.Newf("role %s: a machine of class %s runs %d roles at the most", name, role.On, maxRoles)
+		if onAllMachines[role.On] > maxRolesPerMachine {
+			return errors.Newf("role %s: a machine of class %s runs %d roles at the most", name, role.On, maxRolesPerMachine)
 		}
 	}
 	return nil
 }
 
-// RoleNames lists the roles, sorted.
+// RoleNames returns the names of the roles, sorted.
 func (d *Deploy) RoleNames() []string {
 	var names []string
 	for name := range d.Roles {
@@ -85,7 +85,7 @@
 	return names
 }
 
-// IsDeploy reports whether a file is a deploy file rather than a process's settings.
+// IsDeploy reports whether a file is a deploy file rather than a router's settings.
 func IsDeploy(path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads the settings file of one router process: who it is, where it listens, its limits, and
-// the bounds of the rules that it has to keep.
+// Package settings reads the settings file of one router (who it is, where it listens, its limits, and the bounds of the rules that it has to
+// keep) and the deploy file of the fleet.
 //
-// Fields that are not known are ignored, since new ones may appear. A file that cannot be used gives one error
-// that names the file and the field; nothing is started from it.
+// Go fields have the names of the files' fields, which errors name too. Fields that are not known are ignored, since new ones may appear. A
+// file that cannot be used gives one error that names the file and the field; nothing is started from it.
 package settings
 
 import (
@@ -20,14 +20,14 @@
 // Variable is the environment variable that holds the path of the settings file.
 const Variable = "PETRELHOOK_SETTINGS"
 
-// Listen holds the addresses for what the role serves; an empty one is not served.
+// Listen is the addresses of what a router serves; an empty one is not served.
 type Listen struct {
 	Front   string `validate:"omitempty,hostname_port"`
 	Ready   string `validate:"omitempty,hostname_port"`
 	Control string `validate:"omitempty,hostname_port"`
 }
 
-// Limits is what the machine offers.
+// Limits is what the machine offers the router; 0 is not known.
 type Limits struct {
 	CpuShare float64 `validate:"gte=0"`
 	Cores    int     `validate:"gte=0"`
@@ -37,14 +37,14 @@
 	DiskMb   int     `validate:"gte=0"`
 }
 
-// FaultTolerance is what may be lost at one time while all rules are kept.
+// FaultTolerance is how much may be lost at the same time while all rules are kept.
 type FaultTolerance struct {
 	Machines int `validate:"gte=0"`
 	Zones    int `validate:"gte=0"`
 	Regions  int `validate:"gte=0"`
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the figures of the rules in force, in the units that the names end in. Not all are used.
 type Bounds struct {
 	SeedLagS         float64 `validate:"gte=0"`
 	ReuseAfterS      float64 `validate:"gte=0"`
@@ -68,7 +68,7 @@
 	AgainS           float64 `toml:"again_s" validate:"gte=0"`
 }
 
-// Settings is one process's settings file.
+// Settings is one router's settings file.
 type Settings struct {
 	NodeName          string `validate:"required"`
 	Role              string
@@ -91,7 +91,7 @@
 	Bounds            Bounds
 }
 
-// Load reads and checks a settings file.
+// Load reads and checks a settings file. Its error names the file, and the field or position where it is not usable.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return s, errors.Wrapf(err, "settings file %s", path)
 }
 
-// Parse checks the text of a settings file.
+// Parse reads and checks the text of a settings file.
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{HeartbeatMs: 1000}
 	if err := decode(text, s); err != nil {
@@ -113,45 +113,45 @@
 	return s, nil
 }
 
-// decode reads TOML and checks the fields' bounds; the error says where the text or which field is wrong.
+// decode reads TOML and checks the bounds in the tags of the fields. The error gives the position or the field.
 func decode(text []byte, into any) error {
 	if err := toml.NewDecoder(bytes.NewReader(text)).Decode(into); err != nil {
-		var at *toml.DecodeError
-		if errors.As(err, &at) {
-			line, column := at.Position()
-			return errors.Newf("line %d, column %d: %s", line, column, at.Error())
+		var syntax *toml.DecodeError
+		if errors.As(err, &syntax) {
+			line, column := syntax.Position()
+			return errors.Newf("line %d, column %d: %s", line, column, syntax.Error())
 		}
 		return err
 	}
 	err := validator.New().Struct(into)
 	var fields validator.ValidationErrors
 	if errors.As(err, &fields) && len(fields) > 0 {
-		f := fields[0]
-		return errors.Newf("field %s: %v does not satisfy %s %s", f.Namespace(), f.Value(), f.Tag(), f.Param())
+		first := fields[0]
+		return errors.Newf("field %s: %v does not satisfy %s %s", first.Namespace(), first.Value(), first.Tag(), first.Param())
 	}
 	return err
 }
 
-// InternalAddress is where this process listens for other sidecars.
+// InternalAddress returns the address at which this router listens for others.
 func (s *Settings) InternalAddress() string { return s.InternalOf(s.Ip) }
 
-// InternalOf is the internal address of the sidecar at an IP address: ports are alike on all machines.
+// InternalOf returns the internal address of the router at an IP address: ports are alike on all machines.
 func (s *Settings) InternalOf(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPortRange[0]))
 }
 
-// SeedAddresses are the internal addresses of the seeds.
+// SeedAddresses returns the internal addresses of the seeds.
 func (s *Settings) SeedAddresses() []string {
-	var out []string
+	var addresses []string
 	for _, seed := range s.Seeds {
 		if ip, _, err := net.SplitHostPort(seed); err == nil {
-			out = append(out, s.InternalOf(ip))
+			addresses = append(addresses, s.InternalOf(ip))
 		}
 	}
-	return out
+	return addresses
 }
 
-// ControlOf is the control address of the sidecar with an internal address.
+// ControlOf returns the control address of the router with an internal address, or "" where there is none.
 func (s *Settings) ControlOf(internal string) string {
 	ip, _, err := net.SplitHostPort(internal)
 	if err != nil {
@@ -164,11 +164,11 @@
 	return net.JoinHostPort(ip, port)
 }
 
-// Core reports whether this process is eligible for the replicated core.
+// Core reports whether this router can be a core member.
 func (s *Settings) Core() bool { return s.CountsForQuorum && s.DataDir != "" }
 
-// Milliseconds turns a figure of the settings into a duration.
+// Milliseconds converts a figure of the settings to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds turns a figure of the settings into a duration.
+// Seconds converts a figure of the settings to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `NodeName = "edge-1"
+const validSettings = `NodeName = "edge-1"
 Ip = "10.1.0.14"
 Zone = "z1"
 InternalPortRange = [7680, 7695]
@@ -23,7 +23,7 @@
 `
 
 func TestGoodSettings(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, "10.1.0.14:7680", s.InternalAddress())
 	require.Equal(t, []string{"10.1.0.14:7680", "10.2.0.32:7680"}, s.SeedAddresses())
@@ -35,14 +35,14 @@
 
 func TestBadSettings(t *testing.T) {
 	for name, c := range map[string]struct{ text, says string }{
-		"no address":   {`Ip = "x"`, "Settings.Ip"},
-		"a bad seed":   {`Seeds = ["nowhere"]`, "Settings.Seeds[0]"},
-		"a bad port":   {`InternalPortRange = [0, 7]`, "Settings.InternalPortRange[0]"},
-		"ports turned": {`InternalPortRange = [9, 7]`, "9 is above 7"},
-		"a bad type":   {`HeartbeatMs = "often"`, "line 1"},
-		"no TOML":      {`NodeName =`, "line 1"},
+		"no address":     {`Ip = "x"`, "Settings.Ip"},
+		"a bad seed":     {`Seeds = ["nowhere"]`, "Settings.Seeds[0]"},
+		"a bad port":     {`InternalPortRange = [0, 7]`, "Settings.InternalPortRange[0]"},
+		"ports reversed": {`InternalPortRange = [9, 7]`, "9 is above 7"},
+		"a bad type":     {`HeartbeatMs = "often"`, "line 1"},
+		"no TOML":        {`NodeName =`, "line 1"},
 	} {
-		_, err := Parse([]byte(merge(c.text)))
+		_, err := Parse([]byte(withRequiredFields(c.text)))
 		require.ErrorContains(t, err, c.says, name)
 	}
 	missing := filepath.Join(t.TempDir(), "none.toml")
@@ -50,8 +50,8 @@
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// merge puts a line before settings that are good without it.
-func merge(line string) string {
+// withRequiredFields puts a line before settings that are valid without it.
+func withRequiredFields(line string) string {
 	text := line + "\n"
 	for field, value := range map[string]string{"NodeName": `"a"`, "Ip": `"10.0.0.1"`, "Zone": `"z"`, "InternalPortRange": "[1, 2]"} {
 		if len(line) < len(field) || line[:len(field)] != field {
