--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -38,7 +38,7 @@
 
 // A router without contact with a primary spends of the pool of its zone, which the primary does not host; others' deposits count there
 // once each was asked for.
-func TestASidecarSpendsOfThePool(t *testing.T) {
+func TestARouterSpendsOfThePool(t *testing.T) {
 	n := poolNode(t)
 	require.Equal(t, n.self.Address, n.quotas.contributor.ChooseHost(n.control.view.Members, n.control.view.PrimaryAddress(), n.now()))
 	first := n.acquireFromPool(context.Background(), "t1", 1000)
