--- a/internal/router/node/core.go
+++ b/internal/router/node/core.go
@@ -123,7 +123,7 @@
 func (n *Node) adoptView(v replication.View) {
 	first := n.control.view.Epoch.Round == 0
 	n.control.view = v
-	n.quotas.primaryAvoidedUntil = 0
+	n.quotas.primary.viewChanged()
 	n.control.replica.LearnView(v)
 	if first {
 		n.timers.sessions.expire() // the core is known now: this router subscribes at once
--- a/internal/router/node/distributor.go
+++ b/internal/router/node/distributor.go
@@ -31,6 +31,12 @@
 	return distributor{subscribers: map[string]*subscriber{}, sessions: membership.New(sessionTimeout), pushTimer: timer}
 }
 
+// pushDelay returns how long a push to all subscribers has to wait; it is not positive where one may be sent now.
+func (d *distributor) pushDelay(now time.Duration) time.Duration {
+	interval := max(minPushInterval, time.Duration(len(d.subscribers))*pushIntervalPerSubscriber)
+	return interval - (now - d.lastPush)
+}
+
 // receiveHeartbeat renews the session of a router that subscribes, and pushes what it lacks. A router that does not subscribe, or not to a
 // core member, is told who the core is.
 func (n *Node) receiveHeartbeat(from string, m *dissemination.SubscriptionHeartbeat, now time.Duration) {
@@ -96,8 +102,7 @@
 func (n *Node) pushAll() {
 	d := &n.distributor
 	now := n.now()
-	interval := max(minPushInterval, time.Duration(len(d.subscribers))*pushIntervalPerSubscriber)
-	if wait := interval - (now - d.lastPush); wait > 0 {
+	if wait := d.pushDelay(now); wait > 0 {
 		if !d.pushPending {
 			d.pushPending = true
 			d.pushTimer.Reset(wait)
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -71,7 +71,7 @@
 	require.Equal(t, 1, n.quotas.pool.Offers())
 	n.tickPool(n.now() + quotapool.CollectInterval)
 	require.Equal(t, 1, n.quotas.pool.Offers())
-	n.quotas.primaryContact = n.now()
+	n.quotas.primary.lastAnswer = n.now()
 	require.False(t, n.lacksPrimary(n.now()))
 	n.tickPool(n.now() + 2*quotapool.CollectInterval)
 	require.Zero(t, n.quotas.pool.Offers())
@@ -83,7 +83,7 @@
 	n := poolNode(t)
 	n.receivePoolOffer("10.0.1.2:7000", n.now())
 	require.Equal(t, 1, n.quotas.pool.Offers())
-	n.quotas.primaryContact = n.now() + time.Hour
+	n.quotas.primary.lastAnswer = n.now() + time.Hour
 	n.tickPool(n.now() + quotapool.OfferValidity + time.Second)
 	require.Zero(t, n.quotas.pool.Offers())
 	n.self.Member = nil
@@ -112,15 +112,15 @@
 // While the primary does not answer, one request at a time waits for it, and not all that come.
 func TestOneRequestWaitsForAPrimaryThatDoesNotAnswer(t *testing.T) {
 	n := poolNode(t)
-	n.quotas.primaryContact = n.now()
+	n.quotas.primary.lastAnswer = n.now()
 	require.Equal(t, gateway.FromNobody, n.acquireFromPrimary(context.Background(), "t1", 1, 0).From)
-	require.Greater(t, n.quotas.primaryAvoidedUntil, n.now())
-	n.quotas.primaryAvoidedUntil = n.now() // it may be asked again
+	require.Greater(t, n.quotas.primary.avoidedUntil, n.now())
+	n.quotas.primary.avoidedUntil = n.now() // it may be asked again
 	before := n.now()
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	n.acquireFromPrimary(canceled, "t1", 1, 0)
-	require.GreaterOrEqual(t, n.quotas.primaryAvoidedUntil, before+acquireTimeout, "others do not wait for it until this request knows")
+	require.GreaterOrEqual(t, n.quotas.primary.avoidedUntil, before+acquireTimeout, "others do not wait for it until this request knows")
 }
 
 // A core member that does not ask for a deposit after offers is left for another; the next loss of contact begins with the zone's own again.
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -12,27 +12,17 @@
 	"petrelhook/internal/router/settings"
 )
 
-const (
-	// quotaInterval is the time between two requests for shares.
-	quotaInterval = 500 * time.Millisecond
-	// acquireTimeout bounds how long a client's request waits for the primary before its router's pool or lease decides.
-	acquireTimeout = 60 * time.Millisecond
-	// primaryRetryDelay is how long a primary that did not answer is not asked for units.
-	primaryRetryDelay = 250 * time.Millisecond
-	// primaryTimeout is how long a router may go without an answer to its requests for shares before it has no contact with the primary. It
-	// is more than one quotaInterval.
-	primaryTimeout = 800 * time.Millisecond
-)
+// quotaInterval is the time between two requests for shares.
+const quotaInterval = 500 * time.Millisecond
 
 // quotas is a router's part in dividing tenants' limits: at the primary among all routers, and between routers without it.
 type quotas struct {
 	allocator    *quota.Allocator // of the primary, in its term; nil elsewhere
 	tokenBuckets *quota.TokenBuckets
 
-	acquisitions        pendingReplies[dissemination.QuotaAcquired] // that client requests wait for
-	primaryAvoidedUntil time.Duration                               // the primary did not answer; 0 once it did
-	primaryContact      time.Duration                               // when the primary last answered
-	lostPrimary         bool                                        // as logged last
+	acquisitions pendingReplies[dissemination.QuotaAcquired] // that client requests wait for
+	primary      primaryContact
+	lostPrimary  bool // as logged last
 
 	pool             *quotapool.Host
 	contributor      *quotapool.Contributor
@@ -86,7 +76,7 @@
 	if n.dividesQuota() {
 		return false
 	}
-	return n.control.view.PrimaryAddress() == "" || now < n.quotas.primaryAvoidedUntil || now-n.quotas.primaryContact > primaryTimeout
+	return n.control.view.PrimaryAddress() == "" || n.quotas.primary.lost(now)
 }
 
 // tickQuota requests shares of the primary. It does so also where no tenant wants anything, to keep contact.
@@ -125,7 +115,7 @@
 
 // receiveQuotaGrant adopts the shares that the primary grants.
 func (n *Node) receiveQuotaGrant(m dissemination.QuotaGrant, now time.Duration) {
-	n.quotas.primaryContact = now
+	n.quotas.primary.sharesGranted(now)
 	n.gateway.QuotaGranted(m.Nonce, m.Shares)
 }
 
@@ -140,7 +130,7 @@
 
 // receiveQuotaAcquired passes the primary's answer to the client request that waits for it.
 func (n *Node) receiveQuotaAcquired(m dissemination.QuotaAcquired, now time.Duration) {
-	n.quotas.primaryAvoidedUntil, n.quotas.primaryContact = 0, now
+	n.quotas.primary.requestAnswered(now)
 	n.quotas.acquisitions.deliver(m.Request, m)
 }
 
@@ -163,20 +153,18 @@
 		return gateway.Acquisition{From: gateway.FromPrimary, Given: given, Wait: wait}
 	}
 	primary := n.control.view.PrimaryAddress()
-	if primary == "" || primary == n.self.Address || n.now() < q.primaryAvoidedUntil {
+	if primary == "" || primary == n.self.Address || q.primary.avoided(n.now()) {
 		n.mutex.Unlock()
 		return gateway.Acquisition{}
 	}
-	if q.primaryAvoidedUntil > 0 {
-		q.primaryAvoidedUntil = n.now() + acquireTimeout // others do not wait for it until this request knows
-	}
+	q.primary.requestSent(n.now())
 	request := n.nextRequest()
 	reply := q.acquisitions.add(request)
 	n.mutex.Unlock()
 	n.transport.Send(primary, dissemination.QuotaAcquire{Request: request, Tenant: tenant, Need: need, Extra: extra})
 	acquired, ok := awaitReply(ctx, n, q.acquisitions, request, reply, acquireTimeout, func() {
 		if primary == n.control.view.PrimaryAddress() {
-			q.primaryAvoidedUntil = n.now() + primaryRetryDelay
+			q.primary.requestTimedOut(n.now())
 		}
 	})
 	if !ok {
