--- a/cmd/petrelhook-router/fleet_test.go
+++ b/cmd/petrelhook-router/fleet_test.go
@@ -189,8 +189,8 @@
 const firstConfiguration = `{"Generation":3,"Routes":[{"Name":"r1","Host":"a.example","PathPrefix":"/x/","RouteType":"safe","TimeoutMs":2000,"Service":"s","MaxAttempts":2}],
 "Services":[{"Name":"s","MaxConnections":50}],"Tenants":[{"Name":"t1","ApiKeys":["k1"],"RatePerS":1000,"Burst":1000}]}`
 
-// A fleet of processes forms a core, accepts a configuration and serves; the primary is killed and comes back; a drain is known everywhere
-// once it is acknowledged.
+// A fleet of processes forms a core, accepts a configuration and serves; the primary is killed and comes back; a drain
+// is known everywhere once it is acknowledged.
 func TestFleet(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	require.Equal(t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration))
--- a/cmd/petrelhook-router/main.go
+++ b/cmd/petrelhook-router/main.go
@@ -1,4 +1,5 @@
-// Command petrelhook-router is a router of the fleet, and the operators' commands for one: check a file, ask a running router, look at a disk.
+// Command petrelhook-router is a router of the fleet, and the operators' commands for one: check a file, ask a running
+// router, look at a disk.
 //
 // Results go to standard output, logs and errors to standard error.
 package main
--- a/cmd/petrelhook-router/recovery_test.go
+++ b/cmd/petrelhook-router/recovery_test.go
@@ -75,8 +75,8 @@
 	m.start()
 }
 
-// All processes are killed at once and start again, one core member without its disk: each serves with the configuration and the servers that
-// the disks have, although no server sends heartbeats.
+// All processes are killed at once and start again, one core member without its disk: each serves with the
+// configuration and the servers that the disks have, although no server sends heartbeats.
 func TestAllAreKilledAndOneDiskIsLost(t *testing.T) {
 	f, _ := serving(t, 3, 2)
 	process.Until(t, "the servers are on the disks", func() bool {
@@ -108,8 +108,8 @@
 	require.Contains(t, text, `"Generation":3`)
 }
 
-// A router gets SIGTERM while a stream is in progress: the stream is completed, an idle connection is closed before, and a request that may take
-// longer than the router has is rejected.
+// A router gets SIGTERM while a stream is in progress: the stream is completed, an idle connection is closed before,
+// and a request that may take longer than the router has is rejected.
 func TestAnEndWhileAStreamIsOnItsWay(t *testing.T) {
 	f, e := serving(t, 3, 0)
 	m := f.machines[2]
--- a/internal/router/dissemination/versions.go
+++ b/internal/router/dissemination/versions.go
@@ -10,7 +10,8 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// maxRetainedOrders is how many orders a router keeps for subscribers that are a little behind. One that lacks more gets a snapshot.
+// maxRetainedOrders is how many orders a router keeps for subscribers that are a little behind. One that lacks more
+// gets a snapshot.
 const maxRetainedOrders = 64
 
 // ErrVersionGap says that the orders of a Push do not follow the version that is held: a snapshot is needed.
@@ -19,8 +20,8 @@
 // ApplyOrder returns the configuration that an order makes of another.
 type ApplyOrder func(base *routetable.Config, order []byte) (*routetable.Config, error)
 
-// Versions is the committed configuration as one router holds it, with the last orders that led to it. Its version never goes back. The
-// caller holds a lock around every call.
+// Versions is the committed configuration as one router holds it, with the last orders that led to it. Its version
+// never goes back. The caller holds a lock around every call.
 type Versions struct {
 	apply   ApplyOrder
 	version uint64
@@ -40,8 +41,8 @@
 // Config returns the configuration held, or nil.
 func (v *Versions) Config() *routetable.Config { return v.config }
 
-// Commit replaces the configuration by a committed one where that is newer, and reports whether it is. Orders are the last ones that led
-// to it, as many as are known.
+// Commit replaces the configuration by a committed one where that is newer, and reports whether it is. Orders are the
+// last ones that led to it, as many as are known.
 func (v *Versions) Commit(version uint64, config *routetable.Config, orders [][]byte) bool {
 	if version <= v.version || config == nil {
 		return false
@@ -62,7 +63,8 @@
 	}
 }
 
-// FillPush puts into a push what a subscriber lacks that has a version: the orders since, or a snapshot where these are not known.
+// FillPush puts into a push what a subscriber lacks that has a version: the orders since, or a snapshot where these are
+// not known.
 func (v *Versions) FillPush(p *Push, has uint64) {
 	p.Version = v.version
 	if has >= v.version {
@@ -83,8 +85,8 @@
 	return v.compressedSnapshot
 }
 
-// ApplyPush applies the configuration of a push. It reports whether the configuration held is newer than before, also beside an error;
-// the error is ErrVersionGap where a snapshot is needed.
+// ApplyPush applies the configuration of a push. It reports whether the configuration held is newer than before, also
+// beside an error; the error is ErrVersionGap where a snapshot is needed.
 func (v *Versions) ApplyPush(p *Push) (bool, error) {
 	switch {
 	case p.Version <= v.version:
--- a/internal/router/dissemination/versions_test.go
+++ b/internal/router/dissemination/versions_test.go
@@ -28,8 +28,8 @@
 	return routetable.ParseConfig(fmt.Appendf(nil, `{"Generation":%d,"Routes":[],"Services":[]}`, generation))
 }
 
-// Whichever pushes are lost, duplicated or late, a subscriber's version never goes back, is always the configuration of that version, and
-// is the newest once one push arrives that was made for what it has.
+// Whichever pushes are lost, duplicated or late, a subscriber's version never goes back, is always the configuration of
+// that version, and is the newest once one push arrives that was made for what it has.
 func TestVersionsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		home, subscriber := NewVersions(applyGeneration), NewVersions(applyGeneration)
--- a/internal/router/homeselection/homeselection.go
+++ b/internal/router/homeselection/homeselection.go
@@ -1,7 +1,7 @@
 // Package homeselection decides which core member a router subscribes to, and when it changes to another one.
 //
-// It is pure: the caller passes the view's members and the time, reports what it receives from the member selected, and subscribes to it.
-// One lock is held around every call.
+// It is pure: the caller passes the view's members and the time, reports what it receives from the member selected, and
+// subscribes to it. One lock is held around every call.
 package homeselection
 
 import (
@@ -13,18 +13,18 @@
 )
 
 const (
-	// Timeout is how long a home may send nothing, or be without contact with a majority of the core, before another one is selected. It
-	// is three heartbeats of a subscription.
+	// Timeout is how long a home may send nothing, or be without contact with a majority of the core, before another
+	// one is selected. It is three heartbeats of a subscription.
 	Timeout = 1200 * time.Millisecond
 	// StartupTimeout is the same of a router that has just started and serves nobody until a home answers.
 	StartupTimeout = 300 * time.Millisecond
-	// reviewInterval is how long a home that did not work is avoided, and after how long a home in another zone is given up for one in the
-	// own zone.
+	// reviewInterval is how long a home that did not work is avoided, and after how long a home in another zone is
+	// given up for one in the own zone.
 	reviewInterval = 5 * time.Second
 )
 
-// Selector selects the home of one router: the core member that it subscribes to, which distributes configuration and servers to the routers
-// of its zone. Operators' pages and the status call it home too.
+// Selector selects the home of one router: the core member that it subscribes to, which distributes configuration and
+// servers to the routers of its zone. Operators' pages and the status call it home too.
 type Selector struct {
 	self     string // internal address of this router
 	locality proximity.Locality
@@ -53,11 +53,12 @@
 // InTouch reports whether this router has contact with a majority of the core by way of its home, as far as it knows.
 func (s *Selector) InTouch(now time.Duration) bool { return s.inTouch && !s.Silent(now) }
 
-// LastInTouch reports whether the home's last message said that it has contact with a majority of the core, however long ago.
+// LastInTouch reports whether the home's last message said that it has contact with a majority of the core, however
+// long ago.
 func (s *Selector) LastInTouch() bool { return s.inTouch }
 
-// Review selects another home where the current one is no member of the core any more, sends nothing, has lost contact with a majority, or is
-// in another zone; starting is true for a router that has just started and serves nobody yet.
+// Review selects another home where the current one is no member of the core any more, sends nothing, has lost contact
+// with a majority, or is in another zone; starting is true for a router that has just started and serves nobody yet.
 func (s *Selector) Review(members []replication.Member, starting bool, now time.Duration) {
 	timeout := Timeout
 	if starting {
--- a/internal/router/membership/membership.go
+++ b/internal/router/membership/membership.go
@@ -1,8 +1,9 @@
 // Package membership knows which routers are in the fleet.
 //
-// Each router has a session with a core member, kept alive by heartbeats. Core members send one another the sessions that they hold, so
-// that each of them knows the complete fleet. The package does not decide who is a member of the core; that is a view of package
-// replication. It is pure: the caller passes the time and holds a lock around every call.
+// Each router has a session with a core member, kept alive by heartbeats. Core members send one another the sessions
+// that they hold, so that each of them knows the complete fleet. The package does not decide who is a member of the
+// core; that is a view of package replication. It is pure: the caller passes the time and holds a lock around every
+// call.
 package membership
 
 import (
@@ -33,8 +34,8 @@
 	lastContact time.Duration
 }
 
-// peerTimeouts is how many session time-outs the sessions of a core member that is silent are kept for. Its routers need that time to
-// find another core member; until then they must not be missing from the fleet.
+// peerTimeouts is how many session time-outs the sessions of a core member that is silent are kept for. Its routers
+// need that time to find another core member; until then they must not be missing from the fleet.
 const peerTimeouts = 4
 
 // Sessions is the sessions that one core member holds, and those that other core members reported. Make it by New.
@@ -83,7 +84,8 @@
 	return routers, s.stamp
 }
 
-// PeerStamp returns the stamp of what is known of another core member's sessions; 0 where nothing is known of this incarnation.
+// PeerStamp returns the stamp of what is known of another core member's sessions; 0 where nothing is known of this
+// incarnation.
 func (s *Sessions) PeerStamp(address string, incarnation uint64) uint64 {
 	if table := s.peers[address]; table != nil && table.incarnation == incarnation {
 		return table.stamp
@@ -104,8 +106,8 @@
 	}
 }
 
-// Fleet returns all routers with a session at any core member, by address. A session that is held here counts before one that a peer
-// reported.
+// Fleet returns all routers with a session at any core member, by address. A session that is held here counts before
+// one that a peer reported.
 func (s *Sessions) Fleet() map[string]Router {
 	fleet := map[string]Router{}
 	for _, table := range s.peers {
--- a/internal/router/membership/membership_test.go
+++ b/internal/router/membership/membership_test.go
@@ -32,8 +32,8 @@
 	require.Greater(t, ended, restarted)
 }
 
-// The fleet is all sessions of all core members; those of a core member that has ended count for a while longer, so that its routers
-// are not missing before they have found another core member.
+// The fleet is all sessions of all core members; those of a core member that has ended count for a while longer, so
+// that its routers are not missing before they have found another core member.
 func TestTheFleetIsKnownThroughPeers(t *testing.T) {
 	s := New(3 * time.Second)
 	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
--- a/internal/router/node/applied.go
+++ b/internal/router/node/applied.go
@@ -6,8 +6,8 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// coreSearchTimeout is how long after its start a router looks for a core member in contact with a majority, before it serves with what it
-// received from others.
+// coreSearchTimeout is how long after its start a router looks for a core member in contact with a majority, before it
+// serves with what it received from others.
 const coreSearchTimeout = 3 * time.Second
 
 // applied is what of the configuration and of the servers the gateway has.
@@ -19,8 +19,8 @@
 
 func newApplied() applied { return applied{usableServers: map[string]int{}} }
 
-// apply passes to the gateway what is newer than what it has, and makes the router ready once it has all that it needs. It is called at the
-// end of every event.
+// apply passes to the gateway what is newer than what it has, and makes the router ready once it has all that it needs.
+// It is called at the end of every event.
 func (n *Node) apply() {
 	if version := n.subscription.versions.Version(); version != n.applied.configVersion {
 		n.applyConfig(version)
@@ -44,8 +44,8 @@
 	n.logger.Info().Uint64("version", version).Int64("generation", config.Generation).Msg("configuration applied")
 }
 
-// canServe reports whether the router has a configuration and the complete list of servers, from a core member in contact with a majority
-// where one could be found.
+// canServe reports whether the router has a configuration and the complete list of servers, from a core member in
+// contact with a majority where one could be found.
 func (n *Node) canServe() bool {
 	return n.applied.configVersion > 0 && n.subscription.serversComplete && (n.subscription.configCurrent || n.now() > coreSearchTimeout)
 }
--- a/internal/router/node/core.go
+++ b/internal/router/node/core.go
@@ -11,8 +11,8 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// controlPlane is a router's part in the replicated configuration. A router that cannot be a core member has a replica too: a witness,
-// which stores nothing and follows the view.
+// controlPlane is a router's part in the replicated configuration. A router that cannot be a core member has a replica
+// too: a witness, which stores nothing and follows the view.
 type controlPlane struct {
 	replica  *replication.Replica // nil until open
 	register *operatorapi.Register
@@ -106,13 +106,14 @@
 	}
 }
 
-// applyView adopts a view where it is newer. It is called at every event too, because what follows from contact with the core and from being
-// primary changes within a view.
+// applyView adopts a view where it is newer. It is called at every event too, because what follows from contact with
+// the core and from being primary changes within a view.
 func (n *Node) applyView(v replication.View) {
 	if n.control.view.Epoch.Less(v.Epoch) {
 		n.adoptView(v)
 	}
-	// A core member whose disk had the servers has the complete list, once it is in contact: all that changed since is pushed to it.
+	// A core member whose disk had the servers has the complete list, once it is in contact: all that changed since is
+	// pushed to it.
 	if !n.subscription.serversComplete && n.serversCache.loaded && n.isCoreMember() && n.control.replica.InTouch() {
 		n.subscription.serversComplete = true
 		n.pushAll()
@@ -134,8 +135,9 @@
 	n.pushAll()
 }
 
-// decide passes a request to the replica by propose, which is called with the lock held and the number by which the replica answers, and
-// waits for its decision. Without one in time the status is 503: the request may have been accepted or not. It acquires the lock.
+// decide passes a request to the replica by propose, which is called with the lock held and the number by which the
+// replica answers, and waits for its decision. Without one in time the status is 503: the request may have been
+// accepted or not. It acquires the lock.
 func (n *Node) decide(timeout time.Duration, propose func(request uint64)) replication.Decision {
 	n.mutex.Lock()
 	request := n.nextRequest()
@@ -144,7 +146,7 @@
 	n.performEffects()
 	n.apply()
 	n.mutex.Unlock()
-	if d, ok := awaitReply(context.Background(), n, n.control.decisions, request, decision, timeout, nil); ok {
+	if d, ok := decision.await(context.Background(), &n.mutex, timeout, nil); ok {
 		return d
 	}
 	return replication.Decision{Status: http.StatusServiceUnavailable, Reason: "no answer of the core in time"}
--- a/internal/router/node/cutoff_test.go
+++ b/internal/router/node/cutoff_test.go
@@ -30,7 +30,8 @@
 	return p
 }
 
-// A router that starts beside a home that is partitioned from the core selects another one, and is ready with what that one has.
+// A router that starts beside a home that is partitioned from the core selects another one, and is ready with what that
+// one has.
 func TestAStartBesideAHomeThatIsCutOff(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
--- a/internal/router/node/disk_writer.go
+++ b/internal/router/node/disk_writer.go
@@ -59,8 +59,8 @@
 	return next, true
 }
 
-// close ends the writer once its queue is empty. It does not wait for that, nor for a disk that hangs: the process ends next, and a
-// save that was not acknowledged may be lost.
+// close ends the writer once its queue is empty. It does not wait for that, nor for a disk that hangs: the process ends
+// next, and a save that was not acknowledged may be lost.
 func (w *diskWriter) close() {
 	w.mutex.Lock()
 	w.closed = true
--- a/internal/router/node/distributor.go
+++ b/internal/router/node/distributor.go
@@ -37,8 +37,8 @@
 	return interval - (now - d.lastPush)
 }
 
-// receiveHeartbeat renews the session of a router that subscribes, and pushes what it lacks. A router that does not subscribe, or not to a
-// core member, is told who the core is.
+// receiveHeartbeat renews the session of a router that subscribes, and pushes what it lacks. A router that does not
+// subscribe, or not to a core member, is told who the core is.
 func (n *Node) receiveHeartbeat(from string, m *dissemination.SubscriptionHeartbeat, now time.Duration) {
 	if m.Router.Member != nil {
 		n.addEligible(*m.Router.Member)
@@ -81,7 +81,8 @@
 	}
 }
 
-// push sends a subscriber what it lacks. It is sent also where that is nothing: it is the heartbeat of the session in the other direction.
+// push sends a subscriber what it lacks. It is sent also where that is nothing: it is the heartbeat of the session in
+// the other direction.
 func (n *Node) push(s *subscriber, now time.Duration) {
 	p := dissemination.Push{Incarnation: n.self.Incarnation, InTouch: n.control.replica.InTouch(), Complete: n.subscription.serversComplete,
 		FleetSize: n.fleetSize, Stamp: n.registry.Stamp(), Digest: n.registry.Digest()}
--- a/internal/router/node/drains.go
+++ b/internal/router/node/drains.go
@@ -8,8 +8,8 @@
 	"petrelhook/internal/router/replication"
 )
 
-// pendingDrain is the drain or end of a server that is acknowledged once a majority of the core has it. On a router that is no core member
-// only done is set: it waits for its home.
+// pendingDrain is the drain or end of a server that is acknowledged once a majority of the core has it. On a router
+// that is no core member only done is set: it waits for its home.
 type pendingDrain struct {
 	forwardedBy string // internal address of the router that the server called; "" is this one
 	request     uint64 // of that router
@@ -29,7 +29,8 @@
 	return count > len(members)/2
 }
 
-// addPendingDrain records a drain by the number of the request for it, until it is acknowledged or nobody can be waiting for it any more.
+// addPendingDrain records a drain by the number of the request for it, until it is acknowledged or nobody can be
+// waiting for it any more.
 func (n *Node) addPendingDrain(request uint64, d *pendingDrain) *pendingDrain {
 	d.done = make(chan struct{})
 	n.drains[request] = d
@@ -44,12 +45,13 @@
 	delete(n.drains, request)
 }
 
-// startDrain applies a drain or end at this core member and sends it to the others. Where another router forwarded the server's call, request
-// is its number there.
+// startDrain applies a drain or end at this core member and sends it to the others. Where another router forwarded the
+// server's call, request is its number there.
 func (n *Node) startDrain(forwardedBy string, request uint64, instance registry.Instance, now time.Duration) *pendingDrain {
 	n.applyHeartbeat(instance, now)
 	own := n.nextRequest()
-	d := n.addPendingDrain(own, &pendingDrain{forwardedBy: forwardedBy, request: request, instance: instance, acks: map[string]bool{n.self.Address: true}})
+	acks := map[string]bool{n.self.Address: true}
+	d := n.addPendingDrain(own, &pendingDrain{forwardedBy: forwardedBy, request: request, instance: instance, acks: acks})
 	n.sendDrain(own, d)
 	n.checkDrain(own, d)
 	return d
@@ -84,8 +86,8 @@
 	n.transport.Send(from, dissemination.DrainAck{Request: m.Request, View: n.control.view.Epoch})
 }
 
-// receiveDrainAck counts a member's acknowledgement. One from a later view is ignored: this router's majority may be none in that view. It
-// will learn the view, and send the drain to its members.
+// receiveDrainAck counts a member's acknowledgement. One from a later view is ignored: this router's majority may be
+// none in that view. It will learn the view, and send the drain to its members.
 func (n *Node) receiveDrainAck(from string, m dissemination.DrainAck) {
 	if n.control.view.Epoch.Less(m.View) {
 		return
--- a/internal/router/node/end.go
+++ b/internal/router/node/end.go
@@ -20,8 +20,8 @@
 // Bounds on callers before the configuration is known, and on what it may allow.
 const (
 	headerTimeout = 10 * time.Second
-	// idleTimeout is the longest time between two requests on a connection. Clients may use one that has rested for four fifths of the
-	// configuration's time.
+	// idleTimeout is the longest time between two requests on a connection. Clients may use one that has rested for
+	// four fifths of the configuration's time.
 	idleTimeout    = 90 * time.Second
 	maxHeaderBytes = 256 << 10
 )
@@ -31,15 +31,16 @@
 }
 
 const (
-	// notReadyPeriod is how long clients' connections are accepted after the router said that it is not ready: the platform asks once a
-	// second, and needs two answers.
+	// notReadyPeriod is how long clients' connections are accepted after the router said that it is not ready: the
+	// platform asks once a second, and needs two answers.
 	notReadyPeriod = 3200 * time.Millisecond
-	// longRequestFraction is the fraction of the grace period in which requests are still accepted that may last beyond its end.
+	// longRequestFraction is the fraction of the grace period in which requests are still accepted that may last beyond
+	// its end.
 	longRequestFraction = 0.125
 	// exitMargin is how long before the end of the grace period the process ends at the latest.
 	exitMargin = 500 * time.Millisecond
-	// minOpenFraction is the fraction of the grace period for which clients are served at least, where it is short; connections are accepted
-	// for no more than that either.
+	// minOpenFraction is the fraction of the grace period for which clients are served at least, where it is short;
+	// connections are accepted for no more than that either.
 	minOpenFraction = 0.5
 )
 
@@ -60,8 +61,9 @@
 	}
 }
 
-// end shuts down gracefully: the platform learns that the router is not ready and sends no new connections, another replica becomes primary,
-// and requests that were read are answered. It returns when all is closed. Run calls it, with the ticker of its loop.
+// end shuts down gracefully: the platform learns that the router is not ready and sends no new connections, another
+// replica becomes primary, and requests that were read are answered. It returns when all is closed. Run calls it, with
+// the ticker of its loop.
 func (n *Node) end(s *servers, ticker *time.Ticker) {
 	n.ending.Store(true)
 	schedule := newShutdownSchedule(time.Now(), settings.Seconds(n.settings.Bounds.GraceS))
@@ -92,8 +94,8 @@
 	}
 }
 
-// shutdown closes the clients' listener and idle connections. The channel that it returns is closed when the other connections have ended, or
-// at forceClose.
+// shutdown closes the clients' listener and idle connections. The channel that it returns is closed when the other
+// connections have ended, or at forceClose.
 func (s *servers) shutdown(forceClose time.Time) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
--- a/internal/router/node/end_test.go
+++ b/internal/router/node/end_test.go
@@ -24,7 +24,8 @@
 	require.Equal(t, began, newShutdownSchedule(began, 0).forceClose)
 }
 
-// While an answer is still in progress, idle connections are closed: a request that came on them might not be answered completely any more.
+// While an answer is still in progress, idle connections are closed: a request that came on them might not be answered
+// completely any more.
 func TestIdleConnectionsAreClosedBeforeTheLastAnswerEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/router/node/list_comparison.go
+++ b/internal/router/node/list_comparison.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// differenceTolerance is how long the list of servers may differ from the home's before the complete one is requested: a change may be
-	// in flight.
+	// differenceTolerance is how long the list of servers may differ from the home's before the complete one is
+	// requested: a change may be in flight.
 	differenceTolerance = time.Second
 	// fullStateInterval is the time between two requests for the complete list.
 	fullStateInterval = 10 * time.Second
 )
 
-// listComparison finds out that a router's list of servers differs from its home's although it applied all changes, as after a partition
-// that outlasted the time for which the home remembers ended instances.
+// listComparison finds out that a router's list of servers differs from its home's although it applied all changes, as
+// after a partition that outlasted the time for which the home remembers ended instances.
 type listComparison struct {
 	differs       bool
 	since         time.Duration // when the lists were last seen to be equal, or the first difference after that
--- a/internal/router/node/list_comparison_test.go
+++ b/internal/router/node/list_comparison_test.go
@@ -21,7 +21,8 @@
 		Digest: home.Digest(), Instances: home.UpdatesSince(stamp, now)}
 }
 
-// A router that missed the end of a server for so long that its home has forgotten it requests the complete list, and adopts it.
+// A router that missed the end of a server for so long that its home has forgotten it requests the complete list, and
+// adopts it.
 func TestAServerWhoseEndWasMissedIsScrubbed(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"))
@@ -52,8 +53,8 @@
 	require.Equal(t, home.Digest(), n.registry.Digest())
 }
 
-// What is in flight to a router is no difference, and a home that lost contact with the core, or that does not have the complete list
-// itself, removes nothing.
+// What is in flight to a router is no difference, and a home that lost contact with the core, or that does not have the
+// complete list itself, removes nothing.
 func TestWhenListsAreNotCompared(t *testing.T) {
 	for name, alter := range map[string]func(*dissemination.Push){
 		"a push was lost":   func(p *dissemination.Push) { p.FromStamp, p.Stamp = p.Stamp+1, p.Stamp+2 },
@@ -81,7 +82,8 @@
 	require.NotZero(t, n.registry.Digest(), "a home without contact with the core removes nothing")
 }
 
-// A subscriber that requests the complete list is sent it whatever it was sent before; the next pushes have changes alone again.
+// A subscriber that requests the complete list is sent it whatever it was sent before; the next pushes have changes
+// alone again.
 func TestTheCompleteListIsSentOnRequest(t *testing.T) {
 	n := newNode(t, "")
 	n.self.Member = &v1
--- a/internal/router/node/loads.go
+++ b/internal/router/node/loads.go
@@ -10,8 +10,8 @@
 const (
 	// loadsInterval is the time between two load reports: each tick, also one that comes a little early.
 	loadsInterval = tickInterval - tickInterval/8
-	// loadsIntervalPerSubscriber is the same for each subscriber, where that is longer, so that a core member spends a few percent of a
-	// processor on it.
+	// loadsIntervalPerSubscriber is the same for each subscriber, where that is longer, so that a core member spends a
+	// few percent of a processor on it.
 	loadsIntervalPerSubscriber = 2 * time.Millisecond
 )
 
@@ -21,8 +21,8 @@
 	reported bool             // the last report to the home was of some work
 }
 
-// tickLoads reports this router's loads to the home, once more when there are none any more. A core member sends the sum of its subscribers'
-// loads to other core members, and to each subscriber the sum of all others'.
+// tickLoads reports this router's loads to the home, once more when there are none any more. A core member sends the
+// sum of its subscribers' loads to other core members, and to each subscriber the sum of all others'.
 func (n *Node) tickLoads(now time.Duration) {
 	interval := max(loadsInterval, time.Duration(len(n.distributor.subscribers))*loadsIntervalPerSubscriber)
 	if !n.timers.loads.elapsed(interval, now) {
--- a/internal/router/node/loads_test.go
+++ b/internal/router/node/loads_test.go
@@ -15,7 +15,8 @@
 	return dissemination.LoadReport{Loads: placement.LoadSums{placement.HashServer("i1"): {Requests: 1, Unread: unread}}.Message()}
 }
 
-// A core member adds up the loads of its subscribers and those that other core members report; it sends these only the first.
+// A core member adds up the loads of its subscribers and those that other core members report; it sends these only the
+// first.
 func TestLoadsAreAddedUp(t *testing.T) {
 	n := poolNode(t)
 	peer := member("10.0.3.9:7000", "z3")
--- a/internal/router/node/missed_target_log.go
+++ b/internal/router/node/missed_target_log.go
@@ -13,8 +13,8 @@
 	missedTargetPeriod   = time.Second
 )
 
-// missedTargetLog bounds the log lines about requests that missed their latency target. It has a lock of its own, since gateways call it for each
-// such request.
+// missedTargetLog bounds the log lines about requests that missed their latency target. It has a lock of its own, since
+// gateways call it for each such request.
 type missedTargetLog struct {
 	mutex       sync.Mutex
 	periodStart time.Duration
@@ -38,7 +38,8 @@
 	return suppressed, true
 }
 
-// logMissedTarget logs a request that missed its latency target, with what it waited for. The gateway calls it without the node's lock.
+// logMissedTarget logs a request that missed its latency target, with what it waited for. The gateway calls it without
+// the node's lock.
 func (n *Node) logMissedTarget(route string, t *latency.Trace, reason latency.Reason) {
 	if reason == latency.RefusedLimit {
 		return // one tenant alone would use up all lines; the status counts them
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -1,13 +1,15 @@
-// Package node puts one router together from its settings: the clients' side, the control side, and, where the machine counts for the
-// core, a replica of the configuration. It is the shell: sockets, loops, the disk's goroutine, and who sends what to whom. The decisions are
-// in the pure packages that it calls, which have no clock or network of their own.
+// Package node puts one router together from its settings: the clients' side, the control side, and, where the machine
+// counts for the core, a replica of the configuration. It is the shell: sockets, loops, the disk's goroutine, and who
+// sends what to whom. The decisions are in the pure packages that it calls, which have no clock or network of their
+// own.
 //
-// A *router* is one process of the fleet, a *core member* a router that the current view names, a *server* a model server. The *home* of a
-// router is the core member that it subscribes to.
+// A *router* is one process of the fleet, a *core member* a router that the current view names, a *server* a model
+// server. The *home* of a router is the core member that it subscribes to.
 //
-// One lock guards the state of all pure packages and of this one. It is acquired by whatever brings an event: a message, a tick, an HTTP
-// call, a save that ended. Unless a comment says otherwise, an unexported method is called with the lock held. Nothing waits while it
-// holds the lock; the transport and the gateway never call back from within a call.
+// One lock guards the state of all pure packages and of this one. It is acquired by whatever brings an event: a
+// message, a tick, an HTTP call, a save that ended. Unless a comment says otherwise, an unexported method is called
+// with the lock held. Nothing waits while it holds the lock; the transport and the gateway never call back from within
+// a call.
 package node
 
 import (
@@ -34,8 +36,8 @@
 const (
 	// tickInterval is the time between two looks at all that depends on time alone.
 	tickInterval = 50 * time.Millisecond
-	// startupPeriod is how long after its start a router counts as just started: it contacts others more often, and a primary that is that
-	// young assumes that routers hold quota of a primary before it.
+	// startupPeriod is how long after its start a router counts as just started: it contacts others more often, and a
+	// primary that is that young assumes that routers hold quota of a primary before it.
 	startupPeriod = 5 * time.Second
 	// pruneInterval is the time between two removals of idle connections to servers.
 	pruneInterval = 2 * time.Second
@@ -91,9 +93,18 @@
 	n.timers.storeServers.restart(0) // what is on the disk is good enough, at first
 	n.timers.expireServers.restart(0)
 	b := s.Bounds
-	n.gateway = gateway.New(gateway.Options{Zone: s.Zone, Now: n.now, Life: incarnation,
-		Acquirer: n, Missed: n.logMissedTarget, Again: settings.Seconds(b.AgainS), BodyMemory: int64(s.Limits.MemoryMb) << 20 / memoryPerBodyMemory, BudgetRatio: b.RetryBudgetRatio, BudgetSlack: b.RetryBudgetSlack,
-		BudgetWindow: max(time.Second, settings.Seconds(b.BudgetWindowS))})
+	n.gateway = gateway.New(gateway.Options{
+		Zone:         s.Zone,
+		Now:          n.now,
+		Life:         incarnation,
+		Acquirer:     n,
+		Missed:       n.logMissedTarget,
+		Again:        settings.Seconds(b.AgainS),
+		BodyMemory:   int64(s.Limits.MemoryMb) << 20 / memoryPerBodyMemory,
+		BudgetRatio:  b.RetryBudgetRatio,
+		BudgetSlack:  b.RetryBudgetSlack,
+		BudgetWindow: max(time.Second, settings.Seconds(b.BudgetWindowS)),
+	})
 	n.transport = transport.New(n.self.Address, wireformat.NewCodec(), n.receive)
 	return n
 }
@@ -107,8 +118,9 @@
 	return n.lastRequest
 }
 
-// Run serves until the context ends, and then until open requests have ended or their time has. On a signal of reload it reads the
-// settings again by load; of these the seeds count from then on, all else from the next start. Its error is one of the start.
+// Run serves until the context ends, and then until open requests have ended or their time has. On a signal of reload
+// it reads the settings again by load; of these the seeds count from then on, all else from the next start. Its error
+// is one of the start.
 func (n *Node) Run(ctx context.Context, reload <-chan os.Signal, load func(path string) (*settings.Settings, error)) error {
 	if err := n.open(); err != nil {
 		return err
@@ -140,7 +152,8 @@
 	return nil
 }
 
-// reload replaces the seeds by those of the settings as they are now; settings that cannot be used change nothing. It acquires the lock.
+// reload replaces the seeds by those of the settings as they are now; settings that cannot be used change nothing. It
+// acquires the lock.
 func (n *Node) reload(load func(path string) (*settings.Settings, error)) {
 	next, err := load(os.Getenv(settings.Variable))
 	if err != nil {
--- a/internal/router/node/operator_http.go
+++ b/internal/router/node/operator_http.go
@@ -86,9 +86,9 @@
 	w.Write(config.Encode())
 }
 
-// redirectToPrimary answers a caller that has to go to another router, or that there is no primary to go to; it reports false where this router
-// is the primary and the caller is not answered yet. A router without contact with the core names no primary: the one that it knows may not
-// be the primary any more.
+// redirectToPrimary answers a caller that has to go to another router, or that there is no primary to go to; it reports
+// false where this router is the primary and the caller is not answered yet. A router without contact with the core
+// names no primary: the one that it knows may not be the primary any more.
 func (n *Node) redirectToPrimary(w http.ResponseWriter, r *http.Request) bool {
 	n.mutex.Lock()
 	isPrimary := n.control.replica.Primary()
--- a/internal/router/node/outliers.go
+++ b/internal/router/node/outliers.go
@@ -16,10 +16,11 @@
 	judgementInterval = 100 * time.Millisecond
 	// ejectionsRenewal is after how long ejections that have not changed are sent again, since a message may be lost.
 	ejectionsRenewal = 500 * time.Millisecond
-	// ejectionsTTL is after how long ejections end where they are not renewed, as at a router that is partitioned from its home.
+	// ejectionsTTL is after how long ejections end where they are not renewed, as at a router that is partitioned from
+	// its home.
 	ejectionsTTL = 2500 * time.Millisecond
-	// maxReadmission bounds for how long an operator can have a server readmitted. One that is to serve for longer whatever is observed of it
-	// is a matter for the service.
+	// maxReadmission bounds for how long an operator can have a server readmitted. One that is to serve for longer
+	// whatever is observed of it is a matter for the service.
 	maxReadmission = 24 * time.Hour
 )
 
@@ -68,8 +69,8 @@
 	}
 }
 
-// judgeServers decides which servers are ejected. It sends the decision to the subscribers, and what speaks against servers to the other core
-// members.
+// judgeServers decides which servers are ejected. It sends the decision to the subscribers, and what speaks against
+// servers to the other core members.
 func (n *Node) judgeServers(now time.Duration) {
 	o := &n.outliers
 	sums := o.detector.Sums(now)
@@ -131,7 +132,8 @@
 	}
 }
 
-// serveReadmit has a server readmitted for some time because an operator says so, here and at the other core members. It acquires the lock.
+// serveReadmit has a server readmitted for some time because an operator says so, here and at the other core members.
+// It acquires the lock.
 func (n *Node) serveReadmit(w http.ResponseWriter, r *http.Request) {
 	span, err := time.ParseDuration(r.URL.Query().Get("for"))
 	if err != nil || span <= 0 || span > maxReadmission {
--- a/internal/router/node/outliers_test.go
+++ b/internal/router/node/outliers_test.go
@@ -13,8 +13,8 @@
 	"petrelhook/internal/router/registry"
 )
 
-// A core member ejects the server that the reports of its subscribers and of other members speak against, whoever of them saw more, and
-// sends the ejection until the server ends.
+// A core member ejects the server that the reports of its subscribers and of other members speak against, whoever of
+// them saw more, and sends the ejection until the server ends.
 func TestACoreMemberJudges(t *testing.T) {
 	n := newNode(t, "")
 	n.self.Member = &v1
--- a/internal/router/node/pool.go
+++ b/internal/router/node/pool.go
@@ -35,8 +35,8 @@
 	line.Msg("primary contact restored")
 }
 
-// offerDeposit offers this router's deposit to the pool of its zone, unless that has asked for it lately. It does nothing while there is no
-// other router to share a pool with.
+// offerDeposit offers this router's deposit to the pool of its zone, unless that has asked for it lately. It does
+// nothing while there is no other router to share a pool with.
 func (n *Node) offerDeposit(now time.Duration) {
 	view := &n.control.view
 	if view.Epoch.Round == 0 || n.fleetSize <= 1 {
@@ -91,8 +91,8 @@
 	n.quotas.pool.ReceiveDeposit(from, m.Nonce, m.Deposit, now)
 }
 
-// receivePoolAcquire spends of the pool for a router's client request. Where the pool does not have enough and this router has contact with
-// the primary, it asks the primary.
+// receivePoolAcquire spends of the pool for a router's client request. Where the pool does not have enough and this
+// router has contact with the primary, it asks the primary.
 func (n *Node) receivePoolAcquire(from string, m dissemination.PoolAcquire, now time.Duration) {
 	granted, wait := n.quotas.pool.Acquire(m.Tenant, m.Units, now)
 	answer := dissemination.PoolAcquired{Request: m.Request, Granted: granted, Wait: wait}
@@ -103,8 +103,8 @@
 	go n.answerFromPrimary(from, m, answer) // it ends within poolTimeout
 }
 
-// answerFromPrimary answers a request for units by what the primary gives, or by answer where the primary does not respond. It acquires the
-// lock.
+// answerFromPrimary answers a request for units by what the primary gives, or by answer where the primary does not
+// respond. It acquires the lock.
 func (n *Node) answerFromPrimary(to string, m dissemination.PoolAcquire, answer dissemination.PoolAcquired) {
 	ctx, cancel := context.WithTimeout(context.Background(), poolTimeout)
 	defer cancel()
@@ -134,7 +134,7 @@
 	reply := q.poolAcquisitions.add(request)
 	n.mutex.Unlock()
 	n.transport.Send(host, dissemination.PoolAcquire{Request: request, Tenant: tenant, Units: units})
-	acquired, ok := awaitReply(ctx, n, q.poolAcquisitions, request, reply, poolTimeout, func() { q.contributor.HostTimedOut(host, n.now()) })
+	acquired, ok := reply.await(ctx, &n.mutex, poolTimeout, func() { q.contributor.HostTimedOut(host, n.now()) })
 	if !ok {
 		return gateway.Acquisition{}
 	}
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -18,7 +18,8 @@
 "Services":[{"Name":"s","MaxConnections":50}],"Limits":{"MaxBodyBytes":1000,"MaxHeaderBytes":4000},
 "Tenants":[{"Name":"t1","ApiKeys":["k1"],"Unit":"request_based","RatePerS":100,"Burst":100}]}`
 
-// poolNode is a core member that has had no contact with a primary for a minute, of a fleet of four, with half of the limit of t1 as a lease.
+// poolNode is a core member that has had no contact with a primary for a minute, of a fleet of four, with half of the
+// limit of t1 as a lease.
 func poolNode(t *testing.T) *Node {
 	t.Helper()
 	n := newNode(t, "")
@@ -36,8 +37,8 @@
 	return n
 }
 
-// A router without contact with a primary spends of the pool of its zone, which the primary does not host; others' deposits count there
-// once each was asked for.
+// A router without contact with a primary spends of the pool of its zone, which the primary does not host; others'
+// deposits count there once each was asked for.
 func TestARouterSpendsOfThePool(t *testing.T) {
 	n := poolNode(t)
 	require.Equal(t, n.self.Address, n.quotas.contributor.ChooseHost(n.control.view.Members, n.control.view.PrimaryAddress(), n.now()))
@@ -64,7 +65,8 @@
 	require.Less(t, n.acquireFromPool(context.Background(), "t1", 1).Wait, alone/2+time.Second)
 }
 
-// Once there is contact with a primary again the next deposit is an empty one, and the router is not asked for deposits any more.
+// Once there is contact with a primary again the next deposit is an empty one, and the router is not asked for deposits
+// any more.
 func TestARouterLeavesThePool(t *testing.T) {
 	n := poolNode(t)
 	n.acquireFromPool(context.Background(), "t1", 1)
@@ -123,7 +125,8 @@
 	require.GreaterOrEqual(t, n.quotas.primary.avoidedUntil, before+acquireTimeout, "others do not wait for it until this request knows")
 }
 
-// A core member that does not ask for a deposit after offers is left for another; the next loss of contact begins with the zone's own again.
+// A core member that does not ask for a deposit after offers is left for another; the next loss of contact begins with
+// the zone's own again.
 func TestAHostThatAsksForNothingIsLeft(t *testing.T) {
 	n := poolNode(t)
 	near, far := member("10.0.1.9:7000", "z1"), member("10.0.3.9:7000", "z3")
--- a/internal/router/node/prefixes.go
+++ b/internal/router/node/prefixes.go
@@ -10,7 +10,8 @@
 // prefixInterval is the time between two reports of where shared prefixes of prompts were prefilled.
 const prefixInterval = 100 * time.Millisecond
 
-// tickPrefixes reports to the home where this router sent shared prefixes; a core member passes on what it received to its subscribers.
+// tickPrefixes reports to the home where this router sent shared prefixes; a core member passes on what it received to
+// its subscribers.
 func (n *Node) tickPrefixes(now time.Duration) {
 	if !n.timers.prefixes.elapsed(prefixInterval, now) {
 		return
@@ -44,8 +45,8 @@
 	}
 }
 
-// queuePrefixes merges a router's report into what is to be sent to the other subscribers. What came from another core member goes only to
-// those that are none: it sends it to core members itself.
+// queuePrefixes merges a router's report into what is to be sent to the other subscribers. What came from another core
+// member goes only to those that are none: it sends it to core members itself.
 func (n *Node) queuePrefixes(from string, fromCore bool, uses []placement.Uses) {
 	for _, u := range uses {
 		for address, s := range n.distributor.subscribers {
--- a/internal/router/node/primary_contact.go
+++ b/internal/router/node/primary_contact.go
@@ -7,13 +7,13 @@
 	acquireTimeout = 60 * time.Millisecond
 	// primaryRetryDelay is how long a primary that did not answer is not asked for units.
 	primaryRetryDelay = 250 * time.Millisecond
-	// primaryTimeout is how long a router may go without an answer to its requests for shares before it has lost contact with the primary. It
-	// is more than one quotaInterval.
+	// primaryTimeout is how long a router may go without an answer to its requests for shares before it has lost
+	// contact with the primary. It is more than one quotaInterval.
 	primaryTimeout = 800 * time.Millisecond
 )
 
-// primaryContact decides whether a router has contact with the primary that divides limits, and which client requests may wait for it. It is
-// pure; times are on the node's clock.
+// primaryContact decides whether a router has contact with the primary that divides limits, and which client requests
+// may wait for it. It is pure; times are on the node's clock.
 type primaryContact struct {
 	lastAnswer   time.Duration // of the primary
 	avoidedUntil time.Duration // the primary did not answer in time; 0 once it did
@@ -27,8 +27,8 @@
 // avoided reports whether client requests do not wait for the primary now.
 func (c *primaryContact) avoided(now time.Duration) bool { return now < c.avoidedUntil }
 
-// requestSent records that a client request waits for the primary. Where the one before had no answer, no other waits until this one has its
-// own, or its time-out.
+// requestSent records that a client request waits for the primary. Where the one before had no answer, no other waits
+// until this one has its own, or its time-out.
 func (c *primaryContact) requestSent(now time.Duration) {
 	if c.avoidedUntil > 0 {
 		c.avoidedUntil = now + acquireTimeout
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -34,7 +34,8 @@
 		contributor: quotapool.NewContributor(locality), poolAcquisitions: pendingReplies[dissemination.PoolAcquired]{}}
 }
 
-// updateQuotaTerm begins this router's term as the one that divides limits when it becomes primary, and ends it when another one does.
+// updateQuotaTerm begins this router's term as the one that divides limits when it becomes primary, and ends it when
+// another one does.
 func (n *Node) updateQuotaTerm() {
 	q := &n.quotas
 	if !n.control.replica.Primary() {
@@ -49,7 +50,8 @@
 	now := n.now()
 	b := n.settings.Bounds
 	q.allocator = quota.NewAllocator(now)
-	q.tokenBuckets = quota.NewTokenBuckets(quota.Bounds{Window: settings.Seconds(b.QuotaWindowS), Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack}, now < startupPeriod, now)
+	bounds := quota.Bounds{Window: settings.Seconds(b.QuotaWindowS), Overshoot: b.QuotaOvershoot, Slack: b.QuotaSlack}
+	q.tokenBuckets = quota.NewTokenBuckets(bounds, now < startupPeriod, now)
 	n.setLimits()
 }
 
@@ -142,8 +144,8 @@
 	return n.acquireFromPool(ctx, tenant, need)
 }
 
-// acquireFromPrimary acquires units from the primary for a client request. While the primary does not answer, only one of the requests that
-// come waits for it, once each primaryRetryDelay. It acquires the lock.
+// acquireFromPrimary acquires units from the primary for a client request. While the primary does not answer, only one
+// of the requests that come waits for it, once each primaryRetryDelay. It acquires the lock.
 func (n *Node) acquireFromPrimary(ctx context.Context, tenant string, need, extra float64) gateway.Acquisition {
 	q := &n.quotas
 	n.mutex.Lock()
@@ -162,7 +164,7 @@
 	reply := q.acquisitions.add(request)
 	n.mutex.Unlock()
 	n.transport.Send(primary, dissemination.QuotaAcquire{Request: request, Tenant: tenant, Need: need, Extra: extra})
-	acquired, ok := awaitReply(ctx, n, q.acquisitions, request, reply, acquireTimeout, func() {
+	acquired, ok := reply.await(ctx, &n.mutex, acquireTimeout, func() {
 		if primary == n.control.view.PrimaryAddress() {
 			q.primary.requestTimedOut(n.now())
 		}
--- a/internal/router/node/receive.go
+++ b/internal/router/node/receive.go
@@ -5,7 +5,8 @@
 	"petrelhook/internal/router/replication"
 )
 
-// receive is the transport's handler: it passes a message of another router to the method for its type. It acquires the lock.
+// receive is the transport's handler: it passes a message of another router to the method for its type. It acquires the
+// lock.
 func (n *Node) receive(from string, body any) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/router/node/registration.go
+++ b/internal/router/node/registration.go
@@ -11,7 +11,8 @@
 	"petrelhook/internal/router/settings"
 )
 
-// drainTimeout bounds the wait for a majority of the core to have a server's drain or end. A server calls the next router after a second.
+// drainTimeout bounds the wait for a majority of the core to have a server's drain or end. A server calls the next
+// router after a second.
 const drainTimeout = 850 * time.Millisecond
 
 // heartbeatBody is the JSON that a server sends.
@@ -49,8 +50,8 @@
 	return instance, nil
 }
 
-// serveHeartbeat answers a server's call. That it is ready is acknowledged at once; that it is draining or ends, only when a majority of the
-// core has it: whichever routers end then, every other will learn it.
+// serveHeartbeat answers a server's call. That it is ready is acknowledged at once; that it is draining or ends, only
+// when a majority of the core has it: whichever routers end then, every other will learn it.
 func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request, deregister bool) {
 	instance, err := readInstance(w, r, deregister)
 	if err != nil {
@@ -79,8 +80,9 @@
 	io.WriteString(w, "{}")
 }
 
-// acceptHeartbeat applies a server's call, or forwards it to the home; ok is false without contact with the core, and the call is not applied
-// then. done is closed once a majority of the core has it, and nil where nothing is to be waited for. It acquires the lock.
+// acceptHeartbeat applies a server's call, or forwards it to the home; ok is false without contact with the core, and
+// the call is not applied then. done is closed once a majority of the core has it, and nil where nothing is to be
+// waited for. It acquires the lock.
 func (n *Node) acceptHeartbeat(instance registry.Instance) (done <-chan struct{}, ok bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -100,8 +102,8 @@
 	}
 }
 
-// forwardHeartbeat sends a server's call to the home. Where the server is draining or has ended, the channel returned is closed when the home
-// acknowledges it; this router stops using the server at once.
+// forwardHeartbeat sends a server's call to the home. Where the server is draining or has ended, the channel returned
+// is closed when the home acknowledges it; this router stops using the server at once.
 func (n *Node) forwardHeartbeat(instance registry.Instance, now time.Duration) (done <-chan struct{}) {
 	m := dissemination.ForwardedHeartbeat{Instance: instance}
 	if instance.State != registry.Ready {
--- a/internal/router/node/registration_test.go
+++ b/internal/router/node/registration_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// A drain is acknowledged by a majority of the newest members: the answer of one that knows a later view does not count in the one before,
-// and the drain is sent to the members of a new view.
+// A drain is acknowledged by a majority of the newest members: the answer of one that knows a later view does not count
+// in the one before, and the drain is sent to the members of a new view.
 func TestADrainAcrossAChangeOfMembers(t *testing.T) {
 	n := memberOutOfTouch(t)
 	members := n.control.view.Members
--- a/internal/router/node/servers_cache.go
+++ b/internal/router/node/servers_cache.go
@@ -17,8 +17,8 @@
 	storeServersInterval = time.Second
 )
 
-// serversCache is the copy of the registry on the disk of a router that can be a core member. After all routers ended at once, servers are
-// used by it until their heartbeats come, or do not.
+// serversCache is the copy of the registry on the disk of a router that can be a core member. After all routers ended
+// at once, servers are used by it until their heartbeats come, or do not.
 type serversCache struct {
 	loaded      bool   // servers were read from the disk
 	storedStamp uint64 // of the registry on the disk
@@ -26,7 +26,8 @@
 	writers     sync.WaitGroup
 }
 
-// loadServers adds the servers on the disk to the registry. Where another server has one's address by now, a request to it costs a 421.
+// loadServers adds the servers on the disk to the registry. Where another server has one's address by now, a request to
+// it costs a 421.
 func (n *Node) loadServers() {
 	encoded, err := storage.ReadCache(n.settings.DataDir, serversCacheFile)
 	if err != nil {
@@ -49,8 +50,9 @@
 	n.serversCache.storedStamp = n.registry.Stamp()
 }
 
-// storeServers writes the registry to the disk where it has changed, in a goroutine, since a disk may hang. The next write comes after its
-// end only. One that fails is not repeated before the next change: the file saves time after a restart alone.
+// storeServers writes the registry to the disk where it has changed, in a goroutine, since a disk may hang. The next
+// write comes after its end only. One that fails is not repeated before the next change: the file saves time after a
+// restart alone.
 func (n *Node) storeServers(now time.Duration) {
 	c := &n.serversCache
 	if n.registry.Stamp() == c.storedStamp || c.storing.Load() || !n.timers.storeServers.elapsed(storeServersInterval, now) {
--- a/internal/router/node/sessions.go
+++ b/internal/router/node/sessions.go
@@ -9,7 +9,8 @@
 const (
 	// heartbeatInterval is the time between two heartbeats of a subscription.
 	heartbeatInterval = 400 * time.Millisecond
-	// startupInterval is the same of a router that has just started: others may start at the same moment, and not have received the last one.
+	// startupInterval is the same of a router that has just started: others may start at the same moment, and not have
+	// received the last one.
 	startupInterval = 100 * time.Millisecond
 	// seedInterval is the time between two messages in which a core member tells the seeds who the core is.
 	seedInterval = time.Second
@@ -51,8 +52,8 @@
 	}
 }
 
-// tickOwnSession renews the session that this core member has with itself, and tells the seeds who the core is. In its startup period it
-// does so with each heartbeat: the seeds may have started anew too, and routers ask them.
+// tickOwnSession renews the session that this core member has with itself, and tells the seeds who the core is. In its
+// startup period it does so with each heartbeat: the seeds may have started anew too, and routers ask them.
 func (n *Node) tickOwnSession(now time.Duration) {
 	n.distributor.sessions.ReceiveHeartbeat(n.self, now)
 	interval := seedInterval
@@ -64,7 +65,8 @@
 	}
 }
 
-// tickHomeSession renews the session with the home. Where that has no contact with the core, or is silent, the seeds may know another core.
+// tickHomeSession renews the session with the home. Where that has no contact with the core, or is silent, the seeds
+// may know another core.
 func (n *Node) tickHomeSession(now time.Duration) {
 	n.reviewHome(now)
 	home := n.subscription.home
--- a/internal/router/node/subscriber.go
+++ b/internal/router/node/subscriber.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// resendDelay is how long after something was sent to a subscriber it is sent again where the subscriber does not have it.
+	// resendDelay is how long after something was sent to a subscriber it is sent again where the subscriber does not
+	// have it.
 	resendDelay = 300 * time.Millisecond
 	// maxResendDoublings bounds how often that time doubles.
 	maxResendDoublings = 2
@@ -45,7 +46,8 @@
 	return &subscriber{address: address, unsentHeartbeats: map[string]bool{}, unsentPrefixes: map[string]*placement.Uses{}}
 }
 
-// receiveHeartbeat records what a subscriber says of itself. It reports whether the subscriber is another incarnation than before.
+// receiveHeartbeat records what a subscriber says of itself. It reports whether the subscriber is another incarnation
+// than before.
 func (s *subscriber) receiveHeartbeat(m *dissemination.SubscriptionHeartbeat, incarnation uint64, now time.Duration) (restarted bool) {
 	s.coreMember, s.lastContact, s.view = m.CoreMember, now, m.View
 	restarted = s.incarnation != m.Router.Incarnation
@@ -58,8 +60,8 @@
 	return restarted
 }
 
-// acknowledge records what a subscriber has of the core member with an incarnation. While what was sent may be in flight it counts as
-// received.
+// acknowledge records what a subscriber has of the core member with an incarnation. While what was sent may be in
+// flight it counts as received.
 func (s *subscriber) acknowledge(m *dissemination.SubscriptionHeartbeat, incarnation uint64, restarted bool, now time.Duration) {
 	followsThis := m.HomeIncarnation == incarnation
 	hasAll := followsThis && m.RegistryStamp >= s.registryStamp && m.Version >= s.version
@@ -79,8 +81,9 @@
 	}
 }
 
-// resendTimeout is how long after something was sent it is sent again. It is longer for a subscriber that was sent things again already,
-// and for a long list: otherwise subscribers that are slow to apply it would be sent it over and over, which makes them slower.
+// resendTimeout is how long after something was sent it is sent again. It is longer for a subscriber that was sent
+// things again already, and for a long list: otherwise subscribers that are slow to apply it would be sent it over and
+// over, which makes them slower.
 func (s *subscriber) resendTimeout() time.Duration {
 	return max(resendDelay<<min(s.resends, maxResendDoublings), time.Duration(s.lastSentServers)*resendDelayPerServer)
 }
@@ -108,7 +111,8 @@
 	s.lastSent = now
 }
 
-// fillSessions puts into a push to a core member whose heartbeats came here, and the sessions held here where they have changed.
+// fillSessions puts into a push to a core member whose heartbeats came here, and the sessions held here where they have
+// changed.
 func (s *subscriber) fillSessions(p *dissemination.Push, sessions *membership.Sessions) {
 	for id := range s.unsentHeartbeats {
 		p.HeartbeatsReceived = append(p.HeartbeatsReceived, id)
--- a/internal/router/node/subscription.go
+++ b/internal/router/node/subscription.go
@@ -39,7 +39,8 @@
 	return 0
 }
 
-// advance records that the changes of a push were applied. A push that begins after the position leaves it: a push before was lost.
+// advance records that the changes of a push were applied. A push that begins after the position leaves it: a push
+// before was lost.
 func (s *subscription) advance(from string, p *dissemination.Push) {
 	stamp := s.stamp(from, p.Incarnation)
 	if p.FromStamp <= stamp {
@@ -72,7 +73,8 @@
 	n.applyPush(from, p, now)
 }
 
-// applyPush applies the servers, sessions and configuration of a push, and pushes what has changed by them to this router's own subscribers.
+// applyPush applies the servers, sessions and configuration of a push, and pushes what has changed by them to this
+// router's own subscribers.
 func (n *Node) applyPush(from string, p *dissemination.Push, now time.Duration) {
 	s := &n.subscription
 	before := n.registry.Stamp()
--- a/internal/router/node/subscription_test.go
+++ b/internal/router/node/subscription_test.go
@@ -25,8 +25,8 @@
 	require.Less(t, n.now()-n.timers.sessions.last, heartbeatInterval)
 }
 
-// A subscriber whose next heartbeat comes before the first push can have reached it is not sent everything again; another incarnation of it
-// is.
+// A subscriber whose next heartbeat comes before the first push can have reached it is not sent everything again;
+// another incarnation of it is.
 func TestASubscriberIsSentEverythingOnce(t *testing.T) {
 	n := newNode(t, "")
 	n.self.Member = &v1
@@ -48,8 +48,9 @@
 	require.Equal(t, now, s.lastSent, "another incarnation has nothing")
 }
 
-// A subscriber that does not apply what it was sent is sent it again more and more rarely, and a long list more rarely than a short one: in
-// a fleet of 630 routers slow ones were sent all 6,700 servers over and over, which made them slower.
+// A subscriber that does not apply what it was sent is sent it again more and more rarely, and a long list more rarely
+// than a short one: in a fleet of 630 routers slow ones were sent all 6,700 servers over and over, which made them
+// slower.
 func TestSlowSubscribersAreSentAllMoreRarely(t *testing.T) {
 	sends := func(servers int) (count int) {
 		n := newNode(t, "")
@@ -78,8 +79,8 @@
 
 var v1 = member("127.0.0.1:7000", "z1")
 
-// A core member that lost its disk has the complete list of servers as soon as another one's complete list has come, in one push or several;
-// the rest of a list that it did not follow from its beginning is not enough.
+// A core member that lost its disk has the complete list of servers as soon as another one's complete list has come, in
+// one push or several; the rest of a list that it did not follow from its beginning is not enough.
 func TestAMemberWithoutItsDiskTakesTheListOfOthers(t *testing.T) {
 	n := newNode(t, "")
 	self := v1
@@ -117,8 +118,8 @@
 	require.Equal(t, "10.0.1.1:7000", n.subscription.home.Current())
 }
 
-// A core member that has just started tells the seeds at once who the core is: routers without a disk, which may have other seeds than
-// before, ask them.
+// A core member that has just started tells the seeds at once who the core is: routers without a disk, which may have
+// other seeds than before, ask them.
 func TestSeedsAreToldAtOnceAfterAStart(t *testing.T) {
 	n := newNode(t, "")
 	self := v1
@@ -133,7 +134,8 @@
 	require.Equal(t, startupPeriod+startupInterval, n.timers.seeds.last)
 }
 
-// The answer to a heartbeat of a new incarnation goes over a new connection: the end of the one before may not have been noticed.
+// The answer to a heartbeat of a new incarnation goes over a new connection: the end of the one before may not have
+// been noticed.
 func TestANewProcessIsAnsweredOverANewConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/router/node/tick.go
+++ b/internal/router/node/tick.go
@@ -11,8 +11,8 @@
 	maxMissedHeartbeats = 4.5
 	// expireInterval is the time between two searches for servers that are lost.
 	expireInterval = 250 * time.Millisecond
-	// heartbeatsUntilComplete is after how many intervals of heartbeats, in contact with a majority, a core member has the complete list of
-	// servers: every server that lives has called some core member by then.
+	// heartbeatsUntilComplete is after how many intervals of heartbeats, in contact with a majority, a core member has
+	// the complete list of servers: every server that lives has called some core member by then.
 	heartbeatsUntilComplete = 2
 )
 
@@ -44,7 +44,8 @@
 	n.apply()
 }
 
-// tickCore does what only core members do: count the fleet, and judge which servers are lost while in contact with a majority.
+// tickCore does what only core members do: count the fleet, and judge which servers are lost while in contact with a
+// majority.
 func (n *Node) tickCore(now time.Duration) {
 	n.distributor.sessions.Expire(now)
 	n.countFleet()
--- a/internal/router/proximity/proximity.go
+++ b/internal/router/proximity/proximity.go
@@ -1,5 +1,5 @@
-// Package proximity ranks the members of the core by their distance from a router: its own zone first, then its region, then the others. It
-// is pure.
+// Package proximity ranks the members of the core by their distance from a router: its own zone first, then its region,
+// then the others. It is pure.
 package proximity
 
 import (
@@ -55,9 +55,9 @@
 	return cmp.Or(cmp.Compare(c.distance, other.distance), cmp.Compare(c.hash, other.hash))
 }
 
-// Nearest returns the address of the nearest member, or "" where there is none. A member that is to be avoided is taken only where all are.
-// Among members at the same distance rendezvous hashing of a key decides: routers with the same key choose the same member, and different
-// keys spread over the members.
+// Nearest returns the address of the nearest member, or "" where there is none. A member that is to be avoided is taken
+// only where all are. Among members at the same distance rendezvous hashing of a key decides: routers with the same key
+// choose the same member, and different keys spread over the members.
 func (l Locality) Nearest(members []replication.Member, key string, avoided func(address string) bool) string {
 	if len(members) == 0 {
 		return ""
--- a/internal/router/proximity/proximity_test.go
+++ b/internal/router/proximity/proximity_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// Routers with the same key choose the same member whatever the order of the view; different keys spread over the members of a zone.
+// Routers with the same key choose the same member whatever the order of the view; different keys spread over the
+// members of a zone.
 func TestKeysSpreadOverAZone(t *testing.T) {
 	a, b := replication.Member{Address: "10.0.1.1:7000", Zone: "z"}, replication.Member{Address: "10.0.1.2:7000", Zone: "z"}
 	chosen := map[string]int{}
--- a/internal/router/quotapool/contributor.go
+++ b/internal/router/quotapool/contributor.go
@@ -1,9 +1,9 @@
-// Package quotapool keeps the pools of quota that routers share while they have no contact with the primary: which core member hosts a
-// router's deposit, when it is given up, and whose deposits a host asks for.
+// Package quotapool keeps the pools of quota that routers share while they have no contact with the primary: which core
+// member hosts a router's deposit, when it is given up, and whose deposits a host asks for.
 //
-// A router offers its deposit to a core member, the host, which asks for it again and again; the router answers each time with what it may
-// spend, and spends nothing itself meanwhile. When it has contact with a primary again it answers with an empty deposit. How a pool is
-// spent is decided by quota.Pool.
+// A router offers its deposit to a core member, the host, which asks for it again and again; the router answers each
+// time with what it may spend, and spends nothing itself meanwhile. When it has contact with a primary again it answers
+// with an empty deposit. How a pool is spent is decided by quota.Pool.
 //
 // The package is pure: the caller passes the view and the time, sends the messages, and holds one lock around every call.
 package quotapool
@@ -22,8 +22,8 @@
 	CollectTimeout = 300 * time.Millisecond
 	// hostRetryDelay is how long a host that did not answer is avoided.
 	hostRetryDelay = 2 * time.Second
-	// collectionValidity is how long after a host's question for a deposit its pool may be spent of: a host asks each CollectInterval, so
-	// one that has not asked for longer is gone.
+	// collectionValidity is how long after a host's question for a deposit its pool may be spent of: a host asks each
+	// CollectInterval, so one that has not asked for longer is gone.
 	collectionValidity = 500 * time.Millisecond
 )
 
@@ -56,9 +56,9 @@
 	return now-c.lastCollected < collectionValidity
 }
 
-// Offer decides whether a deposit is to be offered now, and to which host. It chooses another host where the one there did not ask for the
-// deposit in time, but not before depositEnd: until then the last host may still spend of the last deposit. The primary, which does not
-// answer, is not chosen unless there is no other member.
+// Offer decides whether a deposit is to be offered now, and to which host. It chooses another host where the one there
+// did not ask for the deposit in time, but not before depositEnd: until then the last host may still spend of the last
+// deposit. The primary, which does not answer, is not chosen unless there is no other member.
 func (c *Contributor) Offer(members []replication.Member, primary string, depositEnd, now time.Duration) (host string, ok bool) {
 	if c.collectedLately(now) || c.offered && now-c.lastOffer < OfferInterval {
 		return "", false
@@ -97,7 +97,8 @@
 // RecordCollection records that the host asked for the deposit.
 func (c *Contributor) RecordCollection(now time.Duration) { c.lastCollected = now }
 
-// HostTimedOut records that a host did not answer a request in time: its pool is not spent of before it asks for a deposit again.
+// HostTimedOut records that a host did not answer a request in time: its pool is not spent of before it asks for a
+// deposit again.
 func (c *Contributor) HostTimedOut(host string, now time.Duration) {
 	c.avoidedBefore[host] = now + hostRetryDelay
 	c.lastCollected = -collectionValidity
--- a/internal/router/quotapool/host.go
+++ b/internal/router/quotapool/host.go
@@ -49,16 +49,16 @@
 	return due
 }
 
-// Collect records that a router is being asked for its deposit. The deposit counts from now on, since the router counts it from when it
-// answers: the pool never spends of it after its router does.
+// Collect records that a router is being asked for its deposit. The deposit counts from now on, since the router counts
+// it from when it answers: the pool never spends of it after its router does.
 func (h *Host) Collect(address string, nonce uint64, now time.Duration) {
 	if o := h.offers[address]; o != nil {
 		o.nonce, o.collectedAt = nonce, now
 	}
 }
 
-// ReceiveDeposit replaces a router's deposit by its answer to the last question; answers to others are ignored. After an empty deposit the
-// router is not asked any more.
+// ReceiveDeposit replaces a router's deposit by its answer to the last question; answers to others are ignored. After
+// an empty deposit the router is not asked any more.
 func (h *Host) ReceiveDeposit(address string, nonce uint64, d quota.Deposit, now time.Duration) {
 	o := h.offers[address]
 	if o == nil || o.nonce != nonce {
@@ -72,7 +72,8 @@
 	o.lastContact = now
 }
 
-// Acquire spends units of a tenant's limit; where it does not grant them, wait is the time until it would, 0 where that is not known.
+// Acquire spends units of a tenant's limit; where it does not grant them, wait is the time until it would, 0 where that
+// is not known.
 func (h *Host) Acquire(tenant string, units float64, now time.Duration) (granted bool, wait time.Duration) {
 	verdict, wait := h.pool.Take(tenant, units, now)
 	return verdict == quota.Granted, wait
--- a/internal/router/registry/changes.go
+++ b/internal/router/registry/changes.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// endedRetention is how long an instance that requests may not go to any more is remembered after its last change, so that all
-// subscribers of this registry learn of its end.
+// endedRetention is how long an instance that requests may not go to any more is remembered after its last change, so
+// that all subscribers of this registry learn of its end.
 const endedRetention = 2 * time.Minute
 
-// spareChanges is how many superseded changes are kept besides two changes for each entry, before they are removed in one go.
+// spareChanges is how many superseded changes are kept besides two changes for each entry, before they are removed in
+// one go.
 const spareChanges = 64
 
 // change is one change of an entry.
@@ -46,12 +47,12 @@
 	return hash.Sum64()
 }
 
-// Digest returns a hash of the usable instances. It is equal for registries that list the same ones, in whatever order they learned of
-// them.
+// Digest returns a hash of the usable instances. It is equal for registries that list the same ones, in whatever order
+// they learned of them.
 func (g *Registry) Digest() uint64 { return g.digest }
 
-// ChangedSince returns the entries that changed after a stamp, in the order of their last changes. It takes time in proportion to the
-// number of changes since, not of entries: it is called for every subscriber at every push.
+// ChangedSince returns the entries that changed after a stamp, in the order of their last changes. It takes time in
+// proportion to the number of changes since, not of entries: it is called for every subscriber at every push.
 func (g *Registry) ChangedSince(stamp uint64) []*Entry {
 	first := sort.Search(len(g.changes), func(i int) bool { return g.changes[i].stamp > stamp })
 	var changed []*Entry
@@ -72,7 +73,8 @@
 	return updates
 }
 
-// Replace applies the complete list of the core member that this router subscribes to: usable instances that are not in it are lost.
+// Replace applies the complete list of the core member that this router subscribes to: usable instances that are not in
+// it are lost.
 func (g *Registry) Replace(list []Update, now time.Duration) {
 	listed := make(map[string]bool, len(list))
 	for _, u := range list {
@@ -87,8 +89,8 @@
 	}
 }
 
-// Forget drops instances that ended long ago. Only those go whose last change has a stamp up to applied, which the data plane of this
-// router has applied.
+// Forget drops instances that ended long ago. Only those go whose last change has a stamp up to applied, which the data
+// plane of this router has applied.
 func (g *Registry) Forget(applied uint64, now time.Duration) {
 	for id, entry := range g.entries {
 		if entry.Usable() || entry.Stamp > applied || now-entry.lastChange <= endedRetention {
--- a/internal/router/registry/registry.go
+++ b/internal/router/registry/registry.go
@@ -1,14 +1,15 @@
-// Package registry is one router's list of model servers: what their heartbeats said, what other routers reported of them, and
-// which of them have been silent for too long.
+// Package registry is one router's list of model servers: what their heartbeats said, what other routers reported of
+// them, and which of them have been silent for too long.
 //
-// It does not decide where a request goes, nor who sends what to whom. It is pure: no clock, network or goroutine of its own; the
-// caller passes the time and holds a lock around every call.
+// It does not decide where a request goes, nor who sends what to whom. It is pure: no clock, network or goroutine of
+// its own; the caller passes the time and holds a lock around every call.
 //
-// A server counts up a sequence number with each of its heartbeats, and entries are merged by that number. So the order in which
-// reports arrive, how often, and by way of which routers does not matter. Deregistration is final for an instance.
+// A server counts up a sequence number with each of its heartbeats, and entries are merged by that number. So the order
+// in which reports arrive, how often, and by way of which routers does not matter. Deregistration is final for an
+// instance.
 //
-// Invariant: an entry's stamp grows whenever anything changes that the data plane has to know of it, so a subscriber that has
-// applied all changes up to a stamp lacks exactly the changes after it.
+// Invariant: an entry's stamp grows whenever anything changes that the data plane has to know of it, so a subscriber
+// that has applied all changes up to a stamp lacks exactly the changes after it.
 package registry
 
 import (
@@ -46,7 +47,8 @@
 	Age      time.Duration // time since the server's last heartbeat that the sender knows of
 }
 
-// Entry is what a registry holds of an instance. Callers may read an entry until they release the lock that guards the registry.
+// Entry is what a registry holds of an instance. Callers may read an entry until they release the lock that guards the
+// registry.
 type Entry struct {
 	Instance
 	Lost        bool          // silent for too long, or another instance has its address
@@ -69,8 +71,8 @@
 	received  []string // instances whose heartbeats were received here since TakeReceived was called
 }
 
-// maxRevivalAge is the largest age of a heartbeat by which an instance that was lost becomes usable again. An older one proves only that
-// the server lived at some time after the last one known.
+// maxRevivalAge is the largest age of a heartbeat by which an instance that was lost becomes usable again. An older one
+// proves only that the server lived at some time after the last one known.
 const maxRevivalAge = time.Second
 
 // New returns an empty registry.
@@ -87,16 +89,16 @@
 // Entry returns the entry of an instance, or nil where the instance is not known.
 func (g *Registry) Entry(id string) *Entry { return g.entries[id] }
 
-// ReceiveHeartbeat applies a heartbeat that a server sent to this router, directly or forwarded by one of its subscribers. It reports
-// whether an entry changed.
+// ReceiveHeartbeat applies a heartbeat that a server sent to this router, directly or forwarded by one of its
+// subscribers. It reports whether an entry changed.
 func (g *Registry) ReceiveHeartbeat(i Instance, now time.Duration) bool {
 	g.received = append(g.received, i.ID)
 	return g.merge(i, now, now)
 }
 
-// Merge applies an update of another core member and reports whether an entry changed. Of an instance that is known, Update.Lost is
-// ignored: each core member judges by itself, from the time of the last heartbeat, who is lost. If members adopted one another's
-// judgement, two that differ would exchange it for ever.
+// Merge applies an update of another core member and reports whether an entry changed. Of an instance that is known,
+// Update.Lost is ignored: each core member judges by itself, from the time of the last heartbeat, who is lost. If
+// members adopted one another's judgement, two that differ would exchange it for ever.
 func (g *Registry) Merge(u Update, now time.Duration) bool {
 	if g.entries[u.Instance.ID] == nil {
 		return g.Adopt(u, now)
@@ -104,8 +106,8 @@
 	return g.merge(u.Instance, now-u.Age, now)
 }
 
-// Adopt applies an update of the core member that this router subscribes to, which judges for its subscribers who is lost. It reports
-// whether an entry changed.
+// Adopt applies an update of the core member that this router subscribes to, which judges for its subscribers who is
+// lost. It reports whether an entry changed.
 func (g *Registry) Adopt(u Update, now time.Duration) bool {
 	changed := g.merge(u.Instance, now-u.Age, now)
 	if entry := g.entries[u.Instance.ID]; entry.Lost != u.Lost {
@@ -116,8 +118,8 @@
 	return changed
 }
 
-// merge applies what a server said of itself in a heartbeat that was received at lastContact. It reports whether its entry changed in a
-// way that the data plane has to know.
+// merge applies what a server said of itself in a heartbeat that was received at lastContact. It reports whether its
+// entry changed in a way that the data plane has to know.
 func (g *Registry) merge(observed Instance, lastContact, now time.Duration) bool {
 	entry := g.entries[observed.ID]
 	if entry == nil {
@@ -147,8 +149,8 @@
 	g.claimAddress(entry, now)
 }
 
-// mergeInstance replaces an entry's instance by a newer one. Its state never goes back: an instance that is draining does not become
-// ready again, and a deregistration counts whatever its sequence number is.
+// mergeInstance replaces an entry's instance by a newer one. Its state never goes back: an instance that is draining
+// does not become ready again, and a deregistration counts whatever its sequence number is.
 func (g *Registry) mergeInstance(entry *Entry, observed Instance) (changed bool) {
 	newer := observed.Sequence > entry.Sequence || observed.State == Deregistered
 	if !newer || entry.State == Deregistered {
@@ -221,8 +223,9 @@
 	return received
 }
 
-// Expire judges who is lost: the instances without a heartbeat for longer than timeout, and those at whose address another instance was
-// seen later. It reports whether an entry changed. Core members call it; other routers adopt the judgement of theirs.
+// Expire judges who is lost: the instances without a heartbeat for longer than timeout, and those at whose address
+// another instance was seen later. It reports whether an entry changed. Core members call it; other routers adopt the
+// judgement of theirs.
 func (g *Registry) Expire(timeout, now time.Duration) bool {
 	changed := false
 	for _, entry := range g.entries {
--- a/internal/router/registry/registry_test.go
+++ b/internal/router/registry/registry_test.go
@@ -109,8 +109,8 @@
 	require.Equal(t, "new", usable(g, "llm")[0])
 }
 
-// The changes since any stamp are those that a search of all entries finds, however often entries change, come and are forgotten; and
-// the number of changes kept is bounded by the number of entries.
+// The changes since any stamp are those that a search of all entries finds, however often entries change, come and are
+// forgotten; and the number of changes kept is bounded by the number of entries.
 func TestUpdatesSinceFindsWhatASearchOfAllEntriesFinds(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	g := New()
@@ -193,7 +193,8 @@
 	require.NotEqual(t, home.Digest(), subscriber.Digest())
 }
 
-// A complete list removes what the home no longer has; a subscriber that was partitioned for long never receives those changes.
+// A complete list removes what the home no longer has; a subscriber that was partitioned for long never receives those
+// changes.
 func TestACompleteListReplaces(t *testing.T) {
 	home, subscriber := New(), New()
 	for _, g := range []*Registry{home, subscriber} {
--- a/internal/router/routetable/config.go
+++ b/internal/router/routetable/config.go
@@ -1,8 +1,9 @@
-// Package routetable is the operator's configuration: its format, its validity, what an update makes of it, and the immutable table in which
-// a request's route and tenant are looked up (by host and longest prefix, and by key).
+// Package routetable is the operator's configuration: its format, its validity, what an update makes of it, and the
+// immutable table in which a request's route and tenant are looked up (by host and longest prefix, and by key).
 //
-// It does not store or replicate configurations, nor decide which one is in force. It is pure, and any goroutine may use it: a Config is
-// never changed after Validate, and a Table never after Compile. An update makes a new Config, which shares what did not change.
+// It does not store or replicate configurations, nor decide which one is in force. It is pure, and any goroutine may
+// use it: a Config is never changed after Validate, and a Table never after Compile. An update makes a new Config,
+// which shares what did not change.
 //
 // Field names of the JSON are the Go names unless a tag says otherwise; the names in errors are the JSON's.
 package routetable
@@ -59,7 +60,8 @@
 	Engine         *Engine `json:",omitempty"`
 }
 
-// ClientLimits bound what a client may send, how long it may take to send a header, and how long its connection may be idle. 0 is no bound.
+// ClientLimits bound what a client may send, how long it may take to send a header, and how long its connection may be
+// idle. 0 is no bound.
 type ClientLimits struct {
 	MaxHeaderBytes  int
 	MaxBodyBytes    int64
@@ -78,8 +80,8 @@
 	Burst          float64 `validate:"gte=0"`
 }
 
-// Config is a complete configuration as the operator sends it. Items keep the text that they came in, so that what is read back is what was
-// sent, fields that this version does not know included.
+// Config is a complete configuration as the operator sends it. Items keep the text that they came in, so that what is
+// read back is what was sent, fields that this version does not know included.
 type Config struct {
 	Generation int64 `validate:"gt=0"`
 	Routes     []Item[Route]
@@ -131,7 +133,8 @@
 	return limits, nil
 }
 
-// sameList reports whether two lists are one and the same: an update leaves a list as it is where it names none of its items.
+// sameList reports whether two lists are one and the same: an update leaves a list as it is where it names none of its
+// items.
 func sameList[T Named](a, b []Item[T]) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
--- a/internal/router/routetable/table.go
+++ b/internal/router/routetable/table.go
@@ -61,7 +61,8 @@
 	return t
 }
 
-// Compile returns the table of a valid configuration. It shares with the previous table, which may be nil, what did not change.
+// Compile returns the table of a valid configuration. It shares with the previous table, which may be nil, what did not
+// change.
 func Compile(c *Config, previous *Table) *Table {
 	if previous == nil {
 		previous = &Table{tenancy: newTenancy(nil)}
--- a/internal/router/routetable/table_test.go
+++ b/internal/router/routetable/table_test.go
@@ -77,8 +77,8 @@
 	require.Equal(t, "a", before.Route("a.example", "/q").Name, "the table before is unchanged")
 }
 
-// Validation takes time in proportion to the size of a configuration: 20,000 tenants took minutes where each was compared with a new
-// set of all keys.
+// Validation takes time in proportion to the size of a configuration: 20,000 tenants took minutes where each was
+// compared with a new set of all keys.
 func TestManyTenants(t *testing.T) {
 	var tenants []string
 	for i := range 20_000 {
--- a/internal/router/routetable/validate.go
+++ b/internal/router/routetable/validate.go
@@ -12,9 +12,9 @@
 // structValidator checks the bounds in the tags of the fields. It caches what it knows of each type.
 var structValidator = sync.OnceValue(func() *validator.Validate { return validator.New() })
 
-// Validate returns why a configuration cannot follow the previous one, which may be nil: an ErrInvalid that names the field. Items that it
-// shares with the previous one were validated with it, and are only checked against the other items. It takes time in proportion to the number of
-// items.
+// Validate returns why a configuration cannot follow the previous one, which may be nil: an ErrInvalid that names the
+// field. Items that it shares with the previous one were validated with it, and are only checked against the other
+// items. It takes time in proportion to the number of items.
 func (c *Config) Validate(previous *Config) error {
 	if previous == nil {
 		previous = &Config{}
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -1,8 +1,9 @@
-// Package settings reads the settings file of one router (who it is, where it listens, its limits, and the bounds of the rules that it has to
-// keep) and the deploy file of the fleet.
+// Package settings reads the settings file of one router (who it is, where it listens, its limits, and the bounds of
+// the rules that it has to keep) and the deploy file of the fleet.
 //
-// Go fields have the names of the files' fields, which errors name too. Fields that are not known are ignored, since new ones may appear. A
-// file that cannot be used gives one error that names the file and the field; nothing is started from it.
+// Go fields have the names of the files' fields, which errors name too. Fields that are not known are ignored, since
+// new ones may appear. A file that cannot be used gives one error that names the file and the field; nothing is started
+// from it.
 package settings
 
 import (
--- a/internal/router/transport/transport.go
+++ b/internal/router/transport/transport.go
@@ -1,8 +1,10 @@
-// Package transport carries messages between routers: encoding/gob over TCP, with one connection for each direction between two routers.
+// Package transport carries messages between routers: encoding/gob over TCP, with one connection for each direction
+// between two routers.
 //
-// Messages to one peer keep their order as long as its connection lasts. Any message may be lost without a sign to either side; whoever
-// needs an answer sends the request again. Queues are bounded: messages to a peer that does not read are dropped. A connection to a
-// machine that does not respond ends within deadPeerTimeout. What messages mean is not known here.
+// Messages to one peer keep their order as long as its connection lasts. Any message may be lost without a sign to
+// either side; whoever needs an answer sends the request again. Queues are bounded: messages to a peer that does not
+// read are dropped. A connection to a machine that does not respond ends within deadPeerTimeout. What messages mean is
+// not known here.
 package transport
 
 import (
@@ -40,18 +42,19 @@
 	Body any    // its type is registered with gob
 }
 
-// Handler receives a message. It is called from the goroutine of the connection on which the message came, so different peers' messages
-// come at the same time. It must not block for long: the connection is not read meanwhile.
+// Handler receives a message. It is called from the goroutine of the connection on which the message came, so different
+// peers' messages come at the same time. It must not block for long: the connection is not read meanwhile.
 type Handler func(from string, body any)
 
-// Codec converts messages to the values that gob encodes, whose types are registered with gob, and back. It is called from the
-// goroutines of all connections.
+// Codec converts messages to the values that gob encodes, whose types are registered with gob, and back. It is called
+// from the goroutines of all connections.
 type Codec interface {
 	ToWire(message any) any
 	FromWire(value any) any
 }
 
-// Transport is one router's end of all its connections to others. Make it by New; all methods may be called from any goroutine.
+// Transport is one router's end of all its connections to others. Make it by New; all methods may be called from any
+// goroutine.
 type Transport struct {
 	self      string
 	codec     Codec
@@ -74,14 +77,15 @@
 	reconnect atomic.Bool // the connection is to an incarnation that has ended
 }
 
-// New returns the transport of the router at an internal address. The handler receives the messages of others once Serve runs, and those
-// that the router sends to itself at once.
+// New returns the transport of the router at an internal address. The handler receives the messages of others once
+// Serve runs, and those that the router sends to itself at once.
 func New(self string, codec Codec, handler Handler) *Transport {
 	return &Transport{self: self, codec: codec, handler: handler, peers: map[string]*peer{}, done: make(chan struct{}),
 		connections: map[net.Conn]bool{}}
 }
 
-// Serve accepts connections of other routers until the listener or the transport is closed, and returns the error by which it ended.
+// Serve accepts connections of other routers until the listener or the transport is closed, and returns the error by
+// which it ended.
 func (t *Transport) Serve(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
@@ -106,7 +110,8 @@
 	return !t.closed
 }
 
-// closeConnection ends a connection, which may have ended before. What was written and not read by the peer is lost, as any message may be.
+// closeConnection ends a connection, which may have ended before. What was written and not read by the peer is lost, as
+// any message may be.
 func (t *Transport) closeConnection(conn net.Conn) {
 	t.mutex.Lock()
 	delete(t.connections, conn)
@@ -130,8 +135,9 @@
 	}
 }
 
-// Send puts a message into the queue to a peer; it is dropped where the queue is full. The message must not be changed afterwards. Send never
-// calls the handler itself, also not for what the router sends to itself: callers hold locks that the handler acquires.
+// Send puts a message into the queue to a peer; it is dropped where the queue is full. The message must not be changed
+// afterwards. Send never calls the handler itself, also not for what the router sends to itself: callers hold locks
+// that the handler acquires.
 func (t *Transport) Send(to string, body any) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -160,8 +166,8 @@
 	return p
 }
 
-// Reconnect says that another incarnation of the router at an address has started: what is sent next goes over a new connection. The end of
-// the old one may not have been noticed, where a machine lost its power.
+// Reconnect says that another incarnation of the router at an address has started: what is sent next goes over a new
+// connection. The end of the old one may not have been noticed, where a machine lost its power.
 func (t *Transport) Reconnect(address string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -230,8 +236,8 @@
 	encoder *gob.Encoder
 }
 
-// write sends a message and all that wait behind it together, over the current connection or a new one. It returns the connection to use
-// next, nil where there is none.
+// write sends a message and all that wait behind it together, over the current connection or a new one. It returns the
+// connection to use next, nil where there is none.
 func (t *Transport) write(current *connection, p *peer, body any) *connection {
 	if current == nil {
 		if current = t.dial(p.address); current == nil {
@@ -293,7 +299,8 @@
 	return &connection{conn: conn, writer: writer, encoder: gob.NewEncoder(writer)}
 }
 
-// closeWithPeer closes a connection as soon as its peer does. The peer never writes to it, so a read ends with the connection alone.
+// closeWithPeer closes a connection as soon as its peer does. The peer never writes to it, so a read ends with the
+// connection alone.
 func (t *Transport) closeWithPeer(conn net.Conn) {
 	var unused [1]byte
 	_, _ = conn.Read(unused[:])
@@ -303,8 +310,8 @@
 // SentBytes returns how many bytes were sent to other routers.
 func (t *Transport) SentBytes() uint64 { return t.sentBytes.Load() }
 
-// Close ends all connections and waits for the goroutines that read and write them. The handler is not called after it returns. The listener
-// of Serve stays the caller's.
+// Close ends all connections and waits for the goroutines that read and write them. The handler is not called after it
+// returns. The listener of Serve stays the caller's.
 func (t *Transport) Close() {
 	t.mutex.Lock()
 	if t.closed {
