--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -34,10 +34,10 @@
 )
 
 const (
-	// tickInterval is the time between two looks at all that depends on time alone.
+	// tickInterval is the time between two runs of the work that depends on time alone.
 	tickInterval = 50 * time.Millisecond
-	// startupPeriod is how long after its start a router counts as just started: it contacts others more often, and a
-	// primary that is that young assumes that routers hold quota of a primary before it.
+	// startupPeriod is how long after its start a router counts as just started: it contacts others more often, and as a
+	// primary it begins with the token levels of a restart (quota.NewTokenBuckets).
 	startupPeriod = 5 * time.Second
 	// pruneInterval is the time between two removals of idle connections to servers.
 	pruneInterval = 2 * time.Second
@@ -52,6 +52,7 @@
 	settings *settings.Settings
 	logger   *log.Logger
 	start    time.Time
+	self     membership.Router // does not change after open
 
 	gateway       *gateway.Gateway
 	transport     *transport.Transport
@@ -62,8 +63,7 @@
 
 	mutex        sync.Mutex // guards all below
 	seeds        []string   // internal addresses
-	self         membership.Router
-	lastRequest  uint64 // number of the last request to others; the first is drawn, so that no answer to an incarnation before fits
+	lastRequest  uint64 // number of the last request to others; the first is drawn, so that no answer to an earlier incarnation fits
 	fleetSize    int    // routers, this one included
 	registry     *registry.Registry
 	control      controlPlane
