--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -63,8 +63,8 @@
 
 	mutex        sync.Mutex // guards all below
 	seeds        []string   // internal addresses
-	lastRequest  uint64 // number of the last request to others; the first is drawn, so that no answer to an earlier incarnation fits
-	fleetSize    int    // routers, this one included
+	lastRequest  uint64     // number of the last request to others; the first is drawn, so that no answer to an earlier incarnation fits
+	fleetSize    int        // routers, this one included
 	registry     *registry.Registry
 	control      controlPlane
 	subscription subscription
