--- a/internal/rig/engines/fleet.go
+++ b/internal/rig/engines/fleet.go
@@ -29,8 +29,8 @@
 	zone  int
 	home  *home
 	pool  *placement.Pool
-	known []*placement.Server // by the servers' order
-	uses  placement.Uses      // not yet told
+	known []*placement.Server  // by the servers' order
+	uses  placement.PrefixUses // not yet told
 	turn  int
 }
 
@@ -38,10 +38,10 @@
 type home struct {
 	f     *fleet
 	index int
-	board *placement.Board
+	board *placement.LoadBoard
 	own   []*router
-	down  []placement.Uses // to tell its subscribers
-	up    []placement.Uses // to tell other homes
+	down  []placement.PrefixUses // to tell its subscribers
+	up    []placement.PrefixUses // to tell other homes
 }
 
 func play(s *Spec, p policy, list []arrival, seed uint64) *score {
@@ -50,7 +50,7 @@
 		f.servers = append(f.servers, newServer(f.schedule, &s.Engine, i, i%s.Zones))
 	}
 	for i := range s.Zones * s.Homes {
-		f.homes = append(f.homes, &home{f: f, index: i, board: placement.NewBoard()})
+		f.homes = append(f.homes, &home{f: f, index: i, board: placement.NewLoadBoard()})
 	}
 	for i := range s.Routers {
 		f.addRouter(i)
@@ -117,7 +117,7 @@
 		return
 	}
 	told := r.uses
-	r.uses = placement.Uses{}
+	r.uses = placement.PrefixUses{}
 	r.f.schedule.at(r.f.schedule.now+r.f.spec.Network.InZone, func() {
 		r.home.down = append(r.home.down, told)
 		r.home.up = append(r.home.up, told)
@@ -144,17 +144,17 @@
 	}
 }
 
-func (r *router) note(list []placement.Uses) {
+func (r *router) note(list []placement.PrefixUses) {
 	for _, u := range list {
 		for key, id := range u.All() {
-			r.pool.Used(key, id, r.f.schedule.now)
+			r.pool.RecordUse(key, id, r.f.schedule.now)
 		}
 	}
 }
 
 func (r *router) tellLoads() {
 	sums := placement.LoadSums{}
-	r.pool.Loads(sums)
+	r.pool.AddLoads(sums)
 	r.f.schedule.at(r.f.schedule.now+r.f.spec.Network.InZone, func() { r.home.board.Put(fmt.Sprint("r", r.index), false, sums, r.f.schedule.now) })
 }
 
@@ -170,7 +170,7 @@
 	all := h.board.All()
 	for _, r := range h.own {
 		others := h.board.Others(all, fmt.Sprint("r", r.index))
-		h.f.schedule.at(now+h.f.spec.Network.InZone, func() { r.pool.SetLoads(others, h.f.schedule.now) })
+		h.f.schedule.at(now+h.f.spec.Network.InZone, func() { r.pool.SetPeerLoads(others, h.f.schedule.now) })
 	}
 }
 
--- a/internal/rig/engines/policy.go
+++ b/internal/rig/engines/policy.go
@@ -34,16 +34,16 @@
 		change(&p)
 		return p
 	}
-	before := without(func(p *placement.Policy) { p.Told, p.StreamPart = false, false })
+	before := without(func(p *placement.Policy) { p.PeerLoads, p.PackStreams = false, false })
 	return []policy{
 		{name: "now", place: now},
 		{name: "before", place: before},
 		{name: "stall", place: now, stall: defaultStall},
 		{name: "no affinity", place: without(func(p *placement.Policy) { p.Affinity = false })},
-		{name: "no table of uses", place: without(func(p *placement.Policy) { p.Table = false })},
+		{name: "no table of uses", place: without(func(p *placement.Policy) { p.PrefixTable = false })},
 		{name: "all zones", place: without(func(p *placement.Policy) { p.ZoneFirst = false })},
-		{name: "own load alone", place: without(func(p *placement.Policy) { p.Told = false })},
-		{name: "no stream part", place: without(func(p *placement.Policy) { p.StreamPart = false })},
+		{name: "own load alone", place: without(func(p *placement.Policy) { p.PeerLoads = false })},
+		{name: "no stream part", place: without(func(p *placement.Policy) { p.PackStreams = false })},
 		{name: "round robin", place: now, choose: roundRobin},
 		{name: "two choices", place: now, choose: twoChoices},
 		{name: "least requests", place: now, choose: leastRequests},
--- a/internal/rig/engines/request.go
+++ b/internal/rig/engines/request.go
@@ -38,9 +38,9 @@
 
 func (f *fleet) begin(a *arrival) {
 	q := &request{f: f, a: a, class: &f.spec.Classes[a.class], router: f.routers[a.router]}
-	q.place = placement.Request{Pause: q.class.Pause, Prompt: a.prompt(), Output: a.events * f.spec.Engine.Stride, Tried: map[string]bool{}}
+	q.place = placement.Request{MaxGap: q.class.Pause, PromptTokens: a.prompt(), MaxOutputTokens: a.events * f.spec.Engine.Stride, Tried: map[string]bool{}}
 	if n := len(a.parts); n > 0 {
-		q.place.Key, q.place.Shared, q.place.Part = fmt.Sprintf("%x", a.parts[n-1].key), a.shared(), a.parts[n-1].tokens
+		q.place.PrefixKey, q.place.SharedTokens, q.place.PrefixTokens = fmt.Sprintf("%x", a.parts[n-1].key), a.shared(), a.parts[n-1].tokens
 	}
 	f.schedule.at(a.at+f.spec.Network.Client+f.linkTime(a)+routerTime, q.choose)
 	f.schedule.at(a.at+q.class.Deadline, q.giveUp)
@@ -51,7 +51,7 @@
 	return time.Duration(float64(a.prompt()*8) / f.spec.Network.LinkMbps * float64(time.Microsecond))
 }
 
-func (q *request) long() bool { return q.place.Generates() }
+func (q *request) long() bool { return q.place.DecodeHeavy() }
 
 // choose sends a request to a server, or loses it.
 func (q *request) choose() {
@@ -66,13 +66,13 @@
 	known := q.router.known[s.index]
 	q.place.Tried[known.ID] = true
 	q.sends++
-	kept := q.router.pool.Keeps(q.place, known, q.f.schedule.now)
+	kept := q.router.pool.PrefixCached(q.place, known, q.f.schedule.now)
 	one := &send{q: q, server: s, known: known, sent: q.f.schedule.now, work: q.place.Work(kept)}
 	q.send = one
 	known.Begin(one.work)
-	if q.place.Affine() {
-		key := placement.HashKey(q.place.Key)
-		q.router.pool.Used(key, known.ID, q.f.schedule.now)
+	if q.place.HasAffinity() {
+		key := placement.HashPrefix(q.place.PrefixKey)
+		q.router.pool.RecordUse(key, known.ID, q.f.schedule.now)
 		q.router.uses.Add(key, known.ID)
 	}
 	way := q.f.way(q.router.zone, s.zone)
@@ -134,10 +134,10 @@
 	if o.over || q.done || n != q.got {
 		return
 	}
-	if o.work.Unread > 0 {
-		q.router.pool.Answered(o.work.Unread, now-o.sent, now)
-		o.known.End(placement.Work{Unread: o.work.Unread})
-		o.work.Unread = 0
+	if o.work.PrefillTokens > 0 {
+		q.router.pool.ObservePrefill(o.work.PrefillTokens, now-o.sent, now)
+		o.known.End(placement.Work{PrefillTokens: o.work.PrefillTokens})
+		o.work.PrefillTokens = 0
 	}
 	at := now + q.f.spec.Network.Client
 	if q.got == 0 {
--- a/internal/router/backend/backend_test.go
+++ b/internal/router/backend/backend_test.go
@@ -149,12 +149,12 @@
 	s := newScripted(t, 1)
 	done := s.send("first")
 	c, in := s.accept()
-	require.False(t, s.pool.Room())
+	require.False(t, s.pool.HasCapacity())
 	_, err := s.pool.Do(t.Context(), &Request{ID: "second", Method: http.MethodGet, Target: "/", Host: "a", Header: http.Header{}})
-	require.True(t, errors.Is(err, ErrNoRoom))
+	require.True(t, errors.Is(err, ErrNoConnection))
 	s.serve(c, in, answerTo("first", "one"))
 	require.Equal(t, "one", s.take(<-done))
-	require.True(t, s.pool.Room())
+	require.True(t, s.pool.HasCapacity())
 }
 
 // An answer that is cut off does not end as a whole one, and its connection is not kept.
--- a/internal/router/backend/exchange.go
+++ b/internal/router/backend/exchange.go
@@ -27,8 +27,8 @@
 	Header http.Header
 	Length int64 // of the body, or -1
 	// Dialled is how long it took to make the connection; 0 where one was there.
-	Dialled time.Duration
-	body    io.ReadCloser
+	DialTime time.Duration
+	body     io.ReadCloser
 
 	pool    *Pool
 	conn    *conn
@@ -73,7 +73,7 @@
 	}
 	keep := written && !answer.Close && answer.ProtoAtLeast(1, 1)
 	return &Response{Status: answer.StatusCode, Header: answer.Header, Length: answer.ContentLength, body: answer.Body,
-		Dialled: dialled, pool: p, conn: c, keep: keep, release: release}, nil
+		DialTime: dialled, pool: p, conn: c, keep: keep, release: release}, nil
 }
 
 // exchange writes a request and reads the head of its answer. It reports whether the whole request was written: on a connection where a rest
--- a/internal/router/backend/pool.go
+++ b/internal/router/backend/pool.go
@@ -21,9 +21,9 @@
 
 // The errors of an exchange. ErrNotSent: no byte of the request left. ErrBroken: it may have run.
 var (
-	ErrNotSent = errors.New("the request was not sent")
-	ErrBroken  = errors.New("the exchange broke off")
-	ErrNoRoom  = errors.New("no connection is free")
+	ErrNotSent      = errors.New("the request was not sent")
+	ErrBroken       = errors.New("the exchange broke off")
+	ErrNoConnection = errors.New("no connection is free")
 )
 
 const (
@@ -69,8 +69,8 @@
 	p.mutex.Unlock()
 }
 
-// Room reports whether a request would find a connection or may open one.
-func (p *Pool) Room() bool {
+// HasCapacity reports whether a request would find a connection or may open one.
+func (p *Pool) HasCapacity() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.idle) > 0 || p.open < p.limit
@@ -127,7 +127,7 @@
 	}
 	if p.open >= p.limit {
 		p.mutex.Unlock()
-		return nil, ErrNoRoom
+		return nil, ErrNoConnection
 	}
 	p.open++
 	p.opened++
--- a/internal/router/dissemination/messages.go
+++ b/internal/router/dissemination/messages.go
@@ -55,7 +55,7 @@
 }
 
 // PrefixReport tells where shared parts of prompts were read; it is lost without harm.
-type PrefixReport struct{ Uses []placement.Uses }
+type PrefixReport struct{ Uses []placement.PrefixUses }
 
 // LoadReport tells a home what a subscriber's requests have left to do, another control sidecar what all subscribers' have, and a subscriber
 // what all others' have. It stands in place of the sender's last one; it is lost without harm.
--- a/internal/router/gateway/account.go
+++ b/internal/router/gateway/account.go
@@ -13,19 +13,19 @@
 // spend notes that a request spent the time since then in a phase, before the first part of its answer.
 func (r *request) spend(phase latency.Phase, since time.Time) {
 	if !r.headSent {
-		r.trace.Spent[phase] += time.Since(since)
+		r.trace.PhaseTimes[phase] += time.Since(since)
 	}
 }
 
 // firstPart notes that the first part of the answer is there; what was not spent elsewhere was spent at the server.
 func (r *request) firstPart(dialled time.Duration) {
 	t := &r.trace
-	t.First = time.Since(r.began)
-	t.Spent[latency.Connect] = dialled
-	t.Spent[latency.Server] = t.First
-	for phase, spent := range t.Spent {
+	t.TimeToFirstByte = time.Since(r.began)
+	t.PhaseTimes[latency.Connect] = dialled
+	t.PhaseTimes[latency.Server] = t.TimeToFirstByte
+	for phase, spent := range t.PhaseTimes {
 		if latency.Phase(phase) != latency.Server {
-			t.Spent[latency.Server] -= spent
+			t.PhaseTimes[latency.Server] -= spent
 		}
 	}
 }
@@ -36,16 +36,16 @@
 	if req.route == nil {
 		return
 	}
-	if req.trace.Ended != "" && errors.Is(r.Context().Err(), context.Canceled) {
-		req.trace.Ended = latency.ClientGone
+	if req.trace.FailureReason != "" && errors.Is(r.Context().Err(), context.Canceled) {
+		req.trace.FailureReason = latency.ClientGone
 	}
 	pause := req.route.GapAim
 	reason := req.trace.Reason(req.route.Aim, pause)
 	g.mutex.Lock()
 	g.totals.Note(req.route.Name, &req.trace, reason)
 	g.mutex.Unlock()
-	if reason != latency.InTime && g.options.Missed != nil {
-		g.options.Missed(req.route.Name, &req.trace, reason)
+	if reason != latency.InTime && g.options.OnObjectiveMissed != nil {
+		g.options.OnObjectiveMissed(req.route.Name, &req.trace, reason)
 	}
 }
 
@@ -62,8 +62,8 @@
 	return latency.LostBroken
 }
 
-// Latency tells what became of requests so far, by route.
-func (g *Gateway) Latency() []latency.Report {
+// LatencyReports tells what became of requests so far, by route.
+func (g *Gateway) LatencyReports() []latency.Report {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.totals.Reports()
--- a/internal/router/gateway/attempt.go
+++ b/internal/router/gateway/attempt.go
@@ -38,11 +38,11 @@
 			return
 		}
 		req.place.Tried[server.ID] = true
-		req.trace.Server, req.trace.Sends = server.ID, dials+1
+		req.trace.Server, req.trace.Attempts = server.ID, dials+1
 		asked := time.Now()
 		result := g.attempt(ctx, w, r, req, server, conns)
 		if result == answered {
-			g.Counts.Served.Add(1)
+			g.Counters.Served.Add(1)
 			return
 		}
 		if result == expired || !g.again(req, result, dials) {
@@ -61,7 +61,7 @@
 	if s == nil {
 		return nil, nil
 	}
-	usable := func(one *placement.Server) bool { return s.conns[one.ID].Room() }
+	usable := func(one *placement.Server) bool { return s.conns[one.ID].HasCapacity() }
 	now := g.options.Now()
 	var server *placement.Server
 	if dials == 0 {
@@ -72,9 +72,9 @@
 	if server == nil {
 		return nil, nil
 	}
-	req.work = req.place.Work(s.pool.Keeps(req.place, server, now))
+	req.work = req.place.Work(s.pool.PrefixCached(req.place, server, now))
 	server.Begin(req.work)
-	if req.place.Affine() {
+	if req.place.HasAffinity() {
 		g.used(req, s, server)
 	}
 	return server, s.conns[server.ID]
@@ -96,7 +96,7 @@
 	}
 	if req.paid {
 		req.paid = false
-		g.Counts.Moved.Add(1)
+		g.Counters.Migrated.Add(1)
 		return true
 	}
 	g.mutex.Lock()
@@ -104,19 +104,19 @@
 	if !g.retries.Retry(req.service, g.options.Now()) {
 		return false
 	}
-	g.Counts.Retried.Add(1)
+	g.Counters.Retried.Add(1)
 	return true
 }
 
 // giveUp gives a request its final answer at once.
 func (g *Gateway) giveUp(w http.ResponseWriter, req *request, result outcome) {
-	req.trace.Ended = g.endOf(req, result)
+	req.trace.FailureReason = g.endOf(req, result)
 	if req.headSent {
 		panic(http.ErrAbortHandler) // it must not look complete
 	}
 	if !req.mayHaveRun && req.tenant != nil {
 		g.mutex.Lock()
-		g.quota.Return(req.tenant.Name, req.units, g.options.Now())
+		g.quota.Refund(req.tenant.Name, req.units, g.options.Now())
 		g.mutex.Unlock()
 	}
 	switch {
@@ -144,7 +144,7 @@
 	defer answer.Close()
 	req.sends++
 	if !req.headSent {
-		req.trace.Spent[latency.Connect] = answer.Dialled
+		req.trace.PhaseTimes[latency.Connect] = answer.DialTime
 	}
 	load, told := parseLoad(answer.Header.Get("X-Server-Load"))
 	if told {
@@ -168,7 +168,7 @@
 // failed judges a send that got no answer.
 func (g *Gateway) failed(ctx context.Context, req *request, server *placement.Server, sent time.Time, err error, stalled bool) outcome {
 	gone := ctx.Err() != nil
-	unsent := errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrNoRoom)
+	unsent := errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrNoConnection)
 	judged := judgeError(ctx, req, time.Since(sent), err)
 	if stalled && judged == erred {
 		judged = saysNothing // it was left for its load
--- a/internal/router/gateway/ending.go
+++ b/internal/router/gateway/ending.go
@@ -11,9 +11,9 @@
 	by        time.Time // when the answers that are still open are cut off
 }
 
-// End has clients told that their connections close. What is open is answered, until by; from longUntil on a request that
+// Drain has clients told that their connections close. What is open is answered, until by; from longUntil on a request that
 // may take longer than that is refused, so that another sidecar serves it whole.
-func (g *Gateway) End(longUntil, by time.Time) { g.ending.Store(&ending{longUntil, by}) }
+func (g *Gateway) Drain(longUntil, by time.Time) { g.ending.Store(&ending{longUntil, by}) }
 
 // mayOutlast reports whether a request that came just now may still be open when the sidecar ends.
 func (e *ending) mayOutlast(req *request) bool {
--- a/internal/router/gateway/ending_test.go
+++ b/internal/router/gateway/ending_test.go
@@ -19,13 +19,13 @@
 		io.WriteString(w, "answer")
 	})
 	now := time.Now()
-	r.gateway.End(now.Add(time.Hour), now.Add(2*time.Second))
+	r.gateway.Drain(now.Add(time.Hour), now.Add(2*time.Second))
 	answer, _, err := r.do("/stream/x") // its deadline is 4 s away
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, answer.StatusCode, "the end has just begun")
 	require.True(t, answer.Close)
 
-	r.gateway.End(now, now.Add(2*time.Second))
+	r.gateway.Drain(now, now.Add(2*time.Second))
 	answer, _, err = r.do("/stream/x")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
@@ -33,7 +33,7 @@
 	require.True(t, answer.Close)
 	require.Equal(t, 1, ran)
 
-	r.gateway.End(now, now.Add(time.Hour))
+	r.gateway.Drain(now, now.Add(time.Hour))
 	answer, _, err = r.do("/unsafe/x")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, answer.StatusCode, "it ends in time")
--- a/internal/router/gateway/gateway.go
+++ b/internal/router/gateway/gateway.go
@@ -24,16 +24,16 @@
 
 // Options are what a gateway is made with.
 type Options struct {
-	Zone         string
-	Now          func() time.Duration // the steady clock
-	Life         uint64               // drawn at each start: answers to a process before are told by it
-	Acquirer     Acquirer
-	Again        time.Duration                                            // for which a shared part counts as kept after its last use
-	Missed       func(route string, t *latency.Trace, why latency.Reason) // is told of requests that missed their objective; may be nil
-	BodyMemory   int64                                                    // for clients' bodies, all together; 0: no bound
-	BudgetRatio  float64
-	BudgetSlack  float64
-	BudgetWindow time.Duration
+	Zone              string
+	Now               func() time.Duration // the steady clock
+	Incarnation       uint64               // drawn at each start: answers to a process before are told by it
+	Acquirer          Acquirer
+	PrefixTTL         time.Duration                                            // for which a shared part counts as kept after its last use
+	OnObjectiveMissed func(route string, t *latency.Trace, why latency.Reason) // is told of requests that missed their objective; may be nil
+	MaxBodyMemory     int64                                                    // for clients' bodies, all together; 0: no bound
+	BudgetRatio       float64
+	BudgetSlack       float64
+	BudgetWindow      time.Duration
 }
 
 // Source is who gave units of a limit.
@@ -41,16 +41,16 @@
 
 // The sources. FromNobody: neither the primary nor a pool answered, and this sidecar's own lease counts.
 const (
-	FromNobody Source = iota
+	FromNone Source = iota
 	FromPrimary
 	FromPool
 )
 
 // Acquisition is what was acquired of a tenant's limit; where it is not enough, Wait says when to come back.
 type Acquisition struct {
-	From  Source
-	Given float64
-	Wait  time.Duration
+	Source     Source
+	Granted    float64
+	RetryAfter time.Duration
 }
 
 // Acquirer acquires units of a tenant's limit, which all sidecars share.
@@ -60,35 +60,35 @@
 
 // Gateway is an http.Handler for clients.
 type Gateway struct {
-	options Options
-	table   atomic.Pointer[routetable.Table]
-	ending  atomic.Pointer[ending]
-	bodies  atomic.Int64 // bytes held
-	Counts  Counts
+	options  Options
+	table    atomic.Pointer[routetable.Table]
+	ending   atomic.Pointer[ending]
+	bodies   atomic.Int64 // bytes held
+	Counters Counters
 
 	mutex     sync.Mutex // guards all below
 	services  map[string]*service
-	serviceOf map[string]string          // by instance
-	splits    map[string][]rotation.Turn // turns of a route's backends, by route
-	deadlines map[string]*recentTimes    // that clients gave, by route
-	firsts    map[string]*recentTimes    // from a send to the first part of a stream, by route
+	serviceOf map[string]string                   // by instance
+	splits    map[string][]rotation.CurrentWeight // turns of a route's backends, by route
+	deadlines map[string]*recentTimes             // that clients gave, by route
+	firsts    map[string]*recentTimes             // from a send to the first part of a stream, by route
 	quota     *quota.Client
 	retries   *quota.RetryBudget
 	fleet     fleetSize
-	uses      map[string]*placement.Uses // not yet told, by service
+	uses      map[string]*placement.PrefixUses // not yet told, by service
 	tally     *outlier.Tally
 	totals    *latency.Totals
 }
 
-// Counts are totals since the start.
-type Counts struct {
-	Requests, Served, Refused, Failed, Retried, Moved atomic.Int64
+// Counters are totals since the start.
+type Counters struct {
+	Requests, Served, Rejected, Failed, Retried, Migrated atomic.Int64
 }
 
 // New makes a gateway without a configuration.
 func New(o Options) *Gateway {
-	return &Gateway{options: o, services: map[string]*service{}, serviceOf: map[string]string{}, splits: map[string][]rotation.Turn{}, deadlines: map[string]*recentTimes{}, firsts: map[string]*recentTimes{}, fleet: fleetSize{size: 1}, uses: map[string]*placement.Uses{},
-		tally: outlier.NewTally(), totals: latency.NewTotals(), quota: quota.NewClient(o.Life), retries: quota.NewRetryBudget(o.BudgetRatio, o.BudgetSlack, o.BudgetWindow)}
+	return &Gateway{options: o, services: map[string]*service{}, serviceOf: map[string]string{}, splits: map[string][]rotation.CurrentWeight{}, deadlines: map[string]*recentTimes{}, firsts: map[string]*recentTimes{}, fleet: fleetSize{size: 1}, uses: map[string]*placement.PrefixUses{},
+		tally: outlier.NewTally(), totals: latency.NewTotals(), quota: quota.NewClient(o.Incarnation), retries: quota.NewRetryBudget(o.BudgetRatio, o.BudgetSlack, o.BudgetWindow)}
 }
 
 // Table is the configuration in force here, or nil.
@@ -101,7 +101,7 @@
 		g.quota.SetLimits(Limits(t), g.options.Now())
 	}
 	gone := func(route string) bool { return !t.HasRoute(route) }
-	maps.DeleteFunc(g.splits, func(route string, _ []rotation.Turn) bool { return gone(route) })
+	maps.DeleteFunc(g.splits, func(route string, _ []rotation.CurrentWeight) bool { return gone(route) })
 	for _, times := range []map[string]*recentTimes{g.deadlines, g.firsts} {
 		maps.DeleteFunc(times, func(route string, _ *recentTimes) bool { return gone(route) })
 	}
@@ -119,20 +119,20 @@
 	return limits
 }
 
-// SetFleet hands in how many sidecars there are.
-func (g *Gateway) SetFleet(n int) {
+// SetFleetSize hands in how many sidecars there are.
+func (g *Gateway) SetFleetSize(n int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if !g.fleet.set(max(1, n), g.options.Now()) {
 		return
 	}
-	g.retries.SetFleet(g.fleet.size)
-	g.quota.SetFleet(g.fleet.size)
+	g.retries.SetFleetSize(g.fleet.size)
+	g.quota.SetFleetSize(g.fleet.size)
 	g.limitConnections()
 }
 
-// Fleet is how many sidecars there are as far as limits are concerned: as many as there were, for some time after there are fewer.
-func (g *Gateway) Fleet() int {
+// FleetSize is how many sidecars there are as far as limits are concerned: as many as there were, for some time after there are fewer.
+func (g *Gateway) FleetSize() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.fleet.size
@@ -153,18 +153,18 @@
 	}
 }
 
-// AskQuota begins a question to the primary for shares of the tenants' limits.
-func (g *Gateway) AskQuota() (nonce uint64, demand, held map[string]float64) {
+// RequestQuotaShares begins a question to the primary for shares of the tenants' limits.
+func (g *Gateway) RequestQuotaShares() (nonce uint64, demand, held map[string]float64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.quota.Ask(g.options.Now())
+	return g.quota.RequestShares(g.options.Now())
 }
 
-// QuotaGranted takes in the answer.
-func (g *Gateway) QuotaGranted(nonce uint64, shares map[string]float64) {
+// ApplyQuotaShares takes in the answer.
+func (g *Gateway) ApplyQuotaShares(nonce uint64, shares map[string]float64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.quota.Granted(nonce, shares, g.options.Now())
+	g.quota.ApplyShares(nonce, shares, g.options.Now())
 }
 
 // QuotaDeposit leaves what this sidecar may spend without the primary to a pool.
@@ -174,11 +174,11 @@
 	return g.quota.Deposit(g.options.Now())
 }
 
-// QuotaPooled is until when a pool has a deposit of this sidecar.
-func (g *Gateway) QuotaPooled() time.Duration {
+// QuotaPooledUntil is until when a pool has a deposit of this sidecar.
+func (g *Gateway) QuotaPooledUntil() time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.quota.Pooled()
+	return g.quota.PooledUntil()
 }
 
 var _ http.Handler = (*Gateway)(nil)
--- a/internal/router/gateway/gateway_test.go
+++ b/internal/router/gateway/gateway_test.go
@@ -40,10 +40,10 @@
 		return Acquisition{}
 	}
 	if d.empty.Load() {
-		return Acquisition{From: FromPrimary, Wait: time.Second}
+		return Acquisition{Source: FromPrimary, RetryAfter: time.Second}
 	}
 	d.acquired.Add(int64(need))
-	return Acquisition{From: FromPrimary, Given: need}
+	return Acquisition{Source: FromPrimary, Granted: need}
 }
 
 // rig is a gateway before servers that the test writes.
@@ -163,7 +163,7 @@
 		answer, _, _ := r.do("/unsafe/")
 		require.Equal(t, http.StatusOK, answer.StatusCode)
 	}
-	require.Zero(t, r.gateway.Counts.Retried.Load())
+	require.Zero(t, r.gateway.Counters.Retried.Load())
 }
 
 // hangUp ends the connection after a request was read.
@@ -345,10 +345,10 @@
 	r.server(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Request-Id", "id1") })
 	answer, _, _ := r.do("/safe/", "X-Long", strings.Repeat("x", 5000))
 	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, answer.StatusCode)
-	r.gateway.options.BodyMemory = 3
+	r.gateway.options.MaxBodyMemory = 3
 	answer, _, _ = r.do("/safe/")
 	require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
-	r.gateway.options.BodyMemory = 100
+	r.gateway.options.MaxBodyMemory = 100
 	for range 50 {
 		answer, _, _ = r.do("/safe/")
 		require.Equal(t, http.StatusOK, answer.StatusCode, "bodies that are done with count no more")
--- a/internal/router/gateway/judgement.go
+++ b/internal/router/gateway/judgement.go
@@ -29,7 +29,7 @@
 // judgeError judges a send that got no answer. A client that went, and one that left the server hardly any time, say nothing.
 func judgeError(ctx context.Context, req *request, took time.Duration, err error) judgement {
 	switch {
-	case errors.Is(err, backend.ErrNoRoom):
+	case errors.Is(err, backend.ErrNoConnection):
 		return saysNothing
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) && took >= max(leastToAwait, req.route.Aim):
 		return timedOut
@@ -109,6 +109,6 @@
 // note takes in the load that an answer tells.
 func (g *Gateway) note(server *placement.Server, load serverLoad) {
 	g.mutex.Lock()
-	server.Report(load.running, load.waiting, load.slots, g.options.Now())
+	server.ReportLoad(load.running, load.waiting, load.slots, g.options.Now())
 	g.mutex.Unlock()
 }
--- a/internal/router/gateway/judgement_test.go
+++ b/internal/router/gateway/judgement_test.go
@@ -33,7 +33,7 @@
 	}{
 		{"broken off", t.Context(), time.Second, broken, erred},
 		{"not reached", t.Context(), time.Second, unsent, unreachable},
-		{"no connection free", t.Context(), 0, backend.ErrNoRoom, saysNothing},
+		{"no connection free", t.Context(), 0, backend.ErrNoConnection, saysNothing},
 		{"the client went", gone, time.Second, broken, saysNothing},
 		{"no answer in time", late, time.Second, broken, timedOut},
 		{"hardly any time", late, 299 * time.Millisecond, broken, saysNothing},
@@ -75,7 +75,7 @@
 	for range 6 {
 		r.do("/unsafe/x")
 	}
-	report, ok := r.gateway.TakeReport()
+	report, ok := r.gateway.TakeOutcomeReport()
 	require.True(t, ok)
 	sent := map[string][2]uint16{}
 	for i, id := range report.Servers {
@@ -117,7 +117,7 @@
 	answer, _, err := r.do("/unsafe/x", "X-Request-Deadline", "250")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusGatewayTimeout, answer.StatusCode)
-	report, ok := r.gateway.TakeReport()
+	report, ok := r.gateway.TakeOutcomeReport()
 	require.True(t, ok)
 	require.Equal(t, outlier.Report{Servers: []string{"i0"}, Sent: []uint16{1}, Failed: []uint16{1}}, report)
 }
--- a/internal/router/gateway/lateness.go
+++ b/internal/router/gateway/lateness.go
@@ -27,5 +27,5 @@
 	}
 	seen := recentOf(g.deadlines, req.route.Name)
 	seen.add(left)
-	return g.quota.Pressed(req.tenant.Name, g.options.Now()) && seen.quantile(usualDeadline)-left >= req.route.Aim
+	return g.quota.OverLimit(req.tenant.Name, g.options.Now()) && seen.quantile(usualDeadline)-left >= req.route.Aim
 }
--- a/internal/router/gateway/outliers.go
+++ b/internal/router/gateway/outliers.go
@@ -6,8 +6,8 @@
 	"petrelhook/internal/router/outlier"
 )
 
-// TakeReport takes what this sidecar has to report of its sends now.
-func (g *Gateway) TakeReport() (outlier.Report, bool) {
+// TakeOutcomeReport takes what this sidecar has to report of its sends now.
+func (g *Gateway) TakeOutcomeReport() (outlier.Report, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.tally.Take(g.options.Now())
--- a/internal/router/gateway/relay.go
+++ b/internal/router/gateway/relay.go
@@ -48,7 +48,7 @@
 		}
 		return mayHaveRun
 	}
-	req.firstPart(answer.Dialled)
+	req.firstPart(answer.DialTime)
 	g.head(w, answer)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(answer.Status)
@@ -82,9 +82,9 @@
 			g.head(w, answer)
 			w.WriteHeader(answer.Status)
 			req.headSent = true
-			req.firstPart(answer.Dialled)
+			req.firstPart(answer.DialTime)
 		} else {
-			req.trace.Pause = max(req.trace.Pause, time.Since(last))
+			req.trace.MaxGap = max(req.trace.MaxGap, time.Since(last))
 		}
 		last = time.Now()
 		from.watch.event()
--- a/internal/router/gateway/request.go
+++ b/internal/router/gateway/request.go
@@ -48,7 +48,7 @@
 
 // ServeHTTP serves one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.Counts.Requests.Add(1)
+	g.Counters.Requests.Add(1)
 	if g.ending.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
@@ -70,7 +70,7 @@
 		return
 	}
 	authorized := time.Now()
-	g.waitForStart(r.Context(), req.startLimit, func() bool { return g.ServersOf(req.service) > 0 })
+	g.waitForStart(r.Context(), req.startLimit, func() bool { return g.ServerCount(req.service) > 0 })
 	req.spend(latency.Start, authorized)
 	ctx, cancel := context.WithDeadline(r.Context(), req.deadline)
 	defer cancel()
@@ -95,7 +95,7 @@
 		g.fail(w, http.StatusRequestEntityTooLarge, "the body is too long")
 		return false
 	}
-	if g.options.BodyMemory > 0 && g.bodies.Load()+max(0, r.ContentLength) > g.options.BodyMemory {
+	if g.options.MaxBodyMemory > 0 && g.bodies.Load()+max(0, r.ContentLength) > g.options.MaxBodyMemory {
 		w.Header().Set("Connection", "close")
 		g.refuse(w, http.StatusServiceUnavailable, retrySoon, "no memory is left for the body")
 		return false
@@ -154,19 +154,19 @@
 	}
 	req.deadline = deadlineOf(r, req)
 	if g.ending.Load().mayOutlast(req) {
-		req.trace.Ended = latency.RefusedEnding
+		req.trace.FailureReason = latency.RefusedEnding
 		g.refuse(w, http.StatusServiceUnavailable, elsewhere, "the sidecar ends before the answer may")
 		return false
 	}
 	req.units = unitsOf(r, req.tenant)
 	req.place = placeOf(r)
-	req.place.Pause = req.route.GapAim
+	req.place.MaxGap = req.route.GapAim
 	if req.tenant != nil {
 		g.mutex.Lock()
 		late := g.tooLateForPressed(r, req)
 		g.mutex.Unlock()
 		if late {
-			req.trace.Ended = latency.RefusedLimit
+			req.trace.FailureReason = latency.RefusedLimit
 			g.refuse(w, http.StatusTooManyRequests, retrySoon, "over the tenant's quota, and late")
 			return false
 		}
@@ -174,7 +174,7 @@
 		ok, wait := g.takeQuota(r.Context(), req)
 		req.spend(latency.Quota, began)
 		if !ok {
-			req.trace.Ended = latency.RefusedLimit
+			req.trace.FailureReason = latency.RefusedLimit
 			g.refuse(w, http.StatusTooManyRequests, max(wait, retrySoon), "over the tenant's quota")
 			return false
 		}
@@ -189,9 +189,9 @@
 // placeOf is what placement has to know of a request.
 func placeOf(r *http.Request) placement.Request {
 	place := placement.Request{Tried: map[string]bool{}}
-	place.Key, place.Shared, place.Part = placement.ParsePrefix(r.Header.Get("X-Prompt-Prefix"))
+	place.PrefixKey, place.SharedTokens, place.PrefixTokens = placement.ParsePrefix(r.Header.Get("X-Prompt-Prefix"))
 	if prompt, output, ok := placement.ParseUsage(r.Header.Get("X-Token-Usage")); ok {
-		place.Prompt, place.Output = prompt, output
+		place.PromptTokens, place.MaxOutputTokens = prompt, output
 	}
 	return place
 }
@@ -201,28 +201,28 @@
 func (g *Gateway) takeQuota(ctx context.Context, req *request) (ok bool, wait time.Duration) {
 	name := req.tenant.Name
 	g.mutex.Lock()
-	verdict, extra := g.quota.Take(name, req.units, g.options.Now())
+	verdict, extra := g.quota.Reserve(name, req.units, g.options.Now())
 	g.mutex.Unlock()
-	if verdict != quota.AskPrimary {
+	if verdict != quota.NeedsPrimary {
 		return verdict == quota.Granted, 0
 	}
 	var acquired Acquisition
 	g.waitForStart(ctx, req.startLimit, func() bool {
 		acquired = g.options.Acquirer.Acquire(ctx, name, req.units, extra)
-		return acquired.From != FromNobody
+		return acquired.Source != FromNone
 	})
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.options.Now()
-	switch acquired.From {
+	switch acquired.Source {
 	case FromPrimary:
-		verdict = g.quota.Acquired(name, acquired.Given, req.units, now)
+		verdict = g.quota.ApplyAcquired(name, acquired.Granted, req.units, now)
 	case FromPool:
-		return acquired.Given >= req.units, acquired.Wait
-	case FromNobody:
-		verdict, acquired.Wait = g.quota.TakeLeased(name, req.units, now)
+		return acquired.Granted >= req.units, acquired.RetryAfter
+	case FromNone:
+		verdict, acquired.RetryAfter = g.quota.ReserveFromLease(name, req.units, now)
 	}
-	return verdict == quota.Granted, acquired.Wait
+	return verdict == quota.Granted, acquired.RetryAfter
 }
 
 // split chooses the service of a route that is split over several.
@@ -232,12 +232,12 @@
 	}
 	turns := g.splits[route.Name]
 	if len(turns) != len(route.Backends) {
-		turns = make([]rotation.Turn, len(route.Backends))
+		turns = make([]rotation.CurrentWeight, len(route.Backends))
 		g.splits[route.Name] = turns
 	}
 	candidates := make([]rotation.Candidate, len(turns))
 	for i := range turns {
-		candidates[i] = rotation.Candidate{Turn: &turns[i], Weight: route.Backends[i].Weight}
+		candidates[i] = rotation.Candidate{Current: &turns[i], Weight: route.Backends[i].Weight}
 	}
 	return route.Backends[rotation.Pick(candidates)].Service
 }
@@ -273,12 +273,12 @@
 // refuse answers with a promise that the request has not run, and says when to come back.
 func (g *Gateway) refuse(w http.ResponseWriter, status int, after time.Duration, reason string) {
 	w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
-	g.Counts.Refused.Add(1)
+	g.Counters.Rejected.Add(1)
 	http.Error(w, reason, status)
 }
 
 // fail answers without a promise.
 func (g *Gateway) fail(w http.ResponseWriter, status int, reason string) {
-	g.Counts.Failed.Add(1)
+	g.Counters.Failed.Add(1)
 	http.Error(w, reason, status)
 }
--- a/internal/router/gateway/servers.go
+++ b/internal/router/gateway/servers.go
@@ -43,7 +43,7 @@
 func (g *Gateway) putServer(i *registry.Instance) {
 	s := g.services[i.Service]
 	if s == nil {
-		s = &service{pool: placement.NewPool(g.options.Zone, g.options.Again, placement.DefaultPolicy(), nil), conns: map[string]*backend.Pool{}}
+		s = &service{pool: placement.NewPool(g.options.Zone, g.options.PrefixTTL, placement.DefaultPolicy(), nil), conns: map[string]*backend.Pool{}}
 		g.services[i.Service] = s
 	}
 	if c := s.conns[i.ID]; c != nil && c.Address() != i.Address {
@@ -56,8 +56,8 @@
 	g.serviceOf[i.ID] = i.Service
 }
 
-// Servers is how many servers of each service requests may go to.
-func (g *Gateway) Servers() map[string]int {
+// ServerCounts is how many servers of each service requests may go to.
+func (g *Gateway) ServerCounts() map[string]int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	count := make(map[string]int, len(g.services))
@@ -67,8 +67,8 @@
 	return count
 }
 
-// ServersOf counts the servers of a service that requests may go to.
-func (g *Gateway) ServersOf(name string) int {
+// ServerCount counts the servers of a service that requests may go to.
+func (g *Gateway) ServerCount(name string) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	s := g.services[name]
--- a/internal/router/gateway/stall.go
+++ b/internal/router/gateway/stall.go
@@ -95,7 +95,7 @@
 		return false
 	}
 	now := g.options.Now()
-	usable := func(one *placement.Server) bool { return s.conns[one.ID].Room() && !one.Full(now) }
+	usable := func(one *placement.Server) bool { return s.conns[one.ID].HasCapacity() && !one.Full(now) }
 	if s.pool.Reroute(req.place, usable, now) == nil || !g.retries.Retry(req.service, now) {
 		return false
 	}
--- a/internal/router/gateway/stall_test.go
+++ b/internal/router/gateway/stall_test.go
@@ -51,8 +51,8 @@
 	require.Equal(t, "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\nid: 4\ndata: x\n\n", body)
 	require.EqualValues(t, 1, begun.Load())
 	require.EqualValues(t, 1, resumed.Load())
-	require.EqualValues(t, 1, r.gateway.Counts.Moved.Load())
-	require.Zero(t, r.gateway.Counts.Retried.Load(), "it is counted once")
+	require.EqualValues(t, 1, r.gateway.Counters.Migrated.Load())
+	require.Zero(t, r.gateway.Counters.Retried.Load(), "it is counted once")
 }
 
 // A server that stalls before the first part is left too; nobody has a part of the answer then.
@@ -117,7 +117,7 @@
 			require.NoError(t, err)
 			require.Equal(t, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n", body)
 			require.EqualValues(t, 1, asked.Load())
-			require.Zero(t, r.gateway.Counts.Moved.Load())
+			require.Zero(t, r.gateway.Counters.Migrated.Load())
 		})
 	}
 }
@@ -132,7 +132,7 @@
 func TestMissedRequestsAreAccountedFor(t *testing.T) {
 	r := newRig(t)
 	missed := make(chan latency.Reason, 8)
-	r.gateway.options.Missed = func(route string, _ *latency.Trace, why latency.Reason) { missed <- latency.Reason(route) + " " + why }
+	r.gateway.options.OnObjectiveMissed = func(route string, _ *latency.Trace, why latency.Reason) { missed <- latency.Reason(route) + " " + why }
 	r.server(func(w http.ResponseWriter, got *http.Request) {
 		events(w, 1, 1)
 		if got.URL.Path == "/paced/slow" {
@@ -147,10 +147,10 @@
 	r.do("/stream/x")
 	require.EqualValues(t, "stream refused_limit", <-missed)
 	r.acquirer.empty.Store(false)
-	reports := r.gateway.Latency()
+	reports := r.gateway.LatencyReports()
 	require.Len(t, reports, 2)
 	require.Equal(t, "paced", reports[0].Route)
-	require.EqualValues(t, 1, reports[0].Reasons[latency.LatePause])
+	require.EqualValues(t, 1, reports[0].Reasons[latency.LateGap])
 	require.EqualValues(t, 1, reports[1].Reasons[latency.RefusedLimit])
 	require.EqualValues(t, 1, reports[0].First.Count)
 	require.Empty(t, missed)
--- a/internal/router/gateway/uses.go
+++ b/internal/router/gateway/uses.go
@@ -4,24 +4,24 @@
 
 // used notes where a part is read, and that others should hear of it. The lock is held.
 func (g *Gateway) used(req *request, s *service, server *placement.Server) {
-	key := placement.HashKey(req.place.Key)
-	s.pool.Used(key, server.ID, g.options.Now())
-	if g.options.Again == 0 {
+	key := placement.HashPrefix(req.place.PrefixKey)
+	s.pool.RecordUse(key, server.ID, g.options.Now())
+	if g.options.PrefixTTL == 0 {
 		return
 	}
 	u := g.uses[req.service]
 	if u == nil {
-		u = &placement.Uses{Service: req.service}
+		u = &placement.PrefixUses{Service: req.service}
 		g.uses[req.service] = u
 	}
 	u.Add(key, server.ID)
 }
 
-// TakeUses takes what this sidecar sent where since the last call.
-func (g *Gateway) TakeUses() []placement.Uses {
+// TakePrefixUses takes what this sidecar sent where since the last call.
+func (g *Gateway) TakePrefixUses() []placement.PrefixUses {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	var out []placement.Uses
+	var out []placement.PrefixUses
 	for _, u := range g.uses {
 		out = append(out, *u)
 	}
@@ -29,8 +29,8 @@
 	return out
 }
 
-// NoteUses takes in what other sidecars sent where.
-func (g *Gateway) NoteUses(list []placement.Uses) {
+// ApplyPrefixUses takes in what other sidecars sent where.
+func (g *Gateway) ApplyPrefixUses(list []placement.PrefixUses) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.options.Now()
@@ -40,7 +40,7 @@
 			continue
 		}
 		for key, server := range u.All() {
-			s.pool.Used(key, server, now)
+			s.pool.RecordUse(key, server, now)
 		}
 	}
 }
--- a/internal/router/latency/latency.go
+++ b/internal/router/latency/latency.go
@@ -36,7 +36,7 @@
 // The reasons. A late request has the phase that took longest, or what came after the first part.
 const (
 	InTime        Reason = "in_time"
-	LatePause     Reason = "late_pause" // between two parts of a stream
+	LateGap       Reason = "late_pause" // between two parts of a stream
 	RefusedLimit  Reason = "refused_limit"
 	RefusedEnding Reason = "refused_ending"
 	RefusedServer Reason = "refused_no_server"
@@ -50,23 +50,23 @@
 
 // Trace is the time of one request.
 type Trace struct {
-	Spent  [phases]time.Duration
-	First  time.Duration // from its beginning to the first part; 0: none came
-	Pause  time.Duration // the longest between two parts
-	Ended  Reason        // why it was not served; "": it was
-	Server string        // that answered, or was asked last
-	Sends  int
+	PhaseTimes      [phases]time.Duration
+	TimeToFirstByte time.Duration // from its beginning to the first part; 0: none came
+	MaxGap          time.Duration // the longest between two parts
+	FailureReason   Reason        // why it was not served; "": it was
+	Server          string        // that answered, or was asked last
+	Attempts        int
 }
 
 // Reason says what became of a request with an objective for the first part, and one for pauses; 0: it has none.
 func (t *Trace) Reason(aim, pause time.Duration) Reason {
 	switch {
-	case t.Ended != "":
-		return t.Ended
-	case aim > 0 && t.First > aim:
+	case t.FailureReason != "":
+		return t.FailureReason
+	case aim > 0 && t.TimeToFirstByte > aim:
 		return Reason(latePrefix + t.longest().String())
-	case pause > 0 && t.Pause > pause:
-		return LatePause
+	case pause > 0 && t.MaxGap > pause:
+		return LateGap
 	}
 	return InTime
 }
@@ -74,7 +74,7 @@
 func (t *Trace) longest() Phase {
 	longest := Server
 	for p := range phases {
-		if t.Spent[p] > t.Spent[longest] {
+		if t.PhaseTimes[p] > t.PhaseTimes[longest] {
 			longest = p
 		}
 	}
@@ -105,11 +105,11 @@
 func (t *Totals) Note(route string, trace *Trace, reason Reason) {
 	r := t.route(route)
 	r.reasons[reason]++
-	if trace.First == 0 {
+	if trace.TimeToFirstByte == 0 {
 		return
 	}
-	record(&r.first, trace.First)
-	for p, spent := range trace.Spent {
+	record(&r.first, trace.TimeToFirstByte)
+	for p, spent := range trace.PhaseTimes {
 		if spent >= unit {
 			record(&r.spent[p], spent)
 		}
--- a/internal/router/latency/latency_test.go
+++ b/internal/router/latency/latency_test.go
@@ -15,22 +15,22 @@
 		trace Trace
 		want  Reason
 	}{
-		{Trace{First: 200 * ms}, InTime},
-		{Trace{First: 251 * ms, Spent: [phases]time.Duration{Quota: 120 * ms, Server: 90 * ms}}, "late_quota"},
-		{Trace{First: 251 * ms, Spent: [phases]time.Duration{Rerouted: 90 * ms, Server: 120 * ms}}, "late_server"},
-		{Trace{First: 251 * ms}, "late_server"},
-		{Trace{First: 20 * ms, Pause: 201 * ms}, LatePause},
-		{Trace{First: 20 * ms, Pause: 201 * ms, Ended: LostBroken}, LostBroken},
+		{Trace{TimeToFirstByte: 200 * ms}, InTime},
+		{Trace{TimeToFirstByte: 251 * ms, PhaseTimes: [phases]time.Duration{Quota: 120 * ms, Server: 90 * ms}}, "late_quota"},
+		{Trace{TimeToFirstByte: 251 * ms, PhaseTimes: [phases]time.Duration{Rerouted: 90 * ms, Server: 120 * ms}}, "late_server"},
+		{Trace{TimeToFirstByte: 251 * ms}, "late_server"},
+		{Trace{TimeToFirstByte: 20 * ms, MaxGap: 201 * ms}, LateGap},
+		{Trace{TimeToFirstByte: 20 * ms, MaxGap: 201 * ms, FailureReason: LostBroken}, LostBroken},
 	} {
 		require.Equal(t, c.want, c.trace.Reason(250*ms, 200*ms), "%+v", c.trace)
 	}
-	require.Equal(t, InTime, (&Trace{First: time.Hour, Pause: time.Hour}).Reason(0, 0), "without objectives nothing is late")
+	require.Equal(t, InTime, (&Trace{TimeToFirstByte: time.Hour, MaxGap: time.Hour}).Reason(0, 0), "without objectives nothing is late")
 }
 
 func TestReports(t *testing.T) {
 	totals := NewTotals()
 	for i := range 100 {
-		totals.Note("b", &Trace{First: time.Duration(i+1) * ms, Spent: [phases]time.Duration{Server: time.Duration(i+1) * ms}}, InTime)
+		totals.Note("b", &Trace{TimeToFirstByte: time.Duration(i+1) * ms, PhaseTimes: [phases]time.Duration{Server: time.Duration(i+1) * ms}}, InTime)
 	}
 	totals.Note("a", &Trace{}, RefusedLimit)
 	reports := totals.Reports()
@@ -45,7 +45,7 @@
 func TestRoutesAreBounded(t *testing.T) {
 	totals := NewTotals()
 	for i := range 10 * maxRoutes {
-		totals.Note(fmt.Sprint(i), &Trace{First: time.Hour}, InTime)
+		totals.Note(fmt.Sprint(i), &Trace{TimeToFirstByte: time.Hour}, InTime)
 	}
 	reports := totals.Reports()
 	require.Len(t, reports, maxRoutes+1)
--- a/internal/router/node/apply.go
+++ b/internal/router/node/apply.go
@@ -31,7 +31,7 @@
 
 // logServers logs how many servers of each service requests may go to, where that is another number than before.
 func (n *Node) logServers() {
-	for name, count := range n.gateway.Servers() {
+	for name, count := range n.gateway.ServerCounts() {
 		if n.logged[name] != count {
 			n.logged[name] = count
 			n.logger.Info().Str("service", name).Int("usable", count).Msg("servers")
--- a/internal/router/node/end.go
+++ b/internal/router/node/end.go
@@ -55,7 +55,7 @@
 func (n *Node) end(s *servers, ticker *time.Ticker) {
 	n.ending.Store(true)
 	plan := newSchedule(time.Now(), settings.Seconds(n.settings.Bounds.GraceS))
-	n.gateway.End(plan.longUntil, plan.by)
+	n.gateway.Drain(plan.longUntil, plan.by)
 	n.mutex.Lock()
 	n.replica.Leave(n.now())
 	n.carryOut()
--- a/internal/router/node/loads.go
+++ b/internal/router/node/loads.go
@@ -14,8 +14,8 @@
 
 // loads is a node's part in telling what requests have left to do at the servers.
 type loads struct {
-	board *placement.Board // of a control sidecar
-	told  bool             // the last word was of something
+	board *placement.LoadBoard // of a control sidecar
+	told  bool                 // the last word was of something
 }
 
 // tickLoads tells the home what this sidecar has under way; a control sidecar tells other control sidecars what its subscribers have, and
@@ -25,7 +25,7 @@
 	if !n.every.loads.due(every, now) {
 		return
 	}
-	own := n.gateway.Loads()
+	own := n.gateway.LocalLoads()
 	if !n.core() {
 		if n.home.address != "" && (len(own) > 0 || n.loads.told) {
 			n.transport.Send(n.home.address, dissemination.LoadReport{Loads: own.Message()})
@@ -45,7 +45,7 @@
 		}
 		n.transport.Send(s.address, dissemination.LoadReport{Loads: board.Others(all, s.address).Message()})
 	}
-	n.gateway.SetLoads(board.Others(all, n.self.Address))
+	n.gateway.SetPeerLoads(board.Others(all, n.self.Address))
 }
 
 func (n *Node) onUnderWay(from string, m dissemination.LoadReport, now time.Duration) {
@@ -53,6 +53,6 @@
 	case n.core():
 		n.loads.board.Put(from, n.isMember(from), m.Loads.Sums(), now)
 	case from == n.home.address:
-		n.gateway.SetLoads(m.Loads.Sums())
+		n.gateway.SetPeerLoads(m.Loads.Sums())
 	}
 }
--- a/internal/router/node/loads_test.go
+++ b/internal/router/node/loads_test.go
@@ -12,7 +12,7 @@
 )
 
 func underWay(unread float64) dissemination.LoadReport {
-	return dissemination.LoadReport{Loads: placement.LoadSums{placement.HashServer("i1"): {Requests: 1, Unread: unread}}.Message()}
+	return dissemination.LoadReport{Loads: placement.LoadSums{placement.HashServer("i1"): {Requests: 1, PrefillTokens: unread}}.Message()}
 }
 
 // A control sidecar adds up what its subscribers tell, and what other control sidecars do; only the first goes on to those.
@@ -25,10 +25,10 @@
 	n.onUnderWay("10.0.1.3:7000", underWay(300), now)
 	n.onUnderWay(peer.Address, underWay(20), now)
 	i1 := placement.HashServer("i1")
-	require.EqualValues(t, 1300, n.loads.board.ForPeers()[i1].Unread)
+	require.EqualValues(t, 1300, n.loads.board.ForPeers()[i1].PrefillTokens)
 	all := n.loads.board.All()
-	require.EqualValues(t, 1320, all[i1].Unread)
-	require.EqualValues(t, 320, n.loads.board.Others(all, "10.0.1.2:7000")[i1].Unread)
+	require.EqualValues(t, 1320, all[i1].PrefillTokens)
+	require.EqualValues(t, 320, n.loads.board.Others(all, "10.0.1.2:7000")[i1].PrefillTokens)
 	n.tickLoads(now + 2*time.Second)
 	require.Empty(t, n.loads.board.All(), "nobody has renewed it")
 }
--- a/internal/router/node/missed.go
+++ b/internal/router/node/missed.go
@@ -45,9 +45,9 @@
 	if !ok {
 		return
 	}
-	line := n.logger.Info().Str("route", route).Str("why", string(why)).Str("server", t.Server).Int("sends", t.Sends).
-		Float64("first_ms", milliseconds(t.First)).Float64("pause_ms", milliseconds(t.Pause))
-	for phase, spent := range t.Spent {
+	line := n.logger.Info().Str("route", route).Str("why", string(why)).Str("server", t.Server).Int("sends", t.Attempts).
+		Float64("first_ms", milliseconds(t.TimeToFirstByte)).Float64("pause_ms", milliseconds(t.MaxGap))
+	for phase, spent := range t.PhaseTimes {
 		if spent >= time.Millisecond {
 			line = line.Float64(latency.Phase(phase).String()+"_ms", milliseconds(spent))
 		}
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -127,12 +127,12 @@
 	n.every.expire.due(0, 0)
 	n.pushTimer = time.NewTimer(time.Hour)
 	n.pushTimer.Stop()
-	n.loads.board = placement.NewBoard()
+	n.loads.board = placement.NewLoadBoard()
 	n.outliers.detector = outlier.NewDetector(usableServers{n})
 	n.self = membership.Process{Address: s.InternalAddress(), Zone: s.Zone, Incarnation: n.life}
 	b := s.Bounds
-	n.gateway = gateway.New(gateway.Options{Zone: s.Zone, Now: n.now, Life: n.life,
-		Acquirer: n, Missed: n.missed, Again: settings.Seconds(b.AgainS), BodyMemory: int64(s.Limits.MemoryMb) << 20 / bodyShare, BudgetRatio: b.RetryBudgetRatio, BudgetSlack: b.RetryBudgetSlack,
+	n.gateway = gateway.New(gateway.Options{Zone: s.Zone, Now: n.now, Incarnation: n.life,
+		Acquirer: n, OnObjectiveMissed: n.missed, PrefixTTL: settings.Seconds(b.AgainS), MaxBodyMemory: int64(s.Limits.MemoryMb) << 20 / bodyShare, BudgetRatio: b.RetryBudgetRatio, BudgetSlack: b.RetryBudgetSlack,
 		BudgetWindow: max(time.Second, settings.Seconds(b.BudgetWindowS))})
 	n.transport = transport.New(n.self.Address, wireformat.NewCodec(), n.receive)
 	return n
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -96,7 +96,7 @@
 	n.onPush("10.0.1.1:7000", &dissemination.Push{Incarnation: 2, InTouch: true, Stamp: 0, Version: 2, SessionsStamp: 1}, time.Second)
 	n.apply()
 	require.Equal(t, uint64(3), n.Version())
-	require.Equal(t, map[string]int{"s": 1}, n.gateway.Servers())
+	require.Equal(t, map[string]int{"s": 1}, n.gateway.ServerCounts())
 }
 
 // Servers come from the disk after a restart, without those that were lost, and in the order in which they were heard.
--- a/internal/router/node/outliers.go
+++ b/internal/router/node/outliers.go
@@ -36,8 +36,8 @@
 	return ""
 }
 
-// Usable implements outlier.Services.
-func (u usableServers) Usable(service string) int { return u.node.gateway.ServersOf(service) }
+// UsableServers implements outlier.Services.
+func (u usableServers) UsableServers(service string) int { return u.node.gateway.ServerCount(service) }
 
 // tickOutliers reports how this sidecar's sends ended; a control sidecar judges servers by what was reported.
 func (n *Node) tickOutliers(now time.Duration) {
@@ -50,11 +50,11 @@
 }
 
 func (n *Node) reportOutcomes(now time.Duration) {
-	report, ok := n.gateway.TakeReport()
+	report, ok := n.gateway.TakeOutcomeReport()
 	switch {
 	case !ok:
 	case n.core():
-		n.outliers.detector.Report(n.self.Address, report, now)
+		n.outliers.detector.ApplyReport(n.self.Address, report, now)
 	case n.home.address != "":
 		n.transport.Send(n.home.address, dissemination.OutcomeReport{Report: report})
 	}
@@ -97,13 +97,13 @@
 
 func (n *Node) onOutcomes(from string, m dissemination.OutcomeReport, now time.Duration) {
 	if n.core() {
-		n.outliers.detector.Report(from, m.Report, now)
+		n.outliers.detector.ApplyReport(from, m.Report, now)
 	}
 }
 
 func (n *Node) onOutcomeSums(from string, m dissemination.OutcomeSums, now time.Duration) {
 	if n.core() && n.isMember(from) {
-		n.outliers.detector.Peer(from, m.Sums, now)
+		n.outliers.detector.ApplyPeerSums(from, m.Sums, now)
 	}
 }
 
--- a/internal/router/node/pool.go
+++ b/internal/router/node/pool.go
@@ -90,7 +90,7 @@
 	if !waiting {
 		p.since = now
 	}
-	if now >= n.gateway.QuotaPooled() { // else the last host still has a deposit
+	if now >= n.gateway.QuotaPooledUntil() { // else the last host still has a deposit
 		n.reviewPoolHost(now)
 	}
 	switch p.host {
@@ -179,7 +179,7 @@
 
 // onPoolTake spends of the pool for one of its members; where there is not enough, and this sidecar hears the primary, that is asked.
 func (n *Node) onPoolTake(from string, m dissemination.PoolAcquire, now time.Duration) {
-	verdict, wait := n.poolHost.pool.Take(m.Tenant, m.Units, now)
+	verdict, wait := n.poolHost.pool.Reserve(m.Tenant, m.Units, now)
 	if verdict == quota.Granted || n.primarySilent(now) {
 		n.transport.Send(from, dissemination.PoolAcquired{Request: m.Request, Granted: verdict == quota.Granted, Wait: wait})
 		return
@@ -188,8 +188,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), poolWait)
 		defer cancel()
 		taken := dissemination.PoolAcquired{Request: m.Request, Wait: wait}
-		if acquired := n.acquireOfPrimary(ctx, m.Tenant, m.Units, 0); acquired.From == gateway.FromPrimary {
-			taken.Granted, taken.Wait = acquired.Given >= m.Units, acquired.Wait
+		if acquired := n.acquireOfPrimary(ctx, m.Tenant, m.Units, 0); acquired.Source == gateway.FromPrimary {
+			taken.Granted, taken.Wait = acquired.Granted >= m.Units, acquired.RetryAfter
 		}
 		n.transport.Send(from, taken)
 	}()
@@ -213,7 +213,7 @@
 		return gateway.Acquisition{}
 	}
 	if p.host == n.self.Address {
-		verdict, wait := n.poolHost.pool.Take(tenant, units, now)
+		verdict, wait := n.poolHost.pool.Reserve(tenant, units, now)
 		n.mutex.Unlock()
 		return pooled(verdict == quota.Granted, units, wait)
 	}
@@ -245,5 +245,5 @@
 	if !granted {
 		units = 0
 	}
-	return gateway.Acquisition{From: gateway.FromPool, Given: units, Wait: wait}
+	return gateway.Acquisition{Source: gateway.FromPool, Granted: units, RetryAfter: wait}
 }
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -30,8 +30,8 @@
 	n.gateway.SetTable(routetable.Compile(c, nil))
 	n.setLimits()
 	n.setFleet(4)
-	nonce, _, _ := n.gateway.AskQuota()
-	n.gateway.QuotaGranted(nonce, map[string]float64{"t1": 0.5})
+	nonce, _, _ := n.gateway.RequestQuotaShares()
+	n.gateway.ApplyQuotaShares(nonce, map[string]float64{"t1": 0.5})
 	return n
 }
 
@@ -41,25 +41,25 @@
 	n := poolNode(t)
 	require.Equal(t, n.self.Address, n.choosePoolHost(n.now()))
 	first := n.acquireOfPool(context.Background(), "t1", 1000)
-	require.Equal(t, gateway.Acquisition{From: gateway.FromPool, Given: 1000}, first, "one request may go ahead of what drips in")
-	require.Positive(t, n.gateway.QuotaPooled(), "its own lease is the pool's now")
+	require.Equal(t, gateway.Acquisition{Source: gateway.FromPool, Granted: 1000}, first, "one request may go ahead of what drips in")
+	require.Positive(t, n.gateway.QuotaPooledUntil(), "its own lease is the pool's now")
 	status := n.Status()
 	require.True(t, status.Silent)
 	require.Equal(t, n.self.Address, status.Pool)
 	require.Equal(t, 1, status.Deposits)
 	refused := n.acquireOfPool(context.Background(), "t1", 1)
-	require.Equal(t, gateway.FromPool, refused.From)
-	require.Zero(t, refused.Given)
-	alone := refused.Wait // 20 s
+	require.Equal(t, gateway.FromPool, refused.Source)
+	require.Zero(t, refused.Granted)
+	alone := refused.RetryAfter // 20 s
 
 	const other = "10.0.1.2:7000"
 	n.onPoolOffer(other, n.now())
 	deposit := dissemination.PoolDeposit{Nonce: n.token + 1, Deposit: quota.Deposit{Standing: 0.5, For: time.Hour}}
 	n.onPoolDeposit(other, deposit, n.now())
-	require.Greater(t, n.acquireOfPool(context.Background(), "t1", 1).Wait, alone/2+time.Second, "it was not asked for")
+	require.Greater(t, n.acquireOfPool(context.Background(), "t1", 1).RetryAfter, alone/2+time.Second, "it was not asked for")
 	deposit.Nonce = n.poolHost.offers[other].nonce
 	n.onPoolDeposit(other, deposit, n.now())
-	require.Less(t, n.acquireOfPool(context.Background(), "t1", 1).Wait, alone/2+time.Second)
+	require.Less(t, n.acquireOfPool(context.Background(), "t1", 1).RetryAfter, alone/2+time.Second)
 }
 
 // Once a primary is heard again the next deposit is an empty one, and the sidecar is asked for none any more.
@@ -73,7 +73,7 @@
 	require.False(t, n.primarySilent(n.now()))
 	n.tickPool(n.now() + 2*collectEvery)
 	require.Empty(t, n.poolHost.offers)
-	require.Zero(t, n.acquireOfPool(context.Background(), "t1", 1).Given)
+	require.Zero(t, n.acquireOfPool(context.Background(), "t1", 1).Granted)
 }
 
 // One that offers and does not answer is asked no more, and a sidecar that is no member of the core takes no offers.
@@ -96,7 +96,7 @@
 	n.view = view(2, member("10.0.2.1:7000", "z1"), host)
 	n.poolMembership.host, n.poolMembership.collected = host.Address, n.now()
 	n.gateway.QuotaDeposit()
-	require.Equal(t, gateway.FromNobody, n.acquireOfPool(context.Background(), "t1", 1).From)
+	require.Equal(t, gateway.FromNone, n.acquireOfPool(context.Background(), "t1", 1).Source)
 	require.Greater(t, n.poolMembership.avoid[host.Address], n.now())
 	require.Empty(t, n.poolMembership.takes)
 	n.view = view(3, member("10.0.2.1:7000", "z1"), host, v1)
@@ -110,7 +110,7 @@
 func TestOneRequestAsksASilentPrimary(t *testing.T) {
 	n := poolNode(t)
 	n.primaryHeard = n.now()
-	require.Equal(t, gateway.FromNobody, n.acquireOfPrimary(context.Background(), "t1", 1, 0).From)
+	require.Equal(t, gateway.FromNone, n.acquireOfPrimary(context.Background(), "t1", 1, 0).Source)
 	require.Greater(t, n.silentUntil, n.now())
 	n.silentUntil = n.now() // it may be asked again
 	before := n.now()
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -60,11 +60,11 @@
 		return
 	}
 	if n.leads() {
-		reserve := quota.Reserve(n.gateway.Fleet(), n.allocator.Heard(now), n.allocator.Term(now))
+		reserve := quota.ReservedFraction(n.gateway.FleetSize(), n.allocator.ActiveClients(now), n.allocator.TermAge(now))
 		n.allocator.SetReserve(reserve)
 		n.tokenBuckets.SetReserve(reserve)
 	}
-	nonce, demand, held := n.gateway.AskQuota() // also where nothing is wanted: it tells that this sidecar hears the primary
+	nonce, demand, held := n.gateway.RequestQuotaShares() // also where nothing is wanted: it tells that this sidecar hears the primary
 	ask := dissemination.QuotaRequest{Nonce: nonce, Incarnation: n.life, Demand: demand, Held: held}
 	if n.leads() {
 		n.onQuotaAsk(n.self.Address, ask)
@@ -77,9 +77,9 @@
 	if !n.leads() {
 		return
 	}
-	shares := n.allocator.Ask(from, m.Incarnation, m.Demand, m.Held, n.fleet, n.now())
+	shares := n.allocator.Allocate(from, m.Incarnation, m.Demand, m.Held, n.fleet, n.now())
 	if from == n.self.Address {
-		n.gateway.QuotaGranted(m.Nonce, shares)
+		n.gateway.ApplyQuotaShares(m.Nonce, shares)
 		return
 	}
 	n.transport.Send(from, dissemination.QuotaGrant{Nonce: m.Nonce, Shares: shares})
@@ -95,7 +95,7 @@
 
 // Acquire implements gateway.Acquirer.
 func (n *Node) Acquire(ctx context.Context, tenant string, need, extra float64) gateway.Acquisition {
-	if acquired := n.acquireOfPrimary(ctx, tenant, need, extra); acquired.From == gateway.FromPrimary || ctx.Err() != nil {
+	if acquired := n.acquireOfPrimary(ctx, tenant, need, extra); acquired.Source == gateway.FromPrimary || ctx.Err() != nil {
 		return acquired
 	}
 	return n.acquireOfPool(ctx, tenant, need)
@@ -109,7 +109,7 @@
 	if n.leads() {
 		given, wait := n.tokenBuckets.Acquire(tenant, need, extra, n.now())
 		n.mutex.Unlock()
-		return gateway.Acquisition{From: gateway.FromPrimary, Given: given, Wait: wait}
+		return gateway.Acquisition{Source: gateway.FromPrimary, Granted: given, RetryAfter: wait}
 	}
 	primary := n.view.PrimaryAddress()
 	if primary == "" || primary == n.self.Address || n.now() < n.silentUntil {
@@ -128,7 +128,7 @@
 	defer timer.Stop()
 	select {
 	case acquired := <-answer:
-		return gateway.Acquisition{From: gateway.FromPrimary, Given: acquired.Given, Wait: acquired.Wait}
+		return gateway.Acquisition{Source: gateway.FromPrimary, Granted: acquired.Given, RetryAfter: acquired.Wait}
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/router/node/receive.go
+++ b/internal/router/node/receive.go
@@ -44,7 +44,7 @@
 		n.onQuotaAsk(from, m)
 	case dissemination.QuotaGrant:
 		n.primaryHeard = now
-		n.gateway.QuotaGranted(m.Nonce, m.Shares)
+		n.gateway.ApplyQuotaShares(m.Nonce, m.Shares)
 	case dissemination.QuotaAcquire:
 		n.onQuotaAcquire(from, m, now)
 	case dissemination.QuotaAcquired:
--- a/internal/router/node/scrub_test.go
+++ b/internal/router/node/scrub_test.go
@@ -31,7 +31,7 @@
 	n.onPush(from, pushFrom(home, 0, 0), 0)
 	n.registry.Adopt(registry.Update{Instance: registry.Instance{ID: "ended", Service: "s", Address: "b"}}, 0)
 	n.apply()
-	require.Equal(t, map[string]int{"s": 2}, n.gateway.Servers())
+	require.Equal(t, map[string]int{"s": 2}, n.gateway.ServerCounts())
 
 	now := 100 * time.Millisecond
 	for ; now < scrubAfter; now += sessionEvery {
@@ -47,7 +47,7 @@
 	whole.FullState = true
 	n.onPush(from, whole, 2*scrubAfter)
 	n.apply()
-	require.Equal(t, map[string]int{"s": 1}, n.gateway.Servers())
+	require.Equal(t, map[string]int{"s": 1}, n.gateway.ServerCounts())
 	require.Equal(t, home.Digest(), n.registry.Digest())
 }
 
--- a/internal/router/node/status.go
+++ b/internal/router/node/status.go
@@ -46,7 +46,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	s := Status{Node: n.settings.NodeName, Zone: n.settings.Zone, Ready: n.ready.Load(), Core: n.core(), Primary: n.replica.Primary(),
-		Home: n.home.address, View: n.view, Replica: n.replica.Status(), Version: n.compiled, Fleet: n.fleet, Servers: n.gateway.Servers(),
+		Home: n.home.address, View: n.view, Replica: n.replica.Status(), Version: n.compiled, Fleet: n.fleet, Servers: n.gateway.ServerCounts(),
 		SentBytes: n.transport.Sent()}
 	s.InTouch = s.Core && n.replica.InTouch() || !s.Core && n.home.touch && n.now()-n.home.heard < homeSilent
 	if t := n.gateway.Table(); t != nil {
@@ -55,14 +55,14 @@
 	if s.Core {
 		s.Doubted = n.outliers.detector.Explain(n.now())
 	}
-	s.Silent, s.Deposits = n.primarySilent(n.now()), n.poolHost.pool.Deposits(n.now())
-	if n.now() < n.gateway.QuotaPooled() {
+	s.Silent, s.Deposits = n.primarySilent(n.now()), n.poolHost.pool.DepositCount(n.now())
+	if n.now() < n.gateway.QuotaPooledUntil() {
 		s.Pool = n.poolMembership.host
 	}
-	c := &n.gateway.Counts
-	s.Requests, s.Served, s.Refused = c.Requests.Load(), c.Served.Load(), c.Refused.Load()
-	s.Failed, s.Retried, s.Moved = c.Failed.Load(), c.Retried.Load(), c.Moved.Load()
-	s.Latency = n.gateway.Latency()
+	c := &n.gateway.Counters
+	s.Requests, s.Served, s.Refused = c.Requests.Load(), c.Served.Load(), c.Rejected.Load()
+	s.Failed, s.Retried, s.Moved = c.Failed.Load(), c.Retried.Load(), c.Migrated.Load()
+	s.Latency = n.gateway.LatencyReports()
 	return s
 }
 
--- a/internal/router/node/subscription.go
+++ b/internal/router/node/subscription.go
@@ -21,9 +21,9 @@
 	listed   int           // servers in that
 	resent   int           // how often in a row it was sent anew, for it did not have it
 	heard    time.Duration
-	whole    bool                       // it asked for the whole list of servers
-	fresh    map[string]bool            // servers heard here that it was not told of
-	uses     map[string]*placement.Uses // not yet told, by service
+	whole    bool                             // it asked for the whole list of servers
+	fresh    map[string]bool                  // servers heard here that it was not told of
+	uses     map[string]*placement.PrefixUses // not yet told, by service
 }
 
 // upstreamStamp is how far one has followed another's registry.
@@ -49,7 +49,7 @@
 	n.sessions.Heartbeat(m.Node, now)
 	s := n.subscribers[from]
 	if s == nil {
-		s = &subscriber{address: from, fresh: map[string]bool{}, uses: map[string]*placement.Uses{}}
+		s = &subscriber{address: from, fresh: map[string]bool{}, uses: map[string]*placement.PrefixUses{}}
 		n.subscribers[from] = s
 	}
 	s.core, s.heard, s.view = m.CoreMember, now, m.View
--- a/internal/router/node/tick.go
+++ b/internal/router/node/tick.go
@@ -67,6 +67,6 @@
 func (n *Node) setFleet(size int) {
 	if size > 0 {
 		n.fleet = size
-		n.gateway.SetFleet(size)
+		n.gateway.SetFleetSize(size)
 	}
 }
--- a/internal/router/node/uses.go
+++ b/internal/router/node/uses.go
@@ -15,7 +15,7 @@
 	if !n.every.uses.due(usesEvery, now) {
 		return
 	}
-	own := n.gateway.TakeUses()
+	own := n.gateway.TakePrefixUses()
 	if !n.core() {
 		if len(own) > 0 && n.home.address != "" {
 			n.transport.Send(n.home.address, dissemination.PrefixReport{Uses: own})
@@ -27,7 +27,7 @@
 		if len(s.uses) == 0 {
 			continue
 		}
-		var list []placement.Uses
+		var list []placement.PrefixUses
 		for _, u := range s.uses {
 			list = append(list, *u)
 		}
@@ -37,7 +37,7 @@
 }
 
 func (n *Node) onUsed(from string, m dissemination.PrefixReport) {
-	n.gateway.NoteUses(m.Uses)
+	n.gateway.ApplyPrefixUses(m.Uses)
 	if n.core() {
 		n.spreadUses(from, n.isMember(from), m.Uses)
 	}
@@ -45,14 +45,14 @@
 
 // spreadUses keeps what a sidecar said of shared parts for the other subscribers; what came from another control sidecar
 // for those only that are none themselves.
-func (n *Node) spreadUses(from string, fromCore bool, list []placement.Uses) {
+func (n *Node) spreadUses(from string, fromCore bool, list []placement.PrefixUses) {
 	for _, u := range list {
 		for address, s := range n.subscribers {
 			if address == from || fromCore && s.core {
 				continue
 			}
 			if s.uses[u.Service] == nil {
-				s.uses[u.Service] = &placement.Uses{Service: u.Service}
+				s.uses[u.Service] = &placement.PrefixUses{Service: u.Service}
 			}
 			s.uses[u.Service].Merge(u)
 		}
--- a/internal/router/outlier/detector.go
+++ b/internal/router/outlier/detector.go
@@ -8,8 +8,8 @@
 
 // Services is what a detector has to know of the list of servers.
 type Services interface {
-	ServiceOf(server string) string // "": it is not known, or may not be used
-	Usable(service string) int      // how many servers requests may go to
+	ServiceOf(server string) string   // "": it is not known, or may not be used
+	UsableServers(service string) int // how many servers requests may go to
 }
 
 // Detector is a home's judgement of servers. What it holds grows with the servers that its subscribers sent to lately.
@@ -62,8 +62,8 @@
 	return s
 }
 
-// Report takes in what a subscriber sent.
-func (d *Detector) Report(teller string, r Report, now time.Duration) {
+// ApplyReport takes in what a subscriber sent.
+func (d *Detector) ApplyReport(teller string, r Report, now time.Duration) {
 	for i, id := range r.Servers {
 		if i >= len(r.Sent) || i >= len(r.Failed) {
 			return
@@ -89,8 +89,8 @@
 	}
 }
 
-// Peer takes in the sums of another home, which stand for what it told before.
-func (d *Detector) Peer(home string, sums []Sum, now time.Duration) {
+// ApplyPeerSums takes in the sums of another home, which stand for what it told before.
+func (d *Detector) ApplyPeerSums(home string, sums []Sum, now time.Duration) {
 	for _, sum := range sums {
 		if s := d.find(sum.Server); s != nil {
 			s.peers[home] = peerSum{sum, now}
@@ -257,7 +257,7 @@
 	slices.SortFunc(list, func(a, b *suspect) int {
 		return cmp.Or(cmp.Compare(b.ratio(), a.ratio()), cmp.Compare(a.id, b.id))
 	})
-	usable := d.services.Usable(name)
+	usable := d.services.UsableServers(name)
 	room := int(ejectablePart * float64(usable))
 	for _, one := range list {
 		e := &one.server.ejection
@@ -313,7 +313,7 @@
 
 // trial is the probability with which a request of a service goes to one of its ejected servers.
 func (d *Detector) trial(name string, reporting float64, now time.Duration) float64 {
-	part := trialPart / float64(max(1, d.services.Usable(name)))
+	part := trialPart / float64(max(1, d.services.UsableServers(name)))
 	t := d.traffic[name]
 	if t == nil || reporting <= 0 {
 		return part
--- a/internal/router/outlier/outlier_test.go
+++ b/internal/router/outlier/outlier_test.go
@@ -27,8 +27,8 @@
 // ServiceOf implements Services.
 func (f *fleet) ServiceOf(id string) string { return f.servers[id] }
 
-// Usable implements Services.
-func (f *fleet) Usable(service string) int {
+// UsableServers implements Services.
+func (f *fleet) UsableServers(service string) int {
 	n := 0
 	for _, s := range f.servers {
 		if s == service {
@@ -87,13 +87,13 @@
 		}
 		for i, t := range f.tallies {
 			if r, ok := t.Take(f.now); ok {
-				f.homes[i%len(f.homes)].Report(fmt.Sprint(i), r, f.now)
+				f.homes[i%len(f.homes)].ApplyReport(fmt.Sprint(i), r, f.now)
 			}
 		}
 		for i, home := range f.homes {
 			for j, other := range f.homes {
 				if i != j {
-					other.Peer(fmt.Sprint(i), home.Sums(f.now), f.now)
+					other.ApplyPeerSums(fmt.Sprint(i), home.Sums(f.now), f.now)
 				}
 			}
 		}
@@ -193,9 +193,9 @@
 		ejected int
 	}{{2, 1}, {ownEnough + 2, 0}} {
 		f := newFleet(9, 1, 1, 4)
-		f.homes[0].Report("own", Report{Servers: []string{"s01"}, Sent: []uint16{one.own / 2}, Failed: []uint16{0}}, 0)
-		f.homes[0].Report("another", Report{Servers: []string{"s01"}, Sent: []uint16{one.own / 2}, Failed: []uint16{0}}, 0)
-		f.homes[0].Peer("peer", []Sum{{Server: "s01", All: Count{Sent: 40, Failed: 30}, Worst: Count{Sent: 4, Failed: 3}}}, 0)
+		f.homes[0].ApplyReport("own", Report{Servers: []string{"s01"}, Sent: []uint16{one.own / 2}, Failed: []uint16{0}}, 0)
+		f.homes[0].ApplyReport("another", Report{Servers: []string{"s01"}, Sent: []uint16{one.own / 2}, Failed: []uint16{0}}, 0)
+		f.homes[0].ApplyPeerSums("peer", []Sum{{Server: "s01", All: Count{Sent: 40, Failed: 30}, Worst: Count{Sent: 4, Failed: 3}}}, 0)
 		require.Len(t, f.homes[0].Judge(1, 0), one.ejected, "%d own sends", one.own)
 	}
 }
@@ -203,9 +203,9 @@
 // A teller that sends much and sees a server well does not outweigh many that see it fail.
 func TestOneTellerDoesNotHideWhatOthersSee(t *testing.T) {
 	f := newFleet(9, 1, 1, 4)
-	f.homes[0].Report("much", Report{Servers: []string{"s01"}, Sent: []uint16{200}, Failed: []uint16{0}}, 0)
+	f.homes[0].ApplyReport("much", Report{Servers: []string{"s01"}, Sent: []uint16{200}, Failed: []uint16{0}}, 0)
 	for i := range 5 {
-		f.homes[0].Report(fmt.Sprint("little ", i), Report{Servers: []string{"s01"}, Sent: []uint16{4}, Failed: []uint16{3}}, 0)
+		f.homes[0].ApplyReport(fmt.Sprint("little ", i), Report{Servers: []string{"s01"}, Sent: []uint16{4}, Failed: []uint16{3}}, 0)
 	}
 	require.Len(t, f.homes[0].Judge(1, 0), 1)
 }
@@ -263,8 +263,8 @@
 		require.Empty(t, f.ejected[i])
 	}
 	d := NewDetector(f)
-	d.Report("confused", Report{Servers: []string{"s01", "no such server", "s02"}, Sent: []uint16{60000, 1}, Failed: []uint16{65000, 1, 1}}, 0)
-	d.Report("other", Report{Servers: []string{"s01", "s02", "s03"}, Sent: []uint16{30, 30, 30}, Failed: []uint16{0, 0, 0}}, 0)
+	d.ApplyReport("confused", Report{Servers: []string{"s01", "no such server", "s02"}, Sent: []uint16{60000, 1}, Failed: []uint16{65000, 1, 1}}, 0)
+	d.ApplyReport("other", Report{Servers: []string{"s01", "s02", "s03"}, Sent: []uint16{30, 30, 30}, Failed: []uint16{0, 0, 0}}, 0)
 	require.Empty(t, d.Judge(1, 0))
 }
 
--- a/internal/router/placement/ejected.go
+++ b/internal/router/placement/ejected.go
@@ -46,7 +46,7 @@
 	}
 	for _, id := range p.ejected.order {
 		s := p.servers[id]
-		if s == nil || r.Tried[id] || s.Health.Resting(now) || !usable(s) {
+		if s == nil || r.Tried[id] || s.Health.CoolingDown(now) || !usable(s) {
 			continue
 		}
 		if p.ejected.random() < p.ejected.trials[id] {
--- a/internal/router/placement/ejected_test.go
+++ b/internal/router/placement/ejected_test.go
@@ -15,12 +15,12 @@
 	p.SetEjections(map[string]float64{"s0": 0.1}, time.Second)
 	for i := range 50 {
 		require.NotEqual(t, "s0", p.Pick(Request{}, all, 0).ID)
-		require.NotEqual(t, "s0", p.Pick(Request{Key: string(rune('a' + i)), Shared: 6000}, all, 0).ID)
+		require.NotEqual(t, "s0", p.Pick(Request{PrefixKey: string(rune('a' + i)), SharedTokens: 6000}, all, 0).ID)
 	}
 	require.NotEqual(t, "s0", p.Reroute(Request{Tried: map[string]bool{"s3": true}}, all, 0).ID)
 	draw = 0.05
 	require.Equal(t, "s0", p.Pick(Request{}, all, 0).ID)
-	require.Equal(t, "s0", p.Pick(Request{Key: "a", Shared: 6000}, all, 0).ID)
+	require.Equal(t, "s0", p.Pick(Request{PrefixKey: "a", SharedTokens: 6000}, all, 0).ID)
 	require.NotEqual(t, "s0", p.Pick(Request{Tried: map[string]bool{"s0": true}}, all, 0).ID)
 
 	draw = 0.5
@@ -38,7 +38,7 @@
 	p.SetEjections(map[string]float64{"s0": 0, "s1": 0}, time.Second)
 	seen := map[string]bool{}
 	for range 30 {
-		seen[p.Pick(Request{Key: "k", Shared: 0}, all, 0).ID] = true
+		seen[p.Pick(Request{PrefixKey: "k", SharedTokens: 0}, all, 0).ID] = true
 		for id := range seen {
 			p.servers[id].Begin(Work{Requests: 1})
 		}
--- a/internal/router/placement/loads.go
+++ b/internal/router/placement/loads.go
@@ -27,7 +27,7 @@
 		if i >= len(l.Requests) || i >= len(l.Unread) || i >= len(l.Streams) {
 			break
 		}
-		sums[ServerHash(id)] = Work{Requests: float64(l.Requests[i]), Unread: float64(l.Unread[i]), Streams: float64(l.Streams[i])}
+		sums[ServerHash(id)] = Work{Requests: float64(l.Requests[i]), PrefillTokens: float64(l.Unread[i]), Streams: float64(l.Streams[i])}
 	}
 	return sums
 }
@@ -53,22 +53,22 @@
 		}
 		l.Servers = append(l.Servers, uint32(id))
 		l.Requests = append(l.Requests, uint16(min(w.Requests, 1<<16-1)))
-		l.Unread = append(l.Unread, uint32(max(0, min(w.Unread, 1<<32-1))))
+		l.Unread = append(l.Unread, uint32(max(0, min(w.PrefillTokens, 1<<32-1))))
 		l.Streams = append(l.Streams, uint16(max(0, min(w.Streams, 1<<16-1))))
 	}
 	return l
 }
 
 // weight orders servers by the work that others should know of.
-func (w Work) weight() float64 { return w.Unread + streamWeight*(w.Streams+w.Requests) }
+func (w Work) weight() float64 { return w.PrefillTokens + streamWeight*(w.Streams+w.Requests) }
 
 // streamWeight is the unread tokens beside which a stream is worth telling of: some tenths of a second's reading is more.
 const streamWeight = 1 << 10
 
-// Board adds up what sidecars tell of the servers. A control sidecar keeps one: its own subscribers tell it what they
+// LoadBoard adds up what sidecars tell of the servers. A control sidecar keeps one: its own subscribers tell it what they
 // have under way, and other control sidecars what theirs have. Each word stands in place of the sender's last one, and counts for
 // boardGood. The board grows with the senders and what they have under way.
-type Board struct{ words map[string]word }
+type LoadBoard struct{ words map[string]word }
 
 type word struct {
 	sums LoadSums
@@ -79,21 +79,21 @@
 // boardGood is for how long a sender's word counts.
 const boardGood = time.Second
 
-// NewBoard makes an empty board.
-func NewBoard() *Board { return &Board{words: map[string]word{}} }
+// NewLoadBoard makes an empty board.
+func NewLoadBoard() *LoadBoard { return &LoadBoard{words: map[string]word{}} }
 
 // Put takes in a sender's word.
-func (b *Board) Put(from string, peer bool, sums LoadSums, now time.Duration) {
+func (b *LoadBoard) Put(from string, peer bool, sums LoadSums, now time.Duration) {
 	b.words[from] = word{sums, now, peer}
 }
 
 // Expire drops old words.
-func (b *Board) Expire(now time.Duration) {
+func (b *LoadBoard) Expire(now time.Duration) {
 	maps.DeleteFunc(b.words, func(_ string, w word) bool { return now-w.at >= boardGood })
 }
 
 // ForPeers is what the subscribers have under way together.
-func (b *Board) ForPeers() LoadSums {
+func (b *LoadBoard) ForPeers() LoadSums {
 	sums := LoadSums{}
 	for _, w := range b.words {
 		if !w.peer {
@@ -104,7 +104,7 @@
 }
 
 // All is what all have under way.
-func (b *Board) All() LoadSums {
+func (b *LoadBoard) All() LoadSums {
 	sums := LoadSums{}
 	for _, w := range b.words {
 		sums.add(w.sums)
@@ -113,7 +113,7 @@
 }
 
 // Others is what all but one sender have under way, of what all have.
-func (b *Board) Others(all LoadSums, sender string) LoadSums {
+func (b *LoadBoard) Others(all LoadSums, sender string) LoadSums {
 	own := b.words[sender].sums
 	if len(own) == 0 {
 		return all
--- a/internal/router/placement/loads_test.go
+++ b/internal/router/placement/loads_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestLoadsOverTheWire(t *testing.T) {
-	sums := LoadSums{HashServer("a"): {Requests: 3, Unread: 9000, Streams: 1}, HashServer("b"): {}}
+	sums := LoadSums{HashServer("a"): {Requests: 3, PrefillTokens: 9000, Streams: 1}, HashServer("b"): {}}
 	message := sums.Message()
 	require.Len(t, message.Servers, 1, "nothing is not told of")
 	require.Equal(t, LoadSums{HashServer("a"): sums[HashServer("a")]}, message.Sums())
@@ -22,7 +22,7 @@
 func TestLoadsAreBounded(t *testing.T) {
 	sums := LoadSums{}
 	for i := range 5 * maxLoads {
-		sums[ServerHash(i)] = Work{Requests: 1, Unread: float64(i)}
+		sums[ServerHash(i)] = Work{Requests: 1, PrefillTokens: float64(i)}
 	}
 	message := sums.Message()
 	require.Len(t, message.Servers, maxLoads)
@@ -33,7 +33,7 @@
 // A subscriber hears of all but its own, another control sidecar of the subscribers' alone; a word that is not renewed ends.
 func TestBoard(t *testing.T) {
 	one := func(requests float64) LoadSums { return LoadSums{1: {Requests: requests}} }
-	b := NewBoard()
+	b := NewLoadBoard()
 	b.Put("a", false, one(1), 0)
 	b.Put("b", false, one(2), 0)
 	b.Put("peer", true, one(4), 0)
@@ -53,26 +53,26 @@
 func TestWorkOfOthers(t *testing.T) {
 	p := pool("z0", 3)
 	s := p.servers["s1"]
-	s.Begin(Work{Requests: 1, Unread: 100})
-	p.SetLoads(LoadSums{s.hash: {Requests: 5, Unread: 9000}}, time.Second)
+	s.Begin(Work{Requests: 1, PrefillTokens: 100})
+	p.SetPeerLoads(LoadSums{s.hash: {Requests: 5, PrefillTokens: 9000}}, time.Second)
 	require.EqualValues(t, 6, s.Load(time.Second))
-	require.EqualValues(t, 9100, s.Work(time.Second).Unread)
-	require.InDelta(t, 4600, s.Work(time.Second+toldGood/2).Unread, 1)
-	require.EqualValues(t, 100, s.Work(time.Second+toldGood).Unread)
-	p.SetLoads(LoadSums{}, 2*time.Second)
-	require.EqualValues(t, 100, s.Work(2*time.Second).Unread)
+	require.EqualValues(t, 9100, s.Work(time.Second).PrefillTokens)
+	require.InDelta(t, 4600, s.Work(time.Second+toldGood/2).PrefillTokens, 1)
+	require.EqualValues(t, 100, s.Work(time.Second+toldGood).PrefillTokens)
+	p.SetPeerLoads(LoadSums{}, 2*time.Second)
+	require.EqualValues(t, 100, s.Work(2*time.Second).PrefillTokens)
 }
 
 // A prompt leaves the server that keeps its part where so much is left to read there that it costs more than to read the part again.
 func TestAPromptLeavesALoadedServer(t *testing.T) {
 	p := pool("z0", 9)
 	p.recent.again = 10 * time.Second
-	r := Request{Key: "part", Shared: 6000, Part: 4000, Prompt: 9000, Output: 100}
-	p.Used(HashKey("part"), "s4", time.Second)
+	r := Request{PrefixKey: "part", SharedTokens: 6000, PrefixTokens: 4000, PromptTokens: 9000, MaxOutputTokens: 100}
+	p.RecordUse(HashPrefix("part"), "s4", time.Second)
 	load := func(unread float64) {
-		p.SetLoads(LoadSums{p.servers["s4"].hash: {Requests: 1, Unread: unread}}, time.Second)
+		p.SetPeerLoads(LoadSums{p.servers["s4"].hash: {Requests: 1, PrefillTokens: unread}}, time.Second)
 	}
-	again := (1 + p.policy.ReadAgain) * 4000
+	again := (1 + p.policy.RecomputeFactor) * 4000
 	load(again - 2000)
 	require.Equal(t, "s4", p.Pick(r, all, time.Second).ID)
 	load(again + 2000)
@@ -83,8 +83,8 @@
 func TestLongAnswersAndPrompts(t *testing.T) {
 	p := pool("z0", 9)
 	p.recent.again = 10 * time.Second
-	long := Request{Prompt: 200, Output: 4000, Pause: 200 * time.Millisecond}
-	p.SetLoads(LoadSums{}, time.Second)
+	long := Request{PromptTokens: 200, MaxOutputTokens: 4000, MaxGap: 200 * time.Millisecond}
+	p.SetPeerLoads(LoadSums{}, time.Second)
 	got := map[string]int{}
 	for range 9 { // 3 servers in the zone, 16 places each
 		s := p.Pick(long, all, time.Second)
@@ -99,18 +99,18 @@
 	}
 	require.Len(t, got, 2)
 	for i := range 50 {
-		r := Request{Key: fmt.Sprint(i), Shared: 6000, Part: 4000, Prompt: 20_000, Output: 100}
+		r := Request{PrefixKey: fmt.Sprint(i), SharedTokens: 6000, PrefixTokens: 4000, PromptTokens: 20_000, MaxOutputTokens: 100}
 		require.Zero(t, got[p.Pick(r, all, time.Second).ID])
 	}
 }
 
 // Who has not heard of the others' work for a while does not keep long answers together: all routers would take the same few servers.
 func TestLongAnswersWithoutWordOfOthers(t *testing.T) {
-	long := Request{Prompt: 200, Output: 4000}
+	long := Request{PromptTokens: 200, MaxOutputTokens: 4000}
 	for name, heard := range map[string]time.Duration{"never heard": 0, "not lately": time.Second} {
 		p := pool("z0", 9)
 		if heard > 0 {
-			p.SetLoads(LoadSums{}, heard)
+			p.SetPeerLoads(LoadSums{}, heard)
 		}
 		got := map[string]bool{}
 		for range 6 {
@@ -142,6 +142,6 @@
 	p := pool("z0", 3)
 	p.reading = r
 	require.True(t, math.IsInf(p.pauseTokens(), 1), "no long answer has an objective")
-	p.Pick(Request{Prompt: 10, Output: 1000, Pause: 200 * time.Millisecond}, all, 0)
+	p.Pick(Request{PromptTokens: 10, MaxOutputTokens: 1000, MaxGap: 200 * time.Millisecond}, all, 0)
 	require.InDelta(t, 40_000, p.pauseTokens(), 1000)
 }
--- a/internal/router/placement/names_test.go
+++ b/internal/router/placement/names_test.go
@@ -34,20 +34,20 @@
 	var got []int
 	for step := range 4000 {
 		now := time.Duration(step) * 5 * time.Millisecond
-		request := Request{Prompt: 100 + r.IntN(9000), Output: 100, Tried: map[string]bool{}}
+		request := Request{PromptTokens: 100 + r.IntN(9000), MaxOutputTokens: 100, Tried: map[string]bool{}}
 		if r.IntN(5) == 0 {
-			request.Prompt, request.Output, request.Pause = 200, 4000, 200*time.Millisecond
+			request.PromptTokens, request.MaxOutputTokens, request.MaxGap = 200, 4000, 200*time.Millisecond
 		} else {
-			request.Key, request.Part, request.Shared = fmt.Sprint("part-", r.IntN(300)), request.Prompt/3, request.Prompt/2
+			request.PrefixKey, request.PrefixTokens, request.SharedTokens = fmt.Sprint("part-", r.IntN(300)), request.PromptTokens/3, request.PromptTokens/2
 		}
 		s := p.Pick(request, all, now)
 		require.NotNil(t, s)
 		got = append(got, number[s.ID])
-		work := request.Work(p.Keeps(request, s, now))
+		work := request.Work(p.PrefixCached(request, s, now))
 		s.Begin(work)
 		under = append(under, sent{s, work})
-		if request.Affine() {
-			p.Used(HashKey(request.Key), s.ID, now)
+		if request.HasAffinity() {
+			p.RecordUse(HashPrefix(request.PrefixKey), s.ID, now)
 		}
 		if len(under) > 30 {
 			i := r.IntN(len(under))
@@ -64,9 +64,9 @@
 		if step%40 == 0 {
 			loads := LoadSums{}
 			for i := range servers {
-				loads[HashServer(names.server(i))] = Work{Requests: float64(r.IntN(6)), Unread: float64(r.IntN(30000)), Streams: float64(r.IntN(4))}
+				loads[HashServer(names.server(i))] = Work{Requests: float64(r.IntN(6)), PrefillTokens: float64(r.IntN(30000)), Streams: float64(r.IntN(4))}
 			}
-			p.SetLoads(loads, now)
+			p.SetPeerLoads(loads, now)
 		}
 		if step%200 == 0 {
 			p.SetEjections(map[string]float64{names.server(r.IntN(servers)): 0.2, names.server(r.IntN(servers)): 0.2}, now+500*time.Millisecond)
--- a/internal/router/placement/placement.go
+++ b/internal/router/placement/placement.go
@@ -19,27 +19,27 @@
 
 // Policy says which mechanisms are in use. Ablations and experiments switch single ones off.
 type Policy struct {
-	Affinity   bool // prompts go where their shared part is kept
-	Table      bool // by what sidecars have told of it; else by rendezvous hashing alone
-	ZoneFirst  bool
-	Told       bool // what other sidecars have under way counts
-	StreamPart bool // long answers are kept together
+	Affinity    bool // prompts go where their shared part is kept
+	PrefixTable bool // by what sidecars have told of it; else by rendezvous hashing alone
+	ZoneFirst   bool
+	PeerLoads   bool // what other sidecars have under way counts
+	PackStreams bool // long answers are kept together
 	// StreamFill is the part of a server's places that long answers take before another server takes some: the others are for the prompts
 	// that are kept there, and for what comes before others are told of it.
-	StreamFill float64
+	StreamSlotFraction float64
 	// StreamHarm is the part of a pause objective that a prompt's reading may take before it counts as much again for each long answer
 	// behind it: twice the objective, for a prompt alone makes no pause, and two that meet do.
-	StreamHarm float64
+	StreamDelayFraction float64
 	// ReadAgain is how many times the reading of a shared part costs that some server keeps: it takes that server's time and the part's place at another one.
-	ReadAgain float64
+	RecomputeFactor float64
 	// SlackTokens is by how much servers may differ and still count as alike: a chunk of a prompt, below which a server does not stop.
 	SlackTokens float64
 }
 
 // DefaultPolicy is what sidecars use.
 func DefaultPolicy() Policy {
-	return Policy{Affinity: true, Table: true, ZoneFirst: true, Told: true, StreamPart: true,
-		StreamHarm: 2, StreamFill: 0.6, ReadAgain: 12, SlackTokens: 1024}
+	return Policy{Affinity: true, PrefixTable: true, ZoneFirst: true, PeerLoads: true, PackStreams: true,
+		StreamDelayFraction: 2, StreamSlotFraction: 0.6, RecomputeFactor: 12, SlackTokens: 1024}
 }
 
 // Pool is the servers of one service.
@@ -65,11 +65,13 @@
 		random = rand.Float64
 	}
 	return &Pool{zone: zone, policy: policy, random: random, hash: rendezvous, ejected: ejected{random: random}, servers: map[string]*Server{},
-		byHash: map[ServerHash]*Server{}, recent: recent{again: again, uses: map[KeyHash][]use{}}}
+		byHash: map[ServerHash]*Server{}, recent: recent{again: again, uses: map[PrefixHash][]use{}}}
 }
 
-// Used notes that a server was sent a part, by this sidecar or another.
-func (p *Pool) Used(key KeyHash, server string, now time.Duration) { p.recent.note(key, server, now) }
+// RecordUse notes that a server was sent a part, by this sidecar or another.
+func (p *Pool) RecordUse(key PrefixHash, server string, now time.Duration) {
+	p.recent.note(key, server, now)
+}
 
 // Put adds a server that may be used, or takes in what is new of one; what was learned of it is kept.
 func (p *Pool) Put(s Server) {
@@ -108,8 +110,8 @@
 // Servers lists the servers, in an order that says nothing.
 func (p *Pool) Servers() []*Server { return p.ordered }
 
-// Loads adds what this sidecar's requests have left to do.
-func (p *Pool) Loads(sums LoadSums) {
+// AddLoads adds what this sidecar's requests have left to do.
+func (p *Pool) AddLoads(sums LoadSums) {
 	for _, s := range p.ordered {
 		if s.own.Requests > 0 {
 			sums[s.hash] = s.own
@@ -117,9 +119,9 @@
 	}
 }
 
-// SetLoads takes in what the other sidecars' requests have left to do: nothing at servers that are not named.
-func (p *Pool) SetLoads(others LoadSums, now time.Duration) {
-	if !p.policy.Told {
+// SetPeerLoads takes in what the other sidecars' requests have left to do: nothing at servers that are not named.
+func (p *Pool) SetPeerLoads(others LoadSums, now time.Duration) {
+	if !p.policy.PeerLoads {
 		return
 	}
 	p.heardAt = now
@@ -137,8 +139,8 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	if r.Generates() && r.Pause > 0 {
-		p.pause = r.Pause
+	if r.DecodeHeavy() && r.MaxGap > 0 {
+		p.pause = r.MaxGap
 	}
 	return p.rotate(p.choices(r, candidates, now), now)
 }
@@ -146,9 +148,9 @@
 // choices is the set of servers that a request goes over.
 func (p *Pool) choices(r Request, candidates []*Server, now time.Duration) []*Server {
 	switch {
-	case p.policy.Affinity && r.Affine():
+	case p.policy.Affinity && r.HasAffinity():
 		return p.affine(r, candidates, now)
-	case p.policy.StreamPart && r.Generates() && faded(p.heardAt, toldGood, now) > 0: // else all would take the same few, and not know it
+	case p.policy.PackStreams && r.DecodeHeavy() && faded(p.heardAt, toldGood, now) > 0: // else all would take the same few, and not know it
 		return p.streamPart(p.near(candidates, now), now)
 	}
 	return p.near(candidates, now)
@@ -186,7 +188,7 @@
 		if r.Tried[s.ID] || !usable(s) {
 			continue
 		}
-		if s.Health.Resting(now) || p.ejected.holds(s.ID, now) {
+		if s.Health.CoolingDown(now) || p.ejected.holds(s.ID, now) {
 			resting = append(resting, s)
 			continue
 		}
--- a/internal/router/placement/placement_test.go
+++ b/internal/router/placement/placement_test.go
@@ -24,7 +24,7 @@
 
 func TestSidecarsAgreeOnAPrompt(t *testing.T) {
 	a, b := pool("z0", 9), pool("z1", 9)
-	r := Request{Key: "5c1e07a2", Shared: 6000}
+	r := Request{PrefixKey: "5c1e07a2", SharedTokens: 6000}
 	s := a.Pick(r, all, 0)
 	require.Equal(t, s.ID, b.Pick(r, all, 0).ID)
 	for range 5 {
@@ -36,7 +36,7 @@
 func TestOneServerLessMovesItsOwnPrompts(t *testing.T) {
 	before, after := pool("z0", 9), pool("z0", 8)
 	for i := range 200 {
-		r := Request{Key: fmt.Sprint(i), Shared: 6000}
+		r := Request{PrefixKey: fmt.Sprint(i), SharedTokens: 6000}
 		if one := before.Pick(r, all, 0).ID; one != "s8" {
 			require.Equal(t, one, after.Pick(r, all, 0).ID)
 		}
@@ -48,8 +48,8 @@
 	p := pool("z0", 9)
 	seen := map[string]int{}
 	for range 40 {
-		s := p.Pick(Request{Key: "hot", Shared: 6000}, all, 0)
-		s.Begin(Work{Requests: 1, Unread: 2000})
+		s := p.Pick(Request{PrefixKey: "hot", SharedTokens: 6000}, all, 0)
+		s.Begin(Work{Requests: 1, PrefillTokens: 2000})
 		seen[s.ID]++
 	}
 	require.Greater(t, len(seen), 3)
@@ -62,7 +62,7 @@
 	p := pool("z1", 9)
 	seen := map[string]bool{}
 	for range 30 {
-		s := p.Pick(Request{Key: "a", Shared: 80}, all, 0)
+		s := p.Pick(Request{PrefixKey: "a", SharedTokens: 80}, all, 0)
 		require.Equal(t, "z1", s.Zone)
 		seen[s.ID] = true
 	}
@@ -91,21 +91,21 @@
 
 func TestLoad(t *testing.T) {
 	var s Server
-	s.Report(10, 2, 16, time.Second)
-	s.Begin(Work{Requests: 1, Unread: 2000})
+	s.ReportLoad(10, 2, 16, time.Second)
+	s.Begin(Work{Requests: 1, PrefillTokens: 2000})
 	require.InDelta(t, 13, s.Load(time.Second), 0.01)
 	require.InDelta(t, 1, s.Load(time.Second+2*reportGood), 0.01)
 }
 
 func TestParsePrefix(t *testing.T) {
 	for header, want := range map[string]Request{
-		"5c1e07a2:800,91bd3f06:410,e4402b7d:250": {Key: "91bd3f06", Shared: 1210, Part: 410},
+		"5c1e07a2:800,91bd3f06:410,e4402b7d:250": {PrefixKey: "91bd3f06", SharedTokens: 1210, PrefixTokens: 410},
 		"5c1e07a2:800":                           {},
 		"":                                       {},
 		"a:x,b:2":                                {},
 	} {
 		key, shared, part := ParsePrefix(header)
-		require.Equal(t, want, Request{Key: key, Shared: shared, Part: part}, header)
+		require.Equal(t, want, Request{PrefixKey: key, SharedTokens: shared, PrefixTokens: part}, header)
 	}
 }
 
@@ -113,15 +113,15 @@
 func TestWhereAPartWasReadLately(t *testing.T) {
 	p := pool("z0", 9)
 	p.recent.again = 7 * time.Second
-	r := Request{Key: "part", Shared: 6000}
+	r := Request{PrefixKey: "part", SharedTokens: 6000}
 	require.Equal(t, "z0", p.Pick(r, all, 0).Zone)
-	p.Used(HashKey("part"), "s4", time.Second)
+	p.RecordUse(HashPrefix("part"), "s4", time.Second)
 	require.Equal(t, "s4", p.Pick(r, all, 2*time.Second).ID)
 	require.Equal(t, "z0", p.Pick(r, all, 8*time.Second).Zone)
-	p.Used(HashKey("part"), "s4", 9*time.Second)
-	p.Used(HashKey("part"), "s5", 10*time.Second)
+	p.RecordUse(HashPrefix("part"), "s4", 9*time.Second)
+	p.RecordUse(HashPrefix("part"), "s5", 10*time.Second)
 	for range 3 {
-		p.servers["s5"].Begin(Work{Requests: 1, Unread: 10000})
+		p.servers["s5"].Begin(Work{Requests: 1, PrefillTokens: 10000})
 	}
 	require.Equal(t, "s4", p.Pick(r, all, 11*time.Second).ID, "the one that read it before, where the last is loaded")
 }
@@ -130,7 +130,7 @@
 	p := pool("z0", 3)
 	p.recent.again = time.Second
 	for i := range 2*recentKeys + 5 {
-		p.Used(KeyHash(i), "s1", time.Duration(i)*time.Microsecond)
+		p.RecordUse(PrefixHash(i), "s1", time.Duration(i)*time.Microsecond)
 	}
 	require.LessOrEqual(t, len(p.recent.uses), recentKeys)
 }
--- a/internal/router/placement/reading.go
+++ b/internal/router/placement/reading.go
@@ -42,8 +42,8 @@
 	return min(readingSlowest, max(readingFastest, slope))
 }
 
-// Answered takes in that a server sent the first part of an answer: after a time, to a prompt of so many tokens that were not kept.
-func (p *Pool) Answered(tokens float64, took, now time.Duration) {
+// ObservePrefill takes in that a server sent the first part of an answer: after a time, to a prompt of so many tokens that were not kept.
+func (p *Pool) ObservePrefill(tokens float64, took, now time.Duration) {
 	if tokens > 0 {
 		p.reading.note(tokens, took, now)
 	}
--- a/internal/router/placement/recent.go
+++ b/internal/router/placement/recent.go
@@ -10,21 +10,21 @@
 	recentServers = 3       // where each was read last
 )
 
-// KeyHash names a shared part between sidecars.
-type KeyHash uint32
+// PrefixHash names a shared part between sidecars.
+type PrefixHash uint32
 
-// HashKey is the name of a part.
-func HashKey(key string) KeyHash {
+// HashPrefix is the name of a part.
+func HashPrefix(key string) PrefixHash {
 	h := fnv.New32a()
 	h.Write([]byte(key))
-	return KeyHash(h.Sum32())
+	return PrefixHash(h.Sum32())
 }
 
 // recent is where shared parts were read lately, by this sidecar and by those that told it. It grows with the parts in use,
 // up to recentKeys.
 type recent struct {
 	again time.Duration // for which a part counts as kept after its last use
-	uses  map[KeyHash][]use
+	uses  map[PrefixHash][]use
 }
 
 type use struct {
@@ -33,7 +33,7 @@
 }
 
 // note remembers a use; the newest stands first.
-func (r *recent) note(key KeyHash, server string, at time.Duration) {
+func (r *recent) note(key PrefixHash, server string, at time.Duration) {
 	if r.again == 0 {
 		return
 	}
@@ -63,7 +63,7 @@
 }
 
 // kept are the servers that read a part lately.
-func (r *recent) kept(key KeyHash, now time.Duration) []use {
+func (r *recent) kept(key PrefixHash, now time.Duration) []use {
 	list := r.uses[key]
 	for i, one := range list {
 		if now-one.at >= r.again {
--- a/internal/router/placement/request.go
+++ b/internal/router/placement/request.go
@@ -13,35 +13,35 @@
 
 // Request is what is asked of a placement.
 type Request struct {
-	Key    string        // the longest shared part of the prompt; "": none
-	Shared int           // tokens up to its end
-	Part   int           // tokens of that part alone
-	Prompt int           // tokens of the whole prompt, 0: not told
-	Output int           // tokens that are generated at most
-	Pause  time.Duration // the longest between two parts of the answer that its route allows; 0: not said
-	Tried  map[string]bool
+	PrefixKey       string        // the longest shared part of the prompt; "": none
+	SharedTokens    int           // tokens up to its end
+	PrefixTokens    int           // tokens of that part alone
+	PromptTokens    int           // tokens of the whole prompt, 0: not told
+	MaxOutputTokens int           // tokens that are generated at most
+	MaxGap          time.Duration // the longest between two parts of the answer that its route allows; 0: not said
+	Tried           map[string]bool
 }
 
-// Affine reports whether a request goes where its shared part is kept.
-func (r *Request) Affine() bool { return r.Key != "" && r.Shared >= sharedWorth }
+// HasAffinity reports whether a request goes where its shared part is kept.
+func (r *Request) HasAffinity() bool { return r.PrefixKey != "" && r.SharedTokens >= sharedWorth }
 
-// Generates reports whether a request generates more than it reads: a long answer.
-func (r *Request) Generates() bool { return r.Output > max(r.Prompt, 0) }
+// DecodeHeavy reports whether a request generates more than it reads: a long answer.
+func (r *Request) DecodeHeavy() bool { return r.MaxOutputTokens > max(r.PromptTokens, 0) }
 
-// Unread is the tokens that a server reads, where it keeps the longest shared part or not. The parts before that are shared by so many
+// PrefillTokens is the tokens that a server reads, where it keeps the longest shared part or not. The parts before that are shared by so many
 // that all servers keep them.
-func (r *Request) Unread(kept bool) float64 {
-	unread := r.Prompt - r.Shared
+func (r *Request) PrefillTokens(kept bool) float64 {
+	unread := r.PromptTokens - r.SharedTokens
 	if !kept {
-		unread += r.Part
+		unread += r.PrefixTokens
 	}
 	return float64(max(0, unread))
 }
 
 // Work is what a request has left to do at a server as it is sent.
 func (r *Request) Work(kept bool) Work {
-	w := Work{Requests: 1, Unread: r.Unread(kept)}
-	if r.Generates() {
+	w := Work{Requests: 1, PrefillTokens: r.PrefillTokens(kept)}
+	if r.DecodeHeavy() {
 		w.Streams = 1
 	}
 	return w
--- a/internal/router/placement/server.go
+++ b/internal/router/placement/server.go
@@ -25,20 +25,20 @@
 
 // Work is what requests have left to do at a server.
 type Work struct {
-	Requests float64 // that have no whole answer yet
-	Unread   float64 // tokens of prompts without a first part of their answer
-	Streams  float64 // requests that generate more than they read
+	Requests      float64 // that have no whole answer yet
+	PrefillTokens float64 // tokens of prompts without a first part of their answer
+	Streams       float64 // requests that generate more than they read
 }
 
 func (w Work) plus(o Work) Work {
-	return Work{w.Requests + o.Requests, w.Unread + o.Unread, w.Streams + o.Streams}
+	return Work{w.Requests + o.Requests, w.PrefillTokens + o.PrefillTokens, w.Streams + o.Streams}
 }
 
 func (w Work) minus(o Work) Work {
-	return Work{w.Requests - o.Requests, w.Unread - o.Unread, w.Streams - o.Streams}
+	return Work{w.Requests - o.Requests, w.PrefillTokens - o.PrefillTokens, w.Streams - o.Streams}
 }
 
-func (w Work) times(x float64) Work { return Work{w.Requests * x, w.Unread * x, w.Streams * x} }
+func (w Work) times(x float64) Work { return Work{w.Requests * x, w.PrefillTokens * x, w.Streams * x} }
 
 // Server is what a sidecar knows of one server.
 type Server struct {
@@ -48,7 +48,7 @@
 	Slots   int
 
 	Health rotation.Health
-	turn   rotation.Turn
+	turn   rotation.CurrentWeight
 	hash   ServerHash
 	place  uint64 // in the pool's order
 
@@ -73,8 +73,8 @@
 // InFlight is how many requests this sidecar has there.
 func (s *Server) InFlight() int { return int(s.own.Requests) }
 
-// Report takes in a load that the server told.
-func (s *Server) Report(running, waiting float64, slots int, now time.Duration) {
+// ReportLoad takes in a load that the server told.
+func (s *Server) ReportLoad(running, waiting float64, slots int, now time.Duration) {
 	s.reported, s.reportedAt, s.since = running+waiting, now, 0
 	if slots > 0 {
 		s.Slots = slots
--- a/internal/router/placement/sets.go
+++ b/internal/router/placement/sets.go
@@ -14,7 +14,7 @@
 // affine is the set of servers for a prompt whose shared part is worth keeping: of those whose cost is near the least, the first one, or
 // two where the first has errors against it.
 func (p *Pool) affine(r Request, candidates []*Server, now time.Duration) []*Server {
-	ordered, kept := p.preferred(r.Key, candidates, now)
+	ordered, kept := p.preferred(r.PrefixKey, candidates, now)
 	costs := make([]float64, len(ordered))
 	least := math.Inf(1)
 	for i, s := range ordered {
@@ -43,13 +43,13 @@
 // answers wait behind it, and the price of a shared part that is read again.
 func (p *Pool) cost(r Request, s *Server, kept bool, now time.Duration) float64 {
 	work := s.Work(now)
-	left := work.Unread + r.Unread(kept)
+	left := work.PrefillTokens + r.PrefillTokens(kept)
 	cost := left
-	if p.policy.StreamPart {
-		cost += left * left * work.Streams / (p.policy.StreamHarm * p.pauseTokens())
+	if p.policy.PackStreams {
+		cost += left * left * work.Streams / (p.policy.StreamDelayFraction * p.pauseTokens())
 	}
 	if !kept {
-		cost += p.policy.ReadAgain * float64(r.Part)
+		cost += p.policy.RecomputeFactor * float64(r.PrefixTokens)
 	}
 	return cost
 }
@@ -58,10 +58,10 @@
 // the own zone first.
 func (p *Pool) preferred(key string, candidates []*Server, now time.Duration) (ordered []*Server, kept int) {
 	ordered = p.rank(key, candidates)
-	if !p.policy.Table || p.recent.again == 0 {
+	if !p.policy.PrefixTable || p.recent.again == 0 {
 		return ordered, min(1, len(ordered))
 	}
-	lately := p.recent.kept(HashKey(key), now)
+	lately := p.recent.kept(HashPrefix(key), now)
 	class := func(s *Server) int {
 		for i, one := range lately {
 			if one.server == s.ID {
@@ -95,7 +95,7 @@
 		if s.Slots == 0 {
 			return servers
 		}
-		places += p.policy.StreamFill * float64(s.Slots)
+		places += p.policy.StreamSlotFraction * float64(s.Slots)
 		if places >= streams {
 			return ordered[:i+1]
 		}
@@ -146,17 +146,17 @@
 	}
 	candidates := make([]rotation.Candidate, len(set))
 	for i, s := range set {
-		candidates[i] = rotation.Candidate{Turn: &s.turn, Weight: s.Health.Weight(now)}
+		candidates[i] = rotation.Candidate{Current: &s.turn, Weight: s.Health.Weight(now)}
 	}
 	return set[rotation.Pick(candidates)]
 }
 
-// Keeps reports whether a server is thought to keep the longest shared part of a request.
-func (p *Pool) Keeps(r Request, s *Server, now time.Duration) bool {
-	if !r.Affine() {
+// PrefixCached reports whether a server is thought to keep the longest shared part of a request.
+func (p *Pool) PrefixCached(r Request, s *Server, now time.Duration) bool {
+	if !r.HasAffinity() {
 		return true // it is short, and read by all soon
 	}
-	for _, one := range p.recent.kept(HashKey(r.Key), now) {
+	for _, one := range p.recent.kept(HashPrefix(r.PrefixKey), now) {
 		if one.server == s.ID {
 			return true
 		}
--- a/internal/router/placement/uses.go
+++ b/internal/router/placement/uses.go
@@ -2,8 +2,8 @@
 
 import "iter"
 
-// Uses says where shared parts of one service were read: part Keys[i] at Servers[At[i]].
-type Uses struct {
+// PrefixUses says where shared parts of one service were read: part Keys[i] at Servers[At[i]].
+type PrefixUses struct {
 	Service string
 	Servers []string
 	Keys    []uint32
@@ -14,7 +14,7 @@
 const maxUses = 4096
 
 // Add adds a use, as long as there is room.
-func (u *Uses) Add(key KeyHash, server string) {
+func (u *PrefixUses) Add(key PrefixHash, server string) {
 	if len(u.Keys) >= maxUses {
 		return
 	}
@@ -34,10 +34,10 @@
 }
 
 // All lists the uses.
-func (u *Uses) All() iter.Seq2[KeyHash, string] {
-	return func(yield func(KeyHash, string) bool) {
+func (u *PrefixUses) All() iter.Seq2[PrefixHash, string] {
+	return func(yield func(PrefixHash, string) bool) {
 		for i, key := range u.Keys {
-			if i < len(u.At) && int(u.At[i]) < len(u.Servers) && !yield(KeyHash(key), u.Servers[u.At[i]]) {
+			if i < len(u.At) && int(u.At[i]) < len(u.Servers) && !yield(PrefixHash(key), u.Servers[u.At[i]]) {
 				return
 			}
 		}
@@ -45,7 +45,7 @@
 }
 
 // Merge adds what another says of the same service.
-func (u *Uses) Merge(other Uses) {
+func (u *PrefixUses) Merge(other PrefixUses) {
 	for key, server := range other.All() {
 		u.Add(key, server)
 	}
--- a/internal/router/quota/allocator.go
+++ b/internal/router/quota/allocator.go
@@ -13,8 +13,8 @@
 
 import "time"
 
-// Lease is for how long a share is good, from before it was asked for.
-const Lease = 2500 * time.Millisecond
+// LeaseDuration is for how long a share is good, from before it was asked for.
+const LeaseDuration = 2500 * time.Millisecond
 
 // margin is how much longer the primary counts a lease, for clocks that differ in rate.
 const margin = 100 * time.Millisecond
@@ -51,20 +51,20 @@
 	return &Allocator{since: now, holders: map[string]*holder{}, sums: map[string]*sum{}}
 }
 
-// Heard is how many sidecars asked within a lease.
-func (a *Allocator) Heard(now time.Duration) int {
+// ActiveClients is how many sidecars asked within a lease.
+func (a *Allocator) ActiveClients(now time.Duration) int {
 	a.expire(now)
 	return len(a.holders)
 }
 
-// Term is for how long the primary has led.
-func (a *Allocator) Term(now time.Duration) time.Duration { return now - a.since }
+// TermAge is for how long the primary has led.
+func (a *Allocator) TermAge(now time.Duration) time.Duration { return now - a.since }
 
 // SetReserve takes in what part of the limits is left to sidecars that are not heard.
 func (a *Allocator) SetReserve(part float64) { a.reserve = part }
 
-// Ask answers a sidecar's question; fleet is how many sidecars there are.
-func (a *Allocator) Ask(node string, life uint64, demand, held map[string]float64, fleet int, now time.Duration) map[string]float64 {
+// Allocate answers a sidecar's question; fleet is how many sidecars there are.
+func (a *Allocator) Allocate(node string, life uint64, demand, held map[string]float64, fleet int, now time.Duration) map[string]float64 {
 	a.expire(now)
 	h := a.holders[node]
 	if h == nil {
@@ -72,7 +72,7 @@
 		a.holders[node] = h
 	}
 	sameLife := h.life == life
-	h.life, h.asked, h.until = life, now, now+Lease+margin
+	h.life, h.asked, h.until = life, now, now+LeaseDuration+margin
 	early := now-a.since < claims
 	given := map[string]float64{}
 	for tenant, share := range h.shares {
@@ -147,8 +147,8 @@
 	}
 }
 
-// Out is how much of a tenant's limit is given.
-func (a *Allocator) Out(tenant string) float64 {
+// Allocated is how much of a tenant's limit is given.
+func (a *Allocator) Allocated(tenant string) float64 {
 	if s := a.sums[tenant]; s != nil {
 		return s.shares
 	}
--- a/internal/router/quota/client.go
+++ b/internal/router/quota/client.go
@@ -30,8 +30,8 @@
 // The verdicts.
 const (
 	Granted Verdict = iota
-	Refused
-	AskPrimary // the primary has to be asked
+	Rejected
+	NeedsPrimary // the primary has to be asked
 )
 
 // Client is one sidecar's part of all limits: what it acquired of the primary, and its leases for when that is silent.
@@ -66,8 +66,8 @@
 	return &Client{nonce: life, buckets: map[string]*bucket{}, fleet: math.MaxInt}
 }
 
-// SetFleet takes in how many sidecars there are.
-func (t *Client) SetFleet(n int) { t.fleet = max(1, n) }
+// SetFleetSize takes in how many sidecars there are.
+func (t *Client) SetFleetSize(n int) { t.fleet = max(1, n) }
 
 // SetLimits takes in the tenants of a configuration.
 func (t *Client) SetLimits(limits map[string]Limit, now time.Duration) {
@@ -89,9 +89,9 @@
 	}
 }
 
-// Take begins a request of a tenant: it is granted from what was acquired ahead, or the primary has to be asked for what it
+// Reserve begins a request of a tenant: it is granted from what was acquired ahead, or the primary has to be asked for what it
 // needs and for extra.
-func (t *Client) Take(tenant string, units float64, now time.Duration) (v Verdict, extra float64) {
+func (t *Client) Reserve(tenant string, units float64, now time.Duration) (v Verdict, extra float64) {
 	b := t.buckets[tenant]
 	if b == nil {
 		return Granted, 0
@@ -107,11 +107,11 @@
 	if ahead := b.demand * stockAhead.Seconds(); ahead >= stockLeast*units {
 		extra = ahead
 	}
-	return AskPrimary, extra
+	return NeedsPrimary, extra
 }
 
-// Acquired takes in what the primary gave, and spends units of it where there are enough.
-func (t *Client) Acquired(tenant string, given, units float64, now time.Duration) Verdict {
+// ApplyAcquired takes in what the primary gave, and spends units of it where there are enough.
+func (t *Client) ApplyAcquired(tenant string, given, units float64, now time.Duration) Verdict {
 	b := t.buckets[tenant]
 	if b == nil {
 		return Granted
@@ -119,27 +119,27 @@
 	b.lease, b.filled = overdraft{}, now // leases count from when the primary falls silent
 	if given < units {
 		b.pressed = now + pressedFor
-		return Refused
+		return Rejected
 	}
 	b.stock += given - units
 	b.stockAt = now
 	return Granted
 }
 
-// TakeLeased spends of a lease, where the primary is silent. One request may go below nothing: a lease of a small
+// ReserveFromLease spends of a lease, where the primary is silent. One request may go below nothing: a lease of a small
 // tenant is less than a request.
-func (t *Client) TakeLeased(tenant string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
+func (t *Client) ReserveFromLease(tenant string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
 	b := t.buckets[tenant]
 	if b == nil {
 		return Granted, 0
 	}
 	if now < t.pooled {
-		return Refused, t.pooled - now
+		return Rejected, t.pooled - now
 	}
 	rate := t.silentRate(b, now)
 	t.earn(b, rate, now)
 	if t.pooled > 0 && now < t.pooled+overdraftAgain && units > b.lease.units {
-		return Refused, 0 // the pool had what a request may take ahead
+		return Rejected, 0 // the pool had what a request may take ahead
 	}
 	return b.lease.take(units, rate)
 }
@@ -179,8 +179,8 @@
 	return d
 }
 
-// Pooled is until when a pool spends what this sidecar may spend.
-func (t *Client) Pooled() time.Duration { return t.pooled }
+// PooledUntil is until when a pool spends what this sidecar may spend.
+func (t *Client) PooledUntil() time.Duration { return t.pooled }
 
 // silentRate is what may be spent a second while the primary is silent: of the lease, and once that has ended the standing share, which
 // the primary leaves to each sidecar that it does not hear.
@@ -203,14 +203,14 @@
 	return part
 }
 
-// Pressed reports whether the primary refused a request of a tenant just now: it asks for more than its limit.
-func (t *Client) Pressed(tenant string, now time.Duration) bool {
+// OverLimit reports whether the primary refused a request of a tenant just now: it asks for more than its limit.
+func (t *Client) OverLimit(tenant string, now time.Duration) bool {
 	b := t.buckets[tenant]
 	return b != nil && now < b.pressed
 }
 
-// Return gives back what was taken for a request that did not run.
-func (t *Client) Return(tenant string, units float64, now time.Duration) {
+// Refund gives back what was taken for a request that did not run.
+func (t *Client) Refund(tenant string, units float64, now time.Duration) {
 	if b := t.buckets[tenant]; b != nil {
 		if now-b.stockAt > stockGood {
 			b.stock = 0
@@ -220,8 +220,8 @@
 	}
 }
 
-// Ask begins a question for leases: what is wanted and held goes to the primary.
-func (t *Client) Ask(now time.Duration) (nonce uint64, demand, held map[string]float64) {
+// RequestShares begins a question for leases: what is wanted and held goes to the primary.
+func (t *Client) RequestShares(now time.Duration) (nonce uint64, demand, held map[string]float64) {
 	t.nonce++
 	t.asked = now
 	demand, held = map[string]float64{}, map[string]float64{}
@@ -243,9 +243,9 @@
 	return t.nonce, demand, held
 }
 
-// Granted takes in the answer to the last question.
-func (t *Client) Granted(nonce uint64, shares map[string]float64, now time.Duration) {
-	if nonce != t.nonce || now-t.asked >= Lease {
+// ApplyShares takes in the answer to the last question.
+func (t *Client) ApplyShares(nonce uint64, shares map[string]float64, now time.Duration) {
+	if nonce != t.nonce || now-t.asked >= LeaseDuration {
 		return
 	}
 	for name, b := range t.buckets {
@@ -255,5 +255,5 @@
 		b.filled = now
 		b.share = shares[name]
 	}
-	t.until = t.asked + Lease
+	t.until = t.asked + LeaseDuration
 }
--- a/internal/router/quota/life_test.go
+++ b/internal/router/quota/life_test.go
@@ -11,10 +11,10 @@
 func TestAGrantOfAnEarlierLife(t *testing.T) {
 	const now = 5 * time.Second
 	before, client := NewClient(4711), NewClient(815)
-	late, _, _ := before.Ask(now)
-	question, _, _ := client.Ask(now)
-	client.Granted(late, map[string]float64{"t": 1}, now)
+	late, _, _ := before.RequestShares(now)
+	question, _, _ := client.RequestShares(now)
+	client.ApplyShares(late, map[string]float64{"t": 1}, now)
 	require.Zero(t, client.until)
-	client.Granted(question, map[string]float64{"t": 1}, now)
-	require.Equal(t, now+Lease, client.until)
+	client.ApplyShares(question, map[string]float64{"t": 1}, now)
+	require.Equal(t, now+LeaseDuration, client.until)
 }
--- a/internal/router/quota/pool.go
+++ b/internal/router/quota/pool.go
@@ -65,11 +65,11 @@
 	}
 }
 
-// Take spends units of a tenant's limit, or says when to come back; wait is 0 where that is not known.
-func (p *Pool) Take(tenant string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
+// Reserve spends units of a tenant's limit, or says when to come back; wait is 0 where that is not known.
+func (p *Pool) Reserve(tenant string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
 	limit, ok := p.limits[tenant]
 	if !ok { // whoever asks knows more than this sidecar
-		return Refused, 0
+		return Rejected, 0
 	}
 	if limit.Rate == 0 {
 		return Granted, 0
@@ -79,8 +79,8 @@
 	return a.take(units, limit.Rate*(a.shares+p.standing))
 }
 
-// Deposits is how many there are.
-func (p *Pool) Deposits(now time.Duration) int {
+// DepositCount is how many there are.
+func (p *Pool) DepositCount(now time.Duration) int {
 	p.expire(now)
 	return len(p.deposits)
 }
@@ -162,10 +162,10 @@
 // take spends units that drip in at a rate, where no request before is still owed.
 func (o *overdraft) take(units, rate float64) (v Verdict, wait time.Duration) {
 	if rate <= 0 {
-		return Refused, 0
+		return Rejected, 0
 	}
 	if o.units < 0 {
-		return Refused, time.Duration(-o.units / rate * float64(time.Second))
+		return Rejected, time.Duration(-o.units / rate * float64(time.Second))
 	}
 	o.units -= units
 	return Granted, 0
--- a/internal/router/quota/pool_test.go
+++ b/internal/router/quota/pool_test.go
@@ -49,7 +49,7 @@
 	}
 	client := p.clients[i]
 	if now < p.failed[p.at[i]] {
-		if now >= client.Pooled() {
+		if now >= client.PooledUntil() {
 			p.at[i] = p.random.Intn(len(p.pools))
 		}
 		return
@@ -66,12 +66,12 @@
 
 // take spends of the pool, where that has what the client had, or of the client's own.
 func (p *pooledClients) take(i int, units float64, now time.Duration) Verdict {
-	v, _ := p.clients[i].TakeLeased("t", units, now)
-	if v == Granted || now >= p.clients[i].Pooled() {
+	v, _ := p.clients[i].ReserveFromLease("t", units, now)
+	if v == Granted || now >= p.clients[i].PooledUntil() {
 		return v
 	}
 	if now >= p.failed[p.at[i]] {
-		v, _ = p.pools[p.at[i]].Take("t", units, now)
+		v, _ = p.pools[p.at[i]].Reserve("t", units, now)
 	}
 	return v
 }
@@ -80,9 +80,9 @@
 func leased(limits map[string]Limit) *Client {
 	client := NewClient(1)
 	client.SetLimits(limits, 0)
-	client.SetFleet(2)
-	nonce, _, _ := client.Ask(0)
-	client.Granted(nonce, map[string]float64{"t": 0.5}, 0)
+	client.SetFleetSize(2)
+	nonce, _, _ := client.RequestShares(0)
+	client.ApplyShares(nonce, map[string]float64{"t": 0.5}, 0)
 	return client
 }
 
@@ -95,24 +95,24 @@
 	asked, answered := 100*time.Millisecond, 400*time.Millisecond
 	deposit := client.Deposit(answered)
 	pool.Put("a", deposit, asked, answered)
-	v, _ := client.TakeLeased("t", 1, answered)
-	require.Equal(t, Refused, v)
-	v, _ = pool.Take("t", 1, answered)
+	v, _ := client.ReserveFromLease("t", 1, answered)
+	require.Equal(t, Rejected, v)
+	v, _ = pool.Reserve("t", 1, answered)
 	require.Equal(t, Granted, v)
-	require.Equal(t, 1, pool.Deposits(asked+depositFor-time.Millisecond))
-	require.Zero(t, pool.Deposits(asked+depositFor))
-	v, _ = pool.Take("t", 1, asked+depositFor)
-	require.Equal(t, Refused, v)
+	require.Equal(t, 1, pool.DepositCount(asked+depositFor-time.Millisecond))
+	require.Zero(t, pool.DepositCount(asked+depositFor))
+	v, _ = pool.Reserve("t", 1, asked+depositFor)
+	require.Equal(t, Rejected, v)
 
 	ended := answered + depositFor
-	v, wait := client.TakeLeased("t", 1, ended-time.Millisecond)
-	require.Equal(t, Refused, v)
+	v, wait := client.ReserveFromLease("t", 1, ended-time.Millisecond)
+	require.Equal(t, Rejected, v)
 	require.Equal(t, time.Millisecond, wait)
 	earned := answered.Seconds() * 500 // until it left its share to the pool
-	v, _ = client.TakeLeased("t", earned, ended)
+	v, _ = client.ReserveFromLease("t", earned, ended)
 	require.Equal(t, Granted, v)
-	v, _ = client.TakeLeased("t", 1, ended+time.Millisecond)
-	require.Equal(t, Refused, v)
+	v, _ = client.ReserveFromLease("t", 1, ended+time.Millisecond)
+	require.Equal(t, Rejected, v)
 }
 
 // What a sidecar's requests took ahead is paid by the pool, and outlasts the deposit there.
@@ -120,16 +120,16 @@
 	limits := map[string]Limit{"t": {Rate: 1000, Burst: 1000}}
 	client, pool := leased(limits), NewPool()
 	pool.SetLimits(limits)
-	v, _ := client.TakeLeased("t", 2000, 0)
+	v, _ := client.ReserveFromLease("t", 2000, 0)
 	require.Equal(t, Granted, v)
 	pool.Put("a", client.Deposit(0), 0, 0)
-	v, wait := pool.Take("t", 1, 0)
-	require.Equal(t, Refused, v)
+	v, wait := pool.Reserve("t", 1, 0)
+	require.Equal(t, Rejected, v)
 	require.Equal(t, 4*time.Second, wait)
 	pool.Put("a", Deposit{}, time.Second, time.Second)
 	pool.Put("a", Deposit{Standing: 0.5, For: time.Second}, 2*time.Second, 2*time.Second)
-	v, wait = pool.Take("t", 1, 2*time.Second)
-	require.Equal(t, Refused, v)
+	v, wait = pool.Reserve("t", 1, 2*time.Second)
+	require.Equal(t, Rejected, v)
 	require.Equal(t, 3400*time.Millisecond, wait, "the time of the first deposit has paid a part")
 }
 
@@ -152,7 +152,7 @@
 	for range s.fleet {
 		client := NewClient(1)
 		client.SetLimits(p.limits, 0)
-		client.SetFleet(s.fleet)
+		client.SetFleetSize(s.fleet)
 		p.clients = append(p.clients, client)
 	}
 	p.pooled = newPooledClients(p.random, p.clients, p.limits, s.pools)
@@ -169,7 +169,7 @@
 			if p.random.Float64() > load*s.rate/float64(s.fleet)/units*playStep.Seconds() {
 				continue
 			}
-			if v, _ := client.Take("t", units, now); now < start || v == Granted {
+			if v, _ := client.Reserve("t", units, now); now < start || v == Granted {
 				continue
 			}
 			asks++
@@ -208,7 +208,7 @@
 		if i%takesBetween == 0 {
 			pool.Put(names[i/takesBetween%sidecars], Deposit{Standing: standingPart / 630, For: depositFor}, now, now)
 		}
-		pool.Take(strconv.Itoa(i%tenants), 1000, now)
+		pool.Reserve(strconv.Itoa(i%tenants), 1000, now)
 		now += 110 * time.Microsecond
 	}
 }
--- a/internal/router/quota/quota_test.go
+++ b/internal/router/quota/quota_test.go
@@ -63,13 +63,13 @@
 func TestPressed(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	require.False(t, client.Pressed("t", 0))
-	require.Equal(t, Granted, client.Acquired("t", 10, 10, 0))
-	require.False(t, client.Pressed("t", 0))
-	require.Equal(t, Refused, client.Acquired("t", 0, 10, 0))
-	require.True(t, client.Pressed("t", pressedFor-1))
-	require.False(t, client.Pressed("t", pressedFor))
-	require.False(t, client.Pressed("none", 0))
+	require.False(t, client.OverLimit("t", 0))
+	require.Equal(t, Granted, client.ApplyAcquired("t", 10, 10, 0))
+	require.False(t, client.OverLimit("t", 0))
+	require.Equal(t, Rejected, client.ApplyAcquired("t", 0, 10, 0))
+	require.True(t, client.OverLimit("t", pressedFor-1))
+	require.False(t, client.OverLimit("t", pressedFor))
+	require.False(t, client.OverLimit("none", 0))
 }
 
 // Sidecars that ask, lose answers, are cut off, restart, and a primary that changes: shares never add up to more than 1, as
@@ -88,11 +88,11 @@
 			now += time.Duration(random.Intn(200)) * time.Millisecond
 			i := random.Intn(len(clients))
 			client := clients[i]
-			client.Take("t", float64(random.Intn(500)), now)
-			nonce, demand, held := client.Ask(now)
-			shares := a.Ask(fmt.Sprint(i), 1, demand, held, len(clients), now)
+			client.Reserve("t", float64(random.Intn(500)), now)
+			nonce, demand, held := client.RequestShares(now)
+			shares := a.Allocate(fmt.Sprint(i), 1, demand, held, len(clients), now)
 			if random.Intn(4) > 0 { // else the answer is lost
-				client.Granted(nonce, shares, now+time.Millisecond)
+				client.ApplyShares(nonce, shares, now+time.Millisecond)
 			}
 			sum := 0.0
 			for _, one := range clients {
@@ -108,43 +108,43 @@
 func TestALateGrantIsNotTaken(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	nonce, _, _ := client.Ask(0)
-	client.Granted(nonce, map[string]float64{"t": 1}, Lease)
-	v, _ := client.TakeLeased("t", 1, Lease)
-	require.Equal(t, Refused, v)
-	nonce, _, _ = client.Ask(Lease)
-	client.Ask(Lease + 1)
-	client.Granted(nonce, map[string]float64{"t": 1}, Lease+2)
-	v, _ = client.TakeLeased("t", 1, Lease+3)
-	require.Equal(t, Refused, v, "the answer to an earlier question")
+	nonce, _, _ := client.RequestShares(0)
+	client.ApplyShares(nonce, map[string]float64{"t": 1}, LeaseDuration)
+	v, _ := client.ReserveFromLease("t", 1, LeaseDuration)
+	require.Equal(t, Rejected, v)
+	nonce, _, _ = client.RequestShares(LeaseDuration)
+	client.RequestShares(LeaseDuration + 1)
+	client.ApplyShares(nonce, map[string]float64{"t": 1}, LeaseDuration+2)
+	v, _ = client.ReserveFromLease("t", 1, LeaseDuration+3)
+	require.Equal(t, Rejected, v, "the answer to an earlier question")
 }
 
 func TestALeaseEndsAndOverdrawsOnce(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	nonce, _, _ := client.Ask(0)
-	client.Granted(nonce, map[string]float64{"t": 0.5}, 0)
-	v, _ := client.TakeLeased("t", 300, 0)
+	nonce, _, _ := client.RequestShares(0)
+	client.ApplyShares(nonce, map[string]float64{"t": 0.5}, 0)
+	v, _ := client.ReserveFromLease("t", 300, 0)
 	require.Equal(t, Granted, v)
-	v, wait := client.TakeLeased("t", 300, 0)
-	require.Equal(t, Refused, v)
+	v, wait := client.ReserveFromLease("t", 300, 0)
+	require.Equal(t, Rejected, v)
 	require.Equal(t, 600*time.Millisecond, wait)
-	v, _ = client.TakeLeased("t", 300, wait)
+	v, _ = client.ReserveFromLease("t", 300, wait)
 	require.Equal(t, Granted, v)
-	v, _ = client.TakeLeased("t", 1, Lease+wait)
-	require.Equal(t, Refused, v)
+	v, _ = client.ReserveFromLease("t", 1, LeaseDuration+wait)
+	require.Equal(t, Rejected, v)
 }
 
 func TestWhatWasAcquiredAheadEnds(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	v, _ := client.Take("t", 10, 0)
-	require.Equal(t, AskPrimary, v)
-	require.Equal(t, Granted, client.Acquired("t", 30, 10, 0))
-	v, _ = client.Take("t", 10, stockGood)
+	v, _ := client.Reserve("t", 10, 0)
+	require.Equal(t, NeedsPrimary, v)
+	require.Equal(t, Granted, client.ApplyAcquired("t", 30, 10, 0))
+	v, _ = client.Reserve("t", 10, stockGood)
 	require.Equal(t, Granted, v)
-	v, _ = client.Take("t", 10, 2*stockGood)
-	require.Equal(t, AskPrimary, v)
+	v, _ = client.Reserve("t", 10, 2*stockGood)
+	require.Equal(t, NeedsPrimary, v)
 }
 
 // Many sidecars together stay within the rule's bound, whatever their loads are.
@@ -154,7 +154,7 @@
 	budgets := make([]*RetryBudget, fleet)
 	for i := range budgets {
 		budgets[i] = NewRetryBudget(0.2, 62, window)
-		budgets[i].SetFleet(fleet)
+		budgets[i].SetFleetSize(fleet)
 	}
 	requests, retries := 0, 0
 	for ms := range 10_000 {
@@ -173,7 +173,7 @@
 // Sidecars that have all just started do not know how many they are: none spends of the slack.
 func TestTheBudgetOfRetriesAfterAStart(t *testing.T) {
 	b := NewRetryBudget(0.2, 62, 10*time.Second)
-	b.SetFleet(1)
+	b.SetFleetSize(1)
 	b.Request("s", 0)
 	require.False(t, b.Retry("s", 0))
 	require.True(t, b.Retry("s", 10*time.Second))
--- a/internal/router/quota/retries.go
+++ b/internal/router/quota/retries.go
@@ -31,8 +31,8 @@
 	return &RetryBudget{ratio: ratio, slack: slack, window: window, fleet: 1, used: map[string]*usage{}}
 }
 
-// SetFleet takes in how many sidecars there are.
-func (b *RetryBudget) SetFleet(n int) { b.fleet = max(1, n) }
+// SetFleetSize takes in how many sidecars there are.
+func (b *RetryBudget) SetFleetSize(n int) { b.fleet = max(1, n) }
 
 func (b *RetryBudget) slot(service string, now time.Duration) (*usage, *retrySlot) {
 	u := b.used[service]
--- a/internal/router/quota/standing.go
+++ b/internal/router/quota/standing.go
@@ -11,10 +11,10 @@
 	standingLater = 1.0 / 3          // of it, from then on: few are cut off for so long, and the rule's overshoot has room for them
 )
 
-// Reserve is the part of the limits that a primary leaves to sidecars that it does not hear, of a fleet of a size. In the first time of its
+// ReservedFraction is the part of the limits that a primary leaves to sidecars that it does not hear, of a fleet of a size. In the first time of its
 // term those that it has not heard may still have leases of the one before, for which its buckets leave room.
-func Reserve(fleet, heard int, term time.Duration) float64 {
-	if fleet <= 0 || heard >= fleet || term < Lease+margin {
+func ReservedFraction(fleet, heard int, term time.Duration) float64 {
+	if fleet <= 0 || heard >= fleet || term < LeaseDuration+margin {
 		return 0
 	}
 	return standingPart * float64(fleet-heard) / float64(fleet)
--- a/internal/router/quota/window_test.go
+++ b/internal/router/quota/window_test.go
@@ -48,7 +48,7 @@
 	for range fleet {
 		client := NewClient(1)
 		client.SetLimits(p.limits, 0)
-		client.SetFleet(fleet)
+		client.SetFleetSize(fleet)
 		p.clients = append(p.clients, client)
 	}
 	p.lead(true, 0)
@@ -75,7 +75,7 @@
 		p.strike(now)
 	}
 	if now >= p.silentUntil && now%askEvery == 0 {
-		reserve := Reserve(len(p.clients), p.allocator.Heard(now), p.allocator.Term(now))
+		reserve := ReservedFraction(len(p.clients), p.allocator.ActiveClients(now), p.allocator.TermAge(now))
 		p.buckets.SetReserve(reserve)
 		p.allocator.SetReserve(reserve)
 	}
@@ -122,8 +122,8 @@
 
 func (p *limitPlay) ask(i int, now time.Duration) {
 	client := p.clients[i]
-	nonce, demand, held := client.Ask(now)
-	client.Granted(nonce, p.allocator.Ask(fmt.Sprint(i), 1, demand, held, len(p.clients), now), now)
+	nonce, demand, held := client.RequestShares(now)
+	client.ApplyShares(nonce, p.allocator.Allocate(fmt.Sprint(i), 1, demand, held, len(p.clients), now), now)
 }
 
 // request has a sidecar see a request of the tenant, with the probability that its load comes to.
@@ -134,11 +134,11 @@
 		return
 	}
 	client := p.clients[i]
-	v, extra := client.Take("t", p.units, now)
-	if v == AskPrimary && reaches {
+	v, extra := client.Reserve("t", p.units, now)
+	if v == NeedsPrimary && reaches {
 		given, _ := p.buckets.Acquire("t", p.units, extra, now)
-		v = client.Acquired("t", given, p.units, now)
-	} else if v == AskPrimary {
+		v = client.ApplyAcquired("t", given, p.units, now)
+	} else if v == NeedsPrimary {
 		v = p.pooled.take(i, p.units, now)
 	}
 	if v == Granted {
@@ -194,49 +194,49 @@
 			if clients[i] == nil {
 				clients[i] = NewClient(1)
 				clients[i].SetLimits(limits, 0)
-				clients[i].SetFleet(fleet)
+				clients[i].SetFleetSize(fleet)
 			}
 			for range 20 + i {
-				clients[i].Take("t", units, start)
+				clients[i].Reserve("t", units, start)
 			}
-			nonce, demand, held := clients[i].Ask(start)
-			clients[i].Granted(nonce, a.Ask(fmt.Sprint(i), 1, demand, held, fleet, start), start)
+			nonce, demand, held := clients[i].RequestShares(start)
+			clients[i].ApplyShares(nonce, a.Allocate(fmt.Sprint(i), 1, demand, held, fleet, start), start)
 		}
 	}
 	spent := func(from, to time.Duration) (rate float64) {
 		for now := from; now < to; now += 20 * time.Millisecond {
 			for _, client := range clients {
-				if v, _ := client.TakeLeased("t", units, now); v == Granted {
+				if v, _ := client.ReserveFromLease("t", units, now); v == Granted {
 					rate += units
 				}
 			}
 		}
 		return rate / (to - from).Seconds()
 	}
-	spent(start, start+Lease)
-	standing := spent(start+Lease, start+Lease+standingFor)
+	spent(start, start+LeaseDuration)
+	standing := spent(start+LeaseDuration, start+LeaseDuration+standingFor)
 	require.InDelta(t, standingPart*100_000, standing, 10_000)
-	later := spent(start+Lease+standingFor+time.Second, start+Lease+2*standingFor)
+	later := spent(start+LeaseDuration+standingFor+time.Second, start+LeaseDuration+2*standingFor)
 	require.InDelta(t, standingPart*standingLater*100_000, later, 5_000)
 
 	alone := NewClient(1)
 	alone.SetLimits(limits, 0)
-	v, _ := alone.TakeLeased("t", 1, time.Hour)
-	require.Equal(t, Refused, v)
+	v, _ := alone.ReserveFromLease("t", 1, time.Hour)
+	require.Equal(t, Rejected, v)
 }
 
 // A primary leaves room for sidecars that it does not hear, once their leases have ended, and none where it hears all.
 func TestReserve(t *testing.T) {
-	require.Zero(t, Reserve(11, 11, time.Hour))
-	require.Zero(t, Reserve(11, 12, time.Hour))
-	require.Zero(t, Reserve(0, 0, time.Hour))
-	require.Zero(t, Reserve(11, 8, Lease), "leases of the term before count otherwise")
-	require.InDelta(t, standingPart*3/11, Reserve(11, 8, time.Hour), 1e-9)
+	require.Zero(t, ReservedFraction(11, 11, time.Hour))
+	require.Zero(t, ReservedFraction(11, 12, time.Hour))
+	require.Zero(t, ReservedFraction(0, 0, time.Hour))
+	require.Zero(t, ReservedFraction(11, 8, LeaseDuration), "leases of the term before count otherwise")
+	require.InDelta(t, standingPart*3/11, ReservedFraction(11, 8, time.Hour), 1e-9)
 	a := NewAllocator(0)
 	for i := range 5 {
-		a.Ask(fmt.Sprint(i), 1, nil, nil, 8, time.Duration(i)*time.Second)
+		a.Allocate(fmt.Sprint(i), 1, nil, nil, 8, time.Duration(i)*time.Second)
 	}
-	require.Equal(t, 3, a.Heard(4*time.Second+100*time.Millisecond))
+	require.Equal(t, 3, a.ActiveClients(4*time.Second+100*time.Millisecond))
 	b := NewTokenBuckets(bounds, true, 0)
 	b.SetLimits(map[string]Limit{"t": {Rate: 100_000, Burst: 100_000}})
 	b.SetReserve(0.2)
--- a/internal/router/rotation/rotation.go
+++ b/internal/router/rotation/rotation.go
@@ -64,34 +64,34 @@
 	h.last = now
 }
 
-// Resting reports whether the server is left alone for now.
-func (h *Health) Resting(now time.Duration) bool { return now < h.restUntil }
+// CoolingDown reports whether the server is left alone for now.
+func (h *Health) CoolingDown(now time.Duration) bool { return now < h.restUntil }
 
-// Turn is one server's running value in smooth weighted round robin.
-type Turn struct{ running float64 }
+// CurrentWeight is one server's running value in smooth weighted round robin.
+type CurrentWeight struct{ running float64 }
 
 // Seed sets the running value at the start to a part, 0 to 1, of a server's weight: many that begin at the same time with the same
 // servers then do not all begin with the same one.
-func (t *Turn) Seed(part float64) { t.running = part * baseWeight }
+func (t *CurrentWeight) Seed(part float64) { t.running = part * baseWeight }
 
 // Candidate is a server that takes part in a pick.
 type Candidate struct {
-	Turn   *Turn
-	Weight float64
+	Current *CurrentWeight
+	Weight  float64
 }
 
 // Pick grows each running value by its weight; the largest wins and loses the sum. It returns -1 for no candidates.
 func Pick(candidates []Candidate) int {
 	best, total := -1, 0.0
 	for i, c := range candidates {
-		c.Turn.running += c.Weight
+		c.Current.running += c.Weight
 		total += c.Weight
-		if best < 0 || c.Turn.running > candidates[best].Turn.running {
+		if best < 0 || c.Current.running > candidates[best].Current.running {
 			best = i
 		}
 	}
 	if best >= 0 {
-		candidates[best].Turn.running -= total
+		candidates[best].Current.running -= total
 	}
 	return best
 }
--- a/internal/router/rotation/rotation_test.go
+++ b/internal/router/rotation/rotation_test.go
@@ -26,22 +26,22 @@
 func TestRests(t *testing.T) {
 	var h Health
 	h.Failure(0, true)
-	require.True(t, h.Resting(restFirst-1))
-	require.False(t, h.Resting(restFirst))
+	require.True(t, h.CoolingDown(restFirst-1))
+	require.False(t, h.CoolingDown(restFirst))
 	h.Failure(restFirst, true)
-	require.True(t, h.Resting(restFirst+2*restFirst-1))
+	require.True(t, h.CoolingDown(restFirst+2*restFirst-1))
 	h.Success()
-	require.False(t, h.Resting(restFirst+1))
+	require.False(t, h.CoolingDown(restFirst+1))
 }
 
 func TestSmoothWeightedRoundRobin(t *testing.T) {
-	turns := make([]Turn, 3)
+	turns := make([]CurrentWeight, 3)
 	weights := []float64{100, 100, 50}
 	got := make([]int, 3)
 	for range 250 {
 		var candidates []Candidate
 		for i := range turns {
-			candidates = append(candidates, Candidate{Turn: &turns[i], Weight: weights[i]})
+			candidates = append(candidates, Candidate{Current: &turns[i], Weight: weights[i]})
 		}
 		got[Pick(candidates)]++
 	}
