--- a/internal/router/quota/allocator.go
+++ b/internal/router/quota/allocator.go
@@ -1,156 +1,157 @@
-// Package quota keeps the limits that all sidecars keep together: tenants' quotas and the budget of retries. It is pure.
-//
-// A tenant's limit is divided into shares. The primary gives them by demand, as leases that end by themselves; each
-// sidecar spends its share from a bucket of its own. A sidecar whose lease has ended keeps a standing share, see Reserve.
-//
-// Invariant: at every moment the shares that sidecars believe in add up to no more than 1 for each tenant. A lease counts
-// for its holder from before it asked, for the primary from when it gave; what a holder was given last is out until the
-// lease's end even where it was since given less, unless its next question says that it holds less. A new primary first
-// gives nothing but what holders say they hold already, for as long as it takes all that reach it to say so. What is
-// held by sidecars that do not reach it is not known to it; it ends within a lease, and the part of the rule's slack that
-// buckets leave free is for that.
 package quota
 
 import "time"
 
-// LeaseDuration is for how long a share is good, from before it was asked for.
+// LeaseDuration is how long a share is valid, counted from before it was requested.
 const LeaseDuration = 2500 * time.Millisecond
 
-// margin is how much longer the primary counts a lease, for clocks that differ in rate.
-const margin = 100 * time.Millisecond
+// clockMargin is how much longer the primary counts a lease, since clocks differ in rate.
+const clockMargin = 100 * time.Millisecond
 
-// claims is for how long a new primary only renews what holders say they hold.
-const claims = 800 * time.Millisecond
+// reclaimPeriod is the time at the start of a term in which a primary only renews the shares that routers report to hold.
+const reclaimPeriod = 800 * time.Millisecond
 
-// evenPart of a limit is given evenly, the rest by demand.
-const evenPart = 0.2
+// evenFraction of a limit is divided evenly, the rest by demand.
+const evenFraction = 0.2
 
-// holder is what one sidecar was given.
-type holder struct {
-	shares map[string]float64
-	demand map[string]float64
-	until  time.Duration
-	life   uint64
-	asked  time.Duration
+// clientLease is what one router was allocated, by tenant. Tenants with neither a share nor a demand are left out.
+type clientLease struct {
+	shares      map[string]float64
+	demand      map[string]float64
+	expires     time.Duration
+	incarnation uint64
 }
 
-// sum is what all holders of one tenant's shares want and have.
-type sum struct{ demand, shares float64 }
+// tenantTotals adds up the demand and the shares of one tenant over all leases.
+type tenantTotals struct{ demand, shares float64 }
 
-// Allocator divides tenants' limits, for one term of one primary. A question costs as much as it names tenants.
+// Allocator divides tenants' limits into leased shares, for one term of one primary. The cost of a request is proportional to the
+// number of tenants that it names. It is for one goroutine at a time.
 type Allocator struct {
-	since   time.Duration
-	holders map[string]*holder
-	sums    map[string]*sum
-	expired time.Duration
-	reserve float64 // part of the limits that is left to sidecars that are not heard
+	termStart  time.Duration
+	leases     map[string]*clientLease // by router
+	totals     map[string]*tenantTotals
+	lastExpiry time.Duration
+	reserved   float64 // fraction of every limit that is left to routers without contact, see ReservedFraction
 }
 
 // NewAllocator begins a term.
 func NewAllocator(now time.Duration) *Allocator {
-	return &Allocator{since: now, holders: map[string]*holder{}, sums: map[string]*sum{}}
+	return &Allocator{termStart: now, leases: map[string]*clientLease{}, totals: map[string]*tenantTotals{}}
 }
 
-// ActiveClients is how many sidecars asked within a lease.
+// ActiveClients is the number of routers that requested shares within a lease duration.
 func (a *Allocator) ActiveClients(now time.Duration) int {
 	a.expire(now)
-	return len(a.holders)
+	return len(a.leases)
 }
 
-// TermAge is for how long the primary has led.
-func (a *Allocator) TermAge(now time.Duration) time.Duration { return now - a.since }
+// TermAge is how long the primary has led.
+func (a *Allocator) TermAge(now time.Duration) time.Duration { return now - a.termStart }
 
-// SetReserve takes in what part of the limits is left to sidecars that are not heard.
-func (a *Allocator) SetReserve(part float64) { a.reserve = part }
+// SetReserve sets the fraction of the limits that is left to routers without contact.
+func (a *Allocator) SetReserve(fraction float64) { a.reserved = fraction }
 
-// Allocate answers a sidecar's question; fleet is how many sidecars there are.
-func (a *Allocator) Allocate(node string, life uint64, demand, held map[string]float64, fleet int, now time.Duration) map[string]float64 {
+// Allocate answers a router's request for shares. Demand is in units a second, held is the shares that the router still has, both by
+// tenant; fleetSize is the number of routers. It returns a share for each tenant with a demand. A router that restarted has another
+// incarnation: it reports nothing of what its predecessor was allocated, which therefore stays counted until it expires.
+func (a *Allocator) Allocate(router string, incarnation uint64, demand, held map[string]float64, fleetSize int, now time.Duration) map[string]float64 {
 	a.expire(now)
-	h := a.holders[node]
-	if h == nil {
-		h = &holder{shares: map[string]float64{}}
-		a.holders[node] = h
+	lease := a.leases[router]
+	if lease == nil {
+		lease = &clientLease{shares: map[string]float64{}}
+		a.leases[router] = lease
 	}
-	sameLife := h.life == life
-	h.life, h.asked, h.until = life, now, now+LeaseDuration+margin
-	early := now-a.since < claims
-	given := map[string]float64{}
-	for tenant, share := range h.shares {
-		_, asks := demand[tenant]
-		if sameLife && !asks && held[tenant] == 0 { // it says that it holds nothing
-			a.set(h, tenant, 0, 0)
-			continue
+	sameIncarnation := lease.incarnation == incarnation
+	lease.incarnation, lease.expires = incarnation, now+LeaseDuration+clockMargin
+	a.reconcile(lease, sameIncarnation, demand, held)
+
+	reclaiming := now-a.termStart < reclaimPeriod
+	allocated := map[string]float64{}
+	for tenant, wanted := range demand {
+		current := lease.shares[tenant]
+		if sameIncarnation {
+			current = held[tenant]
 		}
-		a.set(h, tenant, demand[tenant], max(share, held[tenant]))
+		a.record(lease, tenant, wanted, current)
+		share := held[tenant]
+		if !reclaiming {
+			share = a.share(tenant, wanted, current, max(1, fleetSize))
+		}
+		allocated[tenant] = share
+		a.record(lease, tenant, wanted, max(current, share)) // until the next request reports otherwise
 	}
-	for tenant, wanted := range demand {
-		mine := h.shares[tenant]
-		if sameLife {
-			mine = held[tenant]
+	return allocated
+}
+
+// reconcile updates a lease to what its router reports: a tenant that it neither wants nor holds is released.
+func (a *Allocator) reconcile(lease *clientLease, sameIncarnation bool, demand, held map[string]float64) {
+	for tenant, share := range lease.shares {
+		_, wanted := demand[tenant]
+		if sameIncarnation && !wanted && held[tenant] == 0 {
+			a.record(lease, tenant, 0, 0)
+			continue
 		}
-		a.set(h, tenant, wanted, mine)
-		given[tenant] = a.share(tenant, wanted, mine, held[tenant], max(1, fleet), early)
-		a.set(h, tenant, wanted, max(mine, given[tenant])) // until the next question says otherwise
+		a.record(lease, tenant, demand[tenant], max(share, held[tenant]))
 	}
-	return given
 }
 
-// set notes what a holder wants and may have of a tenant.
-func (a *Allocator) set(h *holder, tenant string, demand, share float64) {
-	s := a.sums[tenant]
-	if s == nil {
-		s = &sum{}
-		a.sums[tenant] = s
+// record sets the demand and the share of a tenant in a lease, and keeps the tenant's totals.
+func (a *Allocator) record(lease *clientLease, tenant string, demand, share float64) {
+	totals := a.totals[tenant]
+	if totals == nil {
+		totals = &tenantTotals{}
+		a.totals[tenant] = totals
 	}
-	s.demand += demand - h.demand[tenant]
-	s.shares += share - h.shares[tenant]
-	if h.demand == nil {
-		h.demand = map[string]float64{}
+	totals.demand += demand - lease.demand[tenant]
+	totals.shares += share - lease.shares[tenant]
+	if lease.demand == nil {
+		lease.demand = map[string]float64{}
 	}
-	h.demand[tenant], h.shares[tenant] = demand, share
+	lease.demand[tenant], lease.shares[tenant] = demand, share
 	if demand == 0 && share == 0 {
-		delete(h.demand, tenant)
-		delete(h.shares, tenant)
+		delete(lease.demand, tenant)
+		delete(lease.shares, tenant)
 	}
 }
 
-func (a *Allocator) share(tenant string, wanted, mine, held float64, fleet int, early bool) float64 {
-	if early {
-		return held
-	}
-	s := a.sums[tenant]
-	target := evenPart / float64(fleet)
-	if s.demand > 0 {
-		target += (1 - evenPart) * wanted / s.demand
+// share is the new share of a router that wants so many units a second of a tenant and counts for a current share: a part that all
+// routers have alike and one by demand, as far as the others' shares leave room.
+func (a *Allocator) share(tenant string, wanted, current float64, fleetSize int) float64 {
+	totals := a.totals[tenant]
+	target := evenFraction / float64(fleetSize)
+	if totals.demand > 0 {
+		target += (1 - evenFraction) * wanted / totals.demand
 	} else {
-		target = 1 / float64(fleet)
+		target = 1 / float64(fleetSize)
 	}
-	return max(0, min(target, 1-a.reserve-(s.shares-mine)))
+	return max(0, min(target, 1-a.reserved-(totals.shares-current)))
 }
 
+// expire removes the leases that have ended, at most once in a clockMargin.
 func (a *Allocator) expire(now time.Duration) {
-	if now-a.expired < margin {
+	if now-a.lastExpiry < clockMargin {
 		return
 	}
-	a.expired = now
-	for address, h := range a.holders {
-		if now <= h.until {
+	a.lastExpiry = now
+	for router, lease := range a.leases {
+		if now <= lease.expires {
 			continue
 		}
-		for tenant := range h.shares {
-			a.set(h, tenant, 0, 0)
+		for tenant := range lease.shares {
+			a.record(lease, tenant, 0, 0)
 		}
-		for tenant := range h.demand {
-			a.set(h, tenant, 0, 0)
+		for tenant := range lease.demand {
+			a.record(lease, tenant, 0, 0)
 		}
-		delete(a.holders, address)
+		delete(a.leases, router)
 	}
 }
 
-// Allocated is how much of a tenant's limit is given.
+// Allocated is the sum of the shares of a tenant's limit that are allocated.
 func (a *Allocator) Allocated(tenant string) float64 {
-	if s := a.sums[tenant]; s != nil {
-		return s.shares
+	if totals := a.totals[tenant]; totals != nil {
+		return totals.shares
 	}
 	return 0
 }
--- a/internal/router/quota/buckets.go
+++ b/internal/router/quota/buckets.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Bounds are the figures of the rule that the limits are judged by.
+// Bounds are the figures that the limits are verified by: in any window a tenant is granted at most
+// (rate × Window + burst) × (1 + Overshoot) + Slack units.
 type Bounds struct {
 	Window    time.Duration
 	Overshoot float64
@@ -11,72 +12,74 @@
 
 // What the bound of a window leaves beyond the rate is for bursts, less what others may spend meanwhile.
 const (
-	transit     = 0.5  // seconds in which what was acquired may still arrive at a server
-	astray      = 0.75 // seconds of the whole rate: leases of sidecars that are cut off, 0.3 of the fleet for 2.5 s
-	slackPart   = 0.42 // the rest is for the one request that each lease may overdraw
-	overPart    = 0.25 // of the slack, out of slackPart: by so much a request may overdraw a bucket that is not empty
-	leastBurst  = 0.25
-	atFirstPart = 0.4 // of the capacity that a new primary begins with
-	restartPart = 1.0 // ... where it has just started itself: then hardly anybody holds a lease
+	transitSeconds            = 0.5  // of the rate: what was acquired and may still arrive at a server
+	isolatedSeconds           = 0.75 // of the rate: the leases of routers that are cut off, 0.3 of the fleet for 2.5 s
+	slackFraction             = 0.42 // of the slack; the rest is for the one request by which each lease may be overdrawn
+	overdraftFraction         = 0.25 // of the slack, contained in slackFraction: a request may overdraw a bucket that is not empty by so much
+	minBurstFraction          = 0.25 // of a tenant's burst: the smallest capacity
+	initialFraction           = 0.4  // of the capacity that a new primary begins with
+	initialFractionAfterStart = 1.0  // the same where the process has just started itself: then hardly any router holds a lease
 )
 
-// TokenBuckets is the tokens of all tenants, at the primary. Sidecars acquire what their requests need.
+// TokenBuckets are the token buckets of all tenants, at the primary. Routers acquire from them what their requests need.
 type TokenBuckets struct {
-	bounds Bounds
-	since  time.Duration
-	first  float64 // part of the capacity that levels begin with
-	limits map[string]Limit
-	levels map[string]*level
-	refill float64 // part of the rates
+	bounds         Bounds
+	termStart      time.Duration
+	initial        float64 // fraction of the capacity that buckets begin with
+	limits         map[string]Limit
+	buckets        map[string]*tokenBucket // by tenant, of those that were used in this term
+	refillFraction float64                 // of the rates
 }
 
-type level struct {
-	tokens float64
-	at     time.Duration
+// tokenBucket is one tenant's bucket. It may be negative, see Acquire.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Duration
 }
 
 // NewTokenBuckets begins a primary's term; started says that the process has just started.
 func NewTokenBuckets(b Bounds, started bool, now time.Duration) *TokenBuckets {
-	first := atFirstPart
+	initial := initialFraction
 	if started {
-		first = restartPart
+		initial = initialFractionAfterStart
 	}
-	return &TokenBuckets{bounds: b, first: first, since: now, refill: 1, limits: map[string]Limit{}, levels: map[string]*level{}}
+	return &TokenBuckets{bounds: b, initial: initial, termStart: now, refillFraction: 1, limits: map[string]Limit{}, buckets: map[string]*tokenBucket{}}
 }
 
-// SetLimits takes in the tenants of a configuration.
+// SetLimits sets the tenants' limits, as a configuration has them.
 func (t *TokenBuckets) SetLimits(limits map[string]Limit) { t.limits = limits }
 
-// SetReserve takes in what part of the limits is left to sidecars that are not heard.
-func (t *TokenBuckets) SetReserve(part float64) { t.refill = 1 - part }
+// SetReserve sets the fraction of the limits that is left to routers without contact.
+func (t *TokenBuckets) SetReserve(fraction float64) { t.refillFraction = 1 - fraction }
 
-// Capacity is how much a tenant may acquire at once after a rest.
+// Capacity is the most that a tenant may acquire at once after it acquired nothing for a while.
 func (t *TokenBuckets) Capacity(l Limit) float64 {
 	window := t.bounds.Window.Seconds()
-	bound := (l.Rate*window+l.Burst)*(1+t.bounds.Overshoot) + (slackPart-overPart)*t.bounds.Slack
-	return max(leastBurst*l.Burst, bound-l.Rate*(window+transit+astray))
+	bound := (l.Rate*window+l.Burst)*(1+t.bounds.Overshoot) + (slackFraction-overdraftFraction)*t.bounds.Slack
+	return max(minBurstFraction*l.Burst, bound-l.Rate*(window+transitSeconds+isolatedSeconds))
 }
 
-// Acquire gives what is needed and, where there is more, up to extra; or nothing, and when to come back. A bucket that is not
-// empty may be overdrawn: else what drips in would go to small requests, and large ones would be refused before them.
-func (t *TokenBuckets) Acquire(tenant string, need, extra float64, now time.Duration) (given float64, wait time.Duration) {
+// Acquire grants the units that a request needs and, where there are more, up to extra; or none, and how long to wait before
+// another attempt. A bucket that is not empty may be overdrawn: otherwise what it is refilled with would go to small requests, and large
+// ones would never find enough.
+func (t *TokenBuckets) Acquire(tenant string, need, extra float64, now time.Duration) (granted float64, wait time.Duration) {
 	limit, ok := t.limits[tenant]
 	if !ok || limit.Rate == 0 {
 		return need, 0
 	}
 	capacity := t.Capacity(limit)
-	one := t.levels[tenant]
-	if one == nil {
-		one = &level{tokens: t.first * capacity, at: t.since}
-		t.levels[tenant] = one
+	bucket := t.buckets[tenant]
+	if bucket == nil {
+		bucket = &tokenBucket{tokens: t.initial * capacity, refilledAt: t.termStart}
+		t.buckets[tenant] = bucket
 	}
-	one.tokens = min(capacity, one.tokens+(now-one.at).Seconds()*limit.Rate*t.refill)
-	one.at = now
-	least := max(0, min(need, capacity)-overPart*t.bounds.Slack)
-	if one.tokens < least {
-		return 0, time.Duration((least - one.tokens) / limit.Rate * float64(time.Second))
+	bucket.tokens = min(capacity, bucket.tokens+(now-bucket.refilledAt).Seconds()*limit.Rate*t.refillFraction)
+	bucket.refilledAt = now
+	required := max(0, min(need, capacity)-overdraftFraction*t.bounds.Slack)
+	if bucket.tokens < required {
+		return 0, time.Duration((required - bucket.tokens) / limit.Rate * float64(time.Second))
 	}
-	given = need + max(0, min(extra, (one.tokens-need)/2))
-	one.tokens -= given
-	return given, 0
+	granted = need + max(0, min(extra, (bucket.tokens-need)/2))
+	bucket.tokens -= granted
+	return granted, 0
 }
--- a/internal/router/quota/client.go
+++ b/internal/router/quota/client.go
@@ -5,255 +5,280 @@
 	"time"
 )
 
-// Limit is a tenant's limit over all sidecars.
+// Limit is a tenant's limit over all routers, in units: requests or tokens.
 type Limit struct {
 	Rate  float64 // units a second; 0: none
 	Burst float64
 }
 
 const (
-	stockGood    = 400 * time.Millisecond // for which units that were acquired ahead may be spent
-	stockAhead   = 100 * time.Millisecond // of demand is acquired ahead
-	stockLeast   = 3                      // requests in that time from which it is worth it
-	demandSmooth = 2 * time.Second
-	pressedFor   = time.Second // after a refusal
-	leastDemand  = 0.01        // units a second that are told of
-	leaseBurst   = time.Second // of a lease or a standing share may be spent at once
-	depositFor   = 600 * time.Millisecond
-
-	overdraftAgain = 8 * time.Second // after a deposit a sidecar's own requests may take ahead again
+	prefetchTTL         = 400 * time.Millisecond // how long units that were acquired ahead of requests may be spent
+	prefetchSpan        = 100 * time.Millisecond // of demand is acquired ahead
+	minPrefetchRequests = 3                      // requests within prefetchSpan from which it is worthwhile
+	demandTimeConstant  = 2 * time.Second        // of the smoothing
+	overLimitFor        = time.Second            // how long a tenant counts as over its limit after a rejection
+	minDemand           = 0.01                   // units a second from which demand is reported
+	leaseBurst          = time.Second            // of a lease or a standing share may be spent at once
+	depositSpan         = 600 * time.Millisecond // how long a deposit is valid
+	overdraftCooldown   = 8 * time.Second        // after a deposit, until the router's own requests may overdraw its shares again
 )
 
-// Verdict is what a client says of a request.
+// Verdict is the decision about a request's units.
 type Verdict int
 
 // The verdicts.
 const (
 	Granted Verdict = iota
 	Rejected
-	NeedsPrimary // the primary has to be asked
+	NeedsPrimary // the units have to be acquired from the primary
 )
 
-// Client is one sidecar's part of all limits: what it acquired of the primary, and its leases for when that is silent.
+// Client is one router's side of all limits: the units that it acquired from the primary ahead of requests, and its leased shares for
+// times without contact to the primary.
 type Client struct {
-	buckets map[string]*bucket
-	nonce   uint64
-	asked   time.Duration
-	until   time.Duration // of the leases
-	pooled  time.Duration // until when a pool spends what this sidecar has
-	fleet   int
+	tenants     map[string]*tenantState
+	fleetSize   int
+	nonce       uint64        // number of the last request for shares
+	requestedAt time.Duration // when that was
+	leaseEnd    time.Duration // 0: there was no lease yet
+	pooledUntil time.Duration // until then a pool spends this router's shares
 }
 
-type bucket struct {
-	limit   Limit
-	stock   float64 // acquired ahead
-	stockAt time.Duration
+// tenantState is what a client knows of one tenant with a limit.
+type tenantState struct {
+	limit          Limit
+	prefetched     prefetchedUnits
+	demand         demandEstimate
+	overLimitUntil time.Duration
 
-	share  float64   // of the lease
-	lease  overdraft // of the lease, since the primary was silent
-	filled time.Duration
+	share      float64   // of the limit, by the lease
+	overdraft  overdraft // of the share, since the last contact to the primary
+	refilledAt time.Duration
+}
 
-	pressed time.Duration // until when it asks for more than its limit, as far as is known
+// prefetchedUnits were acquired from the primary ahead of requests.
+type prefetchedUnits struct {
+	units      float64
+	acquiredAt time.Duration
+}
 
-	demand float64 // units a second, smoothed
-	wanted float64 // units since the last measure
-	at     time.Duration
+// dropExpired forgets units that were acquired too long ago.
+func (p *prefetchedUnits) dropExpired(now time.Duration) {
+	if now-p.acquiredAt > prefetchTTL {
+		p.units = 0
+	}
 }
 
-// NewClient makes a client without any share. Its questions are numbered from a number that is drawn at each start of the process, so that
-// no answer to the one before fits.
-func NewClient(life uint64) *Client {
-	return &Client{nonce: life, buckets: map[string]*bucket{}, fleet: math.MaxInt}
+// add adds units that may be spent from now on.
+func (p *prefetchedUnits) add(units float64, now time.Duration) {
+	p.units += units
+	p.acquiredAt = now
 }
 
-// SetFleetSize takes in how many sidecars there are.
-func (t *Client) SetFleetSize(n int) { t.fleet = max(1, n) }
+// demandEstimate is an exponentially smoothed rate.
+type demandEstimate struct {
+	rate       float64 // units a second
+	units      float64 // requested since measuredAt
+	measuredAt time.Duration
+}
 
-// SetLimits takes in the tenants of a configuration.
-func (t *Client) SetLimits(limits map[string]Limit, now time.Duration) {
-	for name := range t.buckets {
+// update includes the units since the last measurement in the rate.
+func (d *demandEstimate) update(now time.Duration) {
+	elapsed := now - d.measuredAt
+	if elapsed <= 0 {
+		return
+	}
+	weight := 1 - math.Exp(-float64(elapsed)/float64(demandTimeConstant))
+	d.rate += weight * (d.units/elapsed.Seconds() - d.rate)
+	d.units, d.measuredAt = 0, now
+}
+
+// NewClient makes a client without any share. Its requests for shares are numbered from its incarnation, which is drawn at random at each
+// start of the process, so that no answer to an earlier process is taken for one of this one.
+func NewClient(incarnation uint64) *Client {
+	return &Client{nonce: incarnation, tenants: map[string]*tenantState{}, fleetSize: math.MaxInt}
+}
+
+// SetFleetSize sets the number of routers.
+func (c *Client) SetFleetSize(n int) { c.fleetSize = max(1, n) }
+
+// SetLimits sets the tenants' limits, as a configuration has them. The state of tenants that keep a limit is kept.
+func (c *Client) SetLimits(limits map[string]Limit, now time.Duration) {
+	for name := range c.tenants {
 		if limits[name].Rate == 0 {
-			delete(t.buckets, name)
+			delete(c.tenants, name)
 		}
 	}
 	for name, limit := range limits {
 		if limit.Rate == 0 {
 			continue
 		}
-		b := t.buckets[name]
-		if b == nil {
-			b = &bucket{filled: now, at: now}
-			t.buckets[name] = b
+		tenant := c.tenants[name]
+		if tenant == nil {
+			tenant = &tenantState{refilledAt: now, demand: demandEstimate{measuredAt: now}}
+			c.tenants[name] = tenant
 		}
-		b.limit = limit
+		tenant.limit = limit
 	}
 }
 
-// Reserve begins a request of a tenant: it is granted from what was acquired ahead, or the primary has to be asked for what it
-// needs and for extra.
-func (t *Client) Reserve(tenant string, units float64, now time.Duration) (v Verdict, extra float64) {
-	b := t.buckets[tenant]
-	if b == nil {
+// Reserve spends units for a request of a tenant from those that were acquired ahead. Where these do not suffice the verdict is NeedsPrimary, and
+// extra is how many units to acquire beyond the request's own.
+func (c *Client) Reserve(name string, units float64, now time.Duration) (v Verdict, extra float64) {
+	tenant := c.tenants[name]
+	if tenant == nil {
 		return Granted, 0
 	}
-	b.wanted += units
-	if now-b.stockAt > stockGood {
-		b.stock = 0
-	}
-	if b.stock >= units {
-		b.stock -= units
+	tenant.demand.units += units
+	tenant.prefetched.dropExpired(now)
+	if tenant.prefetched.units >= units {
+		tenant.prefetched.units -= units
 		return Granted, 0
 	}
-	if ahead := b.demand * stockAhead.Seconds(); ahead >= stockLeast*units {
+	if ahead := tenant.demand.rate * prefetchSpan.Seconds(); ahead >= minPrefetchRequests*units {
 		extra = ahead
 	}
 	return NeedsPrimary, extra
 }
 
-// ApplyAcquired takes in what the primary gave, and spends units of it where there are enough.
-func (t *Client) ApplyAcquired(tenant string, given, units float64, now time.Duration) Verdict {
-	b := t.buckets[tenant]
-	if b == nil {
+// ApplyAcquired adds what the primary granted, and spends units of it where there are enough.
+func (c *Client) ApplyAcquired(name string, granted, units float64, now time.Duration) Verdict {
+	tenant := c.tenants[name]
+	if tenant == nil {
 		return Granted
 	}
-	b.lease, b.filled = overdraft{}, now // leases count from when the primary falls silent
-	if given < units {
-		b.pressed = now + pressedFor
+	tenant.overdraft, tenant.refilledAt = overdraft{}, now // shares are refilled from the last contact to the primary on
+	if granted < units {
+		tenant.overLimitUntil = now + overLimitFor
 		return Rejected
 	}
-	b.stock += given - units
-	b.stockAt = now
+	tenant.prefetched.add(granted-units, now)
 	return Granted
 }
 
-// ReserveFromLease spends of a lease, where the primary is silent. One request may go below nothing: a lease of a small
-// tenant is less than a request.
-func (t *Client) ReserveFromLease(tenant string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
-	b := t.buckets[tenant]
-	if b == nil {
+// ReserveFromLease spends units of the router's own share; it is called where neither the primary nor a pool answers. One request may
+// overdraw the share: that of a small tenant's limit is less than a request. Wait is 0 where it is not known.
+func (c *Client) ReserveFromLease(name string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
+	tenant := c.tenants[name]
+	if tenant == nil {
 		return Granted, 0
 	}
-	if now < t.pooled {
-		return Rejected, t.pooled - now
+	if now < c.pooledUntil {
+		return Rejected, c.pooledUntil - now
 	}
-	rate := t.silentRate(b, now)
-	t.earn(b, rate, now)
-	if t.pooled > 0 && now < t.pooled+overdraftAgain && units > b.lease.units {
-		return Rejected, 0 // the pool had what a request may take ahead
+	rate := c.isolatedRate(tenant, now)
+	c.refill(tenant, rate, now)
+	if c.pooledUntil > 0 && now < c.pooledUntil+overdraftCooldown && units > tenant.overdraft.units {
+		return Rejected, 0 // the pool spent the share from which an overdraft would be paid off
 	}
-	return b.lease.take(units, rate)
+	return tenant.overdraft.spend(units, rate)
 }
 
-// earn adds what dripped in since the last time; while a pool has the share that is nothing.
-func (t *Client) earn(b *bucket, rate float64, now time.Duration) {
-	from := max(b.filled, t.pooled)
+// refill adds the units since the last refill. While a pool has the share these are none.
+func (c *Client) refill(tenant *tenantState, rate float64, now time.Duration) {
+	from := max(tenant.refilledAt, c.pooledUntil)
 	if now <= from {
 		return
 	}
-	b.lease.earn((now-from).Seconds()*rate, rate)
-	b.filled = now
+	tenant.overdraft.refill((now-from).Seconds()*rate, rate)
+	tenant.refilledAt = now
 }
 
-// Deposit leaves what this sidecar may spend without the primary to a pool, and what its requests took ahead.
-func (t *Client) Deposit(now time.Duration) Deposit {
-	d := Deposit{For: depositFor, Debts: map[string]float64{}}
-	for name, b := range t.buckets {
-		t.earn(b, t.silentRate(b, now), now)
-		if b.lease.units < 0 {
-			d.Debts[name] = -b.lease.units
-			b.lease.units = 0
+// Deposit hands the shares that this router may spend without the primary over to a pool, and the debts of requests that overdrew them.
+// Until the deposit expires the client spends none of them itself.
+func (c *Client) Deposit(now time.Duration) Deposit {
+	d := Deposit{For: depositSpan, Debts: map[string]float64{}}
+	for name, tenant := range c.tenants {
+		c.refill(tenant, c.isolatedRate(tenant, now), now)
+		if tenant.overdraft.units < 0 {
+			d.Debts[name] = -tenant.overdraft.units
+			tenant.overdraft.units = 0
 		}
 	}
-	if now < t.until {
-		d.For = min(d.For, t.until-now)
+	if now < c.leaseEnd {
+		d.For = min(d.For, c.leaseEnd-now)
 		d.Shares = map[string]float64{}
-		for name, b := range t.buckets {
-			if b.share > 0 {
-				d.Shares[name] = b.share
+		for name, tenant := range c.tenants {
+			if tenant.share > 0 {
+				d.Shares[name] = tenant.share
 			}
 		}
 	} else {
-		d.Standing = t.standing(now)
+		d.Standing = c.standingShare(now)
 	}
-	t.pooled = now + d.For
+	c.pooledUntil = now + d.For
 	return d
 }
 
-// PooledUntil is until when a pool spends what this sidecar may spend.
-func (t *Client) PooledUntil() time.Duration { return t.pooled }
+// PooledUntil is the time until which a pool spends this router's shares.
+func (c *Client) PooledUntil() time.Duration { return c.pooledUntil }
 
-// silentRate is what may be spent a second while the primary is silent: of the lease, and once that has ended the standing share, which
-// the primary leaves to each sidecar that it does not hear.
-func (t *Client) silentRate(b *bucket, now time.Duration) float64 {
-	if now < t.until {
-		return b.limit.Rate * b.share
+// isolatedRate is how many units a second may be spent without contact to the primary: those of the leased share, and once the lease has expired
+// those of the standing share, which the primary leaves to each router that does not reach it.
+func (c *Client) isolatedRate(tenant *tenantState, now time.Duration) float64 {
+	if now < c.leaseEnd {
+		return tenant.limit.Rate * tenant.share
 	}
-	return b.limit.Rate * t.standing(now) * min(1, b.share*float64(t.fleet))
+	return tenant.limit.Rate * c.standingShare(now) * min(1, tenant.share*float64(c.fleetSize))
 }
 
-// standing is the part of every limit that this sidecar is left without a lease; a client that never had one has nothing.
-func (t *Client) standing(now time.Duration) float64 {
-	if t.until == 0 {
+// standingShare is the share of every limit that this router keeps without a lease; a client that never had a lease has none.
+func (c *Client) standingShare(now time.Duration) float64 {
+	if c.leaseEnd == 0 {
 		return 0
 	}
-	part := standingPart / float64(t.fleet)
-	if now >= t.until+standingFor {
-		return part * standingLater
+	share := standingFraction / float64(c.fleetSize)
+	if now >= c.leaseEnd+standingPeriod {
+		return share * standingLateFactor
 	}
-	return part
+	return share
 }
 
-// OverLimit reports whether the primary refused a request of a tenant just now: it asks for more than its limit.
-func (t *Client) OverLimit(tenant string, now time.Duration) bool {
-	b := t.buckets[tenant]
-	return b != nil && now < b.pressed
+// OverLimit reports whether the primary rejected a request of a tenant within the last overLimitFor: the tenant requests more than its limit.
+func (c *Client) OverLimit(name string, now time.Duration) bool {
+	tenant := c.tenants[name]
+	return tenant != nil && now < tenant.overLimitUntil
 }
 
-// Refund gives back what was taken for a request that did not run.
-func (t *Client) Refund(tenant string, units float64, now time.Duration) {
-	if b := t.buckets[tenant]; b != nil {
-		if now-b.stockAt > stockGood {
-			b.stock = 0
-		}
-		b.stock += units
-		b.stockAt = now
+// Refund gives back units of a request that did not run.
+func (c *Client) Refund(name string, units float64, now time.Duration) {
+	if tenant := c.tenants[name]; tenant != nil {
+		tenant.prefetched.dropExpired(now)
+		tenant.prefetched.add(units, now)
 	}
 }
 
-// RequestShares begins a question for leases: what is wanted and held goes to the primary.
-func (t *Client) RequestShares(now time.Duration) (nonce uint64, demand, held map[string]float64) {
-	t.nonce++
-	t.asked = now
+// RequestShares begins a request for leases. The caller sends demand, in units a second, and the shares that are held to the primary, and
+// hands its answer to ApplyShares together with the nonce.
+func (c *Client) RequestShares(now time.Duration) (nonce uint64, demand, held map[string]float64) {
+	c.nonce++
+	c.requestedAt = now
 	demand, held = map[string]float64{}, map[string]float64{}
-	for name, b := range t.buckets {
-		if passed := now - b.at; passed > 0 {
-			weight := 1 - math.Exp(-float64(passed)/float64(demandSmooth))
-			b.demand += weight * (b.wanted/passed.Seconds() - b.demand)
-			b.wanted, b.at = 0, now
-		}
-		if b.demand < leastDemand { // most tenants are not seen by most sidecars
-			b.share = 0
+	for name, tenant := range c.tenants {
+		tenant.demand.update(now)
+		if tenant.demand.rate < minDemand { // most tenants have no requests at most routers
+			tenant.share = 0
 			continue
 		}
-		demand[name] = b.demand
-		if now < t.until {
-			held[name] = b.share
+		demand[name] = tenant.demand.rate
+		if now < c.leaseEnd {
+			held[name] = tenant.share
 		}
 	}
-	return t.nonce, demand, held
+	return c.nonce, demand, held
 }
 
-// ApplyShares takes in the answer to the last question.
-func (t *Client) ApplyShares(nonce uint64, shares map[string]float64, now time.Duration) {
-	if nonce != t.nonce || now-t.asked >= LeaseDuration {
+// ApplyShares applies the answer to the last request for shares; one to an earlier request, or that comes too late, is dropped.
+func (c *Client) ApplyShares(nonce uint64, shares map[string]float64, now time.Duration) {
+	if nonce != c.nonce || now-c.requestedAt >= LeaseDuration {
 		return
 	}
-	for name, b := range t.buckets {
-		if now < t.until {
-			b.lease.units += (now - max(b.filled, min(now, t.pooled))).Seconds() * b.limit.Rate * b.share
+	for name, tenant := range c.tenants {
+		if now < c.leaseEnd {
+			tenant.overdraft.units += (now - max(tenant.refilledAt, min(now, c.pooledUntil))).Seconds() * tenant.limit.Rate * tenant.share
 		}
-		b.filled = now
-		b.share = shares[name]
+		tenant.refilledAt = now
+		tenant.share = shares[name]
 	}
-	t.until = t.asked + LeaseDuration
+	c.leaseEnd = c.requestedAt + LeaseDuration
 }
--- /dev/null
+++ b/internal/router/quota/incarnation_test.go
@@ -0,0 +1,20 @@
+package quota
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// An answer to a request of an earlier process is not applied: the primary allocated that share to another incarnation.
+func TestAGrantOfAnEarlierLife(t *testing.T) {
+	const now = 5 * time.Second
+	before, client := NewClient(4711), NewClient(815)
+	late, _, _ := before.RequestShares(now)
+	request, _, _ := client.RequestShares(now)
+	client.ApplyShares(late, map[string]float64{"t": 1}, now)
+	require.Zero(t, client.leaseEnd)
+	client.ApplyShares(request, map[string]float64{"t": 1}, now)
+	require.Equal(t, now+LeaseDuration, client.leaseEnd)
+}
--- a/internal/router/quota/mutation_test.go
+++ b/internal/router/quota/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each guard that keeps pools within the limits is taken out of the code, and the plays notice.
+// Each guard that keeps pools within the limits is taken out of the code, and the simulations notice.
 func TestGuardsOfPools(t *testing.T) {
 	const (
 		here   = "petrelhook/internal/router/quota"
@@ -16,10 +16,10 @@
 		pool   = "internal/router/quota/pool.go"
 	)
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"a deposit is spent by the pool alone": {client, "if now < t.pooled {", "if false {", here, "TestTheLimitHolds"},
-		"a deposit counts from the question":   {pool, "until := asked + d.For", "until := now + d.For", here, "TestADepositEndsAtThePoolFirst"},
+		"a deposit is spent by the pool alone": {client, "if now < c.pooledUntil {", "if false {", here, "TestTheLimitHolds"},
+		"a deposit counts from its request":    {pool, "expires := requestedAt + d.For", "expires := now + d.For", here, "TestADepositEndsAtThePoolFirst"},
 		"debts outlast deposits":               {pool, "if a.units >= 0 {", "if true {", here, "TestTheLimitHolds"},
-		"debts go with a deposit":              {client, "d.Debts[name] = -b.lease.units", "_ = name", here, "TestDebtsGoWithADeposit"},
-		"a sidecar earns nothing meanwhile":    {client, "from := max(b.filled, t.pooled)", "from := b.filled", here, "TestADepositEndsAtThePoolFirst"},
+		"debts go with a deposit":              {client, "d.Debts[name] = -tenant.overdraft.units", "_ = name", here, "TestDebtsGoWithADeposit"},
+		"a router is not refilled meanwhile":   {client, "from := max(tenant.refilledAt, c.pooledUntil)", "from := tenant.refilledAt", here, "TestADepositEndsAtThePoolFirst"},
 	})
 }
--- a/internal/router/quota/pool.go
+++ b/internal/router/quota/pool.go
@@ -2,60 +2,63 @@
 
 import "time"
 
-// Deposit is what a sidecar that hears no primary leaves to a pool, for a time in which it spends nothing itself.
+// Deposit is what a router that has no contact to a primary leaves to a pool, for a time in which it spends nothing itself. Routers send it
+// to the host of the pool.
 type Deposit struct {
 	Shares   map[string]float64 // of its leases, by tenant
 	Standing float64            // or its standing share of every limit
-	Debts    map[string]float64 // units that its requests took ahead, by tenant
-	For      time.Duration
+	Debts    map[string]float64 // units by which its requests overdrew its shares, by tenant
+	For      time.Duration      // from when the pool requested it
 }
 
-// Pool spends what several sidecars that hear no primary deposited. A sidecar of many has a part of a small tenant's limit that is less
-// than a request a second, and its requests come in clusters: alone it refuses what all together could serve.
+// Pool spends what several routers without contact to a primary deposited. A router of many has a part of a small tenant's limit that is less
+// than a request a second, and its requests come in clusters: alone it rejects what all together could serve.
 //
-// Invariant: each share is spent by its sidecar or by one pool, never by both. A pool counts a deposit from before it asked for it, the
-// sidecar from when it answered; and deposits end by themselves.
+// Invariant: each share is spent by its router or by one pool, never by both. A pool counts a deposit from before it requested it, the
+// router from when it answered; and deposits expire by themselves.
 type Pool struct {
 	limits   map[string]Limit
-	deposits map[string]*heldDeposit // by sidecar
-	accounts map[string]*account     // by tenant
-	standing float64                 // sum of the deposits' standing shares
-	integral float64                 // of standing over time, in seconds
-	at       time.Duration           // up to which the integral goes
+	deposits map[string]*activeDeposit // by router
+	accounts map[string]*account       // by tenant
+
+	standing         float64       // sum of the deposits' standing shares
+	standingIntegral float64       // of standing over time, in seconds
+	integratedTo     time.Duration // up to which the integral goes
 }
 
-type heldDeposit struct {
+// activeDeposit is a deposit that has not expired.
+type activeDeposit struct {
 	shares   map[string]float64
 	standing float64
-	until    time.Duration
+	expires  time.Duration
 }
 
-// account is one tenant's part of a pool.
+// account is one tenant's part of a pool, as of updatedAt.
 type account struct {
 	overdraft
-	shares   float64 // sum of the deposits'
-	at       time.Duration
-	integral float64 // of the pool, at that time
+	shares           float64 // sum of the deposits'
+	updatedAt        time.Duration
+	standingIntegral float64 // of the pool, at updatedAt
 }
 
-// NewPool makes an empty one.
+// NewPool makes a pool without deposits.
 func NewPool() *Pool {
-	return &Pool{limits: map[string]Limit{}, deposits: map[string]*heldDeposit{}, accounts: map[string]*account{}}
+	return &Pool{limits: map[string]Limit{}, deposits: map[string]*activeDeposit{}, accounts: map[string]*account{}}
 }
 
-// SetLimits takes in the tenants of a configuration.
+// SetLimits sets the tenants' limits, as a configuration has them.
 func (p *Pool) SetLimits(limits map[string]Limit) { p.limits = limits }
 
-// Put takes in a sidecar's deposit, in place of the one before, that was asked for at a time. An empty one takes it away.
-func (p *Pool) Put(sidecar string, d Deposit, asked, now time.Duration) {
+// Put replaces a router's deposit by one that was requested at requestedAt. An empty one takes it away.
+func (p *Pool) Put(router string, d Deposit, requestedAt, now time.Duration) {
 	p.expire(now)
-	p.remove(sidecar, now)
-	until := asked + d.For
-	if until <= now {
+	p.remove(router, now)
+	expires := requestedAt + d.For
+	if expires <= now {
 		return
 	}
-	p.advance(now)
-	p.deposits[sidecar] = &heldDeposit{shares: d.Shares, standing: d.Standing, until: until}
+	p.integrate(now)
+	p.deposits[router] = &activeDeposit{shares: d.Shares, standing: d.Standing, expires: expires}
 	p.standing += d.Standing
 	for tenant, share := range d.Shares {
 		p.account(tenant, now).shares += share
@@ -65,10 +68,10 @@
 	}
 }
 
-// Reserve spends units of a tenant's limit, or says when to come back; wait is 0 where that is not known.
+// Reserve spends units of a tenant's limit, or says how long to wait; wait is 0 where that is not known.
 func (p *Pool) Reserve(tenant string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
 	limit, ok := p.limits[tenant]
-	if !ok { // whoever asks knows more than this sidecar
+	if !ok { // the requester has a newer configuration than the pool's host
 		return Rejected, 0
 	}
 	if limit.Rate == 0 {
@@ -76,65 +79,67 @@
 	}
 	p.expire(now)
 	a := p.account(tenant, now)
-	return a.take(units, limit.Rate*(a.shares+p.standing))
+	return a.spend(units, limit.Rate*(a.shares+p.standing))
 }
 
-// DepositCount is how many there are.
+// DepositCount is the number of deposits that have not expired.
 func (p *Pool) DepositCount(now time.Duration) int {
 	p.expire(now)
 	return len(p.deposits)
 }
 
-// account finds a tenant's account and brings it up to a time.
+// account returns a tenant's account, refilled up to now.
 func (p *Pool) account(tenant string, now time.Duration) *account {
-	p.advance(now)
+	p.integrate(now)
 	a := p.accounts[tenant]
 	if a == nil {
-		a = &account{at: now, integral: p.integral}
+		a = &account{updatedAt: now, standingIntegral: p.standingIntegral}
 		p.accounts[tenant] = a
 	}
 	rate := p.limits[tenant].Rate
-	earned := rate * (a.shares*(now-a.at).Seconds() + p.integral - a.integral)
-	a.earn(earned, rate*(a.shares+p.standing))
-	a.at, a.integral = now, p.integral
+	earned := rate * (a.shares*(now-a.updatedAt).Seconds() + p.standingIntegral - a.standingIntegral)
+	a.refill(earned, rate*(a.shares+p.standing))
+	a.updatedAt, a.standingIntegral = now, p.standingIntegral
 	return a
 }
 
-func (p *Pool) advance(now time.Duration) {
-	if now <= p.at {
+// integrate brings the integral of the standing shares up to now. With it, a change of them need not touch every account.
+func (p *Pool) integrate(now time.Duration) {
+	if now <= p.integratedTo {
 		return
 	}
-	p.integral += p.standing * (now - p.at).Seconds()
-	p.at = now
+	p.standingIntegral += p.standing * (now - p.integratedTo).Seconds()
+	p.integratedTo = now
 }
 
-// expire takes away the deposits that have ended, each at its end.
+// expire removes the deposits that have expired, each as of its expiry, in the order of these.
 func (p *Pool) expire(now time.Duration) {
 	for {
-		first, until := "", now
-		for sidecar, d := range p.deposits {
-			if d.until <= until {
-				first, until = sidecar, d.until
+		first, expires := "", now
+		for router, d := range p.deposits {
+			if d.expires <= expires {
+				first, expires = router, d.expires
 			}
 		}
 		if first == "" {
 			return
 		}
-		p.remove(first, until)
+		p.remove(first, expires)
 	}
 }
 
-func (p *Pool) remove(sidecar string, at time.Duration) {
-	d := p.deposits[sidecar]
+// remove takes a router's deposit away, if there is one. The debts that came with it stay.
+func (p *Pool) remove(router string, at time.Duration) {
+	d := p.deposits[router]
 	if d == nil {
 		return
 	}
 	for tenant, share := range d.shares {
 		p.account(tenant, at).shares -= share
 	}
-	p.advance(at)
+	p.integrate(at)
 	p.standing -= d.standing
-	delete(p.deposits, sidecar)
+	delete(p.deposits, router)
 	if len(p.deposits) == 0 {
 		p.reset()
 	}
@@ -151,16 +156,17 @@
 	}
 }
 
-// overdraft is units that drip in, of which a request may take more than there are: a small tenant's are less than a request.
+// overdraft is a token bucket of which one request may take more than there is: what a router or a pool is refilled with of a small tenant's
+// limit is less than a request.
 type overdraft struct{ units float64 }
 
-// earn adds units, up to what leaseBurst brings at a rate.
-func (o *overdraft) earn(units, rate float64) {
+// refill adds units, up to what a rate brings in leaseBurst.
+func (o *overdraft) refill(units, rate float64) {
 	o.units = min(o.units+units, leaseBurst.Seconds()*rate)
 }
 
-// take spends units that drip in at a rate, where no request before is still owed.
-func (o *overdraft) take(units, rate float64) (v Verdict, wait time.Duration) {
+// spend takes units, unless an earlier request's debt is not yet paid off; then it returns how long that takes at the rate of the refill.
+func (o *overdraft) spend(units, rate float64) (v Verdict, wait time.Duration) {
 	if rate <= 0 {
 		return Rejected, 0
 	}
--- a/internal/router/quota/quota_test.go
+++ b/internal/router/quota/quota_test.go
@@ -41,7 +41,7 @@
 	require.Greater(t, wait, 10*time.Second)
 }
 
-// What drips into a bucket that is asked for six times the rate goes to large requests as it does to small ones.
+// The refill of a bucket with requests for six times its rate goes to large requests as it does to small ones.
 func TestLargeRequestsAreNotRefusedBeforeSmallOnes(t *testing.T) {
 	r := NewTokenBuckets(bounds, false, 0)
 	r.SetLimits(map[string]Limit{"a": {Rate: 640_000, Burst: 640_000}})
@@ -67,12 +67,12 @@
 	require.Equal(t, Granted, client.ApplyAcquired("t", 10, 10, 0))
 	require.False(t, client.OverLimit("t", 0))
 	require.Equal(t, Rejected, client.ApplyAcquired("t", 0, 10, 0))
-	require.True(t, client.OverLimit("t", pressedFor-1))
-	require.False(t, client.OverLimit("t", pressedFor))
+	require.True(t, client.OverLimit("t", overLimitFor-1))
+	require.False(t, client.OverLimit("t", overLimitFor))
 	require.False(t, client.OverLimit("none", 0))
 }
 
-// Sidecars that ask, lose answers, are cut off, restart, and a primary that changes: shares never add up to more than 1, as
+// Routers request shares and lose answers, are cut off and restart, and the primary changes: shares never add up to more than 1, as
 // far as the primary knows of them.
 func TestSharesAddUpToNoMoreThanOne(t *testing.T) {
 	for seed := range int64(200) {
@@ -96,8 +96,8 @@
 			}
 			sum := 0.0
 			for _, one := range clients {
-				if now < one.until {
-					sum += one.buckets["t"].share
+				if now < one.leaseEnd {
+					sum += one.tenants["t"].share
 				}
 			}
 			require.LessOrEqual(t, sum, 1.0001, "seed %d at %v", seed, now)
@@ -116,7 +116,7 @@
 	client.RequestShares(LeaseDuration + 1)
 	client.ApplyShares(nonce, map[string]float64{"t": 1}, LeaseDuration+2)
 	v, _ = client.ReserveFromLease("t", 1, LeaseDuration+3)
-	require.Equal(t, Rejected, v, "the answer to an earlier question")
+	require.Equal(t, Rejected, v, "the answer to an earlier request")
 }
 
 func TestALeaseEndsAndOverdrawsOnce(t *testing.T) {
@@ -141,13 +141,13 @@
 	v, _ := client.Reserve("t", 10, 0)
 	require.Equal(t, NeedsPrimary, v)
 	require.Equal(t, Granted, client.ApplyAcquired("t", 30, 10, 0))
-	v, _ = client.Reserve("t", 10, stockGood)
+	v, _ = client.Reserve("t", 10, prefetchTTL)
 	require.Equal(t, Granted, v)
-	v, _ = client.Reserve("t", 10, 2*stockGood)
+	v, _ = client.Reserve("t", 10, 2*prefetchTTL)
 	require.Equal(t, NeedsPrimary, v)
 }
 
-// Many sidecars together stay within the rule's bound, whatever their loads are.
+// Many routers together stay within the limit's bound, whatever their loads are.
 func TestTheBudgetOfRetries(t *testing.T) {
 	const fleet = 11
 	window := 10 * time.Second
@@ -160,9 +160,9 @@
 	for ms := range 10_000 {
 		now := time.Duration(ms) * time.Millisecond
 		b := budgets[ms%fleet]
-		b.Request("s", now)
+		b.RecordRequest("s", now)
 		requests++
-		if b.Retry("s", now) {
+		if b.AcquireRetry("s", now) {
 			retries++
 		}
 	}
@@ -170,11 +170,11 @@
 	require.Positive(t, retries)
 }
 
-// Sidecars that have all just started do not know how many they are: none spends of the slack.
+// Routers that have all just started do not know their number: none spends of the slack.
 func TestTheBudgetOfRetriesAfterAStart(t *testing.T) {
 	b := NewRetryBudget(0.2, 62, 10*time.Second)
 	b.SetFleetSize(1)
-	b.Request("s", 0)
-	require.False(t, b.Retry("s", 0))
-	require.True(t, b.Retry("s", 10*time.Second))
+	b.RecordRequest("s", 0)
+	require.False(t, b.AcquireRetry("s", 0))
+	require.True(t, b.AcquireRetry("s", 10*time.Second))
 }
--- a/internal/router/quota/retries.go
+++ b/internal/router/quota/retries.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// RetryBudget bounds one sidecar's part of the sends of requests beyond their first, for each service. It needs no
-// coordination: a fraction of the sidecar's own requests, and its part of the slack.
+// RetryBudget bounds one router's retries, of each service: the attempts of requests beyond their first. It needs no
+// coordination: the bound is a fraction of the router's own requests, and its part of the slack.
 type RetryBudget struct {
-	ratio  float64
-	slack  float64
-	window time.Duration
-	fleet  int
-	used   map[string]*usage
+	ratio     float64
+	slack     float64
+	window    time.Duration
+	fleetSize int
+	usage     map[string]*retryUsage // by service
 }
 
-type usage struct {
+// retryUsage counts requests and retries of the last window, in a ring of slots.
+type retryUsage struct {
 	slots [retrySlots]retrySlot
 }
 
+// retrySlot counts those of one slot; number is the slot's, counted from time 0, and tells old slots from present ones.
 type retrySlot struct {
 	number            int64
 	requests, retries int
@@ -23,54 +25,55 @@
 
 const retrySlots = 10
 
-// ownPart of the ratio and of the slack is used: windows slide, and a sidecar that starts anew has forgotten its use.
-const ownPart = 0.5
+// usableFraction of the ratio and of the slack is used: windows slide, and a router that restarted has forgotten its use.
+const usableFraction = 0.5
 
-// NewRetryBudget makes a budget of a sidecar that starts at time 0.
+// NewRetryBudget makes a budget of a router that starts at time 0.
 func NewRetryBudget(ratio, slack float64, window time.Duration) *RetryBudget {
-	return &RetryBudget{ratio: ratio, slack: slack, window: window, fleet: 1, used: map[string]*usage{}}
+	return &RetryBudget{ratio: ratio, slack: slack, window: window, fleetSize: 1, usage: map[string]*retryUsage{}}
 }
 
-// SetFleetSize takes in how many sidecars there are.
-func (b *RetryBudget) SetFleetSize(n int) { b.fleet = max(1, n) }
+// SetFleetSize sets the number of routers.
+func (b *RetryBudget) SetFleetSize(n int) { b.fleetSize = max(1, n) }
 
-func (b *RetryBudget) slot(service string, now time.Duration) (*usage, *retrySlot) {
-	u := b.used[service]
-	if u == nil {
-		u = &usage{}
-		b.used[service] = u
+// currentSlot returns a service's usage and the slot of now in it.
+func (b *RetryBudget) currentSlot(service string, now time.Duration) (*retryUsage, *retrySlot) {
+	usage := b.usage[service]
+	if usage == nil {
+		usage = &retryUsage{}
+		b.usage[service] = usage
 	}
 	number := int64(now / (b.window / retrySlots))
-	s := &u.slots[number%retrySlots]
-	if s.number != number {
-		*s = retrySlot{number: number}
+	slot := &usage.slots[number%retrySlots]
+	if slot.number != number {
+		*slot = retrySlot{number: number}
 	}
-	return u, s
+	return usage, slot
 }
 
-// Request counts a client's request for a service.
-func (b *RetryBudget) Request(service string, now time.Duration) {
-	_, s := b.slot(service, now)
-	s.requests++
+// RecordRequest counts a client's request to a service.
+func (b *RetryBudget) RecordRequest(service string, now time.Duration) {
+	_, slot := b.currentSlot(service, now)
+	slot.requests++
 }
 
-// Retry takes leave for one more send, or says no.
-func (b *RetryBudget) Retry(service string, now time.Duration) bool {
-	u, s := b.slot(service, now)
+// AcquireRetry acquires a permit for one more attempt and counts it, or returns false.
+func (b *RetryBudget) AcquireRetry(service string, now time.Duration) bool {
+	usage, current := b.currentSlot(service, now)
 	requests, retries := 0, 0
-	for _, one := range u.slots {
-		if s.number-one.number < retrySlots {
-			requests += one.requests
-			retries += one.retries
+	for _, slot := range usage.slots {
+		if current.number-slot.number < retrySlots {
+			requests += slot.requests
+			retries += slot.retries
 		}
 	}
-	slack := b.slack / float64(b.fleet)
-	if now < b.window { // how many there are is not sure yet
+	slack := b.slack / float64(b.fleetSize)
+	if now < b.window { // the number of routers is not certain yet
 		slack = 0
 	}
-	if float64(retries+1) > ownPart*(b.ratio*float64(requests)+slack) {
+	if float64(retries+1) > usableFraction*(b.ratio*float64(requests)+slack) {
 		return false
 	}
-	s.retries++
+	current.retries++
 	return true
 }
--- a/internal/router/quota/standing.go
+++ b/internal/router/quota/standing.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// A sidecar that hears no primary for longer than its lease is not left without anything: it has a standing share of each limit,
-// standingPart of what would be its part if all were alike: less where it spends alone and its last lease was smaller, the whole of it
-// in a pool. A primary that does not hear a sidecar leaves it that much, for as long as the sidecar may still be there.
+// A router that has had no answer of a primary for longer than its lease keeps a standing share of each limit: standingFraction of what
+// would be its part if all had equal parts. It is less where the router spends alone and its last lease was smaller, and all of it in a
+// pool. A primary leaves that much to each router without contact, for as long as the router may still be running.
 const (
-	standingPart  = 0.95
-	standingFor   = 12 * time.Second // after the lease; the fleet counts as large as it was for longer than that
-	standingLater = 1.0 / 3          // of it, from then on: few are cut off for so long, and the rule's overshoot has room for them
+	standingFraction   = 0.95
+	standingPeriod     = 12 * time.Second // after the lease; the fleet counts as large as it was for longer than that
+	standingLateFactor = 1.0 / 3          // of the share, after standingPeriod: few are cut off for so long, and the limit's overshoot has room for them
 )
 
-// ReservedFraction is the part of the limits that a primary leaves to sidecars that it does not hear, of a fleet of a size. In the first time of its
-// term those that it has not heard may still have leases of the one before, for which its buckets leave room.
-func ReservedFraction(fleet, heard int, term time.Duration) float64 {
-	if fleet <= 0 || heard >= fleet || term < LeaseDuration+margin {
+// ReservedFraction is the fraction of the limits that a primary leaves to the routers that do not reach it, of a fleet of fleetSize. It is 0 at the
+// beginning of a term: those that do not reach it may still have leases of the term before, for which its buckets leave room.
+func ReservedFraction(fleetSize, activeClients int, termAge time.Duration) float64 {
+	if fleetSize <= 0 || activeClients >= fleetSize || termAge < LeaseDuration+clockMargin {
 		return 0
 	}
-	return standingPart * float64(fleet-heard) / float64(fleet)
+	return standingFraction * float64(fleetSize-activeClients) / float64(fleetSize)
 }
--- a/internal/router/quota/window_test.go
+++ b/internal/router/quota/window_test.go
@@ -9,22 +9,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// spent is one request that was let through.
-type spent struct {
+// grantedRequest is one request whose units were granted.
+type grantedRequest struct {
 	at    time.Duration
 	units float64
 }
 
-// limitPlay has sidecars, some of which see more of a tenant than others, ask for nothing, for less than its limit and for many times
-// as much by turns, while primaries change, restart and fall silent. With pools, those that hear no primary put what they have together at
+// simulation has routers, some with more of a tenant's requests than others, request nothing, less than its limit and many times
+// as much alternately, while primaries change, restart and stop to answer. With pools, those without contact to a primary deposit their shares at
 // one of a few, some of which fail.
-type limitPlay struct {
+type simulation struct {
 	random *rand.Rand
 	limits map[string]Limit
 	units  float64 // of a request
 
 	clients      []*Client
-	cutUntil     []time.Duration // until when a client does not reach the primary
+	cutUntil     []time.Duration // until then a client does not reach the primary
 	pooled       *pooledClients
 	buckets      *TokenBuckets
 	allocator    *Allocator
@@ -32,18 +32,18 @@
 	nextFault    time.Duration
 	pressure     float64 // times the rate
 	nextPressure time.Duration
-	spent        []spent
+	spent        []grantedRequest
 }
 
 const (
-	playStep = 10 * time.Millisecond
-	playSpan = time.Minute
-	askEvery = 500 * time.Millisecond
+	simulationStep  = 10 * time.Millisecond
+	simulationSpan  = time.Minute
+	requestInterval = 500 * time.Millisecond
 )
 
-// playLimit plays a minute and returns what was let through.
-func playLimit(seed int64, limit Limit, fleet int, units float64, pools int) []spent {
-	p := &limitPlay{random: rand.New(rand.NewSource(seed)), limits: map[string]Limit{"t": limit}, units: units,
+// simulateLimit simulates a minute and returns the granted requests.
+func simulateLimit(seed int64, limit Limit, fleet int, units float64, pools int) []grantedRequest {
+	p := &simulation{random: rand.New(rand.NewSource(seed)), limits: map[string]Limit{"t": limit}, units: units,
 		cutUntil: make([]time.Duration, fleet), nextFault: 9 * time.Second, pressure: 6, nextPressure: 10 * time.Second}
 	for range fleet {
 		client := NewClient(1)
@@ -53,47 +53,47 @@
 	}
 	p.lead(true, 0)
 	p.pooled = newPooledClients(p.random, p.clients, p.limits, pools)
-	for now := time.Duration(0); now < playSpan; now += playStep {
+	for now := time.Duration(0); now < simulationSpan; now += simulationStep {
 		p.step(now)
 	}
 	return p.spent
 }
 
 // lead begins a primary's term.
-func (p *limitPlay) lead(started bool, at time.Duration) {
+func (p *simulation) lead(started bool, at time.Duration) {
 	p.buckets, p.allocator = NewTokenBuckets(bounds, started, at), NewAllocator(at)
 	p.buckets.SetLimits(p.limits)
 }
 
-func (p *limitPlay) step(now time.Duration) {
+func (p *simulation) step(now time.Duration) {
 	if now >= p.nextPressure {
 		p.pressure = []float64{0, 0.7, 6}[p.random.Intn(3)]
 		p.nextPressure = now + time.Duration(2+p.random.Intn(8))*time.Second
 	}
-	if now >= p.nextFault { // one fault in a window: a primary is lost, or sidecars are cut off from it
+	if now >= p.nextFault { // one fault in a window: a primary is lost, or routers are cut off from it
 		p.nextFault = now + 8*time.Second + time.Duration(p.random.Intn(4000))*time.Millisecond
-		p.strike(now)
+		p.injectFault(now)
 	}
-	if now >= p.silentUntil && now%askEvery == 0 {
+	if now >= p.silentUntil && now%requestInterval == 0 {
 		reserve := ReservedFraction(len(p.clients), p.allocator.ActiveClients(now), p.allocator.TermAge(now))
 		p.buckets.SetReserve(reserve)
 		p.allocator.SetReserve(reserve)
 	}
 	for i := range p.clients {
 		reaches := now >= p.silentUntil && now >= p.cutUntil[i]
-		if reaches && now%askEvery == time.Duration(i)*playStep {
-			p.ask(i, now)
+		if reaches && now%requestInterval == time.Duration(i)*simulationStep {
+			p.requestShares(i, now)
 		}
 		p.pooled.tick(i, reaches, now)
 		p.request(i, reaches, now)
 	}
 }
 
-// strike has one fault begin.
-func (p *limitPlay) strike(now time.Duration) {
+// injectFault begins one fault.
+func (p *simulation) injectFault(now time.Duration) {
 	fleet := len(p.clients)
 	switch p.random.Intn(4) {
-	case 0: // nobody leads for long
+	case 0: // there is no primary for long
 		p.silentUntil = now + time.Duration(3000+p.random.Intn(9000))*time.Millisecond
 		p.nextFault += p.silentUntil - now
 		p.lead(p.random.Intn(3) == 0, p.silentUntil)
@@ -112,25 +112,25 @@
 	}
 }
 
-// cutSome cuts three tenths of the sidecars off from the primary.
-func (p *limitPlay) cutSome(until time.Duration) {
+// cutSome cuts three tenths of the routers off from the primary.
+func (p *simulation) cutSome(until time.Duration) {
 	fleet := len(p.clients)
 	for i := range fleet * 3 / 10 {
 		p.cutUntil[(i+p.random.Intn(fleet))%fleet] = until
 	}
 }
 
-func (p *limitPlay) ask(i int, now time.Duration) {
+func (p *simulation) requestShares(i int, now time.Duration) {
 	client := p.clients[i]
 	nonce, demand, held := client.RequestShares(now)
 	client.ApplyShares(nonce, p.allocator.Allocate(fmt.Sprint(i), 1, demand, held, len(p.clients), now), now)
 }
 
-// request has a sidecar see a request of the tenant, with the probability that its load comes to.
-func (p *limitPlay) request(i int, reaches bool, now time.Duration) {
+// request has a router receive a request of the tenant, with the probability that follows from its load.
+func (p *simulation) request(i int, reaches bool, now time.Duration) {
 	weight := 2 * float64(1+i%4) / 5
 	load := p.pressure * weight * p.limits["t"].Rate / float64(len(p.clients))
-	if p.random.Float64() > load/p.units*playStep.Seconds() {
+	if p.random.Float64() > load/p.units*simulationStep.Seconds() {
 		return
 	}
 	client := p.clients[i]
@@ -139,15 +139,15 @@
 		given, _ := p.buckets.Acquire("t", p.units, extra, now)
 		v = client.ApplyAcquired("t", given, p.units, now)
 	} else if v == NeedsPrimary {
-		v = p.pooled.take(i, p.units, now)
+		v = p.pooled.reserve(i, p.units, now)
 	}
 	if v == Granted {
-		p.spent = append(p.spent, spent{now, p.units})
+		p.spent = append(p.spent, grantedRequest{now, p.units})
 	}
 }
 
-// largest is the most that was let through in any window.
-func largest(all []spent, window time.Duration) (most float64) {
+// largest is the largest sum of units granted in any window.
+func largest(all []grantedRequest, window time.Duration) (maximum float64) {
 	sum, first := 0.0, 0
 	for _, s := range all {
 		sum += s.units
@@ -155,12 +155,12 @@
 			sum -= all[first].units
 			first++
 		}
-		most = max(most, sum)
+		maximum = max(maximum, sum)
 	}
-	return most
+	return maximum
 }
 
-// However primaries change and whoever is cut off, all sidecars together stay within the rule's bound.
+// However primaries change and whichever routers are cut off, all together stay within the limit's bound.
 func TestTheLimitHolds(t *testing.T) {
 	for name, limit := range map[string]Limit{
 		"large tenant": {Rate: 640_000, Burst: 640_000},
@@ -170,7 +170,7 @@
 		for _, pools := range []int{0, 3} {
 			worst := 0.0
 			for seed := range int64(150) {
-				used := largest(playLimit(seed, limit, 11, 9_250, pools), bounds.Window) / bound
+				used := largest(simulateLimit(seed, limit, 11, 9_250, pools), bounds.Window) / bound
 				worst = max(worst, used)
 				require.LessOrEqual(t, used, 1.0, "%s, %d pools, seed %d", name, pools, seed)
 			}
@@ -180,15 +180,15 @@
 	}
 }
 
-// While nobody leads for longer than a lease lasts, the sidecars go on with most of the limit, together never more than it; a sidecar
-// that was never told how many there are has nothing.
+// While there is no primary for longer than a lease lasts, the routers go on with most of the limit, together never with more than it; a router
+// that never learnt their number has nothing.
 func TestNobodyLeadsForLong(t *testing.T) {
 	limits := map[string]Limit{"t": {Rate: 100_000, Burst: 100_000}}
 	const fleet, units = 11, 500
 	clients := make([]*Client, fleet)
 	a := NewAllocator(0)
-	start := 2 * claims
-	for range 10 { // demand is smoothed: it takes some questions to be seen
+	start := 2 * reclaimPeriod
+	for range 10 { // demand is smoothed: it takes some requests to appear
 		start += 500 * time.Millisecond
 		for i := range clients {
 			if clients[i] == nil {
@@ -214,10 +214,10 @@
 		return rate / (to - from).Seconds()
 	}
 	spent(start, start+LeaseDuration)
-	standing := spent(start+LeaseDuration, start+LeaseDuration+standingFor)
-	require.InDelta(t, standingPart*100_000, standing, 10_000)
-	later := spent(start+LeaseDuration+standingFor+time.Second, start+LeaseDuration+2*standingFor)
-	require.InDelta(t, standingPart*standingLater*100_000, later, 5_000)
+	standing := spent(start+LeaseDuration, start+LeaseDuration+standingPeriod)
+	require.InDelta(t, standingFraction*100_000, standing, 10_000)
+	later := spent(start+LeaseDuration+standingPeriod+time.Second, start+LeaseDuration+2*standingPeriod)
+	require.InDelta(t, standingFraction*standingLateFactor*100_000, later, 5_000)
 
 	alone := NewClient(1)
 	alone.SetLimits(limits, 0)
@@ -225,13 +225,13 @@
 	require.Equal(t, Rejected, v)
 }
 
-// A primary leaves room for sidecars that it does not hear, once their leases have ended, and none where it hears all.
+// A primary leaves room for routers without contact, once their leases have expired, and none where it has contact to all.
 func TestReserve(t *testing.T) {
 	require.Zero(t, ReservedFraction(11, 11, time.Hour))
 	require.Zero(t, ReservedFraction(11, 12, time.Hour))
 	require.Zero(t, ReservedFraction(0, 0, time.Hour))
-	require.Zero(t, ReservedFraction(11, 8, LeaseDuration), "leases of the term before count otherwise")
-	require.InDelta(t, standingPart*3/11, ReservedFraction(11, 8, time.Hour), 1e-9)
+	require.Zero(t, ReservedFraction(11, 8, LeaseDuration), "leases of the term before are counted by other means")
+	require.InDelta(t, standingFraction*3/11, ReservedFraction(11, 8, time.Hour), 1e-9)
 	a := NewAllocator(0)
 	for i := range 5 {
 		a.Allocate(fmt.Sprint(i), 1, nil, nil, 8, time.Duration(i)*time.Second)
