--- a/internal/router/gateway/attempt.go
+++ b/internal/router/gateway/attempt.go
@@ -101,7 +101,7 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if !g.retries.Retry(req.service, g.options.Now()) {
+	if !g.retries.AcquireRetry(req.service, g.options.Now()) {
 		return false
 	}
 	g.Counters.Retried.Add(1)
--- a/internal/router/gateway/request.go
+++ b/internal/router/gateway/request.go
@@ -181,7 +181,7 @@
 	}
 	g.mutex.Lock()
 	req.service = g.split(req.route)
-	g.retries.Request(req.service, g.options.Now())
+	g.retries.RecordRequest(req.service, g.options.Now())
 	g.mutex.Unlock()
 	return true
 }
--- a/internal/router/gateway/stall.go
+++ b/internal/router/gateway/stall.go
@@ -96,7 +96,7 @@
 	}
 	now := g.options.Now()
 	usable := func(one *placement.Server) bool { return s.conns[one.ID].HasCapacity() && !one.Full(now) }
-	if s.pool.Reroute(req.place, usable, now) == nil || !g.retries.Retry(req.service, now) {
+	if s.pool.Reroute(req.place, usable, now) == nil || !g.retries.AcquireRetry(req.service, now) {
 		return false
 	}
 	req.paid = true
--- a/internal/router/gateway/stall_test.go
+++ b/internal/router/gateway/stall_test.go
@@ -108,7 +108,7 @@
 			}
 			if !c.budget {
 				r.gateway.mutex.Lock()
-				for r.gateway.retries.Retry("s", r.gateway.options.Now()) {
+				for r.gateway.retries.AcquireRetry("s", r.gateway.options.Now()) {
 				}
 				r.gateway.mutex.Unlock()
 			}
--- /dev/null
+++ b/internal/router/placement/affinity.go
@@ -0,0 +1,129 @@
+package placement
+
+import (
+	"cmp"
+	"hash/fnv"
+	"math"
+	"slices"
+	"sort"
+	"time"
+)
+
+// affinityServers is the set of servers for a request with affinity: of those whose cost is near the lowest, the first one, or
+// two where the first has recent errors.
+func (p *Pool) affinityServers(r Request, candidates []*Server, now time.Duration) []*Server {
+	ordered, cached := p.affinityOrder(r.PrefixKey, candidates, now)
+	costs := make([]float64, len(ordered))
+	lowest := math.Inf(1)
+	for i, s := range ordered {
+		costs[i] = p.cost(r, s, i < cached, now)
+		if !s.Full(now) {
+			lowest = min(lowest, costs[i])
+		}
+	}
+	var set []*Server
+	for i, s := range ordered {
+		if costs[i] > lowest+p.policy.SlackTokens || s.Full(now) {
+			continue
+		}
+		set = append(set, s)
+		if s.Health.Multiplier(now) == 1 || len(set) == 2 {
+			return set
+		}
+	}
+	if len(set) == 0 {
+		return ordered[:1]
+	}
+	return set
+}
+
+// cost is what it costs to have a server read a prompt, in tokens: the prefill that is pending there and the prompt's own, more where long
+// answers wait for it, and the price of a shared prefix that is computed again.
+func (p *Pool) cost(r Request, s *Server, cached bool, now time.Duration) float64 {
+	work := s.Work(now)
+	prefill := work.PrefillTokens + r.PrefillTokens(cached)
+	cost := prefill
+	if p.policy.PackStreams {
+		cost += prefill * prefill * work.Streams / (p.policy.StreamDelayFraction * p.tokensPerGap())
+	}
+	if !cached {
+		cost += p.policy.RecomputeFactor * float64(r.PrefixTokens)
+	}
+	return cost
+}
+
+// affinityOrder orders the servers for a shared prefix: first those that read it recently, the number of which is cached, then the others by rendezvous
+// hashing, those of the router's zone first.
+func (p *Pool) affinityOrder(key string, candidates []*Server, now time.Duration) (ordered []*Server, cached int) {
+	ordered = p.rank(key, candidates)
+	if !p.policy.PrefixTable || p.prefixes.ttl == 0 {
+		return ordered, min(1, len(ordered))
+	}
+	uses := p.prefixes.servers(HashPrefix(key), now)
+	class := func(s *Server) int {
+		for i, use := range uses {
+			if use.server == s.ID {
+				return i
+			}
+		}
+		if s.Zone == p.zone || !p.policy.ZoneFirst {
+			return serversPerPrefix
+		}
+		return serversPerPrefix + 1
+	}
+	sort.SliceStable(ordered, func(i, j int) bool { return class(ordered[i]) < class(ordered[j]) })
+	for cached < len(ordered) && class(ordered[cached]) < serversPerPrefix {
+		cached++
+	}
+	return ordered, cached
+}
+
+// rank orders servers for a key by rendezvous hashing.
+func (p *Pool) rank(key string, servers []*Server) []*Server {
+	type ranked struct {
+		server *Server
+		weight uint64
+	}
+	list := make([]ranked, len(servers))
+	for i, s := range servers {
+		list[i] = ranked{s, p.hash(key, s.ID)}
+	}
+	slices.SortFunc(list, func(a, b ranked) int { return cmp.Compare(b.weight, a.weight) })
+	out := make([]*Server, len(list))
+	for i, entry := range list {
+		out[i] = entry.server
+	}
+	return out
+}
+
+// rendezvous is the weight of a server for a key.
+func rendezvous(key, id string) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(key)) // a hash returns no error
+	_, _ = h.Write([]byte{0})
+	_, _ = h.Write([]byte(id))
+	return mix(h.Sum64())
+}
+
+// mix spreads the last bytes of a hash over all its bits.
+func mix(x uint64) uint64 {
+	x ^= x >> 33
+	x *= 0xff51afd7ed558ccd
+	x ^= x >> 33
+	x *= 0xc4ceb9fe1a85ec53
+	return x ^ x>>33
+}
+
+// PrefixCached reports whether a server is believed to have the shared prefix of a request in its cache. A short one counts as cached
+// everywhere: all servers read it soon.
+func (p *Pool) PrefixCached(r Request, s *Server, now time.Duration) bool {
+	if !r.HasAffinity() {
+		return true
+	}
+	for _, use := range p.prefixes.servers(HashPrefix(r.PrefixKey), now) {
+		if use.server == s.ID {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/router/placement/load_board.go
@@ -0,0 +1,67 @@
+package placement
+
+import (
+	"maps"
+	"time"
+)
+
+// LoadBoard adds up the load reports of many senders. A distributor has one: the routers that it serves report what they
+// have in flight, and other distributors the sum of theirs. Each report replaces the sender's one before, and expires after
+// loadReportTTL. The board grows with the senders and the servers in their reports. It is for one goroutine at a time.
+type LoadBoard struct{ reports map[string]loadReport }
+
+// loadReport is a sender's last report.
+type loadReport struct {
+	sums       LoadSums
+	receivedAt time.Duration
+	peer       bool // it is another distributor's, for the routers that this one serves
+}
+
+// loadReportTTL is how long a sender's report counts.
+const loadReportTTL = time.Second
+
+// NewLoadBoard makes an empty board.
+func NewLoadBoard() *LoadBoard { return &LoadBoard{reports: map[string]loadReport{}} }
+
+// Put replaces a sender's report.
+func (b *LoadBoard) Put(sender string, peer bool, sums LoadSums, now time.Duration) {
+	b.reports[sender] = loadReport{sums, now, peer}
+}
+
+// Expire drops reports that were not renewed.
+func (b *LoadBoard) Expire(now time.Duration) {
+	maps.DeleteFunc(b.reports, func(_ string, r loadReport) bool { return now-r.receivedAt >= loadReportTTL })
+}
+
+// ForPeers is the work of the routers that this distributor serves.
+func (b *LoadBoard) ForPeers() LoadSums {
+	sums := LoadSums{}
+	for _, report := range b.reports {
+		if !report.peer {
+			sums.addAll(report.sums)
+		}
+	}
+	return sums
+}
+
+// All is the work of all routers.
+func (b *LoadBoard) All() LoadSums {
+	sums := LoadSums{}
+	for _, report := range b.reports {
+		sums.addAll(report.sums)
+	}
+	return sums
+}
+
+// Others is the work of all senders but one; all is the result of All, which is not changed.
+func (b *LoadBoard) Others(all LoadSums, sender string) LoadSums {
+	own := b.reports[sender].sums
+	if len(own) == 0 {
+		return all
+	}
+	others := maps.Clone(all)
+	for id, work := range own {
+		others[id] = others[id].minus(work)
+	}
+	return others
+}
--- a/internal/router/placement/placement_test.go
+++ b/internal/router/placement/pool_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func pool(zone string, n int) *Pool {
+func newTestPool(zone string, n int) *Pool {
 	p := NewPool(zone, 0, DefaultPolicy(), nil)
 	var list []Server
 	for i := range n {
@@ -20,35 +20,35 @@
 	return p
 }
 
-func all(*Server) bool { return true }
+func anyServer(*Server) bool { return true }
 
-func TestSidecarsAgreeOnAPrompt(t *testing.T) {
-	a, b := pool("z0", 9), pool("z1", 9)
+func TestRoutersAgreeOnAPrompt(t *testing.T) {
+	a, b := newTestPool("z0", 9), newTestPool("z1", 9)
 	r := Request{PrefixKey: "5c1e07a2", SharedTokens: 6000}
-	s := a.Pick(r, all, 0)
-	require.Equal(t, s.ID, b.Pick(r, all, 0).ID)
+	s := a.Pick(r, anyServer, 0)
+	require.Equal(t, s.ID, b.Pick(r, anyServer, 0).ID)
 	for range 5 {
-		require.Equal(t, s.ID, a.Pick(r, all, 0).ID)
+		require.Equal(t, s.ID, a.Pick(r, anyServer, 0).ID)
 	}
 }
 
-// One server less moves the prompts that it had, and no others.
+// Without one server the prompts that it had move, and no others.
 func TestOneServerLessMovesItsOwnPrompts(t *testing.T) {
-	before, after := pool("z0", 9), pool("z0", 8)
+	before, after := newTestPool("z0", 9), newTestPool("z0", 8)
 	for i := range 200 {
 		r := Request{PrefixKey: fmt.Sprint(i), SharedTokens: 6000}
-		if one := before.Pick(r, all, 0).ID; one != "s8" {
-			require.Equal(t, one, after.Pick(r, all, 0).ID)
+		if one := before.Pick(r, anyServer, 0).ID; one != "s8" {
+			require.Equal(t, one, after.Pick(r, anyServer, 0).ID)
 		}
 	}
 }
 
-// The set of a part that is asked for much grows beyond one server.
+// The set of a prefix with many requests grows beyond one server.
 func TestAHotPromptSpreads(t *testing.T) {
-	p := pool("z0", 9)
+	p := newTestPool("z0", 9)
 	seen := map[string]int{}
 	for range 40 {
-		s := p.Pick(Request{PrefixKey: "hot", SharedTokens: 6000}, all, 0)
+		s := p.Pick(Request{PrefixKey: "hot", SharedTokens: 6000}, anyServer, 0)
 		s.Begin(Work{Requests: 1, PrefillTokens: 2000})
 		seen[s.ID]++
 	}
@@ -59,10 +59,10 @@
 }
 
 func TestShortPromptsStayInTheZone(t *testing.T) {
-	p := pool("z1", 9)
+	p := newTestPool("z1", 9)
 	seen := map[string]bool{}
 	for range 30 {
-		s := p.Pick(Request{PrefixKey: "a", SharedTokens: 80}, all, 0)
+		s := p.Pick(Request{PrefixKey: "a", SharedTokens: 80}, anyServer, 0)
 		require.Equal(t, "z1", s.Zone)
 		seen[s.ID] = true
 	}
@@ -70,23 +70,23 @@
 }
 
 func TestRerouteGoesToTheHealthiestUntried(t *testing.T) {
-	p := pool("z0", 3)
+	p := newTestPool("z0", 3)
 	p.servers["s1"].Health.Failure(0, false)
 	r := Request{Tried: map[string]bool{"s0": true}}
-	require.Equal(t, "s2", p.Reroute(r, all, 0).ID)
+	require.Equal(t, "s2", p.Reroute(r, anyServer, 0).ID)
 	r.Tried["s2"] = true
-	require.Equal(t, "s1", p.Reroute(r, all, 0).ID)
+	require.Equal(t, "s1", p.Reroute(r, anyServer, 0).ID)
 	r.Tried["s1"] = true
-	require.Nil(t, p.Reroute(r, all, 0))
+	require.Nil(t, p.Reroute(r, anyServer, 0))
 }
 
-func TestAServerThatRestsIsUsedOnlyAlone(t *testing.T) {
-	p := pool("z0", 2)
+func TestAServerInCooldownIsUsedOnlyAlone(t *testing.T) {
+	p := newTestPool("z0", 2)
 	p.servers["s0"].Health.Failure(0, true)
 	for range 4 {
-		require.Equal(t, "s1", p.Pick(Request{}, all, time.Millisecond).ID)
+		require.Equal(t, "s1", p.Pick(Request{}, anyServer, time.Millisecond).ID)
 	}
-	require.Equal(t, "s0", p.Pick(Request{Tried: map[string]bool{"s1": true}}, all, time.Millisecond).ID)
+	require.Equal(t, "s0", p.Pick(Request{Tried: map[string]bool{"s1": true}}, anyServer, time.Millisecond).ID)
 }
 
 func TestLoad(t *testing.T) {
@@ -94,7 +94,7 @@
 	s.ReportLoad(10, 2, 16, time.Second)
 	s.Begin(Work{Requests: 1, PrefillTokens: 2000})
 	require.InDelta(t, 13, s.Load(time.Second), 0.01)
-	require.InDelta(t, 1, s.Load(time.Second+2*reportGood), 0.01)
+	require.InDelta(t, 1, s.Load(time.Second+2*serverReportTTL), 0.01)
 }
 
 func TestParsePrefix(t *testing.T) {
@@ -109,30 +109,30 @@
 	}
 }
 
-// A part that another sidecar's request read lately is sought there; one that nobody read, or long ago, in the own zone.
-func TestWhereAPartWasReadLately(t *testing.T) {
-	p := pool("z0", 9)
-	p.recent.again = 7 * time.Second
+// A request goes where another router's request with the same prefix was recently; one whose prefix was not read, or long ago, stays in the zone.
+func TestRecentlyUsedPrefix(t *testing.T) {
+	p := newTestPool("z0", 9)
+	p.prefixes.ttl = 7 * time.Second
 	r := Request{PrefixKey: "part", SharedTokens: 6000}
-	require.Equal(t, "z0", p.Pick(r, all, 0).Zone)
+	require.Equal(t, "z0", p.Pick(r, anyServer, 0).Zone)
 	p.RecordUse(HashPrefix("part"), "s4", time.Second)
-	require.Equal(t, "s4", p.Pick(r, all, 2*time.Second).ID)
-	require.Equal(t, "z0", p.Pick(r, all, 8*time.Second).Zone)
+	require.Equal(t, "s4", p.Pick(r, anyServer, 2*time.Second).ID)
+	require.Equal(t, "z0", p.Pick(r, anyServer, 8*time.Second).Zone)
 	p.RecordUse(HashPrefix("part"), "s4", 9*time.Second)
 	p.RecordUse(HashPrefix("part"), "s5", 10*time.Second)
 	for range 3 {
 		p.servers["s5"].Begin(Work{Requests: 1, PrefillTokens: 10000})
 	}
-	require.Equal(t, "s4", p.Pick(r, all, 11*time.Second).ID, "the one that read it before, where the last is loaded")
+	require.Equal(t, "s4", p.Pick(r, anyServer, 11*time.Second).ID, "the one that read it before, since the last one is loaded")
 }
 
-func TestTheMemoryOfPartsIsBounded(t *testing.T) {
-	p := pool("z0", 3)
-	p.recent.again = time.Second
-	for i := range 2*recentKeys + 5 {
+func TestPrefixTableIsBounded(t *testing.T) {
+	p := newTestPool("z0", 3)
+	p.prefixes.ttl = time.Second
+	for i := range 2*maxPrefixes + 5 {
 		p.RecordUse(PrefixHash(i), "s1", time.Duration(i)*time.Microsecond)
 	}
-	require.LessOrEqual(t, len(p.recent.uses), recentKeys)
+	require.LessOrEqual(t, len(p.prefixes.uses), maxPrefixes)
 }
 
 func FuzzPrefix(f *testing.F) {
--- a/internal/router/placement/uses.go
+++ b/internal/router/placement/prefix_uses.go
@@ -2,7 +2,8 @@
 
 import "iter"
 
-// PrefixUses says where shared parts of one service were read: part Keys[i] at Servers[At[i]].
+// PrefixUses is a message that says where shared prefixes of one service were read: Keys[i] at Servers[At[i]]. A router sends what it placed to its
+// distributor, which sends it on to the others; receivers add it to their prefix tables.
 type PrefixUses struct {
 	Service string
 	Servers []string
@@ -10,10 +11,10 @@
 	At      []uint16
 }
 
-// maxUses bounds what is kept for telling; what comes beyond it is left out.
+// maxUses bounds what is collected for a message; further uses are left out.
 const maxUses = 4096
 
-// Add adds a use, as long as there is room.
+// Add adds a use, up to maxUses.
 func (u *PrefixUses) Add(key PrefixHash, server string) {
 	if len(u.Keys) >= maxUses {
 		return
@@ -33,7 +34,7 @@
 	u.At = append(u.At, uint16(at))
 }
 
-// All lists the uses.
+// All iterates over the uses; keys without a server are left out.
 func (u *PrefixUses) All() iter.Seq2[PrefixHash, string] {
 	return func(yield func(PrefixHash, string) bool) {
 		for i, key := range u.Keys {
@@ -44,7 +45,7 @@
 	}
 }
 
-// Merge adds what another says of the same service.
+// Merge adds the uses of another message of the same service.
 func (u *PrefixUses) Merge(other PrefixUses) {
 	for key, server := range other.All() {
 		u.Add(key, server)
--- a/internal/router/placement/request.go
+++ b/internal/router/placement/request.go
@@ -7,71 +7,72 @@
 )
 
 const (
-	sharedWorth = 600     // shared tokens from which a prompt is sent where they are kept
-	maxTokens   = 1 << 30 // of one part
+	minAffinityTokens = 600     // shared tokens from which a request goes where they are cached
+	maxPartTokens     = 1 << 30 // of one part of a prompt
 )
 
-// Request is what is asked of a placement.
+// Request is what placement knows of a request. The shared prefix is the part of the prompt up to the end of its longest part that other
+// requests may have in common with it.
 type Request struct {
-	PrefixKey       string        // the longest shared part of the prompt; "": none
-	SharedTokens    int           // tokens up to its end
-	PrefixTokens    int           // tokens of that part alone
-	PromptTokens    int           // tokens of the whole prompt, 0: not told
-	MaxOutputTokens int           // tokens that are generated at most
-	MaxGap          time.Duration // the longest between two parts of the answer that its route allows; 0: not said
+	PrefixKey       string        // of the shared prefix; "": there is none
+	SharedTokens    int           // of the complete shared prefix
+	PrefixTokens    int           // of its last part, which PrefixKey names, alone
+	PromptTokens    int           // of the complete prompt, 0: unknown
+	MaxOutputTokens int           // that are generated at most
+	MaxGap          time.Duration // the objective for the time between two parts of the answer; 0: none
 	Tried           map[string]bool
 }
 
-// HasAffinity reports whether a request goes where its shared part is kept.
-func (r *Request) HasAffinity() bool { return r.PrefixKey != "" && r.SharedTokens >= sharedWorth }
+// HasAffinity reports whether a request goes where its shared prefix is cached.
+func (r *Request) HasAffinity() bool { return r.PrefixKey != "" && r.SharedTokens >= minAffinityTokens }
 
-// DecodeHeavy reports whether a request generates more than it reads: a long answer.
+// DecodeHeavy reports whether a request generates more tokens than its prompt has: a long answer.
 func (r *Request) DecodeHeavy() bool { return r.MaxOutputTokens > max(r.PromptTokens, 0) }
 
-// PrefillTokens is the tokens that a server reads, where it keeps the longest shared part or not. The parts before that are shared by so many
-// that all servers keep them.
-func (r *Request) PrefillTokens(kept bool) float64 {
-	unread := r.PromptTokens - r.SharedTokens
-	if !kept {
-		unread += r.PrefixTokens
+// PrefillTokens is the number of tokens that a server reads, depending on whether it has the last part of the shared prefix in its cache. The parts before that are
+// shared by so many requests that all servers have them.
+func (r *Request) PrefillTokens(cached bool) float64 {
+	tokens := r.PromptTokens - r.SharedTokens
+	if !cached {
+		tokens += r.PrefixTokens
 	}
-	return float64(max(0, unread))
+	return float64(max(0, tokens))
 }
 
-// Work is what a request has left to do at a server as it is sent.
-func (r *Request) Work(kept bool) Work {
-	w := Work{Requests: 1, PrefillTokens: r.PrefillTokens(kept)}
+// Work is the work that a request adds to a server as it is sent.
+func (r *Request) Work(cached bool) Work {
+	w := Work{Requests: 1, PrefillTokens: r.PrefillTokens(cached)}
 	if r.DecodeHeavy() {
 		w.Streams = 1
 	}
 	return w
 }
 
-// ParsePrefix reads X-Prompt-Prefix, parts as ID:TOKENS by commas: the key of the longest part that others may share, the
-// tokens up to its end, and of it alone. The last part is the request's own or its session's.
-func ParsePrefix(header string) (key string, shared, part int) {
+// ParsePrefix parses X-Prompt-Prefix, a prompt's parts as ID:TOKENS separated by commas, into the values of PrefixKey, SharedTokens and PrefixTokens. The last part
+// is the request's own or its session's, and not shared. Where the header is not valid there is no shared prefix.
+func ParsePrefix(header string) (key string, sharedTokens, prefixTokens int) {
 	parts := strings.Split(header, ",")
 	if header == "" || len(parts) < 2 {
 		return "", 0, 0
 	}
-	for _, one := range parts[:len(parts)-1] {
-		id, tokens, ok := strings.Cut(strings.TrimSpace(one), ":")
+	for _, part := range parts[:len(parts)-1] {
+		id, tokens, ok := strings.Cut(strings.TrimSpace(part), ":")
 		n, err := strconv.Atoi(tokens)
-		if !ok || err != nil || id == "" || n < 0 || n > maxTokens {
+		if !ok || err != nil || id == "" || n < 0 || n > maxPartTokens {
 			return "", 0, 0
 		}
-		key, part = id, n
-		shared += n
+		key, prefixTokens = id, n
+		sharedTokens += n
 	}
-	return key, shared, part
+	return key, sharedTokens, prefixTokens
 }
 
-// ParseUsage reads X-Token-Usage: the tokens of the prompt, and those generated at most.
+// ParseUsage parses X-Token-Usage: the tokens of the prompt, and those generated at most.
 func ParseUsage(header string) (prompt, output int, ok bool) {
 	in, out, found := strings.Cut(header, ",")
 	prompt, errIn := strconv.Atoi(strings.TrimSpace(in))
 	output, errOut := strconv.Atoi(strings.TrimSpace(out))
-	if !found || errIn != nil || errOut != nil || prompt < 0 || output < 0 || prompt > maxTokens || output > maxTokens {
+	if !found || errIn != nil || errOut != nil || prompt < 0 || output < 0 || prompt > maxPartTokens || output > maxPartTokens {
 		return 0, 0, false
 	}
 	return prompt, output, true
--- a/internal/router/placement/server.go
+++ b/internal/router/placement/server.go
@@ -9,101 +9,82 @@
 )
 
 const (
-	reportGood = time.Second // for which a load that a server told counts, less and less
-	toldGood   = time.Second // for which what other sidecars told counts, less and less
+	serverReportTTL = time.Second // how long a load that a server reported counts, with falling weight
+	peerLoadTTL     = time.Second // how long the other routers' work counts, with falling weight
 )
 
-// ServerHash names a server between sidecars, in a few bytes.
+// ServerHash identifies a server in messages between routers, in four bytes.
 type ServerHash uint32
 
-// HashServer is the name of a server.
+// HashServer is the hash of a server's ID.
 func HashServer(id string) ServerHash {
 	h := fnv.New32a()
-	h.Write([]byte(id))
+	_, _ = h.Write([]byte(id)) // a hash returns no error
 	return ServerHash(h.Sum32())
 }
 
-// Work is what requests have left to do at a server.
-type Work struct {
-	Requests      float64 // that have no whole answer yet
-	PrefillTokens float64 // tokens of prompts without a first part of their answer
-	Streams       float64 // requests that generate more than they read
-}
-
-func (w Work) plus(o Work) Work {
-	return Work{w.Requests + o.Requests, w.PrefillTokens + o.PrefillTokens, w.Streams + o.Streams}
-}
-
-func (w Work) minus(o Work) Work {
-	return Work{w.Requests - o.Requests, w.PrefillTokens - o.PrefillTokens, w.Streams - o.Streams}
-}
-
-func (w Work) times(x float64) Work { return Work{w.Requests * x, w.PrefillTokens * x, w.Streams * x} }
-
-// Server is what a sidecar knows of one server.
+// Server is what a router knows of one server.
 type Server struct {
 	ID      string
 	Address string
 	Zone    string
-	Slots   int
+	Slots   int // requests that it runs at a time; 0: unknown
 
-	Health rotation.Health
-	turn   rotation.CurrentWeight
-	hash   ServerHash
-	place  uint64 // in the pool's order
+	Health        rotation.Health
+	currentWeight rotation.CurrentWeight
+	hash          ServerHash
+	order         uint64 // position in the pool's order
 
-	own    Work // of this sidecar's requests
-	told   Work // of the other sidecars', as heard last
-	toldAt time.Duration
+	local    Work // of this router's requests
+	peers    peerWork
+	reported reportedLoad
+}
 
-	reported   float64 // requests running and waiting there, by its last answer
-	since      int     // sent by this sidecar after that
-	reportedAt time.Duration
+// peerWork is the work of the other routers' requests, as last received.
+type peerWork struct {
+	work       Work
+	receivedAt time.Duration
 }
 
-// Begin notes a request that goes there.
-func (s *Server) Begin(w Work) {
-	s.own = s.own.plus(w)
-	s.since++
+// reportedLoad is what the server said of itself in its last answer.
+type reportedLoad struct {
+	requests   float64 // running and queued
+	sentSince  int     // requests that this router sent after that
+	receivedAt time.Duration
 }
 
-// End takes back what was noted of a request, as far as it is done.
-func (s *Server) End(w Work) { s.own = s.own.minus(w) }
+// Begin adds the work of a request that is sent there.
+func (s *Server) Begin(w Work) {
+	s.local = s.local.plus(w)
+	s.reported.sentSince++
+}
 
-// InFlight is how many requests this sidecar has there.
-func (s *Server) InFlight() int { return int(s.own.Requests) }
+// End subtracts work of a request that is done.
+func (s *Server) End(w Work) { s.local = s.local.minus(w) }
 
-// ReportLoad takes in a load that the server told.
+// ReportLoad records the load that the server reported; slots is 0 where it did not say.
 func (s *Server) ReportLoad(running, waiting float64, slots int, now time.Duration) {
-	s.reported, s.reportedAt, s.since = running+waiting, now, 0
+	s.reported = reportedLoad{requests: running + waiting, receivedAt: now}
 	if slots > 0 {
 		s.Slots = slots
 	}
 }
 
-// faded is how much something heard at a time still counts.
-func faded(at, good, now time.Duration) float64 {
-	if at == 0 || now-at >= good {
-		return 0
-	}
-	return 1 - float64(now-at)/float64(good)
-}
-
-// Work is an estimate of what all sidecars' requests have left to do there.
+// Work is an estimate of what all routers' requests have pending there.
 func (s *Server) Work(now time.Duration) Work {
-	return s.own.plus(s.told.times(faded(s.toldAt, toldGood, now)))
+	return s.local.plus(s.peers.work.times(freshness(s.peers.receivedAt, peerLoadTTL, now)))
 }
 
-// Load is an estimate of the requests that a server holds: what all sidecars have there, or what the server told if that is more.
+// Load is an estimate of the requests at a server: those that all routers have there, or what the server reported if that is more.
 func (s *Server) Load(now time.Duration) float64 {
 	load := s.Work(now).Requests
-	if fresh := faded(s.reportedAt, reportGood, now); fresh > 0 {
-		load = math.Max(load, s.reported*fresh+float64(s.since))
+	if fresh := freshness(s.reported.receivedAt, serverReportTTL, now); fresh > 0 {
+		load = math.Max(load, s.reported.requests*fresh+float64(s.reported.sentSince))
 	}
 	return load
 }
 
-// Full reports whether a server is thought to have no place left.
+// Full reports whether a server is believed to have no free slot.
 func (s *Server) Full(now time.Duration) bool {
 	return s.Slots > 0 && s.Load(now) >= float64(s.Slots)
 }
--- a/internal/router/quota/pool_test.go
+++ b/internal/router/quota/pool_test.go
@@ -54,13 +54,13 @@
 		}
 		return
 	}
-	asked := now - time.Duration(p.random.Intn(300))*time.Millisecond
+	requestedAt := now - time.Duration(p.random.Intn(300))*time.Millisecond
 	deposit := Deposit{}
 	if !reaches {
 		deposit = client.Deposit(now)
 	}
 	if p.random.Intn(10) > 0 { // else it is lost on the way
-		p.pools[p.poolOf[i]].Put(fmt.Sprint(i), deposit, asked, now)
+		p.pools[p.poolOf[i]].Put(fmt.Sprint(i), deposit, requestedAt, now)
 	}
 }
 
@@ -92,23 +92,23 @@
 	limits := map[string]Limit{"t": {Rate: 1000, Burst: 1000}}
 	client, pool := leasedClient(limits), NewPool()
 	pool.SetLimits(limits)
-	asked, answered := 100*time.Millisecond, 400*time.Millisecond
-	deposit := client.Deposit(answered)
-	pool.Put("a", deposit, asked, answered)
-	v, _ := client.ReserveFromLease("t", 1, answered)
+	requestedAt, answeredAt := 100*time.Millisecond, 400*time.Millisecond
+	deposit := client.Deposit(answeredAt)
+	pool.Put("a", deposit, requestedAt, answeredAt)
+	v, _ := client.ReserveFromLease("t", 1, answeredAt)
 	require.Equal(t, Rejected, v)
-	v, _ = pool.Reserve("t", 1, answered)
+	v, _ = pool.Reserve("t", 1, answeredAt)
 	require.Equal(t, Granted, v)
-	require.Equal(t, 1, pool.DepositCount(asked+depositSpan-time.Millisecond))
-	require.Zero(t, pool.DepositCount(asked+depositSpan))
-	v, _ = pool.Reserve("t", 1, asked+depositSpan)
+	require.Equal(t, 1, pool.DepositCount(requestedAt+depositSpan-time.Millisecond))
+	require.Zero(t, pool.DepositCount(requestedAt+depositSpan))
+	v, _ = pool.Reserve("t", 1, requestedAt+depositSpan)
 	require.Equal(t, Rejected, v)
 
-	ended := answered + depositSpan
+	ended := answeredAt + depositSpan
 	v, wait := client.ReserveFromLease("t", 1, ended-time.Millisecond)
 	require.Equal(t, Rejected, v)
 	require.Equal(t, time.Millisecond, wait)
-	earned := answered.Seconds() * 500 // until it left its share to the pool
+	earned := answeredAt.Seconds() * 500 // until it left its share to the pool
 	v, _ = client.ReserveFromLease("t", earned, ended)
 	require.Equal(t, Granted, v)
 	v, _ = client.ReserveFromLease("t", 1, ended+time.Millisecond)
@@ -157,7 +157,7 @@
 	}
 	p.pooled = newPooledClients(p.random, p.clients, p.limits, s.pools)
 	p.pooled.injectFailures = false
-	asks, refused := 0, 0
+	requests, rejected := 0, 0
 	for now := time.Duration(0); now < start+span; now += simulationStep {
 		for i, client := range p.clients {
 			if now < start && now%requestInterval == time.Duration(i%50)*simulationStep {
@@ -172,13 +172,13 @@
 			if v, _ := client.Reserve("t", units, now); now < start || v == Granted {
 				continue
 			}
-			asks++
+			requests++
 			if p.pooled.reserve(i, units, now) != Granted {
-				refused++
+				rejected++
 			}
 		}
 	}
-	return float64(refused) / float64(asks)
+	return float64(rejected) / float64(requests)
 }
 
 // While there is no primary, what routers reject of a load within the limit: alone and with a pool in each zone.
--- a/internal/router/quota/quota_test.go
+++ b/internal/router/quota/quota_test.go
@@ -12,50 +12,50 @@
 var bounds = Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 110_000}
 
 func TestAcquireAndRefill(t *testing.T) {
-	r := NewTokenBuckets(bounds, false, 0)
+	buckets := NewTokenBuckets(bounds, false, 0)
 	limit := Limit{Rate: 29_000, Burst: 29_000}
-	r.SetLimits(map[string]Limit{"a": limit})
-	given, _ := r.Acquire("a", 9_000, 0, 0)
+	buckets.SetLimits(map[string]Limit{"a": limit})
+	given, _ := buckets.Acquire("a", 9_000, 0, 0)
 	require.Equal(t, 9_000.0, given)
 	var wait time.Duration
 	for given > 0 {
-		given, wait = r.Acquire("a", 9_000, 0, 0)
+		given, wait = buckets.Acquire("a", 9_000, 0, 0)
 	}
 	require.Positive(t, wait)
-	given, _ = r.Acquire("a", 9_000, 0, wait+time.Millisecond)
+	given, _ = buckets.Acquire("a", 9_000, 0, wait+time.Millisecond)
 	require.Equal(t, 9_000.0, given)
-	given, _ = r.Acquire("none", 5, 0, 0)
+	given, _ = buckets.Acquire("none", 5, 0, 0)
 	require.Equal(t, 5.0, given, "a tenant without a limit")
 }
 
 // A request that is larger than the whole capacity goes through once the bucket is full.
 func TestALargeRequest(t *testing.T) {
-	r := NewTokenBuckets(Bounds{Window: 8 * time.Second}, false, 0)
-	r.SetLimits(map[string]Limit{"a": {Rate: 100, Burst: 100}})
-	given, wait := r.Acquire("a", 5_000, 0, 0)
+	buckets := NewTokenBuckets(Bounds{Window: 8 * time.Second}, false, 0)
+	buckets.SetLimits(map[string]Limit{"a": {Rate: 100, Burst: 100}})
+	given, wait := buckets.Acquire("a", 5_000, 0, 0)
 	require.Zero(t, given)
-	given, _ = r.Acquire("a", 5_000, 0, wait+time.Second)
+	given, _ = buckets.Acquire("a", 5_000, 0, wait+time.Second)
 	require.Equal(t, 5_000.0, given)
-	given, wait = r.Acquire("a", 10, 0, wait+time.Second)
+	given, wait = buckets.Acquire("a", 10, 0, wait+time.Second)
 	require.Zero(t, given)
 	require.Greater(t, wait, 10*time.Second)
 }
 
 // The refill of a bucket with requests for six times its rate goes to large requests as it does to small ones.
 func TestLargeRequestsAreNotRefusedBeforeSmallOnes(t *testing.T) {
-	r := NewTokenBuckets(bounds, false, 0)
-	r.SetLimits(map[string]Limit{"a": {Rate: 640_000, Burst: 640_000}})
+	buckets := NewTokenBuckets(bounds, false, 0)
+	buckets.SetLimits(map[string]Limit{"a": {Rate: 640_000, Burst: 640_000}})
 	random := rand.New(rand.NewSource(1))
 	sizes := []float64{2_000, 20_000}
-	asked, served := map[float64]float64{}, map[float64]float64{}
+	requested, served := map[float64]float64{}, map[float64]float64{}
 	for now := time.Duration(0); now < 30*time.Second; now += 3 * time.Millisecond {
 		size := sizes[random.Intn(len(sizes))]
-		asked[size]++
-		if given, _ := r.Acquire("a", size, 0, now); given > 0 {
+		requested[size]++
+		if given, _ := buckets.Acquire("a", size, 0, now); given > 0 {
 			served[size]++
 		}
 	}
-	small, large := served[sizes[0]]/asked[sizes[0]], served[sizes[1]]/asked[sizes[1]]
+	small, large := served[sizes[0]]/requested[sizes[0]], served[sizes[1]]/requested[sizes[1]]
 	require.Less(t, small, 0.5, "the tenant is over its limit")
 	require.InDelta(t, small, large, 0.05)
 }
--- a/internal/router/quota/window_test.go
+++ b/internal/router/quota/window_test.go
@@ -170,9 +170,9 @@
 		for _, pools := range []int{0, 3} {
 			worst := 0.0
 			for seed := range int64(150) {
-				used := largest(simulateLimit(seed, limit, 11, 9_250, pools), bounds.Window) / bound
-				worst = max(worst, used)
-				require.LessOrEqual(t, used, 1.0, "%s, %d pools, seed %d", name, pools, seed)
+				fraction := largest(simulateLimit(seed, limit, 11, 9_250, pools), bounds.Window) / bound
+				worst = max(worst, fraction)
+				require.LessOrEqual(t, fraction, 1.0, "%s, %d pools, seed %d", name, pools, seed)
 			}
 			t.Logf("%s, %d pools: at most %.3f of the bound", name, pools, worst)
 			require.Greater(t, worst, 0.7, "the limit is used")
@@ -186,7 +186,7 @@
 	limits := map[string]Limit{"t": {Rate: 100_000, Burst: 100_000}}
 	const fleet, units = 11, 500
 	clients := make([]*Client, fleet)
-	a := NewAllocator(0)
+	allocator := NewAllocator(0)
 	start := 2 * reclaimPeriod
 	for range 10 { // demand is smoothed: it takes some requests to appear
 		start += 500 * time.Millisecond
@@ -200,7 +200,7 @@
 				clients[i].Reserve("t", units, start)
 			}
 			nonce, demand, held := clients[i].RequestShares(start)
-			clients[i].ApplyShares(nonce, a.Allocate(fmt.Sprint(i), 1, demand, held, fleet, start), start)
+			clients[i].ApplyShares(nonce, allocator.Allocate(fmt.Sprint(i), 1, demand, held, fleet, start), start)
 		}
 	}
 	spent := func(from, to time.Duration) (rate float64) {
@@ -232,17 +232,17 @@
 	require.Zero(t, ReservedFraction(0, 0, time.Hour))
 	require.Zero(t, ReservedFraction(11, 8, LeaseDuration), "leases of the term before are counted by other means")
 	require.InDelta(t, standingFraction*3/11, ReservedFraction(11, 8, time.Hour), 1e-9)
-	a := NewAllocator(0)
+	allocator := NewAllocator(0)
 	for i := range 5 {
-		a.Allocate(fmt.Sprint(i), 1, nil, nil, 8, time.Duration(i)*time.Second)
+		allocator.Allocate(fmt.Sprint(i), 1, nil, nil, 8, time.Duration(i)*time.Second)
 	}
-	require.Equal(t, 3, a.ActiveClients(4*time.Second+100*time.Millisecond))
-	b := NewTokenBuckets(bounds, true, 0)
-	b.SetLimits(map[string]Limit{"t": {Rate: 100_000, Burst: 100_000}})
-	b.SetReserve(0.2)
+	require.Equal(t, 3, allocator.ActiveClients(4*time.Second+100*time.Millisecond))
+	buckets := NewTokenBuckets(bounds, true, 0)
+	buckets.SetLimits(map[string]Limit{"t": {Rate: 100_000, Burst: 100_000}})
+	buckets.SetReserve(0.2)
 	taken := 0.0
 	for now := 10 * time.Second; now < 20*time.Second; now += time.Millisecond {
-		given, _ := b.Acquire("t", 1000, 0, now)
+		given, _ := buckets.Acquire("t", 1000, 0, now)
 		taken += given
 	}
 	require.InDelta(t, 800_000, taken, 150_000)
--- a/internal/router/rotation/rotation_test.go
+++ b/internal/router/rotation/rotation_test.go
@@ -14,7 +14,7 @@
 		h.Failure(time.Second, false)
 	}
 	require.InDelta(t, 0.7, h.Multiplier(time.Second), 1e-9)
-	require.InDelta(t, 0.85, h.Multiplier(time.Second+halfLife), 1e-9)
+	require.InDelta(t, 0.85, h.Multiplier(time.Second+errorHalfLife), 1e-9)
 	for range 20 {
 		h.Failure(time.Second, false)
 	}
@@ -23,25 +23,25 @@
 	require.Equal(t, 1.0, h.Multiplier(time.Second))
 }
 
-func TestRests(t *testing.T) {
+func TestCooldown(t *testing.T) {
 	var h Health
 	h.Failure(0, true)
-	require.True(t, h.CoolingDown(restFirst-1))
-	require.False(t, h.CoolingDown(restFirst))
-	h.Failure(restFirst, true)
-	require.True(t, h.CoolingDown(restFirst+2*restFirst-1))
+	require.True(t, h.CoolingDown(initialCooldown-1))
+	require.False(t, h.CoolingDown(initialCooldown))
+	h.Failure(initialCooldown, true)
+	require.True(t, h.CoolingDown(initialCooldown+2*initialCooldown-1))
 	h.Success()
-	require.False(t, h.CoolingDown(restFirst+1))
+	require.False(t, h.CoolingDown(initialCooldown+1))
 }
 
 func TestSmoothWeightedRoundRobin(t *testing.T) {
-	turns := make([]CurrentWeight, 3)
+	currents := make([]CurrentWeight, 3)
 	weights := []float64{100, 100, 50}
 	got := make([]int, 3)
 	for range 250 {
 		var candidates []Candidate
-		for i := range turns {
-			candidates = append(candidates, Candidate{Current: &turns[i], Weight: weights[i]})
+		for i := range currents {
+			candidates = append(candidates, Candidate{Current: &currents[i], Weight: weights[i]})
 		}
 		got[Pick(candidates)]++
 	}
