--- a/internal/router/outlier/explain.go
+++ b/internal/router/outlier/explain.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Finding is what a home believes of a server that somebody saw fail lately, and from what.
+// Finding is what a distributor believes of a server that failed for somebody recently, and from what. It is part of a router's status.
 type Finding struct {
 	Server   string
 	Service  string
-	Own      Count // what the home's own subscribers saw, forgotten exponentially
-	Fleet    Count // what all saw
+	Own      Count // what the distributor's own reporters saw, decaying exponentially
+	Fleet    Count // what all reporters saw
 	Ejected  bool
-	For      time.Duration // the ejection lasts at the least
-	Admitted time.Duration // an operator's word that it is not ejected lasts for
+	For      time.Duration // remaining time of the ejection, at least
+	Admitted time.Duration // remaining time in which an operator's override prevents an ejection
 }
 
-// Explain lists the servers in doubt, and those that an operator spoke of.
+// Explain lists the suspected servers, and those with an operator's override.
 func (d *Detector) Explain(now time.Duration) []Finding {
 	var out []Finding
 	for id, s := range d.servers {
-		admitted := max(0, s.admitted-now)
-		if !s.doubted(now) && admitted == 0 {
+		admitted := max(0, s.admittedUntil-now)
+		if !s.suspected(now) && admitted == 0 {
 			continue
 		}
-		own := s.own(id, now)
-		out = append(out, Finding{Server: id, Service: s.service, Own: own.All, Fleet: s.fleet(own).All,
-			Ejected: s.ejection.active, For: max(0, s.ejection.until-now), Admitted: admitted})
+		own := s.ownSum(id, now)
+		out = append(out, Finding{Server: id, Service: s.service, Own: own.All, Fleet: s.fleetSum(own).All,
+			Ejected: s.ejection.active, For: max(0, s.ejection.earliestEnd-now), Admitted: admitted})
 	}
 	slices.SortFunc(out, func(a, b Finding) int { return cmp.Compare(a.Server, b.Server) })
 	return out
 }
 
-// Admit takes in an operator's word that a server is not to be ejected for some time; a present ejection ends. It reports
-// whether there is such a server.
+// Admit is an operator's override: a server is not ejected for some time, and a present ejection ends. It returns false
+// where there is no such server.
 func (d *Detector) Admit(id string, span, now time.Duration) bool {
-	s := d.find(id)
+	s := d.server(id)
 	if s == nil {
 		return false
 	}
-	s.admitted = now + span
+	s.admittedUntil = now + span
 	if s.ejection.active {
-		s.ejection.active, s.ejection.ended = false, now
+		s.ejection.end(now)
 	}
 	return true
 }
--- a/internal/router/outlier/tally.go
+++ b/internal/router/outlier/tally.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	reportEvery = 500 * time.Millisecond // without failures
-	reportMost  = 512                    // servers in a report
+	reportInterval   = 500 * time.Millisecond // without failures
+	maxReportServers = 512                    // in a report
 )
 
-// Tally counts one sidecar's sends until they are reported.
+// Tally counts one router's attempts until they are reported.
 type Tally struct {
-	counts   map[string]*count
-	failures bool
-	reported time.Duration
+	counts     map[string]*tallyCount // by server
+	failures   bool                   // one of them failed
+	reportedAt time.Duration
 }
 
-type count struct{ sent, failed uint16 }
+type tallyCount struct{ sent, failed uint16 }
 
-// NewTally makes an empty one.
-func NewTally() *Tally { return &Tally{counts: map[string]*count{}} }
+// NewTally makes an empty tally.
+func NewTally() *Tally { return &Tally{counts: map[string]*tallyCount{}} }
 
-// Add counts a send.
+// Add counts an attempt. Servers beyond maxReportServers and attempts beyond the range of a report are left out.
 func (t *Tally) Add(server string, failed bool) {
 	c := t.counts[server]
 	if c == nil {
-		if len(t.counts) >= reportMost {
+		if len(t.counts) >= maxReportServers {
 			return
 		}
-		c = &count{}
+		c = &tallyCount{}
 		t.counts[server] = c
 	}
 	if c.sent == math.MaxUint16 {
@@ -42,9 +42,9 @@
 	}
 }
 
-// Take takes what is to be reported now: at once where something failed, else now and then.
+// Take returns the report that is due now, and begins a new count: at once where an attempt failed, otherwise once in a reportInterval.
 func (t *Tally) Take(now time.Duration) (r Report, ok bool) {
-	if len(t.counts) == 0 || !t.failures && now-t.reported < reportEvery {
+	if len(t.counts) == 0 || !t.failures && now-t.reportedAt < reportInterval {
 		return r, false
 	}
 	for server, c := range t.counts {
@@ -53,6 +53,6 @@
 		r.Failed = append(r.Failed, c.failed)
 	}
 	clear(t.counts)
-	t.failures, t.reported = false, now
+	t.failures, t.reportedAt = false, now
 	return r, true
 }
