--- a/internal/router/backend/exchange.go
+++ b/internal/router/backend/exchange.go
@@ -23,41 +23,42 @@
 
 // Response is the head of an answer, and its body as it comes.
 type Response struct {
-	Status int
-	Header http.Header
-	Length int64 // of the body, or -1
-	// Dialled is how long it took to make the connection; 0 where one was there.
-	DialTime time.Duration
+	Status   int
+	Header   http.Header
+	DialTime time.Duration // how long it took to make the connection; 0 where there was one
 	body     io.ReadCloser
 
-	pool    *Pool
-	conn    *conn
-	keep    bool
-	ended   bool
-	release func() bool
+	pool     *Pool
+	conn     *conn       // nil: the response is closed
+	detach   func() bool // from the context
+	reusable bool        // the connection, once the body is complete
+	complete bool        // the body was read to its end
 }
 
-const maxSurplus = 2 // late answers to earlier requests that are passed over
+const maxLateAnswers = 2 // to earlier requests, that are passed over
 
-// longRequest is from how many bytes on an answer is read while the request is still being written: a server may answer before it has
+// longRequestBytes is the size from which an answer is read while the request is still being written: a server may answer before it has
 // read a long one.
-const longRequest = 16 << 10
+const longRequestBytes = 16 << 10
+
+// longAgo is a deadline that ends all reads and writes of a connection.
+var longAgo = time.Unix(1, 0)
 
-// Do sends a request and reads the head of its answer. Until the answer is closed it stays with the context: when that ends,
-// the connection does.
+// Do sends a request and reads the head of its answer. Until the answer is closed the exchange depends on the context: when that ends,
+// the connection does. An error is ErrNoConnection, ErrBroken, or ErrNotSent, which may be marked as ErrBroken too.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
-	asked := time.Now()
+	began := time.Now()
 	c, err := p.get(ctx)
 	if err != nil {
 		return nil, err
 	}
-	dialled := time.Since(asked)
-	if c.uses > 0 {
-		dialled = 0
+	dialTime := time.Since(began)
+	if c.exchanges > 0 {
+		dialTime = 0
 	}
-	release := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	detach := context.AfterFunc(ctx, func() { _ = c.SetDeadline(longAgo) }) // it fails for a closed connection, which has ended already
 	fail := func(err error) error {
-		release()
+		detach()
 		p.drop(c)
 		return errors.Mark(err, ErrBroken)
 	}
@@ -66,21 +67,21 @@
 	}
 	answer, written, err := exchange(c, r)
 	if err != nil {
-		if c.uses > 0 && ctx.Err() == nil && !errors.IsAny(err, errNotOurs, ErrNotSent) {
-			p.lostIdle(c)
+		if c.exchanges > 0 && ctx.Err() == nil && !errors.IsAny(err, errOtherRequest, ErrNotSent) {
+			p.shortenMaxIdle(c)
 		}
 		return nil, fail(err)
 	}
-	keep := written && !answer.Close && answer.ProtoAtLeast(1, 1)
-	return &Response{Status: answer.StatusCode, Header: answer.Header, Length: answer.ContentLength, body: answer.Body,
-		DialTime: dialled, pool: p, conn: c, keep: keep, release: release}, nil
+	answer.DialTime, answer.pool, answer.conn, answer.detach = dialTime, p, c, detach
+	answer.reusable = answer.reusable && written
+	return answer, nil
 }
 
-// exchange writes a request and reads the head of its answer. It reports whether the whole request was written: on a connection where a rest
-// of it is due, the next request would be taken for that.
-func exchange(c *conn, r *Request) (answer *http.Response, written bool, err error) {
+// exchange writes a request and reads the head of its answer. It reports whether the complete request was written: on a connection where the rest
+// of it is missing, the server would take the next request for that.
+func exchange(c *conn, r *Request) (answer *Response, written bool, err error) {
 	request := encode(r)
-	if len(request) >= longRequest {
+	if len(request) >= longRequestBytes {
 		return exchangeLong(c, r, request)
 	}
 	if n, err := c.Write(request); err != nil {
@@ -94,29 +95,29 @@
 }
 
 // exchangeLong reads the answer while it writes the request, and writes no more once the answer is there.
-func exchangeLong(c *conn, r *Request, request []byte) (answer *http.Response, written bool, err error) {
+func exchangeLong(c *conn, r *Request, request []byte) (answer *Response, written bool, err error) {
 	read := make(chan error, 1)
 	go func() {
 		var err error
 		answer, err = readAnswer(c, r)
-		c.SetWriteDeadline(time.Unix(1, 0))
+		_ = c.SetWriteDeadline(longAgo) // it fails for a closed connection, where the write ends by itself
 		read <- err
 	}()
-	n, _ := c.Write(request)
-	err = <-read // it ends with the connection or the context, at the latest
+	n, _ := c.Write(request) // where it fails the answer tells, or its error
+	err = <-read             // it ends with the connection or the context, at the latest
 	if err != nil && n == 0 {
 		err = errors.Mark(err, ErrNotSent)
 	}
 	return answer, n == len(request), err
 }
 
-// errNotOurs says that what came answers no request that was sent here, or does not say which.
-var errNotOurs = errors.New("no answer to this request")
+// errOtherRequest is that what came does not answer this request, or does not say which one it answers.
+var errOtherRequest = errors.New("no answer to this request")
 
 // readAnswer reads the head of the answer to a request; late answers to earlier ones are passed over.
-func readAnswer(c *conn, r *Request) (*http.Response, error) {
-	for range maxSurplus + 1 {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
+func readAnswer(c *conn, r *Request) (*Response, error) {
+	for range maxLateAnswers + 1 {
+		answer, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method}) //nolint:bodyclose // closing a body would read the rest of it; Response.Close keeps or closes the connection instead
 		if err != nil {
 			return nil, err
 		}
@@ -126,21 +127,25 @@
 		id := answer.Header.Get("X-Request-Id")
 		switch {
 		case id == r.ID:
-			return answer, nil
+			return newResponse(answer), nil
 		case id != "":
-			io.Copy(io.Discard, answer.Body) // an answer that nobody waits for any more
-		case c.uses > 0 || promises(answer):
-			// On a used connection it may be the answer to an earlier request; and nothing is promised by one that does not say to whom.
-			return nil, errors.Wrap(errNotOurs, "an answer without an id")
+			_, _ = io.Copy(io.Discard, answer.Body) // nobody waits for it any more; the next read has its error, too
+		case c.exchanges > 0 || claimsNotExecuted(answer):
+			// On a used connection it may be the answer to an earlier request; and one that does not name its request promises nothing.
+			return nil, errors.Wrap(errOtherRequest, "an answer without an id")
 		default:
-			return answer, nil
+			return newResponse(answer), nil
 		}
 	}
-	return nil, errors.Wrap(errNotOurs, "only answers to other requests came")
+	return nil, errors.Wrap(errOtherRequest, "only answers to other requests came")
 }
 
-// promises reports whether an answer says that its request was not run.
-func promises(answer *http.Response) bool {
+func newResponse(answer *http.Response) *Response {
+	return &Response{Status: answer.StatusCode, Header: answer.Header, body: answer.Body, reusable: !answer.Close && answer.ProtoAtLeast(1, 1)}
+}
+
+// claimsNotExecuted reports whether an answer says that its request was not run.
+func claimsNotExecuted(answer *http.Response) bool {
 	switch answer.StatusCode {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -152,38 +157,37 @@
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if err == io.EOF {
-		r.ended = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange: the connection is kept where the body was read whole, else closed.
+// Close ends the exchange: the connection is kept where the body was read to its end, else closed. It may be called again.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
 	}
 	c := r.conn
 	r.conn = nil
-	if !r.release() || !r.ended || !r.keep {
+	if !r.detach() || !r.complete || !r.reusable {
 		r.pool.drop(c)
 		return
 	}
-	r.pool.put(c, keepAlive(r.Header.Get("Keep-Alive")))
+	r.pool.put(c, parseKeepAlive(r.Header.Get("Keep-Alive")))
 }
 
-// Reused reports whether the answer came on a connection that had been used before.
-func (r *Response) Reused() bool { return r.conn != nil && r.conn.uses > 0 }
-
+// encode is a request as it is written. Its header fields are valid as they come from a parsed request.
 func encode(r *Request) []byte {
+	const maxUsualHead = 512
 	var b bytes.Buffer
-	b.Grow(512 + len(r.Body))
+	b.Grow(maxUsualHead + len(r.Body))
 	b.WriteString(r.Method)
 	b.WriteByte(' ')
 	b.WriteString(r.Target)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
-	r.Header.Write(&b)
+	_ = r.Header.Write(&b) // a buffer returns no error
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
--- a/internal/router/backend/pool.go
+++ b/internal/router/backend/pool.go
@@ -1,7 +1,3 @@
-// Package backend sends requests to one server over HTTP/1.1 and tells what became of each: whether it may have run.
-//
-// It sends nothing twice and uses no connection on which anything came that nobody asked for. What Go's own client would do
-// by itself (repeat a request on a new connection) is why that is not used here.
 package backend
 
 import (
@@ -19,50 +15,52 @@
 	"petrelhook/internal/router/transport"
 )
 
-// The errors of an exchange. ErrNotSent: no byte of the request left. ErrBroken: it may have run.
+// The errors of an exchange.
 var (
-	ErrNotSent      = errors.New("the request was not sent")
-	ErrBroken       = errors.New("the exchange broke off")
-	ErrNoConnection = errors.New("no connection is free")
+	ErrNotSent      = errors.New("the request was not sent") // no byte of it left
+	ErrBroken       = errors.New("the exchange broke off")   // it may have run
+	ErrNoConnection = errors.New("no connection is free")    // and the limit is reached; nothing was sent
 )
 
 const (
-	dialTimeout = 400 * time.Millisecond
-	deadPeer    = time.Second
-	idleMost    = 10 * time.Second
-	idleMargin  = 400 * time.Millisecond
-	readBuffer  = 4 << 10
+	dialTimeout    = 400 * time.Millisecond
+	userTimeout    = time.Second // without an acknowledgement of what was sent, after which a connection fails
+	defaultMaxIdle = 10 * time.Second
+	minMaxIdle     = 500 * time.Millisecond
+	idleMargin     = 400 * time.Millisecond // less than the server says that it keeps an idle connection
+	readBuffer     = 4 << 10
 )
 
-// Pool holds the connections to one server.
+// Pool is the connections to one server.
 type Pool struct {
 	address string
 
-	mutex    sync.Mutex
-	idle     []*conn
-	open     int
-	limit    int
-	idleTime time.Duration // for which an idle connection is good
-	closed   bool
-	opened   int // connections made
+	mutex   sync.Mutex // guards all below
+	idle    []*conn    // the last one became idle last
+	open    int        // connections, idle ones included
+	limit   int
+	maxIdle time.Duration // how long an idle connection is used
+	closed  bool
+	opened  int // connections made since the start
 }
 
+// conn is one connection, in use by one exchange or idle.
 type conn struct {
 	net.Conn
-	reader *bufio.Reader
-	since  time.Time // when it became idle
-	uses   int
+	reader    *bufio.Reader
+	idleSince time.Time
+	exchanges int // that ended on it
 }
 
-// NewPool makes a pool; limit bounds the connections.
+// NewPool makes a pool without connections; limit bounds them.
 func NewPool(address string, limit int) *Pool {
-	return &Pool{address: address, limit: max(1, limit), idleTime: idleMost}
+	return &Pool{address: address, limit: max(1, limit), maxIdle: defaultMaxIdle}
 }
 
-// Address is where the server is.
+// Address is the server's address.
 func (p *Pool) Address() string { return p.address }
 
-// SetLimit bounds the connections anew.
+// SetLimit changes the bound on the connections. Open ones beyond it are kept.
 func (p *Pool) SetLimit(limit int) {
 	p.mutex.Lock()
 	p.limit = max(1, limit)
@@ -76,7 +74,7 @@
 	return len(p.idle) > 0 || p.open < p.limit
 }
 
-// Close closes the idle connections, and the others as they become idle.
+// Close closes the idle connections, and has the others closed when their exchange ends.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	idle := p.idle
@@ -84,106 +82,125 @@
 	p.open -= len(idle)
 	p.mutex.Unlock()
 	for _, c := range idle {
-		c.Close()
+		c.close()
 	}
 }
 
 // Prune closes connections that have been idle for too long.
 func (p *Pool) Prune() {
 	p.mutex.Lock()
-	var old []*conn
+	var expired []*conn
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if time.Since(c.since) > p.idleTime {
-			old = append(old, c)
+		if time.Since(c.idleSince) > p.maxIdle {
+			expired = append(expired, c)
 		} else {
 			kept = append(kept, c)
 		}
 	}
 	p.idle = kept
-	p.open -= len(old)
+	p.open -= len(expired)
 	p.mutex.Unlock()
-	for _, c := range old {
-		c.Close()
+	for _, c := range expired {
+		c.close()
 	}
 }
 
-// get takes an idle connection that is good, or opens one.
+// get returns an idle connection that may be used, or a new one.
 func (p *Pool) get(ctx context.Context) (*conn, error) {
 	for {
-		p.mutex.Lock()
-		n := len(p.idle)
-		if n == 0 {
-			break
+		c, maxIdle, err := p.takeIdle()
+		if err != nil {
+			return nil, err
 		}
-		c := p.idle[n-1]
-		p.idle = p.idle[:n-1]
-		idle := p.idleTime
-		p.mutex.Unlock()
-		if time.Since(c.since) < idle && sock.Quiet(c.Conn) {
+		if c == nil {
+			return p.dial(ctx)
+		}
+		if time.Since(c.idleSince) < maxIdle && sock.Quiet(c.Conn) {
 			return c, nil
 		}
 		p.drop(c)
 	}
+}
+
+// takeIdle takes an idle connection, and returns how long one may have been idle. Where there is none it counts a new one, which the caller
+// opens, or returns ErrNoConnection.
+func (p *Pool) takeIdle() (*conn, time.Duration, error) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if n := len(p.idle); n > 0 {
+		c := p.idle[n-1]
+		p.idle = p.idle[:n-1]
+		return c, p.maxIdle, nil
+	}
 	if p.open >= p.limit {
-		p.mutex.Unlock()
-		return nil, ErrNoConnection
+		return nil, 0, ErrNoConnection
 	}
 	p.open++
 	p.opened++
-	p.mutex.Unlock()
-	dialer := net.Dialer{Timeout: dialTimeout, Control: transport.UserTimeout(deadPeer), KeepAlive: -1}
+	return nil, 0, nil
+}
+
+// dial opens a connection that has been counted.
+func (p *Pool) dial(ctx context.Context) (*conn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout, Control: transport.UserTimeout(userTimeout), KeepAlive: -1}
 	raw, err := dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
-		p.mutex.Lock()
-		p.open--
-		p.mutex.Unlock()
+		p.uncount()
 		return nil, errors.Mark(err, ErrNotSent)
 	}
 	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
+// drop closes a connection that is not idle.
 func (p *Pool) drop(c *conn) {
-	c.Close()
+	c.close()
+	p.uncount()
+}
+
+func (p *Pool) uncount() {
 	p.mutex.Lock()
 	p.open--
 	p.mutex.Unlock()
 }
 
-// put gives a connection back whose exchange ended whole.
-func (p *Pool) put(c *conn, keep time.Duration) {
-	c.SetDeadline(time.Time{})
-	c.since = time.Now()
-	c.uses++
+// close closes a connection. What it was used for has ended, so that its error means nothing.
+func (c *conn) close() { _ = c.Close() }
+
+// put makes a connection idle whose exchange ended completely; keepAlive is how long the server says that it keeps it, 0 where it does not.
+func (p *Pool) put(c *conn, keepAlive time.Duration) {
+	_ = c.SetDeadline(time.Time{}) // where it fails the connection does, at the next use
+	c.idleSince = time.Now()
+	c.exchanges++
 	p.mutex.Lock()
-	if keep > 0 {
-		p.idleTime = min(p.idleTime, max(keep-idleMargin, keep/2))
+	if keepAlive > 0 {
+		p.maxIdle = min(p.maxIdle, max(keepAlive-idleMargin, keepAlive/2))
 	}
-	ok := !p.closed && c.reader.Buffered() == 0
-	if ok {
+	usable := !p.closed && c.reader.Buffered() == 0
+	if usable {
 		p.idle = append(p.idle, c)
 	} else {
 		p.open--
 	}
 	p.mutex.Unlock()
-	if !ok {
-		c.Close()
+	if !usable {
+		c.close()
 	}
 }
 
-// lostIdle learns that a connection was closed by the server while it was idle.
-func (p *Pool) lostIdle(c *conn) {
+// shortenMaxIdle learns from a connection that the server closed while it was idle.
+func (p *Pool) shortenMaxIdle(c *conn) {
 	p.mutex.Lock()
-	p.idleTime = max(500*time.Millisecond, min(p.idleTime, time.Since(c.since)*3/4))
+	p.maxIdle = max(minMaxIdle, min(p.maxIdle, time.Since(c.idleSince)*3/4))
 	p.mutex.Unlock()
 }
 
-// keepAlive reads the time of a Keep-Alive header.
-func keepAlive(header string) time.Duration {
-	for part := range strings.SplitSeq(header, ",") {
-		if value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
-			if n, err := strconv.ParseFloat(value, 64); err == nil && n > 0 {
-				return time.Duration(n * float64(time.Second))
+// parseKeepAlive parses the time-out in a Keep-Alive header; 0: it has none.
+func parseKeepAlive(header string) time.Duration {
+	for parameter := range strings.SplitSeq(header, ",") {
+		if value, ok := strings.CutPrefix(strings.TrimSpace(parameter), "timeout="); ok {
+			if seconds, err := strconv.ParseFloat(value, 64); err == nil && seconds > 0 {
+				return time.Duration(seconds * float64(time.Second))
 			}
 		}
 	}
--- a/internal/router/eventstream/eventstream.go
+++ b/internal/router/eventstream/eventstream.go
@@ -1,55 +1,61 @@
-// Package eventstream reads server-sent events as they come, whole ones only.
+// Package eventstream splits a stream of server-sent events into complete events, as they come. It does not interpret them, but for their id.
 //
-// Invariant: what Next returns ends with the blank line that ends an event; an event that is cut off is never returned.
+// Invariant: what Next returns ends with the blank line that ends an event; an event that was cut off is never returned.
+//
+// A Reader is for one goroutine at a time.
 package eventstream
 
 import (
 	"bufio"
 	"bytes"
+	"errors"
+	"fmt"
 	"io"
-
-	"github.com/cockroachdb/errors"
 )
 
-// ErrPartial says that a stream ended within an event.
+// ErrPartial is returned where a stream ended within an event.
 var ErrPartial = errors.New("the stream ended within an event")
 
-// MaxEvent bounds one event.
+// MaxEvent bounds one event, in bytes.
 const MaxEvent = 1 << 20
 
+// readBuffer is the size of the buffer in bytes; a longer line is assembled from several reads.
+const readBuffer = 4 << 10
+
 // Reader reads events.
 type Reader struct {
 	source *bufio.Reader
 	event  []byte
-	id     string
+	lastID string
 }
 
 // NewReader reads events from a body.
-func NewReader(r io.Reader) *Reader { return &Reader{source: bufio.NewReaderSize(r, 4<<10)} }
+func NewReader(r io.Reader) *Reader { return &Reader{source: bufio.NewReaderSize(r, readBuffer)} }
 
-// Next returns the next event's bytes, good until the next call; io.EOF means that the stream ended after a whole one.
+// Next returns the next event's bytes, which are valid until the next call. The error is io.EOF where the stream ended after a complete event, ErrPartial
+// where it ended within one, or that of the source.
 func (r *Reader) Next() ([]byte, error) {
 	r.event = r.event[:0]
-	begins := true // of a line
+	lineStart := true
 	for {
-		line, err := r.source.ReadSlice('\n')
-		r.event = append(r.event, line...)
-		whole := begins
-		begins = err != bufio.ErrBufferFull
-		if !begins && len(r.event) < MaxEvent {
+		chunk, err := r.source.ReadSlice('\n')
+		r.event = append(r.event, chunk...)
+		completeLine := lineStart
+		lineStart = !errors.Is(err, bufio.ErrBufferFull)
+		if !lineStart && len(r.event) < MaxEvent {
 			continue
 		}
 		if len(r.event) >= MaxEvent {
-			return nil, errors.Newf("an event is longer than %d bytes", MaxEvent)
+			return nil, fmt.Errorf("an event is longer than %d bytes", MaxEvent)
 		}
-		if err == io.EOF && len(r.event) > 0 {
+		if errors.Is(err, io.EOF) && len(r.event) > 0 {
 			return nil, ErrPartial
 		}
 		if err != nil {
 			return nil, err
 		}
-		if whole && blank(line) && len(r.event) > len(line) {
-			r.note()
+		if completeLine && blank(chunk) && len(r.event) > len(chunk) {
+			r.recordID()
 			return r.event, nil
 		}
 	}
@@ -57,18 +63,19 @@
 
 func blank(line []byte) bool { return len(bytes.TrimRight(line, "\r\n")) == 0 }
 
-// Buffered reports whether more has come already.
+// Buffered reports whether more bytes have arrived already.
 func (r *Reader) Buffered() bool { return r.source.Buffered() > 0 }
 
-// LastID is the id of the last event that had one.
-func (r *Reader) LastID() string { return r.id }
+// LastID is the id of the last event that had one; "": none had.
+func (r *Reader) LastID() string { return r.lastID }
 
-func (r *Reader) note() {
+// recordID finds the last id field of the event.
+func (r *Reader) recordID() {
 	for rest := r.event; len(rest) > 0; {
 		line, more, _ := bytes.Cut(rest, []byte{'\n'})
 		rest = more
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			r.id = string(bytes.TrimSpace(value))
+			r.lastID = string(bytes.TrimSpace(value))
 		}
 	}
 }
--- /dev/null
+++ b/internal/router/latency/totals.go
@@ -0,0 +1,113 @@
+package latency
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const (
+	maxRoutes  = 64
+	otherRoute = "(others)"
+
+	// Histograms count in ticks of resolution, up to a minute, with one significant digit: a quantile is wrong by up to 10 %.
+	resolution        = 100 * time.Microsecond
+	maxTicks          = int64(time.Minute / resolution)
+	significantDigits = 1
+)
+
+// Totals adds up what became of requests.
+type Totals struct{ routes map[string]*routeTotals }
+
+// routeTotals are those of one route. Histograms are nil until they have a value.
+type routeTotals struct {
+	reasons         map[Reason]int64
+	timeToFirstByte *hdrhistogram.Histogram
+	phaseTimes      [phases]*hdrhistogram.Histogram
+}
+
+// NewTotals makes totals of no requests.
+func NewTotals() *Totals { return &Totals{routes: map[string]*routeTotals{}} }
+
+// Add adds a request of a route.
+func (t *Totals) Add(route string, trace *Trace, reason Reason) {
+	r := t.route(route)
+	r.reasons[reason]++
+	if trace.TimeToFirstByte == 0 {
+		return
+	}
+	record(&r.timeToFirstByte, trace.TimeToFirstByte)
+	for p, spent := range trace.PhaseTimes {
+		if spent >= resolution {
+			record(&r.phaseTimes[p], spent)
+		}
+	}
+}
+
+// route returns the totals of a route, or those of the others where there are too many.
+func (t *Totals) route(name string) *routeTotals {
+	r := t.routes[name]
+	if r == nil && len(t.routes) >= maxRoutes {
+		name = otherRoute
+		r = t.routes[name]
+	}
+	if r == nil {
+		r = &routeTotals{reasons: map[Reason]int64{}}
+		t.routes[name] = r
+	}
+	return r
+}
+
+// record adds a time to a histogram, which is made where there is none.
+func record(h **hdrhistogram.Histogram, d time.Duration) {
+	if *h == nil {
+		*h = hdrhistogram.New(1, maxTicks, significantDigits)
+	}
+	_ = (*h).RecordValue(min(maxTicks, max(1, int64(d/resolution)))) // the value is in the range
+}
+
+// Report is what a router reports of one route, as a part of its status.
+type Report struct {
+	Route   string
+	Reasons map[Reason]int64
+	First   Quantiles            // of the time to the first part of the answer
+	Spent   map[string]Quantiles // of that, by phase; of the requests that spent 0.1 ms or more there
+}
+
+// Quantiles are of a histogram, in milliseconds.
+type Quantiles struct {
+	Count                int64
+	P50, P90, P99, Worst float64
+}
+
+// Reports are the totals of all routes, ordered by name.
+func (t *Totals) Reports() []Report {
+	var reports []Report
+	for name, r := range t.routes {
+		report := Report{Route: name, Reasons: map[Reason]int64{}, First: quantiles(r.timeToFirstByte), Spent: map[string]Quantiles{}}
+		for reason, n := range r.reasons {
+			report.Reasons[reason] = n
+		}
+		for p, h := range r.phaseTimes {
+			if h != nil {
+				report.Spent[Phase(p).String()] = quantiles(h)
+			}
+		}
+		reports = append(reports, report)
+	}
+	slices.SortFunc(reports, func(a, b Report) int { return strings.Compare(a.Route, b.Route) })
+	return reports
+}
+
+func quantiles(h *hdrhistogram.Histogram) Quantiles {
+	if h == nil {
+		return Quantiles{}
+	}
+	milliseconds := func(ticks int64) float64 {
+		return float64(ticks) * float64(resolution) / float64(time.Millisecond)
+	}
+	return Quantiles{Count: h.TotalCount(), P50: milliseconds(h.ValueAtQuantile(50)), P90: milliseconds(h.ValueAtQuantile(90)),
+		P99: milliseconds(h.ValueAtQuantile(99)), Worst: milliseconds(h.Max())}
+}
