--- a/internal/rig/engines/doc.go
+++ b/internal/rig/engines/doc.go
@@ -1,13 +1,14 @@
-// Package engines plays routing policies before model servers in virtual time, many seeds side by side.
+// Package engines simulates routing policies with model servers in virtual time, many seeds side by side.
 //
-// A model server here is a batch of places. A step of it takes a fixed time, something for each place and for the memory of what
-// runs, and a chunk of unread prompt, at a reading speed and a price of attention that grows with what was read before. Each step gives
-// every request that has been read one token, so prompts that are read hold up the tokens of everything beside them. Shared
-// parts are kept, the least recently used give way. A full batch queues, a full queue refuses.
+// A model server here is a batch of slots. A step of it takes a fixed time, something for each slot in use and for the context of the running
+// requests, and a chunk of prefill, with a rate and a price of attention that grows with what was read before. Each step generates
+// one token for every request that has been read, so the prefill of prompts delays the tokens of everything beside them. Prompts
+// stay in a prefix cache from which the least recently used parts are evicted. A full batch queues, a full queue rejects.
 //
-// Routers are the real decisions: each holds a placement.Pool of its own and hears of the others' requests as late as the
-// real ones do, by way of their homes (placement.Board, placement.Uses). Arrivals are drawn from a seed, the same for all policies.
+// The decisions of routers are the real ones: each has a placement.Pool of its own and receives the others' reports as late as the
+// real ones do, by way of distributors (placement.LoadBoard, placement.PrefixUses). Arrivals are drawn from a seed, the same for all policies. A
+// simulation is a function of the spec, the policy and the seed.
 //
-// What it leaves out: connections, tenants' limits, the routers' processor time, the health of servers beyond what sends tell. What it
-// says is compared with the users' bench in docs/design/deciding.md.
+// What it leaves out: connections, tenants' limits, the routers' processor time, the health of servers beyond what attempts show. Its
+// results are compared with the users' bench in docs/design/deciding.md.
 package engines
--- a/internal/rig/engines/experiment.go
+++ b/internal/rig/engines/experiment.go
@@ -12,17 +12,21 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Estimate is the mean of a figure over the seeds, and half the width of its 95 % interval.
-type Estimate struct{ Mean, Half float64 }
+// Estimate is the mean of a metric over the seeds, and half the width of its 95 % confidence interval.
+type Estimate struct {
+	Mean         float64
+	HalfInterval float64 `json:"Half"`
+}
 
-// Outcome is what came of one policy.
+// Outcome is what came of one policy: the metrics by name.
 type Outcome struct {
 	Policy  string
-	Figures map[string]Estimate
+	Metrics map[string]Estimate `json:"Figures"`
 }
 
-// Run plays all policies on the same arrivals, for each seed, at so many at once.
-func Run(ctx context.Context, s *Spec, atOnce int) ([]Outcome, error) {
+// Run simulates all policies with the same arrivals, for each seed, with at most parallel simulations at a time. It returns an outcome for each policy, in
+// their order, or the context's error.
+func Run(ctx context.Context, s *Spec, parallel int) ([]Outcome, error) {
 	type job struct{ policy, seed int }
 	results := make([][]map[string]float64, len(s.Policies))
 	for i := range results {
@@ -30,11 +34,11 @@
 	}
 	jobs := make(chan job)
 	var workers sync.WaitGroup
-	for range max(1, min(atOnce, runtime.GOMAXPROCS(0))) {
+	for range max(1, min(parallel, runtime.GOMAXPROCS(0))) {
 		workers.Go(func() {
 			for j := range jobs {
-				list := arrivals(s, uint64(j.seed))
-				results[j.policy][j.seed] = play(s, s.findPolicy(s.Policies[j.policy]), list, uint64(j.seed)).figures()
+				seed := uint64(j.seed)
+				results[j.policy][j.seed] = simulate(s, findPolicy(s.Policies[j.policy]), arrivals(s, seed), seed).metrics()
 			}
 		})
 	}
@@ -58,19 +62,25 @@
 	return outcomes, nil
 }
 
-func estimates(plays []map[string]float64) map[string]Estimate {
+// estimates are those of each metric, over the results of all seeds.
+func estimates(results []map[string]float64) map[string]Estimate {
 	out := map[string]Estimate{}
-	for _, name := range slices.Sorted(maps.Keys(plays[0])) {
+	for _, name := range slices.Sorted(maps.Keys(results[0])) {
 		var values []float64
-		for _, one := range plays {
-			values = append(values, one[name])
-		}
-		mean, deviation := stat.MeanStdDev(values, nil)
-		e := Estimate{Mean: mean}
-		if n := float64(len(values)); n > 1 {
-			e.Half = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * deviation / math.Sqrt(n)
+		for _, metrics := range results {
+			values = append(values, metrics[name])
 		}
-		out[name] = e
+		out[name] = estimate(values)
 	}
 	return out
 }
+
+func estimate(values []float64) Estimate {
+	const upperQuantile = 0.975 // of a two-sided interval of 95 %
+	mean, deviation := stat.MeanStdDev(values, nil)
+	e := Estimate{Mean: mean}
+	if n := float64(len(values)); n > 1 {
+		e.HalfInterval = distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(upperQuantile) * deviation / math.Sqrt(n)
+	}
+	return e
+}
--- a/internal/rig/engines/parse.go
+++ b/internal/rig/engines/parse.go
@@ -12,7 +12,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Parse reads a file. An error names file, line and field.
+// Parse parses an experiment's file. An error names file, line and field, and says what to write.
 func Parse(file string, text []byte) (*Spec, error) {
 	s := defaults()
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
@@ -27,22 +27,22 @@
 	if err := yaml.Unmarshal(text, &document); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if wrong := s.wrong(); wrong != nil {
-		return nil, fmt.Errorf("%s:%d: %s: %s", file, line(&document, wrong.field), wrong.field, wrong.want)
+	if failed := s.firstFailed(); failed != nil {
+		return nil, fmt.Errorf("%s:%d: %s: %s", file, fieldLine(&document, failed.field), failed.field, failed.want)
 	}
 	return s, nil
 }
 
-// Check says which field of a spec that was changed is wrong.
+// Check checks a spec that was changed after Parse. The error names the field.
 func (s *Spec) Check() error {
-	if wrong := s.wrong(); wrong != nil {
-		return fmt.Errorf("%s: %s", wrong.field, wrong.want)
+	if failed := s.firstFailed(); failed != nil {
+		return fmt.Errorf("%s: %s", failed.field, failed.want)
 	}
 	return nil
 }
 
-// wrong is the first condition that does not hold, or nil.
-func (s *Spec) wrong() *check {
+// firstFailed is the first condition that does not hold, or nil.
+func (s *Spec) firstFailed() *check {
 	for _, c := range s.checks() {
 		if !c.ok {
 			return &c
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// firstProblem is the first line of what the decoder says.
+// firstProblem is the first error of the decoder.
 func firstProblem(err error) string {
 	var types *yaml.TypeError
 	if errors.As(err, &types) && len(types.Errors) > 0 {
@@ -60,12 +60,12 @@
 	return strings.TrimPrefix(err.Error(), "yaml: ")
 }
 
-// defaults are the fields that a file need not name.
+// defaults has the fields that a file need not name.
 func defaults() *Spec {
-	return &Spec{Homes: 2, Seeds: 4, Policies: PolicyNames()}
+	return &Spec{Distributors: 2, Seeds: 4, Policies: PolicyNames()}
 }
 
-// check is one condition on a field.
+// check is one condition on a field, and what to write where it does not hold.
 type check struct {
 	field string
 	ok    bool
@@ -74,24 +74,24 @@
 
 func (s *Spec) checks() []check {
 	all := []check{
-		{"length", s.Length > 0 && s.Length <= maxLength, "write a time up to 10m, such as 34s"},
-		{"warm", s.Warm >= 0 && s.Warm < s.Length, "write a time below length"},
+		{"length", s.Duration > 0 && s.Duration <= maxLength, "write a time up to 10m, such as 34s"},
+		{"warm", s.WarmUp >= 0 && s.WarmUp < s.Duration, "write a time below length"},
 		{"zones", s.Zones >= 1, "write 1 or more"},
 		{"routers", s.Routers >= s.Zones && s.Routers <= maxRouters, "write one for each zone at least, 2000 at most"},
 		{"servers", s.Servers >= s.Zones && s.Servers <= maxServers, "write one for each zone at least, 10000 at most"},
-		{"homes", s.Homes >= 1, "write 1 or more"},
+		{"homes", s.Distributors >= 1, "write 1 or more"},
 		{"seeds", s.Seeds >= 1 && s.Seeds <= 1000, "write a number from 1 to 1000"},
-		{"swing", s.Swing >= 0 && s.Swing < 1 && (s.Swing == 0 || s.Period > 0), "write a part of the rate below 1, with a period"},
+		{"swing", s.RateSwing >= 0 && s.RateSwing < 1 && (s.RateSwing == 0 || s.SwingPeriod > 0), "write a part of the rate below 1, with a period"},
 		{"classes", len(s.Classes) > 0, "write a list"},
 		{"network.link_mbps", s.Network.LinkMbps > 0, "write a rate above 0"},
-		{"network.tell_uses", s.Network.Uses > 0, "write a time, such as 100ms"},
-		{"network.tell_loads", s.Network.Loads > 0, "write a time, such as 100ms"},
+		{"network.tell_uses", s.Network.UsesInterval > 0, "write a time, such as 100ms"},
+		{"network.tell_loads", s.Network.LoadsInterval > 0, "write a time, such as 100ms"},
 		{"engine.slots", s.Engine.Slots > 0, "write 1 or more"},
-		{"engine.step", s.Engine.Step > 0, "write a time, such as 600us"},
-		{"engine.read_per_ms", s.Engine.ReadPerMs > 0, "write tokens a millisecond"},
-		{"engine.stride", s.Engine.Stride > 0, "write 1 or more"},
-		{"engine.chunk", s.Engine.Chunk > 0, "write 1 or more"},
-		{"engine.memory", s.Engine.Memory > 0, "write tokens"},
+		{"engine.step", s.Engine.StepTime > 0, "write a time, such as 600us"},
+		{"engine.read_per_ms", s.Engine.PrefillTokensPerMs > 0, "write tokens a millisecond"},
+		{"engine.stride", s.Engine.TokensPerEvent > 0, "write 1 or more"},
+		{"engine.chunk", s.Engine.ChunkTokens > 0, "write 1 or more"},
+		{"engine.memory", s.Engine.CacheTokens > 0, "write tokens"},
 	}
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("classes.%d.", i)
@@ -108,8 +108,8 @@
 		ofClass := f.Kind == FaultBurst || f.Kind == FaultHot
 		all = append(all,
 			check{at + "kind", known, "write slow, crash, burst or hot_key"},
-			check{at + "class", !ofClass || s.class(f.Class) >= 0, "write the name of a class"},
-			check{at + "share", f.Kind == FaultBurst || f.Share > 0 && f.Share <= 1, "write a part, above 0 and up to 1"},
+			check{at + "class", !ofClass || s.classIndex(f.Class) >= 0, "write the name of a class"},
+			check{at + "share", f.Kind == FaultBurst || f.Fraction > 0 && f.Fraction <= 1, "write a part, above 0 and up to 1"},
 			check{at + "factor", f.Kind != FaultSlow && f.Kind != FaultBurst || f.Factor > 0, "write a factor above 0"})
 	}
 	for i, name := range s.Policies {
@@ -124,18 +124,18 @@
 	maxServers = 10000
 )
 
-func (s *Spec) class(name string) int {
+func (s *Spec) classIndex(name string) int {
 	return slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// line is where a field stands, or the nearest that holds it.
-func line(n *yaml.Node, field string) int {
+// fieldLine is the line of a field, or of the nearest one that contains it.
+func fieldLine(n *yaml.Node, field string) int {
 	if n.Kind == yaml.DocumentNode && len(n.Content) > 0 {
 		n = n.Content[0]
 	}
 	at := n.Line
 	for name := range strings.SplitSeq(field, ".") {
-		n = child(n, name)
+		n = childNode(n, name)
 		if n == nil {
 			return at
 		}
@@ -144,7 +144,7 @@
 	return at
 }
 
-func child(n *yaml.Node, name string) *yaml.Node {
+func childNode(n *yaml.Node, name string) *yaml.Node {
 	switch n.Kind {
 	case yaml.SequenceNode:
 		if i, err := strconv.Atoi(name); err == nil && i < len(n.Content) {
--- a/internal/rig/engines/policy.go
+++ b/internal/rig/engines/policy.go
@@ -10,14 +10,17 @@
 
 // policy is a way of choosing servers, by name.
 type policy struct {
-	name  string
-	place placement.Policy
-	// choose chooses instead of the placement, where it is not nil.
-	choose func(f *fleet, r *router, q *request) *server
-	// stall is the part of the longest pause that a route allows after which a long answer is taken up elsewhere; 0: never.
-	stall float64
+	name      string
+	placement placement.Policy
+	// choose chooses the server of a first attempt instead of the placement, where it is not nil.
+	choose func(sim *simulation, r *router, q *request) *server
+	// stallFraction is the fraction of the objective for gaps after which a long answer continues at another server; 0: never.
+	stallFraction float64
 }
 
+// defaultStallFraction is that of the policy "stall".
+const defaultStallFraction = 0.7
+
 // PolicyNames lists the policies that an experiment can play.
 func PolicyNames() []string {
 	var names []string
@@ -29,94 +32,95 @@
 
 func policies() []policy {
 	now := placement.DefaultPolicy()
-	without := func(change func(*placement.Policy)) placement.Policy {
+	changed := func(change func(*placement.Policy)) placement.Policy {
 		p := now
 		change(&p)
 		return p
 	}
-	before := without(func(p *placement.Policy) { p.PeerLoads, p.PackStreams = false, false })
 	return []policy{
-		{name: "now", place: now},
-		{name: "before", place: before},
-		{name: "stall", place: now, stall: defaultStall},
-		{name: "no affinity", place: without(func(p *placement.Policy) { p.Affinity = false })},
-		{name: "no table of uses", place: without(func(p *placement.Policy) { p.PrefixTable = false })},
-		{name: "all zones", place: without(func(p *placement.Policy) { p.ZoneFirst = false })},
-		{name: "own load alone", place: without(func(p *placement.Policy) { p.PeerLoads = false })},
-		{name: "no stream part", place: without(func(p *placement.Policy) { p.PackStreams = false })},
-		{name: "round robin", place: now, choose: roundRobin},
-		{name: "two choices", place: now, choose: twoChoices},
-		{name: "least requests", place: now, choose: leastRequests},
-		{name: "bounded hash", place: now, choose: boundedHash},
-		{name: "true state", place: now, choose: trueState},
+		{name: "now", placement: now},
+		{name: "before", placement: changed(func(p *placement.Policy) { p.PeerLoads, p.PackStreams = false, false })},
+		{name: "stall", placement: now, stallFraction: defaultStallFraction},
+		{name: "no affinity", placement: changed(func(p *placement.Policy) { p.Affinity = false })},
+		{name: "no table of uses", placement: changed(func(p *placement.Policy) { p.PrefixTable = false })},
+		{name: "all zones", placement: changed(func(p *placement.Policy) { p.ZoneFirst = false })},
+		{name: "own load alone", placement: changed(func(p *placement.Policy) { p.PeerLoads = false })},
+		{name: "no stream part", placement: changed(func(p *placement.Policy) { p.PackStreams = false })},
+		{name: "round robin", placement: now, choose: roundRobin},
+		{name: "two choices", placement: now, choose: twoChoices},
+		{name: "least requests", placement: now, choose: leastRequests},
+		{name: "bounded hash", placement: now, choose: boundedHash},
+		{name: "true state", placement: now, choose: trueState},
 	}
 }
 
-const defaultStall = 0.7
-
-func (s *Spec) findPolicy(name string) policy {
-	all := append(policies(), s.more...)
+// findPolicy finds a policy by a name that is known to exist.
+func findPolicy(name string) policy {
+	all := policies()
 	return all[slices.IndexFunc(all, func(p policy) bool { return p.name == name })]
 }
 
-// roundRobin goes over all servers by turns.
-func roundRobin(f *fleet, r *router, _ *request) *server {
-	r.turn++
-	return f.servers[(r.turn+r.index*7)%len(f.servers)]
+// roundRobin goes over all servers; routers begin at different ones.
+func roundRobin(sim *simulation, r *router, _ *request) *server {
+	const offset = 7 // between two routers
+	r.picks++
+	return sim.servers[(r.picks+r.index*offset)%len(sim.servers)]
 }
 
-// twoChoices takes the one with fewer requests, as far as is known, of two drawn at random.
-func twoChoices(f *fleet, r *router, _ *request) *server {
-	a, b := f.random.IntN(len(f.servers)), f.random.IntN(len(f.servers))
+// twoChoices chooses the one with fewer requests, as far as the router knows, of two drawn at random.
+func twoChoices(sim *simulation, r *router, _ *request) *server {
+	a, b := sim.random.IntN(len(sim.servers)), sim.random.IntN(len(sim.servers))
 	if r.load(b) < r.load(a) {
 		a = b
 	}
-	return f.servers[a]
+	return sim.servers[a]
 }
 
-// leastRequests takes the server with the fewest requests, as far as is known.
-func leastRequests(f *fleet, r *router, _ *request) *server {
-	best, least := 0, math.Inf(1)
-	from := f.random.IntN(len(f.servers))
-	for i := range f.servers {
-		at := (from + i) % len(f.servers)
-		if l := r.load(at); l < least {
-			best, least = at, l
+// leastRequests chooses the server with the fewest requests, as far as the router knows; the first of equals from a random start.
+func leastRequests(sim *simulation, r *router, _ *request) *server {
+	best, lowest := 0, math.Inf(1)
+	start := sim.random.IntN(len(sim.servers))
+	for i := range sim.servers {
+		index := (start + i) % len(sim.servers)
+		if load := r.load(index); load < lowest {
+			best, lowest = index, load
 		}
 	}
-	return f.servers[best]
+	return sim.servers[best]
 }
 
-const hashBound = 1.25
+// loadBound is the most requests of a server, as a multiple of the mean, in consistent hashing with bounded loads.
+const loadBound = 1.25
 
-// boundedHash is consistent hashing with bounded loads: the first server of a key's order that has no more than its bound.
-func boundedHash(f *fleet, r *router, q *request) *server {
-	key := f.random.Uint64()
-	if len(q.a.parts) > 0 {
-		key = q.a.parts[len(q.a.parts)-1].key
+// boundedHash is consistent hashing with bounded loads: the first server in a prefix' order whose load is below the bound.
+func boundedHash(sim *simulation, r *router, q *request) *server {
+	key := sim.random.Uint64()
+	if n := len(q.arrival.parts); n > 0 {
+		key = q.arrival.parts[n-1].key
 	}
 	total := 1.0
-	for i := range f.servers {
+	for i := range sim.servers {
 		total += r.load(i)
 	}
-	bound := math.Ceil(hashBound * total / float64(len(f.servers)))
-	best, weight := -1, uint64(0)
-	for i := range f.servers {
+	bound := math.Ceil(loadBound * total / float64(len(sim.servers)))
+	best, highest := -1, uint64(0)
+	for i := range sim.servers {
 		if r.load(i)+1 > bound {
 			continue
 		}
-		if w := hashPair(key, uint64(i)); best < 0 || w > weight {
-			best, weight = i, w
+		if weight := rendezvousWeight(key, uint64(i)); best < 0 || weight > highest {
+			best, highest = i, weight
 		}
 	}
-	return f.servers[max(best, 0)]
+	return sim.servers[max(best, 0)]
 }
 
-func hashPair(a, b uint64) uint64 {
+// rendezvousWeight is the weight of a server for a key.
+func rendezvousWeight(key, index uint64) uint64 {
 	h := fnv.New64a()
-	for _, x := range []uint64{a, b} {
+	for _, x := range []uint64{key, index} {
 		for i := range 8 {
-			h.Write([]byte{byte(x >> (8 * i))})
+			_, _ = h.Write([]byte{byte(x >> (8 * i))}) // a hash returns no error
 		}
 	}
 	x := h.Sum64()
@@ -125,44 +129,43 @@
 	return x ^ x>>33
 }
 
-// How the policy that sees everything weighs long answers behind a prompt, and shared parts that are read again.
+// How the policy that knows the true state weighs long answers behind a prompt, shared parts that are read again, and a server without a free slot.
 const (
-	trueHarm  = 1.0
-	trueAgain = 4.0
+	trueStreamDelayFactor = 1.0
+	trueRecomputeFactor   = 4.0
+	trueFullCost          = 1e6 // tokens
 )
 
-// trueState sees what all servers have left to do, and what they keep, at once.
-func trueState(f *fleet, r *router, q *request) *server {
-	best, least := f.servers[0], math.Inf(1)
-	from := f.random.IntN(len(f.servers))
-	for i := range f.servers {
-		s := f.servers[(from+i)%len(f.servers)]
+// trueState knows the pending work and the cache of all servers, without delay. It bounds what better information could bring.
+func trueState(sim *simulation, _ *router, q *request) *server {
+	best, lowest := sim.servers[0], math.Inf(1)
+	start := sim.random.IntN(len(sim.servers))
+	for i := range sim.servers {
+		s := sim.servers[(start+i)%len(sim.servers)]
 		if s.down {
 			continue
 		}
-		if c := trueCost(f, r, q, s); c < least {
-			best, least = s, c
+		if cost := trueCost(q, s); cost < lowest {
+			best, lowest = s, cost
 		}
 	}
 	return best
 }
 
-func trueCost(f *fleet, r *router, q *request, s *server) float64 {
-	left := s.unread()
+// trueCost is the cost of a request at a server, in tokens of prefill.
+func trueCost(q *request, s *server) float64 {
+	pending := s.pendingPrefill()
 	if len(s.running) >= s.engine.Slots {
-		left += 1e6
+		pending += trueFullCost
 	}
-	if q.long() {
+	if q.decodeHeavy() {
 		packed := math.Min(s.streams(), float64(s.engine.Slots)/2) * 100
-		return left*5 - packed
+		return pending*5 - packed
 	}
-	kept := s.keeps(q.a)
-	cost := (left + float64(q.a.prompt()-kept)*s.slow) * (1 + trueHarm*s.streams())
-	if shared := q.a.shared(); kept < shared {
-		cost += trueAgain * float64(shared-kept)
+	cached := s.cache.prefixTokens(q.arrival)
+	cost := (pending + float64(q.arrival.promptTokens()-cached)*s.slowFactor) * (1 + trueStreamDelayFactor*s.streams())
+	if shared := q.arrival.sharedTokens(); cached < shared {
+		cost += trueRecomputeFactor * float64(shared-cached)
 	}
 	return cost
 }
-
-// load is what a router believes of a server.
-func (r *router) load(i int) float64 { return r.known[i].Load(r.f.schedule.now) }
--- a/internal/rig/engines/report.go
+++ b/internal/rig/engines/report.go
@@ -10,13 +10,13 @@
 	"text/tabwriter"
 )
 
-// Report is what an experiment has shown, at one size.
+// Report is the result of an experiment at one size. It is written as JSON, too.
 type Report struct {
 	Routers, Servers, Seeds int
 	Outcomes                []Outcome
 }
 
-// Scaled is the spec for another number of routers: servers, rates and what prompts share grow with them.
+// Scaled is the spec for another number of routers: servers, rates and the variants of shared parts grow with them.
 func (s *Spec) Scaled(routers int) *Spec {
 	scaled := *s
 	factor := float64(routers) / float64(s.Routers)
@@ -26,10 +26,10 @@
 	for i := range scaled.Classes {
 		c := &scaled.Classes[i]
 		c.Rate *= factor
-		c.Shared = slices.Clone(c.Shared)
-		for j := range c.Shared {
-			if c.Shared[j].Things > scaled.Servers { // what few things are shared by all stays so
-				c.Shared[j].Things = max(1, int(float64(c.Shared[j].Things)*factor+0.5))
+		c.SharedParts = slices.Clone(c.SharedParts)
+		for j := range c.SharedParts {
+			if c.SharedParts[j].Variants > scaled.Servers { // a part with few variants, which all share, stays so
+				c.SharedParts[j].Variants = max(1, int(float64(c.SharedParts[j].Variants)*factor+0.5))
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 	return encoder.Encode(reports)
 }
 
-// WriteText writes reports as tables: a row a figure, a column a policy, each the mean over the seeds and half of its 95 % interval.
+// WriteText writes reports as tables: a row for each metric, a column for each policy, with the mean over the seeds and half of its 95 % interval.
 func WriteText(w io.Writer, reports []Report) error {
 	for _, r := range reports {
 		fmt.Fprintf(w, "%d routers, %d servers, %d seeds: mean, and half of its 95 %% interval\n", r.Routers, r.Servers, r.Seeds)
@@ -53,11 +53,11 @@
 			names = append(names, o.Policy)
 		}
 		fmt.Fprintf(table, "\t%s\n", strings.Join(names, "\t"))
-		for _, figure := range slices.Sorted(maps.Keys(r.Outcomes[0].Figures)) {
-			fmt.Fprint(table, figure)
+		for _, metric := range slices.Sorted(maps.Keys(r.Outcomes[0].Metrics)) {
+			fmt.Fprint(table, metric)
 			for _, o := range r.Outcomes {
-				e := o.Figures[figure]
-				fmt.Fprintf(table, "\t%.4g ±%.2g", e.Mean, e.Half)
+				e := o.Metrics[metric]
+				fmt.Fprintf(table, "\t%.4g ±%.2g", e.Mean, e.HalfInterval)
 			}
 			fmt.Fprintln(table)
 		}
--- a/internal/rig/engines/request.go
+++ b/internal/rig/engines/request.go
@@ -7,218 +7,122 @@
 	"petrelhook/internal/router/placement"
 )
 
-// request is one on its way.
+const (
+	routerDelay     = 300 * time.Microsecond
+	maxServersTried = 3 // by a request that none of them received, beyond which it is lost
+	extraAttempts   = 2 // beyond a class's attempts
+)
+
+// request is an arrival on its way through a router.
 type request struct {
-	f      *fleet
-	a      *arrival
-	class  *Class
-	router *router
-	place  placement.Request
-	sends  int
-	got    int // events
-	first  time.Duration
-	last   time.Duration // when the last event came
-	pause  time.Duration // the longest
-	done   bool
-	send   *send
+	sim       *simulation
+	arrival   *arrival
+	class     *Class
+	router    *router
+	placement placement.Request
+	attempts  int
+	attempt   *attempt // the last one; nil: there was none
+	done      bool
+	stream    streamProgress
 }
 
-// send is a request at one server.
-type send struct {
-	q      *request
-	server *server
-	known  *placement.Server
-	run    *run
-	work   placement.Work
-	sent   time.Duration
-	over   bool
+// streamProgress is what the client has received.
+type streamProgress struct {
+	events       int
+	firstEventAt time.Duration
+	lastEventAt  time.Duration
+	maxGap       time.Duration
 }
 
-const routerTime = 300 * time.Microsecond
-
-func (f *fleet) begin(a *arrival) {
-	q := &request{f: f, a: a, class: &f.spec.Classes[a.class], router: f.routers[a.router]}
-	q.place = placement.Request{MaxGap: q.class.Pause, PromptTokens: a.prompt(), MaxOutputTokens: a.events * f.spec.Engine.Stride, Tried: map[string]bool{}}
+// startRequest has a request come to its router.
+func (sim *simulation) startRequest(a *arrival) {
+	class := &sim.spec.Classes[a.class]
+	r := &request{sim: sim, arrival: a, class: class, router: sim.routers[a.router]}
+	r.placement = placement.Request{MaxGap: class.GapTarget, PromptTokens: a.promptTokens(), MaxOutputTokens: a.events * sim.spec.Engine.TokensPerEvent, Tried: map[string]bool{}}
 	if n := len(a.parts); n > 0 {
-		q.place.PrefixKey, q.place.SharedTokens, q.place.PrefixTokens = fmt.Sprintf("%x", a.parts[n-1].key), a.shared(), a.parts[n-1].tokens
+		last := a.parts[n-1]
+		r.placement.PrefixKey, r.placement.SharedTokens, r.placement.PrefixTokens = fmt.Sprintf("%x", last.key), a.sharedTokens(), last.tokens
 	}
-	f.schedule.at(a.at+f.spec.Network.Client+f.linkTime(a)+routerTime, q.choose)
-	f.schedule.at(a.at+q.class.Deadline, q.giveUp)
+	sim.schedule.at(a.at+sim.spec.Network.ClientDelay+sim.linkTime(a)+routerDelay, r.send)
+	sim.schedule.at(a.at+class.Deadline, r.giveUp)
 }
 
-// linkTime is how long a prompt takes over a router's link.
-func (f *fleet) linkTime(a *arrival) time.Duration {
-	return time.Duration(float64(a.prompt()*8) / f.spec.Network.LinkMbps * float64(time.Microsecond))
+// linkTime is how long a prompt takes over a router's link; a token is a byte there.
+func (sim *simulation) linkTime(a *arrival) time.Duration {
+	return time.Duration(float64(a.promptTokens()*8) / sim.spec.Network.LinkMbps * float64(time.Microsecond))
 }
 
-func (q *request) long() bool { return q.place.DecodeHeavy() }
+func (r *request) decodeHeavy() bool { return r.placement.DecodeHeavy() }
 
-// choose sends a request to a server, or loses it.
-func (q *request) choose() {
-	if q.done {
+// send sends a request to a server, or loses it.
+func (r *request) send() {
+	if r.done {
 		return
 	}
-	s := q.pick()
-	if s == nil || q.sends >= q.class.Attempts+2 {
-		q.lose()
+	s := r.pick()
+	if s == nil || r.attempts >= r.class.Attempts+extraAttempts {
+		r.lose()
 		return
 	}
-	known := q.router.known[s.index]
-	q.place.Tried[known.ID] = true
-	q.sends++
-	kept := q.router.pool.PrefixCached(q.place, known, q.f.schedule.now)
-	one := &send{q: q, server: s, known: known, sent: q.f.schedule.now, work: q.place.Work(kept)}
-	q.send = one
-	known.Begin(one.work)
-	if q.place.HasAffinity() {
-		key := placement.HashPrefix(q.place.PrefixKey)
-		q.router.pool.RecordUse(key, known.ID, q.f.schedule.now)
-		q.router.uses.Add(key, known.ID)
-	}
-	way := q.f.way(q.router.zone, s.zone)
-	if q.router.zone != s.zone {
-		q.f.score.crossed += float64(q.a.prompt())
-	}
-	q.f.schedule.at(q.f.schedule.now+way+q.f.linkTime(q.a), func() { one.arrive(way) })
+	now := r.sim.schedule.now
+	view := r.router.views[s.index]
+	r.placement.Tried[view.ID] = true
+	r.attempts++
+	cached := r.router.pool.PrefixCached(r.placement, view, now)
+	a := &attempt{request: r, server: s, view: view, sentAt: now, work: r.placement.Work(cached), delay: r.sim.delay(r.router.zone, s.zone)}
+	r.attempt = a
+	view.Begin(a.work)
+	if r.placement.HasAffinity() {
+		key := placement.HashPrefix(r.placement.PrefixKey)
+		r.router.pool.RecordUse(key, view.ID, now)
+		r.router.uses.Add(key, view.ID)
+	}
+	if r.router.zone != s.zone {
+		r.sim.score.crossZoneBytes += float64(r.arrival.promptTokens())
+	}
+	r.sim.schedule.at(now+a.delay+r.sim.linkTime(r.arrival), a.arrive)
 }
 
-func (q *request) pick() *server {
-	if choose := q.f.policy.choose; choose != nil && q.sends == 0 {
-		return choose(q.f, q.router, q)
+// pick chooses a server by the policy; nil: there is none.
+func (r *request) pick() *server {
+	if choose := r.sim.policy.choose; choose != nil && r.attempts == 0 {
+		return choose(r.sim, r.router, r)
 	}
 	usable := func(*placement.Server) bool { return true }
-	var known *placement.Server
-	if q.sends == 0 {
-		known = q.router.pool.Pick(q.place, usable, q.f.schedule.now)
+	var chosen *placement.Server
+	if r.attempts == 0 {
+		chosen = r.router.pool.Pick(r.placement, usable, r.sim.schedule.now)
 	} else {
-		known = q.router.pool.Reroute(q.place, usable, q.f.schedule.now)
+		chosen = r.router.pool.Reroute(r.placement, usable, r.sim.schedule.now)
 	}
-	if known == nil {
+	if chosen == nil {
 		return nil
 	}
-	for i, k := range q.router.known {
-		if k == known {
-			return q.f.servers[i]
+	for i, view := range r.router.views {
+		if view == chosen {
+			return r.sim.servers[i]
 		}
 	}
 	return nil
 }
 
-// arrive has a request come to its server.
-func (o *send) arrive(way time.Duration) {
-	now := o.q.f.schedule.now
-	if o.over {
-		return
-	}
-	if o.server.down {
-		o.q.f.schedule.at(now+way, func() { o.fail(true) })
-		return
-	}
-	o.q.f.score.arrivals[o.server.index]++
-	o.q.f.score.reread(o.server, o.q.a, now)
-	o.run = &run{a: o.q.a, from: o.q.got}
-	o.run.event = func(n int, last bool) { o.q.f.schedule.at(o.q.f.schedule.now+way, func() { o.event(n, last) }) }
-	o.run.ended = func(ok bool) {
-		if !ok {
-			o.q.f.schedule.at(o.q.f.schedule.now+way, func() { o.fail(false) })
-		}
-	}
-	if !o.server.take(o.run) {
-		o.q.f.schedule.at(now+way, func() { o.fail(true) })
-	}
-}
-
-// event has an event come to the router, and then to the client.
-func (o *send) event(n int, last bool) {
-	q, now := o.q, o.q.f.schedule.now
-	if o.over || q.done || n != q.got {
-		return
-	}
-	if o.work.PrefillTokens > 0 {
-		q.router.pool.ObservePrefill(o.work.PrefillTokens, now-o.sent, now)
-		o.known.End(placement.Work{PrefillTokens: o.work.PrefillTokens})
-		o.work.PrefillTokens = 0
-	}
-	at := now + q.f.spec.Network.Client
-	if q.got == 0 {
-		q.first = at
-	} else {
-		q.pause = max(q.pause, at-q.last)
-	}
-	q.got, q.last = n+1, at
-	if last {
-		o.known.Health.Success()
-		o.finish()
-		q.done = true
-		q.f.score.served(q)
-		return
-	}
-	o.watch()
-}
-
-// watch has a long answer taken up elsewhere when its next event does not come in time.
-func (o *send) watch() {
-	q := o.q
-	if q.f.policy.stall == 0 || !q.class.Resumable || q.sends >= q.class.Attempts {
-		return
-	}
-	got := q.got
-	q.f.schedule.at(q.f.schedule.now+time.Duration(q.f.policy.stall*float64(q.class.Pause)), func() {
-		if o.over || q.done || q.got != got {
-			return
-		}
-		o.finish()
-		server, run := o.server, o.run
-		q.f.schedule.at(q.f.schedule.now+q.f.way(q.router.zone, server.zone), func() { server.cancel(run) })
-		q.f.score.moved++
-		q.choose()
-	})
-}
-
-// finish takes back what was noted at the server.
-func (o *send) finish() {
-	if !o.over {
-		o.over = true
-		o.known.End(o.work)
-	}
-}
-
-// fail goes on at another server where that is allowed.
-func (o *send) fail(unsent bool) {
-	if o.over || o.q.done {
-		return
-	}
-	o.finish()
-	o.known.Health.Failure(o.q.f.schedule.now, unsent)
-	if unsent {
-		o.q.sends-- // it never ran
-		if len(o.q.place.Tried) > 3 {
-			o.q.lose()
-			return
-		}
-	} else if !o.q.class.Resumable || o.q.sends >= o.q.class.Attempts {
-		o.q.lose()
-		return
-	}
-	o.q.choose()
-}
-
-func (q *request) giveUp() {
-	if q.done {
+// giveUp loses a request at its deadline.
+func (r *request) giveUp() {
+	if r.done {
 		return
 	}
-	if q.send != nil && !q.send.over {
-		q.send.finish()
-		if q.send.run != nil {
-			q.send.server.cancel(q.send.run)
+	if a := r.attempt; a != nil && !a.over {
+		a.finish()
+		if a.run != nil {
+			a.server.cancel(a.run)
 		}
 	}
-	q.lose()
+	r.lose()
 }
 
-func (q *request) lose() {
-	if !q.done {
-		q.done = true
-		q.f.score.lost(q)
+func (r *request) lose() {
+	if !r.done {
+		r.done = true
+		r.sim.score.recordLost(r)
 	}
 }
--- a/internal/rig/engines/events.go
+++ b/internal/rig/engines/schedule.go
@@ -5,37 +5,42 @@
 	"time"
 )
 
-// schedule runs what is due in order of time, and of what was put in first.
+// schedule runs functions in virtual time, those of the same time in the order in which they were scheduled.
 type schedule struct {
-	now  time.Duration
-	list entries
-	put  int
+	now       time.Duration
+	list      entries
+	scheduled int // so far
 }
 
 type entry struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-func (s *schedule) at(t time.Duration, do func()) {
-	s.put++
-	heap.Push(&s.list, entry{max(t, s.now), s.put, do})
+// at schedules a function; for a time that has passed it runs next.
+func (s *schedule) at(t time.Duration, run func()) {
+	s.scheduled++
+	heap.Push(&s.list, entry{max(t, s.now), s.scheduled, run})
 }
 
+// after schedules a function for a time from now.
+func (s *schedule) after(delay time.Duration, run func()) { s.at(s.now+delay, run) }
+
+// run runs what is scheduled up to a time.
 func (s *schedule) run(until time.Duration) {
 	for len(s.list) > 0 && s.list[0].at <= until {
 		next := heap.Pop(&s.list).(entry)
 		s.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
-// every calls a function again and again.
-func (s *schedule) every(first, period time.Duration, do func()) {
+// every schedules a function periodically.
+func (s *schedule) every(first, period time.Duration, run func()) {
 	s.at(first, func() {
-		do()
-		s.every(s.now+period, period, do)
+		run()
+		s.every(s.now+period, period, run)
 	})
 }
 
@@ -49,7 +54,7 @@
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
-	return e[i].order < e[j].order
+	return e[i].sequence < e[j].sequence
 }
 
 // Swap implements heap.Interface.
--- a/internal/rig/engines/score.go
+++ b/internal/rig/engines/score.go
@@ -7,72 +7,81 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ClassScore is what became of the requests of a class.
-type ClassScore struct {
-	Asked, InTime, LateFirst, LatePause, Lost float64
-	Owed, Earned                              float64
-	Tenth                                     float64 // of the worth of the largest tenth, what was earned
-	First                                     *hdrhistogram.Histogram
-
-	largeOwed, largeEarned float64
+// classScore is what became of the requests of a class. Values are in the users' units.
+type classScore struct {
+	requests, lateFirst, lateGap, lost float64
+
+	value       valueScore
+	large       valueScore              // of its large requests alone, see largeSize
+	timeToFirst *hdrhistogram.Histogram // µs to the first event
 }
 
-// Late is the share of requests that were served late.
-func (c *ClassScore) Late() float64 { return (c.LateFirst + c.LatePause) / max(1, c.Asked) }
+// valueScore is the value that some requests might have earned, and that they did.
+type valueScore struct{ possible, earned float64 }
+
+func (v valueScore) fraction() float64 { return v.earned / max(v.possible, tiny) }
+
+// tiny avoids a division by zero.
+const tiny = 1e-9
 
-// score is what came of one play.
+// score is what came of one simulation.
 type score struct {
-	spec     *Spec
-	classes  []*ClassScore
-	arrivals []float64
-	crossed  float64 // bytes
-	again    float64 // tokens of shared parts that were read again
-	moved    float64 // long answers that were taken up elsewhere
-	read     float64
-	seen     map[uint64]time.Duration // when a part was last used anywhere
-	windows  map[int]*window          // by their number
+	spec           *Spec
+	classes        []*classScore
+	arrivals       []float64           // by server
+	windows        map[int]*valueScore // by their number
+	crossZoneBytes float64
+	rereadTokens   float64 // of shared parts that were cached at another server
+	prefillTokens  float64
+	migrated       float64                  // long answers that continued at another server
+	lastUse        map[uint64]time.Duration // of a shared part, anywhere
 }
 
+// The histograms of times count up to a minute.
+const (
+	maxTimeToFirst    = int64(time.Minute / time.Microsecond)
+	significantDigits = 2
+)
+
 func newScore(s *Spec) *score {
-	c := &score{spec: s, arrivals: make([]float64, s.Servers), seen: map[uint64]time.Duration{}, windows: map[int]*window{}}
+	c := &score{spec: s, arrivals: make([]float64, s.Servers), lastUse: map[uint64]time.Duration{}, windows: map[int]*valueScore{}}
 	for range s.Classes {
-		c.classes = append(c.classes, &ClassScore{First: hdrhistogram.New(1, 60_000_000, 2)})
+		c.classes = append(c.classes, &classScore{timeToFirst: hdrhistogram.New(1, maxTimeToFirst, significantDigits)})
 	}
 	return c
 }
 
-func (c *score) counts(q *request) *ClassScore {
-	if q.a.at < c.spec.Warm {
+// count adds a request that has ended to its class; nil: it is not counted.
+func (c *score) count(r *request) *classScore {
+	if r.arrival.at < c.spec.WarmUp {
 		return nil
 	}
-	k := c.classes[q.a.class]
-	k.Asked++
-	k.Owed += q.class.Worth * q.a.size
-	c.window(q).owed += q.class.Worth * q.a.size
-	return k
+	class := c.classes[r.arrival.class]
+	class.requests++
+	class.value.possible += r.class.Value * r.arrival.relativeSize
+	c.window(r).possible += r.class.Value * r.arrival.relativeSize
+	return class
 }
 
-// window is what was earned of the requests of some time.
-type window struct{ owed, earned float64 }
-
 const windowLength = 2 * time.Second
 
-func (c *score) window(q *request) *window {
-	n := int(q.a.at / windowLength)
+// window is the score of the requests that arrived in the same window.
+func (c *score) window(r *request) *valueScore {
+	n := int(r.arrival.at / windowLength)
 	if c.windows[n] == nil {
-		c.windows[n] = &window{}
+		c.windows[n] = &valueScore{}
 	}
 	return c.windows[n]
 }
 
 // worstWindows is the mean of the two worst.
 func (c *score) worstWindows() float64 {
-	var shares []float64
+	var fractions []float64
 	for _, w := range c.windows {
-		shares = append(shares, w.earned/w.owed)
+		fractions = append(fractions, w.earned/w.possible)
 	}
-	slices.Sort(shares)
-	return (shares[0] + shares[min(1, len(shares)-1)]) / 2
+	slices.Sort(fractions)
+	return (fractions[0] + fractions[min(1, len(fractions)-1)]) / 2
 }
 
 // The weights of the whole day, the worst windows and the worst class in the users' goal.
@@ -82,98 +91,103 @@
 	classWeight  = 0.1
 )
 
-// served notes a request whose whole answer came before its deadline.
-func (c *score) served(q *request) {
-	k := c.counts(q)
-	if k == nil {
+// recordServed records a request whose complete answer came before its deadline.
+func (c *score) recordServed(r *request) {
+	class := c.count(r)
+	if class == nil {
 		return
 	}
-	k.First.RecordValue((q.first - q.a.at).Microseconds())
-	worth := q.class.Worth
+	timeToFirst := r.stream.firstEventAt - r.arrival.at
+	_ = class.timeToFirst.RecordValue(timeToFirst.Microseconds()) // a longer time is not in the quantiles
+	value := r.class.Value
 	switch {
-	case q.first-q.a.at > q.class.Aim:
-		k.LateFirst++
-		worth = q.class.Late
-	case q.pause > q.class.Pause:
-		k.LatePause++
-		worth = q.class.Late
-	default:
-		k.InTime++
+	case timeToFirst > r.class.LatencyTarget:
+		class.lateFirst++
+		value = r.class.LateValue
+	case r.stream.maxGap > r.class.GapTarget:
+		class.lateGap++
+		value = r.class.LateValue
 	}
-	c.earn(k, q, worth)
+	c.earn(class, r, value)
 }
 
-func (c *score) lost(q *request) {
-	if k := c.counts(q); k != nil {
-		k.Lost++
-		c.earn(k, q, 0)
+// recordLost records a request without a complete answer.
+func (c *score) recordLost(r *request) {
+	if class := c.count(r); class != nil {
+		class.lost++
+		c.earn(class, r, 0)
 	}
 }
 
 // largeSize is the size, beside the mean, from which a request counts among the large ones that are scored by themselves.
 const largeSize = 1.9
 
-func (c *score) earn(k *ClassScore, q *request, worth float64) {
-	k.Earned += worth * q.a.size
-	c.window(q).earned += worth * q.a.size
-	if q.a.size >= largeSize {
-		k.largeOwed += q.class.Worth * q.a.size
-		k.largeEarned += worth * q.a.size
+func (c *score) earn(class *classScore, r *request, value float64) {
+	class.value.earned += value * r.arrival.relativeSize
+	c.window(r).earned += value * r.arrival.relativeSize
+	if r.arrival.relativeSize >= largeSize {
+		class.large.possible += r.class.Value * r.arrival.relativeSize
+		class.large.earned += value * r.arrival.relativeSize
 	}
 }
 
-// reread notes the parts of a prompt that a server has to read though some server had them lately.
-func (c *score) reread(s *server, a *arrival, now time.Duration) {
-	kept := s.keeps(a)
+// recordReread records the shared parts of a prompt that a server has to read though some server read them recently.
+func (c *score) recordReread(s *server, a *arrival, now time.Duration) {
+	cached := s.cache.prefixTokens(a)
 	for _, p := range a.parts {
-		if at, ok := c.seen[p.key]; kept <= 0 && ok && now-at < c.spec.Again && a.at >= c.spec.Warm {
-			c.again += float64(p.tokens)
+		if last, ok := c.lastUse[p.key]; cached <= 0 && ok && now-last < c.spec.PrefixTTL && a.at >= c.spec.WarmUp {
+			c.rereadTokens += float64(p.tokens)
 		}
-		kept -= p.tokens
-		c.seen[p.key] = now
+		cached -= p.tokens
+		c.lastUse[p.key] = now
 	}
 }
 
-func (c *score) finish(f *fleet) {
-	for _, s := range f.servers {
-		c.read += s.readAll
-	}
-	for _, k := range c.classes {
-		k.Tenth = k.largeEarned / max(k.largeOwed, 1e-9)
+// finish adds what the servers counted.
+func (c *score) finish(sim *simulation) {
+	for _, s := range sim.servers {
+		c.prefillTokens += s.prefillTotal
 	}
 }
 
-// figures are what an experiment compares, by name.
-func (c *score) figures() map[string]float64 {
-	owed, earned, most, sum, worst := 0.0, 0.0, 0.0, 0.0, 1.0
-	figures := map[string]float64{}
-	for i, k := range c.classes {
-		owed += k.Owed
-		earned += k.Earned
-		worst = min(worst, k.Earned/max(k.Owed, 1e-9))
-		if k.largeOwed > 0 {
-			worst = min(worst, k.Tenth)
+// metrics are what an experiment compares, by name. Files of results and the pages have the names.
+func (c *score) metrics() map[string]float64 {
+	var total valueScore
+	worstClass := 1.0
+	metrics := map[string]float64{}
+	for i, class := range c.classes {
+		total.possible += class.value.possible
+		total.earned += class.value.earned
+		worstClass = min(worstClass, class.value.fraction())
+		if class.large.possible > 0 {
+			worstClass = min(worstClass, class.large.fraction())
 		}
-		name := c.spec.Classes[i].Name + " "
-		figures[name+"late first %"] = 100 * k.LateFirst / max(1, k.Asked)
-		figures[name+"late pause %"] = 100 * k.LatePause / max(1, k.Asked)
-		figures[name+"lost %"] = 100 * k.Lost / max(1, k.Asked)
-		figures[name+"worth"] = k.Earned / max(k.Owed, 1e-9)
-		figures[name+"large"] = k.Tenth
-		figures[name+"p99 ms"] = float64(k.First.ValueAtQuantile(99)) / 1000
+		class.addMetrics(metrics, c.spec.Classes[i].Name+" ")
 	}
+	busiest, sum := 0.0, 0.0
 	for _, n := range c.arrivals {
-		most, sum = max(most, n), sum+n
+		busiest, sum = max(busiest, n), sum+n
 	}
-	price := (c.spec.Prices.CrossGB*c.crossed/1e9 + c.spec.Prices.ReadK*c.again/1000) / max(owed, 1e-9)
-	figures["worth"] = earned / max(owed, 1e-9)
-	figures["price"] = price
-	figures["windows"] = c.worstWindows()
-	figures["goal"] = dayWeight*earned/max(owed, 1e-9) + windowWeight*c.worstWindows() + classWeight*worst - price
-	figures["read M"] = c.read / 1e6
-	figures["again M"] = c.again / 1e6
-	figures["cross GB"] = c.crossed / 1e9
-	figures["busiest/mean"] = most / max(1e-9, sum/float64(len(c.arrivals)))
-	figures["moved"] = c.moved
-	return figures
+	price := (c.spec.Prices.PerCrossZoneGB*c.crossZoneBytes/1e9 + c.spec.Prices.Per1000RereadTokens*c.rereadTokens/1000) / max(total.possible, tiny)
+	metrics["worth"] = total.fraction()
+	metrics["price"] = price
+	metrics["windows"] = c.worstWindows()
+	metrics["goal"] = dayWeight*total.earned/max(total.possible, tiny) + windowWeight*c.worstWindows() + classWeight*worstClass - price
+	metrics["read M"] = c.prefillTokens / 1e6
+	metrics["again M"] = c.rereadTokens / 1e6
+	metrics["cross GB"] = c.crossZoneBytes / 1e9
+	metrics["busiest/mean"] = busiest / max(tiny, sum/float64(len(c.arrivals)))
+	metrics["moved"] = c.migrated
+	return metrics
+}
+
+// addMetrics adds those of a class.
+func (c *classScore) addMetrics(metrics map[string]float64, prefix string) {
+	percent := func(requests float64) float64 { return 100 * requests / max(1, c.requests) }
+	metrics[prefix+"late first %"] = percent(c.lateFirst)
+	metrics[prefix+"late pause %"] = percent(c.lateGap)
+	metrics[prefix+"lost %"] = percent(c.lost)
+	metrics[prefix+"worth"] = c.value.fraction()
+	metrics[prefix+"large"] = c.large.fraction()
+	metrics[prefix+"p99 ms"] = float64(c.timeToFirst.ValueAtQuantile(99)) / 1000
 }
--- a/internal/rig/engines/engines_test.go
+++ b/internal/rig/engines/simulation_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// small is a day of few requests on a small fleet.
-const small = `
+// smallDay is a day with few requests on a small fleet.
+const smallDay = `
 length: 6s
 warm: 1s
 zones: 3
@@ -30,7 +30,8 @@
   - {kind: slow, at: 2s, for: 2s, share: 0.2, factor: 2.6}
 `
 
-func spec(t *testing.T, text string) *Spec {
+func parseSpec(t *testing.T, text string) *Spec {
+	t.Helper()
 	s, err := Parse("day.yaml", []byte(text))
 	require.NoError(t, err)
 	return s
@@ -47,14 +48,14 @@
 		"length: 6s->length: tomorrow": "line 2: cannot unmarshal",
 	} {
 		before, after, _ := strings.Cut(change, "->")
-		_, err := Parse("day.yaml", []byte(strings.Replace(small, before, after, 1)))
+		_, err := Parse("day.yaml", []byte(strings.Replace(smallDay, before, after, 1)))
 		require.ErrorContains(t, err, want, change)
 	}
 	_, err := Parse("day.yaml", nil)
 	require.ErrorContains(t, err, "day.yaml:1: the file is empty")
 }
 
-// The day that comes with the repository can be read.
+// The experiment in the repository is valid.
 func TestTheDayOfTheRepository(t *testing.T) {
 	const name = "../../../deploy/experiments/prompts-beside-chats.yaml"
 	text, err := os.ReadFile(name)
@@ -63,47 +64,47 @@
 	require.NoError(t, err)
 }
 
-// alone is one server, and what its requests sent when.
-type alone struct {
+// singleServer is one server, and the times of its requests' events, by request; -1 is a failure.
+type singleServer struct {
 	schedule *schedule
 	server   *server
 	events   map[string][]time.Duration
 }
 
-func newAlone(t *testing.T) *alone {
-	a := &alone{schedule: &schedule{}, events: map[string][]time.Duration{}}
-	a.server = newServer(a.schedule, &spec(t, small).Engine, 0, 0)
+func newSingleServer(t *testing.T) *singleServer {
+	t.Helper()
+	a := &singleServer{schedule: &schedule{}, events: map[string][]time.Duration{}}
+	a.server = newServer(a.schedule, &parseSpec(t, smallDay).Engine, 0, 0)
 	return a
 }
 
-func (a *alone) send(name string, at time.Duration, arrival arrival) *run {
-	r := &run{a: &arrival, ended: func(ok bool) {
+func (a *singleServer) submit(name string, at time.Duration, arrival arrival) {
+	r := &run{arrival: &arrival, onEnd: func(ok bool) {
 		if !ok {
 			a.events[name] = append(a.events[name], -1)
 		}
 	}}
-	r.event = func(int, bool) { a.events[name] = append(a.events[name], a.schedule.now) }
-	a.schedule.at(at, func() { a.server.take(r) })
-	return r
+	r.onEvent = func(int, bool) { a.events[name] = append(a.events[name], a.schedule.now) }
+	a.schedule.at(at, func() { a.server.accept(r) })
 }
 
-// A prompt takes its chunks' time and the first event's; later events come a stride of steps apart, however long the prompt was.
+// The first event comes after the prompt's chunks and the first event's delay; later events are TokensPerEvent steps apart, however long the prompt was.
 func TestOneRequest(t *testing.T) {
-	a := newAlone(t)
-	a.send("one", 0, arrival{own: 1024, events: 3})
+	a := newSingleServer(t)
+	a.submit("one", 0, arrival{ownTokens: 1024, events: 3})
 	a.schedule.run(time.Second)
-	step := a.server.engine.Step + a.server.engine.StepEach
+	step := a.server.engine.StepTime + a.server.engine.StepTimePerRequest
 	reading := 2_959_537*time.Nanosecond + 58_195*time.Nanosecond // 1,024 tokens at 346 a ms, and half a million pairs
 	require.InDelta(t, step+reading+6*time.Millisecond, a.events["one"][0], 1e4)
 	require.Len(t, a.events["one"], 3)
 	require.InDelta(t, 56*step, a.events["one"][2]-a.events["one"][1], 2e5)
 }
 
-// A prompt that is read holds up the tokens of what runs beside it.
+// The prefill of a prompt delays the tokens of the requests beside it.
 func TestPromptsHoldUpAnswers(t *testing.T) {
-	a := newAlone(t)
-	a.send("chat", 0, arrival{own: 100, events: 40})
-	a.send("prompt", 300*time.Millisecond, arrival{own: 60_000, events: 1})
+	a := newSingleServer(t)
+	a.submit("chat", 0, arrival{ownTokens: 100, events: 40})
+	a.submit("prompt", 300*time.Millisecond, arrival{ownTokens: 60_000, events: 1})
 	a.schedule.run(5 * time.Second)
 	longest := time.Duration(0)
 	for i, at := range a.events["chat"][1:] {
@@ -113,73 +114,73 @@
 	require.Len(t, a.events["chat"], 40)
 }
 
-// A shared part that is kept is not read again; the least recently used give way, and a crash forgets all.
-func TestKeptParts(t *testing.T) {
-	a := newAlone(t)
-	shared := []sharedPart{{1, 3000}, {2, 3000}}
-	a.server.engine.Memory = 20_000
-	a.send("first", 0, arrival{parts: shared, own: 100, events: 1})
-	a.send("again", time.Second, arrival{parts: shared, own: 100, events: 1})
+// A cached part is not read again; the least recently used parts are evicted, and a crash empties the cache.
+func TestPrefixCache(t *testing.T) {
+	a := newSingleServer(t)
+	shared := []prefixPart{{1, 3000}, {2, 3000}}
+	a.server.engine.CacheTokens = 20_000
+	a.submit("first", 0, arrival{parts: shared, ownTokens: 100, events: 1})
+	a.submit("again", time.Second, arrival{parts: shared, ownTokens: 100, events: 1})
 	a.schedule.run(2 * time.Second)
 	first, again := a.events["first"][0], a.events["again"][0]-time.Second
 	require.Greater(t, first-again, 15*time.Millisecond)
-	require.Equal(t, 6000, a.server.keeps(&arrival{parts: shared}))
-	a.send("others", 2*time.Second, arrival{parts: []sharedPart{{3, 15_000}}, own: 100, events: 1})
+	require.Equal(t, 6000, a.server.cache.prefixTokens(&arrival{parts: shared}))
+	a.submit("others", 2*time.Second, arrival{parts: []prefixPart{{3, 15_000}}, ownTokens: 100, events: 1})
 	a.schedule.run(3 * time.Second)
-	require.Zero(t, a.server.keeps(&arrival{parts: shared}))
+	require.Zero(t, a.server.cache.prefixTokens(&arrival{parts: shared}))
 	a.server.crash()
-	require.Zero(t, a.server.keeps(&arrival{parts: []sharedPart{{3, 15_000}}}))
+	require.Zero(t, a.server.cache.prefixTokens(&arrival{parts: []prefixPart{{3, 15_000}}}))
 }
 
-// A full batch queues, a full queue refuses, and a crash ends all.
-func TestPlaces(t *testing.T) {
-	a := newAlone(t)
-	a.server.engine.Slots, a.server.engine.Queue = 2, 1
+// A full batch queues, a full queue rejects, and a crash ends all requests.
+func TestSlotsAndQueue(t *testing.T) {
+	a := newSingleServer(t)
+	a.server.engine.Slots, a.server.engine.QueueLength = 2, 1
 	for i := range 3 {
-		require.True(t, a.server.take(&run{a: &arrival{own: 10, events: 50}, event: func(int, bool) {}, ended: func(ok bool) { a.events["ended"] = append(a.events["ended"], time.Duration(i)) }}))
+		require.True(t, a.server.accept(&run{arrival: &arrival{ownTokens: 10, events: 50}, onEvent: func(int, bool) {}, onEnd: func(ok bool) { a.events["ended"] = append(a.events["ended"], time.Duration(i)) }}))
 	}
-	require.False(t, a.server.take(&run{a: &arrival{own: 10, events: 1}}))
+	require.False(t, a.server.accept(&run{arrival: &arrival{ownTokens: 10, events: 1}}))
 	a.server.crash()
 	require.Len(t, a.events["ended"], 3)
 }
 
-// The same seed gives the same play.
+// The same seed gives the same result.
 func TestPlaysRepeat(t *testing.T) {
-	s := spec(t, small)
+	s := parseSpec(t, smallDay)
 	for _, name := range []string{"now", "stall", "two choices"} {
-		a := play(s, s.findPolicy(name), arrivals(s, 3), 3).figures()
-		b := play(s, s.findPolicy(name), arrivals(s, 3), 3).figures()
+		a := simulate(s, findPolicy(name), arrivals(s, 3), 3).metrics()
+		b := simulate(s, findPolicy(name), arrivals(s, 3), 3).metrics()
 		require.Equal(t, a, b, name)
 	}
 }
 
-// What a router hears of the others' requests makes it serve more in time than what it knows by itself, and shared parts are read again
-// less often than by turns.
+// With the other routers' reports more requests are served in time than without, and shared parts are read again
+// less often than with round robin.
 func TestPoliciesDiffer(t *testing.T) {
-	s := spec(t, small)
+	s := parseSpec(t, smallDay)
 	s.Policies, s.Seeds = []string{"now", "before", "round robin"}, 4
 	out, err := Run(t.Context(), s, 4)
 	require.NoError(t, err)
-	now, before, turns := out[0].Figures, out[1].Figures, out[2].Figures
+	now, before, roundRobin := out[0].Metrics, out[1].Metrics, out[2].Metrics
 	require.Greater(t, now["goal"].Mean, before["goal"].Mean)
 	require.Less(t, now["chat late pause %"].Mean, before["chat late pause %"].Mean)
-	require.Greater(t, turns["again M"].Mean, 5*now["again M"].Mean)
+	require.Greater(t, roundRobin["again M"].Mean, 5*now["again M"].Mean)
 }
 
-// Servers that are gone lose what ran there; a request that may be resumed goes on elsewhere.
+// Servers that crash lose their requests; one that may be resumed continues at another server.
 func TestCrashes(t *testing.T) {
-	s := spec(t, strings.Replace(small, "kind: slow", "kind: crash", 1))
-	figures := play(s, s.findPolicy("now"), arrivals(s, 1), 1).figures()
+	s := parseSpec(t, strings.Replace(smallDay, "kind: slow", "kind: crash", 1))
+	figures := simulate(s, findPolicy("now"), arrivals(s, 1), 1).metrics()
 	require.Greater(t, figures["check lost %"], 0.0)
 	require.Less(t, figures["chat lost %"], figures["check lost %"]+1)
 }
 
 func TestBurstsAndHotKeys(t *testing.T) {
-	burst := strings.Replace(small, "{kind: slow, at: 2s, for: 2s, share: 0.2, factor: 2.6}", "{kind: burst, at: 2s, for: 2s, class: check, factor: 2}", 1)
-	require.Greater(t, len(arrivals(spec(t, burst), 1)), len(arrivals(spec(t, small), 1))+200)
-	hot := strings.Replace(small, "{kind: slow, at: 2s, for: 2s, share: 0.2, factor: 2.6}", "{kind: hot_key, at: 2s, for: 2s, class: check, share: 0.5}", 1)
+	burst := strings.Replace(smallDay, "{kind: slow, at: 2s, for: 2s, share: 0.2, factor: 2.6}", "{kind: burst, at: 2s, for: 2s, class: check, factor: 2}", 1)
+	require.Greater(t, len(arrivals(parseSpec(t, burst), 1)), len(arrivals(parseSpec(t, smallDay), 1))+200)
+	hot := strings.Replace(smallDay, "{kind: slow, at: 2s, for: 2s, share: 0.2, factor: 2.6}", "{kind: hot_key, at: 2s, for: 2s, class: check, share: 0.5}", 1)
 	n := 0
-	for _, a := range arrivals(spec(t, hot), 1) {
+	for _, a := range arrivals(parseSpec(t, hot), 1) {
 		if len(a.parts) > 1 && a.parts[1].key&0xffffffff == 0 {
 			n++
 		}
@@ -188,16 +189,16 @@
 }
 
 func TestScaled(t *testing.T) {
-	s := spec(t, small)
+	s := parseSpec(t, smallDay)
 	large := s.Scaled(120)
 	require.Equal(t, 90, large.Servers)
 	require.InDelta(t, 1600, large.Classes[0].Rate, 1e-9)
-	require.Equal(t, []int{4, 10_000}, []int{large.Classes[0].Shared[0].Things, large.Classes[0].Shared[1].Things})
-	require.Equal(t, 1000, s.Classes[0].Shared[1].Things, "the spec itself stays")
+	require.Equal(t, []int{4, 10_000}, []int{large.Classes[0].SharedParts[0].Variants, large.Classes[0].SharedParts[1].Variants})
+	require.Equal(t, 1000, s.Classes[0].SharedParts[1].Variants, "the spec itself stays")
 }
 
 func TestReports(t *testing.T) {
-	s := spec(t, small)
+	s := parseSpec(t, smallDay)
 	s.Policies, s.Seeds = []string{"now"}, 2
 	out, err := Run(t.Context(), s, 2)
 	require.NoError(t, err)
--- a/internal/router/backend/exchange_model_test.go
+++ b/internal/router/backend/exchange_model_test.go
@@ -17,9 +17,9 @@
 type outcome string
 
 const (
-	complete outcome = "complete"   // a complete answer to this request
-	notRun   outcome = "not run" // the server says that it has not run the request
-	broken   outcome = "broken"  // it may have run
+	complete outcome = "complete" // a complete answer to this request
+	notRun   outcome = "not run"  // the server says that it has not run the request
+	broken   outcome = "broken"   // it may have run
 )
 
 // behaviour is what a server does with one request: what it writes, and whether and how it closes.
