--- a/internal/router/dissemination/messages.go
+++ b/internal/router/dissemination/messages.go
@@ -66,7 +66,7 @@
 // PrefixReport says at which servers shared prefixes of prompts were prefilled. Every router sends it to its home,
 // which passes it on to its other subscribers; they prefer these servers for prompts with the same prefix. A lost one
 // costs cache hits alone.
-type PrefixReport struct{ Uses []placement.Uses }
+type PrefixReport struct{ Uses []placement.PrefixUses }
 
 // LoadReport says what work requests have left at each server. A router sends its own to its home; a core member sends
 // the sum of its subscribers' to the other core members, and to each subscriber the sum of all others'. The receiver
--- a/internal/router/node/applied.go
+++ b/internal/router/node/applied.go
@@ -52,7 +52,7 @@
 
 // logServers logs the number of usable servers of each service where it has changed.
 func (n *Node) logServers() {
-	for service, count := range n.gateway.Servers() {
+	for service, count := range n.gateway.ServerCounts() {
 		if n.applied.usableServers[service] != count {
 			n.applied.usableServers[service] = count
 			n.logger.Info().Str("service", service).Int("usable", count).Msg("usable servers changed")
--- a/internal/router/node/end.go
+++ b/internal/router/node/end.go
@@ -67,7 +67,7 @@
 func (n *Node) end(s *servers, ticker *time.Ticker) {
 	n.ending.Store(true)
 	schedule := newShutdownSchedule(time.Now(), settings.Seconds(n.settings.Bounds.GraceS))
-	n.gateway.End(schedule.longUntil, schedule.forceClose)
+	n.gateway.Drain(schedule.longUntil, schedule.forceClose)
 	n.mutex.Lock()
 	n.control.replica.Leave(n.now())
 	n.performEffects()
--- a/internal/router/node/list_comparison_test.go
+++ b/internal/router/node/list_comparison_test.go
@@ -33,7 +33,7 @@
 	n.receivePush(from, pushFrom(home, 0, 0), 0)
 	n.registry.Adopt(registry.Update{Instance: registry.Instance{ID: "ended", Service: "s", Address: "b"}}, 0)
 	n.apply()
-	require.Equal(t, map[string]int{"s": 2}, n.gateway.Servers())
+	require.Equal(t, map[string]int{"s": 2}, n.gateway.ServerCounts())
 
 	now := 100 * time.Millisecond
 	for ; now < differenceTolerance; now += heartbeatInterval {
@@ -49,7 +49,7 @@
 	complete.FullState = true
 	n.receivePush(from, complete, 2*differenceTolerance)
 	n.apply()
-	require.Equal(t, map[string]int{"s": 1}, n.gateway.Servers())
+	require.Equal(t, map[string]int{"s": 1}, n.gateway.ServerCounts())
 	require.Equal(t, home.Digest(), n.registry.Digest())
 }
 
--- a/internal/router/node/loads.go
+++ b/internal/router/node/loads.go
@@ -17,8 +17,8 @@
 
 // loads is a router's part in the exchange of what work requests have left at servers.
 type loads struct {
-	board    *placement.Board // of a core member: the last report of each router
-	reported bool             // the last report to the home was of some work
+	board    *placement.LoadBoard // of a core member: the last report of each router
+	reported bool                 // the last report to the home was of some work
 }
 
 // tickLoads reports this router's loads to the home, once more when there are none any more. A core member sends the
@@ -28,7 +28,7 @@
 	if !n.timers.loads.elapsed(interval, now) {
 		return
 	}
-	own := n.gateway.Loads()
+	own := n.gateway.LocalLoads()
 	if !n.isCoreMember() {
 		home := n.subscription.home.Current()
 		if home != "" && (len(own) > 0 || n.loads.reported) {
@@ -49,7 +49,7 @@
 		}
 		n.transport.Send(s.address, dissemination.LoadReport{Loads: board.Others(all, s.address).Message()})
 	}
-	n.gateway.SetLoads(board.Others(all, n.self.Address))
+	n.gateway.SetPeerLoads(board.Others(all, n.self.Address))
 }
 
 // receiveLoadReport records a router's loads at a core member, and passes those of all others to the gateway elsewhere.
@@ -58,6 +58,6 @@
 	case n.isCoreMember():
 		n.loads.board.Put(from, n.control.isMember(from), m.Loads.Sums(), now)
 	case from == n.subscription.home.Current():
-		n.gateway.SetLoads(m.Loads.Sums())
+		n.gateway.SetPeerLoads(m.Loads.Sums())
 	}
 }
--- a/internal/router/node/loads_test.go
+++ b/internal/router/node/loads_test.go
@@ -12,7 +12,7 @@
 )
 
 func loadReport(unread float64) dissemination.LoadReport {
-	return dissemination.LoadReport{Loads: placement.LoadSums{placement.HashServer("i1"): {Requests: 1, Unread: unread}}.Message()}
+	return dissemination.LoadReport{Loads: placement.LoadSums{placement.HashServer("i1"): {Requests: 1, PrefillTokens: unread}}.Message()}
 }
 
 // A core member adds up the loads of its subscribers and those that other core members report; it sends these only the
@@ -26,10 +26,10 @@
 	n.receiveLoadReport("10.0.1.3:7000", loadReport(300), now)
 	n.receiveLoadReport(peer.Address, loadReport(20), now)
 	i1 := placement.HashServer("i1")
-	require.EqualValues(t, 1300, n.loads.board.ForPeers()[i1].Unread)
+	require.EqualValues(t, 1300, n.loads.board.ForPeers()[i1].PrefillTokens)
 	all := n.loads.board.All()
-	require.EqualValues(t, 1320, all[i1].Unread)
-	require.EqualValues(t, 320, n.loads.board.Others(all, "10.0.1.2:7000")[i1].Unread)
+	require.EqualValues(t, 1320, all[i1].PrefillTokens)
+	require.EqualValues(t, 320, n.loads.board.Others(all, "10.0.1.2:7000")[i1].PrefillTokens)
 	n.tickLoads(now + 2*time.Second)
 	require.Empty(t, n.loads.board.All(), "nobody has renewed it")
 }
--- a/internal/router/node/missed_target_log.go
+++ b/internal/router/node/missed_target_log.go
@@ -48,9 +48,9 @@
 	if !ok {
 		return
 	}
-	line := n.logger.Info().Str("route", route).Str("reason", string(reason)).Str("server", t.Server).Int("attempts", t.Sends).
-		Float64("first_ms", milliseconds(t.First)).Float64("pause_ms", milliseconds(t.Pause))
-	for phase, spent := range t.Spent {
+	line := n.logger.Info().Str("route", route).Str("reason", string(reason)).Str("server", t.Server).Int("attempts", t.Attempts).
+		Float64("first_ms", milliseconds(t.TimeToFirstByte)).Float64("pause_ms", milliseconds(t.MaxGap))
+	for phase, spent := range t.PhaseTimes {
 		if spent >= time.Millisecond {
 			line = line.Float64(latency.Phase(phase).String()+"_ms", milliseconds(spent))
 		}
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -88,22 +88,22 @@
 	locality := proximity.Locality{Zone: s.Zone, Region: s.Region, RegionOf: s.Zones}
 	n.subscription = newSubscription(n.self.Address, locality)
 	n.quotas = newQuotas(locality)
-	n.loads.board = placement.NewBoard()
+	n.loads.board = placement.NewLoadBoard()
 	n.outliers.detector = outlier.NewDetector(usableServers{n})
 	n.timers.storeServers.restart(0) // what is on the disk is good enough, at first
 	n.timers.expireServers.restart(0)
 	b := s.Bounds
 	n.gateway = gateway.New(gateway.Options{
-		Zone:         s.Zone,
-		Now:          n.now,
-		Life:         incarnation,
-		Acquirer:     n,
-		Missed:       n.logMissedTarget,
-		Again:        settings.Seconds(b.AgainS),
-		BodyMemory:   int64(s.Limits.MemoryMb) << 20 / memoryPerBodyMemory,
-		BudgetRatio:  b.RetryBudgetRatio,
-		BudgetSlack:  b.RetryBudgetSlack,
-		BudgetWindow: max(time.Second, settings.Seconds(b.BudgetWindowS)),
+		Zone:              s.Zone,
+		Now:               n.now,
+		Incarnation:       incarnation,
+		Acquirer:          n,
+		OnObjectiveMissed: n.logMissedTarget,
+		PrefixTTL:         settings.Seconds(b.AgainS),
+		MaxBodyMemory:     int64(s.Limits.MemoryMb) << 20 / memoryPerBodyMemory,
+		BudgetRatio:       b.RetryBudgetRatio,
+		BudgetSlack:       b.RetryBudgetSlack,
+		BudgetWindow:      max(time.Second, settings.Seconds(b.BudgetWindowS)),
 	})
 	n.transport = transport.New(n.self.Address, wireformat.NewCodec(), n.receive)
 	return n
--- a/internal/router/node/outliers.go
+++ b/internal/router/node/outliers.go
@@ -44,8 +44,8 @@
 	return ""
 }
 
-// Usable implements outlier.Services.
-func (u usableServers) Usable(service string) int { return u.node.gateway.ServersOf(service) }
+// UsableServers implements outlier.Services.
+func (u usableServers) UsableServers(service string) int { return u.node.gateway.ServerCount(service) }
 
 // tickOutliers reports how this router's requests ended; a core member judges servers by all reports.
 func (n *Node) tickOutliers(now time.Duration) {
@@ -58,12 +58,12 @@
 }
 
 func (n *Node) reportOutcomes(now time.Duration) {
-	report, ok := n.gateway.TakeReport()
+	report, ok := n.gateway.TakeOutcomeReport()
 	home := n.subscription.home.Current()
 	switch {
 	case !ok:
 	case n.isCoreMember():
-		n.outliers.detector.Report(n.self.Address, report, now)
+		n.outliers.detector.ApplyReport(n.self.Address, report, now)
 	case home != "":
 		n.transport.Send(home, dissemination.OutcomeReport{Report: report})
 	}
@@ -107,14 +107,14 @@
 // receiveOutcomeReport counts a subscriber's report.
 func (n *Node) receiveOutcomeReport(from string, m dissemination.OutcomeReport, now time.Duration) {
 	if n.isCoreMember() {
-		n.outliers.detector.Report(from, m.Report, now)
+		n.outliers.detector.ApplyReport(from, m.Report, now)
 	}
 }
 
 // receiveOutcomeSums counts what another core member's subscribers reported.
 func (n *Node) receiveOutcomeSums(from string, m dissemination.OutcomeSums, now time.Duration) {
 	if n.isCoreMember() && n.control.isMember(from) {
-		n.outliers.detector.Peer(from, m.Sums, now)
+		n.outliers.detector.ApplyPeerSums(from, m.Sums, now)
 	}
 }
 
--- a/internal/router/node/pool.go
+++ b/internal/router/node/pool.go
@@ -42,7 +42,7 @@
 	if view.Epoch.Round == 0 || n.fleetSize <= 1 {
 		return
 	}
-	host, ok := n.quotas.contributor.Offer(view.Members, view.PrimaryAddress(), n.gateway.QuotaPooled(), now)
+	host, ok := n.quotas.contributor.Offer(view.Members, view.PrimaryAddress(), n.gateway.QuotaPooledUntil(), now)
 	switch {
 	case !ok:
 	case host == n.self.Address:
@@ -108,8 +108,8 @@
 func (n *Node) answerFromPrimary(to string, m dissemination.PoolAcquire, answer dissemination.PoolAcquired) {
 	ctx, cancel := context.WithTimeout(context.Background(), poolTimeout)
 	defer cancel()
-	if acquired := n.acquireFromPrimary(ctx, m.Tenant, m.Units, 0); acquired.From == gateway.FromPrimary {
-		answer.Granted, answer.Wait = acquired.Given >= m.Units, acquired.Wait
+	if acquired := n.acquireFromPrimary(ctx, m.Tenant, m.Units, 0); acquired.Source == gateway.FromPrimary {
+		answer.Granted, answer.Wait = acquired.Granted >= m.Units, acquired.RetryAfter
 	}
 	n.transport.Send(to, answer)
 }
@@ -145,5 +145,5 @@
 	if !granted {
 		units = 0
 	}
-	return gateway.Acquisition{From: gateway.FromPool, Given: units, Wait: wait}
+	return gateway.Acquisition{Source: gateway.FromPool, Granted: units, RetryAfter: wait}
 }
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -32,8 +32,8 @@
 	n.gateway.SetTable(routetable.Compile(c, nil))
 	n.setLimits()
 	n.setFleetSize(4)
-	nonce, _, _ := n.gateway.AskQuota()
-	n.gateway.QuotaGranted(nonce, map[string]float64{"t1": 0.5})
+	nonce, _, _ := n.gateway.RequestQuotaShares()
+	n.gateway.ApplyQuotaShares(nonce, map[string]float64{"t1": 0.5})
 	return n
 }
 
@@ -43,26 +43,26 @@
 	n := poolNode(t)
 	require.Equal(t, n.self.Address, n.quotas.contributor.ChooseHost(n.control.view.Members, n.control.view.PrimaryAddress(), n.now()))
 	first := n.acquireFromPool(context.Background(), "t1", 1000)
-	require.Equal(t, gateway.Acquisition{From: gateway.FromPool, Given: 1000}, first, "one request may overdraw what is replenished")
-	require.Positive(t, n.gateway.QuotaPooled(), "its own lease belongs to the pool now")
+	require.Equal(t, gateway.Acquisition{Source: gateway.FromPool, Granted: 1000}, first, "one request may overdraw what is replenished")
+	require.Positive(t, n.gateway.QuotaPooledUntil(), "its own lease belongs to the pool now")
 	status := n.Status()
 	require.True(t, status.LacksPrimary)
 	require.Equal(t, n.self.Address, status.PoolHost)
 	require.Equal(t, 1, status.Deposits)
 	rejected := n.acquireFromPool(context.Background(), "t1", 1)
-	require.Equal(t, gateway.FromPool, rejected.From)
-	require.Zero(t, rejected.Given)
-	alone := rejected.Wait // 20 s
+	require.Equal(t, gateway.FromPool, rejected.Source)
+	require.Zero(t, rejected.Granted)
+	alone := rejected.RetryAfter // 20 s
 
 	const other = "10.0.1.2:7000"
 	n.receivePoolOffer(other, n.now())
 	nonce := n.lastRequest
 	deposit := dissemination.PoolDeposit{Nonce: n.lastRequest + 1, Deposit: quota.Deposit{Standing: 0.5, For: time.Hour}}
 	n.receivePoolDeposit(other, deposit, n.now())
-	require.Greater(t, n.acquireFromPool(context.Background(), "t1", 1).Wait, alone/2+time.Second, "this deposit was not asked for")
+	require.Greater(t, n.acquireFromPool(context.Background(), "t1", 1).RetryAfter, alone/2+time.Second, "this deposit was not asked for")
 	deposit.Nonce = nonce
 	n.receivePoolDeposit(other, deposit, n.now())
-	require.Less(t, n.acquireFromPool(context.Background(), "t1", 1).Wait, alone/2+time.Second)
+	require.Less(t, n.acquireFromPool(context.Background(), "t1", 1).RetryAfter, alone/2+time.Second)
 }
 
 // Once there is contact with a primary again the next deposit is an empty one, and the router is not asked for deposits
@@ -77,7 +77,7 @@
 	require.False(t, n.lacksPrimary(n.now()))
 	n.tickPool(n.now() + 2*quotapool.CollectInterval)
 	require.Zero(t, n.quotas.pool.Offers())
-	require.Zero(t, n.acquireFromPool(context.Background(), "t1", 1).Given)
+	require.Zero(t, n.acquireFromPool(context.Background(), "t1", 1).Granted)
 }
 
 // A router that offers and does not answer is asked no more, and a router that is no core member ignores offers.
@@ -101,7 +101,7 @@
 	n.offerDeposit(n.now())
 	require.Equal(t, host.Address, n.quotas.contributor.Host())
 	n.receivePoolCollect(host.Address, dissemination.PoolCollect{}, n.now())
-	require.Equal(t, gateway.FromNobody, n.acquireFromPool(context.Background(), "t1", 1).From)
+	require.Equal(t, gateway.FromNone, n.acquireFromPool(context.Background(), "t1", 1).Source)
 	require.True(t, n.quotas.contributor.Avoids(host.Address, n.now()))
 	require.Empty(t, n.quotas.poolAcquisitions)
 	n.control.view = view(3, member("10.0.2.1:7000", "z1"), host, v1)
@@ -115,7 +115,7 @@
 func TestOneRequestWaitsForAPrimaryThatDoesNotAnswer(t *testing.T) {
 	n := poolNode(t)
 	n.quotas.primary.lastAnswer = n.now()
-	require.Equal(t, gateway.FromNobody, n.acquireFromPrimary(context.Background(), "t1", 1, 0).From)
+	require.Equal(t, gateway.FromNone, n.acquireFromPrimary(context.Background(), "t1", 1, 0).Source)
 	require.Greater(t, n.quotas.primary.avoidedUntil, n.now())
 	n.quotas.primary.avoidedUntil = n.now() // it may be asked again
 	before := n.now()
--- a/internal/router/node/prefixes.go
+++ b/internal/router/node/prefixes.go
@@ -16,7 +16,7 @@
 	if !n.timers.prefixes.elapsed(prefixInterval, now) {
 		return
 	}
-	own := n.gateway.TakeUses()
+	own := n.gateway.TakePrefixUses()
 	if !n.isCoreMember() {
 		if home := n.subscription.home.Current(); len(own) > 0 && home != "" {
 			n.transport.Send(home, dissemination.PrefixReport{Uses: own})
@@ -28,7 +28,7 @@
 		if len(s.unsentPrefixes) == 0 {
 			continue
 		}
-		var uses []placement.Uses
+		var uses []placement.PrefixUses
 		for _, u := range s.unsentPrefixes {
 			uses = append(uses, *u)
 		}
@@ -39,7 +39,7 @@
 
 // receivePrefixReport has the gateway prefer the servers of a report, and a core member pass it on.
 func (n *Node) receivePrefixReport(from string, m dissemination.PrefixReport) {
-	n.gateway.NoteUses(m.Uses)
+	n.gateway.ApplyPrefixUses(m.Uses)
 	if n.isCoreMember() {
 		n.queuePrefixes(from, n.control.isMember(from), m.Uses)
 	}
@@ -47,14 +47,14 @@
 
 // queuePrefixes merges a router's report into what is to be sent to the other subscribers. What came from another core
 // member goes only to those that are none: it sends it to core members itself.
-func (n *Node) queuePrefixes(from string, fromCore bool, uses []placement.Uses) {
+func (n *Node) queuePrefixes(from string, fromCore bool, uses []placement.PrefixUses) {
 	for _, u := range uses {
 		for address, s := range n.distributor.subscribers {
 			if address == from || fromCore && s.coreMember {
 				continue
 			}
 			if s.unsentPrefixes[u.Service] == nil {
-				s.unsentPrefixes[u.Service] = &placement.Uses{Service: u.Service}
+				s.unsentPrefixes[u.Service] = &placement.PrefixUses{Service: u.Service}
 			}
 			s.unsentPrefixes[u.Service].Merge(u)
 		}
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -89,11 +89,11 @@
 	}
 	if n.dividesQuota() {
 		allocator := n.quotas.allocator
-		reserve := quota.Reserve(n.gateway.Fleet(), allocator.Heard(now), allocator.Term(now))
+		reserve := quota.ReservedFraction(n.gateway.FleetSize(), allocator.ActiveClients(now), allocator.TermAge(now))
 		allocator.SetReserve(reserve)
 		n.quotas.tokenBuckets.SetReserve(reserve)
 	}
-	nonce, demand, held := n.gateway.AskQuota()
+	nonce, demand, held := n.gateway.RequestQuotaShares()
 	request := dissemination.QuotaRequest{Nonce: nonce, Incarnation: n.self.Incarnation, Demand: demand, HeldShares: held}
 	if n.dividesQuota() {
 		n.receiveQuotaRequest(n.self.Address, request)
@@ -107,9 +107,9 @@
 	if !n.dividesQuota() {
 		return
 	}
-	shares := n.quotas.allocator.Ask(from, m.Incarnation, m.Demand, m.HeldShares, n.fleetSize, n.now())
+	shares := n.quotas.allocator.Allocate(from, m.Incarnation, m.Demand, m.HeldShares, n.fleetSize, n.now())
 	if from == n.self.Address {
-		n.gateway.QuotaGranted(m.Nonce, shares)
+		n.gateway.ApplyQuotaShares(m.Nonce, shares)
 		return
 	}
 	n.transport.Send(from, dissemination.QuotaGrant{Nonce: m.Nonce, Shares: shares})
@@ -118,7 +118,7 @@
 // receiveQuotaGrant adopts the shares that the primary grants.
 func (n *Node) receiveQuotaGrant(m dissemination.QuotaGrant, now time.Duration) {
 	n.quotas.primary.sharesGranted(now)
-	n.gateway.QuotaGranted(m.Nonce, m.Shares)
+	n.gateway.ApplyQuotaShares(m.Nonce, m.Shares)
 }
 
 // receiveQuotaAcquire answers a router's request for units.
@@ -138,7 +138,7 @@
 
 // Acquire implements gateway.Acquirer: it acquires units from the primary, or else from the pool. It acquires the lock.
 func (n *Node) Acquire(ctx context.Context, tenant string, need, extra float64) gateway.Acquisition {
-	if acquired := n.acquireFromPrimary(ctx, tenant, need, extra); acquired.From == gateway.FromPrimary || ctx.Err() != nil {
+	if acquired := n.acquireFromPrimary(ctx, tenant, need, extra); acquired.Source == gateway.FromPrimary || ctx.Err() != nil {
 		return acquired
 	}
 	return n.acquireFromPool(ctx, tenant, need)
@@ -152,7 +152,7 @@
 	if n.dividesQuota() {
 		given, wait := q.tokenBuckets.Acquire(tenant, need, extra, n.now())
 		n.mutex.Unlock()
-		return gateway.Acquisition{From: gateway.FromPrimary, Given: given, Wait: wait}
+		return gateway.Acquisition{Source: gateway.FromPrimary, Granted: given, RetryAfter: wait}
 	}
 	primary := n.control.view.PrimaryAddress()
 	if primary == "" || primary == n.self.Address || q.primary.avoided(n.now()) {
@@ -172,5 +172,5 @@
 	if !ok {
 		return gateway.Acquisition{}
 	}
-	return gateway.Acquisition{From: gateway.FromPrimary, Given: acquired.Given, Wait: acquired.Wait}
+	return gateway.Acquisition{Source: gateway.FromPrimary, Granted: acquired.Given, RetryAfter: acquired.Wait}
 }
--- a/internal/router/node/status.go
+++ b/internal/router/node/status.go
@@ -48,20 +48,20 @@
 	now := n.now()
 	s := Status{Node: n.settings.NodeName, Zone: n.settings.Zone, Ready: n.ready.Load(), Core: n.isCoreMember(), Primary: n.control.replica.IsPrimary(),
 		InTouch: n.hasCoreContact(now), Home: n.subscription.home.Current(), View: n.control.view, Replica: n.control.replica.Status(),
-		Version: n.applied.configVersion, Fleet: n.fleetSize, Servers: n.gateway.Servers(), SentBytes: n.transport.SentBytes(),
-		LacksPrimary: n.lacksPrimary(now), Deposits: n.quotas.pool.Deposits(now), Latency: n.gateway.Latency()}
+		Version: n.applied.configVersion, Fleet: n.fleetSize, Servers: n.gateway.ServerCounts(), SentBytes: n.transport.SentBytes(),
+		LacksPrimary: n.lacksPrimary(now), Deposits: n.quotas.pool.Deposits(now), Latency: n.gateway.LatencyReports()}
 	if table := n.gateway.Table(); table != nil {
 		s.Generation = table.Generation
 	}
 	if s.Core {
 		s.Findings = n.outliers.detector.Explain(now)
 	}
-	if now < n.gateway.QuotaPooled() {
+	if now < n.gateway.QuotaPooledUntil() {
 		s.PoolHost = n.quotas.contributor.Host()
 	}
-	c := &n.gateway.Counts
-	s.Requests, s.Served, s.Rejected = c.Requests.Load(), c.Served.Load(), c.Refused.Load()
-	s.Failed, s.Retried, s.Migrated = c.Failed.Load(), c.Retried.Load(), c.Moved.Load()
+	c := &n.gateway.Counters
+	s.Requests, s.Served, s.Rejected = c.Requests.Load(), c.Served.Load(), c.Rejected.Load()
+	s.Failed, s.Retried, s.Migrated = c.Failed.Load(), c.Retried.Load(), c.Migrated.Load()
 	return s
 }
 
--- a/internal/router/node/subscriber.go
+++ b/internal/router/node/subscriber.go
@@ -38,12 +38,12 @@
 	resends         int           // how often in a row it was sent something again that it did not have
 	sendFullState   bool          // it requested the complete list of servers
 
-	unsentHeartbeats map[string]bool            // servers that called here since the last push; for core members
-	unsentPrefixes   map[string]*placement.Uses // by service
+	unsentHeartbeats map[string]bool                  // servers that called here since the last push; for core members
+	unsentPrefixes   map[string]*placement.PrefixUses // by service
 }
 
 func newSubscriber(address string) *subscriber {
-	return &subscriber{address: address, unsentHeartbeats: map[string]bool{}, unsentPrefixes: map[string]*placement.Uses{}}
+	return &subscriber{address: address, unsentHeartbeats: map[string]bool{}, unsentPrefixes: map[string]*placement.PrefixUses{}}
 }
 
 // receiveHeartbeat records what a subscriber says of itself. It reports whether the subscriber is another incarnation
--- a/internal/router/node/tick.go
+++ b/internal/router/node/tick.go
@@ -82,6 +82,6 @@
 func (n *Node) setFleetSize(size int) {
 	if size > 0 {
 		n.fleetSize = size
-		n.gateway.SetFleet(size)
+		n.gateway.SetFleetSize(size)
 	}
 }
--- a/internal/router/quotapool/host.go
+++ b/internal/router/quotapool/host.go
@@ -75,7 +75,7 @@
 // Acquire spends units of a tenant's limit; where it does not grant them, wait is the time until it would, 0 where that
 // is not known.
 func (h *Host) Acquire(tenant string, units float64, now time.Duration) (granted bool, wait time.Duration) {
-	verdict, wait := h.pool.Take(tenant, units, now)
+	verdict, wait := h.pool.Reserve(tenant, units, now)
 	return verdict == quota.Granted, wait
 }
 
@@ -86,4 +86,4 @@
 func (h *Host) Offers() int { return len(h.offers) }
 
 // Deposits returns the number of deposits that are valid now.
-func (h *Host) Deposits(now time.Duration) int { return h.pool.Deposits(now) }
+func (h *Host) Deposits(now time.Duration) int { return h.pool.DepositCount(now) }
