--- a/internal/coordination/capacity/assume_test.go
+++ b/internal/coordination/capacity/assume_test.go
@@ -98,7 +98,7 @@
 		"limits.max_services": distribute.MaxServices,
 		"limits.max_reports":  distribute.MaxReports,
 		"limits.max_ask":      constant(t, "../fleet/rpc.go", "maxRequest"),
-		"limits.max_waiting":  constant(t, "../replica/core.go", "maxWaiting"),
+		"limits.max_waiting":  constant(t, "../replica/request.go", "maxWaiting"),
 		"limits.max_list":     constant(t, "../../sidecar/member/discovery/discovery.go", "maxMessage"),
 		"limits.repeat_share": constant(t, "../../../balance/parameters.go", "repeatShare"),
 		"periods.look_rest":   constant(t, "../driver/driver.go", "rest"),
--- a/internal/coordination/fleet/recorded_test.go
+++ b/internal/coordination/fleet/recorded_test.go
@@ -6,6 +6,7 @@
 
 	"petrelhook/internal/common/jsonform"
 	"petrelhook/internal/coordination/distribute"
+	"petrelhook/internal/coordination/replica"
 )
 
 // Each message of revision cfdfdec is read, and written as the same bytes. The README in testdata/cfdfdec says how they were made.
@@ -37,3 +38,10 @@
 		}
 	}
 }
+
+// Clients of earlier versions recognize this error by its text.
+func TestTextOfThePendingMembershipChange(t *testing.T) {
+	if text := replica.ErrMembershipChangePending.Error(); text != "a change of the replicas is on its way" {
+		t.Error(text)
+	}
+}
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -1,8 +1,10 @@
-// Package disk keeps one replica on a disk: its hard state, log, last snapshot, and the name of the disk's life. It is a
-// go.etcd.io/bbolt file, in which a write is whole or was not: a torn tail is an earlier state. Every record has a checksum of its own.
+// Package disk persists one replica: its hard state, log, last snapshot, and the incarnation of the disk. It is a go.etcd.io/bbolt file,
+// whose transactions are atomic: after a torn write the file has its earlier state. Every record has a checksum of its own.
 //
-// Invariants: what Save has returned from without an error survives a crash of the machine; what is read was written as it is, else
-// Open says in which file, and at which offset, it is not; a life is drawn when the file is made, and never again.
+// Invariants: what Save has returned from without an error survives a crash of the machine. What is read was written as it is, else Open
+// says in which file, and at which offset, it is not. The incarnation is drawn when the file is made, and never again.
+//
+// A Disk is used by one goroutine, and its file by one process.
 package disk
 
 import (
@@ -26,18 +28,29 @@
 )
 
 const (
-	fileName = "replica.db"
-	lockTime = time.Second
+	fileName    = "replica.db"
+	newSuffix   = ".new" // of a file that is being made
+	lockTimeout = time.Second
 	// format marks the files of this package. It is the name that the program had when the format was made, and is on the disks.
 	format = "petrelfleet 1"
+
+	checksumSize = 4 // bytes, before the value of each record
+	// logFillPercent is how full pages of the log become: it is written in ascending order.
+	logFillPercent = 0.9
+)
+
+// The buckets of a file, and the keys of its meta bucket. The keys of the log are indexes, big endian.
+var (
+	bucketLog, bucketMeta            = []byte("log"), []byte("meta")
+	keyFormat, keyID, keyIncarnation = []byte("format"), []byte("id"), []byte("life")
+	keyHardState, keySnapshot        = []byte("hard"), []byte("snapshot")
 )
 
 var (
-	bucketLog, bucketMeta     = []byte("log"), []byte("meta")
-	keyFormat, keyID, keyLife = []byte("format"), []byte("id"), []byte("life")
-	keyHard, keySnapshot      = []byte("hard"), []byte("snapshot")
-	table                     = crc32.MakeTable(crc32.Castagnoli)
-	errNone                   = errors.New("there is no replica")
+	checksumTable = crc32.MakeTable(crc32.Castagnoli)
+
+	errNoReplica = errors.New("there is no replica")
+	errMissing   = errors.New("missing: this is not all of a replica")
 )
 
 // Disk is an open file.
@@ -45,7 +58,7 @@
 	db          *bbolt.DB
 	path        string
 	Incarnation string
-	ID          uint64
+	ID          uint64 // of the replica
 }
 
 // Exists reports whether a folder holds a replica.
@@ -54,43 +67,49 @@
 	return !errors.Is(err, os.ErrNotExist)
 }
 
-// Create makes the file of a replica that begins. It is made beside and renamed, so that there is all of it or none.
-func Create(dir string, id uint64, first *replica.PersistedState) (err error) {
+// Create makes the file of a new replica. It is made under another name and renamed, so that there is all of it or none.
+func Create(dir string, id uint64, initial *replica.PersistedState) (err error) {
+	path := filepath.Join(dir, fileName)
 	if Exists(dir) {
-		return fmt.Errorf("%s: there is a replica already", filepath.Join(dir, fileName))
+		return fmt.Errorf("%s: there is a replica already", path)
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	path := filepath.Join(dir, fileName)
-	os.Remove(path + ".new")
-	db, err := bbolt.Open(path+".new", 0o600, options())
+	_ = os.Remove(path + newSuffix) // what a process left that died in Create; if it stays, its buckets make this one fail
+	db, err := bbolt.Open(path+newSuffix, 0o600, options())
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	d := &Disk{db: db, path: path}
-	err = db.Update(func(tx *bbolt.Tx) error {
-		if _, err := tx.CreateBucket(bucketLog); err != nil {
-			return err
-		}
-		meta, err := tx.CreateBucket(bucketMeta)
-		if err != nil {
-			return err
-		}
-		return errors.Join(put(meta, keyFormat, []byte(format)), put(meta, keyLife, []byte(rand.Text())), put(meta, keyID, binary.BigEndian.AppendUint64(nil, id)))
-	})
+	err = db.Update(func(tx *bbolt.Tx) error { return createBuckets(tx, id) })
 	if err == nil {
-		err = d.Save(replica.Ready{PersistedState: *first})
+		err = d.Save(replica.Ready{PersistedState: *initial})
 	}
 	if err = errors.Join(err, db.Close()); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if err := os.Rename(path+".new", path); err != nil {
+	if err := os.Rename(path+newSuffix, path); err != nil {
 		return err
 	}
 	return syncDir(dir)
 }
 
+func createBuckets(tx *bbolt.Tx, id uint64) error {
+	if _, err := tx.CreateBucket(bucketLog); err != nil {
+		return err
+	}
+	meta, err := tx.CreateBucket(bucketMeta)
+	if err != nil {
+		return err
+	}
+	return errors.Join(
+		put(meta, keyFormat, []byte(format)),
+		put(meta, keyIncarnation, []byte(rand.Text())),
+		put(meta, keyID, indexKey(id)))
+}
+
+// syncDir makes a rename in a folder durable.
 func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -99,50 +118,56 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Open reads a replica. What is damaged is an error that names the offset, and nothing is changed.
-func Open(dir string) (d *Disk, kept *replica.PersistedState, err error) {
+// Open reads a replica. Damage is an error that names the offset, and then nothing is changed.
+func Open(dir string) (d *Disk, persisted *replica.PersistedState, err error) {
 	path := filepath.Join(dir, fileName)
 	if !Exists(dir) {
-		return nil, nil, fmt.Errorf("%s: %w", path, errNone)
+		return nil, nil, fmt.Errorf("%s: %w", path, errNoReplica)
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if r := recover(); r != nil { // the library meets a page that is none
-			d, kept, err = nil, nil, fmt.Errorf("%s: damaged: %v", path, r)
+		if r := recover(); r != nil { // bbolt panics at a page that is not one, and faults beyond the end of the file
+			d, persisted, err = nil, nil, fmt.Errorf("%s: damaged: %v", path, r)
 		}
 	}()
-	if info, err := os.Stat(path); err != nil || info.Size() == 0 { // the library would make a new one of it
+	if info, err := os.Stat(path); err != nil || info.Size() == 0 { // bbolt would make a new file of it
 		return nil, nil, errors.Join(err, fmt.Errorf("%s: offset 0: cut off: it is empty", path))
 	}
-	look := options() // first without the list of free pages, which the library makes from pages that it trusts
-	look.ReadOnly = true
-	for _, o := range []*bbolt.Options{look, options()} {
-		db, err := bbolt.Open(path, 0o600, o)
-		if errors.Is(err, berrors.ErrTimeout) {
-			return nil, nil, fmt.Errorf("%s: another process has it", path)
-		}
-		if err != nil {
-			return nil, nil, fmt.Errorf("%s: offset 0: %w", path, err)
-		}
-		d, kept = &Disk{db: db, path: path}, &replica.PersistedState{}
-		if err := db.View(func(tx *bbolt.Tx) error { return d.read(tx, kept) }); err != nil {
-			return nil, nil, errors.Join(err, db.Close())
-		}
-		if o == look {
-			if err := db.Close(); err != nil {
-				return nil, nil, err
-			}
-		}
+	// First without the free list, which bbolt makes from pages whose content it trusts.
+	readOnly := options()
+	readOnly.ReadOnly = true
+	check, _, err := open(path, readOnly)
+	if err != nil {
+		return nil, nil, err
+	}
+	if err := check.Close(); err != nil {
+		return nil, nil, err
+	}
+	return open(path, options())
+}
+
+// open opens and reads a file that exists.
+func open(path string, o *bbolt.Options) (*Disk, *replica.PersistedState, error) {
+	db, err := bbolt.Open(path, 0o600, o)
+	if errors.Is(err, berrors.ErrTimeout) {
+		return nil, nil, fmt.Errorf("%s: another process has it", path)
+	}
+	if err != nil {
+		return nil, nil, fmt.Errorf("%s: offset 0: %w", path, err)
+	}
+	d, persisted := &Disk{db: db, path: path}, &replica.PersistedState{}
+	if err := db.View(func(tx *bbolt.Tx) error { return d.read(tx, persisted) }); err != nil {
+		return nil, nil, errors.Join(err, db.Close())
 	}
-	return d, kept, nil
+	return d, persisted, nil
 }
 
-// options: the list of free pages is made anew at each start, so that it cannot be damaged.
+// options: the free list is made anew at each start, so that it cannot be damaged.
 func options() *bbolt.Options {
-	return &bbolt.Options{Timeout: lockTime, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true}
+	return &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true}
 }
 
-func (d *Disk) read(tx *bbolt.Tx, kept *replica.PersistedState) error {
+func (d *Disk) read(tx *bbolt.Tx, persisted *replica.PersistedState) error {
 	if info, err := os.Stat(d.path); err != nil {
 		return err
 	} else if info.Size() < tx.Size() {
@@ -152,141 +177,180 @@
 	if meta == nil || log == nil {
 		return fmt.Errorf("%s: offset 0: no replica is in it", d.path)
 	}
-	for key, take := range map[string]func([]byte) error{
-		string(keyFormat): func(v []byte) error {
-			if string(v) != format {
-				return fmt.Errorf("%q, ours is %q", v, format)
-			}
-			return nil
-		},
-		string(keyLife): func(v []byte) error { d.Incarnation = string(v); return nil },
-		string(keyID): func(v []byte) error {
-			if len(v) != 8 {
-				return fmt.Errorf("%d bytes", len(v))
-			}
-			d.ID = binary.BigEndian.Uint64(v)
-			return nil
-		},
-		string(keyHard): func(v []byte) error { kept.HardState = &pb.HardState{}; return proto.Unmarshal(v, kept.HardState) },
-		string(keySnapshot): func(v []byte) error {
-			kept.Snapshot = &pb.Snapshot{}
-			return proto.Unmarshal(v, kept.Snapshot)
-		},
-	} {
-		v, err := d.checked([]byte(key), meta.Get([]byte(key)))
-		switch {
-		case err == nil && v != nil:
-			err = take(v)
-		case err == nil && key != string(keyHard) && key != string(keySnapshot): // one that is to be added has neither yet
-			err = errors.New("missing: this is not all of a replica")
-		}
-		if err != nil {
-			return fmt.Errorf("%s: %s: %w", d.path, key, err)
-		}
+	if err := d.readMeta(meta, persisted); err != nil {
+		return err
+	}
+	return d.readLog(log, persisted)
+}
+
+// readMeta reads the records of the meta bucket. A replica that is to be added to a group has no hard state and no snapshot yet.
+func (d *Disk) readMeta(meta *bbolt.Bucket, persisted *replica.PersistedState) error {
+	mark, err := d.required(meta, keyFormat)
+	if err != nil {
+		return err
+	}
+	if string(mark) != format {
+		return fmt.Errorf("%s: %s: %q, ours is %q", d.path, keyFormat, mark, format)
+	}
+	incarnation, err := d.required(meta, keyIncarnation)
+	if err != nil {
+		return err
+	}
+	d.Incarnation = string(incarnation)
+	id, err := d.required(meta, keyID)
+	if err != nil {
+		return err
+	}
+	if len(id) != 8 {
+		return fmt.Errorf("%s: %s: %d bytes", d.path, keyID, len(id))
+	}
+	d.ID = binary.BigEndian.Uint64(id)
+	hard, snapshot := &pb.HardState{}, &pb.Snapshot{}
+	if found, err := d.optional(meta, keyHardState, hard); err != nil {
+		return err
+	} else if found {
+		persisted.HardState = hard
+	}
+	if found, err := d.optional(meta, keySnapshot, snapshot); err != nil {
+		return err
+	} else if found {
+		persisted.Snapshot = snapshot
+	}
+	return nil
+}
+
+// required returns the value of a record that every replica has.
+func (d *Disk) required(meta *bbolt.Bucket, key []byte) ([]byte, error) {
+	value, err := d.verified(key, meta.Get(key))
+	if err == nil && value == nil {
+		err = errMissing
+	}
+	if err != nil {
+		return nil, fmt.Errorf("%s: %s: %w", d.path, key, err)
+	}
+	return value, nil
+}
+
+// optional decodes a record into m; found is false where there is none.
+func (d *Disk) optional(meta *bbolt.Bucket, key []byte, m proto.Message) (found bool, err error) {
+	value, err := d.verified(key, meta.Get(key))
+	if err == nil && value != nil {
+		found, err = true, proto.Unmarshal(value, m)
+	}
+	if err != nil {
+		return false, fmt.Errorf("%s: %s: %w", d.path, key, err)
 	}
+	return found, nil
+}
+
+// readLog reads the entries, which are numbered without a gap.
+func (d *Disk) readLog(log *bbolt.Bucket, persisted *replica.PersistedState) error {
 	var last uint64
-	return log.ForEach(func(k, v []byte) error {
+	return log.ForEach(func(key, value []byte) error {
+		index := binary.BigEndian.Uint64(key)
 		e := &pb.Entry{}
-		v, err := d.checked(k, v)
+		value, err := d.verified(key, value)
 		if err == nil {
-			err = proto.Unmarshal(v, e)
+			err = proto.Unmarshal(value, e)
 		}
-		if index := binary.BigEndian.Uint64(k); err == nil && (e.GetIndex() != index || last != 0 && index != last+1) {
+		if err == nil && (e.GetIndex() != index || last != 0 && index != last+1) {
 			err = fmt.Errorf("it is numbered %d, after %d", e.GetIndex(), last)
 		}
 		if err != nil {
-			return fmt.Errorf("%s: entry %d: %w", d.path, binary.BigEndian.Uint64(k), err)
+			return fmt.Errorf("%s: entry %d: %w", d.path, index, err)
 		}
 		last = e.GetIndex()
-		kept.Entries = append(kept.Entries, e)
+		persisted.Entries = append(persisted.Entries, e)
 		return nil
 	})
 }
 
-// checked is a record without its checksum, which covers the key too.
-func (d *Disk) checked(k, v []byte) ([]byte, error) {
-	if v == nil {
+// verified returns a copy of a record's value without its checksum, which covers the key too; nil where there is no record.
+func (d *Disk) verified(key, record []byte) ([]byte, error) {
+	if record == nil {
 		return nil, nil
 	}
-	at := uintptr(unsafe.Pointer(unsafe.SliceData(v))) - d.db.Info().Data // the file is mapped
-	if len(v) < 4 || binary.BigEndian.Uint32(v) != sum(k, v[4:]) {
-		return nil, fmt.Errorf("offset %d: damaged: the checksum does not fit", at)
+	offset := uintptr(unsafe.Pointer(unsafe.SliceData(record))) - d.db.Info().Data // the file is mapped
+	if len(record) < checksumSize || binary.BigEndian.Uint32(record) != checksum(key, record[checksumSize:]) {
+		return nil, fmt.Errorf("offset %d: damaged: the checksum does not match", offset)
 	}
-	return append([]byte(nil), v[4:]...), nil
+	return append([]byte(nil), record[checksumSize:]...), nil
 }
 
-func sum(k, v []byte) uint32 { return crc32.Update(crc32.Checksum(k, table), table, v) }
+func checksum(key, value []byte) uint32 {
+	return crc32.Update(crc32.Checksum(key, checksumTable), checksumTable, value)
+}
 
-func put(b *bbolt.Bucket, k, v []byte) error {
-	return b.Put(k, append(binary.BigEndian.AppendUint32(nil, sum(k, v)), v...))
+func put(b *bbolt.Bucket, key, value []byte) error {
+	return b.Put(key, append(binary.BigEndian.AppendUint32(nil, checksum(key, value)), value...))
 }
 
-// Save keeps what a work has to have kept, durably. After an error nothing is known of the disk: the process has to end.
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+
+// Save persists what a Ready has to have persisted, durably. After an error nothing is known of what is on the disk: the process has to
+// end.
 func (d *Disk) Save(w replica.Ready) error {
 	return d.update(func(meta, log *bbolt.Bucket) error {
 		if w.Snapshot != nil {
-			if err := d.putSnapshot(meta, w.Snapshot); err != nil {
+			if err := putMessage(meta, keySnapshot, w.Snapshot); err != nil {
 				return err
 			}
-			if err := cut(log, func(uint64) bool { return true }); err != nil { // it is of the past, or of another's
+			if err := deleteFirst(log, func(uint64) bool { return true }); err != nil { // the snapshot is ahead of all of the log
 				return err
 			}
 		}
 		if w.HardState != nil {
-			text, err := proto.Marshal(w.HardState)
-			if err != nil {
-				return err
-			}
-			if err := put(meta, keyHard, text); err != nil {
+			if err := putMessage(meta, keyHardState, w.HardState); err != nil {
 				return err
 			}
 		}
 		if len(w.Entries) == 0 {
 			return nil
 		}
-		first, last := w.Entries[0].GetIndex(), w.Entries[len(w.Entries)-1].GetIndex()
-		c := log.Cursor()
-		for k, _ := c.Seek(binary.BigEndian.AppendUint64(nil, last+1)); k != nil; k, _ = c.Seek(binary.BigEndian.AppendUint64(nil, last+1)) {
-			if err := log.Delete(k); err != nil { // what another leader had proposed
-				return err
-			}
+		return appendEntries(log, w.Entries)
+	})
+}
+
+// appendEntries writes entries, and deletes those behind them, which another leader had proposed.
+func appendEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
+	first, last := entries[0].GetIndex(), entries[len(entries)-1].GetIndex()
+	c := log.Cursor()
+	for key, _ := c.Seek(indexKey(last + 1)); key != nil; key, _ = c.Seek(indexKey(last + 1)) {
+		if err := log.Delete(key); err != nil {
+			return err
 		}
-		log.FillPercent = 0.9 // it is written in order
-		for i, e := range w.Entries {
-			text, err := proto.Marshal(e)
-			if err != nil {
-				return err
-			}
-			if err := put(log, binary.BigEndian.AppendUint64(nil, first+uint64(i)), text); err != nil {
-				return err
-			}
+	}
+	log.FillPercent = logFillPercent
+	for i, e := range entries {
+		if err := putMessage(log, indexKey(first+uint64(i)), e); err != nil {
+			return err
 		}
-		return nil
-	})
+	}
+	return nil
 }
 
-// SaveSnapshot keeps a snapshot of the replica's own, and cuts the log before an index.
+// SaveSnapshot persists a snapshot that the replica has made, and deletes the log up to and including an index.
 func (d *Disk) SaveSnapshot(s *pb.Snapshot, compact uint64) error {
 	return d.update(func(meta, log *bbolt.Bucket) error {
-		if err := d.putSnapshot(meta, s); err != nil {
+		if err := putMessage(meta, keySnapshot, s); err != nil {
 			return err
 		}
-		return cut(log, func(index uint64) bool { return index <= compact })
+		return deleteFirst(log, func(index uint64) bool { return index <= compact })
 	})
 }
 
-func (d *Disk) putSnapshot(meta *bbolt.Bucket, s *pb.Snapshot) error {
-	text, err := proto.Marshal(s)
+func putMessage(b *bbolt.Bucket, key []byte, m proto.Message) error {
+	value, err := proto.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return put(meta, keySnapshot, text)
+	return put(b, key, value)
 }
 
-// cut deletes the first entries that fit.
-func cut(log *bbolt.Bucket, fits func(uint64) bool) error {
+// deleteFirst deletes entries from the first one on, as long as they match.
+func deleteFirst(log *bbolt.Bucket, match func(index uint64) bool) error {
 	c := log.Cursor()
-	for k, _ := c.First(); k != nil && fits(binary.BigEndian.Uint64(k)); k, _ = c.First() {
+	for key, _ := c.First(); key != nil && match(binary.BigEndian.Uint64(key)); key, _ = c.First() {
 		if err := c.Delete(); err != nil {
 			return err
 		}
--- a/internal/coordination/replica/disk/disk_test.go
+++ b/internal/coordination/replica/disk/disk_test.go
@@ -14,6 +14,7 @@
 	"petrelhook/internal/coordination/replica"
 )
 
+// entries returns entries of a term, numbered from one index to another.
 func entries(term uint64, from, to uint64) (all []*pb.Entry) {
 	for i := from; i <= to; i++ {
 		all = append(all, &pb.Entry{Term: proto.Uint64(term), Index: proto.Uint64(i), Data: []byte(strings.Repeat("entry", 50))})
@@ -21,19 +22,19 @@
 	return all
 }
 
-// filled is a folder with a replica that has entries 2 to 200, and its life.
-func filled(t *testing.T) (dir, life string) {
+// filledDisk returns a folder with a replica that has entries 2 to 200, and the incarnation of its disk.
+func filledDisk(t *testing.T) (dir, incarnation string) {
 	t.Helper()
 	dir = t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, fileName+".new"), []byte("half written"), 0o600); err != nil { // by one that died
+	if err := os.WriteFile(filepath.Join(dir, fileName+".new"), []byte("half written"), 0o600); err != nil { // by a process that died
 		t.Fatal(err)
 	}
 	if err := Create(dir, 3, replica.InitialState([]replica.Member{{ID: 3}}, lease.NewState())); err != nil {
 		t.Fatal(err)
 	}
-	d, kept, err := Open(dir)
-	if err != nil || kept.Snapshot.Metadata.GetIndex() != 1 || d.ID != 3 {
-		t.Fatalf("%v, %v", err, kept)
+	d, persisted, err := Open(dir)
+	if err != nil || persisted.Snapshot.Metadata.GetIndex() != 1 || d.ID != 3 {
+		t.Fatalf("%v, %v", err, persisted)
 	}
 	defer d.Close()
 	if err := d.Save(replica.Ready{PersistedState: replica.PersistedState{Entries: entries(1, 2, 250)}}); err != nil {
@@ -45,12 +46,12 @@
 	return dir, d.Incarnation
 }
 
-// What is kept is there again, entries of a leader that was succeeded are not, and a log that is cut begins later.
-func TestKept(t *testing.T) {
-	dir, life := filled(t)
-	d, kept, err := Open(dir)
-	if err != nil || d.Incarnation != life || len(kept.Entries) != 199 || kept.Entries[198].GetTerm() != 2 || kept.HardState.GetTerm() != 2 {
-		t.Fatalf("%v, %d entries", err, len(kept.Entries))
+// What was saved is read again, entries of a leader that was succeeded are not, and a compacted log begins later.
+func TestSavedStateIsRead(t *testing.T) {
+	dir, incarnation := filledDisk(t)
+	d, persisted, err := Open(dir)
+	if err != nil || d.Incarnation != incarnation || len(persisted.Entries) != 199 || persisted.Entries[198].GetTerm() != 2 || persisted.HardState.GetTerm() != 2 {
+		t.Fatalf("%v, %d entries", err, len(persisted.Entries))
 	}
 	if _, _, err := Open(dir); err == nil || !strings.Contains(err.Error(), "another process has it") {
 		t.Errorf("%v", err)
@@ -59,33 +60,33 @@
 		t.Fatal(err)
 	}
 	d.Close()
-	if d, kept, err = Open(dir); err != nil || len(kept.Entries) != 30 || kept.Snapshot.Metadata.GetIndex() != 180 {
-		t.Fatalf("%v, %v", err, kept)
+	if d, persisted, err = Open(dir); err != nil || len(persisted.Entries) != 30 || persisted.Snapshot.Metadata.GetIndex() != 180 {
+		t.Fatalf("%v, %v", err, persisted)
 	}
 	d.Close()
 	if err := Create(dir, 3, &replica.PersistedState{}); err == nil {
-		t.Error("made twice")
+		t.Error("a second replica was made in the folder")
 	}
 }
 
-// Flipped bits anywhere in what is in use, and a file that is cut off, are refused with the file and where; nothing is changed.
+// Flipped bits in a part of the file that is in use, and a truncated file, are errors that name the file and the offset; nothing is changed.
 func TestDamage(t *testing.T) {
-	dir, _ := filled(t)
+	dir, _ := filledDisk(t)
 	path := filepath.Join(dir, fileName)
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	flip := func(at int) []byte { b := append([]byte(nil), whole...); b[at] ^= 4; return b }
-	inLog := strings.LastIndex(string(whole), "entryentry")
+	flip := func(at int) []byte { b := append([]byte(nil), intact...); b[at] ^= 4; return b }
+	inLog := strings.LastIndex(string(intact), "entryentry")
 	for name, c := range map[string]struct {
 		text []byte
 		want string
 	}{
 		"an entry":     {flip(inLog), "offset"},
-		"cut off":      {whole[:inLog], "offset"},
-		"nothing":      {whole[:0], "offset 0: cut off"},
-		"both headers": {append(make([]byte, 8192), whole[8192:]...), "offset 0"},
+		"cut off":      {intact[:inLog], "offset"},
+		"nothing":      {intact[:0], "offset 0: cut off"},
+		"both headers": {append(make([]byte, 8192), intact[8192:]...), "offset 0"},
 	} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, fileName)
@@ -101,8 +102,8 @@
 
 // A file without one of the records that every replica has is refused.
 func TestMissingRecords(t *testing.T) {
-	for _, key := range [][]byte{keyFormat, keyID, keyLife} {
-		dir, _ := filled(t)
+	for _, key := range [][]byte{keyFormat, keyID, keyIncarnation} {
+		dir, _ := filledDisk(t)
 		db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, options())
 		if err != nil {
 			t.Fatal(err)
@@ -117,29 +118,29 @@
 	}
 }
 
-// A last write that was torn, its header half written, is cut: what was there before it is there, and the replica starts.
+// A torn last write, of which the header is half written, is undone: the state before it is there, and the replica starts.
 func TestTornTail(t *testing.T) {
-	dir, _ := filled(t)
-	whole, err := os.ReadFile(filepath.Join(dir, fileName))
+	dir, _ := filledDisk(t)
+	intact, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := 0
-	for page := range 2 { // headers are written in turn
+	for page := range 2 { // the two headers are written alternately
 		dir := t.TempDir()
-		text := append([]byte(nil), whole...)
+		text := append([]byte(nil), intact...)
 		for i := range 40 {
 			text[page*os.Getpagesize()+16+i] = 0
 		}
 		if err := os.WriteFile(filepath.Join(dir, fileName), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d, kept, err := Open(dir)
+		d, persisted, err := Open(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.Close()
-		if kept.Entries[len(kept.Entries)-1].GetIndex() == 250 { // as it was before the last write
+		if persisted.Entries[len(persisted.Entries)-1].GetIndex() == 250 { // as it was before the last write
 			before++
 		}
 	}
--- a/internal/coordination/replica/disk/recorded_test.go
+++ b/internal/coordination/replica/disk/recorded_test.go
@@ -33,15 +33,15 @@
 
 // A replica starts from a disk of an earlier version, and has all of its state: that of the snapshot and that of the entries after it.
 func TestRecordedDiskIsRead(t *testing.T) {
-	d, kept, err := Open(recordedDisk(t))
+	d, persisted, err := Open(recordedDisk(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = d.Close() }()
-	if d.ID != 1 || d.Incarnation == "" || kept.Snapshot == nil || kept.HardState == nil || len(kept.Entries) == 0 {
-		t.Fatalf("id %d, incarnation %q, %d entries", d.ID, d.Incarnation, len(kept.Entries))
+	if d.ID != 1 || d.Incarnation == "" || persisted.Snapshot == nil || persisted.HardState == nil || len(persisted.Entries) == 0 {
+		t.Fatalf("id %d, incarnation %q, %d entries", d.ID, d.Incarnation, len(persisted.Entries))
 	}
-	core, err := replica.New(replica.Options{ID: 1, Incarnation: d.Incarnation, Rand: func(int) int { return 0 }}, kept)
+	core, err := replica.New(replica.Options{ID: 1, Incarnation: d.Incarnation, Rand: func(int) int { return 0 }}, persisted)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 			limits = append(limits, standing.Limit)
 		}
 		state, err = json.MarshalIndent(map[string]any{"members": r.Members, "lease": json.RawMessage(r.State.Snapshot()),
-			"rollouts": json.RawMessage(r.Rollouts.Snapshot()), "limits": limits, "versions": json.RawMessage(r.Versions.Snapshot())}, "", " ")
+			"rollouts": r.Rollouts.Snapshot(), "limits": limits, "versions": r.Versions.Snapshot()}, "", " ")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,7 +88,7 @@
 // What is written has the recorded buckets, keys and records, so that an earlier version reads it.
 func TestRecordsAreTheRecordedOnes(t *testing.T) {
 	folder := recordedDisk(t)
-	d, kept, err := Open(folder)
+	d, persisted, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := written.Save(replica.Ready{PersistedState: *kept}); err != nil {
+	if err := written.Save(replica.Ready{PersistedState: *persisted}); err != nil {
 		t.Fatal(err)
 	}
 	if err := written.Close(); err != nil {
--- a/internal/coordination/replica/doc.go
+++ b/internal/coordination/replica/doc.go
@@ -1,23 +1,33 @@
-// Package replica is one of 1, 3 or 5 replicas that keep the commands of package lease in one order. Core is the replica as a
-// pure machine: ticks, messages and questions go in; what to write, what to send and the answers come out. It has no goroutine, no
-// clock, no socket and no disk, so that whole groups run in virtual time from one seed. Disk keeps what Core asks to have kept.
+// Package replica is one of the 1, 3 or 5 replicas that keep the coordinators' commands in one order: those of leases, rolling changes,
+// limits and configuration versions. Core is the replica as a deterministic state machine around a raft log: ticks, messages of peers and
+// requests go in; what to persist, what to send and the responses come out. It has no goroutine, no clock, no socket and no disk, so that
+// complete groups run in virtual time from one seed. Package disk persists what Core hands out, package fleet is the process around it.
+// A Core belongs to one goroutine.
 //
-// The log is go.etcd.io/raft/v3. What is ours about it: when a silent replica stands for election is drawn from a source that is
-// handed in, for raft's own is random; a leader answers whether a session lives only after a majority has confirmed, after the
-// question, that it leads; its Clock begins once it has applied an entry of its own term.
+// The log is go.etcd.io/raft/v3. Three things differ from its usual use. When a follower without contact to a leader campaigns is drawn
+// from a source that is handed in, for raft's own is not seeded. A leader confirms that a session lives only after a majority has
+// confirmed, after the request came, that it leads (a read index). Its lessor and its allocators begin once it has applied an entry of
+// its own term.
 //
-// Invariants: what Work has to be kept is durable before its messages are sent and before anything of it is answered; an answer
-// that says yes is given by a leader, from a state that holds everything that was committed when the question came; who loses the lead
-// answers nothing of what was asked of it but ErrMoved, which says that it may have been done.
+// Invariants: what a Ready asks to persist is durable before its messages are sent and before any request is answered from it. A positive
+// response is given by a leader, from a state that holds everything that was committed when the request came. A replica that loses the
+// leadership answers what is pending with ErrLeaderChanged, which says that the request may have been carried out.
 package replica
 
 import "errors"
 
-// What may come of a question beside an answer.
+// Errors of a Response. With all of them but ErrLeaderChanged nothing was done.
+//
+// The texts are sent to clients, and an earlier client recognizes ErrMembershipChangePending by its text.
 var (
-	ErrNotLeader               = errors.New("another replica leads")                        // nothing was done
-	ErrNoLeader                = errors.New("no replica leads: a majority is out of reach") // nothing was done
-	ErrLeaderChanged           = errors.New("the lead has changed: it may have been done")
-	ErrBusy                    = errors.New("too much waits")                         // nothing was done
-	ErrMembershipChangePending = errors.New("a change of the replicas is on its way") // nothing was done
+	// ErrNotLeader says that another replica leads; Response.Leader says which, if it is known.
+	ErrNotLeader = errors.New("another replica leads")
+	// ErrNoLeader says that no majority is in reach of this replica.
+	ErrNoLeader = errors.New("no replica leads: a majority is out of reach")
+	// ErrLeaderChanged says that the leadership was lost before the request was answered: it may have been carried out.
+	ErrLeaderChanged = errors.New("the leader has changed: the request may have been carried out")
+	// ErrBusy says that too many requests are pending.
+	ErrBusy = errors.New("too many requests are pending")
+	// ErrMembershipChangePending says that one change of the membership has to end before the next.
+	ErrMembershipChangePending = errors.New("a change of the replicas is on its way")
 )
--- a/internal/coordination/replica/recorded_test.go
+++ b/internal/coordination/replica/recorded_test.go
@@ -16,7 +16,7 @@
 // Entries and snapshots of revision cfdfdec are read, and written as the same bytes. The README in testdata/cfdfdec says how they were made.
 func TestRecordedFormsAreRead(t *testing.T) {
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/entry.json", &entry{})
-	jsonform.CheckRecorded(t, "testdata/cfdfdec/snapshot-record.json", &image{})
+	jsonform.CheckRecorded(t, "testdata/cfdfdec/snapshot-record.json", &snapshotRecord{})
 }
 
 // Every entry of a recorded log is read, and written as the same bytes.
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if written := encode(c.Members(), c.state, c.changes, c.limits, c.versions); !bytes.Equal(written, recorded) {
+	if written := c.state.encode(c.Members()); !bytes.Equal(written, recorded) {
 		t.Errorf("written  %s\nrecorded %s", written, recorded)
 	}
 }
--- a/internal/coordination/replica/sim_test.go
+++ b/internal/coordination/replica/simulation_test.go
@@ -16,7 +16,7 @@
 	"petrelhook/internal/rig/group"
 )
 
-// The model takes a grant that is told again to its session, and takes no other second one.
+// The model accepts that a grant is reported again to its session, and no other second grant.
 func TestTheModel(t *testing.T) {
 	op := func(kind lease.Kind, session lease.SessionID, token lease.Token, at int64) porcupine.Operation {
 		cmd, a := lease.Command{Kind: kind, Session: session}, lease.Answer{Status: lease.OK}
@@ -32,7 +32,7 @@
 		legal   bool
 	}{
 		"in turn":                   {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Release, 1, 1, 3), op(lease.Acquire, 2, 2, 5)}, true},
-		"told again":                {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 1, 1, 3)}, true},
+		"reported again":            {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 1, 1, 3)}, true},
 		"one token of two":          {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 2, 1, 3)}, false},
 		"an older one":              {[]porcupine.Operation{op(lease.Acquire, 1, 2, 1), op(lease.Acquire, 2, 1, 3)}, false},
 		"the release of an old one": {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 2, 2, 3), op(lease.Release, 1, 1, 5)}, false},
@@ -43,8 +43,8 @@
 	}
 }
 
-// Leaders that are stopped, or cut off from the others but not from their holders, for so long that another leads and has granted
-// what they had: they say yes to nobody when they go on.
+// Leaders that are stopped, or partitioned from the other replicas but not from their clients, for so long that another one leads and has
+// granted what they had: they renew no session when they go on.
 func TestLeadersThatLeadNoMore(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(schedules(60)) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Clients of a whole group take parts of a limit while leaders are cut off, crash and are succeeded: never more than the limit.
+// Clients of a complete group get allocations of a limit while leaders are partitioned, crash and are succeeded: never more than the limit.
 func TestSharesOfAGroup(t *testing.T) {
 	t.Parallel()
 	largest := 0
@@ -81,7 +81,8 @@
 	}
 }
 
-// Past the bound of clocks two may believe at once, and what the guard admits is in order all the same; without the guard it is not.
+// Beyond the bound on clock drift two clients may believe that they hold the lease; what the guard admits is in order all the same, and
+// without the guard it is not.
 func TestPastTheBound(t *testing.T) {
 	t.Parallel()
 	two, disorder := 0, 0
@@ -103,26 +104,27 @@
 	t.Logf("two believed in %d runs, and without the guard acts came out of order in %d", two, disorder)
 }
 
-// schedules are how many a test plays: SCHEDULES in the environment, or a few.
+// schedules returns how many schedules a test plays: SCHEDULES of the environment, or a few.
 func schedules(few int) int {
 	n := few
 	fmt.Sscan(os.Getenv("SCHEDULES"), &n)
 	return n
 }
 
-// Random faults over whole groups, each from its seed: no two clients ever hold, tokens grow, the histories are those of one lease.
+// Random faults over complete groups, each from its seed: no two clients ever hold the lease, tokens grow, and the histories are those of one
+// lease.
 func TestSchedules(t *testing.T) {
 	var faults, grants, refused, changes atomic.Int64
 	var wrong sync.Map
-	todo := make(chan uint64)
-	var sides sync.WaitGroup
-	workers := 2 // others test processes meanwhile
+	seeds := make(chan uint64)
+	var players sync.WaitGroup
+	workers := 2 // other packages are tested at the same time
 	if schedules(0) > 0 {
 		workers = 8
 	}
 	for range workers {
-		sides.Go(func() {
-			for seed := range todo {
+		players.Go(func() {
+			for seed := range seeds {
 				s := group.Simulate(group.Options{Seed: seed, Replicas: 3 + 2*int(seed%2), Length: 20 * time.Second})
 				if s.Wrong != "" {
 					wrong.Store(seed, s.Wrong)
@@ -136,10 +138,10 @@
 	}
 	n := schedules(100)
 	for seed := range uint64(n) {
-		todo <- seed
+		seeds <- seed
 	}
-	close(todo)
-	sides.Wait()
+	close(seeds)
+	players.Wait()
 	wrong.Range(func(seed, what any) bool { t.Errorf("seed %d: %v", seed, what); return true })
 	t.Logf("%d schedules, %d faults, %d grants, %d changes of holder seen by the guard, %d acts refused by it", n, faults.Load(), grants.Load(), changes.Load(), refused.Load())
 	if grants.Load() < int64(n) || refused.Load() == 0 {
@@ -155,7 +157,7 @@
 	}
 }
 
-// Faults that rapid draws, and makes fewer where something goes wrong.
+// Faults that rapid draws, and reduces where something goes wrong.
 func TestDrawnFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -166,7 +168,7 @@
 	})
 }
 
-// The judge can fail: a disk that is written after the answer loses a grant that was given.
+// The check can fail: a disk that is written after the response loses a grant that was given.
 func TestAnswersBeforeTheDiskAreCaught(t *testing.T) {
 	for seed := range uint64(60) {
 		if s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 20 * time.Second, NoSync: true}); s.Wrong != "" {
--- a/internal/coordination/replica/changes_test.go
+++ b/internal/coordination/replica/snapshot_test.go
@@ -13,11 +13,12 @@
 	"petrelhook/internal/coordination/share"
 )
 
-// Changes of releases are in the log, and in the snapshots that stand for it: a replica that begins from one of them alone has them.
+// Rolling changes, limits and versions are in the log and in the snapshots that replace it: a replica that starts from a snapshot alone has
+// them.
 func TestChangesAreInSnapshots(t *testing.T) {
 	var last *pb.Snapshot
-	begin := func(k *PersistedState) (*Core, func()) {
-		c, err := New(Options{ID: 1, Rand: func(int) int { return 0 }, SnapshotEvery: 1, CatchUpEntries: 1}, k)
+	start := func(persisted *PersistedState) (*Core, func()) {
+		c, err := New(Options{ID: 1, Rand: func(int) int { return 0 }, SnapshotEvery: 1, CatchUpEntries: 1}, persisted)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,16 +39,16 @@
 		}
 		return c, pump
 	}
-	kept := func(c *Core, pump func()) (text []byte) {
+	application := func(c *Core, pump func()) (text []byte) {
 		c.Submit(Request{Read: true, Done: func(r Response) { text = r.Rollouts.Application("app", false) }})
 		pump()
 		return text
 	}
-	c, pump := begin(InitialState([]Member{{ID: 1}}, lease.NewState()))
-	start := &rollout.Start{Plan: rollout.Plan{From: "old", To: "new", AtOnce: 1, Unavailable: 1, Patience: 1, Stages: []rollout.Stage{{Select: rollout.Select{Share: 1}}}},
+	c, pump := start(InitialState([]Member{{ID: 1}}, lease.NewState()))
+	change := &rollout.Start{Plan: rollout.Plan{From: "old", To: "new", AtOnce: 1, Unavailable: 1, Patience: 1, Stages: []rollout.Stage{{Select: rollout.Select{Share: 1}}}},
 		Members: []rollout.Member{{Name: "n0"}}, Now: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
-	var a rollout.Answer
-	c.Submit(Request{Rollout: &rollout.Command{Application: "app", Change: "c", Start: start}, Done: func(r Response) { a = r.Rollout }})
+	var answer rollout.Answer
+	c.Submit(Request{Rollout: &rollout.Command{Application: "app", Change: "c", Start: change}, Done: func(r Response) { answer = r.Rollout }})
 	pump()
 	limit := share.Limit{Name: "l", Units: 3, Period: time.Second, Members: 1}
 	c.Submit(Request{Limit: &share.Command{Set: limit}, Done: func(Response) {}})
@@ -66,23 +67,23 @@
 	if changed := c.TakeChangedServices(); published.Revision != 42 || newest.Revision != 42 || len(changed.Names) != 1 || changed.Names[0] != "svc" {
 		t.Fatalf("%+v, %+v, %+v", published, newest, changed)
 	}
-	was := kept(c, pump)
-	if a.Err != "" || len(was) == 0 {
-		t.Fatalf("%+v: %s", a, was)
+	recorded := application(c, pump)
+	if answer.Err != "" || len(recorded) == 0 {
+		t.Fatalf("%+v: %s", answer, recorded)
 	}
-	again, pump := begin(&PersistedState{HardState: InitialState(nil, lease.NewState()).HardState, Snapshot: last})
-	if is := kept(again, pump); !bytes.Equal(is, was) {
-		t.Errorf("%s\nwas %s", is, was)
+	restarted, pump := start(&PersistedState{HardState: InitialState(nil, lease.NewState()).HardState, Snapshot: last})
+	if restored := application(restarted, pump); !bytes.Equal(restored, recorded) {
+		t.Errorf("%s\nwas %s", restored, recorded)
 	}
-	if changed := again.TakeChangedServices(); !changed.All {
-		t.Error("what a snapshot brings is not told")
+	if changed := restarted.TakeChangedServices(); !changed.All {
+		t.Error("a restored snapshot does not report that all services may have changed")
 	}
-	if is := versions(again, pump); is.Revision != 42 || is.Digest != newest.Digest || !bytes.Equal(is.Content, newest.Content) {
-		t.Errorf("%+v, was %+v", is, newest)
+	if restored := versions(restarted, pump); restored.Revision != 42 || restored.Digest != newest.Digest || !bytes.Equal(restored.Content, newest.Content) {
+		t.Errorf("%+v, was %+v", restored, newest)
 	}
-	var standings []share.LimitStatus
-	again.Submit(Request{Read: true, Done: func(r Response) { standings = r.LimitStatuses() }})
-	if pump(); len(standings) != 1 || standings[0].Limit != limit {
-		t.Errorf("%+v", standings)
+	var statuses []share.LimitStatus
+	restarted.Submit(Request{Read: true, Done: func(r Response) { statuses = r.LimitStatuses() }})
+	if pump(); len(statuses) != 1 || statuses[0].Limit != limit {
+		t.Errorf("%+v", statuses)
 	}
 }
