--- a/internal/coordination/lease/command.go
+++ b/internal/coordination/lease/command.go
@@ -6,58 +6,59 @@
 	"time"
 )
 
-// SessionID names a session; no two of a group ever have the same one.
+// SessionID identifies a session; no two of a group ever have the same one.
 type SessionID uint64
 
-// Token is of one grant, and larger than that of every grant before it, of whichever lease.
+// Token is the fencing token of one grant: larger than that of every grant before it, of whichever lease.
 type Token uint64
 
-// Kind is what a command does.
+// Kind is what a command does. It is stored as its number.
 type Kind uint8
 
-// The commands. Those of clients carry their session and a number in it, so that one that is asked again, or comes late, acts once.
+// The kinds of commands. Those of clients carry their session and a sequence number in it, so that one that is repeated, or arrives late,
+// acts once.
 const (
 	Open       Kind = iota + 1 // begins a session; a second one with the same nonce gives the same session
 	Acquire                    // grants the lease if it is free; else the session waits for it, if Wait
-	Cancel                     // waits no more, or lets go of what it was granted meanwhile
-	Release                    // lets go of a grant
-	Transfer                   // hands a grant to a session that waits for it
-	Close                      // ends the session, and all that it holds
-	Break                      // operators: a grant is renewed no more, and free after a TTL
-	Expire                     // the leader: a session's time is up
-	Free                       // the leader: the time of a broken grant is up
-	EndEmbargo                 // the leader: all that lived before a restore is over
+	Cancel                     // ends the wait for a lease, or releases what was granted meanwhile
+	Release                    // ends a grant
+	Transfer                   // hands a lease to a session that waits for it, before all others
+	Close                      // ends the session, and its grants
+	Break                      // from operators: a grant is not renewed any more, and free after a TTL
+	Expire                     // from the leader: the TTL of a session has passed
+	Free                       // from the leader: the TTL of a broken grant has passed
+	EndEmbargo                 // from the leader: everything from before a restore has expired
 )
 
-var kinds = [...]string{Open: "open", Acquire: "acquire", Cancel: "cancel", Release: "release", Transfer: "transfer", Close: "close",
+var kindNames = [...]string{Open: "open", Acquire: "acquire", Cancel: "cancel", Release: "release", Transfer: "transfer", Close: "close",
 	Break: "break", Expire: "expire", Free: "free", EndEmbargo: "end embargo"}
 
 // String names the kind.
 func (k Kind) String() string {
-	if int(k) < len(kinds) && kinds[k] != "" {
-		return kinds[k]
+	if int(k) < len(kindNames) && kindNames[k] != "" {
+		return kindNames[k]
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Command is one entry of the log.
+// Command is one command of the log. Which fields it needs depends on its kind.
 type Command struct {
 	Kind       Kind          `json:"k"`
 	Session    SessionID     `json:"s,omitempty"`
-	Seq        uint64        `json:"n,omitempty"` // 1, 2, ... in the session; only commands of clients have one
+	Seq        uint64        `json:"n,omitempty"` // 1, 2, ... in the session; commands of clients alone have one
 	Name       string        `json:"l,omitempty"` // of the lease
-	Token      Token         `json:"t,omitempty"` // Release, Transfer, Break, Free: of which grant
-	Wait       bool          `json:"w,omitempty"`
-	TransferTo SessionID     `json:"o,omitempty"` // Transfer
-	Nonce      string        `json:"c,omitempty"` // Open: drawn by the client
-	Owner      string        `json:"u,omitempty"` // Open: a name for people; two sessions may have the same
+	Token      Token         `json:"t,omitempty"` // Release, Transfer, Break, Free: of the grant
+	Wait       bool          `json:"w,omitempty"` // Acquire: wait in the queue where another session holds the lease
+	TransferTo SessionID     `json:"o,omitempty"` // Transfer: who gets the lease
+	Nonce      string        `json:"c,omitempty"` // Open: drawn by the client at random
+	Owner      string        `json:"u,omitempty"` // Open: a name for operators; two sessions may have the same
 	TTL        time.Duration `json:"d,omitempty"` // Open
 }
 
-// OfClient reports whether a command is one of a session's own.
+// OfClient reports whether a command comes from the client of a session.
 func (c *Command) OfClient() bool { return c.Kind >= Acquire && c.Kind <= Close }
 
-// Check says what is wrong with a command from outside, before it gets into the log.
+// Check returns what is wrong with a command of a client, before it gets into the log. The error names the field and says what to write.
 func (c *Command) Check() error {
 	switch c.Kind {
 	case Open:
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// checkName keeps names to what can be printed and typed.
+// checkName restricts names to printable ASCII without spaces.
 func checkName(field, name string) error {
 	if name == "" || len(name) > MaxNameBytes {
 		return fmt.Errorf("%s: %d bytes; write 1 to %d", field, len(name), MaxNameBytes)
@@ -99,31 +100,31 @@
 	return nil
 }
 
-// Status is what became of a command.
+// Status is the outcome of a command. It is sent and stored as its number.
 type Status uint8
 
 // The statuses.
 const (
 	OK          Status = iota + 1
-	Waiting            // somebody else has it; the session is in the queue
-	HeldByOther        // somebody else has it
-	NoSession          // there is no such session, any more
+	Waiting            // another session holds the lease; this one is in the queue
+	HeldByOther        // another session holds the lease
+	NoSession          // the session does not exist, or does not exist any more
 	NotHeld            // the session does not hold that grant
 	Stale              // a command with a larger number came before it; nothing was done
 	Full               // a bound is reached
-	Embargoed          // nothing is granted yet
+	Embargoed          // nothing is granted yet after a restore
 )
 
-// String names the status.
+// String returns the status as it is shown to people.
 func (s Status) String() string {
-	return [...]string{"none", "ok", "waiting", "taken", "gone", "not held", "late", "full", "embargoed"}[min(int(s), 8)]
+	return [...]string{"none", "ok", "waiting", "held by another session", "no such session", "not held", "stale", "full", "embargoed"}[min(int(s), 8)]
 }
 
-// Answer is what a command is answered.
+// Answer is the outcome of a command.
 type Answer struct {
 	Status       Status    `json:"status"`
 	Session      SessionID `json:"session,omitempty"`
 	Token        Token     `json:"token,omitempty"`
-	Holder       string    `json:"holder,omitempty"` // Taken and Waiting: the owner of the session that has it
-	WaitersAhead int       `json:"ahead,omitempty"`  // Waiting: how many come before, the holder not counted
+	Holder       string    `json:"holder,omitempty"` // HeldByOther and Waiting: the owner of the session that holds the lease
+	WaitersAhead int       `json:"ahead,omitempty"`  // Waiting: how many are before it in the queue
 }
--- a/internal/coordination/lease/recorded_test.go
+++ b/internal/coordination/lease/recorded_test.go
@@ -11,7 +11,7 @@
 func TestRecordedFormsAreRead(t *testing.T) {
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/command.json", &Command{})
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/answer.json", &Answer{})
-	jsonform.CheckRecorded(t, "testdata/cfdfdec/snapshot.json", &image{})
+	jsonform.CheckRecorded(t, "testdata/cfdfdec/snapshot.json", &stateSnapshot{})
 }
 
 // Kinds and statuses are sent and stored as these numbers.
--- a/internal/coordination/lease/snapshot.go
+++ b/internal/coordination/lease/snapshot.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// image is a state in a snapshot or a back-up, with everything in order, so that equal states have equal images.
-type image struct {
-	Format   int            `json:"format"`
-	Token    Token          `json:"token"`
-	Session  SessionID      `json:"session"`
-	Embargo  time.Duration  `json:"embargo,omitempty"`
-	Sessions []sessionImage `json:"sessions"`
-	Leases   []leaseImage   `json:"leases"`
+// stateSnapshot is the form of a state in a snapshot or a back-up, with everything in order, so that equal states have equal bytes.
+type stateSnapshot struct {
+	Format   int               `json:"format"`
+	Token    Token             `json:"token"`
+	Session  SessionID         `json:"session"`
+	Embargo  time.Duration     `json:"embargo,omitempty"`
+	Sessions []sessionSnapshot `json:"sessions"`
+	Leases   []leaseSnapshot   `json:"leases"`
 }
 
-type sessionImage struct {
+type sessionSnapshot struct {
 	ID      SessionID     `json:"id"`
 	Owner   string        `json:"owner"`
 	Nonce   string        `json:"nonce"`
@@ -29,7 +29,7 @@
 	Version uint64        `json:"version"`
 }
 
-type leaseImage struct {
+type leaseSnapshot struct {
 	Name   string      `json:"name"`
 	Holder SessionID   `json:"holder,omitempty"`
 	Token  Token       `json:"token,omitempty"`
@@ -37,108 +37,108 @@
 	Queue  []SessionID `json:"queue,omitempty"`
 }
 
-const format = 1
+const snapshotFormat = 1
 
-// Snapshot is the state as bytes.
+// Snapshot returns the state as bytes, for Restore.
 func (s *State) Snapshot() []byte {
-	im := image{Format: format, Token: s.token, Session: s.session, Embargo: s.embargo}
+	snapshot := stateSnapshot{Format: snapshotFormat, Token: s.lastToken, Session: s.lastSession, Embargo: s.embargo}
 	for _, id := range slices.Sorted(maps.Keys(s.sessions)) {
-		own := s.sessions[id]
-		im.Sessions = append(im.Sessions, sessionImage{id, own.owner, own.nonce, own.ttl, own.seq, own.answer, own.version})
+		sess := s.sessions[id]
+		snapshot.Sessions = append(snapshot.Sessions, sessionSnapshot{id, sess.owner, sess.nonce, sess.ttl, sess.lastSeq, sess.lastAnswer, sess.version})
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.leases)) {
 		l := s.leases[name]
-		im.Leases = append(im.Leases, leaseImage{name, l.holder, l.token, l.broken, l.queue})
+		snapshot.Leases = append(snapshot.Leases, leaseSnapshot{name, l.holder, l.token, l.broken, l.waiters})
 	}
-	text, err := json.Marshal(im)
+	text, err := json.Marshal(snapshot)
 	if err != nil {
-		panic(err) // no field can fail
+		panic(err) // no field has a type that can fail
 	}
 	return text
 }
 
-// Restore is the state of a snapshot.
+// Restore returns the state of a snapshot or a back-up.
 func Restore(text []byte) (*State, error) {
-	var im image
-	if err := json.Unmarshal(text, &im); err != nil {
+	var snapshot stateSnapshot
+	if err := json.Unmarshal(text, &snapshot); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if im.Format != format {
-		return nil, fmt.Errorf("snapshot: format %d, ours is %d", im.Format, format)
+	if snapshot.Format != snapshotFormat {
+		return nil, fmt.Errorf("snapshot: format %d, ours is %d", snapshot.Format, snapshotFormat)
 	}
 	s := NewState()
-	s.token, s.session, s.embargo = im.Token, im.Session, im.Embargo
-	for _, i := range im.Sessions {
-		s.sessions[i.ID] = &session{id: i.ID, owner: i.Owner, nonce: i.Nonce, ttl: i.TTL, seq: i.Seq, answer: i.Answer,
+	s.lastToken, s.lastSession, s.embargo = snapshot.Token, snapshot.Session, snapshot.Embargo
+	for _, i := range snapshot.Sessions {
+		s.sessions[i.ID] = &session{id: i.ID, owner: i.Owner, nonce: i.Nonce, ttl: i.TTL, lastSeq: i.Seq, lastAnswer: i.Answer,
 			version: i.Version, holds: map[string]struct{}{}, waits: map[string]struct{}{}}
 		s.nonces[i.Nonce] = i.ID
 	}
-	for _, i := range im.Leases {
+	for _, i := range snapshot.Leases {
 		l := &lease{i.Name, i.Holder, i.Token, i.Broken, i.Queue}
 		s.leases[i.Name] = l
-		for n, id := range append([]SessionID{l.holder}, l.queue...) {
-			own := s.sessions[id]
+		for n, id := range append([]SessionID{l.holder}, l.waiters...) {
+			sess := s.sessions[id]
 			switch {
 			case n == 0 && id == 0:
-			case own == nil:
+			case sess == nil:
 				return nil, fmt.Errorf("snapshot: lease %q: there is no session %d", i.Name, id)
 			case n == 0:
-				own.holds[i.Name] = struct{}{}
+				sess.holds[i.Name] = struct{}{}
 			default:
-				own.waits[i.Name] = struct{}{}
+				sess.waits[i.Name] = struct{}{}
 			}
 		}
 	}
 	return s, nil
 }
 
-// restoredAhead is by how many tokens a restored state goes beyond its back-up: more than a group gives in a year at 10,000 a second.
-const restoredAhead = 1 << 40
+// restoreOffset is by how many tokens a restored state goes beyond its back-up: more than a group grants in a year at 10,000 a second.
+const restoreOffset = 1 << 40
 
-// RestoreNewGroup is the state with which a new group begins from a back-up, while holders of the old one may still live: what they
-// hold stays theirs for their time, nothing is granted until all that the back-up lacks is over, and tokens, and numbers of sessions, go
-// on beyond those of the old group. above is the largest token that is known to have been given after the back-up, or 0; longest
+// RestoreNewGroup returns the state with which a new group begins from a back-up, while holders of the old one may still live: what they
+// hold stays theirs for their TTL, nothing is granted until everything that the back-up lacks has expired, and tokens and session ids go
+// on beyond those of the old group. minToken is the largest token that is known to have been granted after the back-up, or 0; longestTTL
 // is the longest TTL that the old group allowed.
-func RestoreNewGroup(backup []byte, above Token, longest time.Duration) (*State, error) {
+func RestoreNewGroup(backup []byte, minToken Token, longestTTL time.Duration) (*State, error) {
 	s, err := Restore(backup)
 	if err != nil {
 		return nil, err
 	}
-	s.token = max(s.token, above)/restoredAhead*restoredAhead + 2*restoredAhead
-	s.session = s.session/restoredAhead*restoredAhead + 2*restoredAhead
-	s.embargo = longest
+	s.lastToken = max(s.lastToken, minToken)/restoreOffset*restoreOffset + 2*restoreOffset
+	s.lastSession = s.lastSession/restoreOffset*restoreOffset + 2*restoreOffset
+	s.embargo = longestTTL
 	return s, nil
 }
 
-// Info is one lease, for people.
+// Info describes one lease to an operator.
 type Info struct {
 	Name    string        `json:"name"`
-	Token   Token         `json:"token,omitempty"`
-	Session SessionID     `json:"session,omitempty"`
-	Owner   string        `json:"owner,omitempty"`
+	Token   Token         `json:"token,omitempty"`   // 0: nobody holds it
+	Session SessionID     `json:"session,omitempty"` // of the holder
+	Owner   string        `json:"owner,omitempty"`   // of that session
 	TTL     time.Duration `json:"ttl_ns,omitempty"`
 	Broken  bool          `json:"broken,omitempty"`
 	Queue   []Waiter      `json:"queue,omitempty"`
 }
 
-// Waiter is a session in a queue.
+// Waiter is a session that waits for a lease.
 type Waiter struct {
 	Session SessionID `json:"session"`
 	Owner   string    `json:"owner"`
 }
 
-// List are the leases whose names begin with a prefix, in order.
+// List returns the leases whose names begin with a prefix, by name.
 func (s *State) List(prefix string) (all []Info) {
 	for name, l := range s.leases {
 		if len(name) < len(prefix) || name[:len(prefix)] != prefix {
 			continue
 		}
 		h := Info{Name: name, Session: l.holder, Broken: l.broken}
-		if own := s.sessions[l.holder]; own != nil {
-			h.Token, h.Owner, h.TTL = l.token, own.owner, own.ttl
+		if sess := s.sessions[l.holder]; sess != nil {
+			h.Token, h.Owner, h.TTL = l.token, sess.owner, sess.ttl
 		}
-		for _, id := range l.queue {
-			h.Queue = append(h.Queue, Waiter{id, s.owner(id)})
+		for _, id := range l.waiters {
+			h.Queue = append(h.Queue, Waiter{id, s.ownerName(id)})
 		}
 		all = append(all, h)
 	}
@@ -146,7 +146,7 @@
 	return all
 }
 
-// Counts are how many sessions and leases there are, and the last token.
+// Counts returns how many sessions and leases there are, and the last token that was granted.
 func (s *State) Counts() (sessions, leases int, token Token) {
-	return len(s.sessions), len(s.leases), s.token
+	return len(s.sessions), len(s.leases), s.lastToken
 }
--- a/internal/coordination/lease/state_test.go
+++ b/internal/coordination/lease/state_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// opened is a state with sessions 1 to n.
-func opened(n int) *State {
+// stateWithSessions returns a state with sessions 1 to n.
+func stateWithSessions(n int) *State {
 	s := NewState()
 	for i := range n {
 		s.Apply(Command{Kind: Open, Nonce: fmt.Sprint("nonce", i), Owner: "same", TTL: time.Second})
@@ -20,9 +20,9 @@
 	return s
 }
 
-// What is asked again, or late, acts once; a late release of an old grant does not end the new one; a name for people is no session.
+// A command that is repeated, or arrives late, acts once; a late release of an old grant does not end the new one; an owner is no session.
 func TestAskedAgain(t *testing.T) {
-	s := opened(2)
+	s := stateWithSessions(2)
 	do := func(kind Kind, id SessionID, seq uint64, token Token, want Status, wantToken Token) {
 		t.Helper()
 		if a := s.Apply(Command{Kind: kind, Session: id, Seq: seq, Name: "x", Token: token}); a.Status != want || a.Token != wantToken {
@@ -33,12 +33,12 @@
 		t.Errorf("opened again: %v", a)
 	}
 	do(Acquire, 1, 1, 0, OK, 1)
-	do(Acquire, 1, 1, 0, OK, 1) // the answer was lost
-	do(Acquire, 1, 2, 0, OK, 1) // asked anew: no second grant
+	do(Acquire, 1, 1, 0, OK, 1) // the response was lost
+	do(Acquire, 1, 2, 0, OK, 1) // a new command: no second grant
 	do(Acquire, 2, 1, 0, HeldByOther, 0)
 	do(Release, 1, 3, 1, OK, 0)
 	do(Release, 1, 3, 1, OK, 0)
-	do(Acquire, 1, 2, 0, Stale, 0) // a copy that the network had kept: nobody would know of its grant
+	do(Acquire, 1, 2, 0, Stale, 0) // a duplicate that the network had delayed: no client would learn of its grant
 	do(Acquire, 2, 2, 0, OK, 2)
 	do(Release, 1, 4, 1, NotHeld, 0)
 	do(Release, 2, 3, 1, NotHeld, 0)
@@ -48,9 +48,9 @@
 	}
 }
 
-// The queue: who waits is next, in order; one whose session ends, or who waits no more, is left out; a transfer goes before.
+// Waiters are granted the lease in order; one whose session has ended, or that waits no more, is left out; a transfer goes before.
 func TestQueue(t *testing.T) {
-	s := opened(5)
+	s := stateWithSessions(5)
 	for id := SessionID(1); id <= 5; id++ {
 		if a := s.Apply(Command{Kind: Acquire, Session: id, Seq: 1, Name: "x", Wait: true}); id > 1 && (a.Status != Waiting || a.WaitersAhead != int(id)-2) {
 			t.Errorf("%d: %v", id, a)
@@ -67,7 +67,7 @@
 	s.Apply(Command{Kind: Transfer, Session: 1, Seq: 2, Name: "x", Token: 1, TransferTo: 5})
 	holder(5, 2)
 	if a := s.Apply(Command{Kind: Transfer, Session: 5, Seq: 2, Name: "x", Token: 2, TransferTo: 4}); a.Status != NotHeld {
-		t.Errorf("to one that does not wait: %v", a)
+		t.Errorf("to a session that does not wait: %v", a)
 	}
 	s.Apply(Command{Kind: Close, Session: 5, Seq: 3})
 	holder(3, 3)
@@ -77,21 +77,21 @@
 	}
 }
 
-// A renewal tells what a session holds only where that is new to it, or while it waits for something.
-func TestKnown(t *testing.T) {
-	s := opened(1)
+// A keep-alive reports the grants of a session only where they have changed, or while the client waits for a lease.
+func TestGrantsAreSentOnce(t *testing.T) {
+	s := stateWithSessions(1)
 	h := NewSessionState(0, 1, time.Second)
 	s.Apply(Command{Kind: Acquire, Session: 1, Seq: 1, Name: "x"})
 	h.BeginWait("x", 1)
 	if h.KnownVersion() != 0 {
-		t.Error("it waits, and asks for less than all")
+		t.Error("the client waits, and does not ask for all grants")
 	}
 	grants, version := s.Grants(1, h.KnownVersion())
 	if got := h.ApplyKeepAlive(2, grants, version); len(got) != 1 || got[0].Name != "x" || h.KnownVersion() != version {
 		t.Errorf("%v, known %d of %d", got, h.KnownVersion(), version)
 	}
 	if grants, same := s.Grants(1, h.KnownVersion()); grants != nil || same != version {
-		t.Errorf("told again: %v, %d", grants, same)
+		t.Errorf("reported again: %v, %d", grants, same)
 	}
 	h.ApplyKeepAlive(Instant(time.Second/2), nil, version)
 	if _, until, ok := h.Held("x", Instant(time.Second)); !ok || until <= Instant(time.Second) {
@@ -99,14 +99,14 @@
 	}
 	s.Apply(Command{Kind: Expire, Session: 1})
 	if _, version := s.Grants(1, h.KnownVersion()); version != h.KnownVersion() {
-		t.Errorf("%d of a session that is gone", version)
+		t.Errorf("%d of a session that has ended", version)
 	}
 }
 
-// What operators break is free a whole TTL later, in this term or counted anew in the next, and no sooner; other leases of the
-// session go on, and a grant that was broken is not renewed.
+// A grant that operators break is free a TTL later, in this term or counted anew in the next, and no sooner; other leases of the
+// session go on, and the broken grant is not renewed.
 func TestBreak(t *testing.T) {
-	s := opened(1)
+	s := stateWithSessions(1)
 	c := NewLessor(s, 0)
 	h := NewSessionState(0, 1, time.Second)
 	for i, name := range []string{"x", "y"} {
@@ -127,7 +127,7 @@
 	if due := c.ExpiryCommands(at(1499)); len(due) != 0 {
 		t.Errorf("%v", due)
 	}
-	next := NewLessor(s, at(1400)) // another leader counts from its own beginning
+	next := NewLessor(s, at(1400)) // another leader counts from when it began to lead
 	next.Renew(1, at(2000))
 	if due := next.ExpiryCommands(at(2399)); len(due) != 0 {
 		t.Errorf("%v", due)
@@ -137,10 +137,10 @@
 	}
 }
 
-// A back-up restored while holders of the old group still live: what they hold stays theirs, nothing is granted until all that it
-// lacks is over, and tokens go beyond any of the old group, also in a second restore.
+// A back-up is restored while holders of the old group still live: what they hold stays theirs, nothing is granted until everything that
+// the back-up lacks has expired, and tokens go beyond any of the old group, also in a second restore.
 func TestRestored(t *testing.T) {
-	s := opened(2)
+	s := stateWithSessions(2)
 	s.Apply(Command{Kind: Acquire, Session: 1, Seq: 1, Name: "x"})
 	backup := s.Snapshot()
 	var last Token
@@ -169,15 +169,15 @@
 		}
 		last = h[0].Token
 		if a := r.Apply(Command{Kind: Open, Nonce: "another one", TTL: time.Second}); a.Session <= 1<<40 {
-			t.Errorf("a number of the old group: %v", a)
+			t.Errorf("a session id of the old group: %v", a)
 		}
 	}
 }
 
-// Any commands: the state's invariants hold, tokens grow, and a snapshot gives an equal state that goes on equally.
+// With any commands the invariants of the state hold, tokens grow, and a snapshot restores an equal state that goes on equally.
 func TestAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := opened(3)
+		s := stateWithSessions(3)
 		var last Token
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := Command{
@@ -189,30 +189,30 @@
 			before := s.Snapshot()
 			twin, err := Restore(before)
 			if err != nil || !bytes.Equal(twin.Snapshot(), before) {
-				t.Fatalf("a snapshot is not the state: %v", err)
+				t.Fatalf("the snapshot of a restored state differs: %v", err)
 			}
 			a := s.Apply(c)
 			if b := twin.Apply(c); a != b || !bytes.Equal(twin.Snapshot(), s.Snapshot()) {
 				t.Fatalf("%v: %v, and %v after a snapshot", c, a, b)
 			}
-			if s.token < last {
-				t.Fatal("tokens shrink")
+			if s.lastToken < last {
+				t.Fatal("tokens do not grow")
 			}
-			last = s.token
+			last = s.lastToken
 			holds := map[SessionID]int{}
 			for name, l := range s.leases {
-				if l.holder == 0 || s.sessions[l.holder] == nil || l.token == 0 || l.token > s.token {
+				if l.holder == 0 || s.sessions[l.holder] == nil || l.token == 0 || l.token > s.lastToken {
 					t.Fatalf("%s: held by %d with %d", name, l.holder, l.token)
 				}
 				holds[l.holder]++
-				all := append([]SessionID{l.holder}, l.queue...)
+				all := append([]SessionID{l.holder}, l.waiters...)
 				slices.Sort(all)
-				if len(slices.Compact(all)) != len(l.queue)+1 {
-					t.Fatalf("%s: somebody is there twice: %d, %v", name, l.holder, l.queue)
+				if len(slices.Compact(all)) != len(l.waiters)+1 {
+					t.Fatalf("%s: a session is there twice: %d, %v", name, l.holder, l.waiters)
 				}
-				for _, id := range l.queue {
+				for _, id := range l.waiters {
 					if _, waits := s.sessions[id].waits[name]; !waits {
-						t.Fatalf("%s: %d does not know that it waits", name, id)
+						t.Fatalf("%s: session %d does not have the wait", name, id)
 					}
 				}
 			}
@@ -225,7 +225,7 @@
 	})
 }
 
-// What comes from outside is checked before it gets into the log.
+// Commands of clients are checked before they get into the log.
 func TestCheck(t *testing.T) {
 	long := string(bytes.Repeat([]byte("x"), MaxNameBytes+1))
 	good := Command{Kind: Acquire, Session: 1, Seq: 1, Name: "a/b"}
--- a/internal/coordination/replica/mutation_test.go
+++ b/internal/coordination/replica/mutation_test.go
@@ -12,14 +12,14 @@
 func TestTheChecksCanFail(t *testing.T) {
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
 		"the drift margin":                        {"internal/coordination/lease/doc.go", "/ (1 + MaxDrift)", "/ 1", "./internal/coordination/lease", "TestExploration"},
-		"the wait of a new leader":                {"internal/coordination/lease/clock.go", "		c.Renew(id, now)\n	}\n	for name", "		c.alone[id] = now\n	}\n	for name", "./internal/coordination/lease", "TestExploration"},
-		"no renewal after an expiry":              {"internal/coordination/lease/clock.go", "return ok && !c.ending[id]", "return ok", "./internal/coordination/lease", "TestExploration"},
-		"the session's sequence number":           {"internal/coordination/lease/state.go", "case c.Seq < own.seq:", "case false:", "./internal/coordination/lease", "TestAskedAgain"},
+		"the wait of a new leader":                {"internal/coordination/lease/lessor.go", "		ls.Renew(id, now)\n	}\n	for name", "		ls.expiry[id] = now\n	}\n	for name", "./internal/coordination/lease", "TestExploration"},
+		"no renewal after an expiry":              {"internal/coordination/lease/lessor.go", "return ok && !ls.expiring[id]", "return ok", "./internal/coordination/lease", "TestExploration"},
+		"the session's sequence number":           {"internal/coordination/lease/state.go", "case c.Seq < sess.lastSeq:", "case false:", "./internal/coordination/lease", "TestAskedAgain"},
 		"the confirmation by a majority":          {"internal/coordination/replica/request.go", `c.node.ReadIndex(fmt.Appendf(nil, "%d", c.pending.lastNumber))`, "c.pending.confirming.index = c.applied", "./internal/coordination/replica", "TestLeadersThatLeadNoMore"},
 		"the same, for shares":                    {"internal/coordination/replica/request.go", `c.node.ReadIndex(fmt.Appendf(nil, "%d", c.pending.lastNumber))`, "c.pending.confirming.index = c.applied", "./internal/coordination/replica", "TestSharesOfAGroup"},
 		"a new leader's wait, for shares":         {"internal/coordination/share/divider.go", "if now < d.from {", "if false {", "./internal/coordination/replica", "TestSharesOfAGroup"},
 		"a response that arrives twice":           {"internal/coordination/share/taker.go", "told.Units > 0 && !known", "told.Units > 0 && (true || known)", "./internal/coordination/replica", "TestSharesOfAGroup"},
-		"old responses to a new wait":             {"internal/coordination/lease/holder.go", "waits && since <= asked &&", "waits && since <= since &&", "./internal/coordination/replica", "TestSchedules"},
+		"old responses to a new wait":             {"internal/coordination/lease/sessionstate.go", "isWaiting && waitingSince <= requestedAt &&", "isWaiting && waitingSince <= waitingSince &&", "./internal/coordination/replica", "TestSchedules"},
 		"the fencing check":                       {"lease/guard.go", "token < g.newest || token == 0", "token == 0", "./lease", "TestOneHolder"},
 		"the sync before a response":              {"internal/coordination/fleet/server.go", "if w.Sync {", "if w.Sync && w.Snapshot != nil {", "./cmd/petrelhook-coordinator", "TestAllKilledAtOnce"},
 		"another incarnation of a replica's disk": {"internal/coordination/replica/members.go", `incarnation != "" && incarnation != c.Incarnation`, "false", "./cmd/petrelhook-coordinator", "TestLostDisk"},
