--- /dev/null
+++ b/internal/coordination/share/allocators.go
@@ -0,0 +1,73 @@
+package share
+
+import (
+	"maps"
+	"slices"
+
+	"petrelhook/internal/coordination/lease"
+)
+
+// Allocators are those of all limits, for one term of one leader.
+type Allocators struct {
+	term    uint64
+	byLimit map[string]*Allocator
+}
+
+// NewAllocators begins to allocate all limits, at an instant at which this leader has applied everything that was in the log before it.
+func NewAllocators(r *Register, term uint64, now lease.Instant) *Allocators {
+	a := &Allocators{term, map[string]*Allocator{}}
+	for _, l := range r.Limits() {
+		a.byLimit[l.Name] = NewAllocator(l, term, now)
+	}
+	return a
+}
+
+// Applied takes in a command of this term when it has been applied. A new limit waits for a period too: a group that was restored from a
+// back-up may have forgotten it.
+func (a *Allocators) Applied(c Command, now lease.Instant) {
+	if one := a.byLimit[c.Set.Name]; one != nil {
+		one.SetUnits(c.Set.Units)
+		return
+	}
+	a.byLimit[c.Set.Name] = NewAllocator(c.Set, a.term, now)
+}
+
+// Allocate answers a request for units of a limit, as Allocator.Allocate does; ok is false where there is no such limit.
+func (a *Allocators) Allocate(limit string, r AllocationRequest, now lease.Instant) (allocation Allocation, ok bool) {
+	one := a.byLimit[limit]
+	if one == nil {
+		return Allocation{}, false
+	}
+	return one.Allocate(r, now), true
+}
+
+// LimitStatus is the state of a limit, for operators.
+type LimitStatus struct {
+	Limit       Limit          `json:"limit"`
+	Outstanding int            `json:"out"`             // units of all allocations that have not ended
+	Starting    bool           `json:"waits,omitempty"` // nothing is allocated yet: the leader is in its first period
+	Members     []MemberStatus `json:"members,omitempty"`
+}
+
+// MemberStatus is the state of a member of a limit.
+type MemberStatus struct {
+	Name        string  `json:"name"`
+	Weight      float64 `json:"weight"`
+	Demand      int     `json:"want"` // units a period of its last request
+	FairShare   float64 `json:"fair"` // units a period that it is entitled to
+	Outstanding int     `json:"out"`  // units of its allocations, spent or not
+}
+
+// Statuses returns the state of all limits by name.
+func (a *Allocators) Statuses(now lease.Instant) (all []LimitStatus) {
+	for _, limit := range slices.Sorted(maps.Keys(a.byLimit)) {
+		one := a.byLimit[limit]
+		s := LimitStatus{Limit: one.limit, Outstanding: one.Outstanding(now), Starting: now < one.startsAt}
+		for _, name := range slices.Sorted(maps.Keys(one.members)) {
+			m := one.members[name]
+			s.Members = append(s.Members, MemberStatus{name, m.weight, m.demand, min(one.fairShare(m), float64(one.limit.Units)), m.outstanding})
+		}
+		all = append(all, s)
+	}
+	return all
+}
--- /dev/null
+++ b/internal/coordination/share/consumer.go
@@ -0,0 +1,167 @@
+package share
+
+import (
+	"slices"
+	"time"
+
+	"petrelhook/internal/coordination/lease"
+)
+
+// maxFinished bounds the usages in one request. Units of those that are left out come back when their allocation ends.
+const maxFinished = 64
+
+// Consumer is what one member believes it may spend of one limit. Instants are of its own steady clock. It is not safe for concurrent
+// use.
+type Consumer struct {
+	limit         Limit
+	name          string
+	weight        float64
+	allocations   []heldAllocation // the oldest, which ends first, first
+	finished      []Usage          // to be reported
+	floor         floorRate
+	demand        demandMeter
+	nextRequestAt lease.Instant
+}
+
+// heldAllocation is an allocation that has not ended; its Usage counts what was spent of it.
+type heldAllocation struct {
+	Usage
+	units int
+	until lease.Instant
+}
+
+// floorRate allows one use in an interval.
+type floorRate struct {
+	started bool
+	nextAt  lease.Instant // when the next use is allowed
+}
+
+// demandMeter counts attempts to spend, a period at a time.
+type demandMeter struct {
+	since    lease.Instant // when the present period began
+	attempts int           // in the present period
+	previous int           // attempts in the period before
+}
+
+// NewConsumer returns a member that has no allocation yet.
+func NewConsumer(l Limit, name string, weight float64) *Consumer {
+	return &Consumer{limit: l, name: name, weight: weight}
+}
+
+// Demand returns how many uses a period are attempted: the larger number of this period and the one before.
+func (c *Consumer) Demand(now lease.Instant) int {
+	d := &c.demand
+	if past := now.Sub(d.since); past >= c.limit.Period {
+		if d.previous = d.attempts; past >= 2*c.limit.Period {
+			d.previous = 0
+		}
+		d.since, d.attempts = now, 0
+	}
+	return max(d.previous, d.attempts)
+}
+
+// NextRequestAt returns when to send the next request; ok is false where nothing is wanted and there is nothing to report.
+func (c *Consumer) NextRequestAt(now lease.Instant) (at lease.Instant, ok bool) {
+	return c.nextRequestAt, c.Demand(now) > 0 || c.Remaining(now) > 0 || len(c.finished) > 0
+}
+
+// RequestFailed takes in that a request was not answered.
+func (c *Consumer) RequestFailed(now lease.Instant) {
+	c.nextRequestAt = now.Add(c.limit.Period / 2)
+}
+
+// NewRequest returns the request for what the member would spend in the next period. Units that it has beyond its demand are returned
+// with it, and are not spent from here on.
+func (c *Consumer) NewRequest(demand int, now lease.Instant) AllocationRequest {
+	c.expire(now)
+	for i := range c.allocations {
+		one := &c.allocations[i]
+		if left := one.units - one.Units; left > 0 && c.Remaining(now) > demand {
+			one.units = one.Units // what was spent counts until the end
+			c.finished = append(c.finished, one.Usage)
+		}
+	}
+	finished := c.finished
+	if len(finished) > maxFinished {
+		finished = finished[len(finished)-maxFinished:]
+	}
+	return AllocationRequest{Member: c.name, Weight: c.weight, Demand: max(0, demand-c.Remaining(now)), Finished: append([]Usage(nil), finished...)}
+}
+
+// ApplyAllocation takes in the response to a request that was sent at requestedAt and reported these usages. A response that arrives
+// twice is one allocation.
+func (c *Consumer) ApplyAllocation(requestedAt lease.Instant, a Allocation, reported []Usage) {
+	c.finished = withoutReported(c.finished, reported)
+	c.nextRequestAt = requestedAt.Add(max(a.RetryAfter, c.limit.Period/2))
+	known := slices.ContainsFunc(c.allocations, func(one heldAllocation) bool { return one.Allocation == a.ID })
+	if a.Units > 0 && !known {
+		c.allocations = append(c.allocations, heldAllocation{Usage{a.ID, 0}, a.Units, lease.ValidUntil(requestedAt, c.limit.Period)})
+	}
+}
+
+// withoutReported returns the usages that were not reported.
+func withoutReported(all, reported []Usage) (left []Usage) {
+	known := map[AllocationID]bool{}
+	for _, usage := range reported {
+		known[usage.Allocation] = true
+	}
+	for _, usage := range all {
+		if !known[usage.Allocation] {
+			left = append(left, usage)
+		}
+	}
+	return left
+}
+
+// Spend reports whether one use is allowed now, and counts it.
+func (c *Consumer) Spend(now lease.Instant) bool {
+	c.Demand(now)
+	c.demand.attempts++
+	c.expire(now)
+	for i := range c.allocations {
+		if one := &c.allocations[i]; one.Units < one.units {
+			one.Units++
+			return true
+		}
+	}
+	return c.spendFloor(now)
+}
+
+// spendFloor spends of the floor, which is one use in an interval. A complete interval passes before the first one.
+func (c *Consumer) spendFloor(now lease.Instant) bool {
+	if c.limit.Floor == 0 {
+		return false
+	}
+	interval := time.Duration(float64(c.limit.Period) * float64(c.limit.Members) / float64(c.limit.Floor) * (1 + lease.MaxDrift))
+	if !c.floor.started {
+		c.floor = floorRate{started: true, nextAt: now.Add(interval)}
+	}
+	if now < c.floor.nextAt {
+		return false
+	}
+	c.floor.nextAt = now.Add(interval)
+	return true
+}
+
+// Allocated returns the units of all allocations that have not ended, spent or not.
+func (c *Consumer) Allocated(now lease.Instant) (n int) {
+	c.expire(now)
+	for _, one := range c.allocations {
+		n += one.units
+	}
+	return n
+}
+
+// Remaining returns the units that the member may still spend beside its floor.
+func (c *Consumer) Remaining(now lease.Instant) (n int) {
+	c.expire(now)
+	for _, one := range c.allocations {
+		n += one.units - one.Units
+	}
+	return n
+}
+
+// expire removes the allocations that have ended. They need not be in the order of their ends, for responses may overtake one another.
+func (c *Consumer) expire(now lease.Instant) {
+	c.allocations = slices.DeleteFunc(c.allocations, func(one heldAllocation) bool { return one.until <= now })
+}
--- a/internal/coordination/share/mutation_test.go
+++ b/internal/coordination/share/mutation_test.go
@@ -8,17 +8,17 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// What the argument needs is taken out of the code, one at a time: each is caught.
+// Each step of the argument is taken out of the code, one at a time: the test fails.
 func TestTheChecksCanFail(t *testing.T) {
-	const divider, pkg, test = "internal/coordination/share/divider.go", "./internal/coordination/share", "TestNeverOverTheLimit"
+	const allocator, pkg, test = "internal/coordination/share/allocator.go", "./internal/coordination/share", "TestNeverOverTheLimit"
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"the drift margin":           {"internal/coordination/lease/doc.go", "/ (1 + MaxDrift)", "/ 1", pkg, test},
-		"the wait of a new leader":   {divider, "if now < d.from {", "if false {", pkg, test},
-		"the room that is left":      {divider, "units := max(0, min(m.want, int(m.due), free))", "units := max(0, min(m.want, int(m.due)))", pkg, test},
-		"the floors' part":           {divider, "free := d.limit.Units - d.limit.Floor - d.out", "free := d.limit.Units - d.out", pkg, test},
-		"a lower limit":              {divider, "func (d *Allocator) SetUnits(units int) { d", "func (d *Allocator) SetUnits(units int) { units = max(units, d.limit.Units); d", pkg, test},
-		"spent units count":          {divider, "d.back(p, p.units-s.Units)", "d.back(p, p.units)", pkg, test},
-		"what comes back is not had": {"internal/coordination/share/taker.go", "p.units = p.Units // what was spent counts to its end", "_ = 0", pkg, test},
-		"heard twice is once":        {divider, "s.Units < p.units {", "s.Units < p.units+1 {\n			d.out--", pkg, test},
+		"the drift margin":             {"internal/coordination/lease/doc.go", "/ (1 + MaxDrift)", "/ 1", pkg, test},
+		"the wait of a new leader":     {allocator, "if now < a.startsAt {", "if false {", pkg, test},
+		"the free units":               {allocator, "units := max(0, min(m.demand, int(m.entitled), free))", "units := max(0, min(m.demand, int(m.entitled)))", pkg, test},
+		"the floors":                   {allocator, "free := a.limit.Units - a.limit.Floor - a.outstanding", "free := a.limit.Units - a.outstanding", pkg, test},
+		"a lower limit":                {allocator, "func (a *Allocator) SetUnits(units int) { a", "func (a *Allocator) SetUnits(units int) { units = max(units, a.limit.Units); a", pkg, test},
+		"spent units count":            {allocator, "a.giveBack(one, one.units-usage.Units)", "a.giveBack(one, one.units)", pkg, test},
+		"returned units are not spent": {"internal/coordination/share/consumer.go", "one.units = one.Units // what was spent counts until the end", "_ = 0", pkg, test},
+		"reported twice is once":       {allocator, "usage.Units < one.units {", "usage.Units < one.units+1 {\n			a.outstanding--", pkg, test},
 	})
 }
--- a/internal/coordination/share/register.go
+++ b/internal/coordination/share/register.go
@@ -6,66 +6,64 @@
 	"fmt"
 	"maps"
 	"slices"
-
-	"petrelhook/internal/coordination/lease"
 )
 
-// Command is an entry of the replicated log: a limit is to be as it says. To say it twice does no harm.
+// Command is a command of the replicated log: a limit is to be as it says. A repeated command changes nothing.
 type Command struct {
 	Set Limit `json:"set"`
 }
 
-// MaxLimits is how many there may be.
+// MaxLimits bounds the number of limits.
 const MaxLimits = 10_000
 
-// What a command may meet.
+// Errors of Register.Apply.
 var (
-	ErrLimitImmutable = errors.New("period, floor and members of a limit do not change: members count by what they were told once; use another name")
+	ErrLimitImmutable = errors.New("period, floor and members of a limit do not change, for members use those that they began with: use another name")
 	ErrTooManyLimits  = fmt.Errorf("there are %d limits already", MaxLimits)
 )
 
-// Register is the limits, as the log makes them. One that is not wanted any more stays, with no more units than its floor: what was
-// given of it ends, and its name is never another limit.
-type Register struct{ all map[string]Limit }
+// Register is the limits, as the log makes them. Equal logs make equal registers. A limit that is not wanted any more stays, with no more
+// units than its floor: what was allocated of it ends, and its name never stands for another limit.
+type Register struct{ limits map[string]Limit }
 
-// NewRegister is one without any.
+// NewRegister returns a register without limits.
 func NewRegister() *Register { return &Register{map[string]Limit{}} }
 
 // Apply carries out a command that was checked.
 func (r *Register) Apply(c Command) error {
 	l := c.Set
-	was, known := r.all[l.Name]
+	present, known := r.limits[l.Name]
 	switch {
-	case known && (was.Period != l.Period || was.Floor != l.Floor || was.Members != l.Members):
+	case known && (present.Period != l.Period || present.Floor != l.Floor || present.Members != l.Members):
 		return ErrLimitImmutable
-	case !known && len(r.all) >= MaxLimits:
+	case !known && len(r.limits) >= MaxLimits:
 		return ErrTooManyLimits
 	}
-	r.all[l.Name] = l
+	r.limits[l.Name] = l
 	return nil
 }
 
-// Limits are all, by name.
+// Limits returns all limits by name.
 func (r *Register) Limits() (all []Limit) {
-	for _, name := range slices.Sorted(maps.Keys(r.all)) {
-		all = append(all, r.all[name])
+	for _, name := range slices.Sorted(maps.Keys(r.limits)) {
+		all = append(all, r.limits[name])
 	}
 	return all
 }
 
-// Snapshot is the register as bytes; nil: there is nothing in it.
+// Snapshot returns the register as bytes, for RestoreRegister; nil: there are no limits.
 func (r *Register) Snapshot() json.RawMessage {
-	if len(r.all) == 0 {
+	if len(r.limits) == 0 {
 		return nil
 	}
 	text, err := json.Marshal(r.Limits())
 	if err != nil {
-		panic(err) // no field can fail
+		panic(err) // no field has a type that can fail
 	}
 	return text
 }
 
-// RestoreRegister is the register of a snapshot; one of a version without any has none.
+// RestoreRegister returns the register of a snapshot; an empty one has no limits.
 func RestoreRegister(text []byte) (*Register, error) {
 	r, all := NewRegister(), []Limit{}
 	if len(text) == 0 {
@@ -78,71 +76,7 @@
 		if err := l.Check(); err != nil {
 			return nil, fmt.Errorf("limits: %w", err)
 		}
-		r.all[l.Name] = l
+		r.limits[l.Name] = l
 	}
 	return r, nil
 }
-
-// Allocators are those of all limits, for one term of one leader.
-type Allocators struct {
-	term uint64
-	all  map[string]*Allocator
-}
-
-// NewAllocators begins to divide all limits.
-func NewAllocators(r *Register, term uint64, now lease.Instant) *Allocators {
-	d := &Allocators{term, map[string]*Allocator{}}
-	for _, l := range r.Limits() {
-		d.all[l.Name] = NewAllocator(l, term, now)
-	}
-	return d
-}
-
-// Applied is told of a command of this term. A limit that is new waits a period too: a group that was restored may have forgotten it.
-func (d *Allocators) Applied(c Command, now lease.Instant) {
-	if one := d.all[c.Set.Name]; one != nil {
-		one.SetUnits(c.Set.Units)
-		return
-	}
-	d.all[c.Set.Name] = NewAllocator(c.Set, d.term, now)
-}
-
-// Allocate is a question to one of them, confirmed; false: there is no such limit.
-func (d *Allocators) Allocate(limit string, a AllocationRequest, now lease.Instant) (Allocation, bool) {
-	one := d.all[limit]
-	if one == nil {
-		return Allocation{}, false
-	}
-	return one.Allocate(a, now), true
-}
-
-// LimitStatus is how a limit stands.
-type LimitStatus struct {
-	Limit       Limit          `json:"limit"`
-	Outstanding int            `json:"out"`
-	Starting    bool           `json:"waits,omitempty"` // nothing is given yet: the leader is new
-	Members     []MemberStatus `json:"members,omitempty"`
-}
-
-// MemberStatus is how a member stands.
-type MemberStatus struct {
-	Name        string  `json:"name"`
-	Weight      float64 `json:"weight"`
-	Demand      int     `json:"want"` // units a period that it asked for last
-	FairShare   float64 `json:"fair"` // units a period that are its due
-	Outstanding int     `json:"out"`  // units that it has or has spent
-}
-
-// Statuses are how all limits stand.
-func (d *Allocators) Statuses(now lease.Instant) (all []LimitStatus) {
-	for _, name := range slices.Sorted(maps.Keys(d.all)) {
-		one := d.all[name]
-		s := LimitStatus{Limit: one.limit, Outstanding: one.Outstanding(now), Starting: now < one.from}
-		for _, name := range slices.Sorted(maps.Keys(one.members)) {
-			m := one.members[name]
-			s.Members = append(s.Members, MemberStatus{name, m.weight, m.want, min(one.fair(m), float64(one.limit.Units)), m.out})
-		}
-		all = append(all, s)
-	}
-	return all
-}
--- a/internal/coordination/share/share_test.go
+++ b/internal/coordination/share/share_test.go
@@ -12,7 +12,7 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// events are what happens, by true time.
+// events is a queue of what happens, by true time.
 type events []event
 
 type event struct {
@@ -44,145 +44,146 @@
 	return c.begin + lease.Instant(t)
 }
 
-// world is members, and leaders one after another, under a schedule drawn from a seed: answers late, lost and crossing, members that are
-// stopped, leaders that answer what was confirmed before the next was elected, limits that change.
+// world is members, and leaders one after another, under a schedule drawn from a seed: responses that are late, lost and out of order,
+// members that are stopped, leaders that answer what was confirmed before the next one was elected, limits that change.
 type world struct {
-	r       *rand.Rand
-	now     time.Duration
-	queue   events
-	limit   Limit
-	changed []time.Duration // since when the limits below count no more
-	before  []int
-	term    uint64
-	leader  *Allocator
-	clocks  map[*Allocator]clock
-	members []*Consumer
-	own     []clock
-	over    string
-	largest float64 // use of the limit
-	spent   int
+	rand         *rand.Rand
+	now          time.Duration
+	events       events
+	limit        Limit
+	earlierUntil []time.Duration // until when each limit of before still counts
+	earlierUnits []int
+	term         uint64
+	leader       *Allocator
+	clocks       map[*Allocator]clock
+	members      []*Consumer
+	memberClocks []clock
+	violation    string
+	largest      float64 // the largest use, as a part of the limit
+	spent        int
 }
 
-func (w *world) after(d time.Duration, do func()) { heap.Push(&w.queue, event{w.now + d, do}) }
-func (w *world) up(most time.Duration) time.Duration {
-	if w.r.IntN(3) == 0 { // at once, now and then
+func (w *world) after(d time.Duration, do func()) { heap.Push(&w.events, event{w.now + d, do}) }
+func (w *world) upTo(limit time.Duration) time.Duration {
+	if w.rand.IntN(3) == 0 { // at once, now and then
 		return 1
 	}
-	return time.Duration(w.r.Int64N(int64(most)))
+	return time.Duration(w.rand.Int64N(int64(limit)))
 }
 
 func (w *world) elect() {
 	w.term++
-	c := clock{w.r.IntN(2) == 0, lease.Instant(w.up(time.Hour))}
+	c := clock{w.rand.IntN(2) == 0, lease.Instant(w.upTo(time.Hour))}
 	w.leader = NewAllocator(w.limit, w.term, c.at(w.now))
 	w.clocks[w.leader] = c
 }
 
-// ask is a member's question: it is confirmed some time after, by whoever leads then, answered a moment later, and heard later still.
-func (w *world) ask(i int) {
-	w.question(i, w.limit.Period)
-	w.after(w.up(w.limit.Period)+w.limit.Period/50, func() { w.ask(i) })
+// requestAgain has a member send requests again and again: each is confirmed some time later, by the leader of that time, answered after
+// that, and the response arrives later still.
+func (w *world) requestAgain(i int) {
+	w.request(i, w.limit.Period)
+	w.after(w.upTo(w.limit.Period)+w.limit.Period/50, func() { w.requestAgain(i) })
 }
 
-func (w *world) question(i int, late time.Duration) {
-	m, asked := w.members[i], w.own[i].at(w.now)
-	q := m.NewRequest(w.r.IntN(w.limit.Units), asked)
-	w.after(w.up(late/2), func() {
-		d := w.leader
-		w.after(w.up(late/2), func() {
-			told := d.Allocate(q, w.clocks[d].at(w.now))
-			for range 1 + w.r.IntN(10)/9 { // the question comes twice now and then; only one answer is heard
-				if w.r.IntN(10) == 0 {
-					told = d.Allocate(q, w.clocks[d].at(w.now))
+func (w *world) request(i int, maxDelay time.Duration) {
+	consumer, requestedAt := w.members[i], w.memberClocks[i].at(w.now)
+	request := consumer.NewRequest(w.rand.IntN(w.limit.Units), requestedAt)
+	w.after(w.upTo(maxDelay/2), func() {
+		allocator := w.leader
+		w.after(w.upTo(maxDelay/2), func() {
+			allocation := allocator.Allocate(request, w.clocks[allocator].at(w.now))
+			for range 1 + w.rand.IntN(10)/9 { // now and then the request arrives twice; one response alone arrives
+				if w.rand.IntN(10) == 0 {
+					allocation = allocator.Allocate(request, w.clocks[allocator].at(w.now))
 				}
 			}
-			if told.Units > 0 && w.r.IntN(4) == 0 { // another one asks in the moment in which this part ends for the leader
-				ends := w.limit.Period
-				if w.clocks[d].fast {
-					ends = time.Duration(float64(ends) / (1 + lease.MaxDrift))
+			if allocation.Units > 0 && w.rand.IntN(4) == 0 { // another member sends a request at the moment at which this allocation ends for the leader
+				period := w.limit.Period
+				if w.clocks[allocator].fast {
+					period = time.Duration(float64(period) / (1 + lease.MaxDrift))
 				}
-				w.after(ends+time.Microsecond, func() { w.question(w.r.IntN(len(w.members)), 2) })
+				w.after(period+time.Microsecond, func() { w.request(w.rand.IntN(len(w.members)), 2) })
 			}
-			if w.r.IntN(5) > 0 {
-				w.after(w.up(late), func() { m.ApplyAllocation(asked, told, q.Finished) })
+			if w.rand.IntN(5) > 0 {
+				w.after(w.upTo(maxDelay), func() { consumer.ApplyAllocation(requestedAt, allocation, request.Finished) })
 			}
 		})
 	})
 }
 
-// check compares what members believe with the largest limit that counts.
+// check compares what members believe they may spend with the largest limit that counts.
 func (w *world) check() {
-	sum, most := w.limit.Floor, w.limit.Units
+	sum, limit := w.limit.Floor, w.limit.Units
 	for i, m := range w.members {
-		sum += m.Allocated(w.own[i].at(w.now))
+		sum += m.Allocated(w.memberClocks[i].at(w.now))
 	}
-	for i, until := range w.changed {
+	for i, until := range w.earlierUntil {
 		if w.now < until {
-			most = max(most, w.before[i])
+			limit = max(limit, w.earlierUnits[i])
 		}
 	}
-	if w.largest = max(w.largest, float64(sum)/float64(most)); sum > most && w.over == "" {
-		w.over = fmt.Sprintf("%v: %d of %d", w.now, sum, most)
+	if w.largest = max(w.largest, float64(sum)/float64(limit)); sum > limit && w.violation == "" {
+		w.violation = fmt.Sprintf("%v: %d of %d", w.now, sum, limit)
 	}
 }
 
 func play(seed uint64) *world {
-	w := &world{r: rand.New(rand.NewPCG(seed, 1)), clocks: map[*Allocator]clock{}}
-	w.limit = Limit{Name: "l", Units: 4 + w.r.IntN(40), Period: time.Second, Members: 8}
-	w.limit.Floor = w.r.IntN(w.limit.Units / 2)
+	w := &world{rand: rand.New(rand.NewPCG(seed, 1)), clocks: map[*Allocator]clock{}}
+	w.limit = Limit{Name: "l", Units: 4 + w.rand.IntN(40), Period: time.Second, Members: 8}
+	w.limit.Floor = w.rand.IntN(w.limit.Units / 2)
 	w.elect()
-	for i := range 2 + w.r.IntN(5) {
+	for i := range 2 + w.rand.IntN(5) {
 		w.members = append(w.members, NewConsumer(w.limit, fmt.Sprint("m", i), 1))
-		w.own = append(w.own, clock{w.r.IntN(2) == 0, lease.Instant(w.up(time.Hour))})
-		w.after(w.up(time.Second), func() { w.ask(i) })
+		w.memberClocks = append(w.memberClocks, clock{w.rand.IntN(2) == 0, lease.Instant(w.upTo(time.Hour))})
+		w.after(w.upTo(time.Second), func() { w.requestAgain(i) })
 	}
-	var spend, again func()
+	var spend, change func()
 	spend = func() {
-		i := w.r.IntN(len(w.members))
-		if w.members[i].Spend(w.own[i].at(w.now)) {
+		i := w.rand.IntN(len(w.members))
+		if w.members[i].Spend(w.memberClocks[i].at(w.now)) {
 			w.spent++
 		}
-		w.after(w.up(40*time.Millisecond)+5*time.Millisecond, spend)
+		w.after(w.upTo(40*time.Millisecond)+5*time.Millisecond, spend)
 	}
-	again = func() {
-		if w.r.IntN(3) > 0 {
+	change = func() {
+		if w.rand.IntN(3) > 0 {
 			w.elect()
 		} else {
-			units := max(w.limit.Floor, 1+w.r.IntN(2*w.limit.Units))
-			w.changed = append(w.changed, w.now+time.Duration(float64(w.limit.Period)*(1+lease.MaxDrift)))
-			w.before = append(w.before, w.limit.Units)
+			units := max(w.limit.Floor, 1+w.rand.IntN(2*w.limit.Units))
+			w.earlierUntil = append(w.earlierUntil, w.now+time.Duration(float64(w.limit.Period)*(1+lease.MaxDrift)))
+			w.earlierUnits = append(w.earlierUnits, w.limit.Units)
 			w.limit.Units = units
 			w.leader.SetUnits(units)
 		}
-		w.after(w.up(4*time.Second), again)
+		w.after(w.upTo(4*time.Second), change)
 	}
 	spend()
-	w.after(2*time.Second, again)
-	for w.now < 20*time.Second && w.over == "" {
-		e := heap.Pop(&w.queue).(event)
+	w.after(2*time.Second, change)
+	for w.now < 20*time.Second && w.violation == "" {
+		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		w.check() // just before, where most has been counted, and after
+		w.check() // just before the event, where the most is counted, and after it
 		e.do()
 		w.check()
 	}
 	return w
 }
 
-// Over schedules drawn from seeds, with clocks at the ends of their bound: what members believe is never more than the limit. SCHEDULES in
-// the environment says how many.
+// Over schedules drawn from seeds, with clocks at the ends of their bound, members never believe that they may spend more than the limit.
+// SCHEDULES of the environment says how many schedules.
 func TestNeverOverTheLimit(t *testing.T) {
 	n := 2000
 	fmt.Sscan(os.Getenv("SCHEDULES"), &n)
 	largest, spent := 0.0, 0
-	const players = 3 // others test processes meanwhile
-	var sides sync.WaitGroup
+	const players = 3 // other packages are tested at the same time
+	var workers sync.WaitGroup
 	var mu sync.Mutex
 	for first := range players {
-		sides.Go(func() {
+		workers.Go(func() {
 			for seed := first; seed < n; seed += players {
 				w := play(uint64(seed))
-				if w.over != "" {
-					t.Errorf("seed %d: %s", seed, w.over)
+				if w.violation != "" {
+					t.Errorf("seed %d: %s", seed, w.violation)
 					return
 				}
 				mu.Lock()
@@ -191,22 +192,22 @@
 			}
 		})
 	}
-	sides.Wait()
+	workers.Wait()
 	t.Logf("%d schedules, %d uses, at most %.3f of the limit", n, spent, largest)
 	if largest < 0.99 {
 		t.Error("the limit is never used up: the test shows nothing")
 	}
 }
 
-// crowd is members that want so much a period each, of which every one asks when it was told to.
+// crowd is members with a demand each, which send requests when RetryAfter says so.
 type crowd struct {
-	d     *Allocator
-	limit Limit
-	got   map[string]int
-	asks  int
+	allocator *Allocator
+	limit     Limit
+	received  map[string]int
+	requests  int
 }
 
-func (c *crowd) run(from, to time.Duration, members int, want func(i int) int) (got int) {
+func (c *crowd) run(from, to time.Duration, members int, demand func(i int) int) (got int) {
 	next := map[int]time.Duration{}
 	step := c.limit.Period / 50
 	for now := from; now < to; now += step {
@@ -214,12 +215,12 @@
 			if now < next[i] {
 				continue
 			}
-			c.asks++
+			c.requests++
 			name := fmt.Sprint("m", i)
-			told := c.d.Allocate(AllocationRequest{Member: name, Demand: want(i), Weight: 1 + float64(i%2)}, lease.Instant(now))
-			c.got[name] += told.Units
-			got += told.Units
-			if next[i] = now + told.RetryAfter; told.RetryAfter == 0 {
+			allocation := c.allocator.Allocate(AllocationRequest{Member: name, Demand: demand(i), Weight: 1 + float64(i%2)}, lease.Instant(now))
+			c.received[name] += allocation.Units
+			got += allocation.Units
+			if next[i] = now + allocation.RetryAfter; allocation.RetryAfter == 0 {
 				next[i] = now + c.limit.Period/2
 			}
 		}
@@ -227,13 +228,13 @@
 	return got
 }
 
-// Fair by weight, nobody at nothing, and the limit is used up: whatever members there are, and however they come.
+// Allocations are fair by weight, no member gets nothing, and the limit is used up, whatever members there are and however they come.
 func TestFair(t *testing.T) {
 	const period = time.Second
 	begin := func(units int) *crowd {
 		l := Limit{Name: "l", Units: units, Period: period, Members: 4000}
-		d := NewAllocator(l, 1, 0)
-		return &crowd{d: d, limit: l, got: map[string]int{}}
+		allocator := NewAllocator(l, 1, 0)
+		return &crowd{allocator: allocator, limit: l, received: map[string]int{}}
 	}
 	within := func(what string, got, low, high int) {
 		t.Helper()
@@ -243,51 +244,51 @@
 	}
 	c := begin(20) // 2,000 that start at once, a hundredth of a unit each
 	within("a crowd, over 200 periods", c.run(period, 201*period, 2000, func(int) int { return 1 }), 200*20*10/12, 201*20)
-	least, most := 1<<30, 0
+	smallest, largest := 1<<30, 0
 	for i := range 2000 {
-		n := c.got[fmt.Sprint("m", i)] * 2 / (1 + i%2)
-		least, most = min(least, n), max(most, n)
+		n := c.received[fmt.Sprint("m", i)] * 2 / (1 + i%2)
+		smallest, largest = min(smallest, n), max(largest, n)
 	}
-	within("the one with least for its weight", least, 1, 3)
-	within("the one with most for its weight", most, 1, 5)
-	t.Logf("2,000 members at 20 units a period: %d to %d for a weight, %.1f questions a period", least, most, float64(c.asks)/200)
+	within("the one with least for its weight", smallest, 1, 3)
+	within("the one with most for its weight", largest, 1, 5)
+	t.Logf("2,000 members at 20 units a period: %d to %d for a weight, %.1f questions a period", smallest, largest, float64(c.requests)/200)
 
-	c = begin(100) // one wants half of everything, all together more than there is
+	c = begin(100) // one wants as much as all others, and all together more than there is
 	large := func(i int) int { return map[bool]int{true: 100, false: 10}[i == 0] }
 	c.run(period, 3*period, 11, large) // the first to come has all, for a period
-	c.got = map[string]int{}
+	c.received = map[string]int{}
 	c.run(3*period, 23*period, 11, large)
-	within("the large one", c.got["m0"], 20*6, 20*12)
-	within("a small one", c.got["m1"], 20*9, 21*10)
+	within("the large one", c.received["m0"], 20*6, 20*12)
+	within("a small one", c.received["m1"], 20*9, 21*10)
 
-	c = begin(100) // as many again come, and the limit halves
+	c = begin(100) // as many members again come, and the limit is halved
 	c.run(period, 6*period+period/2, 10, func(int) int { return 10 })
-	before := c.got["m0"]
-	c.d.SetUnits(50)
-	if got := c.d.Outstanding(lease.Instant(6*period + period/2)); got < 90 {
-		t.Errorf("%d are out", got)
+	before := c.received["m0"]
+	c.allocator.SetUnits(50)
+	if got := c.allocator.Outstanding(lease.Instant(6*period + period/2)); got < 90 {
+		t.Errorf("%d are outstanding", got)
 	}
 	within("all, in nine periods and a half of the half", c.run(6*period+period/2, 16*period, 20, func(int) int { return 10 }), 9*50*10/13, 10*50)
-	within("an old one of weight 1, of its part", c.got["m0"]-before, 8, 25)
-	if got := c.d.Outstanding(lease.Instant(16 * period)); got > 50 {
-		t.Errorf("%d are out of 50", got)
+	within("an old member of weight 1, of its share", c.received["m0"]-before, 8, 25)
+	if got := c.allocator.Outstanding(lease.Instant(16 * period)); got > 50 {
+		t.Errorf("%d of 50 are outstanding", got)
 	}
 
 	l := Limit{Name: "l", Units: 10, Period: period, Members: 2}
-	d := NewAllocator(l, 1, 0)
-	for i, want := range []int{1, 1, 0} { // one more than the limit knows of gets nothing
-		if told := d.Allocate(AllocationRequest{Member: fmt.Sprint(i), Demand: 5}, lease.Instant(period+time.Duration(i))); min(told.Units, 1) != want {
-			t.Errorf("member %d: %+v", i, told)
+	allocator := NewAllocator(l, 1, 0)
+	for i, want := range []int{1, 1, 0} { // a member beyond the number of the limit gets nothing
+		if allocation := allocator.Allocate(AllocationRequest{Member: fmt.Sprint(i), Demand: 5}, lease.Instant(period+time.Duration(i))); min(allocation.Units, 1) != want {
+			t.Errorf("member %d: %+v", i, allocation)
 		}
 	}
 }
 
-// A member that is told nothing uses its floor and no more; what it gives back it does not spend; what is wrong with a limit is said.
-func TestTaker(t *testing.T) {
+// A member without an allocation uses its floor and no more; what it returns it does not spend; a limit that is wrong is refused.
+func TestConsumer(t *testing.T) {
 	l := Limit{Name: "l", Units: 100, Floor: 10, Members: 5, Period: time.Second}
-	m, uses := NewConsumer(l, "m", 1), 0
+	consumer, uses := NewConsumer(l, "m", 1), 0
 	for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
-		if m.Spend(lease.Instant(at)) {
+		if consumer.Spend(lease.Instant(at)) {
 			uses++
 		}
 	}
@@ -295,24 +296,24 @@
 		t.Errorf("%d uses of the floor in ten periods", uses)
 	}
 	now := lease.Instant(10 * time.Second)
-	m.ApplyAllocation(now, Allocation{ID: 1, Units: 4}, nil)
-	m.ApplyAllocation(now-lease.Instant(time.Millisecond), Allocation{ID: 2, Units: 3}, nil) // it crossed
-	if !m.Spend(now) || m.Remaining(now) != 6 {
-		t.Error(m.Remaining(now))
+	consumer.ApplyAllocation(now, Allocation{ID: 1, Units: 4}, nil)
+	consumer.ApplyAllocation(now-lease.Instant(time.Millisecond), Allocation{ID: 2, Units: 3}, nil) // out of order
+	if !consumer.Spend(now) || consumer.Remaining(now) != 6 {
+		t.Error(consumer.Remaining(now))
 	}
-	q := m.NewRequest(3, now)
-	if len(q.Finished) != 1 || q.Finished[0] != (Usage{1, 1}) || q.Demand != 0 || m.Remaining(now) != 3 {
-		t.Errorf("%+v", q)
+	request := consumer.NewRequest(3, now)
+	if len(request.Finished) != 1 || request.Finished[0] != (Usage{1, 1}) || request.Demand != 0 || consumer.Remaining(now) != 3 {
+		t.Errorf("%+v", request)
 	}
-	if again := m.NewRequest(3, now); len(again.Finished) != 1 {
-		t.Error("what was not heard is not told again")
+	if again := consumer.NewRequest(3, now); len(again.Finished) != 1 {
+		t.Error("a usage that was not acknowledged is not reported again")
 	}
-	m.ApplyAllocation(now, Allocation{}, q.Finished)
-	if again := m.NewRequest(3, now); len(again.Finished) != 0 {
-		t.Error("what was heard is told again")
+	consumer.ApplyAllocation(now, Allocation{}, request.Finished)
+	if again := consumer.NewRequest(3, now); len(again.Finished) != 0 {
+		t.Error("a usage that was acknowledged is reported again")
 	}
-	if end := now + lease.Instant(time.Second); m.Remaining(end-lease.Instant(9*time.Millisecond)) != 0 {
-		t.Error("it believes as long as the leader counts")
+	if end := now + lease.Instant(time.Second); consumer.Remaining(end-lease.Instant(9*time.Millisecond)) != 0 {
+		t.Error("the member believes for as long as the leader counts")
 	}
 	for want, bad := range map[string]Limit{"name": {}, "units": {Name: "l", Units: -1}, "period": {Name: "l", Units: 1}, "floor": {Name: "l", Units: 1, Period: time.Second, Floor: 2}, "members": {Name: "l", Units: 1, Period: time.Second}} {
 		if err := bad.Check(); err == nil || err.Error()[:len(want)] != want {
