--- a/cmd/petrelhook-agent/change_test.go
+++ b/cmd/petrelhook-agent/change_test.go
@@ -12,7 +12,7 @@
 	"petrelhook/internal/rig/deployment"
 )
 
-// The test's program is a bad sidecar as well.
+// The test's program is also the sidecar of a bad release.
 func TestMain(m *testing.M) {
 	if kind := os.Getenv(deployment.BadVariable); kind != "" {
 		if err := deployment.Bad(kind); err != nil {
@@ -26,8 +26,8 @@
 	os.Exit(code)
 }
 
-// newSite is a site under load. The programs that it starts are built without the race detector, which would see the rig alone: one test
-// is played under it, the others are not.
+// newSite is a deployment under load. The programs that it starts are built without the race detector, which would see the rig alone: one
+// test is run under it, the others are not.
 func newSite(t *testing.T, sidecars, rate int, faults string, change func(*deployment.Deployment)) *deployment.Site {
 	if raced && t.Name() != "TestStoppedProcesses" {
 		t.Skip("the programs are not built with the race detector")
@@ -35,16 +35,16 @@
 	return deployment.NewSite(t, func() string { return peertest.Reserved(t) }, sidecars, rate, faults, change)
 }
 
-// short is a plan of two stages, the first of which is judged.
+// short is a plan with two stages, the first of which is judged.
 const short = "at_once: 2\npatience: 3m\njudge: {effect: 0.15}\nstages:\n  - {count: 2, control: 2}\n  - {share: 1}\n"
 
-// worse is a release that is bad in one way, for the plan of two stages.
+// worse is a release that is bad in one way, for the plan with two stages.
 func worse(name, script, why string) deployment.Worse {
 	return deployment.Worse{Name: name, Script: script, Why: why, Plan: short}
 }
 
-// A release that is the old one under another name goes through its stages while a third of the servers is slow; one that is worse in
-// one way each is stopped in the first stage and taken back. No request meets a change by itself.
+// A release that is the old one under another name passes its stages while a third of the servers is slow; releases that are worse in one
+// way each are stopped in the first stage and rolled back. No request is affected by a change alone.
 func TestReleases(t *testing.T) {
 	s := newSite(t, 6, 240, "at 2s cell:1 slow x4 for 10s\n", nil)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
@@ -67,8 +67,8 @@
 	s.Check()
 }
 
-// A release that takes from the servers what the old sidecars need: the old ones do worse than before, and the change pauses. What is
-// wrong with a plan is said before anything moves.
+// A release uses up capacity of the servers that the old sidecars need: those do worse than before, and the change pauses. An invalid
+// plan is refused before anything changes.
 func TestAReleaseThatHarmsOthers(t *testing.T) {
 	s := newSite(t, 6, 240, "", nil)
 	id := s.BadRelease("takes from others")
@@ -101,17 +101,17 @@
 	}
 }
 
-// Releases that end by themselves. Requests that they had taken end with them.
+// Releases whose processes end by themselves. The requests that they had accepted end with them.
 func TestReleasesThatEnd(t *testing.T) {
 	s := newSite(t, 6, 120, "", nil)
 	s.Worse(s.Old, []deployment.Worse{worse("dies at start", "exit 1", "ended before it was ready"), worse("dies in its trial", `(sleep 0.5; kill -9 $$) & exec $REAL "$@"`, "ended in its trial"),
 		worse("dies later", `(sleep 4; kill -9 $$) & exec $REAL "$@"`, "it ended")})
 }
 
-// A release that is bad under load alone is not stopped while nothing happens, and is in its first stage as the load rises.
+// A release that is bad under load alone is not stopped while there is little load; it is stopped in its first stage once the load rises.
 func TestAReleaseThatIsBadUnderLoad(t *testing.T) {
 	began := time.Now()
-	const rises = 18 * time.Second // after the load's begin
+	const rises = 18 * time.Second // after the load began
 	s := newSite(t, 6, 240, "arrive step 1/s..600/s at=18s poisson\n", nil)
 	if _, err := s.Begin(deployment.Plan(s.Old, s.BadRelease("under load"), strings.Replace(short, "control: 2", "control: 2, least: 60s", 1))); err != nil {
 		t.Fatal(err)
@@ -126,7 +126,7 @@
 	s.Check()
 }
 
-// A good release is not stopped for what it did not do: while it is rolled out servers are deployed, discovery is out, and load doubles.
+// A good release is not stopped for the faults of others: while it is rolled out, servers are deployed, discovery is down, and load doubles.
 func TestAGoodReleaseInBadTimes(t *testing.T) {
 	s := newSite(t, 6, 240, "rules cold-from=50% cold-time=2s\nat 3s all roll batch=2 every=3s drain=500ms down=500ms cold=50% warm=2s\nat 5s discovery down for 6s\narrive step 1/s..240/s at=8s poisson\n", nil)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
--- a/cmd/petrelhook-agent/faults_test.go
+++ b/cmd/petrelhook-agent/faults_test.go
@@ -25,8 +25,8 @@
 
 const twoStages = "at_once: 2\nunavailable: 3\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 1}\n  - {share: 1}\n"
 
-// The coordinator that drives a change is killed, again and again, and one is stopped and goes on with what it had in hand: the change
-// comes to its end, each sidecar is changed once, and what the one that was stopped says is refused.
+// The coordinator that drives a change is killed again and again, and one is paused and continues with calls in flight: the change
+// completes, each sidecar is changed once, and the calls of the one that was paused are refused.
 func TestDriversThatDie(t *testing.T) {
 	s := newSite(t, 6, 200, "", nil)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
@@ -64,10 +64,10 @@
 	for _, a := range s.Agents {
 		starts += strings.Count(a.Log.String(), "msg=started")
 	}
-	if starts != 6+6+1 { // first, changed, and the control
+	if starts != 6+6+1 { // at first, changed, and the control
 		t.Errorf("%d starts", starts)
 	}
-	for _, token := range []uint64{1, 1 << 40} { // an older driver; a newer one that says an order once more
+	for _, token := range []uint64{1, 1 << 40} { // an older driver; a newer one that repeats an order
 		order := machine.Order{Version: machine.Version, Application: deployment.Application, Token: token, Order: rollout.Order{Number: 1, Sidecar: "n00", Release: string(s.Old)}}
 		res, err := rpc.Client[machine.Order, machine.OrderResponse](http.DefaultClient, s.Agents[0].Link.Addr, machine.PathOrder, 1<<20).CallUnary(t.Context(), connect.NewRequest(&order))
 		if token == 1 && connect.CodeOf(err) != connect.CodeAborted || token > 1 && (err != nil || !res.Msg.Known) {
@@ -77,8 +77,8 @@
 	s.Check()
 }
 
-// kill kills agents in turn, each within a time, and starts them again, until the function that it gives is called, or the test ends: how
-// many it were.
+// kill kills one agent after the other, each after a random time up to within, and starts it again, until the function that it returns is
+// called or the test ends. That function returns the number of kills.
 func kill(t *testing.T, s *deployment.Site, within time.Duration) (end func() int) {
 	stop, ended := make(chan struct{}), make(chan struct{})
 	kills := 0
@@ -105,8 +105,8 @@
 	return func() int { enough(); return kills }
 }
 
-// An agent is killed at any moment of a change, and started again: no sidecar ever has a third process or none, and the change comes to
-// its end.
+// Agents are killed at random moments of a change and started again: no sidecar ever has a third process or none, and the change
+// completes.
 func TestAgentsThatDie(t *testing.T) {
 	s := newSite(t, 6, 200, "", func(d *deployment.Deployment) { // a trial begins anew with the agent
 		d.Limits = "{ready: 15s, trial: 300ms, end: 4s, look: 50ms, cut_off: 20s, heard: 4s, restart_pause: 200ms}"
@@ -125,8 +125,8 @@
 	s.Check()
 }
 
-// A third of the agents is cut off in the middle of a stage, and the change is aborted meanwhile: what is in reach is taken back at once;
-// those that are cut off go back by themselves, and are found so.
+// A third of the agents is isolated in the middle of a stage, and the change is aborted meanwhile: the sidecars in reach are rolled back at
+// once; those that are isolated fall back by themselves, and their status says so later.
 func TestAgentsThatAreCutOff(t *testing.T) {
 	s := newSite(t, 6, 200, "", func(d *deployment.Deployment) {
 		d.PerAgent = 2
@@ -157,8 +157,8 @@
 	s.Check()
 }
 
-// A sidecar is stopped in the middle of a stage: the change waits for it, and pauses. Then its agent is stopped, and the change is
-// aborted meanwhile: the order to go back, said again and again, is carried out once as the agent goes on.
+// A sidecar is suspended in the middle of a stage: the change waits for it, and pauses. Then its agent is suspended, and the change is
+// aborted meanwhile: the order to roll back, repeated at every poll, is carried out once when the agent continues.
 func TestStoppedProcesses(t *testing.T) {
 	s := newSite(t, 4, 100, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
@@ -187,8 +187,8 @@
 	}
 }
 
-// A machine is back after weeks: what its sidecar ran is no longer there. It takes the fleet's word for what is confirmed, and nothing
-// else; until it is told it starts nothing.
+// A machine comes back after weeks, and the release of its sidecars is no longer there. It starts nothing until a driver says which
+// release is confirmed.
 func TestAMachineThatIsBackAfterWeeks(t *testing.T) {
 	s := newSite(t, 4, 60, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -10,7 +10,7 @@
 	"petrelhook/internal/rig/deployment"
 )
 
-// The harm of a bad release within some time of its begin: judged in stages, in stages by the clock, and all at once; 12 sidecars, one load.
+// The harm that a bad release does within some time: judged in stages, in stages by the clock, and all at once; 12 sidecars, the same load.
 func TestFiguresOfHarm(t *testing.T) {
 	peertest.Figures(t)
 	const horizon = 40 * time.Second
@@ -59,7 +59,7 @@
 	}
 }
 
-// Good changes of 12 sidecars in three stages, one after the other, there and back: none is stopped, and no request meets them.
+// Good changes of 12 sidecars in three stages, one after the other, forth and back: none is stopped, and no request is affected.
 func TestFiguresOfGoodChanges(t *testing.T) {
 	peertest.Figures(t)
 	s := newSite(t, 12, 1500, "", nil)
--- a/cmd/petrelhook-agent/main_test.go
+++ b/cmd/petrelhook-agent/main_test.go
@@ -26,7 +26,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "a.yaml")
 	for want, c := range map[string][2]string{
-		"a.yaml:2:1: aplication: unknown field":                            {"application:", "aplication:"},
+		"a.yaml:2:1: app: unknown field":                                   {"application:", "app:"},
 		"a.yaml:2:1: data: missing":                                        {"data: /var/lib/petrelagent\n", ""},
 		"a.yaml:2:1: release: missing":                                     {"release: 0123", "#"},
 		"a.yaml:2:1: listen: 10.0.0.1:7500 is not of loopback":             {"listen: 127.0.0.1:7500", "listen: 10.0.0.1:7500"},
--- a/cmd/petrelhook-agent/version_test.go
+++ b/cmd/petrelhook-agent/version_test.go
@@ -17,15 +17,15 @@
 	"petrelhook/internal/rig/link"
 )
 
-// listed is a site whose servers are listed at two places, and whose agents take versions.
+// listed is a deployment whose servers are listed at two addresses, and whose agents receive versions.
 type listed struct {
 	*deployment.Site
 	lists [2]*link.Link // both lead to the one list
 }
 
-func newListed(t *testing.T, sidecars, rate int) *listed {
+func newListed(t *testing.T, rate int) *listed {
 	s := &listed{}
-	s.Site = newSite(t, sidecars, rate, "", func(d *deployment.Deployment) {
+	s.Site = newSite(t, 6, rate, "", func(d *deployment.Deployment) {
 		d.Versions = true
 		d.Discovery = func(addr string) string {
 			for i := range s.lists {
@@ -38,7 +38,7 @@
 	return s
 }
 
-// live is a version that sidecars take as they run; changed is one that takes a hand-over.
+// live is a version that sidecars reload for; changed is one that needs a new process.
 func (s *listed) live(list int) string { return fmt.Sprintf(`{"discovery": %q}`, s.lists[list].Addr) }
 
 func (s *listed) changed(list int, from, to string) string {
@@ -53,7 +53,7 @@
 	return s.changed(list, `"quantum_ms":2`, fmt.Sprintf(`"quantum_ms":%d`, ms))
 }
 
-// serving is the processes that serve, of all sidecars.
+// serving returns the serving processes of all sidecars.
 func (s *listed) serving() (all []int) {
 	for _, a := range s.Agents {
 		for _, k := range a.Kept() {
@@ -65,10 +65,10 @@
 	return all
 }
 
-// A version is published once and is in force on all sidecars: one that they take as they run, without a new process,
-// and one that takes a hand-over. No request meets it.
+// A version is published once and comes into force on all sidecars: one that they reload for, without a new process, and one that needs
+// new processes. No request is affected.
 func TestAVersionInForceOnAll(t *testing.T) {
-	s := newListed(t, 6, 240)
+	s := newListed(t, 240)
 	end := s.NeverBack(t)
 	before := s.serving()
 	took := s.UntilInForce(20*time.Second, s.Publish(s.live(1)))
@@ -77,7 +77,7 @@
 	}
 	t.Logf("as they run: %v", took.Round(10*time.Millisecond))
 	moved := fmt.Sprintf(`msg=reloaded discovery=%s moved=true`, s.lists[1].Addr)
-	s.lists[0].Hold(link.Back, true) // nobody needs it any more
+	s.lists[0].Hold(link.Back, true) // it is no longer used
 	for _, a := range s.Agents {
 		for _, name := range []string{"n00", "n01", "n02", "n03", "n04", "n05"} {
 			if text, err := os.ReadFile(filepath.Join(a.Dir, "data", "log-"+name+"-1")); err == nil && !strings.Contains(string(text), moved) {
@@ -110,10 +110,10 @@
 	s.Check()
 }
 
-// A version that the sidecar's program does not take is refused by all, each with the program's own line; what is in
-// force serves on, and a later good one gets in.
+// A version that the sidecar's program rejects is refused by all, each with the line that the program wrote; the version in force goes on
+// serving, and a later good one is applied.
 func TestAVersionThatTheSidecarRefuses(t *testing.T) {
-	s := newListed(t, 6, 120)
+	s := newListed(t, 120)
 	end := s.NeverBack(t)
 	first := s.Publish(s.live(1))
 	s.UntilInForce(20*time.Second, first)
@@ -151,14 +151,14 @@
 	s.Check()
 }
 
-// Two versions within a second: the newer one is in force on all, whichever way each goes in, and nothing goes back.
+// Two versions within a second: the newer one comes into force on all, whichever way each is applied, and never an older one again.
 func TestTwoVersionsWithinASecond(t *testing.T) {
-	s := newListed(t, 6, 200)
+	s := newListed(t, 200)
 	end := s.NeverBack(t)
 	for i, texts := range [][2]string{{s.quantum(0, 3), s.quantum(0, 4)}, {s.live(0), s.live(1)}, {s.live(0), s.quantum(1, 5)}, {s.quantum(0, 6), s.live(1)}} {
 		began := time.Now()
 		s.Publish(texts[0])
-		<-time.After(rand.N(700 * time.Millisecond)) // at any moment of the first one's way
+		<-time.After(rand.N(700 * time.Millisecond)) // at a random moment of the first one's application
 		newer := s.Publish(texts[1])
 		if gap := time.Since(began); gap > time.Second {
 			t.Logf("they are %v apart", gap)
@@ -174,10 +174,10 @@
 	s.Check()
 }
 
-// A version that is published while a rollout goes on, and a rollout that begins while a version goes in: both come
-// to their end on all sidecars, and the rollout is not stopped for it.
+// A version is published during a rollout, and a rollout begins while a version is applied: both complete on all sidecars, and the
+// rollout is not stopped for it.
 func TestAVersionAndARollout(t *testing.T) {
-	s := newListed(t, 6, 240)
+	s := newListed(t, 240)
 	end := s.NeverBack(t)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	if _, err := s.Begin(deployment.Plan(s.Old, good, "at_once: 2\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {share: 1}\n")); err != nil {
@@ -216,11 +216,11 @@
 	s.Check()
 }
 
-// Coordinators are killed, stopped and cut off while versions are on their way: sidecars serve on, the newest is in
-// force on all within a bound of the moment at which two of three are back, and never an older one.
+// Coordinators are killed, suspended and isolated while versions are distributed: sidecars go on serving, the newest version is in force
+// on all within a bound from the moment when two of three are back, and never an older one.
 func TestCoordinatorsThatDie(t *testing.T) {
 	const bound = 20 * time.Second
-	s := newListed(t, 6, 200)
+	s := newListed(t, 200)
 	end := s.NeverBack(t)
 	n := 0
 	publish := func() distribute.Revision {
@@ -244,7 +244,7 @@
 	for _, m := range s.All {
 		m.Wait()
 	}
-	<-time.After(3 * time.Second) // for some seconds there is nobody
+	<-time.After(3 * time.Second) // for some seconds there is no coordinator
 	for _, m := range s.All {
 		m.Start()
 	}
@@ -254,7 +254,7 @@
 	stopped.Stop()
 	newest = publish()
 	s.UntilHeard(bound, "the others tell", func(sum distribute.Summary) bool { return sum.Newest == newest && sum.InForce > 0 })
-	stopped.Continue() // it knows an older one, and says nothing until it knows better
+	stopped.Continue() // it knows an older one, and sends nothing until it has caught up
 	t.Logf("one was stopped: %v", s.UntilInForce(bound, newest).Round(10*time.Millisecond))
 
 	for _, in := range []bool{true, false} {
@@ -266,7 +266,7 @@
 	}
 	leader = s.NewLeader(-1)
 	direct := []string{s.Serves(s.All[leader].Process)}
-	s.Clients[leader].Hold(link.Back, true) // what it says to agents does not come; it is asked by another way
+	s.Clients[leader].Hold(link.Back, true) // its answers to agents are lost; they ask another coordinator
 	n++
 	newest = s.PublishAt(direct, s.live(n%2))
 	t.Logf("one is not heard by agents: %v", s.UntilInForce(bound, newest).Round(10*time.Millisecond))
@@ -276,10 +276,10 @@
 	s.Check()
 }
 
-// Agents are killed at random moments while versions go in, by a hand-over and live: nothing goes back, no sidecar
+// Agents are killed at random moments while versions are applied by reloads and by new processes: no older version comes back, no sidecar
 // has a third process, and the newest is in force on all.
 func TestAgentsKilledInAVersion(t *testing.T) {
-	s := newListed(t, 6, 200)
+	s := newListed(t, 200)
 	killed := kill(t, s.Site, 1500*time.Millisecond)
 	end := s.NeverBack(t)
 	for i := range 6 {
--- a/internal/coordination/agent/configuration_test.go
+++ b/internal/coordination/agent/configuration_test.go
@@ -14,100 +14,99 @@
 	"petrelhook/internal/coordination/distribute"
 )
 
-// kind is what becomes of a version where it is tried.
-type kind uint8
+// versionKind says what happens when a version is applied.
+type versionKind uint8
 
 const (
-	good       kind = iota // by a change
-	live                   // by the process that serves
-	unchecked              // the program does not take it
-	neverReady             // its process never says yes
-	diesLater              // its process ends in its trial
-	diesAtOnce             // its process ends before it says yes
+	good       versionKind = iota // applied by a change
+	live                          // applied by a reload
+	unchecked                     // the program rejects it
+	neverReady                    // its process never becomes ready
+	diesLater                     // its process ends in its trial
+	diesAtOnce                    // its process ends before it is ready
 	kinds
 )
 
-// site carries out what a sidecar says, in a world of processes that are started with versions. Its agent may be
-// killed at any moment.
-type site struct {
-	t       testing.TB
-	s       *Sidecar
-	now     time.Duration
-	pid     int
-	alive   []Process
-	runs    map[int]distribute.Revision // by process number: as its file was when it read it
-	trial   map[int]time.Duration       // by process number: since when it says yes
-	kinds   map[distribute.Revision]kind
-	newest  distribute.Revision
-	silent  bool            // processes do not tell what they run
-	deaf    bool            // processes do not hear that they are to read their file
-	unknown bool            // the program can't be asked
-	killed  func() bool     // whether the agent is killed now
-	check   func(do Action) // what is to be true of what is done
-	kept    json.RawMessage // as it is on the disk
-	unseen  *Process        // started by an agent that was killed before it could say so
-	most    int
-	todo    []Action // of an agent that is not killed
+// world carries out the actions of a sidecar on simulated processes that are started with versions. Its agent may be killed at any
+// moment.
+type world struct {
+	t                testing.TB
+	sidecar          *Sidecar
+	now              time.Duration
+	pid              int
+	alive            []Process
+	runningVersions  map[int]distribute.Revision // by PID: the version that it read
+	readySince       map[int]time.Duration       // by PID
+	kinds            map[distribute.Revision]versionKind
+	newest           distribute.Revision
+	noDigests        bool            // processes report no digest
+	ignoresReload    bool            // processes do not get the signal
+	checkUnavailable bool            // checks cannot be made
+	agentKilled      func() bool     // whether the agent is killed at this point
+	checkAction      func(Action)    // checks what must hold of each action
+	persisted        json.RawMessage // as it is on the disk
+	unnotedStart     *Process        // started by an agent that was killed before it could note so
+	maxProcesses     int
 }
 
-func newSite(t testing.TB) *site {
-	w := &site{t: t, runs: map[int]distribute.Revision{}, trial: map[int]time.Duration{}, kinds: map[distribute.Revision]kind{},
-		killed: func() bool { return false }, check: func(Action) {}}
-	w.s = New("old", testLimits)
-	w.do(w.s.Tick(0))
-	w.pass(time.Second)
+func newWorld(t testing.TB) *world {
+	w := &world{t: t, runningVersions: map[int]distribute.Revision{}, readySince: map[int]time.Duration{}, kinds: map[distribute.Revision]versionKind{},
+		agentKilled: func() bool { return false }, checkAction: func(Action) {}}
+	w.sidecar = New("old", testLimits)
+	w.carryOut(w.sidecar.Tick(0))
+	w.advance(time.Second)
 	return w
 }
 
-func (w *site) save() {
-	text, err := json.Marshal(w.s.PersistedState)
+func (w *world) save() {
+	text, err := json.Marshal(w.sidecar.PersistedState)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.kept = text
+	w.persisted = text
 }
 
-// do does what is to be done; false: the agent was killed and begun again, and what was to be done is lost.
-func (w *site) do(todo []Action) bool {
-	for len(todo) > 0 {
+// carryOut carries out actions. It returns false if the agent was killed and restarted; then the rest of them is lost.
+func (w *world) carryOut(actions []Action) bool {
+	for len(actions) > 0 {
 		w.save()
-		if w.killed() {
-			w.again()
+		if w.agentKilled() {
+			w.restartAgent()
 			return false
 		}
-		d := todo[0]
-		todo = todo[1:]
-		w.check(d)
+		action := actions[0]
+		actions = actions[1:]
+		w.checkAction(action)
 		switch {
-		case d.Start != "":
+		case action.Start != "":
 			w.pid++
-			p := Process{PID: w.pid, StartTicks: uint64(w.pid), Release: d.Start, StartNumber: w.s.StartCount}
-			w.alive, w.runs[w.pid] = append(w.alive, p), d.Version
-			w.most = max(w.most, len(w.alive))
-			if w.unseen = &p; w.killed() {
-				w.again()
+			p := Process{PID: w.pid, StartTicks: uint64(w.pid), Release: action.Start, StartNumber: w.sidecar.StartCount}
+			w.alive, w.runningVersions[w.pid] = append(w.alive, p), action.Version
+			w.maxProcesses = max(w.maxProcesses, len(w.alive))
+			if w.unnotedStart = &p; w.agentKilled() {
+				w.restartAgent()
 				return false
 			}
-			w.unseen = nil
-			todo = append(todo, w.s.ProcessStarted(w.now, p)...)
-		case d.Term != nil:
-			todo = append(todo, w.die(*d.Term)...)
-		case d.Kill != nil:
-			todo = append(todo, w.die(*d.Kill)...)
-		case d.Reload != nil:
-			if !w.deaf && slices.Contains(w.alive, *d.Reload) {
-				w.runs[d.Reload.PID] = d.Version
+			w.unnotedStart = nil
+			actions = append(actions, w.sidecar.ProcessStarted(w.now, p)...)
+		case action.Term != nil:
+			actions = append(actions, w.exit(*action.Term)...)
+		case action.Kill != nil:
+			actions = append(actions, w.exit(*action.Kill)...)
+		case action.Reload != nil:
+			if !w.ignoresReload && slices.Contains(w.alive, *action.Reload) {
+				w.runningVersions[action.Reload.PID] = action.Version
 			}
-			w.s.ReloadRequested(w.now, *d.Reload, digest(d.Version), nil)
-		case d.Check != nil:
-			v := CheckResult{Reloadable: w.kinds[d.Check.Version] == live}
-			if w.kinds[d.Check.Version] == unchecked {
+			w.sidecar.ReloadRequested(w.now, *action.Reload, digest(action.Version), nil)
+		case action.Check != nil:
+			v := CheckResult{Reloadable: w.kinds[action.Check.Version] == live}
+			if w.kinds[action.Check.Version] == unchecked {
 				v.Rejection = "f.json:1:2: field: is bad"
 			}
-			if w.unknown {
+			if w.checkUnavailable {
 				v = CheckResult{Unavailable: "no program"}
 			}
-			todo = append(todo, w.s.CheckCompleted(w.now, *d.Check, v)...)
+			actions = append(actions, w.sidecar.CheckCompleted(w.now, *action.Check, v)...)
 		}
 	}
 	w.save()
@@ -116,258 +115,255 @@
 
 func digest(r distribute.Revision) string { return fmt.Sprint("of ", r) }
 
-func (w *site) die(p Process) []Action {
+func (w *world) exit(p Process) []Action {
 	i := slices.Index(w.alive, p)
 	if i < 0 {
 		return nil
 	}
 	w.alive = slices.Delete(w.alive, i, i+1)
-	return w.s.ProcessExited(w.now, p, "")
+	return w.sidecar.ProcessExited(w.now, p, "")
 }
 
-// again begins the agent anew, with what is kept.
-func (w *site) again() {
-	killed := w.killed
-	w.killed = func() bool { return false }
+// restartAgent restores the sidecar from the persisted state.
+func (w *world) restartAgent() {
+	killed := w.agentKilled
+	w.agentKilled = func() bool { return false }
 	var k PersistedState
-	if err := json.Unmarshal(w.kept, &k); err != nil {
+	if err := json.Unmarshal(w.persisted, &k); err != nil {
 		w.t.Fatal(err)
 	}
 	var found *Process
-	if p := w.unseen; p != nil && slices.Contains(w.alive, *p) && k.StartCount == p.StartNumber {
+	if p := w.unnotedStart; p != nil && slices.Contains(w.alive, *p) && k.StartCount == p.StartNumber {
 		found = p
 	}
-	w.unseen = nil
+	w.unnotedStart = nil
 	s, todo := Restore(k, testLimits, w.now, func(p Process) bool { return slices.Contains(w.alive, p) }, found)
-	w.s = s
-	w.s.SetNewestVersion(w.newest)
-	w.do(todo)
-	w.killed = killed
+	w.sidecar = s
+	w.sidecar.SetNewestVersion(w.newest)
+	w.carryOut(todo)
+	w.agentKilled = killed
 }
 
-// publish has the agent take a newer version.
-func (w *site) publish(k kind) distribute.Revision {
+// publish gives the agent a newer version.
+func (w *world) publish(k versionKind) {
 	w.newest++
 	w.kinds[w.newest] = k
-	w.s.SetNewestVersion(w.newest)
-	return w.newest
+	w.sidecar.SetNewestVersion(w.newest)
 }
 
-// pass lets time pass, and has the doors answer.
-func (w *site) pass(d time.Duration) {
+// advance lets time pass and probes the processes.
+func (w *world) advance(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.now += 500 * time.Millisecond
 		for _, p := range slices.Clone(w.alive) {
-			k := w.kinds[w.runs[p.PID]]
-			if k == diesAtOnce || k == diesLater && w.trial[p.PID] != 0 && w.now-w.trial[p.PID] > 2*time.Second {
-				w.do(w.die(p))
+			k := w.kinds[w.runningVersions[p.PID]]
+			if k == diesAtOnce || k == diesLater && w.readySince[p.PID] != 0 && w.now-w.readySince[p.PID] > 2*time.Second {
+				w.carryOut(w.exit(p))
 				continue
 			}
 			yes := k != neverReady
-			if yes && w.trial[p.PID] == 0 {
-				w.trial[p.PID] = w.now
+			if yes && w.readySince[p.PID] == 0 {
+				w.readySince[p.PID] = w.now
 			}
-			if !w.do(w.s.ReadinessObserved(w.now, p, yes)) {
+			if !w.carryOut(w.sidecar.ReadinessObserved(w.now, p, yes)) {
 				continue
 			}
-			if told := digest(w.runs[p.PID]); w.silent {
-				w.s.DigestReported(p, "")
+			if told := digest(w.runningVersions[p.PID]); w.noDigests {
+				w.sidecar.DigestReported(p, "")
 			} else {
-				w.s.DigestReported(p, told)
+				w.sidecar.DigestReported(p, told)
 			}
 		}
-		w.do(w.s.Tick(w.now))
+		w.carryOut(w.sidecar.Tick(w.now))
 	}
 }
 
-// stands judges how it stands: in force, refused and why, and what the one process runs.
-func (w *site) stands(what string, inForce, refused distribute.Revision, why string) {
+// requireState checks the versions in force and rejected, the reason, and that one process runs the version in force.
+func (w *world) requireState(what string, inForce, refused distribute.Revision, why string) {
 	w.t.Helper()
-	r := w.s.Report("n0")
+	r := w.sidecar.Report("n0")
 	if r.InForce != inForce || r.Refused != refused || !strings.Contains(r.Why, why) || why == "" && r.Why != "" ||
-		len(w.alive) != 1 || w.runs[w.alive[0].PID] != inForce || w.s.Phase != Idle {
-		w.t.Errorf("%s: %+v, %v, processes %v run %v", what, r, w.s.Phase, w.alive, w.runs)
+		len(w.alive) != 1 || w.runningVersions[w.alive[0].PID] != inForce || w.sidecar.Phase != Idle {
+		w.t.Errorf("%s: %+v, %v, processes %v run %v", what, r, w.sidecar.Phase, w.alive, w.runningVersions)
 	}
 }
 
-// Each way in which a version goes in or does not, one after the other: what is refused leaves what is in force as it
-// is, and is not tried again, and the next one gets in.
+// Each way in which a version is applied or rejected, one after the other: a rejected version leaves the one in force as it is, is not
+// tried again, and the next one is applied.
 func TestVersions(t *testing.T) {
-	w := newSite(t)
-	starts := func() uint64 { return w.s.StartCount }
+	w := newWorld(t)
+	starts := func() uint64 { return w.sidecar.StartCount }
 	w.publish(live)
-	w.pass(time.Second)
-	w.stands("live", 1, 0, "")
+	w.advance(time.Second)
+	w.requireState("live", 1, 0, "")
 	if starts() != 1 {
 		t.Errorf("%d starts", starts())
 	}
 	w.publish(good)
-	w.pass(20 * time.Second)
-	w.stands("by a change", 2, 0, "")
+	w.advance(20 * time.Second)
+	w.requireState("by a change", 2, 0, "")
 	w.publish(unchecked)
-	w.pass(time.Minute)
-	w.stands("its program says no", 2, 3, "f.json:1:2: field: is bad")
+	w.advance(time.Minute)
+	w.requireState("its program says no", 2, 3, "f.json:1:2: field: is bad")
 	if starts() != 2 {
 		t.Errorf("%d starts", starts())
 	}
 	w.publish(neverReady)
-	w.pass(time.Minute)
-	w.stands("never ready", 2, 4, "not ready in 6s")
+	w.advance(time.Minute)
+	w.requireState("never ready", 2, 4, "not ready in 6s")
 	w.publish(diesLater)
-	w.pass(time.Minute)
-	w.stands("dies in its trial", 2, 5, "it ended in its trial")
+	w.advance(time.Minute)
+	w.requireState("dies in its trial", 2, 5, "it ended in its trial")
 	if starts() != 4 {
 		t.Errorf("%d starts: what was refused was tried again", starts())
 	}
 	w.publish(live)
-	w.pass(time.Second)
-	w.stands("a good one after that", 6, 0, "")
-	w.do(w.die(w.alive[0]))
-	w.pass(3 * time.Second)
-	w.stands("its process died", 6, 0, "")
+	w.advance(time.Second)
+	w.requireState("a good one after that", 6, 0, "")
+	w.carryOut(w.exit(w.alive[0]))
+	w.advance(3 * time.Second)
+	w.requireState("its process died", 6, 0, "")
 
-	w.silent = true
+	w.noDigests = true
 	w.publish(live)
-	w.pass(30 * time.Second)
-	w.stands("a program that does not tell what it reads", 7, 0, "")
+	w.advance(30 * time.Second)
+	w.requireState("a program that does not tell what it reads", 7, 0, "")
 	if starts() != 6 {
 		t.Errorf("%d starts", starts())
 	}
-	if w.most > 2 {
-		t.Errorf("%d processes", w.most)
+	if w.maxProcesses > 2 {
+		t.Errorf("%d processes", w.maxProcesses)
 	}
 }
 
-// In force is what new connections are served with: not while the one before still takes some.
+// A version is in force once new connections are served with it: not while the old process still accepts some.
 func TestInForce(t *testing.T) {
-	w := newSite(t)
+	w := newWorld(t)
 	w.publish(good)
-	w.pass(4 * time.Second)
-	if r := w.s.Report("n0"); r.InForce != 0 || r.Why != "its process is on trial" || len(w.alive) != 2 {
+	w.advance(4 * time.Second)
+	if r := w.sidecar.Report("n0"); r.InForce != 0 || r.Why != "its process is on trial" || len(w.alive) != 2 {
 		t.Errorf("%+v, %v", r, w.alive)
 	}
 	before := w.alive[0]
-	w.do(w.s.ReadinessObserved(w.now, before, false))
-	if r := w.s.Report("n0"); r.InForce != 0 || w.s.Phase != Trial {
+	w.carryOut(w.sidecar.ReadinessObserved(w.now, before, false))
+	if r := w.sidecar.Report("n0"); r.InForce != 0 || w.sidecar.Phase != Trial {
 		t.Errorf("%+v", r)
 	}
-	w.do(w.s.ReadinessObserved(w.now, before, true))
-	for w.s.Phase != Ending { // without the world's TERM
+	w.carryOut(w.sidecar.ReadinessObserved(w.now, before, true))
+	for w.sidecar.Phase != Ending { // without the world's TERM
 		w.now += 500 * time.Millisecond
-		w.s.ReadinessObserved(w.now, w.alive[1], true)
-		w.s.Tick(w.now)
+		w.sidecar.ReadinessObserved(w.now, w.alive[1], true)
+		w.sidecar.Tick(w.now)
 	}
-	w.s.ReadinessObserved(w.now, before, true)
-	if r := w.s.Report("n0"); r.InForce != 0 || r.Why != "the process before ends" {
+	w.sidecar.ReadinessObserved(w.now, before, true)
+	if r := w.sidecar.Report("n0"); r.InForce != 0 || r.Why != "the process before ends" {
 		t.Errorf("%+v", r)
 	}
-	w.s.ReadinessObserved(w.now, w.alive[1], false)
-	w.s.ReadinessObserved(w.now, before, false)
-	if r := w.s.Report("n0"); r.InForce != 0 { // nobody takes any
+	w.sidecar.ReadinessObserved(w.now, w.alive[1], false)
+	w.sidecar.ReadinessObserved(w.now, before, false)
+	if r := w.sidecar.Report("n0"); r.InForce != 0 { // neither process accepts any
 		t.Errorf("%+v", r)
 	}
-	w.s.ReadinessObserved(w.now, w.alive[1], true)
-	w.s.ReadinessObserved(w.now, before, false)
-	if r := w.s.Report("n0"); r.InForce != 1 || r.Why != "" || w.s.Phase != Ending {
+	w.sidecar.ReadinessObserved(w.now, w.alive[1], true)
+	w.sidecar.ReadinessObserved(w.now, before, false)
+	if r := w.sidecar.Report("n0"); r.InForce != 1 || r.Why != "" || w.sidecar.Phase != Ending {
 		t.Errorf("%+v", r)
 	}
-	w.do(w.s.ProcessExited(w.now, w.alive[1], "")) // what is in force stays so
+	w.carryOut(w.sidecar.ProcessExited(w.now, w.alive[1], "")) // the version stays in force
 	w.alive = w.alive[:1]
-	w.do(w.die(before))
-	w.pass(5 * time.Second)
-	w.stands("its process died as the one before ended", 1, 0, "")
-	if w.s.Rejected != 0 {
-		t.Errorf("%+v", w.s.PersistedState)
+	w.carryOut(w.exit(before))
+	w.advance(5 * time.Second)
+	w.requireState("its process died as the one before ended", 1, 0, "")
+	if w.sidecar.Rejected != 0 {
+		t.Errorf("%+v", w.sidecar.PersistedState)
 	}
 }
 
-// A version that was published before the one on its way is over has its turn then; one that was overtaken meanwhile
-// has none.
+// A version that is published while another is the candidate is applied next; one that was superseded meanwhile is not.
 func TestVersionsInARow(t *testing.T) {
-	w := newSite(t)
+	w := newWorld(t)
 	w.publish(good)
-	w.pass(time.Second)
+	w.advance(time.Second)
 	w.publish(good)
-	w.pass(time.Second)
+	w.advance(time.Second)
 	w.publish(neverReady)
 	w.publish(good)
-	w.s.SetNewestVersion(2) // late
-	w.pass(time.Second)
-	if r := w.s.Report("n0"); r.Why != "revision 1 is on its way in" {
+	w.sidecar.SetNewestVersion(2) // late
+	w.advance(time.Second)
+	if r := w.sidecar.Report("n0"); r.Why != "revision 1 is on its way in" {
 		t.Errorf("%+v", r)
 	}
-	w.pass(30 * time.Second)
-	w.stands("the newest", 4, 0, "")
-	if w.s.StartCount != 3 {
-		t.Errorf("%d starts", w.s.StartCount)
+	w.advance(30 * time.Second)
+	w.requireState("the newest", 4, 0, "")
+	if w.sidecar.StartCount != 3 {
+		t.Errorf("%d starts", w.sidecar.StartCount)
 	}
 }
 
-// One that comes while another is told to the process that serves has its turn as soon as that has read it.
-func TestAVersionBehindOneThatIsTold(t *testing.T) {
-	w := newSite(t)
-	w.deaf = true
+// A version that arrives while the process reloads for another is applied as soon as that is in force.
+func TestAVersionBehindAReload(t *testing.T) {
+	w := newWorld(t)
+	w.ignoresReload = true
 	w.publish(live)
-	w.pass(time.Second)
-	if !w.s.ByReload {
-		t.Fatalf("%+v", w.s.PersistedState)
+	w.advance(time.Second)
+	if !w.sidecar.ByReload {
+		t.Fatalf("%+v", w.sidecar.PersistedState)
 	}
 	w.publish(live)
-	w.deaf = false
-	w.pass(2 * time.Second)
-	w.stands("both were read", 2, 0, "")
+	w.ignoresReload = false
+	w.advance(2 * time.Second)
+	w.requireState("both were read", 2, 0, "")
 }
 
-// Orders of a rollout come first: one that finds a version on its way is carried out as soon as that is over, before
-// the next; one that goes on is not disturbed, and what came of it is not lost; a version that was told and not taken
-// yet gives way.
+// Orders of a rollout take precedence: an order that finds a candidate is carried out as soon as that is applied, before the next
+// version; an order in progress is not disturbed, and its result is not lost; a reload that was not confirmed gives way.
 func TestVersionsAndOrders(t *testing.T) {
-	w := newSite(t)
+	w := newWorld(t)
 	w.publish(good)
-	w.pass(time.Second)
-	if _, err := w.s.ChangeRelease(w.now, 1, "new"); err == nil || !strings.Contains(err.Error(), "version 1 of the configuration is not over") {
+	w.advance(time.Second)
+	if _, err := w.sidecar.ChangeRelease(w.now, 1, "new"); err == nil || !strings.Contains(err.Error(), "version 1 of the configuration is not over") {
 		t.Errorf("%v", err)
 	}
 	w.publish(good)
 	taken := false
-	for end := w.now + time.Minute; !taken && w.now < end; w.pass(3 * time.Second) {
-		todo, err := w.s.ChangeRelease(w.now, 1, "new")
+	for end := w.now + time.Minute; !taken && w.now < end; w.advance(3 * time.Second) {
+		todo, err := w.sidecar.ChangeRelease(w.now, 1, "new")
 		taken = err == nil
-		w.do(todo)
+		w.carryOut(todo)
 	}
-	if w.s.InForce != 1 || w.s.Order != 1 || w.s.Candidate != 0 {
-		t.Errorf("%+v", w.s.PersistedState)
+	if w.sidecar.InForce != 1 || w.sidecar.Order != 1 || w.sidecar.Candidate != 0 {
+		t.Errorf("%+v", w.sidecar.PersistedState)
 	}
-	if r := w.s.Report("n0"); r.Why != "order 1 of a rollout goes on" {
+	if r := w.sidecar.Report("n0"); r.Why != "order 1 of a rollout goes on" {
 		t.Errorf("%+v", r)
 	}
-	w.pass(30 * time.Second)
-	w.stands("both", 2, 0, "")
-	if release, _ := w.s.Serves(); release != "new" || w.s.CompletedOrder != 1 || w.s.FailureReason != "" {
-		t.Errorf("%s, %+v", release, w.s.PersistedState)
+	w.advance(30 * time.Second)
+	w.requireState("both", 2, 0, "")
+	if release, _ := w.sidecar.Serves(); release != "new" || w.sidecar.CompletedOrder != 1 || w.sidecar.FailureReason != "" {
+		t.Errorf("%s, %+v", release, w.sidecar.PersistedState)
 	}
 	w.publish(neverReady)
-	w.pass(30 * time.Second)
-	w.stands("refused", 2, 3, "not ready")
-	if w.s.CompletedOrder != 1 || w.s.FailureReason != "" {
-		t.Errorf("what came of the order: %+v", w.s.PersistedState)
+	w.advance(30 * time.Second)
+	w.requireState("refused", 2, 3, "not ready")
+	if w.sidecar.CompletedOrder != 1 || w.sidecar.FailureReason != "" {
+		t.Errorf("what came of the order: %+v", w.sidecar.PersistedState)
 	}
 
-	w.deaf = true
+	w.ignoresReload = true
 	w.publish(live)
-	w.pass(8 * time.Second)
-	if r := w.s.Report("n0"); r.InForce != 2 || r.Why != "the process that serves was told to read it" {
+	w.advance(8 * time.Second)
+	if r := w.sidecar.Report("n0"); r.InForce != 2 || r.Why != "the process that serves was told to read it" {
 		t.Errorf("%+v", r)
 	}
-	w.deaf = false
-	w.do(must(w.s.ChangeRelease(w.now, 2, "old")))
-	if w.s.Order != 2 || w.s.Candidate != 0 {
-		t.Errorf("%+v", w.s.PersistedState)
+	w.ignoresReload = false
+	w.carryOut(must(w.sidecar.ChangeRelease(w.now, 2, "old")))
+	if w.sidecar.Order != 2 || w.sidecar.Candidate != 0 {
+		t.Errorf("%+v", w.sidecar.PersistedState)
 	}
-	w.pass(30 * time.Second)
-	w.stands("both again", 4, 0, "")
-	if release, _ := w.s.Serves(); release != "old" || w.s.CompletedOrder != 2 || w.s.FailureReason != "" {
-		t.Errorf("%s, %+v", release, w.s.PersistedState)
+	w.advance(30 * time.Second)
+	w.requireState("both again", 4, 0, "")
+	if release, _ := w.sidecar.Serves(); release != "old" || w.sidecar.CompletedOrder != 2 || w.sidecar.FailureReason != "" {
+		t.Errorf("%s, %+v", release, w.sidecar.PersistedState)
 	}
 }
 
@@ -378,200 +374,198 @@
 	return v
 }
 
-// A process that does not hear it is told again; one that began before the file was written tells another digest,
-// which is no yes.
+// A reload is requested again from a process that missed the signal; the digest of an older file does not confirm it.
 func TestAProcessThatIsStopped(t *testing.T) {
-	w := newSite(t)
-	w.deaf = true
+	w := newWorld(t)
+	w.ignoresReload = true
 	w.publish(live)
-	w.pass(time.Minute)
-	if r := w.s.Report("n0"); r.InForce != 0 || w.s.StartCount != 1 {
-		t.Errorf("%+v, %d starts", r, w.s.StartCount)
+	w.advance(time.Minute)
+	if r := w.sidecar.Report("n0"); r.InForce != 0 || w.sidecar.StartCount != 1 {
+		t.Errorf("%+v, %d starts", r, w.sidecar.StartCount)
 	}
-	w.deaf = false
-	w.pass(testLimits.ReadyTimeout + time.Second)
-	w.stands("it goes on", 1, 0, "")
+	w.ignoresReload = false
+	w.advance(testLimits.ReadyTimeout + time.Second)
+	w.requireState("it goes on", 1, 0, "")
 }
 
-// What is at no version's fault is tried again: a program that can't be asked, a file that can't be written, a start
+// A version is tried again after a failure that is not its fault: a check that cannot be made, a file that cannot be written, a start
 // that fails.
-func TestWhatIsNoFault(t *testing.T) {
-	w := newSite(t)
-	w.unknown = true
+func TestFailuresThatAreNotTheVersions(t *testing.T) {
+	w := newWorld(t)
+	w.checkUnavailable = true
 	w.publish(good)
-	w.pass(time.Minute)
-	w.stands("not asked", 0, 0, "no program")
-	w.unknown = false
-	w.pass(time.Minute)
-	w.stands("asked", 1, 0, "")
+	w.advance(time.Minute)
+	w.requireState("not asked", 0, 0, "no program")
+	w.checkUnavailable = false
+	w.advance(time.Minute)
+	w.requireState("asked", 1, 0, "")
 
 	w.publish(live)
 	w.now += time.Second
-	todo := w.s.Tick(w.now)
-	todo = w.s.CheckCompleted(w.now, *todo[0].Check, CheckResult{Reloadable: true})
+	todo := w.sidecar.Tick(w.now)
+	todo = w.sidecar.CheckCompleted(w.now, *todo[0].Check, CheckResult{Reloadable: true})
 	if len(todo) != 1 || todo[0].Reload == nil {
 		t.Fatalf("%+v", todo)
 	}
-	w.s.ReloadRequested(w.now, *todo[0].Reload, "", errors.New("no room"))
-	if r := w.s.Report("n0"); r.Why != "no room" || r.Refused != 0 {
+	w.sidecar.ReloadRequested(w.now, *todo[0].Reload, "", errors.New("no room"))
+	if r := w.sidecar.Report("n0"); r.Why != "no room" || r.Refused != 0 {
 		t.Errorf("%+v", r)
 	}
-	w.pass(5 * time.Second)
-	w.stands("written", 2, 0, "")
+	w.advance(5 * time.Second)
+	w.requireState("written", 2, 0, "")
 
 	w.publish(good)
 	w.now += time.Second
-	todo = w.s.Tick(w.now)
-	if todo = w.s.CheckCompleted(w.now, *todo[0].Check, CheckResult{}); len(todo) != 1 || todo[0].Version != 3 {
+	todo = w.sidecar.Tick(w.now)
+	if todo = w.sidecar.CheckCompleted(w.now, *todo[0].Check, CheckResult{}); len(todo) != 1 || todo[0].Version != 3 {
 		t.Fatalf("%+v", todo)
 	}
-	w.do(w.s.StartFailed(w.now, "no process"))
-	if r := w.s.Report("n0"); r.Why != "no process" || r.Refused != 0 || w.s.FailureReason != "" {
+	w.carryOut(w.sidecar.StartFailed(w.now, "no process"))
+	if r := w.sidecar.Report("n0"); r.Why != "no process" || r.Refused != 0 || w.sidecar.FailureReason != "" {
 		t.Errorf("%+v", r)
 	}
-	w.pass(20 * time.Second)
-	w.stands("started", 3, 0, "")
+	w.advance(20 * time.Second)
+	w.requireState("started", 3, 0, "")
 }
 
-// The release that a crash would bring back has to take a version as well as the one that runs.
-func TestBothReleasesAreAsked(t *testing.T) {
-	w := newSite(t)
-	w.do(must(w.s.ChangeRelease(w.now, 1, "new")))
-	w.pass(20 * time.Second)
+// The confirmed release, which a crash would bring back, has to accept a version as well as the one that runs.
+func TestBothReleasesAreChecked(t *testing.T) {
+	w := newWorld(t)
+	w.carryOut(must(w.sidecar.ChangeRelease(w.now, 1, "new")))
+	w.advance(20 * time.Second)
 	w.publish(good)
 	w.now += time.Second
-	todo := w.s.Tick(w.now)
+	todo := w.sidecar.Tick(w.now)
 	if len(todo) != 1 || todo[0].Check == nil || todo[0].Check.Releases != [2]string{"new", "old"} {
 		t.Fatalf("%+v", todo)
 	}
-	w.s.Confirm("new") // meanwhile: the answer is to another question
-	if todo = w.s.CheckCompleted(w.now, *todo[0].Check, CheckResult{Rejection: "no"}); len(todo) != 1 || todo[0].Check.Releases != [2]string{"new"} {
+	w.sidecar.Confirm("new") // meanwhile: the result belongs to another check
+	if todo = w.sidecar.CheckCompleted(w.now, *todo[0].Check, CheckResult{Rejection: "no"}); len(todo) != 1 || todo[0].Check.Releases != [2]string{"new"} {
 		t.Fatalf("%+v", todo)
 	}
 }
 
-// A sidecar that does not come up with what is in force gets a newer version all the same; one that ended once does
-// not get it by that.
-func TestAVersionThatMends(t *testing.T) {
-	w := newSite(t)
+// A newer version is applied to a sidecar that crashes again and again with the one in force; a single exit is restarted with the one in
+// force.
+func TestANewerVersionEndsACrashLoop(t *testing.T) {
+	w := newWorld(t)
 	w.publish(good)
-	w.pass(20 * time.Second)
-	w.stands("in force", 1, 0, "")
+	w.advance(20 * time.Second)
+	w.requireState("in force", 1, 0, "")
 	w.publish(good)
-	w.do(w.die(w.alive[0]))
+	w.carryOut(w.exit(w.alive[0]))
 	var first Action
-	w.check = func(d Action) {
+	w.checkAction = func(d Action) {
 		if first.Start == "" && d.Start != "" {
 			first = d
 		}
 	}
-	w.pass(30 * time.Second)
+	w.advance(30 * time.Second)
 	if first.Version != 1 {
 		t.Errorf("started with version %d", first.Version)
 	}
-	w.stands("then the newer one", 2, 0, "")
+	w.requireState("then the newer one", 2, 0, "")
 
 	w.kinds[2] = diesAtOnce // from now on
-	w.pass(20 * time.Second)
+	w.advance(20 * time.Second)
 	w.publish(good)
-	w.pass(30 * time.Second)
-	w.stands("mended", 3, 0, "")
+	w.advance(30 * time.Second)
+	w.requireState("mended", 3, 0, "")
 }
 
-// Whatever happens, with an agent that is killed at any moment: never more than two processes; what is in force never
-// goes back; what was refused is not tried again; a process that is started for no version's sake has what is in
-// force; each order is carried out, and what came of it stays known; and in the end the newest version is in force or
-// refused.
+// Whatever happens, with an agent that is killed at any moment: there are never more than two processes; the version in force never
+// becomes an older one; a rejected version is not tried again; a process that is not started for a candidate has the version in force;
+// each order is carried out, and its result stays known; and in the end the newest version is in force or rejected.
 func TestVersionsWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := newSite(t)
+		w := newWorld(t)
 		var refused []distribute.Revision
 		var inForce distribute.Revision
 		var order uint64
 		ended := map[uint64]string{}
-		excused := map[distribute.Revision]bool{} // its process was ended by somebody else
+		excused := map[distribute.Revision]bool{} // its process was killed from outside
 		look := func() {
-			if w.s.InForce < inForce {
-				r.Fatalf("%d is in force after %d", w.s.InForce, inForce)
+			if w.sidecar.InForce < inForce {
+				r.Fatalf("%d is in force after %d", w.sidecar.InForce, inForce)
 			}
-			inForce = w.s.InForce
-			if w.s.Rejected != 0 && !slices.Contains(refused, w.s.Rejected) {
-				refused = append(refused, w.s.Rejected)
-				if k := w.kinds[w.s.Rejected]; k <= live && !excused[w.s.Rejected] {
-					r.Fatalf("%d was refused, and is good: %s", w.s.Rejected, w.s.RejectionReason)
+			inForce = w.sidecar.InForce
+			if w.sidecar.Rejected != 0 && !slices.Contains(refused, w.sidecar.Rejected) {
+				refused = append(refused, w.sidecar.Rejected)
+				if k := w.kinds[w.sidecar.Rejected]; k <= live && !excused[w.sidecar.Rejected] {
+					r.Fatalf("%d was refused, and is good: %s", w.sidecar.Rejected, w.sidecar.RejectionReason)
 				}
 			}
 			if slices.Contains(refused, inForce) {
 				r.Fatalf("%d was refused, and is in force", inForce)
 			}
-			if w.s.Order == 0 { // else what came of the one before is over
-				if failed, known := ended[w.s.CompletedOrder]; known && failed != w.s.FailureReason {
-					r.Fatalf("order %d ended with %q, and now with %q", w.s.CompletedOrder, failed, w.s.FailureReason)
+			if w.sidecar.Order == 0 { // else the last result is overwritten
+				if failed, known := ended[w.sidecar.CompletedOrder]; known && failed != w.sidecar.FailureReason {
+					r.Fatalf("order %d ended with %q, and now with %q", w.sidecar.CompletedOrder, failed, w.sidecar.FailureReason)
 				}
-				ended[w.s.CompletedOrder] = w.s.FailureReason
+				ended[w.sidecar.CompletedOrder] = w.sidecar.FailureReason
 			}
 			if len(w.alive) > 2 {
 				r.Fatalf("%d processes", len(w.alive))
 			}
 		}
-		w.check = func(d Action) {
+		w.checkAction = func(d Action) {
 			look()
 			switch {
-			case d.Reload != nil && (d.Version != w.s.Candidate || slices.Contains(refused, d.Version)),
-				d.Start != "" && d.Version != w.s.InForce && (d.Version != w.s.Candidate || w.s.Phase != Starting || w.s.Order != 0),
+			case d.Reload != nil && (d.Version != w.sidecar.Candidate || slices.Contains(refused, d.Version)),
+				d.Start != "" && d.Version != w.sidecar.InForce && (d.Version != w.sidecar.Candidate || w.sidecar.Phase != Starting || w.sidecar.Order != 0),
 				d.Start != "" && slices.Contains(refused, d.Version):
-				r.Fatalf("%+v, refused %v, kept %+v", d, refused, w.s.PersistedState)
+				r.Fatalf("%+v, refused %v, kept %+v", d, refused, w.sidecar.PersistedState)
 			}
 		}
 		step := func(d time.Duration) {
-			w.pass(d)
+			w.advance(d)
 			look()
-			if order > w.s.CompletedOrder { // the driver says it again
-				if todo, err := w.s.ChangeRelease(w.now, order, []string{"old", "new"}[order%2]); err == nil {
-					w.do(todo)
+			if order > w.sidecar.CompletedOrder { // the driver repeats it
+				if todo, err := w.sidecar.ChangeRelease(w.now, order, []string{"old", "new"}[order%2]); err == nil {
+					w.carryOut(todo)
 				}
 			}
 		}
 		kills := rapid.IntRange(0, 40).Draw(r, "a kill in so many") // 0: none
-		w.killed = func() bool { return kills > 0 && rapid.IntRange(0, kills).Draw(r, "killed") == 0 }
+		w.agentKilled = func() bool { return kills > 0 && rapid.IntRange(0, kills).Draw(r, "killed") == 0 }
 		for range rapid.IntRange(1, 25).Draw(r, "events") {
 			switch rapid.IntRange(0, 7).Draw(r, "event") {
 			case 0, 1, 2:
-				w.publish(kind(rapid.IntRange(0, int(kinds)-1).Draw(r, "kind")))
+				w.publish(versionKind(rapid.IntRange(0, int(kinds)-1).Draw(r, "kind")))
 			case 3:
-				if order == w.s.CompletedOrder {
+				if order == w.sidecar.CompletedOrder {
 					order++
 				}
 			case 4:
 				if len(w.alive) > 0 {
 					p := w.alive[rapid.IntRange(0, len(w.alive)-1).Draw(r, "which")]
-					excused[w.runs[p.PID]] = true
-					w.do(w.die(p))
+					excused[w.runningVersions[p.PID]] = true
+					w.carryOut(w.exit(p))
 				}
 			case 5:
 				w.save()
-				w.again()
+				w.restartAgent()
 			case 6:
-				w.deaf = !w.deaf
+				w.ignoresReload = !w.ignoresReload
 			case 7:
-				w.unknown = !w.unknown
+				w.checkUnavailable = !w.checkUnavailable
 			}
 			for range rapid.IntRange(0, 20).Draw(r, "half seconds") {
 				step(500 * time.Millisecond)
 			}
 		}
-		w.killed, w.deaf, w.unknown = func() bool { return false }, false, false
+		w.agentKilled, w.ignoresReload, w.checkUnavailable = func() bool { return false }, false, false
 		for range 300 {
 			step(time.Second)
 		}
-		if w.s.CompletedOrder != order || w.s.Phase != Idle || len(w.alive) != 1 || w.newest > max(w.s.InForce, w.s.Rejected) {
-			r.Fatalf("order %d of %d over, %v, version %d of %d in force, %d refused, %v", w.s.CompletedOrder, order, w.s.Phase, w.s.InForce, w.newest, w.s.Rejected, w.alive)
+		if w.sidecar.CompletedOrder != order || w.sidecar.Phase != Idle || len(w.alive) != 1 || w.newest > max(w.sidecar.InForce, w.sidecar.Rejected) {
+			r.Fatalf("order %d of %d over, %v, version %d of %d in force, %d refused, %v", w.sidecar.CompletedOrder, order, w.sidecar.Phase, w.sidecar.InForce, w.newest, w.sidecar.Rejected, w.alive)
 		}
-		if w.runs[w.alive[0].PID] != w.s.InForce {
-			r.Fatalf("it runs %d, and %d is in force", w.runs[w.alive[0].PID], w.s.InForce)
+		if w.runningVersions[w.alive[0].PID] != w.sidecar.InForce {
+			r.Fatalf("it runs %d, and %d is in force", w.runningVersions[w.alive[0].PID], w.sidecar.InForce)
 		}
-		if w.most > 2 {
-			r.Fatalf("%d processes at once", w.most)
+		if w.maxProcesses > 2 {
+			r.Fatalf("%d processes at once", w.maxProcesses)
 		}
 	})
 }
--- a/internal/coordination/agent/mutation_test.go
+++ b/internal/coordination/agent/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// What a version's way into force rests on is taken out of the code, one at a time: each is caught.
+// Each condition that the application of versions rests on is removed from the code, one at a time, and a test notices.
 func TestTheChecksCanFail(t *testing.T) {
 	const (
 		pkg, machine = "./internal/coordination/agent", "./internal/coordination/machine"
@@ -19,18 +19,18 @@
 		checks       = "internal/coordination/machine/check.go"
 	)
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"an older one is not wanted":          {versions, "version > s.newest", "version != s.newest", pkg, "TestVersionsInARow"},
+		"an older version has no effect":      {versions, "version > s.newest", "version != s.newest", pkg, "TestVersionsInARow"},
 		"orders come first":                   {versions, "now < s.reservedUntil ||", "", pkg, "TestVersionsAndOrders"},
-		"what is in force starts":             {versions, "\treturn s.InForce\n", "\treturn s.newest\n", pkg, "TestAVersionThatMends"},
-		"live where the file is told":         {versions, `s.reportedDigest != ""`, "true", pkg, "TestVersions"},
-		"in force is what was read":           {versions, "digest == s.expectedDigest", "true", pkg, "TestAVersionBehindOneThatIsTold"},
-		"an answer to another check":          {versions, "|| check != s.nextCheck()", "", pkg, "TestBothReleasesAreAsked"},
+		"starts use the version in force":     {versions, "\treturn s.InForce\n", "\treturn s.newest\n", pkg, "TestANewerVersionEndsACrashLoop"},
+		"reload where digests are reported":   {versions, `s.reportedDigest != ""`, "true", pkg, "TestVersions"},
+		"in force once it was read":           {versions, "digest == s.expectedDigest", "true", pkg, "TestAVersionBehindAReload"},
+		"the result of another check":         {versions, "|| check != s.nextCheck()", "", pkg, "TestBothReleasesAreChecked"},
 		"the start that was not made":         {sidecar, "\t\tactions = append(actions, s.requestStart(s.Target)...)\n", "", pkg, "TestAStartThatWasNeverMade"},
-		"a terminating process, for a start":  {sidecar, "\tcase s.Terminating != nil:\n\t\treturn nil\n", "", pkg, "TestTheDoomedAreGoneFirst"},
-		"a terminating process, for an order": {change, "\tcase s.Terminating != nil:\n\t\treturn nil, fmt", "\tcase false:\n\t\treturn nil, fmt", pkg, "TestTheDoomedAreGoneFirst"},
-		"older than what is kept":             {store, "v.Revision <= m.versions.newest", "false", machine, "TestVersionsOnAMachine"},
-		"another service's":                   {store, "v.Service != m.config.Application:\n\t\t\treturn struct{}", "false:\n\t\t\treturn struct{}", machine, "TestVersionsOnAMachine"},
-		"the digest of what is kept":          {store, "|| distribute.Digest(content) != v.Digest:", "|| false:", machine, "TestVersionsOnAMachine"},
-		"what must not be side by side":       {checks, "f.Kind == release.Refused", "false", machine, "TestApart"},
+		"a terminating process, for a start":  {sidecar, "\tcase s.Terminating != nil:\n\t\treturn nil\n", "", pkg, "TestNothingStartsBesideATerminatingProcess"},
+		"a terminating process, for an order": {change, "\tcase s.Terminating != nil:\n\t\treturn nil, fmt", "\tcase false:\n\t\treturn nil, fmt", pkg, "TestNothingStartsBesideATerminatingProcess"},
+		"older than the stored ones":          {store, "v.Revision <= m.versions.newest", "false", machine, "TestVersionsOnAMachine"},
+		"another service's version":           {store, "v.Service != m.config.Application:\n\t\t\treturn struct{}", "false:\n\t\t\treturn struct{}", machine, "TestVersionsOnAMachine"},
+		"the digest of a stored version":      {store, "|| distribute.Digest(content) != v.Digest:", "|| false:", machine, "TestVersionsOnAMachine"},
+		"what must not be side by side":       {checks, "f.Kind == release.Refused", "false", machine, "TestIncompatibility"},
 	})
 }
--- a/internal/coordination/agent/trial_test.go
+++ b/internal/coordination/agent/trial_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A version's process has a trial of its own length, for it has to be in force within seconds; a release's has the longer one.
+// The process of a version has a trial period of its own, because it has to be in force within seconds; that of a release is longer.
 func TestTrials(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
@@ -42,8 +42,8 @@
 	}
 }
 
-// An agent that was killed after it had noted a start and before it made it makes it when it is back: that is no failure of an order. The
-// start that it noted is claimed by then, so it can't be made twice.
+// An agent that was killed after it had noted a start and before it made it requests another start when it is restored: the order does
+// not fail. The noted start was given up by then, so that it is not made twice.
 func TestAStartThatWasNeverMade(t *testing.T) {
 	now := Process{PID: 1, Release: "old"}
 	k := PersistedState{Confirmed: "old", Serving: &now, Phase: Starting, Target: "new", Order: 3, StartCount: 2}
@@ -54,9 +54,9 @@
 	}
 }
 
-// The process of a change that failed is killed, and until it is gone nothing is started: neither an order's process nor one in place of
-// the one that served. Else there would be three, or two of which the agent knows one.
-func TestTheDoomedAreGoneFirst(t *testing.T) {
+// The process of a change that failed is killed, and until it is gone nothing is started: neither for an order nor in place of the serving
+// process. Otherwise there would be three, or two of which the agent knows one.
+func TestNothingStartsBesideATerminatingProcess(t *testing.T) {
 	const second = time.Second
 	s := New("r", Limits{ReadyTimeout: 5 * second, TrialPeriod: 5 * second, TerminationTimeout: 4 * second, InitialBackoff: second, MaxBackoff: second})
 	first, next := Process{PID: 1, Release: "r"}, Process{PID: 2, Release: "new"}
--- a/internal/coordination/machine/apart_test.go
+++ b/internal/coordination/machine/check_test.go
@@ -7,9 +7,9 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// What staged changes refuse side by side goes by no version either; what needs a step elsewhere first goes once its author says that it
-// was done.
-func TestApart(t *testing.T) {
+// A version is rejected for what a rollout refuses side by side, and for what needs a step elsewhere first unless its author says that the
+// step was done.
+func TestIncompatibility(t *testing.T) {
 	old := `{"name":"n0","listen":"127.0.0.1:9","discovery":"127.0.0.1:8","seed":"1f","settings":` + peertest.Settings + `}`
 	for name, c := range map[string]struct {
 		from, to string
--- a/internal/coordination/machine/recorded_test.go
+++ b/internal/coordination/machine/recorded_test.go
@@ -39,11 +39,11 @@
 
 // An agent takes up the data folder that an earlier version left.
 func TestRecordedDataIsTakenUp(t *testing.T) {
-	g := newRig(t)
-	g.end()
-	serving := g.kept().Serving
+	g := newTestAgent(t)
+	g.stop()
+	serving := g.persisted().Serving
 	recorded := filepath.Join(recordedFolder, "data")
-	c := *g.c
+	c := *g.config
 	c.Data = filepath.Join(t.TempDir(), "data")
 	if err := os.CopyFS(c.Data, os.DirFS(recorded)); err != nil {
 		t.Fatal(err)
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -22,7 +22,7 @@
 	"petrelhook/internal/rig/process"
 )
 
-// The test's program is the helper as well, and says so as the program that it becomes.
+// The test's program is also the helper, and the program of a fake release.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("MACHINE_TEST_START"); file != "" {
 		fmt.Println(BecomeSidecar(file, "/bin/echo", []string{"it", "runs"}))
@@ -32,7 +32,7 @@
 		syscall.RawSyscall(syscall.SYS_EXIT, 0, 0, 0) // of this thread alone
 	}
 	if os.Getenv(fakeVariable) != "" {
-		fake(os.Args[1:])
+		runFakeProgram(os.Args[1:])
 	}
 	if len(os.Args) > 3 && os.Args[1] == "once" {
 		fmt.Fprintln(os.Stderr, BecomeSidecar(os.Args[2], os.Args[3], os.Args[4:]))
@@ -48,8 +48,9 @@
 	}
 }
 
-// A process whose first thread has ended lives as long as another does: so it looks for a moment while it becomes its program. An agent
-// that took it for ended killed a sidecar that was well, and the change was stopped for what no release had done.
+// A process whose first thread has ended lives as long as another thread does; a start looks like that for a moment while the helper
+// becomes the program. An agent that took it for ended would kill a healthy sidecar, and the rollout would stop without a fault of the
+// release.
 func TestAFirstThreadIsNotAProcess(t *testing.T) {
 	s := process.Start(t, process.Again("MACHINE_TEST_THREADS", "1"))
 	process.Until(t, "its first thread has ended", func() bool { return s.State() == "Z" })
@@ -61,7 +62,7 @@
 	process.Until(t, "it ends", func() bool { _, err := startTicks(s.Pid); return err != nil })
 }
 
-// A start is made, or claimed, never both: one that was claimed is not made any more, and one that was made is found.
+// A start is either made or given up: one that was given up is not made any more, and one that was made is found.
 func TestAStartIsMadeOnce(t *testing.T) {
 	helper := func(file string) (string, int) {
 		cmd := exec.Command(os.Args[0])
@@ -90,7 +91,7 @@
 	}
 }
 
-// A process is known by its number and its start: another one with its number is another.
+// A process is identified by its ID and its start time: another process with the same ID does not count.
 func TestLives(t *testing.T) {
 	began, err := startTicks(os.Getpid())
 	if err != nil {
@@ -108,8 +109,8 @@
 	}
 }
 
-// An agent that is started again refuses a driver that is older than one that the agent before had heard; two have no machine at once.
-func TestTheFenceIsKept(t *testing.T) {
+// A restarted agent refuses a driver with an older token than one that an earlier agent had seen; two agents cannot have one data folder.
+func TestFenceIsPersisted(t *testing.T) {
 	dir := t.TempDir()
 	c := &Config{Application: "a", Data: filepath.Join(dir, "data"), Releases: filepath.Join(dir, "releases"), PollInterval: time.Second}
 	for _, call := range []struct {
--- a/internal/coordination/machine/version_test.go
+++ b/internal/coordination/machine/version_test.go
@@ -27,9 +27,8 @@
 
 const fakeVariable = "MACHINE_TEST_FAKE"
 
-// fake is a program of a release, as far as agents know one: it checks its settings, answers at its endpoint and reads
-// its file again.
-func fake(args []string) {
+// runFakeProgram is the program of a release as agents see one: it checks settings, serves the operators' endpoint and reloads its file.
+func runFakeProgram(args []string) {
 	path := args[len(args)-1]
 	read := func() (text []byte, fields map[string]any) {
 		text, err := os.ReadFile(path)
@@ -77,39 +76,39 @@
 	os.Exit(1)
 }
 
-// reports is a subscription that a test plays: it takes what the machine reports.
-type reports struct {
-	holds distribute.Revision
-	take  func(distribute.Version) error
+// fakeSubscription lets a test deliver versions, and records the machine's reports.
+type fakeSubscription struct {
+	newest distribute.Revision
+	accept func(distribute.Version) error
 
 	mu  sync.Mutex
 	all []distribute.Report
 }
 
-func (r *reports) Run(ctx context.Context) { <-ctx.Done() }
+func (r *fakeSubscription) Run(ctx context.Context) { <-ctx.Done() }
 
-func (r *reports) Report(one distribute.Report) {
+func (r *fakeSubscription) Report(one distribute.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all = append(r.all, one)
 }
 
-func (r *reports) last() distribute.Report {
+func (r *fakeSubscription) last() distribute.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.all[len(r.all)-1]
 }
 
-// rig is a machine of one sidecar, whose agent a test starts again.
-type rig struct {
-	*reports
-	t   *testing.T
-	c   *Config
-	m   *Machine
-	end func()
+// testAgent is the agent of a machine with one sidecar, which a test stops and starts again.
+type testAgent struct {
+	*fakeSubscription
+	t       *testing.T
+	config  *Config
+	machine *Machine
+	stop    func()
 }
 
-func newRig(t *testing.T) *rig {
+func newTestAgent(t *testing.T) *testAgent {
 	dir := t.TempDir()
 	store, err := release.NewStore(filepath.Join(dir, "releases"))
 	if err != nil {
@@ -124,26 +123,26 @@
 		PollInterval: 20 * time.Millisecond, ContactTimeout: time.Hour, Sidecars: []SidecarConfig{{Name: "n0", Listen: "127.0.0.1:1",
 			AdminAddresses: [2]string{peertest.Reserved(t), peertest.Reserved(t)}, Overrides: map[string]json.RawMessage{"settings.mine": []byte("7")}}},
 		Limits: agent.Limits{ReadyTimeout: 5 * time.Second, TrialPeriod: 100 * time.Millisecond, TerminationTimeout: 2 * time.Second, IsolationTimeout: time.Hour, InitialBackoff: 10 * time.Millisecond, MaxBackoff: time.Second}}
-	g := &rig{t: t, c: c}
-	g.begin()
+	g := &testAgent{t: t, config: c}
+	g.start()
 	t.Cleanup(func() {
-		g.end()
-		for _, p := range []*agent.Process{g.kept().Serving, g.kept().Next} {
+		g.stop()
+		for _, p := range []*agent.Process{g.persisted().Serving, g.persisted().Next} {
 			if p != nil && Lives(*p) {
 				syscall.Kill(p.PID, syscall.SIGKILL)
 			}
 		}
 	})
-	peertest.Eventually(t, "it serves", func() bool { return g.kept().Serving != nil && g.process() != nil })
+	peertest.Eventually(t, "it serves", func() bool { return g.persisted().Serving != nil && g.servedSettings() != nil })
 	return g
 }
 
-// begin starts the agent on its folder as it is.
-func (g *rig) begin() {
+// start starts the agent on its data folder as it is.
+func (g *testAgent) start() {
 	g.t.Helper()
-	m, err := open(g.c, slog.New(slog.DiscardHandler), func(holds distribute.Revision, take func(distribute.Version) error) versionSubscription {
-		g.reports = &reports{holds: holds, take: take}
-		return g.reports
+	m, err := open(g.config, slog.New(slog.DiscardHandler), func(holds distribute.Revision, take func(distribute.Version) error) versionSubscription {
+		g.fakeSubscription = &fakeSubscription{newest: holds, accept: take}
+		return g.fakeSubscription
 	})
 	if err != nil {
 		g.t.Fatal(err)
@@ -155,7 +154,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- m.Run(ctx, ln) }()
-	g.m, g.end = m, sync.OnceFunc(func() {
+	g.machine, g.stop = m, sync.OnceFunc(func() {
 		cancel()
 		if err := <-ended; err != nil {
 			g.t.Error(err)
@@ -163,23 +162,23 @@
 	})
 }
 
-// kept is what is on the disk.
-func (g *rig) kept() (k agent.PersistedState) {
-	text, _ := os.ReadFile(filepath.Join(g.c.Data, "sidecar-n0.json"))
+// persisted is the state on the disk.
+func (g *testAgent) persisted() (k agent.PersistedState) {
+	text, _ := os.ReadFile(filepath.Join(g.config.Data, "sidecar-n0.json"))
 	json.Unmarshal(text, &k)
 	return k
 }
 
-// process is the one that serves, with what its file holds; nil: it does not answer.
-func (g *rig) process() map[string]any {
-	k := g.kept()
+// servedSettings is the settings file of the serving process; nil: no process answers.
+func (g *testAgent) servedSettings() map[string]any {
+	k := g.persisted()
 	if k.Serving == nil {
 		return nil
 	}
 	if _, yes := adminGet(g.t.Context(), k.Serving.AdminAddress, "/api/counts"); !yes {
 		return nil
 	}
-	text, _ := os.ReadFile(filepath.Join(g.c.Data, fmt.Sprintf("config-n0-%d", k.Serving.StartNumber)))
+	text, _ := os.ReadFile(filepath.Join(g.config.Data, fmt.Sprintf("config-n0-%d", k.Serving.StartNumber)))
 	var fields map[string]any
 	json.Unmarshal(text, &fields)
 	return fields
@@ -193,13 +192,13 @@
 	return distribute.Version{Service: "app", Revision: r, Digest: distribute.Digest(text), Content: text}
 }
 
-// tell has the agent take a version, and waits until it has come to something.
-func (g *rig) tell(r distribute.Revision, content string) distribute.Report {
+// publish delivers a version and waits until it is in force or rejected.
+func (g *testAgent) publish(r distribute.Revision, content string) distribute.Report {
 	g.t.Helper()
-	if err := g.take(version(r, content)); err != nil {
+	if err := g.accept(version(r, content)); err != nil {
 		g.t.Fatal(err)
 	}
-	if _, err := os.Stat(g.m.versionFile(r)); err != nil {
+	if _, err := os.Stat(g.machine.versionFile(r)); err != nil {
 		g.t.Errorf("it was taken and is not kept: %v", err)
 	}
 	peertest.Eventually(g.t, "it has come to something", func() bool {
@@ -209,112 +208,113 @@
 	return g.last()
 }
 
-// Versions go in by the process that serves or by a hand-over, or are refused by the program with the place in a file
-// that is there; what is in force and what was refused outlives the agent, and a process that dies is started with
-// what is in force.
+// Versions are applied by a reload or by a new process, or rejected by the program, which names the place in a file that is there; the
+// versions in force and rejected outlive the agent, and a process that ends is restarted with the version in force.
 func TestVersionsOnAMachine(t *testing.T) {
-	g := newRig(t)
-	first := g.kept().Serving.PID
-	if r := g.tell(3, `{"discovery": "b"}`); r != (distribute.Report{Sidecar: "n0", InForce: 3}) {
+	g := newTestAgent(t)
+	first := g.persisted().Serving.PID
+	if r := g.publish(3, `{"discovery": "b"}`); r != (distribute.Report{Sidecar: "n0", InForce: 3}) {
 		t.Errorf("%+v", r)
 	}
-	if f := g.process(); f["discovery"] != "b" || f["third"] != 1.0 || f["name"] != "n0" || g.kept().Serving.PID != first {
-		t.Errorf("%v, process %d after %d", f, g.kept().Serving.PID, first)
+	if f := g.servedSettings(); f["discovery"] != "b" || f["third"] != 1.0 || f["name"] != "n0" || g.persisted().Serving.PID != first {
+		t.Errorf("%v, process %d after %d", f, g.persisted().Serving.PID, first)
 	}
-	if r := g.tell(5, `{"discovery": "b", "settings": {"y": 2}}`); r != (distribute.Report{Sidecar: "n0", InForce: 5}) {
+	if r := g.publish(5, `{"discovery": "b", "settings": {"y": 2}}`); r != (distribute.Report{Sidecar: "n0", InForce: 5}) {
 		t.Errorf("%+v", r)
 	}
-	peertest.Eventually(t, "the one before ends", func() bool { k := g.kept(); return k.Phase == agent.Idle && k.Serving.PID != first })
-	if f := g.process(); fmt.Sprint(f["settings"]) != "map[mine:7 y:2]" {
+	peertest.Eventually(t, "the one before ends", func() bool { k := g.persisted(); return k.Phase == agent.Idle && k.Serving.PID != first })
+	if f := g.servedSettings(); fmt.Sprint(f["settings"]) != "map[mine:7 y:2]" {
 		t.Errorf("%v", f)
 	}
 
-	r := g.tell(6, `{"bad": 1, "discovery": "c"}`)
+	r := g.publish(6, `{"bad": 1, "discovery": "c"}`)
 	file, why, _ := strings.Cut(strings.TrimPrefix(r.Why, "fake: "), ":")
 	lines, _ := os.ReadFile(file)
 	if r.InForce != 5 || r.Refused != 6 || why != "2:2: bad: is there; leave it out" || !strings.Contains(strings.Split(string(lines), "\n")[1], `"bad"`) {
 		t.Errorf("%+v in %s", r, lines)
 	}
-	if r := g.tell(7, `{"never": 1}`); r.InForce != 5 || r.Refused != 7 || r.Why != "not ready in 5s" {
+	if r := g.publish(7, `{"never": 1}`); r.InForce != 5 || r.Refused != 7 || r.Why != "not ready in 5s" {
 		t.Errorf("%+v", r)
 	}
 	for _, v := range []distribute.Version{version(5, `{"x": 1}`), version(7, `{"x": 1}`), {Service: "other", Revision: 9, Content: []byte("{}"), Digest: distribute.Digest([]byte("{}"))},
 		{Service: "app", Revision: 9, Content: []byte("{}"), Digest: distribute.Digest([]byte("[]"))}} {
-		if err := g.take(v); !errors.Is(err, distribute.ErrOlder) && !errors.Is(err, distribute.ErrForeign) && !errors.Is(err, distribute.ErrBroken) {
+		if err := g.accept(v); !errors.Is(err, distribute.ErrOlder) && !errors.Is(err, distribute.ErrForeign) && !errors.Is(err, distribute.ErrBroken) {
 			t.Errorf("%+v: %v", v, err)
 		}
 	}
 
-	g.end()
-	serves := *g.kept().Serving
+	g.stop()
+	serves := *g.persisted().Serving
 	syscall.Kill(serves.PID, syscall.SIGKILL)
 	peertest.Eventually(t, "it is gone", func() bool { return !Lives(serves) })
-	g.begin()
-	if g.holds != 7 || g.last().InForce != 5 || g.last().Refused != 7 {
-		t.Errorf("it holds %d: %+v", g.holds, g.last())
+	g.start()
+	if g.newest != 7 || g.last().InForce != 5 || g.last().Refused != 7 {
+		t.Errorf("it holds %d: %+v", g.newest, g.last())
 	}
-	peertest.Eventually(t, "it is started again", func() bool { p := g.kept().Serving; return p != nil && p.PID != serves.PID && g.process() != nil })
-	if f := g.process(); fmt.Sprint(f["settings"]) != "map[mine:7 y:2]" || f["discovery"] != "b" {
+	peertest.Eventually(t, "it is started again", func() bool {
+		p := g.persisted().Serving
+		return p != nil && p.PID != serves.PID && g.servedSettings() != nil
+	})
+	if f := g.servedSettings(); fmt.Sprint(f["settings"]) != "map[mine:7 y:2]" || f["discovery"] != "b" {
 		t.Errorf("%v", f)
 	}
-	starts := g.kept().StartCount
-	if r := g.tell(8, `{}`); r.InForce != 8 || g.kept().StartCount != starts+1 { // what was refused is not tried again meanwhile
-		t.Errorf("%+v, %d starts after %d", r, g.kept().StartCount, starts)
+	starts := g.persisted().StartCount
+	if r := g.publish(8, `{}`); r.InForce != 8 || g.persisted().StartCount != starts+1 { // the rejected version is not tried again meanwhile
+		t.Errorf("%+v, %d starts after %d", r, g.persisted().StartCount, starts)
 	}
 	peertest.Eventually(t, "old versions are removed", func() bool {
-		g.take(version(g.m.versions.newest+1, `{"discovery": "d"}`))
-		files, _ := filepath.Glob(filepath.Join(g.c.Data, "version-*"))
+		g.accept(version(g.machine.versions.newest+1, `{"discovery": "d"}`))
+		files, _ := filepath.Glob(filepath.Join(g.config.Data, "version-*"))
 		return !slices.ContainsFunc(files, func(f string) bool { return strings.Contains(f, "version-5") || strings.Contains(f, "version-7") })
 	})
 }
 
-// What was told live and not taken before the agent was killed is told again; the file of the process is whole at any
-// moment.
-func TestAVersionThatWasTold(t *testing.T) {
-	g := newRig(t)
-	pid := g.kept().Serving.PID
-	g.tell(1, `{"discovery": "b"}`) // the process has told what it reads
+// A reload that was not confirmed before the agent was killed is requested again; the file of the process is complete at any moment.
+func TestReloadOutlivesTheAgent(t *testing.T) {
+	g := newTestAgent(t)
+	pid := g.persisted().Serving.PID
+	g.publish(1, `{"discovery": "b"}`) // the process has reported a digest
 	syscall.Kill(pid, syscall.SIGSTOP)
-	if err := g.take(version(2, `{"discovery": "c"}`)); err != nil {
+	if err := g.accept(version(2, `{"discovery": "c"}`)); err != nil {
 		t.Fatal(err)
 	}
-	told := func() bool { k := g.kept(); return k.Candidate == 2 && k.ByReload && k.InForce == 1 }
+	told := func() bool { k := g.persisted(); return k.Candidate == 2 && k.ByReload && k.InForce == 1 }
 	peertest.Eventually(t, "it is told", told)
-	g.end()
-	g.begin()
-	if !told() || g.holds != 2 {
-		t.Errorf("%+v, holds %d", g.kept(), g.holds)
+	g.stop()
+	g.start()
+	if !told() || g.newest != 2 {
+		t.Errorf("%+v, holds %d", g.persisted(), g.newest)
 	}
 	syscall.Kill(pid, syscall.SIGCONT)
 	peertest.Eventually(t, "it is in force", func() bool { return g.last().InForce == 2 })
-	if k := g.kept(); k.Serving.PID != pid || k.StartCount != 1 {
+	if k := g.persisted(); k.Serving.PID != pid || k.StartCount != 1 {
 		t.Errorf("%+v", k)
 	}
 }
 
-// However many versions have failed, the file of the process that serves is there, and it reads it again. A driver
-// that asks for another release is answered for what would be started: that release with what is in force.
+// However many versions have failed, the file of the serving process is there, and the process reloads it. The check of another release
+// is of what would be started: that release with the version in force.
 func TestManyVersionsThatFail(t *testing.T) {
-	g := newRig(t)
-	pid := g.kept().Serving.PID
+	g := newTestAgent(t)
+	pid := g.persisted().Serving.PID
 	for r := range distribute.Revision(retainedStarts + 2) {
-		if told := g.tell(r+1, fmt.Sprintf(`{"dies": %d}`, r)); told.InForce != 0 || !strings.Contains(told.Why, "it ended before it was ready") {
+		if told := g.publish(r+1, fmt.Sprintf(`{"dies": %d}`, r)); told.InForce != 0 || !strings.Contains(told.Why, "it ended before it was ready") {
 			t.Errorf("%+v", told)
 		}
 	}
-	if files, _ := filepath.Glob(filepath.Join(g.c.Data, "config-n0-*")); len(files) > retainedStarts+1 {
+	if files, _ := filepath.Glob(filepath.Join(g.config.Data, "config-n0-*")); len(files) > retainedStarts+1 {
 		t.Errorf("%d files are left", len(files))
 	}
-	starts := g.kept().StartCount
-	if r := g.tell(20, `{"discovery": "b"}`); r.InForce != 20 || g.kept().Serving.PID != pid || g.kept().StartCount != starts {
-		t.Errorf("%+v, process %d after %d", r, g.kept().Serving.PID, pid)
+	starts := g.persisted().StartCount
+	if r := g.publish(20, `{"discovery": "b"}`); r.InForce != 20 || g.persisted().Serving.PID != pid || g.persisted().StartCount != starts {
+		t.Errorf("%+v, process %d after %d", r, g.persisted().Serving.PID, pid)
 	}
-	g.tell(21, `{"one": 1}`)
-	store, err := release.NewStore(g.c.Releases)
+	g.publish(21, `{"one": 1}`)
+	store, err := release.NewStore(g.config.Releases)
 	if err != nil {
 		t.Fatal(err)
 	}
-	was, err := store.Open(release.ID(g.c.Release))
+	was, err := store.Open(release.ID(g.config.Release))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -327,40 +327,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := g.m.handleCheck(t.Context(), &CheckRequest{Version: Version, Release: string(other.ID)}); err == nil || !strings.Contains(err.Error(), "one and other are no pair") {
+	if _, err := g.machine.handleCheck(t.Context(), &CheckRequest{Version: Version, Release: string(other.ID)}); err == nil || !strings.Contains(err.Error(), "one and other are no pair") {
 		t.Errorf("%v", err)
 	}
-	if _, err := g.m.handleCheck(t.Context(), &CheckRequest{Version: Version, Release: g.c.Release}); err != nil {
+	if _, err := g.machine.handleCheck(t.Context(), &CheckRequest{Version: Version, Release: g.config.Release}); err != nil {
 		t.Error(err)
 	}
 }
 
-// What is kept of versions: the newest whole one is held, whatever else lies there; what a sidecar runs with has to
-// be there; another service's is not run. Where nobody tells versions nothing goes in, and what is in force stays.
-func TestVersionsThatAreKept(t *testing.T) {
-	g := newRig(t)
-	g.tell(4, `{"discovery": "b"}`)
-	g.end()
+// The newest complete version on the disk counts, whatever else lies there; the version that a sidecar runs with has to be there; that of
+// another service is an error. Without coordinators no version is applied, and the one in force stays.
+func TestStoredVersions(t *testing.T) {
+	g := newTestAgent(t)
+	g.publish(4, `{"discovery": "b"}`)
+	g.stop()
 	write := func(name, text string) {
 		t.Helper()
-		if err := os.WriteFile(filepath.Join(g.c.Data, name), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(g.config.Data, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	whole, _ := json.Marshal(version(9, `{"discovery": "c"}`))
 	write("version-9.json", string(whole[:len(whole)-3]))
-	write("version-8.json", string(whole)) // another's
+	write("version-8.json", string(whole)) // of another revision
 	write("version-6.json", strings.NewReplacer(`"c"`, `"d"`, ":9", ":6").Replace(string(whole)))
 	write("version-7.json.new", string(whole))
 	write("version-x.json", string(whole))
-	g.begin()
-	if g.holds != 4 {
-		t.Errorf("it holds %d", g.holds)
+	g.start()
+	if g.newest != 4 {
+		t.Errorf("it holds %d", g.newest)
 	}
-	g.end()
+	g.stop()
 
 	write("version-9.json", string(whole))
-	m, err := Open(g.c, slog.New(slog.DiscardHandler)) // without coordinators
+	m, err := Open(g.config, slog.New(slog.DiscardHandler)) // without coordinators
 	if err != nil || m.subscription != nil {
 		t.Fatal(err)
 	}
@@ -372,19 +372,18 @@
 	}
 	m.lockFile.Close()
 
-	kept, _ := os.ReadFile(filepath.Join(g.c.Data, "version-4.json"))
+	kept, _ := os.ReadFile(filepath.Join(g.config.Data, "version-4.json"))
 	for text, want := range map[string]string{string(kept[:9]): "version-4.json: sidecar n0 runs with it, and it is not there or damaged",
 		strings.Replace(string(kept), `"app"`, `"else"`, 1): "it is of else, and this agent is of app"} {
 		write("version-4.json", text)
-		if _, err := Open(g.c, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Open(g.config, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
 	write("version-4.json", string(kept))
 }
 
-// A version's top fields replace those of the release; the sidecar's own come last, in whatever case they are
-// written.
+// The top fields of a version replace those of the release, and the sidecar's own replace both, in whatever case they are written.
 func TestSettings(t *testing.T) {
 	s := &SidecarConfig{Name: "n0", Listen: "127.0.0.1:1", Overrides: map[string]json.RawMessage{"seed": []byte(`"1f"`), "settings.mine": []byte("7")}}
 	const release = `{"name": "x", "discovery": "a", "seed": "0", "settings": {"a": 1, "mine": 0}, "n": 12345678901234567890}`
@@ -410,8 +409,8 @@
 	}
 }
 
-// Only where the servers are listed is read by a process that serves.
-func TestLive(t *testing.T) {
+// A process reloads only the field that says where its servers are listed.
+func TestReloadable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	if err := os.WriteFile(path, []byte(`{"discovery":"a","settings":{"x":1},"seed":"1"}`), 0o600); err != nil {
 		t.Fatal(err)
