--- a/internal/coordination/release/store.go
+++ b/internal/coordination/release/store.go
@@ -14,22 +14,25 @@
 // ID names a release by its content: the hash of the hashes of its program and its settings.
 type ID string
 
-// Release is one that a store holds.
+// Release is a release in a store.
 type Release struct {
 	ID       ID
 	Program  string // the path of the executable
 	Settings string // the path of its settings
 }
 
+// The files of a release's folder, and the prefix of folders of releases that are being added or removed.
 const (
-	programName, settingsName = "program", "settings.json"
-	stagingPrefix             = ".adding-"
+	programName   = "program"
+	settingsName  = "settings.json"
+	stagingPrefix = ".adding-"
 )
 
-// Store is a folder of releases.
+// Store is a folder of releases, each in a folder that is named by its ID. Any number of processes may open releases at the same time, but
+// none may add one while another calls NewStore, which removes what was not added completely.
 type Store struct{ dir string }
 
-// NewStore is the store in a folder, which is made if it is not there. What an earlier process had begun to add is removed.
+// NewStore returns the store in a folder, which is made if it is not there. What an earlier process had begun to add is removed.
 func NewStore(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -48,19 +51,20 @@
 	return &Store{dir}, nil
 }
 
+// contentID returns the ID of a release from the hashes of its program and its settings.
 func contentID(program, settings []byte) ID {
 	sum := sha256.Sum256(append(append([]byte("petrelhook release 1\n"), program...), settings...))
 	return ID(hex.EncodeToString(sum[:16]))
 }
 
-// Add copies a program and its settings into the store: beside, synced, and then renamed. One that is there already is checked and
-// left as it is.
+// Add copies a program and its settings into the store. They are written to a staging folder and synced, and the folder is renamed, so that
+// a release is complete on the disk when it is first seen. A release that is there already is checked and left as it is.
 func (s *Store) Add(program, settings io.Reader) (Release, error) {
 	staging, err := os.MkdirTemp(s.dir, stagingPrefix)
 	if err != nil {
 		return Release{}, err
 	}
-	defer os.RemoveAll(staging)
+	defer func() { _ = os.RemoveAll(staging) }() // renamed after success; otherwise NewStore removes what is left
 	p, err := writeAndHash(filepath.Join(staging, programName), program, 0o500)
 	if err != nil {
 		return Release{}, err
@@ -74,7 +78,7 @@
 		return Release{}, err
 	}
 	if err := os.Rename(staging, filepath.Join(s.dir, string(id))); err != nil {
-		if r, failed := s.Open(id); failed == nil { // it was there
+		if r, failed := s.Open(id); failed == nil { // it was there before
 			return r, nil
 		}
 		return Release{}, err
@@ -85,7 +89,7 @@
 	return s.Open(id)
 }
 
-// writeAndHash writes a file and gives the hash of what it holds. A failure leaves nothing that is taken for whole.
+// writeAndHash writes and syncs a file and returns the hash of its content. After a failure the file may be there in part.
 func writeAndHash(path string, from io.Reader, mode os.FileMode) (sum []byte, err error) {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
@@ -107,10 +111,10 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// ErrNotFound says that a release is not in the store.
+// ErrNotFound is the error of Open and Remove for a release that is not in the store.
 var ErrNotFound = errors.New("there is no such release here")
 
-// Open gives a release whose content is what its name says.
+// Open returns a release after it has checked that the content is that of the ID. The error for another content names the folder.
 func (s *Store) Open(id ID) (Release, error) {
 	if text, err := hex.DecodeString(string(id)); err != nil || len(text) != 16 {
 		return Release{}, fmt.Errorf("%q is no name of a release: write 32 hexadecimal digits", string(id))
@@ -139,7 +143,7 @@
 	return r, nil
 }
 
-// Remove removes a release. It is renamed first: nobody sees half of one.
+// Remove removes a release. The folder is renamed first, so that no one opens a part of it.
 func (s *Store) Remove(id ID) error {
 	if _, err := s.Open(id); errors.Is(err, ErrNotFound) {
 		return err
