--- /dev/null
+++ b/internal/coordination/rollout/fence.go
@@ -0,0 +1,45 @@
+package rollout
+
+import (
+	"fmt"
+	"maps"
+)
+
+// Fence is what an agent persists of the drivers that called it: calls with an older fencing token are refused, and an order is carried
+// out once.
+type Fence struct {
+	Token      uint64            `json:"token"` // the newest that was seen
+	LastOrders map[string]uint64 `json:"last"`  // the number of the last order, by sidecar
+}
+
+// ObserveToken notes a driver's fencing token, or refuses one that is older than another that was seen.
+func (f *Fence) ObserveToken(token uint64) error {
+	if token < f.Token {
+		return fmt.Errorf("the driver with token %d: one with %d was heard", token, f.Token)
+	}
+	f.Token = token
+	return nil
+}
+
+// Equal reports whether two fences refuse the same calls.
+func (f Fence) Equal(other Fence) bool {
+	return f.Token == other.Token && maps.Equal(f.LastOrders, other.LastOrders)
+}
+
+// Admit notes an order, or says why it is refused. known: it was admitted before.
+func (f *Fence) Admit(token uint64, order Order) (known bool, err error) {
+	if err := f.ObserveToken(token); err != nil {
+		return false, fmt.Errorf("order %d of %w", order.Number, err)
+	}
+	if f.LastOrders == nil {
+		f.LastOrders = map[string]uint64{}
+	}
+	if last := f.LastOrders[order.Sidecar]; order.Number <= last {
+		if order.Number < last {
+			return false, fmt.Errorf("order %d: order %d came after it", order.Number, last)
+		}
+		return true, nil
+	}
+	f.LastOrders[order.Sidecar] = order.Number
+	return false, nil
+}
--- a/internal/coordination/rollout/register_test.go
+++ b/internal/coordination/rollout/register_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Commands of drivers and operators, in the order of a fleet's life: what each is answered, and that a register that was kept and
-// restored goes on as the first.
+// Commands of drivers and operators, one after the other: the response to each, and a register that is restored from its snapshot after
+// each continues as the first would.
 func TestRegister(t *testing.T) {
 	all, now := members(4)
 	begin := func(change, from, to string) Command {
@@ -32,17 +32,17 @@
 		{driver("one", 5, 0, Event{Elapsed: 1}), "no such change", 0},
 		{begin("one", "old", "old"), "to: old is what is there", 0},
 		{begin("one", "old", "new"), "", 0},
-		{begin("one", "old", "new"), "", 0}, // asked again
+		{begin("one", "old", "new"), "", 0}, // repeated
 		{begin("two", "old", "new"), "change one of app is running", 0},
 		{driver("one", 5, 0, done("n00", 1), Event{Elapsed: 1}), "", 2},
-		{driver("one", 5, 0, done("n00", 1), Event{Elapsed: 1}), "other events", 2}, // asked again
+		{driver("one", 5, 0, done("n00", 1), Event{Elapsed: 1}), "other events", 2}, // repeated
 		{driver("one", 4, 2, Event{Elapsed: time.Hour}), "a newer driver", 2},
 		{driver("one", 6, 2, Event{Elapsed: 1}), "", 3},
 		{driver("one", 5, 3, Event{Elapsed: 1}), "a newer driver", 3},
 		{driver("one", 0, 0, Event{Pause: "lunch"}), "", 4},
-		{driver("one", 6, 3, Event{Elapsed: 1}), "other events", 4}, // it had not heard of the pause
+		{driver("one", 6, 3, Event{Elapsed: 1}), "other events", 4}, // it did not know of the pause
 		{driver("one", 0, 0, Event{Abort: "enough"}), "", 5},
-		{begin("two", "old", "new"), "taking back", 0}, // a new one while the last is taken back
+		{begin("two", "old", "new"), "taking back", 0}, // a new one while the last is rolled back
 		{driver("one", 6, 5, Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 2}}), "", 6},
 		{begin("two", "old", "new"), "", 0},
 		{driver("one", 6, 6, Event{Elapsed: 1}), "no such change", 0},
@@ -71,7 +71,7 @@
 	}
 }
 
-// Commands that are none are refused before they come into the log.
+// Invalid commands are refused before they enter the log.
 func TestCheck(t *testing.T) {
 	good := Command{Application: "a", Change: "c", Token: 1, Events: []Event{{Elapsed: 1}}}
 	for want, change := range map[string]func(*Command){
@@ -91,7 +91,7 @@
 	}
 }
 
-// What a driver has to tell: what differs, and orders that are over; sidecars are not ready once their agent was silent for some looks.
+// A driver reports differences and completed orders; sidecars count as not ready once their agent has missed some polls.
 func TestWatch(t *testing.T) {
 	all, now := members(3)
 	for i := range all {
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -26,14 +26,14 @@
 		{Selector: Selector{Count: 1}, ControlCount: 1, MinWatch: time.Minute}, {Selector: Selector{Share: 0.25}, ControlCount: 2}, {Selector: Selector{Share: 1}}}}
 }
 
-// fleet is agents that carry orders out.
+// fleet is agents that carry out orders.
 type fleet struct {
 	t     testing.TB
 	s     *State
 	fence map[string]*Fence
-	run   map[string]string // what each runs
-	out   int               // the most that were out of service
-	went  map[string]int    // orders to the new release that were carried out after the stop
+	run   map[string]string // the release of each sidecar
+	out   int               // the most sidecars that were out of service
+	went  map[string]int    // orders to the new release that were carried out after the stop, by sidecar
 }
 
 func begin(t testing.TB, p Plan, n int) *fleet {
@@ -49,7 +49,7 @@
 	return f
 }
 
-// apply takes in an event and carries all orders out, until there are none; fails says why one fails.
+// apply applies an event and carries out all orders that follow; fails says why an order fails, "": it succeeds.
 func (f *fleet) apply(e Event, fails func(Order) string) {
 	todo := f.s.Apply(e)
 	for len(todo) > 0 {
@@ -78,7 +78,7 @@
 	return n
 }
 
-// A good change goes through its stages, each once its time is watched and the judge has said that it is no worse.
+// A good change passes its stages, each after its time has passed and the judge has said that it is no worse.
 func TestAGoodChange(t *testing.T) {
 	f := begin(t, plan(), 12)
 	f.apply(Event{Elapsed: time.Second}, never)
@@ -101,7 +101,7 @@
 	}
 }
 
-// Nothing moves before the time before is watched.
+// Nothing is changed before the baseline period is over.
 func TestBefore(t *testing.T) {
 	p := plan()
 	p.BaselinePeriod = time.Minute
@@ -115,15 +115,15 @@
 	}
 }
 
-// slow is agents that carry nothing out: the events tell all.
+// slow fails no order and is used where events report everything.
 var slow func(Order) string
 
-// back is that the first of a stage runs the old release again, without an order.
+// back reports that the first sidecar of a stage runs the old release again, without an order.
 func back(why FallbackReason) Event {
 	return Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FallbackReason: why}}
 }
 
-// What stops a change, and what becomes of what was changed.
+// What stops or pauses a change, and what becomes of the changed sidecars.
 func TestStops(t *testing.T) {
 	failsTo := func(release string, n int) func(Order) string {
 		return func(o Order) string {
@@ -162,7 +162,7 @@
 		p := plan()
 		p.KeepOnStop = c.hold
 		f := begin(t, p, 12)
-		if c.fails == nil { // agents that have not done anything yet
+		if c.fails == nil { // agents that have not carried out anything yet
 			f.s.Plan.Stages[0].ControlCount = 0
 			f.s.Apply(Event{})
 		}
@@ -185,7 +185,7 @@
 	}
 }
 
-// What was changed and is out of service goes back, though more are out of service than the plan allows.
+// A changed sidecar that is out of service is rolled back even if more are out of service than the plan allows.
 func TestTakingBackWhatDoesNotServe(t *testing.T) {
 	p := plan()
 	p.MaxConcurrent, p.MaxUnavailable = 1, 1
@@ -201,8 +201,8 @@
 	}
 }
 
-// Any reports, late, doubled, lost and false, any calls, and drivers that take over: the limits hold, nobody is ordered forward after
-// a stop, an agent carries an order out once, and a state that was replayed goes on equally.
+// Whatever reports come, late, doubled, lost or false, whatever operators ask, and whichever driver takes over: the limits hold, no sidecar
+// is ordered to the new release after a stop, an agent carries out an order once, and a state that was replayed continues equally.
 func TestAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := plan()
@@ -256,7 +256,7 @@
 			if again := twin.Apply(e); !slices.Equal(orders, again) || !reflect.DeepEqual(s.Sidecars(), twin.Sidecars()) || s.Phase != twin.Phase {
 				t.Fatalf("%v, and replayed %v", orders, again)
 			}
-			if rapid.IntRange(0, 3).Draw(t, "kept") == 0 { // in a snapshot, by way of another coordinator
+			if rapid.IntRange(0, 3).Draw(t, "kept") == 0 { // restored from a snapshot by another coordinator
 				text, err := json.Marshal(twin)
 				if twin = new(State); err != nil || json.Unmarshal(text, twin) != nil {
 					t.Fatalf("%v: %s", err, text)
@@ -267,7 +267,7 @@
 				t.Fatalf("%d change at once, of %d", len(open), p.MaxConcurrent)
 			}
 			if len(orders) > 0 {
-				out, mended := map[string]bool{}, s.Phase == RollingBack // those that are out of service already may always go back
+				out, mended := map[string]bool{}, s.Phase == RollingBack // those that are out of service already may always be rolled back
 				for _, o := range open {
 					out[o.Sidecar] = true
 				}
@@ -290,7 +290,7 @@
 				known = append(known, o)
 			}
 			stopped = stopped || s.Phase == RollingBack || s.Phase == Stopped
-			for _, o := range append(orders, open...) { // and said again, by this driver or the next
+			for _, o := range append(orders, open...) { // and repeated, by this driver or the next
 				if fences[o.Sidecar] == nil {
 					fences[o.Sidecar] = &Fence{}
 				}
@@ -309,7 +309,7 @@
 	})
 }
 
-// An agent refuses orders of an older driver, and older orders; what it refuses changes nothing.
+// A fence refuses orders of an older driver, and older orders; a refused one changes nothing.
 func TestFence(t *testing.T) {
 	var f Fence
 	admit := func(token, number uint64, want string, known bool) {
@@ -327,7 +327,7 @@
 	admit(6, 1, "order 2 came after it", false)
 }
 
-// Plans that do not add up are errors that name the field, before anything moves.
+// Plans that do not fit are errors that name the field, before anything is changed.
 func TestBadPlans(t *testing.T) {
 	all, now := members(6)
 	for want, change := range map[string]func(*Plan){
--- /dev/null
+++ b/internal/coordination/rollout/stages.go
@@ -0,0 +1,120 @@
+package rollout
+
+import (
+	"fmt"
+	"slices"
+)
+
+// resolveStages returns the names of each stage's sidecars. The error names the field of the plan that does not fit the members.
+func (p *Plan) resolveStages(members []Member) (stages [][]string, err error) {
+	if err := p.check(); err != nil {
+		return nil, err
+	}
+	left := slices.Clone(members)
+	for i, s := range p.Stages {
+		path := fmt.Sprintf("stages[%d]", i)
+		selected, err := s.Selector.pick(left, len(members))
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", path, err)
+		}
+		left = slices.DeleteFunc(left, func(m Member) bool { return slices.Contains(selected, m.Name) })
+		if s.ControlCount < 0 || s.ControlCount > len(left) {
+			return nil, fmt.Errorf("%s.control: %d, and %d are left for later stages; write %d at most", path, s.ControlCount, len(left), len(left))
+		}
+		if s.MinWatch < 0 || s.MinWatch > p.EvidenceTimeout {
+			return nil, fmt.Errorf("%s.least: %v; write a time up to patience (%v)", path, s.MinWatch, p.EvidenceTimeout)
+		}
+		stages = append(stages, selected)
+	}
+	if len(left) > 0 {
+		return nil, fmt.Errorf("stages: %d of %d sidecars are in none, such as %s; let the last take share: 1", len(left), len(members), left[0].Name)
+	}
+	return stages, nil
+}
+
+// check finds what is wrong with a selector by itself.
+func (s Selector) check() error {
+	given := 0
+	for _, set := range []bool{len(s.Names) > 0, s.Zone != "", s.Count != 0, s.Share != 0} {
+		if set {
+			given++
+		}
+	}
+	switch {
+	case given != 1:
+		return fmt.Errorf("write one of names, zone, count, share")
+	case s.Share != 0 && !(s.Share > 0 && s.Share <= 1): // so that NaN is refused too
+		return fmt.Errorf("share: %v; write one above 0 and up to 1", s.Share)
+	case s.Count < 0:
+		return fmt.Errorf("count: %d; write 1 or more", s.Count)
+	}
+	return nil
+}
+
+// pick returns the names of the members that a stage changes, of those that are left of total. A number of them is spread over zones.
+func (s Selector) pick(left []Member, total int) (selected []string, err error) {
+	if err := s.check(); err != nil {
+		return nil, err
+	}
+	switch {
+	case s.Zone != "":
+		for _, m := range left {
+			if m.Zone == s.Zone {
+				selected = append(selected, m.Name)
+			}
+		}
+	case len(s.Names) > 0:
+		selected, err = s.pickNames(left)
+	default:
+		selected, err = s.pickNumber(left, total)
+	}
+	if err == nil && len(selected) == 0 {
+		err = fmt.Errorf("it takes nobody")
+	}
+	if err != nil {
+		return nil, err
+	}
+	return selected, nil
+}
+
+func (s Selector) pickNames(left []Member) (selected []string, err error) {
+	for _, name := range s.Names {
+		if !slices.ContainsFunc(left, func(m Member) bool { return m.Name == name }) || slices.Contains(selected, name) {
+			return nil, fmt.Errorf("names: %s is no sidecar, or is in a stage before", name)
+		}
+		selected = append(selected, name)
+	}
+	return selected, nil
+}
+
+func (s Selector) pickNumber(left []Member, total int) ([]string, error) {
+	n := s.Count
+	if s.Share > 0 {
+		n = min(len(left), int(float64(total)*s.Share+0.999999))
+	}
+	if n > len(left) {
+		return nil, fmt.Errorf("count: %d, and %d are left", n, len(left))
+	}
+	return pickAcrossZones(left, n), nil
+}
+
+// pickAcrossZones returns n members, one of each zone after the other.
+func pickAcrossZones(left []Member, n int) (selected []string) {
+	byZone, zones := map[string][]string{}, []string{}
+	for _, m := range left {
+		if byZone[m.Zone] == nil {
+			zones = append(zones, m.Zone)
+		}
+		byZone[m.Zone] = append(byZone[m.Zone], m.Name)
+	}
+	slices.Sort(zones)
+	for len(selected) < n {
+		for _, z := range zones {
+			if names := byZone[z]; len(names) > 0 && len(selected) < n {
+				selected = append(selected, names[0])
+				byZone[z] = names[1:]
+			}
+		}
+	}
+	return selected
+}
