--- a/internal/coordination/driver/planfile.go
+++ b/internal/coordination/driver/planfile.go
@@ -1,37 +1,39 @@
 package driver
 
 import (
-	"context"
-	"crypto/rand"
-	"errors"
-	"fmt"
-	"net/http"
 	"os"
-	"strings"
 	"time"
 
 	"go.yaml.in/yaml/v3"
 
 	"petrelhook/internal/common/yamlfile"
-	"petrelhook/internal/coordination/fleet"
 	"petrelhook/internal/coordination/judge"
-	"petrelhook/internal/coordination/machine"
-	"petrelhook/internal/coordination/release"
 	"petrelhook/internal/coordination/rollout"
 )
 
-// PlanFile is a plan as people write it.
+// PlanFile is a plan with the agents that it concerns, as operators write it.
 type PlanFile struct {
 	Plan   rollout.Plan
-	Agents []string
+	Agents []string // their addresses
 }
 
-// The defaults.
+// The defaults of a plan file.
 var defaultJudge = rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02}
 
-const defaultPatience = 30 * time.Minute
+const (
+	defaultMaxConcurrent   = 1
+	defaultEvidenceTimeout = 30 * time.Minute
+)
+
+// The longest times of a plan file.
+const (
+	maxBaselinePeriod = 24 * time.Hour
+	maxStageTime      = 7 * 24 * time.Hour
+)
+
+type fieldReader = func(*yaml.Node) error
 
-// ReadPlan reads a plan's file.
+// ReadPlan reads a plan file.
 func ReadPlan(path string) (*PlanFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -40,155 +42,123 @@
 	return ParsePlan(path, text)
 }
 
-// ParsePlan reads the text of a plan. Every error names file, line, column and field, and says what to write. Whether stages add up is
-// seen when the sidecars are known.
+// ParsePlan reads the text of a plan file. Every error names file, line, column and field, and says what to write. Whether the stages fit
+// the sidecars is found out when those are known; see Begin.
 func ParsePlan(file string, text []byte) (*PlanFile, error) {
 	top, err := yamlfile.Mapping(file, text, "fields such as application: permits")
 	if err != nil {
 		return nil, err
 	}
-	f := &PlanFile{Plan: rollout.Plan{MaxConcurrent: 1, EvidenceTimeout: defaultPatience, Judge: defaultJudge}}
-	p := &f.Plan
-	word := func(to *string, what string) func(*yaml.Node) error {
-		return func(n *yaml.Node) error { return yamlfile.Decode(n, to, what) }
-	}
-	lines := map[string]*yaml.Node{}
-	note := func(name string, read func(*yaml.Node) error) func(*yaml.Node) error {
-		return func(n *yaml.Node) error { lines[name] = n; return read(n) }
+	p := &planParser{file: file, result: &PlanFile{Plan: rollout.Plan{MaxConcurrent: defaultMaxConcurrent,
+		EvidenceTimeout: defaultEvidenceTimeout, Judge: defaultJudge}}}
+	for _, step := range []func(*yaml.Node) error{p.readTop, p.checkTop, p.readJudge, p.readStages} {
+		if err := step(top); err != nil {
+			return nil, err
+		}
 	}
-	keep := func(*yaml.Node) error { return nil }
-	err = yamlfile.Fields(file, "", top, map[string]func(*yaml.Node) error{
-		"application": word(&p.Application, "a name"), "from": word(&p.From, "a release"), "to": word(&p.To, "a release"),
-		"at_once":     func(n *yaml.Node) error { return yamlfile.Decode(n, &p.MaxConcurrent, "a number from 1 on") },
-		"unavailable": func(n *yaml.Node) error { return yamlfile.Decode(n, &p.MaxUnavailable, "a number from 1 on") },
-		"before":      func(n *yaml.Node) error { return yamlfile.Within(n, &p.BaselinePeriod, 0, 24*time.Hour) },
-		"patience":    func(n *yaml.Node) error { return yamlfile.Within(n, &p.EvidenceTimeout, time.Second, 7*24*time.Hour) },
-		"hold":        func(n *yaml.Node) error { return yamlfile.Decode(n, &p.KeepOnStop, "true or false") },
-		"agents":      note("agents", func(n *yaml.Node) error { return yamlfile.Decode(n, &f.Agents, "a list of host:port") }),
-		"judge":       note("judge", keep), "stages": note("stages", keep),
+	return p.result, nil
+}
+
+// planParser reads one plan file.
+type planParser struct {
+	file   string
+	result *PlanFile
+
+	agents, judge, stages yaml.Node // the zero node: the file does not have it
+}
+
+func (p *planParser) problem(n *yaml.Node, field, what string) error {
+	return yamlfile.Problem(p.file, n, field, what)
+}
+
+// decodes returns a reader of a value; want says what is expected of it.
+func decodes(to any, want string) fieldReader {
+	return func(n *yaml.Node) error { return yamlfile.Decode(n, to, want) }
+}
+
+func readsDuration(to *time.Duration, minimum, maximum time.Duration) fieldReader {
+	return func(n *yaml.Node) error { return yamlfile.Within(n, to, minimum, maximum) }
+}
+
+func (p *planParser) readTop(top *yaml.Node) error {
+	plan := &p.result.Plan
+	return yamlfile.Fields(p.file, "", top, map[string]fieldReader{
+		"application": decodes(&plan.Application, "a name"),
+		"from":        decodes(&plan.From, "a release"),
+		"to":          decodes(&plan.To, "a release"),
+		"at_once":     decodes(&plan.MaxConcurrent, "a number from 1 on"),
+		"unavailable": decodes(&plan.MaxUnavailable, "a number from 1 on"),
+		"before":      readsDuration(&plan.BaselinePeriod, 0, maxBaselinePeriod),
+		"patience":    readsDuration(&plan.EvidenceTimeout, time.Second, maxStageTime),
+		"hold":        decodes(&plan.KeepOnStop, "true or false"),
+		"agents": func(n *yaml.Node) error {
+			p.agents = *n
+			return yamlfile.Decode(n, &p.result.Agents, "a list of host:port")
+		},
+		"judge":  decodes(&p.judge, "none, or fields"),
+		"stages": decodes(&p.stages, "a list"),
 	})
-	if err != nil {
-		return nil, err
-	}
+}
+
+// checkTop checks the fields that a plan file must have.
+func (p *planParser) checkTop(top *yaml.Node) error {
+	plan := &p.result.Plan
 	switch {
-	case p.Application == "" || p.From == "" || p.To == "":
-		return nil, yamlfile.Problem(file, top, "application, from, to", "write all three")
-	case len(f.Agents) == 0:
-		return nil, yamlfile.Problem(file, top, "agents", "missing; write the addresses of the agents")
-	case lines["stages"] == nil:
-		return nil, yamlfile.Problem(file, top, "stages", "missing; write one at least")
+	case plan.Application == "" || plan.From == "" || plan.To == "":
+		return p.problem(top, "application, from, to", "write all three")
+	case len(p.result.Agents) == 0:
+		return p.problem(top, "agents", "missing; write the addresses of the agents")
+	case p.stages.IsZero():
+		return p.problem(top, "stages", "missing; write one at least")
 	}
-	for _, n := range lines["agents"].Content {
+	for _, n := range p.agents.Content {
 		if err := yamlfile.Address(n, new(string)); err != nil {
-			return nil, yamlfile.Problem(file, n, "agents", err.Error())
-		}
-	}
-	if p.MaxUnavailable == 0 {
-		p.MaxUnavailable = p.MaxConcurrent
-	}
-	if n := lines["judge"]; n != nil {
-		rate := func(to *float64) func(*yaml.Node) error {
-			return func(n *yaml.Node) error { return yamlfile.Decode(n, to, "a share between 0 and 1") }
-		}
-		if n.Kind != yaml.MappingNode && n.Value != "none" {
-			return nil, yamlfile.Problem(file, n, "judge", "write none, or fields such as effect: 0.02")
-		}
-		p.Judge.Disabled = n.Value == "none"
-		err := yamlfile.Fields(file, "judge.", n, map[string]func(*yaml.Node) error{
-			"false_stops": rate(&p.Judge.FalseStopRate), "missed_stops": rate(&p.Judge.MissedStopRate), "effect": rate(&p.Judge.MinEffect)})
-		if err != nil {
-			return nil, err
-		}
-		j := judge.Plan{FalseStopRate: p.Judge.FalseStopRate, MissedStopRate: p.Judge.MissedStopRate, MinEffect: p.Judge.MinEffect, MaxCells: 1}
-		if err := j.Check(); err != nil {
-			return nil, yamlfile.Problem(file, n, "judge", err.Error())
+			return p.problem(n, "agents", err.Error())
 		}
 	}
-	err = yamlfile.Each(file, "stages", lines["stages"], func(at string, n *yaml.Node) error {
-		var s rollout.Stage
-		err := yamlfile.Fields(file, at+".", n, map[string]func(*yaml.Node) error{
-			"names":   func(n *yaml.Node) error { return yamlfile.Decode(n, &s.Selector.Names, "a list of sidecars") },
-			"zone":    word(&s.Selector.Zone, "a zone"),
-			"count":   func(n *yaml.Node) error { return yamlfile.Decode(n, &s.Selector.Count, "a number from 1 on") },
-			"share":   func(n *yaml.Node) error { return yamlfile.Decode(n, &s.Selector.Share, "a share above 0, up to 1") },
-			"control": func(n *yaml.Node) error { return yamlfile.Decode(n, &s.ControlCount, "a number") },
-			"least":   func(n *yaml.Node) error { return yamlfile.Within(n, &s.MinWatch, 0, 7*24*time.Hour) },
-		})
-		p.Stages = append(p.Stages, s)
-		return err
-	})
-	if err != nil {
-		return nil, err
+	if plan.MaxUnavailable == 0 {
+		plan.MaxUnavailable = plan.MaxConcurrent
 	}
-	return f, nil
-}
-
-// BeginResult is a change that was begun, or that is good to begin.
-type BeginResult struct {
-	Change   string            `json:"change,omitempty"`
-	Sidecars int               `json:"sidecars"`
-	Findings []release.Finding `json:"findings"`
+	return nil
 }
 
-// Begin checks a plan against the agents as they are, and then has the log begin it. Before anything moves: every agent answers and
-// has both releases whole, the new program takes the new settings on every machine, no field differs that must not, stages add up, and
-// all sidecars run the release before. stepsDone: an operator says that what two steps need besides was done.
-func Begin(ctx context.Context, operator *fleet.Operator, client *http.Client, file *PlanFile, stepsDone bool) (*BeginResult, error) {
-	type told struct {
-		sidecars []SidecarStatus
-		settings [2][]byte // of the releases before and after
-		err      error
+func (p *planParser) readJudge(*yaml.Node) error {
+	if p.judge.IsZero() {
+		return nil
 	}
-	all := make([]told, len(file.Agents))
-	forEach(len(file.Agents), func(i int) {
-		t, addr := &all[i], file.Agents[i]
-		seen, err := callAgent[machine.StatusRequest, machine.Status](ctx, client, addr, machine.PathStatus, &machine.StatusRequest{Version: machine.Version, Application: file.Plan.Application})
-		if t.err = err; err != nil {
-			return
-		}
-		t.sidecars = seen.Sidecars
-		for n, id := range []string{file.Plan.From, file.Plan.To} {
-			checked, err := callAgent[machine.CheckRequest, machine.CheckResponse](ctx, client, addr, machine.PathCheck, &machine.CheckRequest{Version: machine.Version, Release: id})
-			if t.err = err; err != nil {
-				return
-			}
-			t.settings[n] = checked.Settings
-		}
-	})
-	start, agentOf := &rollout.Start{Plan: file.Plan}, map[string]string{}
-	for i, t := range all {
-		addr := file.Agents[i]
-		if t.err != nil {
-			return nil, fmt.Errorf("agent %s: %w", addr, t.err)
-		}
-		for _, s := range t.sidecars {
-			if other, twice := agentOf[s.Sidecar]; twice {
-				return nil, fmt.Errorf("agent %s: sidecar %s is also that of agent %s", addr, s.Sidecar, other)
-			}
-			agentOf[s.Sidecar] = addr
-			start.Members = append(start.Members, rollout.Member{Name: s.Sidecar, Zone: s.Zone, Agent: addr})
-			start.Reports = append(start.Reports, s.Report)
-		}
+	n, config := &p.judge, &p.result.Plan.Judge
+	if n.Kind != yaml.MappingNode && n.Value != "none" {
+		return p.problem(n, "judge", "write none, or fields such as effect: 0.02")
 	}
-	settings := all[0].settings // of equal releases
-	findings, err := release.Compare(settings[0], settings[1])
+	config.Disabled = n.Value == "none"
+	const fraction = "a share between 0 and 1"
+	err := yamlfile.Fields(p.file, "judge.", n, map[string]fieldReader{
+		"false_stops":  decodes(&config.FalseStopRate, fraction),
+		"missed_stops": decodes(&config.MissedStopRate, fraction),
+		"effect":       decodes(&config.MinEffect, fraction),
+	})
 	if err != nil {
-		return nil, err
-	}
-	b := &BeginResult{Sidecars: len(start.Members), Findings: findings}
-	if worst := release.Worst(findings); worst == release.Refused || worst == release.TwoSteps && !stepsDone {
-		var why []string
-		for _, file := range findings {
-			if file.Kind != release.SideBySide {
-				why = append(why, file.String())
-			}
-		}
-		return b, fmt.Errorf("old and new must not run side by side (%v): %s", worst, strings.Join(why, "; "))
+		return err
 	}
-	b.Change = strings.ToLower(rand.Text()[:12])
-	answer, err := operator.Ask(ctx, fleet.Request{Rollout: &rollout.Command{Application: file.Plan.Application, Change: b.Change, AtMillis: time.Now().UnixMilli(), Start: start}})
-	if err == nil && answer.Rollout.Error != "" {
-		err = errors.New(answer.Rollout.Error)
+	plan := judge.Plan{FalseStopRate: config.FalseStopRate, MissedStopRate: config.MissedStopRate, MinEffect: config.MinEffect, MaxCells: 1}
+	if err := plan.Check(); err != nil {
+		return p.problem(n, "judge", err.Error())
 	}
-	return b, err
+	return nil
+}
+
+func (p *planParser) readStages(*yaml.Node) error {
+	return yamlfile.Each(p.file, "stages", &p.stages, func(path string, n *yaml.Node) error {
+		var s rollout.Stage
+		err := yamlfile.Fields(p.file, path+".", n, map[string]fieldReader{
+			"names":   decodes(&s.Selector.Names, "a list of sidecars"),
+			"zone":    decodes(&s.Selector.Zone, "a zone"),
+			"count":   decodes(&s.Selector.Count, "a number from 1 on"),
+			"share":   decodes(&s.Selector.Share, "a share above 0, up to 1"),
+			"control": decodes(&s.ControlCount, "a number"),
+			"least":   readsDuration(&s.MinWatch, 0, maxStageTime),
+		})
+		p.result.Plan.Stages = append(p.result.Plan.Stages, s)
+		return err
+	})
 }
--- a/internal/coordination/driver/planfile_test.go
+++ b/internal/coordination/driver/planfile_test.go
@@ -8,7 +8,7 @@
 // Slips in a plan's file are errors with their place.
 func TestBadPlanFiles(t *testing.T) {
 	good := "application: a\nfrom: x\nto: y\nagents: [\"127.0.0.1:1\"]\nstages:\n  - {count: 1}\n"
-	if f, err := ParsePlan("p", []byte(good)); err != nil || f.Plan.MaxUnavailable != 1 || f.Plan.EvidenceTimeout != defaultPatience {
+	if f, err := ParsePlan("p", []byte(good)); err != nil || f.Plan.MaxUnavailable != 1 || f.Plan.EvidenceTimeout != defaultEvidenceTimeout {
 		t.Fatal(f, err)
 	}
 	for text, want := range map[string]string{
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// slow fails no order and is used where events report everything.
+// slow stands for agents that carry out nothing: the events report all that happens.
 var slow func(Order) string
 
 // back reports that the first sidecar of a stage runs the old release again, without an order.
