--- a/internal/coordination/judge/judge_test.go
+++ b/internal/coordination/judge/judge_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// draw is how many of n requests something happens to.
+// draw returns counts of n requests, of which each is hit with probability p.
 func draw(r *rand.Rand, n int, p float64) (c Counts) {
 	c.Total = float64(n)
 	for range n {
@@ -19,16 +19,16 @@
 	return c
 }
 
-// change is one change of a release over classes, zones and windows, looked at after each.
+// change is a change of a release over classes, zones and windows, judged after each.
 type change struct {
 	classes, zones, windows int
-	news, controls          int // requests a window and cell
+	news, controls          int // requests per window and cell
 	rate                    func(window, class, zone int, new bool) float64
 }
 
 var plan = Plan{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02, MaxCells: 18}
 
-// judge plays a change until it is worse, or all windows are over; at is when, NoWorse has to last to the end.
+// judge simulates a change until it is judged worse or all windows are over; at is the window. NoWorse has to last to the end.
 func (c change) judge(t testing.TB, r *rand.Rand, p Plan) (v Verdict, at int) {
 	j, err := New(p)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return v, c.windows
 }
 
-// changes are how many a test plays: CHANGES in the environment, or a few.
+// changes is how many changes a test simulates: CHANGES in the environment, or a few.
 func changes(few int) int {
 	n := few
 	fmt.Sscan(os.Getenv("CHANGES"), &n)
@@ -62,8 +62,8 @@
 	return func(int, int, int, bool) float64 { return p }
 }
 
-// Equal releases, looked at after every window: stopped no more often than said, whatever befalls both; and said to be no worse once
-// there is evidence for it.
+// Equal releases, judged after every window, are stopped no more often than planned, whatever happens to both; and they are judged to be no
+// worse once there is evidence for it.
 func TestEqualReleases(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for name, c := range map[string]change{
@@ -96,8 +96,8 @@
 	}
 }
 
-// Worse releases: stopped, the sooner the larger the effect, also where one class in one zone alone is worse, and never said to be
-// no worse more often than said.
+// Worse releases are stopped, the sooner the larger the effect, also if one class in one zone alone is worse, and they are judged to be no
+// worse no more often than planned.
 func TestWorseReleases(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	in := func(base, more float64) func(int, int, int, bool) float64 {
@@ -133,7 +133,7 @@
 	}
 }
 
-// A release that is as good as the old one for a long time, and then worse, is found about as soon as one that is worse from its begin.
+// A release that is as good as the old one for a long time, and then worse, is found about as soon as one that is worse from the start.
 func TestWorseLate(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 8))
 	after := func(equal int) int {
@@ -160,7 +160,7 @@
 	}
 }
 
-// Almost no traffic is no evidence, for either verdict; counts that come in bunches are worth less.
+// Almost no traffic is no evidence for either verdict; counts that come in clusters count less.
 func TestLittleEvidence(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	for range 100 {
@@ -185,7 +185,7 @@
 	}
 }
 
-// Bad plans and counts are errors that say what to write.
+// Invalid plans and counts are errors that say what to write.
 func TestBadInput(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
 		"false_stops: 0;":  func(p *Plan) { p.FalseStopRate = 0 },
