--- a/internal/coordination/evidence/chain_test.go
+++ b/internal/coordination/evidence/chain_test.go
@@ -12,14 +12,14 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// side is a sidecar whose requests, processor and memory are drawn.
+// side is a sidecar whose requests, processor time and memory are drawn at random.
 type side struct {
 	r     *rand.Rand
 	now   Reading
-	order rollout.Order // that it carries out until the next window
+	order rollout.Order // that it carries out before the next window
 }
 
-// serve is a window of one class: n requests about, of which parts fail and are refused, with times about a step.
+// serve counts a window of one class: about n requests, of which fractions fail and are refused, with times about a step.
 func (s *side) serve(class, n int, failed, refused float64, step int) {
 	c := &s.now.Classes[class]
 	for range int(float64(n) * (0.5 + s.r.Float64())) {
@@ -42,9 +42,17 @@
 	s.now = Reading{Process: agent.Process{PID: 1, StartTicks: number, Release: release}, Told: counts.Told{Classes: []counts.Class{{Name: "look"}, {Name: "book"}, {Name: "void"}}, Effort: &counts.Effort{}}, ResidentBytes: 18 << 20}
 }
 
-// play is a whole change of 12 sidecars in 3 zones and 3 stages, with its control, from its begin to its end or pause: the state that the
-// log keeps, the evidence and the judge, by windows of 2 s, a look after each.
-func play(t *testing.T, r *rand.Rand, rate func(zone, window int, release string) (n int, failed float64, step int)) *rollout.Change {
+// load is what a sidecar serves in a window, about: requests of the smallest class, the fraction of them that fails, and the step of their
+// times.
+type load struct {
+	requests int
+	failed   float64
+	step     int
+}
+
+// play simulates a complete change of 12 sidecars in 3 zones and 3 stages, with its control, to its end or pause: the state that the log
+// keeps, the evidence and the judge, by windows of 2 s with a poll after each.
+func play(t *testing.T, r *rand.Rand, rate func(zone, window int, release string) load) *rollout.Change {
 	p := rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: 2, MaxUnavailable: 2, EvidenceTimeout: 20 * time.Minute, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.05},
 		Stages: []rollout.Stage{{Selector: rollout.Selector{Count: 2}, ControlCount: 2}, {Selector: rollout.Selector{Count: 4}, ControlCount: 2}, {Selector: rollout.Selector{Share: 1}}}}
 	var members []rollout.Member
@@ -73,11 +81,12 @@
 				one.order = rollout.Order{}
 				s.Apply(rollout.Event{Report: &rollout.Report{Sidecar: m.Name, Release: o.Release, Ready: true, CompletedOrder: o.Number}})
 			}
-			n, failed, step := rate(i%3, w, one.now.Process.Release)
+			l := rate(i%3, w, one.now.Process.Release)
+			n, failed, step := l.requests, l.failed, l.step
 			for class, part := range []int{10, 4, 2} {
 				one.serve(class, n*part, failed, 0.002, step)
 			}
-			if r.IntN(10) == 0 { // it grows in bursts, and gives some back
+			if r.IntN(10) == 0 { // it grows in bursts, and some of it is released
 				one.now.ResidentBytes += uint64(r.IntN(2<<20)) - 1<<20
 			}
 			read[m.Name] = one.now
@@ -100,31 +109,31 @@
 	return c
 }
 
-// Whole changes of equal releases: none is stopped more often than the plan says, whatever befalls the servers meanwhile; of a release that
-// is worse by the smallest effect that matters, hardly any comes through. CHANGES in the environment says how many are played.
+// Complete changes of equal releases are stopped no more often than planned, whatever happens to the servers meanwhile; hardly any change to a
+// release that is worse by the smallest effect that matters completes. CHANGES in the environment says how many are simulated.
 func TestWholeChanges(t *testing.T) {
 	n := 6
 	fmt.Sscan(os.Getenv("CHANGES"), &n)
-	for name, rate := range map[string]func(zone, window int, release string) (int, float64, int){
-		"equal":                func(int, int, string) (int, float64, int) { return 2, 0.002, 12 },
-		"equal, nothing fails": func(int, int, string) (int, float64, int) { return 1, 0, 12 },
-		"equal, servers of a zone fail and are slow for a while": func(zone, w int, _ string) (int, float64, int) {
+	for name, rate := range map[string]func(zone, window int, release string) load{
+		"equal":                func(int, int, string) load { return load{2, 0.002, 12} },
+		"equal, nothing fails": func(int, int, string) load { return load{1, 0, 12} },
+		"equal, servers of a zone fail and are slow for a while": func(zone, w int, _ string) load {
 			if zone == 1 && w > 20 && w < 60 {
-				return 2, 0.3, 16
+				return load{2, 0.3, 16}
 			}
-			return 2, 0.002, 12
+			return load{2, 0.002, 12}
 		},
-		"equal, load doubles": func(_, w int, _ string) (int, float64, int) {
+		"equal, load doubles": func(_, w int, _ string) load {
 			if w > 30 {
-				return 4, 0.01, 14
+				return load{4, 0.01, 14}
 			}
-			return 2, 0.002, 12
+			return load{2, 0.002, 12}
 		},
-		"worse by the effect": func(_, _ int, release string) (int, float64, int) {
-			return 2, map[string]float64{"old": 0.002, "new": 0.052}[release], 12
+		"worse by the effect": func(_, _ int, release string) load {
+			return load{2, map[string]float64{"old": 0.002, "new": 0.052}[release], 12}
 		},
-		"slower by an octave": func(_, _ int, release string) (int, float64, int) {
-			return 2, 0.002, map[string]int{"old": 12, "new": 16}[release]
+		"slower by an octave": func(_, _ int, release string) load {
+			return load{2, 0.002, map[string]int{"old": 12, "new": 16}[release]}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/coordination/evidence/evidence_test.go
+++ b/internal/coordination/evidence/evidence_test.go
@@ -11,7 +11,7 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// world is sidecars that count.
+// world is simulated sidecars that count requests.
 type world struct {
 	change *rollout.Change
 	e      Evidence
@@ -19,7 +19,7 @@
 	began  map[string]uint64
 	cpu    map[string]uint64
 	memory map[string]uint64
-	tries  map[string]uint64 // nil: this version does not tell
+	tries  map[string]uint64 // nil: this version does not report them
 }
 
 func (w *world) effort(name string) *counts.Effort {
@@ -29,7 +29,7 @@
 	return &counts.Effort{Tries: w.tries[name], Connections: 7, Probes: 7}
 }
 
-// newWorld is a change in its first stage, all of whose sidecars are where they should be.
+// newWorld returns a change in its first stage, all of whose orders were carried out.
 func newWorld(t *testing.T, first rollout.Stage) *world {
 	var members []rollout.Member
 	var now []rollout.Report
@@ -53,7 +53,7 @@
 	return w
 }
 
-// window has each sidecar count, and gives the verdict.
+// window has each sidecar count, and returns the verdict.
 func (w *world) window(t *testing.T, count func(name, release string, c *counts.Class)) *rollout.Verdict {
 	read := map[string]Reading{}
 	for _, s := range w.change.State.Sidecars() {
@@ -74,19 +74,19 @@
 	}
 }
 
-// zoneA is that a third of all requests fail in zone a, whatever serves them.
+// zoneA has a third of all requests in zone a fail, whichever release serves them.
 func zoneA(_ *world, _ int, name, _ string, c *counts.Class) {
 	if serve(c, 20, 10); (name[1]-'0')%2 == 0 {
 		c.Failed += 10
 	}
 }
 
-// What is worse in one way is found, with what it is; what befalls both, what is slow because it is other, and a process that begins
-// anew with its counts are no evidence.
+// What is worse in one way is found and named; what happens to both sides, work that is slower by nature, and a process that begins its
+// counts anew are no evidence.
 func TestEvidence(t *testing.T) {
 	for name, c := range map[string]struct {
 		count   func(w *world, i int, name, release string, c *counts.Class)
-		verdict string // "": fine
+		verdict string // "": no worse
 		stage   rollout.Stage
 	}{
 		"a zone where all fail more": {zoneA, "", rollout.Stage{Selector: rollout.Selector{Count: 1}, ControlCount: 1}},
@@ -119,7 +119,7 @@
 			}
 		}, "", rollout.Stage{}},
 		"a process begins anew": {func(w *world, i int, name, _ string, c *counts.Class) {
-			if i == 30 && name == "n0" { // all that the next one shows at first was counted at its start
+			if i == 30 && name == "n0" { // the first counts of the next process are of its start
 				*c = counts.Class{Name: "look", Failed: 5000}
 				w.began[name]++
 			}
@@ -156,7 +156,7 @@
 			w.cpu[name] += uint64(40 + n)
 			w.memory[name] += uint64(i%7) << 10
 			if r == "new" {
-				w.memory[name] += 400 << 10 // it grows as it is warmed more slowly
+				w.memory[name] += 400 << 10 // it grows more slowly while it warms up
 			}
 		}, "", rollout.Stage{}},
 		"of a version that tells no tries": {func(w *world, _ int, _, r string, c *counts.Class) {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Where a plan has none restarted all old ones are the control; in the last stage there is none.
+// If a plan has none restarted, all old sidecars are the control; in the last stage there is none.
 func TestControl(t *testing.T) {
 	w := newWorld(t, rollout.Stage{Selector: rollout.Selector{Count: 2}})
 	var v *rollout.Verdict
@@ -207,7 +207,7 @@
 		t.Fatalf("%+v", v)
 	}
 	w.change.State.Apply(rollout.Event{Verdict: v})
-	if v = w.window(t, count); w.change.State.Stage != 2 {
+	if w.window(t, count); w.change.State.Stage != 2 {
 		t.Fatal("it waits in its first stage")
 	}
 	for _, s := range w.change.State.Sidecars() {
@@ -218,11 +218,11 @@
 	}
 }
 
-// The old ones do worse once the new are there: the change pauses, for it is not known why. What was as bad before is no news.
+// The old sidecars do worse once there are new ones: the change pauses, because the reason is unknown. What was as bad before has no effect.
 func TestTheTimeBefore(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after uint64
-		restarted     bool // it befalls those alone that this change has started anew
+		restarted     bool // it happens to those alone that this change has restarted
 	}{"worse": {0, 6, false}, "as before": {6, 6, false}, "better": {6, 0, false}, "cold": {0, 6, true}} {
 		w := newWorld(t, rollout.Stage{Selector: rollout.Selector{Count: 2}, ControlCount: 2})
 		w.change.State.Plan.BaselinePeriod = time.Minute
--- /dev/null
+++ b/internal/coordination/evidence/window.go
@@ -0,0 +1,129 @@
+package evidence
+
+import (
+	"petrelhook/internal/coordination/judge"
+	"petrelhook/internal/coordination/rollout"
+	"petrelhook/internal/sidecar/counts"
+)
+
+// allZones is the zone of cells over all zones, and the class of cells over all classes.
+const allZones = "*"
+
+// cellKey names the counts of one class in one zone.
+type cellKey struct{ class, zone string }
+
+// countsByCell are counts by class and zone.
+type countsByCell map[cellKey]counts.Class
+
+func (c countsByCell) add(key cellKey, more counts.Class) { c[key] = addClasses(c[key], more) }
+
+func (c countsByCell) addAll(more countsByCell) {
+	for key, counted := range more {
+		c.add(key, counted)
+	}
+}
+
+// addClasses returns the sum of two counts, with the name of the second.
+func addClasses(a, b counts.Class) counts.Class {
+	a.Name = b.Name
+	a.Served += b.Served
+	a.Refused += b.Refused
+	a.Failed += b.Failed
+	for i, n := range b.Took {
+		a.Took[i] += n
+	}
+	return a
+}
+
+// difference returns what was counted since an earlier reading of the same process.
+func difference(now, before counts.Class) counts.Class {
+	now.Served -= before.Served
+	now.Refused -= before.Refused
+	now.Failed -= before.Failed
+	for i := range now.Took {
+		now.Took[i] -= before.Took[i]
+	}
+	return now
+}
+
+// finished is how many requests have ended, in whatever way.
+func finished(c counts.Class) float64 { return float64(c.Served + c.Refused + c.Failed) }
+
+// rateMetric is a rate that is compared.
+type rateMetric struct {
+	name   string
+	counts func(counts.Class) judge.Counts
+}
+
+// outcomeMetrics are the rates that need no bound. The third one, of slow requests, is slowBound.slow.
+var outcomeMetrics = []rateMetric{
+	{"refused", func(c counts.Class) judge.Counts { return judge.Counts{Hits: float64(c.Refused), Total: finished(c)} }},
+	{"failed", func(c counts.Class) judge.Counts { return judge.Counts{Hits: float64(c.Failed), Total: finished(c)} }},
+}
+
+// increment is what one process has counted and used between two readings.
+type increment struct {
+	release string
+	classes []counts.Class
+	usage
+}
+
+// increments returns what was counted and used since the last readings, by sidecar. A process that is read for the first time has none.
+func (e *Evidence) increments(readings map[string]Reading) map[string]increment {
+	all := map[string]increment{}
+	for name, now := range readings {
+		before, known := e.lastReadings[name]
+		e.lastReadings[name] = now
+		if known && before.Process == now.Process {
+			all[name] = incrementBetween(before, now)
+		}
+	}
+	return all
+}
+
+// incrementBetween returns what a process has counted and used between two readings of it.
+func incrementBetween(before, now Reading) increment {
+	delta := increment{release: now.Process.Release, usage: usage{
+		growthBytes:    float64(now.ResidentBytes) - float64(before.ResidentBytes),
+		memoryBytes:    float64(now.ResidentBytes),
+		cpuTicks:       float64(now.CPUTicks - before.CPUTicks),
+		sidecarWindows: 1,
+		effortMissing:  now.Effort == nil || before.Effort == nil,
+	}}
+	if !delta.effortMissing {
+		delta.effort = counts.Effort{Tries: now.Effort.Tries - before.Effort.Tries,
+			Connections: now.Effort.Connections - before.Effort.Connections, Probes: now.Effort.Probes - before.Effort.Probes}
+	}
+	for i, class := range now.Classes {
+		if i < len(before.Classes) && before.Classes[i].Name == class.Name {
+			counted := difference(class, before.Classes[i])
+			delta.classes = append(delta.classes, counted)
+			delta.requests += finished(counted)
+		}
+	}
+	return delta
+}
+
+// window is what the sidecars of a change have counted and used since the last poll.
+type window struct {
+	state      *rollout.State
+	increments map[string]increment
+}
+
+// sum returns what the selected sidecars have that run a release.
+func (w window) sum(release string, selected func(rollout.Sidecar) bool) (counted countsByCell, used usage) {
+	counted = countsByCell{}
+	for _, sidecar := range w.state.Sidecars() {
+		delta, ok := w.increments[sidecar.Name]
+		if !ok || delta.release != release || !selected(sidecar) {
+			continue
+		}
+		memory := used.memoryBytes + delta.memoryBytes
+		used.add(delta.usage)
+		used.memoryBytes = memory // of all sidecars, where add takes the newer one
+		for _, c := range delta.classes {
+			counted.add(cellKey{c.Name, sidecar.Zone}, c)
+		}
+	}
+	return counted, used
+}
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -28,12 +28,9 @@
 
 // fleet is agents that carry out orders.
 type fleet struct {
-	t     testing.TB
-	s     *State
-	fence map[string]*Fence
-	run   map[string]string // the release of each sidecar
-	out   int               // the most sidecars that were out of service
-	went  map[string]int    // orders to the new release that were carried out after the stop, by sidecar
+	t   testing.TB
+	s   *State
+	run map[string]string // the release of each sidecar
 }
 
 func begin(t testing.TB, p Plan, n int) *fleet {
