--- a/internal/coordination/rollout/report/explain.go
+++ b/internal/coordination/rollout/report/explain.go
@@ -1,5 +1,5 @@
-// Package report tells people of a change: why it stands where it stands, what each stage was counted to have done, and the same as a
-// page and as a table of columns that other tools read. It is pure but for the writers it is given; it decides nothing.
+// Package report presents a change to people: why it is in its state, what was counted in each stage, and the same as a page of HTML and as
+// a table in columns for other tools. It is pure but for the writers that it is given; it decides nothing.
 package report
 
 import (
@@ -11,13 +11,13 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// Line is one thing to know of a change. Rule is stable, for tools.
+// Line is one reason for the state of a change. Rule is stable, for tools.
 type Line struct {
 	Rule string `json:"rule"`
 	Text string `json:"text"`
 }
 
-// The rules.
+// The rules; docs/operate/rollout.md lists them.
 const (
 	Over             = "over"
 	Stopped          = "stopped"
@@ -39,103 +39,119 @@
 	ResumeWith       = "resume"
 )
 
-// Explain says why a change stands where it stands, the most important first.
-func Explain(c *rollout.Change) (all []Line) {
+// lines collects lines.
+type lines []Line
+
+func (l *lines) add(rule, format string, args ...any) {
+	*l = append(*l, Line{rule, fmt.Sprintf(format, args...)})
+}
+
+// Explain says why a change is in its state, the most important reason first.
+func Explain(c *rollout.Change) []Line {
 	s := c.State
-	say := func(rule, format string, args ...any) { all = append(all, Line{rule, fmt.Sprintf(format, args...)}) }
+	var l lines
 	switch s.Phase {
 	case rollout.Done:
-		say(Over, "all sidecars run %s", s.Plan.To)
+		l.add(Over, "all sidecars run %s", s.Plan.To)
 	case rollout.Stopped:
-		say(Stopped, "stopped in stage %d: %s", s.Stage, s.Reason)
+		l.add(Stopped, "stopped in stage %d: %s", s.Stage, s.Reason)
 	case rollout.Paused:
-		say(Paused, "paused in stage %d: %s", s.Stage, s.Reason)
+		l.add(Paused, "paused in stage %d: %s", s.Stage, s.Reason)
 	case rollout.RollingBack:
-		say(RollingBack, "taken back from stage %d: %s", s.Stage, s.Reason)
+		l.add(RollingBack, "taken back from stage %d: %s", s.Stage, s.Reason)
 	}
-	sidecars(s, say)
+	l.addSidecars(s)
 	if s.Phase == rollout.Running && s.BaselineElapsed < s.Plan.BaselinePeriod {
-		say(BaselineTime, "nothing moves until all were watched for %v; so far %v", s.Plan.BaselinePeriod, s.BaselineElapsed.Round(time.Second))
-		return all
+		l.add(BaselineTime, "nothing moves until all were watched for %v; so far %v", s.Plan.BaselinePeriod, s.BaselineElapsed.Round(time.Second))
+		return l
 	}
-	if s.Phase == rollout.Running || s.Phase == rollout.Paused || s.Phase == rollout.RollingBack || s.Phase == rollout.Stopped {
-		evidence(c, say)
+	if s.Phase != rollout.Done {
+		l.addEvidence(c)
 	}
-	if s.Phase == rollout.Running && s.JudgedNoWorse && s.StageElapsed < s.Plan.Stages[s.Stage-1].MinWatch {
-		say(MinWatchTime, "stage %d is no worse; it is watched for %v, so far %v", s.Stage, s.Plan.Stages[s.Stage-1].MinWatch, s.StageElapsed.Round(time.Second))
+	if minWatch := s.Plan.Stages[s.Stage-1].MinWatch; s.Phase == rollout.Running && s.JudgedNoWorse && s.StageElapsed < minWatch {
+		l.add(MinWatchTime, "stage %d is no worse; it is watched for %v, so far %v", s.Stage, minWatch, s.StageElapsed.Round(time.Second))
 	}
 	if s.Phase == rollout.Paused {
-		say(ResumeWith, "rollout resume %s goes on and waits once more, with --accept it takes the stage for no worse; rollout abort %s takes back what was changed", s.Plan.Application, s.Plan.Application)
+		l.add(ResumeWith, "rollout resume %s goes on and waits once more, with --accept it takes the stage for no worse; "+
+			"rollout abort %s takes back what was changed", s.Plan.Application, s.Plan.Application)
 	}
-	return all
+	return l
 }
 
-// sidecars says what holds up those that are to change now.
-func sidecars(s *rollout.State, say func(rule, format string, args ...any)) {
-	changing, out := s.Disruptions("")
-	waits := 0
+// addSidecars says what holds up the sidecars that are to change now.
+func (l *lines) addSidecars(s *rollout.State) {
+	waiting := 0
 	for _, c := range s.Sidecars() {
-		to := s.Plan.To
+		target := s.Plan.To
 		if s.Phase == rollout.RollingBack {
-			to = s.Plan.From
+			target = s.Plan.From
 		}
-		switch due := s.StageOf(c.Name) <= s.Stage && c.Release != to; {
+		toChange := s.StageOf(c.Name) <= s.Stage && c.Release != target
+		switch {
 		case c.AbandonedReason != "":
-			say(LeftAlone, "%s is left alone at %s: %s", c.Name, c.Release, c.AbandonedReason)
+			l.add(LeftAlone, "%s is left alone at %s: %s", c.Name, c.Release, c.AbandonedReason)
 		case s.Phase.Over():
 		case c.OpenOrder != 0:
-			say(Ordered, "%s carries out order %d, to %s", c.Name, c.OpenOrder, c.OrderedRelease)
+			l.add(Ordered, "%s carries out order %d, to %s", c.Name, c.OpenOrder, c.OrderedRelease)
 		case !c.Ready:
-			say(NotReady, "%s runs %s and is not ready, or its agent is out of reach", c.Name, c.Release)
-		case due && s.Phase != rollout.Paused:
-			waits++
+			l.add(NotReady, "%s runs %s and is not ready, or its agent is out of reach", c.Name, c.Release)
+		case toChange && s.Phase != rollout.Paused:
+			waiting++
 		}
 	}
-	if waits == 0 || s.BaselineElapsed < s.Plan.BaselinePeriod {
+	if waiting == 0 || s.BaselineElapsed < s.Plan.BaselinePeriod {
 		return
 	}
+	changing, unavailable := s.Disruptions("")
 	if len(changing) >= s.Plan.MaxConcurrent {
-		say(ConcurrencyLimit, "%d more of this stage wait: at_once is %d, and %s change", waits, s.Plan.MaxConcurrent, strings.Join(changing, ", "))
-	} else if len(out)+1 > s.Plan.MaxUnavailable {
-		say(UnavailableLimit, "%d more of this stage wait: unavailable is %d, and out of service are %s", waits, s.Plan.MaxUnavailable, strings.Join(out, ", "))
+		l.add(ConcurrencyLimit, "%d more of this stage wait: at_once is %d, and %s change", waiting, s.Plan.MaxConcurrent, strings.Join(changing, ", "))
+	} else if len(unavailable)+1 > s.Plan.MaxUnavailable {
+		l.add(UnavailableLimit, "%d more of this stage wait: unavailable is %d, and out of service are %s", waiting, s.Plan.MaxUnavailable,
+			strings.Join(unavailable, ", "))
 	}
 }
 
-// evidence says what the judge has found of this stage, and what it lacks.
-func evidence(c *rollout.Change, say func(rule, format string, args ...any)) {
+// addEvidence says what the judge has found of the stage, and what it lacks.
+func (l *lines) addEvidence(c *rollout.Change) {
 	s := c.State
 	switch {
 	case s.Plan.Judge.Disabled:
-		say(NoJudge, "the plan has no judge: stages go by least, and by what does not come up")
+		l.add(NoJudge, "the plan has no judge: stages go by least, and by what does not come up")
 		return
 	case s.Stage == len(s.Plan.Stages) && s.Phase == rollout.Running:
-		say(NoControl, "the last stage has nobody to compare with: it ends when its sidecars have lived through their trials")
+		l.add(NoControl, "the last stage has nobody to compare with: it ends when its sidecars have lived through their trials")
 		return
 	}
 	n := len(c.Results)
 	if n == 0 || c.Results[n-1].Stage != s.Stage {
 		if s.Phase == rollout.Running {
-			say(NoTraffic, "nothing was counted of stage %d yet at both the new and the control", s.Stage)
+			l.add(NoTraffic, "nothing was counted of stage %d yet at both the new and the control", s.Stage)
 		}
 		return
 	}
-	j := s.Plan.Judge
-	for _, k := range c.Results[n-1].Cells {
-		cell := judge.Cell{Class: k.Class, Zone: k.Zone, Metric: k.Metric}
-		new, control := judge.Counts{Hits: k.NewHits, Total: k.NewTotal}, judge.Counts{Hits: k.ControlHits, Total: k.ControlTotal}
-		seen := fmt.Sprintf("%v: new %v of %v, control %.6g of %.6g", cell, k.NewHits, k.NewTotal, k.ControlHits, k.ControlTotal)
-		switch {
-		case k.Verdict == judge.Worse.String():
-			say(Worse, "%s: worse, odds %.3g", seen, k.Odds)
-		case k.Advisory || k.Verdict == judge.NoWorse.String() || s.Phase == rollout.Stopped || s.Phase == rollout.RollingBack:
-		case k.NewTotal == 0 || k.ControlTotal == 0:
-			say(NoTraffic, "%s: nothing to compare yet", cell)
-		default:
-			if more, ok := judge.RequestsNeeded(new, control, j.MissedStopRate, j.MinEffect); ok {
-				say(EvidenceMissing, "%s; at most %.4f more, where %v matters: about %.0f more requests of the new at these rates", seen, k.MaxDifference, j.MinEffect, more)
-			} else {
-				say(EvidenceNever, "%s; at these rates it will not be shown to be within %v", seen, j.MinEffect)
-			}
+	for _, cell := range c.Results[n-1].Cells {
+		l.addCell(s, cell)
+	}
+}
+
+// addCell says what a cell shows or lacks. Cells that lack nothing are left out.
+func (l *lines) addCell(s *rollout.State, r rollout.CellResult) {
+	cell := judge.Cell{Class: r.Class, Zone: r.Zone, Metric: r.Metric}
+	counted := fmt.Sprintf("%v: new %v of %v, control %.6g of %.6g", cell, r.NewHits, r.NewTotal, r.ControlHits, r.ControlTotal)
+	config := s.Plan.Judge
+	switch {
+	case r.Verdict == judge.Worse.String():
+		l.add(Worse, "%s: worse, odds %.3g", counted, r.Odds)
+	case r.Advisory || r.Verdict == judge.NoWorse.String() || s.Phase == rollout.Stopped || s.Phase == rollout.RollingBack:
+	case r.NewTotal == 0 || r.ControlTotal == 0:
+		l.add(NoTraffic, "%s: nothing to compare yet", cell)
+	default:
+		newCounts, control := judge.Counts{Hits: r.NewHits, Total: r.NewTotal}, judge.Counts{Hits: r.ControlHits, Total: r.ControlTotal}
+		if more, ok := judge.RequestsNeeded(newCounts, control, config.MissedStopRate, config.MinEffect); ok {
+			l.add(EvidenceMissing, "%s; at most %.4f more, where %v matters: about %.0f more requests of the new at these rates", counted,
+				r.MaxDifference, config.MinEffect, more)
+		} else {
+			l.add(EvidenceNever, "%s; at these rates it will not be shown to be within %v", counted, config.MinEffect)
 		}
 	}
 }
--- a/internal/coordination/rollout/report/page.go
+++ b/internal/coordination/rollout/report/page.go
@@ -15,7 +15,7 @@
 )
 
 var page = template.Must(template.New("page").Funcs(template.FuncMap{
-	"rate":    func(hit, of float64) string { return rate(hit, of) },
+	"rate":    rate,
 	"moment":  func(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02 15:04:05") },
 	"seconds": func(d time.Duration) string { return d.Round(time.Second).String() },
 }).Parse(`<!DOCTYPE html>
@@ -38,112 +38,134 @@
 {{end}}</table></body></html>
 `))
 
-func rate(hit, of float64) string {
-	if of == 0 {
+// rate writes a rate with the number that it is of.
+func rate(hits, total float64) string {
+	if total == 0 {
 		return "none"
 	}
-	return fmt.Sprintf("%.4f of %.0f", hit/of, of)
+	return fmt.Sprintf("%.4f of %.0f", hits/total, total)
 }
 
-// stageView is what the page shows of one.
+// stageView is what the page shows of a stage.
 type stageView struct {
 	rollout.StageResult
 	Changed, Control string
 	Charts           []template.HTML
 }
 
+// sidecarView is what the page shows of a sidecar.
 type sidecarView struct {
 	rollout.Sidecar
 	Stage int
 }
 
-// WritePage writes a change as one page of HTML that needs nothing else: the moment and the cause of its end, and new against old in
-// each stage.
+// WritePage writes a change as a page of HTML that needs nothing else: when and why it ended, and new against old in each stage.
 func WritePage(w io.Writer, c *rollout.Change) error {
 	s := c.State
 	stages := []stageView{}
 	for _, r := range c.Results {
-		one := stageView{StageResult: r}
-		var changed, control []string
-		for _, side := range s.Sidecars() {
-			if s.StageOf(side.Name) == r.Stage {
-				changed = append(changed, side.Name)
-			}
-			if side.ControlStage == r.Stage {
-				control = append(control, side.Name)
-			}
+		view, err := newStageView(s, r)
+		if err != nil {
+			return err
 		}
-		one.Changed, one.Control = strings.Join(changed, ", "), strings.Join(control, ", ")
-		for _, metric := range metrics(r.Course) {
-			drawn, err := draw(metric, r.Course)
-			if err != nil {
-				return err
-			}
-			one.Charts = append(one.Charts, drawn)
-		}
-		stages = append(stages, one)
+		stages = append(stages, view)
 	}
 	verdict := fmt.Sprintf("%v in stage %d of %d", s.Phase, s.Stage, len(s.Plan.Stages))
 	if s.Reason != "" {
 		verdict += ": " + s.Reason
 	}
-	all := []sidecarView{}
-	for _, side := range s.Sidecars() {
-		all = append(all, sidecarView{side, s.StageOf(side.Name)})
+	sidecars := []sidecarView{}
+	for _, one := range s.Sidecars() {
+		sidecars = append(sidecars, sidecarView{one, s.StageOf(one.Name)})
 	}
-	effect := fmt.Sprintf("a difference of %v of a rate, false stops %v, missed stops %v", s.Plan.Judge.MinEffect, s.Plan.Judge.FalseStopRate, s.Plan.Judge.MissedStopRate)
+	effect := fmt.Sprintf("a difference of %v of a rate, false stops %v, missed stops %v", s.Plan.Judge.MinEffect, s.Plan.Judge.FalseStopRate,
+		s.Plan.Judge.MissedStopRate)
 	if s.Plan.Judge.Disabled {
 		effect = "the plan has no judge"
 	}
 	return page.Execute(w, map[string]any{
-		"Title": fmt.Sprintf("Change %s of %s", c.Name, s.Plan.Application), "Style": chart.Style, "OK": s.Phase == rollout.Done || s.Phase == rollout.Running, "Verdict": verdict,
-		"Plan": s.Plan.String(), "Sidecars": len(c.Members), "Effect": effect, "Lines": Explain(c), "Transitions": c.Transitions, "Stages": stages, "All": all,
+		"Title": fmt.Sprintf("Change %s of %s", c.Name, s.Plan.Application), "Style": chart.Style,
+		"OK": s.Phase == rollout.Done || s.Phase == rollout.Running, "Verdict": verdict,
+		"Plan": s.Plan.String(), "Sidecars": len(c.Members), "Effect": effect, "Lines": Explain(c),
+		"Transitions": c.Transitions, "Stages": stages, "All": sidecars,
 	})
 }
 
-// metrics are those that a course tells of.
-func metrics(course []rollout.CourseSample) (all []string) {
-	for _, p := range course {
-		for _, k := range p.Cells {
-			if !slices.Contains(all, k.Metric) {
-				all = append(all, k.Metric)
-			}
+// newStageView names the sidecars of a stage and draws its metrics.
+func newStageView(s *rollout.State, r rollout.StageResult) (stageView, error) {
+	view := stageView{StageResult: r}
+	var changed, control []string
+	for _, one := range s.Sidecars() {
+		if s.StageOf(one.Name) == r.Stage {
+			changed = append(changed, one.Name)
 		}
+		if one.ControlStage == r.Stage {
+			control = append(control, one.Name)
+		}
+	}
+	view.Changed, view.Control = strings.Join(changed, ", "), strings.Join(control, ", ")
+	for _, metric := range metrics(r.Course) {
+		drawn, err := draw(metric, r.Course)
+		if err != nil {
+			return view, err
+		}
+		view.Charts = append(view.Charts, drawn)
 	}
-	slices.Sort(all)
-	return all
+	return view, nil
 }
 
-// draw is a metric of all classes together over a stage's time: its rate from point to point, new and control.
-func draw(metric string, course []rollout.CourseSample) (template.HTML, error) {
-	var new, control plotter.XYs
-	var last [4]float64
-	for _, p := range course {
-		var now [4]float64
-		for _, k := range p.Cells {
-			if k.Metric == metric {
-				for i, v := range []float64{k.NewHits, k.NewTotal, k.ControlHits, k.ControlTotal} {
-					now[i] += v
-				}
+// metrics returns the names of the metrics of a course, in order.
+func metrics(course []rollout.CourseSample) (names []string) {
+	for _, sample := range course {
+		for _, cell := range sample.Cells {
+			if !slices.Contains(names, cell.Metric) {
+				names = append(names, cell.Metric)
 			}
 		}
-		was := last
-		if last = now; now[1] < was[1] || now[3] < was[3] { // counted anew: by another driver, or after a pause
-			was = [4]float64{}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// totals are the sums of a metric over all cells of a sample.
+type totals struct{ newHits, newTotal, controlHits, controlTotal float64 }
+
+func totalsOf(sample rollout.CourseSample, metric string) (t totals) {
+	for _, cell := range sample.Cells {
+		if cell.Metric == metric {
+			t.newHits += cell.NewHits
+			t.newTotal += cell.NewTotal
+			t.controlHits += cell.ControlHits
+			t.controlTotal += cell.ControlTotal
+		}
+	}
+	return t
+}
+
+// draw draws a metric of all classes together over a stage's time: its rate from sample to sample, of new and control.
+func draw(metric string, course []rollout.CourseSample) (template.HTML, error) {
+	var newRates, controlRates plotter.XYs
+	var before totals
+	for _, sample := range course {
+		now := totalsOf(sample, metric)
+		if now.newTotal < before.newTotal || now.controlTotal < before.controlTotal { // counted anew: by another driver, or after a pause
+			before = totals{}
 		}
-		if of := now[1] - was[1]; of > 0 {
-			new = append(new, plotter.XY{X: p.StageElapsed.Seconds(), Y: (now[0] - was[0]) / of})
+		seconds := sample.StageElapsed.Seconds()
+		if n := now.newTotal - before.newTotal; n > 0 {
+			newRates = append(newRates, plotter.XY{X: seconds, Y: (now.newHits - before.newHits) / n})
 		}
-		if of := now[3] - was[3]; of > 0 {
-			control = append(control, plotter.XY{X: p.StageElapsed.Seconds(), Y: (now[2] - was[2]) / of})
+		if n := now.controlTotal - before.controlTotal; n > 0 {
+			controlRates = append(controlRates, plotter.XY{X: seconds, Y: (now.controlHits - before.controlHits) / n})
 		}
+		before = now
 	}
 	p := chart.New("seconds of the stage", metric)
 	p.Y.Min = 0
-	if err := chart.Line(p, "new", chart.Red, new); err != nil {
+	if err := chart.Line(p, "new", chart.Red, newRates); err != nil {
 		return "", err
 	}
-	if err := chart.Line(p, "control", chart.Blue, control); err != nil {
+	if err := chart.Line(p, "control", chart.Blue, controlRates); err != nil {
 		return "", err
 	}
 	return chart.SVG(p, 20, 5)
--- a/internal/coordination/rollout/report/report_test.go
+++ b/internal/coordination/rollout/report/report_test.go
@@ -14,7 +14,7 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// change is one of four sidecars in two stages, driven to a moment by events, through the log's register.
+// change is a change of four sidecars in two stages, after some events, as the log's register has it.
 func change(t *testing.T, events ...rollout.Event) *rollout.Change {
 	t.Helper()
 	r := rollout.NewRegister()
@@ -54,8 +54,8 @@
 	return rollout.Event{Report: &rollout.Report{Sidecar: name, Release: release, Ready: true, CompletedOrder: order}}
 }
 
-// told is a verdict of the first stage with a tally: hits of 100 requests times n, new and control.
-func told(kind string, n, new, control float64) rollout.Event {
+// verdict is a verdict on the first stage with cells: hits of 100 requests times n, of new and control.
+func verdict(kind string, n, new, control float64) rollout.Event {
 	return rollout.Event{Verdict: &rollout.Verdict{Stage: 1, Worse: kind == "worse", NoWorse: kind == "no worse", Reason: kind, Cells: []rollout.CellResult{
 		{Class: "look", Zone: "*", Metric: "failed", Verdict: kind, NewHits: new * n, NewTotal: 100 * n, ControlHits: control * n, ControlTotal: 100 * n, Odds: 2, MaxDifference: 0.3},
 		{Class: "look", Zone: "z", Metric: "slow", Advisory: true, Verdict: "no worse", NewTotal: 5, ControlTotal: 5}}}}
@@ -65,7 +65,7 @@
 
 func with(more ...rollout.Event) []rollout.Event { return append(slices.Clone(changed), more...) }
 
-// Each reason for which a change may stand still is said, with its rule and what is behind it.
+// Each reason why a change may wait is reported, with its rule and its details.
 func TestExplain(t *testing.T) {
 	down := rollout.Event{Report: &rollout.Report{Sidecar: "n2", Release: "old"}}
 	for name, c := range map[string]struct {
@@ -74,13 +74,13 @@
 	}{
 		"begun":          {nil, []string{"ordered n0 carries out order 1, to new", "limit-at-once 1 more of this stage wait: at_once is 1, and n0 change", "evidence-none nothing was counted of stage 1"}},
 		"one is down":    {[]rollout.Event{down, done("n0", "new", 1)}, []string{"not-ready n2 runs old", "limit-unavailable 1 more of this stage wait: unavailable is 1, and out of service are n2"}},
-		"evidence":       {with(told("not enough evidence", 1, 1, 1)), []string{"evidence-missing failed of class look in zone *: new 1 of 100", "more requests of the new at these rates"}},
-		"never":          {with(told("not enough evidence", 1, 9, 1)), []string{"evidence-never failed of class look"}},
-		"time":           {with(told("no worse", 9, 0, 0)), []string{"time-least stage 1 is no worse; it is watched for 1m0s"}},
-		"worse":          {with(told("worse", 1, 50, 0)), []string{"taking-back taken back from stage 1: worse", "worse failed of class look in zone *: new 50 of 100, control 0 of 100: worse, odds 2"}},
+		"evidence":       {with(verdict("not enough evidence", 1, 1, 1)), []string{"evidence-missing failed of class look in zone *: new 1 of 100", "more requests of the new at these rates"}},
+		"never":          {with(verdict("not enough evidence", 1, 9, 1)), []string{"evidence-never failed of class look"}},
+		"time":           {with(verdict("no worse", 9, 0, 0)), []string{"time-least stage 1 is no worse; it is watched for 1m0s"}},
+		"worse":          {with(verdict("worse", 1, 50, 0)), []string{"taking-back taken back from stage 1: worse", "worse failed of class look in zone *: new 50 of 100, control 0 of 100: worse, odds 2"}},
 		"paused":         {with(rollout.Event{Pause: "lunch"}), []string{"paused paused in stage 1: lunch", "resume rollout resume a<b>"}},
 		"left alone":     {[]rollout.Event{done("n0", "new", 1), {Abort: "x"}, {Report: &rollout.Report{Sidecar: "n1", Release: "old", Ready: true, CompletedOrder: 2}}, {Report: &rollout.Report{Sidecar: "n0", Release: "new", CompletedOrder: 3, FailureReason: "no disk"}}}, []string{"stopped stopped in stage 1: x", "left-alone n0 is left alone at new: order 3: no disk"}},
-		"the last stage": {with(told("no worse", 9, 0, 0), rollout.Event{Elapsed: time.Minute}), []string{"ordered n2 carries out order 4", "no-control the last stage has nobody"}},
+		"the last stage": {with(verdict("no worse", 9, 0, 0), rollout.Event{Elapsed: time.Minute}), []string{"ordered n2 carries out order 4", "no-control the last stage has nobody"}},
 	} {
 		var text strings.Builder
 		for _, l := range Explain(change(t, c.events...)) {
@@ -94,18 +94,18 @@
 	}
 }
 
-// The page shows the moment and the cause of a stop, needs nothing else, and takes no name for markup; the columns are read again by a
-// reader of the format; what is kept of a long stage is bounded.
+// The page shows when and why a change was stopped, needs nothing else, and escapes names; a reader of the format reads the columns; what is
+// kept of a long stage is bounded.
 func TestReport(t *testing.T) {
 	events := with()
 	for i := range 3000 {
-		events = append(events, told("not enough evidence", float64(1+i%2000), 2, 1), rollout.Event{Elapsed: time.Second / 4})
+		events = append(events, verdict("not enough evidence", float64(1+i%2000), 2, 1), rollout.Event{Elapsed: time.Second / 4})
 	}
-	c := change(t, append(events, told("worse", 2001, 2, 1))...)
+	c := change(t, append(events, verdict("worse", 2001, 2, 1))...)
 	if n := len(c.Results[0].Course); n < 1000 || n > 2000 {
 		t.Errorf("%d points", n)
 	}
-	passed := change(t, with(told("not enough evidence", 1, 0, 0), rollout.Event{Elapsed: 2 * time.Minute}, told("no worse", 9, 0, 0))...)
+	passed := change(t, with(verdict("not enough evidence", 1, 0, 0), rollout.Event{Elapsed: 2 * time.Minute}, verdict("no worse", 9, 0, 0))...)
 	if course := passed.Results[0].Course; passed.State.Stage != 2 || course[len(course)-1].StageElapsed != 2*time.Minute {
 		t.Errorf("stage %d: %+v", passed.State.Stage, course)
 	}
--- a/internal/coordination/rollout/report/rows.go
+++ b/internal/coordination/rollout/report/rows.go
@@ -9,15 +9,15 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// Row is one cell of one stage at one moment. Counts are since the judge of that moment began.
+// Row is one cell of one stage at one moment, in the file of columns. Counts are since the judge of that moment began.
 type Row struct {
 	Application   string    `parquet:"application,dict"`
 	Change        string    `parquet:"change,dict"`
 	From          string    `parquet:"from,dict"`
 	To            string    `parquet:"to,dict"`
-	Phase         string    `parquet:"phase,dict"` // of the change, as it is now
+	Phase         string    `parquet:"phase,dict"` // of the change at the time of the report
 	Stage         int32     `parquet:"stage"`
-	Final         bool      `parquet:"last"` // as the stage was told of last; else a point of its course
+	Final         bool      `parquet:"last"` // the last cells of the stage; otherwise a sample of its course
 	Time          time.Time `parquet:"at,timestamp(millisecond)"`
 	StageSeconds  float64   `parquet:"watched_seconds"`
 	Class         string    `parquet:"class,dict"`
@@ -33,27 +33,36 @@
 	MaxDifference float64   `parquet:"most"`
 }
 
-// Rows are all that is kept of a change.
-func Rows(c *rollout.Change) (all []Row) {
-	p := &c.State.Plan
+// Rows returns all that is kept of the results of a change.
+func Rows(c *rollout.Change) (rows []Row) {
 	for _, r := range c.Results {
-		add := func(at rollout.CourseSample, cells []rollout.CellResult, last bool) {
-			for _, k := range cells {
-				all = append(all, Row{p.Application, c.Name, p.From, p.To, c.State.Phase.String(), int32(r.Stage), last, time.UnixMilli(at.AtMillis).UTC(), at.StageElapsed.Seconds(),
-					k.Class, k.Zone, k.Metric, k.Advisory, k.Verdict, k.NewHits, k.NewTotal, k.ControlHits, k.ControlTotal, k.Odds, k.MaxDifference})
-			}
-		}
-		for _, point := range r.Course {
-			add(point, point.Cells, false)
+		for _, sample := range r.Course {
+			rows = append(rows, rowsOf(c, r.Stage, sample, sample.Cells, false)...)
 		}
 		if n := len(r.Course); n > 0 {
-			add(r.Course[n-1], r.Cells, true)
+			rows = append(rows, rowsOf(c, r.Stage, r.Course[n-1], r.Cells, true)...)
 		}
 	}
-	return all
+	return rows
+}
+
+// rowsOf returns the rows of some cells at the moment of a sample.
+func rowsOf(c *rollout.Change, stage int, sample rollout.CourseSample, cells []rollout.CellResult, final bool) (rows []Row) {
+	p := &c.State.Plan
+	for _, cell := range cells {
+		rows = append(rows, Row{
+			Application: p.Application, Change: c.Name, From: p.From, To: p.To, Phase: c.State.Phase.String(),
+			Stage: int32(stage), Final: final,
+			Time: time.UnixMilli(sample.AtMillis).UTC(), StageSeconds: sample.StageElapsed.Seconds(),
+			Class: cell.Class, Zone: cell.Zone, Metric: cell.Metric, Advisory: cell.Advisory, Verdict: cell.Verdict,
+			NewHits: cell.NewHits, NewTotal: cell.NewTotal, ControlHits: cell.ControlHits, ControlTotal: cell.ControlTotal,
+			Odds: cell.Odds, MaxDifference: cell.MaxDifference,
+		})
+	}
+	return rows
 }
 
-// WriteParquet writes all that is kept of a change as a file of columns.
+// WriteParquet writes the rows of a change as a Parquet file.
 func WriteParquet(w io.Writer, c *rollout.Change) error {
 	out := parquet.NewGenericWriter[Row](w, parquet.Compression(&parquet.Zstd))
 	if _, err := out.Write(Rows(c)); err != nil {
