--- a/internal/coordination/capacity/figure.go
+++ b/internal/coordination/capacity/figure.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// Figure is a number that knows where it comes from. Sums of figures of which some are missing are a least value.
+// Figure is a number with its sources. A sum of figures of which some are missing is a lower bound.
 type Figure struct {
 	Value   float64  `json:"value"`
-	From    []string `json:"from,omitempty"`    // assumptions, slopes and points, by name
+	From    []string `json:"from,omitempty"`    // names of assumptions, slopes and points
 	Missing []string `json:"missing,omitempty"` // what was not measured
-	Error   float64  `json:"error,omitempty"`   // the largest of its slopes at their check
+	Error   float64  `json:"error,omitempty"`   // the largest error of its slopes at their check
 }
 
 func union(a, b []string) []string {
@@ -20,7 +20,7 @@
 	return slices.Compact(all)
 }
 
-// with carries over where others come from.
+// with returns the figure with the sources of others added.
 func (f Figure) with(others ...Figure) Figure {
 	for _, o := range others {
 		f.From, f.Missing, f.Error = union(f.From, o.From), union(f.Missing, o.Missing), max(f.Error, o.Error)
@@ -28,7 +28,7 @@
 	return f
 }
 
-// add is the sum of all; what is missing counts nothing, and is named.
+// add returns the sum. Missing terms count as 0 and are named.
 func add(all ...Figure) Figure {
 	sum := 0.0
 	for _, f := range all {
@@ -37,7 +37,7 @@
 	return Figure{Value: sum}.with(all...)
 }
 
-// mul is the product. Of factors of which some are least values it is one too.
+// mul returns the product. It is a lower bound if a factor is one.
 func mul(all ...Figure) Figure {
 	product := 1.0
 	for _, f := range all {
@@ -46,7 +46,7 @@
 	return Figure{Value: product}.with(all...)
 }
 
-// div is the quotient. Nothing is known of it where the divisor is a least value, or missing.
+// div returns the quotient. It is unknown if the divisor is a lower bound or missing.
 func div(a, b Figure) Figure {
 	f := Figure{}.with(a, b)
 	if len(b.Missing) == 0 {
@@ -55,15 +55,15 @@
 	return f
 }
 
-// times is a figure as many times; a number needs no source where it is a unit's, as 60 s a minute.
+// times multiplies by a number without a source, such as a conversion of units.
 func (f Figure) times(n float64) Figure { f.Value *= n; return f }
 
-// inputs is what figures are made of: assumptions and what was measured.
+// inputs are what figures are computed from: assumptions and measurements.
 type inputs struct {
 	assumptions *Assumptions
 	lines       map[Key]Line
 	points      map[Key]series
-	// what seen gave for servers, services and largest: it takes long, and few of them differ
+	// The results of sizeWeightedMean by servers, services and largest: it takes long, and few of them differ.
 	weightedMeanSizes map[[3]float64]float64
 }
 
@@ -78,44 +78,44 @@
 	return in
 }
 
-// weightedMeanSize is the mean size of a service as a server sees its own.
+// weightedMeanSize is the mean size of the service of a server.
 func (in *inputs) weightedMeanSize() Figure {
-	of := [3]float64{in.assumptions.Get("target.servers"), in.assumptions.Get("target.services"),
+	key := [3]float64{in.assumptions.Get("target.servers"), in.assumptions.Get("target.services"),
 		in.assumptions.Get("shape.largest")}
-	v, known := in.weightedMeanSizes[of]
+	v, known := in.weightedMeanSizes[key]
 	if !known {
-		v = sizeWeightedMean(Sizes(of[0], of[1], of[2]))
-		in.weightedMeanSizes[of] = v
+		v = sizeWeightedMean(Sizes(key[0], key[1], key[2]))
+		in.weightedMeanSizes[key] = v
 	}
 	return Figure{Value: v}.with(in.assumption("target.servers"), in.assumption("target.services"), in.assumption("shape.largest"))
 }
 
-// assumption an assumption.
+// assumption returns an assumption as a figure.
 func (in *inputs) assumption(name string) Figure {
 	return Figure{Value: in.assumptions.Get(name), From: []string{name}}
 }
 
-// measured is what was measured of a series for a size: by its line where that is believed, else what was seen at that size
-// or the next larger one, the largest of the runs; else it is missing.
+// measured returns the value of a series at a size: that of its line if the line is trusted, otherwise the largest of the runs at that size
+// or the next larger one; otherwise it is missing.
 func (in *inputs) measured(workload, role, metric string, size Figure) Figure {
 	k := Key{workload, role, metric}
 	n := size.Value
-	if l, ok := in.lines[k]; ok && l.Believed {
+	if l, ok := in.lines[k]; ok && l.Trusted {
 		return Figure{Value: l.Predict(n), From: []string{"slope " + k.String()}, Error: math.Abs(l.Check.Error)}.with(size)
 	}
 	return in.observed(k, size)
 }
 
-// observed is the point at a size or the next larger one.
+// observed returns the largest of the runs at a size or the next larger one.
 func (in *inputs) observed(k Key, size Figure) Figure {
-	if s := in.nextSize(k, size); s > 0 {
-		return Figure{Value: slices.Max(in.points[k][s]),
-			From: []string{fmt.Sprintf("point %s at %s", k, number(float64(s)))}}.with(size)
+	if measuredSize := in.nextSize(k, size); measuredSize > 0 {
+		return Figure{Value: slices.Max(in.points[k][measuredSize]),
+			From: []string{fmt.Sprintf("point %s at %s", k, number(float64(measuredSize)))}}.with(size)
 	}
 	return Figure{Missing: []string{in.missingReason(k, size.Value)}}.with(size)
 }
 
-// inForce is when a change was in force at the last of the members, which workloads call by two names.
+// inForce is when a change was in force at the last of the members. Workloads have two names for it.
 func (in *inputs) inForce(workload, role string, size Figure) Figure {
 	if len(in.points[Key{workload, role, "in_force_s"}]) > 0 {
 		return in.measured(workload, role, "in_force_s", size)
@@ -123,6 +123,7 @@
 	return in.measured(workload, role, "in_force_max_s", size)
 }
 
+// missingReason says which measurement is missing.
 func (in *inputs) missingReason(k Key, size float64) string {
 	if l, ok := in.lines[k]; ok {
 		return fmt.Sprintf("%s (its slope is not believed: %s)", k, l.Reason)
--- a/internal/coordination/capacity/fit.go
+++ b/internal/coordination/capacity/fit.go
@@ -9,45 +9,45 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// The bounds of a fit.
+// The conditions of a fit.
 const (
-	minSizes          = 4    // that a line is fitted on
-	minRuns           = 3    // at each of them
-	maxError          = 0.2  // part of what was seen by which a prediction may be wrong
-	maxLinearExponent = 1.15 // exponent from which on growth is called faster than linear
+	minSizes          = 4    // a line is fitted on at least so many
+	minRuns           = 3    // at each of these sizes, at least
+	maxError          = 0.2  // by which fraction of the measurement a prediction may be wrong
+	maxLinearExponent = 1.15 // a larger exponent counts as growth faster than linear
 )
 
-// Line is a straight line through what was measured: Base + Each × members, and what speaks for it.
+// Line is a straight line through the points of a series, Intercept + Slope × members, and how well it fits.
 type Line struct {
 	Key
-	Intercept float64 `json:"base"`
-	Slope     float64 `json:"each"`
-	Sizes     []int   `json:"sizes"`    // that it was fitted on
-	Spread    float64 `json:"spread"`   // root of the mean square of what it misses on them, over their mean
-	Exponent  float64 `json:"exponent"` // of all sizes by logarithms: 1 is linear
-	Check     *Check  `json:"check,omitempty"`
-	Believed  bool    `json:"believed"`
-	Reason    string  `json:"why"` // it is believed, or not
+	Intercept float64     `json:"base"`
+	Slope     float64     `json:"each"`
+	Sizes     []int       `json:"sizes"`    // those it was fitted on
+	Spread    float64     `json:"spread"`   // root mean square of the residuals, divided by the mean
+	Exponent  float64     `json:"exponent"` // of a fit of the logarithms of all sizes: 1 is linear
+	Check     *Prediction `json:"check,omitempty"`
+	Trusted   bool        `json:"believed"`
+	Reason    string      `json:"why"` // why it is trusted or not
 }
 
-// Check is a prediction beside what was seen.
-type Check struct {
-	Size      int     `json:"size"`
-	Predicted float64 `json:"predicted"`
-	Seen      float64 `json:"seen"`  // the mean of the runs there
-	Low       float64 `json:"low"`   // their least
-	High      float64 `json:"high"`  // and their largest
-	Error     float64 `json:"error"` // of the prediction, a part of what was seen
+// Prediction compares the line with the runs at a size that it was not fitted on.
+type Prediction struct {
+	Size         int     `json:"size"`
+	Predicted    float64 `json:"predicted"`
+	MeasuredMean float64 `json:"seen"` // of the runs there
+	MeasuredMin  float64 `json:"low"`
+	MeasuredMax  float64 `json:"high"`
+	Error        float64 `json:"error"` // of the prediction, as a fraction of the mean
 }
 
-// Predict is what the line says for a number of members.
+// Predict returns the value of the line for a number of members.
 func (l *Line) Predict(members float64) float64 { return l.Intercept + l.Slope*members }
 
 // Steep reports whether it grows faster than linear.
 func (l *Line) Steep() bool { return l.Exponent > maxLinearExponent }
 
-// Fit fits a line to each series that has enough sizes and runs up to FitUpTo, and checks it at the largest size above. Where there is
-// none above, the largest is held out for the check, if enough are left.
+// Fit fits a line to each series that has enough sizes and runs up to FitUpTo, and checks it at the largest size above. If there is none
+// above, the largest size is held out for the check, provided that enough are left.
 func Fit(m *Measured) (all []Line) {
 	keys, points := m.bySeries()
 	for _, k := range keys {
@@ -58,6 +58,7 @@
 	return all
 }
 
+// fit fits a line to one series. ok is false if it has too few sizes or runs.
 func fit(k Key, points series, upTo int) (Line, bool) {
 	l := Line{Key: k}
 	var x, y, logX, logY []float64
@@ -94,13 +95,12 @@
 	if len(logX) > 1 && slices.Min(logX) < slices.Max(logX) {
 		_, l.Exponent = stat.LinearRegression(logX, logY, nil, false)
 	}
-	l.judge(points[check], check)
+	l.check(points[check], check)
 	return l, true
 }
 
-// judge says whether a line is believed: its prediction at a larger size is within a fifth of what was seen, or
-// within the runs.
-func (l *Line) judge(runs []float64, size int) {
+// check decides whether a line is trusted: its prediction at a larger size is wrong by no more than maxError, or lies within the runs.
+func (l *Line) check(runs []float64, size int) {
 	grows := fmt.Sprintf("grows with the power %.2f", l.Exponent)
 	if l.Steep() {
 		grows = fmt.Sprintf("grows faster than linear, with the power %.2f", l.Exponent)
@@ -109,19 +109,19 @@
 		l.Reason = "no run above the sizes that it was fitted on checks it; it " + grows
 		return
 	}
-	c := &Check{Size: size, Predicted: l.Predict(float64(size)), Seen: stat.Mean(runs, nil), Low: slices.Min(runs),
-		High: slices.Max(runs)}
+	c := &Prediction{Size: size, Predicted: l.Predict(float64(size)), MeasuredMean: stat.Mean(runs, nil), MeasuredMin: slices.Min(runs),
+		MeasuredMax: slices.Max(runs)}
 	l.Check = c
-	if c.Seen != 0 {
-		c.Error = c.Predicted/c.Seen - 1
+	if c.MeasuredMean != 0 {
+		c.Error = c.Predicted/c.MeasuredMean - 1
 	} else if c.Predicted != 0 {
 		c.Error = math.Copysign(1, c.Predicted)
 	}
-	within := c.Predicted >= c.Low && c.Predicted <= c.High
-	l.Believed = math.Abs(c.Error) <= maxError || within
+	within := c.Predicted >= c.MeasuredMin && c.Predicted <= c.MeasuredMax
+	l.Trusted = math.Abs(c.Error) <= maxError || within
 	what := fmt.Sprintf("%+.0f%% at %s", 100*c.Error, number(float64(size)))
 	switch {
-	case !l.Believed:
+	case !l.Trusted:
 		l.Reason = "wrong by " + what + "; it " + grows
 	case math.Abs(c.Error) > maxError:
 		l.Reason = "within the runs, " + what + "; it " + grows
--- a/internal/coordination/capacity/fit_test.go
+++ b/internal/coordination/capacity/fit_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(all)
 	}
 	l := all[0]
-	if !near(l.Intercept, 700) || !near(l.Slope, 40) || !near(l.Spread, 0) || !l.Believed || l.Steep() || len(l.Sizes) != 4 {
+	if !near(l.Intercept, 700) || !near(l.Slope, 40) || !near(l.Spread, 0) || !l.Trusted || l.Steep() || len(l.Sizes) != 4 {
 		t.Errorf("%+v", l)
 	}
 	if l.Check == nil || l.Check.Size != 12000 || !near(l.Check.Error, 0) || !near(l.Check.Predicted, 480700) {
@@ -43,7 +43,7 @@
 func TestASquareIsNotBelieved(t *testing.T) {
 	l := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, steps,
 		func(n, _ int) float64 { return float64(n) * float64(n) })})[0]
-	if l.Believed || !l.Steep() || !near(l.Exponent, 2) || !strings.Contains(l.Reason, "faster than linear") ||
+	if l.Trusted || !l.Steep() || !near(l.Exponent, 2) || !strings.Contains(l.Reason, "faster than linear") ||
 		l.Check.Error > -maxError {
 		t.Errorf("%+v %+v", l, l.Check)
 	}
@@ -70,8 +70,8 @@
 			return float64(n)
 		})
 		l := Fit(&Measured{FitUpTo: 3000, Points: points})[0]
-		if l.Believed != c.believed || !strings.Contains(l.Reason, c.why) {
-			t.Errorf("%s: %v: %s", c.name, l.Believed, l.Reason)
+		if l.Trusted != c.believed || !strings.Contains(l.Reason, c.why) {
+			t.Errorf("%s: %v: %s", c.name, l.Trusted, l.Reason)
 		}
 	}
 }
@@ -89,21 +89,21 @@
 		t.Errorf("two runs at a size: %+v", all)
 	}
 	all := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, steps[:4], line)})
-	if len(all) != 1 || all[0].Believed || all[0].Check != nil || !strings.Contains(all[0].Reason, "no run above") {
+	if len(all) != 1 || all[0].Trusted || all[0].Check != nil || !strings.Contains(all[0].Reason, "no run above") {
 		t.Errorf("no check: %+v", all)
 	}
 	// Where nothing was run above, the largest of five is held out.
 	held := Fit(&Measured{FitUpTo: 4000, Points: made(renewals, []int{500, 1000, 2000, 3000, 4000}, line)})
-	if len(held) != 1 || !held[0].Believed || held[0].Check.Size != 4000 || len(held[0].Sizes) != 4 {
+	if len(held) != 1 || !held[0].Trusted || held[0].Check.Size != 4000 || len(held[0].Sizes) != 4 {
 		t.Errorf("held out: %+v", held)
 	}
 	square := func(n, _ int) float64 { return float64(n) * float64(n) }
 	held = Fit(&Measured{FitUpTo: 4000, Points: made(renewals, []int{500, 1000, 2000, 3000, 4000}, square)})
-	if len(held) != 1 || held[0].Believed {
+	if len(held) != 1 || held[0].Trusted {
 		t.Errorf("held out, a square: %+v", held)
 	}
 	if all := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, steps,
-		func(int, int) float64 { return 0 })}); !all[0].Believed {
+		func(int, int) float64 { return 0 })}); !all[0].Trusted {
 		t.Errorf("nothing at all, at any size: %+v", all[0])
 	}
 }
--- a/internal/coordination/capacity/measured.go
+++ b/internal/coordination/capacity/measured.go
@@ -1,10 +1,10 @@
-// Package capacity answers what a fleet of a stated size asks of each role. It is pure: assumptions and measured points go in, state,
-// messages, processor time, memory and a verdict beside a budget come out.
+// Package capacity computes what a fleet of a stated size needs of each role. It is pure: assumptions and measured points go in; state,
+// messages, processor time and memory come out, each with a budget and a verdict. Each figure names its sources.
 package capacity
 
 import "time"
 
-// Point is one figure of one run, of a whole process (or the mean of one role's processes) as seen from outside.
+// Point is one measurement of one run: of a process as seen from outside, or the mean of the processes of one role.
 type Point struct {
 	Workload string  `json:"workload"` // what the members do: "renewals", "rollout", "watches", "publish", ...
 	Role     string  `json:"role"`     // "leader", "follower", "driver", "agent", "sidecar", "member", "tool"
@@ -14,7 +14,7 @@
 	Value    float64 `json:"value"`
 }
 
-// Measured is what a scale run leaves behind; it is committed as deploy/capacity-measured.json.
+// Measured is the result of a scale run; the committed one is deploy/capacity-measured.json.
 type Measured struct {
 	At       time.Time `json:"at"`
 	Commit   string    `json:"commit"`
--- a/internal/coordination/capacity/model.go
+++ b/internal/coordination/capacity/model.go
@@ -1,43 +1,43 @@
 package capacity
 
-// The times that are looked at.
+// The situations that the page looks at. Their texts are titles of the page.
 const (
-	Ordinary     = "an ordinary minute"
-	Busiest      = "the busiest minute"
-	Now          = "a change in force everywhere, by what there was before"
-	After        = "a change in force everywhere, by versions"
-	Rack         = "a rack lost"
-	Zone         = "a zone lost and back"
-	Region       = "a region cut off, and its return"
-	Restarts     = "all sidecars restarted in a day"
-	Coordinators = "all coordinators lost and back"
+	Ordinary         = "an ordinary minute"
+	Busiest          = "the busiest minute"
+	ByRollout        = "a change in force everywhere, by what there was before"
+	ByVersion        = "a change in force everywhere, by versions"
+	RackLost         = "a rack lost"
+	ZoneLost         = "a zone lost and back"
+	RegionIsolated   = "a region cut off, and its return"
+	AllRestarted     = "all sidecars restarted in a day"
+	CoordinatorsLost = "all coordinators lost and back"
 )
 
-// Times are all, in the order of the page.
+// Times returns all situations, in the order of the page.
 func Times() []string {
-	return []string{Ordinary, Busiest, Now, After, Rack, Zone, Region, Restarts, Coordinators}
+	return []string{Ordinary, Busiest, ByRollout, ByVersion, RackLost, ZoneLost, RegionIsolated, AllRestarted, CoordinatorsLost}
 }
 
-// The roles.
+// The roles. Their texts are in the page.
 const (
-	Calls    = "sidecar: calls"
-	Control  = "sidecar: control"
-	Agent    = "agent"
-	Leader   = "coordinator that leads"
-	Follower = "coordinator that follows"
-	Driver   = "driver"
-	Lists    = "who tells lists"
-	Tool     = "operators' tool"
+	SidecarCalls   = "sidecar: calls"
+	SidecarControl = "sidecar: control"
+	Agent          = "agent"
+	Leader         = "coordinator that leads"
+	Follower       = "coordinator that follows"
+	Driver         = "driver"
+	ListServer     = "who tells lists"
+	Tool           = "operators' tool"
 )
 
-// Evaluate works out all rows from assumptions and what was measured; m may be nil: nothing was.
+// Evaluate computes all rows from assumptions and measurements. m may be nil: nothing was measured.
 func Evaluate(a *Assumptions, m *Measured) []Row { return newModel(newInputs(a, m)).rows() }
 
-// model is what the rows have in common.
+// model has the figures that rows have in common, and the rows as they are computed.
 type model struct {
 	*inputs
 	servers, machines, sessions Figure // sessions: one a machine, its agent's
-	meanServiceSize             Figure // servers of a service
+	meanServiceSize             Figure // servers of a mean service
 	weightedServiceSize         Figure // ... as a server sees it, on the average
 	knownServers                Figure // servers that a sidecar has in its lists
 	watchers                    Figure // sidecars that have a server in their lists
@@ -48,7 +48,7 @@
 	evaluated                   []Row
 }
 
-// Derived is a figure that many rows rest on; they name it, and it names its sources.
+// Derived is a figure that many rows rest on: they name it as their source, and it names its own.
 type Derived struct {
 	Name string `json:"name"`
 	Unit string `json:"unit"`
@@ -62,9 +62,9 @@
 	m.sessions = m.derive("sessions", "", mul(m.machines, in.assumption("places.sessions_a_machine")))
 	m.meanServiceSize = m.derive("servers of a mean service", "", div(m.servers, in.assumption("target.services")))
 	m.weightedServiceSize = m.derive("servers of a service, as a server sees its own", "", in.weightedMeanSize())
-	// A service is called by as many as its size says, so each of a sidecar's lists is of a size as a server sees its
-	// own. Each pair of who knows and who is known counts at both its ends: as many have a server in their lists as
-	// it has in its own.
+	// A service is called by others in proportion to its size, so that each of a sidecar's lists has the size that a server sees of its
+	// own service. Each pair of a sidecar and a server that it knows counts at both ends: on the average as many sidecars know a server
+	// as a sidecar knows servers.
 	m.knownServers = m.derive("servers known to a sidecar, and sidecars that know a server", "",
 		smaller(mul(in.assumption("shape.fan_out"), m.weightedServiceSize), m.servers))
 	m.watchers = m.knownServers
@@ -77,7 +77,7 @@
 	return m
 }
 
-// derive notes a figure that rows name in place of its own sources.
+// derive adds a derived figure. Rows name it in place of its own sources.
 func (m *model) derive(name, unit string, f Figure) Figure {
 	m.derived = append(m.derived, Derived{name, unit, f})
 	f.From = []string{name}
@@ -86,7 +86,7 @@
 
 const secondsPerDay = 86400 // s
 
-// smaller is the smaller of two.
+// smaller returns the smaller of two figures.
 func smaller(a, b Figure) Figure {
 	f := a
 	if b.Value < a.Value {
@@ -95,33 +95,40 @@
 	return f.with(a, b)
 }
 
-// addRow adds a row and judges it. budget may be nil.
+// addRow adds a row with its verdict.
 func (m *model) addRow(r Row) {
-	r.judge()
+	r.setVerdict()
 	m.evaluated = append(m.evaluated, r)
 }
 
+// rows computes all rows, in the order of the page within each situation.
 func (m *model) rows() []Row {
-	m.calls()
-	m.control()
-	m.coordinators()
-	m.driver()
-	m.lists()
-	m.busiest()
-	m.changesNow()
-	m.changesAfter()
-	m.faults()
-	m.restarts()
-	m.outage()
+	m.addCallRows()
+	m.addControlRows()
+	m.addCoordinatorRows()
+	m.addDriverRows()
+	m.addListRows()
+	m.addBusiestRows()
+	m.addStagedChangeRows()
+	m.addVersionRows()
+	m.addFaultRows()
+	m.addRestartRows()
+	m.addOutageRows()
 	return m.evaluated
 }
 
 func pointerTo(f Figure) *Figure { return &f }
 
-// usable is the part of something that may be used of a machine set aside.
+// limit returns an assumption as the budget of a row.
+func (m *model) limit(name string) *Figure { return pointerTo(m.assumption(name)) }
+
+// usableLimit returns the usable part of a resource of a machine set aside as the budget of a row.
+func (m *model) usableLimit(name string) *Figure { return pointerTo(m.usable(name)) }
+
+// usable is the part of a resource of a machine set aside that may be used.
 func (m *model) usable(name string) Figure {
 	return mul(m.assumption(name), m.assumption("machines.used_share"))
 }
 
-// microseconds a second are cores.
+// coresFromMicros converts microseconds of processor time per second.
 func coresFromMicros(f Figure) Figure { return f.times(1e-6) }
--- a/internal/coordination/capacity/model_test.go
+++ b/internal/coordination/capacity/model_test.go
@@ -52,7 +52,7 @@
 
 func row(t *testing.T, rows []Row, time, role, what string) Row {
 	t.Helper()
-	i := slices.IndexFunc(rows, func(r Row) bool { return r.Time == time && r.Role == role && r.What == what })
+	i := slices.IndexFunc(rows, func(r Row) bool { return r.Time == time && r.Role == role && r.Quantity == what })
 	if i < 0 {
 		t.Fatalf("no row %s: %s: %s", time, role, what)
 	}
@@ -108,24 +108,24 @@
 		need             float64
 		verdict          string
 	}{
-		{Ordinary, Calls, "calls in the mean", 50, "no budget is stated"},
+		{Ordinary, SidecarCalls, "calls in the mean", 50, "no budget is stated"},
 		// the worse class at 60
-		{Ordinary, Calls, "added to a call for 99 in 100, in the mean", 0.0002, "fits by 2.5 times"},
+		{Ordinary, SidecarCalls, "added to a call for 99 in 100, in the mean", 0.0002, "fits by 2.5 times"},
 		// ... at 500
-		{Busiest, Calls, "added to a call for 99 in 100, at the busiest", 0.0006, "does not: 1.2 times over"},
+		{Busiest, SidecarCalls, "added to a call for 99 in 100, at the busiest", 0.0006, "does not: 1.2 times over"},
 		// 55.6 calls, of which 60 were seen deeper
-		{Zone, Calls, "added to a call for 99 in 100, at those that are left", 0.0025, "does not: 5 times over"},
-		{Ordinary, Calls, "added over the deepest chain for 99 in 100, in the mean", 0.0025, "fits by 3 times"},
-		{Ordinary, Calls, "processor time for calls, in the mean", 50 * 400e-6, "no budget is stated"},
-		{Busiest, Calls, "attempts at the leaf of the deepest chain, a call, where some of them fail", 3,
+		{ZoneLost, SidecarCalls, "added to a call for 99 in 100, at those that are left", 0.0025, "does not: 5 times over"},
+		{Ordinary, SidecarCalls, "added over the deepest chain for 99 in 100, in the mean", 0.0025, "fits by 3 times"},
+		{Ordinary, SidecarCalls, "processor time for calls, in the mean", 50 * 400e-6, "no budget is stated"},
+		{Busiest, SidecarCalls, "attempts at the leaf of the deepest chain, a call, where some of them fail", 3,
 			"does not: 1.5 times over"},
-		{Busiest, Calls,
+		{Busiest, SidecarCalls,
 			"attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's repeats allow",
 			math.Pow(1.2, 15), "does not: 7.8 times over"},
 		// 1,728 changes a day
-		{Ordinary, Control, "bytes of lists alone", 2*25 + 0.02*0.2*150, "fits by 170 times"},
+		{Ordinary, SidecarControl, "bytes of lists alone", 2*25 + 0.02*0.2*150, "fits by 170 times"},
 		// 20 servers
-		{Ordinary, Control, "lists held, as text", 2000, "fits by 120,000 times"},
+		{Ordinary, SidecarControl, "lists held, as text", 2000, "fits by 120,000 times"},
 		{Ordinary, Leader, "renewals, by a trial with as many sessions", 40, "fits by 2.5 times"},
 		// of half of 10
 		{Ordinary, Leader, "processor time of renewals and watches", 5.001, "does not: 1.01 times over"},
@@ -133,25 +133,25 @@
 			"fits by 2,600 times"},
 		{Ordinary, Driver, "a turn over all applications, each changed once", 0.1 + 100*0.001/3, "fits by 7.5 times"},
 		// as with 20
-		{Now, Driver, "staged, judged by the clock, in a mean service", 8, "fits by 1.75 times"},
+		{ByRollout, Driver, "staged, judged by the clock, in a mean service", 8, "fits by 1.75 times"},
 		// between 20 and 200
-		{Now, Driver, "staged, judged by the clock, of all sidecars, could it begin", 8 - 2*80./180,
+		{ByRollout, Driver, "staged, judged by the clock, of all sidecars, could it begin", 8 - 2*80./180,
 			"fits by 1.96 times"},
-		{Now, Leader, "message that begins a change of all", 10000, "does not: 1.25 times over"},
+		{ByRollout, Leader, "message that begins a change of all", 10000, "does not: 1.25 times over"},
 		// the worst run
-		{After, Control, "told everywhere", 3, "fits by 4.6 times"},
-		{After, Control, "in force at the last real sidecar, as they run", 0.5, "fits by 28 times"},
-		{After, Control, "in force at the last real sidecar, by a hand-over", 2, "fits by 7 times"},
-		{Ordinary, Control, "memory of a real agent and sidecar, as versions come into force", 128e6, "fits by 2 times"},
-		{Now, Driver, "all at once, without a judge, in the largest service", 4, "fits by 3.5 times"}, // as 20 had it
+		{ByVersion, SidecarControl, "told everywhere", 3, "fits by 4.6 times"},
+		{ByVersion, SidecarControl, "in force at the last real sidecar, as they run", 0.5, "fits by 28 times"},
+		{ByVersion, SidecarControl, "in force at the last real sidecar, by a hand-over", 2, "fits by 7 times"},
+		{Ordinary, SidecarControl, "memory of a real agent and sidecar, as versions come into force", 128e6, "fits by 2 times"},
+		{ByRollout, Driver, "all at once, without a judge, in the largest service", 4, "fits by 3.5 times"}, // as 20 had it
 		{Busiest, Leader, "changes of configuration", 10, "fits by 5 times"},
-		{Rack, Control, "bytes of lists, as they go, of a minute's budget", 6 * 0.2 * 150, "fits by 3,000 times"},
-		{Rack, Lists, "lines of lists out of a machine, each change a line", 6 * 20 / 6. / 2, "no budget is stated"},
-		{Region, Leader, "sessions opened as they are back", 25, "fits by 2 times"},
-		{Coordinators, Leader, "renewals, and watches that are back within their spread", 40 + 50/3.,
+		{RackLost, SidecarControl, "bytes of lists, as they go, of a minute's budget", 6 * 0.2 * 150, "fits by 3,000 times"},
+		{RackLost, ListServer, "lines of lists out of a machine, each change a line", 6 * 20 / 6. / 2, "no budget is stated"},
+		{RegionIsolated, Leader, "sessions opened as they are back", 25, "fits by 2 times"},
+		{CoordinatorsLost, Leader, "renewals, and watches that are back within their spread", 40 + 50/3.,
 			"fits by 1.76 times"},
-		{Coordinators, Leader, "sessions opened anew, one after the other", 2, "fits by 5 times"},
-		{Coordinators, Follower, "asks of sessions while nobody leads, beside what three replicas answered",
+		{CoordinatorsLost, Leader, "sessions opened anew, one after the other", 2, "fits by 5 times"},
+		{CoordinatorsLost, Follower, "asks of sessions while nobody leads, beside what three replicas answered",
 			1000 / 3., "fits by 43 times"},
 	} {
 		r := row(t, rows, c.time, c.role, c.what)
@@ -166,7 +166,7 @@
 // A sum of which a part is missing is judged only where what is known is over already.
 func TestWhatIsMissing(t *testing.T) {
 	m := measuredSmall()
-	r := row(t, Evaluate(small(t), m), Ordinary, Control, "processor time")
+	r := row(t, Evaluate(small(t), m), Ordinary, SidecarControl, "processor time")
 	if r.Class != NotMeasured || !near(r.Need.Value, 600e-6) ||
 		!slices.Equal(r.Missing(), []string{"lists/sidecar/cpu_us_s"}) {
 		t.Errorf("%+v", r)
@@ -176,11 +176,11 @@
 			m.Points[i].Value *= 100
 		}
 	}
-	rest := row(t, Evaluate(small(t), m), Ordinary, Control, "processor time of a real agent and sidecar at rest, with one short list")
+	rest := row(t, Evaluate(small(t), m), Ordinary, SidecarControl, "processor time of a real agent and sidecar at rest, with one short list")
 	if rest.Class != DoesNotFit || rest.Verdict != "does not: 1.54 times over" { // 20 of 13 ms a second
 		t.Errorf("%+v", rest)
 	}
-	r = row(t, Evaluate(small(t), m), Ordinary, Control, "processor time")
+	r = row(t, Evaluate(small(t), m), Ordinary, SidecarControl, "processor time")
 	if r.Class != DoesNotFit || r.Verdict != "does not: at least 1.57 times over" { // 20.4 of 13 ms a second
 		t.Errorf("%+v", r)
 	}
@@ -231,7 +231,7 @@
 
 // A sidecar knows no more servers than there are.
 func TestKnownServers(t *testing.T) {
-	a, _ := small(t).Times("shape.fan_out", 20)
+	a, _ := small(t).Scaled("shape.fan_out", 20)
 	if m := newModel(newInputs(a, nil)); m.knownServers.Value != 100 {
 		t.Error(m.knownServers)
 	}
@@ -290,7 +290,7 @@
 		{1999, 1, nil, 0, "does not: 2,000 times over"},
 	} {
 		r := Row{Need: Figure{Value: c.need, Missing: c.missing, Error: c.err}, Budget: &Figure{Value: c.budget}}
-		if r.judge(); r.Verdict != c.want {
+		if r.setVerdict(); r.Verdict != c.want {
 			t.Errorf("%v of %v: %s; want %s", c.need, c.budget, r.Verdict, c.want)
 		}
 	}
@@ -298,14 +298,14 @@
 
 // What breaks a rule stands first, then what is further over.
 func TestRank(t *testing.T) {
-	rows := []Row{{What: "a", Class: DoesNotFit, Breaks: BreaksTime, Times: 9}, {What: "b", Class: Fits, Times: 99},
-		{What: "c", Class: DoesNotFit, Breaks: BreaksRule, Times: 2},
-		{What: "d", Class: DoesNotFit, Breaks: BreaksRule, Times: 3},
-		{What: "e", Class: DoesNotFit, Breaks: BreaksTime, Times: 9, Needs: []string{"x"}},
-		{What: "f", Class: NotMeasured}}
+	rows := []Row{{Quantity: "a", Class: DoesNotFit, Breaks: BreaksTime, Factor: 9}, {Quantity: "b", Class: Fits, Factor: 99},
+		{Quantity: "c", Class: DoesNotFit, Breaks: BreaksRule, Factor: 2},
+		{Quantity: "d", Class: DoesNotFit, Breaks: BreaksRule, Factor: 3},
+		{Quantity: "e", Class: DoesNotFit, Breaks: BreaksTime, Factor: 9, NeededBy: []string{"x"}},
+		{Quantity: "f", Class: NotMeasured}}
 	var order []string
 	for _, r := range RankMisfits(rows) {
-		order = append(order, r.What)
+		order = append(order, r.Quantity)
 	}
 	if got := strings.Join(order, ""); got != "dcea" {
 		t.Error(got)
@@ -318,7 +318,7 @@
 	for _, w := range Sensitivities(small(t), measuredSmall()) {
 		if w.Name == "earlier.start_bytes_12000" || w.Name == "changes.head_bytes" || w.Name == "earlier.staged_2000" {
 			for _, m := range w.Changes {
-				moved = append(moved, w.Name+" "+m.Times+": "+m.Row+": "+m.Before+" -> "+m.After)
+				moved = append(moved, w.Name+" "+m.Variation+": "+m.Row+": "+m.Before+" -> "+m.After)
 			}
 			if w.DoubleFactor != 2 || w.HalfFactor != 0.5 {
 				t.Errorf("%+v", w)
@@ -330,15 +330,15 @@
 		}
 	}
 	want := []string{
-		"earlier.start_bytes_12000 half: " + Now + ": " + Leader +
+		"earlier.start_bytes_12000 half: " + ByRollout + ": " + Leader +
 			": message that begins a change of all: does not: 1.25 times over -> fits by 1.6 times",
-		"earlier.start_bytes_12000 half: " + Restarts + ": " + Leader +
+		"earlier.start_bytes_12000 half: " + AllRestarted + ": " + Leader +
 			": one change of all: the message that begins it: does not: 1.25 times over -> fits by 1.6 times",
 	}
 	if !slices.Equal(moved, want) {
 		t.Errorf("%s", strings.Join(moved, "\n"))
 	}
-	if _, times := small(t).Times("places.zone_share", 20); times != 5 { // the region's share
+	if _, times := small(t).Scaled("places.zone_share", 20); times != 5 { // the region's share
 		t.Error(times)
 	}
 }
@@ -392,7 +392,7 @@
 	}
 	for _, row := range r.Rows {
 		for _, form := range []string{text.String(), markdown.String(), string(raw)} {
-			if !strings.Contains(form, row.What) {
+			if !strings.Contains(form, row.Quantity) {
 				t.Errorf("%s is missing", row.Name())
 			}
 		}
--- a/internal/coordination/capacity/page.go
+++ b/internal/coordination/capacity/page.go
@@ -45,6 +45,7 @@
 	return nil
 }
 
+// markdown writes the table without its title.
 func (t *Table) markdown() string {
 	if len(t.Rows) == 0 {
 		return t.Empty + "\n"
@@ -65,7 +66,7 @@
 	return b.String()
 }
 
-// The marks of a table in a page. What stands between them is the program's, all else the writer's.
+// The marks of tables in a page. The program writes what stands between them, and leaves the rest as it is.
 const (
 	beginMark = "<!-- tables: begin"
 	endMark   = "<!-- tables: end -->"
@@ -73,63 +74,96 @@
 
 var tableMark = regexp.MustCompile(`(?m)^<!-- tables: begin((?: [a-z0-9-]+)*) -->\n`)
 
-// Page puts the tables into a page between their marks: a line `<!-- tables: begin NAME ... -->`, where no name
-// stands for all that no other marks name, and `<!-- tables: end -->`. Every error names the file and line.
+// Page puts the tables into a page between their marks: a line `<!-- tables: begin NAME ... -->`, where no name stands for all tables that
+// no other mark names, and `<!-- tables: end -->`. Every error names the file and line.
 func (r *Report) Page(file, page string) (string, error) {
 	tables := r.Tables()
-	at := tableMark.FindAllStringSubmatchIndex(page, -1)
+	sections, err := findSections(file, page)
+	if err != nil {
+		return "", err
+	}
+	named, err := namedTables(file, sections, tables)
+	if err != nil {
+		return "", err
+	}
+	var b strings.Builder
+	written := 0
+	for _, s := range sections {
+		b.WriteString(page[written:s.begin])
+		s.write(&b, tables, named)
+		written = s.end
+	}
+	b.WriteString(page[written:])
+	return b.String(), nil
+}
+
+// section is what stands between a pair of marks.
+type section struct {
+	line       int      // of the mark that begins it
+	names      []string // of its tables; none: all that no section names
+	begin, end int      // offsets of the text between the marks
+}
+
+// findSections finds the marks of a page.
+func findSections(file, page string) (sections []section, err error) {
+	end := 0 // of the section before
+	for _, m := range tableMark.FindAllStringSubmatchIndex(page, -1) {
+		s := section{line: 1 + strings.Count(page[:m[0]], "\n"), names: strings.Fields(page[m[2]:m[3]]), begin: m[1]}
+		if m[0] < end {
+			return nil, fmt.Errorf("%s:%d: a begin before the end of the one above", file, s.line)
+		}
+		length := strings.Index(page[s.begin:], endMark)
+		if length < 0 {
+			return nil, fmt.Errorf("%s:%d: no end; write a line %s", file, s.line, endMark)
+		}
+		s.end = s.begin + length
+		end = s.end
+		sections = append(sections, s)
+	}
+	if len(sections) == 0 {
+		return nil, fmt.Errorf("%s: no marks; write a line %s --> and a line %s", file, beginMark, endMark)
+	}
+	return sections, nil
+}
+
+// namedTables returns the names that sections have. Each has to be that of a table, and none may be there twice.
+func namedTables(file string, sections []section, tables []Table) (map[string]bool, error) {
 	named := map[string]bool{}
-	for _, m := range at {
-		for _, name := range strings.Fields(page[m[2]:m[3]]) {
-			line := 1 + strings.Count(page[:m[0]], "\n")
+	for _, s := range sections {
+		for _, name := range s.names {
 			if !slices.ContainsFunc(tables, func(t Table) bool { return t.Name == name }) {
-				return "", fmt.Errorf("%s:%d: %s: no such table; write one of %s", file, line, name, names(tables))
+				return nil, fmt.Errorf("%s:%d: %s: no such table; write one of %s", file, s.line, name, tableNames(tables))
 			}
 			if named[name] {
-				return "", fmt.Errorf("%s:%d: %s: comes twice", file, line, name)
+				return nil, fmt.Errorf("%s:%d: %s: comes twice", file, s.line, name)
 			}
 			named[name] = true
 		}
 	}
-	if len(at) == 0 {
-		return "", fmt.Errorf("%s: no marks; write a line %s --> and a line %s", file, beginMark, endMark)
-	}
-	var b strings.Builder
-	rest := 0
-	for _, m := range at {
-		line := 1 + strings.Count(page[:m[0]], "\n")
-		if m[0] < rest {
-			return "", fmt.Errorf("%s:%d: a begin before the end of the one above", file, line)
+	return named, nil
+}
+
+// write writes the tables of a section. A table that is alone by its name has no title: the writer's text introduces it.
+func (s *section) write(b *strings.Builder, tables []Table, named map[string]bool) {
+	first := true
+	for _, t := range tables {
+		unnamed := len(s.names) == 0 && !named[t.Name]
+		if !unnamed && !slices.Contains(s.names, t.Name) {
+			continue
 		}
-		close := strings.Index(page[m[1]:], endMark)
-		if close < 0 {
-			return "", fmt.Errorf("%s:%d: no end; write a line %s", file, line, endMark)
+		if !first {
+			b.WriteString("\n")
 		}
-		b.WriteString(page[rest:m[1]])
-		asked := strings.Fields(page[m[2]:m[3]])
-		first := true
-		for _, t := range tables {
-			all := len(asked) == 0 && !named[t.Name]
-			if !all && !slices.Contains(asked, t.Name) {
-				continue
-			}
-			if !first {
-				b.WriteString("\n")
-			}
-			if first = false; all || len(asked) > 1 {
-				b.WriteString("### " + t.Title + "\n\n")
-			}
-			b.WriteString(t.markdown())
+		if first = false; unnamed || len(s.names) > 1 {
+			b.WriteString("### " + t.Title + "\n\n")
 		}
-		rest = m[1] + close
+		b.WriteString(t.markdown())
 	}
-	b.WriteString(page[rest:])
-	return b.String(), nil
 }
 
-func names(all []Table) string {
+func tableNames(tables []Table) string {
 	var names []string
-	for _, t := range all {
+	for _, t := range tables {
 		names = append(names, t.Name)
 	}
 	return strings.Join(names, ", ")
--- a/internal/coordination/capacity/points.go
+++ b/internal/coordination/capacity/points.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ParseMeasured reads what a scale run left. Every error names the file and the point.
+// ParseMeasured reads the result of a scale run. Every error names the file and the point.
 func ParseMeasured(file string, text []byte) (*Measured, error) {
 	m := &Measured{}
 	d := json.NewDecoder(strings.NewReader(string(text)))
@@ -38,10 +38,10 @@
 
 func (k Key) String() string { return k.Workload + "/" + k.Role + "/" + k.Metric }
 
-// series are the values of one key by size, in the order of the runs.
+// series has the values of a key by size, in the order of the runs.
 type series map[int][]float64
 
-// bySeries sorts points by what they are of. The keys are in order.
+// bySeries groups the points by series. The keys are in order.
 func (m *Measured) bySeries() (keys []Key, all map[Key]series) {
 	all = map[Key]series{}
 	if m == nil {
--- a/internal/coordination/capacity/report.go
+++ b/internal/coordination/capacity/report.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Report is all that is said of a size.
+// Report has all results for a size of the fleet.
 type Report struct {
 	Assumptions []Assumption  `json:"assumptions"`
-	Measured    *Origin       `json:"measured,omitempty"` // nil: nothing was
+	Measured    *Origin       `json:"measured,omitempty"` // nil: nothing was measured
 	Derived     []Derived     `json:"derived"`
 	Lines       []Line        `json:"lines,omitempty"`
 	Rows        []Row         `json:"rows"`
@@ -18,7 +18,7 @@
 	Weights     []Sensitivity `json:"weights"`
 }
 
-// Origin is where points come from.
+// Origin describes the run that measured the points.
 type Origin struct {
 	At       time.Time `json:"at"`
 	Commit   string    `json:"commit"`
@@ -29,7 +29,7 @@
 	Findings []string  `json:"findings,omitempty"`
 }
 
-// NewReport works out a report; m may be nil: nothing was measured.
+// NewReport computes a report. m may be nil: nothing was measured.
 func NewReport(a *Assumptions, m *Measured) *Report {
 	r := &Report{Assumptions: a.All(), Weights: Sensitivities(a, m)}
 	model := newModel(newInputs(a, m))
@@ -42,16 +42,16 @@
 	return r
 }
 
-// Table is one of a report. Name is how a page asks for it.
+// Table is a table of a report. Name is how the marks of a page name it.
 type Table struct {
 	Name  string
 	Title string
 	Head  []string
 	Rows  [][]string
-	Empty string // what is said in place of a table without rows
+	Empty string // written in place of a table without rows
 }
 
-// Tables are all of a report, in the order of the page.
+// Tables returns all tables of a report, in the order of the page.
 func (r *Report) Tables() []Table {
 	all := []Table{r.targetTable(), r.verdictTable(), r.derivedTable(), r.slopeTable()}
 	all = append(all, r.timeTables()...)
@@ -97,12 +97,12 @@
 	for _, l := range r.Lines {
 		said, saw, believed := "", "", "no: "+l.Reason
 		if l.Check != nil {
-			said, saw = number(l.Check.Predicted), number(l.Check.Seen)+" at "+number(float64(l.Check.Size))
+			said, saw = number(l.Check.Predicted), number(l.Check.MeasuredMean)+" at "+number(float64(l.Check.Size))
 		}
-		if l.Believed {
+		if l.Trusted {
 			believed = "yes: " + l.Reason
 		}
-		t.Rows = append(t.Rows, []string{l.Key.String(), number(l.Intercept), number(1000 * l.Slope), sizes(l.Sizes),
+		t.Rows = append(t.Rows, []string{l.String(), number(l.Intercept), number(1000 * l.Slope), sizes(l.Sizes),
 			fmt.Sprintf("%.0f%%", 100*l.Spread), said, saw, believed})
 	}
 	return t
@@ -122,7 +122,7 @@
 			Head: []string{"role", "what", "need", "budget", "verdict", "carried by", "from"}}
 		for _, row := range r.Rows {
 			if row.Time == time {
-				t.Rows = append(t.Rows, []string{row.Role, row.What, row.need(), row.budget(), row.Verdict,
+				t.Rows = append(t.Rows, []string{row.Role, row.Quantity, row.need(), row.budget(), row.Verdict,
 					row.Mechanism, row.from()})
 			}
 		}
@@ -131,7 +131,7 @@
 	return all
 }
 
-// need writes what is needed; where a part is missing, what is known of it.
+// need writes what is needed, or the lower bound if a part is missing.
 func (r *Row) need() string {
 	switch text := quantity(r.Need.Value, r.Unit); {
 	case len(r.Need.Missing) == 0:
@@ -162,8 +162,8 @@
 		"needed by", "carried by"},
 		Empty: "Nothing that could be judged is over."}
 	for _, row := range r.Ranking {
-		needs := append([]string{}, row.Needs...)
-		t.Rows = append(t.Rows, []string{row.Time, row.Role, row.What, strings.TrimPrefix(row.Verdict, "does not: "),
+		needs := append([]string{}, row.NeededBy...)
+		t.Rows = append(t.Rows, []string{row.Time, row.Role, row.Quantity, strings.TrimPrefix(row.Verdict, "does not: "),
 			"a " + row.Breaks,
 			strings.Join(needs, "; "), row.Mechanism})
 	}
@@ -176,7 +176,7 @@
 	for _, w := range r.Weights {
 		var moves []string
 		for _, m := range w.Changes {
-			moves = append(moves, fmt.Sprintf("%s: %s (%s -> %s)", m.Times, m.Row, m.Before, m.After))
+			moves = append(moves, fmt.Sprintf("%s: %s (%s -> %s)", m.Variation, m.Row, m.Before, m.After))
 		}
 		t.Rows = append(t.Rows, []string{w.Name, quantity(w.Value, w.Unit), w.Reason, strings.Join(moves, "; ")})
 	}
@@ -188,7 +188,7 @@
 		Empty: "Nothing is missing."}
 	for _, row := range r.Rows {
 		if len(row.Missing()) > 0 {
-			t.Rows = append(t.Rows, []string{row.Time, row.Role, row.What, strings.Join(row.Missing(), "; ")})
+			t.Rows = append(t.Rows, []string{row.Time, row.Role, row.Quantity, strings.Join(row.Missing(), "; ")})
 		}
 	}
 	return t
@@ -208,7 +208,7 @@
 	return t
 }
 
-// number writes whole numbers as they are, with commas, and others by three or four digits.
+// number writes whole numbers in full, with commas, and others with three or four digits.
 func number(v float64) string {
 	switch a := math.Abs(v); {
 	case v == 0 || math.IsNaN(v) || math.IsInf(v, 0):
--- a/internal/coordination/capacity/row.go
+++ b/internal/coordination/capacity/row.go
@@ -5,13 +5,13 @@
 	"math"
 )
 
-// What a row that does not fit breaks.
+// What a row breaks if it does not fit.
 const (
-	BreaksRule = "rule" // something is refused, lost or can't be done at all
-	BreaksTime = "time" // it is done, but later or dearer than asked
+	BreaksRule = "rule" // something is refused, lost or impossible
+	BreaksTime = "time" // it is done, but later or at a higher cost than required
 )
 
-// Class is what a verdict says.
+// Class is the kind of a verdict.
 type Class string
 
 // The classes.
@@ -22,39 +22,38 @@
 	NoBudget    Class = "no budget"
 )
 
-// Row is one answer: what a role needs in a time, beside what it has.
+// Row is one result: what a role needs in a situation, and what it has.
 type Row struct {
 	Time      string   `json:"time"`
 	Role      string   `json:"role"`
-	What      string   `json:"what"`
+	Quantity  string   `json:"what"`
 	Unit      string   `json:"unit"`
 	Need      Figure   `json:"need"`
 	Budget    *Figure  `json:"budget,omitempty"`
-	Breaks    string   `json:"breaks,omitempty"` // BreaksRule or BreaksTime, where it does not fit
-	Mechanism string   `json:"mechanism"`        // that carries it, by package
-	Needs     []string `json:"needs,omitempty"`  // what else needs it
+	Breaks    string   `json:"breaks,omitempty"` // BreaksRule or BreaksTime, if it does not fit
+	Mechanism string   `json:"mechanism"`        // the packages that do the work
+	NeededBy  []string `json:"needs,omitempty"`  // what else depends on it
 	Class     Class    `json:"class"`
-	Times     float64  `json:"times,omitempty"` // by how many it fits, or is over
+	Factor    float64  `json:"times,omitempty"` // how many times it fits, or exceeds the budget
 	Verdict   string   `json:"verdict"`
 }
 
-// Name tells rows apart.
-func (r *Row) Name() string { return r.Time + ": " + r.Role + ": " + r.What }
+// Name identifies the row.
+func (r *Row) Name() string { return r.Time + ": " + r.Role + ": " + r.Quantity }
 
-// judge sets the verdict. A need of which a part is missing is a least one: over the budget it does not fit all the
-// same.
-func (r *Row) judge() {
+// setVerdict sets the verdict. A need of which a part is missing is a lower bound: if that exceeds the budget the row does not fit.
+func (r *Row) setVerdict() {
 	var missing []string
 	if missing = r.Need.Missing; r.Budget != nil {
 		missing = union(missing, r.Budget.Missing)
 	}
 	switch need := r.Need.Value; {
 	case r.Budget != nil && len(r.Budget.Missing) == 0 && need > r.Budget.Value:
-		r.Class, r.Times = DoesNotFit, need/r.Budget.Value
-		r.Verdict = fmt.Sprintf("does not: %s times over", atMost(r.Times))
+		r.Class, r.Factor = DoesNotFit, need/r.Budget.Value
+		r.Verdict = fmt.Sprintf("does not: %s times over", atMost(r.Factor))
 		if len(missing) > 0 {
-			r.Verdict = fmt.Sprintf("does not: at least %s times over", atMost(r.Times))
-		} else if r.Times < 1+r.Need.Error {
+			r.Verdict = fmt.Sprintf("does not: at least %s times over", atMost(r.Factor))
+		} else if r.Factor < 1+r.Need.Error {
 			r.Verdict += fmt.Sprintf(", within its slope's error of %.0f%%", 100*r.Need.Error)
 		}
 	case len(missing) > 0:
@@ -64,15 +63,15 @@
 	case need <= 0:
 		r.Class, r.Verdict = Fits, "fits"
 	default:
-		r.Class, r.Times = Fits, r.Budget.Value/need
-		r.Verdict = fmt.Sprintf("fits by %s times", atLeast(r.Times))
-		if r.Times < 1+r.Need.Error {
+		r.Class, r.Factor = Fits, r.Budget.Value/need
+		r.Verdict = fmt.Sprintf("fits by %s times", atLeast(r.Factor))
+		if r.Factor < 1+r.Need.Error {
 			r.Verdict += fmt.Sprintf(", within its slope's error of %.0f%%", 100*r.Need.Error)
 		}
 	}
 }
 
-// Missing is what the row would need to be judged.
+// Missing returns the measurements that the verdict lacks.
 func (r *Row) Missing() []string {
 	if r.Budget == nil {
 		return r.Need.Missing
@@ -80,18 +79,19 @@
 	return union(r.Need.Missing, r.Budget.Missing)
 }
 
-// atLeast writes a factor rounded down, and atMost one rounded up: no margin is written larger than it is, and no
-// miss smaller.
+// atLeast writes a factor rounded down, so that no margin is written larger than it is.
 func atLeast(v float64) string {
 	unit := step(v)
 	return number(math.Floor(v/unit+1e-9) * unit)
 }
 
+// atMost writes a factor rounded up, so that no excess is written smaller than it is.
 func atMost(v float64) string {
 	unit := step(v)
 	return number(math.Ceil(v/unit-1e-9) * unit)
 }
 
+// step is the unit of the last digit that a factor is written with.
 func step(v float64) float64 {
 	switch {
 	case v < 2:
--- a/internal/coordination/capacity/rows_change.go
+++ b/internal/coordination/capacity/rows_change.go
@@ -1,29 +1,29 @@
 package capacity
 
-// busiest are the rows of the minute with the most changes of configuration.
-func (m *model) busiest() {
+// addBusiestRows are the rows of the minute with the most changes of configuration.
+func (m *model) addBusiestRows() {
 	rate := mul(m.changeRate, m.assumption("changes.busiest_minute"))
-	m.addRow(Row{Time: Busiest, Role: Leader, What: "changes of configuration", Unit: "1/s", Need: rate,
-		Budget: pointerTo(m.assumption("earlier.grants_a_second")), Breaks: BreaksTime,
+	m.addRow(Row{Time: Busiest, Role: Leader, Quantity: "changes of configuration", Unit: "1/s", Need: rate,
+		Budget: m.limit("earlier.grants_a_second"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/distribute (Register), internal/coordination/replica"})
 	version := add(m.assumption("changes.bytes"), m.assumption("changes.head_bytes"))
-	m.addRow(Row{Time: Busiest, Role: Leader, What: "bytes of versions told, were it alone", Unit: "bytes/s",
-		Need: mul(rate, m.meanServiceSize, version), Budget: pointerTo(m.usable("machines.network")), Breaks: BreaksTime,
+	m.addRow(Row{Time: Busiest, Role: Leader, Quantity: "bytes of versions told, were it alone", Unit: "bytes/s",
+		Need: mul(rate, m.meanServiceSize, version), Budget: m.usableLimit("machines.network"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/distribute (Watches)"})
-	m.addRow(Row{Time: Busiest, Role: Leader, What: "processor time with versions on their way", Unit: "cores",
+	m.addRow(Row{Time: Busiest, Role: Leader, Quantity: "processor time with versions on their way", Unit: "cores",
 		Need: coresFromMicros(add(m.measured("renewals", "leader", "cpu_us_s", m.sessions),
 			m.measured("publish", "leader", "busy_cpu_us_s", m.machines))),
-		Budget: pointerTo(m.usable("machines.cores")), Breaks: BreaksTime,
+		Budget: m.usableLimit("machines.cores"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/distribute (Watches), internal/coordination/replica"})
-	m.addRow(Row{Time: Busiest, Role: Follower, What: "processor time with versions on their way", Unit: "cores",
-		Need: coresFromMicros(m.measured("publish", "follower", "busy_cpu_us_s", m.machines)), Budget: pointerTo(m.usable("machines.cores")),
+	m.addRow(Row{Time: Busiest, Role: Follower, Quantity: "processor time with versions on their way", Unit: "cores",
+		Need: coresFromMicros(m.measured("publish", "follower", "busy_cpu_us_s", m.machines)), Budget: m.usableLimit("machines.cores"),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/distribute (Watches), internal/coordination/replica"})
-	m.addRow(Row{Time: Busiest, Role: Control, What: "bytes of versions, in the service that changes most",
+	m.addRow(Row{Time: Busiest, Role: SidecarControl, Quantity: "bytes of versions, in the service that changes most",
 		Unit: "bytes/s", Need: mul(rate, m.assumption("changes.most_changed_share"), version),
-		Budget: pointerTo(m.assumption("target.control_bytes")), Breaks: BreaksTime, Mechanism: "internal/coordination/distribute"})
-	m.addRow(Row{Time: Ordinary, Role: Control, What: "bytes of one version", Unit: "bytes", Need: m.assumption("changes.bytes"),
-		Budget: pointerTo(m.assumption("limits.max_content")), Breaks: BreaksRule, Mechanism: "internal/coordination/distribute (MaxContent)",
-		Needs: []string{After}})
+		Budget: m.limit("target.control_bytes"), Breaks: BreaksTime, Mechanism: "internal/coordination/distribute"})
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "bytes of one version", Unit: "bytes", Need: m.assumption("changes.bytes"),
+		Budget: m.limit("limits.max_content"), Breaks: BreaksRule, Mechanism: "internal/coordination/distribute (MaxContent)",
+		NeededBy: []string{ByVersion}})
 }
 
 // stagedDuration is how long a staged change of so many sidecars takes, between the sizes that were measured.
@@ -47,8 +47,8 @@
 	return low.took
 }
 
-// changesNow are the rows of a change as it was made before versions: staged, a new process for each sidecar.
-func (m *model) changesNow() {
+// addStagedChangeRows are the rows of a change as it was made before versions: staged, a new process for each sidecar.
+func (m *model) addStagedChangeRows() {
 	const by = "internal/coordination/rollout, internal/coordination/driver, internal/coordination/machine"
 	for _, c := range []struct {
 		what string
@@ -56,45 +56,45 @@
 	}{{"staged, judged by the clock, in a mean service", m.meanServiceSize},
 		{"staged, judged by the clock, in the largest service", m.assumption("shape.largest")},
 		{"staged, judged by the clock, of all sidecars, could it begin", m.servers}} {
-		m.addRow(Row{Time: Now, Role: Driver, What: c.what, Unit: "s", Need: m.stagedDuration(c.of),
-			Budget: pointerTo(m.assumption("target.in_force")), Breaks: BreaksTime, Mechanism: by,
-			Needs: []string{"each change of configuration"}})
+		m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: c.what, Unit: "s", Need: m.stagedDuration(c.of),
+			Budget: m.limit("target.in_force"), Breaks: BreaksTime, Mechanism: by,
+			NeededBy: []string{"each change of configuration"}})
 	}
 	for _, c := range []struct {
 		what string
 		of   Figure
 	}{{"all at once, without a judge, in the largest service", m.assumption("shape.largest")},
 		{"all at once, without a judge, at all agents, could it begin", m.machines}} {
-		m.addRow(Row{Time: Now, Role: Driver, What: c.what, Unit: "s", Need: m.inForce("looks", "agent", c.of),
-			Budget: pointerTo(m.assumption("target.in_force")), Breaks: BreaksTime, Mechanism: by,
-			Needs: []string{"each change of configuration"}})
+		m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: c.what, Unit: "s", Need: m.inForce("looks", "agent", c.of),
+			Budget: m.limit("target.in_force"), Breaks: BreaksTime, Mechanism: by,
+			NeededBy: []string{"each change of configuration"}})
 	}
-	m.addRow(Row{Time: Now, Role: Driver, What: "looks a second by which those times came about", Unit: "1/s",
+	m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: "looks a second by which those times came about", Unit: "1/s",
 		Need: div(Figure{Value: 1}, m.assumption("earlier.staged_look")), Mechanism: "internal/coordination/driver (drive_every)"})
-	m.addRow(Row{Time: Now, Role: Driver, What: "looks a second where nothing else is said", Unit: "1/s",
+	m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: "looks a second where nothing else is said", Unit: "1/s",
 		Need: div(Figure{Value: 1}, m.assumption("periods.look_every")), Mechanism: "internal/coordination/fleet (drive_every)"})
-	m.addRow(Row{Time: Now, Role: Leader, What: "message that begins a change of all", Unit: "bytes",
-		Need: m.changeBytes(m.servers), Budget: pointerTo(m.assumption("limits.max_ask")), Breaks: BreaksRule,
-		Mechanism: "internal/coordination/fleet (maxAsk)", Needs: []string{Restarts, "a release for all"}})
+	m.addRow(Row{Time: ByRollout, Role: Leader, Quantity: "message that begins a change of all", Unit: "bytes",
+		Need: m.changeBytes(m.servers), Budget: m.limit("limits.max_ask"), Breaks: BreaksRule,
+		Mechanism: "internal/coordination/fleet (maxAsk)", NeededBy: []string{AllRestarted, "a release for all"}})
 	most := mul(m.changeRate, m.assumption("changes.busiest_minute"), m.assumption("changes.most_changed_share"))
-	m.addRow(Row{Time: Now, Role: Leader,
-		What: "changes at once in the most changed service, were it the largest, of the one that may be", Unit: "",
-		Need: mul(most, m.stagedDuration(m.assumption("shape.largest"))), Budget: pointerTo(m.assumption("limits.changes_an_application")),
+	m.addRow(Row{Time: ByRollout, Role: Leader,
+		Quantity: "changes at once in the most changed service, were it the largest, of the one that may be", Unit: "",
+		Need: mul(most, m.stagedDuration(m.assumption("shape.largest"))), Budget: m.limit("limits.changes_an_application"),
 		Breaks: BreaksRule, Mechanism: "internal/coordination/rollout (one change an application)",
-		Needs: []string{"each change of configuration"}})
+		NeededBy: []string{"each change of configuration"}})
 	rate := mul(m.changeRate, m.assumption("changes.busiest_minute"))
-	m.addRow(Row{Time: Now, Role: Driver, What: "changes under way at once, in mean services", Unit: "",
+	m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: "changes under way at once, in mean services", Unit: "",
 		Need: mul(rate, m.stagedDuration(m.meanServiceSize)), Mechanism: by})
-	m.addRow(Row{Time: Now, Role: Leader, What: "events of changes in the log", Unit: "1/s",
-		Need: mul(rate, m.meanServiceSize, m.assumption("changes.events_a_sidecar")), Budget: pointerTo(m.assumption("earlier.grants_a_second")),
+	m.addRow(Row{Time: ByRollout, Role: Leader, Quantity: "events of changes in the log", Unit: "1/s",
+		Need: mul(rate, m.meanServiceSize, m.assumption("changes.events_a_sidecar")), Budget: m.limit("earlier.grants_a_second"),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/rollout (Register), internal/coordination/replica"})
-	m.addRow(Row{Time: Now, Role: Control, What: "processes started for changes, a sidecar and day", Unit: "",
+	m.addRow(Row{Time: ByRollout, Role: SidecarControl, Quantity: "processes started for changes, a sidecar and day", Unit: "",
 		Need:      div(m.assumption("target.changes_a_day"), m.assumption("target.services")),
 		Mechanism: "cmd/petrelhook (discovery alone is taken live), internal/sidecar/handover"})
 }
 
-// changesAfter are the rows of a change as a version that agents watch for.
-func (m *model) changesAfter() {
+// addVersionRows are the rows of a change as a version that agents watch for.
+func (m *model) addVersionRows() {
 	const by = "internal/coordination/distribute"
 	for _, c := range []struct {
 		what string
@@ -121,18 +121,18 @@
 			m.measured("publish", "agent", "leader_killed_in_force_max_s", m.machines)},
 		{"in force at the last real sidecar, by a hand-over",
 			m.measured("publish", "agent", "hand_over_in_force_max_s", m.machines)}} {
-		m.addRow(Row{Time: After, Role: Control, What: c.what, Unit: "s", Need: c.took,
-			Budget: pointerTo(m.assumption("target.in_force")), Breaks: BreaksTime, Mechanism: by,
-			Needs: []string{"each change of configuration"}})
+		m.addRow(Row{Time: ByVersion, Role: SidecarControl, Quantity: c.what, Unit: "s", Need: c.took,
+			Budget: m.limit("target.in_force"), Breaks: BreaksTime, Mechanism: by,
+			NeededBy: []string{"each change of configuration"}})
 	}
 	for _, c := range []struct{ what, prefix string }{{"before the first version", "quiet_"},
 		{"while versions come into force", "versions_"}} {
-		m.addRow(Row{Time: After, Role: Calls, What: "a call at real sidecars for 99 in 100, servers counted, " + c.what, Unit: "s",
+		m.addRow(Row{Time: ByVersion, Role: SidecarCalls, Quantity: "a call at real sidecars for 99 in 100, servers counted, " + c.what, Unit: "s",
 			Need: m.measured("publish", "sidecar", c.prefix+"call_p99_s", m.machines), Mechanism: "internal/sidecar/handover, " + by})
 	}
-	m.addRow(Row{Time: After, Role: Leader, What: "watches that come to an end without news, of all", Unit: "1/s",
+	m.addRow(Row{Time: ByVersion, Role: Leader, Quantity: "watches that come to an end without news, of all", Unit: "1/s",
 		Need: div(m.machines, m.assumption("periods.watch_hold")), Mechanism: by})
-	m.addRow(Row{Time: After, Role: Leader, What: "watches that wait at a coordinator", Unit: "",
-		Need: div(m.machines, m.assumption("machines.replicas")), Budget: pointerTo(m.usable("machines.descriptors")),
-		Breaks: BreaksRule, Mechanism: by, Needs: []string{Coordinators}})
+	m.addRow(Row{Time: ByVersion, Role: Leader, Quantity: "watches that wait at a coordinator", Unit: "",
+		Need: div(m.machines, m.assumption("machines.replicas")), Budget: m.usableLimit("machines.descriptors"),
+		Breaks: BreaksRule, Mechanism: by, NeededBy: []string{CoordinatorsLost}})
 }
--- a/internal/coordination/capacity/rows_control.go
+++ b/internal/coordination/capacity/rows_control.go
@@ -1,69 +1,69 @@
 package capacity
 
-// coordinators are the rows of an ordinary minute there.
-func (m *model) coordinators() {
+// addCoordinatorRows are the rows of an ordinary minute there.
+func (m *model) addCoordinatorRows() {
 	const ask = "internal/coordination/replica (confirmed reads), internal/coordination/fleet"
-	m.addRow(Row{Time: Ordinary, Role: Leader, What: "renewals, by a trial with as many sessions", Unit: "1/s",
-		Need: m.renewals(), Budget: pointerTo(m.assumption("earlier.renewals_a_second_12000")), Breaks: BreaksRule, Mechanism: ask,
-		Needs: []string{"duties", "budgets of the fleet", "the driver's lease"}})
-	m.addRow(Row{Time: Ordinary, Role: Leader, What: "renewals, by the figure with 2,000 sessions", Unit: "1/s",
-		Need: m.renewals(), Budget: pointerTo(m.assumption("earlier.renewals_a_second")), Breaks: BreaksRule, Mechanism: ask,
-		Needs: []string{"duties", "budgets of the fleet", "the driver's lease"}})
+	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "renewals, by a trial with as many sessions", Unit: "1/s",
+		Need: m.renewalRate(), Budget: m.limit("earlier.renewals_a_second_12000"), Breaks: BreaksRule, Mechanism: ask,
+		NeededBy: []string{"duties", "budgets of the fleet", "the driver's lease"}})
+	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "renewals, by the figure with 2,000 sessions", Unit: "1/s",
+		Need: m.renewalRate(), Budget: m.limit("earlier.renewals_a_second"), Breaks: BreaksRule, Mechanism: ask,
+		NeededBy: []string{"duties", "budgets of the fleet", "the driver's lease"}})
 	for _, c := range []struct{ role, name string }{{Leader, "leader"}, {Follower, "follower"}} {
-		m.addRow(Row{Time: Ordinary, Role: c.role, What: "processor time of renewals and watches", Unit: "cores",
-			Need: coresFromMicros(m.both(c.name, "cpu_us_s")), Budget: pointerTo(m.usable("machines.cores")), Breaks: BreaksTime,
-			Mechanism: ask + ", internal/coordination/distribute", Needs: []string{After}})
-		m.addRow(Row{Time: Ordinary, Role: c.role, What: "memory", Unit: "bytes", Need: m.both(c.name, "memory_bytes"),
-			Budget: pointerTo(m.usable("machines.memory")), Breaks: BreaksRule, Mechanism: ask + ", internal/coordination/distribute"})
-		m.addRow(Row{Time: Ordinary, Role: c.role, What: "bytes out", Unit: "bytes/s",
-			Need: m.both(c.name, "bytes_out_s"), Budget: pointerTo(m.usable("machines.network")), Breaks: BreaksTime,
+		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "processor time of renewals and watches", Unit: "cores",
+			Need: coresFromMicros(m.coordinatorUsage(c.name, "cpu_us_s")), Budget: m.usableLimit("machines.cores"), Breaks: BreaksTime,
+			Mechanism: ask + ", internal/coordination/distribute", NeededBy: []string{ByVersion}})
+		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "memory", Unit: "bytes", Need: m.coordinatorUsage(c.name, "memory_bytes"),
+			Budget: m.usableLimit("machines.memory"), Breaks: BreaksRule, Mechanism: ask + ", internal/coordination/distribute"})
+		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "bytes out", Unit: "bytes/s",
+			Need: m.coordinatorUsage(c.name, "bytes_out_s"), Budget: m.usableLimit("machines.network"), Breaks: BreaksTime,
 			Mechanism: "internal/coordination/rpc"})
-		m.addRow(Row{Time: Ordinary, Role: c.role, What: "messages in", Unit: "1/s",
-			Need: m.both(c.name, "messages_in_s"), Mechanism: "internal/coordination/rpc, " + ask})
-		m.addRow(Row{Time: Ordinary, Role: c.role, What: "descriptors", Unit: "", Need: m.both(c.name, "descriptors"),
-			Budget: pointerTo(m.usable("machines.descriptors")), Breaks: BreaksRule, Mechanism: "internal/coordination/rpc",
-			Needs: []string{Coordinators}})
+		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "messages in", Unit: "1/s",
+			Need: m.coordinatorUsage(c.name, "messages_in_s"), Mechanism: "internal/coordination/rpc, " + ask})
+		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "descriptors", Unit: "", Need: m.coordinatorUsage(c.name, "descriptors"),
+			Budget: m.usableLimit("machines.descriptors"), Breaks: BreaksRule, Mechanism: "internal/coordination/rpc",
+			NeededBy: []string{CoordinatorsLost}})
 	}
-	m.addRow(Row{Time: Ordinary, Role: Leader, What: "state of sessions and one change of all, as runs had it",
+	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "state of sessions and one change of all, as runs had it",
 		Unit: "bytes",
 		Need: add(m.measured("renewals", "leader", "state_bytes", m.sessions),
 			m.measured("looks", "driver", "state_bytes", m.machines)),
-		Budget: pointerTo(m.assumption("limits.max_message")), Breaks: BreaksRule, Mechanism: "internal/coordination/replica (snapshots)",
-		Needs: []string{Coordinators}})
-	m.addRow(Row{Time: Ordinary, Role: Leader, What: "snapshot: sessions, versions, changes of all", Unit: "bytes",
-		Need: m.snapshot(m.assumption("changes.bytes")), Budget: pointerTo(m.assumption("limits.max_message")), Breaks: BreaksRule,
-		Mechanism: "internal/coordination/replica (snapshots)", Needs: []string{Coordinators}})
-	m.addRow(Row{Time: Ordinary, Role: Leader, What: "snapshot, where each version is as large as it may be",
-		Unit: "bytes", Need: m.snapshot(m.assumption("limits.max_content")), Budget: pointerTo(m.assumption("limits.max_message")),
+		Budget: m.limit("limits.max_message"), Breaks: BreaksRule, Mechanism: "internal/coordination/replica (snapshots)",
+		NeededBy: []string{CoordinatorsLost}})
+	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "snapshot: sessions, versions, changes of all", Unit: "bytes",
+		Need: m.snapshotBytes(m.assumption("changes.bytes")), Budget: m.limit("limits.max_message"), Breaks: BreaksRule,
+		Mechanism: "internal/coordination/replica (snapshots)", NeededBy: []string{CoordinatorsLost}})
+	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "snapshot, where each version is as large as it may be",
+		Unit: "bytes", Need: m.snapshotBytes(m.assumption("limits.max_content")), Budget: m.limit("limits.max_message"),
 		Breaks: BreaksRule, Mechanism: "internal/coordination/replica (snapshots), internal/coordination/distribute (MaxContent)",
-		Needs: []string{Coordinators, "a replica that is replaced"}})
-	m.addRow(Row{Time: Ordinary, Role: Leader, What: "services with a version", Unit: "", Need: m.assumption("target.services"),
-		Budget: pointerTo(m.assumption("limits.max_services")), Breaks: BreaksRule, Mechanism: "internal/coordination/distribute"})
+		NeededBy: []string{CoordinatorsLost, "a replica that is replaced"}})
+	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "services with a version", Unit: "", Need: m.assumption("target.services"),
+		Budget: m.limit("limits.max_services"), Breaks: BreaksRule, Mechanism: "internal/coordination/distribute"})
 	opened := add(m.assumption("target.failed_a_day"), m.assumption("target.restarted_a_day")).times(2. / secondsPerDay) // an end and an opening
-	m.addRow(Row{Time: Ordinary, Role: Leader, What: "entries of the log", Unit: "1/s", Need: add(opened, m.changeRate),
-		Budget: pointerTo(m.assumption("earlier.grants_a_second")), Breaks: BreaksTime,
+	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "entries of the log", Unit: "1/s", Need: add(opened, m.changeRate),
+		Budget: m.limit("earlier.grants_a_second"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/replica, internal/coordination/replica/disk"})
 	followers := add(m.assumption("machines.replicas"), Figure{Value: -1})
-	m.addRow(Row{Time: Ordinary, Role: Leader, What: "machines set aside: processor time of all that runs there",
+	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "machines set aside: processor time of all that runs there",
 		Unit: "cores",
-		Need: add(coresFromMicros(m.both("leader", "cpu_us_s")), mul(followers, coresFromMicros(m.both("follower", "cpu_us_s"))),
+		Need: add(coresFromMicros(m.coordinatorUsage("leader", "cpu_us_s")), mul(followers, coresFromMicros(m.coordinatorUsage("follower", "cpu_us_s"))),
 			coresFromMicros(m.measured("looks", "driver", "cpu_us_s", m.machines)),
 			coresFromMicros(m.measured("lists", "server", "cpu_us_s", m.servers))),
 		Budget: pointerTo(mul(m.assumption("target.control_machines"), m.usable("machines.cores"))), Breaks: BreaksTime,
 		Mechanism: "cmd/petrelhook-coordinator, the platform's discovery"})
 }
 
-func (m *model) renewals() Figure {
+func (m *model) renewalRate() Figure {
 	return div(mul(m.sessions, m.assumption("periods.renewals_a_ttl")), m.assumption("periods.lease_ttl"))
 }
 
-// both is what a coordinator needs for renewals and watches of the whole fleet.
-func (m *model) both(role, metric string) Figure {
+// coordinatorUsage is what a coordinator needs for renewals and watches of the whole fleet.
+func (m *model) coordinatorUsage(role, metric string) Figure {
 	return add(m.measured("renewals", role, metric, m.sessions), m.measured("watches", role, metric, m.machines))
 }
 
-// snapshot is the state in the log where a version has so many bytes.
-func (m *model) snapshot(version Figure) Figure {
+// snapshotBytes is the state in the log where a version has so many bytes.
+func (m *model) snapshotBytes(version Figure) Figure {
 	versions := smaller(mul(m.assumption("target.services"), version), m.assumption("limits.max_total"))
 	return add(mul(m.sessions, m.assumption("earlier.lease_snapshot_bytes")), versions, m.changeBytes(m.servers))
 }
@@ -73,51 +73,51 @@
 	return mul(sidecars, m.assumption("earlier.start_bytes_12000")).times(1. / 12000)
 }
 
-// driver are the rows of who looks at agents, and of the tool that asks.
-func (m *model) driver() {
+// addDriverRows are the rows of who looks at agents, and of the tool that asks.
+func (m *model) addDriverRows() {
 	// A turn reads each application's change, one after the other, then asks its agents; where a change is over, each
 	// few turns.
 	reads := mul(m.assumption("target.services"), m.assumption("earlier.read"))
 	looks := div(mul(m.machines, m.assumption("earlier.looks_2000")).times(1./2000), m.assumption("periods.look_rest"))
-	m.addRow(Row{Time: Ordinary, Role: Driver, What: "a turn over all applications, each changed once", Unit: "s",
-		Need: add(reads, looks), Budget: pointerTo(m.assumption("periods.look_every")), Breaks: BreaksTime,
-		Mechanism: "internal/coordination/driver (turn, step, look)", Needs: []string{Now, Restarts, "the judge's windows"}})
-	m.addRow(Row{Time: Busiest, Role: Driver, What: "a look at all agents, as one change of all has it", Unit: "s",
-		Need: mul(m.machines, m.assumption("earlier.looks_2000")).times(1. / 2000), Budget: pointerTo(m.assumption("periods.look_every")),
-		Breaks: BreaksTime, Mechanism: "internal/coordination/driver (ask, 64 at once)", Needs: []string{Now, Restarts}})
-	m.addRow(Row{Time: Ordinary, Role: Driver, What: "bytes of changes read at each look", Unit: "bytes/s",
-		Need: div(m.changeBytes(m.servers), m.assumption("periods.look_every")), Budget: pointerTo(m.usable("machines.network")),
+	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "a turn over all applications, each changed once", Unit: "s",
+		Need: add(reads, looks), Budget: m.limit("periods.look_every"), Breaks: BreaksTime,
+		Mechanism: "internal/coordination/driver (turn, step, look)", NeededBy: []string{ByRollout, AllRestarted, "the judge's windows"}})
+	m.addRow(Row{Time: Busiest, Role: Driver, Quantity: "a look at all agents, as one change of all has it", Unit: "s",
+		Need: mul(m.machines, m.assumption("earlier.looks_2000")).times(1. / 2000), Budget: m.limit("periods.look_every"),
+		Breaks: BreaksTime, Mechanism: "internal/coordination/driver (ask, 64 at once)", NeededBy: []string{ByRollout, AllRestarted}})
+	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "bytes of changes read at each look", Unit: "bytes/s",
+		Need: div(m.changeBytes(m.servers), m.assumption("periods.look_every")), Budget: m.usableLimit("machines.network"),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/driver (read), internal/coordination/rollout"})
-	m.addRow(Row{Time: Ordinary, Role: Driver, What: "processor time of looks at all agents", Unit: "cores",
-		Need: coresFromMicros(m.measured("looks", "driver", "cpu_us_s", m.machines)), Budget: pointerTo(m.usable("machines.cores")),
-		Breaks: BreaksTime, Mechanism: "internal/coordination/driver", Needs: []string{Now, Restarts}})
-	m.addRow(Row{Time: Ordinary, Role: Driver, What: "bytes in from all agents", Unit: "bytes/s",
-		Need: m.measured("looks", "driver", "bytes_in_s", m.machines), Budget: pointerTo(m.usable("machines.network")),
+	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "processor time of looks at all agents", Unit: "cores",
+		Need: coresFromMicros(m.measured("looks", "driver", "cpu_us_s", m.machines)), Budget: m.usableLimit("machines.cores"),
+		Breaks: BreaksTime, Mechanism: "internal/coordination/driver", NeededBy: []string{ByRollout, AllRestarted}})
+	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "bytes in from all agents", Unit: "bytes/s",
+		Need: m.measured("looks", "driver", "bytes_in_s", m.machines), Budget: m.usableLimit("machines.network"),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/driver, internal/coordination/machine"})
-	m.addRow(Row{Time: Ordinary, Role: Driver, What: "memory", Unit: "bytes",
-		Need: m.measured("looks", "driver", "memory_bytes", m.machines), Budget: pointerTo(m.usable("machines.memory")),
+	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "memory", Unit: "bytes",
+		Need: m.measured("looks", "driver", "memory_bytes", m.machines), Budget: m.usableLimit("machines.memory"),
 		Breaks: BreaksRule, Mechanism: "internal/coordination/driver"})
-	m.addRow(Row{Time: Ordinary, Role: Tool, What: "a change of all, in one answer", Unit: "bytes",
-		Need: m.changeBytes(m.servers), Budget: pointerTo(m.assumption("limits.max_message")), Breaks: BreaksRule,
+	m.addRow(Row{Time: Ordinary, Role: Tool, Quantity: "a change of all, in one answer", Unit: "bytes",
+		Need: m.changeBytes(m.servers), Budget: m.limit("limits.max_message"), Breaks: BreaksRule,
 		Mechanism: "cmd/petrelhookctl, internal/coordination/fleet"})
-	m.addRow(Row{Time: Ordinary, Role: Tool, What: "what is in force, of all services", Unit: "s",
-		Need: m.measured("publish", "tool", "summary_s", m.machines), Budget: pointerTo(m.assumption("target.in_force")),
+	m.addRow(Row{Time: Ordinary, Role: Tool, Quantity: "what is in force, of all services", Unit: "s",
+		Need: m.measured("publish", "tool", "summary_s", m.machines), Budget: m.limit("target.in_force"),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/distribute (Summaries)"})
 }
 
-// lists are the rows of who tells all sidecars which servers there are.
-func (m *model) lists() {
+// addListRows are the rows of who tells all sidecars which servers there are.
+func (m *model) addListRows() {
 	const by = "the platform's discovery; internal/sidecar/member/discovery"
 	watches := mul(m.servers, m.assumption("shape.fan_out"))
-	m.addRow(Row{Time: Ordinary, Role: Lists, What: "watches open at a machine", Unit: "", Need: div(watches, m.listMachines),
-		Budget: pointerTo(m.usable("machines.descriptors")), Breaks: BreaksRule, Mechanism: by,
-		Needs: []string{Zone, Restarts}})
-	m.addRow(Row{Time: Ordinary, Role: Lists, What: "empty lines of a machine", Unit: "1/s",
+	m.addRow(Row{Time: Ordinary, Role: ListServer, Quantity: "watches open at a machine", Unit: "", Need: div(watches, m.listMachines),
+		Budget: m.usableLimit("machines.descriptors"), Breaks: BreaksRule, Mechanism: by,
+		NeededBy: []string{ZoneLost, AllRestarted}})
+	m.addRow(Row{Time: Ordinary, Role: ListServer, Quantity: "empty lines of a machine", Unit: "1/s",
 		Need: div(div(watches, m.assumption("lists.empty_line_every")), m.listMachines), Mechanism: by})
-	m.addRow(Row{Time: Ordinary, Role: Lists, What: "bytes out of a machine", Unit: "bytes/s",
-		Need: div(mul(m.servers, m.listBytes(m.listChangeRate)), m.listMachines), Budget: pointerTo(m.usable("machines.network")),
+	m.addRow(Row{Time: Ordinary, Role: ListServer, Quantity: "bytes out of a machine", Unit: "bytes/s",
+		Need: div(mul(m.servers, m.listBytes(m.listChangeRate)), m.listMachines), Budget: m.usableLimit("machines.network"),
 		Breaks: BreaksTime, Mechanism: by})
-	m.addRow(Row{Time: Ordinary, Role: Lists, What: "processor time of a machine", Unit: "cores",
+	m.addRow(Row{Time: Ordinary, Role: ListServer, Quantity: "processor time of a machine", Unit: "cores",
 		Need:   div(coresFromMicros(m.measured("lists", "server", "cpu_us_s", m.servers)), m.listMachines),
-		Budget: pointerTo(m.usable("machines.cores")), Breaks: BreaksTime, Mechanism: by, Needs: []string{Zone, Region}})
+		Budget: m.usableLimit("machines.cores"), Breaks: BreaksTime, Mechanism: by, NeededBy: []string{ZoneLost, RegionIsolated}})
 }
--- a/internal/coordination/capacity/rows_sidecar.go
+++ b/internal/coordination/capacity/rows_sidecar.go
@@ -2,49 +2,49 @@
 
 import "math"
 
-// calls are the rows of a sidecar's calls.
-func (m *model) calls() {
+// addCallRows are the rows of a sidecar's calls.
+func (m *model) addCallRows() {
 	rate := div(m.assumption("target.calls"), m.servers)
 	busiest := mul(rate, m.assumption("shape.busiest_sidecar"))
 	const path = "balance, internal/sidecar/core, internal/sidecar/front/platform, internal/sidecar/upstream/http1"
-	m.addRow(Row{Time: Ordinary, Role: Calls, What: "calls in the mean", Unit: "1/s", Need: rate, Mechanism: path})
+	m.addRow(Row{Time: Ordinary, Role: SidecarCalls, Quantity: "calls in the mean", Unit: "1/s", Need: rate, Mechanism: path})
 	one := Figure{Value: 1} // sidecar on the way
 	depth := m.assumption("target.depth")
 	for _, c := range []struct {
 		time, what string
 		rate       Figure
 	}{{Ordinary, "in the mean", rate}, {Busiest, "at the busiest", busiest}} {
-		m.addRow(Row{Time: c.time, Role: Calls, What: "added to a call for 99 in 100, " + c.what, Unit: "s",
-			Need: m.measuredAtRate("added_p99_us", one, c.rate).times(1e-6), Budget: pointerTo(m.assumption("target.added")),
-			Breaks: BreaksTime, Mechanism: path, Needs: []string{"every call of a chain"}})
-		m.addRow(Row{Time: c.time, Role: Calls, What: "added to a call for half of them, " + c.what, Unit: "s",
-			Need: m.measuredAtRate("added_p50_us", one, c.rate).times(1e-6), Budget: pointerTo(m.assumption("target.added")),
-			Breaks: BreaksTime, Mechanism: path, Needs: []string{"every call of a chain"}})
-		m.addRow(Row{Time: c.time, Role: Calls, What: "processor time for calls, " + c.what, Unit: "cores",
+		m.addRow(Row{Time: c.time, Role: SidecarCalls, Quantity: "added to a call for 99 in 100, " + c.what, Unit: "s",
+			Need: m.measuredAtRate("added_p99_us", one, c.rate).times(1e-6), Budget: m.limit("target.added"),
+			Breaks: BreaksTime, Mechanism: path, NeededBy: []string{"every call of a chain"}})
+		m.addRow(Row{Time: c.time, Role: SidecarCalls, Quantity: "added to a call for half of them, " + c.what, Unit: "s",
+			Need: m.measuredAtRate("added_p50_us", one, c.rate).times(1e-6), Budget: m.limit("target.added"),
+			Breaks: BreaksTime, Mechanism: path, NeededBy: []string{"every call of a chain"}})
+		m.addRow(Row{Time: c.time, Role: SidecarCalls, Quantity: "processor time for calls, " + c.what, Unit: "cores",
 			Need: coresFromMicros(mul(c.rate, m.measuredAtRate("cpu_us_call", one, c.rate))), Mechanism: path})
 	}
-	m.addRow(Row{Time: Ordinary, Role: Calls, What: "added over the deepest chain for 99 in 100, in the mean", Unit: "s",
+	m.addRow(Row{Time: Ordinary, Role: SidecarCalls, Quantity: "added over the deepest chain for 99 in 100, in the mean", Unit: "s",
 		Need: m.measuredAtRate("added_p99_us", depth, rate).times(1e-6), Budget: pointerTo(mul(m.assumption("target.added"), depth)),
 		Breaks: BreaksTime, Mechanism: path})
-	m.addRow(Row{Time: Busiest, Role: Calls,
-		What: "attempts at the leaf of the deepest chain, a call, where some of them fail", Unit: "",
-		Need: m.measuredWithFailures("attempts_call", depth), Budget: pointerTo(m.assumption("shape.attempts_at_leaf")), Breaks: BreaksTime,
-		Mechanism: "balance (repeats, refusals)", Needs: []string{Zone, "servers that are at their limit"}})
+	m.addRow(Row{Time: Busiest, Role: SidecarCalls,
+		Quantity: "attempts at the leaf of the deepest chain, a call, where some of them fail", Unit: "",
+		Need: m.measuredWithFailures("attempts_call", depth), Budget: m.limit("shape.attempts_at_leaf"), Breaks: BreaksTime,
+		Mechanism: "balance (repeats, refusals)", NeededBy: []string{ZoneLost, "servers that are at their limit"}})
 	all := add(one, m.assumption("limits.repeat_share"))
-	m.addRow(Row{Time: Busiest, Role: Calls,
-		What: "attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's repeats allow",
-		Unit: "", Need: Figure{Value: math.Pow(all.Value, depth.Value)}.with(all, depth),
-		Budget: pointerTo(m.assumption("shape.attempts_at_leaf")), Breaks: BreaksTime,
+	m.addRow(Row{Time: Busiest, Role: SidecarCalls,
+		Quantity: "attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's repeats allow",
+		Unit:     "", Need: Figure{Value: math.Pow(all.Value, depth.Value)}.with(all, depth),
+		Budget: m.limit("shape.attempts_at_leaf"), Breaks: BreaksTime,
 		Mechanism: "balance (repeatShare, each sidecar for itself)",
-		Needs:     []string{Zone, "servers that are at their limit"}})
-	m.addRow(Row{Time: Ordinary, Role: Calls, What: "a decision in the largest service", Unit: "s",
+		NeededBy:  []string{ZoneLost, "servers that are at their limit"}})
+	m.addRow(Row{Time: Ordinary, Role: SidecarCalls, Quantity: "a decision in the largest service", Unit: "s",
 		Need:   m.measured("decision", "sidecar", "ns", m.assumption("shape.largest")).times(1e-9),
 		Budget: pointerTo(mul(m.assumption("target.added"), m.assumption("shape.decision_share"))), Breaks: BreaksTime,
-		Mechanism: "balance (pick.go, a subset)", Needs: []string{"every call"}})
+		Mechanism: "balance (pick.go, a subset)", NeededBy: []string{"every call"}})
 }
 
-// control are the rows of what a sidecar and its machine's agent spend on control.
-func (m *model) control() {
+// addControlRows are the rows of what a sidecar and its machine's agent spend on control.
+func (m *model) addControlRows() {
 	const by = "internal/coordination/machine, internal/coordination/distribute, internal/sidecar/member/discovery"
 	agents := m.assumption("places.sidecars_a_machine") // an agent's cost is shared by its machine's sidecars
 	a := func(metric string) Figure {                   // of members and agents a run tells the mean of one
@@ -53,37 +53,37 @@
 	}
 	rest := func(metric string) Figure { return m.measured("watches", "sidecar", metric, m.machines) } // with one short list
 	look := func(metric string) Figure { return div(m.measured("looks", "agent", metric, m.machines), agents) }
-	m.addRow(Row{Time: Ordinary, Role: Control, What: "processor time", Unit: "cores",
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "processor time", Unit: "cores",
 		Need: coresFromMicros(add(a("cpu_us_s"), rest("cpu_us_s"), look("cpu_us_s"),
 			m.measured("lists", "sidecar", "cpu_us_s", m.servers))),
-		Budget: pointerTo(m.assumption("target.control_core")), Breaks: BreaksTime, Mechanism: by})
-	m.addRow(Row{Time: Ordinary, Role: Control, What: "processor time of a real agent and sidecar at rest, with one short list",
+		Budget: m.limit("target.control_core"), Breaks: BreaksTime, Mechanism: by})
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "processor time of a real agent and sidecar at rest, with one short list",
 		Unit: "cores", Need: coresFromMicros(add(div(m.measured("watches", "agent", "cpu_us_s", m.machines), agents), rest("cpu_us_s"))),
-		Budget: pointerTo(m.assumption("target.control_core")), Breaks: BreaksTime, Mechanism: by})
-	m.addRow(Row{Time: Ordinary, Role: Control, What: "memory of a real agent and sidecar, as versions come into force",
+		Budget: m.limit("target.control_core"), Breaks: BreaksTime, Mechanism: by})
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "memory of a real agent and sidecar, as versions come into force",
 		Unit: "bytes", Need: add(div(m.measured("publish", "agent", "busy_memory_bytes", m.machines), agents),
 			m.measured("publish", "sidecar", "busy_memory_bytes", m.machines)),
-		Budget: pointerTo(m.assumption("target.control_memory")), Breaks: BreaksRule, Mechanism: by})
+		Budget: m.limit("target.control_memory"), Breaks: BreaksRule, Mechanism: by})
 	lists := m.listBytes(m.listChangeRate)
-	m.addRow(Row{Time: Ordinary, Role: Control, What: "bytes in and out", Unit: "bytes/s",
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "bytes in and out", Unit: "bytes/s",
 		Need:   add(a("bytes_in_s"), a("bytes_out_s"), look("bytes_in_s"), look("bytes_out_s"), lists),
-		Budget: pointerTo(m.assumption("target.control_bytes")), Breaks: BreaksTime, Mechanism: by})
-	m.addRow(Row{Time: Ordinary, Role: Control, What: "bytes of lists alone", Unit: "bytes/s", Need: lists,
-		Budget: pointerTo(m.assumption("target.control_bytes")), Breaks: BreaksTime, Mechanism: "internal/sidecar/member/discovery"})
-	m.addRow(Row{Time: Ordinary, Role: Control, What: "lists held, as text", Unit: "bytes",
-		Need: mul(m.knownServers, m.assumption("lists.entry_bytes")), Budget: pointerTo(m.assumption("target.control_memory")), Breaks: BreaksRule,
+		Budget: m.limit("target.control_bytes"), Breaks: BreaksTime, Mechanism: by})
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "bytes of lists alone", Unit: "bytes/s", Need: lists,
+		Budget: m.limit("target.control_bytes"), Breaks: BreaksTime, Mechanism: "internal/sidecar/member/discovery"})
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "lists held, as text", Unit: "bytes",
+		Need: mul(m.knownServers, m.assumption("lists.entry_bytes")), Budget: m.limit("target.control_memory"), Breaks: BreaksRule,
 		Mechanism: "internal/sidecar/member, balance (list.go)"})
-	m.addRow(Row{Time: Ordinary, Role: Control, What: "memory of the whole process, calls counted", Unit: "bytes",
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "memory of the whole process, calls counted", Unit: "bytes",
 		Need: add(m.measuredAtRate("memory_bytes", Figure{Value: 1}, div(m.assumption("target.calls"), m.servers)), a("memory_bytes"),
 			m.measured("lists", "sidecar", "memory_bytes", m.servers)),
-		Budget: pointerTo(m.assumption("target.control_memory")), Breaks: BreaksRule, Mechanism: "internal/sidecar/membudget, " + by})
-	m.addRow(Row{Time: Ordinary, Role: Control, What: "the largest list in one message", Unit: "bytes",
-		Need: mul(m.assumption("shape.largest"), m.assumption("lists.entry_bytes")), Budget: pointerTo(m.assumption("limits.max_list")),
-		Breaks: BreaksRule, Mechanism: "internal/sidecar/member/discovery", Needs: []string{Zone, Restarts}})
-	m.addRow(Row{Time: Ordinary, Role: Agent, What: "sidecars in one watch's reports", Unit: "",
-		Need: m.assumption("places.sidecars_a_machine"), Budget: pointerTo(m.assumption("limits.max_reports")), Breaks: BreaksRule,
-		Mechanism: "internal/coordination/distribute", Needs: []string{After}})
-	m.addRow(Row{Time: Ordinary, Role: Agent, What: "looks, watches and renewals", Unit: "1/s",
+		Budget: m.limit("target.control_memory"), Breaks: BreaksRule, Mechanism: "internal/sidecar/membudget, " + by})
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "the largest list in one message", Unit: "bytes",
+		Need: mul(m.assumption("shape.largest"), m.assumption("lists.entry_bytes")), Budget: m.limit("limits.max_list"),
+		Breaks: BreaksRule, Mechanism: "internal/sidecar/member/discovery", NeededBy: []string{ZoneLost, AllRestarted}})
+	m.addRow(Row{Time: Ordinary, Role: Agent, Quantity: "sidecars in one watch's reports", Unit: "",
+		Need: m.assumption("places.sidecars_a_machine"), Budget: m.limit("limits.max_reports"), Breaks: BreaksRule,
+		Mechanism: "internal/coordination/distribute", NeededBy: []string{ByVersion}})
+	m.addRow(Row{Time: Ordinary, Role: Agent, Quantity: "looks, watches and renewals", Unit: "1/s",
 		Need: add(div(Figure{Value: 1}, m.assumption("periods.look_every")),
 			div(Figure{Value: 1}, m.assumption("periods.watch_hold")), div(m.assumption("periods.renewals_a_ttl"),
 				m.assumption("periods.lease_ttl"))),
--- a/internal/coordination/capacity/sizes.go
+++ b/internal/coordination/capacity/sizes.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// Sizes are how many servers each service has, the largest first: the k-th has the largest's size over k to some
-// power, and one at least; the power is that at which all together are the fleet. They are no whole numbers.
+// Sizes returns how many servers each service has, the largest first: the k-th has the largest's size divided by a power of k, and at least
+// one. The exponent is chosen so that all together have the given number of servers. The sizes are not whole numbers.
 func Sizes(servers, services, largest float64) []float64 {
 	n := int(math.Round(services))
 	size := func(k int, power float64) float64 { return max(1, largest*math.Pow(float64(k+1), -power)) }
-	low, high := 0.0, 64.0 // of the power: the sum falls from all as large as the largest to one large among ones
+	low, high := 0.0, 64.0 // the exponent: at 0 all are as large as the largest, at 64 all others have one server
 	for range 60 {
 		mid, sum := (low+high)/2, 0.0
 		for k := 0; k < n && sum <= servers; k++ {
@@ -26,8 +26,7 @@
 	return all
 }
 
-// sizeWeightedMean is the mean size of a service as a server sees it that is asked for the size of its own: large ones count more
-// often.
+// sizeWeightedMean is the mean size of the service of a server: large services count for each of their servers.
 func sizeWeightedMean(sizes []float64) float64 {
 	var sum, squares float64
 	for _, n := range sizes {
