--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -27,7 +28,7 @@
 	for {
 		host.reply.Reset()
 		err := reader.Read(host.handle)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/internal/common/command/command.go
+++ b/internal/common/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of the fleet's processes: how one is run, and what it ends with. What it does is its own.
+// Package command runs the command lines of the coordinators and agents, and turns their errors into exit codes.
 package command
 
 import (
@@ -15,22 +15,22 @@
 
 // The exit codes.
 const (
-	ExitFailed = 1 // the file is bad, or it could not go on
+	ExitFailed = 1 // the file is invalid, or the process could not go on
 	ExitUsage  = 2 // the command line is wrong
 )
 
-// Failed is an error of a command line that was right.
-type Failed struct{ error }
+// FailedError is an error of a command whose command line was right.
+type FailedError struct{ error }
 
-// Fail makes an error one of a command line that was right.
+// Fail marks an error as one of a command whose command line was right; nil stays nil.
 func Fail(err error) error {
 	if err == nil {
 		return nil
 	}
-	return Failed{err}
+	return FailedError{err}
 }
 
-// Run runs a command, and gives the code that the process ends with. An error is one line.
+// Run runs a command and returns the exit code of the process. An error is written to errs as one line.
 func Run(cmd *cobra.Command, args []string, out, errs io.Writer) int {
 	cmd.SilenceErrors, cmd.SilenceUsage, cmd.CompletionOptions.HiddenDefaultCmd = true, true, true
 	cmd.SetArgs(args)
@@ -41,13 +41,13 @@
 		return 0
 	}
 	fmt.Fprintf(errs, "%s: %v\n", cmd.Name(), err)
-	if errors.As(err, new(Failed)) {
+	if errors.As(err, new(FailedError)) {
 		return ExitFailed
 	}
 	return ExitUsage
 }
 
-// Terminated is a context that ends with SIGTERM or an interrupt.
+// Terminated returns a context that ends with SIGTERM or an interrupt.
 func Terminated() (ctx context.Context, release func()) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
--- a/internal/common/peertest/lists.go
+++ b/internal/common/peertest/lists.go
@@ -37,7 +37,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s\n", l.now)
 		l.open[c] = struct{}{}
 		l.mu.Unlock()
-		in.ReadByte() // until it is closed
+		_, _ = in.ReadByte() // until it is closed
 		l.mu.Lock()
 		delete(l.open, c)
 		l.mu.Unlock()
--- a/internal/common/peertest/peertest.go
+++ b/internal/common/peertest/peertest.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { syscall.Close(fd) })
+	t.Cleanup(func() { _ = syscall.Close(fd) })
 	const reusePort = 0xf
 	for _, option := range []int{syscall.SO_REUSEADDR, reusePort} {
 		if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, option, 1); err != nil {
@@ -217,7 +217,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { syscall.Close(fd) })
+	t.Cleanup(func() { _ = syscall.Close(fd) })
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/common/sock/sock.go
+++ b/internal/common/sock/sock.go
@@ -16,7 +16,7 @@
 		return q.Quiet()
 	}
 	_, err := peek(c)
-	return err == syscall.EAGAIN
+	return errors.Is(err, syscall.EAGAIN)
 }
 
 // Ended reports whether the peer has ended its sending, or the connection, and nothing before that is still unread. It does
@@ -26,7 +26,7 @@
 		return e.Ended()
 	}
 	n, err := peek(c)
-	return n <= 0 && err != syscall.EAGAIN && err != syscall.EINTR && err != errors.ErrUnsupported
+	return n <= 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) && !errors.Is(err, errors.ErrUnsupported)
 }
 
 // peek looks for a byte that is unread.
@@ -75,7 +75,7 @@
 	c.SetMultipathTCP(false) // its listeners take no filter, which Yield needs
 	ln, err := c.Listen(context.Background(), "tcp", addr)
 	if err == nil {
-		unyield(ln) // an error says that there was nothing to end
+		_ = unyield(ln) // an error says that there was nothing to end
 	}
 	return ln, err
 }
--- a/internal/rig/arrival/schedule.go
+++ b/internal/rig/arrival/schedule.go
@@ -35,7 +35,7 @@
 		if a.Shape == scenario.Trace {
 			t, err := OpenTrace(a.File)
 			if err != nil {
-				m.Close()
+				_ = m.Close()
 				return nil, err
 			}
 			t.check = s
@@ -49,7 +49,7 @@
 	m.ended = make([]bool, len(m.streams))
 	for i := range m.streams {
 		if err := m.advance(i); err != nil {
-			m.Close()
+			_ = m.Close()
 			return nil, err
 		}
 	}
--- a/internal/rig/arrival/trace.go
+++ b/internal/rig/arrival/trace.go
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	defer t.Close()
+	defer func() { _ = t.Close() }()
 	for t.check = s; ; {
 		if _, err := t.Next(); errors.Is(err, io.EOF) {
 			return nil
--- a/internal/rig/audit/records.go
+++ b/internal/rig/audit/records.go
@@ -72,7 +72,7 @@
 	Unwanted bool // the sidecar was gone before the answer was written
 }
 
-// MayHaveRun: nothing proves to the sidecar that it did not run.
+// MayHaveRun reports whether nothing proves to the sidecar that the attempt did not run.
 func (a *Attempt) MayHaveRun() bool { return a.Last != Never && !a.NeverRan }
 
 // State is what discovery says of a server.
--- a/internal/rig/chain/level.go
+++ b/internal/rig/chain/level.go
@@ -97,7 +97,7 @@
 func (l *level) serve(name string, w http.ResponseWriter, r *http.Request) {
 	came := time.Now()
 	class, trace, op := r.Header.Get("X-Qos"), r.Header.Get("X-Trace-Id"), r.URL.Query().Get("op")
-	io.Copy(io.Discard, r.Body) // a request is there with its last byte
+	_, _ = io.Copy(io.Discard, r.Body) // a request is there with its last byte
 	l.mu.Lock()
 	counts := l.calls[class]
 	if counts == nil || trace == "" {
--- a/internal/rig/chain/port.go
+++ b/internal/rig/chain/port.go
@@ -28,7 +28,7 @@
 			p.done.Done()
 		}
 	}
-	p.done.Go(func() { p.server.Serve(ln) })
+	p.done.Go(func() { _ = p.server.Serve(ln) }) // until Close
 	return p, nil
 }
 
--- a/internal/rig/chain/run.go
+++ b/internal/rig/chain/run.go
@@ -105,7 +105,7 @@
 		Live: func(op load.Operation) {
 			mu.Lock()
 			defer mu.Unlock()
-			took[op.Class].RecordValue(min(max(op.Latency.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
+			_ = took[op.Class].RecordValue(min(max(op.Latency.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
 		},
 	}
 	before := c.taken()
--- a/internal/rig/chain/sidecar.go
+++ b/internal/rig/chain/sidecar.go
@@ -61,7 +61,7 @@
 	go func() { // it ends with the process, which wait ends
 		defer close(s.ended)
 		s.follow(log, listens)
-		s.cmd.Wait()
+		_ = s.cmd.Wait()
 	}()
 	ctx, cancel := context.WithTimeout(ctx, startWithin)
 	defer cancel()
@@ -106,7 +106,7 @@
 		}
 		s.mu.Unlock()
 	}
-	io.Copy(io.Discard, log) // a line too long must not stop the process
+	_, _ = io.Copy(io.Discard, log) // a line too long must not stop the process
 }
 
 func (s *sidecar) log() string {
--- a/internal/rig/contend/contend.go
+++ b/internal/rig/contend/contend.go
@@ -56,7 +56,7 @@
 
 // hold is a process that contends for a lease, says when it believes, and acts on the resource, until its input ends.
 func hold(who, resource string, addrs []string) {
-	go func() { io.Copy(io.Discard, os.Stdin); os.Exit(0) }()
+	go func() { _, _ = io.Copy(io.Discard, os.Stdin); os.Exit(0) }()
 	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "same", TTL: TTL})
 	if err != nil {
 		panic(err)
@@ -84,7 +84,7 @@
 			time.Sleep(rand.N(8 * time.Millisecond))
 		}
 		release, cancel := context.WithTimeout(context.Background(), TTL)
-		h.Release(release)
+		_ = h.Release(release)
 		cancel()
 	}
 }
@@ -107,7 +107,7 @@
 	}
 	fmt.Println("looked")
 	runtime.LockOSThread() // sent to this thread it takes effect before the next line; another would let this one go on for a moment
-	unix.Tgkill(os.Getpid(), unix.Gettid(), unix.SIGSTOP)
+	_ = unix.Tgkill(os.Getpid(), unix.Gettid(), unix.SIGSTOP)
 	fmt.Fprintf(conn, "stops %d\n", h.Token)
 	answer, _ := bufio.NewReader(conn).ReadString('\n')
 	fmt.Print(answer)
@@ -125,7 +125,7 @@
 		panic(err)
 	}
 	fmt.Println(h.Token)
-	io.Copy(io.Discard, os.Stdin)
+	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
 // Resource is guarded by the lease, and logs each act.
@@ -139,7 +139,7 @@
 func (r *Resource) Serve(c net.Conn) {
 	for in := bufio.NewScanner(c); in.Scan(); {
 		a := belief.Act{}
-		fmt.Sscan(in.Text(), &a.Who, &a.Token)
+		_, _ = fmt.Sscan(in.Text(), &a.Who, &a.Token)
 		r.mu.Lock() // the log's order is the guard's
 		err := r.Guard.Admit(lease.Token(a.Token), func() error { return nil })
 		a.Admitted = err == nil
--- a/internal/rig/contend/spend.go
+++ b/internal/rig/contend/spend.go
@@ -19,7 +19,7 @@
 // spend is a process that tries to use a limit's units all the time, and says when it was allowed to: just before it asked itself. Its
 // arguments: its name, its pause between tries, the limit as JSON, and the coordinators by commas.
 func spend(name, pause, limit string, addrs []string) {
-	go func() { io.Copy(io.Discard, os.Stdin); os.Exit(0) }()
+	go func() { _, _ = io.Copy(io.Discard, os.Stdin); os.Exit(0) }()
 	every, err := time.ParseDuration(pause)
 	var l share.Limit
 	if err == nil {
--- a/internal/rig/coordinator/coordinator.go
+++ b/internal/rig/coordinator/coordinator.go
@@ -33,7 +33,7 @@
 	return ln.Addr().String(), sync.OnceFunc(func() {
 		cancel()
 		<-ended
-		os.RemoveAll(dir)
+		_ = os.RemoveAll(dir)
 	}), nil
 }
 
--- a/internal/rig/coordinator/group.go
+++ b/internal/rig/coordinator/group.go
@@ -132,7 +132,7 @@
 		m.Kill()
 	}
 	for _, m := range g.All {
-		m.Wait()
+		_ = m.Wait()
 	}
 	for _, m := range g.All {
 		m.Start()
--- a/internal/rig/deployment/bad.go
+++ b/internal/rig/deployment/bad.go
@@ -74,7 +74,7 @@
 // zoneOf is the zone that newSite gives a sidecar.
 func zoneOf(name string) string {
 	var n int
-	fmt.Sscanf(name, "n%d", &n)
+	_, _ = fmt.Sscanf(name, "n%d", &n)
 	return string(rune('a' + n%3))
 }
 
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -64,7 +64,7 @@
 var built string // the folder
 
 // Built removes what was built, at the end of a test program.
-func Built() { os.RemoveAll(built) }
+func Built() { _ = os.RemoveAll(built) }
 
 // build builds programs of this module once for all tests of a test program.
 var build = sync.OnceValues(func() (dir string, err error) {
@@ -109,7 +109,7 @@
 	var numbered struct {
 		MyNumber int `json:"my_number"`
 	}
-	json.Unmarshal(fields["settings"], &numbered)
+	_ = json.Unmarshal(fields["settings"], &numbered)
 	addr = d.Reserved()
 	var set strings.Builder
 	if d.Discovery != nil && d.first == "" {
@@ -231,7 +231,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer p.Close()
+	defer func() { _ = p.Close() }()
 	r, err := store.Add(p, strings.NewReader(string(settings)))
 	if err != nil {
 		d.t.Fatal(err)
@@ -320,7 +320,7 @@
 			continue
 		}
 		var token uint64
-		fmt.Sscanf(log[last:], "msg=drives token=%d", &token)
+		_, _ = fmt.Sscanf(log[last:], "msg=drives token=%d", &token)
 		if token > best {
 			best, at = token, i
 		}
--- a/internal/rig/deployment/played.go
+++ b/internal/rig/deployment/played.go
@@ -40,7 +40,7 @@
 	mux := http.NewServeMux()
 	rpc.Handle(mux, machine.PathStatus, 1<<20, p.look)
 	rpc.Handle(mux, machine.PathOrder, 1<<20, p.order)
-	go http.Serve(ln, mux)
+	go func() { _ = http.Serve(ln, mux) }()
 	return p, nil
 }
 
@@ -89,7 +89,11 @@
 	p.start(release)
 }
 
-// Report, Looks and Orders are what it says, how often it was looked at, and how many orders it has carried out.
+// Report returns the report of its sidecar.
 func (p *Played) Report() rollout.Report { p.mu.Lock(); defer p.mu.Unlock(); return p.report }
-func (p *Played) Looks() int             { p.mu.Lock(); defer p.mu.Unlock(); return p.looks }
-func (p *Played) Orders() int            { p.mu.Lock(); defer p.mu.Unlock(); return p.orders }
+
+// Looks returns how often its status was asked for.
+func (p *Played) Looks() int { p.mu.Lock(); defer p.mu.Unlock(); return p.looks }
+
+// Orders returns how many orders it has carried out.
+func (p *Played) Orders() int { p.mu.Lock(); defer p.mu.Unlock(); return p.orders }
--- a/internal/rig/group/client.go
+++ b/internal/rig/group/client.go
@@ -25,7 +25,6 @@
 	stopped bool
 	taker   *share.Consumer
 	begun   int64
-	round   int
 }
 
 func (c *simClient) clock() lease.Instant { return lease.Instant(float64(c.s.now) * c.rate) }
--- a/internal/rig/group/faults.go
+++ b/internal/rig/group/faults.go
@@ -25,7 +25,7 @@
 	next()
 }
 
-// fault is one that a number names, with its end.
+// fault injects the fault that a number names, and schedules its end.
 func (s *sim) fault(n int) {
 	s.Faults++
 	kind := n % 7
@@ -37,68 +37,74 @@
 		}
 	}
 	n /= 15
-	for_ := time.Duration(100+n%30*100) * time.Millisecond
+	duration := time.Duration(100+n%30*100) * time.Millisecond
 	n /= 30
-	cut := func(a, b int) {
-		s.cut[[2]int{a, b}] = true
-		s.after(for_, func() { delete(s.cut, [2]int{a, b}) })
-	}
-	everybody := len(s.replicas) + len(s.clients)
 	switch kind {
-	case 0: // one crashes
+	case 0:
 		if r.core != nil {
-			r.crash()
-			s.after(for_/2, func() {
-				if r.core == nil {
-					r.start()
-				}
-			})
+			s.crash(r, duration/2)
 		}
-	case 1: // all crash at once
-		for _, r := range s.replicas {
-			if r.core != nil {
-				r.crash()
-			}
-			s.after(for_/4, func() {
-				if r.core == nil {
-					r.start()
-				}
-			})
+	case 1:
+		for _, one := range s.replicas {
+			s.crash(one, duration/4)
 		}
-	case 2: // one is stopped
-		r.stopped = true
-		life := r.life
-		s.after(for_, func() {
-			if r.life == life {
-				r.stopped = false
-				held := r.held
-				r.held = nil
-				for _, do := range held {
-					do()
-				}
-			}
-		})
-	case 3: // cut off from the other replicas, not from clients
+	case 2:
+		s.stop(r, duration)
+	case 3: // partitioned from the other replicas, not from clients
 		for i := range s.replicas {
-			cut(r.i, i)
-			cut(i, r.i)
+			s.partition(r.i, i, duration)
+			s.partition(i, r.i, duration)
 		}
-	case 4: // in one direction only
-		for i := range everybody {
+	case 4: // partitioned from everybody in one direction only
+		for i := range len(s.replicas) + len(s.clients) {
 			if n%2 == 0 {
-				cut(r.i, i)
+				s.partition(r.i, i, duration)
 			} else {
-				cut(i, r.i)
+				s.partition(i, r.i, duration)
 			}
 		}
-	case 5: // from clients, not from the other replicas
-		for i := len(s.replicas); i < everybody; i++ {
-			cut(r.i, i)
-			cut(i, r.i)
+	case 5: // partitioned from clients, not from the other replicas
+		for i := len(s.replicas); i < len(s.replicas)+len(s.clients); i++ {
+			s.partition(r.i, i, duration)
+			s.partition(i, r.i, duration)
 		}
 	case 6: // a client is stopped
 		c := s.clients[n%len(s.clients)]
 		c.stopped = true
-		s.after(for_, func() { c.stopped = false })
+		s.after(duration, func() { c.stopped = false })
 	}
 }
+
+// partition drops what one node sends another, for a time.
+func (s *sim) partition(from, to int, duration time.Duration) {
+	s.cut[[2]int{from, to}] = true
+	s.after(duration, func() { delete(s.cut, [2]int{from, to}) })
+}
+
+// crash ends a replica's process, and starts it again after a time.
+func (s *sim) crash(r *simReplica, duration time.Duration) {
+	if r.core != nil {
+		r.crash()
+	}
+	s.after(duration, func() {
+		if r.core == nil {
+			r.start()
+		}
+	})
+}
+
+// stop stops a replica's process, as SIGSTOP does, and has it go on after a time.
+func (s *sim) stop(r *simReplica, duration time.Duration) {
+	r.stopped = true
+	life := r.life
+	s.after(duration, func() {
+		if r.life == life {
+			r.stopped = false
+			held := r.held
+			r.held = nil
+			for _, do := range held {
+				do()
+			}
+		}
+	})
+}
--- a/internal/rig/load/crowd.go
+++ b/internal/rig/load/crowd.go
@@ -148,7 +148,7 @@
 		_, err := io.Copy(io.Discard, nc)
 		ended <- err
 	}()
-	nc.Write(first)
+	_, _ = nc.Write(first)
 	for {
 		var slowly <-chan time.Time
 		var t *time.Timer
@@ -158,7 +158,7 @@
 		}
 		select {
 		case <-slowly:
-			nc.Write([]byte("x"))
+			_, _ = nc.Write([]byte("x"))
 			continue
 		case <-ctx.Done():
 			nc.Close()
--- a/internal/rig/load/result.go
+++ b/internal/rig/load/result.go
@@ -91,7 +91,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(max(d.Microseconds(), 1), longest)) // within the bounds it cannot fail
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), longest)) // within the bounds it cannot fail
 }
 
 func (r *Result) addLag(lag time.Duration) {
--- a/internal/rig/load/run.go
+++ b/internal/rig/load/run.go
@@ -80,7 +80,7 @@
 		}
 	}
 	if c, ok := schedule.(io.Closer); ok {
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 	}
 	if len(r.Targets) == 0 {
 		return nil, errors.New("load: no address to send to")
--- a/internal/rig/load/wait.go
+++ b/internal/rig/load/wait.go
@@ -21,6 +21,6 @@
 	defer runtime.UnlockOSThread()
 	for left := time.Until(until); left > 0 && ctx.Err() == nil; left = time.Until(until) {
 		ts := syscall.NsecToTimespec(int64(left))
-		syscall.Nanosleep(&ts, nil) // a signal ends it early
+		_ = syscall.Nanosleep(&ts, nil) // a signal ends it early
 	}
 }
--- a/internal/rig/loopback/loopback.go
+++ b/internal/rig/loopback/loopback.go
@@ -196,7 +196,7 @@
 	if err != nil {
 		return
 	}
-	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
+	_ = raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
 }
 
 // cutConn is a connection of a machine that can be cut off.
--- a/internal/rig/memnet/network.go
+++ b/internal/rig/memnet/network.go
@@ -104,11 +104,11 @@
 	}
 	client, server := n.pair(at)
 	if err := l.offer(ctx, server); err != nil {
-		server.Close()
+		_ = server.Close()
 		return failed(err)
 	}
 	if err := sleep(ctx, n.instant()); err != nil {
-		client.Close()
+		_ = client.Close()
 		return failed(err)
 	}
 	return client, nil
@@ -256,7 +256,7 @@
 		select {
 		case c := <-l.backlog:
 			c.SetLinger(0)
-			c.Close()
+			_ = c.Close()
 		default:
 			return nil
 		}
--- a/internal/rig/process/process.go
+++ b/internal/rig/process/process.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close() // the process has it too
+	defer func() { _ = log.Close() }() // the process has it too
 	p := &Process{Log: Written(log.Name()), Ended: make(chan error, 1), t: t}
 	cmd.Stderr = log
 	input, err := cmd.StdinPipe()
@@ -87,7 +87,7 @@
 func (p *Process) Die() {
 	p.t.Helper()
 	p.Kill()
-	p.Wait()
+	_ = p.Wait()
 }
 
 // patience bounds a wait for what must come.
@@ -105,8 +105,10 @@
 	}
 }
 
-// Stop and Continue stop the process and have it go on.
-func (p *Process) Stop()     { p.Signal(syscall.SIGSTOP) }
+// Stop stops the process by SIGSTOP.
+func (p *Process) Stop() { p.Signal(syscall.SIGSTOP) }
+
+// Continue has a stopped process go on.
 func (p *Process) Continue() { p.Signal(syscall.SIGCONT) }
 
 // State is the system's word for what the process does: T, it is stopped.
--- a/internal/rig/rehearse/process.go
+++ b/internal/rig/rehearse/process.go
@@ -89,7 +89,7 @@
 	case addr = <-listens:
 		return addr, nil
 	case <-one.ended:
-		return "", fmt.Errorf("%s ended at once: %v\n%s", p.Program, one.err, one.log)
+		return "", fmt.Errorf("%s ended at once: %s\n%s", p.Program, fmt.Sprint(one.err), one.log)
 	case <-time.After(startWithin):
 		return "", fmt.Errorf("%s does not say where it listens\n%s", p.Program, one.log)
 	}
@@ -112,7 +112,7 @@
 			}
 		}
 	}
-	io.Copy(io.Discard, log) // a line too long must not stop the process
+	_, _ = io.Copy(io.Discard, log) // a line too long must not stop the process
 }
 
 // sample looks at a process's descriptors and memory now and then. The rusage of its end would not do: the memory that
@@ -159,7 +159,7 @@
 	for _, one := range running {
 		select {
 		case <-one.ended:
-			all = append(all, fmt.Errorf("sidecar %d crashed: %v\n%s", one.number, one.err, one.log))
+			all = append(all, fmt.Errorf("sidecar %d crashed: %s\n%s", one.number, fmt.Sprint(one.err), one.log))
 		default:
 			one.cmd.Process.Signal(syscall.SIGTERM)
 		}
--- a/internal/rig/rehearse/report.go
+++ b/internal/rig/rehearse/report.go
@@ -221,7 +221,7 @@
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", c.Name, c.Count, c.Served,
 			c.Refused, c.Failed, c.Lost, c.Unreached, c.Tries, c.Goodput, c.P50, c.P90, c.P99, c.P999, c.Max)
 	}
-	table.Flush()
+	_ = table.Flush()
 	out.print("\nLatency counts from when a request was due. Goodput is worth earned over worth asked for.\n")
 	for _, c := range r.Crowds {
 		out.print("Crowd of %s: %d connections came up, %d did not, %d were closed early; %d asked, %d served, %d refused, %d failed\n",
--- a/internal/rig/scale/agents.go
+++ b/internal/rig/scale/agents.go
@@ -72,7 +72,7 @@
 		h.report = rollout.Report{Sidecar: h.Name, Release: j.Release, Ready: true}
 		a.all = append(a.all, h)
 		a.at[h.addr] = h
-		a.serving.Go(func() { a.server.Serve(&countedListener{ln, a}) })
+		a.serving.Go(func() { _ = a.server.Serve(&countedListener{ln, a}) })
 	}
 	return a, nil
 }
--- a/internal/rig/scale/crew.go
+++ b/internal/rig/scale/crew.go
@@ -44,17 +44,17 @@
 	if err != nil {
 		return nil, err
 	}
-	defer theirs.Close()
+	defer func() { _ = theirs.Close() }()
 	out, its, err := os.Pipe()
 	if err != nil {
-		in.Close()
+		_ = in.Close()
 		return nil, err
 	}
-	defer its.Close()
+	defer func() { _ = its.Close() }()
 	p, err := f.start(name, cmd, theirs, its)
 	if err != nil {
-		in.Close()
-		out.Close()
+		_ = in.Close()
+		_ = out.Close()
 		return nil, err
 	}
 	s := &ship{child: p, span: members, in: in, out: bufio.NewScanner(out), end: out}
@@ -66,8 +66,8 @@
 func (c *crew) close() {
 	for _, s := range c.all {
 		s.child.ask()
-		s.in.Close()
-		s.end.Close()
+		_ = s.in.Close()
+		_ = s.end.Close()
 	}
 }
 
@@ -95,7 +95,7 @@
 	if err := ctx.Err(); err != nil {
 		return context.Cause(ctx)
 	}
-	defer context.AfterFunc(ctx, func() { s.end.Close() })() // who reads is woken
+	defer func() { _ = context.AfterFunc(ctx, func() { s.end.Close() })() }() // who reads is woken
 	if _, err := s.in.Write(append(text, '\n')); err != nil {
 		return err
 	}
--- a/internal/rig/scale/family.go
+++ b/internal/rig/scale/family.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close() // the process has it too
+	defer func() { _ = log.Close() }() // the process has it too
 	c := &child{name: name, log: log.Name(), ended: make(chan struct{})}
 	cmd.Stderr = log
 	if in != nil {
@@ -99,7 +99,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if !c.asked {
-			f.failed(fmt.Errorf("%s has ended by itself: %v: %s", name, c.err, c.lastWords()))
+			f.failed(fmt.Errorf("%s has ended by itself: %s: %s", name, fmt.Sprint(c.err), c.lastWords()))
 		}
 	}()
 	return c, nil
--- a/internal/rig/scale/group.go
+++ b/internal/rig/scale/group.go
@@ -93,7 +93,7 @@
 		}
 	}
 	for _, fd := range g.reserved {
-		syscall.Close(fd)
+		_ = syscall.Close(fd)
 	}
 }
 
@@ -155,7 +155,8 @@
 			continue
 		}
 		var token uint64
-		if fmt.Sscanf(log[last:], "msg=drives token=%d", &token); token > best {
+		// without a token it stays 0, which is none
+		if _, _ = fmt.Sscanf(log[last:], "msg=drives token=%d", &token); token > best {
 			best, at = token, i
 		}
 	}
@@ -235,7 +236,7 @@
 		at, err = syscall.Getsockname(fd)
 	}
 	if err != nil {
-		syscall.Close(fd)
+		_ = syscall.Close(fd)
 		return "", 0, fmt.Errorf("an address: %w", err)
 	}
 	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port), fd, nil
--- a/internal/rig/scale/machines.go
+++ b/internal/rig/scale/machines.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer theirs.Close()
+	defer func() { _ = theirs.Close() }()
 	m.input = input
 	m.minder, err = f.startApart("minder", exec.Command(o.program("petrelhookctl"), "scale", "minder", m.dir), theirs)
 	return m, err
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	defer program.Close()
+	defer func() { _ = program.Close() }()
 	r, err := m.store.Add(program, strings.NewReader(string(text)))
 	m.first = r.ID
 	return err
@@ -346,7 +346,7 @@
 		if m.minder != nil {
 			m.minder.ask()
 		}
-		m.input.Close()
+		_ = m.input.Close()
 		if m.minder != nil {
 			<-m.minder.ended
 		}
@@ -357,7 +357,7 @@
 		}
 	}
 	for _, fd := range m.held {
-		syscall.Close(fd)
+		_ = syscall.Close(fd)
 	}
 	if m.minder == nil {
 		return nil
--- a/internal/rig/scale/run.go
+++ b/internal/rig/scale/run.go
@@ -16,75 +16,98 @@
 	"petrelhook/internal/rig/usage"
 )
 
-// Run does all runs. What was measured until an error is given with it; Findings say what was not.
+// Run does all runs. What was measured until an error is returned with it; Findings say what was not.
 func Run(ctx context.Context, o Options) (m *capacity.Measured, err error) {
-	if err := o.Check(); err != nil {
+	limit, err := o.prepare()
+	if err != nil {
 		return nil, err
 	}
-	limit := o.Limit
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	ctx, release := context.WithTimeoutCause(ctx, o.Within, fmt.Errorf("--within: %v are over", o.Within))
+	defer release()
+	s := &series{o: &o, limit: limit, measured: &capacity.Measured{At: time.Now().UTC().Truncate(time.Second), Commit: commit(), Machine: machineWords(),
+		Seed: o.Seed, FitUpTo: slices.Max(o.Sizes)}}
+	for _, w := range o.Workloads {
+		for _, n := range o.sizes() {
+			s.runSize(ctx, w, n)
+		}
+	}
+	s.measured.Findings = append(s.measured.Findings, compared(s.measured.Points)...)
+	first := s.first
+	if first == nil && ctx.Err() != nil {
+		first = context.Cause(ctx)
+	}
+	if s.failed > 1 {
+		first = fmt.Errorf("%w (and %d more runs have failed: see what was found)", first, s.failed-1)
+	}
+	return s.measured, first
+}
+
+// prepare checks, before anything is started, that all runs can be made. It returns the limit on descriptors.
+func (o *Options) prepare() (limit uint64, err error) {
+	if err := o.Check(); err != nil {
+		return 0, err
+	}
+	limit = o.Limit
 	if limit == 0 {
 		if limit, err = descriptors(); err != nil {
-			return nil, err
+			return 0, err
 		}
 	}
-	for _, w := range o.Workloads { // before anything is started
+	for _, w := range o.Workloads {
 		for _, n := range o.sizes() {
 			if _, err := newLayout(w, n, o.real(w), limit); err != nil {
-				return nil, err
+				return 0, err
 			}
 		}
 	}
 	for _, name := range o.programs() {
 		if info, err := os.Stat(o.program(name)); err != nil || info.IsDir() {
-			return nil, fmt.Errorf("--bin: there is no %s; build it (go build -o bin/ ./cmd/...) or write another folder",
+			return 0, fmt.Errorf("--bin: there is no %s; build it (go build -o bin/ ./cmd/...) or write another folder",
 				o.program(name))
 		}
 	}
-	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	ctx, release := context.WithTimeoutCause(ctx, o.Within, fmt.Errorf("--within: %v are over", o.Within))
-	defer release()
-	m = &capacity.Measured{At: time.Now().UTC().Truncate(time.Second), Commit: commit(), Machine: machineWords(),
-		Seed: o.Seed, FitUpTo: slices.Max(o.Sizes)}
-	var first error
-	failed := 0
-	for _, w := range o.Workloads {
-		for _, n := range o.sizes() {
-			for number := 1; number <= o.Runs; number++ {
-				what := fmt.Sprintf("%s of %d members, run %d of %d", w, n, number, o.Runs)
-				if ctx.Err() != nil {
-					m.Findings = append(m.Findings, "not run: "+what)
-					continue
-				}
-				r := &run{o: &o, workload: w, size: n, number: number, what: what, limit: limit}
-				err := r.do(ctx)
-				m.Points = append(m.Points, r.points...)
-				var no refused
-				switch {
-				case err == nil:
-				case errors.As(err, &no): // and it will be the next time
-					m.Findings = append(m.Findings, fmt.Sprintf("%s of %d members: %v", w, n, no.error))
-					number = o.Runs
-				default:
-					if ctx.Err() != nil {
-						err = context.Cause(ctx)
-					}
-					if failed++; first == nil {
-						first = fmt.Errorf("%s: %w", what, err)
-					}
-					m.Findings = append(m.Findings, fmt.Sprintf("failed: %s: %v", what, err))
-				}
+	return limit, nil
+}
+
+// series is all runs of one Run, and what came of them so far.
+type series struct {
+	o        *Options
+	limit    uint64 // of descriptors
+	measured *capacity.Measured
+	first    error // of the runs that failed
+	failed   int
+}
+
+// runSize does the runs of a workload at a size.
+func (s *series) runSize(ctx context.Context, workload string, size int) {
+	m := s.measured
+	for number := 1; number <= s.o.Runs; number++ {
+		what := fmt.Sprintf("%s of %d members, run %d of %d", workload, size, number, s.o.Runs)
+		if ctx.Err() != nil {
+			m.Findings = append(m.Findings, "not run: "+what)
+			continue
+		}
+		r := &run{o: s.o, workload: workload, size: size, number: number, what: what, limit: s.limit}
+		err := r.do(ctx)
+		m.Points = append(m.Points, r.points...)
+		var no refused
+		switch {
+		case err == nil:
+		case errors.As(err, &no): // and it will be the next time
+			m.Findings = append(m.Findings, fmt.Sprintf("%s of %d members: %v", workload, size, no.error))
+			return
+		default:
+			if ctx.Err() != nil {
+				err = context.Cause(ctx)
+			}
+			if s.failed++; s.first == nil {
+				s.first = fmt.Errorf("%s: %w", what, err)
 			}
+			m.Findings = append(m.Findings, fmt.Sprintf("failed: %s: %v", what, err))
 		}
 	}
-	m.Findings = append(m.Findings, compared(m.Points)...)
-	if first == nil && ctx.Err() != nil {
-		first = context.Cause(ctx)
-	}
-	if failed > 1 {
-		first = fmt.Errorf("%w (and %d more runs have failed: see what was found)", first, failed-1)
-	}
-	return m, first
 }
 
 // refused is an error that says what the product does not do.
@@ -150,7 +173,7 @@
 		cancel(nil)
 		<-watched
 		if r.serving != nil { // a run that went well has stopped it
-			r.serving.stop()
+			_ = r.serving.stop()
 		}
 		if r.crew != nil {
 			r.crew.close()
--- a/internal/rig/scenario/faults.go
+++ b/internal/rig/scenario/faults.go
@@ -28,7 +28,6 @@
 		return p.crowd(l, f.At)
 	}
 	kind := l.Word("what happens")
-	known := []string{}
 	var targets []string
 	if target == DiscoveryTarget {
 		targets = []string{target}
@@ -37,8 +36,42 @@
 		targets = p.targets(l, target)
 		f.Kind = statement.OneOf(l, "fault", kind, serverFaults...)
 	}
-	lasts := true
-	batch, every := 1, time.Second
+	options := p.faultOptions(l, &f, kind)
+	if l.Literal("for") {
+		f.For = l.ParseDuration("for", l.Word("a duration"))
+		if !options.lasts {
+			l.Fail("for", "%s does not end", kind)
+		}
+	} else if options.lasts {
+		l.Fail(kind, "for how long is missing, such as for 2s")
+	}
+	if err := l.End(options.known...); err != nil {
+		return err
+	}
+	for i, name := range targets {
+		f.Target = name
+		if f.Kind == Roll {
+			f := f
+			f.Kind, f.At = Replace, f.At+time.Duration(i/options.batch)*options.every
+			p.s.Faults = append(p.s.Faults, f)
+			continue
+		}
+		p.s.Faults = append(p.s.Faults, f)
+	}
+	return nil
+}
+
+// faultOptions is what a kind of fault takes besides its target and time.
+type faultOptions struct {
+	known []string // names of its options
+	lasts bool     // it needs a duration
+	batch int      // of Roll: servers at a time
+	every time.Duration
+}
+
+// faultOptions reads the amount and the options of a fault, as its kind has them.
+func (p *parser) faultOptions(l *statement.Line, f *Fault, kind string) faultOptions {
+	o := faultOptions{lasts: true, batch: 1, every: time.Second}
 	switch f.Kind {
 	case Slow:
 		factor, ok := strings.CutPrefix(l.Word("a factor, such as x4"), "x")
@@ -52,43 +85,22 @@
 			f.Part = l.ParseNumber(kind, l.Word(""), 0, 1)
 		}
 	case DiscoveryLate:
-		known = append(known, "by")
+		o.known = append(o.known, "by")
 		if l.Duration("by", &f.By); f.By == 0 {
 			l.Fail("by", "missing: how late, such as by=3s")
 		}
 	case Drain:
-		lasts = false
+		o.lasts = false
 	case Gone, Restart, Replace, Roll:
-		lasts = false
-		known = append(known, p.ending(l, &f)...)
+		o.lasts = false
+		o.known = append(o.known, p.ending(l, f)...)
 	}
 	if f.Kind == Roll {
-		l.Integer("batch", &batch, 1, 1000)
-		l.Duration("every", &every)
-		known = append(known, "batch", "every")
-	}
-	if l.Literal("for") {
-		f.For = l.ParseDuration("for", l.Word("a duration"))
-		if !lasts {
-			l.Fail("for", "%s does not end", kind)
-		}
-	} else if lasts {
-		l.Fail(kind, "for how long is missing, such as for 2s")
-	}
-	if err := l.End(known...); err != nil {
-		return err
+		l.Integer("batch", &o.batch, 1, 1000)
+		l.Duration("every", &o.every)
+		o.known = append(o.known, "batch", "every")
 	}
-	for i, name := range targets {
-		f.Target = name
-		if f.Kind == Roll {
-			f := f
-			f.Kind, f.At = Replace, f.At+time.Duration(i/batch)*every
-			p.s.Faults = append(p.s.Faults, f)
-			continue
-		}
-		p.s.Faults = append(p.s.Faults, f)
-	}
-	return nil
+	return o
 }
 
 // overlaps refuses two faults of one kind that befall a target at once, and whatever ends a process that has ended.
--- a/internal/rig/scenario/library.go
+++ b/internal/rig/scenario/library.go
@@ -35,6 +35,6 @@
 	if err != nil || name+".txt" == shared {
 		return nil, fmt.Errorf("no scenario is called %q; there are %s", name, strings.Join(Names(), ", "))
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	return parse(name+".txt", f, func(file string) (io.ReadCloser, error) { return library.Open("library/" + file) })
 }
--- a/internal/rig/scenario/parse.go
+++ b/internal/rig/scenario/parse.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	return Parse(path, f)
 }
 
@@ -105,6 +105,7 @@
 	return p.lines(name, f)
 }
 
+// statement reads one statement by its verb.
 func (p *parser) statement(l *statement.Line, text string) error {
 	s := p.s
 	switch l.Verb {
@@ -118,24 +119,14 @@
 		s.About = strings.TrimSpace(text)
 		return nil
 	case "seed":
-		v := l.Word("a number")
-		n, err := strconv.ParseUint(v, 10, 64)
-		if err != nil {
-			l.Fail(v, "a seed is a whole number of at least 0")
-		}
-		s.Seed = n
-		return l.End()
+		return p.seed(l)
 	case "length":
 		if s.Length = l.ParseDuration("length", l.Word("a duration")); s.Length == 0 {
 			l.Fail("length", "must be over 0")
 		}
 		return l.End()
 	case "sidecars":
-		s.Sidecars.Count = l.ParseInteger("sidecars", l.Word("a number"), 0, 1000)
-		l.Number("cores", &s.Sidecars.Cores, 0.01, 64)
-		l.Integer("memory", &s.Sidecars.MemoryMB, 8, 1<<20)
-		l.Integer("sockets", &s.Sidecars.Sockets, 64, 1<<20)
-		return l.End("cores", "memory (MB)", "sockets")
+		return p.sidecars(l)
 	case "fleet":
 		return p.fleet(l)
 	case "class":
@@ -152,25 +143,9 @@
 		l.Yes("pushed", &s.Discovery.Pushed)
 		return l.End("late", "pushed")
 	case "rules":
-		r := &s.Rules
-		l.Duration("drain-grace", &r.DrainGrace)
-		l.Number("cold-from", &r.ColdFrom, 0, 1)
-		l.Duration("cold-time", &r.ColdTime)
-		l.Number("fall-multiple", &r.FallMultiple, 0, 1000)
-		l.Duration("fall-time", &r.FallTime)
-		l.Duration("ask-within", &r.AskWithin)
-		l.Duration("slack", &r.Slack)
-		return l.End("drain-grace", "cold-from", "cold-time", "fall-multiple", "fall-time", "ask-within", "slack")
+		return p.rules(l)
 	case "limits":
-		m := &s.Limits
-		l.Integer("attempts", &m.Attempts, 1, 100)
-		l.Duration("connect", &m.Connect)
-		l.Duration("idle", &m.Idle)
-		l.Duration("retry-after", &m.RetryAfter)
-		l.Yes("probes", &m.Probes)
-		l.Yes("parallel", &m.Parallel)
-		l.Yes("reports", &m.Reports)
-		return l.End("attempts", "connect", "idle", "retry-after", "probes", "parallel", "reports")
+		return p.limits(l)
 	case "arrive":
 		return p.arrive(l)
 	case "at":
@@ -182,6 +157,49 @@
 	return l.Err
 }
 
+func (p *parser) seed(l *statement.Line) error {
+	v := l.Word("a number")
+	n, err := strconv.ParseUint(v, 10, 64)
+	if err != nil {
+		l.Fail(v, "a seed is a whole number of at least 0")
+	}
+	p.s.Seed = n
+	return l.End()
+}
+
+func (p *parser) sidecars(l *statement.Line) error {
+	s := &p.s.Sidecars
+	s.Count = l.ParseInteger("sidecars", l.Word("a number"), 0, 1000)
+	l.Number("cores", &s.Cores, 0.01, 64)
+	l.Integer("memory", &s.MemoryMB, 8, 1<<20)
+	l.Integer("sockets", &s.Sockets, 64, 1<<20)
+	return l.End("cores", "memory (MB)", "sockets")
+}
+
+func (p *parser) rules(l *statement.Line) error {
+	r := &p.s.Rules
+	l.Duration("drain-grace", &r.DrainGrace)
+	l.Number("cold-from", &r.ColdFrom, 0, 1)
+	l.Duration("cold-time", &r.ColdTime)
+	l.Number("fall-multiple", &r.FallMultiple, 0, 1000)
+	l.Duration("fall-time", &r.FallTime)
+	l.Duration("ask-within", &r.AskWithin)
+	l.Duration("slack", &r.Slack)
+	return l.End("drain-grace", "cold-from", "cold-time", "fall-multiple", "fall-time", "ask-within", "slack")
+}
+
+func (p *parser) limits(l *statement.Line) error {
+	m := &p.s.Limits
+	l.Integer("attempts", &m.Attempts, 1, 100)
+	l.Duration("connect", &m.Connect)
+	l.Duration("idle", &m.Idle)
+	l.Duration("retry-after", &m.RetryAfter)
+	l.Yes("probes", &m.Probes)
+	l.Yes("parallel", &m.Parallel)
+	l.Yes("reports", &m.Reports)
+	return l.End("attempts", "connect", "idle", "retry-after", "probes", "parallel", "reports")
+}
+
 func (p *parser) fleet(l *statement.Line) error {
 	n := l.ParseInteger("fleet", l.Word("a number of servers"), 1, 10000)
 	server := Server{Zone: "a", Kind: "std", Cores: 2, Speed: 1, Queue: 64, Line: l.No}
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -82,7 +82,7 @@
 	d.mu.Lock()
 	d.servers[sidecar] = server
 	d.mu.Unlock()
-	d.f.spawn(func() { server.Serve(ln) })
+	d.f.spawn(func() { _ = server.Serve(ln) })
 	return nil
 }
 
@@ -110,7 +110,7 @@
 		case <-changed:
 		case <-ticker.C:
 			w.Write([]byte("\n"))
-			http.NewResponseController(w).Flush()
+			_ = http.NewResponseController(w).Flush()
 		}
 		if !d.speak(r) {
 			return
