--- a/internal/router/replication/doc.go
+++ b/internal/router/replication/doc.go
@@ -30,7 +30,7 @@
 // more for this than the epoch they promised and the view they accepted last (HardState). Data goes from the primary to the in-sync
 // set alone. There is no log that a majority replicates.
 //
-// A view comes into force in three phases, which a candidate runs (election.go): it prepares (a majority promises to follow no
+// A view comes into force in three phases, which a candidate runs (election.go, phases.go): it prepares (a majority promises to follow no
 // smaller epoch), syncs (those that promised are brought to its state and become the in-sync set), and has the view accepted (by a
 // majority again). A replica with a disk outside the in-sync set is a learner: the primary catches it up beside its other work.
 //
--- /dev/null
+++ b/internal/router/replication/explore_worlds_test.go
@@ -0,0 +1,96 @@
+package replication
+
+import (
+	"strings"
+)
+
+// Two more zones: d and e are added. c's zone has a second machine: d replaces c, with which a has had no contact for long.
+var (
+	joiningZones     = map[string]string{"a": "1", "b": "2", "c": "3", "d": "4", "e": "5"}
+	replacementZones = map[string]string{"a": "1", "b": "2", "c": "3", "d": "3"}
+)
+
+func replacementWorld(left budget) *world {
+	w := newWorld(left, replacementZones)
+	primaryReplica := w.nodes["a"].replica
+	primaryReplica.leadership.viewSince, primaryReplica.leadership.primarySince = 0, 0
+	gone := primaryReplica.leadership.statuses["c"]
+	gone.lastContact = 0
+	primaryReplica.leadership.statuses["c"] = gone
+	return w
+}
+
+// abandonedWorld is a replacement whose first view was proposed by a, which stepped down with that view on its own disk alone.
+func abandonedWorld(left budget) *world {
+	w := replacementWorld(budget{candidacies: 1})
+	for _, name := range []string{"a campaigns", "a>b Prepare", "a>d Prepare", "a waits no longer", "a>b Sync", "a>d Sync"} {
+		w.playStep(name)
+	}
+	if accepted := w.nodes["a"].replica.hard.Accepted; !accepted.joint() {
+		panic("a proposed nothing: " + w.nodes["a"].replica.Status())
+	}
+	w.node("a").replica.stepDown()
+	clear(w.inFlight)
+	w.remaining, w.trace = left, nil
+	return w
+}
+
+// overtakenWorld continues from an abandoned view: b, which does not know of it, has become primary with c, and an entry was acknowledged.
+// a knows of a later epoch.
+func overtakenWorld(left budget) *world {
+	w := abandonedWorld(budget{candidacies: 1, writes: 1})
+	for _, name := range []string{"b campaigns", "b>c Prepare", "b waits no longer", "b>c Sync", "b>c Accept", "b commits an entry", "b>c Replicate"} {
+		w.playStep(name)
+	}
+	if len(w.committed) != 1 {
+		panic("no entry was acknowledged: " + w.nodes["b"].replica.Status())
+	}
+	w.node("a").replica.hard.Promised.Round = w.nodes["b"].replica.hard.Promised.Round
+	w.remaining, w.trace = left, nil
+	return w
+}
+
+// jointWorld continues from a replacement that is in force, which b has accepted and does not know to be; a and d have moved to another view
+// without b, and an entry was acknowledged there.
+func jointWorld(left budget) *world {
+	w := replacementWorld(budget{candidacies: 2, writes: 1})
+	for _, name := range []string{"a campaigns", "a>b Prepare", "a>d Prepare", "a waits no longer", "a>b Sync", "a>d Sync", "a>b Accept",
+		"a campaigns", "a>d Prepare", "a waits no longer", "a>d Sync", "a>d Accept", "a commits an entry", "a>d Replicate"} {
+		w.playStep(name)
+	}
+	if b := w.nodes["b"].replica.hard.Accepted; len(w.committed) != 1 || !b.joint() || b.Epoch == w.nodes["a"].replica.hard.Accepted.Epoch {
+		panic("no entry was acknowledged after a joint view: " + w.nodes["a"].replica.Status())
+	}
+	clear(w.inFlight)
+	w.remaining, w.trace = left, nil
+	return w
+}
+
+// playStep does the first step whose name has a prefix.
+func (w *world) playStep(name string) {
+	for _, s := range w.steps() {
+		if strings.HasPrefix(strings.ReplaceAll(s.name, "replication.", ""), name) {
+			s.do(w)
+			return
+		}
+	}
+	panic("no such step: " + name)
+}
+
+func explorations() map[string]*world {
+	return map[string]*world{
+		"replaced, two candidacies":           replacementWorld(budget{candidacies: 2}),
+		"replaced, two candidacies, an order": replacementWorld(budget{candidacies: 2, writes: 1}),
+		"replaced, a lost disk":               replacementWorld(budget{candidacies: 2, wipes: 1}),
+		"replaced, a restart":                 replacementWorld(budget{candidacies: 2, restarts: 1}),
+		"replaced, a late view":               replacementWorld(budget{candidacies: 2, lateAccepts: 1}),
+		"abandoned, one candidacy":            abandonedWorld(budget{candidacies: 1, writes: 1}),
+		"abandoned, two candidacies":          abandonedWorld(budget{candidacies: 2}),
+		"overtaken, one candidacy":            overtakenWorld(budget{candidacies: 1, writes: 1, lateAccepts: 1}),
+		"overtaken, two candidacies":          overtakenWorld(budget{candidacies: 2}),
+		"joint in force, one candidacy":       jointWorld(budget{candidacies: 1, writes: 1}),
+		"joint in force, two candidacies":     jointWorld(budget{candidacies: 2}),
+		"two join, one candidacy":             newWorld(budget{candidacies: 1, writes: 1}, joiningZones),
+		"two join, two candidacies":           newWorld(budget{candidacies: 2}, joiningZones),
+	}
+}
--- a/internal/router/replication/sim_test.go
+++ b/internal/router/replication/sim_test.go
@@ -1,13 +1,9 @@
 package replication
 
 import (
-	"bytes"
-	"encoding/gob"
 	"fmt"
 	"math/rand"
-	"net/http"
 	"sort"
-	"strings"
 	"testing"
 	"time"
 )
@@ -69,61 +65,6 @@
 	diskFreeAt time.Duration // when the disk is free again
 }
 
-// versionMachine accepts an entry only on top of the version that the entry names.
-type versionMachine struct {
-	Version int
-	Value   string
-	Bulk    string // a value that begins with bulk; it makes snapshots large
-}
-
-const bulk = "bulk"
-
-type versionEntry struct {
-	Base  int
-	Value string
-}
-
-func encodeEntry(e versionEntry) []byte { return []byte(fmt.Sprintf("%d %s", e.Base, e.Value)) }
-
-func decodeEntry(data []byte) (e versionEntry) {
-	fmt.Sscanf(string(data), "%d %s", &e.Base, &e.Value)
-	return e
-}
-
-func (m *versionMachine) Decide(data []byte) Decision {
-	if decodeEntry(data).Base != m.Version {
-		return Decision{Status: http.StatusPreconditionFailed}
-	}
-	return Decision{Accept: true, Status: http.StatusOK}
-}
-
-func (m *versionMachine) Apply(data []byte) {
-	m.Version++
-	value := decodeEntry(data).Value
-	if strings.HasPrefix(value, bulk) {
-		m.Bulk, value = value, bulk
-	}
-	m.Value = value
-}
-
-func (m *versionMachine) Snapshot() []byte {
-	var b bytes.Buffer
-	gob.NewEncoder(&b).Encode(m)
-	return b.Bytes()
-}
-
-func (m *versionMachine) Restore(data []byte) error {
-	*m = versionMachine{}
-	return gob.NewDecoder(bytes.NewReader(data)).Decode(m)
-}
-
-func (m *versionMachine) value() versionMachine { return *m }
-
-// machineAdapter makes a versionMachine a StateMachine: versionMachine has a field Value and so no method of that name.
-type machineAdapter struct{ *versionMachine }
-
-func (a machineAdapter) Value() any { return a.value() }
-
 func newSimulation(t testing.TB, seed int64, machines, tolerance int) *simulation {
 	t.Helper()
 	s := &simulation{t: t, random: rand.New(rand.NewSource(seed)), hosts: map[string]*host{}, blockedLinks: map[[2]string]bool{}, tolerance: tolerance}
@@ -369,59 +310,6 @@
 	return out
 }
 
-// operation is a call of a client and the answer that it got.
-type operation struct {
-	client      int
-	write       bool
-	base        int
-	value       string
-	begin, end  time.Duration
-	status      int // 0: no answer
-	seenVersion int
-	seenValue   string
-}
-
-// write proposes a value at a process that says it is primary.
-func (s *simulation) write(client, base int, value string) {
-	s.call(operation{client: client, write: true, base: base, value: value})
-}
-
-func (s *simulation) read(client int) { s.call(operation{client: client}) }
-
-func (s *simulation) call(o operation) {
-	var p *process
-	for _, address := range s.addresses() {
-		if q := s.hosts[address].process; q != nil && q.replica.IsPrimary() && (p == nil || s.random.Intn(2) == 0) {
-			p = q
-		}
-	}
-	if p != nil {
-		s.callAt(p, o)
-	}
-}
-
-// callAt makes a call at one process, whatever its role.
-func (s *simulation) callAt(p *process, o operation) {
-	o.begin, o.end = s.now, -1
-	index := len(s.history)
-	s.history = append(s.history, o)
-	token := uint64(index + 1)
-	p.answers[token] = func(d Decision) {
-		r := &s.history[index]
-		r.end, r.status = s.now, d.Status
-		r.seenVersion, r.seenValue = p.published.Version, p.published.Value
-	}
-	s.runIn(p, func() {
-		if o.write {
-			p.replica.Propose(token, encodeEntry(versionEntry{o.base, o.value}), s.now)
-		} else if s.readsAtOnce {
-			p.answers[token](Decision{Status: http.StatusOK})
-		} else {
-			p.replica.Confirm(token, s.now)
-		}
-	})
-}
-
 // ordered returns the hosts by address: a schedule has the same draws each time.
 func (s *simulation) ordered() []*host {
 	var out []*host
