--- a/internal/router/replication/catchup.go
+++ b/internal/router/replication/catchup.go
@@ -135,6 +135,7 @@
 	}
 }
 
+// handleLearnerAck records what a learner has, and sends it what follows.
 func (r *Replica) handleLearnerAck(m LearnerAck) {
 	l := &r.leadership
 	if r.role != primary || m.Epoch != l.view.Epoch {
--- a/internal/router/replication/eligible.go
+++ b/internal/router/replication/eligible.go
@@ -12,6 +12,7 @@
 	lastAddedAt time.Duration
 }
 
+// add adds a replica, or replaces what is known of it.
 func (e *eligibleReplicas) add(m Member, now time.Duration) {
 	if _, ok := e.byID[m.ID]; !ok {
 		e.lastAddedAt = now
--- a/internal/router/replication/explore_limits_race_test.go
+++ b/internal/router/replication/explore_limits_race_test.go
@@ -4,6 +4,6 @@
 
 // How many states each exploration of a usual run visits at the most: fewer with the race detector, which is many times as slow.
 const (
-	shareOfStates = 2_000
+	sampledStates = 2_000
 	allStates     = 2_000
 )
--- a/internal/router/replication/handover.go
+++ b/internal/router/replication/handover.go
@@ -35,6 +35,7 @@
 	return address
 }
 
+// handleTransferLeadership campaigns at once, if this replica is in sync and still follows the epoch of the primary that asks for it.
 func (r *Replica) handleTransferLeadership(m TransferLeadership) {
 	if r.role == follower && r.hard.Promised == m.Epoch && r.hard.Accepted.inSync(r.Self.ID) {
 		r.campaign(true)
--- a/internal/router/replication/heartbeat.go
+++ b/internal/router/replication/heartbeat.go
@@ -52,6 +52,7 @@
 	return knowsView
 }
 
+// handleHeartbeat follows the primary of an epoch that is not smaller than the promised one.
 func (r *Replica) handleHeartbeat(m Heartbeat, from string) {
 	if m.Epoch.Less(r.hard.Promised) {
 		r.send(from, r.heartbeatAck(m)) // which says the larger epoch
@@ -104,6 +105,8 @@
 	return r.state.position.Sequence == m.Committed && r.knownView.inSync(r.Self.ID) && r.hard.Accepted.Epoch == m.Epoch
 }
 
+// handleHeartbeatAck records what a replica reported, answers what its confirmation completes, and goes on catching it up. An ack with a
+// larger promised epoch makes this primary campaign above it.
 func (r *Replica) handleHeartbeatAck(m HeartbeatAck) {
 	l := &r.leadership
 	if r.role != primary || m.Epoch != l.view.Epoch {
--- a/internal/router/replication/learner.go
+++ b/internal/router/replication/learner.go
@@ -20,6 +20,7 @@
 	return follows && !r.hard.Accepted.joint() && !r.knownView.inSync(r.Self.ID)
 }
 
+// handleSnapshotChunk collects a snapshot. Chunks come in order: one that is lost or repeated is acknowledged with what was received.
 func (r *Replica) handleSnapshotChunk(m SnapshotChunk, from string) {
 	if !r.acceptsCatchUp(m.Epoch) || m.Size > maxSnapshotBytes || m.Offset+len(m.Data) > m.Size {
 		return
@@ -43,6 +44,7 @@
 	r.saveSnapshot(func() { r.acknowledgeCatchUp(m.Epoch, from) })
 }
 
+// handleMissingEntries applies entries that follow this learner's state.
 func (r *Replica) handleMissingEntries(m MissingEntries, from string) {
 	if !r.acceptsCatchUp(m.Epoch) || r.state.position != m.After {
 		return
--- a/internal/router/replication/phases.go
+++ b/internal/router/replication/phases.go
@@ -7,6 +7,7 @@
 
 // The three phases of a candidacy: what a candidate does with the answers to Prepare, Sync and Accept.
 
+// handlePromise counts a promise. A refusal by a larger epoch ends the candidacy.
 func (r *Replica) handlePromise(m Promise) {
 	if r.role != candidate || m.Epoch != r.election.epoch || r.election.phase != preparing {
 		return
@@ -44,6 +45,8 @@
 	}
 }
 
+// advancePreparing begins the sync phase once enough have promised: a majority of the members of the newest view, and one of those before,
+// and all others that are likely to answer soon. Only a replica in that view's in-sync set goes on.
 func (r *Replica) advancePreparing() {
 	e := &r.election
 	if _, own := e.prepare.promises[r.Self.Address]; !own { // its own disk has to have what its memory has
@@ -131,6 +134,7 @@
 	return n
 }
 
+// handleSynced adds a replica to the in-sync set to be, if it has exactly the candidate's state.
 func (r *Replica) handleSynced(m Synced) {
 	if r.role != candidate || m.Epoch != r.election.epoch || r.election.phase != syncing || m.Position != r.state.position {
 		return
@@ -142,6 +146,7 @@
 // minInSync is on how many disks an acknowledged entry is at least.
 func (r *Replica) minInSync() int { return r.FaultTolerance + 1 }
 
+// advanceSyncing proposes a view once all that were sent the state have it, or after maxPhaseWait those that do, if they are enough.
 func (r *Replica) advanceSyncing() {
 	e := &r.election
 	if len(e.sync.synced) < len(e.sync.requested)+1 && r.now-e.phaseSince < maxPhaseWait {
@@ -160,6 +165,7 @@
 	}
 }
 
+// handleAccepted counts an acceptance. The view is in force once a majority of its members, and one of the members before, accepted it.
 func (r *Replica) handleAccepted(m Accepted) {
 	if r.role != candidate || m.Epoch != r.election.epoch || r.election.phase != accepting {
 		return
--- a/internal/router/replication/prevote.go
+++ b/internal/router/replication/prevote.go
@@ -48,6 +48,7 @@
 	r.countPreVotes()
 }
 
+// handlePreVote answers what a Prepare would be answered, and changes nothing.
 func (r *Replica) handlePreVote(m PreVote) {
 	voters := r.voters()
 	if len(voters) == 0 {
@@ -57,6 +58,7 @@
 	r.send(m.From.Address, PreVoteReply{Voters: voters, Accepted: r.hard.Accepted, LeaderContact: leaderContact})
 }
 
+// handlePreVoteReply counts an answer; contact with a primary takes an earlier one back.
 func (r *Replica) handlePreVoteReply(m PreVoteReply, from string) {
 	if r.preVote.replies == nil {
 		return
--- a/internal/router/replication/proposals.go
+++ b/internal/router/replication/proposals.go
@@ -81,6 +81,8 @@
 	}
 }
 
+// handleReplicate applies the primary's next entry, and acknowledges it once it is on the disk. An entry of another epoch than the promised
+// and accepted one is dropped: acknowledged after its epoch was left, it could be missing in the view that follows.
 func (r *Replica) handleReplicate(m Replicate, from string) {
 	if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Witness {
 		return
@@ -95,6 +97,7 @@
 	}))
 }
 
+// handleReplicated counts an acknowledgement, and commits the staged entry with the last one.
 func (r *Replica) handleReplicated(m Replicated) {
 	l := &r.leadership
 	if r.role != primary || m.Epoch != l.view.Epoch || l.staged.proposal == nil || m.Sequence != r.state.position.Sequence {
--- a/internal/router/replication/reads.go
+++ b/internal/router/replication/reads.go
@@ -25,6 +25,7 @@
 	r.confirmThenAnswer(token, Decision{Status: http.StatusOK})
 }
 
+// confirmThenAnswer gives an answer once a heartbeat that is sent now has been answered by a majority.
 func (r *Replica) confirmThenAnswer(token uint64, d Decision) {
 	r.broadcastHeartbeat()
 	l := &r.leadership
--- a/internal/router/replication/step.go
+++ b/internal/router/replication/step.go
@@ -55,6 +55,7 @@
 	}
 }
 
+// tickFollower proposes the first view, or requests pre-votes where the primary is suspected.
 func (r *Replica) tickFollower() {
 	if r.Witness || r.diskStalled() {
 		return
@@ -73,6 +74,7 @@
 	}
 }
 
+// tickCandidate ends a candidacy that lasts too long, sends requests again, and stops waiting for answers that are not needed.
 func (r *Replica) tickCandidate() {
 	e := &r.election
 	if r.now-e.candidateSince > candidacyTimeout || r.diskStalled() {
@@ -91,6 +93,7 @@
 	}
 }
 
+// tickPrimary sends heartbeats, and changes the view or steps down where the disk, an entry's acknowledgements or a majority fail.
 func (r *Replica) tickPrimary() {
 	l := &r.leadership
 	if r.diskStalled() {
--- a/internal/router/replication/witness.go
+++ b/internal/router/replication/witness.go
@@ -8,6 +8,7 @@
 		Accepted: r.hard.Accepted, Position: r.state.position}
 }
 
+// handlePrepare promises an epoch, unless there is a reason to refuse it.
 func (r *Replica) handlePrepare(m Prepare) {
 	if len(r.voters()) == 0 {
 		return
@@ -41,6 +42,7 @@
 	r.follower.lastContact = r.now // the candidate gets an election timeout's time
 }
 
+// handleSync adopts a candidate's state, and acknowledges it once it is on the disk.
 func (r *Replica) handleSync(m Sync, from string) {
 	if m.Epoch.Less(r.hard.Promised) || r.Witness {
 		return
@@ -65,6 +67,7 @@
 // follows reports whether the entries of a Sync follow the state at a position.
 func (m *Sync) follows(p Position) bool { return len(m.Entries) > 0 && m.After == p }
 
+// handleAccept accepts a view, unless a larger epoch was promised.
 func (r *Replica) handleAccept(m Accept, from string) {
 	if m.View.Epoch.Less(r.hard.Promised) {
 		r.send(from, Accepted{Epoch: m.View.Epoch, Refused: true, Promised: r.hard.Promised})
