--- a/internal/sidecar/connlimit/limiter.go
+++ b/internal/sidecar/connlimit/limiter.go
@@ -108,7 +108,7 @@
 	if half, ok := c.(closeWriter); ok {
 		_ = half.CloseWrite() // the connection is closed in any case
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(c, message.Short)) // up to the deadline
+	_, _ = io.Copy(io.Discard, io.LimitReader(c, message.MaxBuffered)) // up to the deadline
 }
 
 // Open returns how many connections are open.
--- a/internal/sidecar/connlimit/read_ahead.go
+++ b/internal/sidecar/connlimit/read_ahead.go
@@ -13,7 +13,7 @@
 
 // maxReadAhead is how much is read of a client ahead of a response: a short request with its head. What exceeds it is dropped, and
 // the connection is closed with the response. Otherwise a client could hide its close behind the bytes that it sent.
-const maxReadAhead = message.Short + message.MaxHead
+const maxReadAhead = message.MaxBuffered + message.MaxHead
 
 // readAhead is what a client sends while its request is in progress. net/http notices a client's close by reading one byte, and
 // does not look further once that byte belongs to a next request: from there on the bytes are read here.
--- a/internal/sidecar/core/attempt.go
+++ b/internal/sidecar/core/attempt.go
@@ -34,8 +34,8 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
-	c := &upstream.Call{Message: r.Message, Expires: r.deadline, Gone: r.gone}
-	if r.Message.Rest != nil {
+	c := &upstream.Call{Message: r.Message, Expires: r.deadline, ClientGone: r.gone}
+	if r.Message.Remainder != nil {
 		c.Expires, c.Wait = time.Time{}, r.Wait
 	}
 	at := &attempt{r: r, number: len(r.attempts), id: a.Server, to: l.servers[a.Server], call: c, sent: time.Now(), cancel: cancel}
@@ -44,22 +44,22 @@
 	}
 	for _, before := range r.attempts { // a keyed request must not go out after its key may be forgotten
 		if r.effect == balance.Keyed && !before.clean && !math.IsInf(r.window, 1) {
-			c.Begin = earlier(c.Begin, before.sent.Add(duration(r.window)))
+			c.SendBefore = earlier(c.SendBefore, before.sent.Add(duration(r.window)))
 		}
 	}
 	r.attempts = append(r.attempts, at)
 	r.out++
 	if at.to == nil || r.closed {
-		l.later = append(l.later, func() { l.attemptEnded(at, upstream.Outcome{Result: upstream.Moot}) })
+		l.later = append(l.later, func() { l.attemptEnded(at, upstream.Outcome{Result: upstream.NotSent}) })
 		return
 	}
 	if c.Expires.IsZero() {
-		c.Written = func() { l.post(func() { l.written(at) }) }
+		c.OnRequestWritten = func() { l.post(func() { l.written(at) }) }
 	} else {
 		at.timer = &timer{due: c.Expires, attempt: at}
 		l.timers.set(at.timer)
 	}
-	c.Begun = func(out upstream.Outcome) { l.post(func() { l.begun(at, out) }) }
+	c.OnReplyStarted = func(out upstream.Outcome) { l.post(func() { l.begun(at, out) }) }
 	go func() {
 		out := at.to.end.Send(ctx, c)
 		l.post(func() { l.attemptEnded(at, out) })
@@ -68,9 +68,9 @@
 
 // results are the module's names for the ends of exchanges.
 var results = [...]balance.Result{
-	upstream.Served: balance.OK, upstream.Failed: balance.Failed, upstream.TurnedAway: balance.Full,
+	upstream.Served: balance.OK, upstream.Failed: balance.Failed, upstream.Rejected: balance.Full,
 	upstream.TimedOut: balance.TimedOut, upstream.ConnectFailed: balance.ConnectFailed, upstream.Reset: balance.Reset,
-	upstream.Cancelled: balance.Cancelled, upstream.Moot: balance.Moot,
+	upstream.Cancelled: balance.Cancelled, upstream.NotSent: balance.Moot,
 }
 
 // begun: the server's answer is there and is passed on as it comes. For the module the attempt has ended with it, since what
@@ -104,9 +104,9 @@
 	r := at.r
 	r.out--
 	at.clean = out.Result.NeverRan()
-	if errors.Is(out.Err, upstream.ErrGone) && !r.closed { // seen here before its front could tell
+	if errors.Is(out.Err, upstream.ErrClientGone) && !r.closed { // seen here before its front could tell
 		r.closed = true
-		r.answer <- answer{err: front.ErrGone}
+		r.answer <- answer{err: front.ErrClientGone}
 	}
 	if out.Result == upstream.Served && !r.closed {
 		r.closed = true
@@ -115,17 +115,17 @@
 		out.Reply.Done()
 	}
 	took := time.Since(at.sent)
-	givenUp := errors.Is(out.Err, context.Canceled) || errors.Is(out.Err, upstream.ErrGone)
+	givenUp := errors.Is(out.Err, context.Canceled) || errors.Is(out.Err, upstream.ErrClientGone)
 	if out.Result != upstream.Served && !givenUp {
 		name := ""
 		if at.to != nil {
 			name = at.to.name
 		}
-		l.log.Info("attempt", "trace", r.Trace, "n", at.number, "server", name, "result", out.Result.String(), "took", millis(took), "err", out.Err)
+		l.log.Info("attempt", "trace", r.TraceID, "n", at.number, "server", name, "result", out.Result.String(), "took", millis(took), "err", out.Err)
 	}
 	err := l.tell(balance.Outcome{
 		Request: r.id, Attempt: at.number, Server: at.id, Result: results[out.Result], Took: millis(took), Finished: r.closed,
-		Report: out.Report, Spent: r.Message.Rest != nil && r.Message.Rest.Taken(),
+		Report: out.LoadReport, Spent: r.Message.Remainder != nil && r.Message.Remainder.Consumed(),
 	})
 	if err != nil && r.out == 0 { // the module does not know of it, so nothing more would come
 		l.finish(r.id, front.Answer{Verdict: front.Failed})
@@ -141,7 +141,7 @@
 	at := r.attempts[a.Attempt]
 	result := upstream.Cancelled
 	if at.call.Claim() { // nothing of it has left
-		result = upstream.Moot
+		result = upstream.NotSent
 	}
 	at.cancel()
 	l.later = append(l.later, func() { l.attemptEnded(at, upstream.Outcome{Result: result, Err: context.Canceled}) })
@@ -155,9 +155,9 @@
 	}
 	began := time.Now()
 	go func() {
-		out := s.end.Probe(l.ctx)
+		out := s.end.CheckHealth(l.ctx)
 		l.post(func() {
-			l.tell(balance.ProbeResult{Server: id, Result: results[out.Result], Took: millis(time.Since(began)), Report: out.Report})
+			l.tell(balance.ProbeResult{Server: id, Result: results[out.Result], Took: millis(time.Since(began)), Report: out.LoadReport})
 		})
 	}()
 }
--- a/internal/sidecar/core/core_test.go
+++ b/internal/sidecar/core/core_test.go
@@ -222,7 +222,7 @@
 	in(t, []string{"a", "b"}, func(r *rig) {
 		a := r.ask("1", unsafe)
 		x := <-r.servers.sent
-		x.end <- upstream.Outcome{Result: upstream.TurnedAway}
+		x.end <- upstream.Outcome{Result: upstream.Rejected}
 		y := <-r.servers.sent
 		if y.addr == x.addr {
 			t.Error("sent to the same server again")
@@ -239,12 +239,12 @@
 		began := time.Now()
 		a := r.ask("1", keyed)
 		x := <-r.servers.sent
-		if !x.call.Begin.IsZero() {
-			t.Errorf("the first must begin by %v", x.call.Begin)
+		if !x.call.SendBefore.IsZero() {
+			t.Errorf("the first must begin by %v", x.call.SendBefore)
 		}
 		x.end <- upstream.Outcome{Result: upstream.Reset}
 		y := <-r.servers.sent
-		if d := y.call.Begin.Sub(began); d != 500*time.Millisecond {
+		if d := y.call.SendBefore.Sub(began); d != 500*time.Millisecond {
 			t.Errorf("the second must begin by %v", d)
 		}
 		y.serve()
--- a/internal/sidecar/core/fakes_test.go
+++ b/internal/sidecar/core/fakes_test.go
@@ -55,19 +55,19 @@
 	addr string
 }
 
-func (s *fakeServers) Endpoint() upstream.Endpoint                 { return &fakeEndpoint{s: s} }
-func (e *fakeEndpoint) CloseIdle()                                 {}
-func (e *fakeEndpoint) Probe(context.Context) (o upstream.Outcome) { return o }
-func (e *fakeEndpoint) Turn(addr string, _ bool)                   { e.addr = addr }
+func (s *fakeServers) NewEndpoint() upstream.Endpoint                    { return &fakeEndpoint{s: s} }
+func (e *fakeEndpoint) CloseIdle()                                       {}
+func (e *fakeEndpoint) CheckHealth(context.Context) (o upstream.Outcome) { return o }
+func (e *fakeEndpoint) Update(addr string, _ bool)                       { e.addr = addr }
 func (e *fakeEndpoint) Send(ctx context.Context, c *upstream.Call) upstream.Outcome {
 	if e.s.cutOff.Load() {
 		<-ctx.Done()
 	}
-	if c.Gone() {
-		return upstream.Outcome{Result: upstream.Moot, Err: upstream.ErrGone}
+	if c.ClientGone() {
+		return upstream.Outcome{Result: upstream.NotSent, Err: upstream.ErrClientGone}
 	}
 	if !c.Claim() {
-		return upstream.Outcome{Result: upstream.Moot}
+		return upstream.Outcome{Result: upstream.NotSent}
 	}
 	x := &exchange{ctx, e.addr, c, make(chan upstream.Outcome)}
 	e.s.sent <- x
@@ -134,7 +134,7 @@
 }
 
 func list(generation uint64, whole bool, names ...string) member.List {
-	l := member.List{Generation: generation, Whole: whole}
+	l := member.List{Generation: generation, Complete: whole}
 	for _, name := range names {
 		l.Instances = append(l.Instances, member.Instance{ID: name, Addr: name, Weight: 1})
 	}
@@ -150,7 +150,7 @@
 	go func() {
 		defer close(a.done)
 		a.answer, a.err = r.Answer(ctx, front.Request{
-			Trace: trace, Class: class, Tenant: -1, Arrived: time.Now(), Wait: time.Second, Message: m,
+			TraceID: trace, Class: class, Tenant: -1, Arrived: time.Now(), Wait: time.Second, Message: m,
 		})
 	}()
 	return a
--- a/internal/sidecar/core/gone_test.go
+++ b/internal/sidecar/core/gone_test.go
@@ -39,7 +39,7 @@
 		x := <-r.servers.sent
 		before, behind := make(chan struct{}), make(chan struct{})
 		r.post(func() { <-before })
-		x.end <- upstream.Outcome{Result: upstream.TurnedAway} // which has another try
+		x.end <- upstream.Outcome{Result: upstream.Rejected} // which has another try
 		synctest.Wait()
 		r.post(func() { <-behind })
 		a.hangUp()
@@ -63,8 +63,8 @@
 func TestAnEndThatIsSeenFirstByTheSender(t *testing.T) {
 	in(t, []string{"a"}, func(r *rig) {
 		gone := func() bool { return true }
-		_, err := r.Answer(r.t.Context(), front.Request{Trace: "t", Class: safe, Tenant: -1, Arrived: time.Now(), Wait: time.Second, Gone: gone})
-		if err != front.ErrGone {
+		_, err := r.Answer(r.t.Context(), front.Request{TraceID: "t", Class: safe, Tenant: -1, Arrived: time.Now(), Wait: time.Second, ClientGone: gone})
+		if err != front.ErrClientGone {
 			t.Errorf("%v", err)
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/sidecar/core/long_test.go
+++ b/internal/sidecar/core/long_test.go
@@ -16,7 +16,7 @@
 
 // askLong hands in a request whose body is still coming.
 func (r *rig) askLong(trace string, class int) *asked {
-	return r.askWith(trace, class, message.Request{Rest: message.NewUpload(10)})
+	return r.askWith(trace, class, message.Request{Remainder: message.NewUpload(10)})
 }
 
 // rest is the rest of a reply; closing it is noted.
@@ -42,7 +42,7 @@
 			t.Fatal("answered while its body comes")
 		default:
 		}
-		x.call.Written()
+		x.call.OnRequestWritten()
 		began := time.Now()
 		<-a.done
 		if took := time.Since(began); took < 950*time.Millisecond || took > time.Second {
@@ -69,9 +69,9 @@
 			if second.addr == first.addr {
 				t.Error("the same server again")
 			}
-			go second.call.Message.Rest.Pump(strings.NewReader("half"))
-			second.call.Message.Rest.Next(nil)
-			defer second.call.Message.Rest.Close()
+			go second.call.Message.Remainder.Pump(strings.NewReader("half"))
+			second.call.Message.Remainder.Next(nil)
+			defer second.call.Message.Remainder.Close()
 			second.end <- upstream.Outcome{Result: result}
 			r.is(a, want, nil)
 		})
@@ -85,9 +85,9 @@
 		a := r.ask("t", int(balance.Safe))
 		x := <-r.servers.sent
 		body := &rest{Reader: strings.NewReader("more")}
-		x.call.Begun(upstream.Outcome{Result: upstream.Served, Reply: message.Reply{Rest: body, Size: 4}})
+		x.call.OnReplyStarted(upstream.Outcome{Result: upstream.Served, Reply: message.Reply{Remainder: body, Size: 4}})
 		r.is(a, front.Served, nil)
-		if a.answer.Reply.Rest != body {
+		if a.answer.Reply.Remainder != body {
 			t.Error("the reply has another rest")
 		}
 		time.Sleep(time.Minute) // past its deadline
@@ -112,7 +112,7 @@
 		a.hangUp()
 		<-x.ctx.Done()
 		body := &rest{Reader: strings.NewReader("more")}
-		x.call.Begun(upstream.Outcome{Result: upstream.Served, Reply: message.Reply{Rest: body}})
+		x.call.OnReplyStarted(upstream.Outcome{Result: upstream.Served, Reply: message.Reply{Remainder: body}})
 		synctest.Wait()
 		if body.closed != 1 {
 			t.Errorf("closed %d times", body.closed)
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -21,11 +21,11 @@
 
 // Config is what the core is told.
 type Config struct {
-	Module balance.Config
-	Names              // that stand for positions in the module
-	Known  member.List // the list of servers as last had; it may be old
-	Legacy *Legacy     // of the process before; nil: there was none. Its list counts where it is of the same source
-	Listed func()      // called, in the loop, when a server is first known that takes requests; nil: nobody is told
+	Module            balance.Config
+	Names                         // that stand for positions in the module
+	Known             member.List // the list of servers as last had; it may be old
+	Previous          *Snapshot   // of the process before; nil: there was none. Its list counts where it is of the same source
+	OnServerAvailable func()      // called, in the loop, when a server is first known that takes requests; nil: nobody is told
 }
 
 // Loop owns the decision module, its timers, and the tables of requests and servers. One goroutine runs it;
@@ -68,13 +68,13 @@
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.ended)
 	l.ctx = ctx
-	legacy := l.config.Legacy
+	legacy := l.config.Previous
 	if legacy != nil && legacy.Source == l.source.Name() {
 		l.config.Known = legacy.List
 	}
 	l.cursor = member.Cursor{Zones: l.config.Zones, Kinds: l.config.Kinds}
-	l.config.Known.Whole = true
-	if err := l.cursor.Take(l.config.Known); err != nil {
+	l.config.Known.Complete = true
+	if err := l.cursor.Accept(l.config.Known); err != nil {
 		l.log.Warn("the list last known is not taken", "err", err)
 		l.config.Known = member.List{}
 	}
@@ -82,7 +82,7 @@
 	l.list(l.config.Known, balance.ListCached)
 	if legacy != nil {
 		l.inherit(legacy)
-		l.config.Legacy = nil
+		l.config.Previous = nil
 	}
 	if !l.config.Module.Subscribe { // news comes unasked: the module does not call for what brings it
 		l.watch()
--- a/internal/sidecar/core/members.go
+++ b/internal/sidecar/core/members.go
@@ -48,7 +48,7 @@
 	go func() {
 		c, err := source.Fetch(l.ctx)
 		l.post(func() {
-			if source == l.source && (err != nil || c.Generation >= l.cursor.Held()) {
+			if source == l.source && (err != nil || c.Generation >= l.cursor.Generation()) {
 				l.called(c, err)
 			}
 		})
@@ -58,7 +58,7 @@
 // called takes in what a call to the source brought. Where that does not count the list held stays, and the call has failed.
 func (l *Loop) called(c member.List, err error) {
 	if err == nil {
-		if err = l.cursor.Take(c); err != nil && l.stopWatch != nil { // else the next message would build on it
+		if err = l.cursor.Accept(c); err != nil && l.stopWatch != nil { // else the next message would build on it
 			l.stopWatch()
 			l.stopWatch = nil
 		}
@@ -69,7 +69,7 @@
 		return
 	}
 	kind := balance.ListDelta
-	if c.Whole {
+	if c.Complete {
 		kind = balance.ListFull
 	}
 	l.list(c, kind)
@@ -103,10 +103,10 @@
 			continue
 		}
 		if s == nil {
-			s = &server{name: in.ID, end: l.up.Endpoint()}
+			s = &server{name: in.ID, end: l.up.NewEndpoint()}
 			l.servers[id] = s
 		}
-		s.end.Turn(in.Addr, entry.State == balance.Ready)
+		s.end.Update(in.Addr, entry.State == balance.Ready)
 		if entry.State == balance.Gone { // attempts that are out keep what they need
 			delete(l.servers, id)
 		}
@@ -122,14 +122,14 @@
 		}
 		for id, s := range l.servers {
 			if !listed[id] {
-				s.end.Turn("", false)
+				s.end.Update("", false)
 				delete(l.servers, id)
 			}
 		}
 	}
 	l.tell(ev)
-	if l.ready && !before && l.config.Listed != nil {
-		l.config.Listed()
+	if l.ready && !before && l.config.OnServerAvailable != nil {
+		l.config.OnServerAvailable()
 	}
 }
 
--- a/internal/sidecar/core/request.go
+++ b/internal/sidecar/core/request.go
@@ -20,7 +20,7 @@
 // written: the last byte of a request whose body was passed on has left for its server.
 func (l *Loop) written(at *attempt) {
 	r := at.r
-	if at.done || r.closed || r.Message.Rest == nil {
+	if at.done || r.closed || r.Message.Remainder == nil {
 		return
 	}
 	r.deadline = time.Now().Add(r.Wait - min(answerMargin, r.Wait/10))
@@ -53,7 +53,7 @@
 // Answer hands a request in and waits for its answer, as front.Core says.
 func (l *Loop) Answer(ctx context.Context, in front.Request) (front.Answer, error) {
 	r := &request{Request: in, answer: make(chan answer, 1)}
-	r.gone = func() bool { return ctx.Err() != nil || in.Gone != nil && in.Gone() }
+	r.gone = func() bool { return ctx.Err() != nil || in.ClientGone != nil && in.ClientGone() }
 	l.post(func() { l.accept(r) })
 	select {
 	case a := <-r.answer:
@@ -83,28 +83,28 @@
 		l.reject(r, front.ErrInvalid)
 		return
 	}
-	if !l.ids.take(r.Trace) {
+	if !l.ids.take(r.TraceID) {
 		l.reject(r, front.ErrInUse)
 		return
 	}
 	class := &l.config.Module.Classes[r.Class]
 	l.lastID++
 	r.id, r.effect, r.window = l.lastID, class.Effect, class.Window
-	open := r.Message.Rest != nil
+	open := r.Message.Remainder != nil
 	r.deadline = r.Arrived.Add(r.Wait - min(answerMargin, r.Wait/10))
 	if open { // its time begins with its last byte
 		r.deadline = r.Arrived.Add(longestUpload)
 	}
 	l.requests[r.id] = r
 	ev := balance.Request{
-		ID: r.id, Class: r.Class, Tenant: r.Tenant, WorkHint: millis(r.Hint),
-		Remaining: math.Max(millis(time.Until(r.deadline)), 1e-3), Repeat: r.Repeat, Open: open,
+		ID: r.id, Class: r.Class, Tenant: r.Tenant, WorkHint: millis(r.WorkHint),
+		Remaining: math.Max(millis(time.Until(r.deadline)), 1e-3), Repeat: r.ClientRetry, Open: open,
 	}
 	if open {
 		ev.Remaining = math.Max(millis(r.Wait-min(answerMargin, r.Wait/10)), 1e-3)
 	}
-	if r.Subject != "" {
-		ev.Key = stableHash(r.Subject)
+	if r.AffinityKey != "" {
+		ev.Key = stableHash(r.AffinityKey)
 	}
 	if err := l.tell(ev); err != nil {
 		l.remove(r)
@@ -135,7 +135,7 @@
 	for _, at := range r.attempts { // what has not begun does not begin any more, whether or not attempts may be cancelled
 		if !at.done && at.call.Claim() {
 			at.cancel()
-			l.attemptEnded(at, upstream.Outcome{Result: upstream.Moot, Err: upstream.ErrGone})
+			l.attemptEnded(at, upstream.Outcome{Result: upstream.NotSent, Err: upstream.ErrClientGone})
 		}
 	}
 	l.tell(balance.HangUp{Request: r.id})
@@ -151,6 +151,6 @@
 func (l *Loop) remove(r *request) {
 	delete(l.requests, r.id)
 	// A copy that comes late must not run either. Ids are never used again, so they are kept no longer than that.
-	l.ids.until(r.Trace, r.deadline)
+	l.ids.until(r.TraceID, r.deadline)
 	l.timers.stop(r.timers...)
 }
--- a/internal/sidecar/core/legacy.go
+++ b/internal/sidecar/core/snapshot.go
@@ -10,9 +10,9 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// Legacy is what one process of a sidecar hands to the next: the list with its generation, the ids that must not be taken
+// Snapshot is what one process of a sidecar hands to the next: the list with its generation, the ids that must not be taken
 // again, and what the module has learned. Nothing of a request that is open: each process answers what it took.
-type Legacy struct {
+type Snapshot struct {
 	Source string // the name of the source that the list is of
 	List   member.List
 	IDs    map[string]time.Time // until when; those of open requests as well
@@ -84,21 +84,21 @@
 	return at, at >= 0
 }
 
-// Legacy is what the core would hand over now; ok is false where it has ended. It is read by encode in the loop, since some of
+// Snapshot is what the core would hand over now; ok is false where it has ended. It is read by encode in the loop, since some of
 // it is the loop's own.
-func (l *Loop) Legacy(encode func(Legacy)) (ok bool) {
+func (l *Loop) Snapshot(encode func(Snapshot)) (ok bool) {
 	done := make(chan struct{})
 	l.post(func() {
 		defer close(done)
-		whole := member.List{Generation: l.cursor.Held(), Whole: true}
+		whole := member.List{Generation: l.cursor.Generation(), Complete: true}
 		for _, id := range slices.Sorted(maps.Keys(l.listed)) {
 			whole.Instances = append(whole.Instances, l.listed[id])
 		}
 		ids := l.ids.all()
 		for _, r := range l.requests {
-			ids[r.Trace] = r.deadline
+			ids[r.TraceID] = r.deadline
 		}
-		encode(Legacy{Source: l.source.Name(), List: whole, IDs: ids, Module: l.b.Memory(), Names: l.names()})
+		encode(Snapshot{Source: l.source.Name(), List: whole, IDs: ids, Module: l.b.Memory(), Names: l.names()})
 	})
 	select {
 	case <-done:
@@ -116,7 +116,7 @@
 }
 
 // inherit goes on where the process before was, in the loop before anything else.
-func (l *Loop) inherit(from *Legacy) {
+func (l *Loop) inherit(from *Snapshot) {
 	for id, until := range from.IDs {
 		if until.After(time.Now()) && l.ids.take(id) {
 			l.ids.until(id, until)
--- a/internal/sidecar/core/legacy_test.go
+++ b/internal/sidecar/core/snapshot_test.go
@@ -14,11 +14,11 @@
 )
 
 // legacy is what a core hands over, through its text.
-func (r *rig) legacy() (l Legacy) {
+func (r *rig) legacy() (l Snapshot) {
 	r.t.Helper()
 	var text []byte
 	var err error
-	if !r.Legacy(func(l Legacy) { text, err = json.Marshal(l) }) || err != nil {
+	if !r.Snapshot(func(l Snapshot) { text, err = json.Marshal(l) }) || err != nil {
 		r.t.Fatal(err)
 	}
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -28,9 +28,9 @@
 }
 
 // successor runs a core that goes on where another was; stop ends it.
-func (r *rig) successor(from Legacy) (next *rig, stop func()) {
+func (r *rig) successor(from Snapshot) (next *rig, stop func()) {
 	next = &rig{t: r.t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)}, ended: make(chan struct{})}
-	next.Loop = New(Config{Module: r.config.Module, Known: list(1, true, "outdated"), Legacy: &from}, next.source, next.servers, r.log)
+	next.Loop = New(Config{Module: r.config.Module, Known: list(1, true, "outdated"), Previous: &from}, next.source, next.servers, r.log)
 	ctx, cancel := context.WithCancel(r.t.Context())
 	go func() { next.Run(ctx); close(next.ended) }()
 	return next, func() { cancel(); <-next.ended }
--- a/internal/sidecar/core/stats.go
+++ b/internal/sidecar/core/stats.go
@@ -14,7 +14,7 @@
 func (l *Loop) Stats() Stats {
 	got := make(chan Stats, 1)
 	l.post(func() {
-		s := Stats{Requests: len(l.requests), IDs: len(l.ids.held), Generation: l.cursor.Held()}
+		s := Stats{Requests: len(l.requests), IDs: len(l.ids.held), Generation: l.cursor.Generation()}
 		for _, one := range l.servers {
 			s.Servers = append(s.Servers, one.name)
 		}
--- a/internal/sidecar/counts/counts.go
+++ b/internal/sidecar/counts/counts.go
@@ -69,7 +69,7 @@
 	}
 	c := &f.classes[r.Class]
 	switch {
-	case err != nil && ctx.Err() != nil, errors.Is(err, front.ErrGone):
+	case err != nil && ctx.Err() != nil, errors.Is(err, front.ErrClientGone):
 		c.clientGone.Add(1)
 	case err != nil: // it was not accepted
 	case a.Verdict == front.Served:
--- a/internal/sidecar/counts/counts_test.go
+++ b/internal/sidecar/counts/counts_test.go
@@ -53,11 +53,11 @@
 
 type servers struct{}
 
-func (s servers) Endpoint() upstream.Endpoint                               { return s }
-func (servers) Turn(string, bool)                                           {}
+func (s servers) NewEndpoint() upstream.Endpoint                            { return s }
+func (servers) Update(string, bool)                                         {}
 func (servers) CloseIdle()                                                  {}
 func (servers) Send(context.Context, *upstream.Call) (out upstream.Outcome) { return }
-func (servers) Probe(context.Context) (out upstream.Outcome)                { return }
+func (servers) CheckHealth(context.Context) (out upstream.Outcome)          { return }
 func dial(context.Context, string, string) (c net.Conn, err error)          { return }
 
 // What is asked of servers is counted by its kind; what a process tells is read again, and so is what one of an earlier version tells,
@@ -65,9 +65,9 @@
 func TestEffort(t *testing.T) {
 	s := &Servers{Servers: servers{}}
 	for range 3 {
-		s.Endpoint().Send(t.Context(), nil)
+		s.NewEndpoint().Send(t.Context(), nil)
 	}
-	s.Endpoint().Probe(t.Context())
+	s.NewEndpoint().CheckHealth(t.Context())
 	s.Dial(dial)(t.Context(), "tcp", "x")
 	text, _ := json.Marshal(Report{[]Class{{Name: "a", Served: 7}}, s.Snapshot()})
 	for text, want := range map[string]*ServerUse{string(text): {3, 1, 1}, ` [{"name": "a", "served": 7}]`: nil} {
--- a/internal/sidecar/counts/report.go
+++ b/internal/sidecar/counts/report.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Endpoint returns a counting endpoint.
-func (s *Servers) Endpoint() upstream.Endpoint { return &endpoint{s.Servers.Endpoint(), s} }
+// NewEndpoint returns a counting endpoint.
+func (s *Servers) NewEndpoint() upstream.Endpoint { return &endpoint{s.Servers.NewEndpoint(), s} }
 
 // Snapshot returns the counters.
 func (s *Servers) Snapshot() *ServerUse {
@@ -71,7 +71,7 @@
 	return e.Endpoint.Send(ctx, c)
 }
 
-func (e *endpoint) Probe(ctx context.Context) upstream.Outcome {
+func (e *endpoint) CheckHealth(ctx context.Context) upstream.Outcome {
 	e.servers.healthChecks.Add(1)
-	return e.Endpoint.Probe(ctx)
+	return e.Endpoint.CheckHealth(ctx)
 }
--- a/internal/sidecar/front/platform/body.go
+++ b/internal/sidecar/front/platform/body.go
@@ -87,7 +87,7 @@
 	b.pumped = make(chan struct{})
 	go func() {
 		defer close(b.pumped)
-		b.rest.Pump(&bounded{b, message.Long, failed})
+		b.rest.Pump(&bounded{b, message.MaxBody, failed})
 	}()
 }
 
@@ -108,9 +108,9 @@
 // take takes a body in: whole where it is short, else with a rest that is passed on.
 func (b *body) take(req *http.Request, m *message.Request) error {
 	size := req.ContentLength
-	if size > message.Short {
+	if size > message.MaxBuffered {
 		b.rest = message.NewUpload(size)
-		m.Rest = b.rest
+		m.Remainder = b.rest
 		return nil
 	}
 	var err error
@@ -119,9 +119,9 @@
 	}
 	buffer := make([]byte, min(max(size, 512), bodyPiece))
 	for err == nil {
-		if len(m.Body) > message.Short { // chunks, and more of them
+		if len(m.Body) > message.MaxBuffered { // chunks, and more of them
 			b.rest = message.NewUpload(-1)
-			m.Rest = b.rest
+			m.Remainder = b.rest
 			return nil
 		}
 		var n int
@@ -154,7 +154,7 @@
 	if n <= freeSize || int64(n) <= b.taken {
 		return true
 	}
-	want := int64(min(2*n, message.Short+bodyPiece))
+	want := int64(min(2*n, message.MaxBuffered+bodyPiece))
 	ctx, cancel := context.WithTimeout(ctx, roomTime)
 	defer cancel()
 	if !b.room.Acquire(ctx, want-b.taken) {
--- a/internal/sidecar/front/platform/gone_test.go
+++ b/internal/sidecar/front/platform/gone_test.go
@@ -35,7 +35,7 @@
 			t.Run(sent+", "+how, func(t *testing.T) {
 				taken, noticed := make(chan front.Request, 1), make(chan struct{})
 				r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
-					if req.Trace == "first" {
+					if req.TraceID == "first" {
 						taken <- req
 						<-ctx.Done()
 						close(noticed)
@@ -45,13 +45,13 @@
 				c, _ := peertest.Open(t, r.addr)
 				io.WriteString(c, look("first"))
 				req := peertest.Wait(t, taken)
-				if req.Gone() {
+				if req.ClientGone() {
 					t.Error("gone while it waits")
 				}
 				io.WriteString(c, text)
 				end(c)
 				peertest.Wait(t, noticed)
-				peertest.Eventually(t, "the loop can see it too", req.Gone)
+				peertest.Eventually(t, "the loop can see it too", req.ClientGone)
 				peertest.Eventually(t, "nothing is held", func() bool { return r.room.Reserved() == 0 })
 			})
 		}
@@ -62,11 +62,11 @@
 func TestRequestsAheadAreAnsweredInOrder(t *testing.T) {
 	taken, release := make(chan struct{}), make(chan struct{})
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
-		if req.Trace == "1" {
+		if req.TraceID == "1" {
 			close(taken)
 			<-release
 		}
-		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte(req.Trace + string(req.Message.Body))}}, nil
+		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte(req.TraceID + string(req.Message.Body))}}, nil
 	})
 	c, in := peertest.Open(t, r.addr)
 	io.WriteString(c, look("1"))
@@ -89,7 +89,7 @@
 	for _, version := range []string{"1.0", "1.1"} {
 		for cut, rest := range map[bool]error{true: errors.New("reset"), false: io.EOF} {
 			r := newRig(t, func(context.Context, front.Request) (front.Answer, error) {
-				return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi"), Rest: &restOf{rest}, Size: -1}}, nil
+				return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi"), Remainder: &restOf{rest}, Size: -1}}, nil
 			})
 			c, in := peertest.Open(t, r.addr)
 			io.WriteString(c, strings.Replace(look("t"), "HTTP/1.1", "HTTP/"+version+"\r\nConnection: close", 1))
--- a/internal/sidecar/front/platform/long_test.go
+++ b/internal/sidecar/front/platform/long_test.go
@@ -31,8 +31,8 @@
 // echo serves a request with its own body.
 func echo(_ context.Context, r front.Request) (front.Answer, error) {
 	a := front.Answer{Verdict: front.Served, Reply: message.Reply{Body: r.Message.Body}}
-	if r.Message.Rest != nil {
-		rest, err := readAll(r.Message.Rest)
+	if r.Message.Remainder != nil {
+		rest, err := readAll(r.Message.Remainder)
 		if err != nil {
 			return front.Answer{Verdict: front.Failed}, nil
 		}
@@ -75,7 +75,7 @@
 // Bodies of any length and framing come through whole, in pieces of any size, and the connection is used again.
 func TestBodiesOfAnyForm(t *testing.T) {
 	r := newRig(t, echo)
-	for _, size := range []int{0, 1, 1000, message.Short, message.Short + 1, 300_000, 5_000_000} {
+	for _, size := range []int{0, 1, 1000, message.MaxBuffered, message.MaxBuffered + 1, 300_000, 5_000_000} {
 		for _, chunked := range []bool{false, true} {
 			for _, piece := range []int{1, 977, 1 << 20} {
 				if size/piece > 10_000 {
@@ -133,8 +133,8 @@
 // An answer may be passed on while its request still comes: both go on to their ends, and then the connection ends.
 func TestBothWaysAtOnce(t *testing.T) {
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
-		rest := req.Message.Rest
-		return front.Answer{Verdict: front.Served, Reply: message.Reply{Rest: io.NopCloser(reader{rest}), Size: rest.Size}}, nil
+		rest := req.Message.Remainder
+		return front.Answer{Verdict: front.Served, Reply: message.Reply{Remainder: io.NopCloser(reader{rest}), Size: rest.Size}}, nil
 	})
 	const size = 3_000_000
 	c, in := peertest.Open(t, r.addr)
@@ -148,7 +148,7 @@
 // keeps it.
 func TestHTTP10(t *testing.T) {
 	r := newRig(t, func(context.Context, front.Request) (front.Answer, error) {
-		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("a"), Rest: io.NopCloser(strings.NewReader("bc")), Size: -1}}, nil
+		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("a"), Remainder: io.NopCloser(strings.NewReader("bc")), Size: -1}}, nil
 	})
 	old := strings.Replace(look("old"), "HTTP/1.1", "HTTP/1.0", 1)
 	resp, body := peertest.Ask(t, r.addr, old)
@@ -183,7 +183,7 @@
 		return c, in
 	}
 	var held []*bufio.Reader
-	for i := range roomOfTests / (message.Short + bodyPiece) {
+	for i := range roomOfTests / (message.MaxBuffered + bodyPiece) {
 		_, in := ask(fmt.Sprint(i))
 		peertest.Wait(t, got)
 		held = append(held, in)
@@ -213,7 +213,7 @@
 	for _, size := range []int64{10, -1} {
 		r := newRig(t, func(context.Context, front.Request) (front.Answer, error) {
 			rest := io.MultiReader(strings.NewReader("bc"), failing{})
-			return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("a"), Rest: io.NopCloser(rest), Size: size}}, nil
+			return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("a"), Remainder: io.NopCloser(rest), Size: size}}, nil
 		})
 		c, in := peertest.Open(t, r.addr)
 		io.WriteString(c, look("t"))
@@ -234,7 +234,7 @@
 // An answer that comes before the body is whole is given at once and ends the connection, also while the client still writes.
 func TestAnEarlyAnswer(t *testing.T) {
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
-		if piece, err := req.Message.Rest.Next(nil); string(piece) != "half" || err != nil {
+		if piece, err := req.Message.Remainder.Next(nil); string(piece) != "half" || err != nil {
 			t.Errorf("%q, %v", piece, err)
 		}
 		return front.Answer{Verdict: front.Refused}, nil
@@ -258,7 +258,7 @@
 	} {
 		ended := make(chan error, 1)
 		r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
-			_, err := reader{req.Message.Rest}.WriteTo(io.Discard)
+			_, err := reader{req.Message.Remainder}.WriteTo(io.Discard)
 			if err == nil {
 				t.Errorf("%s: the body is whole", name)
 			}
@@ -268,7 +268,7 @@
 		})
 		conn, in := peertest.Open(t, r.addr)
 		if c.status == 0 && name == "chunks" { // the rest is read only beyond what is short
-			c.text += strings.Repeat("x", 2*message.Short)
+			c.text += strings.Repeat("x", 2*message.MaxBuffered)
 		}
 		io.WriteString(conn, c.text)
 		if c.status == 0 {
@@ -380,10 +380,10 @@
 		life := lifecycle.New()
 		core := &fakeCore{answer: func(_ context.Context, r front.Request) (front.Answer, error) {
 			a := front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi")}}
-			if r.Message.Rest != nil {
-				reader{r.Message.Rest}.WriteTo(io.Discard)
+			if r.Message.Remainder != nil {
+				reader{r.Message.Remainder}.WriteTo(io.Discard)
 			} else {
-				a.Reply.Rest, a.Reply.Size = io.NopCloser(io.LimitReader(zeros{}, size-2)), size
+				a.Reply.Remainder, a.Reply.Size = io.NopCloser(io.LimitReader(zeros{}, size-2)), size
 			}
 			return a, nil
 		}}
--- a/internal/sidecar/front/platform/platform.go
+++ b/internal/sidecar/front/platform/platform.go
@@ -190,11 +190,11 @@
 		in.Wait = end.ClampWait(in.Arrived, in.Wait)
 	}
 	answered := func() {}
-	if in.Message.Rest == nil { // else what it sends is still read by others
-		in.Gone = func() bool { return s.clients.ClientGone(ctx) }
+	if in.Message.Remainder == nil { // else what it sends is still read by others
+		in.ClientGone = func() bool { return s.clients.ClientGone(ctx) }
 		answered = s.clients.WatchClient(ctx)
 	}
-	if in.Message.Rest != nil {
+	if in.Message.Remainder != nil {
 		var cancel context.CancelCauseFunc
 		// net/http ends the request's context with any read that fails: until the body has ended the pump says why.
 		ctx, cancel = context.WithCancelCause(context.WithoutCancel(ctx))
@@ -223,7 +223,7 @@
 		if !s.leaves(w) && s.clients.ResponseStarted(req.Context()) {
 			w.Header().Set("Connection", "close")
 		}
-		bare := a.Reply.Rest != nil && a.Reply.Size < 0 && !req.ProtoAtLeast(1, 1) // only the connection's end says where it ends
+		bare := a.Reply.Remainder != nil && a.Reply.Size < 0 && !req.ProtoAtLeast(1, 1) // only the connection's end says where it ends
 		s.clients.SetResponseOpen(req.Context(), bare)
 		write(w, a)
 		s.clients.SetResponseOpen(req.Context(), false)
@@ -273,7 +273,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		var n int
-		n, err = r.Rest.Read(*buffer)
+		n, err = r.Remainder.Read(*buffer)
 		p = (*buffer)[:n]
 	}
 }
@@ -308,17 +308,17 @@
 	if !known {
 		return bad(http.StatusBadRequest, fmt.Sprintf("unknown class %q", h.Get("X-Qos")))
 	}
-	in.Class, in.Trace = class, h.Get("X-Trace-Id")
+	in.Class, in.TraceID = class, h.Get("X-Trace-Id")
 	in.Tenant = slices.Index(s.settings.Tenants, h.Get("X-Customer")) // -1: none
 	in.Message.Method, in.Message.Target = req.Method, req.RequestURI
 	key, effect := h.Get("Idempotency-Key"), s.settings.Classes[class].Effect
 	first, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 	switch {
-	case req.ContentLength > message.Long:
+	case req.ContentLength > message.MaxBody:
 		return bad(http.StatusRequestEntityTooLarge, errTooLong.Error())
 	case effect == front.Safe && req.ContentLength > 0:
 		return bad(http.StatusBadRequest, "a GET has no body")
-	case in.Trace == "":
+	case in.TraceID == "":
 		return bad(http.StatusBadRequest, "no X-Trace-Id")
 	case !strings.HasPrefix(in.Message.Target, "/") || first != h.Get("X-Qos"):
 		return bad(http.StatusBadRequest, "the path does not fit the class")
@@ -336,16 +336,16 @@
 	}
 	if text := h.Get("X-Size-Hint"); text != "" {
 		if us, err := strconv.ParseFloat(text, 64); err == nil && us > 0 && us < 1e12 {
-			in.Hint = time.Duration(us * float64(time.Microsecond))
+			in.WorkHint = time.Duration(us * float64(time.Microsecond))
 		}
 	}
-	in.Subject = req.URL.Query().Get("sid")
-	in.Repeat = h.Get("X-Second-Try") == "1"
+	in.AffinityKey = req.URL.Query().Get("sid")
+	in.ClientRetry = h.Get("X-Second-Try") == "1"
 	if req.ContentLength != 0 {
 		b = newBody(w, req, s.clients.RequestDeadline(req.Context()))
 		b.room = s.settings.Room
 		err := b.take(req, &in.Message)
-		if err == nil && effect == front.Safe && (len(in.Message.Body) > 0 || in.Message.Rest != nil) {
+		if err == nil && effect == front.Safe && (len(in.Message.Body) > 0 || in.Message.Remainder != nil) {
 			err = errors.New("a GET has no body")
 		}
 		if err != nil {
@@ -384,7 +384,7 @@
 		for _, name := range []string{"Content-Type", "Content-Encoding"} {
 			w.Header()[name] = a.Reply.Header[name] // nil: none, and none is guessed
 		}
-		if a.Reply.Rest != nil {
+		if a.Reply.Remainder != nil {
 			pass(w, &a.Reply)
 			return
 		}
--- a/internal/sidecar/front/platform/platform_test.go
+++ b/internal/sidecar/front/platform/platform_test.go
@@ -166,7 +166,7 @@
 func TestStopping(t *testing.T) {
 	got, release := make(chan struct{}, 2), make(chan struct{})
 	r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
-		if req.Trace == "slow" {
+		if req.TraceID == "slow" {
 			got <- struct{}{}
 			<-release
 		}
@@ -223,8 +223,8 @@
 			t.Errorf("%v: status %d, want %d", err, status, want)
 		}
 	}
-	if got.Class != 1 || got.Tenant != 0 || got.Subject != "7f" || got.Wait != 1500*time.Microsecond || !got.Repeat ||
-		got.Hint != 2500*time.Microsecond || got.Message.Target != "/book/1?sid=7f" || string(got.Message.Body) != "hi" {
+	if got.Class != 1 || got.Tenant != 0 || got.AffinityKey != "7f" || got.Wait != 1500*time.Microsecond || !got.ClientRetry ||
+		got.WorkHint != 2500*time.Microsecond || got.Message.Target != "/book/1?sid=7f" || string(got.Message.Body) != "hi" {
 		t.Errorf("%+v", got)
 	}
 	give = context.Canceled // as where the client has gone: no answer is made up
--- a/internal/sidecar/member/cursor.go
+++ b/internal/sidecar/member/cursor.go
@@ -6,61 +6,63 @@
 	"slices"
 )
 
-// Cursor says which news of a source count: it holds how far the list has come. It is pure.
+// Cursor decides which lists of a source are accepted, and remembers the generation of the last one. It is pure and not safe for
+// concurrent use.
 //
-// Invariants: a list older than the one held is not taken, unless the source was asked for all it has: it may count anew, after a
-// loss of its own. A list that names nothing of this deployment is not taken.
+// Invariants: a list older than the current one is not accepted, unless the source was asked for its complete list: it may have lost its
+// state and begun to number anew. A complete list in which no server belongs to this deployment is not accepted.
 type Cursor struct {
-	Zones, Kinds []string // what this deployment's servers are of; none: that is not known
+	Zones, Kinds []string // those of this deployment's servers; empty: not known
 
-	held uint64
-	anew bool // all there is was asked for, and counts whatever its generation
+	generation uint64
+	acceptAny  bool // the complete list was requested, and is accepted whatever its generation
 }
 
-// After is the generation after which news are to be asked for; 0 asks for the whole list.
+// After returns the generation after which lists are to be requested; 0 requests the complete list.
 func (c *Cursor) After() uint64 {
-	if c.anew {
+	if c.acceptAny {
 		return 0
 	}
-	return c.held
+	return c.generation
 }
 
-// Held is the generation of the list held.
-func (c *Cursor) Held() uint64 { return c.held }
+// Generation returns the generation of the current list.
+func (c *Cursor) Generation() uint64 { return c.generation }
 
-// Restart is for another source in the place of the one before.
-func (c *Cursor) Restart() { c.held, c.anew = 0, true }
+// Restart prepares for another source, whose generations have nothing to do with those of the previous one.
+func (c *Cursor) Restart() { c.generation, c.acceptAny = 0, true }
 
-// Take takes a list in, or says why it does not count. Nothing of one that does not count may be used, and its source is to be
-// asked anew.
-func (c *Cursor) Take(l List) error {
-	if err := c.foreign(l); err != nil {
+// Accept makes a list the current one, or returns why it is not accepted. Nothing of a list that is not accepted may be used, and the
+// source is to be called again, for what follows After.
+func (c *Cursor) Accept(list List) error {
+	if err := c.checkDeployment(list); err != nil {
 		return err
 	}
-	if l.Generation < c.held && !c.anew {
-		c.anew = true
-		return fmt.Errorf("generation %d is older than %d, which is held", l.Generation, c.held)
+	if list.Generation < c.generation && !c.acceptAny {
+		c.acceptAny = true
+		return fmt.Errorf("generation %d is older than %d, which is held", list.Generation, c.generation)
 	}
-	c.held, c.anew = l.Generation, false
+	c.generation, c.acceptAny = list.Generation, false
 	return nil
 }
 
 var (
-	errZones = errors.New("none of its servers is of a zone in the settings: it is another deployment's")
-	errKinds = errors.New("none of its servers is of a kind in the settings: it is another deployment's")
+	errNoKnownZone = errors.New("none of its servers is of a zone in the settings: it is another deployment's")
+	errNoKnownKind = errors.New("none of its servers is of a kind in the settings: it is another deployment's")
 )
 
-// foreign says that a whole list is another deployment's: not one of its servers has a zone, or a kind, that the settings name.
-func (c *Cursor) foreign(l List) error {
-	none := func(known []string, of func(Instance) string) bool {
-		return l.Whole && len(known) > 0 && len(l.Instances) > 0 &&
-			!slices.ContainsFunc(l.Instances, func(in Instance) bool { return of(in) == "" || slices.Contains(known, of(in)) })
+// checkDeployment returns an error if a complete list is another deployment's: not one of its servers has a zone, or a kind, that the
+// settings name.
+func (c *Cursor) checkDeployment(list List) error {
+	noneOf := func(known []string, attribute func(Instance) string) bool {
+		return list.Complete && len(known) > 0 && len(list.Instances) > 0 &&
+			!slices.ContainsFunc(list.Instances, func(in Instance) bool { return attribute(in) == "" || slices.Contains(known, attribute(in)) })
 	}
-	if none(c.Zones, func(in Instance) string { return in.Zone }) {
-		return errZones
+	if noneOf(c.Zones, func(in Instance) string { return in.Zone }) {
+		return errNoKnownZone
 	}
-	if none(c.Kinds, func(in Instance) string { return in.Kind }) {
-		return errKinds
+	if noneOf(c.Kinds, func(in Instance) string { return in.Kind }) {
+		return errNoKnownKind
 	}
 	return nil
 }
--- a/internal/sidecar/member/cursor_test.go
+++ b/internal/sidecar/member/cursor_test.go
@@ -26,16 +26,16 @@
 	} {
 		c := Cursor{Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
 		for i, s := range steps {
-			if err := c.Take(s.list); (err == nil) != s.taken || c.After() != s.after {
+			if err := c.Accept(s.list); (err == nil) != s.taken || c.After() != s.after {
 				t.Errorf("%s, step %d: %v, next after %d", name, i, err, c.After())
 			}
 		}
 	}
 	c := Cursor{}
-	if c.Take(List{41, true, of("x", "x")}) != nil {
+	if c.Accept(List{41, true, of("x", "x")}) != nil {
 		t.Error("settings that name nothing turn a list down")
 	}
-	if c.Restart(); c.After() != 0 || c.Take(List{1, true, own}) != nil || c.After() != 1 {
+	if c.Restart(); c.After() != 0 || c.Accept(List{1, true, own}) != nil || c.After() != 1 {
 		t.Error("another source does not begin anew")
 	}
 }
--- a/internal/sidecar/member/discovery/discovery.go
+++ b/internal/sidecar/member/discovery/discovery.go
@@ -45,7 +45,7 @@
 // Source makes calls to the discovery service. Each call ends with one error or, for a fetch, one list.
 type Source struct {
 	// Opened is called when a watch is open; nil: nobody is told.
-	Opened func()
+	OnWatchOpened func()
 
 	addr    string
 	base    string
@@ -129,8 +129,8 @@
 		return fmt.Errorf("watch: %w", errors.Join(err, context.Cause(ctx)))
 	}
 	defer body.Close()
-	if d.Opened != nil {
-		d.Opened()
+	if d.OnWatchOpened != nil {
+		d.OnWatchOpened()
 	}
 	alive := func() { silent.Reset(d.silence) }
 	stream := &stream{body: body, empty: alive}
--- a/internal/sidecar/member/discovery/discovery_test.go
+++ b/internal/sidecar/member/discovery/discovery_test.go
@@ -53,7 +53,7 @@
 		d.silence = 20 * time.Millisecond
 		told := 0
 		err := d.Watch(context.Background(), 1, func(got member.List) {
-			if told++; got.Generation != 7 || !got.Whole || len(got.Instances) != 1 {
+			if told++; got.Generation != 7 || !got.Complete || len(got.Instances) != 1 {
 				t.Errorf("%s: %+v", name, got)
 			}
 		})
--- a/internal/sidecar/member/discovery/list.go
+++ b/internal/sidecar/member/discovery/list.go
@@ -48,7 +48,7 @@
 	if c.Instances == nil {
 		return member.List{}, &EntryError{"instances", "missing", "write a list in brackets, which may be empty"}
 	}
-	list := member.List{Generation: c.Generation, Whole: c.Reset}
+	list := member.List{Generation: c.Generation, Complete: c.Reset}
 	for i, in := range c.Instances {
 		at := fmt.Sprintf("instances[%d].", i)
 		state, known := lifecycles[in.Lifecycle]
--- a/internal/sidecar/member/relay/doc.go
+++ b/internal/sidecar/member/relay/doc.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// Fresh is how long a process goes by the last word of the other. With the time in which a watch opens it is less than the
+	// FollowTimeout is how long a process goes by the last word of the other. With the time in which a watch opens it is less than the
 	// grace for drains: a next process that is stopped must not cost the one before its news.
-	Fresh = 150 * time.Millisecond
-	// Every is how often the one that watches says so.
-	Every = 40 * time.Millisecond
-	// Again is how long a process that stopped going by the other watches by itself: each change is a call to discovery.
-	Again = 2 * time.Second
+	FollowTimeout = 150 * time.Millisecond
+	// HeartbeatInterval is how often the one that watches says so.
+	HeartbeatInterval = 40 * time.Millisecond
+	// FollowCooldown is how long a process that stopped going by the other watches by itself: each change is a call to discovery.
+	FollowCooldown = 2 * time.Second
 	// most is how many lists may wait for the other side.
 	most = 64
 )
 
-// Word is what the process that watches tells the other: that its watch is open and, where List is not nil, what it was told.
-type Word struct {
+// Update is what the process that watches tells the other: that its watch is open and, where List is not nil, what it was told.
+type Update struct {
 	Source string       `json:"source"` // the name of what is watched
 	List   *member.List `json:"list,omitempty"`
 }
@@ -43,7 +43,7 @@
 	if now.Before(f.barred) {
 		return
 	}
-	f.source, f.until = source, now.Add(Fresh)
+	f.source, f.until = source, now.Add(FollowTimeout)
 }
 
 // follows reports whether to go by the other's watch of a source, and until when if nothing more is heard.
@@ -59,8 +59,8 @@
 }
 
 // lose: the other is silent, or what it said did not get through.
-func (f *follower) lose(now time.Time) { f.source, f.barred = "", now.Add(Again) }
+func (f *follower) lose(now time.Time) { f.source, f.barred = "", now.Add(FollowCooldown) }
 
 // news reports whether a list from the other is news to one that holds a generation: the other's watch may have begun before
 // what this one was told by its own. A whole list counts anew.
-func news(l *member.List, held uint64) bool { return l.Whole || l.Generation > held }
+func news(l *member.List, held uint64) bool { return l.Complete || l.Generation > held }
--- a/internal/sidecar/member/relay/relay.go
+++ b/internal/sidecar/member/relay/relay.go
@@ -16,19 +16,19 @@
 	changed chan struct{} // closed when what is below, or follow, has changed
 	came    []member.List // from the other process, in order
 	open    string        // the source of which a watch is open
-	leads   map[chan Word]struct{}
+	leads   map[chan Update]struct{}
 }
 
 // New makes the hub of a process that is alone.
-func New() *Hub { return &Hub{changed: make(chan struct{}), leads: map[chan Word]struct{}{}} }
+func New() *Hub { return &Hub{changed: make(chan struct{}), leads: map[chan Update]struct{}{}} }
 
 func (h *Hub) wake() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// Hear takes in a word of the next process.
-func (h *Hub) Hear(w Word) {
+// Receive takes in a word of the next process.
+func (h *Hub) Receive(w Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -52,17 +52,17 @@
 	}
 }
 
-// Leave: there is no next process any more.
-func (h *Hub) Leave() {
+// PeerGone: there is no next process any more.
+func (h *Hub) PeerGone() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.follow, h.came = follower{}, nil
 	h.wake()
 }
 
-// Lead tells the process before what this one's watch is told, until ctx ends or a word cannot be said. say may block.
-func (h *Hub) Lead(ctx context.Context, say func(Word) error) {
-	words := make(chan Word, most)
+// Publish tells the process before what this one's watch is told, until ctx ends or a word cannot be said. say may block.
+func (h *Hub) Publish(ctx context.Context, say func(Update) error) {
+	words := make(chan Update, most)
 	h.mu.Lock()
 	h.leads[words] = struct{}{}
 	h.mu.Unlock()
@@ -71,10 +71,10 @@
 		defer h.mu.Unlock()
 		delete(h.leads, words)
 	}()
-	tick := time.NewTicker(Every)
+	tick := time.NewTicker(HeartbeatInterval)
 	defer tick.Stop()
 	for {
-		var w Word
+		var w Update
 		select {
 		case <-ctx.Done():
 			return
@@ -100,7 +100,7 @@
 	h.open = source
 	for words := range h.leads {
 		select {
-		case words <- Word{source, &l}:
+		case words <- Update{source, &l}:
 		default:
 			close(words)
 			delete(h.leads, words)
@@ -108,8 +108,8 @@
 	}
 }
 
-// Opened is told by what watches that its watch of a source is open.
-func (h *Hub) Opened(source string) {
+// WatchOpened is told by what watches that its watch of a source is open.
+func (h *Hub) WatchOpened(source string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.open = source
@@ -166,7 +166,7 @@
 			if !follows {
 				break
 			}
-			s.hub.Opened(name)
+			s.hub.WatchOpened(name)
 			silent := time.NewTimer(time.Until(until))
 			select {
 			case <-ctx.Done():
--- a/internal/sidecar/member/relay/relay_test.go
+++ b/internal/sidecar/member/relay/relay_test.go
@@ -35,7 +35,7 @@
 	}
 	count(1)
 	defer count(-1)
-	s.hub.Opened("d")
+	s.hub.WatchOpened("d")
 	for {
 		select {
 		case <-ctx.Done():
@@ -64,7 +64,7 @@
 		}()
 		synctest.Wait()
 		d.told <- member.List{Generation: 9}
-		word := func(g uint64) { h.Hear(Word{"d", &member.List{Generation: g}}); synctest.Wait() }
+		word := func(g uint64) { h.Receive(Update{"d", &member.List{Generation: g}}); synctest.Wait() }
 		check := func(what string, watches int, want ...uint64) {
 			t.Helper()
 			synctest.Wait()
@@ -75,26 +75,26 @@
 			}
 		}
 		check("alone", 1, 9)
-		h.Hear(Word{Source: "another"})
+		h.Receive(Update{Source: "another"})
 		check("it watches another source", 1, 9)
-		h.Hear(Word{Source: "d"})
+		h.Receive(Update{Source: "d"})
 		check("its watch is open", 0, 9)
 		word(8)
 		word(9)
 		word(10)
 		check("by its words", 0, 9, 10)
-		time.Sleep(Fresh / 2)
-		h.Hear(Word{Source: "d"})
-		time.Sleep(Fresh - 1)
+		time.Sleep(FollowTimeout / 2)
+		h.Receive(Update{Source: "d"})
+		time.Sleep(FollowTimeout - 1)
 		check("just fresh", 0, 9, 10)
 		time.Sleep(1)
 		check("silent", 1, 9, 10)
 		word(11)
 		check("barred", 1, 9, 10)
-		time.Sleep(Again)
+		time.Sleep(FollowCooldown)
 		word(11)
 		check("heard again", 0, 9, 10, 11)
-		h.Leave()
+		h.PeerGone()
 		check("it has gone", 1, 9, 10, 11)
 		if !slices.Equal(d.asked, []uint64{7, 10, 11}) {
 			t.Errorf("asked for what came after %v", d.asked)
@@ -113,12 +113,12 @@
 		h := New()
 		d := &scripted{told: make(chan member.List), hub: h}
 		ctx, end := context.WithCancel(t.Context())
-		words, gone := make(chan Word), make(chan struct{})
+		words, gone := make(chan Update), make(chan struct{})
 		go func() {
-			h.Lead(ctx, func(w Word) error { words <- w; return nil })
+			h.Publish(ctx, func(w Update) error { words <- w; return nil })
 			close(gone)
 		}()
-		time.Sleep(3 * Every)
+		time.Sleep(3 * HeartbeatInterval)
 		select {
 		case w := <-words:
 			t.Fatalf("%v while nothing is watched", w)
--- a/internal/sidecar/message/message.go
+++ b/internal/sidecar/message/message.go
@@ -1,43 +1,44 @@
-// Package message is what clients and servers write to one another through a sidecar: a request as it goes on, a reply
-// as it comes back, and the bounds of both. Between front and servers' side it is carried and never looked into.
+// Package message defines the two messages that pass through a sidecar, a request on its way to a server and a server's reply, and the
+// limits on their sizes. The core carries them between the front and the servers' side and does not look into them.
 //
-// What is short is carried whole, as bytes. What is long is passed on as it comes, by whoever reads it at the pace of
-// whoever writes it, and nobody holds the whole of it.
+// A short body is buffered as bytes. A long body is streamed: it is read at the pace at which it is written, and no more than a few
+// chunks of it are in memory at a time. Package message parses nothing and opens no connection.
 package message
 
 import "io"
 
-// The bounds of one message, in bytes.
+// The limits of one message, in bytes.
 const (
-	// Short is how much of a body is carried whole.
-	Short = 64 << 10
-	// Long is the most that a body may have.
-	Long    = 40 << 20
+	// MaxBuffered is the largest body that is buffered completely before it is sent on. A longer one is streamed.
+	MaxBuffered = 64 << 10
+	// MaxBody is the largest body that is accepted at all.
+	MaxBody = 40 << 20
+	// MaxHead is the largest head: the first line and all header fields.
 	MaxHead = 32 << 10
 )
 
-// Request is a request as it goes on to a server.
+// Request is a client's request in the form in which it is sent to a server.
 type Request struct {
 	Method, Target string
 	Header         [][2]string // names and values, in order
 	Body           []byte
-	Rest           *Upload // what follows Body; nil: nothing does
+	Remainder      *Upload // the part of the body that follows Body and is streamed; nil: Body is the complete body
 }
 
-// Reply is a server's answer of success.
+// Reply is a server's successful response.
 type Reply struct {
-	Header map[string][]string // names in canonical form
-	Body   []byte
-	Rest   io.ReadCloser // what follows Body, and ends with io.EOF only where the reply is whole; nil: nothing does
-	Size   int64         // of the whole body, where there is a rest; -1: its end will tell
-	// Release gives the memory free that the reply was counted in; nil: in none.
+	Header    map[string][]string // names in canonical form
+	Body      []byte
+	Remainder io.ReadCloser // the part of the body that follows Body; io.EOF only at a complete end; nil: Body is the complete body
+	Size      int64         // of the complete body if there is a Remainder; -1: unknown
+	// Release frees the memory that the reply was counted in; nil: it was not counted.
 	Release func()
 }
 
-// Done is called by whoever has written the reply or drops it.
+// Done closes the remainder and frees the reply's memory. Whoever has written the reply, or discards it, calls it once.
 func (r *Reply) Done() {
-	if r.Rest != nil {
-		r.Rest.Close()
+	if r.Remainder != nil {
+		_ = r.Remainder.Close() // it is only read from: no data can be lost
 	}
 	if r.Release != nil {
 		r.Release()
--- a/internal/sidecar/message/upload.go
+++ b/internal/sidecar/message/upload.go
@@ -7,42 +7,43 @@
 	"sync/atomic"
 )
 
-// Upload is the rest of a body that is passed on as it comes: whoever has the client's connection pumps, and one exchange at a
-// time takes piece by piece. What one has not taken when it ends is there for the next; what has been taken is gone.
+// Upload is the part of a request body that is streamed. The goroutine that owns the client's connection runs Pump; one exchange with a
+// server at a time reads chunk by chunk with Next. A chunk that an exchange has not read when it ends is there for the next exchange; a
+// chunk that was read is not available again.
 type Upload struct {
-	Size int64 // of the whole body; -1: its end will tell
+	Size int64 // of the complete body; -1: unknown until its end
 
-	pieces chan piece
-	ended  chan struct{}
-	end    func()
-	over   error // the body's end, once it was taken; owned by the one who takes
-	taken  atomic.Bool
+	chunks    chan chunk
+	closed    chan struct{}
+	closeOnce func()
+	finalErr  error // the end of the body, once Next has returned it; owned by the goroutine that calls Next
+	consumed  atomic.Bool
 }
 
-type piece struct {
+type chunk struct {
 	data []byte
 	err  error
 }
 
-// pieceSize is how much of a body is held on its way, twice: one piece is read while another is written.
-const pieceSize = 16 << 10
+// chunkSize is the size of each of two buffers: one chunk is read from the client while another is written to the server.
+const chunkSize = 16 << 10
 
-// What Next reports beside the body's own errors.
+// Errors of Next that do not come from the body itself.
 var (
-	ErrStopped = errors.New("stopped before a piece came")
-	ErrClosed  = errors.New("the body is given up")
+	ErrStopped = errors.New("stopped before a chunk arrived")
+	ErrClosed  = errors.New("the upload was closed")
 )
 
-// NewUpload makes an upload; Pump fills it.
+// NewUpload returns an upload; Pump fills it.
 func NewUpload(size int64) *Upload {
-	u := &Upload{Size: size, pieces: make(chan piece), ended: make(chan struct{})}
-	u.end = sync.OnceFunc(func() { close(u.ended) })
+	u := &Upload{Size: size, chunks: make(chan chunk), closed: make(chan struct{})}
+	u.closeOnce = sync.OnceFunc(func() { close(u.closed) })
 	return u
 }
 
-// Pump hands on what r has until that ends, or until Close. r ends with io.EOF only where the body is whole.
+// Pump passes on what r yields until r ends or the upload is closed. r must return io.EOF only if the body is complete.
 func (u *Upload) Pump(r io.Reader) {
-	var buffers [2][pieceSize]byte
+	var buffers [2][chunkSize]byte
 	for i := 0; ; i++ {
 		buffer := buffers[i%2][:]
 		n, err := r.Read(buffer)
@@ -50,8 +51,8 @@
 			continue
 		}
 		select {
-		case u.pieces <- piece{buffer[:n], err}: // whoever takes this one has done with the one before
-		case <-u.ended:
+		case u.chunks <- chunk{buffer[:n], err}: // the receiver no longer uses the previous chunk, whose buffer is next
+		case <-u.closed:
 			return
 		}
 		if err != nil {
@@ -60,31 +61,32 @@
 	}
 }
 
-// Taken reports whether anything has been taken: then the body cannot be sent again.
-func (u *Upload) Taken() bool { return u.taken.Load() }
+// Consumed reports whether a chunk was read: then the body cannot be sent again. It is safe for concurrent use.
+func (u *Upload) Consumed() bool { return u.consumed.Load() }
 
-// Close ends the pump once its reader returns, and whoever waits for a piece. It may be called more than once.
-func (u *Upload) Close() { u.end() }
+// Close ends Next at once and Pump as soon as its reader returns. It may be called more than once and from any goroutine.
+func (u *Upload) Close() { u.closeOnce() }
 
-// Next takes the next piece, which is good until the call after this one. The body's end comes with the last piece or after
-// it, as io.EOF where it is whole.
+// Next returns the next chunk, which is valid until the following call. The end of the body comes with the last chunk or after it: io.EOF
+// if the body is complete, otherwise the reader's error. ErrStopped means that stop was closed and nothing was read, ErrClosed that the
+// upload was closed.
 func (u *Upload) Next(stop <-chan struct{}) ([]byte, error) {
-	if u.over != nil {
-		return nil, u.over
+	if u.finalErr != nil {
+		return nil, u.finalErr
 	}
 	select {
-	case <-stop: // before a piece that is there as well: it is for the next exchange
+	case <-stop: // checked first: a chunk that is available as well is left to the next exchange
 		return nil, ErrStopped
 	default:
 	}
 	select {
-	case p := <-u.pieces:
-		u.taken.Store(true)
-		u.over = p.err
-		return p.data, p.err
+	case next := <-u.chunks:
+		u.consumed.Store(true)
+		u.finalErr = next.err
+		return next.data, next.err
 	case <-stop:
 		return nil, ErrStopped
-	case <-u.ended:
+	case <-u.closed:
 		return nil, ErrClosed
 	}
 }
--- a/internal/sidecar/upstream/http1/answers.go
+++ b/internal/sidecar/upstream/http1/answers.go
@@ -87,14 +87,14 @@
 	if err != nil {
 		return a.broken(err), false
 	}
-	if resp.ContentLength > message.Long {
+	if resp.ContentLength > message.MaxBody {
 		return upstream.Outcome{Result: upstream.Failed, Err: errTooLong}, false
 	}
-	r = upstream.Outcome{Result: upstream.Failed, Report: parseReport(resp.Header.Get(loadHeader), fields)}
+	r = upstream.Outcome{Result: upstream.Failed, LoadReport: parseReport(resp.Header.Get(loadHeader), fields)}
 	if resp.StatusCode != http.StatusOK {
 		begun = nil // it is not passed on, and needs not be read to its end
 	}
-	h := &held{answers: a, room: account, most: message.Short, begun: begun, outcome: r, header: resp.Header, size: resp.ContentLength}
+	h := &held{answers: a, room: account, most: message.MaxBuffered, begun: begun, outcome: r, header: resp.Header, size: resp.ContentLength}
 	// The body is not closed: that would read it to its end.
 	if err := h.take(resp); err != nil {
 		h.drop(err)
@@ -109,7 +109,7 @@
 	case resp.StatusCode == http.StatusOK:
 		return h.whole(), keep
 	case (resp.StatusCode == 503 || resp.StatusCode == 504) && resp.Header.Get("X-Never-Ran") == "1":
-		r.Result, r.Err = upstream.TurnedAway, errors.New(resp.Status)
+		r.Result, r.Err = upstream.Rejected, errors.New(resp.Status)
 	default:
 		r.Err = errors.New(resp.Status)
 	}
--- a/internal/sidecar/upstream/http1/held.go
+++ b/internal/sidecar/upstream/http1/held.go
@@ -22,7 +22,7 @@
 )
 
 var (
-	errTooLong = fmt.Errorf("an answer over %d MiB", message.Long>>20)
+	errTooLong = fmt.Errorf("an answer over %d MiB", message.MaxBody>>20)
 	// errNoRoom is of answers that are not passed on, and those that nobody can take in pieces.
 	errNoRoom = errors.New("an answer that is long and not passed on")
 )
@@ -48,17 +48,17 @@
 // take reads the body to its end.
 func (h *held) take(resp *http.Response) error {
 	switch {
-	case h.begun == nil && h.size > message.Short:
+	case h.begun == nil && h.size > message.MaxBuffered:
 		return errNoRoom
 	case h.size > holdSize:
 		h.most = 0
-	case h.size > message.Short:
+	case h.size > message.MaxBuffered:
 		h.most = int(h.size)
 	}
-	h.answers.limit.N = message.Long + message.MaxHead // chunks have heads too
+	h.answers.limit.N = message.MaxBody + message.MaxHead // chunks have heads too
 	if h.begun == nil {
-		h.answers.limit.N = message.Short + message.MaxHead
-	} else if h.size > message.Short || h.size < 0 { // a short one may come late, but it is read whole
+		h.answers.limit.N = message.MaxBuffered + message.MaxHead
+	} else if h.size > message.MaxBuffered || h.size < 0 { // a short one may come late, but it is read whole
 		h.answers.from.late = h.begin
 		h.answers.from.SetReadDeadline(time.Now().Add(holdTime))
 		defer func() {
@@ -71,7 +71,7 @@
 	read := int64(0)
 	for {
 		n, err := resp.Body.Read(*buffer)
-		if read += int64(n); read > message.Long {
+		if read += int64(n); read > message.MaxBody {
 			return errTooLong
 		}
 		if n > 0 {
@@ -115,7 +115,7 @@
 		return true
 	}
 	want := int64(min(h.most, max(2*n, 4*freeSize)))
-	if h.size > message.Short {
+	if h.size > message.MaxBuffered {
 		want = h.size
 	}
 	if !h.room.TryAcquire(want - h.taken) {
@@ -143,7 +143,7 @@
 	var rest *io.PipeReader
 	rest, h.rest = io.Pipe()
 	out := h.outcome
-	out.Result, out.Reply = upstream.Served, message.Reply{Header: h.header, Body: h.body, Rest: rest, Size: h.size, Release: h.release()}
+	out.Result, out.Reply = upstream.Served, message.Reply{Header: h.header, Body: h.body, Remainder: rest, Size: h.size, Release: h.release()}
 	h.body = nil
 	h.begun(out)
 }
--- a/internal/sidecar/upstream/http1/pass.go
+++ b/internal/sidecar/upstream/http1/pass.go
@@ -26,13 +26,13 @@
 // pass carries out a call whose body is passed on as it comes. The answer is read at the same time: a server may give one
 // before it has the body, and then the rest of that is of no use.
 func (u *Pool) pass(cn *conn, c *upstream.Call) (r upstream.Outcome, keep, broke bool) {
-	p := &passing{cn: cn, call: c, unchunked: c.Message.Rest.Size >= 0}
+	p := &passing{cn: cn, call: c, unchunked: c.Message.Remainder.Size >= 0}
 	ended, stop := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
 		if p.run(stop); p.whole {
-			if c.Written != nil {
-				c.Written()
+			if c.OnRequestWritten != nil {
+				c.OnRequestWritten()
 			}
 		} else if p.client != nil { // nothing more comes of it, and the server must not wait for it
 			cn.Close()
@@ -40,7 +40,7 @@
 	}()
 	in := newAnswers(cn)
 	defer in.free()
-	r, keep = in.read(c.Message.Method, u.Fields, u.Room, c.Begun)
+	r, keep = in.read(c.Message.Method, u.LoadReportFields, u.ResponseBudget, c.OnReplyStarted)
 	close(stop)
 	p.over.Store(true) // a server that has answered need not read on
 	cn.SetWriteDeadline(time.Unix(1, 0))
@@ -52,9 +52,9 @@
 	// A server begins with the last byte, which it never had.
 	switch {
 	case p.client != nil:
-		return upstream.Outcome{Result: upstream.Moot, Err: fmt.Errorf("the client: %w", p.client)}, false, false
-	case cn.used && !c.Message.Rest.Taken():
-		return upstream.Outcome{Result: upstream.Moot, Err: r.Err}, false, true
+		return upstream.Outcome{Result: upstream.NotSent, Err: fmt.Errorf("the client: %w", p.client)}, false, false
+	case cn.used && !c.Message.Remainder.Consumed():
+		return upstream.Outcome{Result: upstream.NotSent, Err: r.Err}, false, true
 	}
 	return upstream.Outcome{Result: upstream.ConnectFailed, Err: errors.Join(r.Err, p.server)}, false, true
 }
@@ -69,9 +69,9 @@
 	if !p.write(encode(&c.Message, p.cn.addr, wait)) {
 		return
 	}
-	left := c.Message.Rest.Size - int64(len(c.Message.Body)) // where there is a size
+	left := c.Message.Remainder.Size - int64(len(c.Message.Body)) // where there is a size
 	for {
-		text, err := c.Message.Rest.Next(stop)
+		text, err := c.Message.Remainder.Next(stop)
 		n := len(text)
 		if n > 0 {
 			if !p.unchunked {
--- a/internal/sidecar/upstream/http1/pass_test.go
+++ b/internal/sidecar/upstream/http1/pass_test.go
@@ -43,8 +43,8 @@
 func upload(c *client) (call *upstream.Call, written chan struct{}) {
 	written = make(chan struct{}, 1)
 	call = &upstream.Call{
-		Message: message.Request{Method: "POST", Target: "/once", Body: []byte("head,"), Rest: c.rest},
-		Wait:    time.Second, Written: func() { written <- struct{}{} },
+		Message: message.Request{Method: "POST", Target: "/once", Body: []byte("head,"), Remainder: c.rest},
+		Wait:    time.Second, OnRequestWritten: func() { written <- struct{}{} },
 	}
 	return call, written
 }
@@ -76,8 +76,8 @@
 			}()
 			r := send(e, call)
 			peertest.Wait(t, written)
-			if r.Result != upstream.Served || !c.rest.Taken() || peertest.Wait(t, got) != "head,"+rest {
-				t.Fatalf("%s: %v (%v), spent %v", name, r.Result, r.Err, c.rest.Taken())
+			if r.Result != upstream.Served || !c.rest.Consumed() || peertest.Wait(t, got) != "head,"+rest {
+				t.Fatalf("%s: %v (%v), spent %v", name, r.Result, r.Err, c.rest.Consumed())
 			}
 		}
 		if n := p.Conns.Load(); n != 1 {
@@ -119,11 +119,11 @@
 		"the server goes at its end":       {readAll, func(c *client) { io.WriteString(c, "01234"); c.Close() }, upstream.Reset, true},
 		"the server goes before":           {after(7, func(c net.Conn) { sock.Abort(c) }), func(c *client) { io.WriteString(c, "01") }, upstream.ConnectFailed, true},
 		"the server goes before any of it": {after(0, func(c net.Conn) { sock.Abort(c) }), func(c *client) {}, upstream.ConnectFailed, false},
-		"the server is full":               {after(7, says("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")), func(c *client) { io.WriteString(c, "01") }, upstream.TurnedAway, true},
-		"the server is full at once":       {after(0, says("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")), func(c *client) {}, upstream.TurnedAway, false},
+		"the server is full":               {after(7, says("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")), func(c *client) { io.WriteString(c, "01") }, upstream.Rejected, true},
+		"the server is full at once":       {after(0, says("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")), func(c *client) {}, upstream.Rejected, false},
 		"the server fails early":           {after(5, says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")), func(c *client) {}, upstream.Failed, false},
-		"the client goes a byte before":    {readAll, func(c *client) { io.WriteString(c, "0123"); c.CloseWithError(io.ErrUnexpectedEOF) }, upstream.Moot, true},
-		"the client goes":                  {readAll, func(c *client) { c.CloseWithError(io.ErrUnexpectedEOF) }, upstream.Moot, true},
+		"the client goes a byte before":    {readAll, func(c *client) { io.WriteString(c, "0123"); c.CloseWithError(io.ErrUnexpectedEOF) }, upstream.NotSent, true},
+		"the client goes":                  {readAll, func(c *client) { c.CloseWithError(io.ErrUnexpectedEOF) }, upstream.NotSent, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := testPool(9)
@@ -131,8 +131,8 @@
 			call, written := upload(cl)
 			go c.client(cl)
 			r := send(u.at(server(t, c.server)), call)
-			if r.Result != c.want || cl.rest.Taken() != c.spent {
-				t.Errorf("%v (%v), spent %v; want %v, %v", r.Result, r.Err, cl.rest.Taken(), c.want, c.spent)
+			if r.Result != c.want || cl.rest.Consumed() != c.spent {
+				t.Errorf("%v (%v), spent %v; want %v, %v", r.Result, r.Err, cl.rest.Consumed(), c.want, c.spent)
 			}
 			if whole := len(written) == 1; whole == r.Result.NeverRan() && r.Result != upstream.Failed {
 				t.Errorf("%v, and written %v", r.Result, whole)
@@ -161,19 +161,19 @@
 			time.Sleep(time.Second) // all that is on its way to it is stuck
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 		}()
-		u := New(Settings{Most: 9, Within: time.Second, Idle: time.Second, Room: membudget.New(0)}, n.Dial)
+		u := New(Settings{MaxConnections: 9, ConnectTimeout: time.Second, IdleTimeout: time.Second, ResponseBudget: membudget.New(0)}, n.Dial)
 		rest := message.NewUpload(1 << 30)
 		go rest.Pump(neverEnding{})
 		defer rest.Close()
 		call := func() *upstream.Call {
-			return &upstream.Call{Message: message.Request{Method: "POST", Target: "/once", Rest: rest}, Wait: time.Second}
+			return &upstream.Call{Message: message.Request{Method: "POST", Target: "/once", Remainder: rest}, Wait: time.Second}
 		}
 		began := time.Now()
-		if r := u.at("127.0.0.1:80").Send(t.Context(), call()); r.Result != upstream.TurnedAway || time.Since(began) > 2*time.Second {
+		if r := u.at("127.0.0.1:80").Send(t.Context(), call()); r.Result != upstream.Rejected || time.Since(began) > 2*time.Second {
 			t.Errorf("%v (%v) after %v", r.Result, r.Err, time.Since(began))
 		}
 		go ln.Accept()
-		if r := u.at("127.0.0.1:80").Send(t.Context(), call()); r.Result != upstream.Moot {
+		if r := u.at("127.0.0.1:80").Send(t.Context(), call()); r.Result != upstream.NotSent {
 			t.Errorf("half a body is sent: %v", r.Result)
 		}
 	})
@@ -238,11 +238,11 @@
 		u := testPool(9)
 		call := look()
 		began, ended := make(chan upstream.Outcome, 1), make(chan upstream.Outcome, 1)
-		call.Begun = func(out upstream.Outcome) { began <- out }
+		call.OnReplyStarted = func(out upstream.Outcome) { began <- out }
 		go func() { ended <- u.at(addr).Send(context.Background(), call) }()
 		out := peertest.Wait(t, began) // although the server waits for us
 		close(more)
-		n, err := io.Copy(io.Discard, out.Reply.Rest)
+		n, err := io.Copy(io.Discard, out.Reply.Remainder)
 		if whole := int(n) + len(out.Reply.Body); err != nil || whole != 2_000_000 {
 			t.Errorf("%s: %d bytes, %v", name, whole, err)
 		}
@@ -279,7 +279,7 @@
 	})
 	call := look()
 	began := make(chan upstream.Outcome, 1)
-	call.Begun = func(out upstream.Outcome) { began <- out }
+	call.OnReplyStarted = func(out upstream.Outcome) { began <- out }
 	go u.at(addr).Send(context.Background(), call)
 	out := peertest.Wait(t, began)
 	out.Reply.Done()
--- a/internal/sidecar/upstream/http1/pool.go
+++ b/internal/sidecar/upstream/http1/pool.go
@@ -32,13 +32,13 @@
 
 // Settings are what the deployment says of connections to servers.
 type Settings struct {
-	Most   int               // connections at once
-	Within time.Duration     // the longest that one may take to come up
-	Idle   time.Duration     // ... that one is kept while it carries nothing
-	Grace  time.Duration     // for which something may still go to a server after it was told to take nothing
-	Room   *membudget.Budget // the account of answers that are held back
-	Fields []string          // of load reports, in the order of a report's figures
-	Probe  string            // path of a probe
+	MaxConnections   int               // connections at once
+	ConnectTimeout   time.Duration     // the longest that one may take to come up
+	IdleTimeout      time.Duration     // ... that one is kept while it carries nothing
+	DrainGrace       time.Duration     // for which something may still go to a server after it was told to take nothing
+	ResponseBudget   *membudget.Budget // the account of answers that are held back
+	LoadReportFields []string          // of load reports, in the order of a report's figures
+	HealthCheckPath  string            // path of a probe
 }
 
 // Dial opens a connection, as net.Dialer.DialContext does.
@@ -90,15 +90,15 @@
 	return u.opened
 }
 
-// SetMost bounds the connections anew. Those above it stay until they end.
-func (u *Pool) SetMost(n int) {
+// SetMaxConnections bounds the connections anew. Those above it stay until they end.
+func (u *Pool) SetMaxConnections(n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.Most = n
+	u.MaxConnections = n
 }
 
-// Endpoint makes an endpoint, which takes requests once Turn has told where it is.
-func (u *Pool) Endpoint() upstream.Endpoint { return &endpoint{u: u} }
+// NewEndpoint makes an endpoint, which takes requests once Turn has told where it is.
+func (u *Pool) NewEndpoint() upstream.Endpoint { return &endpoint{u: u} }
 
 // CloseIdle closes the connections that carry nothing.
 func (e *endpoint) CloseIdle() { e.u.closeIdle(e) }
@@ -108,9 +108,9 @@
 	return e.u.send(ctx, e, c)
 }
 
-// Turn tells an endpoint where it listens and whether it takes requests. Idle connections that are of no more use
+// Update tells an endpoint where it listens and whether it takes requests. Idle connections that are of no more use
 // are closed.
-func (e *endpoint) Turn(addr string, takes bool) {
+func (e *endpoint) Update(addr string, takes bool) {
 	u := e.u
 	if takes {
 		e.offSince.Store(0)
@@ -148,21 +148,21 @@
 func (u *Pool) send(ctx context.Context, e *endpoint, c *upstream.Call) upstream.Outcome {
 	cn, err := u.connect(ctx, e)
 	if errors.Is(err, errBusy) {
-		return upstream.Outcome{Result: upstream.Moot, Err: err}
+		return upstream.Outcome{Result: upstream.NotSent, Err: err}
 	}
 	if err != nil {
 		return upstream.Outcome{Result: upstream.ConnectFailed, Err: err}
 	}
 	// A connection may take long to come up: meanwhile the client may have gone, the server may have begun to drain, the
 	// request's time or the time in which its key is known may have passed. Nothing was sent yet, so nothing ran.
-	if c.Gone != nil && c.Gone() {
+	if c.ClientGone != nil && c.ClientGone() {
 		u.park(cn)
-		return upstream.Outcome{Result: upstream.Moot, Err: upstream.ErrGone}
+		return upstream.Outcome{Result: upstream.NotSent, Err: upstream.ErrClientGone}
 	}
 	now := time.Now()
-	if e.over(now) || !c.Begin.IsZero() && !now.Before(c.Begin) || !c.Expires.IsZero() && !now.Before(c.Expires) || !c.Claim() {
+	if e.over(now) || !c.SendBefore.IsZero() && !now.Before(c.SendBefore) || !c.Expires.IsZero() && !now.Before(c.Expires) || !c.Claim() {
 		u.park(cn)
-		return upstream.Outcome{Result: upstream.Moot, Err: errors.New("too late to begin")}
+		return upstream.Outcome{Result: upstream.NotSent, Err: errors.New("too late to begin")}
 	}
 	giveUp := context.AfterFunc(ctx, func() { cn.Close() })
 	age := reuse.Fresh
@@ -172,7 +172,7 @@
 	r, keep, broke := u.exchange(cn, c, now)
 	if ctx.Err() == nil {
 		u.mu.Lock()
-		u.ages.Ended(now, age, broke)
+		u.ages.Record(now, age, broke)
 		u.mu.Unlock()
 	}
 	if giveUp() && keep {
@@ -189,14 +189,14 @@
 // over reports whether the grace is over, with a tenth of it left for the first byte to leave.
 func (e *endpoint) over(now time.Time) bool {
 	off := e.offSince.Load()
-	return off > 0 && now.Sub(e.u.epoch) >= time.Duration(off)+e.u.Grace*9/10
+	return off > 0 && now.Sub(e.u.epoch) >= time.Duration(off)+e.u.DrainGrace*9/10
 }
 
 // exchange writes the request and reads the answer, and says whether the connection can be used again, and whether it broke.
 func (u *Pool) exchange(cn *conn, c *upstream.Call, now time.Time) (r upstream.Outcome, keep, broke bool) {
-	if c.Message.Rest != nil {
-		if c.Message.Rest.Taken() { // half of it is gone: what is left is another request
-			return upstream.Outcome{Result: upstream.Moot, Err: errors.New("the body is gone")}, true, false
+	if c.Message.Remainder != nil {
+		if c.Message.Remainder.Consumed() { // half of it is gone: what is left is another request
+			return upstream.Outcome{Result: upstream.NotSent, Err: errors.New("the body is gone")}, true, false
 		}
 		return u.pass(cn, c)
 	}
@@ -207,7 +207,7 @@
 		case n == len(text):
 			return upstream.Outcome{Result: upstream.Reset, Err: err}, false, true
 		case cn.used: // the server closed it just now: that says nothing of whether it can be reached
-			return upstream.Outcome{Result: upstream.Moot, Err: err}, false, true
+			return upstream.Outcome{Result: upstream.NotSent, Err: err}, false, true
 		default: // the server begins with the last byte
 			return upstream.Outcome{Result: upstream.ConnectFailed, Err: err}, false, true
 		}
@@ -215,7 +215,7 @@
 	// The reader starts empty: connect has seen that nothing had come before the request left.
 	in := newAnswers(cn)
 	defer in.free()
-	r, keep = in.read(c.Message.Method, u.Fields, u.Room, c.Begun)
+	r, keep = in.read(c.Message.Method, u.LoadReportFields, u.ResponseBudget, c.OnReplyStarted)
 	return r, keep && in.Buffered() == 0, r.Result == upstream.Reset
 }
 
@@ -239,7 +239,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
-	return now.Sub(c.last) > u.ages.Most(now)
+	return now.Sub(c.last) > u.ages.MaxIdle(now)
 }
 
 // take takes an idle connection out of the pool.
@@ -269,7 +269,7 @@
 	u.mu.Lock()
 	addr := e.addr
 	var spare *conn
-	if u.opened >= u.Most {
+	if u.opened >= u.MaxConnections {
 		for other := range u.all {
 			if spare == nil || other.idle[0].last.Before(spare.last) {
 				spare = other.idle[0]
@@ -288,7 +288,7 @@
 	if spare != nil {
 		u.drop(spare)
 	}
-	ctx, cancel := context.WithTimeout(ctx, u.Within)
+	ctx, cancel := context.WithTimeout(ctx, u.ConnectTimeout)
 	defer cancel()
 	nc, err := u.dial(ctx, "tcp", addr)
 	if err != nil {
@@ -324,9 +324,9 @@
 	c.to.idle = append(c.to.idle, c)
 	u.all[c.to] = struct{}{}
 	if c.timer == nil {
-		c.timer = time.AfterFunc(u.Idle, func() { u.expire(c) })
+		c.timer = time.AfterFunc(u.IdleTimeout, func() { u.expire(c) })
 	} else {
-		c.timer.Reset(u.Idle)
+		c.timer.Reset(u.IdleTimeout)
 	}
 }
 
@@ -334,7 +334,7 @@
 func (u *Pool) expire(c *conn) {
 	u.mu.Lock()
 	i := slices.Index(c.to.idle, c)
-	if i < 0 || time.Since(c.last) < u.Idle {
+	if i < 0 || time.Since(c.last) < u.IdleTimeout {
 		u.mu.Unlock()
 		return
 	}
@@ -343,15 +343,15 @@
 	u.drop(c)
 }
 
-// Probe asks a server how it is.
-func (e *endpoint) Probe(ctx context.Context) upstream.Outcome {
+// CheckHealth asks a server how it is.
+func (e *endpoint) CheckHealth(ctx context.Context) upstream.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	r := e.Send(ctx, &upstream.Call{
-		Message: message.Request{Method: http.MethodGet, Target: e.u.Settings.Probe}, Expires: time.Now().Add(probeTimeout),
+		Message: message.Request{Method: http.MethodGet, Target: e.u.Settings.HealthCheckPath}, Expires: time.Now().Add(probeTimeout),
 	})
-	if r.Result == upstream.Served && len(r.Report) == 0 {
-		r.Report = parseReport(string(r.Reply.Body), e.u.Fields)
+	if r.Result == upstream.Served && len(r.LoadReport) == 0 {
+		r.LoadReport = parseReport(string(r.Reply.Body), e.u.LoadReportFields)
 	}
 	r.Reply.Done()
 	return r
@@ -384,14 +384,14 @@
 		fmt.Fprintf(&b, "%s: %s\r\n", h[0], h[1])
 	}
 	switch {
-	case m.Rest != nil && m.Rest.Size < 0:
+	case m.Remainder != nil && m.Remainder.Size < 0:
 		b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
 		if len(m.Body) > 0 {
 			b.Write(chunk(m.Body))
 		}
 		return b.Bytes()
-	case m.Rest != nil:
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", m.Rest.Size)
+	case m.Remainder != nil:
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", m.Remainder.Size)
 	case len(m.Body) > 0 || m.Method != http.MethodGet:
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(m.Body))
 	}
--- a/internal/sidecar/upstream/http1/pool_test.go
+++ b/internal/sidecar/upstream/http1/pool_test.go
@@ -18,8 +18,8 @@
 
 func testPool(most int) *Pool {
 	return New(Settings{
-		Most: most, Within: 5 * time.Second, Idle: 8 * time.Second, Grace: 250 * time.Millisecond,
-		Fields: []string{"busy", "rate"}, Probe: "/_load", Room: membudget.New(0),
+		MaxConnections: most, ConnectTimeout: 5 * time.Second, IdleTimeout: 8 * time.Second, DrainGrace: 250 * time.Millisecond,
+		LoadReportFields: []string{"busy", "rate"}, HealthCheckPath: "/_load", ResponseBudget: membudget.New(0),
 	}, (&net.Dialer{}).DialContext)
 }
 
@@ -49,8 +49,8 @@
 		"served, then closed": {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", upstream.Served, false},
 		"bytes left over":     {peertest.OKAnswer + "HTTP", upstream.Served, false},
 		"error":               {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
-		"turned away":         {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.TurnedAway, true},
-		"over already":        {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.TurnedAway, true},
+		"turned away":         {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Rejected, true},
+		"over already":        {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Rejected, true},
 		"503 without a word":  {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
 		"500 with the word":   {"HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
 		"not an answer":       {"\x16\x03\x01nonsense\r\n\r\n", upstream.Failed, false},
@@ -102,8 +102,8 @@
 // A dial takes time: what became too late meanwhile must not leave, and has not run.
 func TestTooLateToBegin(t *testing.T) {
 	for name, spoil := range map[string]func(*endpoint, *upstream.Call){
-		"the grace is over":      func(e *endpoint, c *upstream.Call) { e.offSince.Store(int64(time.Since(e.u.epoch) - e.u.Grace)) },
-		"the key's time is over": func(_ *endpoint, c *upstream.Call) { c.Begin = time.Now() },
+		"the grace is over":      func(e *endpoint, c *upstream.Call) { e.offSince.Store(int64(time.Since(e.u.epoch) - e.u.DrainGrace)) },
+		"the key's time is over": func(_ *endpoint, c *upstream.Call) { c.SendBefore = time.Now() },
 		"the client's is":        func(_ *endpoint, c *upstream.Call) { c.Expires = time.Now() },
 		"it was given up":        func(_ *endpoint, c *upstream.Call) { c.Claim() },
 	} {
@@ -112,7 +112,7 @@
 		e, c := u.at(p.Addr), look()
 		u.epoch = u.epoch.Add(-time.Minute)
 		spoil(e, c)
-		if r := e.Send(context.Background(), c); r.Result != upstream.Moot {
+		if r := e.Send(context.Background(), c); r.Result != upstream.NotSent {
 			t.Errorf("%s: result %v", name, r.Result)
 		}
 		if p.Requests.Load() != 0 {
@@ -142,7 +142,7 @@
 func TestIdleConnectionsAreClosedByUs(t *testing.T) {
 	p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
 	u := testPool(9)
-	u.Idle = 10 * time.Millisecond
+	u.IdleTimeout = 10 * time.Millisecond
 	u.at(p.Addr).Send(context.Background(), look())
 	peertest.Wait(t, p.Ended)
 	peertest.Eventually(t, "the place is given back", func() bool { return u.held() == 0 })
@@ -247,7 +247,7 @@
 	go func() { done <- second.Send(ctx, look()) }()
 	peertest.Wait(t, got)     // it took the place ...
 	peertest.Wait(t, p.Ended) // ... of the idle one
-	if r := first.Send(context.Background(), look()); r.Result != upstream.Moot {
+	if r := first.Send(context.Background(), look()); r.Result != upstream.NotSent {
 		t.Errorf("result %v", r.Result)
 	}
 	cancel()
@@ -274,14 +274,14 @@
 	first, second := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer)), peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
 	u := testPool(9)
 	e := u.at("")
-	e.Turn(first.Addr, true)
+	e.Update(first.Addr, true)
 	e.Send(context.Background(), look())
-	e.Turn(second.Addr, true)
+	e.Update(second.Addr, true)
 	peertest.Wait(t, first.Ended)
 	if r := e.Send(context.Background(), look()); r.Result != upstream.Served || second.Requests.Load() != 1 {
 		t.Errorf("result %v, %d requests", r.Result, second.Requests.Load())
 	}
-	e.Turn("", false)
+	e.Update("", false)
 	peertest.Wait(t, second.Ended)
 	peertest.Eventually(t, "all are closed", func() bool { return u.held() == 0 })
 }
@@ -295,8 +295,8 @@
 		return true
 	})
 	u := testPool(9)
-	r := u.at(p.Addr).Probe(context.Background())
-	if path := peertest.Wait(t, paths); path != "/_load" || r.Result != upstream.Served || len(r.Report) != 2 || r.Report[0] != 0.25 {
+	r := u.at(p.Addr).CheckHealth(context.Background())
+	if path := peertest.Wait(t, paths); path != "/_load" || r.Result != upstream.Served || len(r.LoadReport) != 2 || r.LoadReport[0] != 0.25 {
 		t.Errorf("%s: %+v", path, r)
 	}
 }
--- a/internal/sidecar/upstream/http1/room_test.go
+++ b/internal/sidecar/upstream/http1/room_test.go
@@ -36,9 +36,9 @@
 			held bool
 		}{
 			{freeSize, 1, true}, // counts as none
-			{message.Short, message.Short, true},
-			{message.Short, freeSize, false},
-			{message.Short + 1, holdSize, !chunked},
+			{message.MaxBuffered, message.MaxBuffered, true},
+			{message.MaxBuffered, freeSize, false},
+			{message.MaxBuffered + 1, holdSize, !chunked},
 			{400_000, holdSize, !chunked},
 			{holdSize, holdSize, !chunked},
 			{holdSize + 1, 0, false},
@@ -49,7 +49,7 @@
 			t.Run(fmt.Sprint(c.size, " in ", c.room, " chunked ", chunked), func(t *testing.T) {
 				p := peertest.NewPeer(t, peertest.Says(large(c.size, chunked)))
 				u := testPool(9)
-				u.Room = membudget.New(c.room)
+				u.ResponseBudget = membudget.New(c.room)
 				e := u.at(p.Addr)
 				for range 3 {
 					asked := time.Now()
@@ -61,12 +61,12 @@
 					if got.err != nil || got.Result != upstream.Served || got.size != c.size || got.begun == c.held {
 						t.Fatalf("%v (%v), %d bytes, begun %v, rest %v", got.Result, got.Err, got.size, got.begun, got.err)
 					}
-					if held := u.Room.Reserved(); c.held && c.size > message.Short && held < int64(c.size) {
+					if held := u.ResponseBudget.Reserved(); c.held && c.size > message.MaxBuffered && held < int64(c.size) {
 						t.Errorf("%d bytes are held", held)
 					}
 					got.Reply.Done()
 					got.Reply.Done() // gives back once
-					if held := u.Room.Reserved(); held != 0 {
+					if held := u.ResponseBudget.Reserved(); held != 0 {
 						t.Fatalf("%d bytes are still held", held)
 					}
 				}
@@ -90,7 +90,7 @@
 // send carries out a call as the core does, and reads its answer to the end.
 func send(e upstream.Endpoint, c *upstream.Call) (g got) {
 	began, ended := make(chan upstream.Outcome, 1), make(chan upstream.Outcome, 1)
-	c.Begun = func(out upstream.Outcome) { began <- out }
+	c.OnReplyStarted = func(out upstream.Outcome) { began <- out }
 	go func() { ended <- e.Send(context.Background(), c) }()
 	select {
 	case g.Outcome = <-began:
@@ -100,7 +100,7 @@
 	}
 	g.size = len(g.Reply.Body)
 	if g.begun {
-		n, err := io.Copy(io.Discard, g.Reply.Rest)
+		n, err := io.Copy(io.Discard, g.Reply.Remainder)
 		g.size, g.err = g.size+int(n), err
 		g.ended = <-ended
 	}
@@ -126,8 +126,8 @@
 		u := testPool(9)
 		r := send(u.at(p.Addr), look())
 		r.Reply.Done()
-		if r.ended.Result != c.want || r.begun && r.err == nil || u.Room.Reserved() != 0 {
-			t.Errorf("%s: %v (%v), rest %v, %d bytes are held", name, r.ended.Result, r.ended.Err, r.err, u.Room.Reserved())
+		if r.ended.Result != c.want || r.begun && r.err == nil || u.ResponseBudget.Reserved() != 0 {
+			t.Errorf("%s: %v (%v), rest %v, %d bytes are held", name, r.ended.Result, r.ended.Err, r.err, u.ResponseBudget.Reserved())
 		}
 	}
 }
--- a/internal/sidecar/upstream/http1/stale_test.go
+++ b/internal/sidecar/upstream/http1/stale_test.go
@@ -38,7 +38,7 @@
 		}
 		u.mu.Lock()
 		e.idle[0].last = e.idle[0].last.Add(-20 * time.Second) // no test waits so long
-		bound := u.ages.Most(time.Now())
+		bound := u.ages.MaxIdle(time.Now())
 		u.mu.Unlock()
 		if bound < 20*time.Second {
 			break
--- a/internal/sidecar/upstream/reuse/reuse.go
+++ b/internal/sidecar/upstream/reuse/reuse.go
@@ -27,8 +27,8 @@
 	sure = 3
 )
 
-// Forever is no bound.
-const Forever = time.Duration(math.MaxInt64)
+// Unlimited is no bound.
+const Unlimited = time.Duration(math.MaxInt64)
 
 // Fresh is the age of a connection that carries its first request.
 const Fresh = time.Duration(-1)
@@ -50,9 +50,9 @@
 	}
 }
 
-// Ended takes in an exchange on a connection that had been idle for age: whether the connection broke under it. Exchanges
+// Record takes in an exchange on a connection that had been idle for age: whether the connection broke under it. Exchanges
 // that were given up tell nothing and are left out.
-func (a *Ages) Ended(now time.Time, age time.Duration, broke bool) {
+func (a *Ages) Record(now time.Time, age time.Duration, broke bool) {
 	a.fade(now)
 	if age < 0 {
 		a.fresh.add(broke)
@@ -61,8 +61,8 @@
 	}
 }
 
-// Most is the longest that a connection may have been idle to be used now.
-func (a *Ages) Most(now time.Time) time.Duration {
+// MaxIdle is the longest that a connection may have been idle to be used now.
+func (a *Ages) MaxIdle(now time.Time) time.Duration {
 	a.fade(now)
 	younger := a.fresh
 	for c := range a.idle {
@@ -75,7 +75,7 @@
 		younger.used += t.used
 		younger.broke += t.broke
 	}
-	return Forever
+	return Unlimited
 }
 
 // cell is where an age is counted: below first, below twice that, and so on.
--- a/internal/sidecar/upstream/reuse/reuse_test.go
+++ b/internal/sidecar/upstream/reuse/reuse_test.go
@@ -25,12 +25,12 @@
 	for range n {
 		r.now = r.now.Add(10 * time.Millisecond)
 		age := time.Duration(r.rnd.ExpFloat64() * float64(mean))
-		if age > r.Most(r.now) {
+		if age > r.MaxIdle(r.now) {
 			age = Fresh
 			old++
 		}
 		b := r.rnd.Float64() < chance(age)
-		r.Ended(r.now, age, b)
+		r.Record(r.now, age, b)
 		if b {
 			broke++
 		}
@@ -50,7 +50,7 @@
 				return always
 			}
 			r.uses(1000, 2*closed, chance)
-			if most := r.Most(r.now); most > 2*closed || most < closed/4 {
+			if most := r.MaxIdle(r.now); most > 2*closed || most < closed/4 {
 				t.Errorf("closed after %v, %.1f break always: the bound is %v", closed, always, most)
 			}
 			_, broke := r.uses(1000, 2*closed, chance)
@@ -74,7 +74,7 @@
 // A trouble that has gone is forgotten: connections are kept again within a few half-lives.
 func TestABoundIsTriedAgain(t *testing.T) {
 	r := newRig()
-	if r.Most(r.now) != Forever {
+	if r.MaxIdle(r.now) != Unlimited {
 		t.Error("a bound though nothing was seen")
 	}
 	r.uses(2000, 200*time.Millisecond, func(age time.Duration) float64 {
@@ -83,11 +83,11 @@
 		}
 		return 0
 	})
-	if most := r.Most(r.now); most > 50*time.Millisecond {
+	if most := r.MaxIdle(r.now); most > 50*time.Millisecond {
 		t.Fatalf("the bound is %v", most)
 	}
 	r.uses(100*60, 200*time.Millisecond, func(time.Duration) float64 { return 0 })
-	if most := r.Most(r.now); most < time.Second {
+	if most := r.MaxIdle(r.now); most < time.Second {
 		t.Errorf("a minute later the bound is %v", most)
 	}
 }
@@ -101,10 +101,10 @@
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "passed")))
 			age := time.Duration(rapid.Int64Range(-1, int64(time.Hour)).Draw(t, "age"))
 			broke := rapid.Bool().Draw(t, "broke")
-			if a.Ended(now, age, broke); broke {
+			if a.Record(now, age, broke); broke {
 				oldest = max(oldest, age)
 			}
-			if most := a.Most(now); most < first || most != Forever && most > oldest {
+			if most := a.MaxIdle(now); most < first || most != Unlimited && most > oldest {
 				t.Fatalf("the bound is %v, the oldest that broke was idle for %v", most, oldest)
 			}
 		}
@@ -118,6 +118,6 @@
 	r := newRig()
 	r.uses(1000, 200*time.Millisecond, func(time.Duration) float64 { return 0.1 })
 	for b.Loop() {
-		r.Most(r.now)
+		r.MaxIdle(r.now)
 	}
 }
--- a/internal/sidecar/upstream/upstream.go
+++ b/internal/sidecar/upstream/upstream.go
@@ -1,11 +1,13 @@
-// Package upstream is the seam between the core and the servers' side: one exchange on one connection, one outcome, and
-// a certain answer to 'has it run?'. What carries it out neither chooses a server nor tries anything again.
+// Package upstream is the interface between the core and the code that talks to servers: one exchange on one connection, with one
+// outcome and a reliable answer to the question whether the server executed the request. An implementation neither chooses a server nor
+// retries.
 //
-// A long request is passed on as it comes from its client, and a long answer as it comes from the server: that one has
-// begun is told when it has, and from then on it is the client's.
+// A long request is streamed from the client to the server, and a long reply from the server to the client. Call.OnReplyStarted reports
+// that a streamed reply has begun; from then on it belongs to the client.
 //
-// Invariants: Send returns exactly once for each call, and tells of a beginning at most once and before that. What Call.Claim has been won for by somebody else never leaves.
-// A result whose NeverRan is true proves that the server did not execute the call; in doubt it is another result.
+// Invariants: Send returns exactly once for each call, and calls OnReplyStarted at most once, before it returns. Nothing is sent of a
+// call whose Claim somebody else has won. A result whose NeverRan is true proves that the server did not execute the call; if that is
+// in doubt, the result is another one.
 package upstream
 
 import (
@@ -22,20 +24,20 @@
 
 // The results.
 const (
-	Served        Result = iota // a whole answer of success
-	Failed                      // an error, or an answer that makes no sense: it may have run
-	TurnedAway                  // the server's word that it did not run
-	TimedOut                    // no answer in time: it may have run, or may yet
-	ConnectFailed               // no connection, or it broke before the last byte of the request had left
-	Reset                       // the connection broke or ended after that: it may have run
-	Cancelled                   // given up on our side: it may have run
-	Moot                        // never sent, for a reason on our side that says nothing of the server
+	Served        Result = iota // a complete successful response
+	Failed                      // an error status or a malformed response: it may have been executed
+	Rejected                    // the server said that it did not execute the request
+	TimedOut                    // no response in time: it may have been executed, or may still be
+	ConnectFailed               // no connection, or it broke before the last byte of the request was sent
+	Reset                       // the connection broke or ended after that: it may have been executed
+	Cancelled                   // abandoned on this side: it may have been executed
+	NotSent                     // never sent, for a reason on this side that says nothing about the server
 )
 
-// NeverRan reports whether the result proves that nothing was executed.
-func (r Result) NeverRan() bool { return r == TurnedAway || r == ConnectFailed || r == Moot }
+// NeverRan reports whether the result proves that the server did not execute the request.
+func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// String names the result, for logs.
+// String returns the name of the result in log lines.
 func (r Result) String() string {
 	names := [...]string{"served", "error", "full", "timed out", "connect failed", "reset", "cancelled", "moot"}
 	if int(r) < len(names) {
@@ -44,49 +46,54 @@
 	return "unknown"
 }
 
-// Outcome is what came of an exchange.
+// Outcome is the result of an exchange with what came with it.
 type Outcome struct {
-	Result Result
-	Reply  message.Reply // where it was served
-	Report []float32     // load report in the order of the settings' fields, NaN for one that is missing; nil: none
-	Err    error         // why it was not served
+	Result     Result
+	Reply      message.Reply // if Served
+	LoadReport []float32     // in the order of the settings' fields, NaN for a missing one; nil: the server sent none
+	Err        error         // why it was not served
 }
 
-// Call is one exchange to carry out.
+// Call is one exchange to carry out. It must not be copied after its first use.
 type Call struct {
-	Message message.Request
-	Expires time.Time     // the answer is waited for until then; zero: until the call is given up
-	Wait    time.Duration // what the server is told where Expires is zero: how long from the last byte of the request on
-	Begin   time.Time     // the first byte must leave before; zero: no bound of its own
-	Gone    func() bool   // looked at last before the first byte leaves: whether nobody waits any more; nil: somebody does
-	claimed atomic.Bool
+	Message    message.Request
+	Expires    time.Time     // the response is awaited until then; zero: until the context of Send ends
+	Wait       time.Duration // the time limit that the server is given if Expires is zero, from the last byte of the request on
+	SendBefore time.Time     // the first byte must be sent before this time; zero: no such limit
+	ClientGone func() bool   // called last before the first byte is sent: reports that nobody waits any more; nil: somebody does
+	claimed    atomic.Bool
 
-	// Written is called when the last byte of a request with a rest has left; nil: nobody asks.
-	Written func()
-	// Begun is called with a served outcome when the answer is passed on before it is whole. Its reply has a rest, which has
-	// to be read or closed for Send to return; what Send returns says then how the rest ended. nil: all answers are short.
-	Begun func(Outcome)
+	// OnRequestWritten is called, from a goroutine of Send, when the last byte of a streamed request was sent; may be nil.
+	OnRequestWritten func()
+	// OnReplyStarted is called, from a goroutine of Send, with a Served outcome whose reply is streamed before it is complete. The
+	// reply has a Remainder, and Send returns only after that was read to its end or closed; the outcome that Send returns then says
+	// how it ended. nil: replies are buffered, and too long ones fail.
+	OnReplyStarted func(Outcome)
 }
 
-// ErrGone is of a call that was not sent since nobody waited for it any more.
-var ErrGone = errors.New("the client has gone")
+// ErrClientGone is the error of a call that was not sent because Call.ClientGone was true.
+var ErrClientGone = errors.New("the client has gone")
 
-// Claim decides once and for all between the first byte of an exchange and its being given up before that. The first
-// to claim wins: a request that is over is not sent, and one that was not sent is known never to have run.
+// Claim decides, once and for all, between sending the first byte of a call and abandoning the call before that. It returns true to the
+// first caller only: a request that is over is not sent, and an abandoned one that was not sent is known never to have been executed.
 func (c *Call) Claim() bool { return c.claimed.CompareAndSwap(false, true) }
 
-// Endpoint is one server.
+// Endpoint is one server. The core's loop calls Update and CloseIdle, which do not wait for the server; Send and CheckHealth wait and may
+// be called concurrently.
 type Endpoint interface {
-	// Turn tells where the server listens ("": where it did) and whether it takes requests from now on. Where it takes
-	// none, nothing is sent once the grace is over, whatever was asked for before.
-	Turn(addr string, takes bool)
-	// CloseIdle closes the connections that carry nothing.
+	// Update sets the address at which the server listens ("": unchanged) and whether it accepts requests from now on. If it accepts
+	// none, nothing is sent to it after the drain grace period, not even calls that began before.
+	Update(addr string, accepting bool)
+	// CloseIdle closes the connections that carry no exchange.
 	CloseIdle()
-	// Send carries out a call. It returns when the exchange has ended, or soon after ctx has, which gives it up.
+	// Send carries out a call. It returns when the exchange has ended, or soon after ctx has, which abandons the exchange.
 	Send(ctx context.Context, c *Call) Outcome
-	// Probe asks the server how it is, within a bound of its own.
-	Probe(ctx context.Context) Outcome
+	// CheckHealth sends one health check, with a time limit of its own.
+	CheckHealth(ctx context.Context) Outcome
 }
 
-// Servers makes endpoints, which share what is bounded together, such as descriptors.
-type Servers interface{ Endpoint() Endpoint }
+// Servers creates endpoints, which share what is limited for all of them together, such as file descriptors.
+type Servers interface {
+	// NewEndpoint returns an endpoint that accepts requests once Update has set its address.
+	NewEndpoint() Endpoint
+}
--- a/internal/sidecar/wiring/service_test.go
+++ b/internal/sidecar/wiring/service_test.go
@@ -199,7 +199,7 @@
 		io.WriteString(c, "PUT /api/evac")
 	}
 	stuck, release := make(chan struct{}), make(chan struct{})
-	go r.side.core.Legacy(func(core.Legacy) { close(stuck); <-release })
+	go r.side.core.Snapshot(func(core.Snapshot) { close(stuck); <-release })
 	peertest.Wait(t, stuck)
 	defer close(release)
 	for _, what := range []string{"GET /api/ready", "PUT /api/evacuate", "GET /api/ready", "PUT /api/rejoin"} {
--- a/internal/sidecar/wiring/succession.go
+++ b/internal/sidecar/wiring/succession.go
@@ -29,7 +29,7 @@
 type Inheritance struct {
 	Out  bool                      `json:"out"` // operators want no clients here
 	Room lifecycle.ConnectionShare `json:"room"`
-	Core core.Legacy               `json:"core"`
+	Core core.Snapshot             `json:"core"`
 }
 
 // The lines of a link. Each side tells the other what operators asked of it.
@@ -122,7 +122,7 @@
 	var err error
 	own, next := s.whole.Divide(lifecycle.ConnectionShare{Clients: s.front.Open(), Servers: s.up.Open()})
 	out.Room = next
-	if !s.core.Legacy(func(l core.Legacy) {
+	if !s.core.Snapshot(func(l core.Snapshot) {
 		out.Core = l
 		state, err = json.Marshal(out)
 	}) {
@@ -167,9 +167,9 @@
 	leads := false
 	l.Listen(func(line string) {
 		if text, is := strings.CutPrefix(line, lineWatch); is {
-			var w relay.Word
+			var w relay.Update
 			if err := json.Unmarshal([]byte(text), &w); next && err == nil {
-				s.lists.Hear(w)
+				s.lists.Receive(w)
 			}
 			return
 		}
@@ -185,7 +185,7 @@
 		case lineFollows:
 			if !next && !leads {
 				leads = true
-				sides.Go(func() { s.lists.Lead(ctx, func(w relay.Word) error { return sayWord(l, w) }) })
+				sides.Go(func() { s.lists.Publish(ctx, func(w relay.Update) error { return sayWord(l, w) }) })
 			}
 		case lineEvacuate, lineRejoin:
 			event := map[string]lifecycle.Event{lineEvacuate: lifecycle.Evacuate, lineRejoin: lifecycle.Rejoin}[line]
@@ -198,7 +198,7 @@
 	end()
 	sides.Wait()
 	if next {
-		s.lists.Leave()
+		s.lists.PeerGone()
 		s.unshare()
 		if now, _ := s.life.Apply(lifecycle.SuccessorLost); now.State() != lifecycle.Stopping {
 			select {
@@ -210,7 +210,7 @@
 }
 
 // sayWord tells the process before what this one's watch is told.
-func sayWord(l *handover.Link, w relay.Word) error {
+func sayWord(l *handover.Link, w relay.Update) error {
 	text, err := json.Marshal(w)
 	if err != nil {
 		return err
@@ -236,7 +236,7 @@
 // share bounds what this process holds while there are two; unshare ends that.
 func (s *Sidecar) share(r lifecycle.ConnectionShare) {
 	s.front.SetPlaces(max(1, r.Clients))
-	s.up.SetMost(max(1, r.Servers))
+	s.up.SetMaxConnections(max(1, r.Servers))
 	if s.OnShare != nil {
 		s.OnShare(true)
 	}
@@ -244,7 +244,7 @@
 
 func (s *Sidecar) unshare() {
 	s.front.SetPlaces(s.whole.Clients)
-	s.up.SetMost(s.whole.Servers)
+	s.up.SetMaxConnections(s.whole.Servers)
 	if s.OnShare != nil {
 		s.OnShare(false)
 	}
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -79,7 +79,7 @@
 		offered: make(chan struct{}), deserted: make(chan struct{}, 1)}
 	s.file.Store(&counts.File{Digest: c.Digest})
 	s.heardOnce = sync.OnceFunc(func() { close(s.heard) })
-	var legacy *core.Legacy
+	var legacy *core.Snapshot
 	if from != nil {
 		if legacy = &from.Core; from.Out {
 			life.Apply(lifecycle.Evacuate)
@@ -93,9 +93,9 @@
 		serversDial = asked.Dial(dial)
 	}
 	up := http1.New(http1.Settings{
-		Most: c.Limits.Servers(), Within: duration(or(module.ConnectTimeout, defaultDial)),
-		Idle: duration(idlePart * or(c.Profile.ConnIdle, defaultIdle)), Grace: duration(module.DrainGrace), Room: account,
-		Fields: c.Profile.Fields, Probe: probePath(module),
+		MaxConnections: c.Limits.Servers(), ConnectTimeout: duration(or(module.ConnectTimeout, defaultDial)),
+		IdleTimeout: duration(idlePart * or(c.Profile.ConnIdle, defaultIdle)), DrainGrace: duration(module.DrainGrace), ResponseBudget: account,
+		LoadReportFields: c.Profile.Fields, HealthCheckPath: probePath(module),
 	}, http1.Dial(serversDial))
 	var servers upstream.Servers = up
 	if asked != nil {
@@ -104,7 +104,7 @@
 	}
 	loop := core.New(core.Config{
 		Module: *module, Names: core.Names{Classes: c.Profile.Classes, Zones: c.Profile.Zones, Kinds: c.Profile.Kinds}, Known: c.Known,
-		Legacy: legacy, Listed: func() { close(s.listed) },
+		Previous: legacy, OnServerAvailable: func() { close(s.listed) },
 	}, s.source(c.Discovery), servers, log)
 	settings := platform.Settings{Tenants: c.Profile.Tenants, Room: account, Door: admission.Config{MaxConnections: c.Limits.Clients()}}
 	if c.Admin != "" && c.Limits.Sockets > 0 { // operators' calls are counted too
@@ -129,7 +129,7 @@
 // source is the discovery at an address, whose watch two processes of the sidecar share.
 func (s *Sidecar) source(addr string) member.Source {
 	d := discovery.New(addr, discovery.Dial(s.dial))
-	d.Opened = func() { s.lists.Opened(addr) }
+	d.OnWatchOpened = func() { s.lists.WatchOpened(addr) }
 	return s.lists.Wrap(d)
 }
 
