--- a/cmd/petrelhook-coordinator/main.go
+++ b/cmd/petrelhook-coordinator/main.go
@@ -33,9 +33,9 @@
 			case (path == "") == (data == ""):
 				return errors.New("write --config FILE, or --data FOLDER for the one coordinator of this machine")
 			case path != "":
-				c, err = fleet.Read(path)
+				c, err = fleet.ReadConfig(path)
 			default:
-				c = fleet.Single(data, addr)
+				c = fleet.SingleConfig(data, addr)
 			}
 			if err != nil {
 				return command.Fail(err)
@@ -77,9 +77,9 @@
 	if c.Drive {
 		drives := make(chan struct{})
 		driving, ended := context.WithCancel(ctx)
-		d := &driver.Driver{TTL: driverTTL, Every: c.DriveEvery, Log: log}
+		d := &driver.Driver{TTL: driverTTL, Interval: c.DriveEvery, Log: log}
 		for _, m := range c.Replicas {
-			d.Addrs = append(d.Addrs, m.Addr)
+			d.Coordinators = append(d.Coordinators, m.Addr)
 		}
 		go func() {
 			defer close(drives)
--- a/cmd/petrelhookctl/rollout_run_test.go
+++ b/cmd/petrelhookctl/rollout_run_test.go
@@ -17,11 +17,11 @@
 // What operators say of a change, and what they are shown, in the order of a bad day.
 func TestRolloutCommands(t *testing.T) {
 	addr, _ := coordinator.For(t)
-	start := &rollout.Start{Plan: rollout.Plan{Application: "permits", From: "old", To: "new", AtOnce: 1, Unavailable: 1, Patience: time.Hour,
-		Stages: []rollout.Stage{{Select: rollout.Select{Share: 1}}}}, Members: []rollout.Member{{Name: "n0"}}, Now: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
+	start := &rollout.Start{Plan: rollout.Plan{Application: "permits", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: time.Hour,
+		Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}}, Members: []rollout.Member{{Name: "n0"}}, Reports: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
 	begin := func() {
-		told, err := (&fleet.Operator{Addrs: []string{addr}}).Ask(t.Context(), fleet.Request{Rollout: &rollout.Command{Application: "permits", Change: "c1", Start: start}})
-		if err != nil || told.Rollout.Err != "" {
+		told, err := (&fleet.Operator{Addrs: []string{addr}}).Call(t.Context(), fleet.Request{Rollout: &rollout.Command{Application: "permits", Change: "c1", Start: start}})
+		if err != nil || told.Rollout.Error != "" {
 			t.Fatal(err, told)
 		}
 	}
@@ -101,7 +101,7 @@
 	} {
 		if c.args == "" {
 			peertest.Eventually(t, "a part is given", func() bool {
-				told, err := o.Ask(t.Context(), fleet.Request{Share: &replica.ShareRequest{Limit: "probes", Request: share.AllocationRequest{Member: "m1", Demand: 5}}})
+				told, err := o.Call(t.Context(), fleet.Request{Share: &replica.ShareRequest{Limit: "probes", Request: share.AllocationRequest{Member: "m1", Demand: 5}}})
 				return err == nil && told.Share.Units > 0
 			})
 			continue
--- a/internal/coordination/capacity/assume_test.go
+++ b/internal/coordination/capacity/assume_test.go
@@ -94,25 +94,25 @@
 	a := theAssumptions(t)
 	for name, want := range map[string]float64{
 		"limits.max_message": fleet.MaxMessage, "limits.max_content": distribute.MaxContent,
-		"limits.max_total":    distribute.MaxTotal,
+		"limits.max_total":    distribute.MaxTotalContent,
 		"limits.max_services": distribute.MaxServices,
 		"limits.max_reports":  distribute.MaxReports,
-		"limits.max_ask":      constant(t, "../fleet/rpc.go", "maxAsk"),
+		"limits.max_ask":      constant(t, "../fleet/rpc.go", "maxRequest"),
 		"limits.max_waiting":  constant(t, "../replica/core.go", "maxWaiting"),
 		"limits.max_list":     constant(t, "../../sidecar/member/discovery/discovery.go", "maxMessage"),
 		"limits.repeat_share": constant(t, "../../../balance/parameters.go", "repeatShare"),
-		"periods.look_rest":   constant(t, "../driver/driver.go", "rest"),
+		"periods.look_rest":   constant(t, "../driver/driver.go", "idlePollDivisor"),
 	} {
 		if got := a.Get(name); got != want {
 			t.Errorf("%s: %v in the file, %v in the code", name, got, want)
 		}
 	}
-	o := distribute.DefaultSubscriber("s", "m", 3, func(n int64) int64 { return n / 2 })
+	o := distribute.DefaultSubscriberOptions("s", "m", 3, func(n int64) int64 { return n / 2 })
 	// each is drawn from 3/4 of it to the whole
-	if got, want := a.Get("periods.watch_hold"), o.Hold.Seconds()*7/8; got != want {
+	if got, want := a.Get("periods.watch_hold"), o.MaxWait.Seconds()*7/8; got != want {
 		t.Errorf("periods.watch_hold: %v in the file, %v in the code", got, want)
 	}
-	if got, want := a.Get("periods.back_within"), o.Spread.Seconds(); got != want {
+	if got, want := a.Get("periods.back_within"), o.ReconnectWindow.Seconds(); got != want {
 		t.Errorf("periods.back_within: %v in the file, %v in the code", got, want)
 	}
 }
@@ -153,7 +153,7 @@
 			t.Errorf("%v: %d services, %v servers", c, len(all), sum)
 		}
 	}
-	if got := seen([]float64{3, 1}); got != 2.5 {
+	if got := sizeWeightedMean([]float64{3, 1}); got != 2.5 {
 		t.Errorf("three servers see three, one sees one: %v", got)
 	}
 }
--- a/internal/router/gateway/account.go
+++ b/internal/router/gateway/account.go
@@ -39,7 +39,7 @@
 	if req.trace.FailureReason != "" && errors.Is(r.Context().Err(), context.Canceled) {
 		req.trace.FailureReason = latency.ClientGone
 	}
-	reason := req.trace.Reason(req.route.Aim, req.route.GapAim)
+	reason := req.trace.Reason(req.route.TargetLatency, req.route.TargetGap)
 	g.mutex.Lock()
 	g.totals.Add(req.route.Name, &req.trace, reason)
 	g.mutex.Unlock()
--- a/internal/router/gateway/health_signal.go
+++ b/internal/router/gateway/health_signal.go
@@ -33,7 +33,7 @@
 	switch {
 	case errors.Is(err, backend.ErrNoConnection):
 		return noSignal
-	case errors.Is(ctx.Err(), context.DeadlineExceeded) && took >= max(minTimeToAwait, req.route.Aim):
+	case errors.Is(ctx.Err(), context.DeadlineExceeded) && took >= max(minTimeToAwait, req.route.TargetLatency):
 		return timeout
 	case ctx.Err() != nil:
 		return noSignal
--- a/internal/router/gateway/lateness.go
+++ b/internal/router/gateway/lateness.go
@@ -20,10 +20,10 @@
 // clients usually give. The lock is held.
 func (g *Gateway) tooLateOverLimit(r *http.Request, req *request) bool {
 	left, ok := clientTimeout(r)
-	if !ok || req.route.Aim <= 0 {
+	if !ok || req.route.TargetLatency <= 0 {
 		return false
 	}
 	deadlines := &g.routeState(req.route.Name).deadlines
 	deadlines.add(left)
-	return g.quota.OverLimit(req.tenant.Name, g.options.Now()) && deadlines.usual()-left >= req.route.Aim
+	return g.quota.OverLimit(req.tenant.Name, g.options.Now()) && deadlines.usual()-left >= req.route.TargetLatency
 }
--- a/internal/router/gateway/request.go
+++ b/internal/router/gateway/request.go
@@ -115,7 +115,7 @@
 	}
 	req.units = quotaUnits(r, req.tenant)
 	req.placement = placementRequest(r)
-	req.placement.MaxGap = req.route.GapAim
+	req.placement.MaxGap = req.route.TargetGap
 	if req.tenant != nil && !g.admitByQuota(w, r, req) {
 		return false
 	}
--- a/internal/router/gateway/stall.go
+++ b/internal/router/gateway/stall.go
@@ -39,8 +39,8 @@
 	if usual == 0 {
 		return w
 	}
-	w.gapPatience = patience(req.route.GapAim, usual)
-	first := patience(req.route.Aim, usual) - time.Since(req.times.received)
+	w.gapPatience = patience(req.route.TargetGap, usual)
+	first := patience(req.route.TargetLatency, usual) - time.Since(req.times.received)
 	if req.response.headerSent {
 		first = w.gapPatience
 	}
--- a/internal/router/replication/replication_test.go
+++ b/internal/router/replication/replication_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// The primary is lost: another takes over and has what was acknowledged.
+// The primary is lost: another is elected and has what was acknowledged.
 func TestPrimaryIsLost(t *testing.T) {
 	s := newSimulation(t, 1, 4, 1)
 	s.run(4 * time.Second)
@@ -44,7 +44,7 @@
 	require.Equal(t, http.StatusOK, writeNow(s, "b").status)
 }
 
-// A disk is lost: its machine comes back as another member, is taken in, and the one before is no member any more.
+// A disk is lost: its machine comes back as another member and replaces the one before.
 func TestLostDiskRejoins(t *testing.T) {
 	for seed := range int64(20) {
 		s := newSimulation(t, seed, 4, 1)
@@ -93,7 +93,7 @@
 		s := newSimulation(t, seed, 4, 1)
 		s.run(4 * time.Second)
 		full := s.hosts[s.addresses()[seed%4]]
-		full.fullUntil = s.now + 4*time.Second
+		full.diskFullUntil = s.now + 4*time.Second
 		require.Equal(t, http.StatusOK, func() int {
 			writeNow(s, "a")
 			return writeNow(s, "b").status
@@ -163,7 +163,7 @@
 	require.Len(t, s.primary().replica.View().InSync, 3)
 }
 
-// A lost primary says nothing to the next one's candidacy, which does not wait for it longer than for the others.
+// A lost primary does not answer the next one's candidacy, which does not wait for it longer than for the others.
 func TestTheNextPrimaryDoesNotWaitForTheLostOne(t *testing.T) {
 	const step = 5 * time.Millisecond
 	longest := time.Duration(0)
@@ -180,11 +180,11 @@
 		longest = max(longest, s.now-began)
 	}
 	t.Logf("at most %v", longest)
-	require.Less(t, longest, suspectAfter+3*suspectStep+promiseSlack+2*50*time.Millisecond)
+	require.Less(t, longest, electionTimeout+3*electionStagger+promiseWaitMargin+2*50*time.Millisecond)
 }
 
-// A member that hears nothing and is heard asks whether others hear a primary, and promises nothing meanwhile: the view stays when it
-// hears again.
+// A member that can send and not receive requests pre-votes, and promises nothing meanwhile: the view stays the same when it can
+// receive again.
 func TestAMemberThatHearsNothingEndsNoView(t *testing.T) {
 	s := newSimulation(t, 1, 4, 1)
 	s.run(4 * time.Second)
@@ -193,16 +193,16 @@
 	epoch := p.replica.View().Epoch
 	deaf := s.followers(p)[0]
 	for _, h := range s.ordered() {
-		s.cut(h, deaf, true)
+		s.blockLink(h, deaf, true)
 	}
 	s.run(s.now + 3*time.Second)
 	s.heal()
 	s.run(s.now + 2*time.Second)
 	require.Equal(t, epoch, p.replica.View().Epoch)
-	require.True(t, p.replica.Primary())
+	require.True(t, p.replica.IsPrimary())
 }
 
-// When all processes start at once there is a primary as soon as they have asked one another.
+// When all processes start at once there is a primary as soon as they have exchanged pre-votes.
 func TestAllStartAtOnce(t *testing.T) {
 	for seed := range int64(10) {
 		s := newSimulation(t, seed, 4, 1)
@@ -222,9 +222,9 @@
 	}
 }
 
-// A share of a processor that is a quota: all stand still for the rest of each tenth of a second. No view changes, and orders are taken.
+// A CPU quota: all processes are suspended for the rest of each tenth of a second. No view changes, and entries are committed.
 func TestAProcessorThatIsAQuota(t *testing.T) {
-	s, p := coreWithAValue(t)
+	s, p := coreWithValue(t)
 	epoch := p.replica.View().Epoch
 	for at := time.Duration(0); at < 8*time.Second; at += 100 * time.Millisecond {
 		for _, h := range s.ordered() {
--- a/internal/sidecar/front/platform/long_test.go
+++ b/internal/sidecar/front/platform/long_test.go
@@ -17,7 +17,7 @@
 
 	"petrelhook/internal/common/peertest"
 	"petrelhook/internal/rig/memnet"
-	"petrelhook/internal/sidecar/admit"
+	"petrelhook/internal/sidecar/admission"
 	"petrelhook/internal/sidecar/front"
 	"petrelhook/internal/sidecar/lifecycle"
 	"petrelhook/internal/sidecar/membudget"
@@ -188,7 +188,7 @@
 		peertest.Wait(t, got)
 		held = append(held, in)
 	}
-	if n := r.room.Held(); n < int64(len(held))*size || n > roomOfTests {
+	if n := r.room.Reserved(); n < int64(len(held))*size || n > roomOfTests {
 		t.Errorf("%d bytes are held for %d bodies", n, len(held))
 	}
 	_, refused := ask("refused")
@@ -205,7 +205,7 @@
 			t.Errorf("%d", resp.StatusCode)
 		}
 	}
-	peertest.Eventually(t, "nothing is held", func() bool { return r.room.Held() == 0 })
+	peertest.Eventually(t, "nothing is held", func() bool { return r.room.Reserved() == 0 })
 }
 
 // An answer that breaks off after its beginning ends its connection so that the client can tell, whatever its form.
@@ -387,7 +387,7 @@
 			}
 			return a, nil
 		}}
-		server := New(Settings{Room: membudget.New(0), Door: admit.Config{Places: 9, Horizon: time.Second}, Classes: []front.Class{
+		server := New(Settings{Room: membudget.New(0), Door: admission.Config{MaxConnections: 9, Horizon: time.Second}, Classes: []front.Class{
 			{Name: "look", Effect: front.Safe, Deadline: time.Second}, {Name: "book"}, {Name: "once", Effect: front.Unsafe, Deadline: time.Second},
 		}}, core, life, slog.New(slog.DiscardHandler))
 		ended := make(chan error, 1)
@@ -422,7 +422,7 @@
 			}
 			c.Close()
 		}
-		life.Tell(lifecycle.Terminate)
+		life.Apply(lifecycle.Terminate)
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
