--- a/internal/router/gateway/relay.go
+++ b/internal/router/gateway/relay.go
@@ -64,7 +64,7 @@
 // leaves the client without any part of an answer, and another one can be tried.
 func (g *Gateway) relayStream(ctx context.Context, w http.ResponseWriter, req *request, from *serverAnswer) outcome {
 	control := http.NewResponseController(w)
-	events := eventstream.NewReader(from)
+	events := eventstream.NewReader(from.Response)
 	lastEvent := time.Now()
 	for first := true; ; first = false {
 		event, err := events.Next()
