--- a/internal/router/gateway/startup.go
+++ b/internal/router/gateway/startup.go
@@ -23,8 +23,8 @@
 
 // waitForStartup waits, while this router starts, until a condition holds, so that a client's last attempt is served. It returns when the
 // deadline has passed or the context ends, too: the wait is short enough for the client to come back.
-func (g *Gateway) waitForStartup(ctx context.Context, deadline time.Time, holds func() bool) {
-	if holds() {
+func (g *Gateway) waitForStartup(ctx context.Context, deadline time.Time, condition func() bool) {
+	if condition() {
 		return
 	}
 	ticker := time.NewTicker(startupPollInterval)
@@ -35,7 +35,7 @@
 			return
 		case <-ticker.C:
 		}
-		if holds() {
+		if condition() {
 			return
 		}
 	}
--- a/internal/router/placement/names_test.go
+++ b/internal/router/placement/names_test.go
@@ -17,6 +17,7 @@
 
 // decisions simulates some thousand requests, failures, load reports and ejections, and returns the index of each request's server.
 func decisions(t *testing.T, names namedFleet) []int {
+	t.Helper()
 	const servers, zones = 12, 3
 	random := rand.New(rand.NewPCG(7, 7))
 	pool := NewPool(names.zone(1), 5*time.Second, DefaultPolicy(), random.Float64)
@@ -62,11 +63,7 @@
 			}
 		}
 		if step%40 == 0 {
-			loads := LoadSums{}
-			for i := range servers {
-				loads[HashServer(names.server(i))] = Work{Requests: float64(random.IntN(6)), PrefillTokens: float64(random.IntN(30000)), Streams: float64(random.IntN(4))}
-			}
-			pool.SetPeerLoads(loads, now)
+			pool.SetPeerLoads(names.randomLoads(servers, random), now)
 		}
 		if step%200 == 0 {
 			pool.SetEjections(map[string]float64{names.server(random.IntN(servers)): 0.2, names.server(random.IntN(servers)): 0.2}, now+500*time.Millisecond)
@@ -79,6 +76,15 @@
 	return got
 }
 
+// randomLoads draws the other routers' work at each server.
+func (f namedFleet) randomLoads(servers int, random *rand.Rand) LoadSums {
+	loads := LoadSums{}
+	for i := range servers {
+		loads[HashServer(f.server(i))] = Work{Requests: float64(random.IntN(6)), PrefillTokens: float64(random.IntN(30000)), Streams: float64(random.IntN(4))}
+	}
+	return loads
+}
+
 // Servers and zones under other names get the same requests: names affect no decision.
 func TestNamesDecideNothing(t *testing.T) {
 	plain := namedFleet{server: func(i int) string { return fmt.Sprint("i-", i) }, zone: func(i int) string { return fmt.Sprint("zone-", i) }, hash: rendezvous}
