--- a/internal/coordination/capacity/assume_test.go
+++ b/internal/coordination/capacity/assume_test.go
@@ -34,7 +34,7 @@
 	return a
 }
 
-// Each slip gets one line that names file, line, column and field, and what would be right.
+// Each mistake gets one line that names file, line, column and field, and what to write.
 func TestSlipsHaveAPlace(t *testing.T) {
 	_, good := theFile(t)
 	line := func(part string) string {
@@ -89,7 +89,7 @@
 	}
 }
 
-// The limits that the file says are those of the code.
+// The limits in the file are those of the code.
 func TestLimitsAreThoseOfTheCode(t *testing.T) {
 	a := theAssumptions(t)
 	for name, want := range map[string]float64{
@@ -108,7 +108,7 @@
 		}
 	}
 	o := distribute.DefaultSubscriber("s", "m", 3, func(n int64) int64 { return n / 2 })
-	// each is drawn from 3/4 of it to the whole
+	// each is drawn from 3/4 of it up to all of it
 	if got, want := a.Get("periods.watch_hold"), o.Hold.Seconds()*7/8; got != want {
 		t.Errorf("periods.watch_hold: %v in the file, %v in the code", got, want)
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-// constant is a number that a source file gives a name, as 20_000 or 4 << 20.
+// constant reads the value of a constant in a source file, as 20_000 or 4 << 20.
 func constant(t *testing.T, path, name string) float64 {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -136,7 +136,7 @@
 	return v * math.Pow(2, float64(shift))
 }
 
-// Sizes of services add up to the fleet, the largest first, one at least.
+// The sizes of services add up to the fleet, the largest first, and each is at least one.
 func TestSizes(t *testing.T) {
 	for _, c := range []struct{ servers, services, largest float64 }{
 		{12000, 1100, 600}, {12000, 1100, 11}, {12000, 1100, 10901}, {100, 100, 1}, {30, 1, 30}, {24000, 1100, 600},
--- a/internal/coordination/capacity/fit_test.go
+++ b/internal/coordination/capacity/fit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// made is a series of made-up points: value gives that of a size and run.
+// made returns a series of points whose values value computes from size and run.
 func made(k Key, sizes []int, value func(size, run int) float64) (all []Point) {
 	for _, n := range sizes {
 		for run := 1; run <= 3; run++ {
@@ -23,7 +23,7 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*math.Max(1, math.Abs(b)) }
 
-// A line is found as it was made, and is believed.
+// A line is found as it was made, and is trusted.
 func TestALineIsFound(t *testing.T) {
 	all := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, steps,
 		func(n, _ int) float64 { return 700 + 40*float64(n) })})
@@ -39,7 +39,7 @@
 	}
 }
 
-// What grows with the square is said to grow faster than linear, and its line is not believed.
+// Quadratic growth is reported as faster than linear, and its line is not trusted.
 func TestASquareIsNotBelieved(t *testing.T) {
 	l := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, steps,
 		func(n, _ int) float64 { return float64(n) * float64(n) })})[0]
@@ -49,7 +49,7 @@
 	}
 }
 
-// A prediction is believed up to a fifth off, and beyond it where the runs themselves are as far apart.
+// A prediction is trusted up to an error of a fifth, and beyond it if the runs themselves differ by as much.
 func TestWhatIsBelieved(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -76,7 +76,7 @@
 	}
 }
 
-// Too few sizes or runs give no line, and one without a check is not believed.
+// Too few sizes or runs give no line, and a line without a check is not trusted.
 func TestWhatIsTooLittle(t *testing.T) {
 	line := func(n, _ int) float64 { return float64(n) }
 	if all := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, []int{500, 1000, 2000, 12000}, line)}); all != nil {
@@ -92,7 +92,7 @@
 	if len(all) != 1 || all[0].Trusted || all[0].Check != nil || !strings.Contains(all[0].Reason, "no run above") {
 		t.Errorf("no check: %+v", all)
 	}
-	// Where nothing was run above, the largest of five is held out.
+	// If nothing ran above, the largest of five is held out.
 	held := Fit(&Measured{FitUpTo: 4000, Points: made(renewals, []int{500, 1000, 2000, 3000, 4000}, line)})
 	if len(held) != 1 || !held[0].Trusted || held[0].Check.Size != 4000 || len(held[0].Sizes) != 4 {
 		t.Errorf("held out: %+v", held)
@@ -108,7 +108,7 @@
 	}
 }
 
-// Files of points that are none are refused, with the place.
+// Invalid files of points are refused, with the place.
 func TestBadPoints(t *testing.T) {
 	const good = `{"fit_up_to": 3000, "points": [
  {"workload": "w", "role": "r", "metric": "m", "size": 5, "run": 1, "value": 2.5}]}`
--- a/internal/coordination/capacity/model.go
+++ b/internal/coordination/capacity/model.go
@@ -4,13 +4,13 @@
 const (
 	Ordinary         = "an ordinary minute"
 	Busiest          = "the busiest minute"
-	ByRollout        = "a change in force everywhere, by what there was before"
+	ByRollout        = "a change in force everywhere, by a rollout"
 	ByVersion        = "a change in force everywhere, by versions"
 	RackLost         = "a rack lost"
-	ZoneLost         = "a zone lost and back"
-	RegionIsolated   = "a region cut off, and its return"
+	ZoneLost         = "a zone lost, and its return"
+	RegionIsolated   = "a region isolated, and its return"
 	AllRestarted     = "all sidecars restarted in a day"
-	CoordinatorsLost = "all coordinators lost and back"
+	CoordinatorsLost = "all coordinators lost, and their return"
 )
 
 // Times returns all situations, in the order of the page.
@@ -23,10 +23,10 @@
 	SidecarCalls   = "sidecar: calls"
 	SidecarControl = "sidecar: control"
 	Agent          = "agent"
-	Leader         = "coordinator that leads"
-	Follower       = "coordinator that follows"
+	Leader         = "coordinator: leader"
+	Follower       = "coordinator: follower"
 	Driver         = "driver"
-	ListServer     = "who tells lists"
+	ListServer     = "list server"
 	Tool           = "operators' tool"
 )
 
--- a/internal/coordination/capacity/model_test.go
+++ b/internal/coordination/capacity/model_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// with is the committed file with other values of some fields.
+// with returns the committed file with other values of some fields.
 func with(t *testing.T, values map[string]string) *Assumptions {
 	t.Helper()
 	path, text := theFile(t)
@@ -63,16 +63,16 @@
 func measuredSmall() *Measured {
 	m := &Measured{FitUpTo: 40}
 	sizes := []int{10, 20, 30, 40, 100}
-	line := func(workload, role, metric string, base, each float64) {
-		m.Points = append(m.Points, made(Key{workload, role, metric}, sizes,
-			func(n, _ int) float64 { return base + each*float64(n) })...)
-	}
-	line("renewals", "leader", "cpu_us_s", 1000, 20000)
-	line("watches", "leader", "cpu_us_s", 0, 30000)
-	line("renewals", "member", "cpu_us_s", 100, 0)
-	line("watches", "agent", "cpu_us_s", 150, 0.5)
-	line("watches", "sidecar", "cpu_us_s", 0, 0)
-	line("looks", "agent", "cpu_us_s", 300, 0)
+	line := func(workload, role string, intercept, slope float64) {
+		m.Points = append(m.Points, made(Key{workload, role, "cpu_us_s"}, sizes,
+			func(n, _ int) float64 { return intercept + slope*float64(n) })...)
+	}
+	line("renewals", "leader", 1000, 20000)
+	line("watches", "leader", 0, 30000)
+	line("renewals", "member", 100, 0)
+	line("watches", "agent", 150, 0.5)
+	line("watches", "sidecar", 0, 0)
+	line("looks", "agent", 300, 0)
 	m.Points = append(m.Points, made(Key{"publish", "member", "in_force_max_s"}, []int{100},
 		func(_, run int) float64 { return float64(run) })...)
 	m.Points = append(m.Points, Point{"publish", "agent", "in_force_max_s", 100, 1, 0.5},
@@ -100,7 +100,7 @@
 	return m
 }
 
-// What a small fleet needs is what it is by hand.
+// The needs of a small fleet are those computed by hand.
 func TestKnownResults(t *testing.T) {
 	rows := Evaluate(small(t), measuredSmall())
 	for _, c := range []struct {
@@ -120,18 +120,18 @@
 		{Busiest, SidecarCalls, "attempts at the leaf of the deepest chain, a call, where some of them fail", 3,
 			"does not: 1.5 times over"},
 		{Busiest, SidecarCalls,
-			"attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's repeats allow",
+			"attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's retries allow",
 			math.Pow(1.2, 15), "does not: 7.8 times over"},
 		// 1,728 changes a day
 		{Ordinary, SidecarControl, "bytes of lists alone", 2*25 + 0.02*0.2*150, "fits by 170 times"},
 		// 20 servers
-		{Ordinary, SidecarControl, "lists held, as text", 2000, "fits by 120,000 times"},
+		{Ordinary, SidecarControl, "lists in memory, as text", 2000, "fits by 120,000 times"},
 		{Ordinary, Leader, "renewals, by a trial with as many sessions", 40, "fits by 2.5 times"},
 		// of half of 10
 		{Ordinary, Leader, "processor time of renewals and watches", 5.001, "does not: 1.01 times over"},
 		{Ordinary, Leader, "snapshot: sessions, versions, changes of all", 100*56 + 10*1000 + 10000,
 			"fits by 2,600 times"},
-		{Ordinary, Driver, "a turn over all applications, each changed once", 0.1 + 100*0.001/3, "fits by 7.5 times"},
+		{Ordinary, Driver, "a poll of all applications, each changed once", 0.1 + 100*0.001/3, "fits by 7.5 times"},
 		// as with 20
 		{ByRollout, Driver, "staged, judged by the clock, in a mean service", 8, "fits by 1.75 times"},
 		// between 20 and 200
@@ -139,19 +139,19 @@
 			"fits by 1.96 times"},
 		{ByRollout, Leader, "message that begins a change of all", 10000, "does not: 1.25 times over"},
 		// the worst run
-		{ByVersion, SidecarControl, "told everywhere", 3, "fits by 4.6 times"},
-		{ByVersion, SidecarControl, "in force at the last real sidecar, as they run", 0.5, "fits by 28 times"},
+		{ByVersion, SidecarControl, "received everywhere", 3, "fits by 4.6 times"},
+		{ByVersion, SidecarControl, "in force at the last real sidecar, by a reload", 0.5, "fits by 28 times"},
 		{ByVersion, SidecarControl, "in force at the last real sidecar, by a hand-over", 2, "fits by 7 times"},
 		{Ordinary, SidecarControl, "memory of a real agent and sidecar, as versions come into force", 128e6, "fits by 2 times"},
 		{ByRollout, Driver, "all at once, without a judge, in the largest service", 4, "fits by 3.5 times"}, // as 20 had it
 		{Busiest, Leader, "changes of configuration", 10, "fits by 5 times"},
 		{RackLost, SidecarControl, "bytes of lists, as they go, of a minute's budget", 6 * 0.2 * 150, "fits by 3,000 times"},
 		{RackLost, ListServer, "lines of lists out of a machine, each change a line", 6 * 20 / 6. / 2, "no budget is stated"},
-		{RegionIsolated, Leader, "sessions opened as they are back", 25, "fits by 2 times"},
-		{CoordinatorsLost, Leader, "renewals, and watches that are back within their spread", 40 + 50/3.,
+		{RegionIsolated, Leader, "sessions opened as they return", 25, "fits by 2 times"},
+		{CoordinatorsLost, Leader, "renewals, and watches that return within their spread", 40 + 50/3.,
 			"fits by 1.76 times"},
-		{CoordinatorsLost, Leader, "sessions opened anew, one after the other", 2, "fits by 5 times"},
-		{CoordinatorsLost, Follower, "asks of sessions while nobody leads, beside what three replicas answered",
+		{CoordinatorsLost, Leader, "sessions opened again, one after the other", 2, "fits by 5 times"},
+		{CoordinatorsLost, Follower, "requests of sessions without a leader, beside what three replicas answered",
 			1000 / 3., "fits by 43 times"},
 	} {
 		r := row(t, rows, c.time, c.role, c.what)
@@ -163,7 +163,7 @@
 	}
 }
 
-// A sum of which a part is missing is judged only where what is known is over already.
+// A sum of which a part is missing gets a verdict only if the known part exceeds the budget.
 func TestWhatIsMissing(t *testing.T) {
 	m := measuredSmall()
 	r := row(t, Evaluate(small(t), m), Ordinary, SidecarControl, "processor time")
@@ -186,7 +186,7 @@
 	}
 }
 
-// A slope that is not believed gives no figure, and the row says why; a point of the size itself does.
+// A slope that is not trusted gives no figure, and the row says why; a point of the size itself does.
 func TestASlopeThatIsNotBelieved(t *testing.T) {
 	m := measuredSmall()
 	grow := func(upTo int) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// Without any points no figure of a run is told, and each figure that is told has a source.
+// Without any points there is no figure of a run, and each figure has a source.
 func TestNothingMeasured(t *testing.T) {
 	for _, r := range Evaluate(theAssumptions(t), nil) {
 		for _, f := range r.Need.From {
@@ -237,7 +237,7 @@
 	}
 }
 
-// A quotient of which the divisor is not known is not either; one of a least value is one.
+// A quotient is unknown if its divisor is; that of a lower bound is a lower bound.
 func TestQuotients(t *testing.T) {
 	some := Figure{Value: 6, Missing: []string{"x"}}
 	if f := div(some, Figure{Value: 2}); f.Value != 3 || len(f.Missing) != 1 {
@@ -248,7 +248,7 @@
 	}
 }
 
-// Each row has a source, a mechanism, a time of the page and a name of its own; so has each figure that rows name.
+// Each row has a source, a mechanism, a situation of the page and a name of its own; so has each figure that rows name.
 func TestEachRowIsWhole(t *testing.T) {
 	model := newModel(newInputs(theAssumptions(t), nil))
 	seen := map[string]bool{}
@@ -296,7 +296,7 @@
 	}
 }
 
-// What breaks a rule stands first, then what is further over.
+// Rows that break a rule come first, then those that exceed their budget by more.
 func TestRank(t *testing.T) {
 	rows := []Row{{Quantity: "a", Class: DoesNotFit, Breaks: BreaksTime, Factor: 9}, {Quantity: "b", Class: Fits, Factor: 99},
 		{Quantity: "c", Class: DoesNotFit, Breaks: BreaksRule, Factor: 2},
@@ -312,7 +312,7 @@
 	}
 }
 
-// The weights of assumptions are the verdicts that they move, and the file's own bounds hold.
+// The sensitivities of assumptions are the verdicts that they change, and the file's own bounds hold.
 func TestWeights(t *testing.T) {
 	var moved []string
 	for _, w := range Sensitivities(small(t), measuredSmall()) {
@@ -343,7 +343,7 @@
 	}
 }
 
-// A page keeps its prose, and gets each table between its marks.
+// A page keeps its prose and gets each table between its marks.
 func TestPage(t *testing.T) {
 	r := NewReport(small(t), measuredSmall())
 	const page = "# Title\n\nprose\n\n<!-- tables: begin ranking -->\nof-before\n<!-- tables: end -->\n\n" +
@@ -376,7 +376,7 @@
 	}
 }
 
-// All forms of a report tell all its rows.
+// All forms of a report have all its rows.
 func TestForms(t *testing.T) {
 	r := NewReport(small(t), measuredSmall())
 	var text, markdown bytes.Buffer
--- a/internal/coordination/capacity/report.go
+++ b/internal/coordination/capacity/report.go
@@ -59,7 +59,7 @@
 }
 
 func (r *Report) targetTable() Table {
-	t := Table{Name: "asked", Title: "Asked", Head: []string{"what", "how much", "of it"}}
+	t := Table{Name: "asked", Title: "Targets", Head: []string{"what", "how much", "of it"}}
 	for _, a := range r.Assumptions {
 		if rest, ok := strings.CutPrefix(a.Name, "target."); ok {
 			t.Rows = append(t.Rows, []string{strings.ReplaceAll(rest, "_", " "), quantity(a.Value, a.Unit), a.Reason})
@@ -83,7 +83,7 @@
 }
 
 func (r *Report) derivedTable() Table {
-	t := Table{Name: "derived", Title: "Worked out, and named by other rows",
+	t := Table{Name: "derived", Title: "Derived figures, named by other rows",
 		Head: []string{"what", "how much", "from"}}
 	for _, d := range r.Derived {
 		t.Rows = append(t.Rows, []string{d.Name, quantity(d.Value, d.Unit), strings.Join(d.From, ", ")})
@@ -93,7 +93,7 @@
 
 func (r *Report) slopeTable() Table {
 	t := Table{Name: "slopes", Title: "Slopes", Empty: "Not measured.",
-		Head: []string{"slope", "none of them", "each 1,000", "fitted on", "spread", "check: said", "seen", "believed"}}
+		Head: []string{"slope", "intercept", "per 1,000", "fitted on", "spread", "check: predicted", "measured", "trusted"}}
 	for _, l := range r.Lines {
 		said, saw, believed := "", "", "no: "+l.Reason
 		if l.Check != nil {
@@ -171,8 +171,8 @@
 }
 
 func (r *Report) assumptionTable() Table {
-	t := Table{Name: "assumptions", Title: "What is assumed, and its weight",
-		Head: []string{"field", "value", "why", "verdicts that move at twice or half of it"}}
+	t := Table{Name: "assumptions", Title: "Assumptions, and their weight",
+		Head: []string{"field", "value", "why", "verdicts that change at twice or half of it"}}
 	for _, w := range r.Weights {
 		var moves []string
 		for _, m := range w.Changes {
--- a/internal/coordination/capacity/rows_change.go
+++ b/internal/coordination/capacity/rows_change.go
@@ -7,15 +7,15 @@
 		Budget: m.limit("earlier.grants_a_second"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/distribute (Register), internal/coordination/replica"})
 	version := add(m.assumption("changes.bytes"), m.assumption("changes.head_bytes"))
-	m.addRow(Row{Time: Busiest, Role: Leader, Quantity: "bytes of versions told, were it alone", Unit: "bytes/s",
+	m.addRow(Row{Time: Busiest, Role: Leader, Quantity: "bytes of versions sent, if it were alone", Unit: "bytes/s",
 		Need: mul(rate, m.meanServiceSize, version), Budget: m.usableLimit("machines.network"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/distribute (Watches)"})
-	m.addRow(Row{Time: Busiest, Role: Leader, Quantity: "processor time with versions on their way", Unit: "cores",
+	m.addRow(Row{Time: Busiest, Role: Leader, Quantity: "processor time while versions are distributed", Unit: "cores",
 		Need: coresFromMicros(add(m.measured("renewals", "leader", "cpu_us_s", m.sessions),
 			m.measured("publish", "leader", "busy_cpu_us_s", m.machines))),
 		Budget: m.usableLimit("machines.cores"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/distribute (Watches), internal/coordination/replica"})
-	m.addRow(Row{Time: Busiest, Role: Follower, Quantity: "processor time with versions on their way", Unit: "cores",
+	m.addRow(Row{Time: Busiest, Role: Follower, Quantity: "processor time while versions are distributed", Unit: "cores",
 		Need: coresFromMicros(m.measured("publish", "follower", "busy_cpu_us_s", m.machines)), Budget: m.usableLimit("machines.cores"),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/distribute (Watches), internal/coordination/replica"})
 	m.addRow(Row{Time: Busiest, Role: SidecarControl, Quantity: "bytes of versions, in the service that changes most",
@@ -69,13 +69,13 @@
 			Budget: m.limit("target.in_force"), Breaks: BreaksTime, Mechanism: by,
 			NeededBy: []string{"each change of configuration"}})
 	}
-	m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: "looks a second by which those times came about", Unit: "1/s",
+	m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: "polls a second by which those times came about", Unit: "1/s",
 		Need: div(Figure{Value: 1}, m.assumption("earlier.staged_look")), Mechanism: "internal/coordination/driver (drive_every)"})
-	m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: "looks a second where nothing else is said", Unit: "1/s",
+	m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: "polls a second by default", Unit: "1/s",
 		Need: div(Figure{Value: 1}, m.assumption("periods.look_every")), Mechanism: "internal/coordination/fleet (drive_every)"})
 	m.addRow(Row{Time: ByRollout, Role: Leader, Quantity: "message that begins a change of all", Unit: "bytes",
 		Need: m.changeBytes(m.servers), Budget: m.limit("limits.max_ask"), Breaks: BreaksRule,
-		Mechanism: "internal/coordination/fleet (maxAsk)", NeededBy: []string{AllRestarted, "a release for all"}})
+		Mechanism: "internal/coordination/fleet (maxRequest)", NeededBy: []string{AllRestarted, "a release for all"}})
 	most := mul(m.changeRate, m.assumption("changes.busiest_minute"), m.assumption("changes.most_changed_share"))
 	m.addRow(Row{Time: ByRollout, Role: Leader,
 		Quantity: "changes at once in the most changed service, were it the largest, of the one that may be", Unit: "",
@@ -99,23 +99,23 @@
 	for _, c := range []struct {
 		what string
 		took Figure
-	}{{"told at half of the members", m.measured("publish", "member", "in_force_p50_s", m.machines)},
-		{"told at 99 in 100", m.measured("publish", "member", "in_force_p99_s", m.machines)},
-		{"told everywhere", m.inForce("publish", "member", m.machines)},
-		{"told everywhere, at ten times the rate of the busiest minute",
+	}{{"received by half of the members", m.measured("publish", "member", "in_force_p50_s", m.machines)},
+		{"received by 99 in 100", m.measured("publish", "member", "in_force_p99_s", m.machines)},
+		{"received everywhere", m.inForce("publish", "member", m.machines)},
+		{"received everywhere, at ten times the rate of the busiest minute",
 			m.measured("publish", "member", "busy_in_force_max_s", m.machines)},
-		{"told everywhere, versions of all services at once",
+		{"received everywhere, versions of all services at once",
 			m.measured("publish", "member", "all_in_force_max_s", m.machines)},
-		{"told everywhere, a coordinator that follows killed meanwhile",
+		{"received everywhere, a coordinator: follower killed meanwhile",
 			m.measured("publish", "member", "killed_in_force_max_s", m.machines)},
-		{"told everywhere, the leader killed meanwhile",
+		{"received everywhere, the leader killed meanwhile",
 			m.measured("publish", "member", "leader_killed_in_force_max_s", m.machines)},
-		{"in force at the last real sidecar, as they run", m.inForce("publish", "agent", m.machines)},
+		{"in force at the last real sidecar, by a reload", m.inForce("publish", "agent", m.machines)},
 		{"in force at the last real sidecar, at ten times the rate of the busiest minute",
 			m.measured("publish", "agent", "busy_in_force_max_s", m.machines)},
 		{"in force at the last real sidecar, versions of all services at once",
 			m.measured("publish", "agent", "all_in_force_max_s", m.machines)},
-		{"in force at the last real sidecar, a coordinator that follows killed meanwhile",
+		{"in force at the last real sidecar, a coordinator: follower killed meanwhile",
 			m.measured("publish", "agent", "killed_in_force_max_s", m.machines)},
 		{"in force at the last real sidecar, the leader killed meanwhile",
 			m.measured("publish", "agent", "leader_killed_in_force_max_s", m.machines)},
@@ -130,9 +130,9 @@
 		m.addRow(Row{Time: ByVersion, Role: SidecarCalls, Quantity: "a call at real sidecars for 99 in 100, servers counted, " + c.what, Unit: "s",
 			Need: m.measured("publish", "sidecar", c.prefix+"call_p99_s", m.machines), Mechanism: "internal/sidecar/handover, " + by})
 	}
-	m.addRow(Row{Time: ByVersion, Role: Leader, Quantity: "watches that come to an end without news, of all", Unit: "1/s",
+	m.addRow(Row{Time: ByVersion, Role: Leader, Quantity: "watches that end without a newer version, of all", Unit: "1/s",
 		Need: div(m.machines, m.assumption("periods.watch_hold")), Mechanism: by})
-	m.addRow(Row{Time: ByVersion, Role: Leader, Quantity: "watches that wait at a coordinator", Unit: "",
+	m.addRow(Row{Time: ByVersion, Role: Leader, Quantity: "watches pending at a coordinator", Unit: "",
 		Need: div(m.machines, m.assumption("machines.replicas")), Budget: m.usableLimit("machines.descriptors"),
 		Breaks: BreaksRule, Mechanism: by, NeededBy: []string{CoordinatorsLost}})
 }
--- a/internal/coordination/capacity/rows_control.go
+++ b/internal/coordination/capacity/rows_control.go
@@ -5,10 +5,10 @@
 	const ask = "internal/coordination/replica (confirmed reads), internal/coordination/fleet"
 	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "renewals, by a trial with as many sessions", Unit: "1/s",
 		Need: m.renewalRate(), Budget: m.limit("earlier.renewals_a_second_12000"), Breaks: BreaksRule, Mechanism: ask,
-		NeededBy: []string{"duties", "budgets of the fleet", "the driver's lease"}})
+		NeededBy: []string{"singleton roles", "budgets of the fleet", "the driver's lease"}})
 	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "renewals, by the figure with 2,000 sessions", Unit: "1/s",
 		Need: m.renewalRate(), Budget: m.limit("earlier.renewals_a_second"), Breaks: BreaksRule, Mechanism: ask,
-		NeededBy: []string{"duties", "budgets of the fleet", "the driver's lease"}})
+		NeededBy: []string{"singleton roles", "budgets of the fleet", "the driver's lease"}})
 	for _, c := range []struct{ role, name string }{{Leader, "leader"}, {Follower, "follower"}} {
 		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "processor time of renewals and watches", Unit: "cores",
 			Need: coresFromMicros(m.coordinatorUsage(c.name, "cpu_us_s")), Budget: m.usableLimit("machines.cores"), Breaks: BreaksTime,
@@ -79,16 +79,16 @@
 	// few turns.
 	reads := mul(m.assumption("target.services"), m.assumption("earlier.read"))
 	looks := div(mul(m.machines, m.assumption("earlier.looks_2000")).times(1./2000), m.assumption("periods.look_rest"))
-	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "a turn over all applications, each changed once", Unit: "s",
+	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "a poll of all applications, each changed once", Unit: "s",
 		Need: add(reads, looks), Budget: m.limit("periods.look_every"), Breaks: BreaksTime,
-		Mechanism: "internal/coordination/driver (turn, step, look)", NeededBy: []string{ByRollout, AllRestarted, "the judge's windows"}})
-	m.addRow(Row{Time: Busiest, Role: Driver, Quantity: "a look at all agents, as one change of all has it", Unit: "s",
+		Mechanism: "internal/coordination/driver (pollAll, driveApplication, pollAgents)", NeededBy: []string{ByRollout, AllRestarted, "the judge's windows"}})
+	m.addRow(Row{Time: Busiest, Role: Driver, Quantity: "a poll of all agents, as in one change of all", Unit: "s",
 		Need: mul(m.machines, m.assumption("earlier.looks_2000")).times(1. / 2000), Budget: m.limit("periods.look_every"),
-		Breaks: BreaksTime, Mechanism: "internal/coordination/driver (ask, 64 at once)", NeededBy: []string{ByRollout, AllRestarted}})
-	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "bytes of changes read at each look", Unit: "bytes/s",
+		Breaks: BreaksTime, Mechanism: "internal/coordination/driver (queryAgents, 64 at once)", NeededBy: []string{ByRollout, AllRestarted}})
+	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "bytes of changes read at each poll", Unit: "bytes/s",
 		Need: div(m.changeBytes(m.servers), m.assumption("periods.look_every")), Budget: m.usableLimit("machines.network"),
-		Breaks: BreaksTime, Mechanism: "internal/coordination/driver (read), internal/coordination/rollout"})
-	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "processor time of looks at all agents", Unit: "cores",
+		Breaks: BreaksTime, Mechanism: "internal/coordination/driver (readChanges), internal/coordination/rollout"})
+	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "processor time of polls of all agents", Unit: "cores",
 		Need: coresFromMicros(m.measured("looks", "driver", "cpu_us_s", m.machines)), Budget: m.usableLimit("machines.cores"),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/driver", NeededBy: []string{ByRollout, AllRestarted}})
 	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "bytes in from all agents", Unit: "bytes/s",
@@ -100,7 +100,7 @@
 	m.addRow(Row{Time: Ordinary, Role: Tool, Quantity: "a change of all, in one answer", Unit: "bytes",
 		Need: m.changeBytes(m.servers), Budget: m.limit("limits.max_message"), Breaks: BreaksRule,
 		Mechanism: "cmd/petrelhookctl, internal/coordination/fleet"})
-	m.addRow(Row{Time: Ordinary, Role: Tool, Quantity: "what is in force, of all services", Unit: "s",
+	m.addRow(Row{Time: Ordinary, Role: Tool, Quantity: "versions in force, of all services", Unit: "s",
 		Need: m.measured("publish", "tool", "summary_s", m.machines), Budget: m.limit("target.in_force"),
 		Breaks: BreaksTime, Mechanism: "internal/coordination/distribute (Summaries)"})
 }
--- a/internal/coordination/capacity/rows_fault.go
+++ b/internal/coordination/capacity/rows_fault.go
@@ -29,13 +29,13 @@
 	m.addRow(Row{Time: time, Role: ListServer, Quantity: "bytes out of a machine", Unit: "bytes/s",
 		Need:   div(div(mul(m.servers, m.listUpdateBytes(news)), within), m.listMachines),
 		Budget: m.usableLimit("machines.network"), Breaks: BreaksTime, Mechanism: "the platform's discovery"})
-	m.addRow(Row{Time: time, Role: ListServer, Quantity: "processor time of a machine while it tells", Unit: "cores",
+	m.addRow(Row{Time: time, Role: ListServer, Quantity: "processor time of a machine while it sends updates", Unit: "cores",
 		Need: div(div(mul(news, m.watchers, m.measured("lists", "server", "cpu_us_line", m.servers)), within),
 			m.listMachines).times(1e-6),
 		Budget: m.usableLimit("machines.cores"), Breaks: BreaksRule,
 		Mechanism: "the platform's discovery; internal/sidecar/member/discovery",
-		NeededBy:  []string{"drains in time (a rule of calls)"}})
-	m.addRow(Row{Time: time, Role: SidecarControl, Quantity: "processor time while it hears", Unit: "cores",
+		NeededBy:  []string{"draining in time (a rule of calls)"}})
+	m.addRow(Row{Time: time, Role: SidecarControl, Quantity: "processor time while it receives updates", Unit: "cores",
 		Need: div(mul(news, div(m.knownServers, m.servers), m.measured("lists", "sidecar", "cpu_us_line", m.servers)),
 			within).times(1e-6),
 		Budget: m.limit("target.control_core"), Breaks: BreaksTime,
@@ -51,19 +51,19 @@
 func (m *model) addReturnRows(time string, servers Figure) {
 	within := m.assumption("periods.back_within")
 	agents := div(servers, m.assumption("places.sidecars_a_machine"))
-	m.addRow(Row{Time: time, Role: Leader, Quantity: "sessions opened as they are back", Unit: "1/s",
+	m.addRow(Row{Time: time, Role: Leader, Quantity: "sessions opened as they return", Unit: "1/s",
 		Need:   div(mul(agents, m.assumption("places.sessions_a_machine")), within),
 		Budget: m.limit("earlier.grants_a_second"), Breaks: BreaksTime,
 		Mechanism: "lease, internal/coordination/replica, internal/coordination/replica/disk"})
-	m.addRow(Row{Time: time, Role: Leader, Quantity: "bytes of versions told as they are back, were it alone",
+	m.addRow(Row{Time: time, Role: Leader, Quantity: "bytes of versions sent as they return, if it were alone",
 		Unit: "bytes/s", Need: div(mul(agents, add(m.assumption("changes.bytes"), m.assumption("changes.head_bytes"))), within),
 		Budget: m.usableLimit("machines.network"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/distribute (the newest alone is told)"})
-	m.addRow(Row{Time: time, Role: ListServer, Quantity: "bytes of whole lists out of a machine as they are back",
+	m.addRow(Row{Time: time, Role: ListServer, Quantity: "bytes of complete lists out of a machine as they return",
 		Unit: "bytes/s", Need: div(div(mul(servers, m.knownServers, m.assumption("lists.entry_bytes")), within), m.listMachines),
 		Budget: m.usableLimit("machines.network"), Breaks: BreaksTime,
 		Mechanism: "the platform's discovery; internal/sidecar/member/discovery"})
-	m.addRow(Row{Time: time, Role: SidecarControl, Quantity: "bytes of whole lists as it is back, of a minute's budget",
+	m.addRow(Row{Time: time, Role: SidecarControl, Quantity: "bytes of complete lists as it returns, of a minute's budget",
 		Unit: "bytes", Need: mul(m.knownServers, m.assumption("lists.entry_bytes")),
 		Budget: pointerTo(m.assumption("target.control_bytes").times(60)), Breaks: BreaksTime,
 		Mechanism: "internal/sidecar/member/discovery"})
@@ -100,7 +100,7 @@
 		Mechanism: "internal/coordination/rollout, internal/coordination/driver"})
 	m.addRow(Row{Time: AllRestarted, Role: Leader, Quantity: "one change of all: the message that begins it", Unit: "bytes",
 		Need: m.changeBytes(m.servers), Budget: m.limit("limits.max_ask"), Breaks: BreaksRule,
-		Mechanism: "internal/coordination/fleet (maxAsk)", NeededBy: []string{ByRollout}})
+		Mechanism: "internal/coordination/fleet (maxRequest)", NeededBy: []string{ByRollout}})
 	m.addRow(Row{Time: AllRestarted, Role: Leader, Quantity: "events in the log, spread over the day", Unit: "1/s",
 		Need:   mul(m.servers, m.assumption("changes.events_a_sidecar")).times(1. / secondsPerDay),
 		Budget: m.limit("earlier.grants_a_second"), Breaks: BreaksTime,
@@ -113,25 +113,25 @@
 // addOutageRows are the rows of all coordinators gone and there again.
 func (m *model) addOutageRows() {
 	within := m.assumption("periods.back_within")
-	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "questions that wait at once, if all ask at once", Unit: "",
+	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "requests pending at once, if all send one at once", Unit: "",
 		Need: m.sessions, Budget: m.limit("limits.max_waiting"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/replica (maxWaiting)", NeededBy: []string{ZoneLost}})
-	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "sessions opened anew, one after the other", Unit: "s",
+	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "sessions opened again, one after the other", Unit: "s",
 		Need: div(m.sessions, m.assumption("earlier.grants_a_second")), Budget: m.limit("periods.lease_ttl"),
 		Breaks: BreaksTime, Mechanism: "lease, internal/coordination/replica, internal/coordination/replica/disk"})
 	asks := div(div(m.sessions, m.assumption("periods.ask_pause")), m.assumption("machines.replicas"))
 	m.addRow(Row{Time: CoordinatorsLost, Role: Follower,
-		Quantity: "asks of sessions while nobody leads, beside what three replicas answered", Unit: "1/s", Need: asks,
+		Quantity: "requests of sessions without a leader, beside what three replicas answered", Unit: "1/s", Need: asks,
 		Budget: m.limit("earlier.renewals_a_second"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/fleet (Caller), lease (Pause)", NeededBy: []string{ZoneLost, RegionIsolated, "each election"}})
-	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "renewals, and watches that are back within their spread",
+	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "renewals, and watches that return within their spread",
 		Unit: "1/s", Need: add(div(div(m.machines, within), m.assumption("machines.replicas")), m.renewalRate()),
 		Budget: m.limit("earlier.renewals_a_second_12000"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/distribute (Subscriber), lease", NeededBy: []string{ZoneLost, RegionIsolated}})
 	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "bytes of versions, if all lost theirs", Unit: "bytes/s",
 		Need:   div(mul(m.machines, add(m.assumption("changes.bytes"), m.assumption("changes.head_bytes"))), within),
 		Budget: m.usableLimit("machines.network"), Breaks: BreaksTime, Mechanism: "internal/coordination/distribute"})
-	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "tasks of the fleet without a holder, beside an election",
+	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "singleton roles without a lease holder, besides an election",
 		Unit: "s", Need: m.assumption("periods.lease_ttl"),
 		Mechanism: "internal/coordination/lease (a new leader lets all live a whole time)"})
 	m.addRow(Row{Time: CoordinatorsLost, Role: SidecarControl, Quantity: "a change in force after their return", Unit: "s",
--- a/internal/coordination/capacity/rows_sidecar.go
+++ b/internal/coordination/capacity/rows_sidecar.go
@@ -32,7 +32,7 @@
 		Mechanism: "balance (repeats, refusals)", NeededBy: []string{ZoneLost, "servers that are at their limit"}})
 	all := add(one, m.assumption("limits.repeat_share"))
 	m.addRow(Row{Time: Busiest, Role: SidecarCalls,
-		Quantity: "attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's repeats allow",
+		Quantity: "attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's retries allow",
 		Unit:     "", Need: Figure{Value: math.Pow(all.Value, depth.Value)}.with(all, depth),
 		Budget: m.limit("shape.attempts_at_leaf"), Breaks: BreaksTime,
 		Mechanism: "balance (repeatShare, each sidecar for itself)",
@@ -70,10 +70,10 @@
 		Budget: m.limit("target.control_bytes"), Breaks: BreaksTime, Mechanism: by})
 	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "bytes of lists alone", Unit: "bytes/s", Need: lists,
 		Budget: m.limit("target.control_bytes"), Breaks: BreaksTime, Mechanism: "internal/sidecar/member/discovery"})
-	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "lists held, as text", Unit: "bytes",
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "lists in memory, as text", Unit: "bytes",
 		Need: mul(m.knownServers, m.assumption("lists.entry_bytes")), Budget: m.limit("target.control_memory"), Breaks: BreaksRule,
 		Mechanism: "internal/sidecar/member, balance (list.go)"})
-	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "memory of the whole process, calls counted", Unit: "bytes",
+	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "memory of the process, calls counted", Unit: "bytes",
 		Need: add(m.measuredAtRate("memory_bytes", Figure{Value: 1}, div(m.assumption("target.calls"), m.servers)), a("memory_bytes"),
 			m.measured("lists", "sidecar", "memory_bytes", m.servers)),
 		Budget: m.limit("target.control_memory"), Breaks: BreaksRule, Mechanism: "internal/sidecar/membudget, " + by})
@@ -83,7 +83,7 @@
 	m.addRow(Row{Time: Ordinary, Role: Agent, Quantity: "sidecars in one watch's reports", Unit: "",
 		Need: m.assumption("places.sidecars_a_machine"), Budget: m.limit("limits.max_reports"), Breaks: BreaksRule,
 		Mechanism: "internal/coordination/distribute", NeededBy: []string{ByVersion}})
-	m.addRow(Row{Time: Ordinary, Role: Agent, Quantity: "looks, watches and renewals", Unit: "1/s",
+	m.addRow(Row{Time: Ordinary, Role: Agent, Quantity: "polls, watches and renewals", Unit: "1/s",
 		Need: add(div(Figure{Value: 1}, m.assumption("periods.look_every")),
 			div(Figure{Value: 1}, m.assumption("periods.watch_hold")), div(m.assumption("periods.renewals_a_ttl"),
 				m.assumption("periods.lease_ttl"))),
