--- a/cmd/petrelhook-agent/faults_test.go
+++ b/cmd/petrelhook-agent/faults_test.go
@@ -108,7 +108,7 @@
 // Agents are killed at random moments of a change and started again: no sidecar ever has a third process or none, and the change
 // completes.
 func TestAgentsThatDie(t *testing.T) {
-	s := newSite(t, 6, 200, "", func(d *deployment.Deployment) { // a trial begins anew with the agent
+	s := newSite(t, 6, 200, "", func(d *deployment.Deployment) { // a trial starts over with the agent
 		d.Limits = "{ready: 15s, trial: 300ms, end: 4s, look: 50ms, cut_off: 20s, heard: 4s, restart_pause: 200ms}"
 	})
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
--- a/cmd/petrelhook-agent/main.go
+++ b/cmd/petrelhook-agent/main.go
@@ -1,5 +1,5 @@
 // Command petrelhook-agent runs the sidecars of one machine: it starts them, replaces their processes when a rolling change orders so, and
-// supervises them again after it was started anew.
+// supervises them again after a restart.
 package main
 
 import (
--- a/internal/coordination/agent/configuration.go
+++ b/internal/coordination/agent/configuration.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// Report returns what the coordinators are told of the versions of this sidecar, which is called name.
+// Report returns the report to the coordinators on the versions of this sidecar, which is called name.
 func (s *Sidecar) Report(name string) distribute.Report {
 	report := distribute.Report{Sidecar: name, InForce: s.InForce}
 	if s.Rejected > s.InForce {
--- a/internal/coordination/agent/configuration_test.go
+++ b/internal/coordination/agent/configuration_test.go
@@ -33,7 +33,7 @@
 	t                testing.TB
 	sidecar          *Sidecar
 	now              time.Duration
-	pid              int
+	lastPID          int
 	alive            []Process
 	runningVersions  map[int]distribute.Revision // by PID: the version that it read
 	readySince       map[int]time.Duration       // by PID
@@ -79,9 +79,9 @@
 		w.checkAction(action)
 		switch {
 		case action.Start != "":
-			w.pid++
-			p := Process{PID: w.pid, StartTicks: uint64(w.pid), Release: action.Start, StartNumber: w.sidecar.StartCount}
-			w.alive, w.runningVersions[w.pid] = append(w.alive, p), action.Version
+			w.lastPID++
+			p := Process{PID: w.lastPID, StartTicks: uint64(w.lastPID), Release: action.Start, StartNumber: w.sidecar.StartCount}
+			w.alive, w.runningVersions[w.lastPID] = append(w.alive, p), action.Version
 			w.maxProcesses = max(w.maxProcesses, len(w.alive))
 			if w.unnotedStart = &p; w.agentKilled() {
 				w.restartAgent()
--- a/internal/coordination/agent/sidecar.go
+++ b/internal/coordination/agent/sidecar.go
@@ -44,7 +44,7 @@
 	s.deadline = now + s.limits.ReadyTimeout
 	switch s.Phase {
 	case Trial:
-		s.deadline = now + s.trialPeriod() // the trial begins anew: nobody watched meanwhile
+		s.deadline = now + s.trialPeriod() // the trial starts over: nobody watched meanwhile
 	case Ending:
 		s.deadline = now
 	}
--- a/internal/coordination/agent/sidecar_test.go
+++ b/internal/coordination/agent/sidecar_test.go
@@ -19,7 +19,7 @@
 	t                     testing.TB
 	sidecar               *Sidecar
 	now                   time.Duration
-	pid                   int
+	lastPID               int
 	alive                 []Process
 	ignoresTERM           bool            // SIGTERM has no effect
 	neverReady            map[string]bool // releases whose processes never become ready
@@ -38,8 +38,8 @@
 	for _, action := range actions {
 		switch {
 		case action.Start != "":
-			m.pid++
-			p := Process{PID: m.pid, StartTicks: uint64(m.pid), Release: action.Start}
+			m.lastPID++
+			p := Process{PID: m.lastPID, StartTicks: uint64(m.lastPID), Release: action.Start}
 			m.alive = append(m.alive, p)
 			m.maxProcesses = max(m.maxProcesses, len(m.alive))
 			m.carryOut(m.sidecar.ProcessStarted(m.now, p))
--- a/internal/coordination/capacity/rows_change.go
+++ b/internal/coordination/capacity/rows_change.go
@@ -1,6 +1,6 @@
 package capacity
 
-// addBusiestRows are the rows of the minute with the most changes of configuration.
+// addBusiestRows adds the rows of the minute with the most changes of configuration.
 func (m *model) addBusiestRows() {
 	rate := mul(m.changeRate, m.assumption("changes.busiest_minute"))
 	m.addRow(Row{Time: Busiest, Role: Leader, Quantity: "changes of configuration", Unit: "1/s", Need: rate,
@@ -26,19 +26,19 @@
 		NeededBy: []string{ByVersion}})
 }
 
-// stagedDuration is how long a staged change of so many sidecars takes, between the sizes that were measured.
+// stagedDuration is how long a staged change of n sidecars takes, interpolated between the measured sizes.
 func (m *model) stagedDuration(n Figure) Figure {
-	type at struct {
+	type measured struct {
 		size float64
 		took Figure
 	}
-	all := []at{{20, m.assumption("earlier.staged_20")}, {200, m.assumption("earlier.staged_200")}, {2000, m.assumption("earlier.staged_2000")}}
+	all := []measured{{20, m.assumption("earlier.staged_20")}, {200, m.assumption("earlier.staged_200")}, {2000, m.assumption("earlier.staged_2000")}}
 	if n.Value <= all[0].size {
 		return all[0].took.with(n)
 	}
 	low := all[0]
 	for _, high := range all[1:] {
-		if n.Value <= high.size || high.size == 2000 { // beyond it, the last piece goes on
+		if n.Value <= high.size || high.size == 2000 { // beyond it, by the last two
 			part := (n.Value - low.size) / (high.size - low.size)
 			return add(low.took.times(1-part), high.took.times(part)).with(n)
 		}
@@ -47,25 +47,25 @@
 	return low.took
 }
 
-// addStagedChangeRows are the rows of a change as it was made before versions: staged, a new process for each sidecar.
+// addStagedChangeRows adds the rows of a change by a rollout: staged, with a new process for each sidecar.
 func (m *model) addStagedChangeRows() {
 	const by = "internal/coordination/rollout, internal/coordination/driver, internal/coordination/machine"
 	for _, c := range []struct {
-		what string
-		of   Figure
+		what     string
+		sidecars Figure
 	}{{"staged, judged by the clock, in a mean service", m.meanServiceSize},
 		{"staged, judged by the clock, in the largest service", m.assumption("shape.largest")},
 		{"staged, judged by the clock, of all sidecars, could it begin", m.servers}} {
-		m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: c.what, Unit: "s", Need: m.stagedDuration(c.of),
+		m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: c.what, Unit: "s", Need: m.stagedDuration(c.sidecars),
 			Budget: m.limit("target.in_force"), Breaks: BreaksTime, Mechanism: by,
 			NeededBy: []string{"each change of configuration"}})
 	}
 	for _, c := range []struct {
-		what string
-		of   Figure
+		what     string
+		sidecars Figure
 	}{{"all at once, without a judge, in the largest service", m.assumption("shape.largest")},
 		{"all at once, without a judge, at all agents, could it begin", m.machines}} {
-		m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: c.what, Unit: "s", Need: m.inForce("looks", "agent", c.of),
+		m.addRow(Row{Time: ByRollout, Role: Driver, Quantity: c.what, Unit: "s", Need: m.inForce("looks", "agent", c.sidecars),
 			Budget: m.limit("target.in_force"), Breaks: BreaksTime, Mechanism: by,
 			NeededBy: []string{"each change of configuration"}})
 	}
@@ -93,7 +93,7 @@
 		Mechanism: "cmd/petrelhook (discovery alone is taken live), internal/sidecar/handover"})
 }
 
-// addVersionRows are the rows of a change as a version that agents watch for.
+// addVersionRows adds the rows of a change by a version that agents watch for.
 func (m *model) addVersionRows() {
 	const by = "internal/coordination/distribute"
 	for _, c := range []struct {
--- a/internal/coordination/capacity/rows_control.go
+++ b/internal/coordination/capacity/rows_control.go
@@ -1,25 +1,25 @@
 package capacity
 
-// addCoordinatorRows are the rows of an ordinary minute there.
+// addCoordinatorRows adds the rows of coordinators in an ordinary minute.
 func (m *model) addCoordinatorRows() {
-	const ask = "internal/coordination/replica (confirmed reads), internal/coordination/fleet"
+	const confirmed = "internal/coordination/replica (confirmed reads), internal/coordination/fleet"
 	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "renewals, by a trial with as many sessions", Unit: "1/s",
-		Need: m.renewalRate(), Budget: m.limit("earlier.renewals_a_second_12000"), Breaks: BreaksRule, Mechanism: ask,
+		Need: m.renewalRate(), Budget: m.limit("earlier.renewals_a_second_12000"), Breaks: BreaksRule, Mechanism: confirmed,
 		NeededBy: []string{"singleton roles", "budgets of the fleet", "the driver's lease"}})
 	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "renewals, by the figure with 2,000 sessions", Unit: "1/s",
-		Need: m.renewalRate(), Budget: m.limit("earlier.renewals_a_second"), Breaks: BreaksRule, Mechanism: ask,
+		Need: m.renewalRate(), Budget: m.limit("earlier.renewals_a_second"), Breaks: BreaksRule, Mechanism: confirmed,
 		NeededBy: []string{"singleton roles", "budgets of the fleet", "the driver's lease"}})
 	for _, c := range []struct{ role, name string }{{Leader, "leader"}, {Follower, "follower"}} {
 		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "processor time of renewals and watches", Unit: "cores",
 			Need: coresFromMicros(m.coordinatorUsage(c.name, "cpu_us_s")), Budget: m.usableLimit("machines.cores"), Breaks: BreaksTime,
-			Mechanism: ask + ", internal/coordination/distribute", NeededBy: []string{ByVersion}})
+			Mechanism: confirmed + ", internal/coordination/distribute", NeededBy: []string{ByVersion}})
 		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "memory", Unit: "bytes", Need: m.coordinatorUsage(c.name, "memory_bytes"),
-			Budget: m.usableLimit("machines.memory"), Breaks: BreaksRule, Mechanism: ask + ", internal/coordination/distribute"})
+			Budget: m.usableLimit("machines.memory"), Breaks: BreaksRule, Mechanism: confirmed + ", internal/coordination/distribute"})
 		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "bytes out", Unit: "bytes/s",
 			Need: m.coordinatorUsage(c.name, "bytes_out_s"), Budget: m.usableLimit("machines.network"), Breaks: BreaksTime,
 			Mechanism: "internal/coordination/rpc"})
 		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "messages in", Unit: "1/s",
-			Need: m.coordinatorUsage(c.name, "messages_in_s"), Mechanism: "internal/coordination/rpc, " + ask})
+			Need: m.coordinatorUsage(c.name, "messages_in_s"), Mechanism: "internal/coordination/rpc, " + confirmed})
 		m.addRow(Row{Time: Ordinary, Role: c.role, Quantity: "descriptors", Unit: "", Need: m.coordinatorUsage(c.name, "descriptors"),
 			Budget: m.usableLimit("machines.descriptors"), Breaks: BreaksRule, Mechanism: "internal/coordination/rpc",
 			NeededBy: []string{CoordinatorsLost}})
@@ -39,7 +39,7 @@
 		NeededBy: []string{CoordinatorsLost, "a replica that is replaced"}})
 	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "services with a version", Unit: "", Need: m.assumption("target.services"),
 		Budget: m.limit("limits.max_services"), Breaks: BreaksRule, Mechanism: "internal/coordination/distribute"})
-	opened := add(m.assumption("target.failed_a_day"), m.assumption("target.restarted_a_day")).times(2. / secondsPerDay) // an end and an opening
+	opened := add(m.assumption("target.failed_a_day"), m.assumption("target.restarted_a_day")).times(2. / secondsPerDay) // each ends a session and opens one
 	m.addRow(Row{Time: Ordinary, Role: Leader, Quantity: "entries of the log", Unit: "1/s", Need: add(opened, m.changeRate),
 		Budget: m.limit("earlier.grants_a_second"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/replica, internal/coordination/replica/disk"})
@@ -53,34 +53,34 @@
 		Mechanism: "cmd/petrelhook-coordinator, the platform's discovery"})
 }
 
+// renewalRate is how many renewals all sessions make per second.
 func (m *model) renewalRate() Figure {
 	return div(mul(m.sessions, m.assumption("periods.renewals_a_ttl")), m.assumption("periods.lease_ttl"))
 }
 
-// coordinatorUsage is what a coordinator needs for renewals and watches of the whole fleet.
+// coordinatorUsage is what a coordinator needs for the renewals and watches of the fleet.
 func (m *model) coordinatorUsage(role, metric string) Figure {
 	return add(m.measured("renewals", role, metric, m.sessions), m.measured("watches", role, metric, m.machines))
 }
 
-// snapshotBytes is the state in the log where a version has so many bytes.
+// snapshotBytes is the size of a snapshot if each version has the given size.
 func (m *model) snapshotBytes(version Figure) Figure {
 	versions := smaller(mul(m.assumption("target.services"), version), m.assumption("limits.max_total"))
 	return add(mul(m.sessions, m.assumption("earlier.lease_snapshot_bytes")), versions, m.changeBytes(m.servers))
 }
 
-// changeBytes are those of staged changes of so many sidecars in all, by the message that began one of 12,000.
+// changeBytes is the size of staged changes of so many sidecars together, by the message that began one of 12,000.
 func (m *model) changeBytes(sidecars Figure) Figure {
 	return mul(sidecars, m.assumption("earlier.start_bytes_12000")).times(1. / 12000)
 }
 
-// addDriverRows are the rows of who looks at agents, and of the tool that asks.
+// addDriverRows adds the rows of the driver and of the operators' tool.
 func (m *model) addDriverRows() {
-	// A turn reads each application's change, one after the other, then asks its agents; where a change is over, each
-	// few turns.
+	// A poll reads the change of one application after the other and asks its agents, less often once the change is over.
 	reads := mul(m.assumption("target.services"), m.assumption("earlier.read"))
-	looks := div(mul(m.machines, m.assumption("earlier.looks_2000")).times(1./2000), m.assumption("periods.look_rest"))
+	polls := div(mul(m.machines, m.assumption("earlier.looks_2000")).times(1./2000), m.assumption("periods.look_rest"))
 	m.addRow(Row{Time: Ordinary, Role: Driver, Quantity: "a poll of all applications, each changed once", Unit: "s",
-		Need: add(reads, looks), Budget: m.limit("periods.look_every"), Breaks: BreaksTime,
+		Need: add(reads, polls), Budget: m.limit("periods.look_every"), Breaks: BreaksTime,
 		Mechanism: "internal/coordination/driver (pollAll, driveApplication, pollAgents)", NeededBy: []string{ByRollout, AllRestarted, "the judge's windows"}})
 	m.addRow(Row{Time: Busiest, Role: Driver, Quantity: "a poll of all agents, as in one change of all", Unit: "s",
 		Need: mul(m.machines, m.assumption("earlier.looks_2000")).times(1. / 2000), Budget: m.limit("periods.look_every"),
@@ -105,7 +105,7 @@
 		Breaks: BreaksTime, Mechanism: "internal/coordination/distribute (Summaries)"})
 }
 
-// addListRows are the rows of who tells all sidecars which servers there are.
+// addListRows adds the rows of what sends all sidecars the lists of servers.
 func (m *model) addListRows() {
 	const by = "the platform's discovery; internal/sidecar/member/discovery"
 	watches := mul(m.servers, m.assumption("shape.fan_out"))
--- a/internal/coordination/capacity/rows_fault.go
+++ b/internal/coordination/capacity/rows_fault.go
@@ -1,42 +1,41 @@
 package capacity
 
-// addFaultRows are the rows of servers that go together and come back together.
+// addFaultRows adds the rows of servers that fail and return together.
 func (m *model) addFaultRows() {
 	for _, c := range []struct {
 		time string
-		gone Figure // servers
+		lost Figure // servers
 	}{{RackLost, mul(m.assumption("places.rack"), m.assumption("places.sidecars_a_machine"))},
 		{ZoneLost, mul(m.servers, m.assumption("places.zone_share"))},
 		{RegionIsolated, mul(m.servers, m.assumption("places.region_share"))}} {
-		m.addFailureRows(c.time, c.gone)
+		m.addFailureRows(c.time, c.lost)
 		if c.time != RackLost {
-			m.addReturnRows(c.time, c.gone)
+			m.addReturnRows(c.time, c.lost)
 		}
 	}
 	m.addRegionReturnRows()
 }
 
-// addFailureRows is what follows where so many servers fail at one moment, and lists tell of it within the time in which they
-// must.
+// addFailureRows adds the rows of so many servers that fail at one moment. The lists have to say so within a given time.
 func (m *model) addFailureRows(time string, servers Figure) {
 	within := m.assumption("periods.heard_within")
-	news := mul(servers, m.assumption("lists.changes_a_failure"))
+	changes := mul(servers, m.assumption("lists.changes_a_failure"))
 	m.addRow(Row{Time: time, Role: SidecarControl, Quantity: "bytes of lists, as they go, of a minute's budget", Unit: "bytes",
-		Need: m.listUpdateBytes(news), Budget: pointerTo(m.assumption("target.control_bytes").times(60)), Breaks: BreaksTime,
+		Need: m.listUpdateBytes(changes), Budget: pointerTo(m.assumption("target.control_bytes").times(60)), Breaks: BreaksTime,
 		Mechanism: "internal/sidecar/member/discovery"})
 	m.addRow(Row{Time: time, Role: ListServer, Quantity: "lines of lists out of a machine, each change a line", Unit: "1/s",
-		Need: div(div(mul(news, m.watchers), within), m.listMachines), Mechanism: "the platform's discovery"})
+		Need: div(div(mul(changes, m.watchers), within), m.listMachines), Mechanism: "the platform's discovery"})
 	m.addRow(Row{Time: time, Role: ListServer, Quantity: "bytes out of a machine", Unit: "bytes/s",
-		Need:   div(div(mul(m.servers, m.listUpdateBytes(news)), within), m.listMachines),
+		Need:   div(div(mul(m.servers, m.listUpdateBytes(changes)), within), m.listMachines),
 		Budget: m.usableLimit("machines.network"), Breaks: BreaksTime, Mechanism: "the platform's discovery"})
 	m.addRow(Row{Time: time, Role: ListServer, Quantity: "processor time of a machine while it sends updates", Unit: "cores",
-		Need: div(div(mul(news, m.watchers, m.measured("lists", "server", "cpu_us_line", m.servers)), within),
+		Need: div(div(mul(changes, m.watchers, m.measured("lists", "server", "cpu_us_line", m.servers)), within),
 			m.listMachines).times(1e-6),
 		Budget: m.usableLimit("machines.cores"), Breaks: BreaksRule,
 		Mechanism: "the platform's discovery; internal/sidecar/member/discovery",
 		NeededBy:  []string{"draining in time (a rule of calls)"}})
 	m.addRow(Row{Time: time, Role: SidecarControl, Quantity: "processor time while it receives updates", Unit: "cores",
-		Need: div(mul(news, div(m.knownServers, m.servers), m.measured("lists", "sidecar", "cpu_us_line", m.servers)),
+		Need: div(mul(changes, div(m.knownServers, m.servers), m.measured("lists", "sidecar", "cpu_us_line", m.servers)),
 			within).times(1e-6),
 		Budget: m.limit("target.control_core"), Breaks: BreaksTime,
 		Mechanism: "internal/sidecar/member/discovery, balance (list.go)"})
@@ -47,7 +46,7 @@
 		Mechanism: "internal/coordination/replica (due), internal/coordination/replica/disk"})
 }
 
-// addReturnRows is what follows where so many are there again at one moment.
+// addReturnRows adds the rows of so many servers that return at one moment.
 func (m *model) addReturnRows(time string, servers Figure) {
 	within := m.assumption("periods.back_within")
 	agents := div(servers, m.assumption("places.sidecars_a_machine"))
@@ -69,7 +68,7 @@
 		Mechanism: "internal/sidecar/member/discovery"})
 }
 
-// addRegionReturnRows is what a region that was cut off has missed.
+// addRegionReturnRows adds the rows of the return of an isolated region, and of the calls at what is left of a zone's loss.
 func (m *model) addRegionReturnRows() {
 	missed := mul(m.changeRate, m.assumption("target.cut_off"))
 	m.addRow(Row{Time: RegionIsolated, Role: SidecarControl, Quantity: "changes missed, of all services", Unit: "",
@@ -86,14 +85,14 @@
 		Breaks: BreaksTime, Mechanism: "balance, internal/sidecar/core, internal/sidecar/upstream/http1"})
 }
 
-// addRestartRows are the rows of a day on which every sidecar is started anew once.
+// addRestartRows adds the rows of a day on which every sidecar is restarted once.
 func (m *model) addRestartRows() {
-	news := add(m.listChangeRate, mul(m.servers, m.assumption("lists.changes_a_restart")).times(1./secondsPerDay))
+	changes := add(m.listChangeRate, mul(m.servers, m.assumption("lists.changes_a_restart")).times(1./secondsPerDay))
 	m.addRow(Row{Time: AllRestarted, Role: SidecarControl, Quantity: "bytes of lists", Unit: "bytes/s",
-		Need:   add(m.listBytes(news), mul(m.knownServers, m.assumption("lists.entry_bytes")).times(1./secondsPerDay)),
+		Need:   add(m.listBytes(changes), mul(m.knownServers, m.assumption("lists.entry_bytes")).times(1./secondsPerDay)),
 		Budget: m.limit("target.control_bytes"), Breaks: BreaksTime, Mechanism: "internal/sidecar/member/discovery"})
 	m.addRow(Row{Time: AllRestarted, Role: ListServer, Quantity: "bytes out of a machine", Unit: "bytes/s",
-		Need: div(mul(m.servers, m.listBytes(news)), m.listMachines), Budget: m.usableLimit("machines.network"),
+		Need: div(mul(m.servers, m.listBytes(changes)), m.listMachines), Budget: m.usableLimit("machines.network"),
 		Breaks: BreaksTime, Mechanism: "the platform's discovery"})
 	m.addRow(Row{Time: AllRestarted, Role: Driver, Quantity: "the largest service, staged, judged by the clock", Unit: "s",
 		Need: m.stagedDuration(m.assumption("shape.largest")), Budget: m.limit("periods.settled_within"), Breaks: BreaksTime,
@@ -110,7 +109,7 @@
 		Mechanism: "cmd/petrelhook, internal/sidecar/handover"})
 }
 
-// addOutageRows are the rows of all coordinators gone and there again.
+// addOutageRows adds the rows of the loss and return of all coordinators.
 func (m *model) addOutageRows() {
 	within := m.assumption("periods.back_within")
 	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "requests pending at once, if all send one at once", Unit: "",
--- a/internal/coordination/capacity/rows_sidecar.go
+++ b/internal/coordination/capacity/rows_sidecar.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// addCallRows are the rows of a sidecar's calls.
+// addCallRows adds the rows of a sidecar's calls.
 func (m *model) addCallRows() {
 	rate := div(m.assumption("target.calls"), m.servers)
 	busiest := mul(rate, m.assumption("shape.busiest_sidecar"))
 	const path = "balance, internal/sidecar/core, internal/sidecar/front/platform, internal/sidecar/upstream/http1"
 	m.addRow(Row{Time: Ordinary, Role: SidecarCalls, Quantity: "calls in the mean", Unit: "1/s", Need: rate, Mechanism: path})
-	one := Figure{Value: 1} // sidecar on the way
+	one := Figure{Value: 1} // the depth of a call through one sidecar
 	depth := m.assumption("target.depth")
 	for _, c := range []struct {
 		time, what string
@@ -43,18 +43,19 @@
 		Mechanism: "balance (pick.go, a subset)", NeededBy: []string{"every call"}})
 }
 
-// addControlRows are the rows of what a sidecar and its machine's agent spend on control.
+// addControlRows adds the rows of what a sidecar and its machine's agent use for control.
 func (m *model) addControlRows() {
 	const by = "internal/coordination/machine, internal/coordination/distribute, internal/sidecar/member/discovery"
-	agents := m.assumption("places.sidecars_a_machine") // an agent's cost is shared by its machine's sidecars
-	a := func(metric string) Figure {                   // of members and agents a run tells the mean of one
+	agents := m.assumption("places.sidecars_a_machine") // the cost of an agent is shared by its machine's sidecars
+	// agentShare is a sidecar's share of what its agent needs. Runs have the mean of a member and of an agent.
+	agentShare := func(metric string) Figure {
 		return div(add(mul(m.assumption("places.sessions_a_machine"), m.measured("renewals", "member", metric, m.sessions)),
 			m.measured("watches", "agent", metric, m.machines)), agents)
 	}
 	rest := func(metric string) Figure { return m.measured("watches", "sidecar", metric, m.machines) } // with one short list
-	look := func(metric string) Figure { return div(m.measured("looks", "agent", metric, m.machines), agents) }
+	poll := func(metric string) Figure { return div(m.measured("looks", "agent", metric, m.machines), agents) }
 	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "processor time", Unit: "cores",
-		Need: coresFromMicros(add(a("cpu_us_s"), rest("cpu_us_s"), look("cpu_us_s"),
+		Need: coresFromMicros(add(agentShare("cpu_us_s"), rest("cpu_us_s"), poll("cpu_us_s"),
 			m.measured("lists", "sidecar", "cpu_us_s", m.servers))),
 		Budget: m.limit("target.control_core"), Breaks: BreaksTime, Mechanism: by})
 	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "processor time of a real agent and sidecar at rest, with one short list",
@@ -66,7 +67,7 @@
 		Budget: m.limit("target.control_memory"), Breaks: BreaksRule, Mechanism: by})
 	lists := m.listBytes(m.listChangeRate)
 	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "bytes in and out", Unit: "bytes/s",
-		Need:   add(a("bytes_in_s"), a("bytes_out_s"), look("bytes_in_s"), look("bytes_out_s"), lists),
+		Need:   add(agentShare("bytes_in_s"), agentShare("bytes_out_s"), poll("bytes_in_s"), poll("bytes_out_s"), lists),
 		Budget: m.limit("target.control_bytes"), Breaks: BreaksTime, Mechanism: by})
 	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "bytes of lists alone", Unit: "bytes/s", Need: lists,
 		Budget: m.limit("target.control_bytes"), Breaks: BreaksTime, Mechanism: "internal/sidecar/member/discovery"})
@@ -74,7 +75,7 @@
 		Need: mul(m.knownServers, m.assumption("lists.entry_bytes")), Budget: m.limit("target.control_memory"), Breaks: BreaksRule,
 		Mechanism: "internal/sidecar/member, balance (list.go)"})
 	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "memory of the process, calls counted", Unit: "bytes",
-		Need: add(m.measuredAtRate("memory_bytes", Figure{Value: 1}, div(m.assumption("target.calls"), m.servers)), a("memory_bytes"),
+		Need: add(m.measuredAtRate("memory_bytes", Figure{Value: 1}, div(m.assumption("target.calls"), m.servers)), agentShare("memory_bytes"),
 			m.measured("lists", "sidecar", "memory_bytes", m.servers)),
 		Budget: m.limit("target.control_memory"), Breaks: BreaksRule, Mechanism: "internal/sidecar/membudget, " + by})
 	m.addRow(Row{Time: Ordinary, Role: SidecarControl, Quantity: "the largest list in one message", Unit: "bytes",
@@ -90,14 +91,14 @@
 		Mechanism: "internal/coordination/machine, internal/coordination/distribute, lease"})
 }
 
-// listBytes are the bytes a second of all lists of one sidecar, where lists change so often in all: empty lines, and
-// a line a change.
+// listBytes is the traffic of all lists of one sidecar, in bytes per second, at a rate of changes of all lists: empty lines, and a line per
+// change.
 func (m *model) listBytes(changes Figure) Figure {
 	empty := mul(m.assumption("shape.fan_out"), div(m.assumption("lists.line_bytes"), m.assumption("lists.empty_line_every")))
 	return add(empty, m.listUpdateBytes(changes))
 }
 
-// listUpdateBytes are the bytes that a sidecar is told of so many changes of servers, anywhere: of those it knows.
+// listUpdateBytes is what a sidecar receives for so many changes of servers anywhere: those of the servers that it knows.
 func (m *model) listUpdateBytes(changes Figure) Figure {
 	return mul(changes, div(m.knownServers, m.servers), add(m.assumption("lists.entry_bytes"), m.assumption("lists.line_bytes")))
 }
--- a/internal/coordination/driver/agents.go
+++ b/internal/coordination/driver/agents.go
@@ -74,7 +74,7 @@
 	return statuses, errs
 }
 
-// pollAgents asks the agents of a change for their status and tells them which release is confirmed. It returns the statuses by sidecar and
+// pollAgents asks the agents of a change for their status and sends them the confirmed release. It returns the statuses by sidecar and
 // the events that follow, or rollout.ErrStaleDriver if an agent knows a newer driver.
 func (d *Driver) pollAgents(
 	ctx context.Context, application string, token uint64, change *applicationDriver,
--- a/internal/coordination/driver/many_test.go
+++ b/internal/coordination/driver/many_test.go
@@ -16,7 +16,7 @@
 	"petrelhook/internal/rig/deployment"
 )
 
-// A whole change of many agents, with the driver in this process: each is ordered once, and what the log and the agents are asked grows
+// A complete change of many agents, with the driver in this process: each is ordered once, and the number of requests to log and agents grows
 // with the agents that change, not with the time. FIGURES=1 has 2,000 of them.
 func TestManyAgents(t *testing.T) {
 	sizes := []int{20}
--- a/internal/coordination/evidence/evidence.go
+++ b/internal/coordination/evidence/evidence.go
@@ -71,7 +71,7 @@
 	return e.verdict(s, elapsed), nil
 }
 
-// follow begins anew where the change or its stage is another than before.
+// follow starts over if the change or its stage differs from before.
 func (e *Evidence) follow(c *rollout.Change) {
 	if e.change != c.Name {
 		e.baseline, e.untouched = countsByCell{}, countsByCell{}
--- a/internal/coordination/evidence/evidence_test.go
+++ b/internal/coordination/evidence/evidence_test.go
@@ -13,13 +13,13 @@
 
 // world is simulated sidecars that count requests.
 type world struct {
-	change *rollout.Change
-	e      Evidence
-	counts map[string]*counts.Class
-	began  map[string]uint64
-	cpu    map[string]uint64
-	memory map[string]uint64
-	tries  map[string]uint64 // nil: this version does not report them
+	change   *rollout.Change
+	evidence Evidence
+	counts   map[string]*counts.Class
+	began    map[string]uint64
+	cpu      map[string]uint64
+	memory   map[string]uint64
+	tries    map[string]uint64 // nil: this version does not report them
 }
 
 func (w *world) effort(name string) *counts.Effort {
@@ -60,7 +60,7 @@
 		count(s.Name, s.Release, w.counts[s.Name])
 		read[s.Name] = Reading{Process: agent.Process{PID: 1, StartTicks: w.began[s.Name], Release: s.Release}, Told: counts.Told{Classes: []counts.Class{*w.counts[s.Name]}, Effort: w.effort(s.Name)}, CPUTicks: w.cpu[s.Name], ResidentBytes: 20<<20 + w.memory[s.Name]}
 	}
-	v, err := w.e.Window(w.change, read, 10*time.Second)
+	v, err := w.evidence.Window(w.change, read, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-// What is worse in one way is found and named; what happens to both sides, work that is slower by nature, and a process that begins its
-// counts anew are no evidence.
+// What is worse in one way is found and named; what happens to both sides, work that is slower by nature, and a process that starts its
+// counts over are no evidence.
 func TestEvidence(t *testing.T) {
 	for name, c := range map[string]struct {
 		count   func(w *world, i int, name, release string, c *counts.Class)
--- a/internal/coordination/judge/judge_test.go
+++ b/internal/coordination/judge/judge_test.go
@@ -21,9 +21,9 @@
 
 // change is a change of a release over classes, zones and windows, judged after each.
 type change struct {
-	classes, zones, windows int
-	news, controls          int // requests per window and cell
-	rate                    func(window, class, zone int, new bool) float64
+	classes, zones, windows      int
+	newRequests, controlRequests int // requests per window and cell
+	rate                         func(window, class, zone int, new bool) float64
 }
 
 var plan = Plan{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02, MaxCells: 18}
@@ -38,7 +38,7 @@
 		for class := range c.classes {
 			for zone := range c.zones {
 				cell := Cell{Class: fmt.Sprint("c", class), Zone: fmt.Sprint("z", zone), Metric: "failed"}
-				err := j.Add(cell, draw(r, c.news, c.rate(w, class, zone, true)), draw(r, c.controls, c.rate(w, class, zone, false)))
+				err := j.Add(cell, draw(r, c.newRequests, c.rate(w, class, zone, true)), draw(r, c.controlRequests, c.rate(w, class, zone, false)))
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/coordination/machine/machine.go
+++ b/internal/coordination/machine/machine.go
@@ -120,7 +120,7 @@
 func (m *Machine) now() time.Duration { return time.Since(m.startedAt) }
 
 // Run serves calls on ln and supervises the sidecars until ctx ends. An error is one of the disk or of the listener; after an error of
-// the disk the state on it is unknown, and the agent has to be started anew. Run returns after all that it began has ended.
+// the disk the state on it is unknown, and the agent has to be restarted. Run returns after all that it began has ended.
 func (m *Machine) Run(ctx context.Context, ln net.Listener) error {
 	defer func() { _ = m.lockFile.Close() }() // it holds nothing but the lock
 	defer m.background.Wait()
@@ -134,7 +134,7 @@
 	server := m.server()
 	serverFailed := make(chan error, 1)
 	m.background.Go(func() { serverFailed <- server.Serve(ln) })
-	defer func() { _ = server.Close() }() // calls that are cut off are repeated by their drivers
+	defer func() { _ = server.Close() }() // drivers repeat the calls that this interrupts
 	ticker := time.NewTicker(m.config.PollInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/coordination/machine/version.go
+++ b/internal/coordination/machine/version.go
@@ -14,7 +14,7 @@
 
 // versionStore holds the versions of the configuration that are on the disk, each as it was received in a file version-N.json, N its
 // revision. The state of a sidecar names by revision which one it runs with. A version that is not newer than the newest is never
-// accepted, also after the agent was started anew.
+// accepted, also after a restart of the agent.
 type versionStore struct {
 	byRevision map[distribute.Revision]distribute.Version
 	newest     distribute.Revision // 0: there is none
--- a/internal/coordination/rollout/doc.go
+++ b/internal/coordination/rollout/doc.go
@@ -9,7 +9,7 @@
 //	Paused       nothing further is changed; what is changed stays
 //	RollingBack  no further sidecar is changed, and those that were go back, within the same limits
 //	Done         all sidecars are changed
-//	Stopped      the change was rolled back or kept as it was, but for sidecars that were abandoned
+//	Stopped      the change was rolled back or kept as it was, except for sidecars that were abandoned
 //
 // Time is what a driver has watched of a stage (Event.Elapsed): a driver that takes over continues from what the last one reported.
 //
--- a/internal/coordination/rollout/event.go
+++ b/internal/coordination/rollout/event.go
@@ -10,7 +10,7 @@
 	Release string `json:"release"`
 }
 
-// Event is something that happened to a change. Exactly one field is set, but for Accept. Reports, verdicts and times come from the driver,
+// Event is something that happened to a change. Exactly one field is set, besides Accept. Reports, verdicts and times come from the driver,
 // the others from operators.
 type Event struct {
 	Report  *Report       `json:"report,omitempty"`
--- a/internal/coordination/rollout/report/page.go
+++ b/internal/coordination/rollout/report/page.go
@@ -148,7 +148,7 @@
 	var before totals
 	for _, sample := range course {
 		now := totalsOf(sample, metric)
-		if now.newTotal < before.newTotal || now.controlTotal < before.controlTotal { // counted anew: by another driver, or after a pause
+		if now.newTotal < before.newTotal || now.controlTotal < before.controlTotal { // the counts started over: with another driver, or after a pause
 			before = totals{}
 		}
 		seconds := sample.StageElapsed.Seconds()
--- a/internal/coordination/rollout/results.go
+++ b/internal/coordination/rollout/results.go
@@ -25,7 +25,7 @@
 	Cells        []CellResult  `json:"cells"`
 }
 
-// StageResult has the last verdict on a stage with its cells, and their course. The counts are those of one driver: they begin anew when
+// StageResult has the last verdict on a stage with its cells, and their course. The counts are those of one driver: they start over when
 // another takes over, and after a pause.
 type StageResult struct {
 	Stage   int            `json:"stage"` // counted from 1
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -28,9 +28,9 @@
 
 // fleet is agents that carry out orders.
 type fleet struct {
-	t   testing.TB
-	s   *State
-	run map[string]string // the release of each sidecar
+	t        testing.TB
+	state    *State
+	releases map[string]string // the release of each sidecar
 }
 
 func begin(t testing.TB, p Plan, n int) *fleet {
@@ -39,35 +39,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, s: s, run: map[string]string{}}
+	f := &fleet{t: t, state: s, releases: map[string]string{}}
 	for _, m := range all {
-		f.run[m.Name] = "old"
+		f.releases[m.Name] = "old"
 	}
 	return f
 }
 
 // apply applies an event and carries out all orders that follow; fails says why an order fails, "": it succeeds.
 func (f *fleet) apply(e Event, fails func(Order) string) {
-	todo := f.s.Apply(e)
+	todo := f.state.Apply(e)
 	for len(todo) > 0 {
-		if len(f.s.OpenOrders()) > f.s.Plan.MaxConcurrent {
-			f.t.Errorf("%d change at once", len(f.s.OpenOrders()))
+		if len(f.state.OpenOrders()) > f.state.Plan.MaxConcurrent {
+			f.t.Errorf("%d change at once", len(f.state.OpenOrders()))
 		}
 		o := todo[0]
 		todo = todo[1:]
 		r := Report{Sidecar: o.Sidecar, Ready: true, CompletedOrder: o.Number}
 		if r.FailureReason = fails(o); r.FailureReason == "" {
-			f.run[o.Sidecar] = o.Release
+			f.releases[o.Sidecar] = o.Release
 		}
-		r.Release = f.run[o.Sidecar]
-		todo = append(todo, f.s.Apply(Event{Report: &r})...)
+		r.Release = f.releases[o.Sidecar]
+		todo = append(todo, f.state.Apply(Event{Report: &r})...)
 	}
 }
 
 func never(Order) string { return "" }
 
 func (f *fleet) running(release string) (n int) {
-	for _, r := range f.run {
+	for _, r := range f.releases {
 		if r == release {
 			n++
 		}
@@ -79,22 +79,22 @@
 func TestAGoodChange(t *testing.T) {
 	f := begin(t, plan(), 12)
 	f.apply(Event{Elapsed: time.Second}, never)
-	if c, control := f.s.Groups(); f.running("new") != 1 || len(c) != 1 || len(control) != 1 || control[0] != "n09" { // the last of its zone
+	if c, control := f.state.Groups(); f.running("new") != 1 || len(c) != 1 || len(control) != 1 || control[0] != "n09" { // the last of its zone
 		t.Fatalf("%d changed; %v, %v", f.running("new"), c, control)
 	}
 	f.apply(Event{Verdict: &Verdict{Stage: 1, NoWorse: true}}, never)
-	if f.s.Stage != 1 {
+	if f.state.Stage != 1 {
 		t.Error("its time was not watched")
 	}
 	f.apply(Event{Elapsed: time.Minute}, never)
-	if f.s.Stage != 2 || f.running("new") != 4 {
-		t.Fatalf("stage %d, %d changed", f.s.Stage, f.running("new"))
+	if f.state.Stage != 2 || f.running("new") != 4 {
+		t.Fatalf("stage %d, %d changed", f.state.Stage, f.running("new"))
 	}
 	f.apply(Event{Verdict: &Verdict{Stage: 1, Worse: true}}, never) // late
 	f.apply(Event{Verdict: &Verdict{Stage: 2, NoWorse: true}}, never)
 	f.apply(Event{Verdict: &Verdict{Stage: 3, NoWorse: true}}, never)
-	if f.s.Phase != Done || f.running("new") != 12 {
-		t.Errorf("%v, %d changed", f.s.Phase, f.running("new"))
+	if f.state.Phase != Done || f.running("new") != 12 {
+		t.Errorf("%v, %d changed", f.state.Phase, f.running("new"))
 	}
 }
 
@@ -104,8 +104,8 @@
 	p.BaselinePeriod = time.Minute
 	f := begin(t, p, 12)
 	f.apply(Event{Elapsed: 59 * time.Second}, never)
-	if f.running("new") != 0 || f.s.WaitingFor() != "what is before: 59s of 1m0s" {
-		t.Errorf("%d are changed; waits for %s", f.running("new"), f.s.WaitingFor())
+	if f.running("new") != 0 || f.state.WaitingFor() != "what is before: 59s of 1m0s" {
+		t.Errorf("%d are changed; waits for %s", f.running("new"), f.state.WaitingFor())
 	}
 	if f.apply(Event{Elapsed: time.Second}, never); f.running("new") != 1 {
 		t.Errorf("%d are changed", f.running("new"))
@@ -160,24 +160,24 @@
 		p.KeepOnStop = c.hold
 		f := begin(t, p, 12)
 		if c.fails == nil { // agents that have not carried out anything yet
-			f.s.Plan.Stages[0].ControlCount = 0
-			f.s.Apply(Event{})
+			f.state.Plan.Stages[0].ControlCount = 0
+			f.state.Apply(Event{})
 		}
 		for _, e := range c.events {
 			if c.fails == nil {
-				f.s.Apply(e)
+				f.state.Apply(e)
 				continue
 			}
 			f.apply(e, c.fails)
 		}
 		alone := 0
-		for _, s := range f.s.Sidecars() {
+		for _, s := range f.state.Sidecars() {
 			if s.AbandonedReason != "" {
 				alone++
 			}
 		}
-		if f.s.Phase != c.phase || f.running("new") != c.new || !strings.Contains(f.s.Reason, c.why) || alone != c.alone || len(f.s.OpenOrders()) > 0 {
-			t.Errorf("%s: %v (%s), %d new, %d left alone, open %v", name, f.s.Phase, f.s.Reason, f.running("new"), alone, f.s.OpenOrders())
+		if f.state.Phase != c.phase || f.running("new") != c.new || !strings.Contains(f.state.Reason, c.why) || alone != c.alone || len(f.state.OpenOrders()) > 0 {
+			t.Errorf("%s: %v (%s), %d new, %d left alone, open %v", name, f.state.Phase, f.state.Reason, f.running("new"), alone, f.state.OpenOrders())
 		}
 	}
 }
@@ -193,8 +193,8 @@
 		f.apply(Event{Report: &Report{Sidecar: name, Release: "new", CompletedOrder: 9}}, never)
 	}
 	f.apply(Event{Abort: "a"}, never)
-	if f.s.Phase != Stopped || f.running("old") != 6 {
-		t.Errorf("%v: %d are back", f.s.Phase, f.running("old"))
+	if f.state.Phase != Stopped || f.running("old") != 6 {
+		t.Errorf("%v: %d are back", f.state.Phase, f.running("old"))
 	}
 }
 
