--- a/internal/coordination/fleet/caller.go
+++ b/internal/coordination/fleet/caller.go
@@ -15,64 +15,82 @@
 	"petrelhook/internal/coordination/replica"
 )
 
-// Caller asks coordinators, from the one that answered last on, until one that leads has answered. What is asked must do no harm if
-// it is asked twice; a change of the replicas is asked once.
+// Caller sends requests to coordinators, beginning with the one that answered last, until one that leads has answered. Requests have to be
+// idempotent, for one whose response is lost is sent again; a change of the membership is not. A Caller is safe for concurrent use.
 type Caller struct {
-	Addrs         []string
-	HTTPClient    *http.Client
-	Timeout       time.Duration // for one call; 0: what the context leaves
-	RetryInterval time.Duration // at most, before the next coordinator is asked; once all have been, they say how long
+	Addrs      []string
+	HTTPClient *http.Client
+	// Timeout bounds one call; 0: what the context leaves.
+	Timeout time.Duration
+	// RetryInterval is the longest pause before the next coordinator is tried. Once all have been, the coordinators say how long.
+	RetryInterval time.Duration
 
-	mu sync.Mutex
-	at int
+	mu      sync.Mutex
+	current int // the index of the coordinator to try next
 }
 
-// Call asks until there is an answer, the question is found to be wrong, or ctx ends. begin is called before each try; nil: nothing is.
-func (c *Caller) Call(ctx context.Context, in *Request, begin func()) (*Response, error) {
+// Call sends a request until it is answered, or refused for good, or ctx ends. beforeAttempt, unless it is nil, is called before each
+// attempt.
+func (c *Caller) Call(ctx context.Context, in *Request, beforeAttempt func()) (*Response, error) {
 	in.Version = Version
-	last := errors.New("no coordinator was asked")
-	for tries := 1; ; tries++ {
-		c.mu.Lock()
-		addr := c.Addrs[c.at]
-		c.mu.Unlock()
-		if begin != nil {
-			begin()
+	for attempt := 1; ; attempt++ {
+		addr := c.currentAddr()
+		if beforeAttempt != nil {
+			beforeAttempt()
 		}
-		told, err := c.try(ctx, addr, in)
-		if err == nil && told.Err == "" {
-			return told, nil
+		out, err := c.attempt(ctx, addr, in)
+		if err == nil && out.Err == "" {
+			return out, nil
 		}
-		wait, leader := c.RetryInterval, ""
+		pause, leader := c.RetryInterval, ""
 		if err == nil {
-			err = errors.New(told.Err)
-			if once(in) && (told.OutcomeUnknown || told.Err == replica.ErrMembershipChangePending.Error()) {
+			err = errors.New(out.Err)
+			if sentOnce(in) && (out.OutcomeUnknown || out.Err == replica.ErrMembershipChangePending.Error()) {
 				return nil, fmt.Errorf("%s: %w", addr, err)
 			}
-			if leader = told.Leader; tries%len(c.Addrs) == 0 {
-				wait = time.Duration(told.RetryAfterMs) * time.Millisecond
+			if leader = out.Leader; attempt%len(c.Addrs) == 0 {
+				pause = time.Duration(out.RetryAfterMs) * time.Millisecond
 			}
 		} else if IsPermanent(err) {
 			return nil, fmt.Errorf("%s: %w", addr, err)
 		}
-		last = fmt.Errorf("%s: %w", addr, err)
-		c.mu.Lock()
-		if i := slices.Index(c.Addrs, leader); i >= 0 {
-			c.at = i
-		} else {
-			c.at = (c.at + 1) % len(c.Addrs)
-		}
-		c.mu.Unlock()
-		pause := time.NewTimer(wait/2 + rand.N(wait/2+1)) // not all at the same moment
-		select {
-		case <-ctx.Done():
-			pause.Stop()
-			return nil, fmt.Errorf("%w: %w", last, context.Cause(ctx))
-		case <-pause.C:
+		c.moveOn(leader)
+		if !sleep(ctx, pause) {
+			return nil, fmt.Errorf("%s: %w: %w", addr, err, context.Cause(ctx))
 		}
 	}
 }
 
-func (c *Caller) try(ctx context.Context, addr string, in *Request) (*Response, error) {
+func (c *Caller) currentAddr() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.Addrs[c.current]
+}
+
+// moveOn goes to the leader where it is known, else to the next coordinator.
+func (c *Caller) moveOn(leader string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if i := slices.Index(c.Addrs, leader); i >= 0 {
+		c.current = i
+	} else {
+		c.current = (c.current + 1) % len(c.Addrs)
+	}
+}
+
+// sleep waits for half to the whole of a pause, so that callers do not come back at the same moment; it returns false when ctx has ended.
+func sleep(ctx context.Context, pause time.Duration) bool {
+	timer := time.NewTimer(pause/2 + rand.N(pause/2+1))
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+func (c *Caller) attempt(ctx context.Context, addr string, in *Request) (*Response, error) {
 	if c.Timeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, c.Timeout)
@@ -85,10 +103,10 @@
 	return res.Msg, nil
 }
 
-// once reports whether a question is not asked again where nothing is known of its answer.
-func once(in *Request) bool { return in.AddMember != nil || in.RemoveMember != 0 }
+// sentOnce reports whether a request must not be sent again where the outcome is not known.
+func sentOnce(in *Request) bool { return in.AddMember != nil || in.RemoveMember != 0 }
 
-// IsPermanent reports whether an error of a call says that it is wrong, so that it need not be made again.
+// IsPermanent reports whether an error of a call refuses the request for good, so that it need not be sent again.
 func IsPermanent(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument, connect.CodeFailedPrecondition, connect.CodeUnimplemented, connect.CodeResourceExhausted:
--- a/internal/coordination/fleet/config.go
+++ b/internal/coordination/fleet/config.go
@@ -14,22 +14,22 @@
 	"petrelhook/internal/coordination/replica"
 )
 
-// Config is what a coordinator is told.
+// Config is the settings of a coordinator.
 type Config struct {
 	ID          uint64
-	Data        string // the folder that holds its replica
+	Data        string // the folder of its replica
 	Replicas    []replica.Member
 	Listen      string        // "": the address among the replicas; another one where others reach it by way of something
-	Join        bool          // it is added to a group that exists: it waits to be told
+	Join        bool          // it is added to a group that exists: it begins with an empty replica
 	LongestTTL  time.Duration // that a session may have
-	Tick        time.Duration
-	AllowRemote bool
-	Drive       bool // it may drive rolling changes too
-	DriveEvery  time.Duration
-	Warnings    []string
+	Tick        time.Duration // of the replica
+	AllowRemote bool          // addresses that are not of loopback are allowed
+	Drive       bool          // it may drive rolling changes too
+	DriveEvery  time.Duration // between two looks of the driver at the agents
+	Warnings    []string      // what is valid and unwise
 }
 
-// Addr is where it listens.
+// Addr returns the address to listen on.
 func (c *Config) Addr() string {
 	if c.Listen != "" {
 		return c.Listen
@@ -42,19 +42,20 @@
 	return ""
 }
 
-// The defaults.
+// The defaults of settings.
 const (
 	DefaultAddr       = "127.0.0.1:7400"
 	defaultTick       = 50 * time.Millisecond
 	defaultLongestTTL = time.Minute
+	defaultDriveEvery = time.Second
 )
 
-// SingleConfig is the one coordinator of a machine that needs no file.
+// SingleConfig returns the settings of the only coordinator of a machine, which needs no file.
 func SingleConfig(data, addr string) *Config {
 	return &Config{ID: 1, Data: data, Replicas: []replica.Member{{ID: 1, Addr: addr}}, LongestTTL: defaultLongestTTL, Tick: defaultTick}
 }
 
-// ReadConfig reads a file.
+// ReadConfig reads a file. A relative data folder is one beside the file.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,8 +74,33 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{LongestTTL: defaultLongestTTL, Tick: defaultTick, DriveEvery: time.Second}
-	var replicas *yaml.Node
+	c := &Config{LongestTTL: defaultLongestTTL, Tick: defaultTick, DriveEvery: defaultDriveEvery}
+	replicas, err := c.parseFields(file, top)
+	if err != nil {
+		return nil, err
+	}
+	switch {
+	case c.ID == 0:
+		return nil, yamlfile.Problem(file, top, "id", "missing or 0; write a number from 1 on, which no other replica has or had")
+	case c.Data == "":
+		return nil, yamlfile.Problem(file, top, "data", "missing; write the folder for what is kept")
+	case replicas == nil || replicas.Kind != yaml.SequenceNode || len(replicas.Content) == 0:
+		return nil, yamlfile.Problem(file, top, "replicas", "missing; write a list of id and address")
+	}
+	if err := c.parseReplicas(file, replicas); err != nil {
+		return nil, err
+	}
+	if host, _, _ := net.SplitHostPort(c.Addr()); !c.AllowRemote && !yamlfile.Loopback(host) {
+		return nil, yamlfile.Problem(file, top, "listen", c.Addr()+" is not of loopback; write allow_remote: true where everybody who reaches it may ask")
+	}
+	if n := len(c.Replicas); n%2 == 0 && !c.Join {
+		c.Warnings = append(c.Warnings, fmt.Sprintf("%s:%d: replicas: %d bear no more failures than %d; an odd number is better", file, replicas.Line, n, n-1))
+	}
+	return c, nil
+}
+
+// parseFields reads the fields of the file, and returns the node of the replicas; nil: there is none.
+func (c *Config) parseFields(file string, top *yaml.Node) (replicas *yaml.Node, err error) {
 	err = yamlfile.Fields(file, "", top, map[string]func(*yaml.Node) error{
 		"id":           func(n *yaml.Node) error { return yamlfile.Decode(n, &c.ID, "a number from 1 on") },
 		"data":         func(n *yaml.Node) error { return yamlfile.Decode(n, &c.Data, "a folder") },
@@ -85,56 +111,57 @@
 		"drive_every":  func(n *yaml.Node) error { return yamlfile.Within(n, &c.DriveEvery, 50*time.Millisecond, time.Minute) },
 		"longest_ttl":  func(n *yaml.Node) error { return yamlfile.Within(n, &c.LongestTTL, lease.MinTTL, lease.MaxTTL) },
 		"tick":         func(n *yaml.Node) error { return yamlfile.Within(n, &c.Tick, 5*time.Millisecond, time.Second) },
-		"replicas":     func(n *yaml.Node) error { replicas = n; return nil },
+		"replicas":     keepNode(&replicas),
 	})
-	if err != nil {
-		return nil, err
-	}
-	switch {
-	case c.ID == 0:
-		return nil, yamlfile.Problem(file, top, "id", "missing or 0; write a number from 1 on, which no other replica has or had")
-	case c.Data == "":
-		return nil, yamlfile.Problem(file, top, "data", "missing; write the folder for what is kept")
-	case replicas == nil || replicas.Kind != yaml.SequenceNode || len(replicas.Content) == 0:
-		return nil, yamlfile.Problem(file, top, "replicas", "missing; write a list of id and address")
+	return replicas, err
+}
+
+// keepNode stores a field's node, to be read when all fields are known.
+func keepNode(to **yaml.Node) func(*yaml.Node) error {
+	return func(n *yaml.Node) error {
+		*to = n
+		return nil
 	}
-	ids, addrs := map[uint64]int{}, map[string]int{}
+}
+
+// parseReplicas reads the list of replicas. Ids and addresses are different, and this coordinator is among them.
+func (c *Config) parseReplicas(file string, replicas *yaml.Node) error {
+	lineOfID, lineOfAddr := map[uint64]int{}, map[string]int{}
 	for i, n := range replicas.Content {
-		m, at := replica.Member{}, fmt.Sprintf("replicas[%d].", i)
-		if n.Kind != yaml.MappingNode {
-			return nil, yamlfile.Problem(file, n, at[:len(at)-1], "write id and address")
-		}
-		err := yamlfile.Fields(file, at, n, map[string]func(*yaml.Node) error{
-			"id":      func(n *yaml.Node) error { return yamlfile.Decode(n, &m.ID, "a number from 1 on") },
-			"address": func(n *yaml.Node) error { return yamlfile.Address(n, &m.Addr) },
-		})
+		field := fmt.Sprintf("replicas[%d]", i)
+		m, err := parseReplica(file, field, n)
 		if err != nil {
-			return nil, err
+			return err
 		}
 		host, _, _ := net.SplitHostPort(m.Addr)
-		switch line, twice := ids[m.ID]; {
+		switch line, twice := lineOfID[m.ID]; {
 		case m.ID == 0:
-			return nil, yamlfile.Problem(file, n, at+"id", "missing or 0; write a number from 1 on")
+			return yamlfile.Problem(file, n, field+".id", "missing or 0; write a number from 1 on")
 		case twice:
-			return nil, yamlfile.Problem(file, n, at+"id", fmt.Sprintf("%d is that of line %d; each replica has its own", m.ID, line))
+			return yamlfile.Problem(file, n, field+".id", fmt.Sprintf("%d is that of line %d; each replica has its own", m.ID, line))
 		case m.Addr == "":
-			return nil, yamlfile.Problem(file, n, at+"address", "missing; write host:port")
-		case addrs[m.Addr] > 0:
-			return nil, yamlfile.Problem(file, n, at+"address", fmt.Sprintf("%s is that of line %d", m.Addr, addrs[m.Addr]))
+			return yamlfile.Problem(file, n, field+".address", "missing; write host:port")
+		case lineOfAddr[m.Addr] > 0:
+			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is that of line %d", m.Addr, lineOfAddr[m.Addr]))
 		case !c.AllowRemote && !yamlfile.Loopback(host):
-			return nil, yamlfile.Problem(file, n, at+"address", fmt.Sprintf("%s is not of loopback; write allow_remote: true where everybody who reaches it may ask", m.Addr))
+			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is not of loopback; write allow_remote: true where everybody who reaches it may ask", m.Addr))
 		}
-		ids[m.ID], addrs[m.Addr] = n.Line, n.Line
+		lineOfID[m.ID], lineOfAddr[m.Addr] = n.Line, n.Line
 		c.Replicas = append(c.Replicas, m)
 	}
-	if ids[c.ID] == 0 {
-		return nil, yamlfile.Problem(file, replicas, "replicas", fmt.Sprintf("id %d is not among them", c.ID))
-	}
-	if host, _, _ := net.SplitHostPort(c.Addr()); !c.AllowRemote && !yamlfile.Loopback(host) {
-		return nil, yamlfile.Problem(file, top, "listen", c.Addr()+" is not of loopback; write allow_remote: true where everybody who reaches it may ask")
+	if lineOfID[c.ID] == 0 {
+		return yamlfile.Problem(file, replicas, "replicas", fmt.Sprintf("id %d is not among them", c.ID))
 	}
-	if n := len(c.Replicas); n%2 == 0 && !c.Join {
-		c.Warnings = append(c.Warnings, fmt.Sprintf("%s:%d: replicas: %d bear no more failures than %d; an odd number is better", file, replicas.Line, n, n-1))
+	return nil
+}
+
+func parseReplica(file, field string, n *yaml.Node) (m replica.Member, err error) {
+	if n.Kind != yaml.MappingNode {
+		return m, yamlfile.Problem(file, n, field, "write id and address")
 	}
-	return c, nil
+	err = yamlfile.Fields(file, field+".", n, map[string]func(*yaml.Node) error{
+		"id":      func(n *yaml.Node) error { return yamlfile.Decode(n, &m.ID, "a number from 1 on") },
+		"address": func(n *yaml.Node) error { return yamlfile.Address(n, &m.Addr) },
+	})
+	return m, err
 }
--- a/internal/coordination/fleet/distribute.go
+++ b/internal/coordination/fleet/distribute.go
@@ -13,25 +13,28 @@
 )
 
 const (
-	// freshTicks is for how long a coordinator tells of versions without having confirmed that it knows them all: longer than an election
-	// takes, so that agents do not all leave at a change of the leader; confirmTicks is how often it does.
+	// freshTicks is for how long a coordinator answers watches after the last confirmation that it knows all versions: longer than an
+	// election takes, so that agents do not all leave at a change of the leader. confirmTicks is the time between two confirmations.
 	freshTicks   = 8 * replica.ElectionTicks
 	confirmTicks = replica.ElectionTicks
-	tickTime     = 100 * time.Millisecond // between two looks at the watches
+	// watchTickInterval is the time between two looks at the deadlines of watches.
+	watchTickInterval  = 100 * time.Millisecond
+	confirmDialTimeout = time.Second
 )
 
-// distributor is the part of a coordinator that tells agents of versions. Followers do it as well as the leader: what they know is
-// confirmed by asking the leader, not by the log's own messages, of which one direction may be cut.
+// distributor is the part of a coordinator that answers agents' watches. Followers do so as well as the leader: what they know is
+// confirmed by a request to the leader, not by the log's own messages, which may be lost in one direction alone. But for confirm it
+// belongs to the goroutine that owns the replica.
 type distributor struct {
-	s       *Server
-	began   time.Time
-	watches *distribute.Watches
-	sums    *distribute.ReportTable
-	knows   distribute.RevisionTracker
+	server    *Server
+	began     time.Time
+	watches   *distribute.Watches
+	reports   *distribute.ReportTable
+	revisions distribute.RevisionTracker
 }
 
 func newDistributor(s *Server) *distributor {
-	d := &distributor{s: s, began: time.Now(), sums: distribute.NewReportTable()}
+	d := &distributor{server: s, began: time.Now(), reports: distribute.NewReportTable()}
 	d.watches = distribute.NewWatches(func(service string) (distribute.Version, bool) {
 		return s.core.Versions().Newest(service)
 	}, freshTicks*s.config.Tick)
@@ -40,66 +43,67 @@
 
 func (d *distributor) now() time.Duration { return time.Since(d.began) }
 
-// applied tells those who wait what has changed.
+// applied answers the watches of services that have a newer version.
 func (d *distributor) applied() {
-	if changed := d.s.core.TakeChangedServices(); changed.All {
+	if changed := d.server.core.TakeChangedServices(); changed.All {
 		d.watches.ChangedAll(d.now())
 	} else {
 		for _, service := range changed.Names {
 			d.watches.Changed(d.now(), service)
 		}
 	}
-	d.catchUp()
+	d.applyConfirmation()
 }
 
-// catchUp takes in what the leader's word confirms.
-func (d *distributor) catchUp() {
-	if asked, ok := d.knows.ConfirmedAt(d.s.core.Versions().Last()); ok {
-		d.watches.Confirmed(asked)
+// applyConfirmation takes in a leader's confirmation once this replica has applied what it is about.
+func (d *distributor) applyConfirmation() {
+	if requestedAt, ok := d.revisions.ConfirmedAt(d.server.core.Versions().Last()); ok {
+		d.watches.Confirmed(requestedAt)
 	}
 }
 
-// prepare makes a client's question one that the log can take.
-func (d *distributor) prepare(q *replica.Request, in *Request) {
-	last := d.s.core.Versions().Last()
+// prepare takes in the revision that a request reports, and sets the revision that a new version has to be above.
+func (d *distributor) prepare(r *replica.Request, in *Request) {
+	last := d.server.core.Versions().Last()
 	if in.LastRevision != nil {
-		d.knows.ObserveHeld(in.LastRevision.HeldRevision, last)
+		d.revisions.ObserveHeld(in.LastRevision.HeldRevision, last)
 	}
-	if q.Publish != nil {
-		command := *q.Publish
-		command.Above = max(command.Above, d.knows.MinAbove(last))
-		q.Publish = &command
+	if r.Publish != nil {
+		command := *r.Publish
+		command.Above = max(command.Above, d.revisions.MinAbove(last))
+		r.Publish = &command
 	}
 }
 
-// tick ends what has waited for long.
+// tick answers watches whose deadline has passed, and removes reports that are too old.
 func (d *distributor) tick() {
 	d.watches.Tick(d.now())
-	d.sums.Tick(d.now())
+	d.reports.Tick(d.now())
 }
 
-// confirm asks the leader again and again which version is the last, until ctx ends.
+// confirm asks the leader again and again for the last revision, until ctx ends. It has a goroutine of its own.
 func (d *distributor) confirm(ctx context.Context) {
-	over := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 1}}
-	defer over.CloseIdleConnections()
-	every := confirmTicks * d.s.config.Tick
-	tick := time.NewTicker(every)
+	httpClient := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: confirmDialTimeout}).DialContext, MaxIdleConnsPerHost: 1}}
+	defer httpClient.CloseIdleConnections()
+	interval := confirmTicks * d.server.config.Tick
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		type state struct {
-			addrs []string
-			held  distribute.Revision
+			addrs   []string
+			maxHeld distribute.Revision
 		}
 		now := make(chan state, 1)
-		if !d.s.post(func() { now <- state{d.s.addrs(), d.knows.MaxHeld()} }) {
+		if !d.server.post(func() { now <- state{d.server.replicaAddrs(), d.revisions.MaxHeld()} }) {
 			return
 		}
 		select {
-		case st := <-now:
-			if len(st.addrs) > 0 {
-				d.confirmOnce(ctx, &Caller{Addrs: st.addrs, HTTPClient: over, Timeout: 2 * every, RetryInterval: every / 4}, 4*every, st.held)
+		case present := <-now:
+			if len(present.addrs) > 0 {
+				caller := &Caller{Addrs: present.addrs, HTTPClient: httpClient, Timeout: 2 * interval, RetryInterval: interval / 4}
+				d.confirmOnce(ctx, caller, 4*interval, present.maxHeld)
 			}
-		case <-d.s.ended:
+		case <-d.server.ended:
 			return
 		}
 		select {
@@ -110,101 +114,103 @@
 	}
 }
 
-func (d *distributor) confirmOnce(ctx context.Context, c *Caller, within time.Duration, held distribute.Revision) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// confirmOnce asks for the last revision. Where it gets no answer the confirmation of before runs out by itself.
+func (d *distributor) confirmOnce(ctx context.Context, c *Caller, timeout time.Duration, maxHeld distribute.Revision) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var asked time.Duration
-	told, err := c.Call(ctx, &Request{LastRevision: &LastRevisionRequest{HeldRevision: held}}, func() { asked = d.now() })
+	var requestedAt time.Duration
+	out, err := c.Call(ctx, &Request{LastRevision: &LastRevisionRequest{HeldRevision: maxHeld}}, func() { requestedAt = d.now() })
 	if err != nil {
-		return // what is not confirmed ends by itself
+		return
 	}
-	d.s.post(func() {
-		d.knows.LeaderRevision(asked, told.LastRevision)
-		d.catchUp()
+	d.server.post(func() {
+		d.revisions.LeaderRevision(requestedAt, out.LastRevision)
+		d.applyConfirmation()
 	})
 }
 
-// addrs are those of all replicas, the leader first if it is known.
-func (s *Server) addrs() (all []string) {
+// replicaAddrs returns the addresses of all replicas, the leader's first if it is known.
+func (s *Server) replicaAddrs() (all []string) {
 	leader := s.core.Status().Leader
 	for _, m := range s.core.Members() {
-		if a := s.addr(m.ID); a != "" && m.ID == leader {
-			all = append([]string{a}, all...)
-		} else if a != "" {
-			all = append(all, a)
+		if addr := s.addr(m.ID); addr != "" && m.ID == leader {
+			all = append([]string{addr}, all...)
+		} else if addr != "" {
+			all = append(all, addr)
 		}
 	}
 	return all
 }
 
-// watch answers an agent that waits for a newer version.
-func (s *Server) watch(ctx context.Context, in *distribute.Watch) (*distribute.WatchResponse, error) {
+// handleWatch answers an agent when its service has a newer version, or when its wait is over.
+func (s *Server) handleWatch(ctx context.Context, in *distribute.Watch) (*distribute.WatchResponse, error) {
 	if err := in.Check(); err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
 	type result struct {
-		told distribute.WatchResponse
-		err  error
+		response distribute.WatchResponse
+		err      error
 	}
 	done, cancel := make(chan result, 1), make(chan func(), 1)
 	if !s.post(func() {
-		now, heard := s.distribute.now(), true
-		if len(in.Reports) > 0 {
-			s.distribute.sums.SetReports(now, in.Service, in.Member, in.Reports)
-		} else {
-			heard = s.distribute.sums.HasReports(in.Service, in.Member)
-			s.distribute.sums.Touch(now, in.Service, in.Member)
-		}
-		s.distribute.knows.ObserveHeld(in.Known, s.core.Versions().Last())
-		s.distribute.sums.SetKnownRevision(in.Service, in.Member, in.Known)
-		cancel <- s.distribute.watches.Add(now, *in, func(t distribute.WatchResponse, err error) {
-			t.ReportsReceived = heard
-			done <- result{t, err}
-		})
+		cancel <- s.distribute.watch(in, func(response distribute.WatchResponse, err error) { done <- result{response, err} })
 	}) {
-		return nil, errEnds
+		return nil, errShutdown
 	}
 	select {
 	case r := <-done:
 		if r.err != nil {
 			return nil, connect.NewError(connect.CodeUnavailable, r.err)
 		}
-		return &r.told, nil
+		return &r.response, nil
 	case <-ctx.Done():
 		s.post(func() { (<-cancel)() })
 		return nil, ctx.Err()
 	case <-s.ended:
-		return nil, errEnds
+		return nil, errShutdown
 	}
 }
 
-// summary answers what is in force, as this coordinator has heard it.
-func (s *Server) summary(ctx context.Context, in *distribute.SummaryRequest) (*distribute.SummaryResponse, error) {
+// watch takes in the reports of a watch, and begins it. done is called once, unless cancel is called before.
+func (d *distributor) watch(in *distribute.Watch, done func(distribute.WatchResponse, error)) (cancel func()) {
+	now, reportsReceived := d.now(), true
+	if len(in.Reports) > 0 {
+		d.reports.SetReports(now, in.Service, in.Member, in.Reports)
+	} else {
+		reportsReceived = d.reports.HasReports(in.Service, in.Member)
+		d.reports.Touch(now, in.Service, in.Member)
+	}
+	d.revisions.ObserveHeld(in.Known, d.server.core.Versions().Last())
+	d.reports.SetKnownRevision(in.Service, in.Member, in.Known)
+	return d.watches.Add(now, *in, func(response distribute.WatchResponse, err error) {
+		response.ReportsReceived = reportsReceived
+		done(response, err)
+	})
+}
+
+// handleSummary answers what is in force by the reports at this coordinator.
+func (s *Server) handleSummary(ctx context.Context, in *distribute.SummaryRequest) (*distribute.SummaryResponse, error) {
 	if in.Version != distribute.WireVersion {
 		return nil, CheckVersion(in.Version)
 	}
 	done := make(chan *distribute.SummaryResponse, 1)
-	if !s.post(func() {
-		d, versions := s.distribute, s.core.Versions()
-		out := &distribute.SummaryResponse{Last: versions.Last(), Fresh: d.watches.Fresh(d.now())}
-		if in.Service != "" {
-			newest, _ := versions.Newest(in.Service)
-			out.Services = []distribute.Summary{d.sums.Summary(d.now(), in.Service, newest)}
-		} else {
-			for _, newest := range versions.Services() {
-				out.Services = append(out.Services, d.sums.Summary(d.now(), newest.Service, newest))
-			}
-		}
-		done <- out
-	}) {
-		return nil, errEnds
+	if !s.post(func() { done <- s.distribute.summarize(in.Service) }) {
+		return nil, errShutdown
 	}
-	select {
-	case out := <-done:
-		return out, nil
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	case <-s.ended:
-		return nil, errEnds
+	return await(ctx, s, done)
+}
+
+// summarize returns the summary of a service, "": of all.
+func (d *distributor) summarize(service string) *distribute.SummaryResponse {
+	versions := d.server.core.Versions()
+	out := &distribute.SummaryResponse{Last: versions.Last(), Fresh: d.watches.Fresh(d.now())}
+	if service != "" {
+		newest, _ := versions.Newest(service)
+		out.Services = []distribute.Summary{d.reports.Summary(d.now(), service, newest)}
+		return out
+	}
+	for _, newest := range versions.Services() {
+		out.Services = append(out.Services, d.reports.Summary(d.now(), newest.Service, newest))
 	}
+	return out
 }
--- a/internal/coordination/fleet/operator.go
+++ b/internal/coordination/fleet/operator.go
@@ -17,71 +17,72 @@
 	"petrelhook/internal/coordination/replica/disk"
 )
 
-// Operator asks coordinators on behalf of people.
+// Operator sends the requests of the operators' tool to coordinators. It is safe for concurrent use.
 type Operator struct {
-	Addrs []string
-	over  http.Client
+	Addrs      []string
+	httpClient http.Client
 
 	mu     sync.Mutex
-	caller *Caller // it goes on from the coordinator that answered last
+	caller *Caller // kept, so that the next request goes to the coordinator that answered last
 }
 
 // ErrUnanswered says that no coordinator that leads has answered in time.
 var ErrUnanswered = errors.New("no answer")
 
 const (
-	operatorPause = 50 * time.Millisecond
-	// operatorTime is how long one coordinator is waited for: one that is stopped takes calls and answers none.
-	operatorTime = 3 * time.Second
+	operatorRetryInterval = 50 * time.Millisecond
+	// operatorTimeout bounds a call to one coordinator: one that is stopped accepts calls and answers none.
+	operatorTimeout = 3 * time.Second
 )
 
-// Call asks until a coordinator that leads has answered, or ctx ends.
+// Call sends a request until a coordinator that leads has answered, or ctx ends; then the error is ErrUnanswered.
 func (o *Operator) Call(ctx context.Context, in Request) (*Response, error) {
 	o.mu.Lock()
 	if o.caller == nil {
-		o.caller = &Caller{Addrs: o.Addrs, HTTPClient: &o.over, RetryInterval: operatorPause, Timeout: operatorTime}
+		o.caller = &Caller{Addrs: o.Addrs, HTTPClient: &o.httpClient, RetryInterval: operatorRetryInterval, Timeout: operatorTimeout}
 	}
 	c := o.caller
 	o.mu.Unlock()
-	if once(&in) { // it is not given up while it may be done
-		c = &Caller{Addrs: o.Addrs, HTTPClient: &o.over, RetryInterval: operatorPause}
+	if sentOnce(&in) { // without a time-out: it is not abandoned while it may be carried out
+		c = &Caller{Addrs: o.Addrs, HTTPClient: &o.httpClient, RetryInterval: operatorRetryInterval}
 	}
-	told, err := c.Call(ctx, &in, nil)
+	out, err := c.Call(ctx, &in, nil)
 	if err != nil && ctx.Err() != nil {
 		err = fmt.Errorf("%w: %w", ErrUnanswered, err)
 	}
-	return told, err
+	return out, err
 }
 
-// Status asks one coordinator for what it knows of itself.
+// Status returns what one coordinator knows of itself.
 func (o *Operator) Status(ctx context.Context, addr string) (*Status, error) {
-	res, err := Client[Empty, Status](&o.over, addr, PathStatus).CallUnary(ctx, connect.NewRequest(&Empty{Version}))
+	res, err := Client[Empty, Status](&o.httpClient, addr, PathStatus).CallUnary(ctx, connect.NewRequest(&Empty{Version}))
 	if err != nil {
 		return nil, err
 	}
 	return res.Msg, nil
 }
 
-// Check says what is wrong with the addresses.
+// Check returns what is wrong with the addresses.
 func (o *Operator) Check() error {
 	if len(o.Addrs) == 0 {
 		return errors.New("--addrs: write the address of a coordinator")
 	}
-	for _, a := range o.Addrs {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			return fmt.Errorf("--addrs: %q: write host:port", a)
+	for _, addr := range o.Addrs {
+		if _, _, err := net.SplitHostPort(addr); err != nil {
+			return fmt.Errorf("--addrs: %q: write host:port", addr)
 		}
 	}
 	return nil
 }
 
-// Restore begins a replica of a new group from a back-up; each of the group is begun with the same.
-func Restore(c *Config, path string, above lease.Token) error {
-	text, err := os.ReadFile(path)
+// Restore makes the disk of a replica of a new group from a back-up. Every replica of the group has to be made from the same one.
+// minToken is the largest fencing token that is known to have been granted after the back-up, or 0.
+func Restore(c *Config, path string, minToken lease.Token) error {
+	backup, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	state, err := lease.RestoreNewGroup(text, above, c.LongestTTL)
+	state, err := lease.RestoreNewGroup(backup, minToken, c.LongestTTL)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/coordination/fleet/peer.go
+++ b/internal/coordination/fleet/peer.go
@@ -13,98 +13,116 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// peer is another replica, as this one sends to it: what does not get there is lost, and the log sends it again.
-type peer struct {
-	s     *Server
-	id    uint64
-	queue chan *pb.Message
-	life  atomic.Pointer[string] // of its disk, as the log has it
-}
-
 const (
-	peerQueue = 1024
-	stepTime  = 2 * time.Second  // for one call
-	snapTime  = 30 * time.Second // for one with a snapshot
+	peerQueue       = 1024 // messages that wait for one peer
+	maxStepBatch    = 256  // messages in one call
+	peerDialTimeout = time.Second
+	// stepTimeout bounds one call, snapshotTimeout one that carries a snapshot.
+	stepTimeout     = 2 * time.Second
+	snapshotTimeout = 30 * time.Second
+	// peerRetryDelay is the pause after a call that failed.
+	peerRetryDelay = 50 * time.Millisecond
 )
 
-// peer is the sender to a replica, begun when it is first needed.
-func (s *Server) peer(ctx context.Context, sides *sync.WaitGroup, id uint64) *peer {
+// peer sends messages to another replica. What is not delivered is lost; raft sends it again.
+type peer struct {
+	server      *Server
+	id          uint64
+	queue       chan *pb.Message
+	incarnation atomic.Pointer[string] // of the peer's disk, as the log has it
+}
+
+// peer returns the sender to a replica, which is started when it is first needed.
+func (s *Server) peer(ctx context.Context, background *sync.WaitGroup, id uint64) *peer {
 	p := s.peers[id]
 	if p == nil {
-		p = &peer{s: s, id: id, queue: make(chan *pb.Message, peerQueue)}
+		p = &peer{server: s, id: id, queue: make(chan *pb.Message, peerQueue)}
 		s.peers[id] = p
 		addr := s.addr(id)
-		sides.Go(func() { p.run(ctx, addr) })
+		background.Go(func() { p.run(ctx, addr) })
 	}
 	return p
 }
 
+// send queues a message. It is called by the goroutine that owns the replica, and never blocks.
 func (p *peer) send(m *pb.Message) {
-	life := p.s.core.IncarnationOf(p.id)
-	p.life.Store(&life)
+	incarnation := p.server.core.IncarnationOf(p.id)
+	p.incarnation.Store(&incarnation)
 	select {
 	case p.queue <- m:
-	default: // it is slow, or gone
+	default: // the peer is slow, or gone
 		if m.GetType() == pb.MessageType_MsgSnap {
-			p.s.core.ReportSnapshot(p.id, false)
+			p.server.core.ReportSnapshot(p.id, false)
 		}
 	}
 }
 
+// run sends what is queued, one call at a time, until ctx ends or the peer refuses this replica.
 func (p *peer) run(ctx context.Context, addr string) {
-	over := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 2, DisableCompression: true}}
-	defer over.CloseIdleConnections()
-	client := Client[StepRequest, Empty](over, addr, PathStep)
+	httpClient := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: peerDialTimeout}).DialContext, MaxIdleConnsPerHost: 2, DisableCompression: true}}
+	defer httpClient.CloseIdleConnections()
+	client := Client[StepRequest, Empty](httpClient, addr, PathStep)
 	for {
-		var batch []*pb.Message
-		select {
-		case <-ctx.Done():
+		batch, ok := p.nextBatch(ctx)
+		if !ok {
 			return
-		case m := <-p.queue:
-			batch = append(batch, m)
-		}
-		for more := true; more && len(batch) < 256; {
-			select {
-			case m := <-p.queue:
-				batch = append(batch, m)
-			default:
-				more = false
-			}
 		}
 		err := p.call(ctx, client, batch)
 		if err == nil {
 			continue
 		}
 		if connect.CodeOf(err) == connect.CodeFailedPrecondition { // the group refuses this replica, or its version
-			p.s.fail(err)
+			p.server.fail(err)
 			return
 		}
-		p.s.post(func() { p.s.core.ReportUnreachable(p.id) })
+		p.server.post(func() { p.server.core.ReportUnreachable(p.id) })
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(restStep):
+		case <-time.After(peerRetryDelay):
+		}
+	}
+}
+
+// nextBatch waits for a message, and returns it with those that are queued behind it; ok is false when ctx has ended.
+func (p *peer) nextBatch(ctx context.Context) (batch []*pb.Message, ok bool) {
+	select {
+	case <-ctx.Done():
+		return nil, false
+	case m := <-p.queue:
+		batch = append(batch, m)
+	}
+	for len(batch) < maxStepBatch {
+		select {
+		case m := <-p.queue:
+			batch = append(batch, m)
+		default:
+			return batch, true
 		}
 	}
+	return batch, true
 }
 
+// call sends a batch, and reports what became of a snapshot in it.
 func (p *peer) call(ctx context.Context, client *connect.Client[StepRequest, Empty], batch []*pb.Message) error {
-	steps, within, snap := &StepRequest{Version: Version, From: p.s.config.ID, To: p.id, Incarnation: p.s.disk.Incarnation, ToIncarnation: *p.life.Load()}, stepTime, false
+	s := p.server
+	request := &StepRequest{Version: Version, From: s.config.ID, To: p.id, Incarnation: s.disk.Incarnation, ToIncarnation: *p.incarnation.Load()}
+	timeout, hasSnapshot := stepTimeout, false
 	for _, m := range batch {
 		text, err := proto.Marshal(m)
 		if err != nil {
 			return err
 		}
-		steps.Messages = append(steps.Messages, text)
+		request.Messages = append(request.Messages, text)
 		if m.GetType() == pb.MessageType_MsgSnap {
-			snap, within = true, snapTime
+			hasSnapshot, timeout = true, snapshotTimeout
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	_, err := client.CallUnary(ctx, connect.NewRequest(steps))
-	if snap {
-		p.s.post(func() { p.s.core.ReportSnapshot(p.id, err == nil) })
+	_, err := client.CallUnary(ctx, connect.NewRequest(request))
+	if hasSnapshot {
+		s.post(func() { s.core.ReportSnapshot(p.id, err == nil) })
 	}
 	return err
 }
--- a/internal/coordination/fleet/publish.go
+++ b/internal/coordination/fleet/publish.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"sync"
 	"time"
 
 	"connectrpc.com/connect"
@@ -11,15 +12,15 @@
 	"petrelhook/internal/coordination/distribute"
 )
 
-// summaryTime is how long one coordinator may take for its summary.
-const summaryTime = 2 * time.Second
+// summaryTimeout bounds the time of all coordinators for their summaries.
+const summaryTimeout = 2 * time.Second
 
-// ErrOvertaken says that another version was published between the look at the newest and this one.
+// ErrOvertaken says that another version was published between the read of the newest one and this one.
 var ErrOvertaken = errors.New("another version was published meanwhile")
 
-// Publish has a service's configuration accepted, once: content that is the newest already keeps its revision, which the log decides: where agents hold a newer
-// one that a restored group has forgotten, it gets another.
-func (o *Operator) Publish(ctx context.Context, service string, content []byte, stepsDone bool) (revision distribute.Revision, already bool, err error) {
+// Publish publishes a configuration of a service. Content that is the newest already keeps its revision, and then unchanged is true. The
+// log decides that: where agents hold a newer revision that a restored group has forgotten, the content gets another one.
+func (o *Operator) Publish(ctx context.Context, service string, content []byte, stepsDone bool) (revision distribute.Revision, unchanged bool, err error) {
 	if content, err = distribute.Canonical(content); err != nil {
 		return 0, false, fmt.Errorf("content: %w", err)
 	}
@@ -27,66 +28,67 @@
 	if err := c.Check(); err != nil {
 		return 0, false, err
 	}
-	told, err := o.Call(ctx, Request{Versions: &service})
+	newest, err := o.Call(ctx, Request{Versions: &service})
 	if err != nil {
 		return 0, false, err
 	}
-	if len(told.Versions) > 0 {
-		c.After = told.Versions[0].Revision
+	if len(newest.Versions) > 0 {
+		c.After = newest.Versions[0].Revision
 	}
-	if told, err = o.Call(ctx, Request{Publish: &c}); err != nil {
+	out, err := o.Call(ctx, Request{Publish: &c})
+	if err != nil {
 		return 0, false, err
 	}
-	if told.Published.Refused != "" {
-		return told.Published.Revision, false, fmt.Errorf("%s: %w", told.Published.Refused, ErrOvertaken)
+	if out.Published.Refused != "" {
+		return out.Published.Revision, false, fmt.Errorf("%s: %w", out.Published.Refused, ErrOvertaken)
 	}
-	return told.Published.Revision, told.Published.Revision == c.After, nil
+	return out.Published.Revision, out.Published.Revision == c.After, nil
 }
 
-// CoordinatorSummary is one coordinator's summary.
+// CoordinatorSummary is one coordinator's summary, or why there is none.
 type CoordinatorSummary struct {
 	Addr string
 	Err  error
 	distribute.SummaryResponse
 }
 
-// Summaries asks all coordinators, also those that only follow, at once: each knows what was told to it. Service "": of all services.
+// Summaries asks all coordinators at once, also those that follow: each has the reports of the agents that watch at it. Service "": of
+// all services.
 func (o *Operator) Summaries(ctx context.Context, service string) []CoordinatorSummary {
-	ctx, cancel := context.WithTimeout(ctx, summaryTime)
+	ctx, cancel := context.WithTimeout(ctx, summaryTimeout)
 	defer cancel()
 	all := make([]CoordinatorSummary, len(o.Addrs))
-	ended := make(chan struct{})
+	var calls sync.WaitGroup
 	for i, addr := range o.Addrs {
-		go func() {
-			defer func() { ended <- struct{}{} }()
-			all[i].Addr = addr
-			in := &distribute.SummaryRequest{Version: distribute.WireVersion, Service: service}
-			client := Client[distribute.SummaryRequest, distribute.SummaryResponse](&o.over, addr, distribute.PathSummary)
-			if res, err := client.CallUnary(ctx, connect.NewRequest(in)); err != nil {
-				all[i].Err = err
-			} else {
-				all[i].SummaryResponse = *res.Msg
-			}
-		}()
-	}
-	for range o.Addrs {
-		<-ended
+		calls.Go(func() { all[i] = o.summary(ctx, addr, service) })
 	}
+	calls.Wait()
 	return all
 }
 
-// InForce is how the newest versions stand, by service, by what all coordinators that answer have heard. Service "": of all services.
+func (o *Operator) summary(ctx context.Context, addr, service string) CoordinatorSummary {
+	in := &distribute.SummaryRequest{Version: distribute.WireVersion, Service: service}
+	client := Client[distribute.SummaryRequest, distribute.SummaryResponse](&o.httpClient, addr, distribute.PathSummary)
+	res, err := client.CallUnary(ctx, connect.NewRequest(in))
+	if err != nil {
+		return CoordinatorSummary{Addr: addr, Err: err}
+	}
+	return CoordinatorSummary{Addr: addr, SummaryResponse: *res.Msg}
+}
+
+// InForce returns by service on how many sidecars the newest version is in force, merged over all coordinators that answer, and the
+// summaries of each. Service "": of all services.
 func (o *Operator) InForce(ctx context.Context, service string) (map[string]distribute.Summary, []CoordinatorSummary) {
 	all := o.Summaries(ctx, service)
-	by := map[string][]distribute.Summary{}
-	for _, s := range all {
-		for _, of := range s.Services {
-			by[of.Service] = append(by[of.Service], of)
+	byService := map[string][]distribute.Summary{}
+	for _, coordinator := range all {
+		for _, summary := range coordinator.Services {
+			byService[summary.Service] = append(byService[summary.Service], summary)
 		}
 	}
 	merged := map[string]distribute.Summary{}
-	for name, of := range by {
-		merged[name] = distribute.Merge(of)
+	for name, summaries := range byService {
+		merged[name] = distribute.Merge(summaries)
 	}
 	return merged, all
 }
--- a/internal/coordination/fleet/server.go
+++ b/internal/coordination/fleet/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -13,8 +12,6 @@
 	"time"
 
 	"connectrpc.com/connect"
-	pb "go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
 
 	"petrelhook/internal/coordination/distribute"
 	"petrelhook/internal/coordination/lease"
@@ -24,71 +21,75 @@
 	"petrelhook/internal/coordination/rpc"
 )
 
-// Server is one coordinator.
+const (
+	// eventQueue bounds the events that wait for the goroutine that owns the replica; maxBatch those that it takes in before one write.
+	eventQueue = 4096
+	maxBatch   = 512
+
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 2 * time.Minute
+)
+
+// Server is one coordinator. Run's goroutine owns the core; calls reach it by way of post.
 type Server struct {
 	config *Config
 	log    *slog.Logger
 	disk   *disk.Disk
 	core   *replica.Core
 	events chan func()
-	ended  chan struct{}
+	ended  chan struct{} // closed when Run takes no more events
+	fatal  chan error    // takes the first error that ends Run
 	peers  map[uint64]*peer
-	fatal  chan error // takes one
 
 	distribute *distributor
 }
 
-const (
-	maxBatch = 512 // events that are taken in before one write
-	// restStep is for how long a peer that could not be reached is left alone.
-	restStep = 50 * time.Millisecond
-)
-
-// Open opens what the coordinator has kept, or begins with nothing.
+// Open opens the coordinator's replica, or makes a new one where its folder holds none.
 func Open(c *Config, log *slog.Logger) (*Server, error) {
-	if !disk.Exists(c.Data) {
-		first := &replica.PersistedState{}
-		if !c.Join {
-			first = replica.InitialState(c.Replicas, lease.NewState())
-		}
-		if err := disk.Create(c.Data, c.ID, first); err != nil {
-			return nil, err
-		}
-		log.Info("new", "data", c.Data, "join", c.Join)
+	if err := createIfMissing(c, log); err != nil {
+		return nil, err
 	}
-	d, kept, err := disk.Open(c.Data)
+	d, persisted, err := disk.Open(c.Data)
 	if err != nil {
 		return nil, err
 	}
 	if d.ID != c.ID {
-		d.Close()
-		return nil, fmt.Errorf("%s: it is of replica %d, and the file says id %d", c.Data, d.ID, c.ID)
+		err := fmt.Errorf("%s: it is of replica %d, and the file says id %d", c.Data, d.ID, c.ID)
+		return nil, errors.Join(err, d.Close())
 	}
-	core, err := replica.New(replica.Options{ID: c.ID, Incarnation: d.Incarnation, Rand: rand.IntN}, kept)
+	core, err := replica.New(replica.Options{ID: c.ID, Incarnation: d.Incarnation, Rand: rand.IntN}, persisted)
 	if err != nil {
-		d.Close()
-		return nil, err
+		return nil, errors.Join(err, d.Close())
 	}
-	s := &Server{config: c, log: log, disk: d, core: core, events: make(chan func(), 4096), ended: make(chan struct{}),
+	s := &Server{config: c, log: log, disk: d, core: core, events: make(chan func(), eventQueue), ended: make(chan struct{}),
 		peers: map[uint64]*peer{}, fatal: make(chan error, 1)}
 	s.distribute = newDistributor(s)
 	return s, nil
 }
 
-// Run serves until ctx ends, or until it cannot go on.
+// createIfMissing makes the disk of a replica that has none: of a new group, or empty where it joins a group that exists.
+func createIfMissing(c *Config, log *slog.Logger) error {
+	if disk.Exists(c.Data) {
+		return nil
+	}
+	initial := &replica.PersistedState{}
+	if !c.Join {
+		initial = replica.InitialState(c.Replicas, lease.NewState())
+	}
+	if err := disk.Create(c.Data, c.ID, initial); err != nil {
+		return err
+	}
+	log.Info("new replica", "data", c.Data, "join", c.Join)
+	return nil
+}
+
+// Run serves until ctx ends, or until the replica cannot go on. When it returns all goroutines that it began have ended.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
-	defer s.disk.Close()
-	mux := http.NewServeMux()
-	rpc.Handle(mux, PathRequest, maxRequest, s.ask)
-	rpc.Handle(mux, PathStatus, maxRequest, s.status)
-	rpc.Handle(mux, PathStep, MaxMessage+1<<20, s.step)
-	rpc.Handle(mux, distribute.PathWatch, distribute.MaxWatchRequest, s.watch)
-	rpc.Handle(mux, distribute.PathSummary, maxRequest, s.summary)
-	// The time for reading goes on while a call waits for its answer, and would end it: it is longer than distribute.MaxHold.
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: snapTime + 5*time.Second, IdleTimeout: 2 * time.Minute, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug)}
-	var sides sync.WaitGroup
-	defer sides.Wait()
-	sides.Go(func() {
+	defer func() { _ = s.disk.Close() }() // what was saved is synced already
+	server := s.httpServer()
+	var background sync.WaitGroup
+	defer background.Wait()
+	background.Go(func() {
 		if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			s.fail(err)
 		}
@@ -97,12 +98,32 @@
 	peers, endPeers := context.WithCancel(context.Background())
 	defer endPeers()
 	defer close(s.ended)
-	sides.Go(func() { s.distribute.confirm(peers) })
+	background.Go(func() { s.distribute.confirm(peers) })
+	return s.loop(ctx, peers, &background)
+}
+
+func (s *Server) httpServer() *http.Server {
+	mux := http.NewServeMux()
+	rpc.Handle(mux, PathRequest, maxRequest, s.handleRequest)
+	rpc.Handle(mux, PathStatus, maxRequest, s.handleStatus)
+	rpc.Handle(mux, PathStep, MaxMessage+1<<20, s.handleStep)
+	rpc.Handle(mux, distribute.PathWatch, distribute.MaxWatchRequest, s.handleWatch)
+	rpc.Handle(mux, distribute.PathSummary, maxRequest, s.handleSummary)
+	return &http.Server{
+		Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
+		// The read time-out goes on while a call waits for its response, and would end it: it is longer than distribute.MaxWatchWait.
+		ReadTimeout: snapshotTimeout + 5*time.Second,
+		ErrorLog:    slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
+	}
+}
+
+// loop owns the replica until ctx ends or the replica cannot go on.
+func (s *Server) loop(ctx, peers context.Context, background *sync.WaitGroup) error {
 	tick := time.NewTicker(s.config.Tick)
 	defer tick.Stop()
-	look := time.NewTicker(tickTime)
-	defer look.Stop()
-	leads := false
+	watchTick := time.NewTicker(watchTickInterval)
+	defer watchTick.Stop()
+	isLeader := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -114,48 +135,52 @@
 			if err := s.core.RemovedErr(); err != nil {
 				return err
 			}
-		case <-look.C:
+		case <-watchTick.C:
 			s.distribute.tick()
-		case f := <-s.events:
-			f()
-			for n := 0; n < maxBatch; n++ {
-				select {
-				case f := <-s.events:
-					f()
-					continue
-				default:
-				}
-				break
-			}
+		case event := <-s.events:
+			event()
+			s.handleWaitingEvents()
 		}
-		if err := s.pump(peers, &sides); err != nil {
+		if err := s.processReady(peers, background); err != nil {
 			return err
 		}
 		s.distribute.applied()
-		if now := s.core.Status(); now.IsLeader != leads {
-			leads = now.IsLeader
-			s.log.Info("leads", "now", leads, "term", now.Term, "sessions", now.Sessions, "leases", now.Leases)
+		if status := s.core.Status(); status.IsLeader != isLeader {
+			isLeader = status.IsLeader
+			s.log.Info("leadership changed", "leads", isLeader, "term", status.Term, "sessions", status.Sessions, "leases", status.Leases)
 			s.core.RecordIncarnation(s.config.ID, s.disk.Incarnation)
 		}
 	}
 }
 
-// pump does what is to be done: first the disk, then the network, then the answers.
-func (s *Server) pump(peers context.Context, sides *sync.WaitGroup) error {
+// handleWaitingEvents takes in the events that have come meanwhile, so that one write to the disk serves them all.
+func (s *Server) handleWaitingEvents() {
+	for range maxBatch {
+		select {
+		case event := <-s.events:
+			event()
+		default:
+			return
+		}
+	}
+}
+
+// processReady carries out what the core hands out: first the disk, then the network, then the responses.
+func (s *Server) processReady(peers context.Context, background *sync.WaitGroup) error {
 	for {
-		w, ok := s.core.Ready()
+		ready, ok := s.core.Ready()
 		if !ok {
 			return nil
 		}
-		if w.Sync {
-			if err := s.disk.Save(w); err != nil {
+		if ready.Sync {
+			if err := s.disk.Save(ready); err != nil {
 				return fmt.Errorf("the disk: %w", err) // what is on it is not known: only a new start can tell
 			}
 		}
-		for _, m := range w.Messages {
-			s.peer(peers, sides, m.GetTo()).send(m)
+		for _, m := range ready.Messages {
+			s.peer(peers, background, m.GetTo()).send(m)
 		}
-		own, compact, err := s.core.Advance(w, monotonic.Now())
+		own, compact, err := s.core.Advance(ready, monotonic.Now())
 		if err != nil {
 			return err
 		}
@@ -167,6 +192,7 @@
 	}
 }
 
+// fail ends Run with an error, unless another one does already.
 func (s *Server) fail(err error) {
 	select {
 	case s.fatal <- err:
@@ -174,7 +200,7 @@
 	}
 }
 
-// post has f run by the goroutine that owns the replica; false: it has ended.
+// post has f run by the goroutine that owns the replica; it returns false where that has ended.
 func (s *Server) post(f func()) bool {
 	select {
 	case s.events <- f:
@@ -184,7 +210,22 @@
 	}
 }
 
-// addr is where a replica is: as the file says, else as the log does.
+// errShutdown is the answer to calls that the end of the process overtakes.
+var errShutdown = connect.NewError(connect.CodeUnavailable, errors.New("this coordinator is shutting down"))
+
+// await waits for a result of the goroutine that owns the replica.
+func await[T any](ctx context.Context, s *Server, result <-chan T) (out T, err error) {
+	select {
+	case out = <-result:
+		return out, nil
+	case <-ctx.Done():
+		return out, ctx.Err()
+	case <-s.ended:
+		return out, errShutdown
+	}
+}
+
+// addr returns the address of a replica: that of the settings, else that of the log.
 func (s *Server) addr(id uint64) string {
 	for _, m := range s.config.Replicas {
 		if m.ID == id {
@@ -198,183 +239,3 @@
 	}
 	return ""
 }
-
-var errEnds = connect.NewError(connect.CodeUnavailable, errors.New("this coordinator ends"))
-
-// ask answers a question of a client.
-func (s *Server) ask(ctx context.Context, in *Request) (*Response, error) {
-	if err := CheckVersion(in.Version); err != nil {
-		return nil, err
-	}
-	q, err := s.question(in)
-	if err != nil {
-		return nil, connect.NewError(connect.CodeInvalidArgument, err)
-	}
-	told := make(chan *Response, 1)
-	q.Done = func(r replica.Response) { told <- s.told(in, r) }
-	if !s.post(func() { s.distribute.prepare(&q, in); s.core.Submit(q) }) {
-		return nil, errEnds
-	}
-	select {
-	case t := <-told:
-		return t, nil
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	case <-s.ended:
-		return nil, errEnds
-	}
-}
-
-// question is a client's, checked.
-func (s *Server) question(in *Request) (q replica.Request, err error) {
-	switch {
-	case in.Command != nil:
-		q.Command = in.Command
-		if err = in.Command.Check(); err == nil && in.Command.Kind == lease.Open && in.Command.TTL > s.config.LongestTTL {
-			err = fmt.Errorf("ttl: %v is longer than these coordinators allow; write %v at most (longest_ttl)", in.Command.TTL, s.config.LongestTTL)
-		}
-	case in.Rollout != nil:
-		q.Rollout, err = in.Rollout, in.Rollout.Check()
-	case in.KeepAlive != nil:
-		q.KeepAlive = in.KeepAlive
-	case in.Publish != nil:
-		q.Publish, err = in.Publish, in.Publish.Check()
-	case in.Limit != nil:
-		q.Limit, err = in.Limit, in.Limit.Set.Check()
-	case in.Share != nil:
-		if q.Share = in.Share; in.Share.Request.Member == "" || len(in.Share.Request.Member) > lease.MaxNameBytes {
-			err = fmt.Errorf("member: %q; write a name of 1 to %d bytes", in.Share.Request.Member, lease.MaxNameBytes)
-		}
-	case in.AddMember != nil:
-		if _, _, bad := net.SplitHostPort(in.AddMember.Addr); in.AddMember.ID == 0 || bad != nil {
-			err = fmt.Errorf("add: %d, %q: write an id from 1 on and host:port", in.AddMember.ID, in.AddMember.Addr)
-		}
-		q.AddMember = &replica.Member{ID: in.AddMember.ID, Addr: in.AddMember.Addr}
-	case in.RemoveMember != 0:
-		q.RemoveMember = in.RemoveMember
-	case in.ListLeases != nil || in.Backup || in.Changes != nil || in.ListLimits || in.LastRevision != nil || in.Versions != nil:
-		q.Read = true
-	default:
-		err = errors.New("nothing is asked")
-	}
-	return q, err
-}
-
-// told is the answer; it is made by the goroutine that owns the replica.
-func (s *Server) told(in *Request, r replica.Response) *Response {
-	t := &Response{Answer: r.Answer, SessionAlive: r.SessionAlive, Grants: r.Grants, GrantsVersion: r.GrantsVersion, Members: r.Members}
-	if r.Err != nil {
-		t.Err, t.OutcomeUnknown, t.Leader = r.Err.Error(), errors.Is(r.Err, replica.ErrLeaderChanged), s.addr(r.Leader)
-		t.RetryAfterMs = int(s.config.Tick.Milliseconds() * replica.ElectionTicks / 2)
-		if t.Leader != "" {
-			t.RetryAfterMs = int(s.config.Tick.Milliseconds())
-		}
-	}
-	if r.State != nil && in.ListLeases != nil {
-		t.Leases = r.State.List(*in.ListLeases)
-	}
-	t.Rollout, t.Share, t.Published = r.Rollout, r.Share, r.Published
-	if r.Versions != nil {
-		t.LastRevision = r.Versions.Last()
-		if in.Versions != nil {
-			t.Versions = versions(r.Versions, *in.Versions)
-		}
-	}
-	if r.LimitErr != nil {
-		t.LimitError = r.LimitErr.Error()
-	}
-	if in.ListLimits && r.LimitStatuses != nil {
-		t.LimitStatuses = r.LimitStatuses()
-	}
-	if r.Rollouts != nil && in.Changes != nil {
-		if t.Changes = r.Rollouts.Application(*in.Changes, in.StageResults); *in.Changes == "" {
-			t.Changes, _ = json.Marshal(r.Rollouts.Applications())
-		}
-	}
-	if r.State != nil && in.Backup {
-		t.Backup = r.State.Snapshot()
-	}
-	return t
-}
-
-// versions are the newest of a service, with its content; of all, without, where none is named.
-func versions(r *distribute.Register, service string) []distribute.Version {
-	if service == "" {
-		return r.Services()
-	}
-	if v, ok := r.Newest(service); ok {
-		return []distribute.Version{v}
-	}
-	return nil
-}
-
-// Status is what a coordinator says of itself.
-type Status struct {
-	replica.Status
-	Addr string `json:"addr"`
-}
-
-func (s *Server) status(ctx context.Context, in *Empty) (*Status, error) {
-	if err := CheckVersion(in.Version); err != nil {
-		return nil, err
-	}
-	now := make(chan Status, 1)
-	if !s.post(func() { now <- Status{s.core.Status(), s.config.Addr()} }) {
-		return nil, errEnds
-	}
-	select {
-	case st := <-now:
-		return &st, nil
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	case <-s.ended:
-		return nil, errEnds
-	}
-}
-
-// step takes in messages of another replica. One whose disk is another than the log knows is refused, and one that was removed.
-func (s *Server) step(ctx context.Context, in *StepRequest) (*Empty, error) {
-	if err := CheckVersion(in.Version); err != nil {
-		return nil, err
-	}
-	if in.To != s.config.ID {
-		return nil, connect.NewError(connect.CodeNotFound, fmt.Errorf("this is replica %d, not %d", s.config.ID, in.To))
-	}
-	all := make([]*pb.Message, len(in.Messages))
-	for i, text := range in.Messages {
-		all[i] = &pb.Message{}
-		if err := proto.Unmarshal(text, all[i]); err != nil {
-			return nil, connect.NewError(connect.CodeInvalidArgument, err)
-		}
-	}
-	done := make(chan error, 1)
-	ok := s.post(func() {
-		if err := s.core.CheckReceiver(in.ToIncarnation); err != nil {
-			s.fail(err)
-			done <- errEnds
-			return
-		}
-		err := s.core.CheckSender(in.From, in.Incarnation)
-		if err != nil {
-			err = connect.NewError(connect.CodeFailedPrecondition, err)
-		}
-		for _, m := range all {
-			if err == nil {
-				s.core.Step(m)
-			}
-		}
-		done <- err
-	})
-	if !ok {
-		return nil, errEnds
-	}
-	select {
-	case err := <-done:
-		if err != nil {
-			return nil, err
-		}
-		return &Empty{Version}, nil
-	case <-s.ended:
-		return nil, errEnds
-	}
-}
--- a/internal/coordination/replica/mutation_test.go
+++ b/internal/coordination/replica/mutation_test.go
@@ -21,7 +21,7 @@
 		"a response that arrives twice":           {"internal/coordination/share/consumer.go", "a.Units > 0 && !known", "a.Units > 0 && (true || known)", "./internal/coordination/replica", "TestSharesOfAGroup"},
 		"old responses to a new wait":             {"internal/coordination/lease/sessionstate.go", "isWaiting && waitingSince <= requestedAt &&", "isWaiting && waitingSince <= waitingSince &&", "./internal/coordination/replica", "TestSchedules"},
 		"the fencing check":                       {"lease/guard.go", "token < g.newest || token == 0", "token == 0", "./lease", "TestOneHolder"},
-		"the sync before a response":              {"internal/coordination/fleet/server.go", "if w.Sync {", "if w.Sync && w.Snapshot != nil {", "./cmd/petrelhook-coordinator", "TestAllKilledAtOnce"},
+		"the sync before a response":              {"internal/coordination/fleet/server.go", "if ready.Sync {", "if ready.Sync && ready.Snapshot != nil {", "./cmd/petrelhook-coordinator", "TestAllKilledAtOnce"},
 		"another incarnation of a replica's disk": {"internal/coordination/replica/members.go", `incarnation != "" && incarnation != c.Incarnation`, "false", "./cmd/petrelhook-coordinator", "TestLostDisk"},
 		"the order of a client's commands":        {"lease/line.go", "	c.last = mine\n", "", "./lease", "TestCommandsKeepTheirOrder"},
 	})
