--- a/internal/coordination/replica/mutation_test.go
+++ b/internal/coordination/replica/mutation_test.go
@@ -23,6 +23,6 @@
 		"the fencing check":                       {"lease/guard.go", "token < g.newest || token == 0", "token == 0", "./lease", "TestOneHolder"},
 		"the sync before a response":              {"internal/coordination/fleet/server.go", "if ready.Sync {", "if ready.Sync && ready.Snapshot != nil {", "./cmd/petrelhook-coordinator", "TestAllKilledAtOnce"},
 		"another incarnation of a replica's disk": {"internal/coordination/replica/members.go", `incarnation != "" && incarnation != c.Incarnation`, "false", "./cmd/petrelhook-coordinator", "TestLostDisk"},
-		"the order of a client's commands":        {"lease/line.go", "	c.last = mine\n", "", "./lease", "TestCommandsKeepTheirOrder"},
+		"the order of a client's commands":        {"lease/commands.go", "	c.lastCommand = own\n", "", "./lease", "TestCommandsKeepTheirOrder"},
 	})
 }
--- a/lease/asleep_test.go
+++ b/lease/asleep_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"os"
@@ -17,8 +18,8 @@
 	"petrelhook/internal/rig/coordinator"
 )
 
-// A machine that sleeps: Go's timers stand still, the clock does not. The first look after it says no, and ends the context. Its session
-// may live on; the lease is let go of all the same, and another has it within the session's time.
+// While a machine sleeps Go's timers stand still, and the clock does not. The first check after it finds the lease lost, and ends the context.
+// The session may live on; the lease is released all the same, and another client gets it within the TTL.
 func TestAsleep(t *testing.T) {
 	addr, stop := coordinator.For(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -34,7 +35,7 @@
 		t.Fatal(err)
 	}
 	slept.Store(int64(time.Hour))
-	if h.Valid() || h.Left() != 0 || context.Cause(h.Context()) != ErrLost {
+	if h.Valid() || h.Left() != 0 || !errors.Is(context.Cause(h.Context()), ErrLost) {
 		t.Errorf("valid %v, %v", h.Valid(), context.Cause(h.Context()))
 	}
 	other, err := New(Options{Addrs: []string{addr}, Owner: "other", TTL: 2 * time.Second})
@@ -42,14 +43,14 @@
 		t.Fatal(err)
 	}
 	if _, err := other.Hold(ctx, "x"); err != nil {
-		t.Errorf("the lease stays with a session that does not know of it: %v", err)
+		t.Errorf("the lease stays with a session whose client does not hold it: %v", err)
 	}
 	other.Close()
 	stop()
 	c.Close()
 }
 
-// Clocks that people set have no part in any of it: nothing that decides, or believes, reads one.
+// No code that decides about leases reads the time of day.
 func TestNoWallClocks(t *testing.T) {
 	for _, dir := range []string{"../internal/coordination/lease", "../internal/coordination/replica", "../internal/coordination/replica/disk", "../internal/coordination/monotonic", "."} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -68,22 +69,22 @@
 	}
 }
 
-// recorder notes when calls begin.
-type recorder struct {
+// callRecorder records when calls begin.
+type callRecorder struct {
 	http.RoundTripper
 	mu    sync.Mutex
 	calls []time.Duration
-	began time.Time
+	start time.Time
 }
 
-func (r *recorder) RoundTrip(req *http.Request) (*http.Response, error) {
+func (r *callRecorder) RoundTrip(req *http.Request) (*http.Response, error) {
 	r.mu.Lock()
-	r.calls = append(r.calls, time.Since(r.began))
+	r.calls = append(r.calls, time.Since(r.start))
 	r.mu.Unlock()
 	return r.RoundTripper.RoundTrip(req)
 }
 
-// Clients that begin within half a second do not renew in step: of their sixth renewals no tenth of a second has a third.
+// Clients that begin within half a second do not renew at the same moments: of their sixth renewals no tenth of a second has a third.
 func TestRenewalsAreNotInStep(t *testing.T) {
 	addr, _ := coordinator.For(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
@@ -91,13 +92,13 @@
 	const clients, renewals = 200, 6
 	began := time.Now()
 	var all []*Client
-	var recorders []*recorder
+	var recorders []*callRecorder
 	for i := range clients {
 		c, err := New(Options{Addrs: []string{addr}, Owner: "o", TTL: 3 * time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &recorder{RoundTripper: c.caller.HTTPClient.Transport, began: began}
+		r := &callRecorder{RoundTripper: c.caller.HTTPClient.Transport, start: began}
 		c.caller.HTTPClient.Transport = r
 		all, recorders = append(all, c), append(recorders, r)
 		if _, err := c.Hold(ctx, fmt.Sprint("x", i)); err != nil {
@@ -122,7 +123,7 @@
 			if ctx.Err() != nil {
 				t.Fatal("renewals are missing")
 			}
-			time.Sleep(time.Millisecond) // between looks
+			time.Sleep(time.Millisecond) // between two checks
 		}
 	}
 	// six waits of 0.5 to 1 s each end within 3 s, a normal distribution of 0.35 s: at most 0.11 of all in a tenth of a second
--- /dev/null
+++ b/lease/commands.go
@@ -0,0 +1,96 @@
+package lease
+
+import (
+	"context"
+	"errors"
+
+	"petrelhook/internal/coordination/fleet"
+	"petrelhook/internal/coordination/lease"
+)
+
+// enqueue takes the next position in the queue of commands: previous is closed when all commands before this one are over, and done says
+// that this one is. The caller holds Client.mu.
+func (c *Client) enqueue() (previousOver <-chan struct{}, done func()) {
+	previous, own := c.lastCommand, make(chan struct{})
+	c.lastCommand = own
+	return previous, func() { close(own) }
+}
+
+// commandResult is the answer to a command, and the session that it was sent in; nil: there was none.
+type commandResult struct {
+	answer  lease.Answer
+	session *lease.SessionState
+	err     error
+}
+
+// startCommand sends a command in the session until it is answered, also where the caller does not wait for the result. Its position in
+// the queue is taken when startCommand returns: a grant of a later command must not be ended by an earlier one. The caller holds
+// Client.mu.
+func (c *Client) startCommand(cmd lease.Command) <-chan commandResult {
+	previousOver, done := c.enqueue()
+	result := make(chan commandResult, 1)
+	c.background.Go(func() {
+		defer done()
+		<-previousOver
+		answer, session, err := c.sendCommand(cmd)
+		result <- commandResult{answer, session, err}
+	})
+	return result
+}
+
+// runCommand starts a command and waits for its answer, or until ctx ends: then the command goes on.
+func (c *Client) runCommand(ctx context.Context, cmd lease.Command) (lease.Answer, *lease.SessionState, error) {
+	c.mu.Lock()
+	result := c.startCommand(cmd)
+	c.mu.Unlock()
+	select {
+	case r := <-result:
+		return r.answer, r.session, r.err
+	case <-ctx.Done():
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return lease.Answer{}, c.session, ctx.Err()
+	}
+}
+
+// sendCommand sends a command until it is answered, or the session is over. All commands before it are over.
+func (c *Client) sendCommand(cmd lease.Command) (lease.Answer, *lease.SessionState, error) {
+	c.mu.Lock()
+	session := c.session
+	if session == nil {
+		c.mu.Unlock()
+		return lease.Answer{Status: lease.NoSession}, nil, errNoSession
+	}
+	c.lastSeq++
+	cmd.Session, cmd.Seq = session.Session, c.lastSeq
+	switch cmd.Kind {
+	case lease.Acquire:
+		session.BeginWait(cmd.Name, c.options.clock())
+	case lease.Cancel: // ends the wait that an earlier command began, or the grant that it has got
+		session.Forget(cmd.Name)
+	}
+	c.mu.Unlock()
+	ctx, cancel := context.WithCancelCause(c.ctx)
+	defer cancel(nil)
+	response, err := c.caller.Call(ctx, &fleet.Request{Command: &cmd}, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if c.session != session || session.Expiry() <= c.options.clock() {
+			cancel(ErrLost)
+		}
+	})
+	if errors.Is(err, ErrLost) {
+		c.loseSession(session)
+		return lease.Answer{Status: lease.NoSession}, session, nil
+	}
+	if c.ctx.Err() != nil && err != nil {
+		err = ErrClosed
+	}
+	if err != nil {
+		return lease.Answer{}, session, err
+	}
+	if response.Answer.Status == lease.NoSession {
+		c.loseSession(session)
+	}
+	return response.Answer, session, nil
+}
--- a/lease/guard.go
+++ b/lease/guard.go
@@ -6,21 +6,22 @@
 	"sync"
 )
 
-// ErrOld says that a newer holder has acted already.
+// ErrOld says that an act was refused, because a newer holder has acted already.
 var ErrOld = errors.New("a newer grant has been seen")
 
-// Guard is what a resource keeps that a lease protects: it refuses tokens older than the newest that it saw. Its zero value has seen
-// none; a resource that outlives its process keeps Newest with what it guards, and begins with Seen.
+// Guard is the check of fencing tokens in a resource that a lease protects: it refuses tokens older than the newest that it has seen. Its
+// zero value has seen none. A resource that outlives its process stores Newest with what it protects, and starts with Seen. A Guard is safe
+// for concurrent use.
 type Guard struct {
 	mu     sync.Mutex
 	newest Token
 }
 
-// Seen is a guard that has seen a token.
+// Seen returns a guard that has seen a token.
 func Seen(newest Token) *Guard { return &Guard{newest: newest} }
 
-// Admit runs an act if its token is not older than the newest seen. Acts run one at a time, for one that is admitted must not be
-// overtaken by a newer holder's.
+// Admit runs an act if its token is not older than the newest one seen, and returns its error; else ErrOld. Acts run one at a time, for an
+// act that is admitted must not be overtaken by one of a newer holder.
 func (g *Guard) Admit(token Token, act func() error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -31,7 +32,7 @@
 	return act()
 }
 
-// Newest is the newest token seen.
+// Newest returns the newest token that was seen; 0: none.
 func (g *Guard) Newest() Token {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/lease/held.go
+++ b/lease/held.go
@@ -8,110 +8,112 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// Held is a lease that is held until its context ends.
+// Held is a lease that this client holds until its context ends, or operators break it. Its methods are safe for concurrent use.
 type Held struct {
 	Name   string
 	Token  Token
-	c      *Client
+	client *Client
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 }
 
-// Context ends before the lease can be another's. Where operators broke it (ErrBroken, by context.Cause) it ends sooner: the lease is
-// still held for Left, time to stop in and to Release, so that who is next need not wait for all of it.
+// Context returns a context that ends before another session can hold the lease; context.Cause says why: ErrLost, ErrReleased, ErrBroken or
+// ErrClosed. Where operators broke the lease it ends early: the lease is still held for Left, which is time to stop and to Release, so that
+// the next holder need not wait for all of it.
 func (h *Held) Context() context.Context { return h.ctx }
 
 // Valid reports whether the lease is held now, by a clock that counts the time for which the machine sleeps.
 func (h *Held) Valid() bool {
-	h.c.mu.Lock()
-	defer h.c.mu.Unlock()
+	h.client.mu.Lock()
+	defer h.client.mu.Unlock()
 	return h.valid()
 }
 
-// valid is Valid for who holds Client.mu; what is over ends the context.
+// valid is Valid for a caller that holds Client.mu. A lease that is not held any more is ended.
 func (h *Held) valid() bool {
-	if h.c.held[h.Name] != h {
+	if h.client.held[h.Name] != h {
 		return false
 	}
-	if h.c.holder != nil {
-		if token, _, ok := h.c.holder.Held(h.Name, h.c.o.clock()); ok && token == h.Token {
+	if h.client.session != nil {
+		if token, _, ok := h.client.session.Held(h.Name, h.client.options.clock()); ok && token == h.Token {
 			return true
 		}
 	}
-	h.c.drop(h, ErrLost)
-	if h.c.holder != nil { // the session may live on: it must not keep what nobody knows of
-		h.c.begin(lease.Command{Kind: lease.Cancel, Name: h.Name})
+	h.client.endHeld(h, ErrLost)
+	if h.client.session != nil { // the session may live on: it must not keep a grant that nobody uses
+		h.client.startCommand(lease.Command{Kind: lease.Cancel, Name: h.Name})
 	}
 	return false
 }
 
-// Left is for how long the lease is held if nothing more is heard: 0, it is lost.
+// Left returns for how long the lease is held if it is not renewed any more; 0: it is lost.
 func (h *Held) Left() time.Duration {
-	h.c.mu.Lock()
-	defer h.c.mu.Unlock()
+	h.client.mu.Lock()
+	defer h.client.mu.Unlock()
 	if !h.valid() {
 		return 0
 	}
-	_, until, _ := h.c.holder.Held(h.Name, h.c.o.clock())
-	return until.Sub(h.c.o.clock())
+	_, until, _ := h.client.session.Held(h.Name, h.client.options.clock())
+	return until.Sub(h.client.options.clock())
 }
 
-// drop ends what is believed of a lease. The caller holds Client.mu.
-func (c *Client) drop(h *Held, why error) {
+// endHeld ends the belief in a lease, and its context. The caller holds Client.mu.
+func (c *Client) endHeld(h *Held, cause error) {
 	if c.held[h.Name] != h {
 		return
 	}
 	delete(c.held, h.Name)
-	if c.holder != nil {
-		c.holder.Forget(h.Name)
+	if c.session != nil {
+		c.session.Forget(h.Name)
 	}
 	h.timer.Stop()
-	h.cancel(why)
+	h.cancel(cause)
 }
 
-// arm has the context end in time. The caller holds Client.mu.
-func (c *Client) arm(h *Held) {
-	_, until, _ := c.holder.Held(h.Name, c.o.clock())
-	h.timer.Reset(max(0, until.Sub(c.o.clock())))
+// resetTimer has the context end at the present expiry. The caller holds Client.mu.
+func (c *Client) resetTimer(h *Held) {
+	_, until, _ := c.session.Held(h.Name, c.options.clock())
+	h.timer.Reset(max(0, until.Sub(c.options.clock())))
 }
 
-// end stops to believe in the lease, before it is let go of; false: it was lost already.
-func (h *Held) end() bool {
-	h.c.mu.Lock()
-	defer h.c.mu.Unlock()
+// endBelief ends the belief in the lease, which comes before its release; it returns false where the lease was lost already.
+func (h *Held) endBelief() bool {
+	h.client.mu.Lock()
+	defer h.client.mu.Unlock()
 	if !h.valid() {
 		return false
 	}
-	h.c.drop(h, ErrReleased)
+	h.client.endHeld(h, ErrReleased)
 	return true
 }
 
-// Release lets go of the lease. Its context has ended when Release begins to ask.
+// Release releases the lease. Its context has ended before the request is sent. Where ctx ends first the request is sent all the same.
 func (h *Held) Release(ctx context.Context) error {
-	if !h.end() {
+	if !h.endBelief() {
 		return ErrLost
 	}
-	a, _, err := h.c.command(ctx, lease.Command{Kind: lease.Release, Name: h.Name, Token: h.Token})
-	if err == nil && a.Status != lease.OK {
+	answer, _, err := h.client.runCommand(ctx, lease.Command{Kind: lease.Release, Name: h.Name, Token: h.Token})
+	if err == nil && answer.Status != lease.OK {
 		err = ErrLost
 	}
 	return err
 }
 
-// ErrNotWaiting says that a lease was not handed over: the other session does not wait for it. It is let go of all the same.
-var ErrNotWaiting = errors.New("that session does not wait for it")
+// ErrNotWaiting says that a lease was not handed over, for the other session does not wait for it. It is released all the same.
+var ErrNotWaiting = errors.New("the session does not wait for the lease")
 
-// Transfer hands the lease to a session that waits for it, before all others. Its context has ended when Transfer begins to ask.
+// Transfer hands the lease to a session that waits for it (Client.Session), before all others. Its context has ended before the request is
+// sent.
 func (h *Held) Transfer(ctx context.Context, to uint64) error {
-	if !h.end() {
+	if !h.endBelief() {
 		return ErrLost
 	}
-	a, _, err := h.c.command(ctx, lease.Command{Kind: lease.Transfer, Name: h.Name, Token: h.Token, TransferTo: lease.SessionID(to)})
-	if err != nil || a.Status == lease.OK {
+	answer, _, err := h.client.runCommand(ctx, lease.Command{Kind: lease.Transfer, Name: h.Name, Token: h.Token, TransferTo: lease.SessionID(to)})
+	if err != nil || answer.Status == lease.OK {
 		return err
 	}
-	if _, _, err := h.c.command(ctx, lease.Command{Kind: lease.Release, Name: h.Name, Token: h.Token}); err != nil {
+	if _, _, err := h.client.runCommand(ctx, lease.Command{Kind: lease.Release, Name: h.Name, Token: h.Token}); err != nil {
 		return err
 	}
 	return ErrNotWaiting
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,8 +1,10 @@
-// Package lease lets an application hold leases of the fleet's coordinators (petrelhook-coordinator): of all that ask for a name at most one
-// holds it. Hold gives a context that ends before the lease can be another's, and a token; whatever the lease protects should keep a
-// Guard and be sent the token, for a holder may be stopped between its look at the context and its act.
+// Package lease lets an application hold leases of the fleet's coordinators (petrelhook-coordinator): of all clients that want the lease of a
+// name at most one holds it. Hold returns a lease with a context, which ends before another client can hold it, and a fencing token. A
+// resource that the lease protects should keep a Guard and be sent the token, for a holder may be stopped between its check of the context
+// and its act.
 //
-// A Client has one session, which lives as long as a majority of the coordinators hears of it. It dies with the process.
+// A Client has one session, which lives as long as it is renewed at a majority of the coordinators. The session ends with the process. All
+// types are safe for concurrent use.
 package lease
 
 import (
@@ -20,47 +22,58 @@
 	"petrelhook/internal/coordination/monotonic"
 )
 
-// Token is of one grant, and larger than that of every grant before it.
+// Token is the fencing token of one grant: larger than that of every grant before it.
 type Token = lease.Token
 
-// What Hold and Held.Err may say.
+// Errors of Hold and Try, and causes of the end of a lease's context.
 var (
-	ErrTaken    = errors.New("somebody else holds it")
-	ErrLost     = errors.New("the lease is lost: the coordinators were out of reach for too long")
+	// ErrTaken says that another session holds the lease.
+	ErrTaken = errors.New("another session holds the lease")
+	// ErrLost says that the session was not renewed in time, or does not exist any more.
+	ErrLost = errors.New("the lease is lost: the coordinators were out of reach for too long")
+	// ErrReleased says that the holder released the lease.
 	ErrReleased = errors.New("the lease was released")
-	ErrBroken   = errors.New("operators broke the lease")
-	ErrClosed   = errors.New("the client is closed")
+	// ErrBroken says that operators broke the lease: the holder has Held.Left to release it.
+	ErrBroken = errors.New("operators broke the lease")
+	// ErrClosed says that the client was closed.
+	ErrClosed = errors.New("the client is closed")
 )
 
-// Options are what a client is told.
+const (
+	defaultTTL = 10 * time.Second
+	// minCallTimeout is the shortest time-out of one call to a coordinator; it is a quarter of the TTL where that is longer.
+	minCallTimeout = 250 * time.Millisecond
+)
+
+// Options are the settings of a client.
 type Options struct {
 	Addrs []string      // of the coordinators
-	Owner string        // a name for people
-	TTL   time.Duration // for how long the session lives without a word; 0: 10 s
+	Owner string        // a name for operators; two clients may have the same
+	TTL   time.Duration // for how long the session lives without a renewal; 0: 10 s
 	clock func() lease.Instant
 }
 
-// Client is a session, and what it holds.
+// Client is a session, and the leases that it holds.
 type Client struct {
-	o      Options
-	caller fleet.Caller
-	ctx    context.Context
-	end    context.CancelFunc
-	sides  sync.WaitGroup
-
-	mu      sync.Mutex
-	last    chan struct{}       // closed when the last command in the line is over
-	asking  map[string]bool     // names that a call of Hold or Try is about
-	holder  *lease.SessionState // nil: there is no session
-	seq     uint64
-	held    map[string]*Held
-	changed chan struct{} // closed when a grant has come or the session has changed
+	options    Options
+	caller     fleet.Caller
+	ctx        context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
+
+	mu          sync.Mutex
+	lastCommand chan struct{}       // closed when the last command of the queue is over
+	acquiring   map[string]bool     // names for which a call of Hold or Try is under way
+	session     *lease.SessionState // nil: there is no session
+	lastSeq     uint64              // of the commands of the session
+	held        map[string]*Held
+	changed     chan struct{} // closed when a grant has come, or the session has changed
 }
 
-// New makes a client. It asks nothing yet.
+// New returns a client. It opens a session when a lease is wanted. Close ends it.
 func New(o Options) (*Client, error) {
 	if o.TTL == 0 {
-		o.TTL = 10 * time.Second
+		o.TTL = defaultTTL
 	}
 	if o.clock == nil {
 		o.clock = monotonic.Now
@@ -79,86 +92,87 @@
 	}
 	first := make(chan struct{})
 	close(first)
-	c := &Client{o: o, last: first, asking: map[string]bool{}, held: map[string]*Held{}, changed: make(chan struct{}), caller: fleet.Caller{
-		Addrs: o.Addrs, Timeout: max(o.TTL/4, 250*time.Millisecond), RetryInterval: o.TTL / 100,
-		HTTPClient: &http.Client{Transport: &http.Transport{
-			DialContext: (&net.Dialer{Timeout: o.TTL / 4}).DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true}},
-	}}
-	c.ctx, c.end = context.WithCancel(context.Background())
-	c.sides.Go(c.live)
+	c := &Client{options: o, lastCommand: first, acquiring: map[string]bool{}, held: map[string]*Held{}, changed: make(chan struct{})}
+	c.caller.Addrs = o.Addrs
+	c.caller.Timeout, c.caller.RetryInterval = max(o.TTL/4, minCallTimeout), o.TTL/100
+	c.caller.HTTPClient = &http.Client{Transport: &http.Transport{
+		DialContext: (&net.Dialer{Timeout: o.TTL / 4}).DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true}}
+	c.ctx, c.cancel = context.WithCancel(context.Background())
+	c.background.Go(c.renewLoop)
 	return c, nil
 }
 
-// Hold waits until the lease is this client's, and holds it until Release, or until it is lost. A client holds a name once.
+// Hold waits until this client holds the lease of a name, or ctx ends. The lease is held until it is released, lost or broken, whatever
+// becomes of ctx. A client holds a name once; a second call meanwhile is an error.
 func (c *Client) Hold(ctx context.Context, name string) (*Held, error) {
-	return c.hold(ctx, name, true)
+	return c.acquire(ctx, name, true)
 }
 
-// Try is Hold without waiting: ErrTaken says that somebody else has it.
+// Try is Hold without waiting: it returns ErrTaken where another session holds the lease.
 func (c *Client) Try(ctx context.Context, name string) (*Held, error) {
-	return c.hold(ctx, name, false)
+	return c.acquire(ctx, name, false)
 }
 
-func (c *Client) hold(ctx context.Context, name string, wait bool) (*Held, error) {
+func (c *Client) acquire(ctx context.Context, name string, wait bool) (*Held, error) {
 	c.mu.Lock()
-	busy := c.asking[name] || c.held[name] != nil
+	busy := c.acquiring[name] || c.held[name] != nil
 	if !busy {
-		c.asking[name] = true
+		c.acquiring[name] = true
 	}
 	c.mu.Unlock()
 	if busy {
-		return nil, fmt.Errorf("%s: this client holds it already, or asks for it", name)
+		return nil, fmt.Errorf("%s: this client holds the lease already, or waits for it", name)
 	}
 	defer func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.asking, name)
+		delete(c.acquiring, name)
 	}()
 	for {
-		if err := c.session(ctx); err != nil {
+		if err := c.ensureSession(ctx); err != nil {
 			return nil, err
 		}
-		a, holder, err := c.command(ctx, lease.Command{Kind: lease.Acquire, Name: name, Wait: wait})
+		answer, session, err := c.runCommand(ctx, lease.Command{Kind: lease.Acquire, Name: name, Wait: wait})
 		switch {
 		case err != nil:
-			c.cancel(holder, name)
+			c.abandon(session, name)
 			return nil, err
-		case a.Status == lease.OK:
-			if h := c.granted(holder, name, a.Token); h != nil {
+		case answer.Status == lease.OK:
+			if h := c.newHeld(session, name, answer.Token); h != nil {
 				return h, nil
 			}
 			continue
-		case a.Status == lease.NoSession:
+		case answer.Status == lease.NoSession:
 			continue
-		case a.Status == lease.HeldByOther:
-			return nil, fmt.Errorf("%s: %w: %s", name, ErrTaken, a.Holder)
-		case a.Status != lease.Waiting:
-			return nil, fmt.Errorf("%s: %v", name, a.Status)
+		case answer.Status == lease.HeldByOther:
+			return nil, fmt.Errorf("%s: %w: %s", name, ErrTaken, answer.Holder)
+		case answer.Status != lease.Waiting:
+			return nil, fmt.Errorf("%s: %v", name, answer.Status)
 		}
-		if h, err := c.await(ctx, holder, name); h != nil || err != nil {
+		if h, err := c.awaitGrant(ctx, session, name); h != nil || err != nil {
 			return h, err
 		}
 	}
 }
 
-// await waits for a grant that a renewal tells of; neither: the session is over.
-func (c *Client) await(ctx context.Context, holder *lease.SessionState, name string) (*Held, error) {
+// awaitGrant waits for a grant that a renewal reports. It returns neither a lease nor an error where the session is over.
+func (c *Client) awaitGrant(ctx context.Context, session *lease.SessionState, name string) (*Held, error) {
 	for {
 		c.mu.Lock()
-		if c.holder != holder {
+		if c.session != session {
 			c.mu.Unlock()
 			return nil, nil
 		}
-		token, _, ok := holder.Held(name, c.o.clock())
+		token, _, ok := session.Held(name, c.options.clock())
 		changed := c.changed
 		c.mu.Unlock()
 		if ok {
-			return c.granted(holder, name, token), nil
+			return c.newHeld(session, name, token), nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			c.cancel(holder, name)
+			c.abandon(session, name)
 			return nil, ctx.Err()
 		case <-c.ctx.Done():
 			return nil, ErrClosed
@@ -166,63 +180,63 @@
 	}
 }
 
-// granted begins to hold; nil: it is over already.
-func (c *Client) granted(holder *lease.SessionState, name string, token Token) *Held {
+// newHeld returns the lease of a grant; nil where the session, or the grant, is over already.
+func (c *Client) newHeld(session *lease.SessionState, name string, token Token) *Held {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.holder != holder {
+	if c.session != session {
 		return nil
 	}
-	holder.ApplyGrant(c.o.clock(), name, token)
-	if _, _, ok := holder.Held(name, c.o.clock()); !ok {
+	session.ApplyGrant(c.options.clock(), name, token)
+	if _, _, ok := session.Held(name, c.options.clock()); !ok {
 		return nil
 	}
-	h := &Held{Name: name, Token: token, c: c}
+	h := &Held{Name: name, Token: token, client: c}
 	h.ctx, h.cancel = context.WithCancelCause(context.Background())
 	h.timer = time.AfterFunc(time.Hour, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if h.valid() { // renewed meanwhile
-			c.arm(h)
+			c.resetTimer(h)
 		}
 	})
 	c.held[name] = h
-	c.arm(h)
+	c.resetTimer(h)
 	return h
 }
 
-// cancel waits no more for a lease, or for its grant.
-func (c *Client) cancel(holder *lease.SessionState, name string) {
+// abandon ends the wait for a lease, and the grant that it may have got meanwhile.
+func (c *Client) abandon(session *lease.SessionState, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if holder != nil && c.holder == holder {
-		holder.Forget(name)
-		c.begin(lease.Command{Kind: lease.Cancel, Name: name})
+	if session != nil && c.session == session {
+		session.Forget(name)
+		c.startCommand(lease.Command{Kind: lease.Cancel, Name: name})
 	}
 }
 
-// Session is the client's in the coordinators' words; 0: there is none yet. Others name it to hand a lease to it.
+// Session returns the id of the client's session; 0: there is none yet. Another client names it to Transfer a lease to this one.
 func (c *Client) Session() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.holder == nil {
+	if c.session == nil {
 		return 0
 	}
-	return uint64(c.holder.Session)
+	return uint64(c.session.Session)
 }
 
-// Close ends the session and all that it holds.
+// Close ends the session and everything that it holds, and waits for the requests of the client to end.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	for _, h := range c.held {
-		c.drop(h, ErrClosed)
+		c.endHeld(h, ErrClosed)
 	}
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(c.ctx, c.o.TTL/2)
-	_, _, err := c.command(ctx, lease.Command{Kind: lease.Close})
+	ctx, cancel := context.WithTimeout(c.ctx, c.options.TTL/2)
+	_, _, err := c.runCommand(ctx, lease.Command{Kind: lease.Close})
 	cancel()
-	c.end()
-	c.sides.Wait()
+	c.cancel()
+	c.background.Wait()
 	c.caller.HTTPClient.CloseIdleConnections()
 	if errors.Is(err, errNoSession) {
 		return nil
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		panic(err)
 	}
-	var table lease.Guard // of what the lease protects
+	var table lease.Guard // in the resource that the lease protects
 	fmt.Println(table.Admit(held.Token, func() error { fmt.Println("written"); return held.Context().Err() }))
 	fmt.Println(held.Release(context.Background()))
 	// Output:
@@ -37,7 +37,7 @@
 	// <nil>
 }
 
-// Operators break a lease: its holder is told within a renewal, still holds it, and lets go; nobody else has it before.
+// Operators break a lease: its holder learns of it with the next renewal, still holds it, and releases it; nobody else holds it before.
 func TestBroken(t *testing.T) {
 	addr, _ := coordinator.For(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -56,11 +56,11 @@
 		t.Fatal(err)
 	}
 	<-first.Context().Done()
-	if context.Cause(first.Context()) != lease.ErrBroken || !first.Valid() || first.Left() <= 0 {
+	if !errors.Is(context.Cause(first.Context()), lease.ErrBroken) || !first.Valid() || first.Left() <= 0 {
 		t.Errorf("%v, valid %v", context.Cause(first.Context()), first.Valid())
 	}
 	if _, err := a.Try(ctx, "x"); err == nil {
-		t.Error("another has it before it is let go")
+		t.Error("the lease was granted again before its release")
 	}
 	if err := first.Release(ctx); err != nil {
 		t.Error(err)
@@ -100,8 +100,8 @@
 	if err := first.Release(ctx); err != nil {
 		t.Error(err)
 	}
-	if context.Cause(first.Context()) != lease.ErrReleased || first.Valid() {
-		t.Error("it still believes")
+	if !errors.Is(context.Cause(first.Context()), lease.ErrReleased) || first.Valid() {
+		t.Error("the lease is still valid")
 	}
 	second := <-got
 	if second.Token <= first.Token || !second.Valid() {
@@ -111,7 +111,7 @@
 	if err := g.Admit(second.Token, func() error { return nil }); err != nil {
 		t.Error(err)
 	}
-	if err := g.Admit(first.Token, func() error { t.Error("it acts"); return nil }); !errors.Is(err, lease.ErrOld) {
+	if err := g.Admit(first.Token, func() error { t.Error("the act was admitted"); return nil }); !errors.Is(err, lease.ErrOld) {
 		t.Errorf("%v", err)
 	}
 	// the session ends with the client, and what it held is free at once
@@ -122,25 +122,25 @@
 	if err != nil || third.Token <= second.Token {
 		t.Errorf("%v", err)
 	}
-	// out of reach, the context ends within the lease's time
+	// with no coordinator in reach the context ends within the TTL
 	stop()
 	select {
 	case <-third.Context().Done():
-		if context.Cause(third.Context()) != lease.ErrLost {
+		if !errors.Is(context.Cause(third.Context()), lease.ErrLost) {
 			t.Errorf("%v", context.Cause(third.Context()))
 		}
 	case <-ctx.Done():
-		t.Error("it believes for ever")
+		t.Error("the lease does not end")
 	}
 	short, end := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer end()
 	if _, err := a.Try(short, "y"); err == nil {
-		t.Error("a grant from nobody")
+		t.Error("a grant without a coordinator")
 	}
 	a.Close()
 }
 
-// A lease is handed to the last of those who wait; to one that does not wait it cannot be, and the next has it.
+// A lease is handed to the last waiter; it cannot be handed to a session that does not wait, and then the first waiter gets it.
 func TestTransfer(t *testing.T) {
 	addr, _ := coordinator.For(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -164,10 +164,10 @@
 		for there := 0; there != i+1; { // in this order
 			o := fleet.Operator{Addrs: []string{addr}}
 			name := "x"
-			if told, err := o.Call(ctx, fleet.Request{ListLeases: &name}); err == nil && len(told.Leases) == 1 {
-				there = 1 + len(told.Leases[0].Queue)
+			if response, err := o.Call(ctx, fleet.Request{ListLeases: &name}); err == nil && len(response.Leases) == 1 {
+				there = 1 + len(response.Leases[0].Queue)
 			} else if ctx.Err() != nil {
-				t.Fatal("it waits in vain")
+				t.Fatal("the wait did not begin")
 			}
 		}
 	}
--- a/lease/order_test.go
+++ b/lease/order_test.go
@@ -9,8 +9,8 @@
 	"petrelhook/lease"
 )
 
-// A caller that no longer waits for its release, or for its turn, asks again at once: what it had asked for comes before, and does not
-// end the new grant behind its back. Only one caller of a client asks for a name at a time.
+// A caller that does not wait for its release, or for its grant, asks again at once: its earlier commands are carried out before, and do not
+// end the new grant. Only one caller of a client waits for a name at a time.
 func TestCommandsKeepTheirOrder(t *testing.T) {
 	addr, _ := coordinator.For(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -24,19 +24,19 @@
 		return c
 	}
 	a, b := client(), client()
-	gone, end := context.WithCancel(ctx)
+	ended, end := context.WithCancel(ctx)
 	end()
 	h, err := a.Hold(ctx, "x")
 	for round := range 60 {
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Release(gone)
-		a.Hold(gone, "x")
+		h.Release(ended)
+		a.Hold(ended, "x")
 		if h, err = a.Hold(ctx, "x"); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := a.Hold(ctx, "y"); round == 0 && err != nil { // whatever was left behind is over when this is answered
+		if _, err := a.Hold(ctx, "y"); round == 0 && err != nil { // all earlier commands are over when this one is answered
 			t.Fatal(err)
 		}
 		if other, err := b.Try(ctx, "x"); err == nil {
@@ -44,12 +44,15 @@
 				t.Fatalf("round %d: two hold, with tokens %d and %d", round, h.Token, other.Token)
 			}
 			other.Release(ctx)
-			h, err = a.Hold(ctx, "x")
+			if h, err = a.Hold(ctx, "x"); err != nil {
+				t.Fatal(err)
+			}
 		}
 	}
 }
 
-// A caller gives up while its client asks: what was asked for is let go of, and another has it. (Without Cancel the session keeps it.)
+// A caller gives up while its client sends the request: the grant that it may have got is released, and another client gets it. (Without Cancel
+// the session keeps it.)
 func TestWhoGivesUpKeepsNothing(t *testing.T) {
 	addr, _ := coordinator.For(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -66,13 +69,13 @@
 	for round := range 200 {
 		short, end := context.WithCancel(ctx)
 		go func() {
-			time.Sleep(time.Duration(round) * 10 * time.Microsecond) // at any moment of it
+			time.Sleep(time.Duration(round) * 10 * time.Microsecond) // at any moment of the request
 			end()
 		}()
 		if h, err := clients[0].Hold(short, "x"); err == nil {
 			h.Release(ctx)
 		}
-		y, err := clients[0].Hold(ctx, "y") // whatever was left behind is over when this is answered
+		y, err := clients[0].Hold(ctx, "y") // all earlier commands are over when this one is answered
 		if err != nil || y.Release(ctx) != nil {
 			t.Fatal(err)
 		}
--- a/lease/session.go
+++ b/lease/session.go
@@ -12,20 +12,20 @@
 	"petrelhook/internal/coordination/replica"
 )
 
-// session opens one where there is none.
-func (c *Client) session(ctx context.Context) error {
+// ensureSession opens a session where there is none. It waits for all commands before it.
+func (c *Client) ensureSession(ctx context.Context) error {
 	c.mu.Lock()
-	wait, done := c.turn()
+	previousOver, done := c.enqueue()
 	c.mu.Unlock()
 	select {
-	case <-wait:
+	case <-previousOver:
 		defer done()
-	case <-ctx.Done(): // its place in the line stays its own
-		c.sides.Go(func() { <-wait; done() })
+	case <-ctx.Done(): // its position in the queue stays taken until the commands before it are over
+		c.background.Go(func() { <-previousOver; done() })
 		return ctx.Err()
 	}
 	c.mu.Lock()
-	alive := c.holder != nil && c.holder.Expiry() > c.o.clock()
+	alive := c.session != nil && c.session.Expiry() > c.options.clock()
 	c.mu.Unlock()
 	if alive {
 		return nil
@@ -33,106 +33,111 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer context.AfterFunc(c.ctx, func() { cancel(ErrClosed) })()
-	cmd := lease.Command{Kind: lease.Open, TTL: c.o.TTL, Owner: c.o.Owner, Nonce: rand.Text()}
+	cmd := lease.Command{Kind: lease.Open, TTL: c.options.TTL, Owner: c.options.Owner, Nonce: rand.Text()}
 	for {
-		asked := c.o.clock()
-		told, err := c.caller.Call(ctx, &fleet.Request{Command: &cmd}, nil)
+		requestedAt := c.options.clock()
+		response, err := c.caller.Call(ctx, &fleet.Request{Command: &cmd}, nil)
 		if err != nil {
 			return err
 		}
-		if told.Answer.Status != lease.OK {
-			return fmt.Errorf("session: %v", told.Answer.Status)
+		if response.Answer.Status != lease.OK {
+			return fmt.Errorf("session: %v", response.Answer.Status)
 		}
-		h := lease.NewSessionState(asked, told.Answer.Session, c.o.TTL)
-		if h.Expiry() <= c.o.clock() { // it took too long: a renewal may still say that it lives, another one certainly does
+		session := lease.NewSessionState(requestedAt, response.Answer.Session, c.options.TTL)
+		if session.Expiry() <= c.options.clock() { // the response came too late: this session may live or not, a new one certainly does
 			cmd.Nonce = rand.Text()
 			continue
 		}
 		c.mu.Lock()
-		c.endAll(c.holder)
-		c.holder, c.seq = h, 0
-		c.wake()
+		c.endSession(c.session)
+		c.session, c.lastSeq = session, 0
+		c.notifyChanged()
 		c.mu.Unlock()
 		return nil
 	}
 }
 
-func (c *Client) wake() {
+// notifyChanged wakes whoever waits for a grant or for the end of the session. The caller holds Client.mu.
+func (c *Client) notifyChanged() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// endAll ends all that a session holds. The caller holds Client.mu.
-func (c *Client) endAll(holder *lease.SessionState) {
-	if holder == nil || c.holder != holder {
+// endSession ends a session and everything that it holds, unless another one has taken its place. The caller holds Client.mu.
+func (c *Client) endSession(session *lease.SessionState) {
+	if session == nil || c.session != session {
 		return
 	}
 	for _, h := range c.held {
-		c.drop(h, ErrLost)
+		c.endHeld(h, ErrLost)
 	}
-	holder.Invalidate()
-	c.holder = nil
+	session.Invalidate()
+	c.session = nil
 }
 
-func (c *Client) lost(holder *lease.SessionState) {
+// loseSession ends a session that does not exist any more, or whose TTL has passed.
+func (c *Client) loseSession(session *lease.SessionState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endAll(holder)
-	c.wake()
+	c.endSession(session)
+	c.notifyChanged()
 }
 
-// live renews the session, at moments that differ from client to client.
-func (c *Client) live() {
+// renewLoop renews the session until the client is closed, after a sixth to a third of the TTL each time: drawn at random, so that clients
+// do not renew at the same moment.
+func (c *Client) renewLoop() {
 	for {
-		third := c.o.TTL / 3
-		wait := time.NewTimer(third/2 + mrand.N(third/2))
+		third := c.options.TTL / 3
+		timer := time.NewTimer(third/2 + mrand.N(third/2))
 		select {
 		case <-c.ctx.Done():
-			wait.Stop()
+			timer.Stop()
 			return
-		case <-wait.C:
+		case <-timer.C:
 		}
 		c.mu.Lock()
-		holder := c.holder
+		session := c.session
 		c.mu.Unlock()
-		if holder == nil {
+		if session == nil {
 			continue
 		}
-		c.renew(holder)
+		c.renew(session)
 	}
 }
 
-func (c *Client) renew(holder *lease.SessionState) {
-	ctx, cancel := context.WithTimeout(c.ctx, c.o.TTL)
+// renew sends a keep-alive request and takes in the grants that its response reports. A request without a response changes nothing.
+func (c *Client) renew(session *lease.SessionState) {
+	ctx, cancel := context.WithTimeout(c.ctx, c.options.TTL)
 	defer cancel()
-	asked := c.o.clock()
+	requestedAt := c.options.clock()
 	c.mu.Lock()
-	known := holder.KnownVersion()
+	knownVersion := session.KnownVersion()
 	c.mu.Unlock()
-	told, err := c.caller.Call(ctx, &fleet.Request{KeepAlive: &replica.KeepAlive{Session: holder.Session, KnownVersion: known}}, func() { asked = c.o.clock() })
+	request := &fleet.Request{KeepAlive: &replica.KeepAlive{Session: session.Session, KnownVersion: knownVersion}}
+	response, err := c.caller.Call(ctx, request, func() { requestedAt = c.options.clock() })
 	if err != nil {
 		return
 	}
-	if !told.SessionAlive {
-		c.lost(holder)
+	if !response.SessionAlive {
+		c.loseSession(session)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.holder != holder {
+	if c.session != session {
 		return
 	}
-	grants := told.Grants
-	if grants == nil && told.GrantsVersion != known {
-		grants = []lease.Grant{} // it holds nothing
+	grants := response.Grants
+	if grants == nil && response.GrantsVersion != knownVersion {
+		grants = []lease.Grant{} // the session holds nothing
 	}
-	holder.ApplyKeepAlive(asked, grants, told.GrantsVersion)
+	session.ApplyKeepAlive(requestedAt, grants, response.GrantsVersion)
 	for _, h := range c.held {
-		if holder.Broken(h.Name) { // its holder is told, and has what is left of its time to stop and let go
+		if session.Broken(h.Name) { // the holder learns of it, and has the rest of the TTL to stop and release
 			h.cancel(ErrBroken)
 		} else if h.valid() {
-			c.arm(h)
+			c.resetTimer(h)
 		}
 	}
-	c.wake()
+	c.notifyChanged()
 }
