--- a/internal/coordination/duty/duty_test.go
+++ b/internal/coordination/duty/duty_test.go
@@ -12,6 +12,7 @@
 	"pgregory.net/rapid"
 )
 
+// fleet returns members of three zones, and tasks that any of them may have.
 func fleet(members, tasks int) (ms []Member, ts []Task) {
 	for i := range members {
 		ms = append(ms, Member{Name: fmt.Sprint("m", i), Zone: string(rune('a' + i%3))})
@@ -22,7 +23,8 @@
 	return ms, ts
 }
 
-func counts(held map[string]string) map[string]int {
+// countByMember returns how many tasks each member has.
+func countByMember(held map[string]string) map[string]int {
 	n := map[string]int{}
 	for _, m := range held {
 		n[m]++
@@ -30,7 +32,7 @@
 	return n
 }
 
-// A member that goes costs its own tasks and no other; one that comes gets its part by a few moves at a time, from the fullest first, and
+// A member that leaves moves its own tasks and no other; one that comes gets its share by a few moves at a time, from the fullest first, and
 // then nothing moves any more; one that flaps moves what it has, and no more. FIGURES=1 plays 2,000 members and 10,000 tasks.
 func TestOneComesOrGoes(t *testing.T) {
 	sizes := [][2]int{{20, 100}, {200, 1000}}
@@ -43,17 +45,17 @@
 		began := time.Now()
 		held, _ := Assign(ts, ms, nil, l)
 		took := time.Since(began)
-		has, fair := counts(held), float64(size[1])/float64(size[0])
+		has, fair := countByMember(held), float64(size[1])/float64(size[0])
 		most := 0
 		for _, n := range has {
 			most = max(most, n)
 		}
 		if len(held) != size[1] || float64(most) > math.Ceil(fair*1.25) {
-			t.Errorf("%d tasks are held, %d by one", len(held), most)
+			t.Errorf("%d tasks are assigned, %d to one member", len(held), most)
 		}
 		gone, moved := Assign(ts, ms[1:], held, l)
 		if orphans := has["m0"]; len(moved) > orphans+l.MaxMoves || len(gone) != size[1] {
-			t.Errorf("%d moved, %d were of the one that went", len(moved), orphans)
+			t.Errorf("%d moved, %d were those of the member that left", len(moved), orphans)
 		}
 		back, rounds, moves := gone, 0, 0
 		for ; rounds < 200; rounds++ {
@@ -65,19 +67,19 @@
 			}
 			moves += len(m)
 		}
-		if got := counts(back)["m0"]; float64(got) < 0.4*fair {
-			t.Errorf("the one that is back has %d, fair are %.1f", got, fair)
+		if got := countByMember(back)["m0"]; float64(got) < 0.4*fair {
+			t.Errorf("the member that is back has %d, its fair share is %.1f", got, fair)
 		}
 		if moves > 4*has["m0"]+2*l.MaxMoves {
-			t.Errorf("%d moves for one that is back, which had %d", moves, has["m0"])
+			t.Errorf("%d moves for a member that is back, which had %d", moves, has["m0"])
 		}
 		t.Logf("%d members, %d tasks: assigned in %v, the fullest has %d of %.0f; one goes: %d of its own move, %d others; it is back after %d moves in %d rounds", size[0], size[1],
 			took.Round(time.Millisecond), most, fair, has["m0"], len(moved)-has["m0"], moves, rounds)
 	}
 }
 
-// The invariants, over any fleet: zones and bounds are kept, who leaves has nothing, nobody's is only what nobody may have, what could stay
-// moves within the limit, and the order of the input is of no account.
+// The invariants, over any fleet: zones and bounds are kept, a draining member has nothing, a task is unassigned only where no member may have
+// it, tasks that could stay move within the limit, and the order of the input does not matter.
 func TestAny(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms, ts := fleet(rapid.IntRange(0, 12).Draw(t, "members"), rapid.IntRange(0, 40).Draw(t, "tasks"))
@@ -91,7 +93,7 @@
 		now := map[string]string{}
 		for i := range ts {
 			if n := rapid.IntRange(-1, 14).Draw(t, "holder"); n >= 0 {
-				now[ts[i].Name] = fmt.Sprint("m", n) // some are of members that are gone
+				now[ts[i].Name] = fmt.Sprint("m", n) // some are those of members that do not exist
 			}
 		}
 		l := Limits{MaxImbalance: 0.5, MaxMoves: rapid.IntRange(1, 5).Draw(t, "moves")}
@@ -116,7 +118,7 @@
 				t.Fatalf("%v: held %v, %d may", task, held, may(task))
 			}
 			if one := by[m]; held && (one.Draining || task.Zone != "" && task.Zone != one.Zone) {
-				t.Fatalf("%v is of %v", task, one)
+				t.Fatalf("%v is assigned to %v", task, one)
 			}
 			has[[2]string{m, task.Zone}]++
 		}
--- a/internal/coordination/monotonic/monotonic.go
+++ b/internal/coordination/monotonic/monotonic.go
@@ -1,4 +1,4 @@
-// Package monotonic is a clock that nobody sets, and that counts the time for which the machine sleeps.
+// Package monotonic reads a steady clock that nobody sets, and that counts the time for which the machine sleeps.
 package monotonic
 
 import (
@@ -7,11 +7,12 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// Now is CLOCK_BOOTTIME. Go's own readings stand still while a machine sleeps: its holder would believe too long.
+// Now returns the reading of CLOCK_BOOTTIME. Go's own monotonic readings stand still while a machine sleeps: with them a holder would
+// believe in its lease after another one got it. Now is safe for concurrent use.
 func Now() lease.Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has it since 2.6.39
+		panic(err) // Linux has this clock since 2.6.39
 	}
 	return lease.Instant(t.Nano())
 }
