--- a/internal/coordination/distribute/command.go
+++ b/internal/coordination/distribute/command.go
@@ -3,29 +3,30 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strings"
 	"unicode/utf8"
 )
 
-// reserved are the top fields that an agent writes itself: a machine's own name and addresses are no matter of a
-// whole service. Case does not make another field of them, as it makes none in package json.
-var reserved = []string{"name", "listen", "admin_addr"}
+// reservedFields are the top fields that an agent writes itself: a machine's own name and addresses are not those of a service. They are
+// compared without case, as package json does.
+var reservedFields = []string{"name", "listen", "admin_addr"}
 
-// Canonical is a content in the bytes that it is kept, counted, digested and told in: those that package json
-// writes, so that no message or snapshot on the way changes them. It fails on what is no JSON in UTF-8.
+// Canonical returns a content in the bytes in which it is stored, counted, digested and sent: those that package json writes, so that no
+// message or snapshot changes them. A content that is not JSON in UTF-8 is an error.
 func Canonical(content []byte) (json.RawMessage, error) {
 	if !utf8.Valid(content) {
-		return nil, fmt.Errorf("it is no UTF-8")
+		return nil, errors.New("it is no UTF-8")
 	}
 	text, err := json.Marshal(json.RawMessage(content))
 	if err != nil || content == nil {
-		return nil, fmt.Errorf("it is no JSON")
+		return nil, errors.New("it is no JSON")
 	}
 	return text, nil
 }
 
-// Check tells whether a command may go into the log. The error names the field and says what to write.
+// Check returns why a command may not go into the log. The error names the field and says what to write.
 func (c *Command) Check() error {
 	if err := checkName("service", c.Service); err != nil {
 		return err
@@ -40,7 +41,7 @@
 	return checkObject(content)
 }
 
-// checkName is the rule for names of services, members and sidecars.
+// checkName returns what is wrong with the name of a service, member or sidecar.
 func checkName(field, name string) error {
 	if len(name) < 1 || len(name) > MaxNameBytes {
 		return fmt.Errorf("%s: %d bytes; write 1 to %d", field, len(name), MaxNameBytes)
@@ -53,30 +54,30 @@
 	return nil
 }
 
-// checkObject is the rule for the top fields of a content, which is valid JSON.
+// checkObject returns what is wrong with the top fields of a content, which is valid JSON.
 func checkObject(content []byte) error {
-	d := json.NewDecoder(bytes.NewReader(content))
-	if t, err := d.Token(); err != nil || t != json.Delim('{') {
-		return fmt.Errorf("content: it is no object; write a JSON object")
+	decoder := json.NewDecoder(bytes.NewReader(content))
+	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
+		return errors.New("content: it is no object; write a JSON object")
 	}
 	seen := map[string]bool{}
-	for d.More() {
-		t, err := d.Token()
+	for decoder.More() {
+		token, err := decoder.Token()
 		if err != nil {
 			return fmt.Errorf("content: %w; write a JSON object", err)
 		}
-		field, _ := t.(string) // a key of an object is nothing else
+		field, _ := token.(string) // the key of an object is always a string
 		if seen[field] {
 			return fmt.Errorf("content: field %q is there twice; write it once", field)
 		}
 		seen[field] = true
-		for _, r := range reserved {
+		for _, r := range reservedFields {
 			if strings.EqualFold(field, r) {
 				return fmt.Errorf("content: field %q is each machine's own, its agent writes it; leave it out", field)
 			}
 		}
 		var skipped json.RawMessage
-		if err := d.Decode(&skipped); err != nil {
+		if err := decoder.Decode(&skipped); err != nil {
 			return fmt.Errorf("content: field %q: %w; write a JSON value", field, err)
 		}
 	}
--- a/internal/coordination/distribute/distribute_test.go
+++ b/internal/coordination/distribute/distribute_test.go
@@ -9,87 +9,87 @@
 
 var simOptions = DefaultSubscriberOptions("", "", 3, nil)
 
-// One miss: a call that is not answered, and the pause after it.
-var simMiss = simOptions.MaxWait + simOptions.ResponseTimeout + simOptions.MaxBackoff
+// simMissTime is the time of a call that is not answered, and of the pause after it.
+var simMissTime = simOptions.MaxWait + simOptions.ResponseTimeout + simOptions.MaxBackoff
 
-// A version is with all after a second without faults; after two misses, with one coordinator at a time away,
-// stopped or cut off, and some answers lost, late, doubled and broken; and after one miss, and a second, when
+// All subscribers hold a version after a second without faults; after two misses, with one coordinator at a time down,
+// stopped or partitioned, and some responses lost, late, duplicated and corrupted; and after one miss, and a second, when
 // faults have ended.
 func TestAllHoldTheNewest(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			w := newWorld(t, seed, 3, 500, 40)
-			service := func() string { return fmt.Sprint("service-", w.rnd.IntN(40)) }
+			service := func() string { return fmt.Sprint("service-", w.rand.IntN(40)) }
 			w.run(5 * time.Second)
 			for range 20 {
 				w.publish(service(), time.Second)
 				w.run(w.now + w.between(0, 500*time.Millisecond))
 			}
 
-			w.faulty = 0.004
+			w.faultRate = 0.004
 			for range 12 {
-				n := w.nodes[w.rnd.IntN(len(w.nodes))]
-				switch w.rnd.IntN(3) {
+				n := w.coordinators[w.rand.IntN(len(w.coordinators))]
+				switch w.rand.IntN(3) {
 				case 0:
 					n.kill()
 				case 1:
 					n.stopped = true
 				default:
-					n.cut = true
+					n.partitioned = true
 				}
 				w.traffic(w.now+w.between(3*time.Second, 12*time.Second), service)
 				switch {
 				case !n.up:
 					n.revive()
 				case n.stopped:
-					n.awake()
+					n.resume()
 				}
-				n.cut = false
+				n.partitioned = false
 				w.traffic(w.now+w.between(3*time.Second, 6*time.Second), service)
 			}
-			w.allAway(time.Minute)
+			w.takeAllDown(time.Minute)
 			w.traffic(w.now+5*time.Second, service)
-			for _, n := range w.nodes[:2] {
+			for _, n := range w.coordinators[:2] {
 				n.stopped = true
 			}
-			w.nodes[2].kill()
+			w.coordinators[2].kill()
 			w.run(w.now + 10*time.Second)
 
-			w.nodes[0].awake()
-			w.nodes[1].awake()
-			w.nodes[2].revive()
-			w.faulty, w.back = 0, w.now
-			end := w.now + simMiss + time.Second
+			w.coordinators[0].resume()
+			w.coordinators[1].resume()
+			w.coordinators[2].revive()
+			w.faultRate, w.allUpAt = 0, w.now
+			end := w.now + simMissTime + time.Second
 			w.run(end)
-			for _, s := range w.subs {
+			for _, s := range w.subscribers {
 				if v, _ := w.truth.Newest(s.service); s.Revision() != v.Revision {
 					t.Errorf("%s holds %d of %s, of which %d is the newest", s.name, s.Revision(), s.service, v.Revision)
 				}
 			}
-			// What all say is known where they ask, and comes together to what is so.
+			// All reports are at the coordinators that their agents call, and merge to the present state.
 			w.run(end + 3*simOptions.MaxWait)
 			for i := range 40 {
 				name := fmt.Sprint("service-", i)
 				v, _ := w.truth.Newest(name)
 				var all []Summary
-				for _, n := range w.nodes {
-					all = append(all, n.sums.Summary(w.now, name, v))
+				for _, n := range w.coordinators {
+					all = append(all, n.reports.Summary(w.now, name, v))
 				}
 				known := (500 + 39 - i) / 40
 				if sum := Merge(all); sum.Reported != known || sum.InForce != known || sum.Ahead != 0 || sum.Newest != v.Revision {
 					t.Errorf("%d subscribers: %+v", known, sum)
 				}
 			}
-			for _, s := range w.subs {
-				if n := w.nodes[s.calls.call.Server]; !n.sums.HasReports(s.service, s.name) {
-					t.Errorf("%s's coordinator does not know its reports", s.name)
+			for _, s := range w.subscribers {
+				if n := w.coordinators[s.lastCall.call.Server]; !n.reports.HasReports(s.service, s.name) {
+					t.Errorf("the coordinator of %s does not have its reports", s.name)
 				}
 			}
-			w.asksBelow(t)
+			w.checkCallRates(t)
 			t.Logf("%v, %d versions in %d answers, %d taken; refused %v; lost, late, doubled, broken %v; stale %d; "+
-				"snapshots %d", w.now, len(w.log), w.told, w.taken, w.refused, w.spoilt, w.stale, w.snapshots)
-			for _, n := range w.nodes {
-				if n.watches.Waiting() > len(w.subs) {
+				"snapshots %d", w.now, len(w.log), w.sent, w.accepted, w.refused, w.faults, w.stale, w.snapshots)
+			for _, n := range w.coordinators {
+				if n.watches.Waiting() > len(w.subscribers) {
 					t.Errorf("%d wait", n.watches.Waiting())
 				}
 			}
@@ -97,96 +97,96 @@
 	}
 }
 
-// traffic publishes: now and then two versions of one service within a second, or one of each service at once.
+// traffic publishes versions: now and then two of one service within a second, or one of each service at once.
 func (w *world) traffic(until time.Duration, service func() string) {
 	for w.now < until && !w.t.Failed() {
 		name := service()
-		switch w.rnd.IntN(12) {
+		switch w.rand.IntN(12) {
 		case 0:
-			w.publish(name, 2*simMiss)
+			w.publish(name, 2*simMissTime)
 			w.run(w.now + w.between(0, time.Second))
-			w.publish(name, 2*simMiss)
+			w.publish(name, 2*simMissTime)
 		case 1:
 			for i := range 40 {
-				w.publish(fmt.Sprint("service-", i), 2*simMiss)
+				w.publish(fmt.Sprint("service-", i), 2*simMissTime)
 			}
 		default:
-			w.publish(name, 2*simMiss)
+			w.publish(name, 2*simMissTime)
 		}
 		w.run(w.now + w.between(0, 3*time.Second))
 	}
 }
 
-func (w *world) allAway(d time.Duration) {
-	w.away = true
-	for _, n := range w.nodes {
+func (w *world) takeAllDown(d time.Duration) {
+	w.allDown = true
+	for _, n := range w.coordinators {
 		n.kill()
 	}
 	w.run(w.now + d)
-	w.away, w.back = false, w.now
-	for _, n := range w.nodes {
+	w.allDown, w.allUpAt = false, w.now
+	for _, n := range w.coordinators {
 		n.revive()
 	}
 }
 
-// asksBelow judges how many ask in a window. Of n subscribers, n/Spread a second in the mean come back after a
-// loss, however many are lost together. Others ask again when their hold ends: at n/(Hold/4) a second, where all
-// were told something in one moment. Six standard deviations over the mean are chance's.
-func (w *world) asksBelow(t *testing.T) (most int) {
+// checkCallRates checks the numbers of calls in each window. Of n subscribers, n/ReconnectWindow a second in the mean call after a
+// loss, however many lose a coordinator together. Others call again when their wait ends: at n/(MaxWait/4) a second, where all
+// were answered at one moment. Six standard deviations above the mean are left to chance.
+func (w *world) checkCallRates(t *testing.T) (most int) {
 	bound := func(window time.Duration) int {
-		mean := float64(len(w.subs)) * simCount.Seconds() / window.Seconds()
+		mean := float64(len(w.subscribers)) * simWindow.Seconds() / window.Seconds()
 		return int(mean + 6*math.Sqrt(mean))
 	}
-	for a, count := range w.asks {
-		at := time.Duration(a.window) * simCount
+	for a, count := range w.calls {
+		at := time.Duration(a.window) * simWindow
 		switch a.kind {
 		case "return":
 			if most = max(most, count); count > bound(simOptions.ReconnectWindow) {
-				t.Errorf("%v: %d come back in %v; %d are the most", at, count, simCount, bound(simOptions.ReconnectWindow))
+				t.Errorf("%v: %d come back in %v; %d are the most", at, count, simWindow, bound(simOptions.ReconnectWindow))
 			}
 		case "hold":
 			if count > bound(simOptions.MaxWait/4) {
-				t.Errorf("%v: %d ask again in %v; %d are the most", at, count, simCount, bound(simOptions.MaxWait/4))
+				t.Errorf("%v: %d call again in %v; %d are the most", at, count, simWindow, bound(simOptions.MaxWait/4))
 			}
 		}
 	}
 	return most
 }
 
-// Agents that begin together, that are told together, and that lose all coordinators together, do not come in step;
-// nor while refusals come at once.
-func TestNoneComeInStep(t *testing.T) {
+// Calls of agents that begin together, that are answered together, and that lose all coordinators together, are spread over time;
+// also while refusals come at once.
+func TestCallsAreSpread(t *testing.T) {
 	w := newWorld(t, 4, 3, 4000, 40)
 	w.run(10 * time.Second)
-	for i := range 40 { // all are told in one moment
+	for i := range 40 { // all are answered at one moment
 		w.publish(fmt.Sprint("service-", i), time.Second)
 	}
 	w.run(w.now + 12*time.Second)
-	w.allAway(3 * time.Second)
-	if w.asksBelow(t); t.Failed() { // what goes on would only take long
+	w.takeAllDown(3 * time.Second)
+	if w.checkCallRates(t); t.Failed() { // the rest would only take long
 		return
 	}
 	w.run(w.now + 10*time.Second)
-	w.allAway(20 * time.Second)
+	w.takeAllDown(20 * time.Second)
 	w.run(w.now + 10*time.Second)
-	most := w.asksBelow(t)
-	t.Logf("4000 subscribers: at most %d came back in %v", most, simCount)
+	most := w.checkCallRates(t)
+	t.Logf("4000 subscribers: at most %d came back in %v", most, simWindow)
 	if most < 150 {
-		t.Errorf("at most %d came back in %v: this shows nothing", most, simCount)
+		t.Errorf("at most %d came back in %v: this shows nothing", most, simWindow)
 	}
-	// All are back after one miss.
-	for _, s := range w.subs {
-		if s.failed != 0 {
+	// All have a coordinator after one miss.
+	for _, s := range w.subscribers {
+		if s.failures != 0 {
 			t.Errorf("%s has no coordinator", s.name)
 		}
 	}
 }
 
-// A machine that was away while many versions came is told one.
-func TestAwayIsToldOneVersion(t *testing.T) {
+// A machine that was absent while many versions came is sent one.
+func TestOneVersionAfterAnAbsence(t *testing.T) {
 	w := newWorld(t, 5, 3, 80, 8)
 	w.run(5 * time.Second)
-	for _, s := range w.subs[:20] {
+	for _, s := range w.subscribers[:20] {
 		s.asleep = true
 	}
 	for i := range 10 {
@@ -196,15 +196,15 @@
 		w.run(w.now + time.Duration(i+1)*100*time.Millisecond)
 	}
 	w.run(w.now + 30*time.Second)
-	for _, s := range w.subs[:20] {
-		s.asleep, s.told = false, 0
-		s.Failed(w.now) // its connection is gone
+	for _, s := range w.subscribers[:20] {
+		s.asleep, s.versionsSent = false, 0
+		s.Failed(w.now) // its connection is closed
 		s.wake()
 	}
 	w.run(w.now + simOptions.ReconnectWindow + time.Second)
-	for _, s := range w.subs[:20] {
-		if v, _ := w.truth.Newest(s.service); s.Revision() != v.Revision || s.told != 1 {
-			t.Errorf("%s holds %d of %d and was told %d versions", s.name, s.Revision(), v.Revision, s.told)
+	for _, s := range w.subscribers[:20] {
+		if v, _ := w.truth.Newest(s.service); s.Revision() != v.Revision || s.versionsSent != 1 {
+			t.Errorf("%s holds %d of %d and was sent %d versions", s.name, s.Revision(), v.Revision, s.versionsSent)
 		}
 	}
 }
--- a/internal/coordination/distribute/register_test.go
+++ b/internal/coordination/distribute/register_test.go
@@ -60,13 +60,13 @@
 		refused string
 	}{
 		{"a", 0, 0, `{"n":1}`, 1, ""},
-		{"a", 0, 0, ` {"n": 1}`, 1, ""}, // asked again, in other bytes
+		{"a", 0, 0, ` {"n": 1}`, 1, ""}, // repeated, in other bytes
 		{"b", 0, 0, ` {"n": 1}`, 2, ""},
 		{"a", 0, 0, `{"n":2}`, 1, "after: the newest of service a is revision 1, not 0: another was published meanwhile; " +
 			"look at it and write after: 1"},
 		{"c", 1, 0, `{}`, 0, "after: the newest of service c is revision 0, not 1"},
 		{"a", 1, 0, `{"n":2}`, 3, ""},
-		{"a", 1, 0, `{"n":2}`, 3, ""}, // asked again
+		{"a", 1, 0, `{"n":2}`, 3, ""}, // repeated
 		{"a", 3, 0, `{"n":1}`, 4, ""}, // back
 		{"a", 1, 0, `{"n":2}`, 4, "after:"},
 		{"b", 2, 10, ` {"n": 1}`, 11, ""}, // the same content, above what is held
@@ -99,7 +99,7 @@
 		t.Errorf("%+v", all)
 	}
 	if v, _ := r.Newest("a"); v.Content == nil {
-		t.Error("Services took the content away")
+		t.Error("Services has removed the content")
 	}
 	if r.Bytes() != 14 || r.Last() != 13+MaxRevisionSkip {
 		t.Errorf("%d bytes, last %d", r.Bytes(), r.Last())
@@ -190,8 +190,8 @@
 	}
 }
 
-// Equal logs make equal registers, also over snapshots; a message keeps a content's digest; only one of several who
-// saw the same newest publishes; one that is asked again gives one revision; revisions grow over all services, and
+// Equal logs make equal registers, also over snapshots; a message keeps the digest of a content; only one of several that
+// saw the same newest version publishes; a repeated command gives one revision; revisions grow over all services, and
 // above Above.
 func TestRegisterProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -258,13 +258,13 @@
 	})
 }
 
-// That the steps before a version were done is part of it: said later, with the content that was refused without, it is another version.
+// StepsDone is part of a version: the same content with it is another version.
 func TestStepsDone(t *testing.T) {
 	r := NewRegister()
 	c := Command{Service: "a", Content: json.RawMessage(`{"n":1}`)}
 	first := r.Apply(c)
 	c.After, c.StepsDone = first.Revision, true
-	for range 2 { // asked again it is one
+	for range 2 { // repeated, it is one version
 		if second := r.Apply(c); second.Refused != "" || second.Revision != first.Revision+1 {
 			t.Errorf("%+v after %+v", second, first)
 		}
--- /dev/null
+++ b/internal/coordination/distribute/reporttable.go
@@ -0,0 +1,160 @@
+package distribute
+
+import (
+	"container/list"
+	"maps"
+	"slices"
+	"time"
+)
+
+// MaxReporters bounds a ReportTable: the members of all services together, and their sidecars together. Beyond it the member whose last
+// contact is longest ago is removed.
+const MaxReporters = 65_536
+
+// MemberTimeout is how long a member without contact is counted.
+const MemberTimeout = time.Hour
+
+// ReportTable holds what agents have reported to one coordinator. Moments are of its steady clock. It belongs to one goroutine.
+type ReportTable struct {
+	reporters map[memberKey]*reporter
+	services  map[string]map[string]*sidecarReport // by service, by sidecar
+	order     list.List                            // of *reporter, the longest without contact first
+	sidecars  int
+}
+
+type memberKey struct{ service, member string }
+
+// reporter is a member that has sent reports.
+type reporter struct {
+	memberKey
+	lastContact   time.Duration
+	knownRevision Revision // the one that its last watch holds
+	// sidecars are those of its last reports. One that another member has reported since does not belong to it any more.
+	sidecars []string
+	element  *list.Element // in the table's order
+}
+
+// sidecarReport is the last report of a sidecar, and the member that sent it.
+type sidecarReport struct {
+	report   Report
+	reporter *reporter
+}
+
+// NewReportTable returns a table without reports.
+func NewReportTable() *ReportTable {
+	return &ReportTable{reporters: map[memberKey]*reporter{}, services: map[string]map[string]*sidecarReport{}}
+}
+
+// SetReports takes in a member's reports, which are those of all its sidecars: one that it does not report any more is removed. A sidecar
+// belongs to the member that reported it last.
+func (t *ReportTable) SetReports(now time.Duration, service, member string, reports []Report) {
+	key := memberKey{service, member}
+	m := t.reporters[key]
+	if m == nil {
+		m = &reporter{memberKey: key}
+		m.element = t.order.PushBack(m)
+		t.reporters[key] = m
+	}
+	t.removeSidecars(m)
+	sidecars := t.services[service]
+	if sidecars == nil && len(reports) > 0 {
+		sidecars = map[string]*sidecarReport{}
+		t.services[service] = sidecars
+	}
+	for _, r := range reports {
+		if sidecars[r.Sidecar] == nil {
+			t.sidecars++
+		}
+		sidecars[r.Sidecar] = &sidecarReport{r, m}
+		m.sidecars = append(m.sidecars, r.Sidecar)
+	}
+	t.Touch(now, service, member)
+	for t.order.Len() > 1 && (t.order.Len() > MaxReporters || t.sidecars > MaxReporters) {
+		t.remove(t.order.Front().Value.(*reporter))
+	}
+}
+
+// HasReports reports whether the member's reports are here.
+func (t *ReportTable) HasReports(service, member string) bool {
+	return t.reporters[memberKey{service, member}] != nil
+}
+
+// Touch takes in that a member was in contact without reports: those of before still hold. A member without reports stays unknown.
+func (t *ReportTable) Touch(now time.Duration, service, member string) {
+	if m := t.reporters[memberKey{service, member}]; m != nil {
+		m.lastContact = now
+		t.order.MoveToBack(m.element)
+	}
+}
+
+// SetKnownRevision takes in the revision that a member's watch holds, in force or not. A member without reports stays unknown.
+func (t *ReportTable) SetKnownRevision(service, member string, known Revision) {
+	if m := t.reporters[memberKey{service, member}]; m != nil {
+		m.knownRevision = known
+	}
+}
+
+// Tick removes the members whose last contact is MemberTimeout ago.
+func (t *ReportTable) Tick(now time.Duration) {
+	for e := t.order.Front(); e != nil; e = t.order.Front() {
+		m := e.Value.(*reporter)
+		if now-m.lastContact < MemberTimeout {
+			return
+		}
+		t.remove(m)
+	}
+}
+
+// removeSidecars removes the sidecars of a member.
+func (t *ReportTable) removeSidecars(m *reporter) {
+	sidecars := t.services[m.service]
+	for _, name := range m.sidecars {
+		if one := sidecars[name]; one != nil && one.reporter == m {
+			delete(sidecars, name)
+			t.sidecars--
+		}
+	}
+	if m.sidecars = m.sidecars[:0]; len(sidecars) == 0 {
+		delete(t.services, m.service)
+	}
+}
+
+func (t *ReportTable) remove(m *reporter) {
+	t.removeSidecars(m)
+	t.order.Remove(m.element)
+	delete(t.reporters, m.memberKey)
+}
+
+// Summary returns the summary of a service with each of its sidecars: those first that do not run the newest version. newest is the zero
+// Version for a service that has none.
+func (t *ReportTable) Summary(now time.Duration, service string, newest Version) Summary {
+	t.Tick(now)
+	summary := t.count(service, newest)
+	sidecars := t.services[service]
+	for _, name := range slices.Sorted(maps.Keys(sidecars)) {
+		one := sidecars[name]
+		summary.Members = append(summary.Members, SidecarReport{one.report, one.reporter.member, now - one.reporter.lastContact})
+	}
+	summary.sortOutdatedFirst()
+	return summary
+}
+
+// Summaries returns the summaries of the services of these versions, in their order, without the sidecars.
+func (t *ReportTable) Summaries(now time.Duration, newest []Version) []Summary {
+	t.Tick(now)
+	all := make([]Summary, 0, len(newest))
+	for _, v := range newest {
+		all = append(all, t.count(v.Service, v))
+	}
+	return all
+}
+
+// count returns the counts of a service.
+func (t *ReportTable) count(service string, newest Version) Summary {
+	summary := Summary{Service: service, Newest: newest.Revision, Digest: newest.Digest}
+	for _, one := range t.services[service] {
+		summary.addReport(one.report)
+		summary.addHeld(one.reporter.knownRevision)
+	}
+	return summary
+}
--- a/internal/coordination/distribute/sums_test.go
+++ b/internal/coordination/distribute/reporttable_test.go
@@ -12,7 +12,7 @@
 func TestOutbox(t *testing.T) {
 	var o Outbox
 	if o.Unacknowledged(0) != nil {
-		t.Error("reports of none")
+		t.Error("reports without any set")
 	}
 	o.Acknowledge(0, o.Sequence(), true)
 	a, b := Report{Sidecar: "a", InForce: 1}, Report{Sidecar: "b"}
@@ -26,36 +26,36 @@
 	}
 	want("to the first", 0, a, b)
 	o.Acknowledge(0, o.Sequence(), true)
-	want("heard", 0)
-	want("another has not heard", 1, a, b)
+	want("acknowledged", 0)
+	want("not acknowledged by the other", 1, a, b)
 	o.Set(a)
-	want("set to what it is", 0)
-	mark := o.Sequence()
+	want("set to the same", 0)
+	sequence := o.Sequence()
 	a.InForce = 2
-	o.Set(a) // while the call is out
-	o.Acknowledge(1, mark, true)
+	o.Set(a) // while the call is in flight
+	o.Acknowledge(1, sequence, true)
 	want("set since the call began", 1, a, b)
 	o.Acknowledge(1, o.Sequence(), true)
-	want("heard", 1)
-	o.Acknowledge(1, mark, true) // a late answer to an older call
-	want("heard stays", 1)
+	want("acknowledged", 1)
+	o.Acknowledge(1, sequence, true) // a late response to an older call
+	want("still acknowledged", 1)
 	o.Acknowledge(1, o.Sequence(), false)
-	want("begun anew", 1, a, b)
-	want("the other, set since", 0, a, b)
+	want("restarted", 1, a, b)
+	want("the other one, set since", 0, a, b)
 }
 
-// However calls and changes cross, what a coordinator keeps as a member's reports, while it says that it has them
-// and is asked without any, is what they are.
+// However calls and changes interleave, the reports that a coordinator keeps of a member are the present ones, where it says that it has them
+// and gets a call without any.
 func TestOutboxProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Outbox
 		var kept [2][]Report // by coordinator
 		now := map[string]Report{}
 		type call struct {
-			server  int
-			mark    uint64
-			reports []Report
-			has     bool
+			server   int
+			sequence uint64
+			reports  []Report
+			has      bool
 		}
 		var out *call
 		t.Repeat(map[string]func(*rapid.T){
@@ -69,7 +69,7 @@
 				if out != nil {
 					return
 				}
-				out = &call{server: rapid.IntRange(0, 1).Draw(t, "server"), mark: o.Sequence()}
+				out = &call{server: rapid.IntRange(0, 1).Draw(t, "server"), sequence: o.Sequence()}
 				if out.reports = o.Unacknowledged(out.server); out.reports != nil {
 					if len(out.reports) != len(now) {
 						t.Fatalf("%+v of %+v", out.reports, now)
@@ -79,32 +79,32 @@
 				if out.has = kept[out.server] != nil; out.has && out.reports == nil {
 					for _, r := range kept[out.server] {
 						if now[r.Sidecar] != r || len(kept[out.server]) != len(now) {
-							t.Fatalf("it keeps %+v of %+v", kept[out.server], now)
+							t.Fatalf("the coordinator has %+v of %+v", kept[out.server], now)
 						}
 					}
 				}
 			},
 			"answered": func(*rapid.T) {
 				if out != nil {
-					o.Acknowledge(out.server, out.mark, out.has)
+					o.Acknowledge(out.server, out.sequence, out.has)
 					if reports := o.Unacknowledged(out.server); !out.has && len(now) > 0 && reports == nil {
-						t.Fatal("it has none, and gets none")
+						t.Fatal("the coordinator has no reports, and gets none")
 					}
 					out = nil
 				}
 			},
 			"lost": func(*rapid.T) { out = nil },
-			"begun anew": func(*rapid.T) {
+			"restart": func(*rapid.T) {
 				server := rapid.IntRange(0, 1).Draw(t, "server")
 				if kept[server] = nil; out != nil && out.server == server {
-					out = nil // its answer does not come
+					out = nil // its response does not come
 				}
 			},
 		})
 	})
 }
 
-func TestSums(t *testing.T) {
+func TestReportTable(t *testing.T) {
 	s := NewReportTable()
 	newest := version("a", 7, `{}`)
 	s.SetReports(0, "a", "m", []Report{{Sidecar: "m1", InForce: 7}, {Sidecar: "m2", InForce: 6, Refused: 7, Reason: "port"}})
@@ -113,7 +113,7 @@
 	s.Touch(time.Second, "a", "m")
 	s.Touch(time.Second, "a", "stranger")
 	if !s.HasReports("a", "m") || !s.HasReports("b", "m") || s.HasReports("b", "n") || s.HasReports("a", "stranger") {
-		t.Error("who is known")
+		t.Error("wrong members have reports")
 	}
 	got := s.Summary(3*time.Second, "a", newest)
 	want := Summary{Service: "a", Newest: 7, Digest: newest.Digest, InForce: 2, Reported: 3, Members: []SidecarReport{
@@ -124,7 +124,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	// A restored group: some run, refused or hold what it has forgotten.
+	// A restored group: members run, refused or hold revisions that it has forgotten.
 	if got := s.Summary(0, "a", version("a", 5, `{}`)); got.Ahead != 7 || got.InForce != 0 {
 		t.Errorf("%+v", got)
 	}
@@ -143,7 +143,7 @@
 	if !reflect.DeepEqual(all, []Summary{want, {Service: "b", InForce: 1, Reported: 1}, {Service: "c", Newest: 3}}) {
 		t.Errorf("%+v", all)
 	}
-	// m2 moves to n, and m1 is gone.
+	// m2 moves to n, and m1 is removed.
 	s.SetReports(4*time.Second, "a", "n", []Report{{Sidecar: "m2", InForce: 7}, {Sidecar: "n1", InForce: 7}})
 	s.SetReports(5*time.Second, "a", "m", []Report{{Sidecar: "m3", InForce: 7}})
 	got = s.Summary(5*time.Second, "a", newest)
@@ -151,7 +151,7 @@
 		got.Members[0].Member != "n" || got.Members[1].Sidecar != "m3" {
 		t.Errorf("%+v, %d sidecars", got, s.sidecars)
 	}
-	// An hour of silence: a member's sidecars go, but not one that has moved.
+	// An hour without contact: the sidecars of a member are removed, but not one that has moved.
 	s.Touch(10*time.Second, "a", "n")
 	got = s.Summary(5*time.Second+MemberTimeout, "a", newest)
 	if got.Reported != 2 || s.HasReports("a", "m") || s.HasReports("b", "m") || s.sidecars != 2 {
@@ -161,12 +161,12 @@
 		t.Errorf("%+v", all)
 	}
 	s.SetReports(10*time.Second, "a", "n", []Report{{Sidecar: "n1"}})
-	if s.Tick(10*time.Second + MemberTimeout); len(s.services)+len(s.members)+s.sidecars+s.order.Len() != 0 {
+	if s.Tick(10*time.Second + MemberTimeout); len(s.services)+len(s.reporters)+s.sidecars+s.order.Len() != 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-func TestSumsAreBounded(t *testing.T) {
+func TestReportTableIsBounded(t *testing.T) {
 	s := NewReportTable()
 	for i := range MaxReporters {
 		s.SetReports(time.Duration(i), "a", fmt.Sprint("m", i), []Report{{Sidecar: fmt.Sprint("s", i)}})
@@ -175,22 +175,22 @@
 	s.SetReports(MaxReporters, "b", "one more", []Report{{Sidecar: "s"}})
 	if s.HasReports("a", "m1") || !s.HasReports("a", "m0") || !s.HasReports("a", "m2") || !s.HasReports("b", "one more") ||
 		s.sidecars != MaxReporters {
-		t.Error("the longest unheard is not the one that goes")
+		t.Error("the member removed is not the one whose last contact is longest ago")
 	}
 	var many []Report
 	for i := range MaxReports {
 		many = append(many, Report{Sidecar: fmt.Sprint("t", i)})
 	}
 	s.SetReports(MaxReporters, "b", "many", many)
-	if s.sidecars != MaxReporters || !s.HasReports("b", "many") || len(s.members) != MaxReporters-MaxReports+1 {
-		t.Errorf("%d sidecars of %d members", s.sidecars, len(s.members))
+	if s.sidecars != MaxReporters || !s.HasReports("b", "many") || len(s.reporters) != MaxReporters-MaxReports+1 {
+		t.Errorf("%d sidecars of %d members", s.sidecars, len(s.reporters))
 	}
 	// Members without sidecars are bounded too.
 	for i := range MaxReporters + 1 {
 		s.SetReports(MaxReporters, "c", fmt.Sprint("m", i), nil)
 	}
-	if len(s.members) != MaxReporters || s.order.Len() != MaxReporters {
-		t.Errorf("%d members", len(s.members))
+	if len(s.reporters) != MaxReporters || s.order.Len() != MaxReporters {
+		t.Errorf("%d members", len(s.reporters))
 	}
 }
 
--- a/internal/coordination/distribute/simulation_test.go
+++ b/internal/coordination/distribute/simulation_test.go
@@ -9,35 +9,34 @@
 	"time"
 )
 
-// What the simulated coordinators go by.
+// The times of the simulated coordinators.
 const (
-	simFresh = time.Second            // how long a leader's word is good
-	simWord  = 200 * time.Millisecond // how often it is asked for
-	simTick  = 50 * time.Millisecond
-	simCount = 100 * time.Millisecond // asks are counted in windows of it
+	simFresh           = time.Second            // how long a confirmation by the leader is good
+	simConfirmInterval = 200 * time.Millisecond // between two requests for it
+	simTick            = 50 * time.Millisecond
+	simWindow          = 100 * time.Millisecond // calls are counted in windows of this length
 )
 
-// world is coordinators that follow a log, and subscribers, in virtual time: everything happens in an order that
-// the seed gives.
+// world is coordinators that follow a log, and subscribers, in virtual time: the seed determines everything.
 type world struct {
-	t       testing.TB
-	rnd     *rand.Rand
-	now     time.Duration
-	events  events
-	seq     int
-	log     []Command
-	truth   *Register              // of the whole log
-	history map[string][]committed // by service
-	nodes   []*node
-	subs    []*sub
-	away    bool          // all coordinators are, and so the leader is
-	back    time.Duration // when all were back last
-	faulty  float64       // how many answers are lost; as many are late, doubled, and broken
-	asks    map[asked]int
-
-	told, taken, stale, snapshots int
-	spoilt                        [4]int // answers lost, late, doubled, broken
-	refused                       map[error]int
+	t            testing.TB
+	rand         *rand.Rand
+	now          time.Duration
+	events       events
+	seq          int
+	log          []Command
+	truth        *Register              // of the complete log
+	history      map[string][]committed // by service
+	coordinators []*simCoordinator
+	subscribers  []*simSubscriber
+	allDown      bool          // all coordinators are down, and so is the leader
+	allUpAt      time.Duration // when all were up again last
+	faultRate    float64       // the fraction of responses that are lost; as many are late, duplicated, and corrupted
+	calls        map[callWindow]int
+
+	sent, accepted, stale, snapshots int
+	faults                           [4]int // responses lost, late, duplicated, corrupted
+	refused                          map[error]int
 }
 
 type committed struct {
@@ -45,8 +44,8 @@
 	Version
 }
 
-// asked is asks of a kind in one window.
-type asked struct {
+// callWindow is the calls of a kind in one window.
+type callWindow struct {
 	window int
 	kind   string // "return": first or after a loss; "hold": after nothing newer; "version": after a version
 }
@@ -72,20 +71,20 @@
 }
 
 func newWorld(t testing.TB, seed uint64, nodes, subs, services int) *world {
-	w := &world{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), truth: NewRegister(),
-		history: map[string][]committed{}, asks: map[asked]int{}, refused: map[error]int{}}
+	w := &world{t: t, rand: rand.New(rand.NewPCG(seed, 1)), truth: NewRegister(),
+		history: map[string][]committed{}, calls: map[callWindow]int{}, refused: map[error]int{}}
 	for i := range nodes {
-		n := &node{w: w, reg: NewRegister(), up: true, phase: time.Duration(i) * time.Millisecond}
-		n.begin()
-		w.nodes = append(w.nodes, n)
-		w.after(n.phase, n.word)
+		n := &simCoordinator{world: w, register: NewRegister(), up: true, phase: time.Duration(i) * time.Millisecond}
+		n.restart()
+		w.coordinators = append(w.coordinators, n)
+		w.after(n.phase, n.requestConfirmation)
 		w.after(n.phase, n.tick)
 	}
 	for i := range subs {
-		s := &sub{w: w, service: fmt.Sprintf("service-%d", i%services), name: fmt.Sprintf("agent-%d", i), why: "return"}
-		s.Subscriber = NewSubscriber(DefaultSubscriberOptions(s.service, s.name, nodes, w.rnd.Int64N), 0, 0)
+		s := &simSubscriber{world: w, service: fmt.Sprintf("service-%d", i%services), name: fmt.Sprintf("agent-%d", i), callKind: "return"}
+		s.Subscriber = NewSubscriber(DefaultSubscriberOptions(s.service, s.name, nodes, w.rand.Int64N), 0, 0)
 		s.outbox.Set(Report{Sidecar: "sidecar-" + s.name})
-		w.subs = append(w.subs, s)
+		w.subscribers = append(w.subscribers, s)
 		s.wake()
 	}
 	return w
@@ -105,19 +104,19 @@
 	w.now = until
 }
 
-// between is a random time.
-func (w *world) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.rnd.Int64N(int64(most-least)))
+// between returns a random time.
+func (w *world) between(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(w.rand.Int64N(int64(longest-shortest)))
 }
 
-// delay is of one message.
+// delay returns the delay of one message.
 func (w *world) delay() time.Duration { return w.between(time.Millisecond, 20*time.Millisecond) }
 
-func (w *world) chance(p float64) bool { return w.rnd.Float64() < p }
+func (w *world) chance(p float64) bool { return w.rand.Float64() < p }
 
 // publish commits a version. All subscribers of the service have it, or a newer one, after the bound, in which
-// nobody was away.
-func (w *world) publish(service string, bound time.Duration) Revision {
+// no coordinator was down.
+func (w *world) publish(service string, bound time.Duration) {
 	v, _ := w.truth.Newest(service)
 	c := Command{Service: service, After: v.Revision, Content: json.RawMessage(fmt.Sprintf(`{"n":%d}`, len(w.log)))}
 	w.log = append(w.log, c)
@@ -129,29 +128,29 @@
 		w.t.Fatalf("%+v, newest %+v", answer, v)
 	}
 	w.history[service] = append(w.history[service], committed{w.now, v})
-	for _, n := range w.nodes {
+	for _, n := range w.coordinators {
 		n.follow(len(w.log))
 	}
-	w.judge(service, answer.Revision, bound, bound)
-	return answer.Revision
+	w.checkHeld(service, answer.Revision, bound, bound)
 }
 
-func (w *world) judge(service string, r Revision, in, bound time.Duration) {
-	w.after(in, func() {
-		if w.away || w.back+bound > w.now && w.back > w.now-in {
-			w.judge(service, r, bound, bound)
+// checkHeld checks after a delay that all subscribers of a service hold a revision, or a newer one.
+func (w *world) checkHeld(service string, r Revision, delay, bound time.Duration) {
+	w.after(delay, func() {
+		if w.allDown || w.allUpAt+bound > w.now && w.allUpAt > w.now-delay {
+			w.checkHeld(service, r, bound, bound)
 			return
 		}
-		for _, s := range w.subs {
+		for _, s := range w.subscribers {
 			if s.service == service && s.Revision() < r && !s.asleep {
-				w.t.Errorf("%v: %s holds %d of %s; %d was published %v ago", w.now, s.name, s.Revision(), service, r, in)
+				w.t.Errorf("%v: %s holds %d of %s; %d was published %v ago", w.now, s.name, s.Revision(), service, r, delay)
 			}
 		}
 	})
 }
 
-// floor is the newest revision that was committed at that moment.
-func (w *world) floor(service string, at time.Duration) (r Revision) {
+// newestAt returns the newest revision that was committed at a moment.
+func (w *world) newestAt(service string, at time.Duration) (r Revision) {
 	for _, c := range w.history[service] {
 		if c.at <= at {
 			r = c.Revision
@@ -160,45 +159,45 @@
 	return r
 }
 
-// node is a coordinator.
-type node struct {
-	w       *world
-	reg     *Register
-	applied int
-	watches *Watches
-	sums    *ReportTable
-	up      bool
-	stopped bool
-	cut     bool // from the leader: it gets no entries, and no word
-	life    int  // a process
-	phase   time.Duration
-	backlog []func()
-	open    []*call
-	words   []word
+// simCoordinator is a coordinator.
+type simCoordinator struct {
+	world         *world
+	register      *Register
+	applied       int
+	watches       *Watches
+	reports       *ReportTable
+	up            bool
+	stopped       bool
+	partitioned   bool // from the leader: it gets no entries, and no confirmation
+	incarnation   int  // counts starts of the process
+	phase         time.Duration
+	backlog       []func()
+	open          []*call
+	confirmations []leaderConfirmation
 }
 
-// word is a leader's: the log was that long when it was asked for.
-type word struct {
-	asked time.Duration
-	index int
+// leaderConfirmation says that the log was that long when it was requested.
+type leaderConfirmation struct {
+	requestedAt time.Duration
+	index       int
 }
 
-// begin is a new process: what it heard is gone, its register is kept.
-func (n *node) begin() {
-	n.life++
-	n.watches = NewWatches(func(s string) (Version, bool) { return n.reg.Newest(s) }, simFresh)
-	n.sums, n.open, n.words, n.backlog = NewReportTable(), nil, nil, nil
+// restart starts a new process: its register is kept, and everything else is lost.
+func (n *simCoordinator) restart() {
+	n.incarnation++
+	n.watches = NewWatches(func(s string) (Version, bool) { return n.register.Newest(s) }, simFresh)
+	n.reports, n.open, n.confirmations, n.backlog = NewReportTable(), nil, nil, nil
 }
 
-// later does something at this process, after a delay and when it runs.
-func (n *node) later(d time.Duration, do func()) {
-	life := n.life
-	n.w.after(d, func() { n.run(life, do) })
+// later calls do in this process after a delay, and when it runs.
+func (n *simCoordinator) later(d time.Duration, do func()) {
+	life := n.incarnation
+	n.world.after(d, func() { n.run(life, do) })
 }
 
-func (n *node) run(life int, do func()) {
+func (n *simCoordinator) run(life int, do func()) {
 	switch {
-	case !n.up || life != n.life:
+	case !n.up || life != n.incarnation:
 	case n.stopped:
 		n.backlog = append(n.backlog, func() { n.run(life, do) })
 	default:
@@ -206,24 +205,24 @@
 	}
 }
 
-func (n *node) tick() {
-	n.w.after(simTick, n.tick)
-	n.run(n.life, func() { n.watches.Tick(n.w.now); n.sums.Tick(n.w.now) })
+func (n *simCoordinator) tick() {
+	n.world.after(simTick, n.tick)
+	n.run(n.incarnation, func() { n.watches.Tick(n.world.now); n.reports.Tick(n.world.now) })
 }
 
-// word asks for the leader's.
-func (n *node) word() {
-	n.w.after(simWord, n.word)
-	n.run(n.life, func() {
-		asked, life := n.w.now, n.life
-		n.w.after(n.w.delay(), func() {
-			if n.cut || n.w.away {
+// requestConfirmation requests a confirmation from the leader again and again.
+func (n *simCoordinator) requestConfirmation() {
+	n.world.after(simConfirmInterval, n.requestConfirmation)
+	n.run(n.incarnation, func() {
+		asked, life := n.world.now, n.incarnation
+		n.world.after(n.world.delay(), func() {
+			if n.partitioned || n.world.allDown {
 				return
 			}
-			index := len(n.w.log)
-			n.w.after(n.w.delay(), func() {
+			index := len(n.world.log)
+			n.world.after(n.world.delay(), func() {
 				n.run(life, func() {
-					n.words = append(n.words, word{asked, index})
+					n.confirmations = append(n.confirmations, leaderConfirmation{asked, index})
 					n.confirm()
 					if n.applied < index {
 						n.follow(index)
@@ -234,54 +233,54 @@
 	})
 }
 
-// follow brings the log up to there, after a delay.
-func (n *node) follow(index int) {
-	if n.cut {
+// follow applies the log up to an index, after a delay.
+func (n *simCoordinator) follow(index int) {
+	if n.partitioned {
 		return
 	}
-	n.later(n.w.delay(), func() {
-		if n.cut || n.applied >= index {
+	n.later(n.world.delay(), func() {
+		if n.partitioned || n.applied >= index {
 			return
 		}
 		if index-n.applied > 25 { // by a snapshot
 			var err error
-			if n.reg, err = RestoreRegister(n.w.truth.Snapshot()); err != nil {
-				n.w.t.Fatal(err)
+			if n.register, err = RestoreRegister(n.world.truth.Snapshot()); err != nil {
+				n.world.t.Fatal(err)
 			}
-			n.w.snapshots++
-			n.applied = len(n.w.log)
-			n.watches.ChangedAll(n.w.now)
+			n.world.snapshots++
+			n.applied = len(n.world.log)
+			n.watches.ChangedAll(n.world.now)
 		}
 		for ; n.applied < index; n.applied++ {
-			n.reg.Apply(n.w.log[n.applied])
-			n.watches.Changed(n.w.now, n.w.log[n.applied].Service)
+			n.register.Apply(n.world.log[n.applied])
+			n.watches.Changed(n.world.now, n.world.log[n.applied].Service)
 		}
 		n.confirm()
 	})
 }
 
-func (n *node) confirm() {
-	for _, w := range n.words {
+func (n *simCoordinator) confirm() {
+	for _, w := range n.confirmations {
 		if w.index <= n.applied {
-			n.watches.Confirmed(w.asked)
+			n.watches.Confirmed(w.requestedAt)
 		}
 	}
-	if len(n.words) > 50 {
-		n.words = n.words[25:]
+	if len(n.confirmations) > 50 {
+		n.confirmations = n.confirmations[25:]
 	}
 }
 
-func (n *node) kill() {
+func (n *simCoordinator) kill() {
 	n.up, n.stopped = false, false
 	for _, c := range n.open {
-		n.w.after(n.w.delay(), c.failed)
+		n.world.after(n.world.delay(), c.failed)
 	}
 	n.open = nil
 }
 
-func (n *node) revive() { n.up = true; n.begin() }
+func (n *simCoordinator) revive() { n.up = true; n.restart() }
 
-func (n *node) awake() {
+func (n *simCoordinator) resume() {
 	n.stopped = false
 	all := n.backlog
 	n.backlog = nil
@@ -290,83 +289,83 @@
 	}
 }
 
-// ask is a call that came in.
-func (n *node) ask(c *call) {
+// receive takes in a call.
+func (n *simCoordinator) receive(c *call) {
 	if !n.up {
-		n.w.after(n.w.delay(), c.failed)
+		n.world.after(n.world.delay(), c.failed)
 		return
 	}
 	if len(n.open) > 1000 {
 		n.open = n.open[500:]
 	}
 	n.open = append(n.open, c)
-	n.run(n.life, func() {
-		if c.gone {
+	n.run(n.incarnation, func() {
+		if c.disconnected {
 			return
 		}
 		w := c.call.Watch
 		if err := w.Check(); err != nil {
-			n.w.t.Errorf("%+v: %v", w, err)
+			n.world.t.Errorf("%+v: %v", w, err)
 		}
 		if w.Reports != nil {
-			n.sums.SetReports(n.w.now, w.Service, w.Member, w.Reports)
+			n.reports.SetReports(n.world.now, w.Service, w.Member, w.Reports)
 		}
-		n.sums.Touch(n.w.now, w.Service, w.Member)
-		n.sums.SetKnownRevision(w.Service, w.Member, w.Known)
-		c.cancel = n.watches.Add(n.w.now, w, func(told WatchResponse, err error) { n.answer(c, told, err) })
+		n.reports.Touch(n.world.now, w.Service, w.Member)
+		n.reports.SetKnownRevision(w.Service, w.Member, w.Known)
+		c.cancel = n.watches.Add(n.world.now, w, func(told WatchResponse, err error) { n.answer(c, told, err) })
 	})
 }
 
-// answer sends one, and judges it.
-func (n *node) answer(c *call, told WatchResponse, err error) {
-	w, watch := n.w, c.call.Watch
-	if c.gone || c.told {
-		w.t.Errorf("%v: %s is told after it went, or twice", w.now, c.sub.name)
+// answer checks a response and sends it.
+func (n *simCoordinator) answer(c *call, response WatchResponse, err error) {
+	w, watch := n.world, c.call.Watch
+	if c.disconnected || c.answeredByServer {
+		w.t.Errorf("%v: %s is answered after it disconnected, or twice", w.now, c.sub.name)
 	}
-	if c.told = true; err != nil {
+	if c.answeredByServer = true; err != nil {
 		w.stale++
 		w.after(w.delay(), c.failed)
 		return
 	}
 	known := watch.Known
-	if told.Newer != nil {
-		if known = told.Newer.Revision; known <= watch.Known {
-			w.t.Errorf("%v: %s holds %d and is told %d", w.now, c.sub.name, watch.Known, known)
+	if response.Newer != nil {
+		if known = response.Newer.Revision; known <= watch.Known {
+			w.t.Errorf("%v: %s holds %d and is sent %d", w.now, c.sub.name, watch.Known, known)
 		}
-		c.sub.told++
-		w.told++
+		c.sub.versionsSent++
+		w.sent++
 	}
-	if least := w.floor(watch.Service, w.now-simFresh); known < least {
-		w.t.Errorf("%v: %s is told that %d is the newest; %d was committed %v ago",
+	if least := w.newestAt(watch.Service, w.now-simFresh); known < least {
+		w.t.Errorf("%v: %s is answered that %d is the newest; %d was committed %v ago",
 			w.now, c.sub.name, known, least, simFresh)
 	}
-	told.ReportsReceived = n.sums.HasReports(watch.Service, watch.Member)
+	response.ReportsReceived = n.reports.HasReports(watch.Service, watch.Member)
 	d := w.delay()
 	switch {
-	case w.chance(w.faulty):
-		w.spoilt[0]++
+	case w.chance(w.faultRate):
+		w.faults[0]++
 		return // lost
-	case w.chance(w.faulty):
-		w.spoilt[1]++
+	case w.chance(w.faultRate):
+		w.faults[1]++
 		d += w.between(0, 15*time.Second) // late
-	case w.chance(w.faulty): // doubled
-		w.spoilt[2]++
-		w.after(d+w.between(0, time.Second), func() { c.answered(told) })
-	case w.chance(w.faulty):
-		w.spoilt[3]++
-		told.Newer = w.broken(watch.Service)
+	case w.chance(w.faultRate): // duplicated
+		w.faults[2]++
+		w.after(d+w.between(0, time.Second), func() { c.answered(response) })
+	case w.chance(w.faultRate):
+		w.faults[3]++
+		response.Newer = w.corruptVersion(watch.Service)
 	}
-	w.after(d, func() { c.answered(told) })
+	w.after(d, func() { c.answered(response) })
 }
 
-// broken is what nobody should take: an older version, one of another service, or half of one.
-func (w *world) broken(service string) *Version {
+// corruptVersion returns what no subscriber may accept: an older version, one of another service, or an incomplete one.
+func (w *world) corruptVersion(service string) *Version {
 	all := w.history[service]
 	if len(all) == 0 {
 		return nil
 	}
-	v := all[w.rnd.IntN(len(all))].Version
-	switch w.rnd.IntN(3) {
+	v := all[w.rand.IntN(len(all))].Version
+	switch w.rand.IntN(3) {
 	case 0:
 		v.Revision, v.Service = w.truth.Last()+1, "another"
 	case 1:
--- a/internal/coordination/distribute/subscriber.go
+++ b/internal/coordination/distribute/subscriber.go
@@ -2,28 +2,32 @@
 
 import "time"
 
-// SubscriberOptions are how an agent asks for one service. Times are above 0 but for Spread and Answer.
+// SubscriberOptions are the settings of an agent's subscription to one service. Times are above 0 but for ReconnectWindow and
+// ResponseTimeout.
 type SubscriberOptions struct {
 	Service string
 	Member  string // the agent's name
-	Servers int    // coordinators, numbered from 0
-
-	// Hold is the longest a call waits for something newer: each is drawn from 3/4 of it to the whole, so that none go
-	// in step.
-	MaxWait         time.Duration
-	ResponseTimeout time.Duration // beyond the hold: then a call is given up
-	// Spread is the window that the first ask falls into, and the first after a coordinator was lost: N agents that
-	// lose one together are back at a rate of N/Spread in the mean.
+	Servers int    // the number of coordinators, which are numbered from 0
+
+	// MaxWait is the longest that a call waits for a newer version: each waits for 3/4 of it to the whole, drawn at random, so that calls
+	// of many agents do not end at the same moments.
+	MaxWait time.Duration
+	// ResponseTimeout is how long after the end of its wait a call has failed.
+	ResponseTimeout time.Duration
+	// ReconnectWindow is the window of the first call, and of the first call after a coordinator was lost: N agents that lose one together
+	// are back at a mean rate of N/ReconnectWindow.
 	ReconnectWindow time.Duration
-	MaxBackoff      time.Duration // the longest pause while nobody answers; at least twice Spread
-	// Stay is how long one coordinator is asked: after half to the whole of it another is drawn, so that load spreads
-	// again after restarts.
+	// MaxBackoff is the longest pause while no coordinator answers; at least twice ReconnectWindow.
+	MaxBackoff time.Duration
+	// RebalanceAfter is how long one coordinator is used: after half to the whole of it another one is drawn, so that load spreads again
+	// after restarts.
 	RebalanceAfter time.Duration
 
-	Rand func(n int64) int64 // a random number from 0 up to n, n not included; n is above 0
+	// Rand returns a random number from 0 up to n, n not included; n is above 0.
+	Rand func(n int64) int64
 }
 
-// DefaultSubscriberOptions are the options of an agent at so many coordinators.
+// DefaultSubscriberOptions returns the options of an agent, for a number of coordinators.
 func DefaultSubscriberOptions(service, member string, servers int, rand func(n int64) int64) SubscriberOptions {
 	return SubscriberOptions{
 		Service: service, Member: member, Servers: servers, Rand: rand,
@@ -32,131 +36,142 @@
 	}
 }
 
-// Subscriber is one agent's part for one service. It has one call out at most. Moments are of the agent's steady
-// clock.
+// maxDoublings bounds the doublings of the window after calls that failed; MaxBackoff is reached long before.
+const maxDoublings = 32
+
+// noServer stands for no coordinator.
+const noServer = -1
+
+// Subscriber is one agent's subscription to one service: which coordinator to call, when, and whether to accept a version. It has at most
+// one call in flight. It belongs to one goroutine; moments are of the agent's steady clock.
 //
-// Asks that follow a loss come in windows that do not overlap: one in each, at a random moment in it. Windows are
-// Spread long at least and double, while nobody answers, to half of Most, so that no pause is above Most; and
-// however often agents lose coordinators, asks after a loss never come at more than one each Spread in the mean.
-// (With windows that begin where the last pause ended, of which some are short, those asks would come in crowds
-// where refusals come fast.)
+// Calls after a loss come in windows that do not overlap: one in each, at a random moment in it. Windows are at least ReconnectWindow
+// long and double, while no coordinator answers, to half of MaxBackoff, so that no pause is above MaxBackoff. However often agents lose
+// coordinators, calls after a loss never come at more than one each ReconnectWindow in the mean. (With windows that begin where the last
+// pause ended, of which some are short, calls would come in crowds where refusals come fast.)
 type Subscriber struct {
-	o      SubscriberOptions
-	holds  Revision
-	server int           // that is asked; -1: one is to be drawn
-	lost   int           // that failed last, which is not drawn next; -1: none
-	until  time.Duration // when another is drawn
-	at     time.Duration // when to ask
-	out    bool          // a call is out
-	failed int           // calls in a row
-	window time.Duration // when the last window ends
+	options    SubscriberOptions
+	revision   Revision      // of the version that was accepted last
+	server     int           // that is called; noServer: one is to be drawn
+	lostServer int           // that failed last, which is not drawn next; or noServer
+	drawAt     time.Duration // when another server is drawn
+	nextCallAt time.Duration
+	inFlight   bool
+	failures   int           // calls that failed in a row
+	windowEnd  time.Duration // of the last window
 }
 
-// Call is an ask.
+// Call is a call to make.
 type Call struct {
 	Server   int
 	Watch    Watch         // without Reports: the caller adds them
-	Deadline time.Duration // the moment, not the time, at which the call has failed
+	Deadline time.Duration // the moment at which the call has failed
 }
 
-// NewSubscriber is one that has a version, or none (0).
-func NewSubscriber(o SubscriberOptions, holds Revision, now time.Duration) *Subscriber {
-	s := &Subscriber{o: o, holds: holds, server: -1, lost: -1}
+// NewSubscriber returns the subscription of an agent that holds a revision, or none (0).
+func NewSubscriber(o SubscriberOptions, revision Revision, now time.Duration) *Subscriber {
+	s := &Subscriber{options: o, revision: revision, server: noServer, lostServer: noServer}
 	s.pause(now, o.ReconnectWindow)
 	return s
 }
 
-// pause sets the next ask to a random moment in a window of that length, which begins when the last one has ended.
+// pause sets the next call to a random moment in a window of that length, which begins when the last one has ended.
 func (s *Subscriber) pause(now, length time.Duration) {
-	begin := max(now, s.window)
-	s.at, s.window = begin+s.draw(length), begin+length
+	begin := max(now, s.windowEnd)
+	s.nextCallAt, s.windowEnd = begin+s.draw(length), begin+length
 }
 
-// draw is a random time from 0 up to d.
+// draw returns a random time from 0 up to d.
 func (s *Subscriber) draw(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
-	return time.Duration(s.o.Rand(int64(d)))
+	return time.Duration(s.options.Rand(int64(d)))
 }
 
-// NextCallAt is when to begin the next call; false: one is out.
-func (s *Subscriber) NextCallAt() (at time.Duration, ok bool) { return s.at, !s.out }
+// NextCallAt returns when to begin the next call; ok is false where one is in flight.
+func (s *Subscriber) NextCallAt() (at time.Duration, ok bool) { return s.nextCallAt, !s.inFlight }
 
-// Begin is the next call. One that is out still is as good as failed: what comes of it is for Take.
+// Begin returns the next call to make. One that is in flight still counts as failed; its response may be given to Accept.
 func (s *Subscriber) Begin(now time.Duration) Call {
-	if s.server >= 0 && now >= s.until {
-		s.lost, s.server = s.server, -1
+	if s.server >= 0 && now >= s.drawAt {
+		s.lostServer, s.server = s.server, noServer
 	}
 	if s.server < 0 {
-		s.server = s.other(s.lost)
-		s.until = now + s.o.RebalanceAfter/2 + s.draw(s.o.RebalanceAfter-s.o.RebalanceAfter/2)
+		s.server = s.drawServer(s.lostServer)
+		s.drawAt = now + s.options.RebalanceAfter/2 + s.draw(s.options.RebalanceAfter-s.options.RebalanceAfter/2)
 	}
-	s.out = true
-	hold := s.o.MaxWait - s.draw(s.o.MaxWait/4)
+	s.inFlight = true
+	wait := s.options.MaxWait - s.draw(s.options.MaxWait/4)
 	return Call{
 		Server:   s.server,
-		Watch:    Watch{Version: WireVersion, Service: s.o.Service, Member: s.o.Member, Known: s.holds, MaxWait: hold},
-		Deadline: now + hold + s.o.ResponseTimeout,
+		Watch:    Watch{Version: WireVersion, Service: s.options.Service, Member: s.options.Member, Known: s.revision, MaxWait: wait},
+		Deadline: now + wait + s.options.ResponseTimeout,
 	}
 }
 
-// other draws a coordinator, but not that one where there is another.
-func (s *Subscriber) other(not int) int {
+// drawServer draws a coordinator, but not the excluded one where there is another.
+func (s *Subscriber) drawServer(excluded int) int {
 	switch {
-	case s.o.Servers <= 1:
+	case s.options.Servers <= 1:
 		return 0
-	case not < 0:
-		return int(s.o.Rand(int64(s.o.Servers)))
+	case excluded < 0:
+		return int(s.options.Rand(int64(s.options.Servers)))
 	}
-	return (not + 1 + int(s.o.Rand(int64(s.o.Servers-1)))) % s.o.Servers
+	return (excluded + 1 + int(s.options.Rand(int64(s.options.Servers-1)))) % s.options.Servers
 }
 
-// Answered takes in the answer to the call that is out, and gives the version to take, which it holds from here on;
-// nil: nothing newer. A version that it refuses makes the call a failed one.
-func (s *Subscriber) Answered(now time.Duration, told WatchResponse) (*Version, error) {
-	v, err := s.Accept(told)
+// Answered takes in the response to the call in flight, and returns the version to apply, which counts as held from here on; nil: there
+// is none. A version that is refused makes the call a failed one.
+func (s *Subscriber) Answered(now time.Duration, response WatchResponse) (*Version, error) {
+	v, err := s.Accept(response)
 	if err != nil {
 		s.Failed(now)
 		return nil, err
 	}
-	if s.out {
-		s.out, s.at, s.failed, s.lost = false, now, 0, -1
+	if s.inFlight {
+		s.inFlight, s.nextCallAt, s.failures, s.lostServer = false, now, 0, noServer
 	}
 	return v, nil
 }
 
-// Accept is Answered for what comes late, after its call was given up: a newer version is as good, but when to ask
-// stays as it is.
-func (s *Subscriber) Accept(told WatchResponse) (*Version, error) {
-	v := told.Newer
+// Accept is Answered for a response that comes after its call has failed: a newer version is as good, but the time of the next call stays.
+func (s *Subscriber) Accept(response WatchResponse) (*Version, error) {
+	v := response.Newer
 	switch {
 	case v == nil:
 		return nil, nil
-	case v.Service != s.o.Service:
+	case v.Service != s.options.Service:
 		return nil, ErrWrongService
-	case v.Revision <= s.holds:
+	case v.Revision <= s.revision:
 		return nil, ErrNotNewer
 	case v.check() != nil:
 		return nil, ErrDigestMismatch
 	}
-	s.holds = v.Revision
+	s.revision = v.Revision
 	return v, nil
 }
 
-// Failed takes in that the call that is out got no answer, or an error.
+// Failed takes in that the call in flight got no response, or an error.
 func (s *Subscriber) Failed(now time.Duration) {
-	if !s.out {
+	if !s.inFlight {
 		return
 	}
-	s.out, s.lost, s.server = false, s.server, -1
-	length := s.o.ReconnectWindow
-	for range min(s.failed, 32) {
-		length = min(2*length, max(s.o.MaxBackoff/2, s.o.ReconnectWindow))
+	s.inFlight, s.lostServer, s.server = false, s.server, noServer
+	length := s.options.ReconnectWindow
+	for range min(s.failures, maxDoublings) {
+		length = min(2*length, max(s.options.MaxBackoff/2, s.options.ReconnectWindow))
 	}
-	s.failed++
+	s.failures++
 	s.pause(now, length)
 }
 
-// Revision is the revision of the version that it took last, or began with.
-func (s *Subscriber) Revision() Revision { return s.holds }
+// StoreFailed undoes the last version that was accepted, which the machine could not store; before is the revision of before. The version
+// is requested again after a pause.
+func (s *Subscriber) StoreFailed(now time.Duration, before Revision) {
+	s.revision = before
+	s.pause(now, s.options.ReconnectWindow)
+}
+
+// Revision returns that of the version that was accepted last, or that the agent began with.
+func (s *Subscriber) Revision() Revision { return s.revision }
--- a/internal/coordination/distribute/subscriber_test.go
+++ b/internal/coordination/distribute/subscriber_test.go
@@ -15,7 +15,7 @@
 	return Version{service, r, Digest([]byte(content)), json.RawMessage(content), false}
 }
 
-func TestWhatIsTaken(t *testing.T) {
+func TestAcceptedVersions(t *testing.T) {
 	broken := version("a", 8, `{"n":8}`)
 	broken.Content = broken.Content[:4]
 	empty := version("a", 8, "")
@@ -26,8 +26,8 @@
 		"newer":           {version("a", 8, `{"n":8}`), nil},
 		"the same":        {version("a", 7, `{"n":8}`), ErrNotNewer},
 		"older":           {version("a", 6, `{"n":8}`), ErrNotNewer},
-		"another's":       {version("b", 8, `{"n":8}`), ErrWrongService},
-		"half":            {broken, ErrDigestMismatch},
+		"another service": {version("b", 8, `{"n":8}`), ErrWrongService},
+		"incomplete":      {broken, ErrDigestMismatch},
 		"without content": {empty, ErrDigestMismatch},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			}
 			at, ok := s.NextCallAt()
 			if !ok {
-				t.Fatal("a call is out")
+				t.Fatal("a call is in flight")
 			}
 			next := s.Begin(at)
 			if err == nil && (s.Revision() != 8 || at != 2*time.Second || next.Server != call.Server || next.Watch.Known != 8) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// A version that a machine could not keep is asked for again, after a pause, and taken again.
-func TestNotKept(t *testing.T) {
+// A version that a machine could not store is requested again, after a pause, and accepted again.
+func TestStoreFailed(t *testing.T) {
 	s := NewSubscriber(DefaultSubscriberOptions("a", "m", 3, func(n int64) int64 { return n / 2 }), 7, 0)
 	for range 3 {
 		now, _ := s.NextCallAt()
@@ -63,13 +63,13 @@
 			t.Fatalf("%+v: %v %v", c, got, err)
 		}
 		s.StoreFailed(now, 7)
-		if at, ok := s.NextCallAt(); !ok || s.Revision() != 7 || at < now+s.o.ReconnectWindow/2 || at > now+2*s.o.ReconnectWindow {
-			t.Fatalf("holds %d, again at %v", s.Revision(), at-now)
+		if at, ok := s.NextCallAt(); !ok || s.Revision() != 7 || at < now+s.options.ReconnectWindow/2 || at > now+2*s.options.ReconnectWindow {
+			t.Fatalf("holds %d, next call at %v", s.Revision(), at-now)
 		}
 	}
 }
 
-// One call after the other: when, to whom, how long.
+// One call after the other: when, to which coordinator, how long.
 func TestCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -107,12 +107,12 @@
 			if failed = rapid.IntRange(0, 3).Draw(t, "fails") == 0; failed {
 				now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, c.Deadline - now}).Draw(t, "after")
 				s.Failed(now)
-				s.Failed(now) // said twice: nothing
+				s.Failed(now) // the second time changes nothing
 				if at, ok := s.NextCallAt(); !ok || at < now || at > now+o.MaxBackoff {
 					t.Fatalf("pause of %v", at-now)
 				}
 				pause, _ := s.NextCallAt()
-				s.Answered(now, WatchResponse{}) // after it was given up
+				s.Answered(now, WatchResponse{}) // after it has failed
 				if at, _ := s.NextCallAt(); at != pause {
 					t.Fatalf("a pause to %v became one to %v", pause, at)
 				}
@@ -125,14 +125,14 @@
 			if at, ok := s.NextCallAt(); !ok || at != now {
 				t.Fatalf("again at %v", at-now)
 			}
-			if v, err := s.Answered(now, WatchResponse{}); v != nil || err != nil { // doubled
+			if v, err := s.Answered(now, WatchResponse{}); v != nil || err != nil { // a duplicate
 				t.Fatal(v, err)
 			}
 		}
 	})
 }
 
-// Pauses grow to Most while nobody answers, and do not crowd: one in each window.
+// Pauses grow to MaxBackoff while no coordinator answers: one call in each window, at a random moment.
 func TestPausesGrow(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var late, early int
@@ -142,7 +142,7 @@
 		for n := range 40 {
 			at, _ := s.NextCallAt()
 			if at < from || at >= to {
-				t.Fatalf("ask %d at %v, want %v to %v", n, at, from, to)
+				t.Fatalf("call %d at %v, want %v to %v", n, at, from, to)
 			}
 			if at-from > (to-from)*9/10 {
 				late++
@@ -152,7 +152,7 @@
 			}
 			s.Begin(at)
 			s.Failed(at)
-			if from, to = to, to+2500*time.Millisecond; n == 0 { // the first after a loss is within Spread
+			if from, to = to, to+2500*time.Millisecond; n == 0 { // the first one after a loss is within ReconnectWindow
 				to = from + 2*time.Second
 			}
 		}
@@ -171,7 +171,7 @@
 		var c Call
 		for now := time.Duration(0); now < 4*time.Minute; {
 			now, _ = s.NextCallAt()
-			if c = s.Begin(now); now < time.Minute && c.Server == 0 { // it is away for a minute
+			if c = s.Begin(now); now < time.Minute && c.Server == 0 { // it is down for a minute
 				s.Failed(now)
 				continue
 			}
@@ -186,9 +186,9 @@
 	}
 }
 
-// Whatever is told, by whom and in whatever order, no older version is taken, none of another service and none that
-// is not whole. After coordinators were begun anew from a back-up, or from nothing, a version that was published
-// above what is held reaches all.
+// Whatever responses come, from which coordinator and in which order, no older version is accepted, none of another service and none that
+// is incomplete. After coordinators were restored from a back-up, or began with nothing, a version that was published above what is held
+// reaches all.
 func TestNeverBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		services := []string{"a", "b"}
@@ -224,9 +224,9 @@
 				s.Begin(0)
 				v, err = s.Answered(0, WatchResponse{Newer: &told})
 			}
-			good := told.Service == s.o.Service && told.Revision > before && told.Digest == Digest(told.Content)
+			good := told.Service == s.options.Service && told.Revision > before && told.Digest == Digest(told.Content)
 			if good != (v != nil) || good != (err == nil) || s.Revision() < before {
-				t.Fatalf("%s at %d: %+v, %v, holds %d", s.o.Service, before, told, err, s.Revision())
+				t.Fatalf("%s at %d: %+v, %v, holds %d", s.options.Service, before, told, err, s.Revision())
 			}
 			if good && (s.Revision() != v.Revision || v.Revision <= before) || !good && s.Revision() != before {
 				t.Fatalf("%d became %d by %+v", before, s.Revision(), told)
@@ -242,7 +242,7 @@
 			},
 			"tell the newest": func(*rapid.T) {
 				s := rapid.SampledFrom(subs).Draw(t, "subscriber")
-				if v, ok := r.Newest(s.o.Service); ok {
+				if v, ok := r.Newest(s.options.Service); ok {
 					tell(s, v)
 				}
 			},
@@ -264,7 +264,7 @@
 				}
 				v := publish(service, held)
 				for _, s := range subs {
-					if s.o.Service == service {
+					if s.options.Service == service {
 						if tell(s, v); s.Revision() != v.Revision {
 							t.Fatalf("%d is held, not %d", s.Revision(), v.Revision)
 						}
--- a/internal/coordination/distribute/watches.go
+++ b/internal/coordination/distribute/watches.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// ErrStale: this coordinator can't confirm that it knows what was committed. Ask another one.
-var ErrStale = errors.New("this coordinator has had no word of a leader lately: " +
+// ErrStale says that this coordinator cannot confirm that it knows everything that was committed. The agent asks another one.
+var ErrStale = errors.New("this coordinator has had no confirmation by a leader lately: " +
 	"it may not know the newest version; ask another one")
 
-// Check tells whether a watch is within bounds. The error names the field and says what to write.
+// Check returns what is wrong with a watch. The error names the field and says what to write.
 func (w *Watch) Check() error {
 	if w.Version != WireVersion {
 		return fmt.Errorf("version: %d; write %d", w.Version, WireVersion)
@@ -26,11 +26,15 @@
 	if w.MaxWait < 0 || w.MaxWait > MaxWatchWait {
 		return fmt.Errorf("hold_ns: %d; write 0 to %d", w.MaxWait, MaxWatchWait)
 	}
-	if len(w.Reports) > MaxReports {
-		return fmt.Errorf("reports: %d; write at most %d", len(w.Reports), MaxReports)
+	return checkReports(w.Reports)
+}
+
+func checkReports(reports []Report) error {
+	if len(reports) > MaxReports {
+		return fmt.Errorf("reports: %d; write at most %d", len(reports), MaxReports)
 	}
 	seen := map[string]bool{}
-	for i, r := range w.Reports {
+	for i, r := range reports {
 		if err := checkName(fmt.Sprintf("reports[%d].sidecar", i), r.Sidecar); err != nil {
 			return err
 		}
@@ -44,37 +48,37 @@
 	return nil
 }
 
-// Watches are the calls that wait at one coordinator. Moments are of its own steady clock, which runs on while the
-// process is stopped. One goroutine owns them; what is done is called on it, and may ask and cancel.
+// Watches are the calls of agents that wait at one coordinator. Moments are of its own steady clock, which runs on while the process is
+// stopped. They belong to one goroutine; the done functions are called on it, and may add and cancel watches.
 //
-// Each call gets one answer. A change costs the calls of that service that wait, a tick those that are due, each
-// with the logarithm of all that wait.
+// Each call gets one response. A change costs the calls of that service that wait, a tick those whose deadline has passed, each with the
+// logarithm of all that wait.
 type Watches struct {
-	newest    func(service string) (Version, bool)
-	fresh     time.Duration
-	confirmed time.Duration // when the last word was asked for
-	ever      bool          // there was one
-	due       waiters       // by when they are due: a heap
-	of        map[string][]*waiter
+	newest        func(service string) (Version, bool)
+	freshFor      time.Duration
+	confirmedAt   time.Duration // when the last confirmation was requested
+	everConfirmed bool
+	byDeadline    watchHeap
+	byService     map[string][]*pendingWatch
 }
 
-type waiter struct {
-	watch  Watch
-	done   func(WatchResponse, error)
-	at     time.Duration // when it is answered, though nothing came
-	place  int           // in due; -1: it was taken out
-	among  int           // in of[its service]
-	ending bool          // it is answered, or was cancelled
+type pendingWatch struct {
+	watch        Watch
+	done         func(WatchResponse, error)
+	deadline     time.Duration // when it is answered that there is nothing newer
+	heapIndex    int           // in byDeadline; -1: it was removed
+	serviceIndex int           // among those of its service
+	ended        bool          // it is answered, or was cancelled
 }
 
-// NewWatches is a coordinator without any calls, and without a leader's word. What is told is fresh for the given
-// time after the moment at which a word that came was asked for.
-func NewWatches(newest func(service string) (Version, bool), fresh time.Duration) *Watches {
-	return &Watches{newest: newest, fresh: fresh, of: map[string][]*waiter{}}
+// NewWatches returns the watches of a coordinator without any calls, and without a confirmation. newest returns a service's newest version;
+// what it returns counts as fresh for a time after the moment at which the last confirmation was requested.
+func NewWatches(newest func(service string) (Version, bool), freshFor time.Duration) *Watches {
+	return &Watches{newest: newest, freshFor: freshFor, byService: map[string][]*pendingWatch{}}
 }
 
-// Add takes in a watch that was checked. done is called exactly once, now or later; never after cancel. The version
-// that it gets is shared: it is only to be read. Heard is left to the caller.
+// Add takes in a watch that was checked. done is called exactly once, now or later; never after cancel. The version that it gets is
+// shared: it is only to be read. ReportsReceived is left to the caller.
 func (w *Watches) Add(now time.Duration, watch Watch, done func(WatchResponse, error)) (cancel func()) {
 	w.expire(now)
 	if !w.Fresh(now) {
@@ -89,32 +93,32 @@
 		done(WatchResponse{}, nil)
 		return func() {}
 	}
-	watch.Reports = nil // they were heard: what waits is small
-	one := &waiter{watch: watch, done: done, at: now + min(watch.MaxWait, MaxWatchWait)}
-	one.among = len(w.of[watch.Service])
-	w.of[watch.Service] = append(w.of[watch.Service], one)
-	heap.Push(&w.due, one)
+	watch.Reports = nil // they were taken in: what waits is small
+	one := &pendingWatch{watch: watch, done: done, deadline: now + min(watch.MaxWait, MaxWatchWait)}
+	one.serviceIndex = len(w.byService[watch.Service])
+	w.byService[watch.Service] = append(w.byService[watch.Service], one)
+	heap.Push(&w.byDeadline, one)
 	return func() {
 		w.remove(one)
-		one.ending = true
+		one.ended = true
 	}
 }
 
-// Changed tells the newest version of a service to those that wait for it.
+// Changed answers the calls that wait for a service with its newest version.
 func (w *Watches) Changed(now time.Duration, service string) {
 	w.expire(now)
-	w.changed(service, slices.Clone(w.of[service]))
+	w.answerNewer(service, slices.Clone(w.byService[service]))
 }
 
-// ChangedAll tells the newest versions to all that wait for one: a snapshot came in.
+// ChangedAll answers all calls for whose service there is a newer version: a snapshot was restored.
 func (w *Watches) ChangedAll(now time.Duration) {
 	w.expire(now)
-	for _, one := range slices.Clone(w.due) { // not by the map: the order is the same every time
-		w.changed(one.watch.Service, []*waiter{one})
+	for _, one := range slices.Clone(w.byDeadline) { // not by the map: the order is the same every time
+		w.answerNewer(one.watch.Service, []*pendingWatch{one})
 	}
 }
 
-func (w *Watches) changed(service string, all []*waiter) {
+func (w *Watches) answerNewer(service string, all []*pendingWatch) {
 	if len(all) == 0 {
 		return
 	}
@@ -122,99 +126,100 @@
 	if !ok {
 		return
 	}
-	all = slices.DeleteFunc(all, func(one *waiter) bool { return v.Revision <= one.watch.Known })
+	all = slices.DeleteFunc(all, func(one *pendingWatch) bool { return v.Revision <= one.watch.Known })
 	w.answer(all, WatchResponse{Newer: &v}, nil)
 }
 
-// Confirmed takes in a leader's word, which was asked for at that moment: the register holds everything that was
-// committed then.
-func (w *Watches) Confirmed(asked time.Duration) {
-	if !w.ever || asked > w.confirmed {
-		w.ever, w.confirmed = true, asked
+// Confirmed takes in a confirmation by the leader that was requested at a moment: the register holds everything that was committed then.
+func (w *Watches) Confirmed(requestedAt time.Duration) {
+	if !w.everConfirmed || requestedAt > w.confirmedAt {
+		w.everConfirmed, w.confirmedAt = true, requestedAt
 	}
 }
 
-// Fresh tells whether anything may be told.
-func (w *Watches) Fresh(now time.Duration) bool { return w.ever && now-w.confirmed < w.fresh }
+// Fresh reports whether calls may be answered: the last confirmation is recent enough.
+func (w *Watches) Fresh(now time.Duration) bool {
+	return w.everConfirmed && now-w.confirmedAt < w.freshFor
+}
 
-// Tick answers those that are due, and all where freshness has ended.
+// Tick answers the calls whose deadline has passed, and all with ErrStale where the coordinator is not fresh any more.
 func (w *Watches) Tick(now time.Duration) {
 	w.expire(now)
-	var all []*waiter
-	for len(w.due) > 0 && w.due[0].at <= now {
-		one := w.due[0]
+	var all []*pendingWatch
+	for len(w.byDeadline) > 0 && w.byDeadline[0].deadline <= now {
+		one := w.byDeadline[0]
 		w.remove(one)
 		all = append(all, one)
 	}
 	w.answer(all, WatchResponse{}, nil)
 }
 
-// NextDeadline is when to tick next; false: nothing waits.
+// NextDeadline returns when to tick next; ok is false where nothing waits.
 func (w *Watches) NextDeadline() (at time.Duration, ok bool) {
-	if len(w.due) == 0 {
+	if len(w.byDeadline) == 0 {
 		return 0, false
 	}
-	return min(w.due[0].at, w.confirmed+w.fresh), true
+	return min(w.byDeadline[0].deadline, w.confirmedAt+w.freshFor), true
 }
 
-// Waiting is how many wait.
-func (w *Watches) Waiting() int { return len(w.due) }
+// Waiting returns how many calls wait.
+func (w *Watches) Waiting() int { return len(w.byDeadline) }
 
-// expire answers all that wait where freshness has ended.
+// expire answers all calls that wait where the coordinator is not fresh any more.
 func (w *Watches) expire(now time.Duration) {
 	if !w.Fresh(now) {
-		w.answer(slices.Clone(w.due), WatchResponse{}, ErrStale)
+		w.answer(slices.Clone(w.byDeadline), WatchResponse{}, ErrStale)
 	}
 }
 
-// answer takes all out before it answers any: what is done may ask again, and cancel others.
-func (w *Watches) answer(all []*waiter, told WatchResponse, err error) {
+// answer removes all calls before it answers any: a done function may add and cancel others.
+func (w *Watches) answer(all []*pendingWatch, response WatchResponse, err error) {
 	for _, one := range all {
 		w.remove(one)
 	}
 	for _, one := range all {
-		if !one.ending {
-			one.ending = true
-			one.done(told, err)
+		if !one.ended {
+			one.ended = true
+			one.done(response, err)
 		}
 	}
 }
 
-// remove takes a call out of both lists, where it is in them.
-func (w *Watches) remove(one *waiter) {
-	if one.place < 0 {
+// remove removes a call from the heap and from those of its service, unless it was removed before.
+func (w *Watches) remove(one *pendingWatch) {
+	if one.heapIndex < 0 {
 		return
 	}
-	heap.Remove(&w.due, one.place)
-	name := one.watch.Service
-	of := w.of[name]
-	last := of[len(of)-1]
-	of[one.among], last.among = last, one.among
-	of[len(of)-1] = nil
-	if w.of[name] = of[:len(of)-1]; len(of) == 1 {
-		delete(w.of, name)
+	heap.Remove(&w.byDeadline, one.heapIndex)
+	service := one.watch.Service
+	waiting := w.byService[service]
+	last := waiting[len(waiting)-1]
+	waiting[one.serviceIndex], last.serviceIndex = last, one.serviceIndex
+	waiting[len(waiting)-1] = nil
+	if w.byService[service] = waiting[:len(waiting)-1]; len(waiting) == 1 {
+		delete(w.byService, service)
 	}
 }
 
-// waiters is a heap by when they are due.
-type waiters []*waiter
+// watchHeap is a heap of calls, that with the next deadline first.
+type watchHeap []*pendingWatch
 
-func (h waiters) Len() int           { return len(h) }
-func (h waiters) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h waiters) Swap(i, j int) {
+func (h watchHeap) Len() int           { return len(h) }
+func (h watchHeap) Less(i, j int) bool { return h[i].deadline < h[j].deadline }
+func (h watchHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *waiters) Push(x any) {
-	one := x.(*waiter)
-	one.place = len(*h)
+func (h *watchHeap) Push(x any) {
+	one := x.(*pendingWatch)
+	one.heapIndex = len(*h)
 	*h = append(*h, one)
 }
-func (h *waiters) Pop() any {
+func (h *watchHeap) Pop() any {
 	old := *h
 	one := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	one.place = -1
+	one.heapIndex = -1
 	return one
 }
