--- a/internal/sidecar/core/attempt.go
+++ b/internal/sidecar/core/attempt.go
@@ -11,100 +11,124 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// attempt is one exchange for a request, from the decision to its end.
+// attempt is one exchange for a request, from the module's decision until its end.
 type attempt struct {
-	r      *request
-	number int
-	to     *server
-	id     balance.ServerID
-	sent   time.Time
-	call   *upstream.Call
-	clean  bool // it is certain that it never ran
-	done   bool
-	begun  bool // its answer is passed on as it comes; the exchange goes on
-	cancel context.CancelFunc
-	timer  *timer // the end of its time
+	request   *request
+	number    int     // position in the request's attempts
+	server    *server // nil: it was removed from the list before the attempt was sent
+	serverID  balance.ServerID
+	sentAt    time.Time
+	call      *upstream.Call
+	neverRan  bool // it has ended, and the server certainly did not execute it
+	ended     bool // for the module; a streamed reply may still be on its way
+	streaming bool // its reply is streamed to the client: the exchange must not be cancelled
+	cancel    context.CancelFunc
+	timeout   *timer // nil: the body of the request is still arriving
 }
 
 // send starts an attempt.
-func (l *Loop) send(a *balance.Action) {
-	r := l.requests[a.Request]
+func (l *Loop) send(action *balance.Action) {
+	r := l.requests[action.Request]
 	if r == nil {
-		l.log.Error("the module sends for a request that is over", "request", a.Request)
+		l.log.Error("the module sends for a request that is over", "request", action.Request)
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
-	c := &upstream.Call{Message: r.Message, Expires: r.deadline, ClientGone: r.gone}
-	if r.Message.Remainder != nil {
-		c.Expires, c.Wait = time.Time{}, r.Wait
-	}
-	at := &attempt{r: r, number: len(r.attempts), id: a.Server, to: l.servers[a.Server], call: c, sent: time.Now(), cancel: cancel}
-	if a.At > 0 {
-		c.Expires = earlier(c.Expires, l.clock.time(a.At))
-	}
-	for _, before := range r.attempts { // a keyed request must not go out after its key may be forgotten
-		if r.effect == balance.Keyed && !before.clean && !math.IsInf(r.window, 1) {
-			c.SendBefore = earlier(c.SendBefore, before.sent.Add(duration(r.window)))
-		}
-	}
-	r.attempts = append(r.attempts, at)
-	r.out++
-	if at.to == nil || r.closed {
-		l.later = append(l.later, func() { l.attemptEnded(at, upstream.Outcome{Result: upstream.NotSent}) })
+	a := &attempt{
+		request: r, number: len(r.attempts), serverID: action.Server, server: l.servers[action.Server],
+		call: l.newCall(r, action), sentAt: time.Now(), cancel: cancel,
+	}
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
+	if a.server == nil || r.closed {
+		l.deferred = append(l.deferred, func() { l.attemptEnded(a, upstream.Outcome{Result: upstream.NotSent}) })
 		return
 	}
-	if c.Expires.IsZero() {
-		c.OnRequestWritten = func() { l.post(func() { l.written(at) }) }
+	if a.call.Expires.IsZero() {
+		a.call.OnRequestWritten = func() { l.post(func() { l.onRequestWritten(a) }) }
 	} else {
-		at.timer = &timer{due: c.Expires, attempt: at}
-		l.timers.set(at.timer)
+		a.timeout = &timer{deadline: a.call.Expires, attempt: a}
+		l.timers.add(a.timeout)
 	}
-	c.OnReplyStarted = func(out upstream.Outcome) { l.post(func() { l.begun(at, out) }) }
+	a.call.OnReplyStarted = func(out upstream.Outcome) { l.post(func() { l.onReplyStarted(a, out) }) }
 	go func() {
-		out := at.to.end.Send(ctx, c)
-		l.post(func() { l.attemptEnded(at, out) })
+		out := a.server.endpoint.Send(ctx, a.call)
+		l.post(func() { l.attemptEnded(a, out) })
 	}()
 }
 
-// results are the module's names for the ends of exchanges.
-var results = [...]balance.Result{
+// newCall returns the call for a new attempt of a request, with its time limits.
+func (l *Loop) newCall(r *request, action *balance.Action) *upstream.Call {
+	call := &upstream.Call{Message: r.Message, Expires: r.deadline, ClientGone: r.isClientGone}
+	if r.Message.Remainder != nil { // the time limit begins with the last byte of the body
+		call.Expires, call.Wait = time.Time{}, r.Wait
+	}
+	if action.At > 0 {
+		call.Expires = earlier(call.Expires, l.clock.timeAt(action.At))
+	}
+	for _, previous := range r.attempts { // a keyed request must not be sent after servers may have forgotten its key
+		if r.effect == balance.Keyed && !previous.neverRan && !math.IsInf(r.windowMillis, 1) {
+			call.SendBefore = earlier(call.SendBefore, previous.sentAt.Add(toDuration(r.windowMillis)))
+		}
+	}
+	return call
+}
+
+// balancerResults translates the results of exchanges to those of the module.
+var balancerResults = [...]balance.Result{
 	upstream.Served: balance.OK, upstream.Failed: balance.Failed, upstream.Rejected: balance.Full,
 	upstream.TimedOut: balance.TimedOut, upstream.ConnectFailed: balance.ConnectFailed, upstream.Reset: balance.Reset,
 	upstream.Cancelled: balance.Cancelled, upstream.NotSent: balance.Moot,
 }
 
-// begun: the server's answer is there and is passed on as it comes. For the module the attempt has ended with it, since what
-// is left is no work of the server's; its connection is in use until the rest has ended too.
-func (l *Loop) begun(at *attempt, out upstream.Outcome) {
-	if at.done {
+// onReplyStarted handles the beginning of a streamed reply. For the module the attempt ends here, since the server has done its work;
+// the connection stays in use until the remainder of the reply was read or closed.
+func (l *Loop) onReplyStarted(a *attempt, out upstream.Outcome) {
+	if a.ended {
 		out.Reply.Done()
 		return
 	}
-	at.begun = true
-	l.attemptEnded(at, out)
+	a.streaming = true
+	l.attemptEnded(a, out)
 }
 
-// attemptEnded reports the first end of an attempt to the module. Others are dropped.
-func (l *Loop) attemptEnded(at *attempt, out upstream.Outcome) {
-	if at.done {
-		if at.begun {
-			at.cancel()
+// attemptEnded handles the end of an attempt: it answers the request if the attempt was served, and passes the outcome to the module.
+// Only the first end of an attempt counts.
+func (l *Loop) attemptEnded(a *attempt, out upstream.Outcome) {
+	if a.ended {
+		if a.streaming {
+			a.cancel()
 		}
 		out.Reply.Done()
 		return
 	}
-	at.done = true
-	l.timers.stop(at.timer)
-	if out.Result == upstream.TimedOut && at.call.Claim() { // its connection never came up; claimed before it is given up
+	a.ended = true
+	l.timers.remove(a.timeout)
+	if out.Result == upstream.TimedOut && a.call.Claim() { // never connected; claimed before the exchange is cancelled
 		out = upstream.Outcome{Result: upstream.ConnectFailed, Err: errors.New("no connection in time")}
 	}
-	if !at.begun {
-		at.cancel()
+	if !a.streaming {
+		a.cancel()
+	}
+	r := a.request
+	r.inFlight--
+	a.neverRan = out.Result.NeverRan()
+	r.deliver(out)
+	took := time.Since(a.sentAt)
+	l.logAttempt(a, out, took)
+	err := l.handle(balance.Outcome{
+		Request: r.id, Attempt: a.number, Server: a.serverID, Result: balancerResults[out.Result], Took: toMillis(took), Finished: r.closed,
+		Report: out.LoadReport, Spent: r.Message.Remainder != nil && r.Message.Remainder.Consumed(),
+	})
+	if err != nil && r.inFlight == 0 { // the module does not know the attempt and will not act on it
+		l.finish(r.id, front.Answer{Verdict: front.Failed})
 	}
-	r := at.r
-	r.out--
-	at.clean = out.Result.NeverRan()
-	if errors.Is(out.Err, upstream.ErrClientGone) && !r.closed { // seen here before its front could tell
+	l.removeIfOver(r)
+}
+
+// deliver gives the outcome of an attempt to the client's goroutine if it ends the request. Otherwise the reply is discarded.
+func (r *request) deliver(out upstream.Outcome) {
+	if errors.Is(out.Err, upstream.ErrClientGone) && !r.closed { // noticed here before the front's context ended
 		r.closed = true
 		r.answer <- answer{err: front.ErrClientGone}
 	}
@@ -114,50 +138,33 @@
 	} else {
 		out.Reply.Done()
 	}
-	took := time.Since(at.sent)
-	givenUp := errors.Is(out.Err, context.Canceled) || errors.Is(out.Err, upstream.ErrClientGone)
-	if out.Result != upstream.Served && !givenUp {
-		name := ""
-		if at.to != nil {
-			name = at.to.name
-		}
-		l.log.Info("attempt", "trace", r.TraceID, "n", at.number, "server", name, "result", out.Result.String(), "took", millis(took), "err", out.Err)
-	}
-	err := l.tell(balance.Outcome{
-		Request: r.id, Attempt: at.number, Server: at.id, Result: results[out.Result], Took: millis(took), Finished: r.closed,
-		Report: out.LoadReport, Spent: r.Message.Remainder != nil && r.Message.Remainder.Consumed(),
-	})
-	if err != nil && r.out == 0 { // the module does not know of it, so nothing more would come
-		l.finish(r.id, front.Answer{Verdict: front.Failed})
-	}
-	l.removeIfOver(r)
 }
 
-func (l *Loop) cancelAttempt(a *balance.Action) {
-	r := l.requests[a.Request]
-	if r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) || r.attempts[a.Attempt].done {
+// logAttempt logs an attempt that was not served, unless it was abandoned on this side.
+func (l *Loop) logAttempt(a *attempt, out upstream.Outcome, took time.Duration) {
+	abandoned := errors.Is(out.Err, context.Canceled) || errors.Is(out.Err, upstream.ErrClientGone)
+	if out.Result == upstream.Served || abandoned {
 		return
 	}
-	at := r.attempts[a.Attempt]
-	result := upstream.Cancelled
-	if at.call.Claim() { // nothing of it has left
-		result = upstream.NotSent
+	name := ""
+	if a.server != nil {
+		name = a.server.name
 	}
-	at.cancel()
-	l.later = append(l.later, func() { l.attemptEnded(at, upstream.Outcome{Result: result, Err: context.Canceled}) })
+	l.log.Info("attempt", "trace", a.request.TraceID, "n", a.number, "server", name, "result", out.Result.String(),
+		"took", toMillis(took), "err", out.Err)
 }
 
-func (l *Loop) probe(id balance.ServerID) {
-	s := l.servers[id]
-	if s == nil {
-		l.later = append(l.later, func() { l.tell(balance.ProbeResult{Server: id, Result: balance.ConnectFailed}) })
+// cancelAttempt abandons an attempt at the module's request. The module learns of its end once all actions are carried out.
+func (l *Loop) cancelAttempt(action *balance.Action) {
+	r := l.requests[action.Request]
+	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) || r.attempts[action.Attempt].ended {
 		return
 	}
-	began := time.Now()
-	go func() {
-		out := s.end.CheckHealth(l.ctx)
-		l.post(func() {
-			l.tell(balance.ProbeResult{Server: id, Result: results[out.Result], Took: millis(time.Since(began)), Report: out.LoadReport})
-		})
-	}()
+	a := r.attempts[action.Attempt]
+	result := upstream.Cancelled
+	if a.call.Claim() { // nothing of it was sent
+		result = upstream.NotSent
+	}
+	a.cancel()
+	l.deferred = append(l.deferred, func() { l.attemptEnded(a, upstream.Outcome{Result: result, Err: context.Canceled}) })
 }
--- a/internal/sidecar/core/gone_test.go
+++ b/internal/sidecar/core/client_gone_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -11,40 +12,40 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// What waits for its connection when the client goes does not begin any more, and is over at once, also where the settings let
-// no attempt be cancelled.
+// An attempt that waits for its connection when the client disconnects is not sent, and the request is over at once, even if the
+// settings do not allow to cancel attempts.
 func TestNothingBeginsOnceTheClientHasGone(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		in(t, []string{"a"}, func(r *rig) {
-			r.servers.cutOff.Store(true)
-			a := r.ask("t", unsafe)
+		withCore(t, []string{"a"}, func(r *testCore) {
+			r.servers.unreachable.Store(true)
+			a := r.request("t", unsafe)
 			synctest.Wait()
 			began := time.Now()
-			a.hangUp()
-			r.is(a, 0, context.Canceled)
+			a.disconnect()
+			r.expect(a, 0, context.Canceled)
 			synctest.Wait()
 			if s := r.Stats(); s.Requests != 0 || time.Since(began) != 0 {
-				t.Errorf("cancel %v: %d requests are held", cancel, s.Requests)
+				t.Errorf("cancel %v: %d requests in the table", cancel, s.Requests)
 			}
 			time.Sleep(2 * time.Second)
-			r.empty(0)
+			r.expectNoRequests(0)
 		}, func(c *balance.Config) { c.Cancel = cancel })
 	}
 }
 
-// A hang-up that waits behind the loop's other work: what the loop decides before it sees the hang-up is not sent.
+// The event that the client has gone waits behind others: what the loop decides before it handles that event is not sent.
 func TestAHangUpBehindALongQueue(t *testing.T) {
-	in(t, []string{"a", "b"}, func(r *rig) {
-		a := r.ask("t", unsafe)
+	withCore(t, []string{"a", "b"}, func(r *testCore) {
+		a := r.request("t", unsafe)
 		x := <-r.servers.sent
 		before, behind := make(chan struct{}), make(chan struct{})
 		r.post(func() { <-before })
-		x.end <- upstream.Outcome{Result: upstream.Rejected} // which has another try
+		x.outcome <- upstream.Outcome{Result: upstream.Rejected} // the module retries
 		synctest.Wait()
 		r.post(func() { <-behind })
-		a.hangUp()
+		a.disconnect()
 		synctest.Wait()
-		close(before) // the other try is decided now, and the hang-up is not seen yet
+		close(before) // the retry is decided now, before the client's end is handled
 		synctest.Wait()
 		select {
 		case x := <-r.servers.sent:
@@ -54,20 +55,20 @@
 		}
 		close(behind)
 		synctest.Wait()
-		r.is(a, 0, context.Canceled)
-		r.empty(1) // until its time is up
+		r.expect(a, 0, context.Canceled)
+		r.expectNoRequests(1) // until the deadline
 	})
 }
 
-// The client's end is seen by whoever is about to send, before its front tells: the front hears of it, and nothing is left.
+// The goroutine that is about to send notices first that the client has gone: the front gets that as an error, and no state is left.
 func TestAnEndThatIsSeenFirstByTheSender(t *testing.T) {
-	in(t, []string{"a"}, func(r *rig) {
+	withCore(t, []string{"a"}, func(r *testCore) {
 		gone := func() bool { return true }
 		_, err := r.Answer(r.t.Context(), front.Request{TraceID: "t", Class: safe, Tenant: -1, Arrived: time.Now(), Wait: time.Second, ClientGone: gone})
-		if err != front.ErrClientGone {
+		if !errors.Is(err, front.ErrClientGone) {
 			t.Errorf("%v", err)
 		}
 		time.Sleep(2 * time.Second)
-		r.empty(0)
+		r.expectNoRequests(0)
 	})
 }
--- a/internal/sidecar/core/clock.go
+++ b/internal/sidecar/core/clock.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// clock is the edge between the module's time, Unix time in milliseconds that never goes back, and the times of
-// everything else. The wall clock is read once, since sources say when servers started, and monotonic time is added.
+// clock converts between the module's time, Unix time in milliseconds that never goes back, and time.Time. The wall clock is read once,
+// because sources give the start times of servers as Unix time; from then on monotonic time is added.
 type clock struct {
-	start time.Time
-	unix  float64 // ms
+	start       time.Time
+	startMillis float64 // Unix time
 }
 
 func newClock() clock {
@@ -17,24 +17,25 @@
 	return clock{start, float64(start.UnixMicro()) / 1000}
 }
 
-// now is the present moment.
-func (c clock) now() float64 { return c.at(time.Now()) }
+func (c clock) nowMillis() float64 { return c.millisAt(time.Now()) }
 
-// at is a moment as the module counts it.
-func (c clock) at(t time.Time) float64 { return c.unix + millis(t.Sub(c.start)) }
+// millisAt converts a time to the module's.
+func (c clock) millisAt(t time.Time) float64 { return c.startMillis + toMillis(t.Sub(c.start)) }
 
-// time is the moment at which the clock shows ms.
-func (c clock) time(ms float64) time.Time { return c.start.Add(duration(ms - c.unix)) }
+// timeAt converts the module's time to a time.Time.
+func (c clock) timeAt(millis float64) time.Time {
+	return c.start.Add(toDuration(millis - c.startMillis))
+}
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// duration holds what a Duration can't to the nearest that it can.
-func duration(ms float64) time.Duration {
-	const most = float64(math.MaxInt64 / 2)
-	return time.Duration(max(-most, min(most, ms*float64(time.Millisecond))))
+// toDuration converts milliseconds to a Duration. What a Duration cannot represent becomes the nearest that it can.
+func toDuration(millis float64) time.Duration {
+	const limit = float64(math.MaxInt64 / 2)
+	return time.Duration(max(-limit, min(limit, millis*float64(time.Millisecond))))
 }
 
-// earlier is the first of two moments; zero is none.
+// earlier returns the earlier of two times; a zero time means none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/internal/sidecar/core/fakes_test.go
+++ b/internal/sidecar/core/fakes_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"sync/atomic"
 	"testing"
@@ -15,18 +16,18 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// fakeSource tells what a test has it tell.
+// fakeSource delivers the lists and errors that a test sends it.
 type fakeSource struct {
-	lists chan member.List
-	ends  chan error // of watches
+	lists       chan member.List
+	watchErrors chan error // each ends a watch
 }
 
-func (s *fakeSource) Watch(ctx context.Context, _ uint64, tell func(member.List)) error {
+func (s *fakeSource) Watch(ctx context.Context, _ uint64, onList func(member.List)) error {
 	for {
 		select {
-		case l := <-s.lists:
-			tell(l)
-		case err := <-s.ends:
+		case list := <-s.lists:
+			onList(list)
+		case err := <-s.watchErrors:
 			return err
 		case <-ctx.Done():
 			return ctx.Err()
@@ -37,30 +38,30 @@
 func (s *fakeSource) Fetch(ctx context.Context) (member.List, error) { return <-s.lists, ctx.Err() }
 func (s *fakeSource) Name() string                                   { return "fake" }
 
-// fakeServers hands each exchange to the test, which ends it, whether or not it was given up meanwhile.
+// fakeServers passes each exchange to the test, which ends it, whether or not it was cancelled meanwhile.
 type fakeServers struct {
-	sent   chan *exchange
-	cutOff atomic.Bool // connections never come up
+	sent        chan *exchange
+	unreachable atomic.Bool // connections never come up
 }
 
 type exchange struct {
-	ctx  context.Context
-	addr string
-	call *upstream.Call
-	end  chan upstream.Outcome
+	ctx     context.Context
+	addr    string
+	call    *upstream.Call
+	outcome chan upstream.Outcome
 }
 
 type fakeEndpoint struct {
-	s    *fakeServers
-	addr string
+	servers *fakeServers
+	addr    string
 }
 
-func (s *fakeServers) NewEndpoint() upstream.Endpoint                    { return &fakeEndpoint{s: s} }
+func (s *fakeServers) NewEndpoint() upstream.Endpoint                    { return &fakeEndpoint{servers: s} }
 func (e *fakeEndpoint) CloseIdle()                                       {}
 func (e *fakeEndpoint) CheckHealth(context.Context) (o upstream.Outcome) { return o }
 func (e *fakeEndpoint) Update(addr string, _ bool)                       { e.addr = addr }
 func (e *fakeEndpoint) Send(ctx context.Context, c *upstream.Call) upstream.Outcome {
-	if e.s.cutOff.Load() {
+	if e.servers.unreachable.Load() {
 		<-ctx.Done()
 	}
 	if c.ClientGone() {
@@ -70,50 +71,52 @@
 		return upstream.Outcome{Result: upstream.NotSent}
 	}
 	x := &exchange{ctx, e.addr, c, make(chan upstream.Outcome)}
-	e.s.sent <- x
-	return <-x.end
+	e.servers.sent <- x
+	return <-x.outcome
 }
 
-// noWarnings is a log on which a warning is a failure: the core never tells the module what can't be.
+// noWarnings is a log output on which a warning is a failure: the core never passes an impossible event to the module.
 type noWarnings struct {
-	t   *testing.T
-	off *atomic.Bool // the test itself puts words in the module's mouth
+	t       *testing.T
+	allowed *atomic.Bool // the test itself makes up actions of the module
 }
 
 func (w noWarnings) Write(line []byte) (int, error) {
-	if !w.off.Load() {
+	if !w.allowed.Load() {
 		w.t.Errorf("logged: %s", line)
 	}
 	return len(line), nil
 }
 
-// rig is a core with its fakes, in virtual time; the test's own goroutines are the front.
-type rig struct {
+// testCore is a core with its fakes, in virtual time; the test's own goroutines are the front.
+type testCore struct {
 	*Loop
-	t       *testing.T
-	source  *fakeSource
-	servers *fakeServers
-	end     context.CancelFunc
-	ended   chan struct{}
-	forged  atomic.Bool // the test carries out actions that the module did not ask for
+	t             *testing.T
+	source        *fakeSource
+	servers       *fakeServers
+	stop          context.CancelFunc
+	stopped       chan struct{}
+	allowWarnings atomic.Bool // the test carries out actions that the module did not ask for
 }
 
-// asked is one request that a fake front has handed in.
-type asked struct {
-	answer front.Answer
-	err    error
-	done   chan struct{}
-	hangUp context.CancelFunc
+// pendingRequest is a request that a fake front has passed to the core.
+type pendingRequest struct {
+	answer     front.Answer
+	err        error
+	done       chan struct{}
+	disconnect context.CancelFunc
 }
 
-// in runs a test in virtual time with a core that knows these servers.
-func in(t *testing.T, names []string, test func(r *rig), change ...func(*balance.Config)) {
+// withCore runs a test in virtual time with a core that knows these servers.
+func withCore(t *testing.T, names []string, test func(r *testCore), change ...func(*balance.Config)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		class := func(e balance.Effect) balance.Class {
 			return balance.Class{Effect: e, Window: 500, Aim: 500, Deadline: 1000, Worth: 1}
 		}
-		r := &rig{
-			t: t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)}, ended: make(chan struct{}),
+		r := &testCore{
+			t: t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)},
+			stopped: make(chan struct{}),
 		}
 		module := balance.Config{
 			Seed: 1, Classes: []balance.Class{class(balance.Safe), class(balance.Keyed), class(balance.Unsafe)},
@@ -122,31 +125,33 @@
 		for _, f := range change {
 			f(&module)
 		}
-		log := slog.New(slog.NewTextHandler(noWarnings{t, &r.forged}, &slog.HandlerOptions{Level: slog.LevelWarn}))
-		r.Loop = New(Config{Module: module, Known: list(1, true, names...)}, r.source, r.servers, log)
-		ctx, end := context.WithCancel(t.Context())
-		r.end = end
-		go func() { r.Run(ctx); close(r.ended) }()
+		log := slog.New(slog.NewTextHandler(noWarnings{t, &r.allowWarnings}, &slog.HandlerOptions{Level: slog.LevelWarn}))
+		r.Loop = New(Config{Module: module, Known: completeList(1, names...)}, r.source, r.servers, log)
+		ctx, stop := context.WithCancel(t.Context())
+		r.stop = stop
+		go func() { r.Run(ctx); close(r.stopped) }()
 		test(r)
-		end()
-		<-r.ended
+		stop()
+		<-r.stopped
 	})
 }
 
-func list(generation uint64, whole bool, names ...string) member.List {
-	l := member.List{Generation: generation, Complete: whole}
+func completeList(generation uint64, names ...string) member.List {
+	l := member.List{Generation: generation, Complete: true}
 	for _, name := range names {
 		l.Instances = append(l.Instances, member.Instance{ID: name, Addr: name, Weight: 1})
 	}
 	return l
 }
 
-// ask hands a request in, as a front does.
-func (r *rig) ask(trace string, class int) *asked { return r.askWith(trace, class, message.Request{}) }
+// request passes a request to the core, as a front does.
+func (r *testCore) request(trace string, class int) *pendingRequest {
+	return r.requestWith(trace, class, message.Request{})
+}
 
-func (r *rig) askWith(trace string, class int, m message.Request) *asked {
+func (r *testCore) requestWith(trace string, class int, m message.Request) *pendingRequest {
 	ctx, cancel := context.WithCancel(r.t.Context())
-	a := &asked{done: make(chan struct{}), hangUp: cancel}
+	a := &pendingRequest{done: make(chan struct{}), disconnect: cancel}
 	go func() {
 		defer close(a.done)
 		a.answer, a.err = r.Answer(ctx, front.Request{
@@ -156,22 +161,22 @@
 	return a
 }
 
-// is checks the one answer to a request.
-func (r *rig) is(a *asked, want front.Verdict, err error) {
+// expect checks the one answer to a request.
+func (r *testCore) expect(a *pendingRequest, want front.Verdict, err error) {
 	r.t.Helper()
 	<-a.done
-	if a.err != err || err == nil && a.answer.Verdict != want {
+	if !errors.Is(a.err, err) || err == nil && a.answer.Verdict != want {
 		r.t.Errorf("verdict %v, error %v; want %v, %v", a.answer.Verdict, a.err, want, err)
 	}
 }
 
-// empty checks that nothing of any request is left; with forgotten, nor of their ids.
-func (r *rig) empty(ids int) {
+// expectNoRequests checks that no request is in the table and that so many ids are reserved.
+func (r *testCore) expectNoRequests(ids int) {
 	r.t.Helper()
 	synctest.Wait()
 	if s := r.Stats(); s.Requests != 0 || s.IDs != ids {
-		r.t.Errorf("%d requests and %d ids are held, want 0 and %d", s.Requests, s.IDs, ids)
+		r.t.Errorf("%d requests in the table and %d ids reserved, want 0 and %d", s.Requests, s.IDs, ids)
 	}
 }
 
-func (x *exchange) serve() { x.end <- upstream.Outcome{Result: upstream.Served} }
+func (x *exchange) serve() { x.outcome <- upstream.Outcome{Result: upstream.Served} }
--- a/internal/sidecar/core/ids.go
+++ b/internal/sidecar/core/ids.go
@@ -2,64 +2,64 @@
 
 import "time"
 
-// ids are those of requests in the table, and of those whose time is not up yet: a copy that comes late must not run
-// either. They are forgotten in batches, each when the last of it may be.
+// ids holds the trace ids that must not be accepted: those of requests in the table, and those of earlier requests whose deadline has not
+// passed, since a late copy of a request must not be executed either. Ids are released in batches, each when its last id may be.
 type ids struct {
-	held    map[string]struct{}
-	start   time.Time
-	batches map[int64][]string // by the number of the batch
-	next    time.Time          // when a batch may be due; zero: there is none
+	reserved   map[string]struct{}
+	start      time.Time
+	batches    map[int64][]string // by batch number
+	nextExpiry time.Time          // when the first batch may expire; zero: there is none
 }
 
-// batch is how much longer than it must an id may be held.
-const batch = 250 * time.Millisecond
+// batchInterval is the time that a batch covers: how much longer than necessary an id may stay reserved.
+const batchInterval = 250 * time.Millisecond
 
 func newIDs() ids {
-	return ids{held: map[string]struct{}{}, start: time.Now(), batches: map[int64][]string{}}
+	return ids{reserved: map[string]struct{}{}, start: time.Now(), batches: map[int64][]string{}}
 }
 
-// take holds an id; false: it is held already.
-func (i *ids) take(id string) bool {
-	if _, held := i.held[id]; held {
+// reserve reserves an id; false: it is reserved already.
+func (i *ids) reserve(id string) bool {
+	if _, reserved := i.reserved[id]; reserved {
 		return false
 	}
-	i.held[id] = struct{}{}
+	i.reserved[id] = struct{}{}
 	return true
 }
 
-// until has an id forgotten soon after a moment.
-func (i *ids) until(id string, end time.Time) {
-	n := int64(end.Sub(i.start)/batch) + 1
+// releaseAt has an id released soon after a time.
+func (i *ids) releaseAt(id string, expiry time.Time) {
+	n := int64(expiry.Sub(i.start)/batchInterval) + 1
 	i.batches[n] = append(i.batches[n], id)
-	i.next = earlier(i.next, i.end(n))
+	i.nextExpiry = earlier(i.nextExpiry, i.batchEnd(n))
 }
 
-func (i *ids) end(n int64) time.Time { return i.start.Add(time.Duration(n) * batch) }
+func (i *ids) batchEnd(n int64) time.Time { return i.start.Add(time.Duration(n) * batchInterval) }
 
-// all is the ids that are no request's any more, with the moment until which they are held.
-func (i *ids) all() map[string]time.Time {
-	all := map[string]time.Time{}
+// expiries returns the ids of requests that are over, with the times until which they are reserved.
+func (i *ids) expiries() map[string]time.Time {
+	expiries := map[string]time.Time{}
 	for n, batch := range i.batches {
 		for _, id := range batch {
-			all[id] = i.end(n)
+			expiries[id] = i.batchEnd(n)
 		}
 	}
-	return all
+	return expiries
 }
 
-// forget drops what is due.
-func (i *ids) forget(now time.Time) {
-	if i.next.IsZero() || now.Before(i.next) {
+// releaseExpired releases the batches that have expired.
+func (i *ids) releaseExpired(now time.Time) {
+	if i.nextExpiry.IsZero() || now.Before(i.nextExpiry) {
 		return
 	}
-	i.next = time.Time{}
-	for n, all := range i.batches {
-		if end := i.end(n); now.Before(end) {
-			i.next = earlier(i.next, end)
+	i.nextExpiry = time.Time{}
+	for n, batch := range i.batches {
+		if end := i.batchEnd(n); now.Before(end) {
+			i.nextExpiry = earlier(i.nextExpiry, end)
 			continue
 		}
-		for _, id := range all {
-			delete(i.held, id)
+		for _, id := range batch {
+			delete(i.reserved, id)
 		}
 		delete(i.batches, n)
 	}
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -1,11 +1,13 @@
-// Package core is the life of a request, from 'taken' to 'its last attempt has ended': one goroutine, the loop, owns the
-// decision module, its timers, and the tables of requests and servers, and carries out what the module decides. It takes
-// no decision of its own, and it knows neither HTTP nor sockets: fronts hand requests in, sources tell of servers, and
-// the servers' side carries out exchanges, each through the seam of its own package.
+// Package core keeps each request from its acceptance until its last attempt has ended. One goroutine, the loop, owns the decision
+// module, the module's timers and the tables of requests and servers, and carries out what the module decides. The core decides nothing
+// itself, and it knows neither HTTP nor sockets: fronts pass requests to it, sources deliver lists of servers, and the servers' side
+// carries out exchanges, each through an interface of its own package (front, member, upstream).
 //
-// Invariants: only the loop's goroutine reaches the module and the tables; a request gets one answer, and stays in its
-// table until its last attempt has ended; an attempt has one end, told to the module once; an id is not taken again
-// before the time of the request that had it is up.
+// Invariants: only the loop's goroutine reaches the module and the tables; a request gets one answer, and stays in its table until its
+// last attempt has ended; an attempt has one end, which the module is given once; a trace id is not accepted again before the deadline
+// of the request that had it has passed.
+//
+// Answer, Replace, Snapshot and Stats are safe for concurrent use; all other methods run in the loop.
 package core
 
 import (
@@ -19,48 +21,52 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// Config is what the core is told.
+// Config is the configuration of a Loop.
 type Config struct {
-	Module            balance.Config
-	Names                         // that stand for positions in the module
-	Known             member.List // the list of servers as last had; it may be old
-	Previous          *Snapshot   // of the process before; nil: there was none. Its list counts where it is of the same source
-	OnServerAvailable func()      // called, in the loop, when a server is first known that takes requests; nil: nobody is told
+	Module   balance.Config
+	Names                // of the positions in Module
+	Known    member.List // the last known list of servers, which may be out of date
+	Previous *Snapshot   // of the previous process; nil: there was none. Its list replaces Known if it is of the same source
+	// OnServerAvailable is called once, in the loop, when the first server that accepts requests is known; may be nil.
+	OnServerAvailable func()
 }
 
 // Loop owns the decision module, its timers, and the tables of requests and servers. One goroutine runs it;
 // others hand it functions to run there.
 type Loop struct {
-	clock  clock
-	config Config
-	b      *balance.Balancer
-	up     upstream.Servers
-	log    *slog.Logger
-	events chan func()
-	ended  chan struct{}
+	clock     clock
+	config    Config
+	balancer  *balance.Balancer
+	endpoints upstream.Servers
+	log       *slog.Logger
+	events    chan func()
+	ended     chan struct{}
 
 	// Owned by the loop's goroutine.
-	ctx       context.Context
-	source    member.Source
-	timers    timers
-	requests  map[balance.RequestID]*request
-	ids       ids
-	lastID    balance.RequestID
-	servers   map[balance.ServerID]*server
-	listed    map[string]member.Instance // by id, all that are not gone
-	cursor    member.Cursor
-	ready     bool // a server was known that takes requests
-	stopWatch context.CancelFunc
-	later     []func() // outcomes that an action had at once
+	ctx             context.Context
+	source          member.Source
+	timers          timers
+	requests        map[balance.RequestID]*request
+	ids             ids
+	lastID          balance.RequestID
+	servers         map[balance.ServerID]*server
+	instances       map[string]member.Instance // the current list, by instance id
+	cursor          member.Cursor
+	serverAvailable bool // a server that accepts requests has been known
+	stopWatch       context.CancelFunc
+	deferred        []func() // outcomes that were known while actions were carried out
 }
 
-// New makes a loop; Run runs it.
-func New(c Config, source member.Source, up upstream.Servers, log *slog.Logger) *Loop {
+// eventQueueSize is how many functions may wait for the loop before those who post them wait.
+const eventQueueSize = 1024
+
+// New returns a loop; Run runs it.
+func New(c Config, source member.Source, endpoints upstream.Servers, log *slog.Logger) *Loop {
 	return &Loop{
-		clock: newClock(), config: c, b: balance.New(c.Module), up: up, source: source, log: log,
-		events: make(chan func(), 1024), ended: make(chan struct{}),
+		clock: newClock(), config: c, balancer: balance.New(c.Module), endpoints: endpoints, source: source, log: log,
+		events: make(chan func(), eventQueueSize), ended: make(chan struct{}),
 		requests: map[balance.RequestID]*request{}, ids: newIDs(), servers: map[balance.ServerID]*server{},
-		listed: map[string]member.Instance{},
+		instances: map[string]member.Instance{},
 	}
 }
 
@@ -68,25 +74,7 @@
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.ended)
 	l.ctx = ctx
-	legacy := l.config.Previous
-	if legacy != nil && legacy.Source == l.source.Name() {
-		l.config.Known = legacy.List
-	}
-	l.cursor = member.Cursor{Zones: l.config.Zones, Kinds: l.config.Kinds}
-	l.config.Known.Complete = true
-	if err := l.cursor.Accept(l.config.Known); err != nil {
-		l.log.Warn("the list last known is not taken", "err", err)
-		l.config.Known = member.List{}
-	}
-	l.carryOut(l.b.Start(l.clock.now())) // the first watch asks for what came after it
-	l.list(l.config.Known, balance.ListCached)
-	if legacy != nil {
-		l.inherit(legacy)
-		l.config.Previous = nil
-	}
-	if !l.config.Module.Subscribe { // news comes unasked: the module does not call for what brings it
-		l.watch()
-	}
+	l.start()
 	tick := time.NewTimer(0)
 	defer tick.Stop()
 	for {
@@ -97,27 +85,50 @@
 			f()
 		case <-tick.C:
 		}
-		l.fire()
-		tick.Reset(l.idle())
+		l.fireTimers()
+		tick.Reset(l.untilNextTimer())
+	}
+}
+
+// start applies the last known list and the previous process's snapshot, and opens the first watch where the module does not.
+func (l *Loop) start() {
+	previous := l.config.Previous
+	if previous != nil && previous.Source == l.source.Name() {
+		l.config.Known = previous.List
+	}
+	l.cursor = member.Cursor{Zones: l.config.Zones, Kinds: l.config.Kinds}
+	l.config.Known.Complete = true
+	if err := l.cursor.Accept(l.config.Known); err != nil {
+		l.log.Warn("the list last known is not taken", "err", err)
+		l.config.Known = member.List{}
+	}
+	l.carryOut(l.balancer.Start(l.clock.nowMillis())) // the first watch requests what follows the known list
+	l.applyList(l.config.Known, balance.ListCached)
+	if previous != nil {
+		l.restore(previous)
+		l.config.Previous = nil
+	}
+	if !l.config.Module.Subscribe { // lists are pushed: the module does not ask for a watch
+		l.watch()
 	}
 }
 
-// forgetEvery is how often ids are forgotten where nothing else happens: an idle sidecar sleeps.
-const forgetEvery = time.Second
+// idReleaseInterval is how often ids are released while nothing else happens, so that an idle sidecar sleeps.
+const idReleaseInterval = time.Second
 
-// idle is how long nothing is due.
-func (l *Loop) idle() time.Duration {
+// untilNextTimer returns how long the loop may sleep if nothing is posted.
+func (l *Loop) untilNextTimer() time.Duration {
 	wait := time.Hour
-	if !l.ids.next.IsZero() {
-		wait = forgetEvery
+	if !l.ids.nextExpiry.IsZero() {
+		wait = idReleaseInterval
 	}
 	if len(l.timers) > 0 {
-		wait = min(wait, max(0, time.Until(l.timers[0].due)))
+		wait = min(wait, max(0, time.Until(l.timers[0].deadline)))
 	}
 	return wait
 }
 
-// post has f run in the loop.
+// post has f run in the loop; after the loop's end f is dropped. It waits while the queue is full.
 func (l *Loop) post(f func()) {
 	select {
 	case l.events <- f:
@@ -125,22 +136,25 @@
 	}
 }
 
-// tell hands the module an event and carries out what it decides.
-func (l *Loop) tell(ev balance.Event) error {
-	actions, err := l.b.Handle(l.clock.now(), ev)
+// handle passes an event to the module and carries out its actions. An error means that the module rejected the event.
+func (l *Loop) handle(event balance.Event) error {
+	actions, err := l.balancer.Handle(l.clock.nowMillis(), event)
 	if err != nil {
 		l.log.Warn("the module refuses an event", "err", err)
 		return err
 	}
 	l.carryOut(actions)
-	for len(l.later) > 0 { // only now: actions are valid until the next event
-		f := l.later[0]
-		l.later = l.later[1:]
+	for len(l.deferred) > 0 { // only now: the actions are valid until the next event
+		f := l.deferred[0]
+		l.deferred = l.deferred[1:]
 		f()
 	}
 	return nil
 }
 
+// notify passes an event to the module. That the module rejected it is logged, and changes nothing for the caller.
+func (l *Loop) notify(event balance.Event) { _ = l.handle(event) }
+
 func (l *Loop) carryOut(actions []balance.Action) {
 	for i := range actions {
 		a := &actions[i]
@@ -148,7 +162,7 @@
 		case balance.Send:
 			l.send(a)
 		case balance.Refuse:
-			l.finish(a.Request, front.Answer{Verdict: front.Refused, RetryAfter: duration(a.At)})
+			l.finish(a.Request, front.Answer{Verdict: front.Refused, RetryAfter: toDuration(a.At)})
 		case balance.Fail:
 			l.finish(a.Request, front.Answer{Verdict: front.Failed})
 		case balance.Cancel:
@@ -156,13 +170,13 @@
 		case balance.SetTimer:
 			l.setTimer(a)
 		case balance.Probe:
-			l.probe(a.Server)
+			l.checkHealth(a.Server)
 		case balance.CloseIdle:
 			if s := l.servers[a.Server]; s != nil {
-				s.end.CloseIdle()
+				s.endpoint.CloseIdle()
 			}
 		case balance.Watch:
-			if l.stopWatch == nil { // else one is open or on its way, and would lose its turn
+			if l.stopWatch == nil { // otherwise a watch is open or being opened, and would have to start again
 				l.watch()
 			}
 		case balance.Fetch:
@@ -173,39 +187,41 @@
 	}
 }
 
-// setTimer sets one of the module's timers. It need not come back once the request that it is for is over.
+// timerDelay is added to the module's timers: an attempt that times out at the same moment comes first, as the module expects.
+const timerDelay = 20 * time.Microsecond
+
+// setTimer sets a timer of the module. A timer for a request that is over is not set.
 func (l *Loop) setTimer(a *balance.Action) {
 	r := l.requests[a.Request]
 	if r == nil && a.Request != 0 {
 		return
 	}
-	// A hair later: an attempt that times out at the same moment comes first, as the module expects.
-	due := time.Now().Add(duration(a.At) + 20*time.Microsecond)
+	deadline := time.Now().Add(toDuration(a.At) + timerDelay)
 	if r == nil {
-		l.timers.set(&timer{due: due, token: a.Token})
+		l.timers.add(&timer{deadline: deadline, token: a.Token})
 		return
 	}
 	for _, t := range r.timers {
-		if t.at < 0 { // it has been handed out
-			t.due, t.token = due, a.Token
-			l.timers.set(t)
+		if t.index < 0 { // it has fired and can be used again
+			t.deadline, t.token = deadline, a.Token
+			l.timers.add(t)
 			return
 		}
 	}
-	t := &timer{due: due, token: a.Token}
+	t := &timer{deadline: deadline, token: a.Token}
 	r.timers = append(r.timers, t)
-	l.timers.set(t)
+	l.timers.add(t)
 }
 
-// fire hands out the timers that are due.
-func (l *Loop) fire() {
+// fireTimers handles the timers whose deadline has passed.
+func (l *Loop) fireTimers() {
 	now := time.Now()
-	l.ids.forget(now)
-	for t := l.timers.due(now); t != nil; t = l.timers.due(time.Now()) {
+	l.ids.releaseExpired(now)
+	for t := l.timers.popExpired(now); t != nil; t = l.timers.popExpired(time.Now()) {
 		if t.attempt != nil {
 			l.attemptEnded(t.attempt, upstream.Outcome{Result: upstream.TimedOut})
 		} else {
-			l.tell(balance.Timer{Token: t.token})
+			l.notify(balance.Timer{Token: t.token})
 		}
 	}
 }
--- a/internal/sidecar/core/request.go
+++ b/internal/sidecar/core/request.go
@@ -10,109 +10,117 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// answerMargin is how long before the client's time is up its answer is due: timers and writes take time.
-const answerMargin = 4 * time.Millisecond
-
-// longestUpload is for how long the id of a request is held whose body is still coming: as long as the largest takes from a
-// client of a pace that is served.
-const longestUpload = 15 * time.Minute
-
-// written: the last byte of a request whose body was passed on has left for its server.
-func (l *Loop) written(at *attempt) {
-	r := at.r
-	if at.done || r.closed || r.Message.Remainder == nil {
-		return
-	}
-	r.deadline = time.Now().Add(r.Wait - min(answerMargin, r.Wait/10))
-	at.timer = &timer{due: r.deadline, attempt: at}
-	l.timers.set(at.timer)
-	l.tell(balance.Written{Request: r.id, Attempt: at.number})
-}
+const (
+	// answerMargin is how long before the client's deadline its answer is due, because timers and writes take time.
+	answerMargin = 4 * time.Millisecond
+	// maxUploadTime is how long the id of a request is reserved whose body is still arriving: as long as the largest body takes from
+	// the slowest client that is served.
+	maxUploadTime = 15 * time.Minute
+	// minRemaining is the least remaining time, in ms, that the module accepts.
+	minRemaining = 1e-3
+)
 
 // request is a client's request until it is answered and its last attempt has ended.
 type request struct {
 	front.Request
-	id       balance.RequestID
-	effect   balance.Effect
-	window   float64 // ms
-	deadline time.Time
-	answer   chan answer // takes one
-	gone     func() bool // its client has gone; whoever is about to send asks, for the hang-up may wait behind much else
-	closed   bool
-	attempts []*attempt
-	timers   []*timer // the module's
-	out      int
+	id           balance.RequestID
+	effect       balance.Effect
+	windowMillis float64
+	deadline     time.Time
+	answer       chan answer // has room for the one answer
+	// isClientGone reports whether the client has gone. Whoever is about to send calls it: the loop may learn of it much later, because
+	// the event waits behind others.
+	isClientGone func() bool
+	closed       bool // answered, or the client has gone
+	attempts     []*attempt
+	timers       []*timer // the module's
+	inFlight     int      // attempts that have not ended
 }
 
-// answer is what a front gets: an answer, or why the request was not taken.
+// answer is what Answer returns: an answer, or why there is none.
 type answer struct {
 	front.Answer
 	err error
 }
 
-// Answer hands a request in and waits for its answer, as front.Core says.
+// timeLimit is how long after Arrived, or after the last byte of a streamed body, the request is answered at the latest.
+func (r *request) timeLimit() time.Duration { return r.Wait - min(answerMargin, r.Wait/10) }
+
+// Answer passes a request to the loop and waits for its answer; see front.Core.
 func (l *Loop) Answer(ctx context.Context, in front.Request) (front.Answer, error) {
 	r := &request{Request: in, answer: make(chan answer, 1)}
-	r.gone = func() bool { return ctx.Err() != nil || in.ClientGone != nil && in.ClientGone() }
+	r.isClientGone = func() bool { return ctx.Err() != nil || in.ClientGone != nil && in.ClientGone() }
 	l.post(func() { l.accept(r) })
 	select {
 	case a := <-r.answer:
 		return a.Answer, a.err
 	case <-ctx.Done():
-		l.post(func() { l.hangUp(r) })
+		l.post(func() { l.onClientGone(r) })
 		return front.Answer{}, ctx.Err()
 	case <-l.ended:
 	}
 	select {
-	case a := <-r.answer: // given before the end
+	case a := <-r.answer: // given before the loop ended
 		return a.Answer, a.err
 	default:
 		return front.Answer{}, front.ErrEnded
 	}
 }
 
-// reject turns down what was not taken.
+// reject ends a request that is not accepted.
 func (l *Loop) reject(r *request, err error) {
 	r.closed = true
 	r.answer <- answer{err: err}
 }
 
-// accept takes a request in, unless its id is in use or the module cannot take it.
+// accept adds a request to the table and passes it to the module, unless its id is reserved or the module rejects it.
 func (l *Loop) accept(r *request) {
 	if r.Class < 0 || r.Class >= len(l.config.Module.Classes) {
 		l.reject(r, front.ErrInvalid)
 		return
 	}
-	if !l.ids.take(r.TraceID) {
+	if !l.ids.reserve(r.TraceID) {
 		l.reject(r, front.ErrInUse)
 		return
 	}
 	class := &l.config.Module.Classes[r.Class]
 	l.lastID++
-	r.id, r.effect, r.window = l.lastID, class.Effect, class.Window
-	open := r.Message.Remainder != nil
-	r.deadline = r.Arrived.Add(r.Wait - min(answerMargin, r.Wait/10))
-	if open { // its time begins with its last byte
-		r.deadline = r.Arrived.Add(longestUpload)
+	r.id, r.effect, r.windowMillis = l.lastID, class.Effect, class.Window
+	streamed := r.Message.Remainder != nil
+	r.deadline = r.Arrived.Add(r.timeLimit())
+	if streamed { // the time limit begins with the last byte
+		r.deadline = r.Arrived.Add(maxUploadTime)
 	}
 	l.requests[r.id] = r
-	ev := balance.Request{
-		ID: r.id, Class: r.Class, Tenant: r.Tenant, WorkHint: millis(r.WorkHint),
-		Remaining: math.Max(millis(time.Until(r.deadline)), 1e-3), Repeat: r.ClientRetry, Open: open,
+	event := balance.Request{
+		ID: r.id, Class: r.Class, Tenant: r.Tenant, WorkHint: toMillis(r.WorkHint),
+		Remaining: math.Max(toMillis(time.Until(r.deadline)), minRemaining), Repeat: r.ClientRetry, Open: streamed,
 	}
-	if open {
-		ev.Remaining = math.Max(millis(r.Wait-min(answerMargin, r.Wait/10)), 1e-3)
+	if streamed {
+		event.Remaining = math.Max(toMillis(r.timeLimit()), minRemaining)
 	}
 	if r.AffinityKey != "" {
-		ev.Key = stableHash(r.AffinityKey)
+		event.Key = stableHash(r.AffinityKey)
 	}
-	if err := l.tell(ev); err != nil {
+	if err := l.handle(event); err != nil {
 		l.remove(r)
 		l.reject(r, front.ErrInvalid)
 	}
 }
 
-// finish gives a request its one answer. Later ones are dropped.
+// onRequestWritten handles that the last byte of a streamed request was sent: the time limit of request and attempt begins.
+func (l *Loop) onRequestWritten(a *attempt) {
+	r := a.request
+	if a.ended || r.closed || r.Message.Remainder == nil {
+		return
+	}
+	r.deadline = time.Now().Add(r.timeLimit())
+	a.timeout = &timer{deadline: r.deadline, attempt: a}
+	l.timers.add(a.timeout)
+	l.notify(balance.Written{Request: r.id, Attempt: a.number})
+}
+
+// finish gives a request its answer, unless it has one.
 func (l *Loop) finish(id balance.RequestID, a front.Answer) {
 	if r := l.requests[id]; r != nil && !r.closed {
 		r.closed = true
@@ -121,36 +129,36 @@
 	}
 }
 
-// hangUp: the client has gone away.
-func (l *Loop) hangUp(r *request) {
+// onClientGone handles that the client has gone away.
+func (l *Loop) onClientGone(r *request) {
 	if r.closed {
 		select {
-		case a := <-r.answer: // it crossed with the hang-up, and nobody takes it any more
+		case a := <-r.answer: // it was given at the same time, and nobody receives it any more
 			a.Reply.Done()
 		default:
 		}
 		return
 	}
 	r.closed = true
-	for _, at := range r.attempts { // what has not begun does not begin any more, whether or not attempts may be cancelled
-		if !at.done && at.call.Claim() {
-			at.cancel()
-			l.attemptEnded(at, upstream.Outcome{Result: upstream.NotSent, Err: upstream.ErrClientGone})
+	for _, a := range r.attempts { // what was not sent is not sent any more, even if the settings do not allow to cancel attempts
+		if !a.ended && a.call.Claim() {
+			a.cancel()
+			l.attemptEnded(a, upstream.Outcome{Result: upstream.NotSent, Err: upstream.ErrClientGone})
 		}
 	}
-	l.tell(balance.HangUp{Request: r.id})
+	l.notify(balance.HangUp{Request: r.id})
 	l.removeIfOver(r)
 }
 
 func (l *Loop) removeIfOver(r *request) {
-	if r.closed && r.out == 0 && l.requests[r.id] == r {
+	if r.closed && r.inFlight == 0 && l.requests[r.id] == r {
 		l.remove(r)
 	}
 }
 
 func (l *Loop) remove(r *request) {
 	delete(l.requests, r.id)
-	// A copy that comes late must not run either. Ids are never used again, so they are kept no longer than that.
-	l.ids.until(r.TraceID, r.deadline)
-	l.timers.stop(r.timers...)
+	// A late copy must not be executed either. Clients do not reuse ids, so an id is reserved only until the deadline.
+	l.ids.releaseAt(r.TraceID, r.deadline)
+	l.timers.remove(r.timers...)
 }
--- a/internal/sidecar/core/snapshot.go
+++ b/internal/sidecar/core/snapshot.go
@@ -10,95 +10,110 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// Snapshot is what one process of a sidecar hands to the next: the list with its generation, the ids that must not be taken
-// again, and what the module has learned. Nothing of a request that is open: each process answers what it took.
+// Snapshot is what one process of a sidecar hands over to the next: the list with its generation, the ids that must not be accepted
+// again, and what the module has learned. It has nothing of open requests: each process answers those that it accepted. Its JSON form
+// is read by processes of other versions.
 type Snapshot struct {
-	Source string // the name of the source that the list is of
-	List   member.List
-	IDs    map[string]time.Time // until when; those of open requests as well
-	Module balance.Memory
-	Names  *Names // that the positions in Module stand for; nil: of a version that does not tell
+	Source string               `json:"Source"` // the name of the source of List
+	List   member.List          `json:"List"`
+	IDs    map[string]time.Time `json:"IDs"` // until when each is reserved; those of open requests too
+	Module balance.Memory       `json:"Module"`
+	Names  *Names               `json:"Names"` // of the positions in Module; nil: written by a version that has none
 }
 
-// Names are those of positions in the module.
+// Names are the names of positions in the module.
 type Names struct {
-	Classes, Zones, Kinds []string
-	// Rules are those of each class: its effect, group and window; none: of a version that does not tell.
+	Classes []string `json:"Classes"`
+	Zones   []string `json:"Zones"`
+	Kinds   []string `json:"Kinds"`
+	// Rules has for each class its effect, group and window; empty: written by a version that has none.
 	Rules []string `json:",omitempty"`
 }
 
-// rules are those of classes, as a text to be compared.
-func rules(classes []balance.Class) (all []string) {
+// classRules returns the rules of classes as texts that can be compared.
+func classRules(classes []balance.Class) []string {
+	var rules []string
 	for _, c := range classes {
-		all = append(all, fmt.Sprintf("%d/%d/%g", c.Effect, c.Group, c.Window))
+		rules = append(rules, fmt.Sprintf("%d/%d/%g", c.Effect, c.Group, c.Window))
 	}
-	return all
+	return rules
 }
 
-// placed is what was learned, at the positions that its names have in another process. What has no name there, or is of a class with
-// other rules, is left out. Where a version before did not tell its names, positions stand for themselves if there are as many,
-// and are left out if not.
-func placed(m balance.Memory, was *Names, now Names) balance.Memory {
-	if was == nil {
-		if len(m.Classes) != len(now.Classes) {
-			m.Classes, m.Zones, m.Kinds = nil, nil, nil
+// remapMemory moves what was learned to the positions that its names have in this process. What has no name here, or belongs to a class
+// with other rules, is dropped. If the previous version gave no names, positions keep their meaning if there are as many classes, and
+// everything is dropped if not.
+func remapMemory(memory balance.Memory, previous *Names, current Names) balance.Memory {
+	if previous == nil {
+		if len(memory.Classes) != len(current.Classes) {
+			memory.Classes, memory.Zones, memory.Kinds = nil, nil, nil
 		}
-		return m
+		return memory
 	}
-	same := len(was.Rules) == 0 || slices.Equal(was.Rules, now.Rules)
-	if same && slices.Equal(was.Classes, now.Classes) && slices.Equal(was.Zones, now.Zones) && slices.Equal(was.Kinds, now.Kinds) {
-		return m
+	if previous.equal(current) {
+		return memory
 	}
-	alike := func(i, at int) bool {
-		return i >= len(was.Rules) || at < len(now.Rules) && was.Rules[i] == now.Rules[at]
+	memory.Classes = remapClasses(memory.Classes, previous, current)
+	memory.Zones = remapPositions(memory.Zones, previous.Zones, current.Zones)
+	memory.Kinds = remapPositions(memory.Kinds, previous.Kinds, current.Kinds)
+	return memory
+}
+
+// equal reports whether all positions have the same meaning; rules count only if n has them.
+func (n *Names) equal(other Names) bool {
+	sameRules := len(n.Rules) == 0 || slices.Equal(n.Rules, other.Rules)
+	return sameRules && slices.Equal(n.Classes, other.Classes) && slices.Equal(n.Zones, other.Zones) && slices.Equal(n.Kinds, other.Kinds)
+}
+
+func remapClasses(memories []balance.ClassMemory, previous *Names, current Names) []balance.ClassMemory {
+	sameRules := func(from, to int) bool {
+		return from >= len(previous.Rules) || to < len(current.Rules) && previous.Rules[from] == current.Rules[to]
 	}
-	classes := make([]balance.ClassMemory, len(now.Classes))
-	for i, c := range m.Classes {
-		if at, ok := place(i, was.Classes, now.Classes); ok && at < len(classes) && alike(i, at) {
-			classes[at] = c
+	remapped := make([]balance.ClassMemory, len(current.Classes))
+	for from, memory := range memories {
+		if to, ok := newPosition(from, previous.Classes, current.Classes); ok && to < len(remapped) && sameRules(from, to) {
+			remapped[to] = memory
 		}
 	}
-	m.Classes = classes
-	move := func(all map[int]float64, was, now []string) map[int]float64 {
-		moved := map[int]float64{}
-		for i, v := range all {
-			if at, ok := place(i, was, now); ok {
-				moved[at] = v
-			}
+	return remapped
+}
+
+func remapPositions(values map[int]float64, previous, current []string) map[int]float64 {
+	remapped := map[int]float64{}
+	for from, value := range values {
+		if to, ok := newPosition(from, previous, current); ok {
+			remapped[to] = value
 		}
-		return moved
 	}
-	m.Zones, m.Kinds = move(m.Zones, was.Zones, now.Zones), move(m.Kinds, was.Kinds, now.Kinds)
-	return m
+	return remapped
 }
 
-// place is where a position's name is now; position 0 stands for all where there are no names.
-func place(i int, was, now []string) (at int, ok bool) {
-	if len(was) == 0 && len(now) == 0 {
-		return i, i == 0
+// newPosition returns where a position's name is in current. Without names, position 0 stands for everything.
+func newPosition(from int, previous, current []string) (to int, ok bool) {
+	if len(previous) == 0 && len(current) == 0 {
+		return from, from == 0
 	}
-	if i < 0 || i >= len(was) {
+	if from < 0 || from >= len(previous) {
 		return 0, false
 	}
-	at = slices.Index(now, was[i])
-	return at, at >= 0
+	to = slices.Index(current, previous[from])
+	return to, to >= 0
 }
 
-// Snapshot is what the core would hand over now; ok is false where it has ended. It is read by encode in the loop, since some of
-// it is the loop's own.
+// Snapshot calls encode, in the loop, with what the core would hand over now; encode must not keep it, since some of it is the loop's.
+// It returns false if the loop has ended.
 func (l *Loop) Snapshot(encode func(Snapshot)) (ok bool) {
 	done := make(chan struct{})
 	l.post(func() {
 		defer close(done)
-		whole := member.List{Generation: l.cursor.Generation(), Complete: true}
-		for _, id := range slices.Sorted(maps.Keys(l.listed)) {
-			whole.Instances = append(whole.Instances, l.listed[id])
+		list := member.List{Generation: l.cursor.Generation(), Complete: true}
+		for _, id := range slices.Sorted(maps.Keys(l.instances)) {
+			list.Instances = append(list.Instances, l.instances[id])
 		}
-		ids := l.ids.all()
+		ids := l.ids.expiries()
 		for _, r := range l.requests {
 			ids[r.TraceID] = r.deadline
 		}
-		encode(Snapshot{Source: l.source.Name(), List: whole, IDs: ids, Module: l.b.Memory(), Names: l.names()})
+		encode(Snapshot{Source: l.source.Name(), List: list, IDs: ids, Module: l.balancer.Memory(), Names: l.names()})
 	})
 	select {
 	case <-done:
@@ -108,25 +123,24 @@
 	}
 }
 
-// names are those of this process, with the rules of its classes.
+// names returns the names of this process, with the rules of its classes.
 func (l *Loop) names() *Names {
 	n := l.config.Names
-	n.Rules = rules(l.config.Module.Classes)
+	n.Rules = classRules(l.config.Module.Classes)
 	return &n
 }
 
-// inherit goes on where the process before was, in the loop before anything else.
-func (l *Loop) inherit(from *Snapshot) {
-	for id, until := range from.IDs {
-		if until.After(time.Now()) && l.ids.take(id) {
-			l.ids.until(id, until)
+// restore reserves the ids and recalls what the module of the previous process had learned. It runs before the first request.
+func (l *Loop) restore(previous *Snapshot) {
+	for id, expiry := range previous.IDs {
+		if expiry.After(time.Now()) && l.ids.reserve(id) {
+			l.ids.releaseAt(id, expiry)
 		}
 	}
-	now := l.names()
-	was := from.Names
-	if was != nil && len(was.Rules) > 0 && !(slices.Equal(was.Classes, now.Classes) && slices.Equal(was.Rules, now.Rules)) {
+	before, now := previous.Names, l.names()
+	if before != nil && len(before.Rules) > 0 && (!slices.Equal(before.Classes, now.Classes) || !slices.Equal(before.Rules, now.Rules)) {
 		l.log.Info("other settings than before: learned times are taken where class, effect and window agree",
-			"before", was.Classes, "now", now.Classes)
+			"before", before.Classes, "now", now.Classes)
 	}
-	l.b.Recall(placed(from.Module, from.Names, *now))
+	l.balancer.Recall(remapMemory(previous.Module, previous.Names, *now))
 }
--- a/internal/sidecar/core/snapshot_test.go
+++ b/internal/sidecar/core/snapshot_test.go
@@ -13,8 +13,8 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// legacy is what a core hands over, through its text.
-func (r *rig) legacy() (l Snapshot) {
+// snapshot returns what a core hands over, encoded and decoded.
+func (r *testCore) snapshot() (l Snapshot) {
 	r.t.Helper()
 	var text []byte
 	var err error
@@ -27,69 +27,73 @@
 	return l
 }
 
-// successor runs a core that goes on where another was; stop ends it.
-func (r *rig) successor(from Snapshot) (next *rig, stop func()) {
-	next = &rig{t: r.t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)}, ended: make(chan struct{})}
-	next.Loop = New(Config{Module: r.config.Module, Known: list(1, true, "outdated"), Previous: &from}, next.source, next.servers, r.log)
+// successor runs a core that continues from another's snapshot; stop ends it.
+func (r *testCore) successor(from Snapshot) (next *testCore, stop func()) {
+	r.t.Helper()
+	next = &testCore{
+		t: r.t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)},
+		stopped: make(chan struct{}),
+	}
+	next.Loop = New(Config{Module: r.config.Module, Known: completeList(1, "outdated"), Previous: &from}, next.source, next.servers, r.log)
 	ctx, cancel := context.WithCancel(r.t.Context())
-	go func() { next.Run(ctx); close(next.ended) }()
-	return next, func() { cancel(); <-next.ended }
+	go func() { next.Run(ctx); close(next.stopped) }()
+	return next, func() { cancel(); <-next.stopped }
 }
 
-// The next process has the list as the one before was told it: changes, drains, servers that are gone, and the generation after
-// which it asks on. Nothing goes to a server that drains, from its first moment on.
+// The next process has the list of the previous one: changes, draining servers, removed servers, and the generation after which it
+// continues. It sends nothing to a draining server from its first moment on.
 func TestTheListIsHandedOver(t *testing.T) {
-	in(t, []string{"a", "b", "c", "d"}, func(r *rig) {
+	withCore(t, []string{"a", "b", "c", "d"}, func(r *testCore) {
 		r.source.lists <- member.List{Generation: 7, Instances: []member.Instance{
 			{ID: "a", Addr: "a", Weight: 1, State: member.Draining}, {ID: "b", State: member.Removed},
 			{ID: "c", Addr: "c2", Weight: 2, Zone: "z", Cell: 3, Started: time.Now()},
 		}}
 		synctest.Wait()
-		from := r.legacy()
+		from := r.snapshot()
 		if from.List.Generation != 7 || len(from.List.Instances) != 3 {
 			t.Fatalf("%+v", from.List)
 		}
 		next, stop := r.successor(from)
 		defer stop()
-		if again := next.legacy(); !reflect.DeepEqual(again.List, from.List) {
+		if again := next.snapshot(); !reflect.DeepEqual(again.List, from.List) {
 			t.Errorf("%+v\n%+v", again.List, from.List)
 		}
 		for range 20 {
-			a := next.ask(time.Now().String(), safe)
+			a := next.request(time.Now().String(), safe)
 			x := <-next.servers.sent
 			if x.addr != "c2" && x.addr != "d" {
 				t.Errorf("sent to %q", x.addr)
 			}
 			x.serve()
-			next.is(a, front.Served, nil)
+			next.expect(a, front.Served, nil)
 			time.Sleep(time.Millisecond)
 		}
 	})
 }
 
-// An id that is open, or whose time is not up, is taken for the next process too, and free again when its time is.
+// The id of a request that is open, or whose deadline has not passed, is reserved in the next process too, until the deadline.
 func TestIDsAreHandedOver(t *testing.T) {
-	in(t, []string{"a"}, func(r *rig) {
-		answered := r.ask("answered", unsafe)
+	withCore(t, []string{"a"}, func(r *testCore) {
+		answered := r.request("answered", unsafe)
 		(<-r.servers.sent).serve()
-		r.is(answered, front.Served, nil)
-		open := r.ask("open", unsafe)
+		r.expect(answered, front.Served, nil)
+		open := r.request("open", unsafe)
 		x := <-r.servers.sent
-		next, stop := r.successor(r.legacy())
+		next, stop := r.successor(r.snapshot())
 		defer stop()
-		next.is(next.ask("open", unsafe), 0, front.ErrInUse)
-		next.is(next.ask("answered", unsafe), 0, front.ErrInUse)
+		next.expect(next.request("open", unsafe), 0, front.ErrInUse)
+		next.expect(next.request("answered", unsafe), 0, front.ErrInUse)
 		x.serve()
-		r.is(open, front.Served, nil)
-		time.Sleep(time.Second + 2*batch)
-		again := next.ask("open", unsafe)
+		r.expect(open, front.Served, nil)
+		time.Sleep(time.Second + 2*batchInterval)
+		again := next.request("open", unsafe)
 		(<-next.servers.sent).serve()
-		next.is(again, front.Served, nil)
+		next.expect(again, front.Served, nil)
 	})
 }
 
-// What was learned goes to where its name is in the next process, and not to another's place; what has no name there is left out. A
-// version that told no names is taken at its positions, unless there are others.
+// What was learned moves to the position that its name has in the next process; what has no name there is dropped. If the previous
+// version gave no names, positions keep their meaning, unless their number differs.
 func TestLearnedByName(t *testing.T) {
 	m := balance.Memory{Classes: []balance.ClassMemory{{Count: 1}, {Count: 2}, {Count: 3}}, Zones: map[int]float64{0: 10, 1: 11}, Kinds: map[int]float64{0: 7}}
 	was := &Names{Classes: []string{"a", "b", "c"}, Zones: []string{"x", "y"}}
@@ -111,7 +115,7 @@
 			balance.Memory{Classes: []balance.ClassMemory{{Count: 1}, {Count: 2}, {}}, Zones: map[int]float64{0: 10}, Kinds: m.Kinds}},
 		"no names, and others": {nil, Names{Classes: []string{"a"}}, balance.Memory{}},
 	} {
-		if got := placed(m, c.was, c.now); !reflect.DeepEqual(got, c.want) {
+		if got := remapMemory(m, c.was, c.now); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
--- a/internal/sidecar/core/stats.go
+++ b/internal/sidecar/core/stats.go
@@ -2,28 +2,28 @@
 
 import "slices"
 
-// Stats is what the core holds at one moment.
+// Stats describes the state of the core at one moment.
 type Stats struct {
-	Requests   int // not answered, or with attempts out
-	IDs        int // that must not be taken again
-	Servers    []string
-	Generation uint64 // of the list in use
+	Requests   int      // unanswered, or with attempts in flight
+	IDs        int      // trace ids that are not accepted
+	Servers    []string // ids of the instances in the table, sorted
+	Generation uint64   // of the current list
 }
 
-// Stats looks into the core; after its end it is empty.
+// Stats returns the current state; after the loop's end it is the zero value.
 func (l *Loop) Stats() Stats {
-	got := make(chan Stats, 1)
+	result := make(chan Stats, 1)
 	l.post(func() {
-		s := Stats{Requests: len(l.requests), IDs: len(l.ids.held), Generation: l.cursor.Generation()}
-		for _, one := range l.servers {
-			s.Servers = append(s.Servers, one.name)
+		stats := Stats{Requests: len(l.requests), IDs: len(l.ids.reserved), Generation: l.cursor.Generation()}
+		for _, server := range l.servers {
+			stats.Servers = append(stats.Servers, server.name)
 		}
-		slices.Sort(s.Servers)
-		got <- s
+		slices.Sort(stats.Servers)
+		result <- stats
 	})
 	select {
-	case s := <-got:
-		return s
+	case stats := <-result:
+		return stats
 	case <-l.ended:
 		return Stats{}
 	}
--- /dev/null
+++ b/internal/sidecar/core/streaming_test.go
@@ -0,0 +1,123 @@
+package core
+
+import (
+	"errors"
+	"io"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"petrelhook/balance"
+	"petrelhook/internal/sidecar/front"
+	"petrelhook/internal/sidecar/message"
+	"petrelhook/internal/sidecar/upstream"
+)
+
+// streamedRequest passes a request to the core whose body is still arriving.
+func (r *testCore) streamedRequest(trace string, class int) *pendingRequest {
+	return r.requestWith(trace, class, message.Request{Remainder: message.NewUpload(10)})
+}
+
+// trackedBody is the remainder of a reply, and counts how often it was closed.
+type trackedBody struct {
+	io.Reader
+	closed int
+}
+
+func (r *trackedBody) Close() error { r.closed++; return nil }
+
+// A request's time limit begins with its last byte, however long that takes to arrive.
+func TestTheTimeOfALongRequest(t *testing.T) {
+	withCore(t, []string{"a", "b"}, func(r *testCore) {
+		a := r.streamedRequest("long", int(balance.Keyed))
+		x := <-r.servers.sent
+		if !x.call.Expires.IsZero() || x.call.Wait != time.Second {
+			t.Errorf("expires %v, wait %v", x.call.Expires, x.call.Wait)
+		}
+		time.Sleep(time.Minute) // of virtual time
+		synctest.Wait()
+		select {
+		case <-a.done:
+			t.Fatal("answered while its body arrives")
+		default:
+		}
+		x.call.OnRequestWritten()
+		began := time.Now()
+		<-a.done
+		if took := time.Since(began); took < 950*time.Millisecond || took > time.Second {
+			t.Errorf("answered %v after the last byte", took)
+		}
+		if a.answer.Verdict != front.Failed { // it may have been executed
+			t.Errorf("verdict %v", a.answer.Verdict)
+		}
+		<-x.ctx.Done()
+		x.outcome <- upstream.Outcome{Result: upstream.Cancelled}
+		r.expectNoRequests(1)
+	})
+}
+
+// What one exchange has read of a body is not available to another, however the first one ended: the request is answered, refused if
+// nothing was executed and failed if it may have been. A body that was not read goes to another server.
+func TestALongRequestThatBreaksOff(t *testing.T) {
+	for result, want := range map[upstream.Result]front.Verdict{upstream.ConnectFailed: front.Refused, upstream.Reset: front.Failed} {
+		withCore(t, []string{"a", "b", "c"}, func(r *testCore) {
+			a := r.streamedRequest("long", unsafe)
+			first := <-r.servers.sent
+			first.outcome <- upstream.Outcome{Result: upstream.ConnectFailed}
+			second := <-r.servers.sent
+			if second.addr == first.addr {
+				t.Error("the same server again")
+			}
+			go second.call.Message.Remainder.Pump(strings.NewReader("half"))
+			second.call.Message.Remainder.Next(nil)
+			defer second.call.Message.Remainder.Close()
+			second.outcome <- upstream.Outcome{Result: result}
+			r.expect(a, want, nil)
+		})
+	}
+}
+
+// A reply that has begun belongs to the client: the module gets one outcome, there is no retry and no deadline. The exchange goes on
+// until the remainder has ended, and answering the request does not cancel it.
+func TestAnAnswerThatHasBegun(t *testing.T) {
+	withCore(t, []string{"a", "b"}, func(r *testCore) {
+		a := r.request("t", int(balance.Safe))
+		x := <-r.servers.sent
+		body := &trackedBody{Reader: strings.NewReader("more")}
+		x.call.OnReplyStarted(upstream.Outcome{Result: upstream.Served, Reply: message.Reply{Remainder: body, Size: 4}})
+		r.expect(a, front.Served, nil)
+		if a.answer.Reply.Remainder != body {
+			t.Error("the reply has another remainder")
+		}
+		time.Sleep(time.Minute) // past its deadline
+		synctest.Wait()
+		if x.ctx.Err() != nil || body.closed != 0 {
+			t.Errorf("cancelled: %v, closed %d times", x.ctx.Err(), body.closed)
+		}
+		if s := r.Stats(); s.Requests != 0 {
+			t.Errorf("%d requests", s.Requests)
+		}
+		x.outcome <- upstream.Outcome{Result: upstream.Reset, Err: errors.New("broken off")}
+		<-x.ctx.Done()
+		r.expectNoRequests(0)
+	})
+}
+
+// A reply that begins when nobody waits for it any more is dropped, so that its exchange ends.
+func TestABeginningThatComesTooLate(t *testing.T) {
+	withCore(t, []string{"a"}, func(r *testCore) {
+		a := r.request("t", int(balance.Safe))
+		x := <-r.servers.sent
+		a.disconnect()
+		<-x.ctx.Done()
+		body := &trackedBody{Reader: strings.NewReader("more")}
+		x.call.OnReplyStarted(upstream.Outcome{Result: upstream.Served, Reply: message.Reply{Remainder: body}})
+		synctest.Wait()
+		if body.closed != 1 {
+			t.Errorf("closed %d times", body.closed)
+		}
+		x.outcome <- upstream.Outcome{Result: upstream.Served}
+		r.expectNoRequests(1)
+	})
+}
--- a/internal/sidecar/message/upload_test.go
+++ b/internal/sidecar/message/upload_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 )
 
-// Piece after piece comes in order, in any size in which it is read, and then the end.
-func TestPieces(t *testing.T) {
+// Chunks arrive in order, whatever the sizes in which the body is read, and then its end.
+func TestChunks(t *testing.T) {
 	body := strings.Repeat("0123456789", 10_000)
 	for name, r := range map[string]io.Reader{
 		"at once": strings.NewReader(body), "by bytes": iotest.OneByteReader(strings.NewReader(body[:3000])), "with the end": iotest.DataErrReader(strings.NewReader(body)),
@@ -19,9 +19,9 @@
 		go u.Pump(r)
 		var got strings.Builder
 		for {
-			p, err := u.Next(nil)
-			got.Write(p)
-			if err == io.EOF {
+			chunk, err := u.Next(nil)
+			got.Write(chunk)
+			if errors.Is(err, io.EOF) {
 				break
 			}
 			if err != nil {
@@ -31,14 +31,14 @@
 		if !strings.HasPrefix(body, got.String()) || got.Len() < 3000 {
 			t.Errorf("%s: %d bytes", name, got.Len())
 		}
-		if _, err := u.Next(nil); err != io.EOF {
+		if _, err := u.Next(nil); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: after the end: %v", name, err)
 		}
 	}
 }
 
-// One exchange waits and is stopped: the next has what comes then. A piece that is there is not taken by one that is stopped.
-func TestWhatOneHasNotTakenIsForTheNext(t *testing.T) {
+// One exchange waits and is stopped: the next gets what arrives then. A chunk that is available is not read by a stopped exchange.
+func TestWhatOneExchangeHasNotReadIsForTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in, out := io.Pipe()
 		u := NewUpload(10)
@@ -50,25 +50,25 @@
 		}()
 		synctest.Wait()
 		close(stop)
-		if err := <-stopped; err != ErrStopped {
+		if err := <-stopped; !errors.Is(err, ErrStopped) {
 			t.Errorf("%v", err)
 		}
 		go io.WriteString(out, "0123")
 		synctest.Wait()
-		if p, err := u.Next(stop); err != ErrStopped {
-			t.Errorf("%q, %v", p, err)
+		if chunk, err := u.Next(stop); !errors.Is(err, ErrStopped) {
+			t.Errorf("%q, %v", chunk, err)
 		}
-		if p, err := u.Next(nil); string(p) != "0123" || err != nil {
-			t.Errorf("%q, %v", p, err)
+		if chunk, err := u.Next(nil); string(chunk) != "0123" || err != nil {
+			t.Errorf("%q, %v", chunk, err)
 		}
 		out.CloseWithError(errors.New("broken off"))
-		if _, err := u.Next(nil); err == nil || err == io.EOF {
+		if _, err := u.Next(nil); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%v", err)
 		}
 	})
 }
 
-// Close ends whoever waits on either side.
+// Close ends the goroutines that wait on either side.
 func TestCloseEndsBothSides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u, pumped, waited := NewUpload(10), make(chan struct{}), make(chan error, 1)
@@ -81,7 +81,7 @@
 		go func() { _, err := u.Next(nil); waited <- err }()
 		synctest.Wait()
 		u.Close()
-		if err := <-waited; err != ErrClosed {
+		if err := <-waited; !errors.Is(err, ErrClosed) {
 			t.Errorf("%v", err)
 		}
 	})
--- a/internal/sidecar/wiring/mutation_test.go
+++ b/internal/sidecar/wiring/mutation_test.go
@@ -26,7 +26,7 @@
 		"a request read ahead":     {client, "c.readAhead.empty() && ", "", "./internal/sidecar/connlimit", "TestARequestReadAheadKeepsItsPlace"},
 		"an answer without length": {limiter, "c.responseOpen.Store(open)", "c.responseOpen.Store(false)", "./internal/sidecar/front/platform", "TestACutAnswerIsNotWhole"},
 		"late in the end":          {front, "in.Wait = end.ClampWait(in.Arrived, in.Wait)", "", "./internal/sidecar/wiring", "TestARequestReadLateInTheEndIsAnswered"},
-		"what has not begun":       {request, "if !at.done && at.call.Claim() {", "if false {", "./internal/sidecar/core", "TestNothingBeginsOnceTheClientHasGone"},
+		"what has not begun":       {request, "if !a.ended && a.call.Claim() {", "if false {", "./internal/sidecar/core", "TestNothingBeginsOnceTheClientHasGone"},
 		"a queue before a hang-up": {request, "ctx.Err() != nil || in.ClientGone", "in.ClientGone", "./internal/sidecar/core", "TestAHangUpBehindALongQueue"},
 		"an end seen by the send":  {attempt, "errors.Is(out.Err, upstream.ErrClientGone) && !r.closed", "false", "./internal/sidecar/core", "TestAnEndThatIsSeenFirstByTheSender"},
 		"silence":                  {discovery, "watchSilence = 2500 *", "watchSilence = 3500 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
