--- a/internal/sidecar/member/discovery/discovery.go
+++ b/internal/sidecar/member/discovery/discovery.go
@@ -33,10 +33,10 @@
 
 const (
 	maxMessage = 4 << 20 // bytes of one message of discovery
-	// watchSilence is after what silence a watch is taken for dead. An empty line comes every 2 s.
-	watchSilence = 2500 * time.Millisecond
-	dialTime     = time.Second             // of callTimeout
-	callTimeout  = 3100 * time.Millisecond // until the first list; discovery answers late, but gives a call up after 3 s itself
+	// silenceTimeout is after what silence a watch is taken for dead. An empty line comes every 2 s.
+	silenceTimeout = 2500 * time.Millisecond
+	dialTimeout    = time.Second             // of callTimeout
+	callTimeout    = 3100 * time.Millisecond // until the first list; discovery answers late, but gives a call up after 3 s itself
 )
 
 // Dial opens a connection, as net.Dialer.DialContext does.
@@ -47,21 +47,21 @@
 	// Opened is called when a watch is open; nil: nobody is told.
 	OnWatchOpened func()
 
-	addr    string
-	base    string
-	client  *http.Client
-	silence time.Duration
+	addr           string
+	base           string
+	client         *http.Client
+	silenceTimeout time.Duration
 }
 
 // New makes a source of the service at an address.
 func New(addr string, dial Dial) *Source {
 	return &Source{
-		addr:    addr,
-		base:    "http://" + addr + "/catalog/members",
-		silence: watchSilence,
+		addr:           addr,
+		base:           "http://" + addr + "/catalog/members",
+		silenceTimeout: silenceTimeout,
 		client: &http.Client{Transport: &http.Transport{
 			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-				ctx, cancel := context.WithTimeout(ctx, dialTime)
+				ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 				defer cancel()
 				// The transport goes on to dial for whoever may come next; here nobody does, and the call owns it.
 				if call, ok := ctx.Value(callKey{}).(context.Context); ok {
@@ -132,8 +132,8 @@
 	if d.OnWatchOpened != nil {
 		d.OnWatchOpened()
 	}
-	alive := func() { silent.Reset(d.silence) }
-	stream := &stream{body: body, empty: alive}
+	alive := func() { silent.Reset(d.silenceTimeout) }
+	stream := &watchStream{body: body, onEmptyLine: alive}
 	for messages := json.NewDecoder(stream); ; {
 		var raw json.RawMessage
 		if err := messages.Decode(&raw); err == io.EOF {
@@ -141,7 +141,7 @@
 		} else if err != nil {
 			return fmt.Errorf("watch: %w", errors.Join(err, context.Cause(ctx)))
 		}
-		stream.read = 0
+		stream.unparsed = 0
 		c, err := Parse(raw)
 		if err != nil {
 			return fmt.Errorf("watch: %w", err)
@@ -156,19 +156,19 @@
 	errTooLong = fmt.Errorf("a message over %d MiB", maxMessage>>20)
 )
 
-// stream is a watch as it comes: messages with empty lines between them. A part of a message is no sign of life: one that
+// watchStream is a watch as it comes: messages with empty lines between them. A part of a message is no sign of life: one that
 // comes in drops would hide that nothing new arrives.
-type stream struct {
-	body  io.Reader
-	read  int    // bytes since the last whole message
-	empty func() // something came that is an empty line
+type watchStream struct {
+	body        io.Reader
+	unparsed    int    // bytes since the last whole message
+	onEmptyLine func() // something came that is an empty line
 }
 
-func (s *stream) Read(p []byte) (int, error) {
+func (s *watchStream) Read(p []byte) (int, error) {
 	n, err := s.body.Read(p)
 	if n > 0 && len(bytes.TrimSpace(p[:n])) == 0 {
-		s.empty()
-	} else if s.read += n; s.read > maxMessage {
+		s.onEmptyLine()
+	} else if s.unparsed += n; s.unparsed > maxMessage {
 		return 0, errTooLong
 	}
 	return n, err
--- a/internal/sidecar/member/discovery/discovery_test.go
+++ b/internal/sidecar/member/discovery/discovery_test.go
@@ -50,7 +50,7 @@
 			return c.stays
 		})
 		d := New(p.Addr, (&net.Dialer{}).DialContext)
-		d.silence = 20 * time.Millisecond
+		d.silenceTimeout = 20 * time.Millisecond
 		told := 0
 		err := d.Watch(context.Background(), 1, func(got member.List) {
 			if told++; got.Generation != 7 || !got.Complete || len(got.Instances) != 1 {
@@ -65,8 +65,8 @@
 
 // A dead watch must be given up, and the next one begun, before its news counts as told after 6 s.
 func TestSilenceIsNoticedInTime(t *testing.T) {
-	if watchSilence <= 2*time.Second || watchSilence >= 3*time.Second {
-		t.Errorf("%v, where an empty line comes every 2 s", watchSilence)
+	if silenceTimeout <= 2*time.Second || silenceTimeout >= 3*time.Second {
+		t.Errorf("%v, where an empty line comes every 2 s", silenceTimeout)
 	}
 }
 
--- a/internal/sidecar/member/discovery/list.go
+++ b/internal/sidecar/member/discovery/list.go
@@ -9,15 +9,15 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// catalog is one message of discovery: the whole list, or what has changed.
-type catalog struct {
-	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"`
-	Instances  []instance `json:"instances"`
+// catalogMessage is one message of discovery: the whole list, or what has changed.
+type catalogMessage struct {
+	Generation uint64            `json:"generation"`
+	Reset      bool              `json:"reset"`
+	Instances  []catalogInstance `json:"instances"`
 }
 
-// instance is one entry of a catalog.
-type instance struct {
+// catalogInstance is one entry of a catalog.
+type catalogInstance struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
 	Zone      string  `json:"zone"`
@@ -37,11 +37,11 @@
 
 func (e *EntryError) Error() string { return fmt.Sprintf("catalog: %s: %s", e.Field, e.Problem) }
 
-var lifecycles = map[string]member.State{"up": member.Up, "draining": member.Draining, "removed": member.Removed}
+var states = map[string]member.State{"up": member.Up, "draining": member.Draining, "removed": member.Removed}
 
 // Parse reads one message. One bad entry spoils it all: half a list would be worse than none.
 func Parse(raw []byte) (member.List, error) {
-	var c catalog
+	var c catalogMessage
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return member.List{}, fmt.Errorf("catalog: %w", err)
 	}
@@ -51,7 +51,7 @@
 	list := member.List{Generation: c.Generation, Complete: c.Reset}
 	for i, in := range c.Instances {
 		at := fmt.Sprintf("instances[%d].", i)
-		state, known := lifecycles[in.Lifecycle]
+		state, known := states[in.Lifecycle]
 		if !known {
 			return member.List{}, &EntryError{at + "lifecycle", fmt.Sprintf("unknown lifecycle %q", in.Lifecycle), "write up, draining or removed"}
 		}
--- a/internal/sidecar/member/relay/doc.go
+++ b/internal/sidecar/member/relay/doc.go
@@ -21,8 +21,8 @@
 	HeartbeatInterval = 40 * time.Millisecond
 	// FollowCooldown is how long a process that stopped going by the other watches by itself: each change is a call to discovery.
 	FollowCooldown = 2 * time.Second
-	// most is how many lists may wait for the other side.
-	most = 64
+	// maxPending is how many lists may wait for the other side.
+	maxPending = 64
 )
 
 // Update is what the process that watches tells the other: that its watch is open and, where List is not nil, what it was told.
@@ -33,17 +33,17 @@
 
 // follower decides whether a process goes by another's watch. It is pure.
 type follower struct {
-	source string // whose watch that is; "": nobody's
-	until  time.Time
-	barred time.Time // before it, it watches by itself
+	source      string // whose watch that is; "": nobody's
+	expiry      time.Time
+	cooldownEnd time.Time // before it, it watches by itself
 }
 
-// hear takes in a word.
-func (f *follower) hear(source string, now time.Time) {
-	if now.Before(f.barred) {
+// contact takes in a word.
+func (f *follower) contact(source string, now time.Time) {
+	if now.Before(f.cooldownEnd) {
 		return
 	}
-	f.source, f.until = source, now.Add(FollowTimeout)
+	f.source, f.expiry = source, now.Add(FollowTimeout)
 }
 
 // follows reports whether to go by the other's watch of a source, and until when if nothing more is heard.
@@ -51,16 +51,16 @@
 	if f.source == "" {
 		return until, false
 	}
-	if !now.Before(f.until) {
-		f.lose(now)
+	if !now.Before(f.expiry) {
+		f.unfollow(now)
 		return until, false
 	}
-	return f.until, f.source == source
+	return f.expiry, f.source == source
 }
 
-// lose: the other is silent, or what it said did not get through.
-func (f *follower) lose(now time.Time) { f.source, f.barred = "", now.Add(FollowCooldown) }
+// unfollow: the other is silent, or what it said did not get through.
+func (f *follower) unfollow(now time.Time) { f.source, f.cooldownEnd = "", now.Add(FollowCooldown) }
 
-// news reports whether a list from the other is news to one that holds a generation: the other's watch may have begun before
+// isNewer reports whether a list from the other is news to one that holds a generation: the other's watch may have begun before
 // what this one was told by its own. A whole list counts anew.
-func news(l *member.List, held uint64) bool { return l.Complete || l.Generation > held }
+func isNewer(l *member.List, held uint64) bool { return l.Complete || l.Generation > held }
--- a/internal/sidecar/member/relay/relay.go
+++ b/internal/sidecar/member/relay/relay.go
@@ -11,18 +11,18 @@
 
 // Hub is a process's side of the relay, for all sources that it has in turn.
 type Hub struct {
-	mu      sync.Mutex
-	follow  follower
-	changed chan struct{} // closed when what is below, or follow, has changed
-	came    []member.List // from the other process, in order
-	open    string        // the source of which a watch is open
-	leads   map[chan Update]struct{}
+	mu         sync.Mutex
+	follower   follower
+	changed    chan struct{} // closed when what is below, or follow, has changed
+	received   []member.List // from the other process, in order
+	openSource string        // the source of which a watch is open
+	publishers map[chan Update]struct{}
 }
 
 // New makes the hub of a process that is alone.
-func New() *Hub { return &Hub{changed: make(chan struct{}), leads: map[chan Update]struct{}{}} }
+func New() *Hub { return &Hub{changed: make(chan struct{}), publishers: map[chan Update]struct{}{}} }
 
-func (h *Hub) wake() {
+func (h *Hub) notifyChanged() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
@@ -32,23 +32,23 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	_, followed := h.follow.follows(w.Source, now)
-	if h.follow.hear(w.Source, now); h.follow.source != w.Source {
+	_, followed := h.follower.follows(w.Source, now)
+	if h.follower.contact(w.Source, now); h.follower.source != w.Source {
 		return
 	}
 	if !followed {
-		h.came = nil
+		h.received = nil
 	}
 	if w.List != nil {
-		if len(h.came) == most {
-			h.follow.lose(now)
-			h.came = nil
+		if len(h.received) == maxPending {
+			h.follower.unfollow(now)
+			h.received = nil
 		} else {
-			h.came = append(h.came, *w.List)
+			h.received = append(h.received, *w.List)
 		}
 	}
 	if !followed || w.List != nil {
-		h.wake()
+		h.notifyChanged()
 	}
 }
 
@@ -56,20 +56,20 @@
 func (h *Hub) PeerGone() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.follow, h.came = follower{}, nil
-	h.wake()
+	h.follower, h.received = follower{}, nil
+	h.notifyChanged()
 }
 
 // Publish tells the process before what this one's watch is told, until ctx ends or a word cannot be said. say may block.
 func (h *Hub) Publish(ctx context.Context, say func(Update) error) {
-	words := make(chan Update, most)
+	words := make(chan Update, maxPending)
 	h.mu.Lock()
-	h.leads[words] = struct{}{}
+	h.publishers[words] = struct{}{}
 	h.mu.Unlock()
 	defer func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		delete(h.leads, words)
+		delete(h.publishers, words)
 	}()
 	tick := time.NewTicker(HeartbeatInterval)
 	defer tick.Stop()
@@ -84,7 +84,7 @@
 			}
 		case <-tick.C:
 			h.mu.Lock()
-			w.Source = h.open
+			w.Source = h.openSource
 			h.mu.Unlock()
 		}
 		if w.Source != "" && say(w) != nil {
@@ -93,17 +93,17 @@
 	}
 }
 
-// told passes a list on to the process before.
-func (h *Hub) told(source string, l member.List) {
+// publishList passes a list on to the process before.
+func (h *Hub) publishList(source string, l member.List) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.open = source
-	for words := range h.leads {
+	h.openSource = source
+	for words := range h.publishers {
 		select {
 		case words <- Update{source, &l}:
 		default:
 			close(words)
-			delete(h.leads, words)
+			delete(h.publishers, words)
 		}
 	}
 }
@@ -112,44 +112,44 @@
 func (h *Hub) WatchOpened(source string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.open = source
+	h.openSource = source
 }
 
-// ended: the watch of a source is not open any more; another one's may be.
-func (h *Hub) ended(source string) {
+// watchClosed: the watch of a source is not open any more; another one's may be.
+func (h *Hub) watchClosed(source string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.open == source {
-		h.open = ""
+	if h.openSource == source {
+		h.openSource = ""
 	}
 }
 
-// next is the next list of the other process, if there is one; else whether to go on waiting for it, and how.
-func (h *Hub) next(source string) (l *member.List, until time.Time, changed <-chan struct{}, follows bool) {
+// nextList is the next list of the other process, if there is one; else whether to go on waiting for it, and how.
+func (h *Hub) nextList(source string) (l *member.List, until time.Time, changed <-chan struct{}, follows bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if until, follows = h.follow.follows(source, time.Now()); follows && len(h.came) > 0 {
-		l = &h.came[0]
-		h.came = h.came[1:]
+	if until, follows = h.follower.follows(source, time.Now()); follows && len(h.received) > 0 {
+		l = &h.received[0]
+		h.received = h.received[1:]
 	}
 	return l, until, h.changed, follows
 }
 
 // Wrap makes a source whose watch is the next process's while there is one that watches.
-func (h *Hub) Wrap(inner member.Source) member.Source { return &source{Source: inner, hub: h} }
+func (h *Hub) Wrap(inner member.Source) member.Source { return &relayedSource{Source: inner, hub: h} }
 
-type source struct {
+type relayedSource struct {
 	member.Source
 	hub *Hub
 }
 
 // Watch ends when the source's own does, or with ctx.
-func (s *source) Watch(ctx context.Context, after uint64, tell func(member.List)) error {
+func (s *relayedSource) Watch(ctx context.Context, after uint64, tell func(member.List)) error {
 	name := s.Name()
-	defer s.hub.ended(name)
+	defer s.hub.watchClosed(name)
 	take := func(l member.List) {
 		after = l.Generation
-		s.hub.told(name, l)
+		s.hub.publishList(name, l)
 		tell(l)
 	}
 	for {
@@ -157,8 +157,8 @@
 			var l *member.List
 			var until time.Time
 			var changed <-chan struct{}
-			if l, until, changed, follows = s.hub.next(name); l != nil {
-				if news(l, after) {
+			if l, until, changed, follows = s.hub.nextList(name); l != nil {
+				if isNewer(l, after) {
 					take(*l)
 				}
 				continue
@@ -177,18 +177,18 @@
 				return context.Cause(ctx)
 			}
 		}
-		s.hub.ended(name) // until the watch that follows is open
-		if err := s.alone(ctx, after, take); !errors.Is(err, errFollows) {
+		s.hub.watchClosed(name) // until the watch that follows is open
+		if err := s.watchAlone(ctx, after, take); !errors.Is(err, errPeerWatches) {
 			return err
 		}
 	}
 }
 
-// errFollows ends a watch in favour of the next process's.
-var errFollows = errors.New("the next process watches")
+// errPeerWatches ends a watch in favour of the next process's.
+var errPeerWatches = errors.New("the next process watches")
 
-// alone watches until there is a next process that does.
-func (s *source) alone(ctx context.Context, after uint64, tell func(member.List)) error {
+// watchAlone watches until there is a next process that does.
+func (s *relayedSource) watchAlone(ctx context.Context, after uint64, tell func(member.List)) error {
 	own, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	looks := make(chan struct{})
@@ -196,11 +196,11 @@
 		defer close(looks)
 		for {
 			s.hub.mu.Lock()
-			_, follows := s.hub.follow.follows(s.Name(), time.Now())
+			_, follows := s.hub.follower.follows(s.Name(), time.Now())
 			changed := s.hub.changed
 			s.hub.mu.Unlock()
 			if follows {
-				cancel(errFollows)
+				cancel(errPeerWatches)
 				return
 			}
 			select {
@@ -211,8 +211,8 @@
 		}
 	}()
 	err := s.Source.Watch(own, after, tell)
-	if context.Cause(own) == errFollows {
-		err = errFollows
+	if context.Cause(own) == errPeerWatches {
+		err = errPeerWatches
 	}
 	cancel(nil)
 	<-looks
--- a/internal/sidecar/member/relay/relay_test.go
+++ b/internal/sidecar/member/relay/relay_test.go
@@ -12,25 +12,25 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// scripted is a discovery: a list is told to whoever watches; a watch asks for what came after a generation.
-type scripted struct {
-	mu      sync.Mutex // a timer that wakes who writes orders nothing
-	watches int
-	asked   []uint64
-	told    chan member.List
-	hub     *Hub
+// fakeSource is a discovery: a list is told to whoever watches; a watch asks for what came after a generation.
+type fakeSource struct {
+	mu             sync.Mutex // a timer that wakes who writes orders nothing
+	watches        int
+	requestedAfter []uint64
+	lists          chan member.List
+	hub            *Hub
 }
 
-func (s *scripted) Name() string { return "d" }
-func (s *scripted) Fetch(context.Context) (member.List, error) {
+func (s *fakeSource) Name() string { return "d" }
+func (s *fakeSource) Fetch(context.Context) (member.List, error) {
 	return member.List{}, errors.New("none")
 }
-func (s *scripted) Watch(ctx context.Context, after uint64, tell func(member.List)) error {
+func (s *fakeSource) Watch(ctx context.Context, after uint64, tell func(member.List)) error {
 	count := func(n int) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.watches += n; n > 0 {
-			s.asked = append(s.asked, after)
+			s.requestedAfter = append(s.requestedAfter, after)
 		}
 	}
 	count(1)
@@ -40,7 +40,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case l := <-s.told:
+		case l := <-s.lists:
 			tell(l)
 		}
 	}
@@ -51,7 +51,7 @@
 func TestFollowing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := New()
-		d := &scripted{told: make(chan member.List), hub: h}
+		d := &fakeSource{lists: make(chan member.List), hub: h}
 		ctx, end := context.WithCancel(t.Context())
 		var had []uint64
 		ended := make(chan error, 1)
@@ -63,7 +63,7 @@
 			})
 		}()
 		synctest.Wait()
-		d.told <- member.List{Generation: 9}
+		d.lists <- member.List{Generation: 9}
 		word := func(g uint64) { h.Receive(Update{"d", &member.List{Generation: g}}); synctest.Wait() }
 		check := func(what string, watches int, want ...uint64) {
 			t.Helper()
@@ -96,8 +96,8 @@
 		check("heard again", 0, 9, 10, 11)
 		h.PeerGone()
 		check("it has gone", 1, 9, 10, 11)
-		if !slices.Equal(d.asked, []uint64{7, 10, 11}) {
-			t.Errorf("asked for what came after %v", d.asked)
+		if !slices.Equal(d.requestedAfter, []uint64{7, 10, 11}) {
+			t.Errorf("asked for what came after %v", d.requestedAfter)
 		}
 		end()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
@@ -111,7 +111,7 @@
 func TestLeading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := New()
-		d := &scripted{told: make(chan member.List), hub: h}
+		d := &fakeSource{lists: make(chan member.List), hub: h}
 		ctx, end := context.WithCancel(t.Context())
 		words, gone := make(chan Update), make(chan struct{})
 		go func() {
@@ -129,12 +129,12 @@
 			t.Errorf("%v", w)
 		}
 		synctest.Wait()
-		d.told <- member.List{Generation: 1}
+		d.lists <- member.List{Generation: 1}
 		if w := <-words; w.List == nil || w.List.Generation != 1 {
 			t.Errorf("%v", w)
 		}
-		for range 2*most + 2 { // nobody reads
-			d.told <- member.List{Generation: 2}
+		for range 2*maxPending + 2 { // nobody reads
+			d.lists <- member.List{Generation: 2}
 		}
 		for over := false; !over; {
 			select {
--- /dev/null
+++ b/internal/sidecar/upstream/http1/exchange.go
@@ -0,0 +1,122 @@
+package http1
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"petrelhook/internal/sidecar/message"
+	"petrelhook/internal/sidecar/upstream"
+	"petrelhook/internal/sidecar/upstream/reuse"
+)
+
+var (
+	errTooLate      = errors.New("too late to begin")
+	errBodyConsumed = errors.New("the body is gone")
+)
+
+// send carries out a call; see upstream.Endpoint.
+func (p *Pool) send(ctx context.Context, e *endpoint, call *upstream.Call) upstream.Outcome {
+	c, err := p.connect(ctx, e)
+	if errors.Is(err, errConnectionLimit) {
+		return upstream.Outcome{Result: upstream.NotSent, Err: err}
+	}
+	if err != nil {
+		return upstream.Outcome{Result: upstream.ConnectFailed, Err: err}
+	}
+	now, err := e.mayBegin(call)
+	if err != nil {
+		p.putIdle(c)
+		return upstream.Outcome{Result: upstream.NotSent, Err: err}
+	}
+	stopClosing := context.AfterFunc(ctx, func() { _ = c.Close() }) // which ends reads and writes
+	idleFor := reuse.Fresh
+	if c.used {
+		idleFor = now.Sub(c.idleSince)
+	}
+	out, reusable, broke := p.exchange(c, call, now)
+	if ctx.Err() == nil {
+		p.mu.Lock()
+		p.idleAges.Record(now, idleFor, broke)
+		p.mu.Unlock()
+	}
+	if stopClosing() && reusable {
+		p.putIdle(c)
+	} else {
+		p.closeConn(c)
+	}
+	if out.Result != upstream.Served && ctx.Err() != nil {
+		return upstream.Outcome{Result: upstream.Cancelled, Err: ctx.Err()}
+	}
+	return out
+}
+
+// mayBegin claims a call whose connection is open, and returns the time at which it begins. Opening a connection may take long: meanwhile
+// the client may have gone, the server's drain grace may have ended, or the time limit of the request or of its idempotency key may have
+// passed. An error means that nothing was sent, so nothing was executed.
+func (e *endpoint) mayBegin(call *upstream.Call) (now time.Time, err error) {
+	if call.ClientGone != nil && call.ClientGone() {
+		return now, upstream.ErrClientGone
+	}
+	now = time.Now()
+	if e.graceOver(now) || !call.SendBefore.IsZero() && !now.Before(call.SendBefore) ||
+		!call.Expires.IsZero() && !now.Before(call.Expires) || !call.Claim() {
+		return now, errTooLate
+	}
+	return now, nil
+}
+
+// exchange writes the request and reads the response. It returns whether the connection can be used again, and whether it broke.
+func (p *Pool) exchange(c *conn, call *upstream.Call, now time.Time) (out upstream.Outcome, reusable, broke bool) {
+	if call.Message.Remainder != nil {
+		if call.Message.Remainder.Consumed() { // what is left of it would be another request
+			return upstream.Outcome{Result: upstream.NotSent, Err: errBodyConsumed}, true, false
+		}
+		return p.exchangeStreamed(c, call)
+	}
+	_ = c.SetWriteDeadline(call.Expires) // fails only if the connection is closed, and then so does the write; reading ends with ctx
+	text := encode(&call.Message, c.addr, call.Expires.Sub(now))
+	if n, err := c.Write(text); err != nil {
+		switch {
+		case n == len(text):
+			return upstream.Outcome{Result: upstream.Reset, Err: err}, false, true
+		case c.used: // the server closed it just now, which does not say that the server cannot be reached
+			return upstream.Outcome{Result: upstream.NotSent, Err: err}, false, true
+		default: // the server begins only with the last byte
+			return upstream.Outcome{Result: upstream.ConnectFailed, Err: err}, false, true
+		}
+	}
+	// The reader starts empty: connect has checked that nothing had arrived before the request was sent.
+	in := newResponseReader(c)
+	defer in.release()
+	out, reusable = in.read(call.Message.Method, p.LoadReportFields, p.ResponseBudget, call.OnReplyStarted)
+	return out, reusable && in.Buffered() == 0, out.Result == upstream.Reset
+}
+
+// encode returns a message in the form of HTTP/1.1: complete, or as much of it as is known if its body is streamed. timeout is what the
+// server is told.
+func encode(m *message.Request, host string, timeout time.Duration) []byte {
+	var b bytes.Buffer
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Expires-In: %du\r\n", m.Method, m.Target, host, timeout.Microseconds())
+	for _, h := range m.Header {
+		fmt.Fprintf(&b, "%s: %s\r\n", h[0], h[1])
+	}
+	switch {
+	case m.Remainder != nil && m.Remainder.Size < 0:
+		b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
+		if len(m.Body) > 0 {
+			b.Write(encodeChunk(m.Body))
+		}
+		return b.Bytes()
+	case m.Remainder != nil:
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", m.Remainder.Size)
+	case len(m.Body) > 0 || m.Method != http.MethodGet:
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(m.Body))
+	}
+	b.WriteString("\r\n")
+	b.Write(m.Body)
+	return b.Bytes()
+}
--- a/internal/sidecar/upstream/http1/pool_test.go
+++ b/internal/sidecar/upstream/http1/pool_test.go
@@ -16,27 +16,27 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-func testPool(most int) *Pool {
+func testPool(maxConnections int) *Pool {
 	return New(Settings{
-		MaxConnections: most, ConnectTimeout: 5 * time.Second, IdleTimeout: 8 * time.Second, DrainGrace: 250 * time.Millisecond,
+		MaxConnections: maxConnections, ConnectTimeout: 5 * time.Second, IdleTimeout: 8 * time.Second, DrainGrace: 250 * time.Millisecond,
 		LoadReportFields: []string{"busy", "rate"}, HealthCheckPath: "/_load", ResponseBudget: membudget.New(0),
 	}, (&net.Dialer{}).DialContext)
 }
 
-// at is an endpoint that listens at an address.
-func (u *Pool) at(addr string) *endpoint { return &endpoint{u: u, addr: addr} }
+// endpointAt returns an endpoint that listens at an address.
+func (pool *Pool) endpointAt(addr string) *endpoint { return &endpoint{pool: pool, addr: addr} }
 
-func look() *upstream.Call {
-	return &upstream.Call{Message: message.Request{Method: "GET", Target: "/look"}, Expires: time.Now().Add(30 * time.Second)}
+// stopAccepting makes the endpoint one that stopped accepting requests some time ago.
+func (e *endpoint) stopAccepting(ago time.Duration) {
+	e.notAcceptingSince.Store(int64(time.Since(e.pool.epoch) - ago))
 }
 
-func (u *Pool) held() int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.opened
+func look() *upstream.Call {
+	return &upstream.Call{Message: message.Request{Method: "GET", Target: "/look"}, Expires: time.Now().Add(30 * time.Second)}
 }
 
-// Rule 2 rests on what an outcome proves: only these ends tell that nothing ran, and only a whole 200 is served.
+// That an unsafe request is not executed twice rests on what an outcome proves: only these say that nothing was executed, and only a
+// complete 200 is served.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
@@ -49,14 +49,14 @@
 		"served, then closed": {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", upstream.Served, false},
 		"bytes left over":     {peertest.OKAnswer + "HTTP", upstream.Served, false},
 		"error":               {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
-		"turned away":         {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Rejected, true},
-		"over already":        {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Rejected, true},
-		"503 without a word":  {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
-		"500 with the word":   {"HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
+		"rejected":            {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Rejected, true},
+		"rejected as late":    {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Rejected, true},
+		"503 alone":           {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
+		"500, never ran":      {"HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
 		"not an answer":       {"\x16\x03\x01nonsense\r\n\r\n", upstream.Failed, false},
 		"two lengths":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi", upstream.Failed, false},
 		"a negative length":   {"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", upstream.Failed, false},
-		"a report unread":     {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: \xff{],=;\r\nContent-Length: 2\r\n\r\nhi", upstream.Served, true},
+		"a bad load report":   {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: \xff{],=;\r\nContent-Length: 2\r\n\r\nhi", upstream.Served, true},
 		"too large":           {"HTTP/1.1 200 OK\r\nContent-Length: 2000000\r\n\r\n", upstream.Failed, false},
 		"broken off":          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi", upstream.Reset, false},
 		"of unknown length":   {"HTTP/1.1 200 OK\r\n\r\nhi", upstream.Served, false}, // its end is the connection's
@@ -68,8 +68,8 @@
 				io.WriteString(conn, c.answer)
 				return !ends
 			})
-			u := testPool(9)
-			e := u.at(p.Addr)
+			pool := testPool(9)
+			e := pool.endpointAt(p.Addr)
 			r := e.Send(context.Background(), look())
 			if r.Result != c.want {
 				t.Fatalf("result %v (%v), want %v", r.Result, r.Err, c.want)
@@ -83,34 +83,34 @@
 					t.Errorf("%d connections for two requests", n)
 				}
 			} else {
-				peertest.Eventually(t, "the connection is closed", func() bool { return u.held() == 0 })
+				peertest.Eventually(t, "the connection is closed", func() bool { return pool.Open() == 0 })
 			}
 		})
 	}
 }
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
-	u := testPool(9)
-	if r := u.at(peertest.DeadAddr(t)).Send(context.Background(), look()); r.Result != upstream.ConnectFailed {
+	pool := testPool(9)
+	if r := pool.endpointAt(peertest.DeadAddr(t)).Send(context.Background(), look()); r.Result != upstream.ConnectFailed {
 		t.Errorf("result %v", r.Result)
 	}
-	if u.held() != 0 {
-		t.Error("the place is not given back")
+	if pool.Open() != 0 {
+		t.Error("the connection is still counted")
 	}
 }
 
-// A dial takes time: what became too late meanwhile must not leave, and has not run.
+// Opening a connection takes time: a call that became too late meanwhile is not sent.
 func TestTooLateToBegin(t *testing.T) {
 	for name, spoil := range map[string]func(*endpoint, *upstream.Call){
-		"the grace is over":      func(e *endpoint, c *upstream.Call) { e.offSince.Store(int64(time.Since(e.u.epoch) - e.u.DrainGrace)) },
+		"the grace is over":      func(e *endpoint, _ *upstream.Call) { e.stopAccepting(e.pool.DrainGrace) },
 		"the key's time is over": func(_ *endpoint, c *upstream.Call) { c.SendBefore = time.Now() },
-		"the client's is":        func(_ *endpoint, c *upstream.Call) { c.Expires = time.Now() },
-		"it was given up":        func(_ *endpoint, c *upstream.Call) { c.Claim() },
+		"the client's time is":   func(_ *endpoint, c *upstream.Call) { c.Expires = time.Now() },
+		"it was abandoned":       func(_ *endpoint, c *upstream.Call) { c.Claim() },
 	} {
 		p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
-		u := testPool(9)
-		e, c := u.at(p.Addr), look()
-		u.epoch = u.epoch.Add(-time.Minute)
+		pool := testPool(9)
+		e, c := pool.endpointAt(p.Addr), look()
+		pool.epoch = pool.epoch.Add(-time.Minute)
 		spoil(e, c)
 		if r := e.Send(context.Background(), c); r.Result != upstream.NotSent {
 			t.Errorf("%s: result %v", name, r.Result)
@@ -121,35 +121,35 @@
 	}
 }
 
-// Giving an attempt up closes its connection, which is how the server learns of it.
-func TestGivingUpClosesTheConnection(t *testing.T) {
+// Cancelling an exchange closes its connection, by which the server notices.
+func TestCancellingClosesTheConnection(t *testing.T) {
 	got := make(chan struct{}, 1)
 	p := peertest.NewPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
-	u := testPool(9)
+	pool := testPool(9)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan upstream.Outcome, 1)
-	go func() { done <- u.at(p.Addr).Send(ctx, look()) }()
+	go func() { done <- pool.endpointAt(p.Addr).Send(ctx, look()) }()
 	peertest.Wait(t, got)
 	cancel()
 	if r := peertest.Wait(t, done); r.Result != upstream.Cancelled {
 		t.Errorf("result %v", r.Result)
 	}
 	peertest.Wait(t, p.Ended)
-	peertest.Eventually(t, "the place is given back", func() bool { return u.held() == 0 })
+	peertest.Eventually(t, "the connection is not counted", func() bool { return pool.Open() == 0 })
 }
 
-// We close an idle connection before the server does: a request written to one that it closed is lost.
+// An idle connection is closed before the server closes it: a request written to a closed connection is lost.
 func TestIdleConnectionsAreClosedByUs(t *testing.T) {
 	p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
-	u := testPool(9)
-	u.IdleTimeout = 10 * time.Millisecond
-	u.at(p.Addr).Send(context.Background(), look())
+	pool := testPool(9)
+	pool.IdleTimeout = 10 * time.Millisecond
+	pool.endpointAt(p.Addr).Send(context.Background(), look())
 	peertest.Wait(t, p.Ended)
-	peertest.Eventually(t, "the place is given back", func() bool { return u.held() == 0 })
+	peertest.Eventually(t, "the connection is not counted", func() bool { return pool.Open() == 0 })
 }
 
-// What came of a server's close, or of bytes that nobody asked for, is seen before a request is written: such a
-// connection carries nothing more, and the server is not to blame.
+// A server's close, or unexpected bytes, are noticed before a request is written: such a connection is not used, and the server is not
+// blamed.
 func TestAnIdleConnectionThatIsNotCleanIsNotUsed(t *testing.T) {
 	for name, spoil := range map[string]func(net.Conn){
 		"closed":                 func(c net.Conn) { c.Close() },
@@ -163,21 +163,21 @@
 			conns <- c
 			return true
 		})
-		u := testPool(9)
-		e := u.at(p.Addr)
+		pool := testPool(9)
+		e := pool.endpointAt(p.Addr)
 		e.Send(context.Background(), look())
 		spoil(peertest.Wait(t, conns))
 		peertest.Eventually(t, "it has arrived", func() bool { return !sock.Quiet(e.idle[0].Conn) })
 		if r := e.Send(context.Background(), look()); r.Result != upstream.Served || string(r.Reply.Body) != "hi" || p.Conns.Load() != 2 {
 			t.Errorf("%s: result %v, %q, %d connections", name, r.Result, r.Reply.Body, p.Conns.Load())
 		}
-		if n := u.held(); n != 1 {
-			t.Errorf("%s: %d connections are held", name, n)
+		if n := pool.Open(); n != 1 {
+			t.Errorf("%s: %d connections are open", name, n)
 		}
 	}
 }
 
-// An answer costs a bounded number of bytes, whatever it says of itself; the rest is not read to its end.
+// A limited number of bytes is read of a response, whatever length it announces.
 func TestAnswersAreBounded(t *testing.T) {
 	for name, head := range map[string]string{
 		"a head without end":   "HTTP/1.1 200 OK\r\n",
@@ -203,56 +203,57 @@
 				}
 			}
 		})
-		u := testPool(9)
-		r := u.at(p.Addr).Send(context.Background(), look())
+		pool := testPool(9)
+		r := pool.endpointAt(p.Addr).Send(context.Background(), look())
 		if r.Result == upstream.Served || r.Result.NeverRan() {
 			t.Errorf("%s: result %v", name, r.Result)
 		}
-		if n := u.held(); n != 0 {
-			t.Errorf("%s: %d connections are held", name, n)
+		if n := pool.Open(); n != 0 {
+			t.Errorf("%s: %d connections are open", name, n)
 		}
 	}
 }
 
 func TestTheNewestConnectionIsUsedFirst(t *testing.T) {
 	p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
-	u := testPool(9)
-	e := u.at(p.Addr)
+	pool := testPool(9)
+	e := pool.endpointAt(p.Addr)
 	var conns []*conn
 	for range 2 {
-		c, err := u.connect(context.Background(), e)
+		c, err := pool.connect(context.Background(), e)
 		if err != nil {
 			t.Fatal(err)
 		}
 		conns = append(conns, c)
 	}
-	u.park(conns[0])
-	u.park(conns[1])
-	if c, _ := u.connect(context.Background(), e); c != conns[1] {
+	pool.putIdle(conns[0])
+	pool.putIdle(conns[1])
+	if c, _ := pool.connect(context.Background(), e); c != conns[1] {
 		t.Error("not the newest")
 	}
 }
 
-// At the bound on sockets an attempt does not begin, by no fault of its server, unless another server's idle connection can make room.
+// At the limit on connections a call is not sent, for a reason that is not the server's, unless another server's idle connection can be
+// closed.
 func TestTheBoundOnConnections(t *testing.T) {
 	got := make(chan struct{}, 1)
 	busy := peertest.NewPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
 	p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
-	u := testPool(1)
-	first, second := u.at(p.Addr), u.at(busy.Addr)
+	pool := testPool(1)
+	first, second := pool.endpointAt(p.Addr), pool.endpointAt(busy.Addr)
 	first.Send(context.Background(), look())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan upstream.Outcome, 1)
 	go func() { done <- second.Send(ctx, look()) }()
-	peertest.Wait(t, got)     // it took the place ...
+	peertest.Wait(t, got)     // it took over the count ...
 	peertest.Wait(t, p.Ended) // ... of the idle one
 	if r := first.Send(context.Background(), look()); r.Result != upstream.NotSent {
 		t.Errorf("result %v", r.Result)
 	}
 	cancel()
 	peertest.Wait(t, done)
-	peertest.Eventually(t, "the count is right again", func() bool { return u.held() == 0 })
+	peertest.Eventually(t, "the count is right again", func() bool { return pool.Open() == 0 })
 }
 
 func TestParseReport(t *testing.T) {
@@ -268,12 +269,12 @@
 	}
 }
 
-// A server that moves is met at its new address, and its old connections are closed. One that drains gets nothing new,
-// so its idle connections are of no use either.
+// A server that moves is reached at its new address, and its old connections are closed. A draining one gets nothing new, so its idle
+// connections are closed too.
 func TestAServerThatMoves(t *testing.T) {
 	first, second := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer)), peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
-	u := testPool(9)
-	e := u.at("")
+	pool := testPool(9)
+	e := pool.endpointAt("")
 	e.Update(first.Addr, true)
 	e.Send(context.Background(), look())
 	e.Update(second.Addr, true)
@@ -283,19 +284,19 @@
 	}
 	e.Update("", false)
 	peertest.Wait(t, second.Ended)
-	peertest.Eventually(t, "all are closed", func() bool { return u.held() == 0 })
+	peertest.Eventually(t, "all are closed", func() bool { return pool.Open() == 0 })
 }
 
-// Probes are requests of their own; the report is the body or the header.
-func TestProbe(t *testing.T) {
+// A health check is a request of its own; the load report is in the body or the header.
+func TestCheckHealth(t *testing.T) {
 	paths := make(chan string, 1)
 	p := peertest.NewPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
 		paths <- req.RequestURI
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nTEXT busy=0.25")
 		return true
 	})
-	u := testPool(9)
-	r := u.at(p.Addr).CheckHealth(context.Background())
+	pool := testPool(9)
+	r := pool.endpointAt(p.Addr).CheckHealth(context.Background())
 	if path := peertest.Wait(t, paths); path != "/_load" || r.Result != upstream.Served || len(r.LoadReport) != 2 || r.LoadReport[0] != 0.25 {
 		t.Errorf("%s: %+v", path, r)
 	}
--- a/internal/sidecar/upstream/http1/pass_test.go
+++ b/internal/sidecar/upstream/http1/request_writer_test.go
@@ -19,38 +19,38 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// server answers each connection with a function that has the connection and what comes on it.
+// server handles each connection by a function that gets the connection and a reader of it.
 func server(t *testing.T, handle func(net.Conn, *bufio.Reader)) (addr string) {
 	t.Helper()
 	return peertest.NewRaw(t, func(c net.Conn) { handle(c, bufio.NewReader(c)) })
 }
 
-// client writes a body piece by piece, as a test says.
+// client writes a body in parts, as a test says.
 type client struct {
 	*io.PipeWriter
-	rest *message.Upload
+	upload *message.Upload
 }
 
 func newClient(t *testing.T, size int64) *client {
 	r, w := io.Pipe()
-	c := &client{PipeWriter: w, rest: message.NewUpload(size)}
-	go c.rest.Pump(r)
-	t.Cleanup(func() { r.Close(); c.rest.Close() })
+	c := &client{PipeWriter: w, upload: message.NewUpload(size)}
+	go c.upload.Pump(r)
+	t.Cleanup(func() { r.Close(); c.upload.Close() })
 	return c
 }
 
-// upload is a call whose body comes from a client, with what it tells of its end.
-func upload(c *client) (call *upstream.Call, written chan struct{}) {
+// uploadCall returns a call whose body comes from a client; written gets a value when its last byte was sent.
+func uploadCall(c *client) (call *upstream.Call, written chan struct{}) {
 	written = make(chan struct{}, 1)
 	call = &upstream.Call{
-		Message: message.Request{Method: "POST", Target: "/once", Body: []byte("head,"), Remainder: c.rest},
+		Message: message.Request{Method: "POST", Target: "/once", Body: []byte("head,"), Remainder: c.upload},
 		Wait:    time.Second, OnRequestWritten: func() { written <- struct{}{} },
 	}
 	return call, written
 }
 
-// A body is passed on as it comes, with its length or in chunks; the server has all of it, and the connection is used again.
-func TestABodyIsPassedOn(t *testing.T) {
+// A body is streamed, with its length or in chunks; the server gets all of it, and the connection is used again.
+func TestABodyIsStreamed(t *testing.T) {
 	rest := strings.Repeat("0123456789", 100_000)
 	for name, size := range map[string]int64{"with a length": int64(5 + len(rest)), "in chunks": -1} {
 		got := make(chan string, 2)
@@ -62,10 +62,10 @@
 			io.WriteString(c, peertest.OKAnswer)
 			return true
 		})
-		e := testPool(9).at(p.Addr)
+		e := testPool(9).endpointAt(p.Addr)
 		for range 2 {
 			c := newClient(t, size)
-			call, written := upload(c)
+			call, written := uploadCall(c)
 			go func() {
 				for left := rest; len(left) > 0; {
 					n := min(len(left), 77_777)
@@ -76,8 +76,8 @@
 			}()
 			r := send(e, call)
 			peertest.Wait(t, written)
-			if r.Result != upstream.Served || !c.rest.Consumed() || peertest.Wait(t, got) != "head,"+rest {
-				t.Fatalf("%s: %v (%v), spent %v", name, r.Result, r.Err, c.rest.Consumed())
+			if r.Result != upstream.Served || !c.upload.Consumed() || peertest.Wait(t, got) != "head,"+rest {
+				t.Fatalf("%s: %v (%v), consumed %v", name, r.Result, r.Err, c.upload.Consumed())
 			}
 		}
 		if n := p.Conns.Load(); n != 1 {
@@ -86,10 +86,10 @@
 	}
 }
 
-// What an end proves while the body is on its way: before its last byte nothing ran, whoever broke off; after it, it may have.
-// Whether the body can be sent again goes by whether anything of its rest was read.
-func TestEndsOfPassedBodies(t *testing.T) {
-	readAll := func(c net.Conn, in *bufio.Reader) { // and then no answer
+// What an end proves while the body is streamed: before its last byte nothing was executed, whoever broke off; after it, it may have been.
+// Whether the body can be sent again depends on whether anything of its remainder was read.
+func TestEndsOfStreamedBodies(t *testing.T) {
+	readAll := func(c net.Conn, in *bufio.Reader) { // and sends no response
 		req, err := http.ReadRequest(in)
 		if err == nil {
 			io.Copy(io.Discard, req.Body)
@@ -111,10 +111,10 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		server func(net.Conn, *bufio.Reader)
-		client func(c *client)
-		want   upstream.Result
-		spent  bool
+		server   func(net.Conn, *bufio.Reader)
+		client   func(c *client)
+		want     upstream.Result
+		consumed bool
 	}{
 		"the server goes at its end":       {readAll, func(c *client) { io.WriteString(c, "01234"); c.Close() }, upstream.Reset, true},
 		"the server goes before":           {after(7, func(c net.Conn) { sock.Abort(c) }), func(c *client) { io.WriteString(c, "01") }, upstream.ConnectFailed, true},
@@ -126,24 +126,24 @@
 		"the client goes":                  {readAll, func(c *client) { c.CloseWithError(io.ErrUnexpectedEOF) }, upstream.NotSent, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := testPool(9)
+			pool := testPool(9)
 			cl := newClient(t, 10)
-			call, written := upload(cl)
+			call, written := uploadCall(cl)
 			go c.client(cl)
-			r := send(u.at(server(t, c.server)), call)
-			if r.Result != c.want || cl.rest.Consumed() != c.spent {
-				t.Errorf("%v (%v), spent %v; want %v, %v", r.Result, r.Err, cl.rest.Consumed(), c.want, c.spent)
+			r := send(pool.endpointAt(server(t, c.server)), call)
+			if r.Result != c.want || cl.upload.Consumed() != c.consumed {
+				t.Errorf("%v (%v), consumed %v; want %v, %v", r.Result, r.Err, cl.upload.Consumed(), c.want, c.consumed)
 			}
-			if whole := len(written) == 1; whole == r.Result.NeverRan() && r.Result != upstream.Failed {
-				t.Errorf("%v, and written %v", r.Result, whole)
+			if complete := len(written) == 1; complete == r.Result.NeverRan() && r.Result != upstream.Failed {
+				t.Errorf("%v, and written %v", r.Result, complete)
 			}
-			peertest.Eventually(t, "the connection is closed", func() bool { return u.held() == 0 })
+			peertest.Eventually(t, "the connection is closed", func() bool { return pool.Open() == 0 })
 		})
 	}
 }
 
-// A server that answers early and reads no more holds up nobody: its answer counts at once, although the body is stuck. What was
-// taken of that body never begins another exchange.
+// A server that responds early and reads no more delays nobody: its response counts at once, although the body is stuck. A body of which
+// something was read begins no other exchange.
 func TestAnEarlyAnswerFromAServerThatReadsNoMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(time.Millisecond)
@@ -158,23 +158,23 @@
 				return
 			}
 			http.ReadRequest(bufio.NewReaderSize(c, 16))
-			time.Sleep(time.Second) // all that is on its way to it is stuck
+			time.Sleep(time.Second) // what is being sent to it is stuck
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 		}()
-		u := New(Settings{MaxConnections: 9, ConnectTimeout: time.Second, IdleTimeout: time.Second, ResponseBudget: membudget.New(0)}, n.Dial)
-		rest := message.NewUpload(1 << 30)
-		go rest.Pump(neverEnding{})
-		defer rest.Close()
+		pool := New(Settings{MaxConnections: 9, ConnectTimeout: time.Second, IdleTimeout: time.Second, ResponseBudget: membudget.New(0)}, n.Dial)
+		body := message.NewUpload(1 << 30)
+		go body.Pump(neverEnding{})
+		defer body.Close()
 		call := func() *upstream.Call {
-			return &upstream.Call{Message: message.Request{Method: "POST", Target: "/once", Remainder: rest}, Wait: time.Second}
+			return &upstream.Call{Message: message.Request{Method: "POST", Target: "/once", Remainder: body}, Wait: time.Second}
 		}
 		began := time.Now()
-		if r := u.at("127.0.0.1:80").Send(t.Context(), call()); r.Result != upstream.Rejected || time.Since(began) > 2*time.Second {
+		if r := pool.endpointAt("127.0.0.1:80").Send(t.Context(), call()); r.Result != upstream.Rejected || time.Since(began) > 2*time.Second {
 			t.Errorf("%v (%v) after %v", r.Result, r.Err, time.Since(began))
 		}
 		go ln.Accept()
-		if r := u.at("127.0.0.1:80").Send(t.Context(), call()); r.Result != upstream.NotSent {
-			t.Errorf("half a body is sent: %v", r.Result)
+		if r := pool.endpointAt("127.0.0.1:80").Send(t.Context(), call()); r.Result != upstream.NotSent {
+			t.Errorf("part of a body is sent: %v", r.Result)
 		}
 	})
 }
@@ -183,8 +183,8 @@
 
 func (neverEnding) Read(p []byte) (int, error) { return len(p), nil }
 
-// A call with a body that comes is given up: the server does not get its end.
-func TestAPassedBodyIsGivenUp(t *testing.T) {
+// A call whose body is streamed is cancelled: the server does not get the end of the body.
+func TestAStreamedBodyIsCancelled(t *testing.T) {
 	got, ended := make(chan struct{}, 1), make(chan error, 1)
 	addr := server(t, func(c net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
@@ -197,29 +197,29 @@
 		_, err = io.Copy(io.Discard, req.Body)
 		ended <- err
 	})
-	u := testPool(9)
+	pool := testPool(9)
 	c := newClient(t, 10)
-	call, written := upload(c)
+	call, written := uploadCall(c)
 	go io.WriteString(c, "01")
-	ctx, giveUp := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	result := make(chan upstream.Outcome, 1)
-	go func() { result <- u.at(addr).Send(ctx, call) }()
+	go func() { result <- pool.endpointAt(addr).Send(ctx, call) }()
 	peertest.Wait(t, got)
-	giveUp()
+	cancel()
 	if r := peertest.Wait(t, result); r.Result != upstream.Cancelled || len(written) != 0 {
 		t.Errorf("%v (%v), written %d", r.Result, r.Err, len(written))
 	}
 	if err := peertest.Wait(t, ended); err == nil {
-		t.Error("the server took half a body for a whole one")
+		t.Error("the server took part of a body for a complete one")
 	}
-	if u.held() != 0 {
-		t.Error("the connection is held")
+	if pool.Open() != 0 {
+		t.Error("the connection is open")
 	}
 }
 
-// An answer that comes slowly is begun before it is whole, in chunks, with a length or to the end of the connection; what its
-// reader does not take is not read from the server.
-func TestAnAnswerIsBegunInTime(t *testing.T) {
+// A slow response is passed on before it is complete, in chunks, with a length or until the end of the connection; what its reader does
+// not read is not read from the server.
+func TestASlowResponseIsStreamed(t *testing.T) {
 	for name, head := range map[string]string{
 		"with a length": "Content-Length: 2000000\r\n", "in chunks": "Transfer-Encoding: chunked\r\n", "to the end": "Connection: close\r\n",
 	} {
@@ -235,16 +235,16 @@
 			<-more
 			io.WriteString(c, last)
 		})
-		u := testPool(9)
+		pool := testPool(9)
 		call := look()
 		began, ended := make(chan upstream.Outcome, 1), make(chan upstream.Outcome, 1)
 		call.OnReplyStarted = func(out upstream.Outcome) { began <- out }
-		go func() { ended <- u.at(addr).Send(context.Background(), call) }()
-		out := peertest.Wait(t, began) // although the server waits for us
+		go func() { ended <- pool.endpointAt(addr).Send(context.Background(), call) }()
+		out := peertest.Wait(t, began) // although the server waits
 		close(more)
 		n, err := io.Copy(io.Discard, out.Reply.Remainder)
-		if whole := int(n) + len(out.Reply.Body); err != nil || whole != 2_000_000 {
-			t.Errorf("%s: %d bytes, %v", name, whole, err)
+		if total := int(n) + len(out.Reply.Body); err != nil || total != 2_000_000 {
+			t.Errorf("%s: %d bytes, %v", name, total, err)
 		}
 		if r := peertest.Wait(t, ended); r.Result != upstream.Served {
 			t.Errorf("%s: %v (%v)", name, r.Result, r.Err)
@@ -252,9 +252,9 @@
 	}
 }
 
-// An answer that breaks off after its beginning ends with an error for whoever reads it, never as if it were whole; one whose
-// reader goes away ends its connection.
-func TestBegunAnswersThatBreakOff(t *testing.T) {
+// A response that breaks off after its beginning was passed on ends with an error for its reader, never as if it were complete; one
+// whose reader goes away ends its connection.
+func TestStreamedResponsesThatBreakOff(t *testing.T) {
 	for name, answer := range map[string]string{
 		"with a length": "HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n" + strings.Repeat("x", 2_000_000),
 		"in chunks":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2dc6c0\r\n" + strings.Repeat("x", 2_000_000),
@@ -264,12 +264,12 @@
 			http.ReadRequest(in)
 			io.WriteString(c, answer)
 		})
-		r := send(testPool(9).at(addr), look())
-		if !r.begun || r.err == nil || r.ended.Result == upstream.Served {
-			t.Errorf("%s: begun %v, rest %v, %v", name, r.begun, r.err, r.ended.Result)
+		r := send(testPool(9).endpointAt(addr), look())
+		if !r.streamed || r.err == nil || r.ended.Result == upstream.Served {
+			t.Errorf("%s: streamed %v, remainder %v, %v", name, r.streamed, r.err, r.ended.Result)
 		}
 	}
-	u := testPool(9)
+	pool := testPool(9)
 	gone := make(chan error, 1)
 	addr := server(t, func(c net.Conn, in *bufio.Reader) {
 		http.ReadRequest(in)
@@ -280,11 +280,11 @@
 	call := look()
 	began := make(chan upstream.Outcome, 1)
 	call.OnReplyStarted = func(out upstream.Outcome) { began <- out }
-	go u.at(addr).Send(context.Background(), call)
+	go pool.endpointAt(addr).Send(context.Background(), call)
 	out := peertest.Wait(t, began)
 	out.Reply.Done()
 	if err := peertest.Wait(t, gone); err == nil {
 		t.Error("the server could write all of it to nobody")
 	}
-	peertest.Eventually(t, "the connection is closed", func() bool { return u.held() == 0 })
+	peertest.Eventually(t, "the connection is closed", func() bool { return pool.Open() == 0 })
 }
--- /dev/null
+++ b/internal/sidecar/upstream/http1/response.go
@@ -0,0 +1,179 @@
+package http1
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"time"
+
+	"petrelhook/internal/sidecar/membudget"
+	"petrelhook/internal/sidecar/message"
+	"petrelhook/internal/sidecar/upstream"
+)
+
+const (
+	// maxBufferTime is how long a response is buffered in the hope that it becomes complete: until its beginning is passed to the client
+	// a retry may still succeed. Then what has arrived is passed on.
+	maxBufferTime = 50 * time.Millisecond
+	// maxBufferSize is the largest response with a known length that is buffered, memory permitting.
+	maxBufferSize = 1 << 20
+	// uncountedSize is how much of every response is buffered without being counted: nearly all are no longer.
+	uncountedSize = 4 << 10
+	// readSize is the size of one read of a body.
+	readSize = 32 << 10
+)
+
+var (
+	errTooLong = fmt.Errorf("an answer over %d MiB", message.MaxBody>>20)
+	// errNotBuffered is the error of a response that is too long to be buffered and must not be streamed.
+	errNotBuffered = errors.New("an answer that is long and not passed on")
+)
+
+// response is a response while it arrives: buffered at first, and streamed once its beginning was passed on. It belongs to the goroutine
+// that reads the response; whoever got the beginning reads the remainder from a pipe.
+type response struct {
+	reader      *responseReader
+	budget      *membudget.Budget
+	bufferLimit int                    // the most bytes that are buffered
+	onStarted   func(upstream.Outcome) // gets the beginning of a streamed response; nil: it must not be streamed
+	outcome     upstream.Outcome
+	header      http.Header
+	size        int64 // of the complete body; -1: unknown
+
+	buffered []byte
+	reserved int64          // bytes of the budget
+	stream   *io.PipeWriter // nil: the response is not streamed yet
+}
+
+var bufferPool = sync.Pool{New: func() any { b := make([]byte, readSize); return &b }}
+
+// readBody reads the body to its end.
+func (r *response) readBody(resp *http.Response) error {
+	switch {
+	case r.onStarted == nil && r.size > message.MaxBuffered:
+		return errNotBuffered
+	case r.size > maxBufferSize:
+		r.bufferLimit = 0
+	case r.size > message.MaxBuffered:
+		r.bufferLimit = int(r.size)
+	}
+	source := &r.reader.source
+	r.reader.limit.N = message.MaxBody + message.MaxHead // chunks have heads too
+	if r.onStarted == nil {
+		r.reader.limit.N = message.MaxBuffered + message.MaxHead
+	} else if r.size > message.MaxBuffered || r.size < 0 { // a short one is read completely, however late it is
+		source.onDeadline = r.startStreaming
+		_ = source.SetReadDeadline(time.Now().Add(maxBufferTime)) // fails only if the connection is closed, as for the one below
+		defer func() {
+			source.onDeadline = nil
+			_ = source.SetReadDeadline(time.Time{})
+		}()
+	}
+	return r.copyBody(resp.Body)
+}
+
+// copyBody reads a body and buffers or streams it.
+func (r *response) copyBody(body io.Reader) error {
+	buffer := bufferPool.Get().(*[]byte)
+	defer bufferPool.Put(buffer)
+	total := int64(0)
+	for {
+		n, err := body.Read(*buffer)
+		if total += int64(n); total > message.MaxBody {
+			return errTooLong
+		}
+		if n > 0 {
+			if err := r.add((*buffer)[:n]); err != nil {
+				return err
+			}
+		}
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// add buffers or streams what has arrived. What cannot be buffered starts the stream.
+func (r *response) add(p []byte) error {
+	if r.stream == nil && r.reserve(len(r.buffered)+len(p)) {
+		r.buffered = append(r.buffered, p...)
+		return nil
+	}
+	if r.onStarted == nil {
+		return errNotBuffered
+	}
+	r.startStreaming()
+	_, err := r.stream.Write(p)
+	return err
+}
+
+// reserve reports whether n bytes of the body may be buffered. Memory is reserved as the body arrives; for a long response all of it at
+// once, which may fail.
+func (r *response) reserve(n int) bool {
+	if n > r.bufferLimit {
+		return false
+	}
+	if n <= uncountedSize || int64(n) <= r.reserved {
+		return true
+	}
+	want := int64(min(r.bufferLimit, max(2*n, 4*uncountedSize)))
+	if r.size > message.MaxBuffered {
+		want = r.size
+	}
+	if !r.budget.TryAcquire(want - r.reserved) {
+		return r.onStarted == nil // then it is short, and cannot be streamed
+	}
+	r.reserved = want
+	return true
+}
+
+// takeReservation returns a function that releases the reserved memory once, and is from now on responsible for it; nil: nothing is reserved.
+func (r *response) takeReservation() func() {
+	n := r.reserved
+	if r.reserved = 0; n == 0 {
+		return nil
+	}
+	return sync.OnceFunc(func() { r.budget.Release(n) })
+}
+
+// startStreaming passes on what has arrived, unless that was done before.
+func (r *response) startStreaming() {
+	if r.stream != nil {
+		return
+	}
+	r.reader.source.onDeadline, r.reader.source.deadlinePerRead = nil, true
+	var remainder *io.PipeReader
+	remainder, r.stream = io.Pipe()
+	out := r.outcome
+	out.Result = upstream.Served
+	out.Reply = message.Reply{Header: r.header, Body: r.buffered, Remainder: remainder, Size: r.size, Release: r.takeReservation()}
+	r.buffered = nil
+	r.onStarted(out)
+}
+
+// complete returns the outcome of a response that has arrived completely.
+func (r *response) complete() upstream.Outcome {
+	out := r.outcome
+	out.Result = upstream.Served
+	if r.stream != nil {
+		_ = r.stream.Close() // always nil: the reader gets io.EOF
+		return out
+	}
+	out.Reply = message.Reply{Header: r.header, Body: r.buffered, Release: r.takeReservation()}
+	return out
+}
+
+// abandon ends a response that is not served, or not completely. Whoever reads the stream gets err.
+func (r *response) abandon(err error) {
+	if r.stream != nil {
+		_ = r.stream.CloseWithError(err) // always nil
+	}
+	if release := r.takeReservation(); release != nil {
+		release()
+	}
+}
--- /dev/null
+++ b/internal/sidecar/upstream/http1/response_reader.go
@@ -0,0 +1,141 @@
+package http1
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"petrelhook/internal/sidecar/membudget"
+	"petrelhook/internal/sidecar/message"
+	"petrelhook/internal/sidecar/upstream"
+)
+
+// neverRanHeader is the header field by which a server says that it did not execute a request.
+const neverRanHeader = "X-Never-Ran"
+
+// responseReader reads what a server sends on a connection, up to a limit and regardless of the length that the server announces: what
+// exceeds the limit stays unread, and the connection is closed.
+type responseReader struct {
+	*bufio.Reader
+	limit  *io.LimitedReader
+	source timedConn
+}
+
+// timedConn is a connection whose reads have one of two kinds of deadline: a single one, at which onDeadline is called and after which
+// reading goes on, or a new one for each read, which ends a connection that makes no progress.
+type timedConn struct {
+	net.Conn
+	onDeadline      func() // called once, from Read; nil: a deadline is an error
+	deadlinePerRead bool
+}
+
+// Read reads on after the single deadline, so its caller never sees that one.
+func (c *timedConn) Read(p []byte) (int, error) {
+	if c.deadlinePerRead {
+		_ = c.SetReadDeadline(time.Now().Add(stallTimeout)) // fails only if the connection is closed, and then so does Read
+	}
+	n, err := c.Conn.Read(p)
+	if c.onDeadline != nil && errors.Is(err, os.ErrDeadlineExceeded) {
+		onDeadline := c.onDeadline
+		c.onDeadline = nil
+		onDeadline()
+		if n > 0 {
+			return n, nil
+		}
+		return c.Read(p)
+	}
+	return n, err
+}
+
+var readerPool = sync.Pool{New: func() any {
+	r := &responseReader{}
+	r.limit = &io.LimitedReader{R: &r.source}
+	r.Reader = bufio.NewReaderSize(r.limit, 4<<10)
+	return r
+}}
+
+func newResponseReader(c net.Conn) *responseReader {
+	r := readerPool.Get().(*responseReader)
+	r.source, r.limit.N = timedConn{Conn: c}, 0
+	r.Reset(r.limit)
+	return r
+}
+
+// release returns the reader to the pool; it must not be used any more.
+func (r *responseReader) release() {
+	r.source = timedConn{}
+	readerPool.Put(r)
+}
+
+// read reads one response, after any 1xx ones, and returns whether the connection can be used again. Only a complete 200 is served, and
+// only the server's own statement proves that it did not execute the request. A malformed response comes from a server that is alive,
+// and is an error; a reset means that the connection ended. If onStarted is not nil a long 200 is passed to it once it has begun, and the
+// returned outcome says how the rest went.
+func (r *responseReader) read(
+	method string, reportFields []string, budget *membudget.Budget, onStarted func(upstream.Outcome),
+) (out upstream.Outcome, reusable bool) {
+	resp, err := r.readHead(method) //nolint:bodyclose // Close would read the body to its end; the connection is closed instead
+	if err != nil {
+		return r.readError(err), false
+	}
+	if resp.ContentLength > message.MaxBody {
+		return upstream.Outcome{Result: upstream.Failed, Err: errTooLong}, false
+	}
+	out = upstream.Outcome{Result: upstream.Failed, LoadReport: parseReport(resp.Header.Get(loadReportHeader), reportFields)}
+	if resp.StatusCode != http.StatusOK {
+		onStarted = nil // it is not passed on, and need not be read to its end
+	}
+	body := &response{
+		reader: r, budget: budget, bufferLimit: message.MaxBuffered, onStarted: onStarted, outcome: out,
+		header: resp.Header, size: resp.ContentLength,
+	}
+	if err := body.readBody(resp); err != nil {
+		body.abandon(err)
+		if errors.Is(err, errTooLong) || errors.Is(err, errNotBuffered) {
+			return upstream.Outcome{Result: upstream.Failed, Err: err}, false
+		}
+		return r.readError(err), false
+	}
+	// A body without a length ends with the connection, which cannot be used again.
+	reusable = (resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0) && !resp.Close
+	if resp.StatusCode == http.StatusOK {
+		return body.complete(), reusable
+	}
+	if neverRan(resp) {
+		out.Result = upstream.Rejected
+	}
+	out.Err = errors.New(resp.Status)
+	body.abandon(nil)
+	return out, reusable
+}
+
+// readHead reads the head of a response, after any 1xx responses.
+func (r *responseReader) readHead(method string) (*http.Response, error) {
+	r.limit.N = message.MaxHead // for all heads together
+	resp, err := http.ReadResponse(r.Reader, &http.Request{Method: method})
+	for err == nil && resp.StatusCode/100 == 1 && resp.StatusCode != http.StatusSwitchingProtocols {
+		resp, err = http.ReadResponse(r.Reader, &http.Request{Method: method})
+	}
+	return resp, err
+}
+
+// neverRan reports whether a server says that it did not execute the request.
+func neverRan(resp *http.Response) bool {
+	return (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
+		resp.Header.Get(neverRanHeader) == "1"
+}
+
+// readError returns the outcome of a response that could not be read: Reset if the connection ended, otherwise Failed.
+func (r *responseReader) readError(err error) upstream.Outcome {
+	var netErr net.Error
+	ended := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+	if errors.As(err, &netErr) || ended && r.limit.N > 0 {
+		return upstream.Outcome{Result: upstream.Reset, Err: err}
+	}
+	return upstream.Outcome{Result: upstream.Failed, Err: err}
+}
--- a/internal/sidecar/upstream/http1/stale_test.go
+++ b/internal/sidecar/upstream/http1/stale_test.go
@@ -13,8 +13,8 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// A server that breaks connections which were idle for long, and says nothing of it before the next request: after a few such ends no
-// more requests are written to connections of that age; young ones still carry them.
+// A server breaks connections that were idle for long, unnoticeably until the next request: after a few breaks no more requests are
+// written to connections of that age; younger ones still carry them.
 func TestConnectionsThatWentStale(t *testing.T) {
 	var breaks atomic.Bool
 	p := peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
@@ -24,8 +24,8 @@
 		io.WriteString(c, peertest.OKAnswer)
 		return true
 	})
-	u := testPool(9)
-	e := u.at(p.Addr)
+	pool := testPool(9)
+	e := pool.endpointAt(p.Addr)
 	send := func(want upstream.Result) {
 		t.Helper()
 		if r := e.Send(context.Background(), look()); r.Result != want {
@@ -36,15 +36,15 @@
 		for range 9 {
 			send(upstream.Served)
 		}
-		u.mu.Lock()
-		e.idle[0].last = e.idle[0].last.Add(-20 * time.Second) // no test waits so long
-		bound := u.ages.MaxIdle(time.Now())
-		u.mu.Unlock()
-		if bound < 20*time.Second {
+		pool.mu.Lock()
+		e.idle[0].idleSince = e.idle[0].idleSince.Add(-20 * time.Second) // no test waits so long
+		limit := pool.idleAges.MaxIdle(time.Now())
+		pool.mu.Unlock()
+		if limit < 20*time.Second {
 			break
 		}
 		if n == 10 {
-			t.Fatal("ten have broken and there is no bound")
+			t.Fatal("ten have broken and there is no limit")
 		}
 		breaks.Store(true)
 		send(upstream.Reset)
--- a/internal/sidecar/upstream/http1/cut_test.go
+++ b/internal/sidecar/upstream/http1/truncated_test.go
@@ -11,8 +11,8 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// An answer that is cut at any byte, by an end or by a reset, is not served. A reset is no end: also where an answer says no length,
-// and all of it has come.
+// A response that is cut off at any byte, by an end or a reset of the connection, is not served. A reset does not end a response without a
+// length, even if all of it has arrived.
 func TestAnswersCutAtEachByte(t *testing.T) {
 	for name, text := range map[string]string{
 		"a length":  "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
@@ -23,28 +23,28 @@
 	} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", reset ", reset), func(t *testing.T) {
-				at := make(chan int, 1)
+				cuts := make(chan int, 1)
 				p := peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
-					c.Write([]byte(text)[:<-at])
+					c.Write([]byte(text)[:<-cuts])
 					if reset {
 						c.(*net.TCPConn).SetLinger(0)
 					}
 					return false
 				})
 				bare := name == "no length" || name == "HTTP/1.0"
-				body := len(text) - len("hello") // of a bare answer
-				u := testPool(4)
+				body := len(text) - len("hello") // where the body of a bare response begins
+				pool := testPool(4)
 				for cut := range len(text) + 1 {
-					at <- cut
-					got := u.at(p.Addr).Send(context.Background(), look())
-					whole := cut == len(text) && !reset || bare && !reset && cut >= body
-					if served := got.Result == upstream.Served; served && !whole || !served && whole && cut == len(text) {
-						if !(reset && cut == len(text) && !bare) { // whole by its own word before the reset
+					cuts <- cut
+					got := pool.endpointAt(p.Addr).Send(context.Background(), look())
+					complete := cut == len(text) && !reset || bare && !reset && cut >= body
+					if served := got.Result == upstream.Served; served && !complete || !served && complete && cut == len(text) {
+						if !reset || cut != len(text) || bare { // otherwise it was complete by its length before the reset
 							t.Errorf("%d of %d bytes: %v, %v", cut, len(text), got.Result, got.Err)
 						}
 					}
 					if cut < len(text) && got.Result.NeverRan() {
-						t.Errorf("%d of %d bytes: %v, though it may have run", cut, len(text), got.Result)
+						t.Errorf("%d of %d bytes: %v, though it may have been executed", cut, len(text), got.Result)
 					}
 				}
 			})
--- a/internal/sidecar/upstream/reuse/reuse.go
+++ b/internal/sidecar/upstream/reuse/reuse.go
@@ -1,12 +1,12 @@
-// Package reuse answers one question: how long may a connection to a server have been idle and still carry a request? It
-// learns from how exchanges ended. Servers, and what stands between, close idle connections at times that no setting tells, and
-// a request that is written to one ends as a reset: it may have run, and what must run once is lost.
+// Package reuse answers one question: how long may a connection to a server have been idle and still carry a request? It learns from how
+// exchanges ended. Servers, and what stands between, close idle connections after times that no setting gives, and a request that is
+// written to a closed one ends as a reset: it may have been executed, so an unsafe request is lost.
 //
-// It is pure: ages and ends go in with their times, a bound comes out. It opens and closes nothing, and does not tell one
-// server from another: what is between is common to them, and a sidecar with little traffic would learn of each too late.
+// The package is pure: idle times and ends go in with their times, a limit comes out. It opens and closes nothing, and does not tell
+// servers apart: what stands between is common to them, and a sidecar with little traffic would learn about each too late.
 //
-// Invariants: connections that break no more often for having been idle are kept as long as before; what was learned fades, so
-// that a bound is tried again when the cause may have gone; a young connection is never too old.
+// Invariants: connections that do not break more often for having been idle are used as long as before; what was learned decays, so that
+// a limit is tried again when its cause may have gone; the limit is never below the first cell.
 package reuse
 
 import (
@@ -15,93 +15,96 @@
 )
 
 const (
-	// cells of idle times double from the first on; the last has no end.
-	first = time.Millisecond
-	cells = 16
-	// halfLife is how long what was seen counts half. Troubles last for seconds.
+	// firstCell is the end of the first cell of idle times. Each of the others is as long as all before it; the last has no end.
+	firstCell = time.Millisecond
+	cellCount = 16
+	// halfLife is the time in which the weight of an observation halves. Faults of this kind last for seconds.
 	halfLife = 10 * time.Second
-	// dear is how much more often than younger ones a connection may break for being idle: a new connection costs a
-	// round trip or two and some work of the server, a break the request where it must not run twice.
-	dear = 0.05
-	// sure is by how many standard deviations more must have broken than by chance. Each cell is looked at all the time.
-	sure = 3
+	// decayStep is the least time between two decays: the limit is computed for each use of a connection.
+	decayStep = halfLife / 20
+	// tolerance is how much more often than younger ones a connection may break for being idle: a new connection costs a round trip or
+	// two and some work of the server, a break costs the request if it is unsafe.
+	tolerance = 0.05
+	// minDeviations is by how many standard deviations more must have broken than by chance. All cells are tested all the time.
+	minDeviations = 3
 )
 
-// Unlimited is no bound.
+// Unlimited means that a connection may have been idle for any time.
 const Unlimited = time.Duration(math.MaxInt64)
 
-// Fresh is the age of a connection that carries its first request.
+// Fresh is the idle time of a connection that carries its first request.
 const Fresh = time.Duration(-1)
 
-// Ages holds what was learned. Its zero value has learned nothing. It is not safe for concurrent use; times must not go back.
+// Ages holds what was learned. Its zero value has learned nothing. It is not safe for concurrent use; the times that its methods are given
+// must not go back.
 type Ages struct {
-	fresh tally
-	idle  [cells]tally
-	faded time.Time
+	fresh     tally
+	cells     [cellCount]tally
+	lastDecay time.Time
 }
 
-// tally counts uses and those that broke, faded.
-type tally struct{ used, broke float64 }
+// tally holds decayed counts of uses, and of those under which the connection broke.
+type tally struct{ uses, breaks float64 }
 
 func (t *tally) add(broke bool) {
-	t.used++
+	t.uses++
 	if broke {
-		t.broke++
+		t.breaks++
 	}
 }
 
-// Record takes in an exchange on a connection that had been idle for age: whether the connection broke under it. Exchanges
-// that were given up tell nothing and are left out.
-func (a *Ages) Record(now time.Time, age time.Duration, broke bool) {
-	a.fade(now)
-	if age < 0 {
+// Record adds the end of an exchange on a connection that had been idle for idleTime: whether the connection broke under it. Exchanges
+// that were cancelled say nothing and must not be recorded.
+func (a *Ages) Record(now time.Time, idleTime time.Duration, broke bool) {
+	a.decay(now)
+	if idleTime < 0 {
 		a.fresh.add(broke)
 	} else {
-		a.idle[cell(age)].add(broke)
+		a.cells[cellOf(idleTime)].add(broke)
 	}
 }
 
-// MaxIdle is the longest that a connection may have been idle to be used now.
+// MaxIdle returns the longest that a connection may have been idle to be used now.
 func (a *Ages) MaxIdle(now time.Time) time.Duration {
-	a.fade(now)
+	a.decay(now)
 	younger := a.fresh
-	for c := range a.idle {
-		t := a.idle[c]
-		base := younger.broke / math.Max(younger.used, 1)
-		excess, chance := t.broke-base*t.used, math.Sqrt(base*(1-base)*t.used+1)
-		if c > 0 && excess > dear*t.used && excess > sure*chance { // what closes them at this age closes older ones too
-			return first << (c - 1)
+	for i := range a.cells {
+		cell := a.cells[i]
+		rate := younger.breaks / math.Max(younger.uses, 1)
+		excess, deviation := cell.breaks-rate*cell.uses, math.Sqrt(rate*(1-rate)*cell.uses+1)
+		if i > 0 && excess > tolerance*cell.uses && excess > minDeviations*deviation { // what closes these closes older ones too
+			return firstCell << (i - 1)
 		}
-		younger.used += t.used
-		younger.broke += t.broke
+		younger.uses += cell.uses
+		younger.breaks += cell.breaks
 	}
 	return Unlimited
 }
 
-// cell is where an age is counted: below first, below twice that, and so on.
-func cell(age time.Duration) int {
-	c := 0
-	for c < cells-1 && age >= first<<c {
-		c++
+// cellOf returns the cell of an idle time: 0 below firstCell, 1 below twice that, and so on.
+func cellOf(idleTime time.Duration) int {
+	i := 0
+	for i < cellCount-1 && idleTime >= firstCell<<i {
+		i++
 	}
-	return c
+	return i
 }
 
-// fade lets what was seen count less, in steps: it is called for each use.
-func (a *Ages) fade(now time.Time) {
-	passed := now.Sub(a.faded)
-	if passed < halfLife/20 {
+// decay reduces the weight of earlier observations, in steps.
+func (a *Ages) decay(now time.Time) {
+	passed := now.Sub(a.lastDecay)
+	if passed < decayStep {
 		return
 	}
-	a.faded = now
-	part := math.Exp2(-passed.Seconds() / halfLife.Seconds())
-	a.fresh.fade(part)
-	for c := range a.idle {
-		a.idle[c].fade(part)
+	a.lastDecay = now
+	factor := math.Exp2(-passed.Seconds() / halfLife.Seconds())
+	a.fresh.decay(factor)
+	for i := range a.cells {
+		a.cells[i].decay(factor)
 	}
 }
 
-func (t *tally) fade(part float64) {
-	t.used *= part
-	t.broke *= part
+func (t *tally) decay(factor float64) {
+	t.uses *= factor
+	t.breaks *= factor
 }
--- a/internal/sidecar/upstream/reuse/reuse_test.go
+++ b/internal/sidecar/upstream/reuse/reuse_test.go
@@ -8,95 +8,97 @@
 	"pgregory.net/rapid"
 )
 
-var began = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-// rig is a stretch of uses, 100 a second, whose connections are used if they were idle for no longer than the bound.
-type rig struct {
+// traffic plays uses of connections, 100 a second. A connection is used if it was idle for no longer than the limit.
+type traffic struct {
 	Ages
-	now time.Time
-	rnd *rand.Rand
+	now    time.Time
+	random *rand.Rand
 }
 
-func newRig() *rig { return &rig{now: began, rnd: rand.New(rand.NewPCG(1, 2))} }
+func newTraffic() *traffic {
+	return &traffic{now: startTime, random: rand.New(rand.NewPCG(1, 2))}
+}
 
-// uses plays n of them: connections are idle for exponential times with a mean, and break with a chance that follows from how
-// long they were; it counts those that broke though they were used.
-func (r *rig) uses(n int, mean time.Duration, chance func(time.Duration) float64) (old, broke int) {
+// play plays n uses: connections were idle for exponential times with a mean, and break with a probability that depends on their idle
+// time. It returns how many were too old to be used, and how many broke.
+func (r *traffic) play(n int, mean time.Duration, probability func(time.Duration) float64) (tooOld, broken int) {
 	for range n {
 		r.now = r.now.Add(10 * time.Millisecond)
-		age := time.Duration(r.rnd.ExpFloat64() * float64(mean))
+		age := time.Duration(r.random.ExpFloat64() * float64(mean))
 		if age > r.MaxIdle(r.now) {
 			age = Fresh
-			old++
+			tooOld++
 		}
-		b := r.rnd.Float64() < chance(age)
-		r.Record(r.now, age, b)
-		if b {
-			broke++
+		broke := r.random.Float64() < probability(age)
+		r.Record(r.now, age, broke)
+		if broke {
+			broken++
 		}
 	}
-	return old, broke
+	return tooOld, broken
 }
 
-// Where servers close connections after a time, older ones are left alone soon, and hardly any younger ones.
+// If servers close connections after some time, older ones are soon no longer used, and nearly all younger ones are.
 func TestTheTimeOfServersIsLearned(t *testing.T) {
 	for _, closed := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, time.Second} {
-		for _, always := range []float64{0, 0.1} { // what breaks however young
-			r := newRig()
-			chance := func(age time.Duration) float64 {
+		for _, always := range []float64{0, 0.1} { // the probability to break at any age
+			r := newTraffic()
+			probability := func(age time.Duration) float64 {
 				if age > closed {
 					return always + 0.5
 				}
 				return always
 			}
-			r.uses(1000, 2*closed, chance)
-			if most := r.MaxIdle(r.now); most > 2*closed || most < closed/4 {
-				t.Errorf("closed after %v, %.1f break always: the bound is %v", closed, always, most)
+			r.play(1000, 2*closed, probability)
+			if limit := r.MaxIdle(r.now); limit > 2*closed || limit < closed/4 {
+				t.Errorf("closed after %v, %.1f break always: the limit is %v", closed, always, limit)
 			}
-			_, broke := r.uses(1000, 2*closed, chance)
-			if limit := int(1000*always) + 80; broke > limit {
-				t.Errorf("closed after %v, %.1f break always: %d of 1000 broke", closed, always, broke)
+			_, broken := r.play(1000, 2*closed, probability)
+			if limit := int(1000*always) + 80; broken > limit {
+				t.Errorf("closed after %v, %.1f break always: %d of 1000 broke", closed, always, broken)
 			}
 		}
 	}
 }
 
-// Connections that break no more often for being idle are used as before, however often all break.
+// Connections that do not break more often for being idle are used as before, however often all break.
 func TestWhatBreaksAnywayIsNoReason(t *testing.T) {
 	for _, always := range []float64{0, 0.1, 0.3} {
-		r := newRig()
-		if old, _ := r.uses(5000, 200*time.Millisecond, func(time.Duration) float64 { return always }); old > 250 {
-			t.Errorf("%.1f break: %d of 5000 were not used", always, old)
+		r := newTraffic()
+		if tooOld, _ := r.play(5000, 200*time.Millisecond, func(time.Duration) float64 { return always }); tooOld > 250 {
+			t.Errorf("%.1f break: %d of 5000 were not used", always, tooOld)
 		}
 	}
 }
 
-// A trouble that has gone is forgotten: connections are kept again within a few half-lives.
+// A fault that has gone is forgotten: idle connections are used again within a few half-lives.
 func TestABoundIsTriedAgain(t *testing.T) {
-	r := newRig()
+	r := newTraffic()
 	if r.MaxIdle(r.now) != Unlimited {
-		t.Error("a bound though nothing was seen")
+		t.Error("a limit although nothing was recorded")
 	}
-	r.uses(2000, 200*time.Millisecond, func(age time.Duration) float64 {
+	r.play(2000, 200*time.Millisecond, func(age time.Duration) float64 {
 		if age > 50*time.Millisecond {
 			return 0.6
 		}
 		return 0
 	})
-	if most := r.MaxIdle(r.now); most > 50*time.Millisecond {
-		t.Fatalf("the bound is %v", most)
+	if limit := r.MaxIdle(r.now); limit > 50*time.Millisecond {
+		t.Fatalf("the limit is %v", limit)
 	}
-	r.uses(100*60, 200*time.Millisecond, func(time.Duration) float64 { return 0 })
-	if most := r.MaxIdle(r.now); most < time.Second {
-		t.Errorf("a minute later the bound is %v", most)
+	r.play(100*60, 200*time.Millisecond, func(time.Duration) float64 { return 0 })
+	if limit := r.MaxIdle(r.now); limit < time.Second {
+		t.Errorf("a minute later the limit is %v", limit)
 	}
 }
 
-// Whatever is seen in whatever order: a bound is at least the first cell, and is nothing that has not been seen to break.
+// Whatever is recorded in whatever order: a limit is at least the first cell, and at most the oldest connection that broke.
 func TestAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a Ages
-		now, oldest := began, time.Duration(0) // of those that broke
+		now, oldest := startTime, time.Duration(0) // of those that broke
 		for range rapid.IntRange(0, 200).Draw(t, "n") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "passed")))
 			age := time.Duration(rapid.Int64Range(-1, int64(time.Hour)).Draw(t, "age"))
@@ -104,19 +106,19 @@
 			if a.Record(now, age, broke); broke {
 				oldest = max(oldest, age)
 			}
-			if most := a.MaxIdle(now); most < first || most != Unlimited && most > oldest {
-				t.Fatalf("the bound is %v, the oldest that broke was idle for %v", most, oldest)
+			if limit := a.MaxIdle(now); limit < firstCell || limit != Unlimited && limit > oldest {
+				t.Fatalf("the limit is %v, the oldest that broke was idle for %v", limit, oldest)
 			}
 		}
 	})
 }
 
-// BenchmarkMost is what the bound costs each use of a connection.
+// BenchmarkMaxIdle measures what the limit costs each use of a connection.
 //
-//	go test ./internal/sidecar/upstream/reuse -run - -bench Most
-func BenchmarkMost(b *testing.B) {
-	r := newRig()
-	r.uses(1000, 200*time.Millisecond, func(time.Duration) float64 { return 0.1 })
+//	go test ./internal/sidecar/upstream/reuse -run - -bench MaxIdle
+func BenchmarkMaxIdle(b *testing.B) {
+	r := newTraffic()
+	r.play(1000, 200*time.Millisecond, func(time.Duration) float64 { return 0.1 })
 	for b.Loop() {
 		r.MaxIdle(r.now)
 	}
--- a/internal/sidecar/wiring/mutation_test.go
+++ b/internal/sidecar/wiring/mutation_test.go
@@ -29,7 +29,7 @@
 		"what has not begun":       {request, "if !a.ended && a.call.Claim() {", "if false {", "./internal/sidecar/core", "TestNothingBeginsOnceTheClientHasGone"},
 		"a queue before a hang-up": {request, "ctx.Err() != nil || in.ClientGone", "in.ClientGone", "./internal/sidecar/core", "TestAHangUpBehindALongQueue"},
 		"an end seen by the send":  {attempt, "errors.Is(out.Err, upstream.ErrClientGone) && !r.closed", "false", "./internal/sidecar/core", "TestAnEndThatIsSeenFirstByTheSender"},
-		"silence":                  {discovery, "watchSilence = 2500 *", "watchSilence = 3500 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
+		"silence":                  {discovery, "silenceTimeout = 2500 *", "silenceTimeout = 3500 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"a part is no life":        {discovery, "len(bytes.TrimSpace(p[:n])) == 0", "len(bytes.TrimSpace(p[:n])) >= 0", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"a pause without end":      {"balance/parameters.go", "mostPause    = 1500", "mostPause    = 8000", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"a call that hangs":        {discovery, "callTimeout  = 3100 *", "callTimeout  = 4000 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
