--- a/internal/sidecar/member/discovery/discovery_test.go
+++ b/internal/sidecar/member/discovery/discovery_test.go
@@ -16,20 +16,20 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// indented is a list as some write it.
+// indented returns a list as some implementations of discovery write it, over several lines.
 func indented(list string) string {
 	var out bytes.Buffer
 	json.Indent(&out, []byte(list), "", "  ")
 	return out.String()
 }
 
-// However a watch goes wrong, it ends with an error, and what came before was told.
+// However a watch fails, it ends with an error, and what arrived before was delivered.
 func TestWatchEnds(t *testing.T) {
 	list := peertest.Catalog(7, true, peertest.Instance("s", "127.0.0.1:1", "up"))
 	for name, c := range map[string]struct {
-		answer string
-		stays  bool
-		told   int
+		response  string
+		staysOpen bool
+		delivered int
 	}{
 		"refused":         {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false, 0},
 		"indented":        {"HTTP/1.1 200 OK\r\n\r\n" + indented(list) + "\n\n", false, 1},
@@ -46,24 +46,24 @@
 		"not even a head": {"nonsense", false, 0},
 	} {
 		p := peertest.NewPeer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
-			io.WriteString(conn, c.answer)
-			return c.stays
+			io.WriteString(conn, c.response)
+			return c.staysOpen
 		})
-		d := New(p.Addr, (&net.Dialer{}).DialContext)
-		d.silenceTimeout = 20 * time.Millisecond
-		told := 0
-		err := d.Watch(context.Background(), 1, func(got member.List) {
-			if told++; got.Generation != 7 || !got.Complete || len(got.Instances) != 1 {
+		source := New(p.Addr, (&net.Dialer{}).DialContext)
+		source.silenceTimeout = 20 * time.Millisecond
+		delivered := 0
+		err := source.Watch(context.Background(), 1, func(got member.List) {
+			if delivered++; got.Generation != 7 || !got.Complete || len(got.Instances) != 1 {
 				t.Errorf("%s: %+v", name, got)
 			}
 		})
-		if err == nil || told != c.told {
-			t.Errorf("%s: error %v, %d lists", name, err, told)
+		if err == nil || delivered != c.delivered {
+			t.Errorf("%s: error %v, %d lists", name, err, delivered)
 		}
 	}
 }
 
-// A dead watch must be given up, and the next one begun, before its news counts as told after 6 s.
+// A dead watch must be ended, and the next one begun, soon enough for a change to be here within 6 s.
 func TestSilenceIsNoticedInTime(t *testing.T) {
 	if silenceTimeout <= 2*time.Second || silenceTimeout >= 3*time.Second {
 		t.Errorf("%v, where an empty line comes every 2 s", silenceTimeout)
@@ -76,30 +76,30 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+text)
 		return false
 	})
-	if c, err := New(p.Addr, (&net.Dialer{}).DialContext).Fetch(context.Background()); err != nil || c.Generation != 9 || len(c.Instances) != 1 {
-		t.Errorf("%+v %v", c, err)
+	if list, err := New(p.Addr, (&net.Dialer{}).DialContext).Fetch(context.Background()); err != nil || list.Generation != 9 || len(list.Instances) != 1 {
+		t.Errorf("%+v %v", list, err)
 	}
 	text = "{"
 	if _, err := New(p.Addr, (&net.Dialer{}).DialContext).Fetch(context.Background()); err == nil {
-		t.Error("garbage is taken for a list")
+		t.Error("a malformed list is accepted")
 	}
 }
 
-// A call that is given up while its connection comes up ends that too: nobody else would.
+// A call that is cancelled while its connection is being opened ends that too: nobody else would.
 func TestACallOwnsItsDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		dialling := make(chan struct{})
-		d := New("discovery:1", func(ctx context.Context, _, _ string) (net.Conn, error) {
+		source := New("discovery:1", func(ctx context.Context, _, _ string) (net.Conn, error) {
 			close(dialling)
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
-		ctx, giveUp := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
-		go func() { ended <- d.Watch(ctx, 1, func(member.List) {}) }()
+		go func() { ended <- source.Watch(ctx, 1, func(member.List) {}) }()
 		<-dialling
-		giveUp()
+		cancel()
 		if err := <-ended; err == nil {
 			t.Error("no error")
 		}
@@ -107,5 +107,5 @@
 		if took := time.Since(began); took != 0 {
 			t.Errorf("it took %v", took)
 		}
-	}) // which fails where the dial goes on
+	}) // synctest fails if the dial goes on
 }
--- a/internal/sidecar/member/discovery/list.go
+++ b/internal/sidecar/member/discovery/list.go
@@ -9,65 +9,78 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// catalogMessage is one message of discovery: the whole list, or what has changed.
+// catalogMessage is one message of discovery: the complete list, or what has changed.
 type catalogMessage struct {
 	Generation uint64            `json:"generation"`
-	Reset      bool              `json:"reset"`
+	Reset      bool              `json:"reset"` // the list is complete
 	Instances  []catalogInstance `json:"instances"`
 }
 
-// catalogInstance is one entry of a catalog.
+// catalogInstance is one entry of a message.
 type catalogInstance struct {
-	ID        string  `json:"instanceId"`
-	HostPort  string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"machineType"`
-	Cell      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	StartedAt float64 `json:"startedAtMs"`
+	ID            string  `json:"instanceId"`
+	HostPort      string  `json:"hostPort"`
+	Zone          string  `json:"zone"`
+	Kind          string  `json:"machineType"`
+	Cell          int     `json:"cell"`
+	Lifecycle     string  `json:"lifecycle"`
+	Weight        float64 `json:"weight"`
+	StartedMillis float64 `json:"startedAtMs"` // Unix time
 }
 
-// EntryError is what is wrong with a message.
+// maxStartedMillis is the end of the start times that are believed, as Unix time; later ones count as unknown.
+const maxStartedMillis = 1e15
+
+// EntryError says what is wrong with a message.
 type EntryError struct {
-	Field   string // as instances[3].hostPort
+	Field   string // for example instances[3].hostPort
 	Problem string
-	Remedy  string // what would be right; "" where the problem says it
+	Remedy  string // what would be right; "": the problem says it
 }
 
 func (e *EntryError) Error() string { return fmt.Sprintf("catalog: %s: %s", e.Field, e.Problem) }
 
+// states are the names of states in messages.
 var states = map[string]member.State{"up": member.Up, "draining": member.Draining, "removed": member.Removed}
 
-// Parse reads one message. One bad entry spoils it all: half a list would be worse than none.
+// Parse parses one message. One bad entry invalidates it, since part of a list would be worse than none. If an entry or a field is wrong
+// the error is an *EntryError.
 func Parse(raw []byte) (member.List, error) {
-	var c catalogMessage
-	if err := json.Unmarshal(raw, &c); err != nil {
+	var catalog catalogMessage
+	if err := json.Unmarshal(raw, &catalog); err != nil {
 		return member.List{}, fmt.Errorf("catalog: %w", err)
 	}
-	if c.Instances == nil {
+	if catalog.Instances == nil {
 		return member.List{}, &EntryError{"instances", "missing", "write a list in brackets, which may be empty"}
 	}
-	list := member.List{Generation: c.Generation, Complete: c.Reset}
-	for i, in := range c.Instances {
-		at := fmt.Sprintf("instances[%d].", i)
-		state, known := states[in.Lifecycle]
-		if !known {
-			return member.List{}, &EntryError{at + "lifecycle", fmt.Sprintf("unknown lifecycle %q", in.Lifecycle), "write up, draining or removed"}
-		}
-		if in.ID == "" {
-			return member.List{}, &EntryError{at + "instanceId", "empty", "write the server's name"}
-		}
-		if _, _, err := net.SplitHostPort(in.HostPort); err != nil && state != member.Removed {
-			return member.List{}, &EntryError{at + "hostPort", fmt.Sprintf("%q is no address", in.HostPort), "write host:port"}
+	list := member.List{Generation: catalog.Generation, Complete: catalog.Reset}
+	for i, entry := range catalog.Instances {
+		instance, err := entry.parse(fmt.Sprintf("instances[%d].", i))
+		if err != nil {
+			return member.List{}, err
 		}
-		m := member.Instance{
-			ID: in.ID, Addr: in.HostPort, Zone: in.Zone, Kind: in.Kind, Cell: in.Cell, State: state, Weight: in.Weight,
-		}
-		if in.StartedAt > 0 && in.StartedAt < 1e15 {
-			m.Started = time.UnixMicro(int64(in.StartedAt * 1000))
-		}
-		list.Instances = append(list.Instances, m)
+		list.Instances = append(list.Instances, instance)
 	}
 	return list, nil
 }
+
+// parse checks an entry and converts it. path is the prefix of field names in errors.
+func (c *catalogInstance) parse(path string) (member.Instance, error) {
+	state, known := states[c.Lifecycle]
+	if !known {
+		return member.Instance{}, &EntryError{path + "lifecycle", fmt.Sprintf("unknown lifecycle %q", c.Lifecycle), "write up, draining or removed"}
+	}
+	if c.ID == "" {
+		return member.Instance{}, &EntryError{path + "instanceId", "empty", "write the server's name"}
+	}
+	if _, _, err := net.SplitHostPort(c.HostPort); err != nil && state != member.Removed {
+		return member.Instance{}, &EntryError{path + "hostPort", fmt.Sprintf("%q is no address", c.HostPort), "write host:port"}
+	}
+	instance := member.Instance{
+		ID: c.ID, Addr: c.HostPort, Zone: c.Zone, Kind: c.Kind, Cell: c.Cell, State: state, Weight: c.Weight,
+	}
+	if c.StartedMillis > 0 && c.StartedMillis < maxStartedMillis {
+		instance.Started = time.UnixMicro(int64(c.StartedMillis * 1000))
+	}
+	return instance, nil
+}
--- a/internal/sidecar/member/relay/relay.go
+++ b/internal/sidecar/member/relay/relay.go
@@ -9,50 +9,54 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// Hub is a process's side of the relay, for all sources that it has in turn.
+// Hub is one process's side of the relay, for all its sources one after another.
 type Hub struct {
 	mu         sync.Mutex
 	follower   follower
-	changed    chan struct{} // closed when what is below, or follow, has changed
-	received   []member.List // from the other process, in order
-	openSource string        // the source of which a watch is open
+	changed    chan struct{} // closed and replaced when received or follower has changed
+	received   []member.List // from the other process, in order, not delivered yet
+	openSource string        // the source of which a watch is open; "": none
 	publishers map[chan Update]struct{}
 }
 
-// New makes the hub of a process that is alone.
-func New() *Hub { return &Hub{changed: make(chan struct{}), publishers: map[chan Update]struct{}{}} }
+// New returns the hub of a process that is alone.
+func New() *Hub {
+	return &Hub{changed: make(chan struct{}), publishers: map[chan Update]struct{}{}}
+}
 
+// notifyChanged wakes those who wait for a change. The caller holds mu.
 func (h *Hub) notifyChanged() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// Receive takes in a word of the next process.
-func (h *Hub) Receive(w Update) {
+// Receive handles an update of the next process. If more lists are pending than there is room for, they are dropped and the process
+// watches by itself.
+func (h *Hub) Receive(update Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	_, followed := h.follower.follows(w.Source, now)
-	if h.follower.contact(w.Source, now); h.follower.source != w.Source {
+	_, followed := h.follower.follows(update.Source, now)
+	if h.follower.observe(update.Source, now); h.follower.source != update.Source {
 		return
 	}
 	if !followed {
 		h.received = nil
 	}
-	if w.List != nil {
+	if update.List != nil {
 		if len(h.received) == maxPending {
 			h.follower.unfollow(now)
 			h.received = nil
 		} else {
-			h.received = append(h.received, *w.List)
+			h.received = append(h.received, *update.List)
 		}
 	}
-	if !followed || w.List != nil {
+	if !followed || update.List != nil {
 		h.notifyChanged()
 	}
 }
 
-// PeerGone: there is no next process any more.
+// PeerGone says that there is no next process any more.
 func (h *Hub) PeerGone() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -60,62 +64,63 @@
 	h.notifyChanged()
 }
 
-// Publish tells the process before what this one's watch is told, until ctx ends or a word cannot be said. say may block.
-func (h *Hub) Publish(ctx context.Context, say func(Update) error) {
-	words := make(chan Update, maxPending)
+// Publish sends the lists that this process's watch delivers to the previous process, and heartbeats, until ctx ends, send fails, or the
+// other side does not keep up and so watches by itself. send may block.
+func (h *Hub) Publish(ctx context.Context, send func(Update) error) {
+	updates := make(chan Update, maxPending)
 	h.mu.Lock()
-	h.publishers[words] = struct{}{}
+	h.publishers[updates] = struct{}{}
 	h.mu.Unlock()
 	defer func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		delete(h.publishers, words)
+		delete(h.publishers, updates)
 	}()
-	tick := time.NewTicker(HeartbeatInterval)
-	defer tick.Stop()
+	heartbeat := time.NewTicker(HeartbeatInterval)
+	defer heartbeat.Stop()
 	for {
-		var w Update
+		var update Update
 		select {
 		case <-ctx.Done():
 			return
-		case word, ok := <-words:
-			if w = word; !ok { // the other does not keep up: it watches by itself
+		case next, ok := <-updates:
+			if update = next; !ok { // closed by publishList: the other side does not keep up
 				return
 			}
-		case <-tick.C:
+		case <-heartbeat.C:
 			h.mu.Lock()
-			w.Source = h.openSource
+			update.Source = h.openSource
 			h.mu.Unlock()
 		}
-		if w.Source != "" && say(w) != nil {
+		if update.Source != "" && send(update) != nil {
 			return
 		}
 	}
 }
 
-// publishList passes a list on to the process before.
-func (h *Hub) publishList(source string, l member.List) {
+// publishList passes a list that a watch delivered to the publishers, without waiting for them.
+func (h *Hub) publishList(source string, list member.List) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.openSource = source
-	for words := range h.publishers {
+	for updates := range h.publishers {
 		select {
-		case words <- Update{source, &l}:
+		case updates <- Update{source, &list}:
 		default:
-			close(words)
-			delete(h.publishers, words)
+			close(updates)
+			delete(h.publishers, updates)
 		}
 	}
 }
 
-// WatchOpened is told by what watches that its watch of a source is open.
+// WatchOpened says that a watch of a source is open. The code that opens watches calls it.
 func (h *Hub) WatchOpened(source string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.openSource = source
 }
 
-// watchClosed: the watch of a source is not open any more; another one's may be.
+// watchClosed says that the watch of a source is not open any more; that of another source may be.
 func (h *Hub) watchClosed(source string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,18 +129,27 @@
 	}
 }
 
-// nextList is the next list of the other process, if there is one; else whether to go on waiting for it, and how.
-func (h *Hub) nextList(source string) (l *member.List, until time.Time, changed <-chan struct{}, follows bool) {
+// nextList returns the next list that was received, if there is one. Otherwise, if follows is true, the caller waits for changed to be
+// closed, or for expiry.
+func (h *Hub) nextList(source string) (list *member.List, expiry time.Time, changed <-chan struct{}, follows bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if until, follows = h.follower.follows(source, time.Now()); follows && len(h.received) > 0 {
-		l = &h.received[0]
+	if expiry, follows = h.follower.follows(source, time.Now()); follows && len(h.received) > 0 {
+		list = &h.received[0]
 		h.received = h.received[1:]
 	}
-	return l, until, h.changed, follows
+	return list, expiry, h.changed, follows
 }
 
-// Wrap makes a source whose watch is the next process's while there is one that watches.
+// followsPeer reports whether the process follows the other's watch of a source, and returns what is closed when that may change.
+func (h *Hub) followsPeer(source string) (follows bool, changed <-chan struct{}) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	_, follows = h.follower.follows(source, time.Now())
+	return follows, h.changed
+}
+
+// Wrap returns a source that delivers what the next process's watch delivers while there is one, and otherwise watches inner.
 func (h *Hub) Wrap(inner member.Source) member.Source { return &relayedSource{Source: inner, hub: h} }
 
 type relayedSource struct {
@@ -143,78 +157,92 @@
 	hub *Hub
 }
 
-// Watch ends when the source's own does, or with ctx.
-func (s *relayedSource) Watch(ctx context.Context, after uint64, tell func(member.List)) error {
+// Watch implements member.Source. It ends when the inner source's watch does, or with ctx.
+func (s *relayedSource) Watch(ctx context.Context, after uint64, onList func(member.List)) error {
 	name := s.Name()
 	defer s.hub.watchClosed(name)
-	take := func(l member.List) {
-		after = l.Generation
-		s.hub.publishList(name, l)
-		tell(l)
+	deliver := func(list member.List) {
+		after = list.Generation
+		s.hub.publishList(name, list)
+		onList(list)
+	}
+	deliverIfNewer := func(list *member.List) {
+		if isNewer(list, after) {
+			deliver(*list)
+		}
 	}
 	for {
-		for follows := true; follows; {
-			var l *member.List
-			var until time.Time
-			var changed <-chan struct{}
-			if l, until, changed, follows = s.hub.nextList(name); l != nil {
-				if isNewer(l, after) {
-					take(*l)
-				}
-				continue
-			}
-			if !follows {
-				break
-			}
-			s.hub.WatchOpened(name)
-			silent := time.NewTimer(time.Until(until))
-			select {
-			case <-ctx.Done():
-			case <-changed:
-			case <-silent.C:
-			}
-			if silent.Stop(); ctx.Err() != nil {
-				return context.Cause(ctx)
-			}
+		if err := s.followPeer(ctx, name, deliverIfNewer); err != nil {
+			return err
 		}
-		s.hub.watchClosed(name) // until the watch that follows is open
-		if err := s.watchAlone(ctx, after, take); !errors.Is(err, errPeerWatches) {
+		s.hub.watchClosed(name) // until the inner watch is open
+		if err := s.watchAlone(ctx, after, deliver); !errors.Is(err, errPeerWatches) {
 			return err
 		}
 	}
 }
 
-// errPeerWatches ends a watch in favour of the next process's.
+// followPeer passes on the received lists for as long as the other process is followed. The error is the cause of ctx's end.
+func (s *relayedSource) followPeer(ctx context.Context, name string, onList func(*member.List)) error {
+	for {
+		list, expiry, changed, follows := s.hub.nextList(name)
+		switch {
+		case list != nil:
+			onList(list)
+		case !follows:
+			return nil
+		default:
+			s.hub.WatchOpened(name)
+			if err := waitForChange(ctx, changed, expiry); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// waitForChange waits until changed is closed or a time has come. The error is the cause of ctx's end.
+func waitForChange(ctx context.Context, changed <-chan struct{}, until time.Time) error {
+	timer := time.NewTimer(time.Until(until))
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-changed:
+	case <-timer.C:
+	}
+	if ctx.Err() != nil {
+		return context.Cause(ctx)
+	}
+	return nil
+}
+
+// errPeerWatches ends a watch because the next process watches.
 var errPeerWatches = errors.New("the next process watches")
 
-// watchAlone watches until there is a next process that does.
-func (s *relayedSource) watchAlone(ctx context.Context, after uint64, tell func(member.List)) error {
-	own, cancel := context.WithCancelCause(ctx)
+// watchAlone watches the inner source until its watch ends, or with errPeerWatches once the next process watches.
+func (s *relayedSource) watchAlone(ctx context.Context, after uint64, onList func(member.List)) error {
+	watchCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	looks := make(chan struct{})
+	observerEnded := make(chan struct{})
 	go func() {
-		defer close(looks)
+		defer close(observerEnded)
 		for {
-			s.hub.mu.Lock()
-			_, follows := s.hub.follower.follows(s.Name(), time.Now())
-			changed := s.hub.changed
-			s.hub.mu.Unlock()
+			follows, changed := s.hub.followsPeer(s.Name())
 			if follows {
 				cancel(errPeerWatches)
 				return
 			}
 			select {
-			case <-own.Done():
+			case <-watchCtx.Done():
 				return
 			case <-changed:
 			}
 		}
 	}()
-	err := s.Source.Watch(own, after, tell)
-	if context.Cause(own) == errPeerWatches {
+	err := s.Source.Watch(watchCtx, after, onList)
+	if errors.Is(context.Cause(watchCtx), errPeerWatches) {
 		err = errPeerWatches
 	}
 	cancel(nil)
-	<-looks
+	<-observerEnded
 	return err
 }
--- a/internal/sidecar/wiring/mutation_test.go
+++ b/internal/sidecar/wiring/mutation_test.go
@@ -32,7 +32,7 @@
 		"silence":                  {discovery, "silenceTimeout = 2500 *", "silenceTimeout = 3500 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"a part is no life":        {discovery, "len(bytes.TrimSpace(p[:n])) == 0", "len(bytes.TrimSpace(p[:n])) >= 0", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"a pause without end":      {"balance/parameters.go", "mostPause    = 1500", "mostPause    = 8000", "./internal/sidecar/wiring", "TestNewsComeInTime"},
-		"a call that hangs":        {discovery, "callTimeout  = 3100 *", "callTimeout  = 4000 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
+		"a call that hangs":        {discovery, "callTimeout = 3100 *", "callTimeout = 4000 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"an older list":            {cursor, "if list.Generation < c.generation && !c.acceptAny {", "if false {", "./internal/sidecar/member", "TestCursor"},
 		"another's list":           {cursor, "return list.Complete && len(known) > 0", "return false && len(known) > 0", "./internal/sidecar/member", "TestCursor"},
 		"the cold budget":          {"balance/pick.go", "b.cold(s) && !b.coldBudget(s)", "false", "./balance", "TestTheRampHoldsForTheFleet"},
