--- a/internal/coordination/subscribe/subscribe.go
+++ b/internal/coordination/subscribe/subscribe.go
@@ -1,9 +1,9 @@
-// Package subscribe is an agent's side of distribution on the network: it asks one coordinator at a time for what is newer than what it
-// holds, takes that in, and tells what is in force. Whom to ask, when, and whether to take what is told it is told by
-// distribute.Subscriber, and what is still to be told by distribute.Outbox.
+// Package subscribe is an agent's side of the distribution of configuration versions, on the network: it calls one coordinator at a time
+// for a version newer than the one it holds, has it stored, and reports what is in force. Which coordinator to call, when, and whether to
+// accept a version is decided by distribute.Subscriber; which reports to send by distribute.Outbox.
 //
-// Invariants: one call waits at a time, and one beside it that carries reports; nothing is held that Take has not kept; Run has ended all
-// it began when it returns.
+// Invariants: one watch is in flight at a time, and beside it one call that only carries reports; no version counts as held that
+// Options.Store has not stored; when Run returns everything that it began has ended.
 package subscribe
 
 import (
@@ -21,48 +21,51 @@
 	"petrelhook/internal/coordination/rpc"
 )
 
-// Options are what a client is told.
+const (
+	// reportTimeout bounds a call that only carries reports, and reportDelay is the shortest time between two of them.
+	reportTimeout = 2 * time.Second
+	reportDelay   = 200 * time.Millisecond
+
+	dialTimeout = time.Second
+)
+
+// Options are the settings of a client.
 type Options struct {
-	Addrs      []string // of the coordinators
-	Service    string
-	Member     string                         // the agent's name; no two of a service have the same
-	Revision   distribute.Revision            // kept from before
-	Store      func(distribute.Version) error // keeps a newer version, or says why it can't; then it is told again
-	Log        *slog.Logger                   // nil: nothing is logged
-	HTTPClient *http.Client                   // nil: one of its own
+	Addrs    []string // of the coordinators
+	Service  string
+	Member   string                         // the agent's name, unique in the service
+	Revision distribute.Revision            // of the version that is stored from before; 0: none
+	Store    func(distribute.Version) error // stores a newer version, or says why not; then it is requested again. Run calls it.
+	Log      *slog.Logger                   // nil: nothing is logged
+	// HTTPClient is nil for one of the client's own.
+	HTTPClient *http.Client
 }
 
-// Client is one agent's.
+// Client is one agent's subscription.
 type Client struct {
-	o          Options
+	options    Options
 	httpClient *http.Client
-	wake       chan struct{} // there is something to tell
+	wake       chan struct{} // there are reports to send
 
 	mu     sync.Mutex
 	outbox distribute.Outbox
 }
 
-// reportTime is how long a call that only carries reports may take, and reportPause the least between two.
-const (
-	reportTime  = 2 * time.Second
-	reportPause = 200 * time.Millisecond
-)
-
-// New makes a client; Run runs it.
+// New returns a client; Run runs it.
 func New(o Options) *Client {
-	c := &Client{o: o, httpClient: o.HTTPClient, wake: make(chan struct{}, 1)}
+	c := &Client{options: o, httpClient: o.HTTPClient, wake: make(chan struct{}, 1)}
 	if c.httpClient == nil {
 		c.httpClient = &http.Client{Transport: &http.Transport{
-			DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 1, DisableCompression: true,
+			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, MaxIdleConnsPerHost: 1, DisableCompression: true,
 		}}
 	}
-	if c.o.Log == nil {
-		c.o.Log = slog.New(slog.DiscardHandler)
+	if c.options.Log == nil {
+		c.options.Log = slog.New(slog.DiscardHandler)
 	}
 	return c
 }
 
-// Report takes in how a sidecar stands; the newest of each counts, and is told soon.
+// Report takes in the state of a sidecar, in place of the one before, and has it sent soon. It is safe for concurrent use.
 func (c *Client) Report(r distribute.Report) {
 	c.mu.Lock()
 	c.outbox.Set(r)
@@ -73,115 +76,128 @@
 	}
 }
 
-// Run asks until ctx ends.
+// Run watches until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	defer c.httpClient.CloseIdleConnections()
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	s := distribute.NewSubscriber(distribute.DefaultSubscriberOptions(c.o.Service, c.o.Member, len(c.o.Addrs), rand.Int64N), c.o.Revision, now())
-	var sides sync.WaitGroup
-	defer sides.Wait()
-	at := make(chan place, 1) // where reports go
+	options := distribute.DefaultSubscriberOptions(c.options.Service, c.options.Member, len(c.options.Addrs), rand.Int64N)
+	s := distribute.NewSubscriber(options, c.options.Revision, now())
+	var background sync.WaitGroup
+	defer background.Wait()
+	watches := make(chan watch, 1)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	sides.Go(func() { c.tell(ctx, at) })
+	background.Go(func() { c.sendReports(ctx, watches) })
 	for {
-		due, _ := s.NextCallAt()
-		if !pause(ctx, due-now()) {
+		at, _ := s.NextCallAt()
+		if !sleep(ctx, at-now()) {
 			return
 		}
 		call := s.Begin(now())
-		select {
-		case <-at:
-		default:
-		}
-		at <- place{call.Server, call.Watch}
-		told, err := c.ask(ctx, call.Server, call.Watch, call.Deadline-now())
+		replace(watches, watch{call.Server, call.Watch})
+		response, err := c.call(ctx, call.Server, call.Watch, call.Deadline-now())
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			c.o.Log.Info("a coordinator does not tell", "addr", c.o.Addrs[call.Server], "err", err)
+			c.options.Log.Info("watch failed", "addr", c.options.Addrs[call.Server], "err", err)
 			s.Failed(now())
 			continue
 		}
-		was := s.Revision()
-		newer, err := s.Answered(now(), *told)
-		switch {
-		case err != nil:
-			c.o.Log.Warn("a version is refused", "addr", c.o.Addrs[call.Server], "err", err)
-		case newer != nil:
-			if err := c.o.Store(*newer); err != nil {
-				c.o.Log.Warn("not kept", "revision", uint64(newer.Revision), "err", err)
-				s.StoreFailed(now(), was)
-				continue
-			}
-			c.o.Log.Info("taken", "revision", uint64(newer.Revision), "digest", newer.Digest)
-		}
+		c.handle(s, now, call.Server, response)
 	}
 }
 
-// place is whom the agent asks now, and with what.
-type place struct {
+// handle takes in a response, and has a newer version stored.
+func (c *Client) handle(s *distribute.Subscriber, now func() time.Duration, server int, response *distribute.WatchResponse) {
+	before := s.Revision()
+	newer, err := s.Answered(now(), *response)
+	if err != nil {
+		c.options.Log.Warn("version refused", "addr", c.options.Addrs[server], "err", err)
+		return
+	}
+	if newer == nil {
+		return
+	}
+	if err := c.options.Store(*newer); err != nil {
+		c.options.Log.Warn("version not stored", "revision", uint64(newer.Revision), "err", err)
+		s.StoreFailed(now(), before)
+		return
+	}
+	c.options.Log.Info("version stored", "revision", uint64(newer.Revision), "digest", newer.Digest)
+}
+
+// watch is a watch and the coordinator that it is sent to.
+type watch struct {
 	server int
 	watch  distribute.Watch
 }
 
-// ask makes one call, with the reports that its coordinator lacks.
-func (c *Client) ask(ctx context.Context, server int, w distribute.Watch, within time.Duration) (*distribute.WatchResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// replace puts a value into a channel of one, in place of one that was not taken out.
+func replace(to chan watch, w watch) {
+	select {
+	case <-to:
+	default:
+	}
+	to <- w
+}
+
+// call makes one call, with the reports that its coordinator has not acknowledged.
+func (c *Client) call(ctx context.Context, server int, w distribute.Watch, timeout time.Duration) (*distribute.WatchResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c.mu.Lock()
-	reports, mark := c.outbox.Unacknowledged(server), c.outbox.Sequence()
+	reports, sequence := c.outbox.Unacknowledged(server), c.outbox.Sequence()
 	c.mu.Unlock()
 	w.Version, w.Reports = distribute.WireVersion, reports
-	client := rpc.Client[distribute.Watch, distribute.WatchResponse](c.httpClient, c.o.Addrs[server], distribute.PathWatch, distribute.MaxWatchResponse)
+	client := rpc.Client[distribute.Watch, distribute.WatchResponse](c.httpClient, c.options.Addrs[server], distribute.PathWatch, distribute.MaxWatchResponse)
 	res, err := client.CallUnary(ctx, connect.NewRequest(&w))
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
-	c.outbox.Acknowledge(server, mark, res.Msg.ReportsReceived)
+	c.outbox.Acknowledge(server, sequence, res.Msg.ReportsReceived)
 	c.mu.Unlock()
 	return res.Msg, nil
 }
 
-// tell brings reports that come while a watch waits to the coordinator that is asked, until ctx ends.
-func (c *Client) tell(ctx context.Context, at <-chan place) {
-	var p *place
+// sendReports sends reports that come while a watch is in flight to the same coordinator, until ctx ends.
+func (c *Client) sendReports(ctx context.Context, watches <-chan watch) {
+	var current *watch
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-at:
-			p = &now
-			continue // its own call carries what there is
+		case w := <-watches:
+			current = &w
+			continue // that call carries the reports that there are
 		case <-c.wake:
 		}
-		if !pause(ctx, reportPause) { // what comes together goes together
+		if !sleep(ctx, reportDelay) { // reports that come together are sent together
 			continue
 		}
 		select {
-		case now := <-at: // what is held has changed meanwhile: with the older revision the version would be told again
-			p = &now
+		case w := <-watches: // the known revision may have changed meanwhile: for the older one the version would be sent again
+			current = &w
 		default:
 		}
-		if p == nil {
+		if current == nil {
 			continue
 		}
-		w := p.watch
+		w := current.watch
 		w.MaxWait = 0
 		c.mu.Lock()
-		reports := c.outbox.Unacknowledged(p.server)
+		reports := c.outbox.Unacknowledged(current.server)
 		c.mu.Unlock()
 		if reports != nil {
-			c.ask(ctx, p.server, w, reportTime) // what does not get there goes with the next watch
+			_, _ = c.call(ctx, current.server, w, reportTimeout) // what is not delivered goes with the next watch
 		}
 	}
 }
 
-// pause waits; false: ctx has ended.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits; it returns false when ctx has ended.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/coordination/subscribe/subscribe_test.go
+++ b/internal/coordination/subscribe/subscribe_test.go
@@ -12,14 +12,14 @@
 	"petrelhook/internal/coordination/rpc"
 )
 
-// A version is told once: what is reported of it while the next watch waits says that it is held.
-func TestAVersionIsToldOnce(t *testing.T) {
+// A version is sent once: a call that reports it while the next watch is in flight says that it is held.
+func TestAVersionIsSentOnce(t *testing.T) {
 	content := json.RawMessage(`{"a":1}`)
 	version := distribute.Version{Service: "s", Revision: 7, Digest: distribute.Digest(content), Content: content}
-	asked := make(chan distribute.Watch, 99)
+	watches := make(chan distribute.Watch, 99)
 	mux := http.NewServeMux()
 	rpc.Handle(mux, distribute.PathWatch, distribute.MaxWatchRequest, func(ctx context.Context, w *distribute.Watch) (*distribute.WatchResponse, error) {
-		asked <- *w
+		watches <- *w
 		if w.Known < version.Revision {
 			return &distribute.WatchResponse{Newer: &version, ReportsReceived: true}, nil
 		}
@@ -31,9 +31,9 @@
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	var c *Client
-	took := 0
+	stored := 0
 	c = New(Options{Addrs: []string{server.Listener.Addr().String()}, Service: "s", Member: "m", Store: func(v distribute.Version) error {
-		took++
+		stored++
 		c.Report(distribute.Report{Sidecar: "n0", InForce: v.Revision})
 		return nil
 	}})
@@ -41,7 +41,7 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Run(ctx) }()
 	var w distribute.Watch
-	for w = range asked {
+	for w = range watches {
 		if w.MaxWait == 0 {
 			break
 		}
@@ -51,7 +51,7 @@
 	}
 	cancel()
 	peertest.Wait(t, ended)
-	if took != 1 {
-		t.Errorf("taken %d times", took)
+	if stored != 1 {
+		t.Errorf("stored %d times", stored)
 	}
 }
