--- a/cmd/petrelhook-coordinator/distribute_test.go
+++ b/cmd/petrelhook-coordinator/distribute_test.go
@@ -20,7 +20,7 @@
 	"petrelhook/internal/rig/coordinator"
 )
 
-// receivers are subscribers through the client that agents use, without a machine behind them.
+// receivers are subscribers by the client that agents use, without sidecars.
 type receivers struct {
 	mu     sync.Mutex
 	held   []distribute.Revision
@@ -30,7 +30,7 @@
 	client []*subscribe.Client
 }
 
-// receive begins n of them over some services; each reports what it takes as in force at once.
+// receive starts n receivers over some services; each reports what it stores as in force at once.
 func receive(t *testing.T, addrs []string, n, services int) *receivers {
 	t.Helper()
 	r := &receivers{held: make([]distribute.Revision, n), taken: make([]int, n), of: make([]string, n), client: make([]*subscribe.Client, n)}
@@ -62,7 +62,7 @@
 	return r
 }
 
-// hold reports whether all of a service hold a revision, or a newer one.
+// hold reports whether all receivers of a service hold a revision, or a newer one.
 func (r *receivers) hold(service string, revision distribute.Revision) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +83,7 @@
 	return n
 }
 
-var operators sync.Map // of groups: each goes on from the coordinator that answered last
+var operators sync.Map // by group: each goes on from the coordinator that answered last
 
 func operator(g *coordinator.Group) *fleet.Operator {
 	o, _ := operators.LoadOrStore(g, &fleet.Operator{Addrs: g.Addrs()})
@@ -102,7 +102,7 @@
 	return revision
 }
 
-// all waits until everybody holds what was published last, and the sums say so.
+// all waits until all receivers hold what was published last, and the summaries say so.
 func (r *receivers) all(t *testing.T, g *coordinator.Group, newest map[string]distribute.Revision) {
 	t.Helper()
 	for service, revision := range newest {
@@ -120,7 +120,7 @@
 	})
 }
 
-// What is published reaches all of its service, and nobody else; once, however often it is said; and not over what another one has
+// A version reaches all agents of its service, and no other; once, however often it is published; and not over one that was
 // published meanwhile. A group that has forgotten everything gives revisions above those that agents hold.
 func TestPublish(t *testing.T) {
 	g := newGroup(t, 3)
@@ -135,24 +135,24 @@
 		t.Errorf("the same once more is revision %d, was %d", got, newest["service-1"])
 	}
 	content := json.RawMessage(`{"settings":{"for":"service-1","n":2}}`)
-	told, err := g.Ask(fleet.Request{Publish: &distribute.Command{Service: "service-1", After: newest["service-1"] - 1, Content: content}})
-	if err != nil || told.Published.Refused == "" {
-		t.Errorf("over what was published meanwhile: %v, %+v", err, told)
+	response, err := g.Ask(fleet.Request{Publish: &distribute.Command{Service: "service-1", After: newest["service-1"] - 1, Content: content}})
+	if err != nil || response.Published.Refused == "" {
+		t.Errorf("over what was published meanwhile: %v, %+v", err, response)
 	}
 	for _, bad := range []string{`{`, ``, `{"a": 1} {}`} { // these are not even sent
 		if _, _, err := (&fleet.Operator{Addrs: g.Addrs()}).Publish(t.Context(), "service-1", []byte(bad), false); err == nil {
-			t.Errorf("taken: %s", bad)
+			t.Errorf("accepted: %s", bad)
 		}
 	}
 	for _, bad := range []string{`[1]`, `{"listen": "127.0.0.1:1"}`} {
 		if _, err := g.Ask(fleet.Request{Publish: &distribute.Command{Service: "service-1", Content: json.RawMessage(bad)}}); err == nil {
-			t.Errorf("taken: %s", bad)
+			t.Errorf("accepted: %s", bad)
 		}
 	}
 	if n := r.sum(); n != 30 {
 		t.Errorf("%d versions were taken, want 30", n)
 	}
-	for i := range 2 { // two within a moment: who was told the first one takes the second, who was not takes that alone
+	for i := range 2 { // two within a moment: an agent that was sent the first one stores the second one too, any other that alone
 		newest["service-2"] = publish(t, g, "service-2", 2+i)
 	}
 	r.all(t, g, newest)
@@ -175,8 +175,8 @@
 	r.all(t, g, map[string]distribute.Revision{"service-2": after})
 }
 
-// Whoever tells is killed, stopped and awake again, cut off in one direction and the other, the leader as well as those that follow, and
-// all of them: what is published meanwhile or next reaches everybody, and nobody takes an older one.
+// Coordinators are killed, stopped and continued, partitioned in one direction and the other, the leader as well as followers, and
+// all of them: versions that are published meanwhile or next reach all agents, and none stores an older one.
 func TestCoordinatorsThatFailToTell(t *testing.T) {
 	g := newGroup(t, 3)
 	const services = 12
@@ -233,7 +233,7 @@
 	all("all were away")
 }
 
-// An agent that sends its question and reads nothing, or half a question, costs the others nothing.
+// An agent that sends its request and reads nothing, or sends half a request, costs the others nothing.
 func TestAgentsThatDoNotRead(t *testing.T) {
 	g := newGroup(t, 1)
 	ask := `{"version":1,"service":"service-0","member":"slow%d","holds":0,"hold_ns":30000000000}`
@@ -264,7 +264,7 @@
 	}
 }
 
-// A coordinator that has no leader tells nothing, and says so.
+// A coordinator without a leader answers no watch but with an error that says so.
 func TestAStaleCoordinatorTellsNothing(t *testing.T) {
 	g := newGroup(t, 3)
 	newest := publish(t, g, "service-0", 1)
@@ -276,10 +276,10 @@
 		return watchAt(ctx, addr, distribute.Watch{Version: distribute.WireVersion, Service: "service-0", Member: "m"})
 	}
 	peertest.Eventually(t, "it tells", func() bool {
-		told, err := ask()
-		return err == nil && told.Newer != nil && told.Newer.Revision == newest
+		response, err := ask()
+		return err == nil && response.Newer != nil && response.Newer.Revision == newest
 	})
-	m.Cut(true, false, true) // it hears the leader still; the leader does not hear it
+	m.Cut(true, false, true) // the leader still reaches it; it does not reach the leader
 	peertest.Eventually(t, "it tells nothing", func() bool {
 		_, err := ask()
 		return err != nil && strings.Contains(err.Error(), distribute.ErrStale.Error())
--- a/cmd/petrelhook-coordinator/figures_test.go
+++ b/cmd/petrelhook-coordinator/figures_test.go
@@ -22,14 +22,17 @@
 	"petrelhook/lease"
 )
 
-// timed calls f from some goroutines for a while, and gives how often, and the times.
-func timed(goroutines int, length time.Duration, f func(worker, n int)) (rate float64, p50, p99 time.Duration) {
+// figureTime is the length of one measurement.
+const figureTime = 2 * time.Second
+
+// timed calls f from some goroutines for figureTime, and returns how often a second, and the times.
+func timed(goroutines int, f func(worker, n int)) (rate float64, p50, p99 time.Duration) {
 	var mu sync.Mutex
 	var all []time.Duration
-	var sides sync.WaitGroup
-	end := time.Now().Add(length)
+	var workers sync.WaitGroup
+	end := time.Now().Add(figureTime)
 	for w := range goroutines {
-		sides.Go(func() {
+		workers.Go(func() {
 			var own []time.Duration
 			for n := 0; time.Now().Before(end); n++ {
 				began := time.Now()
@@ -41,27 +44,27 @@
 			mu.Unlock()
 		})
 	}
-	sides.Wait()
+	workers.Wait()
 	slices.Sort(all)
-	return float64(len(all)) / length.Seconds(), all[len(all)/2], all[len(all)*99/100]
+	return float64(len(all)) / figureTime.Seconds(), all[len(all)/2], all[len(all)*99/100]
 }
 
-// Grants and renewals of 1, 3 and 5 replicas in one run, and with how much they grow.
+// Grants and renewals of 1, 3 and 5 replicas in one run, with more and more leases and sessions.
 func TestFigures(t *testing.T) {
 	peertest.Figures(t)
 	for _, n := range []int{1, 3, 5} {
 		g := newGroup(t, n)
-		ask := g.Asker()
+		request := g.Asker()
 		for _, size := range [][2]int{{10, 10}, {10_000, 10}, {10_000, 2000}} { // leases, sessions
 			var sessions []core.SessionID
 			var opened sync.Mutex
-			var sides sync.WaitGroup
+			var openers sync.WaitGroup
 			for w := range 32 {
-				sides.Go(func() {
+				openers.Go(func() {
 					for i := w; i < size[1]; i += 32 {
-						a := ask(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: fmt.Sprintf("nonce-%d-%v-%d", n, size, i), Owner: "o", TTL: 50 * time.Second}})
+						a := request(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: fmt.Sprintf("nonce-%d-%v-%d", n, size, i), Owner: "o", TTL: 50 * time.Second}})
 						for l, seq := i, uint64(1); l < size[0]; l, seq = l+size[1], seq+1 {
-							ask(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: a.Answer.Session, Seq: seq, Name: fmt.Sprintf("l%d-%d-%d", size[0], size[1], l)}})
+							request(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: a.Answer.Session, Seq: seq, Name: fmt.Sprintf("l%d-%d-%d", size[0], size[1], l)}})
 						}
 						opened.Lock()
 						sessions = append(sessions, a.Answer.Session)
@@ -69,24 +72,24 @@
 					}
 				})
 			}
-			sides.Wait()
+			openers.Wait()
 			var seqs [8]uint64
 			var own [8]core.SessionID
 			for w := range own {
-				own[w] = ask(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: fmt.Sprintf("worker-%d-%v-%d", n, size, w), Owner: "o", TTL: 50 * time.Second}}).Answer.Session
+				own[w] = request(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: fmt.Sprintf("worker-%d-%v-%d", n, size, w), Owner: "o", TTL: 50 * time.Second}}).Answer.Session
 			}
 			grant := func(w, _ int) {
 				seqs[w]++
-				ask(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: own[w], Seq: seqs[w], Name: fmt.Sprintf("w%d-%d-%d-%d", w, seqs[w], size[0], size[1])}})
+				request(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: own[w], Seq: seqs[w], Name: fmt.Sprintf("w%d-%d-%d-%d", w, seqs[w], size[0], size[1])}})
 			}
-			_, g50, g99 := timed(1, 2*time.Second, grant)
-			grants, _, _ := timed(8, 2*time.Second, grant)
+			_, g50, g99 := timed(1, grant)
+			grants, _, _ := timed(8, grant)
 			each := uint64(max(1, size[0]/size[1])) // grants, and so the version, of each session
 			renew := func(w, n int) {
-				ask(fleet.Request{KeepAlive: &replica.KeepAlive{Session: sessions[(w*7919+n)%len(sessions)], KnownVersion: each}})
+				request(fleet.Request{KeepAlive: &replica.KeepAlive{Session: sessions[(w*7919+n)%len(sessions)], KnownVersion: each}})
 			}
-			_, r50, r99 := timed(1, 2*time.Second, func(w, n int) { renew(0, n) })
-			renewals, _, _ := timed(32, 2*time.Second, renew)
+			_, r50, r99 := timed(1, func(w, n int) { renew(0, n) })
+			renewals, _, _ := timed(32, renew)
 			t.Logf("%d replicas, %5d leases, %4d sessions: grant p50 %v p99 %v, %.0f/s; renewal p50 %v p99 %v, %.0f/s", n, size[0], size[1],
 				g50.Round(10*time.Microsecond), g99.Round(10*time.Microsecond), grants, r50.Round(10*time.Microsecond), r99.Round(10*time.Microsecond), renewals)
 		}
@@ -96,7 +99,7 @@
 	}
 }
 
-// How long nobody holds after a kill, beside what the settings bound it by.
+// How long no client holds the lease after a kill, beside the bound by the settings.
 func TestFiguresWithoutAHolder(t *testing.T) {
 	peertest.Figures(t)
 	g, r := newGroup(t, 3), &contend.Resource{}
--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/hard_test.go
@@ -26,7 +26,7 @@
 
 func client(t *testing.T, g *coordinator.Group) *lease.Client { return clientFor(t, g, ttl) }
 
-// patient is a client whose session outlives a few elections, on a slow machine too.
+// patient returns a client whose session outlives a few elections, on a slow machine too.
 func patient(t *testing.T, g *coordinator.Group) *lease.Client {
 	return clientFor(t, g, 20*time.Second)
 }
@@ -41,7 +41,7 @@
 	return c
 }
 
-func must(t *testing.T, c *lease.Client, name string) *lease.Held {
+func hold(t *testing.T, c *lease.Client, name string) *lease.Held {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
 	defer cancel()
@@ -52,7 +52,7 @@
 	return h
 }
 
-// A holder is stopped between its look and its act, for longer than its lease, and goes on when another has acted: the guard
+// A holder is stopped between its check and its act, for longer than its lease, and goes on when another one has acted: the guard
 // refuses it.
 func TestStoppedBetweenLookAndAct(t *testing.T) {
 	g, r := newGroup(t, 1), &contend.Resource{}
@@ -60,7 +60,7 @@
 	out := &process.Log{}
 	first := start(t, "stops", out, guarded, strings.Join(g.Addrs(), ","))
 	peertest.Eventually(t, "it has looked, and is stopped", func() bool { return strings.Contains(out.String(), "looked") && first.State() == "T" })
-	other := must(t, client(t, g), "task") // its time is up
+	other := hold(t, client(t, g), "task") // its TTL has passed
 	if err := r.Guard.Admit(other.Token, func() error { return nil }); err != nil {
 		t.Error(err)
 	}
@@ -72,15 +72,15 @@
 }
 
 // A replica that lost its disk may not come back under its id: it ends and says what to do. Under a new id it is added, learns and
-// votes; the lost one is removed. One that was removed and comes back ends too, and disturbs nobody.
+// votes; the lost one is removed. One that was removed and comes back ends too, and disturbs no other.
 func TestLostDisk(t *testing.T) {
 	g := newGroup(t, 3)
-	held := must(t, patient(t, g), "x")
+	held := hold(t, patient(t, g), "x")
 	peertest.Eventually(t, "all disks are known", func() bool {
-		told, err := g.Ask(fleet.Request{Backup: true})
+		response, err := g.Ask(fleet.Request{Backup: true})
 		known := 0
 		if err == nil {
-			for _, m := range told.Members {
+			for _, m := range response.Members {
 				if m.Incarnation != "" {
 					known++
 				}
@@ -110,7 +110,7 @@
 	}
 }
 
-// join starts a further coordinator, which reaches the others by the links of one that is not cut off, adds it, and waits until it votes.
+// join starts a further coordinator, which reaches the others by the links of one that is not partitioned, adds it, and waits until it votes.
 func join(t *testing.T, g *coordinator.Group, by *coordinator.Member, id uint64) (addr string) {
 	t.Helper()
 	way := g.Link()
@@ -125,8 +125,8 @@
 		t.Fatal(err)
 	}
 	peertest.Eventually(t, "it votes", func() bool {
-		told, err := g.Ask(fleet.Request{Backup: true})
-		return err == nil && slices.ContainsFunc(told.Members, func(m replica.Member) bool { return m.ID == id && !m.Learner })
+		response, err := g.Ask(fleet.Request{Backup: true})
+		return err == nil && slices.ContainsFunc(response.Members, func(m replica.Member) bool { return m.ID == id && !m.Learner })
 	})
 	return addr
 }
@@ -134,24 +134,24 @@
 // The leader is removed: it ends, another leads, and it cannot come back. Leases live on.
 func TestRemovedLeader(t *testing.T) {
 	g := newGroup(t, 3)
-	held := must(t, patient(t, g), "x")
+	held := hold(t, patient(t, g), "x")
 	leader := g.NewLeader(-1)
 	if _, err := g.Ask(fleet.Request{RemoveMember: uint64(leader + 1)}); err != nil {
 		t.Fatal(err)
 	}
 	g.NewLeader(leader)
-	was := must(t, client(t, g), "y").Token
+	was := hold(t, client(t, g), "y").Token
 	if g.All[leader].Wait(); !strings.Contains(g.All[leader].Log.String(), "none of this group") {
 		t.Errorf("%s", g.All[leader].Log)
 	}
 	g.All[leader].Start()
 	g.All[leader].Wait()
-	if now := must(t, client(t, g), "z").Token; now != was+1 || !held.Valid() {
+	if now := hold(t, client(t, g), "z").Token; now != was+1 || !held.Valid() {
 		t.Errorf("token %d after %d", now, was)
 	}
 }
 
-// A disk that takes no more ends the process, which says so; the others go on, and with room it comes back.
+// A disk that is full ends the process, which says so; the others go on, and with free space it comes back.
 func TestDiskFull(t *testing.T) {
 	g := newGroup(t, 3)
 	leader := g.NewLeader(-1)
@@ -159,7 +159,7 @@
 	if err := unix.Prlimit(c.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: unix.RLIM_INFINITY}, nil); err != nil {
 		t.Fatal(err)
 	}
-	must(t, client(t, g), "x")
+	hold(t, client(t, g), "x")
 	if err := c.Wait(); err == nil {
 		t.Error("it ended well")
 	}
@@ -168,10 +168,10 @@
 	}
 	c.Start()
 	g.All[(leader+1)%3].Die() // a majority needs it
-	must(t, client(t, g), "y")
+	hold(t, client(t, g), "y")
 }
 
-// A back-up is restored onto a new group while a holder of the old one still believes: nothing is granted until that is over, and
+// A back-up is restored to a new group while a holder of the old one still believes: nothing is granted until that has ended, and
 // tokens go on beyond.
 func TestRestoredWhileAHolderLives(t *testing.T) {
 	g := newGroup(t, 1)
@@ -179,7 +179,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := must(t, client(t, g), "x") // after the back-up
+	old := hold(t, client(t, g), "x") // after the back-up
 	c := g.All[0]
 	c.Die()
 	path := filepath.Join(g.Dir, "backup")
@@ -204,25 +204,25 @@
 	if err != nil || a.Answer.Status != core.Embargoed {
 		t.Errorf("%v, %+v", err, a)
 	}
-	next := must(t, client(t, g), "x")
+	next := hold(t, client(t, g), "x")
 	if old.Valid() || next.Token <= old.Token {
 		t.Errorf("token %d, and %d is believed: %v", next.Token, old.Token, old.Valid())
 	}
 }
 
-// A waiter is killed just as its turn comes: the next has the lease within one session's time.
+// A waiter is killed just as the lease is granted to it: the next one gets the lease within one TTL.
 func TestWaiterDies(t *testing.T) {
 	g, r := newGroup(t, 1), &contend.Resource{}
-	first := must(t, client(t, g), "task")
+	first := hold(t, client(t, g), "task")
 	out := &process.Log{}
 	waiter := start(t, "holder", out, "w", peertest.NewRaw(t, r.Serve), strings.Join(g.Addrs(), ","))
 	name := "task"
 	queue := func() int {
-		told, err := g.Ask(fleet.Request{ListLeases: &name})
-		if err != nil || len(told.Leases) == 0 {
+		response, err := g.Ask(fleet.Request{ListLeases: &name})
+		if err != nil || len(response.Leases) == 0 {
 			return -1
 		}
-		return len(told.Leases[0].Queue)
+		return len(response.Leases[0].Queue)
 	}
 	peertest.Eventually(t, "it waits", func() bool { return queue() == 1 })
 	got := make(chan *lease.Held, 1)
@@ -240,10 +240,10 @@
 	}
 }
 
-// Without a majority there is no grant, and a clear answer with a time to come back, at once; another version is refused.
+// Without a majority there is no grant, and at once a clear error that says when to try again; another version is refused.
 func TestNoMajority(t *testing.T) {
 	g := newGroup(t, 3)
-	held := must(t, client(t, g), "x")
+	held := hold(t, client(t, g), "x")
 	for _, c := range g.All[:2] {
 		c.Die()
 	}
@@ -265,7 +265,7 @@
 	}
 }
 
-// Bad input is one clear error, with its place, and nothing is begun.
+// Bad settings are one clear error, with its position, and nothing is started.
 func TestBadFiles(t *testing.T) {
 	dir := t.TempDir()
 	good := "id: 1\ndata: d\nreplicas:\n  - {id: 1, address: 127.0.0.1:7001}\n"
@@ -309,16 +309,16 @@
 	}
 }
 
-// All coordinators are killed at once, right after a grant was answered: it is there again, the session lives on, and no token is
-// given twice.
+// All coordinators are killed at once, right after the response to a grant: the grant is there again, the session lives on, and no token
+// is granted twice.
 func TestAllKilledAtOnce(t *testing.T) {
 	g := newGroup(t, 3)
 	c := client(t, g)
 	var last lease.Token
 	for round := range 3 {
-		h := must(t, c, fmt.Sprint("x", round))
+		h := hold(t, c, fmt.Sprint("x", round))
 		g.KillAll()
-		next := must(t, client(t, g), fmt.Sprint("y", round))
+		next := hold(t, client(t, g), fmt.Sprint("y", round))
 		if h.Token <= last || next.Token <= h.Token {
 			t.Errorf("tokens %d, %d, %d", last, h.Token, next.Token)
 		}
@@ -326,58 +326,58 @@
 	}
 }
 
-// The leader is cut off from the others, not from clients: a change that it is asked for does not happen, and it says that it does not
-// know; the others go on and remove it. When it is heard again it ends.
+// The leader is partitioned from the others, not from clients: a change that it is asked for does not happen, and it says that the outcome
+// is unknown; the others go on and remove it. When the partition ends it ends.
 func TestChangesWhileTheLeaderIsCutOff(t *testing.T) {
 	g := newGroup(t, 3)
-	held := must(t, patient(t, g), "x")
+	held := hold(t, patient(t, g), "x")
 	leader := g.NewLeader(-1)
 	c := g.All[leader]
 	c.Cut(true, true, true)
 	other := (leader + 1) % 3
 	ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
 	defer cancel()
-	told, err := call(ctx, g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, RemoveMember: uint64(other + 1)})
-	if err != nil || !told.OutcomeUnknown {
-		t.Errorf("%v, %+v", err, told)
+	response, err := call(ctx, g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, RemoveMember: uint64(other + 1)})
+	if err != nil || !response.OutcomeUnknown {
+		t.Errorf("%v, %+v", err, response)
 	}
 	g.NewLeader(leader)
-	join(t, g, g.All[other], 4) // by the two that hear one another
+	join(t, g, g.All[other], 4) // by the two that reach one another
 	if _, err := g.Ask(fleet.Request{RemoveMember: uint64(leader + 1)}); err != nil {
 		t.Fatal(err)
 	}
 	c.Cut(false, true, true)
 	c.Wait()
-	told, err = g.Ask(fleet.Request{Backup: true})
-	if err != nil || len(told.Members) != 3 || !held.Valid() {
-		t.Errorf("%v, %+v, valid %v", err, told, held.Valid())
+	response, err = g.Ask(fleet.Request{Backup: true})
+	if err != nil || len(response.Members) != 3 || !held.Valid() {
+		t.Errorf("%v, %+v, valid %v", err, response, held.Valid())
 	}
 }
 
-// The leader is stopped for 10 s, and goes on as if nothing had been: it says yes to no session that has ended meanwhile, and the lease
-// is the next one's all the while.
+// The leader is stopped for 10 s, and goes on as if nothing had happened: it renews no session that has ended meanwhile, and the next
+// holder keeps the lease all the time.
 func TestALeaderThatIsStoppedForTenSeconds(t *testing.T) {
 	g := newGroup(t, 3)
 	g.NewLeader(-1)
-	told, err := g.Ask(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: "12345678", Owner: "o", TTL: ttl}})
+	response, err := g.Ask(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: "12345678", Owner: "o", TTL: ttl}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	session := told.Answer.Session
+	session := response.Answer.Session
 	if _, err := g.Ask(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: session, Seq: 1, Name: "task"}}); err != nil {
 		t.Fatal(err)
 	}
 	leader := g.Leader()
 	g.All[leader].Stop()
-	next := must(t, patient(t, g), "task")
+	next := hold(t, patient(t, g), "task")
 	<-time.After(10 * time.Second)
 	asked := make(chan *fleet.Response, 1)
-	go func() { // it is in its queue as it goes on
-		told, _ := call(t.Context(), g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, KeepAlive: &replica.KeepAlive{Session: session}})
-		asked <- told
+	go func() { // the request is in its queue when it goes on
+		response, _ := call(t.Context(), g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, KeepAlive: &replica.KeepAlive{Session: session}})
+		asked <- response
 	}()
 	g.All[leader].Continue()
-	if told := peertest.Wait(t, asked); told != nil && told.SessionAlive {
+	if response := peertest.Wait(t, asked); response != nil && response.SessionAlive {
 		t.Error("it says yes")
 	}
 	if !next.Valid() {
@@ -389,7 +389,7 @@
 func TestTooLarge(t *testing.T) {
 	g := newGroup(t, 1)
 	c := client(t, g)
-	must(t, c, "x")
+	hold(t, c, "x")
 	ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
 	defer cancel()
 	for name, want := range map[string]string{strings.Repeat("x", 2<<20): "larger than configured max", strings.Repeat("x", 201): "lease: 201 bytes; write 1 to 200"} {
@@ -397,5 +397,5 @@
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
-	must(t, c, "y") // the session goes on
+	hold(t, c, "y") // the session goes on
 }
--- a/cmd/petrelhook-coordinator/main.go
+++ b/cmd/petrelhook-coordinator/main.go
@@ -1,4 +1,5 @@
-// Command petrelhook-coordinator is a coordinator: one, three or five of them keep the leases of a fleet.
+// Command petrelhook-coordinator is a coordinator: one, three or five of them keep the fleet's leases, limits, rolling changes and
+// configuration versions. Package fleet is its server. Exit codes are those of package command.
 package main
 
 import (
@@ -20,46 +21,59 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
+// flags are the command line's.
+type flags struct {
+	config string // the settings' file
+	data   string // without a file: the folder of the only coordinator of a machine
+	listen string // with data
+	check  bool
+}
+
 func run(args []string, out, errs io.Writer) int {
-	var path, data, addr string
-	var check bool
+	var f flags
 	cmd := &cobra.Command{
 		Use: "petrelhook-coordinator [--config FILE | --data FOLDER]", Short: "A coordinator of petrelhook's fleet: who holds which lease",
 		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			var c *fleet.Config
-			var err error
-			switch {
-			case (path == "") == (data == ""):
-				return errors.New("write --config FILE, or --data FOLDER for the one coordinator of this machine")
-			case path != "":
-				c, err = fleet.ReadConfig(path)
-			default:
-				c = fleet.SingleConfig(data, addr)
-			}
+		RunE: func(*cobra.Command, []string) error {
+			c, err := f.settings()
 			if err != nil {
-				return command.Fail(err)
+				return err
 			}
 			log := slog.New(slog.NewTextHandler(errs, nil))
 			for _, w := range c.Warnings {
 				log.Warn("settings", "warning", w)
 			}
-			if check {
-				fmt.Fprintf(out, "%s: good: replica %d of %d\n", path, c.ID, len(c.Replicas))
+			if f.check {
+				fmt.Fprintf(out, "%s: good: replica %d of %d\n", f.config, c.ID, len(c.Replicas))
 				return nil
 			}
 			return serve(c, log)
 		},
 	}
-	f := cmd.Flags()
-	f.StringVar(&path, "config", "", "the settings' `FILE` (YAML)")
-	f.StringVar(&data, "data", "", "`FOLDER` of the one coordinator of a machine; it needs no file")
-	f.StringVar(&addr, "listen", fleet.DefaultAddr, "with --data: `HOST:PORT`")
-	f.BoolVar(&check, "check", false, "say whether the file is good, and end")
+	set := cmd.Flags()
+	set.StringVar(&f.config, "config", "", "the settings' `FILE` (YAML)")
+	set.StringVar(&f.data, "data", "", "`FOLDER` of the one coordinator of a machine; it needs no file")
+	set.StringVar(&f.listen, "listen", fleet.DefaultAddr, "with --data: `HOST:PORT`")
+	set.BoolVar(&f.check, "check", false, "say whether the file is good, and end")
 	return command.Run(cmd, args, out, errs)
 }
 
-// driverTTL is for how long a driver of rolling changes is waited for that is silent.
+// settings returns those of the file, or those of the only coordinator of a machine.
+func (f *flags) settings() (*fleet.Config, error) {
+	if (f.config == "") == (f.data == "") {
+		return nil, errors.New("write --config FILE, or --data FOLDER for the one coordinator of this machine")
+	}
+	if f.config == "" {
+		return fleet.SingleConfig(f.data, f.listen), nil
+	}
+	c, err := fleet.ReadConfig(f.config)
+	if err != nil {
+		return nil, command.Fail(err)
+	}
+	return c, nil
+}
+
+// driverTTL is how long other coordinators wait for a driver of rolling changes that does not renew its lease.
 const driverTTL = 3 * time.Second
 
 // serve runs until SIGTERM or an interrupt.
@@ -75,19 +89,7 @@
 		return command.Fail(fmt.Errorf("listen: %w", err))
 	}
 	if c.Drive {
-		drives := make(chan struct{})
-		driving, ended := context.WithCancel(ctx)
-		d := &driver.Driver{TTL: driverTTL, Every: c.DriveEvery, Log: log}
-		for _, m := range c.Replicas {
-			d.Addrs = append(d.Addrs, m.Addr)
-		}
-		go func() {
-			defer close(drives)
-			if err := d.Run(driving); err != nil {
-				log.Error("drives no changes", "err", err)
-			}
-		}()
-		defer func() { ended(); <-drives }()
+		defer startDriver(ctx, c, log)()
 	}
 	log.Info("serving", "id", c.ID, "listen", ln.Addr().String(), "replicas", len(c.Replicas))
 	if err := s.Run(ctx, ln); err != nil {
@@ -96,3 +98,24 @@
 	log.Info("stopped")
 	return nil
 }
+
+// startDriver starts the driver of rolling changes, and returns the function that ends it. Where it cannot begin the coordinator serves
+// on.
+func startDriver(ctx context.Context, c *fleet.Config, log *slog.Logger) (stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	d := &driver.Driver{TTL: driverTTL, Every: c.DriveEvery, Log: log}
+	for _, m := range c.Replicas {
+		d.Addrs = append(d.Addrs, m.Addr)
+	}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		if err := d.Run(ctx); err != nil {
+			log.Error("drives no changes", "err", err)
+		}
+	}()
+	return func() {
+		cancel()
+		<-ended
+	}
+}
--- a/cmd/petrelhook-coordinator/process_test.go
+++ b/cmd/petrelhook-coordinator/process_test.go
@@ -26,7 +26,7 @@
 	ttl          = contend.TTL
 )
 
-// The test's program is a coordinator's and a holder's as well.
+// The test program is a coordinator and a holder as well, by its role.
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVariable) {
 	case "coordinator":
@@ -60,15 +60,15 @@
 	return coordinator.NewGroup(t, n, func(args ...string) *exec.Cmd { return process.Again(roleVariable, "coordinator", args...) })
 }
 
-// rounds is how many a test plays: ROUNDS in the environment, else a few.
+// rounds returns how many rounds a test plays: ROUNDS of the environment, else a few.
 func rounds(few int) int {
 	n := few
 	fmt.Sscan(os.Getenv("ROUNDS"), &n)
 	return n
 }
 
-// Real processes, coordinators and eight holders, under random faults of processes and of the links between them: no two believe at
-// once, no token is two's, and the guard admits in order.
+// Real processes, coordinators and eight holders, under random faults of processes and of the links between them: no two hold at
+// once, no token is granted twice, and the guard admits in order.
 func TestProcessesUnderFaults(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) { underFaults(t, n, rounds(8), rand.New(rand.NewPCG(uint64(n), 1))) })
--- a/cmd/petrelhook-coordinator/share_test.go
+++ b/cmd/petrelhook-coordinator/share_test.go
@@ -18,18 +18,18 @@
 )
 
 // Eight processes that want ten times what a limit allows, under faults between them and three coordinators: the leader is killed, one
-// is cut off, all are gone and come back, a member is stopped past its part. In no period do all together use more than what two periods
-// give; they use the limit while there are coordinators, and their floors while there are none; nobody has nothing.
+// is partitioned, all are down and come back, a member is stopped past the end of its allocation. In no period do all together use more
+// than two periods allow; they use the limit while there are coordinators, and their floors while there are none; none gets nothing.
 func TestSharesUnderFaults(t *testing.T) {
 	g := newGroup(t, 3)
 	const members = 8
 	l := share.Limit{Name: "cold/s-1", Units: 80, Floor: 16, Members: members, Period: 400 * time.Millisecond}
 	set := func(l share.Limit) string {
-		told, err := g.Ask(fleet.Request{Limit: &share.Command{Set: l}})
+		response, err := g.Ask(fleet.Request{Limit: &share.Command{Set: l}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return told.LimitError
+		return response.LimitError
 	}
 	other := l
 	other.Floor++
@@ -38,8 +38,8 @@
 			t.Errorf("%+v: %q", one, said)
 		}
 	}
-	if told, err := g.Ask(fleet.Request{Share: &replica.ShareRequest{Limit: "none", Request: share.AllocationRequest{Member: "m"}}}); err != nil || !strings.Contains(told.LimitError, "no such limit") {
-		t.Error(err, told)
+	if response, err := g.Ask(fleet.Request{Share: &replica.ShareRequest{Limit: "none", Request: share.AllocationRequest{Member: "m"}}}); err != nil || !strings.Contains(response.LimitError, "no such limit") {
+		t.Error(err, response)
 	}
 	limit, _ := json.Marshal(l)
 	var logs [members]process.Log
@@ -57,7 +57,7 @@
 		was := uses()
 		peertest.Eventually(t, what, func() bool { return uses() >= was+n })
 	}
-	full := func() float64 { // the part of the limit that is used while all is well, over ten periods
+	full := func() float64 { // the fraction of the limit that is used without faults, over ten periods
 		was, began := uses(), time.Now()
 		more("it is used", 10*l.Units*7/10)
 		return float64(uses()-was) / float64(l.Units) / (float64(time.Since(began)) / float64(l.Period))
@@ -91,9 +91,9 @@
 		t.Error(said)
 	}
 	more("a lower limit", 4*l.Units)
-	told, err := g.Ask(fleet.Request{ListLimits: true})
-	if err != nil || len(told.LimitStatuses) != 1 || told.LimitStatuses[0].Limit != l || len(told.LimitStatuses[0].Members) != members || told.LimitStatuses[0].Outstanding > 80 {
-		t.Errorf("%v: %+v", err, told.LimitStatuses)
+	response, err := g.Ask(fleet.Request{ListLimits: true})
+	if err != nil || len(response.LimitStatuses) != 1 || response.LimitStatuses[0].Limit != l || len(response.LimitStatuses[0].Members) != members || response.LimitStatuses[0].Outstanding > 80 {
+		t.Errorf("%v: %+v", err, response.LimitStatuses)
 	}
 	var at []lease.Instant
 	for i, p := range all {
