--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/hard_test.go
@@ -141,7 +141,7 @@
 	}
 	g.NewLeader(leader)
 	was := hold(t, client(t, g), "y").Token
-	if g.All[leader].Wait(); !strings.Contains(g.All[leader].Log.String(), "none of this group") {
+	if g.All[leader].Wait(); !strings.Contains(g.All[leader].Log.String(), "not a member of this group") {
 		t.Errorf("%s", g.All[leader].Log)
 	}
 	g.All[leader].Start()
--- a/internal/coordination/replica/members.go
+++ b/internal/coordination/replica/members.go
@@ -23,7 +23,7 @@
 	// ErrLostDisk says that a replica's disk is not the one whose votes and entries the group counts on.
 	ErrLostDisk = errors.New("the replica has lost its disk, and may not come back under its id: remove it, and add it with an id that was never used")
 	// ErrRemoved says that a replica is not a member of the group.
-	ErrRemoved = errors.New("the replica is none of this group: it was removed, or is not added yet")
+	ErrRemoved = errors.New("the replica is not a member of this group: it was removed, or is not added yet")
 )
 
 const (
