--- a/cmd/petrelhook/main.go
+++ b/cmd/petrelhook/main.go
@@ -22,8 +22,8 @@
 	exitUsage  = 2 // the command line is wrong
 )
 
-// logTime is for how long the process stays for the last lines of its log.
-const logTime = 500 * time.Millisecond
+// logFlushTimeout is for how long the process stays for the last lines of its log.
+const logFlushTimeout = 500 * time.Millisecond
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
@@ -41,7 +41,7 @@
 	reload := make(chan os.Signal, 1) // one is enough: the file is read after the last of them
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	cfg, err := config.Read(c.path)
+	cfg, err := config.Read(c.configPath)
 	if err != nil {
 		fmt.Fprintln(errs, "petrelhook:", err)
 		return exitFailed
@@ -51,15 +51,15 @@
 		return exitFailed
 	}
 	if c.check {
-		fmt.Fprintf(out, "%s: good: %d classes, %d servers known\n", c.path, len(cfg.Profile.Classes), len(cfg.Known.Instances))
+		fmt.Fprintf(out, "%s: good: %d classes, %d servers known\n", c.configPath, len(cfg.Profile.Classes), len(cfg.Known.Instances))
 		return 0
 	}
 	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt) // until here nothing is taken
 	defer release()
 	log := c.logger(errs) // of what the writer itself has to say
 	lines := logwriter.New(errs, func(n int) { log.Warn("log lines were dropped", "lines", n) })
-	err = wiring.Serve(stop, c.path, &cfg, wiring.TCP(), reload, c.logger(lines))
-	lines.Close(logTime)
+	err = wiring.Serve(stop, c.configPath, &cfg, wiring.TCP(), reload, c.logger(lines))
+	lines.Close(logFlushTimeout)
 	if err != nil {
 		fmt.Fprintln(errs, "petrelhook:", err)
 		return exitFailed
--- a/cmd/petrelhook/main_test.go
+++ b/cmd/petrelhook/main_test.go
@@ -87,8 +87,8 @@
 func TestWhichFile(t *testing.T) {
 	env := func(name string) string { return map[string]string{"LB_CONFIG": "from-env"}[name] }
 	for want, args := range map[string][]string{"from-env": nil, "given": {"--config", "given"}} {
-		if c, err := parseArgs(args, env, io.Discard); err != nil || c.path != want {
-			t.Errorf("%q: %q, %v", args, c.path, err)
+		if c, err := parseArgs(args, env, io.Discard); err != nil || c.configPath != want {
+			t.Errorf("%q: %q, %v", args, c.configPath, err)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 // What is below the level stays out, and JSON lines hold the fields by name.
 func TestLogger(t *testing.T) {
 	var out bytes.Buffer
-	log := command{format: "json", level: slog.LevelWarn}.logger(&out)
+	log := options{logFormat: "json", logLevel: slog.LevelWarn}.logger(&out)
 	log.Info("quiet")
 	log.Warn("loud", "server", "s-1")
 	if got := out.String(); strings.Contains(got, "quiet") || !strings.Contains(got, `"msg":"loud","server":"s-1"`) {
--- a/cmd/petrelhook/recorded_test.go
+++ b/cmd/petrelhook/recorded_test.go
@@ -22,7 +22,7 @@
 // take has a process of the fleet's sidecar handed over to the test, as the next process would.
 func (f *fleet) take() (state []byte, link *handover.Link) {
 	f.t.Helper()
-	ln, state, link, err := handover.At(f.dir, "n0", f.listen).Take(peertest.Patience)
+	ln, state, link, err := handover.NewRendezvous(f.dir, "n0", f.listen).Request(peertest.Patience)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -101,19 +101,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before := &handover.Offer{
-			Give: func() (*os.File, []byte, error) { file, err := ln.(*net.TCPListener).File(); return file, state, err },
-			Met: func(l *handover.Link) {
-				l.Listen(func(line string) {
+		before := &handover.Server{
+			Snapshot: func() (*os.File, []byte, error) { file, err := ln.(*net.TCPListener).File(); return file, state, err },
+			OnSuccessor: func(l *handover.Link) {
+				l.ReadLines(func(line string) {
 					if line == "ready" {
-						l.Say("heard")
-						l.Say("a line of a version to come")
+						l.Send("heard")
+						l.Send("a line of a version to come")
 					}
 				})
 			},
-			Failed: func(err error) { t.Error(err) },
+			OnError: func(err error) { t.Error(err) },
 		}
-		if err := before.Open(handover.At(f.dir, "n0", f.listen)); err != nil {
+		if err := before.Start(handover.NewRendezvous(f.dir, "n0", f.listen)); err != nil {
 			t.Fatal(err)
 		}
 		next := f.start()
--- a/internal/sidecar/front/platform/body.go
+++ b/internal/sidecar/front/platform/body.go
@@ -16,49 +16,69 @@
 )
 
 const (
-	// A client's body moves by a quarter of 64 kB a second at least, in pieces of up to 2 s.
-	leastBody  = 32 << 10
-	bodyWindow = 2 * time.Second
-	// stall is for how long a client may take nothing of its answer.
-	stall = 10 * time.Second
+	// minBodyBytes of a body must come in each bodyInterval: a quarter of the 64 kB a second that the platform promises.
+	minBodyBytes = 32 << 10
+	bodyInterval = 2 * time.Second
+	// writeTimeout is for how long a client may read nothing of its response.
+	writeTimeout = 10 * time.Second
+	// uncountedSize is how much of each body may be in memory without being reserved; nearly all bodies are no longer.
+	uncountedSize = 4 << 10
+	// readSize is the most that is read at once of a body that is kept in memory.
+	readSize = 4 << 10
+	// reserveTimeout is for how long a body waits for memory before its request is rejected. Nothing of it was executed, and those that
+	// have memory reserved and make no progress are ended in about the same time.
+	reserveTimeout = time.Second
 )
 
-var errHalted = errors.New("the rest of the body is not wanted any more")
+var (
+	errHalted   = errors.New("the rest of the body is not wanted any more")
+	errNoMemory = errors.New("no room for the body")
+	errTooLong  = errors.New("body over 40 MiB")
+)
+
+// isEnd reports whether a body was read to its end. An error that wraps io.EOF is none: that body was cut short.
+func isEnd(err error) bool {
+	return err == io.EOF //nolint:errorlint // only the plain value is an end
+}
 
-// body reads a request's body at the pace that its client owes.
+// body reads a request's body and ends the reading where the client sends too slowly. One goroutine reads at a time: the handler's, then
+// that of pump; halt may be called meanwhile.
 type body struct {
 	io.Reader
-	control  *http.ResponseController
-	first    time.Time // the pace counts from here on
-	progress progress.Deadline
-	halted   atomic.Bool
-	ended    atomic.Bool // it was read to its end
-	rest     *message.Upload
-	room     *membudget.Budget
-	taken    int64         // of the room
-	pumped   chan struct{} // closed when nobody reads it any more; nil: nobody else does
+	control          *http.ResponseController
+	earliestDeadline time.Time // no read is ended before it
+	progress         progress.Deadline
+	halted           atomic.Bool
+	ended            atomic.Bool     // it was read to its end
+	upload           *message.Upload // nil where the body is in memory
+	budget           *membudget.Budget
+	reserved         int64         // bytes of the budget
+	pumpDone         chan struct{} // closed when the pump has ended; nil: there is none
 }
 
-func newBody(w http.ResponseWriter, req *http.Request, due time.Time) *body {
-	b := &body{Reader: req.Body, control: http.NewResponseController(w), first: due, progress: progress.Deadline{MinBytes: leastBody, Interval: bodyWindow}}
+func newBody(w http.ResponseWriter, req *http.Request, earliestDeadline time.Time) *body {
+	b := &body{
+		Reader: req.Body, control: http.NewResponseController(w), earliestDeadline: earliestDeadline,
+		progress: progress.Deadline{MinBytes: minBodyBytes, Interval: bodyInterval},
+	}
 	b.progress.Start(time.Now())
 	return b
 }
 
-// Read reads on until the client's time for it is up.
+// Read reads until the client's time for the current interval is up; then the error is os.ErrDeadlineExceeded. After halt it is errHalted.
 func (b *body) Read(p []byte) (int, error) {
-	due := b.progress.Expires()
-	if due.Before(b.first) {
-		due = b.first
+	deadline := b.progress.Expires()
+	if deadline.Before(b.earliestDeadline) {
+		deadline = b.earliestDeadline
 	}
-	b.control.SetReadDeadline(due)
-	if b.halted.Load() { // only now: Halt sets a deadline of its own
+	b.control.SetReadDeadline(deadline)
+	if b.halted.Load() { // checked after the deadline is set: halt sets one of its own
 		return 0, errHalted
 	}
 	n, err := b.Reader.Read(p)
 	b.progress.Progressed(n, time.Now())
 	switch {
-	case err == io.EOF:
+	case isEnd(err):
 		b.ended.Store(true)
 		b.control.SetReadDeadline(time.Time{})
 	case err != nil && b.halted.Load():
@@ -67,128 +87,116 @@
 	return n, err
 }
 
-// halt ends the reading: what is left of the body stays unread. Where nothing is left the connection is not touched: net/http
-// waits on it for the client already, and would take the deadline for the client's end and give up the next request.
+// halt ends the reading and waits for the pump; the rest of the body stays unread. A body that was read to its end leaves the connection
+// alone: net/http already waits on it for the client's end, and would take a deadline for that and give up the next request.
 func (b *body) halt() {
 	if !b.ended.Load() {
 		b.halted.Store(true)
 		b.control.SetReadDeadline(time.Unix(1, 0))
 	}
-	if b.rest != nil {
-		b.rest.Close()
+	if b.upload != nil {
+		b.upload.Close()
 	}
-	if b.pumped != nil {
-		<-b.pumped
+	if b.pumpDone != nil {
+		<-b.pumpDone
 	}
 }
 
-// pump passes the rest on as it comes. Where it breaks off, failed is called with the reason.
-func (b *body) pump(failed func(error)) {
-	b.pumped = make(chan struct{})
+// pump starts to pass the body on through the upload as it comes. Where the body breaks off, onError is called with the reason. halt waits
+// for the pump's goroutine.
+func (b *body) pump(onError func(error)) {
+	b.pumpDone = make(chan struct{})
 	go func() {
-		defer close(b.pumped)
-		b.rest.Pump(&bounded{b, message.MaxBody, failed})
+		defer close(b.pumpDone)
+		b.upload.Pump(&limitedBody{b, message.MaxBody, onError})
 	}()
 }
 
-// status is the answer to a body that could not be read to its end; 0: there is nobody to answer.
-func status(err error) int {
-	var failed net.Error
+// statusOfBodyError is the HTTP status for a body that could not be read to its end; 0: the client has gone, and there is none to answer.
+func statusOfBodyError(err error) int {
+	var netError net.Error
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return http.StatusRequestTimeout
-	case err == errNoRoom:
+	case errors.Is(err, errNoMemory):
 		return http.StatusServiceUnavailable
-	case errors.Is(err, context.Canceled) || errors.As(err, &failed) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
+	case errors.Is(err, context.Canceled) || errors.As(err, &netError) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 		return 0
 	}
 	return http.StatusBadRequest
 }
 
-// take takes a body in: whole where it is short, else with a rest that is passed on.
-func (b *body) take(req *http.Request, m *message.Request) error {
+// readInto reads a short body into the message; a long one becomes an upload of the message, which pump passes on.
+func (b *body) readInto(req *http.Request, into *message.Request) error {
 	size := req.ContentLength
 	if size > message.MaxBuffered {
-		b.rest = message.NewUpload(size)
-		m.Remainder = b.rest
+		b.upload = message.NewUpload(size)
+		into.Remainder = b.upload
 		return nil
 	}
 	var err error
 	if size >= 0 {
-		m.Body = make([]byte, 0, min(size, 4<<10))
+		into.Body = make([]byte, 0, min(size, uncountedSize))
 	}
-	buffer := make([]byte, min(max(size, 512), bodyPiece))
+	buffer := make([]byte, min(max(size, 512), readSize))
 	for err == nil {
-		if len(m.Body) > message.MaxBuffered { // chunks, and more of them
-			b.rest = message.NewUpload(-1)
-			m.Remainder = b.rest
+		if len(into.Body) > message.MaxBuffered { // a chunked body, and longer than what is kept in memory
+			b.upload = message.NewUpload(-1)
+			into.Remainder = b.upload
 			return nil
 		}
 		var n int
 		n, err = b.Read(buffer)
-		if !b.hold(req.Context(), len(m.Body)+n) {
-			return errNoRoom
+		if !b.reserve(req.Context(), len(into.Body)+n) {
+			return errNoMemory
 		}
-		m.Body = append(m.Body, buffer[:n]...)
+		into.Body = append(into.Body, buffer[:n]...)
 	}
-	if err == io.EOF {
+	if isEnd(err) {
 		return nil
 	}
 	return err
 }
 
-// freeSize is how much of every body is held without being counted: nearly all have no more.
-const freeSize = 4 << 10
-
-// bodyPiece is the most that is read at once of a body that is held.
-const bodyPiece = 4 << 10
-
-// roomTime is how long a body waits for room before it is refused. Nothing of it ran, and those who hold room and do not move
-// are ended in about the same time.
-const roomTime = time.Second
-
-var errNoRoom = errors.New("no room for the body")
-
-// hold waits until so many bytes may be held.
-func (b *body) hold(ctx context.Context, n int) bool {
-	if n <= freeSize || int64(n) <= b.taken {
+// reserve waits until n bytes of the body may be in memory, and reports whether they may.
+func (b *body) reserve(ctx context.Context, n int) bool {
+	if n <= uncountedSize || int64(n) <= b.reserved {
 		return true
 	}
-	want := int64(min(2*n, message.MaxBuffered+bodyPiece))
-	ctx, cancel := context.WithTimeout(ctx, roomTime)
+	wanted := int64(min(2*n, message.MaxBuffered+readSize))
+	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	if !b.room.Acquire(ctx, want-b.taken) {
+	if !b.budget.Acquire(ctx, wanted-b.reserved) {
 		return false
 	}
-	b.taken = want
+	b.reserved = wanted
 	b.progress.Start(time.Now()) // the wait was not the client's
 	return true
 }
 
-// give holds nothing any more.
-func (b *body) give() {
-	if b.taken > 0 {
-		b.room.Release(b.taken)
+// release gives the reserved memory back.
+func (b *body) release() {
+	if b.reserved > 0 {
+		b.budget.Release(b.reserved)
 	}
-	b.taken = 0
+	b.reserved = 0
 }
 
-var errTooLong = errors.New("body over 40 MiB")
-
-// bounded reads no more than a bound, and tells of what is no end.
-type bounded struct {
+// limitedBody reads no more than a number of bytes, and reports an error that is neither the body's end nor halt.
+type limitedBody struct {
 	*body
-	left   int64
-	failed func(error)
+	remaining int64
+	onError   func(error)
 }
 
-func (r *bounded) Read(p []byte) (int, error) {
-	n, err := r.body.Read(p)
-	if r.left -= int64(n); r.left < 0 && err != errHalted {
+// Read is that of io.Reader.
+func (l *limitedBody) Read(p []byte) (int, error) {
+	n, err := l.body.Read(p)
+	if l.remaining -= int64(n); l.remaining < 0 && !errors.Is(err, errHalted) {
 		err = errTooLong
 	}
-	if err != nil && err != io.EOF && err != errHalted {
-		r.failed(err)
+	if err != nil && !isEnd(err) && !errors.Is(err, errHalted) {
+		l.onError(err)
 	}
 	return n, err
 }
--- a/internal/sidecar/front/platform/gone_test.go
+++ b/internal/sidecar/front/platform/gone_test.go
@@ -14,15 +14,15 @@
 	"petrelhook/internal/sidecar/message"
 )
 
-// ends are the ways in which a client goes.
-var ends = map[string]func(net.Conn){
+// clientEnds are the ways in which a client may end its connection.
+var clientEnds = map[string]func(net.Conn){
 	"closes":      func(c net.Conn) { c.Close() },
 	"half-closes": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 	"resets":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 }
 
-// A client that goes while its request is in work is noticed then, whatever it sent after the request: with one byte of a next
-// one net/http looks no further, and would tell with the answer.
+// A client that goes while its request is in progress is noticed at once, whatever it sent after the request. net/http reads no further
+// than one byte of the next request, and would notice only with the response.
 func TestAClientThatHasGoneIsNoticed(t *testing.T) {
 	for sent, text := range map[string]string{
 		"nothing more":       "",
@@ -31,12 +31,12 @@
 		"a hundred of them":  strings.Repeat(look("next"), 100),
 		"a flood of garbage": strings.Repeat("\x00garbage", 100_000),
 	} {
-		for how, end := range ends {
+		for how, end := range clientEnds {
 			t.Run(sent+", "+how, func(t *testing.T) {
-				taken, noticed := make(chan front.Request, 1), make(chan struct{})
+				accepted, noticed := make(chan front.Request, 1), make(chan struct{})
 				r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
 					if req.TraceID == "first" {
-						taken <- req
+						accepted <- req
 						<-ctx.Done()
 						close(noticed)
 					}
@@ -44,7 +44,7 @@
 				})
 				c, _ := peertest.Open(t, r.addr)
 				io.WriteString(c, look("first"))
-				req := peertest.Wait(t, taken)
+				req := peertest.Wait(t, accepted)
 				if req.ClientGone() {
 					t.Error("gone while it waits")
 				}
@@ -52,7 +52,7 @@
 				end(c)
 				peertest.Wait(t, noticed)
 				peertest.Eventually(t, "the loop can see it too", req.ClientGone)
-				peertest.Eventually(t, "nothing is held", func() bool { return r.room.Reserved() == 0 })
+				peertest.Eventually(t, "no memory is reserved", func() bool { return r.memory.Reserved() == 0 })
 			})
 		}
 	}
@@ -60,31 +60,31 @@
 
 // What a client sends ahead of an answer is not lost by being read early: each is answered, in order.
 func TestRequestsAheadAreAnsweredInOrder(t *testing.T) {
-	taken, release := make(chan struct{}), make(chan struct{})
+	accepted, release := make(chan struct{}), make(chan struct{})
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
 		if req.TraceID == "1" {
-			close(taken)
+			close(accepted)
 			<-release
 		}
 		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte(req.TraceID + string(req.Message.Body))}}, nil
 	})
 	c, in := peertest.Open(t, r.addr)
 	io.WriteString(c, look("1"))
-	peertest.Wait(t, taken)
+	peertest.Wait(t, accepted)
 	io.WriteString(c, look("2")+strings.Replace(look("3"), "GET", "G", 1)[:1]) // a request, and a byte of the next
 	body := strings.Repeat("x", 40_000)
 	io.WriteString(c, look("3")[1:]+"POST /once HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 4\r\nX-Qos: once\r\nContent-Length: 40000\r\n\r\n"+body+look("5"))
-	peertest.Eventually(t, "they are read ahead", func() bool { return r.room.Reserved() > 40_000 })
+	peertest.Eventually(t, "they are read ahead", func() bool { return r.memory.Reserved() > 40_000 })
 	close(release)
 	for _, want := range []string{"1", "2", "3", "4" + body, "5"} {
 		if resp, got := peertest.Answer(t, in); resp.StatusCode != 200 || got != want {
 			t.Fatalf("%d, %.20q, want %.20q", resp.StatusCode, got, want)
 		}
 	}
-	peertest.Eventually(t, "nothing is held", func() bool { return r.room.Reserved() == 0 })
+	peertest.Eventually(t, "no memory is reserved", func() bool { return r.memory.Reserved() == 0 })
 }
 
-// An answer that breaks off on its way is not taken for whole: over HTTP/1.0, where it says no length, by the reset alone.
+// An answer that breaks off on its way is not taken for complete: over HTTP/1.0, where it says no length, by the reset alone.
 func TestACutAnswerIsNotWhole(t *testing.T) {
 	for _, version := range []string{"1.0", "1.1"} {
 		for cut, rest := range map[bool]error{true: errors.New("reset"), false: io.EOF} {
@@ -94,15 +94,15 @@
 			c, in := peertest.Open(t, r.addr)
 			io.WriteString(c, strings.Replace(look("t"), "HTTP/1.1", "HTTP/"+version+"\r\nConnection: close", 1))
 			got, err := io.ReadAll(in)
-			whole := err == nil && (version == "1.0" || strings.HasSuffix(string(got), "0\r\n\r\n"))
-			if whole == cut || !whole && version == "1.0" && !errors.Is(err, syscall.ECONNRESET) {
+			complete := err == nil && (version == "1.0" || strings.HasSuffix(string(got), "0\r\n\r\n"))
+			if complete == cut || !complete && version == "1.0" && !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("HTTP/%s, cut %v: %q, %v", version, cut, got, err)
 			}
 		}
 	}
 }
 
-// restOf is the rest of an answer that ends in some way.
+// restOf is the remainder of a response: empty, with an error at its end.
 type restOf struct{ err error }
 
 func (f *restOf) Read([]byte) (int, error) { return 0, f.err }
--- a/internal/sidecar/front/platform/long_test.go
+++ b/internal/sidecar/front/platform/long_test.go
@@ -28,20 +28,26 @@
 	return "POST /once HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: once\r\nX-Expires-In: 9000m\r\n" + framing + "\r\n\r\n"
 }
 
+// verdictOf is the verdict for a request whose body ended with an error, or well.
+func verdictOf(err error) front.Verdict {
+	if err != nil {
+		return front.Failed
+	}
+	return front.Served
+}
+
 // echo serves a request with its own body.
 func echo(_ context.Context, r front.Request) (front.Answer, error) {
 	a := front.Answer{Verdict: front.Served, Reply: message.Reply{Body: r.Message.Body}}
 	if r.Message.Remainder != nil {
 		rest, err := readAll(r.Message.Remainder)
-		if err != nil {
-			return front.Answer{Verdict: front.Failed}, nil
-		}
+		a.Verdict = verdictOf(err)
 		a.Reply.Body = append(a.Reply.Body, rest...)
 	}
 	return a, nil
 }
 
-// reader reads what comes of a body, in pieces that fit.
+// reader makes an io.Reader of an upload.
 type reader struct{ *message.Upload }
 
 func (r reader) Read(p []byte) (int, error) {
@@ -58,7 +64,7 @@
 	return all.Bytes(), err
 }
 
-// WriteTo has io.Copy take pieces as they are.
+// WriteTo has io.Copy write chunks as they come.
 func (r reader) WriteTo(w io.Writer) (n int64, err error) {
 	for err == nil {
 		var piece []byte
@@ -66,13 +72,13 @@
 		n += int64(len(piece))
 		w.Write(piece)
 	}
-	if err == io.EOF {
+	if isEnd(err) {
 		err = nil
 	}
 	return n, err
 }
 
-// Bodies of any length and framing come through whole, in pieces of any size, and the connection is used again.
+// Bodies of any length and framing arrive completely, in chunks of any size, and the connection is used again.
 func TestBodiesOfAnyForm(t *testing.T) {
 	r := newRig(t, echo)
 	for _, size := range []int{0, 1, 1000, message.MaxBuffered, message.MaxBuffered + 1, 300_000, 5_000_000} {
@@ -165,8 +171,8 @@
 	}
 }
 
-// Bodies are counted while their requests are in work, and given back by their answers. One that finds no room waits for it, and
-// is refused in a second; nothing of it went on, and small ones are served meanwhile.
+// The memory of bodies is reserved while their requests are in progress, and released with their responses. A body for which there is none
+// waits, and its request is rejected after a second, before anything of it was sent; small ones are served meanwhile.
 func TestRoomForBodies(t *testing.T) {
 	got, release := make(chan struct{}, 9), make(chan struct{})
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
@@ -182,30 +188,30 @@
 		io.WriteString(c, onceHead(trace, fmt.Sprint("Content-Length: ", size))+strings.Repeat("x", size))
 		return c, in
 	}
-	var held []*bufio.Reader
-	for i := range roomOfTests / (message.MaxBuffered + bodyPiece) {
+	var inProgress []*bufio.Reader
+	for i := range testMemory / (message.MaxBuffered + readSize) {
 		_, in := ask(fmt.Sprint(i))
 		peertest.Wait(t, got)
-		held = append(held, in)
+		inProgress = append(inProgress, in)
 	}
-	if n := r.room.Reserved(); n < int64(len(held))*size || n > roomOfTests {
-		t.Errorf("%d bytes are held for %d bodies", n, len(held))
+	if n := r.memory.Reserved(); n < int64(len(inProgress))*size || n > testMemory {
+		t.Errorf("%d bytes are reserved for %d bodies", n, len(inProgress))
 	}
 	_, refused := ask("refused")
-	if status, _, _ := r.ask(onceHead("small", "Content-Length: 2") + "hi"); status != 200 {
+	if status, _ := r.ask(onceHead("small", "Content-Length: 2") + "hi"); status != 200 {
 		t.Errorf("a small one: %d", status)
 	}
 	if resp, _ := peertest.Answer(t, refused); resp.StatusCode != 503 || !resp.Close {
-		t.Errorf("without room: %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("without memory: %d, close %v", resp.StatusCode, resp.Close)
 	}
 	_, waits := ask("waits")
 	close(release)
-	for _, in := range append(held, waits) {
+	for _, in := range append(inProgress, waits) {
 		if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 {
 			t.Errorf("%d", resp.StatusCode)
 		}
 	}
-	peertest.Eventually(t, "nothing is held", func() bool { return r.room.Reserved() == 0 })
+	peertest.Eventually(t, "no memory is reserved", func() bool { return r.memory.Reserved() == 0 })
 }
 
 // An answer that breaks off after its beginning ends its connection so that the client can tell, whatever its form.
@@ -222,7 +228,7 @@
 			t.Fatal(err)
 		}
 		if body, err := io.ReadAll(resp.Body); err == nil {
-			t.Errorf("size %d: %q looks whole", size, body)
+			t.Errorf("size %d: %q looks complete", size, body)
 		}
 	}
 }
@@ -231,7 +237,7 @@
 
 func (failing) Read([]byte) (int, error) { return 0, errors.New("broken off") }
 
-// An answer that comes before the body is whole is given at once and ends the connection, also while the client still writes.
+// An answer that comes before the body is complete is given at once and ends the connection, also while the client still writes.
 func TestAnEarlyAnswer(t *testing.T) {
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
 		if piece, err := req.Message.Remainder.Next(nil); string(piece) != "half" || err != nil {
@@ -246,7 +252,7 @@
 	}
 }
 
-// A client that breaks its body off ends what is done for it; one whose chunks make no sense is told.
+// The request of a client that breaks its body off is cancelled; one whose chunks are malformed is answered with 400.
 func TestBodiesThatBreakOff(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   string
@@ -260,7 +266,7 @@
 		r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
 			_, err := reader{req.Message.Remainder}.WriteTo(io.Discard)
 			if err == nil {
-				t.Errorf("%s: the body is whole", name)
+				t.Errorf("%s: the body is complete", name)
 			}
 			<-ctx.Done()
 			ended <- ctx.Err()
@@ -282,8 +288,8 @@
 	}
 }
 
-// Pipelined requests are answered in turn, each with its own framing; chunks that came with the request before are refused, for
-// their head was not seen by itself.
+// Pipelined requests are answered in order, each with its own framing. A chunked request that came in the same read as the one before
+// is rejected, for its head was not seen.
 func TestPipelining(t *testing.T) {
 	r := newRig(t, echo)
 	c, in := peertest.Open(t, r.addr)
@@ -298,7 +304,7 @@
 	}
 }
 
-// Whatever a head holds: what is let through means the same to a parser that is strict in the letter.
+// Whatever a head holds: a request that is accepted means the same to a parser that follows the RFC strictly.
 func FuzzFraming(f *testing.F) {
 	for _, lines := range []string{
 		"Content-Length: 2", "Transfer-Encoding: chunked", "Content-Length: 2\r\nTransfer-Encoding: chunked", "Content-Length: 2\r\nContent-Length: 2",
@@ -312,7 +318,7 @@
 		}
 		head := "POST /once HTTP/1.1\r\nHost: a\r\n" + lines + "\r\n\r\n"
 		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(head)))
-		if err != nil || framed([]byte(head), req) != nil {
+		if err != nil || checkFraming([]byte(head), req) != nil {
 			return
 		}
 		length, chunked := strictly(head)
@@ -344,7 +350,7 @@
 	return length, chunked
 }
 
-// deadlines notes the deadlines of reading.
+// deadlines records the read deadlines that are set.
 type deadlines struct {
 	http.ResponseWriter
 	set []time.Time
@@ -356,9 +362,9 @@
 func TestAnEndedBodyLeavesNoDeadline(t *testing.T) {
 	w := &deadlines{}
 	b := newBody(w, &http.Request{Body: io.NopCloser(strings.NewReader("whole"))}, time.Now())
-	b.rest = message.NewUpload(-1)
+	b.upload = message.NewUpload(-1)
 	b.pump(func(error) {})
-	if _, err := readAll(b.rest); err != nil {
+	if _, err := readAll(b.upload); err != nil {
 		t.Fatal(err)
 	}
 	b.halt()
@@ -387,7 +393,7 @@
 			}
 			return a, nil
 		}}
-		server := New(Settings{Room: membudget.New(0), Door: admission.Config{MaxConnections: 9, Horizon: time.Second}, Classes: []front.Class{
+		server := New(Settings{MemoryBudget: membudget.New(0), Admission: admission.Config{MaxConnections: 9, Horizon: time.Second}, Classes: []front.Class{
 			{Name: "look", Effect: front.Safe, Deadline: time.Second}, {Name: "book"}, {Name: "once", Effect: front.Unsafe, Deadline: time.Second},
 		}}, core, life, slog.New(slog.DiscardHandler))
 		ended := make(chan error, 1)
@@ -409,7 +415,7 @@
 			t.Errorf("a slow body: %d %q", resp.StatusCode, body)
 		}
 		c.Close()
-		for pause, whole := range map[time.Duration]bool{stall / 2: true, 2 * stall: false} {
+		for pause, complete := range map[time.Duration]bool{writeTimeout / 2: true, 2 * writeTimeout: false} {
 			c, in := dial()
 			io.WriteString(c, look("t"))
 			time.Sleep(pause)
@@ -417,7 +423,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got, _ := io.Copy(io.Discard, resp.Body); (got == size) != whole {
+			if got, _ := io.Copy(io.Discard, resp.Body); (got == size) != complete {
 				t.Errorf("a pause of %v: %d bytes", pause, got)
 			}
 			c.Close()
--- a/internal/sidecar/front/platform/platform_test.go
+++ b/internal/sidecar/front/platform/platform_test.go
@@ -21,12 +21,12 @@
 
 // fakeCore answers each request with a function.
 type fakeCore struct {
-	taken  atomic.Int32
-	answer func(ctx context.Context, r front.Request) (front.Answer, error)
+	accepted atomic.Int32
+	answer   func(ctx context.Context, r front.Request) (front.Answer, error)
 }
 
 func (c *fakeCore) Answer(ctx context.Context, r front.Request) (front.Answer, error) {
-	c.taken.Add(1)
+	c.accepted.Add(1)
 	return c.answer(ctx, r)
 }
 
@@ -34,19 +34,19 @@
 	return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi")}}, nil
 }
 
-// roomOfTests is some bodies of the longest that are held.
-const roomOfTests = 300_000
+// testMemory is enough for a few of the longest bodies that are kept in memory.
+const testMemory = 300_000
 
 // rig is the front alone.
 type rig struct {
 	t    *testing.T
 	core *fakeCore
 	// lingered ends the time in which the listener stays open after stop.
-	lingered chan time.Time
-	addr     string
-	life     *lifecycle.Machine
-	room     *membudget.Budget
-	ended    chan error
+	lingered  chan time.Time
+	addr      string
+	lifecycle *lifecycle.Machine
+	memory    *membudget.Budget
+	ended     chan error
 }
 
 func newRig(t *testing.T, answer func(context.Context, front.Request) (front.Answer, error)) *rig {
@@ -55,11 +55,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, core: &fakeCore{answer: answer}, lingered: make(chan time.Time, 1), addr: ln.Addr().String(), life: lifecycle.New(), room: membudget.New(roomOfTests), ended: make(chan error, 1)}
+	r := &rig{t: t, core: &fakeCore{answer: answer}, lingered: make(chan time.Time, 1), addr: ln.Addr().String(), lifecycle: lifecycle.New(), memory: membudget.New(testMemory), ended: make(chan error, 1)}
 	long := 10 * time.Second
-	server := New(Settings{Room: r.room, Door: admission.Config{MaxConnections: 100, Horizon: time.Second}, Tenants: []string{"acme"}, Classes: []front.Class{
+	server := New(Settings{MemoryBudget: r.memory, Admission: admission.Config{MaxConnections: 100, Horizon: time.Second}, Tenants: []string{"acme"}, Classes: []front.Class{
 		{Name: "look", Effect: front.Safe, Deadline: long}, {Name: "book", Effect: front.Keyed, Deadline: long}, {Name: "once", Effect: front.Unsafe, Deadline: long},
-	}}, r.core, r.life, slog.New(slog.DiscardHandler))
+	}}, r.core, r.lifecycle, slog.New(slog.DiscardHandler))
 	server.after = func(d time.Duration) <-chan time.Time {
 		if d > long {
 			return nil // the end, whatever is open
@@ -69,25 +69,25 @@
 		}
 		return r.lingered
 	}
-	r.life.Apply(lifecycle.ServersKnown)
+	r.lifecycle.Apply(lifecycle.ServersKnown)
 	go func() { r.ended <- server.Serve(ln) }()
 	t.Cleanup(r.stop)
 	return r
 }
 
-func (r *rig) stop() { r.life.Apply(lifecycle.Terminate) }
+func (r *rig) stop() { r.lifecycle.Apply(lifecycle.Terminate) }
 
-func (r *rig) ask(request string) (status int, body string, closes bool) {
+func (r *rig) ask(request string) (status int, closes bool) {
 	r.t.Helper()
-	resp, body := peertest.Ask(r.t, r.addr, request)
-	return resp.StatusCode, body, resp.Close
+	resp, _ := peertest.Ask(r.t, r.addr, request)
+	return resp.StatusCode, resp.Close
 }
 
 func look(trace string) string {
 	return "GET /look?sid=7f HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: look\r\nX-Customer: acme\r\nX-Expires-In: 9000m\r\n\r\n"
 }
 
-// Bad input is the client's fault and reaches no server.
+// Requests that are not valid reach no server.
 func TestBadRequests(t *testing.T) {
 	r := newRig(t, served)
 	head := " HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: t\r\n"
@@ -134,15 +134,15 @@
 			t.Errorf("%s: %q follows", name, more)
 		}
 	}
-	if n := r.core.taken.Load(); n != 0 {
-		t.Errorf("%d requests went on", n)
+	if n := r.core.accepted.Load(); n != 0 {
+		t.Errorf("%d requests reached the core", n)
 	}
-	if status, _, _ := r.ask(look("t")); status != 200 {
+	if status, _ := r.ask(look("t")); status != 200 {
 		t.Errorf("afterwards: %d", status)
 	}
 }
 
-// A client that is refused is told when to come back; a failure promises nothing.
+// A response that refuses a request says when to retry; one that reports a failure does not.
 func TestFinalAnswers(t *testing.T) {
 	for _, c := range []struct {
 		a      front.Answer
@@ -154,7 +154,7 @@
 		{front.Answer{Verdict: front.Failed}, 502, ""},
 	} {
 		w := httptest.NewRecorder()
-		write(w, c.a)
+		writeAnswer(w, c.a)
 		if w.Code != c.status || w.Header().Get("Retry-After") != c.retry {
 			t.Errorf("%+v: %d, Retry-After %q", c.a, w.Code, w.Header().Get("Retry-After"))
 		}
@@ -162,7 +162,7 @@
 }
 
 // After SIGTERM the listener stays open while connections still come, idle ones are closed meanwhile, and what
-// was taken is answered before the end.
+// was accepted is answered before the end.
 func TestStopping(t *testing.T) {
 	got, release := make(chan struct{}, 2), make(chan struct{})
 	r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
@@ -182,7 +182,7 @@
 	if _, err := idleIn.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection: %v", err)
 	}
-	if status, _, closes := r.ask(look("late")); status != 200 || !closes {
+	if status, closes := r.ask(look("late")); status != 200 || !closes {
 		t.Errorf("on a new connection: %d, close %v", status, closes)
 	}
 	r.lingered <- time.Now()
@@ -200,14 +200,14 @@
 	}
 	close(release)
 	if resp, body := peertest.Answer(t, slowIn); resp.StatusCode != 200 || body != "hi" || !resp.Close {
-		t.Errorf("what was taken before: %d %q, close %v", resp.StatusCode, body, resp.Close)
+		t.Errorf("what was accepted before: %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
 	if err := peertest.Wait(t, r.ended); err != nil {
 		t.Error(err)
 	}
 }
 
-// What the front makes of a request, and what it answers where the core took none or has ended.
+// The fields of a request as the core gets them, and the responses where the core does not accept it or has ended.
 func TestRequestsAsTheCoreSeesThem(t *testing.T) {
 	var got front.Request
 	var give error
@@ -219,7 +219,7 @@
 		"X-Second-Try: 1\r\nX-Size-Hint: 2500\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi"
 	for err, want := range map[error]int{nil: 200, front.ErrInUse: 409, front.ErrInvalid: 400, front.ErrEnded: 502} {
 		give = err
-		if status, _, _ := r.ask(request); status != want {
+		if status, _ := r.ask(request); status != want {
 			t.Errorf("%v: status %d, want %d", err, status, want)
 		}
 	}
--- a/internal/sidecar/handover/frame.go
+++ b/internal/sidecar/handover/frame.go
@@ -11,27 +11,27 @@
 	version = 1
 	magic   = "petrelhook handover"
 	// maxState is more than the largest fleets need.
-	maxState = 64 << 20
-	maxLine  = 128
-	// maxSaid is the longest line of a link: a whole list of the largest fleets.
-	maxSaid = 8 << 20
+	maxState     = 64 << 20
+	maxHelloLine = 128
+	// maxLinkLine is the longest line of a link: a whole list of the largest fleets.
+	maxLinkLine = 8 << 20
 )
 
 // hello is what the next process says first.
 func hello() string { return fmt.Sprintf("%s %d\n", magic, version) }
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // header announces a state.
 func header(state []byte) string {
-	return fmt.Sprintf("%s %d %d %08x\n", magic, version, len(state), crc32.Checksum(state, table))
+	return fmt.Sprintf("%s %d %d %08x\n", magic, version, len(state), crc32.Checksum(state, castagnoli))
 }
 
-// ErrOther is a process of another version: nothing is handed over between them.
-var ErrOther = errors.New("another version")
+// ErrVersion is a process of another version: nothing is handed over between them.
+var ErrVersion = errors.New("another version")
 
-// parse reads a line of either side up to its version, and gives what follows.
-func parse(line string) (rest string, err error) {
+// parseVersion reads a line of either side up to its version, and gives what follows.
+func parseVersion(line string) (rest string, err error) {
 	var v int
 	after, ok := strings.CutPrefix(line, magic+" ")
 	if !ok {
@@ -42,14 +42,14 @@
 		return "", fmt.Errorf("no hand-over: %q", line)
 	}
 	if v != version {
-		return "", fmt.Errorf("%w: %d, ours is %d", ErrOther, v, version)
+		return "", fmt.Errorf("%w: %d, ours is %d", ErrVersion, v, version)
 	}
 	return rest, nil
 }
 
-// announced reads a header.
-func announced(line string) (length int, sum uint32, err error) {
-	rest, err := parse(line)
+// parseHeader reads a header.
+func parseHeader(line string) (length int, sum uint32, err error) {
+	rest, err := parseVersion(line)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -59,9 +59,9 @@
 	return length, sum, nil
 }
 
-// check says whether a state came whole and unchanged.
-func check(state []byte, sum uint32) error {
-	if got := crc32.Checksum(state, table); got != sum {
+// verifyChecksum says whether a state came whole and unchanged.
+func verifyChecksum(state []byte, sum uint32) error {
+	if got := crc32.Checksum(state, castagnoli); got != sum {
 		return fmt.Errorf("the state is damaged: checksum %08x, announced %08x", got, sum)
 	}
 	return nil
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -27,26 +27,26 @@
 
 // inService is a process in service: a listener and its offer.
 type inService struct {
-	*Offer
+	*Server
 	ln     *net.TCPListener
 	met    chan *Link
 	over   chan struct{} // a link has ended
 	failed chan error
 }
 
-func serving(t *testing.T, p Place, ln *net.TCPListener, state string) *inService {
+func serving(t *testing.T, p Rendezvous, ln *net.TCPListener, state string) *inService {
 	t.Helper()
 	s := &inService{ln: ln, met: make(chan *Link, 9), over: make(chan struct{}, 9), failed: make(chan error, 9)}
-	s.Offer = &Offer{
-		Give: func() (*os.File, []byte, error) { f, err := ln.File(); return f, []byte(state), err },
-		Met: func(l *Link) {
+	s.Server = &Server{
+		Snapshot: func() (*os.File, []byte, error) { f, err := ln.File(); return f, []byte(state), err },
+		OnSuccessor: func(l *Link) {
 			s.met <- l
-			l.Listen(func(line string) { l.Say("you said " + line) })
+			l.ReadLines(func(line string) { l.Send("you said " + line) })
 			s.over <- struct{}{}
 		},
-		Failed: func(err error) { s.failed <- err },
+		OnError: func(err error) { s.failed <- err },
 	}
-	if err := s.Open(p); err != nil {
+	if err := s.Start(p); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	for _, dir := range []string{t.TempDir(), long} {
-		p, ln := At(dir, "n0", "127.0.0.1:8080"), listen(t)
+		p, ln := NewRendezvous(dir, "n0", "127.0.0.1:8080"), listen(t)
 		addr := ln.Addr().String()
 		for _, state := range []string{"", "one", strings.Repeat("two", 1_000_000)} {
 			s := serving(t, p, ln, state)
@@ -82,7 +82,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			next, got, link, err := p.Take(patience)
+			next, got, link, err := p.Request(patience)
 			if err != nil || string(got) != state || next.Addr().String() != addr {
 				t.Fatalf("%v, %d bytes of %d", err, len(got), len(state))
 			}
@@ -94,9 +94,9 @@
 			}
 			c.Close()
 			waiting.Close()
-			link.Say("ready")
+			link.Send("ready")
 			heard := make(chan string, 1)
-			go link.Listen(func(line string) { heard <- line })
+			go link.ReadLines(func(line string) { heard <- line })
 			if line := wait(t, heard); line != "you said ready" {
 				t.Errorf("%q", line)
 			}
@@ -110,12 +110,12 @@
 // Nobody is there, nobody ever was, or somebody died and left his socket behind: a start from nothing, and the place can be had.
 func TestNobodyIsInService(t *testing.T) {
 	dir := t.TempDir()
-	p := At(dir, "n/0 ü", "a:1")
-	if p == At(dir, "n/0 ü", "a:2") || p == At(dir, "n_0 ü", "a:1") {
+	p := NewRendezvous(dir, "n/0 ü", "a:1")
+	if p == NewRendezvous(dir, "n/0 ü", "a:2") || p == NewRendezvous(dir, "n_0 ü", "a:1") {
 		t.Error("two sidecars meet")
 	}
 	for range 2 {
-		if _, _, _, err := p.Take(patience); err != ErrNobody {
+		if _, _, _, err := p.Request(patience); err != ErrNoPredecessor {
 			t.Errorf("%v", err)
 		}
 		ln, err := p.listen()
@@ -128,16 +128,16 @@
 		}
 	}
 	s := serving(t, p, listen(t), "x")
-	if _, _, link, err := p.Take(patience); err != nil {
+	if _, _, link, err := p.Request(patience); err != nil {
 		t.Error(err)
 	} else {
 		link.Close()
 	}
 	s.Close()
-	if _, _, _, err := (Place{filepath.Join(dir, "none"), "x"}).Take(patience); err != ErrNobody {
+	if _, _, _, err := (Rendezvous{filepath.Join(dir, "none"), "x"}).Request(patience); err != ErrNoPredecessor {
 		t.Errorf("%v", err)
 	}
-	if err := (&Offer{}).Open(Place{filepath.Join(dir, "none"), "x"}); err == nil {
+	if err := (&Server{}).Start(Rendezvous{filepath.Join(dir, "none"), "x"}); err == nil {
 		t.Error("a place in no folder")
 	}
 }
@@ -167,7 +167,7 @@
 		"a silent state":  {good + "st", 1, true, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := At(t.TempDir(), "n0", "a:1")
+			p := NewRendezvous(t.TempDir(), "n0", "a:1")
 			unix, err := p.listen()
 			if err != nil {
 				t.Fatal(err)
@@ -203,8 +203,8 @@
 			if c.hangs {
 				within = 20 * time.Millisecond
 			}
-			_, _, _, err = p.Take(within)
-			if err == nil || errors.Is(err, ErrNobody) || !strings.Contains(err.Error(), c.want) {
+			_, _, _, err = p.Request(within)
+			if err == nil || errors.Is(err, ErrNoPredecessor) || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v, want %q", err, c.want)
 			}
 		})
@@ -213,7 +213,7 @@
 
 // Who asks in the wrong way, in another version, or dies in the middle is told of, and harms nobody: the next has all of it.
 func TestWhoAsksBadly(t *testing.T) {
-	p := At(t.TempDir(), "n0", "a:1")
+	p := NewRendezvous(t.TempDir(), "n0", "a:1")
 	s := serving(t, p, listen(t), strings.Repeat("state", 1_000_000))
 	for _, says := range []string{"nonsense\n", "petrelhook handover 2\n", strings.Repeat("x", 1000), "petrel", hello()} {
 		conn, err := net.Dial("unix", p.path())
@@ -228,7 +228,7 @@
 		conn.Close()
 		wait(t, s.failed)
 	}
-	_, state, link, err := p.Take(patience)
+	_, state, link, err := p.Request(patience)
 	if err != nil || len(state) != 5_000_000 {
 		t.Fatalf("%v, %d bytes", err, len(state))
 	}
@@ -238,18 +238,18 @@
 
 // The one in service dies: the next hears of it by the end of the link.
 func TestTheEndOfTheOneBefore(t *testing.T) {
-	p := At(t.TempDir(), "n0", "a:1")
+	p := NewRendezvous(t.TempDir(), "n0", "a:1")
 	s := serving(t, p, listen(t), "x")
-	_, _, link, err := p.Take(patience)
+	_, _, link, err := p.Request(patience)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
-	go func() { link.Listen(func(string) {}); close(ended) }()
+	go func() { link.ReadLines(func(string) {}); close(ended) }()
 	wait(t, s.met)
 	s.Close()
 	wait(t, ended)
-	if _, _, _, err := p.Take(patience); err != ErrNobody {
+	if _, _, _, err := p.Request(patience); err != ErrNoPredecessor {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/sidecar/handover/link.go
+++ b/internal/sidecar/handover/link.go
@@ -15,29 +15,29 @@
 
 // Link is the connection of two processes of one sidecar, for as long as both live.
 type Link struct {
-	conn *net.UnixConn
-	in   *bufio.Reader
-	mu   sync.Mutex
+	conn    *net.UnixConn
+	reader  *bufio.Reader
+	writeMu sync.Mutex
 }
 
-// sayTime is how long a line may take to be written: the other side may hang.
-const sayTime = 500 * time.Millisecond
+// writeTimeout is how long a line may take to be written: the other side may hang.
+const writeTimeout = 500 * time.Millisecond
 
-// Say tells the other process a line.
-func (l *Link) Say(line string) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.conn.SetWriteDeadline(time.Now().Add(sayTime))
+// Send tells the other process a line.
+func (l *Link) Send(line string) error {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
+	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := io.WriteString(l.conn, line+"\n")
 	return err
 }
 
-// Listen hands each line of the other process to heard, until that process has ended, or Close.
-func (l *Link) Listen(heard func(line string)) {
+// ReadLines hands each line of the other process to heard, until that process has ended, or Close.
+func (l *Link) ReadLines(heard func(line string)) {
 	var line []byte
 	for {
-		part, err := l.in.ReadSlice('\n')
-		if line = append(line, part...); errors.Is(err, bufio.ErrBufferFull) && len(line) < maxSaid {
+		part, err := l.reader.ReadSlice('\n')
+		if line = append(line, part...); errors.Is(err, bufio.ErrBufferFull) && len(line) < maxLinkLine {
 			continue
 		}
 		if err != nil {
@@ -53,14 +53,14 @@
 // Close ends the link; the other process takes it for the end of this one.
 func (l *Link) Close() error { return l.conn.Close() }
 
-// ErrNobody: there is no process to take anything from.
-var ErrNobody = errors.New("nobody is in service")
+// ErrNoPredecessor: there is no process to take anything from.
+var ErrNoPredecessor = errors.New("nobody is in service")
 
-// Take asks the process in service, if there is one, for its listening socket and its state. Where that fails the sidecar
+// Request asks the process in service, if there is one, for its listening socket and its state. Where that fails the sidecar
 // starts from nothing; what was received is closed.
-func (p Place) Take(within time.Duration) (ln net.Listener, state []byte, link *Link, err error) {
+func (p Rendezvous) Request(within time.Duration) (ln net.Listener, state []byte, link *Link, err error) {
 	var conn *net.UnixConn
-	err = p.addr(p.base, func(a *net.UnixAddr) error {
+	err = p.withAddr(p.fileName, func(a *net.UnixAddr) error {
 		c, err := (&net.Dialer{Timeout: within}).Dial("unix", a.Name)
 		if err == nil {
 			conn = c.(*net.UnixConn)
@@ -69,28 +69,28 @@
 	})
 	switch {
 	case errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED):
-		return nil, nil, nil, ErrNobody
+		return nil, nil, nil, ErrNoPredecessor
 	case err != nil:
 		return nil, nil, nil, err
 	}
 	conn.SetDeadline(time.Now().Add(within))
-	ln, state, in, err := take(conn)
+	ln, state, in, err := receive(conn)
 	if err != nil {
 		conn.Close()
 		return nil, nil, nil, err
 	}
 	conn.SetDeadline(time.Time{})
-	return ln, state, &Link{conn: conn, in: in}, nil
+	return ln, state, &Link{conn: conn, reader: in}, nil
 }
 
-func take(conn *net.UnixConn) (ln net.Listener, state []byte, in *bufio.Reader, err error) {
+func receive(conn *net.UnixConn) (ln net.Listener, state []byte, in *bufio.Reader, err error) {
 	if _, err := io.WriteString(conn, hello()); err != nil {
 		return nil, nil, nil, err
 	}
 	// The socket comes with the first byte of the header.
 	first, rights := make([]byte, 1), make([]byte, syscall.CmsgSpace(4*4))
 	n, rightsN, _, _, err := conn.ReadMsgUnix(first, rights)
-	files, bad := received(rights[:rightsN])
+	files, bad := descriptors(rights[:rightsN])
 	defer func() {
 		for _, f := range files {
 			f.Close() // net.FileListener has a copy
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("the header: %w", err)
 	}
-	length, sum, err := announced(string(first) + string(line))
+	length, sum, err := parseHeader(string(first) + string(line))
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -120,7 +120,7 @@
 	if _, err := io.ReadFull(in, state); err != nil {
 		return nil, nil, nil, fmt.Errorf("the state: %w", err)
 	}
-	if err := check(state, sum); err != nil {
+	if err := verifyChecksum(state, sum); err != nil {
 		return nil, nil, nil, err
 	}
 	if ln, err = net.FileListener(files[0]); err != nil {
@@ -129,8 +129,8 @@
 	return ln, state, in, nil
 }
 
-// received is the descriptors that came with a message.
-func received(rights []byte) (files []*os.File, err error) {
+// descriptors is the descriptors that came with a message.
+func descriptors(rights []byte) (files []*os.File, err error) {
 	if len(rights) == 0 {
 		return nil, nil
 	}
@@ -151,33 +151,33 @@
 	return files, nil
 }
 
-// Offer is the place of a process in service.
-type Offer struct {
+// Server is the place of a process in service.
+type Server struct {
 	// Give is what a next process gets: the listening socket, which is closed afterwards, and the state.
-	Give func() (socket *os.File, state []byte, err error)
+	Snapshot func() (socket *os.File, state []byte, err error)
 	// Met is called with the link to a next process that has been given both. The link is closed when it returns.
-	Met func(*Link)
+	OnSuccessor func(*Link)
 	// Failed is called with what went wrong with one that asked; the next that asks may do better.
-	Failed func(error)
+	OnError func(error)
 
-	ln      *net.UnixListener
-	callers sync.WaitGroup
-	mu      sync.Mutex
-	conns   map[net.Conn]struct{}
-	closed  bool
+	listener    *net.UnixListener
+	connections sync.WaitGroup
+	mu          sync.Mutex
+	open        map[net.Conn]struct{}
+	closed      bool
 }
 
-// askTime is how long one that asks may take.
-const askTime = 2 * time.Second
+// requestTimeout is how long one that asks may take.
+const requestTimeout = 2 * time.Second
 
-// Open takes the place and answers those that ask until Close.
-func (o *Offer) Open(p Place) error {
+// Start takes the place and answers those that ask until Close.
+func (o *Server) Start(p Rendezvous) error {
 	ln, err := p.listen()
 	if err != nil {
 		return err
 	}
-	o.ln, o.conns = ln, map[net.Conn]struct{}{}
-	o.callers.Go(func() {
+	o.listener, o.open = ln, map[net.Conn]struct{}{}
+	o.connections.Go(func() {
 		for {
 			conn, err := ln.AcceptUnix()
 			if err != nil {
@@ -185,19 +185,19 @@
 			}
 			o.mu.Lock()
 			closed := o.closed
-			o.conns[conn] = struct{}{}
+			o.open[conn] = struct{}{}
 			o.mu.Unlock()
 			if closed {
 				conn.Close()
 				return
 			}
-			o.callers.Go(func() {
+			o.connections.Go(func() {
 				if err := o.serve(conn); err != nil {
-					o.Failed(err)
+					o.OnError(err)
 				}
 				conn.Close()
 				o.mu.Lock()
-				delete(o.conns, conn)
+				delete(o.open, conn)
 				o.mu.Unlock()
 			})
 		}
@@ -206,29 +206,29 @@
 }
 
 // Close leaves the place and ends all links.
-func (o *Offer) Close() {
-	o.ln.Close()
+func (o *Server) Close() {
+	o.listener.Close()
 	o.mu.Lock()
 	o.closed = true
-	for c := range o.conns {
+	for c := range o.open {
 		c.Close()
 	}
 	o.mu.Unlock()
-	o.callers.Wait()
+	o.connections.Wait()
 }
 
-func (o *Offer) serve(conn *net.UnixConn) error {
-	conn.SetDeadline(time.Now().Add(askTime))
-	in := bufio.NewReaderSize(conn, maxLine)
+func (o *Server) serve(conn *net.UnixConn) error {
+	conn.SetDeadline(time.Now().Add(requestTimeout))
+	in := bufio.NewReaderSize(conn, maxHelloLine)
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return fmt.Errorf("a next process asks: %w", err)
 	}
-	if _, err := parse(string(line)); err != nil {
+	if _, err := parseVersion(string(line)); err != nil {
 		io.WriteString(conn, header(nil)) // it sees our version
 		return err
 	}
-	socket, state, err := o.Give()
+	socket, state, err := o.Snapshot()
 	if err != nil {
 		return err
 	}
@@ -246,6 +246,6 @@
 		return err
 	}
 	conn.SetDeadline(time.Time{})
-	o.Met(&Link{conn: conn, in: in})
+	o.OnSuccessor(&Link{conn: conn, reader: in})
 	return nil
 }
--- a/internal/sidecar/wiring/drain_test.go
+++ b/internal/sidecar/wiring/drain_test.go
@@ -84,7 +84,7 @@
 		defer asks.Close()
 		defer quiet.Close()
 		time.Sleep(time.Second - time.Since(began))
-		side.life.Apply(lifecycle.Evacuate)
+		side.lifecycle.Apply(lifecycle.Evacuate)
 		out = time.Now()
 		gone := make(chan time.Duration, 1)
 		go func() {
@@ -103,8 +103,8 @@
 			t.Errorf("a connection without a request is closed after %v", after)
 		}
 		time.Sleep(4*time.Second - time.Since(out))
-		if now := side.life.Status().State(); now != lifecycle.Evacuated || side.front.Open() != 0 {
-			t.Errorf("at 4 s: %v, %d open", now, side.front.Open())
+		if now := side.lifecycle.Status().State(); now != lifecycle.Evacuated || side.front.OpenConnections() != 0 {
+			t.Errorf("at 4 s: %v, %d open", now, side.front.OpenConnections())
 		}
 	})
 }
--- a/internal/sidecar/wiring/mutation_test.go
+++ b/internal/sidecar/wiring/mutation_test.go
@@ -15,7 +15,7 @@
 		limiter   = "internal/sidecar/connlimit/limiter.go"
 		request   = "internal/sidecar/core/request.go"
 		attempt   = "internal/sidecar/core/attempt.go"
-		front     = "internal/sidecar/front/platform/platform.go"
+		front     = "internal/sidecar/front/platform/request.go"
 		discovery = "internal/sidecar/member/discovery/discovery.go"
 		cursor    = "internal/sidecar/member/cursor.go"
 	)
@@ -25,7 +25,7 @@
 		"a last answer":            {client, "!canHalfClose || !sock.Unsent(c.Conn)", "!canHalfClose || true", "./internal/sidecar/connlimit", "TestALastAnswerIsTakenWhole"},
 		"a request read ahead":     {client, "c.readAhead.empty() && ", "", "./internal/sidecar/connlimit", "TestARequestReadAheadKeepsItsPlace"},
 		"an answer without length": {limiter, "c.responseOpen.Store(open)", "c.responseOpen.Store(false)", "./internal/sidecar/front/platform", "TestACutAnswerIsNotWhole"},
-		"late in the end":          {front, "in.Wait = end.ClampWait(in.Arrived, in.Wait)", "", "./internal/sidecar/wiring", "TestARequestReadLateInTheEndIsAnswered"},
+		"late in the end":          {front, "request.Wait = window.ClampWait(request.Arrived, request.Wait)", "", "./internal/sidecar/wiring", "TestARequestReadLateInTheEndIsAnswered"},
 		"what has not begun":       {request, "if !at.done && at.call.Claim() {", "if false {", "./internal/sidecar/core", "TestNothingBeginsOnceTheClientHasGone"},
 		"a queue before a hang-up": {request, "ctx.Err() != nil || in.ClientGone", "in.ClientGone", "./internal/sidecar/core", "TestAHangUpBehindALongQueue"},
 		"an end seen by the send":  {attempt, "errors.Is(out.Err, upstream.ErrClientGone) && !r.closed", "false", "./internal/sidecar/core", "TestAnEndThatIsSeenFirstByTheSender"},
--- a/internal/sidecar/wiring/reload.go
+++ b/internal/sidecar/wiring/reload.go
@@ -9,12 +9,12 @@
 )
 
 // Reload reads the configuration again whenever asked to, until ctx ends. What cannot be read changes nothing.
-func (s *Sidecar) Reload(ctx context.Context, path string, asked <-chan os.Signal) {
+func (s *Sidecar) Reload(ctx context.Context, path string, signals <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
+		case <-signals:
 		}
 		c, err := config.Read(path)
 		if err == nil {
@@ -25,6 +25,6 @@
 			continue
 		}
 		s.core.Replace(s.source(c.Discovery))
-		s.file.Store(&counts.File{Digest: c.Digest, Reloads: s.file.Load().Reloads + 1})
+		s.loadedFile.Store(&counts.File{Digest: c.Digest, Reloads: s.loadedFile.Load().Reloads + 1})
 	}
 }
--- a/internal/sidecar/wiring/serve.go
+++ b/internal/sidecar/wiring/serve.go
@@ -15,8 +15,8 @@
 	"petrelhook/internal/sidecar/handover"
 )
 
-// memoryPart of the limit is what the Go runtime keeps to: stacks of C and kernel buffers come on top.
-const memoryPart = 0.7
+// memoryFraction of the limit is what the Go runtime keeps to: stacks of C and kernel buffers come on top.
+const memoryFraction = 0.7
 
 // Serve is a whole process of a sidecar: it listens or takes over, and serves until stop ends and then until all that it took is
 // answered. A signal on reload has the file at path read again.
@@ -24,7 +24,7 @@
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
 	memory := func(shared bool) { // with another process of this sidecar
 		if cfg.Limits.MemoryMB > 0 {
-			most := memoryPart * float64(cfg.Limits.MemoryMB) * (1 << 20)
+			most := memoryFraction * float64(cfg.Limits.MemoryMB) * (1 << 20)
 			if shared {
 				most /= 2
 			}
@@ -32,60 +32,60 @@
 		}
 	}
 	memory(false)
-	s, err := begin(cfg, log)
+	s, err := listen(cfg, log)
 	if err != nil {
 		return err
 	}
-	sidecar, ln := NewFrom(cfg, s.from, dial, log), s.clients
-	sidecar.OnShare = memory
+	sidecar, ln := NewFrom(cfg, s.state, dial, log), s.clients
+	sidecar.OnMemoryShared = memory
 	go sidecar.Reload(stop, path, reload)
 	log.Info("serving", "name", cfg.Name, "listen", ln.Addr().String())
-	if err := sidecar.Run(stop, ln, s.calls, s.succession); err != nil {
+	if err := sidecar.Run(stop, ln, s.operators, s.succession); err != nil {
 		return err
 	}
 	log.Info("stopped")
 	return nil
 }
 
-// start is what a sidecar begins with.
-type start struct {
-	clients, calls net.Listener // calls is nil where there is no address for operators
-	succession     *Succession
-	from           *Inheritance // nil: from nothing
+// startup is what a sidecar begins with.
+type startup struct {
+	clients, operators net.Listener // calls is nil where there is no address for operators
+	succession         *Succession
+	state              *HandoverState // nil: from nothing
 }
 
-// takeTime is how long the process in service may take to hand over.
-const takeTime = time.Second
+// handoverTimeout is how long the process in service may take to hand over.
+const handoverTimeout = time.Second
 
-// begin listens for clients, and for operators where there is an address for them. With operators there are upgrades: then
+// listen listens for clients, and for operators where there is an address for them. With operators there are upgrades: then
 // it takes over from the process in service, or listens beside it.
-func begin(cfg *config.Config, log *slog.Logger) (s start, err error) {
+func listen(cfg *config.Config, log *slog.Logger) (s startup, err error) {
 	if cfg.Admin == "" {
 		if s.clients, err = net.Listen("tcp", cfg.Listen); err != nil {
 			return s, fmt.Errorf("listen: %w", err)
 		}
 		return s, nil
 	}
-	s.calls, err = net.Listen("tcp", cfg.Admin)
+	s.operators, err = net.Listen("tcp", cfg.Admin)
 	taken := sock.Taken(err)
 	if err != nil && !taken {
 		return s, fmt.Errorf("listen at admin_addr: %w", err)
 	}
 	if _, port, _ := net.SplitHostPort(cfg.Listen); port != "0" { // else there is no address to share
-		s.clients, s.from, s.succession, err = Take(handover.At(os.TempDir(), cfg.Name, cfg.Listen), cfg.Listen, takeTime)
+		s.clients, s.state, s.succession, err = RequestHandover(handover.NewRendezvous(os.TempDir(), cfg.Name, cfg.Listen), cfg.Listen, handoverTimeout)
 		if err != nil {
 			log.Warn("nothing is taken over", "err", err)
 		}
 	}
 	if taken { // in an upgrade the process in service may have the same address; operators call that one until it ends
-		if s.from == nil {
+		if s.state == nil {
 			return s, fmt.Errorf("listen at admin_addr: %s is taken, and no process in service hands over", cfg.Admin)
 		}
-		s.calls = sock.ListenLater(cfg.Admin, 50*time.Millisecond)
+		s.operators = sock.ListenLater(cfg.Admin, 50*time.Millisecond)
 	}
 	if s.clients == nil {
 		if s.clients, err = sock.ListenShared(cfg.Listen); err != nil {
-			s.calls.Close()
+			s.operators.Close()
 			return s, fmt.Errorf("listen: %w", err)
 		}
 	}
--- a/internal/sidecar/wiring/service_test.go
+++ b/internal/sidecar/wiring/service_test.go
@@ -84,7 +84,7 @@
 		if resp, body := peertest.Answer(t, slowIn); resp.StatusCode != 200 || body != "hi" || !resp.Close {
 			t.Errorf("what was taken before: %d %q, close %v", resp.StatusCode, body, resp.Close)
 		}
-		peertest.Eventually(t, "away", func() bool { return r.side.life.Status().State().String() == "away" })
+		peertest.Eventually(t, "away", func() bool { return r.side.lifecycle.Status().State().String() == "away" })
 		if status := call(t, calls, "PUT /api/rejoin"); status != 200 {
 			t.Fatalf("rejoin: %d", status)
 		}
@@ -181,12 +181,12 @@
 			c.Close()
 		}
 	}()
-	for i := range r.side.whole.Clients {
+	for i := range r.side.limits.Clients {
 		c, _ := r.open()
 		io.WriteString(c, look(fmt.Sprint(i)))
 		all = append(all, c)
 	}
-	peertest.Eventually(t, "all places are taken", func() bool { return r.side.front.Open() == r.side.whole.Clients })
+	peertest.Eventually(t, "all places are taken", func() bool { return r.side.front.OpenConnections() == r.side.limits.Clients })
 	if resp, _ := r.ask(health); resp.StatusCode != 503 {
 		t.Errorf("a place was left: %d", resp.StatusCode)
 	}
@@ -242,7 +242,7 @@
 	if rest, _ := io.ReadAll(idleIn); len(rest) > 0 { // the client sends it again
 		t.Errorf("%q after the last answer", rest)
 	}
-	if now := r.side.life.Status().State(); now != lifecycle.Evacuating {
+	if now := r.side.lifecycle.Status().State(); now != lifecycle.Evacuating {
 		t.Errorf("%v while an answer is passed on", now)
 	}
 	close(more)
@@ -250,7 +250,7 @@
 		t.Errorf("%d bytes, %v", n, err)
 	}
 	c.Close() // its answer had begun before: it says nothing of the end of its connection
-	peertest.Eventually(t, "away", func() bool { return r.side.life.Status().State() == lifecycle.Evacuated })
+	peertest.Eventually(t, "away", func() bool { return r.side.lifecycle.Status().State() == lifecycle.Evacuated })
 	if n := p.Requests.Load(); n > 3 {
 		t.Errorf("%d requests went on", n)
 	}
--- a/internal/sidecar/wiring/succession.go
+++ b/internal/sidecar/wiring/succession.go
@@ -19,47 +19,47 @@
 
 // Succession is a sidecar's place among its processes: the one before, and the next, which comes to the place.
 type Succession struct {
-	Place handover.Place
-	From  *handover.Link             // to the process before; nil: there is none
-	Out   bool                       // what it said of operators' wishes
-	Room  *lifecycle.ConnectionShare // what the process before leaves for as long as it lives; nil: all
+	Rendezvous          handover.Rendezvous
+	Predecessor         *handover.Link             // to the process before; nil: there is none
+	EvacuationRequested bool                       // what it said of operators' wishes
+	Share               *lifecycle.ConnectionShare // what the process before leaves for as long as it lives; nil: all
 }
 
-// Inheritance is what one process hands to the next.
-type Inheritance struct {
-	Out  bool                      `json:"out"` // operators want no clients here
-	Room lifecycle.ConnectionShare `json:"room"`
-	Core core.Snapshot             `json:"core"`
+// HandoverState is what one process hands to the next.
+type HandoverState struct {
+	EvacuationRequested bool                      `json:"out"` // operators want no clients here
+	Share               lifecycle.ConnectionShare `json:"room"`
+	Core                core.Snapshot             `json:"core"`
 }
 
 // The lines of a link. Each side tells the other what operators asked of it.
 const (
-	lineReady    = "ready" // of the next process: it serves as soon as it is heard
-	lineHeard    = "heard" // the answer to it
-	lineEvacuate = "evacuate"
-	lineRejoin   = "rejoin"
-	lineFollows  = "follows" // of the process before: it would go by the next one's watch of discovery
-	lineWatch    = "watch "  // of the next process, which watches: a relay.Word in JSON; only to one that follows
+	lineReady        = "ready" // of the next process: it serves as soon as it is heard
+	lineAcknowledged = "heard" // the answer to it
+	lineEvacuate     = "evacuate"
+	lineRejoin       = "rejoin"
+	lineFollows      = "follows" // of the process before: it would go by the next one's watch of discovery
+	lineWatch        = "watch "  // of the next process, which watches: a relay.Word in JSON; only to one that follows
 )
 
-// heardTime is how long the next process waits to be heard before it serves all the same: the one before may hang.
-const heardTime = 500 * time.Millisecond
+// acknowledgeTimeout is how long the next process waits to be heard before it serves all the same: the one before may hang.
+const acknowledgeTimeout = 500 * time.Millisecond
 
-// Take asks the process in service for its listening socket and all that it hands over, if there is one. Where that fails
+// RequestHandover asks the process in service for its listening socket and all that it hands over, if there is one. Where that fails
 // the sidecar starts from nothing; why is told by err, which is nil where nobody was there.
-func Take(place handover.Place, listen string, within time.Duration) (ln net.Listener, from *Inheritance, su *Succession, err error) {
-	su = &Succession{Place: place}
-	ln, state, link, err := place.Take(within)
-	if errors.Is(err, handover.ErrNobody) {
+func RequestHandover(place handover.Rendezvous, listen string, within time.Duration) (ln net.Listener, from *HandoverState, su *Succession, err error) {
+	su = &Succession{Rendezvous: place}
+	ln, state, link, err := place.Request(within)
+	if errors.Is(err, handover.ErrNoPredecessor) {
 		return nil, nil, su, nil
 	}
 	if err != nil {
 		return nil, nil, su, err
 	}
-	from = &Inheritance{}
+	from = &HandoverState{}
 	if ln.Addr().String() != listen {
 		err = fmt.Errorf("the socket is that of %s", ln.Addr())
-	} else if err = json.Unmarshal(state, from); err == nil && (from.Room.Clients < 0 || from.Room.Servers < 0) {
+	} else if err = json.Unmarshal(state, from); err == nil && (from.Share.Clients < 0 || from.Share.Servers < 0) {
 		err = errors.New("the room is below 0")
 	}
 	if err != nil {
@@ -67,61 +67,61 @@
 		link.Close()
 		return nil, nil, su, err
 	}
-	su.From, su.Room, su.Out = link, &from.Room, from.Out
+	su.Predecessor, su.Share, su.EvacuationRequested = link, &from.Share, from.EvacuationRequested
 	return ln, from, su, nil
 }
 
-// succeed serves the links to the processes before and after, until ctx ends.
-func (s *Sidecar) succeed(ctx context.Context, su *Succession, ln net.Listener) {
+// serveHandovers serves the links to the processes before and after, until ctx ends.
+func (s *Sidecar) serveHandovers(ctx context.Context, su *Succession, ln net.Listener) {
 	var links sync.WaitGroup
 	defer links.Wait()
-	if su.From != nil {
-		s.share(*su.Room)
+	if su.Predecessor != nil {
+		s.limitToShare(*su.Share)
 		links.Go(func() {
-			defer context.AfterFunc(ctx, func() { su.From.Close() })()
-			s.keep(su.From, false, su.Out)
-			s.unshare()
+			defer context.AfterFunc(ctx, func() { su.Predecessor.Close() })()
+			s.keep(su.Predecessor, false, su.EvacuationRequested)
+			s.restoreLimits()
 		})
 	}
-	offered := sync.OnceFunc(func() { close(s.offered) })
+	offered := sync.OnceFunc(func() { close(s.handoverOffered) })
 	defer offered()
 	file, ok := ln.(interface{ File() (*os.File, error) })
 	if !ok {
 		return
 	}
 	select { // the one before has its place until this one can serve
-	case <-s.listed:
+	case <-s.serverKnown:
 	case <-ctx.Done():
 		return
 	}
 	for { // again where a next process that died has taken the place with it
-		offer := &handover.Offer{
-			Give:   func() (*os.File, []byte, error) { return s.give(file.File) },
-			Met:    func(l *handover.Link) { s.keep(l, true, s.gave.Load()) },
-			Failed: func(err error) { s.log.Warn("nothing is handed over", "err", err) },
+		offer := &handover.Server{
+			Snapshot:    func() (*os.File, []byte, error) { return s.snapshotForSuccessor(file.File) },
+			OnSuccessor: func(l *handover.Link) { s.keep(l, true, s.evacuationHandedOver.Load()) },
+			OnError:     func(err error) { s.log.Warn("nothing is handed over", "err", err) },
 		}
-		if err := offer.Open(su.Place); err != nil {
+		if err := offer.Start(su.Rendezvous); err != nil {
 			s.log.Warn("nobody can take over", "err", err)
 		} else {
 			defer offer.Close()
 		}
 		offered()
 		select {
-		case <-s.deserted:
+		case <-s.successorLost:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// give is what the next process gets. From here on this one holds no more than it does, or half.
-func (s *Sidecar) give(file func() (*os.File, error)) (*os.File, []byte, error) {
-	out := Inheritance{Out: s.life.Status().EvacuationRequested()}
-	s.gave.Store(out.Out)
+// snapshotForSuccessor is what the next process gets. From here on this one holds no more than it does, or half.
+func (s *Sidecar) snapshotForSuccessor(file func() (*os.File, error)) (*os.File, []byte, error) {
+	out := HandoverState{EvacuationRequested: s.lifecycle.Status().EvacuationRequested()}
+	s.evacuationHandedOver.Store(out.EvacuationRequested)
 	var state []byte
 	var err error
-	own, next := s.whole.Divide(lifecycle.ConnectionShare{Clients: s.front.Open(), Servers: s.up.Open()})
-	out.Room = next
+	own, next := s.limits.Divide(lifecycle.ConnectionShare{Clients: s.front.OpenConnections(), Servers: s.upstream.Open()})
+	out.Share = next
 	if !s.core.Snapshot(func(l core.Snapshot) {
 		out.Core = l
 		state, err = json.Marshal(out)
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	s.share(own)
+	s.limitToShare(own)
 	return socket, state, nil
 }
 
@@ -147,15 +147,15 @@
 	var sides sync.WaitGroup
 	sides.Go(func() {
 		for {
-			now, over := s.life.Watch()
+			now, over := s.lifecycle.Watch()
 			mu.Lock()
 			changed := now.EvacuationRequested() != told && now.State() != lifecycle.Stopping
 			told = now.EvacuationRequested()
 			mu.Unlock()
 			if changed && now.EvacuationRequested() {
-				l.Say(lineEvacuate)
+				l.Send(lineEvacuate)
 			} else if changed {
-				l.Say(lineRejoin)
+				l.Send(lineRejoin)
 			}
 			select {
 			case <-ctx.Done():
@@ -165,44 +165,44 @@
 		}
 	})
 	leads := false
-	l.Listen(func(line string) {
+	l.ReadLines(func(line string) {
 		if text, is := strings.CutPrefix(line, lineWatch); is {
 			var w relay.Update
 			if err := json.Unmarshal([]byte(text), &w); next && err == nil {
-				s.lists.Receive(w)
+				s.relay.Receive(w)
 			}
 			return
 		}
 		switch line {
 		case lineReady:
 			if next {
-				s.life.Apply(lifecycle.Succeeded)
-				l.Say(lineHeard)
-				l.Say(lineFollows)
+				s.lifecycle.Apply(lifecycle.Succeeded)
+				l.Send(lineAcknowledged)
+				l.Send(lineFollows)
 			}
-		case lineHeard:
-			s.heardOnce()
+		case lineAcknowledged:
+			s.acknowledge()
 		case lineFollows:
 			if !next && !leads {
 				leads = true
-				sides.Go(func() { s.lists.Publish(ctx, func(w relay.Update) error { return sayWord(l, w) }) })
+				sides.Go(func() { s.relay.Publish(ctx, func(w relay.Update) error { return sayWord(l, w) }) })
 			}
 		case lineEvacuate, lineRejoin:
 			event := map[string]lifecycle.Event{lineEvacuate: lifecycle.Evacuate, lineRejoin: lifecycle.Rejoin}[line]
 			mu.Lock()
 			told = event == lifecycle.Evacuate
 			mu.Unlock()
-			s.life.Apply(event)
+			s.lifecycle.Apply(event)
 		}
 	})
 	end()
 	sides.Wait()
 	if next {
-		s.lists.PeerGone()
-		s.unshare()
-		if now, _ := s.life.Apply(lifecycle.SuccessorLost); now.State() != lifecycle.Stopping {
+		s.relay.PeerGone()
+		s.restoreLimits()
+		if now, _ := s.lifecycle.Apply(lifecycle.SuccessorLost); now.State() != lifecycle.Stopping {
 			select {
-			case s.deserted <- struct{}{}:
+			case s.successorLost <- struct{}{}:
 			default: // the place is about to be taken already
 			}
 		}
@@ -215,37 +215,37 @@
 	if err != nil {
 		return err
 	}
-	return l.Say(lineWatch + string(text))
+	return l.Send(lineWatch + string(text))
 }
 
-// announce says that this process serves, first to the one before, which must not take it for dead when it is told to end, and
+// announceReady says that this process serves, first to the one before, which must not take it for dead when it is told to end, and
 // then to everybody.
-func (s *Sidecar) announce(su *Succession) {
-	if su != nil && su.From != nil && su.From.Say(lineReady) == nil {
+func (s *Sidecar) announceReady(su *Succession) {
+	if su != nil && su.Predecessor != nil && su.Predecessor.Send(lineReady) == nil {
 		select {
-		case <-s.heard:
-		case <-time.After(heardTime):
+		case <-s.acknowledged:
+		case <-time.After(acknowledgeTimeout):
 		}
 	}
 	if su != nil { // who sees that this one serves may start the next
-		<-s.offered
+		<-s.handoverOffered
 	}
-	s.life.Apply(lifecycle.ServersKnown)
+	s.lifecycle.Apply(lifecycle.ServersKnown)
 }
 
-// share bounds what this process holds while there are two; unshare ends that.
-func (s *Sidecar) share(r lifecycle.ConnectionShare) {
-	s.front.SetPlaces(max(1, r.Clients))
-	s.up.SetMaxConnections(max(1, r.Servers))
-	if s.OnShare != nil {
-		s.OnShare(true)
+// limitToShare bounds what this process holds while there are two; unshare ends that.
+func (s *Sidecar) limitToShare(r lifecycle.ConnectionShare) {
+	s.front.SetMaxConnections(max(1, r.Clients))
+	s.upstream.SetMaxConnections(max(1, r.Servers))
+	if s.OnMemoryShared != nil {
+		s.OnMemoryShared(true)
 	}
 }
 
-func (s *Sidecar) unshare() {
-	s.front.SetPlaces(s.whole.Clients)
-	s.up.SetMaxConnections(s.whole.Servers)
-	if s.OnShare != nil {
-		s.OnShare(false)
+func (s *Sidecar) restoreLimits() {
+	s.front.SetMaxConnections(s.limits.Clients)
+	s.upstream.SetMaxConnections(s.limits.Servers)
+	if s.OnMemoryShared != nil {
+		s.OnMemoryShared(false)
 	}
 }
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -31,9 +31,9 @@
 )
 
 const (
-	idlePart    = 0.8 // of the time after which a server closes an idle connection: we close it first
-	defaultIdle = 10000
-	defaultDial = 1000
+	idleFraction            = 0.8 // of the time after which a server closes an idle connection: we close it first
+	defaultIdleTimeoutMS    = 10000
+	defaultConnectTimeoutMS = 1000
 )
 
 // Dial opens a connection to a server or to discovery, as net.Dialer.DialContext does. It is handed in so that a whole
@@ -45,43 +45,43 @@
 
 // Sidecar is one sidecar.
 type Sidecar struct {
-	name  string
-	core  *core.Loop
-	count *counts.Front // nil, as asked is: there are no operators who ask
-	asked *counts.Servers
-	front *platform.Server
-	life  *lifecycle.Machine
-	up    *http1.Pool
-	dial  Dial
-	lists *relay.Hub
-	log   *slog.Logger
-	whole lifecycle.ConnectionShare // what it may hold when there is one process
-	file  atomic.Pointer[counts.File]
-
-	listed    chan struct{} // closed when a server is known
-	offered   chan struct{} // closed when a next process can take over
-	deserted  chan struct{} // a next process has died
-	gave      atomic.Bool   // what the last one was told of operators' wishes
-	heard     chan struct{} // closed when the process before knows that this one serves
-	heardOnce func()
+	name          string
+	core          *core.Loop
+	requestCounts *counts.Front // nil, as asked is: there are no operators who ask
+	serverCounts  *counts.Servers
+	front         *platform.Server
+	lifecycle     *lifecycle.Machine
+	upstream      *http1.Pool
+	dial          Dial
+	relay         *relay.Hub
+	log           *slog.Logger
+	limits        lifecycle.ConnectionShare // what it may hold when there is one process
+	loadedFile    atomic.Pointer[counts.File]
+
+	serverKnown          chan struct{} // closed when a server is known
+	handoverOffered      chan struct{} // closed when a next process can take over
+	successorLost        chan struct{} // a next process has died
+	evacuationHandedOver atomic.Bool   // what the last one was told of operators' wishes
+	acknowledged         chan struct{} // closed when the process before knows that this one serves
+	acknowledge          func()
 
 	// OnShare is told when memory is shared with another process of the sidecar and when that has ended; nil: nobody is.
-	OnShare func(shared bool)
+	OnMemoryShared func(shared bool)
 }
 
 // New puts a sidecar together; Run runs it.
 func New(c *config.Config, dial Dial, log *slog.Logger) *Sidecar { return NewFrom(c, nil, dial, log) }
 
 // NewFrom puts a sidecar together that goes on where another process of it was.
-func NewFrom(c *config.Config, from *Inheritance, dial Dial, log *slog.Logger) *Sidecar {
+func NewFrom(c *config.Config, from *HandoverState, dial Dial, log *slog.Logger) *Sidecar {
 	module, life := &c.Profile.Config, lifecycle.New()
-	s := &Sidecar{name: c.Name, life: life, dial: dial, lists: relay.New(), log: log, listed: make(chan struct{}), heard: make(chan struct{}),
-		offered: make(chan struct{}), deserted: make(chan struct{}, 1)}
-	s.file.Store(&counts.File{Digest: c.Digest})
-	s.heardOnce = sync.OnceFunc(func() { close(s.heard) })
+	s := &Sidecar{name: c.Name, lifecycle: life, dial: dial, relay: relay.New(), log: log, serverKnown: make(chan struct{}), acknowledged: make(chan struct{}),
+		handoverOffered: make(chan struct{}), successorLost: make(chan struct{}, 1)}
+	s.loadedFile.Store(&counts.File{Digest: c.Digest})
+	s.acknowledge = sync.OnceFunc(func() { close(s.acknowledged) })
 	var legacy *core.Snapshot
 	if from != nil {
-		if legacy = &from.Core; from.Out {
+		if legacy = &from.Core; from.EvacuationRequested {
 			life.Apply(lifecycle.Evacuate)
 		}
 	}
@@ -93,9 +93,9 @@
 		serversDial = asked.Dial(dial)
 	}
 	up := http1.New(http1.Settings{
-		MaxConnections: c.Limits.Servers(), ConnectTimeout: duration(or(module.ConnectTimeout, defaultDial)),
-		IdleTimeout: duration(idlePart * or(c.Profile.ConnIdle, defaultIdle)), DrainGrace: duration(module.DrainGrace), ResponseBudget: account,
-		LoadReportFields: c.Profile.Fields, HealthCheckPath: probePath(module),
+		MaxConnections: c.Limits.Servers(), ConnectTimeout: milliseconds(orDefault(module.ConnectTimeout, defaultConnectTimeoutMS)),
+		IdleTimeout: milliseconds(idleFraction * orDefault(c.Profile.ConnIdle, defaultIdleTimeoutMS)), DrainGrace: milliseconds(module.DrainGrace), ResponseBudget: account,
+		LoadReportFields: c.Profile.Fields, HealthCheckPath: healthCheckPath(module),
 	}, http1.Dial(serversDial))
 	var servers upstream.Servers = up
 	if asked != nil {
@@ -104,39 +104,39 @@
 	}
 	loop := core.New(core.Config{
 		Module: *module, Names: core.Names{Classes: c.Profile.Classes, Zones: c.Profile.Zones, Kinds: c.Profile.Kinds}, Known: c.Known,
-		Previous: legacy, OnServerAvailable: func() { close(s.listed) },
+		Previous: legacy, OnServerAvailable: func() { close(s.serverKnown) },
 	}, s.source(c.Discovery), servers, log)
-	settings := platform.Settings{Tenants: c.Profile.Tenants, Room: account, Door: admission.Config{MaxConnections: c.Limits.Clients()}}
+	settings := platform.Settings{Tenants: c.Profile.Tenants, MemoryBudget: account, Admission: admission.Config{MaxConnections: c.Limits.Clients()}}
 	if c.Admin != "" && c.Limits.Sockets > 0 { // operators' calls are counted too
-		settings.Door.MaxConnections = max(1, settings.Door.MaxConnections-admin.MaxCalls)
+		settings.Admission.MaxConnections = max(1, settings.Admission.MaxConnections-admin.MaxCalls)
 	}
 	for i, class := range module.Classes {
-		settings.Door.Horizon = max(settings.Door.Horizon, duration(class.Deadline))
+		settings.Admission.Horizon = max(settings.Admission.Horizon, milliseconds(class.Deadline))
 		settings.Classes = append(settings.Classes, front.Class{
-			Name: c.Profile.Classes[i], Effect: effects[class.Effect], Deadline: duration(class.Deadline),
+			Name: c.Profile.Classes[i], Effect: frontEffects[class.Effect], Deadline: milliseconds(class.Deadline),
 		})
 	}
 	var taker front.Core = loop
 	if c.Admin != "" {
-		s.count = counts.New(loop, settings.Classes)
-		taker = s.count
+		s.requestCounts = counts.New(loop, settings.Classes)
+		taker = s.requestCounts
 	}
-	s.core, s.up, s.asked, s.front = loop, up, asked, platform.New(settings, taker, life, log)
-	s.whole = lifecycle.ConnectionShare{Clients: settings.Door.MaxConnections, Servers: c.Limits.Servers()}
+	s.core, s.upstream, s.serverCounts, s.front = loop, up, asked, platform.New(settings, taker, life, log)
+	s.limits = lifecycle.ConnectionShare{Clients: settings.Admission.MaxConnections, Servers: c.Limits.Servers()}
 	return s
 }
 
 // source is the discovery at an address, whose watch two processes of the sidecar share.
 func (s *Sidecar) source(addr string) member.Source {
 	d := discovery.New(addr, discovery.Dial(s.dial))
-	d.OnWatchOpened = func() { s.lists.WatchOpened(addr) }
-	return s.lists.Wrap(d)
+	d.OnWatchOpened = func() { s.relay.WatchOpened(addr) }
+	return s.relay.Wrap(d)
 }
 
-var effects = [...]front.Effect{balance.Safe: front.Safe, balance.Keyed: front.Keyed, balance.Unsafe: front.Unsafe}
+var frontEffects = [...]front.Effect{balance.Safe: front.Safe, balance.Keyed: front.Keyed, balance.Unsafe: front.Unsafe}
 
-// probePath is the cheapest question that is answered with the load report, where there are any.
-func probePath(c *balance.Config) string {
+// healthCheckPath is the cheapest question that is answered with the load report, where there are any.
+func healthCheckPath(c *balance.Config) string {
 	if c.Reports != balance.ReportNone {
 		return "/_load"
 	}
@@ -147,25 +147,25 @@
 // that was taken is answered and the core has ended. Where su is not nil it gives way to a next process.
 func (s *Sidecar) Run(stop context.Context, ln, calls net.Listener, su *Succession) error {
 	terminated := context.AfterFunc(stop, func() {
-		if su != nil && s.life.Status().After(lifecycle.Terminate).YieldsListener() {
+		if su != nil && s.lifecycle.Status().After(lifecycle.Terminate).YieldsListener() {
 			if err := sock.Yield(ln); err != nil {
 				s.log.Warn("new connections may still come to this process", "err", err)
 			}
 		}
-		s.life.Apply(lifecycle.Terminate)
+		s.lifecycle.Apply(lifecycle.Terminate)
 	})
 	defer terminated()
 	var sides sync.WaitGroup
 	defer sides.Wait()
 	if calls != nil {
 		sides.Go(func() {
-			endpoint := admin.New(s.life)
-			if s.count != nil {
+			endpoint := admin.New(s.lifecycle)
+			if s.requestCounts != nil {
 				endpoint.Counts = func() any {
 					return struct {
 						counts.Report
 						File *counts.File `json:"file"`
-					}{counts.Report{Classes: s.count.Snapshot(), ServerUse: s.asked.Snapshot()}, s.file.Load()}
+					}{counts.Report{Classes: s.requestCounts.Snapshot(), ServerUse: s.serverCounts.Snapshot()}, s.loadedFile.Load()}
 				}
 			}
 			if err := endpoint.Serve(calls); err != nil {
@@ -176,9 +176,9 @@
 	}
 	told, untold := context.WithCancel(context.Background())
 	defer untold()
-	sides.Go(func() { s.tellStates(told) })
+	sides.Go(func() { s.logStates(told) })
 	if su != nil {
-		sides.Go(func() { s.succeed(told, su, ln) })
+		sides.Go(func() { s.serveHandovers(told, su, ln) })
 	}
 	sides.Go(func() {
 		var late <-chan time.Time // a next process takes nothing over before it can serve
@@ -186,13 +186,13 @@
 			late = time.After(lifecycle.MaxStartWait)
 		}
 		select {
-		case <-s.listed:
+		case <-s.serverKnown:
 		case <-late:
 			s.log.Warn("ready without a server", "waited", lifecycle.MaxStartWait)
 		case <-told.Done():
 			return
 		}
-		s.announce(su)
+		s.announceReady(su)
 	})
 	alive, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -206,10 +206,10 @@
 	return err
 }
 
-// tellStates logs each change of the lifecycle, until ctx ends.
-func (s *Sidecar) tellStates(ctx context.Context) {
+// logStates logs each change of the lifecycle, until ctx ends.
+func (s *Sidecar) logStates(ctx context.Context) {
 	for last := lifecycle.Starting; ; {
-		now, over := s.life.Watch()
+		now, over := s.lifecycle.Watch()
 		if now.State() != last {
 			last = now.State()
 			s.log.Info("state", "now", last.String())
@@ -222,9 +222,9 @@
 	}
 }
 
-func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func or(v, otherwise float64) float64 {
+func orDefault(v, otherwise float64) float64 {
 	if v > 0 {
 		return v
 	}
