--- a/balance/balance.go
+++ b/balance/balance.go
@@ -49,7 +49,7 @@
 	}
 	if r.live == 0 && !b.held(r) {
 		if s := b.pick(r, len(r.tries) > 0); s != nil {
-			if b.send(r, s); r.Open {
+			if b.send(r, s); r.BodyOpen {
 				return
 			}
 		} else if !b.sendable(r) {
@@ -72,7 +72,7 @@
 			return true
 		}
 	}
-	return b.now >= r.arrived+r.class.Aim && b.refusable(r) && r.class.LateWorth <= b.steady
+	return b.now >= r.arrived+r.class.LatencyTarget && b.refusable(r) && r.class.LateValue <= b.steady
 }
 
 // sendable: there is a server to wait for. Without one only news of the list could help: who is refused
@@ -89,7 +89,7 @@
 // answer ends a request unserved: refused where that is harmless, else failed.
 func (b *Balancer) answer(r *request) {
 	if b.refusable(r) {
-		b.emit(Action{Kind: Refuse, Request: r.ID, At: b.holdOff(r)})
+		b.emit(Action{Kind: Reject, Request: r.ID, After: b.holdOff(r)})
 	} else {
 		b.emit(Action{Kind: Fail, Request: r.ID})
 	}
@@ -102,7 +102,7 @@
 	if !b.cfg.RetryAfter {
 		return 0
 	}
-	at := r.class.Aim * bound(b.over, leastHold, mostHold)
+	at := r.class.LatencyTarget * bound(b.over, leastHold, mostHold)
 	if b.cfg.MaxRetryAfter > 0 {
 		at = math.Min(at, b.cfg.MaxRetryAfter)
 	}
@@ -130,7 +130,7 @@
 	if r.holdUntil > b.now {
 		next = math.Min(next, r.holdUntil)
 	} else if r.live == 0 {
-		next = math.Min(next, b.now+math.Max(b.cfg.Quantum, r.class.Aim/20))
+		next = math.Min(next, b.now+math.Max(b.cfg.BatchInterval, r.class.LatencyTarget/20))
 	}
 	for i := range r.tries {
 		if a := &r.tries[i]; a.live && !a.overdue {
@@ -139,6 +139,6 @@
 	}
 	if next < r.wakeAt {
 		r.wakeAt = next
-		b.emit(Action{Kind: SetTimer, Request: r.ID, Token: uint64(r.ID), At: math.Max(0, next-b.now)})
+		b.emit(Action{Kind: SetTimer, Request: r.ID, Token: uint64(r.ID), After: math.Max(0, next-b.now)})
 	}
 }
--- a/balance/config.go
+++ b/balance/config.go
@@ -10,14 +10,14 @@
 	c.Classes = append([]Class(nil), c.Classes...)
 	for i := range c.Classes {
 		k := &c.Classes[i]
-		clean(&k.Aim, &k.AimStretch, &k.Deadline, &k.Worth, &k.LateWorth)
+		clean(&k.LatencyTarget, &k.LatencyTargetStretch, &k.Deadline, &k.Value, &k.LateValue)
 		switch {
-		case k.Deadline == 0 && k.Aim == 0:
-			k.Deadline, k.Aim = 1000, 1000
+		case k.Deadline == 0 && k.LatencyTarget == 0:
+			k.Deadline, k.LatencyTarget = 1000, 1000
 		case k.Deadline == 0:
-			k.Deadline = k.Aim
-		case k.Aim == 0:
-			k.Aim = k.Deadline
+			k.Deadline = k.LatencyTarget
+		case k.LatencyTarget == 0:
+			k.LatencyTarget = k.Deadline
 		}
 		if !(k.Window >= 0) {
 			k.Window = math.Inf(1)
@@ -27,18 +27,19 @@
 	for i := range c.Tenants {
 		clean(&c.Tenants[i].Allowance, &c.Tenants[i].Share)
 	}
-	clean(&c.OverShareWorth, &c.Quantum, &c.MaxRetryAfter, &c.ConnectTimeout, &c.DrainGrace, &c.ColdTime,
-		&c.FallMultiple, &c.FallTime, &c.AskWithin, &c.AnswerSlack)
-	clean(&c.Goal.Whole, &c.Goal.WorstWindow, &c.Goal.WorstClass, &c.Goal.WorstTenant)
-	clean(&c.Prices.CrossZone, &c.Prices.Waste, &c.Prices.Handshake, &c.Prices.Probe, &c.Prices.Peer,
-		&c.Prices.LateFail)
-	if !(c.ColdFrom >= 0 && c.ColdFrom <= 1) {
-		c.ColdFrom = 1
+	clean(&c.OverShareValue, &c.BatchInterval, &c.MaxRetryAfter, &c.ConnectTimeout, &c.DrainGrace,
+		&c.SlowStartTime, &c.OverloadMultiple, &c.OverloadTime, &c.MaxPollInterval, &c.AnswerSlack)
+	clean(&c.Goal.Overall, &c.Goal.WorstWindow, &c.Goal.WorstClass, &c.Goal.WorstTenant)
+	clean(&c.Penalties.CrossZone, &c.Penalties.Waste, &c.Penalties.Handshake, &c.Penalties.Probe,
+		&c.Penalties.PeerMessage, &c.Penalties.LateFailure)
+	if !(c.SlowStartFraction >= 0 && c.SlowStartFraction <= 1) {
+		c.SlowStartFraction = 1
 	}
 	if c.Goal == (Goal{}) {
-		c.Goal.Whole = 1
+		c.Goal.Overall = 1
 	}
-	c.Peers, c.MaxAttempts, c.Number = max(c.Peers, 1), max(c.MaxAttempts, 1), max(c.Number, 0)
+	c.SidecarCount, c.SidecarNumber = max(c.SidecarCount, 1), max(c.SidecarNumber, 0)
+	c.MaxAttempts = max(c.MaxAttempts, 1)
 	return c
 }
 
--- a/balance/conversation_test.go
+++ b/balance/conversation_test.go
@@ -40,10 +40,10 @@
 	effectWords = map[string]Effect{"safe": Safe, "keyed": Keyed, "unsafe": Unsafe}
 	groupWords  = map[string]Group{"all": GroupAll, "zone": GroupZone, "cell": GroupCell}
 	resultWords = map[string]Result{
-		"served": OK, "error": Failed, "full": Full, "timed-out": TimedOut, "no-connection": ConnectFailed,
-		"reset": Reset, "cancelled": Cancelled, "moot": Moot,
+		"served": OK, "error": Failed, "full": Rejected, "timed-out": TimedOut, "no-connection": ConnectFailed,
+		"reset": Reset, "cancelled": Cancelled, "moot": NotSent,
 	}
-	stateWords = map[string]State{"up": Ready, "draining": Draining, "gone": Gone}
+	stateWords = map[string]ServerState{"up": Ready, "draining": Draining, "gone": Removed}
 )
 
 // conversation is one module and what is going on around it. Times are told from its beginning.
@@ -135,7 +135,7 @@
 			if len(plain) == 0 {
 				continue
 			}
-			s := Server{ID: c.id(plain[0]), Rating: setNumber(set, "size", 1), Cell: int(setNumber(set, "cell", 0))}
+			s := Server{ID: c.id(plain[0]), Capacity: setNumber(set, "size", 1), Cell: int(setNumber(set, "cell", 0))}
 			if len(plain) > 1 {
 				s.State = stateWords[plain[1]]
 			}
@@ -150,7 +150,7 @@
 		ev := Request{ID: RequestID(value(d, arg(0))), Class: class, Tenant: -1, Remaining: number(d, "left", c.b.cfg.Classes[class].Deadline)}
 		ev.Key = uint64(number(d, "key", 0))
 		for _, a := range d.CmdArgs {
-			ev.Repeat = ev.Repeat || a.Key == "again"
+			ev.ClientRetry = ev.ClientRetry || a.Key == "again"
 		}
 		c.tell(ev, &out)
 	case "end":
@@ -158,7 +158,7 @@
 		c.end(RequestID(value(d, request)), int(value(d, attempt)), resultWords[arg(1)], &out)
 	case "hangup":
 		c.over[RequestID(value(d, arg(0)))] = true
-		c.tell(HangUp{RequestID(value(d, arg(0)))}, &out)
+		c.tell(ClientGone{RequestID(value(d, arg(0)))}, &out)
 	case "wait":
 		c.wait(value(d, arg(0)), &out)
 	case "busy":
@@ -166,7 +166,7 @@
 	case "probed":
 		ev := ProbeResult{Server: c.id(arg(0)), Result: resultWords[arg(1)]}
 		if holds := number(d, "holds", -1); holds >= 0 {
-			ev.Report = []float32{float32(holds)}
+			ev.LoadReport = []float32{float32(holds)}
 		}
 		c.tell(ev, &out)
 	case "show":
@@ -181,25 +181,25 @@
 }
 
 func (c *conversation) begin(d *datadriven.TestData, out *strings.Builder) {
-	cfg := Config{Seed: 1, Peers: int(number(d, "peers", 1)), MaxAttempts: int(number(d, "attempts", 4)), Cancel: true, DrainGrace: 250, Subscribe: true}
+	cfg := Config{Seed: 1, SidecarCount: int(number(d, "peers", 1)), MaxAttempts: int(number(d, "attempts", 4)), Cancel: true, DrainGrace: 250, Subscribe: true}
 	for _, a := range d.CmdArgs {
 		switch a.Key {
 		case "cold":
-			cfg.ColdFrom, cfg.ColdTime = value(d, a.Vals[0]), value(d, a.Vals[1])
+			cfg.SlowStartFraction, cfg.SlowStartTime = value(d, a.Vals[0]), value(d, a.Vals[1])
 		case "fall":
-			cfg.FallMultiple, cfg.FallTime = value(d, a.Vals[0]), value(d, a.Vals[1])
+			cfg.OverloadMultiple, cfg.OverloadTime = value(d, a.Vals[0]), value(d, a.Vals[1])
 		case "retry-after":
 			cfg.RetryAfter, cfg.MaxRetryAfter = true, value(d, a.Vals[0])
 		case "cancel":
 			cfg.Cancel = a.Vals[0] != "no"
 		case "warm-keys":
-			cfg.WarmKeys = true
+			cfg.KeyAffinity = true
 		case "waste":
-			cfg.Prices.Waste = value(d, a.Vals[0])
+			cfg.Penalties.Waste = value(d, a.Vals[0])
 		case "number":
-			cfg.Number = int(value(d, a.Vals[0]))
+			cfg.SidecarNumber = int(value(d, a.Vals[0]))
 		case "probes":
-			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []Field{FieldInFlight}
+			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []ReportField{FieldInFlight}
 		}
 	}
 	c.classes = nil
@@ -208,8 +208,8 @@
 		c.classes = append(c.classes, plain[0])
 		cfg.Classes = append(cfg.Classes, Class{
 			Effect: effectWords[plain[1]], Group: groupWords[set["group"]], Window: setNumber(set, "window", math.Inf(1)),
-			Aim: setNumber(set, "aim", 0), Deadline: setNumber(set, "deadline", 0), Worth: setNumber(set, "worth", 1),
-			LateWorth: setNumber(set, "late", 0),
+			LatencyTarget: setNumber(set, "aim", 0), Deadline: setNumber(set, "deadline", 0), Value: setNumber(set, "worth", 1),
+			LateValue: setNumber(set, "late", 0),
 		})
 	}
 	c.b, c.now, c.next = New(cfg), conversationStart, 1000
@@ -244,10 +244,10 @@
 			c.sent[a.Request] = append(c.sent[a.Request], a.Server)
 			c.began[fmt.Sprint(a.Request, ".", n)] = c.now
 			fmt.Fprintf(out, "send %d.%d to %s\n", a.Request, n, c.name(a.Server))
-		case Refuse:
+		case Reject:
 			c.over[a.Request] = true
-			if a.At > 0 {
-				fmt.Fprintf(out, "refuse %d, back in %.0f ms\n", a.Request, a.At)
+			if a.After > 0 {
+				fmt.Fprintf(out, "refuse %d, back in %.0f ms\n", a.Request, a.After)
 			} else {
 				fmt.Fprintf(out, "refuse %d\n", a.Request)
 			}
@@ -257,13 +257,13 @@
 		case Cancel:
 			fmt.Fprintf(out, "cancel %d.%d\n", a.Request, a.Attempt)
 		case SetTimer:
-			c.timers = append(c.timers, timer{c.now + a.At, a.Token})
+			c.timers = append(c.timers, timer{c.now + a.After, a.Token})
 			if a.Token == listTimer {
-				fmt.Fprintf(out, "ask again in %.0f ms\n", a.At)
+				fmt.Fprintf(out, "ask again in %.0f ms\n", a.After)
 			}
 		case Probe:
 			fmt.Fprintf(out, "probe %s\n", c.name(a.Server))
-		case Watch:
+		case WatchList:
 			fmt.Fprintln(out, "watch the list")
 		default:
 			fmt.Fprintf(out, "%+v\n", a)
@@ -279,7 +279,7 @@
 	c.over[request] = c.over[request] || result == OK
 	c.tell(Outcome{
 		Request: request, Attempt: attempt, Server: c.sent[request][attempt], Result: result,
-		Took: c.now - c.began[fmt.Sprint(request, ".", attempt)], Finished: c.over[request],
+		Latency: c.now - c.began[fmt.Sprint(request, ".", attempt)], Finished: c.over[request],
 	}, out)
 }
 
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -10,7 +10,7 @@
 func Example() {
 	b := balance.New(balance.Config{
 		Seed: 1, MaxAttempts: 2,
-		Classes: []balance.Class{{Effect: balance.Safe, Aim: 100, Deadline: 400, Worth: 1}},
+		Classes: []balance.Class{{Effect: balance.Safe, LatencyTarget: 100, Deadline: 400, Value: 1}},
 	})
 	b.Start(0)
 	show := func(now float64, ev balance.Event) {
@@ -23,16 +23,16 @@
 			case balance.Send:
 				fmt.Printf("%v ms: send request %d to server %d\n", now, a.Request, a.Server)
 			case balance.SetTimer:
-				fmt.Printf("%v ms: timer %d in %v ms\n", now, a.Token, a.At)
-			case balance.Refuse:
+				fmt.Printf("%v ms: timer %d in %v ms\n", now, a.Token, a.After)
+			case balance.Reject:
 				fmt.Printf("%v ms: refuse request %d\n", now, a.Request)
 			}
 		}
 	}
-	show(0, balance.ServerList{Kind: balance.ListFull, Servers: []balance.Server{{ID: 10, Rating: 1}, {ID: 20, Rating: 1}}})
+	show(0, balance.ServerList{Kind: balance.ListFull, Servers: []balance.Server{{ID: 10, Capacity: 1}, {ID: 20, Capacity: 1}}})
 	show(5, balance.Request{ID: 1, Remaining: 400})
-	show(6, balance.Outcome{Request: 1, Server: 20, Result: balance.Full, Took: 1})
-	show(9, balance.Outcome{Request: 1, Attempt: 1, Server: 10, Result: balance.OK, Took: 3, Finished: true})
+	show(6, balance.Outcome{Request: 1, Server: 20, Result: balance.Rejected, Latency: 1})
+	show(9, balance.Outcome{Request: 1, Attempt: 1, Server: 10, Result: balance.OK, Latency: 3, Finished: true})
 	// Output:
 	// 5 ms: send request 1 to server 20
 	// 5 ms: timer 1 in 50 ms
--- a/balance/health.go
+++ b/balance/health.go
@@ -26,7 +26,7 @@
 // overdueAfter goes by what the class's answers take now: in a crowd all are late, by no server's fault.
 func (b *Balancer) overdueAfter(r *request) float64 {
 	if r.stats.n < 5 {
-		return r.class.Aim / 2
+		return r.class.LatencyTarget / 2
 	}
 	return r.stats.mean + lateDevs*r.stats.dev
 }
@@ -59,7 +59,7 @@
 	r.ended(a, ev.Result)
 	r.lost = b.cost(r, ev)
 	r.spent += r.lost
-	r.bodyGone = r.bodyGone || ev.Spent
+	r.bodyGone = r.bodyGone || ev.BodyConsumed
 	b.judge(r, a, ev)
 	if r.done || ev.Finished || r.stream {
 		b.close(r)
@@ -71,12 +71,12 @@
 // next to nothing, and to make it again does no harm. A full queue, or a wait in vain, counts whole.
 func (b *Balancer) cost(r *request, ev Outcome) float64 {
 	switch {
-	case ev.Result == Full || ev.Result == TimedOut || r.stats.n == 0:
+	case ev.Result == Rejected || ev.Result == TimedOut || r.stats.n == 0:
 		return 1
 	case ev.Result == Failed: // an error may be the request's own: it must not go round all servers
 		return 1
 	}
-	return bound(ev.Took/math.Max(r.stats.mean, 1e-3), 0, 1)
+	return bound(ev.Latency/math.Max(r.stats.mean, 1e-3), 0, 1)
 }
 
 // judge draws from an outcome what it says of the server and of the load.
@@ -91,20 +91,20 @@
 		s.resetHealth()
 		s.answered = b.now
 		b.answers.rate(b, 1, 0)
-		b.time(ev.Took / r.class.Aim)
-		if b.now <= r.arrived+r.class.Aim {
+		b.time(ev.Latency / r.class.LatencyTarget)
+		if b.now <= r.arrived+r.class.LatencyTarget {
 			r.stats.served++
 			r.tenant.served++
 		}
 		if r.stats.n > 0 {
-			b.learn(s, ev.Took/r.stats.mean)
+			b.learn(s, ev.Latency/r.stats.mean)
 		}
-		r.stats.add(ev.Took)
-	case Cancelled, Moot:
+		r.stats.add(ev.Latency)
+	case Cancelled, NotSent:
 	default:
 		if ev.Result == TimedOut { // else the slowest answers of all would never be seen
-			b.time(ev.Took / r.class.Aim)
-			b.overran(r, a, ev.Took)
+			b.time(ev.Latency / r.class.LatencyTarget)
+			b.overran(r, a, ev.Latency)
 		}
 		s.down = s.down || ev.Result == Reset // a full connection table refuses too, but loses no connection
 		if away := ev.Result == ConnectFailed; away || !a.overdue {
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -13,15 +13,15 @@
 
 func baseConfig() Config {
 	return Config{
-		Seed: 1, Peers: 3, MaxAttempts: 4, Parallel: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000,
-		Quantum: 4, AnswerSlack: 16, ColdFrom: 0.2, ColdTime: 20000, FallMultiple: 2.5, FallTime: 1000,
-		AskWithin: 10000, DrainGrace: 2000,
+		Seed: 1, SidecarCount: 3, MaxAttempts: 4, Parallel: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000,
+		BatchInterval: 4, AnswerSlack: 16, SlowStartFraction: 0.2, SlowStartTime: 20000, OverloadMultiple: 2.5, OverloadTime: 1000,
+		MaxPollInterval: 10000, DrainGrace: 2000,
 		Classes: []Class{
-			{Effect: Safe, Aim: 300, Deadline: 1500, Worth: 1},
-			{Effect: Unsafe, Aim: 300, Deadline: 600, Worth: 5},
-			{Effect: Keyed, Group: GroupCell, Window: 1200, Aim: 400, Deadline: 2000, Worth: 3},
-			{Effect: Keyed, Group: GroupAll, Window: 1200, Aim: 400, Deadline: 2000, Worth: 3},
-			{Effect: Keyed, Group: GroupZone, Window: 1200, Aim: 400, Deadline: 2000, Worth: 3},
+			{Effect: Safe, LatencyTarget: 300, Deadline: 1500, Value: 1},
+			{Effect: Unsafe, LatencyTarget: 300, Deadline: 600, Value: 5},
+			{Effect: Keyed, Group: GroupCell, Window: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
+			{Effect: Keyed, Group: GroupAll, Window: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
+			{Effect: Keyed, Group: GroupZone, Window: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
 		},
 	}
 }
@@ -48,7 +48,7 @@
 func fleet(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
-		list[i] = Server{ID: ServerID(i + 1), Rating: 1, Cell: i / 2, Zone: i / 4}
+		list[i] = Server{ID: ServerID(i + 1), Capacity: 1, Cell: i / 2, Zone: i / 4}
 	}
 	return list
 }
@@ -76,7 +76,7 @@
 	g.t.Helper()
 	s := g.b.reqs[id].tries[attempt].s
 	done := res == OK || g.b.reqs[id].done
-	return g.do(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Took: took, Finished: done})
+	return g.do(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Latency: took, Finished: done})
 }
 
 func sentTo(acts []Action) (ServerID, bool) {
--- a/balance/input_test.go
+++ b/balance/input_test.go
@@ -38,9 +38,9 @@
 func TestEventsForTheUnknownAreIgnored(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(3)...)
 	for _, ev := range []Event{
-		HangUp{Request: 9}, Timer{Token: 9}, ProbeResult{Server: 99, Result: TimedOut}, Started{Request: 9},
+		ClientGone{Request: 9}, Timer{Token: 9}, ProbeResult{Server: 99, Result: TimedOut}, ResponseStarted{Request: 9},
 		Message{From: 7, Data: []byte("\x01wrong")}, Message{From: -1},
-		ServerList{Kind: ListDelta, Servers: []Server{{ID: 99, State: Gone}}},
+		ServerList{Kind: ListDelta, Servers: []Server{{ID: 99, State: Removed}}},
 	} {
 		if acts := g.do(ev); len(acts) > 0 {
 			t.Errorf("%+v: %+v", ev, acts)
@@ -56,16 +56,16 @@
 func TestOddNumbersDoNotSpread(t *testing.T) {
 	for _, odd := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5} {
 		cfg := probeConfig()
-		cfg.Quantum, cfg.ColdFrom, cfg.ColdTime, cfg.FallMultiple, cfg.FallTime = odd, odd, odd, odd, odd
-		cfg.AskWithin, cfg.Prices.CrossZone, cfg.Prices.Probe, cfg.Goal.WorstClass = odd, odd, odd, odd
+		cfg.BatchInterval, cfg.SlowStartFraction, cfg.SlowStartTime, cfg.OverloadMultiple, cfg.OverloadTime = odd, odd, odd, odd, odd
+		cfg.MaxPollInterval, cfg.Penalties.CrossZone, cfg.Penalties.Probe, cfg.Goal.WorstClass = odd, odd, odd, odd
 		cfg.Tenants = []Tenant{{Share: odd, Allowance: odd}}
 		for i := range cfg.Classes {
 			c := &cfg.Classes[i]
-			c.Aim, c.Deadline, c.Worth, c.LateWorth, c.Window = odd, odd, odd, odd, odd
+			c.LatencyTarget, c.Deadline, c.Value, c.LateValue, c.Window = odd, odd, odd, odd, odd
 		}
 		servers := fleet(4)
 		for i := range servers {
-			servers[i].Rating, servers[i].StartedAt = odd, odd
+			servers[i].Capacity, servers[i].StartedAt = odd, odd
 		}
 		g := newRig(t, cfg, servers...)
 		for i := range 40 {
@@ -78,7 +78,7 @@
 				acts = append(acts, g.answer(id, 0, OK, odd)...)
 			}
 			for _, a := range acts {
-				if !(a.At >= 0) || math.IsInf(a.At, 0) {
+				if !(a.After >= 0) || math.IsInf(a.After, 0) {
 					t.Fatalf("%v: action %+v", odd, a)
 				}
 			}
@@ -110,10 +110,10 @@
 				acts = append(acts, g.do(Timer{Token: uint64(id)})...)
 				g.now += 5
 			}
-			if !has(acts, Refuse) && !has(acts, Fail) {
+			if !has(acts, Reject) && !has(acts, Fail) {
 				t.Errorf("%s, class %d: no answer in time", name, class)
 			}
-			if name != "one" && (!has(acts, Refuse) || g.now > 0 && r != nil) {
+			if name != "one" && (!has(acts, Reject) || g.now > 0 && r != nil) {
 				t.Errorf("%s, class %d: not refused at once", name, class)
 			}
 		}
--- a/balance/keys.go
+++ b/balance/keys.go
@@ -18,7 +18,7 @@
 type overrun struct{ took, until float64 }
 
 // warms: a server does less work for this request if it had its key lately.
-func (b *Balancer) warms(r *request) bool { return b.cfg.WarmKeys && r.Key != 0 }
+func (b *Balancer) warms(r *request) bool { return b.cfg.KeyAffinity && r.Key != 0 }
 
 // favour is how many rotations ahead of its turn a server may have a key. All sidecars hash keys alike, so a
 // key has one home in most cases, a large server has more of them (it is a Gumbel variate plus the logarithm
@@ -29,12 +29,12 @@
 		return 0
 	}
 	u := (float64(mix(r.Key^mix(uint64(s.ID)))>>11) + 0.5) / (1 << 53)
-	return keyFavour * (math.Log(s.Rating) - math.Log(-math.Log(u)))
+	return keyFavour * (math.Log(s.Capacity) - math.Log(-math.Log(u)))
 }
 
 // owes is the most turns that a server can have had ahead, in rotations.
 func (b *Balancer) owes() float64 {
-	if b.cfg.WarmKeys {
+	if b.cfg.KeyAffinity {
 		return keyDebt
 	}
 	return 1
@@ -64,13 +64,13 @@
 		maps.DeleteFunc(b.overruns, func(_ subject, o overrun) bool { return b.now > o.until })
 		b.sweepAt = 2*len(b.overruns) + 16
 	}
-	b.overruns[subject{r.Class, r.Key}] = overrun{took, b.now + r.class.Aim}
+	b.overruns[subject{r.Class, r.Key}] = overrun{took, b.now + r.class.LatencyTarget}
 }
 
 // futile: a client comes again with what has just run out of time, and has hardly more time for it. An answer
 // would be late, and earns less than what it costs if that work is wasted again.
 func (b *Balancer) futile(r *request) bool {
 	o := b.overruns[subject{r.Class, r.Key}]
-	return r.Repeat && b.now <= o.until && r.Remaining < 2*o.took &&
-		b.cfg.Prices.Waste*o.took >= r.class.LateWorth*r.stats.mean
+	return r.ClientRetry && b.now <= o.until && r.Remaining < 2*o.took &&
+		b.cfg.Penalties.Waste*o.took >= r.class.LateValue*r.stats.mean
 }
--- a/balance/keys_test.go
+++ b/balance/keys_test.go
@@ -43,7 +43,7 @@
 
 func warmConfig(seed uint64, number int) Config {
 	cfg := baseConfig()
-	cfg.WarmKeys, cfg.Seed, cfg.Number = true, seed, number
+	cfg.KeyAffinity, cfg.Seed, cfg.SidecarNumber = true, seed, number
 	return cfg
 }
 
@@ -53,7 +53,7 @@
 	const keys = 60
 	servers := fleet(8)
 	for i := range 4 {
-		servers[i].Rating = 3
+		servers[i].Capacity = 3
 	}
 	one, part := homes(newRig(t, warmConfig(1, 0), servers...), keys, 30)
 	two, _ := homes(newRig(t, warmConfig(2, 2), servers...), keys, 30)
@@ -70,7 +70,7 @@
 		t.Errorf("%d of %d homes are the same, %.2f of the requests go home, %d homes are large servers", same, keys, part, large)
 	}
 	cold := warmConfig(1, 0)
-	cold.WarmKeys = false
+	cold.KeyAffinity = false
 	if _, part := homes(newRig(t, cold, servers...), keys, 30); part > 0.4 {
 		t.Errorf("%.2f of the requests go to one server though no server keeps keys warm", part)
 	}
@@ -140,18 +140,18 @@
 		sent   bool
 	}{
 		{"the same", func(*Config, *rig, *Request) {}, false},
-		{"not marked", func(_ *Config, _ *rig, r *Request) { r.Repeat = false }, true},
+		{"not marked", func(_ *Config, _ *rig, r *Request) { r.ClientRetry = false }, true},
 		{"another key", func(_ *Config, _ *rig, r *Request) { r.Key = 8 }, true},
 		{"without a key", func(_ *Config, _ *rig, r *Request) { r.Key = 0 }, true},
 		{"another class", func(_ *Config, _ *rig, r *Request) { r.Class = safeClass }, true},
 		{"with more time", func(_ *Config, _ *rig, r *Request) { r.Remaining = 1700 }, true},
 		{"long after", func(_ *Config, g *rig, _ *Request) { g.now += 401 }, true},
 		{"its server is silent", nil, true},
-		{"waste is cheap", func(c *Config, _ *rig, _ *Request) { c.Prices.Waste = 0.001 }, true},
-		{"late answers are worth much", func(c *Config, _ *rig, _ *Request) { c.Classes[allClass].LateWorth = 50 }, true},
+		{"waste is cheap", func(c *Config, _ *rig, _ *Request) { c.Penalties.Waste = 0.001 }, true},
+		{"late answers are worth much", func(c *Config, _ *rig, _ *Request) { c.Classes[allClass].LateValue = 50 }, true},
 	} {
 		g := newRig(t, baseConfig(), fleet(6)...)
-		g.b.cfg.Prices.Waste, g.b.cfg.Classes[allClass].LateWorth = 0.3, 0.3
+		g.b.cfg.Penalties.Waste, g.b.cfg.Classes[allClass].LateValue = 0.3, 0.3
 		for range 20 { // answers take 10 ms
 			g.askKey(1)
 		}
@@ -162,16 +162,16 @@
 		if c.change != nil { // its server works: it has answered another meanwhile
 			g.b.reqs[first].tries[0].s.answered = g.now - 1
 		}
-		if acts := g.answer(first, 0, TimedOut, 800); !has(acts, Refuse) {
+		if acts := g.answer(first, 0, TimedOut, 800); !has(acts, Reject) {
 			t.Fatalf("%s: %+v", c.name, acts)
 		}
 		g.next++
-		again := Request{ID: g.next, Class: allClass, Key: 7, Remaining: 800, Repeat: true}
+		again := Request{ID: g.next, Class: allClass, Key: 7, Remaining: 800, ClientRetry: true}
 		if c.change != nil {
 			c.change(&g.b.cfg, g, &again)
 		}
 		acts := g.do(again)
-		if _, sent := sentTo(acts); sent != c.sent || !sent && !has(acts, Refuse) {
+		if _, sent := sentTo(acts); sent != c.sent || !sent && !has(acts, Reject) {
 			t.Errorf("%s: %+v", c.name, acts)
 		}
 	}
--- a/balance/list.go
+++ b/balance/list.go
@@ -7,7 +7,7 @@
 // ask subscribes to the list, at the start and after a failed call: changes cost less than whole lists.
 func (b *Balancer) ask() {
 	b.askedAt = b.now
-	b.emit(Action{Kind: Watch})
+	b.emit(Action{Kind: WatchList})
 }
 
 func (b *Balancer) onList(ev ServerList) {
@@ -29,12 +29,12 @@
 func (b *Balancer) update(entry *Server) {
 	s := b.byID[entry.ID]
 	if s == nil {
-		if entry.State == Gone {
+		if entry.State == Removed {
 			return
 		}
 		// A random start keeps sidecars that begin together from choosing in step.
 		s = &server{running: 100 * b.rng.Float64(), coldSince: math.Inf(-1)}
-		s.place = mix(uint64(entry.ID) + mix(uint64(b.cfg.Number%rounds)+1))
+		s.place = mix(uint64(entry.ID) + mix(uint64(b.cfg.SidecarNumber%rounds)+1))
 		b.byID[entry.ID] = s
 		b.servers = append(b.servers, s)
 	}
@@ -44,8 +44,8 @@
 		b.beginSlowStart(s, math.Min(entry.StartedAt, b.now))
 	}
 	s.Server = *entry
-	if !(s.Rating > 0) || math.IsInf(s.Rating, 1) {
-		s.Rating = 1
+	if !(s.Capacity > 0) || math.IsInf(s.Capacity, 1) {
+		s.Capacity = 1
 	}
 }
 
@@ -58,11 +58,11 @@
 	if !b.cfg.Subscribe {
 		least = bound(b.cfg.DrainGrace/10, agentPause, askPause)
 		pause = least
-	} else if b.cfg.AskWithin > 0 {
-		pause = math.Min(pause, b.cfg.AskWithin/3)
+	} else if b.cfg.MaxPollInterval > 0 {
+		pause = math.Min(pause, b.cfg.MaxPollInterval/3)
 	}
 	b.asks++
 	jitter := 0.5 + b.rng.Float64()/2
 	left := math.Max(pause*jitter-(b.now-b.askedAt), math.Min(least, pause)*jitter)
-	b.emit(Action{Kind: SetTimer, Token: listTimer, At: left})
+	b.emit(Action{Kind: SetTimer, Token: listTimer, After: left})
 }
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -1,59 +1,61 @@
 package balance
 
-import "math"
+import (
+	"maps"
+	"math"
+)
 
-// What one process of a sidecar hands to the next, so that it neither learns anew nor gives a cold server a
-// second budget. It decides nothing.
+// The state that one process of a sidecar hands to the next, so that it neither learns anew nor gives a server
+// in its slow start a second budget. No decisions.
 
-// Memory is what has been learned. Its maps are the balancer's own, and good until the next event.
-func (b *Balancer) Memory() Memory {
-	m := Memory{
-		Started: b.started, Kinds: b.kinds, Zones: b.zones, Steady: b.steady, Slowness: b.slowness,
-		Seen: b.slowN, Quickest: b.quickest, Learned: b.learned, Drift: b.drift, Spare: b.spare,
-		AskedRecent: b.asked.recent, AskedLatest: b.asked.latest, AskedAt: b.asked.at,
-		ServedRecent: b.answers.recent, ServedLatest: b.answers.latest, ServedAt: b.answers.at,
+// Snapshot returns what has been learned. Its maps are the balancer's own, and good until the next event.
+func (b *Balancer) Snapshot() Snapshot {
+	m := Snapshot{
+		StartedAt: b.started, Kinds: b.kinds, Zones: b.zones, ShedFraction: b.steady,
+		MeanLatency: b.slowness, LatencySamples: b.slowN, MinLatency: b.quickest,
+		CapacitySamples: b.learned, MeanCapacityStep: b.drift, RetryBudget: b.spare,
+		RequestsRecent: b.asked.recent, RequestsLatest: b.asked.latest, RequestsAt: b.asked.at,
+		AnswersRecent: b.answers.recent, AnswersLatest: b.answers.latest, AnswersAt: b.answers.at,
 	}
 	for _, s := range b.servers {
-		one := ServerMemory{
-			ID: s.ID, Size: s.size, Errors: s.errs, LastError: s.lastErr, RestUntil: s.restUntil,
-			Answered: s.answered, Rests: s.rests, Dark: s.dark, Down: s.down, Running: s.running,
+		one := ServerSnapshot{
+			ID: s.ID, CapacityLog: s.size, Errors: s.errs, LastErrorAt: s.lastErr, CooldownUntil: s.restUntil,
+			AnsweredAt: s.answered, Cooldowns: s.rests, ProbeFailed: s.dark, ConnectionLost: s.down,
+			CurrentWeight: s.running,
 		}
-		if one.Cold = b.cold(s); one.Cold {
-			one.ColdSince, one.Tokens, one.TokensAt = s.coldSince, s.tokens, s.tokensAt
+		if one.WarmingUp = b.cold(s); one.WarmingUp {
+			one.SlowStartAt, one.Tokens, one.TokensAt = s.coldSince, s.tokens, s.tokensAt
 		}
 		m.Servers = append(m.Servers, one)
 	}
 	for _, c := range b.classes {
-		m.Classes = append(m.Classes, ClassMemory{c.n, c.mean, c.dev, c.longest})
+		m.Classes = append(m.Classes, ClassSnapshot{c.n, c.mean, c.dev, c.longest})
 	}
 	return m
 }
 
-// Recall takes in what another process of this sidecar has learned; the list of servers is held already.
-func (b *Balancer) Recall(m Memory) {
-	b.started, b.steady, b.slowness, b.slowN = math.Min(m.Started, b.now), m.Steady, m.Slowness, m.Seen
-	b.quickest, b.learned, b.drift, b.spare = m.Quickest, m.Learned, m.Drift, m.Spare
-	b.asked = meter{m.AskedRecent, m.AskedLatest, math.Min(m.AskedAt, b.now)}
-	b.answers = meter{m.ServedRecent, m.ServedLatest, math.Min(m.ServedAt, b.now)}
-	for k, v := range m.Kinds {
-		b.kinds[k] = v
-	}
-	for z, v := range m.Zones {
-		b.zones[z] = v
-	}
+// Restore goes on with what another process of this sidecar has learned; the server list must be known already.
+func (b *Balancer) Restore(m Snapshot) {
+	b.started, b.steady, b.spare = math.Min(m.StartedAt, b.now), m.ShedFraction, m.RetryBudget
+	b.slowness, b.slowN, b.quickest = m.MeanLatency, m.LatencySamples, m.MinLatency
+	b.learned, b.drift = m.CapacitySamples, m.MeanCapacityStep
+	b.asked = meter{m.RequestsRecent, m.RequestsLatest, math.Min(m.RequestsAt, b.now)}
+	b.answers = meter{m.AnswersRecent, m.AnswersLatest, math.Min(m.AnswersAt, b.now)}
+	maps.Copy(b.kinds, m.Kinds)
+	maps.Copy(b.zones, m.Zones)
 	for i, c := range m.Classes[:min(len(m.Classes), len(b.classes))] {
 		own := &b.classes[i]
-		own.n, own.mean, own.dev, own.longest = c.Count, c.Mean, c.Deviation, c.Longest
+		own.n, own.mean, own.dev, own.longest = c.Count, c.Mean, c.Deviation, c.MaxRemaining
 	}
 	for _, one := range m.Servers {
 		s := b.byID[one.ID]
 		if s == nil {
 			continue
 		}
-		s.size, s.errs, s.lastErr, s.restUntil = one.Size, one.Errors, one.LastError, one.RestUntil
-		s.answered, s.rests, s.dark, s.down = one.Answered, one.Rests, one.Dark, one.Down
-		if s.running = one.Running; one.Cold {
-			s.coldSince, s.tokens, s.tokensAt = one.ColdSince, one.Tokens, one.TokensAt
+		s.size, s.errs, s.lastErr, s.restUntil = one.CapacityLog, one.Errors, one.LastErrorAt, one.CooldownUntil
+		s.answered, s.rests, s.dark, s.down = one.AnsweredAt, one.Cooldowns, one.ProbeFailed, one.ConnectionLost
+		if s.running = one.CurrentWeight; one.WarmingUp {
+			s.coldSince, s.tokens, s.tokensAt = one.SlowStartAt, one.Tokens, one.TokensAt
 		}
 	}
 }
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -40,11 +40,11 @@
 // through its text.
 func TestTheNextProcessGoesOn(t *testing.T) {
 	g := learnedRig(t)
-	text, err := json.Marshal(g.b.Memory())
+	text, err := json.Marshal(g.b.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m Memory
+	var m Snapshot
 	if err := json.Unmarshal(text, &m); err != nil {
 		t.Fatal(err)
 	}
@@ -53,9 +53,9 @@
 	next := &rig{t: t, b: New(baseConfig()), now: g.now, next: g.next}
 	next.b.Start(next.now)
 	next.do(ServerList{Kind: ListCached, Servers: list})
-	next.b.Recall(m)
-	if !reflect.DeepEqual(next.b.Memory(), g.b.Memory()) {
-		t.Errorf("%+v\n%+v", next.b.Memory(), g.b.Memory())
+	next.b.Restore(m)
+	if !reflect.DeepEqual(next.b.Snapshot(), g.b.Snapshot()) {
+		t.Errorf("%+v\n%+v", next.b.Snapshot(), g.b.Snapshot())
 	}
 	for i := range 300 {
 		g.now, next.now = g.now+15, next.now+15
@@ -85,7 +85,7 @@
 	if next.b.cold(next.b.byID[1]) {
 		t.Fatal("cold without being told")
 	}
-	next.b.Recall(g.b.Memory())
+	next.b.Restore(g.b.Snapshot())
 	if one := next.b.byID[1]; !next.b.cold(one) || one.tokens != 0 || one.coldSince != g.now {
 		t.Errorf("%+v", one)
 	}
@@ -99,7 +99,7 @@
 	next := New(cfg)
 	next.Start(g.now)
 	next.Handle(g.now, ServerList{Kind: ListCached, Servers: fleet(2)})
-	next.Recall(g.b.Memory())
+	next.Restore(g.b.Snapshot())
 	if len(next.servers) != 2 || len(next.classes) != 1 {
 		t.Errorf("%d servers, %d classes", len(next.servers), len(next.classes))
 	}
--- a/balance/open_test.go
+++ b/balance/open_test.go
@@ -6,7 +6,7 @@
 func (g *rig) open(class int) (RequestID, []Action) {
 	g.t.Helper()
 	g.next++
-	return g.next, g.do(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline, Open: true})
+	return g.next, g.do(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline, BodyOpen: true})
 }
 
 // However long a body takes to come, its request is not late, its server is not blamed, and the fleet is not held to be full.
@@ -26,14 +26,14 @@
 	if s.errs != 0 || s.load != 0 || s.inFlight != 0 {
 		t.Errorf("the server is blamed or counted: %+v", s)
 	}
-	if acts = g.do(Written{Request: id}); !has(acts, SetTimer) || s.inFlight != 1 || s.load == 0 {
+	if acts = g.do(BodySent{Request: id}); !has(acts, SetTimer) || s.inFlight != 1 || s.load == 0 {
 		t.Errorf("its time begins: %+v, in flight %d", acts, s.inFlight)
 	}
-	if again := g.do(Written{Request: id}); len(again) != 0 || s.inFlight != 1 {
+	if again := g.do(BodySent{Request: id}); len(again) != 0 || s.inFlight != 1 {
 		t.Errorf("twice: %+v", again)
 	}
 	g.now += g.b.cfg.Classes[safeClass].Deadline + 1
-	if acts = g.do(Timer{Token: uint64(id)}); !has(acts, Refuse) {
+	if acts = g.do(Timer{Token: uint64(id)}); !has(acts, Reject) {
 		t.Errorf("at its deadline: %+v", acts)
 	}
 	g.answer(id, 0, TimedOut, g.b.cfg.Classes[safeClass].Deadline)
@@ -56,7 +56,7 @@
 			t.Fatalf("class %d: the body is whole, and it goes to another: %+v", class, acts)
 		}
 		g.now += 5
-		if acts = g.do(Outcome{Request: id, Attempt: 1, Server: second, Result: ConnectFailed, Took: 5, Spent: true}); !has(acts, Refuse) || has(acts, Send) {
+		if acts = g.do(Outcome{Request: id, Attempt: 1, Server: second, Result: ConnectFailed, Latency: 5, BodyConsumed: true}); !has(acts, Reject) || has(acts, Send) {
 			t.Errorf("class %d: the body is gone: %+v", class, acts)
 		}
 		for _, s := range g.b.servers {
@@ -69,13 +69,13 @@
 
 // What may have run and cannot be sent again is failed where a client's retry might do harm, and refused where it cannot.
 func TestABodyThatIsGoneAndMayHaveRun(t *testing.T) {
-	for class, want := range map[int]ActionKind{safeClass: Refuse, unsafeClass: Fail, cellClass: Fail, allClass: Refuse} {
+	for class, want := range map[int]ActionKind{safeClass: Reject, unsafeClass: Fail, cellClass: Fail, allClass: Reject} {
 		g := newRig(t, baseConfig(), fleet(4)...)
 		id, acts := g.open(class)
 		to, _ := sentTo(acts)
-		g.do(Written{Request: id})
+		g.do(BodySent{Request: id})
 		g.now += 20
-		if acts = g.do(Outcome{Request: id, Server: to, Result: Reset, Took: 20, Spent: true}); !has(acts, want) || has(acts, Send) {
+		if acts = g.do(Outcome{Request: id, Server: to, Result: Reset, Latency: 20, BodyConsumed: true}); !has(acts, want) || has(acts, Send) {
 			t.Errorf("class %d: %+v", class, acts)
 		}
 	}
--- a/balance/paper_test.go
+++ b/balance/paper_test.go
@@ -51,7 +51,7 @@
 	g.b.servers[1].errs, g.b.servers[1].lastErr = 2, g.now
 	id, _ := g.ask(safeClass)
 	g.b.servers[1].running = 1e6 // next in turn, and not the healthiest
-	if s, ok := sentTo(g.answer(id, 0, Full, 1)); !ok || s != 3 {
+	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("re-routed to %d", s)
 	}
 }
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -50,13 +50,13 @@
 // starts at its place in a ring, is as wide as its traffic asks for, and goes on past members that rest.
 func (b *Balancer) subset() []*server {
 	n := float64(len(b.servers))
-	width := math.Max(leastWidth, perServer*n/float64(b.cfg.Peers))
+	width := math.Max(leastWidth, perServer*n/float64(b.cfg.SidecarCount))
 	width = math.Max(width, spread*b.asked.rate(b, 0, 0)*b.longestAim)
 	if width >= n {
 		return b.servers
 	}
-	inRound := math.Ceil(float64(b.cfg.Peers) / rounds)
-	start := int(n * math.Mod(float64(b.cfg.Number/rounds)/inRound, 1))
+	inRound := math.Ceil(float64(b.cfg.SidecarCount) / rounds)
+	start := int(n * math.Mod(float64(b.cfg.SidecarNumber/rounds)/inRound, 1))
 	b.near = b.near[:0]
 	for i := 0; i < len(b.ring) && width > 0; i++ {
 		s := b.ring[(start+i)%len(b.ring)]
@@ -127,10 +127,10 @@
 
 // weight is size × m, lowered while the server warms up.
 func (b *Balancer) weight(s *server) float64 {
-	w := 100 * s.Rating * math.Exp(s.size+b.kinds[s.Kind]+b.zones[s.Zone]) * b.health(s)
+	w := 100 * s.Capacity * math.Exp(s.size+b.kinds[s.Kind]+b.zones[s.Zone]) * b.health(s)
 	if s.Zone == b.cfg.Zone { // exception: answers from elsewhere cost a price, which delay soon outweighs
 		ease := 1 - congested*math.Max(0, b.slowness-b.quickest)
-		w *= 1 + zoneFavour*b.cfg.Prices.CrossZone*math.Max(0, ease)
+		w *= 1 + zoneFavour*b.cfg.Penalties.CrossZone*math.Max(0, ease)
 	}
 	if b.cold(s) {
 		w *= b.warmth(s)
--- a/balance/probe.go
+++ b/balance/probe.go
@@ -28,13 +28,13 @@
 			b.emit(Action{Kind: Probe, Server: next.ID})
 		}
 	}
-	r.holdUntil = b.now + probeAims*r.class.Aim
+	r.holdUntil = b.now + probeAims*r.class.LatencyTarget
 	b.holding = append(b.holding, r)
 }
 
 // fan is how many servers to probe so that hardly ever all of them are busy, within what it may cost.
 func (b *Balancer) fan() int {
-	most := probeSpend / math.Max(b.cfg.Prices.Probe, 1e-3)
+	most := probeSpend / math.Max(b.cfg.Penalties.Probe, 1e-3)
 	return int(math.Min(most, math.Ceil(math.Log(allBusy)/math.Log(bound(b.busy, 0.01, 0.99)))))
 }
 
@@ -46,7 +46,7 @@
 	if s.probing = false; ev.Result != OK { // out of reach: it may run, but nothing gets through from here
 		b.rest(s)
 		s.dark = true
-	} else if b.note(s, ev.Report); s.dark {
+	} else if b.note(s, ev.LoadReport); s.dark {
 		s.dark, s.rests, s.restUntil = false, 0, 0
 	}
 	b.stepHeld()
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -53,11 +53,11 @@
 		cfg := baseConfig()
 		cfg.Seed = uint64(seed)
 		cfg.Parallel, cfg.Cancel = seed%2 == 0, seed%3 != 0
-		cfg.WarmKeys, cfg.Prices.Waste = seed%5 < 2, float64(seed%4)/10
+		cfg.KeyAffinity, cfg.Penalties.Waste = seed%5 < 2, float64(seed%4)/10
 		cfg.MaxAttempts = 1 + int(seed%4)
 		cfg.Subscribe = seed%5 == 0
 		if seed%4 == 1 {
-			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []Field{FieldInFlight, FieldQueue, FieldUtil}
+			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []ReportField{FieldInFlight, FieldQueue, FieldUtil}
 		}
 		w := newWorld(t, rnd, cfg)
 		w.list(ListCached)
@@ -84,7 +84,7 @@
 			left = 0
 		}
 		w.open[id] = &openRequest{class: class, deadline: w.now + left}
-		w.handle(Request{ID: id, Class: class, Remaining: left, Key: uint64(id % 7), Repeat: id%3 == 0})
+		w.handle(Request{ID: id, Class: class, Remaining: left, Key: uint64(id % 7), ClientRetry: id%3 == 0})
 	case n < 17:
 		w.endOne(id)
 	case n < 18:
@@ -93,14 +93,14 @@
 		if len(w.probes) > 0 {
 			s := w.probes[0]
 			w.probes = w.probes[1:]
-			w.handle(ProbeResult{Server: s, Took: 1, Report: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
+			w.handle(ProbeResult{Server: s, Latency: 1, LoadReport: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
 		}
 	default:
 		gone := id - RequestID(w.rnd.Intn(20)) // may never have been or have ended: ignored then
 		if o := w.open[gone]; o != nil {
 			o.answered = true
 		}
-		w.handle(HangUp{Request: gone})
+		w.handle(ClientGone{Request: gone})
 	}
 }
 
@@ -113,11 +113,11 @@
 		}
 		for i := range o.tries {
 			if a := &o.tries[i]; a.live && w.rnd.Intn(3) > 0 {
-				res := []Result{OK, OK, OK, OK, Failed, Full, ConnectFailed, Reset, TimedOut}[w.rnd.Intn(9)]
+				res := []Result{OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut}[w.rnd.Intn(9)]
 				a.live, a.clean = false, res.NeverRan()
 				o.answered = o.answered || res == OK
 				w.handle(Outcome{
-					Request: id, Attempt: i, Server: a.server.ID, Result: res, Took: w.now - a.sent, Finished: o.answered,
+					Request: id, Attempt: i, Server: a.server.ID, Result: res, Latency: w.now - a.sent, Finished: o.answered,
 				})
 				return
 			}
@@ -131,7 +131,7 @@
 		id := ServerID(i + 1)
 		s := w.servers[id]
 		if s == nil || w.rnd.Intn(4) == 0 {
-			s = &Server{ID: id, State: State(w.rnd.Intn(3) % 2), Rating: 1, Cell: i % 3, Zone: i % 2, Kind: i % 2}
+			s = &Server{ID: id, State: ServerState(w.rnd.Intn(3) % 2), Capacity: 1, Cell: i % 3, Zone: i % 2, Kind: i % 2}
 			if w.rnd.Intn(3) == 0 {
 				s.StartedAt = w.now
 			}
@@ -162,7 +162,7 @@
 	for _, a := range acts {
 		switch a.Kind {
 		case SetTimer:
-			w.timers = append(w.timers, pendingTimer{w.now + a.At, a.Token})
+			w.timers = append(w.timers, pendingTimer{w.now + a.After, a.Token})
 		case Probe:
 			if !w.cfg.Probes {
 				w.t.Fatal("probed where probes are not allowed")
@@ -170,7 +170,7 @@
 			w.probes = append(w.probes, a.Server)
 		case Send:
 			w.send(a)
-		case Refuse, Fail:
+		case Reject, Fail:
 			w.final(a)
 		case Cancel:
 			if !w.cfg.Cancel || a.Attempt >= len(w.open[a.Request].tries) {
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -63,8 +63,8 @@
 	const warm, end = 10_000.0, 10_000.0 + rampTime // the restart is at warm
 	rng := rand.New(rand.NewPCG(seed, 7))
 	cfg := baseConfig()
-	cfg.FallMultiple, cfg.FallTime, cfg.ColdFrom, cfg.ColdTime = c.multiple, c.fallTime, rampCold, rampTime
-	cfg.Peers, cfg.MaxAttempts = c.sidecars, 4
+	cfg.OverloadMultiple, cfg.OverloadTime, cfg.SlowStartFraction, cfg.SlowStartTime = c.multiple, c.fallTime, rampCold, rampTime
+	cfg.SidecarCount, cfg.MaxAttempts = c.sidecars, 4
 	servers := fleet(c.servers)
 	weights, sum := make([]float64, c.sidecars), 0.0
 	for i := range weights {
@@ -86,9 +86,9 @@
 	var carry func(n int, now float64, acts []Action)
 	begin := func(n int, now float64, list []Server) {
 		own := cfg
-		own.Seed, own.Number = rng.Uint64(), n
+		own.Seed, own.SidecarNumber = rng.Uint64(), n
 		if c.unknown {
-			own.Peers, own.Number = 1, 0
+			own.SidecarCount, own.SidecarNumber = 1, 0
 		}
 		all[n] = New(own)
 		all[n].Start(now)
@@ -109,10 +109,10 @@
 				}
 				r := all[n].reqs[a.Request]
 				push(rampEvent{at: now + took, sidecar: n, kind: rampHandle, ev: Outcome{
-					Request: a.Request, Attempt: len(r.tries) - 1, Server: a.Server, Result: res, Took: took, Finished: res == OK}})
+					Request: a.Request, Attempt: len(r.tries) - 1, Server: a.Server, Result: res, Latency: took, Finished: res == OK}})
 			case SetTimer:
 				if a.Token != listTimer {
-					push(rampEvent{at: now + a.At, sidecar: n, kind: rampHandle, ev: Timer{a.Token}})
+					push(rampEvent{at: now + a.After, sidecar: n, kind: rampHandle, ev: Timer{a.Token}})
 				}
 			}
 		}
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -23,7 +23,7 @@
 
 func TestRotationFollowsWeights(t *testing.T) {
 	servers := fleet(3)
-	servers[0].Rating = 5
+	servers[0].Capacity = 5
 	got := sequence(newRig(t, baseConfig(), servers...), 7)
 	want := []ServerID{1, 1, 2, 1, 3, 1, 1}
 	for i := range want {
@@ -90,7 +90,7 @@
 		t.Fatalf("first sent to %d, want 2", s)
 	}
 	g.b.servers[3].running = 1000 // next in turn, which must not count for a re-route
-	if s, ok := sentTo(g.answer(id, 0, Full, 1)); !ok || s != 3 {
+	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("re-routed to %d, want 3", s)
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -10,7 +10,7 @@
 // window and after it: another send, a refusal, a failure.
 func TestWhatMayFollowAnAttempt(t *testing.T) {
 	for _, class := range []int{safeClass, unsafeClass, cellClass, allClass, zoneClass} {
-		for _, res := range []Result{Failed, Full, TimedOut, ConnectFailed, Reset, Cancelled} {
+		for _, res := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled} {
 			for _, late := range []bool{false, true} {
 				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, res, late), func(t *testing.T) {
 					followAttempt(t, class, res, late)
@@ -23,7 +23,7 @@
 func followAttempt(t *testing.T, class int, res Result, late bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].Aim = cfg.Classes[i].Deadline // a re-route is worth its while to the end
+		cfg.Classes[i].LatencyTarget = cfg.Classes[i].Deadline // a re-route is worth its while to the end
 		cfg.Classes[i].Window = 200
 	}
 	g := newRig(t, cfg, fleet(8)...)
@@ -43,7 +43,7 @@
 		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, acts)
 	}
 	if !sent {
-		if has(acts, Refuse) || !has(acts, Fail) { // a client's retry could run a second time
+		if has(acts, Reject) || !has(acts, Fail) { // a client's retry could run a second time
 			t.Fatalf("refused: %+v", acts)
 		}
 		return
@@ -61,7 +61,7 @@
 		id, _ := g.ask(class)
 		g.now = g.b.reqs[id].deadline
 		acts := g.do(Timer{Token: uint64(id)})
-		if has(acts, Refuse) || !has(acts, Fail) {
+		if has(acts, Reject) || !has(acts, Fail) {
 			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
 		}
 	}
@@ -70,7 +70,7 @@
 func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	acts := g.do(Request{ID: 1, Class: unsafeClass, Remaining: 0})
-	if !has(acts, Refuse) || has(acts, Send) {
+	if !has(acts, Reject) || has(acts, Send) {
 		t.Fatalf("a request without time left: %+v", acts)
 	}
 }
@@ -101,7 +101,7 @@
 	}
 	for name, servers := range map[string][]Server{"empty": nil, "draining": drained} {
 		g := newRig(t, baseConfig(), servers...)
-		if _, acts := g.ask(unsafeClass); has(acts, Send) || !has(acts, Refuse) || len(g.b.reqs) != 0 {
+		if _, acts := g.ask(unsafeClass); has(acts, Send) || !has(acts, Reject) || len(g.b.reqs) != 0 {
 			t.Fatalf("%s: %+v, %d requests left", name, acts, len(g.b.reqs))
 		}
 	}
@@ -132,7 +132,7 @@
 	cfg.MaxAttempts = 1
 	g := newRig(t, cfg, fleet(4)...)
 	id, _ := g.ask(safeClass)
-	if acts := g.answer(id, 0, Full, 1); has(acts, Send) || !has(acts, Refuse) {
+	if acts := g.answer(id, 0, Rejected, 1); has(acts, Send) || !has(acts, Reject) {
 		t.Fatalf("after the only attempt allowed: %+v", acts)
 	}
 }
@@ -153,10 +153,10 @@
 func TestColdBudgetHoldsForAllSidecars(t *testing.T) {
 	for _, c := range []struct{ sidecars, servers, perSecond int }{{4, 5, 150}, {40, 10, 15}, {300, 60, 2}} {
 		cfg := baseConfig()
-		cfg.Peers = c.sidecars
+		cfg.SidecarCount = c.sidecars
 		toCold, later := 0, 0
 		for n := range c.sidecars {
-			cfg.Seed, cfg.Number = uint64(n+1), n
+			cfg.Seed, cfg.SidecarNumber = uint64(n+1), n
 			servers := fleet(c.servers)
 			g := newRig(t, cfg, servers...)
 			g.now += 1000 * g.b.rng.Float64() / float64(c.perSecond)
@@ -179,7 +179,7 @@
 		}
 		// A warm server gets its part of the traffic; the cold one can do ColdFrom of that and a little
 		// more as it warms, and falls at FallMultiple times what it can do.
-		limit := float64(c.sidecars*c.perSecond) / float64(c.servers) * cfg.FallMultiple * (cfg.ColdFrom + 0.05)
+		limit := float64(c.sidecars*c.perSecond) / float64(c.servers) * cfg.OverloadMultiple * (cfg.SlowStartFraction + 0.05)
 		if later == 0 || float64(toCold) > limit {
 			t.Errorf("%+v: %d sends to a cold server in its first second, at most %.0f wanted; %d later", c, toCold, limit, later)
 		}
@@ -222,12 +222,12 @@
 	g := newRig(t, cfg, fleet(3)...)
 	id, acts := g.ask(safeClass)
 	s, _ := sentTo(acts)
-	g.do(Started{Request: id, Server: s, Took: 20})
+	g.do(ResponseStarted{Request: id, Server: s, Latency: 20})
 	g.now += 5000
-	if acts := g.do(Timer{Token: uint64(id)}); has(acts, Fail) || has(acts, Refuse) || has(acts, Send) {
+	if acts := g.do(Timer{Token: uint64(id)}); has(acts, Fail) || has(acts, Reject) || has(acts, Send) {
 		t.Fatalf("a running stream got %+v", acts)
 	}
-	g.do(Outcome{Request: id, Server: s, Result: Reset, Took: 5000, Finished: true})
+	g.do(Outcome{Request: id, Server: s, Result: Reset, Latency: 5000, Finished: true})
 	if len(g.b.reqs) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
@@ -238,18 +238,18 @@
 	cfg := baseConfig()
 	cfg.Subscribe = true
 	g := newRig(t, cfg, fleet(3)...)
-	if !has(g.acts, Watch) {
+	if !has(g.acts, WatchList) {
 		t.Fatal("not subscribed at once")
 	}
 	var pauses []float64
 	for range 6 {
 		acts := g.do(ServerList{Kind: ListFailed})
-		if len(acts) != 1 || acts[0].Token != listTimer || acts[0].At > cfg.AskWithin/3 {
+		if len(acts) != 1 || acts[0].Token != listTimer || acts[0].After > cfg.MaxPollInterval/3 {
 			t.Fatalf("after a failed call: %+v", acts)
 		}
-		pauses = append(pauses, acts[0].At)
-		g.now += acts[0].At
-		if !has(g.do(Timer{Token: listTimer}), Watch) {
+		pauses = append(pauses, acts[0].After)
+		g.now += acts[0].After
+		if !has(g.do(Timer{Token: listTimer}), WatchList) {
 			t.Fatal("not asked again")
 		}
 	}
@@ -267,11 +267,11 @@
 		g := newRig(t, cfg, fleet(3)...)
 		for range 9 {
 			acts := g.do(ServerList{Kind: ListFailed})
-			if len(acts) != 1 || acts[0].At < agentPause/2 || acts[0].At > math.Max(agentPause, math.Min(grace/10, askPause)) {
+			if len(acts) != 1 || acts[0].After < agentPause/2 || acts[0].After > math.Max(agentPause, math.Min(grace/10, askPause)) {
 				t.Fatalf("grace %v: %+v", grace, acts)
 			}
-			g.now += acts[0].At
-			if !has(g.do(Timer{Token: listTimer}), Watch) {
+			g.now += acts[0].After
+			if !has(g.do(Timer{Token: listTimer}), WatchList) {
 				t.Fatal("not asked again")
 			}
 		}
@@ -353,11 +353,11 @@
 			g.b.answer(r)
 		}
 		for _, a := range g.b.out {
-			if a.Kind == Refuse && math.Abs(a.At-c.want) > 1e-9 {
-				t.Errorf("%+v: %v", c, a.At)
+			if a.Kind == Reject && math.Abs(a.After-c.want) > 1e-9 {
+				t.Errorf("%+v: %v", c, a.After)
 			}
 		}
-		if !has(g.b.out, Refuse) {
+		if !has(g.b.out, Reject) {
 			t.Errorf("%+v: no refusal", c)
 		}
 	}
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -9,19 +9,25 @@
 // Settings apart from the base configuration. Each run checks rules 1 to 3 as it goes.
 func TestOtherSettings(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
-		"one server":       func(_ *Config, n *int) { *n = 1 },
-		"hundreds":         func(_ *Config, n *int) { *n = 300 },
-		"one attempt":      func(c *Config, _ *int) { c.MaxAttempts = 1 },
-		"no cancels":       func(c *Config, _ *int) { c.Cancel, c.Parallel = false, false },
-		"streams":          func(c *Config, _ *int) { c.Classes[safeClass].Stream = true },
-		"tenants":          func(c *Config, _ *int) { c.Tenants = []Tenant{{Share: 0.9}, {Share: 0.1}, {}} },
-		"no cold rule":     func(c *Config, _ *int) { c.ColdTime, c.FallTime, c.FallMultiple, c.ColdFrom = 0, 0, 0, 0 },
-		"probes, free":     func(c *Config, _ *int) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldInFlight} },
-		"probes, dear":     func(c *Config, _ *int) { c.Probes, c.Reports, c.Prices.Probe = true, ReportProbe, 10 },
-		"probes, no field": func(c *Config, _ *int) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldUnknown} },
-		"piggyback":        func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []Field{FieldUtil, FieldRate} },
-		"warm keys":        func(c *Config, _ *int) { c.WarmKeys, c.Prices.Waste = true, 0.3 },
-		"aims of zero":     func(c *Config, _ *int) { c.Classes[safeClass].Aim, c.Classes[unsafeClass].Worth = 0, 0 },
+		"one server":  func(_ *Config, n *int) { *n = 1 },
+		"hundreds":    func(_ *Config, n *int) { *n = 300 },
+		"one attempt": func(c *Config, _ *int) { c.MaxAttempts = 1 },
+		"no cancels":  func(c *Config, _ *int) { c.Cancel, c.Parallel = false, false },
+		"streams":     func(c *Config, _ *int) { c.Classes[safeClass].Stream = true },
+		"tenants":     func(c *Config, _ *int) { c.Tenants = []Tenant{{Share: 0.9}, {Share: 0.1}, {}} },
+		"no cold rule": func(c *Config, _ *int) {
+			c.SlowStartTime, c.OverloadTime, c.OverloadMultiple, c.SlowStartFraction = 0, 0, 0, 0
+		},
+		"probes, free": func(c *Config, _ *int) {
+			c.Probes, c.Reports, c.Fields = true, ReportProbe, []ReportField{FieldInFlight}
+		},
+		"probes, dear": func(c *Config, _ *int) { c.Probes, c.Reports, c.Penalties.Probe = true, ReportProbe, 10 },
+		"probes, no field": func(c *Config, _ *int) {
+			c.Probes, c.Reports, c.Fields = true, ReportProbe, []ReportField{FieldUnknown}
+		},
+		"piggyback":    func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []ReportField{FieldUtil, FieldRate} },
+		"warm keys":    func(c *Config, _ *int) { c.KeyAffinity, c.Penalties.Waste = true, 0.3 },
+		"aims of zero": func(c *Config, _ *int) { c.Classes[safeClass].LatencyTarget, c.Classes[unsafeClass].Value = 0, 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
@@ -38,11 +44,11 @@
 				w.fireTimers()
 				class := int(id) % len(cfg.Classes)
 				w.open[id] = &openRequest{class: class, deadline: w.now + 300}
-				w.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Remaining: 300, Key: uint64(id % 9), Repeat: id%2 == 0})
+				w.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Remaining: 300, Key: uint64(id % 9), ClientRetry: id%2 == 0})
 				for len(w.probes) > 0 {
 					s := w.probes[0]
 					w.probes = w.probes[1:]
-					w.handle(ProbeResult{Server: s, Report: []float32{1}})
+					w.handle(ProbeResult{Server: s, LoadReport: []float32{1}})
 				}
 				sent += len(w.open[id].tries)
 				if id > 2 {
@@ -65,7 +71,7 @@
 	for i := range o.tries {
 		if a := &o.tries[i]; a.live {
 			a.live, o.answered = false, true
-			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Took: w.now - a.sent, Finished: true})
+			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Latency: w.now - a.sent, Finished: true})
 		}
 	}
 }
@@ -100,7 +106,7 @@
 	for _, n := range []int{12, 100, 300, 1000} { // the figures count as ratios: with a subset they hardly grow
 		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
 			cfg := baseConfig()
-			cfg.Peers = 10 * n
+			cfg.SidecarCount = 10 * n
 			bal := New(cfg)
 			bal.Start(0)
 			if _, err := bal.Handle(0, ServerList{Kind: ListFull, Servers: fleet(n)}); err != nil {
@@ -118,7 +124,7 @@
 				if acts[0].Kind != Send {
 					continue
 				}
-				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Took: 4, Finished: true}); err != nil {
+				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Latency: 4, Finished: true}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/balance/shed.go
+++ b/balance/shed.go
@@ -18,7 +18,7 @@
 	hurry := bound(fewInAim/(b.asked.rate(b, 0, 0)*b.longestAim), 1, fewInAim)
 	b.steady = bound(b.steady+shedRate*hurry*over, 0, maxShed)
 	shed := bound(b.steady+shedNow*over, 0, math.Min(maxShed, 2*b.steady)) // not by chance alone
-	if b.futile(r) || b.late(r) && b.steady >= r.class.LateWorth {
+	if b.futile(r) || b.late(r) && b.steady >= r.class.LateValue {
 		return false
 	}
 	return shed == 0 || b.rng.Float64() >= b.shedPart(r, shed)
@@ -27,7 +27,7 @@
 // late: a client's later try whose aim has passed already, as the time left tells: first tries have more.
 func (b *Balancer) late(r *request) bool {
 	r.stats.longest = math.Max(r.stats.longest, r.Remaining)
-	return r.Remaining < 0.99*r.stats.longest && r.Remaining <= r.class.Deadline-r.class.Aim
+	return r.Remaining < 0.99*r.stats.longest && r.Remaining <= r.class.Deadline-r.class.LatencyTarget
 }
 
 // shedPart spreads the load to shed over classes and tenants, those first whose answers add least to
@@ -35,7 +35,7 @@
 func (b *Balancer) shedPart(r *request, shed float64) float64 {
 	all := b.weigh()
 	value := func(class *classStats, tenant *tally) float64 {
-		v := (b.cfg.Goal.Whole + b.cfg.Goal.WorstWindow) * class.worth / all.worth
+		v := (b.cfg.Goal.Overall + b.cfg.Goal.WorstWindow) * class.worth / all.worth
 		if class == all.weakClass {
 			v += b.cfg.Goal.WorstClass / class.asked
 		}
@@ -65,5 +65,5 @@
 	if t.share <= 0 {
 		return 1
 	}
-	return b.cfg.OverShareWorth + (1-b.cfg.OverShareWorth)*math.Min(t.share*asked/t.asked, fairBound)
+	return b.cfg.OverShareValue + (1-b.cfg.OverShareValue)*math.Min(t.share*asked/t.asked, fairBound)
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -111,7 +111,7 @@
 // takes counts an attempt that is work for the server now, or one less.
 func (s *server) takes(one int, r *request) {
 	s.inFlight += one
-	s.load += float64(one) / r.class.Aim
+	s.load += float64(one) / r.class.LatencyTarget
 	s.sentSince += float64(max(0, one))
 }
 
@@ -165,7 +165,7 @@
 // ended counts an attempt as no longer out.
 func (r *request) ended(a *attempt, res Result) {
 	a.live, a.clean = false, res.NeverRan()
-	if !r.Open {
+	if !r.BodyOpen {
 		a.s.takes(-1, r)
 	}
 	r.live--
@@ -234,15 +234,15 @@
 func New(cfg Config) *Balancer {
 	cfg = cfg.withDefaults()
 	b := &Balancer{
-		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Number))),
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.SidecarNumber))),
 		byID: map[ServerID]*server{}, reqs: map[RequestID]*request{},
 		classes: make([]classStats, len(cfg.Classes)), tenants: make([]tally, len(cfg.Tenants)+1),
 		kinds: map[int]float64{}, zones: map[int]float64{}, longestAim: 1, quickest: startAim, busy: 1,
 		spare: repeatBurst / 2, overruns: map[subject]overrun{},
 	}
 	for i := range cfg.Classes {
-		b.longestAim = math.Max(b.longestAim, cfg.Classes[i].Aim)
-		b.classes[i].tally, b.classes[i].worth = tally{asked: 1, served: 1}, cfg.Classes[i].Worth
+		b.longestAim = math.Max(b.longestAim, cfg.Classes[i].LatencyTarget)
+		b.classes[i].tally, b.classes[i].worth = tally{asked: 1, served: 1}, cfg.Classes[i].Value
 	}
 	for i := range b.tenants {
 		b.tenants[i] = tally{asked: 1, served: 1}
@@ -272,7 +272,7 @@
 		if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.tries) || !r.tries[ev.Attempt].live {
 			return nil, fmt.Errorf("outcome of request %d, attempt %d: it is not out", ev.Request, ev.Attempt)
 		}
-		ev.Took = finite(ev.Took, math.MaxFloat32)
+		ev.Latency = finite(ev.Latency, math.MaxFloat32)
 		b.onOutcome(r, ev)
 	case Timer:
 		b.onTimer(ev)
@@ -280,13 +280,13 @@
 		b.onList(ev)
 	case ProbeResult:
 		b.onProbe(ev)
-	case HangUp:
+	case ClientGone:
 		if r := b.reqs[ev.Request]; r != nil {
 			b.close(r)
 		}
-	case Started:
+	case ResponseStarted:
 		b.onStarted(ev)
-	case Written:
+	case BodySent:
 		b.onWritten(ev)
 	}
 	return b.out, err
@@ -312,7 +312,7 @@
 	}
 }
 
-func (b *Balancer) onStarted(ev Started) {
+func (b *Balancer) onStarted(ev ResponseStarted) {
 	if r := b.reqs[ev.Request]; r != nil && !r.done && !r.stream {
 		r.stream = true // the client owns it now: no deadline, no repeat
 		b.cancelOthers(r, ev.Attempt)
@@ -320,12 +320,12 @@
 }
 
 // onWritten: the time of an open request, and of its attempt, begins.
-func (b *Balancer) onWritten(ev Written) {
+func (b *Balancer) onWritten(ev BodySent) {
 	r := b.reqs[ev.Request]
-	if r == nil || !r.Open || ev.Attempt < 0 || ev.Attempt >= len(r.tries) || !r.tries[ev.Attempt].live {
+	if r == nil || !r.BodyOpen || ev.Attempt < 0 || ev.Attempt >= len(r.tries) || !r.tries[ev.Attempt].live {
 		return
 	}
-	r.Open = false
+	r.BodyOpen = false
 	r.arrived, r.deadline = b.now, b.now+finite(r.Remaining, r.class.Deadline)
 	r.tries[ev.Attempt].sent = b.now
 	r.tries[ev.Attempt].s.takes(1, r)
@@ -333,12 +333,12 @@
 }
 
 // uploading: an attempt of an open request is out. Nothing is late before its last byte has left.
-func (r *request) uploading() bool { return r.Open && r.live > 0 }
+func (r *request) uploading() bool { return r.BodyOpen && r.live > 0 }
 
 // warmth is the least fraction of its capacity that a cold server has.
 func (b *Balancer) warmth(s *server) float64 {
-	age := math.Max(0, b.now-s.coldSince) / b.cfg.ColdTime
-	return b.cfg.ColdFrom + (1-b.cfg.ColdFrom)*math.Min(1, age)
+	age := math.Max(0, b.now-s.coldSince) / b.cfg.SlowStartTime
+	return b.cfg.SlowStartFraction + (1-b.cfg.SlowStartFraction)*math.Min(1, age)
 }
 
 // note takes in a load report.
@@ -359,7 +359,7 @@
 	}
 	for _, s := range b.servers {
 		if !listed[s.ID] {
-			s.State = Gone
+			s.State = Removed
 		}
 	}
 }
@@ -368,7 +368,7 @@
 func (b *Balancer) dropGone() {
 	kept := b.servers[:0]
 	for _, s := range b.servers {
-		if s.State != Gone {
+		if s.State != Removed {
 			kept = append(kept, s)
 		} else {
 			delete(b.byID, s.ID)
@@ -415,7 +415,7 @@
 func (b *Balancer) send(r *request, s *server) {
 	b.spare -= r.lost
 	s.tokens--
-	if !r.Open { // else it is no work before its last byte
+	if !r.BodyOpen { // else it is no work before its last byte
 		s.takes(1, r)
 	}
 	r.live++
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -9,7 +9,7 @@
 func members(t *testing.T, n, peers int, servers []Server) map[ServerID]bool {
 	t.Helper()
 	cfg := baseConfig()
-	cfg.Number, cfg.Peers = n, peers
+	cfg.SidecarNumber, cfg.SidecarCount = n, peers
 	got := map[ServerID]bool{}
 	for _, s := range newRig(t, cfg, servers...).b.subset() {
 		got[s.ID] = true
@@ -59,7 +59,7 @@
 // A sidecar that turned hot must not crowd the few servers of its subset.
 func TestBusySidecarSpreadsWider(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Peers = 1000
+	cfg.SidecarCount = 1000
 	g := newRig(t, cfg, fleet(100)...)
 	for range 1000 {
 		id, acts := g.ask(safeClass)
@@ -76,7 +76,7 @@
 // Most of a subset failed at once, and its sidecar had nobody left to send to.
 func TestFailedMembersWidenTheSubset(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Peers = 1000
+	cfg.SidecarCount = 1000
 	g := newRig(t, cfg, fleet(100)...)
 	before := append([]*server(nil), g.b.subset()...)
 	for _, s := range before[:leastWidth-1] {
@@ -95,9 +95,9 @@
 // A keyed request that may have run could go nowhere, as no other member of the subset was of its cell.
 func TestAKeyBoundToACellSeesTheWholeFleet(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Peers = 1000
+	cfg.SidecarCount = 1000
 	for n := range 20 {
-		cfg.Number = n
+		cfg.SidecarNumber = n
 		g := newRig(t, cfg, fleet(100)...)
 		id, acts := g.ask(cellClass)
 		first, _ := sentTo(acts)
--- a/balance/trouble_test.go
+++ b/balance/trouble_test.go
@@ -8,7 +8,7 @@
 
 func probeConfig() Config {
 	cfg := baseConfig()
-	cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []Field{FieldInFlight}
+	cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []ReportField{FieldInFlight}
 	return cfg
 }
 
@@ -19,7 +19,7 @@
 		if a.Kind != Probe {
 			continue
 		}
-		res := ProbeResult{Server: a.Server, Report: []float32{n}}
+		res := ProbeResult{Server: a.Server, LoadReport: []float32{n}}
 		if dark[a.Server] {
 			res = ProbeResult{Server: a.Server, Result: TimedOut}
 		}
@@ -64,9 +64,9 @@
 	if has(acts, Send) {
 		t.Fatal("sent before the probes were answered")
 	}
-	g.do(ProbeResult{Server: 1, Report: []float32{5}})
-	g.do(ProbeResult{Server: 2, Report: []float32{0}})
-	if s, ok := sentTo(g.do(ProbeResult{Server: 3, Report: []float32{4}})); !ok || s != 2 {
+	g.do(ProbeResult{Server: 1, LoadReport: []float32{5}})
+	g.do(ProbeResult{Server: 2, LoadReport: []float32{0}})
+	if s, ok := sentTo(g.do(ProbeResult{Server: 3, LoadReport: []float32{4}})); !ok || s != 2 {
 		t.Fatalf("request %d went to %d, want the empty server", id, s)
 	}
 }
@@ -128,7 +128,7 @@
 		g.now += 2
 		class := []int{safeClass, unsafeClass}[i%2]
 		id, acts := g.ask(class)
-		if has(acts, Refuse) {
+		if has(acts, Reject) {
 			refused[class]++
 			continue
 		}
@@ -220,7 +220,7 @@
 		asked[1][turn[1]]++
 		id := RequestID(i + 1)
 		acts := g.do(Request{ID: id, Class: turn[0], Tenant: turn[1], Remaining: cfg.Classes[turn[0]].Deadline})
-		if has(acts, Refuse) {
+		if has(acts, Reject) {
 			byClass[turn[0]]++
 			byTenant[turn[1]]++
 		} else {
@@ -251,7 +251,7 @@
 		refused := 0.0
 		for range 200 {
 			g.crowd(c.lasting, c.over)
-			if _, acts := g.ask(safeClass); has(acts, Refuse) {
+			if _, acts := g.ask(safeClass); has(acts, Reject) {
 				refused++
 			}
 		}
@@ -281,11 +281,11 @@
 func TestGoalOfTheWorstClassKeepsItServed(t *testing.T) {
 	cfg := baseConfig()
 	turns := [][2]int{{safeClass, 0}, {unsafeClass, 0}}
-	cfg.Goal = Goal{Whole: 1}
+	cfg.Goal = Goal{Overall: 1}
 	if refused, _ := shedding(t, cfg, turns...); refused[safeClass] < 0.7 || refused[unsafeClass] > 0.1 {
 		t.Fatalf("without the weight %.2f and %.2f are refused", refused[safeClass], refused[unsafeClass])
 	}
-	cfg.Goal = Goal{Whole: 0.3, WorstClass: 0.7}
+	cfg.Goal = Goal{Overall: 0.3, WorstClass: 0.7}
 	if refused, _ := shedding(t, cfg, turns...); refused[safeClass] > 0.5 || refused[unsafeClass] < 0.3 {
 		t.Fatalf("with the weight %.2f and %.2f are refused", refused[safeClass], refused[unsafeClass])
 	}
@@ -296,11 +296,11 @@
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Share: 0.8}, {Share: 0.2}}
 	turns := [][2]int{{0, 0}, {0, 1}}
-	cfg.Goal = Goal{Whole: 1}
+	cfg.Goal = Goal{Overall: 1}
 	if _, refused := shedding(t, cfg, turns...); refused[0] > 0.1 || refused[1] < 0.7 {
 		t.Fatalf("without the weight %.2f and %.2f are refused", refused[0], refused[1])
 	}
-	cfg.Goal = Goal{Whole: 0.3, WorstTenant: 0.7}
+	cfg.Goal = Goal{Overall: 0.3, WorstTenant: 0.7}
 	if _, refused := shedding(t, cfg, turns...); math.Abs(refused[0]-refused[1]) > 0.15 {
 		t.Fatalf("with the weight %.2f and %.2f are refused", refused[0], refused[1])
 	}
@@ -347,7 +347,7 @@
 // left of it.
 func TestLateTriesAreRefusedFirst(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Classes[safeClass].LateWorth = 0.3
+	cfg.Classes[safeClass].LateValue = 0.3
 	for _, c := range []struct {
 		shed, remaining float64
 		refused         bool
@@ -363,14 +363,14 @@
 		r := &request{
 			Request: Request{Remaining: c.remaining}, class: &g.b.cfg.Classes[safeClass], stats: &g.b.classes[safeClass],
 		}
-		if got := g.b.late(r) && g.b.steady >= r.class.LateWorth; got != c.refused {
+		if got := g.b.late(r) && g.b.steady >= r.class.LateValue; got != c.refused {
 			t.Errorf("%+v: refused %v", c, got)
 		}
 		if !c.refused {
 			continue
 		}
 		g.b.steady = c.shed
-		if acts := g.do(Request{ID: 77, Remaining: c.remaining}); !has(acts, Refuse) {
+		if acts := g.do(Request{ID: 77, Remaining: c.remaining}); !has(acts, Reject) {
 			t.Errorf("%+v: %+v", c, acts)
 		}
 	}
@@ -448,7 +448,7 @@
 func TestOwnZoneIsFavouredWhereCrossingCosts(t *testing.T) {
 	for price, least := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
-		cfg.Prices.CrossZone, cfg.Zone = price, 1
+		cfg.Penalties.CrossZone, cfg.Zone = price, 1
 		g := newRig(t, cfg, fleet(8)...)
 		own := 0
 		for _, s := range sequence(g, 40) {
@@ -471,7 +471,7 @@
 	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold in some nine seconds
 		g.now += gap
 		id, acts := g.ask(safeClass)
-		if has(acts, Refuse) {
+		if has(acts, Reject) {
 			refused++
 			continue
 		}
@@ -561,11 +561,11 @@
 func TestLateAnswersOfWorthAreStillSought(t *testing.T) {
 	for worth, sent := range map[float64]bool{0: false, 0.5: true} {
 		cfg := baseConfig()
-		cfg.Classes[safeClass].LateWorth = worth
+		cfg.Classes[safeClass].LateValue = worth
 		g := newRig(t, cfg, fleet(3)...)
 		id, _ := g.ask(safeClass)
-		g.now += cfg.Classes[safeClass].Aim + 1
-		if acts := g.answer(id, 0, Failed, 301); has(acts, Send) != sent || has(acts, Refuse) == sent {
+		g.now += cfg.Classes[safeClass].LatencyTarget + 1
+		if acts := g.answer(id, 0, Failed, 301); has(acts, Send) != sent || has(acts, Reject) == sent {
 			t.Errorf("worth %v of late answers: %+v", worth, acts)
 		}
 	}
@@ -585,7 +585,7 @@
 		for range 60 {
 			g.b.servers[0].load++
 			_, acts := g.ask(safeClass)
-			refused = refused || has(acts, Refuse)
+			refused = refused || has(acts, Reject)
 		}
 		if refused != refuses {
 			t.Errorf("quick answers %v: refused %v", quick, refused)
@@ -597,7 +597,7 @@
 // answers turn slow the favour that the price of crossing earns the own zone ends.
 func TestSlowAnswersEndTheFavourForTheOwnZone(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Prices.CrossZone, cfg.Zone = 0.05, 1
+	cfg.Penalties.CrossZone, cfg.Zone = 0.05, 1
 	g := newRig(t, cfg, fleet(8)...)
 	near, far := g.b.servers[7], g.b.servers[0]
 	if g.b.weight(near) < 10*g.b.weight(far) {
@@ -652,7 +652,7 @@
 		end   Result
 		took  float64
 		tries int
-	}{{Reset, 1, 4}, {ConnectFailed, 1, 4}, {Failed, 1, 2}, {Reset, 100, 2}, {Full, 1, 2}, {TimedOut, 1, 2}} {
+	}{{Reset, 1, 4}, {ConnectFailed, 1, 4}, {Failed, 1, 2}, {Reset, 100, 2}, {Rejected, 1, 2}, {TimedOut, 1, 2}} {
 		g := newRig(t, baseConfig(), fleet(8)...)
 		for range 20 {
 			id, _ := g.ask(safeClass)
--- a/internal/rig/scenario/parse_test.go
+++ b/internal/rig/scenario/parse_test.go
@@ -154,14 +154,14 @@
 		t.Fatal(err)
 	}
 	c := p.Config
-	if c.Number != 2 || c.Peers != 3 || c.Zone != 0 || !c.Subscribe || c.MaxAttempts != 4 || c.Probes || c.DrainGrace != 250 ||
-		c.ColdFrom != 0.12 || c.ColdTime != 24000 || c.FallMultiple != 2.5 || c.FallTime != 3000 {
+	if c.SidecarNumber != 2 || c.SidecarCount != 3 || c.Zone != 0 || !c.Subscribe || c.MaxAttempts != 4 || c.Probes || c.DrainGrace != 250 ||
+		c.SlowStartFraction != 0.12 || c.SlowStartTime != 24000 || c.OverloadMultiple != 2.5 || c.OverloadTime != 3000 {
 		t.Errorf("%+v", c)
 	}
 	want := []balance.Class{
-		{Effect: balance.Safe, Aim: 100, Deadline: 1000, Worth: 3, LateWorth: 0.3, Window: c.Classes[0].Window},
-		{Effect: balance.Keyed, Group: balance.GroupCell, Window: 2000, Aim: 100, Deadline: 1000, Worth: 1},
-		{Effect: balance.Unsafe, Aim: 800, Deadline: 800, Worth: 1, Window: c.Classes[2].Window},
+		{Effect: balance.Safe, LatencyTarget: 100, Deadline: 1000, Value: 3, LateValue: 0.3, Window: c.Classes[0].Window},
+		{Effect: balance.Keyed, Group: balance.GroupCell, Window: 2000, LatencyTarget: 100, Deadline: 1000, Value: 1},
+		{Effect: balance.Unsafe, LatencyTarget: 800, Deadline: 800, Value: 1, Window: c.Classes[2].Window},
 	}
 	for i := range want {
 		if c.Classes[i] != want[i] {
--- a/internal/sidecar/core/attempt.go
+++ b/internal/sidecar/core/attempt.go
@@ -39,8 +39,8 @@
 		c.Expires, c.Wait = time.Time{}, r.Wait
 	}
 	at := &attempt{r: r, number: len(r.attempts), id: a.Server, to: l.servers[a.Server], call: c, sent: time.Now(), cancel: cancel}
-	if a.At > 0 {
-		c.Expires = earlier(c.Expires, l.clock.time(a.At))
+	if a.After > 0 {
+		c.Expires = earlier(c.Expires, l.clock.time(a.After))
 	}
 	for _, before := range r.attempts { // a keyed request must not go out after its key may be forgotten
 		if r.effect == balance.Keyed && !before.clean && !math.IsInf(r.window, 1) {
@@ -68,9 +68,9 @@
 
 // results are the module's names for the ends of exchanges.
 var results = [...]balance.Result{
-	upstream.Served: balance.OK, upstream.Failed: balance.Failed, upstream.Rejected: balance.Full,
+	upstream.Served: balance.OK, upstream.Failed: balance.Failed, upstream.Rejected: balance.Rejected,
 	upstream.TimedOut: balance.TimedOut, upstream.ConnectFailed: balance.ConnectFailed, upstream.Reset: balance.Reset,
-	upstream.Cancelled: balance.Cancelled, upstream.NotSent: balance.Moot,
+	upstream.Cancelled: balance.Cancelled, upstream.NotSent: balance.NotSent,
 }
 
 // begun: the server's answer is there and is passed on as it comes. For the module the attempt has ended with it, since what
@@ -124,8 +124,8 @@
 		l.log.Info("attempt", "trace", r.TraceID, "n", at.number, "server", name, "result", out.Result.String(), "took", millis(took), "err", out.Err)
 	}
 	err := l.tell(balance.Outcome{
-		Request: r.id, Attempt: at.number, Server: at.id, Result: results[out.Result], Took: millis(took), Finished: r.closed,
-		Report: out.LoadReport, Spent: r.Message.Remainder != nil && r.Message.Remainder.Consumed(),
+		Request: r.id, Attempt: at.number, Server: at.id, Result: results[out.Result], Latency: millis(took), Finished: r.closed,
+		LoadReport: out.LoadReport, BodyConsumed: r.Message.Remainder != nil && r.Message.Remainder.Consumed(),
 	})
 	if err != nil && r.out == 0 { // the module does not know of it, so nothing more would come
 		l.finish(r.id, front.Answer{Verdict: front.Failed})
@@ -157,7 +157,7 @@
 	go func() {
 		out := s.end.CheckHealth(l.ctx)
 		l.post(func() {
-			l.tell(balance.ProbeResult{Server: id, Result: results[out.Result], Took: millis(time.Since(began)), Report: out.LoadReport})
+			l.tell(balance.ProbeResult{Server: id, Result: results[out.Result], Latency: millis(time.Since(began)), LoadReport: out.LoadReport})
 		})
 	}()
 }
--- a/internal/sidecar/core/core_test.go
+++ b/internal/sidecar/core/core_test.go
@@ -317,7 +317,7 @@
 	in(t, nil, func(r *rig) {
 		r.post(func() {
 			at := &attempt{}
-			r.carryOut([]balance.Action{{Kind: balance.SetTimer, Token: 7, At: 100}})
+			r.carryOut([]balance.Action{{Kind: balance.SetTimer, Token: 7, After: 100}})
 			r.timers.set(&timer{due: time.Now().Add(100 * time.Millisecond), attempt: at})
 			if r.timers[0].attempt != at {
 				t.Error("the module's timer comes first")
--- a/internal/sidecar/core/fakes_test.go
+++ b/internal/sidecar/core/fakes_test.go
@@ -110,7 +110,7 @@
 func in(t *testing.T, names []string, test func(r *rig), change ...func(*balance.Config)) {
 	synctest.Test(t, func(t *testing.T) {
 		class := func(e balance.Effect) balance.Class {
-			return balance.Class{Effect: e, Window: 500, Aim: 500, Deadline: 1000, Worth: 1}
+			return balance.Class{Effect: e, Window: 500, LatencyTarget: 500, Deadline: 1000, Value: 1}
 		}
 		r := &rig{
 			t: t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)}, ended: make(chan struct{}),
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -147,8 +147,8 @@
 		switch a.Kind {
 		case balance.Send:
 			l.send(a)
-		case balance.Refuse:
-			l.finish(a.Request, front.Answer{Verdict: front.Refused, RetryAfter: duration(a.At)})
+		case balance.Reject:
+			l.finish(a.Request, front.Answer{Verdict: front.Refused, RetryAfter: duration(a.After)})
 		case balance.Fail:
 			l.finish(a.Request, front.Answer{Verdict: front.Failed})
 		case balance.Cancel:
@@ -161,11 +161,11 @@
 			if s := l.servers[a.Server]; s != nil {
 				s.end.CloseIdle()
 			}
-		case balance.Watch:
+		case balance.WatchList:
 			if l.stopWatch == nil { // else one is open or on its way, and would lose its turn
 				l.watch()
 			}
-		case balance.Fetch:
+		case balance.FetchList:
 			l.fetch()
 		case balance.Log:
 			l.log.Info(a.Text)
@@ -180,7 +180,7 @@
 		return
 	}
 	// A hair later: an attempt that times out at the same moment comes first, as the module expects.
-	due := time.Now().Add(duration(a.At) + 20*time.Microsecond)
+	due := time.Now().Add(duration(a.After) + 20*time.Microsecond)
 	if r == nil {
 		l.timers.set(&timer{due: due, token: a.Token})
 		return
--- a/internal/sidecar/core/members.go
+++ b/internal/sidecar/core/members.go
@@ -76,7 +76,7 @@
 }
 
 // states are the module's names for the states of servers.
-var states = [...]balance.State{member.Up: balance.Ready, member.Draining: balance.Draining, member.Removed: balance.Gone}
+var states = [...]balance.ServerState{member.Up: balance.Ready, member.Draining: balance.Draining, member.Removed: balance.Removed}
 
 // list takes in news of the servers that count.
 func (l *Loop) list(c member.List, kind balance.ListKind) {
@@ -90,7 +90,7 @@
 			delete(l.listed, in.ID)
 		}
 		entry := balance.Server{
-			ID: id, State: states[in.State], Rating: in.Weight, Cell: in.Cell,
+			ID: id, State: states[in.State], Capacity: in.Weight, Cell: in.Cell,
 			Zone: max(0, slices.Index(l.config.Zones, in.Zone)),
 			Kind: max(0, slices.Index(l.config.Kinds, in.Kind)),
 		}
@@ -99,7 +99,7 @@
 		}
 		ev.Servers = append(ev.Servers, entry)
 		s := l.servers[id]
-		if s == nil && entry.State == balance.Gone {
+		if s == nil && entry.State == balance.Removed {
 			continue
 		}
 		if s == nil {
@@ -107,7 +107,7 @@
 			l.servers[id] = s
 		}
 		s.end.Update(in.Addr, entry.State == balance.Ready)
-		if entry.State == balance.Gone { // attempts that are out keep what they need
+		if entry.State == balance.Removed { // attempts that are out keep what they need
 			delete(l.servers, id)
 		}
 		if entry.State == balance.Ready {
--- a/internal/sidecar/core/recorded_test.go
+++ b/internal/sidecar/core/recorded_test.go
@@ -20,7 +20,7 @@
 			Started: time.Unix(1796171109, 0).UTC(),
 		}}},
 		IDs:    map[string]time.Time{"x0": time.Unix(1796171110, 0).UTC()},
-		Module: balance.Memory{Classes: []balance.ClassMemory{{Count: 3}}, Zones: map[int]float64{1: 0.5}, Kinds: map[int]float64{0: 0.25}},
+		Module: balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 3}}, Zones: map[int]float64{1: 0.5}, Kinds: map[int]float64{0: 0.25}},
 		Names:  &Names{Classes: []string{"look"}, Zones: []string{"a", "b"}, Kinds: []string{"m2"}, Rules: []string{"0/0/500"}},
 	}
 	recorded, err := os.ReadFile("testdata/cfdfdec/handover.json")
--- a/internal/sidecar/core/request.go
+++ b/internal/sidecar/core/request.go
@@ -26,7 +26,7 @@
 	r.deadline = time.Now().Add(r.Wait - min(answerMargin, r.Wait/10))
 	at.timer = &timer{due: r.deadline, attempt: at}
 	l.timers.set(at.timer)
-	l.tell(balance.Written{Request: r.id, Attempt: at.number})
+	l.tell(balance.BodySent{Request: r.id, Attempt: at.number})
 }
 
 // request is a client's request until it is answered and its last attempt has ended.
@@ -98,7 +98,7 @@
 	l.requests[r.id] = r
 	ev := balance.Request{
 		ID: r.id, Class: r.Class, Tenant: r.Tenant, WorkHint: millis(r.WorkHint),
-		Remaining: math.Max(millis(time.Until(r.deadline)), 1e-3), Repeat: r.ClientRetry, Open: open,
+		Remaining: math.Max(millis(time.Until(r.deadline)), 1e-3), ClientRetry: r.ClientRetry, BodyOpen: open,
 	}
 	if open {
 		ev.Remaining = math.Max(millis(r.Wait-min(answerMargin, r.Wait/10)), 1e-3)
@@ -138,7 +138,7 @@
 			l.attemptEnded(at, upstream.Outcome{Result: upstream.NotSent, Err: upstream.ErrClientGone})
 		}
 	}
-	l.tell(balance.HangUp{Request: r.id})
+	l.tell(balance.ClientGone{Request: r.id})
 	l.removeIfOver(r)
 }
 
--- a/internal/sidecar/core/snapshot.go
+++ b/internal/sidecar/core/snapshot.go
@@ -16,7 +16,7 @@
 	Source string // the name of the source that the list is of
 	List   member.List
 	IDs    map[string]time.Time // until when; those of open requests as well
-	Module balance.Memory
+	Module balance.Snapshot
 	Names  *Names // that the positions in Module stand for; nil: of a version that does not tell
 }
 
@@ -38,7 +38,7 @@
 // placed is what was learned, at the positions that its names have in another process. What has no name there, or is of a class with
 // other rules, is left out. Where a version before did not tell its names, positions stand for themselves if there are as many,
 // and are left out if not.
-func placed(m balance.Memory, was *Names, now Names) balance.Memory {
+func placed(m balance.Snapshot, was *Names, now Names) balance.Snapshot {
 	if was == nil {
 		if len(m.Classes) != len(now.Classes) {
 			m.Classes, m.Zones, m.Kinds = nil, nil, nil
@@ -52,7 +52,7 @@
 	alike := func(i, at int) bool {
 		return i >= len(was.Rules) || at < len(now.Rules) && was.Rules[i] == now.Rules[at]
 	}
-	classes := make([]balance.ClassMemory, len(now.Classes))
+	classes := make([]balance.ClassSnapshot, len(now.Classes))
 	for i, c := range m.Classes {
 		if at, ok := place(i, was.Classes, now.Classes); ok && at < len(classes) && alike(i, at) {
 			classes[at] = c
@@ -98,7 +98,7 @@
 		for _, r := range l.requests {
 			ids[r.TraceID] = r.deadline
 		}
-		encode(Snapshot{Source: l.source.Name(), List: whole, IDs: ids, Module: l.b.Memory(), Names: l.names()})
+		encode(Snapshot{Source: l.source.Name(), List: whole, IDs: ids, Module: l.b.Snapshot(), Names: l.names()})
 	})
 	select {
 	case <-done:
@@ -128,5 +128,5 @@
 		l.log.Info("other settings than before: learned times are taken where class, effect and window agree",
 			"before", was.Classes, "now", now.Classes)
 	}
-	l.b.Recall(placed(from.Module, from.Names, *now))
+	l.b.Restore(placed(from.Module, from.Names, *now))
 }
--- a/internal/sidecar/core/snapshot_test.go
+++ b/internal/sidecar/core/snapshot_test.go
@@ -91,25 +91,25 @@
 // What was learned goes to where its name is in the next process, and not to another's place; what has no name there is left out. A
 // version that told no names is taken at its positions, unless there are others.
 func TestLearnedByName(t *testing.T) {
-	m := balance.Memory{Classes: []balance.ClassMemory{{Count: 1}, {Count: 2}, {Count: 3}}, Zones: map[int]float64{0: 10, 1: 11}, Kinds: map[int]float64{0: 7}}
+	m := balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 1}, {Count: 2}, {Count: 3}}, Zones: map[int]float64{0: 10, 1: 11}, Kinds: map[int]float64{0: 7}}
 	was := &Names{Classes: []string{"a", "b", "c"}, Zones: []string{"x", "y"}}
 	for name, c := range map[string]struct {
 		was  *Names
 		now  Names
-		want balance.Memory
+		want balance.Snapshot
 	}{
 		"another order": {was, Names{Classes: []string{"c", "a", "b"}, Zones: []string{"y", "x"}},
-			balance.Memory{Classes: []balance.ClassMemory{{Count: 3}, {Count: 1}, {Count: 2}}, Zones: map[int]float64{1: 10, 0: 11}, Kinds: m.Kinds}},
+			balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 3}, {Count: 1}, {Count: 2}}, Zones: map[int]float64{1: 10, 0: 11}, Kinds: m.Kinds}},
 		"one gone, one new": {was, Names{Classes: []string{"new", "b"}, Zones: []string{"z"}, Kinds: []string{"k"}},
-			balance.Memory{Classes: []balance.ClassMemory{{}, {Count: 2}}, Zones: map[int]float64{}, Kinds: map[int]float64{}}},
+			balance.Snapshot{Classes: []balance.ClassSnapshot{{}, {Count: 2}}, Zones: map[int]float64{}, Kinds: map[int]float64{}}},
 		"no names": {nil, *was, m},
 		"other rules of one": {&Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "2/0/500"}},
 			Names{Classes: []string{"b", "a", "c"}, Rules: []string{"1/2/900", "0/0/500", "2/0/500"}},
-			balance.Memory{Classes: []balance.ClassMemory{{}, {Count: 1}, {Count: 3}}, Zones: map[int]float64{0: 10}, Kinds: m.Kinds}},
+			balance.Snapshot{Classes: []balance.ClassSnapshot{{}, {Count: 1}, {Count: 3}}, Zones: map[int]float64{0: 10}, Kinds: m.Kinds}},
 		"the same names, other rules": {&Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "2/0/500"}},
 			Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "1/0/500"}},
-			balance.Memory{Classes: []balance.ClassMemory{{Count: 1}, {Count: 2}, {}}, Zones: map[int]float64{0: 10}, Kinds: m.Kinds}},
-		"no names, and others": {nil, Names{Classes: []string{"a"}}, balance.Memory{}},
+			balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 1}, {Count: 2}, {}}, Zones: map[int]float64{0: 10}, Kinds: m.Kinds}},
+		"no names, and others": {nil, Names{Classes: []string{"a"}}, balance.Snapshot{}},
 	} {
 		if got := placed(m, c.was, c.now); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
--- a/internal/sidecar/wire/decode.go
+++ b/internal/sidecar/wire/decode.go
@@ -36,8 +36,8 @@
 )
 
 var results = map[uint16]balance.Result{
-	0: balance.OK, 13: balance.Failed, 8: balance.Full, 4: balance.TimedOut,
-	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Cancelled, 9: balance.Moot,
+	0: balance.OK, 13: balance.Failed, 8: balance.Rejected, 4: balance.TimedOut,
+	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Cancelled, 9: balance.NotSent,
 }
 
 // Begin starts an instance; Settings is the raw profile for ParseSettings.
@@ -134,13 +134,13 @@
 	case codeAlarm:
 		rec.Event = balance.Timer{Token: f.u64()}
 	case codeStarted:
-		ev := balance.Started{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
-		ev.Took = f.f64()
+		ev := balance.ResponseStarted{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
+		ev.Latency = f.f64()
 		rec.Event = ev
 	case codeEnded:
 		rec.Event, err = r.ended(f)
 	case codeHangup:
-		rec.Event = balance.HangUp{Request: balance.RequestID(f.u64())}
+		rec.Event = balance.ClientGone{Request: balance.RequestID(f.u64())}
 	case codeProbed:
 		rec.Event, err = r.probed(f)
 	case codeHeard:
@@ -176,12 +176,12 @@
 		case 2:
 			s.State = balance.Draining
 		case 1:
-			s.State = balance.Gone
+			s.State = balance.Removed
 		default:
 			return fmt.Errorf("entry %d: unknown condition %d", i, state)
 		}
 		s.ID = f.server()
-		s.Rating = float64(f.f32())
+		s.Capacity = float64(f.f32())
 		s.Cell, s.Zone, s.Kind = int(f.u16()), int(f.u8()), int(f.u8())
 	}
 	r.tables[table], r.known[table] = list, true
@@ -219,7 +219,7 @@
 	if bits&1 != 0 {
 		ev.WorkHint = hint
 	}
-	ev.Repeat, ev.Write = bits&2 != 0, bits&4 != 0
+	ev.ClientRetry, ev.Write = bits&2 != 0, bits&4 != 0
 	ev.Key, ev.Remaining = f.u64(), f.f64()
 	ev.Class = int(f.u16())
 	return ev
@@ -228,17 +228,17 @@
 func (r *Reader) ended(f *fields) (any, error) {
 	ev := balance.Outcome{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
 	code := f.u16()
-	ev.Took, ev.Finished = f.f64(), f.u8() != 0
-	ev.Report = r.floats(f)
+	ev.Latency, ev.Finished = f.f64(), f.u8() != 0
+	ev.LoadReport = r.floats(f)
 	var err error
 	ev.Result, err = result(code, f)
 	return ev, err
 }
 
 func (r *Reader) probed(f *fields) (any, error) {
-	ev := balance.ProbeResult{Took: f.f64()}
+	ev := balance.ProbeResult{Latency: f.f64()}
 	code := f.u16()
-	ev.Server, ev.Report = f.server(), r.floats(f)
+	ev.Server, ev.LoadReport = f.server(), r.floats(f)
 	var err error
 	ev.Result, err = result(code, f)
 	return ev, err
--- a/internal/sidecar/wire/encode.go
+++ b/internal/sidecar/wire/encode.go
@@ -58,12 +58,12 @@
 	case balance.Send:
 		r.head(codeSend, instance)
 		r.u64(uint64(a.Request))
-		r.f64(a.At)
+		r.f64(a.After)
 		r.server(a.Server)
-	case balance.Refuse:
+	case balance.Reject:
 		r.head(codeRefuse, instance)
 		r.u64(uint64(a.Request))
-		r.f64(a.At)
+		r.f64(a.After)
 	case balance.Fail:
 		r.head(codeFail, instance)
 		r.u64(uint64(a.Request))
@@ -74,14 +74,14 @@
 	case balance.SetTimer:
 		r.head(codeTimer, instance)
 		r.u64(a.Token)
-		r.f64(a.At)
+		r.f64(a.After)
 	case balance.Probe:
 		r.head(codeProbe, instance)
 		r.server(a.Server)
 	case balance.CloseIdle:
 		r.head(codeClose, instance)
 		r.server(a.Server)
-	case balance.Post:
+	case balance.SendToPeer:
 		r.head(codePost, instance)
 		peer := uint32(everyPeer)
 		if a.Peer >= 0 {
@@ -92,10 +92,10 @@
 	case balance.Log:
 		r.head(codeTrace, instance)
 		r.text([]byte(a.Text))
-	case balance.Watch:
+	case balance.WatchList:
 		r.head(codeWatch, instance)
 		r.buf = append(r.buf, 1)
-	case balance.Fetch:
+	case balance.FetchList:
 		r.head(codeFetch, instance)
 	}
 }
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -62,19 +62,19 @@
 		FallTime     float64  `json:"fall_ms"`
 		FallMultiple float64  `json:"fall_multiple"`
 	} `json:"rules"`
-	Goal struct { // in the order of balance.Goal, to which it converts; so is Prices
-		Whole       float64 `json:"whole"`
+	Goal struct { // in the order of balance.Goal, to which it converts; so do the penalties
+		Overall     float64 `json:"whole"`
 		WorstWindow float64 `json:"worst_window"`
 		WorstClass  float64 `json:"worst_class"`
 		WorstTenant float64 `json:"worst_tenant"`
 	} `json:"result_mix"`
-	Prices struct {
-		CrossZone float64 `json:"cross_zone"`
-		Waste     float64 `json:"waste"`
-		Handshake float64 `json:"handshake"`
-		Probe     float64 `json:"probe"`
-		Peer      float64 `json:"peer"`
-		LateFail  float64 `json:"late_fail"`
+	Penalties struct {
+		CrossZone   float64 `json:"cross_zone"`
+		Waste       float64 `json:"waste"`
+		Handshake   float64 `json:"handshake"`
+		Probe       float64 `json:"probe"`
+		PeerMessage float64 `json:"peer"`
+		LateFailure float64 `json:"late_fail"`
 	} `json:"penalties"`
 }
 
@@ -91,7 +91,7 @@
 	"piggyback": balance.ReportPiggyback, "pull": balance.ReportProbe,
 }
 
-var reportFields = map[string]balance.Field{
+var reportFields = map[string]balance.ReportField{
 	"rif": balance.FieldInFlight, "q": balance.FieldQueue, "busy": balance.FieldUtil,
 	"lat_ms": balance.FieldLatency, "rate": balance.FieldRate, "fail_rate": balance.FieldErrorRate,
 }
@@ -149,18 +149,18 @@
 
 func (s *settings) config(seed uint64) (balance.Config, error) {
 	cfg := balance.Config{
-		Seed: seed, Number: s.Me, Peers: max(s.Peers, 1), Zone: s.Zone,
-		OverShareWorth: or(s.OverShare, 1), Quantum: s.Quantum,
+		Seed: seed, SidecarNumber: s.Me, SidecarCount: max(s.Peers, 1), Zone: s.Zone,
+		OverShareValue: or(s.OverShare, 1), BatchInterval: s.Quantum,
 		Parallel: s.Limits.Parallel, Cancel: s.Limits.Cancel, Probes: s.Limits.Probes,
 		Messages: s.Limits.MayTell, RetryAfter: s.Limits.RetryAfter,
 		MaxRetryAfter: s.Limits.MaxRetryAfter, ConnectTimeout: s.Limits.ConnectTimeout,
 		MaxAttempts: or(s.Limits.MaxAttempts, 1),
-		DrainGrace:  s.Rules.DrainGrace, ColdFrom: or(s.Rules.ColdFrom, 1), ColdTime: s.Rules.ColdTime,
-		FallMultiple: s.Rules.FallMultiple, FallTime: s.Rules.FallTime,
-		AskWithin: s.Rules.AskWithin, AnswerSlack: s.Rules.AnswerSlack,
-		WarmKeys: s.Family.WarmKeys,
-		Goal:     balance.Goal(s.Goal),
-		Prices:   balance.Prices(s.Prices),
+		DrainGrace:  s.Rules.DrainGrace, SlowStartFraction: or(s.Rules.ColdFrom, 1), SlowStartTime: s.Rules.ColdTime,
+		OverloadMultiple: s.Rules.FallMultiple, OverloadTime: s.Rules.FallTime,
+		MaxPollInterval: s.Rules.AskWithin, AnswerSlack: s.Rules.AnswerSlack,
+		KeyAffinity: s.Family.WarmKeys,
+		Goal:        balance.Goal(s.Goal),
+		Penalties:   balance.Penalties(s.Penalties),
 	}
 	switch s.Discovery {
 	case "", "automatic":
@@ -207,8 +207,8 @@
 			aim = c.Deadline
 		}
 		cfg.Classes = append(cfg.Classes, balance.Class{
-			Effect: effect, Group: group, Window: or(c.Window, math.Inf(1)), Aim: aim, AimStretch: c.AimStretch,
-			Deadline: c.Deadline, Worth: or(c.Worth, 1), LateWorth: c.LateWorth, Stream: c.Stream,
+			Effect: effect, Group: group, Window: or(c.Window, math.Inf(1)), LatencyTarget: aim, LatencyTargetStretch: c.AimStretch,
+			Deadline: c.Deadline, Value: or(c.Worth, 1), LateValue: c.LateWorth, Stream: c.Stream,
 		})
 	}
 	return nil
--- a/internal/sidecar/wire/wire_test.go
+++ b/internal/sidecar/wire/wire_test.go
@@ -70,19 +70,19 @@
 	if ev := recs[1].Event; ev != any(balance.Timer{Token: 77}) {
 		t.Errorf("alarm: %+v", ev)
 	}
-	if ev := recs[2].Event; ev != any(balance.HangUp{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
+	if ev := recs[2].Event; ev != any(balance.ClientGone{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
 		t.Errorf("hangup: %+v", recs[2])
 	}
 	list := recs[3].Event.(balance.ServerList)
 	if list.Kind != balance.ListCached || len(list.Servers) != 2 {
 		t.Fatalf("list: %+v", list)
 	}
-	second := balance.Server{ID: 0x0a9011f22354, StartedAt: 6100, Rating: 1.5, Zone: 1}
+	second := balance.Server{ID: 0x0a9011f22354, StartedAt: 6100, Capacity: 1.5, Zone: 1}
 	if list.Servers[0].ID != 0x0a124a07232b || list.Servers[1] != second {
 		t.Errorf("entries: %+v", list.Servers)
 	}
 	ended := recs[4].Event.(balance.Outcome)
-	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Took != 18.5 ||
+	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Latency != 18.5 ||
 		!ended.Finished || ended.Result != balance.OK {
 		t.Errorf("ended: %+v", ended)
 	}
@@ -92,11 +92,11 @@
 	var r Reply
 	r.Reset()
 	r.Add(3, []balance.Action{
-		{Kind: balance.Send, Request: 0x2978f5d3a91c4, At: 8492, Server: 0x0a124a07232b},
-		{Kind: balance.SetTimer, Token: 77, At: 500},
+		{Kind: balance.Send, Request: 0x2978f5d3a91c4, After: 8492, Server: 0x0a124a07232b},
+		{Kind: balance.SetTimer, Token: 77, After: 500},
 	})
 	r.Add(5, []balance.Action{{Kind: balance.Log, Text: "two servers known"}})
-	r.Add(3, []balance.Action{{Kind: balance.Post, Peer: -1, Data: []byte("hi 7")}})
+	r.Add(3, []balance.Action{{Kind: balance.SendToPeer, Peer: -1, Data: []byte("hi 7")}})
 	var out bytes.Buffer
 	if _, err := r.WriteTo(&out); err != nil {
 		t.Fatal(err)
@@ -149,19 +149,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Seed != 9 || !cfg.Subscribe || cfg.Number != 2 || cfg.Peers != 5 || !cfg.Parallel || !cfg.Probes ||
-		cfg.Cancel || !cfg.WarmKeys || cfg.MaxAttempts != 4 || cfg.ColdFrom != 0.2 || cfg.Tenants[0].Share != 0.4 {
+	if cfg.Seed != 9 || !cfg.Subscribe || cfg.SidecarNumber != 2 || cfg.SidecarCount != 5 || !cfg.Parallel || !cfg.Probes ||
+		cfg.Cancel || !cfg.KeyAffinity || cfg.MaxAttempts != 4 || cfg.SlowStartFraction != 0.2 || cfg.Tenants[0].Share != 0.4 {
 		t.Errorf("%+v", cfg)
 	}
-	if want := (balance.Goal{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Goal != want {
+	if want := (balance.Goal{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Goal != want {
 		t.Errorf("goal %+v", cfg.Goal)
 	}
-	want := balance.Prices{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, Peer: 5, LateFail: 6}
-	if cfg.Prices != want {
-		t.Errorf("prices %+v", cfg.Prices)
+	want := balance.Penalties{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, PeerMessage: 5, LateFailure: 6}
+	if cfg.Penalties != want {
+		t.Errorf("prices %+v", cfg.Penalties)
 	}
 	second := cfg.Classes[1]
-	if second.Effect != balance.Keyed || second.Group != balance.GroupCell || second.Aim != 600 || second.Worth != 1 {
+	if second.Effect != balance.Keyed || second.Group != balance.GroupCell || second.LatencyTarget != 600 || second.Value != 1 {
 		t.Errorf("a class with keys left out: %+v", second)
 	}
 	if cfg.Reports != balance.ReportProbe || len(cfg.Fields) != 3 || cfg.Fields[1] != balance.FieldUnknown {
@@ -215,7 +215,7 @@
 		}
 		b := balance.New(cfg)
 		b.Start(10)
-		if _, err := b.Handle(10, balance.ServerList{Servers: []balance.Server{{ID: 1, Rating: 1}}}); err != nil {
+		if _, err := b.Handle(10, balance.ServerList{Servers: []balance.Server{{ID: 1, Capacity: 1}}}); err != nil {
 			t.Fatal(err)
 		}
 		acts, err := b.Handle(20, balance.Request{ID: 1, Remaining: 100})
@@ -223,7 +223,7 @@
 			t.Fatalf("a first request: %v, %+v", err, acts)
 		}
 		for _, a := range acts {
-			if !(a.At >= 0) {
+			if !(a.After >= 0) {
 				t.Fatalf("%+v", a)
 			}
 		}
