--- a/internal/sidecar/core/attempt.go
+++ b/internal/sidecar/core/attempt.go
@@ -63,8 +63,8 @@
 	if r.Message.Remainder != nil { // the time limit begins with the last byte of the body
 		call.Expires, call.Wait = time.Time{}, r.Wait
 	}
-	if action.At > 0 {
-		call.Expires = earlier(call.Expires, l.clock.timeAt(action.At))
+	if action.After > 0 {
+		call.Expires = earlier(call.Expires, l.clock.timeAt(action.After))
 	}
 	for _, previous := range r.attempts { // a keyed request must not be sent after servers may have forgotten its key
 		if r.effect == balance.Keyed && !previous.neverRan && !math.IsInf(r.windowMillis, 1) {
@@ -76,9 +76,9 @@
 
 // balancerResults translates the results of exchanges to those of the module.
 var balancerResults = [...]balance.Result{
-	upstream.Served: balance.OK, upstream.Failed: balance.Failed, upstream.Rejected: balance.Full,
+	upstream.Served: balance.OK, upstream.Failed: balance.Failed, upstream.Rejected: balance.Rejected,
 	upstream.TimedOut: balance.TimedOut, upstream.ConnectFailed: balance.ConnectFailed, upstream.Reset: balance.Reset,
-	upstream.Cancelled: balance.Cancelled, upstream.NotSent: balance.Moot,
+	upstream.Cancelled: balance.Cancelled, upstream.NotSent: balance.NotSent,
 }
 
 // onReplyStarted handles the beginning of a streamed reply. For the module the attempt ends here, since the server has done its work;
@@ -117,8 +117,8 @@
 	took := time.Since(a.sentAt)
 	l.logAttempt(a, out, took)
 	err := l.handle(balance.Outcome{
-		Request: r.id, Attempt: a.number, Server: a.serverID, Result: balancerResults[out.Result], Took: toMillis(took), Finished: r.closed,
-		Report: out.LoadReport, Spent: r.Message.Remainder != nil && r.Message.Remainder.Consumed(),
+		Request: r.id, Attempt: a.number, Server: a.serverID, Result: balancerResults[out.Result], Latency: toMillis(took), Finished: r.closed,
+		LoadReport: out.LoadReport, BodyConsumed: r.Message.Remainder != nil && r.Message.Remainder.Consumed(),
 	})
 	if err != nil && r.inFlight == 0 { // the module does not know the attempt and will not act on it
 		l.finish(r.id, front.Answer{Verdict: front.Failed})
--- a/internal/sidecar/core/fakes_test.go
+++ b/internal/sidecar/core/fakes_test.go
@@ -112,7 +112,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		class := func(e balance.Effect) balance.Class {
-			return balance.Class{Effect: e, Window: 500, Aim: 500, Deadline: 1000, Worth: 1}
+			return balance.Class{Effect: e, Window: 500, LatencyTarget: 500, Deadline: 1000, Value: 1}
 		}
 		r := &testCore{
 			t: t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)},
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -161,8 +161,8 @@
 		switch a.Kind {
 		case balance.Send:
 			l.send(a)
-		case balance.Refuse:
-			l.finish(a.Request, front.Answer{Verdict: front.Refused, RetryAfter: toDuration(a.At)})
+		case balance.Reject:
+			l.finish(a.Request, front.Answer{Verdict: front.Refused, RetryAfter: toDuration(a.After)})
 		case balance.Fail:
 			l.finish(a.Request, front.Answer{Verdict: front.Failed})
 		case balance.Cancel:
@@ -175,11 +175,11 @@
 			if s := l.servers[a.Server]; s != nil {
 				s.endpoint.CloseIdle()
 			}
-		case balance.Watch:
+		case balance.WatchList:
 			if l.stopWatch == nil { // otherwise a watch is open or being opened, and would have to start again
 				l.watch()
 			}
-		case balance.Fetch:
+		case balance.FetchList:
 			l.fetch()
 		case balance.Log:
 			l.log.Info(a.Text)
@@ -196,7 +196,7 @@
 	if r == nil && a.Request != 0 {
 		return
 	}
-	deadline := time.Now().Add(toDuration(a.At) + timerDelay)
+	deadline := time.Now().Add(toDuration(a.After) + timerDelay)
 	if r == nil {
 		l.timers.add(&timer{deadline: deadline, token: a.Token})
 		return
--- a/internal/sidecar/core/request.go
+++ b/internal/sidecar/core/request.go
@@ -94,7 +94,7 @@
 	l.requests[r.id] = r
 	event := balance.Request{
 		ID: r.id, Class: r.Class, Tenant: r.Tenant, WorkHint: toMillis(r.WorkHint),
-		Remaining: math.Max(toMillis(time.Until(r.deadline)), minRemaining), Repeat: r.ClientRetry, Open: streamed,
+		Remaining: math.Max(toMillis(time.Until(r.deadline)), minRemaining), ClientRetry: r.ClientRetry, BodyOpen: streamed,
 	}
 	if streamed {
 		event.Remaining = math.Max(toMillis(r.timeLimit()), minRemaining)
@@ -117,7 +117,7 @@
 	r.deadline = time.Now().Add(r.timeLimit())
 	a.timeout = &timer{deadline: r.deadline, attempt: a}
 	l.timers.add(a.timeout)
-	l.notify(balance.Written{Request: r.id, Attempt: a.number})
+	l.notify(balance.BodySent{Request: r.id, Attempt: a.number})
 }
 
 // finish gives a request its answer, unless it has one.
@@ -146,7 +146,7 @@
 			l.attemptEnded(a, upstream.Outcome{Result: upstream.NotSent, Err: upstream.ErrClientGone})
 		}
 	}
-	l.notify(balance.HangUp{Request: r.id})
+	l.notify(balance.ClientGone{Request: r.id})
 	l.removeIfOver(r)
 }
 
--- a/internal/sidecar/core/servers.go
+++ b/internal/sidecar/core/servers.go
@@ -77,7 +77,7 @@
 }
 
 // balancerStates translates the states of servers to those of the module.
-var balancerStates = [...]balance.State{member.Up: balance.Ready, member.Draining: balance.Draining, member.Removed: balance.Gone}
+var balancerStates = [...]balance.ServerState{member.Up: balance.Ready, member.Draining: balance.Draining, member.Removed: balance.Removed}
 
 // applyList updates the table of servers by an accepted list and passes the list to the module.
 func (l *Loop) applyList(list member.List, kind balance.ListKind) {
@@ -102,7 +102,7 @@
 // moduleEntry returns the module's form of an instance.
 func (l *Loop) moduleEntry(in *member.Instance) balance.Server {
 	entry := balance.Server{
-		ID: balance.ServerID(stableHash(in.ID)), State: balancerStates[in.State], Rating: in.Weight, Cell: in.Cell,
+		ID: balance.ServerID(stableHash(in.ID)), State: balancerStates[in.State], Capacity: in.Weight, Cell: in.Cell,
 		Zone: max(0, slices.Index(l.config.Zones, in.Zone)),
 		Kind: max(0, slices.Index(l.config.Kinds, in.Kind)),
 	}
@@ -118,7 +118,7 @@
 		delete(l.instances, in.ID)
 	}
 	s := l.servers[entry.ID]
-	if s == nil && entry.State == balance.Gone {
+	if s == nil && entry.State == balance.Removed {
 		return
 	}
 	if s == nil {
@@ -126,7 +126,7 @@
 		l.servers[entry.ID] = s
 	}
 	s.endpoint.Update(in.Addr, entry.State == balance.Ready)
-	if entry.State == balance.Gone { // attempts in flight keep the server
+	if entry.State == balance.Removed { // attempts in flight keep the server
 		delete(l.servers, entry.ID)
 	}
 	if entry.State == balance.Ready {
@@ -161,7 +161,7 @@
 		out := s.endpoint.CheckHealth(l.ctx)
 		l.post(func() {
 			l.notify(balance.ProbeResult{
-				Server: id, Result: balancerResults[out.Result], Took: toMillis(time.Since(began)), Report: out.LoadReport,
+				Server: id, Result: balancerResults[out.Result], Latency: toMillis(time.Since(began)), LoadReport: out.LoadReport,
 			})
 		})
 	}()
--- a/internal/sidecar/core/snapshot.go
+++ b/internal/sidecar/core/snapshot.go
@@ -17,7 +17,7 @@
 	Source string               `json:"Source"` // the name of the source of List
 	List   member.List          `json:"List"`
 	IDs    map[string]time.Time `json:"IDs"` // until when each is reserved; those of open requests too
-	Module balance.Memory       `json:"Module"`
+	Module balance.Snapshot       `json:"Module"`
 	Names  *Names               `json:"Names"` // of the positions in Module; nil: written by a version that has none
 }
 
@@ -42,7 +42,7 @@
 // remapMemory moves what was learned to the positions that its names have in this process. What has no name here, or belongs to a class
 // with other rules, is dropped. If the previous version gave no names, positions keep their meaning if there are as many classes, and
 // everything is dropped if not.
-func remapMemory(memory balance.Memory, previous *Names, current Names) balance.Memory {
+func remapMemory(memory balance.Snapshot, previous *Names, current Names) balance.Snapshot {
 	if previous == nil {
 		if len(memory.Classes) != len(current.Classes) {
 			memory.Classes, memory.Zones, memory.Kinds = nil, nil, nil
@@ -64,11 +64,11 @@
 	return sameRules && slices.Equal(n.Classes, other.Classes) && slices.Equal(n.Zones, other.Zones) && slices.Equal(n.Kinds, other.Kinds)
 }
 
-func remapClasses(memories []balance.ClassMemory, previous *Names, current Names) []balance.ClassMemory {
+func remapClasses(memories []balance.ClassSnapshot, previous *Names, current Names) []balance.ClassSnapshot {
 	sameRules := func(from, to int) bool {
 		return from >= len(previous.Rules) || to < len(current.Rules) && previous.Rules[from] == current.Rules[to]
 	}
-	remapped := make([]balance.ClassMemory, len(current.Classes))
+	remapped := make([]balance.ClassSnapshot, len(current.Classes))
 	for from, memory := range memories {
 		if to, ok := newPosition(from, previous.Classes, current.Classes); ok && to < len(remapped) && sameRules(from, to) {
 			remapped[to] = memory
@@ -113,7 +113,7 @@
 		for _, r := range l.requests {
 			ids[r.TraceID] = r.deadline
 		}
-		encode(Snapshot{Source: l.source.Name(), List: list, IDs: ids, Module: l.balancer.Memory(), Names: l.names()})
+		encode(Snapshot{Source: l.source.Name(), List: list, IDs: ids, Module: l.balancer.Snapshot(), Names: l.names()})
 	})
 	select {
 	case <-done:
@@ -142,5 +142,5 @@
 		l.log.Info("other settings than before: learned times are taken where class, effect and window agree",
 			"before", before.Classes, "now", now.Classes)
 	}
-	l.balancer.Recall(remapMemory(previous.Module, previous.Names, *now))
+	l.balancer.Restore(remapMemory(previous.Module, previous.Names, *now))
 }
