--- a/internal/sidecar/core/snapshot.go
+++ b/internal/sidecar/core/snapshot.go
@@ -17,7 +17,7 @@
 	Source string               `json:"Source"` // the name of the source of List
 	List   member.List          `json:"List"`
 	IDs    map[string]time.Time `json:"IDs"` // until when each is reserved; those of open requests too
-	Module balance.Snapshot       `json:"Module"`
+	Module balance.Snapshot     `json:"Module"`
 	Names  *Names               `json:"Names"` // of the positions in Module; nil: written by a version that has none
 }
 
