--- a/internal/rig/load/client.go
+++ b/internal/rig/load/client.go
@@ -216,7 +216,7 @@
 	silent = err != nil
 	var resp *http.Response
 	if err == nil {
-		resp, err = http.ReadResponse(cn.in, &http.Request{Method: q.method})
+		resp, err = http.ReadResponse(cn.in, &http.Request{Method: q.method}) //nolint:bodyclose // it is read to its end; the connection is the client's own
 	}
 	var body []byte
 	if err == nil {
@@ -231,10 +231,10 @@
 		return silent, err
 	}
 	call.Answered, call.Status = since(), resp.StatusCode
-	switch {
-	case resp.StatusCode == http.StatusOK:
+	switch resp.StatusCode {
+	case http.StatusOK:
 		call.Result, call.Body = audit.Served, audit.BodySum(body)
-	case resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode == http.StatusServiceUnavailable:
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		call.Result = audit.Refused
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
 			call.RetryAfter = time.Duration(s * float64(time.Second))
--- a/internal/rig/load/run.go
+++ b/internal/rig/load/run.go
@@ -124,7 +124,7 @@
 			wait(ctx, until)
 		}
 		if ctx.Err() != nil {
-			return nil
+			return nil //nolint:nilerr // the end of the run is no failure of it
 		}
 		o := x.mix.draw(n, a)
 		if x.Trace != nil {
