--- a/internal/common/yamlfile/yamlfile.go
+++ b/internal/common/yamlfile/yamlfile.go
@@ -99,3 +99,21 @@
 	*d = v
 	return nil
 }
+
+// Reader reads the value of a field, as Fields wants it. Its error says what to write; Fields adds the place.
+type Reader = func(*yaml.Node) error
+
+// Into returns the Reader that decodes a value; want says what is wanted.
+func Into(to any, want string) Reader {
+	return func(n *yaml.Node) error { return Decode(n, to, want) }
+}
+
+// IntoAddress returns the Reader of host:port.
+func IntoAddress(to *string) Reader {
+	return func(n *yaml.Node) error { return Address(n, to) }
+}
+
+// IntoDuration returns the Reader of a time with bounds.
+func IntoDuration(to *time.Duration, minimum, maximum time.Duration) Reader {
+	return func(n *yaml.Node) error { return Within(n, to, minimum, maximum) }
+}
--- a/internal/coordination/driver/planfile.go
+++ b/internal/coordination/driver/planfile.go
@@ -31,8 +31,6 @@
 	maxStageTime      = 7 * 24 * time.Hour
 )
 
-type fieldReader = func(*yaml.Node) error
-
 // ReadPlan reads a plan file.
 func ReadPlan(path string) (*PlanFile, error) {
 	text, err := os.ReadFile(path)
@@ -71,32 +69,23 @@
 	return yamlfile.Problem(p.file, n, field, what)
 }
 
-// decodes returns a reader of a value; want says what is expected of it.
-func decodes(to any, want string) fieldReader {
-	return func(n *yaml.Node) error { return yamlfile.Decode(n, to, want) }
-}
-
-func readsDuration(to *time.Duration, minimum, maximum time.Duration) fieldReader {
-	return func(n *yaml.Node) error { return yamlfile.Within(n, to, minimum, maximum) }
-}
-
 func (p *planParser) readTop(top *yaml.Node) error {
 	plan := &p.result.Plan
-	return yamlfile.Fields(p.file, "", top, map[string]fieldReader{
-		"application": decodes(&plan.Application, "a name"),
-		"from":        decodes(&plan.From, "a release"),
-		"to":          decodes(&plan.To, "a release"),
-		"at_once":     decodes(&plan.MaxConcurrent, "a number from 1 on"),
-		"unavailable": decodes(&plan.MaxUnavailable, "a number from 1 on"),
-		"before":      readsDuration(&plan.BaselinePeriod, 0, maxBaselinePeriod),
-		"patience":    readsDuration(&plan.EvidenceTimeout, time.Second, maxStageTime),
-		"hold":        decodes(&plan.KeepOnStop, "true or false"),
+	return yamlfile.Fields(p.file, "", top, map[string]yamlfile.Reader{
+		"application": yamlfile.Into(&plan.Application, "a name"),
+		"from":        yamlfile.Into(&plan.From, "a release"),
+		"to":          yamlfile.Into(&plan.To, "a release"),
+		"at_once":     yamlfile.Into(&plan.MaxConcurrent, "a number from 1 on"),
+		"unavailable": yamlfile.Into(&plan.MaxUnavailable, "a number from 1 on"),
+		"before":      yamlfile.IntoDuration(&plan.BaselinePeriod, 0, maxBaselinePeriod),
+		"patience":    yamlfile.IntoDuration(&plan.EvidenceTimeout, time.Second, maxStageTime),
+		"hold":        yamlfile.Into(&plan.KeepOnStop, "true or false"),
 		"agents": func(n *yaml.Node) error {
 			p.agents = *n
 			return yamlfile.Decode(n, &p.result.Agents, "a list of host:port")
 		},
-		"judge":  decodes(&p.judge, "none, or fields"),
-		"stages": decodes(&p.stages, "a list"),
+		"judge":  yamlfile.Into(&p.judge, "none, or fields"),
+		"stages": yamlfile.Into(&p.stages, "a list"),
 	})
 }
 
@@ -132,10 +121,10 @@
 	}
 	config.Disabled = n.Value == "none"
 	const fraction = "a share between 0 and 1"
-	err := yamlfile.Fields(p.file, "judge.", n, map[string]fieldReader{
-		"false_stops":  decodes(&config.FalseStopRate, fraction),
-		"missed_stops": decodes(&config.MissedStopRate, fraction),
-		"effect":       decodes(&config.MinEffect, fraction),
+	err := yamlfile.Fields(p.file, "judge.", n, map[string]yamlfile.Reader{
+		"false_stops":  yamlfile.Into(&config.FalseStopRate, fraction),
+		"missed_stops": yamlfile.Into(&config.MissedStopRate, fraction),
+		"effect":       yamlfile.Into(&config.MinEffect, fraction),
 	})
 	if err != nil {
 		return err
@@ -150,13 +139,13 @@
 func (p *planParser) readStages(*yaml.Node) error {
 	return yamlfile.Each(p.file, "stages", &p.stages, func(path string, n *yaml.Node) error {
 		var s rollout.Stage
-		err := yamlfile.Fields(p.file, path+".", n, map[string]fieldReader{
-			"names":   decodes(&s.Selector.Names, "a list of sidecars"),
-			"zone":    decodes(&s.Selector.Zone, "a zone"),
-			"count":   decodes(&s.Selector.Count, "a number from 1 on"),
-			"share":   decodes(&s.Selector.Share, "a share above 0, up to 1"),
-			"control": decodes(&s.ControlCount, "a number"),
-			"least":   readsDuration(&s.MinWatch, 0, maxStageTime),
+		err := yamlfile.Fields(p.file, path+".", n, map[string]yamlfile.Reader{
+			"names":   yamlfile.Into(&s.Selector.Names, "a list of sidecars"),
+			"zone":    yamlfile.Into(&s.Selector.Zone, "a zone"),
+			"count":   yamlfile.Into(&s.Selector.Count, "a number from 1 on"),
+			"share":   yamlfile.Into(&s.Selector.Share, "a share above 0, up to 1"),
+			"control": yamlfile.Into(&s.ControlCount, "a number"),
+			"least":   yamlfile.IntoDuration(&s.MinWatch, 0, maxStageTime),
 		})
 		p.result.Plan.Stages = append(p.result.Plan.Stages, s)
 		return err
--- a/internal/coordination/machine/parse.go
+++ b/internal/coordination/machine/parse.go
@@ -20,8 +20,6 @@
 	oldAdminAddressesKey = "doors"
 )
 
-type fieldReader = func(*yaml.Node) error
-
 // parser reads one file of settings.
 type parser struct {
 	file        string
@@ -81,32 +79,22 @@
 	return yamlfile.Problem(p.file, n, field, what)
 }
 
-// decodes returns a reader of a value; want says what is expected of it.
-func decodes(to any, want string) fieldReader {
-	return func(n *yaml.Node) error { return yamlfile.Decode(n, to, want) }
-}
-
-func readsAddress(to *string) fieldReader {
-	return func(n *yaml.Node) error { return yamlfile.Address(n, to) }
-}
-
-func readsDuration(to *time.Duration, minimum time.Duration) fieldReader {
-	return func(n *yaml.Node) error { return yamlfile.Within(n, to, minimum, 24*time.Hour) }
-}
+// maxDuration bounds all times of the file.
+const maxDuration = 24 * time.Hour
 
 func (p *parser) readTop(top *yaml.Node) error {
 	c := p.config
-	return yamlfile.Fields(p.file, "", top, map[string]fieldReader{
-		"application":  decodes(&c.Application, "a name"),
-		"listen":       readsAddress(&c.Listen),
-		"allow_remote": decodes(&p.allowRemote, "true or false"),
-		"data":         decodes(&c.Data, "a folder"),
-		"releases":     decodes(&c.Releases, "a folder"),
-		"release":      decodes(&c.Release, "the name of a release"),
+	return yamlfile.Fields(p.file, "", top, map[string]yamlfile.Reader{
+		"application":  yamlfile.Into(&c.Application, "a name"),
+		"listen":       yamlfile.IntoAddress(&c.Listen),
+		"allow_remote": yamlfile.Into(&p.allowRemote, "true or false"),
+		"data":         yamlfile.Into(&c.Data, "a folder"),
+		"releases":     yamlfile.Into(&c.Releases, "a folder"),
+		"release":      yamlfile.Into(&c.Release, "the name of a release"),
 
-		"limits":        decodes(&p.limits, "fields"),
-		"sidecars":      decodes(&p.sidecars, "a list"),
-		"configuration": decodes(&p.configuration, "fields"),
+		"limits":        yamlfile.Into(&p.limits, "fields"),
+		"sidecars":      yamlfile.Into(&p.sidecars, "a list"),
+		"configuration": yamlfile.Into(&p.configuration, "fields"),
 	})
 }
 
@@ -139,15 +127,15 @@
 		return p.problem(n, "limits", "write fields such as ready: 6s")
 	}
 	c := p.config
-	return yamlfile.Fields(p.file, "limits.", n, map[string]fieldReader{
-		"ready":              readsDuration(&c.Limits.ReadyTimeout, 100*time.Millisecond),
-		"trial":              readsDuration(&c.Limits.TrialPeriod, 0),
-		"end":                readsDuration(&c.Limits.TerminationTimeout, 100*time.Millisecond),
-		"cut_off":            readsDuration(&c.Limits.IsolationTimeout, time.Second),
-		"restart_pause":      readsDuration(&c.Limits.InitialBackoff, 10*time.Millisecond),
-		"restart_pause_most": readsDuration(&c.Limits.MaxBackoff, 10*time.Millisecond),
-		"heard":              readsDuration(&c.ContactTimeout, 100*time.Millisecond),
-		"look":               readsDuration(&c.PollInterval, 10*time.Millisecond),
+	return yamlfile.Fields(p.file, "limits.", n, map[string]yamlfile.Reader{
+		"ready":              yamlfile.IntoDuration(&c.Limits.ReadyTimeout, 100*time.Millisecond, maxDuration),
+		"trial":              yamlfile.IntoDuration(&c.Limits.TrialPeriod, 0, maxDuration),
+		"end":                yamlfile.IntoDuration(&c.Limits.TerminationTimeout, 100*time.Millisecond, maxDuration),
+		"cut_off":            yamlfile.IntoDuration(&c.Limits.IsolationTimeout, time.Second, maxDuration),
+		"restart_pause":      yamlfile.IntoDuration(&c.Limits.InitialBackoff, 10*time.Millisecond, maxDuration),
+		"restart_pause_most": yamlfile.IntoDuration(&c.Limits.MaxBackoff, 10*time.Millisecond, maxDuration),
+		"heard":              yamlfile.IntoDuration(&c.ContactTimeout, 100*time.Millisecond, maxDuration),
+		"look":               yamlfile.IntoDuration(&c.PollInterval, 10*time.Millisecond, maxDuration),
 	})
 }
 
@@ -159,8 +147,8 @@
 	}
 	c := p.config
 	c.Limits.VersionTrialPeriod = min(defaultVersionTrialPeriod, c.Limits.TrialPeriod)
-	err := yamlfile.Fields(p.file, section+".", n, map[string]fieldReader{
-		"trial":        readsDuration(&c.Limits.VersionTrialPeriod, 10*time.Millisecond),
+	err := yamlfile.Fields(p.file, section+".", n, map[string]yamlfile.Reader{
+		"trial":        yamlfile.IntoDuration(&c.Limits.VersionTrialPeriod, 10*time.Millisecond, maxDuration),
 		"member":       p.readMember,
 		"coordinators": p.readCoordinators,
 	})
@@ -240,11 +228,11 @@
 		addresses, err = readAdminAddresses(n)
 		return err
 	}
-	err = yamlfile.Fields(p.file, path+".", n, map[string]fieldReader{
-		"name":   decodes(&s.Name, "a name"),
-		"zone":   decodes(&s.Zone, "a name"),
-		"listen": readsAddress(&s.Listen),
-		"set":    decodes(&overrides, "fields of the settings"),
+	err = yamlfile.Fields(p.file, path+".", n, map[string]yamlfile.Reader{
+		"name":   yamlfile.Into(&s.Name, "a name"),
+		"zone":   yamlfile.Into(&s.Zone, "a name"),
+		"listen": yamlfile.IntoAddress(&s.Listen),
+		"set":    yamlfile.Into(&overrides, "fields of the settings"),
 		adminAddressesKey: func(n *yaml.Node) error {
 			p.adminAddressesInFile = true
 			return readsAddresses(n)
