--- a/internal/coordination/driver/many_test.go
+++ b/internal/coordination/driver/many_test.go
@@ -28,13 +28,13 @@
 		start := &rollout.Start{Plan: rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: max(1, n/20), MaxUnavailable: max(1, n/20), EvidenceTimeout: time.Minute,
 			Judge:  rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.2},
 			Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 0.05}, ControlCount: max(1, n/20)}, {Selector: rollout.Selector{Share: 0.25}, ControlCount: max(1, n/20)}, {Selector: rollout.Selector{Share: 1}}}}}
-		var all []*deployment.Played
+		var agents []*deployment.Played
 		for i := range n {
 			p, err := deployment.Play(fmt.Sprintf("n%04d", i), "old")
 			if err != nil {
 				t.Fatal(err)
 			}
-			all = append(all, p)
+			agents = append(agents, p)
 			start.Members = append(start.Members, rollout.Member{Name: p.Name, Agent: p.Addr})
 			start.Reports = append(start.Reports, p.Report())
 		}
@@ -48,39 +48,39 @@
 			t.Fatal(err)
 		}
 		began := time.Now()
-		told, err := o.Call(ctx, fleet.Request{Rollout: &rollout.Command{Application: "a", Change: "c", Start: start}})
-		if err != nil || told.Rollout.Error != "" {
-			t.Fatal(err, told)
+		response, err := o.Call(ctx, fleet.Request{Rollout: &rollout.Command{Application: "a", Change: "c", Start: start}})
+		if err != nil || response.Rollout.Error != "" {
+			t.Fatal(err, response)
 		}
 		var app rollout.Application
 		name := "a"
 		for end := time.Now().Add(2 * time.Minute); app.Current == nil || !app.Current.State.Phase.Over(); {
-			told, err := o.Call(ctx, fleet.Request{Changes: &name})
-			if err != nil || json.Unmarshal(told.Changes, &app) != nil || time.Now().After(end) {
+			response, err := o.Call(ctx, fleet.Request{Changes: &name})
+			if err != nil || json.Unmarshal(response.Changes, &app) != nil || time.Now().After(end) {
 				t.Fatal(err, app.Current.State.Phase, app.Current.State.WaitingFor())
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		took := time.Since(began)
-		looks, orders := 0, 0
-		for _, p := range all {
-			looks, orders = looks+p.Looks(), orders+p.Orders()
+		elapsed := time.Since(began)
+		polls, orders := 0, 0
+		for _, p := range agents {
+			polls, orders = polls+p.Looks(), orders+p.Orders()
 		}
 		after, err := o.Status(ctx, addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d agents: %v after %v; %d entries of the log (%.1f a second), %d events, %d looks at agents (%.0f a second), %d orders; state of %d bytes", n, app.Current.State.Phase,
-			took.Round(100*time.Millisecond), after.Applied-before.Applied, float64(after.Applied-before.Applied)/took.Seconds(), app.Current.EventCount, looks, float64(looks)/took.Seconds(),
+		t.Logf("%d agents: %v after %v; %d entries of the log (%.1f a second), %d events, %d polls of agents (%.0f a second), %d orders; state of %d bytes", n, app.Current.State.Phase,
+			elapsed.Round(100*time.Millisecond), after.Applied-before.Applied, float64(after.Applied-before.Applied)/elapsed.Seconds(), app.Current.EventCount, polls, float64(polls)/elapsed.Seconds(),
 			orders, len(must(json.Marshal(app.Current))))
 		if want := n + 2*max(1, n/20); app.Current.State.Phase != rollout.Done || orders != want {
 			t.Errorf("%v (%s), %d orders, want %d", app.Current.State.Phase, app.Current.State.Reason, orders, want)
 		}
-		all[0].Fall("old") // after the end: it is shown, and nothing is done about it
+		agents[0].Fall("old") // after the end it is reported, and nothing is done about it
 		for end := time.Now().Add(20 * time.Second); app.Current.State.Sidecars()[0].Release != "old"; time.Sleep(50 * time.Millisecond) {
-			told, err := o.Call(ctx, fleet.Request{Changes: &name})
-			if err != nil || json.Unmarshal(told.Changes, &app) != nil || time.Now().After(end) {
-				t.Fatal("it is not shown", err)
+			response, err := o.Call(ctx, fleet.Request{Changes: &name})
+			if err != nil || json.Unmarshal(response.Changes, &app) != nil || time.Now().After(end) {
+				t.Fatal("it is not reported", err)
 			}
 		}
 		cancel()
@@ -92,7 +92,7 @@
 		case <-time.After(10 * time.Second):
 			t.Fatal("the driver does not end")
 		}
-		for _, p := range all {
+		for _, p := range agents {
 			p.Close()
 		}
 		stop()
--- a/internal/coordination/evidence/evidence_test.go
+++ b/internal/coordination/evidence/evidence_test.go
@@ -219,7 +219,7 @@
 }
 
 // The old sidecars do worse once there are new ones: the change pauses, because the reason is unknown. What was as bad before has no effect.
-func TestTheTimeBefore(t *testing.T) {
+func TestBaseline(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after uint64
 		restarted     bool // it happens to those alone that this change has restarted
--- a/internal/coordination/rollout/report/report_test.go
+++ b/internal/coordination/rollout/report/report_test.go
@@ -14,8 +14,8 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// change is a change of four sidecars in two stages, after some events, as the log's register has it.
-func change(t *testing.T, events ...rollout.Event) *rollout.Change {
+// newChange returns a change of four sidecars in two stages, after some events, as the log's register has it.
+func newChange(t *testing.T, events ...rollout.Event) *rollout.Change {
 	t.Helper()
 	r := rollout.NewRegister()
 	start := &rollout.Start{Plan: rollout.Plan{Application: "a<b>", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: time.Hour, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02},
@@ -83,7 +83,7 @@
 		"the last stage": {with(verdict("no worse", 9, 0, 0), rollout.Event{Elapsed: time.Minute}), []string{"ordered n2 carries out order 4", "no-control the last stage has nobody"}},
 	} {
 		var text strings.Builder
-		for _, l := range Explain(change(t, c.events...)) {
+		for _, l := range Explain(newChange(t, c.events...)) {
 			fmt.Fprintln(&text, l.Rule, l.Text)
 		}
 		for _, want := range c.want {
@@ -101,11 +101,11 @@
 	for i := range 3000 {
 		events = append(events, verdict("not enough evidence", float64(1+i%2000), 2, 1), rollout.Event{Elapsed: time.Second / 4})
 	}
-	c := change(t, append(events, verdict("worse", 2001, 2, 1))...)
+	c := newChange(t, append(events, verdict("worse", 2001, 2, 1))...)
 	if n := len(c.Results[0].Course); n < 1000 || n > 2000 {
 		t.Errorf("%d points", n)
 	}
-	passed := change(t, with(verdict("not enough evidence", 1, 0, 0), rollout.Event{Elapsed: 2 * time.Minute}, verdict("no worse", 9, 0, 0))...)
+	passed := newChange(t, with(verdict("not enough evidence", 1, 0, 0), rollout.Event{Elapsed: 2 * time.Minute}, verdict("no worse", 9, 0, 0))...)
 	if course := passed.Results[0].Course; passed.State.Stage != 2 || course[len(course)-1].StageElapsed != 2*time.Minute {
 		t.Errorf("stage %d: %+v", passed.State.Stage, course)
 	}
