--- a/cmd/petrelhook-coordinator/distribute_test.go
+++ b/cmd/petrelhook-coordinator/distribute_test.go
@@ -163,7 +163,7 @@
 		g.Clients[i].To(other.Serves(other.All[0].Process))
 	}
 	o := &fleet.Operator{Addrs: g.Addrs()}
-	peertest.Eventually(t, "the new group has heard what they hold", func() bool {
+	peertest.Eventually(t, "the new group knows what they hold", func() bool {
 		of, _ := o.InForce(t.Context(), "service-2")
 		s := of["service-2"]
 		return s.Reported == 10 && s.Ahead >= newest["service-2"]
@@ -203,7 +203,7 @@
 	for _, cut := range []struct {
 		what    string
 		in, out bool
-	}{{"a follower hears nobody", true, false}, {"a follower is not heard", false, true}} {
+	}{{"no message reaches a follower", true, false}, {"no message of a follower arrives", false, true}} {
 		m := follower()
 		m.Cut(true, cut.in, cut.out)
 		all(cut.what)
@@ -275,17 +275,17 @@
 		defer cancel()
 		return watchAt(ctx, addr, distribute.Watch{Version: distribute.WireVersion, Service: "service-0", Member: "m"})
 	}
-	peertest.Eventually(t, "it tells", func() bool {
+	peertest.Eventually(t, "it answers watches", func() bool {
 		response, err := ask()
 		return err == nil && response.Newer != nil && response.Newer.Revision == newest
 	})
 	m.Cut(true, false, true) // the leader still reaches it; it does not reach the leader
-	peertest.Eventually(t, "it tells nothing", func() bool {
+	peertest.Eventually(t, "it answers no watch", func() bool {
 		_, err := ask()
 		return err != nil && strings.Contains(err.Error(), distribute.ErrStale.Error())
 	})
 	m.Cut(false, false, true)
-	peertest.Eventually(t, "it tells again", func() bool { _, err := ask(); return err == nil })
+	peertest.Eventually(t, "it answers watches again", func() bool { _, err := ask(); return err == nil })
 }
 
 func watchAt(ctx context.Context, addr string, w distribute.Watch) (*distribute.WatchResponse, error) {
--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/hard_test.go
@@ -371,13 +371,13 @@
 	g.All[leader].Stop()
 	next := hold(t, patient(t, g), "task")
 	<-time.After(10 * time.Second)
-	asked := make(chan *fleet.Response, 1)
+	renewed := make(chan *fleet.Response, 1)
 	go func() { // the request is in its queue when it goes on
 		response, _ := call(t.Context(), g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, KeepAlive: &replica.KeepAlive{Session: session}})
-		asked <- response
+		renewed <- response
 	}()
 	g.All[leader].Continue()
-	if response := peertest.Wait(t, asked); response != nil && response.SessionAlive {
+	if response := peertest.Wait(t, renewed); response != nil && response.SessionAlive {
 		t.Error("it says yes")
 	}
 	if !next.Valid() {
--- a/cmd/petrelhook-coordinator/process_test.go
+++ b/cmd/petrelhook-coordinator/process_test.go
@@ -88,7 +88,7 @@
 	progress := func() {
 		t.Helper()
 		was := len(r.Acts())
-		peertest.Eventually(t, "somebody acts", func() bool { return len(r.Acts()) > was+20 })
+		peertest.Eventually(t, "a holder acts", func() bool { return len(r.Acts()) > was+20 })
 	}
 	progress()
 	faults := map[string]int{}
@@ -106,11 +106,11 @@
 		looks = append(looks, contend.Looks(fmt.Sprint("h", i), out.String())...)
 	}
 	v := belief.Judge(looks, r.Acts())
-	t.Logf("%d coordinators, %d faults %v: %d looks, %d acts, %d holders in turn, %d acts refused by the guard", n, rounds, faults, v.Looks, v.Acts, v.Holders, v.Late)
+	t.Logf("%d coordinators, %d faults %v: %d checks, %d acts, %d holders one after another, %d acts refused by the guard", n, rounds, faults, v.Looks, v.Acts, v.Holders, v.Late)
 	for _, w := range v.Wrong {
 		t.Error(w)
 	}
 	if v.Holders < rounds {
-		t.Errorf("%d holders in turn", v.Holders)
+		t.Errorf("%d holders one after another", v.Holders)
 	}
 }
--- a/internal/coordination/distribute/simulation_test.go
+++ b/internal/coordination/distribute/simulation_test.go
@@ -214,15 +214,15 @@
 func (n *simCoordinator) requestConfirmation() {
 	n.world.after(simConfirmInterval, n.requestConfirmation)
 	n.run(n.incarnation, func() {
-		asked, life := n.world.now, n.incarnation
+		requestedAt, incarnation := n.world.now, n.incarnation
 		n.world.after(n.world.delay(), func() {
 			if n.partitioned || n.world.allDown {
 				return
 			}
 			index := len(n.world.log)
 			n.world.after(n.world.delay(), func() {
-				n.run(life, func() {
-					n.confirmations = append(n.confirmations, leaderConfirmation{asked, index})
+				n.run(incarnation, func() {
+					n.confirmations = append(n.confirmations, leaderConfirmation{requestedAt, index})
 					n.confirm()
 					if n.applied < index {
 						n.follow(index)
@@ -312,7 +312,7 @@
 		}
 		n.reports.Touch(n.world.now, w.Service, w.Member)
 		n.reports.SetKnownRevision(w.Service, w.Member, w.Known)
-		c.cancel = n.watches.Add(n.world.now, w, func(told WatchResponse, err error) { n.answer(c, told, err) })
+		c.cancel = n.watches.Add(n.world.now, w, func(response WatchResponse, err error) { n.answer(c, response, err) })
 	})
 }
 
--- a/internal/coordination/distribute/subscriber_test.go
+++ b/internal/coordination/distribute/subscriber_test.go
@@ -20,7 +20,7 @@
 	broken.Content = broken.Content[:4]
 	empty := version("a", 8, "")
 	for name, c := range map[string]struct {
-		told Version
+		sent Version
 		want error
 	}{
 		"newer":           {version("a", 8, `{"n":8}`), nil},
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := NewSubscriber(DefaultSubscriberOptions("a", "m", 3, rand.New(rand.NewPCG(1, 1)).Int64N), 7, 0)
 			call := s.Begin(time.Second)
-			v, err := s.Answered(2*time.Second, WatchResponse{Newer: &c.told})
+			v, err := s.Answered(2*time.Second, WatchResponse{Newer: &c.sent})
 			if !errors.Is(err, c.want) || (v == nil) != (err != nil) {
 				t.Fatalf("%v %v", v, err)
 			}
@@ -213,23 +213,23 @@
 			snapshots = append(snapshots, r.Snapshot())
 			return v
 		}
-		tell := func(s *Subscriber, told Version) {
+		deliver := func(s *Subscriber, sent Version) {
 			before := s.Revision()
 			late := rapid.Bool().Draw(t, "late")
 			var v *Version
 			var err error
 			if late {
-				v, err = s.Accept(WatchResponse{Newer: &told})
+				v, err = s.Accept(WatchResponse{Newer: &sent})
 			} else {
 				s.Begin(0)
-				v, err = s.Answered(0, WatchResponse{Newer: &told})
+				v, err = s.Answered(0, WatchResponse{Newer: &sent})
 			}
-			good := told.Service == s.options.Service && told.Revision > before && told.Digest == Digest(told.Content)
+			good := sent.Service == s.options.Service && sent.Revision > before && sent.Digest == Digest(sent.Content)
 			if good != (v != nil) || good != (err == nil) || s.Revision() < before {
-				t.Fatalf("%s at %d: %+v, %v, holds %d", s.options.Service, before, told, err, s.Revision())
+				t.Fatalf("%s at %d: %+v, %v, holds %d", s.options.Service, before, sent, err, s.Revision())
 			}
 			if good && (s.Revision() != v.Revision || v.Revision <= before) || !good && s.Revision() != before {
-				t.Fatalf("%d became %d by %+v", before, s.Revision(), told)
+				t.Fatalf("%d became %d by %+v", before, s.Revision(), sent)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -240,13 +240,13 @@
 					t.Fatal(err)
 				}
 			},
-			"tell the newest": func(*rapid.T) {
+			"send the newest": func(*rapid.T) {
 				s := rapid.SampledFrom(subs).Draw(t, "subscriber")
 				if v, ok := r.Newest(s.options.Service); ok {
-					tell(s, v)
+					deliver(s, v)
 				}
 			},
-			"tell any": func(*rapid.T) {
+			"send any": func(*rapid.T) {
 				if len(versions) == 0 {
 					return
 				}
@@ -254,7 +254,7 @@
 				if rapid.IntRange(0, 3).Draw(t, "half") == 0 {
 					v.Content = v.Content[:rapid.IntRange(0, len(v.Content)-1).Draw(t, "bytes")]
 				}
-				tell(rapid.SampledFrom(subs).Draw(t, "subscriber"), v)
+				deliver(rapid.SampledFrom(subs).Draw(t, "subscriber"), v)
 			},
 			"publish above": func(*rapid.T) {
 				service := rapid.SampledFrom(services).Draw(t, "service")
@@ -265,7 +265,7 @@
 				v := publish(service, held)
 				for _, s := range subs {
 					if s.options.Service == service {
-						if tell(s, v); s.Revision() != v.Revision {
+						if deliver(s, v); s.Revision() != v.Revision {
 							t.Fatalf("%d is held, not %d", s.Revision(), v.Revision)
 						}
 					}
--- a/internal/coordination/distribute/watches_test.go
+++ b/internal/coordination/distribute/watches_test.go
@@ -163,9 +163,9 @@
 	h := newRecorder()
 	h.watches.Confirmed(0)
 	var cancel func()
-	h.watches.Add(0, Watch{Service: "s", MaxWait: time.Second}, func(told WatchResponse, err error) {
+	h.watches.Add(0, Watch{Service: "s", MaxWait: time.Second}, func(response WatchResponse, err error) {
 		cancel()
-		h.add(0, "again", "s", told.Newer.Revision, time.Second)
+		h.add(0, "again", "s", response.Newer.Revision, time.Second)
 		h.newest["s"] = version("s", 2, `{}`)
 		h.watches.Changed(0, "s")
 	})
@@ -222,7 +222,7 @@
 				c.watch = Watch{Service: service(), MaxWait: c.at - now}
 				c.watch.Known = rapid.SampledFrom([]Revision{0, last, last + 2, newestOf[c.watch.Service].Revision}).Draw(t, "holds")
 				calls = append(calls, c)
-				c.cancel = w.Add(now, c.watch, func(told WatchResponse, err error) {
+				c.cancel = w.Add(now, c.watch, func(response WatchResponse, err error) {
 					if c.over {
 						t.Fatalf("%+v: a second response, or one after cancel", c)
 					}
@@ -234,10 +234,10 @@
 							t.Fatalf("%v: %v", now, err)
 						}
 					case !fresh():
-						t.Fatalf("%v: %+v, and it is not fresh", now, told)
-					case told.Newer != nil:
-						if told.Newer.Revision != newest.Revision || newest.Revision <= c.watch.Known {
-							t.Fatalf("%+v, newest %d: %+v", c, newest.Revision, told.Newer)
+						t.Fatalf("%v: %+v, and it is not fresh", now, response)
+					case response.Newer != nil:
+						if response.Newer.Revision != newest.Revision || newest.Revision <= c.watch.Known {
+							t.Fatalf("%+v, newest %d: %+v", c, newest.Revision, response.Newer)
 						}
 					case newest.Revision > c.watch.Known || c.at > now:
 						t.Fatalf("%+v: nothing newer at %v, newest %d", c, now, newest.Revision)
--- a/internal/coordination/replica/simulation_test.go
+++ b/internal/coordination/replica/simulation_test.go
@@ -31,7 +31,7 @@
 		history []porcupine.Operation
 		legal   bool
 	}{
-		"in turn":                   {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Release, 1, 1, 3), op(lease.Acquire, 2, 2, 5)}, true},
+		"one after another":         {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Release, 1, 1, 3), op(lease.Acquire, 2, 2, 5)}, true},
 		"reported again":            {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 1, 1, 3)}, true},
 		"one token of two":          {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 2, 1, 3)}, false},
 		"an older one":              {[]porcupine.Operation{op(lease.Acquire, 1, 2, 1), op(lease.Acquire, 2, 1, 3)}, false},
