--- a/internal/coordination/duty/duty.go
+++ b/internal/coordination/assignment/assignment.go
@@ -1,4 +1,4 @@
-// Package duty assigns singleton roles to the members of a fleet: many small tasks that one member at a time should do, such as the health
+// Package assignment assigns singleton roles to the members of a fleet: many small tasks that one member at a time should do, such as the health
 // checks of a server for its zone, or the watch of an endpoint list for a machine. It is pure: no I/O, no clock, and its functions are
 // safe for concurrent use. An assignment grants nothing: the owner of a task is whoever holds its lease (package lease), and the
 // assignment says which member should acquire which lease, and which should release it. Members that see the same fleet compute the same.
@@ -6,7 +6,7 @@
 // Invariants: a task is left out only where no member may have it; no member has more than its bound, unless all together cannot keep it;
 // of the tasks whose owner may keep them no more than MaxMoves are moved at one time; equal input makes equal output, in whatever order it
 // comes.
-package duty
+package assignment
 
 import (
 	"cmp"
--- a/internal/coordination/duty/duty_test.go
+++ b/internal/coordination/assignment/assignment_test.go
@@ -1,4 +1,4 @@
-package duty
+package assignment
 
 import (
 	"fmt"
--- a/internal/sidecar/wiring/imports_test.go
+++ b/internal/sidecar/wiring/imports_test.go
@@ -46,7 +46,7 @@
 	{"internal/sidecar/counts", "internal/sidecar/front internal/sidecar/message internal/sidecar/upstream"},
 	{"internal/coordination/rollout", ""},
 	{"internal/coordination/share", "internal/coordination/lease"},
-	{"internal/coordination/duty", ""},
+	{"internal/coordination/assignment", ""},
 	{"internal/coordination/distribute", ""},
 	{"internal/coordination/subscribe", "internal/coordination/distribute internal/coordination/rpc"},
 	{"internal/coordination/capacity", "internal/common/yamlfile"},
