--- a/cmd/petrelhook/recorded_test.go
+++ b/cmd/petrelhook/recorded_test.go
@@ -15,22 +15,22 @@
 	"petrelhook/internal/sidecar/handover"
 )
 
-// recorded are what sidecars of some versions have handed over, byte for byte; the newest is this version's. A version that hands over
-// something else gets a recording of its own: HANDOVER_RECORD=NAME go test ./cmd/petrelhook -run TestRecordedHandOvers
+// recorded has the states that sidecars of some versions handed over, byte for byte; the newest is this version's. A version that hands
+// over something else gets a recording of its own: HANDOVER_RECORD=NAME go test ./cmd/petrelhook -run TestRecordedHandOvers
 const recorded = "testdata/handover"
 
-// take has a process of the fleet's sidecar handed over to the test, as the next process would.
-func (f *fleet) take() (state []byte, link *handover.Link) {
+// requestHandover has a process of the fleet's sidecar hand over to the test, as to its successor.
+func (f *fleet) requestHandover() (state []byte, link *handover.Link) {
 	f.t.Helper()
-	ln, state, link, err := handover.NewRendezvous(f.dir, "n0", f.listen).Request(peertest.Patience)
+	received, err := handover.NewRendezvous(f.dir, "n0", f.listen).Request(peertest.Patience)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	ln.Close()
-	return state, link
+	received.Listener.Close()
+	return received.State, received.Link
 }
 
-// value is what stands at a path of a state; nil: nothing.
+// value is the value at a path in a state; nil: there is none.
 func value(state []byte, path ...string) (v any) {
 	if json.Unmarshal(state, &v) != nil {
 		return nil
@@ -42,27 +42,27 @@
 	return v
 }
 
-// kinds of values by their path, lists by their first entry.
-func shape(v any, at string, all map[string]string) map[string]string {
-	all[at] = fmt.Sprintf("%T", v)
+// shape adds the types of all values by their path, those of lists by their first entry.
+func shape(v any, path string, all map[string]string) map[string]string {
+	all[path] = fmt.Sprintf("%T", v)
 	switch v := v.(type) {
 	case map[string]any:
-		if strings.HasSuffix(at, "IDs") || strings.HasSuffix(at, "Zones") || strings.HasSuffix(at, "Kinds") { // by names of their own
+		if strings.HasSuffix(path, "IDs") || strings.HasSuffix(path, "Zones") || strings.HasSuffix(path, "Kinds") { // maps whose keys are data
 			break
 		}
 		for name, one := range v {
-			shape(one, at+"."+name, all)
+			shape(one, path+"."+name, all)
 		}
 	case []any:
 		if len(v) > 0 {
-			shape(v[0], at+"[]", all)
+			shape(v[0], path+"[]", all)
 		}
 	}
 	return all
 }
 
-// Versions side by side: this version goes on where each recorded one was, with its list and what it had learned, and hands over all
-// that each of them reads.
+// Versions side by side: this version continues with the state of each recorded one, with its list and what it had learned, and hands over
+// everything that each of them reads.
 func TestRecordedHandOvers(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	s := f.start()
@@ -72,7 +72,7 @@
 			t.Fatal(resp.Status)
 		}
 	}
-	own, link := f.take()
+	own, link := f.requestHandover()
 	link.Close()
 	s.end()
 	if name := os.Getenv("HANDOVER_RECORD"); name != "" {
@@ -89,10 +89,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tells := shape(value(own), "", map[string]string{})
-		for at, kind := range shape(value(state), "", map[string]string{}) {
-			if tells[at] != kind {
-				t.Errorf("%s reads %s (%s), and this version hands over %q", file, at, kind, tells[at])
+		written := shape(value(own), "", map[string]string{})
+		for path, kind := range shape(value(state), "", map[string]string{}) {
+			if written[path] != kind {
+				t.Errorf("%s reads %s (%s), and this version hands over %q", file, path, kind, written[path])
 			}
 		}
 		f := newFleet(t, peertest.Settings)
@@ -119,7 +119,7 @@
 		next := f.start()
 		ln.Close()
 		before.Close()
-		again, link := f.take()
+		again, link := f.requestHandover()
 		for _, path := range [][]string{{"core", "List"}, {"core", "Module", "Classes"}, {"core", "Module", "Quickest"}} {
 			if was, is := value(state, path...), value(again, path...); was == nil || !reflect.DeepEqual(was, is) {
 				t.Errorf("%s: %v: %v, and then %v", file, path, was, is)
--- a/internal/sidecar/handover/doc.go
+++ b/internal/sidecar/handover/doc.go
@@ -1,16 +1,17 @@
-// Package handover is how one process of a sidecar gives way to the next: a Unix socket through which the one in service
-// hands over its listening socket and what it knows, and a link that both keep while both live. It knows nothing of what is
-// handed over but its bytes and their checksum.
+// Package handover passes the listening socket and the state of one process of a sidecar to its successor, through a Unix socket at which
+// the process in service answers requests, and keeps a link between the two while both live. It does not interpret the state or the lines
+// of the link.
 //
-// With the socket itself there is one queue of connections for both, so that none is lost in the queue of the one that closes.
+// The listening socket itself is passed on, so that both processes have the same queue of connections and none is lost when the predecessor
+// closes its descriptor.
 //
-//	next                                    in service
+//	successor                               process in service
 //	connects, "petrelhook handover 1\n"
 //	                                        "petrelhook handover 1 LENGTH CRC\n", with the socket, and LENGTH bytes
 //	"ready\n" once it serves
-//	a line of either side whenever it has something to say
+//	lines of either side, at any time
 //	the end of the connection is the end of the process
 //
-// Invariants: what is not whole, of another version or of another checksum is an error and hands over nothing; a process in
-// service is never stopped by one that asks, and a start never waits for one that does not answer longer than it is told to.
+// Invariants: a hand-over that is incomplete, of another version or of another checksum is an error, and nothing of it is used. A request
+// never stops the process in service, and a successor never waits for an answer longer than its time-out.
 package handover
--- a/internal/sidecar/handover/frame.go
+++ b/internal/sidecar/handover/frame.go
@@ -11,58 +11,59 @@
 	version = 1
 	magic   = "petrelhook handover"
 	// maxState is more than the largest fleets need.
-	maxState     = 64 << 20
+	maxState = 64 << 20
+	// maxHelloLine is the most that is read of a hello.
 	maxHelloLine = 128
-	// maxLinkLine is the longest line of a link: a whole list of the largest fleets.
+	// maxLinkLine is the longest line of a link: a complete list of servers of the largest fleets.
 	maxLinkLine = 8 << 20
 )
 
-// hello is what the next process says first.
-func hello() string { return fmt.Sprintf("%s %d\n", magic, version) }
-
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// header announces a state.
+// ErrVersion is the error where the other process has another version of the format: nothing is handed over.
+var ErrVersion = errors.New("another version")
+
+// hello is the first line of the successor. The process in service answers it with a header.
+func hello() string { return fmt.Sprintf("%s %d\n", magic, version) }
+
+// header is the line that announces a state. The listening socket is sent with its first byte, and the state follows.
 func header(state []byte) string {
 	return fmt.Sprintf("%s %d %d %08x\n", magic, version, len(state), crc32.Checksum(state, castagnoli))
 }
 
-// ErrVersion is a process of another version: nothing is handed over between them.
-var ErrVersion = errors.New("another version")
-
-// parseVersion reads a line of either side up to its version, and gives what follows.
+// parseVersion reads a hello or a header up to its version, and returns what follows. Of another version it returns ErrVersion.
 func parseVersion(line string) (rest string, err error) {
-	var v int
-	after, ok := strings.CutPrefix(line, magic+" ")
+	var got int
+	afterMagic, ok := strings.CutPrefix(line, magic+" ")
 	if !ok {
 		return "", fmt.Errorf("no hand-over: %q", line)
 	}
-	number, rest, _ := strings.Cut(strings.TrimSuffix(after, "\n"), " ")
-	if _, err := fmt.Sscanf(number, "%d", &v); err != nil {
+	number, rest, _ := strings.Cut(strings.TrimSuffix(afterMagic, "\n"), " ")
+	if _, err := fmt.Sscanf(number, "%d", &got); err != nil {
 		return "", fmt.Errorf("no hand-over: %q", line)
 	}
-	if v != version {
-		return "", fmt.Errorf("%w: %d, ours is %d", ErrVersion, v, version)
+	if got != version {
+		return "", fmt.Errorf("%w: %d, ours is %d", ErrVersion, got, version)
 	}
 	return rest, nil
 }
 
-// parseHeader reads a header.
-func parseHeader(line string) (length int, sum uint32, err error) {
+// parseHeader reads the length and the checksum of the state that a header announces.
+func parseHeader(line string) (length int, checksum uint32, err error) {
 	rest, err := parseVersion(line)
 	if err != nil {
 		return 0, 0, err
 	}
-	if _, err := fmt.Sscanf(rest, "%d %x", &length, &sum); err != nil || length < 0 || length > maxState {
+	if _, err := fmt.Sscanf(rest, "%d %x", &length, &checksum); err != nil || length < 0 || length > maxState {
 		return 0, 0, fmt.Errorf("no hand-over: %q", line)
 	}
-	return length, sum, nil
+	return length, checksum, nil
 }
 
-// verifyChecksum says whether a state came whole and unchanged.
-func verifyChecksum(state []byte, sum uint32) error {
-	if got := crc32.Checksum(state, castagnoli); got != sum {
-		return fmt.Errorf("the state is damaged: checksum %08x, announced %08x", got, sum)
+// verifyChecksum reports a state that differs from what was announced.
+func verifyChecksum(state []byte, announced uint32) error {
+	if got := crc32.Checksum(state, castagnoli); got != announced {
+		return fmt.Errorf("the state is damaged: checksum %08x, announced %08x", got, announced)
 	}
 	return nil
 }
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -25,28 +25,28 @@
 	}
 }
 
-// inService is a process in service: a listener and its offer.
+// inService is a process in service: a listener and the server that hands it over.
 type inService struct {
 	*Server
-	ln     *net.TCPListener
-	met    chan *Link
-	over   chan struct{} // a link has ended
-	failed chan error
+	ln        *net.TCPListener
+	successor chan *Link
+	linkEnded chan struct{}
+	failed    chan error
 }
 
-func serving(t *testing.T, p Rendezvous, ln *net.TCPListener, state string) *inService {
+func serving(t *testing.T, r Rendezvous, ln *net.TCPListener, state string) *inService {
 	t.Helper()
-	s := &inService{ln: ln, met: make(chan *Link, 9), over: make(chan struct{}, 9), failed: make(chan error, 9)}
+	s := &inService{ln: ln, successor: make(chan *Link, 9), linkEnded: make(chan struct{}, 9), failed: make(chan error, 9)}
 	s.Server = &Server{
 		Snapshot: func() (*os.File, []byte, error) { f, err := ln.File(); return f, []byte(state), err },
 		OnSuccessor: func(l *Link) {
-			s.met <- l
+			s.successor <- l
 			l.ReadLines(func(line string) { l.Send("you said " + line) })
-			s.over <- struct{}{}
+			s.linkEnded <- struct{}{}
 		},
 		OnError: func(err error) { s.failed <- err },
 	}
-	if err := s.Start(p); err != nil {
+	if err := s.Start(r); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
@@ -63,8 +63,8 @@
 	return ln.(*net.TCPListener)
 }
 
-// Three processes, one after another, in a short folder and in one whose path no socket address holds: each has the socket of
-// the first, which goes on accepting after that one has closed it, and a connection that waited in the queue is not lost.
+// Three processes, one after another, in a folder with a short path and in one whose path no socket address holds: each has the listening
+// socket of the first, which goes on accepting after that process has closed it, and a connection in its queue is not lost.
 func TestThreeInARow(t *testing.T) {
 	long := t.TempDir()
 	for range 3 {
@@ -74,19 +74,23 @@
 		t.Fatal(err)
 	}
 	for _, dir := range []string{t.TempDir(), long} {
-		p, ln := NewRendezvous(dir, "n0", "127.0.0.1:8080"), listen(t)
+		r, ln := NewRendezvous(dir, "n0", "127.0.0.1:8080"), listen(t)
 		addr := ln.Addr().String()
 		for _, state := range []string{"", "one", strings.Repeat("two", 1_000_000)} {
-			s := serving(t, p, ln, state)
+			s := serving(t, r, ln, state)
 			waiting, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			next, got, link, err := p.Request(patience)
-			if err != nil || string(got) != state || next.Addr().String() != addr {
-				t.Fatalf("%v, %d bytes of %d", err, len(got), len(state))
+			received, err := r.Request(patience)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(received.State) != state || received.Listener.Addr().String() != addr {
+				t.Fatalf("%d bytes of %d", len(received.State), len(state))
 			}
-			wait(t, s.met)
+			next, link := received.Listener, received.Link
+			wait(t, s.successor)
 			ln.Close()
 			c, err := next.Accept()
 			if err != nil || c.RemoteAddr().String() != waiting.LocalAddr().String() {
@@ -95,56 +99,56 @@
 			c.Close()
 			waiting.Close()
 			link.Send("ready")
-			heard := make(chan string, 1)
-			go link.ReadLines(func(line string) { heard <- line })
-			if line := wait(t, heard); line != "you said ready" {
+			lines := make(chan string, 1)
+			go link.ReadLines(func(line string) { lines <- line })
+			if line := wait(t, lines); line != "you said ready" {
 				t.Errorf("%q", line)
 			}
 			link.Close()
-			wait(t, s.over)
+			wait(t, s.linkEnded)
 			ln = next.(*net.TCPListener)
 		}
 	}
 }
 
-// Nobody is there, nobody ever was, or somebody died and left his socket behind: a start from nothing, and the place can be had.
-func TestNobodyIsInService(t *testing.T) {
+// No process is in service, or one has died and left its socket file behind: there is no predecessor, and the rendezvous can be listened at.
+func TestNoPredecessor(t *testing.T) {
 	dir := t.TempDir()
-	p := NewRendezvous(dir, "n/0 ü", "a:1")
-	if p == NewRendezvous(dir, "n/0 ü", "a:2") || p == NewRendezvous(dir, "n_0 ü", "a:1") {
-		t.Error("two sidecars meet")
+	r := NewRendezvous(dir, "n/0 ü", "a:1")
+	if r == NewRendezvous(dir, "n/0 ü", "a:2") || r == NewRendezvous(dir, "n_0 ü", "a:1") {
+		t.Error("two sidecars have one rendezvous")
 	}
 	for range 2 {
-		if _, _, _, err := p.Request(patience); err != ErrNoPredecessor {
+		if _, err := r.Request(patience); !errors.Is(err, ErrNoPredecessor) {
 			t.Errorf("%v", err)
 		}
-		ln, err := p.listen()
+		ln, err := r.listen()
 		if err != nil {
 			t.Fatal(err)
 		}
-		ln.Close() // without a word, and its file stays
-		if _, err := os.Stat(p.path()); err != nil {
+		ln.Close() // as after a crash: its file stays
+		if _, err := os.Stat(r.path()); err != nil {
 			t.Error(err)
 		}
 	}
-	s := serving(t, p, listen(t), "x")
-	if _, _, link, err := p.Request(patience); err != nil {
+	s := serving(t, r, listen(t), "x")
+	if received, err := r.Request(patience); err != nil {
 		t.Error(err)
 	} else {
-		link.Close()
+		received.Link.Close()
 	}
 	s.Close()
-	if _, _, _, err := (Rendezvous{filepath.Join(dir, "none"), "x"}).Request(patience); err != ErrNoPredecessor {
+	if _, err := (Rendezvous{filepath.Join(dir, "none"), "x"}).Request(patience); !errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("%v", err)
 	}
 	if err := (&Server{}).Start(Rendezvous{filepath.Join(dir, "none"), "x"}); err == nil {
-		t.Error("a place in no folder")
+		t.Error("a rendezvous in no folder")
 	}
 }
 
-// Whatever the process in service says that is not a whole hand-over gives an error and nothing else; one that says nothing is
-// not waited for longer than told.
-func TestWhatIsNotWholeIsNotTaken(t *testing.T) {
+// An answer that is not a complete hand-over gives an error and nothing else; a process that does not answer is not waited for beyond the
+// time-out.
+func TestIncompleteHandoverIsAnError(t *testing.T) {
 	good := header([]byte("state"))
 	for name, c := range map[string]struct {
 		says    string
@@ -167,8 +171,8 @@
 		"a silent state":  {good + "st", 1, true, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := NewRendezvous(t.TempDir(), "n0", "a:1")
-			unix, err := p.listen()
+			r := NewRendezvous(t.TempDir(), "n0", "a:1")
+			unix, err := r.listen()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -199,11 +203,11 @@
 					<-release
 				}
 			}()
-			within := patience
+			timeout := patience
 			if c.hangs {
-				within = 20 * time.Millisecond
+				timeout = 20 * time.Millisecond
 			}
-			_, _, _, err = p.Request(within)
+			_, err = r.Request(timeout)
 			if err == nil || errors.Is(err, ErrNoPredecessor) || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v, want %q", err, c.want)
 			}
@@ -211,12 +215,12 @@
 	}
 }
 
-// Who asks in the wrong way, in another version, or dies in the middle is told of, and harms nobody: the next has all of it.
-func TestWhoAsksBadly(t *testing.T) {
-	p := NewRendezvous(t.TempDir(), "n0", "a:1")
-	s := serving(t, p, listen(t), strings.Repeat("state", 1_000_000))
+// A request that is malformed, of another version or broken off is reported, and does no harm: the next one gets the complete state.
+func TestMalformedRequests(t *testing.T) {
+	r := NewRendezvous(t.TempDir(), "n0", "a:1")
+	s := serving(t, r, listen(t), strings.Repeat("state", 1_000_000))
 	for _, says := range []string{"nonsense\n", "petrelhook handover 2\n", strings.Repeat("x", 1000), "petrel", hello()} {
-		conn, err := net.Dial("unix", p.path())
+		conn, err := net.Dial("unix", r.path())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,28 +232,31 @@
 		conn.Close()
 		wait(t, s.failed)
 	}
-	_, state, link, err := p.Request(patience)
-	if err != nil || len(state) != 5_000_000 {
-		t.Fatalf("%v, %d bytes", err, len(state))
+	received, err := r.Request(patience)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(received.State) != 5_000_000 {
+		t.Fatalf("%d bytes", len(received.State))
 	}
-	link.Close()
-	wait(t, s.over)
+	received.Link.Close()
+	wait(t, s.linkEnded)
 }
 
-// The one in service dies: the next hears of it by the end of the link.
-func TestTheEndOfTheOneBefore(t *testing.T) {
-	p := NewRendezvous(t.TempDir(), "n0", "a:1")
-	s := serving(t, p, listen(t), "x")
-	_, _, link, err := p.Request(patience)
+// The process in service ends: its successor sees the end of the link.
+func TestPredecessorEnds(t *testing.T) {
+	r := NewRendezvous(t.TempDir(), "n0", "a:1")
+	s := serving(t, r, listen(t), "x")
+	received, err := r.Request(patience)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
-	go func() { link.ReadLines(func(string) {}); close(ended) }()
-	wait(t, s.met)
+	go func() { received.Link.ReadLines(func(string) {}); close(ended) }()
+	wait(t, s.successor)
 	s.Close()
 	wait(t, ended)
-	if _, _, _, err := p.Request(patience); err != ErrNoPredecessor {
+	if _, err := r.Request(patience); !errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/sidecar/wiring/reload.go
+++ b/internal/sidecar/wiring/reload.go
@@ -8,7 +8,8 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// Reload reads the configuration again whenever asked to, until ctx ends. What cannot be read changes nothing.
+// Reload reads the configuration file again at each signal, and uses its discovery address, until ctx ends. Where the file is not valid,
+// nothing changes.
 func (s *Sidecar) Reload(ctx context.Context, path string, signals <-chan os.Signal) {
 	for {
 		select {
@@ -16,15 +17,15 @@
 			return
 		case <-signals:
 		}
-		c, err := config.Read(path)
+		cfg, err := config.Read(path)
 		if err == nil {
-			err = c.For(s.name)
+			err = cfg.For(s.name)
 		}
 		if err != nil {
 			s.log.Error("the configuration stays as it was", "err", err)
 			continue
 		}
-		s.core.Replace(s.source(c.Discovery))
-		s.loadedFile.Store(&counts.File{Digest: c.Digest, Reloads: s.loadedFile.Load().Reloads + 1})
+		s.core.Replace(s.source(cfg.Discovery))
+		s.loadedFile.Store(&counts.File{Digest: cfg.Digest, Reloads: s.loadedFile.Load().Reloads + 1})
 	}
 }
--- /dev/null
+++ b/internal/sidecar/wiring/run.go
@@ -0,0 +1,106 @@
+package wiring
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+
+	"petrelhook/internal/common/sock"
+	"petrelhook/internal/sidecar/admin"
+	"petrelhook/internal/sidecar/counts"
+	"petrelhook/internal/sidecar/lifecycle"
+)
+
+// Run serves clients, and operators where their listener is not nil, until stop ends, and then drains. It returns when all accepted requests
+// are answered and the core has ended. Where succession is not nil the process takes part in hand-overs. It is called once.
+func (s *Sidecar) Run(stop context.Context, clients, operators net.Listener, succession *Succession) error {
+	stopWaiting := context.AfterFunc(stop, func() { s.terminate(clients, succession) })
+	defer stopWaiting()
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	if operators != nil {
+		tasks.Go(func() { s.serveOperators(operators) })
+		defer operators.Close()
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	tasks.Go(func() { s.logStates(ctx) })
+	if succession != nil {
+		tasks.Go(func() { s.serveHandovers(ctx, succession, clients) })
+	}
+	tasks.Go(func() { s.becomeReady(ctx, succession) })
+
+	coreCtx, endCore := context.WithCancel(context.Background())
+	coreEnded := make(chan struct{})
+	go func() {
+		defer close(coreEnded)
+		s.core.Run(coreCtx)
+	}()
+	err := s.front.Serve(clients)
+	endCore()
+	<-coreEnded
+	return err
+}
+
+// terminate begins the drain. Where another process listens at the same address with a socket of its own, new connections go there.
+func (s *Sidecar) terminate(clients net.Listener, succession *Succession) {
+	if succession != nil && s.lifecycle.Status().After(lifecycle.Terminate).YieldsListener() {
+		if err := sock.Yield(clients); err != nil {
+			s.log.Warn("new connections may still come to this process", "err", err)
+		}
+	}
+	s.lifecycle.Apply(lifecycle.Terminate)
+}
+
+// serveOperators serves the calls of operators until their listener is closed.
+func (s *Sidecar) serveOperators(listener net.Listener) {
+	endpoint := admin.New(s.lifecycle)
+	if s.requestCounts != nil {
+		endpoint.Counts = s.operatorCounts
+	}
+	if err := endpoint.Serve(listener); err != nil {
+		s.log.Error("operators are not served any more", "err", err)
+	}
+}
+
+// operatorCounts is the answer to GET /api/counts.
+func (s *Sidecar) operatorCounts() any {
+	return struct {
+		counts.Report
+		File *counts.File `json:"file"`
+	}{counts.Report{Classes: s.requestCounts.Snapshot(), ServerUse: s.serverCounts.Snapshot()}, s.loadedFile.Load()}
+}
+
+// becomeReady makes the process ready once a server is known. A process that takes part in no hand-overs is ready without one after
+// lifecycle.MaxStartWait; a successor takes nothing over before it can serve.
+func (s *Sidecar) becomeReady(ctx context.Context, succession *Succession) {
+	var waitedEnough <-chan time.Time
+	if succession == nil {
+		waitedEnough = time.After(lifecycle.MaxStartWait)
+	}
+	select {
+	case <-s.serverKnown:
+	case <-waitedEnough:
+		s.log.Warn("ready without a server", "waited", lifecycle.MaxStartWait)
+	case <-ctx.Done():
+		return
+	}
+	s.announceReady(succession)
+}
+
+// logStates logs each change of the lifecycle's state until ctx ends.
+func (s *Sidecar) logStates(ctx context.Context) {
+	for last := lifecycle.Starting; ; {
+		status, changed := s.lifecycle.Watch()
+		if status.State() != last {
+			last = status.State()
+			s.log.Info("state", "now", last.String())
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-changed:
+		}
+	}
+}
--- a/internal/sidecar/wiring/serve.go
+++ b/internal/sidecar/wiring/serve.go
@@ -15,79 +15,87 @@
 	"petrelhook/internal/sidecar/handover"
 )
 
-// memoryFraction of the limit is what the Go runtime keeps to: stacks of C and kernel buffers come on top.
-const memoryFraction = 0.7
+const (
+	// memoryFraction of the limit is what the Go runtime keeps to. C stacks and kernel buffers come on top.
+	memoryFraction = 0.7
+	// handoverTimeout is how long the process in service may take to hand over.
+	handoverTimeout = time.Second
+	// adminRetryInterval is how often a successor tries to listen at the operators' address that its predecessor has.
+	adminRetryInterval = 50 * time.Millisecond
+)
 
-// Serve is a whole process of a sidecar: it listens or takes over, and serves until stop ends and then until all that it took is
-// answered. A signal on reload has the file at path read again.
+// Serve runs a complete process of a sidecar: it listens or takes over from a predecessor, and serves until stop ends and all accepted
+// requests are answered. At each signal on reload the configuration file at path is read again.
 func Serve(stop context.Context, path string, cfg *config.Config, dial Dial, reload <-chan os.Signal, log *slog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
-	memory := func(shared bool) { // with another process of this sidecar
-		if cfg.Limits.MemoryMB > 0 {
-			most := memoryFraction * float64(cfg.Limits.MemoryMB) * (1 << 20)
-			if shared {
-				most /= 2
-			}
-			debug.SetMemoryLimit(int64(most))
-		}
-	}
-	memory(false)
-	s, err := listen(cfg, log)
+	setMemoryLimit(cfg.Limits.MemoryMB, false)
+	start, err := listen(cfg, log)
 	if err != nil {
 		return err
 	}
-	sidecar, ln := NewFrom(cfg, s.state, dial, log), s.clients
-	sidecar.OnMemoryShared = memory
+	sidecar := NewFrom(cfg, start.state, dial, log)
+	sidecar.OnMemoryShared = func(shared bool) { setMemoryLimit(cfg.Limits.MemoryMB, shared) }
 	go sidecar.Reload(stop, path, reload)
-	log.Info("serving", "name", cfg.Name, "listen", ln.Addr().String())
-	if err := sidecar.Run(stop, ln, s.operators, s.succession); err != nil {
+	log.Info("serving", "name", cfg.Name, "listen", start.clients.Addr().String())
+	if err := sidecar.Run(stop, start.clients, start.operators, start.succession); err != nil {
 		return err
 	}
 	log.Info("stopped")
 	return nil
 }
 
-// startup is what a sidecar begins with.
-type startup struct {
-	clients, operators net.Listener // calls is nil where there is no address for operators
-	succession         *Succession
-	state              *HandoverState // nil: from nothing
+// setMemoryLimit limits the Go runtime to its part of a number of MiB, or to half of that while another process of the sidecar lives.
+// 0 is no limit.
+func setMemoryLimit(mib int, shared bool) {
+	if mib <= 0 {
+		return
+	}
+	limit := memoryFraction * float64(mib) * (1 << 20)
+	if shared {
+		limit /= 2
+	}
+	debug.SetMemoryLimit(int64(limit))
 }
 
-// handoverTimeout is how long the process in service may take to hand over.
-const handoverTimeout = time.Second
+// startup is what a process of a sidecar begins with.
+type startup struct {
+	clients, operators net.Listener   // operators is nil where the configuration has no address for them
+	succession         *Succession    // nil: there are no hand-overs
+	state              *HandoverState // nil: there is no predecessor
+}
 
-// listen listens for clients, and for operators where there is an address for them. With operators there are upgrades: then
-// it takes over from the process in service, or listens beside it.
-func listen(cfg *config.Config, log *slog.Logger) (s startup, err error) {
+// listen opens the listeners. Where the configuration has an address for operators there are hand-overs: then the clients' listener comes
+// from the process in service if there is one, or shares the address with it where the hand-over fails.
+func listen(cfg *config.Config, log *slog.Logger) (start startup, err error) {
 	if cfg.Admin == "" {
-		if s.clients, err = net.Listen("tcp", cfg.Listen); err != nil {
-			return s, fmt.Errorf("listen: %w", err)
+		if start.clients, err = net.Listen("tcp", cfg.Listen); err != nil {
+			return start, fmt.Errorf("listen: %w", err)
 		}
-		return s, nil
+		return start, nil
 	}
-	s.operators, err = net.Listen("tcp", cfg.Admin)
-	taken := sock.Taken(err)
-	if err != nil && !taken {
-		return s, fmt.Errorf("listen at admin_addr: %w", err)
+	start.operators, err = net.Listen("tcp", cfg.Admin)
+	addressInUse := sock.Taken(err)
+	if err != nil && !addressInUse {
+		return start, fmt.Errorf("listen at admin_addr: %w", err)
 	}
-	if _, port, _ := net.SplitHostPort(cfg.Listen); port != "0" { // else there is no address to share
-		s.clients, s.state, s.succession, err = RequestHandover(handover.NewRendezvous(os.TempDir(), cfg.Name, cfg.Listen), cfg.Listen, handoverTimeout)
+	if _, port, _ := net.SplitHostPort(cfg.Listen); port != "0" { // else each process has an address of its own
+		rendezvous := handover.NewRendezvous(os.TempDir(), cfg.Name, cfg.Listen)
+		start.clients, start.state, start.succession, err = RequestHandover(rendezvous, cfg.Listen, handoverTimeout)
 		if err != nil {
 			log.Warn("nothing is taken over", "err", err)
 		}
 	}
-	if taken { // in an upgrade the process in service may have the same address; operators call that one until it ends
-		if s.state == nil {
-			return s, fmt.Errorf("listen at admin_addr: %s is taken, and no process in service hands over", cfg.Admin)
+	if addressInUse { // by the predecessor, in an upgrade: operators call that process until it ends
+		if start.state == nil {
+			return start, fmt.Errorf("listen at admin_addr: %s is taken, and no process in service hands over", cfg.Admin)
 		}
-		s.operators = sock.ListenLater(cfg.Admin, 50*time.Millisecond)
+		start.operators = sock.ListenLater(cfg.Admin, adminRetryInterval)
 	}
-	if s.clients == nil {
-		if s.clients, err = sock.ListenShared(cfg.Listen); err != nil {
-			s.operators.Close()
-			return s, fmt.Errorf("listen: %w", err)
+	if start.clients == nil {
+		if start.clients, err = sock.ListenShared(cfg.Listen); err != nil {
+			start.operators.Close()
+			return start, fmt.Errorf("listen: %w", err)
 		}
 	}
-	return s, nil
+	return start, nil
 }
--- a/internal/sidecar/wiring/succession.go
+++ b/internal/sidecar/wiring/succession.go
@@ -7,236 +7,191 @@
 	"fmt"
 	"net"
 	"os"
-	"strings"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"petrelhook/internal/sidecar/core"
 	"petrelhook/internal/sidecar/handover"
 	"petrelhook/internal/sidecar/lifecycle"
-	"petrelhook/internal/sidecar/member/relay"
 )
 
-// Succession is a sidecar's place among its processes: the one before, and the next, which comes to the place.
+// acknowledgeTimeout is how long a successor waits for the acknowledgement that it serves before it goes on without: the predecessor may
+// hang.
+const acknowledgeTimeout = 500 * time.Millisecond
+
+// Succession is what a process knows of the hand-overs of its sidecar: the link to its predecessor, and where successors find it.
 type Succession struct {
 	Rendezvous          handover.Rendezvous
-	Predecessor         *handover.Link             // to the process before; nil: there is none
-	EvacuationRequested bool                       // what it said of operators' wishes
-	Share               *lifecycle.ConnectionShare // what the process before leaves for as long as it lives; nil: all
+	Predecessor         *handover.Link             // nil: there is none
+	EvacuationRequested bool                       // by operators, at the predecessor
+	Share               *lifecycle.ConnectionShare // what the predecessor leaves while it lives; nil: everything
 }
 
-// HandoverState is what one process hands to the next.
+// HandoverState is what a process hands over to its successor, in JSON. The names are those of the first version.
 type HandoverState struct {
 	EvacuationRequested bool                      `json:"out"` // operators want no clients here
 	Share               lifecycle.ConnectionShare `json:"room"`
 	Core                core.Snapshot             `json:"core"`
 }
 
-// The lines of a link. Each side tells the other what operators asked of it.
-const (
-	lineReady        = "ready" // of the next process: it serves as soon as it is heard
-	lineAcknowledged = "heard" // the answer to it
-	lineEvacuate     = "evacuate"
-	lineRejoin       = "rejoin"
-	lineFollows      = "follows" // of the process before: it would go by the next one's watch of discovery
-	lineWatch        = "watch "  // of the next process, which watches: a relay.Word in JSON; only to one that follows
-)
+// handoverProgress is how far the hand-overs from and to a process are.
+type handoverProgress struct {
+	offered       chan struct{} // closed when a successor can take over
+	successorLost chan struct{} // a successor has ended
+	acknowledged  chan struct{} // closed when the predecessor knows that this process serves
+	acknowledge   func()        // closes acknowledged, once
+	// evacuationSent is what the last hand-over said of an evacuation.
+	evacuationSent atomic.Bool
+}
 
-// acknowledgeTimeout is how long the next process waits to be heard before it serves all the same: the one before may hang.
-const acknowledgeTimeout = 500 * time.Millisecond
+func (p *handoverProgress) init() {
+	p.offered, p.successorLost, p.acknowledged = make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
+	p.acknowledge = sync.OnceFunc(func() { close(p.acknowledged) })
+}
 
-// RequestHandover asks the process in service for its listening socket and all that it hands over, if there is one. Where that fails
-// the sidecar starts from nothing; why is told by err, which is nil where nobody was there.
-func RequestHandover(place handover.Rendezvous, listen string, within time.Duration) (ln net.Listener, from *HandoverState, su *Succession, err error) {
-	su = &Succession{Rendezvous: place}
-	ln, state, link, err := place.Request(within)
+// RequestHandover asks the process in service, if there is one, for its listening socket, which must be that of an address, and for its
+// state. Without a predecessor both are nil and so is err; where the hand-over fails err says why, and the sidecar starts without a
+// predecessor. The succession is never nil.
+func RequestHandover(rendezvous handover.Rendezvous, listen string, timeout time.Duration) (net.Listener, *HandoverState, *Succession, error) {
+	succession := &Succession{Rendezvous: rendezvous}
+	received, err := rendezvous.Request(timeout)
 	if errors.Is(err, handover.ErrNoPredecessor) {
-		return nil, nil, su, nil
+		return nil, nil, succession, nil
 	}
 	if err != nil {
-		return nil, nil, su, err
-	}
-	from = &HandoverState{}
-	if ln.Addr().String() != listen {
-		err = fmt.Errorf("the socket is that of %s", ln.Addr())
-	} else if err = json.Unmarshal(state, from); err == nil && (from.Share.Clients < 0 || from.Share.Servers < 0) {
-		err = errors.New("the room is below 0")
+		return nil, nil, succession, err
 	}
+	state, err := readState(received, listen)
 	if err != nil {
-		ln.Close()
-		link.Close()
-		return nil, nil, su, err
+		received.Listener.Close()
+		_ = received.Link.Close() // err says why already
+		return nil, nil, succession, err
+	}
+	succession.Predecessor, succession.Share = received.Link, &state.Share
+	succession.EvacuationRequested = state.EvacuationRequested
+	return received.Listener, state, succession, nil
+}
+
+// readState reads the state of a hand-over whose socket must listen at an address.
+func readState(received *handover.Handover, listen string) (*HandoverState, error) {
+	if addr := received.Listener.Addr().String(); addr != listen {
+		return nil, fmt.Errorf("the socket is that of %s", addr)
+	}
+	state := &HandoverState{}
+	if err := json.Unmarshal(received.State, state); err != nil {
+		return nil, err
+	}
+	if state.Share.Clients < 0 || state.Share.Servers < 0 {
+		return nil, errors.New("the share of connections is below 0")
 	}
-	su.Predecessor, su.Share, su.EvacuationRequested = link, &from.Share, from.EvacuationRequested
-	return ln, from, su, nil
+	return state, nil
 }
 
-// serveHandovers serves the links to the processes before and after, until ctx ends.
-func (s *Sidecar) serveHandovers(ctx context.Context, su *Succession, ln net.Listener) {
+// serveHandovers serves the links to the predecessor and to successors until ctx ends.
+func (s *Sidecar) serveHandovers(ctx context.Context, succession *Succession, listener net.Listener) {
 	var links sync.WaitGroup
 	defer links.Wait()
-	if su.Predecessor != nil {
-		s.limitToShare(*su.Share)
-		links.Go(func() {
-			defer context.AfterFunc(ctx, func() { su.Predecessor.Close() })()
-			s.keep(su.Predecessor, false, su.EvacuationRequested)
-			s.restoreLimits()
-		})
-	}
-	offered := sync.OnceFunc(func() { close(s.handoverOffered) })
+	if succession.Predecessor != nil {
+		s.limitToShare(*succession.Share)
+		links.Go(func() { s.followPredecessor(ctx, succession) })
+	}
+	offered := sync.OnceFunc(func() { close(s.handover.offered) })
 	defer offered()
-	file, ok := ln.(interface{ File() (*os.File, error) })
-	if !ok {
+	socket, ok := listener.(interface{ File() (*os.File, error) })
+	if !ok { // a listener in memory
 		return
 	}
-	select { // the one before has its place until this one can serve
+	select { // the predecessor stays at the rendezvous until this process can serve
 	case <-s.serverKnown:
 	case <-ctx.Done():
 		return
 	}
-	for { // again where a next process that died has taken the place with it
-		offer := &handover.Server{
-			Snapshot:    func() (*os.File, []byte, error) { return s.snapshotForSuccessor(file.File) },
-			OnSuccessor: func(l *handover.Link) { s.keep(l, true, s.evacuationHandedOver.Load()) },
+	for { // again after a successor that ended, which may have listened at the rendezvous by then
+		server := &handover.Server{
+			Snapshot:    func() (*os.File, []byte, error) { return s.snapshotForSuccessor(socket.File) },
+			OnSuccessor: s.followSuccessor,
 			OnError:     func(err error) { s.log.Warn("nothing is handed over", "err", err) },
 		}
-		if err := offer.Start(su.Rendezvous); err != nil {
+		if err := server.Start(succession.Rendezvous); err != nil {
 			s.log.Warn("nobody can take over", "err", err)
 		} else {
-			defer offer.Close()
+			defer server.Close()
 		}
 		offered()
 		select {
-		case <-s.successorLost:
+		case <-s.handover.successorLost:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// snapshotForSuccessor is what the next process gets. From here on this one holds no more than it does, or half.
-func (s *Sidecar) snapshotForSuccessor(file func() (*os.File, error)) (*os.File, []byte, error) {
-	out := HandoverState{EvacuationRequested: s.lifecycle.Status().EvacuationRequested()}
-	s.evacuationHandedOver.Store(out.EvacuationRequested)
-	var state []byte
+// followPredecessor serves the link to the predecessor until that process has ended or ctx ends.
+func (s *Sidecar) followPredecessor(ctx context.Context, succession *Succession) {
+	link := succession.Predecessor
+	defer context.AfterFunc(ctx, func() { _ = link.Close() })()
+	(&peer{sidecar: s, link: link, reportedEvacuation: succession.EvacuationRequested}).serve()
+	s.restoreLimits()
+}
+
+// followSuccessor serves the link to a successor until that process has ended. Then this one has the sidecar to itself again.
+func (s *Sidecar) followSuccessor(link *handover.Link) {
+	(&peer{sidecar: s, link: link, isSuccessor: true, reportedEvacuation: s.handover.evacuationSent.Load()}).serve()
+	s.relay.PeerGone()
+	s.restoreLimits()
+	if status, _ := s.lifecycle.Apply(lifecycle.SuccessorLost); status.State() != lifecycle.Stopping {
+		select {
+		case s.handover.successorLost <- struct{}{}:
+		default: // a new server is about to be started already
+		}
+	}
+}
+
+// snapshotForSuccessor returns what a successor gets. From then on this process keeps to its own share of the connections.
+func (s *Sidecar) snapshotForSuccessor(socketFile func() (*os.File, error)) (*os.File, []byte, error) {
+	state := HandoverState{EvacuationRequested: s.lifecycle.Status().EvacuationRequested()}
+	s.handover.evacuationSent.Store(state.EvacuationRequested)
+	var encoded []byte
 	var err error
 	own, next := s.limits.Divide(lifecycle.ConnectionShare{Clients: s.front.OpenConnections(), Servers: s.upstream.Open()})
-	out.Share = next
-	if !s.core.Snapshot(func(l core.Snapshot) {
-		out.Core = l
-		state, err = json.Marshal(out)
+	state.Share = next
+	if !s.core.Snapshot(func(snapshot core.Snapshot) { // on the core's goroutine: the snapshot is not to be kept
+		state.Core = snapshot
+		encoded, err = json.Marshal(state)
 	}) {
 		err = errors.New("this process has ended")
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	socket, err := file()
+	socket, err := socketFile()
 	if err != nil {
 		return nil, nil, err
 	}
 	s.limitToShare(own)
-	return socket, state, nil
-}
-
-// keep follows a link until the other process has ended. Calls of operators to one hold for both; told is what the other
-// holds, as far as is known.
-func (s *Sidecar) keep(l *handover.Link, next, told bool) {
-	var mu sync.Mutex
-	ctx, end := context.WithCancel(context.Background())
-	var sides sync.WaitGroup
-	sides.Go(func() {
-		for {
-			now, over := s.lifecycle.Watch()
-			mu.Lock()
-			changed := now.EvacuationRequested() != told && now.State() != lifecycle.Stopping
-			told = now.EvacuationRequested()
-			mu.Unlock()
-			if changed && now.EvacuationRequested() {
-				l.Send(lineEvacuate)
-			} else if changed {
-				l.Send(lineRejoin)
-			}
-			select {
-			case <-ctx.Done():
-				return
-			case <-over:
-			}
-		}
-	})
-	leads := false
-	l.ReadLines(func(line string) {
-		if text, is := strings.CutPrefix(line, lineWatch); is {
-			var w relay.Update
-			if err := json.Unmarshal([]byte(text), &w); next && err == nil {
-				s.relay.Receive(w)
-			}
-			return
-		}
-		switch line {
-		case lineReady:
-			if next {
-				s.lifecycle.Apply(lifecycle.Succeeded)
-				l.Send(lineAcknowledged)
-				l.Send(lineFollows)
-			}
-		case lineAcknowledged:
-			s.acknowledge()
-		case lineFollows:
-			if !next && !leads {
-				leads = true
-				sides.Go(func() { s.relay.Publish(ctx, func(w relay.Update) error { return sayWord(l, w) }) })
-			}
-		case lineEvacuate, lineRejoin:
-			event := map[string]lifecycle.Event{lineEvacuate: lifecycle.Evacuate, lineRejoin: lifecycle.Rejoin}[line]
-			mu.Lock()
-			told = event == lifecycle.Evacuate
-			mu.Unlock()
-			s.lifecycle.Apply(event)
-		}
-	})
-	end()
-	sides.Wait()
-	if next {
-		s.relay.PeerGone()
-		s.restoreLimits()
-		if now, _ := s.lifecycle.Apply(lifecycle.SuccessorLost); now.State() != lifecycle.Stopping {
-			select {
-			case s.successorLost <- struct{}{}:
-			default: // the place is about to be taken already
-			}
-		}
-	}
-}
-
-// sayWord tells the process before what this one's watch is told.
-func sayWord(l *handover.Link, w relay.Update) error {
-	text, err := json.Marshal(w)
-	if err != nil {
-		return err
-	}
-	return l.Send(lineWatch + string(text))
+	return socket, encoded, nil
 }
 
-// announceReady says that this process serves, first to the one before, which must not take it for dead when it is told to end, and
-// then to everybody.
-func (s *Sidecar) announceReady(su *Succession) {
-	if su != nil && su.Predecessor != nil && su.Predecessor.Send(lineReady) == nil {
+// announceReady makes the process ready. The predecessor is notified first: it must know that it has a successor before it is terminated,
+// and whoever sees that this process is ready may terminate it. For the same reason the next hand-over is possible before.
+func (s *Sidecar) announceReady(succession *Succession) {
+	if succession != nil && succession.Predecessor != nil && succession.Predecessor.Send(lineReady) == nil {
 		select {
-		case <-s.acknowledged:
+		case <-s.handover.acknowledged:
 		case <-time.After(acknowledgeTimeout):
 		}
 	}
-	if su != nil { // who sees that this one serves may start the next
-		<-s.handoverOffered
+	if succession != nil {
+		<-s.handover.offered
 	}
 	s.lifecycle.Apply(lifecycle.ServersKnown)
 }
 
-// limitToShare bounds what this process holds while there are two; unshare ends that.
-func (s *Sidecar) limitToShare(r lifecycle.ConnectionShare) {
-	s.front.SetMaxConnections(max(1, r.Clients))
-	s.upstream.SetMaxConnections(max(1, r.Servers))
+// limitToShare bounds the connections and the memory of this process while there are two; restoreLimits ends that.
+func (s *Sidecar) limitToShare(share lifecycle.ConnectionShare) {
+	s.front.SetMaxConnections(max(1, share.Clients))
+	s.upstream.SetMaxConnections(max(1, share.Servers))
 	if s.OnMemoryShared != nil {
 		s.OnMemoryShared(true)
 	}
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -1,19 +1,18 @@
-// Package wiring puts one sidecar together: the core, the front before it, the servers behind it and the source of its
-// servers, each from what the configuration says. The program and the rehearsals in virtual time use the same one.
+// Package wiring makes one sidecar of its parts: the core, the front for clients, the connections to servers and the source of their
+// list, each with its part of the configuration. It also runs the process: listeners, hand-overs to successors, reloads. The program and
+// the rehearsals in virtual time use the same wiring.
 //
-// It is the only place that knows all rooms. What it hands to each is that room's settings, no more.
+// It is the only package that knows all the others, and decides nothing itself. A part gets its own settings and no others.
 package wiring
 
 import (
 	"context"
 	"log/slog"
 	"net"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"petrelhook/balance"
-	"petrelhook/internal/common/sock"
 	"petrelhook/internal/sidecar/admin"
 	"petrelhook/internal/sidecar/admission"
 	"petrelhook/internal/sidecar/config"
@@ -31,202 +30,143 @@
 )
 
 const (
-	idleFraction            = 0.8 // of the time after which a server closes an idle connection: we close it first
+	// idleFraction of the time after which a server closes an idle connection is when this side closes it, so that it is first.
+	idleFraction            = 0.8
 	defaultIdleTimeoutMS    = 10000
 	defaultConnectTimeoutMS = 1000
 )
 
-// Dial opens a connection to a server or to discovery, as net.Dialer.DialContext does. It is handed in so that a whole
-// sidecar can run on a network in memory.
+// Dial opens a connection to a server or to discovery, as net.Dialer.DialContext does. It is a parameter so that a complete sidecar can run
+// on a network in memory.
 type Dial = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// TCP is the Dial of a sidecar on sockets. Go's own keep-alive probes tell nothing here; attempts have deadlines.
+// TCP is the Dial of a sidecar on sockets. TCP keep-alive probes are off: attempts have deadlines.
 func TCP() Dial { return (&net.Dialer{KeepAlive: -1}).DialContext }
 
 // Sidecar is one sidecar.
 type Sidecar struct {
-	name          string
-	core          *core.Loop
-	requestCounts *counts.Front // nil, as asked is: there are no operators who ask
+	// OnMemoryShared is called when memory is shared with another process of the sidecar from now on, and when that has ended, from the
+	// goroutines of hand-overs. It is set before Run; nil: nobody is notified.
+	OnMemoryShared func(shared bool)
+
+	name      string
+	log       *slog.Logger
+	dial      Dial
+	limits    lifecycle.ConnectionShare // of connections, while there is one process
+	lifecycle *lifecycle.Machine
+	core      *core.Loop
+	front     *platform.Server
+	upstream  *http1.Pool
+	relay     *relay.Hub
+
+	// Counts for operators; nil where the configuration has no address for them.
+	requestCounts *counts.Front
 	serverCounts  *counts.Servers
-	front         *platform.Server
-	lifecycle     *lifecycle.Machine
-	upstream      *http1.Pool
-	dial          Dial
-	relay         *relay.Hub
-	log           *slog.Logger
-	limits        lifecycle.ConnectionShare // what it may hold when there is one process
 	loadedFile    atomic.Pointer[counts.File]
 
-	serverKnown          chan struct{} // closed when a server is known
-	handoverOffered      chan struct{} // closed when a next process can take over
-	successorLost        chan struct{} // a next process has died
-	evacuationHandedOver atomic.Bool   // what the last one was told of operators' wishes
-	acknowledged         chan struct{} // closed when the process before knows that this one serves
-	acknowledge          func()
+	serverKnown chan struct{} // closed when a server is known
+	handover    handoverProgress
+}
 
-	// OnShare is told when memory is shared with another process of the sidecar and when that has ended; nil: nobody is.
-	OnMemoryShared func(shared bool)
+// New makes a sidecar; Run runs it.
+func New(cfg *config.Config, dial Dial, log *slog.Logger) *Sidecar {
+	return NewFrom(cfg, nil, dial, log)
 }
 
-// New puts a sidecar together; Run runs it.
-func New(c *config.Config, dial Dial, log *slog.Logger) *Sidecar { return NewFrom(c, nil, dial, log) }
-
-// NewFrom puts a sidecar together that goes on where another process of it was.
-func NewFrom(c *config.Config, from *HandoverState, dial Dial, log *slog.Logger) *Sidecar {
-	module, life := &c.Profile.Config, lifecycle.New()
-	s := &Sidecar{name: c.Name, lifecycle: life, dial: dial, relay: relay.New(), log: log, serverKnown: make(chan struct{}), acknowledged: make(chan struct{}),
-		handoverOffered: make(chan struct{}), successorLost: make(chan struct{}, 1)}
-	s.loadedFile.Store(&counts.File{Digest: c.Digest})
-	s.acknowledge = sync.OnceFunc(func() { close(s.acknowledged) })
-	var legacy *core.Snapshot
-	if from != nil {
-		if legacy = &from.Core; from.EvacuationRequested {
-			life.Apply(lifecycle.Evacuate)
+// NewFrom makes a sidecar that continues with the state of its predecessor; nil: there is none.
+func NewFrom(cfg *config.Config, state *HandoverState, dial Dial, log *slog.Logger) *Sidecar {
+	s := &Sidecar{
+		name: cfg.Name, log: log, dial: dial, lifecycle: lifecycle.New(), relay: relay.New(), serverKnown: make(chan struct{}),
+	}
+	s.handover.init()
+	s.loadedFile.Store(&counts.File{Digest: cfg.Digest})
+	var previous *core.Snapshot
+	if state != nil {
+		previous = &state.Core
+		if state.EvacuationRequested {
+			s.lifecycle.Apply(lifecycle.Evacuate)
 		}
 	}
-	account := membudget.New(c.Limits.Messages())
-	var asked *counts.Servers
-	serversDial := dial
-	if c.Admin != "" {
-		asked = &counts.Servers{}
-		serversDial = asked.Dial(dial)
+	budget := membudget.New(cfg.Limits.Messages())
+	servers := s.newServers(cfg, budget)
+	s.core = core.New(core.Config{
+		Module: cfg.Profile.Config, Names: core.Names{Classes: cfg.Profile.Classes, Zones: cfg.Profile.Zones, Kinds: cfg.Profile.Kinds},
+		Known: cfg.Known, Previous: previous, OnServerAvailable: func() { close(s.serverKnown) },
+	}, s.source(cfg.Discovery), servers, log)
+	settings := frontSettings(cfg, budget)
+	var answerer front.Core = s.core
+	if cfg.Admin != "" {
+		s.requestCounts = counts.New(s.core, settings.Classes)
+		answerer = s.requestCounts
+	}
+	s.front = platform.New(settings, answerer, s.lifecycle, log)
+	s.limits = lifecycle.ConnectionShare{Clients: settings.Admission.MaxConnections, Servers: cfg.Limits.Servers()}
+	return s
+}
+
+// newServers makes the connections to servers, counted where operators can ask for the counts.
+func (s *Sidecar) newServers(cfg *config.Config, budget *membudget.Budget) upstream.Servers {
+	module := &cfg.Profile.Config
+	settings := http1.Settings{
+		MaxConnections:   cfg.Limits.Servers(),
+		ConnectTimeout:   milliseconds(orDefault(module.ConnectTimeout, defaultConnectTimeoutMS)),
+		IdleTimeout:      milliseconds(idleFraction * orDefault(cfg.Profile.ConnIdle, defaultIdleTimeoutMS)),
+		DrainGrace:       milliseconds(module.DrainGrace),
+		ResponseBudget:   budget,
+		LoadReportFields: cfg.Profile.Fields,
+		HealthCheckPath:  healthCheckPath(module),
+	}
+	if cfg.Admin == "" {
+		s.upstream = http1.New(settings, http1.Dial(s.dial))
+		return s.upstream
 	}
-	up := http1.New(http1.Settings{
-		MaxConnections: c.Limits.Servers(), ConnectTimeout: milliseconds(orDefault(module.ConnectTimeout, defaultConnectTimeoutMS)),
-		IdleTimeout: milliseconds(idleFraction * orDefault(c.Profile.ConnIdle, defaultIdleTimeoutMS)), DrainGrace: milliseconds(module.DrainGrace), ResponseBudget: account,
-		LoadReportFields: c.Profile.Fields, HealthCheckPath: healthCheckPath(module),
-	}, http1.Dial(serversDial))
-	var servers upstream.Servers = up
-	if asked != nil {
-		asked.Servers = up
-		servers = asked
+	s.serverCounts = &counts.Servers{}
+	s.upstream = http1.New(settings, http1.Dial(s.serverCounts.Dial(s.dial)))
+	s.serverCounts.Servers = s.upstream
+	return s.serverCounts
+}
+
+// frontSettings are the settings of the front.
+func frontSettings(cfg *config.Config, budget *membudget.Budget) platform.Settings {
+	settings := platform.Settings{
+		Tenants: cfg.Profile.Tenants, MemoryBudget: budget, Admission: admission.Config{MaxConnections: cfg.Limits.Clients()},
 	}
-	loop := core.New(core.Config{
-		Module: *module, Names: core.Names{Classes: c.Profile.Classes, Zones: c.Profile.Zones, Kinds: c.Profile.Kinds}, Known: c.Known,
-		Previous: legacy, OnServerAvailable: func() { close(s.serverKnown) },
-	}, s.source(c.Discovery), servers, log)
-	settings := platform.Settings{Tenants: c.Profile.Tenants, MemoryBudget: account, Admission: admission.Config{MaxConnections: c.Limits.Clients()}}
-	if c.Admin != "" && c.Limits.Sockets > 0 { // operators' calls are counted too
+	if cfg.Admin != "" && cfg.Limits.Sockets > 0 { // operators' connections are taken from those of clients
 		settings.Admission.MaxConnections = max(1, settings.Admission.MaxConnections-admin.MaxCalls)
 	}
-	for i, class := range module.Classes {
-		settings.Admission.Horizon = max(settings.Admission.Horizon, milliseconds(class.Deadline))
+	for i, class := range cfg.Profile.Config.Classes {
+		deadline := milliseconds(class.Deadline)
+		settings.Admission.Horizon = max(settings.Admission.Horizon, deadline)
 		settings.Classes = append(settings.Classes, front.Class{
-			Name: c.Profile.Classes[i], Effect: frontEffects[class.Effect], Deadline: milliseconds(class.Deadline),
+			Name: cfg.Profile.Classes[i], Effect: frontEffects[class.Effect], Deadline: deadline,
 		})
 	}
-	var taker front.Core = loop
-	if c.Admin != "" {
-		s.requestCounts = counts.New(loop, settings.Classes)
-		taker = s.requestCounts
-	}
-	s.core, s.upstream, s.serverCounts, s.front = loop, up, asked, platform.New(settings, taker, life, log)
-	s.limits = lifecycle.ConnectionShare{Clients: settings.Admission.MaxConnections, Servers: c.Limits.Servers()}
-	return s
+	return settings
 }
 
-// source is the discovery at an address, whose watch two processes of the sidecar share.
+// source is the discovery at an address. The two processes of a sidecar share its watch.
 func (s *Sidecar) source(addr string) member.Source {
 	d := discovery.New(addr, discovery.Dial(s.dial))
 	d.OnWatchOpened = func() { s.relay.WatchOpened(addr) }
 	return s.relay.Wrap(d)
 }
 
+// frontEffects are the front's effects by those of the decision module.
 var frontEffects = [...]front.Effect{balance.Safe: front.Safe, balance.Keyed: front.Keyed, balance.Unsafe: front.Unsafe}
 
-// healthCheckPath is the cheapest question that is answered with the load report, where there are any.
-func healthCheckPath(c *balance.Config) string {
-	if c.Reports != balance.ReportNone {
+// healthCheckPath is the cheapest request that is answered with a load report, where servers send any.
+func healthCheckPath(module *balance.Config) string {
+	if module.Reports != balance.ReportNone {
 		return "/_load"
 	}
 	return "/ping"
 }
 
-// Run serves clients on ln, and operators on calls where that is not nil, until stop ends, then drains. It returns when all
-// that was taken is answered and the core has ended. Where su is not nil it gives way to a next process.
-func (s *Sidecar) Run(stop context.Context, ln, calls net.Listener, su *Succession) error {
-	terminated := context.AfterFunc(stop, func() {
-		if su != nil && s.lifecycle.Status().After(lifecycle.Terminate).YieldsListener() {
-			if err := sock.Yield(ln); err != nil {
-				s.log.Warn("new connections may still come to this process", "err", err)
-			}
-		}
-		s.lifecycle.Apply(lifecycle.Terminate)
-	})
-	defer terminated()
-	var sides sync.WaitGroup
-	defer sides.Wait()
-	if calls != nil {
-		sides.Go(func() {
-			endpoint := admin.New(s.lifecycle)
-			if s.requestCounts != nil {
-				endpoint.Counts = func() any {
-					return struct {
-						counts.Report
-						File *counts.File `json:"file"`
-					}{counts.Report{Classes: s.requestCounts.Snapshot(), ServerUse: s.serverCounts.Snapshot()}, s.loadedFile.Load()}
-				}
-			}
-			if err := endpoint.Serve(calls); err != nil {
-				s.log.Error("operators are not heard any more", "err", err)
-			}
-		})
-		defer calls.Close()
-	}
-	told, untold := context.WithCancel(context.Background())
-	defer untold()
-	sides.Go(func() { s.logStates(told) })
-	if su != nil {
-		sides.Go(func() { s.serveHandovers(told, su, ln) })
-	}
-	sides.Go(func() {
-		var late <-chan time.Time // a next process takes nothing over before it can serve
-		if su == nil {
-			late = time.After(lifecycle.MaxStartWait)
-		}
-		select {
-		case <-s.serverKnown:
-		case <-late:
-			s.log.Warn("ready without a server", "waited", lifecycle.MaxStartWait)
-		case <-told.Done():
-			return
-		}
-		s.announceReady(su)
-	})
-	alive, end := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		s.core.Run(alive)
-	}()
-	err := s.front.Serve(ln)
-	end()
-	<-ended
-	return err
-}
-
-// logStates logs each change of the lifecycle, until ctx ends.
-func (s *Sidecar) logStates(ctx context.Context) {
-	for last := lifecycle.Starting; ; {
-		now, over := s.lifecycle.Watch()
-		if now.State() != last {
-			last = now.State()
-			s.log.Info("state", "now", last.String())
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-over:
-		}
-	}
-}
-
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func orDefault(v, otherwise float64) float64 {
-	if v > 0 {
-		return v
+func orDefault(value, otherwise float64) float64 {
+	if value > 0 {
+		return value
 	}
 	return otherwise
 }
