--- a/cmd/petrelhook/crowd_test.go
+++ b/cmd/petrelhook/crowd_test.go
@@ -16,8 +16,8 @@
 	"petrelhook/internal/rig/process"
 )
 
-// Idle clients come until no descriptor is left for them, while discovery is down: health answers, servers are reached, and the watch
-// opens when discovery is back. The process has no more descriptors than its configuration says.
+// Idle clients connect until no descriptor is left for them, while discovery is down: health is answered, servers are reached, and the watch
+// opens when discovery is back. The process has no more descriptors open than its configuration allows.
 func TestACrowdWhileDiscoveryIsDown(t *testing.T) {
 	const limit = 384
 	f := newFleet(t, peertest.Settings)
@@ -44,7 +44,7 @@
 		return resp.StatusCode
 	}
 	process.Until(t, "it is ready", func() bool { return ask(health) == 200 })
-	for i := range 3 * limit { // idle ones that never ask, that have asked, and that stop in a head
+	for i := range 3 * limit { // idle ones without a request, after a request, and within a head
 		c, err := net.Dial("tcp", f.listen)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/petrelhook/limits_test.go
+++ b/cmd/petrelhook/limits_test.go
@@ -12,7 +12,7 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// descriptors is how many a process holds.
+// descriptors is how many a process has open.
 func (s *sidecar) descriptors() int {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.Pid))
 	if err != nil {
@@ -21,8 +21,8 @@
 	return len(all)
 }
 
-// A crowd that takes all places of the one in service and then comes on: both processes of an upgrade together stay within the
-// limit of one, the next serves all the same, and has all places once the one before has ended.
+// Clients open all connections that the process in service accepts, and go on connecting: both processes of an upgrade together stay within
+// the limit of one, the successor serves all the same, and has the complete limit once its predecessor has ended.
 func TestBothProcessesWithinTheDescriptors(t *testing.T) {
 	const limit = 384
 	f := newFleet(t, peertest.Settings)
@@ -63,7 +63,7 @@
 		c, in := peertest.Open(t, f.listen)
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(time.Second))
-		io.WriteString(c, kinds[0](fmt.Sprint(time.Now().UnixNano())))
+		io.WriteString(c, requestKinds[0](fmt.Sprint(time.Now().UnixNano())))
 		line, _ := in.ReadString('\n')
 		return strings.Contains(line, " 200 ")
 	})
--- a/cmd/petrelhook/log_blocked_test.go
+++ b/cmd/petrelhook/log_blocked_test.go
@@ -17,7 +17,7 @@
 	"petrelhook/internal/rig/process"
 )
 
-// Nobody reads standard error any more, and it is full: each request still gets its answer in its time, and the process ends in order.
+// Standard error is full and not read any more: each request still gets its response before its deadline, and the process ends normally.
 func TestALogThatNobodyReads(t *testing.T) {
 	const deadline = time.Second
 	server := peertest.NewPeer(t, peertest.Says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")) // a line for each attempt
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(deadline + peertest.Patience/4)) // a machine in load is late, one that is held up never comes
+		c.SetDeadline(time.Now().Add(deadline + peertest.Patience/4)) // on a busy machine the response is late, from a blocked process it never comes
 		io.WriteString(c, request("GET", "look", fmt.Sprint("blocked-", i), "Connection: close\r\n", 0))
 		_, err = http.ReadResponse(bufio.NewReader(c), nil)
 		c.Close()
--- a/cmd/petrelhook/log_test.go
+++ b/cmd/petrelhook/log_test.go
@@ -9,8 +9,7 @@
 	"testing"
 )
 
-// Every line that the sidecar logs stands on the operators' page with all of its fields: who reads logs by machine
-// relies on the names.
+// Every log line of the sidecar is on the operators' page with all of its fields: programs that read logs rely on the names.
 func TestLogLinesAreOnThePage(t *testing.T) {
 	rows := func(name string) map[string]string {
 		page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operate", name))
--- a/cmd/petrelhook/main_test.go
+++ b/cmd/petrelhook/main_test.go
@@ -11,13 +11,13 @@
 	"testing"
 )
 
-const good = `{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
+const goodConfig = `{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
  "known": {"generation": 1, "reset": true, "instances": [
   {"instanceId": "s-1", "hostPort": "127.0.0.1:2", "lifecycle": "up", "weight": 1}]},
  "settings": {"classes": [{"name": "look", "effect": "read_like", "hard_limit_ms": 1000}]}}
 `
 
-func file(t *testing.T, text string) string {
+func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -26,10 +26,10 @@
 	return path
 }
 
-// Each call ends with its code and says what it has to say on the right output, in one line where something is wrong.
+// Each command line ends with its exit code and prints to the right output, one line where something is wrong.
 func TestCommandLine(t *testing.T) {
-	path := file(t, good)
-	bad := file(t, strings.Replace(good, `"read_like"`, `"odd"`, 1))
+	path := writeConfig(t, goodConfig)
+	bad := writeConfig(t, strings.Replace(goodConfig, `"read_like"`, `"odd"`, 1))
 	t.Setenv("LB_CONFIG", "")
 	for _, c := range []struct {
 		args      []string
@@ -60,9 +60,9 @@
 	}
 }
 
-// The operators' address of the variable goes before that of the file, and is judged like it.
+// The operators' address in the environment variable overrides that of the file, and is checked like it.
 func TestWhereOperatorsCall(t *testing.T) {
-	path := file(t, good)
+	path := writeConfig(t, goodConfig)
 	for addr, want := range map[string]string{"127.0.0.1:9600": "", "9600": `LB_ADMIN_ADDR: "9600" is no address; write host:port`} {
 		t.Setenv("LB_ADMIN_ADDR", addr)
 		var out, errs bytes.Buffer
@@ -83,7 +83,7 @@
 	}
 }
 
-// The flag goes before the variable, and the variable serves where there is no flag.
+// The flag overrides the environment variable.
 func TestWhichFile(t *testing.T) {
 	env := func(name string) string { return map[string]string{"LB_CONFIG": "from-env"}[name] }
 	for want, args := range map[string][]string{"from-env": nil, "given": {"--config", "given"}} {
@@ -93,7 +93,7 @@
 	}
 }
 
-// What is below the level stays out, and JSON lines hold the fields by name.
+// Lines below the level are not logged, and JSON lines have the fields by name.
 func TestLogger(t *testing.T) {
 	var out bytes.Buffer
 	log := options{logFormat: "json", logLevel: slog.LevelWarn}.logger(&out)
--- a/cmd/petrelhook/recorded_test.go
+++ b/cmd/petrelhook/recorded_test.go
@@ -66,8 +66,8 @@
 func TestRecordedHandOvers(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	s := f.start()
-	for i := range kinds {
-		resp, _ := peertest.Ask(t, f.listen, strings.Replace(kinds[i](fmt.Sprint("x", i)), "\r\n", "\r\nConnection: close\r\n", 1))
+	for i := range requestKinds {
+		resp, _ := peertest.Ask(t, f.listen, strings.Replace(requestKinds[i](fmt.Sprint("x", i)), "\r\n", "\r\nConnection: close\r\n", 1))
 		if resp.StatusCode != 200 {
 			t.Fatal(resp.Status)
 		}
--- a/cmd/petrelhook/signals_test.go
+++ b/cmd/petrelhook/signals_test.go
@@ -17,8 +17,7 @@
 	"petrelhook/internal/rig/process"
 )
 
-// A signal that asks for the file to be read again, while it is read for the first time: the process neither ends by it nor
-// forgets it.
+// A SIGHUP while the file is read for the first time neither ends the process nor is lost.
 func TestAHangUpSignalDuringTheStart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -28,17 +27,17 @@
 	cmd.Env = append(cmd.Env, "LB_CONFIG="+path, "LB_ADMIN_ADDR=")
 	p := process.Start(t, cmd)
 	write := func() {
-		file, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when somebody reads
+		file, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the other end is opened
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer file.Close()
 		if strings.Contains(p.Log.String(), "serving") {
-			io.WriteString(file, good)
+			io.WriteString(file, goodConfig)
 			return
 		}
 		p.Signal(syscall.SIGHUP)
-		io.WriteString(file, good)
+		io.WriteString(file, goodConfig)
 	}
 	write()
 	process.Until(t, "it serves", func() bool { return p.Log.Has("serving") || len(p.Ended) > 0 })
@@ -53,12 +52,12 @@
 	}
 }
 
-// Signals at each step of the end: whatever comes after SIGTERM, what was taken is answered, and the process ends well and in
-// time. The settings' longest deadline is a second, and a second server never answers.
+// Signals at each step of a shutdown: whatever comes after SIGTERM, accepted requests are answered, and the process ends with success and in
+// time. The longest deadline in the settings is a second, and one of two servers never answers.
 func TestSignalsInTheEnd(t *testing.T) {
 	const longest = time.Second
 	for _, again := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
-		for _, step := range []string{"a head is half read", "a body is half read", "a server hangs", "an answer is half written", "a connection rests"} {
+		for _, step := range []string{"a head is half read", "a body is half read", "a server hangs", "an answer is half written", "a connection is idle"} {
 			t.Run(fmt.Sprint(again, " while ", step), func(t *testing.T) {
 				t.Parallel()
 				taken, half := make(chan struct{}, 1), make(chan struct{})
@@ -91,14 +90,14 @@
 					whole, rest = whole[:len(whole)-500], whole[len(whole)-500:]
 				case "a server hangs":
 					want = 502
-				case "a connection rests":
+				case "a connection is idle":
 					rest = request("POST", "once", "u", "", 1000)
 				}
 				io.WriteString(c, whole)
 				switch step {
 				case "a server hangs", "an answer is half written":
 					peertest.Wait(t, taken)
-				case "a connection rests":
+				case "a connection is idle":
 					if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 {
 						t.Fatalf("before the end: %d", resp.StatusCode)
 					}
@@ -118,7 +117,7 @@
 					if n, err := io.Copy(io.Discard, resp.Body); resp.StatusCode != want || err != nil || n != resp.ContentLength {
 						t.Errorf("status %d, %d of %d bytes, %v", resp.StatusCode, n, resp.ContentLength, err)
 					}
-				case step != "a connection rests": // which may be closed: its request was not read
+				case step != "a connection is idle": // which may be closed: its request was not read
 					t.Errorf("%v", err)
 				}
 				if err := s.Wait(); err != nil || time.Since(began) > longest+700*time.Millisecond {
--- a/cmd/petrelhook/streams_test.go
+++ b/cmd/petrelhook/streams_test.go
@@ -40,8 +40,8 @@
 	return bytes << 10
 }
 
-// inPieces writes or reads n bytes of noise in pieces of 1 byte to 1 MiB, and gives their digest.
-func inPieces(seed uint64, n int64, move func([]byte) (int, error)) (string, error) {
+// inChunks writes or reads n random bytes in chunks of 1 byte to 1 MiB, and returns their digest.
+func inChunks(seed uint64, n int64, move func([]byte) (int, error)) (string, error) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	sum := sha256.New()
 	buffer := make([]byte, 1<<20)
@@ -57,8 +57,8 @@
 	return fmt.Sprintf("%x", sum.Sum(nil)), nil
 }
 
-// Long bodies and answers in pieces of any size, many at once and far more than memory holds, with peers that stop for a while and
-// some that go away half way: each that stays gets its own, and the process stays within its memory.
+// Long bodies and responses in chunks of any size, many at once and far more than the memory limit, with clients that pause and some that go
+// away half way: each of the others gets its own response, and the process stays within its memory limit.
 func TestLongMessagesInLittleMemory(t *testing.T) {
 	const memory = 32
 	n, size := streams()
@@ -108,11 +108,11 @@
 				}
 			}
 			fmt.Fprintf(c, "POST /once HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: once\r\nX-Expires-In: 9000m\r\n%s\r\n\r\n", id, framing)
-			if i%5 == 4 { // this one goes away half way
-				inPieces(uint64(i), size/2, write)
+			if i%5 == 4 { // this client goes away half way
+				inChunks(uint64(i), size/2, write)
 				return
 			}
-			sent, err := inPieces(uint64(i), size, write)
+			sent, err := inChunks(uint64(i), size, write)
 			if i%2 == 1 {
 				io.WriteString(c, "0\r\n\r\n")
 			}
@@ -127,7 +127,7 @@
 				return
 			}
 			got := int64(0)
-			if _, err := inPieces(uint64(i), size, func(p []byte) (int, error) {
+			if _, err := inChunks(uint64(i), size, func(p []byte) (int, error) {
 				n, err := io.ReadFull(resp.Body, p)
 				got += int64(n)
 				return n, err
--- a/cmd/petrelhook/upgrade_test.go
+++ b/cmd/petrelhook/upgrade_test.go
@@ -20,7 +20,7 @@
 	"petrelhook/internal/rig/process"
 )
 
-// The test's program is the sidecar's as well.
+// TestMain runs the sidecar instead of the tests in the processes that tests start.
 func TestMain(m *testing.M) {
 	if os.Getenv("PETRELHOOK_TEST_RUN") != "" {
 		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-// fleet is a server that counts how often each key ran, and clients that never stop asking.
+// fleet is a server that counts how often each request was executed, and clients that send requests without a pause.
 type fleet struct {
 	t      *testing.T
 	listen string // of the sidecar
@@ -36,20 +36,20 @@
 	config string
 	starts int
 
-	mu  sync.Mutex
-	ran map[string]int
+	mu       sync.Mutex
+	executed map[string]int
 
 	served, unread atomic.Int64
-	fresh          atomic.Int64 // connections that ended unread before their first answer, dialled while queued
+	unreadNew      atomic.Int64 // connections that ended unread before their first answer, dialled while queued
 	queued         atomic.Bool  // the process that ends is stopped: it accepts nothing, and what comes to its queue stays there
-	kills          atomic.Bool  // processes are killed: what one had taken is lost with it
+	kills          atomic.Bool  // processes are killed: requests that one had accepted are lost with it
 }
 
-// longBody is the size of the answers and bodies that are passed on as they come.
+// longBody is the size of the responses and bodies that are relayed as they come.
 const longBody = 300_000
 
 func newFleet(t *testing.T, settings string) *fleet {
-	f := &fleet{t: t, listen: peertest.Reserved(t), dir: t.TempDir(), ran: map[string]int{}}
+	f := &fleet{t: t, listen: peertest.Reserved(t), dir: t.TempDir(), executed: map[string]int{}}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		n, err := io.Copy(io.Discard, req.Body)
 		if err != nil {
@@ -57,7 +57,7 @@
 		}
 		if key := req.Header.Get("X-Trace-Id"); key != "" {
 			f.mu.Lock()
-			f.ran[key]++
+			f.executed[key]++
 			f.mu.Unlock()
 		}
 		if n == longBody {
@@ -121,7 +121,7 @@
 	return resp.StatusCode
 }
 
-// end tells a process to end and waits until it has.
+// end terminates a process and waits until it has ended.
 func (s *sidecar) end() {
 	s.f.t.Helper()
 	s.Signal(syscall.SIGTERM)
@@ -130,8 +130,8 @@
 	}
 }
 
-// kinds are the requests: one of each class, and one that is long both ways.
-var kinds = []func(id string) string{
+// requestKinds make the requests: one of each class, and one with a long body and a long response.
+var requestKinds = []func(id string) string{
 	func(id string) string { return request("GET", "look", id, "", 0) },
 	func(id string) string { return request("POST", "book", id, "Idempotency-Key: "+id+"\r\n", 212) },
 	func(id string) string { return request("POST", "once", id, "", 0) },
@@ -147,8 +147,8 @@
 		method, class, id, class, more, length, strings.Repeat("x", size))
 }
 
-// client asks without a pause until stop, on kept connections or on a new one each time. A connection that is ended before any
-// byte of an answer was not read by the sidecar, as the platform's protocol allows between requests; it is counted.
+// client sends requests without a pause until stop, on one connection or on a new one each time. A connection that ends before any byte of a
+// response was not read by the sidecar, which the platform's protocol allows between requests; it is counted.
 func (f *fleet) client(name string, keeps bool, stop <-chan struct{}) {
 	var c net.Conn
 	var in *bufio.Reader
@@ -171,18 +171,18 @@
 				in, answered = bufio.NewReader(c), false
 			}
 			c.SetDeadline(time.Now().Add(peertest.Patience))
-			io.WriteString(c, kinds[i%len(kinds)](id))
+			io.WriteString(c, requestKinds[i%len(requestKinds)](id))
 			resp, err := http.ReadResponse(in, nil)
-			if err != nil { // nothing of it ran, or it is lost
+			if err != nil { // it was not executed, or it is lost
 				f.mu.Lock()
-				ran := f.ran[id]
+				ran := f.executed[id]
 				f.mu.Unlock()
 				f.t.Logf("%s: %v at %s, from %s", id, err, time.Now().Format("05.000000"), c.LocalAddr())
 				if f.unread.Add(1); ran > 0 && !f.kills.Load() {
 					f.t.Errorf("%s: lost, and it ran: %v", id, err)
 				}
 				if !answered && queued {
-					f.fresh.Add(1)
+					f.unreadNew.Add(1)
 				}
 				c.Close()
 				c, again = nil, ran == 0
@@ -195,7 +195,7 @@
 				c = nil
 				continue
 			}
-			if want := map[bool]int64{false: 2, true: longBody}[i%len(kinds) == 3]; err != nil || resp.StatusCode != 200 || n != want {
+			if want := map[bool]int64{false: 2, true: longBody}[i%len(requestKinds) == 3]; err != nil || resp.StatusCode != 200 || n != want {
 				f.t.Errorf("%s: status %d, %d bytes, %v", id, resp.StatusCode, n, err)
 			}
 			f.served.Add(1)
@@ -207,8 +207,8 @@
 	}
 }
 
-// under runs clients while something is done, and judges: every request answered, none run twice.
-func (f *fleet) under(do func()) {
+// underLoad runs clients while do runs, and checks that every request is answered and none is executed twice.
+func (f *fleet) underLoad(do func()) {
 	f.t.Helper()
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -220,7 +220,7 @@
 	clients.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, n := range f.ran {
+	for id, n := range f.executed {
 		if n > 1 {
 			f.t.Errorf("%s ran %d times", id, n)
 		}
@@ -235,25 +235,25 @@
 	return n
 }
 
-// more waits until some more requests have been served: what is done next is done under load.
-func (f *fleet) more(n int64) {
+// waitForRequests waits until n more requests have been served, so that what comes next happens under load.
+func (f *fleet) waitForRequests(n int64) {
 	f.t.Helper()
 	want := f.served.Load() + n
 	peertest.Eventually(f.t, "more requests", func() bool { return f.served.Load() >= want || f.t.Failed() })
 }
 
-// Upgrade after upgrade under load, each process taking over from the one before: nothing is lost or refused, nothing runs twice.
+// Upgrades under load, each process taking over from the one before: no request is lost, refused or executed twice.
 func TestUpgradesUnderLoad(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	now := f.start()
-	f.under(func() {
+	f.underLoad(func() {
 		for range rounds() {
-			f.more(100)
+			f.waitForRequests(100)
 			next := f.start()
 			now.end()
 			now = next
 		}
-		f.more(100)
+		f.waitForRequests(100)
 	})
 	if now.Log.Has("nothing is taken over") {
 		t.Error("the last process started from nothing")
@@ -261,25 +261,25 @@
 	now.end()
 }
 
-// Clients are sent away and taken again, round after round, with requests that come all the same: as above.
+// Evacuations and rejoins under load: no request is lost, refused or executed twice.
 func TestEvacuationsUnderLoad(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	now := f.start()
-	f.under(func() {
+	f.underLoad(func() {
 		for range rounds() {
 			for _, call := range []string{"PUT /api/evacuate", "PUT /api/rejoin"} {
-				f.more(50)
+				f.waitForRequests(50)
 				if status := now.call(call); status != 200 {
 					t.Errorf("%s: %d", call, status)
 				}
 			}
 		}
-		f.more(50)
+		f.waitForRequests(50)
 	})
 	now.end()
 }
 
-// Operators' calls in the middle of an upgrade hold for both processes, and one that was evacuated before is for the next.
+// Operators' calls during an upgrade apply to both processes, and an evacuation from before it applies to the successor.
 func TestEvacuatedAcrossAnUpgrade(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	health := func() int {
@@ -292,12 +292,12 @@
 	}
 	second := f.start()
 	if health() != 503 {
-		t.Error("the next process takes clients")
+		t.Error("the successor accepts clients")
 	}
 	if second.call("PUT /api/rejoin") != 200 {
 		t.Error("no")
 	}
-	peertest.Eventually(t, "the first has heard that clients are taken again", func() bool { // health may be the second's each time
+	peertest.Eventually(t, "the first is notified of the rejoin", func() bool { // health may be the second's each time
 		log := first.Log.String()
 		return strings.LastIndex(log, `now="handing over"`) > strings.LastIndex(log, "now=away")
 	})
@@ -312,37 +312,37 @@
 	if first.call("PUT /api/evacuate") != 200 {
 		t.Error("no")
 	}
-	peertest.Eventually(t, "the second heard of it", func() bool {
+	peertest.Eventually(t, "the second is notified", func() bool {
 		log := second.Log.String()
 		return strings.LastIndex(log, "now=ready") < max(strings.LastIndex(log, "now=evacuating"), strings.LastIndex(log, "now=away"))
 	})
 	first.end()
 	if health() != 503 {
-		t.Error("the second takes clients")
+		t.Error("the second accepts clients")
 	}
 	second.end()
 }
 
-// A next process that dies, before its yes or just after it, leaves the one in service as it was; one that is in service and is
-// killed leaves the next all connections in the queue.
+// A successor that dies, before it is ready or just after, leaves the process in service as it was. A process in service that is killed
+// leaves its successor all connections in the queue.
 func TestProcessesThatDie(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	f.kills.Store(true)
 	now := f.start()
-	f.under(func() {
+	f.underLoad(func() {
 		for range 2 {
 			next := f.start()
-			next.Stop() // it takes no connection that it would lose
-			f.more(20)
+			next.Stop() // it accepts no connection, which it would lose
+			f.waitForRequests(20)
 			next.Kill()
 			next.Wait()
 			peertest.Eventually(t, "alone again", func() bool { return strings.Count(now.Log.String(), "now=ready") > 0 })
-			f.more(50)
+			f.waitForRequests(50)
 		}
 		next := f.start()
 		now.end()
 		now = next
-		f.more(50)
+		f.waitForRequests(50)
 	})
 	if log := now.Log.String(); !strings.Contains(log, "now=ready") || strings.Contains(log, "nothing is taken over") {
 		t.Error("the last process did not take over")
@@ -350,8 +350,8 @@
 	now.end()
 }
 
-// The process in service hangs: the next one waits for it no longer than it must, starts from nothing beside it, and serves. A
-// third takes over from the second.
+// The process in service hangs: its successor waits no longer than the time-out, starts without its state beside it, and serves. A third
+// process takes over from the second.
 func TestTheOneInServiceHangs(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	first := f.start()
@@ -362,34 +362,33 @@
 		t.Errorf("ready after %v", took)
 	}
 	if !second.Log.Has("nothing is taken over") {
-		t.Error("no word of it in the log")
+		t.Error("the failed hand-over is not logged")
 	}
 	first.Kill()
 	first.Wait()
-	f.under(func() {
-		f.more(50)
+	f.underLoad(func() {
+		f.waitForRequests(50)
 		third := f.start()
 		second.end()
 		if third.Log.Has("nothing is taken over") {
 			t.Error("the third started from nothing")
 		}
 		second = third
-		f.more(50)
+		f.waitForRequests(50)
 	})
 	second.end()
 }
 
-// A request that is half written when the next process takes over is finished by the process that has its first half, in whose
-// time it also comes to its end.
+// A request that is half written when the successor takes over is served by the process that has its first half, which does not end before.
 func TestARequestHalfWrittenInAnUpgrade(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	first := f.start()
 	var halves []net.Conn
-	for i := range kinds {
+	for i := range requestKinds {
 		c, in := peertest.Open(t, f.listen)
-		io.WriteString(c, kinds[0](fmt.Sprint("before", i))) // so that it is the first process that has the connection
+		io.WriteString(c, requestKinds[0](fmt.Sprint("before", i))) // so that the first process has accepted the connection
 		peertest.Answer(t, in)
-		text := kinds[i](fmt.Sprint("half", i))
+		text := requestKinds[i](fmt.Sprint("half", i))
 		io.WriteString(c, text[:len(text)/2])
 		defer func() {
 			if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 {
@@ -397,7 +396,7 @@
 			}
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if n := f.ran[fmt.Sprint("half", i)]; n != 1 {
+			if n := f.executed[fmt.Sprint("half", i)]; n != 1 {
 				t.Errorf("request %d ran %d times", i, n)
 			}
 		}()
@@ -407,7 +406,7 @@
 	first.Signal(syscall.SIGTERM)
 	peertest.Eventually(t, "it stops", func() bool { return first.Log.Has("now=stopping") })
 	for i, c := range halves {
-		text := kinds[i](fmt.Sprint("half", i))
+		text := requestKinds[i](fmt.Sprint("half", i))
 		io.WriteString(c, text[len(text)/2:])
 	}
 	if err := first.Wait(); err != nil {
@@ -416,14 +415,14 @@
 	second.end()
 }
 
-// An upgrade in which both processes have the same address for operators: they call the first until it ends, then the next.
+// An upgrade in which both processes have the same address for operators: calls reach the first until it ends, then the second.
 func TestOneAddressForOperators(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	first := f.start()
 	second := f.startAt(first.admin)
 	peertest.Eventually(t, "the second has taken over", func() bool { return first.Log.Has("handing over") })
 	first.end()
-	peertest.Eventually(t, "the second hears operators", func() bool { return second.call("GET /api/ready") == 200 })
+	peertest.Eventually(t, "the second serves operators", func() bool { return second.call("GET /api/ready") == 200 })
 	second.end()
 }
 
@@ -431,16 +430,16 @@
 func TestAFailedHandOverLosesNoConnection(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	now := f.start()
-	f.under(func() {
+	f.underLoad(func() {
 		for round := range rounds() {
-			f.more(50)
+			f.waitForRequests(50)
 			now.Stop() // it does not hand over in time
 			next := f.start()
 			now.Continue()
 			if !next.Log.Has("nothing is taken over") {
 				t.Error("there was a hand-over")
 			}
-			f.more(100)
+			f.waitForRequests(100)
 			now.Signal(syscall.SIGTERM)
 			peertest.Eventually(t, "it stops", func() bool { return now.Log.Has("now=stopping") })
 			now.Stop() // what comes to its queue now stays there; what it had accepted may cross with its close
@@ -448,7 +447,7 @@
 			f.queued.Store(true)
 			for i := range 40 {
 				id := fmt.Sprint("beside-", round, "-", i)
-				if resp, _ := peertest.Ask(t, f.listen, kinds[0](id)); resp.StatusCode != 200 {
+				if resp, _ := peertest.Ask(t, f.listen, requestKinds[0](id)); resp.StatusCode != 200 {
 					t.Errorf("%s: %d", id, resp.StatusCode)
 				}
 			}
@@ -457,16 +456,16 @@
 			now.end()
 			now = next
 		}
-		f.more(50)
+		f.waitForRequests(50)
 	})
-	if n := f.fresh.Load(); n > 0 { // those that are kept may cross with their close, which a process that was stopped makes likely
+	if n := f.unreadNew.Load(); n > 0 { // those that are kept may cross with their close, which a process that was stopped makes likely
 		t.Errorf("%d new connections ended unread", n)
 	}
 	now.end()
 }
 
-// Two processes have one watch of discovery between them, and both have its news; a next process that is stopped does not cost
-// the first its news, and one that dies leaves it with a watch of its own.
+// Two processes have one watch of discovery between them, and both get its updates; a successor that is stopped does not cost
+// the first its updates, and one that dies leaves it with a watch of its own.
 func TestOneWatchOfDiscovery(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	server := func(name string) string {
@@ -493,7 +492,7 @@
 	asked := 0
 	ask := func(c conn) string {
 		asked++
-		io.WriteString(c, kinds[0](fmt.Sprint("w", asked)))
+		io.WriteString(c, requestKinds[0](fmt.Sprint("w", asked)))
 		_, body := peertest.Answer(t, c.in)
 		return body
 	}
@@ -530,9 +529,8 @@
 	third.end()
 }
 
-// A keyed request is out with its server when the sidecar is upgraded; its client gives up and comes again, by then to the next
-// process, which sends the key to a server of the group that drops repeats. It runs once, and the first process sends nothing
-// more for it.
+// A keyed request is in progress at its server when the sidecar is upgraded. Its client gives up and retries at the second process, which
+// sends the key to a server of the group that drops repeats. It is executed once, and the first process sends nothing more for it.
 func TestAKeyedRequestThatComesAgainToTheNextProcess(t *testing.T) {
 	var mu sync.Mutex
 	ran, sent := map[string]int{}, map[string]int{} // by key, by trace
@@ -554,7 +552,7 @@
 		io.WriteString(c, peertest.OKAnswer)
 		return true
 	}
-	// both servers are of one group, which knows a key together
+	// both servers are of one group, which shares the keys
 	a, b := peertest.NewPeer(t, handle), peertest.NewPeer(t, handle)
 	f := newFleet(t, peertest.Settings)
 	before, rest, _ := strings.Cut(f.config, `"known":`)
--- a/internal/sidecar/front/platform/gone_test.go
+++ b/internal/sidecar/front/platform/gone_test.go
@@ -27,8 +27,8 @@
 	for sent, text := range map[string]string{
 		"nothing more":       "",
 		"a byte more":        "G",
-		"another request":    look("next"),
-		"a hundred of them":  strings.Repeat(look("next"), 100),
+		"another request":    lookRequest("next"),
+		"a hundred of them":  strings.Repeat(lookRequest("next"), 100),
 		"a flood of garbage": strings.Repeat("\x00garbage", 100_000),
 	} {
 		for how, end := range clientEnds {
@@ -43,7 +43,7 @@
 					return front.Answer{}, ctx.Err()
 				})
 				c, _ := peertest.Open(t, r.addr)
-				io.WriteString(c, look("first"))
+				io.WriteString(c, lookRequest("first"))
 				req := peertest.Wait(t, accepted)
 				if req.ClientGone() {
 					t.Error("gone while it waits")
@@ -69,11 +69,11 @@
 		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte(req.TraceID + string(req.Message.Body))}}, nil
 	})
 	c, in := peertest.Open(t, r.addr)
-	io.WriteString(c, look("1"))
+	io.WriteString(c, lookRequest("1"))
 	peertest.Wait(t, accepted)
-	io.WriteString(c, look("2")+strings.Replace(look("3"), "GET", "G", 1)[:1]) // a request, and a byte of the next
+	io.WriteString(c, lookRequest("2")+strings.Replace(lookRequest("3"), "GET", "G", 1)[:1]) // a request, and a byte of the next
 	body := strings.Repeat("x", 40_000)
-	io.WriteString(c, look("3")[1:]+"POST /once HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 4\r\nX-Qos: once\r\nContent-Length: 40000\r\n\r\n"+body+look("5"))
+	io.WriteString(c, lookRequest("3")[1:]+"POST /once HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 4\r\nX-Qos: once\r\nContent-Length: 40000\r\n\r\n"+body+lookRequest("5"))
 	peertest.Eventually(t, "they are read ahead", func() bool { return r.memory.Reserved() > 40_000 })
 	close(release)
 	for _, want := range []string{"1", "2", "3", "4" + body, "5"} {
@@ -92,7 +92,7 @@
 				return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi"), Remainder: &restOf{rest}, Size: -1}}, nil
 			})
 			c, in := peertest.Open(t, r.addr)
-			io.WriteString(c, strings.Replace(look("t"), "HTTP/1.1", "HTTP/"+version+"\r\nConnection: close", 1))
+			io.WriteString(c, strings.Replace(lookRequest("t"), "HTTP/1.1", "HTTP/"+version+"\r\nConnection: close", 1))
 			got, err := io.ReadAll(in)
 			complete := err == nil && (version == "1.0" || strings.HasSuffix(string(got), "0\r\n\r\n"))
 			if complete == cut || !complete && version == "1.0" && !errors.Is(err, syscall.ECONNRESET) {
--- a/internal/sidecar/front/platform/long_test.go
+++ b/internal/sidecar/front/platform/long_test.go
@@ -24,7 +24,7 @@
 	"petrelhook/internal/sidecar/message"
 )
 
-func onceHead(trace, framing string) string {
+func onceRequestHead(trace, framing string) string {
 	return "POST /once HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: once\r\nX-Expires-In: 9000m\r\n" + framing + "\r\n\r\n"
 }
 
@@ -92,9 +92,9 @@
 				for i := range 2 {
 					go func() {
 						if !chunked {
-							io.WriteString(c, onceHead(fmt.Sprint(i), fmt.Sprint("Content-Length: ", size)))
+							io.WriteString(c, onceRequestHead(fmt.Sprint(i), fmt.Sprint("Content-Length: ", size)))
 						} else {
-							io.WriteString(c, onceHead(fmt.Sprint(i), "Transfer-Encoding: chunked"))
+							io.WriteString(c, onceRequestHead(fmt.Sprint(i), "Transfer-Encoding: chunked"))
 						}
 						for left := body; len(left) > 0; {
 							n := min(piece, len(left))
@@ -125,7 +125,7 @@
 	r := newRig(t, echo)
 	for _, size := range []int{2, 100_000} {
 		c, in := peertest.Open(t, r.addr)
-		io.WriteString(c, onceHead(fmt.Sprint(size), fmt.Sprintf("Expect: 100-continue\r\nContent-Length: %d", size)))
+		io.WriteString(c, onceRequestHead(fmt.Sprint(size), fmt.Sprintf("Expect: 100-continue\r\nContent-Length: %d", size)))
 		if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 100 {
 			t.Fatalf("%+v, %v", resp, err)
 		}
@@ -144,7 +144,7 @@
 	})
 	const size = 3_000_000
 	c, in := peertest.Open(t, r.addr)
-	go io.WriteString(c, onceHead("t", fmt.Sprint("Content-Length: ", size))+strings.Repeat("x", size))
+	go io.WriteString(c, onceRequestHead("t", fmt.Sprint("Content-Length: ", size))+strings.Repeat("x", size))
 	if resp, body := peertest.Answer(t, in); resp.StatusCode != 200 || len(body) != size || !resp.Close {
 		t.Errorf("%d, %d bytes, close %v", resp.StatusCode, len(body), resp.Close)
 	}
@@ -156,7 +156,7 @@
 	r := newRig(t, func(context.Context, front.Request) (front.Answer, error) {
 		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("a"), Remainder: io.NopCloser(strings.NewReader("bc")), Size: -1}}, nil
 	})
-	old := strings.Replace(look("old"), "HTTP/1.1", "HTTP/1.0", 1)
+	old := strings.Replace(lookRequest("old"), "HTTP/1.1", "HTTP/1.0", 1)
 	resp, body := peertest.Ask(t, r.addr, old)
 	if resp.StatusCode != 200 || body != "abc" || len(resp.TransferEncoding) > 0 || !resp.Close {
 		t.Errorf("%+v %q", resp, body)
@@ -185,7 +185,7 @@
 	const size = 60_000
 	ask := func(trace string) (net.Conn, *bufio.Reader) {
 		c, in := peertest.Open(t, r.addr)
-		io.WriteString(c, onceHead(trace, fmt.Sprint("Content-Length: ", size))+strings.Repeat("x", size))
+		io.WriteString(c, onceRequestHead(trace, fmt.Sprint("Content-Length: ", size))+strings.Repeat("x", size))
 		return c, in
 	}
 	var inProgress []*bufio.Reader
@@ -198,7 +198,7 @@
 		t.Errorf("%d bytes are reserved for %d bodies", n, len(inProgress))
 	}
 	_, refused := ask("refused")
-	if status, _ := r.ask(onceHead("small", "Content-Length: 2") + "hi"); status != 200 {
+	if status, _ := r.ask(onceRequestHead("small", "Content-Length: 2") + "hi"); status != 200 {
 		t.Errorf("a small one: %d", status)
 	}
 	if resp, _ := peertest.Answer(t, refused); resp.StatusCode != 503 || !resp.Close {
@@ -222,7 +222,7 @@
 			return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("a"), Remainder: io.NopCloser(rest), Size: size}}, nil
 		})
 		c, in := peertest.Open(t, r.addr)
-		io.WriteString(c, look("t"))
+		io.WriteString(c, lookRequest("t"))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -246,7 +246,7 @@
 		return front.Answer{Verdict: front.Refused}, nil
 	})
 	c, in := peertest.Open(t, r.addr)
-	io.WriteString(c, onceHead("t", "Content-Length: 1000000")+"half")
+	io.WriteString(c, onceRequestHead("t", "Content-Length: 1000000")+"half")
 	if resp, _ := peertest.Answer(t, in); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("%d, close %v", resp.StatusCode, resp.Close)
 	}
@@ -258,9 +258,9 @@
 		text   string
 		status int
 	}{
-		"a length":  {onceHead("t", "Content-Length: 1000000") + "half", 0},
-		"chunks":    {onceHead("t", "Transfer-Encoding: chunked") + "1e8480\r\nhalf", 0},
-		"bad chunk": {onceHead("t", "Transfer-Encoding: chunked") + "1e8480\r\n" + strings.Repeat("x", 2_000_000) + "\r\nzz\r\n", 400},
+		"a length":  {onceRequestHead("t", "Content-Length: 1000000") + "half", 0},
+		"chunks":    {onceRequestHead("t", "Transfer-Encoding: chunked") + "1e8480\r\nhalf", 0},
+		"bad chunk": {onceRequestHead("t", "Transfer-Encoding: chunked") + "1e8480\r\n" + strings.Repeat("x", 2_000_000) + "\r\nzz\r\n", 400},
 	} {
 		ended := make(chan error, 1)
 		r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
@@ -293,7 +293,7 @@
 func TestPipelining(t *testing.T) {
 	r := newRig(t, echo)
 	c, in := peertest.Open(t, r.addr)
-	io.WriteString(c, onceHead("a", "Content-Length: 1")+"A"+onceHead("b", "Content-Length: 2")+"BB"+onceHead("c", "Transfer-Encoding: chunked")+"1\r\nC\r\n0\r\n\r\n")
+	io.WriteString(c, onceRequestHead("a", "Content-Length: 1")+"A"+onceRequestHead("b", "Content-Length: 2")+"BB"+onceRequestHead("c", "Transfer-Encoding: chunked")+"1\r\nC\r\n0\r\n\r\n")
 	for _, want := range []string{"A", "BB"} {
 		if resp, got := peertest.Answer(t, in); resp.StatusCode != 200 || got != want {
 			t.Errorf("%d %q, want %q", resp.StatusCode, got, want)
@@ -406,7 +406,7 @@
 			return c, bufio.NewReader(c)
 		}
 		c, in := dial()
-		io.WriteString(c, onceHead("slow", fmt.Sprint("Content-Length: ", size)))
+		io.WriteString(c, onceRequestHead("slow", fmt.Sprint("Content-Length: ", size)))
 		for range 60 {
 			time.Sleep(time.Second)
 			c.Write(make([]byte, 64_000))
@@ -417,7 +417,7 @@
 		c.Close()
 		for pause, complete := range map[time.Duration]bool{writeTimeout / 2: true, 2 * writeTimeout: false} {
 			c, in := dial()
-			io.WriteString(c, look("t"))
+			io.WriteString(c, lookRequest("t"))
 			time.Sleep(pause)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil {
--- a/internal/sidecar/front/platform/platform_test.go
+++ b/internal/sidecar/front/platform/platform_test.go
@@ -83,7 +83,7 @@
 	return resp.StatusCode, resp.Close
 }
 
-func look(trace string) string {
+func lookRequest(trace string) string {
 	return "GET /look?sid=7f HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: look\r\nX-Customer: acme\r\nX-Expires-In: 9000m\r\n\r\n"
 }
 
@@ -126,7 +126,7 @@
 	} {
 		// Each ends its connection: nothing behind it is read as a request.
 		conn, in := peertest.Open(t, r.addr)
-		io.WriteString(conn, c.request+look("hidden"))
+		io.WriteString(conn, c.request+lookRequest("hidden"))
 		if resp, _ := peertest.Answer(t, in); resp.StatusCode != c.status || !resp.Close {
 			t.Errorf("%s: %d, want %d; close %v", name, resp.StatusCode, c.status, resp.Close)
 		}
@@ -137,7 +137,7 @@
 	if n := r.core.accepted.Load(); n != 0 {
 		t.Errorf("%d requests reached the core", n)
 	}
-	if status, _ := r.ask(look("t")); status != 200 {
+	if status, _ := r.ask(lookRequest("t")); status != 200 {
 		t.Errorf("afterwards: %d", status)
 	}
 }
@@ -173,16 +173,16 @@
 		return served(ctx, req)
 	})
 	idle, idleIn := peertest.Open(t, r.addr)
-	io.WriteString(idle, look("before"))
+	io.WriteString(idle, lookRequest("before"))
 	peertest.Answer(t, idleIn)
 	slow, slowIn := peertest.Open(t, r.addr)
-	io.WriteString(slow, look("slow"))
+	io.WriteString(slow, lookRequest("slow"))
 	peertest.Wait(t, got)
 	r.stop()
 	if _, err := idleIn.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection: %v", err)
 	}
-	if status, closes := r.ask(look("late")); status != 200 || !closes {
+	if status, closes := r.ask(lookRequest("late")); status != 200 || !closes {
 		t.Errorf("on a new connection: %d, close %v", status, closes)
 	}
 	r.lingered <- time.Now()
--- a/internal/sidecar/wiring/cost_test.go
+++ b/internal/sidecar/wiring/cost_test.go
@@ -12,8 +12,8 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// BenchmarkSmallRequest is a request of the usual size through the whole sidecar, on a kept connection; client and server are
-// in the same process and count too.
+// BenchmarkSmallRequest measures a request of the usual size through a complete sidecar, on a connection that stays open. Client and server
+// are in the same process and are measured too.
 func BenchmarkSmallRequest(b *testing.B) {
 	addr := peertest.NewRaw(b, func(c net.Conn) {
 		for in := bufio.NewReader(c); ; {
@@ -26,7 +26,7 @@
 		}
 	})
 	t := &testing.T{}
-	r := withServers(t, addr)
+	r := newRigWithServers(t, addr)
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/sidecar/wiring/drain_test.go
+++ b/internal/sidecar/wiring/drain_test.go
@@ -18,9 +18,9 @@
 	"petrelhook/internal/sidecar/lifecycle"
 )
 
-// Clients are sent away while two answers are passed on whose heads could not say that their connections end. One answer ends just
-// before 4 s and its client asks again at once: that is served, and ends the connection. The other's client says nothing more,
-// and its connection is closed before 4 s.
+// An evacuation begins while two responses are relayed, whose heads were written before and keep their connections open. One response ends
+// just before 4 s and its client sends a request at once: that is served, and ends the connection. The other client sends nothing more, and
+// its connection is closed before 4 s.
 func TestTheLastMomentOfADrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(200 * time.Microsecond)
@@ -48,7 +48,7 @@
 		defer server.Close()
 
 		cfg, err := config.Parse("test", []byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:81","discovery":"127.0.0.1:82","seed":"1f","known":%s,"settings":%s}`,
-			listed([]string{"127.0.0.1:80"}), peertest.Settings)))
+			catalogOf([]string{"127.0.0.1:80"}), peertest.Settings)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 				t.Fatal(err)
 			}
 			c = conn{nc, bufio.NewReader(nc)}
-			io.WriteString(c, look(trace))
+			io.WriteString(c, lookRequest(trace))
 			if resp, err = http.ReadResponse(c.in, nil); err != nil || resp.Close {
 				t.Fatalf("%v, %v", resp, err)
 			}
@@ -95,7 +95,7 @@
 		if got, err := io.Copy(io.Discard, asksResp.Body); err != nil || got != 600_000 || time.Since(out) < 3800*time.Millisecond {
 			t.Fatalf("%d bytes, %v after %v", got, err, time.Since(out))
 		}
-		io.WriteString(asks, look("again"))
+		io.WriteString(asks, lookRequest("again"))
 		if resp, err := http.ReadResponse(asks.in, nil); err != nil || resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("a request after %v: %v, %v", time.Since(out), resp, err)
 		}
--- a/internal/sidecar/wiring/ending_test.go
+++ b/internal/sidecar/wiring/ending_test.go
@@ -18,8 +18,8 @@
 	"petrelhook/internal/sidecar/config"
 )
 
-// inMemory is a whole sidecar in virtual time on a network in memory, whose servers hang; test plays its clients, and stop tells
-// it to end.
+// inMemory runs a test with a complete sidecar in virtual time, on a network in memory, whose servers hang. The test plays the clients, and
+// stop terminates the sidecar.
 func inMemory(t *testing.T, known string, test func(t *testing.T, n *memnet.Network, listen string, stop func(), ended <-chan error)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(200 * time.Microsecond)
@@ -36,7 +36,7 @@
 				if err != nil {
 					return
 				}
-				hung.Go(func() { hold(c); c.Close() })
+				hung.Go(func() { holdOpen(c); c.Close() })
 			}
 		})
 		cfg, err := config.Parse("test", []byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:81","discovery":"127.0.0.1:82","seed":"1f","known":%s,"settings":%s}`,
@@ -63,12 +63,12 @@
 	})
 }
 
-// Connections are taken until 0.6 s after SIGTERM, and their clients may take 0.2 s more to ask: a request that comes then, with
-// the longest deadline, and whose server hangs, is answered before the end, which is no later for it.
+// Connections are accepted until 0.6 s after SIGTERM, and their clients may send the first request 0.2 s later. Such a request, with the
+// longest deadline and a server that hangs, is answered before the process ends, and does not delay that end.
 func TestARequestReadLateInTheEndIsAnswered(t *testing.T) {
-	for _, request := range []string{look("t"), once("t"), "POST /book HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: book\r\nIdempotency-Key: k\r\nContent-Length: 0\r\nX-Expires-In: 9000m\r\n\r\n"} {
+	for _, request := range []string{lookRequest("t"), onceRequest("t"), "POST /book HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: book\r\nIdempotency-Key: k\r\nContent-Length: 0\r\nX-Expires-In: 9000m\r\n\r\n"} {
 		request = strings.Replace(request, "9000m", "10000m", 1) // as long as the class's
-		inMemory(t, listed([]string{"127.0.0.1:80"}), func(t *testing.T, n *memnet.Network, listen string, stop func(), ended <-chan error) {
+		inMemory(t, catalogOf([]string{"127.0.0.1:80"}), func(t *testing.T, n *memnet.Network, listen string, stop func(), ended <-chan error) {
 			stop()
 			began := time.Now()
 			time.Sleep(590 * time.Millisecond)
@@ -90,7 +90,7 @@
 	}
 }
 
-// Without a server that takes requests a sidecar is ready after some seconds, whatever discovery does, and refuses at once.
+// Without an available server a sidecar is ready after some seconds, whatever discovery does, and refuses requests at once.
 func TestReadyWithoutAServer(t *testing.T) {
 	for name, known := range map[string]string{
 		"nothing known": peertest.Catalog(1, true),
@@ -121,7 +121,7 @@
 				t.Errorf("%s: %d after 6 s", name, status)
 			}
 			began := time.Now()
-			if status := ask(once("t")); status != 503 || time.Since(began) > 10*time.Millisecond {
+			if status := ask(onceRequest("t")); status != 503 || time.Since(began) > 10*time.Millisecond {
 				t.Errorf("%s: a request: %d after %v", name, status, time.Since(began))
 			}
 		})
--- a/internal/sidecar/wiring/file_test.go
+++ b/internal/sidecar/wiring/file_test.go
@@ -18,8 +18,7 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// The process tells which file it has read last, at its start and after each time that it has taken it again, beside
-// its counts.
+// GET /api/counts says which configuration file was read last, at the start and after each reload that succeeded.
 func TestTheFileIsTold(t *testing.T) {
 	calls, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,9 +26,9 @@
 	}
 	log := make(lines, 99)
 	dead := peertest.DeadAddr(t)
-	r := rigWith(t, dead, peertest.Catalog(1, true, peertest.Instance("s", dead, "up")), `"admin_addr":"`+calls.Addr().String()+`",`, calls,
+	r := newRigWith(t, dead, peertest.Catalog(1, true, peertest.Instance("s", dead, "up")), `"admin_addr":"`+calls.Addr().String()+`",`, calls,
 		slog.New(slog.NewTextHandler(log, nil)))
-	told := func() (f counts.File) {
+	report := func() (f counts.File) {
 		t.Helper()
 		resp, err := http.Get("http://" + calls.Addr().String() + "/api/counts")
 		if err != nil {
@@ -37,7 +36,7 @@
 		}
 		defer resp.Body.Close()
 		text, err := io.ReadAll(resp.Body)
-		var all counts.Report // as drivers read it
+		var all counts.Report // as drivers of rolling changes read it
 		var file struct {
 			File counts.File `json:"file"`
 		}
@@ -49,7 +48,7 @@
 		}
 		return file.File
 	}
-	first := told()
+	first := report()
 	if len(first.Digest) != 64 || first.Reloads != 0 {
 		t.Errorf("%+v", first)
 	}
@@ -59,7 +58,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		r.side.Reload(ctx, path, hup)
+		r.sidecar.Reload(ctx, path, hup)
 	}()
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -69,7 +68,7 @@
 	}
 	write("{")
 	log.until(t, "stays as it was")
-	if f := told(); f != first {
+	if f := report(); f != first {
 		t.Errorf("%+v after a bad file, %+v before", f, first)
 	}
 	write(`{"listen":"127.0.0.1:0","discovery":"` + dead + `","seed":"1f","settings":` + peertest.Settings + `}`)
@@ -77,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	peertest.Eventually(t, "it is told", func() bool { return told() == counts.File{Digest: c.Digest, Reloads: 1} })
+	peertest.Eventually(t, "it is reported", func() bool { return report() == counts.File{Digest: c.Digest, Reloads: 1} })
 	cancel()
 	peertest.Wait(t, ended)
 }
--- a/internal/sidecar/wiring/gone_test.go
+++ b/internal/sidecar/wiring/gone_test.go
@@ -11,10 +11,10 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// A connection to a server comes up after the client of its attempt has gone: nothing is sent on it, whether or not the settings
-// let attempts be cancelled, and it serves the next request.
+// A connection to a server is established after the client of its attempt has gone: nothing is sent on it, whether or not the settings
+// allow that attempts are cancelled, and it serves the next request.
 func TestAConnectionThatComesUpForNobody(t *testing.T) {
-	patient := func(trace string) string { return strings.Replace(once(trace), "9000m", "60000m", 1) }
+	patient := func(trace string) string { return strings.Replace(onceRequest(trace), "9000m", "60000m", 1) }
 	for _, cancel := range []string{"true", "false"} {
 		p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
 		dialled, late := make(chan struct{}, 1), make(chan struct{})
@@ -27,14 +27,14 @@
 		}
 		settings := strings.Replace(peertest.Settings, `"cancel": true`, `"cancel": `+cancel, 1)
 		settings = strings.ReplaceAll(settings, `"hard_limit_ms": 10000`, `"hard_limit_ms": 60000`) // longer than a test waits
-		r := rigOn(t, dial, peertest.DeadAddr(t), listed([]string{p.Addr}), "", settings, nil, slog.New(slog.DiscardHandler))
+		r := newRigOn(t, dial, peertest.DeadAddr(t), catalogOf([]string{p.Addr}), "", settings, nil, slog.New(slog.DiscardHandler))
 		c, _ := r.open()
 		io.WriteString(c, patient("gone"))
 		peertest.Wait(t, dialled)
 		c.Close()
-		peertest.Eventually(t, "the request is over", func() bool { return r.side.core.Stats().Requests == 0 })
+		peertest.Eventually(t, "the request is over", func() bool { return r.sidecar.core.Stats().Requests == 0 })
 		close(late)
-		peertest.Eventually(t, "the connection is kept", func() bool { return p.Conns.Load() == 1 })
+		peertest.Eventually(t, "the connection stays open", func() bool { return p.Conns.Load() == 1 })
 		if resp, _ := r.ask(patient("next")); resp.StatusCode != 200 {
 			t.Errorf("cancel %s: the next request: %d", cancel, resp.StatusCode)
 		}
--- a/internal/sidecar/wiring/long_test.go
+++ b/internal/sidecar/wiring/long_test.go
@@ -14,7 +14,7 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// blob is the same bytes at every call, however it is read.
+// blob yields the same bytes at every call, however it is read.
 func blob(size int64) io.Reader { return io.LimitReader(&counting{}, size) }
 
 type counting struct{ n byte }
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("%x", h.Sum(nil)), size
 }
 
-// longServer reads each body as it comes, and answers with a blob, framed as the request's path asks.
+// longServer reads each body as it comes, and answers with a blob, framed as the request's path says.
 func longServer(t *testing.T, got func(sum string, size int64)) (addr string) {
 	t.Helper()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -57,13 +57,13 @@
 	return ln.Addr().String()
 }
 
-// Through the whole sidecar: bodies and answers of up to 32 MB, both framings, many at once, come through unchanged.
+// Through a complete sidecar, bodies and responses of up to 32 MB arrive unchanged, in both framings and many at once.
 func TestLongMessagesBothWays(t *testing.T) {
 	const size = 32 << 20
 	want, _ := digest(blob(size))
 	var mu sync.Mutex
 	bodies := 0
-	r := withServers(t, longServer(t, func(sum string, n int64) {
+	r := newRigWithServers(t, longServer(t, func(sum string, n int64) {
 		mu.Lock()
 		defer mu.Unlock()
 		if bodies++; sum != want || n != size {
@@ -100,25 +100,26 @@
 	if bodies != 6 {
 		t.Errorf("%d bodies", bodies)
 	}
-	peertest.Eventually(t, "the tables are empty", func() bool { return r.side.core.Stats().Requests == 0 })
+	peertest.Eventually(t, "the tables are empty", func() bool { return r.sidecar.core.Stats().Requests == 0 })
 }
 
-// A server that breaks off before the last byte never ran the request; as the body is gone it is refused, once, and runs nowhere.
+// A server that closes the connection before the last byte of a body has not executed the request. The body cannot be sent again: the
+// request is refused, and executed nowhere.
 func TestALongBodyWhoseServerGoes(t *testing.T) {
 	addr := peertest.NewRaw(t, func(c net.Conn) {
 		io.ReadFull(c, make([]byte, 300_000))
 		c.(*net.TCPConn).SetLinger(0)
 	})
-	r := withServers(t, addr)
+	r := newRigWithServers(t, addr)
 	c, in := r.open()
-	io.WriteString(c, strings.Replace(once("t"), "Content-Length: 0", "Content-Length: 1000000", 1))
+	io.WriteString(c, strings.Replace(onceRequest("t"), "Content-Length: 0", "Content-Length: 1000000", 1))
 	io.WriteString(c, strings.Repeat("x", 400_000))
 	if resp, _ := peertest.Answer(t, in); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
 	}
 }
 
-// A server that turns a request away before its body has come leaves the body to another, which has all of it.
+// Where a server rejects a request before its body has come, another server gets the complete body.
 func TestALongBodyGoesToAnother(t *testing.T) {
 	const size = 500_000
 	want, _ := digest(blob(size))
@@ -142,10 +143,10 @@
 			io.WriteString(c, peertest.OKAnswer)
 		}
 	})
-	r := withServers(t, full, well)
+	r := newRigWithServers(t, full, well)
 	for i := range 6 { // one of the two in turn
 		c, in := r.open()
-		io.WriteString(c, strings.Replace(once(fmt.Sprint("t", i)), "Content-Length: 0", fmt.Sprint("Content-Length: ", size), 1))
+		io.WriteString(c, strings.Replace(onceRequest(fmt.Sprint("t", i)), "Content-Length: 0", fmt.Sprint("Content-Length: ", size), 1))
 		peertest.Wait(t, heads) // whoever turned it away has done so
 		io.Copy(c, blob(size))
 		if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 || peertest.Wait(t, sums) != want {
--- a/internal/sidecar/wiring/loop_test.go
+++ b/internal/sidecar/wiring/loop_test.go
@@ -14,19 +14,19 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// breaks reads a request and ends the connection: it may have run.
-func breaks(net.Conn, *http.Request, string) bool { return false }
+// closeWithoutAnswer reads a request and ends the connection: the request may have been executed.
+func closeWithoutAnswer(net.Conn, *http.Request, string) bool { return false }
 
-// What may have run is repeated only where its class permits that.
+// A request that may have been executed is retried only where its class permits that.
 func TestWhatMayHaveRunIsNotRepeated(t *testing.T) {
-	a, b := peertest.NewPeer(t, breaks), peertest.NewPeer(t, breaks)
-	r := withServers(t, a.Addr, b.Addr)
-	resp, _ := r.ask(once("t1"))
+	a, b := peertest.NewPeer(t, closeWithoutAnswer), peertest.NewPeer(t, closeWithoutAnswer)
+	r := newRigWithServers(t, a.Addr, b.Addr)
+	resp, _ := r.ask(onceRequest("t1"))
 	if n := a.Requests.Load() + b.Requests.Load(); resp.StatusCode != 502 || n != 1 {
 		t.Errorf("unsafe: status %d after %d attempts", resp.StatusCode, n)
 	}
-	r = withServers(t, a.Addr, b.Addr)
-	resp, _ = r.ask(look("t2"))
+	r = newRigWithServers(t, a.Addr, b.Addr)
+	resp, _ = r.ask(lookRequest("t2"))
 	if n := a.Requests.Load() + b.Requests.Load(); resp.StatusCode != 503 || n != 3 {
 		t.Errorf("safe: status %d, %d attempts in all", resp.StatusCode, n)
 	}
@@ -35,13 +35,13 @@
 	}
 }
 
-// What never ran goes to another server, also where it must not run twice.
+// A request that was not executed goes to another server, also where it must not be executed twice.
 func TestWhatNeverRanIsRepeated(t *testing.T) {
 	full := peertest.NewPeer(t, peertest.Says("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"))
 	good := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
-	r := withServers(t, peertest.DeadAddr(t), full.Addr, good.Addr)
+	r := newRigWithServers(t, peertest.DeadAddr(t), full.Addr, good.Addr)
 	for i := range 9 { // whatever the rotation begins with, a dead or a full server is followed by another try
-		resp, body := r.ask(once(fmt.Sprint("t", i)))
+		resp, body := r.ask(onceRequest(fmt.Sprint("t", i)))
 		if resp.StatusCode == 200 && body == "hi" {
 			return
 		}
@@ -52,29 +52,29 @@
 	t.Error("never served")
 }
 
-// A server that never answers does not hold the client past its time, and its attempt is closed.
+// A server that never answers does not delay the client beyond its deadline, and the attempt is ended.
 func TestASilentServer(t *testing.T) {
 	p := peertest.NewPeer(t, peertest.Silent)
-	r := withServers(t, p.Addr)
-	resp, _ := r.ask(strings.Replace(once("t"), "9000m", "50m", 1))
+	r := newRigWithServers(t, p.Addr)
+	resp, _ := r.ask(strings.Replace(onceRequest("t"), "9000m", "50m", 1))
 	if resp.StatusCode != 502 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	peertest.Wait(t, p.Ended)
-	if n := r.side.core.Stats().Requests; n != 0 {
+	if n := r.sidecar.core.Stats().Requests; n != 0 {
 		t.Errorf("%d requests in the table", n)
 	}
 }
 
-// An attempt whose connection never came up has not run, also when its time ends first: the client may try again.
+// An attempt whose connection was not established has not been executed, also when its time-out comes first: the client may retry.
 func TestNoConnectionInTimeNeverRan(t *testing.T) {
-	r := withServers(t, peertest.CutOff(t))
-	if resp, _ := r.ask(strings.Replace(once("t"), "9000m", "50m", 1)); resp.StatusCode != 503 {
+	r := newRigWithServers(t, peertest.CutOff(t))
+	if resp, _ := r.ask(strings.Replace(onceRequest("t"), "9000m", "50m", 1)); resp.StatusCode != 503 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
 
-// Servers come from discovery; a list call that fails is told once, and the module asks again.
+// Servers come from discovery. A call that fails is reported to the module once, and the module calls again.
 func TestDiscovery(t *testing.T) {
 	p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
 	calls := make(chan string, 9)
@@ -106,10 +106,10 @@
 	peertest.Wait(t, calls)
 	more <- peertest.Catalog(42, true, peertest.Instance("new", p.Addr, "up"))
 	listed := func(names ...string) func() bool {
-		return func() bool { return slices.Equal(r.side.core.Stats().Servers, names) }
+		return func() bool { return slices.Equal(r.sidecar.core.Stats().Servers, names) }
 	}
-	peertest.Eventually(t, "a whole list replaces the old one", listed("new"))
-	if resp, _ := r.ask(look("t1")); resp.StatusCode != 200 {
+	peertest.Eventually(t, "a complete list replaces the old one", listed("new"))
+	if resp, _ := r.ask(lookRequest("t1")); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	more <- peertest.Catalog(43, false, peertest.Instance("other", peertest.DeadAddr(t), "draining"))
@@ -117,7 +117,7 @@
 	more <- peertest.Catalog(44, false, peertest.Instance("new", "", "removed"))
 	peertest.Wait(t, p.Ended) // its idle connection is of no more use
 	peertest.Eventually(t, "what is removed is gone", listed("other"))
-	if resp, _ := r.ask(strings.Replace(look("t2"), "9000m", "50m", 1)); resp.StatusCode == 200 {
+	if resp, _ := r.ask(strings.Replace(lookRequest("t2"), "9000m", "50m", 1)); resp.StatusCode == 200 {
 		t.Error("served by a server that is gone")
 	}
 	close(more)
--- a/internal/sidecar/wiring/mutation_test.go
+++ b/internal/sidecar/wiring/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// The guards of rare moments, each taken out: the test that forces its moment fails.
+// Each guard of a rare moment is removed from a copy of the source: the test that forces that moment fails then.
 func TestGuardsOfRareMoments(t *testing.T) {
 	const (
 		client    = "internal/sidecar/connlimit/client.go"
--- a/internal/sidecar/wiring/news_test.go
+++ b/internal/sidecar/wiring/news_test.go
@@ -19,50 +19,50 @@
 	"petrelhook/internal/sidecar/config"
 )
 
-// counted is when news count as told at the latest, from the moment on at which discovery has them and can be reached.
-const counted = 6 * time.Second
+// maxUpdateDelay is how long a change of the list may take to arrive, from the moment on at which discovery has it and can be reached.
+const maxUpdateDelay = 6 * time.Second
 
-// slowest is what an answer of discovery may take for its news to be here by then; see package discovery.
-const slowest = 2300 * time.Millisecond
+// slowestAnswer is how long discovery may take to answer for its change to arrive in that time; see package discovery.
+const slowestAnswer = 2300 * time.Millisecond
 
-// play is discovery as a case plays it.
-type play struct {
-	hup func() // it moves to its second address
+// scriptedDiscovery is the state of discovery in a case of the test, which scripts its answers.
+type scriptedDiscovery struct {
+	move func() // reloads the sidecar with the second address of discovery
 
-	mu    sync.Mutex
-	could time.Time      // from when on the change could be told
-	calls map[string]int // by address
-	down  bool           // nobody answers a dial
+	mu            sync.Mutex
+	reachableFrom time.Time      // from when on the change could be reported
+	calls         map[string]int // by address
+	unreachable   bool           // dials get no answer
 }
 
-// now: the change could be told from here on.
-func (p *play) now() { p.from(time.Now()) }
+// setReachable notes that a working discovery could report the change from now on.
+func (p *scriptedDiscovery) setReachable() { p.setReachableFrom(time.Now()) }
 
-// from says from when on the change could be told; until then nobody answers a dial where down is true.
-func (p *play) from(t time.Time) {
+// setReachableFrom notes from when on it could. Until then dials get no answer where unreachable is set.
+func (p *scriptedDiscovery) setReachableFrom(t time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.could = t
+	p.reachableFrom = t
 }
 
-// since is for how long the change could have been told; below 0: it could not.
-func (p *play) since() time.Duration {
+// reachableFor is for how long it could have; below 0: it could not yet.
+func (p *scriptedDiscovery) reachableFor() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.could.IsZero() {
+	if p.reachableFrom.IsZero() {
 		return -1
 	}
-	return time.Since(p.could)
+	return time.Since(p.reachableFrom)
 }
 
-func (p *play) isDown() bool {
+func (p *scriptedDiscovery) isUnreachable() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.down && time.Now().Before(p.could)
+	return p.unreachable && time.Now().Before(p.reachableFrom)
 }
 
-// call counts a call to an address.
-func (p *play) call(addr string) (n int) {
+// countCall counts a call to an address, and returns how many there were before.
+func (p *scriptedDiscovery) countCall(addr string) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n = p.calls[addr]
@@ -70,23 +70,37 @@
 	return n
 }
 
-// Whatever failed before, news are here in time. Each case plays discovery from its first call on and says from when on the
-// change could be told.
+// Whatever failed before, a change of the list arrives in time. Each case scripts discovery from its first call on, and notes from when on
+// the change could be reported.
 func TestNewsComeInTime(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n\r\n"
 	list := func(generation int) string {
 		return peertest.Catalog(generation, true, peertest.Instance("s", "127.0.0.1:80", "up")) + "\n"
 	}
-	answers := func(_ *play, c net.Conn) { time.Sleep(slowest); io.WriteString(c, head+list(42)); hold(c) }
-	silent := func(p *play, c net.Conn) { io.WriteString(c, head+list(41)); p.now(); hold(c) }
-	taken := func(p *play, c net.Conn) { p.now(); hold(c) }
-	noList := func(p *play, c net.Conn) { p.now(); io.WriteString(c, head); hold(c) }
-	half := func(p *play, c net.Conn) { p.now(); io.WriteString(c, head+list(42)[:40]); hold(c) }
-	busy := func(_ *play, c net.Conn) { io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") }
-	reset := func(_ *play, c net.Conn) { c.(interface{ SetLinger(int) error }).SetLinger(0) }
-	older := func(p *play, c net.Conn) { p.now(); io.WriteString(c, head+list(3)); hold(c) }
-	drops := func(p *play, c net.Conn) { // it would take minutes
-		p.now()
+	answers := func(_ *scriptedDiscovery, c net.Conn) {
+		time.Sleep(slowestAnswer)
+		io.WriteString(c, head+list(42))
+		holdOpen(c)
+	}
+	silent := func(p *scriptedDiscovery, c net.Conn) {
+		io.WriteString(c, head+list(41))
+		p.setReachable()
+		holdOpen(c)
+	}
+	taken := func(p *scriptedDiscovery, c net.Conn) { p.setReachable(); holdOpen(c) }
+	noList := func(p *scriptedDiscovery, c net.Conn) { p.setReachable(); io.WriteString(c, head); holdOpen(c) }
+	half := func(p *scriptedDiscovery, c net.Conn) {
+		p.setReachable()
+		io.WriteString(c, head+list(42)[:40])
+		holdOpen(c)
+	}
+	busy := func(_ *scriptedDiscovery, c net.Conn) {
+		io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+	}
+	reset := func(_ *scriptedDiscovery, c net.Conn) { c.(interface{ SetLinger(int) error }).SetLinger(0) }
+	older := func(p *scriptedDiscovery, c net.Conn) { p.setReachable(); io.WriteString(c, head+list(3)); holdOpen(c) }
+	drops := func(p *scriptedDiscovery, c net.Conn) { // it would take minutes
+		p.setReachable()
 		io.WriteString(c, head)
 		for _, b := range []byte(list(42)) {
 			if _, err := c.Write([]byte{b}); err != nil {
@@ -95,8 +109,8 @@
 			time.Sleep(time.Second)
 		}
 	}
-	moves := func(p *play, c net.Conn) { p.now(); p.hup(); hold(c) }
-	type call = func(*play, net.Conn)
+	moves := func(p *scriptedDiscovery, c net.Conn) { p.setReachable(); p.move(); holdOpen(c) }
+	type call = func(*scriptedDiscovery, net.Conn)
 	cases := map[string][]call{
 		"silent after a line":         {silent, answers},
 		"taken and not answered":      {taken, answers},
@@ -111,16 +125,16 @@
 		name string
 		fail call
 	}{{"busy for long", busy}, {"resets for long", reset}, {"out of reach for long", nil}} {
-		cases[c.name] = []call{func(p *play, conn net.Conn) {
+		cases[c.name] = []call{func(p *scriptedDiscovery, conn net.Conn) {
 			p.mu.Lock()
-			p.down = c.fail == nil
+			p.unreachable = c.fail == nil
 			p.mu.Unlock()
-			p.from(time.Now().Add(time.Minute)) // it is back in a minute
+			p.setReachableFrom(time.Now().Add(time.Minute)) // it is back in a minute
 			if c.fail != nil {
 				c.fail(p, conn)
 			}
-		}, func(p *play, conn net.Conn) {
-			if p.since() < 0 {
+		}, func(p *scriptedDiscovery, conn net.Conn) {
+			if p.reachableFor() < 0 {
 				c.fail(p, conn)
 				return
 			}
@@ -130,9 +144,9 @@
 	for name, script := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := &play{calls: map[string]int{}}
+				p := &scriptedDiscovery{calls: map[string]int{}}
 				n := memnet.New(200 * time.Microsecond)
-				var played sync.WaitGroup // an end of a connection takes time to arrive
+				var played sync.WaitGroup // the end of a connection takes time to arrive
 				discovery := func(addr string, script []call) {
 					ln, err := n.Listen(addr)
 					if err != nil {
@@ -150,7 +164,7 @@
 								if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 									return
 								}
-								script[min(p.call(addr), len(script)-1)](p, c)
+								script[min(p.countCall(addr), len(script)-1)](p, c)
 							})
 						}
 					}()
@@ -158,7 +172,7 @@
 				discovery("127.0.0.1:82", script)
 				discovery("127.0.0.1:83", []call{answers})
 				dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
-					if p.isDown() {
+					if p.isUnreachable() {
 						<-ctx.Done()
 						return nil, errors.Join(ctx.Err(), net.ErrClosed)
 					}
@@ -174,23 +188,23 @@
 					t.Fatal(err)
 				}
 				side, ended := New(&cfg, dial, slog.New(slog.DiscardHandler)), make(chan error, 1)
-				p.hup = func() { side.core.Replace(side.source("127.0.0.1:83")) }
+				p.move = func() { side.core.Replace(side.source("127.0.0.1:83")) }
 				stop, end := context.WithCancel(t.Context())
 				defer func() { end(); <-ended; played.Wait() }()
 				go func() { ended <- side.Run(stop, ln, nil, nil) }()
-				for time.Sleep(time.Millisecond); p.since() < 0; time.Sleep(time.Millisecond) {
+				for time.Sleep(time.Millisecond); p.reachableFor() < 0; time.Sleep(time.Millisecond) {
 				}
 				for side.core.Stats().Generation != 42 {
-					if p.since() > counted {
-						t.Fatalf("the news are not here after %v", counted)
+					if p.reachableFor() > maxUpdateDelay {
+						t.Fatalf("the change has not arrived after %v", maxUpdateDelay)
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
-				t.Logf("after %v", p.since().Round(10*time.Millisecond))
+				t.Logf("after %v", p.reachableFor().Round(10*time.Millisecond))
 			})
 		})
 	}
 }
 
-// hold keeps a connection open until its peer ends it.
-func hold(c net.Conn) { io.Copy(io.Discard, c) }
+// holdOpen keeps a connection open until the other side closes it.
+func holdOpen(c net.Conn) { io.Copy(io.Discard, c) }
--- a/internal/sidecar/wiring/reload_test.go
+++ b/internal/sidecar/wiring/reload_test.go
@@ -16,7 +16,7 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// lines is a log that hands out its lines as they are written.
+// lines is a log whose lines are received as they are written.
 type lines chan string
 
 func (l lines) Write(text []byte) (int, error) {
@@ -31,8 +31,8 @@
 	}
 }
 
-// After a reload the new discovery is asked for its whole list at once, the old one is left and counts no more, and
-// requests go on. A file that cannot be read changes nothing.
+// After a reload the new discovery is asked for its complete list at once, the old one is ignored, and requests continue. A file that is not
+// valid changes nothing.
 func TestReload(t *testing.T) {
 	got, release := make(chan struct{}, 1), make(chan struct{})
 	p := peertest.NewPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
@@ -59,7 +59,7 @@
 		t.Errorf("the first watch is after %s", after)
 	}
 	c, in := r.open()
-	io.WriteString(c, look("open"))
+	io.WriteString(c, lookRequest("open"))
 	peertest.Wait(t, got)
 
 	path, hup := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal)
@@ -73,7 +73,7 @@
 	defer cancel()
 	ended := make(chan struct{})
 	go func() {
-		r.side.Reload(ctx, path, hup)
+		r.sidecar.Reload(ctx, path, hup)
 		close(ended)
 	}()
 	hup <- syscall.SIGHUP // there is no file
@@ -89,7 +89,7 @@
 	}
 	peertest.Wait(t, old.Ended)
 	peertest.Eventually(t, "the new list holds", func() bool {
-		s := r.side.core.Stats()
+		s := r.sidecar.core.Stats()
 		return slices.Equal(s.Servers, []string{"s-1"}) && s.Generation == 3
 	})
 	close(release)
@@ -100,7 +100,7 @@
 	log.until(t, "moved=false")
 	cancel()
 	peertest.Wait(t, ended)
-	r.side.core.Stats()
+	r.sidecar.core.Stats()
 	if n := len(asked); n != 0 {
 		t.Errorf("%d more calls", n)
 	}
--- a/internal/sidecar/wiring/rig_test.go
+++ b/internal/sidecar/wiring/rig_test.go
@@ -13,27 +13,27 @@
 	"petrelhook/internal/sidecar/config"
 )
 
-// rig is a whole sidecar.
+// rig runs a complete sidecar.
 type rig struct {
-	t     *testing.T
-	side  *Sidecar
-	addr  string
-	stop  context.CancelFunc
-	ended chan error
+	t       *testing.T
+	sidecar *Sidecar
+	addr    string
+	stop    context.CancelFunc
+	ended   chan error
 }
 
 func newRig(t *testing.T, discovery, known string, log *slog.Logger) *rig {
-	return rigWith(t, discovery, known, "", nil, log)
+	return newRigWith(t, discovery, known, "", nil, log)
 }
 
-// rigWith is one with more in its configuration, that operators can call on a listener.
-func rigWith(t *testing.T, discovery, known, more string, calls net.Listener, log *slog.Logger) *rig {
+// newRigWith adds fields to the configuration, and a listener for operators.
+func newRigWith(t *testing.T, discovery, known, more string, calls net.Listener, log *slog.Logger) *rig {
 	t.Helper()
-	return rigOn(t, TCP(), discovery, known, more, peertest.Settings, calls, log)
+	return newRigOn(t, TCP(), discovery, known, more, peertest.Settings, calls, log)
 }
 
-// rigOn is one that dials in a way of its own, with other settings.
-func rigOn(t *testing.T, dial Dial, discovery, known, more, settings string, calls net.Listener, log *slog.Logger) *rig {
+// newRigOn has a Dial and settings of its own.
+func newRigOn(t *testing.T, dial Dial, discovery, known, more, settings string, calls net.Listener, log *slog.Logger) *rig {
 	t.Helper()
 	cfg, err := config.Parse("test", []byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",%s"known":%s,"settings":%s}`,
 		discovery, more, known, settings)))
@@ -44,21 +44,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, side: New(&cfg, dial, log), addr: ln.Addr().String(), ended: make(chan error, 1)}
+	r := &rig{t: t, sidecar: New(&cfg, dial, log), addr: ln.Addr().String(), ended: make(chan error, 1)}
 	stop, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	go func() { r.ended <- r.side.Run(stop, ln, calls, nil) }()
+	go func() { r.ended <- r.sidecar.Run(stop, ln, calls, nil) }()
 	t.Cleanup(cancel)
 	return r
 }
 
-// withServers is a sidecar that knows these servers; discovery is down.
-func withServers(t *testing.T, addrs ...string) *rig {
-	return newRig(t, peertest.DeadAddr(t), listed(addrs), slog.New(slog.DiscardHandler))
+// newRigWithServers has a sidecar that knows these servers, and whose discovery is down.
+func newRigWithServers(t *testing.T, addrs ...string) *rig {
+	return newRig(t, peertest.DeadAddr(t), catalogOf(addrs), slog.New(slog.DiscardHandler))
 }
 
-// listed is the list of servers at these addresses.
-func listed(addrs []string) string {
+// catalogOf is the list of the servers at these addresses, in discovery's form.
+func catalogOf(addrs []string) string {
 	var list []string
 	for i, addr := range addrs {
 		list = append(list, peertest.Instance(fmt.Sprint("s-", i), addr, "up"))
@@ -72,16 +72,16 @@
 	return peertest.Open(r.t, r.addr)
 }
 
-// ask sends a request on a connection of its own and reads the answer.
+// ask sends a request on a connection of its own and reads the response.
 func (r *rig) ask(request string) (*http.Response, string) {
 	r.t.Helper()
 	return peertest.Ask(r.t, r.addr, request)
 }
 
-func look(trace string) string {
+func lookRequest(trace string) string {
 	return "GET /look?sid=7f HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: look\r\nX-Customer: acme\r\nX-Expires-In: 9000m\r\n\r\n"
 }
 
-func once(trace string) string {
+func onceRequest(trace string) string {
 	return "POST /once HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: once\r\nX-Expires-In: 9000m\r\nContent-Length: 0\r\n\r\n"
 }
--- a/internal/sidecar/wiring/sidecar_test.go
+++ b/internal/sidecar/wiring/sidecar_test.go
@@ -12,7 +12,7 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// What a server must see unchanged, and what the client gets back.
+// What a server must get unchanged, and what the client gets back.
 func TestServesUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	bodies := make(chan string, 1)
@@ -22,7 +22,7 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: a/b\r\n\r\n2\r\nhi\r\n0\r\n\r\n")
 		return true
 	})
-	r := withServers(t, p.Addr)
+	r := newRigWithServers(t, p.Addr)
 	resp, body := r.ask("POST /book/%41;x?sid=7f&b=%2F HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: t1\r\nX-Qos: book\r\nX-Customer: nobody\r\n" +
 		"X-Expires-In: 9000500u\r\nIdempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello")
 	if resp.StatusCode != 200 || body != "hi" || resp.ContentLength != 2 || resp.Header.Get("Content-Type") != "a/b" {
@@ -39,7 +39,7 @@
 	}
 }
 
-// A second request of the same id must not start a second copy.
+// A second request with the same trace id is not executed.
 func TestARepeatedID(t *testing.T) {
 	got, release := make(chan struct{}, 1), make(chan struct{})
 	p := peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
@@ -48,45 +48,45 @@
 		io.WriteString(c, peertest.OKAnswer)
 		return true
 	})
-	r := withServers(t, p.Addr)
+	r := newRigWithServers(t, p.Addr)
 	c, in := r.open()
-	io.WriteString(c, look("same"))
+	io.WriteString(c, lookRequest("same"))
 	peertest.Wait(t, got)
-	if resp, _ := r.ask(look("same")); resp.StatusCode != http.StatusConflict {
+	if resp, _ := r.ask(lookRequest("same")); resp.StatusCode != http.StatusConflict {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	close(release)
 	if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 || p.Requests.Load() != 1 {
 		t.Errorf("status %d, %d requests", resp.StatusCode, p.Requests.Load())
 	}
-	if resp, _ := r.ask(look("same")); resp.StatusCode != http.StatusConflict || p.Requests.Load() != 1 {
+	if resp, _ := r.ask(lookRequest("same")); resp.StatusCode != http.StatusConflict || p.Requests.Load() != 1 {
 		t.Errorf("afterwards: status %d, %d requests", resp.StatusCode, p.Requests.Load())
 	}
 }
 
-// A client that goes away ends its attempts, and nothing is left in the tables.
+// When a client goes away its request's attempts are ended, and nothing is left in the tables.
 func TestAClientThatGoesAway(t *testing.T) {
 	got := make(chan struct{}, 1)
 	p := peertest.NewPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
-	r := withServers(t, p.Addr)
+	r := newRigWithServers(t, p.Addr)
 	c, _ := r.open()
-	io.WriteString(c, strings.Replace(look("t"), "9000m", "500m", 1))
+	io.WriteString(c, strings.Replace(lookRequest("t"), "9000m", "500m", 1))
 	peertest.Wait(t, got)
 	c.Close()
 	peertest.Wait(t, p.Ended)
 	peertest.Eventually(t, "the tables are empty", func() bool {
-		s := r.side.core.Stats()
+		s := r.sidecar.core.Stats()
 		return s.Requests == 0 && s.IDs == 0
 	})
 }
 
-// Ready only once a server is known.
+// A sidecar is healthy only once a server is known.
 func TestHealth(t *testing.T) {
 	health := "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 	r := newRig(t, peertest.DeadAddr(t), peertest.Catalog(1, true), slog.New(slog.DiscardHandler))
 	if resp, _ := r.ask(health); resp.StatusCode != 503 {
 		t.Errorf("without servers: %d", resp.StatusCode)
 	}
-	r = withServers(t, peertest.DeadAddr(t))
+	r = newRigWithServers(t, peertest.DeadAddr(t))
 	peertest.Eventually(t, "healthy", func() bool { resp, _ := r.ask(health); return resp.StatusCode == 200 })
 }
