--- a/balance/api.go
+++ b/balance/api.go
@@ -166,20 +166,31 @@
 
 // ServerSnapshot is what a Snapshot has of one server.
 type ServerSnapshot struct {
-	ID             ServerID `json:"ID"`
-	CapacityLog    float64  `json:"Size"`
-	Errors         float64  `json:"Errors"` // consecutive ones
-	LastErrorAt    float64  `json:"LastError"`
-	CooldownUntil  float64  `json:"RestUntil"`
-	AnsweredAt     float64  `json:"Answered"`
-	Cooldowns      int      `json:"Rests"`
-	ProbeFailed    bool     `json:"Dark"`
-	ConnectionLost bool     `json:"Down"`
-	WarmingUp      bool     `json:"Cold"`
-	SlowStartAt    float64  `json:"ColdSince"` // this and the budget only while it is warming up
-	Tokens         float64  `json:"Tokens"`
-	TokensAt       float64  `json:"TokensAt"`
-	CurrentWeight  float64  `json:"Running"`
+	ID          ServerID `json:"ID"`
+	CapacityLog float64  `json:"Size"` // learned logarithm of capacity, beyond its kind's and zone's
+	HealthState
+	WarmingUp bool `json:"Cold"`
+	SlowStartState
+	CurrentWeight float64 `json:"Running"` // in smooth weighted round robin
+}
+
+// HealthState is what attempts and probes have shown of a server.
+type HealthState struct {
+	Errors         float64 `json:"Errors"` // consecutive ones
+	LastErrorAt    float64 `json:"LastError"`
+	CooldownUntil  float64 `json:"RestUntil"` // 0: no cooldown since it last answered
+	AnsweredAt     float64 `json:"Answered"`  // the last time
+	Cooldowns      int     `json:"Rests"`     // since it last answered
+	ProbeFailed    bool    `json:"Dark"`      // the last probe got no answer
+	ConnectionLost bool    `json:"Down"`      // and no answer came since
+}
+
+// SlowStartState is a server's last start, and the budget of sends to it while it warms up. In a snapshot it is zero for a server
+// that is warm.
+type SlowStartState struct {
+	SlowStartAt float64 `json:"ColdSince"`
+	Tokens      float64 `json:"Tokens"` // sends that were left at TokensAt
+	TokensAt    float64 `json:"TokensAt"`
 }
 
 // ClassSnapshot is how long answers of a class take, and the longest time that a client had left for a request.
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -3,15 +3,18 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 )
 
-// Start begins the balancer's life. The actions are valid until the next call.
+// The life of a request: whether it is sent, waits, or is answered unserved.
+
+// Start begins the balancer's work. The actions are valid until the next call.
 func (b *Balancer) Start(now float64) []Action {
-	b.now, b.started, b.out = now, now, b.out[:0]
+	b.now, b.startedAt, b.actions = now, now, b.actions[:0]
 	if b.cfg.Subscribe {
-		b.ask()
+		b.watchList()
 	}
-	return b.out
+	return b.actions
 }
 
 func (b *Balancer) onRequest(ev Request) error {
@@ -19,122 +22,110 @@
 		return fmt.Errorf("request %d: unknown class %d", ev.ID, ev.Class)
 	}
 	r := &request{
-		Request: ev, class: &b.cfg.Classes[ev.Class], stats: &b.classes[ev.Class],
-		tenant: b.tenant(ev.Tenant), arrived: b.now, wakeAt: math.Inf(1),
+		Request: ev, class: &b.cfg.Classes[ev.Class], stats: &b.traffic.classes[ev.Class],
+		tenant: b.traffic.tenant(ev.Tenant), arrivedAt: b.now, wakeAt: math.Inf(1),
 	}
 	r.deadline = b.now + finite(ev.Remaining, r.class.Deadline)
-	b.reqs[ev.ID] = r
+	b.requests.byID[ev.ID] = r
 	admitted := b.admit(r)
-	r.count() // only now: else its own class would look a little worse served
-	b.asked.rate(b, 1, 0)
-	b.spare = math.Min(b.spare+repeatShare, repeatBurst)
+	r.stats.requests++ // only now: else its own class would look a little worse served
+	r.tenant.requests++
+	b.traffic.requestRate.count(b, 1)
+	b.retryBudget = math.Min(b.retryBudget+retryRatio, retryBurst)
 	if !admitted {
-		b.answer(r)
+		b.answerUnserved(r)
 		return nil
 	}
-	b.probeFor(r)
-	b.step(r)
+	b.startProbes(r)
+	b.advance(r)
 	return nil
 }
 
-// step looks at a request afresh: it sends, answers or waits.
-func (b *Balancer) step(r *request) {
-	if r.done || r.stream || r.uploading() {
+// advance takes the next step with a request: it sends, answers or waits.
+func (b *Balancer) advance(r *request) {
+	if r.done || r.streaming || r.bodyLeaving() {
 		return
 	}
-	b.markOverdue(r)
-	if b.now >= r.deadline || r.live == 0 && b.hopeless(r) {
-		b.answer(r)
+	b.recordOverdue(r)
+	if b.now >= r.deadline || r.live == 0 && b.noRetryLeft(r) {
+		b.answerUnserved(r)
 		return
 	}
-	if r.live == 0 && !b.held(r) {
-		if s := b.pick(r, len(r.tries) > 0); s != nil {
+	if r.live == 0 && !b.awaitsProbes(r) {
+		if s := b.pick(r, len(r.attempts) > 0); s != nil {
 			if b.send(r, s); r.BodyOpen {
 				return
 			}
-		} else if !b.sendable(r) {
-			b.answer(r)
+		} else if !b.hasEligibleServer(r) {
+			b.answerUnserved(r)
 			return
 		}
 	}
-	b.wake(r)
+	b.scheduleWakeup(r)
 }
 
-// hopeless: nothing more can be sent for the request, or it is no use to wait for a server.
-func (b *Balancer) hopeless(r *request) bool {
-	if r.bodyGone || len(r.tries) >= b.cfg.MaxAttempts || r.spent > maxRepeats || b.spare < r.lost {
+// noRetryLeft: nothing more can be sent for the request, or it is of no use to wait for a server.
+func (b *Balancer) noRetryLeft(r *request) bool {
+	if r.bodyConsumed || len(r.attempts) >= b.cfg.MaxAttempts || r.totalCost > maxRetryCost ||
+		b.retryBudget < r.lastCost {
 		return true
 	}
-	for i := range r.tries {
-		a := &r.tries[i]
-		forgotten := r.class.Effect == Keyed && b.now >= a.sent+r.class.Window
-		if !a.clean && (r.class.Effect == Unsafe || forgotten) {
-			return true
-		}
-	}
-	return b.now >= r.arrived+r.class.LatencyTarget && b.refusable(r) && r.class.LateValue <= b.steady
+	mayRunTwice := slices.ContainsFunc(r.attempts, func(a attempt) bool {
+		forgotten := r.class.Effect == Keyed && b.now >= a.sentAt+r.class.Window
+		return !a.neverRan && (r.class.Effect == Unsafe || forgotten)
+	})
+	late := b.now >= r.arrivedAt+r.class.LatencyTarget
+	return mayRunTwice || late && b.rejectable(r) && r.class.LateValue <= b.shedding.lasting
 }
 
-// sendable: there is a server to wait for. Without one only news of the list could help: who is refused
-// at once can be back by then, who is kept until the deadline cannot.
-func (b *Balancer) sendable(r *request) bool {
-	for _, s := range b.servers {
-		if b.allowed(r, s) {
-			return true
-		}
-	}
-	return false
+// hasEligibleServer: there is a server to wait for; without one, a client rejected at once can still retry.
+func (b *Balancer) hasEligibleServer(r *request) bool {
+	return slices.ContainsFunc(b.servers.all, func(s *server) bool { return b.eligible(r, s) })
 }
 
-// answer ends a request unserved: refused where that is harmless, else failed.
-func (b *Balancer) answer(r *request) {
-	if b.refusable(r) {
-		b.emit(Action{Kind: Reject, Request: r.ID, After: b.holdOff(r)})
+// answerUnserved ends a request that no server answered: rejected where a retry does no harm, else failed.
+func (b *Balancer) answerUnserved(r *request) {
+	if b.rejectable(r) {
+		b.emit(Action{Kind: Reject, Request: r.ID, After: b.retryAfter(r)})
 	} else {
 		b.emit(Action{Kind: Fail, Request: r.ID})
 	}
-	b.close(r)
+	b.closeRequest(r)
 }
 
-// holdOff is when a refused client should come back: once what answers take too long now has passed. To hold
-// off for longer makes the later try too late, and its work is wasted.
-func (b *Balancer) holdOff(r *request) float64 {
+// retryAfter is when a rejected client should retry: after what answers take too long now, and not too late.
+func (b *Balancer) retryAfter(r *request) float64 {
 	if !b.cfg.RetryAfter {
 		return 0
 	}
-	at := r.class.LatencyTarget * bound(b.over, leastHold, mostHold)
+	after := r.class.LatencyTarget * clamp(b.shedding.excess, minRetryAfter, maxRetryAfter)
 	if b.cfg.MaxRetryAfter > 0 {
-		at = math.Min(at, b.cfg.MaxRetryAfter)
+		after = math.Min(after, b.cfg.MaxRetryAfter)
 	}
-	return at
+	return after
 }
 
-// refusable guards against double effects: a refused request is tried again by its client. A key that all
-// servers know lets that do no harm if they still know it when the client was told to come back.
-func (b *Balancer) refusable(r *request) bool {
-	if r.class.Effect == Keyed && r.class.Group == GroupAll {
-		back := b.now + b.holdOff(r)
-		for i := range r.tries {
-			if a := &r.tries[i]; !a.clean && back >= a.sent+r.class.Window {
-				return false
-			}
-		}
-		return true
-	}
-	return r.class.Effect == Safe || !r.mayHaveRun()
+// rejectable guards against double effects: a rejected request is retried by its client. With a key that all
+// servers know that does no harm if they still know it at the time of the retry.
+func (b *Balancer) rejectable(r *request) bool {
+	knownToAll := r.class.Effect == Keyed && r.class.Group == GroupAll
+	retryAt := b.now + b.retryAfter(r)
+	return r.class.Effect == Safe || !slices.ContainsFunc(r.attempts, func(a attempt) bool {
+		return !a.neverRan && (!knownToAll || retryAt >= a.sentAt+r.class.Window)
+	})
 }
 
-// wake sets a timer for the next moment at which the request must be looked at.
-func (b *Balancer) wake(r *request) {
+// scheduleWakeup sets a timer for the next time at which there may be something to do for the request.
+func (b *Balancer) scheduleWakeup(r *request) {
 	next := r.deadline
-	if r.holdUntil > b.now {
-		next = math.Min(next, r.holdUntil)
+	if r.probeDeadline > b.now {
+		next = math.Min(next, r.probeDeadline)
 	} else if r.live == 0 {
 		next = math.Min(next, b.now+math.Max(b.cfg.BatchInterval, r.class.LatencyTarget/20))
 	}
-	for i := range r.tries {
-		if a := &r.tries[i]; a.live && !a.overdue {
-			next = math.Min(next, a.sent+b.overdueAfter(r))
+	for i := range r.attempts {
+		if a := &r.attempts[i]; a.live && !a.overdue {
+			next = math.Min(next, a.sentAt+b.overdueAfter(r))
 		}
 	}
 	if next < r.wakeAt {
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -2,23 +2,28 @@
 
 import "math"
 
-// Cold servers: how much this sidecar may send to one, so that all of them together do not push it over.
+// Slow start: how much this sidecar may send to a server that warms up, so that all do not overload it.
 
-func (b *Balancer) cold(s *server) bool { return b.now < s.coldSince+b.cfg.SlowStartTime }
+func (b *Balancer) warmingUp(s *server) bool { return b.now < s.SlowStartAt+b.cfg.SlowStartTime }
 
-// coldBudget is a hard limit of sends to a cold server, re-routes included: half of the allowed multiple of
-// what warm servers of its size answer of this sidecar's requests, lowered by its warmth. Answers count, not
-// requests, which clients repeat in overload, and few are assumed: else small sidecars broke the rule.
-func (b *Balancer) coldBudget(s *server) bool {
-	share := s.weight / math.Max(b.pool, s.weight)
-	fill := b.answers.rate(b, 0, 1) * share * math.Max(1, b.cfg.OverloadMultiple/2)
-	most := math.Max(1, fill*b.cfg.OverloadTime/4)
-	s.tokens, s.tokensAt = math.Min(s.tokens+fill*(b.now-s.tokensAt), most), b.now
-	return s.tokens >= 1
+// warmupFraction is the least fraction of its capacity that a server has while it warms up.
+func (b *Balancer) warmupFraction(s *server) float64 {
+	age := math.Max(0, b.now-s.SlowStartAt) / b.cfg.SlowStartTime
+	return b.cfg.SlowStartFraction + (1-b.cfg.SlowStartFraction)*math.Min(1, age)
 }
 
-// beginSlowStart begins a server's warm-up. The first budget is random, so that the first sends of all
-// sidecars do not meet.
+// slowStartBudget reports whether a send is left for a server that warms up. It is a hard limit, retries
+// included: half of the allowed multiple of what warm servers like it answer of this sidecar's requests,
+// lowered by its warm-up. Answers count, as clients repeat requests; few are assumed: small sidecars add up.
+func (b *Balancer) slowStartBudget(s *server) bool {
+	share := s.weight / math.Max(b.servers.totalWeight, s.weight)
+	rate := b.traffic.answerRate.perMillisecond(b, 1) * share * math.Max(1, b.cfg.OverloadMultiple/2)
+	maxTokens := math.Max(1, rate*b.cfg.OverloadTime/4)
+	s.Tokens, s.TokensAt = math.Min(s.Tokens+rate*(b.now-s.TokensAt), maxTokens), b.now
+	return s.Tokens >= 1
+}
+
+// beginSlowStart begins a warm-up. The first budget is random: sidecars' first sends must not coincide.
 func (b *Balancer) beginSlowStart(s *server, since float64) {
-	s.coldSince, s.tokens, s.tokensAt = since, b.rng.Float64(), b.now
+	s.SlowStartState = SlowStartState{since, b.rng.Float64(), b.now}
 }
--- a/balance/conversation_test.go
+++ b/balance/conversation_test.go
@@ -373,26 +373,26 @@
 
 func (c *conversation) show(out *strings.Builder) {
 	c.tell(Timer{Token: 0}, out) // nobody's: only the time is told
-	for _, s := range c.b.servers {
+	for _, s := range c.b.servers.all {
 		fmt.Fprintf(out, "%s: m %.2f", c.name(s.ID), c.b.health(s))
 		if s.State != Ready {
 			fmt.Fprint(out, ", draining")
 		}
-		if s.errs > 0 {
-			fmt.Fprintf(out, ", %.0f errors in a row", s.errs)
+		if s.Errors > 0 {
+			fmt.Fprintf(out, ", %.0f errors in a row", s.Errors)
 		}
-		if c.b.resting(s) {
-			fmt.Fprintf(out, ", rests for %.0f ms", s.restUntil-c.now)
+		if c.b.coolingDown(s) {
+			fmt.Fprintf(out, ", rests for %.0f ms", s.CooldownUntil-c.now)
 		}
-		if c.b.cold(s) {
-			fmt.Fprintf(out, ", cold at %.0f%%", 100*c.b.warmth(s))
+		if c.b.warmingUp(s) {
+			fmt.Fprintf(out, ", cold at %.0f%%", 100*c.b.warmupFraction(s))
 		}
 		if s.inFlight > 0 {
 			fmt.Fprintf(out, ", holds %d", s.inFlight)
 		}
 		fmt.Fprintln(out)
 	}
-	if c.b.steady > 0.005 {
-		fmt.Fprintf(out, "sheds %.0f%% lastingly\n", 100*c.b.steady)
+	if c.b.shedding.lasting > 0.005 {
+		fmt.Fprintf(out, "sheds %.0f%% lastingly\n", 100*c.b.shedding.lasting)
 	}
 }
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -4,11 +4,11 @@
 
 // rig drives one balancer by a script of events and keeps what it asked for.
 type rig struct {
-	t    *testing.T
-	b    *Balancer
-	now  float64
-	acts []Action
-	next RequestID
+	t       *testing.T
+	b       *Balancer
+	now     float64
+	actions []Action
+	next    RequestID
 }
 
 func baseConfig() Config {
@@ -36,10 +36,10 @@
 
 func newRig(t *testing.T, cfg Config, servers ...Server) *rig {
 	g := &rig{t: t, b: New(cfg), now: 1000}
-	g.acts = append(g.acts, g.b.Start(g.now)...)
+	g.actions = append(g.actions, g.b.Start(g.now)...)
 	g.do(ServerList{Kind: ListCached, Servers: servers})
-	for _, s := range g.b.servers {
-		s.running = 0 // the random start would hide the sequence
+	for _, s := range g.b.servers.all {
+		s.currentWeight = 0 // the random start would hide the sequence
 	}
 	return g
 }
@@ -60,12 +60,12 @@
 		g.t.Fatalf("%#v: %v", ev, err)
 	}
 	acts = append([]Action(nil), acts...)
-	g.acts = append(g.acts, acts...)
+	g.actions = append(g.actions, acts...)
 	return acts
 }
 
-// ask brings a request and returns its ID with what was done at once.
-func (g *rig) ask(class int) (RequestID, []Action) {
+// request brings a request and returns its ID with what was done at once.
+func (g *rig) request(class int) (RequestID, []Action) {
 	g.t.Helper()
 	g.next++
 	return g.next, g.do(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
@@ -74,8 +74,8 @@
 // answer ends an attempt with a result.
 func (g *rig) answer(id RequestID, attempt int, res Result, took float64) []Action {
 	g.t.Helper()
-	s := g.b.reqs[id].tries[attempt].s
-	done := res == OK || g.b.reqs[id].done
+	s := g.b.requests.byID[id].attempts[attempt].server
+	done := res == OK || g.b.requests.byID[id].done
 	return g.do(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Latency: took, Finished: done})
 }
 
--- a/balance/input_test.go
+++ b/balance/input_test.go
@@ -10,8 +10,8 @@
 // An event that cannot be is an error that says what was wrong, and leaves the balancer as it was.
 func TestImpossibleEventsAreErrors(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(3)...)
-	id, _ := g.ask(safeClass)
-	before, r := *g.b, *g.b.reqs[id]
+	id, _ := g.request(safeClass)
+	before, r := *g.b, *g.b.requests.byID[id]
 	for _, c := range []struct {
 		ev   Event
 		says string
@@ -28,8 +28,8 @@
 			t.Errorf("%+v: error %v, actions %v", c.ev, err, acts)
 		}
 		after := *g.b
-		after.out = before.out
-		if !reflect.DeepEqual(after, before) || !reflect.DeepEqual(*g.b.reqs[id], r) {
+		after.actions = before.actions
+		if !reflect.DeepEqual(after, before) || !reflect.DeepEqual(*g.b.requests.byID[id], r) {
 			t.Errorf("%+v changed the balancer", c.ev)
 		}
 	}
@@ -47,7 +47,7 @@
 		}
 	}
 	acts := g.do(Request{ID: 1, Tenant: 50, Remaining: 100}) // an unknown tenant counts as none
-	if !has(acts, Send) || g.b.tenants[len(g.b.tenants)-1].asked != 2 {
+	if !has(acts, Send) || g.b.traffic.tenants[len(g.b.traffic.tenants)-1].requests != 2 {
 		t.Fatalf("a request of an unknown tenant: %+v", acts)
 	}
 }
@@ -69,12 +69,12 @@
 		}
 		g := newRig(t, cfg, servers...)
 		for i := range 40 {
-			id, acts := g.ask(i % len(cfg.Classes))
+			id, acts := g.request(i % len(cfg.Classes))
 			if i%2 == 0 {
 				acts = g.do(Request{ID: RequestID(1000 + i), Class: i % len(cfg.Classes), Remaining: odd})
 			}
 			acts = append(acts, g.probes(acts, float32(odd), nil)...)
-			if r := g.b.reqs[id]; r != nil && r.live > 0 {
+			if r := g.b.requests.byID[id]; r != nil && r.live > 0 {
 				acts = append(acts, g.answer(id, 0, OK, odd)...)
 			}
 			for _, a := range acts {
@@ -87,9 +87,9 @@
 		if _, err := g.b.Handle(odd, Timer{}); err != nil || g.b.now != g.now-10 {
 			t.Fatalf("%v as the time: now %v, error %v", odd, g.b.now, err)
 		}
-		for _, s := range g.b.servers {
-			if w := g.b.weight(s); !(w > 0) || math.IsInf(w, 0) || math.IsNaN(s.running) {
-				t.Errorf("%v: server %d has weight %v, running value %v", odd, s.ID, w, s.running)
+		for _, s := range g.b.servers.all {
+			if w := g.b.weight(s); !(w > 0) || math.IsInf(w, 0) || math.IsNaN(s.currentWeight) {
+				t.Errorf("%v: server %d has weight %v, running value %v", odd, s.ID, w, s.currentWeight)
 			}
 		}
 	}
@@ -104,8 +104,8 @@
 	for name, servers := range map[string][]Server{"empty": nil, "one": fleet(1), "all draining": draining} {
 		g := newRig(t, baseConfig(), servers...)
 		for class := range g.b.cfg.Classes {
-			id, acts := g.ask(class)
-			r := g.b.reqs[id]
+			id, acts := g.request(class)
+			r := g.b.requests.byID[id]
 			for r != nil && !r.done && g.now <= r.deadline {
 				acts = append(acts, g.do(Timer{Token: uint64(id)})...)
 				g.now += 5
--- a/balance/keys_test.go
+++ b/balance/keys_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// askKey brings a request about a subject and returns where it was sent; it is answered at once.
-func (g *rig) askKey(key uint64) ServerID {
+// requestKey brings a request about a subject and returns where it was sent; it is answered at once.
+func (g *rig) requestKey(key uint64) ServerID {
 	g.t.Helper()
 	g.next++
 	s, ok := sentTo(g.do(Request{ID: g.next, Class: allClass, Key: key, Remaining: 2000}))
@@ -27,7 +27,7 @@
 		if counts[key] == nil {
 			counts[key] = map[ServerID]int{}
 		}
-		counts[key][g.askKey(key)]++
+		counts[key][g.requestKey(key)]++
 	}
 	most, home := map[uint64]ServerID{}, 0
 	for key, by := range counts {
@@ -81,7 +81,7 @@
 	g := newRig(t, warmConfig(1, 0), fleet(6)...)
 	got := map[ServerID]int{}
 	for i := range 3000 {
-		got[g.askKey(1+mix(uint64(i))%500)]++
+		got[g.requestKey(1+mix(uint64(i))%500)]++
 	}
 	for s, n := range got {
 		if math.Abs(float64(n)-500) > 150 {
@@ -98,7 +98,7 @@
 		busy[s]++
 	}
 	for s, n := range busy {
-		if n > 2+keyRoom {
+		if n > 2+affinityRoom {
 			t.Errorf("server %d holds %d of 12 requests for one key", s, n)
 		}
 	}
@@ -153,14 +153,14 @@
 		g := newRig(t, baseConfig(), fleet(6)...)
 		g.b.cfg.Penalties.Waste, g.b.cfg.Classes[allClass].LateValue = 0.3, 0.3
 		for range 20 { // answers take 10 ms
-			g.askKey(1)
+			g.requestKey(1)
 		}
 		g.next++
 		first := g.next
 		g.do(Request{ID: first, Class: allClass, Key: 7, Remaining: 800})
 		g.now += 800
 		if c.change != nil { // its server works: it has answered another meanwhile
-			g.b.reqs[first].tries[0].s.answered = g.now - 1
+			g.b.requests.byID[first].attempts[0].server.AnsweredAt = g.now - 1
 		}
 		if acts := g.answer(first, 0, TimedOut, 800); !has(acts, Reject) {
 			t.Fatalf("%s: %+v", c.name, acts)
@@ -181,13 +181,13 @@
 func TestOverrunsAreForgotten(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(3)...)
 	r := &request{class: &g.b.cfg.Classes[allClass]}
-	a := &attempt{s: &server{answered: 1}}
+	a := &attempt{server: &server{HealthState: HealthState{AnsweredAt: 1}}}
 	for i := range 20000 {
 		r.Key = uint64(i + 1)
 		g.b.now += 4 // 100 within an aim of 400 ms
-		g.b.overran(r, a, 800)
-		if len(g.b.overruns) > 400 {
-			t.Fatal(fmt.Sprint(len(g.b.overruns), " are held after ", i))
+		g.b.recordTimeout(r, a, 800)
+		if len(g.b.timeouts.records) > 400 {
+			t.Fatal(fmt.Sprint(len(g.b.timeouts.records), " are held after ", i))
 		}
 	}
 }
@@ -195,13 +195,13 @@
 // What a server owes for keys is not forgiven by a request without one.
 func TestDebtsOutlastRequestsWithoutAKey(t *testing.T) {
 	g := newRig(t, warmConfig(1, 0), fleet(4)...)
-	for i, s := range g.b.servers {
-		s.running = -1500 - 1000*float64(i)
+	for i, s := range g.b.servers.all {
+		s.currentWeight = -1500 - 1000*float64(i)
 	}
 	if s, _ := sentTo(g.do(Request{ID: 1, Class: safeClass, Remaining: 1500})); s != 1 {
 		t.Fatalf("sent to %d", s)
 	}
-	if got := g.b.servers[0].running; got > -1500 {
+	if got := g.b.servers.all[0].currentWeight; got > -1500 {
 		t.Errorf("it owed 1500 and is at %v", got)
 	}
 }
--- a/balance/list.go
+++ b/balance/list.go
@@ -2,45 +2,52 @@
 
 import "math"
 
-// The list of servers: when to ask for it, and what its news change.
+// The server list: when to subscribe to it, and what its updates change.
 
-// ask subscribes to the list, at the start and after a failed call: changes cost less than whole lists.
-func (b *Balancer) ask() {
-	b.askedAt = b.now
+// listPolling counts the calls for the list that failed in a row, and has the time of the last call.
+type listPolling struct {
+	failures int
+	lastAt   float64
+}
+
+// watchList subscribes, at the start and after a failed call: changes cost less than complete lists.
+func (b *Balancer) watchList() {
+	b.polling.lastAt = b.now
 	b.emit(Action{Kind: WatchList})
 }
 
 func (b *Balancer) onList(ev ServerList) {
 	switch ev.Kind {
 	case ListFailed:
-		b.askAgain()
+		b.retryWatch()
 		return
 	case ListFull, ListCached:
-		b.markUnlisted(ev.Servers)
+		b.servers.markUnlistedRemoved(ev.Servers)
 	}
-	b.asks = 0
+	b.polling.failures = 0
 	for i := range ev.Servers {
-		b.update(&ev.Servers[i])
+		b.updateServer(&ev.Servers[i])
 	}
-	b.dropGone()
+	b.servers.dropRemoved()
 }
 
-// update takes in one entry. A restart clears what was held against the server.
-func (b *Balancer) update(entry *Server) {
-	s := b.byID[entry.ID]
+// updateServer applies one entry. A restart clears a server's faults.
+func (b *Balancer) updateServer(entry *Server) {
+	s := b.servers.byID[entry.ID]
 	if s == nil {
 		if entry.State == Removed {
 			return
 		}
-		// A random start keeps sidecars that begin together from choosing in step.
-		s = &server{running: 100 * b.rng.Float64(), coldSince: math.Inf(-1)}
-		s.place = mix(uint64(entry.ID) + mix(uint64(b.cfg.SidecarNumber%rounds)+1))
-		b.byID[entry.ID] = s
-		b.servers = append(b.servers, s)
+		// A random start keeps sidecars that begin together from choosing alike.
+		s = &server{rotationState: rotationState{currentWeight: 100 * b.rng.Float64()}}
+		s.SlowStartAt = math.Inf(-1)
+		s.ringPosition = mix(uint64(entry.ID) + mix(uint64(b.cfg.SidecarNumber%ringCount)+1))
+		b.servers.byID[entry.ID] = s
+		b.servers.all = append(b.servers.all, s)
 	}
 	if entry.StartedAt > s.StartedAt {
 		s.resetHealth()
-		s.running = 0
+		s.currentWeight = 0
 		b.beginSlowStart(s, math.Min(entry.StartedAt, b.now))
 	}
 	s.Server = *entry
@@ -49,20 +56,20 @@
 	}
 }
 
-// askAgain calls again after a growing, jittered pause, which counts from the failed call on: one that hung
-// has been a pause. It is bounded, as news count as told 6 s after discovery is back, and within the limit on
-// sidecars not subscribed. Where lists are pushed, an agent beside the sidecar has them: to ask costs
-// nothing, what it has counts as told.
-func (b *Balancer) askAgain() {
-	least, pause := float64(askPause), math.Min(askPause*float64(int(1)<<min(b.asks, 4)), mostPause)
+// retryWatch subscribes again after a backoff with jitter from the failed call on (one that hung was a wait).
+// It is bounded: updates must be known 6 s after discovery is back, and within MaxPollInterval. Without
+// Subscribe, an agent beside the sidecar gets the lists: to ask it is free, and what it has counts as known.
+func (b *Balancer) retryWatch() {
+	shortest := float64(pollBackoff)
+	backoff := math.Min(pollBackoff*float64(int(1)<<min(b.polling.failures, 4)), maxPollBackoff)
 	if !b.cfg.Subscribe {
-		least = bound(b.cfg.DrainGrace/10, agentPause, askPause)
-		pause = least
+		shortest = clamp(b.cfg.DrainGrace/10, pushedPollBackoff, pollBackoff)
+		backoff = shortest
 	} else if b.cfg.MaxPollInterval > 0 {
-		pause = math.Min(pause, b.cfg.MaxPollInterval/3)
+		backoff = math.Min(backoff, b.cfg.MaxPollInterval/3)
 	}
-	b.asks++
+	b.polling.failures++
 	jitter := 0.5 + b.rng.Float64()/2
-	left := math.Max(pause*jitter-(b.now-b.askedAt), math.Min(least, pause)*jitter)
-	b.emit(Action{Kind: SetTimer, Token: listTimer, After: left})
+	after := math.Max(backoff*jitter-(b.now-b.polling.lastAt), math.Min(shortest, backoff)*jitter)
+	b.emit(Action{Kind: SetTimer, Token: listTimer, After: after})
 }
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -5,57 +5,57 @@
 	"math"
 )
 
-// The state that one process of a sidecar hands to the next, so that it neither learns anew nor gives a server
-// in its slow start a second budget. No decisions.
+// State for the next process of a sidecar: it neither learns anew nor gives a second slow-start budget.
 
-// Snapshot returns what has been learned. Its maps are the balancer's own, and good until the next event.
+// Snapshot returns what was learned. Its maps are the balancer's own: they may be read until the next event.
 func (b *Balancer) Snapshot() Snapshot {
-	m := Snapshot{
-		StartedAt: b.started, Kinds: b.kinds, Zones: b.zones, ShedFraction: b.steady,
-		MeanLatency: b.slowness, LatencySamples: b.slowN, MinLatency: b.quickest,
-		CapacitySamples: b.learned, MeanCapacityStep: b.drift, RetryBudget: b.spare,
-		RequestsRecent: b.asked.recent, RequestsLatest: b.asked.latest, RequestsAt: b.asked.at,
-		AnswersRecent: b.answers.recent, AnswersLatest: b.answers.latest, AnswersAt: b.answers.at,
+	requests, answers := &b.traffic.requestRate, &b.traffic.answerRate
+	snapshot := Snapshot{
+		StartedAt: b.startedAt, Kinds: b.capacities.kinds, Zones: b.capacities.zones,
+		CapacitySamples: b.capacities.samples, MeanCapacityStep: b.capacities.meanStep,
+		ShedFraction: b.shedding.lasting, MeanLatency: b.latencies.mean,
+		LatencySamples: b.latencies.samples, MinLatency: b.latencies.min, RetryBudget: b.retryBudget,
+		RequestsRecent: requests.recent, RequestsLatest: requests.latest, RequestsAt: requests.at,
+		AnswersRecent: answers.recent, AnswersLatest: answers.latest, AnswersAt: answers.at,
 	}
-	for _, s := range b.servers {
+	for _, s := range b.servers.all {
 		one := ServerSnapshot{
-			ID: s.ID, CapacityLog: s.size, Errors: s.errs, LastErrorAt: s.lastErr, CooldownUntil: s.restUntil,
-			AnsweredAt: s.answered, Cooldowns: s.rests, ProbeFailed: s.dark, ConnectionLost: s.down,
-			CurrentWeight: s.running,
+			ID: s.ID, CapacityLog: s.capacityLog, HealthState: s.HealthState, CurrentWeight: s.currentWeight,
 		}
-		if one.WarmingUp = b.cold(s); one.WarmingUp {
-			one.SlowStartAt, one.Tokens, one.TokensAt = s.coldSince, s.tokens, s.tokensAt
+		if one.WarmingUp = b.warmingUp(s); one.WarmingUp {
+			one.SlowStartState = s.SlowStartState
 		}
-		m.Servers = append(m.Servers, one)
+		snapshot.Servers = append(snapshot.Servers, one)
 	}
-	for _, c := range b.classes {
-		m.Classes = append(m.Classes, ClassSnapshot{c.n, c.mean, c.dev, c.longest})
+	for i := range b.traffic.classes {
+		snapshot.Classes = append(snapshot.Classes, b.traffic.classes[i].ClassSnapshot)
 	}
-	return m
+	return snapshot
 }
 
-// Restore goes on with what another process of this sidecar has learned; the server list must be known already.
-func (b *Balancer) Restore(m Snapshot) {
-	b.started, b.steady, b.spare = math.Min(m.StartedAt, b.now), m.ShedFraction, m.RetryBudget
-	b.slowness, b.slowN, b.quickest = m.MeanLatency, m.LatencySamples, m.MinLatency
-	b.learned, b.drift = m.CapacitySamples, m.MeanCapacityStep
-	b.asked = meter{m.RequestsRecent, m.RequestsLatest, math.Min(m.RequestsAt, b.now)}
-	b.answers = meter{m.AnswersRecent, m.AnswersLatest, math.Min(m.AnswersAt, b.now)}
-	maps.Copy(b.kinds, m.Kinds)
-	maps.Copy(b.zones, m.Zones)
-	for i, c := range m.Classes[:min(len(m.Classes), len(b.classes))] {
-		own := &b.classes[i]
-		own.n, own.mean, own.dev, own.longest = c.Count, c.Mean, c.Deviation, c.MaxRemaining
+// Restore goes on with what another process of this sidecar learned; the server list must be known already.
+func (b *Balancer) Restore(from Snapshot) {
+	t := &b.traffic
+	b.startedAt, b.retryBudget = math.Min(from.StartedAt, b.now), from.RetryBudget
+	b.shedding.lasting = from.ShedFraction
+	b.latencies.mean, b.latencies.samples = from.MeanLatency, from.LatencySamples
+	b.latencies.min = from.MinLatency
+	b.capacities.samples, b.capacities.meanStep = from.CapacitySamples, from.MeanCapacityStep
+	maps.Copy(b.capacities.kinds, from.Kinds)
+	maps.Copy(b.capacities.zones, from.Zones)
+	t.requestRate = rateMeter{from.RequestsRecent, from.RequestsLatest, math.Min(from.RequestsAt, b.now)}
+	t.answerRate = rateMeter{from.AnswersRecent, from.AnswersLatest, math.Min(from.AnswersAt, b.now)}
+	for i, c := range from.Classes[:min(len(from.Classes), len(t.classes))] {
+		t.classes[i].ClassSnapshot = c
 	}
-	for _, one := range m.Servers {
-		s := b.byID[one.ID]
+	for _, one := range from.Servers {
+		s := b.servers.byID[one.ID]
 		if s == nil {
 			continue
 		}
-		s.size, s.errs, s.lastErr, s.restUntil = one.CapacityLog, one.Errors, one.LastErrorAt, one.CooldownUntil
-		s.answered, s.rests, s.dark, s.down = one.AnsweredAt, one.Cooldowns, one.ProbeFailed, one.ConnectionLost
-		if s.running = one.CurrentWeight; one.WarmingUp {
-			s.coldSince, s.tokens, s.tokensAt = one.SlowStartAt, one.Tokens, one.TokensAt
+		s.capacityLog, s.HealthState, s.currentWeight = one.CapacityLog, one.HealthState, one.CurrentWeight
+		if one.WarmingUp {
+			s.SlowStartState = one.SlowStartState
 		}
 	}
 }
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -11,7 +11,7 @@
 	g := newRig(t, baseConfig(), fleet(5)...)
 	for i := range 400 {
 		g.now += 20
-		id, acts := g.ask(i % 3)
+		id, acts := g.request(i % 3)
 		to, sent := sentTo(acts)
 		if !sent {
 			continue
@@ -19,8 +19,8 @@
 		switch {
 		case to == 2 && i < 200:
 			g.answer(id, 0, Reset, 5)
-			for _, a := range g.acts {
-				if r := g.b.reqs[id]; a.Kind == Send && a.Request == id && r != nil && len(r.tries) > 1 && r.tries[1].live {
+			for _, a := range g.actions {
+				if r := g.b.requests.byID[id]; a.Kind == Send && a.Request == id && r != nil && len(r.attempts) > 1 && r.attempts[1].live {
 					g.answer(id, 1, OK, 20)
 				}
 			}
@@ -59,8 +59,8 @@
 	}
 	for i := range 300 {
 		g.now, next.now = g.now+15, next.now+15
-		id, acts := g.ask(i % 3)
-		_, nextActs := next.ask(i % 3)
+		id, acts := g.request(i % 3)
+		_, nextActs := next.request(i % 3)
 		to, _ := sentTo(acts)
 		if nextTo, _ := sentTo(nextActs); to != nextTo {
 			t.Fatalf("request %d: to %d, the next process to %d", i, to, nextTo)
@@ -76,17 +76,17 @@
 // is cold for the next as well.
 func TestAColdServerHasOneBudget(t *testing.T) {
 	g := learnedRig(t)
-	s := g.b.byID[1]
+	s := g.b.servers.byID[1]
 	g.b.beginSlowStart(s, g.now)
-	s.tokens = 0
+	s.Tokens = 0
 	next := &rig{t: t, b: New(baseConfig()), now: g.now}
 	next.b.Start(next.now)
 	next.do(ServerList{Kind: ListCached, Servers: fleet(5)})
-	if next.b.cold(next.b.byID[1]) {
+	if next.b.warmingUp(next.b.servers.byID[1]) {
 		t.Fatal("cold without being told")
 	}
 	next.b.Restore(g.b.Snapshot())
-	if one := next.b.byID[1]; !next.b.cold(one) || one.tokens != 0 || one.coldSince != g.now {
+	if one := next.b.servers.byID[1]; !next.b.warmingUp(one) || one.Tokens != 0 || one.SlowStartAt != g.now {
 		t.Errorf("%+v", one)
 	}
 }
@@ -100,8 +100,8 @@
 	next.Start(g.now)
 	next.Handle(g.now, ServerList{Kind: ListCached, Servers: fleet(2)})
 	next.Restore(g.b.Snapshot())
-	if len(next.servers) != 2 || len(next.classes) != 1 {
-		t.Errorf("%d servers, %d classes", len(next.servers), len(next.classes))
+	if len(next.servers.all) != 2 || len(next.traffic.classes) != 1 {
+		t.Errorf("%d servers, %d classes", len(next.servers.all), len(next.traffic.classes))
 	}
 	if acts, err := next.Handle(g.now, Request{ID: 1, Remaining: 1500}); err != nil || !has(acts, Send) {
 		t.Errorf("%+v, %v", acts, err)
--- a/balance/open_test.go
+++ b/balance/open_test.go
@@ -18,15 +18,15 @@
 	if !sent || has(acts, SetTimer) {
 		t.Fatalf("%+v", acts)
 	}
-	s := g.b.byID[to]
+	s := g.b.servers.byID[to]
 	g.now += 60_000
 	if acts := g.do(Timer{Token: uint64(id)}); len(acts) != 0 {
 		t.Errorf("after a minute: %+v", acts)
 	}
-	if s.errs != 0 || s.load != 0 || s.inFlight != 0 {
+	if s.Errors != 0 || s.weightedLoad != 0 || s.inFlight != 0 {
 		t.Errorf("the server is blamed or counted: %+v", s)
 	}
-	if acts = g.do(BodySent{Request: id}); !has(acts, SetTimer) || s.inFlight != 1 || s.load == 0 {
+	if acts = g.do(BodySent{Request: id}); !has(acts, SetTimer) || s.inFlight != 1 || s.weightedLoad == 0 {
 		t.Errorf("its time begins: %+v, in flight %d", acts, s.inFlight)
 	}
 	if again := g.do(BodySent{Request: id}); len(again) != 0 || s.inFlight != 1 {
@@ -37,8 +37,8 @@
 		t.Errorf("at its deadline: %+v", acts)
 	}
 	g.answer(id, 0, TimedOut, g.b.cfg.Classes[safeClass].Deadline)
-	if s.load != 0 || s.inFlight != 0 || len(g.b.reqs) != 0 {
-		t.Errorf("afterwards: load %v, %d in flight, %d requests", s.load, s.inFlight, len(g.b.reqs))
+	if s.weightedLoad != 0 || s.inFlight != 0 || len(g.b.requests.byID) != 0 {
+		t.Errorf("afterwards: load %v, %d in flight, %d requests", s.weightedLoad, s.inFlight, len(g.b.requests.byID))
 	}
 }
 
@@ -59,8 +59,8 @@
 		if acts = g.do(Outcome{Request: id, Attempt: 1, Server: second, Result: ConnectFailed, Latency: 5, BodyConsumed: true}); !has(acts, Reject) || has(acts, Send) {
 			t.Errorf("class %d: the body is gone: %+v", class, acts)
 		}
-		for _, s := range g.b.servers {
-			if s.inFlight != 0 || s.load != 0 {
+		for _, s := range g.b.servers.all {
+			if s.inFlight != 0 || s.weightedLoad != 0 {
 				t.Errorf("class %d: %+v", class, s)
 			}
 		}
--- a/balance/paper_test.go
+++ b/balance/paper_test.go
@@ -10,7 +10,7 @@
 	g := newRig(t, baseConfig(), fleet(4)...)
 	hits := map[ServerID]int{}
 	for range n {
-		g.b.servers[0].errs, g.b.servers[0].lastErr = errs, g.now // a success resets the count
+		g.b.servers.all[0].Errors, g.b.servers.all[0].LastErrorAt = errs, g.now // a success resets the count
 		hits[sequence(g, 1)[0]]++
 	}
 	return hits
@@ -33,11 +33,11 @@
 
 func TestPaperTimeRecovery(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
-	s := g.b.servers[0]
-	g.b.fault(s, false)
+	s := g.b.servers.all[0]
+	g.b.recordFault(s, false)
 	last := g.b.health(s)
 	for range 5 {
-		g.b.now += halfLife / 2
+		g.b.now += errorHalfLife / 2
 		m := g.b.health(s)
 		if m <= last {
 			t.Fatalf("m went from %v to %v without errors", last, m)
@@ -48,9 +48,9 @@
 
 func TestPaperRetryRecoversToBest(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(3)...)
-	g.b.servers[1].errs, g.b.servers[1].lastErr = 2, g.now
-	id, _ := g.ask(safeClass)
-	g.b.servers[1].running = 1e6 // next in turn, and not the healthiest
+	g.b.servers.all[1].Errors, g.b.servers.all[1].LastErrorAt = 2, g.now
+	id, _ := g.request(safeClass)
+	g.b.servers.all[1].currentWeight = 1e6 // next in turn, and not the healthiest
 	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("re-routed to %d", s)
 	}
@@ -59,10 +59,10 @@
 func TestPaperIsolation(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	for range 5 {
-		g.b.fault(g.b.servers[0], false)
+		g.b.recordFault(g.b.servers.all[0], false)
 	}
-	for _, s := range g.b.servers[1:] {
-		if g.b.health(s) != 1 || g.b.resting(s) {
+	for _, s := range g.b.servers.all[1:] {
+		if g.b.health(s) != 1 || g.b.coolingDown(s) {
 			t.Errorf("server %d pays for the errors of server 1, of its cell and kind", s.ID)
 		}
 	}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -1,151 +1,147 @@
 package balance
 
-import "math"
+import (
+	"math"
+	"slices"
+)
 
-// The ordinary path: smooth weighted rotation over size × m, within this sidecar's subset and the rules.
+// Choice of a server: smooth weighted round robin over capacity × m, within the subset and the rules.
 
-// pick is the ordinary path: smooth weighted round robin over the servers that may have the
-// request. A repeat goes to the healthiest untried one, which is charged in the rotation too.
-func (b *Balancer) pick(r *request, repeat bool) *server {
+// pick returns the server for a send, or nil. A first send takes its turn in smooth weighted round robin; a
+// retry goes to the healthiest server that was not tried, which is charged in the rotation too.
+func (b *Balancer) pick(r *request, retry bool) *server {
 	pool := b.subset()
-	total := b.enter(pool, r, repeat, false)
-	if total == 0 && len(pool) < len(b.servers) { // the subset may not have it: a key stays in its cell
-		pool = b.servers
-		total = b.enter(pool, r, repeat, false)
+	total := b.computeWeights(pool, r, retry, false)
+	if total == 0 && len(pool) < len(b.servers.all) { // the subset has none: a key stays in its cell
+		pool = b.servers.all
+		total = b.computeWeights(pool, r, retry, false)
 	}
-	if total == 0 { // all rest: the cause is hardly theirs
-		total = b.enter(pool, r, repeat, true)
+	if total == 0 { // all are in a cooldown: the cause is hardly theirs
+		total = b.computeWeights(pool, r, retry, true)
 	}
-	held, shares := 1.0, 0.0
+	load, weights := 1.0, 0.0
 	for _, s := range pool {
-		if s.weight > 0 && s.known {
-			held += b.holds(s)
-			shares += s.weight
+		if s.weight > 0 && s.loadKnown {
+			load += b.pending(s)
+			weights += s.weight
 		}
 	}
 	var best *server
-	bestOver, home := false, b.home(pool, r, repeat)
+	bestOver, preferred := false, b.preferredServer(pool, r, retry)
 	for _, s := range pool {
-		if s.weight == 0 || b.cold(s) && !b.coldBudget(s) {
+		if s.weight == 0 || b.warmingUp(s) && !b.slowStartBudget(s) {
 			continue
 		}
-		// Bounded load: a server that holds more than its share is slow, hung or filled by others,
-		// whatever its errors say. It is passed over and keeps its running value for later.
-		most := math.Ceil(headroom * held * s.weight / shares)
-		if s == home {
-			most += keyRoom
+		// Bounded load: a server that holds more than its share is slow, hung or filled by others, whatever
+		// its errors say. It is passed over and keeps its current weight for later.
+		maxPending := math.Ceil(loadHeadroom * load * s.weight / weights)
+		if s == preferred {
+			maxPending += affinityRoom
 		}
-		over := !s.known || b.holds(s)+1 > most
-		if best == nil || bestOver && !over || over == bestOver && b.before(s, best, repeat, over) {
+		over := !s.loadKnown || b.pending(s)+1 > maxPending
+		if best == nil || bestOver && !over || over == bestOver && b.precedes(s, best, retry, over) {
 			best, bestOver = s, over
 		}
 	}
 	if best != nil {
-		best.running = math.Max(best.running-total, -total*b.owes())
+		best.currentWeight = math.Max(best.currentWeight-total, -total*b.maxDebt())
 	}
 	return best
 }
 
-// subset is what this sidecar rotates over: over the whole fleet, connections passed the servers' caps. It
-// starts at its place in a ring, is as wide as its traffic asks for, and goes on past members that rest.
+// subset is what this sidecar rotates over: else all servers get too many connections. It starts at its
+// position in a ring of servers, is wider with more traffic, and is extended past members in a cooldown.
 func (b *Balancer) subset() []*server {
-	n := float64(len(b.servers))
-	width := math.Max(leastWidth, perServer*n/float64(b.cfg.SidecarCount))
-	width = math.Max(width, spread*b.asked.rate(b, 0, 0)*b.longestAim)
+	t, n := &b.servers, float64(len(b.servers.all))
+	width := math.Max(minSubset, connectionsPerServer*n/float64(b.cfg.SidecarCount))
+	width = math.Max(width, subsetPerRequest*b.traffic.requestRate.perMillisecond(b, 0)*b.maxLatencyTarget)
 	if width >= n {
-		return b.servers
-	}
-	inRound := math.Ceil(float64(b.cfg.SidecarCount) / rounds)
-	start := int(n * math.Mod(float64(b.cfg.SidecarNumber/rounds)/inRound, 1))
-	b.near = b.near[:0]
-	for i := 0; i < len(b.ring) && width > 0; i++ {
-		s := b.ring[(start+i)%len(b.ring)]
-		b.near = append(b.near, s)
-		if s.State == Ready && !b.resting(s) {
+		return t.all
+	}
+	perRing := math.Ceil(float64(b.cfg.SidecarCount) / ringCount)
+	start := int(n * math.Mod(float64(b.cfg.SidecarNumber/ringCount)/perRing, 1))
+	t.subset = t.subset[:0]
+	for i := 0; i < len(t.ring) && width > 0; i++ {
+		s := t.ring[(start+i)%len(t.ring)]
+		t.subset = append(t.subset, s)
+		if s.State == Ready && !b.coolingDown(s) {
 			width--
 		}
 	}
-	return b.near
+	return t.subset
 }
 
-// enter sets the weights of this pick, grows the running values and returns the sum of weights.
-func (b *Balancer) enter(pool []*server, r *request, repeat, all bool) float64 {
-	total, fresh := 0.0, false
+// computeWeights sets the weights of this pick and returns their sum; all includes servers in a cooldown.
+func (b *Balancer) computeWeights(pool []*server, r *request, retry, all bool) float64 {
+	total, anyReport := 0.0, false
 	for _, s := range pool {
 		s.weight = 0
-		if !b.allowed(r, s) || !all && (b.resting(s) || r.class.Effect == Unsafe && b.health(s) < trusted) {
+		if !b.eligible(r, s) ||
+			!all && (b.coolingDown(s) || r.class.Effect == Unsafe && b.health(s) < minUnsafeHealth) {
 			continue
 		}
-		s.weight, s.favour = b.weight(s), b.favour(r, s)
+		s.weight, s.affinity = b.weight(s), b.affinity(r, s)
 		total += s.weight
-		s.known = b.fresh(s)
-		fresh = fresh || s.known
+		s.loadKnown = b.reportFresh(s)
+		anyReport = anyReport || s.loadKnown
 	}
 	for _, s := range pool {
-		s.known = s.known || !fresh // without any report, the own requests in flight are all there is
-		if !repeat {
-			s.running = math.Min(s.running+s.weight, total)
+		s.loadKnown = s.loadKnown || !anyReport // without any report, own requests are all that is known
+		if !retry {
+			s.currentWeight = math.Min(s.currentWeight+s.weight, total)
 		}
 	}
-	if !repeat {
-		b.pool = total
+	if !retry {
+		b.servers.totalWeight = total
 	}
 	return total
 }
 
-// before tells which of two goes first: where all are over their share, for a first send the least filled.
-func (b *Balancer) before(s, best *server, repeat, over bool) bool {
-	if over && !repeat {
-		return (b.holds(s)+1)*best.weight < (b.holds(best)+1)*s.weight
-	}
-	ms, mb := b.health(s), b.health(best)
-	turn, first := s.running+s.favour*b.pool, best.running+best.favour*b.pool
-	return repeat && ms > mb || (!repeat || ms == mb) && turn > first
+// precedes says which of two is preferred: where all exceed their share, for a first send the least filled.
+func (b *Balancer) precedes(s, best *server, retry, over bool) bool {
+	if over && !retry {
+		return (b.pending(s)+1)*best.weight < (b.pending(best)+1)*s.weight
+	}
+	health, bestHealth := b.health(s), b.health(best)
+	turn := s.currentWeight + s.affinity*b.servers.totalWeight
+	bestTurn := best.currentWeight + best.affinity*b.servers.totalWeight
+	return retry && health > bestHealth || (!retry || health == bestHealth) && turn > bestTurn
 }
 
-// allowed: the rules let this request go to this server now.
-func (b *Balancer) allowed(r *request, s *server) bool {
-	if s.State != Ready {
-		return false
-	}
-	for i := range r.tries {
-		a := &r.tries[i]
-		if a.s == s {
-			return false
-		}
-		if a.clean || r.class.Effect != Keyed {
-			continue
+// eligible: the rules allow to send this request to this server now.
+func (b *Balancer) eligible(r *request, s *server) bool {
+	return s.State == Ready && !slices.ContainsFunc(r.attempts, func(a attempt) bool {
+		if a.server == s || a.neverRan || r.class.Effect != Keyed {
+			return a.server == s
 		}
 		// A keyed request that may have run stays where the key is known, while it is known.
-		if b.now >= a.sent+r.class.Window || r.class.Group == GroupCell && a.s.Cell != s.Cell ||
-			r.class.Group == GroupZone && a.s.Zone != s.Zone {
-			return false
-		}
-	}
-	return true
+		return b.now >= a.sentAt+r.class.Window || r.class.Group == GroupCell && a.server.Cell != s.Cell ||
+			r.class.Group == GroupZone && a.server.Zone != s.Zone
+	})
 }
 
-// weight is size × m, lowered while the server warms up.
+// weight is capacity × m, lowered while the server warms up.
 func (b *Balancer) weight(s *server) float64 {
-	w := 100 * s.Capacity * math.Exp(s.size+b.kinds[s.Kind]+b.zones[s.Zone]) * b.health(s)
-	if s.Zone == b.cfg.Zone { // exception: answers from elsewhere cost a price, which delay soon outweighs
-		ease := 1 - congested*math.Max(0, b.slowness-b.quickest)
-		w *= 1 + zoneFavour*b.cfg.Penalties.CrossZone*math.Max(0, ease)
+	learned := s.capacityLog + b.capacities.kinds[s.Kind] + b.capacities.zones[s.Zone]
+	w := 100 * s.Capacity * math.Exp(learned) * b.health(s)
+	if s.Zone == b.cfg.Zone { // answers from others have a penalty, which a longer latency soon outweighs
+		ease := 1 - zonePreferenceDecay*math.Max(0, b.latencies.mean-b.latencies.min)
+		w *= 1 + zonePreference*b.cfg.Penalties.CrossZone*math.Max(0, ease)
 	}
-	if b.cold(s) {
-		w *= b.warmth(s)
+	if b.warmingUp(s) {
+		w *= b.warmupFraction(s)
 	}
 	return math.Max(w, 1e-6)
 }
 
-// holds is how many requests a server holds: by a fresh report and what was sent since, or this sidecar's.
-func (b *Balancer) holds(s *server) float64 {
-	if b.fresh(s) {
+// pending is how many requests a server has: by a fresh report and what was sent since, or of this sidecar's.
+func (b *Balancer) pending(s *server) float64 {
+	if b.reportFresh(s) {
 		return s.reported + s.sentSince
 	}
 	return float64(s.inFlight)
 }
 
-func (b *Balancer) fresh(s *server) bool {
-	return s.reportedAt > 0 && b.now-s.reportedAt <= probeAims*b.longestAim
+func (b *Balancer) reportFresh(s *server) bool {
+	return s.reportedAt > 0 && b.now-s.reportedAt <= probeWait*b.maxLatencyTarget
 }
--- a/balance/probe.go
+++ b/balance/probe.go
@@ -1,21 +1,24 @@
 package balance
 
-import "math"
+import (
+	"math"
+	"slices"
+)
 
-// Probes: where only they tell the load, some servers are asked before a first send.
+// Probes: where only they report the load, some servers are probed before a first send.
 
-// probeFor asks the servers next in turn what they hold before a first send, where only probes tell.
-func (b *Balancer) probeFor(r *request) {
+// startProbes probes the servers that are next in the rotation before a first send.
+func (b *Balancer) startProbes(r *request) {
 	if !b.cfg.Probes || b.cfg.Reports != ReportProbe {
 		return
 	}
-	fan := b.fan()
+	count := b.probeCount()
 	pool := b.subset()
-	for len(r.probed) < fan {
+	for len(r.probed) < count {
 		var next *server
 		for _, s := range pool {
-			free := b.allowed(r, s) && !b.resting(s) && !r.hasProbed(s)
-			if free && (next == nil || s.running > next.running) {
+			free := b.eligible(r, s) && !b.coolingDown(s) && !slices.Contains(r.probed, s)
+			if free && (next == nil || s.currentWeight > next.currentWeight) {
 				next = s
 			}
 		}
@@ -28,37 +31,54 @@
 			b.emit(Action{Kind: Probe, Server: next.ID})
 		}
 	}
-	r.holdUntil = b.now + probeAims*r.class.LatencyTarget
-	b.holding = append(b.holding, r)
+	r.probeDeadline = b.now + probeWait*r.class.LatencyTarget
+	b.requests.awaitingProbes = append(b.requests.awaitingProbes, r)
 }
 
-// fan is how many servers to probe so that hardly ever all of them are busy, within what it may cost.
-func (b *Balancer) fan() int {
-	most := probeSpend / math.Max(b.cfg.Penalties.Probe, 1e-3)
-	return int(math.Min(most, math.Ceil(math.Log(allBusy)/math.Log(bound(b.busy, 0.01, 0.99)))))
+// probeCount is how many servers to probe so that hardly ever all of them are busy, within what it may cost.
+func (b *Balancer) probeCount() int {
+	affordable := maxProbeCost / math.Max(b.cfg.Penalties.Probe, 1e-3)
+	needed := math.Ceil(math.Log(allBusyChance) / math.Log(clamp(b.busyFraction, 0.01, 0.99)))
+	return int(math.Min(affordable, needed))
 }
 
 func (b *Balancer) onProbe(ev ProbeResult) {
-	s := b.byID[ev.Server]
+	s := b.servers.byID[ev.Server]
 	if s == nil {
 		return
 	}
-	if s.probing = false; ev.Result != OK { // out of reach: it may run, but nothing gets through from here
-		b.rest(s)
-		s.dark = true
-	} else if b.note(s, ev.LoadReport); s.dark {
-		s.dark, s.rests, s.restUntil = false, 0, 0
+	if s.probing = false; ev.Result != OK { // it may run, but cannot be reached from here
+		b.startCooldown(s)
+		s.ProbeFailed = true
+	} else if b.applyLoadReport(s, ev.LoadReport); s.ProbeFailed {
+		s.ProbeFailed, s.Cooldowns, s.CooldownUntil = false, 0, 0
 	}
-	b.stepHeld()
+	b.advanceProbed()
 }
 
-// held reports whether a request still waits for its probes; it never waits for long.
-func (b *Balancer) held(r *request) bool {
-	for _, s := range r.probed {
-		if s.probing && b.now < r.holdUntil {
-			return true
+func (b *Balancer) applyLoadReport(s *server, report []float32) {
+	for i, f := range b.cfg.Fields {
+		if i < len(report) && f == FieldInFlight && report[i] >= 0 && report[i] <= math.MaxFloat32 {
+			s.reported, s.reportedAt, s.sentSince = float64(report[i]), b.now, 0
+			b.busyFraction += (math.Min(s.reported, 1) - b.busyFraction) / meanSpan
 		}
 	}
-	r.holdUntil = 0
-	return false
+}
+
+// advanceProbed advances the requests that wait for probes and keeps those that still do.
+func (b *Balancer) advanceProbed() {
+	b.requests.awaitingProbes = slices.DeleteFunc(b.requests.awaitingProbes, func(r *request) bool {
+		b.advance(r)
+		return r.done || r.probeDeadline <= b.now
+	})
+}
+
+// awaitsProbes reports whether a request still waits for its probes; it never waits for long.
+func (b *Balancer) awaitsProbes(r *request) bool {
+	probing := func(s *server) bool { return s.probing }
+	waits := b.now < r.probeDeadline && slices.ContainsFunc(r.probed, probing)
+	if !waits {
+		r.probeDeadline = 0
+	}
+	return waits
 }
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -107,9 +107,9 @@
 				} else if c.failing > 0 && rng.Float64() < c.failing {
 					took, res = 1, Failed
 				}
-				r := all[n].reqs[a.Request]
+				r := all[n].requests.byID[a.Request]
 				push(rampEvent{at: now + took, sidecar: n, kind: rampHandle, ev: Outcome{
-					Request: a.Request, Attempt: len(r.tries) - 1, Server: a.Server, Result: res, Latency: took, Finished: res == OK}})
+					Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Result: res, Latency: took, Finished: res == OK}})
 			case SetTimer:
 				if a.Token != listTimer {
 					push(rampEvent{at: now + a.After, sidecar: n, kind: rampHandle, ev: Timer{a.Token}})
--- a/balance/recorded_test.go
+++ b/balance/recorded_test.go
@@ -26,8 +26,11 @@
 		t.Errorf("written as\n%s, %v; want\n%s", written, err, recorded)
 	}
 	first := ServerSnapshot{
-		ID: 2, CapacityLog: 3.5, Errors: 4.5, LastErrorAt: 5.5, CooldownUntil: 6.5, AnsweredAt: 7.5, Cooldowns: 8, ProbeFailed: true,
-		ConnectionLost: true, WarmingUp: true, SlowStartAt: 9.5, Tokens: 10.5, TokensAt: 11.5, CurrentWeight: 12.5,
+		ID: 2, CapacityLog: 3.5, WarmingUp: true, CurrentWeight: 12.5,
+		HealthState: HealthState{
+			Errors: 4.5, LastErrorAt: 5.5, CooldownUntil: 6.5, AnsweredAt: 7.5, Cooldowns: 8, ProbeFailed: true, ConnectionLost: true,
+		},
+		SlowStartState: SlowStartState{SlowStartAt: 9.5, Tokens: 10.5, TokensAt: 11.5},
 	}
 	if snapshot.Servers[0] != first {
 		t.Errorf("the first server is read as %+v, want %+v", snapshot.Servers[0], first)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -9,13 +9,13 @@
 func sequence(g *rig, n int) []ServerID {
 	var ids []ServerID
 	for range n {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		s, ok := sentTo(acts)
 		if !ok {
 			g.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
-		g.b.reqs[id].stats.n = 0 // no learning from these answers
+		g.b.requests.byID[id].stats.Count = 0 // no learning from these answers
 		g.answer(id, 0, OK, 10)
 	}
 	return ids
@@ -35,29 +35,29 @@
 
 func TestMultiplierFallsDecaysAndHasAFloor(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
-	s := g.b.servers[0]
+	s := g.b.servers.all[0]
 	if m := g.b.health(s); m != 1 {
 		t.Fatalf("m without errors is %v", m)
 	}
-	s.errs, s.lastErr = 2, g.now
-	if m := g.b.health(s); math.Abs(m-(1-2*slope)) > 1e-9 {
+	s.Errors, s.LastErrorAt = 2, g.now
+	if m := g.b.health(s); math.Abs(m-(1-2*errorPenalty)) > 1e-9 {
 		t.Fatalf("m after two errors is %v", m)
 	}
-	g.b.now += halfLife
-	if m := g.b.health(s); math.Abs(m-(1-slope)) > 1e-9 {
+	g.b.now += errorHalfLife
+	if m := g.b.health(s); math.Abs(m-(1-errorPenalty)) > 1e-9 {
 		t.Fatalf("m after a half-life is %v", m)
 	}
-	s.errs = 1000
-	if m := g.b.health(s); m != floorM {
+	s.Errors = 1000
+	if m := g.b.health(s); m != minHealth {
 		t.Fatalf("m after very many errors is %v, want the floor", m)
 	}
-	if m := g.b.health(g.b.servers[1]); m != 1 {
+	if m := g.b.health(g.b.servers.all[1]); m != 1 {
 		t.Fatalf("another server's errors moved m to %v", m)
 	}
-	s.errs = 2
-	id, _ := g.ask(safeClass)
-	g.b.reqs[id].tries[0].s = s
-	s.inFlight, g.b.servers[1].inFlight = 1, 0
+	s.Errors = 2
+	id, _ := g.request(safeClass)
+	g.b.requests.byID[id].attempts[0].server = s
+	s.inFlight, g.b.servers.all[1].inFlight = 1, 0
 	g.answer(id, 0, OK, 10)
 	if m := g.b.health(s); m != 1 {
 		t.Fatalf("m after a success is %v", m)
@@ -68,7 +68,7 @@
 	g := newRig(t, baseConfig(), fleet(4)...)
 	hits := 0
 	for range 40 { // a success resets the errors, so they are set again each time
-		g.b.servers[2].errs, g.b.servers[2].lastErr = 1000, g.now
+		g.b.servers.all[2].Errors, g.b.servers.all[2].LastErrorAt = 1000, g.now
 		if sequence(g, 1)[0] == 3 {
 			hits++
 		}
@@ -80,16 +80,16 @@
 
 func TestRerouteTakesTheHealthiestUntried(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
-	for _, s := range g.b.servers {
-		s.errs, s.lastErr = 2, g.now
+	for _, s := range g.b.servers.all {
+		s.Errors, s.LastErrorAt = 2, g.now
 	}
-	g.b.servers[2].errs = 1
-	g.b.servers[1].running = 1000 // its turn, though it is not the healthiest
-	id, acts := g.ask(safeClass)
+	g.b.servers.all[2].Errors = 1
+	g.b.servers.all[1].currentWeight = 1000 // its turn, though it is not the healthiest
+	id, acts := g.request(safeClass)
 	if s, _ := sentTo(acts); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	g.b.servers[3].running = 1000 // next in turn, which must not count for a re-route
+	g.b.servers.all[3].currentWeight = 1000 // next in turn, which must not count for a re-route
 	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("re-routed to %d, want 3", s)
 	}
@@ -107,17 +107,17 @@
 		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
 	} {
 		g := newRig(t, baseConfig(), fleet(4)...)
-		for i, s := range g.b.servers {
-			s.inFlight, s.running = c.holds[i], float64(10*(4-i))
+		for i, s := range g.b.servers.all {
+			s.inFlight, s.currentWeight = c.holds[i], float64(10*(4-i))
 		}
-		g.b.servers[1].errs, g.b.servers[1].lastErr = 1, g.now-5000
+		g.b.servers.all[1].Errors, g.b.servers.all[1].LastErrorAt = 1, g.now-5000
 		r := &request{Request: Request{}, class: &g.b.cfg.Classes[safeClass]}
 		if c.want == 2 {
 			if s := g.b.pick(r, true); s.ID == 2 {
 				t.Errorf("%v: the re-route went to the server of lowest m", c.holds)
 			}
-			for i, s := range g.b.servers {
-				s.running = float64(10 * (4 - i))
+			for i, s := range g.b.servers.all {
+				s.currentWeight = float64(10 * (4 - i))
 			}
 		}
 		if s := g.b.pick(r, false); s.ID != c.want {
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -27,7 +27,7 @@
 		cfg.Classes[i].Window = 200
 	}
 	g := newRig(t, cfg, fleet(8)...)
-	id, acts := g.ask(class)
+	id, acts := g.request(class)
 	first, ok := sentTo(acts)
 	if !ok {
 		t.Fatal("the request was not sent")
@@ -48,7 +48,7 @@
 		}
 		return
 	}
-	a, b := g.b.byID[first], g.b.byID[second]
+	a, b := g.b.servers.byID[first], g.b.servers.byID[second]
 	dirty := !res.NeverRan()
 	if a == b || dirty && class == cellClass && a.Cell != b.Cell || dirty && class == zoneClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
@@ -58,8 +58,8 @@
 func TestNothingIsRefusedThatMayHaveRun(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	for _, class := range []int{unsafeClass, cellClass, zoneClass} {
-		id, _ := g.ask(class)
-		g.now = g.b.reqs[id].deadline
+		id, _ := g.request(class)
+		g.now = g.b.requests.byID[id].deadline
 		acts := g.do(Timer{Token: uint64(id)})
 		if has(acts, Reject) || !has(acts, Fail) {
 			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
@@ -83,7 +83,7 @@
 		servers[i].Cell = i / 2
 	}
 	g := newRig(t, baseConfig(), servers...)
-	id, _ := g.ask(cellClass)
+	id, _ := g.request(cellClass)
 	g.now += 5
 	if acts := g.answer(id, 0, Reset, 5); !has(acts, Send) {
 		t.Fatalf("not repeated in its cell: %+v", acts)
@@ -101,8 +101,8 @@
 	}
 	for name, servers := range map[string][]Server{"empty": nil, "draining": drained} {
 		g := newRig(t, baseConfig(), servers...)
-		if _, acts := g.ask(unsafeClass); has(acts, Send) || !has(acts, Reject) || len(g.b.reqs) != 0 {
-			t.Fatalf("%s: %+v, %d requests left", name, acts, len(g.b.reqs))
+		if _, acts := g.request(unsafeClass); has(acts, Send) || !has(acts, Reject) || len(g.b.requests.byID) != 0 {
+			t.Fatalf("%s: %+v, %d requests left", name, acts, len(g.b.requests.byID))
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	gone.State = Draining
 	g.do(ServerList{Kind: ListDelta, Servers: []Server{gone}})
 	for range 20 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		if s, _ := sentTo(acts); s != 2 {
 			t.Fatalf("sent to %d", s)
 		}
@@ -121,7 +121,7 @@
 	}
 	gone.State = Ready
 	g.do(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
-	id, acts := g.ask(safeClass)
+	id, acts := g.request(safeClass)
 	if s, _ := sentTo(acts); s != 1 {
 		t.Fatalf("sent to %d of request %d", s, id)
 	}
@@ -131,7 +131,7 @@
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
 	g := newRig(t, cfg, fleet(4)...)
-	id, _ := g.ask(safeClass)
+	id, _ := g.request(safeClass)
 	if acts := g.answer(id, 0, Rejected, 1); has(acts, Send) || !has(acts, Reject) {
 		t.Fatalf("after the only attempt allowed: %+v", acts)
 	}
@@ -141,8 +141,8 @@
 // request got no answer at its deadline.
 func TestEarlyAlarmIsSetAgain(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
-	id, _ := g.ask(unsafeClass)
-	g.now = g.b.reqs[id].wakeAt - 1e-4
+	id, _ := g.request(unsafeClass)
+	g.now = g.b.requests.byID[id].wakeAt - 1e-4
 	if acts := g.do(Timer{Token: uint64(id)}); !has(acts, SetTimer) {
 		t.Fatalf("no timer after an early alarm: %+v", acts)
 	}
@@ -166,7 +166,7 @@
 					told, servers[0].StartedAt = true, g.now
 					g.do(ServerList{Kind: ListDelta, Servers: servers[:1]})
 				}
-				id, acts := g.ask(safeClass)
+				id, acts := g.request(safeClass)
 				if s, ok := sentTo(acts); !ok {
 					t.Fatal("nothing sent")
 				} else if s == 1 && told && g.now < start+4000 {
@@ -198,18 +198,18 @@
 		{[]Result{ConnectFailed}, false}, {[]Result{ConnectFailed, ConnectFailed}, false},
 	} {
 		g := newRig(t, baseConfig(), fleet(1)...)
-		s := g.b.servers[0]
+		s := g.b.servers.all[0]
 		for _, end := range c.ends {
-			id, _ := g.ask(unsafeClass)
+			id, _ := g.request(unsafeClass)
 			g.answer(id, 0, end, 150)
-			if rests := g.b.resting(s); rests != (end == ConnectFailed) {
+			if rests := g.b.coolingDown(s); rests != (end == ConnectFailed) {
 				t.Errorf("%v: rests %v", c.ends, rests)
 			}
 			g.now += 60000
 		}
-		id, _ := g.ask(safeClass)
+		id, _ := g.request(safeClass)
 		g.answer(id, 0, OK, 10)
-		if g.b.cold(s) != c.cold {
+		if g.b.warmingUp(s) != c.cold {
 			t.Errorf("%v: held to be cold %v", c.ends, !c.cold)
 		}
 	}
@@ -220,7 +220,7 @@
 	cfg := baseConfig()
 	cfg.Classes[safeClass].Stream = true
 	g := newRig(t, cfg, fleet(3)...)
-	id, acts := g.ask(safeClass)
+	id, acts := g.request(safeClass)
 	s, _ := sentTo(acts)
 	g.do(ResponseStarted{Request: id, Server: s, Latency: 20})
 	g.now += 5000
@@ -228,7 +228,7 @@
 		t.Fatalf("a running stream got %+v", acts)
 	}
 	g.do(Outcome{Request: id, Server: s, Result: Reset, Latency: 5000, Finished: true})
-	if len(g.b.reqs) != 0 {
+	if len(g.b.requests.byID) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
 }
@@ -238,7 +238,7 @@
 	cfg := baseConfig()
 	cfg.Subscribe = true
 	g := newRig(t, cfg, fleet(3)...)
-	if !has(g.acts, WatchList) {
+	if !has(g.actions, WatchList) {
 		t.Fatal("not subscribed at once")
 	}
 	var pauses []float64
@@ -253,8 +253,8 @@
 			t.Fatal("not asked again")
 		}
 	}
-	if pauses[5] < 2*pauses[0] || len(g.b.servers) != 3 {
-		t.Fatalf("pauses %v, %d servers", pauses, len(g.b.servers))
+	if pauses[5] < 2*pauses[0] || len(g.b.servers.all) != 3 {
+		t.Fatalf("pauses %v, %d servers", pauses, len(g.b.servers.all))
 	}
 }
 
@@ -267,7 +267,7 @@
 		g := newRig(t, cfg, fleet(3)...)
 		for range 9 {
 			acts := g.do(ServerList{Kind: ListFailed})
-			if len(acts) != 1 || acts[0].After < agentPause/2 || acts[0].After > math.Max(agentPause, math.Min(grace/10, askPause)) {
+			if len(acts) != 1 || acts[0].After < pushedPollBackoff/2 || acts[0].After > math.Max(pushedPollBackoff, math.Min(grace/10, pollBackoff)) {
 				t.Fatalf("grace %v: %+v", grace, acts)
 			}
 			g.now += acts[0].After
@@ -282,20 +282,20 @@
 // they pushed one over. A sidecar that has seen no answers may hardly send anything to a cold server.
 func TestAssumedAnswersGiveNoColdBudget(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
-	entry := g.b.servers[0].Server
+	entry := g.b.servers.all[0].Server
 	entry.StartedAt = g.now
 	g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 	g.now += 2000
-	g.ask(safeClass) // sets the weights
-	s := g.b.servers[0]
-	s.tokens, s.tokensAt = 0, g.now-2000
-	if g.b.coldBudget(s); s.tokens > 0.2 { // with ten assumed: 1
-		t.Fatalf("%.2f sends in two seconds", s.tokens)
+	g.request(safeClass) // sets the weights
+	s := g.b.servers.all[0]
+	s.Tokens, s.TokensAt = 0, g.now-2000
+	if g.b.slowStartBudget(s); s.Tokens > 0.2 { // with ten assumed: 1
+		t.Fatalf("%.2f sends in two seconds", s.Tokens)
 	}
-	g.b.answers.rate(g.b, 400, 0) // of two hundred answers a second it may have its part
-	s.tokens, s.tokensAt = 0, g.now-2000
-	if g.b.coldBudget(s); s.tokens < 0.5 {
-		t.Fatalf("%.2f sends in two seconds for a busy sidecar", s.tokens)
+	g.b.traffic.answerRate.count(g.b, 400) // of two hundred answers a second it may have its part
+	s.Tokens, s.TokensAt = 0, g.now-2000
+	if g.b.slowStartBudget(s); s.Tokens < 0.5 {
+		t.Fatalf("%.2f sends in two seconds for a busy sidecar", s.Tokens)
 	}
 }
 
@@ -307,11 +307,11 @@
 		cfg := baseConfig()
 		cfg.Seed = uint64(n + 1)
 		g := newRig(t, cfg, fleet(5)...)
-		entry := g.b.servers[0].Server
+		entry := g.b.servers.all[0].Server
 		entry.StartedAt = g.now
 		g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 		for range requests {
-			id, acts := g.ask(safeClass)
+			id, acts := g.request(safeClass)
 			for i := 0; ; i++ {
 				s, ok := sentTo(acts)
 				if !ok {
@@ -346,18 +346,18 @@
 		cfg := baseConfig()
 		cfg.MaxRetryAfter, cfg.RetryAfter = c.most, c.allowed
 		g := newRig(t, cfg, fleet(2)...)
-		_, _ = g.ask(safeClass)
-		g.b.over = c.over
-		g.b.out = g.b.out[:0]
-		for _, r := range g.b.reqs {
-			g.b.answer(r)
+		_, _ = g.request(safeClass)
+		g.b.shedding.excess = c.over
+		g.b.actions = g.b.actions[:0]
+		for _, r := range g.b.requests.byID {
+			g.b.answerUnserved(r)
 		}
-		for _, a := range g.b.out {
+		for _, a := range g.b.actions {
 			if a.Kind == Reject && math.Abs(a.After-c.want) > 1e-9 {
 				t.Errorf("%+v: %v", c, a.After)
 			}
 		}
-		if !has(g.b.out, Reject) {
+		if !has(g.b.actions, Reject) {
 			t.Errorf("%+v: no refusal", c)
 		}
 	}
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -80,9 +80,9 @@
 func TestMemoryStaysFlat(t *testing.T) {
 	g := newRig(t, probeConfig(), fleet(5)...)
 	for i := range 20000 {
-		g.acts = g.acts[:0]
+		g.actions = g.actions[:0]
 		g.now += 5
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		acts = append(acts, g.probes(acts, 0, nil)...)
 		if _, ok := sentTo(acts); ok {
 			g.answer(id, 0, OK, 5)
@@ -96,9 +96,9 @@
 		}
 	}
 	b := g.b
-	if len(b.reqs) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.holding) > 1 || cap(b.out) > 100 {
+	if len(b.requests.byID) > 1 || len(b.servers.all) != 5 || len(b.servers.byID) != 5 || len(b.requests.awaitingProbes) > 1 || cap(b.actions) > 100 {
 		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
-			len(b.reqs), len(b.servers), len(b.byID), len(b.holding), cap(b.out))
+			len(b.requests.byID), len(b.servers.all), len(b.servers.byID), len(b.requests.awaitingProbes), cap(b.actions))
 	}
 }
 
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -26,7 +26,7 @@
 	changed := 0
 	for n := range peers {
 		before, after := members(t, n, peers, all), members(t, n, peers, fewer)
-		if len(before) != leastWidth {
+		if len(before) != minSubset {
 			t.Fatalf("sidecar %d uses %d servers", n, len(before))
 		}
 		for id := range before {
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	mean := float64(peers*leastWidth) / servers
+	mean := float64(peers*minSubset) / servers
 	for id, n := range held {
 		if math.Abs(float64(n)-mean) > mean/4 {
 			t.Errorf("server %d is used by %d sidecars, on average %.0f", id, n, mean)
@@ -49,7 +49,7 @@
 }
 
 func TestFewSidecarsUseTheWholeFleet(t *testing.T) {
-	for _, peers := range []int{1, 3, perServer} {
+	for _, peers := range []int{1, 3, connectionsPerServer} {
 		if got := members(t, 0, peers, fleet(60)); len(got) != 60 {
 			t.Errorf("of %d sidecars one uses %d servers of 60", peers, len(got))
 		}
@@ -62,7 +62,7 @@
 	cfg.SidecarCount = 1000
 	g := newRig(t, cfg, fleet(100)...)
 	for range 1000 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		if has(acts, Send) {
 			g.answer(id, 0, OK, 5)
 		}
@@ -79,15 +79,15 @@
 	cfg.SidecarCount = 1000
 	g := newRig(t, cfg, fleet(100)...)
 	before := append([]*server(nil), g.b.subset()...)
-	for _, s := range before[:leastWidth-1] {
-		g.b.fault(s, true)
+	for _, s := range before[:minSubset-1] {
+		g.b.recordFault(s, true)
 	}
-	if after := g.b.subset(); len(after) != 2*leastWidth-1 || after[0] != before[0] {
+	if after := g.b.subset(); len(after) != 2*minSubset-1 || after[0] != before[0] {
 		t.Fatalf("%d members with all but one of %d down", len(after), len(before))
 	}
 	g.now += 1e6
 	g.do(Timer{Token: 12345})
-	if after := g.b.subset(); len(after) != leastWidth {
+	if after := g.b.subset(); len(after) != minSubset {
 		t.Fatalf("%d members after the rests", len(after))
 	}
 }
@@ -99,10 +99,10 @@
 	for n := range 20 {
 		cfg.SidecarNumber = n
 		g := newRig(t, cfg, fleet(100)...)
-		id, acts := g.ask(cellClass)
+		id, acts := g.request(cellClass)
 		first, _ := sentTo(acts)
 		second, ok := sentTo(g.answer(id, 0, Failed, 10))
-		if !ok || first == second || g.b.byID[first].Cell != g.b.byID[second].Cell {
+		if !ok || first == second || g.b.servers.byID[first].Cell != g.b.servers.byID[second].Cell {
 			t.Fatalf("sidecar %d: sent to %d, then %d (%v)", n, first, second, ok)
 		}
 	}
--- a/balance/trouble_test.go
+++ b/balance/trouble_test.go
@@ -34,7 +34,7 @@
 	g := newRig(t, probeConfig(), fleet(3)...)
 	dark := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		if asked := len(acts) - 1; i > 0 && asked > 1 {
 			t.Fatalf("request %d: %d servers probed though two are out of reach", id, asked)
 		}
@@ -46,7 +46,7 @@
 	g.now += 10000 // their rest is over and they answer again
 	used := map[ServerID]bool{}
 	for range 6 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		s, _ := sentTo(g.probes(acts, 0, nil))
 		used[s] = true
 		g.answer(id, 0, OK, 10)
@@ -59,8 +59,8 @@
 // A sidecar with little traffic cannot know from its own requests what others fill.
 func TestProbedQueueIsPassedOver(t *testing.T) {
 	g := newRig(t, probeConfig(), fleet(3)...)
-	g.b.servers[0].running = 1000 // its turn
-	id, acts := g.ask(safeClass)
+	g.b.servers.all[0].currentWeight = 1000 // its turn
+	id, acts := g.request(safeClass)
 	if has(acts, Send) {
 		t.Fatal("sent before the probes were answered")
 	}
@@ -73,8 +73,8 @@
 
 func TestARequestDoesNotWaitLongForProbes(t *testing.T) {
 	g := newRig(t, probeConfig(), fleet(3)...)
-	id, _ := g.ask(safeClass)
-	g.now = g.b.reqs[id].wakeAt
+	id, _ := g.request(safeClass)
+	g.now = g.b.requests.byID[id].wakeAt
 	if acts := g.do(Timer{Token: uint64(id)}); !has(acts, Send) || g.now > 1000+0.1*300 {
 		t.Fatalf("at %v: %+v", g.now, acts)
 	}
@@ -90,10 +90,10 @@
 		for _, a := range g.due() {
 			g.do(a)
 		}
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		s, ok := sentTo(acts)
 		if !ok {
-			t.Fatalf("request %d was refused: shed %v", id, g.b.steady)
+			t.Fatalf("request %d was refused: shed %v", id, g.b.shedding.lasting)
 		}
 		if s == 1 {
 			hung++
@@ -111,7 +111,7 @@
 func (g *rig) due() []Timer {
 	var list []Timer
 	for id := RequestID(1); id <= g.next; id++ {
-		if r := g.b.reqs[id]; r != nil && r.wakeAt <= g.now && !r.done {
+		if r := g.b.requests.byID[id]; r != nil && r.wakeAt <= g.now && !r.done {
 			list = append(list, Timer{Token: uint64(id)})
 		}
 	}
@@ -127,7 +127,7 @@
 	for i := range 2000 {
 		g.now += 2
 		class := []int{safeClass, unsafeClass}[i%2]
-		id, acts := g.ask(class)
+		id, acts := g.request(class)
 		if has(acts, Reject) {
 			refused[class]++
 			continue
@@ -149,27 +149,27 @@
 	g := newRig(t, baseConfig(), fleet(4)...)
 	times := []float64{370, 430, 400}
 	for i := range 60 {
-		id, acts := g.ask(unsafeClass)
+		id, acts := g.request(unsafeClass)
 		if !has(acts, Send) {
 			continue
 		}
 		end := g.now + times[i%3]
-		for r := g.b.reqs[id]; !r.done && r.wakeAt < end; {
+		for r := g.b.requests.byID[id]; !r.done && r.wakeAt < end; {
 			g.now = r.wakeAt
 			g.do(Timer{Token: uint64(id)})
 		}
 		g.now = end
-		if i > 30 && g.b.reqs[id].tries[0].overdue {
-			t.Fatalf("attempt %d of %v ms is held to be overdue after %v", i, times[i%3], g.b.overdueAfter(g.b.reqs[id]))
+		if i > 30 && g.b.requests.byID[id].attempts[0].overdue {
+			t.Fatalf("attempt %d of %v ms is held to be overdue after %v", i, times[i%3], g.b.overdueAfter(g.b.requests.byID[id]))
 		}
 		g.answer(id, 0, OK, times[i%3])
 	}
-	id, _ := g.ask(unsafeClass)
-	r := g.b.reqs[id]
+	id, _ := g.request(unsafeClass)
+	r := g.b.requests.byID[id]
 	if g.now = r.wakeAt; g.now >= r.deadline {
 		t.Fatal("nothing looks at the attempt before its deadline")
 	}
-	if g.do(Timer{Token: uint64(id)}); !r.tries[0].overdue || r.tries[0].s.errs != 1 {
+	if g.do(Timer{Token: uint64(id)}); !r.attempts[0].overdue || r.attempts[0].server.Errors != 1 {
 		t.Fatal("an attempt far beyond all others is no error")
 	}
 }
@@ -182,16 +182,16 @@
 		sheds          bool
 	}{{20, 0.1, true}, {0.4, 0.5, false}} {
 		g := newRig(t, baseConfig(), fleet(2)...)
-		g.b.answers.rate(g.b, 2, 0)
-		g.b.pressure = 1
-		g.b.servers[0].load, g.b.servers[1].load = c.rested, c.steady
-		g.b.rest(g.b.servers[0])
+		g.b.traffic.answerRate.count(g.b, 2)
+		g.b.latencies.recent = 1
+		g.b.servers.all[0].weightedLoad, g.b.servers.all[1].weightedLoad = c.rested, c.steady
+		g.b.startCooldown(g.b.servers.all[0])
 		for range 20 {
-			g.ask(unsafeClass)
-			g.b.servers[0].load, g.b.servers[1].load = c.rested, c.steady
+			g.request(unsafeClass)
+			g.b.servers.all[0].weightedLoad, g.b.servers.all[1].weightedLoad = c.rested, c.steady
 		}
-		if g.b.steady > 0 != c.sheds {
-			t.Errorf("%+v: lasting part %.2f", c, g.b.steady)
+		if g.b.shedding.lasting > 0 != c.sheds {
+			t.Errorf("%+v: lasting part %.2f", c, g.b.shedding.lasting)
 		}
 	}
 }
@@ -199,10 +199,10 @@
 // crowd sets the lasting part to shed and fills the fleet so that answers take the given part of the
 // aim longer than they may.
 func (g *rig) crowd(lasting, over float64) {
-	full := g.b.quickest + spareAim*(1-g.b.quickest)
-	g.b.steady = lasting
-	g.b.servers[0].load += (full+over)*g.b.answers.rate(g.b, 0, fewAnswers)/trustLoad - g.load()
-	g.b.pressure = 1
+	full := g.b.latencies.min + queueAllowance*(1-g.b.latencies.min)
+	g.b.shedding.lasting = lasting
+	g.b.servers.all[0].weightedLoad += (full+over)*g.b.traffic.answerRate.perMillisecond(g.b, assumedAnswers)/loadTrust - g.load()
+	g.b.latencies.recent = 1
 }
 
 // shedding brings 4000 requests, drawn from turns of (class, tenant), of which 0.4 of the work is to be shed,
@@ -244,14 +244,14 @@
 	}{{0, 0.5, 0, 0.1}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
 		g := newRig(t, baseConfig(), fleet(4)...)
 		for range 100 {
-			id, _ := g.ask(safeClass)
+			id, _ := g.request(safeClass)
 			g.now += 5
 			g.answer(id, 0, OK, 50)
 		}
 		refused := 0.0
 		for range 200 {
 			g.crowd(c.lasting, c.over)
-			if _, acts := g.ask(safeClass); has(acts, Reject) {
+			if _, acts := g.request(safeClass); has(acts, Reject) {
 				refused++
 			}
 		}
@@ -309,16 +309,16 @@
 // A restarted server starts afresh: nothing of its rests, nor that it was dark, is left.
 func TestRestartClearsWhatWasHeldAgainstAServer(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
-	s := g.b.servers[0]
+	s := g.b.servers.all[0]
 	g.do(ProbeResult{Server: s.ID, Result: TimedOut})
-	if !s.dark || !g.b.resting(s) {
+	if !s.ProbeFailed || !g.b.coolingDown(s) {
 		t.Fatal("a probe without answer does not rest the server")
 	}
 	entry := s.Server
 	entry.StartedAt = g.now
 	g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
-	if s.dark || s.rests != 0 || g.b.resting(s) {
-		t.Fatalf("after the restart: dark %v, rests %d", s.dark, s.rests)
+	if s.ProbeFailed || s.Cooldowns != 0 || g.b.coolingDown(s) {
+		t.Fatalf("after the restart: dark %v, rests %d", s.ProbeFailed, s.Cooldowns)
 	}
 }
 
@@ -329,7 +329,7 @@
 	g := newRig(t, baseConfig(), servers...)
 	hits := map[ServerID]int{}
 	for range 1500 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		s, _ := sentTo(acts)
 		hits[s]++
 		g.now += 5
@@ -338,8 +338,8 @@
 	if hits[3]+hits[4] < 3*(hits[1]+hits[2])/2 {
 		t.Fatalf("hits %v", hits)
 	}
-	if g.b.kinds[1] <= g.b.kinds[0] {
-		t.Fatalf("kinds %v", g.b.kinds)
+	if g.b.capacities.kinds[1] <= g.b.capacities.kinds[0] {
+		t.Fatalf("kinds %v", g.b.capacities.kinds)
 	}
 }
 
@@ -358,18 +358,18 @@
 		{0.99, 1500, false}, // a first try
 	} {
 		g := newRig(t, cfg, fleet(4)...)
-		g.ask(safeClass)
-		g.b.steady = c.shed
+		g.request(safeClass)
+		g.b.shedding.lasting = c.shed
 		r := &request{
-			Request: Request{Remaining: c.remaining}, class: &g.b.cfg.Classes[safeClass], stats: &g.b.classes[safeClass],
+			Request: Request{Remaining: c.remaining}, class: &g.b.cfg.Classes[safeClass], stats: &g.b.traffic.classes[safeClass],
 		}
-		if got := g.b.late(r) && g.b.steady >= r.class.LateValue; got != c.refused {
+		if got := g.b.lateRetry(r) && g.b.shedding.lasting >= r.class.LateValue; got != c.refused {
 			t.Errorf("%+v: refused %v", c, got)
 		}
 		if !c.refused {
 			continue
 		}
-		g.b.steady = c.shed
+		g.b.shedding.lasting = c.shed
 		if acts := g.do(Request{ID: 77, Remaining: c.remaining}); !has(acts, Reject) {
 			t.Errorf("%+v: %+v", c, acts)
 		}
@@ -379,29 +379,29 @@
 // A server that leaves several attempts unanswered is rested, and used again after an answer.
 func TestStrikesRestAServer(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(3)...)
-	s := g.b.servers[0]
-	for range strikes - 1 {
-		g.b.fault(s, false)
+	s := g.b.servers.all[0]
+	for range cooldownErrors - 1 {
+		g.b.recordFault(s, false)
 	}
-	if g.b.resting(s) {
+	if g.b.coolingDown(s) {
 		t.Fatal("rested before the last strike")
 	}
-	g.b.fault(s, false)
-	if !g.b.resting(s) {
+	g.b.recordFault(s, false)
+	if !g.b.coolingDown(s) {
 		t.Fatal("not rested after the last strike")
 	}
 	for range 12 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		if to, _ := sentTo(acts); to == s.ID {
 			t.Fatal("a resting server got a request")
 		}
 		g.answer(id, 0, OK, 10)
 	}
-	g.now = s.restUntil
+	g.now = s.CooldownUntil
 	for range 12 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		to, _ := sentTo(acts)
-		if g.answer(id, 0, OK, 10); to == s.ID && s.restUntil == 0 && s.errs == 0 {
+		if g.answer(id, 0, OK, 10); to == s.ID && s.CooldownUntil == 0 && s.Errors == 0 {
 			return
 		}
 	}
@@ -411,10 +411,10 @@
 // When all servers rest the cause is hardly theirs.
 func TestAllRestingAreUsed(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(3)...)
-	for _, s := range g.b.servers {
-		g.b.fault(s, true)
+	for _, s := range g.b.servers.all {
+		g.b.recordFault(s, true)
 	}
-	if _, acts := g.ask(safeClass); !has(acts, Send) {
+	if _, acts := g.request(safeClass); !has(acts, Send) {
 		t.Fatalf("nothing was sent: %+v", acts)
 	}
 }
@@ -426,7 +426,7 @@
 		n := 0
 		for range 60 {
 			g.now += 10
-			id, acts := g.ask(safeClass)
+			id, acts := g.request(safeClass)
 			n = 0
 			for _, a := range acts {
 				if a.Kind == Probe {
@@ -470,13 +470,13 @@
 	refused := 0
 	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold in some nine seconds
 		g.now += gap
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		if has(acts, Reject) {
 			refused++
 			continue
 		}
 		open = append(open, id)
-		for len(open) > 0 && g.b.reqs[open[0]].arrived <= g.now-80 { // each answer takes about 80 ms
+		for len(open) > 0 && g.b.requests.byID[open[0]].arrivedAt <= g.now-80 { // each answer takes about 80 ms
 			g.answer(open[0], 0, OK, 80)
 			open = open[1:]
 		}
@@ -489,22 +489,22 @@
 // A restarted sidecar with few requests used slow servers as much as fast ones for a minute.
 func TestSizesAreLearnedFastAtFirst(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
-	fast, slow := g.b.servers[0], g.b.servers[1]
+	fast, slow := g.b.servers.all[0], g.b.servers.all[1]
 	for range 20 {
-		g.b.learn(fast, 0.5)
-		g.b.learn(slow, 1.5)
+		g.b.learnCapacity(fast, 0.5)
+		g.b.learnCapacity(slow, 1.5)
 	}
-	early := fast.size - slow.size
+	early := fast.capacityLog - slow.capacityLog
 	for range 2000 { // much later, of two servers alike, one turns fast
-		g.b.learn(fast, 1)
-		g.b.learn(slow, 1)
+		g.b.learnCapacity(fast, 1)
+		g.b.learnCapacity(slow, 1)
 	}
-	before := fast.size - slow.size
+	before := fast.capacityLog - slow.capacityLog
 	for range 20 {
-		g.b.learn(fast, 0.5)
-		g.b.learn(slow, 1.5)
+		g.b.learnCapacity(fast, 0.5)
+		g.b.learnCapacity(slow, 1.5)
 	}
-	if late := fast.size - slow.size - before; early < 3*late || late <= 0 {
+	if late := fast.capacityLog - slow.capacityLog - before; early < 3*late || late <= 0 {
 		t.Fatalf("learned %.3f at first and %.3f later", early, late)
 	}
 }
@@ -512,26 +512,26 @@
 // A request that must not run twice was lost for good at a server that had just failed, while others did well.
 func TestUnrepeatableRequestsAvoidSuspects(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
-	suspect := g.b.servers[2]
-	suspect.errs, suspect.lastErr = 1, g.now
+	suspect := g.b.servers.all[2]
+	suspect.Errors, suspect.LastErrorAt = 1, g.now
 	hits := map[int]int{}
 	for i := range 40 {
 		class := []int{safeClass, unsafeClass}[i%2]
-		id, acts := g.ask(class)
+		id, acts := g.request(class)
 		if s, _ := sentTo(acts); s == suspect.ID {
 			hits[class]++
 		}
-		g.b.reqs[id].stats.n = 0
+		g.b.requests.byID[id].stats.Count = 0
 		g.answer(id, 0, OK, 10)
-		suspect.errs, suspect.lastErr = 1, g.now
+		suspect.Errors, suspect.LastErrorAt = 1, g.now
 	}
 	if hits[unsafeClass] != 0 || hits[safeClass] == 0 {
 		t.Fatalf("the suspect got %d that must not repeat, %d that may", hits[unsafeClass], hits[safeClass])
 	}
-	for _, s := range g.b.servers { // with all suspect the rotation goes on over all of them
-		s.errs, s.lastErr = 1, g.now
+	for _, s := range g.b.servers.all { // with all suspect the rotation goes on over all of them
+		s.Errors, s.LastErrorAt = 1, g.now
 	}
-	if _, acts := g.ask(unsafeClass); !has(acts, Send) {
+	if _, acts := g.request(unsafeClass); !has(acts, Send) {
 		t.Fatal("nothing was sent with all suspect")
 	}
 }
@@ -542,7 +542,7 @@
 	repeats := 0
 	const requests = 200
 	for range requests {
-		id, acts := g.ask(safeClass)
+		id, acts := g.request(safeClass)
 		if !has(acts, Send) {
 			continue
 		}
@@ -552,7 +552,7 @@
 			g.answer(id, 1, Failed, 1)
 		}
 	}
-	if most := int(repeatBurst + repeatShare*requests); repeats < most/2 || repeats > most {
+	if most := int(retryBurst + retryRatio*requests); repeats < most/2 || repeats > most {
 		t.Fatalf("%d of %d requests were repeated, at most %d wanted", repeats, requests, most)
 	}
 }
@@ -563,7 +563,7 @@
 		cfg := baseConfig()
 		cfg.Classes[safeClass].LateValue = worth
 		g := newRig(t, cfg, fleet(3)...)
-		id, _ := g.ask(safeClass)
+		id, _ := g.request(safeClass)
 		g.now += cfg.Classes[safeClass].LatencyTarget + 1
 		if acts := g.answer(id, 0, Failed, 301); has(acts, Send) != sent || has(acts, Reject) == sent {
 			t.Errorf("worth %v of late answers: %+v", worth, acts)
@@ -577,14 +577,14 @@
 	for quick, refuses := range map[bool]bool{true: false, false: true} {
 		g := newRig(t, baseConfig(), fleet(4)...)
 		for range 60 {
-			id, _ := g.ask(safeClass)
+			id, _ := g.request(safeClass)
 			g.now += 5
 			g.answer(id, 0, OK, map[bool]float64{true: 30, false: 290}[quick])
 		}
 		refused := false
 		for range 60 {
-			g.b.servers[0].load++
-			_, acts := g.ask(safeClass)
+			g.b.servers.all[0].weightedLoad++
+			_, acts := g.request(safeClass)
 			refused = refused || has(acts, Reject)
 		}
 		if refused != refuses {
@@ -599,11 +599,11 @@
 	cfg := baseConfig()
 	cfg.Penalties.CrossZone, cfg.Zone = 0.05, 1
 	g := newRig(t, cfg, fleet(8)...)
-	near, far := g.b.servers[7], g.b.servers[0]
+	near, far := g.b.servers.all[7], g.b.servers.all[0]
 	if g.b.weight(near) < 10*g.b.weight(far) {
 		t.Error("the own zone is not favoured in quiet times")
 	}
-	g.b.quickest, g.b.slowness = 0.2, 0.6
+	g.b.latencies.min, g.b.latencies.mean = 0.2, 0.6
 	if g.b.weight(near) != g.b.weight(far) {
 		t.Error("the own zone is favoured though answers are slow")
 	}
@@ -617,11 +617,11 @@
 		g := newRig(t, baseConfig(), fleet(4)...)
 		for range 8 {
 			g.now += gap
-			g.b.asked.rate(g.b, 1, 0)
+			g.b.traffic.requestRate.count(g.b, 1)
 		}
 		g.crowd(0.1, 0.5)
-		g.ask(safeClass)
-		steady[gap] = g.b.steady - 0.1
+		g.request(safeClass)
+		steady[gap] = g.b.shedding.lasting - 0.1
 	}
 	if steady[300] < 2*steady[3] || steady[3] <= 0 {
 		t.Fatalf("a request moved the lasting part by %v", steady)
@@ -629,7 +629,7 @@
 }
 
 func (g *rig) load() float64 {
-	steady, _ := g.b.openLoad()
+	steady, _ := g.b.servers.openLoad()
 	return steady
 }
 
@@ -637,11 +637,11 @@
 func TestTimeOutsCountAsSlowAnswers(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	for range 10 {
-		id, _ := g.ask(unsafeClass)
+		id, _ := g.request(unsafeClass)
 		g.answer(id, 0, TimedOut, 600)
 	}
-	if g.b.pressure < 1 {
-		t.Fatalf("pressure %.2f after ten time-outs", g.b.pressure)
+	if g.b.latencies.recent < 1 {
+		t.Fatalf("pressure %.2f after ten time-outs", g.b.latencies.recent)
 	}
 }
 
@@ -655,13 +655,13 @@
 	}{{Reset, 1, 4}, {ConnectFailed, 1, 4}, {Failed, 1, 2}, {Reset, 100, 2}, {Rejected, 1, 2}, {TimedOut, 1, 2}} {
 		g := newRig(t, baseConfig(), fleet(8)...)
 		for range 20 {
-			id, _ := g.ask(safeClass)
+			id, _ := g.request(safeClass)
 			g.answer(id, 0, OK, 100)
 			g.now += 5
 		}
-		id, _ := g.ask(safeClass)
+		id, _ := g.request(safeClass)
 		tries := 0
-		for g.b.reqs[id] != nil && tries < 9 {
+		for g.b.requests.byID[id] != nil && tries < 9 {
 			g.answer(id, tries, c.end, c.took)
 			tries++
 		}
--- a/internal/coordination/capacity/assume_test.go
+++ b/internal/coordination/capacity/assume_test.go
@@ -100,7 +100,7 @@
 		"limits.max_ask":      constant(t, "../fleet/rpc.go", "maxRequest"),
 		"limits.max_waiting":  constant(t, "../replica/request.go", "maxWaiting"),
 		"limits.max_list":     constant(t, "../../sidecar/member/discovery/discovery.go", "maxMessage"),
-		"limits.repeat_share": constant(t, "../../../balance/parameters.go", "repeatShare"),
+		"limits.repeat_share": constant(t, "../../../balance/parameters.go", "retryRatio"),
 		"periods.look_rest":   constant(t, "../driver/driver.go", "idlePollDivisor"),
 	} {
 		if got := a.Get(name); got != want {
--- a/internal/coordination/capacity/rows_sidecar.go
+++ b/internal/coordination/capacity/rows_sidecar.go
@@ -35,7 +35,7 @@
 		Quantity: "attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's retries allow",
 		Unit:     "", Need: Figure{Value: math.Pow(all.Value, depth.Value)}.with(all, depth),
 		Budget: m.limit("shape.attempts_at_leaf"), Breaks: BreaksTime,
-		Mechanism: "balance (repeatShare, each sidecar for itself)",
+		Mechanism: "balance (retryRatio, each sidecar for itself)",
 		NeededBy:  []string{ZoneLost, "servers that are at their limit"}})
 	m.addRow(Row{Time: Ordinary, Role: SidecarCalls, Quantity: "a decision in the largest service", Unit: "s",
 		Need:   m.measured("decision", "sidecar", "ns", m.assumption("shape.largest")).times(1e-9),
--- a/internal/rig/chain/chain_test.go
+++ b/internal/rig/chain/chain_test.go
@@ -127,10 +127,10 @@
 }
 
 // Where the leaf fails all, a sidecar sends an unsafe call once, and its repeats of safe ones stay within what its
-// budget gives: half a burst at its start and a share for each request, whatever its class; and within maxRepeats for
+// budget gives: half a burst at its start and a share for each request, whatever its class; and within maxRetryCost for
 // each call.
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
-	share, burst, most := parameter(t, "repeatShare"), parameter(t, "repeatBurst"), parameter(t, "maxRepeats")
+	share, burst, most := parameter(t, "retryRatio"), parameter(t, "retryBurst"), parameter(t, "maxRetryCost")
 	for _, pass := range []Pass{PassStatus, PassMarked} {
 		t.Run(string(pass), func(t *testing.T) {
 			defer goleak.VerifyNone(t)
--- a/internal/sidecar/wiring/mutation_test.go
+++ b/internal/sidecar/wiring/mutation_test.go
@@ -31,11 +31,11 @@
 		"an end seen by the send":  {attempt, "errors.Is(out.Err, upstream.ErrClientGone) && !r.closed", "false", "./internal/sidecar/core", "TestAnEndThatIsSeenFirstByTheSender"},
 		"silence":                  {discovery, "watchSilence = 2500 *", "watchSilence = 3500 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"a part is no life":        {discovery, "len(bytes.TrimSpace(p[:n])) == 0", "len(bytes.TrimSpace(p[:n])) >= 0", "./internal/sidecar/wiring", "TestNewsComeInTime"},
-		"a pause without end":      {"balance/parameters.go", "mostPause    = 1500", "mostPause    = 8000", "./internal/sidecar/wiring", "TestNewsComeInTime"},
+		"a pause without end":      {"balance/parameters.go", "maxPollBackoff    = 1500", "maxPollBackoff    = 8000", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"a call that hangs":        {discovery, "callTimeout  = 3100 *", "callTimeout  = 4000 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"an older list":            {cursor, "if list.Generation < c.generation && !c.acceptAny {", "if false {", "./internal/sidecar/member", "TestCursor"},
 		"another's list":           {cursor, "return list.Complete && len(known) > 0", "return false && len(known) > 0", "./internal/sidecar/member", "TestCursor"},
-		"the cold budget":          {"balance/pick.go", "b.cold(s) && !b.coldBudget(s)", "false", "./balance", "TestTheRampHoldsForTheFleet"},
-		"a pause from the call on": {"balance/list.go", "pause*jitter-(b.now-b.askedAt)", "pause*jitter", "./internal/sidecar/wiring", "TestNewsComeInTime"},
+		"the cold budget":          {"balance/pick.go", "b.warmingUp(s) && !b.slowStartBudget(s)", "false", "./balance", "TestTheRampHoldsForTheFleet"},
+		"a pause from the call on": {"balance/list.go", "backoff*jitter-(b.now-b.polling.lastAt)", "backoff*jitter", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 	})
 }
