--- a/balance/conversation_test.go
+++ b/balance/conversation_test.go
@@ -37,32 +37,32 @@
 }
 
 var (
-	effectWords = map[string]Effect{"safe": Safe, "keyed": Keyed, "unsafe": Unsafe}
-	groupWords  = map[string]Group{"all": GroupAll, "zone": GroupZone, "cell": GroupCell}
-	resultWords = map[string]Result{
+	effectsByName = map[string]Effect{"safe": Safe, "keyed": Keyed, "unsafe": Unsafe}
+	groupsByName  = map[string]Group{"all": GroupAll, "zone": GroupZone, "cell": GroupCell}
+	resultsByName = map[string]Result{
 		"served": OK, "error": Failed, "full": Rejected, "timed-out": TimedOut, "no-connection": ConnectFailed,
 		"reset": Reset, "cancelled": Cancelled, "moot": NotSent,
 	}
-	stateWords = map[string]ServerState{"up": Ready, "draining": Draining, "gone": Removed}
+	statesByName = map[string]ServerState{"up": Ready, "draining": Draining, "gone": Removed}
 )
 
-// conversation is one module and what is going on around it. Times are told from its beginning.
+// conversation is one module and what is going on around it. Times are printed from its beginning.
 type conversation struct {
-	t       *testing.T
-	b       *Balancer
-	now     float64
-	classes []string
-	names   []string // of servers, by ID less 1
-	timers  []timer
-	sent    map[RequestID][]ServerID
-	began   map[string]float64 // attempts
-	over    map[RequestID]bool
-	next    RequestID // of busy's own requests
-	noted   map[RequestID]bool
+	t        *testing.T
+	b        *Balancer
+	now      float64
+	classes  []string
+	names    []string // of servers, by ID less 1
+	timers   []timer
+	sent     map[RequestID][]ServerID
+	sentAt   map[string]float64 // attempts
+	finished map[RequestID]bool
+	next     RequestID // of busy's own requests
+	counted  map[RequestID]bool
 }
 
 type timer struct {
-	due   float64
+	at    float64
 	token uint64
 }
 
@@ -98,8 +98,8 @@
 	return v
 }
 
-// words splits a line into its plain words and its key=value ones.
-func words(line string) (plain []string, set map[string]string) {
+// splitWords splits a line into its plain words and its key=value ones.
+func splitWords(line string) (plain []string, set map[string]string) {
 	set = map[string]string{}
 	for _, w := range strings.Fields(line) {
 		if key, v, ok := strings.Cut(w, "="); ok {
@@ -131,20 +131,20 @@
 		}
 		ev := ServerList{Kind: kind}
 		for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-			plain, set := words(line)
+			plain, set := splitWords(line)
 			if len(plain) == 0 {
 				continue
 			}
 			s := Server{ID: c.id(plain[0]), Capacity: setNumber(set, "size", 1), Cell: int(setNumber(set, "cell", 0))}
 			if len(plain) > 1 {
-				s.State = stateWords[plain[1]]
+				s.State = statesByName[plain[1]]
 			}
 			if age, ok := set["age"]; ok {
 				s.StartedAt = c.now - value(d, age)
 			}
 			ev.Servers = append(ev.Servers, s)
 		}
-		c.tell(ev, &out)
+		c.handle(ev, &out)
 	case "ask":
 		class := c.class(arg(1))
 		ev := Request{ID: RequestID(value(d, arg(0))), Class: class, Tenant: -1, Remaining: number(d, "left", c.b.cfg.Classes[class].Deadline)}
@@ -152,23 +152,23 @@
 		for _, a := range d.CmdArgs {
 			ev.ClientRetry = ev.ClientRetry || a.Key == "again"
 		}
-		c.tell(ev, &out)
+		c.handle(ev, &out)
 	case "end":
 		request, attempt, _ := strings.Cut(arg(0), ".")
-		c.end(RequestID(value(d, request)), int(value(d, attempt)), resultWords[arg(1)], &out)
+		c.end(RequestID(value(d, request)), int(value(d, attempt)), resultsByName[arg(1)], &out)
 	case "hangup":
-		c.over[RequestID(value(d, arg(0)))] = true
-		c.tell(ClientGone{RequestID(value(d, arg(0)))}, &out)
+		c.finished[RequestID(value(d, arg(0)))] = true
+		c.handle(ClientGone{RequestID(value(d, arg(0)))}, &out)
 	case "wait":
 		c.wait(value(d, arg(0)), &out)
 	case "busy":
 		c.busy(d, &out)
 	case "probed":
-		ev := ProbeResult{Server: c.id(arg(0)), Result: resultWords[arg(1)]}
+		ev := ProbeResult{Server: c.id(arg(0)), Result: resultsByName[arg(1)]}
 		if holds := number(d, "holds", -1); holds >= 0 {
 			ev.LoadReport = []float32{float32(holds)}
 		}
-		c.tell(ev, &out)
+		c.handle(ev, &out)
 	case "show":
 		c.show(&out)
 	default:
@@ -204,17 +204,17 @@
 	}
 	c.classes = nil
 	for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-		plain, set := words(line)
+		plain, set := splitWords(line)
 		c.classes = append(c.classes, plain[0])
 		cfg.Classes = append(cfg.Classes, Class{
-			Effect: effectWords[plain[1]], Group: groupWords[set["group"]], Window: setNumber(set, "window", math.Inf(1)),
+			Effect: effectsByName[plain[1]], Group: groupsByName[set["group"]], Window: setNumber(set, "window", math.Inf(1)),
 			LatencyTarget: setNumber(set, "aim", 0), Deadline: setNumber(set, "deadline", 0), Value: setNumber(set, "worth", 1),
 			LateValue: setNumber(set, "late", 0),
 		})
 	}
 	c.b, c.now, c.next = New(cfg), conversationStart, 1000
-	c.sent, c.began, c.over = map[RequestID][]ServerID{}, map[string]float64{}, map[RequestID]bool{}
-	c.noted = map[RequestID]bool{}
+	c.sent, c.sentAt, c.finished = map[RequestID][]ServerID{}, map[string]float64{}, map[RequestID]bool{}
+	c.counted = map[RequestID]bool{}
 	c.carryOut(c.b.Start(c.now), out)
 }
 
@@ -227,7 +227,7 @@
 	panic("no class " + name)
 }
 
-func (c *conversation) tell(ev Event, out *strings.Builder) {
+func (c *conversation) handle(ev Event, out *strings.Builder) {
 	actions, err := c.b.Handle(c.now, ev)
 	if err != nil {
 		fmt.Fprintf(out, "error: %v\n", err)
@@ -235,24 +235,24 @@
 	c.carryOut(actions, out)
 }
 
-// carryOut notes what the module asks for, and writes it down but for its looks at requests.
+// carryOut remembers the actions of the module, and writes them down but for the timers of requests.
 func (c *conversation) carryOut(actions []Action, out *strings.Builder) {
 	for _, a := range actions {
 		switch a.Kind {
 		case Send:
 			n := len(c.sent[a.Request])
 			c.sent[a.Request] = append(c.sent[a.Request], a.Server)
-			c.began[fmt.Sprint(a.Request, ".", n)] = c.now
+			c.sentAt[fmt.Sprint(a.Request, ".", n)] = c.now
 			fmt.Fprintf(out, "send %d.%d to %s\n", a.Request, n, c.name(a.Server))
 		case Reject:
-			c.over[a.Request] = true
+			c.finished[a.Request] = true
 			if a.After > 0 {
 				fmt.Fprintf(out, "refuse %d, back in %.0f ms\n", a.Request, a.After)
 			} else {
 				fmt.Fprintf(out, "refuse %d\n", a.Request)
 			}
 		case Fail:
-			c.over[a.Request] = true
+			c.finished[a.Request] = true
 			fmt.Fprintf(out, "fail %d\n", a.Request)
 		case Cancel:
 			fmt.Fprintf(out, "cancel %d.%d\n", a.Request, a.Attempt)
@@ -276,10 +276,10 @@
 		fmt.Fprintf(out, "error: %d.%d was not sent\n", request, attempt)
 		return
 	}
-	c.over[request] = c.over[request] || result == OK
-	c.tell(Outcome{
+	c.finished[request] = c.finished[request] || result == OK
+	c.handle(Outcome{
 		Request: request, Attempt: attempt, Server: c.sent[request][attempt], Result: result,
-		Latency: c.now - c.began[fmt.Sprint(request, ".", attempt)], Finished: c.over[request],
+		Latency: c.now - c.sentAt[fmt.Sprint(request, ".", attempt)], Finished: c.finished[request],
 	}, out)
 }
 
@@ -287,15 +287,15 @@
 func (c *conversation) wait(ms float64, out *strings.Builder) {
 	start, until := c.now, c.now+ms
 	for {
-		sort.SliceStable(c.timers, func(i, j int) bool { return c.timers[i].due < c.timers[j].due })
-		if len(c.timers) == 0 || c.timers[0].due > until {
+		sort.SliceStable(c.timers, func(i, j int) bool { return c.timers[i].at < c.timers[j].at })
+		if len(c.timers) == 0 || c.timers[0].at > until {
 			break
 		}
 		t := c.timers[0]
 		c.timers = c.timers[1:]
-		c.now = math.Max(c.now, t.due)
+		c.now = math.Max(c.now, t.at)
 		var said strings.Builder
-		c.tell(Timer{Token: t.token}, &said)
+		c.handle(Timer{Token: t.token}, &said)
 		for _, line := range strings.Split(strings.TrimSpace(said.String()), "\n") {
 			if line != "" {
 				fmt.Fprintf(out, "after %.0f ms: %s\n", c.now-start, line)
@@ -334,7 +334,7 @@
 		case arrival:
 			i++
 			c.next++
-			c.tell(Request{ID: c.next, Class: class, Tenant: -1, Remaining: c.b.cfg.Classes[class].Deadline, Key: uint64(number(d, "key", 0))}, &said)
+			c.handle(Request{ID: c.next, Class: class, Tenant: -1, Remaining: c.b.cfg.Classes[class].Deadline, Key: uint64(number(d, "key", 0))}, &said)
 		default:
 			var request RequestID
 			var attempt int
@@ -346,14 +346,14 @@
 		for id := first; id <= c.next; id++ {
 			for k := range c.sent[id] {
 				name := fmt.Sprint(id, ".", k)
-				if c.over[id] {
+				if c.finished[id] {
 					delete(ends, name)
 				} else {
-					ends[name] = c.began[name] + took*spread5[int(id)%len(spread5)]
+					ends[name] = c.sentAt[name] + took*spread5[int(id)%len(spread5)]
 				}
 			}
-			if _, counted := c.noted[id]; c.over[id] && !counted {
-				c.noted[id] = true
+			if _, counted := c.counted[id]; c.finished[id] && !counted {
+				c.counted[id] = true
 				if k := len(c.sent[id]); k == 0 || !strings.Contains(ending, fmt.Sprint(id, ".")) {
 					met["not served"]++
 					left--
@@ -372,7 +372,7 @@
 }
 
 func (c *conversation) show(out *strings.Builder) {
-	c.tell(Timer{Token: 0}, out) // nobody's: only the time is told
+	c.handle(Timer{Token: 0}, out) // of no request: only the time passes
 	for _, s := range c.b.servers.all {
 		fmt.Fprintf(out, "%s: m %.2f", c.name(s.ID), c.b.health(s))
 		if s.State != Ready {
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// rig drives one balancer by a script of events and keeps what it asked for.
-type rig struct {
+// harness drives one balancer by a script of events and keeps what it asked for.
+type harness struct {
 	t       *testing.T
 	b       *Balancer
 	now     float64
@@ -34,10 +34,10 @@
 	zoneClass
 )
 
-func newRig(t *testing.T, cfg Config, servers ...Server) *rig {
-	g := &rig{t: t, b: New(cfg), now: 1000}
+func newHarness(t *testing.T, cfg Config, servers ...Server) *harness {
+	g := &harness{t: t, b: New(cfg), now: 1000}
 	g.actions = append(g.actions, g.b.Start(g.now)...)
-	g.do(ServerList{Kind: ListCached, Servers: servers})
+	g.handle(ServerList{Kind: ListCached, Servers: servers})
 	for _, s := range g.b.servers.all {
 		s.currentWeight = 0 // the random start would hide the sequence
 	}
@@ -53,7 +53,7 @@
 	return list
 }
 
-func (g *rig) do(ev Event) []Action {
+func (g *harness) handle(ev Event) []Action {
 	g.t.Helper()
 	acts, err := g.b.Handle(g.now, ev)
 	if err != nil {
@@ -65,18 +65,18 @@
 }
 
 // request brings a request and returns its ID with what was done at once.
-func (g *rig) request(class int) (RequestID, []Action) {
+func (g *harness) request(class int) (RequestID, []Action) {
 	g.t.Helper()
 	g.next++
-	return g.next, g.do(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
+	return g.next, g.handle(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
 }
 
 // answer ends an attempt with a result.
-func (g *rig) answer(id RequestID, attempt int, res Result, took float64) []Action {
+func (g *harness) answer(id RequestID, attempt int, res Result, took float64) []Action {
 	g.t.Helper()
 	s := g.b.requests.byID[id].attempts[attempt].server
 	done := res == OK || g.b.requests.byID[id].done
-	return g.do(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Latency: took, Finished: done})
+	return g.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Latency: took, Finished: done})
 }
 
 func sentTo(acts []Action) (ServerID, bool) {
--- a/balance/input_test.go
+++ b/balance/input_test.go
@@ -9,7 +9,7 @@
 
 // An event that cannot be is an error that says what was wrong, and leaves the balancer as it was.
 func TestImpossibleEventsAreErrors(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(3)...)
+	g := newHarness(t, baseConfig(), fleet(3)...)
 	id, _ := g.request(safeClass)
 	before, r := *g.b, *g.b.requests.byID[id]
 	for _, c := range []struct {
@@ -36,17 +36,17 @@
 }
 
 func TestEventsForTheUnknownAreIgnored(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(3)...)
+	g := newHarness(t, baseConfig(), fleet(3)...)
 	for _, ev := range []Event{
 		ClientGone{Request: 9}, Timer{Token: 9}, ProbeResult{Server: 99, Result: TimedOut}, ResponseStarted{Request: 9},
 		Message{From: 7, Data: []byte("\x01wrong")}, Message{From: -1},
 		ServerList{Kind: ListDelta, Servers: []Server{{ID: 99, State: Removed}}},
 	} {
-		if acts := g.do(ev); len(acts) > 0 {
+		if acts := g.handle(ev); len(acts) > 0 {
 			t.Errorf("%+v: %+v", ev, acts)
 		}
 	}
-	acts := g.do(Request{ID: 1, Tenant: 50, Remaining: 100}) // an unknown tenant counts as none
+	acts := g.handle(Request{ID: 1, Tenant: 50, Remaining: 100}) // an unknown tenant counts as none
 	if !has(acts, Send) || g.b.traffic.tenants[len(g.b.traffic.tenants)-1].requests != 2 {
 		t.Fatalf("a request of an unknown tenant: %+v", acts)
 	}
@@ -67,11 +67,11 @@
 		for i := range servers {
 			servers[i].Capacity, servers[i].StartedAt = odd, odd
 		}
-		g := newRig(t, cfg, servers...)
+		g := newHarness(t, cfg, servers...)
 		for i := range 40 {
 			id, acts := g.request(i % len(cfg.Classes))
 			if i%2 == 0 {
-				acts = g.do(Request{ID: RequestID(1000 + i), Class: i % len(cfg.Classes), Remaining: odd})
+				acts = g.handle(Request{ID: RequestID(1000 + i), Class: i % len(cfg.Classes), Remaining: odd})
 			}
 			acts = append(acts, g.probes(acts, float32(odd), nil)...)
 			if r := g.b.requests.byID[id]; r != nil && r.live > 0 {
@@ -89,7 +89,7 @@
 		}
 		for _, s := range g.b.servers.all {
 			if w := g.b.weight(s); !(w > 0) || math.IsInf(w, 0) || math.IsNaN(s.currentWeight) {
-				t.Errorf("%v: server %d has weight %v, running value %v", odd, s.ID, w, s.currentWeight)
+				t.Errorf("%v: server %d has weight %v, current weight %v", odd, s.ID, w, s.currentWeight)
 			}
 		}
 	}
@@ -102,12 +102,12 @@
 		draining[i].State = Draining
 	}
 	for name, servers := range map[string][]Server{"empty": nil, "one": fleet(1), "all draining": draining} {
-		g := newRig(t, baseConfig(), servers...)
+		g := newHarness(t, baseConfig(), servers...)
 		for class := range g.b.cfg.Classes {
 			id, acts := g.request(class)
 			r := g.b.requests.byID[id]
 			for r != nil && !r.done && g.now <= r.deadline {
-				acts = append(acts, g.do(Timer{Token: uint64(id)})...)
+				acts = append(acts, g.handle(Timer{Token: uint64(id)})...)
 				g.now += 5
 			}
 			if !has(acts, Reject) && !has(acts, Fail) {
--- a/balance/keys_test.go
+++ b/balance/keys_test.go
@@ -7,10 +7,10 @@
 )
 
 // requestKey brings a request about a subject and returns where it was sent; it is answered at once.
-func (g *rig) requestKey(key uint64) ServerID {
+func (g *harness) requestKey(key uint64) ServerID {
 	g.t.Helper()
 	g.next++
-	s, ok := sentTo(g.do(Request{ID: g.next, Class: allClass, Key: key, Remaining: 2000}))
+	s, ok := sentTo(g.handle(Request{ID: g.next, Class: allClass, Key: key, Remaining: 2000}))
 	if !ok {
 		g.t.Fatal("nothing was sent")
 	}
@@ -19,8 +19,8 @@
 	return s
 }
 
-// homes asks for keys in no order and returns for each the server that had it most, and the part of all requests that went there.
-func homes(g *rig, keys, rounds int) (most map[uint64]ServerID, part float64) {
+// preferredServers asks for keys in no order and returns for each the server that had it most, and the part of all requests that went there.
+func preferredServers(g *harness, keys, rounds int) (most map[uint64]ServerID, part float64) {
 	counts := map[uint64]map[ServerID]int{}
 	for i := range keys * rounds {
 		key := 1 + mix(uint64(i))%uint64(keys)
@@ -41,7 +41,7 @@
 	return most, float64(home) / float64(keys*rounds)
 }
 
-func warmConfig(seed uint64, number int) Config {
+func affinityConfig(seed uint64, number int) Config {
 	cfg := baseConfig()
 	cfg.KeyAffinity, cfg.Seed, cfg.SidecarNumber = true, seed, number
 	return cfg
@@ -55,8 +55,8 @@
 	for i := range 4 {
 		servers[i].Capacity = 3
 	}
-	one, part := homes(newRig(t, warmConfig(1, 0), servers...), keys, 30)
-	two, _ := homes(newRig(t, warmConfig(2, 2), servers...), keys, 30)
+	one, part := preferredServers(newHarness(t, affinityConfig(1, 0), servers...), keys, 30)
+	two, _ := preferredServers(newHarness(t, affinityConfig(2, 2), servers...), keys, 30)
 	same, large := 0, 0
 	for key, s := range one {
 		if two[key] == s {
@@ -69,16 +69,16 @@
 	if same < keys*9/10 || part < 0.6 || large < keys*6/10 || large > keys*9/10 {
 		t.Errorf("%d of %d homes are the same, %.2f of the requests go home, %d homes are large servers", same, keys, part, large)
 	}
-	cold := warmConfig(1, 0)
+	cold := affinityConfig(1, 0)
 	cold.KeyAffinity = false
-	if _, part := homes(newRig(t, cold, servers...), keys, 30); part > 0.4 {
+	if _, part := preferredServers(newHarness(t, cold, servers...), keys, 30); part > 0.4 {
 		t.Errorf("%.2f of the requests go to one server though no server keeps keys warm", part)
 	}
 }
 
 // The rotation goes on under the keys: servers get their shares, and what is busy at home goes elsewhere.
 func TestKeysKeepTheShares(t *testing.T) {
-	g := newRig(t, warmConfig(1, 0), fleet(6)...)
+	g := newHarness(t, affinityConfig(1, 0), fleet(6)...)
 	got := map[ServerID]int{}
 	for i := range 3000 {
 		got[g.requestKey(1+mix(uint64(i))%500)]++
@@ -91,7 +91,7 @@
 	busy := map[ServerID]int{}
 	for range 12 { // all for one key, none answered
 		g.next++
-		s, ok := sentTo(g.do(Request{ID: g.next, Class: allClass, Key: 7, Remaining: 2000}))
+		s, ok := sentTo(g.handle(Request{ID: g.next, Class: allClass, Key: 7, Remaining: 2000}))
 		if !ok {
 			t.Fatal("nothing was sent")
 		}
@@ -106,15 +106,15 @@
 
 // The rules go before the keys: a home that drains gets nothing, and its keys go to the same next server from all sidecars.
 func TestAKeyLeavesAHomeThatDrains(t *testing.T) {
-	one, two := newRig(t, warmConfig(1, 0), fleet(8)...), newRig(t, warmConfig(2, 2), fleet(8)...)
-	before, _ := homes(one, 40, 20)
+	one, two := newHarness(t, affinityConfig(1, 0), fleet(8)...), newHarness(t, affinityConfig(2, 2), fleet(8)...)
+	before, _ := preferredServers(one, 40, 20)
 	drained := fleet(8)[:1]
 	drained[0].State = Draining
-	for _, g := range []*rig{one, two} {
-		g.do(ServerList{Kind: ListDelta, Servers: drained})
+	for _, g := range []*harness{one, two} {
+		g.handle(ServerList{Kind: ListDelta, Servers: drained})
 	}
-	a, _ := homes(one, 40, 20)
-	b, _ := homes(two, 40, 20)
+	a, _ := preferredServers(one, 40, 20)
+	b, _ := preferredServers(two, 40, 20)
 	stayed, agreed := 0, 0
 	for key := range before {
 		if a[key] == 1 || b[key] == 1 {
@@ -136,28 +136,28 @@
 func TestARepeatOfWhatRanOutOfTime(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(*Config, *rig, *Request)
+		change func(*Config, *harness, *Request)
 		sent   bool
 	}{
-		{"the same", func(*Config, *rig, *Request) {}, false},
-		{"not marked", func(_ *Config, _ *rig, r *Request) { r.ClientRetry = false }, true},
-		{"another key", func(_ *Config, _ *rig, r *Request) { r.Key = 8 }, true},
-		{"without a key", func(_ *Config, _ *rig, r *Request) { r.Key = 0 }, true},
-		{"another class", func(_ *Config, _ *rig, r *Request) { r.Class = safeClass }, true},
-		{"with more time", func(_ *Config, _ *rig, r *Request) { r.Remaining = 1700 }, true},
-		{"long after", func(_ *Config, g *rig, _ *Request) { g.now += 401 }, true},
+		{"the same", func(*Config, *harness, *Request) {}, false},
+		{"not marked", func(_ *Config, _ *harness, r *Request) { r.ClientRetry = false }, true},
+		{"another key", func(_ *Config, _ *harness, r *Request) { r.Key = 8 }, true},
+		{"without a key", func(_ *Config, _ *harness, r *Request) { r.Key = 0 }, true},
+		{"another class", func(_ *Config, _ *harness, r *Request) { r.Class = safeClass }, true},
+		{"with more time", func(_ *Config, _ *harness, r *Request) { r.Remaining = 1700 }, true},
+		{"long after", func(_ *Config, g *harness, _ *Request) { g.now += 401 }, true},
 		{"its server is silent", nil, true},
-		{"waste is cheap", func(c *Config, _ *rig, _ *Request) { c.Penalties.Waste = 0.001 }, true},
-		{"late answers are worth much", func(c *Config, _ *rig, _ *Request) { c.Classes[allClass].LateValue = 50 }, true},
+		{"waste is cheap", func(c *Config, _ *harness, _ *Request) { c.Penalties.Waste = 0.001 }, true},
+		{"late answers are worth much", func(c *Config, _ *harness, _ *Request) { c.Classes[allClass].LateValue = 50 }, true},
 	} {
-		g := newRig(t, baseConfig(), fleet(6)...)
+		g := newHarness(t, baseConfig(), fleet(6)...)
 		g.b.cfg.Penalties.Waste, g.b.cfg.Classes[allClass].LateValue = 0.3, 0.3
 		for range 20 { // answers take 10 ms
 			g.requestKey(1)
 		}
 		g.next++
 		first := g.next
-		g.do(Request{ID: first, Class: allClass, Key: 7, Remaining: 800})
+		g.handle(Request{ID: first, Class: allClass, Key: 7, Remaining: 800})
 		g.now += 800
 		if c.change != nil { // its server works: it has answered another meanwhile
 			g.b.requests.byID[first].attempts[0].server.AnsweredAt = g.now - 1
@@ -170,35 +170,35 @@
 		if c.change != nil {
 			c.change(&g.b.cfg, g, &again)
 		}
-		acts := g.do(again)
+		acts := g.handle(again)
 		if _, sent := sentTo(acts); sent != c.sent || !sent && !has(acts, Reject) {
 			t.Errorf("%s: %+v", c.name, acts)
 		}
 	}
 }
 
-// What ran out of time is forgotten: what is held does not grow with how many there were.
+// Time-outs are forgotten: the table does not grow with how many there were.
 func TestOverrunsAreForgotten(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(3)...)
+	g := newHarness(t, baseConfig(), fleet(3)...)
 	r := &request{class: &g.b.cfg.Classes[allClass]}
 	a := &attempt{server: &server{HealthState: HealthState{AnsweredAt: 1}}}
 	for i := range 20000 {
 		r.Key = uint64(i + 1)
-		g.b.now += 4 // 100 within an aim of 400 ms
+		g.b.now += 4 // 100 within a latency target of 400 ms
 		g.b.recordTimeout(r, a, 800)
 		if len(g.b.timeouts.records) > 400 {
-			t.Fatal(fmt.Sprint(len(g.b.timeouts.records), " are held after ", i))
+			t.Fatal(fmt.Sprint(len(g.b.timeouts.records), " are kept after ", i))
 		}
 	}
 }
 
 // What a server owes for keys is not forgiven by a request without one.
 func TestDebtsOutlastRequestsWithoutAKey(t *testing.T) {
-	g := newRig(t, warmConfig(1, 0), fleet(4)...)
+	g := newHarness(t, affinityConfig(1, 0), fleet(4)...)
 	for i, s := range g.b.servers.all {
 		s.currentWeight = -1500 - 1000*float64(i)
 	}
-	if s, _ := sentTo(g.do(Request{ID: 1, Class: safeClass, Remaining: 1500})); s != 1 {
+	if s, _ := sentTo(g.handle(Request{ID: 1, Class: safeClass, Remaining: 1500})); s != 1 {
 		t.Fatalf("sent to %d", s)
 	}
 	if got := g.b.servers.all[0].currentWeight; got > -1500 {
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, file := range files { // api.go holds types only, doc.go words
+	for _, file := range files { // api.go holds types only, doc.go text
 		if file != "api.go" && file != "doc.go" && !strings.HasSuffix(file, "_test.go") && !named["balance/"+file] {
 			t.Errorf("policy does not name balance/%s", file)
 		}
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// learnedRig is a balancer that has served for some seconds, with a bad server, a slow one and a cold one.
-func learnedRig(t *testing.T) *rig {
-	g := newRig(t, baseConfig(), fleet(5)...)
+// learnedHarness is a balancer that has served for some seconds, with a bad server, a slow one and one that warms up.
+func learnedHarness(t *testing.T) *harness {
+	g := newHarness(t, baseConfig(), fleet(5)...)
 	for i := range 400 {
 		g.now += 20
 		id, acts := g.request(i % 3)
@@ -32,14 +32,14 @@
 	}
 	list := fleet(5)
 	list[4].StartedAt = g.now - 100
-	g.do(ServerList{Kind: ListFull, Servers: list})
+	g.handle(ServerList{Kind: ListFull, Servers: list})
 	return g
 }
 
 // The next process goes on as the one before would have: the same choices for the same events, also after the memory went
 // through its text.
 func TestTheNextProcessGoesOn(t *testing.T) {
-	g := learnedRig(t)
+	g := learnedHarness(t)
 	text, err := json.Marshal(g.b.Snapshot())
 	if err != nil {
 		t.Fatal(err)
@@ -50,9 +50,9 @@
 	}
 	list := fleet(5)
 	list[4].StartedAt = g.now - 100
-	next := &rig{t: t, b: New(baseConfig()), now: g.now, next: g.next}
+	next := &harness{t: t, b: New(baseConfig()), now: g.now, next: g.next}
 	next.b.Start(next.now)
-	next.do(ServerList{Kind: ListCached, Servers: list})
+	next.handle(ServerList{Kind: ListCached, Servers: list})
 	next.b.Restore(m)
 	if !reflect.DeepEqual(next.b.Snapshot(), g.b.Snapshot()) {
 		t.Errorf("%+v\n%+v", next.b.Snapshot(), g.b.Snapshot())
@@ -72,18 +72,18 @@
 	}
 }
 
-// A cold server has one budget: what the process before has used of it is used, and one that only it knows to have restarted
-// is cold for the next as well.
+// A server in its slow start has one budget: what the process before has used of it is used, and one that only it knows to have restarted
+// warms up for the next as well.
 func TestAColdServerHasOneBudget(t *testing.T) {
-	g := learnedRig(t)
+	g := learnedHarness(t)
 	s := g.b.servers.byID[1]
 	g.b.beginSlowStart(s, g.now)
 	s.Tokens = 0
-	next := &rig{t: t, b: New(baseConfig()), now: g.now}
+	next := &harness{t: t, b: New(baseConfig()), now: g.now}
 	next.b.Start(next.now)
-	next.do(ServerList{Kind: ListCached, Servers: fleet(5)})
+	next.handle(ServerList{Kind: ListCached, Servers: fleet(5)})
 	if next.b.warmingUp(next.b.servers.byID[1]) {
-		t.Fatal("cold without being told")
+		t.Fatal("warming up without a restart")
 	}
 	next.b.Restore(g.b.Snapshot())
 	if one := next.b.servers.byID[1]; !next.b.warmingUp(one) || one.Tokens != 0 || one.SlowStartAt != g.now {
@@ -93,7 +93,7 @@
 
 // What does not fit is left out: a server that is not listed, more classes than there are.
 func TestAMemoryThatDoesNotFit(t *testing.T) {
-	g := learnedRig(t)
+	g := learnedHarness(t)
 	cfg := baseConfig()
 	cfg.Classes = cfg.Classes[:1]
 	next := New(cfg)
--- a/balance/paper_test.go
+++ b/balance/paper_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// The six behaviours that the paper asks tests for. The floor, recovery with time and the re-route to the healthiest
+// The six behaviours that the paper asks tests for. The floor, recovery with time and the retry at the healthiest
 // have theirs in rotation_test.go as well, with the exact values.
 
 func shares(t *testing.T, errs float64, n int) map[ServerID]int {
 	t.Helper()
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	hits := map[ServerID]int{}
 	for range n {
 		g.b.servers.all[0].Errors, g.b.servers.all[0].LastErrorAt = errs, g.now // a success resets the count
@@ -32,7 +32,7 @@
 }
 
 func TestPaperTimeRecovery(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
+	g := newHarness(t, baseConfig(), fleet(2)...)
 	s := g.b.servers.all[0]
 	g.b.recordFault(s, false)
 	last := g.b.health(s)
@@ -47,23 +47,23 @@
 }
 
 func TestPaperRetryRecoversToBest(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(3)...)
+	g := newHarness(t, baseConfig(), fleet(3)...)
 	g.b.servers.all[1].Errors, g.b.servers.all[1].LastErrorAt = 2, g.now
 	id, _ := g.request(safeClass)
 	g.b.servers.all[1].currentWeight = 1e6 // next in turn, and not the healthiest
 	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
-		t.Fatalf("re-routed to %d", s)
+		t.Fatalf("retried at %d", s)
 	}
 }
 
 func TestPaperIsolation(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	for range 5 {
 		g.b.recordFault(g.b.servers.all[0], false)
 	}
 	for _, s := range g.b.servers.all[1:] {
 		if g.b.health(s) != 1 || g.b.coolingDown(s) {
-			t.Errorf("server %d pays for the errors of server 1, of its cell and kind", s.ID)
+			t.Errorf("server %d is affected by the errors of server 1, of its cell and kind", s.ID)
 		}
 	}
 }
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -13,7 +13,7 @@
 	cfg     Config
 	now     float64
 	servers map[ServerID]*Server
-	told    map[ServerID]bool // may be sent to
+	ready   map[ServerID]bool // may be sent to
 	open    map[RequestID]*openRequest
 	timers  []pendingTimer
 	probes  []ServerID
@@ -41,7 +41,7 @@
 func newWorld(t *testing.T, rnd *rand.Rand, cfg Config) *world {
 	w := &world{
 		t: t, rnd: rnd, b: New(cfg), cfg: cfg, now: 5000, servers: map[ServerID]*Server{},
-		told: map[ServerID]bool{}, open: map[RequestID]*openRequest{},
+		ready: map[ServerID]bool{}, open: map[RequestID]*openRequest{},
 	}
 	w.apply(w.b.Start(w.now))
 	return w
@@ -141,10 +141,10 @@
 			continue
 		}
 		if kind != ListDelta && w.rnd.Intn(8) == 0 {
-			w.told[id] = false
+			w.ready[id] = false
 			continue
 		}
-		w.told[id] = s.State == Ready
+		w.ready[id] = s.State == Ready
 		entries = append(entries, *s)
 	}
 	w.handle(ServerList{Kind: kind, Servers: entries})
@@ -185,7 +185,7 @@
 	switch {
 	case o.answered:
 		w.t.Fatalf("request %d was sent after its answer", a.Request)
-	case !w.told[a.Server]:
+	case !w.ready[a.Server]:
 		w.t.Fatalf("request %d was sent to server %d, which drains or is gone", a.Request, a.Server)
 	case len(o.tries) >= w.cfg.MaxAttempts:
 		w.t.Fatalf("request %d was sent too often", a.Request)
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -8,35 +8,35 @@
 	"testing"
 )
 
-// ramp is a fleet of sidecars, each with its own module, before some servers that restart cold, in virtual time.
+// ramp is a fleet of sidecars, each with its own module, before some servers that restart, in virtual time.
 type ramp struct {
-	sidecars, servers, cold int
-	uneven                  bool    // some sidecars have several times the mean traffic
-	late                    float64 // ms within which the sidecars are told of a restart
-	restarts                bool    // half of the sidecars are started anew during the ramp
-	old                     bool    // ... with the list of before it, and are told of it half a second later
-	slow                    bool    // servers can do a tenth: a cold one may be sent a few requests
-	unknown                 bool    // each takes itself for the only one
-	failing                 float64 // part of the answers of warm servers that are errors, each with another try
-	multiple, fallTime      float64
+	sidecars, servers, warming int
+	uneven                     bool    // some sidecars have several times the mean traffic
+	maxDelay                   float64 // ms within which the sidecars learn of a restart
+	restarts                   bool    // half of the sidecars are started anew during the ramp
+	oldLists                   bool    // ... with the list of before it, and learn of it half a second later
+	slow                       bool    // servers can do a tenth: one that warms up may be sent a few requests
+	unknown                    bool    // each has a count of one sidecar
+	failing                    float64 // fraction of the answers of warm servers that are errors, each retried
+	multiple, overloadTime     float64
 }
 
-// rampLoad is the part of what the servers can do that is asked for, and rampWork what one request takes, in ms.
+// rampLoad is the fraction of what the servers can do that is requested, and rampWork what one request takes, in ms.
 const (
-	rampLoad = 0.7
-	rampWork = 40.0
-	rampPer  = 50.0 // requests a second that a warm server can do
-	rampCold = 0.2  // of that a cold one can do at first
-	rampTime = 10_000.0
+	rampLoad          = 0.7
+	rampWork          = 40.0
+	rampServerRate    = 50.0 // requests a second that a warm server can do
+	rampStartFraction = 0.2  // fraction of that at the start
+	rampTime          = 10_000.0
 )
 
-// rampEvent is something at a moment: an arrival at a sidecar, an answer to one, a timer, news.
+// rampEvent is an event at a time: a request at a sidecar, an answer to one, a timer, an update of the list.
 type rampEvent struct {
-	at      float64
-	sidecar int
-	life    int // of the sidecar: what was meant for the one before its restart is dropped
-	ev      Event
-	kind    int
+	at          float64
+	sidecar     int
+	incarnation int // of the sidecar: what is for the one before its restart is dropped
+	event       Event
+	kind        int
 }
 
 const (
@@ -57,13 +57,13 @@
 	return last
 }
 
-// play plays a ramp and returns the largest use of what may be sent to a cold server, N + 2 x root of N + 2 in any window, and what
-// cold servers were sent over the ramp, as a part of what they could do.
+// play plays a ramp and returns the largest use of what may be sent to a server that warms up, N + 2 x root of N + 2 in any window, and what
+// such servers were sent over their slow start, as a fraction of what they could do.
 func (c ramp) play(seed uint64) (most, used float64) {
 	const warm, end = 10_000.0, 10_000.0 + rampTime // the restart is at warm
 	rng := rand.New(rand.NewPCG(seed, 7))
 	cfg := baseConfig()
-	cfg.OverloadMultiple, cfg.OverloadTime, cfg.SlowStartFraction, cfg.SlowStartTime = c.multiple, c.fallTime, rampCold, rampTime
+	cfg.OverloadMultiple, cfg.OverloadTime, cfg.SlowStartFraction, cfg.SlowStartTime = c.multiple, c.overloadTime, rampStartFraction, rampTime
 	cfg.SidecarCount, cfg.MaxAttempts = c.sidecars, 4
 	servers := fleet(c.servers)
 	weights, sum := make([]float64, c.sidecars), 0.0
@@ -73,16 +73,16 @@
 		}
 		sum += weights[i]
 	}
-	per := rampPer / 1000 // requests a ms
+	per := rampServerRate / 1000 // requests a ms
 	if c.slow {
 		per /= 10
 	}
 	total := rampLoad * per * float64(c.servers)
 	all := make([]*Balancer, c.sidecars)
-	lives := make([]int, c.sidecars)
+	incarnations := make([]int, c.sidecars)
 	var q rampQueue
-	push := func(e rampEvent) { e.life = lives[e.sidecar]; heap.Push(&q, e) }
-	sends := make([][]float64, c.cold)
+	push := func(e rampEvent) { e.incarnation = incarnations[e.sidecar]; heap.Push(&q, e) }
+	sends := make([][]float64, c.warming)
 	var carry func(n int, now float64, acts []Action)
 	begin := func(n int, now float64, list []Server) {
 		own := cfg
@@ -102,17 +102,17 @@
 			case Send:
 				at := now
 				took, res := rampWork*(0.5+rng.Float64()), OK
-				if s := int(a.Server) - 1; s < c.cold && at >= warm {
+				if s := int(a.Server) - 1; s < c.warming && at >= warm {
 					sends[s] = append(sends[s], at)
 				} else if c.failing > 0 && rng.Float64() < c.failing {
 					took, res = 1, Failed
 				}
 				r := all[n].requests.byID[a.Request]
-				push(rampEvent{at: now + took, sidecar: n, kind: rampHandle, ev: Outcome{
+				push(rampEvent{at: now + took, sidecar: n, kind: rampHandle, event: Outcome{
 					Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Result: res, Latency: took, Finished: res == OK}})
 			case SetTimer:
 				if a.Token != listTimer {
-					push(rampEvent{at: now + a.After, sidecar: n, kind: rampHandle, ev: Timer{a.Token}})
+					push(rampEvent{at: now + a.After, sidecar: n, kind: rampHandle, event: Timer{a.Token}})
 				}
 			}
 		}
@@ -120,17 +120,17 @@
 	for n := range all {
 		begin(n, 0, servers)
 		push(rampEvent{at: rng.ExpFloat64() * sum / weights[n] / total, sidecar: n, kind: rampArrival})
-		told := append([]Server(nil), servers[:c.cold]...)
-		for i := range told {
-			told[i].StartedAt = warm
+		restarted := append([]Server(nil), servers[:c.warming]...)
+		for i := range restarted {
+			restarted[i].StartedAt = warm
 		}
-		push(rampEvent{at: warm + c.late*rng.Float64(), sidecar: n, kind: rampHandle, ev: ServerList{Kind: ListDelta, Servers: told}})
+		push(rampEvent{at: warm + c.maxDelay*rng.Float64(), sidecar: n, kind: rampHandle, event: ServerList{Kind: ListDelta, Servers: restarted}})
 		if c.restarts && n%2 == 0 {
 			push(rampEvent{at: warm + rampTime*rng.Float64()/2, sidecar: n, kind: rampRestart})
 		}
 	}
 	started := append([]Server(nil), servers...)
-	for i := range c.cold {
+	for i := range c.warming {
 		started[i].StartedAt = warm
 	}
 	next := RequestID(1)
@@ -140,7 +140,7 @@
 			break
 		}
 		n := e.sidecar
-		if e.kind != rampArrival && e.life != lives[n] {
+		if e.kind != rampArrival && e.incarnation != incarnations[n] {
 			continue
 		}
 		switch e.kind {
@@ -150,18 +150,18 @@
 			carry(n, e.at, acts)
 			push(rampEvent{at: e.at + rng.ExpFloat64()*sum/weights[n]/total, sidecar: n, kind: rampArrival})
 		case rampHandle:
-			acts, err := all[n].Handle(e.at, e.ev)
+			acts, err := all[n].Handle(e.at, e.event)
 			if err == nil {
 				carry(n, e.at, acts)
 			}
 		case rampRestart:
-			lives[n]++
-			if !c.old {
+			incarnations[n]++
+			if !c.oldLists {
 				begin(n, e.at, started)
 				continue
 			}
 			begin(n, e.at, servers)
-			push(rampEvent{at: e.at + 500, sidecar: n, kind: rampHandle, ev: ServerList{Kind: ListFull, Servers: started}})
+			push(rampEvent{at: e.at + 500, sidecar: n, kind: rampHandle, event: ServerList{Kind: ListFull, Servers: started}})
 		}
 	}
 	could, sent := 0.0, 0
@@ -169,19 +169,19 @@
 		sort.Float64s(times)
 		sent += len(times)
 		for i, from := 0, 0; i < len(times); i++ {
-			for times[from] <= times[i]-c.fallTime {
+			for times[from] <= times[i]-c.overloadTime {
 				from++
 			}
-			age := math.Max(0, times[i]-warm-c.fallTime) // at the beginning of the window, where it can do least
-			n := c.multiple * per * c.fallTime * (rampCold + (1-rampCold)*age/rampTime)
+			age := math.Max(0, times[i]-warm-c.overloadTime) // at the beginning of the window, where it can do least
+			n := c.multiple * per * c.overloadTime * (rampStartFraction + (1-rampStartFraction)*age/rampTime)
 			most = math.Max(most, float64(i-from+1)/(n+2*math.Sqrt(n)+2))
 		}
-		could += per * rampTime * (1 + rampCold) / 2
+		could += per * rampTime * (1 + rampStartFraction) / 2
 	}
 	return most, float64(sent) / could
 }
 
-// The bound that doc.go derives, and that a cold server is used all the same: it gets at least half of what it can do, over
+// The bound that doc.go derives, and that a server is used in its slow start all the same: it gets at least half of what it can do, over
 // its ramp.
 func TestTheRampHoldsForTheFleet(t *testing.T) {
 	worst := 0.0
@@ -189,21 +189,21 @@
 		for name, c := range map[string]ramp{
 			"even":             {},
 			"uneven":           {uneven: true},
-			"told late":        {uneven: true, late: 2000},
+			"late updates":     {uneven: true, maxDelay: 2000},
 			"restarts":         {uneven: true, restarts: true},
-			"old lists":        {uneven: true, restarts: true, old: true},
-			"slow servers":     {uneven: true, slow: true, restarts: true, cold: 2},
+			"old lists":        {uneven: true, restarts: true, oldLists: true},
+			"slow servers":     {uneven: true, slow: true, restarts: true, warming: 2},
 			"unknown peers":    {uneven: true, unknown: true},
-			"several cold":     {uneven: true, cold: 3},
-			"re-routes":        {uneven: true, failing: 0.2},
-			"all of it":        {uneven: true, cold: 3, late: 1000, restarts: true, failing: 0.1},
-			"a short time":     {uneven: true, multiple: 4, fallTime: 1500},
-			"a small multiple": {uneven: true, multiple: 1.5, fallTime: 2000},
+			"several start":    {uneven: true, warming: 3},
+			"retries":          {uneven: true, failing: 0.2},
+			"all of it":        {uneven: true, warming: 3, maxDelay: 1000, restarts: true, failing: 0.1},
+			"a short time":     {uneven: true, multiple: 4, overloadTime: 1500},
+			"a small multiple": {uneven: true, multiple: 1.5, overloadTime: 2000},
 		} {
 			if c.multiple == 0 {
-				c.multiple, c.fallTime = 2.5, 3000
+				c.multiple, c.overloadTime = 2.5, 3000
 			}
-			c.sidecars, c.servers, c.cold = sidecars, 10, max(c.cold, 1)
+			c.sidecars, c.servers, c.warming = sidecars, 10, max(c.warming, 1)
 			use, used := 0.0, 0.0
 			const seeds = 3
 			for seed := range uint64(seeds) {
@@ -214,7 +214,7 @@
 			t.Logf("%3d sidecars, %-17s largest use %.2f of the bound, sent %.2f of what they could do",
 				sidecars, name+":", use, used)
 			if use > 1 || used < 0.5 {
-				t.Errorf("%d sidecars, %s: a cold server got %.2f times what it may get, and %.2f of what it could do",
+				t.Errorf("%d sidecars, %s: a server that warms up got %.2f times what it may get, and %.2f of what it could do",
 					sidecars, name, use, used)
 			}
 		}
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -6,7 +6,7 @@
 )
 
 // sequence sends n safe requests one after the other, each answered before the next.
-func sequence(g *rig, n int) []ServerID {
+func sequence(g *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
 		id, acts := g.request(safeClass)
@@ -24,7 +24,7 @@
 func TestRotationFollowsWeights(t *testing.T) {
 	servers := fleet(3)
 	servers[0].Capacity = 5
-	got := sequence(newRig(t, baseConfig(), servers...), 7)
+	got := sequence(newHarness(t, baseConfig(), servers...), 7)
 	want := []ServerID{1, 1, 2, 1, 3, 1, 1}
 	for i := range want {
 		if got[i] != want[i] {
@@ -34,7 +34,7 @@
 }
 
 func TestMultiplierFallsDecaysAndHasAFloor(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
+	g := newHarness(t, baseConfig(), fleet(2)...)
 	s := g.b.servers.all[0]
 	if m := g.b.health(s); m != 1 {
 		t.Fatalf("m without errors is %v", m)
@@ -65,7 +65,7 @@
 }
 
 func TestNoServerStarvesAtTheFloor(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	hits := 0
 	for range 40 { // a success resets the errors, so they are set again each time
 		g.b.servers.all[2].Errors, g.b.servers.all[2].LastErrorAt = 1000, g.now
@@ -79,7 +79,7 @@
 }
 
 func TestRerouteTakesTheHealthiestUntried(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	for _, s := range g.b.servers.all {
 		s.Errors, s.LastErrorAt = 2, g.now
 	}
@@ -89,14 +89,14 @@
 	if s, _ := sentTo(acts); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	g.b.servers.all[3].currentWeight = 1000 // next in turn, which must not count for a re-route
+	g.b.servers.all[3].currentWeight = 1000 // next in turn, which must not count for a retry
 	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
-		t.Fatalf("re-routed to %d, want 3", s)
+		t.Fatalf("retried at %d, want 3", s)
 	}
 }
 
 // Where every server holds far more than its share a first send goes to the one that holds least for
-// its weight: the next in turn was crowded further, and stayed slow; a re-route still goes by m. While one is
+// its weight: the next in turn was crowded further, and stayed slow; a retry still goes by m. While one is
 // not over its share, the turn decides.
 func TestFirstSendGoesToTheLeastCrowdedOfCrowdedServers(t *testing.T) {
 	for _, c := range []struct {
@@ -106,7 +106,7 @@
 		{[4]int{4, 3, 4, 4}, 2}, // all are over
 		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
 	} {
-		g := newRig(t, baseConfig(), fleet(4)...)
+		g := newHarness(t, baseConfig(), fleet(4)...)
 		for i, s := range g.b.servers.all {
 			s.inFlight, s.currentWeight = c.holds[i], float64(10*(4-i))
 		}
@@ -114,7 +114,7 @@
 		r := &request{Request: Request{}, class: &g.b.cfg.Classes[safeClass]}
 		if c.want == 2 {
 			if s := g.b.pick(r, true); s.ID == 2 {
-				t.Errorf("%v: the re-route went to the server of lowest m", c.holds)
+				t.Errorf("%v: the retry went to the server of lowest m", c.holds)
 			}
 			for i, s := range g.b.servers.all {
 				s.currentWeight = float64(10 * (4 - i))
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -23,10 +23,10 @@
 func followAttempt(t *testing.T, class int, res Result, late bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].LatencyTarget = cfg.Classes[i].Deadline // a re-route is worth its while to the end
+		cfg.Classes[i].LatencyTarget = cfg.Classes[i].Deadline // a retry is of use to the end
 		cfg.Classes[i].Window = 200
 	}
-	g := newRig(t, cfg, fleet(8)...)
+	g := newHarness(t, cfg, fleet(8)...)
 	id, acts := g.request(class)
 	first, ok := sentTo(acts)
 	if !ok {
@@ -56,11 +56,11 @@
 }
 
 func TestNothingIsRefusedThatMayHaveRun(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	for _, class := range []int{unsafeClass, cellClass, zoneClass} {
 		id, _ := g.request(class)
 		g.now = g.b.requests.byID[id].deadline
-		acts := g.do(Timer{Token: uint64(id)})
+		acts := g.handle(Timer{Token: uint64(id)})
 		if has(acts, Reject) || !has(acts, Fail) {
 			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
 		}
@@ -68,21 +68,21 @@
 }
 
 func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	acts := g.do(Request{ID: 1, Class: unsafeClass, Remaining: 0})
+	g := newHarness(t, baseConfig(), fleet(4)...)
+	acts := g.handle(Request{ID: 1, Class: unsafeClass, Remaining: 0})
 	if !has(acts, Reject) || has(acts, Send) {
 		t.Fatalf("a request without time left: %+v", acts)
 	}
 }
 
 // A key that may have run stays in its cell. When all servers there have been tried, waiting brings nothing: the client
-// is told at once, and not when its time is nearly up.
+// gets its answer at once, and not at its deadline.
 func TestNobodyLeftToSendTo(t *testing.T) {
 	servers := fleet(4)
 	for i := range servers {
 		servers[i].Cell = i / 2
 	}
-	g := newRig(t, baseConfig(), servers...)
+	g := newHarness(t, baseConfig(), servers...)
 	id, _ := g.request(cellClass)
 	g.now += 5
 	if acts := g.answer(id, 0, Reset, 5); !has(acts, Send) {
@@ -100,7 +100,7 @@
 		drained[i].State = Draining
 	}
 	for name, servers := range map[string][]Server{"empty": nil, "draining": drained} {
-		g := newRig(t, baseConfig(), servers...)
+		g := newHarness(t, baseConfig(), servers...)
 		if _, acts := g.request(unsafeClass); has(acts, Send) || !has(acts, Reject) || len(g.b.requests.byID) != 0 {
 			t.Fatalf("%s: %+v, %d requests left", name, acts, len(g.b.requests.byID))
 		}
@@ -108,10 +108,10 @@
 }
 
 func TestDrainingGetsNothingNew(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
+	g := newHarness(t, baseConfig(), fleet(2)...)
 	gone := fleet(1)[0]
 	gone.State = Draining
-	g.do(ServerList{Kind: ListDelta, Servers: []Server{gone}})
+	g.handle(ServerList{Kind: ListDelta, Servers: []Server{gone}})
 	for range 20 {
 		id, acts := g.request(safeClass)
 		if s, _ := sentTo(acts); s != 2 {
@@ -120,7 +120,7 @@
 		g.answer(id, 0, OK, 10)
 	}
 	gone.State = Ready
-	g.do(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
+	g.handle(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
 	id, acts := g.request(safeClass)
 	if s, _ := sentTo(acts); s != 1 {
 		t.Fatalf("sent to %d of request %d", s, id)
@@ -130,7 +130,7 @@
 func TestAttemptLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
-	g := newRig(t, cfg, fleet(4)...)
+	g := newHarness(t, cfg, fleet(4)...)
 	id, _ := g.request(safeClass)
 	if acts := g.answer(id, 0, Rejected, 1); has(acts, Send) || !has(acts, Reject) {
 		t.Fatalf("after the only attempt allowed: %+v", acts)
@@ -140,15 +140,15 @@
 // In overload an alarm came a rounding error before its time and was not set again, so that the
 // request got no answer at its deadline.
 func TestEarlyAlarmIsSetAgain(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	id, _ := g.request(unsafeClass)
 	g.now = g.b.requests.byID[id].wakeAt - 1e-4
-	if acts := g.do(Timer{Token: uint64(id)}); !has(acts, SetTimer) {
+	if acts := g.handle(Timer{Token: uint64(id)}); !has(acts, SetTimer) {
 		t.Fatalf("no timer after an early alarm: %+v", acts)
 	}
 }
 
-// A cold server was pushed over when the budget followed what clients asked, repeats included; and by many
+// A server in its slow start was overloaded when the budget followed the requests of clients, retries included; and by many
 // sidecars that each knew of few answers. Whatever their number, all together stay under the multiple.
 func TestColdBudgetHoldsForAllSidecars(t *testing.T) {
 	for _, c := range []struct{ sidecars, servers, perSecond int }{{4, 5, 150}, {40, 10, 15}, {300, 60, 2}} {
@@ -158,36 +158,36 @@
 		for n := range c.sidecars {
 			cfg.Seed, cfg.SidecarNumber = uint64(n+1), n
 			servers := fleet(c.servers)
-			g := newRig(t, cfg, servers...)
+			g := newHarness(t, cfg, servers...)
 			g.now += 1000 * g.b.rng.Float64() / float64(c.perSecond)
 			start := g.now
-			for told := false; g.now < start+6000; g.now += 1000 / float64(c.perSecond) {
-				if !told && g.now >= start+3000 { // half-way one server restarts
-					told, servers[0].StartedAt = true, g.now
-					g.do(ServerList{Kind: ListDelta, Servers: servers[:1]})
+			for restarted := false; g.now < start+6000; g.now += 1000 / float64(c.perSecond) {
+				if !restarted && g.now >= start+3000 { // half-way one server restarts
+					restarted, servers[0].StartedAt = true, g.now
+					g.handle(ServerList{Kind: ListDelta, Servers: servers[:1]})
 				}
 				id, acts := g.request(safeClass)
 				if s, ok := sentTo(acts); !ok {
 					t.Fatal("nothing sent")
-				} else if s == 1 && told && g.now < start+4000 {
+				} else if s == 1 && restarted && g.now < start+4000 {
 					toCold++
-				} else if s == 1 && told {
+				} else if s == 1 && restarted {
 					later++
 				}
 				g.answer(id, 0, OK, 10)
 			}
 		}
-		// A warm server gets its part of the traffic; the cold one can do ColdFrom of that and a little
-		// more as it warms, and falls at FallMultiple times what it can do.
+		// A warm server gets its part of the traffic; one that starts can do SlowStartFraction of that and a little
+		// more as it warms up, and breaks down at OverloadMultiple times what it can do.
 		limit := float64(c.sidecars*c.perSecond) / float64(c.servers) * cfg.OverloadMultiple * (cfg.SlowStartFraction + 0.05)
 		if later == 0 || float64(toCold) > limit {
-			t.Errorf("%+v: %d sends to a cold server in its first second, at most %.0f wanted; %d later", c, toCold, limit, later)
+			t.Errorf("%+v: %d sends to a server in its first second, at most %.0f wanted; %d later", c, toCold, limit, later)
 		}
 	}
 }
 
 // A server that lost a connection, failed again and then answers has restarted, whatever the list says. One that took
-// no connection need not have: healthy servers with full tables were given a cold server's share. Nor has one that
+// no connection may not have: healthy servers with full tables were given a starting server's share. Nor has one that
 // lost a single connection: networks and servers end some at any time.
 func TestBackFromTheDeadIsCold(t *testing.T) {
 	for _, c := range []struct {
@@ -197,20 +197,20 @@
 		{[]Result{Reset, ConnectFailed}, true}, {[]Result{Reset, Reset}, true}, {[]Result{Reset}, false},
 		{[]Result{ConnectFailed}, false}, {[]Result{ConnectFailed, ConnectFailed}, false},
 	} {
-		g := newRig(t, baseConfig(), fleet(1)...)
+		g := newHarness(t, baseConfig(), fleet(1)...)
 		s := g.b.servers.all[0]
 		for _, end := range c.ends {
 			id, _ := g.request(unsafeClass)
 			g.answer(id, 0, end, 150)
 			if rests := g.b.coolingDown(s); rests != (end == ConnectFailed) {
-				t.Errorf("%v: rests %v", c.ends, rests)
+				t.Errorf("%v: in a cooldown: %v", c.ends, rests)
 			}
 			g.now += 60000
 		}
 		id, _ := g.request(safeClass)
 		g.answer(id, 0, OK, 10)
 		if g.b.warmingUp(s) != c.cold {
-			t.Errorf("%v: held to be cold %v", c.ends, !c.cold)
+			t.Errorf("%v: warming up %v", c.ends, !c.cold)
 		}
 	}
 }
@@ -219,15 +219,15 @@
 func TestStartedStreamIsLeftAlone(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[safeClass].Stream = true
-	g := newRig(t, cfg, fleet(3)...)
+	g := newHarness(t, cfg, fleet(3)...)
 	id, acts := g.request(safeClass)
 	s, _ := sentTo(acts)
-	g.do(ResponseStarted{Request: id, Server: s, Latency: 20})
+	g.handle(ResponseStarted{Request: id, Server: s, Latency: 20})
 	g.now += 5000
-	if acts := g.do(Timer{Token: uint64(id)}); has(acts, Fail) || has(acts, Reject) || has(acts, Send) {
+	if acts := g.handle(Timer{Token: uint64(id)}); has(acts, Fail) || has(acts, Reject) || has(acts, Send) {
 		t.Fatalf("a running stream got %+v", acts)
 	}
-	g.do(Outcome{Request: id, Server: s, Result: Reset, Latency: 5000, Finished: true})
+	g.handle(Outcome{Request: id, Server: s, Result: Reset, Latency: 5000, Finished: true})
 	if len(g.b.requests.byID) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
@@ -237,20 +237,20 @@
 func TestListCallsBackOff(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
-	g := newRig(t, cfg, fleet(3)...)
+	g := newHarness(t, cfg, fleet(3)...)
 	if !has(g.actions, WatchList) {
 		t.Fatal("not subscribed at once")
 	}
 	var pauses []float64
 	for range 6 {
-		acts := g.do(ServerList{Kind: ListFailed})
+		acts := g.handle(ServerList{Kind: ListFailed})
 		if len(acts) != 1 || acts[0].Token != listTimer || acts[0].After > cfg.MaxPollInterval/3 {
 			t.Fatalf("after a failed call: %+v", acts)
 		}
 		pauses = append(pauses, acts[0].After)
 		g.now += acts[0].After
-		if !has(g.do(Timer{Token: listTimer}), WatchList) {
-			t.Fatal("not asked again")
+		if !has(g.handle(Timer{Token: listTimer}), WatchList) {
+			t.Fatal("not subscribed again")
 		}
 	}
 	if pauses[5] < 2*pauses[0] || len(g.b.servers.all) != 3 {
@@ -258,33 +258,33 @@
 	}
 }
 
-// Where lists are pushed, what the agent has been sent counts as told: it is asked again well within the grace
+// Where lists are pushed, what the agent has counts as known to the sidecar: it subscribes again well within the grace
 // for drains, however often it has failed, and not without a pause.
 func TestAnAgentIsAskedAgainSoon(t *testing.T) {
 	for _, grace := range []float64{0, 250, 2500, 1e6} {
 		cfg := baseConfig()
 		cfg.Subscribe, cfg.DrainGrace = false, grace
-		g := newRig(t, cfg, fleet(3)...)
+		g := newHarness(t, cfg, fleet(3)...)
 		for range 9 {
-			acts := g.do(ServerList{Kind: ListFailed})
+			acts := g.handle(ServerList{Kind: ListFailed})
 			if len(acts) != 1 || acts[0].After < pushedPollBackoff/2 || acts[0].After > math.Max(pushedPollBackoff, math.Min(grace/10, pollBackoff)) {
 				t.Fatalf("grace %v: %+v", grace, acts)
 			}
 			g.now += acts[0].After
-			if !has(g.do(Timer{Token: listTimer}), WatchList) {
-				t.Fatal("not asked again")
+			if !has(g.handle(Timer{Token: listTimer}), WatchList) {
+				t.Fatal("not subscribed again")
 			}
 		}
 	}
 }
 
-// Answers assumed for small sidecars counted in the budget of cold servers too, and together
-// they pushed one over. A sidecar that has seen no answers may hardly send anything to a cold server.
+// Answers assumed for small sidecars counted in the budget of starting servers too, and together
+// they overloaded one. A sidecar that has seen no answers may hardly send anything to such a server.
 func TestAssumedAnswersGiveNoColdBudget(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	entry := g.b.servers.all[0].Server
 	entry.StartedAt = g.now
-	g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
+	g.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 	g.now += 2000
 	g.request(safeClass) // sets the weights
 	s := g.b.servers.all[0]
@@ -299,17 +299,17 @@
 	}
 }
 
-// All other servers failed, and every sidecar's re-routes went to the one that had just started, as it had no errors.
+// All other servers failed, and every sidecar's retries went to the one that had just started, as it had no errors.
 func TestReroutesKeepTheColdBudget(t *testing.T) {
 	toCold, limit := 0, 0.0
 	const sidecars, requests = 40, 20
 	for n := range sidecars {
 		cfg := baseConfig()
 		cfg.Seed = uint64(n + 1)
-		g := newRig(t, cfg, fleet(5)...)
+		g := newHarness(t, cfg, fleet(5)...)
 		entry := g.b.servers.all[0].Server
 		entry.StartedAt = g.now
-		g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
+		g.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 		for range requests {
 			id, acts := g.request(safeClass)
 			for i := 0; ; i++ {
@@ -329,11 +329,11 @@
 	// In this second a warm server's part of the requests is a fifth.
 	limit = sidecars * requests / 5 * 2.5 * (0.2 + 0.05)
 	if float64(toCold) > limit {
-		t.Fatalf("%d sends to the cold server, at most %.0f wanted", toCold, limit)
+		t.Fatalf("%d sends to the starting server, at most %.0f wanted", toCold, limit)
 	}
 }
 
-// A refused client is told when to come back: later in overload, never past what clients obey, and not at all
+// A rejected client gets the time for its retry: later in overload, never past what clients obey, and not at all
 // where the settings do not allow it.
 func TestRefusedClientsAreToldWhenToComeBack(t *testing.T) {
 	for _, c := range []struct {
@@ -345,7 +345,7 @@
 	} {
 		cfg := baseConfig()
 		cfg.MaxRetryAfter, cfg.RetryAfter = c.most, c.allowed
-		g := newRig(t, cfg, fleet(2)...)
+		g := newHarness(t, cfg, fleet(2)...)
 		_, _ = g.request(safeClass)
 		g.b.shedding.excess = c.over
 		g.b.actions = g.b.actions[:0]
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -15,7 +15,7 @@
 		"no cancels":  func(c *Config, _ *int) { c.Cancel, c.Parallel = false, false },
 		"streams":     func(c *Config, _ *int) { c.Classes[safeClass].Stream = true },
 		"tenants":     func(c *Config, _ *int) { c.Tenants = []Tenant{{Share: 0.9}, {Share: 0.1}, {}} },
-		"no cold rule": func(c *Config, _ *int) {
+		"no slow start": func(c *Config, _ *int) {
 			c.SlowStartTime, c.OverloadTime, c.OverloadMultiple, c.SlowStartFraction = 0, 0, 0, 0
 		},
 		"probes, free": func(c *Config, _ *int) {
@@ -25,9 +25,9 @@
 		"probes, no field": func(c *Config, _ *int) {
 			c.Probes, c.Reports, c.Fields = true, ReportProbe, []ReportField{FieldUnknown}
 		},
-		"piggyback":    func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []ReportField{FieldUtil, FieldRate} },
-		"warm keys":    func(c *Config, _ *int) { c.KeyAffinity, c.Penalties.Waste = true, 0.3 },
-		"aims of zero": func(c *Config, _ *int) { c.Classes[safeClass].LatencyTarget, c.Classes[unsafeClass].Value = 0, 0 },
+		"piggyback":       func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []ReportField{FieldUtil, FieldRate} },
+		"key affinity":    func(c *Config, _ *int) { c.KeyAffinity, c.Penalties.Waste = true, 0.3 },
+		"targets of zero": func(c *Config, _ *int) { c.Classes[safeClass].LatencyTarget, c.Classes[unsafeClass].Value = 0, 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
@@ -35,7 +35,7 @@
 			w := newWorld(t, rand.New(rand.NewSource(7)), cfg)
 			list := fleet(n)
 			for i := range list {
-				w.servers[list[i].ID], w.told[list[i].ID] = &list[i], true
+				w.servers[list[i].ID], w.ready[list[i].ID] = &list[i], true
 			}
 			w.handle(ServerList{Kind: ListFull, Servers: list})
 			sent := 0
@@ -78,7 +78,7 @@
 
 // What has ended is forgotten: requests, servers that are gone, probes that are waited for.
 func TestMemoryStaysFlat(t *testing.T) {
-	g := newRig(t, probeConfig(), fleet(5)...)
+	g := newHarness(t, probeConfig(), fleet(5)...)
 	for i := range 20000 {
 		g.actions = g.actions[:0]
 		g.now += 5
@@ -92,7 +92,7 @@
 			for k := range list {
 				list[k].ID = ServerID(i + k + 1)
 			}
-			g.do(ServerList{Kind: ListFull, Servers: list})
+			g.handle(ServerList{Kind: ListFull, Servers: list})
 		}
 	}
 	b := g.b
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -11,7 +11,7 @@
 	cfg := baseConfig()
 	cfg.SidecarNumber, cfg.SidecarCount = n, peers
 	got := map[ServerID]bool{}
-	for _, s := range newRig(t, cfg, servers...).b.subset() {
+	for _, s := range newHarness(t, cfg, servers...).b.subset() {
 		got[s.ID] = true
 	}
 	return got
@@ -22,7 +22,7 @@
 func TestSubsetsAreSmallEvenAndStable(t *testing.T) {
 	const peers, servers = 800, 100
 	all, fewer := fleet(servers), fleet(servers)[:servers-1]
-	held := map[ServerID]int{}
+	users := map[ServerID]int{}
 	changed := 0
 	for n := range peers {
 		before, after := members(t, n, peers, all), members(t, n, peers, fewer)
@@ -30,21 +30,21 @@
 			t.Fatalf("sidecar %d uses %d servers", n, len(before))
 		}
 		for id := range before {
-			held[id]++
+			users[id]++
 			if !after[id] {
 				changed++
 			}
 		}
 	}
 	mean := float64(peers*minSubset) / servers
-	for id, n := range held {
+	for id, n := range users {
 		if math.Abs(float64(n)-mean) > mean/4 {
 			t.Errorf("server %d is used by %d sidecars, on average %.0f", id, n, mean)
 		}
 	}
 	// One of a hundred servers left: of five members about one moves at the edge of the window.
-	if len(held) != servers || changed > peers {
-		t.Errorf("%d servers used; %d places changed as one server left", len(held), changed)
+	if len(users) != servers || changed > peers {
+		t.Errorf("%d servers used; %d members changed as one server left", len(users), changed)
 	}
 }
 
@@ -56,11 +56,11 @@
 	}
 }
 
-// A sidecar that turned hot must not crowd the few servers of its subset.
+// A sidecar that turned hot must not overload the few servers of its subset.
 func TestBusySidecarSpreadsWider(t *testing.T) {
 	cfg := baseConfig()
 	cfg.SidecarCount = 1000
-	g := newRig(t, cfg, fleet(100)...)
+	g := newHarness(t, cfg, fleet(100)...)
 	for range 1000 {
 		id, acts := g.request(safeClass)
 		if has(acts, Send) {
@@ -77,7 +77,7 @@
 func TestFailedMembersWidenTheSubset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.SidecarCount = 1000
-	g := newRig(t, cfg, fleet(100)...)
+	g := newHarness(t, cfg, fleet(100)...)
 	before := append([]*server(nil), g.b.subset()...)
 	for _, s := range before[:minSubset-1] {
 		g.b.recordFault(s, true)
@@ -86,9 +86,9 @@
 		t.Fatalf("%d members with all but one of %d down", len(after), len(before))
 	}
 	g.now += 1e6
-	g.do(Timer{Token: 12345})
+	g.handle(Timer{Token: 12345})
 	if after := g.b.subset(); len(after) != minSubset {
-		t.Fatalf("%d members after the rests", len(after))
+		t.Fatalf("%d members after the cooldowns", len(after))
 	}
 }
 
@@ -98,7 +98,7 @@
 	cfg.SidecarCount = 1000
 	for n := range 20 {
 		cfg.SidecarNumber = n
-		g := newRig(t, cfg, fleet(100)...)
+		g := newHarness(t, cfg, fleet(100)...)
 		id, acts := g.request(cellClass)
 		first, _ := sentTo(acts)
 		second, ok := sentTo(g.answer(id, 0, Failed, 10))
--- a/balance/trouble_test.go
+++ b/balance/trouble_test.go
@@ -13,7 +13,7 @@
 }
 
 // probes answers the probes of acts: servers in dark give no answer, the others hold n requests.
-func (g *rig) probes(acts []Action, n float32, dark map[ServerID]bool) []Action {
+func (g *harness) probes(acts []Action, n float32, dark map[ServerID]bool) []Action {
 	var after []Action
 	for _, a := range acts {
 		if a.Kind != Probe {
@@ -23,15 +23,15 @@
 		if dark[a.Server] {
 			res = ProbeResult{Server: a.Server, Result: TimedOut}
 		}
-		after = append(after, g.do(res)...)
+		after = append(after, g.handle(res)...)
 	}
 	return after
 }
 
-// Links were cut and most probes lost, and the servers next in turn, which nobody could use,
+// The network was partitioned and most probes lost, and the servers next in turn, which could not be reached,
 // were probed again for every request.
 func TestServersOutOfReachRestAndComeBack(t *testing.T) {
-	g := newRig(t, probeConfig(), fleet(3)...)
+	g := newHarness(t, probeConfig(), fleet(3)...)
 	dark := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
 		id, acts := g.request(safeClass)
@@ -43,7 +43,7 @@
 		}
 		g.answer(id, 0, OK, 10)
 	}
-	g.now += 10000 // their rest is over and they answer again
+	g.now += 10000 // their cooldown is over and they answer again
 	used := map[ServerID]bool{}
 	for range 6 {
 		id, acts := g.request(safeClass)
@@ -58,37 +58,37 @@
 
 // A sidecar with little traffic cannot know from its own requests what others fill.
 func TestProbedQueueIsPassedOver(t *testing.T) {
-	g := newRig(t, probeConfig(), fleet(3)...)
+	g := newHarness(t, probeConfig(), fleet(3)...)
 	g.b.servers.all[0].currentWeight = 1000 // its turn
 	id, acts := g.request(safeClass)
 	if has(acts, Send) {
 		t.Fatal("sent before the probes were answered")
 	}
-	g.do(ProbeResult{Server: 1, LoadReport: []float32{5}})
-	g.do(ProbeResult{Server: 2, LoadReport: []float32{0}})
-	if s, ok := sentTo(g.do(ProbeResult{Server: 3, LoadReport: []float32{4}})); !ok || s != 2 {
+	g.handle(ProbeResult{Server: 1, LoadReport: []float32{5}})
+	g.handle(ProbeResult{Server: 2, LoadReport: []float32{0}})
+	if s, ok := sentTo(g.handle(ProbeResult{Server: 3, LoadReport: []float32{4}})); !ok || s != 2 {
 		t.Fatalf("request %d went to %d, want the empty server", id, s)
 	}
 }
 
 func TestARequestDoesNotWaitLongForProbes(t *testing.T) {
-	g := newRig(t, probeConfig(), fleet(3)...)
+	g := newHarness(t, probeConfig(), fleet(3)...)
 	id, _ := g.request(safeClass)
 	g.now = g.b.requests.byID[id].wakeAt
-	if acts := g.do(Timer{Token: uint64(id)}); !has(acts, Send) || g.now > 1000+0.1*300 {
+	if acts := g.handle(Timer{Token: uint64(id)}); !has(acts, Send) || g.now > 1000+0.1*300 {
 		t.Fatalf("at %v: %+v", g.now, acts)
 	}
 }
 
-// A hung server is passed over at once, for what it holds, and rested after several strikes;
+// A hung server is passed over at once, for what it holds, and has a cooldown after several errors;
 // what is stuck there must not look like overload of the whole fleet.
 func TestHungServerIsNoOverload(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(6)...)
+	g := newHarness(t, baseConfig(), fleet(6)...)
 	hung := 0
 	for range 900 {
 		g.now += 5
 		for _, a := range g.due() {
-			g.do(a)
+			g.handle(a)
 		}
 		id, acts := g.request(safeClass)
 		s, ok := sentTo(acts)
@@ -108,7 +108,7 @@
 }
 
 // due returns the timers of open requests that have come.
-func (g *rig) due() []Timer {
+func (g *harness) due() []Timer {
 	var list []Timer
 	for id := RequestID(1); id <= g.next; id++ {
 		if r := g.b.requests.byID[id]; r != nil && r.wakeAt <= g.now && !r.done {
@@ -119,9 +119,9 @@
 }
 
 // In overload every queue filled and all answers came late. What cannot be answered in time is
-// refused before it is sent, least worth first.
+// rejected before it is sent, least value first.
 func TestOverloadIsShedLeastWorthFirst(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	refused := map[int]int{}
 	var open []RequestID
 	for i := range 2000 {
@@ -139,14 +139,14 @@
 		}
 	}
 	if refused[safeClass] < 100 || refused[unsafeClass] >= refused[safeClass] {
-		t.Fatalf("refused %d of low worth and %d of high worth", refused[safeClass], refused[unsafeClass])
+		t.Fatalf("refused %d of low value and %d of high value", refused[safeClass], refused[unsafeClass])
 	}
 }
 
 // In a congested fleet all answers are late, and that is no server's fault: once the class is
-// known to take long, an attempt of 430 ms with an aim of 300 is no error.
+// known to take long, an attempt of 430 ms with a latency target of 300 is no error.
 func TestLateInACongestedFleetIsNoError(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	times := []float64{370, 430, 400}
 	for i := range 60 {
 		id, acts := g.request(unsafeClass)
@@ -156,11 +156,11 @@
 		end := g.now + times[i%3]
 		for r := g.b.requests.byID[id]; !r.done && r.wakeAt < end; {
 			g.now = r.wakeAt
-			g.do(Timer{Token: uint64(id)})
+			g.handle(Timer{Token: uint64(id)})
 		}
 		g.now = end
 		if i > 30 && g.b.requests.byID[id].attempts[0].overdue {
-			t.Fatalf("attempt %d of %v ms is held to be overdue after %v", i, times[i%3], g.b.overdueAfter(g.b.requests.byID[id]))
+			t.Fatalf("attempt %d of %v ms is overdue after %v", i, times[i%3], g.b.overdueAfter(g.b.requests.byID[id]))
 		}
 		g.answer(id, 0, OK, times[i%3])
 	}
@@ -169,19 +169,19 @@
 	if g.now = r.wakeAt; g.now >= r.deadline {
 		t.Fatal("nothing looks at the attempt before its deadline")
 	}
-	if g.do(Timer{Token: uint64(id)}); !r.attempts[0].overdue || r.attempts[0].server.Errors != 1 {
+	if g.handle(Timer{Token: uint64(id)}); !r.attempts[0].overdue || r.attempts[0].server.Errors != 1 {
 		t.Fatal("an attempt far beyond all others is no error")
 	}
 }
 
-// What hangs at a resting server is that server's trouble and must not shed load. But as a whole fleet broke
-// down all servers rested, nothing in flight counted, and the shedding stopped when it was needed most.
+// What hangs at a server in a cooldown is that server's fault and must not shed load. But as a whole fleet broke
+// down all servers had cooldowns, nothing in flight counted, and the shedding stopped when it was needed most.
 func TestRestingServersAreNoLoadUnlessMostRest(t *testing.T) {
 	for _, c := range []struct {
 		rested, steady float64
 		sheds          bool
 	}{{20, 0.1, true}, {0.4, 0.5, false}} {
-		g := newRig(t, baseConfig(), fleet(2)...)
+		g := newHarness(t, baseConfig(), fleet(2)...)
 		g.b.traffic.answerRate.count(g.b, 2)
 		g.b.latencies.recent = 1
 		g.b.servers.all[0].weightedLoad, g.b.servers.all[1].weightedLoad = c.rested, c.steady
@@ -196,9 +196,9 @@
 	}
 }
 
-// crowd sets the lasting part to shed and fills the fleet so that answers take the given part of the
-// aim longer than they may.
-func (g *rig) crowd(lasting, over float64) {
+// crowd sets the fraction to shed lastingly and fills the fleet so that answers take the given fraction of the
+// latency target longer than they may.
+func (g *harness) crowd(lasting, over float64) {
 	full := g.b.latencies.min + queueAllowance*(1-g.b.latencies.min)
 	g.b.shedding.lasting = lasting
 	g.b.servers.all[0].weightedLoad += (full+over)*g.b.traffic.answerRate.perMillisecond(g.b, assumedAnswers)/loadTrust - g.load()
@@ -209,7 +209,7 @@
 // and returns the part refused of each class and of each tenant.
 func shedding(t *testing.T, cfg Config, turns ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
-	g := newRig(t, cfg, fleet(4)...)
+	g := newHarness(t, cfg, fleet(4)...)
 	var asked [2][5]float64
 	draw := rand.New(rand.NewPCG(1, 2))
 	for i := range 4000 {
@@ -219,7 +219,7 @@
 		asked[0][turn[0]]++
 		asked[1][turn[1]]++
 		id := RequestID(i + 1)
-		acts := g.do(Request{ID: id, Class: turn[0], Tenant: turn[1], Remaining: cfg.Classes[turn[0]].Deadline})
+		acts := g.handle(Request{ID: id, Class: turn[0], Tenant: turn[1], Remaining: cfg.Classes[turn[0]].Deadline})
 		if has(acts, Reject) {
 			byClass[turn[0]]++
 			byTenant[turn[1]]++
@@ -239,10 +239,10 @@
 // sidecar that has not shed lately refuses nothing, as its few requests may crowd by chance.
 func TestShedFollowsTheLoadAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		lasting, over float64 // over: of the aim, beyond what answers may take
+		lasting, over float64 // over: of the latency target, beyond what answers may take
 		least, most   float64 // part refused
 	}{{0, 0.5, 0, 0.1}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
-		g := newRig(t, baseConfig(), fleet(4)...)
+		g := newHarness(t, baseConfig(), fleet(4)...)
 		for range 100 {
 			id, _ := g.request(safeClass)
 			g.now += 5
@@ -261,8 +261,8 @@
 	}
 }
 
-// Of two tenants with equal shares the one that asks three times as much loses what is beyond its
-// share; when both ask for the same they lose the same.
+// Of two tenants with equal shares the one that requests three times as much loses what is beyond its
+// share; when both request the same they lose the same.
 func TestTenantsBeyondTheirShareAreRefusedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Share: 0.5}, {Share: 0.5}}
@@ -276,7 +276,7 @@
 	}
 }
 
-// The class of least worth was refused wholly although the worst-served class weighs much
+// All of the class of least value was rejected although the worst-served class weighs much
 // in the goal. Then the classes come near each other; without such a weight the least goes first.
 func TestGoalOfTheWorstClassKeepsItServed(t *testing.T) {
 	cfg := baseConfig()
@@ -306,19 +306,19 @@
 	}
 }
 
-// A restarted server starts afresh: nothing of its rests, nor that it was dark, is left.
+// A restarted server starts afresh: no cooldown and no failed probe is remembered.
 func TestRestartClearsWhatWasHeldAgainstAServer(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
+	g := newHarness(t, baseConfig(), fleet(2)...)
 	s := g.b.servers.all[0]
-	g.do(ProbeResult{Server: s.ID, Result: TimedOut})
+	g.handle(ProbeResult{Server: s.ID, Result: TimedOut})
 	if !s.ProbeFailed || !g.b.coolingDown(s) {
-		t.Fatal("a probe without answer does not rest the server")
+		t.Fatal("a probe without answer begins no cooldown")
 	}
 	entry := s.Server
 	entry.StartedAt = g.now
-	g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
+	g.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 	if s.ProbeFailed || s.Cooldowns != 0 || g.b.coolingDown(s) {
-		t.Fatalf("after the restart: dark %v, rests %d", s.ProbeFailed, s.Cooldowns)
+		t.Fatalf("after the restart: probe failed %v, %d cooldowns", s.ProbeFailed, s.Cooldowns)
 	}
 }
 
@@ -326,7 +326,7 @@
 func TestSizesAreLearned(t *testing.T) {
 	servers := fleet(4)
 	servers[2].Kind, servers[3].Kind = 1, 1
-	g := newRig(t, baseConfig(), servers...)
+	g := newHarness(t, baseConfig(), servers...)
 	hits := map[ServerID]int{}
 	for range 1500 {
 		id, acts := g.request(safeClass)
@@ -343,7 +343,7 @@
 	}
 }
 
-// Half the fleet was gone and clients' later tries, too late to be worth anything, took what was
+// Half the fleet was removed and clients' retries, too late to be of value, took what was
 // left of it.
 func TestLateTriesAreRefusedFirst(t *testing.T) {
 	cfg := baseConfig()
@@ -352,12 +352,12 @@
 		shed, remaining float64
 		refused         bool
 	}{
-		{0.5, 1000, true},   // 500 ms gone, the aim of 300 has passed
-		{0.2, 1000, false},  // the load to shed is less than what a late answer is worth
-		{0.5, 1300, false},  // 200 ms gone, it can still be in time
-		{0.99, 1500, false}, // a first try
+		{0.5, 1000, true},   // 500 ms passed, the latency target of 300 has passed
+		{0.2, 1000, false},  // the load to shed is less than the value of a late answer
+		{0.5, 1300, false},  // 200 ms passed, it can still be in time
+		{0.99, 1500, false}, // a first request
 	} {
-		g := newRig(t, cfg, fleet(4)...)
+		g := newHarness(t, cfg, fleet(4)...)
 		g.request(safeClass)
 		g.b.shedding.lasting = c.shed
 		r := &request{
@@ -370,30 +370,30 @@
 			continue
 		}
 		g.b.shedding.lasting = c.shed
-		if acts := g.do(Request{ID: 77, Remaining: c.remaining}); !has(acts, Reject) {
+		if acts := g.handle(Request{ID: 77, Remaining: c.remaining}); !has(acts, Reject) {
 			t.Errorf("%+v: %+v", c, acts)
 		}
 	}
 }
 
-// A server that leaves several attempts unanswered is rested, and used again after an answer.
+// A server that leaves several attempts unanswered has a cooldown, and is used again after an answer.
 func TestStrikesRestAServer(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(3)...)
+	g := newHarness(t, baseConfig(), fleet(3)...)
 	s := g.b.servers.all[0]
 	for range cooldownErrors - 1 {
 		g.b.recordFault(s, false)
 	}
 	if g.b.coolingDown(s) {
-		t.Fatal("rested before the last strike")
+		t.Fatal("a cooldown before the last error")
 	}
 	g.b.recordFault(s, false)
 	if !g.b.coolingDown(s) {
-		t.Fatal("not rested after the last strike")
+		t.Fatal("no cooldown after the last error")
 	}
 	for range 12 {
 		id, acts := g.request(safeClass)
 		if to, _ := sentTo(acts); to == s.ID {
-			t.Fatal("a resting server got a request")
+			t.Fatal("a server in a cooldown got a request")
 		}
 		g.answer(id, 0, OK, 10)
 	}
@@ -405,12 +405,12 @@
 			return
 		}
 	}
-	t.Fatal("the server was not tried after its rest")
+	t.Fatal("the server was not tried after its cooldown")
 }
 
-// When all servers rest the cause is hardly theirs.
+// When all servers are in a cooldown the cause is hardly theirs.
 func TestAllRestingAreUsed(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(3)...)
+	g := newHarness(t, baseConfig(), fleet(3)...)
 	for _, s := range g.b.servers.all {
 		g.b.recordFault(s, true)
 	}
@@ -419,9 +419,9 @@
 	}
 }
 
-// Probes cost: in quiet hours a few find an idle server, in busy ones all are asked.
+// Probes cost: in quiet hours a few find an idle server, in busy ones all are probed.
 func TestProbesFollowHowBusyServersAre(t *testing.T) {
-	g := newRig(t, probeConfig(), fleet(12)...)
+	g := newHarness(t, probeConfig(), fleet(12)...)
 	asked := func(holds float32) int {
 		n := 0
 		for range 60 {
@@ -444,12 +444,12 @@
 	}
 }
 
-// Where crossing zones has a price, the own zone gets more, and others still take their part.
+// Where crossing zones has a penalty, the own zone gets more, and others still get some.
 func TestOwnZoneIsFavouredWhereCrossingCosts(t *testing.T) {
 	for price, least := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
 		cfg.Penalties.CrossZone, cfg.Zone = price, 1
-		g := newRig(t, cfg, fleet(8)...)
+		g := newHarness(t, cfg, fleet(8)...)
 		own := 0
 		for _, s := range sequence(g, 40) {
 			if s > 4 {
@@ -465,7 +465,7 @@
 // Traffic grew sevenfold within seconds on an enlarged fleet; answers stayed fast, but the attempts
 // in flight were set against the rate of answers of some time before, and half was refused.
 func TestFastGrowthIsNoOverload(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(12)...)
+	g := newHarness(t, baseConfig(), fleet(12)...)
 	var open []RequestID
 	refused := 0
 	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold in some nine seconds
@@ -488,7 +488,7 @@
 
 // A restarted sidecar with few requests used slow servers as much as fast ones for a minute.
 func TestSizesAreLearnedFastAtFirst(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
+	g := newHarness(t, baseConfig(), fleet(2)...)
 	fast, slow := g.b.servers.all[0], g.b.servers.all[1]
 	for range 20 {
 		g.b.learnCapacity(fast, 0.5)
@@ -511,7 +511,7 @@
 
 // A request that must not run twice was lost for good at a server that had just failed, while others did well.
 func TestUnrepeatableRequestsAvoidSuspects(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	suspect := g.b.servers.all[2]
 	suspect.Errors, suspect.LastErrorAt = 1, g.now
 	hits := map[int]int{}
@@ -538,7 +538,7 @@
 
 // Every request of a failing fleet was sent twice, which doubled the load. Repeats come out of a budget.
 func TestRepeatsAreHeldByABudget(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(6)...)
+	g := newHarness(t, baseConfig(), fleet(6)...)
 	repeats := 0
 	const requests = 200
 	for range requests {
@@ -557,16 +557,16 @@
 	}
 }
 
-// A safe request that failed after its aim was refused though a late answer was still worth something.
+// A safe request that failed after its latency target was rejected though a late answer still had a value.
 func TestLateAnswersOfWorthAreStillSought(t *testing.T) {
-	for worth, sent := range map[float64]bool{0: false, 0.5: true} {
+	for value, sent := range map[float64]bool{0: false, 0.5: true} {
 		cfg := baseConfig()
-		cfg.Classes[safeClass].LateValue = worth
-		g := newRig(t, cfg, fleet(3)...)
+		cfg.Classes[safeClass].LateValue = value
+		g := newHarness(t, cfg, fleet(3)...)
 		id, _ := g.request(safeClass)
 		g.now += cfg.Classes[safeClass].LatencyTarget + 1
 		if acts := g.answer(id, 0, Failed, 301); has(acts, Send) != sent || has(acts, Reject) == sent {
-			t.Errorf("worth %v of late answers: %+v", worth, acts)
+			t.Errorf("value %v of late answers: %+v", value, acts)
 		}
 	}
 }
@@ -575,7 +575,7 @@
 // answers come quickly nothing is shed, whatever is in flight.
 func TestQuickAnswersShedNothing(t *testing.T) {
 	for quick, refuses := range map[bool]bool{true: false, false: true} {
-		g := newRig(t, baseConfig(), fleet(4)...)
+		g := newHarness(t, baseConfig(), fleet(4)...)
 		for range 60 {
 			id, _ := g.request(safeClass)
 			g.now += 5
@@ -594,27 +594,27 @@
 }
 
 // The own data centre had more traffic than its servers could carry, while the other stood idle: where
-// answers turn slow the favour that the price of crossing earns the own zone ends.
+// answers turn slow the preference for the own zone, which avoids the cross-zone penalty, ends.
 func TestSlowAnswersEndTheFavourForTheOwnZone(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Penalties.CrossZone, cfg.Zone = 0.05, 1
-	g := newRig(t, cfg, fleet(8)...)
+	g := newHarness(t, cfg, fleet(8)...)
 	near, far := g.b.servers.all[7], g.b.servers.all[0]
 	if g.b.weight(near) < 10*g.b.weight(far) {
-		t.Error("the own zone is not favoured in quiet times")
+		t.Error("the own zone is not preferred in quiet times")
 	}
 	g.b.latencies.min, g.b.latencies.mean = 0.2, 0.6
 	if g.b.weight(near) != g.b.weight(far) {
-		t.Error("the own zone is favoured though answers are slow")
+		t.Error("the own zone is preferred though answers are slow")
 	}
 }
 
-// Of the same crowd a sidecar of few requests must take in as much as a busy one within some aims: it went on
+// Of the same crowd a sidecar of few requests must take in as much as a busy one within some latency targets: it went on
 // sending until servers that stay slow once crowded had choked.
 func TestFewRequestsFollowTheLoadToo(t *testing.T) {
 	steady := map[float64]float64{}
 	for _, gap := range []float64{300, 3} {
-		g := newRig(t, baseConfig(), fleet(4)...)
+		g := newHarness(t, baseConfig(), fleet(4)...)
 		for range 8 {
 			g.now += gap
 			g.b.traffic.requestRate.count(g.b, 1)
@@ -628,14 +628,14 @@
 	}
 }
 
-func (g *rig) load() float64 {
+func (g *harness) load() float64 {
 	steady, _ := g.b.servers.openLoad()
 	return steady
 }
 
 // Where nothing was answered before the clients gave up, only the quick answers counted and all seemed well.
 func TestTimeOutsCountAsSlowAnswers(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), fleet(4)...)
 	for range 10 {
 		id, _ := g.request(unsafeClass)
 		g.answer(id, 0, TimedOut, 600)
@@ -653,7 +653,7 @@
 		took  float64
 		tries int
 	}{{Reset, 1, 4}, {ConnectFailed, 1, 4}, {Failed, 1, 2}, {Reset, 100, 2}, {Rejected, 1, 2}, {TimedOut, 1, 2}} {
-		g := newRig(t, baseConfig(), fleet(8)...)
+		g := newHarness(t, baseConfig(), fleet(8)...)
 		for range 20 {
 			id, _ := g.request(safeClass)
 			g.answer(id, 0, OK, 100)
