--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -52,7 +52,7 @@
 		}
 	}()
 	switch ev := rec.Event.(type) {
-	case wire.Begin:
+	case wire.InstanceStarted:
 		cfg, err := wire.ParseSettings(ev.Seed, ev.Settings)
 		if err != nil {
 			h.instances[rec.Instance] = nil // its further events are ignored
@@ -62,7 +62,7 @@
 		b := balance.New(cfg)
 		h.instances[rec.Instance] = b
 		h.reply.Add(rec.Instance, b.Start(clock))
-	case wire.Down:
+	case wire.InstanceKilled:
 		delete(h.instances, rec.Instance)
 	case balance.Event:
 		b, begun := h.instances[rec.Instance]
--- a/internal/rig/scenario/parse_test.go
+++ b/internal/rig/scenario/parse_test.go
@@ -168,7 +168,7 @@
 			t.Errorf("class %d: %+v, want %+v", i, c.Classes[i], want[i])
 		}
 	}
-	if strings.Join(p.Zones, " ") != "a b" || strings.Join(p.Kinds, " ") != "fast std" || p.ConnIdle != 10000 {
+	if strings.Join(p.Zones, " ") != "a b" || strings.Join(p.Kinds, " ") != "fast std" || p.ConnectionIdleTime != 10000 {
 		t.Errorf("%+v", p)
 	}
 }
--- a/internal/sidecar/wire/encode.go
+++ b/internal/sidecar/wire/encode.go
@@ -8,26 +8,28 @@
 	"petrelhook/balance"
 )
 
-// Action codes.
+// Codes of actions.
 const (
-	codeSend    = 1000
-	codeRefuse  = 1010
-	codeFail    = 1020
-	codeCancel  = 1030
-	codeTimer   = 1040
-	codeProbe   = 1050
-	codeClose   = 1060
-	codePost    = 1070
-	codeTrace   = 1080
-	codeFault   = 1090
-	codeWatch   = 1100
-	codeFetch   = 1110
-	everyPeer   = 0xffffffff
-	maxText     = 0xffff
-	replyHeader = 4
+	actionSend       = 1000
+	actionReject     = 1010
+	actionFail       = 1020
+	actionCancel     = 1030
+	actionSetTimer   = 1040
+	actionProbe      = 1050
+	actionCloseIdle  = 1060
+	actionSendToPeer = 1070
+	actionLog        = 1080
+	actionFault      = 1090
+	actionWatchList  = 1100
+	actionFetchList  = 1110
 )
 
-// Reply gathers the actions that answer one frame.
+const (
+	allPeers    = 0xffffffff // as the receiver of a message
+	maxTextSize = 0xffff     // bytes; longer text is cut
+)
+
+// Reply collects the actions that answer one frame. Reset begins it; its first four bytes are its size.
 type Reply struct{ buf []byte }
 
 // Reset empties the reply.
@@ -47,60 +49,60 @@
 	}
 }
 
-// Fault reports that an instance's decision code broke.
+// Fault reports that an instance could not handle an event: its settings are wrong, the event is impossible, or it panicked.
 func (r *Reply) Fault(instance uint16, text string) {
-	r.head(codeFault, instance)
+	r.header(actionFault, instance)
 	r.text([]byte(text))
 }
 
 func (r *Reply) add(instance uint16, a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
-		r.head(codeSend, instance)
+		r.header(actionSend, instance)
 		r.u64(uint64(a.Request))
 		r.f64(a.After)
 		r.server(a.Server)
 	case balance.Reject:
-		r.head(codeRefuse, instance)
+		r.header(actionReject, instance)
 		r.u64(uint64(a.Request))
 		r.f64(a.After)
 	case balance.Fail:
-		r.head(codeFail, instance)
+		r.header(actionFail, instance)
 		r.u64(uint64(a.Request))
 	case balance.Cancel:
-		r.head(codeCancel, instance)
+		r.header(actionCancel, instance)
 		r.u64(uint64(a.Request))
 		r.buf = append(r.buf, uint8(a.Attempt))
 	case balance.SetTimer:
-		r.head(codeTimer, instance)
+		r.header(actionSetTimer, instance)
 		r.u64(a.Token)
 		r.f64(a.After)
 	case balance.Probe:
-		r.head(codeProbe, instance)
+		r.header(actionProbe, instance)
 		r.server(a.Server)
 	case balance.CloseIdle:
-		r.head(codeClose, instance)
+		r.header(actionCloseIdle, instance)
 		r.server(a.Server)
 	case balance.SendToPeer:
-		r.head(codePost, instance)
-		peer := uint32(everyPeer)
+		r.header(actionSendToPeer, instance)
+		peer := uint32(allPeers)
 		if a.Peer >= 0 {
 			peer = uint32(a.Peer)
 		}
 		r.buf = binary.BigEndian.AppendUint32(r.buf, peer)
 		r.text(a.Data)
 	case balance.Log:
-		r.head(codeTrace, instance)
+		r.header(actionLog, instance)
 		r.text([]byte(a.Text))
 	case balance.WatchList:
-		r.head(codeWatch, instance)
+		r.header(actionWatchList, instance)
 		r.buf = append(r.buf, 1)
 	case balance.FetchList:
-		r.head(codeFetch, instance)
+		r.header(actionFetchList, instance)
 	}
 }
 
-func (r *Reply) head(code, instance uint16) {
+func (r *Reply) header(code, instance uint16) {
 	r.buf = binary.BigEndian.AppendUint16(r.buf, code)
 	r.buf = binary.BigEndian.AppendUint16(r.buf, instance)
 }
@@ -114,8 +116,8 @@
 }
 
 func (r *Reply) text(b []byte) {
-	if len(b) > maxText {
-		b = b[:maxText]
+	if len(b) > maxTextSize {
+		b = b[:maxTextSize]
 	}
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(b)))
 	r.buf = append(r.buf, b...)
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -8,59 +8,60 @@
 	"petrelhook/balance"
 )
 
-// settings mirrors the profile; keys that are not here are skipped.
+// settings is the JSON form of the profile. Keys that are not here are skipped: the platform adds some from time to time. The
+// type's name is in texts of encoding/json.
 type settings struct {
 	Classes []struct {
-		Name       string   `json:"name"`
-		Effect     string   `json:"effect"`
-		Group      string   `json:"group"`
-		Window     *float64 `json:"window_ms"`
-		Aim        float64  `json:"on_time_ms"`
-		AimStretch float64  `json:"aim_stretch"`
-		Deadline   float64  `json:"hard_limit_ms"`
-		Worth      *float64 `json:"worth"`
-		LateWorth  float64  `json:"late_worth"`
-		Stream     bool     `json:"stream"`
+		Name                 string   `json:"name"`
+		Effect               string   `json:"effect"`
+		Group                string   `json:"group"`
+		Window               *float64 `json:"window_ms"`
+		LatencyTarget        float64  `json:"on_time_ms"`
+		LatencyTargetStretch float64  `json:"aim_stretch"`
+		Deadline             float64  `json:"hard_limit_ms"`
+		Value                *float64 `json:"worth"`
+		LateValue            float64  `json:"late_worth"`
+		Stream               bool     `json:"stream"`
 	} `json:"classes"`
 	Tenants []struct {
 		Name      string  `json:"name"`
 		Allowance float64 `json:"allowance_per_s"`
 		Share     float64 `json:"share"`
 	} `json:"tenants"`
-	Zones     []string `json:"zones"`
-	Kinds     []string `json:"kinds"`
-	Discovery string   `json:"discovery"`
-	Me        int      `json:"my_number"`
-	Peers     int      `json:"peers_total"`
-	Zone      int      `json:"zone"`
-	OverShare *float64 `json:"over_share_worth"`
-	Quantum   float64  `json:"quantum_ms"`
-	Report    struct {
+	Zones          []string `json:"zones"`
+	Kinds          []string `json:"kinds"`
+	Discovery      string   `json:"discovery"`
+	SidecarNumber  int      `json:"my_number"`
+	SidecarCount   int      `json:"peers_total"`
+	Zone           int      `json:"zone"`
+	OverShareValue *float64 `json:"over_share_worth"`
+	BatchInterval  float64  `json:"quantum_ms"`
+	Report         struct {
 		Via    string   `json:"via"`
 		Fields []string `json:"fields"`
 	} `json:"report"`
 	Limits struct {
-		Cancel         bool    `json:"cancel"`
-		ConnIdle       float64 `json:"conn_idle_ms"`
-		ConnectTimeout float64 `json:"connect_timeout_ms"`
-		MaxAttempts    *int    `json:"max_attempts"`
-		MaxRetryAfter  float64 `json:"max_retry_after_ms"`
-		MayTell        bool    `json:"may_tell"`
-		Parallel       bool    `json:"parallel_tries"`
-		Probes         bool    `json:"probes"`
-		RetryAfter     bool    `json:"retry_after"`
+		Cancel             bool    `json:"cancel"`
+		ConnectionIdleTime float64 `json:"conn_idle_ms"`
+		ConnectTimeout     float64 `json:"connect_timeout_ms"`
+		MaxAttempts        *int    `json:"max_attempts"`
+		MaxRetryAfter      float64 `json:"max_retry_after_ms"`
+		Messages           bool    `json:"may_tell"`
+		Parallel           bool    `json:"parallel_tries"`
+		Probes             bool    `json:"probes"`
+		RetryAfter         bool    `json:"retry_after"`
 	} `json:"limits"`
 	Family struct {
-		WarmKeys bool `json:"warm_keys"`
+		KeyAffinity bool `json:"warm_keys"`
 	} `json:"family_info"`
 	Rules struct {
-		AnswerSlack  float64  `json:"answer_slack_ms"`
-		AskWithin    float64  `json:"ask_within_ms"`
-		ColdFrom     *float64 `json:"cold_from"`
-		ColdTime     float64  `json:"cold_ms"`
-		DrainGrace   float64  `json:"drain_grace_ms"`
-		FallTime     float64  `json:"fall_ms"`
-		FallMultiple float64  `json:"fall_multiple"`
+		AnswerSlack       float64  `json:"answer_slack_ms"`
+		MaxPollInterval   float64  `json:"ask_within_ms"`
+		SlowStartFraction *float64 `json:"cold_from"`
+		SlowStartTime     float64  `json:"cold_ms"`
+		DrainGrace        float64  `json:"drain_grace_ms"`
+		OverloadTime      float64  `json:"fall_ms"`
+		OverloadMultiple  float64  `json:"fall_multiple"`
 	} `json:"rules"`
 	Goal struct { // in the order of balance.Goal, to which it converts; so do the penalties
 		Overall     float64 `json:"whole"`
@@ -78,25 +79,25 @@
 	} `json:"penalties"`
 }
 
-var effects = map[string]balance.Effect{
+var effectsByName = map[string]balance.Effect{
 	"read_like": balance.Safe, "idempotency_key": balance.Keyed, "non_idempotent": balance.Unsafe,
 }
 
-var groups = map[string]balance.Group{
+var groupsByName = map[string]balance.Group{
 	"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell,
 }
 
-var reportWays = map[string]balance.ReportVia{
+var reportsVia = map[string]balance.ReportVia{
 	"": balance.ReportNone, "silent": balance.ReportNone,
 	"piggyback": balance.ReportPiggyback, "pull": balance.ReportProbe,
 }
 
-var reportFields = map[string]balance.ReportField{
+var reportFieldsByName = map[string]balance.ReportField{
 	"rif": balance.FieldInFlight, "q": balance.FieldQueue, "busy": balance.FieldUtil,
 	"lat_ms": balance.FieldLatency, "rate": balance.FieldRate, "fail_rate": balance.FieldErrorRate,
 }
 
-// FieldError is a setting that makes no sense.
+// FieldError is a setting that has an impossible value.
 type FieldError struct {
 	Field   string // as classes[2].effect
 	Problem string
@@ -107,31 +108,34 @@
 	return fmt.Sprintf("settings: %s: %s; %s", e.Field, e.Problem, e.Remedy)
 }
 
-// oneOf looks a word up among those that a field may hold.
-func oneOf[T any](field, what, word string, all map[string]T, listed string) (T, error) {
-	v, ok := all[word]
+// oneOf returns what a name stands for among those that a field may hold; kind says what it names, and remedy lists the names.
+func oneOf[T any](field, kind, name string, valuesByName map[string]T, remedy string) (T, error) {
+	v, ok := valuesByName[name]
 	if !ok {
-		return v, &FieldError{field, fmt.Sprintf("unknown %s %q", what, word), "write " + listed}
+		return v, &FieldError{field, fmt.Sprintf("unknown %s %q", kind, name), "write " + remedy}
 	}
 	return v, nil
 }
 
-// Profile is the settings in full: what the module is told, and what only sockets need: the names that
-// stand for positions there, and how long servers keep an idle connection (0: not told).
+// Profile is the settings in full: those of the module, and what only a sidecar on sockets needs: the names that positions in the
+// module stand for, and how long servers keep an idle connection.
 type Profile struct {
 	Config                                 balance.Config
 	Classes, Tenants, Zones, Kinds, Fields []string
-	ConnIdle                               float64
+	ConnectionIdleTime                     float64 // ms; 0: not given
 }
 
-// ParseProfile reads the settings for a sidecar on sockets.
+// ParseProfile reads the settings for a sidecar on sockets. An impossible value is a *FieldError; text that is no JSON of the
+// right types is an error of encoding/json, wrapped.
 func ParseProfile(seed uint64, profile []byte) (Profile, error) {
 	var s settings
 	if err := json.Unmarshal(profile, &s); err != nil {
 		return Profile{}, fmt.Errorf("settings: %w", err)
 	}
 	cfg, err := s.config(seed)
-	p := Profile{Config: cfg, Zones: s.Zones, Kinds: s.Kinds, Fields: s.Report.Fields, ConnIdle: s.Limits.ConnIdle}
+	p := Profile{
+		Config: cfg, Zones: s.Zones, Kinds: s.Kinds, Fields: s.Report.Fields, ConnectionIdleTime: s.Limits.ConnectionIdleTime,
+	}
 	for i := range s.Classes {
 		p.Classes = append(p.Classes, s.Classes[i].Name)
 	}
@@ -141,24 +145,25 @@
 	return p, err
 }
 
-// ParseSettings turns the profile of a Begin into a Config.
+// ParseSettings reads the profile of an InstanceStarted. Its errors are those of ParseProfile.
 func ParseSettings(seed uint64, profile []byte) (balance.Config, error) {
 	p, err := ParseProfile(seed, profile)
 	return p.Config, err
 }
 
+// config converts the settings; names of load report fields that are not known become balance.FieldUnknown.
 func (s *settings) config(seed uint64) (balance.Config, error) {
 	cfg := balance.Config{
-		Seed: seed, SidecarNumber: s.Me, SidecarCount: max(s.Peers, 1), Zone: s.Zone,
-		OverShareValue: or(s.OverShare, 1), BatchInterval: s.Quantum,
+		Seed: seed, SidecarNumber: s.SidecarNumber, SidecarCount: max(s.SidecarCount, 1), Zone: s.Zone,
+		OverShareValue: valueOr(s.OverShareValue, 1), BatchInterval: s.BatchInterval,
 		Parallel: s.Limits.Parallel, Cancel: s.Limits.Cancel, Probes: s.Limits.Probes,
-		Messages: s.Limits.MayTell, RetryAfter: s.Limits.RetryAfter,
+		Messages: s.Limits.Messages, RetryAfter: s.Limits.RetryAfter,
 		MaxRetryAfter: s.Limits.MaxRetryAfter, ConnectTimeout: s.Limits.ConnectTimeout,
-		MaxAttempts: or(s.Limits.MaxAttempts, 1),
-		DrainGrace:  s.Rules.DrainGrace, SlowStartFraction: or(s.Rules.ColdFrom, 1), SlowStartTime: s.Rules.ColdTime,
-		OverloadMultiple: s.Rules.FallMultiple, OverloadTime: s.Rules.FallTime,
-		MaxPollInterval: s.Rules.AskWithin, AnswerSlack: s.Rules.AnswerSlack,
-		KeyAffinity: s.Family.WarmKeys,
+		MaxAttempts: valueOr(s.Limits.MaxAttempts, 1), DrainGrace: s.Rules.DrainGrace,
+		SlowStartFraction: valueOr(s.Rules.SlowStartFraction, 1), SlowStartTime: s.Rules.SlowStartTime,
+		OverloadMultiple: s.Rules.OverloadMultiple, OverloadTime: s.Rules.OverloadTime,
+		MaxPollInterval: s.Rules.MaxPollInterval, AnswerSlack: s.Rules.AnswerSlack,
+		KeyAffinity: s.Family.KeyAffinity,
 		Goal:        balance.Goal(s.Goal),
 		Penalties:   balance.Penalties(s.Penalties),
 	}
@@ -170,11 +175,11 @@
 		return cfg, &FieldError{"discovery", fmt.Sprintf("unknown discovery %q", s.Discovery), "write automatic or subscribe"}
 	}
 	var err error
-	if cfg.Reports, err = oneOf("report.via", "way", s.Report.Via, reportWays, "silent, piggyback or pull"); err != nil {
+	if cfg.Reports, err = oneOf("report.via", "way", s.Report.Via, reportsVia, "silent, piggyback or pull"); err != nil {
 		return cfg, err
 	}
 	for _, name := range s.Report.Fields {
-		cfg.Fields = append(cfg.Fields, reportFields[name])
+		cfg.Fields = append(cfg.Fields, reportFieldsByName[name])
 	}
 	for _, t := range s.Tenants {
 		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Allowance: t.Allowance, Share: t.Share})
@@ -182,41 +187,46 @@
 	return cfg, s.addClasses(&cfg)
 }
 
+// addClasses checks the classes and appends them.
 func (s *settings) addClasses(cfg *balance.Config) error {
 	if len(s.Classes) == 0 {
 		return &FieldError{"classes", "missing", "list one class at least"}
 	}
 	for i, c := range s.Classes {
-		at := fmt.Sprintf("classes[%d].", i)
-		effect, err := oneOf(at+"effect", "effect", c.Effect, effects, "read_like, idempotency_key or non_idempotent")
+		field := fmt.Sprintf("classes[%d].", i)
+		effect, err := oneOf(field+"effect", "effect", c.Effect, effectsByName, "read_like, idempotency_key or non_idempotent")
 		if err != nil {
 			return err
 		}
-		group, err := oneOf(at+"group", "group", c.Group, groups, "all, zone or cell")
+		group, err := oneOf(field+"group", "group", c.Group, groupsByName, "all, zone or cell")
 		if err != nil {
 			return err
 		}
 		if !(c.Deadline > 0) {
-			return &FieldError{at + "hard_limit_ms", fmt.Sprintf("%v ms", c.Deadline), "write how long clients wait, above 0"}
+			return &FieldError{field + "hard_limit_ms", fmt.Sprintf("%v ms", c.Deadline), "write how long clients wait, above 0"}
 		}
-		if c.Aim < 0 {
-			return &FieldError{at + "on_time_ms", fmt.Sprintf("%v ms", c.Aim), "write the time wanted for an answer, or leave it out"}
+		if c.LatencyTarget < 0 {
+			return &FieldError{
+				field + "on_time_ms", fmt.Sprintf("%v ms", c.LatencyTarget), "write the time wanted for an answer, or leave it out",
+			}
 		}
-		aim := c.Aim
-		if aim == 0 {
-			aim = c.Deadline
+		target := c.LatencyTarget
+		if target == 0 {
+			target = c.Deadline
 		}
 		cfg.Classes = append(cfg.Classes, balance.Class{
-			Effect: effect, Group: group, Window: or(c.Window, math.Inf(1)), LatencyTarget: aim, LatencyTargetStretch: c.AimStretch,
-			Deadline: c.Deadline, Value: or(c.Worth, 1), LateValue: c.LateWorth, Stream: c.Stream,
+			Effect: effect, Group: group, Window: valueOr(c.Window, math.Inf(1)),
+			LatencyTarget: target, LatencyTargetStretch: c.LatencyTargetStretch, Deadline: c.Deadline,
+			Value: valueOr(c.Value, 1), LateValue: c.LateValue, Stream: c.Stream,
 		})
 	}
 	return nil
 }
 
-func or[T any](v *T, otherwise T) T {
-	if v == nil {
-		return otherwise
+// valueOr returns what a setting holds, or the default where it is left out.
+func valueOr[T any](setting *T, byDefault T) T {
+	if setting == nil {
+		return byDefault
 	}
-	return *v
+	return *setting
 }
--- a/internal/sidecar/wire/wire_test.go
+++ b/internal/sidecar/wire/wire_test.go
@@ -29,7 +29,7 @@
 			recs, at = append(recs, rec), clock
 			return nil
 		})
-		if err == io.EOF {
+		if err == io.EOF { //nolint:errorlint // a frame that is cut short wraps io.EOF
 			return recs, at, nil
 		}
 		if err != nil {
@@ -49,12 +49,12 @@
 		0000000000000000 00 0a124a07 232b 3f800000 0000 00 00
 		40b7d40000000000 00 0a9011f2 2354 3fc00000 0000 01 00
 		0410 0003 01 00000029 0000`
-	endedFrame = `00000001 0000002f 40c06e2000000000
+	outcomeFrame = `00000001 0000002f 40c06e2000000000
 		0442 0003 0002978f5d3a91c4 00 0a124a07 232b 0000 4032800000000000 01 00`
 )
 
 func TestDecodesTheProtocolsExamples(t *testing.T) {
-	in := unhex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
+	in := unhex(t, emptyFrame+eventsFrame+listFrame+outcomeFrame)
 	recs, clock, err := readAll(NewReader(bytes.NewReader(in)))
 	if err != nil {
 		t.Fatal(err)
@@ -62,16 +62,16 @@
 	if clock != 8412.25 || len(recs) != 5 {
 		t.Fatalf("clock %v, %d records", clock, len(recs))
 	}
-	ask, ok := recs[0].Event.(balance.Request)
+	request, ok := recs[0].Event.(balance.Request)
 	want := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, Key: 0x91f03b7c55d20a64, Remaining: 240}
-	if !ok || ask != want || recs[0].Instance != 3 {
-		t.Errorf("ask: %+v", recs[0])
+	if !ok || request != want || recs[0].Instance != 3 {
+		t.Errorf("request: %+v", recs[0])
 	}
 	if ev := recs[1].Event; ev != any(balance.Timer{Token: 77}) {
-		t.Errorf("alarm: %+v", ev)
+		t.Errorf("timer: %+v", ev)
 	}
 	if ev := recs[2].Event; ev != any(balance.ClientGone{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
-		t.Errorf("hangup: %+v", recs[2])
+		t.Errorf("client gone: %+v", recs[2])
 	}
 	list := recs[3].Event.(balance.ServerList)
 	if list.Kind != balance.ListCached || len(list.Servers) != 2 {
@@ -81,10 +81,10 @@
 	if list.Servers[0].ID != 0x0a124a07232b || list.Servers[1] != second {
 		t.Errorf("entries: %+v", list.Servers)
 	}
-	ended := recs[4].Event.(balance.Outcome)
-	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Latency != 18.5 ||
-		!ended.Finished || ended.Result != balance.OK {
-		t.Errorf("ended: %+v", ended)
+	outcome := recs[4].Event.(balance.Outcome)
+	if outcome.Request != 0x2978f5d3a91c4 || outcome.Server != 0x0a124a07232b || outcome.Latency != 18.5 ||
+		!outcome.Finished || outcome.Result != balance.OK {
+		t.Errorf("outcome: %+v", outcome)
 	}
 }
 
@@ -126,8 +126,8 @@
 		"table never sent":     "00000001 0000001b 40c06e2000000000 0410 0003 00 00000001 0003",
 		"table out of range":   "00000001 00000018 40c06e2000000000 03e8 0010 00000000",
 		"unknown list kind":    "00000001 0000001b 40c06e2000000000 0410 0003 07 00000001 0000",
-		"unknown result":       strings.Replace(endedFrame, "232b 0000", "232b 0055", 1),
-		"more records claimed": strings.Replace(endedFrame, "00000001", "00000002", 1),
+		"unknown result":       strings.Replace(outcomeFrame, "232b 0000", "232b 0055", 1),
+		"more records claimed": strings.Replace(outcomeFrame, "00000001", "00000002", 1),
 	} {
 		recs, _, err := readAll(NewReader(bytes.NewReader(unhex(t, frame))))
 		if err == nil {
@@ -158,7 +158,7 @@
 	}
 	want := balance.Penalties{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, PeerMessage: 5, LateFailure: 6}
 	if cfg.Penalties != want {
-		t.Errorf("prices %+v", cfg.Penalties)
+		t.Errorf("penalties %+v", cfg.Penalties)
 	}
 	second := cfg.Classes[1]
 	if second.Effect != balance.Keyed || second.Group != balance.GroupCell || second.LatencyTarget != 600 || second.Value != 1 {
@@ -181,7 +181,7 @@
 
 // The seed corpus runs in CI as an ordinary test.
 func FuzzReader(f *testing.F) {
-	for _, frame := range []string{emptyFrame, eventsFrame, listFrame, endedFrame, eventsFrame + listFrame} {
+	for _, frame := range []string{emptyFrame, eventsFrame, listFrame, outcomeFrame, eventsFrame + listFrame} {
 		f.Add(unhex(f, frame))
 	}
 	f.Add(unhex(f, "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff"))
@@ -230,7 +230,7 @@
 	})
 }
 
-// A sidecar on sockets meets the names behind the positions, and must not keep connections longer than servers do.
+// A sidecar on sockets has the names behind the positions, and must not keep connections longer than servers do.
 func TestProfileKeepsTheNames(t *testing.T) {
 	p, err := ParseProfile(9, []byte(`{"classes": [{"name": "look", "effect": "read_like", "hard_limit_ms": 300}],
 		"tenants": [{"name": "acme"}], "zones": ["a", "b"], "kinds": ["m1"], "report": {"via": "piggyback", "fields": ["busy", "new"]},
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	names := [][]string{p.Classes, p.Tenants, p.Zones, p.Kinds, p.Fields}
-	if got := fmt.Sprint(names); got != "[[look] [acme] [a b] [m1] [busy new]]" || p.ConnIdle != 700 || p.Config.Seed != 9 {
-		t.Errorf("%s, idle %v, seed %d", got, p.ConnIdle, p.Config.Seed)
+	if got := fmt.Sprint(names); got != "[[look] [acme] [a b] [m1] [busy new]]" || p.ConnectionIdleTime != 700 || p.Config.Seed != 9 {
+		t.Errorf("%s, idle %v, seed %d", got, p.ConnectionIdleTime, p.Config.Seed)
 	}
 }
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -94,7 +94,7 @@
 	}
 	up := http1.New(http1.Settings{
 		MaxConnections: c.Limits.Servers(), ConnectTimeout: duration(or(module.ConnectTimeout, defaultDial)),
-		IdleTimeout: duration(idlePart * or(c.Profile.ConnIdle, defaultIdle)), DrainGrace: duration(module.DrainGrace), ResponseBudget: account,
+		IdleTimeout: duration(idlePart * or(c.Profile.ConnectionIdleTime, defaultIdle)), DrainGrace: duration(module.DrainGrace), ResponseBudget: account,
 		LoadReportFields: c.Profile.Fields, HealthCheckPath: probePath(module),
 	}, http1.Dial(serversDial))
 	var servers upstream.Servers = up
