--- a/cmd/petrelhook/main.go
+++ b/cmd/petrelhook/main.go
@@ -51,7 +51,7 @@
 		return exitFailed
 	}
 	if c.check {
-		fmt.Fprintf(out, "%s: good: %d classes, %d servers known\n", c.path, len(cfg.Profile.Classes), len(cfg.Known.Instances))
+		fmt.Fprintf(out, "%s: good: %d classes, %d servers known\n", c.path, len(cfg.Profile.Classes), len(cfg.KnownServers.Instances))
 		return 0
 	}
 	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt) // until here nothing is taken
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -1,6 +1,6 @@
-// Package config is what the deployment tells a sidecar: the platform's JSON, read and checked as a whole before
-// anything uses it. It starts nothing and looks at nothing but the file. Names that it does not know are skipped: the
-// platform adds some from time to time.
+// Package config reads a sidecar's configuration: the platform's JSON file, checked completely before anything uses it. It starts
+// nothing and opens nothing but the file. Keys that it does not know are skipped: the platform adds some from time to time. What is
+// wrong with a file is an *Error, with the line, column and field. Functions may be called from any goroutine.
 package config
 
 import (
@@ -17,13 +17,13 @@
 	"petrelhook/internal/sidecar/wire"
 )
 
-// Config is what the deployment tells a sidecar.
+// Config is the configuration of one sidecar.
 type Config struct {
-	Name              string
-	Listen, Discovery string
-	Admin             string // where operators call; "": nowhere
+	Name              string // of the sidecar; "": the file is for any
+	Listen, Discovery string // addresses, host:port
+	Admin             string // the operators' address; "": none
 	Limits            Limits
-	Known             member.List // the list of servers as last had
+	KnownServers      member.List // the list of servers that was last known
 	Profile           wire.Profile
 	Digest            string // of the text: SHA-256 in hexadecimal
 }
@@ -31,8 +31,8 @@
 // Limits bound the process; 0 is no bound.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	MemoryMB int     `json:"memory_mb"` // MiB
+	Sockets  int     `json:"sockets"`   // open descriptors
 }
 
 // Read reads the configuration file at path. What is wrong with its text is an *Error.
@@ -44,69 +44,73 @@
 	return Parse(path, raw)
 }
 
-// For says why a configuration that is read again is not that of the sidecar with a name; one that names nobody is everybody's. One
-// customer's servers must not come to another's clients by a file that was mixed up.
-func (c *Config) For(name string) error {
+// CheckName is an error where a configuration that is read again is not that of the sidecar with a name; one without a name is
+// for any. A file that was mixed up must not send one customer's clients to another's servers.
+func (c *Config) CheckName(name string) error {
 	if c.Name == "" || c.Name == name {
 		return nil
 	}
 	return fmt.Errorf("the configuration is of %q, and this is %q", c.Name, name)
 }
 
-// Parse takes in the text of a configuration file; name is what errors call it. An error is an *Error.
+// Parse reads the text of a configuration file; name is the file's name in errors. An error is an *Error.
 func Parse(name string, raw []byte) (Config, error) {
 	var file struct {
-		Name      string          `json:"name"`
-		Listen    string          `json:"listen"`
-		Discovery string          `json:"discovery"`
-		Admin     string          `json:"admin_addr"`
-		Seed      string          `json:"seed"`
-		Limits    Limits          `json:"limits"`
-		Known     json.RawMessage `json:"known"`
-		Settings  json.RawMessage `json:"settings"`
-	}
-	t, sum := text{name, raw}, sha256.Sum256(raw)
+		Name         string          `json:"name"`
+		Listen       string          `json:"listen"`
+		Discovery    string          `json:"discovery"`
+		Admin        string          `json:"admin_addr"`
+		Seed         string          `json:"seed"`
+		Limits       Limits          `json:"limits"`
+		KnownServers json.RawMessage `json:"known"`
+		Settings     json.RawMessage `json:"settings"`
+	}
+	text, digest := source{name, raw}, sha256.Sum256(raw)
 	if err := json.Unmarshal(raw, &file); err != nil {
-		return Config{}, t.wrap(err, 0, "")
+		return Config{}, text.wrap(err, 0, "")
 	}
-	c := Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin, Limits: file.Limits,
-		Digest: hex.EncodeToString(sum[:])}
-	for _, a := range []struct{ field, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if _, port, err := net.SplitHostPort(a.addr); err != nil || port == "" {
-			return Config{}, t.in(a.field, fmt.Sprintf("%q is no address", a.addr), "write host:port, as 127.0.0.1:8081")
-		}
+	c := Config{
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin, Limits: file.Limits,
+		Digest: hex.EncodeToString(digest[:]),
 	}
-	if problem, remedy := c.admin(); problem != "" {
-		return Config{}, t.in("admin_addr", problem, remedy)
+	if err := c.checkAddresses(text); err != nil {
+		return Config{}, err
 	}
-	for _, limit := range []struct {
-		field string
-		is    float64
-	}{{"cores", c.Limits.Cores}, {"memory_mb", float64(c.Limits.MemoryMB)}, {"sockets", float64(c.Limits.Sockets)}} {
-		if limit.is < 0 {
-			return Config{}, t.in("limits."+limit.field, fmt.Sprintf("%v is below 0", limit.is), "0 is no limit")
-		}
+	if err := c.Limits.check(text); err != nil {
+		return Config{}, err
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return Config{}, t.in("seed", fmt.Sprintf("%q is no seed", file.Seed), "write 1 to 16 hexadecimal digits")
+		return Config{}, text.errorIn("seed", fmt.Sprintf("%q is no seed", file.Seed), "write 1 to 16 hexadecimal digits")
 	}
 	if len(file.Settings) == 0 {
-		return Config{}, t.in("settings", "missing", "write an object with the classes at least")
+		return Config{}, text.errorIn("settings", "missing", "write an object with the classes at least")
 	}
 	if c.Profile, err = wire.ParseProfile(seed, file.Settings); err != nil {
-		return Config{}, t.wrap(err, t.start("settings"), "settings")
+		return Config{}, text.wrap(err, text.startOf("settings"), "settings")
 	}
-	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if c.Known, err = discovery.Parse(file.Known); err != nil {
-			return Config{}, t.wrap(err, t.start("known"), "known")
+	if len(file.KnownServers) > 0 && string(file.KnownServers) != "null" {
+		if c.KnownServers, err = discovery.Parse(file.KnownServers); err != nil {
+			return Config{}, text.wrap(err, text.startOf("known"), "known")
 		}
 	}
 	return c, nil
 }
 
-// admin says what is wrong with the operators' address, and what would be right; "": nothing is.
-func (c *Config) admin() (problem, remedy string) {
+func (c *Config) checkAddresses(text source) error {
+	for _, address := range []struct{ field, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
+		if _, port, err := net.SplitHostPort(address.value); err != nil || port == "" {
+			return text.errorIn(address.field, fmt.Sprintf("%q is no address", address.value), "write host:port, as 127.0.0.1:8081")
+		}
+	}
+	if problem, remedy := c.checkAdmin(); problem != "" {
+		return text.errorIn("admin_addr", problem, remedy)
+	}
+	return nil
+}
+
+// checkAdmin says what is wrong with the operators' address, and what would be right; "": nothing is.
+func (c *Config) checkAdmin() (problem, remedy string) {
 	if c.Admin == "" {
 		return "", ""
 	}
@@ -119,14 +123,14 @@
 	return "", ""
 }
 
-// SetAdmin puts an operators' address in place of the file's; source is what errors call it. "" changes nothing.
-func (c *Config) SetAdmin(source, addr string) error {
+// SetAdmin replaces the operators' address of the file; origin says in errors where it is from. "" changes nothing.
+func (c *Config) SetAdmin(origin, addr string) error {
 	if addr == "" {
 		return nil
 	}
 	c.Admin = addr
-	if problem, remedy := c.admin(); problem != "" {
-		return fmt.Errorf("%s: %s; %s", source, problem, remedy)
+	if problem, remedy := c.checkAdmin(); problem != "" {
+		return fmt.Errorf("%s: %s; %s", origin, problem, remedy)
 	}
 	return nil
 }
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -13,8 +13,8 @@
 func TestTheSharesOfTheDescriptors(t *testing.T) {
 	for _, sockets := range []int{256, 384, 1024} {
 		l := Limits{Sockets: sockets}
-		if n := l.Clients() + l.Servers() + connlimit.MaxRejecting; n > sockets-16 || l.Clients() <= sockets/3 || l.Servers() < sockets/3 {
-			t.Errorf("%d: %d and %d", sockets, l.Clients(), l.Servers())
+		if n := l.ClientConnections() + l.ServerConnections() + connlimit.MaxRejecting; n > sockets-16 || l.ClientConnections() <= sockets/3 || l.ServerConnections() < sockets/3 {
+			t.Errorf("%d: %d and %d", sockets, l.ClientConnections(), l.ServerConnections())
 		}
 	}
 }
--- a/internal/sidecar/config/limits.go
+++ b/internal/sidecar/config/limits.go
@@ -1,25 +1,42 @@
 package config
 
-// reserved descriptors are kept for discovery, the listener, the runtime and turning clients away.
-const reserved = 32
+import "fmt"
 
-// Clients is how many connections clients may have. They hold up to a third of the descriptors with requests, so servers
-// get as many; connections of clients that ask for nothing, which can be closed to make room, take what is left.
-func (l Limits) Clients() int {
+// reservedDescriptors are kept for discovery, the listener, the runtime and connections of clients that are rejected.
+const reservedDescriptors = 32
+
+// unlimitedConnections is the number of connections where Sockets is no bound.
+const unlimitedConnections = 1 << 20
+
+func (l Limits) check(text source) error {
+	for _, limit := range []struct {
+		field string
+		value float64
+	}{{"cores", l.Cores}, {"memory_mb", float64(l.MemoryMB)}, {"sockets", float64(l.Sockets)}} {
+		if limit.value < 0 {
+			return text.errorIn("limits."+limit.field, fmt.Sprintf("%v is below 0", limit.value), "0 is no limit")
+		}
+	}
+	return nil
+}
+
+// ClientConnections is how many connections clients may have. Up to a third of the descriptors are for clients with requests, as
+// many are for servers; connections of clients without a request, which can be closed to free descriptors, may use the rest.
+func (l Limits) ClientConnections() int {
 	if l.Sockets <= 0 {
-		return 1 << 20
+		return unlimitedConnections
 	}
-	return max(1, l.Sockets-reserved-l.Servers())
+	return max(1, l.Sockets-reservedDescriptors-l.ServerConnections())
 }
 
-// Servers is how many connections to servers there may be.
-func (l Limits) Servers() int {
+// ServerConnections is how many connections to servers there may be.
+func (l Limits) ServerConnections() int {
 	if l.Sockets <= 0 {
-		return 1 << 20
+		return unlimitedConnections
 	}
 	return max(1, l.Sockets/3)
 }
 
-// Messages is how many bytes of bodies and answers may be held at once: a quarter of the memory. Most of the rest is for heads
-// and what is under 4 KiB, of which there are as many as connections, for pieces of what is passed on, and for garbage.
-func (l Limits) Messages() int64 { return int64(l.MemoryMB) << 20 / 4 }
+// MessageBytes is how many bytes of bodies and answers may be in memory at once: a quarter of it. Most of the rest is for headers
+// and messages under 4 KiB, of which there are as many as connections, for buffers of what is passed on, and for garbage.
+func (l Limits) MessageBytes() int64 { return int64(l.MemoryMB) << 20 / 4 }
--- a/internal/sidecar/wiring/reload.go
+++ b/internal/sidecar/wiring/reload.go
@@ -18,7 +18,7 @@
 		}
 		c, err := config.Read(path)
 		if err == nil {
-			err = c.For(s.name)
+			err = c.CheckName(s.name)
 		}
 		if err != nil {
 			s.log.Error("the configuration stays as it was", "err", err)
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -85,7 +85,7 @@
 			life.Apply(lifecycle.Evacuate)
 		}
 	}
-	account := membudget.New(c.Limits.Messages())
+	account := membudget.New(c.Limits.MessageBytes())
 	var asked *counts.Servers
 	serversDial := dial
 	if c.Admin != "" {
@@ -93,7 +93,7 @@
 		serversDial = asked.Dial(dial)
 	}
 	up := http1.New(http1.Settings{
-		MaxConnections: c.Limits.Servers(), ConnectTimeout: duration(or(module.ConnectTimeout, defaultDial)),
+		MaxConnections: c.Limits.ServerConnections(), ConnectTimeout: duration(or(module.ConnectTimeout, defaultDial)),
 		IdleTimeout: duration(idlePart * or(c.Profile.ConnectionIdleTime, defaultIdle)), DrainGrace: duration(module.DrainGrace), ResponseBudget: account,
 		LoadReportFields: c.Profile.Fields, HealthCheckPath: probePath(module),
 	}, http1.Dial(serversDial))
@@ -103,10 +103,10 @@
 		servers = asked
 	}
 	loop := core.New(core.Config{
-		Module: *module, Names: core.Names{Classes: c.Profile.Classes, Zones: c.Profile.Zones, Kinds: c.Profile.Kinds}, Known: c.Known,
+		Module: *module, Names: core.Names{Classes: c.Profile.Classes, Zones: c.Profile.Zones, Kinds: c.Profile.Kinds}, Known: c.KnownServers,
 		Previous: legacy, OnServerAvailable: func() { close(s.listed) },
 	}, s.source(c.Discovery), servers, log)
-	settings := platform.Settings{Tenants: c.Profile.Tenants, Room: account, Door: admission.Config{MaxConnections: c.Limits.Clients()}}
+	settings := platform.Settings{Tenants: c.Profile.Tenants, Room: account, Door: admission.Config{MaxConnections: c.Limits.ClientConnections()}}
 	if c.Admin != "" && c.Limits.Sockets > 0 { // operators' calls are counted too
 		settings.Door.MaxConnections = max(1, settings.Door.MaxConnections-admin.MaxCalls)
 	}
@@ -122,7 +122,7 @@
 		taker = s.count
 	}
 	s.core, s.up, s.asked, s.front = loop, up, asked, platform.New(settings, taker, life, log)
-	s.whole = lifecycle.ConnectionShare{Clients: settings.Door.MaxConnections, Servers: c.Limits.Servers()}
+	s.whole = lifecycle.ConnectionShare{Clients: settings.Door.MaxConnections, Servers: c.Limits.ServerConnections()}
 	return s
 }
 
