--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,7 @@
-// Command adapter hosts instances of the decision module for the simulator: frames
-// come in on standard input, one reply to each goes out on standard output.
+// Command adapter runs instances of the decision module (package balance) for the simulator: frames of events are read from standard
+// input, and each is answered by one frame of actions on standard output (package wire). It ends with exit code 0 at an end of
+// input between two frames, and with 1 and a message on standard error if a frame cannot be read or names an instance that was
+// not started. What goes wrong within one instance is a fault in the reply; the others go on.
 package main
 
 import (
@@ -39,45 +41,56 @@
 	}
 }
 
-// host keeps the instances of this process; they share nothing.
+// host has the instances of this process; they share no state.
 type host struct {
-	instances map[uint16]*balance.Balancer
+	instances map[uint16]*balance.Balancer // nil: its settings could not be read
 	reply     wire.Reply
 }
 
-func (h *host) handle(clock float64, rec wire.Record) (err error) {
+// handle passes one event to its instance and adds the actions to the reply. An error ends the adapter.
+func (h *host) handle(clock float64, record wire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.Fault(rec.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
+			h.reply.Fault(record.Instance, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
 		}
 	}()
-	switch ev := rec.Event.(type) {
+	switch ev := record.Event.(type) {
 	case wire.InstanceStarted:
-		cfg, err := wire.ParseSettings(ev.Seed, ev.Settings)
-		if err != nil {
-			h.instances[rec.Instance] = nil // its further events are ignored
-			h.reply.Fault(rec.Instance, err.Error())
-			return nil
-		}
-		b := balance.New(cfg)
-		h.instances[rec.Instance] = b
-		h.reply.Add(rec.Instance, b.Start(clock))
+		h.start(clock, record.Instance, ev)
 	case wire.InstanceKilled:
-		delete(h.instances, rec.Instance)
+		delete(h.instances, record.Instance)
 	case balance.Event:
-		b, begun := h.instances[rec.Instance]
-		if b == nil && begun {
-			return nil
-		}
-		if b == nil {
-			return fmt.Errorf("event for instance %d, which has not begun", rec.Instance)
-		}
-		actions, err := b.Handle(clock, ev)
-		if err != nil {
-			h.reply.Fault(rec.Instance, err.Error())
-			return nil
-		}
-		h.reply.Add(rec.Instance, actions)
+		return h.handleEvent(clock, record.Instance, ev)
+	}
+	return nil
+}
+
+// start starts an instance. Where its settings cannot be read, that is its only answer.
+func (h *host) start(clock float64, instance uint16, ev wire.InstanceStarted) {
+	cfg, err := wire.ParseSettings(ev.Seed, ev.Settings)
+	if err != nil {
+		h.instances[instance] = nil // its further events are ignored
+		h.reply.Fault(instance, err.Error())
+		return
+	}
+	balancer := balance.New(cfg)
+	h.instances[instance] = balancer
+	h.reply.Add(instance, balancer.Start(clock))
+}
+
+func (h *host) handleEvent(clock float64, instance uint16, ev balance.Event) error {
+	balancer, started := h.instances[instance]
+	if !started {
+		return fmt.Errorf("event for instance %d, which has not begun", instance)
+	}
+	if balancer == nil {
+		return nil
+	}
+	actions, err := balancer.Handle(clock, ev)
+	if err != nil {
+		h.reply.Fault(instance, err.Error())
+		return nil
 	}
+	h.reply.Add(instance, actions)
 	return nil
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -35,11 +35,11 @@
 const settings = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
 	"limits": {"max_attempts": 3}}`
 
-func begin(instance uint16, seed uint64, profile string) []byte {
+func startInstance(instance uint16, seed uint64, profile string) []byte {
 	return record(uint16(1070), instance, seed, uint32(len(profile)), []byte(profile))
 }
 
-func sheet(n int) []byte {
+func serverTable(n int) []byte {
 	b := record(uint16(1000), uint16(0), uint32(n))
 	for i := range n {
 		b = append(b, record(0.0, uint8(0), uint32(i+1), uint16(80), float32(1), uint16(i), uint8(0), uint8(0))...)
@@ -47,11 +47,11 @@
 	return b
 }
 
-func cached(instance uint16) []byte {
+func cachedList(instance uint16) []byte {
 	return record(uint16(1040), instance, uint8(1), uint32(1), uint16(0))
 }
 
-func ask(instance uint16, id uint64) []byte {
+func request(instance uint16, id uint64) []byte {
 	return record(uint16(1010), instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
 }
 
@@ -91,12 +91,12 @@
 		s := &script{}
 		var first [][]byte
 		for _, i := range instances {
-			first = append(first, begin(i, uint64(i)*7, settings), sheet(5), cached(i))
+			first = append(first, startInstance(i, uint64(i)*7, settings), serverTable(5), cachedList(i))
 		}
 		s.frame(1000, first...)
 		for id := range uint64(60) {
 			for _, i := range instances {
-				s.frame(1001+float64(id), ask(i, id))
+				s.frame(1001+float64(id), request(i, id))
 			}
 		}
 		return mustRun(t, s)
@@ -135,17 +135,17 @@
 
 func TestRestartWithinABatch(t *testing.T) {
 	s := &script{}
-	s.frame(1000, begin(1, 7, settings), sheet(3), cached(1), ask(1, 5),
-		record(uint16(1060), uint16(1)), begin(1, 8, settings), cached(1), ask(1, 6))
-	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the life before: ignored
+	s.frame(1000, startInstance(1, 7, settings), serverTable(3), cachedList(1), request(1, 5),
+		record(uint16(1060), uint16(1)), startInstance(1, 8, settings), cachedList(1), request(1, 6))
+	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the instance before: ignored
 	if n := sends(t, mustRun(t, s)); n[1] != 2 {
-		t.Fatalf("%d sends, want one in each life", n[1])
+		t.Fatalf("%d sends, want one of each instance", n[1])
 	}
 }
 
 func TestUnusableSettingsAreReported(t *testing.T) {
 	s := &script{}
-	s.frame(1000, begin(1, 7, `{"classes": []}`), sheet(1), cached(1))
+	s.frame(1000, startInstance(1, 7, `{"classes": []}`), serverTable(1), cachedList(1))
 	out := mustRun(t, s)
 	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != 1090 || !strings.Contains(string(out), "classes: missing") {
 		t.Fatalf("reply %q", out)
@@ -153,11 +153,11 @@
 }
 
 func TestWrongInputEndsTheAdapter(t *testing.T) {
-	notBegun := &script{}
-	notBegun.frame(1000, ask(4, 1))
+	notStarted := &script{}
+	notStarted.frame(1000, request(4, 1))
 	short := &script{}
 	short.frame(math.Inf(1))
-	for name, s := range map[string]*script{"instance not begun": notBegun, "clock": short} {
+	for name, s := range map[string]*script{"instance not started": notStarted, "clock": short} {
 		var out bytes.Buffer
 		if err := run(&s.Buffer, &out); err == nil || out.Len() > 0 {
 			t.Errorf("%s: error %v, %d bytes of reply", name, err, out.Len())
@@ -167,10 +167,10 @@
 
 // Frames that cannot be read end the adapter with an error and without a reply; an end of input is a clean end.
 func TestUnreadableFramesEndTheAdapter(t *testing.T) {
-	whole := &script{}
-	whole.frame(1000, begin(1, 7, settings), sheet(3), cached(1))
-	cut := append([]byte(nil), whole.Bytes()[:whole.Len()-5]...)
-	long := append([]byte(nil), whole.Bytes()...)
+	complete := &script{}
+	complete.frame(1000, startInstance(1, 7, settings), serverTable(3), cachedList(1))
+	cut := append([]byte(nil), complete.Bytes()[:complete.Len()-5]...)
+	long := append([]byte(nil), complete.Bytes()...)
 	binary.BigEndian.PutUint32(long[4:], 1<<31)
 	unknown := &script{}
 	unknown.frame(1000, record(uint16(77), uint16(1)))
@@ -190,10 +190,10 @@
 	}
 }
 
-// Settings that cannot be read fault one instance; the others of the process go on.
+// Settings that cannot be read are a fault of one instance; the others of the process go on.
 func TestUnusableSettingsLeaveOtherInstancesAlone(t *testing.T) {
 	s := &script{}
-	s.frame(1000, begin(1, 7, `{"classes": 5}`), begin(2, 7, settings), sheet(2), cached(1), cached(2), ask(1, 5), ask(2, 6))
+	s.frame(1000, startInstance(1, 7, `{"classes": 5}`), startInstance(2, 7, settings), serverTable(2), cachedList(1), cachedList(2), request(1, 5), request(2, 6))
 	out := mustRun(t, s)
 	if binary.BigEndian.Uint16(out[4:]) != 1090 || binary.BigEndian.Uint16(out[6:]) != 1 {
 		t.Fatalf("no fault of instance 1: %x", out)
