--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -44,11 +44,11 @@
 	}
 	began := time.Since(zero)
 	out := s.Check()
-	offset := out.Records.Calls[len(out.Records.Calls)-1].Due - began // of the records' clock from this one, about
+	offset := out.Records.Calls[len(out.Records.Calls)-1].ScheduledAt - began // of the records' clock from this one, about
 	for i, from := range froms {
 		all, hurt := 0, 0
 		for _, c := range out.Records.Calls {
-			if c.Due < from+offset || c.Due > from+offset+horizon {
+			if c.ScheduledAt < from+offset || c.ScheduledAt > from+offset+horizon {
 				continue
 			}
 			if all++; c.Result != audit.Served {
--- a/cmd/petrelhookctl/standin.go
+++ b/cmd/petrelhookctl/standin.go
@@ -88,7 +88,7 @@
 
 func byServer(r audit.Records) (lines []serverLine) {
 	at := map[string]int{}
-	for _, l := range r.Lives {
+	for _, l := range r.Incarnations {
 		if _, ok := at[l.Server]; !ok {
 			at[l.Server] = len(lines)
 			lines = append(lines, serverLine{Server: l.Server})
@@ -102,9 +102,9 @@
 		l := &lines[i]
 		l.Attempts++
 		switch {
-		case a.Repeat:
+		case a.KeyKnown:
 			l.Repeats++
-		case a.Began != audit.Never:
+		case a.WorkStarted != audit.Never:
 			l.Ran++
 		case a.NeverRan:
 			l.NeverRan++
--- a/internal/rig/audit/audit.go
+++ b/internal/rig/audit/audit.go
@@ -1,8 +1,8 @@
-// Package audit judges the four rules from what clients and servers saw. It is pure: records and a scenario in, a
-// report out; the same records give the same report, in whatever order they were booked.
+// Package audit judges from what clients and servers saw whether a run kept the four rules. It is pure: records and a scenario in, a
+// report out; the same records give the same report, in whatever order they were recorded. A Recorder may be used from any goroutine.
 //
-// It is not told what a sidecar meant to do, only what reached whom and when. A breach is reported where the records
-// prove it: where they leave room for a sidecar that kept the rule, nothing is, and the report says what could not be
+// It does not know what a sidecar meant to do, only what reached whom and when. A breach is reported where the records
+// prove it: where they leave the possibility that the sidecar kept the rule, none is, and the report counts what could not be
 // judged. Times have the scenario's slack, which covers what lies between a sidecar and the two ends.
 package audit
 
@@ -21,20 +21,20 @@
 
 // The rules, by the number that the deployment gives them.
 const (
-	NoAnswer   Rule = "1-lost"         // a request that was taken got no whole answer
-	Late       Rule = "1-late"         // ... or got it after the client's time was up
-	Twice      Rule = "1-twice"        // ... or got more than one
-	WrongBody  Rule = "1-wrong-answer" // ... or was served what no server made for it
-	After      Rule = "1-after"        // something was sent for it after its answer, or after its client had gone
-	HeldBack   Rule = "1-held-back"    // a refusal or failure came long after nothing more was tried
-	Repeated   Rule = "2-repeated"     // an unsafe request went out again though it may have run
-	OtherGroup Rule = "2-other-group"  // a keyed one went to servers that do not know its key
-	TooOld     Rule = "2-too-old"      // ... or after its key was forgotten
-	BadRefusal Rule = "2-refusal"      // a refusal where a client's retry may do harm
-	Effects    Rule = "2-effects"      // an effect happened twice after a refusal
-	Unasked    Rule = "2-unasked"      // a server was sent what no client asked for
-	Drained    Rule = "3-drain"        // a draining or gone server was sent something after the grace
-	Pushed     Rule = "4-cold"         // a cold server was sent more than it bears
+	Unanswered           Rule = "1-lost"         // a request that was accepted got no complete answer
+	AnsweredLate         Rule = "1-late"         // ... or got it after the client's time was up
+	AnsweredTwice        Rule = "1-twice"        // ... or got more than one
+	WrongBody            Rule = "1-wrong-answer" // ... or was served what no server made for it
+	SentAfterAnswer      Rule = "1-after"        // something was sent for it after its answer, or after its client had hung up
+	AnswerWithheld       Rule = "1-held-back"    // a refusal or failure came long after the last attempt
+	UnsafeRepeated       Rule = "2-repeated"     // an unsafe request was sent again though it may have run
+	RepeatedOutsideGroup Rule = "2-other-group"  // a keyed one was sent to servers that do not know its key
+	RepeatedAfterWindow  Rule = "2-too-old"      // ... or after its key was forgotten
+	HarmfulRefusal       Rule = "2-refusal"      // a refusal where a client's retry may do harm
+	EffectRepeated       Rule = "2-effects"      // an effect happened twice after a refusal
+	UnknownRequest       Rule = "2-unasked"      // a server was sent a request that no client had sent
+	SentToDraining       Rule = "3-drain"        // a draining or removed server was sent something after the grace
+	SlowStartOverload    Rule = "4-cold"         // a server in its slow start was sent more than it can do
 )
 
 // Breach is one rule broken once.
@@ -43,7 +43,7 @@
 	Request string // its trace id
 	Servers []string
 	At      time.Duration // when it was broken
-	Limit   time.Duration // until when it would have been kept; 0 where no time is in question
+	Limit   time.Duration // the latest time that keeps the rule; 0 where time does not matter
 	Text    string
 }
 
@@ -60,7 +60,7 @@
 	}{b.Rule, b.Request, b.Servers, ms(b.At), ms(b.Limit), b.Text})
 }
 
-// String is one line for a person.
+// String is the breach as one line.
 func (b Breach) String() string {
 	return fmt.Sprintf("%s: request %s, servers %v, at %v: %s", b.Rule, cmp.Or(b.Request, "-"), b.Servers, b.At, b.Text)
 }
@@ -72,37 +72,37 @@
 	Unjudged map[string]int `json:"unjudged,omitempty"` // how often, by the reason
 }
 
-// Judged counts what the verdict rests on: rules that nothing tested are not kept, only not broken.
+// Judged counts what the report is based on: a rule that nothing tested is not known to be kept, only not broken.
 type Judged struct {
-	Calls       int `json:"calls"`        // rule 1
-	Repeats     int `json:"repeats"`      // rule 2: attempts after the first
-	Refusals    int `json:"refusals"`     // rule 2: refusals of what is not safe
-	AfterDrains int `json:"after_drains"` // rule 3: servers that were told to drain or be gone, by sidecar
-	ColdStarts  int `json:"cold_starts"`  // rule 4
+	Calls      int `json:"calls"`        // rule 1
+	Repeats    int `json:"repeats"`      // rule 2: attempts after the first
+	Refusals   int `json:"refusals"`     // rule 2: refusals of what is not safe
+	Drains     int `json:"after_drains"` // rule 3: servers reported as draining or removed, for each sidecar
+	SlowStarts int `json:"cold_starts"`  // rule 4
 }
 
 // OK reports whether no rule was broken.
 func (r *Report) OK() bool { return len(r.Breaches) == 0 }
 
-// A sidecar may wait a while for a server before it gives up. What it must not do is keep an answer until the client has no time left to ask again. So a refusal or failure is held back where nothing
-// was tried for over holdPart of the client's patience, and for longer than holdLeast: a connection that does not come
-// up takes that long, and reaches nobody.
+// A sidecar may wait for a server before it gives up, but must not keep an answer until the client has no time left for a retry. So a
+// refusal or failure counts as withheld where no attempt was made for over maxIdleFraction of the client's patience, and for longer
+// than minIdle: an attempt to connect that fails takes that long, and no server sees it.
 const (
-	holdPart  = 0.5
-	holdLeast = 150 * time.Millisecond
+	maxIdleFraction = 0.5
+	minIdle         = 150 * time.Millisecond
 )
 
 type judge struct {
-	s        *scenario.Scenario
-	r        Records
-	out      Report
+	scenario *scenario.Scenario
+	records  Records
+	report   Report
 	calls    map[string]*Call
-	attempts map[string][]*Attempt // by trace, in order of the first byte
-	told     map[place][]Told      // in order of time
+	attempts map[string][]*Attempt           // by trace, in order of the first byte
+	updates  map[sidecarServer][]StateUpdate // in order of time
 }
 
-// place is a server as a sidecar knows it.
-type place struct {
+// sidecarServer is a server as a sidecar knows it.
+type sidecarServer struct {
 	sidecar int
 	server  string
 }
@@ -110,8 +110,8 @@
 // Judge judges a run of a scenario.
 func Judge(s *scenario.Scenario, r Records) Report {
 	j := &judge{
-		s: s, r: r, out: Report{Breaches: []Breach{}, Unjudged: map[string]int{}},
-		calls: map[string]*Call{}, attempts: map[string][]*Attempt{}, told: map[place][]Told{},
+		scenario: s, records: r, report: Report{Breaches: []Breach{}, Unjudged: map[string]int{}},
+		calls: map[string]*Call{}, attempts: map[string][]*Attempt{}, updates: map[sidecarServer][]StateUpdate{},
 	}
 	for i := range r.Calls {
 		j.calls[r.Calls[i].Trace] = &r.Calls[i]
@@ -121,26 +121,26 @@
 		j.attempts[a.Trace] = append(j.attempts[a.Trace], a)
 	}
 	for _, list := range j.attempts {
-		slices.SortStableFunc(list, func(a, b *Attempt) int { return cmp.Compare(a.First, b.First) })
+		slices.SortStableFunc(list, func(a, b *Attempt) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
 	}
-	for _, t := range r.Told {
-		k := place{t.Sidecar, t.Server}
-		j.told[k] = append(j.told[k], t)
+	for _, t := range r.StateUpdates {
+		k := sidecarServer{t.Sidecar, t.Server}
+		j.updates[k] = append(j.updates[k], t)
 	}
-	for _, list := range j.told {
-		slices.SortStableFunc(list, func(a, b Told) int { return cmp.Compare(a.At, b.At) })
+	for _, list := range j.updates {
+		slices.SortStableFunc(list, func(a, b StateUpdate) int { return cmp.Compare(a.ReceivedAt, b.ReceivedAt) })
 	}
 	for i := range r.Calls {
-		j.call(&r.Calls[i])
+		j.judgeCall(&r.Calls[i])
 	}
-	j.unasked()
-	j.effects()
-	j.drains()
-	j.coldStarts()
-	slices.SortStableFunc(j.out.Breaches, func(a, b Breach) int {
+	j.judgeUnknownRequests()
+	j.judgeEffects()
+	j.judgeDrains()
+	j.judgeSlowStarts()
+	slices.SortStableFunc(j.report.Breaches, func(a, b Breach) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Request, b.Request))
 	})
-	return j.out
+	return j.report
 }
 
 func (j *judge) breach(rule Rule, c *Call, at, limit time.Duration, servers []string, format string, args ...any) {
@@ -148,130 +148,140 @@
 	if c != nil {
 		b.Request = c.Trace
 	}
-	j.out.Breaches = append(j.out.Breaches, b)
+	j.report.Breaches = append(j.report.Breaches, b)
 }
 
-func (j *judge) unjudged(reason string) { j.out.Unjudged[reason]++ }
+func (j *judge) countUnjudged(reason string) { j.report.Unjudged[reason]++ }
 
-func names(list ...*Attempt) (servers []string) {
+func serversOf(list ...*Attempt) (servers []string) {
 	for _, a := range list {
 		servers = append(servers, a.Server)
 	}
 	return servers
 }
 
-// class gives the class of a call or attempt; nil where there is none of the name.
+// class returns the class of a call or attempt; nil where there is none of the name.
 func (j *judge) class(name string) *scenario.Class {
-	if i := j.s.Class(name); i >= 0 {
-		return &j.s.Classes[i]
+	if i := j.scenario.Class(name); i >= 0 {
+		return &j.scenario.Classes[i]
 	}
 	return nil
 }
 
 // killed: the run ended the call's sidecar while it had the request.
 func (j *judge) killed(c *Call) bool {
-	return slices.ContainsFunc(j.r.Kills, func(k Kill) bool {
+	return slices.ContainsFunc(j.records.Kills, func(k Kill) bool {
 		return k.Sidecar == c.Sidecar && k.From <= c.Sent+c.Patience && c.Sent <= k.To
 	})
 }
 
-// call judges rules 1 and 2 for one try of a client.
-func (j *judge) call(c *Call) {
+// judgeCall judges rules 1 and 2 for one request of a client.
+func (j *judge) judgeCall(c *Call) {
 	class, all := j.class(c.Class), j.attempts[c.Trace]
-	// A kept connection may end under a request that had not been read; then its client sends it once more.
-	read := func(a *Attempt) bool { return a.First <= c.Crossed }
-	if c.Crossed > 0 && slices.ContainsFunc(all, read) && !j.killed(c) {
-		j.breach(NoAnswer, c, c.Crossed, 0, names(all...), "it had been read, and its connection ended without an answer")
+	// An idle connection may be closed when a request is sent on it and was not read; then its client sends it again.
+	read := func(a *Attempt) bool { return a.FirstByte <= c.ConnectionLostAt }
+	if c.ConnectionLostAt > 0 && slices.ContainsFunc(all, read) && !j.killed(c) {
+		j.breach(Unanswered, c, c.ConnectionLostAt, 0, serversOf(all...), "it had been read, and its connection ended without an answer")
 	}
 	switch {
 	case class == nil:
-		j.unjudged("calls of no known class")
+		j.countUnjudged("calls of no known class")
 		return
 	case c.Sent == Never:
-		j.unjudged("calls that were not taken")
+		j.countUnjudged("calls that were not accepted")
 		return
 	}
-	j.repeats(c, class, all)
-	j.refusal(c, class, all)
+	j.judgeRepeats(c, class, all)
+	j.judgeRefusal(c, class, all)
 	if j.killed(c) {
-		j.unjudged("calls at a sidecar that the run ended")
+		j.countUnjudged("calls at a sidecar that the run ended")
 		return
 	}
-	j.out.Judged.Calls++
-	limit := c.Sent + c.Patience + j.s.Rules.Slack
-	over := limit // from when on nothing may be sent for it
-	switch {
-	case c.Answered != Never:
-		over = min(over, c.Answered+j.s.Rules.Slack)
-	case c.HungUp != Never:
-		over = min(over, c.HungUp+j.s.Rules.Slack)
-	}
+	j.report.Judged.Calls++
+	j.judgeAnswer(c, all)
+	j.judgeLateAttempts(c, all)
+	j.judgeWithheldAnswer(c, all)
+}
+
+// judgeAnswer judges whether a call got one complete answer in time.
+func (j *judge) judgeAnswer(c *Call, all []*Attempt) {
+	limit := c.Sent + c.Patience + j.scenario.Rules.Slack
 	switch {
 	case c.Answered == Never && c.HungUp != Never && c.HungUp < c.Sent+c.Patience:
-		j.unjudged("calls whose client went away early")
+		j.countUnjudged("calls whose client hung up early")
 	case c.Answered > limit:
-		j.breach(Late, c, c.Answered, limit, names(all...), "taken at %v, answered %v too late", c.Sent, c.Answered-limit)
+		j.breach(AnsweredLate, c, c.Answered, limit, serversOf(all...), "accepted at %v, answered %v too late", c.Sent, c.Answered-limit)
 	case c.Answered == Never || c.Result == Lost:
-		j.breach(NoAnswer, c, limit, limit, names(all...), "taken at %v, no whole answer", c.Sent)
+		j.breach(Unanswered, c, limit, limit, serversOf(all...), "accepted at %v, no complete answer", c.Sent)
 	}
-	if slices.Contains(j.r.Extras, c.Trace) {
-		j.breach(Twice, c, c.Answered, 0, names(all...), "more than one answer came")
+	if slices.Contains(j.records.Extras, c.Trace) {
+		j.breach(AnsweredTwice, c, c.Answered, 0, serversOf(all...), "more than one answer came")
 	}
 	if c.Result == Served && !slices.ContainsFunc(all, func(a *Attempt) bool { return a.Status == 200 && a.Body == c.Body }) {
-		j.breach(WrongBody, c, c.Answered, 0, names(all...), "no server made the answer for this request")
+		j.breach(WrongBody, c, c.Answered, 0, serversOf(all...), "no server gave this answer to this request")
+	}
+}
+
+// judgeLateAttempts looks for attempts that were made when the request was over.
+func (j *judge) judgeLateAttempts(c *Call, all []*Attempt) {
+	over := c.Sent + c.Patience + j.scenario.Rules.Slack
+	switch {
+	case c.Answered != Never:
+		over = min(over, c.Answered+j.scenario.Rules.Slack)
+	case c.HungUp != Never:
+		over = min(over, c.HungUp+j.scenario.Rules.Slack)
 	}
 	for _, a := range all {
-		if a.First > over {
-			j.breach(After, c, a.First, over, names(a), "sent %v after the request was over", a.First-over+j.s.Rules.Slack)
+		if a.FirstByte > over {
+			j.breach(SentAfterAnswer, c, a.FirstByte, over, serversOf(a), "sent %v after the request was over", a.FirstByte-over+j.scenario.Rules.Slack)
 		}
 	}
-	j.heldBack(c, all)
 }
 
-// heldBack looks for a refusal or failure that came although nothing was under way for most of the client's time.
-func (j *judge) heldBack(c *Call, all []*Attempt) {
+// judgeWithheldAnswer looks for a refusal or failure that came although no attempt was in flight for most of the client's time.
+func (j *judge) judgeWithheldAnswer(c *Call, all []*Attempt) {
 	if c.Result != Refused && c.Result != Failed {
 		return
 	}
 	last := c.Sent
 	for _, a := range all {
-		if a.First <= c.Answered {
+		if a.FirstByte <= c.Answered {
 			last = max(last, a.End)
 		}
 	}
-	margin := max(holdLeast, time.Duration(holdPart*float64(c.Patience)))
+	margin := max(minIdle, time.Duration(maxIdleFraction*float64(c.Patience)))
 	if c.Answered-last <= margin {
 		return
 	}
 	if j.mayWait(c) {
-		j.unjudged("held-back answers that may have waited for a server")
+		j.countUnjudged("late refusals and failures that may have waited for a server")
 		return
 	}
-	j.breach(HeldBack, c, c.Answered, last+margin, names(all...),
-		"%s %v after the last thing that was tried for it", c.Result, c.Answered-last)
+	j.breach(AnswerWithheld, c, c.Answered, last+margin, serversOf(all...),
+		"%s %v after the last attempt", c.Result, c.Answered-last)
 }
 
-// repeats judges each attempt by those before it.
-func (j *judge) repeats(c *Call, class *scenario.Class, all []*Attempt) {
+// judgeRepeats judges each attempt by those before it.
+func (j *judge) judgeRepeats(c *Call, class *scenario.Class, all []*Attempt) {
 	for n, a := range all {
 		if n > 0 {
-			j.out.Judged.Repeats++
+			j.report.Judged.Repeats++
 		}
 		for _, earlier := range all[:n] {
-			// Its outcome must have been known, and have proved that nothing ran.
-			proved := earlier.Last == Never || earlier.NeverRan && earlier.End <= a.First
+			// The earlier outcome must have been known, and have proved that nothing ran.
+			proved := earlier.LastByte == Never || earlier.NeverRan && earlier.End <= a.FirstByte
 			if proved || class.Effect == scenario.Safe {
 				continue
 			}
-			switch limit := earlier.First + class.Window + j.s.Rules.Slack; {
+			switch limit := earlier.FirstByte + class.Window + j.scenario.Rules.Slack; {
 			case class.Effect == scenario.Unsafe:
-				j.breach(Repeated, c, a.First, 0, names(earlier, a), "sent again %v after it may have run", a.First-earlier.Last)
+				j.breach(UnsafeRepeated, c, a.FirstByte, 0, serversOf(earlier, a), "sent again %v after it may have run", a.FirstByte-earlier.LastByte)
 			case class.Group == scenario.GroupCell && a.Cell != earlier.Cell,
 				class.Group == scenario.GroupZone && a.Zone != earlier.Zone:
-				j.breach(OtherGroup, c, a.First, 0, names(earlier, a), "may have run in another %s", class.Group)
-			case a.First > limit:
-				j.breach(TooOld, c, a.First, limit, names(earlier, a), "may have run %v ago, the key is kept for %v",
-					a.First-earlier.First, class.Window)
+				j.breach(RepeatedOutsideGroup, c, a.FirstByte, 0, serversOf(earlier, a), "may have run in another %s", class.Group)
+			case a.FirstByte > limit:
+				j.breach(RepeatedAfterWindow, c, a.FirstByte, limit, serversOf(earlier, a), "may have run %v ago, the key is kept for %v",
+					a.FirstByte-earlier.FirstByte, class.Window)
 			default:
 				continue
 			}
@@ -280,45 +290,45 @@
 	}
 }
 
-// refusal: a refusal promises that a retry does no harm.
-func (j *judge) refusal(c *Call, class *scenario.Class, all []*Attempt) {
+// judgeRefusal: a refusal promises that a retry does no harm.
+func (j *judge) judgeRefusal(c *Call, class *scenario.Class, all []*Attempt) {
 	if c.Result != Refused || class.Effect == scenario.Safe {
 		return
 	}
-	j.out.Judged.Refusals++
+	j.report.Judged.Refusals++
 	if class.Effect == scenario.Keyed && class.Group == scenario.GroupAll {
 		return
 	}
 	for _, a := range all {
-		if a.First <= c.Answered && a.MayHaveRun() {
-			j.breach(BadRefusal, c, c.Answered, 0, names(a), "refused, though it may have run from %v on", a.Last)
+		if a.FirstByte <= c.Answered && a.MayHaveRun() {
+			j.breach(HarmfulRefusal, c, c.Answered, 0, serversOf(a), "refused, though it may have run from %v on", a.LastByte)
 			return
 		}
 	}
 }
 
-// unasked looks for attempts that no client asked for.
-func (j *judge) unasked() {
-	for i := range j.r.Attempts {
-		if a := &j.r.Attempts[i]; j.calls[a.Trace] == nil {
-			j.out.Breaches = append(j.out.Breaches, Breach{
-				Rule: Unasked, Request: a.Trace, Servers: names(a), At: a.First, Text: "no client sent a request of this id",
+// judgeUnknownRequests looks for attempts of requests that no client sent.
+func (j *judge) judgeUnknownRequests() {
+	for i := range j.records.Attempts {
+		if a := &j.records.Attempts[i]; j.calls[a.Trace] == nil {
+			j.report.Breaches = append(j.report.Breaches, Breach{
+				Rule: UnknownRequest, Request: a.Trace, Servers: serversOf(a), At: a.FirstByte, Text: "no client sent a request of this id",
 			})
 		}
 	}
 }
 
-// effects counts what ran, over all tries of a client: a refusal said that the next try would do no harm.
-func (j *judge) effects() {
+// judgeEffects counts what ran, over all requests of a client for one operation: a refusal promises that a retry does no harm.
+func (j *judge) judgeEffects() {
 	ran := map[string][]*Attempt{}
 	var order []string
-	for i := range j.r.Attempts {
-		a := &j.r.Attempts[i]
+	for i := range j.records.Attempts {
+		a := &j.records.Attempts[i]
 		class := j.class(a.Class)
-		if class == nil || class.Effect == scenario.Safe || a.Began == Never || a.Repeat || a.Op == "" {
+		if class == nil || class.Effect == scenario.Safe || a.WorkStarted == Never || a.KeyKnown || a.Operation == "" {
 			continue
 		}
-		op := a.Class + "/" + a.Op
+		op := a.Class + "/" + a.Operation
 		if ran[op] == nil {
 			order = append(order, op)
 		}
@@ -326,16 +336,16 @@
 	}
 	for _, op := range order {
 		list := ran[op]
-		slices.SortStableFunc(list, func(a, b *Attempt) int { return cmp.Compare(a.Began, b.Began) })
+		slices.SortStableFunc(list, func(a, b *Attempt) int { return cmp.Compare(a.WorkStarted, b.WorkStarted) })
 		for n, a := range list[1:] {
 			first := list[n]
 			c := j.calls[first.Trace]
 			switch {
 			case first.Trace == a.Trace || c == nil: // judged as a repeat
 			case c.Result == Refused:
-				j.breach(Effects, c, a.Began, 0, names(first, a), "ran at %v, was refused, and ran again as %s", first.Began, a.Trace)
+				j.breach(EffectRepeated, c, a.WorkStarted, 0, serversOf(first, a), "ran at %v, was refused, and ran again as %s", first.WorkStarted, a.Trace)
 			default:
-				j.unjudged("effects that happened twice by a client's own retry")
+				j.countUnjudged("effects that happened twice by a client's own retry")
 			}
 		}
 	}
--- a/internal/rig/audit/audit_test.go
+++ b/internal/rig/audit/audit_test.go
@@ -33,12 +33,12 @@
 // served is a call that was sent at 1 s, waits for 400 ms, and was served by s1 after 20 ms.
 func served(class string) (Call, Attempt) {
 	c := Call{
-		Trace: "t1", Op: "1", Class: class, Sent: time.Second, Due: time.Second, Patience: 400 * ms, Result: Served, Status: 200,
+		Trace: "t1", Operation: "1", Class: class, Sent: time.Second, ScheduledAt: time.Second, Patience: 400 * ms, Result: Served, Status: 200,
 		Answered: 1020 * ms, Body: 7, HungUp: Never,
 	}
 	a := Attempt{
-		Trace: "t1", Op: "1", Class: class, Server: "s1", Place: "s1", Zone: "a", First: 1005 * ms, Last: 1005 * ms,
-		Began: 1005 * ms, End: 1015 * ms, Work: 10 * ms, Status: 200, Body: 7,
+		Trace: "t1", Operation: "1", Class: class, Server: "s1", FirstInstance: "s1", Zone: "a", FirstByte: 1005 * ms, LastByte: 1005 * ms,
+		WorkStarted: 1005 * ms, End: 1015 * ms, Work: 10 * ms, Status: 200, Body: 7,
 	}
 	return c, a
 }
@@ -52,7 +52,7 @@
 
 // Each limit, from both sides of it.
 func TestLimits(t *testing.T) {
-	up := Told{Server: "s1", State: Up}
+	up := StateUpdate{Server: "s1", State: Up}
 	for _, c := range []struct {
 		name   string
 		class  string
@@ -61,19 +61,19 @@
 	}{
 		{"served", "void", func(*Call, *Attempt, *Records) {}, nil},
 		{"answered within the slack", "read", func(c *Call, _ *Attempt, _ *Records) { c.Answered = 1450 * ms }, nil},
-		{"answered after it", "read", func(c *Call, _ *Attempt, _ *Records) { c.Answered = 1451 * ms }, []Rule{Late}},
+		{"answered after it", "read", func(c *Call, _ *Attempt, _ *Records) { c.Answered = 1451 * ms }, []Rule{AnsweredLate}},
 		{"sent within the slack of the answer", "read", func(_ *Call, a *Attempt, r *Records) {
 			b := *a
-			b.First = 1070 * ms
+			b.FirstByte = 1070 * ms
 			r.Attempts = append(r.Attempts, b)
 		}, nil},
 		{"sent after it", "read", func(_ *Call, a *Attempt, r *Records) {
 			b := *a
-			b.First = 1071 * ms
+			b.FirstByte = 1071 * ms
 			r.Attempts = append(r.Attempts, b)
-		}, []Rule{After}},
-		{"never answered", "read", func(c *Call, _ *Attempt, _ *Records) { c.Answered, c.Result, c.HungUp = Never, Lost, 1450*ms }, []Rule{NoAnswer}},
-		{"its client went early", "read", func(c *Call, _ *Attempt, _ *Records) { c.Answered, c.Result, c.HungUp = Never, Lost, 1100*ms }, nil},
+		}, []Rule{SentAfterAnswer}},
+		{"never answered", "read", func(c *Call, _ *Attempt, _ *Records) { c.Answered, c.Result, c.HungUp = Never, Lost, 1450*ms }, []Rule{Unanswered}},
+		{"its client hung up early", "read", func(c *Call, _ *Attempt, _ *Records) { c.Answered, c.Result, c.HungUp = Never, Lost, 1100*ms }, nil},
 		{"its sidecar was ended", "read", func(c *Call, _ *Attempt, r *Records) {
 			c.Answered, c.Result = Never, Lost
 			r.Kills = []Kill{{Sidecar: 0, From: 1300 * ms, To: 2 * time.Second}}
@@ -81,17 +81,17 @@
 		{"another sidecar was ended", "read", func(c *Call, _ *Attempt, r *Records) {
 			c.Answered, c.Result = Never, Lost
 			r.Kills = []Kill{{Sidecar: 1, From: 1300 * ms, To: 2 * time.Second}}
-		}, []Rule{NoAnswer}},
-		{"not taken", "read", func(c *Call, _ *Attempt, r *Records) {
+		}, []Rule{Unanswered}},
+		{"not accepted", "read", func(c *Call, _ *Attempt, r *Records) {
 			c.Sent, c.Answered, c.Result, r.Attempts = Never, Never, Unreached, nil
 		}, nil},
 		{"served by an error", "read", func(_ *Call, a *Attempt, r *Records) { r.Attempts[0].Status = 500 }, []Rule{WrongBody}},
 
 		{"a key, just within its window", "book", second(550*ms, 0), nil},
-		{"a key, after it", "book", second(551*ms, 0), []Rule{TooOld}},
-		{"a key in another cell", "book", second(30*ms, 1), []Rule{OtherGroup}},
+		{"a key, after it", "book", second(551*ms, 0), []Rule{RepeatedAfterWindow}},
+		{"a key in another cell", "book", second(30*ms, 1), []Rule{RepeatedOutsideGroup}},
 		{"a key of all in another cell", "any", second(30*ms, 1), nil},
-		{"an unsafe one again", "void", second(30*ms, 0), []Rule{Repeated}},
+		{"an unsafe one again", "void", second(30*ms, 0), []Rule{UnsafeRepeated}},
 		{"a safe one again, much later", "read", second(300*ms, 1), nil},
 		{"an unsafe one, after it was proved that it never ran", "void", func(c *Call, a *Attempt, r *Records) {
 			second(30*ms, 0)(c, a, r)
@@ -100,59 +100,59 @@
 		{"an unsafe one, before that was proved", "void", func(c *Call, a *Attempt, r *Records) {
 			second(30*ms, 0)(c, a, r)
 			r.Attempts[0].NeverRan, r.Attempts[0].Status, r.Attempts[0].End = true, 503, 1036*ms
-		}, []Rule{Repeated}},
+		}, []Rule{UnsafeRepeated}},
 		{"an unsafe one that had not come whole", "void", func(c *Call, a *Attempt, r *Records) {
 			second(30*ms, 0)(c, a, r)
-			r.Attempts[0].Last = Never
+			r.Attempts[0].LastByte = Never
 		}, nil},
 
 		{"refused after it ran, safe", "read", refused, nil},
 		{"refused after it ran, a key of all", "any", refused, nil},
-		{"refused after it ran, a key of a cell", "book", refused, []Rule{BadRefusal}},
-		{"refused after it ran, unsafe", "void", refused, []Rule{BadRefusal}},
+		{"refused after it ran, a key of a cell", "book", refused, []Rule{HarmfulRefusal}},
+		{"refused after it ran, unsafe", "void", refused, []Rule{HarmfulRefusal}},
 		{"refused, and ran again", "void", func(c *Call, a *Attempt, r *Records) {
 			refused(c, a, r)
 			again, b := *c, *a
 			again.Trace, again.Sent, again.Answered, again.Result, again.Body = "t2", 1100*ms, 1120*ms, Served, 8
-			b.Trace, b.First, b.Last, b.Began, b.End, b.Body = "t2", 1105*ms, 1105*ms, 1105*ms, 1115*ms, 8
+			b.Trace, b.FirstByte, b.LastByte, b.WorkStarted, b.End, b.Body = "t2", 1105*ms, 1105*ms, 1105*ms, 1115*ms, 8
 			r.Calls, r.Attempts = append(r.Calls, again), append(r.Attempts, b)
-		}, []Rule{BadRefusal, Effects}},
+		}, []Rule{HarmfulRefusal, EffectRepeated}},
 		{"refused at once", "void", func(c *Call, _ *Attempt, r *Records) { c.Result, r.Attempts = Refused, nil }, nil},
 		{"refused at half of its time", "void", func(c *Call, _ *Attempt, r *Records) {
 			c.Result, c.Answered, r.Attempts = Refused, 1200*ms, nil
 		}, nil},
 		{"refused after half of its time", "void", func(c *Call, _ *Attempt, r *Records) {
 			c.Result, c.Answered, r.Attempts = Refused, 1201*ms, nil
-		}, []Rule{HeldBack}},
+		}, []Rule{AnswerWithheld}},
 		{"refused late, after it was turned away late", "void", func(c *Call, _ *Attempt, r *Records) {
 			c.Result, c.Answered = Refused, 1350*ms
 			r.Attempts[0].NeverRan, r.Attempts[0].End = true, 1340*ms
 		}, nil},
 
 		{"to a draining server within the grace", "read", func(_ *Call, _ *Attempt, r *Records) {
-			r.Told = append(r.Told, Told{Server: "s1", State: Draining, At: 705 * ms})
+			r.StateUpdates = append(r.StateUpdates, StateUpdate{Server: "s1", State: Draining, ReceivedAt: 705 * ms})
 		}, nil},
 		{"to a draining server after it", "read", func(_ *Call, _ *Attempt, r *Records) {
-			r.Told = append(r.Told, Told{Server: "s1", State: Draining, At: 704 * ms})
-		}, []Rule{Drained}},
-		{"another sidecar was told", "read", func(_ *Call, _ *Attempt, r *Records) {
-			r.Told = append(r.Told, Told{Sidecar: 1, Server: "s1", State: Draining, At: 0})
+			r.StateUpdates = append(r.StateUpdates, StateUpdate{Server: "s1", State: Draining, ReceivedAt: 704 * ms})
+		}, []Rule{SentToDraining}},
+		{"another sidecar received it", "read", func(_ *Call, _ *Attempt, r *Records) {
+			r.StateUpdates = append(r.StateUpdates, StateUpdate{Sidecar: 1, Server: "s1", State: Draining, ReceivedAt: 0})
 		}, nil},
 		{"from draining to gone the grace does not begin anew", "read", func(_ *Call, _ *Attempt, r *Records) {
-			r.Told = append(r.Told, Told{Server: "s1", State: Draining, At: 500 * ms}, Told{Server: "s1", State: Removed, At: 900 * ms})
-		}, []Rule{Drained}},
-		{"it was told that it is back", "read", func(_ *Call, _ *Attempt, r *Records) {
-			r.Told = append(r.Told, Told{Server: "s1", State: Removed, At: 500 * ms}, Told{Server: "s1", State: Up, At: 900 * ms})
+			r.StateUpdates = append(r.StateUpdates, StateUpdate{Server: "s1", State: Draining, ReceivedAt: 500 * ms}, StateUpdate{Server: "s1", State: Removed, ReceivedAt: 900 * ms})
+		}, []Rule{SentToDraining}},
+		{"it received that it is back", "read", func(_ *Call, _ *Attempt, r *Records) {
+			r.StateUpdates = append(r.StateUpdates, StateUpdate{Server: "s1", State: Removed, ReceivedAt: 500 * ms}, StateUpdate{Server: "s1", State: Up, ReceivedAt: 900 * ms})
 		}, nil},
 		{"to whoever has a gone server's address now", "read", func(_ *Call, _ *Attempt, r *Records) {
-			r.Told = append(r.Told, Told{Server: "s1", State: Removed, At: 500 * ms})
-			r.Lives = []Life{{Server: "s1", Place: "s1", Start: Never, End: 500 * ms, Fell: Never}}
+			r.StateUpdates = append(r.StateUpdates, StateUpdate{Server: "s1", State: Removed, ReceivedAt: 500 * ms})
+			r.Incarnations = []Incarnation{{Server: "s1", FirstInstance: "s1", Start: Never, End: 500 * ms, CollapsedAt: Never}}
 			r.Attempts[0].Server = "s1.2"
-		}, []Rule{Drained}},
+		}, []Rule{SentToDraining}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			call, attempt := served(c.class)
-			r := Records{Calls: []Call{call}, Attempts: []Attempt{attempt}, Told: []Told{up}}
+			r := Records{Calls: []Call{call}, Attempts: []Attempt{attempt}, StateUpdates: []StateUpdate{up}}
 			c.change(&r.Calls[0], &attempt, &r)
 			report := Judge(service(t), r)
 			if got := rules(report); !slices.Equal(got, c.want) {
@@ -167,7 +167,7 @@
 	return func(c *Call, a *Attempt, r *Records) {
 		b := *a
 		b.Server, b.Cell = "s2", cell
-		b.First, b.Last, b.Began, b.End = a.First+later, a.Last+later, a.Began+later, a.End+later
+		b.FirstByte, b.LastByte, b.WorkStarted, b.End = a.FirstByte+later, a.LastByte+later, a.WorkStarted+later, a.End+later
 		r.Attempts = append(r.Attempts, b)
 		r.Attempts[0].Status = 500
 		c.Answered, c.Patience = b.End+5*ms, 900*ms
@@ -184,18 +184,18 @@
 	for _, c := range []struct {
 		name  string
 		each  time.Duration // work of each of 20 attempts within half a second
-		knows int           // of the 20 come from the sidecar that was told of the start
+		knows int           // of the 20 come from the sidecar that received the start
 		want  []Rule
 	}{
 		{"within what it bears", 11 * ms, 20, nil},
-		{"more than that", 12 * ms, 20, []Rule{Pushed}},
-		{"more, two thirds of the first 19 from who knew", 12 * ms, 13, []Rule{Pushed}},
+		{"more than that", 12 * ms, 20, []Rule{SlowStartOverload}},
+		{"more, two thirds of the first 19 from who knew", 12 * ms, 13, []Rule{SlowStartOverload}},
 		{"more, less from who knew", 12 * ms, 12, nil},
 	} {
 		r := Records{
-			Lives: []Life{{Server: "s1", Place: "s1", Start: 2 * time.Second, End: 9 * time.Second, Fell: Never,
-				Cold: scenario.Cold{From: 0.1, Warm: 1000 * time.Second}}},
-			Told: []Told{{Sidecar: 1, Server: "s1", State: Up}, {Sidecar: 0, Server: "s1", State: Up}, {Sidecar: 0, Server: "s1", State: Up, At: 2 * time.Second}},
+			Incarnations: []Incarnation{{Server: "s1", FirstInstance: "s1", Start: 2 * time.Second, End: 9 * time.Second, CollapsedAt: Never,
+				SlowStart: scenario.Cold{From: 0.1, Warm: 1000 * time.Second}}},
+			StateUpdates: []StateUpdate{{Sidecar: 1, Server: "s1", State: Up}, {Sidecar: 0, Server: "s1", State: Up}, {Sidecar: 0, Server: "s1", State: Up, ReceivedAt: 2 * time.Second}},
 		}
 		for i := range 20 {
 			call, a := served("read")
@@ -205,11 +205,11 @@
 			}
 			at := 2*time.Second + time.Duration(i)*25*ms
 			call.Sent, call.Answered = at, at+20*ms
-			a.Trace, a.First, a.Last, a.Began, a.End, a.Work = call.Trace, at, at, at, at+10*ms, c.each
+			a.Trace, a.FirstByte, a.LastByte, a.WorkStarted, a.End, a.Work = call.Trace, at, at, at, at+10*ms, c.each
 			r.Calls, r.Attempts = append(r.Calls, call), append(r.Attempts, a)
 		}
 		report := Judge(service(t), r)
-		if got := rules(report); !slices.Equal(got, c.want) || report.Judged.ColdStarts != 1 {
+		if got := rules(report); !slices.Equal(got, c.want) || report.Judged.SlowStarts != 1 {
 			t.Errorf("%s: %v, want %v: %v", c.name, got, c.want, report.Breaches)
 		}
 	}
@@ -218,7 +218,7 @@
 // The order in which records were booked does not matter; the JSON has milliseconds.
 func TestOrderDoesNotMatter(t *testing.T) {
 	call, attempt := served("void")
-	r := Records{Calls: []Call{call}, Attempts: []Attempt{attempt}, Told: []Told{{Server: "s1", State: Up}, {Server: "s1", State: Draining, At: 100 * ms}}}
+	r := Records{Calls: []Call{call}, Attempts: []Attempt{attempt}, StateUpdates: []StateUpdate{{Server: "s1", State: Up}, {Server: "s1", State: Draining, ReceivedAt: 100 * ms}}}
 	second(30*ms, 0)(&r.Calls[0], &attempt, &r)
 	want, err := json.Marshal(Judge(service(t), r))
 	if err != nil {
@@ -229,7 +229,7 @@
 	}
 	for range 20 {
 		rand.Shuffle(len(r.Attempts), func(a, b int) { r.Attempts[a], r.Attempts[b] = r.Attempts[b], r.Attempts[a] })
-		rand.Shuffle(len(r.Told), func(a, b int) { r.Told[a], r.Told[b] = r.Told[b], r.Told[a] })
+		rand.Shuffle(len(r.StateUpdates), func(a, b int) { r.StateUpdates[a], r.StateUpdates[b] = r.StateUpdates[b], r.StateUpdates[a] })
 		if got, _ := json.Marshal(Judge(service(t), r)); string(got) != string(want) {
 			t.Fatalf("%s\n%s", got, want)
 		}
--- a/internal/rig/audit/fleet.go
+++ b/internal/rig/audit/fleet.go
@@ -8,120 +8,120 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// since gives the state of a server that a sidecar was told last at a time, and when; ok: it was told of it at all.
-func (j *judge) since(sidecar int, server string, at time.Duration) (state State, told time.Duration, ok bool) {
-	for _, t := range j.told[place{sidecar, server}] {
-		if t.At > at {
+// stateAt is the state of a server that a sidecar knew at a time, and since when; ok: it knew the server.
+func (j *judge) stateAt(sidecar int, server string, at time.Duration) (state State, since time.Duration, ok bool) {
+	for _, t := range j.updates[sidecarServer{sidecar, server}] {
+		if t.ReceivedAt > at {
 			break
 		}
-		if !ok || t.State != state && !(off(t.State) && off(state)) { // from draining to gone: the grace began before
-			told = t.At
+		if !ok || t.State != state && !(leaving(t.State) && leaving(state)) { // from draining to removed: the grace began before
+			since = t.ReceivedAt
 		}
 		state, ok = t.State, true
 	}
-	return state, told, ok
+	return state, since, ok
 }
 
-func off(s State) bool { return s == Draining || s == Removed }
+func leaving(s State) bool { return s == Draining || s == Removed }
 
-// drains judges rule 3: each attempt by what its sidecar knew of the server.
-func (j *judge) drains() {
-	for _, news := range j.told {
-		if slices.ContainsFunc(news, func(t Told) bool { return off(t.State) }) {
-			j.out.Judged.AfterDrains++
+// judgeDrains judges rule 3: each attempt by what its sidecar knew of the server.
+func (j *judge) judgeDrains() {
+	for _, updates := range j.updates {
+		if slices.ContainsFunc(updates, func(t StateUpdate) bool { return leaving(t.State) }) {
+			j.report.Judged.Drains++
 		}
 	}
-	grace := j.s.Rules.DrainGrace + j.s.Rules.Slack
-	for i := range j.r.Attempts {
-		a := &j.r.Attempts[i]
+	grace := j.scenario.Rules.DrainGrace + j.scenario.Rules.Slack
+	for i := range j.records.Attempts {
+		a := &j.records.Attempts[i]
 		c := j.calls[a.Trace]
 		if c == nil {
 			continue
 		}
-		state, told, known := j.since(c.Sidecar, a.Server, a.First)
+		state, since, known := j.stateAt(c.Sidecar, a.Server, a.FirstByte)
 		server := a.Server
-		if !known { // it means whoever was at the address before
-			server, state, told, known = j.before(c.Sidecar, a)
+		if !known { // it knows the address from the instance before
+			server, state, since, known = j.previousInstance(c.Sidecar, a)
 		}
 		switch {
 		case !known:
-			j.unjudged("attempts at servers that the sidecar was not told of")
-		case off(state) && a.First > told+grace:
-			j.breach(Drained, c, a.First, told+grace, []string{server}, "sent %v after the sidecar was told %q", a.First-told, state)
+			j.countUnjudged("attempts at servers that the sidecar did not know")
+		case leaving(state) && a.FirstByte > since+grace:
+			j.breach(SentToDraining, c, a.FirstByte, since+grace, []string{server}, "sent %v after the sidecar received %q", a.FirstByte-since, state)
 		}
 	}
 }
 
-// before is what a sidecar knew of the last instance at an attempt's address that it was told of.
-func (j *judge) before(sidecar int, a *Attempt) (server string, state State, told time.Duration, known bool) {
-	for _, l := range j.r.Lives {
-		if l.Place != a.Place || l.Server == a.Server {
+// previousInstance is what a sidecar knew of the latest instance at an attempt's address that it had in its list.
+func (j *judge) previousInstance(sidecar int, a *Attempt) (server string, state State, since time.Duration, known bool) {
+	for _, l := range j.records.Incarnations {
+		if l.FirstInstance != a.FirstInstance || l.Server == a.Server {
 			continue
 		}
-		if s, at, ok := j.since(sidecar, l.Server, a.First); ok && (!known || at > told) {
-			server, state, told, known = l.Server, s, at, true
+		if s, at, ok := j.stateAt(sidecar, l.Server, a.FirstByte); ok && (!known || at > since) {
+			server, state, since, known = l.Server, s, at, true
 		}
 	}
-	return server, state, told, known
+	return server, state, since, known
 }
 
-// coldStarts judges rule 4: each cold life by the work that reached it.
-func (j *judge) coldStarts() {
-	for _, l := range j.r.Lives {
-		if l.Cold.Warm <= 0 {
+// judgeSlowStarts judges rule 4: each incarnation that started cold, by the work that reached it.
+func (j *judge) judgeSlowStarts() {
+	for _, l := range j.records.Incarnations {
+		if l.SlowStart.Warm <= 0 {
 			continue
 		}
-		j.out.Judged.ColdStarts++
-		def, _ := j.s.Server(l.Place)
-		pressure := scenario.NewPressure(j.s.Rules, def, l.Cold)
+		j.report.Judged.SlowStarts++
+		def, _ := j.scenario.Server(l.FirstInstance)
+		pressure := scenario.NewPressure(j.scenario.Rules, def, l.SlowStart)
 		var reached []*Attempt
-		for i := range j.r.Attempts {
-			if a := &j.r.Attempts[i]; a.Server == l.Server && a.Last != Never && a.Last >= l.Start && a.Last <= l.End {
+		for i := range j.records.Attempts {
+			if a := &j.records.Attempts[i]; a.Server == l.Server && a.LastByte != Never && a.LastByte >= l.Start && a.LastByte <= l.End {
 				reached = append(reached, a)
 			}
 		}
-		slices.SortStableFunc(reached, func(a, b *Attempt) int { return cmp.Compare(a.Last, b.Last) })
+		slices.SortStableFunc(reached, func(a, b *Attempt) int { return cmp.Compare(a.LastByte, b.LastByte) })
 		for n, a := range reached {
-			if over := pressure.Add(a.Last-l.Start, a.Work); over > 1 {
-				j.pushed(l, reached[:n+1], over)
+			if over := pressure.Add(a.LastByte-l.Start, a.Work); over > 1 {
+				j.judgeOverload(l, reached[:n+1], over)
 				break
 			}
 		}
 	}
 }
 
-// pushed is a breach if two thirds of the work came from sidecars that had been told of the start.
-func (j *judge) pushed(l Life, reached []*Attempt, over float64) {
-	end := reached[len(reached)-1].Last
-	all, knowing := time.Duration(0), time.Duration(0)
+// judgeOverload reports a breach if two thirds of the work came from sidecars that knew of the start.
+func (j *judge) judgeOverload(l Incarnation, reached []*Attempt, over float64) {
+	end := reached[len(reached)-1].LastByte
+	total, informed := time.Duration(0), time.Duration(0)
 	for _, a := range reached {
-		if a.Last <= end-j.s.Rules.FallTime {
+		if a.LastByte <= end-j.scenario.Rules.FallTime {
 			continue
 		}
-		all += a.Work
+		total += a.Work
 		c := j.calls[a.Trace]
-		if c != nil && slices.ContainsFunc(j.told[place{c.Sidecar, l.Server}], func(t Told) bool {
-			return t.State == Up && t.At >= l.Start && t.At <= a.First
+		if c != nil && slices.ContainsFunc(j.updates[sidecarServer{c.Sidecar, l.Server}], func(t StateUpdate) bool {
+			return t.State == Up && t.ReceivedAt >= l.Start && t.ReceivedAt <= a.FirstByte
 		}) {
-			knowing += a.Work
+			informed += a.Work
 		}
 	}
-	if 3*knowing < 2*all {
-		j.unjudged("cold servers pushed over by sidecars that were not told of their start")
+	if 3*informed < 2*total {
+		j.countUnjudged("servers overloaded in their slow start by sidecars that did not know of it")
 		return
 	}
-	j.breach(Pushed, nil, end, 0, []string{l.Server}, "sent %.2f times what a cold server bears, %v after its start",
+	j.breach(SlowStartOverload, nil, end, 0, []string{l.Server}, "sent %.2f times what a server in its slow start can do, %v after its start",
 		over, end-l.Start)
 }
 
-// mayWait reports whether a call may have waited for a server to the end: one that broke connections may be taken for
-// one that has restarted, hence cold, and it takes as long as a cold start to show that it is not; what was sent to a
-// machine that is cut off, or to a server that had just died, reached nobody.
+// mayWait reports whether a call may have waited for a server to the end: one that lost connections may be taken for
+// one that has restarted, hence in its slow start, for as long as a slow start takes; what was sent to a
+// machine behind a partition, or to a server that had just ended, reached no server.
 func (j *judge) mayWait(c *Call) bool {
-	return slices.ContainsFunc(j.s.Faults, func(f scenario.Fault) bool {
+	return slices.ContainsFunc(j.scenario.Faults, func(f scenario.Fault) bool {
 		switch f.Kind {
 		case scenario.ResetIn, scenario.ResetOut, scenario.Silent, scenario.Gone, scenario.Restart, scenario.Replace:
-			return j.r.Began+f.At <= c.Answered && j.r.Began+f.End()+j.s.Rules.ColdTime >= c.Sent
+			return j.records.Began+f.At <= c.Answered && j.records.Began+f.End()+j.scenario.Rules.ColdTime >= c.Sent
 		}
 		return false
 	})
--- a/internal/rig/audit/records.go
+++ b/internal/rig/audit/records.go
@@ -12,32 +12,32 @@
 // Never is the time of what did not happen.
 const Never = time.Duration(-1)
 
-// Call is one try of a client, as the client saw it. Times count from the start of the run.
+// Call is one request of a client, as the client saw it. Times count from the start of the run.
 type Call struct {
-	Trace string // its id, new with every try
-	Op    string // what the client wants done: the same for all its tries
-	Key   string // of a keyed request
-	Class string
-
-	Sidecar  int
-	Due      time.Duration // when the schedule had it; a later try's is when its wait was over
-	Sent     time.Duration // when its last byte was written; Never: it was not taken
-	Patience time.Duration // how long the client waits from Sent on
-	Retry    bool
-
-	Result     Result
-	Status     int
-	Answered   time.Duration // the last byte of the answer; Never: none came
-	Body       uint64        // BodySum of a served answer
-	RetryAfter time.Duration // as the answer said, 0: it said nothing
-	HungUp     time.Duration // when the client went away; Never: it did not
-	Crossed    time.Duration // when a kept connection ended under it, and it was sent once more on a new one; 0: it was not
+	Trace     string // its id, new with every retry
+	Operation string // what the client wants done: the same for all its retries
+	Key       string // of a keyed request
+	Class     string
+
+	Sidecar     int
+	ScheduledAt time.Duration // by the schedule; a retry's is the end of its backoff
+	Sent        time.Duration // when its last byte was written; Never: it was not accepted
+	Patience    time.Duration // how long the client waits from Sent on
+	Retry       bool
+
+	Result           Result
+	Status           int
+	Answered         time.Duration // the last byte of the answer; Never: none came
+	Body             uint64        // BodySum of a served answer
+	RetryAfter       time.Duration // of the answer; 0: none
+	HungUp           time.Duration // when the client did; Never: it did not
+	ConnectionLostAt time.Duration // when its connection, reused, was closed, and it was sent again on a new one; 0: it was not
 }
 
 // Result is what a client got.
 type Result uint8
 
-// The results. Unreached: the request was not taken. Lost: it was taken, and no whole answer came.
+// The results. Unreached: the request was not accepted. Lost: it was, and no complete answer came.
 const (
 	Unreached Result = iota
 	Served
@@ -53,27 +53,27 @@
 
 // Attempt is one request at a server, as the server saw it.
 type Attempt struct {
-	Trace, Op, Key, Class string
-	Server                string // the instance's name
-	Place                 string // the name of the first instance at its address
-	Zone                  string
-	Cell                  int
-
-	First time.Duration // its first byte
-	Last  time.Duration // its last byte; Never: it did not come whole
-	Began time.Duration // when work on it began; Never: it did not run
-	End   time.Duration // when the answer was written, or the server gave it up
-	Work  time.Duration // core time it asks for
-
-	Repeat   bool // its key was known: it had no effect
-	NeverRan bool // it was answered with the mark that it never ran
+	Trace, Operation, Key, Class string
+	Server                       string // the instance's name
+	FirstInstance                string // the name of the first instance at its address
+	Zone                         string
+	Cell                         int
+
+	FirstByte   time.Duration // its first byte
+	LastByte    time.Duration // its last byte; Never: it did not come
+	WorkStarted time.Duration // when work on it began; Never: it did not run
+	End         time.Duration // when the answer was written, or the server gave it up
+	Work        time.Duration // core time it asks for
+
+	KeyKnown bool // it was a repeat without effect
+	NeverRan bool // its answer had the header that says so
 	Status   int  // of the answer; 0: none, or none that can be read
 	Body     uint64
-	Unwanted bool // the sidecar was gone before the answer was written
+	Unwanted bool // the sidecar had closed the connection before the answer was written
 }
 
 // MayHaveRun reports whether nothing proves to the sidecar that the attempt did not run.
-func (a *Attempt) MayHaveRun() bool { return a.Last != Never && !a.NeverRan }
+func (a *Attempt) MayHaveRun() bool { return a.LastByte != Never && !a.NeverRan }
 
 // State is what discovery says of a server.
 type State string
@@ -85,20 +85,20 @@
 	Removed  State = "removed"
 )
 
-// Told is news of a server that discovery has written to a sidecar.
-type Told struct {
-	Sidecar int
-	Server  string
-	State   State
-	At      time.Duration
+// StateUpdate is the state of a server as discovery has sent it to a sidecar.
+type StateUpdate struct {
+	Sidecar    int
+	Server     string
+	State      State
+	ReceivedAt time.Duration
 }
 
-// Life is one life of a server's process.
-type Life struct {
-	Server, Place string
-	Start, End    time.Duration // Start is Never for what ran long before
-	Cold          scenario.Cold
-	Fell          time.Duration // when it fell over; Never: it did not
+// Incarnation is one start of a server's process, until its end.
+type Incarnation struct {
+	Server, FirstInstance string
+	Start, End            time.Duration // Start is Never for what ran long before
+	SlowStart             scenario.Cold
+	CollapsedAt           time.Duration // when it was overloaded in its slow start; Never: it was not
 }
 
 // Kill is a time in which a sidecar could not answer, because the run ended its process.
@@ -107,40 +107,40 @@
 	From, To time.Duration
 }
 
-// Records is all that was seen.
+// Records is all that was recorded in a run.
 type Records struct {
-	Calls    []Call
-	Attempts []Attempt
-	Told     []Told
-	Lives    []Life
-	Kills    []Kill
-	Began    time.Duration // when the load began: the scenario's times count from there
-	Extras   []string      // traces of calls after whose answer more came on the connection
+	Calls        []Call
+	Attempts     []Attempt
+	StateUpdates []StateUpdate
+	Incarnations []Incarnation
+	Kills        []Kill
+	Began        time.Duration // when the load began: the scenario's times count from there
+	Extras       []string      // traces of calls after whose answer more came on the connection
 }
 
 // Recorder collects records from many goroutines.
 type Recorder struct {
-	mu sync.Mutex
-	r  Records
+	mu      sync.Mutex
+	records Records
 }
 
-// Call books a client's try.
-func (r *Recorder) Call(c Call) { add(r, &r.r.Calls, c) }
+// Call records a client's request.
+func (r *Recorder) Call(c Call) { add(r, &r.records.Calls, c) }
 
-// Attempt books a request at a server.
-func (r *Recorder) Attempt(a Attempt) { add(r, &r.r.Attempts, a) }
+// Attempt records a request at a server.
+func (r *Recorder) Attempt(a Attempt) { add(r, &r.records.Attempts, a) }
 
-// Told books news that a sidecar was told.
-func (r *Recorder) Told(t Told) { add(r, &r.r.Told, t) }
+// StateUpdate records an update that a sidecar received.
+func (r *Recorder) StateUpdate(t StateUpdate) { add(r, &r.records.StateUpdates, t) }
 
-// Life books a server's life.
-func (r *Recorder) Life(l Life) { add(r, &r.r.Lives, l) }
+// Incarnation records a server's incarnation.
+func (r *Recorder) Incarnation(l Incarnation) { add(r, &r.records.Incarnations, l) }
 
-// Extra books that more came on a connection than the answer to the call of this trace.
-func (r *Recorder) Extra(trace string) { add(r, &r.r.Extras, trace) }
+// Extra records that more came on a connection than the answer to the call of this trace.
+func (r *Recorder) Extra(trace string) { add(r, &r.records.Extras, trace) }
 
-// Kill books a sidecar's end.
-func (r *Recorder) Kill(k Kill) { add(r, &r.r.Kills, k) }
+// Kill records a sidecar's end.
+func (r *Recorder) Kill(k Kill) { add(r, &r.records.Kills, k) }
 
 func add[T any](r *Recorder, list *[]T, v T) {
 	r.mu.Lock()
@@ -148,17 +148,17 @@
 	*list = append(*list, v)
 }
 
-// Records is a copy of what was booked so far.
+// Records returns a copy of what was recorded so far.
 func (r *Recorder) Records() Records {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Records{
-		Calls: slices.Clone(r.r.Calls), Attempts: slices.Clone(r.r.Attempts), Told: slices.Clone(r.r.Told),
-		Lives: slices.Clone(r.r.Lives), Kills: slices.Clone(r.r.Kills), Extras: slices.Clone(r.r.Extras),
+		Calls: slices.Clone(r.records.Calls), Attempts: slices.Clone(r.records.Attempts), StateUpdates: slices.Clone(r.records.StateUpdates),
+		Incarnations: slices.Clone(r.records.Incarnations), Kills: slices.Clone(r.records.Kills), Extras: slices.Clone(r.records.Extras),
 	}
 }
 
-// BodySum stands for a body in records.
+// BodySum is the checksum that stands for a body in records.
 func BodySum(body []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(body)
--- a/internal/rig/load/client.go
+++ b/internal/rig/load/client.go
@@ -185,7 +185,7 @@
 		}
 		// The sidecar may close a connection between two requests. Where that crossed this one it is sent once more, on a
 		// new connection; the audit looks whether it had been read.
-		call.Crossed, call.Sent = since(), audit.Never
+		call.ConnectionLostAt, call.Sent = since(), audit.Never
 		cn, err = c.open(ctx)
 	}
 	if err != nil {
--- a/internal/rig/load/crowd.go
+++ b/internal/rig/load/crowd.go
@@ -187,7 +187,7 @@
 		q.method = http.MethodPost
 	}
 	call := audit.Call{
-		Trace: q.trace, Op: q.op, Key: q.key, Class: q.class, Sidecar: i % len(k.clients), Due: since(), Patience: k.class.Deadline,
+		Trace: q.trace, Operation: q.op, Key: q.key, Class: q.class, Sidecar: i % len(k.clients), ScheduledAt: since(), Patience: k.class.Deadline,
 	}
 	if err := c.do(&call, q, k.s.Rules.Slack, since); errors.Is(err, errNoRoom) {
 		return call.Result
--- a/internal/rig/load/run.go
+++ b/internal/rig/load/run.go
@@ -174,11 +174,11 @@
 			q.key = o.id("key", 0)
 		}
 		call := audit.Call{
-			Trace: q.trace, Op: q.op, Key: q.key, Class: class.Name, Sidecar: o.n % len(x.clients),
-			Due: due.Sub(x.Zero), Patience: min(o.patience(class, retry), time.Until(over)), Retry: retry > 0,
+			Trace: q.trace, Operation: q.op, Key: q.key, Class: class.Name, Sidecar: o.n % len(x.clients),
+			ScheduledAt: due.Sub(x.Zero), Patience: min(o.patience(class, retry), time.Until(over)), Retry: retry > 0,
 		}
 		if retry > 0 {
-			call.Due = since()
+			call.ScheduledAt = since()
 		}
 		err := x.clients[call.Sidecar].do(&call, q, x.s.Rules.Slack, since)
 		if x.Calls != nil {
--- a/internal/rig/load/run_test.go
+++ b/internal/rig/load/run_test.go
@@ -156,7 +156,7 @@
 		t.Errorf("%+v, %d found no room, %d open at most", counts, result.NoRoom, result.PeakOpen)
 	}
 	for _, c := range records.Calls {
-		if c.Due < 5*time.Second && c.Result != audit.Served {
+		if c.ScheduledAt < 5*time.Second && c.Result != audit.Served {
 			t.Fatalf("before the step: %+v", c)
 		}
 	}
@@ -235,7 +235,7 @@
 	}
 	var due []time.Duration
 	for _, c := range records.Calls {
-		due = append(due, c.Due)
+		due = append(due, c.ScheduledAt)
 	}
 	slices.Sort(due)
 	if want := []time.Duration{time.Millisecond, time.Millisecond, time.Hour + time.Millisecond}; !slices.Equal(due, want) {
--- a/internal/rig/rehearse/bubble_test.go
+++ b/internal/rig/rehearse/bubble_test.go
@@ -77,10 +77,10 @@
 // The real core, each fault by itself: no rule is broken, the fault was felt, and nearly all is served.
 func TestFaultsBreakNoRule(t *testing.T) {
 	repeats := func(o *Outcome) bool { return o.Audit.Judged.Repeats > 0 }
-	drains := func(o *Outcome) bool { return o.Audit.Judged.AfterDrains > 0 }
-	colds := func(o *Outcome) bool { return o.Audit.Judged.ColdStarts > 0 }
+	drains := func(o *Outcome) bool { return o.Audit.Judged.Drains > 0 }
+	colds := func(o *Outcome) bool { return o.Audit.Judged.SlowStarts > 0 }
 	slower := func(o *Outcome) bool { return o.Load.Classes[0].Percentile(99) > 30*time.Millisecond }
-	unheard := func(o *Outcome) bool { return o.Audit.Judged.AfterDrains == 0 }
+	unheard := func(o *Outcome) bool { return o.Audit.Judged.Drains == 0 }
 	stays := func(*Outcome) bool { return true }
 	for _, c := range []struct {
 		fault string
--- a/internal/rig/rehearse/proxy_test.go
+++ b/internal/rig/rehearse/proxy_test.go
@@ -351,20 +351,20 @@
 		{honest, drain, nil},
 		{honest, cold, nil},
 		{honest, errors + drain + cold, nil},
-		{loses, "", []audit.Rule{audit.NoAnswer}},
-		{drops, "", []audit.Rule{audit.NoAnswer}},
-		{late, "", []audit.Rule{audit.Late}},
-		{twice, "", []audit.Rule{audit.Twice}},
+		{loses, "", []audit.Rule{audit.Unanswered}},
+		{drops, "", []audit.Rule{audit.Unanswered}},
+		{late, "", []audit.Rule{audit.AnsweredLate}},
+		{twice, "", []audit.Rule{audit.AnsweredTwice}},
 		{wrongBody, "", []audit.Rule{audit.WrongBody}},
-		{holdsBack, full, []audit.Rule{audit.HeldBack}},
-		{sendsAfter, "", []audit.Rule{audit.After}},
-		{repeats, errors, []audit.Rule{audit.Repeated}},
-		{otherGroup, errors, []audit.Rule{audit.OtherGroup}},
-		{tooOld, errors, []audit.Rule{audit.TooOld}},
-		{badRefusal, errors, []audit.Rule{audit.BadRefusal, audit.Effects}},
-		{invents, "", []audit.Rule{audit.Unasked}},
-		{ignoresDrain, drain, []audit.Rule{audit.Drained}},
-		{pushes, cold, []audit.Rule{audit.Pushed}},
+		{holdsBack, full, []audit.Rule{audit.AnswerWithheld}},
+		{sendsAfter, "", []audit.Rule{audit.SentAfterAnswer}},
+		{repeats, errors, []audit.Rule{audit.UnsafeRepeated}},
+		{otherGroup, errors, []audit.Rule{audit.RepeatedOutsideGroup}},
+		{tooOld, errors, []audit.Rule{audit.RepeatedAfterWindow}},
+		{badRefusal, errors, []audit.Rule{audit.HarmfulRefusal, audit.EffectRepeated}},
+		{invents, "", []audit.Rule{audit.UnknownRequest}},
+		{ignoresDrain, drain, []audit.Rule{audit.SentToDraining}},
+		{pushes, cold, []audit.Rule{audit.SlowStartOverload}},
 	} {
 		t.Run(string(c.sin)+" "+c.faults, func(t *testing.T) {
 			s := parse(t, proxied+c.faults)
@@ -377,7 +377,7 @@
 				if !slices.Contains(c.want, b.Rule) {
 					t.Errorf("not what it did: %v", b)
 				}
-				if b.Text == "" || b.At == 0 || b.Request == "" && b.Rule != audit.Pushed {
+				if b.Text == "" || b.At == 0 || b.Request == "" && b.Rule != audit.SlowStartOverload {
 					t.Errorf("a breach without its place: %+v", b)
 				}
 			}
--- a/internal/rig/rehearse/rehearse.go
+++ b/internal/rig/rehearse/rehearse.go
@@ -194,7 +194,7 @@
 	}
 	for _, a := range r.Attempts {
 		w.Attempts++
-		if a.Began == audit.Never {
+		if a.WorkStarted == audit.Never {
 			continue
 		}
 		w.Done += a.Work
--- a/internal/rig/rehearse/report.go
+++ b/internal/rig/rehearse/report.go
@@ -253,7 +253,7 @@
 func (r *Report) writeRules(out *printer) {
 	j := r.Rules.Judged
 	out.print("\nThe rules, judged from %d calls, %d repeats, %d refusals of what is not safe, %d drains told, %d cold starts:\n",
-		j.Calls, j.Repeats, j.Refusals, j.AfterDrains, j.ColdStarts)
+		j.Calls, j.Repeats, j.Refusals, j.Drains, j.SlowStarts)
 	reasons := make([]string, 0, len(r.Rules.Unjudged))
 	for reason := range r.Rules.Unjudged {
 		reasons = append(reasons, reason)
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -185,7 +185,7 @@
 		k := toldKey{sidecar, name}
 		if d.told[k] != news[name] {
 			d.told[k] = news[name]
-			d.f.rec.Told(audit.Told{Sidecar: sidecar, Server: name, State: news[name], At: now})
+			d.f.rec.StateUpdate(audit.StateUpdate{Sidecar: sidecar, Server: name, State: news[name], ReceivedAt: now})
 		}
 	}
 }
--- a/internal/rig/standin/exchange.go
+++ b/internal/rig/standin/exchange.go
@@ -66,8 +66,8 @@
 	}
 	at := audit.Attempt{
 		Trace: req.Header.Get("X-Trace-Id"), Key: req.Header.Get("Idempotency-Key"), Class: req.Header.Get("X-Qos"),
-		Op: req.URL.Query().Get("op"), Server: x.l.name, Place: s.def.Name, Zone: s.def.Zone, Cell: s.def.Cell,
-		First: first, Last: audit.Never, Began: audit.Never,
+		Operation: req.URL.Query().Get("op"), Server: x.l.name, FirstInstance: s.def.Name, Zone: s.def.Zone, Cell: s.def.Cell,
+		FirstByte: first, LastByte: audit.Never, WorkStarted: audit.Never,
 	}
 	if req.URL.Path == "/ping" || req.URL.Path == "/_load" {
 		*coming = x.await()
@@ -84,12 +84,12 @@
 		s.f.rec.Attempt(at)
 		return false
 	}
-	at.Last = s.f.now()
+	at.LastByte = s.f.now()
 	greedy := req.Header.Get(GreedyHeader) != ""
 	if greedy {
-		s.greed.note(at.Last)
+		s.greed.note(at.LastByte)
 	}
-	x.starved = !greedy && s.greed.starves(at.Last, at.Trace)
+	x.starved = !greedy && s.greed.starves(at.LastByte, at.Trace)
 	*coming = x.await()
 	keep := x.run(&at, req.Header.Get("X-Expires-In"), coming)
 	at.End = s.f.now()
@@ -108,7 +108,7 @@
 		return x.answer(at, "400 Bad Request", "", "") == nil
 	}
 	class := &s.f.s.Classes[i]
-	at.Work = class.Work.At(s.f.draw("work", at.Op))
+	at.Work = class.Work.At(s.f.draw("work", at.Operation))
 	if l.pressure != nil && l.pressed(at.Work) {
 		return false
 	}
@@ -135,11 +135,11 @@
 		l.cores.leave(ready)
 		return false
 	}
-	at.Began = s.f.now()
-	at.Repeat = class.Effect == scenario.Keyed && s.f.keys.seen(class, s.def, at.Key)
+	at.WorkStarted = s.f.now()
+	at.KeyKnown = class.Effect == scenario.Keyed && s.f.keys.seen(class, s.def, at.Key)
 	l.cores.work(l.ctx, at.Work)
 	l.cores.leave(ready)
-	l.cores.sleep(l.ctx, class.IO.At(s.f.draw("io", at.Op)))
+	l.cores.sleep(l.ctx, class.IO.At(s.f.draw("io", at.Operation)))
 	select {
 	case n := <-*coming:
 		*coming = again(n)
--- a/internal/rig/standin/server.go
+++ b/internal/rig/standin/server.go
@@ -89,7 +89,7 @@
 	l.stop()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s.f.rec.Life(audit.Life{Server: l.name, Place: s.def.Name, Start: l.began, End: s.f.now(), Cold: l.cold, Fell: l.fell})
+	s.f.rec.Incarnation(audit.Incarnation{Server: l.name, FirstInstance: s.def.Name, Start: l.began, End: s.f.now(), SlowStart: l.cold, CollapsedAt: l.fell})
 }
 
 // stop closes all that a life has open.
--- a/internal/rig/standin/standin_test.go
+++ b/internal/rig/standin/standin_test.go
@@ -235,7 +235,7 @@
 		r.ask(0, "book", "other")
 		var got []bool
 		for _, a := range r.rec.Records().Attempts {
-			got = append(got, a.Repeat)
+			got = append(got, a.KeyKnown)
 		}
 		if text := fmt.Sprint(got); text != "[false true false true false false]" {
 			r.t.Errorf("dropped: %s", text)
@@ -261,13 +261,13 @@
 			r.t.Fatalf("%+v", list)
 		}
 		ran, turned, late := list[0], list[1], list[2]
-		if ran.Server != "s1" || ran.Op != "trace-1" || ran.Began != ran.Last || !near(ran.End-ran.Began, 10*time.Millisecond) || !ran.MayHaveRun() {
+		if ran.Server != "s1" || ran.Operation != "trace-1" || ran.WorkStarted != ran.LastByte || !near(ran.End-ran.WorkStarted, 10*time.Millisecond) || !ran.MayHaveRun() {
 			r.t.Errorf("ran: %+v", ran)
 		}
-		if turned.Began != audit.Never || !turned.NeverRan || turned.MayHaveRun() || turned.Status != 503 {
+		if turned.WorkStarted != audit.Never || !turned.NeverRan || turned.MayHaveRun() || turned.Status != 503 {
 			r.t.Errorf("turned away: %+v", turned)
 		}
-		if !near(late.Last-late.First, 50*time.Millisecond) || late.Began == audit.Never || !late.Unwanted {
+		if !near(late.LastByte-late.FirstByte, 50*time.Millisecond) || late.WorkStarted == audit.Never || !late.Unwanted {
 			r.t.Errorf("late: %+v", late)
 		}
 	})
@@ -373,13 +373,13 @@
 					}
 				}
 				synctest.Wait()
-				var told []audit.Told
-				for _, n := range r.rec.Records().Told {
+				var told []audit.StateUpdate
+				for _, n := range r.rec.Records().StateUpdates {
 					if n.Server == "s2" {
 						told = append(told, n)
 					}
 				}
-				if len(told) != 2 || told[0].State != audit.Draining || told[0].Sidecar != 1 || told[0].At > c.draining+time.Millisecond {
+				if len(told) != 2 || told[0].State != audit.Draining || told[0].Sidecar != 1 || told[0].ReceivedAt > c.draining+time.Millisecond {
 					r.t.Errorf("told: %+v", told)
 				}
 			})
