--- a/cmd/petrelhook/main.go
+++ b/cmd/petrelhook/main.go
@@ -52,7 +52,7 @@
 		return exitFailed
 	}
 	if options.check {
-		fmt.Fprintf(out, "%s: good: %d classes, %d servers known\n", options.configPath, len(cfg.Profile.Classes), len(cfg.Known.Instances))
+		fmt.Fprintf(out, "%s: good: %d classes, %d servers known\n", options.configPath, len(cfg.Profile.Classes), len(cfg.KnownServers.Instances))
 		return 0
 	}
 	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt) // until here nothing is accepted
--- a/internal/sidecar/wiring/reload.go
+++ b/internal/sidecar/wiring/reload.go
@@ -19,7 +19,7 @@
 		}
 		cfg, err := config.Read(path)
 		if err == nil {
-			err = cfg.For(s.name)
+			err = cfg.CheckName(s.name)
 		}
 		if err != nil {
 			s.log.Error("the configuration stays as it was", "err", err)
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -87,11 +87,11 @@
 			s.lifecycle.Apply(lifecycle.Evacuate)
 		}
 	}
-	budget := membudget.New(cfg.Limits.Messages())
+	budget := membudget.New(cfg.Limits.MessageBytes())
 	servers := s.newServers(cfg, budget)
 	s.core = core.New(core.Config{
 		Module: cfg.Profile.Config, Names: core.Names{Classes: cfg.Profile.Classes, Zones: cfg.Profile.Zones, Kinds: cfg.Profile.Kinds},
-		Known: cfg.Known, Previous: previous, OnServerAvailable: func() { close(s.serverKnown) },
+		Known: cfg.KnownServers, Previous: previous, OnServerAvailable: func() { close(s.serverKnown) },
 	}, s.source(cfg.Discovery), servers, log)
 	settings := frontSettings(cfg, budget)
 	var answerer front.Core = s.core
@@ -100,7 +100,7 @@
 		answerer = s.requestCounts
 	}
 	s.front = platform.New(settings, answerer, s.lifecycle, log)
-	s.limits = lifecycle.ConnectionShare{Clients: settings.Admission.MaxConnections, Servers: cfg.Limits.Servers()}
+	s.limits = lifecycle.ConnectionShare{Clients: settings.Admission.MaxConnections, Servers: cfg.Limits.ServerConnections()}
 	return s
 }
 
@@ -108,9 +108,9 @@
 func (s *Sidecar) newServers(cfg *config.Config, budget *membudget.Budget) upstream.Servers {
 	module := &cfg.Profile.Config
 	settings := http1.Settings{
-		MaxConnections:   cfg.Limits.Servers(),
+		MaxConnections:   cfg.Limits.ServerConnections(),
 		ConnectTimeout:   milliseconds(orDefault(module.ConnectTimeout, defaultConnectTimeoutMS)),
-		IdleTimeout:      milliseconds(idleFraction * orDefault(cfg.Profile.ConnIdle, defaultIdleTimeoutMS)),
+		IdleTimeout:      milliseconds(idleFraction * orDefault(cfg.Profile.ConnectionIdleTime, defaultIdleTimeoutMS)),
 		DrainGrace:       milliseconds(module.DrainGrace),
 		ResponseBudget:   budget,
 		LoadReportFields: cfg.Profile.Fields,
@@ -129,7 +129,7 @@
 // frontSettings are the settings of the front.
 func frontSettings(cfg *config.Config, budget *membudget.Budget) platform.Settings {
 	settings := platform.Settings{
-		Tenants: cfg.Profile.Tenants, MemoryBudget: budget, Admission: admission.Config{MaxConnections: cfg.Limits.Clients()},
+		Tenants: cfg.Profile.Tenants, MemoryBudget: budget, Admission: admission.Config{MaxConnections: cfg.Limits.ClientConnections()},
 	}
 	if cfg.Admin != "" && cfg.Limits.Sockets > 0 { // operators' connections are taken from those of clients
 		settings.Admission.MaxConnections = max(1, settings.Admission.MaxConnections-admin.MaxCalls)
