--- a/internal/coordination/replica/simulation_test.go
+++ b/internal/coordination/replica/simulation_test.go
@@ -52,8 +52,8 @@
 		for i := range 8 { // the leader, for 1.5 to 3 s
 			faults = append(faults, 2+i%2+7*(5+15*(14+int(seed+uint64(i))%16)))
 		}
-		if s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 15 * time.Second, Faults: faults}); s.Wrong != "" {
-			t.Fatalf("seed %d: %s", seed, s.Wrong)
+		if s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 15 * time.Second, Faults: faults}); s.Violation != "" {
+			t.Fatalf("seed %d: %s", seed, s.Violation)
 		}
 	}
 }
@@ -71,10 +71,10 @@
 			faults = nil
 		}
 		s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 15 * time.Second, Faults: faults, Shares: true})
-		if s.Wrong != "" {
-			t.Fatalf("seed %d: %s", seed, s.Wrong)
+		if s.Violation != "" {
+			t.Fatalf("seed %d: %s", seed, s.Violation)
 		}
-		largest = max(largest, s.Largest)
+		largest = max(largest, s.MaxUnitsInUse)
 	}
 	if largest < group.ShareLimit.Units {
 		t.Errorf("%d units at most: the limit is never used up", largest)
@@ -87,14 +87,14 @@
 	t.Parallel()
 	two, disorder := 0, 0
 	for seed := range uint64(schedules(60)) {
-		s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 20 * time.Second, PastTheBound: true})
-		if s.Wrong != "" {
+		s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 20 * time.Second, ClockRateOutOfBounds: true})
+		if s.Violation != "" {
 			two++
 		}
-		if !slices.IsSorted(s.Admitted) {
+		if !slices.IsSorted(s.AdmittedTokens) {
 			t.Errorf("seed %d: the guard admitted out of order", seed)
 		}
-		if s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 20 * time.Second, PastTheBound: true, NoGuard: true}); !slices.IsSorted(s.Admitted) {
+		if s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 20 * time.Second, ClockRateOutOfBounds: true, NoFencing: true}); !slices.IsSorted(s.AdmittedTokens) {
 			disorder++
 		}
 	}
@@ -126,13 +126,13 @@
 		players.Go(func() {
 			for seed := range seeds {
 				s := group.Simulate(group.Options{Seed: seed, Replicas: 3 + 2*int(seed%2), Length: 20 * time.Second})
-				if s.Wrong != "" {
-					wrong.Store(seed, s.Wrong)
+				if s.Violation != "" {
+					wrong.Store(seed, s.Violation)
 				}
 				faults.Add(int64(s.Faults))
 				grants.Add(int64(s.Grants))
-				refused.Add(int64(s.Refused))
-				changes.Add(int64(s.Changes))
+				refused.Add(int64(s.FencedOff))
+				changes.Add(int64(s.HolderChanges))
 			}
 		})
 	}
@@ -152,7 +152,7 @@
 // The same seed gives the same run.
 func TestSameSeedSameRun(t *testing.T) {
 	a, b := group.Simulate(group.Options{Seed: 7, Replicas: 3, Length: 10 * time.Second}), group.Simulate(group.Options{Seed: 7, Replicas: 3, Length: 10 * time.Second})
-	if a.Events != b.Events || a.Grants != b.Grants || !slices.Equal(a.Acts, b.Acts) {
+	if a.Events != b.Events || a.Grants != b.Grants || !slices.Equal(a.Uses, b.Uses) {
 		t.Errorf("%d events and %d grants, then %d and %d", a.Events, a.Grants, b.Events, b.Grants)
 	}
 }
@@ -162,8 +162,8 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		faults := rapid.SliceOfN(rapid.IntRange(0, 1<<20), 0, 20).Draw(t, "faults")
-		if s := group.Simulate(group.Options{Seed: rapid.Uint64Range(0, 1000).Draw(t, "seed"), Replicas: 3, Length: 15 * time.Second, Faults: faults}); s.Wrong != "" {
-			t.Fatal(s.Wrong)
+		if s := group.Simulate(group.Options{Seed: rapid.Uint64Range(0, 1000).Draw(t, "seed"), Replicas: 3, Length: 15 * time.Second, Faults: faults}); s.Violation != "" {
+			t.Fatal(s.Violation)
 		}
 	})
 }
@@ -171,8 +171,8 @@
 // The check can fail: a disk that is written after the response loses a grant that was given.
 func TestAnswersBeforeTheDiskAreCaught(t *testing.T) {
 	for seed := range uint64(60) {
-		if s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 20 * time.Second, NoSync: true}); s.Wrong != "" {
-			t.Logf("seed %d: %s", seed, s.Wrong)
+		if s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 20 * time.Second, NoSync: true}); s.Violation != "" {
+			t.Logf("seed %d: %s", seed, s.Violation)
 			return
 		}
 	}
--- a/internal/rig/group/client.go
+++ b/internal/rig/group/client.go
@@ -11,134 +11,140 @@
 	"petrelhook/internal/coordination/share"
 )
 
+// simClient is a client with one session: it contends for the lease "x", and uses it while it believes that it has it.
 type simClient struct {
-	s       *sim
-	i       int
-	rate    float64
-	holder  *lease.SessionState
-	nonce   int
-	seq     uint64
-	pending *lease.Command // asked until it is answered
-	asked   lease.Instant
-	leader  int
-	token   lease.Token
-	stopped bool
-	taker   *share.Consumer
-	begun   int64
+	sim           *sim
+	index         int
+	clockRate     float64
+	session       *lease.SessionState
+	nonce         int
+	seq           uint64
+	pending       *lease.Command // sent again until it is answered; nil: none
+	pendingSince  lease.Instant  // by its own clock
+	assumedLeader int            // index of a replica
+	token         lease.Token
+	paused        bool
+	consumer      *share.Consumer
+	pendingCall   int64 // true time at which pending was first sent
 }
 
-func (c *simClient) clock() lease.Instant { return lease.Instant(float64(c.s.now) * c.rate) }
+// clock is its own clock, which runs at clockRate.
+func (c *simClient) clock() lease.Instant { return lease.Instant(float64(c.sim.now) * c.clockRate) }
 
-// step is what a client does now and then: it asks again what has no answer, else it renews, acquires or releases.
-func (c *simClient) step() {
-	c.s.after(c.s.between(20*time.Millisecond, 120*time.Millisecond), func() {
-		if !c.stopped {
-			c.act()
-			c.ask()
+// scheduleSteps has the client use its lease and send a request after a random pause, again and again.
+func (c *simClient) scheduleSteps() {
+	c.sim.after(c.sim.uniform(20*time.Millisecond, 120*time.Millisecond), func() {
+		if !c.paused {
+			c.useLease()
+			c.request()
 		}
-		c.step()
+		c.scheduleSteps()
 	})
 }
 
-// act is work under the lease: what a guarded resource is sent may come late.
-func (c *simClient) act() {
-	if c.holder == nil {
+// useLease writes to the protected resource while the client believes that it holds the lease. It checks that no other client
+// believes the same. The write may arrive late; the resource rejects a token below the highest one that it has seen.
+func (c *simClient) useLease() {
+	if c.session == nil {
 		return
 	}
-	token, _, ok := c.holder.Held("x", c.clock())
+	token, _, ok := c.session.Held("x", c.clock())
 	if !ok {
 		return
 	}
-	for _, other := range c.s.clients {
-		if other == c || other.holder == nil {
+	for _, other := range c.sim.clients {
+		if other == c || other.session == nil {
 			continue
 		}
-		if t, _, ok := other.holder.Held("x", other.clock()); ok {
-			c.s.Wrong = fmt.Sprintf("at %v clients %d and %d hold, with %d and %d", c.s.now, c.i, other.i, token, t)
+		if t, _, ok := other.session.Held("x", other.clock()); ok {
+			c.sim.Violation = fmt.Sprintf("at %v clients %d and %d both hold the lease, with tokens %d and %d", c.sim.now, c.index, other.index, token, t)
 		}
 	}
-	c.s.Acts = append(c.s.Acts, Act{c.i, token, c.s.now})
-	c.s.after(c.s.between(0, 3*time.Second), func() { // it gets there some time
-		if token < c.s.guard && !c.s.o.NoGuard {
-			c.s.Refused++
+	c.sim.Uses = append(c.sim.Uses, Use{c.index, token, c.sim.now})
+	c.sim.after(c.sim.uniform(0, 3*time.Second), func() { // the write arrives
+		if token < c.sim.highestToken && !c.sim.options.NoFencing {
+			c.sim.FencedOff++
 			return
 		}
-		c.s.Admitted = append(c.s.Admitted, token)
-		if token > c.s.guard {
-			c.s.Changes++
+		c.sim.AdmittedTokens = append(c.sim.AdmittedTokens, token)
+		if token > c.sim.highestToken {
+			c.sim.HolderChanges++
 		}
-		c.s.guard = max(c.s.guard, token)
+		c.sim.highestToken = max(c.sim.highestToken, token)
 	})
 }
 
-func (c *simClient) ask() {
-	if c.s.rand.IntN(3) == 0 {
-		c.leader = c.s.rand.IntN(len(c.s.replicas))
+// request sends the pending command again, or else a new one: a session is opened, or the lease acquired or released. While
+// the session lives it is kept alive besides.
+func (c *simClient) request() {
+	if c.sim.rand.IntN(3) == 0 {
+		c.assumedLeader = c.sim.rand.IntN(len(c.sim.replicas))
 	}
 	switch {
-	case c.holder == nil || c.holder.Expiry() <= c.clock() && c.pending == nil:
-		if c.holder != nil {
-			c.holder, c.token = nil, 0
+	case c.session == nil || c.session.Expiry() <= c.clock() && c.pending == nil:
+		if c.session != nil {
+			c.session, c.token = nil, 0
 		}
 		if c.pending == nil || c.pending.Kind != lease.Open {
 			c.nonce++
-			c.pending = &lease.Command{Kind: lease.Open, Nonce: fmt.Sprint("client", c.i, "-", c.nonce), Owner: "same", TTL: simTTL}
-			c.seq, c.asked, c.begun = 0, c.clock(), int64(c.s.now)
+			c.pending = &lease.Command{Kind: lease.Open, Nonce: fmt.Sprint("client", c.index, "-", c.nonce), Owner: "same", TTL: simTTL}
+			c.seq, c.pendingSince, c.pendingCall = 0, c.clock(), int64(c.sim.now)
 		}
 	case c.pending == nil:
-		c.renew()
-		_, _, held := c.holder.Held("x", c.clock())
+		c.keepAlive()
+		_, _, held := c.session.Held("x", c.clock())
 		if c.token != 0 && !held {
 			c.token = 0
 		}
-		if held && c.s.rand.IntN(4) == 0 {
+		if held && c.sim.rand.IntN(4) == 0 {
 			token := c.token
-			c.holder.Forget("x")
-			c.begin(&lease.Command{Kind: lease.Release, Name: "x", Token: token})
+			c.session.Forget("x")
+			c.submitNext(&lease.Command{Kind: lease.Release, Name: "x", Token: token})
 			c.token = 0
 		} else if !held {
-			c.begin(&lease.Command{Kind: lease.Acquire, Name: "x", Wait: c.i%2 == 0})
+			c.submitNext(&lease.Command{Kind: lease.Acquire, Name: "x", Wait: c.index%2 == 0})
 		} else {
 			return
 		}
 	default:
-		c.renew()
+		c.keepAlive()
 	}
-	cmd, holder := *c.pending, c.holder
-	c.to(func(r *simReplica, reply func(func())) {
-		r.core.Submit(replica.Request{Command: &cmd, Done: func(a replica.Response) { reply(func() { c.answered(cmd, holder, a) }) }})
+	command, session := *c.pending, c.session
+	c.callLeader(func(r *simReplica, reply func(func())) {
+		r.core.Submit(replica.Request{Command: &command, Done: func(a replica.Response) { reply(func() { c.handleResponse(command, session, a) }) }})
 	})
 }
 
-func (c *simClient) begin(cmd *lease.Command) {
+// submitNext makes a command of the session the pending one.
+func (c *simClient) submitNext(command *lease.Command) {
 	c.seq++
-	cmd.Session, cmd.Seq = c.holder.Session, c.seq
-	c.pending, c.begun = cmd, int64(c.s.now)
-	if cmd.Kind == lease.Acquire {
-		c.holder.BeginWait("x", c.clock())
+	command.Session, command.Seq = c.session.Session, c.seq
+	c.pending, c.pendingCall = command, int64(c.sim.now)
+	if command.Kind == lease.Acquire {
+		c.session.BeginWait("x", c.clock())
 	}
 }
 
-// renew asks whether the session lives.
-func (c *simClient) renew() {
-	if c.holder == nil {
+// keepAlive renews the session; the response may bring a grant that the client waits for.
+func (c *simClient) keepAlive() {
+	if c.session == nil {
 		return
 	}
-	asked, holder, known := c.clock(), c.holder, c.holder.KnownVersion()
-	c.to(func(r *simReplica, reply func(func())) {
-		r.core.Submit(replica.Request{KeepAlive: &replica.KeepAlive{Session: holder.Session, KnownVersion: known}, Done: func(a replica.Response) {
+	sentAt, session, knownVersion := c.clock(), c.session, c.session.KnownVersion()
+	c.callLeader(func(r *simReplica, reply func(func())) {
+		r.core.Submit(replica.Request{KeepAlive: &replica.KeepAlive{Session: session.Session, KnownVersion: knownVersion}, Done: func(a replica.Response) {
 			reply(func() {
-				if c.holder != holder || a.Err != nil {
+				if c.session != session || a.Err != nil {
 					return
 				}
 				if !a.SessionAlive {
-					holder.Invalidate()
+					session.Invalidate()
 					c.pending = nil
 					return
 				}
-				for _, g := range holder.ApplyKeepAlive(asked, a.Grants, a.GrantsVersion) {
+				for _, g := range session.ApplyKeepAlive(sentAt, a.Grants, a.GrantsVersion) {
 					if c.pending == nil || c.pending.Kind != lease.Acquire {
-						c.s.Wrong = fmt.Sprintf("at %v client %d has a grant that it does not wait for", c.s.now, c.i)
+						c.sim.Violation = fmt.Sprintf("at %v client %d got a grant that it does not wait for", c.sim.now, c.index)
 						return
 					}
 					c.granted(*c.pending, g.Token)
@@ -149,15 +155,16 @@
 	})
 }
 
-// to asks the replica that is taken for the leader.
-func (c *simClient) to(ask func(r *simReplica, reply func(func()))) {
-	me, r := len(c.s.replicas)+c.i, c.s.replicas[c.leader]
-	c.s.carry(me, r.i, func() {
+// callLeader runs call at the replica that the client assumes to lead. What call passes to reply runs at the client when the
+// response arrives. Both messages may be lost, delayed or duplicated.
+func (c *simClient) callLeader(call func(r *simReplica, reply func(func()))) {
+	self, r := len(c.sim.replicas)+c.index, c.sim.replicas[c.assumedLeader]
+	c.sim.deliver(self, r.index, func() {
 		r.run(func() {
-			ask(r, func(heard func()) {
-				c.s.carry(r.i, me, func() {
-					if !c.stopped {
-						heard()
+			call(r, func(receive func()) {
+				c.sim.deliver(r.index, self, func() {
+					if !c.paused {
+						receive()
 					}
 				})
 			})
@@ -165,39 +172,41 @@
 	})
 }
 
-func (c *simClient) answered(cmd lease.Command, holder *lease.SessionState, a replica.Response) {
-	if a.Err != nil {
-		if a.Leader > 0 {
-			c.leader = int(a.Leader) - 1
+// handleResponse applies the response to a command, unless that is no longer the pending one.
+func (c *simClient) handleResponse(command lease.Command, session *lease.SessionState, response replica.Response) {
+	if response.Err != nil {
+		if response.Leader > 0 {
+			c.assumedLeader = int(response.Leader) - 1
 		}
 		return
 	}
-	if c.pending == nil || c.holder != holder || cmd != *c.pending { // an answer to what was asked before
+	if c.pending == nil || c.session != session || command != *c.pending { // the response to an earlier command
 		return
 	}
 	switch {
-	case cmd.Kind == lease.Open && a.Answer.Status == lease.OK:
-		c.holder = lease.NewSessionState(c.asked, a.Answer.Session, simTTL)
-	case a.Answer.Status == lease.NoSession:
-		holder.Invalidate()
-	case cmd.Kind == lease.Acquire && a.Answer.Status == lease.Waiting:
-		return // it goes on asking; the grant comes with a renewal
-	case cmd.Kind == lease.Acquire && a.Answer.Status == lease.OK:
-		c.granted(cmd, a.Answer.Token)
-	case cmd.Kind == lease.Release:
-		c.record(cmd, a.Answer)
+	case command.Kind == lease.Open && response.Answer.Status == lease.OK:
+		c.session = lease.NewSessionState(c.pendingSince, response.Answer.Session, simTTL)
+	case response.Answer.Status == lease.NoSession:
+		session.Invalidate()
+	case command.Kind == lease.Acquire && response.Answer.Status == lease.Waiting:
+		return // it stays pending; the grant comes with a keep-alive
+	case command.Kind == lease.Acquire && response.Answer.Status == lease.OK:
+		c.granted(command, response.Answer.Token)
+	case command.Kind == lease.Release:
+		c.record(command, response.Answer)
 	}
 	c.pending = nil
 }
 
-func (c *simClient) granted(cmd lease.Command, token lease.Token) {
-	c.holder.ApplyGrant(c.clock(), "x", token) // once more where a renewal brought it
+// granted stores the grant of the lease and records it in the history.
+func (c *simClient) granted(command lease.Command, token lease.Token) {
+	c.session.ApplyGrant(c.clock(), "x", token) // a second time where a keep-alive brought it
 	c.token = token
-	c.s.Grants++
-	c.record(cmd, lease.Answer{Status: lease.OK, Token: token})
+	c.sim.Grants++
+	c.record(command, lease.Answer{Status: lease.OK, Token: token})
 }
 
-// record adds to the history that porcupine judges: tokens in the order of a register that only grows.
-func (c *simClient) record(cmd lease.Command, a lease.Answer) {
-	c.s.History = append(c.s.History, porcupine.Operation{ClientId: c.i, Input: cmd, Call: c.begun, Output: a, Return: int64(c.s.now)})
+// record adds an operation to the history that porcupine checks against Model.
+func (c *simClient) record(command lease.Command, answer lease.Answer) {
+	c.sim.History = append(c.sim.History, porcupine.Operation{ClientId: c.index, Input: command, Call: c.pendingCall, Output: answer, Return: int64(c.sim.now)})
 }
--- a/internal/rig/group/group.go
+++ b/internal/rig/group/group.go
@@ -1,7 +1,11 @@
-// Package group is a whole group of replicas in virtual time, from one seed: replicas that crash and lose what was not synced, links
-// that are cut in either direction, lose, delay, double and reorder, processes that stop and go on, clocks of different rates, and
-// clients that contend for a lease. Simulate plays it and judges it: nobody believes beside another, and the history is that of one
-// lease (porcupine).
+// Package group simulates a group of coordinator replicas and its clients in virtual time, from one seed: replicas crash and lose
+// what was not synced; links are partitioned in either direction, lose, delay, duplicate and reorder messages; processes pause and
+// resume; clocks run at different rates; clients contend for one lease. Simulate checks that no two clients believe at the same
+// time that they hold the lease, that the history is that of one lease (porcupine, Model), and with Options.Shares that clients
+// together never use more than the limit.
+//
+// A run is one goroutine over a heap of events. It depends on its Options alone: the order of random draws and of scheduled events
+// is part of what a seed means, and a change of it changes all recorded schedules.
 package group
 
 import (
@@ -20,26 +24,31 @@
 	"petrelhook/internal/coordination/share"
 )
 
-// Options are what is played. The last three are left out of the world, to show that the judge can fail.
+// Options say what is simulated. NoSync, NoFencing and ClockRateOutOfBounds each remove a safeguard or break an assumption, to
+// show that the checks can fail.
 type Options struct {
 	Seed     uint64
 	Replicas int
 	Length   time.Duration
-	Faults   []int // in this order; nil: they are drawn
+	Faults   []int // numbers as inject takes them, in this order; nil: drawn
 
-	NoSync, NoGuard, PastTheBound bool
+	NoSync, NoFencing, ClockRateOutOfBounds bool
 
-	Shares bool // clients take parts of a limit as well
+	Shares bool // clients request allocations of ShareLimit as well
 }
 
-// Outcome is what came of it.
+// Outcome is the result of a simulation.
 type Outcome struct {
-	Wrong                                    string // "": nothing
-	Events, Faults, Grants, Refused, Changes int    // Refused: acts that the guard refused; Changes: of holder, as it saw them
-	Acts                                     []Act
-	Admitted                                 []lease.Token // acts, as they came
-	Largest                                  int           // units of the limit that clients believed in at once, of ShareLimit
-	History                                  []porcupine.Operation
+	Violation      string // the first check that failed; "": none
+	Events         int    // that were scheduled
+	Faults         int
+	Grants         int
+	FencedOff      int           // writes that the resource rejected for their token
+	HolderChanges  int           // writes with a larger token than all before, at the resource
+	Uses           []Use         // in order of time
+	AdmittedTokens []lease.Token // of the writes that the resource admitted, as they arrived
+	MaxUnitsInUse  int           // largest sum of units that clients believed in at one time, of ShareLimit
+	History        []porcupine.Operation
 }
 
 const (
@@ -47,17 +56,19 @@
 	simTTL  = 900 * time.Millisecond
 )
 
+// event is a function that runs at a virtual time; sequence orders events of the same time.
 type event struct {
-	at time.Duration
-	n  int
-	do func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
+// events is a heap (container/heap) by time, then sequence.
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -67,37 +78,41 @@
 	return x
 }
 
+// sim is the state of one simulation.
 type sim struct {
 	Outcome
-	o        Options
-	rand     *rand.Rand
-	now      time.Duration // true time
-	n        int
-	events   events
-	replicas []*simReplica
-	clients  []*simClient
-	cut      map[[2]int]bool // from, to; clients come after the replicas
-	guard    lease.Token
+	options      Options
+	rand         *rand.Rand
+	now          time.Duration // true time
+	scheduled    int
+	events       events
+	replicas     []*simReplica
+	clients      []*simClient
+	partitioned  map[[2]int]bool // from, to; clients come after the replicas
+	highestToken lease.Token
 }
 
-// Act is a moment at which a client believed that it holds the lease.
-type Act struct {
+// Use is a moment at which a client believed that it holds the lease.
+type Use struct {
 	Client int
 	Token  lease.Token
-	At     time.Duration // of true time
+	Time   time.Duration // of true time
 }
 
-func (s *sim) after(d time.Duration, do func()) {
-	s.n++
-	heap.Push(&s.events, event{s.now + d, s.n, do})
+// after schedules an event.
+func (s *sim) after(delay time.Duration, do func()) {
+	s.scheduled++
+	heap.Push(&s.events, event{s.now + delay, s.scheduled, do})
 }
 
-func (s *sim) between(a, b time.Duration) time.Duration {
-	return a + time.Duration(s.rand.Int64N(int64(b-a)))
+// uniform draws a duration from low up to, not including, high.
+func (s *sim) uniform(low, high time.Duration) time.Duration {
+	return low + time.Duration(s.rand.Int64N(int64(high-low)))
 }
 
-// carry carries something from one to another: it may be lost, late, and twice.
-func (s *sim) carry(from, to int, do func()) {
+// deliver runs do at the receiver of a message, after a delay. A message may be lost, duplicated or delayed long; one that arrives
+// while its direction is partitioned is dropped.
+func (s *sim) deliver(from, to int, do func()) {
 	if s.rand.IntN(50) == 0 {
 		return
 	}
@@ -106,67 +121,68 @@
 		copies = 2
 	}
 	for range copies {
-		d := s.between(time.Millisecond, 12*time.Millisecond)
+		delay := s.uniform(time.Millisecond, 12*time.Millisecond)
 		if s.rand.IntN(25) == 0 {
-			d += s.between(0, 700*time.Millisecond)
+			delay += s.uniform(0, 700*time.Millisecond)
 		}
-		s.after(d, func() {
-			if !s.cut[[2]int{from, to}] {
+		s.after(delay, func() {
+			if !s.partitioned[[2]int{from, to}] {
 				do()
 			}
 		})
 	}
 }
 
-func (s *sim) send(from int, m *pb.Message) {
-	to := int(m.GetTo()) - 1
-	m = proto.Clone(m).(*pb.Message)
-	if m.GetType() == pb.MessageType_MsgSnap {
-		s.replicas[from].core.ReportSnapshot(m.GetTo(), true)
+// send delivers a raft message of a replica to another.
+func (s *sim) send(from int, message *pb.Message) {
+	to := int(message.GetTo()) - 1
+	message = proto.Clone(message).(*pb.Message)
+	if message.GetType() == pb.MessageType_MsgSnap {
+		s.replicas[from].core.ReportSnapshot(message.GetTo(), true)
 	}
-	s.carry(from, to, func() {
+	s.deliver(from, to, func() {
 		r := s.replicas[to]
-		copied := proto.Clone(m).(*pb.Message)
+		copied := proto.Clone(message).(*pb.Message)
 		r.run(func() { r.core.Step(copied) })
 	})
 }
 
-// Simulate plays a group for some true time and judges what was.
+// Simulate runs a group for Options.Length of true time, or until a check fails.
 func Simulate(o Options) *Outcome {
-	s := &sim{o: o, rand: rand.New(rand.NewPCG(o.Seed, 1)), cut: map[[2]int]bool{}}
+	s := &sim{options: o, rand: rand.New(rand.NewPCG(o.Seed, 1)), partitioned: map[[2]int]bool{}}
 	var members []replica.Member
 	for i := range o.Replicas {
 		members = append(members, replica.Member{ID: uint64(i + 1)})
 	}
 	first := replica.InitialState(members, lease.NewState())
 	for i := range o.Replicas {
-		s.replicas = append(s.replicas, &simReplica{s: s, i: i, rate: []float64{1, 1.0099}[s.rand.IntN(2)], disk: *first})
+		s.replicas = append(s.replicas, &simReplica{sim: s, index: i, clockRate: []float64{1, 1.0099}[s.rand.IntN(2)], disk: *first})
 	}
 	for _, r := range s.replicas {
 		r.start()
 	}
 	for i := range 4 {
-		c := &simClient{s: s, i: i, rate: []float64{1, 1.0099}[s.rand.IntN(2)]}
-		if o.PastTheBound {
-			c.rate = 0.6
+		c := &simClient{sim: s, index: i, clockRate: []float64{1, 1.0099}[s.rand.IntN(2)]}
+		if o.ClockRateOutOfBounds {
+			c.clockRate = 0.6
 		}
 		s.clients = append(s.clients, c)
-		c.step()
+		c.scheduleSteps()
 		if o.Shares {
-			c.taker = share.NewConsumer(ShareLimit, fmt.Sprint(i), 1)
-			c.take()
+			c.consumer = share.NewConsumer(ShareLimit, fmt.Sprint(i), 1)
+			c.scheduleShareRequests()
 		}
 	}
-	s.trouble(o.Faults)
-	for s.now < o.Length && s.Wrong == "" && len(s.events) > 0 {
+	s.scheduleFaults(o.Faults)
+	for s.now < o.Length && s.Violation == "" && len(s.events) > 0 {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 	slices.SortStableFunc(s.History, func(a, b porcupine.Operation) int { return int(a.Return - b.Return) })
-	if s.Wrong == "" && porcupine.CheckOperationsTimeout(Model, s.History, 10*time.Second) == porcupine.Illegal {
-		s.Wrong = "the history is not that of one lease"
+	if s.Violation == "" && porcupine.CheckOperationsTimeout(Model, s.History, 10*time.Second) == porcupine.Illegal {
+		s.Violation = "the history is not that of one lease"
 	}
-	s.Events = s.n
+	s.Events = s.scheduled
 	return &s.Outcome
 }
--- a/internal/rig/group/model.go
+++ b/internal/rig/group/model.go
@@ -6,19 +6,19 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// grantee is the state of the model: the last grant, and whose it is.
-type grantee struct {
+// lastGrant is the state of the model: the last grant, and whose it is.
+type lastGrant struct {
 	token   lease.Token
 	session lease.SessionID
 }
 
-// Model is a lease whose sessions may end at any time: a grant has a new token, or is the last one told again to its session; a release
-// that is answered with ok was of the last.
+// Model is a lease whose sessions may end at any time: a grant has a larger token than all before, or repeats the last grant to the
+// same session; a release that succeeds is of the last grant.
 var Model = porcupine.Model{
-	Init: func() any { return grantee{} },
+	Init: func() any { return lastGrant{} },
 	Step: func(state, in, out any) (bool, any) {
-		last, cmd, a := state.(grantee), in.(lease.Command), out.(lease.Answer)
-		switch now := (grantee{a.Token, cmd.Session}); {
+		last, cmd, a := state.(lastGrant), in.(lease.Command), out.(lease.Answer)
+		switch now := (lastGrant{a.Token, cmd.Session}); {
 		case cmd.Kind == lease.Acquire:
 			return a.Token > last.token || now == last, now
 		case a.Status == lease.OK:
