--- a/cmd/petrelhookctl/scale.go
+++ b/cmd/petrelhookctl/scale.go
@@ -43,13 +43,13 @@
 			if output != "text" && output != "json" {
 				return fmt.Errorf("--output: %q is neither text nor json", output)
 			}
-			if o.Memory, err = budget(memory); err != nil {
+			if o.MemoryLimitBytes, err = budget(memory); err != nil {
 				return err
 			}
 			if err := o.Check(); err != nil {
 				return err
 			}
-			if o.Bin, err = binaries(o.Bin); err != nil {
+			if o.ProgramDir, err = binaries(o.ProgramDir); err != nil {
 				return runError{err}
 			}
 			if f, ok := cmd.ErrOrStderr().(*os.File); ok && isTerminal(f) {
@@ -68,22 +68,22 @@
 }
 
 func addScaleFlags(f *pflag.FlagSet, o *scale.Options) {
-	f.StringVar(&o.Bin, "bin", "", "`FOLDER` of the programs (default: that of this program)")
+	f.StringVar(&o.ProgramDir, "bin", "", "`FOLDER` of the programs (default: that of this program)")
 	f.StringSliceVar(&o.Workloads, "workloads", scale.Workloads, "what members do")
 	f.IntSliceVar(&o.Sizes, "sizes", []int{250, 500, 1000, 2000, 4000}, "members; a fit is made of these")
-	f.IntVar(&o.Beyond, "check", 12_000, "a larger size, with which a fit is checked; 0: none")
+	f.IntVar(&o.CheckSize, "check", 12_000, "a larger size, with which a fit is checked; 0: none")
 	f.IntVar(&o.Runs, "runs", 3, "of each workload at each size")
-	f.IntVar(&o.Real, "real", 0, "machines with a real agent and sidecar beside hollow members")
-	f.DurationVar(&o.Steady, "steady", 4*time.Second, "for how long a fleet is measured once all have joined")
+	f.IntVar(&o.RealMachines, "real", 0, "machines with a real agent and sidecar beside hollow members")
+	f.DurationVar(&o.Window, "steady", 4*time.Second, "for how long a fleet is measured once all have joined")
 	f.Uint64Var(&o.Seed, "seed", 1, "the same draws the same members")
-	f.DurationVar(&o.Within, "within", 40*time.Minute, "for how long it may run; the default sizes and runs take about 30m")
+	f.DurationVar(&o.Timeout, "within", 40*time.Minute, "for how long it may run; the default sizes and runs take about 30m")
 }
 
 // scaleMembersCommand is the program of the hollow members' processes, which scale starts.
 func scaleMembersCommand() *cobra.Command {
 	return &cobra.Command{Use: "members", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := scale.Members(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout()); err != nil {
+			if err := scale.ServeMembers(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout()); err != nil {
 				return runError{err}
 			}
 			return nil
@@ -94,7 +94,7 @@
 func scaleMinderCommand() *cobra.Command {
 	return &cobra.Command{Use: "minder FOLDER", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := scale.Mind(cmd.Context(), args[0], cmd.InOrStdin()); err != nil {
+			if err := scale.MindSidecars(cmd.Context(), args[0], cmd.InOrStdin()); err != nil {
 				return runError{err}
 			}
 			return nil
--- a/internal/rig/scale/agents.go
+++ b/internal/rig/scale/agents.go
@@ -21,41 +21,40 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// agents are hollow agents of one process. Each listens, and answers a driver's looks and orders as an agent does
-// that is in charge of one sidecar; the sidecar says yes at once, and serves some requests a second. There is no
-// process, no disk and no settings.
+// agents are the hollow agents of one process. Each listens, and answers a driver's polls and orders as the agent of one sidecar
+// does; the sidecar carries out orders at once and serves some requests a second. There is no sidecar process, disk or settings.
 type agents struct {
-	application string
-	all         []*hollowAgent
-	at          map[string]*hollowAgent // by where it listens
-	server      *http.Server
-	serving     sync.WaitGroup
-	in, out     atomic.Uint64 // bytes
-	open        atomic.Int64
+	application       string
+	all               []*hollowAgent
+	byAddr            map[string]*hollowAgent // by its address
+	server            *http.Server
+	serving           sync.WaitGroup
+	bytesIn, bytesOut atomic.Uint64 // bytes
+	open              atomic.Int64
 
 	mu      sync.Mutex
-	changed chan struct{} // closed when an agent has been looked at or has carried an order out
+	changed chan struct{} // closed, and made anew, when an agent has been polled or has carried out an order
 }
 
-// hollowAgent is one, owned by agents.mu.
+// hollowAgent is one agent, guarded by agents.mu.
 type hollowAgent struct {
 	member
-	addr   string
-	fence  rollout.Fence
-	report rollout.Report
-	starts uint64
-	began  time.Time
-	since  int64 // when it began to run what it runs
-	looks  uint64
-	calls  uint64
+	addr         string
+	fence        rollout.Fence
+	report       rollout.Report
+	starts       uint64
+	began        time.Time
+	releaseSince int64 // when its sidecar began to run its release, in ns of the machine's monotonic clock
+	polls        uint64
+	calls        uint64
 }
 
-// joinAgents returns when each listens.
+// joinAgents returns when each agent listens.
 func joinAgents(j *join) (_ *agents, err error) {
-	a := &agents{application: j.Application, at: map[string]*hollowAgent{}, changed: make(chan struct{})}
+	a := &agents{application: j.Application, byAddr: map[string]*hollowAgent{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	rpc.Handle(mux, machine.PathStatus, maxAgentCall, a.look)
-	rpc.Handle(mux, machine.PathOrder, maxAgentCall, a.order)
+	rpc.Handle(mux, machine.PathStatus, maxAgentRequestBytes, a.status)
+	rpc.Handle(mux, machine.PathOrder, maxAgentRequestBytes, a.order)
 	a.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second,
 		IdleTimeout: time.Minute}
 	defer func() {
@@ -71,24 +70,25 @@
 		h := &hollowAgent{member: drawMember(j.Seed, j.Members.First+i), addr: ln.Addr().String(), began: time.Now()}
 		h.report = rollout.Report{Sidecar: h.Name, Release: j.Release, Ready: true}
 		a.all = append(a.all, h)
-		a.at[h.addr] = h
+		a.byAddr[h.addr] = h
 		a.serving.Go(func() { _ = a.server.Serve(&countedListener{ln, a}) })
 	}
 	return a, nil
 }
 
-// maxAgentCall is the bound that an agent has for a call.
-const maxAgentCall = 64 << 10
+// maxAgentRequestBytes is the bound that a real agent has for a request.
+const maxAgentRequestBytes = 64 << 10
 
+// close ends the listeners and connections.
 func (a *agents) close() {
-	a.server.Close()
+	_ = a.server.Close() // ends the connections too; nothing is to be saved
 	a.serving.Wait()
 }
 
-// hears finds who was called, and checks a call as an agent does. The caller holds mu.
-func (a *agents) hears(ctx context.Context, version int, application string) (*hollowAgent, error) {
+// authorize finds the agent that was called, and checks the call as a real agent does. The caller holds mu.
+func (a *agents) authorize(ctx context.Context, version int, application string) (*hollowAgent, error) {
 	addr, _ := ctx.Value(http.LocalAddrContextKey).(net.Addr)
-	h := a.at[fmt.Sprint(addr)]
+	h := a.byAddr[fmt.Sprint(addr)]
 	switch {
 	case h == nil:
 		return nil, connect.NewError(connect.CodeNotFound, fmt.Errorf("no agent is at %v", addr))
@@ -103,10 +103,11 @@
 	return h, nil
 }
 
-func (a *agents) look(ctx context.Context, in *machine.StatusRequest) (*machine.Status, error) {
+// status serves machine.PathStatus.
+func (a *agents) status(ctx context.Context, in *machine.StatusRequest) (*machine.Status, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h, err := a.hears(ctx, in.Version, in.Application)
+	h, err := a.authorize(ctx, in.Version, in.Application)
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +116,7 @@
 			return nil, connect.NewError(connect.CodeAborted, err)
 		}
 	}
-	h.looks++
+	h.polls++
 	a.wake()
 	text, err := json.Marshal(h.counts())
 	return &machine.Status{Sidecars: []machine.SidecarStatus{{
@@ -125,7 +126,8 @@
 	}}}, err
 }
 
-// counts are those of a sidecar that serves 50 requests a second of three classes, in a sixth of the steps of time.
+// counts are those of a sidecar that serves 50 requests a second of three classes; latencies are spread over a sixth of the
+// buckets.
 func (h *hollowAgent) counts() (all []counts.Class) {
 	served := uint64(time.Since(h.began) / (20 * time.Millisecond))
 	for i, name := range classes {
@@ -139,13 +141,14 @@
 	return all
 }
 
-// classes are the names of a sidecar's.
+// classes are the names of a sidecar's request classes.
 var classes = []string{"look", "book", "void"}
 
+// order serves machine.PathOrder.
 func (a *agents) order(ctx context.Context, in *machine.Order) (*machine.OrderResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h, err := a.hears(ctx, in.Version, in.Application)
+	h, err := a.authorize(ctx, in.Version, in.Application)
 	if err != nil {
 		return nil, err
 	}
@@ -160,13 +163,13 @@
 	if !known {
 		h.report.CompletedOrder, h.report.Release = in.Order.Number, in.Order.Release
 		h.starts++
-		h.began, h.since = time.Now(), int64(monotonic.Now())
+		h.began, h.releaseSince = time.Now(), int64(monotonic.Now())
 		a.wake()
 	}
 	return &machine.OrderResponse{Known: known}, nil
 }
 
-// wake tells who waits. The caller holds mu.
+// wake wakes await. The caller holds mu.
 func (a *agents) wake() {
 	close(a.changed)
 	a.changed = make(chan struct{})
@@ -175,24 +178,24 @@
 func (a *agents) sample() (*sample, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := &sample{At: int64(monotonic.Now())}
-	t := traffic{In: a.out.Load(), Out: a.in.Load(), Open: int(a.open.Load())}
+	n := &sample{Time: int64(monotonic.Now())}
+	t := traffic{In: a.bytesOut.Load(), Out: a.bytesIn.Load(), Open: int(a.open.Load())}
 	for i, h := range a.all {
-		t.MessagesIn += h.calls // each was answered
-		if t.MessagesOut += h.calls; i == 0 || h.looks < n.Least {
-			n.Least = h.looks
+		t.MessagesIn += h.calls // each got a response
+		if t.MessagesOut += h.calls; i == 0 || h.polls < n.MinPolls {
+			n.MinPolls = h.polls
 		}
 	}
-	n.Of = map[string]traffic{driverEnd: t}
+	n.Traffic = map[string]traffic{driverEnd: t}
 	return n, nil
 }
 
-// await waits until something holds of all agents, and gives since when each runs what it runs.
-func (a *agents) await(ctx context.Context, w *await) (since []int64, err error) {
+// await waits until a condition holds for all agents. If it names a release, since is when each began to run it.
+func (a *agents) await(ctx context.Context, w *condition) (since []int64, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for next := 0; next < len(a.all); { // those before hold: looks only grow, and nobody changes twice meanwhile
-		if h := a.all[next]; h.looks >= w.Calls && (w.Release == "" || h.report.Release == w.Release) {
+	for next := 0; next < len(a.all); { // it holds for those before next for good: polls only grow, and no sidecar changes twice meanwhile
+		if h := a.all[next]; h.polls >= w.Calls && (w.Release == "" || h.report.Release == w.Release) {
 			next++
 			continue
 		}
@@ -210,7 +213,7 @@
 	}
 	if w.Release != "" {
 		for _, h := range a.all {
-			since = append(since, h.since)
+			since = append(since, h.releaseSince)
 		}
 	}
 	return since, nil
@@ -223,10 +226,10 @@
 	return all
 }
 
-// countedListener gives connections whose bytes are counted.
+// countedListener accepts connections whose bytes are counted.
 type countedListener struct {
 	net.Listener
-	a *agents
+	agents *agents
 }
 
 func (l *countedListener) Accept() (net.Conn, error) {
@@ -234,6 +237,6 @@
 	if err != nil {
 		return nil, err
 	}
-	l.a.open.Add(1)
-	return &countedConn{Conn: c, read: &l.a.in, written: &l.a.out, open: &l.a.open}, nil
+	l.agents.open.Add(1)
+	return &countedConn{Conn: c, read: &l.agents.bytesIn, written: &l.agents.bytesOut, open: &l.agents.open}, nil
 }
--- a/internal/rig/scale/agents_test.go
+++ b/internal/rig/scale/agents_test.go
@@ -38,7 +38,7 @@
 		}
 		return res.Msg.Known, nil
 	}
-	holds := func(w await, done int) { // of three
+	holds := func(w condition, done int) { // of three
 		t.Helper()
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
@@ -48,13 +48,13 @@
 		}
 	}
 	good := machine.StatusRequest{Version: machine.Version, Application: "app", Token: 4}
-	holds(await{Calls: 1}, 0)
+	holds(condition{Calls: 1}, 0)
 	for i := range 3 {
 		seen, err := look(i, good)
 		if err != nil || len(seen.Sidecars) != 1 || seen.Sidecars[0].Sidecar != drawMember(1, 5+i).Name || seen.Sidecars[0].Release != "old" || !seen.Sidecars[0].Ready {
 			t.Errorf("%v: %+v", err, seen)
 		}
-		holds(await{Calls: 1}, i+1)
+		holds(condition{Calls: 1}, i+1)
 	}
 	for want, in := range map[connect.Code]machine.StatusRequest{
 		connect.CodeAborted:            {Version: machine.Version, Application: "app", Token: 3},
@@ -64,7 +64,7 @@
 			t.Errorf("%+v: %v", in, err)
 		}
 	}
-	holds(await{Release: "new"}, 0)
+	holds(condition{Release: "new"}, 0)
 	for i := range 3 {
 		o := rollout.Order{Number: 7, Sidecar: drawMember(1, 5+i).Name, Release: "new"}
 		known, err := order(i, o)
@@ -72,16 +72,16 @@
 		if err != nil || known || twice != nil || !again {
 			t.Errorf("%v %v, %v %v", known, err, again, twice)
 		}
-		holds(await{Release: "new"}, i+1)
+		holds(condition{Release: "new"}, i+1)
 	}
 	if _, err := order(0, rollout.Order{Number: 8, Sidecar: "x", Release: "old"}); connect.CodeOf(err) != connect.CodeNotFound {
 		t.Error(err)
 	}
 	s, err := a.sample()
-	if at := s.Of[driverEnd]; err != nil || s.Least != 1 || at.MessagesIn != 11 || at.MessagesOut != 11 || at.Open != 3 || at.In < 11*100 || at.Out < 11*100 {
+	if at := s.Traffic[driverEnd]; err != nil || s.MinPolls != 1 || at.MessagesIn != 11 || at.MessagesOut != 11 || at.Open != 3 || at.In < 11*100 || at.Out < 11*100 {
 		t.Errorf("%v: %+v", err, s)
 	}
-	since, err := a.await(t.Context(), &await{Release: "new"})
+	since, err := a.await(t.Context(), &condition{Release: "new"})
 	if err != nil || len(since) != 3 || since[0] == 0 || since[0] > since[1] || since[1] > since[2] {
 		t.Errorf("%v, %v", since, err)
 	}
--- a/internal/rig/scale/group.go
+++ b/internal/rig/scale/coordinators.go
@@ -14,28 +14,28 @@
 	"petrelhook/internal/coordination/fleet"
 )
 
-// coordinators is how many a run has.
+// coordinators is the number of coordinators in a run.
 const coordinators = 3
 
-// group is the coordinators of a run, with the settings of operators' files: clients reach them directly, they reach
-// one another by relays that count.
-type group struct {
-	family   *family
+// coordinatorGroup is the coordinators of a run, with default settings. Clients reach them directly; they reach one another through
+// relays that count the traffic.
+type coordinatorGroup struct {
+	family   *processGroup
 	program  string
 	dir      string
 	addrs    []string
 	files    []string
 	all      []*child
-	relays   [coordinators][coordinators]*relay // from, to
-	reserved []int                              // sockets that keep the addresses
+	relays   [coordinators][coordinators]*relay // by sender, then receiver
+	reserved []int                              // sockets that reserve the addresses
 	operator fleet.Operator
 	leader   int
 }
 
-// newGroup starts them, and returns when one leads. drive: they drive rolling changes too, and it is the leader that
-// drives.
-func newGroup(ctx context.Context, f *family, program, dir string, drive bool) (_ *group, err error) {
-	g := &group{family: f, program: program, dir: dir}
+// newGroup starts the coordinators, and returns when one leads. With drive they drive rolling changes too, and newGroup returns
+// when the leader is the driver.
+func newGroup(ctx context.Context, f *processGroup, program, dir string, drive bool) (_ *coordinatorGroup, err error) {
+	g := &coordinatorGroup{family: f, program: program, dir: dir}
 	defer func() {
 		if err != nil {
 			g.close()
@@ -70,21 +70,22 @@
 		g.all = append(g.all, c)
 	}
 	g.operator.Addrs = g.addrs
-	if err := g.follow(ctx); err != nil {
+	if err := g.awaitLeader(ctx); err != nil {
 		return nil, err
 	}
 	if drive {
-		return g, g.leaderDrives(ctx)
+		return g, g.awaitLeaderDrives(ctx)
 	}
 	return g, nil
 }
 
-func (g *group) start(i int) (*child, error) {
+// start starts the process of coordinator i.
+func (g *coordinatorGroup) start(i int) (*child, error) {
 	return g.family.start(fmt.Sprintf("petrelhook-coordinator-%d", i+1), exec.Command(g.program, "--config", g.files[i]), nil, nil)
 }
 
-// close ends the ways between them; the processes are the family's.
-func (g *group) close() {
+// close ends the relays and releases the addresses; the processes belong to the process group.
+func (g *coordinatorGroup) close() {
 	for _, from := range g.relays {
 		for _, r := range from {
 			if r != nil {
@@ -97,12 +98,12 @@
 	}
 }
 
-// statusWithin is for how long one coordinator is waited for.
-const statusWithin = 2 * time.Second
+// statusTimeout bounds the wait for the status of all coordinators.
+const statusTimeout = 2 * time.Second
 
-// status asks each for what it knows; nil: it does not say.
-func (g *group) status(ctx context.Context) (all [coordinators]*fleet.Status) {
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+// status gets the status of each coordinator; nil: it does not answer.
+func (g *coordinatorGroup) status(ctx context.Context) (all [coordinators]*fleet.Status) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	for i, addr := range g.addrs {
 		all[i], _ = g.operator.Status(ctx, addr)
@@ -110,8 +111,8 @@
 	return all
 }
 
-// leads is who leads, with both others following; -1: nobody.
-func (g *group) leads(ctx context.Context) int {
+// currentLeader is the index of the leader that all follow; -1: there is none.
+func (g *coordinatorGroup) currentLeader(ctx context.Context) int {
 	all := g.status(ctx)
 	for i, s := range all {
 		follow := 0
@@ -127,35 +128,35 @@
 	return -1
 }
 
-// follow waits until all follow a leader.
-func (g *group) follow(ctx context.Context) error {
-	return until(ctx, "all follow a leader", func() bool { g.leader = g.leads(ctx); return g.leader >= 0 })
+// awaitLeader waits until all follow one leader.
+func (g *coordinatorGroup) awaitLeader(ctx context.Context) error {
+	return pollUntil(ctx, "all follow a leader", func() bool { g.leader = g.currentLeader(ctx); return g.leader >= 0 })
 }
 
-// inOrder is the addresses as members have them: a follower, which they ask first, the leader, the other follower. That is the case
-// of most lists, and the same in every run; a connection to the first is kept for a while.
-func (g *group) inOrder() []string {
+// memberAddrs are the addresses in the order that members have: a follower, which they try first, the leader, the other follower.
+// Most lists of three have a follower first; so has every run. A connection to the first is kept for a while.
+func (g *coordinatorGroup) memberAddrs() []string {
 	n := len(g.addrs)
 	return []string{g.addrs[(g.leader+n-1)%n], g.addrs[g.leader], g.addrs[(g.leader+1)%n]}
 }
 
-// known is how many sidecars of a service the coordinators have heard of.
-func (g *group) known(ctx context.Context, service string) int {
+// knownSidecars is the number of sidecars of a service that have reported to the coordinators.
+func (g *coordinatorGroup) knownSidecars(ctx context.Context, service string) int {
 	of, _ := g.operator.InForce(ctx, service)
 	return of[service].Reported
 }
 
-// drives is who drives; -1: nobody. Each says so in its log.
-func (g *group) drives() int {
+// driver is the index of the coordinator that drives; -1: none. It is read from their logs.
+func (g *coordinatorGroup) driver() int {
 	best, at := uint64(0), -1
 	for i, c := range g.all {
-		log := string(c.text())
+		log := string(c.stderr())
 		last := strings.LastIndex(log, "msg=drives token=")
 		if last < 0 || strings.LastIndex(log, `msg="drives no more"`) > last {
 			continue
 		}
 		var token uint64
-		// without a token it stays 0, which is none
+		// without a token it stays 0, which is no token
 		if _, _ = fmt.Sscanf(log[last:], "msg=drives token=%d", &token); token > best {
 			best, at = token, i
 		}
@@ -163,18 +164,18 @@
 	return at
 }
 
-// leaderDrives has the leader's process drive: what a driver costs is then in the same process in every run. Drivers
-// stand in line for a lease, so that another one that has it is started anew until it is the leader's turn.
-func (g *group) leaderDrives(ctx context.Context) error {
+// awaitLeaderDrives makes the leader the driver, so that the cost of driving is in the same process in every run. Drivers queue for
+// a lease: another coordinator that has it is restarted until the leader gets it.
+func (g *coordinatorGroup) awaitLeaderDrives(ctx context.Context) error {
 	for range 2 * coordinators {
 		now := -1
-		if err := until(ctx, "a coordinator drives", func() bool { now = g.drives(); return now >= 0 }); err != nil {
+		if err := pollUntil(ctx, "a coordinator drives", func() bool { now = g.driver(); return now >= 0 }); err != nil {
 			return err
 		}
-		if g.leader = g.leads(ctx); g.leader == now {
+		if g.leader = g.currentLeader(ctx); g.leader == now {
 			return nil
 		}
-		if err := g.family.end(g.all[now]); err != nil {
+		if err := g.family.terminate(g.all[now]); err != nil {
 			return err
 		}
 		c, err := g.start(now)
@@ -182,38 +183,38 @@
 			return err
 		}
 		g.all[now] = c
-		if err := g.follow(ctx); err != nil {
+		if err := g.awaitLeader(ctx); err != nil {
 			return err
 		}
 	}
-	return errors.New("the driver does not come to be the leader")
+	return errors.New("the leader did not become the driver")
 }
 
-// carried is what has gone between a coordinator and the others, as it has it.
-func (g *group) carried(i int) (t traffic) {
+// peerTraffic is what coordinator i has exchanged with the others, from its point of view.
+func (g *coordinatorGroup) peerTraffic(i int) (t traffic) {
 	for j := range coordinators {
 		if in := g.relays[j][i]; in != nil {
-			t = t.plus(in.carried())
+			t = t.plus(in.traffic())
 		}
 		if out := g.relays[i][j]; out != nil {
-			c := out.carried()
+			c := out.traffic()
 			t = t.plus(traffic{c.Out, c.In, c.MessagesOut, c.MessagesIn, c.Open})
 		}
 	}
 	return t
 }
 
-// lookEvery is how often a state is looked for that nothing announces.
-const lookEvery = 20 * time.Millisecond
+// pollInterval is the interval at which pollUntil calls its function.
+const pollInterval = 20 * time.Millisecond
 
-// until waits for such a state.
-func until(ctx context.Context, what string, ok func() bool) error {
-	look := time.NewTicker(lookEvery)
+// pollUntil waits until ok returns true. what names the state in the error.
+func pollUntil(ctx context.Context, what string, ok func() bool) error {
+	look := time.NewTicker(pollInterval)
 	defer look.Stop()
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("never: %s: %w", what, context.Cause(ctx))
+			return fmt.Errorf("waiting until %s: %w", what, context.Cause(ctx))
 		case <-look.C:
 		}
 	}
--- a/internal/rig/scale/counting.go
+++ b/internal/rig/scale/counting.go
@@ -10,32 +10,33 @@
 	"time"
 )
 
-// counter counts what one process's members exchange with one coordinator: connections are too short-lived for the
-// system's word of them (sockets). As traffic, it is the coordinator's side.
+// counter counts what the members of one process exchange with one coordinator, from the coordinator's point of view: their
+// connections are too short-lived to be read from the system (sockets).
 type counter struct {
 	in, out                 atomic.Uint64 // bytes
 	messagesIn, messagesOut atomic.Uint64
 	open                    atomic.Int64 // connections
-	waiting                 atomic.Int64 // calls that are out
+	waiting                 atomic.Int64 // calls without a response yet
 }
 
-func (c *counter) carried() traffic {
+func (c *counter) traffic() traffic {
 	return traffic{c.in.Load(), c.out.Load(), c.messagesIn.Load(), c.messagesOut.Load(), int(c.open.Load())}
 }
 
-// counters are those of some addresses. They are not changed once made.
+// counters are counters by address. The map is not changed once made.
 type counters map[string]*counter
 
-// counting is the transport of one member: that of a subscribe.Client of its own, with counters.
-type counting struct {
+// countingTransport is the transport of one member's subscribe.Client, with counters.
+type countingTransport struct {
 	http.Transport
-	of       counters
-	answered func() // a call got its answer, and no error
+	counters   counters
+	onResponse func() // is called when a call succeeded
 }
 
-func newCounting(of counters, answered func()) *counting {
-	t := &counting{of: of, answered: answered}
-	t.MaxIdleConnsPerHost, t.DisableCompression = 1, true // as a subscribe.Client has them
+// newCountingTransport returns a transport with the settings of subscribe.Client's own.
+func newCountingTransport(of counters, answered func()) *countingTransport {
+	t := &countingTransport{counters: of, onResponse: answered}
+	t.MaxIdleConnsPerHost, t.DisableCompression = 1, true // as subscribe.Client has them
 	dialer := net.Dialer{Timeout: time.Second}
 	t.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dialer.DialContext(ctx, network, addr)
@@ -49,8 +50,8 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t *counting) RoundTrip(r *http.Request) (*http.Response, error) {
-	c := t.of[r.URL.Host]
+func (t *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	c := t.counters[r.URL.Host]
 	if c == nil {
 		return t.Transport.RoundTrip(r)
 	}
@@ -65,13 +66,13 @@
 	if err == nil {
 		c.messagesOut.Add(1)
 		if res.StatusCode == http.StatusOK {
-			t.answered()
+			t.onResponse()
 		}
 	}
 	return res, err
 }
 
-// countedConn counts what goes through a connection, and its end.
+// countedConn counts the bytes of a connection, and its end.
 type countedConn struct {
 	net.Conn
 	read, written *atomic.Uint64 // bytes
--- a/internal/rig/scale/draw.go
+++ b/internal/rig/scale/draw.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// member is one that was drawn.
+// member is the name and zone of a member.
 type member struct{ Name, Zone string }
 
 // drawMember draws the member of a number: the same in every process, and in every run with this seed.
@@ -16,19 +16,18 @@
 	return member{fmt.Sprintf("n%05d-%08x", number, r.Uint32()), string(rune('a' + r.IntN(3)))}
 }
 
-// What services are like.
+// The model of services and their sizes.
 const (
-	// Of the fleet that is asked about: 1,100 services of 12,000 members.
-	servicesOf, membersOf = 1100, 12_000
-	// evenUpTo is the rank up to which services are of about one size; from there on they fall with it. The largest
-	// of 12,000 members has some 600.
+	// The fleet in question has 1,100 services with 12,000 members.
+	modelServices, modelMembers = 1100, 12_000
+	// evenUpTo is the rank up to which services have about the same size; beyond it the size falls with the rank. The largest of
+	// 12,000 members has some 600.
 	evenUpTo = 3
 )
 
-// drawServices draws the service of each of so many members, by number: each service has one at least, and sizes are
-// uneven.
+// drawServices draws the service of each member, by the member's number. Each service has one member at least; sizes are uneven.
 func drawServices(seed uint64, members int) []int {
-	services := max(1, members*servicesOf/membersOf)
+	services := max(1, members*modelServices/modelMembers)
 	r := rand.New(rand.NewPCG(seed, uint64(members)<<32))
 	sums := make([]float64, services)
 	sum := 0.0
@@ -47,26 +46,26 @@
 	return all
 }
 
-// serviceName names one.
+// serviceName is the name of the service with a number.
 func serviceName(number int) string { return fmt.Sprintf("s%04d", number) }
 
 // contentBytes is the size of a version's content.
 const contentBytes = 4 << 10
 
-// contentHead is what the content of a service's versions begins with, so that another's is seen.
-func contentHead(service string) []byte { return fmt.Appendf(nil, `{"for":%q,`, service) }
+// contentPrefix is what each content of a service begins with, so that a content of another service is detected.
+func contentPrefix(service string) []byte { return fmt.Appendf(nil, `{"for":%q,`, service) }
 
-// letters are what contents are filled with: 64, so that a content that is compressed on its way keeps three quarters of its bytes.
-const letters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
+// fillAlphabet are the characters that contents are filled with: 64, so that compression leaves three quarters of the bytes.
+const fillAlphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 
-// content is that of a service's version; no two of a run are the same.
+// content is the content of a version; no two of a run are the same.
 func content(service string, number int) []byte {
-	text := fmt.Appendf(contentHead(service), `"n":%d,"fill":"`, number)
+	text := fmt.Appendf(contentPrefix(service), `"n":%d,"fill":"`, number)
 	name := fnv.New64a()
 	name.Write([]byte(service))
 	r := rand.New(rand.NewPCG(name.Sum64(), uint64(number)))
 	for len(text) < contentBytes-2 {
-		text = append(text, letters[r.IntN(len(letters))])
+		text = append(text, fillAlphabet[r.IntN(len(fillAlphabet))])
 	}
 	return append(text, `"}`...)
 }
--- a/internal/rig/scale/files.go
+++ b/internal/rig/scale/files.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 )
 
-// sizeOf is the bytes of all files of a folder.
-func sizeOf(dir string) (size int64, err error) {
+// dirSize is the sum of the sizes of all files in a folder, in bytes.
+func dirSize(dir string) (size int64, err error) {
 	err = filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
 			return err
--- /dev/null
+++ b/internal/rig/scale/memberprocess.go
@@ -0,0 +1,129 @@
+package scale
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"sync"
+)
+
+// memberProcesses are a run's processes of hollow members.
+type memberProcesses struct {
+	all []*memberProcess
+}
+
+// memberProcess is one of them. It serves one request at a time.
+type memberProcess struct {
+	*child
+	span
+	requests     *os.File // its standard input: the process ends when this is closed
+	responses    *bufio.Scanner
+	responsePipe *os.File
+}
+
+// startMemberProcesses starts a process for each span of members. The members have not joined yet.
+func startMemberProcesses(f *processGroup, program string, spans []span) (*memberProcesses, error) {
+	c := &memberProcesses{}
+	for i, members := range spans {
+		s, err := startMemberProcess(f, fmt.Sprintf("members-%d", i+1), exec.Command(program, "scale", "members"), members)
+		if err != nil {
+			c.close()
+			return nil, err
+		}
+		c.all = append(c.all, s)
+	}
+	return c, nil
+}
+
+// startMemberProcess starts one process, whose standard input and output are pipes to this one.
+func startMemberProcess(f *processGroup, name string, cmd *exec.Cmd, members span) (*memberProcess, error) {
+	theirs, in, err := os.Pipe()
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = theirs.Close() }()
+	out, its, err := os.Pipe()
+	if err != nil {
+		_ = in.Close()
+		return nil, err
+	}
+	defer func() { _ = its.Close() }()
+	p, err := f.start(name, cmd, theirs, its)
+	if err != nil {
+		_ = in.Close()
+		_ = out.Close()
+		return nil, err
+	}
+	s := &memberProcess{child: p, span: members, requests: in, responses: bufio.NewScanner(out), responsePipe: out}
+	s.responses.Buffer(make([]byte, 64<<10), maxLine)
+	return s, nil
+}
+
+// close closes the pipes; the processes end with their input.
+func (c *memberProcesses) close() {
+	for _, s := range c.all {
+		s.child.expectExit()
+		_ = s.requests.Close()
+		_ = s.responsePipe.Close()
+	}
+}
+
+// call sends each process its request at the same time, and waits for all responses. When ctx ends, pending responses are never
+// read: the run is over.
+func (c *memberProcesses) call(ctx context.Context, q func(span) request) ([]response, error) {
+	answers, errs := make([]response, len(c.all)), make([]error, len(c.all))
+	var sides sync.WaitGroup
+	for i, s := range c.all {
+		sides.Go(func() {
+			if errs[i] = s.call(ctx, q(s.span), &answers[i]); errs[i] != nil {
+				errs[i] = fmt.Errorf("%s: %w", s.name, errs[i])
+			}
+		})
+	}
+	sides.Wait()
+	return answers, errors.Join(errs...)
+}
+
+// call sends one request and reads its response into a.
+func (s *memberProcess) call(ctx context.Context, q request, a *response) error {
+	text, err := json.Marshal(&q)
+	if err != nil {
+		return err
+	}
+	if err := ctx.Err(); err != nil {
+		return context.Cause(ctx)
+	}
+	defer func() { _ = context.AfterFunc(ctx, func() { _ = s.responsePipe.Close() })() }() // unblocks the read
+	if _, err := s.requests.Write(append(text, '\n')); err != nil {
+		return err
+	}
+	switch {
+	case s.responses.Scan():
+		err = json.Unmarshal(s.responses.Bytes(), a)
+	case ctx.Err() != nil:
+		err = context.Cause(ctx)
+	case s.responses.Err() != nil:
+		err = s.responses.Err()
+	default:
+		err = errors.New("the process has ended")
+	}
+	if err == nil && a.Err != "" {
+		err = errors.New(a.Err)
+	}
+	return err
+}
+
+// sample gets the sample of each process.
+func (c *memberProcesses) sample(ctx context.Context) ([]response, error) {
+	all, err := c.call(ctx, func(span) request { return request{Sample: true} })
+	for i := range all {
+		if err == nil && all[i].Sample == nil {
+			err = errors.New("the response has no sample")
+		}
+	}
+	return all, err
+}
--- a/internal/rig/scale/members.go
+++ b/internal/rig/scale/members.go
@@ -9,24 +9,24 @@
 	"io"
 )
 
-// hollow is the members of one process.
-type hollow interface {
+// memberSet is the hollow members of one process. Only subscribers adopt versions.
+type memberSet interface {
 	agents() []string
 	sample() (*sample, error)
-	await(context.Context, *await) ([]int64, error)
+	await(context.Context, *condition) ([]int64, error)
 }
 
 // maxLine bounds a line between a run and a process of members, in bytes.
 const maxLine = 8 << 20
 
-// Members is the process of hollow members: it answers the run's questions, one after the other, until there are no
-// more. What it has begun ends with its process, as that of members that fall does.
-func Members(ctx context.Context, in io.Reader, out io.Writer) error {
+// ServeMembers is the main loop of a process of hollow members: it serves the run's requests from in, one after the other, and
+// returns when in ends. The goroutines of the members go on until the process ends, as if their machines failed.
+func ServeMembers(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	lines := make(chan []byte)
 	go func() { // it ends with its input
-		defer cancel(errEnded)
+		defer cancel(errRunEnded)
 		read := bufio.NewScanner(in)
 		read.Buffer(make([]byte, 64<<10), maxLine)
 		for read.Scan() {
@@ -37,20 +37,20 @@
 			}
 		}
 	}()
-	var all hollow
+	var all memberSet
 	for {
 		select {
 		case <-ctx.Done():
-			if errors.Is(context.Cause(ctx), errEnded) {
+			if errors.Is(context.Cause(ctx), errRunEnded) {
 				return nil
 			}
 			return context.Cause(ctx)
 		case line := <-lines:
-			var q question
-			var a answer
+			var q request
+			var a response
 			err := json.Unmarshal(line, &q)
 			if err == nil {
-				err = ask(ctx, &all, &q, &a)
+				err = handle(ctx, &all, &q, &a)
 			}
 			if err != nil {
 				a.Err = err.Error()
@@ -60,50 +60,52 @@
 				_, err = out.Write(append(text, '\n'))
 			}
 			if err != nil {
-				return fmt.Errorf("answer: %w", err)
+				return fmt.Errorf("response: %w", err)
 			}
 		}
 	}
 }
 
-// errEnded says that there are no more questions.
-var errEnded = errors.New("the run has ended")
+// errRunEnded says that the input has ended.
+var errRunEnded = errors.New("the run has ended")
 
+// errNotJoined answers any request before a join, and a second join.
 var errNotJoined = errors.New("the members have not joined, or joined before")
 
-func ask(ctx context.Context, all *hollow, q *question, a *answer) (err error) {
+// handle carries out one request; a join sets *all.
+func handle(ctx context.Context, all *memberSet, q *request, a *response) (err error) {
 	switch {
 	case (q.Join != nil) != (*all == nil):
 		return errNotJoined
-	case q.Join != nil && q.Join.Workload == Renewals:
+	case q.Join != nil && q.Join.Workload == LeaseRenewals:
 		s, err := joinSessions(ctx, q.Join)
 		if err != nil {
 			return err
 		}
 		*all = s
-	case q.Join != nil && q.Join.Workload == Looks:
+	case q.Join != nil && q.Join.Workload == AgentPolls:
 		s, err := joinAgents(q.Join)
 		if err != nil {
 			return err
 		}
 		*all = s
 		a.Agents = s.agents()
-	case q.Join != nil && (q.Join.Workload == Watches || q.Join.Workload == Publish):
-		*all = joinWatchers(q.Join)
+	case q.Join != nil && (q.Join.Workload == Subscriptions || q.Join.Workload == Publishing):
+		*all = joinSubscribers(q.Join)
 	case q.Join != nil:
-		return fmt.Errorf("workload %q: there is none", q.Join.Workload)
+		return fmt.Errorf("unknown workload %q", q.Join.Workload)
 	case q.Sample:
 		a.Sample, err = (*all).sample()
 	case q.Await != nil:
 		a.InForce, err = (*all).await(ctx, q.Await)
-	case q.Taken != nil:
-		w, ok := (*all).(*watchers)
+	case q.Adopted != nil:
+		w, ok := (*all).(*subscribers)
 		if !ok {
-			return errors.New("these members take nothing")
+			return errors.New("these members adopt no versions")
 		}
-		a.Takes, err = w.taken(q.Taken.From)
+		a.Adoptions, err = w.adoptedSince(q.Adopted.From)
 	default:
-		err = errors.New("nothing is asked")
+		err = errors.New("the request is empty")
 	}
 	return err
 }
--- a/internal/rig/scale/minder.go
+++ b/internal/rig/scale/minder.go
@@ -12,7 +12,7 @@
 	"petrelhook/internal/coordination/machine"
 )
 
-// processes are the sidecars that live, of all agents whose folders are in one: each start's file names its process.
+// processes are the sidecars that run, of all agents whose folders are in dir: the file of each start names its process.
 func processes(dir string) (all []agent.Process) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*", "data", "start-*"))
 	for _, f := range files {
@@ -25,13 +25,12 @@
 	return all
 }
 
-// lastLooks is how often nothing may be found before nothing is left: an agent that was killed may have had a start
-// under way.
-const lastLooks = 10
+// finalPolls is the number of polls in a row that must find no sidecar: an agent that was killed may have had a start under way.
+const finalPolls = 10
 
-// Mind kills the sidecars below a folder once there is no more input: agents leave them as they end, and so would a
-// run that was killed. It returns when none is left, or ctx ends.
-func Mind(ctx context.Context, dir string, input io.Reader) error {
+// MindSidecars kills the sidecars of agents whose folders are in dir once input ends: agents leave sidecars running when they end,
+// and so would a run that was killed. It returns when none is left, or ctx ends.
+func MindSidecars(ctx context.Context, dir string, input io.Reader) error {
 	ended := make(chan struct{})
 	go func() { // it ends with its input
 		defer close(ended)
@@ -47,7 +46,7 @@
 		return context.Cause(ctx)
 	}
 	none := 0
-	return until(ctx, "all sidecars have ended", func() bool {
+	return pollUntil(ctx, "all sidecars have ended", func() bool {
 		all := processes(dir)
 		for _, p := range all {
 			syscall.Kill(p.PID, syscall.SIGKILL)
@@ -55,6 +54,6 @@
 		if none++; len(all) > 0 {
 			none = 0
 		}
-		return none >= lastLooks
+		return none >= finalPolls
 	})
 }
--- a/internal/rig/scale/publish.go
+++ b/internal/rig/scale/publish.go
@@ -14,41 +14,41 @@
 
 const (
 	ordinaryVersions = 10
-	publishersAtOnce = 8 // of a version for every service
-	// busyEvery is ten times the rate of the mean minute of 11,000 changes a day.
-	busyEvery = 24 * time.Hour / 11_000 / 10
-	busyLeast = 8 * time.Second
+	publishersAtOnce = 8 // when a version is published for every service
+	// busyInterval is the interval of the busiest minute: ten times the mean rate of 11,000 changes a day.
+	busyInterval  = 24 * time.Hour / 11_000 / 10
+	minBusyWindow = 8 * time.Second
 )
 
-// publish is the members of watches with versions on their way: one after the other; at the rate of the busiest
-// minute; one for every service at once; and, at some sizes, while a coordinator is killed.
+// publish measures subscribers while versions are published: one after the other; at the rate of the busiest minute; one for every
+// service at once; and, at some sizes, while a coordinator is killed.
 func (r *run) publish(ctx context.Context) error {
-	if err := r.joinWatchers(ctx); err != nil {
+	if err := r.joinSubscribers(ctx); err != nil {
 		return err
 	}
-	if err := r.joinMachines(ctx, busyCalls); err != nil {
+	if err := r.joinMachines(ctx, busyCallsPerSecond); err != nil {
 		return err
 	}
-	if err := wait(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
-	p := &publishing{run: r, services: drawServices(r.o.Seed, r.size),
-		draw: rand.New(rand.NewPCG(r.o.Seed, uint64(r.number)))}
-	steps := []func(context.Context) error{p.ordinary, p.busy, p.every}
-	if r.size == killedAt || r.size == r.o.Beyond {
+	p := &publisher{run: r, services: drawServices(r.options.Seed, r.size),
+		rand: rand.New(rand.NewPCG(r.options.Seed, uint64(r.number)))}
+	steps := []func(context.Context) error{p.ordinary, p.busy, p.everyService}
+	if r.size == killSize || r.size == r.options.CheckSize {
 		steps = append(steps, p.killFollower, p.killLeader)
 	}
 	if r.machines != nil {
 		following, end := context.WithCancel(ctx)
 		ended := make(chan struct{})
-		go func() { defer close(ended); r.machines.follow(following) }()
+		go func() { defer close(ended); r.machines.pollStates(following) }()
 		defer func() { end(); <-ended }()
 		steps = append(append([]func(context.Context) error{p.quiet}, steps...), p.handOver)
-		if r.size == killedAt {
+		if r.size == killSize {
 			steps = append(steps, p.compare)
 		}
 	}
-	for _, step := range append(steps, p.newest, p.summary) {
+	for _, step := range append(steps, p.checkNewest, p.summary) {
 		if err := step(ctx); err != nil {
 			return err
 		}
@@ -59,29 +59,29 @@
 	return r.state(ctx, "leader", "")
 }
 
-// publishing is the state of a run that publishes.
-type publishing struct {
+// publisher is the state of a run of Publishing.
+type publisher struct {
 	*run
-	services []int // of each member
-	draw     *rand.Rand
+	services []int // the service of each member, by its number
+	rand     *rand.Rand
 
-	mu     sync.Mutex
-	number int // of contents
-	all    []published
+	mu       sync.Mutex
+	contents int // that were made; numbers them
+	all      []published
 
-	real    []published // of the real machines' service
-	told    int         // of them, those whose times were added
-	from    time.Time   // when the quiet time began
-	quantum int         // of the real sidecars' settings; 0: that of their release
+	real          []published // versions of the real machines' service
+	realReported  int         // how many of real have their times added
+	quietSince    time.Time   // when the time without versions began
+	quantumMillis int         // the quantum in the real sidecars' settings; 0: that of their release
 }
 
-// one publishes a version of a service, and returns when it is accepted.
-func (p *publishing) one(ctx context.Context, service int) (published, error) {
+// publishTo publishes a new version of a service, and returns when it is accepted.
+func (p *publisher) publishTo(ctx context.Context, service int) (published, error) {
 	p.mu.Lock()
-	p.number++
-	text := content(serviceName(service), p.number)
+	p.contents++
+	text := content(serviceName(service), p.contents)
 	p.mu.Unlock()
-	v, err := p.accepted(ctx, serviceName(service), text)
+	v, err := p.publishVersion(ctx, serviceName(service), text)
 	v.service = service
 	if err != nil {
 		return v, err
@@ -92,11 +92,11 @@
 	return v, nil
 }
 
-// accepted has a version accepted.
-func (p *publishing) accepted(ctx context.Context, service string, text []byte) (v published, err error) {
-	ctx, cancel := context.WithTimeout(ctx, sayWithin)
+// publishVersion publishes a content as a version of a service, and returns when it is accepted.
+func (p *publisher) publishVersion(ctx context.Context, service string, text []byte) (v published, err error) {
+	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
-	v.asked = int64(monotonic.Now())
+	v.proposed = int64(monotonic.Now())
 	if v.revision, _, err = p.group.operator.Publish(ctx, service, text, false); err != nil {
 		return v, fmt.Errorf("a version of %s is not accepted: %w", service, err)
 	}
@@ -104,18 +104,18 @@
 	return v, nil
 }
 
-// drawn publishes a version of a service that is drawn. Each is as likely.
-func (p *publishing) drawn(ctx context.Context) (published, error) {
-	return p.one(ctx, p.draw.IntN(slices.Max(p.services)+1))
+// publishDrawn publishes a version of a service that is drawn, each with the same probability.
+func (p *publisher) publishDrawn(ctx context.Context) (published, error) {
+	return p.publishTo(ctx, p.rand.IntN(slices.Max(p.services)+1))
 }
 
-// times waits until these versions, or newer ones, were taken, and adds how long each took at each member.
-func (p *publishing) times(ctx context.Context, all []published, prefix string) error {
-	if err := p.awaitWatchers(ctx, "versions are taken", &await{Holds: newest(all)}); err != nil {
+// addTimes waits until these versions, or newer ones, are adopted, and adds points on how long each took at each member.
+func (p *publisher) addTimes(ctx context.Context, all []published, prefix string) error {
+	if err := p.awaitSubscribers(ctx, "versions are taken", &condition{Revisions: newest(all)}); err != nil {
 		return err
 	}
 	first := slices.MinFunc(all, func(a, b published) int { return int(a.revision) - int(b.revision) })
-	takes, err := p.taken(ctx, first.revision)
+	takes, err := p.adoptedSince(ctx, first.revision)
 	if err != nil {
 		return err
 	}
@@ -125,40 +125,40 @@
 	}
 	slowest := int64(0)
 	for _, v := range all {
-		slowest = max(slowest, v.accepted-v.asked)
+		slowest = max(slowest, v.accepted-v.proposed)
 	}
-	p.add("tool", prefix+"accepted_max_s", seconds(slowest)) // from when it was asked for, which in_force is not
+	p.add("tool", prefix+"accepted_max_s", seconds(slowest)) // from its proposal; in_force counts from its acceptance
 	p.add("member", prefix+"in_force_p50_s", took[len(took)/2])
 	p.add("member", prefix+"in_force_p99_s", took[len(took)*99/100])
 	p.add("member", prefix+"in_force_max_s", took[len(took)-1])
-	return p.realTimes(ctx, prefix)
+	return p.addRealTimes(ctx, prefix)
 }
 
-// ordinary is one version after the other, each waited for.
-func (p *publishing) ordinary(ctx context.Context) error {
+// ordinary publishes one version after the other, each once the one before is in force.
+func (p *publisher) ordinary(ctx context.Context) error {
 	p.progress("versions, one after the other")
 	var all []published
 	for range ordinaryVersions {
-		v, err := p.drawn(ctx)
+		v, err := p.publishDrawn(ctx)
 		if err != nil {
 			return err
 		}
 		all = append(all, v)
-		if err := p.awaitWatchers(ctx, "a version is taken", &await{Holds: newest(all[len(all)-1:])}); err != nil {
+		if err := p.awaitSubscribers(ctx, "a version is taken", &condition{Revisions: newest(all[len(all)-1:])}); err != nil {
 			return err
 		}
 		if err := p.realInForce(ctx); err != nil {
 			return err
 		}
 	}
-	return p.times(ctx, all, "")
+	return p.addTimes(ctx, all, "")
 }
 
-// busy is versions at the rate of the busiest minute, in a window.
-func (p *publishing) busy(ctx context.Context) error {
+// busy publishes versions at the rate of the busiest minute, and measures a window of that.
+func (p *publisher) busy(ctx context.Context) error {
 	p.progress("versions at the rate of the busiest minute")
-	leader := p.group.leads(ctx)
-	before, err := p.see(ctx)
+	leader := p.group.currentLeader(ctx)
+	before, err := p.observe(ctx)
 	if err != nil {
 		return err
 	}
@@ -166,29 +166,29 @@
 	if err != nil {
 		return err
 	}
-	after, err := p.see(ctx)
+	after, err := p.observe(ctx)
 	if err != nil {
 		return err
 	}
-	if now := p.group.leads(ctx); leader < 0 || now != leader {
+	if now := p.group.currentLeader(ctx); leader < 0 || now != leader {
 		return fmt.Errorf("coordinator %d led before the versions, and %d after them (0: none)", leader+1, now+1)
 	}
 	p.group.leader = leader
 	p.roles(before, after, "busy_")
-	return p.times(ctx, all, "busy_")
+	return p.addTimes(ctx, all, "busy_")
 }
 
-// atRate publishes drawn versions at the rate of the busiest minute for as long as a window; halfway it calls what is
-// given. Those that are late, as while nobody leads, follow one another without a pause.
-func (p *publishing) atRate(ctx context.Context, halfway func() error) (all []published, err error) {
-	long := max(p.o.Steady, busyLeast)
+// atRate publishes drawn versions at the rate of the busiest minute for the length of a window, and calls halfway (if not nil)
+// once in its middle. Versions that are late, as while no coordinator leads, follow one another without a pause.
+func (p *publisher) atRate(ctx context.Context, halfway func() error) (all []published, err error) {
+	long := max(p.options.Window, minBusyWindow)
 	began := time.Now()
 	for i := 0; ; i++ {
-		due := began.Add(time.Duration(i) * busyEvery)
+		due := began.Add(time.Duration(i) * busyInterval)
 		if due.Sub(began) >= long {
-			return all, wait(ctx, time.Until(began.Add(long)))
+			return all, sleep(ctx, time.Until(began.Add(long)))
 		}
-		if err := wait(ctx, time.Until(due)); err != nil {
+		if err := sleep(ctx, time.Until(due)); err != nil {
 			return nil, err
 		}
 		if halfway != nil && due.Sub(began) >= long/2 {
@@ -197,21 +197,21 @@
 			}
 			halfway = nil
 		}
-		v, err := p.drawn(ctx)
+		v, err := p.publishDrawn(ctx)
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, v)
 		if i%realEvery == 0 {
-			if err := p.oneReal(ctx); err != nil {
+			if err := p.publishReal(ctx); err != nil {
 				return nil, err
 			}
 		}
 	}
 }
 
-// every is a version for each service, as fast as the log takes them.
-func (p *publishing) every(ctx context.Context) error {
+// everyService publishes a version for each service, as fast as the log takes them.
+func (p *publisher) everyService(ctx context.Context) error {
 	p.progress("a version for every service")
 	left := make(chan int)
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -223,7 +223,7 @@
 	for range publishersAtOnce {
 		sides.Go(func() {
 			for service := range left {
-				v, err := p.one(ctx, service)
+				v, err := p.publishTo(ctx, service)
 				if err != nil {
 					cancel(err)
 					return
@@ -246,18 +246,19 @@
 		return context.Cause(ctx)
 	}
 	p.add("tool", "all_publish_s", time.Since(began).Seconds())
-	if err := p.oneReal(ctx); err != nil {
+	if err := p.publishReal(ctx); err != nil {
 		return err
 	}
-	return p.times(ctx, all, "all_")
+	return p.addTimes(ctx, all, "all_")
 }
 
-// newest is that each member holds the newest version of its service, and had none that it must not.
-func (p *publishing) newest(ctx context.Context) error {
-	if err := p.awaitWatchers(ctx, "each holds the newest", &await{Holds: newest(p.all)}); err != nil {
+// checkNewest checks that each member has the newest version of its service, and never had one of another service or an older one
+// after a newer.
+func (p *publisher) checkNewest(ctx context.Context) error {
+	if err := p.awaitSubscribers(ctx, "each holds the newest", &condition{Revisions: newest(p.all)}); err != nil {
 		return err
 	}
-	takes, err := p.taken(ctx, 0)
+	takes, err := p.adoptedSince(ctx, 0)
 	if err == nil {
 		_, err = inForce(p.all, p.services, takes)
 	}
@@ -265,21 +266,20 @@
 }
 
 const (
-	summaryWithin = 30 * time.Second
-	summaryPause  = 250 * time.Millisecond
+	summaryTimeout  = 30 * time.Second
+	summaryInterval = 250 * time.Millisecond
 )
 
-// summary waits until the coordinators say that all is in force, at all members, and times how long they take to say
-// it.
-func (p *publishing) summary(ctx context.Context) error {
+// summary waits until the coordinators report that the newest versions are in force at all members, and times that report.
+func (p *publisher) summary(ctx context.Context) error {
 	p.progress("what is in force")
 	last := newest(p.all)
 	members := p.size
 	if p.machines != nil {
-		members += p.o.Real
+		members += p.options.RealMachines
 		last[realService] = p.real[len(p.real)-1].revision
 	}
-	late := time.Now().Add(summaryWithin)
+	late := time.Now().Add(summaryTimeout)
 	for {
 		began := time.Now()
 		of, said := p.group.operator.InForce(ctx, "")
@@ -303,7 +303,7 @@
 			}
 			return err
 		}
-		if err := wait(ctx, summaryPause); err != nil {
+		if err := sleep(ctx, summaryInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/rig/scale/published.go
+++ b/internal/rig/scale/published.go
@@ -12,22 +12,22 @@
 type published struct {
 	service  int
 	revision distribute.Revision
-	asked    int64 // when it was asked for, in ns of the machine's monotonic clock
-	accepted int64 // and accepted
+	proposed int64 // in ns of the machine's monotonic clock
+	accepted int64 // the same clock
 }
 
-// inForce is how long after each version was accepted each member of its service had it or a newer one, in seconds,
-// the shortest first. services is that of each member; takes are all from the first of these versions on, each
-// member's in its order. It is an error where a member took what is not its service's, the same or an older one
-// again, or never what it should.
-func inForce(all []published, services []int, takes []take) (took []float64, err error) {
+// inForce is how long after the acceptance of each version each member of its service had it or a newer one, in seconds, ascending.
+// services is the service of each member; takes are all adoptions from the first of these versions on, each member's in its order.
+// It is an error if a member adopted a version of another service, the same or an older version again, or never one that it
+// should have.
+func inForce(all []published, services []int, takes []adoption) (took []float64, err error) {
 	of := map[distribute.Revision]int{}
 	by := map[int][]published{}
 	for _, v := range all {
 		of[v.revision] = v.service
 		by[v.service] = append(by[v.service], v)
 	}
-	byMember := map[int][]take{}
+	byMember := map[int][]adoption{}
 	for _, t := range takes {
 		if t.Member < 0 || t.Member >= len(services) {
 			return nil, fmt.Errorf("there is no member %d", t.Member)
@@ -44,20 +44,20 @@
 	}
 	for m, service := range services {
 		for _, v := range by[service] {
-			i, _ := slices.BinarySearchFunc(byMember[m], v.revision, func(t take, r distribute.Revision) int {
+			i, _ := slices.BinarySearchFunc(byMember[m], v.revision, func(t adoption, r distribute.Revision) int {
 				return cmp.Compare(t.Revision, r)
 			})
 			if i == len(byMember[m]) {
 				return nil, fmt.Errorf("member %d of %s never took revision %d", m, serviceName(service), v.revision)
 			}
-			took = append(took, max(0, float64(byMember[m][i].At-v.accepted)/1e9))
+			took = append(took, max(0, float64(byMember[m][i].Time-v.accepted)/1e9))
 		}
 	}
 	slices.Sort(took)
 	return took, nil
 }
 
-// newest is the last revision of each service.
+// newest is the newest revision of each service, by its name.
 func newest(all []published) map[string]distribute.Revision {
 	last := map[string]distribute.Revision{}
 	for _, v := range all {
--- a/internal/rig/scale/machines_test.go
+++ b/internal/rig/scale/realmachines_test.go
@@ -14,17 +14,17 @@
 
 // What comes into force at a real sidecar only grows: an older version is an error, a newer one is noted once.
 func TestInForceNeverGoesBack(t *testing.T) {
-	m := &machines{all: []*oneMachine{{name: "r00"}, {name: "r01"}}, changed: make(chan struct{})}
+	m := &realMachines{all: []*realMachine{{name: "r00"}, {name: "r01"}}, changed: make(chan struct{})}
 	for _, revision := range []distribute.Revision{0, 3, 3, 5} {
-		m.inForce(0, revision)
+		m.observe(0, revision)
 	}
-	m.inForce(1, 5)
+	m.observe(1, 5)
 	all, err := m.await(t.Context(), 5, 4)
-	if err != nil || len(all) != 2 || all[0].Revision != 5 || all[0].Member != 0 || all[1].Member != 1 || len(m.all[0].takes) != 2 {
+	if err != nil || len(all) != 2 || all[0].Revision != 5 || all[0].Member != 0 || all[1].Member != 1 || len(m.all[0].adoptions) != 2 {
 		t.Errorf("%v: %+v", err, all)
 	}
 	before := m.changed
-	m.inForce(1, 4)
+	m.observe(1, 4)
 	select {
 	case <-before:
 	default:
@@ -66,7 +66,7 @@
 		{Due: 1500 * time.Millisecond, Latency: time.Second, Result: audit.Refused}, {Due: 1900 * time.Millisecond, Latency: 2 * time.Second, Result: audit.Served},
 		{Due: 2 * time.Second, Latency: time.Second, Result: audit.Served},
 	} {
-		v.done = append(v.done, o)
+		v.operations = append(v.operations, o)
 	}
 	took, not := v.latencies(began.Add(time.Second), began.Add(2*time.Second))
 	if len(took) != 2 || took[0] != 2 || took[1] != 3 || not != 1 {
@@ -79,7 +79,7 @@
 	var points []capacity.Point
 	add := func(role, metric string, values ...float64) {
 		for i, v := range values {
-			points = append(points, capacity.Point{Workload: Publish, Role: role, Metric: metric, Size: 250, Run: i + 1, Value: v})
+			points = append(points, capacity.Point{Workload: Publishing, Role: role, Metric: metric, Size: 250, Run: i + 1, Value: v})
 		}
 	}
 	add("agent", "told_messages", 2, 2, 9)
@@ -87,7 +87,7 @@
 	add("agent", "told_cpu_us", 100)
 	add("member", "told_cpu_us", 81)
 	add("member", "told_bytes_in", 500) // no real one was asked
-	if got := compared(points); len(got) != 1 || got[0] != "publish: told_messages of a hollow member is 1.5, and of a real agent 2" {
+	if got := compareCosts(points); len(got) != 1 || got[0] != "publish: told_messages of a hollow member is 1.5, and of a real agent 2" {
 		t.Errorf("%q", got)
 	}
 }
--- /dev/null
+++ b/internal/rig/scale/realversions.go
@@ -0,0 +1,224 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"petrelhook/internal/coordination/capacity"
+)
+
+const (
+	realEvery          = 4 // one version in so many is of the real machines' service
+	minQuietWindow     = 8 * time.Second
+	laterQuantumMillis = 3 // the first release has 2
+)
+
+// publishReal publishes a version of the real machines' service, if the run has real machines.
+func (p *publisher) publishReal(ctx context.Context) error {
+	if p.machines == nil {
+		return nil
+	}
+	text, err := p.machines.content(len(p.real)+1, p.quantumMillis)
+	if err != nil {
+		return err
+	}
+	v, err := p.publishVersion(ctx, realService, text)
+	if err == nil {
+		p.real = append(p.real, v)
+	}
+	return err
+}
+
+// realInForce does the same and waits until the version is in force at all real machines.
+func (p *publisher) realInForce(ctx context.Context) error {
+	if err := p.publishReal(ctx); err != nil || p.machines == nil {
+		return err
+	}
+	_, err := p.machines.await(ctx, p.real[len(p.real)-1].revision, 0)
+	return err
+}
+
+// addRealTimes adds points on how long versions took from their acceptance until they, or newer ones, were in force at each real
+// sidecar, for the versions published since its last call.
+func (p *publisher) addRealTimes(ctx context.Context, prefix string) error {
+	all := p.real[p.realReported:]
+	if p.realReported = len(p.real); len(all) == 0 {
+		return nil
+	}
+	takes, err := p.machines.await(ctx, all[len(all)-1].revision, all[0].revision)
+	if err != nil {
+		return err
+	}
+	took, err := inForce(all, make([]int, p.options.RealMachines), takes)
+	if err != nil {
+		return fmt.Errorf("real machines: %w", err)
+	}
+	p.add("agent", prefix+"in_force_p50_s", took[len(took)/2])
+	p.add("agent", prefix+"in_force_p99_s", took[len(took)*99/100])
+	p.add("agent", prefix+"in_force_max_s", took[len(took)-1])
+	return nil
+}
+
+// quiet has the real sidecars serve for a while before the first version, for comparison: handOver adds the latencies of both times.
+func (p *publisher) quiet(ctx context.Context) error {
+	p.progress("calls without versions")
+	p.quietSince = time.Now()
+	return sleep(ctx, max(p.options.Window, minQuietWindow))
+}
+
+// handOver publishes a version that takes a new process of each real sidecar. It adds the latencies of calls before the first
+// version, and from then until this one.
+func (p *publisher) handOver(ctx context.Context) error {
+	p.progress("a version that takes a hand-over")
+	p.quantumMillis = laterQuantumMillis
+	if err := p.publishReal(ctx); err != nil {
+		return err
+	}
+	if err := p.addRealTimes(ctx, "hand_over_"); err != nil {
+		return err
+	}
+	first := time.Now()
+	if err := sleep(ctx, maxCallDuration); err != nil { // until the last of them have ended
+		return err
+	}
+	p.addCalls("quiet_", p.quietSince, p.quietSince.Add(max(p.options.Window, minQuietWindow)))
+	p.addCalls("versions_", p.quietSince.Add(max(p.options.Window, minQuietWindow)), first)
+	return nil
+}
+
+// maxCallDuration is the time after which a call has ended in any case: its deadline, with retries.
+const maxCallDuration = 4 * time.Second
+
+// addCalls adds points on the calls scheduled from one time up to another; latency counts from the scheduled time.
+func (p *publisher) addCalls(prefix string, from, to time.Time) {
+	took, not := p.serving.latencies(from, to)
+	p.add("sidecar", prefix+"calls", float64(len(took)+not))
+	p.add("sidecar", prefix+"calls_not_served", float64(not))
+	if len(took) > 0 {
+		p.add("sidecar", prefix+"call_p50_s", took[len(took)/2])
+		p.add("sidecar", prefix+"call_p99_s", took[len(took)*99/100])
+	}
+}
+
+// The costs of hollow and of real members to the coordinators are compared by publishing at this rate for this duration each, to
+// services with about the same number of members.
+const (
+	comparedRate     = 8 // versions a second
+	comparedDuration = 6 * time.Second
+)
+
+// compare adds what a version costs all coordinators together for each member that gets it: hollow members (of the service whose
+// size is nearest to the number of real machines) and real ones, both less the cost of the smallest service.
+func (p *publisher) compare(ctx context.Context) error {
+	p.progress("real and hollow members are compared")
+	of := make([]int, slices.Max(p.services)+1)
+	for _, service := range p.services {
+		of[service]++
+	}
+	like, least := 0, 0
+	for service, n := range of {
+		if abs(n-p.options.RealMachines) < abs(of[like]-p.options.RealMachines) {
+			like = service
+		}
+		if n < of[least] {
+			least = service
+		}
+	}
+	base, err := p.costs(ctx, func() error { _, err := p.publishTo(ctx, least); return err })
+	if err != nil {
+		return err
+	}
+	hollow, err := p.costs(ctx, func() error { _, err := p.publishTo(ctx, like); return err })
+	if err != nil {
+		return err
+	}
+	real, err := p.costs(ctx, func() error { return p.publishReal(ctx) })
+	if err != nil {
+		return err
+	}
+	for _, c := range []struct {
+		role    string
+		cost    rates
+		members int
+	}{{"member", hollow, of[like]}, {"agent", real, p.options.RealMachines}} {
+		each := 1 / float64(comparedRate*(c.members-of[least]))
+		p.add(c.role, "told_cpu_us", each*(c.cost.cpuMicros-base.cpuMicros))
+		p.add(c.role, "told_messages", each*(c.cost.messagesIn-base.messagesIn))
+		p.add(c.role, "told_bytes_in", each*(c.cost.bytesIn-base.bytesIn))
+		p.add(c.role, "told_bytes_out", each*(c.cost.bytesOut-base.bytesOut))
+	}
+	return nil
+}
+
+// comparedMetrics are the metrics in which a hollow member has to cost the coordinators the same as a real agent.
+var comparedMetrics = []struct{ workload, metric string }{
+	{Subscriptions, "messages_in_s"}, {Subscriptions, "messages_out_s"}, {Subscriptions, "bytes_in_s"}, {Subscriptions, "bytes_out_s"},
+	{Publishing, "told_cpu_us"}, {Publishing, "told_messages"}, {Publishing, "told_bytes_in"},
+}
+
+// tolerance is the fraction of a real agent's cost by which a hollow member's may differ.
+const tolerance = 0.2
+
+// compareCosts returns a finding for each metric in which the medians of a hollow member and of a real agent differ by more than
+// tolerance.
+func compareCosts(points []capacity.Point) (all []string) {
+	median := func(workload, role, metric string) (float64, bool) {
+		var v []float64
+		for _, p := range points {
+			if p.Workload == workload && p.Role == role && p.Metric == metric {
+				v = append(v, p.Value)
+			}
+		}
+		slices.Sort(v)
+		if len(v) == 0 {
+			return 0, false
+		}
+		return (v[(len(v)-1)/2] + v[len(v)/2]) / 2, true
+	}
+	for _, m := range comparedMetrics {
+		real, known := median(m.workload, "agent", m.metric)
+		hollow, also := median(m.workload, "member", m.metric)
+		if known && also && math.Abs(hollow-real) > tolerance*math.Abs(real) {
+			all = append(all, fmt.Sprintf("%s: %s of a hollow member is %.4g, and of a real agent %.4g",
+				m.workload, m.metric, hollow, real))
+		}
+	}
+	return all
+}
+
+func abs(n int) int { return max(n, -n) }
+
+// costs are the rates of all coordinators together while publish is called at comparedRate for comparedDuration.
+func (p *publisher) costs(ctx context.Context, publish func() error) (all rates, err error) {
+	before, err := p.observe(ctx)
+	if err != nil {
+		return all, err
+	}
+	began := time.Now()
+	for i := range int(comparedRate * comparedDuration.Seconds()) {
+		if err := sleep(ctx, time.Until(began.Add(time.Duration(i)*time.Second/comparedRate))); err != nil {
+			return all, err
+		}
+		if err := publish(); err != nil {
+			return all, err
+		}
+	}
+	if err := sleep(ctx, time.Until(began.Add(comparedDuration))); err != nil {
+		return all, err
+	}
+	after, err := p.observe(ctx)
+	if err != nil {
+		return all, err
+	}
+	for i, addr := range p.group.addrs {
+		v := coordinatorRates(before, after, i, addr).withAgents(before, after, slices.Index(p.machines.coordinators, addr))
+		all.cpuMicros += v.cpuMicros
+		all.bytesIn += v.bytesIn - v.peerBytesIn
+		all.bytesOut += v.bytesOut - v.peerBytesOut
+		all.messagesIn += v.messagesIn
+	}
+	return all, nil
+}
--- a/internal/rig/scale/relay.go
+++ b/internal/rig/scale/relay.go
@@ -7,22 +7,22 @@
 	"petrelhook/internal/rig/link"
 )
 
-// relay is a link that counts what it carries: bytes, requests and answers of HTTP/1.1. A connection carries one request at a time, so a
-// piece that begins as a head does is a head.
+// relay is a link that counts bytes, requests and responses of HTTP/1.1. A connection carries one request at a time, so a chunk
+// that begins like a head is a head.
 type relay struct {
 	addr  string
-	way   *link.Link
+	link  *link.Link
 	bytes [2]atomic.Uint64 // by direction
 	heads [2]atomic.Uint64
 }
 
-// newRelay begins one to an address.
+// newRelay starts a relay to an address.
 func newRelay(target string) (*relay, error) {
 	way, err := link.New()
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{addr: way.Addr, way: way}
+	r := &relay{addr: way.Addr, link: way}
 	heads := [2][]byte{link.Forth: []byte("POST "), link.Back: []byte("HTTP/1.1 ")}
 	way.Observe(func(d link.Direction, piece []byte) {
 		r.bytes[d].Add(uint64(len(piece)))
@@ -34,10 +34,10 @@
 	return r, nil
 }
 
-// carried is what went through, as who listens at the target has it.
-func (r *relay) carried() traffic {
-	return traffic{r.bytes[link.Forth].Load(), r.bytes[link.Back].Load(), r.heads[link.Forth].Load(), r.heads[link.Back].Load(), r.way.Open()}
+// traffic is what went through, from the target's point of view.
+func (r *relay) traffic() traffic {
+	return traffic{r.bytes[link.Forth].Load(), r.bytes[link.Back].Load(), r.heads[link.Forth].Load(), r.heads[link.Back].Load(), r.link.Open()}
 }
 
-// close ends the relay and what it carries.
-func (r *relay) close() { r.way.Close() }
+// close ends the relay and its connections.
+func (r *relay) close() { r.link.Close() }
--- a/internal/rig/scale/run.go
+++ b/internal/rig/scale/run.go
@@ -16,7 +16,8 @@
 	"petrelhook/internal/rig/usage"
 )
 
-// Run does all runs. What was measured until an error is returned with it; Findings say what was not.
+// Run does all runs. On an error it returns what was measured until then as well; Findings name the runs that failed or were
+// not done.
 func Run(ctx context.Context, o Options) (m *capacity.Measured, err error) {
 	limit, err := o.prepare()
 	if err != nil {
@@ -24,17 +25,17 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	ctx, release := context.WithTimeoutCause(ctx, o.Within, fmt.Errorf("--within: %v are over", o.Within))
+	ctx, release := context.WithTimeoutCause(ctx, o.Timeout, fmt.Errorf("--within: %v are over", o.Timeout))
 	defer release()
-	s := &series{o: &o, limit: limit, measured: &capacity.Measured{At: time.Now().UTC().Truncate(time.Second), Commit: commit(), Machine: machineWords(),
+	s := &series{options: &o, limit: limit, measured: &capacity.Measured{At: time.Now().UTC().Truncate(time.Second), Commit: commit(), Machine: machineDescription(),
 		Seed: o.Seed, FitUpTo: slices.Max(o.Sizes)}}
 	for _, w := range o.Workloads {
 		for _, n := range o.sizes() {
 			s.runSize(ctx, w, n)
 		}
 	}
-	s.measured.Findings = append(s.measured.Findings, compared(s.measured.Points)...)
-	first := s.first
+	s.measured.Findings = append(s.measured.Findings, compareCosts(s.measured.Points)...)
+	first := s.firstError
 	if first == nil && ctx.Err() != nil {
 		first = context.Cause(ctx)
 	}
@@ -44,20 +45,20 @@
 	return s.measured, first
 }
 
-// prepare checks, before anything is started, that all runs can be made. It returns the limit on descriptors.
+// prepare checks, before anything is started, that all runs are possible. It returns the limit of descriptors.
 func (o *Options) prepare() (limit uint64, err error) {
 	if err := o.Check(); err != nil {
 		return 0, err
 	}
-	limit = o.Limit
+	limit = o.DescriptorLimit
 	if limit == 0 {
-		if limit, err = descriptors(); err != nil {
+		if limit, err = descriptorLimit(); err != nil {
 			return 0, err
 		}
 	}
 	for _, w := range o.Workloads {
 		for _, n := range o.sizes() {
-			if _, err := newLayout(w, n, o.real(w), limit); err != nil {
+			if _, err := newLayout(w, n, o.realMachinesOf(w), limit); err != nil {
 				return 0, err
 			}
 		}
@@ -71,73 +72,73 @@
 	return limit, nil
 }
 
-// series is all runs of one Run, and what came of them so far.
+// series is all runs of one Run, with their results so far.
 type series struct {
-	o        *Options
-	limit    uint64 // of descriptors
-	measured *capacity.Measured
-	first    error // of the runs that failed
-	failed   int
+	options    *Options
+	limit      uint64 // of descriptors
+	measured   *capacity.Measured
+	firstError error // of the first run that failed; nil: none has
+	failed     int
 }
 
-// runSize does the runs of a workload at a size.
+// runSize does the runs of a workload at one size, and records their points and findings.
 func (s *series) runSize(ctx context.Context, workload string, size int) {
 	m := s.measured
-	for number := 1; number <= s.o.Runs; number++ {
-		what := fmt.Sprintf("%s of %d members, run %d of %d", workload, size, number, s.o.Runs)
+	for number := 1; number <= s.options.Runs; number++ {
+		what := fmt.Sprintf("%s of %d members, run %d of %d", workload, size, number, s.options.Runs)
 		if ctx.Err() != nil {
 			m.Findings = append(m.Findings, "not run: "+what)
 			continue
 		}
-		r := &run{o: s.o, workload: workload, size: size, number: number, what: what, limit: s.limit}
-		err := r.do(ctx)
+		r := &run{options: s.options, workload: workload, size: size, number: number, description: what, limit: s.limit}
+		err := r.execute(ctx)
 		m.Points = append(m.Points, r.points...)
-		var no refused
+		var no rejection
 		switch {
 		case err == nil:
-		case errors.As(err, &no): // and it will be the next time
+		case errors.As(err, &no): // the next run would be rejected too
 			m.Findings = append(m.Findings, fmt.Sprintf("%s of %d members: %v", workload, size, no.error))
 			return
 		default:
 			if ctx.Err() != nil {
 				err = context.Cause(ctx)
 			}
-			if s.failed++; s.first == nil {
-				s.first = fmt.Errorf("%s: %w", what, err)
+			if s.failed++; s.firstError == nil {
+				s.firstError = fmt.Errorf("%s: %w", what, err)
 			}
 			m.Findings = append(m.Findings, fmt.Sprintf("failed: %s: %v", what, err))
 		}
 	}
 }
 
-// refused is an error that says what the product does not do.
-type refused struct{ error }
+// rejection is an error that the product answers by design, such as a limit of its own: a finding, not a failed run.
+type rejection struct{ error }
 
-// run is one life of a fleet.
+// run is one run: a fleet that is started, measured and ended.
 type run struct {
-	o        *Options
-	workload string
-	size     int
-	number   int
-	what     string
-	limit    uint64
-	points   []capacity.Point
+	options     *Options
+	workload    string
+	size        int
+	number      int
+	description string
+	limit       uint64
+	points      []capacity.Point
 
-	layout layout
-	dir    string
-	kept   string // what coordinators keep
-	family *family
-	group  *group
-	crew   *crew
+	layout             layout
+	dir                string
+	coordinatorDataDir string // what coordinators keep
+	processes          *processGroup
+	group              *coordinatorGroup
+	members            *memberProcesses
 
-	machines *machines // nil: there are none
+	machines *realMachines // nil: the workload has none, or they have not started
 	serving  *serving
-	failed   context.CancelCauseFunc
+	fail     context.CancelCauseFunc
 }
 
 func (r *run) progress(doing string) {
-	if r.o.Progress != nil {
-		r.o.Progress(r.what + ": " + doing)
+	if r.options.Progress != nil {
+		r.options.Progress(r.description + ": " + doing)
 	}
 }
 
@@ -146,103 +147,102 @@
 		Run: r.number, Value: value})
 }
 
-// do does the run. When it returns, nothing of it is left.
-func (r *run) do(ctx context.Context) (err error) {
+// execute does the run. When it returns, its processes have ended and its files are removed.
+func (r *run) execute(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if r.layout, err = newLayout(r.workload, r.size, r.o.real(r.workload), r.limit); err != nil {
+	if r.layout, err = newLayout(r.workload, r.size, r.options.realMachinesOf(r.workload), r.limit); err != nil {
 		return err
 	}
 	if r.dir, err = os.MkdirTemp("", "petrel-scale-"); err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(r.dir)) }()
-	if r.kept = r.dir; r.o.Kept != "" {
-		if r.kept, err = os.MkdirTemp(r.o.Kept, "kept-"); err != nil {
+	if r.coordinatorDataDir = r.dir; r.options.CoordinatorDataDir != "" {
+		if r.coordinatorDataDir, err = os.MkdirTemp(r.options.CoordinatorDataDir, "kept-"); err != nil {
 			return err
 		}
-		defer func() { err = errors.Join(err, os.RemoveAll(r.kept)) }()
+		defer func() { err = errors.Join(err, os.RemoveAll(r.coordinatorDataDir)) }()
 	}
-	r.family, r.failed = newFamily(r.dir, cancel), cancel
+	r.processes, r.fail = newProcessGroup(r.dir, cancel), cancel
 	watched := make(chan struct{})
-	go func() { defer close(watched); watchMemory(ctx, r.pids, r.o.Memory, cancel) }()
+	go func() { defer close(watched); watchMemory(ctx, r.pids, r.options.MemoryLimitBytes, cancel) }()
 	defer func() {
-		if cause := context.Cause(ctx); err != nil && cause != nil { // it says why: the others only follow
+		if cause := context.Cause(ctx); err != nil && cause != nil { // the cause; other errors follow from it
 			err = cause
 		}
 		cancel(nil)
 		<-watched
-		if r.serving != nil { // a run that went well has stopped it
+		if r.serving != nil { // a run that succeeded has stopped it already
 			_ = r.serving.stop()
 		}
-		if r.crew != nil {
-			r.crew.close()
+		if r.members != nil {
+			r.members.close()
 		}
-		r.family.close()
+		r.processes.close()
 		if r.machines != nil {
 			err = errors.Join(err, r.machines.close())
 		}
 		if r.group != nil {
 			r.group.close()
 		}
-		if err != nil { // not all of it was
+		if err != nil { // the points are incomplete
 			r.points = nil
 		}
 	}()
 	r.progress("starts")
-	r.group, err = newGroup(ctx, r.family, r.o.program("petrelhook-coordinator"), r.kept, r.workload == Looks)
+	r.group, err = newGroup(ctx, r.processes, r.options.program("petrelhook-coordinator"), r.coordinatorDataDir, r.workload == AgentPolls)
 	if err != nil {
 		return err
 	}
-	r.crew, err = newCrew(r.family, r.o.program("petrelhookctl"), r.layout.Hollow)
+	r.members, err = startMemberProcesses(r.processes, r.options.program("petrelhookctl"), r.layout.Spans)
 	if err != nil {
 		return err
 	}
 	switch r.workload {
-	case Looks:
-		return r.looks(ctx)
-	case Watches:
-		return r.watches(ctx)
-	case Publish:
+	case AgentPolls:
+		return r.agentPolls(ctx)
+	case Subscriptions:
+		return r.subscriptions(ctx)
+	case Publishing:
 		return r.publish(ctx)
 	}
 	return r.renewals(ctx)
 }
 
-// settle is for how long a fleet is left alone that has just joined.
-const settle = time.Second
+// settleTime is the pause between the last join and the measurement.
+const settleTime = time.Second
 
-// window measures for a while, and says what has gone on between its ends.
-func (r *run) window(ctx context.Context, long time.Duration) (before, after *seen, err error) {
+// window observes all processes before and after a duration. It is an error if the leader changed or a lease was lost meanwhile.
+func (r *run) window(ctx context.Context, long time.Duration) (before, after *observation, err error) {
 	r.progress("settles")
-	if err := wait(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return nil, nil, err
 	}
-	leader := r.group.leads(ctx)
-	if before, err = r.see(ctx); err != nil {
+	leader := r.group.currentLeader(ctx)
+	if before, err = r.observe(ctx); err != nil {
 		return nil, nil, err
 	}
 	r.progress("is measured")
-	if err := wait(ctx, long); err != nil {
+	if err := sleep(ctx, long); err != nil {
 		return nil, nil, err
 	}
-	if after, err = r.see(ctx); err != nil {
+	if after, err = r.observe(ctx); err != nil {
 		return nil, nil, err
 	}
-	if now := r.group.leads(ctx); leader < 0 || now != leader {
+	if now := r.group.currentLeader(ctx); leader < 0 || now != leader {
 		return nil, nil, fmt.Errorf("coordinator %d led before the window, and %d after it (0: none)", leader+1, now+1)
 	}
 	r.group.leader = leader
 	for _, s := range after.samples {
-		if s.Lost > 0 {
-			return nil, nil, fmt.Errorf("%d leases were lost", s.Lost)
+		if s.LostLeases > 0 {
+			return nil, nil, fmt.Errorf("%d leases were lost", s.LostLeases)
 		}
 	}
 	return before, after, nil
 }
 
-// state adds what is kept of the coordinators: entries of the log, files, and the bytes of the state that the log
-// makes.
+// state adds points on what the leader stores: entries of the log, bytes of files, and bytes of the replicated state.
 func (r *run) state(ctx context.Context, role string, application string) error {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
@@ -250,7 +250,7 @@
 	if err != nil {
 		return err
 	}
-	size, err := sizeOf(filepath.Join(r.kept, fmt.Sprintf("data%d", r.group.leader+1)))
+	size, err := dirSize(filepath.Join(r.coordinatorDataDir, fmt.Sprintf("data%d", r.group.leader+1)))
 	if err != nil {
 		return err
 	}
@@ -271,10 +271,10 @@
 	return nil
 }
 
-// pids are those of the run's processes, sidecars that agents have started among them.
+// pids are those of the run's processes, including sidecars that agents have started.
 func (r *run) pids() []int {
-	all := r.family.pids()
-	if r.o.real(r.workload) > 0 {
+	all := r.processes.pids()
+	if r.options.realMachinesOf(r.workload) > 0 {
 		for _, p := range processes(filepath.Join(r.dir, machinesDir)) {
 			all = append(all, p.PID)
 		}
@@ -282,8 +282,8 @@
 	return all
 }
 
-// wait is for how long something is watched.
-func wait(ctx context.Context, long time.Duration) error {
+// sleep returns after a duration, or with the cause when ctx ends.
+func sleep(ctx context.Context, long time.Duration) error {
 	t := time.NewTimer(long)
 	defer t.Stop()
 	select {
@@ -294,7 +294,7 @@
 	}
 }
 
-// watchMemory ends the run where its processes have more resident than the budget.
+// watchMemory cancels the run when its processes together have more memory resident than the budget. It returns when ctx ends.
 func watchMemory(ctx context.Context, pids func() []int, budget int64, over context.CancelCauseFunc) {
 	const every = 100 * time.Millisecond
 	look := time.NewTicker(every)
@@ -302,7 +302,7 @@
 	for {
 		sum := int64(0)
 		for _, pid := range append(pids(), os.Getpid()) {
-			if n, err := usage.Resident(pid); err == nil { // one that has ended meanwhile has none
+			if n, err := usage.Resident(pid); err == nil { // a process that has ended meanwhile has none
 				sum += n
 			}
 		}
@@ -319,7 +319,7 @@
 	}
 }
 
-// commit is that of which this program was built, as the tool chain notes it.
+// commit is the revision that this program was built from, as the tool chain records it.
 func commit() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -337,7 +337,8 @@
 	return name + changed
 }
 
-func machineWords() string {
+// machineDescription names the machine's processors, memory and platform, for the report.
+func machineDescription() string {
 	memory, _ := usage.Memory()
 	return fmt.Sprintf("%d processors, %.1f GiB of memory, %s/%s", runtime.NumCPU(), float64(memory)/(1<<30),
 		runtime.GOOS, runtime.GOARCH)
--- a/internal/rig/scale/scale_test.go
+++ b/internal/rig/scale/scale_test.go
@@ -48,8 +48,8 @@
 		t.Fatal(err)
 	}
 	t.Setenv("TMPDIR", t.TempDir())
-	return Options{Bin: bin, Workloads: Workloads, Sizes: []int{200}, Runs: 1, Steady: 2 * time.Second, Seed: 7,
-		Memory: 4 << 30, Within: 2 * time.Minute, Progress: func(what string) { t.Log(what) }, Kept: process.Dir(t)}
+	return Options{ProgramDir: bin, Workloads: Workloads, Sizes: []int{200}, Runs: 1, Window: 2 * time.Second, Seed: 7,
+		MemoryLimitBytes: 4 << 30, Timeout: 2 * time.Minute, Progress: func(what string) { t.Log(what) }, CoordinatorDataDir: process.Dir(t)}
 }
 
 // left are the processes that run a program of the folder, or a release of a run below the test's folder.
@@ -89,12 +89,12 @@
 // was broken at a real sidecar, or a request lost, is an error of the run.
 func TestCounts(t *testing.T) {
 	o := options(t)
-	o.Real = 6
+	o.RealMachines = 6
 	m, err := runAll(t, o)
 	if err != nil {
 		t.Fatal(err, m)
 	}
-	if now := left(o.Bin); len(now) > 0 {
+	if now := left(o.ProgramDir); len(now) > 0 {
 		t.Errorf("processes are left: %v", now)
 	}
 	value := map[string]float64{}
@@ -197,22 +197,22 @@
 // A budget that is passed, a run that is stopped: an error that says why, and no process is left.
 func TestBudgets(t *testing.T) {
 	for want, change := range map[string]func(*Options){
-		"--memory: the processes of the run have": func(o *Options) { o.Memory = 64 << 20 },
-		"--within: 1.5s are over":                 func(o *Options) { o.Within = 1500 * time.Millisecond },
+		"--memory: the processes of the run have": func(o *Options) { o.MemoryLimitBytes = 64 << 20 },
+		"--within: 1.5s are over":                 func(o *Options) { o.Timeout = 1500 * time.Millisecond },
 	} {
 		o := options(t)
-		o.Workloads = []string{Renewals}
+		o.Workloads = []string{LeaseRenewals}
 		change(&o)
 		m, err := Run(t.Context(), o)
 		if err == nil || !strings.Contains(err.Error(), want) || len(m.Points) > 0 || len(m.Findings) != 1 {
 			t.Errorf("%v, want %s: %+v", err, want, m)
 		}
-		if now := left(o.Bin); len(now) > 0 {
+		if now := left(o.ProgramDir); len(now) > 0 {
 			t.Errorf("processes are left: %v", now)
 		}
 	}
 	o := options(t)
-	o.Workloads, o.Runs = []string{Renewals}, 2
+	o.Workloads, o.Runs = []string{LeaseRenewals}, 2
 	ctx, stop := context.WithCancel(t.Context())
 	o.Progress = func(what string) {
 		if strings.Contains(what, "members join") {
@@ -223,7 +223,7 @@
 	if err == nil || len(m.Findings) != 2 || !strings.HasPrefix(m.Findings[0], "failed: renewals of 200") || !strings.HasPrefix(m.Findings[1], "not run: ") {
 		t.Errorf("%v: %+v", err, m)
 	}
-	if now := left(o.Bin); len(now) > 0 {
+	if now := left(o.ProgramDir); len(now) > 0 {
 		t.Errorf("processes are left: %v", now)
 	}
 }
@@ -241,16 +241,16 @@
 	members := func() bool {
 		return len(left(o.program("petrelhookctl"))) == 2 && len(left(o.program("petrelhook-coordinator"))) == 3
 	}
-	err := until(ctx, "its members are there", members)
+	err := pollUntil(ctx, "its members are there", members)
 	cmd.Process.Kill()
 	cmd.Wait()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := until(ctx, "none is left", func() bool { return len(left(o.Bin)) == 0 }); err != nil {
+	if err := pollUntil(ctx, "none is left", func() bool { return len(left(o.ProgramDir)) == 0 }); err != nil {
 		t.Error(err)
 	}
-	for _, l := range left(o.Bin) { // the test's own, which it must not leave either
+	for _, l := range left(o.ProgramDir) { // the test's own, which it must not leave either
 		var pid int
 		fmt.Sscanf(l, "/proc/%d/exe", &pid)
 		syscall.Kill(pid, syscall.SIGKILL)
@@ -260,7 +260,7 @@
 // One that is killed leaves no real sidecar behind either: each has a session of its own, and outlives its agent.
 func TestKilledBesideRealMachines(t *testing.T) {
 	o := options(t)
-	cmd := exec.Command(o.program("petrelhookctl"), "scale", "--workloads", Watches, "--sizes", "20", "--check", "0", "--real", "2", "--steady", "30s")
+	cmd := exec.Command(o.program("petrelhookctl"), "scale", "--workloads", Subscriptions, "--sizes", "20", "--check", "0", "--real", "2", "--steady", "30s")
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -273,16 +273,16 @@
 		}
 		return n
 	}
-	err := until(ctx, "its sidecars are there", func() bool { return sidecars() == 2 })
+	err := pollUntil(ctx, "its sidecars are there", func() bool { return sidecars() == 2 })
 	cmd.Process.Kill()
 	cmd.Wait()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := until(ctx, "none is left", func() bool { return sidecars() == 0 && len(left(o.Bin)) == 0 }); err != nil {
+	if err := pollUntil(ctx, "none is left", func() bool { return sidecars() == 0 && len(left(o.ProgramDir)) == 0 }); err != nil {
 		t.Error(err)
 	}
-	for _, l := range left(o.Bin) { // the test's own, which it must not leave either
+	for _, l := range left(o.ProgramDir) { // the test's own, which it must not leave either
 		var pid int
 		fmt.Sscanf(l, "/proc/%d/exe", &pid)
 		syscall.Kill(pid, syscall.SIGKILL)
@@ -298,17 +298,17 @@
 		processes int
 		want      string
 	}{
-		{Renewals, 250, 20_000, 1, ""},
-		{Renewals, 12_000, 20_000, 12, ""},
-		{Looks, 12_000, 20_000, 12, ""},
-		{Looks, 12_000, 12_112, 12, ""},
-		{Looks, 12_000, 12_111, 12, "looks of 12000: a coordinator needs 12048 descriptors and 64 are kept spare, 12112 together, and a process may have 12111"},
-		{Renewals, 800, 1024, 3, ""},
-		{Renewals, 4000, 1024, 0, "renewals of 4000: a coordinator needs 4548"},
-		{Watches, 12_000, 20_000, 12, ""},
-		{Publish, 12_000, 20_000, 12, ""},
-		{Publish, 12_000, 18_111, 12, "publish of 12000: a coordinator needs 18048"},
-		{Looks, 1, 100, 0, "a coordinator needs 49"},
+		{LeaseRenewals, 250, 20_000, 1, ""},
+		{LeaseRenewals, 12_000, 20_000, 12, ""},
+		{AgentPolls, 12_000, 20_000, 12, ""},
+		{AgentPolls, 12_000, 12_112, 12, ""},
+		{AgentPolls, 12_000, 12_111, 12, "looks of 12000: a coordinator needs 12048 descriptors and 64 are kept spare, 12112 together, and a process may have 12111"},
+		{LeaseRenewals, 800, 1024, 3, ""},
+		{LeaseRenewals, 4000, 1024, 0, "renewals of 4000: a coordinator needs 4548"},
+		{Subscriptions, 12_000, 20_000, 12, ""},
+		{Publishing, 12_000, 20_000, 12, ""},
+		{Publishing, 12_000, 18_111, 12, "publish of 12000: a coordinator needs 18048"},
+		{AgentPolls, 1, 100, 0, "a coordinator needs 49"},
 	} {
 		l, err := newLayout(c.workload, c.size, 0, c.limit)
 		if c.want != "" {
@@ -318,24 +318,24 @@
 			continue
 		}
 		next := 0
-		for _, s := range l.Hollow {
+		for _, s := range l.Spans {
 			if s.First != next || s.Count < 1 {
-				t.Errorf("%s %d: %v", c.workload, c.size, l.Hollow)
+				t.Errorf("%s %d: %v", c.workload, c.size, l.Spans)
 			}
 			next += s.Count
 		}
-		if err != nil || len(l.Hollow) != c.processes || next != c.size || l.Member+spare > c.limit {
+		if err != nil || len(l.Spans) != c.processes || next != c.size || l.MemberDescriptors+spareDescriptors > c.limit {
 			t.Errorf("%s %d: %v, %+v", c.workload, c.size, err, l)
 		}
 	}
 	o := options(t)
-	if l, err := newLayout(Watches, 100, 24, 20_000); err != nil || l.Coordinator != 100+12+48+beside {
+	if l, err := newLayout(Subscriptions, 100, 24, 20_000); err != nil || l.CoordinatorDescriptors != 100+12+48+baseDescriptors {
 		t.Errorf("beside real machines: %v, %+v", err, l)
 	}
-	if _, err := newLayout(Watches, 100, 110, 20_000); err == nil || !strings.Contains(err.Error(), "335 processes; 300 at most") {
+	if _, err := newLayout(Subscriptions, 100, 110, 20_000); err == nil || !strings.Contains(err.Error(), "335 processes; 300 at most") {
 		t.Errorf("too many real machines: %v", err)
 	}
-	o.Limit, o.Sizes = 1024, []int{100, 2000}
+	o.DescriptorLimit, o.Sizes = 1024, []int{100, 2000}
 	o.Progress = func(what string) { t.Error("begun: " + what) }
 	if m, err := Run(t.Context(), o); m != nil || err == nil || !strings.Contains(err.Error(), "renewals of 2000") {
 		t.Errorf("%v, %v", m, err)
@@ -343,7 +343,7 @@
 }
 
 func TestBadOptions(t *testing.T) {
-	good := Options{Workloads: Workloads, Sizes: []int{10}, Runs: 1, Steady: time.Second, Memory: 1 << 30, Within: time.Minute}
+	good := Options{Workloads: Workloads, Sizes: []int{10}, Runs: 1, Window: time.Second, MemoryLimitBytes: 1 << 30, Timeout: time.Minute}
 	if err := good.Check(); err != nil {
 		t.Error(err)
 	}
@@ -353,13 +353,13 @@
 		"--sizes: write one":                 func(o *Options) { o.Sizes = nil },
 		"--sizes: 0":                         func(o *Options) { o.Sizes = []int{5, 0} },
 		"--sizes: 20001":                     func(o *Options) { o.Sizes = []int{20_001} },
-		"--check: 10; write a size above":    func(o *Options) { o.Beyond = 10 },
+		"--check: 10; write a size above":    func(o *Options) { o.CheckSize = 10 },
 		"--runs: 0":                          func(o *Options) { o.Runs = 0 },
-		"--real: 65; write 0 to 64":          func(o *Options) { o.Real = 65 },
-		"--real: -1":                         func(o *Options) { o.Real = -1 },
-		"--steady: 1ms":                      func(o *Options) { o.Steady = time.Millisecond },
-		"--memory: 1 bytes; write 64M":       func(o *Options) { o.Memory = 1 },
-		"--within: 0s; write a time above 0": func(o *Options) { o.Within = 0 },
+		"--real: 65; write 0 to 64":          func(o *Options) { o.RealMachines = 65 },
+		"--real: -1":                         func(o *Options) { o.RealMachines = -1 },
+		"--steady: 1ms":                      func(o *Options) { o.Window = time.Millisecond },
+		"--memory: 1 bytes; write 64M":       func(o *Options) { o.MemoryLimitBytes = 1 },
+		"--within: 0s; write a time above 0": func(o *Options) { o.Timeout = 0 },
 	} {
 		o := good
 		change(&o)
@@ -411,16 +411,16 @@
 		}
 	}
 	post(1)
-	before, err := own.look()
-	first := r.carried()
+	before, err := own.poll()
+	first := r.traffic()
 	if err != nil || before[r.addr].MessagesIn != 1 || before[r.addr].Open != 1 || first.Open != 1 {
 		t.Errorf("%v: %+v, %+v", err, before, first)
 	}
 	post(9)
 	client.CloseIdleConnections()
 	post(1) // by another connection: what went by the first stays counted
-	after, err := own.look()
-	all := r.carried()
+	after, err := own.poll()
+	all := r.traffic()
 	if all.MessagesIn != 11 || all.MessagesOut != 11 || all.In != 11*first.In || all.Out != 11*first.Out {
 		t.Errorf("%+v, the first %+v", all, first)
 	}
--- a/internal/rig/scale/serving.go
+++ b/internal/rig/scale/serving.go
@@ -16,9 +16,9 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// served is what real sidecars serve: reads, keyed writes that one cell drops repeats of, and what must not run twice,
-// at a fleet that nothing happens to.
-const served = `length 2h
+// servedScenario is the load on real sidecars, by number and rate: reads, keyed writes (a cell drops repeats), and writes that must
+// not run twice, with a fleet of servers without faults.
+const servedScenario = `length 2h
 sidecars %d cores=1 memory=64 sockets=512
 class look share=60 effect=safe   work=2ms..3ms io=4ms..6ms aim=100ms deadline=1s worth=3 late=0.3
 class book share=25 effect=keyed group=cell window=2s work=2ms..3ms io=4ms..6ms aim=100ms deadline=1s worth=3 late=0.3
@@ -30,67 +30,67 @@
 `
 
 const (
-	busyCalls = 10   // a second and sidecar, while versions are on their way
-	restCalls = 0.05 // ... at rest: what a sidecar spends then is spent on control
+	busyCallsPerSecond = 10   // for each sidecar, while versions are published
+	idleCallsPerSecond = 0.05 // the same while none is: the cost of a sidecar is then that of its control
 )
 
-// serving is a rehearsal of the real sidecars that goes on beside everything else.
+// serving is a rehearsal with the real sidecars that goes on during the run.
 type serving struct {
-	end   context.CancelFunc
-	over  chan struct{}
-	out   *rehearse.Outcome // once it is over
-	err   error
-	began time.Time
+	cancel  context.CancelFunc
+	ended   chan struct{}
+	outcome *rehearse.Outcome // valid once ended is closed, as err is
+	err     error
+	began   time.Time
 
-	mu   sync.Mutex
-	done []load.Operation
+	mu         sync.Mutex
+	operations []load.Operation
 }
 
-// serve starts the machines' sidecars and the load, and returns when all are ready. failed is told where it ends by
-// itself.
-func (m *machines) serve(
+// serve starts the machines' sidecars and the load, and returns when all are ready. failed is called if the rehearsal ends by
+// itself with an error.
+func (m *realMachines) serve(
 	ctx context.Context, number int, rate float64, failed context.CancelCauseFunc,
 ) (*serving, error) {
-	s, err := scenario.Parse("served", strings.NewReader(fmt.Sprintf(served, number, rate*float64(number))))
+	s, err := scenario.Parse("served", strings.NewReader(fmt.Sprintf(servedScenario, number, rate*float64(number))))
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	v := &serving{end: cancel, over: make(chan struct{})}
+	v := &serving{cancel: cancel, ended: make(chan struct{})}
 	began := make(chan struct{})
 	r := &rehearse.Rehearsal{Scenario: s, Network: loopback.New(), Sidecars: m, MaxLag: time.Minute,
 		Began: func() { v.began = time.Now(); close(began) },
 		Live: func(o load.Operation) {
 			v.mu.Lock()
 			defer v.mu.Unlock()
-			v.done = append(v.done, o)
+			v.operations = append(v.operations, o)
 		}}
 	go func() {
-		defer close(v.over)
-		if v.out, v.err = r.Run(ctx); v.err != nil && ctx.Err() == nil {
+		defer close(v.ended)
+		if v.outcome, v.err = r.Run(ctx); v.err != nil && ctx.Err() == nil {
 			failed(fmt.Errorf("the real sidecars' load: %w", v.err))
 		}
 	}()
 	select {
 	case <-began:
 		return v, nil
-	case <-v.over:
+	case <-v.ended:
 		cancel()
 		return nil, errors.Join(context.Cause(ctx), v.err)
 	}
 }
 
-// stop ends the load and the sidecars; it says what was against the rules.
+// stop ends the load and the sidecars. It is an error if a rule was broken.
 func (v *serving) stop() error {
-	v.end()
-	<-v.over
+	v.cancel()
+	<-v.ended
 	if v.err != nil {
 		return v.err
 	}
-	return judge(v.out)
+	return judge(v.outcome)
 }
 
-// judge is an error where a rule was broken, or a request had no answer.
+// judge returns an error if a rule was broken or a request got no response.
 func judge(out *rehearse.Outcome) error {
 	n := map[audit.Result]int{}
 	for _, c := range out.Records.Calls {
@@ -106,12 +106,12 @@
 	return nil
 }
 
-// latencies are those of the calls that were due between two moments and were served, the shortest first, in seconds;
-// and how many were not served.
+// latencies are the latencies of the calls scheduled from one time up to another that were served, in seconds, ascending; and the
+// number that were not served.
 func (v *serving) latencies(from, to time.Time) (took []float64, not int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, o := range v.done {
+	for _, o := range v.operations {
 		if at := v.began.Add(o.Due); at.Before(from) || !at.Before(to) {
 			continue
 		}
--- a/internal/rig/scale/sessions.go
+++ b/internal/rig/scale/sessions.go
@@ -11,33 +11,32 @@
 	"petrelhook/lease"
 )
 
-// The joining.
+// How sessions join.
 const (
-	joinsAtOnce = 64 // sessions of a process that begin at the same time
-	// Sessions begin one after the other over the mean time between two renewals of the default TTL (a third of 10 s,
-	// less up to half of it), or longer: those that begin in step would renew in step for a while.
-	joinOver = 2500 * time.Millisecond
+	concurrentJoins = 64 // sessions of a process that open at the same time
+	// Sessions open one after the other over the mean time between two renewals of the default TTL (a third of 10 s, less up to
+	// half of it), or longer: sessions that open together would renew together for a while.
+	joinPeriod = 2500 * time.Millisecond
 )
 
-// sessions are hollow members that hold a lease each. Their client is the product's own; nothing is left out but what
-// a holder does while it holds.
+// sessions are hollow members that hold a lease each. They use the product's own client; only the work under the lease is left out.
 type sessions struct {
 	clients []*lease.Client
-	held    []*lease.Held
+	leases  []*lease.Held
 	sockets *sockets
 }
 
-// joinSessions returns when each has its lease.
+// joinSessions returns when each member has its lease.
 func joinSessions(ctx context.Context, j *join) (s *sessions, err error) {
-	s = &sessions{clients: make([]*lease.Client, j.Members.Count), held: make([]*lease.Held, j.Members.Count)}
+	s = &sessions{clients: make([]*lease.Client, j.Members.Count), leases: make([]*lease.Held, j.Members.Count)}
 	if s.sockets, err = newSockets(j.Coordinators); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var sides sync.WaitGroup
-	limit := make(chan struct{}, joinsAtOnce)
-	turn := time.NewTicker(joinOver / time.Duration(j.Members.Count))
+	limit := make(chan struct{}, concurrentJoins)
+	turn := time.NewTicker(joinPeriod / time.Duration(j.Members.Count))
 	defer turn.Stop()
 	for i := range j.Members.Count {
 		select {
@@ -54,7 +53,7 @@
 			c, err := lease.New(lease.Options{Addrs: j.Coordinators, Owner: m.Name, TTL: j.TTL})
 			if err == nil {
 				s.clients[i] = c
-				s.held[i], err = c.Hold(ctx, "scale/"+m.Name)
+				s.leases[i], err = c.Hold(ctx, "scale/"+m.Name)
 			}
 			if err != nil {
 				cancel(fmt.Errorf("member %s: %w", m.Name, err))
@@ -66,18 +65,18 @@
 }
 
 func (s *sessions) sample() (*sample, error) {
-	all, err := s.sockets.look()
-	n := &sample{At: int64(monotonic.Now()), Of: all}
-	for _, h := range s.held {
+	all, err := s.sockets.poll()
+	n := &sample{Time: int64(monotonic.Now()), Traffic: all}
+	for _, h := range s.leases {
 		if !h.Valid() {
-			n.Lost++
+			n.LostLeases++
 		}
 	}
 	return n, err
 }
 
-var errNothingToAwait = errors.New("sessions: there is nothing to wait for")
+var errNothingToAwait = errors.New("sessions have no condition to wait for")
 
-func (s *sessions) await(context.Context, *await) ([]int64, error) { return nil, errNothingToAwait }
+func (s *sessions) await(context.Context, *condition) ([]int64, error) { return nil, errNothingToAwait }
 
 func (s *sessions) agents() []string { return nil }
--- a/internal/rig/scale/watchers_test.go
+++ b/internal/rig/scale/subscribers_test.go
@@ -31,12 +31,12 @@
 		"took revision 6, which i":        foreign,
 		"is of s0001: {\"for\":\"s0002\"": wrong,
 	} {
-		w := &watchers{changed: make(chan struct{})}
-		m := &watcher{member: member{Name: "n"}, service: "s0001", number: 3}
-		w.all = []*watcher{m}
+		w := &subscribers{changed: make(chan struct{})}
+		m := &subscriber{member: member{Name: "n"}, service: "s0001", number: 3}
+		w.all = []*subscriber{m}
 		before := w.changed
 		for _, v := range []distribute.Version{good(2), good(5), last} {
-			w.take(m, &v)
+			w.adopt(m, &v)
 		}
 		select {
 		case <-before:
@@ -45,14 +45,14 @@
 		}
 		_, err := w.sample()
 		if want == "" {
-			takes, bad := w.taken(5)
-			if err != nil || bad != nil || len(takes) != 2 || takes[0].Revision != 5 || takes[1].Revision != 6 || takes[1].Member != 3 || takes[1].At < takes[0].At {
+			takes, bad := w.adoptedSince(5)
+			if err != nil || bad != nil || len(takes) != 2 || takes[0].Revision != 5 || takes[1].Revision != 6 || takes[1].Member != 3 || takes[1].Time < takes[0].Time {
 				t.Errorf("%v, %v: %+v", err, bad, takes)
 			}
-			if _, err := w.await(t.Context(), &await{Holds: map[string]distribute.Revision{"s0001": 6, "s0002": 9}}); err != nil {
+			if _, err := w.await(t.Context(), &condition{Revisions: map[string]distribute.Revision{"s0001": 6, "s0002": 9}}); err != nil {
 				t.Error(err)
 			}
-			for name, not := range map[string]await{"a version": {Holds: map[string]distribute.Revision{"s0001": 7}}, "an answer": {Calls: 1}} {
+			for name, not := range map[string]condition{"a version": {Revisions: map[string]distribute.Revision{"s0001": 7}}, "an answer": {Calls: 1}} {
 				if _, err := w.await(ended, &not); err == nil || !strings.HasPrefix(err.Error(), "0 of 1") {
 					t.Errorf("%v: %s is not there", err, name)
 				}
@@ -62,7 +62,7 @@
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
-		if _, err := w.await(ended, &await{Holds: map[string]distribute.Revision{"s0001": 9}}); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := w.await(ended, &condition{Revisions: map[string]distribute.Revision{"s0001": 9}}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: who waits does not hear of %s", err, want)
 		}
 	}
@@ -73,7 +73,7 @@
 	const s = 1_000_000_000
 	services := []int{0, 1, 0}
 	all := []published{{0, 1, 9 * s, 10 * s}, {1, 2, 9 * s, 11 * s}, {0, 3, 9 * s, 12 * s}}
-	good := []take{{0, 1, 11 * s}, {0, 3, 14 * s}, {1, 2, 11*s - 5}, {2, 3, 13 * s}} // member 2 was told the newest alone
+	good := []adoption{{0, 1, 11 * s}, {0, 3, 14 * s}, {1, 2, 11*s - 5}, {2, 3, 13 * s}} // member 2 was told the newest alone
 	took, err := inForce(all, services, good)
 	if fmt.Sprint(took, err) != "[0 1 1 2 3] <nil>" {
 		t.Error(took, err)
@@ -81,13 +81,13 @@
 	if last := newest(all); len(last) != 2 || last["s0000"] != 3 || last["s0001"] != 2 {
 		t.Error(last)
 	}
-	for want, takes := range map[string][]take{
+	for want, takes := range map[string][]adoption{
 		"member 2 of s0000 never took revision 1":                       good[:3],
-		"member 0 of s0000 took revision 2, which is not its service's": append([]take{{0, 2, 0}}, good...),
-		"member 0 of s0000 took revision 9, which is not its service's": append([]take{{0, 9, 0}}, good...),
-		"member 0 took revision 1 after 1":                              append([]take{{0, 1, 0}}, good...),
-		"member 0 took revision 1 after 3":                              append([]take{{0, 3, 0}}, good...),
-		"there is no member 3":                                          append([]take{{3, 1, 0}}, good...),
+		"member 0 of s0000 took revision 2, which is not its service's": append([]adoption{{0, 2, 0}}, good...),
+		"member 0 of s0000 took revision 9, which is not its service's": append([]adoption{{0, 9, 0}}, good...),
+		"member 0 took revision 1 after 1":                              append([]adoption{{0, 1, 0}}, good...),
+		"member 0 took revision 1 after 3":                              append([]adoption{{0, 3, 0}}, good...),
+		"there is no member 3":                                          append([]adoption{{3, 1, 0}}, good...),
 	} {
 		if _, err := inForce(all, services, takes); err == nil || err.Error() != want {
 			t.Errorf("%v, want %s", err, want)
@@ -121,7 +121,7 @@
 	if canonical, err := distribute.Canonical(text); err != nil || !bytes.Equal(canonical, text) || len(text) != 4096 || json.Unmarshal(text, &v) != nil || v["for"] != "s0017" {
 		t.Errorf("%v: %s", err, text)
 	}
-	if bytes.HasPrefix(text, contentHead("s001")) || bytes.Equal(text, content("s0017", 6)) {
+	if bytes.HasPrefix(text, contentPrefix("s001")) || bytes.Equal(text, content("s0017", 6)) {
 		t.Errorf("%s", text)
 	}
 }
@@ -143,7 +143,7 @@
 	defer r.close()
 	answered := 0
 	c := counters{r.addr: &counter{}}
-	client := &http.Client{Transport: newCounting(c, func() { answered++ })}
+	client := &http.Client{Transport: newCountingTransport(c, func() { answered++ })}
 	for i := range 6 {
 		refuse = i == 4
 		res, err := client.Post("http://"+r.addr, "text/plain", strings.NewReader("what?"))
@@ -154,12 +154,12 @@
 		res.Body.Close()
 		if i == 2 {
 			client.CloseIdleConnections()
-			if open := c[r.addr].carried().Open; open != 0 {
+			if open := c[r.addr].traffic().Open; open != 0 {
 				t.Errorf("%d are open", open)
 			}
 		}
 	}
-	got, want := c[r.addr].carried(), r.carried()
+	got, want := c[r.addr].traffic(), r.traffic()
 	if got.In != want.In || got.Out != want.Out || got.MessagesIn != 6 || got.MessagesOut != 6 || got.Open != 1 || answered != 5 {
 		t.Errorf("%+v, the relay %+v; %d answered", got, want, answered)
 	}
@@ -168,13 +168,13 @@
 // The calls in the second after a kill, and the most they may come to, by hand.
 func TestAsks(t *testing.T) {
 	const s = 1_000_000_000
-	p := &publishing{run: &run{group: &group{addrs: []string{"a", "b", "c"}}}, services: []int{0, 0, 0, 1}}
-	one := func(at int64, a, b, c uint64) []answer {
-		return []answer{{Sample: &sample{At: at, Waiting: map[string]int{"a": 40, "b": 30, "c": 15},
-			Of: map[string]traffic{"a": {MessagesIn: a}, "b": {MessagesIn: b}, "c": {MessagesIn: c}}}}}
+	p := &publisher{run: &run{group: &coordinatorGroup{addrs: []string{"a", "b", "c"}}}, services: []int{0, 0, 0, 1}}
+	one := func(at int64, a, b, c uint64) []response {
+		return []response{{Sample: &sample{Time: at, Waiting: map[string]int{"a": 40, "b": 30, "c": 15},
+			Traffic: map[string]traffic{"a": {MessagesIn: a}, "b": {MessagesIn: b}, "c": {MessagesIn: c}}}}}
 	}
 	all := []published{{0, 1, 7 * s, 8 * s}, {0, 2, 7 * s, 10 * s}, {1, 3, 7 * s, 13 * s}}
-	p.asks(one(10*s, 100, 50, 60), one(12*s, 900, 70, 120), 0, 10*s, all, "x_")
+	p.addRequestRates(one(10*s, 100, 50, 60), one(12*s, 900, 70, 120), 0, 10*s, all, "x_")
 	want := map[string]float64{"x_asks_s": 30, "x_asks_bound_s": 40/2. + 15/3.75 + 2*3/2., "x_waited_there": 40}
 	for _, point := range p.points {
 		if want[point.Metric] != point.Value || point.Role != "coordinator" {
--- a/internal/rig/scale/table.go
+++ b/internal/rig/scale/table.go
@@ -10,7 +10,7 @@
 	"petrelhook/internal/coordination/capacity"
 )
 
-// WriteText writes the medians of the runs as a table: a line for each figure, a column for each size.
+// WriteText writes the medians of the runs as a table with a line for each metric and a column for each size, and the findings.
 func WriteText(w io.Writer, m *capacity.Measured) error {
 	fmt.Fprintf(w, "%s; %s; seed %d\n", m.Machine, m.Commit, m.Seed)
 	type row struct{ workload, role, metric string }
@@ -43,7 +43,7 @@
 		last = at
 		fmt.Fprintf(table, "%s\t", at.metric)
 		for _, n := range sizes {
-			fmt.Fprintf(table, "%s\t", short(values[at][n]))
+			fmt.Fprintf(table, "%s\t", formatMedian(values[at][n]))
 		}
 		fmt.Fprintln(table)
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// afterLast is the place after the last that is so; where none is, the end.
+// afterLast is the index after the last element for which is holds, or the end if there is none.
 func afterLast[T any](all []T, is func(T) bool) int {
 	for i, v := range slices.Backward(all) {
 		if is(v) {
@@ -68,8 +68,8 @@
 	return len(all)
 }
 
-// short is the median of some values, in as many digits as are of use.
-func short(all []float64) string {
+// formatMedian is the median of some values, with as many digits as are useful.
+func formatMedian(all []float64) string {
 	if len(all) == 0 {
 		return "-"
 	}
@@ -77,15 +77,15 @@
 	v := (all[(len(all)-1)/2] + all[len(all)/2]) / 2
 	switch {
 	case v >= 100 || v == 0:
-		return grouped(fmt.Sprintf("%.0f", v))
+		return groupDigits(fmt.Sprintf("%.0f", v))
 	case v >= 1:
 		return fmt.Sprintf("%.2f", v)
 	}
 	return fmt.Sprintf("%.4f", v)
 }
 
-// grouped is digits with a comma before every three.
-func grouped(digits string) string {
+// groupDigits puts a comma before every three digits.
+func groupDigits(digits string) string {
 	var parts []string
 	for len(digits) > 3 {
 		parts = append(parts, digits[len(digits)-3:])
--- a/internal/rig/scale/wire.go
+++ b/internal/rig/scale/wire.go
@@ -6,16 +6,16 @@
 	"petrelhook/internal/coordination/distribute"
 )
 
-// question is one line of JSON that a run writes to a process of hollow members; it is answered by one line. One
-// field says what. The end of the lines ends the process.
-type question struct {
-	Join   *join  `json:"join,omitempty"`   // first, and once
-	Sample bool   `json:"sample,omitempty"` // what members have sent and received until now
-	Await  *await `json:"await,omitempty"`  // answered when it holds of all members
-	Taken  *taken `json:"taken,omitempty"`  // what members have taken
+// request is one line of JSON that a run writes to a process of hollow members; the response is one line, too. One field is set.
+// The process ends with its input.
+type request struct {
+	Join    *join             `json:"join,omitempty"`   // first, and once
+	Sample  bool              `json:"sample,omitempty"` // what the members have sent and received until now
+	Await   *condition        `json:"await,omitempty"`  // the response comes when the condition holds for all members
+	Adopted *adoptionsRequest `json:"taken,omitempty"`  // which versions the members have adopted
 }
 
-// join is what members are told.
+// join describes the members that a process is to have.
 type join struct {
 	Workload     string        `json:"workload"`
 	Coordinators []string      `json:"coordinators"`
@@ -24,45 +24,45 @@
 	Seed         uint64        `json:"seed"`
 	TTL          time.Duration `json:"ttl_ns,omitempty"` // of sessions
 	Application  string        `json:"application,omitempty"`
-	Release      string        `json:"release,omitempty"` // that sidecars run at first
+	Release      string        `json:"release,omitempty"` // the release that sidecars run at first
 }
 
-// await is something that a run waits for.
-type await struct {
-	Calls   uint64 `json:"calls,omitempty"`   // each agent has answered so many looks; each watcher got so many answers
-	Release string `json:"release,omitempty"` // each sidecar runs it
-	// Holds is what members have taken at least, by service.
-	Holds map[string]distribute.Revision `json:"holds,omitempty"`
+// condition is what a run waits for.
+type condition struct {
+	Calls   uint64 `json:"calls,omitempty"`   // polls that each agent has answered, or responses that each subscriber has got, at least
+	Release string `json:"release,omitempty"` // each sidecar runs this release
+	// Revisions are the lowest revisions that members may have, by service.
+	Revisions map[string]distribute.Revision `json:"holds,omitempty"`
 }
 
-// taken asks for what members have taken.
-type taken struct {
+// adoptionsRequest asks for the versions that members have adopted, from a revision on.
+type adoptionsRequest struct {
 	From distribute.Revision `json:"from"`
 }
 
-// answer is a process's.
-type answer struct {
-	Err     string   `json:"err,omitempty"`
-	Agents  []string `json:"agents,omitempty"` // where they listen, in the order of members
-	Sample  *sample  `json:"sample,omitempty"`
-	InForce []int64  `json:"in_force,omitempty"` // when each member had it, by the machine's monotonic clock, in ns
-	Takes   []take   `json:"takes,omitempty"`
+// response is what a process of hollow members answers.
+type response struct {
+	Err       string     `json:"err,omitempty"`
+	Agents    []string   `json:"agents,omitempty"` // their addresses, in the order of members
+	Sample    *sample    `json:"sample,omitempty"`
+	InForce   []int64    `json:"in_force,omitempty"` // when the condition came to hold for each member, in ns of the machine's monotonic clock
+	Adoptions []adoption `json:"takes,omitempty"`
 }
 
 // sample is all that the members of a process have done since they joined.
 type sample struct {
-	At    int64              `json:"at"`    // ns of the machine's monotonic clock
-	Of    map[string]traffic `json:"of"`    // by the address of a coordinator; agents are called by "driver" only
-	Lost  int                `json:"lost"`  // leases that are held no more
-	Least uint64             `json:"least"` // looks that the agent with fewest has answered
-	// Waiting are the calls that are out, by the address of a coordinator.
+	Time       int64              `json:"at"`    // ns of the machine's monotonic clock
+	Traffic    map[string]traffic `json:"of"`    // by the address of a coordinator; for agents the one key is driverEnd
+	LostLeases int                `json:"lost"`  // leases that members do not hold any more
+	MinPolls   uint64             `json:"least"` // polls that the agent with fewest has answered
+	// Waiting is the number of calls without a response yet, by the address of a coordinator.
 	Waiting map[string]int `json:"waiting,omitempty"`
 }
 
-// driver is the other end of all calls of agents.
+// driverEnd stands for the caller of agents, in sample.Traffic.
 const driverEnd = "driver"
 
-// traffic is what went to and fro, as who is measured (a coordinator) has it: In is what it received.
+// traffic is what went over connections, from the point of view of the coordinator: In is what it received.
 type traffic struct {
 	In          uint64 `json:"in"`  // bytes
 	Out         uint64 `json:"out"` // bytes
@@ -76,7 +76,7 @@
 		t.Open + o.Open}
 }
 
-// minus is what was added since; connections are as they are now.
+// minus is the traffic since o; connections are the present ones.
 func (t traffic) minus(o traffic) traffic {
 	return traffic{t.In - o.In, t.Out - o.Out, t.MessagesIn - o.MessagesIn, t.MessagesOut - o.MessagesOut, t.Open}
 }
--- a/internal/rig/scale/workloads.go
+++ b/internal/rig/scale/workloads.go
@@ -12,16 +12,16 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// renewals is N sessions at rest: each renews its own, and holds one lease.
+// renewals measures sessions that are idle: each renews itself, and holds one lease.
 func (r *run) renewals(ctx context.Context) error {
 	r.progress("members join")
-	_, err := r.crew.ask(ctx, func(s span) question {
-		return question{Join: &join{Workload: Renewals, Coordinators: r.group.inOrder(), Members: s, Seed: r.o.Seed}}
+	_, err := r.members.call(ctx, func(s span) request {
+		return request{Join: &join{Workload: LeaseRenewals, Coordinators: r.group.memberAddrs(), Members: s, Seed: r.options.Seed}}
 	})
 	if err != nil {
 		return err
 	}
-	before, after, err := r.window(ctx, r.o.Steady)
+	before, after, err := r.window(ctx, r.options.Window)
 	if err != nil {
 		return err
 	}
@@ -29,12 +29,12 @@
 	return r.state(ctx, "leader", "")
 }
 
-// roles adds the rates of leader, followers and members between two moments, each metric's name behind a prefix.
-func (r *run) roles(before, after *seen, prefix string) {
+// roles adds points on the rates of leader, followers and members between two observations. Metrics' names get the prefix.
+func (r *run) roles(before, after *observation, prefix string) {
 	add := func(role, metric string, value float64) { r.add(role, prefix+metric, value) }
 	var followers []rates
 	for i, addr := range r.group.addrs {
-		v := between(before, after, i, addr)
+		v := coordinatorRates(before, after, i, addr)
 		if r.machines != nil {
 			v = v.withAgents(before, after, slices.Index(r.machines.coordinators, addr))
 		}
@@ -42,41 +42,42 @@
 			followers = append(followers, v)
 			continue
 		}
-		v.points(add, "leader")
-		v.replica(add, "leader")
+		v.addAll(add, "leader")
+		v.addReplica(add, "leader")
 	}
 	v := mean(followers...)
-	v.points(add, "follower")
-	v.replica(add, "follower")
-	betweenMembers(before, after, r.size).points(add, "member")
+	v.addAll(add, "follower")
+	v.addReplica(add, "follower")
+	memberRates(before, after, r.size).addAll(add, "member")
 	if r.machines != nil {
-		agent, sidecar := betweenMachines(before, after)
-		agent.points(add, "agent")
-		sidecar.process(add, "sidecar")
+		agent, sidecar := machineRates(before, after)
+		agent.addAll(add, "agent")
+		sidecar.addProcess(add, "sidecar")
 	}
 }
 
-// What the changes are of.
+// What the rolling changes are of.
 const (
 	application = "scale"
 	oldRelease  = "old"
 	newRelease  = "new"
 )
 
-// looks is one running change of N agents, at which nothing changes yet; and then one of all of them at once.
-func (r *run) looks(ctx context.Context) error {
+// agentPolls measures a rolling change of all agents that is still in its baseline period, so that the driver only polls; then a
+// change of all agents at once.
+func (r *run) agentPolls(ctx context.Context) error {
 	r.progress("agents listen")
-	answers, err := r.crew.ask(ctx, func(s span) question {
-		return question{Join: &join{Workload: Looks, Members: s, Seed: r.o.Seed, Application: application,
+	answers, err := r.members.call(ctx, func(s span) request {
+		return request{Join: &join{Workload: AgentPolls, Members: s, Seed: r.options.Seed, Application: application,
 			Release: oldRelease}}
 	})
 	if err != nil {
 		return err
 	}
 	start := rollout.Start{}
-	for i, s := range r.crew.all {
+	for i, s := range r.members.all {
 		for n, addr := range answers[i].Agents {
-			m := drawMember(r.o.Seed, s.First+n)
+			m := drawMember(r.options.Seed, s.First+n)
 			start.Members = append(start.Members, rollout.Member{Name: m.Name, Zone: m.Zone, Agent: addr})
 			start.Reports = append(start.Reports, rollout.Report{Sidecar: m.Name, Release: oldRelease, Ready: true})
 		}
@@ -92,41 +93,40 @@
 		return err
 	}
 	r.progress("the driver comes round")
-	if _, err := r.crew.ask(ctx, func(span) question { return question{Await: &await{Calls: 2}} }); err != nil {
+	if _, err := r.members.call(ctx, func(span) request { return request{Await: &condition{Calls: 2}} }); err != nil {
 		return err
 	}
-	before, after, err := r.window(ctx, r.o.Steady)
+	before, after, err := r.window(ctx, r.options.Window)
 	if err != nil {
 		return err
 	}
-	if now := r.group.drives(); now != r.group.leader {
+	if now := r.group.driver(); now != r.group.leader {
 		return fmt.Errorf("coordinator %d drives, and %d leads", now+1, r.group.leader+1)
 	}
 	var followers []rates
 	for i := range r.group.addrs {
 		if i != r.group.leader {
-			followers = append(followers, between(before, after, i, ""))
+			followers = append(followers, coordinatorRates(before, after, i, ""))
 		}
 	}
-	v := between(before, after, r.group.leader, driverEnd)
-	v.points(r.add, "driver")
-	v.replica(r.add, "driver")
+	v := coordinatorRates(before, after, r.group.leader, driverEnd)
+	v.addAll(r.add, "driver")
+	v.addReplica(r.add, "driver")
 	v = mean(followers...)
-	v.points(r.add, "follower")
-	v.replica(r.add, "follower")
-	betweenMembers(before, after, r.size).points(r.add, "agent")
+	v.addAll(r.add, "follower")
+	v.addReplica(r.add, "follower")
+	memberRates(before, after, r.size).addAll(r.add, "agent")
 	if err := r.state(ctx, "driver", application); err != nil {
 		return err
 	}
 	return r.changeAll(ctx, start)
 }
 
-// changeAll times a change of all agents at once that has no judge: from when it was accepted until each sidecar runs
-// the new release.
+// changeAll times a change of all agents at once, without a judge: from its acceptance until each sidecar runs the new release.
 func (r *run) changeAll(ctx context.Context, start rollout.Start) error {
 	r.progress("all change")
 	abort := []rollout.Event{{Abort: "it was watched"}}
-	if err := r.say(ctx, &rollout.Command{Application: application, Change: "watched", Events: abort}); err != nil {
+	if err := r.propose(ctx, &rollout.Command{Application: application, Change: "watched", Events: abort}); err != nil {
 		return err
 	}
 	start.Plan.BaselinePeriod, start.Plan.Judge = 0, rollout.JudgeConfig{Disabled: true}
@@ -134,7 +134,7 @@
 		return err
 	}
 	accepted := int64(monotonic.Now())
-	answers, err := r.crew.ask(ctx, func(span) question { return question{Await: &await{Release: newRelease}} })
+	answers, err := r.members.call(ctx, func(span) request { return request{Await: &condition{Release: newRelease}} })
 	if err != nil {
 		return err
 	}
@@ -154,29 +154,30 @@
 	return nil
 }
 
-// begin has the log begin a change.
+// begin proposes the start of a change.
 func (r *run) begin(ctx context.Context, change string, start *rollout.Start) error {
-	err := r.say(ctx, &rollout.Command{Application: application, Change: change, Start: start})
+	err := r.propose(ctx, &rollout.Command{Application: application, Change: change, Start: start})
 	if err == nil {
 		return nil
 	}
-	err = fmt.Errorf("the change does not begin: %w", err)
-	if errors.As(err, &refused{}) || fleet.IsPermanent(err) {
-		return refused{err}
+	err = fmt.Errorf("start of the rolling change: %w", err)
+	if errors.As(err, &rejection{}) || fleet.IsPermanent(err) {
+		return rejection{err}
 	}
 	return err
 }
 
-// sayWithin is for how long a command is asked for.
-const sayWithin = 20 * time.Second
+// proposalTimeout bounds the wait for a command to be committed.
+const proposalTimeout = 20 * time.Second
 
-func (r *run) say(ctx context.Context, c *rollout.Command) error {
-	ctx, cancel := context.WithTimeout(ctx, sayWithin)
+// propose has the coordinators commit a command on rolling changes. A command that their state machine rejects is a rejection.
+func (r *run) propose(ctx context.Context, c *rollout.Command) error {
+	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	c.AtMillis = time.Now().UnixMilli()
 	told, err := r.group.operator.Call(ctx, fleet.Request{Rollout: c})
 	if err == nil && told.Rollout.Error != "" {
-		err = refused{errors.New(told.Rollout.Error)}
+		err = rejection{errors.New(told.Rollout.Error)}
 	}
 	return err
 }
