--- a/internal/rig/scale/coordinators.go
+++ b/internal/rig/scale/coordinators.go
@@ -20,22 +20,22 @@
 // coordinatorGroup is the coordinators of a run, with default settings. Clients reach them directly; they reach one another through
 // relays that count the traffic.
 type coordinatorGroup struct {
-	family   *processGroup
-	program  string
-	dir      string
-	addrs    []string
-	files    []string
-	all      []*child
-	relays   [coordinators][coordinators]*relay // by sender, then receiver
-	reserved []int                              // sockets that reserve the addresses
-	operator fleet.Operator
-	leader   int
+	processes *processGroup
+	program   string
+	dir       string
+	addrs     []string
+	files     []string
+	replicas  []*child
+	relays    [coordinators][coordinators]*relay // by sender, then receiver
+	reserved  []int                              // sockets that reserve the addresses
+	operator  fleet.Operator
+	leader    int
 }
 
-// newGroup starts the coordinators, and returns when one leads. With drive they drive rolling changes too, and newGroup returns
+// newCoordinatorGroup starts the coordinators, and returns when one leads. With drive they drive rolling changes too, and newGroup returns
 // when the leader is the driver.
-func newGroup(ctx context.Context, f *processGroup, program, dir string, drive bool) (_ *coordinatorGroup, err error) {
-	g := &coordinatorGroup{family: f, program: program, dir: dir}
+func newCoordinatorGroup(ctx context.Context, processes *processGroup, program, dir string, drive bool) (_ *coordinatorGroup, err error) {
+	g := &coordinatorGroup{processes: processes, program: program, dir: dir}
 	defer func() {
 		if err != nil {
 			g.close()
@@ -67,7 +67,7 @@
 		if err != nil {
 			return nil, err
 		}
-		g.all = append(g.all, c)
+		g.replicas = append(g.replicas, c)
 	}
 	g.operator.Addrs = g.addrs
 	if err := g.awaitLeader(ctx); err != nil {
@@ -81,7 +81,7 @@
 
 // start starts the process of coordinator i.
 func (g *coordinatorGroup) start(i int) (*child, error) {
-	return g.family.start(fmt.Sprintf("petrelhook-coordinator-%d", i+1), exec.Command(g.program, "--config", g.files[i]), nil, nil)
+	return g.processes.start(fmt.Sprintf("petrelhook-coordinator-%d", i+1), exec.Command(g.program, "--config", g.files[i]), nil, nil)
 }
 
 // close ends the relays and releases the addresses; the processes belong to the process group.
@@ -115,13 +115,13 @@
 func (g *coordinatorGroup) currentLeader(ctx context.Context) int {
 	all := g.status(ctx)
 	for i, s := range all {
-		follow := 0
+		followers := 0
 		for _, o := range all {
 			if o != nil && s != nil && o.Leader == s.ID {
-				follow++
+				followers++
 			}
 		}
-		if s != nil && s.IsLeader && follow == len(all) {
+		if s != nil && s.IsLeader && followers == len(all) {
 			return i
 		}
 	}
@@ -142,14 +142,14 @@
 
 // knownSidecars is the number of sidecars of a service that have reported to the coordinators.
 func (g *coordinatorGroup) knownSidecars(ctx context.Context, service string) int {
-	of, _ := g.operator.InForce(ctx, service)
-	return of[service].Reported
+	services, _ := g.operator.InForce(ctx, service)
+	return services[service].Reported
 }
 
 // driver is the index of the coordinator that drives; -1: none. It is read from their logs.
 func (g *coordinatorGroup) driver() int {
-	best, at := uint64(0), -1
-	for i, c := range g.all {
+	highest, index := uint64(0), -1
+	for i, c := range g.replicas {
 		log := string(c.stderr())
 		last := strings.LastIndex(log, "msg=drives token=")
 		if last < 0 || strings.LastIndex(log, `msg="drives no more"`) > last {
@@ -157,11 +157,11 @@
 		}
 		var token uint64
 		// without a token it stays 0, which is no token
-		if _, _ = fmt.Sscanf(log[last:], "msg=drives token=%d", &token); token > best {
-			best, at = token, i
+		if _, _ = fmt.Sscanf(log[last:], "msg=drives token=%d", &token); token > highest {
+			highest, index = token, i
 		}
 	}
-	return at
+	return index
 }
 
 // awaitLeaderDrives makes the leader the driver, so that the cost of driving is in the same process in every run. Drivers queue for
@@ -175,14 +175,14 @@
 		if g.leader = g.currentLeader(ctx); g.leader == now {
 			return nil
 		}
-		if err := g.family.terminate(g.all[now]); err != nil {
+		if err := g.processes.terminate(g.replicas[now]); err != nil {
 			return err
 		}
 		c, err := g.start(now)
 		if err != nil {
 			return err
 		}
-		g.all[now] = c
+		g.replicas[now] = c
 		if err := g.awaitLeader(ctx); err != nil {
 			return err
 		}
@@ -209,13 +209,13 @@
 
 // pollUntil waits until ok returns true. what names the state in the error.
 func pollUntil(ctx context.Context, what string, ok func() bool) error {
-	look := time.NewTicker(pollInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for !ok() {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("waiting until %s: %w", what, context.Cause(ctx))
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 	return nil
--- a/internal/rig/scale/kill.go
+++ b/internal/rig/scale/kill.go
@@ -35,7 +35,7 @@
 			return err
 		}
 		from = int64(monotonic.Now())
-		p.processes.kill(p.group.all[i])
+		p.processes.kill(p.group.replicas[i])
 		go func() { // nothing else calls the members until this has ended
 			err := sleep(ctx, time.Second)
 			if err == nil {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	p.group.all[i] = c
+	p.group.replicas[i] = c
 	return p.group.awaitLeader(ctx)
 }
 
@@ -81,30 +81,30 @@
 	for i := range before {
 		took = max(took, seconds(after[i].Sample.Time-before[i].Sample.Time))
 	}
-	of := make([]int, len(p.services))
+	membersOf := make([]int, len(p.services))
 	for _, service := range p.services {
-		of[service]++
+		membersOf[service]++
 	}
-	told := 0.0
+	notified := 0.0
 	for _, v := range all { // one accepted just before may not have been delivered yet
 		if since := time.Duration(v.accepted - from); since > -time.Second && since < time.Duration(took*1e9) {
-			told += float64(of[v.service])
+			notified += float64(membersOf[v.service])
 		}
 	}
 	_, lost := sum(before, p.group.addrs[killed])
-	var most, bound float64
+	var maxRate, bound float64
 	for i, addr := range p.group.addrs {
 		if i == killed {
 			continue
 		}
 		was, waited := sum(before, addr)
 		is, _ := sum(after, addr)
-		if rate := (is - was) / took; rate >= most {
-			most = rate
-			bound = lost/subscriberOptions().ReconnectWindow.Seconds() + waited/(subscriberOptions().MaxWait*3/4).Seconds() + 2*told/took
+		if rate := (is - was) / took; rate >= maxRate {
+			maxRate = rate
+			bound = lost/subscriberOptions().ReconnectWindow.Seconds() + waited/(subscriberOptions().MaxWait*3/4).Seconds() + 2*notified/took
 		}
 	}
-	p.add("coordinator", prefix+"asks_s", most)
+	p.add("coordinator", prefix+"asks_s", maxRate)
 	p.add("coordinator", prefix+"asks_bound_s", bound)
 	p.add("coordinator", prefix+"waited_there", lost)
 }
--- a/internal/rig/scale/memberprocess.go
+++ b/internal/rig/scale/memberprocess.go
@@ -26,10 +26,10 @@
 }
 
 // startMemberProcesses starts a process for each span of members. The members have not joined yet.
-func startMemberProcesses(f *processGroup, program string, spans []span) (*memberProcesses, error) {
+func startMemberProcesses(processes *processGroup, program string, spans []span) (*memberProcesses, error) {
 	c := &memberProcesses{}
 	for i, members := range spans {
-		s, err := startMemberProcess(f, fmt.Sprintf("members-%d", i+1), exec.Command(program, "scale", "members"), members)
+		s, err := startMemberProcess(processes, fmt.Sprintf("members-%d", i+1), exec.Command(program, "scale", "members"), members)
 		if err != nil {
 			c.close()
 			return nil, err
@@ -40,7 +40,7 @@
 }
 
 // startMemberProcess starts one process, whose standard input and output are pipes to this one.
-func startMemberProcess(f *processGroup, name string, cmd *exec.Cmd, members span) (*memberProcess, error) {
+func startMemberProcess(processes *processGroup, name string, cmd *exec.Cmd, members span) (*memberProcess, error) {
 	theirs, in, err := os.Pipe()
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	defer func() { _ = its.Close() }()
-	p, err := f.start(name, cmd, theirs, its)
+	p, err := processes.start(name, cmd, theirs, its)
 	if err != nil {
 		_ = in.Close()
 		_ = out.Close()
@@ -74,23 +74,23 @@
 
 // call sends each process its request at the same time, and waits for all responses. When ctx ends, pending responses are never
 // read: the run is over.
-func (c *memberProcesses) call(ctx context.Context, q func(span) request) ([]response, error) {
+func (c *memberProcesses) call(ctx context.Context, newRequest func(span) request) ([]response, error) {
 	answers, errs := make([]response, len(c.all)), make([]error, len(c.all))
-	var sides sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, s := range c.all {
-		sides.Go(func() {
-			if errs[i] = s.call(ctx, q(s.span), &answers[i]); errs[i] != nil {
+		calls.Go(func() {
+			if errs[i] = s.call(ctx, newRequest(s.span), &answers[i]); errs[i] != nil {
 				errs[i] = fmt.Errorf("%s: %w", s.name, errs[i])
 			}
 		})
 	}
-	sides.Wait()
+	calls.Wait()
 	return answers, errors.Join(errs...)
 }
 
 // call sends one request and reads its response into a.
-func (s *memberProcess) call(ctx context.Context, q request, a *response) error {
-	text, err := json.Marshal(&q)
+func (s *memberProcess) call(ctx context.Context, in request, out *response) error {
+	text, err := json.Marshal(&in)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 	}
 	switch {
 	case s.responses.Scan():
-		err = json.Unmarshal(s.responses.Bytes(), a)
+		err = json.Unmarshal(s.responses.Bytes(), out)
 	case ctx.Err() != nil:
 		err = context.Cause(ctx)
 	case s.responses.Err() != nil:
@@ -111,8 +111,8 @@
 	default:
 		err = errors.New("the process has ended")
 	}
-	if err == nil && a.Err != "" {
-		err = errors.New(a.Err)
+	if err == nil && out.Err != "" {
+		err = errors.New(out.Err)
 	}
 	return err
 }
--- a/internal/rig/scale/members.go
+++ b/internal/rig/scale/members.go
@@ -73,37 +73,37 @@
 var errNotJoined = errors.New("the members have not joined, or joined before")
 
 // handle carries out one request; a join sets *all.
-func handle(ctx context.Context, all *memberSet, q *request, a *response) (err error) {
+func handle(ctx context.Context, all *memberSet, in *request, out *response) (err error) {
 	switch {
-	case (q.Join != nil) != (*all == nil):
+	case (in.Join != nil) != (*all == nil):
 		return errNotJoined
-	case q.Join != nil && q.Join.Workload == LeaseRenewals:
-		s, err := joinSessions(ctx, q.Join)
+	case in.Join != nil && in.Join.Workload == LeaseRenewals:
+		s, err := joinSessions(ctx, in.Join)
 		if err != nil {
 			return err
 		}
 		*all = s
-	case q.Join != nil && q.Join.Workload == AgentPolls:
-		s, err := joinAgents(q.Join)
+	case in.Join != nil && in.Join.Workload == AgentPolls:
+		s, err := joinAgents(in.Join)
 		if err != nil {
 			return err
 		}
 		*all = s
-		a.Agents = s.agents()
-	case q.Join != nil && (q.Join.Workload == Subscriptions || q.Join.Workload == Publishing):
-		*all = joinSubscribers(q.Join)
-	case q.Join != nil:
-		return fmt.Errorf("unknown workload %q", q.Join.Workload)
-	case q.Sample:
-		a.Sample, err = (*all).sample()
-	case q.Await != nil:
-		a.InForce, err = (*all).await(ctx, q.Await)
-	case q.Adopted != nil:
+		out.Agents = s.agents()
+	case in.Join != nil && (in.Join.Workload == Subscriptions || in.Join.Workload == Publishing):
+		*all = joinSubscribers(in.Join)
+	case in.Join != nil:
+		return fmt.Errorf("unknown workload %q", in.Join.Workload)
+	case in.Sample:
+		out.Sample, err = (*all).sample()
+	case in.Await != nil:
+		out.InForce, err = (*all).await(ctx, in.Await)
+	case in.Adopted != nil:
 		w, ok := (*all).(*subscribers)
 		if !ok {
 			return errors.New("these members adopt no versions")
 		}
-		a.Adoptions, err = w.adoptedSince(q.Adopted.From)
+		out.Adoptions, err = w.adoptedSince(in.Adopted.From)
 	default:
 		err = errors.New("the request is empty")
 	}
--- a/internal/rig/scale/minder.go
+++ b/internal/rig/scale/minder.go
@@ -12,8 +12,8 @@
 	"petrelhook/internal/coordination/machine"
 )
 
-// processes are the sidecars that run, of all agents whose folders are in dir: the file of each start names its process.
-func processes(dir string) (all []agent.Process) {
+// runningSidecars are the sidecars that run, of all agents whose folders are in dir: the file of each start names its process.
+func runningSidecars(dir string) (all []agent.Process) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*", "data", "start-*"))
 	for _, f := range files {
 		var p agent.Process
@@ -47,7 +47,7 @@
 	}
 	none := 0
 	return pollUntil(ctx, "all sidecars have ended", func() bool {
-		all := processes(dir)
+		all := runningSidecars(dir)
 		for _, p := range all {
 			syscall.Kill(p.PID, syscall.SIGKILL)
 		}
--- a/internal/rig/scale/observation.go
+++ b/internal/rig/scale/observation.go
@@ -31,7 +31,7 @@
 	for _, a := range answers {
 		s.samples = append(s.samples, a.Sample)
 	}
-	for i, c := range r.group.all {
+	for i, c := range r.group.replicas {
 		at := &s.coordinators[i]
 		at.peers = r.group.peerTraffic(i)
 		if at.Usage, err = usage.Of(c.Pid); err != nil {
@@ -72,32 +72,32 @@
 }
 
 // coordinatorRates are the rates of coordinator i, whose traffic with members has the key name in their samples.
-func coordinatorRates(a, b *observation, i int, name string) rates {
-	was, is := &a.coordinators[i], &b.coordinators[i]
-	took := seconds(is.At - was.At)
-	peers := is.peers.minus(was.peers)
-	v := rates{cpuMicros: float64((is.CPU-was.CPU)/time.Microsecond) / took, memoryBytes: float64(is.Memory),
-		descriptors: float64(is.Descriptors), connections: float64(is.Connections),
-		peerBytesIn: float64(peers.In) / took, peerBytesOut: float64(peers.Out) / took,
-		messagesIn: float64(peers.MessagesIn) / took, messagesOut: float64(peers.MessagesOut) / took,
-		logEntries: float64(is.log-was.log) / took}
+func coordinatorRates(before, after *observation, i int, name string) rates {
+	first, last := &before.coordinators[i], &after.coordinators[i]
+	window := seconds(last.At - first.At)
+	peers := last.peers.minus(first.peers)
+	v := rates{cpuMicros: float64((last.CPU-first.CPU)/time.Microsecond) / window, memoryBytes: float64(last.Memory),
+		descriptors: float64(last.Descriptors), connections: float64(last.Connections),
+		peerBytesIn: float64(peers.In) / window, peerBytesOut: float64(peers.Out) / window,
+		messagesIn: float64(peers.MessagesIn) / window, messagesOut: float64(peers.MessagesOut) / window,
+		logEntries: float64(last.log-first.log) / window}
 	v.bytesIn, v.bytesOut = v.peerBytesIn, v.peerBytesOut
-	for n := range b.samples {
-		t := b.samples[n].Traffic[name].minus(a.samples[n].Traffic[name])
-		took := seconds(b.samples[n].Time - a.samples[n].Time)
-		v.bytesIn += float64(t.In) / took
-		v.bytesOut += float64(t.Out) / took
-		v.messagesIn += float64(t.MessagesIn) / took
-		v.messagesOut += float64(t.MessagesOut) / took
+	for n := range after.samples {
+		t := after.samples[n].Traffic[name].minus(before.samples[n].Traffic[name])
+		window := seconds(after.samples[n].Time - before.samples[n].Time)
+		v.bytesIn += float64(t.In) / window
+		v.bytesOut += float64(t.Out) / window
+		v.messagesIn += float64(t.MessagesIn) / window
+		v.messagesOut += float64(t.MessagesOut) / window
 	}
 	return v
 }
 
 // withAgents adds what real agents exchanged with the coordinator of index n in agentTraffic. Their open connections are in the
 // coordinator's rates already.
-func (v rates) withAgents(a, b *observation, n int) rates {
-	took := seconds(b.samples[0].Time - a.samples[0].Time)
-	t := b.agentTraffic[n].minus(a.agentTraffic[n])
+func (v rates) withAgents(before, after *observation, n int) rates {
+	took := seconds(after.samples[0].Time - before.samples[0].Time)
+	t := after.agentTraffic[n].minus(before.agentTraffic[n])
 	v.bytesIn += float64(t.In) / took
 	v.bytesOut += float64(t.Out) / took
 	v.messagesIn += float64(t.MessagesIn) / took
@@ -107,49 +107,49 @@
 
 // machineRates are the rates of one real agent and of one sidecar: the means of all. Traffic between an agent and its sidecar,
 // and all traffic of sidecars, is not in them.
-func machineRates(a, b *observation) (agent, sidecar rates) {
-	agent, sidecar = usageRates(a.agents, b.agents), usageRates(a.sidecars, b.sidecars)
-	took := seconds(b.samples[0].Time - a.samples[0].Time)
-	of := 1 / float64(len(b.agents))
-	for n := range b.agentTraffic {
-		t := b.agentTraffic[n].minus(a.agentTraffic[n])
-		agent.bytesIn += of * float64(t.Out) / took // what it receives, the coordinators send
-		agent.bytesOut += of * float64(t.In) / took
-		agent.messagesIn += of * float64(t.MessagesOut) / took
-		agent.messagesOut += of * float64(t.MessagesIn) / took
+func machineRates(before, after *observation) (agent, sidecar rates) {
+	agent, sidecar = usageRates(before.agents, after.agents), usageRates(before.sidecars, after.sidecars)
+	took := seconds(after.samples[0].Time - before.samples[0].Time)
+	fraction := 1 / float64(len(after.agents))
+	for n := range after.agentTraffic {
+		t := after.agentTraffic[n].minus(before.agentTraffic[n])
+		agent.bytesIn += fraction * float64(t.Out) / took // what it receives, the coordinators send
+		agent.bytesOut += fraction * float64(t.In) / took
+		agent.messagesIn += fraction * float64(t.MessagesOut) / took
+		agent.messagesOut += fraction * float64(t.MessagesIn) / took
 	}
 	return agent, sidecar
 }
 
 // usageRates are the means of some processes.
-func usageRates(a, b []usage.Usage) (v rates) {
-	of := 1 / float64(len(b))
-	for n := range b {
-		took := seconds(b[n].At - a[n].At)
-		v.cpuMicros += of * float64((b[n].CPU-a[n].CPU)/time.Microsecond) / took
-		v.memoryBytes += of * float64(b[n].Memory)
-		v.descriptors += of * float64(b[n].Descriptors)
-		v.connections += of * float64(b[n].Connections)
+func usageRates(before, after []usage.Usage) (v rates) {
+	fraction := 1 / float64(len(after))
+	for n := range after {
+		took := seconds(after[n].At - before[n].At)
+		v.cpuMicros += fraction * float64((after[n].CPU-before[n].CPU)/time.Microsecond) / took
+		v.memoryBytes += fraction * float64(after[n].Memory)
+		v.descriptors += fraction * float64(after[n].Descriptors)
+		v.connections += fraction * float64(after[n].Connections)
 	}
 	return v
 }
 
 // memberRates are the rates of one hollow member: the mean of all.
-func memberRates(a, b *observation, members int) (v rates) {
-	of := 1 / float64(members)
-	for n := range b.memberProcesses {
-		took := seconds(b.memberProcesses[n].At - a.memberProcesses[n].At)
-		v.cpuMicros += of * float64((b.memberProcesses[n].CPU-a.memberProcesses[n].CPU)/time.Microsecond) / took
-		v.memoryBytes += of * float64(b.memberProcesses[n].Memory)
-		v.descriptors += of * float64(b.memberProcesses[n].Descriptors)
-		v.connections += of * float64(b.memberProcesses[n].Connections)
-		took = seconds(b.samples[n].Time - a.samples[n].Time)
-		for name := range b.samples[n].Traffic {
-			t := b.samples[n].Traffic[name].minus(a.samples[n].Traffic[name])
-			v.bytesIn += of * float64(t.Out) / took // what it receives, the coordinators send
-			v.bytesOut += of * float64(t.In) / took
-			v.messagesIn += of * float64(t.MessagesOut) / took
-			v.messagesOut += of * float64(t.MessagesIn) / took
+func memberRates(before, after *observation, members int) (v rates) {
+	fraction := 1 / float64(members)
+	for n := range after.memberProcesses {
+		took := seconds(after.memberProcesses[n].At - before.memberProcesses[n].At)
+		v.cpuMicros += fraction * float64((after.memberProcesses[n].CPU-before.memberProcesses[n].CPU)/time.Microsecond) / took
+		v.memoryBytes += fraction * float64(after.memberProcesses[n].Memory)
+		v.descriptors += fraction * float64(after.memberProcesses[n].Descriptors)
+		v.connections += fraction * float64(after.memberProcesses[n].Connections)
+		took = seconds(after.samples[n].Time - before.samples[n].Time)
+		for name := range after.samples[n].Traffic {
+			t := after.samples[n].Traffic[name].minus(before.samples[n].Traffic[name])
+			v.bytesIn += fraction * float64(t.Out) / took // what it receives, the coordinators send
+			v.bytesOut += fraction * float64(t.In) / took
+			v.messagesIn += fraction * float64(t.MessagesOut) / took
+			v.messagesOut += fraction * float64(t.MessagesIn) / took
 		}
 	}
 	return v
@@ -157,19 +157,19 @@
 
 // mean is the mean of some rates, by field.
 func mean(all ...rates) (m rates) {
-	of := 1 / float64(len(all))
+	fraction := 1 / float64(len(all))
 	for _, v := range all {
-		m.cpuMicros += of * v.cpuMicros
-		m.memoryBytes += of * v.memoryBytes
-		m.descriptors += of * v.descriptors
-		m.connections += of * v.connections
-		m.bytesIn += of * v.bytesIn
-		m.bytesOut += of * v.bytesOut
-		m.messagesIn += of * v.messagesIn
-		m.messagesOut += of * v.messagesOut
-		m.peerBytesIn += of * v.peerBytesIn
-		m.peerBytesOut += of * v.peerBytesOut
-		m.logEntries += of * v.logEntries
+		m.cpuMicros += fraction * v.cpuMicros
+		m.memoryBytes += fraction * v.memoryBytes
+		m.descriptors += fraction * v.descriptors
+		m.connections += fraction * v.connections
+		m.bytesIn += fraction * v.bytesIn
+		m.bytesOut += fraction * v.bytesOut
+		m.messagesIn += fraction * v.messagesIn
+		m.messagesOut += fraction * v.messagesOut
+		m.peerBytesIn += fraction * v.peerBytesIn
+		m.peerBytesOut += fraction * v.peerBytesOut
+		m.logEntries += fraction * v.logEntries
 	}
 	return m
 }
--- a/internal/rig/scale/processgroup.go
+++ b/internal/rig/scale/processgroup.go
@@ -23,8 +23,8 @@
 	threadEnded chan struct{} // closed when the thread has ended
 	onFailure   context.CancelCauseFunc
 
-	mu  sync.Mutex
-	all []*child
+	mu       sync.Mutex
+	children []*child
 }
 
 // child is one process.
@@ -60,7 +60,7 @@
 	c, err := f.launch(name, cmd, in, out, syscall.SIGKILL)
 	if err == nil {
 		f.mu.Lock()
-		f.all = append(f.all, c)
+		f.children = append(f.children, c)
 		f.mu.Unlock()
 	}
 	return c, err
@@ -114,15 +114,15 @@
 
 // terminate sends SIGTERM to the processes and returns when they have ended. One that does not end within terminateTimeout is
 // killed, which is an error.
-func (f *processGroup) terminate(some ...*child) error {
-	for _, c := range some {
+func (f *processGroup) terminate(children ...*child) error {
+	for _, c := range children {
 		c.expectExit()
 		c.Signal(syscall.SIGTERM)
 	}
-	late := time.NewTimer(terminateTimeout)
-	defer late.Stop()
-	var all []error
-	for _, c := range some {
+	timeout := time.NewTimer(terminateTimeout)
+	defer timeout.Stop()
+	var errs []error
+	for _, c := range children {
 		select {
 		case <-c.ended:
 			continue
@@ -130,14 +130,14 @@
 		}
 		select {
 		case <-c.ended:
-		case <-late.C:
-			late.Reset(0) // the others get no more time either
+		case <-timeout.C:
+			timeout.Reset(0) // the others get no more time either
 			c.Kill()
 			<-c.ended
-			all = append(all, fmt.Errorf("%s did not end within %v of TERM", c.name, terminateTimeout))
+			errs = append(errs, fmt.Errorf("%s did not end within %v of TERM", c.name, terminateTimeout))
 		}
 	}
-	return errors.Join(all...)
+	return errors.Join(errs...)
 }
 
 // kill kills a process, as the failure of its machine does, and returns when it has ended.
@@ -150,7 +150,7 @@
 // close kills all processes that are left, and returns when they have ended. Their files end with the run, too.
 func (f *processGroup) close() {
 	f.mu.Lock()
-	all := f.all
+	all := f.children
 	f.mu.Unlock()
 	for _, c := range all {
 		c.expectExit()
@@ -167,7 +167,7 @@
 func (f *processGroup) pids() (all []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, c := range f.all {
+	for _, c := range f.children {
 		select {
 		case <-c.ended:
 		default:
--- a/internal/rig/scale/publish.go
+++ b/internal/rig/scale/publish.go
@@ -115,11 +115,11 @@
 		return err
 	}
 	first := slices.MinFunc(all, func(a, b published) int { return int(a.revision) - int(b.revision) })
-	takes, err := p.adoptedSince(ctx, first.revision)
+	adoptions, err := p.adoptedSince(ctx, first.revision)
 	if err != nil {
 		return err
 	}
-	took, err := inForce(all, p.services, takes)
+	took, err := inForce(all, p.services, adoptions)
 	if err != nil {
 		return err
 	}
@@ -181,17 +181,17 @@
 // atRate publishes drawn versions at the rate of the busiest minute for the length of a window, and calls halfway (if not nil)
 // once in its middle. Versions that are late, as while no coordinator leads, follow one another without a pause.
 func (p *publisher) atRate(ctx context.Context, halfway func() error) (all []published, err error) {
-	long := max(p.options.Window, minBusyWindow)
+	duration := max(p.options.Window, minBusyWindow)
 	began := time.Now()
 	for i := 0; ; i++ {
-		due := began.Add(time.Duration(i) * busyInterval)
-		if due.Sub(began) >= long {
-			return all, sleep(ctx, time.Until(began.Add(long)))
+		scheduled := began.Add(time.Duration(i) * busyInterval)
+		if scheduled.Sub(began) >= duration {
+			return all, sleep(ctx, time.Until(began.Add(duration)))
 		}
-		if err := sleep(ctx, time.Until(due)); err != nil {
+		if err := sleep(ctx, time.Until(scheduled)); err != nil {
 			return nil, err
 		}
-		if halfway != nil && due.Sub(began) >= long/2 {
+		if halfway != nil && scheduled.Sub(began) >= duration/2 {
 			if err := halfway(); err != nil {
 				return nil, err
 			}
@@ -213,16 +213,16 @@
 // everyService publishes a version for each service, as fast as the log takes them.
 func (p *publisher) everyService(ctx context.Context) error {
 	p.progress("a version for every service")
-	left := make(chan int)
+	services := make(chan int)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	var sides sync.WaitGroup
+	var publishers sync.WaitGroup
 	var mu sync.Mutex
 	var all []published
 	began := time.Now()
 	for range publishersAtOnce {
-		sides.Go(func() {
-			for service := range left {
+		publishers.Go(func() {
+			for service := range services {
 				v, err := p.publishTo(ctx, service)
 				if err != nil {
 					cancel(err)
@@ -236,12 +236,12 @@
 	}
 	for service := range slices.Max(p.services) + 1 {
 		select {
-		case left <- service:
+		case services <- service:
 		case <-ctx.Done():
 		}
 	}
-	close(left)
-	sides.Wait()
+	close(services)
+	publishers.Wait()
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
@@ -258,9 +258,9 @@
 	if err := p.awaitSubscribers(ctx, "each holds the newest", &condition{Revisions: newest(p.all)}); err != nil {
 		return err
 	}
-	takes, err := p.adoptedSince(ctx, 0)
+	adoptions, err := p.adoptedSince(ctx, 0)
 	if err == nil {
-		_, err = inForce(p.all, p.services, takes)
+		_, err = inForce(p.all, p.services, adoptions)
 	}
 	return err
 }
@@ -279,26 +279,26 @@
 		members += p.options.RealMachines
 		last[realService] = p.real[len(p.real)-1].revision
 	}
-	late := time.Now().Add(summaryTimeout)
+	deadline := time.Now().Add(summaryTimeout)
 	for {
 		began := time.Now()
-		of, said := p.group.operator.InForce(ctx, "")
+		services, replies := p.group.operator.InForce(ctx, "")
 		took := time.Since(began)
 		known, in := 0, 0
-		for service, s := range of {
+		for service, s := range services {
 			known += s.Reported
 			if s.Newest == last[service] {
 				in += s.InForce
 			}
 		}
-		if len(of) == len(last) && known == members && in == members {
+		if len(services) == len(last) && known == members && in == members {
 			p.add("tool", "summary_s", took.Seconds())
 			return nil
 		}
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			err := fmt.Errorf("the coordinators say: in force at %d of %d, in %d services; %d members, %d services",
-				in, known, len(of), members, len(last))
-			for _, s := range said {
+				in, known, len(services), members, len(last))
+			for _, s := range replies {
 				err = errors.Join(err, s.Err)
 			}
 			return err
--- a/internal/rig/scale/published.go
+++ b/internal/rig/scale/published.go
@@ -20,19 +20,19 @@
 // services is the service of each member; takes are all adoptions from the first of these versions on, each member's in its order.
 // It is an error if a member adopted a version of another service, the same or an older version again, or never one that it
 // should have.
-func inForce(all []published, services []int, takes []adoption) (took []float64, err error) {
-	of := map[distribute.Revision]int{}
-	by := map[int][]published{}
+func inForce(all []published, services []int, adoptions []adoption) (delays []float64, err error) {
+	serviceOf := map[distribute.Revision]int{}
+	byService := map[int][]published{}
 	for _, v := range all {
-		of[v.revision] = v.service
-		by[v.service] = append(by[v.service], v)
+		serviceOf[v.revision] = v.service
+		byService[v.service] = append(byService[v.service], v)
 	}
 	byMember := map[int][]adoption{}
-	for _, t := range takes {
+	for _, t := range adoptions {
 		if t.Member < 0 || t.Member >= len(services) {
 			return nil, fmt.Errorf("there is no member %d", t.Member)
 		}
-		if service, known := of[t.Revision]; !known || service != services[t.Member] {
+		if service, known := serviceOf[t.Revision]; !known || service != services[t.Member] {
 			return nil, fmt.Errorf("member %d of %s took revision %d, which is not its service's", t.Member,
 				serviceName(services[t.Member]), t.Revision)
 		}
@@ -43,18 +43,18 @@
 		byMember[t.Member] = append(was, t)
 	}
 	for m, service := range services {
-		for _, v := range by[service] {
+		for _, v := range byService[service] {
 			i, _ := slices.BinarySearchFunc(byMember[m], v.revision, func(t adoption, r distribute.Revision) int {
 				return cmp.Compare(t.Revision, r)
 			})
 			if i == len(byMember[m]) {
 				return nil, fmt.Errorf("member %d of %s never took revision %d", m, serviceName(service), v.revision)
 			}
-			took = append(took, max(0, float64(byMember[m][i].Time-v.accepted)/1e9))
+			delays = append(delays, max(0, float64(byMember[m][i].Time-v.accepted)/1e9))
 		}
 	}
-	slices.Sort(took)
-	return took, nil
+	slices.Sort(delays)
+	return delays, nil
 }
 
 // newest is the newest revision of each service, by its name.
--- a/internal/rig/scale/realmachines.go
+++ b/internal/rig/scale/realmachines.go
@@ -30,7 +30,7 @@
 // the rehearse.Starter of a rehearsal, which configures the sidecars, sends their load and audits the rules.
 type realMachines struct {
 	options       *Options
-	family        *processGroup
+	processes     *processGroup
 	dir           string
 	relays        []*relay // one to each coordinator, in the order that hollow members have
 	coordinators  []string
@@ -60,8 +60,8 @@
 
 // newRealMachines prepares relays, the store of releases and the minder; Start adds the machines. coordinators are addresses in
 // the order that hollow members have.
-func newRealMachines(o *Options, f *processGroup, dir string, coordinators []string) (_ *realMachines, err error) {
-	m := &realMachines{options: o, family: f, dir: filepath.Join(dir, machinesDir), coordinators: coordinators,
+func newRealMachines(o *Options, processes *processGroup, dir string, coordinators []string) (_ *realMachines, err error) {
+	m := &realMachines{options: o, processes: processes, dir: filepath.Join(dir, machinesDir), coordinators: coordinators,
 		sidecarFields: []string{"known", "seed", "limits"},
 		changed:       make(chan struct{})}
 	defer func() {
@@ -85,7 +85,7 @@
 	}
 	defer func() { _ = theirs.Close() }()
 	m.input = input
-	m.minder, err = f.startDetached("minder", exec.Command(o.program("petrelhookctl"), "scale", "minder", m.dir), theirs)
+	m.minder, err = processes.startDetached("minder", exec.Command(o.program("petrelhookctl"), "scale", "minder", m.dir), theirs)
 	return m, err
 }
 
@@ -114,23 +114,23 @@
 	if err := json.Unmarshal(fields["settings"], &settings); err != nil {
 		return "", err
 	}
-	set := map[string]any{"settings.my_number": settings.MyNumber}
+	overrides := map[string]any{"settings.my_number": settings.MyNumber}
 	for _, name := range m.sidecarFields {
-		set[name] = fields[name]
+		overrides[name] = fields[name]
 	}
-	one := &realMachine{name: fmt.Sprintf("r%02d", number)}
-	dir := filepath.Join(m.dir, one.name)
-	one.dataDir = filepath.Join(dir, "data")
-	var ways []string
+	machine := &realMachine{name: fmt.Sprintf("r%02d", number)}
+	dir := filepath.Join(m.dir, machine.name)
+	machine.dataDir = filepath.Join(dir, "data")
+	var relays []string
 	for _, w := range m.relays {
-		ways = append(ways, w.addr)
+		relays = append(relays, w.addr)
 	}
 	text, err := json.Marshal(map[string]any{ // JSON is YAML
-		"application": realService, "listen": addrs[3], "data": one.dataDir, "releases": filepath.Join(m.dir, "releases"),
+		"application": realService, "listen": addrs[3], "data": machine.dataDir, "releases": filepath.Join(m.dir, "releases"),
 		"release":       m.release,
-		"configuration": map[string]any{"coordinators": ways, "member": one.name},
-		"sidecars": []any{map[string]any{"name": one.name, "zone": "a", "listen": addrs[0],
-			"admin_addresses": []string{addrs[1], addrs[2]}, "set": set}},
+		"configuration": map[string]any{"coordinators": relays, "member": machine.name},
+		"sidecars": []any{map[string]any{"name": machine.name, "zone": "a", "listen": addrs[0],
+			"admin_addresses": []string{addrs[1], addrs[2]}, "set": overrides}},
 	})
 	if err != nil {
 		return "", err
@@ -139,14 +139,14 @@
 	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(path, text, 0o600)); err != nil {
 		return "", err
 	}
-	one.agent, err = m.family.start("petrelhook-agent-"+one.name, exec.Command(m.options.program("petrelhook-agent"), "--config", path),
+	machine.agent, err = m.processes.start("petrelhook-agent-"+machine.name, exec.Command(m.options.program("petrelhook-agent"), "--config", path),
 		nil, nil)
 	if err != nil {
 		return "", err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.all = append(m.all, one)
+	m.all = append(m.all, machine)
 	return addrs[0], nil
 }
 
@@ -213,8 +213,8 @@
 
 // pollStates records which versions come into force, until ctx ends.
 func (m *realMachines) pollStates(ctx context.Context) {
-	look := time.NewTicker(statePollInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(statePollInterval)
+	defer ticker.Stop()
 	for {
 		m.mu.Lock()
 		all := m.all
@@ -227,25 +227,25 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 }
 
 // observe records the revision in force at machine i.
-func (m *realMachines) observe(i int, revision distribute.Revision) {
+func (m *realMachines) observe(index int, revision distribute.Revision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	one := m.all[i]
-	was := distribute.Revision(0)
-	if n := len(one.adoptions); n > 0 {
-		was = one.adoptions[n-1].Revision
+	machine := m.all[index]
+	previous := distribute.Revision(0)
+	if n := len(machine.adoptions); n > 0 {
+		previous = machine.adoptions[n-1].Revision
 	}
 	switch {
-	case revision < was && m.violation == nil:
-		m.violation = fmt.Errorf("%s: revision %d is in force after %d", one.name, revision, was)
-	case revision > was:
-		one.adoptions = append(one.adoptions, adoption{i, revision, int64(monotonic.Now())})
+	case revision < previous && m.violation == nil:
+		m.violation = fmt.Errorf("%s: revision %d is in force after %d", machine.name, revision, previous)
+	case revision > previous:
+		machine.adoptions = append(machine.adoptions, adoption{index, revision, int64(monotonic.Now())})
 	default:
 		return
 	}
@@ -254,9 +254,9 @@
 }
 
 // await waits until a version, or a newer one, is in force at all machines, and returns what came into force from a revision on.
-func (m *realMachines) await(ctx context.Context, holds, from distribute.Revision) (all []adoption, err error) {
+func (m *realMachines) await(ctx context.Context, revision, from distribute.Revision) (all []adoption, err error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, adoptionTimeout,
-		fmt.Errorf("revision %d is not in force at all real machines within %v", holds, adoptionTimeout))
+		fmt.Errorf("revision %d is not in force at all real machines within %v", revision, adoptionTimeout))
 	defer cancel()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -264,7 +264,7 @@
 		all = nil
 		done := 0
 		for _, one := range m.all {
-			if n := len(one.adoptions); n > 0 && one.adoptions[n-1].Revision >= holds {
+			if n := len(one.adoptions); n > 0 && one.adoptions[n-1].Revision >= revision {
 				done++
 			}
 			for _, t := range one.adoptions {
@@ -330,14 +330,14 @@
 	for _, one := range m.all {
 		agents = append(agents, one.agent)
 	}
-	err := m.family.terminate(agents...)
+	err := m.processes.terminate(agents...)
 	ctx, cancel := context.WithTimeoutCause(context.Background(), stopTimeout,
 		fmt.Errorf("sidecars did not end within %v of TERM", stopTimeout))
 	defer cancel()
-	for _, p := range processes(m.dir) {
+	for _, p := range runningSidecars(m.dir) {
 		syscall.Kill(p.PID, syscall.SIGTERM)
 	}
-	return errors.Join(err, pollUntil(ctx, "all sidecars have ended", func() bool { return len(processes(m.dir)) == 0 }))
+	return errors.Join(err, pollUntil(ctx, "all sidecars have ended", func() bool { return len(runningSidecars(m.dir)) == 0 }))
 }
 
 // close ends the minder, which ends sidecars that are left, and the relays. The agents have ended before.
--- a/internal/rig/scale/realversions.go
+++ b/internal/rig/scale/realversions.go
@@ -48,11 +48,11 @@
 	if p.realReported = len(p.real); len(all) == 0 {
 		return nil
 	}
-	takes, err := p.machines.await(ctx, all[len(all)-1].revision, all[0].revision)
+	adoptions, err := p.machines.await(ctx, all[len(all)-1].revision, all[0].revision)
 	if err != nil {
 		return err
 	}
-	took, err := inForce(all, make([]int, p.options.RealMachines), takes)
+	took, err := inForce(all, make([]int, p.options.RealMachines), adoptions)
 	if err != nil {
 		return fmt.Errorf("real machines: %w", err)
 	}
@@ -94,12 +94,12 @@
 
 // addCalls adds points on the calls scheduled from one time up to another; latency counts from the scheduled time.
 func (p *publisher) addCalls(prefix string, from, to time.Time) {
-	took, not := p.serving.latencies(from, to)
-	p.add("sidecar", prefix+"calls", float64(len(took)+not))
-	p.add("sidecar", prefix+"calls_not_served", float64(not))
-	if len(took) > 0 {
-		p.add("sidecar", prefix+"call_p50_s", took[len(took)/2])
-		p.add("sidecar", prefix+"call_p99_s", took[len(took)*99/100])
+	latencies, notServed := p.serving.latencies(from, to)
+	p.add("sidecar", prefix+"calls", float64(len(latencies)+notServed))
+	p.add("sidecar", prefix+"calls_not_served", float64(notServed))
+	if len(latencies) > 0 {
+		p.add("sidecar", prefix+"call_p50_s", latencies[len(latencies)/2])
+		p.add("sidecar", prefix+"call_p99_s", latencies[len(latencies)*99/100])
 	}
 }
 
@@ -114,24 +114,24 @@
 // size is nearest to the number of real machines) and real ones, both less the cost of the smallest service.
 func (p *publisher) compare(ctx context.Context) error {
 	p.progress("real and hollow members are compared")
-	of := make([]int, slices.Max(p.services)+1)
+	membersOf := make([]int, slices.Max(p.services)+1)
 	for _, service := range p.services {
-		of[service]++
+		membersOf[service]++
 	}
-	like, least := 0, 0
-	for service, n := range of {
-		if abs(n-p.options.RealMachines) < abs(of[like]-p.options.RealMachines) {
-			like = service
+	similar, smallest := 0, 0
+	for service, n := range membersOf {
+		if abs(n-p.options.RealMachines) < abs(membersOf[similar]-p.options.RealMachines) {
+			similar = service
 		}
-		if n < of[least] {
-			least = service
+		if n < membersOf[smallest] {
+			smallest = service
 		}
 	}
-	base, err := p.costs(ctx, func() error { _, err := p.publishTo(ctx, least); return err })
+	base, err := p.costs(ctx, func() error { _, err := p.publishTo(ctx, smallest); return err })
 	if err != nil {
 		return err
 	}
-	hollow, err := p.costs(ctx, func() error { _, err := p.publishTo(ctx, like); return err })
+	hollow, err := p.costs(ctx, func() error { _, err := p.publishTo(ctx, similar); return err })
 	if err != nil {
 		return err
 	}
@@ -143,8 +143,8 @@
 		role    string
 		cost    rates
 		members int
-	}{{"member", hollow, of[like]}, {"agent", real, p.options.RealMachines}} {
-		each := 1 / float64(comparedRate*(c.members-of[least]))
+	}{{"member", hollow, membersOf[similar]}, {"agent", real, p.options.RealMachines}} {
+		each := 1 / float64(comparedRate*(c.members-membersOf[smallest]))
 		p.add(c.role, "told_cpu_us", each*(c.cost.cpuMicros-base.cpuMicros))
 		p.add(c.role, "told_messages", each*(c.cost.messagesIn-base.messagesIn))
 		p.add(c.role, "told_bytes_in", each*(c.cost.bytesIn-base.bytesIn))
--- a/internal/rig/scale/run.go
+++ b/internal/rig/scale/run.go
@@ -191,7 +191,7 @@
 		}
 	}()
 	r.progress("starts")
-	r.group, err = newGroup(ctx, r.processes, r.options.program("petrelhook-coordinator"), r.coordinatorDataDir, r.workload == AgentPolls)
+	r.group, err = newCoordinatorGroup(ctx, r.processes, r.options.program("petrelhook-coordinator"), r.coordinatorDataDir, r.workload == AgentPolls)
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 const settleTime = time.Second
 
 // window observes all processes before and after a duration. It is an error if the leader changed or a lease was lost meanwhile.
-func (r *run) window(ctx context.Context, long time.Duration) (before, after *observation, err error) {
+func (r *run) window(ctx context.Context, duration time.Duration) (before, after *observation, err error) {
 	r.progress("settles")
 	if err := sleep(ctx, settleTime); err != nil {
 		return nil, nil, err
@@ -224,7 +224,7 @@
 		return nil, nil, err
 	}
 	r.progress("is measured")
-	if err := sleep(ctx, long); err != nil {
+	if err := sleep(ctx, duration); err != nil {
 		return nil, nil, err
 	}
 	if after, err = r.observe(ctx); err != nil {
@@ -254,16 +254,16 @@
 	if err != nil {
 		return err
 	}
-	told, err := r.group.operator.Call(ctx, fleet.Request{Backup: true})
+	reply, err := r.group.operator.Call(ctx, fleet.Request{Backup: true})
 	if err != nil {
 		return err
 	}
-	bytes := len(told.Backup)
+	bytes := len(reply.Backup)
 	if application != "" {
-		if told, err = r.group.operator.Call(ctx, fleet.Request{Changes: &application}); err != nil {
+		if reply, err = r.group.operator.Call(ctx, fleet.Request{Changes: &application}); err != nil {
 			return err
 		}
-		bytes += len(told.Changes)
+		bytes += len(reply.Changes)
 	}
 	r.add(role, "log_entries", float64(s.Log))
 	r.add(role, "data_bytes", float64(size))
@@ -275,7 +275,7 @@
 func (r *run) pids() []int {
 	all := r.processes.pids()
 	if r.options.realMachinesOf(r.workload) > 0 {
-		for _, p := range processes(filepath.Join(r.dir, machinesDir)) {
+		for _, p := range runningSidecars(filepath.Join(r.dir, machinesDir)) {
 			all = append(all, p.PID)
 		}
 	}
@@ -283,8 +283,8 @@
 }
 
 // sleep returns after a duration, or with the cause when ctx ends.
-func sleep(ctx context.Context, long time.Duration) error {
-	t := time.NewTimer(long)
+func sleep(ctx context.Context, duration time.Duration) error {
+	t := time.NewTimer(duration)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -295,10 +295,10 @@
 }
 
 // watchMemory cancels the run when its processes together have more memory resident than the budget. It returns when ctx ends.
-func watchMemory(ctx context.Context, pids func() []int, budget int64, over context.CancelCauseFunc) {
+func watchMemory(ctx context.Context, pids func() []int, budget int64, exceeded context.CancelCauseFunc) {
 	const every = 100 * time.Millisecond
-	look := time.NewTicker(every)
-	defer look.Stop()
+	ticker := time.NewTicker(every)
+	defer ticker.Stop()
 	for {
 		sum := int64(0)
 		for _, pid := range append(pids(), os.Getpid()) {
@@ -307,14 +307,14 @@
 			}
 		}
 		if sum > budget {
-			over(fmt.Errorf("--memory: the processes of the run have %d MiB resident, over the budget of %d MiB",
+			exceeded(fmt.Errorf("--memory: the processes of the run have %d MiB resident, over the budget of %d MiB",
 				sum>>20, budget>>20))
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 }
--- a/internal/rig/scale/scale_test.go
+++ b/internal/rig/scale/scale_test.go
@@ -269,7 +269,7 @@
 	sidecars := func() (n int) {
 		dirs, _ := filepath.Glob(filepath.Join(os.Getenv("TMPDIR"), "petrel-scale-*", machinesDir))
 		for _, dir := range dirs {
-			n += len(processes(dir))
+			n += len(runningSidecars(dir))
 		}
 		return n
 	}
--- a/internal/rig/scale/serving.go
+++ b/internal/rig/scale/serving.go
@@ -108,7 +108,7 @@
 
 // latencies are the latencies of the calls scheduled from one time up to another that were served, in seconds, ascending; and the
 // number that were not served.
-func (v *serving) latencies(from, to time.Time) (took []float64, not int) {
+func (v *serving) latencies(from, to time.Time) (latencies []float64, notServed int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, o := range v.operations {
@@ -116,11 +116,11 @@
 			continue
 		}
 		if o.Result != audit.Served {
-			not++
+			notServed++
 			continue
 		}
-		took = append(took, o.Latency.Seconds())
+		latencies = append(latencies, o.Latency.Seconds())
 	}
-	slices.Sort(took)
-	return took, not
+	slices.Sort(latencies)
+	return latencies, notServed
 }
--- a/internal/rig/scale/sessions.go
+++ b/internal/rig/scale/sessions.go
@@ -34,20 +34,20 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	var sides sync.WaitGroup
+	var joining sync.WaitGroup
 	limit := make(chan struct{}, concurrentJoins)
-	turn := time.NewTicker(joinPeriod / time.Duration(j.Members.Count))
-	defer turn.Stop()
+	ticker := time.NewTicker(joinPeriod / time.Duration(j.Members.Count))
+	defer ticker.Stop()
 	for i := range j.Members.Count {
 		select {
 		case <-ctx.Done():
-		case <-turn.C:
+		case <-ticker.C:
 		}
 		limit <- struct{}{}
 		if ctx.Err() != nil {
 			break
 		}
-		sides.Go(func() {
+		joining.Go(func() {
 			defer func() { <-limit }()
 			m := drawMember(j.Seed, j.Members.First+i)
 			c, err := lease.New(lease.Options{Addrs: j.Coordinators, Owner: m.Name, TTL: j.TTL})
@@ -60,7 +60,7 @@
 			}
 		})
 	}
-	sides.Wait()
+	joining.Wait()
 	return s, context.Cause(ctx)
 }
 
--- a/internal/rig/scale/workloads.go
+++ b/internal/rig/scale/workloads.go
@@ -175,9 +175,9 @@
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	c.AtMillis = time.Now().UnixMilli()
-	told, err := r.group.operator.Call(ctx, fleet.Request{Rollout: c})
-	if err == nil && told.Rollout.Error != "" {
-		err = rejection{errors.New(told.Rollout.Error)}
+	reply, err := r.group.operator.Call(ctx, fleet.Request{Rollout: c})
+	if err == nil && reply.Rollout.Error != "" {
+		err = rejection{errors.New(reply.Rollout.Error)}
 	}
 	return err
 }
