--- a/cmd/petrelhook-agent/faults_test.go
+++ b/cmd/petrelhook-agent/faults_test.go
@@ -30,34 +30,34 @@
 func TestDriversThatDie(t *testing.T) {
 	s := newSite(t, 6, 200, "", nil)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.Plan(s.Old, good, twoStages)); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, good, twoStages)); err != nil {
 		t.Fatal(err)
 	}
 	for round := range 3 {
-		peertest.Eventually(t, "one drives", func() bool { return s.Drives() >= 0 })
-		was := s.Changes().Current.EventCount
-		s.Until(30*time.Second, "it moves", func(c *rollout.Change) bool { return c.EventCount > was || c.State.Phase.Over() })
-		i := s.Drives()
+		peertest.Eventually(t, "one drives", func() bool { return s.Driver() >= 0 })
+		was := s.Application().Current.EventCount
+		s.AwaitChange(30*time.Second, "it moves", func(c *rollout.Change) bool { return c.EventCount > was || c.State.Phase.Over() })
+		i := s.Driver()
 		if i < 0 {
 			continue
 		}
 		if round == 1 {
-			m := s.All[i]
-			m.Stop()
-			peertest.Eventually(t, "another drives", func() bool { return s.Drives() != i })
-			m.Continue()
+			m := s.Members[i]
+			m.Pause()
+			peertest.Eventually(t, "another drives", func() bool { return s.Driver() != i })
+			m.Resume()
 			continue
 		}
-		s.All[i].Die()
+		s.Members[i].KillAndWait()
 		died := time.Now()
-		peertest.Eventually(t, "another drives", func() bool { return s.Drives() != i && s.Drives() >= 0 })
-		events := s.Changes().Current.EventCount
-		s.Until(30*time.Second, "its word is taken", func(c *rollout.Change) bool { return c.EventCount > events || c.State.Phase.Over() })
+		peertest.Eventually(t, "another drives", func() bool { return s.Driver() != i && s.Driver() >= 0 })
+		events := s.Application().Current.EventCount
+		s.AwaitChange(30*time.Second, "its word is taken", func(c *rollout.Change) bool { return c.EventCount > events || c.State.Phase.Over() })
 		t.Logf("%v from a driver's death to the word of the next", time.Since(died).Round(10*time.Millisecond))
-		s.All[i].Start()
+		s.Members[i].Start()
 	}
-	c := s.Over(2 * time.Minute)
-	if c.State.Phase != rollout.Done || deployment.Running(c, good) != 6 {
+	c := s.AwaitEnd(2 * time.Minute)
+	if c.State.Phase != rollout.Done || deployment.CountRunning(c, good) != 6 {
 		t.Errorf("%v: %s", c.State.Phase, c.State.Reason)
 	}
 	starts := 0
@@ -68,7 +68,7 @@
 		t.Errorf("%d starts", starts)
 	}
 	for _, token := range []uint64{1, 1 << 40} { // an older driver; a newer one that repeats an order
-		order := machine.Order{Version: machine.Version, Application: deployment.Application, Token: token, Order: rollout.Order{Number: 1, Sidecar: "n00", Release: string(s.Old)}}
+		order := machine.Order{Version: machine.Version, Application: deployment.Application, Token: token, Order: rollout.Order{Number: 1, Sidecar: "n00", Release: string(s.Initial)}}
 		res, err := rpc.Client[machine.Order, machine.OrderResponse](http.DefaultClient, s.Agents[0].Link.Addr, machine.PathOrder, 1<<20).CallUnary(t.Context(), connect.NewRequest(&order))
 		if token == 1 && connect.CodeOf(err) != connect.CodeAborted || token > 1 && (err != nil || !res.Msg.Known) {
 			t.Errorf("token %d: %v, %v", token, res, err)
@@ -91,10 +91,10 @@
 					return
 				case <-time.After(rand.N(within)): // at any moment: which one it is must not matter
 				}
-				a.Die()
+				a.KillAndWait()
 				kills++
-				a.Begin()
-				if got := a.Most(); got > 2 {
+				a.StartProcess()
+				if got := a.MaxProcesses(); got > 2 {
 					t.Errorf("%d processes of one sidecar", got)
 				}
 			}
@@ -112,13 +112,13 @@
 		d.Limits = "{ready: 15s, trial: 300ms, end: 4s, look: 50ms, cut_off: 20s, heard: 4s, restart_pause: 200ms}"
 	})
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.Plan(s.Old, good, twoStages)); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, good, twoStages)); err != nil {
 		t.Fatal(err)
 	}
 	end := kill(t, s, 1200*time.Millisecond)
-	c := s.Until(2*time.Minute, "over", func(c *rollout.Change) bool { return c.State.Phase.Over() || c.State.Phase == rollout.Paused })
+	c := s.AwaitChange(2*time.Minute, "over", func(c *rollout.Change) bool { return c.State.Phase.Over() || c.State.Phase == rollout.Paused })
 	t.Logf("%d kills of agents; %v: %s", end(), c.State.Phase, c.State.Reason)
-	if c.State.Phase != rollout.Done || deployment.Running(c, good) != 6 {
+	if c.State.Phase != rollout.Done || deployment.CountRunning(c, good) != 6 {
 		text, _ := json.Marshal(c.State)
 		t.Errorf("%v: %s", c.State.Phase, text)
 	}
@@ -133,24 +133,24 @@
 		d.Limits = "{ready: 15s, trial: 1s, end: 4s, look: 50ms, cut_off: 4s, heard: 2s, restart_pause: 200ms}"
 	})
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.Plan(s.Old, good, "at_once: 3\nunavailable: 6\npatience: 3m\njudge: {effect: 0.02}\nstages:\n  - {names: [n00, n02, n04], control: 1}\n  - {share: 1}\n")); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "at_once: 3\nunavailable: 6\npatience: 3m\njudge: {effect: 0.02}\nstages:\n  - {names: [n00, n02, n04], control: 1}\n  - {share: 1}\n")); err != nil {
 		t.Fatal(err)
 	}
-	s.Until(time.Minute, "three are changed", func(c *rollout.Change) bool { return deployment.Running(c, good) == 3 })
+	s.AwaitChange(time.Minute, "three are changed", func(c *rollout.Change) bool { return deployment.CountRunning(c, good) == 3 })
 	cut := s.Agents[0]
-	cut.Link.Hold(link.Forth, true)
-	s.Until(time.Minute, "it is seen", func(c *rollout.Change) bool { return !c.State.Sidecars()[0].Ready })
-	s.Say(rollout.Event{Abort: "by hand"})
-	s.Until(time.Minute, "the others are back", func(c *rollout.Change) bool { return deployment.Running(c, s.Old) >= 5 })
-	if c := s.Changes().Current; c.State.Phase != rollout.RollingBack || len(c.State.OpenOrders()) != 1 {
+	cut.Link.Block(link.Forward, true)
+	s.AwaitChange(time.Minute, "it is seen", func(c *rollout.Change) bool { return !c.State.Sidecars()[0].Ready })
+	s.SendEvent(rollout.Event{Abort: "by hand"})
+	s.AwaitChange(time.Minute, "the others are back", func(c *rollout.Change) bool { return deployment.CountRunning(c, s.Initial) >= 5 })
+	if c := s.Application().Current; c.State.Phase != rollout.RollingBack || len(c.State.OpenOrders()) != 1 {
 		t.Errorf("%v: %v", c.State.Phase, c.State.OpenOrders())
 	}
 	peertest.Eventually(t, "it goes back by itself", func() bool {
-		k := cut.Kept()
-		return k[0].FallbackReason == rollout.MachineIsolated && k[0].Serving != nil && k[0].Serving.Release == string(s.Old) && k[0].Phase == agent.Idle
+		k := cut.PersistedStates()
+		return k[0].FallbackReason == rollout.MachineIsolated && k[0].Serving != nil && k[0].Serving.Release == string(s.Initial) && k[0].Phase == agent.Idle
 	})
-	cut.Link.Hold(link.Forth, false)
-	if c := s.Over(time.Minute); c.State.Phase != rollout.Stopped || deployment.Running(c, s.Old) != 6 || c.State.Reason != "by hand" {
+	cut.Link.Block(link.Forward, false)
+	if c := s.AwaitEnd(time.Minute); c.State.Phase != rollout.Stopped || deployment.CountRunning(c, s.Initial) != 6 || c.State.Reason != "by hand" {
 		text, _ := json.Marshal(c.State)
 		t.Errorf("%s", text)
 	}
@@ -162,28 +162,28 @@
 func TestStoppedProcesses(t *testing.T) {
 	s := newSite(t, 4, 100, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.Plan(s.Old, good, "patience: 8s\njudge: {effect: 0.001}\nstages:\n  - {names: [n00]}\n  - {share: 1}\n")); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "patience: 8s\njudge: {effect: 0.001}\nstages:\n  - {names: [n00]}\n  - {share: 1}\n")); err != nil {
 		t.Fatal(err)
 	}
-	s.Until(time.Minute, "it is changed", func(c *rollout.Change) bool { return deployment.Running(c, good) == 1 })
+	s.AwaitChange(time.Minute, "it is changed", func(c *rollout.Change) bool { return deployment.CountRunning(c, good) == 1 })
 	a := s.Agents[0]
-	pid := a.Kept()[0].Serving.PID
+	pid := a.PersistedStates()[0].Serving.PID
 	syscall.Kill(pid, syscall.SIGSTOP)
-	c := s.Until(time.Minute, "it pauses", func(c *rollout.Change) bool { return c.State.Phase == rollout.Paused })
+	c := s.AwaitChange(time.Minute, "it pauses", func(c *rollout.Change) bool { return c.State.Phase == rollout.Paused })
 	if !strings.Contains(c.State.Reason, "nothing came of it") || !strings.HasSuffix(c.State.Reason, ": n00") {
 		t.Errorf("%s", c.State.Reason)
 	}
 	syscall.Kill(pid, syscall.SIGCONT)
-	s.Until(time.Minute, "it is ready", func(c *rollout.Change) bool { return c.State.Sidecars()[0].Ready })
-	a.Stop()
-	s.Say(rollout.Event{Abort: "by hand"})
-	c = s.Until(time.Minute, "it is out of reach", func(c *rollout.Change) bool { return !c.State.Sidecars()[0].Ready })
+	s.AwaitChange(time.Minute, "it is ready", func(c *rollout.Change) bool { return c.State.Sidecars()[0].Ready })
+	a.Pause()
+	s.SendEvent(rollout.Event{Abort: "by hand"})
+	c = s.AwaitChange(time.Minute, "it is out of reach", func(c *rollout.Change) bool { return !c.State.Sidecars()[0].Ready })
 	if c.State.Phase != rollout.RollingBack || len(c.State.OpenOrders()) != 1 {
 		t.Errorf("%v: %v", c.State.Phase, c.State.OpenOrders())
 	}
-	a.Continue()
-	if c := s.Over(time.Minute); deployment.Running(c, s.Old) != 4 || strings.Count(a.Log.String(), "msg=started sidecar=n00") != 3 {
-		t.Errorf("%d are back; %s", deployment.Running(c, s.Old), a.Log)
+	a.Resume()
+	if c := s.AwaitEnd(time.Minute); deployment.CountRunning(c, s.Initial) != 4 || strings.Count(a.Log.String(), "msg=started sidecar=n00") != 3 {
+		t.Errorf("%d are back; %s", deployment.CountRunning(c, s.Initial), a.Log)
 	}
 }
 
@@ -192,14 +192,14 @@
 func TestAMachineThatIsBackAfterWeeks(t *testing.T) {
 	s := newSite(t, 4, 60, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.Plan(s.Old, good, "at_once: 4\njudge: none\nstages: [{share: 1}]\n")); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "at_once: 4\njudge: none\nstages: [{share: 1}]\n")); err != nil {
 		t.Fatal(err)
 	}
-	s.Over(time.Minute)
+	s.AwaitEnd(time.Minute)
 	a := s.Agents[0]
-	a.Link.Hold(link.Forth, true)
-	a.Die()
-	for _, k := range a.Kept() {
+	a.Link.Block(link.Forward, true)
+	a.KillAndWait()
+	for _, k := range a.PersistedStates() {
 		syscall.Kill(k.Serving.PID, syscall.SIGKILL)
 	}
 	for _, name := range []string{"n00", "n01"} {
@@ -208,14 +208,14 @@
 			t.Fatal(err)
 		}
 	}
-	a.Begin()
+	a.StartProcess()
 	peertest.Eventually(t, "it finds nothing to start", func() bool { return strings.Count(a.Log.String(), "no such release here") > 2 })
-	a.Link.Hold(link.Forth, false)
+	a.Link.Block(link.Forward, false)
 	peertest.Eventually(t, "it runs what is confirmed", func() bool {
-		k := a.Kept()
+		k := a.PersistedStates()
 		return k[0].Confirmed == string(good) && k[1].Confirmed == string(good) && k[0].Serving != nil && k[1].Serving != nil && k[0].Serving.Release == string(good)
 	})
-	s.Until(time.Minute, "all are ready", func(c *rollout.Change) bool {
+	s.AwaitChange(time.Minute, "all are ready", func(c *rollout.Change) bool {
 		for _, one := range c.State.Sidecars() {
 			if !one.Ready || one.Release != string(good) {
 				return false
--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -15,7 +15,7 @@
 	peertest.Figures(t)
 	const horizon = 40 * time.Second
 	s := newSite(t, 12, 360, "", nil)
-	bad := s.BadRelease("fails one class")
+	bad := s.FaultyRelease("fails one class")
 	zero := time.Now()
 	var froms []time.Duration
 	names := []string{"judged", "by the clock", "at once"}
@@ -26,20 +26,20 @@
 	} {
 		from := time.Since(zero)
 		froms = append(froms, from)
-		if _, err := s.Begin(deployment.Plan(s.Old, bad, p)); err != nil {
+		if _, err := s.Begin(deployment.PlanText(s.Initial, bad, p)); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(horizon)
-		c := s.Changes().Current
+		c := s.Application().Current
 		t.Logf("%s: %v in stage %d after %v: %s", names[i], c.State.Phase, c.State.Stage, horizon, c.State.Reason)
 		if !c.State.Phase.Over() {
-			s.Say(rollout.Event{Abort: "measured"})
+			s.SendEvent(rollout.Event{Abort: "measured"})
 		}
-		if c := s.Over(time.Minute); c.State.Phase == rollout.Done {
-			if _, err := s.Begin(deployment.Plan(bad, s.Old, "at_once: 12\njudge: none\nstages:\n  - {share: 1}\n")); err != nil {
+		if c := s.AwaitEnd(time.Minute); c.State.Phase == rollout.Done {
+			if _, err := s.Begin(deployment.PlanText(bad, s.Initial, "at_once: 12\njudge: none\nstages:\n  - {share: 1}\n")); err != nil {
 				t.Fatal(err)
 			}
-			s.Over(time.Minute)
+			s.AwaitEnd(time.Minute)
 		}
 	}
 	began := time.Since(zero)
@@ -63,13 +63,13 @@
 func TestFiguresOfGoodChanges(t *testing.T) {
 	peertest.Figures(t)
 	s := newSite(t, 12, 1500, "", nil)
-	now, next := s.Old, s.Script("another-name", `exec $REAL "$@"`, s.Settings)
+	now, next := s.Initial, s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	for i := range 20 {
 		began := time.Now()
-		if _, err := s.Begin(deployment.Plan(now, next, "at_once: 4\nunavailable: 4\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {count: 4, control: 2}\n  - {share: 1}\n")); err != nil {
+		if _, err := s.Begin(deployment.PlanText(now, next, "at_once: 4\nunavailable: 4\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {count: 4, control: 2}\n  - {share: 1}\n")); err != nil {
 			t.Fatal(err)
 		}
-		c := s.Over(3 * time.Minute)
+		c := s.AwaitEnd(3 * time.Minute)
 		t.Logf("change %d: %v after %v", i+1, c.State.Phase, time.Since(began).Round(100*time.Millisecond))
 		if c.State.Phase != rollout.Done {
 			t.Fatal(c.State.Reason)
--- a/cmd/petrelhook-agent/version_test.go
+++ b/cmd/petrelhook-agent/version_test.go
@@ -26,11 +26,11 @@
 func newListed(t *testing.T, rate int) *listed {
 	s := &listed{}
 	s.Site = newSite(t, 6, rate, "", func(d *deployment.Deployment) {
-		d.Versions = true
+		d.SubscribeVersions = true
 		d.Discovery = func(addr string) string {
 			for i := range s.lists {
-				s.lists[i] = d.Link()
-				s.lists[i].To(addr)
+				s.lists[i] = d.NewLink()
+				s.lists[i].SetTarget(addr)
 			}
 			return s.lists[0].Addr
 		}
@@ -56,7 +56,7 @@
 // serving returns the serving processes of all sidecars.
 func (s *listed) serving() (all []int) {
 	for _, a := range s.Agents {
-		for _, k := range a.Kept() {
+		for _, k := range a.PersistedStates() {
 			if k.Serving != nil {
 				all = append(all, k.Serving.PID)
 			}
@@ -69,15 +69,15 @@
 // new processes. No request is affected.
 func TestAVersionInForceOnAll(t *testing.T) {
 	s := newListed(t, 240)
-	end := s.NeverBack(t)
+	end := s.WatchRevisions(t)
 	before := s.serving()
-	took := s.UntilInForce(20*time.Second, s.Publish(s.live(1)))
+	took := s.AwaitInForce(20*time.Second, s.Publish(s.live(1)))
 	if after := s.serving(); fmt.Sprint(after) != fmt.Sprint(before) {
 		t.Errorf("processes %v after %v", after, before)
 	}
 	t.Logf("as they run: %v", took.Round(10*time.Millisecond))
 	moved := fmt.Sprintf(`msg=reloaded discovery=%s moved=true`, s.lists[1].Addr)
-	s.lists[0].Hold(link.Back, true) // it is no longer used
+	s.lists[0].Block(link.Backward, true) // it is no longer used
 	for _, a := range s.Agents {
 		for _, name := range []string{"n00", "n01", "n02", "n03", "n04", "n05"} {
 			if text, err := os.ReadFile(filepath.Join(a.Dir, "data", "log-"+name+"-1")); err == nil && !strings.Contains(string(text), moved) {
@@ -86,7 +86,7 @@
 		}
 	}
 	revision := s.Publish(s.quantum(1, 3))
-	t.Logf("by a hand-over: %v", s.UntilInForce(30*time.Second, revision).Round(10*time.Millisecond))
+	t.Logf("by a hand-over: %v", s.AwaitInForce(30*time.Second, revision).Round(10*time.Millisecond))
 	peertest.Eventually(t, "those before have ended", func() bool {
 		now := s.serving()
 		for i := range now {
@@ -97,7 +97,7 @@
 		return true
 	})
 	for _, a := range s.Agents {
-		for _, k := range a.Kept() {
+		for _, k := range a.PersistedStates() {
 			files, _ := filepath.Glob(filepath.Join(a.Dir, "data", fmt.Sprintf("config-*-%d", k.Serving.StartNumber)))
 			for _, f := range files {
 				if text, _ := os.ReadFile(f); !strings.Contains(string(text), `"quantum_ms":3`) || !strings.Contains(string(text), s.lists[1].Addr) {
@@ -114,12 +114,12 @@
 // serving, and a later good one is applied.
 func TestAVersionThatTheSidecarRefuses(t *testing.T) {
 	s := newListed(t, 120)
-	end := s.NeverBack(t)
+	end := s.WatchRevisions(t)
 	first := s.Publish(s.live(1))
-	s.UntilInForce(20*time.Second, first)
+	s.AwaitInForce(20*time.Second, first)
 	before := s.serving()
 	bad := s.Publish(s.changed(1, `"effect":"read_like"`, `"effect":"odd"`))
-	s.UntilHeard(20*time.Second, "all have refused it", func(sum distribute.Summary) bool {
+	s.AwaitSummary(20*time.Second, "all have refused it", func(sum distribute.Summary) bool {
 		n := 0
 		for _, m := range sum.Members {
 			if m.Refused == bad {
@@ -146,7 +146,7 @@
 	if after := s.serving(); fmt.Sprint(after) != fmt.Sprint(before) {
 		t.Errorf("processes %v after %v", after, before)
 	}
-	s.UntilInForce(30*time.Second, s.Publish(s.quantum(1, 3)))
+	s.AwaitInForce(30*time.Second, s.Publish(s.quantum(1, 3)))
 	end()
 	s.Check()
 }
@@ -154,7 +154,7 @@
 // Two versions within a second: the newer one comes into force on all, whichever way each is applied, and never an older one again.
 func TestTwoVersionsWithinASecond(t *testing.T) {
 	s := newListed(t, 200)
-	end := s.NeverBack(t)
+	end := s.WatchRevisions(t)
 	for i, texts := range [][2]string{{s.quantum(0, 3), s.quantum(0, 4)}, {s.live(0), s.live(1)}, {s.live(0), s.quantum(1, 5)}, {s.quantum(0, 6), s.live(1)}} {
 		began := time.Now()
 		s.Publish(texts[0])
@@ -163,7 +163,7 @@
 		if gap := time.Since(began); gap > time.Second {
 			t.Logf("they are %v apart", gap)
 		}
-		t.Logf("pair %d: %v", i, s.UntilInForce(20*time.Second, newer).Round(10*time.Millisecond))
+		t.Logf("pair %d: %v", i, s.AwaitInForce(20*time.Second, newer).Round(10*time.Millisecond))
 	}
 	end()
 	for _, a := range s.Agents {
@@ -178,35 +178,35 @@
 // rollout is not stopped for it.
 func TestAVersionAndARollout(t *testing.T) {
 	s := newListed(t, 240)
-	end := s.NeverBack(t)
+	end := s.WatchRevisions(t)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.Plan(s.Old, good, "at_once: 2\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {share: 1}\n")); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "at_once: 2\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {share: 1}\n")); err != nil {
 		t.Fatal(err)
 	}
-	s.Until(time.Minute, "it moves", func(c *rollout.Change) bool { return len(c.State.OpenOrders()) > 0 })
+	s.AwaitChange(time.Minute, "it moves", func(c *rollout.Change) bool { return len(c.State.OpenOrders()) > 0 })
 	during := s.Publish(s.quantum(1, 3))
-	c := s.Over(2 * time.Minute)
-	if c.State.Phase != rollout.Done || deployment.Running(c, good) != 6 {
+	c := s.AwaitEnd(2 * time.Minute)
+	if c.State.Phase != rollout.Done || deployment.CountRunning(c, good) != 6 {
 		t.Errorf("%v: %s", c.State.Phase, c.State.Reason)
 	}
-	s.UntilInForce(30*time.Second, during)
+	s.AwaitInForce(30*time.Second, during)
 
 	before := s.Publish(s.quantum(0, 4))
 	third := s.Script("a-third-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.Plan(good, third, "at_once: 3\nunavailable: 3\njudge: none\nstages: [{share: 1}]\n")); err != nil {
+	if _, err := s.Begin(deployment.PlanText(good, third, "at_once: 3\nunavailable: 3\njudge: none\nstages: [{share: 1}]\n")); err != nil {
 		t.Fatal(err)
 	}
-	s.Until(time.Minute, "both go on", func(c *rollout.Change) bool { return len(c.State.OpenOrders()) > 0 })
+	s.AwaitChange(time.Minute, "both go on", func(c *rollout.Change) bool { return len(c.State.OpenOrders()) > 0 })
 	newest := s.Publish(s.live(1))
-	if c = s.Over(2 * time.Minute); c.State.Phase != rollout.Done || deployment.Running(c, third) != 6 {
+	if c = s.AwaitEnd(2 * time.Minute); c.State.Phase != rollout.Done || deployment.CountRunning(c, third) != 6 {
 		t.Errorf("%v: %s", c.State.Phase, c.State.Reason)
 	}
-	s.UntilInForce(30*time.Second, newest)
+	s.AwaitInForce(30*time.Second, newest)
 	if before >= newest {
 		t.Errorf("revision %d after %d", newest, before)
 	}
 	for _, a := range s.Agents {
-		for _, k := range a.Kept() {
+		for _, k := range a.PersistedStates() {
 			if k.Serving.Release != string(third) || k.InForce != newest || k.FailureReason != "" {
 				t.Errorf("%+v", k)
 			}
@@ -221,57 +221,57 @@
 func TestCoordinatorsThatDie(t *testing.T) {
 	const bound = 20 * time.Second
 	s := newListed(t, 200)
-	end := s.NeverBack(t)
+	end := s.WatchRevisions(t)
 	n := 0
 	publish := func() distribute.Revision {
 		n++
 		return s.Publish(s.live(n % 2))
 	}
-	s.UntilInForce(bound, publish())
+	s.AwaitInForce(bound, publish())
 
-	leader := s.NewLeader(-1)
+	leader := s.AwaitNewLeader(-1)
 	newest := publish()
-	s.All[leader].Die()
-	t.Logf("the leader is killed: %v", s.UntilInForce(bound, newest).Round(10*time.Millisecond))
+	s.Members[leader].KillAndWait()
+	t.Logf("the leader is killed: %v", s.AwaitInForce(bound, newest).Round(10*time.Millisecond))
 	newest = publish() // by two
-	t.Logf("two are left: %v", s.UntilInForce(bound, newest).Round(10*time.Millisecond))
-	s.All[leader].Start()
+	t.Logf("two are left: %v", s.AwaitInForce(bound, newest).Round(10*time.Millisecond))
+	s.Members[leader].Start()
 
 	newest = publish()
-	for _, m := range s.All {
+	for _, m := range s.Members {
 		m.Kill()
 	}
-	for _, m := range s.All {
+	for _, m := range s.Members {
 		m.Wait()
 	}
 	<-time.After(3 * time.Second) // for some seconds there is no coordinator
-	for _, m := range s.All {
+	for _, m := range s.Members {
 		m.Start()
 	}
-	t.Logf("all were killed: %v", s.UntilInForce(bound, newest).Round(10*time.Millisecond))
+	t.Logf("all were killed: %v", s.AwaitInForce(bound, newest).Round(10*time.Millisecond))
 
-	stopped := s.All[s.NewLeader(-1)]
-	stopped.Stop()
+	stopped := s.Members[s.AwaitNewLeader(-1)]
+	stopped.Pause()
 	newest = publish()
-	s.UntilHeard(bound, "the others tell", func(sum distribute.Summary) bool { return sum.Newest == newest && sum.InForce > 0 })
-	stopped.Continue() // it knows an older one, and sends nothing until it has caught up
-	t.Logf("one was stopped: %v", s.UntilInForce(bound, newest).Round(10*time.Millisecond))
+	s.AwaitSummary(bound, "the others tell", func(sum distribute.Summary) bool { return sum.Newest == newest && sum.InForce > 0 })
+	stopped.Resume() // it knows an older one, and sends nothing until it has caught up
+	t.Logf("one was stopped: %v", s.AwaitInForce(bound, newest).Round(10*time.Millisecond))
 
 	for _, in := range []bool{true, false} {
-		cut := s.All[s.NewLeader(-1)]
-		cut.Cut(true, in, !in)
+		cut := s.Members[s.AwaitNewLeader(-1)]
+		cut.Partition(true, in, !in)
 		newest = publish()
-		t.Logf("one is cut off, in: %v: %v", in, s.UntilInForce(bound, newest).Round(10*time.Millisecond))
-		cut.Cut(false, true, true)
+		t.Logf("one is cut off, in: %v: %v", in, s.AwaitInForce(bound, newest).Round(10*time.Millisecond))
+		cut.Partition(false, true, true)
 	}
-	leader = s.NewLeader(-1)
-	direct := []string{s.Serves(s.All[leader].Process)}
-	s.Clients[leader].Hold(link.Back, true) // its answers to agents are lost; they ask another coordinator
+	leader = s.AwaitNewLeader(-1)
+	direct := []string{s.AwaitServing(s.Members[leader].Process)}
+	s.ClientLinks[leader].Block(link.Backward, true) // its answers to agents are lost; they ask another coordinator
 	n++
 	newest = s.PublishAt(direct, s.live(n%2))
-	t.Logf("one is not heard by agents: %v", s.UntilInForce(bound, newest).Round(10*time.Millisecond))
-	s.Clients[leader].Hold(link.Back, false)
-	s.UntilInForce(bound, newest)
+	t.Logf("one is not heard by agents: %v", s.AwaitInForce(bound, newest).Round(10*time.Millisecond))
+	s.ClientLinks[leader].Block(link.Backward, false)
+	s.AwaitInForce(bound, newest)
 	end()
 	s.Check()
 }
@@ -281,7 +281,7 @@
 func TestAgentsKilledInAVersion(t *testing.T) {
 	s := newListed(t, 200)
 	killed := kill(t, s.Site, 1500*time.Millisecond)
-	end := s.NeverBack(t)
+	end := s.WatchRevisions(t)
 	for i := range 6 {
 		text := s.live(i / 2 % 2)
 		if i%2 == 1 {
@@ -289,13 +289,13 @@
 		}
 		newest := s.Publish(text)
 		if i%3 == 2 {
-			s.UntilInForce(time.Minute, newest)
+			s.AwaitInForce(time.Minute, newest)
 			continue
 		}
 		<-time.After(rand.N(2 * time.Second))
 	}
 	newest := s.Publish(s.quantum(1, 20))
-	took := s.UntilInForce(time.Minute, newest)
+	took := s.AwaitInForce(time.Minute, newest)
 	t.Logf("%d kills of agents; the last version took %v", killed(), took.Round(100*time.Millisecond))
 	end()
 	refused := 0
--- a/cmd/petrelhook-coordinator/distribute_test.go
+++ b/cmd/petrelhook-coordinator/distribute_test.go
@@ -135,7 +135,7 @@
 		t.Errorf("the same once more is revision %d, was %d", got, newest["service-1"])
 	}
 	content := json.RawMessage(`{"settings":{"for":"service-1","n":2}}`)
-	told, err := g.Ask(fleet.Request{Publish: &distribute.Command{Service: "service-1", After: newest["service-1"] - 1, Content: content}})
+	told, err := g.Call(fleet.Request{Publish: &distribute.Command{Service: "service-1", After: newest["service-1"] - 1, Content: content}})
 	if err != nil || told.Published.Refused == "" {
 		t.Errorf("over what was published meanwhile: %v, %+v", err, told)
 	}
@@ -145,7 +145,7 @@
 		}
 	}
 	for _, bad := range []string{`[1]`, `{"listen": "127.0.0.1:1"}`} {
-		if _, err := g.Ask(fleet.Request{Publish: &distribute.Command{Service: "service-1", Content: json.RawMessage(bad)}}); err == nil {
+		if _, err := g.Call(fleet.Request{Publish: &distribute.Command{Service: "service-1", Content: json.RawMessage(bad)}}); err == nil {
 			t.Errorf("taken: %s", bad)
 		}
 	}
@@ -158,9 +158,9 @@
 	r.all(t, g, newest)
 
 	other := newGroup(t, 1) // as if all disks were lost
-	for i, m := range g.All {
-		m.Die()
-		g.Clients[i].To(other.Serves(other.All[0].Process))
+	for i, m := range g.Members {
+		m.KillAndWait()
+		g.ClientLinks[i].SetTarget(other.AwaitServing(other.Members[0].Process))
 	}
 	o := &fleet.Operator{Addrs: g.Addrs()}
 	peertest.Eventually(t, "the new group has heard what they hold", func() bool {
@@ -193,41 +193,41 @@
 		t.Log("reached all: ", what)
 	}
 	all("nothing fails")
-	follower := func() *coordinator.Member { return g.All[(g.NewLeader(-1)+1)%3] }
+	follower := func() *coordinator.Member { return g.Members[(g.AwaitNewLeader(-1)+1)%3] }
 
-	leader := g.NewLeader(-1)
-	g.All[leader].Die()
+	leader := g.AwaitNewLeader(-1)
+	g.Members[leader].KillAndWait()
 	all("the leader is killed")
-	g.All[leader].Start()
+	g.Members[leader].Start()
 
 	for _, cut := range []struct {
 		what    string
 		in, out bool
 	}{{"a follower hears nobody", true, false}, {"a follower is not heard", false, true}} {
 		m := follower()
-		m.Cut(true, cut.in, cut.out)
+		m.Partition(true, cut.in, cut.out)
 		all(cut.what)
-		m.Cut(false, cut.in, cut.out)
+		m.Partition(false, cut.in, cut.out)
 		all("and is back")
 	}
 
 	m := follower()
-	m.Stop()
+	m.Pause()
 	all("a follower is stopped")
-	m.Continue()
+	m.Resume()
 	all("and goes on")
 
-	leader = g.NewLeader(-1)
-	g.All[leader].Stop()
-	g.NewLeader(leader)
+	leader = g.AwaitNewLeader(-1)
+	g.Members[leader].Pause()
+	g.AwaitNewLeader(leader)
 	all("the leader is stopped")
-	g.All[leader].Continue() // it may believe that it leads, for a moment
+	g.Members[leader].Resume() // it may believe that it leads, for a moment
 	all("and goes on")
 
-	for _, m := range g.All {
-		m.Die()
+	for _, m := range g.Members {
+		m.KillAndWait()
 	}
-	for _, m := range g.All {
+	for _, m := range g.Members {
 		m.Start()
 	}
 	all("all were away")
@@ -238,7 +238,7 @@
 	g := newGroup(t, 1)
 	ask := `{"version":1,"service":"service-0","member":"slow%d","holds":0,"hold_ns":30000000000}`
 	for i := range 100 {
-		c, err := net.Dial("tcp", g.Clients[0].Addr)
+		c, err := net.Dial("tcp", g.ClientLinks[0].Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -268,8 +268,8 @@
 func TestAStaleCoordinatorTellsNothing(t *testing.T) {
 	g := newGroup(t, 3)
 	newest := publish(t, g, "service-0", 1)
-	m := g.All[(g.NewLeader(-1)+1)%3]
-	addr := g.Clients[m.I].Addr
+	m := g.Members[(g.AwaitNewLeader(-1)+1)%3]
+	addr := g.ClientLinks[m.Index].Addr
 	ask := func() (*distribute.WatchResponse, error) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -279,12 +279,12 @@
 		told, err := ask()
 		return err == nil && told.Newer != nil && told.Newer.Revision == newest
 	})
-	m.Cut(true, false, true) // it hears the leader still; the leader does not hear it
+	m.Partition(true, false, true) // it hears the leader still; the leader does not hear it
 	peertest.Eventually(t, "it tells nothing", func() bool {
 		_, err := ask()
 		return err != nil && strings.Contains(err.Error(), distribute.ErrStale.Error())
 	})
-	m.Cut(false, false, true)
+	m.Partition(false, false, true)
 	peertest.Eventually(t, "it tells again", func() bool { _, err := ask(); return err == nil })
 }
 
--- a/cmd/petrelhook-coordinator/figures_test.go
+++ b/cmd/petrelhook-coordinator/figures_test.go
@@ -51,7 +51,7 @@
 	peertest.Figures(t)
 	for _, n := range []int{1, 3, 5} {
 		g := newGroup(t, n)
-		ask := g.Asker()
+		ask := g.NewCaller()
 		for _, size := range [][2]int{{10, 10}, {10_000, 10}, {10_000, 2000}} { // leases, sessions
 			var sessions []core.SessionID
 			var opened sync.Mutex
@@ -90,8 +90,8 @@
 			t.Logf("%d replicas, %5d leases, %4d sessions: grant p50 %v p99 %v, %.0f/s; renewal p50 %v p99 %v, %.0f/s", n, size[0], size[1],
 				g50.Round(10*time.Microsecond), g99.Round(10*time.Microsecond), grants, r50.Round(10*time.Microsecond), r99.Round(10*time.Microsecond), renewals)
 		}
-		for _, c := range g.All {
-			c.Die()
+		for _, c := range g.Members {
+			c.KillAndWait()
 		}
 	}
 }
@@ -105,8 +105,8 @@
 		var longest, sum time.Duration
 		const times = 10
 		for i := range times {
-			out := &process.Log{}
-			holder := start(t, "keeps", out, guarded, fmt.Sprintf("%s,%s,%s", g.Clients[0].Addr, g.Clients[1].Addr, g.Clients[2].Addr), fmt.Sprint(what, i))
+			out := &process.Buffer{}
+			holder := start(t, "keeps", out, guarded, fmt.Sprintf("%s,%s,%s", g.ClientLinks[0].Addr, g.ClientLinks[1].Addr, g.ClientLinks[2].Addr), fmt.Sprint(what, i))
 			peertest.Eventually(t, "it holds", func() bool { return out.String() != "" })
 			next, err := lease.New(lease.Options{Addrs: g.Addrs(), Owner: "next", TTL: ttl})
 			if err != nil {
@@ -125,10 +125,10 @@
 				holder.Kill()
 			}
 			if what != "holder" && leader >= 0 {
-				g.All[leader].Kill()
+				g.Members[leader].Kill()
 			}
 			if what == "leader" { // until a renewal is answered again: the holder keeps it
-				g.NewLeader(leader)
+				g.AwaitNewLeader(leader)
 				took := time.Since(began)
 				longest, sum = max(longest, took), sum+took
 				holder.Kill()
@@ -139,8 +139,8 @@
 			}
 			next.Close()
 			if what != "holder" && leader >= 0 {
-				g.All[leader].Wait()
-				g.All[leader].Start()
+				g.Members[leader].Wait()
+				g.Members[leader].Start()
 			}
 		}
 		t.Logf("kill of %s: mean %v, longest %v; a session lives %v, an election takes 200 to 400 ms and more", what, (sum / times).Round(time.Millisecond), longest.Round(time.Millisecond), ttl)
@@ -183,8 +183,8 @@
 	}
 	sides.Wait()
 	leader := g.Leader()
-	g.All[leader].Die()
-	g.NewLeader(leader)
+	g.Members[leader].KillAndWait()
+	g.AwaitNewLeader(leader)
 	<-time.After(long + long/2) // all have to have been renewed by the new leader
 	for _, hs := range all {
 		for _, h := range hs {
--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/hard_test.go
@@ -57,14 +57,14 @@
 func TestStoppedBetweenLookAndAct(t *testing.T) {
 	g, r := newGroup(t, 1), &contend.Resource{}
 	guarded := peertest.NewRaw(t, r.Serve)
-	out := &process.Log{}
+	out := &process.Buffer{}
 	first := start(t, "stops", out, guarded, strings.Join(g.Addrs(), ","))
 	peertest.Eventually(t, "it has looked, and is stopped", func() bool { return strings.Contains(out.String(), "looked") && first.State() == "T" })
 	other := must(t, client(t, g), "task") // its time is up
 	if err := r.Guard.Admit(other.Token, func() error { return nil }); err != nil {
 		t.Error(err)
 	}
-	first.Continue()
+	first.Resume()
 	peertest.Eventually(t, "it acts", func() bool { return strings.Count(out.String(), "\n") == 2 })
 	if !strings.Contains(out.String(), "old") {
 		t.Error("its act was admitted")
@@ -77,7 +77,7 @@
 	g := newGroup(t, 3)
 	held := must(t, patient(t, g), "x")
 	peertest.Eventually(t, "all disks are known", func() bool {
-		told, err := g.Ask(fleet.Request{Backup: true})
+		told, err := g.Call(fleet.Request{Backup: true})
 		known := 0
 		if err == nil {
 			for _, m := range told.Members {
@@ -88,23 +88,23 @@
 		}
 		return known == 3
 	})
-	c := g.All[(g.Leader()+1)%3]
-	c.Die()
-	if err := os.RemoveAll(filepath.Join(g.Dir, fmt.Sprintf("data%d", c.I+1))); err != nil {
+	c := g.Members[(g.Leader()+1)%3]
+	c.KillAndWait()
+	if err := os.RemoveAll(filepath.Join(g.Dir, fmt.Sprintf("data%d", c.Index+1))); err != nil {
 		t.Fatal(err)
 	}
 	c.Start()
 	if err := c.Wait(); err == nil || !strings.Contains(c.Log.String(), "has lost its disk") {
 		t.Errorf("%v: %s", err, c.Log)
 	}
-	if _, err := g.Ask(fleet.Request{RemoveMember: uint64(c.I + 1)}); err != nil {
+	if _, err := g.Call(fleet.Request{RemoveMember: uint64(c.Index + 1)}); err != nil {
 		t.Fatal(err)
 	}
 	fourthAddr := join(t, g, c, 4)
 	// with it there is a majority without the leader
 	leader := g.Leader()
-	g.All[leader].Die()
-	peertest.Eventually(t, "another leads", func() bool { l := g.Leader(); return l >= 0 && l != leader || coordinator.Leads(fourthAddr) })
+	g.Members[leader].KillAndWait()
+	peertest.Eventually(t, "another leads", func() bool { l := g.Leader(); return l >= 0 && l != leader || coordinator.IsLeader(fourthAddr) })
 	if !held.Valid() {
 		t.Error("a lease that could be renewed was lost")
 	}
@@ -113,19 +113,19 @@
 // join starts a further coordinator, which reaches the others by the links of one that is not cut off, adds it, and waits until it votes.
 func join(t *testing.T, g *coordinator.Group, by *coordinator.Member, id uint64) (addr string) {
 	t.Helper()
-	way := g.Link()
-	text, _ := os.ReadFile(g.File(by.I))
-	joins := strings.Replace(string(text), fmt.Sprintf("id: %d\ndata: data%d", by.I+1, by.I+1), fmt.Sprintf("id: %d\njoin: true\ndata: data%d", id, id), 1)
+	way := g.NewLink()
+	text, _ := os.ReadFile(g.ConfigFile(by.Index))
+	joins := strings.Replace(string(text), fmt.Sprintf("id: %d\ndata: data%d", by.Index+1, by.Index+1), fmt.Sprintf("id: %d\njoin: true\ndata: data%d", id, id), 1)
 	joins += fmt.Sprintf("  - {id: %d, address: %q}\n", id, way.Addr)
 	path := filepath.Join(g.Dir, fmt.Sprintf("c%d.yaml", id))
 	os.WriteFile(path, []byte(joins), 0o600)
-	addr = g.Serves(start(t, "coordinator", nil, "--config", path))
-	way.To(addr)
-	if _, err := g.Ask(fleet.Request{AddMember: &replica.Member{ID: id, Addr: way.Addr}}); err != nil {
+	addr = g.AwaitServing(start(t, "coordinator", nil, "--config", path))
+	way.SetTarget(addr)
+	if _, err := g.Call(fleet.Request{AddMember: &replica.Member{ID: id, Addr: way.Addr}}); err != nil {
 		t.Fatal(err)
 	}
 	peertest.Eventually(t, "it votes", func() bool {
-		told, err := g.Ask(fleet.Request{Backup: true})
+		told, err := g.Call(fleet.Request{Backup: true})
 		return err == nil && slices.ContainsFunc(told.Members, func(m replica.Member) bool { return m.ID == id && !m.Learner })
 	})
 	return addr
@@ -135,17 +135,17 @@
 func TestRemovedLeader(t *testing.T) {
 	g := newGroup(t, 3)
 	held := must(t, patient(t, g), "x")
-	leader := g.NewLeader(-1)
-	if _, err := g.Ask(fleet.Request{RemoveMember: uint64(leader + 1)}); err != nil {
+	leader := g.AwaitNewLeader(-1)
+	if _, err := g.Call(fleet.Request{RemoveMember: uint64(leader + 1)}); err != nil {
 		t.Fatal(err)
 	}
-	g.NewLeader(leader)
+	g.AwaitNewLeader(leader)
 	was := must(t, client(t, g), "y").Token
-	if g.All[leader].Wait(); !strings.Contains(g.All[leader].Log.String(), "none of this group") {
-		t.Errorf("%s", g.All[leader].Log)
+	if g.Members[leader].Wait(); !strings.Contains(g.Members[leader].Log.String(), "none of this group") {
+		t.Errorf("%s", g.Members[leader].Log)
 	}
-	g.All[leader].Start()
-	g.All[leader].Wait()
+	g.Members[leader].Start()
+	g.Members[leader].Wait()
 	if now := must(t, client(t, g), "z").Token; now != was+1 || !held.Valid() {
 		t.Errorf("token %d after %d", now, was)
 	}
@@ -154,8 +154,8 @@
 // A disk that takes no more ends the process, which says so; the others go on, and with room it comes back.
 func TestDiskFull(t *testing.T) {
 	g := newGroup(t, 3)
-	leader := g.NewLeader(-1)
-	c := g.All[leader]
+	leader := g.AwaitNewLeader(-1)
+	c := g.Members[leader]
 	if err := unix.Prlimit(c.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: unix.RLIM_INFINITY}, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 		t.Errorf("%s", c.Log)
 	}
 	c.Start()
-	g.All[(leader+1)%3].Die() // a majority needs it
+	g.Members[(leader+1)%3].KillAndWait() // a majority needs it
 	must(t, client(t, g), "y")
 }
 
@@ -175,19 +175,19 @@
 // tokens go on beyond.
 func TestRestoredWhileAHolderLives(t *testing.T) {
 	g := newGroup(t, 1)
-	backup, err := g.Ask(fleet.Request{Backup: true})
+	backup, err := g.Call(fleet.Request{Backup: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	old := must(t, client(t, g), "x") // after the back-up
-	c := g.All[0]
-	c.Die()
+	c := g.Members[0]
+	c.KillAndWait()
 	path := filepath.Join(g.Dir, "backup")
 	os.WriteFile(path, backup.Backup, 0o600)
 	os.RemoveAll(filepath.Join(g.Dir, "data1"))
-	text, _ := os.ReadFile(g.File(0))
-	os.WriteFile(g.File(0), append(text, "longest_ttl: 2s\n"...), 0o600)
-	cfg, err := fleet.ReadConfig(g.File(0))
+	text, _ := os.ReadFile(g.ConfigFile(0))
+	os.WriteFile(g.ConfigFile(0), append(text, "longest_ttl: 2s\n"...), 0o600)
+	cfg, err := fleet.ReadConfig(g.ConfigFile(0))
 	if err == nil {
 		err = fleet.Restore(cfg, path, 0)
 	}
@@ -196,11 +196,11 @@
 	}
 	c.Start()
 	peertest.Eventually(t, "it leads", func() bool { return g.Leader() == 0 })
-	a, err := g.Ask(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: "another client", Owner: "o", TTL: ttl}})
+	a, err := g.Call(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: "another client", Owner: "o", TTL: ttl}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err = g.Ask(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: a.Answer.Session, Seq: 1, Name: "x"}})
+	a, err = g.Call(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: a.Answer.Session, Seq: 1, Name: "x"}})
 	if err != nil || a.Answer.Status != core.Embargoed {
 		t.Errorf("%v, %+v", err, a)
 	}
@@ -214,11 +214,11 @@
 func TestWaiterDies(t *testing.T) {
 	g, r := newGroup(t, 1), &contend.Resource{}
 	first := must(t, client(t, g), "task")
-	out := &process.Log{}
+	out := &process.Buffer{}
 	waiter := start(t, "holder", out, "w", peertest.NewRaw(t, r.Serve), strings.Join(g.Addrs(), ","))
 	name := "task"
 	queue := func() int {
-		told, err := g.Ask(fleet.Request{ListLeases: &name})
+		told, err := g.Call(fleet.Request{ListLeases: &name})
 		if err != nil || len(told.Leases) == 0 {
 			return -1
 		}
@@ -229,7 +229,7 @@
 	second := client(t, g)
 	go func() { h, _ := second.Hold(t.Context(), "task"); got <- h }()
 	peertest.Eventually(t, "both wait", func() bool { return queue() == 2 })
-	waiter.Stop()
+	waiter.Pause()
 	if err := first.Release(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -244,23 +244,23 @@
 func TestNoMajority(t *testing.T) {
 	g := newGroup(t, 3)
 	held := must(t, client(t, g), "x")
-	for _, c := range g.All[:2] {
-		c.Die()
+	for _, c := range g.Members[:2] {
+		c.KillAndWait()
 	}
 	o := fleet.Operator{}
 	peertest.Eventually(t, "the last one knows", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		res, err := call(ctx, g.Clients[2].Addr, fleet.Request{Version: fleet.Version, Command: &core.Command{Kind: core.Open, Nonce: "12345678", Owner: "o", TTL: ttl}})
+		res, err := call(ctx, g.ClientLinks[2].Addr, fleet.Request{Version: fleet.Version, Command: &core.Command{Kind: core.Open, Nonce: "12345678", Owner: "o", TTL: ttl}})
 		return err == nil && strings.Contains(res.Err, "majority is out of reach") && res.RetryAfterMs > 0
 	})
 	peertest.Wait(t, held.Context().Done())
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	if _, err := call(ctx, g.Clients[2].Addr, fleet.Request{Version: 99}); err == nil || !strings.Contains(err.Error(), "version 99") {
+	if _, err := call(ctx, g.ClientLinks[2].Addr, fleet.Request{Version: 99}); err == nil || !strings.Contains(err.Error(), "version 99") {
 		t.Errorf("%v", err)
 	}
-	if _, err := o.Status(ctx, g.Clients[2].Addr); err != nil {
+	if _, err := o.Status(ctx, g.ClientLinks[2].Addr); err != nil {
 		t.Error(err)
 	}
 }
@@ -331,24 +331,24 @@
 func TestChangesWhileTheLeaderIsCutOff(t *testing.T) {
 	g := newGroup(t, 3)
 	held := must(t, patient(t, g), "x")
-	leader := g.NewLeader(-1)
-	c := g.All[leader]
-	c.Cut(true, true, true)
+	leader := g.AwaitNewLeader(-1)
+	c := g.Members[leader]
+	c.Partition(true, true, true)
 	other := (leader + 1) % 3
 	ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
 	defer cancel()
-	told, err := call(ctx, g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, RemoveMember: uint64(other + 1)})
+	told, err := call(ctx, g.ClientLinks[leader].Addr, fleet.Request{Version: fleet.Version, RemoveMember: uint64(other + 1)})
 	if err != nil || !told.OutcomeUnknown {
 		t.Errorf("%v, %+v", err, told)
 	}
-	g.NewLeader(leader)
-	join(t, g, g.All[other], 4) // by the two that hear one another
-	if _, err := g.Ask(fleet.Request{RemoveMember: uint64(leader + 1)}); err != nil {
+	g.AwaitNewLeader(leader)
+	join(t, g, g.Members[other], 4) // by the two that hear one another
+	if _, err := g.Call(fleet.Request{RemoveMember: uint64(leader + 1)}); err != nil {
 		t.Fatal(err)
 	}
-	c.Cut(false, true, true)
+	c.Partition(false, true, true)
 	c.Wait()
-	told, err = g.Ask(fleet.Request{Backup: true})
+	told, err = g.Call(fleet.Request{Backup: true})
 	if err != nil || len(told.Members) != 3 || !held.Valid() {
 		t.Errorf("%v, %+v, valid %v", err, told, held.Valid())
 	}
@@ -358,25 +358,25 @@
 // is the next one's all the while.
 func TestALeaderThatIsStoppedForTenSeconds(t *testing.T) {
 	g := newGroup(t, 3)
-	g.NewLeader(-1)
-	told, err := g.Ask(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: "12345678", Owner: "o", TTL: ttl}})
+	g.AwaitNewLeader(-1)
+	told, err := g.Call(fleet.Request{Command: &core.Command{Kind: core.Open, Nonce: "12345678", Owner: "o", TTL: ttl}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	session := told.Answer.Session
-	if _, err := g.Ask(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: session, Seq: 1, Name: "task"}}); err != nil {
+	if _, err := g.Call(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: session, Seq: 1, Name: "task"}}); err != nil {
 		t.Fatal(err)
 	}
 	leader := g.Leader()
-	g.All[leader].Stop()
+	g.Members[leader].Pause()
 	next := must(t, patient(t, g), "task")
 	<-time.After(10 * time.Second)
 	asked := make(chan *fleet.Response, 1)
 	go func() { // it is in its queue as it goes on
-		told, _ := call(t.Context(), g.Clients[leader].Addr, fleet.Request{Version: fleet.Version, KeepAlive: &replica.KeepAlive{Session: session}})
+		told, _ := call(t.Context(), g.ClientLinks[leader].Addr, fleet.Request{Version: fleet.Version, KeepAlive: &replica.KeepAlive{Session: session}})
 		asked <- told
 	}()
-	g.All[leader].Continue()
+	g.Members[leader].Resume()
 	if told := peertest.Wait(t, asked); told != nil && told.SessionAlive {
 		t.Error("it says yes")
 	}
--- a/cmd/petrelhook-coordinator/process_test.go
+++ b/cmd/petrelhook-coordinator/process_test.go
@@ -50,14 +50,14 @@
 // start starts this program in a role.
 func start(t *testing.T, role string, out io.Writer, args ...string) *process.Process {
 	t.Helper()
-	cmd := process.Again(roleVariable, role, args...)
+	cmd := process.Self(roleVariable, role, args...)
 	cmd.Stdout = out
 	return process.Start(t, cmd)
 }
 
 func newGroup(t *testing.T, n int) *coordinator.Group {
 	t.Helper()
-	return coordinator.NewGroup(t, n, func(args ...string) *exec.Cmd { return process.Again(roleVariable, "coordinator", args...) })
+	return coordinator.NewGroup(t, n, func(args ...string) *exec.Cmd { return process.Self(roleVariable, "coordinator", args...) })
 }
 
 // rounds is how many a test plays: ROUNDS in the environment, else a few.
@@ -79,21 +79,21 @@
 	g, r := newGroup(t, n), &contend.Resource{}
 	guarded := peertest.NewRaw(t, r.Serve)
 	var holders []*process.Process
-	var outs []*process.Log
+	var outs []*process.Buffer
 	for i := range 8 {
-		out := &process.Log{}
+		out := &process.Buffer{}
 		outs = append(outs, out)
 		holders = append(holders, start(t, "holder", out, fmt.Sprint("h", i), guarded, strings.Join(g.Addrs(), ",")))
 	}
 	progress := func() {
 		t.Helper()
-		was := len(r.Acts())
-		peertest.Eventually(t, "somebody acts", func() bool { return len(r.Acts()) > was+20 })
+		was := len(r.Writes())
+		peertest.Eventually(t, "somebody acts", func() bool { return len(r.Writes()) > was+20 })
 	}
 	progress()
 	faults := map[string]int{}
 	for range rounds {
-		what := g.Fault(random, ttl, holders)
+		what := g.InjectFault(random, ttl, holders)
 		faults[what]++
 		progress() // the fault is over, and the fleet goes on
 	}
@@ -101,16 +101,16 @@
 		h.Input.Close()
 		h.Wait()
 	}
-	var looks []belief.Look
+	var looks []belief.Belief
 	for i, out := range outs {
-		looks = append(looks, contend.Looks(fmt.Sprint("h", i), out.String())...)
+		looks = append(looks, contend.ParseBeliefs(fmt.Sprint("h", i), out.String())...)
 	}
-	v := belief.Judge(looks, r.Acts())
-	t.Logf("%d coordinators, %d faults %v: %d looks, %d acts, %d holders in turn, %d acts refused by the guard", n, rounds, faults, v.Looks, v.Acts, v.Holders, v.Late)
-	for _, w := range v.Wrong {
+	v := belief.Check(looks, r.Writes())
+	t.Logf("%d coordinators, %d faults %v: %d looks, %d acts, %d holders in turn, %d acts refused by the guard", n, rounds, faults, v.Beliefs, v.Writes, v.HolderChanges, v.Rejected)
+	for _, w := range v.Violations {
 		t.Error(w)
 	}
-	if v.Holders < rounds {
-		t.Errorf("%d holders in turn", v.Holders)
+	if v.HolderChanges < rounds {
+		t.Errorf("%d holders in turn", v.HolderChanges)
 	}
 }
--- a/cmd/petrelhook-coordinator/share_test.go
+++ b/cmd/petrelhook-coordinator/share_test.go
@@ -25,7 +25,7 @@
 	const members = 8
 	l := share.Limit{Name: "cold/s-1", Units: 80, Floor: 16, Members: members, Period: 400 * time.Millisecond}
 	set := func(l share.Limit) string {
-		told, err := g.Ask(fleet.Request{Limit: &share.Command{Set: l}})
+		told, err := g.Call(fleet.Request{Limit: &share.Command{Set: l}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,18 +38,18 @@
 			t.Errorf("%+v: %q", one, said)
 		}
 	}
-	if told, err := g.Ask(fleet.Request{Share: &replica.ShareRequest{Limit: "none", Request: share.AllocationRequest{Member: "m"}}}); err != nil || !strings.Contains(told.LimitError, "no such limit") {
+	if told, err := g.Call(fleet.Request{Share: &replica.ShareRequest{Limit: "none", Request: share.AllocationRequest{Member: "m"}}}); err != nil || !strings.Contains(told.LimitError, "no such limit") {
 		t.Error(err, told)
 	}
 	limit, _ := json.Marshal(l)
-	var logs [members]process.Log
+	var logs [members]process.Buffer
 	var all []*process.Process
 	for i := range members {
 		all = append(all, start(t, "spend", &logs[i], fmt.Sprint("m", i), "4ms", string(limit), strings.Join(g.Addrs(), ",")))
 	}
 	uses := func() (n int) {
 		for i := range logs {
-			n += len(contend.Uses(logs[i].String()))
+			n += len(contend.ParseUses(logs[i].String()))
 		}
 		return n
 	}
@@ -64,25 +64,25 @@
 	}
 	more("it is used", 3*l.Units)
 	t.Logf("%.2f of the limit is used", full())
-	leader := g.NewLeader(-1)
-	g.All[leader].Die()
+	leader := g.AwaitNewLeader(-1)
+	g.Members[leader].KillAndWait()
 	more("after the leader's death", 3*l.Units)
-	g.All[leader].Start()
-	i := g.NewLeader(-1)
-	g.All[i].Cut(true, true, true)
+	g.Members[leader].Start()
+	i := g.AwaitNewLeader(-1)
+	g.Members[i].Partition(true, true, true)
 	more("after the leader was cut off", 3*l.Units)
-	g.All[i].Cut(false, true, true)
-	all[0].Stop()
+	g.Members[i].Partition(false, true, true)
+	all[0].Pause()
 	more("while one is stopped", 4*l.Units)
-	all[0].Continue()
-	for _, m := range g.All {
-		m.Die()
+	all[0].Resume()
+	for _, m := range g.Members {
+		m.KillAndWait()
 	}
 	more("what they had", l.Floor)
 	was, began := uses(), time.Now()
 	more("floors", 2*l.Floor)
 	t.Logf("without coordinators %.2f of the floor is used", float64(uses()-was)/(float64(time.Since(began))/float64(l.Period))/float64(l.Floor))
-	for _, m := range g.All {
+	for _, m := range g.Members {
 		m.Start()
 	}
 	more("coordinators are back", 4*l.Units)
@@ -91,7 +91,7 @@
 		t.Error(said)
 	}
 	more("a lower limit", 4*l.Units)
-	told, err := g.Ask(fleet.Request{ListLimits: true})
+	told, err := g.Call(fleet.Request{ListLimits: true})
 	if err != nil || len(told.LimitStatuses) != 1 || told.LimitStatuses[0].Limit != l || len(told.LimitStatuses[0].Members) != members || told.LimitStatuses[0].Outstanding > 80 {
 		t.Errorf("%v: %+v", err, told.LimitStatuses)
 	}
@@ -99,7 +99,7 @@
 	for i, p := range all {
 		p.Input.Close()
 		p.Wait()
-		own := contend.Uses(logs[i].String())
+		own := contend.ParseUses(logs[i].String())
 		if len(own) < 20 {
 			t.Errorf("member %d: %d uses", i, len(own))
 		}
--- a/cmd/petrelhook-router/fleet_test.go
+++ b/cmd/petrelhook-router/fleet_test.go
@@ -95,7 +95,7 @@
 }
 
 func (m *machine) start() {
-	cmd := process.Again(roleVariable, "router")
+	cmd := process.Self(roleVariable, "router")
 	cmd.Env = append(cmd.Env, "PETRELHOOK_SETTINGS="+m.settings)
 	m.process = process.Start(m.t, cmd)
 }
@@ -220,7 +220,7 @@
 
 	killed := f.primary()
 	require.NotNil(t, killed)
-	killed.process.Die()
+	killed.process.KillAndWait()
 	const update = `{"Generation":7,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","RouteType":"safe","TimeoutMs":2000,"Service":"s"}]}}`
 	require.Equal(t, http.StatusOK, f.order("/-/config/update", 3, update))
 	require.Equal(t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration), "sent again to the next primary")
--- a/cmd/petrelhook-router/recovery_test.go
+++ b/cmd/petrelhook-router/recovery_test.go
@@ -88,7 +88,7 @@
 		return true
 	})
 	for _, m := range f.machines {
-		m.process.Die()
+		m.process.KillAndWait()
 	}
 	require.NoError(t, os.RemoveAll(filepath.Join(filepath.Dir(f.machines[1].settings), "data")))
 	for _, m := range f.machines {
--- a/cmd/petrelhook/log_blocked_test.go
+++ b/cmd/petrelhook/log_blocked_test.go
@@ -36,7 +36,7 @@
 	if _, _, no := syscall.Syscall(syscall.SYS_FCNTL, to.Fd(), syscall.F_SETPIPE_SZ, 4096); no != 0 {
 		t.Fatal(no)
 	}
-	cmd := process.Again("PETRELHOOK_TEST_RUN", "1")
+	cmd := process.Self("PETRELHOOK_TEST_RUN", "1")
 	cmd.Env = append(cmd.Env, "LB_CONFIG="+path, "LB_ADMIN_ADDR=", "TMPDIR="+dir)
 	cmd.Stderr = to
 	if err := cmd.Start(); err != nil {
--- a/cmd/petrelhook/signals_test.go
+++ b/cmd/petrelhook/signals_test.go
@@ -24,7 +24,7 @@
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := process.Again("PETRELHOOK_TEST_RUN", "1")
+	cmd := process.Self("PETRELHOOK_TEST_RUN", "1")
 	cmd.Env = append(cmd.Env, "LB_CONFIG="+path, "LB_ADMIN_ADDR=")
 	p := process.Start(t, cmd)
 	write := func() {
--- a/cmd/petrelhook/upgrade_test.go
+++ b/cmd/petrelhook/upgrade_test.go
@@ -93,7 +93,7 @@
 	if err := os.WriteFile(path, []byte(f.config), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
-	cmd := process.Again("PETRELHOOK_TEST_RUN", "1")
+	cmd := process.Self("PETRELHOOK_TEST_RUN", "1")
 	if f.starts++; f.starts%2 == 1 && os.Getenv("OTHER_VERSION") != "" { // every other process is of that program
 		cmd = exec.Command(os.Getenv("OTHER_VERSION"))
 		cmd.Env = os.Environ()
@@ -325,7 +325,7 @@
 	f.under(func() {
 		for range 2 {
 			next := f.start()
-			next.Stop() // it takes no connection that it would lose
+			next.Pause() // it takes no connection that it would lose
 			f.more(20)
 			next.Kill()
 			next.Wait()
@@ -348,7 +348,7 @@
 func TestTheOneInServiceHangs(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	first := f.start()
-	first.Stop()
+	first.Pause()
 	began := time.Now()
 	second := f.start()
 	if took := time.Since(began); took > 5*time.Second {
@@ -427,16 +427,16 @@
 	f.under(func() {
 		for round := range rounds() {
 			f.more(50)
-			now.Stop() // it does not hand over in time
+			now.Pause() // it does not hand over in time
 			next := f.start()
-			now.Continue()
+			now.Resume()
 			if !next.Log.Has("nothing is taken over") {
 				t.Error("there was a hand-over")
 			}
 			f.more(100)
 			now.Signal(syscall.SIGTERM)
 			peertest.Eventually(t, "it stops", func() bool { return now.Log.Has("now=stopping") })
-			now.Stop() // what comes to its queue now stays there; what it had accepted may cross with its close
+			now.Pause() // what comes to its queue now stays there; what it had accepted may cross with its close
 			peertest.Eventually(t, "it is stopped", func() bool { return now.State() == "T" })
 			f.queued.Store(true)
 			for i := range 40 {
@@ -446,7 +446,7 @@
 				}
 			}
 			f.queued.Store(false)
-			now.Continue()
+			now.Resume()
 			now.end()
 			now = next
 		}
@@ -506,9 +506,9 @@
 	if l.Watches() != 1 || l.Calls() != was {
 		t.Errorf("%d watches, %d calls", l.Watches(), l.Calls()-was)
 	}
-	second.Stop()
+	second.Pause()
 	serves(old, tell(2))
-	second.Continue()
+	second.Resume()
 	serves(old, tell(3))
 	second.Kill()
 	second.Wait()
--- a/cmd/petrelhookctl/lease_test.go
+++ b/cmd/petrelhookctl/lease_test.go
@@ -38,7 +38,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, stop := coordinator.For(t)
+			addr, stop := coordinator.StartForTest(t)
 			pid := filepath.Join(t.TempDir(), "pid")
 			type result struct {
 				code int
@@ -75,7 +75,7 @@
 
 // What operators ask, and what they are told where it is wrong.
 func TestLeaseAndFleet(t *testing.T) {
-	addr, _ := coordinator.For(t)
+	addr, _ := coordinator.StartForTest(t)
 	backup := filepath.Join(t.TempDir(), "backup")
 	for _, c := range []struct {
 		args, want string
--- a/cmd/petrelhookctl/rollout_run_test.go
+++ b/cmd/petrelhookctl/rollout_run_test.go
@@ -16,7 +16,7 @@
 
 // What operators say of a change, and what they are shown, in the order of a bad day.
 func TestRolloutCommands(t *testing.T) {
-	addr, _ := coordinator.For(t)
+	addr, _ := coordinator.StartForTest(t)
 	start := &rollout.Start{Plan: rollout.Plan{Application: "permits", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: time.Hour,
 		Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}}, Members: []rollout.Member{{Name: "n0"}}, Reports: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
 	begin := func() {
@@ -83,7 +83,7 @@
 
 // A limit is made and changed, and what does not change is refused; a member that asks is shown with what it has.
 func TestShareCommands(t *testing.T) {
-	addr, _ := coordinator.For(t)
+	addr, _ := coordinator.StartForTest(t)
 	o := &fleet.Operator{Addrs: []string{addr}}
 	for i, c := range []struct {
 		args string
--- a/cmd/petrelhookctl/scale.go
+++ b/cmd/petrelhookctl/scale.go
@@ -135,7 +135,7 @@
 // budget reads a number of bytes; "": a quarter of the machine's memory.
 func budget(text string) (int64, error) {
 	if text == "" {
-		all, err := usage.Memory()
+		all, err := usage.MachineMemory()
 		if err != nil {
 			return 0, runError{err}
 		}
--- a/internal/coordination/driver/many_test.go
+++ b/internal/coordination/driver/many_test.go
@@ -24,13 +24,13 @@
 		sizes = []int{20, 200, 2000}
 	}
 	for _, n := range sizes {
-		addr, stop := coordinator.For(t)
+		addr, stop := coordinator.StartForTest(t)
 		start := &rollout.Start{Plan: rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: max(1, n/20), MaxUnavailable: max(1, n/20), EvidenceTimeout: time.Minute,
 			Judge:  rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.2},
 			Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 0.05}, ControlCount: max(1, n/20)}, {Selector: rollout.Selector{Share: 0.25}, ControlCount: max(1, n/20)}, {Selector: rollout.Selector{Share: 1}}}}}
-		var all []*deployment.Played
+		var all []*deployment.SimulatedAgent
 		for i := range n {
-			p, err := deployment.Play(fmt.Sprintf("n%04d", i), "old")
+			p, err := deployment.StartSimulatedAgent(fmt.Sprintf("n%04d", i), "old")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -64,7 +64,7 @@
 		took := time.Since(began)
 		looks, orders := 0, 0
 		for _, p := range all {
-			looks, orders = looks+p.Looks(), orders+p.Orders()
+			looks, orders = looks+p.Polls(), orders+p.Orders()
 		}
 		after, err := o.Status(ctx, addr)
 		if err != nil {
@@ -76,7 +76,7 @@
 		if want := n + 2*max(1, n/20); app.Current.State.Phase != rollout.Done || orders != want {
 			t.Errorf("%v (%s), %d orders, want %d", app.Current.State.Phase, app.Current.State.Reason, orders, want)
 		}
-		all[0].Fall("old") // after the end: it is shown, and nothing is done about it
+		all[0].SwitchRelease("old") // after the end: it is shown, and nothing is done about it
 		for end := time.Now().Add(20 * time.Second); app.Current.State.Sidecars()[0].Release != "old"; time.Sleep(50 * time.Millisecond) {
 			told, err := o.Call(ctx, fleet.Request{Changes: &name})
 			if err != nil || json.Unmarshal(told.Changes, &app) != nil || time.Now().After(end) {
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -52,7 +52,7 @@
 // becomes the program. An agent that took it for ended would kill a healthy sidecar, and the rollout would stop without a fault of the
 // release.
 func TestAFirstThreadIsNotAProcess(t *testing.T) {
-	s := process.Start(t, process.Again("MACHINE_TEST_THREADS", "1"))
+	s := process.Start(t, process.Self("MACHINE_TEST_THREADS", "1"))
 	process.Until(t, "its first thread has ended", func() bool { return s.State() == "Z" })
 	began, _ := startTicks(s.Pid)
 	if p := (agent.Process{PID: s.Pid, StartTicks: began}); !Lives(p) {
--- a/internal/rig/belief/belief.go
+++ b/internal/rig/belief/belief.go
@@ -9,60 +9,60 @@
 	"time"
 )
 
-// Look is a look of a holder at whether it holds, with yes for an answer, at some moment between From and To.
-type Look struct {
-	Who      string
+// Belief is a look of a holder at whether it holds, with yes for an answer, at some moment between From and To.
+type Belief struct {
+	Holder   string
 	Token    uint64
 	From, To time.Duration
 }
 
-// Act is what a guard was sent, in the order in which it came.
-type Act struct {
-	Who      string
+// Write is what a guard was sent, in the order in which it came.
+type Write struct {
+	Holder   string
 	Token    uint64
 	Admitted bool
 }
 
 // Verdict is what was wrong, and counts.
 type Verdict struct {
-	Wrong                      []string
-	Looks, Holders, Acts, Late int // Holders: changes of holder; Late: acts that the guard refused
+	Violations                               []string
+	Beliefs, HolderChanges, Writes, Rejected int // Holders: changes of holder; Late: acts that the guard refused
 }
 
-// Judge looks through all of it.
-func Judge(looks []Look, acts []Act) (v Verdict) {
-	v.Looks, v.Acts = len(looks), len(acts)
+// Check looks through all of it.
+func Check(beliefs []Belief, writes []Write) (v Verdict) {
+	v.Beliefs, v.Writes = len(beliefs), len(writes)
 	owner := map[uint64]string{}
-	own := func(token uint64, who, what string) {
+	claim := func(token uint64, who, what string) {
 		if o, known := owner[token]; known && o != who {
-			v.Wrong = append(v.Wrong, fmt.Sprintf("token %d is %s's and %s's (%s)", token, o, who, what))
+			v.Violations = append(v.Violations, fmt.Sprintf("token %d is %s's and %s's (%s)", token, o, who, what))
 		}
 		owner[token] = who
 	}
-	slices.SortFunc(looks, func(a, b Look) int { return cmp.Compare(a.From, b.From) })
-	ended := slices.SortedFunc(slices.Values(looks), func(a, b Look) int { return cmp.Compare(a.To, b.To) })
-	at, newest := 0, Look{}
-	for _, l := range looks {
-		own(l.Token, l.Who, "believed")
-		for ; at < len(ended) && ended[at].To < l.From; at++ { // all that had certainly been seen before
-			if ended[at].Token > newest.Token {
-				newest = ended[at]
+	slices.SortFunc(beliefs, func(a, b Belief) int { return cmp.Compare(a.From, b.From) })
+	ended := slices.SortedFunc(slices.Values(beliefs), func(a, b Belief) int { return cmp.Compare(a.To, b.To) })
+	next, newest := 0, Belief{}
+	for _, l := range beliefs {
+		claim(l.Token, l.Holder, "believed")
+		for ; next < len(ended) && ended[next].To < l.From; next++ { // all that had certainly been seen before
+			if ended[next].Token > newest.Token {
+				newest = ended[next]
 			}
 		}
 		if newest.Token > l.Token {
-			v.Wrong = append(v.Wrong, fmt.Sprintf("%s believes in %d at %v, after %s did in %d at %v", l.Who, l.Token, l.From, newest.Who, newest.Token, newest.To))
+			v.Violations = append(v.Violations, fmt.Sprintf("%s believes in %d at %v, after %s did in %d at %v", l.Holder, l.Token, l.From, newest.Holder, newest.Token, newest.To))
 		}
 	}
 	var last uint64
-	for _, a := range acts {
-		own(a.Token, a.Who, "acted")
+	for _, a := range writes {
+		claim(a.Token, a.Holder, "acted")
 		switch {
 		case !a.Admitted:
-			v.Late++
+			v.Rejected++
 		case a.Token < last:
-			v.Wrong = append(v.Wrong, fmt.Sprintf("an act of %d was admitted after one of %d", a.Token, last))
+			v.Violations = append(v.Violations, fmt.Sprintf("an act of %d was admitted after one of %d", a.Token, last))
 		case a.Token > last:
-			v.Holders++
+			v.HolderChanges++
 			last = a.Token
 		}
 	}
--- a/internal/rig/contend/contend.go
+++ b/internal/rig/contend/contend.go
@@ -33,20 +33,20 @@
 func Run(role string, args []string) {
 	switch role {
 	case "holder":
-		hold(args[0], args[1], strings.Split(args[2], ","))
+		runHolder(args[0], args[1], strings.Split(args[2], ","))
 	case "stops":
-		stops(args[0], strings.Split(args[1], ","))
+		runPausedHolder(args[0], strings.Split(args[1], ","))
 	case "spend":
-		spend(args[0], args[1], args[2], strings.Split(args[3], ","))
+		runSpender(args[0], args[1], args[2], strings.Split(args[3], ","))
 	case "keeps":
-		keeps(strings.Split(args[1], ","), args[2])
+		runIdleHolder(strings.Split(args[1], ","), args[2])
 	}
 }
 
-// Looks are what a holder has said.
-func Looks(who, text string) (all []belief.Look) {
+// ParseBeliefs are what a holder has said.
+func ParseBeliefs(holder, text string) (all []belief.Belief) {
 	for in := bufio.NewScanner(strings.NewReader(text)); in.Scan(); {
-		l := belief.Look{Who: who}
+		l := belief.Belief{Holder: holder}
 		if n, _ := fmt.Sscan(in.Text(), &l.Token, &l.From, &l.To); n == 3 {
 			all = append(all, l)
 		}
@@ -54,8 +54,8 @@
 	return all
 }
 
-// hold is a process that contends for a lease, says when it believes, and acts on the resource, until its input ends.
-func hold(who, resource string, addrs []string) {
+// runHolder is a process that contends for a lease, says when it believes, and acts on the resource, until its input ends.
+func runHolder(name, resource string, addrs []string) {
 	go func() { _, _ = io.Copy(io.Discard, os.Stdin); os.Exit(0) }()
 	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "same", TTL: TTL})
 	if err != nil {
@@ -77,7 +77,7 @@
 				break
 			}
 			fmt.Printf("%d %d %d\n", h.Token, from, monotonic.Now())
-			fmt.Fprintf(conn, "%s %d\n", who, h.Token)
+			fmt.Fprintf(conn, "%s %d\n", name, h.Token)
 			if answer, err := answers.ReadString('\n'); err != nil || answer == "old\n" {
 				break
 			}
@@ -89,8 +89,8 @@
 	}
 }
 
-// stops is a holder that is stopped between its look and its act.
-func stops(resource string, addrs []string) {
+// runPausedHolder is a holder that is stopped between its look and its act.
+func runPausedHolder(resource string, addrs []string) {
 	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "same", TTL: 3 * time.Second})
 	if err != nil {
 		panic(err)
@@ -114,8 +114,8 @@
 	os.Exit(0)
 }
 
-// keeps is a holder that holds until it is killed.
-func keeps(addrs []string, name string) {
+// runIdleHolder is a holder that holds until it is killed.
+func runIdleHolder(addrs []string, name string) {
 	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "keeps", TTL: TTL})
 	if err != nil {
 		panic(err)
@@ -130,20 +130,20 @@
 
 // Resource is guarded by the lease, and logs each act.
 type Resource struct {
-	Guard lease.Guard
-	mu    sync.Mutex
-	acts  []belief.Act
+	Guard  lease.Guard
+	mu     sync.Mutex
+	writes []belief.Write
 }
 
 // Serve answers one holder.
 func (r *Resource) Serve(c net.Conn) {
 	for in := bufio.NewScanner(c); in.Scan(); {
-		a := belief.Act{}
-		_, _ = fmt.Sscan(in.Text(), &a.Who, &a.Token)
+		a := belief.Write{}
+		_, _ = fmt.Sscan(in.Text(), &a.Holder, &a.Token)
 		r.mu.Lock() // the log's order is the guard's
 		err := r.Guard.Admit(lease.Token(a.Token), func() error { return nil })
 		a.Admitted = err == nil
-		r.acts = append(r.acts, a)
+		r.writes = append(r.writes, a)
 		r.mu.Unlock()
 		if errors.Is(err, lease.ErrOld) {
 			io.WriteString(c, "old\n")
@@ -153,9 +153,9 @@
 	}
 }
 
-// Acts are those so far.
-func (r *Resource) Acts() []belief.Act {
+// Writes are those so far.
+func (r *Resource) Writes() []belief.Write {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.acts)
+	return slices.Clone(r.writes)
 }
--- a/internal/rig/contend/spend.go
+++ b/internal/rig/contend/spend.go
@@ -16,11 +16,11 @@
 	"petrelhook/internal/coordination/share"
 )
 
-// spend is a process that tries to use a limit's units all the time, and says when it was allowed to: just before it asked itself. Its
+// runSpender is a process that tries to use a limit's units all the time, and says when it was allowed to: just before it asked itself. Its
 // arguments: its name, its pause between tries, the limit as JSON, and the coordinators by commas.
-func spend(name, pause, limit string, addrs []string) {
+func runSpender(name, interval, limit string, addrs []string) {
 	go func() { _, _ = io.Copy(io.Discard, os.Stdin); os.Exit(0) }()
-	every, err := time.ParseDuration(pause)
+	every, err := time.ParseDuration(interval)
 	var l share.Limit
 	if err == nil {
 		err = json.Unmarshal([]byte(limit), &l)
@@ -37,8 +37,8 @@
 	}
 }
 
-// Uses are the moments that a spender has said.
-func Uses(text string) (all []lease.Instant) {
+// ParseUses are the moments that a spender has said.
+func ParseUses(text string) (all []lease.Instant) {
 	for line := range strings.Lines(text) {
 		var at lease.Instant
 		if n, _ := fmt.Sscan(line, &at); n == 1 {
--- a/internal/rig/coordinator/coordinator.go
+++ b/internal/rig/coordinator/coordinator.go
@@ -37,8 +37,8 @@
 	}), nil
 }
 
-// For is one for a test; stop may be called before its end.
-func For(t testing.TB) (addr string, stop func()) {
+// StartForTest is one for a test; stop may be called before its end.
+func StartForTest(t testing.TB) (addr string, stop func()) {
 	t.Helper()
 	addr, stop, err := Start()
 	if err != nil {
--- a/internal/rig/coordinator/fault.go
+++ b/internal/rig/coordinator/fault.go
@@ -8,54 +8,54 @@
 	"petrelhook/internal/rig/process"
 )
 
-// Fault does one thing to the coordinators, their ways or the holders, waits for up to two times of a session, and undoes it.
-func (g *Group) Fault(random *rand.Rand, ttl time.Duration, holders []*process.Process) (what string) {
-	c := g.All[random.IntN(len(g.All))]
+// InjectFault does one thing to the coordinators, their ways or the holders, waits for up to two times of a session, and undoes it.
+func (g *Group) InjectFault(random *rand.Rand, ttl time.Duration, holders []*process.Process) (what string) {
+	target := g.Members[random.IntN(len(g.Members))]
 	if i := g.Leader(); i >= 0 && random.IntN(3) > 0 {
-		c = g.All[i]
+		target = g.Members[i]
 	}
-	long := time.Duration(random.IntN(int(2 * ttl)))
-	wait := func() { <-time.After(long) } // how long a fault lasts is part of it
-	both := func(l *link.Link, held bool) { l.Hold(link.Forth, held); l.Hold(link.Back, held) }
+	duration := time.Duration(random.IntN(int(2 * ttl)))
+	wait := func() { <-time.After(duration) } // how long a fault lasts is part of it
+	both := func(l *link.Link, held bool) { l.Block(link.Forward, held); l.Block(link.Backward, held) }
 	switch what = []string{"kill", "kill all", "stop", "cut", "cut in", "cut out", "clients cut", "slow", "reset", "holders stopped"}[random.IntN(10)]; what {
 	case "kill":
-		c.Die()
+		target.KillAndWait()
 		wait()
-		c.Start()
+		target.Start()
 	case "kill all":
 		g.KillAll()
 	case "stop":
-		c.Stop()
+		target.Pause()
 		wait()
-		c.Continue()
+		target.Resume()
 	case "cut", "cut in", "cut out": // from the others, not from clients; what is held back comes late
-		c.Cut(true, what != "cut out", what != "cut in")
+		target.Partition(true, what != "cut out", what != "cut in")
 		wait()
-		c.Cut(false, true, true)
+		target.Partition(false, true, true)
 	case "clients cut":
-		both(g.Clients[c.I], true)
+		both(g.ClientLinks[target.Index], true)
 		wait()
-		both(g.Clients[c.I], false)
+		both(g.ClientLinks[target.Index], false)
 	case "slow":
-		for _, l := range c.Links {
+		for _, l := range target.PeerLinks {
 			l.Slow(30 * time.Millisecond)
 		}
 		wait()
-		for _, l := range c.Links {
+		for _, l := range target.PeerLinks {
 			l.Slow(0)
 		}
 	case "reset":
-		for _, l := range append(c.Links, g.Clients...) {
+		for _, l := range append(target.PeerLinks, g.ClientLinks...) {
 			l.Reset()
 		}
 	case "holders stopped": // for longer than the lease, in the middle of whatever it does
 		for _, h := range holders[:len(holders)/2] {
-			h.Stop()
+			h.Pause()
 		}
-		long += ttl
+		duration += ttl
 		wait()
 		for _, h := range holders[:len(holders)/2] {
-			h.Continue()
+			h.Resume()
 		}
 	}
 	return what
--- a/internal/rig/coordinator/group.go
+++ b/internal/rig/coordinator/group.go
@@ -23,19 +23,19 @@
 // Group is coordinators as processes, each reached by links only: one of each other coordinator, and one of clients. A test breaks
 // links and processes.
 type Group struct {
-	Dir     string
-	All     []*Member
-	Clients []*link.Link // to each
-	t       testing.TB
-	program func(args ...string) *exec.Cmd
+	Dir         string
+	Members     []*Member
+	ClientLinks []*link.Link // to each
+	t           testing.TB
+	program     func(args ...string) *exec.Cmd
 }
 
 // Member is one of them.
 type Member struct {
 	*process.Process
-	I     int
-	Links []*link.Link // from it to each other
-	g     *Group
+	Index     int
+	PeerLinks []*link.Link // from it to each other
+	group     *Group
 }
 
 // NewGroup starts n coordinators of a program, a heartbeat every 20 ms.
@@ -49,23 +49,23 @@
 	t.Helper()
 	g := &Group{Dir: process.Dir(t), t: t, program: program}
 	for i := range n {
-		g.Clients = append(g.Clients, g.Link())
-		m := &Member{I: i, g: g}
+		g.ClientLinks = append(g.ClientLinks, g.NewLink())
+		m := &Member{Index: i, group: g}
 		for range n {
-			m.Links = append(m.Links, g.Link())
+			m.PeerLinks = append(m.PeerLinks, g.NewLink())
 		}
-		g.All = append(g.All, m)
+		g.Members = append(g.Members, m)
 	}
-	for _, m := range g.All {
-		text := fmt.Sprintf("id: %d\ndata: data%d\nlisten: 127.0.0.1:0\ntick: 20ms\n%sreplicas:\n", m.I+1, m.I+1, lines)
+	for _, m := range g.Members {
+		text := fmt.Sprintf("id: %d\ndata: data%d\nlisten: 127.0.0.1:0\ntick: 20ms\n%sreplicas:\n", m.Index+1, m.Index+1, lines)
 		for j := range n {
-			addr := m.Links[j].Addr
-			if j == m.I {
-				addr = g.Clients[j].Addr
+			addr := m.PeerLinks[j].Addr
+			if j == m.Index {
+				addr = g.ClientLinks[j].Addr
 			}
 			text += fmt.Sprintf("  - {id: %d, address: %q}\n", j+1, addr)
 		}
-		if err := os.WriteFile(g.File(m.I), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(g.ConfigFile(m.Index), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		m.Start()
@@ -73,8 +73,8 @@
 	return g
 }
 
-// Link is a further link.
-func (g *Group) Link() *link.Link {
+// NewLink is a further link.
+func (g *Group) NewLink() *link.Link {
 	g.t.Helper()
 	l, err := link.New()
 	if err != nil {
@@ -84,43 +84,43 @@
 	return l
 }
 
-// File is the settings of one.
-func (g *Group) File(i int) string { return filepath.Join(g.Dir, fmt.Sprintf("c%d.yaml", i+1)) }
+// ConfigFile is the settings of one.
+func (g *Group) ConfigFile(i int) string { return filepath.Join(g.Dir, fmt.Sprintf("c%d.yaml", i+1)) }
 
-var serving = regexp.MustCompile(`msg=serving id=\d+ listen=(\S+)`)
+var servingLine = regexp.MustCompile(`msg=serving id=\d+ listen=(\S+)`)
 
-// Serves waits until a coordinator serves, and gives the address at which it listens.
-func (g *Group) Serves(p *process.Process) (addr string) {
+// AwaitServing waits until a coordinator serves, and gives the address at which it listens.
+func (g *Group) AwaitServing(p *process.Process) (addr string) {
 	g.t.Helper()
 	var found []string
-	process.Until(g.t, "it serves", func() bool { found = serving.FindStringSubmatch(p.Log.String()); return found != nil })
+	process.Until(g.t, "it serves", func() bool { found = servingLine.FindStringSubmatch(p.Log.String()); return found != nil })
 	return found[1]
 }
 
 // Start starts the process, on its disk as it is, and leads the links to it.
 func (m *Member) Start() {
-	m.g.t.Helper()
-	m.Process = process.Start(m.g.t, m.g.program("--config", m.g.File(m.I)))
-	addr := m.g.Serves(m.Process)
-	m.g.Clients[m.I].To(addr)
-	for _, other := range m.g.All {
-		other.Links[m.I].To(addr)
+	m.group.t.Helper()
+	m.Process = process.Start(m.group.t, m.group.program("--config", m.group.ConfigFile(m.Index)))
+	addr := m.group.AwaitServing(m.Process)
+	m.group.ClientLinks[m.Index].SetTarget(addr)
+	for _, other := range m.group.Members {
+		other.PeerLinks[m.Index].SetTarget(addr)
 	}
 }
 
-// Cut holds back, or delivers, what goes from the others to this one (in) and what it sends to them (out); clients still reach it.
-func (m *Member) Cut(held, in, out bool) {
-	for j, other := range m.g.All {
-		if j == m.I {
+// Partition holds back, or delivers, what goes from the others to this one (in) and what it sends to them (out); clients still reach it.
+func (m *Member) Partition(held, in, out bool) {
+	for j, other := range m.group.Members {
+		if j == m.Index {
 			continue
 		}
 		if out {
-			m.Links[j].Hold(link.Forth, held)
-			other.Links[m.I].Hold(link.Back, held)
+			m.PeerLinks[j].Block(link.Forward, held)
+			other.PeerLinks[m.Index].Block(link.Backward, held)
 		}
 		if in {
-			m.Links[j].Hold(link.Back, held)
-			other.Links[m.I].Hold(link.Forth, held)
+			m.PeerLinks[j].Block(link.Backward, held)
+			other.PeerLinks[m.Index].Block(link.Forward, held)
 		}
 	}
 }
@@ -128,27 +128,27 @@
 // KillAll kills all at once, and starts them again.
 func (g *Group) KillAll() {
 	g.t.Helper()
-	for _, m := range g.All {
+	for _, m := range g.Members {
 		m.Kill()
 	}
-	for _, m := range g.All {
+	for _, m := range g.Members {
 		_ = m.Wait()
 	}
-	for _, m := range g.All {
+	for _, m := range g.Members {
 		m.Start()
 	}
 }
 
 // Addrs are where clients reach them.
 func (g *Group) Addrs() (all []string) {
-	for _, l := range g.Clients {
+	for _, l := range g.ClientLinks {
 		all = append(all, l.Addr)
 	}
 	return all
 }
 
-// Leads reports whether the coordinator at an address leads, as it says itself.
-func Leads(addr string) bool {
+// IsLeader reports whether the coordinator at an address leads, as it says itself.
+func IsLeader(addr string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	s, err := (&fleet.Operator{}).Status(ctx, addr)
@@ -158,43 +158,43 @@
 // Leader is who leads; -1: nobody.
 func (g *Group) Leader() int {
 	for i, addr := range g.Addrs() {
-		if Leads(addr) {
+		if IsLeader(addr) {
 			return i
 		}
 	}
 	return -1
 }
 
-// NewLeader waits until another than this one leads; -1: anybody.
-func (g *Group) NewLeader(than int) (leader int) {
+// AwaitNewLeader waits until another than this one leads; -1: anybody.
+func (g *Group) AwaitNewLeader(previous int) (leader int) {
 	g.t.Helper()
-	process.Until(g.t, "another leads", func() bool { leader = g.Leader(); return leader >= 0 && leader != than })
+	process.Until(g.t, "another leads", func() bool { leader = g.Leader(); return leader >= 0 && leader != previous })
 	return leader
 }
 
-// Ask asks whoever leads, as an operator.
-func (g *Group) Ask(in fleet.Request) (*fleet.Response, error) {
+// Call asks whoever leads, as an operator.
+func (g *Group) Call(in fleet.Request) (*fleet.Response, error) {
 	ctx, cancel := context.WithTimeout(g.t.Context(), 20*time.Second)
 	defer cancel()
 	return (&fleet.Operator{Addrs: g.Addrs()}).Call(ctx, in)
 }
 
-// Asker asks whoever leads, at once and again until there is an answer, with no other pause: for measurements.
-func (g *Group) Asker() func(fleet.Request) *fleet.Response {
-	over := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext, MaxIdleConnsPerHost: 64}}
-	var at atomic.Int64
+// NewCaller asks whoever leads, at once and again until there is an answer, with no other pause: for measurements.
+func (g *Group) NewCaller() func(fleet.Request) *fleet.Response {
+	client := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext, MaxIdleConnsPerHost: 64}}
+	var current atomic.Int64
 	return func(in fleet.Request) *fleet.Response {
 		in.Version = fleet.Version
 		for {
-			i := at.Load()
-			res, err := fleet.Client[fleet.Request, fleet.Response](over, g.Clients[i].Addr, fleet.PathRequest).CallUnary(context.Background(), connect.NewRequest(&in))
+			i := current.Load()
+			res, err := fleet.Client[fleet.Request, fleet.Response](client, g.ClientLinks[i].Addr, fleet.PathRequest).CallUnary(context.Background(), connect.NewRequest(&in))
 			if err == nil && res.Msg.Err == "" {
 				return res.Msg
 			}
 			if err != nil && fleet.IsPermanent(err) {
 				panic(err)
 			}
-			at.CompareAndSwap(i, (i+1)%int64(len(g.Clients)))
+			current.CompareAndSwap(i, (i+1)%int64(len(g.ClientLinks)))
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -34,44 +34,44 @@
 // Deployment is one.
 type Deployment struct {
 	*coordinator.Group
-	Agents   []*Agent
-	Releases string // the store
-	PerAgent int
-	Zones    []string
-	Limits   string // fields of the agents' limits
-	Reserved func() string
-	First    func(settings []byte) release.ID // the release to begin with, made of the first sidecar's settings
+	Agents         []*Agent
+	Releases       string // the store
+	PerAgent       int
+	Zones          []string
+	Limits         string // fields of the agents' limits
+	ReserveAddr    func() string
+	InitialRelease func(settings []byte) release.ID // the release to begin with, made of the first sidecar's settings
 
 	// Discovery says what the release tells all sidecars of where servers are listed, given the first one's address, so
 	// that a version of the configuration may say something else. nil: each is told its own, which no version changes.
-	Discovery func(addr string) string
-	Versions  bool // agents take versions of the configuration from the coordinators
+	Discovery         func(addr string) string
+	SubscribeVersions bool // agents take versions of the configuration from the coordinators
 
-	t       testing.TB
-	bin     string
-	first   release.ID
-	waiting []string // sidecars of the next agent, in YAML
+	t               testing.TB
+	programDir      string
+	initial         release.ID
+	pendingSidecars []string // sidecars of the next agent, in YAML
 }
 
 // Agent is one machine.
 type Agent struct {
 	*process.Process
-	Link *link.Link // by which drivers reach it
-	Dir  string
-	d    *Deployment
+	Link       *link.Link // by which drivers reach it
+	Dir        string
+	deployment *Deployment
 }
 
-var built string // the folder
+var buildDir string // the folder
 
-// Built removes what was built, at the end of a test program.
-func Built() { _ = os.RemoveAll(built) }
+// RemoveBuilt removes what was built, at the end of a test program.
+func RemoveBuilt() { _ = os.RemoveAll(buildDir) }
 
 // build builds programs of this module once for all tests of a test program.
 var build = sync.OnceValues(func() (dir string, err error) {
 	if dir, err = os.MkdirTemp("", "deployment"); err != nil {
 		return "", err
 	}
-	built = dir
+	buildDir = dir
 	out, err := exec.Command("go", "build", "-o", dir+"/", "petrelhook/cmd/petrelhook", "petrelhook/cmd/petrelhook-coordinator", "petrelhook/cmd/petrelhook-agent", "petrelhook/cmd/petrelhookctl").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w: %s", err, out)
@@ -86,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &Deployment{t: t, bin: bin, Releases: filepath.Join(t.TempDir(), "releases"), PerAgent: 3, Zones: []string{""},
+	d := &Deployment{t: t, programDir: bin, Releases: filepath.Join(t.TempDir(), "releases"), PerAgent: 3, Zones: []string{""},
 		Limits: "{ready: 10s, trial: 1s, end: 4s, look: 50ms, cut_off: 20s, heard: 4s, restart_pause: 200ms}"}
 	d.Group = coordinator.NewGroupWith(t, coordinators, "drive: true\ndrive_every: 200ms\n", func(args ...string) *exec.Cmd {
 		return exec.Command(filepath.Join(bin, "petrelhook-coordinator"), args...)
@@ -95,10 +95,10 @@
 }
 
 // Program is the path of a program of this module.
-func (d *Deployment) Program(name string) string { return filepath.Join(d.bin, name) }
+func (d *Deployment) Program(name string) string { return filepath.Join(d.programDir, name) }
 
-// own are the fields that each sidecar has by itself.
-var own = []string{"discovery", "known", "seed", "limits"}
+// sidecarFields are the fields that each sidecar has by itself.
+var sidecarFields = []string{"discovery", "known", "seed", "limits"}
 
 // Start hands a sidecar to the next agent, as package rehearse asks.
 func (d *Deployment) Start(number int, config []byte) (addr string, err error) {
@@ -110,64 +110,64 @@
 		MyNumber int `json:"my_number"`
 	}
 	_ = json.Unmarshal(fields["settings"], &numbered)
-	addr = d.Reserved()
-	var set strings.Builder
-	if d.Discovery != nil && d.first == "" {
+	addr = d.ReserveAddr()
+	var overrides strings.Builder
+	if d.Discovery != nil && d.initial == "" {
 		var addr string
 		if err := json.Unmarshal(fields["discovery"], &addr); err != nil {
 			return "", err
 		}
 		fields["discovery"], _ = json.Marshal(d.Discovery(addr))
 	}
-	for _, name := range own {
+	for _, name := range sidecarFields {
 		if name == "discovery" && d.Discovery != nil {
 			continue
 		}
-		fmt.Fprintf(&set, "%s: %s, ", name, fields[name])
+		fmt.Fprintf(&overrides, "%s: %s, ", name, fields[name])
 		delete(fields, name)
 	}
-	if d.first == "" {
+	if d.initial == "" {
 		text, _ := json.Marshal(fields)
-		d.first = d.First(text)
+		d.initial = d.InitialRelease(text)
 	}
-	d.waiting = append(d.waiting, fmt.Sprintf("  - {name: n%02d, zone: %q, listen: %q, admin_addresses: [%q, %q], set: {%ssettings.my_number: %d}}\n", number,
-		d.Zones[number%len(d.Zones)], addr, d.Reserved(), d.Reserved(), set.String(), numbered.MyNumber))
-	if len(d.waiting) < d.PerAgent {
+	d.pendingSidecars = append(d.pendingSidecars, fmt.Sprintf("  - {name: n%02d, zone: %q, listen: %q, admin_addresses: [%q, %q], set: {%ssettings.my_number: %d}}\n", number,
+		d.Zones[number%len(d.Zones)], addr, d.ReserveAddr(), d.ReserveAddr(), overrides.String(), numbered.MyNumber))
+	if len(d.pendingSidecars) < d.PerAgent {
 		return addr, nil
 	}
-	a := &Agent{Link: d.Link(), Dir: process.Dir(d.t), d: d}
+	a := &Agent{Link: d.NewLink(), Dir: process.Dir(d.t), deployment: d}
 	text := ""
-	if d.Versions {
+	if d.SubscribeVersions {
 		coordinators, _ := json.Marshal(d.Addrs())
 		text = fmt.Sprintf("configuration: {coordinators: %s}\n", coordinators)
 	}
-	text += fmt.Sprintf("application: %s\nlisten: %q\ndata: data\nreleases: %q\nrelease: %s\nlimits: %s\nsidecars:\n%s", Application, d.Reserved(), d.Releases,
-		d.first, d.Limits, strings.Join(d.waiting, ""))
-	d.waiting = nil
+	text += fmt.Sprintf("application: %s\nlisten: %q\ndata: data\nreleases: %q\nrelease: %s\nlimits: %s\nsidecars:\n%s", Application, d.ReserveAddr(), d.Releases,
+		d.initial, d.Limits, strings.Join(d.pendingSidecars, ""))
+	d.pendingSidecars = nil
 	if err := os.WriteFile(filepath.Join(a.Dir, "agent.yaml"), []byte(text), 0o600); err != nil {
 		return "", err
 	}
 	d.Agents = append(d.Agents, a)
-	a.Begin()
-	d.t.Cleanup(a.end)
+	a.StartProcess()
+	d.t.Cleanup(a.killAll)
 	return addr, nil
 }
 
-// Begin starts the agent's process, on its folder as it is.
-func (a *Agent) Begin() {
-	a.d.t.Helper()
+// StartProcess starts the agent's process, on its folder as it is.
+func (a *Agent) StartProcess() {
+	a.deployment.t.Helper()
 	path := filepath.Join(a.Dir, "agent.yaml")
-	a.Process = process.Start(a.d.t, exec.Command(a.d.Program("petrelhook-agent"), "--config", path))
+	a.Process = process.Start(a.deployment.t, exec.Command(a.deployment.Program("petrelhook-agent"), "--config", path))
 	c, err := machine.Read(path)
 	if err != nil {
-		a.d.t.Fatal(err)
+		a.deployment.t.Fatal(err)
 	}
-	process.Until(a.d.t, "an agent serves", func() bool { return a.Log.Has("msg=serving") })
-	a.Link.To(c.Listen)
+	process.Until(a.deployment.t, "an agent serves", func() bool { return a.Log.Has("msg=serving") })
+	a.Link.SetTarget(c.Listen)
 }
 
-// Kept is what an agent has kept of its sidecars.
-func (a *Agent) Kept() (all []agent.PersistedState) {
+// PersistedStates is what an agent has kept of its sidecars.
+func (a *Agent) PersistedStates() (all []agent.PersistedState) {
 	files, _ := filepath.Glob(filepath.Join(a.Dir, "data", "sidecar-*.json"))
 	for _, f := range files {
 		var k agent.PersistedState
@@ -179,10 +179,10 @@
 	return all
 }
 
-// end kills what the agent has left.
-func (a *Agent) end() {
-	a.Die()
-	for _, k := range a.Kept() {
+// killAll kills what the agent has left.
+func (a *Agent) killAll() {
+	a.KillAndWait()
+	for _, k := range a.PersistedStates() {
 		for _, p := range []*agent.Process{k.Serving, k.Next, k.Terminating} {
 			if p != nil && machine.Lives(*p) {
 				syscall.Kill(p.PID, syscall.SIGKILL)
@@ -200,7 +200,7 @@
 			return err
 		}
 		a.Ended <- nil // who waits again has it
-		for _, k := range a.Kept() {
+		for _, k := range a.PersistedStates() {
 			for _, p := range []*agent.Process{k.Serving, k.Next} {
 				if p != nil && machine.Lives(*p) {
 					syscall.Kill(p.PID, syscall.SIGTERM)
@@ -265,14 +265,14 @@
 	return driver.Begin(ctx, &fleet.Operator{Addrs: d.Addrs()}, &http.Client{}, f, false)
 }
 
-// Changes is what the coordinators keep of the application.
-func (d *Deployment) Changes() *rollout.Application {
+// Application is what the coordinators keep of the application.
+func (d *Deployment) Application() *rollout.Application {
 	d.t.Helper()
 	name := Application
-	told, err := d.Ask(fleet.Request{Changes: &name})
+	reply, err := d.Call(fleet.Request{Changes: &name})
 	app := &rollout.Application{}
 	if err == nil {
-		err = json.Unmarshal(told.Changes, app)
+		err = json.Unmarshal(reply.Changes, app)
 	}
 	if err != nil {
 		d.t.Fatal(err)
@@ -280,20 +280,20 @@
 	return app
 }
 
-// Say is an operator's word on the change that goes on.
-func (d *Deployment) Say(e rollout.Event) {
+// SendEvent is an operator's word on the change that goes on.
+func (d *Deployment) SendEvent(event rollout.Event) {
 	d.t.Helper()
-	told, err := d.Ask(fleet.Request{Rollout: &rollout.Command{Application: Application, Change: d.Changes().Current.Name, Events: []rollout.Event{e}}})
-	if err != nil || told.Rollout.Error != "" {
-		d.t.Fatal(err, told)
+	reply, err := d.Call(fleet.Request{Rollout: &rollout.Command{Application: Application, Change: d.Application().Current.Name, Events: []rollout.Event{event}}})
+	if err != nil || reply.Rollout.Error != "" {
+		d.t.Fatal(err, reply)
 	}
 }
 
-// Until waits for the change to come to something, within a time.
-func (d *Deployment) Until(within time.Duration, what string, ok func(*rollout.Change) bool) *rollout.Change {
+// AwaitChange waits for the change to come to something, within a time.
+func (d *Deployment) AwaitChange(timeout time.Duration, what string, ok func(*rollout.Change) bool) *rollout.Change {
 	d.t.Helper()
-	for end := time.Now().Add(within); ; time.Sleep(50 * time.Millisecond) {
-		c := d.Changes().Current
+	for end := time.Now().Add(timeout); ; time.Sleep(50 * time.Millisecond) {
+		c := d.Application().Current
 		if ok(c) {
 			return c
 		}
@@ -304,16 +304,16 @@
 	}
 }
 
-// Over waits until the change has ended.
-func (d *Deployment) Over(within time.Duration) *rollout.Change {
+// AwaitEnd waits until the change has ended.
+func (d *Deployment) AwaitEnd(timeout time.Duration) *rollout.Change {
 	d.t.Helper()
-	return d.Until(within, "over", func(c *rollout.Change) bool { return c.State.Phase.Over() })
+	return d.AwaitChange(timeout, "over", func(c *rollout.Change) bool { return c.State.Phase.Over() })
 }
 
-// Drives is the coordinator that drives; -1: none does.
-func (d *Deployment) Drives() int {
-	best, at := uint64(0), -1
-	for i, m := range d.All {
+// Driver is the coordinator that drives; -1: none does.
+func (d *Deployment) Driver() int {
+	highest, index := uint64(0), -1
+	for i, m := range d.Members {
 		log := m.Log.String()
 		last := strings.LastIndex(log, "msg=drives token=")
 		if last < 0 || strings.LastIndex(log, `msg="drives no more"`) > last {
@@ -321,24 +321,24 @@
 		}
 		var token uint64
 		_, _ = fmt.Sscanf(log[last:], "msg=drives token=%d", &token)
-		if token > best {
-			best, at = token, i
+		if token > highest {
+			highest, index = token, i
 		}
 	}
-	return at
+	return index
 }
 
-// Most is the largest number of processes that one sidecar of an agent has now, as the starts' files say.
-func (a *Agent) Most() (n int) {
+// MaxProcesses is the largest number of processes that one sidecar of an agent has now, as the starts' files say.
+func (a *Agent) MaxProcesses() (n int) {
 	files, _ := filepath.Glob(filepath.Join(a.Dir, "data", "start-*"))
-	by := map[string]int{}
+	count := map[string]int{}
 	for _, f := range files {
 		var p agent.Process
 		text, _ := os.ReadFile(f)
 		if got, _ := fmt.Sscan(string(text), &p.PID, &p.StartTicks); got == 2 && machine.Lives(p) {
 			name := strings.Split(filepath.Base(f), "-")[1]
-			by[name]++
-			n = max(n, by[name])
+			count[name]++
+			n = max(n, count[name])
 		}
 	}
 	return n
--- a/internal/rig/deployment/bad.go
+++ b/internal/rig/deployment/faultysidecar.go
@@ -22,12 +22,12 @@
 	"petrelhook/internal/sidecar/wiring"
 )
 
-// BadVariable of the environment says in which way a sidecar is bad.
-const BadVariable = "DEPLOYMENT_BAD"
+// FaultVariable of the environment says in which way a sidecar is bad.
+const FaultVariable = "DEPLOYMENT_BAD"
 
-// Bad is a process of a bad sidecar: the sidecar's own, whose connections to servers go wrong in one way. A test's program calls it where
+// RunFaultySidecar is a process of a bad sidecar: the sidecar's own, whose connections to servers go wrong in one way. A test's program calls it where
 // BadVariable is set. It is the one place that knows such ways: the product has no switch for them.
-func Bad(kind string) error {
+func RunFaultySidecar(fault string) error {
 	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer release()
 	reload := make(chan os.Signal, 1)
@@ -40,8 +40,8 @@
 	if err := cfg.SetAdmin("LB_ADMIN_ADDR", os.Getenv("LB_ADMIN_ADDR")); err != nil {
 		return err
 	}
-	if kind == "leaks" {
-		go leak()
+	if fault == "leaks" {
+		go leakMemory()
 	}
 	tcp := wiring.TCP()
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -49,70 +49,70 @@
 		if err != nil || addr == cfg.Discovery {
 			return c, err
 		}
-		if kind == "serves nothing" {
+		if fault == "serves nothing" {
 			c.Close()
 			return nil, errors.New("no way")
 		}
-		return &badConn{Conn: c, kind: kind, zone: zoneOf(cfg.Name)}, nil
+		return &faultyConn{Conn: c, fault: fault, zone: zoneOfSidecar(cfg.Name)}, nil
 	}
 	return wiring.Serve(stop, path, &cfg, dial, reload, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 }
 
-// leak grows by 1 MiB a second.
-func leak() {
-	var kept [][]byte
+// leakMemory grows by 1 MiB a second.
+func leakMemory() {
+	var chunks [][]byte
 	for range time.Tick(100 * time.Millisecond) {
-		more := make([]byte, 100<<10)
-		for i := range more {
-			more[i] = byte(i)
+		chunk := make([]byte, 100<<10)
+		for i := range chunk {
+			chunk[i] = byte(i)
 		}
-		kept = append(kept, more)
+		chunks = append(chunks, chunk)
 	}
-	_ = kept
+	_ = chunks
 }
 
-// zoneOf is the zone that newSite gives a sidecar.
-func zoneOf(name string) string {
+// zoneOfSidecar is the zone that newSite gives a sidecar.
+func zoneOfSidecar(name string) string {
 	var n int
 	_, _ = fmt.Sscanf(name, "n%d", &n)
 	return string(rune('a' + n%3))
 }
 
-// badConn is a connection to a server that goes wrong.
-type badConn struct {
+// faultyConn is a connection to a server that goes wrong.
+type faultyConn struct {
 	net.Conn
-	kind string
-	zone string
-	sent time.Time
-	fail bool
+	fault     string
+	zone      string
+	lastWrite time.Time
+	failRead  bool
 }
 
-func (c *badConn) Write(p []byte) (int, error) {
-	c.sent = time.Now()
-	if _, id, ok := strings.Cut(string(p), "X-Trace-Id: "); ok && c.kind == "refuses one in fifty" {
+func (c *faultyConn) Write(p []byte) (int, error) {
+	c.lastWrite = time.Now()
+	if _, id, ok := strings.Cut(string(p), "X-Trace-Id: "); ok && c.fault == "refuses one in fifty" {
 		id, _, _ = strings.Cut(id, "\r\n")
 		if crc32.ChecksumIEEE([]byte(id))%50 == 0 { // whichever server it is for, nothing of it leaves
 			c.Close()
 			return 0, errors.New("no way")
 		}
 	}
-	if c.kind == "takes from others" {
+	if c.fault == "takes from others" {
 		return c.writeGreedily(p)
 	}
-	if c.kind == "under load" {
-		c.fail = busy()
+	if c.fault == "under load" {
+		c.failRead = underLoad()
 		return c.Conn.Write(p)
 	}
-	if zone, ok := strings.CutPrefix(c.kind, "in zone "); ok {
-		c.fail = c.zone == zone && rand.N(2) == 0
+	if zone, ok := strings.CutPrefix(c.fault, "in zone "); ok {
+		c.failRead = c.zone == zone && rand.N(2) == 0
 		return c.Conn.Write(p)
 	}
-	c.fail = c.kind == "fails one class" && strings.Contains(string(p), "/void")
+	c.failRead = c.fault == "fails one class" && strings.Contains(string(p), "/void")
 	return c.Conn.Write(p)
 }
 
 // writeGreedily marks requests as those of a greedy caller, which the stand-in servers serve at the expense of others.
-func (c *badConn) writeGreedily(p []byte) (int, error) {
+func (c *faultyConn) writeGreedily(p []byte) (int, error) {
 	const before = "\r\nX-Trace-Id: "
 	marked := strings.Replace(string(p), before, "\r\n"+standin.GreedyHeader+": 1"+before, 1)
 	if _, err := io.WriteString(c.Conn, marked); err != nil {
@@ -122,39 +122,39 @@
 }
 
 // Quiet is the connection's own: without it each would be used once.
-func (c *badConn) Quiet() bool { return sock.Quiet(c.Conn) }
+func (c *faultyConn) Quiet() bool { return sock.Quiet(c.Conn) }
 
-func (c *badConn) Read(p []byte) (int, error) {
+func (c *faultyConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.sent.IsZero() || err != nil {
+	if c.lastWrite.IsZero() || err != nil {
 		return n, err
 	}
-	if c.kind == "twice as slow" {
-		time.Sleep(time.Since(c.sent))
+	if c.fault == "twice as slow" {
+		time.Sleep(time.Since(c.lastWrite))
 	}
-	c.sent = time.Time{}
-	if c.fail {
+	c.lastWrite = time.Time{}
+	if c.failRead {
 		c.Close()
 		return 0, io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// sent are the times of what this process sent lately.
-var sent struct {
+// recentWrites are the times of what this process sent lately.
+var recentWrites struct {
 	sync.Mutex
 	times []time.Time
 }
 
-// busy reports whether a process sends more than 100 requests a second.
-func busy() bool {
+// underLoad reports whether a process sends more than 100 requests a second.
+func underLoad() bool {
 	const most, within = 20, 200 * time.Millisecond
-	sent.Lock()
-	defer sent.Unlock()
-	sent.times = append(sent.times, time.Now())
-	if len(sent.times) <= most {
+	recentWrites.Lock()
+	defer recentWrites.Unlock()
+	recentWrites.times = append(recentWrites.times, time.Now())
+	if len(recentWrites.times) <= most {
 		return false
 	}
-	sent.times = sent.times[1:]
-	return time.Since(sent.times[0]) < within
+	recentWrites.times = recentWrites.times[1:]
+	return time.Since(recentWrites.times[0]) < within
 }
--- a/internal/rig/deployment/played.go
+++ b/internal/rig/deployment/simulatedagent.go
@@ -17,40 +17,40 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// Played is an agent in this process, of one sidecar that changes at once and serves 50 requests a second: thousands fit into a test.
-type Played struct {
+// SimulatedAgent is an agent in this process, of one sidecar that changes at once and serves 50 requests a second: thousands fit into a test.
+type SimulatedAgent struct {
 	Name, Addr string
 
-	ln            net.Listener
+	listener      net.Listener
 	mu            sync.Mutex
 	fence         rollout.Fence
 	report        rollout.Report
 	starts        uint64
 	began         time.Time
-	looks, orders int
+	polls, orders int
 }
 
-// Play starts one that runs a release.
-func Play(name, release string) (*Played, error) {
+// StartSimulatedAgent starts one that runs a release.
+func StartSimulatedAgent(name, release string) (*SimulatedAgent, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Played{Name: name, Addr: ln.Addr().String(), ln: ln, report: rollout.Report{Sidecar: name, Release: release, Ready: true}, began: time.Now()}
+	p := &SimulatedAgent{Name: name, Addr: ln.Addr().String(), listener: ln, report: rollout.Report{Sidecar: name, Release: release, Ready: true}, began: time.Now()}
 	mux := http.NewServeMux()
-	rpc.Handle(mux, machine.PathStatus, 1<<20, p.look)
+	rpc.Handle(mux, machine.PathStatus, 1<<20, p.status)
 	rpc.Handle(mux, machine.PathOrder, 1<<20, p.order)
 	go func() { _ = http.Serve(ln, mux) }()
 	return p, nil
 }
 
 // Close ends it.
-func (p *Played) Close() { p.ln.Close() }
+func (p *SimulatedAgent) Close() { p.listener.Close() }
 
-func (p *Played) look(_ context.Context, in *machine.StatusRequest) (*machine.Status, error) {
+func (p *SimulatedAgent) status(_ context.Context, in *machine.StatusRequest) (*machine.Status, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.looks++
+	p.polls++
 	if in.Token != 0 {
 		if err := p.fence.ObserveToken(in.Token); err != nil {
 			return nil, connect.NewError(connect.CodeAborted, err)
@@ -62,7 +62,7 @@
 	return &machine.Status{Sidecars: []machine.SidecarStatus{{Report: p.report, Process: agent.Process{PID: 1, StartTicks: p.starts, Release: p.report.Release}, Counts: text}}}, err
 }
 
-func (p *Played) order(_ context.Context, in *machine.Order) (*machine.OrderResponse, error) {
+func (p *SimulatedAgent) order(_ context.Context, in *machine.Order) (*machine.OrderResponse, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known, err := p.fence.Admit(in.Token, in.Order)
@@ -72,28 +72,28 @@
 	if !known {
 		p.orders++
 		p.report.CompletedOrder = in.Order.Number
-		p.start(in.Order.Release)
+		p.runRelease(in.Order.Release)
 	}
 	return &machine.OrderResponse{Known: known}, nil
 }
 
-func (p *Played) start(release string) {
+func (p *SimulatedAgent) runRelease(release string) {
 	p.report.Release, p.began = release, time.Now()
 	p.starts++
 }
 
-// Fall has the sidecar run a release without an order.
-func (p *Played) Fall(release string) {
+// SwitchRelease has the sidecar run a release without an order.
+func (p *SimulatedAgent) SwitchRelease(release string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.start(release)
+	p.runRelease(release)
 }
 
 // Report returns the report of its sidecar.
-func (p *Played) Report() rollout.Report { p.mu.Lock(); defer p.mu.Unlock(); return p.report }
+func (p *SimulatedAgent) Report() rollout.Report { p.mu.Lock(); defer p.mu.Unlock(); return p.report }
 
-// Looks returns how often its status was asked for.
-func (p *Played) Looks() int { p.mu.Lock(); defer p.mu.Unlock(); return p.looks }
+// Polls returns how often its status was asked for.
+func (p *SimulatedAgent) Polls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.polls }
 
 // Orders returns how many orders it has carried out.
-func (p *Played) Orders() int { p.mu.Lock(); defer p.mu.Unlock(); return p.orders }
+func (p *SimulatedAgent) Orders() int { p.mu.Lock(); defer p.mu.Unlock(); return p.orders }
--- a/internal/rig/deployment/site.go
+++ b/internal/rig/deployment/site.go
@@ -22,7 +22,7 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-const app = `length %s
+const siteScenario = `length %s
 sidecars %d cores=1 memory=64 sockets=512
 class look share=60 effect=safe   work=2ms..3ms io=4ms..6ms aim=100ms deadline=1s worth=3 late=0.3
 class book share=25 effect=keyed group=cell window=2s work=2ms..3ms io=4ms..6ms aim=100ms deadline=1s worth=3 late=0.3
@@ -38,31 +38,31 @@
 	*Deployment
 	t        testing.TB
 	Settings []byte // of the first release, for all sidecars
-	Old      release.ID
+	Initial  release.ID
 	outcome  chan *rehearse.Outcome
-	end      context.CancelFunc
+	endLoad  context.CancelFunc
 }
 
-// NewSite starts a deployment and a load on it, which ends with Check.
-func NewSite(t testing.TB, reserved func() string, sidecars, rate int, faults string, change func(*Deployment)) *Site {
+// StartSite starts a deployment and a load on it, which ends with Check.
+func StartSite(t testing.TB, reserveAddr func() string, sidecars, rate int, faults string, configure func(*Deployment)) *Site {
 	t.Helper()
 	s := &Site{Deployment: New(t, 3), t: t, outcome: make(chan *rehearse.Outcome, 1)}
-	s.Reserved = reserved
+	s.ReserveAddr = reserveAddr
 	s.Zones = []string{"a", "b", "c"}
-	s.First = func(settings []byte) release.ID {
+	s.InitialRelease = func(settings []byte) release.ID {
 		s.Settings = settings
-		s.Old = s.Add(s.Program("petrelhook"), settings)
-		return s.Old
+		s.Initial = s.Add(s.Program("petrelhook"), settings)
+		return s.Initial
 	}
-	if change != nil {
-		change(s.Deployment)
+	if configure != nil {
+		configure(s.Deployment)
 	}
-	sc, err := scenario.Parse("app", strings.NewReader(fmt.Sprintf(app, "30m", sidecars, rate)+faults))
+	sc, err := scenario.Parse("app", strings.NewReader(fmt.Sprintf(siteScenario, "30m", sidecars, rate)+faults))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	s.end = cancel
+	s.endLoad = cancel
 	began := make(chan struct{})
 	var live atomic.Int64
 	r := &rehearse.Rehearsal{Scenario: sc, Network: loopback.New(), Sidecars: s.Deployment, MaxLag: time.Minute,
@@ -89,7 +89,7 @@
 // End ends the load and all that serves it. It has to be called where a test has started an agent again.
 func (s *Site) End() *rehearse.Outcome {
 	s.t.Helper()
-	s.end()
+	s.endLoad()
 	out := <-s.outcome
 	if out == nil {
 		s.t.FailNow()
@@ -115,13 +115,13 @@
 	return out
 }
 
-// Plan is a plan's text.
-func Plan(from, to release.ID, more string) string {
-	return fmt.Sprintf("from: %s\nto: %s\n%s", from, to, more)
+// PlanText is a plan's text.
+func PlanText(from, to release.ID, fields string) string {
+	return fmt.Sprintf("from: %s\nto: %s\n%s", from, to, fields)
 }
 
-// Running counts sidecars by what they run, as agents report.
-func Running(c *rollout.Change, id release.ID) (n int) {
+// CountRunning counts sidecars by what they run, as agents report.
+func CountRunning(c *rollout.Change, id release.ID) (n int) {
 	for _, s := range c.State.Sidecars() {
 		if s.Release == string(id) {
 			n++
@@ -130,45 +130,45 @@
 	return n
 }
 
-// BadRelease is one whose program is the test's own.
-func (s *Site) BadRelease(kind string) release.ID {
+// FaultyRelease is one whose program is the test's own.
+func (s *Site) FaultyRelease(fault string) release.ID {
 	s.t.Helper()
 	self, err := filepath.Abs(os.Args[0])
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return s.Script(strings.ReplaceAll(kind, " ", "-"), fmt.Sprintf("%s=%q exec %s", BadVariable, kind, self), s.Settings)
+	return s.Script(strings.ReplaceAll(fault, " ", "-"), fmt.Sprintf("%s=%q exec %s", FaultVariable, fault, self), s.Settings)
 }
 
-// Change is the settings with one text for another.
-func (s *Site) Change(from, to string) []byte {
+// ReplaceSetting is the settings with one text for another.
+func (s *Site) ReplaceSetting(from, to string) []byte {
 	return []byte(strings.Replace(string(s.Settings), from, to, 1))
 }
 
-// Worse is a release that is worse in one way: a script, or this test's program; and what has to be found.
-type Worse struct{ Name, Script, Why, Plan string }
+// WorseRelease is a release that is worse in one way: a script, or this test's program; and what has to be found.
+type WorseRelease struct{ Name, Script, Reason, Plan string }
 
-// Worse begins changes to worse releases, one after the other, and has each stopped and taken back.
-func (s *Site) Worse(from release.ID, kinds []Worse) {
+// CheckWorseReleases begins changes to worse releases, one after the other, and has each stopped and taken back.
+func (s *Site) CheckWorseReleases(from release.ID, releases []WorseRelease) {
 	s.t.Helper()
-	for _, b := range kinds {
+	for _, b := range releases {
 		var id release.ID
 		if b.Script != "" {
 			id = s.Script(strings.ReplaceAll(b.Name, " ", "-"), b.Script, s.Settings)
 		} else {
-			id = s.BadRelease(b.Name)
+			id = s.FaultyRelease(b.Name)
 		}
 		began := time.Now()
-		if _, err := s.Begin(Plan(from, id, b.Plan)); err != nil {
+		if _, err := s.Begin(PlanText(from, id, b.Plan)); err != nil {
 			s.t.Fatal(b.Name, err)
 		}
-		stopped := s.Until(90*time.Second, b.Name+" is stopped", func(c *rollout.Change) bool { return c.State.Phase > rollout.Paused })
+		stopped := s.AwaitChange(90*time.Second, b.Name+" is stopped", func(c *rollout.Change) bool { return c.State.Phase > rollout.Paused })
 		took := time.Since(began)
-		c := s.Over(time.Minute)
+		c := s.AwaitEnd(time.Minute)
 		s.t.Logf("%s: stopped after %v, back after %v: %s", b.Name, took.Round(100*time.Millisecond), time.Since(began).Round(100*time.Millisecond), c.State.Reason)
-		if c.State.Phase != rollout.Stopped || stopped.State.Stage != 1 || Running(c, from) != 6 || !strings.Contains(c.State.Reason, b.Why) {
+		if c.State.Phase != rollout.Stopped || stopped.State.Stage != 1 || CountRunning(c, from) != 6 || !strings.Contains(c.State.Reason, b.Reason) {
 			text, _ := json.Marshal(c.State)
-			s.t.Errorf("%s: %v in stage %d, %d run the one before: %s", b.Name, c.State.Phase, c.State.Stage, Running(c, from), text)
+			s.t.Errorf("%s: %v in stage %d, %d run the one before: %s", b.Name, c.State.Phase, c.State.Stage, CountRunning(c, from), text)
 		}
 	}
 }
--- a/internal/rig/link/link.go
+++ b/internal/rig/link/link.go
@@ -15,23 +15,23 @@
 
 // The directions.
 const (
-	Forth Direction = iota
-	Back
+	Forward Direction = iota
+	Backward
 )
 
 // Link listens at Addr and carries what comes to the target.
 type Link struct {
 	Addr string
 
-	ln     net.Listener
-	mu     sync.Mutex
-	cond   *sync.Cond
-	target string
-	held   [2]bool
-	delay  time.Duration
-	conns  map[net.Conn]struct{}
-	closed bool
-	pumps  sync.WaitGroup
+	listener net.Listener
+	mu       sync.Mutex
+	cond     *sync.Cond
+	target   string
+	blocked  [2]bool
+	delay    time.Duration
+	conns    map[net.Conn]struct{}
+	closed   bool
+	pumps    sync.WaitGroup
 
 	observe func(Direction, []byte)
 }
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{Addr: ln.Addr().String(), ln: ln, conns: map[net.Conn]struct{}{}}
+	l := &Link{Addr: ln.Addr().String(), listener: ln, conns: map[net.Conn]struct{}{}}
 	l.cond = sync.NewCond(&l.mu)
 	l.pumps.Go(func() {
 		for {
@@ -61,17 +61,17 @@
 			if err != nil {
 				return
 			}
-			l.pumps.Go(func() { l.carry(c) })
+			l.pumps.Go(func() { l.serve(c) })
 		}
 	})
 	return l, nil
 }
 
-// To leads the link to an address from now on.
-func (l *Link) To(addr string) { l.change(func() { l.target = addr }) }
+// SetTarget leads the link to an address from now on.
+func (l *Link) SetTarget(addr string) { l.change(func() { l.target = addr }) }
 
-// Hold holds back what goes in a direction, or delivers it; a cut is both directions held.
-func (l *Link) Hold(d Direction, held bool) { l.change(func() { l.held[d] = held }) }
+// Block holds back what goes in a direction, or delivers it; a cut is both directions held.
+func (l *Link) Block(d Direction, blocked bool) { l.change(func() { l.blocked[d] = blocked }) }
 
 // Slow delays each piece.
 func (l *Link) Slow(by time.Duration) { l.change(func() { l.delay = by }) }
@@ -95,28 +95,28 @@
 
 // Close ends the link.
 func (l *Link) Close() {
-	l.ln.Close()
+	l.listener.Close()
 	l.change(func() { l.closed = true })
 	l.Reset()
 	l.pumps.Wait()
 }
 
-// wait waits until bytes may go in a direction; false: the connection has ended.
-func (l *Link) wait(d Direction, c net.Conn) (delay time.Duration, target string, ok bool) {
+// awaitOpen waits until bytes may go in a direction; false: the connection has ended.
+func (l *Link) awaitOpen(d Direction, c net.Conn) (delay time.Duration, target string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for {
 		if _, open := l.conns[c]; !open || l.closed {
 			return 0, "", false
 		}
-		if !l.held[d] && l.target != "" {
+		if !l.blocked[d] && l.target != "" {
 			return l.delay, l.target, true
 		}
 		l.cond.Wait()
 	}
 }
 
-func (l *Link) keep(c net.Conn) bool {
+func (l *Link) register(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -127,16 +127,16 @@
 	return true
 }
 
-func (l *Link) carry(from net.Conn) {
-	if !l.keep(from) {
+func (l *Link) serve(from net.Conn) {
+	if !l.register(from) {
 		return
 	}
-	_, target, ok := l.wait(Forth, from)
+	_, target, ok := l.awaitOpen(Forward, from)
 	var to net.Conn
 	if ok {
 		var err error
 		to, err = net.Dial("tcp", target)
-		ok = err == nil && l.keep(to)
+		ok = err == nil && l.register(to)
 	}
 	if !ok {
 		sock.Abort(from)
@@ -144,8 +144,8 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { l.pump(Forth, from, to) })
-	both.Go(func() { l.pump(Back, to, from) })
+	both.Go(func() { l.pump(Forward, from, to) })
+	both.Go(func() { l.pump(Backward, to, from) })
 	both.Wait()
 }
 
@@ -160,7 +160,7 @@
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
-		delay, _, ok := l.wait(d, from)
+		delay, _, ok := l.awaitOpen(d, from)
 		if !ok {
 			return
 		}
--- a/internal/rig/process/process.go
+++ b/internal/rig/process/process.go
@@ -18,14 +18,14 @@
 // Process is one that runs, until the test ends at the latest.
 type Process struct {
 	*os.Process
-	Log   Written    // what it wrote to standard error
+	Log   LogFile    // what it wrote to standard error
 	Ended chan error // takes what it ended with
 	Input io.Closer  // its standard input
 	t     testing.TB
 }
 
-// Again is this test's program, with a role.
-func Again(variable, role string, args ...string) *exec.Cmd {
+// Self is this test's program, with a role.
+func Self(variable, role string, args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), variable+"="+role)
 	return cmd
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = log.Close() }() // the process has it too
-	p := &Process{Log: Written(log.Name()), Ended: make(chan error, 1), t: t}
+	p := &Process{Log: LogFile(log.Name()), Ended: make(chan error, 1), t: t}
 	cmd.Stderr = log
 	input, err := cmd.StdinPipe()
 	if err == nil {
@@ -83,15 +83,15 @@
 	return dir
 }
 
-// Die kills the process and waits until it is gone.
-func (p *Process) Die() {
+// KillAndWait kills the process and waits until it is gone.
+func (p *Process) KillAndWait() {
 	p.t.Helper()
 	p.Kill()
 	_ = p.Wait()
 }
 
-// patience bounds a wait for what must come.
-const patience = 20 * time.Second
+// awaitTimeout bounds a wait for what must come.
+const awaitTimeout = 20 * time.Second
 
 // Wait is what the process ends with.
 func (p *Process) Wait() error {
@@ -99,17 +99,17 @@
 	select {
 	case err := <-p.Ended:
 		return err
-	case <-time.After(patience):
+	case <-time.After(awaitTimeout):
 		p.t.Fatalf("process %d does not end", p.Pid)
 		return nil
 	}
 }
 
-// Stop stops the process by SIGSTOP.
-func (p *Process) Stop() { p.Signal(syscall.SIGSTOP) }
+// Pause stops the process by SIGSTOP.
+func (p *Process) Pause() { p.Signal(syscall.SIGSTOP) }
 
-// Continue has a stopped process go on.
-func (p *Process) Continue() { p.Signal(syscall.SIGCONT) }
+// Resume has a stopped process go on.
+func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
 // State is the system's word for what the process does: T, it is stopped.
 func (p *Process) State() string {
@@ -118,31 +118,31 @@
 	return rest[:min(1, len(rest))]
 }
 
-// Written is the file that a process writes its log to. What it wrote before it did something that a test saw is in
+// LogFile is the file that a process writes its log to. What it wrote before it did something that a test saw is in
 // there: no pipe is between, whose reader in the test may be late.
-type Written string
+type LogFile string
 
-func (w Written) String() string {
+func (w LogFile) String() string {
 	text, _ := os.ReadFile(string(w))
 	return string(text)
 }
 
 // Has reports whether the log holds a text by now.
-func (w Written) Has(text string) bool { return strings.Contains(w.String(), text) }
+func (w LogFile) Has(text string) bool { return strings.Contains(w.String(), text) }
 
-// Log is what something writes. Its buffer is not embedded: ReadFrom would go round the lock.
-type Log struct {
+// Buffer is what something writes. Its buffer is not embedded: ReadFrom would go round the lock.
+type Buffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *Log) Write(p []byte) (int, error) {
+func (l *Buffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *Log) String() string {
+func (l *Buffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -151,7 +151,7 @@
 // Until waits for a state that nothing announces.
 func Until(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never: " + what)
 		}
--- a/internal/rig/scale/observation.go
+++ b/internal/rig/scale/observation.go
@@ -74,7 +74,7 @@
 // coordinatorRates are the rates of coordinator i, whose traffic with members has the key name in their samples.
 func coordinatorRates(before, after *observation, i int, name string) rates {
 	first, last := &before.coordinators[i], &after.coordinators[i]
-	window := seconds(last.At - first.At)
+	window := seconds(last.Time - first.Time)
 	peers := last.peers.minus(first.peers)
 	v := rates{cpuMicros: float64((last.CPU-first.CPU)/time.Microsecond) / window, memoryBytes: float64(last.Memory),
 		descriptors: float64(last.Descriptors), connections: float64(last.Connections),
@@ -125,7 +125,7 @@
 func usageRates(before, after []usage.Usage) (v rates) {
 	fraction := 1 / float64(len(after))
 	for n := range after {
-		took := seconds(after[n].At - before[n].At)
+		took := seconds(after[n].Time - before[n].Time)
 		v.cpuMicros += fraction * float64((after[n].CPU-before[n].CPU)/time.Microsecond) / took
 		v.memoryBytes += fraction * float64(after[n].Memory)
 		v.descriptors += fraction * float64(after[n].Descriptors)
@@ -138,7 +138,7 @@
 func memberRates(before, after *observation, members int) (v rates) {
 	fraction := 1 / float64(members)
 	for n := range after.memberProcesses {
-		took := seconds(after.memberProcesses[n].At - before.memberProcesses[n].At)
+		took := seconds(after.memberProcesses[n].Time - before.memberProcesses[n].Time)
 		v.cpuMicros += fraction * float64((after.memberProcesses[n].CPU-before.memberProcesses[n].CPU)/time.Microsecond) / took
 		v.memoryBytes += fraction * float64(after.memberProcesses[n].Memory)
 		v.descriptors += fraction * float64(after.memberProcesses[n].Descriptors)
--- a/internal/rig/scale/relay.go
+++ b/internal/rig/scale/relay.go
@@ -23,20 +23,20 @@
 		return nil, err
 	}
 	r := &relay{addr: way.Addr, link: way}
-	heads := [2][]byte{link.Forth: []byte("POST "), link.Back: []byte("HTTP/1.1 ")}
+	heads := [2][]byte{link.Forward: []byte("POST "), link.Backward: []byte("HTTP/1.1 ")}
 	way.Observe(func(d link.Direction, piece []byte) {
 		r.bytes[d].Add(uint64(len(piece)))
 		if bytes.HasPrefix(piece, heads[d]) {
 			r.heads[d].Add(1)
 		}
 	})
-	way.To(target)
+	way.SetTarget(target)
 	return r, nil
 }
 
 // traffic is what went through, from the target's point of view.
 func (r *relay) traffic() traffic {
-	return traffic{r.bytes[link.Forth].Load(), r.bytes[link.Back].Load(), r.heads[link.Forth].Load(), r.heads[link.Back].Load(), r.link.Open()}
+	return traffic{r.bytes[link.Forward].Load(), r.bytes[link.Backward].Load(), r.heads[link.Forward].Load(), r.heads[link.Backward].Load(), r.link.Open()}
 }
 
 // close ends the relay and its connections.
--- a/internal/rig/scale/run.go
+++ b/internal/rig/scale/run.go
@@ -339,7 +339,7 @@
 
 // machineDescription names the machine's processors, memory and platform, for the report.
 func machineDescription() string {
-	memory, _ := usage.Memory()
+	memory, _ := usage.MachineMemory()
 	return fmt.Sprintf("%d processors, %.1f GiB of memory, %s/%s", runtime.NumCPU(), float64(memory)/(1<<30),
 		runtime.GOOS, runtime.GOARCH)
 }
--- a/internal/rig/usage/usage.go
+++ b/internal/rig/usage/usage.go
@@ -17,7 +17,7 @@
 
 // Usage is of one process at one moment.
 type Usage struct {
-	At          int64         `json:"-"`                // ns of the machine's monotonic clock
+	Time        int64         `json:"-"`                // ns of the machine's monotonic clock
 	CPU         time.Duration `json:"cpu_ns"`           // since its start, user and system, of all its threads
 	Memory      int64         `json:"memory_bytes"`     // resident
 	MaxMemory   int64         `json:"max_memory_bytes"` // ... at most
@@ -30,15 +30,15 @@
 	if u.CPU, err = processorTime(pid); err != nil {
 		return u, err
 	}
-	u.At = int64(monotonic.Now())
+	u.Time = int64(monotonic.Now())
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return u, err
 	}
-	if u.Memory, err = kilobytes(status, "VmRSS:"); err != nil {
+	if u.Memory, err = readKilobytes(status, "VmRSS:"); err != nil {
 		return u, err
 	}
-	if u.MaxMemory, err = kilobytes(status, "VmHWM:"); err != nil {
+	if u.MaxMemory, err = readKilobytes(status, "VmHWM:"); err != nil {
 		return u, err
 	}
 	dir := fmt.Sprintf("/proc/%d/fd", pid)
@@ -71,20 +71,20 @@
 	if err != nil {
 		return 0, err
 	}
-	return kilobytes(status, "VmRSS:")
+	return readKilobytes(status, "VmRSS:")
 }
 
-// Memory is what the machine has, in bytes.
-func Memory() (int64, error) {
+// MachineMemory is what the machine has, in bytes.
+func MachineMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, err
 	}
-	return kilobytes(text, "MemTotal:")
+	return readKilobytes(text, "MemTotal:")
 }
 
-// kilobytes reads a line of such a file, in bytes.
-func kilobytes(text []byte, name string) (int64, error) {
+// readKilobytes reads a line of such a file, in bytes.
+func readKilobytes(text []byte, name string) (int64, error) {
 	_, rest, _ := bytes.Cut(text, []byte(name))
 	line, _, ok := bytes.Cut(rest, []byte("kB"))
 	kb, err := strconv.ParseInt(string(bytes.TrimSpace(line)), 10, 64)
--- a/internal/rig/usage/usage_test.go
+++ b/internal/rig/usage/usage_test.go
@@ -25,19 +25,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if after.CPU <= before.CPU || after.At <= before.At || after.Memory < before.Memory+32<<20 || after.MaxMemory < after.Memory ||
+	if after.CPU <= before.CPU || after.Time <= before.Time || after.Memory < before.Memory+32<<20 || after.MaxMemory < after.Memory ||
 		after.Connections != before.Connections+1 || after.Descriptors <= before.Descriptors {
 		t.Errorf("%+v, was %+v", after, before)
 	}
 	resident, err := Resident(os.Getpid())
-	all, err2 := Memory()
+	all, err2 := MachineMemory()
 	if err != nil || err2 != nil || resident < int64(len(room)) || all <= resident {
 		t.Errorf("%d of %d: %v, %v", resident, all, err, err2)
 	}
 	if _, err := Of(1 << 30); err == nil {
 		t.Error("what no process takes is seen")
 	}
-	if _, err := kilobytes([]byte("VmRSS:\t none\n"), "VmRSS:"); err == nil {
+	if _, err := readKilobytes([]byte("VmRSS:\t none\n"), "VmRSS:"); err == nil {
 		t.Error("a line without a number is read")
 	}
 }
--- a/lease/asleep_test.go
+++ b/lease/asleep_test.go
@@ -21,7 +21,7 @@
 // While a machine sleeps Go's timers stand still, and the clock does not. The first check after it finds the lease lost, and ends the context.
 // The session may live on; the lease is released all the same, and another client gets it within the TTL.
 func TestAsleep(t *testing.T) {
-	addr, stop := coordinator.For(t)
+	addr, stop := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	var slept atomic.Int64
@@ -86,7 +86,7 @@
 
 // Clients that begin within half a second do not renew at the same moments: of their sixth renewals no tenth of a second has a third.
 func TestRenewalsAreNotInStep(t *testing.T) {
-	addr, _ := coordinator.For(t)
+	addr, _ := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
 	const clients, renewals = 200, 6
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -39,7 +39,7 @@
 
 // Operators break a lease: its holder learns of it with the next renewal, still holds it, and releases it; nobody else holds it before.
 func TestBroken(t *testing.T) {
-	addr, _ := coordinator.For(t)
+	addr, _ := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	a, err := lease.New(lease.Options{Addrs: []string{addr}, Owner: "a", TTL: 2 * time.Second})
@@ -71,7 +71,7 @@
 }
 
 func TestOneHolder(t *testing.T) {
-	addr, stop := coordinator.For(t)
+	addr, stop := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	client := func() *lease.Client {
@@ -142,7 +142,7 @@
 
 // A lease is handed to the last waiter; it cannot be handed to a session that does not wait, and then the first waiter gets it.
 func TestTransfer(t *testing.T) {
-	addr, _ := coordinator.For(t)
+	addr, _ := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	var clients []*lease.Client
--- a/lease/order_test.go
+++ b/lease/order_test.go
@@ -12,7 +12,7 @@
 // A caller that does not wait for its release, or for its grant, asks again at once: its earlier commands are carried out before, and do not
 // end the new grant. Only one caller of a client waits for a name at a time.
 func TestCommandsKeepTheirOrder(t *testing.T) {
-	addr, _ := coordinator.For(t)
+	addr, _ := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	client := func() *lease.Client {
@@ -54,7 +54,7 @@
 // A caller gives up while its client sends the request: the grant that it may have got is released, and another client gets it. (Without Cancel
 // the session keeps it.)
 func TestWhoGivesUpKeepsNothing(t *testing.T) {
-	addr, _ := coordinator.For(t)
+	addr, _ := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	var clients []*lease.Client
