--- a/internal/rig/belief/belief.go
+++ b/internal/rig/belief/belief.go
@@ -1,5 +1,5 @@
-// Package belief judges what several processes believed and did, each with its own log, on the one clock of their machine: no two
-// hold at once, and what a guard admitted came in the order of its tokens.
+// Package belief checks records of several processes that contend for a lease, by the clock of their machine: no two believed at the
+// same time that they hold it, and the writes that the protected resource admitted are in the order of their tokens. It is pure.
 package belief
 
 import (
@@ -9,27 +9,30 @@
 	"time"
 )
 
-// Belief is a look of a holder at whether it holds, with yes for an answer, at some moment between From and To.
+// Belief is a check of a holder that found, at some moment between From and To, that it holds the lease.
 type Belief struct {
 	Holder   string
 	Token    uint64
 	From, To time.Duration
 }
 
-// Write is what a guard was sent, in the order in which it came.
+// Write is a write to the protected resource; a list of them is in the order in which they arrived.
 type Write struct {
 	Holder   string
 	Token    uint64
 	Admitted bool
 }
 
-// Verdict is what was wrong, and counts.
+// Verdict is the result of Check.
 type Verdict struct {
-	Violations                               []string
-	Beliefs, HolderChanges, Writes, Rejected int // Holders: changes of holder; Late: acts that the guard refused
+	Violations    []string
+	Beliefs       int
+	HolderChanges int // writes of a larger token than all before
+	Writes        int
+	Rejected      int // writes that the resource did not admit
 }
 
-// Check looks through all of it.
+// Check checks all beliefs and writes. It sorts beliefs in place.
 func Check(beliefs []Belief, writes []Write) (v Verdict) {
 	v.Beliefs, v.Writes = len(beliefs), len(writes)
 	owner := map[uint64]string{}
@@ -44,7 +47,7 @@
 	next, newest := 0, Belief{}
 	for _, l := range beliefs {
 		claim(l.Token, l.Holder, "believed")
-		for ; next < len(ended) && ended[next].To < l.From; next++ { // all that had certainly been seen before
+		for ; next < len(ended) && ended[next].To < l.From; next++ { // all checks that had certainly ended before
 			if ended[next].Token > newest.Token {
 				newest = ended[next]
 			}
@@ -55,12 +58,12 @@
 	}
 	var last uint64
 	for _, a := range writes {
-		claim(a.Token, a.Holder, "acted")
+		claim(a.Token, a.Holder, "wrote")
 		switch {
 		case !a.Admitted:
 			v.Rejected++
 		case a.Token < last:
-			v.Violations = append(v.Violations, fmt.Sprintf("an act of %d was admitted after one of %d", a.Token, last))
+			v.Violations = append(v.Violations, fmt.Sprintf("a write with token %d was admitted after one with %d", a.Token, last))
 		case a.Token > last:
 			v.HolderChanges++
 			last = a.Token
--- a/internal/rig/contend/contend.go
+++ b/internal/rig/contend/contend.go
@@ -1,5 +1,6 @@
-// Package contend is processes that contend for a lease, and the resource that it guards: what tests of several processes start, stop
-// and kill. Holders say what they believed, with the moments on the machine's steady clock; package belief judges it.
+// Package contend has the processes that contend for a lease, and the resource that it protects, for tests of several processes, which
+// start, pause and kill them. Holders print when they believed that they hold the lease, by the machine's monotonic clock; package
+// belief checks that.
 package contend
 
 import (
@@ -24,12 +25,15 @@
 	"petrelhook/lease"
 )
 
-// TTL is that of holders' sessions.
+// TTL is the TTL of holders' sessions.
 const TTL = 800 * time.Millisecond
 
-// Run is a process in a role, until it ends; a test's program calls it. The arguments: of a holder its name, the resource and the
-// coordinators, by commas; of one that stops itself the resource and the coordinators; of one that keeps anything, the coordinators and
-// the lease.
+// Run runs a role until the process ends; a test's program calls it. Coordinators are addresses with commas. The arguments:
+//
+//	holder  name, address of the resource, coordinators
+//	stops   address of the resource, coordinators
+//	spend   name, interval, limit as JSON, coordinators
+//	keeps   (unused), coordinators, name of the lease
 func Run(role string, args []string) {
 	switch role {
 	case "holder":
@@ -43,7 +47,7 @@
 	}
 }
 
-// ParseBeliefs are what a holder has said.
+// ParseBeliefs reads what a holder has printed.
 func ParseBeliefs(holder, text string) (all []belief.Belief) {
 	for in := bufio.NewScanner(strings.NewReader(text)); in.Scan(); {
 		l := belief.Belief{Holder: holder}
@@ -54,7 +58,7 @@
 	return all
 }
 
-// runHolder is a process that contends for a lease, says when it believes, and acts on the resource, until its input ends.
+// runHolder contends for a lease, prints its beliefs and writes to the resource, until its standard input ends.
 func runHolder(name, resource string, addrs []string) {
 	go func() { _, _ = io.Copy(io.Discard, os.Stdin); os.Exit(0) }()
 	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "same", TTL: TTL})
@@ -89,7 +93,7 @@
 	}
 }
 
-// runPausedHolder is a holder that is stopped between its look and its act.
+// runPausedHolder is a holder that is paused (SIGSTOP) between its check of the lease and its write.
 func runPausedHolder(resource string, addrs []string) {
 	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "same", TTL: 3 * time.Second})
 	if err != nil {
@@ -106,7 +110,7 @@
 		}
 	}
 	fmt.Println("looked")
-	runtime.LockOSThread() // sent to this thread it takes effect before the next line; another would let this one go on for a moment
+	runtime.LockOSThread() // sent to this thread the signal takes effect before the next line; another thread would let this one go on for a moment
 	_ = unix.Tgkill(os.Getpid(), unix.Gettid(), unix.SIGSTOP)
 	fmt.Fprintf(conn, "stops %d\n", h.Token)
 	answer, _ := bufio.NewReader(conn).ReadString('\n')
@@ -114,7 +118,7 @@
 	os.Exit(0)
 }
 
-// runIdleHolder is a holder that holds until it is killed.
+// runIdleHolder acquires a lease, prints its token, and holds it until it is killed.
 func runIdleHolder(addrs []string, name string) {
 	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "keeps", TTL: TTL})
 	if err != nil {
@@ -128,19 +132,19 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// Resource is guarded by the lease, and logs each act.
+// Resource is protected by the lease, and records each write.
 type Resource struct {
 	Guard  lease.Guard
 	mu     sync.Mutex
 	writes []belief.Write
 }
 
-// Serve answers one holder.
+// Serve serves the connection of one holder until it ends.
 func (r *Resource) Serve(c net.Conn) {
 	for in := bufio.NewScanner(c); in.Scan(); {
 		a := belief.Write{}
 		_, _ = fmt.Sscan(in.Text(), &a.Holder, &a.Token)
-		r.mu.Lock() // the log's order is the guard's
+		r.mu.Lock() // records are in the order of the guard
 		err := r.Guard.Admit(lease.Token(a.Token), func() error { return nil })
 		a.Admitted = err == nil
 		r.writes = append(r.writes, a)
@@ -153,7 +157,7 @@
 	}
 }
 
-// Writes are those so far.
+// Writes are the writes so far, admitted or not.
 func (r *Resource) Writes() []belief.Write {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rig/contend/spend.go
+++ b/internal/rig/contend/spend.go
@@ -16,8 +16,8 @@
 	"petrelhook/internal/coordination/share"
 )
 
-// runSpender is a process that tries to use a limit's units all the time, and says when it was allowed to: just before it asked itself. Its
-// arguments: its name, its pause between tries, the limit as JSON, and the coordinators by commas.
+// runSpender tries to use units of a limit at an interval, and prints the time just before each attempt that was allowed, until its
+// standard input ends.
 func runSpender(name, interval, limit string, addrs []string) {
 	go func() { _, _ = io.Copy(io.Discard, os.Stdin); os.Exit(0) }()
 	every, err := time.ParseDuration(interval)
@@ -37,7 +37,7 @@
 	}
 }
 
-// ParseUses are the moments that a spender has said.
+// ParseUses reads the times that a spender has printed.
 func ParseUses(text string) (all []lease.Instant) {
 	for line := range strings.Lines(text) {
 		var at lease.Instant
--- a/internal/rig/coordinator/coordinator.go
+++ b/internal/rig/coordinator/coordinator.go
@@ -1,4 +1,5 @@
-// Package coordinator is a coordinator of leases in this process, for examples and tests that put no fault between processes.
+// Package coordinator starts coordinators for examples and tests: a single one in this process (Start), or a group of processes with
+// links between them that a test can break (Group).
 package coordinator
 
 import (
@@ -12,7 +13,7 @@
 	"petrelhook/internal/coordination/fleet"
 )
 
-// Start starts one that keeps what it knows until stop.
+// Start starts a coordinator in this process. stop ends it and removes its data; it may be called more than once.
 func Start() (addr string, stop func(), err error) {
 	dir, err := os.MkdirTemp("", "coordinator")
 	if err != nil {
@@ -24,7 +25,7 @@
 	}
 	s, err := fleet.Open(fleet.SingleConfig(dir, ln.Addr().String()), slog.New(slog.DiscardHandler))
 	if err != nil {
-		ln.Close()
+		_ = ln.Close()
 		return "", nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -37,7 +38,7 @@
 	}), nil
 }
 
-// StartForTest is one for a test; stop may be called before its end.
+// StartForTest starts a coordinator that ends with the test; stop may end it before.
 func StartForTest(t testing.TB) (addr string, stop func()) {
 	t.Helper()
 	addr, stop, err := Start()
--- a/internal/rig/coordinator/fault.go
+++ b/internal/rig/coordinator/fault.go
@@ -8,15 +8,16 @@
 	"petrelhook/internal/rig/process"
 )
 
-// InjectFault does one thing to the coordinators, their ways or the holders, waits for up to two times of a session, and undoes it.
+// InjectFault injects a random fault into the coordinators, their links or the holders, waits for up to two TTLs of a session, and
+// undoes it. It returns the kind of the fault. Mostly it befalls the leader.
 func (g *Group) InjectFault(random *rand.Rand, ttl time.Duration, holders []*process.Process) (what string) {
 	target := g.Members[random.IntN(len(g.Members))]
 	if i := g.Leader(); i >= 0 && random.IntN(3) > 0 {
 		target = g.Members[i]
 	}
 	duration := time.Duration(random.IntN(int(2 * ttl)))
-	wait := func() { <-time.After(duration) } // how long a fault lasts is part of it
-	both := func(l *link.Link, held bool) { l.Block(link.Forward, held); l.Block(link.Backward, held) }
+	wait := func() { <-time.After(duration) }
+	block := func(l *link.Link, blocked bool) { l.Block(link.Forward, blocked); l.Block(link.Backward, blocked) }
 	switch what = []string{"kill", "kill all", "stop", "cut", "cut in", "cut out", "clients cut", "slow", "reset", "holders stopped"}[random.IntN(10)]; what {
 	case "kill":
 		target.KillAndWait()
@@ -28,14 +29,14 @@
 		target.Pause()
 		wait()
 		target.Resume()
-	case "cut", "cut in", "cut out": // from the others, not from clients; what is held back comes late
+	case "cut", "cut in", "cut out": // from the others, not from clients; blocked messages arrive late
 		target.Partition(true, what != "cut out", what != "cut in")
 		wait()
 		target.Partition(false, true, true)
 	case "clients cut":
-		both(g.ClientLinks[target.Index], true)
+		block(g.ClientLinks[target.Index], true)
 		wait()
-		both(g.ClientLinks[target.Index], false)
+		block(g.ClientLinks[target.Index], false)
 	case "slow":
 		for _, l := range target.PeerLinks {
 			l.Slow(30 * time.Millisecond)
@@ -48,7 +49,7 @@
 		for _, l := range append(target.PeerLinks, g.ClientLinks...) {
 			l.Reset()
 		}
-	case "holders stopped": // for longer than the lease, in the middle of whatever it does
+	case "holders stopped": // for longer than the lease, at any point of their work
 		for _, h := range holders[:len(holders)/2] {
 			h.Pause()
 		}
--- a/internal/rig/coordinator/group.go
+++ b/internal/rig/coordinator/group.go
@@ -20,31 +20,31 @@
 	"petrelhook/internal/rig/process"
 )
 
-// Group is coordinators as processes, each reached by links only: one of each other coordinator, and one of clients. A test breaks
-// links and processes.
+// Group is a group of coordinator processes. Each is reached through links only: one from each other coordinator, and one from clients.
+// A test breaks links and processes.
 type Group struct {
-	Dir         string
+	Dir         string // of configurations and data
 	Members     []*Member
-	ClientLinks []*link.Link // to each
+	ClientLinks []*link.Link // one to each member
 	t           testing.TB
 	program     func(args ...string) *exec.Cmd
 }
 
-// Member is one of them.
+// Member is one coordinator of a group.
 type Member struct {
 	*process.Process
 	Index     int
-	PeerLinks []*link.Link // from it to each other
+	PeerLinks []*link.Link // from it to each member, by index
 	group     *Group
 }
 
-// NewGroup starts n coordinators of a program, a heartbeat every 20 ms.
+// NewGroup starts n coordinators with a tick of 20 ms. program makes the command from its arguments.
 func NewGroup(t testing.TB, n int, program func(args ...string) *exec.Cmd) *Group {
 	t.Helper()
 	return NewGroupWith(t, n, "", program)
 }
 
-// NewGroupWith is one with further lines in all files.
+// NewGroupWith is NewGroup with further lines in all configuration files.
 func NewGroupWith(t testing.TB, n int, lines string, program func(args ...string) *exec.Cmd) *Group {
 	t.Helper()
 	g := &Group{Dir: process.Dir(t), t: t, program: program}
@@ -73,7 +73,7 @@
 	return g
 }
 
-// NewLink is a further link.
+// NewLink makes a link that ends with the test.
 func (g *Group) NewLink() *link.Link {
 	g.t.Helper()
 	l, err := link.New()
@@ -84,20 +84,21 @@
 	return l
 }
 
-// ConfigFile is the settings of one.
+// ConfigFile is the path of member i's configuration.
 func (g *Group) ConfigFile(i int) string { return filepath.Join(g.Dir, fmt.Sprintf("c%d.yaml", i+1)) }
 
+// servingLine is the log line of a coordinator that serves.
 var servingLine = regexp.MustCompile(`msg=serving id=\d+ listen=(\S+)`)
 
-// AwaitServing waits until a coordinator serves, and gives the address at which it listens.
+// AwaitServing waits until a coordinator serves, and returns the address at which it listens.
 func (g *Group) AwaitServing(p *process.Process) (addr string) {
 	g.t.Helper()
 	var found []string
-	process.Until(g.t, "it serves", func() bool { found = servingLine.FindStringSubmatch(p.Log.String()); return found != nil })
+	process.Until(g.t, "the coordinator serves", func() bool { found = servingLine.FindStringSubmatch(p.Log.String()); return found != nil })
 	return found[1]
 }
 
-// Start starts the process, on its disk as it is, and leads the links to it.
+// Start starts the process on its data as they are, and directs the links to it.
 func (m *Member) Start() {
 	m.group.t.Helper()
 	m.Process = process.Start(m.group.t, m.group.program("--config", m.group.ConfigFile(m.Index)))
@@ -108,24 +109,24 @@
 	}
 }
 
-// Partition holds back, or delivers, what goes from the others to this one (in) and what it sends to them (out); clients still reach it.
-func (m *Member) Partition(held, in, out bool) {
+// Partition blocks (or unblocks) messages from the other members to this one (in) and from it to them (out). Clients still reach it.
+func (m *Member) Partition(blocked, in, out bool) {
 	for j, other := range m.group.Members {
 		if j == m.Index {
 			continue
 		}
 		if out {
-			m.PeerLinks[j].Block(link.Forward, held)
-			other.PeerLinks[m.Index].Block(link.Backward, held)
+			m.PeerLinks[j].Block(link.Forward, blocked)
+			other.PeerLinks[m.Index].Block(link.Backward, blocked)
 		}
 		if in {
-			m.PeerLinks[j].Block(link.Backward, held)
-			other.PeerLinks[m.Index].Block(link.Forward, held)
+			m.PeerLinks[j].Block(link.Backward, blocked)
+			other.PeerLinks[m.Index].Block(link.Forward, blocked)
 		}
 	}
 }
 
-// KillAll kills all at once, and starts them again.
+// KillAll kills all members at once, and starts them again.
 func (g *Group) KillAll() {
 	g.t.Helper()
 	for _, m := range g.Members {
@@ -139,7 +140,7 @@
 	}
 }
 
-// Addrs are where clients reach them.
+// Addrs are the addresses at which clients reach the members.
 func (g *Group) Addrs() (all []string) {
 	for _, l := range g.ClientLinks {
 		all = append(all, l.Addr)
@@ -147,7 +148,7 @@
 	return all
 }
 
-// IsLeader reports whether the coordinator at an address leads, as it says itself.
+// IsLeader reports whether the coordinator at an address says that it leads.
 func IsLeader(addr string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
@@ -155,7 +156,7 @@
 	return err == nil && s.IsLeader
 }
 
-// Leader is who leads; -1: nobody.
+// Leader is the index of the leader; -1: there is none.
 func (g *Group) Leader() int {
 	for i, addr := range g.Addrs() {
 		if IsLeader(addr) {
@@ -165,21 +166,22 @@
 	return -1
 }
 
-// AwaitNewLeader waits until another than this one leads; -1: anybody.
+// AwaitNewLeader waits until a member other than the previous leader leads (-1: any member).
 func (g *Group) AwaitNewLeader(previous int) (leader int) {
 	g.t.Helper()
-	process.Until(g.t, "another leads", func() bool { leader = g.Leader(); return leader >= 0 && leader != previous })
+	process.Until(g.t, "another member leads", func() bool { leader = g.Leader(); return leader >= 0 && leader != previous })
 	return leader
 }
 
-// Call asks whoever leads, as an operator.
+// Call sends a request to the leader, as an operator does.
 func (g *Group) Call(in fleet.Request) (*fleet.Response, error) {
 	ctx, cancel := context.WithTimeout(g.t.Context(), 20*time.Second)
 	defer cancel()
 	return (&fleet.Operator{Addrs: g.Addrs()}).Call(ctx, in)
 }
 
-// NewCaller asks whoever leads, at once and again until there is an answer, with no other pause: for measurements.
+// NewCaller returns a function that sends a request until the leader answers, with a pause of 5 ms between attempts and no other: for
+// measurements.
 func (g *Group) NewCaller() func(fleet.Request) *fleet.Response {
 	client := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext, MaxIdleConnsPerHost: 64}}
 	var current atomic.Int64
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package deployment is a fleet as operators run it, in processes on loopback: coordinators, agents and the sidecars that agents start,
-// for tests that change releases under load and break processes and the ways between them. A rehearsal sends the load and judges the
-// rules; Deployment is its Starter.
+// Package deployment runs a fleet as operators do, in processes on loopback: coordinators, agents and the sidecars that agents start.
+// Tests use it to change releases under load and to break processes and the links between them. A rehearsal sends the load and audits
+// the rules; Deployment is its Starter. Failures of the set-up end the test.
 package deployment
 
 import (
@@ -28,45 +28,46 @@
 	"petrelhook/internal/rig/process"
 )
 
-// Application is the name of what is run.
+// Application is the name of the application that is deployed.
 const Application = "app"
 
-// Deployment is one.
+// Deployment is a fleet of one application. The fields are set before Start and not changed later.
 type Deployment struct {
 	*coordinator.Group
 	Agents         []*Agent
-	Releases       string // the store
-	PerAgent       int
-	Zones          []string
-	Limits         string // fields of the agents' limits
-	ReserveAddr    func() string
-	InitialRelease func(settings []byte) release.ID // the release to begin with, made of the first sidecar's settings
+	Releases       string                           // folder of the store of releases
+	PerAgent       int                              // sidecars of an agent
+	Zones          []string                         // sidecar number n is in zone n modulo their count
+	Limits         string                           // of the agents, in YAML
+	ReserveAddr    func() string                    // returns a free address on loopback
+	InitialRelease func(settings []byte) release.ID // makes the release to start with from the first sidecar's settings
 
-	// Discovery says what the release tells all sidecars of where servers are listed, given the first one's address, so
-	// that a version of the configuration may say something else. nil: each is told its own, which no version changes.
+	// Discovery returns the address of discovery that the release gives all sidecars, given that of the first sidecar; a version of
+	// the configuration may then change it. nil: each sidecar has an address of its own, which no version changes.
 	Discovery         func(addr string) string
-	SubscribeVersions bool // agents take versions of the configuration from the coordinators
+	SubscribeVersions bool // agents subscribe to versions of the configuration at the coordinators
 
 	t               testing.TB
 	programDir      string
 	initial         release.ID
-	pendingSidecars []string // sidecars of the next agent, in YAML
+	pendingSidecars []string // of the next agent, in YAML
 }
 
-// Agent is one machine.
+// Agent is the agent of one machine.
 type Agent struct {
 	*process.Process
-	Link       *link.Link // by which drivers reach it
+	Link       *link.Link // through which drivers reach it
 	Dir        string
 	deployment *Deployment
 }
 
-var buildDir string // the folder
+// buildDir is the folder with the programs of build.
+var buildDir string
 
-// RemoveBuilt removes what was built, at the end of a test program.
+// RemoveBuilt removes the programs that were built. A TestMain calls it at its end.
 func RemoveBuilt() { _ = os.RemoveAll(buildDir) }
 
-// build builds programs of this module once for all tests of a test program.
+// build builds this module's programs once for all tests of a test program.
 var build = sync.OnceValues(func() (dir string, err error) {
 	if dir, err = os.MkdirTemp("", "deployment"); err != nil {
 		return "", err
@@ -79,7 +80,7 @@
 	return dir, err
 })
 
-// New starts the coordinators of a deployment; Start starts sidecars, and with each PerAgent of them their agent.
+// New starts the coordinators of a deployment. Start adds sidecars, and an agent for each PerAgent of them.
 func New(t testing.TB, coordinators int) *Deployment {
 	t.Helper()
 	bin, err := build()
@@ -97,10 +98,10 @@
 // Program is the path of a program of this module.
 func (d *Deployment) Program(name string) string { return filepath.Join(d.programDir, name) }
 
-// sidecarFields are the fields that each sidecar has by itself.
+// sidecarFields are the fields of settings that differ from sidecar to sidecar.
 var sidecarFields = []string{"discovery", "known", "seed", "limits"}
 
-// Start hands a sidecar to the next agent, as package rehearse asks.
+// Start implements rehearse.Starter: it adds a sidecar to the next agent, and starts that agent once it has PerAgent sidecars.
 func (d *Deployment) Start(number int, config []byte) (addr string, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(config, &fields); err != nil {
@@ -153,7 +154,7 @@
 	return addr, nil
 }
 
-// StartProcess starts the agent's process, on its folder as it is.
+// StartProcess starts the agent's process on its folder as it is.
 func (a *Agent) StartProcess() {
 	a.deployment.t.Helper()
 	path := filepath.Join(a.Dir, "agent.yaml")
@@ -166,7 +167,7 @@
 	a.Link.SetTarget(c.Listen)
 }
 
-// PersistedStates is what an agent has kept of its sidecars.
+// PersistedStates are the states of its sidecars in the agent's files.
 func (a *Agent) PersistedStates() (all []agent.PersistedState) {
 	files, _ := filepath.Glob(filepath.Join(a.Dir, "data", "sidecar-*.json"))
 	for _, f := range files {
@@ -179,7 +180,7 @@
 	return all
 }
 
-// killAll kills what the agent has left.
+// killAll kills the agent and the sidecars that it leaves running.
 func (a *Agent) killAll() {
 	a.KillAndWait()
 	for _, k := range a.PersistedStates() {
@@ -191,7 +192,7 @@
 	}
 }
 
-// Stop ends the sidecars as an operator would, and their agents before.
+// Stop implements rehearse.Starter: it ends the agents, then the sidecars, with SIGTERM.
 func (d *Deployment) Stop() error {
 	var all []agent.Process
 	for _, a := range d.Agents {
@@ -199,7 +200,7 @@
 		if err := a.Wait(); err != nil {
 			return err
 		}
-		a.Ended <- nil // who waits again has it
+		a.Ended <- nil // so that another Wait returns
 		for _, k := range a.PersistedStates() {
 			for _, p := range []*agent.Process{k.Serving, k.Next} {
 				if p != nil && machine.Lives(*p) {
@@ -220,7 +221,7 @@
 	return nil
 }
 
-// Add puts a release into the store.
+// Add adds a release to the store.
 func (d *Deployment) Add(program string, settings []byte) release.ID {
 	d.t.Helper()
 	store, err := release.NewStore(d.Releases)
@@ -239,7 +240,7 @@
 	return r.ID
 }
 
-// Script is a release whose program is a shell script; $REAL in it is the sidecar, and it checks settings as that does.
+// Script adds a release whose program is a shell script. $REAL in it is the sidecar's program, which also checks settings (--check).
 func (d *Deployment) Script(name, text string, settings []byte) release.ID {
 	d.t.Helper()
 	path := filepath.Join(d.t.TempDir(), name)
@@ -250,7 +251,7 @@
 	return d.Add(path, settings)
 }
 
-// Begin begins a change by a plan's text, whose agents are all.
+// Begin starts a rolling change with a plan's text, over all agents.
 func (d *Deployment) Begin(plan string) (*driver.BeginResult, error) {
 	var agents []string
 	for _, a := range d.Agents {
@@ -265,7 +266,7 @@
 	return driver.Begin(ctx, &fleet.Operator{Addrs: d.Addrs()}, &http.Client{}, f, false)
 }
 
-// Application is what the coordinators keep of the application.
+// Application returns what the coordinators store of the application's rolling changes.
 func (d *Deployment) Application() *rollout.Application {
 	d.t.Helper()
 	name := Application
@@ -280,7 +281,7 @@
 	return app
 }
 
-// SendEvent is an operator's word on the change that goes on.
+// SendEvent sends an operator's event for the current change.
 func (d *Deployment) SendEvent(event rollout.Event) {
 	d.t.Helper()
 	reply, err := d.Call(fleet.Request{Rollout: &rollout.Command{Application: Application, Change: d.Application().Current.Name, Events: []rollout.Event{event}}})
@@ -289,7 +290,7 @@
 	}
 }
 
-// AwaitChange waits for the change to come to something, within a time.
+// AwaitChange waits until ok returns true for the current change, and returns the change. what names the state in the failure.
 func (d *Deployment) AwaitChange(timeout time.Duration, what string, ok func(*rollout.Change) bool) *rollout.Change {
 	d.t.Helper()
 	for end := time.Now().Add(timeout); ; time.Sleep(50 * time.Millisecond) {
@@ -304,13 +305,13 @@
 	}
 }
 
-// AwaitEnd waits until the change has ended.
+// AwaitEnd waits until the current change has ended, and returns it.
 func (d *Deployment) AwaitEnd(timeout time.Duration) *rollout.Change {
 	d.t.Helper()
 	return d.AwaitChange(timeout, "over", func(c *rollout.Change) bool { return c.State.Phase.Over() })
 }
 
-// Driver is the coordinator that drives; -1: none does.
+// Driver is the index of the coordinator that drives rolling changes; -1: none. It is read from their logs.
 func (d *Deployment) Driver() int {
 	highest, index := uint64(0), -1
 	for i, m := range d.Members {
@@ -328,7 +329,7 @@
 	return index
 }
 
-// MaxProcesses is the largest number of processes that one sidecar of an agent has now, as the starts' files say.
+// MaxProcesses is the largest number of processes that any one sidecar of the agent has at present, by the files of their starts.
 func (a *Agent) MaxProcesses() (n int) {
 	files, _ := filepath.Glob(filepath.Join(a.Dir, "data", "start-*"))
 	count := map[string]int{}
--- a/internal/rig/deployment/faultysidecar.go
+++ b/internal/rig/deployment/faultysidecar.go
@@ -22,11 +22,11 @@
 	"petrelhook/internal/sidecar/wiring"
 )
 
-// FaultVariable of the environment says in which way a sidecar is bad.
+// FaultVariable is the environment variable that names the fault of a sidecar.
 const FaultVariable = "DEPLOYMENT_BAD"
 
-// RunFaultySidecar is a process of a bad sidecar: the sidecar's own, whose connections to servers go wrong in one way. A test's program calls it where
-// BadVariable is set. It is the one place that knows such ways: the product has no switch for them.
+// RunFaultySidecar runs the sidecar in this process with connections to servers that have one fault. A test's program calls it if
+// FaultVariable is set. The faults are known here alone: the product has no switch for them.
 func RunFaultySidecar(fault string) error {
 	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer release()
@@ -58,7 +58,7 @@
 	return wiring.Serve(stop, path, &cfg, dial, reload, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 }
 
-// leakMemory grows by 1 MiB a second.
+// leakMemory allocates 1 MiB a second, and keeps it.
 func leakMemory() {
 	var chunks [][]byte
 	for range time.Tick(100 * time.Millisecond) {
@@ -71,14 +71,14 @@
 	_ = chunks
 }
 
-// zoneOfSidecar is the zone that newSite gives a sidecar.
+// zoneOfSidecar is the zone that StartSite gives a sidecar.
 func zoneOfSidecar(name string) string {
 	var n int
 	_, _ = fmt.Sscanf(name, "n%d", &n)
 	return string(rune('a' + n%3))
 }
 
-// faultyConn is a connection to a server that goes wrong.
+// faultyConn is a connection to a server that has a fault.
 type faultyConn struct {
 	net.Conn
 	fault     string
@@ -91,7 +91,7 @@
 	c.lastWrite = time.Now()
 	if _, id, ok := strings.Cut(string(p), "X-Trace-Id: "); ok && c.fault == "refuses one in fifty" {
 		id, _, _ = strings.Cut(id, "\r\n")
-		if crc32.ChecksumIEEE([]byte(id))%50 == 0 { // whichever server it is for, nothing of it leaves
+		if crc32.ChecksumIEEE([]byte(id))%50 == 0 { // it fails at every server, and nothing of it is sent
 			c.Close()
 			return 0, errors.New("no way")
 		}
@@ -111,7 +111,7 @@
 	return c.Conn.Write(p)
 }
 
-// writeGreedily marks requests as those of a greedy caller, which the stand-in servers serve at the expense of others.
+// writeGreedily adds the header of a greedy caller, which the stand-in servers serve at the expense of others.
 func (c *faultyConn) writeGreedily(p []byte) (int, error) {
 	const before = "\r\nX-Trace-Id: "
 	marked := strings.Replace(string(p), before, "\r\n"+standin.GreedyHeader+": 1"+before, 1)
@@ -121,7 +121,7 @@
 	return len(p), nil
 }
 
-// Quiet is the connection's own: without it each would be used once.
+// Quiet implements the interface of package sock: without it each connection would be used only once.
 func (c *faultyConn) Quiet() bool { return sock.Quiet(c.Conn) }
 
 func (c *faultyConn) Read(p []byte) (int, error) {
@@ -140,21 +140,21 @@
 	return n, err
 }
 
-// recentWrites are the times of what this process sent lately.
+// recentWrites are the times of the last requests that this process sent.
 var recentWrites struct {
 	sync.Mutex
 	times []time.Time
 }
 
-// underLoad reports whether a process sends more than 100 requests a second.
+// underLoad counts a request, and reports whether this process sends more than 100 a second.
 func underLoad() bool {
-	const most, within = 20, 200 * time.Millisecond
+	const maxWrites, window = 20, 200 * time.Millisecond
 	recentWrites.Lock()
 	defer recentWrites.Unlock()
 	recentWrites.times = append(recentWrites.times, time.Now())
-	if len(recentWrites.times) <= most {
+	if len(recentWrites.times) <= maxWrites {
 		return false
 	}
 	recentWrites.times = recentWrites.times[1:]
-	return time.Since(recentWrites.times[0]) < within
+	return time.Since(recentWrites.times[0]) < window
 }
--- a/internal/rig/deployment/simulatedagent.go
+++ b/internal/rig/deployment/simulatedagent.go
@@ -17,7 +17,8 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// SimulatedAgent is an agent in this process, of one sidecar that changes at once and serves 50 requests a second: thousands fit into a test.
+// SimulatedAgent is an agent in this process, of one sidecar that carries out orders at once and serves 50 requests a second. A test
+// may have thousands.
 type SimulatedAgent struct {
 	Name, Addr string
 
@@ -30,7 +31,7 @@
 	polls, orders int
 }
 
-// StartSimulatedAgent starts one that runs a release.
+// StartSimulatedAgent starts an agent whose sidecar runs a release.
 func StartSimulatedAgent(name, release string) (*SimulatedAgent, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,9 +45,10 @@
 	return p, nil
 }
 
-// Close ends it.
+// Close ends its listener.
 func (p *SimulatedAgent) Close() { p.listener.Close() }
 
+// status serves machine.PathStatus.
 func (p *SimulatedAgent) status(_ context.Context, in *machine.StatusRequest) (*machine.Status, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,6 +64,7 @@
 	return &machine.Status{Sidecars: []machine.SidecarStatus{{Report: p.report, Process: agent.Process{PID: 1, StartTicks: p.starts, Release: p.report.Release}, Counts: text}}}, err
 }
 
+// order serves machine.PathOrder.
 func (p *SimulatedAgent) order(_ context.Context, in *machine.Order) (*machine.OrderResponse, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,12 +80,13 @@
 	return &machine.OrderResponse{Known: known}, nil
 }
 
+// runRelease starts the sidecar with a release. The caller holds mu.
 func (p *SimulatedAgent) runRelease(release string) {
 	p.report.Release, p.began = release, time.Now()
 	p.starts++
 }
 
-// SwitchRelease has the sidecar run a release without an order.
+// SwitchRelease has the sidecar run another release without an order.
 func (p *SimulatedAgent) SwitchRelease(release string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,8 +96,8 @@
 // Report returns the report of its sidecar.
 func (p *SimulatedAgent) Report() rollout.Report { p.mu.Lock(); defer p.mu.Unlock(); return p.report }
 
-// Polls returns how often its status was asked for.
+// Polls returns the number of requests for its status.
 func (p *SimulatedAgent) Polls() int { p.mu.Lock(); defer p.mu.Unlock(); return p.polls }
 
-// Orders returns how many orders it has carried out.
+// Orders returns the number of orders that it has carried out.
 func (p *SimulatedAgent) Orders() int { p.mu.Lock(); defer p.mu.Unlock(); return p.orders }
--- a/internal/rig/deployment/site.go
+++ b/internal/rig/deployment/site.go
@@ -22,6 +22,7 @@
 	"petrelhook/internal/rig/scenario"
 )
 
+// siteScenario is the load on a site, by length, number of sidecars and rate. Faults are appended.
 const siteScenario = `length %s
 sidecars %d cores=1 memory=64 sockets=512
 class look share=60 effect=safe   work=2ms..3ms io=4ms..6ms aim=100ms deadline=1s worth=3 late=0.3
@@ -33,17 +34,18 @@
 arrive poisson %d/s
 `
 
-// Site is a deployment under load.
+// Site is a deployment under load, in three zones.
 type Site struct {
 	*Deployment
 	t        testing.TB
-	Settings []byte // of the first release, for all sidecars
+	Settings []byte // of the initial release, for all sidecars
 	Initial  release.ID
 	outcome  chan *rehearse.Outcome
 	endLoad  context.CancelFunc
 }
 
-// StartSite starts a deployment and a load on it, which ends with Check.
+// StartSite starts a deployment and a load on it, which ends with End or Check. faults are statements of a scenario; configure, if not
+// nil, changes the deployment before its sidecars start.
 func StartSite(t testing.TB, reserveAddr func() string, sidecars, rate int, faults string, configure func(*Deployment)) *Site {
 	t.Helper()
 	s := &Site{Deployment: New(t, 3), t: t, outcome: make(chan *rehearse.Outcome, 1)}
@@ -79,14 +81,14 @@
 	select {
 	case <-began:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the load does not begin")
+		t.Fatal("the load did not start within 30 s")
 	}
-	t.Cleanup(func() { cancel(); <-ended }) // before what the agents have left is killed
+	t.Cleanup(func() { cancel(); <-ended }) // before the sidecars that agents leave running are killed
 	process.Until(t, "load", func() bool { return live.Load() > 50 })
 	return s
 }
 
-// End ends the load and all that serves it. It has to be called where a test has started an agent again.
+// End ends the load, the agents and the sidecars. A test that has restarted an agent has to call it.
 func (s *Site) End() *rehearse.Outcome {
 	s.t.Helper()
 	s.endLoad()
@@ -97,7 +99,8 @@
 	return out
 }
 
-// Check ends the load and judges: the four rules, and that no client met a refused connection or lost a request.
+// Check ends the load as End does, and checks the four rules of the audit, and that no client was refused a connection or lost a
+// request.
 func (s *Site) Check() *rehearse.Outcome {
 	s.t.Helper()
 	out := s.End()
@@ -115,12 +118,12 @@
 	return out
 }
 
-// PlanText is a plan's text.
+// PlanText is the text of a plan between two releases, with further fields.
 func PlanText(from, to release.ID, fields string) string {
 	return fmt.Sprintf("from: %s\nto: %s\n%s", from, to, fields)
 }
 
-// CountRunning counts sidecars by what they run, as agents report.
+// CountRunning is the number of sidecars that run a release, as agents report.
 func CountRunning(c *rollout.Change, id release.ID) (n int) {
 	for _, s := range c.State.Sidecars() {
 		if s.Release == string(id) {
@@ -130,7 +133,7 @@
 	return n
 }
 
-// FaultyRelease is one whose program is the test's own.
+// FaultyRelease adds a release whose program is the test's own, in the role of RunFaultySidecar.
 func (s *Site) FaultyRelease(fault string) release.ID {
 	s.t.Helper()
 	self, err := filepath.Abs(os.Args[0])
@@ -140,15 +143,17 @@
 	return s.Script(strings.ReplaceAll(fault, " ", "-"), fmt.Sprintf("%s=%q exec %s", FaultVariable, fault, self), s.Settings)
 }
 
-// ReplaceSetting is the settings with one text for another.
+// ReplaceSetting returns the settings with the first occurrence of a text replaced.
 func (s *Site) ReplaceSetting(from, to string) []byte {
 	return []byte(strings.Replace(string(s.Settings), from, to, 1))
 }
 
-// WorseRelease is a release that is worse in one way: a script, or this test's program; and what has to be found.
+// WorseRelease is a release that is worse in one way: a Script, or FaultyRelease(Name) if that is empty. Reason is what the stop's
+// reason has to contain; Plan are further fields of the plan.
 type WorseRelease struct{ Name, Script, Reason, Plan string }
 
-// CheckWorseReleases begins changes to worse releases, one after the other, and has each stopped and taken back.
+// CheckWorseReleases starts changes to worse releases, one after the other, and checks that each is stopped in its first stage, for
+// its reason, and rolled back.
 func (s *Site) CheckWorseReleases(from release.ID, releases []WorseRelease) {
 	s.t.Helper()
 	for _, b := range releases {
--- a/internal/rig/deployment/versions.go
+++ b/internal/rig/deployment/versions.go
@@ -16,7 +16,7 @@
 	return d.PublishAt(d.Addrs(), content)
 }
 
-// PublishAt is Publish by other ways to the coordinators.
+// PublishAt is Publish at other addresses of the coordinators.
 func (d *Deployment) PublishAt(addrs []string, content string) distribute.Revision {
 	d.t.Helper()
 	ctx, cancel := context.WithTimeout(d.t.Context(), 30*time.Second)
@@ -28,17 +28,17 @@
 	return revision
 }
 
-// InForce is how the newest version stands, as the coordinators have heard.
+// InForce is the state of the newest version as reported to the coordinators.
 func (d *Deployment) InForce() distribute.Summary {
 	d.t.Helper()
 	services, _ := (&fleet.Operator{Addrs: d.Addrs()}).InForce(d.t.Context(), Application)
 	return services[Application]
 }
 
-// Sidecars is how many the agents have.
+// Sidecars is the number of sidecars of all agents.
 func (d *Deployment) Sidecars() int { return len(d.Agents) * d.PerAgent }
 
-// AwaitInForce waits until all sidecars run a version, as the coordinators have heard, within a time.
+// AwaitInForce waits until all sidecars have reported that a version is in force, and returns how long that took.
 func (d *Deployment) AwaitInForce(timeout time.Duration, revision distribute.Revision) time.Duration {
 	d.t.Helper()
 	return d.AwaitSummary(timeout, "it is in force on all", func(s distribute.Summary) bool {
@@ -46,7 +46,8 @@
 	})
 }
 
-// AwaitSummary waits for what the coordinators have heard to be so, within a time.
+// AwaitSummary waits until ok returns true for the coordinators' summary, and returns how long that took. what names the state in the
+// failure.
 func (d *Deployment) AwaitSummary(timeout time.Duration, what string, ok func(distribute.Summary) bool) time.Duration {
 	d.t.Helper()
 	began := time.Now()
@@ -62,8 +63,8 @@
 	}
 }
 
-// WatchRevisions watches what the agents keep, until the function that it gives is called: that what is in force never
-// goes back, and that no sidecar has more than two processes.
+// WatchRevisions checks the agents' files until the returned function is called: the revision in force of a sidecar never decreases,
+// and no sidecar has more than two processes.
 func (d *Deployment) WatchRevisions(t testing.TB) (end func()) {
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/internal/rig/link/link.go
+++ b/internal/rig/link/link.go
@@ -1,5 +1,6 @@
-// Package link is a way between two processes on loopback that a test can break: hold bytes back in one direction or both and
-// deliver them late, slow it, reset what is open. It knows nothing of what it carries.
+// Package link is a TCP relay between two processes on loopback whose faults a test controls: it blocks bytes in one direction or both
+// and delivers them late, delays them, or resets connections. It does not interpret what it carries. All methods may be called from
+// any goroutine.
 package link
 
 import (
@@ -10,7 +11,7 @@
 	"petrelhook/internal/common/sock"
 )
 
-// Direction is of bytes: Forth from who dials, Back to him.
+// Direction is a direction of bytes: Forward from the side that dials, Backward to it.
 type Direction int
 
 // The directions.
@@ -19,7 +20,7 @@
 	Backward
 )
 
-// Link listens at Addr and carries what comes to the target.
+// Link listens at Addr and relays connections to its target.
 type Link struct {
 	Addr string
 
@@ -36,18 +37,18 @@
 	observe func(Direction, []byte)
 }
 
-// Observe has a function see each piece that is carried, before it is passed on; it is called from several goroutines. It is set
-// before the link leads anywhere.
+// Observe sets a function that is called with each chunk before it is written, from several goroutines; it must not keep the chunk.
+// It is set before SetTarget.
 func (l *Link) Observe(f func(Direction, []byte)) { l.change(func() { l.observe = f }) }
 
-// Open is how many connections it carries.
+// Open is the number of connections that the link relays.
 func (l *Link) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns) / 2
 }
 
-// New makes a link that leads nowhere yet: who dials it waits.
+// New makes a link without a target yet: connections to it wait.
 func New() (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,15 +68,16 @@
 	return l, nil
 }
 
-// SetTarget leads the link to an address from now on.
+// SetTarget sets the address that new connections are relayed to.
 func (l *Link) SetTarget(addr string) { l.change(func() { l.target = addr }) }
 
-// Block holds back what goes in a direction, or delivers it; a cut is both directions held.
+// Block stops bytes in a direction, or lets them through again; a partition is both directions blocked.
 func (l *Link) Block(d Direction, blocked bool) { l.change(func() { l.blocked[d] = blocked }) }
 
-// Slow delays each piece.
+// Slow delays each chunk.
 func (l *Link) Slow(by time.Duration) { l.change(func() { l.delay = by }) }
 
+// change changes the state under the lock and wakes waiting goroutines.
 func (l *Link) change(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +85,7 @@
 	l.cond.Broadcast()
 }
 
-// Reset breaks all connections, with what was held back.
+// Reset resets all connections; blocked bytes are lost.
 func (l *Link) Reset() {
 	l.change(func() {
 		for c := range l.conns {
@@ -93,15 +95,15 @@
 	})
 }
 
-// Close ends the link.
+// Close ends the link and its connections, and waits for its goroutines.
 func (l *Link) Close() {
-	l.listener.Close()
+	_ = l.listener.Close()
 	l.change(func() { l.closed = true })
 	l.Reset()
 	l.pumps.Wait()
 }
 
-// awaitOpen waits until bytes may go in a direction; false: the connection has ended.
+// awaitOpen waits until bytes may pass in a direction, and returns the delay and the target. ok is false if the connection has ended.
 func (l *Link) awaitOpen(d Direction, c net.Conn) (delay time.Duration, target string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,17 +118,19 @@
 	}
 }
 
+// register adds a connection; false: the link is closed, and so is the connection.
 func (l *Link) register(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		c.Close()
+		_ = c.Close()
 		return false
 	}
 	l.conns[c] = struct{}{}
 	return true
 }
 
+// serve relays one connection until it ends.
 func (l *Link) serve(from net.Conn) {
 	if !l.register(from) {
 		return
@@ -149,13 +153,13 @@
 	both.Wait()
 }
 
-// pump carries one direction until it ends, and then ends the connection.
+// pump copies one direction until it ends, and then ends the connection.
 func (l *Link) pump(d Direction, from, to net.Conn) {
 	defer l.change(func() {
 		delete(l.conns, from)
 		delete(l.conns, to)
-		from.Close()
-		to.Close()
+		_ = from.Close()
+		_ = to.Close()
 	})
 	b := make([]byte, 32<<10)
 	for {
--- a/internal/rig/process/process.go
+++ b/internal/rig/process/process.go
@@ -1,5 +1,5 @@
-// Package process is a process that a test starts, stops, kills and reads the log of. Each test program that plays
-// several roles starts itself again, with its role in a variable of its environment.
+// Package process runs processes of tests: a test starts, pauses and kills them and reads their logs. A test program with several
+// roles starts itself again, with the role in an environment variable (Self).
 package process
 
 import (
@@ -15,30 +15,30 @@
 	"time"
 )
 
-// Process is one that runs, until the test ends at the latest.
+// Process is a process that ends with the test at the latest.
 type Process struct {
 	*os.Process
-	Log   LogFile    // what it wrote to standard error
-	Ended chan error // takes what it ended with
+	Log   LogFile    // its standard error
+	Ended chan error // gets the result of exec.Cmd.Wait, once
 	Input io.Closer  // its standard input
 	t     testing.TB
 }
 
-// Self is this test's program, with a role.
+// Self is the command of this test's own program, with a role in an environment variable.
 func Self(variable, role string, args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), variable+"="+role)
 	return cmd
 }
 
-// Start starts a process. Where the test fails its log is shown.
+// Start starts a process. If the test fails, the process' log is shown.
 func Start(t testing.TB, cmd *exec.Cmd) *Process {
 	t.Helper()
 	log, err := os.CreateTemp(t.TempDir(), "log")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = log.Close() }() // the process has it too
+	defer func() { _ = log.Close() }() // the process has a descriptor of its own
 	p := &Process{Log: LogFile(log.Name()), Ended: make(chan error, 1), t: t}
 	cmd.Stderr = log
 	input, err := cmd.StdinPipe()
@@ -59,12 +59,12 @@
 	return p
 }
 
-// FolderVariable names a folder, best one in memory, for what processes of tests keep and sync.
+// FolderVariable is the environment variable with a folder, preferably in memory, for data that processes of tests sync.
 const FolderVariable = "PETRELHOOK_TEST_FOLDER"
 
-// Dir is a folder for what processes of a test keep and sync, and is removed with the test. It is where FolderVariable
-// says: on a disk a sync waits for all that the builds of other tests write, for seconds, and at all replicas of a group
-// at once, which no group of machines is in for. What a process has written outlives its kill in memory as on a disk.
+// Dir is a folder for data that processes of a test sync; it is removed with the test. It is in the folder of FolderVariable: on a disk
+// a sync waits for all that builds of other tests write, for seconds, and at all replicas of a group at once, which does not happen on
+// separate machines. What a process has written survives its kill in memory as on a disk.
 func Dir(t testing.TB) string {
 	t.Helper()
 	folder := os.Getenv(FolderVariable)
@@ -83,17 +83,17 @@
 	return dir
 }
 
-// KillAndWait kills the process and waits until it is gone.
+// KillAndWait kills the process and waits for its end.
 func (p *Process) KillAndWait() {
 	p.t.Helper()
 	p.Kill()
 	_ = p.Wait()
 }
 
-// awaitTimeout bounds a wait for what must come.
+// awaitTimeout bounds the waits for events that must happen.
 const awaitTimeout = 20 * time.Second
 
-// Wait is what the process ends with.
+// Wait waits for the end of the process and returns the result of exec.Cmd.Wait. Only one call returns, unless Ended is filled again.
 func (p *Process) Wait() error {
 	p.t.Helper()
 	select {
@@ -105,21 +105,21 @@
 	}
 }
 
-// Pause stops the process by SIGSTOP.
+// Pause pauses the process with SIGSTOP.
 func (p *Process) Pause() { p.Signal(syscall.SIGSTOP) }
 
-// Resume has a stopped process go on.
+// Resume resumes a paused process.
 func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
-// State is the system's word for what the process does: T, it is stopped.
+// State is the state of the process in /proc, such as T for a paused one.
 func (p *Process) State() string {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
 	return rest[:min(1, len(rest))]
 }
 
-// LogFile is the file that a process writes its log to. What it wrote before it did something that a test saw is in
-// there: no pipe is between, whose reader in the test may be late.
+// LogFile is the path of the file that a process writes its log to. What the process wrote before an effect that the test saw is in the
+// file: there is no pipe whose reader in the test could be late.
 type LogFile string
 
 func (w LogFile) String() string {
@@ -127,10 +127,10 @@
 	return string(text)
 }
 
-// Has reports whether the log holds a text by now.
+// Has reports whether the log contains a text by now.
 func (w LogFile) Has(text string) bool { return strings.Contains(w.String(), text) }
 
-// Buffer is what something writes. Its buffer is not embedded: ReadFrom would go round the lock.
+// Buffer is a bytes.Buffer for several goroutines. The buffer is not embedded, because its ReadFrom would bypass the lock.
 type Buffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -148,12 +148,12 @@
 	return l.text.String()
 }
 
-// Until waits for a state that nothing announces.
+// Until polls until ok returns true. what names the state in the failure.
 func Until(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(awaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("not within " + awaitTimeout.String() + ": " + what)
 		}
 	}
 }
--- a/internal/rig/usage/usage.go
+++ b/internal/rig/usage/usage.go
@@ -1,4 +1,4 @@
-// Package usage is what a process has taken, as the system says: seen from outside, without the process' help. Linux only.
+// Package usage reads the resources that a process uses from the system, without the process' help. Linux only.
 package usage
 
 import (
@@ -15,17 +15,17 @@
 	"petrelhook/internal/coordination/monotonic"
 )
 
-// Usage is of one process at one moment.
+// Usage is the usage of one process at one moment.
 type Usage struct {
 	Time        int64         `json:"-"`                // ns of the machine's monotonic clock
 	CPU         time.Duration `json:"cpu_ns"`           // since its start, user and system, of all its threads
 	Memory      int64         `json:"memory_bytes"`     // resident
-	MaxMemory   int64         `json:"max_memory_bytes"` // ... at most
+	MaxMemory   int64         `json:"max_memory_bytes"` // largest resident so far
 	Descriptors int           `json:"descriptors"`
-	Connections int           `json:"connections"` // sockets that are descriptors, listeners with them
+	Connections int           `json:"connections"` // descriptors that are sockets, listeners included
 }
 
-// Of looks at a process. An error says what could not be seen; what was seen before it is given.
+// Of reads the usage of a process. On an error it returns what was read until then.
 func Of(pid int) (u Usage, err error) {
 	if u.CPU, err = processorTime(pid); err != nil {
 		return u, err
@@ -55,17 +55,17 @@
 	return u, nil
 }
 
-// processorTime is a process's clock of processor time, in ns: the ticks of its stat are too coarse for a window of seconds.
+// processorTime reads the CPU-time clock of a process: the ticks of /proc/PID/stat are too coarse for a window of seconds.
 func processorTime(pid int) (time.Duration, error) {
 	var t unix.Timespec
-	clock := int32(^pid)<<3 | 2 // clock_getcpuclockid(3): the clock of all threads of a process, by its number
+	clock := int32(^pid)<<3 | 2 // as clock_getcpuclockid(3) makes it: the clock of all threads of the process
 	if err := unix.ClockGettime(clock, &t); err != nil {
 		return 0, fmt.Errorf("processor time of process %d: %w", pid, err)
 	}
 	return time.Duration(t.Nano()), nil
 }
 
-// Resident is the memory of a process, in bytes.
+// Resident is the resident memory of a process, in bytes.
 func Resident(pid int) (int64, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -74,7 +74,7 @@
 	return readKilobytes(status, "VmRSS:")
 }
 
-// MachineMemory is what the machine has, in bytes.
+// MachineMemory is the memory of the machine, in bytes.
 func MachineMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -83,7 +83,7 @@
 	return readKilobytes(text, "MemTotal:")
 }
 
-// readKilobytes reads a line of such a file, in bytes.
+// readKilobytes reads the value of a line "NAME N kB", in bytes.
 func readKilobytes(text []byte, name string) (int64, error) {
 	_, rest, _ := bytes.Cut(text, []byte(name))
 	line, _, ok := bytes.Cut(rest, []byte("kB"))
