--- a/internal/rig/contend/contend.go
+++ b/internal/rig/contend/contend.go
@@ -1,5 +1,6 @@
-// Package contend is processes that contend for a lease, and the resource that it guards: what tests of several processes start, stop
-// and kill. Holders say what they believed, with the moments on the machine's steady clock; package belief judges it.
+// Package contend has the processes that contend for a lease, and the resource that it protects, for tests of several processes, which
+// start, pause and kill them. Holders print when they believed that they hold the lease, by the machine's monotonic clock; package
+// belief checks that.
 package contend
 
 import (
@@ -24,29 +25,32 @@
 	"petrelhook/lease"
 )
 
-// TTL is that of holders' sessions.
+// TTL is the TTL of holders' sessions.
 const TTL = 800 * time.Millisecond
 
-// Run is a process in a role, until it ends; a test's program calls it. The arguments: of a holder its name, the resource and the
-// coordinators, by commas; of one that stops itself the resource and the coordinators; of one that keeps anything, the coordinators and
-// the lease.
+// Run runs a role until the process ends; a test's program calls it. Coordinators are addresses with commas. The arguments:
+//
+//	holder  name, address of the resource, coordinators
+//	stops   address of the resource, coordinators
+//	spend   name, interval, limit as JSON, coordinators
+//	keeps   (unused), coordinators, name of the lease
 func Run(role string, args []string) {
 	switch role {
 	case "holder":
-		hold(args[0], args[1], strings.Split(args[2], ","))
+		runHolder(args[0], args[1], strings.Split(args[2], ","))
 	case "stops":
-		stops(args[0], strings.Split(args[1], ","))
+		runPausedHolder(args[0], strings.Split(args[1], ","))
 	case "spend":
-		spend(args[0], args[1], args[2], strings.Split(args[3], ","))
+		runSpender(args[0], args[1], args[2], strings.Split(args[3], ","))
 	case "keeps":
-		keeps(strings.Split(args[1], ","), args[2])
+		runIdleHolder(strings.Split(args[1], ","), args[2])
 	}
 }
 
-// Looks are what a holder has said.
-func Looks(who, text string) (all []belief.Look) {
+// ParseBeliefs reads what a holder has printed.
+func ParseBeliefs(holder, text string) (all []belief.Belief) {
 	for in := bufio.NewScanner(strings.NewReader(text)); in.Scan(); {
-		l := belief.Look{Who: who}
+		l := belief.Belief{Holder: holder}
 		if n, _ := fmt.Sscan(in.Text(), &l.Token, &l.From, &l.To); n == 3 {
 			all = append(all, l)
 		}
@@ -54,8 +58,8 @@
 	return all
 }
 
-// hold is a process that contends for a lease, says when it believes, and acts on the resource, until its input ends.
-func hold(who, resource string, addrs []string) {
+// runHolder contends for a lease, prints its beliefs and writes to the resource, until its standard input ends.
+func runHolder(name, resource string, addrs []string) {
 	go func() { _, _ = io.Copy(io.Discard, os.Stdin); os.Exit(0) }()
 	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "same", TTL: TTL})
 	if err != nil {
@@ -77,7 +81,7 @@
 				break
 			}
 			fmt.Printf("%d %d %d\n", h.Token, from, monotonic.Now())
-			fmt.Fprintf(conn, "%s %d\n", who, h.Token)
+			fmt.Fprintf(conn, "%s %d\n", name, h.Token)
 			if answer, err := answers.ReadString('\n'); err != nil || answer == "old\n" {
 				break
 			}
@@ -89,8 +93,8 @@
 	}
 }
 
-// stops is a holder that is stopped between its look and its act.
-func stops(resource string, addrs []string) {
+// runPausedHolder is a holder that is paused (SIGSTOP) between its check of the lease and its write.
+func runPausedHolder(resource string, addrs []string) {
 	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "same", TTL: 3 * time.Second})
 	if err != nil {
 		panic(err)
@@ -106,7 +110,7 @@
 		}
 	}
 	fmt.Println("looked")
-	runtime.LockOSThread() // sent to this thread it takes effect before the next line; another would let this one go on for a moment
+	runtime.LockOSThread() // sent to this thread the signal takes effect before the next line; another thread would let this one go on for a moment
 	_ = unix.Tgkill(os.Getpid(), unix.Gettid(), unix.SIGSTOP)
 	fmt.Fprintf(conn, "stops %d\n", h.Token)
 	answer, _ := bufio.NewReader(conn).ReadString('\n')
@@ -114,8 +118,8 @@
 	os.Exit(0)
 }
 
-// keeps is a holder that holds until it is killed.
-func keeps(addrs []string, name string) {
+// runIdleHolder acquires a lease, prints its token, and holds it until it is killed.
+func runIdleHolder(addrs []string, name string) {
 	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "keeps", TTL: TTL})
 	if err != nil {
 		panic(err)
@@ -128,22 +132,22 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// Resource is guarded by the lease, and logs each act.
+// Resource is protected by the lease, and records each write.
 type Resource struct {
-	Guard lease.Guard
-	mu    sync.Mutex
-	acts  []belief.Act
+	Guard  lease.Guard
+	mu     sync.Mutex
+	writes []belief.Write
 }
 
-// Serve answers one holder.
+// Serve serves the connection of one holder until it ends.
 func (r *Resource) Serve(c net.Conn) {
 	for in := bufio.NewScanner(c); in.Scan(); {
-		a := belief.Act{}
-		_, _ = fmt.Sscan(in.Text(), &a.Who, &a.Token)
-		r.mu.Lock() // the log's order is the guard's
+		a := belief.Write{}
+		_, _ = fmt.Sscan(in.Text(), &a.Holder, &a.Token)
+		r.mu.Lock() // records are in the order of the guard
 		err := r.Guard.Admit(lease.Token(a.Token), func() error { return nil })
 		a.Admitted = err == nil
-		r.acts = append(r.acts, a)
+		r.writes = append(r.writes, a)
 		r.mu.Unlock()
 		if errors.Is(err, lease.ErrOld) {
 			io.WriteString(c, "old\n")
@@ -153,9 +157,9 @@
 	}
 }
 
-// Acts are those so far.
-func (r *Resource) Acts() []belief.Act {
+// Writes are the writes so far, admitted or not.
+func (r *Resource) Writes() []belief.Write {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.acts)
+	return slices.Clone(r.writes)
 }
