--- a/internal/sidecar/front/platform/request.go
+++ b/internal/sidecar/front/platform/request.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// respondWith writes an answer of the core, and ends the connection with it where clients are to leave or the limiter wants the place.
+// respondWith writes an answer of the core, and ends the connection with it where clients are to leave, or where the limiter expects no further use of the
+// connection.
 func (s *Server) respondWith(w http.ResponseWriter, req *http.Request, answer front.Answer) {
 	if !s.endConnectionIfLeaving(w) && s.limiter.ResponseStarted(req.Context()) {
 		w.Header().Set("Connection", "close")
--- a/internal/sidecar/wiring/imports_test.go
+++ b/internal/sidecar/wiring/imports_test.go
@@ -10,9 +10,8 @@
 
 const module = "petrelhook/"
 
-// layers says which packages of this module each package may import, itself and by way of others. A pattern that ends in
-// a star stands for what lies under it. Where a package is in no line the test fails: somebody has to say where it
-// belongs.
+// layers lists which packages of this module each package may import, directly and through others. A pattern that ends in a star matches all
+// packages below it. The test fails for a package that matches no line: whoever adds one decides where it belongs.
 var layers = []struct{ name, may string }{
 	{"balance", ""},
 	{"internal/router", ""},
@@ -108,7 +107,7 @@
 	{"cmd/adapter", "balance internal/sidecar/wire"},
 }
 
-// never says what must not be imported even where a line of layers is wide.
+// never lists what must not be imported even where a line of layers allows it.
 var never = []struct{ name, not string }{
 	{"internal/sidecar/wiring", "internal/rig/* internal/common/peertest"},
 	{"cmd/petrelhook", "internal/rig/* internal/common/peertest"},
@@ -137,7 +136,7 @@
 	return false
 }
 
-// misplaced says what is wrong with a package that imports others of this module.
+// misplaced reports the imports of a package that the layers do not allow.
 func misplaced(name string, imports []string) (wrong []string) {
 	may, found := "", false
 	for _, r := range layers {
@@ -161,8 +160,8 @@
 	return wrong
 }
 
-// Imports point down: a front can't name a server, a source can't name a request, nobody but the core (and those who
-// read settings) can name the module. Go itself sees to it that there is no circle.
+// Imports point down: a front does not depend on servers, a source of lists not on requests, and only the core and the packages that read
+// settings depend on the decision module. Go itself excludes cycles.
 func TestImportsPointDown(t *testing.T) {
 	out, err := exec.Command("go", "list", "-json=ImportPath,Deps,Imports", "petrelhook/...").Output()
 	if err != nil {
@@ -198,7 +197,7 @@
 	}
 }
 
-// The check itself sees each of the ways in which layers could grow together.
+// The check itself finds each way in which layers could come to depend on one another.
 func TestMisplacedImportsAreSeen(t *testing.T) {
 	for _, c := range []struct{ from, to string }{
 		{"internal/sidecar/front/platform", "internal/sidecar/upstream"}, {"internal/sidecar/front/platform", "internal/sidecar/core"},
--- a/internal/sidecar/wiring/peer.go
+++ b/internal/sidecar/wiring/peer.go
@@ -15,7 +15,7 @@
 const (
 	// lineReady is sent by the successor once it serves. The predecessor counts as succeeded, and acknowledges.
 	lineReady = "ready"
-	// lineAcknowledged is the predecessor's answer to lineReady. The successor waits for it before it says to others that it is ready.
+	// lineAcknowledged is the predecessor's answer to lineReady. The successor waits for it before it becomes ready for others.
 	lineAcknowledged = "heard"
 	// lineEvacuate and lineRejoin are sent by either process when operators have asked it so; the other does the same.
 	lineEvacuate = "evacuate"
@@ -76,12 +76,12 @@
 		status, changed := p.sidecar.lifecycle.Watch()
 		requested := status.EvacuationRequested()
 		p.mu.Lock()
-		news := requested != p.reportedEvacuation && status.State() != lifecycle.Stopping
+		unreported := requested != p.reportedEvacuation && status.State() != lifecycle.Stopping
 		p.reportedEvacuation = requested
 		p.mu.Unlock()
-		if news && requested {
+		if unreported && requested {
 			p.send(lineEvacuate)
-		} else if news {
+		} else if unreported {
 			p.send(lineRejoin)
 		}
 		select {
--- a/internal/sidecar/wiring/run.go
+++ b/internal/sidecar/wiring/run.go
@@ -73,7 +73,7 @@
 }
 
 // becomeReady makes the process ready once a server is known. A process that takes part in no hand-overs is ready without one after
-// lifecycle.MaxStartWait; a successor takes nothing over before it can serve.
+// lifecycle.MaxStartWait. One that does waits without limit: a predecessor stays in service until its successor can serve.
 func (s *Sidecar) becomeReady(ctx context.Context, succession *Succession) {
 	var waitedEnough <-chan time.Time
 	if succession == nil {
