--- a/cmd/petrelhook-agent/faults_test.go
+++ b/cmd/petrelhook-agent/faults_test.go
@@ -25,8 +25,8 @@
 
 const twoStages = "at_once: 2\nunavailable: 3\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 1}\n  - {share: 1}\n"
 
-// The coordinator that drives a change is killed, again and again, and one is stopped and goes on with what it had in hand: the change
-// comes to its end, each sidecar is changed once, and what the one that was stopped says is refused.
+// The coordinator that drives a change is killed again and again, and one is paused and continues with calls in flight: the change
+// completes, each sidecar is changed once, and the calls of the one that was paused are refused.
 func TestDriversThatDie(t *testing.T) {
 	s := newSite(t, 6, 200, "", nil)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
@@ -35,8 +35,8 @@
 	}
 	for round := range 3 {
 		peertest.Eventually(t, "one drives", func() bool { return s.Drives() >= 0 })
-		was := s.Changes().Now.Events
-		s.Until(30*time.Second, "it moves", func(c *rollout.Change) bool { return c.Events > was || c.State.Phase.Over() })
+		was := s.Changes().Current.EventCount
+		s.Until(30*time.Second, "it moves", func(c *rollout.Change) bool { return c.EventCount > was || c.State.Phase.Over() })
 		i := s.Drives()
 		if i < 0 {
 			continue
@@ -51,23 +51,23 @@
 		s.All[i].Die()
 		died := time.Now()
 		peertest.Eventually(t, "another drives", func() bool { return s.Drives() != i && s.Drives() >= 0 })
-		events := s.Changes().Now.Events
-		s.Until(30*time.Second, "its word is taken", func(c *rollout.Change) bool { return c.Events > events || c.State.Phase.Over() })
+		events := s.Changes().Current.EventCount
+		s.Until(30*time.Second, "its word is taken", func(c *rollout.Change) bool { return c.EventCount > events || c.State.Phase.Over() })
 		t.Logf("%v from a driver's death to the word of the next", time.Since(died).Round(10*time.Millisecond))
 		s.All[i].Start()
 	}
 	c := s.Over(2 * time.Minute)
 	if c.State.Phase != rollout.Done || deployment.Running(c, good) != 6 {
-		t.Errorf("%v: %s", c.State.Phase, c.State.Why)
+		t.Errorf("%v: %s", c.State.Phase, c.State.Reason)
 	}
 	starts := 0
 	for _, a := range s.Agents {
 		starts += strings.Count(a.Log.String(), "msg=started")
 	}
-	if starts != 6+6+1 { // first, changed, and the control
+	if starts != 6+6+1 { // at first, changed, and the control
 		t.Errorf("%d starts", starts)
 	}
-	for _, token := range []uint64{1, 1 << 40} { // an older driver; a newer one that says an order once more
+	for _, token := range []uint64{1, 1 << 40} { // an older driver; a newer one that repeats an order
 		order := machine.Order{Version: machine.Version, Application: deployment.Application, Token: token, Order: rollout.Order{Number: 1, Sidecar: "n00", Release: string(s.Old)}}
 		res, err := rpc.Client[machine.Order, machine.OrderResponse](http.DefaultClient, s.Agents[0].Link.Addr, machine.PathOrder, 1<<20).CallUnary(t.Context(), connect.NewRequest(&order))
 		if token == 1 && connect.CodeOf(err) != connect.CodeAborted || token > 1 && (err != nil || !res.Msg.Known) {
@@ -77,8 +77,8 @@
 	s.Check()
 }
 
-// kill kills agents in turn, each within a time, and starts them again, until the function that it gives is called, or the test ends: how
-// many it were.
+// kill kills one agent after the other, each after a random time up to within, and starts it again, until the function that it returns is
+// called or the test ends. That function returns the number of kills.
 func kill(t *testing.T, s *deployment.Site, within time.Duration) (end func() int) {
 	stop, ended := make(chan struct{}), make(chan struct{})
 	kills := 0
@@ -105,10 +105,10 @@
 	return func() int { enough(); return kills }
 }
 
-// An agent is killed at any moment of a change, and started again: no sidecar ever has a third process or none, and the change comes to
-// its end.
+// Agents are killed at random moments of a change and started again: no sidecar ever has a third process or none, and the change
+// completes.
 func TestAgentsThatDie(t *testing.T) {
-	s := newSite(t, 6, 200, "", func(d *deployment.Deployment) { // a trial begins anew with the agent
+	s := newSite(t, 6, 200, "", func(d *deployment.Deployment) { // a trial starts over with the agent
 		d.Limits = "{ready: 15s, trial: 300ms, end: 4s, look: 50ms, cut_off: 20s, heard: 4s, restart_pause: 200ms}"
 	})
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
@@ -117,7 +117,7 @@
 	}
 	end := kill(t, s, 1200*time.Millisecond)
 	c := s.Until(2*time.Minute, "over", func(c *rollout.Change) bool { return c.State.Phase.Over() || c.State.Phase == rollout.Paused })
-	t.Logf("%d kills of agents; %v: %s", end(), c.State.Phase, c.State.Why)
+	t.Logf("%d kills of agents; %v: %s", end(), c.State.Phase, c.State.Reason)
 	if c.State.Phase != rollout.Done || deployment.Running(c, good) != 6 {
 		text, _ := json.Marshal(c.State)
 		t.Errorf("%v: %s", c.State.Phase, text)
@@ -125,8 +125,8 @@
 	s.Check()
 }
 
-// A third of the agents is cut off in the middle of a stage, and the change is aborted meanwhile: what is in reach is taken back at once;
-// those that are cut off go back by themselves, and are found so.
+// A third of the agents is isolated in the middle of a stage, and the change is aborted meanwhile: the sidecars in reach are rolled back at
+// once; those that are isolated fall back by themselves, and their status says so later.
 func TestAgentsThatAreCutOff(t *testing.T) {
 	s := newSite(t, 6, 200, "", func(d *deployment.Deployment) {
 		d.PerAgent = 2
@@ -142,23 +142,23 @@
 	s.Until(time.Minute, "it is seen", func(c *rollout.Change) bool { return !c.State.Sidecars()[0].Ready })
 	s.Say(rollout.Event{Abort: "by hand"})
 	s.Until(time.Minute, "the others are back", func(c *rollout.Change) bool { return deployment.Running(c, s.Old) >= 5 })
-	if c := s.Changes().Now; c.State.Phase != rollout.TakingBack || len(c.State.Orders()) != 1 {
-		t.Errorf("%v: %v", c.State.Phase, c.State.Orders())
+	if c := s.Changes().Current; c.State.Phase != rollout.RollingBack || len(c.State.OpenOrders()) != 1 {
+		t.Errorf("%v: %v", c.State.Phase, c.State.OpenOrders())
 	}
 	peertest.Eventually(t, "it goes back by itself", func() bool {
 		k := cut.Kept()
 		return k[0].FallbackReason == rollout.MachineIsolated && k[0].Serving != nil && k[0].Serving.Release == string(s.Old) && k[0].Phase == agent.Idle
 	})
 	cut.Link.Hold(link.Forth, false)
-	if c := s.Over(time.Minute); c.State.Phase != rollout.Stopped || deployment.Running(c, s.Old) != 6 || c.State.Why != "by hand" {
+	if c := s.Over(time.Minute); c.State.Phase != rollout.Stopped || deployment.Running(c, s.Old) != 6 || c.State.Reason != "by hand" {
 		text, _ := json.Marshal(c.State)
 		t.Errorf("%s", text)
 	}
 	s.Check()
 }
 
-// A sidecar is stopped in the middle of a stage: the change waits for it, and pauses. Then its agent is stopped, and the change is
-// aborted meanwhile: the order to go back, said again and again, is carried out once as the agent goes on.
+// A sidecar is suspended in the middle of a stage: the change waits for it, and pauses. Then its agent is suspended, and the change is
+// aborted meanwhile: the order to roll back, repeated at every poll, is carried out once when the agent continues.
 func TestStoppedProcesses(t *testing.T) {
 	s := newSite(t, 4, 100, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
@@ -170,16 +170,16 @@
 	pid := a.Kept()[0].Serving.PID
 	syscall.Kill(pid, syscall.SIGSTOP)
 	c := s.Until(time.Minute, "it pauses", func(c *rollout.Change) bool { return c.State.Phase == rollout.Paused })
-	if !strings.Contains(c.State.Why, "nothing came of it") || !strings.HasSuffix(c.State.Why, ": n00") {
-		t.Errorf("%s", c.State.Why)
+	if !strings.Contains(c.State.Reason, "nothing came of it") || !strings.HasSuffix(c.State.Reason, ": n00") {
+		t.Errorf("%s", c.State.Reason)
 	}
 	syscall.Kill(pid, syscall.SIGCONT)
 	s.Until(time.Minute, "it is ready", func(c *rollout.Change) bool { return c.State.Sidecars()[0].Ready })
 	a.Stop()
 	s.Say(rollout.Event{Abort: "by hand"})
 	c = s.Until(time.Minute, "it is out of reach", func(c *rollout.Change) bool { return !c.State.Sidecars()[0].Ready })
-	if c.State.Phase != rollout.TakingBack || len(c.State.Orders()) != 1 {
-		t.Errorf("%v: %v", c.State.Phase, c.State.Orders())
+	if c.State.Phase != rollout.RollingBack || len(c.State.OpenOrders()) != 1 {
+		t.Errorf("%v: %v", c.State.Phase, c.State.OpenOrders())
 	}
 	a.Continue()
 	if c := s.Over(time.Minute); deployment.Running(c, s.Old) != 4 || strings.Count(a.Log.String(), "msg=started sidecar=n00") != 3 {
@@ -187,8 +187,8 @@
 	}
 }
 
-// A machine is back after weeks: what its sidecar ran is no longer there. It takes the fleet's word for what is confirmed, and nothing
-// else; until it is told it starts nothing.
+// A machine comes back after weeks, and the release of its sidecars is no longer there. It starts nothing until a driver says which
+// release is confirmed.
 func TestAMachineThatIsBackAfterWeeks(t *testing.T) {
 	s := newSite(t, 4, 60, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -10,7 +10,7 @@
 	"petrelhook/internal/rig/deployment"
 )
 
-// The harm of a bad release within some time of its begin: judged in stages, in stages by the clock, and all at once; 12 sidecars, one load.
+// The harm that a bad release does within some time: judged in stages, in stages by the clock, and all at once; 12 sidecars, the same load.
 func TestFiguresOfHarm(t *testing.T) {
 	peertest.Figures(t)
 	const horizon = 40 * time.Second
@@ -30,8 +30,8 @@
 			t.Fatal(err)
 		}
 		<-time.After(horizon)
-		c := s.Changes().Now
-		t.Logf("%s: %v in stage %d after %v: %s", names[i], c.State.Phase, c.State.Stage, horizon, c.State.Why)
+		c := s.Changes().Current
+		t.Logf("%s: %v in stage %d after %v: %s", names[i], c.State.Phase, c.State.Stage, horizon, c.State.Reason)
 		if !c.State.Phase.Over() {
 			s.Say(rollout.Event{Abort: "measured"})
 		}
@@ -59,7 +59,7 @@
 	}
 }
 
-// Good changes of 12 sidecars in three stages, one after the other, there and back: none is stopped, and no request meets them.
+// Good changes of 12 sidecars in three stages, one after the other, forth and back: none is stopped, and no request is affected.
 func TestFiguresOfGoodChanges(t *testing.T) {
 	peertest.Figures(t)
 	s := newSite(t, 12, 1500, "", nil)
@@ -72,7 +72,7 @@
 		c := s.Over(3 * time.Minute)
 		t.Logf("change %d: %v after %v", i+1, c.State.Phase, time.Since(began).Round(100*time.Millisecond))
 		if c.State.Phase != rollout.Done {
-			t.Fatal(c.State.Why)
+			t.Fatal(c.State.Reason)
 		}
 		now, next = next, now
 	}
--- a/cmd/petrelhook-coordinator/main.go
+++ b/cmd/petrelhook-coordinator/main.go
@@ -103,9 +103,9 @@
 // on.
 func startDriver(ctx context.Context, c *fleet.Config, log *slog.Logger) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	d := &driver.Driver{TTL: driverTTL, Every: c.DriveEvery, Log: log}
+	d := &driver.Driver{TTL: driverTTL, Interval: c.DriveEvery, Log: log}
 	for _, m := range c.Replicas {
-		d.Addrs = append(d.Addrs, m.Addr)
+		d.Coordinators = append(d.Coordinators, m.Addr)
 	}
 	ended := make(chan struct{})
 	go func() {
--- a/internal/coordination/agent/mutation_test.go
+++ b/internal/coordination/agent/mutation_test.go
@@ -8,27 +8,29 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// What a version's way into force rests on is taken out of the code, one at a time: each is caught.
+// Each condition that the application of versions rests on is removed from the code, one at a time, and a test notices.
 func TestTheChecksCanFail(t *testing.T) {
 	const (
 		pkg, machine = "./internal/coordination/agent", "./internal/coordination/machine"
 		versions     = "internal/coordination/agent/configuration.go"
 		sidecar      = "internal/coordination/agent/sidecar.go"
-		shell        = "internal/coordination/machine/version.go"
+		change       = "internal/coordination/agent/change.go"
+		store        = "internal/coordination/machine/version.go"
+		checks       = "internal/coordination/machine/check.go"
 	)
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"an older one is not wanted":    {versions, "version > s.wanted", "version != s.wanted", pkg, "TestVersionsInARow"},
-		"orders come first":             {versions, "now < s.held ||", "", pkg, "TestVersionsAndOrders"},
-		"what is in force starts":       {versions, "\treturn s.InForce\n", "\treturn s.wanted\n", pkg, "TestAVersionThatMends"},
-		"live where the file is told":   {versions, `s.told != ""`, "true", pkg, "TestVersions"},
-		"in force is what was read":     {versions, "digest == s.expected", "true", pkg, "TestAVersionBehindOneThatIsTold"},
-		"an answer to another check":    {versions, "|| c != s.question()", "", pkg, "TestBothReleasesAreAsked"},
-		"the start that was not made":   {sidecar, "\t\ttodo = append(todo, s.start(s.To)...)\n", "", pkg, "TestAStartThatWasNeverMade"},
-		"the doomed, for a start":       {sidecar, "\t\tif s.Doomed != nil {\n\t\t\treturn nil\n\t\t}\n", "", pkg, "TestTheDoomedAreGoneFirst"},
-		"the doomed, for an order":      {sidecar, "\tcase s.Doomed != nil:\n\t\treturn nil, fmt", "\tcase false:\n\t\treturn nil, fmt", pkg, "TestTheDoomedAreGoneFirst"},
-		"older than what is kept":       {shell, "v.Revision <= m.holds", "false", machine, "TestVersionsOnAMachine"},
-		"another service's":             {shell, "v.Service != m.c.Application:\n\t\t\treturn struct{}", "false:\n\t\t\treturn struct{}", machine, "TestVersionsOnAMachine"},
-		"the digest of what is kept":    {shell, "|| distribute.Digest(content) != v.Digest:", "|| false:", machine, "TestVersionsOnAMachine"},
-		"what must not be side by side": {shell, "f.Kind == release.Refused", "false", machine, "TestApart"},
+		"an older version has no effect":      {versions, "version > s.newest", "version != s.newest", pkg, "TestVersionsInARow"},
+		"orders come first":                   {versions, "now < s.reservedUntil ||", "", pkg, "TestVersionsAndOrders"},
+		"starts use the version in force":     {versions, "\treturn s.InForce\n", "\treturn s.newest\n", pkg, "TestANewerVersionEndsACrashLoop"},
+		"reload where digests are reported":   {versions, `s.reportedDigest != ""`, "true", pkg, "TestVersions"},
+		"in force once it was read":           {versions, "digest == s.expectedDigest", "true", pkg, "TestAVersionBehindAReload"},
+		"the result of another check":         {versions, "|| check != s.nextCheck()", "", pkg, "TestBothReleasesAreChecked"},
+		"the start that was not made":         {sidecar, "\t\tactions = append(actions, s.requestStart(s.Target)...)\n", "", pkg, "TestAStartThatWasNeverMade"},
+		"a terminating process, for a start":  {sidecar, "\tcase s.Terminating != nil:\n\t\treturn nil\n", "", pkg, "TestNothingStartsBesideATerminatingProcess"},
+		"a terminating process, for an order": {change, "\tcase s.Terminating != nil:\n\t\treturn nil, fmt", "\tcase false:\n\t\treturn nil, fmt", pkg, "TestNothingStartsBesideATerminatingProcess"},
+		"older than the stored ones":          {store, "v.Revision <= m.versions.newest", "false", machine, "TestVersionsOnAMachine"},
+		"another service's version":           {store, "v.Service != m.config.Application:\n\t\t\treturn struct{}", "false:\n\t\t\treturn struct{}", machine, "TestVersionsOnAMachine"},
+		"the digest of a stored version":      {store, "|| distribute.Digest(content) != v.Digest:", "|| false:", machine, "TestVersionsOnAMachine"},
+		"what must not be side by side":       {checks, "f.Kind == release.Refused", "false", machine, "TestIncompatibility"},
 	})
 }
--- a/internal/coordination/capacity/fit_test.go
+++ b/internal/coordination/capacity/fit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// made is a series of made-up points: value gives that of a size and run.
+// made returns a series of points whose values value computes from size and run.
 func made(k Key, sizes []int, value func(size, run int) float64) (all []Point) {
 	for _, n := range sizes {
 		for run := 1; run <= 3; run++ {
@@ -23,7 +23,7 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*math.Max(1, math.Abs(b)) }
 
-// A line is found as it was made, and is believed.
+// A line is found as it was made, and is trusted.
 func TestALineIsFound(t *testing.T) {
 	all := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, steps,
 		func(n, _ int) float64 { return 700 + 40*float64(n) })})
@@ -31,7 +31,7 @@
 		t.Fatal(all)
 	}
 	l := all[0]
-	if !near(l.Base, 700) || !near(l.Each, 40) || !near(l.Spread, 0) || !l.Believed || l.Steep() || len(l.Sizes) != 4 {
+	if !near(l.Intercept, 700) || !near(l.Slope, 40) || !near(l.Spread, 0) || !l.Trusted || l.Steep() || len(l.Sizes) != 4 {
 		t.Errorf("%+v", l)
 	}
 	if l.Check == nil || l.Check.Size != 12000 || !near(l.Check.Error, 0) || !near(l.Check.Predicted, 480700) {
@@ -39,17 +39,17 @@
 	}
 }
 
-// What grows with the square is said to grow faster than linear, and its line is not believed.
+// Quadratic growth is reported as faster than linear, and its line is not trusted.
 func TestASquareIsNotBelieved(t *testing.T) {
 	l := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, steps,
 		func(n, _ int) float64 { return float64(n) * float64(n) })})[0]
-	if l.Believed || !l.Steep() || !near(l.Exponent, 2) || !strings.Contains(l.Why, "faster than linear") ||
-		l.Check.Error > -believable {
+	if l.Trusted || !l.Steep() || !near(l.Exponent, 2) || !strings.Contains(l.Reason, "faster than linear") ||
+		l.Check.Error > -maxError {
 		t.Errorf("%+v %+v", l, l.Check)
 	}
 }
 
-// A prediction is believed up to a fifth off, and beyond it where the runs themselves are as far apart.
+// A prediction is trusted up to an error of a fifth, and beyond it if the runs themselves differ by as much.
 func TestWhatIsBelieved(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -70,13 +70,13 @@
 			return float64(n)
 		})
 		l := Fit(&Measured{FitUpTo: 3000, Points: points})[0]
-		if l.Believed != c.believed || !strings.Contains(l.Why, c.why) {
-			t.Errorf("%s: %v: %s", c.name, l.Believed, l.Why)
+		if l.Trusted != c.believed || !strings.Contains(l.Reason, c.why) {
+			t.Errorf("%s: %v: %s", c.name, l.Trusted, l.Reason)
 		}
 	}
 }
 
-// Too few sizes or runs give no line, and one without a check is not believed.
+// Too few sizes or runs give no line, and a line without a check is not trusted.
 func TestWhatIsTooLittle(t *testing.T) {
 	line := func(n, _ int) float64 { return float64(n) }
 	if all := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, []int{500, 1000, 2000, 12000}, line)}); all != nil {
@@ -89,26 +89,26 @@
 		t.Errorf("two runs at a size: %+v", all)
 	}
 	all := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, steps[:4], line)})
-	if len(all) != 1 || all[0].Believed || all[0].Check != nil || !strings.Contains(all[0].Why, "no run above") {
+	if len(all) != 1 || all[0].Trusted || all[0].Check != nil || !strings.Contains(all[0].Reason, "no run above") {
 		t.Errorf("no check: %+v", all)
 	}
-	// Where nothing was run above, the largest of five is held out.
+	// If nothing ran above, the largest of five is held out.
 	held := Fit(&Measured{FitUpTo: 4000, Points: made(renewals, []int{500, 1000, 2000, 3000, 4000}, line)})
-	if len(held) != 1 || !held[0].Believed || held[0].Check.Size != 4000 || len(held[0].Sizes) != 4 {
+	if len(held) != 1 || !held[0].Trusted || held[0].Check.Size != 4000 || len(held[0].Sizes) != 4 {
 		t.Errorf("held out: %+v", held)
 	}
 	square := func(n, _ int) float64 { return float64(n) * float64(n) }
 	held = Fit(&Measured{FitUpTo: 4000, Points: made(renewals, []int{500, 1000, 2000, 3000, 4000}, square)})
-	if len(held) != 1 || held[0].Believed {
+	if len(held) != 1 || held[0].Trusted {
 		t.Errorf("held out, a square: %+v", held)
 	}
 	if all := Fit(&Measured{FitUpTo: 3000, Points: made(renewals, steps,
-		func(int, int) float64 { return 0 })}); !all[0].Believed {
+		func(int, int) float64 { return 0 })}); !all[0].Trusted {
 		t.Errorf("nothing at all, at any size: %+v", all[0])
 	}
 }
 
-// Files of points that are none are refused, with the place.
+// Invalid files of points are refused, with the place.
 func TestBadPoints(t *testing.T) {
 	const good = `{"fit_up_to": 3000, "points": [
  {"workload": "w", "role": "r", "metric": "m", "size": 5, "run": 1, "value": 2.5}]}`
--- a/internal/coordination/capacity/model_test.go
+++ b/internal/coordination/capacity/model_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// with is the committed file with other values of some fields.
+// with returns the committed file with other values of some fields.
 func with(t *testing.T, values map[string]string) *Assumptions {
 	t.Helper()
 	path, text := theFile(t)
@@ -52,7 +52,7 @@
 
 func row(t *testing.T, rows []Row, time, role, what string) Row {
 	t.Helper()
-	i := slices.IndexFunc(rows, func(r Row) bool { return r.Time == time && r.Role == role && r.What == what })
+	i := slices.IndexFunc(rows, func(r Row) bool { return r.Time == time && r.Role == role && r.Quantity == what })
 	if i < 0 {
 		t.Fatalf("no row %s: %s: %s", time, role, what)
 	}
@@ -63,16 +63,16 @@
 func measuredSmall() *Measured {
 	m := &Measured{FitUpTo: 40}
 	sizes := []int{10, 20, 30, 40, 100}
-	line := func(workload, role, metric string, base, each float64) {
-		m.Points = append(m.Points, made(Key{workload, role, metric}, sizes,
-			func(n, _ int) float64 { return base + each*float64(n) })...)
-	}
-	line("renewals", "leader", "cpu_us_s", 1000, 20000)
-	line("watches", "leader", "cpu_us_s", 0, 30000)
-	line("renewals", "member", "cpu_us_s", 100, 0)
-	line("watches", "agent", "cpu_us_s", 150, 0.5)
-	line("watches", "sidecar", "cpu_us_s", 0, 0)
-	line("looks", "agent", "cpu_us_s", 300, 0)
+	line := func(workload, role string, intercept, slope float64) {
+		m.Points = append(m.Points, made(Key{workload, role, "cpu_us_s"}, sizes,
+			func(n, _ int) float64 { return intercept + slope*float64(n) })...)
+	}
+	line("renewals", "leader", 1000, 20000)
+	line("watches", "leader", 0, 30000)
+	line("renewals", "member", 100, 0)
+	line("watches", "agent", 150, 0.5)
+	line("watches", "sidecar", 0, 0)
+	line("looks", "agent", 300, 0)
 	m.Points = append(m.Points, made(Key{"publish", "member", "in_force_max_s"}, []int{100},
 		func(_, run int) float64 { return float64(run) })...)
 	m.Points = append(m.Points, Point{"publish", "agent", "in_force_max_s", 100, 1, 0.5},
@@ -100,7 +100,7 @@
 	return m
 }
 
-// What a small fleet needs is what it is by hand.
+// The needs of a small fleet are those computed by hand.
 func TestKnownResults(t *testing.T) {
 	rows := Evaluate(small(t), measuredSmall())
 	for _, c := range []struct {
@@ -108,50 +108,50 @@
 		need             float64
 		verdict          string
 	}{
-		{Ordinary, Calls, "calls in the mean", 50, "no budget is stated"},
+		{Ordinary, SidecarCalls, "calls in the mean", 50, "no budget is stated"},
 		// the worse class at 60
-		{Ordinary, Calls, "added to a call for 99 in 100, in the mean", 0.0002, "fits by 2.5 times"},
+		{Ordinary, SidecarCalls, "added to a call for 99 in 100, in the mean", 0.0002, "fits by 2.5 times"},
 		// ... at 500
-		{Busiest, Calls, "added to a call for 99 in 100, at the busiest", 0.0006, "does not: 1.2 times over"},
+		{Busiest, SidecarCalls, "added to a call for 99 in 100, at the busiest", 0.0006, "does not: 1.2 times over"},
 		// 55.6 calls, of which 60 were seen deeper
-		{Zone, Calls, "added to a call for 99 in 100, at those that are left", 0.0025, "does not: 5 times over"},
-		{Ordinary, Calls, "added over the deepest chain for 99 in 100, in the mean", 0.0025, "fits by 3 times"},
-		{Ordinary, Calls, "processor time for calls, in the mean", 50 * 400e-6, "no budget is stated"},
-		{Busiest, Calls, "attempts at the leaf of the deepest chain, a call, where some of them fail", 3,
+		{ZoneLost, SidecarCalls, "added to a call for 99 in 100, at those that are left", 0.0025, "does not: 5 times over"},
+		{Ordinary, SidecarCalls, "added over the deepest chain for 99 in 100, in the mean", 0.0025, "fits by 3 times"},
+		{Ordinary, SidecarCalls, "processor time for calls, in the mean", 50 * 400e-6, "no budget is stated"},
+		{Busiest, SidecarCalls, "attempts at the leaf of the deepest chain, a call, where some of them fail", 3,
 			"does not: 1.5 times over"},
-		{Busiest, Calls,
-			"attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's repeats allow",
+		{Busiest, SidecarCalls,
+			"attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's retries allow",
 			math.Pow(1.2, 15), "does not: 7.8 times over"},
 		// 1,728 changes a day
-		{Ordinary, Control, "bytes of lists alone", 2*25 + 0.02*0.2*150, "fits by 170 times"},
+		{Ordinary, SidecarControl, "bytes of lists alone", 2*25 + 0.02*0.2*150, "fits by 170 times"},
 		// 20 servers
-		{Ordinary, Control, "lists held, as text", 2000, "fits by 120,000 times"},
+		{Ordinary, SidecarControl, "lists in memory, as text", 2000, "fits by 120,000 times"},
 		{Ordinary, Leader, "renewals, by a trial with as many sessions", 40, "fits by 2.5 times"},
 		// of half of 10
 		{Ordinary, Leader, "processor time of renewals and watches", 5.001, "does not: 1.01 times over"},
 		{Ordinary, Leader, "snapshot: sessions, versions, changes of all", 100*56 + 10*1000 + 10000,
 			"fits by 2,600 times"},
-		{Ordinary, Driver, "a turn over all applications, each changed once", 0.1 + 100*0.001/3, "fits by 7.5 times"},
+		{Ordinary, Driver, "a poll of all applications, each changed once", 0.1 + 100*0.001/3, "fits by 7.5 times"},
 		// as with 20
-		{Now, Driver, "staged, judged by the clock, in a mean service", 8, "fits by 1.75 times"},
+		{ByRollout, Driver, "staged, judged by the clock, in a mean service", 8, "fits by 1.75 times"},
 		// between 20 and 200
-		{Now, Driver, "staged, judged by the clock, of all sidecars, could it begin", 8 - 2*80./180,
+		{ByRollout, Driver, "staged, judged by the clock, of all sidecars, could it begin", 8 - 2*80./180,
 			"fits by 1.96 times"},
-		{Now, Leader, "message that begins a change of all", 10000, "does not: 1.25 times over"},
+		{ByRollout, Leader, "message that begins a change of all", 10000, "does not: 1.25 times over"},
 		// the worst run
-		{After, Control, "told everywhere", 3, "fits by 4.6 times"},
-		{After, Control, "in force at the last real sidecar, as they run", 0.5, "fits by 28 times"},
-		{After, Control, "in force at the last real sidecar, by a hand-over", 2, "fits by 7 times"},
-		{Ordinary, Control, "memory of a real agent and sidecar, as versions come into force", 128e6, "fits by 2 times"},
-		{Now, Driver, "all at once, without a judge, in the largest service", 4, "fits by 3.5 times"}, // as 20 had it
+		{ByVersion, SidecarControl, "received everywhere", 3, "fits by 4.6 times"},
+		{ByVersion, SidecarControl, "in force at the last real sidecar, by a reload", 0.5, "fits by 28 times"},
+		{ByVersion, SidecarControl, "in force at the last real sidecar, by a hand-over", 2, "fits by 7 times"},
+		{Ordinary, SidecarControl, "memory of a real agent and sidecar, as versions come into force", 128e6, "fits by 2 times"},
+		{ByRollout, Driver, "all at once, without a judge, in the largest service", 4, "fits by 3.5 times"}, // as 20 had it
 		{Busiest, Leader, "changes of configuration", 10, "fits by 5 times"},
-		{Rack, Control, "bytes of lists, as they go, of a minute's budget", 6 * 0.2 * 150, "fits by 3,000 times"},
-		{Rack, Lists, "lines of lists out of a machine, each change a line", 6 * 20 / 6. / 2, "no budget is stated"},
-		{Region, Leader, "sessions opened as they are back", 25, "fits by 2 times"},
-		{Coordinators, Leader, "renewals, and watches that are back within their spread", 40 + 50/3.,
+		{RackLost, SidecarControl, "bytes of lists, as they go, of a minute's budget", 6 * 0.2 * 150, "fits by 3,000 times"},
+		{RackLost, ListServer, "lines of lists out of a machine, each change a line", 6 * 20 / 6. / 2, "no budget is stated"},
+		{RegionIsolated, Leader, "sessions opened as they return", 25, "fits by 2 times"},
+		{CoordinatorsLost, Leader, "renewals, and watches that return within their spread", 40 + 50/3.,
 			"fits by 1.76 times"},
-		{Coordinators, Leader, "sessions opened anew, one after the other", 2, "fits by 5 times"},
-		{Coordinators, Follower, "asks of sessions while nobody leads, beside what three replicas answered",
+		{CoordinatorsLost, Leader, "sessions opened again, one after the other", 2, "fits by 5 times"},
+		{CoordinatorsLost, Follower, "requests of sessions without a leader, beside what three replicas answered",
 			1000 / 3., "fits by 43 times"},
 	} {
 		r := row(t, rows, c.time, c.role, c.what)
@@ -163,10 +163,10 @@
 	}
 }
 
-// A sum of which a part is missing is judged only where what is known is over already.
+// A sum of which a part is missing gets a verdict only if the known part exceeds the budget.
 func TestWhatIsMissing(t *testing.T) {
 	m := measuredSmall()
-	r := row(t, Evaluate(small(t), m), Ordinary, Control, "processor time")
+	r := row(t, Evaluate(small(t), m), Ordinary, SidecarControl, "processor time")
 	if r.Class != NotMeasured || !near(r.Need.Value, 600e-6) ||
 		!slices.Equal(r.Missing(), []string{"lists/sidecar/cpu_us_s"}) {
 		t.Errorf("%+v", r)
@@ -176,17 +176,17 @@
 			m.Points[i].Value *= 100
 		}
 	}
-	rest := row(t, Evaluate(small(t), m), Ordinary, Control, "processor time of a real agent and sidecar at rest, with one short list")
-	if rest.Class != FitsNot || rest.Verdict != "does not: 1.54 times over" { // 20 of 13 ms a second
+	rest := row(t, Evaluate(small(t), m), Ordinary, SidecarControl, "processor time of a real agent and sidecar at rest, with one short list")
+	if rest.Class != DoesNotFit || rest.Verdict != "does not: 1.54 times over" { // 20 of 13 ms a second
 		t.Errorf("%+v", rest)
 	}
-	r = row(t, Evaluate(small(t), m), Ordinary, Control, "processor time")
-	if r.Class != FitsNot || r.Verdict != "does not: at least 1.57 times over" { // 20.4 of 13 ms a second
+	r = row(t, Evaluate(small(t), m), Ordinary, SidecarControl, "processor time")
+	if r.Class != DoesNotFit || r.Verdict != "does not: at least 1.57 times over" { // 20.4 of 13 ms a second
 		t.Errorf("%+v", r)
 	}
 }
 
-// A slope that is not believed gives no figure, and the row says why; a point of the size itself does.
+// A slope that is not trusted gives no figure, and the row says why; a point of the size itself does.
 func TestASlopeThatIsNotBelieved(t *testing.T) {
 	m := measuredSmall()
 	grow := func(upTo int) {
@@ -198,7 +198,7 @@
 	}
 	grow(40)
 	r := row(t, Evaluate(small(t), m), Ordinary, Leader, "processor time of renewals and watches")
-	if r.Class != FitsNot || !slices.Contains(r.Need.From, "point watches/leader/cpu_us_s at 100") {
+	if r.Class != DoesNotFit || !slices.Contains(r.Need.From, "point watches/leader/cpu_us_s at 100") {
 		t.Errorf("%+v", r)
 	}
 	m.Points = slices.DeleteFunc(m.Points, func(p Point) bool {
@@ -212,7 +212,7 @@
 	}
 }
 
-// Without any points no figure of a run is told, and each figure that is told has a source.
+// Without any points there is no figure of a run, and each figure has a source.
 func TestNothingMeasured(t *testing.T) {
 	for _, r := range Evaluate(theAssumptions(t), nil) {
 		for _, f := range r.Need.From {
@@ -223,7 +223,7 @@
 		if len(r.Need.Missing) > 0 && r.Class == Fits {
 			t.Errorf("%s: %s, and %v is missing", r.Name(), r.Verdict, r.Need.Missing)
 		}
-		if r.Class == FitsNot && r.Breaks == "" {
+		if r.Class == DoesNotFit && r.Breaks == "" {
 			t.Errorf("%s: it does not say what breaks", r.Name())
 		}
 	}
@@ -231,13 +231,13 @@
 
 // A sidecar knows no more servers than there are.
 func TestKnownServers(t *testing.T) {
-	a, _ := small(t).Times("shape.fan_out", 20)
-	if m := newModel(newInputs(a, nil)); m.known.Value != 100 {
-		t.Error(m.known)
+	a, _ := small(t).Scaled("shape.fan_out", 20)
+	if m := newModel(newInputs(a, nil)); m.knownServers.Value != 100 {
+		t.Error(m.knownServers)
 	}
 }
 
-// A quotient of which the divisor is not known is not either; one of a least value is one.
+// A quotient is unknown if its divisor is; that of a lower bound is a lower bound.
 func TestQuotients(t *testing.T) {
 	some := Figure{Value: 6, Missing: []string{"x"}}
 	if f := div(some, Figure{Value: 2}); f.Value != 3 || len(f.Missing) != 1 {
@@ -248,7 +248,7 @@
 	}
 }
 
-// Each row has a source, a mechanism, a time of the page and a name of its own; so has each figure that rows name.
+// Each row has a source, a mechanism, a situation of the page and a name of its own; so has each figure that rows name.
 func TestEachRowIsWhole(t *testing.T) {
 	model := newModel(newInputs(theAssumptions(t), nil))
 	seen := map[string]bool{}
@@ -260,7 +260,7 @@
 		seen[r.Name()] = true
 	}
 	for _, time := range Times() {
-		if !slices.ContainsFunc(model.all, func(r Row) bool { return r.Time == time }) {
+		if !slices.ContainsFunc(model.evaluated, func(r Row) bool { return r.Time == time }) {
 			t.Errorf("%s: no row", time)
 		}
 	}
@@ -290,62 +290,62 @@
 		{1999, 1, nil, 0, "does not: 2,000 times over"},
 	} {
 		r := Row{Need: Figure{Value: c.need, Missing: c.missing, Error: c.err}, Budget: &Figure{Value: c.budget}}
-		if r.judge(); r.Verdict != c.want {
+		if r.setVerdict(); r.Verdict != c.want {
 			t.Errorf("%v of %v: %s; want %s", c.need, c.budget, r.Verdict, c.want)
 		}
 	}
 }
 
-// What breaks a rule stands first, then what is further over.
+// Rows that break a rule come first, then those that exceed their budget by more.
 func TestRank(t *testing.T) {
-	rows := []Row{{What: "a", Class: FitsNot, Breaks: BreaksTime, Times: 9}, {What: "b", Class: Fits, Times: 99},
-		{What: "c", Class: FitsNot, Breaks: BreaksRule, Times: 2},
-		{What: "d", Class: FitsNot, Breaks: BreaksRule, Times: 3},
-		{What: "e", Class: FitsNot, Breaks: BreaksTime, Times: 9, Needs: []string{"x"}},
-		{What: "f", Class: NotMeasured}}
+	rows := []Row{{Quantity: "a", Class: DoesNotFit, Breaks: BreaksTime, Factor: 9}, {Quantity: "b", Class: Fits, Factor: 99},
+		{Quantity: "c", Class: DoesNotFit, Breaks: BreaksRule, Factor: 2},
+		{Quantity: "d", Class: DoesNotFit, Breaks: BreaksRule, Factor: 3},
+		{Quantity: "e", Class: DoesNotFit, Breaks: BreaksTime, Factor: 9, NeededBy: []string{"x"}},
+		{Quantity: "f", Class: NotMeasured}}
 	var order []string
-	for _, r := range Rank(rows) {
-		order = append(order, r.What)
+	for _, r := range RankMisfits(rows) {
+		order = append(order, r.Quantity)
 	}
 	if got := strings.Join(order, ""); got != "dcea" {
 		t.Error(got)
 	}
 }
 
-// The weights of assumptions are the verdicts that they move, and the file's own bounds hold.
+// The sensitivities of assumptions are the verdicts that they change, and the file's own bounds hold.
 func TestWeights(t *testing.T) {
 	var moved []string
-	for _, w := range Weights(small(t), measuredSmall()) {
+	for _, w := range Sensitivities(small(t), measuredSmall()) {
 		if w.Name == "earlier.start_bytes_12000" || w.Name == "changes.head_bytes" || w.Name == "earlier.staged_2000" {
-			for _, m := range w.Moves {
-				moved = append(moved, w.Name+" "+m.Times+": "+m.Row+": "+m.Before+" -> "+m.After)
+			for _, m := range w.Changes {
+				moved = append(moved, w.Name+" "+m.Variation+": "+m.Row+": "+m.Before+" -> "+m.After)
 			}
-			if w.Double != 2 || w.Half != 0.5 {
+			if w.DoubleFactor != 2 || w.HalfFactor != 0.5 {
 				t.Errorf("%+v", w)
 			}
 		}
 		// no service can have more than a mean of 10, with the largest below it
-		if w.Name == "shape.largest" && (w.Half != 1 || w.Double != 2) {
+		if w.Name == "shape.largest" && (w.HalfFactor != 1 || w.DoubleFactor != 2) {
 			t.Errorf("%+v", w)
 		}
 	}
 	want := []string{
-		"earlier.start_bytes_12000 half: " + Now + ": " + Leader +
+		"earlier.start_bytes_12000 half: " + ByRollout + ": " + Leader +
 			": message that begins a change of all: does not: 1.25 times over -> fits by 1.6 times",
-		"earlier.start_bytes_12000 half: " + Restarts + ": " + Leader +
+		"earlier.start_bytes_12000 half: " + AllRestarted + ": " + Leader +
 			": one change of all: the message that begins it: does not: 1.25 times over -> fits by 1.6 times",
 	}
 	if !slices.Equal(moved, want) {
 		t.Errorf("%s", strings.Join(moved, "\n"))
 	}
-	if _, times := small(t).Times("places.zone_share", 20); times != 5 { // the region's share
+	if _, times := small(t).Scaled("places.zone_share", 20); times != 5 { // the region's share
 		t.Error(times)
 	}
 }
 
-// A page keeps its prose, and gets each table between its marks.
+// A page keeps its prose and gets each table between its marks.
 func TestPage(t *testing.T) {
-	r := Make(small(t), measuredSmall())
+	r := NewReport(small(t), measuredSmall())
 	const page = "# Title\n\nprose\n\n<!-- tables: begin ranking -->\nof-before\n<!-- tables: end -->\n\n" +
 		"more\n<!-- tables: begin -->\n<!-- tables: end -->\nlast\n"
 	got, err := r.Page("f", page)
@@ -376,9 +376,9 @@
 	}
 }
 
-// All forms of a report tell all its rows.
+// All forms of a report have all its rows.
 func TestForms(t *testing.T) {
-	r := Make(small(t), measuredSmall())
+	r := NewReport(small(t), measuredSmall())
 	var text, markdown bytes.Buffer
 	if err := r.WriteText(&text); err != nil {
 		t.Fatal(err)
@@ -392,7 +392,7 @@
 	}
 	for _, row := range r.Rows {
 		for _, form := range []string{text.String(), markdown.String(), string(raw)} {
-			if !strings.Contains(form, row.What) {
+			if !strings.Contains(form, row.Quantity) {
 				t.Errorf("%s is missing", row.Name())
 			}
 		}
--- a/internal/coordination/capacity/report.go
+++ b/internal/coordination/capacity/report.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Report is all that is said of a size.
+// Report has all results for a size of the fleet.
 type Report struct {
-	Assumptions []Assumption `json:"assumptions"`
-	Measured    *Origin      `json:"measured,omitempty"` // nil: nothing was
-	Derived     []Derived    `json:"derived"`
-	Lines       []Line       `json:"lines,omitempty"`
-	Rows        []Row        `json:"rows"`
-	Ranking     []Row        `json:"ranking"`
-	Weights     []Weight     `json:"weights"`
+	Assumptions []Assumption  `json:"assumptions"`
+	Measured    *Origin       `json:"measured,omitempty"` // nil: nothing was measured
+	Derived     []Derived     `json:"derived"`
+	Lines       []Line        `json:"lines,omitempty"`
+	Rows        []Row         `json:"rows"`
+	Ranking     []Row         `json:"ranking"`
+	Weights     []Sensitivity `json:"weights"`
 }
 
-// Origin is where points come from.
+// Origin describes the run that measured the points.
 type Origin struct {
 	At       time.Time `json:"at"`
 	Commit   string    `json:"commit"`
@@ -29,12 +29,12 @@
 	Findings []string  `json:"findings,omitempty"`
 }
 
-// Make works out a report; m may be nil: nothing was measured.
-func Make(a *Assumptions, m *Measured) *Report {
-	r := &Report{Assumptions: a.All(), Weights: Weights(a, m)}
+// NewReport computes a report. m may be nil: nothing was measured.
+func NewReport(a *Assumptions, m *Measured) *Report {
+	r := &Report{Assumptions: a.All(), Weights: Sensitivities(a, m)}
 	model := newModel(newInputs(a, m))
 	r.Rows, r.Derived = model.rows(), model.derived
-	r.Ranking = Rank(r.Rows)
+	r.Ranking = RankMisfits(r.Rows)
 	if m != nil {
 		r.Measured = &Origin{m.At, m.Commit, m.Machine, m.Seed, len(m.Points), m.FitUpTo, m.Findings}
 		r.Lines = Fit(m)
@@ -42,35 +42,35 @@
 	return r
 }
 
-// Table is one of a report. Name is how a page asks for it.
+// Table is a table of a report. Name is how the marks of a page name it.
 type Table struct {
 	Name  string
 	Title string
 	Head  []string
 	Rows  [][]string
-	Empty string // what is said in place of a table without rows
+	Empty string // written in place of a table without rows
 }
 
-// Tables are all of a report, in the order of the page.
+// Tables returns all tables of a report, in the order of the page.
 func (r *Report) Tables() []Table {
-	all := []Table{r.asked(), r.counts(), r.derived(), r.slopes()}
-	all = append(all, r.times()...)
-	return append(all, r.ranking(), r.assumed(), r.missing(), r.findings())
+	all := []Table{r.targetTable(), r.verdictTable(), r.derivedTable(), r.slopeTable()}
+	all = append(all, r.timeTables()...)
+	return append(all, r.rankingTable(), r.assumptionTable(), r.missingTable(), r.runTable())
 }
 
-func (r *Report) asked() Table {
-	t := Table{Name: "asked", Title: "Asked", Head: []string{"what", "how much", "of it"}}
+func (r *Report) targetTable() Table {
+	t := Table{Name: "asked", Title: "Targets", Head: []string{"what", "how much", "of it"}}
 	for _, a := range r.Assumptions {
 		if rest, ok := strings.CutPrefix(a.Name, "target."); ok {
-			t.Rows = append(t.Rows, []string{strings.ReplaceAll(rest, "_", " "), quantity(a.Value, a.Unit), a.Why})
+			t.Rows = append(t.Rows, []string{strings.ReplaceAll(rest, "_", " "), quantity(a.Value, a.Unit), a.Reason})
 		}
 	}
 	return t
 }
 
-func (r *Report) counts() Table {
+func (r *Report) verdictTable() Table {
 	t := Table{Name: "verdicts", Title: "Verdicts", Head: []string{"verdict", "rows"}}
-	for _, c := range []Class{Fits, FitsNot, NotMeasured, NoBudget} {
+	for _, c := range []Class{Fits, DoesNotFit, NotMeasured, NoBudget} {
 		n := 0
 		for _, row := range r.Rows {
 			if row.Class == c {
@@ -82,8 +82,8 @@
 	return t
 }
 
-func (r *Report) derived() Table {
-	t := Table{Name: "derived", Title: "Worked out, and named by other rows",
+func (r *Report) derivedTable() Table {
+	t := Table{Name: "derived", Title: "Derived figures, named by other rows",
 		Head: []string{"what", "how much", "from"}}
 	for _, d := range r.Derived {
 		t.Rows = append(t.Rows, []string{d.Name, quantity(d.Value, d.Unit), strings.Join(d.From, ", ")})
@@ -91,18 +91,18 @@
 	return t
 }
 
-func (r *Report) slopes() Table {
+func (r *Report) slopeTable() Table {
 	t := Table{Name: "slopes", Title: "Slopes", Empty: "Not measured.",
-		Head: []string{"slope", "none of them", "each 1,000", "fitted on", "spread", "check: said", "seen", "believed"}}
+		Head: []string{"slope", "intercept", "per 1,000", "fitted on", "spread", "check: predicted", "measured", "trusted"}}
 	for _, l := range r.Lines {
-		said, saw, believed := "", "", "no: "+l.Why
+		said, saw, believed := "", "", "no: "+l.Reason
 		if l.Check != nil {
-			said, saw = number(l.Check.Predicted), number(l.Check.Seen)+" at "+number(float64(l.Check.Size))
+			said, saw = number(l.Check.Predicted), number(l.Check.MeasuredMean)+" at "+number(float64(l.Check.Size))
 		}
-		if l.Believed {
-			believed = "yes: " + l.Why
+		if l.Trusted {
+			believed = "yes: " + l.Reason
 		}
-		t.Rows = append(t.Rows, []string{l.Key.String(), number(l.Base), number(1000 * l.Each), sizes(l.Sizes),
+		t.Rows = append(t.Rows, []string{l.String(), number(l.Intercept), number(1000 * l.Slope), sizes(l.Sizes),
 			fmt.Sprintf("%.0f%%", 100*l.Spread), said, saw, believed})
 	}
 	return t
@@ -116,13 +116,13 @@
 	return strings.Join(texts, "; ")
 }
 
-func (r *Report) times() (all []Table) {
+func (r *Report) timeTables() (all []Table) {
 	for i, time := range Times() {
 		t := Table{Name: fmt.Sprintf("time-%d", i+1), Title: strings.ToUpper(time[:1]) + time[1:],
 			Head: []string{"role", "what", "need", "budget", "verdict", "carried by", "from"}}
 		for _, row := range r.Rows {
 			if row.Time == time {
-				t.Rows = append(t.Rows, []string{row.Role, row.What, row.need(), row.budget(), row.Verdict,
+				t.Rows = append(t.Rows, []string{row.Role, row.Quantity, row.need(), row.budget(), row.Verdict,
 					row.Mechanism, row.from()})
 			}
 		}
@@ -131,7 +131,7 @@
 	return all
 }
 
-// need writes what is needed; where a part is missing, what is known of it.
+// need writes what is needed, or the lower bound if a part is missing.
 func (r *Row) need() string {
 	switch text := quantity(r.Need.Value, r.Unit); {
 	case len(r.Need.Missing) == 0:
@@ -157,44 +157,44 @@
 	return strings.Join(from, ", ")
 }
 
-func (r *Report) ranking() Table {
+func (r *Report) rankingTable() Table {
 	t := Table{Name: "ranking", Title: "What does not fit", Head: []string{"time", "role", "what", "over", "breaks",
 		"needed by", "carried by"},
 		Empty: "Nothing that could be judged is over."}
 	for _, row := range r.Ranking {
-		needs := append([]string{}, row.Needs...)
-		t.Rows = append(t.Rows, []string{row.Time, row.Role, row.What, strings.TrimPrefix(row.Verdict, "does not: "),
+		needs := append([]string{}, row.NeededBy...)
+		t.Rows = append(t.Rows, []string{row.Time, row.Role, row.Quantity, strings.TrimPrefix(row.Verdict, "does not: "),
 			"a " + row.Breaks,
 			strings.Join(needs, "; "), row.Mechanism})
 	}
 	return t
 }
 
-func (r *Report) assumed() Table {
-	t := Table{Name: "assumptions", Title: "What is assumed, and its weight",
-		Head: []string{"field", "value", "why", "verdicts that move at twice or half of it"}}
+func (r *Report) assumptionTable() Table {
+	t := Table{Name: "assumptions", Title: "Assumptions, and their weight",
+		Head: []string{"field", "value", "why", "verdicts that change at twice or half of it"}}
 	for _, w := range r.Weights {
 		var moves []string
-		for _, m := range w.Moves {
-			moves = append(moves, fmt.Sprintf("%s: %s (%s -> %s)", m.Times, m.Row, m.Before, m.After))
+		for _, m := range w.Changes {
+			moves = append(moves, fmt.Sprintf("%s: %s (%s -> %s)", m.Variation, m.Row, m.Before, m.After))
 		}
-		t.Rows = append(t.Rows, []string{w.Name, quantity(w.Value, w.Unit), w.Why, strings.Join(moves, "; ")})
+		t.Rows = append(t.Rows, []string{w.Name, quantity(w.Value, w.Unit), w.Reason, strings.Join(moves, "; ")})
 	}
 	return t
 }
 
-func (r *Report) missing() Table {
+func (r *Report) missingTable() Table {
 	t := Table{Name: "missing", Title: "What was not measured", Head: []string{"time", "role", "what", "missing"},
 		Empty: "Nothing is missing."}
 	for _, row := range r.Rows {
 		if len(row.Missing()) > 0 {
-			t.Rows = append(t.Rows, []string{row.Time, row.Role, row.What, strings.Join(row.Missing(), "; ")})
+			t.Rows = append(t.Rows, []string{row.Time, row.Role, row.Quantity, strings.Join(row.Missing(), "; ")})
 		}
 	}
 	return t
 }
 
-func (r *Report) findings() Table {
+func (r *Report) runTable() Table {
 	t := Table{Name: "findings", Title: "The run", Head: []string{"what", "of the run"},
 		Empty: "Not measured: there is no file of points."}
 	if o := r.Measured; o != nil {
@@ -208,7 +208,7 @@
 	return t
 }
 
-// number writes whole numbers as they are, with commas, and others by three or four digits.
+// number writes whole numbers in full, with commas, and others with three or four digits.
 func number(v float64) string {
 	switch a := math.Abs(v); {
 	case v == 0 || math.IsNaN(v) || math.IsInf(v, 0):
--- a/internal/coordination/evidence/chain_test.go
+++ b/internal/coordination/evidence/chain_test.go
@@ -12,41 +12,49 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// side is a sidecar whose requests, processor and memory are drawn.
+// side is a sidecar whose requests, processor time and memory are drawn at random.
 type side struct {
 	r     *rand.Rand
 	now   Reading
-	order rollout.Order // that it carries out until the next window
+	order rollout.Order // that it carries out before the next window
 }
 
-// serve is a window of one class: n requests about, of which parts fail and are refused, with times about a step.
+// serve counts a window of one class: about n requests, of which fractions fail and are refused, with times about a step.
 func (s *side) serve(class, n int, failed, refused float64, step int) {
 	c := &s.now.Classes[class]
 	for range int(float64(n) * (0.5 + s.r.Float64())) {
-		s.now.CPU += uint64(s.r.IntN(7))
-		s.now.Effort.Tries++
+		s.now.CPUTicks += uint64(s.r.IntN(7))
+		s.now.ServerUse.Attempts++
 		switch p := s.r.Float64(); {
 		case p < failed:
 			c.Failed++
-			s.now.Effort.Tries++
+			s.now.ServerUse.Attempts++
 		case p < failed+refused:
 			c.Refused++
 		default:
 			c.Served++
-			c.Took[max(0, step+int(3*s.r.NormFloat64()))]++
+			c.Latency[max(0, step+int(3*s.r.NormFloat64()))]++
 		}
 	}
 }
 
 func (s *side) begin(release string, number uint64) {
-	s.now = Reading{Process: agent.Process{PID: 1, Began: number, Release: release}, Told: counts.Told{Classes: []counts.Class{{Name: "look"}, {Name: "book"}, {Name: "void"}}, Effort: &counts.Effort{}}, Memory: 18 << 20}
+	s.now = Reading{Process: agent.Process{PID: 1, StartTicks: number, Release: release}, Report: counts.Report{Classes: []counts.Class{{Name: "look"}, {Name: "book"}, {Name: "void"}}, ServerUse: &counts.ServerUse{}}, ResidentBytes: 18 << 20}
 }
 
-// play is a whole change of 12 sidecars in 3 zones and 3 stages, with its control, from its begin to its end or pause: the state that the
-// log keeps, the evidence and the judge, by windows of 2 s, a look after each.
-func play(t *testing.T, r *rand.Rand, rate func(zone, window int, release string) (n int, failed float64, step int)) *rollout.Change {
-	p := rollout.Plan{Application: "a", From: "old", To: "new", AtOnce: 2, Unavailable: 2, Patience: 20 * time.Minute, Judge: rollout.Judgement{FalseStops: 0.01, MissedStops: 0.05, Effect: 0.05},
-		Stages: []rollout.Stage{{Select: rollout.Select{Count: 2}, Control: 2}, {Select: rollout.Select{Count: 4}, Control: 2}, {Select: rollout.Select{Share: 1}}}}
+// load is what a sidecar serves in a window, about: requests of the smallest class, the fraction of them that fails, and the step of their
+// times.
+type load struct {
+	requests int
+	failed   float64
+	step     int
+}
+
+// play simulates a complete change of 12 sidecars in 3 zones and 3 stages, with its control, to its end or pause: the state that the log
+// keeps, the evidence and the judge, by windows of 2 s with a poll after each.
+func play(t *testing.T, r *rand.Rand, rate func(zone, window int, release string) load) *rollout.Change {
+	p := rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: 2, MaxUnavailable: 2, EvidenceTimeout: 20 * time.Minute, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.05},
+		Stages: []rollout.Stage{{Selector: rollout.Selector{Count: 2}, ControlCount: 2}, {Selector: rollout.Selector{Count: 4}, ControlCount: 2}, {Selector: rollout.Selector{Share: 1}}}}
 	var members []rollout.Member
 	var now []rollout.Report
 	sides := map[string]*side{}
@@ -71,17 +79,18 @@
 			if o := one.order; o.Number != 0 {
 				one.begin(o.Release, o.Number)
 				one.order = rollout.Order{}
-				s.Apply(rollout.Event{Report: &rollout.Report{Sidecar: m.Name, Release: o.Release, Ready: true, Done: o.Number}})
+				s.Apply(rollout.Event{Report: &rollout.Report{Sidecar: m.Name, Release: o.Release, Ready: true, CompletedOrder: o.Number}})
 			}
-			n, failed, step := rate(i%3, w, one.now.Process.Release)
+			l := rate(i%3, w, one.now.Process.Release)
+			n, failed, step := l.requests, l.failed, l.step
 			for class, part := range []int{10, 4, 2} {
 				one.serve(class, n*part, failed, 0.002, step)
 			}
-			if r.IntN(10) == 0 { // it grows in bursts, and gives some back
-				one.now.Memory += uint64(r.IntN(2<<20)) - 1<<20
+			if r.IntN(10) == 0 { // it grows in bursts, and some of it is released
+				one.now.ResidentBytes += uint64(r.IntN(2<<20)) - 1<<20
 			}
 			read[m.Name] = one.now
-			read[m.Name] = Reading{one.now.Process, counts.Told{Classes: append([]counts.Class(nil), one.now.Classes...), Effort: &counts.Effort{Tries: one.now.Effort.Tries}}, one.now.CPU, one.now.Memory}
+			read[m.Name] = Reading{one.now.Process, counts.Report{Classes: append([]counts.Class(nil), one.now.Classes...), ServerUse: &counts.ServerUse{Attempts: one.now.ServerUse.Attempts}}, one.now.CPUTicks, one.now.ResidentBytes}
 		}
 		v, err := e.Window(c, read, window)
 		if err != nil {
@@ -91,8 +100,8 @@
 			s.Apply(rollout.Event{Verdict: v})
 		}
 		s.Apply(rollout.Event{Elapsed: window})
-		for _, o := range s.Orders() {
-			if one := sides[o.Sidecar]; one.now.Process.Began != o.Number {
+		for _, o := range s.OpenOrders() {
+			if one := sides[o.Sidecar]; one.now.Process.StartTicks != o.Number {
 				one.order = o
 			}
 		}
@@ -100,31 +109,31 @@
 	return c
 }
 
-// Whole changes of equal releases: none is stopped more often than the plan says, whatever befalls the servers meanwhile; of a release that
-// is worse by the smallest effect that matters, hardly any comes through. CHANGES in the environment says how many are played.
+// Complete changes of equal releases are stopped no more often than planned, whatever happens to the servers meanwhile; hardly any change to a
+// release that is worse by the smallest effect that matters completes. CHANGES in the environment says how many are simulated.
 func TestWholeChanges(t *testing.T) {
 	n := 6
 	fmt.Sscan(os.Getenv("CHANGES"), &n)
-	for name, rate := range map[string]func(zone, window int, release string) (int, float64, int){
-		"equal":                func(int, int, string) (int, float64, int) { return 2, 0.002, 12 },
-		"equal, nothing fails": func(int, int, string) (int, float64, int) { return 1, 0, 12 },
-		"equal, servers of a zone fail and are slow for a while": func(zone, w int, _ string) (int, float64, int) {
+	for name, rate := range map[string]func(zone, window int, release string) load{
+		"equal":                func(int, int, string) load { return load{2, 0.002, 12} },
+		"equal, nothing fails": func(int, int, string) load { return load{1, 0, 12} },
+		"equal, servers of a zone fail and are slow for a while": func(zone, w int, _ string) load {
 			if zone == 1 && w > 20 && w < 60 {
-				return 2, 0.3, 16
+				return load{2, 0.3, 16}
 			}
-			return 2, 0.002, 12
+			return load{2, 0.002, 12}
 		},
-		"equal, load doubles": func(_, w int, _ string) (int, float64, int) {
+		"equal, load doubles": func(_, w int, _ string) load {
 			if w > 30 {
-				return 4, 0.01, 14
+				return load{4, 0.01, 14}
 			}
-			return 2, 0.002, 12
+			return load{2, 0.002, 12}
 		},
-		"worse by the effect": func(_, _ int, release string) (int, float64, int) {
-			return 2, map[string]float64{"old": 0.002, "new": 0.052}[release], 12
+		"worse by the effect": func(_, _ int, release string) load {
+			return load{2, map[string]float64{"old": 0.002, "new": 0.052}[release], 12}
 		},
-		"slower by an octave": func(_, _ int, release string) (int, float64, int) {
-			return 2, 0.002, map[string]int{"old": 12, "new": 16}[release]
+		"slower by an octave": func(_, _ int, release string) load {
+			return load{2, 0.002, map[string]int{"old": 12, "new": 16}[release]}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -132,8 +141,8 @@
 			r, ends := rand.New(rand.NewPCG(11, uint64(len(name)))), map[string]int{}
 			for range n {
 				c := play(t, r, rate)
-				if ends[c.State.Phase.String()]++; name[:5] == "equal" && c.State.Phase == rollout.TakingBack {
-					t.Logf("%v in stage %d: %s", c.State.Phase, c.State.Stage, c.State.Why)
+				if ends[c.State.Phase.String()]++; name[:5] == "equal" && c.State.Phase == rollout.RollingBack {
+					t.Logf("%v in stage %d: %s", c.State.Phase, c.State.Stage, c.State.Reason)
 				}
 			}
 			t.Logf("%d changes: %v", n, ends)
--- a/internal/coordination/evidence/evidence.go
+++ b/internal/coordination/evidence/evidence.go
@@ -1,24 +1,7 @@
-// Package evidence turns what sidecars have counted into windows of new and control, and asks package judge. It is pure: no clock, no I/O.
-//
-// Compared, in each class, are three rates: of requests that were refused, that failed, and that were slow, which is to take longer than
-// a tenth of the control's first requests did; those that the bound is drawn from are not judged by it. And, of all together and in pairs,
-// processor time, tries and new connections a request, probes, and the growth of memory over short times and longer ones, where the
-// sidecars of both sides are asked about as much.
-//
-// The new are those of this stage that run the new release. The control are the old sidecars that were restarted beside them, or all
-// that are left where the plan has none restarted. Zones are not alike: new is compared with control in each zone by itself, and over
-// all zones only by what each zone adds to both, its control weighed as the zone's new ones are. A zone may show that the new is worse;
-// that it is no worse has to be shown over all zones together, for most have too little traffic.
-//
-// Before is of another time: what the old sidecars do that nobody has touched, against what all did before anything moved. A
-// difference says that something has changed, and not what; it pauses a change and stops none.
-//
-// Assumptions: a process is counted from its first reading on; machines of new and control are alike in processor and memory.
 package evidence
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 	"time"
 
@@ -28,331 +11,140 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// Reading is what is known of one sidecar's process.
+// Reading is what is known of one sidecar's process at one moment.
 type Reading struct {
 	Process agent.Process
-	counts.Told
-	CPU, Memory uint64 // ticks that it has used, bytes that it has resident
+	counts.Report
+	CPUTicks      uint64 // processor time used so far, in clock ticks of the system
+	ResidentBytes uint64
 }
 
-const everyZone = "*"
-
-// Evidence is that of one change, as far as one driver has watched it.
+// Evidence is the evidence of one change, as far as one driver has watched it. The zero value is ready to use; it is not safe for concurrent
+// use.
 type Evidence struct {
-	change string
-	stage  int
-	judge  *judge.Judge
-	last   map[string]Reading // by sidecar
-	bounds map[place]*bound
-	open   map[place]*pair // counted, and one side of it has nothing yet
-	base   group           // what all had counted before anything moved
-	since  group           // what the old ones that nobody touches have counted since
-	spans  [2]span         // what was used since the last comparisons, short and long
-	told   judge.Kind      // of the last tally
-	untold time.Duration   // since that
-}
-
-type place struct{ class, zone string }
-
-// pair is the counts of a window.
-type pair struct {
-	place
-	new, control counts.Class
-}
-
-// group is counts by class and zone.
-type group map[place]counts.Class
-
-func (g group) add(at place, c counts.Class) {
-	sum := g[at]
-	sum.Name = c.Name
-	sum.Served += c.Served
-	sum.Refused += c.Refused
-	sum.Failed += c.Failed
-	for i, n := range c.Took {
-		sum.Took[i] += n
-	}
-	g[at] = sum
-}
-
-func (g group) sum(more group) {
-	for at, c := range more {
-		g.add(at, c)
-	}
-}
-
-func of(c counts.Class) float64 { return float64(c.Served + c.Refused + c.Failed) }
-
-// metric is a rate: how many of how many.
-type metric struct {
-	name string
-	of   func(counts.Class) judge.Counts
-}
-
-var ends = []metric{
-	{"refused", func(c counts.Class) judge.Counts { return judge.Counts{Hit: float64(c.Refused), Of: of(c)} }},
-	{"failed", func(c counts.Class) judge.Counts { return judge.Counts{Hit: float64(c.Failed), Of: of(c)} }},
-}
-
-// Window takes in what was read since the last one, some time ago, and says what holds now; nil: nothing does yet.
-func (e *Evidence) Window(c *rollout.Change, read map[string]Reading, took time.Duration) (*rollout.Verdict, error) {
+	change       string
+	stage        int
+	judge        *judge.Judge              // nil until both sides have counts of one cell
+	lastReadings map[string]Reading        // by sidecar
+	slowBounds   map[cellKey]*slowBound    // what counts as slow
+	incomplete   map[cellKey]*windowCounts // counts of which one side has none yet
+	baseline     countsByCell              // of all sidecars, before anything was changed
+	untouched    countsByCell              // of the old sidecars that the change has not touched, since it began
+	usageSpans   [2]usageSpan              // since the last comparisons, of short and of long spans
+
+	lastKind       judge.Kind    // of the last verdict with cells
+	sinceLastCells time.Duration // since that verdict
+}
+
+// Window takes the readings of a poll and the time since the last one, and returns what holds now, nil if there is no verdict yet. The error
+// is one of counts that are none.
+func (e *Evidence) Window(c *rollout.Change, readings map[string]Reading, elapsed time.Duration) (*rollout.Verdict, error) {
 	s := c.State
 	if s.Phase != rollout.Running {
-		e.stage, e.since = 0, group{}
+		e.stage, e.untouched = 0, countsByCell{}
 		return nil, nil
 	}
-	if s.Plan.Judge.None {
-		return &rollout.Verdict{Stage: s.Stage, Fine: true, Why: "the plan has no judge"}, nil
-	}
-	if e.change != c.Name {
-		e.base, e.since = group{}, group{}
-	}
-	if e.change != c.Name || e.stage != s.Stage {
-		e.change, e.stage, e.judge = c.Name, s.Stage, nil
-		e.last, e.bounds, e.open, e.spans = map[string]Reading{}, map[place]*bound{}, map[place]*pair{}, [2]span{}
-		e.told, e.untold = judge.NotEnough, 0
+	if s.Plan.Judge.Disabled {
+		return &rollout.Verdict{Stage: s.Stage, NoWorse: true, Reason: "the plan has no judge"}, nil
 	}
-	steps := e.steps(read)
-	among := func(release string, is func(rollout.Sidecar) bool) (group, use) { return total(s, steps, release, is) }
-	if s.Settled < s.Plan.Before {
-		all, _ := among(s.Plan.From, func(rollout.Sidecar) bool { return true })
-		e.base.sum(all)
+	e.follow(c)
+	w := window{s, e.increments(readings)}
+	if s.BaselineElapsed < s.Plan.BaselinePeriod {
+		all, _ := w.sum(s.Plan.From, func(rollout.Sidecar) bool { return true })
+		e.baseline.addAll(all)
 		return nil, nil
 	}
-	changed, control := s.Groups()
-	is := func(names []string) func(rollout.Sidecar) bool {
-		return func(one rollout.Sidecar) bool { return slices.Contains(names, one.Name) }
-	}
-	old := func(one rollout.Sidecar) bool { return one.Order == 0 && one.Alone == "" && !is(changed)(one) }
-	if len(control) > 0 {
-		old = is(control)
-	} else if !slices.ContainsFunc(s.Sidecars(), func(one rollout.Sidecar) bool { return old(one) && one.Release == s.Plan.From }) {
-		return &rollout.Verdict{Stage: s.Stage, Fine: true, Why: "none is left to compare with"}, nil
+	isNew, isControl, comparable := comparedSidecars(s)
+	if !comparable {
+		return &rollout.Verdict{Stage: s.Stage, NoWorse: true, Reason: "none is left to compare with"}, nil
 	}
-	news, newsUsed := among(s.Plan.To, is(changed))
-	olds, oldsUsed := among(s.Plan.From, old)
-	for i := range e.spans {
-		e.spans[i].add([2]use{newsUsed, oldsUsed}, took)
+	newCounts, newUsage := w.sum(s.Plan.To, isNew)
+	controlCounts, controlUsage := w.sum(s.Plan.From, isControl)
+	for i := range e.usageSpans {
+		e.usageSpans[i].add([2]usage{newUsage, controlUsage}, elapsed)
 	}
-	untouched, _ := among(s.Plan.From, func(one rollout.Sidecar) bool { return one.Order == 0 && one.Alone == "" && one.Control == 0 })
-	e.since.sum(untouched)
-	if err := e.judged(c, news, olds); err != nil || e.judge == nil {
+	untouched, _ := w.sum(s.Plan.From, func(one rollout.Sidecar) bool { return isUntouched(one) && one.ControlStage == 0 })
+	e.untouched.addAll(untouched)
+	if err := e.judgeWindow(c, newCounts, controlCounts); err != nil || e.judge == nil {
 		return nil, err
 	}
-	v := e.judge.Verdict()
-	if v.Kind != judge.Worse {
-		if why := e.before(s.Plan.Judge); why != "" {
-			return &rollout.Verdict{Stage: s.Stage, Old: true, Why: why}, nil
-		}
-	}
-	return &rollout.Verdict{Stage: s.Stage, Worse: v.Kind == judge.Worse, Fine: v.Kind == judge.NoWorse, Why: v.String(), Tally: e.tally(v.Kind, took, s.Plan.Patience)}, nil
+	return e.verdict(s, elapsed), nil
 }
 
-// maxTally is how many cells a tally has.
-const maxTally = 256
-
-// tally is what a verdict was reached by, where it is another than before or the last tally is some time ago.
-func (e *Evidence) tally(kind judge.Kind, took, patience time.Duration) (all []rollout.Counted) {
-	if e.untold += took; kind == e.told && e.untold < patience/comparisons {
-		return nil
+// follow starts over if the change or its stage differs from before.
+func (e *Evidence) follow(c *rollout.Change) {
+	if e.change != c.Name {
+		e.baseline, e.untouched = countsByCell{}, countsByCell{}
 	}
-	e.told, e.untold = kind, 0
-	cells := e.judge.Cells()
-	slices.SortStableFunc(cells, func(a, b judge.Verdict) int { // what is worse, then what is waited for
-		rank := func(v judge.Verdict) int {
-			switch {
-			case v.Kind == judge.Worse:
-				return 0
-			case !v.Cell.Part:
-				return 1
-			}
-			return 2
-		}
-		return cmp.Compare(rank(a), rank(b))
-	})
-	for _, v := range cells[:min(len(cells), maxTally)] {
-		all = append(all, rollout.Counted{Class: v.Cell.Class, Zone: v.Cell.Zone, Metric: v.Cell.Metric, Part: v.Cell.Part, Verdict: v.Kind.String(),
-			New: v.Counts[0].Hit, NewOf: v.Counts[0].Of, Control: v.Counts[1].Hit, ControlOf: v.Counts[1].Of, Odds: v.Odds, Most: v.Most})
+	if e.change == c.Name && e.stage == c.State.Stage {
+		return
 	}
-	return all
+	e.change, e.stage, e.judge = c.Name, c.State.Stage, nil
+	e.lastReadings, e.slowBounds, e.incomplete = map[string]Reading{}, map[cellKey]*slowBound{}, map[cellKey]*windowCounts{}
+	e.usageSpans = [2]usageSpan{}
+	e.lastKind, e.sinceLastCells = judge.NotEnough, 0
 }
 
-// step is what one process has counted and used between two readings.
-type step struct {
-	release string
-	classes []counts.Class
-	use
-}
+// isUntouched reports whether a sidecar has no open order and was not abandoned.
+func isUntouched(one rollout.Sidecar) bool { return one.OpenOrder == 0 && one.AbandonedReason == "" }
 
-// steps are those since the last readings.
-func (e *Evidence) steps(read map[string]Reading) map[string]step {
-	all := map[string]step{}
-	for name, now := range read {
-		was, known := e.last[name]
-		e.last[name] = now
-		if !known || was.Process != now.Process {
-			continue
-		}
-		one := step{release: now.Process.Release, use: use{growth: float64(now.Memory) - float64(was.Memory), memory: float64(now.Memory),
-			cpu: float64(now.CPU - was.CPU), windows: 1, untold: now.Effort == nil || was.Effort == nil}}
-		if !one.untold {
-			one.effort = counts.Effort{Tries: now.Effort.Tries - was.Effort.Tries, Connections: now.Effort.Connections - was.Effort.Connections, Probes: now.Effort.Probes - was.Effort.Probes}
-		}
-		for i, class := range now.Classes {
-			if i < len(was.Classes) && was.Classes[i].Name == class.Name {
-				d := since(class, was.Classes[i])
-				one.classes = append(one.classes, d)
-				one.requests += of(d)
-			}
-		}
-		all[name] = one
-	}
-	return all
-}
-
-// total is what those of some sidecars have that run a release.
-func total(s *rollout.State, steps map[string]step, release string, is func(rollout.Sidecar) bool) (all group, used use) {
-	all = group{}
-	for _, one := range s.Sidecars() {
-		did, ok := steps[one.Name]
-		if !ok || did.release != release || !is(one) {
-			continue
-		}
-		memory := used.memory + did.memory
-		used.add(did.use)
-		used.memory = memory
-		for _, c := range did.classes {
-			all.add(place{c.Name, one.Zone}, c)
-		}
+// comparedSidecars says which sidecars are the new ones and which their control: those that were restarted, or all others if the plan has
+// none restarted. comparable is false if no sidecar is left for the control.
+func comparedSidecars(s *rollout.State) (isNew, isControl func(rollout.Sidecar) bool, comparable bool) {
+	changed, control := s.Groups()
+	among := func(names []string) func(rollout.Sidecar) bool {
+		return func(one rollout.Sidecar) bool { return slices.Contains(names, one.Name) }
 	}
-	return all, used
-}
-
-// since is what was counted since a reading of the same process.
-func since(now, was counts.Class) counts.Class {
-	now.Served -= was.Served
-	now.Refused -= was.Refused
-	now.Failed -= was.Failed
-	for i := range now.Took {
-		now.Took[i] -= was.Took[i]
+	isNew = among(changed)
+	if len(control) > 0 {
+		return isNew, among(control), true
 	}
-	return now
+	isControl = func(one rollout.Sidecar) bool { return isUntouched(one) && !isNew(one) }
+	comparable = slices.ContainsFunc(s.Sidecars(), func(one rollout.Sidecar) bool { return isControl(one) && one.Release == s.Plan.From })
+	return isNew, isControl, comparable
 }
 
-// judged hands the judge what there is of both sides.
-func (e *Evidence) judged(c *rollout.Change, news, olds group) error {
-	classes := map[string]bool{}
-	for at, n := range news {
-		p := e.open[at]
-		if p == nil {
-			p = &pair{place: at}
-			e.open[at] = p
-		}
-		p.new = sum(p.new, n)
-	}
-	for at, o := range olds {
-		if p := e.open[at]; p != nil { // a zone where none is new has nothing to say
-			p.control = sum(p.control, o)
-		}
-	}
-	whole := map[string][]pair{}
-	for _, at := range slices.SortedFunc(maps.Keys(e.open), func(a, b place) int { return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.zone, b.zone)) }) {
-		classes[at.class] = true
-		if p := e.open[at]; of(p.new) > 0 && of(p.control) > 0 {
-			whole[at.class] = append(whole[at.class], *p)
-			delete(e.open, at)
-		}
-	}
-	if e.judge == nil {
-		if len(whole) == 0 {
-			return nil
-		}
-		if err := e.begin(c, len(classes)); err != nil {
-			return err
-		}
-	}
-	for _, class := range slices.Sorted(maps.Keys(whole)) {
-		if err := e.add(class, whole[class]); err != nil {
-			return err
+// verdict returns what the judge says, and otherwise whether the old sidecars do worse than before the change.
+func (e *Evidence) verdict(s *rollout.State, elapsed time.Duration) *rollout.Verdict {
+	v := e.judge.Verdict()
+	if v.Kind != judge.Worse {
+		if reason := e.baselineDifference(s.Plan.Judge); reason != "" {
+			return &rollout.Verdict{Stage: s.Stage, BaselineWorse: true, Reason: reason}
 		}
 	}
-	return e.compare(c.State.Plan.Patience)
+	return &rollout.Verdict{Stage: s.Stage, Worse: v.Kind == judge.Worse, NoWorse: v.Kind == judge.NoWorse, Reason: v.String(),
+		Cells: e.cellResults(v.Kind, elapsed, s.Plan.EvidenceTimeout)}
 }
 
-func sum(a, b counts.Class) counts.Class {
-	g := group{{}: a}
-	g.add(place{}, b)
-	return g[place{}]
-}
+// maxCells is how many cells a verdict has.
+const maxCells = 256
 
-// begin begins the judgement of a stage. Its cells, with those of all stages, share one rate of false stops.
-func (e *Evidence) begin(c *rollout.Change, classes int) (err error) {
-	s, zones := c.State, map[string]bool{}
-	for _, m := range c.Members {
-		zones[m.Zone] = true
-	}
-	for _, r := range e.last { // one that nobody has asked for yet may come
-		classes = max(classes, len(r.Classes))
-	}
-	e.judge, err = judge.New(judge.Plan{FalseStop: s.Plan.Judge.FalseStops, Missed: s.Plan.Judge.MissedStops, Effect: s.Plan.Judge.Effect,
-		Cells: ((len(ends)+1)*classes*(len(zones)+1) + pairs) * len(s.Plan.Stages)})
-	return err
-}
-
-// add hands in a window of a class: each zone's by itself, and all together.
-func (e *Evidence) add(class string, zones []pair) error {
-	var slow []judge.Counts // of new and control, for each zone that has a bound
-	for _, p := range zones {
-		for _, m := range ends {
-			if err := e.judge.Add(judge.Cell{Class: class, Zone: p.zone, Metric: m.name, Part: true}, m.of(p.new), m.of(p.control)); err != nil {
-				return err
-			}
-		}
-		b := e.bounds[p.place]
-		if b == nil {
-			b = &bound{step: -1}
-			e.bounds[p.place] = b
-		}
-		if b.step < 0 {
-			b.add(p.control)
-			continue
-		}
-		n, o := b.slow(p.new), b.slow(p.control)
-		if err := e.judge.Add(judge.Cell{Class: class, Zone: p.zone, Metric: "slow", Part: true}, n, o); err != nil {
-			return err
-		}
-		slow = append(slow, n, o)
-	}
-	for _, m := range ends {
-		var all []judge.Counts
-		for _, p := range zones {
-			all = append(all, m.of(p.new), m.of(p.control))
-		}
-		n, o := weighed(all)
-		if err := e.judge.Add(judge.Cell{Class: class, Zone: everyZone, Metric: m.name}, n, o); err != nil {
-			return err
-		}
-	}
-	n, o := weighed(slow) // none yet: not judged, and so not fine
-	return e.judge.Add(judge.Cell{Class: class, Zone: everyZone, Metric: "slow"}, n, o)
-}
-
-// weighed adds up zones, new and control in turn, with each zone's control weighed as its new is, at most as it is.
-func weighed(zones []judge.Counts) (new, control judge.Counts) {
-	most := 0.0
-	for i := 0; i < len(zones); i += 2 {
-		if zones[i+1].Of > 0 {
-			most = max(most, zones[i].Of/zones[i+1].Of)
-		}
-	}
-	for i := 0; i < len(zones); i += 2 {
-		n, o := zones[i], zones[i+1]
-		if n.Of == 0 || o.Of == 0 {
-			continue
-		}
-		w := n.Of / o.Of / most
-		new = judge.Counts{Hit: new.Hit + n.Hit, Of: new.Of + n.Of}
-		control = judge.Counts{Hit: control.Hit + w*o.Hit, Of: control.Of + w*o.Of}
+// cellResults returns the cells that a verdict rests on, if it is another one than before or the last cells are some time ago. What is worse
+// comes first, then what is waited for.
+func (e *Evidence) cellResults(kind judge.Kind, elapsed, evidenceTimeout time.Duration) (results []rollout.CellResult) {
+	if e.sinceLastCells += elapsed; kind == e.lastKind && e.sinceLastCells < evidenceTimeout/comparisonsPerTimeout {
+		return nil
 	}
-	return new, control
+	e.lastKind, e.sinceLastCells = kind, 0
+	cells := e.judge.Cells()
+	slices.SortStableFunc(cells, func(a, b judge.Verdict) int { return cmp.Compare(importance(a), importance(b)) })
+	for _, v := range cells[:min(len(cells), maxCells)] {
+		results = append(results, rollout.CellResult{
+			Class: v.Cell.Class, Zone: v.Cell.Zone, Metric: v.Cell.Metric, Advisory: v.Cell.Advisory, Verdict: v.Kind.String(),
+			NewHits: v.Counts[0].Hits, NewTotal: v.Counts[0].Total, ControlHits: v.Counts[1].Hits, ControlTotal: v.Counts[1].Total,
+			Odds: v.Odds, MaxDifference: v.MaxDifference,
+		})
+	}
+	return results
+}
+
+// importance orders cells for people; the smallest comes first.
+func importance(v judge.Verdict) int {
+	switch {
+	case v.Kind == judge.Worse:
+		return 0
+	case !v.Cell.Advisory:
+		return 1
+	}
+	return 2
 }
--- a/internal/coordination/fleet/rpc.go
+++ b/internal/coordination/fleet/rpc.go
@@ -66,7 +66,7 @@
 	Leases         []lease.Info         `json:"holdings,omitempty"`
 	Backup         json.RawMessage      `json:"backup,omitempty"`
 	Members        []replica.Member     `json:"members,omitempty"`
-	Rollout        rollout.Answer       `json:"rollout,omitzero"`
+	Rollout        rollout.Response     `json:"rollout,omitzero"`
 	LimitError     string               `json:"refused,omitempty"` // why a limit was not set, or nothing of it is allocated
 	Share          share.Allocation     `json:"share,omitzero"`
 	LimitStatuses  []share.LimitStatus  `json:"limits,omitempty"`
--- a/internal/coordination/judge/judge_test.go
+++ b/internal/coordination/judge/judge_test.go
@@ -8,27 +8,27 @@
 	"testing"
 )
 
-// draw is how many of n requests something happens to.
+// draw returns counts of n requests, of which each is hit with probability p.
 func draw(r *rand.Rand, n int, p float64) (c Counts) {
-	c.Of = float64(n)
+	c.Total = float64(n)
 	for range n {
 		if r.Float64() < p {
-			c.Hit++
+			c.Hits++
 		}
 	}
 	return c
 }
 
-// change is one change of a release over classes, zones and windows, looked at after each.
+// change is a change of a release over classes, zones and windows, judged after each.
 type change struct {
-	classes, zones, windows int
-	news, controls          int // requests a window and cell
-	rate                    func(window, class, zone int, new bool) float64
+	classes, zones, windows      int
+	newRequests, controlRequests int // requests per window and cell
+	rate                         func(window, class, zone int, new bool) float64
 }
 
-var plan = Plan{FalseStop: 0.01, Missed: 0.05, Effect: 0.02, Cells: 18}
+var plan = Plan{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02, MaxCells: 18}
 
-// judge plays a change until it is worse, or all windows are over; at is when, NoWorse has to last to the end.
+// judge simulates a change until it is judged worse or all windows are over; at is the window. NoWorse has to last to the end.
 func (c change) judge(t testing.TB, r *rand.Rand, p Plan) (v Verdict, at int) {
 	j, err := New(p)
 	if err != nil {
@@ -38,7 +38,7 @@
 		for class := range c.classes {
 			for zone := range c.zones {
 				cell := Cell{Class: fmt.Sprint("c", class), Zone: fmt.Sprint("z", zone), Metric: "failed"}
-				err := j.Add(cell, draw(r, c.news, c.rate(w, class, zone, true)), draw(r, c.controls, c.rate(w, class, zone, false)))
+				err := j.Add(cell, draw(r, c.newRequests, c.rate(w, class, zone, true)), draw(r, c.controlRequests, c.rate(w, class, zone, false)))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -51,7 +51,7 @@
 	return v, c.windows
 }
 
-// changes are how many a test plays: CHANGES in the environment, or a few.
+// changes is how many changes a test simulates: CHANGES in the environment, or a few.
 func changes(few int) int {
 	n := few
 	fmt.Sscan(os.Getenv("CHANGES"), &n)
@@ -62,8 +62,8 @@
 	return func(int, int, int, bool) float64 { return p }
 }
 
-// Equal releases, looked at after every window: stopped no more often than said, whatever befalls both; and said to be no worse once
-// there is evidence for it.
+// Equal releases, judged after every window, are stopped no more often than planned, whatever happens to both; and they are judged to be no
+// worse once there is evidence for it.
 func TestEqualReleases(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for name, c := range map[string]change{
@@ -96,8 +96,8 @@
 	}
 }
 
-// Worse releases: stopped, the sooner the larger the effect, also where one class in one zone alone is worse, and never said to be
-// no worse more often than said.
+// Worse releases are stopped, the sooner the larger the effect, also if one class in one zone alone is worse, and they are judged to be no
+// worse no more often than planned.
 func TestWorseReleases(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	in := func(base, more float64) func(int, int, int, bool) float64 {
@@ -133,7 +133,7 @@
 	}
 }
 
-// A release that is as good as the old one for a long time, and then worse, is found about as soon as one that is worse from its begin.
+// A release that is as good as the old one for a long time, and then worse, is found about as soon as one that is worse from the start.
 func TestWorseLate(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 8))
 	after := func(equal int) int {
@@ -160,7 +160,7 @@
 	}
 }
 
-// Almost no traffic is no evidence, for either verdict; counts that come in bunches are worth less.
+// Almost no traffic is no evidence for either verdict; counts that come in clusters count less.
 func TestLittleEvidence(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	for range 100 {
@@ -170,7 +170,7 @@
 	}
 	evidence := func(bunch float64) float64 {
 		p := plan
-		p.Bunch = bunch
+		p.ClusterSize = bunch
 		j, _ := New(p)
 		for range 10 {
 			j.Add(Cell{}, Counts{10, 100}, Counts{2, 100})
@@ -185,14 +185,14 @@
 	}
 }
 
-// Bad plans and counts are errors that say what to write.
+// Invalid plans and counts are errors that say what to write.
 func TestBadInput(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
-		"false_stops: 0;":  func(p *Plan) { p.FalseStop = 0 },
-		"missed_stops: 1;": func(p *Plan) { p.Missed = 1 },
-		"effect: -1;":      func(p *Plan) { p.Effect = -1 },
-		"cells: 0;":        func(p *Plan) { p.Cells = 0 },
-		"bunch: 0.5;":      func(p *Plan) { p.Bunch = 0.5 },
+		"false_stops: 0;":  func(p *Plan) { p.FalseStopRate = 0 },
+		"missed_stops: 1;": func(p *Plan) { p.MissedStopRate = 1 },
+		"effect: -1;":      func(p *Plan) { p.MinEffect = -1 },
+		"cells: 0;":        func(p *Plan) { p.MaxCells = 0 },
+		"bunch: 0.5;":      func(p *Plan) { p.ClusterSize = 0.5 },
 	} {
 		p := plan
 		change(&p)
@@ -201,7 +201,7 @@
 		}
 	}
 	p := plan
-	p.Cells = 1
+	p.MaxCells = 1
 	j, _ := New(p)
 	if err := j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{2, 1}, Counts{0, 1}); err == nil {
 		t.Error("2 of 1")
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -22,20 +22,20 @@
 	"petrelhook/internal/rig/process"
 )
 
-// The test's program is the helper as well, and says so as the program that it becomes.
+// The test's program is also the helper, and the program of a fake release.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("MACHINE_TEST_START"); file != "" {
-		fmt.Println(Once(file, "/bin/echo", []string{"it", "runs"}))
+		fmt.Println(BecomeSidecar(file, "/bin/echo", []string{"it", "runs"}))
 		os.Exit(1)
 	}
 	if os.Getenv("MACHINE_TEST_THREADS") != "" {
 		syscall.RawSyscall(syscall.SYS_EXIT, 0, 0, 0) // of this thread alone
 	}
 	if os.Getenv(fakeVariable) != "" {
-		fake(os.Args[1:])
+		runFakeProgram(os.Args[1:])
 	}
 	if len(os.Args) > 3 && os.Args[1] == "once" {
-		fmt.Fprintln(os.Stderr, Once(os.Args[2], os.Args[3], os.Args[4:]))
+		fmt.Fprintln(os.Stderr, BecomeSidecar(os.Args[2], os.Args[3], os.Args[4:]))
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
@@ -48,20 +48,21 @@
 	}
 }
 
-// A process whose first thread has ended lives as long as another does: so it looks for a moment while it becomes its program. An agent
-// that took it for ended killed a sidecar that was well, and the change was stopped for what no release had done.
+// A process whose first thread has ended lives as long as another thread does; a start looks like that for a moment while the helper
+// becomes the program. An agent that took it for ended would kill a healthy sidecar, and the rollout would stop without a fault of the
+// release.
 func TestAFirstThreadIsNotAProcess(t *testing.T) {
 	s := process.Start(t, process.Again("MACHINE_TEST_THREADS", "1"))
 	process.Until(t, "its first thread has ended", func() bool { return s.State() == "Z" })
-	began, _ := startOf(s.Pid)
-	if p := (agent.Process{PID: s.Pid, Began: began}); !Lives(p) {
+	began, _ := startTicks(s.Pid)
+	if p := (agent.Process{PID: s.Pid, StartTicks: began}); !Lives(p) {
 		t.Error("it is taken for ended")
 	}
 	s.Kill()
-	process.Until(t, "it ends", func() bool { _, err := startOf(s.Pid); return err != nil })
+	process.Until(t, "it ends", func() bool { _, err := startTicks(s.Pid); return err != nil })
 }
 
-// A start is made, or claimed, never both: one that was claimed is not made any more, and one that was made is found.
+// A start is either made or given up: one that was given up is not made any more, and one that was made is found.
 func TestAStartIsMadeOnce(t *testing.T) {
 	helper := func(file string) (string, int) {
 		cmd := exec.Command(os.Args[0])
@@ -75,7 +76,7 @@
 		t.Fatal(out)
 	}
 	for range 2 {
-		if p, err := claim(made); err != nil || p == nil || p.PID != pid || p.Began == 0 || Lives(*p) {
+		if p, err := claim(made); err != nil || p == nil || p.PID != pid || p.StartTicks == 0 || Lives(*p) {
 			t.Errorf("%v, %v", p, err)
 		}
 		if p, err := claim(unmade); err != nil || p != nil {
@@ -90,17 +91,17 @@
 	}
 }
 
-// A process is known by its number and its start: another one with its number is another.
+// A process is identified by its ID and its start time: another process with the same ID does not count.
 func TestLives(t *testing.T) {
-	began, err := startOf(os.Getpid())
+	began, err := startTicks(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := agent.Process{PID: os.Getpid(), Began: began}
+	p := agent.Process{PID: os.Getpid(), StartTicks: began}
 	if ticks, memory := usage(p); !Lives(p) || memory < 1<<20 {
 		t.Errorf("%d ticks, %d bytes", ticks, memory)
 	}
-	if p.Began++; Lives(p) {
+	if p.StartTicks++; Lives(p) {
 		t.Error("another process is taken for it")
 	}
 	if _, memory := usage(p); memory != 0 {
@@ -108,10 +109,10 @@
 	}
 }
 
-// An agent that is started again refuses a driver that is older than one that the agent before had heard; two have no machine at once.
-func TestTheFenceIsKept(t *testing.T) {
+// A restarted agent refuses a driver with an older token than one that an earlier agent had seen; two agents cannot have one data folder.
+func TestFenceIsPersisted(t *testing.T) {
 	dir := t.TempDir()
-	c := &Config{Application: "a", Data: filepath.Join(dir, "data"), Releases: filepath.Join(dir, "releases"), Look: time.Second}
+	c := &Config{Application: "a", Data: filepath.Join(dir, "data"), Releases: filepath.Join(dir, "releases"), PollInterval: time.Second}
 	for _, call := range []struct {
 		token uint64
 		code  connect.Code
@@ -131,13 +132,13 @@
 		ended := make(chan error, 1)
 		go func() { ended <- m.Run(ctx, ln) }()
 		in := &StatusRequest{Version: Version, Application: "a", Token: call.token}
-		_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxAnswer).CallUnary(ctx, connect.NewRequest(in))
+		_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxResponseBytes).CallUnary(ctx, connect.NewRequest(in))
 		if (err != nil) != (call.code != 0) || err != nil && connect.CodeOf(err) != call.code {
 			t.Errorf("token %d: %v", call.token, err)
 		}
 		in = &StatusRequest{Version: Version + 1, Application: "a"} // a driver of another version, or of another application
 		for want, in := range map[string]*StatusRequest{"version 2; this agent speaks 1": in, `this agent is of "a"`: {Version: Version, Application: "b"}} {
-			_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxAnswer).CallUnary(ctx, connect.NewRequest(in))
+			_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxResponseBytes).CallUnary(ctx, connect.NewRequest(in))
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("%v, want %s", err, want)
 			}
--- a/internal/coordination/release/store.go
+++ b/internal/coordination/release/store.go
@@ -14,22 +14,25 @@
 // ID names a release by its content: the hash of the hashes of its program and its settings.
 type ID string
 
-// Release is one that a store holds.
+// Release is a release in a store.
 type Release struct {
 	ID       ID
 	Program  string // the path of the executable
 	Settings string // the path of its settings
 }
 
+// The files of a release's folder, and the prefix of folders of releases that are being added or removed.
 const (
-	programName, settingsName = "program", "settings.json"
-	adding                    = ".adding-"
+	programName   = "program"
+	settingsName  = "settings.json"
+	stagingPrefix = ".adding-"
 )
 
-// Store is a folder of releases.
+// Store is a folder of releases, each in a folder that is named by its ID. Any number of processes may open releases at the same time, but
+// none may add one while another calls NewStore, which removes what was not added completely.
 type Store struct{ dir string }
 
-// NewStore is the store in a folder, which is made if it is not there. What an earlier process had begun to add is removed.
+// NewStore returns the store in a folder, which is made if it is not there. What an earlier process had begun to add is removed.
 func NewStore(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -39,7 +42,7 @@
 		return nil, err
 	}
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), adding) {
+		if strings.HasPrefix(e.Name(), stagingPrefix) {
 			if err := os.RemoveAll(filepath.Join(dir, e.Name())); err != nil {
 				return nil, err
 			}
@@ -48,33 +51,34 @@
 	return &Store{dir}, nil
 }
 
-func name(program, settings []byte) ID {
+// contentID returns the ID of a release from the hashes of its program and its settings.
+func contentID(program, settings []byte) ID {
 	sum := sha256.Sum256(append(append([]byte("petrelhook release 1\n"), program...), settings...))
 	return ID(hex.EncodeToString(sum[:16]))
 }
 
-// Add copies a program and its settings into the store: beside, synced, and then renamed. One that is there already is checked and
-// left as it is.
+// Add copies a program and its settings into the store. They are written to a staging folder and synced, and the folder is renamed, so that
+// a release is complete on the disk when it is first seen. A release that is there already is checked and left as it is.
 func (s *Store) Add(program, settings io.Reader) (Release, error) {
-	beside, err := os.MkdirTemp(s.dir, adding)
+	staging, err := os.MkdirTemp(s.dir, stagingPrefix)
 	if err != nil {
 		return Release{}, err
 	}
-	defer os.RemoveAll(beside)
-	p, err := write(filepath.Join(beside, programName), program, 0o500)
+	defer func() { _ = os.RemoveAll(staging) }() // renamed after success; otherwise NewStore removes what is left
+	p, err := writeAndHash(filepath.Join(staging, programName), program, 0o500)
 	if err != nil {
 		return Release{}, err
 	}
-	c, err := write(filepath.Join(beside, settingsName), settings, 0o400)
+	c, err := writeAndHash(filepath.Join(staging, settingsName), settings, 0o400)
 	if err != nil {
 		return Release{}, err
 	}
-	id := name(p, c)
-	if err := syncDir(beside); err != nil {
+	id := contentID(p, c)
+	if err := syncDir(staging); err != nil {
 		return Release{}, err
 	}
-	if err := os.Rename(beside, filepath.Join(s.dir, string(id))); err != nil {
-		if r, failed := s.Open(id); failed == nil { // it was there
+	if err := os.Rename(staging, filepath.Join(s.dir, string(id))); err != nil {
+		if r, failed := s.Open(id); failed == nil { // it was there before
 			return r, nil
 		}
 		return Release{}, err
@@ -85,8 +89,8 @@
 	return s.Open(id)
 }
 
-// write writes a file and gives the hash of what it holds. A failure leaves nothing that is taken for whole.
-func write(path string, from io.Reader, mode os.FileMode) (sum []byte, err error) {
+// writeAndHash writes and syncs a file and returns the hash of its content. After a failure the file may be there in part.
+func writeAndHash(path string, from io.Reader, mode os.FileMode) (sum []byte, err error) {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return nil, err
@@ -107,10 +111,10 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// ErrNone says that a release is not in the store.
-var ErrNone = errors.New("there is no such release here")
+// ErrNotFound is the error of Open and Remove for a release that is not in the store.
+var ErrNotFound = errors.New("there is no such release here")
 
-// Open gives a release whose content is what its name says.
+// Open returns a release after it has checked that the content is that of the ID. The error for another content names the folder.
 func (s *Store) Open(id ID) (Release, error) {
 	if text, err := hex.DecodeString(string(id)); err != nil || len(text) != 16 {
 		return Release{}, fmt.Errorf("%q is no name of a release: write 32 hexadecimal digits", string(id))
@@ -121,7 +125,7 @@
 	for i, path := range []string{r.Program, r.Settings} {
 		f, err := os.Open(path)
 		if errors.Is(err, os.ErrNotExist) && i == 0 {
-			return Release{}, fmt.Errorf("%s: %w", id, ErrNone)
+			return Release{}, fmt.Errorf("%s: %w", id, ErrNotFound)
 		}
 		if err != nil {
 			return Release{}, err
@@ -133,18 +137,18 @@
 		}
 		sums[i] = h.Sum(nil)
 	}
-	if got := name(sums[0], sums[1]); got != id {
+	if got := contentID(sums[0], sums[1]); got != id {
 		return Release{}, fmt.Errorf("%s: damaged: its content is that of %s; add it again", dir, got)
 	}
 	return r, nil
 }
 
-// Remove removes a release. It is renamed first: nobody sees half of one.
+// Remove removes a release. The folder is renamed first, so that no one opens a part of it.
 func (s *Store) Remove(id ID) error {
-	if _, err := s.Open(id); errors.Is(err, ErrNone) {
+	if _, err := s.Open(id); errors.Is(err, ErrNotFound) {
 		return err
 	}
-	away := filepath.Join(s.dir, adding+string(id))
+	away := filepath.Join(s.dir, stagingPrefix+string(id))
 	if err := os.Rename(filepath.Join(s.dir, string(id)), away); err != nil {
 		return err
 	}
--- a/internal/coordination/replica/request.go
+++ b/internal/coordination/replica/request.go
@@ -67,7 +67,7 @@
 	SessionAlive  bool // KeepAlive: the session is renewed
 	Grants        []lease.Grant
 	GrantsVersion uint64
-	Rollout       rollout.Answer
+	Rollout       rollout.Response
 	State         *lease.State
 	Rollouts      *rollout.Register
 	LimitErr      error // why a limit was not set, or nothing of it is allocated
--- a/internal/coordination/replica/snapshot_test.go
+++ b/internal/coordination/replica/snapshot_test.go
@@ -45,9 +45,9 @@
 		return text
 	}
 	c, pump := start(InitialState([]Member{{ID: 1}}, lease.NewState()))
-	change := &rollout.Start{Plan: rollout.Plan{From: "old", To: "new", AtOnce: 1, Unavailable: 1, Patience: 1, Stages: []rollout.Stage{{Select: rollout.Select{Share: 1}}}},
-		Members: []rollout.Member{{Name: "n0"}}, Now: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
-	var answer rollout.Answer
+	change := &rollout.Start{Plan: rollout.Plan{From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: 1, Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}},
+		Members: []rollout.Member{{Name: "n0"}}, Reports: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
+	var answer rollout.Response
 	c.Submit(Request{Rollout: &rollout.Command{Application: "app", Change: "c", Start: change}, Done: func(r Response) { answer = r.Rollout }})
 	pump()
 	limit := share.Limit{Name: "l", Units: 3, Period: time.Second, Members: 1}
@@ -68,7 +68,7 @@
 		t.Fatalf("%+v, %+v, %+v", published, newest, changed)
 	}
 	recorded := application(c, pump)
-	if answer.Err != "" || len(recorded) == 0 {
+	if answer.Error != "" || len(recorded) == 0 {
 		t.Fatalf("%+v: %s", answer, recorded)
 	}
 	restarted, pump := start(&PersistedState{HardState: InitialState(nil, lease.NewState()).HardState, Snapshot: last})
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -22,18 +22,15 @@
 }
 
 func plan() Plan {
-	return Plan{Application: "app", From: "old", To: "new", AtOnce: 2, Unavailable: 3, Patience: time.Hour, Stages: []Stage{
-		{Select: Select{Count: 1}, Control: 1, Least: time.Minute}, {Select: Select{Share: 0.25}, Control: 2}, {Select: Select{Share: 1}}}}
+	return Plan{Application: "app", From: "old", To: "new", MaxConcurrent: 2, MaxUnavailable: 3, EvidenceTimeout: time.Hour, Stages: []Stage{
+		{Selector: Selector{Count: 1}, ControlCount: 1, MinWatch: time.Minute}, {Selector: Selector{Share: 0.25}, ControlCount: 2}, {Selector: Selector{Share: 1}}}}
 }
 
-// fleet is agents that carry orders out.
+// fleet is agents that carry out orders.
 type fleet struct {
-	t     testing.TB
-	s     *State
-	fence map[string]*Fence
-	run   map[string]string // what each runs
-	out   int               // the most that were out of service
-	went  map[string]int    // orders to the new release that were carried out after the stop
+	t        testing.TB
+	state    *State
+	releases map[string]string // the release of each sidecar
 }
 
 func begin(t testing.TB, p Plan, n int) *fleet {
@@ -42,35 +39,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, s: s, run: map[string]string{}}
+	f := &fleet{t: t, state: s, releases: map[string]string{}}
 	for _, m := range all {
-		f.run[m.Name] = "old"
+		f.releases[m.Name] = "old"
 	}
 	return f
 }
 
-// apply takes in an event and carries all orders out, until there are none; fails says why one fails.
+// apply applies an event and carries out all orders that follow; fails says why an order fails, "": it succeeds.
 func (f *fleet) apply(e Event, fails func(Order) string) {
-	todo := f.s.Apply(e)
+	todo := f.state.Apply(e)
 	for len(todo) > 0 {
-		if len(f.s.Orders()) > f.s.Plan.AtOnce {
-			f.t.Errorf("%d change at once", len(f.s.Orders()))
+		if len(f.state.OpenOrders()) > f.state.Plan.MaxConcurrent {
+			f.t.Errorf("%d change at once", len(f.state.OpenOrders()))
 		}
 		o := todo[0]
 		todo = todo[1:]
-		r := Report{Sidecar: o.Sidecar, Ready: true, Done: o.Number}
-		if r.Failed = fails(o); r.Failed == "" {
-			f.run[o.Sidecar] = o.Release
+		r := Report{Sidecar: o.Sidecar, Ready: true, CompletedOrder: o.Number}
+		if r.FailureReason = fails(o); r.FailureReason == "" {
+			f.releases[o.Sidecar] = o.Release
 		}
-		r.Release = f.run[o.Sidecar]
-		todo = append(todo, f.s.Apply(Event{Report: &r})...)
+		r.Release = f.releases[o.Sidecar]
+		todo = append(todo, f.state.Apply(Event{Report: &r})...)
 	}
 }
 
 func never(Order) string { return "" }
 
 func (f *fleet) running(release string) (n int) {
-	for _, r := range f.run {
+	for _, r := range f.releases {
 		if r == release {
 			n++
 		}
@@ -78,52 +75,52 @@
 	return n
 }
 
-// A good change goes through its stages, each once its time is watched and the judge has said that it is no worse.
+// A good change passes its stages, each after its time has passed and the judge has said that it is no worse.
 func TestAGoodChange(t *testing.T) {
 	f := begin(t, plan(), 12)
 	f.apply(Event{Elapsed: time.Second}, never)
-	if c, control := f.s.Groups(); f.running("new") != 1 || len(c) != 1 || len(control) != 1 || control[0] != "n09" { // the last of its zone
+	if c, control := f.state.Groups(); f.running("new") != 1 || len(c) != 1 || len(control) != 1 || control[0] != "n09" { // the last of its zone
 		t.Fatalf("%d changed; %v, %v", f.running("new"), c, control)
 	}
-	f.apply(Event{Verdict: &Verdict{Stage: 1, Fine: true}}, never)
-	if f.s.Stage != 1 {
+	f.apply(Event{Verdict: &Verdict{Stage: 1, NoWorse: true}}, never)
+	if f.state.Stage != 1 {
 		t.Error("its time was not watched")
 	}
 	f.apply(Event{Elapsed: time.Minute}, never)
-	if f.s.Stage != 2 || f.running("new") != 4 {
-		t.Fatalf("stage %d, %d changed", f.s.Stage, f.running("new"))
+	if f.state.Stage != 2 || f.running("new") != 4 {
+		t.Fatalf("stage %d, %d changed", f.state.Stage, f.running("new"))
 	}
 	f.apply(Event{Verdict: &Verdict{Stage: 1, Worse: true}}, never) // late
-	f.apply(Event{Verdict: &Verdict{Stage: 2, Fine: true}}, never)
-	f.apply(Event{Verdict: &Verdict{Stage: 3, Fine: true}}, never)
-	if f.s.Phase != Done || f.running("new") != 12 {
-		t.Errorf("%v, %d changed", f.s.Phase, f.running("new"))
+	f.apply(Event{Verdict: &Verdict{Stage: 2, NoWorse: true}}, never)
+	f.apply(Event{Verdict: &Verdict{Stage: 3, NoWorse: true}}, never)
+	if f.state.Phase != Done || f.running("new") != 12 {
+		t.Errorf("%v, %d changed", f.state.Phase, f.running("new"))
 	}
 }
 
-// Nothing moves before the time before is watched.
+// Nothing is changed before the baseline period is over.
 func TestBefore(t *testing.T) {
 	p := plan()
-	p.Before = time.Minute
+	p.BaselinePeriod = time.Minute
 	f := begin(t, p, 12)
 	f.apply(Event{Elapsed: 59 * time.Second}, never)
-	if f.running("new") != 0 || f.s.Waits() != "what is before: 59s of 1m0s" {
-		t.Errorf("%d are changed; waits for %s", f.running("new"), f.s.Waits())
+	if f.running("new") != 0 || f.state.WaitingFor() != "what is before: 59s of 1m0s" {
+		t.Errorf("%d are changed; waits for %s", f.running("new"), f.state.WaitingFor())
 	}
 	if f.apply(Event{Elapsed: time.Second}, never); f.running("new") != 1 {
 		t.Errorf("%d are changed", f.running("new"))
 	}
 }
 
-// slow is agents that carry nothing out: the events tell all.
+// slow stands for agents that carry out nothing: the events report all that happens.
 var slow func(Order) string
 
-// back is that the first of a stage runs the old release again, without an order.
+// back reports that the first sidecar of a stage runs the old release again, without an order.
 func back(why FallbackReason) Event {
-	return Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 1, FallbackReason: why}}
+	return Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FallbackReason: why}}
 }
 
-// What stops a change, and what becomes of what was changed.
+// What stops or pauses a change, and what becomes of the changed sidecars.
 func TestStops(t *testing.T) {
 	failsTo := func(release string, n int) func(Order) string {
 		return func(o Order) string {
@@ -142,8 +139,8 @@
 		why    string
 		alone  int
 	}{
-		"worse":                {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Why: "failed"}}}, never, Stopped, 0, "failed", 0},
-		"worse, and held":      {true, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Why: "failed"}}}, never, Stopped, 1, "failed", 0},
+		"worse":                {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "failed"}}}, never, Stopped, 0, "failed", 0},
+		"worse, and held":      {true, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "failed"}}}, never, Stopped, 1, "failed", 0},
 		"never ready":          {false, []Event{{Elapsed: 1}}, failsTo("new", 0), Stopped, 0, "not ready in time", 0},
 		"a control fails":      {false, []Event{{Elapsed: 1}}, failsTo("old", 1), Paused, 1, "restarted as it was", 1},
 		"no evidence":          {false, []Event{{Elapsed: 1}, {Elapsed: time.Hour}, {Elapsed: time.Hour}}, never, Paused, 1, "not enough evidence", 0},
@@ -151,63 +148,63 @@
 		"cut off":              {false, []Event{{Elapsed: 1}, back(MachineIsolated)}, never, Paused, 1, "cut off", 0},
 		"nothing comes of it":  {false, []Event{{Elapsed: 1}, {Report: &Report{Sidecar: "n00", Release: "new"}}, {Elapsed: 59 * time.Minute}, {Elapsed: time.Minute}}, never, Paused, 1, "nothing came of it in 1h0m0s: n00", 0},
 		"accepted":             {false, []Event{{Elapsed: 1}, {Elapsed: time.Hour}, {Resume: true, Accept: true}, {Elapsed: time.Minute}}, never, Running, 4, "", 0},
-		"fails in a pause":     {false, []Event{{Pause: "lunch"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 1, Failed: "not ready"}}}, slow, Stopped, 0, "not ready", 0},
+		"fails in a pause":     {false, []Event{{Pause: "lunch"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "not ready"}}}, slow, Stopped, 0, "not ready", 0},
 		"ends in a pause":      {false, []Event{{Elapsed: 1}, {Pause: "lunch"}, back(ProcessEnded)}, never, Stopped, 1, "it ended", 0},
-		"fails after the stop": {false, []Event{{Abort: "by hand"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, Done: 1, Failed: "not ready"}}}, slow, Stopped, 0, "by hand", 0},
-		"old ones worse":       {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Old: true, Why: "old"}}}, never, Paused, 1, "old", 0},
+		"fails after the stop": {false, []Event{{Abort: "by hand"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "not ready"}}}, slow, Stopped, 0, "by hand", 0},
+		"old ones worse":       {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, BaselineWorse: true, Reason: "old"}}}, never, Paused, 1, "old", 0},
 		"aborted":              {false, []Event{{Elapsed: 1}, {Abort: "by hand"}}, never, Stopped, 0, "by hand", 0},
 		"paused, then aborted": {false, []Event{{Elapsed: 1}, {Pause: "lunch"}, {Abort: "by hand"}, {Resume: true}}, never, Stopped, 0, "by hand", 0},
-		"taking back fails":    {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Why: "w"}}, {Abort: "again"}, {Elapsed: 1}}, failsTo("old", 2), Stopped, 1, "w", 1},
+		"taking back fails":    {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "w"}}, {Abort: "again"}, {Elapsed: 1}}, failsTo("old", 2), Stopped, 1, "w", 1},
 	} {
 		p := plan()
-		p.Hold = c.hold
+		p.KeepOnStop = c.hold
 		f := begin(t, p, 12)
-		if c.fails == nil { // agents that have not done anything yet
-			f.s.Plan.Stages[0].Control = 0
-			f.s.Apply(Event{})
+		if c.fails == nil { // agents that have not carried out anything yet
+			f.state.Plan.Stages[0].ControlCount = 0
+			f.state.Apply(Event{})
 		}
 		for _, e := range c.events {
 			if c.fails == nil {
-				f.s.Apply(e)
+				f.state.Apply(e)
 				continue
 			}
 			f.apply(e, c.fails)
 		}
 		alone := 0
-		for _, s := range f.s.Sidecars() {
-			if s.Alone != "" {
+		for _, s := range f.state.Sidecars() {
+			if s.AbandonedReason != "" {
 				alone++
 			}
 		}
-		if f.s.Phase != c.phase || f.running("new") != c.new || !strings.Contains(f.s.Why, c.why) || alone != c.alone || len(f.s.Orders()) > 0 {
-			t.Errorf("%s: %v (%s), %d new, %d left alone, open %v", name, f.s.Phase, f.s.Why, f.running("new"), alone, f.s.Orders())
+		if f.state.Phase != c.phase || f.running("new") != c.new || !strings.Contains(f.state.Reason, c.why) || alone != c.alone || len(f.state.OpenOrders()) > 0 {
+			t.Errorf("%s: %v (%s), %d new, %d left alone, open %v", name, f.state.Phase, f.state.Reason, f.running("new"), alone, f.state.OpenOrders())
 		}
 	}
 }
 
-// What was changed and is out of service goes back, though more are out of service than the plan allows.
+// A changed sidecar that is out of service is rolled back even if more are out of service than the plan allows.
 func TestTakingBackWhatDoesNotServe(t *testing.T) {
 	p := plan()
-	p.AtOnce, p.Unavailable = 1, 1
-	p.Stages = []Stage{{Select: Select{Count: 3}}, {Select: Select{Share: 1}}}
+	p.MaxConcurrent, p.MaxUnavailable = 1, 1
+	p.Stages = []Stage{{Selector: Selector{Count: 3}}, {Selector: Selector{Share: 1}}}
 	f := begin(t, p, 6)
 	f.apply(Event{Elapsed: 1}, never)
 	for _, name := range []string{"n00", "n01", "n02"} {
-		f.apply(Event{Report: &Report{Sidecar: name, Release: "new", Done: 9}}, never)
+		f.apply(Event{Report: &Report{Sidecar: name, Release: "new", CompletedOrder: 9}}, never)
 	}
 	f.apply(Event{Abort: "a"}, never)
-	if f.s.Phase != Stopped || f.running("old") != 6 {
-		t.Errorf("%v: %d are back", f.s.Phase, f.running("old"))
+	if f.state.Phase != Stopped || f.running("old") != 6 {
+		t.Errorf("%v: %d are back", f.state.Phase, f.running("old"))
 	}
 }
 
-// Any reports, late, doubled, lost and false, any calls, and drivers that take over: the limits hold, nobody is ordered forward after
-// a stop, an agent carries an order out once, and a state that was replayed goes on equally.
+// Whatever reports come, late, doubled, lost or false, whatever operators ask, and whichever driver takes over: the limits hold, no sidecar
+// is ordered to the new release after a stop, an agent carries out an order once, and a state that was replayed continues equally.
 func TestAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := plan()
-		p.AtOnce = rapid.IntRange(1, 3).Draw(t, "at once")
-		p.Unavailable = p.AtOnce + rapid.IntRange(0, 2).Draw(t, "unavailable")
+		p.MaxConcurrent = rapid.IntRange(1, 3).Draw(t, "at once")
+		p.MaxUnavailable = p.MaxConcurrent + rapid.IntRange(0, 2).Draw(t, "unavailable")
 		all, now := members(9)
 		s, err := New(p, all, now)
 		if err != nil {
@@ -225,7 +222,7 @@
 			var e Event
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				e.Verdict = &Verdict{Stage: rapid.IntRange(1, 3).Draw(t, "stage"), Worse: rapid.IntRange(0, 9).Draw(t, "worse") == 0, Fine: rapid.Bool().Draw(t, "fine"), Why: "w"}
+				e.Verdict = &Verdict{Stage: rapid.IntRange(1, 3).Draw(t, "stage"), Worse: rapid.IntRange(0, 9).Draw(t, "worse") == 0, NoWorse: rapid.Bool().Draw(t, "fine"), Reason: "w"}
 			case 1:
 				e.Elapsed = time.Minute
 			case 2:
@@ -242,9 +239,9 @@
 				r := Report{Sidecar: rapid.SampledFrom(all).Draw(t, "sidecar").Name, Release: rapid.SampledFrom([]string{"old", "new"}).Draw(t, "release"), Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0}
 				if len(known) > 0 && rapid.IntRange(0, 3).Draw(t, "done") > 0 {
 					o := rapid.SampledFrom(known).Draw(t, "order")
-					r.Sidecar, r.Done = o.Sidecar, o.Number
+					r.Sidecar, r.CompletedOrder = o.Sidecar, o.Number
 					if rapid.IntRange(0, 5).Draw(t, "fails") == 0 {
-						r.Failed = "f"
+						r.FailureReason = "f"
 					} else {
 						r.Release = o.Release
 					}
@@ -256,18 +253,18 @@
 			if again := twin.Apply(e); !slices.Equal(orders, again) || !reflect.DeepEqual(s.Sidecars(), twin.Sidecars()) || s.Phase != twin.Phase {
 				t.Fatalf("%v, and replayed %v", orders, again)
 			}
-			if rapid.IntRange(0, 3).Draw(t, "kept") == 0 { // in a snapshot, by way of another coordinator
+			if rapid.IntRange(0, 3).Draw(t, "kept") == 0 { // restored from a snapshot by another coordinator
 				text, err := json.Marshal(twin)
 				if twin = new(State); err != nil || json.Unmarshal(text, twin) != nil {
 					t.Fatalf("%v: %s", err, text)
 				}
 			}
-			open := s.Orders()
-			if len(open) > p.AtOnce {
-				t.Fatalf("%d change at once, of %d", len(open), p.AtOnce)
+			open := s.OpenOrders()
+			if len(open) > p.MaxConcurrent {
+				t.Fatalf("%d change at once, of %d", len(open), p.MaxConcurrent)
 			}
 			if len(orders) > 0 {
-				out, mended := map[string]bool{}, s.Phase == TakingBack // those that are out of service already may always go back
+				out, mended := map[string]bool{}, s.Phase == RollingBack // those that are out of service already may always be rolled back
 				for _, o := range open {
 					out[o.Sidecar] = true
 				}
@@ -279,8 +276,8 @@
 				for _, o := range orders {
 					mended = mended && !ready[o.Sidecar]
 				}
-				if len(out) > p.Unavailable && !mended {
-					t.Fatalf("%d are out of service, of %d, and one more was ordered", len(out), p.Unavailable)
+				if len(out) > p.MaxUnavailable && !mended {
+					t.Fatalf("%d are out of service, of %d, and one more was ordered", len(out), p.MaxUnavailable)
 				}
 			}
 			for _, o := range orders {
@@ -289,8 +286,8 @@
 				}
 				known = append(known, o)
 			}
-			stopped = stopped || s.Phase == TakingBack || s.Phase == Stopped
-			for _, o := range append(orders, open...) { // and said again, by this driver or the next
+			stopped = stopped || s.Phase == RollingBack || s.Phase == Stopped
+			for _, o := range append(orders, open...) { // and repeated, by this driver or the next
 				if fences[o.Sidecar] == nil {
 					fences[o.Sidecar] = &Fence{}
 				}
@@ -309,7 +306,7 @@
 	})
 }
 
-// An agent refuses orders of an older driver, and older orders; what it refuses changes nothing.
+// A fence refuses orders of an older driver, and older orders; a refused one changes nothing.
 func TestFence(t *testing.T) {
 	var f Fence
 	admit := func(token, number uint64, want string, known bool) {
@@ -327,23 +324,23 @@
 	admit(6, 1, "order 2 came after it", false)
 }
 
-// Plans that do not add up are errors that name the field, before anything moves.
+// Plans that do not fit are errors that name the field, before anything is changed.
 func TestBadPlans(t *testing.T) {
 	all, now := members(6)
 	for want, change := range map[string]func(*Plan){
 		"from, to: write both":                   func(p *Plan) { p.To = "" },
 		"to: old is what is there":               func(p *Plan) { p.To = "old" },
 		"stages: write one":                      func(p *Plan) { p.Stages = nil },
-		"at_once: 0":                             func(p *Plan) { p.AtOnce = 0 },
-		"unavailable: 1":                         func(p *Plan) { p.Unavailable = 1 },
-		"patience: 0s":                           func(p *Plan) { p.Patience = 0 },
-		"stages[0]: write one of":                func(p *Plan) { p.Stages[0].Select = Select{Count: 1, Zone: "a"} },
-		"stages[0]: share: 2":                    func(p *Plan) { p.Stages[0].Select = Select{Share: 2} },
-		"stages[0]: count: 9, and 6":             func(p *Plan) { p.Stages[0].Select = Select{Count: 9} },
-		"stages[0]: names: x is no":              func(p *Plan) { p.Stages[0].Select = Select{Names: []string{"x"}} },
-		"stages[0]: it takes nobody":             func(p *Plan) { p.Stages[0].Select = Select{Zone: "z"} },
-		"stages[2].control: 1, and 0":            func(p *Plan) { p.Stages[2].Control = 1 },
-		"stages[0].least: 2h0m0s":                func(p *Plan) { p.Stages[0].Least = 2 * time.Hour },
+		"at_once: 0":                             func(p *Plan) { p.MaxConcurrent = 0 },
+		"unavailable: 1":                         func(p *Plan) { p.MaxUnavailable = 1 },
+		"patience: 0s":                           func(p *Plan) { p.EvidenceTimeout = 0 },
+		"stages[0]: write one of":                func(p *Plan) { p.Stages[0].Selector = Selector{Count: 1, Zone: "a"} },
+		"stages[0]: share: 2":                    func(p *Plan) { p.Stages[0].Selector = Selector{Share: 2} },
+		"stages[0]: count: 9, and 6":             func(p *Plan) { p.Stages[0].Selector = Selector{Count: 9} },
+		"stages[0]: names: x is no":              func(p *Plan) { p.Stages[0].Selector = Selector{Names: []string{"x"}} },
+		"stages[0]: it takes nobody":             func(p *Plan) { p.Stages[0].Selector = Selector{Zone: "z"} },
+		"stages[2].control: 1, and 0":            func(p *Plan) { p.Stages[2].ControlCount = 1 },
+		"stages[0].least: 2h0m0s":                func(p *Plan) { p.Stages[0].MinWatch = 2 * time.Hour },
 		"stages: 3 of 6 sidecars are in none":    func(p *Plan) { p.Stages = p.Stages[:2] },
 		`n00 runs "old", and the change is from`: func(p *Plan) { p.From = "older" },
 	} {
--- a/internal/coordination/rollout/state.go
+++ b/internal/coordination/rollout/state.go
@@ -4,20 +4,19 @@
 	"fmt"
 	"maps"
 	"slices"
-	"strings"
 	"time"
 )
 
-// Phase is what a change does.
+// Phase is what a change does; see the package's comment. Its number is part of snapshots, its text of the log's transitions.
 type Phase uint8
 
 // The phases.
 const (
 	Running Phase = iota
 	Paused
-	TakingBack
-	Done    // all are changed
-	Stopped // and what was changed is taken back, held, or left alone
+	RollingBack
+	Done
+	Stopped
 )
 
 func (p Phase) String() string {
@@ -27,348 +26,189 @@
 // Over reports whether nothing will follow.
 func (p Phase) Over() bool { return p == Done || p == Stopped }
 
-// Sidecar is what is known of one.
+// Sidecar is what is known of one sidecar of a change.
 type Sidecar struct {
-	Name    string `json:"name"`
-	Zone    string `json:"zone,omitempty"`
-	Release string `json:"release"` // as its agent reported last
-	Ready   bool   `json:"ready"`
-	Order   uint64 `json:"order,omitempty"` // the one that is open; 0: none
-	To      string `json:"to,omitempty"`    // what that one wants
-	Alone   string `json:"alone,omitempty"` // why it is left alone; "": it is not
-	Control int    `json:"control"`         // the last stage for which it was restarted, counted from 1
+	Name            string `json:"name"`
+	Zone            string `json:"zone,omitempty"`
+	Release         string `json:"release"` // as its agent reported last
+	Ready           bool   `json:"ready"`
+	OpenOrder       uint64 `json:"order,omitempty"` // 0: none
+	OrderedRelease  string `json:"to,omitempty"`    // the release of the open order
+	AbandonedReason string `json:"alone,omitempty"` // why it is no longer ordered to change; "": it may be
+	ControlStage    int    `json:"control"`         // the last stage for which it was restarted as control, counted from 1; 0: none
 }
 
-// Order is what an agent is to do: run a release, by a start anew. An agent that has done an order of this number does nothing.
-type Order struct {
-	Number  uint64 `json:"number"`
-	Sidecar string `json:"sidecar"`
-	Release string `json:"release"`
-}
-
-// Event is what happens. One field says what.
-type Event struct {
-	Report  *Report       `json:"report,omitempty"`
-	Verdict *Verdict      `json:"verdict,omitempty"`
-	Elapsed time.Duration `json:"elapsed,omitempty"` // that the driver has watched since it told last
-	Pause   string        `json:"pause,omitempty"`   // why
-	Resume  bool          `json:"resume,omitempty"`
-	Abort   string        `json:"abort,omitempty"`  // why
-	Accept  bool          `json:"accept,omitempty"` // an operator takes the stage for no worse; with Resume
-}
-
-// Report is what an agent says of one sidecar.
-type Report struct {
-	Sidecar        string         `json:"sidecar"`
-	Release        string         `json:"release"`
-	Ready          bool           `json:"ready"`
-	Done           uint64         `json:"done,omitempty"`   // the number of the last order that was carried out, well or not
-	Failed         string         `json:"failed,omitempty"` // why that one failed; the sidecar runs what Release says
-	FallbackReason FallbackReason `json:"fell,omitempty"`   // why it went to what is confirmed without an order, if it did
-}
-
-// FallbackReason is why an agent brought a sidecar back to what is confirmed.
-type FallbackReason string
-
-// The kinds.
-const (
-	ProcessEnded    FallbackReason = "it ended"
-	MachineIsolated FallbackReason = "its machine was cut off" // which is no fault of a release
-)
-
-// Verdict is the judge's, of the stage that is watched.
-type Verdict struct {
-	Stage int       `json:"stage"` // counted from 1; one of another stage is late
-	Worse bool      `json:"worse,omitempty"`
-	Old   bool      `json:"old,omitempty"`  // it is the old ones that do worse than before the change
-	Fine  bool      `json:"fine,omitempty"` // no worse; neither: not enough evidence
-	Why   string    `json:"why"`
-	Tally []Counted `json:"tally,omitempty"` // what it was reached by, now and then
-}
-
-// State is a change so far.
+// State is the state of a change. New begins it, Apply changes it.
 type State struct {
-	Plan     Plan
-	Phase    Phase
-	Why      string        // of the pause or the stop
-	Stage    int           // counted from 1
-	Settled  time.Duration // of the plan's Before
-	Watched  time.Duration
-	Waited   time.Duration // for sidecars of this stage that are not ready, since one last came or went
-	Fine     bool          // the judge says so of this stage
-	Evidence string        // the judge's last word on it
-	stages   [][]string
-	sidecars map[string]*Sidecar
-	names    []string // in the order of stages
-	number   uint64
-}
-
-// New begins a change of sidecars that all run its From, or says why not.
-func New(p Plan, members []Member, now []Report) (*State, error) {
-	stages, err := p.resolve(members)
+	Plan            Plan
+	Phase           Phase
+	Reason          string        // of the pause or the stop
+	Stage           int           // counted from 1
+	BaselineElapsed time.Duration // of Plan.BaselinePeriod
+	StageElapsed    time.Duration // watched since the stage was complete
+	WaitElapsed     time.Duration // waited for sidecars of the stage, since one of them last changed
+	JudgedNoWorse   bool          // by the judge, or by an operator
+	LastVerdict     string        // the judge's last reason in this stage
+
+	stages       [][]string // the names of each stage's sidecars
+	sidecars     map[string]*Sidecar
+	sidecarNames []string // in the order of the stages
+	lastOrder    uint64   // the highest number of an order
+}
+
+// New begins a change of sidecars that all run the plan's From. The error says which field of the plan or which sidecar prevents it.
+func New(p Plan, members []Member, reports []Report) (*State, error) {
+	stages, err := p.resolveStages(members)
 	if err != nil {
 		return nil, err
 	}
 	s := &State{Plan: p, Stage: 1, stages: stages, sidecars: map[string]*Sidecar{}}
-	for _, all := range stages {
-		for _, name := range all {
+	for _, stage := range stages {
+		for _, name := range stage {
 			s.sidecars[name] = &Sidecar{Name: name}
-			s.names = append(s.names, name)
+			s.sidecarNames = append(s.sidecarNames, name)
 		}
 	}
 	for _, m := range members {
 		s.sidecars[m.Name].Zone = m.Zone
 	}
-	for _, r := range now {
-		if c := s.sidecars[r.Sidecar]; c != nil {
-			c.Release, c.Ready = r.Release, r.Ready
-			s.number = max(s.number, r.Done) // agents refuse numbers that they know
+	for _, r := range reports {
+		if sidecar := s.sidecars[r.Sidecar]; sidecar != nil {
+			sidecar.Release, sidecar.Ready = r.Release, r.Ready
+			s.lastOrder = max(s.lastOrder, r.CompletedOrder) // agents refuse numbers that they know
 		}
 	}
-	for _, name := range s.names {
-		if c := s.sidecars[name]; c.Release != p.From {
-			return nil, fmt.Errorf("%s runs %q, and the change is from %s: bring it there first, or leave it out", name, c.Release, p.From)
+	for _, name := range s.sidecarNames {
+		if sidecar := s.sidecars[name]; sidecar.Release != p.From {
+			return nil, fmt.Errorf("%s runs %q, and the change is from %s: bring it there first, or leave it out", name, sidecar.Release, p.From)
 		}
 	}
 	return s, nil
 }
 
-// Apply takes in what happened, and gives the orders that are new.
+// Apply applies an event and returns the new orders that follow. An event that does not fit the state has no effect.
 func (s *State) Apply(e Event) []Order {
 	switch {
 	case e.Report != nil:
-		s.report(*e.Report)
+		s.applyReport(*e.Report)
 	case e.Verdict != nil:
-		if v := e.Verdict; s.Phase == Running && v.Stage == s.Stage {
-			switch s.Fine, s.Evidence = v.Fine, v.Why; {
-			case v.Worse:
-				s.stop(v.Why)
-			case v.Old: // the release may take what they need, or something else happens
-				s.Phase, s.Why = Paused, v.Why
-			}
-		}
+		s.applyVerdict(*e.Verdict)
 	case e.Pause != "" && s.Phase == Running:
-		s.Phase, s.Why = Paused, e.Pause
+		s.pause(e.Pause)
 	case e.Resume && s.Phase == Paused:
-		s.Phase, s.Why, s.Watched, s.Waited = Running, "", 0, 0
-		s.Fine = s.Fine || e.Accept && s.changed()
+		s.Phase, s.Reason, s.StageElapsed, s.WaitElapsed = Running, "", 0, 0
+		s.JudgedNoWorse = s.JudgedNoWorse || e.Accept && s.stageComplete()
 	case e.Abort != "" && (s.Phase == Running || s.Phase == Paused):
 		s.stop(e.Abort)
-	case e.Elapsed > 0 && s.Phase == Running && s.Settled < s.Plan.Before:
-		s.Settled += e.Elapsed
-	case e.Elapsed > 0 && s.Phase == Running && s.changed():
-		s.Watched += e.Elapsed
 	case e.Elapsed > 0 && s.Phase == Running:
-		if s.Waited += e.Elapsed; s.Waited >= s.Plan.Patience {
-			s.Phase, s.Why = Paused, fmt.Sprintf("stage %d: nothing came of it in %v: %s", s.Stage, s.Waited, s.missing())
-		}
+		s.applyElapsed(e.Elapsed)
 	}
-	return s.next()
+	return s.advance()
 }
 
-// stop ends a change: what was changed goes back, unless it is to be held.
-func (s *State) stop(why string) {
-	s.Phase, s.Why = TakingBack, why
-	if s.Plan.Hold {
+func (s *State) pause(reason string) { s.Phase, s.Reason = Paused, reason }
+
+// stop ends a change: what was changed is rolled back, unless the plan keeps it.
+func (s *State) stop(reason string) {
+	s.Phase, s.Reason = RollingBack, reason
+	if s.Plan.KeepOnStop {
 		s.Phase = Stopped
 	}
 }
 
-func (s *State) report(r Report) {
-	c := s.sidecars[r.Sidecar]
-	if c == nil {
+func (s *State) applyVerdict(v Verdict) {
+	if s.Phase != Running || v.Stage != s.Stage {
 		return
 	}
-	was := c.Release
-	if c.Release, c.Ready = r.Release, r.Ready; r.Release != was {
-		s.Waited = 0
-	}
-	goes := s.Phase == Running || s.Phase == Paused
-	if c.Order == 0 && goes && was == s.Plan.To && r.Release != was {
-		if r.FallbackReason == MachineIsolated {
-			s.Phase, s.Why = Paused, fmt.Sprintf("%s is back at %s: %s", c.Name, r.Release, r.FallbackReason)
-		} else {
-			s.stop(fmt.Sprintf("%s went back to %s without an order: %s", c.Name, r.Release, r.FallbackReason))
-		}
-	}
-	if c.Order == 0 || r.Done != c.Order {
-		return
-	}
-	to := c.To
-	s.Waited = 0
-	c.Order, c.To = 0, ""
+	s.JudgedNoWorse, s.LastVerdict = v.NoWorse, v.Reason
 	switch {
-	case r.Failed == "" && r.Release == to:
-	case goes && to == s.Plan.To:
-		s.stop(fmt.Sprintf("%s: %s", c.Name, r.Failed))
-		if c.Release != s.Plan.From { // it is neither here nor there
-			c.Alone = r.Failed
-		}
-	case to == s.Plan.To && c.Release == s.Plan.From: // ordered before the stop: it is where it is to be
-	case goes: // a control that does not come back is no fault of the release
-		s.Phase, s.Why = Paused, fmt.Sprintf("%s, restarted as it was: %s", c.Name, r.Failed)
-		c.Alone = r.Failed
-	case c.Release != s.Plan.From || r.Failed != "":
-		c.Alone = fmt.Sprintf("order %d: %s", r.Done, r.Failed)
+	case v.Worse:
+		s.stop(v.Reason)
+	case v.BaselineWorse: // the release may use up what the others need, or something else happens
+		s.pause(v.Reason)
 	}
 }
 
-// changed reports whether all of the stage are changed, and its control is restarted.
-func (s *State) changed() bool {
-	for _, name := range s.stages[s.Stage-1] {
-		if c := s.sidecars[name]; c.Alone == "" && (c.Release != s.Plan.To || c.Order != 0 || !c.Ready) {
-			return false
-		}
-	}
-	for _, c := range s.controls() {
-		if c.Alone == "" && (c.Order != 0 || c.Control != s.Stage || !c.Ready) {
-			return false
-		}
-	}
-	return true
-}
-
-// missing names those that a stage waits for.
-func (s *State) missing() string {
-	var all []string
-	for _, name := range s.names {
-		if c := s.sidecars[name]; c.Order != 0 || c.Alone == "" && !c.Ready {
-			all = append(all, name)
+func (s *State) applyElapsed(elapsed time.Duration) {
+	switch {
+	case s.BaselineElapsed < s.Plan.BaselinePeriod:
+		s.BaselineElapsed += elapsed
+	case s.stageComplete():
+		s.StageElapsed += elapsed
+	default:
+		if s.WaitElapsed += elapsed; s.WaitElapsed >= s.Plan.EvidenceTimeout {
+			s.pause(fmt.Sprintf("stage %d: nothing came of it in %v: %s", s.Stage, s.WaitElapsed, s.waitedFor()))
 		}
 	}
-	return strings.Join(all, ", ")
 }
 
-// controls are the sidecars that are restarted beside a stage: of later ones, the last first, for they are old the longest; those of the
-// stage's own zones before others, for zones are not alike.
-func (s *State) controls() (all []*Sidecar) {
-	var later []string
-	for _, stage := range s.stages[s.Stage:] {
-		later = append(later, stage...)
-	}
-	wanted := s.Plan.Stages[s.Stage-1].Control
-	take := func(zone string, any bool) {
-		for _, name := range slices.Backward(later) {
-			if c := s.sidecars[name]; len(all) < wanted && (any || c.Zone == zone) && !slices.Contains(all, c) {
-				if all = append(all, c); !any {
-					return
-				}
-			}
-		}
-	}
-	for before := -1; len(all) > before && len(all) < wanted; { // one for each of the stage, in turn
-		before = len(all)
-		for _, name := range s.stages[s.Stage-1] {
-			take(s.sidecars[name].Zone, false)
-		}
+func (s *State) applyReport(r Report) {
+	sidecar := s.sidecars[r.Sidecar]
+	if sidecar == nil {
+		return
 	}
-	take("", true)
-	return all
-}
-
-// next decides what follows, and gives the orders that are new.
-func (s *State) next() (orders []Order) {
-	if s.Phase == Running && s.Settled < s.Plan.Before {
-		return nil
+	before := sidecar.Release
+	if sidecar.Release, sidecar.Ready = r.Release, r.Ready; r.Release != before {
+		s.WaitElapsed = 0
 	}
-	for s.Phase == Running && s.changed() {
-		last := s.Stage == len(s.stages)
-		least := s.Plan.Stages[s.Stage-1].Least
-		if !s.Fine && s.Watched >= s.Plan.Patience {
-			s.Phase, s.Why = Paused, fmt.Sprintf("stage %d: not enough evidence after %v", s.Stage, s.Watched)
-		}
-		if !s.Fine || s.Watched < least {
-			break
-		}
-		if last {
-			s.Phase = Done
-			return nil
+	if sidecar.OpenOrder == 0 && s.inProgress() && before == s.Plan.To && r.Release != before {
+		if r.FallbackReason == MachineIsolated {
+			s.pause(fmt.Sprintf("%s is back at %s: %s", sidecar.Name, r.Release, r.FallbackReason))
+		} else {
+			s.stop(fmt.Sprintf("%s went back to %s without an order: %s", sidecar.Name, r.Release, r.FallbackReason))
 		}
-		s.Stage, s.Watched, s.Waited, s.Fine, s.Evidence = s.Stage+1, 0, 0, false, ""
 	}
-	switch s.Phase {
-	case Running:
-		for _, name := range s.stages[s.Stage-1] {
-			if c := s.sidecars[name]; c.Release != s.Plan.To {
-				orders = s.order(orders, c, s.Plan.To)
-			}
-		}
-		for _, c := range s.controls() {
-			if c.Control != s.Stage {
-				before := len(orders)
-				if orders = s.order(orders, c, s.Plan.From); len(orders) > before {
-					c.Control = s.Stage
-				}
-			}
-		}
-	case TakingBack:
-		open := false
-		for _, name := range slices.Backward(s.names) {
-			c := s.sidecars[name]
-			if c.Alone == "" && c.Release != s.Plan.From {
-				orders = s.order(orders, c, s.Plan.From)
-			}
-			open = open || c.Order != 0 || c.Alone == "" && c.Release != s.Plan.From
-		}
-		if !open {
-			s.Phase = Stopped
-		}
+	if sidecar.OpenOrder != 0 && r.CompletedOrder == sidecar.OpenOrder {
+		s.completeOrder(sidecar, r)
 	}
-	return orders
 }
 
-// order orders a sidecar to change, if the plan's limits allow one more now.
-func (s *State) order(orders []Order, c *Sidecar, to string) []Order {
-	if c.Alone != "" || c.Order != 0 {
-		return orders
-	}
-	changing, out := s.Limits(c.Name)
-	mends := s.Phase == TakingBack && !c.Ready // it is out of service as it is
-	if len(changing) >= s.Plan.AtOnce || len(out)+1 > s.Plan.Unavailable && !mends {
-		return orders
-	}
-	s.number++
-	c.Order, c.To = s.number, to
-	return append(orders, Order{s.number, c.Name, to})
-}
+func (s *State) inProgress() bool { return s.Phase == Running || s.Phase == Paused }
 
-// Limits are what the plan's limits count when one sidecar is to change: those that do, and the others that are out of service.
-func (s *State) Limits(but string) (changing, out []string) {
-	for _, name := range s.names {
-		o := s.sidecars[name]
-		if o.Order != 0 {
-			changing = append(changing, name)
-		}
-		if name != but && (o.Order != 0 || !o.Ready) {
-			out = append(out, name)
+// completeOrder closes a sidecar's open order.
+func (s *State) completeOrder(sidecar *Sidecar, r Report) {
+	target := sidecar.OrderedRelease
+	s.WaitElapsed = 0
+	sidecar.OpenOrder, sidecar.OrderedRelease = 0, ""
+	switch {
+	case r.FailureReason == "" && r.Release == target:
+	case s.inProgress() && target == s.Plan.To:
+		s.stop(fmt.Sprintf("%s: %s", sidecar.Name, r.FailureReason))
+		if sidecar.Release != s.Plan.From { // it runs neither of the two
+			sidecar.AbandonedReason = r.FailureReason
 		}
+	case target == s.Plan.To && sidecar.Release == s.Plan.From: // ordered before the stop: it is where the rollback wants it
+	case s.inProgress(): // a control that does not come up is no fault of the new release
+		s.pause(fmt.Sprintf("%s, restarted as it was: %s", sidecar.Name, r.FailureReason))
+		sidecar.AbandonedReason = r.FailureReason
+	case sidecar.Release != s.Plan.From || r.FailureReason != "":
+		sidecar.AbandonedReason = fmt.Sprintf("order %d: %s", r.CompletedOrder, r.FailureReason)
 	}
-	return changing, out
 }
 
-// Confirmed is the release that agents may take for confirmed, now that a change is over; "": none.
+// Confirmed is the release that agents may confirm now that the change is over; "": none.
 func (s *State) Confirmed() string {
 	switch {
 	case s.Phase == Done:
 		return s.Plan.To
-	case s.Phase == Stopped && !s.Plan.Hold:
+	case s.Phase == Stopped && !s.Plan.KeepOnStop:
 		return s.Plan.From
 	}
 	return ""
 }
 
-// Orders are those that are open: a driver that takes over says them once more.
-func (s *State) Orders() (all []Order) {
-	for _, name := range s.names {
-		if c := s.sidecars[name]; c.Order != 0 {
-			all = append(all, Order{c.Order, name, c.To})
+// OpenOrders returns the orders that are open, by number.
+func (s *State) OpenOrders() (orders []Order) {
+	for _, name := range s.sidecarNames {
+		if sidecar := s.sidecars[name]; sidecar.OpenOrder != 0 {
+			orders = append(orders, Order{sidecar.OpenOrder, name, sidecar.OrderedRelease})
 		}
 	}
-	slices.SortFunc(all, func(a, b Order) int { return int(a.Number) - int(b.Number) })
-	return all
+	slices.SortFunc(orders, func(a, b Order) int { return int(a.Number) - int(b.Number) })
+	return orders
 }
 
-// Sidecars are what is known of each, by name.
+// Sidecars returns what is known of each sidecar, by name.
 func (s *State) Sidecars() (all []Sidecar) {
 	for _, name := range slices.Sorted(maps.Keys(s.sidecars)) {
 		all = append(all, *s.sidecars[name])
@@ -376,68 +216,29 @@
 	return all
 }
 
-// StageOf is the stage that changes a sidecar, counted from 1.
+// StageOf returns the stage that changes a sidecar, counted from 1; 0: there is no such sidecar.
 func (s *State) StageOf(name string) int {
-	return 1 + slices.IndexFunc(s.stages, func(all []string) bool { return slices.Contains(all, name) })
+	return 1 + slices.IndexFunc(s.stages, func(stage []string) bool { return slices.Contains(stage, name) })
 }
 
-// Waits is what a change that runs waits for, for people.
-func (s *State) Waits() string {
-	least := s.Plan.Stages[s.Stage-1].Least
+// WaitingFor says, for people, what a change that runs waits for.
+func (s *State) WaitingFor() string {
 	switch {
-	case s.Settled < s.Plan.Before:
-		return fmt.Sprintf("what is before: %v of %v", s.Settled.Round(time.Second), s.Plan.Before)
-	case !s.changed():
-		return "sidecars: " + s.missing()
-	case !s.Fine:
-		return fmt.Sprintf("evidence, for %v of %v: %s", s.Watched.Round(time.Second), s.Plan.Patience, s.Evidence)
+	case s.BaselineElapsed < s.Plan.BaselinePeriod:
+		return fmt.Sprintf("what is before: %v of %v", s.BaselineElapsed.Round(time.Second), s.Plan.BaselinePeriod)
+	case !s.stageComplete():
+		return "sidecars: " + s.waitedFor()
+	case !s.JudgedNoWorse:
+		return fmt.Sprintf("evidence, for %v of %v: %s", s.StageElapsed.Round(time.Second), s.Plan.EvidenceTimeout, s.LastVerdict)
 	}
-	return fmt.Sprintf("its time: %v of %v", s.Watched.Round(time.Second), least)
+	return fmt.Sprintf("its time: %v of %v", s.StageElapsed.Round(time.Second), s.Plan.Stages[s.Stage-1].MinWatch)
 }
 
-// Groups are the sidecars whose counts the judge compares in this stage: those that are changed, and their control.
+// Groups returns the sidecars that the judge compares in this stage: those that are changed, and their control.
 func (s *State) Groups() (changed, control []string) {
-	for _, name := range s.stages[s.Stage-1] {
-		changed = append(changed, name)
-	}
-	for _, c := range s.controls() {
-		control = append(control, c.Name)
+	changed = append(changed, s.stages[s.Stage-1]...)
+	for _, sidecar := range s.controlSidecars() {
+		control = append(control, sidecar.Name)
 	}
 	return changed, control
 }
-
-// Fence is what an agent keeps of the drivers that it heard: orders of an older one are refused, and an order is carried out once.
-type Fence struct {
-	Token uint64            `json:"token"`
-	Last  map[string]uint64 `json:"last"` // the number of the last order, of each sidecar
-}
-
-// Hear takes in a driver's token, and refuses that of an older one.
-func (f *Fence) Hear(token uint64) error {
-	if token < f.Token {
-		return fmt.Errorf("the driver with token %d: one with %d was heard", token, f.Token)
-	}
-	f.Token = token
-	return nil
-}
-
-// Equal reports whether two fences refuse alike.
-func (f Fence) Equal(o Fence) bool { return f.Token == o.Token && maps.Equal(f.Last, o.Last) }
-
-// Admit says why an order is refused; known: it has been carried out, or is about to be.
-func (f *Fence) Admit(token uint64, o Order) (known bool, err error) {
-	if err := f.Hear(token); err != nil {
-		return false, fmt.Errorf("order %d of %w", o.Number, err)
-	}
-	if f.Last == nil {
-		f.Last = map[string]uint64{}
-	}
-	if last := f.Last[o.Sidecar]; o.Number <= last {
-		if o.Number < last {
-			return false, fmt.Errorf("order %d: order %d came after it", o.Number, last)
-		}
-		return true, nil
-	}
-	f.Last[o.Sidecar] = o.Number
-	return false, nil
-}
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -64,7 +64,7 @@
 var built string // the folder
 
 // Built removes what was built, at the end of a test program.
-func Built() { os.RemoveAll(built) }
+func Built() { _ = os.RemoveAll(built) }
 
 // build builds programs of this module once for all tests of a test program.
 var build = sync.OnceValues(func() (dir string, err error) {
@@ -109,7 +109,7 @@
 	var numbered struct {
 		MyNumber int `json:"my_number"`
 	}
-	json.Unmarshal(fields["settings"], &numbered)
+	_ = json.Unmarshal(fields["settings"], &numbered)
 	addr = d.Reserved()
 	var set strings.Builder
 	if d.Discovery != nil && d.first == "" {
@@ -130,7 +130,7 @@
 		text, _ := json.Marshal(fields)
 		d.first = d.First(text)
 	}
-	d.waiting = append(d.waiting, fmt.Sprintf("  - {name: n%02d, zone: %q, listen: %q, doors: [%q, %q], set: {%ssettings.my_number: %d}}\n", number,
+	d.waiting = append(d.waiting, fmt.Sprintf("  - {name: n%02d, zone: %q, listen: %q, admin_addresses: [%q, %q], set: {%ssettings.my_number: %d}}\n", number,
 		d.Zones[number%len(d.Zones)], addr, d.Reserved(), d.Reserved(), set.String(), numbered.MyNumber))
 	if len(d.waiting) < d.PerAgent {
 		return addr, nil
@@ -231,7 +231,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer p.Close()
+	defer func() { _ = p.Close() }()
 	r, err := store.Add(p, strings.NewReader(string(settings)))
 	if err != nil {
 		d.t.Fatal(err)
@@ -251,7 +251,7 @@
 }
 
 // Begin begins a change by a plan's text, whose agents are all.
-func (d *Deployment) Begin(plan string) (*driver.Begun, error) {
+func (d *Deployment) Begin(plan string) (*driver.BeginResult, error) {
 	var agents []string
 	for _, a := range d.Agents {
 		agents = append(agents, a.Link.Addr)
@@ -283,8 +283,8 @@
 // Say is an operator's word on the change that goes on.
 func (d *Deployment) Say(e rollout.Event) {
 	d.t.Helper()
-	told, err := d.Ask(fleet.Request{Rollout: &rollout.Command{Application: Application, Change: d.Changes().Now.Name, Events: []rollout.Event{e}}})
-	if err != nil || told.Rollout.Err != "" {
+	told, err := d.Ask(fleet.Request{Rollout: &rollout.Command{Application: Application, Change: d.Changes().Current.Name, Events: []rollout.Event{e}}})
+	if err != nil || told.Rollout.Error != "" {
 		d.t.Fatal(err, told)
 	}
 }
@@ -293,13 +293,13 @@
 func (d *Deployment) Until(within time.Duration, what string, ok func(*rollout.Change) bool) *rollout.Change {
 	d.t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(50 * time.Millisecond) {
-		c := d.Changes().Now
+		c := d.Changes().Current
 		if ok(c) {
 			return c
 		}
 		if time.Now().After(end) {
 			text, _ := json.Marshal(c.State)
-			d.t.Fatalf("never: %s: %v, stage %d, %s: %s", what, c.State.Phase, c.State.Stage, c.State.Why, text)
+			d.t.Fatalf("never: %s: %v, stage %d, %s: %s", what, c.State.Phase, c.State.Stage, c.State.Reason, text)
 		}
 	}
 }
@@ -320,7 +320,7 @@
 			continue
 		}
 		var token uint64
-		fmt.Sscanf(log[last:], "msg=drives token=%d", &token)
+		_, _ = fmt.Sscanf(log[last:], "msg=drives token=%d", &token)
 		if token > best {
 			best, at = token, i
 		}
@@ -335,7 +335,7 @@
 	for _, f := range files {
 		var p agent.Process
 		text, _ := os.ReadFile(f)
-		if got, _ := fmt.Sscan(string(text), &p.PID, &p.Began); got == 2 && machine.Lives(p) {
+		if got, _ := fmt.Sscan(string(text), &p.PID, &p.StartTicks); got == 2 && machine.Lives(p) {
 			name := strings.Split(filepath.Base(f), "-")[1]
 			by[name]++
 			n = max(n, by[name])
--- a/internal/rig/deployment/played.go
+++ b/internal/rig/deployment/played.go
@@ -40,7 +40,7 @@
 	mux := http.NewServeMux()
 	rpc.Handle(mux, machine.PathStatus, 1<<20, p.look)
 	rpc.Handle(mux, machine.PathOrder, 1<<20, p.order)
-	go http.Serve(ln, mux)
+	go func() { _ = http.Serve(ln, mux) }()
 	return p, nil
 }
 
@@ -52,14 +52,14 @@
 	defer p.mu.Unlock()
 	p.looks++
 	if in.Token != 0 {
-		if err := p.fence.Hear(in.Token); err != nil {
+		if err := p.fence.ObserveToken(in.Token); err != nil {
 			return nil, connect.NewError(connect.CodeAborted, err)
 		}
 	}
 	c := counts.Class{Name: "look", Served: uint64(time.Since(p.began) / (20 * time.Millisecond))}
-	c.Took[10] = c.Served
+	c.Latency[10] = c.Served
 	text, err := json.Marshal([]counts.Class{c})
-	return &machine.Status{Sidecars: []machine.SidecarStatus{{Report: p.report, Process: agent.Process{PID: 1, Began: p.starts, Release: p.report.Release}, Counts: text}}}, err
+	return &machine.Status{Sidecars: []machine.SidecarStatus{{Report: p.report, Process: agent.Process{PID: 1, StartTicks: p.starts, Release: p.report.Release}, Counts: text}}}, err
 }
 
 func (p *Played) order(_ context.Context, in *machine.Order) (*machine.OrderResponse, error) {
@@ -71,7 +71,7 @@
 	}
 	if !known {
 		p.orders++
-		p.report.Done = in.Order.Number
+		p.report.CompletedOrder = in.Order.Number
 		p.start(in.Order.Release)
 	}
 	return &machine.OrderResponse{Known: known}, nil
@@ -89,7 +89,11 @@
 	p.start(release)
 }
 
-// Report, Looks and Orders are what it says, how often it was looked at, and how many orders it has carried out.
+// Report returns the report of its sidecar.
 func (p *Played) Report() rollout.Report { p.mu.Lock(); defer p.mu.Unlock(); return p.report }
-func (p *Played) Looks() int             { p.mu.Lock(); defer p.mu.Unlock(); return p.looks }
-func (p *Played) Orders() int            { p.mu.Lock(); defer p.mu.Unlock(); return p.orders }
+
+// Looks returns how often its status was asked for.
+func (p *Played) Looks() int { p.mu.Lock(); defer p.mu.Unlock(); return p.looks }
+
+// Orders returns how many orders it has carried out.
+func (p *Played) Orders() int { p.mu.Lock(); defer p.mu.Unlock(); return p.orders }
--- a/internal/rig/scale/machines.go
+++ b/internal/rig/scale/machines.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer theirs.Close()
+	defer func() { _ = theirs.Close() }()
 	m.input = input
 	m.minder, err = f.startApart("minder", exec.Command(o.program("petrelhookctl"), "scale", "minder", m.dir), theirs)
 	return m, err
@@ -100,7 +100,7 @@
 			return "", err
 		}
 	}
-	var addrs [4]string // of the sidecar, its two doors and the agent
+	var addrs [4]string // of the sidecar, its two operators' endpoints and the agent
 	for i := range addrs {
 		addr, fd, err := reserve()
 		if err != nil {
@@ -130,7 +130,7 @@
 		"release":       m.first,
 		"configuration": map[string]any{"coordinators": ways, "member": one.name},
 		"sidecars": []any{map[string]any{"name": one.name, "zone": "a", "listen": addrs[0],
-			"doors": []string{addrs[1], addrs[2]}, "set": set}},
+			"admin_addresses": []string{addrs[1], addrs[2]}, "set": set}},
 	})
 	if err != nil {
 		return "", err
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	defer program.Close()
+	defer func() { _ = program.Close() }()
 	r, err := m.store.Add(program, strings.NewReader(string(text)))
 	m.first = r.ID
 	return err
@@ -346,7 +346,7 @@
 		if m.minder != nil {
 			m.minder.ask()
 		}
-		m.input.Close()
+		_ = m.input.Close()
 		if m.minder != nil {
 			<-m.minder.ended
 		}
@@ -357,7 +357,7 @@
 		}
 	}
 	for _, fd := range m.held {
-		syscall.Close(fd)
+		_ = syscall.Close(fd)
 	}
 	if m.minder == nil {
 		return nil
--- a/internal/router/quota/quota_test.go
+++ b/internal/router/quota/quota_test.go
@@ -12,50 +12,50 @@
 var bounds = Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 110_000}
 
 func TestAcquireAndRefill(t *testing.T) {
-	r := NewTokenBuckets(bounds, false, 0)
+	buckets := NewTokenBuckets(bounds, false, 0)
 	limit := Limit{Rate: 29_000, Burst: 29_000}
-	r.SetLimits(map[string]Limit{"a": limit})
-	given, _ := r.Acquire("a", 9_000, 0, 0)
+	buckets.SetLimits(map[string]Limit{"a": limit})
+	given, _ := buckets.Acquire("a", 9_000, 0, 0)
 	require.Equal(t, 9_000.0, given)
 	var wait time.Duration
 	for given > 0 {
-		given, wait = r.Acquire("a", 9_000, 0, 0)
+		given, wait = buckets.Acquire("a", 9_000, 0, 0)
 	}
 	require.Positive(t, wait)
-	given, _ = r.Acquire("a", 9_000, 0, wait+time.Millisecond)
+	given, _ = buckets.Acquire("a", 9_000, 0, wait+time.Millisecond)
 	require.Equal(t, 9_000.0, given)
-	given, _ = r.Acquire("none", 5, 0, 0)
+	given, _ = buckets.Acquire("none", 5, 0, 0)
 	require.Equal(t, 5.0, given, "a tenant without a limit")
 }
 
 // A request that is larger than the whole capacity goes through once the bucket is full.
 func TestALargeRequest(t *testing.T) {
-	r := NewTokenBuckets(Bounds{Window: 8 * time.Second}, false, 0)
-	r.SetLimits(map[string]Limit{"a": {Rate: 100, Burst: 100}})
-	given, wait := r.Acquire("a", 5_000, 0, 0)
+	buckets := NewTokenBuckets(Bounds{Window: 8 * time.Second}, false, 0)
+	buckets.SetLimits(map[string]Limit{"a": {Rate: 100, Burst: 100}})
+	given, wait := buckets.Acquire("a", 5_000, 0, 0)
 	require.Zero(t, given)
-	given, _ = r.Acquire("a", 5_000, 0, wait+time.Second)
+	given, _ = buckets.Acquire("a", 5_000, 0, wait+time.Second)
 	require.Equal(t, 5_000.0, given)
-	given, wait = r.Acquire("a", 10, 0, wait+time.Second)
+	given, wait = buckets.Acquire("a", 10, 0, wait+time.Second)
 	require.Zero(t, given)
 	require.Greater(t, wait, 10*time.Second)
 }
 
-// What drips into a bucket that is asked for six times the rate goes to large requests as it does to small ones.
+// The refill of a bucket with requests for six times its rate goes to large requests as it does to small ones.
 func TestLargeRequestsAreNotRefusedBeforeSmallOnes(t *testing.T) {
-	r := NewTokenBuckets(bounds, false, 0)
-	r.SetLimits(map[string]Limit{"a": {Rate: 640_000, Burst: 640_000}})
+	buckets := NewTokenBuckets(bounds, false, 0)
+	buckets.SetLimits(map[string]Limit{"a": {Rate: 640_000, Burst: 640_000}})
 	random := rand.New(rand.NewSource(1))
 	sizes := []float64{2_000, 20_000}
-	asked, served := map[float64]float64{}, map[float64]float64{}
+	requested, served := map[float64]float64{}, map[float64]float64{}
 	for now := time.Duration(0); now < 30*time.Second; now += 3 * time.Millisecond {
 		size := sizes[random.Intn(len(sizes))]
-		asked[size]++
-		if given, _ := r.Acquire("a", size, 0, now); given > 0 {
+		requested[size]++
+		if given, _ := buckets.Acquire("a", size, 0, now); given > 0 {
 			served[size]++
 		}
 	}
-	small, large := served[sizes[0]]/asked[sizes[0]], served[sizes[1]]/asked[sizes[1]]
+	small, large := served[sizes[0]]/requested[sizes[0]], served[sizes[1]]/requested[sizes[1]]
 	require.Less(t, small, 0.5, "the tenant is over its limit")
 	require.InDelta(t, small, large, 0.05)
 }
@@ -63,16 +63,16 @@
 func TestPressed(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	require.False(t, client.Pressed("t", 0))
-	require.Equal(t, Granted, client.Acquired("t", 10, 10, 0))
-	require.False(t, client.Pressed("t", 0))
-	require.Equal(t, Refused, client.Acquired("t", 0, 10, 0))
-	require.True(t, client.Pressed("t", pressedFor-1))
-	require.False(t, client.Pressed("t", pressedFor))
-	require.False(t, client.Pressed("none", 0))
+	require.False(t, client.OverLimit("t", 0))
+	require.Equal(t, Granted, client.ApplyAcquired("t", 10, 10, 0))
+	require.False(t, client.OverLimit("t", 0))
+	require.Equal(t, Rejected, client.ApplyAcquired("t", 0, 10, 0))
+	require.True(t, client.OverLimit("t", overLimitFor-1))
+	require.False(t, client.OverLimit("t", overLimitFor))
+	require.False(t, client.OverLimit("none", 0))
 }
 
-// Sidecars that ask, lose answers, are cut off, restart, and a primary that changes: shares never add up to more than 1, as
+// Routers request shares and lose answers, are cut off and restart, and the primary changes: shares never add up to more than 1, as
 // far as the primary knows of them.
 func TestSharesAddUpToNoMoreThanOne(t *testing.T) {
 	for seed := range int64(200) {
@@ -88,16 +88,16 @@
 			now += time.Duration(random.Intn(200)) * time.Millisecond
 			i := random.Intn(len(clients))
 			client := clients[i]
-			client.Take("t", float64(random.Intn(500)), now)
-			nonce, demand, held := client.Ask(now)
-			shares := a.Ask(fmt.Sprint(i), 1, demand, held, len(clients), now)
+			client.Reserve("t", float64(random.Intn(500)), now)
+			nonce, demand, held := client.RequestShares(now)
+			shares := a.Allocate(fmt.Sprint(i), 1, demand, held, len(clients), now)
 			if random.Intn(4) > 0 { // else the answer is lost
-				client.Granted(nonce, shares, now+time.Millisecond)
+				client.ApplyShares(nonce, shares, now+time.Millisecond)
 			}
 			sum := 0.0
 			for _, one := range clients {
-				if now < one.until {
-					sum += one.buckets["t"].share
+				if now < one.leaseEnd {
+					sum += one.tenants["t"].share
 				}
 			}
 			require.LessOrEqual(t, sum, 1.0001, "seed %d at %v", seed, now)
@@ -108,61 +108,61 @@
 func TestALateGrantIsNotTaken(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	nonce, _, _ := client.Ask(0)
-	client.Granted(nonce, map[string]float64{"t": 1}, Lease)
-	v, _ := client.TakeLeased("t", 1, Lease)
-	require.Equal(t, Refused, v)
-	nonce, _, _ = client.Ask(Lease)
-	client.Ask(Lease + 1)
-	client.Granted(nonce, map[string]float64{"t": 1}, Lease+2)
-	v, _ = client.TakeLeased("t", 1, Lease+3)
-	require.Equal(t, Refused, v, "the answer to an earlier question")
+	nonce, _, _ := client.RequestShares(0)
+	client.ApplyShares(nonce, map[string]float64{"t": 1}, LeaseDuration)
+	v, _ := client.ReserveFromLease("t", 1, LeaseDuration)
+	require.Equal(t, Rejected, v)
+	nonce, _, _ = client.RequestShares(LeaseDuration)
+	client.RequestShares(LeaseDuration + 1)
+	client.ApplyShares(nonce, map[string]float64{"t": 1}, LeaseDuration+2)
+	v, _ = client.ReserveFromLease("t", 1, LeaseDuration+3)
+	require.Equal(t, Rejected, v, "the answer to an earlier request")
 }
 
 func TestALeaseEndsAndOverdrawsOnce(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	nonce, _, _ := client.Ask(0)
-	client.Granted(nonce, map[string]float64{"t": 0.5}, 0)
-	v, _ := client.TakeLeased("t", 300, 0)
+	nonce, _, _ := client.RequestShares(0)
+	client.ApplyShares(nonce, map[string]float64{"t": 0.5}, 0)
+	v, _ := client.ReserveFromLease("t", 300, 0)
 	require.Equal(t, Granted, v)
-	v, wait := client.TakeLeased("t", 300, 0)
-	require.Equal(t, Refused, v)
+	v, wait := client.ReserveFromLease("t", 300, 0)
+	require.Equal(t, Rejected, v)
 	require.Equal(t, 600*time.Millisecond, wait)
-	v, _ = client.TakeLeased("t", 300, wait)
+	v, _ = client.ReserveFromLease("t", 300, wait)
 	require.Equal(t, Granted, v)
-	v, _ = client.TakeLeased("t", 1, Lease+wait)
-	require.Equal(t, Refused, v)
+	v, _ = client.ReserveFromLease("t", 1, LeaseDuration+wait)
+	require.Equal(t, Rejected, v)
 }
 
 func TestWhatWasAcquiredAheadEnds(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	v, _ := client.Take("t", 10, 0)
-	require.Equal(t, AskPrimary, v)
-	require.Equal(t, Granted, client.Acquired("t", 30, 10, 0))
-	v, _ = client.Take("t", 10, stockGood)
+	v, _ := client.Reserve("t", 10, 0)
+	require.Equal(t, NeedsPrimary, v)
+	require.Equal(t, Granted, client.ApplyAcquired("t", 30, 10, 0))
+	v, _ = client.Reserve("t", 10, prefetchTTL)
 	require.Equal(t, Granted, v)
-	v, _ = client.Take("t", 10, 2*stockGood)
-	require.Equal(t, AskPrimary, v)
+	v, _ = client.Reserve("t", 10, 2*prefetchTTL)
+	require.Equal(t, NeedsPrimary, v)
 }
 
-// Many sidecars together stay within the rule's bound, whatever their loads are.
+// Many routers together stay within the limit's bound, whatever their loads are.
 func TestTheBudgetOfRetries(t *testing.T) {
 	const fleet = 11
 	window := 10 * time.Second
 	budgets := make([]*RetryBudget, fleet)
 	for i := range budgets {
 		budgets[i] = NewRetryBudget(0.2, 62, window)
-		budgets[i].SetFleet(fleet)
+		budgets[i].SetFleetSize(fleet)
 	}
 	requests, retries := 0, 0
 	for ms := range 10_000 {
 		now := time.Duration(ms) * time.Millisecond
 		b := budgets[ms%fleet]
-		b.Request("s", now)
+		b.RecordRequest("s", now)
 		requests++
-		if b.Retry("s", now) {
+		if b.AcquireRetry("s", now) {
 			retries++
 		}
 	}
@@ -170,11 +170,11 @@
 	require.Positive(t, retries)
 }
 
-// Sidecars that have all just started do not know how many they are: none spends of the slack.
+// Routers that have all just started do not know their number: none spends of the slack.
 func TestTheBudgetOfRetriesAfterAStart(t *testing.T) {
 	b := NewRetryBudget(0.2, 62, 10*time.Second)
-	b.SetFleet(1)
-	b.Request("s", 0)
-	require.False(t, b.Retry("s", 0))
-	require.True(t, b.Retry("s", 10*time.Second))
+	b.SetFleetSize(1)
+	b.RecordRequest("s", 0)
+	require.False(t, b.AcquireRetry("s", 0))
+	require.True(t, b.AcquireRetry("s", 10*time.Second))
 }
--- a/internal/router/registry/registry_test.go
+++ b/internal/router/registry/registry_test.go
@@ -28,50 +28,50 @@
 
 func TestALateCallChangesNothing(t *testing.T) {
 	g := New()
-	require.True(t, g.Heartbeat(instance("a", 5, Draining), time.Second))
-	require.False(t, g.Heartbeat(instance("a", 4, Ready), 2*time.Second))
+	require.True(t, g.ReceiveHeartbeat(instance("a", 5, Draining), time.Second))
+	require.False(t, g.ReceiveHeartbeat(instance("a", 4, Ready), 2*time.Second))
 	require.Empty(t, usable(g, "llm"))
 }
 
 func TestADrainIsNotTakenBack(t *testing.T) {
 	g := New()
-	g.Heartbeat(instance("a", 5, Draining), time.Second)
-	g.Heartbeat(instance("a", 6, Ready), 2*time.Second)
+	g.ReceiveHeartbeat(instance("a", 5, Draining), time.Second)
+	g.ReceiveHeartbeat(instance("a", 6, Ready), 2*time.Second)
 	require.Equal(t, Draining, g.Entry("a").State)
 }
 
-func TestSilenceAndReturn(t *testing.T) {
+func TestExpiryAndReturn(t *testing.T) {
 	g := New()
-	g.Heartbeat(instance("a", 1, Ready), 0)
+	g.ReceiveHeartbeat(instance("a", 1, Ready), 0)
 	require.False(t, g.Expire(5*time.Second, 4*time.Second))
 	require.True(t, g.Expire(5*time.Second, 6*time.Second))
 	require.Empty(t, usable(g, "llm"))
-	require.True(t, g.Heartbeat(instance("a", 2, Ready), 7*time.Second))
+	require.True(t, g.ReceiveHeartbeat(instance("a", 2, Ready), 7*time.Second))
 	require.Len(t, usable(g, "llm"), 1)
 }
 
 func TestAnAddressIsTakenOver(t *testing.T) {
 	g := New()
-	g.Heartbeat(instance("a", 1, Ready), 0)
+	g.ReceiveHeartbeat(instance("a", 1, Ready), 0)
 	other := instance("b", 1, Ready)
 	other.Service = "registry"
-	g.Heartbeat(other, 3*time.Second)
+	g.ReceiveHeartbeat(other, 3*time.Second)
 	require.Empty(t, usable(g, "llm"))
 	require.Len(t, usable(g, "registry"), 1)
 }
 
-// Two control sidecars that judge differently who is lost tell one another no end of news, if either takes over the
-// other's word.
+// Two core members that judge differently who is lost would send each other updates without end if either adopted the
+// judgement of the other.
 func TestJudgementsDoNotGoBackAndForth(t *testing.T) {
 	a, b := New(), New()
-	a.Heartbeat(instance("x", 1, Ready), 0)
-	b.Heartbeat(instance("x", 1, Ready), 5*time.Second)
+	a.ReceiveHeartbeat(instance("x", 1, Ready), 0)
+	b.ReceiveHeartbeat(instance("x", 1, Ready), 5*time.Second)
 	now := 6 * time.Second
 	a.Expire(4*time.Second, now)
 	var fromA, fromB uint64
 	messages := 0
 	for range 50 {
-		toB, toA := a.Since(fromA, now), b.Since(fromB, now)
+		toB, toA := a.UpdatesSince(fromA, now), b.UpdatesSince(fromB, now)
 		fromA, fromB = a.Stamp(), b.Stamp()
 		messages += len(toA) + len(toB)
 		now += time.Millisecond
@@ -88,7 +88,7 @@
 	require.Len(t, usable(b, "llm"), 1)
 }
 
-func TestASubscriberAdoptsItsHomesWord(t *testing.T) {
+func TestASubscriberAdoptsTheJudgementOfItsHome(t *testing.T) {
 	g := New()
 	g.Adopt(Update{Instance: instance("a", 1, Ready)}, time.Second)
 	require.Len(t, usable(g, "llm"), 1)
@@ -96,29 +96,29 @@
 	require.Empty(t, usable(g, "llm"))
 }
 
-// What is read from a disk after a restart is older than it looks: the instance that lives at an address wins as soon as it
-// is heard.
+// What is read from a disk after a restart is older than it looks: the living instance at an address wins with its next
+// heartbeat.
 func TestTheLivingInstanceGetsItsAddressBack(t *testing.T) {
 	g := New()
-	g.Heartbeat(instance("new", 1, Ready), time.Second)
+	g.ReceiveHeartbeat(instance("new", 1, Ready), time.Second)
 	g.Merge(Update{Instance: instance("dead", 9, Ready)}, 2*time.Second)
 	require.Equal(t, "dead", usable(g, "llm")[0])
-	g.Heartbeat(instance("new", 2, Ready), 3*time.Second)
+	g.ReceiveHeartbeat(instance("new", 2, Ready), 3*time.Second)
 	g.Expire(5*time.Second, 3*time.Second)
 	require.Len(t, usable(g, "llm"), 1)
 	require.Equal(t, "new", usable(g, "llm")[0])
 }
 
-// What changed since any stamp is what a look at all entries would find, however often entries change, come and are forgotten; and
-// what is kept of changes is bounded by the entries.
-func TestSinceIsWhatALookAtAllEntriesFinds(t *testing.T) {
+// The changes since any stamp are those that a search of all entries finds, however often entries change, come and are
+// forgotten; and the number of changes kept is bounded by the number of entries.
+func TestUpdatesSinceFindsWhatASearchOfAllEntriesFinds(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	g := New()
 	now := time.Duration(0)
 	for step := range 5_000 {
 		now += time.Duration(random.Intn(400)) * time.Millisecond
 		id := fmt.Sprint("i", random.Intn(40))
-		g.Heartbeat(Instance{ID: id, Service: "s", Address: fmt.Sprint("a", random.Intn(30)), State: State(random.Intn(3) / 2), Sequence: int64(step)}, now)
+		g.ReceiveHeartbeat(Instance{ID: id, Service: "s", Address: fmt.Sprint("a", random.Intn(30)), State: State(random.Intn(3) / 2), Sequence: int64(step)}, now)
 		if random.Intn(5) == 0 {
 			g.Expire(5*time.Second, now)
 			g.Forget(g.Stamp(), now)
@@ -132,7 +132,7 @@
 		}
 		sort.Slice(want, func(i, j int) bool { return g.entries[want[i]].Stamp < g.entries[want[j]].Stamp })
 		var got []string
-		for _, u := range g.Since(stamp, now) {
+		for _, u := range g.UpdatesSince(stamp, now) {
 			got = append(got, u.Instance.ID)
 		}
 		require.Equal(t, want, got)
@@ -140,35 +140,34 @@
 	}
 }
 
-// An instance that is heard of for the first time from another control sidecar, which has lost it, is not taken for usable until
-// the next judgement.
+// An instance that another core member, which has lost it, is the first to report is not usable before the next judgement.
 func TestAnUnknownInstanceThatOthersHaveLost(t *testing.T) {
 	g := New()
 	g.Merge(Update{Instance: instance("a", 1, Ready), Lost: true, Age: time.Minute}, 2*time.Minute)
 	require.Empty(t, usable(g, "llm"))
-	g.Heartbeat(instance("a", 2, Ready), 3*time.Minute)
+	g.ReceiveHeartbeat(instance("a", 2, Ready), 3*time.Minute)
 	require.Len(t, usable(g, "llm"), 1)
 }
 
-// Whoever follows a registry hears of an end before it is forgotten, and ends are forgotten.
+// A subscriber learns of an end before it is forgotten, and ends are forgotten.
 func TestEndsAreForgottenOnceTheyWereFollowed(t *testing.T) {
 	g := New()
-	g.Heartbeat(instance("a", 1, Ready), 0)
+	g.ReceiveHeartbeat(instance("a", 1, Ready), 0)
 	stamp := g.Stamp()
 	g.Expire(5*time.Second, time.Hour) // a process that was suspended
 	g.Forget(stamp, time.Hour)
-	require.Len(t, g.Changed(stamp), 1, "it has just been lost")
-	g.Forget(g.Stamp(), time.Hour+keepEnded)
-	require.Len(t, g.Changed(stamp), 1)
+	require.Len(t, g.ChangedSince(stamp), 1, "it has just been lost")
+	g.Forget(g.Stamp(), time.Hour+endedRetention)
+	require.Len(t, g.ChangedSince(stamp), 1)
 	g.Forget(stamp, 2*time.Hour)
-	require.Len(t, g.Changed(stamp), 1, "nobody has followed it")
+	require.Len(t, g.ChangedSince(stamp), 1, "the data plane has not applied it")
 	g.Forget(g.Stamp(), 2*time.Hour)
 	require.Zero(t, g.Len())
-	require.Empty(t, g.places)
-	require.Empty(t, g.Changed(0))
+	require.Empty(t, g.byAddress)
+	require.Empty(t, g.ChangedSince(0))
 }
 
-// Registries that list the same usable instances have the same digest, however they came to it.
+// Registries that list the same usable instances have the same digest, however they learned of them.
 func TestDigest(t *testing.T) {
 	random := rand.New(rand.NewSource(2))
 	home, subscriber := New(), New()
@@ -176,13 +175,13 @@
 	for step := range 3_000 {
 		now += time.Duration(random.Intn(400)) * time.Millisecond
 		id := fmt.Sprint("i", random.Intn(40))
-		home.Heartbeat(Instance{ID: id, Service: "s", Address: fmt.Sprint("a", random.Intn(30)), State: State(random.Intn(3) / 2), Sequence: int64(step)}, now)
+		home.ReceiveHeartbeat(Instance{ID: id, Service: "s", Address: fmt.Sprint("a", random.Intn(30)), State: State(random.Intn(3) / 2), Sequence: int64(step)}, now)
 		home.Expire(5*time.Second, now)
 		home.Forget(home.Stamp(), now)
 		if random.Intn(3) > 0 {
 			continue
 		}
-		for _, u := range home.Since(followed, now) {
+		for _, u := range home.UpdatesSince(followed, now) {
 			subscriber.Adopt(u, now)
 		}
 		followed = home.Stamp()
@@ -190,19 +189,20 @@
 		require.Equal(t, usable(home, "s"), usable(subscriber, "s"))
 		require.Equal(t, home.Digest(), subscriber.Digest())
 	}
-	home.Heartbeat(Instance{ID: "more", Service: "s", Address: "more", Sequence: 1}, now)
+	home.ReceiveHeartbeat(Instance{ID: "more", Service: "s", Address: "more", Sequence: 1}, now)
 	require.NotEqual(t, home.Digest(), subscriber.Digest())
 }
 
-// A whole list takes away what the home no longer has, which a subscriber that was cut off for long never hears of.
-func TestAWholeListReplaces(t *testing.T) {
+// A complete list removes what the home no longer has; a subscriber that was partitioned for long never receives those
+// changes.
+func TestACompleteListReplaces(t *testing.T) {
 	home, subscriber := New(), New()
 	for _, g := range []*Registry{home, subscriber} {
-		g.Heartbeat(Instance{ID: "stays", Service: "s", Address: "a", Sequence: 1}, 0)
+		g.ReceiveHeartbeat(Instance{ID: "stays", Service: "s", Address: "a", Sequence: 1}, 0)
 	}
-	subscriber.Heartbeat(Instance{ID: "ended", Service: "s", Address: "b", Sequence: 1}, 0)
-	home.Heartbeat(Instance{ID: "new", Service: "s", Address: "c", Sequence: 1}, 0)
-	subscriber.Replace(home.Since(0, time.Second), time.Second)
+	subscriber.ReceiveHeartbeat(Instance{ID: "ended", Service: "s", Address: "b", Sequence: 1}, 0)
+	home.ReceiveHeartbeat(Instance{ID: "new", Service: "s", Address: "c", Sequence: 1}, 0)
+	subscriber.Replace(home.UpdatesSince(0, time.Second), time.Second)
 	require.Equal(t, []string{"new", "stays"}, usable(subscriber, "s"))
 	require.Equal(t, home.Digest(), subscriber.Digest())
 }
--- a/internal/router/replication/abandoned_test.go
+++ b/internal/router/replication/abandoned_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// join adds machines, each in a zone of its own, and starts them.
-func (s *simulation) join(addresses ...string) (joined []*host) {
+// startInOwnZones adds machines, each in a zone of its own, and starts them.
+func (s *simulation) startInOwnZones(addresses ...string) (joined []*host) {
 	for _, address := range addresses {
 		h := &host{address: address, zone: "zone-" + address, syncTime: 2 * time.Millisecond}
 		s.hosts[address] = h
@@ -20,8 +20,8 @@
 	return joined
 }
 
-// sender is who a message of an election is from, or "".
-func sender(m Message) string {
+// candidateID is who a message of an election is from, or "".
+func candidateID(m Message) string {
 	switch m := m.(type) {
 	case Prepare:
 		return m.From.ID
@@ -31,11 +31,11 @@
 	return ""
 }
 
-// writeAndRead has every process that says it is primary take a value and answer a read.
+// writeAndRead proposes a value to every process that says it is primary, and reads there.
 func (s *simulation) writeAndRead(round int) {
 	for client, address := range s.addresses() {
 		h := s.hosts[address]
-		if p := h.process; p != nil && p.replica.Primary() {
+		if p := h.process; p != nil && p.replica.IsPrimary() {
 			s.callAt(p, operation{client: client, write: true, base: p.machine.Version, value: string(rune('b'+round)) + address})
 			s.callAt(p, operation{client: 10 + client})
 		}
@@ -45,19 +45,20 @@
 // abandonedChange is a core of three whose primary has proposed a view of five, which is on its own disk alone.
 type abandonedChange struct {
 	*simulation
-	old       *process
-	followers []*host
-	within    []*host // the primary's and those that join
-	view      Epoch
+	oldPrimary     *process
+	followers      []*host
+	joiningSide    []*host // the primary's host and those that join
+	abandonedEpoch Epoch
 }
 
-func abandonAChange(t *testing.T) *abandonedChange {
-	s, old := coreWithAValue(t)
-	a := &abandonedChange{simulation: s, old: old, followers: s.followers(old)}
-	joining := s.join("10.1.0.1:7000", "10.1.1.1:7000")
-	a.within = append([]*host{old.host}, joining...)
+func newAbandonedChange(t *testing.T) *abandonedChange {
+	t.Helper()
+	s, old := coreWithValue(t)
+	a := &abandonedChange{simulation: s, oldPrimary: old, followers: s.followers(old)}
+	joining := s.startInOwnZones("10.1.0.1:7000", "10.1.1.1:7000")
+	a.joiningSide = append([]*host{old.host}, joining...)
 	s.mutate = func(_ *process, m Message) Message {
-		if _, accept := m.(Accept); accept || a.ofFollowers(m) {
+		if _, accept := m.(Accept); accept || a.isFromFollower(m) {
 			return nil
 		}
 		return m
@@ -67,45 +68,45 @@
 		s.run(s.now + time.Millisecond)
 	}
 	require.Len(t, old.host.disk.Hard.Accepted.Members, 5)
-	a.view = old.host.disk.Hard.Accepted.Epoch
+	a.abandonedEpoch = old.host.disk.Hard.Accepted.Epoch
 	return a
 }
 
-// ofFollowers: a message by which a member before would become a candidate.
-func (a *abandonedChange) ofFollowers(m Message) bool {
-	from := sender(m)
+// isFromFollower: reports whether by this message one of the two followers would become candidate.
+func (a *abandonedChange) isFromFollower(m Message) bool {
+	from := candidateID(m)
 	return from != "" && (from == a.followers[0].process.replica.Self.ID || from == a.followers[1].process.replica.Self.ID)
 }
 
-// late: an Accept of the view that was given up.
-func (a *abandonedChange) late(m Message) bool {
+// isLateAccept: reports whether a message is the Accept of the abandoned view.
+func (a *abandonedChange) isLateAccept(m Message) bool {
 	accept, ok := m.(Accept)
-	return ok && accept.View.Epoch == a.view
+	return ok && accept.View.Epoch == a.abandonedEpoch
 }
 
 func (a *abandonedChange) isFollower(h *host) bool { return h == a.followers[0] || h == a.followers[1] }
 
-// The primary proposes again; a majority of the five takes the second view, and the two of the three members before that do not are cut
-// off. They know the view of three alone.
+// The primary proposes again; a majority of the five accepts the second view, and the two of the three members before that do not are
+// partitioned from it. They know the view of three alone.
 func TestAnAbandonedChangeOfMembers(t *testing.T) {
-	s := abandonAChange(t)
+	s := newAbandonedChange(t)
 	separated := false
 	s.mutate = func(to *process, m Message) Message {
 		_, accept := m.(Accept)
 		_, sync := m.(Sync)
 		switch {
-		case s.late(m) || !separated && s.ofFollowers(m):
+		case s.isLateAccept(m) || !separated && s.isFromFollower(m):
 			return nil
-		case to.host == s.followers[1] && sender(m) == s.old.replica.Self.ID:
+		case to.host == s.followers[1] && candidateID(m) == s.oldPrimary.replica.Self.ID:
 			return nil
 		case !separated && to.host == s.followers[0] && (accept || sync):
 			separated = true
-			s.separate(s.followers, s.within)
+			s.partition(s.followers, s.joiningSide)
 			return nil
 		}
 		return m
 	}
-	s.with(s.old, func() { s.old.replica.campaign(true) })
+	s.runIn(s.oldPrimary, func() { s.oldPrimary.replica.campaign(true) })
 	s.run(s.now + 2*time.Second)
 	require.True(t, separated)
 	for round := range 8 {
@@ -123,13 +124,13 @@
 	require.NotEqual(t, porcupine.Illegal, check(s.history))
 }
 
-// The two other members before elect a primary and take a value; then the first one finishes its change, and gets no promise of theirs
+// The two other members before elect a primary and commit a value; then the first one finishes its change, and gets no promise of theirs
 // though they would accept its view.
 func TestAnAbandonedChangeHidesNoLaterView(t *testing.T) {
-	s := abandonAChange(t)
-	s.separate(s.followers, s.within)
+	s := newAbandonedChange(t)
+	s.partition(s.followers, s.joiningSide)
 	s.mutate = func(_ *process, m Message) Message {
-		if s.late(m) {
+		if s.isLateAccept(m) {
 			return nil
 		}
 		return m
@@ -154,14 +155,14 @@
 		}
 		return m
 	}
-	s.with(s.old, func() {
-		s.old.replica.hard.Promised = Epoch{Round: next.replica.hard.Promised.Round}
-		s.old.replica.campaign(true)
+	s.runIn(s.oldPrimary, func() {
+		s.oldPrimary.replica.hard.Promised = Epoch{Round: next.replica.hard.Promised.Round}
+		s.oldPrimary.replica.campaign(true)
 	})
 	for range 20 {
 		s.run(s.now + 50*time.Millisecond)
-		if s.old.replica.Primary() {
-			s.callAt(s.old, operation{client: 2})
+		if s.oldPrimary.replica.IsPrimary() {
+			s.callAt(s.oldPrimary, operation{client: 2})
 		}
 	}
 	s.mutate = nil
@@ -172,15 +173,16 @@
 	require.NotEqual(t, porcupine.Illegal, check(s.history))
 }
 
-// A process that starts with a view on its disk that may never have been in force tells nobody that it is, and asks to lead by it all the same.
+// A process that starts with a view on its disk that may never have been in force does not report it as known, and requests pre-votes by it
+// all the same.
 func TestAnAbandonedViewIsNotTold(t *testing.T) {
 	joint := viewOf(5, "a", "b")
 	joint.Old = joint.Members[:3]
 	r := preVoter(t, joint)
 	view := r.View()
 	require.Zero(t, view.Epoch.Round)
-	require.Zero(t, r.known.Epoch.Round)
-	require.True(t, r.suspicious())
+	require.Zero(t, r.knownView.Epoch.Round)
+	require.True(t, r.suspectsPrimary())
 	inForce := preVoter(t, viewOf(5, "a", "b")).View()
 	require.Equal(t, uint64(5), inForce.Epoch.Round)
 }
--- a/internal/router/replication/witness_test.go
+++ b/internal/router/replication/witness_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A replica that promised an epoch takes neither the view nor the state of a candidate of an older one.
+// A replica that promised an epoch adopts neither the view nor the state of a candidate of an older one.
 func TestAnOlderCandidateIsRefused(t *testing.T) {
 	for _, older := range []Message{
 		Accept{View: viewOf(6, "c", "d")},
@@ -23,7 +23,7 @@
 		r.Receive("c", older, 4*time.Second)
 		require.Equal(t, promised, r.hard.Promised)
 		require.Equal(t, accepted.Epoch, r.hard.Accepted.Epoch)
-		require.Zero(t, r.position.Sequence)
+		require.Zero(t, r.state.position.Sequence)
 		for _, effect := range r.Effects() {
 			_, saved := effect.(Save)
 			require.False(t, saved, "nothing of it goes to the disk")
--- /dev/null
+++ b/internal/sidecar/core/snapshot.go
@@ -0,0 +1,146 @@
+package core
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"petrelhook/balance"
+	"petrelhook/internal/sidecar/member"
+)
+
+// Snapshot is what one process of a sidecar hands over to the next: the list with its generation, the ids that must not be accepted
+// again, and what the module has learned. It has nothing of open requests: each process answers those that it accepted. Its JSON form
+// is read by processes of other versions.
+type Snapshot struct {
+	Source string               `json:"Source"` // the name of the source of List
+	List   member.List          `json:"List"`
+	IDs    map[string]time.Time `json:"IDs"` // until when each is reserved; those of open requests too
+	Module balance.Memory       `json:"Module"`
+	Names  *Names               `json:"Names"` // of the positions in Module; nil: written by a version that has none
+}
+
+// Names are the names of positions in the module.
+type Names struct {
+	Classes []string `json:"Classes"`
+	Zones   []string `json:"Zones"`
+	Kinds   []string `json:"Kinds"`
+	// Rules has for each class its effect, group and window; empty: written by a version that has none.
+	Rules []string `json:",omitempty"`
+}
+
+// classRules returns the rules of classes as texts that can be compared.
+func classRules(classes []balance.Class) []string {
+	var rules []string
+	for _, c := range classes {
+		rules = append(rules, fmt.Sprintf("%d/%d/%g", c.Effect, c.Group, c.Window))
+	}
+	return rules
+}
+
+// remapMemory moves what was learned to the positions that its names have in this process. What has no name here, or belongs to a class
+// with other rules, is dropped. If the previous version gave no names, positions keep their meaning if there are as many classes, and
+// everything is dropped if not.
+func remapMemory(memory balance.Memory, previous *Names, current Names) balance.Memory {
+	if previous == nil {
+		if len(memory.Classes) != len(current.Classes) {
+			memory.Classes, memory.Zones, memory.Kinds = nil, nil, nil
+		}
+		return memory
+	}
+	if previous.equal(current) {
+		return memory
+	}
+	memory.Classes = remapClasses(memory.Classes, previous, current)
+	memory.Zones = remapPositions(memory.Zones, previous.Zones, current.Zones)
+	memory.Kinds = remapPositions(memory.Kinds, previous.Kinds, current.Kinds)
+	return memory
+}
+
+// equal reports whether all positions have the same meaning; rules count only if n has them.
+func (n *Names) equal(other Names) bool {
+	sameRules := len(n.Rules) == 0 || slices.Equal(n.Rules, other.Rules)
+	return sameRules && slices.Equal(n.Classes, other.Classes) && slices.Equal(n.Zones, other.Zones) && slices.Equal(n.Kinds, other.Kinds)
+}
+
+func remapClasses(memories []balance.ClassMemory, previous *Names, current Names) []balance.ClassMemory {
+	sameRules := func(from, to int) bool {
+		return from >= len(previous.Rules) || to < len(current.Rules) && previous.Rules[from] == current.Rules[to]
+	}
+	remapped := make([]balance.ClassMemory, len(current.Classes))
+	for from, memory := range memories {
+		if to, ok := newPosition(from, previous.Classes, current.Classes); ok && to < len(remapped) && sameRules(from, to) {
+			remapped[to] = memory
+		}
+	}
+	return remapped
+}
+
+func remapPositions(values map[int]float64, previous, current []string) map[int]float64 {
+	remapped := map[int]float64{}
+	for from, value := range values {
+		if to, ok := newPosition(from, previous, current); ok {
+			remapped[to] = value
+		}
+	}
+	return remapped
+}
+
+// newPosition returns where a position's name is in current. Without names, position 0 stands for everything.
+func newPosition(from int, previous, current []string) (to int, ok bool) {
+	if len(previous) == 0 && len(current) == 0 {
+		return from, from == 0
+	}
+	if from < 0 || from >= len(previous) {
+		return 0, false
+	}
+	to = slices.Index(current, previous[from])
+	return to, to >= 0
+}
+
+// Snapshot calls encode, in the loop, with what the core would hand over now; encode must not keep it, since some of it is the loop's.
+// It returns false if the loop has ended.
+func (l *Loop) Snapshot(encode func(Snapshot)) (ok bool) {
+	done := make(chan struct{})
+	l.post(func() {
+		defer close(done)
+		list := member.List{Generation: l.cursor.Generation(), Complete: true}
+		for _, id := range slices.Sorted(maps.Keys(l.instances)) {
+			list.Instances = append(list.Instances, l.instances[id])
+		}
+		ids := l.ids.expiries()
+		for _, r := range l.requests {
+			ids[r.TraceID] = r.deadline
+		}
+		encode(Snapshot{Source: l.source.Name(), List: list, IDs: ids, Module: l.balancer.Memory(), Names: l.names()})
+	})
+	select {
+	case <-done:
+		return true
+	case <-l.ended:
+		return false
+	}
+}
+
+// names returns the names of this process, with the rules of its classes.
+func (l *Loop) names() *Names {
+	n := l.config.Names
+	n.Rules = classRules(l.config.Module.Classes)
+	return &n
+}
+
+// restore reserves the ids and recalls what the module of the previous process had learned. It runs before the first request.
+func (l *Loop) restore(previous *Snapshot) {
+	for id, expiry := range previous.IDs {
+		if expiry.After(time.Now()) && l.ids.reserve(id) {
+			l.ids.releaseAt(id, expiry)
+		}
+	}
+	before, now := previous.Names, l.names()
+	if before != nil && len(before.Rules) > 0 && (!slices.Equal(before.Classes, now.Classes) || !slices.Equal(before.Rules, now.Rules)) {
+		l.log.Info("other settings than before: learned times are taken where class, effect and window agree",
+			"before", before.Classes, "now", now.Classes)
+	}
+	l.balancer.Recall(remapMemory(previous.Module, previous.Names, *now))
+}
--- a/internal/sidecar/front/platform/body.go
+++ b/internal/sidecar/front/platform/body.go
@@ -40,14 +40,14 @@
 }
 
 func newBody(w http.ResponseWriter, req *http.Request, due time.Time) *body {
-	b := &body{Reader: req.Body, control: http.NewResponseController(w), first: due, progress: progress.Deadline{Least: leastBody, Within: bodyWindow}}
+	b := &body{Reader: req.Body, control: http.NewResponseController(w), first: due, progress: progress.Deadline{MinBytes: leastBody, Interval: bodyWindow}}
 	b.progress.Start(time.Now())
 	return b
 }
 
 // Read reads on until the client's time for it is up.
 func (b *body) Read(p []byte) (int, error) {
-	due := b.progress.Due()
+	due := b.progress.Expires()
 	if due.Before(b.first) {
 		due = b.first
 	}
@@ -56,7 +56,7 @@
 		return 0, errHalted
 	}
 	n, err := b.Reader.Read(p)
-	b.progress.Moved(n, time.Now())
+	b.progress.Progressed(n, time.Now())
 	switch {
 	case err == io.EOF:
 		b.ended.Store(true)
@@ -87,7 +87,7 @@
 	b.pumped = make(chan struct{})
 	go func() {
 		defer close(b.pumped)
-		b.rest.Pump(&bounded{b, message.Long, failed})
+		b.rest.Pump(&bounded{b, message.MaxBody, failed})
 	}()
 }
 
@@ -108,9 +108,9 @@
 // take takes a body in: whole where it is short, else with a rest that is passed on.
 func (b *body) take(req *http.Request, m *message.Request) error {
 	size := req.ContentLength
-	if size > message.Short {
+	if size > message.MaxBuffered {
 		b.rest = message.NewUpload(size)
-		m.Rest = b.rest
+		m.Remainder = b.rest
 		return nil
 	}
 	var err error
@@ -119,9 +119,9 @@
 	}
 	buffer := make([]byte, min(max(size, 512), bodyPiece))
 	for err == nil {
-		if len(m.Body) > message.Short { // chunks, and more of them
+		if len(m.Body) > message.MaxBuffered { // chunks, and more of them
 			b.rest = message.NewUpload(-1)
-			m.Rest = b.rest
+			m.Remainder = b.rest
 			return nil
 		}
 		var n int
@@ -154,7 +154,7 @@
 	if n <= freeSize || int64(n) <= b.taken {
 		return true
 	}
-	want := int64(min(2*n, message.Short+bodyPiece))
+	want := int64(min(2*n, message.MaxBuffered+bodyPiece))
 	ctx, cancel := context.WithTimeout(ctx, roomTime)
 	defer cancel()
 	if !b.room.Acquire(ctx, want-b.taken) {
--- a/internal/sidecar/front/platform/gone_test.go
+++ b/internal/sidecar/front/platform/gone_test.go
@@ -35,7 +35,7 @@
 			t.Run(sent+", "+how, func(t *testing.T) {
 				taken, noticed := make(chan front.Request, 1), make(chan struct{})
 				r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
-					if req.Trace == "first" {
+					if req.TraceID == "first" {
 						taken <- req
 						<-ctx.Done()
 						close(noticed)
@@ -45,14 +45,14 @@
 				c, _ := peertest.Open(t, r.addr)
 				io.WriteString(c, look("first"))
 				req := peertest.Wait(t, taken)
-				if req.Gone() {
+				if req.ClientGone() {
 					t.Error("gone while it waits")
 				}
 				io.WriteString(c, text)
 				end(c)
 				peertest.Wait(t, noticed)
-				peertest.Eventually(t, "the loop can see it too", req.Gone)
-				peertest.Eventually(t, "nothing is held", func() bool { return r.room.Held() == 0 })
+				peertest.Eventually(t, "the loop can see it too", req.ClientGone)
+				peertest.Eventually(t, "nothing is held", func() bool { return r.room.Reserved() == 0 })
 			})
 		}
 	}
@@ -62,11 +62,11 @@
 func TestRequestsAheadAreAnsweredInOrder(t *testing.T) {
 	taken, release := make(chan struct{}), make(chan struct{})
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
-		if req.Trace == "1" {
+		if req.TraceID == "1" {
 			close(taken)
 			<-release
 		}
-		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte(req.Trace + string(req.Message.Body))}}, nil
+		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte(req.TraceID + string(req.Message.Body))}}, nil
 	})
 	c, in := peertest.Open(t, r.addr)
 	io.WriteString(c, look("1"))
@@ -74,14 +74,14 @@
 	io.WriteString(c, look("2")+strings.Replace(look("3"), "GET", "G", 1)[:1]) // a request, and a byte of the next
 	body := strings.Repeat("x", 40_000)
 	io.WriteString(c, look("3")[1:]+"POST /once HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 4\r\nX-Qos: once\r\nContent-Length: 40000\r\n\r\n"+body+look("5"))
-	peertest.Eventually(t, "they are read ahead", func() bool { return r.room.Held() > 40_000 })
+	peertest.Eventually(t, "they are read ahead", func() bool { return r.room.Reserved() > 40_000 })
 	close(release)
 	for _, want := range []string{"1", "2", "3", "4" + body, "5"} {
 		if resp, got := peertest.Answer(t, in); resp.StatusCode != 200 || got != want {
 			t.Fatalf("%d, %.20q, want %.20q", resp.StatusCode, got, want)
 		}
 	}
-	peertest.Eventually(t, "nothing is held", func() bool { return r.room.Held() == 0 })
+	peertest.Eventually(t, "nothing is held", func() bool { return r.room.Reserved() == 0 })
 }
 
 // An answer that breaks off on its way is not taken for whole: over HTTP/1.0, where it says no length, by the reset alone.
@@ -89,7 +89,7 @@
 	for _, version := range []string{"1.0", "1.1"} {
 		for cut, rest := range map[bool]error{true: errors.New("reset"), false: io.EOF} {
 			r := newRig(t, func(context.Context, front.Request) (front.Answer, error) {
-				return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi"), Rest: &restOf{rest}, Size: -1}}, nil
+				return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi"), Remainder: &restOf{rest}, Size: -1}}, nil
 			})
 			c, in := peertest.Open(t, r.addr)
 			io.WriteString(c, strings.Replace(look("t"), "HTTP/1.1", "HTTP/"+version+"\r\nConnection: close", 1))
--- a/internal/sidecar/front/platform/platform_test.go
+++ b/internal/sidecar/front/platform/platform_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"petrelhook/internal/common/peertest"
-	"petrelhook/internal/sidecar/admit"
+	"petrelhook/internal/sidecar/admission"
 	"petrelhook/internal/sidecar/front"
 	"petrelhook/internal/sidecar/lifecycle"
 	"petrelhook/internal/sidecar/membudget"
@@ -57,7 +57,7 @@
 	}
 	r := &rig{t: t, core: &fakeCore{answer: answer}, lingered: make(chan time.Time, 1), addr: ln.Addr().String(), life: lifecycle.New(), room: membudget.New(roomOfTests), ended: make(chan error, 1)}
 	long := 10 * time.Second
-	server := New(Settings{Room: r.room, Door: admit.Config{Places: 100, Horizon: time.Second}, Tenants: []string{"acme"}, Classes: []front.Class{
+	server := New(Settings{Room: r.room, Door: admission.Config{MaxConnections: 100, Horizon: time.Second}, Tenants: []string{"acme"}, Classes: []front.Class{
 		{Name: "look", Effect: front.Safe, Deadline: long}, {Name: "book", Effect: front.Keyed, Deadline: long}, {Name: "once", Effect: front.Unsafe, Deadline: long},
 	}}, r.core, r.life, slog.New(slog.DiscardHandler))
 	server.after = func(d time.Duration) <-chan time.Time {
@@ -69,13 +69,13 @@
 		}
 		return r.lingered
 	}
-	r.life.Tell(lifecycle.Listed)
+	r.life.Apply(lifecycle.ServersKnown)
 	go func() { r.ended <- server.Serve(ln) }()
 	t.Cleanup(r.stop)
 	return r
 }
 
-func (r *rig) stop() { r.life.Tell(lifecycle.Terminate) }
+func (r *rig) stop() { r.life.Apply(lifecycle.Terminate) }
 
 func (r *rig) ask(request string) (status int, body string, closes bool) {
 	r.t.Helper()
@@ -166,7 +166,7 @@
 func TestStopping(t *testing.T) {
 	got, release := make(chan struct{}, 2), make(chan struct{})
 	r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
-		if req.Trace == "slow" {
+		if req.TraceID == "slow" {
 			got <- struct{}{}
 			<-release
 		}
@@ -223,8 +223,8 @@
 			t.Errorf("%v: status %d, want %d", err, status, want)
 		}
 	}
-	if got.Class != 1 || got.Tenant != 0 || got.Subject != "7f" || got.Wait != 1500*time.Microsecond || !got.Repeat ||
-		got.Hint != 2500*time.Microsecond || got.Message.Target != "/book/1?sid=7f" || string(got.Message.Body) != "hi" {
+	if got.Class != 1 || got.Tenant != 0 || got.AffinityKey != "7f" || got.Wait != 1500*time.Microsecond || !got.ClientRetry ||
+		got.WorkHint != 2500*time.Microsecond || got.Message.Target != "/book/1?sid=7f" || string(got.Message.Body) != "hi" {
 		t.Errorf("%+v", got)
 	}
 	give = context.Canceled // as where the client has gone: no answer is made up
--- a/internal/sidecar/wiring/service_test.go
+++ b/internal/sidecar/wiring/service_test.go
@@ -199,7 +199,7 @@
 		io.WriteString(c, "PUT /api/evac")
 	}
 	stuck, release := make(chan struct{}), make(chan struct{})
-	go r.side.core.Legacy(func(core.Legacy) { close(stuck); <-release })
+	go r.side.core.Snapshot(func(core.Snapshot) { close(stuck); <-release })
 	peertest.Wait(t, stuck)
 	defer close(release)
 	for _, what := range []string{"GET /api/ready", "PUT /api/evacuate", "GET /api/ready", "PUT /api/rejoin"} {
@@ -250,7 +250,7 @@
 		t.Errorf("%d bytes, %v", n, err)
 	}
 	c.Close() // its answer had begun before: it says nothing of the end of its connection
-	peertest.Eventually(t, "away", func() bool { return r.side.life.Status().State() == lifecycle.Away })
+	peertest.Eventually(t, "away", func() bool { return r.side.life.Status().State() == lifecycle.Evacuated })
 	if n := p.Requests.Load(); n > 3 {
 		t.Errorf("%d requests went on", n)
 	}
