--- a/internal/rig/chain/run.go
+++ b/internal/rig/chain/run.go
@@ -134,7 +134,7 @@
 	}
 	r := &Result{
 		Depth: cfg.Depth, Direct: cfg.Program == "", Fail: cfg.Fail, Rate: cfg.Rate, Pass: cfg.Pass, Usage: taken,
-		Took: result.Took, Partial: result.Partial, Invalid: result.Invalid, Extras: result.Extras,
+		Took: result.Duration, Partial: result.Partial, Invalid: result.Invalid, Extras: result.Extras,
 	}
 	leaf := c.levels[len(c.levels)-1]
 	for i, in := range result.Classes[1:] {
--- a/internal/rig/load/client.go
+++ b/internal/rig/load/client.go
@@ -22,32 +22,32 @@
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // client is the application beside one sidecar: it keeps connections, sends one request at a time on each, and opens
-// more when all are busy. It is no http.Client, since that sends a request again by its own lights and cannot say when
-// the last byte of a request was written.
+// more when all are busy. It is not an http.Client, since that retries requests by rules of its own and cannot say when
+// the last byte of a request was written. It is safe for concurrent use.
 type client struct {
-	dial  Dial
-	addr  string
-	room  *room
-	extra func(trace string) // more came than the answer to this request
+	dial          Dial
+	addr          string
+	limit         *connectionLimit
+	onExtraAnswer func(trace string) // more came than the answer to this request
 
 	mu   sync.Mutex
 	idle []*conn // newest last
 }
 
-// room bounds the connections of all clients.
-type room struct {
-	mu   sync.Mutex
-	most int
-	open int
-	peak int
-	full int // requests that found no room
+// connectionLimit bounds the open connections of all clients. It is safe for concurrent use.
+type connectionLimit struct {
+	mu       sync.Mutex
+	max      int
+	open     int
+	peak     int
+	rejected int // requests that got no connection
 }
 
-func (r *room) enter() bool {
+func (r *connectionLimit) acquire() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.open >= r.most {
-		r.full++
+	if r.open >= r.max {
+		r.rejected++
 		return false
 	}
 	r.open++
@@ -55,22 +55,23 @@
 	return true
 }
 
-func (r *room) leave() {
+func (r *connectionLimit) release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open--
 }
 
+// conn is a connection of a client. One goroutine at a time uses it.
 type conn struct {
 	net.Conn
-	in   *bufio.Reader
-	last string // trace of the request that it carried last
+	reader    *bufio.Reader
+	lastTrace string // trace of the request that it carried last
 }
 
-var errNoRoom = errors.New("no descriptor is free for one more connection")
+var errNoDescriptor = errors.New("no descriptor is free for one more connection")
 
-// take gives a connection, and whether it was used before.
-func (c *client) take(ctx context.Context) (cn *conn, used bool, err error) {
+// connection returns a connection, and whether it was used before. The caller gives it back with keep or drop.
+func (c *client) connection(ctx context.Context) (cn *conn, used bool, err error) {
 	for {
 		c.mu.Lock()
 		n := len(c.idle)
@@ -93,40 +94,40 @@
 
 // open opens a connection.
 func (c *client) open(ctx context.Context) (*conn, error) {
-	if !c.room.enter() {
-		return nil, errNoRoom
+	if !c.limit.acquire() {
+		return nil, errNoDescriptor
 	}
 	nc, err := c.dial(ctx, "tcp", c.addr)
 	if err != nil {
-		c.room.leave()
+		c.limit.release()
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			c.room.mu.Lock()
-			c.room.full++
-			c.room.mu.Unlock()
-			err = errNoRoom
+			c.limit.mu.Lock()
+			c.limit.rejected++
+			c.limit.mu.Unlock()
+			err = errNoDescriptor
 		}
 		return nil, err
 	}
-	return &conn{Conn: nc, in: bufio.NewReaderSize(nc, 2<<10)}, nil
+	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, 2<<10)}, nil
 }
 
-// park keeps a connection for later.
-func (c *client) park(cn *conn) {
+// keep puts a connection back for a later request.
+func (c *client) keep(cn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = append(c.idle, cn)
 }
 
-// drop closes a connection. What has come on it that nobody asked for is a second answer.
+// drop closes a connection. What has come on it without a request is a second answer.
 func (c *client) drop(cn *conn) {
-	if cn.last != "" && !sock.Quiet(cn.Conn) {
-		cn.SetReadDeadline(time.Now().Add(time.Millisecond))
-		if _, err := cn.in.Peek(1); err == nil {
-			c.extra(cn.last)
+	if cn.lastTrace != "" && !sock.Quiet(cn.Conn) {
+		_ = cn.SetReadDeadline(time.Now().Add(time.Millisecond))
+		if _, err := cn.reader.Peek(1); err == nil {
+			c.onExtraAnswer(cn.lastTrace)
 		}
 	}
-	cn.Close()
-	c.room.leave()
+	_ = cn.Close()
+	c.limit.release()
 }
 
 // close closes the idle connections.
@@ -142,15 +143,15 @@
 
 // request is what a call sends.
 type request struct {
-	method, class, tenant, trace, key, about, op string
-	retry                                        bool
+	method, class, tenant, trace, key, subject, operation string
+	retry                                                 bool
 }
 
-// encode writes a request whose client waits so long.
+// encode returns the bytes of a request whose client waits for the given time.
 func (q *request) encode(host string, patience time.Duration) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s /%s?sid=%s&op=%s HTTP/1.1\r\nHost: %s\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %du\r\n",
-		q.method, q.class, q.about, q.op, host, q.trace, q.class, patience.Microseconds())
+		q.method, q.class, q.subject, q.operation, host, q.trace, q.class, patience.Microseconds())
 	if q.tenant != "" {
 		fmt.Fprintf(&b, "X-Customer: %s\r\n", q.tenant)
 	}
@@ -161,30 +162,30 @@
 		b.WriteString("X-Second-Try: 1\r\n")
 	}
 	if q.method != http.MethodGet {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(q.op), q.op)
+		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(q.operation), q.operation)
 	} else {
 		b.WriteString("\r\n")
 	}
 	return []byte(b.String())
 }
 
-// lateFor is how long after its time is up, and the slack, a client still listens: an answer that comes then is lost to
-// it, but seen to be late.
-const lateFor = 100 * time.Millisecond
+// lateReadTime is how long a client still reads after its patience and the slack: an answer that comes then is lost to
+// it, but recorded as late.
+const lateReadTime = 100 * time.Millisecond
 
-// do carries out one try: it fills in what came of it.
-func (c *client) do(call *audit.Call, q *request, slack time.Duration, since func() time.Duration) error {
+// send carries out one call and records in it what came of it.
+func (c *client) send(call *audit.Call, q *request, slack time.Duration, since func() time.Duration) error {
 	call.Sent, call.Answered, call.HungUp = audit.Never, audit.Never, audit.Never
 	ctx, cancel := context.WithTimeout(context.Background(), call.Patience)
 	defer cancel()
-	cn, used, err := c.take(ctx)
+	cn, used, err := c.connection(ctx)
 	if err == nil {
 		var silent bool
 		if silent, err = c.exchange(cn, call, q, slack, since); err == nil || !used || !silent {
 			return err
 		}
-		// The sidecar may close a connection between two requests. Where that crossed this one it is sent once more, on a
-		// new connection; the audit looks whether it had been read.
+		// The sidecar may close an idle connection at any time, also just before this request comes. Then it is sent again on a
+		// new connection; the audit checks that it had not been read.
 		call.ConnectionLostAt, call.Sent = since(), audit.Never
 		cn, err = c.open(ctx)
 	}
@@ -196,70 +197,92 @@
 	return err
 }
 
-// exchange sends a request and reads its answer. An error says that no whole answer came; silent, that the connection
+// exchange sends a request and reads its answer. An error says that no complete answer came; silent, that the connection
 // ended before a byte of one.
 func (c *client) exchange(
 	cn *conn, call *audit.Call, q *request, slack time.Duration, since func() time.Duration,
 ) (silent bool, err error) {
-	until := time.Now().Add(call.Patience + slack + lateFor)
-	cn.SetDeadline(until)
-	cn.last = q.trace
+	until := time.Now().Add(call.Patience + slack + lateReadTime)
+	_ = cn.SetDeadline(until)
+	cn.lastTrace = q.trace
 	if _, err := cn.Write(q.encode(c.addr, call.Patience)); err != nil {
-		cn.last = ""
+		cn.lastTrace = ""
 		c.drop(cn)
 		call.Result = audit.Unreached
 		return true, err
 	}
 	call.Sent = since()
 	call.Result = audit.Lost
-	_, err = cn.in.Peek(1)
-	silent = err != nil
-	var resp *http.Response
-	if err == nil {
-		resp, err = http.ReadResponse(cn.in, &http.Request{Method: q.method})
-	}
-	var body []byte
-	if err == nil {
-		body, err = io.ReadAll(resp.Body)
-	}
+	reply, silent, err := cn.readAnswer(q.method)
 	if err != nil {
 		if !time.Now().Before(until) {
 			call.HungUp, silent = since(), false
 		}
-		cn.Close()
-		c.room.leave()
+		_ = cn.Close()
+		c.limit.release()
 		return silent, err
 	}
-	call.Answered, call.Status = since(), resp.StatusCode
-	switch {
-	case resp.StatusCode == http.StatusOK:
-		call.Result, call.Body = audit.Served, audit.BodySum(body)
-	case resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode == http.StatusServiceUnavailable:
-		call.Result = audit.Refused
-		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
-			call.RetryAfter = time.Duration(s * float64(time.Second))
-		}
-	default:
-		call.Result = audit.Failed
-	}
+	call.Answered = since()
+	reply.applyTo(call)
 	if call.Answered > call.Sent+call.Patience+slack {
 		call.Result = audit.Lost
 	}
-	cn.SetDeadline(time.Time{})
+	_ = cn.SetDeadline(time.Time{})
 	switch {
-	case cn.in.Buffered() > 0:
-		c.extra(q.trace)
+	case cn.reader.Buffered() > 0:
+		c.onExtraAnswer(q.trace)
 		fallthrough
-	case resp.Close:
-		cn.last = ""
+	case reply.closes:
+		cn.lastTrace = ""
 		c.drop(cn)
 	default:
-		c.park(cn)
+		c.keep(cn)
 	}
 	return false, nil
 }
 
-// Dialer is what a load is sent over.
+// answer is a complete answer.
+type answer struct {
+	status     int
+	retryAfter string
+	body       []byte
+	closes     bool // the connection ends with it
+}
+
+// readAnswer reads one complete answer; silent: the connection ended before its first byte.
+func (cn *conn) readAnswer(method string) (reply answer, silent bool, err error) {
+	if _, err := cn.reader.Peek(1); err != nil {
+		return answer{}, true, err
+	}
+	resp, err := http.ReadResponse(cn.reader, &http.Request{Method: method})
+	if err != nil {
+		return answer{}, false, err
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil { // Close would read on until the deadline
+		return answer{}, false, err
+	}
+	_ = resp.Body.Close() // all of it was read
+	return answer{resp.StatusCode, resp.Header.Get("Retry-After"), body, resp.Close}, false, nil
+}
+
+// applyTo records in a call what its answer says.
+func (a *answer) applyTo(call *audit.Call) {
+	call.Status = a.status
+	switch a.status {
+	case http.StatusOK:
+		call.Result, call.Body = audit.Served, audit.BodySum(a.body)
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		call.Result = audit.Refused
+		if s, err := strconv.ParseFloat(a.retryAfter, 64); err == nil && s > 0 && s < 3600 {
+			call.RetryAfter = time.Duration(s * float64(time.Second))
+		}
+	default:
+		call.Result = audit.Failed
+	}
+}
+
+// Dialer opens the connections of a load: a net.Dialer or a network in memory.
 type Dialer interface {
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
 }
--- a/internal/rig/load/crowd.go
+++ b/internal/rig/load/crowd.go
@@ -14,43 +14,43 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// CrowdResult is what came of one crowd. Its requests are no operations: they count here, and in the audit.
+// CrowdResult is what came of one crowd. Its requests are not operations: they are counted here and in the audit only.
 type CrowdResult struct {
-	Kind   scenario.CrowdKind
-	Opened int    // connections that came up
-	Barred int    // connections that did not
-	Closed int    // closed by the other side before the crowd was over
-	Asked  Counts // requests, by what came of them
+	Kind          scenario.CrowdKind
+	Opened        int    // connections that came up
+	ConnectFailed int    // connections that did not
+	Closed        int    // closed by the other side before the crowd was over
+	Requests      Counts // requests, by what came of them
 }
 
-// A byte comes from those who send slowly every so long, and those who come back pause for this long between.
+// Clients of a crowd that send slowly send a byte each slowByteInterval; those that come again do after returnDelay.
 const (
-	crowdByte  = 200 * time.Millisecond
-	crowdPause = 10 * time.Millisecond
+	slowByteInterval = 200 * time.Millisecond
+	returnDelay      = 10 * time.Millisecond
 )
 
-// crowd is one crowd at work.
+// crowd is one crowd: many clients that behave badly in the same way.
 type crowd struct {
 	*run
 	scenario.Crowd
-	no     int
+	number int
 	class  *scenario.Class // of their requests: a safe one, where there is one
 	result *CrowdResult    // guarded by run.result.mu
 }
 
-// crowds sends all crowds of the scenario, each at its time.
+// crowds starts all crowds of the scenario, each at its time.
 func (x *run) crowds(ctx context.Context) {
-	for no, c := range x.s.Crowds {
-		k := &crowd{run: x, Crowd: c, no: no, class: &x.s.Classes[0], result: &CrowdResult{Kind: c.Kind}}
-		for i := range x.s.Classes {
-			if x.s.Classes[i].Effect == scenario.Safe {
-				k.class = &x.s.Classes[i]
+	for no, c := range x.scenario.Crowds {
+		k := &crowd{run: x, Crowd: c, number: no, class: &x.scenario.Classes[0], result: &CrowdResult{Kind: c.Kind}}
+		for i := range x.scenario.Classes {
+			if x.scenario.Classes[i].Effect == scenario.Safe {
+				k.class = &x.scenario.Classes[i]
 				break
 			}
 		}
 		x.result.Crowds = append(x.result.Crowds, k.result)
 		for i := range c.Count {
-			x.out.Go(func() { k.stranger(ctx, i) })
+			x.pending.Go(func() { k.runClient(ctx, i) })
 		}
 	}
 }
@@ -61,37 +61,37 @@
 	f(k.result)
 }
 
-// stranger is one of them, from when it comes until the crowd is over.
-func (k *crowd) stranger(ctx context.Context, i int) {
+// runClient is one client of the crowd, from when it comes until the crowd is over.
+func (k *crowd) runClient(ctx context.Context, i int) {
 	ctx, cancel := context.WithDeadline(ctx, k.began.Add(k.At+k.For))
 	defer cancel()
 	waitForTimer(ctx, k.began.Add(k.At+k.Over*time.Duration(i)/time.Duration(k.Count)))
 	c := &client{
-		dial: k.dial, addr: k.clients[i%len(k.clients)].addr, room: &k.room, extra: k.extra,
+		dial: k.dial, addr: k.clients[i%len(k.clients)].addr, limit: &k.limit, onExtraAnswer: k.recordExtraAnswer,
 	}
 	defer c.close()
 	for n := 0; ctx.Err() == nil; n++ {
 		switch k.Kind {
 		case scenario.Idlers:
-			k.stay(ctx, c, nil)
+			k.holdOpen(ctx, c, nil)
 			return
 		case scenario.Heads:
-			k.stay(ctx, c, []byte("GET /"+k.class.Name+" HTTP/1.1\r\nHost: a\r\nX-Filler: "))
+			k.holdOpen(ctx, c, []byte("GET /"+k.class.Name+" HTTP/1.1\r\nHost: a\r\nX-Filler: "))
 			return
 		case scenario.Bodies:
-			k.stay(ctx, c, k.bigHead(i))
+			k.holdOpen(ctx, c, k.largeHeader(i))
 			return
 		case scenario.Onces:
-			k.ask(c, i, n)
+			k.send(c, i, n)
 			k.linger(ctx, c)
 			return
 		case scenario.Stormer:
-			if k.ask(c, i, n) == audit.Served {
+			if k.send(c, i, n) == audit.Served {
 				k.linger(ctx, c)
 			}
 			c.close()
 		case scenario.Passers:
-			k.ask(c, i, n)
+			k.send(c, i, n)
 			c.close()
 		case scenario.Aborts:
 			if nc, err := k.dial(ctx, "tcp", c.addr); err == nil {
@@ -99,7 +99,7 @@
 				sock.Abort(nc)
 			}
 		}
-		waitForTimer(ctx, time.Now().Add(crowdPause))
+		waitForTimer(ctx, time.Now().Add(returnDelay))
 	}
 }
 
@@ -108,7 +108,7 @@
 	c, err := k.Dial(ctx, network, addr)
 	if err != nil {
 		if ctx.Err() == nil {
-			k.count(func(r *CrowdResult) { r.Barred++ })
+			k.count(func(r *CrowdResult) { r.ConnectFailed++ })
 		}
 		return nil, err
 	}
@@ -116,35 +116,35 @@
 	return c, nil
 }
 
-// bigHead is the head of a request with the largest body, of a class that has bodies, where there is one.
-func (k *crowd) bigHead(i int) []byte {
+// largeHeader is the header of a request with the largest body, of a class that has bodies, where there is one.
+func (k *crowd) largeHeader(i int) []byte {
 	class, key := k.class, ""
-	for c := range k.s.Classes {
-		if k.s.Classes[c].Effect != scenario.Safe {
-			class = &k.s.Classes[c]
+	for c := range k.scenario.Classes {
+		if k.scenario.Classes[c].Effect != scenario.Safe {
+			class = &k.scenario.Classes[c]
 		}
 	}
 	if class.Effect == scenario.Keyed {
-		key = fmt.Sprintf("Idempotency-Key: crowd-%d-%d\r\n", k.no, i)
+		key = fmt.Sprintf("Idempotency-Key: crowd-%d-%d\r\n", k.number, i)
 	}
 	return fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: a\r\nX-Trace-Id: crowd-%d-%d\r\nX-Qos: %s\r\n%sContent-Length: 65536\r\n\r\n",
-		class.Name, k.no, i, class.Name, key)
+		class.Name, k.number, i, class.Name, key)
 }
 
-// stay opens a connection, sends what there is to send and then a byte now and then, or nothing at all, until the crowd
-// is over or the other side has had enough.
-func (k *crowd) stay(ctx context.Context, c *client, first []byte) {
-	if !c.room.enter() {
+// holdOpen opens a connection, sends the given bytes and then a byte each slowByteInterval, or nothing at all if there are none, until
+// the crowd is over or the other side closes it.
+func (k *crowd) holdOpen(ctx context.Context, c *client, first []byte) {
+	if !c.limit.acquire() {
 		return
 	}
-	defer c.room.leave()
+	defer c.limit.release()
 	nc, err := k.dial(ctx, "tcp", c.addr)
 	if err != nil {
 		return
 	}
 	defer nc.Close()
 	ended := make(chan error, 1)
-	go func() { // what is answered is of no interest; the end is
+	go func() { // answers do not matter; the end does
 		_, err := io.Copy(io.Discard, nc)
 		ended <- err
 	}()
@@ -153,7 +153,7 @@
 		var slowly <-chan time.Time
 		var t *time.Timer
 		if first != nil {
-			t = time.NewTimer(crowdByte)
+			t = time.NewTimer(slowByteInterval)
 			slowly = t.C
 		}
 		select {
@@ -173,12 +173,12 @@
 	}
 }
 
-// ask sends one request and counts what came of it.
-func (k *crowd) ask(c *client, i, n int) audit.Result {
+// send sends one request and counts its result.
+func (k *crowd) send(c *client, i, n int) audit.Result {
 	since := func() time.Duration { return time.Since(k.Zero) }
 	q := &request{
-		method: http.MethodGet, class: k.class.Name, trace: fmt.Sprintf("crowd-%d-%d-%d", k.no, i, n), about: "0",
-		op: fmt.Sprintf("crowd-%d-%d-%d", k.no, i, n),
+		method: http.MethodGet, class: k.class.Name, trace: fmt.Sprintf("crowd-%d-%d-%d", k.number, i, n), subject: "0",
+		operation: fmt.Sprintf("crowd-%d-%d-%d", k.number, i, n),
 	}
 	switch k.class.Effect {
 	case scenario.Keyed:
@@ -187,19 +187,19 @@
 		q.method = http.MethodPost
 	}
 	call := audit.Call{
-		Trace: q.trace, Operation: q.op, Key: q.key, Class: q.class, Sidecar: i % len(k.clients), ScheduledAt: since(), Patience: k.class.Deadline,
+		Trace: q.trace, Operation: q.operation, Key: q.key, Class: q.class, Sidecar: i % len(k.clients), ScheduledAt: since(), Patience: k.class.Deadline,
 	}
-	if err := c.do(&call, q, k.s.Rules.Slack, since); errors.Is(err, errNoRoom) {
+	if err := c.send(&call, q, k.scenario.Rules.Slack, since); errors.Is(err, errNoDescriptor) {
 		return call.Result
 	}
 	if k.Calls != nil {
 		k.Calls.Call(call)
 	}
-	k.count(func(r *CrowdResult) { r.Asked.add(call.Result, 1) })
+	k.count(func(r *CrowdResult) { r.Requests.add(call.Result, 1) })
 	return call.Result
 }
 
-// linger keeps the connection, if there still is one, until the crowd is over or the other side closes it.
+// linger keeps the connection, if it is still open, until the crowd is over or the other side closes it.
 func (k *crowd) linger(ctx context.Context, c *client) {
 	c.mu.Lock()
 	idle := c.idle
@@ -209,7 +209,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { idle[0].SetReadDeadline(time.Now()) })
 	defer stop()
-	if _, err := idle[0].in.Peek(1); err != nil && ctx.Err() == nil {
+	if _, err := idle[0].reader.Peek(1); err != nil && ctx.Err() == nil {
 		k.count(func(r *CrowdResult) { r.Closed++ })
 	}
 }
--- a/internal/rig/load/result.go
+++ b/internal/rig/load/result.go
@@ -13,39 +13,39 @@
 
 // Latencies are kept in microseconds, up to an hour, to 3 digits.
 const (
-	longest  = int64(time.Hour / time.Microsecond)
-	digits   = 3
-	inSlices = 2 // digits in slices of the run: there are many
+	maxLatencyMicros  = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
+	sliceDigits       = 2 // digits in slices of the run: there are many
 
 	maxSlices = 600
 )
 
-// Result is what came of a load.
+// Result is what came of a load. It may be read when Run has returned.
 type Result struct {
 	mu sync.Mutex
 
-	Classes  []ClassResult
-	Course   Course
-	Lag      *hdrhistogram.Histogram // of sending behind the schedule, in microseconds
-	Took     time.Duration
-	Partial  bool     // it was stopped before the schedule ended
-	Invalid  []string // why the figures are not what they seem; empty: they are valid
-	PeakOpen int      // connections at once
-	NoRoom   int      // requests that found no room for a connection
-	Extras   int      // answers that nobody asked for
-	Crowds   []*CrowdResult
+	Classes      []ClassResult
+	Timeline     Timeline
+	Lag          *hdrhistogram.Histogram // of sending behind the schedule, in microseconds
+	Duration     time.Duration
+	Partial      bool     // it was stopped before the schedule ended
+	Invalid      []string // why the figures cannot be trusted; empty: they are valid
+	PeakOpen     int      // connections at once
+	NoConnection int      // requests that got no connection for lack of descriptors
+	Extras       int      // answers without a request
+	Crowds       []*CrowdResult
 }
 
-// ClassResult is what came of one class; of all of them together it is in the first place.
+// ClassResult is what came of one class; the first of a Result is of all classes together.
 type ClassResult struct {
-	Name    string
-	Aim     time.Duration
-	Counts  Counts
-	Tries   int
-	InAim   int     // served within the aim
-	Worth   float64 // asked for
-	Earned  float64
-	Latency *hdrhistogram.Histogram // of those served, in microseconds from when they were due
+	Name           string
+	LatencyTarget  time.Duration
+	Counts         Counts
+	Requests       int
+	OnTime         int     // served within the latency target
+	ValueRequested float64 // of all operations
+	ValueEarned    float64
+	Latency        *hdrhistogram.Histogram // of those served, in microseconds from when they were scheduled
 }
 
 // Counts counts operations by how they ended.
@@ -69,8 +69,8 @@
 	}
 }
 
-// Course is a run in slices of time, by when operations were due. The slices grow wider as it goes on.
-type Course struct {
+// Timeline is a run in slices of time, by when operations were scheduled. The slices grow wider as it goes on.
+type Timeline struct {
 	Width  time.Duration
 	Slices []Slice
 }
@@ -82,16 +82,16 @@
 }
 
 func newResult(s *scenario.Scenario) *Result {
-	r := &Result{Lag: hdrhistogram.New(1, longest, digits), Course: Course{Width: 250 * time.Millisecond}}
-	r.Classes = append(r.Classes, ClassResult{Name: "all", Latency: hdrhistogram.New(1, longest, digits)})
+	r := &Result{Lag: hdrhistogram.New(1, maxLatencyMicros, significantDigits), Timeline: Timeline{Width: 250 * time.Millisecond}}
+	r.Classes = append(r.Classes, ClassResult{Name: "all", Latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits)})
 	for _, c := range s.Classes {
-		r.Classes = append(r.Classes, ClassResult{Name: c.Name, Aim: c.Aim, Latency: hdrhistogram.New(1, longest, digits)})
+		r.Classes = append(r.Classes, ClassResult{Name: c.Name, LatencyTarget: c.Aim, Latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits)})
 	}
 	return r
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), longest)) // within the bounds it cannot fail
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros)) // within the bounds it cannot fail
 }
 
 func (r *Result) addLag(lag time.Duration) {
@@ -119,25 +119,25 @@
 	}
 	for _, c := range []*ClassResult{&r.Classes[0], &r.Classes[op.Class+1]} {
 		c.Counts.add(op.Result, 1)
-		c.Tries += op.Tries
-		c.Worth += class.Worth
-		c.Earned += earned
+		c.Requests += op.Requests
+		c.ValueRequested += class.Worth
+		c.ValueEarned += earned
 		if inAim {
-			c.InAim++
+			c.OnTime++
 		}
 		if op.Result == audit.Served {
 			record(c.Latency, op.Latency)
 		}
 	}
-	slice := r.Course.at(op.Due)
+	slice := r.Timeline.slice(op.ScheduledAt)
 	slice.Counts.add(op.Result, 1)
 	if op.Result == audit.Served {
 		record(slice.Latency, min(op.Latency, time.Minute-time.Second))
 	}
 }
 
-// at is the slice of a time. Where there are too many, pairs of them become one.
-func (c *Course) at(due time.Duration) *Slice {
+// slice returns the slice of a time. Where there would be too many, pairs of them become one.
+func (c *Timeline) slice(due time.Duration) *Slice {
 	for due >= maxSlices*c.Width {
 		var half []Slice
 		for i, s := range c.Slices {
@@ -157,12 +157,12 @@
 	}
 	i := int(due / c.Width)
 	for len(c.Slices) <= i {
-		c.Slices = append(c.Slices, Slice{Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), inSlices)})
+		c.Slices = append(c.Slices, Slice{Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), sliceDigits)})
 	}
 	return &c.Slices[i]
 }
 
-// Percentile is a latency of a class's served operations, from when they were due; 0: none was served.
+// Percentile is a latency of a class's served operations, from when they were scheduled; 0: none was served.
 func (c *ClassResult) Percentile(q float64) time.Duration { return Percentile(c.Latency, q) }
 
 // Percentile is a percentile, 0 to 100, of a histogram in microseconds.
@@ -173,15 +173,15 @@
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// finish looks at how the generator itself did.
-func (r *Result) finish(took time.Duration, partial bool, room *room, maxLag time.Duration) {
+// finish records how the generator itself did, and whether the result is valid.
+func (r *Result) finish(took time.Duration, partial bool, room *connectionLimit, maxLag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Took, r.Partial, r.PeakOpen, r.NoRoom = took, partial, room.peak, room.full
+	r.Duration, r.Partial, r.PeakOpen, r.NoConnection = took, partial, room.peak, room.rejected
 	if lag := Percentile(r.Lag, 99); lag > maxLag {
 		r.Invalid = append(r.Invalid, fmt.Sprintf("sending lagged behind the schedule by %v at the 99th percentile; at most %v is allowed", lag, maxLag))
 	}
-	if room.full > 0 {
-		r.Invalid = append(r.Invalid, fmt.Sprintf("%d requests found no descriptor for a connection", room.full))
+	if room.rejected > 0 {
+		r.Invalid = append(r.Invalid, fmt.Sprintf("%d requests found no descriptor for a connection", room.rejected))
 	}
 }
--- a/internal/rig/load/run.go
+++ b/internal/rig/load/run.go
@@ -1,11 +1,11 @@
-// Package load sends arrivals on schedule, whether or not earlier answers have come, as an open system's clients do.
+// Package load sends arrivals on schedule, whether or not earlier answers have come, as the clients of an open system do.
 //
-// Latency counts from when a request was due, not from when it was sent: what waits because a server stalls is counted
-// in full. The generator watches itself. Where its own sending falls behind the schedule, or it has no room for one
-// more connection, the result says that it is not valid, whatever figures it has.
+// Latency counts from when a request was scheduled, not from when it was sent: requests that wait because a server stalls count
+// in full. The generator measures itself: where its own sending falls behind the schedule, or it gets no descriptor for a
+// connection, the result says that it is not valid, whatever figures it has.
 //
-// Memory does not grow with the length of a run: latencies go to HDR histograms, the course of a run to a fixed number
-// of slices, and a trace is read as it is played.
+// Memory does not grow with the length of a run: latencies are in HDR histograms, the timeline of a run in a bounded number
+// of slices, and a trace is read as it is played. A Runner is used for one Run at a time; Run waits for all goroutines it starts.
 package load
 
 import (
@@ -24,20 +24,20 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// Runner sends a scenario's load.
+// Runner sends a scenario's load. Set its fields before Run.
 type Runner struct {
 	Scenario *scenario.Scenario
 	Schedule arrival.Schedule // nil: the scenario's
-	Targets  []string         // one address for each sidecar; arrivals are dealt out to them in turn
+	Targets  []string         // one address for each sidecar; arrivals go to them in rotation
 	Dial     Dial
 
 	Zero  time.Time            // of all recorded times
-	Calls *audit.Recorder      // gets every try; nil: none is kept, so that memory stays bounded
+	Calls *audit.Recorder      // gets every call; nil: none is recorded, so that memory stays bounded
 	Trace *arrival.TraceWriter // gets every arrival as it was drawn; may be nil
 
 	// Wait waits until a time, or for ctx; nil: a timer's wait. See WaitPrecisely.
 	Wait func(ctx context.Context, until time.Time)
-	// Connections bounds those that are open at once; 0: no bound. A request that finds no room makes the result invalid.
+	// Connections bounds those that are open at once; 0: no bound. A request that gets none makes the result invalid.
 	Connections int
 	// MaxLag is the 99th percentile of the lag behind the schedule over which the result is not valid; 0: DefaultMaxLag.
 	MaxLag time.Duration
@@ -45,32 +45,32 @@
 	Live func(Operation)
 }
 
-// DefaultMaxLag is some times what a timer is late on a busy machine.
+// DefaultMaxLag is several times the lateness of timers on a busy machine.
 const DefaultMaxLag = 10 * time.Millisecond
 
-// Operation is what a client wanted done, over all its tries.
+// Operation is what a client wanted done, with all its retries.
 type Operation struct {
-	Class   int
-	Due     time.Duration // from the start of the load
-	Latency time.Duration // from Due to the final answer, or to when the client gave up
-	Result  audit.Result  // of the last try
-	Tries   int
+	Class       int
+	ScheduledAt time.Duration // from the start of the load
+	Latency     time.Duration // from ScheduledAt to the final answer, or to when the client gave up
+	Result      audit.Result  // of the last request
+	Requests    int
 }
 
 // run is the state of one Run.
 type run struct {
 	*Runner
-	s       *scenario.Scenario
-	began   time.Time
-	clients []*client
-	room    room
-	mix     *mix
-	result  *Result
-	out     sync.WaitGroup
+	scenario   *scenario.Scenario
+	began      time.Time
+	clients    []*client
+	limit      connectionLimit
+	requestMix *requestMix
+	result     *Result
+	pending    sync.WaitGroup
 }
 
-// Run sends the load and returns when the last operation has ended. Where ctx ends first no more is sent, what is out
-// is waited for, and the result is marked as partial. An error is one of the schedule: it ends the run likewise.
+// Run sends the load and returns when the last operation has ended. Where ctx ends first, no more is sent, what is in
+// flight is waited for, and the result is marked as partial. An error is one of the schedule: it ends the run in the same way.
 func (r *Runner) Run(ctx context.Context) (*Result, error) {
 	schedule := r.Schedule
 	if schedule == nil {
@@ -85,16 +85,16 @@
 	if len(r.Targets) == 0 {
 		return nil, errors.New("load: no address to send to")
 	}
-	x := &run{Runner: r, s: r.Scenario, began: time.Now(), mix: newMix(r.Scenario), result: newResult(r.Scenario)}
-	if x.room.most = r.Connections; r.Connections <= 0 {
-		x.room.most = 1 << 30
+	x := &run{Runner: r, scenario: r.Scenario, began: time.Now(), requestMix: newRequestMix(r.Scenario), result: newResult(r.Scenario)}
+	if x.limit.max = r.Connections; r.Connections <= 0 {
+		x.limit.max = 1 << 30
 	}
 	for _, addr := range r.Targets {
-		x.clients = append(x.clients, &client{dial: r.Dial, addr: addr, room: &x.room, extra: x.extra})
+		x.clients = append(x.clients, &client{dial: r.Dial, addr: addr, limit: &x.limit, onExtraAnswer: x.recordExtraAnswer})
 	}
 	x.crowds(ctx)
 	err := x.arrivals(ctx, schedule)
-	x.out.Wait()
+	x.pending.Wait()
 	for _, c := range x.clients {
 		c.close()
 	}
@@ -102,10 +102,11 @@
 	if maxLag <= 0 {
 		maxLag = DefaultMaxLag
 	}
-	x.result.finish(time.Since(x.began), ctx.Err() != nil, &x.room, maxLag)
+	x.result.finish(time.Since(x.began), ctx.Err() != nil, &x.limit, maxLag)
 	return x.result, err
 }
 
+// arrivals starts an operation for each arrival, on schedule, and returns at the end of the schedule or of ctx.
 func (x *run) arrivals(ctx context.Context, schedule arrival.Schedule) error {
 	wait := x.Wait
 	if wait == nil {
@@ -123,16 +124,18 @@
 		if time.Until(until) > 0 {
 			wait(ctx, until)
 		}
-		if ctx.Err() != nil {
+		select {
+		case <-ctx.Done():
 			return nil
+		default:
 		}
-		o := x.mix.draw(n, a)
+		o := x.requestMix.draw(n, a)
 		if x.Trace != nil {
 			x.Trace.Write(o.Arrival)
 		}
-		x.out.Add(1)
+		x.pending.Add(1)
 		go func() {
-			defer x.out.Done()
+			defer x.pending.Done()
 			x.operate(o)
 		}()
 	}
@@ -147,25 +150,25 @@
 	}
 }
 
-func (x *run) extra(trace string) {
+func (x *run) recordExtraAnswer(trace string) {
 	x.result.addExtra()
 	if x.Calls != nil {
 		x.Calls.Extra(trace)
 	}
 }
 
-// operate is a client with one wish.
-func (x *run) operate(o drawn) {
-	class := &x.s.Classes[o.class]
+// operate carries out one operation: a request, and retries as long as the client may and has time.
+func (x *run) operate(o completeArrival) {
+	class := &x.scenario.Classes[o.class]
 	due := x.began.Add(o.Due)
 	x.result.addLag(time.Since(due))
 	first, over := time.Now(), due.Add(class.Deadline)
 	since := func() time.Duration { return time.Since(x.Zero) }
-	op := Operation{Class: o.class, Due: o.Due}
+	op := Operation{Class: o.class, ScheduledAt: o.Due}
 	for retry := 0; ; retry++ {
 		q := &request{
-			method: http.MethodPost, class: class.Name, tenant: o.Tenant, trace: o.id("trace", retry), about: o.About,
-			op: strconv.Itoa(o.n), retry: retry > 0 && x.s.Clients.Marks,
+			method: http.MethodPost, class: class.Name, tenant: o.Tenant, trace: o.id("trace", retry), subject: o.About,
+			operation: strconv.Itoa(o.number), retry: retry > 0 && x.scenario.Clients.Marks,
 		}
 		switch class.Effect {
 		case scenario.Safe:
@@ -174,22 +177,22 @@
 			q.key = o.id("key", 0)
 		}
 		call := audit.Call{
-			Trace: q.trace, Operation: q.op, Key: q.key, Class: class.Name, Sidecar: o.n % len(x.clients),
+			Trace: q.trace, Operation: q.operation, Key: q.key, Class: class.Name, Sidecar: o.number % len(x.clients),
 			ScheduledAt: due.Sub(x.Zero), Patience: min(o.patience(class, retry), time.Until(over)), Retry: retry > 0,
 		}
 		if retry > 0 {
 			call.ScheduledAt = since()
 		}
-		err := x.clients[call.Sidecar].do(&call, q, x.s.Rules.Slack, since)
+		err := x.clients[call.Sidecar].send(&call, q, x.scenario.Rules.Slack, since)
 		if x.Calls != nil {
 			x.Calls.Call(call)
 		}
-		op.Result, op.Tries = call.Result, retry+1
-		wait := x.s.Clients.Wait
+		op.Result, op.Requests = call.Result, retry+1
+		wait := x.scenario.Clients.Wait
 		if call.RetryAfter > 0 {
-			wait = min(call.RetryAfter, x.s.Clients.Obey)
+			wait = min(call.RetryAfter, x.scenario.Clients.Obey)
 		}
-		again := retry < x.s.Clients.Retries && !errors.Is(err, errNoRoom) && permits(class, &call, time.Since(first)+wait)
+		again := retry < x.scenario.Clients.Retries && !errors.Is(err, errNoDescriptor) && mayRetry(class, &call, time.Since(first)+wait)
 		if !again || time.Until(over) <= wait+time.Millisecond {
 			break
 		}
@@ -202,9 +205,9 @@
 	}
 }
 
-// permits says whether a client may try again, so long after its first try: after a refusal, which promises that it
-// does no harm; where nothing was taken; and after a failure where the class lets anyone repeat it.
-func permits(class *scenario.Class, call *audit.Call, after time.Duration) bool {
+// mayRetry says whether a client may retry, the given time after its first request: after a refusal, which promises that it
+// does no harm; where nothing was accepted; and after a failure where requests of the class may be repeated anywhere.
+func mayRetry(class *scenario.Class, call *audit.Call, after time.Duration) bool {
 	switch call.Result {
 	case audit.Refused, audit.Unreached:
 		return true
@@ -215,15 +218,15 @@
 	return false
 }
 
-// mix draws what arrivals leave open. It is used by one goroutine, in the order of the arrivals.
-type mix struct {
-	s      *scenario.Scenario
-	shares []float64 // of classes, summed up
-	zipf   *rand.Zipf
+// requestMix draws what arrivals do not specify. It is used by one goroutine, in the order of the arrivals.
+type requestMix struct {
+	scenario *scenario.Scenario
+	shares   []float64 // of classes, cumulative
+	zipf     *rand.Zipf
 }
 
-func newMix(s *scenario.Scenario) *mix {
-	m := &mix{s: s}
+func newRequestMix(s *scenario.Scenario) *requestMix {
+	m := &requestMix{scenario: s}
 	sum := 0.0
 	for _, c := range s.Classes {
 		sum += c.Share
@@ -235,67 +238,68 @@
 	return m
 }
 
-// drawn is an arrival with nothing left open.
-type drawn struct {
+// completeArrival is an arrival with everything specified.
+type completeArrival struct {
 	arrival.Arrival
-	s     *scenario.Scenario
-	n     int
-	class int
+	scenario *scenario.Scenario
+	number   int
+	class    int
 }
 
-func (m *mix) draw(n int, a arrival.Arrival) drawn {
-	o := drawn{Arrival: a, s: m.s, n: n}
-	if o.class = m.s.Class(a.Class); o.class < 0 {
-		u := o.u("class") * m.shares[len(m.shares)-1]
+func (m *requestMix) draw(n int, a arrival.Arrival) completeArrival {
+	o := completeArrival{Arrival: a, scenario: m.scenario, number: n}
+	if o.class = m.scenario.Class(a.Class); o.class < 0 {
+		u := o.draw("class") * m.shares[len(m.shares)-1]
 		for o.class = 0; m.shares[o.class] <= u; o.class++ {
 		}
-		o.Class = m.s.Classes[o.class].Name
+		o.Class = m.scenario.Classes[o.class].Name
 	}
-	if o.Tenant == "" && len(m.s.Tenants) > 0 {
-		o.Tenant = m.tenant(o.u("tenant"))
+	if o.Tenant == "" && len(m.scenario.Tenants) > 0 {
+		o.Tenant = m.tenant(o.draw("tenant"))
 	}
 	if o.About == "" {
-		about := uint64(o.u("about") * float64(m.s.Clients.Keys))
+		about := uint64(o.draw("about") * float64(m.scenario.Clients.Keys))
 		if m.zipf != nil {
 			about = m.zipf.Uint64()
 		}
 		o.About = strconv.FormatUint(about, 10)
 	}
 	if o.Wait == 0 {
-		o.Wait = o.patience(&m.s.Classes[o.class], 0)
+		o.Wait = o.patience(&m.scenario.Classes[o.class], 0)
 	}
 	return o
 }
 
-func (m *mix) tenant(u float64) string {
+func (m *requestMix) tenant(u float64) string {
 	sum := 0.0
-	for _, t := range m.s.Tenants {
+	for _, t := range m.scenario.Tenants {
 		sum += t.Share
 	}
 	u *= sum
-	for _, t := range m.s.Tenants {
+	for _, t := range m.scenario.Tenants {
 		if u -= t.Share; u < 0 {
 			return t.Name
 		}
 	}
-	return m.s.Tenants[len(m.s.Tenants)-1].Name
+	return m.scenario.Tenants[len(m.scenario.Tenants)-1].Name
 }
 
-func (o *drawn) u(what string, more ...string) float64 {
-	return scenario.Draw(o.s.Seed, append(more, what, strconv.Itoa(o.n))...)
+// draw returns a random number in [0, 1) that depends on the seed, the purpose and the arrival alone.
+func (o *completeArrival) draw(what string, more ...string) float64 {
+	return scenario.Draw(o.scenario.Seed, append(more, what, strconv.Itoa(o.number))...)
 }
 
-// patience is how long the client waits for a try.
-func (o *drawn) patience(class *scenario.Class, retry int) time.Duration {
+// patience is how long the client waits for one request.
+func (o *completeArrival) patience(class *scenario.Class, retry int) time.Duration {
 	if retry == 0 && o.Wait > 0 {
 		return o.Wait
 	}
-	p := o.s.Clients.Patience
-	u := o.u("patience", strconv.Itoa(retry))
+	p := o.scenario.Clients.Patience
+	u := o.draw("patience", strconv.Itoa(retry))
 	return time.Duration((p[0] + u*(p[1]-p[0])) * float64(class.Deadline))
 }
 
-// id is a name that no other try, or no other operation, of any run with another seed has.
-func (o *drawn) id(what string, retry int) string {
-	return fmt.Sprintf("%013x%08x%02x", uint64(o.u(what, strconv.Itoa(retry))*(1<<52)), o.n, retry)
+// id is a name that no other request or operation has, nor one of a run with another seed.
+func (o *completeArrival) id(what string, retry int) string {
+	return fmt.Sprintf("%013x%08x%02x", uint64(o.draw(what, strconv.Itoa(retry))*(1<<52)), o.number, retry)
 }
--- a/internal/rig/load/run_test.go
+++ b/internal/rig/load/run_test.go
@@ -103,7 +103,7 @@
 		}
 		defer fleet.Close()
 		go fleet.Run(t.Context())
-		c := &client{dial: n.Dial, addr: fleet.Addr(0), room: &room{most: 10}, extra: func(string) {}}
+		c := &client{dial: n.Dial, addr: fleet.Addr(0), limit: &connectionLimit{max: 10}, onExtraAnswer: func(string) {}}
 		defer c.close()
 		var took []time.Duration
 		for next := zero; next.Before(zero.Add(10 * time.Second)); next = next.Add(10 * time.Millisecond) {
@@ -113,7 +113,7 @@
 			}
 			began := time.Now()
 			call := audit.Call{Trace: next.String(), Class: "read", Patience: 5 * time.Second}
-			if err := c.do(&call, &request{method: "GET", class: "read", trace: next.String(), op: "1"}, 0, func() time.Duration { return time.Since(zero) }); err != nil {
+			if err := c.send(&call, &request{method: "GET", class: "read", trace: next.String(), operation: "1"}, 0, func() time.Duration { return time.Since(zero) }); err != nil {
 				t.Fatal(err)
 			}
 			took = append(took, time.Since(began))
@@ -148,12 +148,12 @@
 func TestStepWiderThanTheDescriptors(t *testing.T) {
 	text := strings.Replace(oneServer, "class read", "class read io=100ms", 1)
 	result, records := direct(t, text+"arrive step 100/s..1000/s at=5s", func(r *Runner, stop func()) { r.Connections = 20 })
-	if result.NoRoom == 0 || len(result.Invalid) != 1 || !strings.Contains(result.Invalid[0], "descriptor") {
-		t.Errorf("%d found no room, %v", result.NoRoom, result.Invalid)
+	if result.NoConnection == 0 || len(result.Invalid) != 1 || !strings.Contains(result.Invalid[0], "descriptor") {
+		t.Errorf("%d found no room, %v", result.NoConnection, result.Invalid)
 	}
 	counts := result.Classes[0].Counts
-	if counts.Unreached != result.NoRoom || counts.All() != 5500 || result.PeakOpen != 20 {
-		t.Errorf("%+v, %d found no room, %d open at most", counts, result.NoRoom, result.PeakOpen)
+	if counts.Unreached != result.NoConnection || counts.All() != 5500 || result.PeakOpen != 20 {
+		t.Errorf("%+v, %d found no room, %d open at most", counts, result.NoConnection, result.PeakOpen)
 	}
 	for _, c := range records.Calls {
 		if c.ScheduledAt < 5*time.Second && c.Result != audit.Served {
@@ -201,7 +201,7 @@
 		{cell, audit.Failed, 0, false}, {cell, audit.Refused, 0, true},
 		{once, audit.Failed, 0, false}, {once, audit.Lost, 0, false}, {once, audit.Refused, 0, true}, {once, audit.Unreached, 0, true},
 	} {
-		if got := permits(c.class, &audit.Call{Result: c.result}, c.after); got != c.want {
+		if got := mayRetry(c.class, &audit.Call{Result: c.result}, c.after); got != c.want {
 			t.Errorf("%s after %v: %v, want %v", c.class.Effect, c.result, got, c.want)
 		}
 	}
@@ -209,10 +209,10 @@
 
 // A run of any length is kept in so many slices.
 func TestCourseStaysBounded(t *testing.T) {
-	c := Course{Width: 250 * time.Millisecond}
+	c := Timeline{Width: 250 * time.Millisecond}
 	n := 0
 	for due := time.Duration(0); due < 100*time.Hour; due += 97 * time.Second {
-		c.at(due).Counts.Served++
+		c.slice(due).Counts.Served++
 		n++
 	}
 	sum := 0
@@ -247,7 +247,7 @@
 func TestKeysFollowZipf(t *testing.T) {
 	most := func(skew float64) (n int) {
 		s := &scenario.Scenario{Seed: 3, Classes: []scenario.Class{{Name: "read", Share: 1}}, Clients: scenario.Clients{Keys: 100, Skew: skew}}
-		m, seen := newMix(s), map[string]int{}
+		m, seen := newRequestMix(s), map[string]int{}
 		for i := range 10_000 {
 			seen[m.draw(i, arrival.Arrival{}).About]++
 		}
--- a/internal/rig/load/wait.go
+++ b/internal/rig/load/wait.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// preciseAhead is how long before a time the waiting goes over from a timer, which ends up to a millisecond late on an
-// idle machine, to the kernel's own.
+// preciseAhead is how long before a time the waiting changes from a timer, which fires up to a millisecond late on an
+// idle machine, to the kernel's nanosleep.
 const preciseAhead = 2 * time.Millisecond
 
 // WaitPrecisely waits until a time to some tens of microseconds. It is for real time only, and for a caller with a
--- a/internal/rig/rehearse/crowd_test.go
+++ b/internal/rig/rehearse/crowd_test.go
@@ -28,12 +28,12 @@
 				t.Error(b)
 			}
 			crowd := out.Load.Crowds[0]
-			if crowd.Opened < 40 || kind == scenario.Onces && crowd.Asked.Served < 40 || kind == scenario.Passers && crowd.Asked.Served < 400 {
+			if crowd.Opened < 40 || kind == scenario.Onces && crowd.Requests.Served < 40 || kind == scenario.Passers && crowd.Requests.Served < 400 {
 				t.Errorf("%+v", crowd)
 			}
 			all := out.Load.Classes[0]
-			if n := all.Counts.All(); n < 500 || n > 700 || float64(all.InAim) < 0.95*float64(n) {
-				t.Errorf("ordinary clients: %+v, %d within the aim", all.Counts, all.InAim)
+			if n := all.Counts.All(); n < 500 || n > 700 || float64(all.OnTime) < 0.95*float64(n) {
+				t.Errorf("ordinary clients: %+v, %d within the aim", all.Counts, all.OnTime)
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 // inAim is the part of the ordinary clients' operations that are served within the aim.
 func inAim(out *Outcome) float64 {
 	all := out.Load.Classes[0]
-	return float64(all.InAim) / float64(all.Counts.All())
+	return float64(all.OnTime) / float64(all.Counts.All())
 }
 
 // A crowd of four times the places that takes places but asks for little costs ordinary clients at most a twentieth of what
@@ -58,8 +58,8 @@
 			}
 			part, crowd := inAim(out)/alone, out.Load.Crowds[0]
 			t.Logf("%.3f of what they are served in time without a crowd; crowd: %+v", part, *crowd)
-			if kind == scenario.Onces && crowd.Asked.Served < 432 {
-				t.Errorf("of 432 that ask once %d are served", crowd.Asked.Served)
+			if kind == scenario.Onces && crowd.Requests.Served < 432 {
+				t.Errorf("of 432 that ask once %d are served", crowd.Requests.Served)
 			}
 			if part < 0.95 {
 				t.Errorf("ordinary clients keep %.3f: %+v", part, out.Load.Classes[0].Counts)
--- a/internal/rig/rehearse/report.go
+++ b/internal/rig/rehearse/report.go
@@ -35,7 +35,7 @@
 	Generator   Generator     `json:"generator"`
 	Sidecars    []Usage       `json:"sidecars,omitempty"`
 
-	course     load.Course
+	course     load.Timeline
 	overall    *hdrhistogram.Histogram
 	faultBands []band
 }
@@ -125,8 +125,8 @@
 func loadReport(o *Outcome, against string) *Report {
 	s, l := o.Scenario, o.Load
 	r := &Report{
-		Scenario: s.Name, About: s.About, Against: against, Seed: s.Seed, Seconds: l.Took.Seconds(),
-		Partial: l.Partial, Invalid: append([]string{}, l.Invalid...), course: l.Course, overall: l.Classes[0].Latency,
+		Scenario: s.Name, About: s.About, Against: against, Seed: s.Seed, Seconds: l.Duration.Seconds(),
+		Partial: l.Partial, Invalid: append([]string{}, l.Invalid...), course: l.Timeline, overall: l.Classes[0].Latency,
 		Generator: Generator{
 			LagP50: millis(load.Percentile(l.Lag, 50)), LagP99: millis(load.Percentile(l.Lag, 99)),
 			LagMax: millis(load.Percentile(l.Lag, 100)), PeakOpen: l.PeakOpen,
@@ -136,22 +136,22 @@
 		c := &l.Classes[i]
 		line := ClassReport{
 			Name: c.Name, Count: c.Counts.All(), Served: c.Counts.Served, Refused: c.Counts.Refused,
-			Failed: c.Counts.Failed, Lost: c.Counts.Lost, Unreached: c.Counts.Unreached, Tries: c.Tries, InAim: c.InAim,
+			Failed: c.Counts.Failed, Lost: c.Counts.Lost, Unreached: c.Counts.Unreached, Tries: c.Requests, InAim: c.OnTime,
 			P50: millis(c.Percentile(50)), P90: millis(c.Percentile(90)), P99: millis(c.Percentile(99)),
 			P999: millis(c.Percentile(99.9)), Max: millis(c.Percentile(100)),
 		}
-		if c.Worth > 0 {
-			line.Goodput = c.Earned / c.Worth
+		if c.ValueRequested > 0 {
+			line.Goodput = c.ValueEarned / c.ValueRequested
 		}
 		r.Classes = append(r.Classes, line)
 	}
 	for _, c := range l.Crowds {
 		r.Crowds = append(r.Crowds, CrowdReport{
-			Kind: string(c.Kind), Opened: c.Opened, Barred: c.Barred, Closed: c.Closed, Asked: c.Asked.All(),
-			Served: c.Asked.Served, Refused: c.Asked.Refused, Failed: c.Asked.Failed + c.Asked.Lost + c.Asked.Unreached,
+			Kind: string(c.Kind), Opened: c.Opened, Barred: c.ConnectFailed, Closed: c.Closed, Asked: c.Requests.All(),
+			Served: c.Requests.Served, Refused: c.Requests.Refused, Failed: c.Requests.Failed + c.Requests.Lost + c.Requests.Unreached,
 		})
 	}
-	r.WorstSecond = worstSecond(l.Course)
+	r.WorstSecond = worstSecond(l.Timeline)
 	for _, f := range s.Faults {
 		r.Faults = append(r.Faults, f.String())
 		r.faultBands = append(r.faultBands, band{f.At, f.End()})
@@ -161,7 +161,7 @@
 }
 
 // worstSecond looks at each second of the course, or at each slice where slices are wider.
-func worstSecond(c load.Course) *Second {
+func worstSecond(c load.Timeline) *Second {
 	wide := max(1, int(time.Second/c.Width))
 	var worst *Second
 	for i := 0; i+wide <= len(c.Slices); i++ {
--- a/internal/rig/scale/machines_test.go
+++ b/internal/rig/scale/machines_test.go
@@ -62,9 +62,9 @@
 	began := time.Now()
 	v := &serving{began: began}
 	for _, o := range []load.Operation{
-		{Due: 0, Latency: time.Second, Result: audit.Served}, {Due: time.Second, Latency: 3 * time.Second, Result: audit.Served},
-		{Due: 1500 * time.Millisecond, Latency: time.Second, Result: audit.Refused}, {Due: 1900 * time.Millisecond, Latency: 2 * time.Second, Result: audit.Served},
-		{Due: 2 * time.Second, Latency: time.Second, Result: audit.Served},
+		{ScheduledAt: 0, Latency: time.Second, Result: audit.Served}, {ScheduledAt: time.Second, Latency: 3 * time.Second, Result: audit.Served},
+		{ScheduledAt: 1500 * time.Millisecond, Latency: time.Second, Result: audit.Refused}, {ScheduledAt: 1900 * time.Millisecond, Latency: 2 * time.Second, Result: audit.Served},
+		{ScheduledAt: 2 * time.Second, Latency: time.Second, Result: audit.Served},
 	} {
 		v.done = append(v.done, o)
 	}
--- a/internal/rig/scale/serving.go
+++ b/internal/rig/scale/serving.go
@@ -112,7 +112,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, o := range v.done {
-		if at := v.began.Add(o.Due); at.Before(from) || !at.Before(to) {
+		if at := v.began.Add(o.ScheduledAt); at.Before(from) || !at.Before(to) {
 			continue
 		}
 		if o.Result != audit.Served {
