--- a/internal/rig/audit/audit_test.go
+++ b/internal/rig/audit/audit_test.go
@@ -179,7 +179,7 @@
 	r.Attempts[0].Status = 500
 }
 
-// A cold server bears 2 times a tenth of a core for a second, and a tenth more for chance: 220 ms of work.
+// A server in its slow start can do 2 times a tenth of a core for a second, and a tenth more for chance: 220 ms of work.
 func TestColdServers(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/rig/load/run_test.go
+++ b/internal/rig/load/run_test.go
@@ -149,11 +149,11 @@
 	text := strings.Replace(oneServer, "class read", "class read io=100ms", 1)
 	result, records := direct(t, text+"arrive step 100/s..1000/s at=5s", func(r *Runner, stop func()) { r.Connections = 20 })
 	if result.NoConnection == 0 || len(result.Invalid) != 1 || !strings.Contains(result.Invalid[0], "descriptor") {
-		t.Errorf("%d found no room, %v", result.NoConnection, result.Invalid)
+		t.Errorf("%d got no connection, %v", result.NoConnection, result.Invalid)
 	}
 	counts := result.Classes[0].Counts
 	if counts.Unreached != result.NoConnection || counts.All() != 5500 || result.PeakOpen != 20 {
-		t.Errorf("%+v, %d found no room, %d open at most", counts, result.NoConnection, result.PeakOpen)
+		t.Errorf("%+v, %d got no connection, %d open at most", counts, result.NoConnection, result.PeakOpen)
 	}
 	for _, c := range records.Calls {
 		if c.ScheduledAt < 5*time.Second && c.Result != audit.Served {
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -30,51 +30,51 @@
 	Instances  []member `json:"instances"`
 }
 
-// heartbeat is how often a watch on which nothing happens gets an empty line.
+// heartbeat is the interval of empty lines on a watch without changes.
 const heartbeat = 2 * time.Second
 
-// discovery serves the list, each sidecar at an address of its own, so that it is known who was told what.
+// discovery serves the list, each sidecar at an address of its own, so that what each sidecar was sent can be recorded.
 type discovery struct {
-	f     *Fleet
-	addrs []string
+	fleet     *Fleet
+	addresses []string
 
-	mu       sync.Mutex
-	members  []member // removed ones are not among them
-	history  []member // every change; generation n is the list after the first n-1 of them
-	changed  chan struct{}
-	mute     int
-	late     time.Duration
-	due      time.Time // of the last change that is on its way
-	pending  map[*time.Timer]struct{}
-	servers  map[int]*http.Server
-	told     map[toldKey]audit.State
-	finished bool
+	mu            sync.Mutex
+	members       []member // without those that are removed
+	history       []member // every change; generation n is the list after the first n-1 of them
+	changed       chan struct{}
+	silences      int
+	delay         time.Duration
+	lastPublishAt time.Time // when the last change that is delayed will be published
+	pending       map[*time.Timer]struct{}
+	servers       map[int]*http.Server
+	sent          map[sidecarServer]audit.State
+	finished      bool
 }
 
-type toldKey struct {
+type sidecarServer struct {
 	sidecar int
 	server  string
 }
 
 func newDiscovery(f *Fleet, first []member) *discovery {
 	return &discovery{
-		f: f, members: first, changed: make(chan struct{}), late: f.s.Discovery.Late,
-		pending: map[*time.Timer]struct{}{}, servers: map[int]*http.Server{}, told: map[toldKey]audit.State{},
+		fleet: f, members: first, changed: make(chan struct{}), delay: f.scenario.Discovery.Late,
+		pending: map[*time.Timer]struct{}{}, servers: map[int]*http.Server{}, sent: map[sidecarServer]audit.State{},
 	}
 }
 
 // listen serves a sidecar; its address stays the same when it listens again.
 func (d *discovery) listen(sidecar int) error {
 	addr := "127.0.0.1:0"
-	if sidecar < len(d.addrs) {
-		addr = d.addrs[sidecar]
+	if sidecar < len(d.addresses) {
+		addr = d.addresses[sidecar]
 	}
-	ln, err := d.f.net.Listen(addr)
+	ln, err := d.fleet.net.Listen(addr)
 	if err != nil {
 		return err
 	}
-	if sidecar == len(d.addrs) {
-		d.addrs = append(d.addrs, ln.Addr().String())
+	if sidecar == len(d.addresses) {
+		d.addresses = append(d.addresses, ln.Addr().String())
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) { d.serve(sidecar, w, r) })
@@ -82,16 +82,16 @@
 	d.mu.Lock()
 	d.servers[sidecar] = server
 	d.mu.Unlock()
-	d.f.spawn(func() { _ = server.Serve(ln) })
+	d.fleet.spawn(func() { _ = server.Serve(ln) })
 	return nil
 }
 
 func (d *discovery) serve(sidecar int, w http.ResponseWriter, r *http.Request) {
-	if !d.speak(r) {
+	if !d.waitWhileSilent(r) {
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		d.tell(sidecar, w, 0)
+		d.send(sidecar, w, 0)
 		return
 	}
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
@@ -102,7 +102,7 @@
 		changed, generation := d.changed, len(d.history)+1
 		d.mu.Unlock()
 		if first || generation > after {
-			after = d.tell(sidecar, w, after)
+			after = d.send(sidecar, w, after)
 		}
 		select {
 		case <-r.Context().Done():
@@ -112,19 +112,19 @@
 			w.Write([]byte("\n"))
 			_ = http.NewResponseController(w).Flush()
 		}
-		if !d.speak(r) {
+		if !d.waitWhileSilent(r) {
 			return
 		}
 	}
 }
 
-// speak waits while discovery is mute; false: the caller has gone.
-func (d *discovery) speak(r *http.Request) bool {
+// waitWhileSilent waits while a fault silences discovery; false: the caller has hung up.
+func (d *discovery) waitWhileSilent(r *http.Request) bool {
 	for {
 		d.mu.Lock()
-		mute, changed := d.mute > 0, d.changed
+		silent, changed := d.silences > 0, d.changed
 		d.mu.Unlock()
-		if !mute {
+		if !silent {
 			return r.Context().Err() == nil
 		}
 		select {
@@ -135,8 +135,8 @@
 	}
 }
 
-// tell writes what changed after a generation, or the whole list, and returns the generation that was told.
-func (d *discovery) tell(sidecar int, w http.ResponseWriter, after int) int {
+// send writes what changed after a generation, or the complete list, and returns the generation that was sent.
+func (d *discovery) send(sidecar int, w http.ResponseWriter, after int) int {
 	d.mu.Lock()
 	m := message{Generation: len(d.history) + 1, Reset: after < 1 || after > len(d.history)+1, Instances: []member{}}
 	if m.Reset {
@@ -153,44 +153,44 @@
 		err = http.NewResponseController(w).Flush()
 	}
 	if err == nil {
-		d.book(sidecar, m)
+		d.recordSent(sidecar, m)
 	}
 	return m.Generation
 }
 
-// book records what a sidecar was told: only now, since it may not have heard what could not be written.
-func (d *discovery) book(sidecar int, m message) {
-	now := d.f.now()
+// recordSent records what a sidecar was sent. It is called when that was written: what could not be written counts as unknown to it.
+func (d *discovery) recordSent(sidecar int, m message) {
+	now := d.fleet.now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	news := map[string]audit.State{}
+	states := map[string]audit.State{}
 	if m.Reset {
-		for k := range d.told {
+		for k := range d.sent {
 			if k.sidecar == sidecar {
-				news[k.server] = audit.Removed // unless the list names it
+				states[k.server] = audit.Removed // unless the list names it
 			}
 		}
 	}
 	order := []string{}
 	for _, in := range m.Instances {
-		news[in.ID] = in.Lifecycle
+		states[in.ID] = in.Lifecycle
 		order = append(order, in.ID)
 	}
-	for name := range news {
-		if !named(m.Instances, name) {
+	for name := range states {
+		if !containsID(m.Instances, name) {
 			order = append(order, name)
 		}
 	}
 	for _, name := range order {
-		k := toldKey{sidecar, name}
-		if d.told[k] != news[name] {
-			d.told[k] = news[name]
-			d.f.rec.StateUpdate(audit.StateUpdate{Sidecar: sidecar, Server: name, State: news[name], ReceivedAt: now})
+		k := sidecarServer{sidecar, name}
+		if d.sent[k] != states[name] {
+			d.sent[k] = states[name]
+			d.fleet.recorder.StateUpdate(audit.StateUpdate{Sidecar: sidecar, Server: name, State: states[name], ReceivedAt: now})
 		}
 	}
 }
 
-func named(list []member, id string) bool {
+func containsID(list []member, id string) bool {
 	for _, m := range list {
 		if m.ID == id {
 			return true
@@ -199,21 +199,21 @@
 	return false
 }
 
-// change takes in a server's new state, which is told once it is due.
+// change accepts a server's new state, which is published after the delay.
 func (d *discovery) change(m member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	due := time.Now().Add(d.late)
-	if due.Before(d.due) {
-		due = d.due // changes stay in order
+	publishAt := time.Now().Add(d.delay)
+	if publishAt.Before(d.lastPublishAt) {
+		publishAt = d.lastPublishAt // changes stay in order
 	}
-	d.due = due
-	if time.Until(due) <= 0 {
+	d.lastPublishAt = publishAt
+	if time.Until(publishAt) <= 0 {
 		d.publish(m)
 		return
 	}
 	var t *time.Timer
-	t = time.AfterFunc(time.Until(due), func() {
+	t = time.AfterFunc(time.Until(publishAt), func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if delete(d.pending, t); !d.finished {
@@ -225,31 +225,31 @@
 
 // publish puts a change on the list. The caller holds mu.
 func (d *discovery) publish(m member) {
-	kept := d.members[:0:0]
+	members := d.members[:0:0]
 	for _, old := range d.members {
 		if old.ID != m.ID {
-			kept = append(kept, old)
+			members = append(members, old)
 		}
 	}
 	if m.Lifecycle != audit.Removed {
-		kept = append(kept, m)
+		members = append(members, m)
 	}
-	d.members, d.history = kept, append(d.history, m)
-	d.stir()
+	d.members, d.history = members, append(d.history, m)
+	d.notifyWatchers()
 }
 
-// stir wakes whoever waits for a change. The caller holds mu.
-func (d *discovery) stir() {
+// notifyWatchers wakes the goroutines that wait for a change. The caller holds mu.
+func (d *discovery) notifyWatchers() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// known is the list as a sidecar may know it from before.
-func (d *discovery) known(sidecar int) []byte {
+// knownList is the list as a sidecar may know it from an earlier process.
+func (d *discovery) knownList(sidecar int) []byte {
 	d.mu.Lock()
 	m := message{Generation: len(d.history) + 1, Reset: true, Instances: append([]member{}, d.members...)}
 	d.mu.Unlock()
-	d.book(sidecar, m)
+	d.recordSent(sidecar, m)
 	text, err := json.Marshal(m)
 	if err != nil {
 		panic(err) // strings and finite numbers only
@@ -264,7 +264,7 @@
 	case scenario.DiscoveryDown:
 		begin = func() error { d.stop(); return nil }
 		end = func() error {
-			for i := range d.addrs {
+			for i := range d.addresses {
 				if err := d.listen(i); err != nil {
 					return err
 				}
@@ -272,29 +272,29 @@
 			return nil
 		}
 	case scenario.DiscoverySilent:
-		begin = func() error { d.muted(1); return nil }
-		end = func() error { d.muted(-1); return nil }
+		begin = func() error { d.addSilence(1); return nil }
+		end = func() error { d.addSilence(-1); return nil }
 	case scenario.DiscoveryLate:
-		begin = func() error { d.lateBy(fault.By); return nil }
-		end = func() error { d.lateBy(-fault.By); return nil }
+		begin = func() error { d.addDelay(fault.By); return nil }
+		end = func() error { d.addDelay(-fault.By); return nil }
 	}
 	return []event{{fault.At, begin}, {fault.At + fault.For, end}}
 }
 
-func (d *discovery) muted(n int) {
+func (d *discovery) addSilence(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.mute += n
-	d.stir()
+	d.silences += n
+	d.notifyWatchers()
 }
 
-func (d *discovery) lateBy(by time.Duration) {
+func (d *discovery) addDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.late += by
+	d.delay += by
 }
 
-// stop ends all calls and watches, and listens no more.
+// stop ends all calls and watches, and closes the listeners.
 func (d *discovery) stop() {
 	d.mu.Lock()
 	servers := d.servers
--- a/internal/rig/standin/exchange.go
+++ b/internal/rig/standin/exchange.go
@@ -15,36 +15,37 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// exchange serves one connection, one request after another.
+// exchange serves one connection, one request after another, in one goroutine.
 type exchange struct {
-	l  *life
-	c  net.Conn
-	in *bufio.Reader
+	process *process
+	conn    net.Conn
+	reader  *bufio.Reader
 
-	starved bool // the request that it serves is turned away for a greedy caller's
+	starved bool // the present request is rejected because of a greedy caller's
 }
 
-// next is the first byte of a connection's next request, or the connection's end.
-type next struct {
+// nextRequest is the first byte of a connection's next request, or the connection's end.
+type nextRequest struct {
 	at  time.Duration
 	err error
 }
 
-// await waits for it in a goroutine of its own: while a request is worked on, it tells that the sidecar has gone.
-func (x *exchange) await() <-chan next {
-	c := make(chan next, 1)
-	x.l.s.f.spawn(func() {
-		_, err := x.in.Peek(1)
-		c <- next{x.l.s.f.now(), err}
+// await waits for the next request in a goroutine of its own: while a request is worked on, it shows whether the sidecar has closed
+// the connection.
+func (x *exchange) await() <-chan nextRequest {
+	c := make(chan nextRequest, 1)
+	x.process.server.fleet.spawn(func() {
+		_, err := x.reader.Peek(1)
+		c <- nextRequest{x.process.server.fleet.now(), err}
 	})
 	return c
 }
 
 func (x *exchange) serve() {
-	x.in = bufio.NewReader(x.c)
+	x.reader = bufio.NewReader(x.conn)
 	coming := x.await()
 	for {
-		idle := time.NewTimer(x.l.s.f.s.Limits.Idle)
+		idle := time.NewTimer(x.process.server.fleet.scenario.Limits.Idle)
 		select {
 		case n := <-coming:
 			idle.Stop()
@@ -57,109 +58,126 @@
 	}
 }
 
-// request takes in one request and answers it, and says whether the connection can go on.
-func (x *exchange) request(first time.Duration, coming *<-chan next) bool {
-	s := x.l.s
-	req, err := http.ReadRequest(x.in)
+// request reads one request and answers it, and reports whether the connection can go on.
+func (x *exchange) request(first time.Duration, coming *<-chan nextRequest) bool {
+	s := x.process.server
+	req, err := http.ReadRequest(x.reader)
 	if err != nil {
 		return false
 	}
 	at := audit.Attempt{
 		Trace: req.Header.Get("X-Trace-Id"), Key: req.Header.Get("Idempotency-Key"), Class: req.Header.Get("X-Qos"),
-		Operation: req.URL.Query().Get("op"), Server: x.l.name, FirstInstance: s.def.Name, Zone: s.def.Zone, Cell: s.def.Cell,
+		Operation: req.URL.Query().Get("op"), Server: x.process.name, FirstInstance: s.def.Name, Zone: s.def.Zone, Cell: s.def.Cell,
 		FirstByte: first, LastByte: audit.Never, WorkStarted: audit.Never,
 	}
 	if req.URL.Path == "/ping" || req.URL.Path == "/_load" {
 		*coming = x.await()
-		return x.answer(&at, "200 OK", "", x.l.metrics(false)) == nil
+		return x.answer(&at, "200 OK", "", x.process.metrics(false)) == nil
 	}
-	if s.strikes(scenario.ResetIn, at.Trace) {
-		at.End = s.f.now()
-		s.f.rec.Attempt(at)
-		sock.Abort(x.c)
+	if s.faultHits(scenario.ResetIn, at.Trace) {
+		at.End = s.fleet.now()
+		s.fleet.recorder.Attempt(at)
+		sock.Abort(x.conn)
 		return false
 	}
 	if _, err := io.Copy(io.Discard, req.Body); err != nil {
-		at.End = s.f.now()
-		s.f.rec.Attempt(at)
+		at.End = s.fleet.now()
+		s.fleet.recorder.Attempt(at)
 		return false
 	}
-	at.LastByte = s.f.now()
+	at.LastByte = s.fleet.now()
 	greedy := req.Header.Get(GreedyHeader) != ""
 	if greedy {
-		s.greed.note(at.LastByte)
+		s.greed.record(at.LastByte)
 	}
-	x.starved = !greedy && s.greed.starves(at.LastByte, at.Trace)
+	x.starved = !greedy && s.greed.rejects(at.LastByte, at.Trace)
 	*coming = x.await()
 	keep := x.run(&at, req.Header.Get("X-Expires-In"), coming)
-	at.End = s.f.now()
-	s.f.rec.Attempt(at)
+	at.End = s.fleet.now()
+	s.fleet.recorder.Attempt(at)
 	return keep && !req.Close
 }
 
-// run does what a request asks for, and answers it.
-func (x *exchange) run(at *audit.Attempt, expires string, coming *<-chan next) (keep bool) {
-	l, s := x.l, x.l.s
-	i := s.f.s.Class(at.Class)
+// run does the work of a request and answers it. It reports whether the connection can go on.
+func (x *exchange) run(at *audit.Attempt, expires string, coming *<-chan nextRequest) (keep bool) {
+	p, s := x.process, x.process.server
+	i := s.fleet.scenario.Class(at.Class)
 	switch {
 	case at.Trace == "":
 		return x.answer(at, "404 Not Found", "", "") == nil
 	case i < 0:
 		return x.answer(at, "400 Bad Request", "", "") == nil
 	}
-	class := &s.f.s.Classes[i]
-	at.Work = class.Work.At(s.f.draw("work", at.Operation))
-	if l.pressure != nil && l.pressed(at.Work) {
+	class := &s.fleet.scenario.Classes[i]
+	at.Work = class.Work.At(s.fleet.draw("work", at.Operation))
+	if p.pressure != nil && p.addPressure(at.Work) {
 		return false
 	}
-	if x.starved || s.turnsAway() {
-		return x.turnAway(at, "503 Full")
+	if x.starved || s.full() {
+		return x.reject(at, "503 Full")
 	}
-	ready, ok := l.cores.enter()
+	ready, ok := p.cores.acquire()
 	if !ok {
-		return x.turnAway(at, "503 Full")
+		return x.reject(at, "503 Full")
 	}
-	over := time.NewTimer(wait(expires, class.Deadline))
-	defer over.Stop()
-	select {
-	case <-ready:
-	case n := <-*coming: // the sidecar has gone, or sends out of turn: it is not waited for
-		l.cores.leave(ready)
-		at.Unwanted = true
-		*coming = again(n)
-		return false
-	case <-over.C:
-		l.cores.leave(ready)
-		return x.turnAway(at, "504 Over")
-	case <-l.ctx.Done():
-		l.cores.leave(ready)
-		return false
+	if ok, keep := x.waitForCore(at, ready, clientTimeout(expires, class.Deadline), coming); !ok {
+		return keep
 	}
-	at.WorkStarted = s.f.now()
-	at.KeyKnown = class.Effect == scenario.Keyed && s.f.keys.seen(class, s.def, at.Key)
-	l.cores.work(l.ctx, at.Work)
-	l.cores.leave(ready)
-	l.cores.sleep(l.ctx, class.IO.At(s.f.draw("io", at.Operation)))
+	at.WorkStarted = s.fleet.now()
+	at.KeyKnown = class.Effect == scenario.Keyed && s.fleet.keys.seen(class, s.def, at.Key)
+	p.cores.work(p.ctx, at.Work)
+	p.cores.release(ready)
+	p.cores.sleep(p.ctx, class.IO.At(s.fleet.draw("io", at.Operation)))
 	select {
 	case n := <-*coming:
-		*coming = again(n)
+		*coming = unread(n)
 		at.Unwanted = n.err != nil
 	default:
 	}
-	if l.ctx.Err() != nil {
+	if p.ctx.Err() != nil {
 		return false
 	}
+	return x.answerOrFault(at)
+}
+
+// waitForCore waits for a core; ok is false where the request was given up, and keep says then whether the connection can go on.
+func (x *exchange) waitForCore(
+	at *audit.Attempt, ready chan struct{}, timeout time.Duration, coming *<-chan nextRequest,
+) (ok, keep bool) {
+	p := x.process
+	expired := time.NewTimer(timeout)
+	defer expired.Stop()
+	select {
+	case <-ready:
+		return true, true
+	case n := <-*coming: // the sidecar has closed the connection, or sends a request before it has the answer
+		p.cores.release(ready)
+		at.Unwanted = true
+		*coming = unread(n)
+		return false, false
+	case <-expired.C:
+		p.cores.release(ready)
+		return false, x.reject(at, "504 Over")
+	case <-p.ctx.Done():
+		p.cores.release(ready)
+		return false, false
+	}
+}
+
+// answerOrFault answers a request that ran, or does what a fault of the server says instead.
+func (x *exchange) answerOrFault(at *audit.Attempt) (keep bool) {
+	p, s := x.process, x.process.server
 	switch {
-	case s.strikes(scenario.ResetOut, at.Trace):
-		sock.Abort(x.c)
+	case s.faultHits(scenario.ResetOut, at.Trace):
+		sock.Abort(x.conn)
 		return false
-	case s.strikes(scenario.Garble, at.Trace):
-		io.WriteString(x.c, "\x16\x03\x01 no answer at all\r\n\r\n")
+	case s.faultHits(scenario.Garble, at.Trace):
+		_, _ = io.WriteString(x.conn, "\x16\x03\x01 no answer at all\r\n\r\n")
 		return false
-	case s.strikes(scenario.Fail, at.Trace):
-		return x.answer(at, "500 Error", "", l.metrics(true)) == nil
+	case s.faultHits(scenario.Fail, at.Trace):
+		return x.answer(at, "500 Error", "", p.metrics(true)) == nil
 	}
-	return x.answer(at, "200 OK", Body(at.Trace, l.name), l.metrics(true)) == nil
+	return x.answer(at, "200 OK", Body(at.Trace, p.name), p.metrics(true)) == nil
 }
 
 // Body is what a server answers to a request that it served: no two are alike.
@@ -167,26 +185,26 @@
 	return fmt.Sprintf("{\"trace\":%q,\"server\":%q}\n", trace, server)
 }
 
-// again makes what was taken out of a channel readable once more.
-func again(n next) <-chan next {
-	c := make(chan next, 1)
+// unread returns a channel with what was received from another, so that it can be received again.
+func unread(n nextRequest) <-chan nextRequest {
+	c := make(chan nextRequest, 1)
 	c <- n
 	return c
 }
 
-// pressed books work that arrives at a cold server and reports whether it has fallen over.
-func (l *life) pressed(work time.Duration) bool {
-	l.mu.Lock()
-	over := l.pressure.Add(l.s.f.now()-l.began, work) > 1
-	l.mu.Unlock()
+// addPressure counts work that arrives at a server in its slow start, and reports whether it has collapsed.
+func (p *process) addPressure(work time.Duration) bool {
+	p.mu.Lock()
+	over := p.pressure.Add(p.server.fleet.now()-p.began, work) > 1
+	p.mu.Unlock()
 	if over {
-		l.fall()
+		p.collapse()
 	}
 	return over
 }
 
-// wait is how long a sidecar says that it will wait.
-func wait(expires string, otherwise time.Duration) time.Duration {
+// clientTimeout is how long a sidecar will wait, by its header.
+func clientTimeout(expires string, byDefault time.Duration) time.Duration {
 	unit := time.Millisecond
 	digits, isMicros := strings.CutSuffix(expires, "u")
 	if isMicros {
@@ -196,21 +214,21 @@
 	}
 	n, err := strconv.ParseFloat(digits, 64)
 	if err != nil {
-		return otherwise
+		return byDefault
 	}
 	return time.Duration(n * float64(unit))
 }
 
-// turnAway answers that nothing ran.
-func (x *exchange) turnAway(at *audit.Attempt, status string) bool {
+// reject answers with the header that nothing ran.
+func (x *exchange) reject(at *audit.Attempt, status string) bool {
 	at.NeverRan = true
-	return x.answer(at, status, "", x.l.metrics(false), "X-Never-Ran: 1") == nil
+	return x.answer(at, status, "", x.process.metrics(false), "X-Never-Ran: 1") == nil
 }
 
 // answer writes an answer. The server's processes write nothing while it stalls.
 func (x *exchange) answer(at *audit.Attempt, status, body, metrics string, headers ...string) error {
-	x.l.cores.sleep(x.l.ctx, 0)
-	if err := x.l.ctx.Err(); err != nil {
+	x.process.cores.sleep(x.process.ctx, 0)
+	if err := x.process.ctx.Err(); err != nil {
 		return err
 	}
 	at.Status, _ = strconv.Atoi(status[:3])
@@ -224,17 +242,17 @@
 		b.WriteString(h + "\r\n")
 	}
 	b.WriteString("\r\n" + body)
-	_, err := io.WriteString(x.c, b.String())
+	_, err := io.WriteString(x.conn, b.String())
 	return err
 }
 
-// metrics is the load report of the moment, as an answer carries it.
-func (l *life) metrics(served bool) string {
-	if !l.s.f.s.Limits.Reports {
+// metrics is the present load report, as the header of an answer has it.
+func (p *process) metrics(served bool) string {
+	if !p.server.fleet.scenario.Limits.Reports {
 		return ""
 	}
 	var text []string
-	for i, v := range l.cores.report(served) {
+	for i, v := range p.cores.report(served) {
 		text = append(text, fmt.Sprintf("%s=%.3f", scenario.ReportFields[i], v))
 	}
 	return strings.Join(text, ", ")
--- a/internal/rig/standin/fleet.go
+++ b/internal/rig/standin/fleet.go
@@ -1,9 +1,9 @@
-// Package standin is a fleet of servers and a discovery that speak the platform's protocol, and go wrong as a scenario
-// says. It records what reached whom and when, what ran, and what each sidecar was told; package audit judges that.
+// Package standin is a fleet of servers and a discovery service that speak the platform's protocol, with the faults of a
+// scenario. It records what reached whom and when, what ran, and what discovery sent to each sidecar; package audit judges that.
 //
-// It runs on whatever Network it is given: sockets on loopback, or a network in memory inside a testing/synctest
-// bubble. It reads the time through package time only, sleeps only on timers and channels, and draws nothing but what
-// follows from the scenario's seed and a request's own id.
+// It runs on the Network it is given: sockets on loopback, or a network in memory inside a testing/synctest
+// bubble. It reads the time through package time only, sleeps only on timers and channels, and its random numbers depend only
+// on the scenario's seed and a request's own id. A Fleet's methods may be called from any goroutine; Close waits for all of its own.
 package standin
 
 import (
@@ -21,17 +21,17 @@
 // Network is what a fleet listens on.
 type Network interface {
 	Listen(addr string) (net.Listener, error)
-	// Silence cuts off the machine that listens at an address, and Restore brings it back.
+	// Silence partitions the machine that listens at an address from the network; Restore ends that.
 	Silence(addr string)
 	Restore(addr string)
 }
 
 // Fleet is the servers of a scenario and their discovery.
 type Fleet struct {
-	s    *scenario.Scenario
-	net  Network
-	rec  *audit.Recorder
-	zero time.Time // of the records' times
+	scenario *scenario.Scenario
+	net      Network
+	recorder *audit.Recorder
+	zero     time.Time // of the records' times
 
 	servers   []*server
 	discovery *discovery
@@ -42,7 +42,7 @@
 
 // Start starts the servers and discovery. Times in rec count from zero; the faults begin with Run.
 func Start(s *scenario.Scenario, n Network, rec *audit.Recorder, zero time.Time) (*Fleet, error) {
-	f := &Fleet{s: s, net: n, rec: rec, zero: zero, keys: keyStore{known: map[keyPlace]time.Time{}}}
+	f := &Fleet{scenario: s, net: n, recorder: rec, zero: zero, keys: keyStore{known: map[groupKey]time.Time{}}}
 	for _, def := range s.Servers {
 		srv := newServer(f, def)
 		f.servers = append(f.servers, srv)
@@ -65,32 +65,32 @@
 	return f, nil
 }
 
-// Discovery is where the sidecar of a number finds discovery.
-func (f *Fleet) Discovery(sidecar int) string { return f.discovery.addrs[sidecar] }
+// Discovery is the address of discovery for a sidecar.
+func (f *Fleet) Discovery(sidecar int) string { return f.discovery.addresses[sidecar] }
 
-// Known is the list of servers now, in discovery's form, for a sidecar that starts with it. It counts as told.
-func (f *Fleet) Known(sidecar int) []byte { return f.discovery.known(sidecar) }
+// Known is the list of servers now, in discovery's form, for a sidecar that starts with it. It counts as sent to it.
+func (f *Fleet) Known(sidecar int) []byte { return f.discovery.knownList(sidecar) }
 
-// Addr is where a server listens.
+// Addr is the address of a server.
 func (f *Fleet) Addr(server int) string { return f.servers[server].addr }
 
 func (f *Fleet) now() time.Duration { return time.Since(f.zero) }
 
-// event is the begin or the end of a fault.
+// event is the beginning or the end of a fault.
 type event struct {
-	at time.Duration
-	do func() error
+	at    time.Duration
+	apply func() error
 }
 
-// Run plays the faults, at their times from now on, and returns when the last is over or ctx ends.
+// Run causes the faults, at their times from now on, and returns when the last is over or ctx ends.
 func (f *Fleet) Run(ctx context.Context) error {
 	var events []event
-	for _, fault := range f.s.Faults {
+	for _, fault := range f.scenario.Faults {
 		if fault.Target == scenario.DiscoveryTarget {
 			events = append(events, f.discovery.events(fault)...)
 			continue
 		}
-		i := slices.IndexFunc(f.s.Servers, func(s scenario.Server) bool { return s.Name == fault.Target })
+		i := slices.IndexFunc(f.scenario.Servers, func(s scenario.Server) bool { return s.Name == fault.Target })
 		events = append(events, f.servers[i].events(fault)...)
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
@@ -103,14 +103,14 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		if err := e.do(); err != nil {
+		if err := e.apply(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Close ends all servers and discovery, and returns when nothing of them runs any more. It books the servers' lives.
+// Close ends all servers and discovery, and returns when none of their goroutines runs. It records the servers' incarnations.
 func (f *Fleet) Close() {
 	if f.discovery != nil {
 		f.discovery.close()
@@ -121,7 +121,7 @@
 	f.goroutines.Wait()
 }
 
-// go runs a goroutine that Close waits for.
+// spawn runs a goroutine that Close waits for.
 func (f *Fleet) spawn(run func()) {
 	f.goroutines.Add(1)
 	go func() {
@@ -133,32 +133,32 @@
 // keyStore is what the groups of servers remember of keyed requests that ran.
 type keyStore struct {
 	mu    sync.Mutex
-	known map[keyPlace]time.Time // when it first ran
+	known map[groupKey]time.Time // when it first ran
 }
 
-// keyPlace is a key in the memory of a group: of a cell, a zone, or of all.
-type keyPlace struct {
+// groupKey is a key that a group remembers: a cell, a zone, or all servers.
+type groupKey struct {
 	class, key, group string
 }
 
 // seen reports whether a group still remembers a key, and remembers it from now on.
 func (k *keyStore) seen(c *scenario.Class, s scenario.Server, key string) bool {
-	place := keyPlace{class: c.Name, key: key}
+	remembered := groupKey{class: c.Name, key: key}
 	switch c.Group {
 	case scenario.GroupCell:
-		place.group = fmt.Sprint(s.Cell)
+		remembered.group = fmt.Sprint(s.Cell)
 	case scenario.GroupZone:
-		place.group = s.Zone
+		remembered.group = s.Zone
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if at, ok := k.known[place]; ok && now.Sub(at) < c.Window {
+	if at, ok := k.known[remembered]; ok && now.Sub(at) < c.Window {
 		return true
 	}
-	k.known[place] = now
+	k.known[remembered] = now
 	return false
 }
 
-// draw is a number in [0, 1) that follows from the seed and the words alone.
-func (f *Fleet) draw(words ...string) float64 { return scenario.Draw(f.s.Seed, words...) }
+// draw is a random number in [0, 1) that depends on the seed and the words alone.
+func (f *Fleet) draw(words ...string) float64 { return scenario.Draw(f.scenario.Seed, words...) }
--- a/internal/rig/standin/greed.go
+++ b/internal/rig/standin/greed.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// GreedyHeader marks a request of a caller that takes from others what a server can do: for some time after one, the server
-// turns most requests of all other callers away, however busy the machine is on which the servers are played.
+// GreedyHeader marks a request of a caller that takes a server's capacity from others: for some time after one, the server
+// rejects most requests of all other callers, however busy the machine is on which the stand-ins run.
 const GreedyHeader = "X-Rig-Greedy"
 
 const (
-	greedLasts   = 2 * time.Second // after the last greedy request
-	starvedOf    = 5               // in so many requests of others
-	starvedShare = 4               // so many are turned away
+	greedDuration = 2 * time.Second // after the last greedy request
+	rejectedOf    = 5               // in so many requests of others
+	rejectedCount = 4               // so many are rejected
 )
 
 // greed is when a server last had a request of a greedy caller.
@@ -22,14 +22,14 @@
 	until time.Duration
 }
 
-func (g *greed) note(now time.Duration) {
+func (g *greed) record(now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.until = now + greedLasts
+	g.until = now + greedDuration
 }
 
-// starves reports whether a request of another caller is turned away at a time.
-func (g *greed) starves(now time.Duration, trace string) bool {
+// rejects reports whether a request of another caller is rejected at a time.
+func (g *greed) rejects(now time.Duration, trace string) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if now >= g.until {
@@ -37,5 +37,5 @@
 	}
 	hash := fnv.New32a()
 	hash.Write([]byte(trace))
-	return hash.Sum32()%starvedOf < starvedShare
+	return hash.Sum32()%rejectedOf < rejectedCount
 }
--- a/internal/rig/standin/server.go
+++ b/internal/rig/standin/server.go
@@ -12,157 +12,157 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// server is one place of the fleet: an address at which one process after another runs.
+// server is one address of the fleet, at which one process after another runs.
 type server struct {
-	f    *Fleet
-	def  scenario.Server
-	addr string // fixed once it has listened
+	fleet *Fleet
+	def   scenario.Server
+	addr  string // fixed once it has listened
 
-	mu   sync.Mutex
-	life *life // nil: no process runs
-	full int   // faults of that kind that are on
-	part map[scenario.Kind]float64
-	slow float64
-	n    int // of instances that had this place
+	mu             sync.Mutex
+	process        *process // nil: no process runs
+	fullFaults     int      // active faults by which the server rejects all
+	faultFractions map[scenario.Kind]float64
+	slowdown       float64
+	instances      int // that ran at this address so far
 
 	greed greed
 }
 
-// life is one process.
-type life struct {
-	s        *server
-	name     string
-	cores    *cores
-	pressure *scenario.Pressure
-	began    time.Duration
-	cold     scenario.Cold
-	fell     time.Duration
-	started  int64 // Unix milliseconds; 0: long ago
-	ln       net.Listener
-	ctx      context.Context
-	kill     context.CancelFunc
+// process is one incarnation of a server.
+type process struct {
+	server      *server
+	name        string
+	cores       *cores
+	pressure    *scenario.Pressure
+	began       time.Duration
+	slowStart   scenario.Cold
+	collapsedAt time.Duration
+	started     int64 // Unix milliseconds; 0: long ago
+	listener    net.Listener
+	ctx         context.Context
+	kill        context.CancelFunc
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{} // nil: it has ended
 }
 
 func newServer(f *Fleet, def scenario.Server) *server {
-	return &server{f: f, def: def, addr: "127.0.0.1:0", part: map[scenario.Kind]float64{}, slow: 1}
+	return &server{fleet: f, def: def, addr: "127.0.0.1:0", faultFractions: map[scenario.Kind]float64{}, slowdown: 1}
 }
 
-// begin starts a process by a name.
+// begin starts a process with a name.
 func (s *server) begin(name string, cold scenario.Cold) error {
-	ln, err := s.f.net.Listen(s.addr)
+	ln, err := s.fleet.net.Listen(s.addr)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := &life{
-		s: s, name: name, cold: cold, cores: newCores(s.def, cold), ln: ln, began: s.f.now(), fell: audit.Never,
+	p := &process{
+		server: s, name: name, slowStart: cold, cores: newCores(s.def, cold), listener: ln, began: s.fleet.now(), collapsedAt: audit.Never,
 		conns: map[net.Conn]struct{}{},
 	}
-	if s.n++; s.n > 1 { // not from the run's start on
-		l.pressure = scenario.NewPressure(s.f.s.Rules, s.def, cold)
-		l.started = time.Now().UnixMilli()
+	if s.instances++; s.instances > 1 { // it starts during the run
+		p.pressure = scenario.NewPressure(s.fleet.scenario.Rules, s.def, cold)
+		p.started = time.Now().UnixMilli()
 	} else {
-		l.began = audit.Never
+		p.began = audit.Never
 	}
-	l.ctx, l.kill = context.WithCancel(context.Background())
-	l.cores.setSlow(s.slow)
-	if s.life = l; s.n == 1 { // the address is fixed from now on, and read without a lock
+	p.ctx, p.kill = context.WithCancel(context.Background())
+	p.cores.setSlowdown(s.slowdown)
+	if s.process = p; s.instances == 1 { // the address is fixed from now on, and read without a lock
 		s.addr = ln.Addr().String()
 	}
-	s.f.spawn(l.accept)
+	s.fleet.spawn(p.accept)
 	return nil
 }
 
-// end ends the process that runs, if one does: its connections are reset, what it had is gone.
+// end ends the process that runs, if there is one: its connections are reset, and its requests are lost.
 func (s *server) end() {
 	s.mu.Lock()
-	l := s.life
-	s.life = nil
+	p := s.process
+	s.process = nil
 	s.mu.Unlock()
-	if l == nil {
+	if p == nil {
 		return
 	}
-	l.stop()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s.f.rec.Incarnation(audit.Incarnation{Server: l.name, FirstInstance: s.def.Name, Start: l.began, End: s.f.now(), SlowStart: l.cold, CollapsedAt: l.fell})
+	p.stop()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s.fleet.recorder.Incarnation(audit.Incarnation{Server: p.name, FirstInstance: s.def.Name, Start: p.began, End: s.fleet.now(), SlowStart: p.slowStart, CollapsedAt: p.collapsedAt})
 }
 
-// stop closes all that a life has open.
-func (l *life) stop() {
-	l.ln.Close()
-	l.kill()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for c := range l.conns {
+// stop closes the listener and all connections of a process.
+func (p *process) stop() {
+	p.listener.Close()
+	p.kill()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
 		sock.Abort(c)
 	}
-	l.conns = nil
+	p.conns = nil
 }
 
-// fall: it was pushed over, and stays down.
-func (l *life) fall() {
-	l.mu.Lock()
-	again := l.fell != audit.Never
+// collapse ends a process that was overloaded in its slow start. It is not started again.
+func (p *process) collapse() {
+	p.mu.Lock()
+	again := p.collapsedAt != audit.Never
 	if !again {
-		l.fell = l.s.f.now()
+		p.collapsedAt = p.server.fleet.now()
 	}
-	l.mu.Unlock()
+	p.mu.Unlock()
 	if !again {
-		l.s.publish(audit.Removed)
-		l.stop()
+		p.server.publish(audit.Removed)
+		p.stop()
 	}
 }
 
-func (l *life) accept() {
+func (p *process) accept() {
 	for {
-		c, err := l.ln.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		l.mu.Lock()
-		if l.conns == nil {
-			l.mu.Unlock()
+		p.mu.Lock()
+		if p.conns == nil {
+			p.mu.Unlock()
 			sock.Abort(c)
 			return
 		}
-		l.conns[c] = struct{}{}
-		l.mu.Unlock()
-		l.s.f.spawn(func() {
-			(&exchange{l: l, c: c}).serve()
-			l.mu.Lock()
-			delete(l.conns, c)
-			l.mu.Unlock()
+		p.conns[c] = struct{}{}
+		p.mu.Unlock()
+		p.server.fleet.spawn(func() {
+			(&exchange{process: p, conn: c}).serve()
+			p.mu.Lock()
+			delete(p.conns, c)
+			p.mu.Unlock()
 			c.Close()
 		})
 	}
 }
 
-// strikes reports whether a fault that befalls a part of the requests befalls this one.
-func (s *server) strikes(kind scenario.Kind, trace string) bool {
+// faultHits reports whether a fault that affects a fraction of the requests affects this one.
+func (s *server) faultHits(kind scenario.Kind, trace string) bool {
 	s.mu.Lock()
-	part := s.part[kind]
+	part := s.faultFractions[kind]
 	s.mu.Unlock()
-	return part > 0 && s.f.draw(string(kind), s.def.Name, trace) < part
+	return part > 0 && s.fleet.draw(string(kind), s.def.Name, trace) < part
 }
 
-func (s *server) turnsAway() bool {
+func (s *server) full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.full > 0
+	return s.fullFaults > 0
 }
 
-// member is what discovery says of the place's present instance.
+// member is the entry of discovery's list for the present instance.
 func (s *server) member(state audit.State, started int64) member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := s.def.Name
-	if s.life != nil {
-		name = s.life.name
+	if s.process != nil {
+		name = s.process.name
 	}
 	return member{
 		ID: name, HostPort: s.addr, Zone: s.def.Zone, Kind: s.def.Kind, Cell: s.def.Cell,
@@ -178,24 +178,24 @@
 	}
 	switch fault.Kind {
 	case scenario.Slow:
-		return lasting(func() { s.setSlow(fault.Factor) }, func() { s.setSlow(1) })
+		return lasting(func() { s.setSlowdown(fault.Factor) }, func() { s.setSlowdown(1) })
 	case scenario.Stall:
-		var at *life
-		return lasting(func() { at = s.present(); at.stall(true) }, func() { at.stall(false) })
+		var at *process
+		return lasting(func() { at = s.current(); at.stall(true) }, func() { at.stall(false) })
 	case scenario.Full:
-		return lasting(func() { s.addFull(1) }, func() { s.addFull(-1) })
+		return lasting(func() { s.addFullFault(1) }, func() { s.addFullFault(-1) })
 	case scenario.Silent:
-		return lasting(func() { s.f.net.Silence(s.addr) }, func() { s.f.net.Restore(s.addr) })
+		return lasting(func() { s.fleet.net.Silence(s.addr) }, func() { s.fleet.net.Restore(s.addr) })
 	case scenario.Drain:
 		return []event{{fault.At, func() error { s.publish(audit.Draining); return nil }}}
 	case scenario.Gone, scenario.Replace, scenario.Restart:
-		return s.ending(fault)
+		return s.endEvents(fault)
 	}
-	return lasting(func() { s.setPart(fault.Kind, fault.Part) }, func() { s.setPart(fault.Kind, 0) })
+	return lasting(func() { s.setFaultFraction(fault.Kind, fault.Part) }, func() { s.setFaultFraction(fault.Kind, 0) })
 }
 
-// ending is the end of a process, and of the one that comes after it, if one does.
-func (s *server) ending(fault scenario.Fault) (all []event) {
+// endEvents are the end of a process, and the start of the next one, if there is one.
+func (s *server) endEvents(fault scenario.Fault) (all []event) {
 	if fault.Kind != scenario.Restart {
 		all = append(all, event{fault.At, func() error { s.publish(audit.Draining); return nil }})
 	}
@@ -211,7 +211,7 @@
 		name := s.def.Name
 		if fault.Kind == scenario.Replace {
 			s.mu.Lock()
-			name = fmt.Sprintf("%s.%d", s.def.Name, s.n+1)
+			name = fmt.Sprintf("%s.%d", s.def.Name, s.instances+1)
 			s.mu.Unlock()
 		}
 		if err := s.begin(name, fault.Cold); err != nil {
@@ -222,48 +222,48 @@
 	}})
 }
 
-// publish has discovery know of the present instance's state.
+// publish gives discovery the state of the present instance.
 func (s *server) publish(state audit.State) {
-	l := s.present()
-	if l == nil {
+	p := s.current()
+	if p == nil {
 		return // it had ended before
 	}
-	s.f.discovery.change(s.member(state, l.started))
+	s.fleet.discovery.change(s.member(state, p.started))
 }
 
-func (s *server) present() *life {
+func (s *server) current() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life
+	return s.process
 }
 
-// stall stops or resumes a life; what has ended has nothing to stop.
-func (l *life) stall(on bool) {
+// stall stops or resumes a process; p is nil where none ran.
+func (p *process) stall(on bool) {
 	switch {
-	case l == nil:
+	case p == nil:
 	case on:
-		l.cores.stall()
+		p.cores.stall()
 	default:
-		l.cores.resume()
+		p.cores.resume()
 	}
 }
 
-func (s *server) setSlow(factor float64) {
+func (s *server) setSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.slow = factor; s.life != nil {
-		s.life.cores.setSlow(factor)
+	if s.slowdown = factor; s.process != nil {
+		s.process.cores.setSlowdown(factor)
 	}
 }
 
-func (s *server) setPart(kind scenario.Kind, part float64) {
+func (s *server) setFaultFraction(kind scenario.Kind, part float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.part[kind] = part
+	s.faultFractions[kind] = part
 }
 
-func (s *server) addFull(n int) {
+func (s *server) addFullFault(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.full += n
+	s.fullFaults += n
 }
--- a/internal/rig/standin/standin_test.go
+++ b/internal/rig/standin/standin_test.go
@@ -122,7 +122,7 @@
 	const service = 15 * time.Millisecond // work and IO
 	for fault, check := range map[string]func(r *rig, a answer){
 		"": func(r *rig, a answer) {
-			if a.status != 200 || !near(a.took, service) || !strings.Contains(a.body, r.f.s.Servers[0].Name) {
+			if a.status != 200 || !near(a.took, service) || !strings.Contains(a.body, r.f.scenario.Servers[0].Name) {
 				r.t.Errorf("%+v", a)
 			}
 		},
@@ -196,7 +196,7 @@
 	}
 }
 
-// Two cores and a queue of one: the third request waits, the fourth is turned away; what waits until its time is up is
+// Two cores and a queue of one: the third request waits, the fourth is rejected; what waits until its time is up is
 // answered with the mark that it never ran.
 func TestQueue(t *testing.T) {
 	bubble(t, "", func(r *rig) {
@@ -265,7 +265,7 @@
 			r.t.Errorf("ran: %+v", ran)
 		}
 		if turned.WorkStarted != audit.Never || !turned.NeverRan || turned.MayHaveRun() || turned.Status != 503 {
-			r.t.Errorf("turned away: %+v", turned)
+			r.t.Errorf("rejected: %+v", turned)
 		}
 		if !near(late.LastByte-late.FirstByte, 50*time.Millisecond) || late.WorkStarted == audit.Never || !late.Unwanted {
 			r.t.Errorf("late: %+v", late)
@@ -273,7 +273,7 @@
 	})
 }
 
-// A cold server that is sent more than it bears falls over, stays down, and discovery says that it is gone. With two
+// A server that is sent more in its slow start than it can do collapses, stays down, and discovery says that it is gone. With two
 // cores and a tenth of its capacity it bears 2 x 0.1 x 2 s of work within a second, and a tenth more for chance: 44
 // requests, those that it turns away included.
 func TestOverdrivenColdServerFalls(t *testing.T) {
@@ -373,14 +373,14 @@
 					}
 				}
 				synctest.Wait()
-				var told []audit.StateUpdate
+				var updates []audit.StateUpdate
 				for _, n := range r.rec.Records().StateUpdates {
 					if n.Server == "s2" {
-						told = append(told, n)
+						updates = append(updates, n)
 					}
 				}
-				if len(told) != 2 || told[0].State != audit.Draining || told[0].Sidecar != 1 || told[0].ReceivedAt > c.draining+time.Millisecond {
-					r.t.Errorf("told: %+v", told)
+				if len(updates) != 2 || updates[0].State != audit.Draining || updates[0].Sidecar != 1 || updates[0].ReceivedAt > c.draining+time.Millisecond {
+					r.t.Errorf("updates: %+v", updates)
 				}
 			})
 		})
--- a/internal/rig/standin/work.go
+++ b/internal/rig/standin/work.go
@@ -8,24 +8,24 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// cores are those of one life of a server. Requests beyond them wait in the order in which they came.
+// cores are the CPU cores of one process. Requests beyond them wait in the order in which they came.
 type cores struct {
-	def   scenario.Server
-	cold  scenario.Cold
-	start time.Time
+	def       scenario.Server
+	slowStart scenario.Cold
+	start     time.Time
 
-	mu       sync.Mutex
-	busy     int
-	waiting  []chan struct{}
-	slow     float64
-	stalls   int           // how many stalls are on
-	stalled  time.Duration // all stalls that are over
-	since    time.Time     // when the present stall began
-	resumed  chan struct{} // closed when no stall is on any more
-	used     time.Duration // core time since the last report
-	served   int
-	from     time.Time // of the present report period
-	reported [2]float64
+	mu          sync.Mutex
+	busy        int
+	waiting     []chan struct{}
+	slowdown    float64
+	stalls      int           // active stalls
+	stalled     time.Duration // all stalls that are over
+	stalledAt   time.Time     // when the present stall began
+	resumed     chan struct{} // closed when no stall is active any more
+	used        time.Duration // core time since the last report
+	served      int
+	periodStart time.Time // of the present report period
+	reported    [2]float64
 }
 
 // reportEvery is the period of load reports.
@@ -33,11 +33,11 @@
 
 func newCores(def scenario.Server, cold scenario.Cold) *cores {
 	now := time.Now()
-	return &cores{def: def, cold: cold, start: now, slow: 1, from: now, resumed: make(chan struct{})}
+	return &cores{def: def, slowStart: cold, start: now, slowdown: 1, periodStart: now, resumed: make(chan struct{})}
 }
 
-// enter takes a core, or a place in the queue until one is free. It reports false where the queue is full.
-func (c *cores) enter() (ready chan struct{}, ok bool) {
+// acquire reserves a core, or a position in the queue for one; ready is closed when it has the core. ok is false where the queue is full.
+func (c *cores) acquire() (ready chan struct{}, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ready = make(chan struct{})
@@ -53,8 +53,8 @@
 	return ready, true
 }
 
-// leave gives a core, or a place in the queue, back.
-func (c *cores) leave(ready chan struct{}) {
+// release frees a core, or a position in the queue.
+func (c *cores) release(ready chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, w := range c.waiting {
@@ -74,7 +74,7 @@
 // work uses a core for work at speed 1. It ends early with ctx.
 func (c *cores) work(ctx context.Context, work time.Duration) {
 	c.mu.Lock()
-	took := time.Duration(float64(work) * c.slow / (c.def.Speed * c.cold.Capacity(time.Since(c.start))))
+	took := time.Duration(float64(work) * c.slowdown / (c.def.Speed * c.slowStart.Capacity(time.Since(c.start))))
 	c.mu.Unlock()
 	c.sleep(ctx, took)
 	c.mu.Lock()
@@ -82,7 +82,7 @@
 	c.used += took
 }
 
-// sleep passes time as the server's processes see it: it stands still while the server stalls.
+// sleep waits in the time of the process, which does not go on while the server stalls.
 func (c *cores) sleep(ctx context.Context, d time.Duration) {
 	began := c.processTime()
 	for ctx.Err() == nil {
@@ -115,7 +115,7 @@
 	defer c.mu.Unlock()
 	ran := time.Since(c.start) - c.stalled
 	if c.stalls > 0 {
-		ran -= time.Since(c.since)
+		ran -= time.Since(c.stalledAt)
 	}
 	return ran
 }
@@ -124,7 +124,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stalls++; c.stalls == 1 {
-		c.since = time.Now()
+		c.stalledAt = time.Now()
 	}
 }
 
@@ -132,29 +132,29 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stalls--; c.stalls == 0 {
-		c.stalled += time.Since(c.since)
+		c.stalled += time.Since(c.stalledAt)
 		close(c.resumed)
 		c.resumed = make(chan struct{})
 	}
 }
 
-func (c *cores) setSlow(factor float64) {
+func (c *cores) setSlowdown(factor float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.slow = factor
+	c.slowdown = factor
 }
 
-// report is the last load report: the busy part of the cores, and answers a second.
+// report is the last load report: the busy fraction of the cores, and answers a second.
 func (c *cores) report(served bool) [2]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if served {
 		c.served++
 	}
-	if period := time.Since(c.from); period >= reportEvery {
+	if period := time.Since(c.periodStart); period >= reportEvery {
 		all := period.Seconds() * float64(c.def.Cores)
 		c.reported = [2]float64{min(1, c.used.Seconds()/all), float64(c.served) / period.Seconds()}
-		c.used, c.served, c.from = 0, 0, time.Now()
+		c.used, c.served, c.periodStart = 0, 0, time.Now()
 	}
 	return c.reported
 }
