--- a/balance/conversation_test.go
+++ b/balance/conversation_test.go
@@ -125,26 +125,7 @@
 	case "begin":
 		c.begin(d, &out)
 	case "list":
-		kind := ListFull
-		if len(d.CmdArgs) > 0 {
-			kind = map[string]ListKind{"full": ListFull, "cached": ListCached, "changes": ListDelta, "failed": ListFailed}[arg(0)]
-		}
-		ev := ServerList{Kind: kind}
-		for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-			plain, set := splitWords(line)
-			if len(plain) == 0 {
-				continue
-			}
-			s := Server{ID: c.id(plain[0]), Capacity: setNumber(set, "size", 1), Cell: int(setNumber(set, "cell", 0))}
-			if len(plain) > 1 {
-				s.State = statesByName[plain[1]]
-			}
-			if age, ok := set["age"]; ok {
-				s.StartedAt = c.now - value(d, age)
-			}
-			ev.Servers = append(ev.Servers, s)
-		}
-		c.handle(ev, &out)
+		c.list(d, &out)
 	case "ask":
 		class := c.class(arg(1))
 		ev := Request{ID: RequestID(value(d, arg(0))), Class: class, Tenant: -1, Remaining: number(d, "left", c.b.cfg.Classes[class].Deadline)}
@@ -180,6 +161,29 @@
 	return out.String()
 }
 
+func (c *conversation) list(d *datadriven.TestData, out *strings.Builder) {
+	kind := ListFull
+	if len(d.CmdArgs) > 0 {
+		kind = map[string]ListKind{"full": ListFull, "cached": ListCached, "changes": ListDelta, "failed": ListFailed}[d.CmdArgs[0].Key]
+	}
+	ev := ServerList{Kind: kind}
+	for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
+		plain, set := splitWords(line)
+		if len(plain) == 0 {
+			continue
+		}
+		s := Server{ID: c.id(plain[0]), Capacity: setNumber(set, "size", 1), Cell: int(setNumber(set, "cell", 0))}
+		if len(plain) > 1 {
+			s.State = statesByName[plain[1]]
+		}
+		if age, ok := set["age"]; ok {
+			s.StartedAt = c.now - value(d, age)
+		}
+		ev.Servers = append(ev.Servers, s)
+	}
+	c.handle(ev, out)
+}
+
 func (c *conversation) begin(d *datadriven.TestData, out *strings.Builder) {
 	cfg := Config{Seed: 1, SidecarCount: int(number(d, "peers", 1)), MaxAttempts: int(number(d, "attempts", 4)), Cancel: true, DrainGrace: 250, Subscribe: true}
 	for _, a := range d.CmdArgs {
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -111,12 +111,11 @@
 // eligible: the rules allow to send this request to this server now.
 func (b *Balancer) eligible(r *request, s *server) bool {
 	return s.State == Ready && !slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		if a.server == s || a.neverRan || r.class.Effect != Keyed {
-			return a.server == s
-		}
 		// A keyed request that may have run stays where the key is known, while it is known.
-		return b.now >= a.sentAt+r.class.Window || r.class.Group == GroupCell && a.server.Cell != s.Cell ||
+		keyUnknown := b.now >= a.sentAt+r.class.Window ||
+			r.class.Group == GroupCell && a.server.Cell != s.Cell ||
 			r.class.Group == GroupZone && a.server.Zone != s.Zone
+		return a.server == s || !a.neverRan && r.class.Effect == Keyed && keyUnknown
 	})
 }
 
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -57,126 +57,169 @@
 	return last
 }
 
-// play plays a ramp and returns the largest use of what may be sent to a server that warms up, N + 2 x root of N + 2 in any window, and what
-// such servers were sent over their slow start, as a fraction of what they could do.
-func (c ramp) play(seed uint64) (most, used float64) {
-	const warm, end = 10_000.0, 10_000.0 + rampTime // the restart is at warm
-	rng := rand.New(rand.NewPCG(seed, 7))
-	cfg := baseConfig()
+const (
+	rampRestartAt = 10_000.0 // when the servers restart
+	rampEnd       = rampRestartAt + rampTime
+)
+
+// rampRun is one run of a ramp.
+type rampRun struct {
+	ramp
+	rng          *rand.Rand
+	cfg          Config
+	before       []Server  // the list before the restart
+	after        []Server  // ... and after it
+	weights      []float64 // of the sidecars' traffic
+	weightSum    float64
+	serverRate   float64 // requests a millisecond that a warm server can do
+	totalRate    float64 // requests a millisecond of all sidecars
+	balancers    []*Balancer
+	incarnations []int
+	queue        rampQueue
+	sends        [][]float64 // times of the sends to each server that warms up
+}
+
+func newRampRun(c ramp, seed uint64) *rampRun {
+	run := &rampRun{ramp: c, rng: rand.New(rand.NewPCG(seed, 7)), cfg: baseConfig(), before: fleet(c.servers)}
+	cfg := &run.cfg
 	cfg.OverloadMultiple, cfg.OverloadTime, cfg.SlowStartFraction, cfg.SlowStartTime = c.multiple, c.overloadTime, rampStartFraction, rampTime
 	cfg.SidecarCount, cfg.MaxAttempts = c.sidecars, 4
-	servers := fleet(c.servers)
-	weights, sum := make([]float64, c.sidecars), 0.0
-	for i := range weights {
-		if weights[i] = 1; c.uneven {
-			weights[i] = math.Exp(rng.NormFloat64())
+	run.weights = make([]float64, c.sidecars)
+	for i := range run.weights {
+		if run.weights[i] = 1; c.uneven {
+			run.weights[i] = math.Exp(run.rng.NormFloat64())
 		}
-		sum += weights[i]
+		run.weightSum += run.weights[i]
 	}
-	per := rampServerRate / 1000 // requests a ms
-	if c.slow {
-		per /= 10
+	if run.serverRate = rampServerRate / 1000; c.slow {
+		run.serverRate /= 10
 	}
-	total := rampLoad * per * float64(c.servers)
-	all := make([]*Balancer, c.sidecars)
-	incarnations := make([]int, c.sidecars)
-	var q rampQueue
-	push := func(e rampEvent) { e.incarnation = incarnations[e.sidecar]; heap.Push(&q, e) }
-	sends := make([][]float64, c.warming)
-	var carry func(n int, now float64, acts []Action)
-	begin := func(n int, now float64, list []Server) {
-		own := cfg
-		own.Seed, own.SidecarNumber = rng.Uint64(), n
-		if c.unknown {
-			own.SidecarCount, own.SidecarNumber = 1, 0
-		}
-		all[n] = New(own)
-		all[n].Start(now)
-		carry(n, now, nil)
-		acts, _ := all[n].Handle(now, ServerList{Kind: ListCached, Servers: list})
-		carry(n, now, acts)
+	run.totalRate = rampLoad * run.serverRate * float64(c.servers)
+	run.balancers, run.incarnations = make([]*Balancer, c.sidecars), make([]int, c.sidecars)
+	run.sends = make([][]float64, c.warming)
+	run.after = append([]Server(nil), run.before...)
+	for i := range c.warming {
+		run.after[i].StartedAt = rampRestartAt
+	}
+	return run
+}
+
+func (run *rampRun) push(e rampEvent) {
+	e.incarnation = run.incarnations[e.sidecar]
+	heap.Push(&run.queue, e)
+}
+
+// begin starts a sidecar with a list.
+func (run *rampRun) begin(sidecar int, now float64, list []Server) {
+	own := run.cfg
+	own.Seed, own.SidecarNumber = run.rng.Uint64(), sidecar
+	if run.unknown {
+		own.SidecarCount, own.SidecarNumber = 1, 0
 	}
-	carry = func(n int, now float64, acts []Action) {
-		for _, a := range append([]Action(nil), acts...) {
-			switch a.Kind {
-			case Send:
-				at := now
-				took, res := rampWork*(0.5+rng.Float64()), OK
-				if s := int(a.Server) - 1; s < c.warming && at >= warm {
-					sends[s] = append(sends[s], at)
-				} else if c.failing > 0 && rng.Float64() < c.failing {
-					took, res = 1, Failed
-				}
-				r := all[n].requests.byID[a.Request]
-				push(rampEvent{at: now + took, sidecar: n, kind: rampHandle, event: Outcome{
-					Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Result: res, Latency: took, Finished: res == OK}})
-			case SetTimer:
-				if a.Token != listTimer {
-					push(rampEvent{at: now + a.After, sidecar: n, kind: rampHandle, event: Timer{a.Token}})
-				}
+	run.balancers[sidecar] = New(own)
+	run.balancers[sidecar].Start(now)
+	actions, _ := run.balancers[sidecar].Handle(now, ServerList{Kind: ListCached, Servers: list})
+	run.carryOut(sidecar, now, actions)
+}
+
+func (run *rampRun) carryOut(sidecar int, now float64, actions []Action) {
+	for _, a := range append([]Action(nil), actions...) {
+		switch a.Kind {
+		case Send:
+			took, result := rampWork*(0.5+run.rng.Float64()), OK
+			if s := int(a.Server) - 1; s < run.warming && now >= rampRestartAt {
+				run.sends[s] = append(run.sends[s], now)
+			} else if run.failing > 0 && run.rng.Float64() < run.failing {
+				took, result = 1, Failed
+			}
+			r := run.balancers[sidecar].requests.byID[a.Request]
+			run.push(rampEvent{at: now + took, sidecar: sidecar, kind: rampHandle, event: Outcome{
+				Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Result: result, Latency: took, Finished: result == OK,
+			}})
+		case SetTimer:
+			if a.Token != listTimer {
+				run.push(rampEvent{at: now + a.After, sidecar: sidecar, kind: rampHandle, event: Timer{a.Token}})
 			}
 		}
 	}
-	for n := range all {
-		begin(n, 0, servers)
-		push(rampEvent{at: rng.ExpFloat64() * sum / weights[n] / total, sidecar: n, kind: rampArrival})
-		restarted := append([]Server(nil), servers[:c.warming]...)
-		for i := range restarted {
-			restarted[i].StartedAt = warm
-		}
-		push(rampEvent{at: warm + c.maxDelay*rng.Float64(), sidecar: n, kind: rampHandle, event: ServerList{Kind: ListDelta, Servers: restarted}})
-		if c.restarts && n%2 == 0 {
-			push(rampEvent{at: warm + rampTime*rng.Float64()/2, sidecar: n, kind: rampRestart})
+}
+
+func (run *rampRun) nextArrival(sidecar int) float64 {
+	return run.rng.ExpFloat64() * run.weightSum / run.weights[sidecar] / run.totalRate
+}
+
+// start starts all sidecars and schedules what happens to them.
+func (run *rampRun) start() {
+	for n := range run.balancers {
+		run.begin(n, 0, run.before)
+		run.push(rampEvent{at: run.nextArrival(n), sidecar: n, kind: rampArrival})
+		update := ServerList{Kind: ListDelta, Servers: run.after[:run.warming]}
+		run.push(rampEvent{at: rampRestartAt + run.maxDelay*run.rng.Float64(), sidecar: n, kind: rampHandle, event: update})
+		if run.restarts && n%2 == 0 {
+			run.push(rampEvent{at: rampRestartAt + rampTime*run.rng.Float64()/2, sidecar: n, kind: rampRestart})
 		}
 	}
-	started := append([]Server(nil), servers...)
-	for i := range c.warming {
-		started[i].StartedAt = warm
+}
+
+// handle carries out one event; next is the ID of a new request.
+func (run *rampRun) handle(e rampEvent, next RequestID) {
+	n := e.sidecar
+	switch e.kind {
+	case rampArrival:
+		actions, _ := run.balancers[n].Handle(e.at, Request{ID: next, Class: safeClass, Remaining: 1500})
+		run.carryOut(n, e.at, actions)
+		run.push(rampEvent{at: e.at + run.nextArrival(n), sidecar: n, kind: rampArrival})
+	case rampHandle:
+		if actions, err := run.balancers[n].Handle(e.at, e.event); err == nil {
+			run.carryOut(n, e.at, actions)
+		}
+	case rampRestart:
+		run.incarnations[n]++
+		if !run.oldLists {
+			run.begin(n, e.at, run.after)
+			return
+		}
+		run.begin(n, e.at, run.before)
+		run.push(rampEvent{at: e.at + 500, sidecar: n, kind: rampHandle, event: ServerList{Kind: ListFull, Servers: run.after}})
 	}
+}
+
+// play plays a ramp and returns the largest use of what may be sent to a server that warms up, N + 2 x root of N + 2 in any
+// window, and what such servers were sent over their slow start, as a fraction of what they could do.
+func (c ramp) play(seed uint64) (most, used float64) {
+	run := newRampRun(c, seed)
+	run.start()
 	next := RequestID(1)
-	for len(q) > 0 {
-		e := heap.Pop(&q).(rampEvent)
-		if e.at >= end {
+	for len(run.queue) > 0 {
+		e := heap.Pop(&run.queue).(rampEvent)
+		if e.at >= rampEnd {
 			break
 		}
-		n := e.sidecar
-		if e.kind != rampArrival && e.incarnation != incarnations[n] {
-			continue
-		}
-		switch e.kind {
-		case rampArrival:
+		if e.kind == rampArrival {
 			next++
-			acts, _ := all[n].Handle(e.at, Request{ID: next, Class: safeClass, Remaining: 1500})
-			carry(n, e.at, acts)
-			push(rampEvent{at: e.at + rng.ExpFloat64()*sum/weights[n]/total, sidecar: n, kind: rampArrival})
-		case rampHandle:
-			acts, err := all[n].Handle(e.at, e.event)
-			if err == nil {
-				carry(n, e.at, acts)
-			}
-		case rampRestart:
-			incarnations[n]++
-			if !c.oldLists {
-				begin(n, e.at, started)
-				continue
-			}
-			begin(n, e.at, servers)
-			push(rampEvent{at: e.at + 500, sidecar: n, kind: rampHandle, event: ServerList{Kind: ListFull, Servers: started}})
+		} else if e.incarnation != run.incarnations[e.sidecar] {
+			continue
 		}
+		run.handle(e, next)
 	}
+	return run.use()
+}
+
+// use returns the results of play.
+func (run *rampRun) use() (most, used float64) {
 	could, sent := 0.0, 0
-	for _, times := range sends {
+	for _, times := range run.sends {
 		sort.Float64s(times)
 		sent += len(times)
 		for i, from := 0, 0; i < len(times); i++ {
-			for times[from] <= times[i]-c.overloadTime {
+			for times[from] <= times[i]-run.overloadTime {
 				from++
 			}
-			age := math.Max(0, times[i]-warm-c.overloadTime) // at the beginning of the window, where it can do least
-			n := c.multiple * per * c.overloadTime * (rampStartFraction + (1-rampStartFraction)*age/rampTime)
+			age := math.Max(0, times[i]-rampRestartAt-run.overloadTime) // at the beginning of the window, where it can do least
+			n := run.multiple * run.serverRate * run.overloadTime * (rampStartFraction + (1-rampStartFraction)*age/rampTime)
 			most = math.Max(most, float64(i-from+1)/(n+2*math.Sqrt(n)+2))
 		}
-		could += per * rampTime * (1 + rampStartFraction) / 2
+		could += run.serverRate * rampTime * (1 + rampStartFraction) / 2
 	}
 	return most, float64(sent) / could
 }
