--- a/cmd/petrelhookctl/options.go
+++ b/cmd/petrelhookctl/options.go
@@ -57,7 +57,7 @@
 	if strings.ContainsAny(name, "/.") {
 		s, err = scenario.Read(name)
 	} else {
-		s, err = scenario.Named(name)
+		s, err = scenario.FromLibrary(name)
 	}
 	if err != nil {
 		return nil, runError{err}
--- a/internal/rig/arrival/schedule.go
+++ b/internal/rig/arrival/schedule.go
@@ -1,5 +1,5 @@
-// Package arrival says what is due when: the shapes of a scenario's load, merged, and traces that are played or recorded.
-// It sends nothing and waits for nothing; a schedule of any length is drawn as it is read.
+// Package arrival schedules the requests of a load: the streams of a scenario, merged, and traces that are replayed or recorded. It
+// sends nothing and has no clock; a schedule of any length is generated as it is read. A schedule is used by one goroutine at a time.
 package arrival
 
 import (
@@ -12,24 +12,24 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// Arrival is one request that is due. Where the schedule leaves something open, the mix draws it.
+// Arrival is one scheduled request. What the schedule leaves empty is drawn from the scenario's mix.
 type Arrival struct {
-	Due    time.Duration // from the start of the load
-	Class  string        // "": drawn
-	Tenant string        // "": drawn
-	About  string        // what the request is about; "": drawn
-	Wait   time.Duration // how long the client waits; 0: drawn
+	ScheduledAt time.Duration // from the start of the load
+	Class       string        // "": drawn
+	Tenant      string        // "": drawn
+	Object      string        // that the request is about; "": drawn
+	Patience    time.Duration // how long the client waits; 0: drawn
 }
 
-// Schedule gives arrivals in order of their due times; io.EOF ends it.
+// Schedule returns arrivals in order of time; io.EOF ends it.
 type Schedule interface {
 	Next() (Arrival, error)
 }
 
-// NewSchedule is the arrivals of a scenario: all its streams together, for as long as it goes on. Traces that it opens
-// are closed when they end, or by Close where the schedule has one.
+// NewSchedule merges all streams of a scenario, for the scenario's length. Traces that it opens are closed when they end, or by Close
+// if the schedule has one.
 func NewSchedule(s *scenario.Scenario) (Schedule, error) {
-	m := &merged{length: s.Length}
+	m := &mergedStreams{length: s.Length}
 	for i, a := range s.Arrivals {
 		var one Schedule
 		if a.Shape == scenario.Trace {
@@ -38,14 +38,14 @@
 				_ = m.Close()
 				return nil, err
 			}
-			t.check = s
+			t.scenario = s
 			one = t
 		} else {
-			one = &shaped{shape: NewShape(a), size: max(a.Size, 1), gaps: gaps(a, s.Seed, i)}
+			one = &shapedStream{shape: NewShape(a), groupSize: max(a.Size, 1), gaps: gapSource(a, s.Seed, i)}
 		}
 		m.streams = append(m.streams, one)
 	}
-	m.heads = make([]Arrival, len(m.streams))
+	m.next = make([]Arrival, len(m.streams))
 	m.ended = make([]bool, len(m.streams))
 	for i := range m.streams {
 		if err := m.advance(i); err != nil {
@@ -56,8 +56,8 @@
 	return m, nil
 }
 
-// gaps draws the distances of arrivals, in arrivals: 1 where they are even.
-func gaps(a scenario.Arrival, seed uint64, stream int) func() float64 {
+// gapSource returns the source of intervals between arrivals, in units of the mean interval: 1 if they are equal.
+func gapSource(a scenario.Arrival, seed uint64, stream int) func() float64 {
 	if !a.Poisson {
 		return func() float64 { return 1 }
 	}
@@ -65,17 +65,18 @@
 	return rng.ExpFloat64
 }
 
-// merged is several streams in the order of their due times.
-type merged struct {
+// mergedStreams merges several streams in order of time.
+type mergedStreams struct {
 	length  time.Duration
 	streams []Schedule
-	heads   []Arrival
+	next    []Arrival
 	ended   []bool
 }
 
-func (m *merged) advance(i int) (err error) {
-	m.heads[i], err = m.streams[i].Next()
-	if err == nil && m.heads[i].Due >= m.length {
+// advance reads the next arrival of stream i.
+func (m *mergedStreams) advance(i int) (err error) {
+	m.next[i], err = m.streams[i].Next()
+	if err == nil && m.next[i].ScheduledAt >= m.length {
 		err = io.EOF
 	}
 	if errors.Is(err, io.EOF) {
@@ -85,23 +86,23 @@
 	return err
 }
 
-// Next gives the earliest of the streams' arrivals; equal ones come in the order of the streams.
-func (m *merged) Next() (Arrival, error) {
+// Next returns the earliest of the streams' arrivals; those at the same time are in the order of the streams.
+func (m *mergedStreams) Next() (Arrival, error) {
 	first := -1
 	for i := range m.streams {
-		if !m.ended[i] && (first < 0 || m.heads[i].Due < m.heads[first].Due) {
+		if !m.ended[i] && (first < 0 || m.next[i].ScheduledAt < m.next[first].ScheduledAt) {
 			first = i
 		}
 	}
 	if first < 0 {
 		return Arrival{}, io.EOF
 	}
-	a := m.heads[first]
+	a := m.next[first]
 	return a, m.advance(first)
 }
 
 // Close closes the traces that are open.
-func (m *merged) Close() error {
+func (m *mergedStreams) Close() error {
 	var all []error
 	for _, s := range m.streams {
 		if c, ok := s.(io.Closer); ok {
@@ -111,86 +112,90 @@
 	return errors.Join(all...)
 }
 
-// shaped is arrivals as a shape has them.
-type shaped struct {
-	shape Shape
-	gaps  func() float64
-	size  int // at once
-	sum   float64
-	sent  int // of the present ones
+// shapedStream is a stream of arrivals by a shape, in groups that arrive at once.
+type shapedStream struct {
+	shape       Shape
+	gaps        func() float64
+	groupSize   int // at once
+	count       float64
+	sentOfGroup int // arrivals of the present group that were returned
 }
 
-func (s *shaped) Next() (Arrival, error) {
-	if s.sent == s.size {
-		s.sent = 0
-		s.sum += s.gaps()
+func (s *shapedStream) Next() (Arrival, error) {
+	if s.sentOfGroup == s.groupSize {
+		s.sentOfGroup = 0
+		s.count += s.gaps()
 	}
-	s.sent++
-	at := s.shape.At(s.sum)
+	s.sentOfGroup++
+	at := s.shape.TimeOf(s.count)
 	if math.IsInf(at, 1) || at > math.MaxInt64/1e10 {
 		return Arrival{}, io.EOF
 	}
-	return Arrival{Due: time.Duration(math.Round(at * float64(time.Second)))}, nil
+	return Arrival{ScheduledAt: time.Duration(math.Round(at * float64(time.Second)))}, nil
 }
 
-// Shape is a rate that changes with time, as its inverse sum: At gives the seconds after which a number of arrivals
-// has come, +Inf where it never comes to so many. It is exact, so that no error adds up over a long run.
+// Shape is a rate that changes with time, as the inverse of its integral: TimeOf returns the seconds after which a number of arrivals
+// has come, +Inf if there are never so many. It is exact, so that no error accumulates over a long run.
 type Shape interface {
-	At(count float64) float64
+	TimeOf(count float64) float64
 }
 
-// NewShape is the shape of a scenario's arrivals, other than those of a trace.
+// NewShape is the shape of a scenario's stream; a must not be a trace.
 func NewShape(a scenario.Arrival) Shape {
 	switch a.Shape {
 	case scenario.Ramp:
-		return ramp{a.From, a.To, a.Over.Seconds()}
+		return ramp{a.FromRate, a.ToRate, a.Over.Seconds()}
 	case scenario.Step:
-		return step{a.From, a.To, a.At.Seconds()}
+		return step{a.FromRate, a.ToRate, a.At.Seconds()}
 	case scenario.Wave:
-		return wave{a.From, a.To, a.Every.Seconds()}
+		return wave{a.FromRate, a.ToRate, a.Every.Seconds()}
 	case scenario.Bursts:
 		return constant(1 / a.Every.Seconds())
 	default:
-		return constant(a.From)
+		return constant(a.FromRate)
 	}
 }
 
+// constant is one rate.
 type constant float64
 
-func (c constant) At(count float64) float64 {
+func (c constant) TimeOf(count float64) float64 {
 	if count == 0 {
 		return 0
 	}
 	return count / float64(c)
 }
 
-type ramp struct{ from, to, over float64 }
+// ramp is linear from one rate to another, then constant.
+type ramp struct{ from, to, duration float64 }
 
-// At solves from·t + (to-from)·t²/(2·over) = count within the ramp, in the form that is exact for a small slope.
-func (r ramp) At(count float64) float64 {
-	if all := (r.from + r.to) / 2 * r.over; count > all {
-		return r.over + constant(r.to).At(count-all)
+// TimeOf solves from·t + (to-from)·t²/(2·over) = count within the ramp, in the form that is exact for a small slope.
+func (r ramp) TimeOf(count float64) float64 {
+	if all := (r.from + r.to) / 2 * r.duration; count > all {
+		return r.duration + constant(r.to).TimeOf(count-all)
 	}
 	if count == 0 {
 		return 0
 	}
-	slope := (r.to - r.from) / r.over
+	slope := (r.to - r.from) / r.duration
 	return 2 * count / (r.from + math.Sqrt(math.Max(r.from*r.from+2*slope*count, 0)))
 }
 
-type step struct{ from, to, at float64 }
+// step is one rate, and another from a time on.
+type step struct{ from, to, stepTime float64 }
 
-func (s step) At(count float64) float64 {
-	if before := s.from * s.at; count > before || before == 0 {
-		return s.at + constant(s.to).At(count-before)
+func (s step) TimeOf(count float64) float64 {
+	if before := s.from * s.stepTime; count > before || before == 0 {
+		return s.stepTime + constant(s.to).TimeOf(count-before)
 	}
-	return constant(s.from).At(count)
+	return constant(s.from).TimeOf(count)
 }
 
-type wave struct{ from, to, every float64 }
+// wave is a sine between two rates.
+type wave struct{ from, to, period float64 }
 
-// At inverts mean·t - swing·sin(2πt/every)·every/2π, which begins at the lower rate, by bisection: it never falls.
-func (w wave) At(count float64) float64 {
+// TimeOf inverts mean·t - swing·sin(2πt/every)·every/2π, which begins at the lower rate, by bisection: the integral never decreases.
+func (w wave) TimeOf(count float64) float64 {
 	mean, swing := (w.from+w.to)/2, (w.to-w.from)/2
 	if count == 0 {
 		return 0
@@ -198,8 +203,8 @@
 	if mean == 0 {
 		return math.Inf(1)
 	}
-	sum := func(t float64) float64 { return mean*t - swing*w.every/(2*math.Pi)*math.Sin(2*math.Pi*t/w.every) }
-	low, high := math.Max(0, count/mean-w.every), count/mean+w.every
+	sum := func(t float64) float64 { return mean*t - swing*w.period/(2*math.Pi)*math.Sin(2*math.Pi*t/w.period) }
+	low, high := math.Max(0, count/mean-w.period), count/mean+w.period
 	for range 64 {
 		if mid := (low + high) / 2; sum(mid) < count {
 			low = mid
--- a/internal/rig/arrival/schedule_test.go
+++ b/internal/rig/arrival/schedule_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		due = append(due, a.Due)
+		due = append(due, a.ScheduledAt)
 	}
 }
 
@@ -57,16 +57,16 @@
 		from, to time.Duration
 		want     int
 	}{
-		{"constant", scenario.Arrival{Shape: scenario.Constant, From: 100}, 10 * second, 3 * second, 4 * second, 100},
-		{"constant, an hour on", scenario.Arrival{Shape: scenario.Constant, From: 30}, time.Hour, 3598 * second, 3599 * second, 30},
-		{"ramp", scenario.Arrival{Shape: scenario.Ramp, From: 0, To: 100, Over: 10 * second}, 20 * second, 0, 10 * second, 500},
-		{"behind a ramp", scenario.Arrival{Shape: scenario.Ramp, From: 0, To: 100, Over: 10 * second}, 20 * second, 12 * second, 13 * second, 100},
-		{"ramp down", scenario.Arrival{Shape: scenario.Ramp, From: 100, To: 0, Over: 10 * second}, 10 * second, 0, 5 * second, 375},
-		{"step", scenario.Arrival{Shape: scenario.Step, From: 10, To: 1000, At: 2 * second}, 4 * second, 2 * second, 3 * second, 1000},
-		{"before a step", scenario.Arrival{Shape: scenario.Step, From: 10, To: 1000, At: 2 * second}, 4 * second, 0, 2 * second, 20},
-		{"step from nothing", scenario.Arrival{Shape: scenario.Step, From: 0, To: 50, At: 2 * second}, 4 * second, 0, 4 * second, 100},
-		{"wave, whole periods", scenario.Arrival{Shape: scenario.Wave, From: 50, To: 150, Every: 2 * second}, 4 * second, 0, 4 * second, 400},
-		{"wave, the upper half", scenario.Arrival{Shape: scenario.Wave, From: 0, To: 200, Every: 2 * second}, 2 * second, 500 * time.Millisecond, 1500 * time.Millisecond, 164},
+		{"constant", scenario.Arrival{Shape: scenario.Constant, FromRate: 100}, 10 * second, 3 * second, 4 * second, 100},
+		{"constant, an hour on", scenario.Arrival{Shape: scenario.Constant, FromRate: 30}, time.Hour, 3598 * second, 3599 * second, 30},
+		{"ramp", scenario.Arrival{Shape: scenario.Ramp, FromRate: 0, ToRate: 100, Over: 10 * second}, 20 * second, 0, 10 * second, 500},
+		{"behind a ramp", scenario.Arrival{Shape: scenario.Ramp, FromRate: 0, ToRate: 100, Over: 10 * second}, 20 * second, 12 * second, 13 * second, 100},
+		{"ramp down", scenario.Arrival{Shape: scenario.Ramp, FromRate: 100, ToRate: 0, Over: 10 * second}, 10 * second, 0, 5 * second, 375},
+		{"step", scenario.Arrival{Shape: scenario.Step, FromRate: 10, ToRate: 1000, At: 2 * second}, 4 * second, 2 * second, 3 * second, 1000},
+		{"before a step", scenario.Arrival{Shape: scenario.Step, FromRate: 10, ToRate: 1000, At: 2 * second}, 4 * second, 0, 2 * second, 20},
+		{"step from nothing", scenario.Arrival{Shape: scenario.Step, FromRate: 0, ToRate: 50, At: 2 * second}, 4 * second, 0, 4 * second, 100},
+		{"wave, whole periods", scenario.Arrival{Shape: scenario.Wave, FromRate: 50, ToRate: 150, Every: 2 * second}, 4 * second, 0, 4 * second, 400},
+		{"wave, the upper half", scenario.Arrival{Shape: scenario.Wave, FromRate: 0, ToRate: 200, Every: 2 * second}, 2 * second, 500 * time.Millisecond, 1500 * time.Millisecond, 164},
 		{"bursts", scenario.Arrival{Shape: scenario.Bursts, Size: 7, Every: 300 * time.Millisecond}, second, 0, second, 28},
 	} {
 		got := count(scheduleOf(t, c.length, c.a), c.from, c.to)
@@ -77,7 +77,7 @@
 }
 
 func TestPoissonGapsAreExponential(t *testing.T) {
-	due := scheduleOf(t, 1000*time.Second, scenario.Arrival{Shape: scenario.Constant, From: 20, Poisson: true})
+	due := scheduleOf(t, 1000*time.Second, scenario.Arrival{Shape: scenario.Constant, FromRate: 20, Poisson: true})
 	if n := float64(len(due)); math.Abs(n-20000) > 4*math.Sqrt(20000) {
 		t.Errorf("%v arrivals, want about 20000", n)
 	}
@@ -93,7 +93,7 @@
 }
 
 func TestStreamsComeTogetherInOrder(t *testing.T) {
-	due := scheduleOf(t, 10*time.Second, scenario.Arrival{Shape: scenario.Constant, From: 100},
+	due := scheduleOf(t, 10*time.Second, scenario.Arrival{Shape: scenario.Constant, FromRate: 100},
 		scenario.Arrival{Shape: scenario.Bursts, Size: 50, Every: time.Second})
 	if len(due) != 1500 {
 		t.Errorf("%d arrivals", len(due))
@@ -112,7 +112,7 @@
 {"due_us":3600001000,"class":"read"}`
 	tr := NewTrace("t", strings.NewReader(text))
 	first, err := tr.Next()
-	want := Arrival{Due: time.Millisecond, Class: "read", Tenant: "north", About: "7", Wait: 250 * time.Millisecond}
+	want := Arrival{ScheduledAt: time.Millisecond, Class: "read", Tenant: "north", Object: "7", Patience: 250 * time.Millisecond}
 	if err != nil || first != want {
 		t.Fatalf("%+v, %v", first, err)
 	}
@@ -137,7 +137,7 @@
 		strings.Repeat("x", maxTraceLine+1):    "t:1: line: over 16384 bytes",
 	} {
 		tr := NewTrace("t", strings.NewReader(text))
-		tr.check = s
+		tr.scenario = s
 		var err error
 		for err == nil {
 			_, err = tr.Next()
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []Arrival{{Due: 0, Class: "read", About: "1"}, {Due: 5 * time.Microsecond, Class: "book", Tenant: "n", Wait: time.Second}}
+	want := []Arrival{{ScheduledAt: 0, Class: "read", Object: "1"}, {ScheduledAt: 5 * time.Microsecond, Class: "book", Tenant: "n", Patience: time.Second}}
 	w := NewTraceWriter(f)
 	for _, a := range want {
 		w.Write(a)
--- a/internal/rig/audit/audit_test.go
+++ b/internal/rig/audit/audit_test.go
@@ -194,7 +194,7 @@
 	} {
 		r := Records{
 			Lives: []Life{{Server: "s1", Place: "s1", Start: 2 * time.Second, End: 9 * time.Second, Fell: Never,
-				Cold: scenario.Cold{From: 0.1, Warm: 1000 * time.Second}}},
+				Cold: scenario.SlowStart{Fraction: 0.1, Duration: 1000 * time.Second}}},
 			Told: []Told{{Sidecar: 1, Server: "s1", State: Up}, {Sidecar: 0, Server: "s1", State: Up}, {Sidecar: 0, Server: "s1", State: Up, At: 2 * time.Second}},
 		}
 		for i := range 20 {
--- a/internal/rig/audit/fleet.go
+++ b/internal/rig/audit/fleet.go
@@ -68,7 +68,7 @@
 // coldStarts judges rule 4: each cold life by the work that reached it.
 func (j *judge) coldStarts() {
 	for _, l := range j.r.Lives {
-		if l.Cold.Warm <= 0 {
+		if l.Cold.Duration <= 0 {
 			continue
 		}
 		j.out.Judged.ColdStarts++
@@ -95,7 +95,7 @@
 	end := reached[len(reached)-1].Last
 	all, knowing := time.Duration(0), time.Duration(0)
 	for _, a := range reached {
-		if a.Last <= end-j.s.Rules.FallTime {
+		if a.Last <= end-j.s.Rules.OverloadTime {
 			continue
 		}
 		all += a.Work
@@ -120,8 +120,8 @@
 func (j *judge) mayWait(c *Call) bool {
 	return slices.ContainsFunc(j.s.Faults, func(f scenario.Fault) bool {
 		switch f.Kind {
-		case scenario.ResetIn, scenario.ResetOut, scenario.Silent, scenario.Gone, scenario.Restart, scenario.Replace:
-			return j.r.Began+f.At <= c.Answered && j.r.Began+f.End()+j.s.Rules.ColdTime >= c.Sent
+		case scenario.ResetRequest, scenario.ResetResponse, scenario.Isolated, scenario.Terminate, scenario.Restart, scenario.Replace:
+			return j.r.Began+f.At <= c.Answered && j.r.Began+f.End()+j.s.Rules.SlowStartTime >= c.Sent
 		}
 		return false
 	})
--- a/internal/rig/audit/records.go
+++ b/internal/rig/audit/records.go
@@ -97,7 +97,7 @@
 type Life struct {
 	Server, Place string
 	Start, End    time.Duration // Start is Never for what ran long before
-	Cold          scenario.Cold
+	Cold          scenario.SlowStart
 	Fell          time.Duration // when it fell over; Never: it did not
 }
 
--- a/internal/rig/load/crowd.go
+++ b/internal/rig/load/crowd.go
@@ -63,37 +63,37 @@
 
 // stranger is one of them, from when it comes until the crowd is over.
 func (k *crowd) stranger(ctx context.Context, i int) {
-	ctx, cancel := context.WithDeadline(ctx, k.began.Add(k.At+k.For))
+	ctx, cancel := context.WithDeadline(ctx, k.began.Add(k.At+k.Duration))
 	defer cancel()
-	waitForTimer(ctx, k.began.Add(k.At+k.Over*time.Duration(i)/time.Duration(k.Count)))
+	waitForTimer(ctx, k.began.Add(k.At+k.ArrivalPeriod*time.Duration(i)/time.Duration(k.Count)))
 	c := &client{
 		dial: k.dial, addr: k.clients[i%len(k.clients)].addr, room: &k.room, extra: k.extra,
 	}
 	defer c.close()
 	for n := 0; ctx.Err() == nil; n++ {
 		switch k.Kind {
-		case scenario.Idlers:
+		case scenario.IdleClients:
 			k.stay(ctx, c, nil)
 			return
-		case scenario.Heads:
+		case scenario.SlowHeads:
 			k.stay(ctx, c, []byte("GET /"+k.class.Name+" HTTP/1.1\r\nHost: a\r\nX-Filler: "))
 			return
-		case scenario.Bodies:
+		case scenario.SlowBodies:
 			k.stay(ctx, c, k.bigHead(i))
 			return
-		case scenario.Onces:
+		case scenario.SingleRequestClients:
 			k.ask(c, i, n)
 			k.linger(ctx, c)
 			return
-		case scenario.Stormer:
+		case scenario.ReconnectingClients:
 			if k.ask(c, i, n) == audit.Served {
 				k.linger(ctx, c)
 			}
 			c.close()
-		case scenario.Passers:
+		case scenario.OneConnectionPerRequest:
 			k.ask(c, i, n)
 			c.close()
-		case scenario.Aborts:
+		case scenario.AbortedHeads:
 			if nc, err := k.dial(ctx, "tcp", c.addr); err == nil {
 				io.WriteString(nc, "GET /"+k.class.Name+" HT")
 				sock.Abort(nc)
--- a/internal/rig/load/result.go
+++ b/internal/rig/load/result.go
@@ -85,7 +85,7 @@
 	r := &Result{Lag: hdrhistogram.New(1, longest, digits), Course: Course{Width: 250 * time.Millisecond}}
 	r.Classes = append(r.Classes, ClassResult{Name: "all", Latency: hdrhistogram.New(1, longest, digits)})
 	for _, c := range s.Classes {
-		r.Classes = append(r.Classes, ClassResult{Name: c.Name, Aim: c.Aim, Latency: hdrhistogram.New(1, longest, digits)})
+		r.Classes = append(r.Classes, ClassResult{Name: c.Name, Aim: c.LatencyTarget, Latency: hdrhistogram.New(1, longest, digits)})
 	}
 	return r
 }
@@ -110,17 +110,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	earned := 0.0
-	inAim := op.Result == audit.Served && op.Latency <= class.Aim
+	inAim := op.Result == audit.Served && op.Latency <= class.LatencyTarget
 	switch {
 	case inAim:
-		earned = class.Worth
+		earned = class.Value
 	case op.Result == audit.Served:
-		earned = class.Worth * class.Late
+		earned = class.Value * class.LateValue
 	}
 	for _, c := range []*ClassResult{&r.Classes[0], &r.Classes[op.Class+1]} {
 		c.Counts.add(op.Result, 1)
 		c.Tries += op.Tries
-		c.Worth += class.Worth
+		c.Worth += class.Value
 		c.Earned += earned
 		if inAim {
 			c.InAim++
--- a/internal/rig/load/run.go
+++ b/internal/rig/load/run.go
@@ -119,7 +119,7 @@
 		if err != nil {
 			return err
 		}
-		until := x.began.Add(a.Due)
+		until := x.began.Add(a.ScheduledAt)
 		if time.Until(until) > 0 {
 			wait(ctx, until)
 		}
@@ -157,15 +157,15 @@
 // operate is a client with one wish.
 func (x *run) operate(o drawn) {
 	class := &x.s.Classes[o.class]
-	due := x.began.Add(o.Due)
+	due := x.began.Add(o.ScheduledAt)
 	x.result.addLag(time.Since(due))
 	first, over := time.Now(), due.Add(class.Deadline)
 	since := func() time.Duration { return time.Since(x.Zero) }
-	op := Operation{Class: o.class, Due: o.Due}
+	op := Operation{Class: o.class, Due: o.ScheduledAt}
 	for retry := 0; ; retry++ {
 		q := &request{
-			method: http.MethodPost, class: class.Name, tenant: o.Tenant, trace: o.id("trace", retry), about: o.About,
-			op: strconv.Itoa(o.n), retry: retry > 0 && x.s.Clients.Marks,
+			method: http.MethodPost, class: class.Name, tenant: o.Tenant, trace: o.id("trace", retry), about: o.Object,
+			op: strconv.Itoa(o.n), retry: retry > 0 && x.s.Clients.MarkRetries,
 		}
 		switch class.Effect {
 		case scenario.Safe:
@@ -185,9 +185,9 @@
 			x.Calls.Call(call)
 		}
 		op.Result, op.Tries = call.Result, retry+1
-		wait := x.s.Clients.Wait
+		wait := x.s.Clients.RetryWait
 		if call.RetryAfter > 0 {
-			wait = min(call.RetryAfter, x.s.Clients.Obey)
+			wait = min(call.RetryAfter, x.s.Clients.MaxRetryAfter)
 		}
 		again := retry < x.s.Clients.Retries && !errors.Is(err, errNoRoom) && permits(class, &call, time.Since(first)+wait)
 		if !again || time.Until(over) <= wait+time.Millisecond {
@@ -230,7 +230,7 @@
 		m.shares = append(m.shares, sum)
 	}
 	if s.Clients.Skew > 1 {
-		m.zipf = rand.NewZipf(rand.New(rand.NewPCG(s.Seed, 1<<32)), s.Clients.Skew, 1, uint64(s.Clients.Keys-1))
+		m.zipf = rand.NewZipf(rand.New(rand.NewPCG(s.Seed, 1<<32)), s.Clients.Skew, 1, uint64(s.Clients.Objects-1))
 	}
 	return m
 }
@@ -254,15 +254,15 @@
 	if o.Tenant == "" && len(m.s.Tenants) > 0 {
 		o.Tenant = m.tenant(o.u("tenant"))
 	}
-	if o.About == "" {
-		about := uint64(o.u("about") * float64(m.s.Clients.Keys))
+	if o.Object == "" {
+		about := uint64(o.u("about") * float64(m.s.Clients.Objects))
 		if m.zipf != nil {
 			about = m.zipf.Uint64()
 		}
-		o.About = strconv.FormatUint(about, 10)
+		o.Object = strconv.FormatUint(about, 10)
 	}
-	if o.Wait == 0 {
-		o.Wait = o.patience(&m.s.Classes[o.class], 0)
+	if o.Patience == 0 {
+		o.Patience = o.patience(&m.s.Classes[o.class], 0)
 	}
 	return o
 }
@@ -287,8 +287,8 @@
 
 // patience is how long the client waits for a try.
 func (o *drawn) patience(class *scenario.Class, retry int) time.Duration {
-	if retry == 0 && o.Wait > 0 {
-		return o.Wait
+	if retry == 0 && o.Patience > 0 {
+		return o.Patience
 	}
 	p := o.s.Clients.Patience
 	u := o.u("patience", strconv.Itoa(retry))
--- a/internal/rig/load/run_test.go
+++ b/internal/rig/load/run_test.go
@@ -246,10 +246,10 @@
 // With a skew a few objects get most requests; without, all get as many.
 func TestKeysFollowZipf(t *testing.T) {
 	most := func(skew float64) (n int) {
-		s := &scenario.Scenario{Seed: 3, Classes: []scenario.Class{{Name: "read", Share: 1}}, Clients: scenario.Clients{Keys: 100, Skew: skew}}
+		s := &scenario.Scenario{Seed: 3, Classes: []scenario.Class{{Name: "read", Share: 1}}, Clients: scenario.Clients{Objects: 100, Skew: skew}}
 		m, seen := newMix(s), map[string]int{}
 		for i := range 10_000 {
-			seen[m.draw(i, arrival.Arrival{}).About]++
+			seen[m.draw(i, arrival.Arrival{}).Object]++
 		}
 		for _, count := range seen {
 			n = max(n, count)
--- a/internal/rig/rehearse/crowd_test.go
+++ b/internal/rig/rehearse/crowd_test.go
@@ -20,7 +20,7 @@
 // Strange clients break no rule, and are counted apart from the operations.
 func TestCrowdsBreakNoRule(t *testing.T) {
 	for _, kind := range []scenario.CrowdKind{
-		scenario.Idlers, scenario.Onces, scenario.Stormer, scenario.Passers, scenario.Heads, scenario.Bodies, scenario.Aborts,
+		scenario.IdleClients, scenario.SingleRequestClients, scenario.ReconnectingClients, scenario.OneConnectionPerRequest, scenario.SlowHeads, scenario.SlowBodies, scenario.AbortedHeads,
 	} {
 		t.Run(string(kind), func(t *testing.T) {
 			out := play(t, parse(t, crowded+fmt.Sprintf("at 1s crowd %s 40 over=500ms for 3s\n", kind)))
@@ -28,7 +28,7 @@
 				t.Error(b)
 			}
 			crowd := out.Load.Crowds[0]
-			if crowd.Opened < 40 || kind == scenario.Onces && crowd.Asked.Served < 40 || kind == scenario.Passers && crowd.Asked.Served < 400 {
+			if crowd.Opened < 40 || kind == scenario.SingleRequestClients && crowd.Asked.Served < 40 || kind == scenario.OneConnectionPerRequest && crowd.Asked.Served < 400 {
 				t.Errorf("%+v", crowd)
 			}
 			all := out.Load.Classes[0]
@@ -50,7 +50,7 @@
 // second, are left out: they ask for more than the fleet can do, and what is refused of it is the module's matter.
 func TestCrowdsOfFourTimesThePlaces(t *testing.T) {
 	alone := inAim(play(t, parse(t, crowded)))
-	for _, kind := range []scenario.CrowdKind{scenario.Idlers, scenario.Onces, scenario.Heads, scenario.Bodies} {
+	for _, kind := range []scenario.CrowdKind{scenario.IdleClients, scenario.SingleRequestClients, scenario.SlowHeads, scenario.SlowBodies} {
 		t.Run(string(kind), func(t *testing.T) {
 			out := play(t, parse(t, crowded+fmt.Sprintf("at 1s crowd %s 432 over=1s for 4s\n", kind)))
 			for _, b := range out.Audit.Breaches {
@@ -58,7 +58,7 @@
 			}
 			part, crowd := inAim(out)/alone, out.Load.Crowds[0]
 			t.Logf("%.3f of what they are served in time without a crowd; crowd: %+v", part, *crowd)
-			if kind == scenario.Onces && crowd.Asked.Served < 432 {
+			if kind == scenario.SingleRequestClients && crowd.Asked.Served < 432 {
 				t.Errorf("of 432 that ask once %d are served", crowd.Asked.Served)
 			}
 			if part < 0.95 {
@@ -82,7 +82,7 @@
 	}
 	rnd := rand.New(rand.NewPCG(7, 7))
 	kinds := []scenario.CrowdKind{
-		scenario.Idlers, scenario.Onces, scenario.Heads, scenario.Bodies, scenario.Stormer, scenario.Passers, scenario.Aborts,
+		scenario.IdleClients, scenario.SingleRequestClients, scenario.SlowHeads, scenario.SlowBodies, scenario.ReconnectingClients, scenario.OneConnectionPerRequest, scenario.AbortedHeads,
 	}
 	for i := range n {
 		text := fmt.Sprintf("seed %d\n", i+1) + crowded
--- a/internal/rig/rehearse/report.go
+++ b/internal/rig/rehearse/report.go
@@ -125,7 +125,7 @@
 func loadReport(o *Outcome, against string) *Report {
 	s, l := o.Scenario, o.Load
 	r := &Report{
-		Scenario: s.Name, About: s.About, Against: against, Seed: s.Seed, Seconds: l.Took.Seconds(),
+		Scenario: s.Name, About: s.Description, Against: against, Seed: s.Seed, Seconds: l.Took.Seconds(),
 		Partial: l.Partial, Invalid: append([]string{}, l.Invalid...), course: l.Course, overall: l.Classes[0].Latency,
 		Generator: Generator{
 			LagP50: millis(load.Percentile(l.Lag, 50)), LagP99: millis(load.Percentile(l.Lag, 99)),
--- a/internal/rig/scenario/library.go
+++ b/internal/rig/scenario/library.go
@@ -12,27 +12,27 @@
 //go:embed library
 var library embed.FS
 
-// shared is the file of the library that is no scenario.
-const shared = "service.txt"
+// includedFile is the file of the library that scenarios include; it is none itself.
+const includedFile = "service.txt"
 
-// Names are the scenarios that come with the program, in order.
+// Names are the names of the scenarios that come with the program, in order.
 func Names() (names []string) {
 	files, err := fs.ReadDir(library, "library")
 	if err != nil {
-		panic(err) // it is a part of the program
+		panic(err) // the folder is embedded in the program
 	}
 	for _, f := range files {
-		if f.Name() != shared {
+		if f.Name() != includedFile {
 			names = append(names, strings.TrimSuffix(f.Name(), path.Ext(f.Name())))
 		}
 	}
 	return names
 }
 
-// Named reads one of them.
-func Named(name string) (*Scenario, error) {
+// FromLibrary reads the scenario of a name in Names.
+func FromLibrary(name string) (*Scenario, error) {
 	f, err := library.Open("library/" + name + ".txt")
-	if err != nil || name+".txt" == shared {
+	if err != nil || name+".txt" == includedFile {
 		return nil, fmt.Errorf("no scenario is called %q; there are %s", name, strings.Join(Names(), ", "))
 	}
 	defer func() { _ = f.Close() }()
--- a/internal/rig/scenario/parse.go
+++ b/internal/rig/scenario/parse.go
@@ -14,7 +14,7 @@
 	"petrelhook/internal/rig/statement"
 )
 
-// Read reads the file at path.
+// Read reads the scenario at path. Errors in the file are of type *Error.
 func Read(path string) (*Scenario, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return Parse(path, f)
 }
 
-// Parse reads a scenario; file is its name in errors, and paths in it count from its folder.
+// Parse reads a scenario. file is its name in errors; paths in it are relative to its folder.
 func Parse(file string, r io.Reader) (*Scenario, error) {
 	return parse(file, r, func(name string) (io.ReadCloser, error) {
 		if !filepath.IsAbs(name) {
@@ -34,38 +34,41 @@
 	})
 }
 
-// deepest is how deep files may include one another.
-const deepest = 4
+// maxIncludeDepth is the depth to which files may include one another.
+const maxIncludeDepth = 4
 
+// parse reads a scenario whose included files open opens, on the default values.
 func parse(file string, r io.Reader, open func(name string) (io.ReadCloser, error)) (*Scenario, error) {
-	p := &parser{file: file, open: open, s: &Scenario{
+	p := &parser{file: file, open: open, scenario: &Scenario{
 		Seed: 1, Length: 10 * time.Second,
 		Sidecars: Sidecars{Count: 1, Cores: 1},
-		Clients:  Clients{Patience: [2]float64{1, 1}, Wait: 100 * time.Millisecond, Obey: 2 * time.Second, Keys: 1000},
+		Clients:  Clients{Patience: [2]float64{1, 1}, RetryWait: 100 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Objects: 1000},
 		Rules: Rules{
-			DrainGrace: 250 * time.Millisecond, ColdFrom: 1, FallMultiple: 2.5, FallTime: 3 * time.Second,
-			AskWithin: 10 * time.Second, Slack: 50 * time.Millisecond,
+			DrainGrace: 250 * time.Millisecond, SlowStartFraction: 1, OverloadMultiple: 2.5, OverloadTime: 3 * time.Second,
+			MaxPollInterval: 10 * time.Second, Slack: 50 * time.Millisecond,
 		},
 		Limits: Limits{
-			Attempts: 6, Connect: 100 * time.Millisecond, Idle: 10 * time.Second, RetryAfter: 2 * time.Second,
-			Probes: true, Parallel: true, Reports: true,
+			MaxAttempts: 6, ConnectTimeout: 100 * time.Millisecond, IdleTimeout: 10 * time.Second, RetryAfter: 2 * time.Second,
+			Probes: true, ParallelAttempts: true, Reports: true,
 		},
 	}}
-	if err := p.lines(file, r); err != nil {
+	if err := p.readLines(file, r); err != nil {
 		return nil, err
 	}
 	return p.finish()
 }
 
+// parser is the state of reading one scenario.
 type parser struct {
-	file   string
-	open   func(name string) (io.ReadCloser, error)
-	depth  int
-	s      *Scenario
-	faults []*statement.Line // read last: they name servers
+	file     string
+	open     func(name string) (io.ReadCloser, error)
+	depth    int
+	scenario *Scenario
+	faults   []*statement.Line // statements "at", read last because they name servers
 }
 
-func (p *parser) lines(file string, r io.Reader) error {
+// readLines reads all statements of one file.
+func (p *parser) readLines(file string, r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	no := 0
 	for lines.Scan() {
@@ -80,19 +83,19 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return &statement.Error{File: file, Line: no + 1, Field: "line", Msg: err.Error()}
+		return &statement.Error{File: file, Line: no + 1, Field: "line", Message: err.Error()}
 	}
 	return nil
 }
 
 // include reads another file's statements in place of this one.
 func (p *parser) include(l *statement.Line) error {
-	name := l.Word("a file")
-	if err := l.End(); err != nil {
+	name := l.NextWord("a file")
+	if err := l.Finish(); err != nil {
 		return err
 	}
-	if p.depth++; p.depth > deepest {
-		l.Fail(name, "files include one another more than %d deep", deepest)
+	if p.depth++; p.depth > maxIncludeDepth {
+		l.Fail(name, "files include one another more than %d deep", maxIncludeDepth)
 		return l.Err
 	}
 	defer func() { p.depth-- }()
@@ -102,29 +105,29 @@
 		return l.Err
 	}
 	defer f.Close()
-	return p.lines(name, f)
+	return p.readLines(name, f)
 }
 
-// statement reads one statement by its verb.
+// statement reads one statement by its verb. text is the line.
 func (p *parser) statement(l *statement.Line, text string) error {
-	s := p.s
+	s := p.scenario
 	switch l.Verb {
 	case "include":
 		return p.include(l)
 	case "name":
-		s.Name = l.Word("a name")
-		return l.End()
+		s.Name = l.NextWord("a name")
+		return l.Finish()
 	case "about":
 		_, text, _ = strings.Cut(strings.TrimSpace(text), "about")
-		s.About = strings.TrimSpace(text)
+		s.Description = strings.TrimSpace(text)
 		return nil
 	case "seed":
 		return p.seed(l)
 	case "length":
-		if s.Length = l.ParseDuration("length", l.Word("a duration")); s.Length == 0 {
+		if s.Length = l.ParseDuration("length", l.NextWord("a duration")); s.Length == 0 {
 			l.Fail("length", "must be over 0")
 		}
-		return l.End()
+		return l.Finish()
 	case "sidecars":
 		return p.sidecars(l)
 	case "fleet":
@@ -132,16 +135,16 @@
 	case "class":
 		return p.class(l)
 	case "tenant":
-		t := Tenant{Name: l.Word("a name"), Share: 1}
+		t := Tenant{Name: l.NextWord("a name"), Share: 1}
 		l.Number("share", &t.Share, 0, 1e6)
 		s.Tenants = append(s.Tenants, t)
-		return l.End("share")
+		return l.Finish("share")
 	case "clients":
 		return p.clients(l)
 	case "discovery":
-		l.Duration("late", &s.Discovery.Late)
-		l.Yes("pushed", &s.Discovery.Pushed)
-		return l.End("late", "pushed")
+		l.Duration("late", &s.Discovery.Delay)
+		l.Bool("pushed", &s.Discovery.Pushed)
+		return l.Finish("late", "pushed")
 	case "rules":
 		return p.rules(l)
 	case "limits":
@@ -158,56 +161,56 @@
 }
 
 func (p *parser) seed(l *statement.Line) error {
-	v := l.Word("a number")
+	v := l.NextWord("a number")
 	n, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
 		l.Fail(v, "a seed is a whole number of at least 0")
 	}
-	p.s.Seed = n
-	return l.End()
+	p.scenario.Seed = n
+	return l.Finish()
 }
 
 func (p *parser) sidecars(l *statement.Line) error {
-	s := &p.s.Sidecars
-	s.Count = l.ParseInteger("sidecars", l.Word("a number"), 0, 1000)
+	s := &p.scenario.Sidecars
+	s.Count = l.ParseInteger("sidecars", l.NextWord("a number"), 0, 1000)
 	l.Number("cores", &s.Cores, 0.01, 64)
 	l.Integer("memory", &s.MemoryMB, 8, 1<<20)
 	l.Integer("sockets", &s.Sockets, 64, 1<<20)
-	return l.End("cores", "memory (MB)", "sockets")
+	return l.Finish("cores", "memory (MB)", "sockets")
 }
 
 func (p *parser) rules(l *statement.Line) error {
-	r := &p.s.Rules
+	r := &p.scenario.Rules
 	l.Duration("drain-grace", &r.DrainGrace)
-	l.Number("cold-from", &r.ColdFrom, 0, 1)
-	l.Duration("cold-time", &r.ColdTime)
-	l.Number("fall-multiple", &r.FallMultiple, 0, 1000)
-	l.Duration("fall-time", &r.FallTime)
-	l.Duration("ask-within", &r.AskWithin)
+	l.Number("cold-from", &r.SlowStartFraction, 0, 1)
+	l.Duration("cold-time", &r.SlowStartTime)
+	l.Number("fall-multiple", &r.OverloadMultiple, 0, 1000)
+	l.Duration("fall-time", &r.OverloadTime)
+	l.Duration("ask-within", &r.MaxPollInterval)
 	l.Duration("slack", &r.Slack)
-	return l.End("drain-grace", "cold-from", "cold-time", "fall-multiple", "fall-time", "ask-within", "slack")
+	return l.Finish("drain-grace", "cold-from", "cold-time", "fall-multiple", "fall-time", "ask-within", "slack")
 }
 
 func (p *parser) limits(l *statement.Line) error {
-	m := &p.s.Limits
-	l.Integer("attempts", &m.Attempts, 1, 100)
-	l.Duration("connect", &m.Connect)
-	l.Duration("idle", &m.Idle)
+	m := &p.scenario.Limits
+	l.Integer("attempts", &m.MaxAttempts, 1, 100)
+	l.Duration("connect", &m.ConnectTimeout)
+	l.Duration("idle", &m.IdleTimeout)
 	l.Duration("retry-after", &m.RetryAfter)
-	l.Yes("probes", &m.Probes)
-	l.Yes("parallel", &m.Parallel)
-	l.Yes("reports", &m.Reports)
-	return l.End("attempts", "connect", "idle", "retry-after", "probes", "parallel", "reports")
+	l.Bool("probes", &m.Probes)
+	l.Bool("parallel", &m.ParallelAttempts)
+	l.Bool("reports", &m.Reports)
+	return l.Finish("attempts", "connect", "idle", "retry-after", "probes", "parallel", "reports")
 }
 
 func (p *parser) fleet(l *statement.Line) error {
-	n := l.ParseInteger("fleet", l.Word("a number of servers"), 1, 10000)
-	server := Server{Zone: "a", Kind: "std", Cores: 2, Speed: 1, Queue: 64, Line: l.No}
+	n := l.ParseInteger("fleet", l.NextWord("a number of servers"), 1, 10000)
+	server := Server{Zone: "a", Kind: "std", Cores: 2, Speed: 1, Queue: 64, Line: l.LineNumber}
 	cells := 1
-	if v, ok := l.Opt("zone"); ok {
+	if v, ok := l.Option("zone"); ok {
 		server.Zone = v
 	}
-	if v, ok := l.Opt("kind"); ok {
+	if v, ok := l.Option("kind"); ok {
 		server.Kind = v
 	}
 	l.Integer("cells", &cells, 1, 1000)
@@ -215,58 +218,58 @@
 	l.Number("speed", &server.Speed, 1e-3, 1e3)
 	l.Integer("queue", &server.Queue, 0, 1<<20)
 	for i := range n {
-		server.Name = fmt.Sprint("s", len(p.s.Servers)+1)
+		server.Name = fmt.Sprint("s", len(p.scenario.Servers)+1)
 		server.Cell = i % cells
-		p.s.Servers = append(p.s.Servers, server)
+		p.scenario.Servers = append(p.scenario.Servers, server)
 	}
-	return l.End("zone", "kind", "cells", "cores", "speed", "queue")
+	return l.Finish("zone", "kind", "cells", "cores", "speed", "queue")
 }
 
 func (p *parser) class(l *statement.Line) error {
-	c := Class{Name: l.Word("a name"), Share: 1, Effect: Safe, Group: GroupAll, Worth: 1, Line: l.No}
-	if p.s.Class(c.Name) >= 0 {
+	c := Class{Name: l.NextWord("a name"), Share: 1, Effect: Safe, Group: GroupAll, Value: 1, Line: l.LineNumber}
+	if p.scenario.Class(c.Name) >= 0 {
 		l.Fail(c.Name, "there is a class of that name already")
 	}
 	if strings.ContainsAny(c.Name, "/?%: ") {
 		l.Fail(c.Name, "a class's name is the first part of a path: letters, digits and dashes")
 	}
-	if v, ok := l.Opt("effect"); ok {
+	if v, ok := l.Option("effect"); ok {
 		c.Effect = statement.OneOf(l, "effect", v, Safe, Keyed, Unsafe)
 	}
-	if v, ok := l.Opt("group"); ok {
+	if v, ok := l.Option("group"); ok {
 		c.Group = statement.OneOf(l, "group", v, GroupAll, GroupZone, GroupCell)
 	}
 	l.Number("share", &c.Share, 0, 1e6)
 	l.Duration("window", &c.Window)
-	l.Span("work", &c.Work.From, &c.Work.To)
-	l.Span("io", &c.IO.From, &c.IO.To)
-	l.Duration("aim", &c.Aim)
+	l.DurationRange("work", &c.Work.From, &c.Work.To)
+	l.DurationRange("io", &c.IO.From, &c.IO.To)
+	l.Duration("aim", &c.LatencyTarget)
 	l.Duration("deadline", &c.Deadline)
-	l.Number("worth", &c.Worth, 0, 1e6)
-	l.Number("late", &c.Late, 0, 1)
-	if err := l.End("share", "effect", "group", "window", "work", "io", "aim", "deadline", "worth", "late"); err != nil {
+	l.Number("worth", &c.Value, 0, 1e6)
+	l.Number("late", &c.LateValue, 0, 1)
+	if err := l.Finish("share", "effect", "group", "window", "work", "io", "aim", "deadline", "worth", "late"); err != nil {
 		return err
 	}
 	switch {
 	case c.Deadline == 0:
 		l.Fail("deadline", "missing: how long a client waits, such as deadline=1s")
-	case c.Aim > c.Deadline:
-		l.Fail("aim", "%v is after the deadline, %v", c.Aim, c.Deadline)
+	case c.LatencyTarget > c.Deadline:
+		l.Fail("aim", "%v is after the deadline, %v", c.LatencyTarget, c.Deadline)
 	case c.Effect == Keyed && c.Window == 0:
 		l.Fail("window", "missing: how long repeats of a key are dropped, such as window=2s")
 	case c.Effect != Keyed && (c.Window != 0 || c.Group != GroupAll):
 		l.Fail("effect", "only a keyed class has a group and a window")
 	}
-	if c.Aim == 0 {
-		c.Aim = c.Deadline
+	if c.LatencyTarget == 0 {
+		c.LatencyTarget = c.Deadline
 	}
-	p.s.Classes = append(p.s.Classes, c)
+	p.scenario.Classes = append(p.scenario.Classes, c)
 	return l.Err
 }
 
 func (p *parser) clients(l *statement.Line) error {
-	c := &p.s.Clients
-	if v, ok := l.Opt("patience"); ok {
+	c := &p.scenario.Clients
+	if v, ok := l.Option("patience"); ok {
 		from, to, isRange := strings.Cut(v, "..")
 		c.Patience[0] = l.ParseNumber("patience", from, 0.01, 1)
 		if c.Patience[1] = c.Patience[0]; isRange {
@@ -274,17 +277,17 @@
 		}
 	}
 	l.Integer("retries", &c.Retries, 0, 100)
-	l.Duration("wait", &c.Wait)
-	l.Duration("obey", &c.Obey)
-	l.Yes("marks", &c.Marks)
-	l.Integer("keys", &c.Keys, 1, 1<<30)
+	l.Duration("wait", &c.RetryWait)
+	l.Duration("obey", &c.MaxRetryAfter)
+	l.Bool("marks", &c.MarkRetries)
+	l.Integer("keys", &c.Objects, 1, 1<<30)
 	l.Number("skew", &c.Skew, 1.0001, 100)
-	return l.End("patience", "retries", "wait", "obey", "marks", "keys", "skew")
+	return l.Finish("patience", "retries", "wait", "obey", "marks", "keys", "skew")
 }
 
 func (p *parser) arrive(l *statement.Line) error {
-	a := Arrival{Line: l.No}
-	shape := l.Word("a shape")
+	a := Arrival{Line: l.LineNumber}
+	shape := l.NextWord("a shape")
 	if a.Poisson = shape == "poisson"; a.Poisson {
 		a.Shape = Constant
 	} else {
@@ -292,24 +295,24 @@
 	}
 	switch a.Shape {
 	case Trace:
-		if a.File = l.Word("a file"); !filepath.IsAbs(a.File) {
+		if a.File = l.NextWord("a file"); !filepath.IsAbs(a.File) {
 			a.File = filepath.Join(filepath.Dir(p.file), a.File)
 		}
 	case Bursts:
-		a.Size = l.ParseInteger("bursts", l.Word("a number at once"), 1, 1e6)
+		a.Size = l.ParseInteger("bursts", l.NextWord("a number at once"), 1, 1e6)
 	default:
-		rate := l.Word("a rate")
+		rate := l.NextWord("a rate")
 		from, to, isRange := strings.Cut(rate, "..")
 		if isRange {
 			from, _ = strings.CutSuffix(from, "/s")
 			from += "/s"
-			a.To = l.PerSecond(to)
+			a.ToRate = l.ParseRate(to)
 		}
-		a.From = l.PerSecond(from)
+		a.FromRate = l.ParseRate(from)
 		if isRange == (a.Shape == Constant) {
 			l.Fail(rate, "%s takes %s", shape, map[bool]string{true: "one rate, such as 200/s", false: "two, such as 100/s..400/s"}[isRange])
 		}
-		if l.Literal("poisson") {
+		if l.AcceptWord("poisson") {
 			a.Poisson = true
 		}
 	}
@@ -328,14 +331,14 @@
 	case Wave, Bursts:
 		need("every", &a.Every)
 	}
-	p.s.Arrivals = append(p.s.Arrivals, a)
-	return l.End(known...)
+	p.scenario.Arrivals = append(p.scenario.Arrivals, a)
+	return l.Finish(known...)
 }
 
-// finish reads the faults and looks at the whole.
+// finish reads the faults, and checks that the scenario is complete.
 func (p *parser) finish() (*Scenario, error) {
-	s := p.s
-	missing := func(field, msg string) error { return &statement.Error{File: p.file, Field: field, Msg: msg} }
+	s := p.scenario
+	missing := func(field, msg string) error { return &statement.Error{File: p.file, Field: field, Message: msg} }
 	switch {
 	case len(s.Servers) == 0:
 		return nil, missing("fleet", "missing: how many servers there are, such as fleet 10")
@@ -357,7 +360,7 @@
 		}
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
-	if err := p.overlaps(); err != nil {
+	if err := p.checkOverlaps(); err != nil {
 		return nil, err
 	}
 	if s.Name == "" {
--- a/internal/rig/scenario/parse_test.go
+++ b/internal/rig/scenario/parse_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.About != "Everything  at once # is no comment here" || s.Seed != 7 || len(s.Servers) != 6 || len(s.Classes) != 3 {
+	if s.Description != "Everything  at once # is no comment here" || s.Seed != 7 || len(s.Servers) != 6 || len(s.Classes) != 3 {
 		t.Errorf("%+v", s)
 	}
 	if c := s.Classes[1]; c.Effect != Keyed || c.Group != GroupCell || c.Window != 2*time.Second || c.Share != 0.3 {
@@ -54,7 +54,7 @@
 	if srv, _ := s.Server("s4"); srv.Cell != 1 || srv.Speed != 1.5 || srv.Zone != "a" {
 		t.Errorf("%+v", srv)
 	}
-	if c := s.Crowds[0]; c.Kind != Onces || c.Count != 300 || c.At != 2*time.Second || c.Over != time.Second || c.For != 6*time.Second {
+	if c := s.Crowds[0]; c.Kind != SingleRequestClients || c.Count != 300 || c.At != 2*time.Second || c.ArrivalPeriod != time.Second || c.Duration != 6*time.Second {
 		t.Errorf("%+v", c)
 	}
 	var got []string
@@ -178,21 +178,21 @@
 		t.Errorf("%d scenarios", n)
 	}
 	for _, name := range Names() {
-		s, err := Named(name)
+		s, err := FromLibrary(name)
 		if err != nil {
 			t.Error(err)
-		} else if s.Name != name || s.About == "" || s.Length > 20*time.Second {
+		} else if s.Name != name || s.Description == "" || s.Length > 20*time.Second {
 			t.Errorf("%s: %+v", name, s)
 		}
 	}
-	if _, err := Named("service"); err == nil {
+	if _, err := FromLibrary("service"); err == nil {
 		t.Error("what is no scenario is taken for one")
 	}
 }
 
 func TestColdServerBearsLittle(t *testing.T) {
-	rules := Rules{FallMultiple: 2, FallTime: time.Second}
-	cold := Cold{From: 0.1, Warm: 10 * time.Second}
+	rules := Rules{OverloadMultiple: 2, OverloadTime: time.Second}
+	cold := SlowStart{Fraction: 0.1, Duration: 10 * time.Second}
 	if got := cold.Capacity(5 * time.Second); got < 0.549 || got > 0.551 {
 		t.Errorf("capacity %v", got)
 	}
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -58,7 +58,7 @@
 
 func newDiscovery(f *Fleet, first []member) *discovery {
 	return &discovery{
-		f: f, members: first, changed: make(chan struct{}), late: f.s.Discovery.Late,
+		f: f, members: first, changed: make(chan struct{}), late: f.s.Discovery.Delay,
 		pending: map[*time.Timer]struct{}{}, servers: map[int]*http.Server{}, told: map[toldKey]audit.State{},
 	}
 }
@@ -271,14 +271,14 @@
 			}
 			return nil
 		}
-	case scenario.DiscoverySilent:
+	case scenario.DiscoveryStall:
 		begin = func() error { d.muted(1); return nil }
 		end = func() error { d.muted(-1); return nil }
-	case scenario.DiscoveryLate:
-		begin = func() error { d.lateBy(fault.By); return nil }
-		end = func() error { d.lateBy(-fault.By); return nil }
+	case scenario.DiscoveryDelay:
+		begin = func() error { d.lateBy(fault.Delay); return nil }
+		end = func() error { d.lateBy(-fault.Delay); return nil }
 	}
-	return []event{{fault.At, begin}, {fault.At + fault.For, end}}
+	return []event{{fault.At, begin}, {fault.At + fault.Duration, end}}
 }
 
 func (d *discovery) muted(n int) {
--- a/internal/rig/standin/exchange.go
+++ b/internal/rig/standin/exchange.go
@@ -44,7 +44,7 @@
 	x.in = bufio.NewReader(x.c)
 	coming := x.await()
 	for {
-		idle := time.NewTimer(x.l.s.f.s.Limits.Idle)
+		idle := time.NewTimer(x.l.s.f.s.Limits.IdleTimeout)
 		select {
 		case n := <-coming:
 			idle.Stop()
@@ -73,7 +73,7 @@
 		*coming = x.await()
 		return x.answer(&at, "200 OK", "", x.l.metrics(false)) == nil
 	}
-	if s.strikes(scenario.ResetIn, at.Trace) {
+	if s.strikes(scenario.ResetRequest, at.Trace) {
 		at.End = s.f.now()
 		s.f.rec.Attempt(at)
 		sock.Abort(x.c)
@@ -108,7 +108,7 @@
 		return x.answer(at, "400 Bad Request", "", "") == nil
 	}
 	class := &s.f.s.Classes[i]
-	at.Work = class.Work.At(s.f.draw("work", at.Op))
+	at.Work = class.Work.Interpolate(s.f.draw("work", at.Op))
 	if l.pressure != nil && l.pressed(at.Work) {
 		return false
 	}
@@ -139,7 +139,7 @@
 	at.Repeat = class.Effect == scenario.Keyed && s.f.keys.seen(class, s.def, at.Key)
 	l.cores.work(l.ctx, at.Work)
 	l.cores.leave(ready)
-	l.cores.sleep(l.ctx, class.IO.At(s.f.draw("io", at.Op)))
+	l.cores.sleep(l.ctx, class.IO.Interpolate(s.f.draw("io", at.Op)))
 	select {
 	case n := <-*coming:
 		*coming = again(n)
@@ -150,13 +150,13 @@
 		return false
 	}
 	switch {
-	case s.strikes(scenario.ResetOut, at.Trace):
+	case s.strikes(scenario.ResetResponse, at.Trace):
 		sock.Abort(x.c)
 		return false
-	case s.strikes(scenario.Garble, at.Trace):
+	case s.strikes(scenario.MalformedAnswer, at.Trace):
 		io.WriteString(x.c, "\x16\x03\x01 no answer at all\r\n\r\n")
 		return false
-	case s.strikes(scenario.Fail, at.Trace):
+	case s.strikes(scenario.ErrorAnswer, at.Trace):
 		return x.answer(at, "500 Error", "", l.metrics(true)) == nil
 	}
 	return x.answer(at, "200 OK", Body(at.Trace, l.name), l.metrics(true)) == nil
--- a/internal/rig/standin/fleet.go
+++ b/internal/rig/standin/fleet.go
@@ -46,7 +46,7 @@
 	for _, def := range s.Servers {
 		srv := newServer(f, def)
 		f.servers = append(f.servers, srv)
-		if err := srv.begin(def.Name, scenario.Cold{}); err != nil {
+		if err := srv.begin(def.Name, scenario.SlowStart{}); err != nil {
 			f.Close()
 			return nil, fmt.Errorf("server %s: %w", def.Name, err)
 		}
--- a/internal/rig/standin/server.go
+++ b/internal/rig/standin/server.go
@@ -35,7 +35,7 @@
 	cores    *cores
 	pressure *scenario.Pressure
 	began    time.Duration
-	cold     scenario.Cold
+	cold     scenario.SlowStart
 	fell     time.Duration
 	started  int64 // Unix milliseconds; 0: long ago
 	ln       net.Listener
@@ -51,7 +51,7 @@
 }
 
 // begin starts a process by a name.
-func (s *server) begin(name string, cold scenario.Cold) error {
+func (s *server) begin(name string, cold scenario.SlowStart) error {
 	ln, err := s.f.net.Listen(s.addr)
 	if err != nil {
 		return err
@@ -174,7 +174,7 @@
 func (s *server) events(fault scenario.Fault) []event {
 	lasting := func(begin, end func()) []event {
 		run := func(f func()) func() error { return func() error { f(); return nil } }
-		return []event{{fault.At, run(begin)}, {fault.At + fault.For, run(end)}}
+		return []event{{fault.At, run(begin)}, {fault.At + fault.Duration, run(end)}}
 	}
 	switch fault.Kind {
 	case scenario.Slow:
@@ -182,16 +182,16 @@
 	case scenario.Stall:
 		var at *life
 		return lasting(func() { at = s.present(); at.stall(true) }, func() { at.stall(false) })
-	case scenario.Full:
+	case scenario.RejectAll:
 		return lasting(func() { s.addFull(1) }, func() { s.addFull(-1) })
-	case scenario.Silent:
+	case scenario.Isolated:
 		return lasting(func() { s.f.net.Silence(s.addr) }, func() { s.f.net.Restore(s.addr) })
 	case scenario.Drain:
 		return []event{{fault.At, func() error { s.publish(audit.Draining); return nil }}}
-	case scenario.Gone, scenario.Replace, scenario.Restart:
+	case scenario.Terminate, scenario.Replace, scenario.Restart:
 		return s.ending(fault)
 	}
-	return lasting(func() { s.setPart(fault.Kind, fault.Part) }, func() { s.setPart(fault.Kind, 0) })
+	return lasting(func() { s.setPart(fault.Kind, fault.Fraction) }, func() { s.setPart(fault.Kind, 0) })
 }
 
 // ending is the end of a process, and of the one that comes after it, if one does.
@@ -199,22 +199,22 @@
 	if fault.Kind != scenario.Restart {
 		all = append(all, event{fault.At, func() error { s.publish(audit.Draining); return nil }})
 	}
-	all = append(all, event{fault.At + fault.Drain, func() error {
+	all = append(all, event{fault.At + fault.DrainTime, func() error {
 		s.publish(audit.Removed)
 		s.end()
 		return nil
 	}})
-	if fault.Kind == scenario.Gone {
+	if fault.Kind == scenario.Terminate {
 		return all
 	}
-	return append(all, event{fault.At + fault.Drain + fault.Down, func() error {
+	return append(all, event{fault.At + fault.DrainTime + fault.Downtime, func() error {
 		name := s.def.Name
 		if fault.Kind == scenario.Replace {
 			s.mu.Lock()
 			name = fmt.Sprintf("%s.%d", s.def.Name, s.n+1)
 			s.mu.Unlock()
 		}
-		if err := s.begin(name, fault.Cold); err != nil {
+		if err := s.begin(name, fault.SlowStart); err != nil {
 			return err
 		}
 		s.publish(audit.Up)
--- a/internal/rig/standin/work.go
+++ b/internal/rig/standin/work.go
@@ -11,7 +11,7 @@
 // cores are those of one life of a server. Requests beyond them wait in the order in which they came.
 type cores struct {
 	def   scenario.Server
-	cold  scenario.Cold
+	cold  scenario.SlowStart
 	start time.Time
 
 	mu       sync.Mutex
@@ -31,7 +31,7 @@
 // reportEvery is the period of load reports.
 const reportEvery = 500 * time.Millisecond
 
-func newCores(def scenario.Server, cold scenario.Cold) *cores {
+func newCores(def scenario.Server, cold scenario.SlowStart) *cores {
 	now := time.Now()
 	return &cores{def: def, cold: cold, start: now, slow: 1, from: now, resumed: make(chan struct{})}
 }
--- a/internal/rig/statement/statement.go
+++ b/internal/rig/statement/statement.go
@@ -1,5 +1,5 @@
-// Package statement reads one line of a scenario: a verb, words, and options of the form name=value. It knows no verb; who
-// reads a file takes the words and options away one by one, and what is left over is wrong.
+// Package statement parses one line of a scenario: a verb, words, and options of the form name=value. It knows no verb: the caller
+// consumes words and options one by one, and what remains at the end is an error.
 package statement
 
 import (
@@ -11,95 +11,95 @@
 	"time"
 )
 
-// Error is what is wrong with a file, and where.
+// Error is an error in a file, with its place.
 type Error struct {
-	File  string
-	Line  int    // 0: the file as a whole
-	Field string // the word that is wrong, or the statement that is missing
-	Msg   string // what is wrong and what would be right
+	File    string
+	Line    int    // 0: the file as a whole
+	Field   string // the invalid word, or the missing statement
+	Message string // what is wrong, and what would be valid
 }
 
 func (e *Error) Error() string {
 	if e.Line == 0 {
-		return fmt.Sprintf("%s: %s: %s", e.File, e.Field, e.Msg)
+		return fmt.Sprintf("%s: %s: %s", e.File, e.Field, e.Message)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Msg)
+	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Message)
 }
 
-// Line is one statement: words, then options of the form name=value. Its methods take these away one by one; the first
-// thing that is wrong is kept in Err, and everything after it reads as zero.
+// Line is one statement: words, then options of the form name=value. Its methods consume these one by one. The first error is kept in
+// Err; a value that is invalid reads as zero.
 type Line struct {
-	File  string
-	No    int
-	Verb  string
-	Words []string // that are left
-	names []string // of options, in order
-	opts  map[string]string
-	Err   error
+	File        string
+	LineNumber  int
+	Verb        string
+	Remaining   []string // words that are not consumed yet
+	optionNames []string // in order
+	options     map[string]string
+	Err         error
 }
 
-// New splits a line; nil: there is no statement on it.
-func New(file string, no int, text string) *Line {
+// New splits a line; nil: it has no statement.
+func New(file string, lineNumber int, text string) *Line {
 	text, _, _ = strings.Cut(text, "#")
 	fields := strings.Fields(text)
 	if len(fields) == 0 {
 		return nil
 	}
-	l := &Line{File: file, No: no, Verb: fields[0], opts: map[string]string{}}
+	l := &Line{File: file, LineNumber: lineNumber, Verb: fields[0], options: map[string]string{}}
 	for _, f := range fields[1:] {
 		name, value, isOpt := strings.Cut(f, "=")
-		switch _, twice := l.opts[name]; {
+		switch _, twice := l.options[name]; {
 		case !isOpt:
-			l.Words = append(l.Words, f)
+			l.Remaining = append(l.Remaining, f)
 		case name == "":
 			l.Fail(f, "an option is name=value")
 		case twice:
 			l.Fail(name, "given twice")
 		default:
-			l.names = append(l.names, name)
-			l.opts[name] = value
+			l.optionNames = append(l.optionNames, name)
+			l.options[name] = value
 		}
 	}
 	return l
 }
 
-// Fail notes what is wrong with a field, unless something was wrong before.
+// Fail records an error of a field, unless there was one before.
 func (l *Line) Fail(field, format string, args ...any) {
-	if field == "" { // a word that is empty is not worth naming
+	if field == "" { // an empty word cannot be named
 		field = l.Verb
 	}
 	if l.Err == nil {
-		l.Err = &Error{File: l.File, Line: l.No, Field: field, Msg: fmt.Sprintf(format, args...)}
+		l.Err = &Error{File: l.File, Line: l.LineNumber, Field: field, Message: fmt.Sprintf(format, args...)}
 	}
 }
 
-// Word takes the next word.
-func (l *Line) Word(what string) string {
-	if len(l.Words) == 0 {
+// NextWord consumes the next word. what names it in the error if there is none.
+func (l *Line) NextWord(what string) string {
+	if len(l.Remaining) == 0 {
 		l.Fail(l.Verb, "%s is missing", what)
 		return ""
 	}
-	w := l.Words[0]
-	l.Words = l.Words[1:]
+	w := l.Remaining[0]
+	l.Remaining = l.Remaining[1:]
 	return w
 }
 
-// Literal takes the next word if it is w.
-func (l *Line) Literal(w string) bool {
-	if len(l.Words) == 0 || l.Words[0] != w {
+// AcceptWord consumes the next word if it is this one.
+func (l *Line) AcceptWord(word string) bool {
+	if len(l.Remaining) == 0 || l.Remaining[0] != word {
 		return false
 	}
-	l.Words = l.Words[1:]
+	l.Remaining = l.Remaining[1:]
 	return true
 }
 
-// End refuses what is left over, and names what could have stood there.
-func (l *Line) End(known ...string) error {
-	if len(l.Words) > 0 {
-		l.Fail(l.Words[0], "not expected here")
+// Finish rejects what remains, and returns the line's first error. known are the options that the verb takes.
+func (l *Line) Finish(known ...string) error {
+	if len(l.Remaining) > 0 {
+		l.Fail(l.Remaining[0], "not expected here")
 	}
-	for _, name := range l.names {
-		if _, left := l.opts[name]; left {
+	for _, name := range l.optionNames {
+		if _, left := l.options[name]; left {
 			if len(known) == 0 {
 				l.Fail(name, "%s takes no options", l.Verb)
 			}
@@ -109,21 +109,21 @@
 	return l.Err
 }
 
-// Opt takes an option away.
-func (l *Line) Opt(name string) (string, bool) {
-	v, ok := l.opts[name]
-	delete(l.opts, name)
+// Option consumes an option.
+func (l *Line) Option(name string) (string, bool) {
+	v, ok := l.options[name]
+	delete(l.options, name)
 	return v, ok
 }
 
-// Duration reads an option such as 250ms, of at least zero.
+// Duration reads an option such as 250ms, of at least zero. Without the option into stays, as in the methods below.
 func (l *Line) Duration(name string, into *time.Duration) {
-	if v, ok := l.Opt(name); ok {
+	if v, ok := l.Option(name); ok {
 		*into = l.ParseDuration(name, v)
 	}
 }
 
-// ParseDuration reads a word of a field as a duration.
+// ParseDuration parses a field's value as a duration.
 func (l *Line) ParseDuration(field, v string) time.Duration {
 	d, err := time.ParseDuration(v)
 	if err != nil || d < 0 || d > 1000*time.Hour {
@@ -133,9 +133,9 @@
 	return d
 }
 
-// Span reads 5ms or 5ms..10ms.
-func (l *Line) Span(name string, from, to *time.Duration) {
-	v, ok := l.Opt(name)
+// DurationRange reads an option such as 5ms or 5ms..10ms.
+func (l *Line) DurationRange(name string, from, to *time.Duration) {
+	v, ok := l.Option(name)
 	if !ok {
 		return
 	}
@@ -149,52 +149,52 @@
 	}
 }
 
-// Number reads a number within bounds; 40% is 0.4.
-func (l *Line) Number(name string, into *float64, least, most float64) {
-	if v, ok := l.Opt(name); ok {
-		*into = l.ParseNumber(name, v, least, most)
+// Number reads an option with a number within bounds; 40% is 0.4.
+func (l *Line) Number(name string, into *float64, minValue, maxValue float64) {
+	if v, ok := l.Option(name); ok {
+		*into = l.ParseNumber(name, v, minValue, maxValue)
 	}
 }
 
-// ParseNumber reads a word of a field as a number.
-func (l *Line) ParseNumber(field, v string, least, most float64) float64 {
+// ParseNumber parses a field's value as a number within bounds.
+func (l *Line) ParseNumber(field, v string, minValue, maxValue float64) float64 {
 	digits, percent := strings.CutSuffix(v, "%")
 	n, err := strconv.ParseFloat(digits, 64)
 	if percent {
 		n /= 100
 	}
-	if err != nil || math.IsNaN(n) || n < least || n > most {
-		l.Fail(field, "%q is no number from %v to %v", v, least, most)
+	if err != nil || math.IsNaN(n) || n < minValue || n > maxValue {
+		l.Fail(field, "%q is no number from %v to %v", v, minValue, maxValue)
 		return 0
 	}
 	return n
 }
 
-// Integer reads a whole number within bounds.
-func (l *Line) Integer(name string, into *int, least, most int) {
-	if v, ok := l.Opt(name); ok {
-		*into = l.ParseInteger(name, v, least, most)
+// Integer reads an option with a whole number within bounds.
+func (l *Line) Integer(name string, into *int, minValue, maxValue int) {
+	if v, ok := l.Option(name); ok {
+		*into = l.ParseInteger(name, v, minValue, maxValue)
 	}
 }
 
-// ParseInteger reads a word of a field as a whole number.
-func (l *Line) ParseInteger(field, v string, least, most int) int {
+// ParseInteger parses a field's value as a whole number within bounds.
+func (l *Line) ParseInteger(field, v string, minValue, maxValue int) int {
 	n, err := strconv.Atoi(v)
-	if err != nil || n < least || n > most {
-		l.Fail(field, "%q is no whole number from %d to %d", v, least, most)
-		return least
+	if err != nil || n < minValue || n > maxValue {
+		l.Fail(field, "%q is no whole number from %d to %d", v, minValue, maxValue)
+		return minValue
 	}
 	return n
 }
 
-// Yes reads yes or no.
-func (l *Line) Yes(name string, into *bool) {
-	if v, ok := l.Opt(name); ok {
+// Bool reads an option that is yes or no.
+func (l *Line) Bool(name string, into *bool) {
+	if v, ok := l.Option(name); ok {
 		*into = OneOf(l, name, v, "yes", "no") == "yes"
 	}
 }
 
-// OneOf reads one of the words that a field may be.
+// OneOf parses a field's value as one of the choices.
 func OneOf[T ~string](l *Line, field, v string, choices ...T) T {
 	if i := slices.Index(choices, T(v)); i >= 0 {
 		return choices[i]
@@ -207,8 +207,8 @@
 	return choices[0]
 }
 
-// PerSecond reads a rate such as 200/s.
-func (l *Line) PerSecond(v string) float64 {
+// ParseRate parses a rate such as 200/s.
+func (l *Line) ParseRate(v string) float64 {
 	digits, ok := strings.CutSuffix(v, "/s")
 	if !ok {
 		l.Fail(v, "a rate is a number a second, such as 200/s")
