--- a/cmd/petrelhookctl/capacity.go
+++ b/cmd/petrelhookctl/capacity.go
@@ -54,7 +54,7 @@
 	return cmd
 }
 
-// capacityReport reads both files. One of points that is not there is as one without any.
+// capacityReport reads both files. The file of measurements may be missing: that is the same as one without points.
 func capacityReport(assumed, measured string) (*capacity.Report, error) {
 	text, err := os.ReadFile(assumed)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return capacity.NewReport(a, m), nil
 }
 
-// writePage puts the tables into a page that is there.
+// writePage replaces the tables in a page that exists.
 func writePage(r *capacity.Report, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/petrelhookctl/chain.go
+++ b/cmd/petrelhookctl/chain.go
@@ -24,8 +24,8 @@
 
 func chainCommand() *cobra.Command {
 	o := &chainOptions{study: &chain.Study{
-		Depths: []int{1, 2, 3, 5, 8, 15}, Parts: []float64{0.1, 0.5, 1},
-		Rates: []float64{250, 2500}, Chains: []int{1, 5, 15},
+		FailDepths: []int{1, 2, 3, 5, 8, 15}, FailFractions: []float64{0.1, 0.5, 1},
+		Rates: []float64{250, 2500}, ChainDepths: []int{1, 5, 15},
 	}}
 	cmd := &cobra.Command{
 		Use:   "chain [--added] [--fail]",
@@ -48,14 +48,14 @@
 	f.StringVar(&o.output, "output", "text", "form of the report: text or json")
 	f.BoolVar(&o.onlyAdded, "added", false, "only what sidecars add, and --fail where it is given too")
 	f.BoolVar(&o.onlyFail, "fail", false, "only what repeats do, and --added where it is given too")
-	f.IntSliceVar(&s.Depths, "depths", s.Depths, "sidecars in a row, where a part fails")
-	f.Float64SliceVar(&s.Parts, "parts", s.Parts, "parts of the leaf's requests that fail")
+	f.IntSliceVar(&s.FailDepths, "depths", s.FailDepths, "sidecars in a row, where a part fails")
+	f.Float64SliceVar(&s.FailFractions, "parts", s.FailFractions, "parts of the leaf's requests that fail")
 	f.Float64SliceVar(&s.Rates, "rates", s.Rates, "calls a second at which one sidecar is measured")
-	f.IntSliceVar(&s.Chains, "chains", s.Chains, "sidecars in a row, where nothing fails, at the first of the rates")
+	f.IntSliceVar(&s.ChainDepths, "chains", s.ChainDepths, "sidecars in a row, where nothing fails, at the first of the rates")
 	f.Float64Var(&s.Rate, "rate", 80, "calls a second where a part fails")
-	f.Float64Var(&s.Unsafe, "unsafe", 0.5, "part of the calls that are unsafe to repeat")
+	f.Float64Var(&s.UnsafeFraction, "unsafe", 0.5, "part of the calls that are unsafe to repeat")
 	f.DurationVar(&s.Length, "length", 10*time.Second, "of the load of each run")
-	f.DurationVar(&s.Aim, "aim", 500*time.Millisecond, "time in which an answer earns its full worth")
+	f.DurationVar(&s.LatencyTarget, "aim", 500*time.Millisecond, "time in which an answer earns its full worth")
 	f.DurationVar(&s.Deadline, "deadline", 2*time.Second, "time that a call at the top has; what is left is passed on")
 	f.DurationVar(&s.Work, "work", 0, "time that the leaf takes for each request")
 	f.IntVar(&s.Servers, "servers", 3, "servers a level")
@@ -76,7 +76,7 @@
 		return runError{err}
 	}
 	if !report.OK() {
-		return errBad
+		return errNegativeResult
 	}
 	return nil
 }
@@ -97,12 +97,12 @@
 	if o.study.Program, err = sidecarProgram(filepath.Join(o.bin, "petrelhook")); err != nil {
 		return runError{err}
 	}
-	o.study.Pass = chain.Pass(o.pass)
+	o.study.PassMode = chain.PassMode(o.pass)
 	if err := o.study.Check(); err != nil {
 		return err
 	}
 	if o.output == "text" {
-		o.study.Started = func(what string) { fmt.Fprintln(cmd.ErrOrStderr(), what) }
+		o.study.OnStart = func(what string) { fmt.Fprintln(cmd.ErrOrStderr(), what) }
 	}
 	return nil
 }
@@ -110,16 +110,17 @@
 // measure runs the studies that the flags name; without either flag, both.
 func (o *chainOptions) measure(ctx context.Context) error {
 	if o.onlyAdded || !o.onlyFail {
-		if err := o.study.Added(ctx); err != nil {
+		if err := o.study.MeasureAddedLatency(ctx); err != nil {
 			return err
 		}
 	}
 	if o.onlyFail || !o.onlyAdded {
-		return o.study.Failing(ctx)
+		return o.study.MeasureFailures(ctx)
 	}
 	return nil
 }
 
+// write writes the report in the form of --output.
 func (o *chainOptions) write(out io.Writer, report *chain.Report) error {
 	if o.output != "json" {
 		return report.WriteText(out)
--- a/cmd/petrelhookctl/experiment.go
+++ b/cmd/petrelhookctl/experiment.go
@@ -35,7 +35,7 @@
 			if err != nil {
 				return runError{err}
 			}
-			if err := overrule(spec, seeds, policies); err != nil {
+			if err := applyOverrides(spec, seeds, policies); err != nil {
 				return err
 			}
 			if len(routers) == 0 {
@@ -51,8 +51,8 @@
 	return cmd
 }
 
-// overrule puts what the command line says in place of the file's.
-func overrule(spec *engines.Spec, seeds int, policies []string) error {
+// applyOverrides replaces fields of the file by those of the command line.
+func applyOverrides(spec *engines.Spec, seeds int, policies []string) error {
 	if seeds > 0 {
 		spec.Seeds = seeds
 	}
--- a/cmd/petrelhookctl/fleet.go
+++ b/cmd/petrelhookctl/fleet.go
@@ -15,25 +15,25 @@
 	"petrelhook/internal/coordination/replica"
 )
 
-// statusTime is for how long one coordinator is waited for.
-const statusTime = 2 * time.Second
+// statusTimeout bounds the wait for one coordinator's status.
+const statusTimeout = 2 * time.Second
 
 func fleetCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	cmd := &cobra.Command{Use: "fleet", Short: "The coordinators: how they are, add or remove one, back up and restore"}
-	a.flags(cmd)
-	cmd.AddCommand(a.statusCommand(), a.changeCommand(), a.removeCommand(), a.backupCommand(), restoreCommand())
+	a.add(cmd)
+	cmd.AddCommand(a.statusCommand(), a.addCommand(), a.removeCommand(), a.backupCommand(), restoreCommand())
 	return cmd
 }
 
-// member is a coordinator, as status shows it.
+// member is one coordinator in the output of status. Its JSON is an interface.
 type member struct {
 	Addr   string        `json:"addr"`
 	Err    string        `json:"err,omitempty"`
 	Status *fleet.Status `json:"status,omitempty"`
 }
 
-func (a *asking) statusCommand() *cobra.Command {
+func (a *coordinatorFlags) statusCommand() *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "What each coordinator says of itself; 1: no majority follows a leader", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			o, err := a.operator()
@@ -44,7 +44,7 @@
 			follow := map[uint64]int{}
 			most := 0
 			for _, addr := range a.addrs {
-				ctx, cancel := context.WithTimeout(cmd.Context(), min(a.within, statusTime))
+				ctx, cancel := context.WithTimeout(cmd.Context(), min(a.timeout, statusTimeout))
 				s, err := o.Status(ctx, addr)
 				cancel()
 				if m := (member{Addr: addr, Status: s}); err != nil {
@@ -75,19 +75,20 @@
 				}
 			}
 			if err == nil {
-				err = errBad
+				err = errNegativeResult
 			}
 			return err
 		}}
 }
 
-func (a *asking) changed(cmd *cobra.Command, in fleet.Request) error {
-	told, err := a.ask(cmd, in)
+// changeMembers sends a change of the group of coordinators, and prints the members after it.
+func (a *coordinatorFlags) changeMembers(cmd *cobra.Command, request fleet.Request) error {
+	response, err := a.call(cmd, request)
 	if err != nil {
 		return err
 	}
-	return a.print(cmd, told.Members, func(w *tabwriter.Writer) {
-		for _, m := range told.Members {
+	return a.print(cmd, response.Members, func(w *tabwriter.Writer) {
+		for _, m := range response.Members {
 			role := "votes"
 			if m.Learner {
 				role = "learns"
@@ -97,32 +98,32 @@
 	})
 }
 
-func (a *asking) changeCommand() *cobra.Command {
+func (a *coordinatorFlags) addCommand() *cobra.Command {
 	return &cobra.Command{Use: "add ID HOST:PORT", Short: "Add a coordinator, started with join: true; it votes once it has the log", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil || id == 0 {
 				return fmt.Errorf("%q: write an id from 1 on that was never used", args[0])
 			}
-			return a.changed(cmd, fleet.Request{AddMember: &replica.Member{ID: id, Addr: args[1]}})
+			return a.changeMembers(cmd, fleet.Request{AddMember: &replica.Member{ID: id, Addr: args[1]}})
 		}}
 }
 
-func (a *asking) removeCommand() *cobra.Command {
+func (a *coordinatorFlags) removeCommand() *cobra.Command {
 	return &cobra.Command{Use: "remove ID", Short: "Remove a coordinator; it ends, and its id is never used again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil || id == 0 {
 				return fmt.Errorf("%q: write the id of a coordinator", args[0])
 			}
-			return a.changed(cmd, fleet.Request{RemoveMember: id})
+			return a.changeMembers(cmd, fleet.Request{RemoveMember: id})
 		}}
 }
 
-func (a *asking) backupCommand() *cobra.Command {
+func (a *coordinatorFlags) backupCommand() *cobra.Command {
 	return &cobra.Command{Use: "backup FILE", Short: "Write all that is held, as of now, to a new file", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			told, err := a.ask(cmd, fleet.Request{Backup: true})
+			response, err := a.call(cmd, fleet.Request{Backup: true})
 			if err != nil {
 				return err
 			}
@@ -130,14 +131,14 @@
 			if err != nil {
 				return runError{err}
 			}
-			if _, err = f.Write(told.Backup); err == nil {
+			if _, err = f.Write(response.Backup); err == nil {
 				err = f.Sync()
 			}
 			if failed := f.Close(); err == nil {
 				err = failed
 			}
 			if err != nil {
-				_ = os.Remove(args[0]) // a partial back-up must not be taken for one; the first error says more
+				_ = os.Remove(args[0]) // a partial back-up must not be left; the first error is the one to report
 				return runError{err}
 			}
 			return nil
--- a/cmd/petrelhookctl/lease.go
+++ b/cmd/petrelhookctl/lease.go
@@ -20,24 +20,25 @@
 	"petrelhook/lease"
 )
 
-// asking is what the commands that ask coordinators have in common.
-type asking struct {
-	addrs  []string
-	output string
-	within time.Duration
+// coordinatorFlags are the flags of the subcommands that call coordinators.
+type coordinatorFlags struct {
+	addrs   []string
+	output  string
+	timeout time.Duration
 }
 
-func (a *asking) flags(cmd *cobra.Command) {
+func (a *coordinatorFlags) add(cmd *cobra.Command) {
 	addrs := []string{fleet.DefaultAddr}
 	if text := os.Getenv("PETRELFLEET_ADDRS"); text != "" {
 		addrs = strings.Split(text, ",")
 	}
 	cmd.PersistentFlags().StringSliceVar(&a.addrs, "addrs", addrs, "`HOST:PORT,...` of the coordinators; else $PETRELFLEET_ADDRS")
 	cmd.PersistentFlags().StringVar(&a.output, "output", "text", "text or json")
-	cmd.PersistentFlags().DurationVar(&a.within, "within", 10*time.Second, "how long an answer may take")
+	cmd.PersistentFlags().DurationVar(&a.timeout, "within", 10*time.Second, "how long an answer may take")
 }
 
-func (a *asking) operator() (*fleet.Operator, error) {
+// operator checks the flags, and returns the client of the coordinators.
+func (a *coordinatorFlags) operator() (*fleet.Operator, error) {
 	if a.output != "text" && a.output != "json" {
 		return nil, fmt.Errorf("--output: %q: write text or json", a.output)
 	}
@@ -45,28 +46,28 @@
 	return o, o.Check()
 }
 
-// time is a call's.
-func (a *asking) time(cmd *cobra.Command) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(cmd.Context(), a.within)
+// withTimeout is the context of one call.
+func (a *coordinatorFlags) withTimeout(cmd *cobra.Command) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(cmd.Context(), a.timeout)
 }
 
-// ask asks whoever leads.
-func (a *asking) ask(cmd *cobra.Command, in fleet.Request) (*fleet.Response, error) {
+// call sends a request to the leader.
+func (a *coordinatorFlags) call(cmd *cobra.Command, request fleet.Request) (*fleet.Response, error) {
 	o, err := a.operator()
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(cmd.Context(), a.within)
+	ctx, cancel := context.WithTimeout(cmd.Context(), a.timeout)
 	defer cancel()
-	told, err := o.Call(ctx, in)
+	response, err := o.Call(ctx, request)
 	if err != nil {
 		return nil, runError{err}
 	}
-	return told, nil
+	return response, nil
 }
 
-// print writes a result as JSON, or as lines of text.
-func (a *asking) print(cmd *cobra.Command, v any, text func(w *tabwriter.Writer)) error {
+// print writes a result in the form of --output: JSON, or lines of text.
+func (a *coordinatorFlags) print(cmd *cobra.Command, v any, text func(w *tabwriter.Writer)) error {
 	if a.output == "json" {
 		e := json.NewEncoder(cmd.OutOrStdout())
 		e.SetIndent("", "  ")
@@ -78,20 +79,20 @@
 }
 
 func leaseCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	cmd := &cobra.Command{Use: "lease", Short: "Leases for tasks of the fleet: who holds them, hold one while a command runs"}
-	a.flags(cmd)
+	a.add(cmd)
 	list := func(use, short string, args cobra.PositionalArgs, show bool) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
 			prefix := strings.Join(args, "")
-			told, err := a.ask(cmd, fleet.Request{ListLeases: &prefix})
+			response, err := a.call(cmd, fleet.Request{ListLeases: &prefix})
 			if err != nil {
 				return err
 			}
-			all := told.Leases
+			all := response.Leases
 			if show {
 				all = nil
-				for _, h := range told.Leases {
+				for _, h := range response.Leases {
 					if h.Name == prefix {
 						all = append(all, h)
 					}
@@ -100,7 +101,7 @@
 					return runError{fmt.Errorf("%s: nobody holds it, and nobody waits for it", prefix)}
 				}
 			}
-			return a.print(cmd, all, func(w *tabwriter.Writer) { writeHoldings(w, all, show) })
+			return a.print(cmd, all, func(w *tabwriter.Writer) { writeLeases(w, all, show) })
 		}}
 	}
 	cmd.AddCommand(
@@ -112,7 +113,8 @@
 	return cmd
 }
 
-func writeHoldings(w *tabwriter.Writer, all []core.Info, waiters bool) {
+// writeLeases writes a table of leases, with the sessions that wait for them if waiters is set.
+func writeLeases(w *tabwriter.Writer, all []core.Info, waiters bool) {
 	fmt.Fprintln(w, "LEASE\tHOLDER\tSESSION\tTOKEN\tTTL\tWAIT\t")
 	for _, h := range all {
 		more := ""
@@ -128,22 +130,22 @@
 	}
 }
 
-func (a *asking) breakCommand(use, short string, wait bool) *cobra.Command {
+func (a *coordinatorFlags) breakCommand(use, short string, wait bool) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		told, err := a.ask(cmd, fleet.Request{Command: &core.Command{Kind: core.Break, Name: args[0]}})
+		response, err := a.call(cmd, fleet.Request{Command: &core.Command{Kind: core.Break, Name: args[0]}})
 		if err != nil {
 			return err
 		}
-		if told.Answer.Status != core.OK {
+		if response.Answer.Status != core.OK {
 			return runError{fmt.Errorf("%s: nobody holds it", args[0])}
 		}
-		for broken := told.Answer.Token; wait; {
-			told, err := a.ask(cmd, fleet.Request{ListLeases: &args[0]})
+		for broken := response.Answer.Token; wait; {
+			response, err := a.call(cmd, fleet.Request{ListLeases: &args[0]})
 			if err != nil {
 				return err
 			}
 			held := false
-			for _, h := range told.Leases {
+			for _, h := range response.Leases {
 				held = held || h.Name == args[0] && h.Token == broken
 			}
 			if !held {
@@ -155,17 +157,17 @@
 			case <-time.After(100 * time.Millisecond):
 			}
 		}
-		return a.print(cmd, told.Answer, func(w *tabwriter.Writer) {
-			fmt.Fprintf(w, "%s: the grant %d of %s is broken\n", args[0], told.Answer.Token, told.Answer.Holder)
+		return a.print(cmd, response.Answer, func(w *tabwriter.Writer) {
+			fmt.Fprintf(w, "%s: the grant %d of %s is broken\n", args[0], response.Answer.Token, response.Answer.Holder)
 		})
 	}}
 }
 
-// The exit codes of lease run beside the command's own.
+// The exit codes of lease run besides the command's own.
 const (
-	exitNoLease = 69 // the lease was not acquired
-	exitLost    = 75 // the lease was lost, and the command ended on SIGTERM
-	exitKilled  = 76 // the lease was lost, and the command had to be killed
+	exitNoLease   = 69 // the lease was not acquired
+	exitLeaseLost = 75 // the lease was lost, and the command ended on SIGTERM
+	exitKilled    = 76 // the lease was lost, and the command had to be killed
 )
 
 // exitCodeError is the exit code that a subcommand ends with.
@@ -173,7 +175,7 @@
 
 func (e exitCodeError) Error() string { return fmt.Sprint("exit ", int(e)) }
 
-func (a *asking) runCommand() *cobra.Command {
+func (a *coordinatorFlags) runCommand() *cobra.Command {
 	var ttl, grace time.Duration
 	var owner string
 	var try bool
@@ -235,7 +237,7 @@
 	for {
 		select {
 		case err := <-ended:
-			signalGroup(syscall.SIGKILL) // what it left behind
+			signalGroup(syscall.SIGKILL) // processes that the command has left
 			release, cancel := context.WithTimeout(context.Background(), grace)
 			defer cancel()
 			_ = held.Release(release) // a lease that cannot be released ends after its TTL
@@ -259,7 +261,7 @@
 			lost = nil
 			if !terminated && held.Left() > grace/5 {
 				signalGroup(syscall.SIGTERM)
-				terminated, code = true, exitLost
+				terminated, code = true, exitLeaseLost
 			}
 		case <-poll.C:
 			switch left := held.Left(); {
@@ -268,7 +270,7 @@
 				code = exitKilled
 			case left <= grace && !terminated:
 				signalGroup(syscall.SIGTERM)
-				terminated, code = true, exitLost
+				terminated, code = true, exitLeaseLost
 			}
 		}
 	}
--- a/cmd/petrelhookctl/lease_test.go
+++ b/cmd/petrelhookctl/lease_test.go
@@ -28,13 +28,13 @@
 		ttl    time.Duration // of which half is between TERM and the end: a command that heeds TERM has to have ended by then on a busy machine too
 	}{
 		"its own code":     {`test "$LEASE_NAME" = job && test "$LEASE_TOKEN" = 1 && exit 7`, nil, 7, 2 * time.Second},
-		"lost":             {"sleep 60", func(_ string, stop func()) { stop() }, exitLost, 12 * time.Second},
+		"lost":             {"sleep 60", func(_ string, stop func()) { stop() }, exitLeaseLost, 12 * time.Second},
 		"lost, and killed": {`trap "" TERM; while :; do sleep 0.02; done`, func(_ string, stop func()) { stop() }, exitKilled, 2 * time.Second},
 		"broken": {"sleep 60", func(addr string, _ func()) {
 			if code, _, errs := call(t.Context(), "lease", "release", "job", "--addrs", addr); code != 0 {
 				t.Errorf("release: %d %s", code, errs)
 			}
-		}, exitLost, 12 * time.Second},
+		}, exitLeaseLost, 12 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/petrelhookctl/load.go
+++ b/cmd/petrelhookctl/load.go
@@ -14,7 +14,7 @@
 )
 
 func loadCommand() *cobra.Command {
-	var o options
+	var o runOptions
 	var targets []string
 	cmd := &cobra.Command{
 		Use:   "load SCENARIO | FILE --target ADDRESS",
@@ -34,38 +34,38 @@
 					return fmt.Errorf("--target: %q is no address such as 127.0.0.1:8080", t)
 				}
 			}
-			s, err := o.scenario(args[0])
+			s, err := o.readScenario(args[0])
 			if err != nil {
 				return err
 			}
-			room, err := o.room(0)
+			connections, err := o.clientConnections(0)
 			if err != nil {
 				return err
 			}
-			trace, endTrace, err := o.recorder()
+			trace, endTrace, err := o.openTrace()
 			if err != nil {
 				return err
 			}
 			r := &load.Runner{
 				Scenario: s, Targets: targets, Dial: (&net.Dialer{}).DialContext, Zero: time.Now(), Wait: load.WaitPrecisely,
-				Connections: room, MaxLag: o.maxLag, Trace: trace,
+				Connections: connections, MaxLag: o.maxLag, Trace: trace,
 			}
-			if l := newLive(cmd.ErrOrStderr()); l != nil {
+			if l := newProgressLine(cmd.ErrOrStderr()); l != nil {
 				r.Live = l.add
 				go l.run()
 				defer l.end()
 			}
-			before := cpu()
+			before := ownCPUTime()
 			result, err := r.Run(cmd.Context())
 			if err = errors.Join(err, endTrace()); err != nil {
 				return runError{err}
 			}
 			report := rehearse.LoadReport(&rehearse.Outcome{Scenario: s, Load: result}, strings.Join(targets, ", "))
-			report.Generator.CPU = (cpu() - before).Seconds()
-			return o.show(cmd, report)
+			report.Generator.CPU = (ownCPUTime() - before).Seconds()
+			return o.writeReport(cmd, report)
 		},
 	}
-	o.flags(cmd)
+	o.addFlags(cmd)
 	cmd.Flags().StringSliceVar(&targets, "target", nil, "`ADDRESS` of a sidecar; several are dealt arrivals in turn")
 	return cmd
 }
--- a/cmd/petrelhookctl/main.go
+++ b/cmd/petrelhookctl/main.go
@@ -1,7 +1,7 @@
 // Command petrelhookctl is the operators' tool. Each subcommand is a thin shell over a package.
 //
-// It ends with 0 where all is well, 1 where what it looked at is bad, and 2 where it was called wrongly. Results go to
-// standard output; progress and errors, one line each, to standard error.
+// Exit codes: 0 success, 1 a negative result or a failure, 2 wrong usage; some subcommands have further ones. Results go to standard
+// output; progress and errors, one line each, to standard error.
 package main
 
 import (
@@ -17,7 +17,7 @@
 )
 
 func main() {
-	// The first signal stops what runs, in order; a second one ends the process at once.
+	// The first signal ends the subcommand gracefully; a second one ends the process at once.
 	ctx, release := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	context.AfterFunc(ctx, release)
 	code := run(ctx, os.Args[1:], os.Stdout, os.Stderr)
@@ -25,15 +25,16 @@
 	os.Exit(code)
 }
 
-// errBad says that what was looked at is bad; the report has said why.
-var errBad = errors.New("bad")
+// errNegativeResult is the error of a subcommand whose result is negative. The result has been written.
+var errNegativeResult = errors.New("bad")
 
-// runError is an error of a subcommand that was called rightly.
+// runError is an error of a subcommand whose usage was right: exit code 1.
 type runError struct{ error }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e runError) Unwrap() error { return e.error }
 
+// run runs the subcommand that args name, and returns the exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) (code int) {
 	root := &cobra.Command{
 		Use: "petrelhookctl", Short: "The operators' tool of petrelhook", SilenceErrors: true, SilenceUsage: true,
@@ -49,14 +50,14 @@
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errBad):
+	case errors.Is(err, errNegativeResult):
 		return 1
 	case errors.As(err, &exit):
 		return int(exit)
 	case errors.As(err, &ran):
 		fmt.Fprintln(stderr, "petrelhookctl:", err)
 		return 1
-	default: // cobra's, and what a subcommand says of its flags
+	default: // usage errors of cobra, and of a subcommand's flags
 		fmt.Fprintln(stderr, "petrelhookctl:", err)
 		return 2
 	}
--- a/cmd/petrelhookctl/options.go
+++ b/cmd/petrelhookctl/options.go
@@ -19,18 +19,18 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// reserveFiles is how many descriptors a rehearsal keeps for itself; the rest is for connections of clients.
-const reserveFiles = 64
+// reservedDescriptors is the number of descriptors that a rehearsal reserves for itself; the rest is for clients' connections.
+const reservedDescriptors = 64
 
-// options are the flags that rehearse and load share.
-type options struct {
+// runOptions are the flags that the subcommands rehearse, load and standin share.
+type runOptions struct {
 	output, page, record string
 	seed                 uint64
 	maxLag               time.Duration
 	connections          int
 }
 
-func (o *options) flags(cmd *cobra.Command) {
+func (o *runOptions) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
 	f.StringVar(&o.output, "output", "text", "form of the report: text or json")
 	f.StringVar(&o.page, "html", "", "also write the report as a self-contained page to `FILE`")
@@ -40,7 +40,7 @@
 	f.IntVar(&o.connections, "connections", 0, "connections of clients at once (0: what the limit of descriptors leaves)")
 }
 
-func (o *options) check() error {
+func (o *runOptions) check() error {
 	switch {
 	case o.output != "text" && o.output != "json":
 		return fmt.Errorf("--output: %q is neither text nor json", o.output)
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// scenario reads a scenario that comes with the program, or a file: what has a slash or a dot is a file.
-func (o *options) scenario(name string) (s *scenario.Scenario, err error) {
+// readScenario reads a file, if the name has a slash or a dot, or else a scenario of the library.
+func (o *runOptions) readScenario(name string) (s *scenario.Scenario, err error) {
 	if strings.ContainsAny(name, "/.") {
 		s, err = scenario.Read(name)
 	} else {
@@ -65,7 +65,7 @@
 	if o.seed != 0 {
 		s.Seed = o.seed
 	}
-	for _, a := range s.Arrivals { // a bad trace is found before anything starts
+	for _, a := range s.Arrivals { // an invalid trace is an error before anything starts
 		if a.Shape == scenario.Trace {
 			if err := arrival.CheckTrace(a.File, s); err != nil {
 				return nil, runError{err}
@@ -75,13 +75,13 @@
 	return s, nil
 }
 
-// room is how many connections the clients may have open, with so many descriptors needed elsewhere.
-func (o *options) room(others int) (int, error) {
+// clientConnections is the number of connections that clients may have open, if so many descriptors are reserved for others.
+func (o *runOptions) clientConnections(reserved int) (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, runError{fmt.Errorf("limit of descriptors: %w", err)}
 	}
-	free := int(min(limit.Cur, 1<<30)) - reserveFiles - others
+	free := int(min(limit.Cur, 1<<30)) - reservedDescriptors - reserved
 	if free < 1 {
 		return 0, runError{fmt.Errorf("%d descriptors are too few for this scenario; raise the limit (ulimit -n)", limit.Cur)}
 	}
@@ -91,8 +91,8 @@
 	return free, nil
 }
 
-// recorder opens the file of --record, if it was given. The caller calls end when the last request was recorded.
-func (o *options) recorder() (w *arrival.TraceWriter, end func() error, err error) {
+// openTrace creates the file of --record, if it was given. The caller calls end after the last request was recorded.
+func (o *runOptions) openTrace() (w *arrival.TraceWriter, end func() error, err error) {
 	if o.record == "" {
 		return nil, func() error { return nil }, nil
 	}
@@ -109,8 +109,8 @@
 	}, nil
 }
 
-// show writes the report, and says whether it is good.
-func (o *options) show(cmd *cobra.Command, r *rehearse.Report) error {
+// writeReport writes the report. It returns errNegativeResult if the report is not OK.
+func (o *runOptions) writeReport(cmd *cobra.Command, r *rehearse.Report) error {
 	if o.page != "" {
 		f, err := os.Create(o.page)
 		if err != nil {
@@ -131,13 +131,13 @@
 		return runError{err}
 	}
 	if !r.OK() {
-		return errBad
+		return errNegativeResult
 	}
 	return nil
 }
 
-// cpu is what this process has taken so far.
-func cpu() time.Duration {
+// ownCPUTime is the processor time of this process so far.
+func ownCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -145,25 +145,26 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// live shows how a run goes, on a terminal only.
-type live struct {
-	w io.Writer
+// progressLine shows the progress of a run on a terminal, as one line that is rewritten.
+type progressLine struct {
+	writer io.Writer
 
 	mu     sync.Mutex
 	began  time.Time
-	counts [5]int // by result, since the last line
+	counts [5]int // by result, since the line was last written
 	worst  time.Duration
 	stop   chan struct{}
 	done   chan struct{}
 }
 
-const liveEvery = 500 * time.Millisecond
+const progressInterval = 500 * time.Millisecond
 
-func newLive(w io.Writer) *live {
+// newProgressLine returns nil if the writer is not a terminal.
+func newProgressLine(w io.Writer) *progressLine {
 	if f, ok := w.(*os.File); !ok || !isTerminal(f) {
 		return nil
 	}
-	return &live{w: w, stop: make(chan struct{}), done: make(chan struct{})}
+	return &progressLine{writer: w, stop: make(chan struct{}), done: make(chan struct{})}
 }
 
 func isTerminal(f *os.File) bool {
@@ -171,32 +172,33 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-func (l *live) add(op load.Operation) {
+// add counts an operation. It may be called from several goroutines.
+func (l *progressLine) add(op load.Operation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts[op.Result]++
 	l.worst = max(l.worst, op.Latency)
 }
 
-// run shows a line now and then until end is called.
-func (l *live) run() {
+// run rewrites the line at an interval until end is called.
+func (l *progressLine) run() {
 	defer close(l.done)
 	l.mu.Lock()
 	l.began = time.Now()
 	l.mu.Unlock()
-	ticker := time.NewTicker(liveEvery)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-l.stop:
-			fmt.Fprint(l.w, "\r\033[K")
+			fmt.Fprint(l.writer, "\r\033[K")
 			return
 		case <-ticker.C:
 		}
 		l.mu.Lock()
 		c := l.counts
-		per := float64(time.Second) / float64(liveEvery)
-		fmt.Fprintf(l.w, "\r\033[K%5.1f s  %5.0f/s served  %4.0f refused  %4.0f failed  %4.0f lost  slowest %v",
+		per := float64(time.Second) / float64(progressInterval)
+		fmt.Fprintf(l.writer, "\r\033[K%5.1f s  %5.0f/s served  %4.0f refused  %4.0f failed  %4.0f lost  slowest %v",
 			time.Since(l.began).Seconds(), float64(c[audit.Served])*per, float64(c[audit.Refused])*per,
 			float64(c[audit.Failed])*per, float64(c[audit.Lost]+c[audit.Unreached])*per, l.worst.Round(time.Millisecond))
 		l.counts, l.worst = [5]int{}, 0
@@ -204,7 +206,8 @@
 	}
 }
 
-func (l *live) end() {
+// end removes the line and waits for run.
+func (l *progressLine) end() {
 	close(l.stop)
 	<-l.done
 }
--- a/cmd/petrelhookctl/rehearse.go
+++ b/cmd/petrelhookctl/rehearse.go
@@ -15,11 +15,11 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// defaultScenario is played where none is named: it has drains and cold starts.
+// defaultScenario is run if none is named: it has draining servers and slow starts.
 const defaultScenario = "rolling-deploy"
 
 func rehearseCommand() *cobra.Command {
-	var o options
+	var o runOptions
 	var program string
 	var direct, verbose bool
 	cmd := &cobra.Command{
@@ -37,7 +37,7 @@
 			if len(args) > 0 {
 				name = args[0]
 			}
-			s, err := o.scenario(name)
+			s, err := o.readScenario(name)
 			if err != nil {
 				return err
 			}
@@ -46,17 +46,17 @@
 			} else if program, err = sidecarProgram(program); err != nil {
 				return runError{err}
 			}
-			return rehearsal(cmd, &o, s, program, verbose)
+			return runRehearsal(cmd, &o, s, program, verbose)
 		},
 	}
-	o.flags(cmd)
+	o.addFlags(cmd)
 	cmd.Flags().StringVar(&program, "sidecar", "", "`PROGRAM` of the sidecar (default: petrelhook beside this program)")
 	cmd.Flags().BoolVar(&direct, "direct", false, "send straight to the servers, without sidecars: a baseline for latencies")
 	cmd.Flags().BoolVar(&verbose, "verbose", false, "pass the sidecars' logs on to standard error")
 	return cmd
 }
 
-// sidecarProgram finds the sidecar's program.
+// sidecarProgram returns the absolute path of the sidecar's program, by default the one beside this program.
 func sidecarProgram(given string) (string, error) {
 	path := given
 	if path == "" {
@@ -72,44 +72,45 @@
 	return filepath.Abs(path)
 }
 
-func rehearsal(cmd *cobra.Command, o *options, s *scenario.Scenario, program string, verbose bool) (err error) {
-	// Beside the clients: listeners, and some connections from each sidecar to each server and to discovery.
-	room, err := o.room(8 * (len(s.Servers) + 1) * max(s.Sidecars.Count, 1) * 2)
+// runRehearsal runs a scenario with sidecars of a program, or without any, and writes the report.
+func runRehearsal(cmd *cobra.Command, o *runOptions, s *scenario.Scenario, program string, verbose bool) (err error) {
+	// Reserved for others: listeners, and some connections from each sidecar to each server and to discovery.
+	connections, err := o.clientConnections(8 * (len(s.Servers) + 1) * max(s.Sidecars.Count, 1) * 2)
 	if err != nil {
 		return err
 	}
-	trace, endTrace, err := o.recorder()
+	trace, endTrace, err := o.openTrace()
 	if err != nil {
 		return err
 	}
-	// Connections of clients, and those that sidecars open to servers, end in this process too.
+	// This process has both the clients' ends of connections and the servers' ends of those that sidecars open.
 	r := &rehearse.Rehearsal{
-		Scenario: s, Network: loopback.New(), Connections: max(1, room/2), MaxLag: o.maxLag, Wait: load.WaitPrecisely, Trace: trace,
+		Scenario: s, Network: loopback.New(), MaxConnections: max(1, connections/2), MaxLag: o.maxLag, WaitUntil: load.WaitPrecisely, Trace: trace,
 	}
-	against := "the servers, without sidecars"
+	target := "the servers, without sidecars"
 	processes := &rehearse.Processes{Program: program}
 	if s.Sidecars.Count > 0 {
 		if verbose {
 			processes.Log = cmd.ErrOrStderr()
 		}
 		r.Sidecars = processes
-		against = fmt.Sprintf("%d sidecar processes", s.Sidecars.Count)
+		target = fmt.Sprintf("%d sidecar processes", s.Sidecars.Count)
 	}
-	if l := newLive(cmd.ErrOrStderr()); l != nil {
-		r.Live = l.add
-		r.Began = func() { go l.run() }
+	if l := newProgressLine(cmd.ErrOrStderr()); l != nil {
+		r.OnOperation = l.add
+		r.OnStart = func() { go l.run() }
 		defer l.end()
 	}
-	before := cpu()
+	before := ownCPUTime()
 	outcome, err := r.Run(cmd.Context())
 	err = errors.Join(err, endTrace())
 	if err != nil {
 		return runError{err}
 	}
-	report := rehearse.NewReport(outcome, against)
-	report.Generator.CPU = (cpu() - before).Seconds()
+	report := rehearse.NewReport(outcome, target)
+	report.Generator.CPU = (ownCPUTime() - before).Seconds()
 	if s.Sidecars.Count > 0 {
 		report.Sidecars = processes.Usage()
 	}
-	return o.show(cmd, report)
+	return o.writeReport(cmd, report)
 }
--- a/cmd/petrelhookctl/revision.go
+++ b/cmd/petrelhookctl/revision.go
@@ -22,7 +22,7 @@
 }
 
 func revisionPublishCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	var wait time.Duration
 	var stepsDone bool
 	cmd := &cobra.Command{
@@ -40,7 +40,7 @@
 			if err != nil {
 				return runError{err}
 			}
-			ctx, cancel := a.time(cmd)
+			ctx, cancel := a.withTimeout(cmd)
 			defer cancel()
 			revision, already, err := o.Publish(ctx, service, content, stepsDone)
 			switch {
@@ -61,19 +61,20 @@
 			})
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	cmd.Flags().BoolVar(&stepsDone, "steps-done", false, "what has to be done elsewhere first was done (petrelhookctl rollout plan says what)")
 	cmd.Flags().DurationVar(&wait, "wait", 0, "how long to wait until it is in force everywhere; 0: do not")
 	return cmd
 }
 
-// lookTime is between two looks at what is in force.
-const lookTime = 500 * time.Millisecond
+// pollInterval is the interval of polls of what is in force.
+const pollInterval = 500 * time.Millisecond
 
-func (a *asking) awaitInForce(cmd *cobra.Command, o *fleet.Operator, service string, revision distribute.Revision, wait time.Duration) error {
+// awaitInForce waits until a revision is in force on all sidecars of a service, or the wait is over, and prints the summary.
+func (a *coordinatorFlags) awaitInForce(cmd *cobra.Command, o *fleet.Operator, service string, revision distribute.Revision, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	tick := time.NewTicker(lookTime)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for late := false; ; {
 		of, all := o.InForce(cmd.Context(), service)
@@ -81,7 +82,7 @@
 		if done := s.Newest >= revision && s.Reported > 0 && s.InForce == s.Reported; done || late {
 			err := a.printSummary(cmd, s, all)
 			if err == nil && !done {
-				err = errBad
+				err = errNegativeResult
 			}
 			return err
 		}
@@ -96,7 +97,7 @@
 }
 
 func revisionStatusCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
 		Use: "status [SERVICE]", Args: cobra.MaximumNArgs(1),
 		Short: "What is in force, at how many sidecars, and at which not and why; 1: the newest is not in force everywhere",
@@ -112,19 +113,19 @@
 					return err
 				}
 				if s.InForce != s.Reported {
-					return errBad
+					return errNegativeResult
 				}
 				return nil
 			}
 			return a.printServices(cmd, o)
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	return cmd
 }
 
-// printServices prints a line for each service that has a version, and which coordinators can't tell.
-func (a *asking) printServices(cmd *cobra.Command, o *fleet.Operator) error {
+// printServices prints a line for each service that has a version, and the coordinators that cannot answer.
+func (a *coordinatorFlags) printServices(cmd *cobra.Command, o *fleet.Operator) error {
 	of, coordinators := o.InForce(cmd.Context(), "")
 	all := make([]distribute.Summary, 0, len(of))
 	behind := false
@@ -142,12 +143,12 @@
 		printCoordinators(w, coordinators)
 	})
 	if err == nil && behind {
-		err = errBad
+		err = errNegativeResult
 	}
 	return err
 }
 
-// printCoordinators prints those that can't tell.
+// printCoordinators prints the coordinators that cannot answer.
 func printCoordinators(w *tabwriter.Writer, all []fleet.CoordinatorSummary) {
 	for _, c := range all {
 		switch {
@@ -159,8 +160,8 @@
 	}
 }
 
-// printSummary prints how a service stands: the sum, and those where the newest is not in force.
-func (a *asking) printSummary(cmd *cobra.Command, s distribute.Summary, all []fleet.CoordinatorSummary) error {
+// printSummary prints the state of a service: the counts, and the sidecars on which the newest version is not in force.
+func (a *coordinatorFlags) printSummary(cmd *cobra.Command, s distribute.Summary, all []fleet.CoordinatorSummary) error {
 	return a.print(cmd, s, func(w *tabwriter.Writer) {
 		fmt.Fprintf(w, "%s\trevision %d\tin force at %d of %d\n", s.Service, s.Newest, s.InForce, s.Reported)
 		for _, m := range s.Members {
@@ -178,23 +179,23 @@
 }
 
 func revisionShowCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
 		Use: "show SERVICE", Args: cobra.ExactArgs(1), Short: "A service's newest version, with its content",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			told, err := a.ask(cmd, fleet.Request{Versions: &args[0]})
-			if err == nil && len(told.Versions) == 0 {
+			response, err := a.call(cmd, fleet.Request{Versions: &args[0]})
+			if err == nil && len(response.Versions) == 0 {
 				err = runError{fmt.Errorf("%s: nothing was published for it", args[0])}
 			}
 			if err != nil {
 				return err
 			}
-			v := told.Versions[0]
+			v := response.Versions[0]
 			return a.print(cmd, v, func(w *tabwriter.Writer) {
 				fmt.Fprintf(w, "%s\trevision %d\t%s\n%s\n", v.Service, v.Revision, v.Digest, v.Content)
 			})
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	return cmd
 }
--- a/cmd/petrelhookctl/rollout.go
+++ b/cmd/petrelhookctl/rollout.go
@@ -15,24 +15,24 @@
 	"petrelhook/internal/sidecar/config"
 )
 
-// checkTime is for how long a new program may check its settings.
-const checkTime = 10 * time.Second
+// checkTimeout bounds the time that a new program takes to check its settings.
+const checkTimeout = 10 * time.Second
 
 func rolloutCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "rollout", Short: "Rolling changes: check one, begin it, watch it, stop it"}
 	cmd.AddCommand(rolloutPlanCommand(), rolloutStartCommand(), rolloutStatusCommand(), rolloutHistoryCommand(), rolloutExplainCommand(), rolloutReportCommand())
-	cmd.AddCommand(rolloutSayCommands()...)
+	cmd.AddCommand(rolloutEventCommands()...)
 	return cmd
 }
 
-// rolloutPlan is what rollout plan found.
+// rolloutPlan is the output of rollout plan. Its JSON is an interface.
 type rolloutPlan struct {
 	Verdict  string            `json:"verdict"`
 	Findings []release.Finding `json:"findings"`
 }
 
 func rolloutPlanCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	var from, to, program string
 	cmd := &cobra.Command{
 		Use: "plan --from FILE --to FILE", Args: cobra.NoArgs, Short: "Say which fields may differ side by side, which need two steps, and which are refused",
@@ -57,7 +57,7 @@
 				texts[i] = text
 			}
 			if program != "" {
-				if err := checkBy(cmd.Context(), program, to); err != nil {
+				if err := checkWithProgram(cmd.Context(), program, to); err != nil {
 					return runError{err}
 				}
 			}
@@ -73,7 +73,7 @@
 				fmt.Fprintln(w, "the change:", worst)
 			})
 			if err == nil && worst != release.SideBySide {
-				return errBad
+				return errNegativeResult
 			}
 			return err
 		},
@@ -85,9 +85,9 @@
 	return cmd
 }
 
-// checkBy has a program check a configuration.
-func checkBy(ctx context.Context, program, path string) error {
-	ctx, cancel := context.WithTimeout(ctx, checkTime)
+// checkWithProgram has a sidecar's program check a configuration.
+func checkWithProgram(ctx context.Context, program, path string) error {
+	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	out, err := exec.CommandContext(ctx, program, "--check", "--config", path).CombinedOutput()
 	if err != nil {
--- a/cmd/petrelhookctl/rollout_run.go
+++ b/cmd/petrelhookctl/rollout_run.go
@@ -18,7 +18,7 @@
 )
 
 func rolloutStartCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	var stepsDone bool
 	cmd := &cobra.Command{
 		Use: "start PLAN", Args: cobra.ExactArgs(1), Short: "Begin a change by a plan (YAML), once everything is checked",
@@ -33,7 +33,7 @@
 			if err != nil {
 				return runError{err}
 			}
-			b, err := driver.Begin(cmd.Context(), o, &http.Client{Timeout: 2 * checkTime}, f, stepsDone)
+			b, err := driver.Begin(cmd.Context(), o, &http.Client{Timeout: 2 * checkTimeout}, f, stepsDone)
 			if err != nil {
 				return runError{err}
 			}
@@ -42,29 +42,29 @@
 			})
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	cmd.Flags().BoolVar(&stepsDone, "steps-done", false, "what plan says is to be done besides, in two steps, was done")
 	return cmd
 }
 
-// change asks for an application's changes, with what the stages of the last one were counted to have done or without.
-func (a *asking) change(cmd *cobra.Command, application string, results bool) (*rollout.Application, error) {
-	told, err := a.ask(cmd, fleet.Request{Changes: &application, StageResults: results})
+// application returns an application's changes, with or without the results of the last one's stages.
+func (a *coordinatorFlags) application(cmd *cobra.Command, name string, results bool) (*rollout.Application, error) {
+	response, err := a.call(cmd, fleet.Request{Changes: &name, StageResults: results})
 	if err != nil {
 		return nil, err
 	}
-	if len(told.Changes) == 0 {
-		return nil, runError{fmt.Errorf("%s: no change was ever begun", application)}
+	if len(response.Changes) == 0 {
+		return nil, runError{fmt.Errorf("%s: no change was ever begun", name)}
 	}
 	app := &rollout.Application{}
-	if err := json.Unmarshal(told.Changes, app); err != nil {
+	if err := json.Unmarshal(response.Changes, app); err != nil {
 		return nil, runError{err}
 	}
 	return app, nil
 }
 
 func rolloutStatusCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	var live bool
 	var every time.Duration
 	cmd := &cobra.Command{
@@ -78,25 +78,25 @@
 					return err
 				}
 			}
-			app, err := a.change(cmd, args[0], false)
+			app, err := a.application(cmd, args[0], false)
 			if err != nil {
 				return err
 			}
 			s := app.Current.State
-			err = a.print(cmd, app.Current, func(w *tabwriter.Writer) { status(w, app.Current) })
+			err = a.print(cmd, app.Current, func(w *tabwriter.Writer) { writeStatus(w, app.Current) })
 			if err == nil && (s.Phase == rollout.Paused || s.Phase == rollout.RollingBack || s.Phase == rollout.Stopped) {
-				return errBad
+				return errNegativeResult
 			}
 			return err
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	cmd.Flags().BoolVar(&live, "watch", false, "show it until it is over or paused: anew on a terminal, else a line for each step")
 	cmd.Flags().DurationVar(&every, "every", time.Second, "how often, with --watch")
 	return cmd
 }
 
-func status(w *tabwriter.Writer, c *rollout.Change) {
+func writeStatus(w *tabwriter.Writer, c *rollout.Change) {
 	s := c.State
 	fmt.Fprintf(w, "%s\tchange %s\t%v\tstage %d of %d\t%s\n", s.Plan.Application, c.Name, s.Phase, s.Stage, len(s.Plan.Stages), s.Reason)
 	if s.Phase == rollout.Running {
@@ -115,56 +115,56 @@
 	}
 }
 
-// rolloutSayCommand is one by which operators have their say.
-func rolloutSayCommand(use, short string, flags func(*cobra.Command), say func() rollout.Event) *cobra.Command {
-	a := &asking{}
+// rolloutEventCommand is a subcommand that sends an operator's event for the current change.
+func rolloutEventCommand(use, short string, flags func(*cobra.Command), event func() rollout.Event) *cobra.Command {
+	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
 		Use: use + " APPLICATION", Args: cobra.ExactArgs(1), Short: short,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			app, err := a.change(cmd, args[0], false)
+			app, err := a.application(cmd, args[0], false)
 			if err != nil {
 				return err
 			}
-			told, err := a.ask(cmd, fleet.Request{Rollout: &rollout.Command{Application: args[0], Change: app.Current.Name, AtMillis: time.Now().UnixMilli(), Events: []rollout.Event{say()}}})
-			if err == nil && told.Rollout.Error != "" {
-				err = runError{errors.New(told.Rollout.Error)}
+			response, err := a.call(cmd, fleet.Request{Rollout: &rollout.Command{Application: args[0], Change: app.Current.Name, AtMillis: time.Now().UnixMilli(), Events: []rollout.Event{event()}}})
+			if err == nil && response.Rollout.Error != "" {
+				err = runError{errors.New(response.Rollout.Error)}
 			}
 			if err != nil {
 				return err
 			}
-			if app, err = a.change(cmd, args[0], false); err != nil {
+			if app, err = a.application(cmd, args[0], false); err != nil {
 				return err
 			}
-			return a.print(cmd, app.Current, func(w *tabwriter.Writer) { status(w, app.Current) })
+			return a.print(cmd, app.Current, func(w *tabwriter.Writer) { writeStatus(w, app.Current) })
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	flags(cmd)
 	return cmd
 }
 
-func rolloutSayCommands() []*cobra.Command {
+func rolloutEventCommands() []*cobra.Command {
 	var why, whyNot string
 	var accept bool
 	return []*cobra.Command{
-		rolloutSayCommand("pause", "Change no further sidecar for now", func(c *cobra.Command) {
+		rolloutEventCommand("pause", "Change no further sidecar for now", func(c *cobra.Command) {
 			c.Flags().StringVar(&why, "why", "an operator paused it", "what others read")
 		}, func() rollout.Event { return rollout.Event{Pause: why} }),
-		rolloutSayCommand("resume", "Go on after a pause; the stage is watched anew", func(c *cobra.Command) {
+		rolloutEventCommand("resume", "Go on after a pause; the stage is watched anew", func(c *cobra.Command) {
 			c.Flags().BoolVar(&accept, "accept", false, "take the stage for no worse, though there is not enough evidence")
 		}, func() rollout.Event { return rollout.Event{Resume: true, Accept: accept} }),
-		rolloutSayCommand("abort", "End the change: what was changed goes back, unless the plan says hold", func(c *cobra.Command) {
+		rolloutEventCommand("abort", "End the change: what was changed goes back, unless the plan says hold", func(c *cobra.Command) {
 			c.Flags().StringVar(&whyNot, "why", "an operator aborted it", "what others read")
 		}, func() rollout.Event { return rollout.Event{Abort: whyNot} }),
 	}
 }
 
 func rolloutHistoryCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
 		Use: "history APPLICATION", Args: cobra.ExactArgs(1), Short: "The steps of this change and of those before",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			app, err := a.change(cmd, args[0], false)
+			app, err := a.application(cmd, args[0], false)
 			if err != nil {
 				return err
 			}
@@ -182,7 +182,7 @@
 			})
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	return cmd
 }
 
--- a/cmd/petrelhookctl/rollout_show.go
+++ b/cmd/petrelhookctl/rollout_show.go
@@ -16,11 +16,11 @@
 )
 
 func rolloutExplainCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
 		Use: "explain APPLICATION", Args: cobra.ExactArgs(1), Short: "Why the change stands where it stands: limits, evidence and how much more of it, what to do",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			app, err := a.change(cmd, args[0], true)
+			app, err := a.application(cmd, args[0], true)
 			if err != nil {
 				return err
 			}
@@ -32,12 +32,12 @@
 			})
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	return cmd
 }
 
 func rolloutReportCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	var html, columns string
 	cmd := &cobra.Command{
 		Use: "report APPLICATION --html FILE | --parquet FILE", Args: cobra.ExactArgs(1), Short: "What each stage of the last change was counted to have done, as a page or as columns",
@@ -45,7 +45,7 @@
 			if html == "" && columns == "" {
 				return errors.New("write --html FILE, --parquet FILE, or both")
 			}
-			app, err := a.change(cmd, args[0], true)
+			app, err := a.application(cmd, args[0], true)
 			if err != nil {
 				return err
 			}
@@ -68,15 +68,15 @@
 			return nil
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	cmd.Flags().StringVar(&html, "html", "", "one page that needs nothing else, a `FILE`")
 	cmd.Flags().StringVar(&columns, "parquet", "", "a row for each cell of each stage, and for each point of its course, a `FILE`")
 	return cmd
 }
 
-// watch shows a change until it is over or paused: anew on a terminal, else a line whenever its phase, stage or reason changes. Once it
-// has begun it goes on where coordinators are out of reach.
-func (a *asking) watch(cmd *cobra.Command, application string, every time.Duration) error {
+// watch shows a change until it is over or paused: on a terminal it redraws, otherwise it writes a line whenever phase, stage or reason
+// change. After its first result it goes on while coordinators cannot be reached.
+func (a *coordinatorFlags) watch(cmd *cobra.Command, application string, every time.Duration) error {
 	out, terminal := cmd.ErrOrStderr(), false
 	if f, ok := out.(*os.File); ok {
 		terminal = isTerminal(f)
@@ -85,13 +85,13 @@
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
-		app, err := a.change(cmd, application, true)
+		app, err := a.application(cmd, application, true)
 		if err != nil && (last == "" || cmd.Context().Err() != nil) {
 			return err
 		}
 		if err != nil {
 			fmt.Fprintln(out, "petrelhookctl:", err)
-		} else if stop := show(out, terminal, application, app.Current, &last); stop {
+		} else if stop := showChange(out, terminal, application, app.Current, &last); stop {
 			return nil
 		}
 		select {
@@ -102,15 +102,15 @@
 	}
 }
 
-// show shows a change; true: nothing follows by itself. last is the line that was shown last.
-func show(out io.Writer, terminal bool, application string, c *rollout.Change, last *string) bool {
+// showChange shows a change. It returns true if the change is over or paused. last is the line that was shown last.
+func showChange(out io.Writer, terminal bool, application string, c *rollout.Change, last *string) bool {
 	s := c.State
 	line := fmt.Sprintf("%s: change %s %v, stage %d of %d %s", application, c.Name, s.Phase, s.Stage, len(s.Plan.Stages), s.Reason)
 	switch {
 	case terminal:
 		var text bytes.Buffer
 		w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
-		status(w, c)
+		writeStatus(w, c)
 		for _, l := range report.Explain(c) {
 			fmt.Fprintf(w, "%s\t%s\n", l.Rule, l.Text)
 		}
--- a/cmd/petrelhookctl/scale.go
+++ b/cmd/petrelhookctl/scale.go
@@ -43,13 +43,13 @@
 			if output != "text" && output != "json" {
 				return fmt.Errorf("--output: %q is neither text nor json", output)
 			}
-			if o.MemoryLimitBytes, err = budget(memory); err != nil {
+			if o.MemoryLimitBytes, err = parseMemoryLimit(memory); err != nil {
 				return err
 			}
 			if err := o.Check(); err != nil {
 				return err
 			}
-			if o.ProgramDir, err = binaries(o.ProgramDir); err != nil {
+			if o.ProgramDir, err = programDir(o.ProgramDir); err != nil {
 				return runError{err}
 			}
 			if f, ok := cmd.ErrOrStderr().(*os.File); ok && isTerminal(f) {
@@ -79,7 +79,7 @@
 	f.DurationVar(&o.Timeout, "within", 40*time.Minute, "for how long it may run; the default sizes and runs take about 30m")
 }
 
-// scaleMembersCommand is the program of the hollow members' processes, which scale starts.
+// scaleMembersCommand runs a process of hollow members, which scale starts.
 func scaleMembersCommand() *cobra.Command {
 	return &cobra.Command{Use: "members", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -90,7 +90,7 @@
 		}}
 }
 
-// scaleMinderCommand is the program that ends what scale started when scale itself was killed.
+// scaleMinderCommand runs the process that ends what scale has started if scale itself is killed.
 func scaleMinderCommand() *cobra.Command {
 	return &cobra.Command{Use: "minder FOLDER", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -101,7 +101,7 @@
 		}}
 }
 
-// measure makes the runs and shows them; what was measured before an error is shown too.
+// measure does the runs and writes the result, also what was measured before an error.
 func measure(cmd *cobra.Command, o scale.Options, output, file string) error {
 	m, err := scale.Run(cmd.Context(), o)
 	if m == nil {
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// binaries is the folder with the programs.
-func binaries(given string) (string, error) {
+// programDir is the folder of the programs: the given one, or that of this program.
+func programDir(given string) (string, error) {
 	if given == "" {
 		self, err := os.Executable()
 		return filepath.Dir(self), err
@@ -132,8 +132,8 @@
 	return filepath.Abs(given)
 }
 
-// budget reads a number of bytes; "": a quarter of the machine's memory.
-func budget(text string) (int64, error) {
+// parseMemoryLimit parses a number of bytes; "": a quarter of the machine's memory.
+func parseMemoryLimit(text string) (int64, error) {
 	if text == "" {
 		all, err := usage.MachineMemory()
 		if err != nil {
--- a/cmd/petrelhookctl/scale_test.go
+++ b/cmd/petrelhookctl/scale_test.go
@@ -39,11 +39,11 @@
 		}
 	}
 	for text, want := range map[string]int64{"7": 7, "2K": 2 << 10, "3M": 3 << 20, "6G": 6 << 30} {
-		if got, err := budget(text); err != nil || got != want {
+		if got, err := parseMemoryLimit(text); err != nil || got != want {
 			t.Errorf("%s: %d, %v", text, got, err)
 		}
 	}
-	if all, err := budget(""); err != nil || all < 64<<20 {
+	if all, err := parseMemoryLimit(""); err != nil || all < 64<<20 {
 		t.Errorf("%d, %v", all, err)
 	}
 }
--- a/cmd/petrelhookctl/share.go
+++ b/cmd/petrelhookctl/share.go
@@ -19,7 +19,7 @@
 }
 
 func shareSetCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	var l share.Limit
 	cmd := &cobra.Command{
 		Use: "set NAME --units N --period D --members N [--floor N]", Args: cobra.ExactArgs(1), Short: "Make a limit, or change its units",
@@ -28,14 +28,14 @@
 			if l.Name = args[0]; l.Check() != nil {
 				return l.Check()
 			}
-			told, err := a.ask(cmd, fleet.Request{Limit: &share.Command{Set: l}})
-			if err == nil && told.LimitError != "" {
-				err = runError{errors.New(told.LimitError)}
+			response, err := a.call(cmd, fleet.Request{Limit: &share.Command{Set: l}})
+			if err == nil && response.LimitError != "" {
+				err = runError{errors.New(response.LimitError)}
 			}
 			return err
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	cmd.Flags().IntVar(&l.Units, "units", -1, "uses a period, of all members together")
 	cmd.Flags().DurationVar(&l.Period, "period", time.Second, "for how long a part is given")
 	cmd.Flags().IntVar(&l.Floor, "floor", 0, "of the units, those for members that reach no coordinator, all together")
@@ -44,23 +44,23 @@
 }
 
 func shareListCommand() *cobra.Command {
-	a := &asking{}
+	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
 		Use: "list", Args: cobra.NoArgs, Short: "All limits: what is out, and who has what, wants what and is due what",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			told, err := a.ask(cmd, fleet.Request{ListLimits: true})
+			response, err := a.call(cmd, fleet.Request{ListLimits: true})
 			if err != nil {
 				return err
 			}
-			return a.print(cmd, told.LimitStatuses, func(w *tabwriter.Writer) {
-				for _, s := range told.LimitStatuses {
+			return a.print(cmd, response.LimitStatuses, func(w *tabwriter.Writer) {
+				for _, s := range response.LimitStatuses {
 					l, waits := s.Limit, ""
 					if s.Starting {
 						waits = "nothing is given yet: the leader is new"
 					}
 					fmt.Fprintf(w, "%s\t%d of %d out a period of %v\tfloor %d for %d members\t%s\n", l.Name, s.Outstanding, l.Units, l.Period, l.Floor, l.Members, waits)
 					for _, m := range s.Members {
-						alone := 0.0 // what it has without a word of anybody
+						alone := 0.0 // its allowance without contact to a coordinator
 						if l.Members > 0 {
 							alone = float64(l.Floor) / float64(l.Members)
 						}
@@ -70,6 +70,6 @@
 			})
 		},
 	}
-	a.flags(cmd)
+	a.add(cmd)
 	return cmd
 }
--- a/cmd/petrelhookctl/standin.go
+++ b/cmd/petrelhookctl/standin.go
@@ -17,9 +17,9 @@
 )
 
 func standinCommand() *cobra.Command {
-	var o options
+	var o runOptions
 	var configs string
-	var after time.Duration
+	var faultsAfter time.Duration
 	cmd := &cobra.Command{
 		Use:   "standin SCENARIO | FILE --configs FOLDER",
 		Short: "Run a scenario's stand-in servers and discovery, for sidecars started by hand",
@@ -31,10 +31,10 @@
 			if configs == "" {
 				return errors.New("--configs: missing: the folder for the sidecars' configuration files")
 			}
-			if after < 0 {
-				return fmt.Errorf("--faults-after: %v must not be negative", after)
+			if faultsAfter < 0 {
+				return fmt.Errorf("--faults-after: %v must not be negative", faultsAfter)
 			}
-			s, err := o.scenario(args[0])
+			s, err := o.readScenario(args[0])
 			if err != nil {
 				return err
 			}
@@ -56,7 +56,7 @@
 			}
 			select {
 			case <-cmd.Context().Done():
-			case <-time.After(after):
+			case <-time.After(faultsAfter):
 				if err := fleet.Run(cmd.Context()); err != nil && cmd.Context().Err() == nil {
 					return runError{err}
 				}
@@ -65,19 +65,19 @@
 			fleet.Close()
 			e := json.NewEncoder(cmd.OutOrStdout())
 			e.SetIndent("", "  ")
-			if err := e.Encode(byServer(rec.Records())); err != nil {
+			if err := e.Encode(summarizeByServer(rec.Records())); err != nil {
 				return runError{err}
 			}
 			return nil
 		},
 	}
 	cmd.Flags().StringVar(&configs, "configs", "", "`FOLDER` for the sidecars' configuration files")
-	cmd.Flags().DurationVar(&after, "faults-after", 5*time.Second, "when the faults begin")
+	cmd.Flags().DurationVar(&faultsAfter, "faults-after", 5*time.Second, "when the faults begin")
 	cmd.Flags().Uint64Var(&o.seed, "seed", 0, "draw with this seed in place of the scenario's")
 	return cmd
 }
 
-// serverLine is what one server was sent.
+// serverLine is the output for one server. Its JSON is an interface.
 type serverLine struct {
 	Server   string `json:"server"`
 	Attempts int    `json:"attempts"`
@@ -86,7 +86,8 @@
 	NeverRan int    `json:"never_ran"`
 }
 
-func byServer(r audit.Records) (lines []serverLine) {
+// summarizeByServer counts the attempts at each server.
+func summarizeByServer(r audit.Records) (lines []serverLine) {
 	at := map[string]int{}
 	for _, l := range r.Lives {
 		if _, ok := at[l.Server]; !ok {
--- a/internal/common/chart/chart.go
+++ b/internal/common/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws plots as SVG that a page of HTML holds in itself: no scripts, no files beside it.
+// Package chart draws plots as SVG for self-contained pages of HTML, without scripts or other files. It is pure.
 package chart
 
 import (
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Colours that are told apart on white.
+// Colours that can be distinguished on white.
 var (
 	Green  = color.RGBA{0x2a, 0x7f, 0x3b, 0xff}
 	Orange = color.RGBA{0xd9, 0x8b, 0x1a, 0xff}
@@ -22,7 +22,7 @@
 	Blue   = color.RGBA{0x2a, 0x55, 0xa0, 0xff}
 )
 
-// Style is that of the pages.
+// Style is the style sheet of the pages.
 const Style = template.CSS(`
 body{font:15px/1.45 system-ui,sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
 pre{overflow-x:auto;background:#f6f6f4;padding:1em} svg{max-width:100%;height:auto}
@@ -30,7 +30,7 @@
 table{border-collapse:collapse}td,th{text-align:left;padding:.15em .8em .15em 0;border-bottom:1px solid #ddd;vertical-align:top}
 td.n{text-align:right;font-variant-numeric:tabular-nums}`)
 
-// New is an empty plot with a grid.
+// New is an empty plot with a grid and the axes' labels.
 func New(x, y string) *plot.Plot {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = x, y
@@ -39,7 +39,7 @@
 	return p
 }
 
-// Line adds a line; one without points adds nothing.
+// Line adds a line with a name in the legend; without points it adds nothing.
 func Line(p *plot.Plot, name string, c color.Color, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// SVG is a plot as an element of a page, of a size in centimetres. Words in it are escaped.
+// SVG is a plot as an HTML element, of a size in centimetres. Its texts are escaped.
 func SVG(p *plot.Plot, width, height float64) (template.HTML, error) {
 	c := vgsvg.New(vg.Length(width)*vg.Centimeter, vg.Length(height)*vg.Centimeter)
 	p.Draw(draw.New(c))
--- a/internal/common/peertest/lists.go
+++ b/internal/common/peertest/lists.go
@@ -10,17 +10,17 @@
 	"testing"
 )
 
-// Lists is a discovery that is watched: a list that is told goes to all that watch.
+// Lists is a discovery on loopback whose list a test changes. Subscribers (watch) get each change. It is safe for concurrent use.
 type Lists struct {
-	mu    sync.Mutex
-	now   string
-	open  map[net.Conn]struct{}
-	calls int
+	mu          sync.Mutex
+	list        string
+	subscribers map[net.Conn]struct{}
+	calls       int
 }
 
-// NewLists starts one that tells a first list.
+// NewLists starts a discovery with a first list. It ends with the test.
 func NewLists(t *testing.T, first string) (l *Lists, addr string) {
-	l = &Lists{now: first, open: map[net.Conn]struct{}{}}
+	l = &Lists{list: first, subscribers: map[net.Conn]struct{}{}}
 	return l, NewRaw(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		req, err := http.ReadRequest(in)
@@ -30,38 +30,38 @@
 		l.mu.Lock()
 		l.calls++
 		if req.URL.Query().Get("watch") == "" {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(l.now), l.now)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(l.list), l.list)
 			l.mu.Unlock()
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s\n", l.now)
-		l.open[c] = struct{}{}
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s\n", l.list)
+		l.subscribers[c] = struct{}{}
 		l.mu.Unlock()
-		_, _ = in.ReadByte() // until it is closed
+		_, _ = in.ReadByte() // returns when the connection ends
 		l.mu.Lock()
-		delete(l.open, c)
+		delete(l.subscribers, c)
 		l.mu.Unlock()
 	})
 }
 
-// Tell tells a list to all that watch, and to those that ask from now on.
+// Tell publishes a list to all subscribers, and to later requests.
 func (l *Lists) Tell(list string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.now = list
-	for c := range l.open {
-		io.WriteString(c, list+"\n")
+	l.list = list
+	for c := range l.subscribers {
+		_, _ = io.WriteString(c, list+"\n")
 	}
 }
 
-// Watches is how many watches are open.
+// Watches is the number of open subscriptions.
 func (l *Lists) Watches() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.open)
+	return len(l.subscribers)
 }
 
-// Calls is how many calls there were.
+// Calls is the number of requests so far.
 func (l *Lists) Calls() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/common/peertest/peertest.go
+++ b/internal/common/peertest/peertest.go
@@ -1,5 +1,5 @@
-// Package peertest is scripted peers on loopback, for tests: servers and discovery that say what a test has them say,
-// and what a test waits with. Only tests import it.
+// Package peertest has scripted peers on loopback for tests: servers and a discovery that answer what a test has them answer, and
+// functions to wait for events. Only tests import it.
 package peertest
 
 import (
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Patience bounds a wait.
-const Patience = 20 * time.Second // for what must come; no test waits so long when it passes
+// Patience bounds a wait for an event that must happen. No test waits so long when it passes.
+const Patience = 20 * time.Second
 
 // Settings are settings of the platform's form: one class of each effect, two zones, reports in every answer.
 const Settings = `{"classes": [
@@ -29,15 +29,16 @@
 	"limits": {"cancel": true, "conn_idle_ms": 10000, "connect_timeout_ms": 5000, "max_attempts": 4, "retry_after": true, "max_retry_after_ms": 50},
 	"rules": {"drain_grace_ms": 250}}`
 
-// Peer is a server or a discovery on loopback: each request is answered by handle; false ends the connection.
+// Peer is a server or a discovery on loopback, with counts of its connections and requests.
 type Peer struct {
 	Addr     string
 	Conns    atomic.Int32
 	Requests atomic.Int32
-	Ended    chan struct{} // a connection's end, as its peer brought it about
+	Ended    chan struct{} // gets a value for each connection that the other side ended
 }
 
-// NewPeer starts a peer; each request is answered by handle, and false ends the connection.
+// NewPeer starts a peer. handle answers each request on its connection, from that connection's goroutine; if it returns false the
+// connection is closed.
 func NewPeer(t *testing.T, handle func(c net.Conn, req *http.Request, body string) bool) *Peer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,7 +75,7 @@
 	return p
 }
 
-// NewRaw starts a peer that is handed each connection as it is, and closes it when handle returns.
+// NewRaw starts a peer whose handle gets each connection, in a goroutine of its own; the connection is closed when handle returns.
 func NewRaw(t testing.TB, handle func(net.Conn)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,7 +98,7 @@
 	return ln.Addr().String()
 }
 
-// Says answers each request with a text.
+// Says is a handle for NewPeer that answers each request with a text.
 func Says(text string) func(net.Conn, *http.Request, string) bool {
 	return func(c net.Conn, _ *http.Request, _ string) bool {
 		io.WriteString(c, text)
@@ -105,21 +106,21 @@
 	}
 }
 
-// OKAnswer is an answer of success with a body of two bytes.
+// OKAnswer is a successful answer with a body of two bytes.
 const OKAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// Silent reads a request and says nothing until the other side goes.
+// Silent is a handle for NewPeer that answers nothing and leaves the connection open.
 func Silent(c net.Conn, _ *http.Request, _ string) bool { return true }
 
-// DeadAddr is an address at which nobody listens, nor does until the test ends: whoever calls it again and again would come to
-// the peer of another test.
+// DeadAddr is an address at which nothing listens until the test ends. It is reserved, because a caller that retries might otherwise
+// reach the peer of another test.
 func DeadAddr(t *testing.T) string {
 	t.Helper()
 	return Reserved(t)
 }
 
-// Reserved is an address that a process may listen at, and that nobody else is given until the test ends: a socket is bound
-// to it that does not listen.
+// Reserved is an address that a process may listen at and that the system gives nobody else until the test ends: a socket that does not
+// listen is bound to it.
 func Reserved(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -143,18 +144,18 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// Instance is an entry of a list, in discovery's form.
+// Instance is an entry of discovery's list, in its JSON form.
 func Instance(name, addr, lifecycle string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"m2","cell":3,"lifecycle":%q,"weight":1.0,"startedAtMs":0}`,
 		name, addr, lifecycle)
 }
 
-// Catalog is a message of discovery.
+// Catalog is a message of discovery, in its JSON form.
 func Catalog(generation int, reset bool, instances ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, reset, strings.Join(instances, ","))
 }
 
-// Open connects as a client does.
+// Open connects to an address, with a deadline of Patience. The connection is closed with the test.
 func Open(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -166,7 +167,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// Ask sends a request on a connection of its own and reads the answer.
+// Ask sends a request on a connection of its own and reads the answer and its body.
 func Ask(t *testing.T, addr, request string) (*http.Response, string) {
 	t.Helper()
 	c, in := Open(t, addr)
@@ -174,7 +175,7 @@
 	return Answer(t, in)
 }
 
-// Answer reads one answer.
+// Answer reads one answer and its body.
 func Answer(t *testing.T, in *bufio.Reader) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
@@ -188,7 +189,7 @@
 	return resp, string(body)
 }
 
-// Eventually waits for a state that nothing announces.
+// Eventually polls until ok returns true. what names the state in the failure.
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
@@ -198,19 +199,19 @@
 	}
 }
 
-// Wait takes what must come.
+// Wait receives a value that must come.
 func Wait[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(Patience):
-		t.Fatal("waited in vain")
+		t.Fatalf("nothing was received within %v", Patience)
 		panic("not reached")
 	}
 }
 
-// CutOff is the address of a listener whose backlog is full, so that connections to it never come up.
+// CutOff is the address of a listener whose queue is full, so that connections to it are never established.
 func CutOff(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -229,7 +230,7 @@
 		t.Fatal(err)
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	for { // until one does not come up
+	for { // until one is not established
 		c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err != nil {
 			return addr
@@ -238,7 +239,7 @@
 	}
 }
 
-// Figures skips a measurement unless it is asked for: they are no part of the checks.
+// Figures skips a measurement unless FIGURES is set: measurements are not part of the checks.
 func Figures(t testing.TB) {
 	if os.Getenv("FIGURES") == "" {
 		t.Skip("FIGURES=1 measures")
--- a/internal/common/sock/later.go
+++ b/internal/common/sock/later.go
@@ -8,26 +8,28 @@
 	"time"
 )
 
-// later is a listener at an address that another process still has.
-type later struct {
-	addr  string
-	every time.Duration
+// delayedListener listens at an address that another process may still have.
+type delayedListener struct {
+	addr          string
+	retryInterval time.Duration
 
-	mu     sync.Mutex
-	ln     net.Listener // nil: not yet
-	closed chan struct{}
-	once   sync.Once
+	mu       sync.Mutex
+	listener net.Listener // nil: the address is not free yet
+	closed   chan struct{}
+	once     sync.Once
 }
 
-// ListenLater listens at an address as soon as the process that has it lets it go; Accept waits for that too.
-func ListenLater(addr string, every time.Duration) net.Listener {
-	return &later{addr: addr, every: every, closed: make(chan struct{})}
+// ListenLater listens at an address as soon as the process that has it releases it, which it tries at an interval. Accept waits for that
+// too.
+func ListenLater(addr string, retryInterval time.Duration) net.Listener {
+	return &delayedListener{addr: addr, retryInterval: retryInterval, closed: make(chan struct{})}
 }
 
-// Taken reports whether an error says that another process has the address.
+// Taken reports whether an error means that another process has the address.
 func Taken(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
 
-func (l *later) Accept() (net.Conn, error) {
+// Accept waits until the address is free, and then for a connection.
+func (l *delayedListener) Accept() (net.Conn, error) {
 	for {
 		ln, err := l.listen()
 		if err == nil {
@@ -39,12 +41,13 @@
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
-		case <-time.After(l.every):
+		case <-time.After(l.retryInterval):
 		}
 	}
 }
 
-func (l *later) listen() (net.Listener, error) {
+// listen returns the listener, and makes it if there is none yet.
+func (l *delayedListener) listen() (net.Listener, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
@@ -52,28 +55,29 @@
 		return nil, net.ErrClosed
 	default:
 	}
-	if l.ln == nil {
+	if l.listener == nil {
 		ln, err := net.Listen("tcp", l.addr)
 		if err != nil {
 			return nil, err
 		}
-		l.ln = ln
+		l.listener = ln
 	}
-	return l.ln, nil
+	return l.listener, nil
 }
 
-// Close ends the listener, or the wait for the address.
-func (l *later) Close() error {
+// Close closes the listener, or ends the wait for the address.
+func (l *delayedListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ln != nil {
-		return l.ln.Close()
+	if l.listener != nil {
+		return l.listener.Close()
 	}
 	return nil
 }
 
-func (l *later) Addr() net.Addr {
+// Addr is the address, also before it is free.
+func (l *delayedListener) Addr() net.Addr {
 	a, err := net.ResolveTCPAddr("tcp", l.addr)
 	if err != nil {
 		return &net.TCPAddr{}
--- a/internal/common/sock/sock.go
+++ b/internal/common/sock/sock.go
@@ -1,5 +1,5 @@
-// Package sock is what net does not offer of connections: whether one is quiet, and an end by reset. It works on TCP
-// and on the connections of package memnet.
+// Package sock has functions on connections and listeners that package net lacks: whether a connection is quiet or has ended, an end by
+// reset, and listeners that two processes share. It works on TCP and, apart from listeners, on the connections of package memnet.
 package sock
 
 import (
@@ -10,17 +10,16 @@
 	"unsafe"
 )
 
-// Quiet reports whether a connection is open and nothing has come in on it that is still unread. It does not wait.
+// Quiet reports whether a connection is open and has no unread bytes. It does not wait.
 func Quiet(c net.Conn) bool {
-	if q, ok := c.(interface{ Quiet() bool }); ok { // a connection that knows it itself, as those in memory do
+	if q, ok := c.(interface{ Quiet() bool }); ok { // a connection that implements it, as those in memory do
 		return q.Quiet()
 	}
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Ended reports whether the peer has ended its sending, or the connection, and nothing before that is still unread. It does
-// not wait.
+// Ended reports whether the peer has closed its sending side, or the connection, and no bytes before that are unread. It does not wait.
 func Ended(c net.Conn) bool {
 	if e, ok := c.(interface{ Ended() bool }); ok {
 		return e.Ended()
@@ -29,7 +28,7 @@
 	return n <= 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) && !errors.Is(err, errors.ErrUnsupported)
 }
 
-// peek looks for a byte that is unread.
+// peek reads one byte without consuming it. It does not wait.
 func peek(c net.Conn) (n int, err error) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
@@ -43,7 +42,8 @@
 	return n, failed
 }
 
-// Unsent reports whether the peer's machine lacks some of what was written; where that cannot be told it lacks nothing.
+// Unsent reports whether bytes that were written have not been acknowledged by the peer's machine. It is false if that cannot be
+// determined.
 func Unsent(c net.Conn) bool {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
@@ -63,7 +63,7 @@
 // that Go runs on but MIPS, where the option is refused and its port is one process's.
 const reusePort = 0xf
 
-// ListenShared listens at an address that another process of the same user may listen at too, if it does so in this way.
+// ListenShared listens at an address at which another process of the same user may listen too, if it uses ListenShared as well.
 func ListenShared(addr string) (net.Listener, error) {
 	c := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
@@ -72,10 +72,10 @@
 		}
 		return err
 	}}
-	c.SetMultipathTCP(false) // its listeners take no filter, which Yield needs
+	c.SetMultipathTCP(false) // its listeners accept no filter, which Yield needs
 	ln, err := c.Listen(context.Background(), "tcp", addr)
 	if err == nil {
-		_ = unyield(ln) // an error says that there was nothing to end
+		_ = unyield(ln) // an error means that there was no filter
 	}
 	return ln, err
 }
@@ -85,12 +85,12 @@
 	detachReusePortBPF  = 0x44
 )
 
-// Yield has connections that come from now on go to the process that listens at the same address beside this one, both by
-// ListenShared, this one first; what is in this one's queue is still to be accepted. A queue that is closed with something in it
-// resets that. Where nobody listens beside it all goes on as before.
+// Yield directs new connections to the other process that listens at the same address; both use ListenShared, and this one listened
+// first. Connections in this listener's queue are still to be accepted: closing the listener resets them. If no other process listens,
+// nothing changes.
 //
-// The kernel asks a filter which socket of the group takes a connection; this one names the second. Where there is none the
-// kernel falls back on its own choice.
+// The kernel asks a filter which socket of the group takes a connection; this one selects the second. If there is none, the
+// kernel uses its own choice.
 func Yield(ln net.Listener) error {
 	return control(ln, func(fd int) error {
 		second := []syscall.SockFilter{{Code: syscall.BPF_RET | syscall.BPF_K, K: 1}}
@@ -104,12 +104,12 @@
 	})
 }
 
-// unyield ends what an earlier process of the address left behind: the filter is the group's, and outlives it.
+// unyield removes the filter of an earlier process at the address: it belongs to the group of sockets, and outlives the process.
 func unyield(ln net.Listener) error {
 	return control(ln, func(fd int) error { return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, detachReusePortBPF, 0) })
 }
 
-// control has f called with the descriptor of what holds one.
+// control calls f with the descriptor of a connection or listener.
 func control(of any, f func(fd int) error) error {
 	c, ok := of.(syscall.Conn)
 	if !ok {
--- a/internal/rig/chain/chain_test.go
+++ b/internal/rig/chain/chain_test.go
@@ -62,8 +62,8 @@
 // small is a chain of two for tests. Its aim is as wide as may be: a busy machine is no overload of its sidecars.
 func small(t *testing.T) Config {
 	return Config{
-		Program: built(t), Depth: 2, Servers: 3, Pass: PassStatus, Rate: 100, Length: time.Second, Unsafe: 0.4, Seed: 7,
-		Aim: MaxDeadline, Deadline: MaxDeadline,
+		Program: built(t), Depth: 2, Servers: 3, PassMode: PassStatus, Rate: 100, Length: time.Second, UnsafeFraction: 0.4, Seed: 7,
+		LatencyTarget: MaxDeadline, Deadline: MaxDeadline,
 	}
 }
 
@@ -92,8 +92,8 @@
 // one checks that each call got one final answer, and that no unsafe request went out again.
 func one(t *testing.T, r *Result) {
 	t.Helper()
-	if r.Partial || r.Extras != 0 || r.Repeats != 0 {
-		t.Errorf("partial %v, %d extra answers, %d unsafe requests again", r.Partial, r.Extras, r.Repeats)
+	if r.Partial || r.UnexpectedAnswers != 0 || r.UnsafeRepeats != 0 {
+		t.Errorf("partial %v, %d extra answers, %d unsafe requests again", r.Partial, r.UnexpectedAnswers, r.UnsafeRepeats)
 	}
 	calls := 0
 	for _, c := range r.Classes {
@@ -131,11 +131,11 @@
 // each call.
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
 	share, burst, most := parameter(t, "repeatShare"), parameter(t, "repeatBurst"), parameter(t, "maxRepeats")
-	for _, pass := range []Pass{PassStatus, PassMarked} {
+	for _, pass := range []PassMode{PassStatus, PassMarked} {
 		t.Run(string(pass), func(t *testing.T) {
 			defer goleak.VerifyNone(t)
 			cfg := small(t)
-			cfg.Fail, cfg.Pass = 1, pass
+			cfg.FailFraction, cfg.PassMode = 1, pass
 			r, err := Run(t.Context(), cfg)
 			if err != nil {
 				t.Fatal(err)
@@ -165,7 +165,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	var first sync.Once
-	cfg.Length, cfg.arrived = 30*time.Second, func(depth int) {
+	cfg.Length, cfg.onArrival = 30*time.Second, func(depth int) {
 		if depth < 2 {
 			return
 		}
@@ -210,7 +210,7 @@
 // What cannot be is refused before anything starts.
 func TestConfigurationsThatCannotBe(t *testing.T) {
 	good := Config{
-		Depth: 1, Servers: 1, Pass: PassStatus, Rate: 1, Length: time.Second, Aim: time.Second, Deadline: time.Second,
+		Depth: 1, Servers: 1, PassMode: PassStatus, Rate: 1, Length: time.Second, LatencyTarget: time.Second, Deadline: time.Second,
 	}
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
@@ -218,13 +218,13 @@
 	for want, change := range map[string]func(*Config){
 		"depth: 33; write 1 to 32":             func(c *Config) { c.Depth = 33 },
 		"servers: 0; write 1 to 16":            func(c *Config) { c.Servers = 0 },
-		`pass: unknown way "on"; write status`: func(c *Config) { c.Pass = "on" },
-		"fail: 1.1; write a part":              func(c *Config) { c.Fail = 1.1 },
-		"unsafe: -1; write a part":             func(c *Config) { c.Unsafe = -1 },
+		`pass: unknown way "on"; write status`: func(c *Config) { c.PassMode = "on" },
+		"fail: 1.1; write a part":              func(c *Config) { c.FailFraction = 1.1 },
+		"unsafe: -1; write a part":             func(c *Config) { c.UnsafeFraction = -1 },
 		"work: 2s; write 0s to 1s":             func(c *Config) { c.Work = 2 * time.Second },
 		"length: 1h0m0s; write 100ms to 2m0s":  func(c *Config) { c.Length = time.Hour },
 		"deadline: 4s; write 10ms to 3s":       func(c *Config) { c.Deadline = 4 * time.Second },
-		"aim: 2s; write 1ms to the deadline":   func(c *Config) { c.Aim = 2 * time.Second },
+		"aim: 2s; write 1ms to the deadline":   func(c *Config) { c.LatencyTarget = 2 * time.Second },
 		"rate: 200001 a second; write":         func(c *Config) { c.Rate = MaxCalls + 1 },
 	} {
 		c := good
--- a/internal/rig/chain/discovery.go
+++ b/internal/rig/chain/discovery.go
@@ -18,17 +18,17 @@
 	StartedAt int64   `json:"startedAtMs"`
 }
 
-// heartbeat is how often a watch gets an empty line.
+// heartbeat is the interval of empty lines to a subscriber.
 const heartbeat = 2 * time.Second
 
-// discovery tells one sidecar of a list that never changes.
+// discovery serves a list that never changes to one sidecar.
 type discovery struct {
 	*port
 	list []byte // in discovery's form, on one line
 }
 
-// tell starts one.
-func tell(members []member) (*discovery, error) {
+// startDiscovery starts a discovery of these members.
+func startDiscovery(members []member) (*discovery, error) {
 	list, err := json.Marshal(map[string]any{"generation": 1, "reset": true, "instances": members})
 	if err != nil {
 		return nil, err
@@ -42,14 +42,14 @@
 	return d, nil
 }
 
-// members answers with the whole list, and goes on with empty lines where it is watched.
+// members answers with the complete list, and goes on with empty lines for a subscriber.
 func (d *discovery) members(w http.ResponseWriter, r *http.Request) {
 	w.Write(append(d.list[:len(d.list):len(d.list)], '\n'))
 	if r.URL.Query().Get("watch") == "" {
 		return
 	}
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	ticker := time.NewTicker(heartbeat)
+	defer ticker.Stop()
 	for {
 		if http.NewResponseController(w).Flush() != nil {
 			return
@@ -57,7 +57,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-beat.C:
+		case <-ticker.C:
 			w.Write([]byte("\n"))
 		}
 	}
--- a/internal/rig/chain/level.go
+++ b/internal/rig/chain/level.go
@@ -15,50 +15,51 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// idle is for how long a connection to a server may carry nothing.
-const idle = 10 * time.Second
+// idleTimeout is the time after which a server closes an idle connection.
+const idleTimeout = 10 * time.Second
 
-// Counts are what came of the calls that one level's callers made of the sidecar above its servers.
+// Counts are the results of the calls that the level above sent through the sidecar above this level's servers.
 type Counts struct {
 	Calls    int `json:"calls"`
 	Served   int `json:"served"`
 	Refused  int `json:"refused"`  // 429 and 503
 	Failed   int `json:"failed"`   // any other status
-	Broken   int `json:"broken"`   // no answer: the connection broke, or the caller gave up
-	Resent   int `json:"resent"`   // the caller's connection had been closed between two requests: sent once more
-	Attempts int `json:"attempts"` // requests that reached the level's servers
+	Broken   int `json:"broken"`   // without an answer: the connection broke, or the caller gave up
+	Resent   int `json:"resent"`   // sent again because the caller's connection had been closed between two requests
+	Attempts int `json:"attempts"` // requests that arrived at the level's servers
 }
 
-// level is the servers of one depth.
+// level is the servers of one depth, and the application that they run.
 type level struct {
-	cfg   *Config
-	depth int      // from 1, the top
-	next  []string // where it calls; none: it is the leaf
-	addrs []string // its servers
+	cfg       *Config
+	depth     int      // from 1, the top
+	nextAddrs []string // addresses that it calls; none: it is the leaf
+	addrs     []string // of its servers
 
-	servers   []*port
-	discovery *discovery
-	transport *http.Transport
-	turn      atomic.Uint64
-	made      atomic.Uint64 // calls
+	servers    []*port
+	discovery  *discovery
+	transport  *http.Transport
+	nextServer atomic.Uint64
+	callCount  atomic.Uint64 // numbers the calls
 
-	mu     sync.Mutex
-	calls  map[string]*Counts // by class: calls that this level made, and attempts that came to it
-	tries  map[string]int     // by trace, how often a request came: each trace is one call through the sidecar above
-	tried  map[wish]int       // how often it came to this level
-	repeat int                // requests of the unsafe class that came again
+	mu              sync.Mutex
+	calls           map[string]*Counts // by class: calls that this level sent, and attempts that arrived at it
+	arrivalsByTrace map[string]int     // requests by trace: each trace is one call through the sidecar above
+	arrivalsByCall  map[topCall]int    // requests by the client's call
+	unsafeRepeats   int                // requests of the unsafe class that arrived again
 }
 
-// wish is one call at the top, which all that is done for it carries along.
-type wish struct{ class, op string }
+// topCall identifies a call of the client. All requests on its behalf carry it.
+type topCall struct{ class, operation string }
 
+// newLevel makes a level whose servers call the next addresses.
 func newLevel(cfg *Config, depth int, next []string) *level {
 	l := &level{
-		cfg: cfg, depth: depth, next: next, calls: map[string]*Counts{safeClass: {}, unsafeClass: {}},
-		tries: map[string]int{}, tried: map[wish]int{},
+		cfg: cfg, depth: depth, nextAddrs: next, calls: map[string]*Counts{safeClass: {}, unsafeClass: {}},
+		arrivalsByTrace: map[string]int{}, arrivalsByCall: map[topCall]int{},
 	}
 	if len(next) > 0 {
-		l.transport = transport()
+		l.transport = newTransport()
 	}
 	return l
 }
@@ -76,11 +77,11 @@
 		members = append(members, member{ID: name, HostPort: p.addr, Zone: "a", Kind: "std", Lifecycle: "up", Weight: 1})
 	}
 	var err error
-	l.discovery, err = tell(members)
+	l.discovery, err = startDiscovery(members)
 	return err
 }
 
-// close ends the servers and waits for them. Whoever called them has ended: nothing of worth is out any more.
+// close ends the servers and waits for them. Their callers have ended, so no request matters any more.
 func (l *level) close() {
 	if l.discovery != nil {
 		l.discovery.close()
@@ -93,11 +94,11 @@
 	}
 }
 
-// serve takes one request.
+// serve handles one request at server name.
 func (l *level) serve(name string, w http.ResponseWriter, r *http.Request) {
 	came := time.Now()
 	class, trace, op := r.Header.Get("X-Qos"), r.Header.Get("X-Trace-Id"), r.URL.Query().Get("op")
-	_, _ = io.Copy(io.Discard, r.Body) // a request is there with its last byte
+	_, _ = io.Copy(io.Discard, r.Body) // a request has arrived with its last byte
 	l.mu.Lock()
 	counts := l.calls[class]
 	if counts == nil || trace == "" {
@@ -106,18 +107,18 @@
 		return
 	}
 	counts.Attempts++
-	l.tries[trace]++
-	l.tried[wish{class, op}]++
-	nth := l.tried[wish{class, op}]
-	if class == unsafeClass && l.tries[trace] > 1 {
-		l.repeat++
+	l.arrivalsByTrace[trace]++
+	l.arrivalsByCall[topCall{class, op}]++
+	nth := l.arrivalsByCall[topCall{class, op}]
+	if class == unsafeClass && l.arrivalsByTrace[trace] > 1 {
+		l.unsafeRepeats++
 	}
 	l.mu.Unlock()
-	if l.cfg.arrived != nil {
-		l.cfg.arrived(l.depth)
+	if l.cfg.onArrival != nil {
+		l.cfg.onArrival(l.depth)
 	}
-	if len(l.next) > 0 {
-		l.pass(w, r, came)
+	if len(l.nextAddrs) > 0 {
+		l.forward(w, r, came)
 		return
 	}
 	work := time.NewTimer(l.cfg.Work)
@@ -126,15 +127,15 @@
 	case <-work.C:
 	case <-r.Context().Done():
 	}
-	if scenario.Draw(l.cfg.Seed, "fail", op, strconv.Itoa(nth)) < l.cfg.Fail {
+	if scenario.Draw(l.cfg.Seed, "fail", op, strconv.Itoa(nth)) < l.cfg.FailFraction {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	fmt.Fprintf(w, "{\"trace\":%q,\"server\":%q}\n", trace, name)
 }
 
-// pass makes the application's one call, with the time that is left, and passes on what comes of it.
-func (l *level) pass(w http.ResponseWriter, r *http.Request, came time.Time) {
+// forward sends the application's one call, with the time that is left, and passes on its result.
+func (l *level) forward(w http.ResponseWriter, r *http.Request, came time.Time) {
 	class := r.Header.Get("X-Qos")
 	left := l.cfg.Deadline
 	if us, err := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Expires-In"), "u"), 10, 64); err == nil {
@@ -146,12 +147,12 @@
 		return
 	}
 	var sent atomic.Int64
-	ctx, cancel := context.WithTimeout(r.Context(), left+slack)
+	ctx, cancel := context.WithTimeout(r.Context(), left+answerSlack)
 	defer cancel()
 	wrote := func(httptrace.WroteRequestInfo) { sent.Add(1) }
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: wrote})
-	n := l.made.Add(1)
-	to := l.next[l.turn.Add(1)%uint64(len(l.next))]
+	n := l.callCount.Add(1)
+	to := l.nextAddrs[l.nextServer.Add(1)%uint64(len(l.nextAddrs))]
 	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+to+r.RequestURI, nil)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -186,11 +187,11 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	l.cfg.Pass.answer(w, resp, body)
+	l.cfg.PassMode.writeAnswer(w, resp, body)
 }
 
-// answer passes on an answer.
-func (p Pass) answer(w http.ResponseWriter, resp *http.Response, body []byte) {
+// writeAnswer passes on the answer to the application's own call.
+func (p PassMode) writeAnswer(w http.ResponseWriter, resp *http.Response, body []byte) {
 	refused := resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
 	wait := resp.Header.Get("Retry-After")
 	switch {
--- a/internal/rig/chain/port.go
+++ b/internal/rig/chain/port.go
@@ -6,23 +6,23 @@
 	"sync"
 )
 
-// port is an HTTP server at a port of its own, that knows when nothing of it runs any more.
+// port is an HTTP server at a port of its own. Unlike http.Server it can wait for all of its connections.
 type port struct {
 	addr   string
 	server *http.Server
-	done   sync.WaitGroup // it serves, and its connections
+	done   sync.WaitGroup // Serve, and each connection
 }
 
-// serveAt serves on a free port of loopback.
+// serveAt serves at a free port of loopback.
 func serveAt(handler http.Handler) (*port, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &port{addr: ln.Addr().String(), server: &http.Server{Handler: handler, IdleTimeout: idle}}
+	p := &port{addr: ln.Addr().String(), server: &http.Server{Handler: handler, IdleTimeout: idleTimeout}}
 	p.server.ConnState = func(_ net.Conn, now http.ConnState) {
 		switch now {
-		case http.StateNew: // Serve says so before it can return
+		case http.StateNew: // is called before Serve can return
 			p.done.Add(1)
 		case http.StateClosed, http.StateHijacked:
 			p.done.Done()
@@ -32,8 +32,8 @@
 	return p, nil
 }
 
-// close ends it: what it works on has its context ended, and is waited for.
+// close cancels the contexts of requests in progress, and waits for them.
 func (p *port) close() {
-	p.server.Close()
+	_ = p.server.Close() // ends the connections too; nothing is to be saved
 	p.done.Wait()
 }
--- a/internal/rig/chain/report.go
+++ b/internal/rig/chain/report.go
@@ -14,50 +14,48 @@
 	"petrelhook/internal/rig/usage"
 )
 
-// Report is what came of a study.
+// Report is the result of a study. Its JSON is an interface: names do not change.
 type Report struct {
 	Runs     []*Result         `json:"runs"`
 	Measured capacity.Measured `json:"measured"`
 }
 
-// Report sums up the runs that ended, begun at a time.
+// Report summarizes the completed runs of a study that began at a time.
 func (s *Study) Report(began time.Time) *Report {
-	r := &Report{Runs: s.Runs, Measured: capacity.Measured{At: began, Commit: commit(), Machine: machine(), Seed: s.Seed}}
+	r := &Report{Runs: s.Runs, Measured: capacity.Measured{At: began, Commit: buildRevision(), Machine: machineDescription(), Seed: s.Seed}}
 	for _, run := range s.Runs {
-		r.Measured.Points = append(r.Measured.Points, run.points(r.beside(run))...)
+		r.Measured.Points = append(r.Measured.Points, run.points(r.baseline(run))...)
 		r.Measured.Findings = append(r.Measured.Findings, run.findings()...)
 	}
 	return r
 }
 
-// OK reports whether all runs are whole and no rule was seen broken. Late answers are findings only: a busy machine
-// has them too.
+// OK reports whether all runs are complete and no rule was broken. Late answers are only findings: a busy machine has them too.
 func (r *Report) OK() bool {
 	for _, run := range r.Runs {
-		if run.Partial || run.Extras > 0 || run.Repeats > 0 {
+		if run.Partial || run.UnexpectedAnswers > 0 || run.UnsafeRepeats > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// beside is the run without sidecars that is to be compared with one; nil: there is none.
-func (r *Report) beside(with *Result) *Result {
+// baseline is the run without sidecars that a run is compared with; nil: there is none.
+func (r *Report) baseline(with *Result) *Result {
 	for _, run := range r.Runs {
-		if run.Direct && !with.Direct && run.Depth == with.Depth && run.Rate == with.Rate && run.Fail == with.Fail {
+		if run.Direct && !with.Direct && run.Depth == with.Depth && run.Rate == with.Rate && run.FailFraction == with.FailFraction {
 			return run
 		}
 	}
 	return nil
 }
 
-// points are the figures of a run. Those of the workload "calls" are of runs in which nothing fails, with the rate in
-// the metric's name; those of "chain" are of the others, with the part that fails. The role "leaf" has the times of
-// the path without sidecars.
-func (r *Result) points(beside *Result) (all []capacity.Point) {
+// points are the metrics of a run. Those of the workload "calls" are of runs in which nothing fails, with the rate in the metric's
+// name; those of "chain" are of the others, with the failing percentage. The role "leaf" has the times of the path without sidecars.
+func (r *Result) points(baseline *Result) (all []capacity.Point) {
 	workload, at := "calls", fmt.Sprintf("at_%g_s", r.Rate)
-	if r.Fail > 0 {
-		workload, at = "chain", fmt.Sprintf("fail_%g_pc", 100*r.Fail)
+	if r.FailFraction > 0 {
+		workload, at = "chain", fmt.Sprintf("fail_%g_pc", 100*r.FailFraction)
 	}
 	add := func(role, metric string, v float64) {
 		all = append(all, capacity.Point{
@@ -71,16 +69,16 @@
 	for i, c := range r.Classes {
 		add(path, c.Name+"_p50_us", float64(c.P50))
 		add(path, c.Name+"_p99_us", float64(c.P99))
-		if beside != nil {
-			add(path, c.Name+"_added_p50_us", float64(c.P50-beside.Classes[i].P50))
-			add(path, c.Name+"_added_p99_us", float64(c.P99-beside.Classes[i].P99))
+		if baseline != nil {
+			add(path, c.Name+"_added_p50_us", float64(c.P50-baseline.Classes[i].P50))
+			add(path, c.Name+"_added_p99_us", float64(c.P99-baseline.Classes[i].P99))
 		}
-		if r.Fail > 0 {
-			add("leaf", c.Name+"_attempts_call", c.PerCall)
+		if r.FailFraction > 0 {
+			add("leaf", c.Name+"_attempts_call", c.AttemptsPerCall)
 			add(path, c.Name+"_served_share", float64(c.Served)/float64(max(1, c.Calls)))
 		}
 	}
-	if u, calls := r.mean(); calls > 0 && r.Fail == 0 {
+	if u, calls := r.meanUsage(); calls > 0 && r.FailFraction == 0 {
 		add("sidecar", "cpu_us_call", float64(u.CPU.Microseconds())/calls)
 		add("sidecar", "memory_bytes", float64(u.MaxMemory))
 		add("sidecar", "descriptors", float64(u.Descriptors))
@@ -88,8 +86,8 @@
 	return all
 }
 
-// mean is what one sidecar took, and how many calls came to it.
-func (r *Result) mean() (u usage.Usage, calls float64) {
+// meanUsage is the mean usage of the sidecars, and the mean number of calls that each received.
+func (r *Result) meanUsage() (u usage.Usage, calls float64) {
 	n := len(r.Usage)
 	if n == 0 {
 		return u, 0
@@ -106,9 +104,9 @@
 	return u, calls
 }
 
-// findings are what has to be said beside the figures.
+// findings are remarks on the validity of the metrics, and broken rules.
 func (r *Result) findings() (all []string) {
-	name := fmt.Sprintf("depth %d, %g/s, %g%% fail, direct %v: ", r.Depth, r.Rate, 100*r.Fail, r.Direct)
+	name := fmt.Sprintf("depth %d, %g/s, %g%% fail, direct %v: ", r.Depth, r.Rate, 100*r.FailFraction, r.Direct)
 	say := func(format string, args ...any) { all = append(all, name+fmt.Sprintf(format, args...)) }
 	for _, why := range r.Invalid {
 		say("times are not valid: %s", why)
@@ -116,11 +114,11 @@
 	if r.Partial {
 		say("stopped early")
 	}
-	if r.Extras > 0 {
-		say("%d answers that nobody asked for", r.Extras)
+	if r.UnexpectedAnswers > 0 {
+		say("%d answers that nobody asked for", r.UnexpectedAnswers)
 	}
-	if r.Repeats > 0 {
-		say("%d unsafe requests were sent again by one sidecar", r.Repeats)
+	if r.UnsafeRepeats > 0 {
+		say("%d unsafe requests were sent again by one sidecar", r.UnsafeRepeats)
 	}
 	for _, c := range r.Classes {
 		if c.Late+c.Lost > 0 {
@@ -136,7 +134,7 @@
 	fmt.Fprintln(w, "depth\trate/s\tfail\tclass\tcalls\tserved\trefused\tfailed\tlate\tlost\t"+
 		"leaf/call\ta level\tmost\tp50 ms\tp99 ms\tadded p50\tadded p99\t")
 	for _, run := range r.Runs {
-		beside := r.beside(run)
+		beside := r.baseline(run)
 		for i, c := range run.Classes {
 			depth, added := fmt.Sprint(run.Depth), "\t"
 			if run.Direct {
@@ -145,17 +143,17 @@
 			if beside != nil {
 				added = fmt.Sprintf("%.2f\t%.2f", ms(c.P50-beside.Classes[i].P50), ms(c.P99-beside.Classes[i].P99))
 			}
-			fmt.Fprintf(w, "%s\t%g\t%g%%\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t", depth, run.Rate, 100*run.Fail, c.Name,
+			fmt.Fprintf(w, "%s\t%g\t%g%%\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t", depth, run.Rate, 100*run.FailFraction, c.Name,
 				c.Calls, c.Served, c.Refused, c.Failed, c.Late, c.Lost)
-			fmt.Fprintf(w, "%.3f\t%s\t%d\t%.2f\t%.2f\t%s\t\n", c.PerCall, run.factors(c.Name), c.Most,
+			fmt.Fprintf(w, "%.3f\t%s\t%d\t%.2f\t%.2f\t%s\t\n", c.AttemptsPerCall, run.attemptRange(c.Name), c.MaxAttempts,
 				ms(c.P50), ms(c.P99), added)
 		}
 	}
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "sidecars\trate/s\tfail\tcalls each\tcpu us/call\tmemory MiB\tdescriptors\t")
 	for _, run := range r.Runs {
-		if u, calls := run.mean(); calls > 0 {
-			fmt.Fprintf(w, "%d\t%g\t%g%%\t%.0f\t%.0f\t%.1f\t%d\t\n", run.Depth, run.Rate, 100*run.Fail, calls,
+		if u, calls := run.meanUsage(); calls > 0 {
+			fmt.Fprintf(w, "%d\t%g\t%g%%\t%.0f\t%.0f\t%.1f\t%d\t\n", run.Depth, run.Rate, 100*run.FailFraction, calls,
 				float64(u.CPU.Microseconds())/calls, float64(u.MaxMemory)/(1<<20), u.Descriptors)
 		}
 	}
@@ -170,24 +168,25 @@
 	return nil
 }
 
-// factors are the least and the most attempts for a call that a level's sidecar made.
-func (r *Result) factors(class string) string {
-	least, most := 0.0, 0.0
+// attemptRange is the smallest and the largest number of attempts for a call over the levels' sidecars, as text.
+func (r *Result) attemptRange(class string) string {
+	lowest, highest := 0.0, 0.0
 	for _, l := range r.Levels {
 		if n := l[class]; n.Calls > 0 {
 			f := float64(n.Attempts) / float64(n.Calls)
-			if most = max(most, f); least == 0 || f < least {
-				least = f
+			if highest = max(highest, f); lowest == 0 || f < lowest {
+				lowest = f
 			}
 		}
 	}
-	return fmt.Sprintf("%.2f..%.2f", least, most)
+	return fmt.Sprintf("%.2f..%.2f", lowest, highest)
 }
 
+// ms converts microseconds to milliseconds.
 func ms(us int64) float64 { return float64(us) / 1000 }
 
-// commit is what this program was built from.
-func commit() string {
+// buildRevision is the revision that this program was built from.
+func buildRevision() string {
 	info, _ := debug.ReadBuildInfo()
 	if info == nil {
 		return ""
@@ -200,8 +199,8 @@
 	return ""
 }
 
-// machine says what it runs on.
-func machine() string {
+// machineDescription names the machine's processors and memory, for the report.
+func machineDescription() string {
 	text, _ := os.ReadFile("/proc/meminfo")
 	line, _, _ := bytes.Cut(text, []byte("\n"))
 	return fmt.Sprintf("%d processors, %s", runtime.NumCPU(), bytes.Join(bytes.Fields(line), []byte(" ")))
--- a/internal/rig/chain/run.go
+++ b/internal/rig/chain/run.go
@@ -23,64 +23,64 @@
 	unsafeClass = "once"
 )
 
-// slack is how much later than its deadline an answer may be.
-const slack = 50 * time.Millisecond
+// answerSlack is the time after its deadline within which an answer still counts.
+const answerSlack = 50 * time.Millisecond
 
-// Result is what came of one run.
+// Result is the result of one run.
 type Result struct {
-	Depth   int                 `json:"depth"` // sidecars; without them, levels of servers
-	Direct  bool                `json:"direct"`
-	Fail    float64             `json:"fail"`
-	Rate    float64             `json:"rate_s"`
-	Pass    Pass                `json:"pass"`
-	Classes []Class             `json:"classes"`
-	Levels  []map[string]Counts `json:"levels"`          // by class, from the top
-	Usage   []usage.Usage       `json:"usage,omitempty"` // of each sidecar from the top; CPU is that of the load
-	Took    time.Duration       `json:"took_ns"`
-	Partial bool                `json:"partial,omitempty"`
-	Invalid []string            `json:"invalid,omitempty"` // why the times are not what they seem
-	Extras  int                 `json:"extras"`            // answers that nobody asked for
-	// Repeats are unsafe requests that one sidecar sent to a server again. Each server that took one may have run it.
-	Repeats int `json:"unsafe_repeats"`
+	Depth             int                 `json:"depth"` // sidecars; without them, levels of servers
+	Direct            bool                `json:"direct"`
+	FailFraction      float64             `json:"fail"`
+	Rate              float64             `json:"rate_s"`
+	PassMode          PassMode            `json:"pass"`
+	Classes           []Class             `json:"classes"`
+	Levels            []map[string]Counts `json:"levels"`          // by class, from the top
+	Usage             []usage.Usage       `json:"usage,omitempty"` // of each sidecar from the top; CPU is that during the load
+	Duration          time.Duration       `json:"took_ns"`
+	Partial           bool                `json:"partial,omitempty"`
+	Invalid           []string            `json:"invalid,omitempty"` // reasons why the times are not valid
+	UnexpectedAnswers int                 `json:"extras"`            // answers without a request
+	// UnsafeRepeats are unsafe requests that one sidecar sent to a server more than once. Each server may have run its request.
+	UnsafeRepeats int `json:"unsafe_repeats"`
 }
 
-// Class is what came of the calls of one class at the top.
+// Class is the result of the client's calls of one class.
 type Class struct {
-	Name     string  `json:"name"`
-	Calls    int     `json:"calls"`
-	Served   int     `json:"served"`
-	Refused  int     `json:"refused"`
-	Failed   int     `json:"failed"`
-	Late     int     `json:"late"` // answered, but later than the deadline and some slack: on a busy machine, or a fault
-	Lost     int     `json:"lost"` // no answer at all in the deadline and 150 ms, or none could be asked for
-	Attempts int     `json:"leaf_attempts"`
-	Most     int     `json:"most_leaf_attempts"` // for one call
-	PerCall  float64 `json:"leaf_attempts_call"`
-	// Latencies from when a call was due to its final answer, whatever that was, in microseconds.
+	Name            string  `json:"name"`
+	Calls           int     `json:"calls"`
+	Served          int     `json:"served"`
+	Refused         int     `json:"refused"`
+	Failed          int     `json:"failed"`
+	Late            int     `json:"late"` // answered, but later than the deadline and answerSlack: a busy machine, or a fault
+	Lost            int     `json:"lost"` // without an answer within the deadline and 150 ms, or not sent
+	Attempts        int     `json:"leaf_attempts"`
+	MaxAttempts     int     `json:"most_leaf_attempts"` // for one call
+	AttemptsPerCall float64 `json:"leaf_attempts_call"`
+	// Latencies from the scheduled time of a call to its final answer of any kind, in microseconds.
 	P50 int64 `json:"p50_us"`
 	P99 int64 `json:"p99_us"`
 	Max int64 `json:"max_us"`
 }
 
-// scenario is the load, and what the sidecars are told of classes and limits.
+// scenario describes the load, and the sidecars' settings of classes and limits.
 func (c *Config) scenario() (*scenario.Scenario, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name chain\nseed %d\nlength %v\nsidecars 1\nfleet %d cores=4\n", c.Seed, c.Length, c.Servers)
 	for _, class := range []struct {
 		name, effect string
 		share        float64
-	}{{safeClass, "safe", 1 - c.Unsafe}, {unsafeClass, "unsafe", c.Unsafe}} {
+	}{{safeClass, "safe", 1 - c.UnsafeFraction}, {unsafeClass, "unsafe", c.UnsafeFraction}} {
 		if class.share > 0 {
 			fmt.Fprintf(&b, "class %s share=%g effect=%s aim=%v deadline=%v late=0.5\n",
-				class.name, 100*class.share, class.effect, c.Aim, c.Deadline)
+				class.name, 100*class.share, class.effect, c.LatencyTarget, c.Deadline)
 		}
 	}
-	fmt.Fprintf(&b, "limits reports=no probes=no idle=%v\narrive constant %g/s\n", idle, c.Rate)
+	fmt.Fprintf(&b, "limits reports=no probes=no idle=%v\narrive constant %g/s\n", idleTimeout, c.Rate)
 	return scenario.Parse("chain", strings.NewReader(b.String()))
 }
 
-// Run starts a chain, sends its load and ends it. Where ctx ends early the result is of what was sent until then.
-// An error says that there is no result; whatever was started has ended in any case.
+// Run starts a chain, sends its load and ends it. If ctx ends early, the result is of what was sent until then. On an error there is no
+// result. Everything that was started has ended in any case.
 func Run(ctx context.Context, cfg Config) (r *Result, err error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	}
 	calls := &audit.Recorder{}
 	runner := &load.Runner{
-		Calls: calls, Scenario: s, Targets: c.top, Dial: (&net.Dialer{KeepAlive: -1}).DialContext,
+		Calls: calls, Scenario: s, Targets: c.entryAddrs, Dial: (&net.Dialer{KeepAlive: -1}).DialContext,
 		Zero: time.Now(), Wait: load.WaitPrecisely,
 		Live: func(op load.Operation) {
 			mu.Lock()
@@ -108,8 +108,8 @@
 			_ = took[op.Class].RecordValue(min(max(op.Latency.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
 		},
 	}
-	before := c.taken()
-	watched := c.watch()
+	before := c.usages()
+	watched := c.sampleUsages()
 	result, err := runner.Run(ctx)
 	taken := watched()
 	if err = errors.Join(err, c.close()); err != nil {
@@ -121,7 +121,7 @@
 	return c.result(result, calls.Records().Calls, took, taken), nil
 }
 
-// result puts together what all sides have seen. Nothing runs any more.
+// result combines the records of all sides. The chain has ended.
 func (c *chain) result(
 	result *load.Result, calls []audit.Call, took []*hdrhistogram.Histogram, taken []usage.Usage,
 ) *Result {
@@ -133,8 +133,8 @@
 		}
 	}
 	r := &Result{
-		Depth: cfg.Depth, Direct: cfg.Program == "", Fail: cfg.Fail, Rate: cfg.Rate, Pass: cfg.Pass, Usage: taken,
-		Took: result.Took, Partial: result.Partial, Invalid: result.Invalid, Extras: result.Extras,
+		Depth: cfg.Depth, Direct: cfg.Program == "", FailFraction: cfg.FailFraction, Rate: cfg.Rate, PassMode: cfg.PassMode, Usage: taken,
+		Duration: result.Took, Partial: result.Partial, Invalid: result.Invalid, UnexpectedAnswers: result.Extras,
 	}
 	leaf := c.levels[len(c.levels)-1]
 	for i, in := range result.Classes[1:] {
@@ -146,14 +146,14 @@
 			P50:      took[i].ValueAtQuantile(50), P99: took[i].ValueAtQuantile(99), Max: took[i].Max(),
 		}
 		if out.Calls > 0 {
-			out.PerCall = float64(out.Attempts) / float64(out.Calls)
+			out.AttemptsPerCall = float64(out.Attempts) / float64(out.Calls)
 		}
 		r.Classes = append(r.Classes, out)
 	}
-	for of, n := range leaf.tried {
+	for of, n := range leaf.arrivalsByCall {
 		for i := range r.Classes {
 			if r.Classes[i].Name == of.class {
-				r.Classes[i].Most = max(r.Classes[i].Most, n)
+				r.Classes[i].MaxAttempts = max(r.Classes[i].MaxAttempts, n)
 			}
 		}
 	}
@@ -164,7 +164,7 @@
 		}
 	}
 	for _, l := range c.levels {
-		r.Repeats += l.repeat
+		r.UnsafeRepeats += l.unsafeRepeats
 		below := map[string]Counts{}
 		for name, n := range l.calls {
 			is := top[name]
@@ -173,7 +173,7 @@
 				delete(top, name)
 			}
 			made := *n
-			made.Attempts = 0 // it counts those to this level, not to the one below
+			made.Attempts = 0 // those counted here are of this level, not of the one below
 			below[name] = made
 		}
 		r.Levels = append(r.Levels, top)
@@ -182,26 +182,26 @@
 	return r
 }
 
-// taken is what the sidecars have taken by now, from the top.
-func (c *chain) taken() (all []usage.Usage) {
+// usages are the present usages of the sidecars, from the top.
+func (c *chain) usages() (all []usage.Usage) {
 	for i := len(c.sidecars) - 1; i >= 0; i-- {
-		u, _ := usage.Of(c.sidecars[i].cmd.Process.Pid) // one that has ended has taken nothing more
+		u, _ := usage.Of(c.sidecars[i].cmd.Process.Pid) // a process that has ended has none
 		all = append(all, u)
 	}
 	return all
 }
 
-// sampleEvery is how often the sidecars' processes are looked at.
-const sampleEvery = 250 * time.Millisecond
+// sampleInterval is the interval at which the sidecars' usages are read.
+const sampleInterval = 250 * time.Millisecond
 
-// watch looks at the sidecars now and then until its result is called, which gives the last look, with the most
-// descriptors and memory of all.
-func (c *chain) watch() func() []usage.Usage {
+// sampleUsages samples the sidecars' usages until the returned function is called, which returns the last sample with the largest memory
+// and descriptors of all samples.
+func (c *chain) sampleUsages() func() []usage.Usage {
 	stop, done := make(chan struct{}), make(chan []usage.Usage)
 	go func() {
-		ticker := time.NewTicker(sampleEvery)
+		ticker := time.NewTicker(sampleInterval)
 		defer ticker.Stop()
-		most := c.taken()
+		most := c.usages()
 		for {
 			over := false
 			select {
@@ -209,7 +209,7 @@
 				over = true
 			case <-ticker.C:
 			}
-			for i, u := range c.taken() {
+			for i, u := range c.usages() {
 				u.Memory, u.Descriptors = max(u.Memory, most[i].Memory), max(u.Descriptors, most[i].Descriptors)
 				most[i] = u
 			}
--- a/internal/rig/chain/sidecar.go
+++ b/internal/rig/chain/sidecar.go
@@ -17,25 +17,25 @@
 	"time"
 )
 
-// startWithin is how long a sidecar may take until it is ready, stopWithin how long all of them may take to end.
+// startTimeout bounds the time until a sidecar is ready, stopTimeout the time until all of them have ended.
 const (
-	startWithin = 10 * time.Second
-	stopWithin  = 10 * time.Second
+	startTimeout = 10 * time.Second
+	stopTimeout  = 10 * time.Second
 )
 
-// sidecar is a process of its own, started as the platform starts it.
+// sidecar is a sidecar's process, started as the platform starts it.
 type sidecar struct {
 	depth int
 	addr  string
 	cmd   *exec.Cmd
 	ended chan struct{}
 
-	mu   sync.Mutex
-	last []string // the last lines of its log
+	mu        sync.Mutex
+	lastLines []string // of its log
 }
 
-// startSidecar starts the sidecar above a level and reads from its log where it listens. What it returns has to be
-// ended, also beside an error.
+// startSidecar starts the sidecar above a level and reads its address from its log. The caller has to end the sidecar if it is not nil,
+// also on an error.
 func startSidecar(ctx context.Context, program, dir string, l *level) (*sidecar, error) {
 	s := &sidecar{depth: l.depth, ended: make(chan struct{})}
 	path := filepath.Join(dir, fmt.Sprintf("%d.json", l.depth))
@@ -47,9 +47,9 @@
 		return nil, err
 	}
 	s.cmd = exec.Command(program, "--log-level", "info")
-	// A folder of its own: no other sidecar of the machine is one to take over from.
+	// A folder of its own, so that it does not take over from another sidecar of the machine.
 	s.cmd.Env = append(os.Environ(), "LB_CONFIG="+path, "TMPDIR="+dir, "LB_ADMIN_ADDR=")
-	s.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a Ctrl-C is for this program, which ends its sidecars
+	s.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a Ctrl-C reaches this program alone, which ends its sidecars
 	log, err := s.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
@@ -58,12 +58,12 @@
 		return nil, fmt.Errorf("start %s: %w", program, err)
 	}
 	listens := make(chan string, 1)
-	go func() { // it ends with the process, which wait ends
+	go func() { // ends with the process, which wait ends
 		defer close(s.ended)
-		s.follow(log, listens)
+		s.readLog(log, listens)
 		_ = s.cmd.Wait()
 	}()
-	ctx, cancel := context.WithTimeout(ctx, startWithin)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	select {
 	case s.addr = <-listens:
@@ -71,11 +71,11 @@
 	case <-s.ended:
 		return s, fmt.Errorf("%s ended at once\n%s", program, s.log())
 	case <-ctx.Done():
-		return s, fmt.Errorf("%s does not say where it listens: %w\n%s", program, ctx.Err(), s.log())
+		return s, fmt.Errorf("%s did not log its address: %w\n%s", program, ctx.Err(), s.log())
 	}
 }
 
-// configuration is what the sidecar above a level is told.
+// configuration is the configuration of the sidecar above a level.
 func configuration(l *level) ([]byte, error) {
 	s, err := l.cfg.scenario()
 	if err != nil {
@@ -88,8 +88,8 @@
 	})
 }
 
-// follow reads the log to its end.
-func (s *sidecar) follow(log io.Reader, listens chan<- string) {
+// readLog reads the log to its end, and sends the address at which the sidecar listens.
+func (s *sidecar) readLog(log io.Reader, listens chan<- string) {
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
 		line := lines.Text()
@@ -101,23 +101,24 @@
 			}
 		}
 		s.mu.Lock()
-		if s.last = append(s.last, line); len(s.last) > 10 {
-			s.last = s.last[1:]
+		if s.lastLines = append(s.lastLines, line); len(s.lastLines) > 10 {
+			s.lastLines = s.lastLines[1:]
 		}
 		s.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, log) // a line too long must not stop the process
+	_, _ = io.Copy(io.Discard, log) // a line that is too long must not block the process
 }
 
+// log is the end of its log.
 func (s *sidecar) log() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return strings.Join(s.last, "\n")
+	return strings.Join(s.lastLines, "\n")
 }
 
-// ready waits until it answers that it may be sent to.
+// ready waits until the sidecar is healthy.
 func (s *sidecar) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startWithin)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -132,15 +133,15 @@
 		}
 		select {
 		case <-s.ended:
-			return errors.New("it ended\n" + s.log())
+			return errors.New("the process ended\n" + s.log())
 		case <-ctx.Done():
-			return fmt.Errorf("it is not ready: %w\n%s", ctx.Err(), s.log())
-		case <-time.After(10 * time.Millisecond): // nothing announces it
+			return fmt.Errorf("not ready: %w\n%s", ctx.Err(), s.log())
+		case <-time.After(10 * time.Millisecond): // polling: there is no notification
 		}
 	}
 }
 
-// terminate tells it to end. One that has ended by itself has crashed, which wait says.
+// terminate sends SIGTERM. A process that has ended before has crashed, which wait reports.
 func (s *sidecar) terminate() {
 	select {
 	case <-s.ended:
@@ -150,7 +151,7 @@
 	}
 }
 
-// wait waits for its end until a time, and kills it then.
+// wait waits for the end of the process until a time, and then kills it, which is an error.
 func (s *sidecar) wait(until time.Time) error {
 	over := time.NewTimer(time.Until(until))
 	defer over.Stop()
@@ -163,6 +164,6 @@
 	case <-over.C:
 		s.cmd.Process.Kill()
 		<-s.ended
-		return fmt.Errorf("sidecar %d did not end within %v of SIGTERM", s.depth, stopWithin)
+		return fmt.Errorf("sidecar %d did not end within %v of SIGTERM", s.depth, stopTimeout)
 	}
 }
--- a/internal/rig/chain/study.go
+++ b/internal/rig/chain/study.go
@@ -10,32 +10,32 @@
 
 // Study is a series of runs, one after the other.
 type Study struct {
-	Config            // what all runs share; each sets Depth, Fail and Rate
-	Depths  []int     // of what fails
-	Parts   []float64 // that fail
-	Rates   []float64 // at which one sidecar is measured beside none
-	Chains  []int     // depths of chains in which nothing fails, at the first of the rates
-	Runs    []*Result
-	Started func(what string) // a run begins; nil: nobody is told
+	Config                  // of all runs, but for Depth, FailFraction and Rate
+	FailDepths    []int     // of chains whose leaf fails
+	FailFractions []float64 // of the leaf's requests
+	Rates         []float64 // at which one sidecar is compared with none
+	ChainDepths   []int     // of chains in which nothing fails, at the first of the rates
+	Runs          []*Result
+	OnStart       func(what string) // is called at the start of each run; may be nil
 }
 
-// errStopped ends a study whose context has ended.
+// errStopped is the error of a study whose context has ended.
 var errStopped = errors.New("stopped early")
 
-// Check says what is wrong with any of the runs.
+// Check returns an error if any of the runs is not valid.
 func (s *Study) Check() error {
-	if len(s.Rates) == 0 && len(s.Chains) > 0 {
+	if len(s.Rates) == 0 && len(s.ChainDepths) > 0 {
 		return errors.New("rates: missing; write one at least")
 	}
-	for _, depth := range append(slices.Clone(s.Depths), s.Chains...) {
+	for _, depth := range append(slices.Clone(s.FailDepths), s.ChainDepths...) {
 		c := s.Config
 		if c.Depth = depth; c.Check() != nil {
 			return c.Check()
 		}
 	}
-	for _, part := range s.Parts {
+	for _, part := range s.FailFractions {
 		c := s.Config
-		if c.Depth, c.Fail = 1, part; c.Check() != nil {
+		if c.Depth, c.FailFraction = 1, part; c.Check() != nil {
 			return c.Check()
 		}
 	}
@@ -48,30 +48,30 @@
 	return nil
 }
 
-// Added measures what sidecars add where nothing fails: one of them at each rate, then chains, each beside the path
-// without them.
-func (s *Study) Added(ctx context.Context) error {
+// MeasureAddedLatency measures what sidecars add while nothing fails: one sidecar at each rate, then chains, each compared with the
+// path without sidecars.
+func (s *Study) MeasureAddedLatency(ctx context.Context) error {
 	for _, rate := range s.Rates {
-		if err := s.both(ctx, 1, rate); err != nil {
+		if err := s.runBothPaths(ctx, 1, rate); err != nil {
 			return err
 		}
 	}
-	for _, depth := range s.Chains {
+	for _, depth := range s.ChainDepths {
 		if depth == 1 && len(s.Rates) > 0 {
-			continue // it is measured already
+			continue // it has been measured
 		}
-		if err := s.both(ctx, depth, s.Rates[0]); err != nil {
+		if err := s.runBothPaths(ctx, depth, s.Rates[0]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// both runs a chain without sidecars and with them.
-func (s *Study) both(ctx context.Context, depth int, rate float64) error {
+// runBothPaths runs a chain without sidecars, then with them.
+func (s *Study) runBothPaths(ctx context.Context, depth int, rate float64) error {
 	for _, program := range []string{"", s.Program} {
 		c := s.Config
-		c.Program, c.Depth, c.Rate, c.Fail = program, depth, rate, 0
+		c.Program, c.Depth, c.Rate, c.FailFraction = program, depth, rate, 0
 		if err := s.run(ctx, c); err != nil {
 			return err
 		}
@@ -79,12 +79,12 @@
 	return nil
 }
 
-// Failing has parts of the leaf's requests fail at each depth.
-func (s *Study) Failing(ctx context.Context) error {
-	for _, part := range s.Parts {
-		for _, depth := range s.Depths {
+// MeasureFailures measures each fraction of failures at the leaf at each depth.
+func (s *Study) MeasureFailures(ctx context.Context) error {
+	for _, part := range s.FailFractions {
+		for _, depth := range s.FailDepths {
 			c := s.Config
-			c.Depth, c.Fail = depth, part
+			c.Depth, c.FailFraction = depth, part
 			if err := s.run(ctx, c); err != nil {
 				return err
 			}
@@ -94,15 +94,15 @@
 }
 
 func (s *Study) run(ctx context.Context, c Config) error {
-	if s.Started != nil {
-		s.Started(fmt.Sprintf("depth %d, %g/s, %g%% fail, sidecars %v, %v",
-			c.Depth, c.Rate, 100*c.Fail, c.Program != "", c.Length.Round(time.Millisecond)))
+	if s.OnStart != nil {
+		s.OnStart(fmt.Sprintf("depth %d, %g/s, %g%% fail, sidecars %v, %v",
+			c.Depth, c.Rate, 100*c.FailFraction, c.Program != "", c.Length.Round(time.Millisecond)))
 	}
 	r, err := Run(ctx, c)
 	if err == nil {
 		s.Runs = append(s.Runs, r)
 	}
-	if ctx.Err() != nil { // what broke off by it is no news
+	if ctx.Err() != nil { // an error then only follows from that
 		return errStopped
 	}
 	return err
--- a/internal/rig/deployment/site.go
+++ b/internal/rig/deployment/site.go
@@ -68,7 +68,7 @@
 	began := make(chan struct{})
 	var live atomic.Int64
 	r := &rehearse.Rehearsal{Scenario: sc, Network: loopback.New(), Sidecars: s.Deployment, MaxLag: time.Minute,
-		Began: sync.OnceFunc(func() { close(began) }), Live: func(load.Operation) { live.Add(1) }}
+		OnStart: sync.OnceFunc(func() { close(began) }), OnOperation: func(load.Operation) { live.Add(1) }}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
--- a/internal/rig/loopback/loopback.go
+++ b/internal/rig/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback is a network of sockets on 127.0.0.0/8 on which machines can be cut off, for stand-ins and sidecars in
-// processes. Package memnet is its counterpart in memory.
+// Package loopback is a network of sockets on 127.0.0.0/8 on which machines can be isolated, for stand-ins and sidecars in processes.
+// Package memnet is its counterpart in memory.
 package loopback
 
 import (
@@ -13,18 +13,18 @@
 	"petrelhook/internal/common/sock"
 )
 
-// Network is sockets on 127.0.0.0/8, with machines that can be cut off. It refuses every other address.
+// Network is a set of listeners on 127.0.0.0/8 whose machines can be isolated. It rejects every other address. It is safe for
+// concurrent use.
 //
-// No packet can be dropped without privileges. A machine that is cut off leaves its connections open, reads nothing
-// that anyone hears of and writes nothing, and its listener is left with a full queue: Linux then drops what asks for
-// a connection, and who dials it waits.
+// Packets cannot be dropped without privileges. An isolated machine leaves its connections open, discards what it reads and what is
+// written, and the queue of its listener is filled: Linux then drops SYNs, and connection attempts wait.
 type Network struct {
 	mu        sync.Mutex
-	listeners map[string]*cutListener
+	listeners map[string]*listener
 }
 
 // New makes a network of loopback sockets.
-func New() *Network { return &Network{listeners: map[string]*cutListener{}} }
+func New() *Network { return &Network{listeners: map[string]*listener{}} }
 
 // Dial connects, as net.Dialer.DialContext does.
 func (n *Network) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -34,7 +34,7 @@
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, network, addr)
 }
 
-// isLoopback refuses what is not an address of 127.0.0.0/8; names are not looked up.
+// isLoopback returns an error unless addr is an address of 127.0.0.0/8; names are not resolved.
 func isLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Listen listens at an address; port 0 takes a free one.
+// Listen listens at an address; port 0 means a free one.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	if err := isLoopback(addr); err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &cutListener{TCPListener: ln.(*net.TCPListener), n: n, conns: map[*cutConn]struct{}{}}
+	c := &listener{TCPListener: ln.(*net.TCPListener), network: n, conns: map[*conn]struct{}{}}
 	c.changed.L = &c.mu
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -63,46 +63,47 @@
 	return c, nil
 }
 
-func (n *Network) at(addr string) *cutListener {
+// listenerAt is the listener at an address; nil: there is none.
+func (n *Network) listenerAt(addr string) *listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.listeners[addr]
 }
 
-// Silence cuts off the machine that listens at addr.
-func (n *Network) Silence(addr string) {
-	if l := n.at(addr); l != nil {
-		l.cutOff()
+// Isolate partitions the machine that listens at addr from all others.
+func (n *Network) Isolate(addr string) {
+	if l := n.listenerAt(addr); l != nil {
+		l.isolate()
 	}
 }
 
-// Restore brings it back: the connections that it had are reset.
+// Restore ends an Isolate. Connections that were open during it are reset.
 func (n *Network) Restore(addr string) {
-	if l := n.at(addr); l != nil {
+	if l := n.listenerAt(addr); l != nil {
 		l.restore()
 	}
 }
 
-// cutListener is a listener whose machine can be cut off.
-type cutListener struct {
+// listener is a listener whose machine can be isolated.
+type listener struct {
 	*net.TCPListener
-	n *Network
+	network *Network
 
-	mu      sync.Mutex
-	changed sync.Cond
-	cut     bool
-	closed  bool
-	conns   map[*cutConn]struct{}
-	fill    []net.Conn // they keep the queue full
+	mu           sync.Mutex
+	changed      sync.Cond
+	isolated     bool
+	closed       bool
+	conns        map[*conn]struct{}
+	queueFillers []net.Conn // connections that fill the queue while the machine is isolated
 }
 
-// Accept waits for a connection; while the machine is cut off, there is none.
-func (l *cutListener) Accept() (net.Conn, error) {
+// Accept waits for a connection; while the machine is isolated there is none.
+func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.AcceptTCP()
 		l.mu.Lock()
-		if err != nil && l.cut && !l.closed { // woken by cutOff
-			for l.cut && !l.closed {
+		if err != nil && l.isolated && !l.closed { // woken by isolate
+			for l.isolated && !l.closed {
 				l.changed.Wait()
 			}
 			l.mu.Unlock()
@@ -112,9 +113,9 @@
 			l.mu.Unlock()
 			return nil, err
 		}
-		conn := &cutConn{TCPConn: c, l: l, cut: make(chan struct{}), ended: make(chan struct{})}
-		if l.cut { // it came up just before
-			close(conn.cut)
+		conn := &conn{TCPConn: c, listener: l, isolated: make(chan struct{}), closed: make(chan struct{})}
+		if l.isolated { // it was established just before
+			close(conn.isolated)
 		}
 		l.conns[conn] = struct{}{}
 		l.mu.Unlock()
@@ -122,127 +123,130 @@
 	}
 }
 
-// Close closes the listener.
-func (l *cutListener) Close() error {
+// Close closes the listener. Connections of an isolated machine are reset.
+func (l *listener) Close() error {
 	l.mu.Lock()
 	l.closed = true
 	l.changed.Broadcast()
-	l.unfill()
+	l.emptyQueue()
 	for c := range l.conns {
-		if c.isCut() {
+		if c.isIsolated() {
 			sock.Abort(c.TCPConn)
 		}
 	}
 	l.mu.Unlock()
-	l.n.mu.Lock()
-	if l.n.listeners[l.Addr().String()] == l {
-		delete(l.n.listeners, l.Addr().String())
+	l.network.mu.Lock()
+	if l.network.listeners[l.Addr().String()] == l {
+		delete(l.network.listeners, l.Addr().String())
 	}
-	l.n.mu.Unlock()
+	l.network.mu.Unlock()
 	return l.TCPListener.Close()
 }
 
-// fillers is how many connections are tried to fill a queue of one; those that come up are kept.
-const fillers = 3
+// fillAttempts is the number of attempts to fill a queue of length one; connections that are established are kept.
+const fillAttempts = 3
 
-func (l *cutListener) cutOff() {
+// isolate starts the isolation of the machine.
+func (l *listener) isolate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cut || l.closed {
+	if l.isolated || l.closed {
 		return
 	}
-	l.cut = true
+	l.isolated = true
 	for c := range l.conns {
-		close(c.cut)
+		close(c.isolated)
 	}
-	l.SetDeadline(time.Now()) // Accept lets go
-	l.backlog(0)
-	for range fillers {
+	_ = l.SetDeadline(time.Now()) // wakes Accept; fails only on a closed listener
+	l.setBacklog(0)
+	for range fillAttempts {
 		if c, err := net.DialTimeout("tcp", l.Addr().String(), 20*time.Millisecond); err == nil {
-			l.fill = append(l.fill, c)
+			l.queueFillers = append(l.queueFillers, c)
 		}
 	}
 }
 
-func (l *cutListener) restore() {
+// restore ends it.
+func (l *listener) restore() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.cut {
+	if !l.isolated {
 		return
 	}
-	l.cut = false
-	l.unfill()
-	l.backlog(syscall.SOMAXCONN)
-	l.SetDeadline(time.Time{})
+	l.isolated = false
+	l.emptyQueue()
+	l.setBacklog(syscall.SOMAXCONN)
+	_ = l.SetDeadline(time.Time{}) // fails only on a closed listener
 	for c := range l.conns {
-		if c.isCut() {
+		if c.isIsolated() {
 			sock.Abort(c.TCPConn)
 		}
 	}
 	l.changed.Broadcast()
 }
 
-// unfill gives the queue free. The caller holds mu.
-func (l *cutListener) unfill() {
-	for _, c := range l.fill {
+// emptyQueue ends the connections that fill the queue. The caller holds mu.
+func (l *listener) emptyQueue() {
+	for _, c := range l.queueFillers {
 		sock.Abort(c)
 	}
-	l.fill = nil
+	l.queueFillers = nil
 }
 
-// backlog sets how many connections may wait: to listen again on a socket that listens does so on Linux.
-func (l *cutListener) backlog(n int) {
+// setBacklog sets the length of the queue: on Linux, listen on a listening socket does that.
+func (l *listener) setBacklog(n int) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
+	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
 }
 
-// cutConn is a connection of a machine that can be cut off.
-type cutConn struct {
+// conn is a connection of a machine that can be isolated.
+type conn struct {
 	*net.TCPConn
-	l     *cutListener
-	cut   chan struct{}
-	once  sync.Once
-	ended chan struct{}
+	listener *listener
+	isolated chan struct{}
+	once     sync.Once
+	closed   chan struct{}
 }
 
-func (c *cutConn) isCut() bool {
+// isIsolated reports whether the connection was open during an isolation.
+func (c *conn) isIsolated() bool {
 	select {
-	case <-c.cut:
+	case <-c.isolated:
 		return true
 	default:
 		return false
 	}
 }
 
-// Read reads; what comes while the machine is cut off never arrives.
-func (c *cutConn) Read(p []byte) (int, error) {
+// Read reads; what arrives while the machine is isolated is lost.
+func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if c.isCut() {
-		<-c.ended
+	if c.isIsolated() {
+		<-c.closed
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// Write writes; while the machine is cut off it goes nowhere.
-func (c *cutConn) Write(p []byte) (int, error) {
-	if c.isCut() {
+// Write writes; while the machine is isolated the bytes are discarded.
+func (c *conn) Write(p []byte) (int, error) {
+	if c.isIsolated() {
 		return len(p), nil
 	}
 	return c.TCPConn.Write(p)
 }
 
-// Close closes the connection. That of a machine that is cut off is not heard of until it is back.
-func (c *cutConn) Close() error {
-	c.once.Do(func() { close(c.ended) })
-	c.l.mu.Lock()
-	defer c.l.mu.Unlock()
-	if c.isCut() && c.l.cut && !c.l.closed {
+// Close closes the connection. While the machine is isolated the peer does not notice until Restore.
+func (c *conn) Close() error {
+	c.once.Do(func() { close(c.closed) })
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.isIsolated() && c.listener.isolated && !c.listener.closed {
 		return nil
 	}
-	delete(c.l.conns, c)
+	delete(c.listener.conns, c)
 	return c.TCPConn.Close()
 }
--- a/internal/rig/loopback/loopback_test.go
+++ b/internal/rig/loopback/loopback_test.go
@@ -42,7 +42,7 @@
 	}
 	defer client2.Close()
 	server2 := <-accepted
-	n.Silence(addr)
+	n.Isolate(addr)
 	server2.Close() // nobody hears of it yet
 	client2.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := client2.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/rig/memnet/conn.go
+++ b/internal/rig/memnet/conn.go
@@ -9,52 +9,53 @@
 	"time"
 )
 
-// window is how much may be on its way before a writer waits.
-const window = 256 << 10
+// maxBuffered is the number of bytes in flight at which a writer waits.
+const maxBuffered = 256 << 10
 
-// wire is what both sides of a connection share. Each side's fields in Conn are guarded by mu.
-type wire struct {
-	mu      sync.Mutex
-	changed sync.Cond
-	lost    bool // a machine was cut off: nothing arrives any more
+// connState is shared by both sides of a connection. Its mu guards the fields of both Conns.
+type connState struct {
+	mu       sync.Mutex
+	changed  sync.Cond
+	isolated bool // a machine was isolated: nothing arrives any more
 }
 
-func (w *wire) isLost() bool {
+func (w *connState) isIsolated() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lost
+	return w.isolated
 }
 
 // Conn is one side of a connection.
 type Conn struct {
-	net           *Network
-	wire          *wire
+	network       *Network
+	state         *connState
 	peer          *Conn
 	local, remote *net.TCPAddr
 
-	// Guarded by wire.mu: what is on its way to this side, and what this side has done.
-	segments []segment
-	held     int       // bytes in segments
-	due      time.Time // of the last thing on its way
-	end      time.Time // when the peer's end of sending arrives; zero: it has not ended
-	reset    time.Time // when a reset arrives
-	closed   bool
-	finished bool // it has ended its sending
-	abrupt   bool // its close is a reset
+	// Guarded by state.mu: what is in flight to this side, and what this side has done.
+	segments     []segment
+	buffered     int       // bytes in segments
+	lastArrival  time.Time // of the last segment or end in flight
+	eofAt        time.Time // when the peer's end of file arrives; zero: it has sent none
+	resetArrival time.Time // zero: none has been sent
+	closed       bool
+	writeClosed  bool // it has sent its end of file
+	resetOnClose bool // Close sends a reset
 
-	readBy, writeBy time.Time
+	readDeadline, writeDeadline time.Time
 }
 
-// segment is what one write sent.
+// segment is the bytes of one Write.
 type segment struct {
-	due  time.Time
-	data []byte
+	arrivesAt time.Time
+	data      []byte
 }
 
-func arrived(due, now time.Time) bool { return !due.IsZero() && !due.After(now) }
+// hasArrived reports whether a time is set and has come.
+func hasArrived(at, now time.Time) bool { return !at.IsZero() && !at.After(now) }
 
-// wait waits for a change, or for the earliest of the times that lies ahead. The caller holds wire.mu.
-func (c *Conn) wait(now time.Time, times ...time.Time) {
+// awaitChange waits for a change, or for the earliest of the times in the future. The caller holds state.mu.
+func (c *Conn) awaitChange(now time.Time, times ...time.Time) {
 	var first time.Time
 	for _, t := range times {
 		if t.After(now) && (first.IsZero() || t.Before(first)) {
@@ -63,182 +64,183 @@
 	}
 	if !first.IsZero() {
 		t := time.AfterFunc(first.Sub(now), func() {
-			c.wire.mu.Lock() // else the wait may not have begun
-			defer c.wire.mu.Unlock()
-			c.wire.changed.Broadcast()
+			c.state.mu.Lock() // otherwise the wait may not have begun
+			defer c.state.mu.Unlock()
+			c.state.changed.Broadcast()
 		})
 		defer t.Stop()
 	}
-	c.wire.changed.Wait()
+	c.state.changed.Wait()
 }
 
-// Read reads what has arrived.
+// Read reads what has arrived, or waits for it.
 func (c *Conn) Read(p []byte) (int, error) {
-	c.wire.mu.Lock()
-	defer c.wire.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	for {
 		now := time.Now()
 		var next time.Time
 		if len(c.segments) > 0 {
-			next = c.segments[0].due
+			next = c.segments[0].arrivesAt
 		}
 		switch {
 		case c.closed:
-			return 0, c.failed("read", net.ErrClosed)
-		case arrived(c.readBy, now):
-			return 0, c.failed("read", os.ErrDeadlineExceeded)
+			return 0, c.opError("read", net.ErrClosed)
+		case hasArrived(c.readDeadline, now):
+			return 0, c.opError("read", os.ErrDeadlineExceeded)
 		case len(p) == 0:
 			return 0, nil
-		case arrived(next, now):
+		case hasArrived(next, now):
 			s := &c.segments[0]
 			n := copy(p, s.data)
-			c.held -= n
+			c.buffered -= n
 			if s.data = s.data[n:]; len(s.data) == 0 {
 				c.segments = c.segments[1:]
 			}
-			c.wire.changed.Broadcast() // the writer may have waited for room
+			c.state.changed.Broadcast() // the writer may wait for the buffer
 			return n, nil
-		case arrived(c.reset, now):
-			return 0, c.failed("read", syscall.ECONNRESET)
-		case next.IsZero() && arrived(c.end, now):
+		case hasArrived(c.resetArrival, now):
+			return 0, c.opError("read", syscall.ECONNRESET)
+		case next.IsZero() && hasArrived(c.eofAt, now):
 			return 0, io.EOF
 		}
-		c.wait(now, next, c.reset, c.end, c.readBy)
+		c.awaitChange(now, next, c.resetArrival, c.eofAt, c.readDeadline)
 	}
 }
 
-// Write sends p as one segment.
+// Write sends p as one segment. It waits while maxBuffered bytes are in flight.
 func (c *Conn) Write(p []byte) (int, error) {
-	delay := c.net.instant()
-	c.wire.mu.Lock()
-	defer c.wire.mu.Unlock()
+	delay := c.network.nextDelay()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	to := c.peer
 	for {
 		now := time.Now()
 		switch {
 		case c.closed:
-			return 0, c.failed("write", net.ErrClosed)
-		case arrived(c.writeBy, now):
-			return 0, c.failed("write", os.ErrDeadlineExceeded)
-		case c.finished, arrived(c.reset, now):
-			return 0, c.failed("write", syscall.EPIPE)
-		case c.wire.lost:
+			return 0, c.opError("write", net.ErrClosed)
+		case hasArrived(c.writeDeadline, now):
+			return 0, c.opError("write", os.ErrDeadlineExceeded)
+		case c.writeClosed, hasArrived(c.resetArrival, now):
+			return 0, c.opError("write", syscall.EPIPE)
+		case c.state.isolated:
 			return len(p), nil
-		case to.closed: // it arrives at nobody, who resets the connection
+		case to.closed: // the peer's machine answers with a reset
 			c.resetAt(now.Add(2 * delay))
 			return len(p), nil
-		case to.held < window:
-			due := later(now.Add(delay), to.due)
-			to.segments = append(to.segments, segment{due: due, data: append([]byte(nil), p...)})
-			to.held += len(p)
-			to.due = due
-			c.wire.changed.Broadcast()
+		case to.buffered < maxBuffered:
+			due := notBefore(now.Add(delay), to.lastArrival)
+			to.segments = append(to.segments, segment{arrivesAt: due, data: append([]byte(nil), p...)})
+			to.buffered += len(p)
+			to.lastArrival = due
+			c.state.changed.Broadcast()
 			return len(p), nil
 		}
-		c.wait(now, c.writeBy, c.reset)
+		c.awaitChange(now, c.writeDeadline, c.resetArrival)
 	}
 }
 
-func later(a, b time.Time) time.Time {
+// notBefore is a if it is after b, otherwise the instant after b: deliveries keep their order.
+func notBefore(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b.Add(1)
 }
 
-// resetAt has a reset arrive at this side. The caller holds wire.mu.
+// resetAt has a reset arrive at this side. The caller holds state.mu.
 func (c *Conn) resetAt(t time.Time) {
-	if c.reset.IsZero() || t.Before(c.reset) {
-		c.reset = t
+	if c.resetArrival.IsZero() || t.Before(c.resetArrival) {
+		c.resetArrival = t
 	}
-	c.wire.changed.Broadcast()
+	c.state.changed.Broadcast()
 }
 
-// abort resets this side, as the network does.
+// abort has a reset arrive at this side after a delay.
 func (c *Conn) abort() {
-	delay := c.net.instant()
-	c.wire.mu.Lock()
-	defer c.wire.mu.Unlock()
+	delay := c.network.nextDelay()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	c.resetAt(time.Now().Add(delay))
 }
 
-// CloseWrite ends the sending side: the peer reads an end of file behind what was sent.
+// CloseWrite ends the sending side: the peer reads an end of file after what was sent.
 func (c *Conn) CloseWrite() error {
-	delay := c.net.instant()
-	c.wire.mu.Lock()
-	defer c.wire.mu.Unlock()
+	delay := c.network.nextDelay()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	if c.closed {
-		return c.failed("close", net.ErrClosed)
+		return c.opError("close", net.ErrClosed)
 	}
-	c.finish(delay)
+	c.closeWrite(delay)
 	return nil
 }
 
-// finish sends the end of file. The caller holds wire.mu.
-func (c *Conn) finish(delay time.Duration) {
-	if to := c.peer; !c.finished && !c.wire.lost {
-		to.end = later(time.Now().Add(delay), to.due)
-		to.due = to.end
+// closeWrite sends the end of file. The caller holds state.mu.
+func (c *Conn) closeWrite(delay time.Duration) {
+	if to := c.peer; !c.writeClosed && !c.state.isolated {
+		to.eofAt = notBefore(time.Now().Add(delay), to.lastArrival)
+		to.lastArrival = to.eofAt
 	}
-	c.finished = true
-	c.wire.changed.Broadcast()
+	c.writeClosed = true
+	c.state.changed.Broadcast()
 }
 
-// Close closes both directions. With bytes unread, or after SetLinger(0), the peer gets a reset.
+// Close closes both directions. With unread bytes, or after SetLinger(0), the peer gets a reset.
 func (c *Conn) Close() error {
-	delay := c.net.instant()
-	c.net.mu.Lock()
-	defer c.net.mu.Unlock()
-	c.wire.mu.Lock()
-	defer c.wire.mu.Unlock()
-	if !c.wire.lost { // else the peer has to hear of it when the machine is back
-		delete(c.net.conns, c)
+	delay := c.network.nextDelay()
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	if !c.state.isolated { // otherwise Restore has to reset the peer
+		delete(c.network.conns, c)
 	}
 	if c.closed {
-		return c.failed("close", net.ErrClosed)
+		return c.opError("close", net.ErrClosed)
 	}
 	c.closed = true
 	switch {
-	case c.wire.lost:
-	case c.abrupt || len(c.segments) > 0:
+	case c.state.isolated:
+	case c.resetOnClose || len(c.segments) > 0:
 		c.peer.resetAt(time.Now().Add(delay))
 	default:
-		c.finish(delay)
+		c.closeWrite(delay)
 	}
-	c.segments, c.held = nil, 0
-	c.wire.changed.Broadcast()
+	c.segments, c.buffered = nil, 0
+	c.state.changed.Broadcast()
 	return nil
 }
 
 func (c *Conn) isClosed() bool {
-	c.wire.mu.Lock()
-	defer c.wire.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	return c.closed
 }
 
-// SetLinger with 0 makes the close a reset, as net.TCPConn's does.
+// SetLinger with 0 makes Close send a reset, as that of net.TCPConn does. It has no error.
 func (c *Conn) SetLinger(sec int) error {
-	c.wire.mu.Lock()
-	defer c.wire.mu.Unlock()
-	c.abrupt = sec == 0
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
+	c.resetOnClose = sec == 0
 	return nil
 }
 
-// Quiet reports whether the connection is open and nothing has arrived that is still unread.
+// Quiet reports whether the connection is open and has no unread bytes, as sock.Quiet does.
 func (c *Conn) Quiet() bool {
-	c.wire.mu.Lock()
-	defer c.wire.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	now := time.Now()
-	return !c.closed && !arrived(c.reset, now) && !arrived(c.end, now) &&
-		(len(c.segments) == 0 || !arrived(c.segments[0].due, now))
+	return !c.closed && !hasArrived(c.resetArrival, now) && !hasArrived(c.eofAt, now) &&
+		(len(c.segments) == 0 || !hasArrived(c.segments[0].arrivesAt, now))
 }
 
-// Ended reports whether the peer's end, or a reset, has arrived behind everything else.
+// Ended reports whether the peer's end of file or a reset has arrived and everything before it has been read, as sock.Ended does.
 func (c *Conn) Ended() bool {
-	c.wire.mu.Lock()
-	defer c.wire.mu.Unlock()
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	now := time.Now()
-	return c.closed || arrived(c.reset, now) || arrived(c.end, now) && len(c.segments) == 0
+	return c.closed || hasArrived(c.resetArrival, now) || hasArrived(c.eofAt, now) && len(c.segments) == 0
 }
 
 // LocalAddr is this side's address.
@@ -248,30 +250,32 @@
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
 
 // SetDeadline bounds reads and writes.
-func (c *Conn) SetDeadline(t time.Time) error { return c.bound(&t, &t) }
+func (c *Conn) SetDeadline(t time.Time) error { return c.setDeadlines(&t, &t) }
 
 // SetReadDeadline bounds reads.
-func (c *Conn) SetReadDeadline(t time.Time) error { return c.bound(&t, nil) }
+func (c *Conn) SetReadDeadline(t time.Time) error { return c.setDeadlines(&t, nil) }
 
 // SetWriteDeadline bounds writes.
-func (c *Conn) SetWriteDeadline(t time.Time) error { return c.bound(nil, &t) }
+func (c *Conn) SetWriteDeadline(t time.Time) error { return c.setDeadlines(nil, &t) }
 
-func (c *Conn) bound(read, write *time.Time) error {
-	c.wire.mu.Lock()
-	defer c.wire.mu.Unlock()
+// setDeadlines sets the deadlines that are not nil.
+func (c *Conn) setDeadlines(read, write *time.Time) error {
+	c.state.mu.Lock()
+	defer c.state.mu.Unlock()
 	if c.closed {
-		return c.failed("set", net.ErrClosed)
+		return c.opError("set", net.ErrClosed)
 	}
 	if read != nil {
-		c.readBy = *read
+		c.readDeadline = *read
 	}
 	if write != nil {
-		c.writeBy = *write
+		c.writeDeadline = *write
 	}
-	c.wire.changed.Broadcast()
+	c.state.changed.Broadcast()
 	return nil
 }
 
-func (c *Conn) failed(op string, err error) error {
+// opError is an error of this connection as package net makes them.
+func (c *Conn) opError(op string, err error) error {
 	return &net.OpError{Op: op, Net: "tcp", Source: c.local, Addr: c.remote, Err: err}
 }
--- a/internal/rig/memnet/memnet_test.go
+++ b/internal/rig/memnet/memnet_test.go
@@ -112,13 +112,13 @@
 	})
 	bubble(t, "a writer waits for a slow reader", func(t *testing.T) {
 		_, client, server := connected(t)
-		client.Write(make([]byte, window))
+		client.Write(make([]byte, maxBuffered))
 		client.SetWriteDeadline(time.Now().Add(time.Second))
 		if _, err := client.Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Error(err)
 		}
 		client.SetWriteDeadline(time.Time{})
-		io.ReadFull(server, make([]byte, window))
+		io.ReadFull(server, make([]byte, maxBuffered))
 		if _, err := client.Write([]byte("x")); err != nil {
 			t.Error(err)
 		}
@@ -145,7 +145,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, client, server := connected(t)
 		addr := client.RemoteAddr().String()
-		n.Silence(addr)
+		n.Isolate(addr)
 		server.Close()
 		client.SetReadDeadline(time.Now().Add(time.Minute))
 		if _, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -164,7 +164,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, client, server := connected(t)
 		addr := client.RemoteAddr().String()
-		n.Silence(addr)
+		n.Isolate(addr)
 		client.Write([]byte("hi"))
 		server.Write([]byte("hi"))
 		client.SetReadDeadline(time.Now().Add(time.Minute))
--- a/internal/rig/memnet/network.go
+++ b/internal/rig/memnet/network.go
@@ -1,14 +1,12 @@
-// Package memnet is a network in memory: listeners and connections that behave as TCP on loopback does where the
-// sidecar can tell, with a delay on every delivery, and machines that fall silent.
+// Package memnet is a network in memory: listeners and connections that behave like TCP on loopback as far as the sidecar can
+// observe, with a delay on every delivery, and machines that can be isolated.
 //
-// It exists so that a whole sidecar with its clients, servers and discovery runs inside a testing/synctest bubble, in
-// which time is virtual and passes only when all goroutines wait. Every wait here is one that synctest understands (a
-// sync.Cond or a channel), and no two deliveries fall on the same instant, so what follows from one is over before the
-// next begins: the same run gives the same result.
+// With it a complete sidecar with its clients, servers and discovery runs inside a testing/synctest bubble, in which time is virtual
+// and passes only when all goroutines wait. Every wait here is one that synctest understands (a sync.Cond or a channel), and no two
+// deliveries happen at the same instant, so the effects of one are complete before the next: the same run gives the same result.
 //
-// What it models of TCP: segments in order, a half close, a reset where a side closes with bytes unread or is written
-// to after its close, a bounded buffer that holds the writer up, refused connections. What it does not: loss,
-// reordering, bandwidth, a SYN that is sent again.
+// It models of TCP: segments in order, a half close, a reset if a side closes with unread bytes or is written to after its close, a
+// bounded buffer that blocks the writer, refused connections. It does not model loss, reordering, bandwidth or SYN retransmission.
 package memnet
 
 import (
@@ -20,35 +18,35 @@
 	"time"
 )
 
-// Network holds the listeners and connections that can reach one another. It is safe for concurrent use.
+// Network is a set of listeners and connections that can reach one another. It is safe for concurrent use.
 type Network struct {
 	latency time.Duration // one way
 
 	mu         sync.Mutex
 	listeners  map[string]*Listener
-	silent     map[string]chan struct{} // by address; closed when the machine is back
-	conns      map[*Conn]string         // the servers' sides that are open, with the address that was dialled
+	isolated   map[string]chan struct{} // by address; closed when the machine is restored
+	conns      map[*Conn]string         // the accepting sides that are open, with the address that was dialled
 	lastPort   int
 	deliveries int64
 }
 
-// New makes a network on which everything takes latency one way, and some nanoseconds of its own.
+// New makes a network on which each delivery takes the latency and some nanoseconds that are different for each.
 func New(latency time.Duration) *Network {
 	return &Network{
-		latency: latency, listeners: map[string]*Listener{}, silent: map[string]chan struct{}{},
+		latency: latency, listeners: map[string]*Listener{}, isolated: map[string]chan struct{}{},
 		conns: map[*Conn]string{}, lastPort: 20000,
 	}
 }
 
-// instant is how long the next delivery takes: no two at the same time take equally long.
-func (n *Network) instant() time.Duration {
+// nextDelay is the delay of the next delivery. Deliveries that start at the same time have different ones.
+func (n *Network) nextDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.deliveries++
-	return n.latency + time.Duration(n.deliveries%9973) // a prime: the pattern falls in with no schedule
+	return n.latency + time.Duration(n.deliveries%9973) // a prime, so that the pattern does not coincide with that of a load
 }
 
-// Listen listens at a host:port; port 0 takes a free one. An address in use is an error, as on TCP.
+// Listen listens at a host:port; port 0 means a free one. An address in use is an error, as with TCP.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	at, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
@@ -63,57 +61,58 @@
 	if n.listeners[at.String()] != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Addr: at, Err: syscall.EADDRINUSE}
 	}
-	l := &Listener{net: n, at: at, backlog: make(chan *Conn, backlog), ended: make(chan struct{})}
+	l := &Listener{network: n, addr: at, backlog: make(chan *Conn, backlog), done: make(chan struct{})}
 	n.listeners[at.String()] = l
 	return l, nil
 }
 
-// backlog is how many connections may wait to be accepted; more find no answer, as where Linux drops them.
+// backlog is the number of connections that may wait to be accepted; further ones get no answer, as when Linux drops them.
 const backlog = 4096
 
-// Dial connects to a listener, as net.Dialer.DialContext does. Where nobody listens it is refused; at a silent machine
-// it waits for ctx, and is reset when the machine is back.
+// Dial connects to a listener, as net.Dialer.DialContext does. Without a listener the connection is refused; to an isolated machine
+// Dial waits for ctx, and is reset when the machine is restored.
 func (n *Network) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	at, err := net.ResolveTCPAddr(network, addr)
 	if err != nil {
 		return nil, err
 	}
-	failed := func(err error) (net.Conn, error) {
+	opError := func(err error) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Net: network, Addr: at, Err: err}
 	}
-	if err := sleep(ctx, n.instant()); err != nil {
-		return failed(err)
+	if err := sleep(ctx, n.nextDelay()); err != nil {
+		return opError(err)
 	}
 	n.mu.Lock()
-	back := n.silent[at.String()]
+	back := n.isolated[at.String()]
 	l := n.listeners[at.String()]
 	n.mu.Unlock()
 	if back != nil {
 		select {
 		case <-ctx.Done():
-			return failed(ctx.Err())
+			return opError(ctx.Err())
 		case <-back:
-			return failed(syscall.ECONNRESET)
+			return opError(syscall.ECONNRESET)
 		}
 	}
 	if l == nil {
-		if err := sleep(ctx, n.instant()); err != nil {
-			return failed(err)
+		if err := sleep(ctx, n.nextDelay()); err != nil {
+			return opError(err)
 		}
-		return failed(syscall.ECONNREFUSED)
+		return opError(syscall.ECONNREFUSED)
 	}
 	client, server := n.pair(at)
-	if err := l.offer(ctx, server); err != nil {
+	if err := l.enqueue(ctx, server); err != nil {
 		_ = server.Close()
-		return failed(err)
+		return opError(err)
 	}
-	if err := sleep(ctx, n.instant()); err != nil {
+	if err := sleep(ctx, n.nextDelay()); err != nil {
 		_ = client.Close()
-		return failed(err)
+		return opError(err)
 	}
 	return client, nil
 }
 
+// sleep waits for a duration, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -125,65 +124,65 @@
 	}
 }
 
+// pair makes the two sides of a connection to an address.
 func (n *Network) pair(at *net.TCPAddr) (client, server *Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lastPort++
 	from := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: n.lastPort}
-	w := &wire{}
+	w := &connState{}
 	w.changed.L = &w.mu
-	client = &Conn{net: n, wire: w, local: from, remote: at}
-	server = &Conn{net: n, wire: w, local: at, remote: from}
+	client = &Conn{network: n, state: w, local: from, remote: at}
+	server = &Conn{network: n, state: w, local: at, remote: from}
 	client.peer, server.peer = server, client
 	n.conns[server] = at.String()
 	return client, server
 }
 
-// Silence cuts the machine at addr off: what is written to it or by it from now on vanishes, and nobody who dials it
-// hears anything.
-func (n *Network) Silence(addr string) {
+// Isolate partitions the machine at addr from all others: what is written to it or by it is lost, and connections to it get no answer.
+func (n *Network) Isolate(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.silent[addr] == nil {
-		n.silent[addr] = make(chan struct{})
+	if n.isolated[addr] == nil {
+		n.isolated[addr] = make(chan struct{})
 	}
 	for c, at := range n.conns {
 		if at == addr {
-			c.wire.mu.Lock()
-			c.wire.lost = true
-			c.wire.mu.Unlock()
+			c.state.mu.Lock()
+			c.state.isolated = true
+			c.state.mu.Unlock()
 		}
 	}
 }
 
-// Restore ends a Silence. The connections that were open in it are reset.
+// Restore ends an Isolate. Connections that were open during it are reset.
 func (n *Network) Restore(addr string) {
 	n.mu.Lock()
-	if back := n.silent[addr]; back != nil {
+	if back := n.isolated[addr]; back != nil {
 		close(back)
-		delete(n.silent, addr)
+		delete(n.isolated, addr)
 	}
-	var cut []*Conn
+	var isolated []*Conn
 	for c, at := range n.conns {
-		if at == addr && c.wire.isLost() {
-			cut = append(cut, c)
+		if at == addr && c.state.isIsolated() {
+			isolated = append(isolated, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range cut {
+	for _, c := range isolated {
 		c.abort()
 		c.peer.abort()
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, c := range cut {
+	for _, c := range isolated {
 		if c.isClosed() {
 			delete(n.conns, c)
 		}
 	}
 }
 
-// Open is how many connections are open, counted at the side that accepted them.
+// Open is the number of open connections, counted at the accepting side.
 func (n *Network) Open() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -196,19 +195,19 @@
 	return open
 }
 
-// Listener takes connections at one address.
+// Listener accepts connections at one address.
 type Listener struct {
-	net     *Network
-	at      *net.TCPAddr
+	network *Network
+	addr    *net.TCPAddr
 	backlog chan *Conn
-	ended   chan struct{}
+	done    chan struct{}
 
 	mu     sync.Mutex
-	closed bool // nothing more is queued
+	closed bool // no more connections are queued
 }
 
-// offer queues a connection. Where the queue is full nobody answers, as where Linux drops what asks for one.
-func (l *Listener) offer(ctx context.Context, c *Conn) error {
+// enqueue queues a connection. If the queue is full it waits for ctx, as a client does whose SYN Linux drops.
+func (l *Listener) enqueue(ctx context.Context, c *Conn) error {
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
@@ -228,15 +227,15 @@
 // Accept waits for the next connection.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
-	case <-l.ended:
-		return nil, fmt.Errorf("accept at %v: %w", l.at, net.ErrClosed)
+	case <-l.done:
+		return nil, fmt.Errorf("accept at %v: %w", l.addr, net.ErrClosed)
 	default:
 	}
 	select {
 	case c := <-l.backlog:
 		return c, nil
-	case <-l.ended:
-		return nil, fmt.Errorf("accept at %v: %w", l.at, net.ErrClosed)
+	case <-l.done:
+		return nil, fmt.Errorf("accept at %v: %w", l.addr, net.ErrClosed)
 	}
 }
 
@@ -248,14 +247,14 @@
 		return nil
 	}
 	l.closed = true
-	l.net.mu.Lock()
-	delete(l.net.listeners, l.at.String())
-	l.net.mu.Unlock()
-	close(l.ended)
+	l.network.mu.Lock()
+	delete(l.network.listeners, l.addr.String())
+	l.network.mu.Unlock()
+	close(l.done)
 	for {
 		select {
 		case c := <-l.backlog:
-			c.SetLinger(0)
+			_ = c.SetLinger(0) // it has no error
 			_ = c.Close()
 		default:
 			return nil
@@ -263,5 +262,5 @@
 	}
 }
 
-// Addr is where it listens.
-func (l *Listener) Addr() net.Addr { return l.at }
+// Addr is the address at which it listens.
+func (l *Listener) Addr() net.Addr { return l.addr }
--- a/internal/rig/rehearse/compare_test.go
+++ b/internal/rig/rehearse/compare_test.go
@@ -147,8 +147,11 @@
 					_, err = io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
 				}
-				if err != nil || resp.StatusCode != 200 {
-					failed <- fmt.Errorf("%v, %v", err, resp)
+				if err == nil && resp.StatusCode != 200 {
+					err = fmt.Errorf("answer %v", resp)
+				}
+				if err != nil {
+					failed <- err
 					return
 				}
 				n.Add(1)
--- a/internal/rig/rehearse/inprocess.go
+++ b/internal/rig/rehearse/inprocess.go
@@ -9,16 +9,16 @@
 	"petrelhook/internal/sidecar/wiring"
 )
 
-// InProcess is sidecars that run in this process, on a network that is handed in: the core as it is, without its
-// command. It is for networks in memory; a process of its own tells what a sidecar costs.
+// InProcess is a Starter of sidecars in this process, on a given network: all of the sidecar but its command. It is for networks in
+// memory; Processes shows what a sidecar costs.
 type InProcess struct {
 	Network Network
 	Log     *slog.Logger
 
-	running []inProcess
+	running []inProcessSidecar
 }
 
-type inProcess struct {
+type inProcessSidecar struct {
 	stop  context.CancelFunc
 	ended chan error
 }
@@ -37,7 +37,7 @@
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	one := inProcess{ended: make(chan error, 1)}
+	one := inProcessSidecar{ended: make(chan error, 1)}
 	var stop context.Context
 	stop, one.stop = context.WithCancel(context.Background())
 	sidecar := wiring.New(&cfg, p.Network.Dial, log)
@@ -46,7 +46,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Stop drains all of them, as SIGTERM does.
+// Stop shuts all of them down gracefully, as SIGTERM does.
 func (p *InProcess) Stop() error {
 	var all []error
 	for _, one := range p.running {
--- a/internal/rig/rehearse/page.go
+++ b/internal/rig/rehearse/page.go
@@ -22,7 +22,7 @@
 	plotHeight = 8
 )
 
-var shade = color.NRGBA{0x60, 0x60, 0x60, 0x30} // of a fault band
+var faultShade = color.NRGBA{0x60, 0x60, 0x60, 0x30} // of faults
 
 var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title><style>{{.Style}}</style></head><body>
@@ -35,7 +35,7 @@
 <h2>Report</h2><pre>{{.Text}}</pre></body></html>
 `))
 
-// WritePage writes the report as one page of HTML that needs nothing else.
+// WritePage writes the report as one self-contained page of HTML.
 func (r *Report) WritePage(w io.Writer) error {
 	var text strings.Builder
 	if err := r.WriteText(&text); err != nil {
@@ -68,23 +68,23 @@
 	})
 }
 
-// shadeFaults draws the times in which any fault was on, up to a height.
+// shadeFaults shades the times of faults between two heights.
 func (r *Report) shadeFaults(p *plot.Plot, low, high float64) error {
-	end := time.Duration(len(r.course.Slices)) * r.course.Width
-	for _, b := range merged(r.faultBands) {
+	end := time.Duration(len(r.timeline.Slices)) * r.timeline.Width
+	for _, b := range mergeIntervals(r.faultIntervals) {
 		from, to := b.from.Seconds(), math.Max(min(b.to, end).Seconds(), b.from.Seconds()+0.05)
 		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: low}, {X: to, Y: low}, {X: to, Y: high}, {X: from, Y: high}})
 		if err != nil {
 			return err
 		}
-		box.Color, box.LineStyle.Width = shade, 0
+		box.Color, box.LineStyle.Width = faultShade, 0
 		p.Add(box)
 	}
 	return nil
 }
 
-// merged is bands, in order of their begins, with those that overlap made one.
-func merged(bands []band) (all []band) {
+// mergeIntervals merges intervals that overlap. They are in order of their starts.
+func mergeIntervals(bands []interval) (all []interval) {
 	for _, b := range bands {
 		if n := len(all); n > 0 && b.from <= all[n-1].to {
 			all[n-1].to = max(all[n-1].to, b.to)
@@ -95,9 +95,10 @@
 	return all
 }
 
-// at is the middle of a slice, in seconds.
-func (r *Report) at(i int) float64 { return (float64(i) + 0.5) * r.course.Width.Seconds() }
+// sliceCentre is the middle of slice i, in seconds.
+func (r *Report) sliceCentre(i int) float64 { return (float64(i) + 0.5) * r.timeline.Width.Seconds() }
 
+// ratePlot draws the rates of operations by result.
 func (r *Report) ratePlot() (*plot.Plot, error) {
 	p := chart.New("s", "operations/s")
 	series := []struct {
@@ -112,10 +113,10 @@
 		{"failed, lost, unreached", chart.Red, func(c load.Counts) int { return c.Failed + c.Lost + c.Unreached }, nil},
 	}
 	top := 1.0
-	for i, slice := range r.course.Slices {
+	for i, slice := range r.timeline.Slices {
 		for k := range series {
-			rate := float64(series[k].count(slice.Counts)) / r.course.Width.Seconds()
-			series[k].line = append(series[k].line, plotter.XY{X: r.at(i), Y: rate})
+			rate := float64(series[k].count(slice.Counts)) / r.timeline.Width.Seconds()
+			series[k].line = append(series[k].line, plotter.XY{X: r.sliceCentre(i), Y: rate})
 			top = math.Max(top, rate)
 		}
 	}
@@ -127,13 +128,14 @@
 			return nil, err
 		}
 	}
-	p.Y.Min, p.Y.Max = 0, legendRoom*top
+	p.Y.Min, p.Y.Max = 0, legendHeadroom*top
 	return p, nil
 }
 
-// legendRoom is how much higher a plot is than what it shows, for the legend.
-const legendRoom = 1.5
+// legendHeadroom is the height of a plot in proportion to its highest value, to leave space for the legend.
+const legendHeadroom = 1.5
 
+// latencyPlot draws percentiles of latency, on a logarithmic scale.
 func (r *Report) latencyPlot() (*plot.Plot, error) {
 	p := chart.New("s", "ms")
 	series := []struct {
@@ -143,13 +145,13 @@
 		line     plotter.XYs
 	}{{"p50", chart.Green, 50, nil}, {"p99", chart.Orange, 99, nil}, {"max", chart.Red, 100, nil}}
 	low, high := math.Inf(1), 0.0
-	for i, slice := range r.course.Slices {
+	for i, slice := range r.timeline.Slices {
 		if slice.Latency.TotalCount() == 0 {
 			continue
 		}
 		for k := range series {
 			ms := math.Max(millis(load.Percentile(slice.Latency, series[k].quantile)), 1e-3)
-			series[k].line = append(series[k].line, plotter.XY{X: r.at(i), Y: ms})
+			series[k].line = append(series[k].line, plotter.XY{X: r.sliceCentre(i), Y: ms})
 			low, high = math.Min(low, ms), math.Max(high, ms)
 		}
 	}
@@ -165,17 +167,17 @@
 		}
 	}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	p.Y.Min, p.Y.Max = low, 2*legendRoom*high // the scale is logarithmic
+	p.Y.Min, p.Y.Max = low, 2*legendHeadroom*high // the scale is logarithmic
 	return p, nil
 }
 
-// percentilePlot draws latency over 1/(1-percentile), so that each further nine takes as much room.
+// percentilePlot draws latency over 1/(1-percentile), so that each further nine takes the same width.
 func (r *Report) percentilePlot() (*plot.Plot, error) {
 	p := chart.New("percentile", "ms")
 	var points plotter.XYs
 	if r.overall.TotalCount() > 0 {
-		most := math.Min(float64(r.overall.TotalCount()), 1e6)
-		for x := 1.0; x <= most; x *= 1.1 {
+		end := math.Min(float64(r.overall.TotalCount()), 1e6)
+		for x := 1.0; x <= end; x *= 1.1 {
 			points = append(points, plotter.XY{X: x, Y: millis(load.Percentile(r.overall, 100*(1-1/x)))})
 		}
 	}
--- a/internal/rig/rehearse/process.go
+++ b/internal/rig/rehearse/process.go
@@ -17,11 +17,11 @@
 	"time"
 )
 
-// Processes is sidecars as processes of their own, started as the platform starts them.
+// Processes is a Starter of sidecars as processes, started as the platform starts them.
 type Processes struct {
 	Program string    // path of the sidecar's program
 	Env     []string  // added to the environment
-	Log     io.Writer // gets what they write to standard error; may be nil
+	Log     io.Writer // gets their standard error, each line with the sidecar's name; may be nil
 
 	mu      sync.Mutex
 	dir     string
@@ -29,6 +29,7 @@
 	usage   []Usage
 }
 
+// process is one sidecar.
 type process struct {
 	number int
 	cmd    *exec.Cmd
@@ -37,22 +38,22 @@
 	err    error
 }
 
-// Usage is what a sidecar's process took.
+// Usage is the resources that a sidecar's process used.
 type Usage struct {
 	Number      int     `json:"number"`
 	CPU         float64 `json:"cpu_s"`            // seconds of the process, user and system
-	MaxMemory   int64   `json:"max_memory_bytes"` // resident, at most
-	Descriptors int     `json:"descriptors"`      // open at once, at most as sampled
+	MaxMemory   int64   `json:"max_memory_bytes"` // largest resident
+	Descriptors int     `json:"descriptors"`      // largest number open, as sampled
 }
 
-// startWithin is how long a process may take to say where it listens, stopWithin how long to end after SIGTERM.
+// startTimeout bounds the time until a process logs its address, stopTimeout the time to its end after SIGTERM.
 const (
-	startWithin = 10 * time.Second
-	stopWithin  = 10 * time.Second
-	sampleEvery = 100 * time.Millisecond
+	startTimeout   = 10 * time.Second
+	stopTimeout    = 10 * time.Second
+	sampleInterval = 100 * time.Millisecond
 )
 
-// Start starts a sidecar and reads from its log where it listens.
+// Start starts a sidecar and reads its address from its log.
 func (p *Processes) Start(number int, config []byte) (addr string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +68,7 @@
 	}
 	cmd := exec.Command(p.Program)
 	cmd.Env = append(append(os.Environ(), "LB_CONFIG="+path), p.Env...)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a Ctrl-C is for the rehearsal, which ends its sidecars
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a Ctrl-C reaches the rehearsal alone, which ends its sidecars
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
 		return "", err
@@ -81,7 +82,7 @@
 	listens := make(chan string, 1)
 	go func() {
 		defer close(one.ended)
-		p.follow(one, pipe, listens)
+		p.readLog(one, pipe, listens)
 		one.err = cmd.Wait()
 	}()
 	go p.sample(one, len(p.usage)-1)
@@ -90,13 +91,13 @@
 		return addr, nil
 	case <-one.ended:
 		return "", fmt.Errorf("%s ended at once: %s\n%s", p.Program, fmt.Sprint(one.err), one.log)
-	case <-time.After(startWithin):
-		return "", fmt.Errorf("%s does not say where it listens\n%s", p.Program, one.log)
+	case <-time.After(startTimeout):
+		return "", fmt.Errorf("%s did not log its address\n%s", p.Program, one.log)
 	}
 }
 
-// follow reads the log to its end.
-func (p *Processes) follow(one *process, log io.Reader, listens chan<- string) {
+// readLog reads the log to its end, and sends the address at which the sidecar listens.
+func (p *Processes) readLog(one *process, log io.Reader, listens chan<- string) {
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
 		line := lines.Text()
@@ -112,13 +113,13 @@
 			}
 		}
 	}
-	_, _ = io.Copy(io.Discard, log) // a line too long must not stop the process
+	_, _ = io.Copy(io.Discard, log) // a line that is too long must not block the process
 }
 
-// sample looks at a process's descriptors and memory now and then. The rusage of its end would not do: the memory that
-// this process had when it forked counts there.
+// sample samples a process' descriptors and memory until it ends. The rusage of its end has the wrong memory: it includes that of this
+// process when it forked.
 func (p *Processes) sample(one *process, at int) {
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	proc := fmt.Sprintf("/proc/%d/", one.cmd.Process.Pid)
 	for {
@@ -127,7 +128,7 @@
 		p.mu.Lock()
 		u := &p.usage[at]
 		u.Descriptors = max(u.Descriptors, len(files))
-		u.MaxMemory = max(u.MaxMemory, highWater(status))
+		u.MaxMemory = max(u.MaxMemory, parseMaxMemory(status))
 		p.mu.Unlock()
 		select {
 		case <-one.ended:
@@ -137,8 +138,8 @@
 	}
 }
 
-// highWater reads the most that was resident, in bytes, from a process's status; 0: it is not said there.
-func highWater(status []byte) int64 {
+// parseMaxMemory reads the largest resident memory, in bytes, from the text of /proc/PID/status; 0: there is none.
+func parseMaxMemory(status []byte) int64 {
 	_, rest, _ := bytes.Cut(status, []byte("VmHWM:"))
 	line, _, _ := bytes.Cut(rest, []byte("kB"))
 	kb, err := strconv.ParseInt(string(bytes.TrimSpace(line)), 10, 64)
@@ -148,8 +149,8 @@
 	return kb << 10
 }
 
-// Stop sends SIGTERM to all and waits for them; one that does not end is killed, and that is an error. One that had
-// ended before has crashed, which is an error too.
+// Stop sends SIGTERM to all and waits for their ends. A process that does not end in time is killed, which is an error; so is one that
+// had ended before.
 func (p *Processes) Stop() error {
 	p.mu.Lock()
 	running, dir := p.running, p.dir
@@ -164,7 +165,7 @@
 			one.cmd.Process.Signal(syscall.SIGTERM)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	for i, one := range running {
 		select {
@@ -172,7 +173,7 @@
 		case <-ctx.Done():
 			one.cmd.Process.Kill()
 			<-one.ended
-			all = append(all, fmt.Errorf("sidecar %d did not end within %v of SIGTERM", one.number, stopWithin))
+			all = append(all, fmt.Errorf("sidecar %d did not end within %v of SIGTERM", one.number, stopTimeout))
 		}
 		state := one.cmd.ProcessState
 		p.mu.Lock()
@@ -186,14 +187,14 @@
 	return errors.Join(all...)
 }
 
-// Usage is what the processes took; it is whole after Stop.
+// Usage returns the usage of all processes, by number; it is complete after Stop.
 func (p *Processes) Usage() []Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]Usage(nil), p.usage...)
 }
 
-// tail keeps the last lines of a log.
+// tail has the last lines of a log. It is safe for concurrent use.
 type tail struct {
 	mu    sync.Mutex
 	lines []string
--- a/internal/rig/rehearse/rehearse.go
+++ b/internal/rig/rehearse/rehearse.go
@@ -1,6 +1,6 @@
-// Package rehearse plays a scenario: it starts the stand-in fleet and discovery, the sidecars under test, sends the
-// load, plays the faults, and has the records judged. What the sidecars are (processes, or the core in this process on
-// a network in memory) is handed in as a Starter.
+// Package rehearse runs a scenario: it starts the stand-in servers, their discovery and the sidecars under test, sends the load,
+// injects the faults, and has the records audited. The caller provides the sidecars as a Starter: Processes, or InProcess on a network
+// in memory.
 package rehearse
 
 import (
@@ -18,7 +18,7 @@
 	"petrelhook/internal/rig/standin"
 )
 
-// Network is what a rehearsal runs on.
+// Network is the network of a rehearsal.
 type Network interface {
 	standin.Network
 	load.Dialer
@@ -26,9 +26,10 @@
 
 // Starter starts sidecars.
 type Starter interface {
-	// Start starts the sidecar of a number with a configuration in the platform's form, and says where it listens.
+	// Start starts the sidecar with a number, with a configuration in the platform's form, and returns its address. It may return
+	// before the sidecar is ready.
 	Start(number int, config []byte) (addr string, err error)
-	// Stop ends all of them as an operator would, and returns when they have ended.
+	// Stop ends all sidecars as an operator does, and returns when they have ended. It is called once, also after a failed Start.
 	Stop() error
 }
 
@@ -36,17 +37,17 @@
 type Rehearsal struct {
 	Scenario *scenario.Scenario
 	Network  Network
-	Sidecars Starter // nil: clients go straight to the servers
+	Sidecars Starter // nil: clients send to the servers directly
 
-	Connections int // of clients at once; 0: no bound
-	MaxLag      time.Duration
-	Wait        func(ctx context.Context, until time.Time)
-	Trace       *arrival.TraceWriter
-	Live        func(load.Operation)
-	Began       func() // the load begins now
+	MaxConnections int // of clients at once; 0: no limit
+	MaxLag         time.Duration
+	WaitUntil      func(ctx context.Context, until time.Time)
+	Trace          *arrival.TraceWriter
+	OnOperation    func(load.Operation)
+	OnStart        func() // is called when the load starts; may be nil
 }
 
-// Outcome is what came of a rehearsal.
+// Outcome is the result of a rehearsal.
 type Outcome struct {
 	Scenario *scenario.Scenario
 	Load     *load.Result
@@ -55,18 +56,18 @@
 	Work     Work
 }
 
-// Work is what the servers did.
+// Work is the work of the servers.
 type Work struct {
-	Attempts int
-	Done     time.Duration // core time at speed 1
-	Wasted   time.Duration // ... of attempts whose answer no client was served
+	Attempts       int
+	CoreTime       time.Duration // of all attempts, at speed 1
+	WastedCoreTime time.Duration // of attempts whose answer no client received
 }
 
-// readyWithin is how long sidecars may take to be ready.
-const readyWithin = 10 * time.Second
+// readyTimeout bounds the time until all sidecars are ready.
+const readyTimeout = 10 * time.Second
 
-// Run plays the scenario. Where ctx ends early, the outcome covers what was sent until then and Load.Partial is set.
-// An error means that there is no outcome; whatever was started has ended in any case.
+// Run runs the scenario. If ctx ends early, the outcome covers what was sent until then and Load.Partial is set. On an error there is
+// no outcome. Everything that was started has ended in any case.
 func (r *Rehearsal) Run(ctx context.Context) (out *Outcome, err error) {
 	s := r.Scenario
 	schedule, err := arrival.NewSchedule(s)
@@ -91,8 +92,8 @@
 		}
 		return nil, err
 	}
-	if r.Began != nil {
-		r.Began()
+	if r.OnStart != nil {
+		r.OnStart()
 	}
 	began := time.Since(zero)
 	faults, endFaults := context.WithCancel(ctx)
@@ -100,7 +101,7 @@
 	go func() { played <- fleet.Run(faults) }()
 	runner := &load.Runner{
 		Scenario: s, Schedule: schedule, Targets: targets, Dial: r.Network.Dial, Zero: zero, Calls: rec, Trace: r.Trace,
-		Wait: r.Wait, Connections: r.Connections, MaxLag: r.MaxLag, Live: r.Live,
+		Wait: r.WaitUntil, Connections: r.MaxConnections, MaxLag: r.MaxLag, Live: r.OnOperation,
 	}
 	result, err := runner.Run(ctx)
 	endFaults()
@@ -118,11 +119,11 @@
 	records := rec.Records()
 	records.Began = began
 	return &Outcome{
-		Scenario: s, Load: result, Audit: audit.Judge(s, records), Records: records, Work: work(records),
+		Scenario: s, Load: result, Audit: audit.Judge(s, records), Records: records, Work: summarizeWork(records),
 	}, nil
 }
 
-// start starts the sidecars and waits until they are ready.
+// start starts the sidecars, waits until they are ready, and returns the addresses that the load is sent to.
 func (r *Rehearsal) start(ctx context.Context, fleet *standin.Fleet) (targets []string, err error) {
 	if r.Sidecars == nil || r.Scenario.Sidecars.Count == 0 {
 		for i := range r.Scenario.Servers {
@@ -139,10 +140,10 @@
 	}
 	client := &http.Client{Transport: &http.Transport{DialContext: r.Network.Dial, DisableKeepAlives: true}, Timeout: time.Second}
 	defer client.CloseIdleConnections()
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i, addr := range targets {
-		for !healthy(ctx, client, addr) {
+		for !isHealthy(ctx, client, addr) {
 			select {
 			case <-ctx.Done():
 				return nil, fmt.Errorf("sidecar %d at %s is not ready: %w", i, addr, ctx.Err())
@@ -153,7 +154,8 @@
 	return targets, nil
 }
 
-func healthy(ctx context.Context, client *http.Client, addr string) bool {
+// isHealthy reports whether the sidecar at an address is ready.
+func isHealthy(ctx context.Context, client *http.Client, addr string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/_health", nil)
 	if err != nil {
 		return false
@@ -166,7 +168,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Config is what the sidecar of a number is told, in the platform's form. It listens on a free port of loopback.
+// Config is the configuration of the sidecar with a number, in the platform's form. It listens on a free port of loopback.
 func Config(s *scenario.Scenario, number int, fleet *standin.Fleet) []byte {
 	text, err := json.Marshal(map[string]any{
 		"name": fmt.Sprint("n", number), "listen": "127.0.0.1:0", "discovery": fleet.Discovery(number),
@@ -175,13 +177,13 @@
 		"known":  json.RawMessage(fleet.Known(number)), "settings": s.Settings(number),
 	})
 	if err != nil {
-		panic(err) // all of it was rendered before
+		panic(err) // all values can be encoded
 	}
 	return text
 }
 
-// work sums up what the servers did, and for whom.
-func work(r audit.Records) (w Work) {
+// summarizeWork sums up the servers' work, and the part of it whose answers no client received.
+func summarizeWork(r audit.Records) (w Work) {
 	type answer struct {
 		trace string
 		body  uint64
@@ -197,9 +199,9 @@
 		if a.Began == audit.Never {
 			continue
 		}
-		w.Done += a.Work
+		w.CoreTime += a.Work
 		if !served[answer{a.Trace, a.Body}] {
-			w.Wasted += a.Work
+			w.WastedCoreTime += a.Work
 		}
 	}
 	return w
--- a/internal/rig/scale/realmachines_test.go
+++ b/internal/rig/scale/realmachines_test.go
@@ -60,14 +60,11 @@
 // Calls count in the time in which they were due, those served by how long they took.
 func TestLatencies(t *testing.T) {
 	began := time.Now()
-	v := &serving{began: began}
-	for _, o := range []load.Operation{
+	v := &serving{began: began, operations: []load.Operation{
 		{Due: 0, Latency: time.Second, Result: audit.Served}, {Due: time.Second, Latency: 3 * time.Second, Result: audit.Served},
 		{Due: 1500 * time.Millisecond, Latency: time.Second, Result: audit.Refused}, {Due: 1900 * time.Millisecond, Latency: 2 * time.Second, Result: audit.Served},
 		{Due: 2 * time.Second, Latency: time.Second, Result: audit.Served},
-	} {
-		v.operations = append(v.operations, o)
-	}
+	}}
 	took, not := v.latencies(began.Add(time.Second), began.Add(2*time.Second))
 	if len(took) != 2 || took[0] != 2 || took[1] != 3 || not != 1 {
 		t.Errorf("%v, %d", took, not)
--- a/internal/rig/scale/run.go
+++ b/internal/rig/scale/run.go
@@ -190,6 +190,11 @@
 			r.points = nil
 		}
 	}()
+	return r.startAndMeasure(ctx)
+}
+
+// startAndMeasure starts the coordinators and the processes of members, and runs the workload.
+func (r *run) startAndMeasure(ctx context.Context) (err error) {
 	r.progress("starts")
 	r.group, err = newCoordinatorGroup(ctx, r.processes, r.options.program("petrelhook-coordinator"), r.coordinatorDataDir, r.workload == AgentPolls)
 	if err != nil {
--- a/internal/rig/scale/serving.go
+++ b/internal/rig/scale/serving.go
@@ -59,8 +59,8 @@
 	v := &serving{cancel: cancel, ended: make(chan struct{})}
 	began := make(chan struct{})
 	r := &rehearse.Rehearsal{Scenario: s, Network: loopback.New(), Sidecars: m, MaxLag: time.Minute,
-		Began: func() { v.began = time.Now(); close(began) },
-		Live: func(o load.Operation) {
+		OnStart: func() { v.began = time.Now(); close(began) },
+		OnOperation: func(o load.Operation) {
 			v.mu.Lock()
 			defer v.mu.Unlock()
 			v.operations = append(v.operations, o)
--- a/internal/rig/standin/fleet.go
+++ b/internal/rig/standin/fleet.go
@@ -22,7 +22,7 @@
 type Network interface {
 	Listen(addr string) (net.Listener, error)
 	// Silence cuts off the machine that listens at an address, and Restore brings it back.
-	Silence(addr string)
+	Isolate(addr string)
 	Restore(addr string)
 }
 
--- a/internal/rig/standin/server.go
+++ b/internal/rig/standin/server.go
@@ -185,7 +185,7 @@
 	case scenario.RejectAll:
 		return lasting(func() { s.addFull(1) }, func() { s.addFull(-1) })
 	case scenario.Isolated:
-		return lasting(func() { s.f.net.Silence(s.addr) }, func() { s.f.net.Restore(s.addr) })
+		return lasting(func() { s.f.net.Isolate(s.addr) }, func() { s.f.net.Restore(s.addr) })
 	case scenario.Drain:
 		return []event{{fault.At, func() error { s.publish(audit.Draining); return nil }}}
 	case scenario.Terminate, scenario.Replace, scenario.Restart:
