--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -24,6 +24,7 @@
 	"petrelhook/internal/coordination/release"
 	"petrelhook/internal/coordination/rollout"
 	"petrelhook/internal/rig/coordinator"
+	"petrelhook/internal/rig/driverlog"
 	"petrelhook/internal/rig/link"
 	"petrelhook/internal/rig/process"
 )
@@ -313,20 +314,11 @@
 
 // Driver is the index of the coordinator that drives rolling changes; -1: none. It is read from their logs.
 func (d *Deployment) Driver() int {
-	highest, index := uint64(0), -1
-	for i, m := range d.Members {
-		log := m.Log.String()
-		last := strings.LastIndex(log, "msg=drives token=")
-		if last < 0 || strings.LastIndex(log, `msg="drives no more"`) > last {
-			continue
-		}
-		var token uint64
-		_, _ = fmt.Sscanf(log[last:], "msg=drives token=%d", &token)
-		if token > highest {
-			highest, index = token, i
-		}
+	var logs []string
+	for _, m := range d.Members {
+		logs = append(logs, m.Log.String())
 	}
-	return index
+	return driverlog.Driver(logs)
 }
 
 // MaxProcesses is the largest number of processes that any one sidecar of the agent has at present, by the files of their starts.
--- a/internal/rig/doc.go
+++ b/internal/rig/doc.go
@@ -1,21 +1,36 @@
-// Package rig is the map of the rehearsal rig, which holds no code of its own. The rig answers one question: do the
-// sidecars keep the four rules, and what do clients get, when a fleet goes wrong in a stated way? It is no part of the
-// product: nothing outside internal/rig, but the operators' tool, imports it.
+// Package rig describes the rehearsal rig and has no code of its own. The rig answers one question: do the sidecars keep the four
+// rules, and what do clients get, when a fleet has given faults? It is no part of the product: nothing outside internal/rig imports it
+// but the operators' tool and tests.
 //
-//	statement  one line of a scenario's file; knows no verb
-//	scenario   what is rehearsed: a text file's fleet, classes, arrivals and faults. Imports statement only.
-//	standin    servers and discovery that go wrong as a scenario says, and that write down what they saw
-//	arrival    what is due when: shapes, merged streams, traces played and recorded
-//	load       sends it on schedule, whatever comes back; latency counts from when a request was due
-//	audit      the four rules, judged from the records of all sides: a pure function of scenario and records
-//	chain      sidecars behind one another, up to 15 deep: what one adds to a call, and what repeats do over a depth
-//	usage      what a process has taken, as the system says
-//	scale      what a fleet of some size costs each role: real coordinators beside hollow members
-//	rehearse   one run: stand-ins, sidecars (processes, or this process's own), load, faults, verdict, report
-//	loopback   a network of sockets on 127.0.0.0/8, with machines that can be cut off
-//	memnet     a network in memory, for whole runs in virtual time
+// Rehearsals of sidecars:
 //
-// Imports point from rehearse to the others, and from all of them to scenario; the two networks know none of them. A run needs
-// two things from outside: a network (loopback or memnet) and a starter of sidecars. Who adds a kind of fault touches
-// scenario (its words), standin (what happens) and, where a rule is judged by it, audit.
+//	statement  parses one line of a scenario's file; knows no verb
+//	scenario   what is rehearsed: a file's fleet, classes, arrivals and faults. Imports statement only.
+//	standin    stand-in servers and a discovery that have the faults of a scenario, and record what they observe
+//	arrival    the schedule of requests: shapes of load, merged streams, traces replayed and recorded
+//	load       sends the schedule, whatever is answered; latency counts from scheduled times
+//	audit      the four rules, checked on the records of all sides: a pure function of scenario and records
+//	rehearse   one run: stand-ins, sidecars (processes, or in this process), load, faults, verdict, report
+//	chain      sidecars behind one another, up to 15 deep: what one adds to a call, and how retries multiply
+//	loopback   a network of sockets on 127.0.0.0/8, with machines that can be isolated
+//	memnet     a network in memory, for complete runs in virtual time
+//
+// Coordinators and agents:
+//
+//	group        a group of coordinators and its clients in virtual time, from one seed
+//	coordinator  coordinators for tests, in this process or as processes with links between them
+//	driverlog    which coordinator drives rolling changes, by their logs
+//	deployment   coordinators, agents and sidecars as processes, for tests of rolling changes
+//	contend      processes that contend for a lease; belief checks their records
+//	scale        what a fleet of a given size costs each role: real coordinators with hollow members
+//
+// Used by these:
+//
+//	link, process, usage   a TCP relay with faults; processes of tests; resources of a process
+//	engines                routing policies before simulated model servers, in virtual time
+//	mutate                 the product with a piece of its source replaced, to show that checks can fail
+//
+// Imports point from rehearse to the packages of its list, and from all of them to scenario; the two networks import none of them. A
+// run needs two things from its caller: a network (loopback or memnet) and a Starter of sidecars. A new kind of fault changes scenario
+// (its syntax), standin (its effect) and, if a rule depends on it, audit.
 package rig
--- a/internal/rig/scale/coordinators.go
+++ b/internal/rig/scale/coordinators.go
@@ -7,11 +7,11 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strings"
 	"syscall"
 	"time"
 
 	"petrelhook/internal/coordination/fleet"
+	"petrelhook/internal/rig/driverlog"
 )
 
 // coordinators is the number of coordinators in a run.
@@ -148,20 +148,11 @@
 
 // driver is the index of the coordinator that drives; -1: none. It is read from their logs.
 func (g *coordinatorGroup) driver() int {
-	highest, index := uint64(0), -1
-	for i, c := range g.replicas {
-		log := string(c.stderr())
-		last := strings.LastIndex(log, "msg=drives token=")
-		if last < 0 || strings.LastIndex(log, `msg="drives no more"`) > last {
-			continue
-		}
-		var token uint64
-		// without a token it stays 0, which is no token
-		if _, _ = fmt.Sscanf(log[last:], "msg=drives token=%d", &token); token > highest {
-			highest, index = token, i
-		}
+	var logs []string
+	for _, c := range g.replicas {
+		logs = append(logs, string(c.stderr()))
 	}
-	return index
+	return driverlog.Driver(logs)
 }
 
 // awaitLeaderDrives makes the leader the driver, so that the cost of driving is in the same process in every run. Drivers queue for
