--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -2,26 +2,26 @@
 
 import "testing"
 
-// rig drives one balancer by a script of events and keeps what it asked for.
-type rig struct {
-	t    *testing.T
-	b    *Balancer
-	now  float64
-	acts []Action
-	next RequestID
+// harness drives one balancer by a script of events and keeps what it asked for.
+type harness struct {
+	t       *testing.T
+	b       *Balancer
+	now     float64
+	actions []Action
+	next    RequestID
 }
 
 func baseConfig() Config {
 	return Config{
-		Seed: 1, Peers: 3, MaxAttempts: 4, Parallel: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000,
-		Quantum: 4, AnswerSlack: 16, ColdFrom: 0.2, ColdTime: 20000, FallMultiple: 2.5, FallTime: 1000,
-		AskWithin: 10000, DrainGrace: 2000,
+		Seed: 1, SidecarCount: 3, MaxAttempts: 4, Parallel: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000,
+		BatchInterval: 4, AnswerSlack: 16, SlowStartFraction: 0.2, SlowStartTime: 20000, OverloadMultiple: 2.5, OverloadTime: 1000,
+		MaxPollInterval: 10000, DrainGrace: 2000,
 		Classes: []Class{
-			{Effect: Safe, Aim: 300, Deadline: 1500, Worth: 1},
-			{Effect: Unsafe, Aim: 300, Deadline: 600, Worth: 5},
-			{Effect: Keyed, Group: GroupCell, Window: 1200, Aim: 400, Deadline: 2000, Worth: 3},
-			{Effect: Keyed, Group: GroupAll, Window: 1200, Aim: 400, Deadline: 2000, Worth: 3},
-			{Effect: Keyed, Group: GroupZone, Window: 1200, Aim: 400, Deadline: 2000, Worth: 3},
+			{Effect: Safe, LatencyTarget: 300, Deadline: 1500, Value: 1},
+			{Effect: Unsafe, LatencyTarget: 300, Deadline: 600, Value: 5},
+			{Effect: Keyed, Group: GroupCell, Window: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
+			{Effect: Keyed, Group: GroupAll, Window: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
+			{Effect: Keyed, Group: GroupZone, Window: 1200, LatencyTarget: 400, Deadline: 2000, Value: 3},
 		},
 	}
 }
@@ -34,12 +34,12 @@
 	zoneClass
 )
 
-func newRig(t *testing.T, cfg Config, servers ...Server) *rig {
-	g := &rig{t: t, b: New(cfg), now: 1000}
-	g.acts = append(g.acts, g.b.Start(g.now)...)
-	g.do(ServerList{Kind: ListCached, Servers: servers})
-	for _, s := range g.b.servers {
-		s.running = 0 // the random start would hide the sequence
+func newHarness(t *testing.T, cfg Config, servers ...Server) *harness {
+	g := &harness{t: t, b: New(cfg), now: 1000}
+	g.actions = append(g.actions, g.b.Start(g.now)...)
+	g.handle(ServerList{Kind: ListCached, Servers: servers})
+	for _, s := range g.b.servers.all {
+		s.currentWeight = 0 // the random start would hide the sequence
 	}
 	return g
 }
@@ -48,35 +48,35 @@
 func fleet(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
-		list[i] = Server{ID: ServerID(i + 1), Rating: 1, Cell: i / 2, Zone: i / 4}
+		list[i] = Server{ID: ServerID(i + 1), Capacity: 1, Cell: i / 2, Zone: i / 4}
 	}
 	return list
 }
 
-func (g *rig) do(ev Event) []Action {
+func (g *harness) handle(ev Event) []Action {
 	g.t.Helper()
 	acts, err := g.b.Handle(g.now, ev)
 	if err != nil {
 		g.t.Fatalf("%#v: %v", ev, err)
 	}
 	acts = append([]Action(nil), acts...)
-	g.acts = append(g.acts, acts...)
+	g.actions = append(g.actions, acts...)
 	return acts
 }
 
-// ask brings a request and returns its ID with what was done at once.
-func (g *rig) ask(class int) (RequestID, []Action) {
+// request brings a request and returns its ID with what was done at once.
+func (g *harness) request(class int) (RequestID, []Action) {
 	g.t.Helper()
 	g.next++
-	return g.next, g.do(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
+	return g.next, g.handle(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
 }
 
 // answer ends an attempt with a result.
-func (g *rig) answer(id RequestID, attempt int, res Result, took float64) []Action {
+func (g *harness) answer(id RequestID, attempt int, res Result, took float64) []Action {
 	g.t.Helper()
-	s := g.b.reqs[id].tries[attempt].s
-	done := res == OK || g.b.reqs[id].done
-	return g.do(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Took: took, Finished: done})
+	s := g.b.requests.byID[id].attempts[attempt].server
+	done := res == OK || g.b.requests.byID[id].done
+	return g.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Latency: took, Finished: done})
 }
 
 func sentTo(acts []Action) (ServerID, bool) {
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -1,59 +1,61 @@
 package balance
 
-import "math"
+import (
+	"maps"
+	"math"
+)
 
-// What one process of a sidecar hands to the next, so that it neither learns anew nor gives a cold server a
-// second budget. It decides nothing.
+// State for the next process of a sidecar: it neither learns anew nor gives a second slow-start budget.
 
-// Memory is what has been learned. Its maps are the balancer's own, and good until the next event.
-func (b *Balancer) Memory() Memory {
-	m := Memory{
-		Started: b.started, Kinds: b.kinds, Zones: b.zones, Steady: b.steady, Slowness: b.slowness,
-		Seen: b.slowN, Quickest: b.quickest, Learned: b.learned, Drift: b.drift, Spare: b.spare,
-		AskedRecent: b.asked.recent, AskedLatest: b.asked.latest, AskedAt: b.asked.at,
-		ServedRecent: b.answers.recent, ServedLatest: b.answers.latest, ServedAt: b.answers.at,
+// Snapshot returns what was learned. Its maps are the balancer's own: they may be read until the next event.
+func (b *Balancer) Snapshot() Snapshot {
+	requests, answers := &b.traffic.requestRate, &b.traffic.answerRate
+	snapshot := Snapshot{
+		StartedAt: b.startedAt, Kinds: b.capacities.kinds, Zones: b.capacities.zones,
+		CapacitySamples: b.capacities.samples, MeanCapacityStep: b.capacities.meanStep,
+		ShedFraction: b.shedding.lasting, MeanLatency: b.latencies.mean,
+		LatencySamples: b.latencies.samples, MinLatency: b.latencies.min, RetryBudget: b.retryBudget,
+		RequestsRecent: requests.recent, RequestsLatest: requests.latest, RequestsAt: requests.at,
+		AnswersRecent: answers.recent, AnswersLatest: answers.latest, AnswersAt: answers.at,
 	}
-	for _, s := range b.servers {
-		one := ServerMemory{
-			ID: s.ID, Size: s.size, Errors: s.errs, LastError: s.lastErr, RestUntil: s.restUntil,
-			Answered: s.answered, Rests: s.rests, Dark: s.dark, Down: s.down, Running: s.running,
+	for _, s := range b.servers.all {
+		one := ServerSnapshot{
+			ID: s.ID, CapacityLog: s.capacityLog, HealthState: s.HealthState, CurrentWeight: s.currentWeight,
 		}
-		if one.Cold = b.cold(s); one.Cold {
-			one.ColdSince, one.Tokens, one.TokensAt = s.coldSince, s.tokens, s.tokensAt
+		if one.WarmingUp = b.warmingUp(s); one.WarmingUp {
+			one.SlowStartState = s.SlowStartState
 		}
-		m.Servers = append(m.Servers, one)
+		snapshot.Servers = append(snapshot.Servers, one)
 	}
-	for _, c := range b.classes {
-		m.Classes = append(m.Classes, ClassMemory{c.n, c.mean, c.dev, c.longest})
+	for i := range b.traffic.classes {
+		snapshot.Classes = append(snapshot.Classes, b.traffic.classes[i].ClassSnapshot)
 	}
-	return m
+	return snapshot
 }
 
-// Recall takes in what another process of this sidecar has learned; the list of servers is held already.
-func (b *Balancer) Recall(m Memory) {
-	b.started, b.steady, b.slowness, b.slowN = math.Min(m.Started, b.now), m.Steady, m.Slowness, m.Seen
-	b.quickest, b.learned, b.drift, b.spare = m.Quickest, m.Learned, m.Drift, m.Spare
-	b.asked = meter{m.AskedRecent, m.AskedLatest, math.Min(m.AskedAt, b.now)}
-	b.answers = meter{m.ServedRecent, m.ServedLatest, math.Min(m.ServedAt, b.now)}
-	for k, v := range m.Kinds {
-		b.kinds[k] = v
+// Restore goes on with what another process of this sidecar learned; the server list must be known already.
+func (b *Balancer) Restore(from Snapshot) {
+	t := &b.traffic
+	b.startedAt, b.retryBudget = math.Min(from.StartedAt, b.now), from.RetryBudget
+	b.shedding.lasting = from.ShedFraction
+	b.latencies.mean, b.latencies.samples = from.MeanLatency, from.LatencySamples
+	b.latencies.min = from.MinLatency
+	b.capacities.samples, b.capacities.meanStep = from.CapacitySamples, from.MeanCapacityStep
+	maps.Copy(b.capacities.kinds, from.Kinds)
+	maps.Copy(b.capacities.zones, from.Zones)
+	t.requestRate = rateMeter{from.RequestsRecent, from.RequestsLatest, math.Min(from.RequestsAt, b.now)}
+	t.answerRate = rateMeter{from.AnswersRecent, from.AnswersLatest, math.Min(from.AnswersAt, b.now)}
+	for i, c := range from.Classes[:min(len(from.Classes), len(t.classes))] {
+		t.classes[i].ClassSnapshot = c
 	}
-	for z, v := range m.Zones {
-		b.zones[z] = v
-	}
-	for i, c := range m.Classes[:min(len(m.Classes), len(b.classes))] {
-		own := &b.classes[i]
-		own.n, own.mean, own.dev, own.longest = c.Count, c.Mean, c.Deviation, c.Longest
-	}
-	for _, one := range m.Servers {
-		s := b.byID[one.ID]
+	for _, one := range from.Servers {
+		s := b.servers.byID[one.ID]
 		if s == nil {
 			continue
 		}
-		s.size, s.errs, s.lastErr, s.restUntil = one.Size, one.Errors, one.LastError, one.RestUntil
-		s.answered, s.rests, s.dark, s.down = one.Answered, one.Rests, one.Dark, one.Down
-		if s.running = one.Running; one.Cold {
-			s.coldSince, s.tokens, s.tokensAt = one.ColdSince, one.Tokens, one.TokensAt
+		s.capacityLog, s.HealthState, s.currentWeight = one.CapacityLog, one.HealthState, one.CurrentWeight
+		if one.WarmingUp {
+			s.SlowStartState = one.SlowStartState
 		}
 	}
 }
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// learnedRig is a balancer that has served for some seconds, with a bad server, a slow one and a cold one.
-func learnedRig(t *testing.T) *rig {
-	g := newRig(t, baseConfig(), fleet(5)...)
+// learnedHarness is a balancer that has served for some seconds, with a bad server, a slow one and one that warms up.
+func learnedHarness(t *testing.T) *harness {
+	g := newHarness(t, baseConfig(), fleet(5)...)
 	for i := range 400 {
 		g.now += 20
-		id, acts := g.ask(i % 3)
+		id, acts := g.request(i % 3)
 		to, sent := sentTo(acts)
 		if !sent {
 			continue
@@ -19,8 +19,8 @@
 		switch {
 		case to == 2 && i < 200:
 			g.answer(id, 0, Reset, 5)
-			for _, a := range g.acts {
-				if r := g.b.reqs[id]; a.Kind == Send && a.Request == id && r != nil && len(r.tries) > 1 && r.tries[1].live {
+			for _, a := range g.actions {
+				if r := g.b.requests.byID[id]; a.Kind == Send && a.Request == id && r != nil && len(r.attempts) > 1 && r.attempts[1].live {
 					g.answer(id, 1, OK, 20)
 				}
 			}
@@ -32,35 +32,35 @@
 	}
 	list := fleet(5)
 	list[4].StartedAt = g.now - 100
-	g.do(ServerList{Kind: ListFull, Servers: list})
+	g.handle(ServerList{Kind: ListFull, Servers: list})
 	return g
 }
 
 // The next process goes on as the one before would have: the same choices for the same events, also after the memory went
 // through its text.
 func TestTheNextProcessGoesOn(t *testing.T) {
-	g := learnedRig(t)
-	text, err := json.Marshal(g.b.Memory())
+	g := learnedHarness(t)
+	text, err := json.Marshal(g.b.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m Memory
+	var m Snapshot
 	if err := json.Unmarshal(text, &m); err != nil {
 		t.Fatal(err)
 	}
 	list := fleet(5)
 	list[4].StartedAt = g.now - 100
-	next := &rig{t: t, b: New(baseConfig()), now: g.now, next: g.next}
+	next := &harness{t: t, b: New(baseConfig()), now: g.now, next: g.next}
 	next.b.Start(next.now)
-	next.do(ServerList{Kind: ListCached, Servers: list})
-	next.b.Recall(m)
-	if !reflect.DeepEqual(next.b.Memory(), g.b.Memory()) {
-		t.Errorf("%+v\n%+v", next.b.Memory(), g.b.Memory())
+	next.handle(ServerList{Kind: ListCached, Servers: list})
+	next.b.Restore(m)
+	if !reflect.DeepEqual(next.b.Snapshot(), g.b.Snapshot()) {
+		t.Errorf("%+v\n%+v", next.b.Snapshot(), g.b.Snapshot())
 	}
 	for i := range 300 {
 		g.now, next.now = g.now+15, next.now+15
-		id, acts := g.ask(i % 3)
-		_, nextActs := next.ask(i % 3)
+		id, acts := g.request(i % 3)
+		_, nextActs := next.request(i % 3)
 		to, _ := sentTo(acts)
 		if nextTo, _ := sentTo(nextActs); to != nextTo {
 			t.Fatalf("request %d: to %d, the next process to %d", i, to, nextTo)
@@ -72,36 +72,36 @@
 	}
 }
 
-// A cold server has one budget: what the process before has used of it is used, and one that only it knows to have restarted
-// is cold for the next as well.
+// A server in its slow start has one budget: what the process before has used of it is used, and one that only it knows to have restarted
+// warms up for the next as well.
 func TestAColdServerHasOneBudget(t *testing.T) {
-	g := learnedRig(t)
-	s := g.b.byID[1]
+	g := learnedHarness(t)
+	s := g.b.servers.byID[1]
 	g.b.beginSlowStart(s, g.now)
-	s.tokens = 0
-	next := &rig{t: t, b: New(baseConfig()), now: g.now}
+	s.Tokens = 0
+	next := &harness{t: t, b: New(baseConfig()), now: g.now}
 	next.b.Start(next.now)
-	next.do(ServerList{Kind: ListCached, Servers: fleet(5)})
-	if next.b.cold(next.b.byID[1]) {
-		t.Fatal("cold without being told")
+	next.handle(ServerList{Kind: ListCached, Servers: fleet(5)})
+	if next.b.warmingUp(next.b.servers.byID[1]) {
+		t.Fatal("warming up without a restart")
 	}
-	next.b.Recall(g.b.Memory())
-	if one := next.b.byID[1]; !next.b.cold(one) || one.tokens != 0 || one.coldSince != g.now {
+	next.b.Restore(g.b.Snapshot())
+	if one := next.b.servers.byID[1]; !next.b.warmingUp(one) || one.Tokens != 0 || one.SlowStartAt != g.now {
 		t.Errorf("%+v", one)
 	}
 }
 
 // What does not fit is left out: a server that is not listed, more classes than there are.
 func TestAMemoryThatDoesNotFit(t *testing.T) {
-	g := learnedRig(t)
+	g := learnedHarness(t)
 	cfg := baseConfig()
 	cfg.Classes = cfg.Classes[:1]
 	next := New(cfg)
 	next.Start(g.now)
 	next.Handle(g.now, ServerList{Kind: ListCached, Servers: fleet(2)})
-	next.Recall(g.b.Memory())
-	if len(next.servers) != 2 || len(next.classes) != 1 {
-		t.Errorf("%d servers, %d classes", len(next.servers), len(next.classes))
+	next.Restore(g.b.Snapshot())
+	if len(next.servers.all) != 2 || len(next.traffic.classes) != 1 {
+		t.Errorf("%d servers, %d classes", len(next.servers.all), len(next.traffic.classes))
 	}
 	if acts, err := next.Handle(g.now, Request{ID: 1, Remaining: 1500}); err != nil || !has(acts, Send) {
 		t.Errorf("%+v, %v", acts, err)
--- a/internal/rig/rehearse/rehearse.go
+++ b/internal/rig/rehearse/rehearse.go
@@ -196,7 +196,7 @@
 	}
 	for _, a := range r.Attempts {
 		w.Attempts++
-		if a.Began == audit.Never {
+		if a.WorkStarted == audit.Never {
 			continue
 		}
 		w.CoreTime += a.Work
--- a/internal/sidecar/core/core_test.go
+++ b/internal/sidecar/core/core_test.go
@@ -314,7 +314,7 @@
 	withCore(t, nil, func(r *testCore) {
 		r.post(func() {
 			timedOut := &attempt{}
-			r.carryOut([]balance.Action{{Kind: balance.SetTimer, Token: 7, At: 100}})
+			r.carryOut([]balance.Action{{Kind: balance.SetTimer, Token: 7, After: 100}})
 			r.timers.add(&timer{deadline: time.Now().Add(100 * time.Millisecond), attempt: timedOut})
 			if r.timers[0].attempt != timedOut {
 				t.Error("the module's timer comes first")
--- a/internal/sidecar/wiring/mutation_test.go
+++ b/internal/sidecar/wiring/mutation_test.go
@@ -8,14 +8,14 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// The guards of rare moments, each taken out: the test that forces its moment fails.
+// Each guard of a rare moment is removed from a copy of the source: the test that forces that moment fails then.
 func TestGuardsOfRareMoments(t *testing.T) {
 	const (
 		client    = "internal/sidecar/connlimit/client.go"
 		limiter   = "internal/sidecar/connlimit/limiter.go"
 		request   = "internal/sidecar/core/request.go"
 		attempt   = "internal/sidecar/core/attempt.go"
-		front     = "internal/sidecar/front/platform/platform.go"
+		front     = "internal/sidecar/front/platform/request.go"
 		discovery = "internal/sidecar/member/discovery/discovery.go"
 		cursor    = "internal/sidecar/member/cursor.go"
 	)
@@ -25,17 +25,17 @@
 		"a last answer":            {client, "!canHalfClose || !sock.Unsent(c.Conn)", "!canHalfClose || true", "./internal/sidecar/connlimit", "TestALastAnswerIsTakenWhole"},
 		"a request read ahead":     {client, "c.readAhead.empty() && ", "", "./internal/sidecar/connlimit", "TestARequestReadAheadKeepsItsPlace"},
 		"an answer without length": {limiter, "c.responseOpen.Store(open)", "c.responseOpen.Store(false)", "./internal/sidecar/front/platform", "TestACutAnswerIsNotWhole"},
-		"late in the end":          {front, "in.Wait = end.ClampWait(in.Arrived, in.Wait)", "", "./internal/sidecar/wiring", "TestARequestReadLateInTheEndIsAnswered"},
+		"late in the end":          {front, "request.Wait = window.ClampWait(request.Arrived, request.Wait)", "", "./internal/sidecar/wiring", "TestARequestReadLateInTheEndIsAnswered"},
 		"what has not begun":       {request, "if !a.ended && a.call.Claim() {", "if false {", "./internal/sidecar/core", "TestNothingBeginsOnceTheClientHasGone"},
 		"a queue before a hang-up": {request, "ctx.Err() != nil || in.ClientGone", "in.ClientGone", "./internal/sidecar/core", "TestAHangUpBehindALongQueue"},
 		"an end seen by the send":  {attempt, "errors.Is(out.Err, upstream.ErrClientGone) && !r.closed", "false", "./internal/sidecar/core", "TestAnEndThatIsSeenFirstByTheSender"},
 		"silence":                  {discovery, "silenceTimeout = 2500 *", "silenceTimeout = 3500 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"a part is no life":        {discovery, "len(bytes.TrimSpace(p[:n])) == 0", "len(bytes.TrimSpace(p[:n])) >= 0", "./internal/sidecar/wiring", "TestNewsComeInTime"},
-		"a pause without end":      {"balance/parameters.go", "mostPause    = 1500", "mostPause    = 8000", "./internal/sidecar/wiring", "TestNewsComeInTime"},
+		"a pause without end":      {"balance/parameters.go", "maxPollBackoff    = 1500", "maxPollBackoff    = 8000", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"a call that hangs":        {discovery, "callTimeout = 3100 *", "callTimeout = 4000 *", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 		"an older list":            {cursor, "if list.Generation < c.generation && !c.acceptAny {", "if false {", "./internal/sidecar/member", "TestCursor"},
 		"another's list":           {cursor, "return list.Complete && len(known) > 0", "return false && len(known) > 0", "./internal/sidecar/member", "TestCursor"},
-		"the cold budget":          {"balance/pick.go", "b.cold(s) && !b.coldBudget(s)", "false", "./balance", "TestTheRampHoldsForTheFleet"},
-		"a pause from the call on": {"balance/list.go", "pause*jitter-(b.now-b.askedAt)", "pause*jitter", "./internal/sidecar/wiring", "TestNewsComeInTime"},
+		"the cold budget":          {"balance/pick.go", "b.warmingUp(s) && !b.slowStartBudget(s)", "false", "./balance", "TestTheRampHoldsForTheFleet"},
+		"a pause from the call on": {"balance/list.go", "backoff*jitter-(b.now-b.polling.lastAt)", "backoff*jitter", "./internal/sidecar/wiring", "TestNewsComeInTime"},
 	})
 }
--- a/internal/sidecar/wiring/reload.go
+++ b/internal/sidecar/wiring/reload.go
@@ -8,23 +8,24 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// Reload reads the configuration again whenever asked to, until ctx ends. What cannot be read changes nothing.
-func (s *Sidecar) Reload(ctx context.Context, path string, asked <-chan os.Signal) {
+// Reload reads the configuration file again at each signal, and uses its discovery address, until ctx ends. Where the file is not valid,
+// nothing changes.
+func (s *Sidecar) Reload(ctx context.Context, path string, signals <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
+		case <-signals:
 		}
-		c, err := config.Read(path)
+		cfg, err := config.Read(path)
 		if err == nil {
-			err = c.For(s.name)
+			err = cfg.CheckName(s.name)
 		}
 		if err != nil {
 			s.log.Error("the configuration stays as it was", "err", err)
 			continue
 		}
-		s.core.Replace(s.source(c.Discovery))
-		s.file.Store(&counts.File{Digest: c.Digest, Reloads: s.file.Load().Reloads + 1})
+		s.core.Replace(s.source(cfg.Discovery))
+		s.loadedFile.Store(&counts.File{Digest: cfg.Digest, Reloads: s.loadedFile.Load().Reloads + 1})
 	}
 }
