--- a/internal/rig/audit/audit_test.go
+++ b/internal/rig/audit/audit_test.go
@@ -194,7 +194,7 @@
 	} {
 		r := Records{
 			Incarnations: []Incarnation{{Server: "s1", FirstInstance: "s1", Start: 2 * time.Second, End: 9 * time.Second, CollapsedAt: Never,
-				SlowStart: scenario.Cold{From: 0.1, Warm: 1000 * time.Second}}},
+				SlowStart: scenario.SlowStart{Fraction: 0.1, Duration: 1000 * time.Second}}},
 			StateUpdates: []StateUpdate{{Sidecar: 1, Server: "s1", State: Up}, {Sidecar: 0, Server: "s1", State: Up}, {Sidecar: 0, Server: "s1", State: Up, ReceivedAt: 2 * time.Second}},
 		}
 		for i := range 20 {
--- a/internal/rig/audit/fleet.go
+++ b/internal/rig/audit/fleet.go
@@ -68,7 +68,7 @@
 // judgeSlowStarts judges rule 4: each incarnation that started cold, by the work that reached it.
 func (j *judge) judgeSlowStarts() {
 	for _, l := range j.records.Incarnations {
-		if l.SlowStart.Warm <= 0 {
+		if l.SlowStart.Duration <= 0 {
 			continue
 		}
 		j.report.Judged.SlowStarts++
@@ -95,7 +95,7 @@
 	end := reached[len(reached)-1].LastByte
 	total, informed := time.Duration(0), time.Duration(0)
 	for _, a := range reached {
-		if a.LastByte <= end-j.scenario.Rules.FallTime {
+		if a.LastByte <= end-j.scenario.Rules.OverloadTime {
 			continue
 		}
 		total += a.Work
@@ -120,8 +120,8 @@
 func (j *judge) mayWait(c *Call) bool {
 	return slices.ContainsFunc(j.scenario.Faults, func(f scenario.Fault) bool {
 		switch f.Kind {
-		case scenario.ResetIn, scenario.ResetOut, scenario.Silent, scenario.Gone, scenario.Restart, scenario.Replace:
-			return j.records.Began+f.At <= c.Answered && j.records.Began+f.End()+j.scenario.Rules.ColdTime >= c.Sent
+		case scenario.ResetRequest, scenario.ResetResponse, scenario.Isolated, scenario.Terminate, scenario.Restart, scenario.Replace:
+			return j.records.Began+f.At <= c.Answered && j.records.Began+f.End()+j.scenario.Rules.SlowStartTime >= c.Sent
 		}
 		return false
 	})
--- a/internal/rig/audit/records.go
+++ b/internal/rig/audit/records.go
@@ -97,7 +97,7 @@
 type Incarnation struct {
 	Server, FirstInstance string
 	Start, End            time.Duration // Start is Never for what ran long before
-	SlowStart             scenario.Cold
+	SlowStart             scenario.SlowStart
 	CollapsedAt           time.Duration // when it was overloaded in its slow start; Never: it was not
 }
 
--- a/internal/rig/load/crowd.go
+++ b/internal/rig/load/crowd.go
@@ -63,37 +63,37 @@
 
 // runClient is one client of the crowd, from when it comes until the crowd is over.
 func (k *crowd) runClient(ctx context.Context, i int) {
-	ctx, cancel := context.WithDeadline(ctx, k.began.Add(k.At+k.For))
+	ctx, cancel := context.WithDeadline(ctx, k.began.Add(k.At+k.Duration))
 	defer cancel()
-	waitForTimer(ctx, k.began.Add(k.At+k.Over*time.Duration(i)/time.Duration(k.Count)))
+	waitForTimer(ctx, k.began.Add(k.At+k.ArrivalPeriod*time.Duration(i)/time.Duration(k.Count)))
 	c := &client{
 		dial: k.dial, addr: k.clients[i%len(k.clients)].addr, limit: &k.limit, onExtraAnswer: k.recordExtraAnswer,
 	}
 	defer c.close()
 	for n := 0; ctx.Err() == nil; n++ {
 		switch k.Kind {
-		case scenario.Idlers:
+		case scenario.IdleClients:
 			k.holdOpen(ctx, c, nil)
 			return
-		case scenario.Heads:
+		case scenario.SlowHeads:
 			k.holdOpen(ctx, c, []byte("GET /"+k.class.Name+" HTTP/1.1\r\nHost: a\r\nX-Filler: "))
 			return
-		case scenario.Bodies:
+		case scenario.SlowBodies:
 			k.holdOpen(ctx, c, k.largeHeader(i))
 			return
-		case scenario.Onces:
+		case scenario.SingleRequestClients:
 			k.send(c, i, n)
 			k.linger(ctx, c)
 			return
-		case scenario.Stormer:
+		case scenario.ReconnectingClients:
 			if k.send(c, i, n) == audit.Served {
 				k.linger(ctx, c)
 			}
 			c.close()
-		case scenario.Passers:
+		case scenario.OneConnectionPerRequest:
 			k.send(c, i, n)
 			c.close()
-		case scenario.Aborts:
+		case scenario.AbortedHeads:
 			if nc, err := k.dial(ctx, "tcp", c.addr); err == nil {
 				io.WriteString(nc, "GET /"+k.class.Name+" HT")
 				sock.Abort(nc)
--- a/internal/rig/load/run.go
+++ b/internal/rig/load/run.go
@@ -120,7 +120,7 @@
 		if err != nil {
 			return err
 		}
-		until := x.began.Add(a.Due)
+		until := x.began.Add(a.ScheduledAt)
 		if time.Until(until) > 0 {
 			wait(ctx, until)
 		}
@@ -160,15 +160,15 @@
 // operate carries out one operation: a request, and retries as long as the client may and has time.
 func (x *run) operate(o completeArrival) {
 	class := &x.scenario.Classes[o.class]
-	due := x.began.Add(o.Due)
+	due := x.began.Add(o.ScheduledAt)
 	x.result.addLag(time.Since(due))
 	first, over := time.Now(), due.Add(class.Deadline)
 	since := func() time.Duration { return time.Since(x.Zero) }
-	op := Operation{Class: o.class, ScheduledAt: o.Due}
+	op := Operation{Class: o.class, ScheduledAt: o.ScheduledAt}
 	for retry := 0; ; retry++ {
 		q := &request{
-			method: http.MethodPost, class: class.Name, tenant: o.Tenant, trace: o.id("trace", retry), subject: o.About,
-			operation: strconv.Itoa(o.number), retry: retry > 0 && x.scenario.Clients.Marks,
+			method: http.MethodPost, class: class.Name, tenant: o.Tenant, trace: o.id("trace", retry), subject: o.Object,
+			operation: strconv.Itoa(o.number), retry: retry > 0 && x.scenario.Clients.MarkRetries,
 		}
 		switch class.Effect {
 		case scenario.Safe:
@@ -188,9 +188,9 @@
 			x.Calls.Call(call)
 		}
 		op.Result, op.Requests = call.Result, retry+1
-		wait := x.scenario.Clients.Wait
+		wait := x.scenario.Clients.RetryWait
 		if call.RetryAfter > 0 {
-			wait = min(call.RetryAfter, x.scenario.Clients.Obey)
+			wait = min(call.RetryAfter, x.scenario.Clients.MaxRetryAfter)
 		}
 		again := retry < x.scenario.Clients.Retries && !errors.Is(err, errNoDescriptor) && mayRetry(class, &call, time.Since(first)+wait)
 		if !again || time.Until(over) <= wait+time.Millisecond {
@@ -233,7 +233,7 @@
 		m.shares = append(m.shares, sum)
 	}
 	if s.Clients.Skew > 1 {
-		m.zipf = rand.NewZipf(rand.New(rand.NewPCG(s.Seed, 1<<32)), s.Clients.Skew, 1, uint64(s.Clients.Keys-1))
+		m.zipf = rand.NewZipf(rand.New(rand.NewPCG(s.Seed, 1<<32)), s.Clients.Skew, 1, uint64(s.Clients.Objects-1))
 	}
 	return m
 }
@@ -257,15 +257,15 @@
 	if o.Tenant == "" && len(m.scenario.Tenants) > 0 {
 		o.Tenant = m.tenant(o.draw("tenant"))
 	}
-	if o.About == "" {
-		about := uint64(o.draw("about") * float64(m.scenario.Clients.Keys))
+	if o.Object == "" {
+		about := uint64(o.draw("about") * float64(m.scenario.Clients.Objects))
 		if m.zipf != nil {
 			about = m.zipf.Uint64()
 		}
-		o.About = strconv.FormatUint(about, 10)
+		o.Object = strconv.FormatUint(about, 10)
 	}
-	if o.Wait == 0 {
-		o.Wait = o.patience(&m.scenario.Classes[o.class], 0)
+	if o.Patience == 0 {
+		o.Patience = o.patience(&m.scenario.Classes[o.class], 0)
 	}
 	return o
 }
@@ -291,8 +291,8 @@
 
 // patience is how long the client waits for one request.
 func (o *completeArrival) patience(class *scenario.Class, retry int) time.Duration {
-	if retry == 0 && o.Wait > 0 {
-		return o.Wait
+	if retry == 0 && o.Patience > 0 {
+		return o.Patience
 	}
 	p := o.scenario.Clients.Patience
 	u := o.draw("patience", strconv.Itoa(retry))
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -58,7 +58,7 @@
 
 func newDiscovery(f *Fleet, first []member) *discovery {
 	return &discovery{
-		fleet: f, members: first, changed: make(chan struct{}), delay: f.scenario.Discovery.Late,
+		fleet: f, members: first, changed: make(chan struct{}), delay: f.scenario.Discovery.Delay,
 		pending: map[*time.Timer]struct{}{}, servers: map[int]*http.Server{}, sent: map[sidecarServer]audit.State{},
 	}
 }
@@ -271,14 +271,14 @@
 			}
 			return nil
 		}
-	case scenario.DiscoverySilent:
+	case scenario.DiscoveryStall:
 		begin = func() error { d.addSilence(1); return nil }
 		end = func() error { d.addSilence(-1); return nil }
-	case scenario.DiscoveryLate:
-		begin = func() error { d.addDelay(fault.By); return nil }
-		end = func() error { d.addDelay(-fault.By); return nil }
+	case scenario.DiscoveryDelay:
+		begin = func() error { d.addDelay(fault.Delay); return nil }
+		end = func() error { d.addDelay(-fault.Delay); return nil }
 	}
-	return []event{{fault.At, begin}, {fault.At + fault.For, end}}
+	return []event{{fault.At, begin}, {fault.At + fault.Duration, end}}
 }
 
 func (d *discovery) addSilence(n int) {
--- a/internal/rig/standin/exchange.go
+++ b/internal/rig/standin/exchange.go
@@ -45,7 +45,7 @@
 	x.reader = bufio.NewReader(x.conn)
 	coming := x.await()
 	for {
-		idle := time.NewTimer(x.process.server.fleet.scenario.Limits.Idle)
+		idle := time.NewTimer(x.process.server.fleet.scenario.Limits.IdleTimeout)
 		select {
 		case n := <-coming:
 			idle.Stop()
@@ -74,7 +74,7 @@
 		*coming = x.await()
 		return x.answer(&at, "200 OK", "", x.process.metrics(false)) == nil
 	}
-	if s.faultHits(scenario.ResetIn, at.Trace) {
+	if s.faultHits(scenario.ResetRequest, at.Trace) {
 		at.End = s.fleet.now()
 		s.fleet.recorder.Attempt(at)
 		sock.Abort(x.conn)
@@ -109,7 +109,7 @@
 		return x.answer(at, "400 Bad Request", "", "") == nil
 	}
 	class := &s.fleet.scenario.Classes[i]
-	at.Work = class.Work.At(s.fleet.draw("work", at.Operation))
+	at.Work = class.Work.Interpolate(s.fleet.draw("work", at.Operation))
 	if p.pressure != nil && p.addPressure(at.Work) {
 		return false
 	}
@@ -127,7 +127,7 @@
 	at.KeyKnown = class.Effect == scenario.Keyed && s.fleet.keys.seen(class, s.def, at.Key)
 	p.cores.work(p.ctx, at.Work)
 	p.cores.release(ready)
-	p.cores.sleep(p.ctx, class.IO.At(s.fleet.draw("io", at.Operation)))
+	p.cores.sleep(p.ctx, class.IO.Interpolate(s.fleet.draw("io", at.Operation)))
 	select {
 	case n := <-*coming:
 		*coming = unread(n)
@@ -168,13 +168,13 @@
 func (x *exchange) answerOrFault(at *audit.Attempt) (keep bool) {
 	p, s := x.process, x.process.server
 	switch {
-	case s.faultHits(scenario.ResetOut, at.Trace):
+	case s.faultHits(scenario.ResetResponse, at.Trace):
 		sock.Abort(x.conn)
 		return false
-	case s.faultHits(scenario.Garble, at.Trace):
+	case s.faultHits(scenario.MalformedAnswer, at.Trace):
 		_, _ = io.WriteString(x.conn, "\x16\x03\x01 no answer at all\r\n\r\n")
 		return false
-	case s.faultHits(scenario.Fail, at.Trace):
+	case s.faultHits(scenario.ErrorAnswer, at.Trace):
 		return x.answer(at, "500 Error", "", p.metrics(true)) == nil
 	}
 	return x.answer(at, "200 OK", Body(at.Trace, p.name), p.metrics(true)) == nil
--- a/internal/rig/standin/fleet.go
+++ b/internal/rig/standin/fleet.go
@@ -22,7 +22,7 @@
 type Network interface {
 	Listen(addr string) (net.Listener, error)
 	// Silence partitions the machine that listens at an address from the network; Restore ends that.
-	Silence(addr string)
+	Isolate(addr string)
 	Restore(addr string)
 }
 
@@ -46,7 +46,7 @@
 	for _, def := range s.Servers {
 		srv := newServer(f, def)
 		f.servers = append(f.servers, srv)
-		if err := srv.begin(def.Name, scenario.Cold{}); err != nil {
+		if err := srv.begin(def.Name, scenario.SlowStart{}); err != nil {
 			f.Close()
 			return nil, fmt.Errorf("server %s: %w", def.Name, err)
 		}
--- a/internal/rig/standin/server.go
+++ b/internal/rig/standin/server.go
@@ -35,7 +35,7 @@
 	cores       *cores
 	pressure    *scenario.Pressure
 	began       time.Duration
-	slowStart   scenario.Cold
+	slowStart   scenario.SlowStart
 	collapsedAt time.Duration
 	started     int64 // Unix milliseconds; 0: long ago
 	listener    net.Listener
@@ -51,7 +51,7 @@
 }
 
 // begin starts a process with a name.
-func (s *server) begin(name string, cold scenario.Cold) error {
+func (s *server) begin(name string, cold scenario.SlowStart) error {
 	ln, err := s.fleet.net.Listen(s.addr)
 	if err != nil {
 		return err
@@ -174,7 +174,7 @@
 func (s *server) events(fault scenario.Fault) []event {
 	lasting := func(begin, end func()) []event {
 		run := func(f func()) func() error { return func() error { f(); return nil } }
-		return []event{{fault.At, run(begin)}, {fault.At + fault.For, run(end)}}
+		return []event{{fault.At, run(begin)}, {fault.At + fault.Duration, run(end)}}
 	}
 	switch fault.Kind {
 	case scenario.Slow:
@@ -182,16 +182,16 @@
 	case scenario.Stall:
 		var at *process
 		return lasting(func() { at = s.current(); at.stall(true) }, func() { at.stall(false) })
-	case scenario.Full:
+	case scenario.RejectAll:
 		return lasting(func() { s.addFullFault(1) }, func() { s.addFullFault(-1) })
-	case scenario.Silent:
-		return lasting(func() { s.fleet.net.Silence(s.addr) }, func() { s.fleet.net.Restore(s.addr) })
+	case scenario.Isolated:
+		return lasting(func() { s.fleet.net.Isolate(s.addr) }, func() { s.fleet.net.Restore(s.addr) })
 	case scenario.Drain:
 		return []event{{fault.At, func() error { s.publish(audit.Draining); return nil }}}
-	case scenario.Gone, scenario.Replace, scenario.Restart:
+	case scenario.Terminate, scenario.Replace, scenario.Restart:
 		return s.endEvents(fault)
 	}
-	return lasting(func() { s.setFaultFraction(fault.Kind, fault.Part) }, func() { s.setFaultFraction(fault.Kind, 0) })
+	return lasting(func() { s.setFaultFraction(fault.Kind, fault.Fraction) }, func() { s.setFaultFraction(fault.Kind, 0) })
 }
 
 // endEvents are the end of a process, and the start of the next one, if there is one.
@@ -199,22 +199,22 @@
 	if fault.Kind != scenario.Restart {
 		all = append(all, event{fault.At, func() error { s.publish(audit.Draining); return nil }})
 	}
-	all = append(all, event{fault.At + fault.Drain, func() error {
+	all = append(all, event{fault.At + fault.DrainTime, func() error {
 		s.publish(audit.Removed)
 		s.end()
 		return nil
 	}})
-	if fault.Kind == scenario.Gone {
+	if fault.Kind == scenario.Terminate {
 		return all
 	}
-	return append(all, event{fault.At + fault.Drain + fault.Down, func() error {
+	return append(all, event{fault.At + fault.DrainTime + fault.Downtime, func() error {
 		name := s.def.Name
 		if fault.Kind == scenario.Replace {
 			s.mu.Lock()
 			name = fmt.Sprintf("%s.%d", s.def.Name, s.instances+1)
 			s.mu.Unlock()
 		}
-		if err := s.begin(name, fault.Cold); err != nil {
+		if err := s.begin(name, fault.SlowStart); err != nil {
 			return err
 		}
 		s.publish(audit.Up)
