--- a/internal/sidecar/message/upload_test.go
+++ b/internal/sidecar/message/upload_test.go
@@ -21,7 +21,7 @@
 		for {
 			chunk, err := u.Next(nil)
 			got.Write(chunk)
-			if errors.Is(err, io.EOF) {
+			if err == io.EOF { //nolint:errorlint // the plain value, as io.Reader asks
 				break
 			}
 			if err != nil {
@@ -31,7 +31,7 @@
 		if !strings.HasPrefix(body, got.String()) || got.Len() < 3000 {
 			t.Errorf("%s: %d bytes", name, got.Len())
 		}
-		if _, err := u.Next(nil); !errors.Is(err, io.EOF) {
+		if _, err := u.Next(nil); err != io.EOF { //nolint:errorlint // the plain value, as io.Reader asks
 			t.Errorf("%s: after the end: %v", name, err)
 		}
 	}
@@ -62,7 +62,7 @@
 			t.Errorf("%q, %v", chunk, err)
 		}
 		out.CloseWithError(errors.New("broken off"))
-		if _, err := u.Next(nil); err == nil || errors.Is(err, io.EOF) {
+		if _, err := u.Next(nil); err == nil || err == io.EOF { //nolint:errorlint // the plain value, as io.Reader asks
 			t.Errorf("%v", err)
 		}
 	})
