--- a/cmd/petrelhook-agent/change_test.go
+++ b/cmd/petrelhook-agent/change_test.go
@@ -32,7 +32,7 @@
 	if raced && t.Name() != "TestStoppedProcesses" {
 		t.Skip("the programs are not built with the race detector")
 	}
-	return deployment.StartSite(t, func() string { return peertest.Reserved(t) }, sidecars, rate, faults, change)
+	return deployment.StartSite(t, func() string { return peertest.ReserveAddr(t) }, sidecars, rate, faults, change)
 }
 
 // short is a plan with two stages, the first of which is judged.
--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -12,7 +12,7 @@
 
 // The harm that a bad release does within some time: judged in stages, in stages by the clock, and all at once; 12 sidecars, the same load.
 func TestFiguresOfHarm(t *testing.T) {
-	peertest.Figures(t)
+	peertest.SkipUnlessMeasuring(t)
 	const horizon = 40 * time.Second
 	s := newSite(t, 12, 360, "", nil)
 	bad := s.FaultyRelease("fails one class")
@@ -61,7 +61,7 @@
 
 // Good changes of 12 sidecars in three stages, one after the other, forth and back: none is stopped, and no request is affected.
 func TestFiguresOfGoodChanges(t *testing.T) {
-	peertest.Figures(t)
+	peertest.SkipUnlessMeasuring(t)
 	s := newSite(t, 12, 1500, "", nil)
 	now, next := s.Initial, s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	for i := range 20 {
--- a/cmd/petrelhook-coordinator/distribute_test.go
+++ b/cmd/petrelhook-coordinator/distribute_test.go
@@ -93,7 +93,7 @@
 // publish publishes a version that names its service.
 func publish(t *testing.T, g *coordinator.Group, service string, n int) distribute.Revision {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), peertest.EventTimeout)
 	defer cancel()
 	revision, _, err := operator(g).Publish(ctx, service, fmt.Appendf(nil, `{"settings": {"for": %q, "n": %d}}`, service, n), false)
 	if err != nil {
@@ -254,7 +254,7 @@
 	large := strings.Repeat("x", 60<<10)
 	o := &fleet.Operator{Addrs: g.Addrs()}
 	for i := range 3 {
-		ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
+		ctx, cancel := context.WithTimeout(t.Context(), peertest.EventTimeout)
 		revision, _, err := o.Publish(ctx, "service-0", fmt.Appendf(nil, `{"settings": {"for": "service-0", "n": %d, "large": %q}}`, i, large), false)
 		cancel()
 		if err != nil {
--- a/cmd/petrelhook-coordinator/figures_test.go
+++ b/cmd/petrelhook-coordinator/figures_test.go
@@ -51,7 +51,7 @@
 
 // Grants and renewals of 1, 3 and 5 replicas in one run, with more and more leases and sessions.
 func TestFigures(t *testing.T) {
-	peertest.Figures(t)
+	peertest.SkipUnlessMeasuring(t)
 	for _, n := range []int{1, 3, 5} {
 		g := newGroup(t, n)
 		request := g.NewCaller()
@@ -101,7 +101,7 @@
 
 // How long no client holds the lease after a kill, beside the bound by the settings.
 func TestFiguresWithoutAHolder(t *testing.T) {
-	peertest.Figures(t)
+	peertest.SkipUnlessMeasuring(t)
 	g, r := newGroup(t, 3), &contend.Resource{}
 	guarded := peertest.NewRaw(t, r.Serve)
 	for _, what := range []string{"holder", "leader", "both"} {
@@ -208,7 +208,7 @@
 
 // Memory of a lease, and disk, log and start after a million commands.
 func TestFiguresOfAMillionCommands(t *testing.T) {
-	peertest.Figures(t)
+	peertest.SkipUnlessMeasuring(t)
 	heap := func() float64 {
 		runtime.GC()
 		var m runtime.MemStats
--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/hard_test.go
@@ -43,7 +43,7 @@
 
 func hold(t *testing.T, c *lease.Client, name string) *lease.Held {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), peertest.EventTimeout)
 	defer cancel()
 	h, err := c.Hold(ctx, name)
 	if err != nil {
@@ -335,7 +335,7 @@
 	c := g.Members[leader]
 	c.Partition(true, true, true)
 	other := (leader + 1) % 3
-	ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), peertest.EventTimeout)
 	defer cancel()
 	response, err := call(ctx, g.ClientLinks[leader].Addr, fleet.Request{Version: fleet.Version, RemoveMember: uint64(other + 1)})
 	if err != nil || !response.OutcomeUnknown {
@@ -390,7 +390,7 @@
 	g := newGroup(t, 1)
 	c := client(t, g)
 	hold(t, c, "x")
-	ctx, cancel := context.WithTimeout(t.Context(), peertest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), peertest.EventTimeout)
 	defer cancel()
 	for name, want := range map[string]string{strings.Repeat("x", 2<<20): "larger than configured max", strings.Repeat("x", 201): "lease: 201 bytes; write 1 to 200"} {
 		if _, err := c.Hold(ctx, name); err == nil || !strings.Contains(err.Error(), want) || ctx.Err() != nil {
--- a/cmd/petrelhook/limits_test.go
+++ b/cmd/petrelhook/limits_test.go
@@ -60,7 +60,7 @@
 	crowd(limit)
 	peertest.Eventually(t, "the second serves", func() bool {
 		within("afterwards", second)
-		c, in := peertest.Open(t, f.listen)
+		c, in := peertest.Dial(t, f.listen)
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(time.Second))
 		io.WriteString(c, requestKinds[0](fmt.Sprint(time.Now().UnixNano())))
--- a/cmd/petrelhook/log_blocked_test.go
+++ b/cmd/petrelhook/log_blocked_test.go
@@ -20,8 +20,8 @@
 // Standard error is full and not read any more: each request still gets its response before its deadline, and the process ends normally.
 func TestALogThatNobodyReads(t *testing.T) {
 	const deadline = time.Second
-	server := peertest.NewPeer(t, peertest.Says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")) // a line for each attempt
-	listen, dir := peertest.Reserved(t), t.TempDir()
+	server := peertest.NewPeer(t, peertest.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")) // a line for each attempt
+	listen, dir := peertest.ReserveAddr(t), t.TempDir()
 	path := filepath.Join(dir, "config.json")
 	config := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","known":%s,"settings":%s}`, listen, peertest.DeadAddr(t),
 		peertest.Catalog(1, true, peertest.Instance("s-1", server.Addr, "up")), strings.ReplaceAll(peertest.Settings, `"hard_limit_ms": 10000`, `"hard_limit_ms": 1000`))
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(deadline + peertest.Patience/4)) // on a busy machine the response is late, from a blocked process it never comes
+		c.SetDeadline(time.Now().Add(deadline + peertest.EventTimeout/4)) // on a busy machine the response is late, from a blocked process it never comes
 		io.WriteString(c, request("GET", "look", fmt.Sprint("blocked-", i), "Connection: close\r\n", 0))
 		_, err = http.ReadResponse(bufio.NewReader(c), nil)
 		c.Close()
--- a/cmd/petrelhook/recorded_link_test.go
+++ b/cmd/petrelhook/recorded_link_test.go
@@ -31,7 +31,7 @@
 
 func newTranscript(t *testing.T, conn *net.UnixConn) *transcript {
 	t.Helper()
-	if err := conn.SetDeadline(time.Now().Add(peertest.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(peertest.EventTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return &transcript{t: t, conn: conn, in: bufio.NewReader(conn)}
@@ -113,7 +113,7 @@
 }
 
 // recordSuccessor notes what a process that takes over writes to the one in service, which the test plays.
-func recordSuccessor(t *testing.T, f *fleet, socket string, lists *peertest.Lists) (lines []string) {
+func recordSuccessor(t *testing.T, f *fleet, socket string, lists *peertest.Discovery) (lines []string) {
 	t.Helper()
 	if err := os.Remove(socket); err != nil {
 		t.Fatal(err)
@@ -160,7 +160,7 @@
 	s := peertest.Wait(t, started)
 	isHeartbeat := func(line string) bool { return strings.HasPrefix(line, "watch ") && !strings.Contains(line, `"list"`) }
 	c.readUntil(isHeartbeat) // a list may come before, where its watch was open in time
-	lists.Tell(peertest.Catalog(2, true, peertest.Instance("s-1", "127.0.0.1:9", "up")))
+	lists.Publish(peertest.Catalog(2, true, peertest.Instance("s-1", "127.0.0.1:9", "up")))
 	c.readUntil(func(line string) bool { return !isHeartbeat(line) })
 	for _, call := range []string{"PUT /api/evacuate", "PUT /api/rejoin"} {
 		if status := s.call(call); status != 200 {
@@ -176,7 +176,7 @@
 func TestRecordedLink(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	before, socket := recordPredecessor(t, f)
-	lists, addr := peertest.NewLists(t, peertest.Catalog(1, true, peertest.Instance("s-1", "127.0.0.1:9", "up")))
+	lists, addr := peertest.NewDiscovery(t, peertest.Catalog(1, true, peertest.Instance("s-1", "127.0.0.1:9", "up")))
 	f.config = strings.Replace(f.config, `"discovery":"`, `"discovery":"`+addr+`","x":"`, 1)
 	next := recordSuccessor(t, f, socket, lists)
 	var got bytes.Buffer
--- a/cmd/petrelhook/recorded_test.go
+++ b/cmd/petrelhook/recorded_test.go
@@ -22,7 +22,7 @@
 // requestHandover has a process of the fleet's sidecar hand over to the test, as to its successor.
 func (f *fleet) requestHandover() (state []byte, link *handover.Link) {
 	f.t.Helper()
-	received, err := handover.NewRendezvous(f.dir, "n0", f.listen).Request(peertest.Patience)
+	received, err := handover.NewRendezvous(f.dir, "n0", f.listen).Request(peertest.EventTimeout)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 	f := newFleet(t, peertest.Settings)
 	s := f.start()
 	for i := range requestKinds {
-		resp, _ := peertest.Ask(t, f.listen, strings.Replace(requestKinds[i](fmt.Sprint("x", i)), "\r\n", "\r\nConnection: close\r\n", 1))
+		resp, _ := peertest.SendRequest(t, f.listen, strings.Replace(requestKinds[i](fmt.Sprint("x", i)), "\r\n", "\r\nConnection: close\r\n", 1))
 		if resp.StatusCode != 200 {
 			t.Fatal(resp.Status)
 		}
--- a/cmd/petrelhook/signals_test.go
+++ b/cmd/petrelhook/signals_test.go
@@ -40,12 +40,12 @@
 		io.WriteString(file, goodConfig)
 	}
 	write()
-	process.Until(t, "it serves", func() bool { return p.Log.Has("serving") || len(p.Ended) > 0 })
+	process.Eventually(t, "it serves", func() bool { return p.Log.Has("serving") || len(p.Ended) > 0 })
 	if len(p.Ended) > 0 {
 		t.Fatalf("the signal ended it: %v", <-p.Ended)
 	}
 	write()
-	process.Until(t, "it has followed the signal", func() bool { return p.Log.Has("reloaded") })
+	process.Eventually(t, "it has followed the signal", func() bool { return p.Log.Has("reloaded") })
 	p.Signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
 		t.Error(err)
@@ -73,14 +73,14 @@
 						taken <- struct{}{}
 						return true
 					}
-					io.WriteString(c, peertest.OKAnswer)
+					io.WriteString(c, peertest.OKResponse)
 					return true
 				})
 				f := newFleet(t, strings.ReplaceAll(peertest.Settings, `"hard_limit_ms": 10000`, `"hard_limit_ms": 1000`))
 				f.config = strings.Replace(f.config, f.config[strings.Index(f.config, `"known"`):strings.Index(f.config, `,"settings"`)],
 					`"known":`+peertest.Catalog(1, true, peertest.Instance("s-1", server.Addr, "up")), 1)
 				s := f.start()
-				c, in := peertest.Open(t, f.listen)
+				c, in := peertest.Dial(t, f.listen)
 				whole := request("POST", "once", "t", "", 1000)
 				rest, want := "", 200
 				switch step {
@@ -98,15 +98,15 @@
 				case "a server hangs", "an answer is half written":
 					peertest.Wait(t, taken)
 				case "a connection is idle":
-					if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 {
+					if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 {
 						t.Fatalf("before the end: %d", resp.StatusCode)
 					}
 				default: // it has been read when a request behind it on another connection is answered
-					peertest.Ask(t, f.listen, request("GET", "look", "v", "", 0))
+					peertest.SendRequest(t, f.listen, request("GET", "look", "v", "", 0))
 				}
 				began := time.Now()
 				s.Signal(syscall.SIGTERM)
-				process.Until(t, "it ends", func() bool { return s.Log.Has("now=stopping") })
+				process.Eventually(t, "it ends", func() bool { return s.Log.Has("now=stopping") })
 				s.Signal(again)
 				s.Signal(again)
 				io.WriteString(c, rest)
--- a/cmd/petrelhook/streams_test.go
+++ b/cmd/petrelhook/streams_test.go
@@ -96,7 +96,7 @@
 				return
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(10 * peertest.Patience))
+			c.SetDeadline(time.Now().Add(10 * peertest.EventTimeout))
 			framing, write := fmt.Sprint("Content-Length: ", size), c.Write
 			if i%2 == 1 {
 				framing = "Transfer-Encoding: chunked"
--- a/cmd/petrelhook/upgrade_test.go
+++ b/cmd/petrelhook/upgrade_test.go
@@ -49,7 +49,7 @@
 const longBody = 300_000
 
 func newFleet(t *testing.T, settings string) *fleet {
-	f := &fleet{t: t, listen: peertest.Reserved(t), dir: t.TempDir(), executed: map[string]int{}}
+	f := &fleet{t: t, listen: peertest.ReserveAddr(t), dir: t.TempDir(), executed: map[string]int{}}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		n, err := io.Copy(io.Discard, req.Body)
 		if err != nil {
@@ -85,7 +85,7 @@
 }
 
 // start starts a process beside those that run, with an address of its own for operators.
-func (f *fleet) start() *sidecar { return f.startAt(peertest.Reserved(f.t)) }
+func (f *fleet) start() *sidecar { return f.startAt(peertest.ReserveAddr(f.t)) }
 
 func (f *fleet) startAt(admin string) *sidecar {
 	f.t.Helper()
@@ -112,7 +112,7 @@
 		return 0
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(peertest.Patience))
+	c.SetDeadline(time.Now().Add(peertest.EventTimeout))
 	io.WriteString(c, what+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -170,7 +170,7 @@
 				}
 				in, answered = bufio.NewReader(c), false
 			}
-			c.SetDeadline(time.Now().Add(peertest.Patience))
+			c.SetDeadline(time.Now().Add(peertest.EventTimeout))
 			io.WriteString(c, requestKinds[i%len(requestKinds)](id))
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil { // it was not executed, or it is lost
@@ -283,7 +283,7 @@
 func TestEvacuatedAcrossAnUpgrade(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	health := func() int {
-		resp, _ := peertest.Ask(t, f.listen, "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+		resp, _ := peertest.SendRequest(t, f.listen, "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 		return resp.StatusCode
 	}
 	first := f.start()
@@ -385,13 +385,13 @@
 	first := f.start()
 	var halves []net.Conn
 	for i := range requestKinds {
-		c, in := peertest.Open(t, f.listen)
+		c, in := peertest.Dial(t, f.listen)
 		io.WriteString(c, requestKinds[0](fmt.Sprint("before", i))) // so that the first process has accepted the connection
-		peertest.Answer(t, in)
+		peertest.ReadResponse(t, in)
 		text := requestKinds[i](fmt.Sprint("half", i))
 		io.WriteString(c, text[:len(text)/2])
 		defer func() {
-			if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 {
+			if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 {
 				t.Errorf("request %d: %d", i, resp.StatusCode)
 			}
 			f.mu.Lock()
@@ -447,7 +447,7 @@
 			f.queued.Store(true)
 			for i := range 40 {
 				id := fmt.Sprint("beside-", round, "-", i)
-				if resp, _ := peertest.Ask(t, f.listen, requestKinds[0](id)); resp.StatusCode != 200 {
+				if resp, _ := peertest.SendRequest(t, f.listen, requestKinds[0](id)); resp.StatusCode != 200 {
 					t.Errorf("%s: %d", id, resp.StatusCode)
 				}
 			}
@@ -469,7 +469,7 @@
 func TestOneWatchOfDiscovery(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	server := func(name string) string {
-		return peertest.Instance(name, peertest.NewPeer(t, peertest.Says(strings.Replace(peertest.OKAnswer, "hi", name, 1))).Addr, "up")
+		return peertest.Instance(name, peertest.NewPeer(t, peertest.RespondWith(strings.Replace(peertest.OKResponse, "hi", name, 1))).Addr, "up")
 	}
 	names := []string{"s1", "s2", "s3", "s4"}
 	var servers []string
@@ -477,11 +477,11 @@
 		servers = append(servers, server(name))
 	}
 	generation := 1
-	l, addr := peertest.NewLists(t, peertest.Catalog(generation, true, servers[0]))
+	l, addr := peertest.NewDiscovery(t, peertest.Catalog(generation, true, servers[0]))
 	f.config = strings.Replace(f.config, `"discovery":"`, `"discovery":"`+addr+`","x":"`, 1)
 	tell := func(i int) string { // this server alone
 		generation++
-		l.Tell(peertest.Catalog(generation, true, servers[i]))
+		l.Publish(peertest.Catalog(generation, true, servers[i]))
 		return names[i]
 	}
 	first := f.start()
@@ -493,24 +493,24 @@
 	ask := func(c conn) string {
 		asked++
 		io.WriteString(c, requestKinds[0](fmt.Sprint("w", asked)))
-		_, body := peertest.Answer(t, c.in)
+		_, body := peertest.ReadResponse(t, c.in)
 		return body
 	}
 	serves := func(c conn, name string) {
 		t.Helper()
 		peertest.Eventually(t, "it serves by "+name, func() bool { return ask(c) == name })
 	}
-	c, in := peertest.Open(t, f.listen)
+	c, in := peertest.Dial(t, f.listen)
 	old := conn{c, in}
 	serves(old, "s1")
 	second := f.start()
 	peertest.Eventually(t, "one watch, of the second", func() bool { // which says that it serves before its watch is open
-		return l.Calls() >= 2 && l.Watches() == 1 && first.Log.Has("handing over")
+		return l.Calls() >= 2 && l.Subscribers() == 1 && first.Log.Has("handing over")
 	})
 	was := l.Calls()
 	serves(old, tell(1)) // by way of the second
-	if l.Watches() != 1 || l.Calls() != was {
-		t.Errorf("%d watches, %d calls", l.Watches(), l.Calls()-was)
+	if l.Subscribers() != 1 || l.Calls() != was {
+		t.Errorf("%d watches, %d calls", l.Subscribers(), l.Calls()-was)
 	}
 	second.Pause()
 	serves(old, tell(2))
@@ -518,12 +518,12 @@
 	serves(old, tell(3))
 	second.Kill()
 	second.Wait()
-	peertest.Eventually(t, "its own watch", func() bool { return l.Watches() == 1 })
+	peertest.Eventually(t, "its own watch", func() bool { return l.Subscribers() == 1 })
 	serves(old, tell(1))
 	third := f.start()
 	first.end()
-	peertest.Eventually(t, "the third watches", func() bool { return l.Watches() == 1 })
-	c, in = peertest.Open(t, f.listen)
+	peertest.Eventually(t, "the third watches", func() bool { return l.Subscribers() == 1 })
+	c, in = peertest.Dial(t, f.listen)
 	tell(2)
 	serves(conn{c, in}, "s3")
 	third.end()
@@ -549,7 +549,7 @@
 			<-release
 			return false // its answer is lost
 		}
-		io.WriteString(c, peertest.OKAnswer)
+		io.WriteString(c, peertest.OKResponse)
 		return true
 	}
 	// both servers are of one group, which shares the keys
@@ -560,14 +560,14 @@
 	f.config = before + `"known":` + peertest.Catalog(1, true, peertest.Instance("a", a.Addr, "up"), peertest.Instance("b", b.Addr, "up")) + `,"settings"` + rest
 	first := f.start()
 	book := func(trace string) string { return request("POST", "book", trace, "Idempotency-Key: k\r\n", 9) }
-	c, _ := peertest.Open(t, f.listen)
+	c, _ := peertest.Dial(t, f.listen)
 	io.WriteString(c, book("one"))
 	peertest.Wait(t, got)
 	second := f.start()
 	first.Signal(syscall.SIGTERM)
 	peertest.Eventually(t, "it stops", func() bool { return first.Log.Has("now=stopping") })
 	c.Close() // the client gives up
-	resp, _ := peertest.Ask(t, f.listen, book("two"))
+	resp, _ := peertest.SendRequest(t, f.listen, book("two"))
 	if resp.StatusCode != 200 {
 		t.Errorf("come again: %d", resp.StatusCode)
 	}
--- a/internal/common/peertest/peertest.go
+++ b/internal/common/peertest/peertest.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Patience bounds a wait for an event that must happen. No test waits so long when it passes.
-const Patience = 20 * time.Second
+// EventTimeout bounds a wait for an event that must happen. No test waits so long when it passes.
+const EventTimeout = 20 * time.Second
 
 // Settings are settings of the platform's form: one class of each effect, two zones, reports in every answer.
 const Settings = `{"classes": [
@@ -47,34 +47,44 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	p := &Peer{Addr: ln.Addr().String(), Ended: make(chan struct{}, 100)}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			p.Conns.Add(1)
-			go func() {
-				defer c.Close()
-				in := bufio.NewReader(c)
-				for {
-					req, err := http.ReadRequest(in)
-					if err != nil {
-						p.Ended <- struct{}{}
-						return
-					}
-					body, _ := io.ReadAll(req.Body)
-					p.Requests.Add(1)
-					if !handle(c, req, string(body)) {
-						return
-					}
-				}
-			}()
-		}
-	}()
+	go acceptAll(ln, func(c net.Conn) {
+		p.Conns.Add(1)
+		p.serve(c, handle)
+	})
 	return p
 }
 
+// serve answers the requests of one connection until either side ends it.
+func (p *Peer) serve(c net.Conn, handle func(c net.Conn, req *http.Request, body string) bool) {
+	in := bufio.NewReader(c)
+	for {
+		req, err := http.ReadRequest(in)
+		if err != nil {
+			p.Ended <- struct{}{}
+			return
+		}
+		body, _ := io.ReadAll(req.Body)
+		p.Requests.Add(1)
+		if !handle(c, req, string(body)) {
+			return
+		}
+	}
+}
+
+// acceptAll gives each connection to handle, in a goroutine of its own, and closes it after that, until the listener is closed.
+func acceptAll(ln net.Listener, handle func(net.Conn)) {
+	for {
+		c, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			defer c.Close()
+			handle(c)
+		}()
+	}
+}
+
 // NewRaw starts a peer whose handle gets each connection, in a goroutine of its own; the connection is closed when handle returns.
 func NewRaw(t testing.TB, handle func(net.Conn)) (addr string) {
 	t.Helper()
@@ -83,45 +93,34 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				handle(c)
-			}()
-		}
-	}()
+	go acceptAll(ln, handle)
 	return ln.Addr().String()
 }
 
-// Says is a handle for NewPeer that answers each request with a text.
-func Says(text string) func(net.Conn, *http.Request, string) bool {
+// RespondWith is a handle for NewPeer that answers each request with a text.
+func RespondWith(text string) func(net.Conn, *http.Request, string) bool {
 	return func(c net.Conn, _ *http.Request, _ string) bool {
 		io.WriteString(c, text)
 		return true
 	}
 }
 
-// OKAnswer is a successful answer with a body of two bytes.
-const OKAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+// OKResponse is a successful response with a body of two bytes.
+const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// Silent is a handle for NewPeer that answers nothing and leaves the connection open.
-func Silent(c net.Conn, _ *http.Request, _ string) bool { return true }
+// NeverRespond is a handle for NewPeer that answers nothing and leaves the connection open.
+func NeverRespond(c net.Conn, _ *http.Request, _ string) bool { return true }
 
 // DeadAddr is an address at which nothing listens until the test ends. It is reserved, because a caller that retries might otherwise
 // reach the peer of another test.
 func DeadAddr(t *testing.T) string {
 	t.Helper()
-	return Reserved(t)
+	return ReserveAddr(t)
 }
 
-// Reserved is an address that a process may listen at and that the system gives nobody else until the test ends: a socket that does not
+// ReserveAddr is an address that a process may listen at and that the system gives nobody else until the test ends: a socket that does not
 // listen is bound to it.
-func Reserved(t *testing.T) string {
+func ReserveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -155,28 +154,28 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, reset, strings.Join(instances, ","))
 }
 
-// Open connects to an address, with a deadline of Patience. The connection is closed with the test.
-func Open(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
+// Dial connects to an address, with a deadline of EventTimeout. The connection is closed with the test.
+func Dial(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(Patience))
+	c.SetDeadline(time.Now().Add(EventTimeout))
 	return c, bufio.NewReader(c)
 }
 
-// Ask sends a request on a connection of its own and reads the answer and its body.
-func Ask(t *testing.T, addr, request string) (*http.Response, string) {
+// SendRequest sends a request on a connection of its own and reads the response and its body.
+func SendRequest(t *testing.T, addr, request string) (*http.Response, string) {
 	t.Helper()
-	c, in := Open(t, addr)
+	c, in := Dial(t, addr)
 	io.WriteString(c, request)
-	return Answer(t, in)
+	return ReadResponse(t, in)
 }
 
-// Answer reads one answer and its body.
-func Answer(t *testing.T, in *bufio.Reader) (*http.Response, string) {
+// ReadResponse reads one response and its body.
+func ReadResponse(t *testing.T, in *bufio.Reader) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -192,7 +191,7 @@
 // Eventually polls until ok returns true. what names the state in the failure.
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(EventTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never: " + what)
 		}
@@ -205,14 +204,14 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(Patience):
-		t.Fatalf("nothing was received within %v", Patience)
+	case <-time.After(EventTimeout):
+		t.Fatalf("nothing was received within %v", EventTimeout)
 		panic("not reached")
 	}
 }
 
-// CutOff is the address of a listener whose queue is full, so that connections to it are never established.
-func CutOff(t *testing.T) string {
+// FullBacklogAddr is the address of a listener whose queue is full, so that connections to it are never established.
+func FullBacklogAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -239,8 +238,8 @@
 	}
 }
 
-// Figures skips a measurement unless FIGURES is set: measurements are not part of the checks.
-func Figures(t testing.TB) {
+// SkipUnlessMeasuring skips a measurement unless FIGURES is set: measurements are not part of the checks.
+func SkipUnlessMeasuring(t testing.TB) {
 	if os.Getenv("FIGURES") == "" {
 		t.Skip("FIGURES=1 measures")
 	}
--- a/internal/common/sock/later.go
+++ b/internal/common/sock/later.go
@@ -25,8 +25,8 @@
 	return &delayedListener{addr: addr, retryInterval: retryInterval, closed: make(chan struct{})}
 }
 
-// Taken reports whether an error means that another process has the address.
-func Taken(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
+// IsAddressInUse reports whether an error means that another process has the address.
+func IsAddressInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
 
 // Accept waits until the address is free, and then for a connection.
 func (l *delayedListener) Accept() (net.Conn, error) {
@@ -35,7 +35,7 @@
 		if err == nil {
 			return ln.Accept()
 		}
-		if !Taken(err) {
+		if !IsAddressInUse(err) {
 			return nil, err
 		}
 		select {
--- a/internal/common/sock/later_test.go
+++ b/internal/common/sock/later_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	addr := first.Addr().String()
-	if _, err := net.Listen("tcp", addr); !Taken(err) {
+	if _, err := net.Listen("tcp", addr); !IsAddressInUse(err) {
 		t.Errorf("%v", err)
 	}
 	type accepted struct {
--- a/internal/common/yamlfile/yamlfile.go
+++ b/internal/common/yamlfile/yamlfile.go
@@ -25,8 +25,8 @@
 	return doc.Content[0], nil
 }
 
-// Each calls read for each mapping of a list, with the field's name and index for errors.
-func Each(file, field string, n *yaml.Node, read func(field string, n *yaml.Node) error) error {
+// EachMapping calls read for each mapping of a list, with the field's name and index for errors.
+func EachMapping(file, field string, n *yaml.Node, read func(field string, n *yaml.Node) error) error {
 	if n.Kind != yaml.SequenceNode || len(n.Content) == 0 {
 		return Problem(file, n, field, "write a list")
 	}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// Within parses a duration within bounds.
-func Within(n *yaml.Node, d *time.Duration, minValue, maxValue time.Duration) error {
+// Duration parses a duration within bounds.
+func Duration(n *yaml.Node, d *time.Duration, minValue, maxValue time.Duration) error {
 	v, err := time.ParseDuration(n.Value)
 	if err != nil || v < minValue || v > maxValue {
 		return fmt.Errorf("%q; write a time from %v to %v, such as 30s", n.Value, minValue, maxValue)
@@ -115,5 +115,5 @@
 
 // IntoDuration returns the Reader of a time with bounds.
 func IntoDuration(to *time.Duration, minimum, maximum time.Duration) Reader {
-	return func(n *yaml.Node) error { return Within(n, to, minimum, maximum) }
+	return func(n *yaml.Node) error { return Duration(n, to, minimum, maximum) }
 }
--- a/internal/coordination/driver/planfile.go
+++ b/internal/coordination/driver/planfile.go
@@ -137,7 +137,7 @@
 }
 
 func (p *planParser) readStages(*yaml.Node) error {
-	return yamlfile.Each(p.file, "stages", &p.stages, func(path string, n *yaml.Node) error {
+	return yamlfile.EachMapping(p.file, "stages", &p.stages, func(path string, n *yaml.Node) error {
 		var s rollout.Stage
 		err := yamlfile.Fields(p.file, path+".", n, map[string]yamlfile.Reader{
 			"names":   yamlfile.Into(&s.Selector.Names, "a list of sidecars"),
--- a/internal/coordination/fleet/config.go
+++ b/internal/coordination/fleet/config.go
@@ -108,9 +108,9 @@
 		"join":         func(n *yaml.Node) error { return yamlfile.Decode(n, &c.Join, "true or false") },
 		"allow_remote": func(n *yaml.Node) error { return yamlfile.Decode(n, &c.AllowRemote, "true or false") },
 		"drive":        func(n *yaml.Node) error { return yamlfile.Decode(n, &c.Drive, "true or false") },
-		"drive_every":  func(n *yaml.Node) error { return yamlfile.Within(n, &c.DriveEvery, 50*time.Millisecond, time.Minute) },
-		"longest_ttl":  func(n *yaml.Node) error { return yamlfile.Within(n, &c.LongestTTL, lease.MinTTL, lease.MaxTTL) },
-		"tick":         func(n *yaml.Node) error { return yamlfile.Within(n, &c.Tick, 5*time.Millisecond, time.Second) },
+		"drive_every":  func(n *yaml.Node) error { return yamlfile.Duration(n, &c.DriveEvery, 50*time.Millisecond, time.Minute) },
+		"longest_ttl":  func(n *yaml.Node) error { return yamlfile.Duration(n, &c.LongestTTL, lease.MinTTL, lease.MaxTTL) },
+		"tick":         func(n *yaml.Node) error { return yamlfile.Duration(n, &c.Tick, 5*time.Millisecond, time.Second) },
 		"replicas":     keepNode(&replicas),
 	})
 	return replicas, err
--- a/internal/coordination/machine/parse.go
+++ b/internal/coordination/machine/parse.go
@@ -196,7 +196,7 @@
 // readSidecars reads all sidecars. No two may have the same name or address.
 func (p *parser) readSidecars() error {
 	lines := map[string]int{} // where a name or address was used first
-	err := yamlfile.Each(p.file, "sidecars", &p.sidecars, func(path string, n *yaml.Node) error {
+	err := yamlfile.EachMapping(p.file, "sidecars", &p.sidecars, func(path string, n *yaml.Node) error {
 		s, err := p.readSidecar(path, n)
 		if err != nil {
 			return err
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -53,13 +53,13 @@
 // release.
 func TestAFirstThreadIsNotAProcess(t *testing.T) {
 	s := process.Start(t, process.Self("MACHINE_TEST_THREADS", "1"))
-	process.Until(t, "its first thread has ended", func() bool { return s.State() == "Z" })
+	process.Eventually(t, "its first thread has ended", func() bool { return s.State() == "Z" })
 	began, _ := startTicks(s.Pid)
 	if p := (agent.Process{PID: s.Pid, StartTicks: began}); !Lives(p) {
 		t.Error("it is taken for ended")
 	}
 	s.Kill()
-	process.Until(t, "it ends", func() bool { _, err := startTicks(s.Pid); return err != nil })
+	process.Eventually(t, "it ends", func() bool { _, err := startTicks(s.Pid); return err != nil })
 }
 
 // A start is either made or given up: one that was given up is not made any more, and one that was made is found.
--- a/internal/coordination/machine/version_test.go
+++ b/internal/coordination/machine/version_test.go
@@ -121,7 +121,7 @@
 	}
 	c := &Config{Application: "app", Data: filepath.Join(dir, "data"), Releases: filepath.Join(dir, "releases"), Release: string(r.ID),
 		PollInterval: 20 * time.Millisecond, ContactTimeout: time.Hour, Sidecars: []SidecarConfig{{Name: "n0", Listen: "127.0.0.1:1",
-			AdminAddresses: [2]string{peertest.Reserved(t), peertest.Reserved(t)}, Overrides: map[string]json.RawMessage{"settings.mine": []byte("7")}}},
+			AdminAddresses: [2]string{peertest.ReserveAddr(t), peertest.ReserveAddr(t)}, Overrides: map[string]json.RawMessage{"settings.mine": []byte("7")}}},
 		Limits: agent.Limits{ReadyTimeout: 5 * time.Second, TrialPeriod: 100 * time.Millisecond, TerminationTimeout: 2 * time.Second, IsolationTimeout: time.Hour, InitialBackoff: 10 * time.Millisecond, MaxBackoff: time.Second}}
 	g := &testAgent{t: t, config: c}
 	g.start()
--- a/internal/rig/coordinator/group.go
+++ b/internal/rig/coordinator/group.go
@@ -47,7 +47,7 @@
 // NewGroupWith is NewGroup with further lines in all configuration files.
 func NewGroupWith(t testing.TB, n int, lines string, program func(args ...string) *exec.Cmd) *Group {
 	t.Helper()
-	g := &Group{Dir: process.Dir(t), t: t, program: program}
+	g := &Group{Dir: process.DataDir(t), t: t, program: program}
 	for i := range n {
 		g.ClientLinks = append(g.ClientLinks, g.NewLink())
 		m := &Member{Index: i, group: g}
@@ -94,7 +94,7 @@
 func (g *Group) AwaitServing(p *process.Process) (addr string) {
 	g.t.Helper()
 	var found []string
-	process.Until(g.t, "the coordinator serves", func() bool { found = servingLine.FindStringSubmatch(p.Log.String()); return found != nil })
+	process.Eventually(g.t, "the coordinator serves", func() bool { found = servingLine.FindStringSubmatch(p.Log.String()); return found != nil })
 	return found[1]
 }
 
@@ -169,7 +169,7 @@
 // AwaitNewLeader waits until a member other than the previous leader leads (-1: any member).
 func (g *Group) AwaitNewLeader(previous int) (leader int) {
 	g.t.Helper()
-	process.Until(g.t, "another member leads", func() bool { leader = g.Leader(); return leader >= 0 && leader != previous })
+	process.Eventually(g.t, "another member leads", func() bool { leader = g.Leader(); return leader >= 0 && leader != previous })
 	return leader
 }
 
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -137,7 +137,7 @@
 	if len(d.pendingSidecars) < d.PerAgent {
 		return addr, nil
 	}
-	a := &Agent{Link: d.NewLink(), Dir: process.Dir(d.t), deployment: d}
+	a := &Agent{Link: d.NewLink(), Dir: process.DataDir(d.t), deployment: d}
 	text := ""
 	if d.SubscribeVersions {
 		coordinators, _ := json.Marshal(d.Addrs())
@@ -164,7 +164,7 @@
 	if err != nil {
 		a.deployment.t.Fatal(err)
 	}
-	process.Until(a.deployment.t, "an agent serves", func() bool { return a.Log.Has("msg=serving") })
+	process.Eventually(a.deployment.t, "an agent serves", func() bool { return a.Log.Has("msg=serving") })
 	a.Link.SetTarget(c.Listen)
 }
 
@@ -211,7 +211,7 @@
 			}
 		}
 	}
-	process.Until(d.t, "the sidecars end", func() bool {
+	process.Eventually(d.t, "the sidecars end", func() bool {
 		for _, p := range all {
 			if machine.Lives(p) {
 				return false
--- a/internal/rig/deployment/site.go
+++ b/internal/rig/deployment/site.go
@@ -84,7 +84,7 @@
 		t.Fatal("the load did not start within 30 s")
 	}
 	t.Cleanup(func() { cancel(); <-ended }) // before the sidecars that agents leave running are killed
-	process.Until(t, "load", func() bool { return live.Load() > 50 })
+	process.Eventually(t, "load", func() bool { return live.Load() > 50 })
 	return s
 }
 
--- a/internal/rig/process/process.go
+++ b/internal/rig/process/process.go
@@ -62,10 +62,10 @@
 // FolderVariable is the environment variable with a folder, preferably in memory, for data that processes of tests sync.
 const FolderVariable = "PETRELHOOK_TEST_FOLDER"
 
-// Dir is a folder for data that processes of a test sync; it is removed with the test. It is in the folder of FolderVariable: on a disk
+// DataDir is a folder for data that processes of a test sync; it is removed with the test. It is in the folder of FolderVariable: on a disk
 // a sync waits for all that builds of other tests write, for seconds, and at all replicas of a group at once, which does not happen on
 // separate machines. What a process has written survives its kill in memory as on a disk.
-func Dir(t testing.TB) string {
+func DataDir(t testing.TB) string {
 	t.Helper()
 	folder := os.Getenv(FolderVariable)
 	if folder == "" {
@@ -148,8 +148,8 @@
 	return l.text.String()
 }
 
-// Until polls until ok returns true. what names the state in the failure.
-func Until(t testing.TB, what string, ok func() bool) {
+// Eventually polls until ok returns true. what names the state in the failure.
+func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(awaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/rig/scale/scale_test.go
+++ b/internal/rig/scale/scale_test.go
@@ -49,7 +49,7 @@
 	}
 	t.Setenv("TMPDIR", t.TempDir())
 	return Options{ProgramDir: bin, Workloads: Workloads, Sizes: []int{200}, Runs: 1, Window: 2 * time.Second, Seed: 7,
-		MemoryLimitBytes: 4 << 30, Timeout: 2 * time.Minute, Progress: func(what string) { t.Log(what) }, CoordinatorDataDir: process.Dir(t)}
+		MemoryLimitBytes: 4 << 30, Timeout: 2 * time.Minute, Progress: func(what string) { t.Log(what) }, CoordinatorDataDir: process.DataDir(t)}
 }
 
 // left are the processes that run a program of the folder, or a release of a run below the test's folder.
--- a/internal/sidecar/admin/admin_test.go
+++ b/internal/sidecar/admin/admin_test.go
@@ -83,7 +83,7 @@
 		for _, e := range c.before {
 			m.Apply(e)
 		}
-		resp, body := peertest.Ask(t, addr, c.call)
+		resp, body := peertest.SendRequest(t, addr, c.call)
 		if resp.StatusCode != c.status || !strings.Contains(body, c.says) || !resp.Close || strings.Count(body, "\n") != 1 {
 			t.Errorf("%.40q: %d %q, want %d %q; close %v", c.call, resp.StatusCode, body, c.status, c.says, resp.Close)
 		}
@@ -120,7 +120,7 @@
 				call, err := network.Dial(t.Context(), "tcp", addr)
 				require.NoError(t, err)
 				io.WriteString(call, line("GET", "/api/ready"))
-				resp, body := peertest.Answer(t, bufio.NewReader(call))
+				resp, body := peertest.ReadResponse(t, bufio.NewReader(call))
 				call.Close()
 				if resp.StatusCode != http.StatusOK || body != "ready\n" {
 					t.Errorf("after %d: %d %q", i, resp.StatusCode, body)
@@ -139,9 +139,9 @@
 
 // 200 callers who say nothing come at the same moment, and one who calls in their midst and speaks a little later.
 func TestACallInACrowdIsHeardOut(t *testing.T) {
-	addr, m := patientEndpoint(t, peertest.Patience)
+	addr, m := patientEndpoint(t, peertest.EventTimeout)
 	m.Apply(lifecycle.ServersKnown)
-	call, in := peertest.Open(t, addr)
+	call, in := peertest.Dial(t, addr)
 	for range 200 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
--- a/internal/sidecar/connlimit/close_test.go
+++ b/internal/sidecar/connlimit/close_test.go
@@ -45,7 +45,7 @@
 	})}
 	go server.Serve(d)
 	t.Cleanup(func() { server.Close() })
-	c, in = peertest.Open(t, inner.Addr().String())
+	c, in = peertest.Dial(t, inner.Addr().String())
 	c.(*net.TCPConn).SetReadBuffer(256 << 10)
 	io.WriteString(c, get(strconv.Itoa(much)))
 	return d, c, in, written
@@ -130,7 +130,7 @@
 	})}
 	go server.Serve(d)
 	t.Cleanup(func() { server.Close() })
-	c, in := peertest.Open(t, inner.Addr().String())
+	c, in := peertest.Dial(t, inner.Addr().String())
 	io.WriteString(c, get("1"))
 	peertest.Wait(t, taken)
 	io.WriteString(c, get("2"))
--- a/internal/sidecar/connlimit/limiter_test.go
+++ b/internal/sidecar/connlimit/limiter_test.go
@@ -47,7 +47,7 @@
 func TestTooManyClients(t *testing.T) {
 	addr, ln, release := boundedRig(t, 1)
 	defer close(release)
-	first, _ := peertest.Open(t, addr)
+	first, _ := peertest.Dial(t, addr)
 	io.WriteString(first, "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
 	peertest.Eventually(t, "it is served", func() bool { return ln.Stats().Busy == 1 })
 	for range 3 * MaxRejecting { // whatever those do that were turned away, the next is dealt with
@@ -56,14 +56,14 @@
 		}
 	}
 	peertest.Eventually(t, "some are dealt with", func() bool { return len(ln.rejecting) < MaxRejecting })
-	second, in := peertest.Open(t, addr)
+	second, in := peertest.Dial(t, addr)
 	io.WriteString(second, get("2"))
 	if resp, err := http.ReadResponse(in, nil); err == nil && (resp.StatusCode != 503 || !resp.Close) {
 		t.Errorf("%+v", resp)
 	}
 	first.Close()
 	peertest.Eventually(t, "the place is free", func() bool { f := ln.Stats(); return f.Busy+f.Closing+f.Idle[0]+f.Idle[1] == 0 })
-	if resp, _ := peertest.Ask(t, addr, get("3")); resp.StatusCode != 200 {
+	if resp, _ := peertest.SendRequest(t, addr, get("3")); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -71,19 +71,19 @@
 // Clients that asked once and stay, or never ask, make room for one that asks; those with a request do not.
 func TestIdleClientsMakeRoom(t *testing.T) {
 	addr, ln, release := boundedRig(t, 3)
-	busy, busyIn := peertest.Open(t, addr)
+	busy, busyIn := peertest.Dial(t, addr)
 	io.WriteString(busy, "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
 	peertest.Eventually(t, "it is served", func() bool { return ln.Stats().Busy == 1 })
-	stays, staysIn := peertest.Open(t, addr)
+	stays, staysIn := peertest.Dial(t, addr)
 	io.WriteString(stays, get("1"))
-	peertest.Answer(t, staysIn)
+	peertest.ReadResponse(t, staysIn)
 	peertest.Eventually(t, "it is idle", func() bool { return ln.idling() == 1 })
-	peertest.Open(t, addr)
+	peertest.Dial(t, addr)
 	peertest.Eventually(t, "both are idle", func() bool { return ln.idling() == 2 })
 	for range 2 {
-		c, in := peertest.Open(t, addr)
+		c, in := peertest.Dial(t, addr)
 		io.WriteString(c, get("2"))
-		if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 {
+		if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 		peertest.Eventually(t, "it is idle too", func() bool { return ln.idling() == 2 }) // its answer is read before that is told
@@ -92,7 +92,7 @@
 		t.Errorf("%+v", f)
 	}
 	close(release)
-	if resp, _ := peertest.Answer(t, busyIn); resp.StatusCode != 200 {
+	if resp, _ := peertest.ReadResponse(t, busyIn); resp.StatusCode != 200 {
 		t.Errorf("the one with a request: %d", resp.StatusCode)
 	}
 }
--- a/internal/sidecar/front/platform/gone_test.go
+++ b/internal/sidecar/front/platform/gone_test.go
@@ -42,7 +42,7 @@
 					}
 					return front.Answer{}, ctx.Err()
 				})
-				c, _ := peertest.Open(t, r.addr)
+				c, _ := peertest.Dial(t, r.addr)
 				io.WriteString(c, lookRequest("first"))
 				req := peertest.Wait(t, accepted)
 				if req.ClientGone() {
@@ -68,7 +68,7 @@
 		}
 		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte(req.TraceID + string(req.Message.Body))}}, nil
 	})
-	c, in := peertest.Open(t, r.addr)
+	c, in := peertest.Dial(t, r.addr)
 	io.WriteString(c, lookRequest("1"))
 	peertest.Wait(t, accepted)
 	io.WriteString(c, lookRequest("2")+strings.Replace(lookRequest("3"), "GET", "G", 1)[:1]) // a request, and a byte of the next
@@ -77,7 +77,7 @@
 	peertest.Eventually(t, "they are read ahead", func() bool { return r.memory.Reserved() > 40_000 })
 	close(release)
 	for _, want := range []string{"1", "2", "3", "4" + body, "5"} {
-		if resp, got := peertest.Answer(t, in); resp.StatusCode != 200 || got != want {
+		if resp, got := peertest.ReadResponse(t, in); resp.StatusCode != 200 || got != want {
 			t.Fatalf("%d, %.20q, want %.20q", resp.StatusCode, got, want)
 		}
 	}
@@ -91,7 +91,7 @@
 			r := newRig(t, func(context.Context, front.Request) (front.Answer, error) {
 				return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi"), Remainder: &restOf{rest}, Size: -1}}, nil
 			})
-			c, in := peertest.Open(t, r.addr)
+			c, in := peertest.Dial(t, r.addr)
 			io.WriteString(c, strings.Replace(lookRequest("t"), "HTTP/1.1", "HTTP/"+version+"\r\nConnection: close", 1))
 			got, err := io.ReadAll(in)
 			complete := err == nil && (version == "1.0" || strings.HasSuffix(string(got), "0\r\n\r\n"))
--- a/internal/sidecar/front/platform/long_test.go
+++ b/internal/sidecar/front/platform/long_test.go
@@ -87,7 +87,7 @@
 				if size/piece > 10_000 {
 					continue
 				}
-				c, in := peertest.Open(t, r.addr)
+				c, in := peertest.Dial(t, r.addr)
 				body := strings.Repeat("0123456789abcdef", size/16+1)[:size]
 				for i := range 2 {
 					go func() {
@@ -109,7 +109,7 @@
 							io.WriteString(c, "0\r\nX-Trailer: a\r\n\r\n")
 						}
 					}()
-					resp, got := peertest.Answer(t, in)
+					resp, got := peertest.ReadResponse(t, in)
 					if resp.StatusCode != 200 || got != body || resp.Close {
 						t.Fatalf("%d bytes, chunked %v, pieces of %d: status %d, %d bytes, close %v", size, chunked, piece, resp.StatusCode, len(got), resp.Close)
 					}
@@ -124,13 +124,13 @@
 func TestExpectations(t *testing.T) {
 	r := newRig(t, echo)
 	for _, size := range []int{2, 100_000} {
-		c, in := peertest.Open(t, r.addr)
+		c, in := peertest.Dial(t, r.addr)
 		io.WriteString(c, onceRequestHead(fmt.Sprint(size), fmt.Sprintf("Expect: 100-continue\r\nContent-Length: %d", size)))
 		if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 100 {
 			t.Fatalf("%+v, %v", resp, err)
 		}
 		io.WriteString(c, strings.Repeat("x", size))
-		if resp, got := peertest.Answer(t, in); resp.StatusCode != 200 || len(got) != size {
+		if resp, got := peertest.ReadResponse(t, in); resp.StatusCode != 200 || len(got) != size {
 			t.Errorf("%d, %d bytes", resp.StatusCode, len(got))
 		}
 	}
@@ -143,9 +143,9 @@
 		return front.Answer{Verdict: front.Served, Reply: message.Reply{Remainder: io.NopCloser(reader{rest}), Size: rest.Size}}, nil
 	})
 	const size = 3_000_000
-	c, in := peertest.Open(t, r.addr)
+	c, in := peertest.Dial(t, r.addr)
 	go io.WriteString(c, onceRequestHead("t", fmt.Sprint("Content-Length: ", size))+strings.Repeat("x", size))
-	if resp, body := peertest.Answer(t, in); resp.StatusCode != 200 || len(body) != size || !resp.Close {
+	if resp, body := peertest.ReadResponse(t, in); resp.StatusCode != 200 || len(body) != size || !resp.Close {
 		t.Errorf("%d, %d bytes, close %v", resp.StatusCode, len(body), resp.Close)
 	}
 }
@@ -157,15 +157,15 @@
 		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("a"), Remainder: io.NopCloser(strings.NewReader("bc")), Size: -1}}, nil
 	})
 	old := strings.Replace(lookRequest("old"), "HTTP/1.1", "HTTP/1.0", 1)
-	resp, body := peertest.Ask(t, r.addr, old)
+	resp, body := peertest.SendRequest(t, r.addr, old)
 	if resp.StatusCode != 200 || body != "abc" || len(resp.TransferEncoding) > 0 || !resp.Close {
 		t.Errorf("%+v %q", resp, body)
 	}
 	r = newRig(t, served)
-	c, in := peertest.Open(t, r.addr)
+	c, in := peertest.Dial(t, r.addr)
 	for range 2 {
 		io.WriteString(c, strings.Replace(old, "Host:", "Connection: keep-alive\r\nHost:", 1))
-		if resp, body := peertest.Answer(t, in); resp.StatusCode != 200 || body != "hi" {
+		if resp, body := peertest.ReadResponse(t, in); resp.StatusCode != 200 || body != "hi" {
 			t.Errorf("%d %q", resp.StatusCode, body)
 		}
 	}
@@ -184,7 +184,7 @@
 	})
 	const size = 60_000
 	ask := func(trace string) (net.Conn, *bufio.Reader) {
-		c, in := peertest.Open(t, r.addr)
+		c, in := peertest.Dial(t, r.addr)
 		io.WriteString(c, onceRequestHead(trace, fmt.Sprint("Content-Length: ", size))+strings.Repeat("x", size))
 		return c, in
 	}
@@ -201,13 +201,13 @@
 	if status, _ := r.ask(onceRequestHead("small", "Content-Length: 2") + "hi"); status != 200 {
 		t.Errorf("a small one: %d", status)
 	}
-	if resp, _ := peertest.Answer(t, refused); resp.StatusCode != 503 || !resp.Close {
+	if resp, _ := peertest.ReadResponse(t, refused); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("without memory: %d, close %v", resp.StatusCode, resp.Close)
 	}
 	_, waits := ask("waits")
 	close(release)
 	for _, in := range append(inProgress, waits) {
-		if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 {
+		if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 {
 			t.Errorf("%d", resp.StatusCode)
 		}
 	}
@@ -221,7 +221,7 @@
 			rest := io.MultiReader(strings.NewReader("bc"), failing{})
 			return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("a"), Remainder: io.NopCloser(rest), Size: size}}, nil
 		})
-		c, in := peertest.Open(t, r.addr)
+		c, in := peertest.Dial(t, r.addr)
 		io.WriteString(c, lookRequest("t"))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -245,9 +245,9 @@
 		}
 		return front.Answer{Verdict: front.Refused}, nil
 	})
-	c, in := peertest.Open(t, r.addr)
+	c, in := peertest.Dial(t, r.addr)
 	io.WriteString(c, onceRequestHead("t", "Content-Length: 1000000")+"half")
-	if resp, _ := peertest.Answer(t, in); resp.StatusCode != 503 || !resp.Close {
+	if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("%d, close %v", resp.StatusCode, resp.Close)
 	}
 }
@@ -272,7 +272,7 @@
 			ended <- ctx.Err()
 			return front.Answer{}, ctx.Err()
 		})
-		conn, in := peertest.Open(t, r.addr)
+		conn, in := peertest.Dial(t, r.addr)
 		if c.status == 0 && name == "chunks" { // the rest is read only beyond what is short
 			c.text += strings.Repeat("x", 2*message.MaxBuffered)
 		}
@@ -292,14 +292,14 @@
 // is rejected, for its head was not seen.
 func TestPipelining(t *testing.T) {
 	r := newRig(t, echo)
-	c, in := peertest.Open(t, r.addr)
+	c, in := peertest.Dial(t, r.addr)
 	io.WriteString(c, onceRequestHead("a", "Content-Length: 1")+"A"+onceRequestHead("b", "Content-Length: 2")+"BB"+onceRequestHead("c", "Transfer-Encoding: chunked")+"1\r\nC\r\n0\r\n\r\n")
 	for _, want := range []string{"A", "BB"} {
-		if resp, got := peertest.Answer(t, in); resp.StatusCode != 200 || got != want {
+		if resp, got := peertest.ReadResponse(t, in); resp.StatusCode != 200 || got != want {
 			t.Errorf("%d %q, want %q", resp.StatusCode, got, want)
 		}
 	}
-	if resp, _ := peertest.Answer(t, in); resp.StatusCode != 400 || !resp.Close {
+	if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("%d, close %v", resp.StatusCode, resp.Close)
 	}
 }
@@ -411,7 +411,7 @@
 			time.Sleep(time.Second)
 			c.Write(make([]byte, 64_000))
 		}
-		if resp, body := peertest.Answer(t, in); resp.StatusCode != 200 || body != "hi" {
+		if resp, body := peertest.ReadResponse(t, in); resp.StatusCode != 200 || body != "hi" {
 			t.Errorf("a slow body: %d %q", resp.StatusCode, body)
 		}
 		c.Close()
--- a/internal/sidecar/front/platform/platform_test.go
+++ b/internal/sidecar/front/platform/platform_test.go
@@ -79,7 +79,7 @@
 
 func (r *rig) ask(request string) (status int, closes bool) {
 	r.t.Helper()
-	resp, _ := peertest.Ask(r.t, r.addr, request)
+	resp, _ := peertest.SendRequest(r.t, r.addr, request)
 	return resp.StatusCode, resp.Close
 }
 
@@ -125,9 +125,9 @@
 		"no HTTP":            {"nonsense\r\n\r\n", 400},
 	} {
 		// Each ends its connection: nothing behind it is read as a request.
-		conn, in := peertest.Open(t, r.addr)
+		conn, in := peertest.Dial(t, r.addr)
 		io.WriteString(conn, c.request+lookRequest("hidden"))
-		if resp, _ := peertest.Answer(t, in); resp.StatusCode != c.status || !resp.Close {
+		if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != c.status || !resp.Close {
 			t.Errorf("%s: %d, want %d; close %v", name, resp.StatusCode, c.status, resp.Close)
 		}
 		if more, _ := io.ReadAll(in); len(more) > 0 {
@@ -172,10 +172,10 @@
 		}
 		return served(ctx, req)
 	})
-	idle, idleIn := peertest.Open(t, r.addr)
+	idle, idleIn := peertest.Dial(t, r.addr)
 	io.WriteString(idle, lookRequest("before"))
-	peertest.Answer(t, idleIn)
-	slow, slowIn := peertest.Open(t, r.addr)
+	peertest.ReadResponse(t, idleIn)
+	slow, slowIn := peertest.Dial(t, r.addr)
 	io.WriteString(slow, lookRequest("slow"))
 	peertest.Wait(t, got)
 	r.stop()
@@ -199,7 +199,7 @@
 	default:
 	}
 	close(release)
-	if resp, body := peertest.Answer(t, slowIn); resp.StatusCode != 200 || body != "hi" || !resp.Close {
+	if resp, body := peertest.ReadResponse(t, slowIn); resp.StatusCode != 200 || body != "hi" || !resp.Close {
 		t.Errorf("what was accepted before: %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
 	if err := peertest.Wait(t, r.ended); err != nil {
@@ -228,7 +228,7 @@
 		t.Errorf("%+v", got)
 	}
 	give = context.Canceled // as where the client has gone: no answer is made up
-	c, in := peertest.Open(t, r.addr)
+	c, in := peertest.Dial(t, r.addr)
 	io.WriteString(c, request)
 	if more, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("%q, %v", more, err)
--- a/internal/sidecar/upstream/http1/pool_test.go
+++ b/internal/sidecar/upstream/http1/pool_test.go
@@ -43,11 +43,11 @@
 		want   upstream.Result
 		reused bool
 	}{
-		"served":              {peertest.OKAnswer, upstream.Served, true},
+		"served":              {peertest.OKResponse, upstream.Served, true},
 		"served in chunks":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", upstream.Served, true},
-		"after a 100":         {"HTTP/1.1 100 Continue\r\n\r\n" + peertest.OKAnswer, upstream.Served, true},
+		"after a 100":         {"HTTP/1.1 100 Continue\r\n\r\n" + peertest.OKResponse, upstream.Served, true},
 		"served, then closed": {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", upstream.Served, false},
-		"bytes left over":     {peertest.OKAnswer + "HTTP", upstream.Served, false},
+		"bytes left over":     {peertest.OKResponse + "HTTP", upstream.Served, false},
 		"error":               {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
 		"rejected":            {"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Rejected, true},
 		"rejected as late":    {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Rejected, true},
@@ -107,7 +107,7 @@
 		"the client's time is":   func(_ *endpoint, c *upstream.Call) { c.Expires = time.Now() },
 		"it was abandoned":       func(_ *endpoint, c *upstream.Call) { c.Claim() },
 	} {
-		p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
+		p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 		pool := testPool(9)
 		e, c := pool.endpointAt(p.Addr), look()
 		pool.epoch = pool.epoch.Add(-time.Minute)
@@ -140,7 +140,7 @@
 
 // An idle connection is closed before the server closes it: a request written to a closed connection is lost.
 func TestIdleConnectionsAreClosedByUs(t *testing.T) {
-	p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
+	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	pool := testPool(9)
 	pool.IdleTimeout = 10 * time.Millisecond
 	pool.endpointAt(p.Addr).Send(context.Background(), look())
@@ -154,12 +154,12 @@
 	for name, spoil := range map[string]func(net.Conn){
 		"closed":                 func(c net.Conn) { c.Close() },
 		"reset":                  func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"a second copy":          func(c net.Conn) { io.WriteString(c, strings.Replace(peertest.OKAnswer, "hi", "no", 1)) },
-		"a copy and then an end": func(c net.Conn) { io.WriteString(c, peertest.OKAnswer); c.Close() },
+		"a second copy":          func(c net.Conn) { io.WriteString(c, strings.Replace(peertest.OKResponse, "hi", "no", 1)) },
+		"a copy and then an end": func(c net.Conn) { io.WriteString(c, peertest.OKResponse); c.Close() },
 	} {
 		conns := make(chan net.Conn, 2)
 		p := peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
-			io.WriteString(c, peertest.OKAnswer)
+			io.WriteString(c, peertest.OKResponse)
 			conns <- c
 			return true
 		})
@@ -215,7 +215,7 @@
 }
 
 func TestTheNewestConnectionIsUsedFirst(t *testing.T) {
-	p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
+	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	pool := testPool(9)
 	e := pool.endpointAt(p.Addr)
 	var conns []*conn
@@ -238,7 +238,7 @@
 func TestTheBoundOnConnections(t *testing.T) {
 	got := make(chan struct{}, 1)
 	busy := peertest.NewPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
-	p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
+	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	pool := testPool(1)
 	first, second := pool.endpointAt(p.Addr), pool.endpointAt(busy.Addr)
 	first.Send(context.Background(), look())
@@ -272,7 +272,7 @@
 // A server that moves is reached at its new address, and its old connections are closed. A draining one gets nothing new, so its idle
 // connections are closed too.
 func TestAServerThatMoves(t *testing.T) {
-	first, second := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer)), peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
+	first, second := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse)), peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	pool := testPool(9)
 	e := pool.endpointAt("")
 	e.Update(first.Addr, true)
--- a/internal/sidecar/upstream/http1/request_writer_test.go
+++ b/internal/sidecar/upstream/http1/request_writer_test.go
@@ -59,7 +59,7 @@
 				t.Errorf("%s: length %d", name, req.ContentLength)
 			}
 			got <- body
-			io.WriteString(c, peertest.OKAnswer)
+			io.WriteString(c, peertest.OKResponse)
 			return true
 		})
 		e := testPool(9).endpointAt(p.Addr)
--- a/internal/sidecar/upstream/http1/response_test.go
+++ b/internal/sidecar/upstream/http1/response_test.go
@@ -46,7 +46,7 @@
 			{9 << 20, 0, false},
 		} {
 			t.Run(fmt.Sprint(c.size, " in ", c.budget, " chunked ", chunked), func(t *testing.T) {
-				p := peertest.NewPeer(t, peertest.Says(largeResponse(c.size, chunked)))
+				p := peertest.NewPeer(t, peertest.RespondWith(largeResponse(c.size, chunked)))
 				pool := testPool(9)
 				pool.ResponseBudget = membudget.New(c.budget)
 				e := pool.endpointAt(p.Addr)
--- a/internal/sidecar/upstream/http1/stale_test.go
+++ b/internal/sidecar/upstream/http1/stale_test.go
@@ -21,7 +21,7 @@
 		if breaks.Load() {
 			return false
 		}
-		io.WriteString(c, peertest.OKAnswer)
+		io.WriteString(c, peertest.OKResponse)
 		return true
 	})
 	pool := testPool(9)
--- a/internal/sidecar/wiring/cost_test.go
+++ b/internal/sidecar/wiring/cost_test.go
@@ -22,7 +22,7 @@
 				return
 			}
 			io.Copy(io.Discard, req.Body)
-			io.WriteString(c, peertest.OKAnswer)
+			io.WriteString(c, peertest.OKResponse)
 		}
 	})
 	t := &testing.T{}
--- a/internal/sidecar/wiring/gone_test.go
+++ b/internal/sidecar/wiring/gone_test.go
@@ -16,7 +16,7 @@
 func TestAConnectionThatComesUpForNobody(t *testing.T) {
 	patient := func(trace string) string { return strings.Replace(onceRequest(trace), "9000m", "60000m", 1) }
 	for _, cancel := range []string{"true", "false"} {
-		p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
+		p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 		dialled, late := make(chan struct{}, 1), make(chan struct{})
 		dial := func(_ context.Context, network, addr string) (net.Conn, error) {
 			if addr == p.Addr {
--- a/internal/sidecar/wiring/long_test.go
+++ b/internal/sidecar/wiring/long_test.go
@@ -114,7 +114,7 @@
 	c, in := r.open()
 	io.WriteString(c, strings.Replace(onceRequest("t"), "Content-Length: 0", "Content-Length: 1000000", 1))
 	io.WriteString(c, strings.Repeat("x", 400_000))
-	if resp, _ := peertest.Answer(t, in); resp.StatusCode != 503 || !resp.Close {
+	if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
 	}
 }
@@ -140,7 +140,7 @@
 			heads <- struct{}{}
 			sum, _ := digest(req.Body)
 			sums <- sum
-			io.WriteString(c, peertest.OKAnswer)
+			io.WriteString(c, peertest.OKResponse)
 		}
 	})
 	r := newRigWithServers(t, full, well)
@@ -149,7 +149,7 @@
 		io.WriteString(c, strings.Replace(onceRequest(fmt.Sprint("t", i)), "Content-Length: 0", fmt.Sprint("Content-Length: ", size), 1))
 		peertest.Wait(t, heads) // whoever turned it away has done so
 		io.Copy(c, blob(size))
-		if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 || peertest.Wait(t, sums) != want {
+		if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 || peertest.Wait(t, sums) != want {
 			t.Fatalf("request %d: status %d", i, resp.StatusCode)
 		}
 	}
--- a/internal/sidecar/wiring/loop_test.go
+++ b/internal/sidecar/wiring/loop_test.go
@@ -37,8 +37,8 @@
 
 // A request that was not executed goes to another server, also where it must not be executed twice.
 func TestWhatNeverRanIsRepeated(t *testing.T) {
-	full := peertest.NewPeer(t, peertest.Says("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"))
-	good := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
+	full := peertest.NewPeer(t, peertest.RespondWith("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"))
+	good := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	r := newRigWithServers(t, peertest.DeadAddr(t), full.Addr, good.Addr)
 	for i := range 9 { // whatever the rotation begins with, a dead or a full server is followed by another try
 		resp, body := r.ask(onceRequest(fmt.Sprint("t", i)))
@@ -54,7 +54,7 @@
 
 // A server that never answers does not delay the client beyond its deadline, and the attempt is ended.
 func TestASilentServer(t *testing.T) {
-	p := peertest.NewPeer(t, peertest.Silent)
+	p := peertest.NewPeer(t, peertest.NeverRespond)
 	r := newRigWithServers(t, p.Addr)
 	resp, _ := r.ask(strings.Replace(onceRequest("t"), "9000m", "50m", 1))
 	if resp.StatusCode != 502 {
@@ -68,7 +68,7 @@
 
 // An attempt whose connection was not established has not been executed, also when its time-out comes first: the client may retry.
 func TestNoConnectionInTimeNeverRan(t *testing.T) {
-	r := newRigWithServers(t, peertest.CutOff(t))
+	r := newRigWithServers(t, peertest.FullBacklogAddr(t))
 	if resp, _ := r.ask(strings.Replace(onceRequest("t"), "9000m", "50m", 1)); resp.StatusCode != 503 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
@@ -76,7 +76,7 @@
 
 // Servers come from discovery. A call that fails is reported to the module once, and the module calls again.
 func TestDiscovery(t *testing.T) {
-	p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
+	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	calls := make(chan string, 9)
 	more := make(chan string)
 	disc := peertest.NewPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
@@ -94,7 +94,7 @@
 			for line := range more {
 				io.WriteString(c, line+"\n")
 			}
-		case <-time.After(peertest.Patience):
+		case <-time.After(peertest.EventTimeout):
 		}
 		return false
 	})
--- a/internal/sidecar/wiring/reload_test.go
+++ b/internal/sidecar/wiring/reload_test.go
@@ -40,7 +40,7 @@
 			got <- struct{}{}
 			<-release
 		}
-		io.WriteString(c, peertest.OKAnswer)
+		io.WriteString(c, peertest.OKResponse)
 		return true
 	})
 	asked := make(chan string, 9)
@@ -93,7 +93,7 @@
 		return slices.Equal(s.Servers, []string{"s-1"}) && s.Generation == 3
 	})
 	close(release)
-	if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 {
+	if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 {
 		t.Errorf("the open request: %d", resp.StatusCode)
 	}
 	hup <- syscall.SIGHUP // the same file again: the watch stays
--- a/internal/sidecar/wiring/rig_test.go
+++ b/internal/sidecar/wiring/rig_test.go
@@ -69,13 +69,13 @@
 // open connects to the sidecar as a client.
 func (r *rig) open() (net.Conn, *bufio.Reader) {
 	r.t.Helper()
-	return peertest.Open(r.t, r.addr)
+	return peertest.Dial(r.t, r.addr)
 }
 
 // ask sends a request on a connection of its own and reads the response.
 func (r *rig) ask(request string) (*http.Response, string) {
 	r.t.Helper()
-	return peertest.Ask(r.t, r.addr, request)
+	return peertest.SendRequest(r.t, r.addr, request)
 }
 
 func lookRequest(trace string) string {
--- a/internal/sidecar/wiring/serve.go
+++ b/internal/sidecar/wiring/serve.go
@@ -74,7 +74,7 @@
 		return start, nil
 	}
 	start.operators, err = net.Listen("tcp", cfg.Admin)
-	addressInUse := sock.Taken(err)
+	addressInUse := sock.IsAddressInUse(err)
 	if err != nil && !addressInUse {
 		return start, fmt.Errorf("listen at admin_addr: %w", err)
 	}
--- a/internal/sidecar/wiring/service_test.go
+++ b/internal/sidecar/wiring/service_test.go
@@ -41,7 +41,7 @@
 // callOperators makes a call of operators and returns the status.
 func callOperators(t *testing.T, addr, what string) int {
 	t.Helper()
-	resp, _ := peertest.Ask(t, addr, what+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+	resp, _ := peertest.SendRequest(t, addr, what+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	return resp.StatusCode
 }
 
@@ -54,14 +54,14 @@
 			got <- struct{}{}
 			<-release
 		}
-		io.WriteString(c, peertest.OKAnswer)
+		io.WriteString(c, peertest.OKResponse)
 		return true
 	})
 	r, calls := newRigWithOperators(t, p.Addr)
 	for round := range 3 {
 		idle, idleIn := r.open()
 		io.WriteString(idle, lookRequest(fmt.Sprint("idle", round)))
-		if resp, _ := peertest.Answer(t, idleIn); resp.StatusCode != 200 || resp.Close {
+		if resp, _ := peertest.ReadResponse(t, idleIn); resp.StatusCode != 200 || resp.Close {
 			t.Fatalf("before: %d, close %v", resp.StatusCode, resp.Close)
 		}
 		slow, slowIn := r.open()
@@ -81,7 +81,7 @@
 			t.Errorf("an idle connection: %v", err)
 		}
 		release <- struct{}{}
-		if resp, body := peertest.Answer(t, slowIn); resp.StatusCode != 200 || body != "hi" || !resp.Close {
+		if resp, body := peertest.ReadResponse(t, slowIn); resp.StatusCode != 200 || body != "hi" || !resp.Close {
 			t.Errorf("what was accepted before: %d %q, close %v", resp.StatusCode, body, resp.Close)
 		}
 		peertest.Eventually(t, "away", func() bool { return r.sidecar.lifecycle.Status().State().String() == "away" })
@@ -102,7 +102,7 @@
 	p := peertest.NewPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
 		got <- struct{}{}
 		<-release
-		io.WriteString(c, peertest.OKAnswer)
+		io.WriteString(c, peertest.OKResponse)
 		return true
 	})
 	r, calls = newRigWithOperators(t, p.Addr)
@@ -121,23 +121,23 @@
 		}
 	}
 	close(release)
-	if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 || resp.Close {
+	if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("%d, close %v", resp.StatusCode, resp.Close)
 	}
 }
 
 // A request whose first bytes had come when an evacuation began is served, however long the rest takes: its connection is not idle.
 func TestARequestHalfWrittenIsNotSentAway(t *testing.T) {
-	p := peertest.NewPeer(t, peertest.Says(peertest.OKAnswer))
+	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	r, calls := newRigWithOperators(t, p.Addr)
 	c, in := r.open()
 	io.WriteString(c, lookRequest("whole"))
-	peertest.Answer(t, in)
+	peertest.ReadResponse(t, in)
 	text := lookRequest("half")
 	io.WriteString(c, text[:40])
 	idle, idleIn := r.open()
 	io.WriteString(idle, lookRequest("other"))
-	peertest.Answer(t, idleIn)
+	peertest.ReadResponse(t, idleIn)
 	if status := callOperators(t, calls, "PUT /api/evacuate"); status != 200 {
 		t.Fatal(status)
 	}
@@ -145,7 +145,7 @@
 		t.Errorf("an idle connection: %v", err)
 	}
 	time.AfterFunc(2*longerThanMinIdle, func() { io.WriteString(c, text[40:]) })
-	if resp, body := peertest.Answer(t, in); resp.StatusCode != 200 || body != "hi" || !resp.Close {
+	if resp, body := peertest.ReadResponse(t, in); resp.StatusCode != 200 || body != "hi" || !resp.Close {
 		t.Errorf("%d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
 }
@@ -164,7 +164,7 @@
 		}
 	}
 	close(release)
-	if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 || !resp.Close {
+	if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%d, close %v", resp.StatusCode, resp.Close)
 	}
 }
@@ -172,7 +172,7 @@
 // Operators are answered in time while clients have all their connections open, silent callers all of the operators', and the core's loop is
 // blocked: the answer depends on none of these.
 func TestOperatorsAreHeardUnderAnyLoad(t *testing.T) {
-	p := peertest.NewPeer(t, peertest.Silent)
+	p := peertest.NewPeer(t, peertest.NeverRespond)
 	r, calls := newRigWithOperators(t, p.Addr)
 	var all []net.Conn
 	defer func() {
@@ -215,7 +215,7 @@
 	more := make(chan struct{})
 	p := peertest.NewPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
 		if req.Header.Get("X-Trace-Id") != "stream" {
-			io.WriteString(c, peertest.OKAnswer)
+			io.WriteString(c, peertest.OKResponse)
 			return true
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2000000\r\n\r\n"+strings.Repeat("a", 1_000_000))
@@ -235,7 +235,7 @@
 	}
 	idle, idleIn := r.open()
 	io.WriteString(idle, lookRequest("other")+lookRequest("with it"))
-	if resp, _ := peertest.Answer(t, idleIn); resp.StatusCode != 200 || !resp.Close {
+	if resp, _ := peertest.ReadResponse(t, idleIn); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%d, close %v", resp.StatusCode, resp.Close)
 	}
 	if rest, _ := io.ReadAll(idleIn); len(rest) > 0 { // the client sends it again
--- a/internal/sidecar/wiring/sidecar_test.go
+++ b/internal/sidecar/wiring/sidecar_test.go
@@ -45,7 +45,7 @@
 	p := peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		got <- struct{}{}
 		<-release
-		io.WriteString(c, peertest.OKAnswer)
+		io.WriteString(c, peertest.OKResponse)
 		return true
 	})
 	r := newRigWithServers(t, p.Addr)
@@ -56,7 +56,7 @@
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	close(release)
-	if resp, _ := peertest.Answer(t, in); resp.StatusCode != 200 || p.Requests.Load() != 1 {
+	if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 || p.Requests.Load() != 1 {
 		t.Errorf("status %d, %d requests", resp.StatusCode, p.Requests.Load())
 	}
 	if resp, _ := r.ask(lookRequest("same")); resp.StatusCode != http.StatusConflict || p.Requests.Load() != 1 {
