--- a/internal/coordination/agent/mutation_test.go
+++ b/internal/coordination/agent/mutation_test.go
@@ -26,6 +26,8 @@
 		"in force once it was read":           {versions, "digest == s.expectedDigest", "true", pkg, "TestAVersionBehindAReload"},
 		"the result of another check":         {versions, "|| check != s.nextCheck()", "", pkg, "TestBothReleasesAreChecked"},
 		"the start that was not made":         {sidecar, "\t\tactions = append(actions, s.requestStart(s.Target)...)\n", "", pkg, "TestAStartThatWasNeverMade"},
+		"the time of a process that ends":     {sidecar, "s.deadline = now + s.limits.TerminationTimeout // nobody", "s.deadline = now // nobody", pkg, "TestAnAgentKilledWhileTheOldProcessEnds"},
+		"SIGTERM by the next agent":           {sidecar, "if s.Phase == Ending && s.Serving != nil {", "if false {", pkg, "TestAnAgentKilledWhileTheOldProcessEnds"},
 		"a terminating process, for a start":  {sidecar, "\tcase s.Terminating != nil:\n\t\treturn nil\n", "", pkg, "TestNothingStartsBesideATerminatingProcess"},
 		"a terminating process, for an order": {change, "\tcase s.Terminating != nil:\n\t\treturn nil, fmt", "\tcase false:\n\t\treturn nil, fmt", pkg, "TestNothingStartsBesideATerminatingProcess"},
 		"older than the stored ones":          {store, "v.Revision <= m.versions.newest", "false", machine, "TestVersionsOnAMachine"},
--- a/internal/coordination/agent/sidecar.go
+++ b/internal/coordination/agent/sidecar.go
@@ -46,7 +46,7 @@
 	case Trial:
 		s.deadline = now + s.trialPeriod() // the trial starts over: nobody watched meanwhile
 	case Ending:
-		s.deadline = now
+		s.deadline = now + s.limits.TerminationTimeout // nobody knows when SIGTERM was sent, or whether it was
 	}
 	for _, p := range []*Process{s.Serving, s.Next, s.Terminating} {
 		if p != nil && !isAlive(*p) {
@@ -56,6 +56,9 @@
 	if s.Terminating != nil {
 		actions = append(actions, Action{Kill: s.Terminating})
 	}
+	if s.Phase == Ending && s.Serving != nil {
+		actions = append(actions, Action{Term: s.Serving}) // again: it has no effect on a process that is ending already
+	}
 	if s.Phase == Starting && s.Next == nil { // the start was noted and never made
 		actions = append(actions, s.requestStart(s.Target)...)
 	}
--- a/internal/coordination/agent/sidecar_test.go
+++ b/internal/coordination/agent/sidecar_test.go
@@ -195,6 +195,46 @@
 	}
 }
 
+// An agent that is killed while the old process ends does not know when SIGTERM was sent, or whether it was. The one after it sends
+// SIGTERM again and leaves the process the same time as always to answer its last requests.
+func TestAnAgentKilledWhileTheOldProcessEnds(t *testing.T) {
+	m := newSimpleWorld(t)
+	m.ignoresTERM = true
+	m.changeRelease(1, "new")
+	for m.sidecar.Phase != Ending {
+		m.advance(500 * time.Millisecond)
+	}
+	old, restored := *m.sidecar.Serving, m.now
+	var actions []Action
+	m.sidecar, actions = Restore(cloneOf(t, m.sidecar.PersistedState), testLimits, m.now, func(p Process) bool { return slices.Contains(m.alive, p) }, nil)
+	if len(actions) != 1 || actions[0].Term == nil || *actions[0].Term != old {
+		t.Fatalf("%+v", actions)
+	}
+	m.carryOut(actions)
+	for len(m.alive) == 2 {
+		m.advance(500 * time.Millisecond)
+	}
+	if took := m.now - restored; took != testLimits.TerminationTimeout {
+		t.Errorf("killed %v after SIGTERM, want %v", took, testLimits.TerminationTimeout)
+	}
+	m.ignoresTERM = false
+	m.advance(500 * time.Millisecond)
+	m.requireState("changed", "new", 1, "")
+}
+
+// cloneOf returns a persisted state as the next agent reads it.
+func cloneOf(t *testing.T, state PersistedState) (clone PersistedState) {
+	t.Helper()
+	text, err := json.Marshal(state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(text, &clone); err != nil {
+		t.Fatal(err)
+	}
+	return clone
+}
+
 // On an isolated machine a confirmed release stays, and an unconfirmed one is replaced after the time-out.
 func TestIsolation(t *testing.T) {
 	m := newSimpleWorld(t)
