--- a/cmd/petrelhook/log_test.go
+++ b/cmd/petrelhook/log_test.go
@@ -1,10 +1,14 @@
 package main
 
 import (
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"maps"
 	"os"
 	"path/filepath"
-	"regexp"
+	"slices"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -27,8 +31,6 @@
 	sidecar, fleet := rows("sidecar.md"), rows("leases.md")
 	maps.Copy(fleet, rows("rollout.md"))
 	maps.Copy(fleet, rows("distribution.md"))
-	call := regexp.MustCompile(`\b[lL]og\.(Debug|Info|Warn|Error)\("([^"]*)"(.*)\)`)
-	field := regexp.MustCompile(`, "(\w+)"`)
 	seen := 0
 	err := filepath.WalkDir(filepath.Join("..", ".."), func(path string, d os.DirEntry, err error) error {
 		if err != nil {
@@ -40,23 +42,23 @@
 		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return nil
 		}
-		text, err := os.ReadFile(path)
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 		if err != nil {
 			return err
 		}
-		for _, m := range call.FindAllStringSubmatch(string(text), -1) {
+		for _, line := range logLines(file) {
 			seen++
 			rows := sidecar
 			if strings.Contains(path, "coordinator") || strings.Contains(path, "fleet") || strings.Contains(path, "agent") || strings.Contains(path, "machine") || strings.Contains(path, "subscribe") || strings.Contains(path, "driver") {
 				rows = fleet
 			}
-			row, ok := rows[m[2]]
-			if !ok || !strings.Contains(row, strings.ToUpper(m[1])) {
-				t.Errorf("%s: %s %q is not on the page", path, m[1], m[2])
+			row, ok := rows[line.message]
+			if !ok || !strings.Contains(row, strings.ToUpper(line.level)) {
+				t.Errorf("%s: %s %q is not on the page", path, line.level, line.message)
 			}
-			for _, f := range field.FindAllStringSubmatch(m[3], -1) {
-				if !strings.Contains(row, "`"+f[1]+"`") {
-					t.Errorf("%s: field %q of %q is not on the page", path, f[1], m[2])
+			for _, key := range line.keys {
+				if !strings.Contains(row, "`"+key+"`") {
+					t.Errorf("%s: field %q of %q is not on the page", path, key, line.message)
 				}
 			}
 		}
@@ -66,3 +68,56 @@
 		t.Errorf("%d log lines found, error %v", seen, err)
 	}
 }
+
+// logLine is a call that logs a constant message.
+type logLine struct {
+	level, message string
+	keys           []string
+}
+
+// logLines returns the calls of a logger named log or Log in a file, however many lines of the source each takes.
+func logLines(file *ast.File) (lines []logLine) {
+	ast.Inspect(file, func(node ast.Node) bool {
+		call, ok := node.(*ast.CallExpr)
+		if !ok || len(call.Args) == 0 {
+			return true
+		}
+		method, ok := call.Fun.(*ast.SelectorExpr)
+		if !ok || !slices.Contains([]string{"Debug", "Info", "Warn", "Error"}, method.Sel.Name) {
+			return true
+		}
+		message, ok := stringLiteral(call.Args[0])
+		if !ok || !isLogger(method.X) {
+			return true
+		}
+		line := logLine{level: method.Sel.Name, message: message}
+		for _, argument := range call.Args[1:] {
+			if key, ok := stringLiteral(argument); ok {
+				line.keys = append(line.keys, key)
+			}
+		}
+		lines = append(lines, line)
+		return true
+	})
+	return lines
+}
+
+// isLogger reports whether an expression is a variable or a field of the name log or Log.
+func isLogger(x ast.Expr) bool {
+	switch x := x.(type) {
+	case *ast.Ident:
+		return strings.EqualFold(x.Name, "log")
+	case *ast.SelectorExpr:
+		return strings.EqualFold(x.Sel.Name, "log")
+	}
+	return false
+}
+
+func stringLiteral(x ast.Expr) (text string, ok bool) {
+	literal, ok := x.(*ast.BasicLit)
+	if !ok || literal.Kind != token.STRING {
+		return "", false
+	}
+	text, err := strconv.Unquote(literal.Value)
+	return text, err == nil
+}
--- a/internal/sidecar/core/client_gone_test.go
+++ b/internal/sidecar/core/client_gone_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -65,7 +64,7 @@
 	withCore(t, []string{"a"}, func(r *testCore) {
 		gone := func() bool { return true }
 		_, err := r.Answer(r.t.Context(), front.Request{TraceID: "t", Class: safe, Tenant: -1, Arrived: time.Now(), Wait: time.Second, ClientGone: gone})
-		if !errors.Is(err, front.ErrClientGone) {
+		if err != front.ErrClientGone { //nolint:errorlint // the sentinel itself, not wrapped
 			t.Errorf("%v", err)
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/sidecar/core/core_test.go
+++ b/internal/sidecar/core/core_test.go
@@ -64,7 +64,7 @@
 				x.serve()
 			}
 			<-a.done
-			if a.err == nil && a.answer.Verdict != front.Served || a.err != nil && !errors.Is(a.err, context.Canceled) {
+			if a.err == nil && a.answer.Verdict != front.Served || a.err != nil && a.err != context.Canceled { //nolint:errorlint // the sentinel itself, not wrapped
 				t.Errorf("%s: %+v, %v", trace, a.answer, a.err)
 			}
 			time.Sleep(2 * time.Second)
--- a/internal/sidecar/core/fakes_test.go
+++ b/internal/sidecar/core/fakes_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"sync/atomic"
 	"testing"
@@ -165,7 +164,7 @@
 func (r *testCore) expect(a *pendingRequest, want front.Verdict, err error) {
 	r.t.Helper()
 	<-a.done
-	if !errors.Is(a.err, err) || err == nil && a.answer.Verdict != want {
+	if a.err != err || err == nil && a.answer.Verdict != want { //nolint:errorlint // the sentinel itself, not wrapped
 		r.t.Errorf("verdict %v, error %v; want %v, %v", a.answer.Verdict, a.err, want, err)
 	}
 }
--- a/internal/sidecar/front/platform/long_test.go
+++ b/internal/sidecar/front/platform/long_test.go
@@ -72,7 +72,7 @@
 		n += int64(len(piece))
 		w.Write(piece)
 	}
-	if isEnd(err) {
+	if err == io.EOF { //nolint:errorlint // the plain value, as io.Reader asks
 		err = nil
 	}
 	return n, err
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -119,7 +119,7 @@
 		t.Error("two sidecars have one rendezvous")
 	}
 	for range 2 {
-		if _, err := r.Request(patience); !errors.Is(err, ErrNoPredecessor) {
+		if _, err := r.Request(patience); err != ErrNoPredecessor { //nolint:errorlint // the sentinel itself, not wrapped
 			t.Errorf("%v", err)
 		}
 		ln, err := r.listen()
@@ -138,7 +138,7 @@
 		received.Link.Close()
 	}
 	s.Close()
-	if _, err := (Rendezvous{filepath.Join(dir, "none"), "x"}).Request(patience); !errors.Is(err, ErrNoPredecessor) {
+	if _, err := (Rendezvous{filepath.Join(dir, "none"), "x"}).Request(patience); err != ErrNoPredecessor { //nolint:errorlint // the sentinel itself, not wrapped
 		t.Errorf("%v", err)
 	}
 	if err := (&Server{}).Start(Rendezvous{filepath.Join(dir, "none"), "x"}); err == nil {
@@ -256,7 +256,7 @@
 	wait(t, s.successor)
 	s.Close()
 	wait(t, ended)
-	if _, err := r.Request(patience); !errors.Is(err, ErrNoPredecessor) {
+	if _, err := r.Request(patience); err != ErrNoPredecessor { //nolint:errorlint // the sentinel itself, not wrapped
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/sidecar/member/discovery/discovery.go
+++ b/internal/sidecar/member/discovery/discovery.go
@@ -144,7 +144,7 @@
 	stream := &watchStream{body: body, onEmptyLine: resetSilence}
 	for messages := json.NewDecoder(stream); ; {
 		var raw json.RawMessage
-		if err := messages.Decode(&raw); errors.Is(err, io.EOF) {
+		if err := messages.Decode(&raw); err == io.EOF { //nolint:errorlint // a wrapped one is a list that was cut short
 			return errWatchEnded
 		} else if err != nil {
 			return fmt.Errorf("watch: %w", errors.Join(err, context.Cause(ctx)))
--- a/internal/sidecar/message/upload.go
+++ b/internal/sidecar/message/upload.go
@@ -41,8 +41,8 @@
 	return u
 }
 
-// Pump passes on what r yields until r ends or the upload is closed. r must return io.EOF, or an error that wraps it, only if the body is
-// complete.
+// Pump passes on what r yields until r ends or the upload is closed. r must return io.EOF itself if the body is complete, and only then:
+// an error that wraps it is an end before the last byte.
 func (u *Upload) Pump(r io.Reader) {
 	var buffers [2][chunkSize]byte
 	for i := 0; ; i++ {
--- a/internal/sidecar/message/upload_test.go
+++ b/internal/sidecar/message/upload_test.go
@@ -50,12 +50,12 @@
 		}()
 		synctest.Wait()
 		close(stop)
-		if err := <-stopped; !errors.Is(err, ErrStopped) {
+		if err := <-stopped; err != ErrStopped { //nolint:errorlint // the sentinel itself, not wrapped
 			t.Errorf("%v", err)
 		}
 		go io.WriteString(out, "0123")
 		synctest.Wait()
-		if chunk, err := u.Next(stop); !errors.Is(err, ErrStopped) {
+		if chunk, err := u.Next(stop); err != ErrStopped { //nolint:errorlint // the sentinel itself, not wrapped
 			t.Errorf("%q, %v", chunk, err)
 		}
 		if chunk, err := u.Next(nil); string(chunk) != "0123" || err != nil {
@@ -81,7 +81,7 @@
 		go func() { _, err := u.Next(nil); waited <- err }()
 		synctest.Wait()
 		u.Close()
-		if err := <-waited; !errors.Is(err, ErrClosed) {
+		if err := <-waited; err != ErrClosed { //nolint:errorlint // the sentinel itself, not wrapped
 			t.Errorf("%v", err)
 		}
 	})
--- a/internal/sidecar/upstream/http1/request_writer.go
+++ b/internal/sidecar/upstream/http1/request_writer.go
@@ -92,7 +92,7 @@
 			w.complete = true
 			return
 		}
-		if errors.Is(err, io.EOF) {
+		if err == io.EOF { //nolint:errorlint // a wrapped one is a body that was cut short
 			break
 		}
 		if errors.Is(err, message.ErrStopped) { // the response was read, or the connection has ended
--- a/internal/sidecar/upstream/http1/response.go
+++ b/internal/sidecar/upstream/http1/response.go
@@ -89,7 +89,7 @@
 				return err
 			}
 		}
-		if errors.Is(err, io.EOF) {
+		if err == io.EOF { //nolint:errorlint // a wrapped one is a response that was cut short
 			return nil
 		}
 		if err != nil {
--- a/lease/asleep_test.go
+++ b/lease/asleep_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net/http"
 	"os"
@@ -35,7 +34,7 @@
 		t.Fatal(err)
 	}
 	slept.Store(int64(time.Hour))
-	if h.Valid() || h.Left() != 0 || !errors.Is(context.Cause(h.Context()), ErrLost) {
+	if h.Valid() || h.Left() != 0 || context.Cause(h.Context()) != ErrLost { //nolint:errorlint // the sentinel itself, not wrapped
 		t.Errorf("valid %v, %v", h.Valid(), context.Cause(h.Context()))
 	}
 	other, err := New(Options{Addrs: []string{addr}, Owner: "other", TTL: 2 * time.Second})
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	<-first.Context().Done()
-	if !errors.Is(context.Cause(first.Context()), lease.ErrBroken) || !first.Valid() || first.Left() <= 0 {
+	if context.Cause(first.Context()) != lease.ErrBroken || !first.Valid() || first.Left() <= 0 { //nolint:errorlint // the sentinel itself, not wrapped
 		t.Errorf("%v, valid %v", context.Cause(first.Context()), first.Valid())
 	}
 	if _, err := a.Try(ctx, "x"); err == nil {
@@ -100,7 +100,7 @@
 	if err := first.Release(ctx); err != nil {
 		t.Error(err)
 	}
-	if !errors.Is(context.Cause(first.Context()), lease.ErrReleased) || first.Valid() {
+	if context.Cause(first.Context()) != lease.ErrReleased || first.Valid() { //nolint:errorlint // the sentinel itself, not wrapped
 		t.Error("the lease is still valid")
 	}
 	second := <-got
@@ -126,7 +126,7 @@
 	stop()
 	select {
 	case <-third.Context().Done():
-		if !errors.Is(context.Cause(third.Context()), lease.ErrLost) {
+		if context.Cause(third.Context()) != lease.ErrLost { //nolint:errorlint // the sentinel itself, not wrapped
 			t.Errorf("%v", context.Cause(third.Context()))
 		}
 	case <-ctx.Done():
