--- a/internal/sidecar/upstream/http1/request_writer_test.go
+++ b/internal/sidecar/upstream/http1/request_writer_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -142,6 +143,28 @@
 	}
 }
 
+// Only io.EOF itself is the end of a body without a length: an error that wraps it is a body that was cut short, and the server does not
+// get the last chunk.
+func TestAWrappedEndOfABodyIsNone(t *testing.T) {
+	read := make(chan error, 1)
+	addr := server(t, func(_ net.Conn, in *bufio.Reader) {
+		req, err := http.ReadRequest(in)
+		if err == nil {
+			_, err = io.Copy(io.Discard, req.Body)
+		}
+		read <- err
+	})
+	cl := newClient(t, -1)
+	call, written := uploadCall(cl)
+	go func() { io.WriteString(cl, "0123"); cl.CloseWithError(fmt.Errorf("cut short: %w", io.EOF)) }()
+	if r := send(testPool(9).endpointAt(addr), call); r.Result != upstream.NotSent || len(written) != 0 {
+		t.Errorf("%v (%v), written %v", r.Result, r.Err, len(written) != 0)
+	}
+	if err := peertest.Wait(t, read); err == nil {
+		t.Error("the server took part of a body for a complete one")
+	}
+}
+
 // A server that responds early and reads no more delays nobody: its response counts at once, although the body is stuck. A body of which
 // something was read begins no other exchange.
 func TestAnEarlyAnswerFromAServerThatReadsNoMore(t *testing.T) {
