--- a/balance/api.go
+++ b/balance/api.go
@@ -1,8 +1,9 @@
 package balance
 
-// This file is the interface of the module: settings and events in, actions out. It takes no decisions.
+// This file is the interface of the module: events in, actions out. It takes no decisions. The settings are in config.go, what one
+// process hands to the next is in snapshot.go.
 //
-// All times, durations and latencies are milliseconds. What the caller must do:
+// All times, durations and latencies are milliseconds; points in time are of the caller's clock. What the caller must do:
 //
 //   - use one clock for all events, which never goes back;
 //   - hand events in in the order in which they came about, from one goroutine at a time;
@@ -11,117 +12,14 @@
 //
 // Slices in events are not kept; the actions returned are valid until the next call.
 
-// ServerID names a server; it carries no meaning beyond identity.
+// ServerID names a server; it carries no meaning beyond identity. The caller chooses it, the same at every sidecar: affinity and the
+// ring of servers depend on it.
 type ServerID uint64
 
-// RequestID names a request. A client's retry of it is another request with an ID of its own.
+// RequestID names a request until its last attempt has ended, and is below 2^52. A client's retry of a request is another request with an
+// ID of its own.
 type RequestID uint64
 
-// Effect says whether a request may run more than once.
-type Effect uint8
-
-// The three effects that a class of requests can have.
-const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // has an idempotency key: the servers of one group drop repeats within a window
-	Unsafe               // must never run twice
-)
-
-// Group says which servers recognise the repeat of a keyed request.
-type Group uint8
-
-// The servers that share the keys they remember.
-const (
-	GroupAll  Group = iota // all servers
-	GroupZone              // those of one zone
-	GroupCell              // those of one cell
-)
-
-// Class describes one class of requests.
-type Class struct {
-	Effect               Effect
-	Group                Group
-	Window               float64 // how long a group remembers a key, from the first send that may have run
-	LatencyTarget        float64 // an answer within this has its full value
-	LatencyTargetStretch float64 // the latency target grows by this multiple of the request's own work
-	Deadline             float64 // the longest that a client waits, its own retries included
-	Value                float64 // of an answer within the latency target
-	LateValue            float64 // fraction of Value that an answer after the latency target still has
-	Stream               bool    // answers are streams
-}
-
-// Tenant is one customer of the service.
-type Tenant struct {
-	Allowance float64 // requests a second within its share, over all sidecars
-	Share     float64 // its fraction of the service
-}
-
-// ReportVia says how load reports reach a sidecar.
-type ReportVia uint8
-
-// The ways of load reports.
-const (
-	ReportNone      ReportVia = iota // servers report no load
-	ReportPiggyback                  // with each answer
-	ReportProbe                      // as the answer to a probe
-)
-
-// ReportField is one figure of a load report.
-type ReportField uint8
-
-// The figures that a load report can hold; FieldUnknown is skipped.
-const (
-	FieldUnknown   ReportField = iota
-	FieldInFlight              // requests being handled
-	FieldQueue                 // requests waiting
-	FieldUtil                  // fraction of CPU in use
-	FieldLatency               // recent service time
-	FieldRate                  // requests served a second
-	FieldErrorRate             // errors a second
-)
-
-// Config holds the settings that one sidecar starts with. New completes them; see withDefaults.
-type Config struct {
-	Seed                        uint64
-	SidecarNumber, SidecarCount int // this sidecar's number, from 0, and how many sidecars there are
-	Zone                        int // this sidecar's zone
-	Classes                     []Class
-	Tenants                     []Tenant
-	OverShareValue              float64 // value of a request beyond its tenant's share, as a fraction
-	BatchInterval               float64 // shortest time between two batches of events
-
-	Subscribe bool          // the server list does not come by itself: subscribe to it
-	Reports   ReportVia     // how load reports come
-	Fields    []ReportField // what they hold, in order
-
-	MaxAttempts    int     // of one request
-	Parallel       bool    // two attempts of a request may be in flight together
-	Cancel         bool    // attempts may be cancelled
-	Probes         bool    // servers may be probed
-	Messages       bool    // sidecars may message each other
-	KeyAffinity    bool    // a server that had a key lately does less work for it
-	RetryAfter     bool    // rejected clients are told when to retry
-	MaxRetryAfter  float64 // the longest such time that a client obeys
-	ConnectTimeout float64
-
-	DrainGrace        float64 // sends to a draining or removed server must stop within this
-	SlowStartFraction float64 // a server that has just started has at least this fraction of its capacity
-	SlowStartTime     float64 // and all of it after this
-	OverloadMultiple  float64 // a server in its slow start that is sent more than this multiple of its capacity ...
-	OverloadTime      float64 // ... for this long breaks down
-	MaxPollInterval   float64 // without a subscription the list must be asked for this often
-	AnswerSlack       float64 // an answer this long after the client's deadline still counts
-
-	Goal      Goal
-	Penalties Penalties
-}
-
-// Goal weighs the parts of the result; which requests are shed in overload goes by it.
-type Goal struct{ Overall, WorstWindow, WorstClass, WorstTenant float64 }
-
-// Penalties are taken off the result, each for one occurrence of what it is named after.
-type Penalties struct{ CrossZone, Waste, Handshake, Probe, PeerMessage, LateFailure float64 }
-
 // ServerState is what discovery knows of a server.
 type ServerState uint8
 
@@ -141,66 +39,6 @@
 	Cell, Zone, Kind int
 }
 
-// Snapshot is what a balancer has learned. Another process of the same sidecar goes on with it; it has nothing of single requests.
-// Points in time are of the clock that all events have. Its JSON form passes between versions: the tags must stay.
-type Snapshot struct {
-	StartedAt        float64          `json:"Started"`
-	Servers          []ServerSnapshot `json:"Servers"`
-	Kinds            map[int]float64  `json:"Kinds"` // learned logarithms of capacity by kind of server
-	Zones            map[int]float64  `json:"Zones"` // ... and by zone
-	Classes          []ClassSnapshot  `json:"Classes"`
-	ShedFraction     float64          `json:"Steady"`
-	MeanLatency      float64          `json:"Slowness"` // as a fraction of the latency target, as is MinLatency
-	LatencySamples   float64          `json:"Seen"`
-	MinLatency       float64          `json:"Quickest"`
-	CapacitySamples  float64          `json:"Learned"`
-	MeanCapacityStep float64          `json:"Drift"`
-	RetryBudget      float64          `json:"Spare"`
-	RequestsRecent   float64          `json:"AskedRecent"` // decayed counts of requests, and when they were decayed last
-	RequestsLatest   float64          `json:"AskedLatest"`
-	RequestsAt       float64          `json:"AskedAt"`
-	AnswersRecent    float64          `json:"ServedRecent"` // the same of answers
-	AnswersLatest    float64          `json:"ServedLatest"`
-	AnswersAt        float64          `json:"ServedAt"`
-}
-
-// ServerSnapshot is what a Snapshot has of one server.
-type ServerSnapshot struct {
-	ID          ServerID `json:"ID"`
-	CapacityLog float64  `json:"Size"` // learned logarithm of capacity, beyond its kind's and zone's
-	HealthState
-	WarmingUp bool `json:"Cold"`
-	SlowStartState
-	CurrentWeight float64 `json:"Running"` // in smooth weighted round robin
-}
-
-// HealthState is what attempts and probes have shown of a server.
-type HealthState struct {
-	Errors         float64 `json:"Errors"` // consecutive ones
-	LastErrorAt    float64 `json:"LastError"`
-	CooldownUntil  float64 `json:"RestUntil"` // 0: no cooldown since it last answered
-	AnsweredAt     float64 `json:"Answered"`  // the last time
-	Cooldowns      int     `json:"Rests"`     // since it last answered
-	ProbeFailed    bool    `json:"Dark"`      // the last probe got no answer
-	ConnectionLost bool    `json:"Down"`      // and no answer came since
-}
-
-// SlowStartState is a server's last start, and the budget of sends to it while it warms up. In a snapshot it is zero for a server
-// that is warm.
-type SlowStartState struct {
-	SlowStartAt float64 `json:"ColdSince"`
-	Tokens      float64 `json:"Tokens"` // sends that were left at TokensAt
-	TokensAt    float64 `json:"TokensAt"`
-}
-
-// ClassSnapshot is how long answers of a class take, and the longest time that a client had left for a request.
-type ClassSnapshot struct {
-	Count        float64 `json:"Count"`
-	Mean         float64 `json:"Mean"`
-	Deviation    float64 `json:"Deviation"`
-	MaxRemaining float64 `json:"Longest"`
-}
-
 // Event is anything that happens to a sidecar: one of the types below.
 type Event interface{ event() }
 
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -3,133 +3,128 @@
 import (
 	"fmt"
 	"math"
-	"slices"
+	"math/rand/v2"
 )
 
-// The life of a request: whether it is sent, waits, or is answered unserved.
+// listTimer is the token of the timer for the server list; requests use their ID (below 2^52).
+const listTimer = 1 << 60
 
-// Start begins the balancer's work. The actions are valid until the next call.
-func (b *Balancer) Start(now float64) []Action {
-	b.now, b.startedAt, b.actions = now, now, b.actions[:0]
-	if b.cfg.Subscribe {
-		b.watchList()
-	}
-	return b.actions
+// Balancer takes the decisions of one sidecar. It is not safe for concurrent use.
+type Balancer struct {
+	cfg              Config
+	rng              *rand.Rand
+	now, startedAt   float64
+	maxLatencyTarget float64  // of all classes
+	actions          []Action // of the present event
+
+	servers      serverTable
+	requests     requestTable
+	traffic      traffic
+	latencies    latencyStats
+	capacities   capacityModel
+	shedding     loadShedding
+	timeouts     timeoutTable
+	polling      listPolling
+	retryBudget  float64 // cost of lost attempts that retries may still follow
+	busyFraction float64 // recent fraction of reports of servers that held anything
 }
 
-func (b *Balancer) onRequest(ev Request) error {
-	if ev.Class < 0 || ev.Class >= len(b.cfg.Classes) {
-		return fmt.Errorf("request %d: unknown class %d", ev.ID, ev.Class)
+// New returns a balancer with the given settings, completed by withDefaults. Call Start before Handle.
+func New(cfg Config) *Balancer {
+	cfg = cfg.withDefaults()
+	b := &Balancer{
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.SidecarNumber))), maxLatencyTarget: 1,
+		servers:    serverTable{byID: map[ServerID]*server{}},
+		requests:   requestTable{byID: map[RequestID]*request{}},
+		capacities: capacityModel{kinds: map[int]float64{}, zones: map[int]float64{}},
+		timeouts:   timeoutTable{records: map[classKey]timeoutRecord{}},
+		latencies:  latencyStats{min: initialMinLatency}, retryBudget: retryBurst / 2, busyFraction: 1,
 	}
-	r := &request{
-		Request: ev, class: &b.cfg.Classes[ev.Class], stats: &b.traffic.classes[ev.Class],
-		tenant: b.traffic.tenant(ev.Tenant), arrivedAt: b.now, wakeAt: math.Inf(1),
+	for _, class := range cfg.Classes {
+		b.maxLatencyTarget = math.Max(b.maxLatencyTarget, class.LatencyTarget)
+		stats := classStats{servedCounts: servedCounts{requests: 1, served: 1}, value: class.Value}
+		b.traffic.classes = append(b.traffic.classes, stats)
 	}
-	r.deadline = b.now + finite(ev.Remaining, r.class.Deadline)
-	b.requests.byID[ev.ID] = r
-	admitted := b.admit(r)
-	r.stats.requests++ // only now: else its own class would look a little worse served
-	r.tenant.requests++
-	b.traffic.requestRate.count(b, 1)
-	b.retryBudget = math.Min(b.retryBudget+retryRatio, retryBurst)
-	if !admitted {
-		b.answerUnserved(r)
-		return nil
+	for _, tenant := range append(cfg.Tenants, Tenant{}) { // the last is for requests without one
+		b.traffic.tenants = append(b.traffic.tenants, servedCounts{1, 1, tenant.Share})
 	}
-	b.startProbes(r)
-	b.advance(r)
-	return nil
+	return b
 }
 
-// advance takes the next step with a request: it sends, answers or waits.
-func (b *Balancer) advance(r *request) {
-	if r.done || r.streaming || r.bodyLeaving() {
-		return
+// Handle takes one event. The actions are valid until the next call. An error means an impossible event.
+func (b *Balancer) Handle(now float64, ev Event) ([]Action, error) {
+	if now > b.now && !math.IsInf(now, 1) { // time never goes back
+		b.now = now
 	}
-	b.recordOverdue(r)
-	if b.now >= r.deadline || r.live == 0 && b.noRetryLeft(r) {
-		b.answerUnserved(r)
-		return
-	}
-	if r.live == 0 && !b.awaitsProbes(r) {
-		if s := b.pick(r, len(r.attempts) > 0); s != nil {
-			if b.send(r, s); r.BodyOpen {
-				return
-			}
-		} else if !b.hasEligibleServer(r) {
-			b.answerUnserved(r)
-			return
+	b.actions = b.actions[:0]
+	var err error
+	switch ev := ev.(type) {
+	case Request:
+		if b.requests.byID[ev.ID] != nil {
+			return nil, fmt.Errorf("request %d: the id is in use", ev.ID)
+		}
+		err = b.onRequest(ev)
+	case Outcome:
+		r := b.requests.byID[ev.Request]
+		if r == nil || !r.inFlight(ev.Attempt) {
+			return nil, fmt.Errorf("outcome of request %d, attempt %d: it is not out", ev.Request, ev.Attempt)
+		}
+		ev.Latency = finite(ev.Latency, math.MaxFloat32)
+		b.onOutcome(r, ev)
+	case Timer:
+		b.onTimer(ev)
+	case ServerList:
+		b.onList(ev)
+	case ProbeResult:
+		b.onProbe(ev)
+	case ClientGone:
+		if r := b.requests.byID[ev.Request]; r != nil {
+			b.closeRequest(r)
 		}
+	case ResponseStarted:
+		b.onResponseStarted(ev)
+	case BodySent:
+		b.onBodySent(ev)
 	}
-	b.scheduleWakeup(r)
+	return b.actions, err
 }
 
-// noRetryLeft: nothing more can be sent for the request, or it is of no use to wait for a server.
-func (b *Balancer) noRetryLeft(r *request) bool {
-	if r.bodyConsumed || len(r.attempts) >= b.cfg.MaxAttempts || r.totalCost > maxRetryCost ||
-		b.retryBudget < r.lastCost {
-		return true
-	}
-	mayRunTwice := slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		forgotten := r.class.Effect == Keyed && b.now >= a.sentAt+r.class.Window
-		return !a.neverRan && (r.class.Effect == Unsafe || forgotten)
-	})
-	late := b.now >= r.arrivedAt+r.class.LatencyTarget
-	return mayRunTwice || late && b.rejectable(r) && r.class.LateValue <= b.shedding.lasting
-}
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// hasEligibleServer: there is a server to wait for; without one, a client rejected at once can still retry.
-func (b *Balancer) hasEligibleServer(r *request) bool {
-	return slices.ContainsFunc(b.servers.all, func(s *server) bool { return b.eligible(r, s) })
+func (b *Balancer) onTimer(ev Timer) {
+	if ev.Token == listTimer {
+		b.watchList()
+	} else if r := b.requests.byID[RequestID(ev.Token)]; r != nil {
+		r.wakeAt = math.Inf(1) // not compared with the clock: a timer may come a rounding error early
+		b.advance(r)
+	}
 }
 
-// answerUnserved ends a request that no server answered: rejected where a retry does no harm, else failed.
-func (b *Balancer) answerUnserved(r *request) {
-	if b.rejectable(r) {
-		b.emit(Action{Kind: Reject, Request: r.ID, After: b.retryAfter(r)})
-	} else {
-		b.emit(Action{Kind: Fail, Request: r.ID})
+func (b *Balancer) onResponseStarted(ev ResponseStarted) {
+	if r := b.requests.byID[ev.Request]; r != nil && !r.done && !r.streaming {
+		r.streaming = true // no deadline and no retry from here on
+		b.cancelOthers(r, ev.Attempt)
 	}
-	b.closeRequest(r)
 }
 
-// retryAfter is when a rejected client should retry: after what answers take too long now, and not too late.
-func (b *Balancer) retryAfter(r *request) float64 {
-	if !b.cfg.RetryAfter {
-		return 0
-	}
-	after := r.class.LatencyTarget * clamp(b.shedding.excess, minRetryAfter, maxRetryAfter)
-	if b.cfg.MaxRetryAfter > 0 {
-		after = math.Min(after, b.cfg.MaxRetryAfter)
+// onBodySent begins the time of a request whose body was still coming, and that of its attempt.
+func (b *Balancer) onBodySent(ev BodySent) {
+	r := b.requests.byID[ev.Request]
+	if r == nil || !r.BodyOpen || !r.inFlight(ev.Attempt) {
+		return
 	}
-	return after
+	r.BodyOpen = false
+	r.arrivedAt, r.deadline = b.now, b.now+finite(r.Remaining, r.class.Deadline)
+	r.attempts[ev.Attempt].sentAt = b.now
+	r.attempts[ev.Attempt].server.countAttempt(1, r)
+	b.advance(r)
 }
 
-// rejectable guards against double effects: a rejected request is retried by its client. With a key that all
-// servers know that does no harm if they still know it at the time of the retry.
-func (b *Balancer) rejectable(r *request) bool {
-	knownToAll := r.class.Effect == Keyed && r.class.Group == GroupAll
-	retryAt := b.now + b.retryAfter(r)
-	return r.class.Effect == Safe || !slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		return !a.neverRan && (!knownToAll || retryAt >= a.sentAt+r.class.Window)
-	})
+// mix scatters a number over all 64 bits, the same at every sidecar (the finalizer of splitmix64).
+func mix(z uint64) uint64 {
+	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
+	z = (z ^ z>>27) * 0x94d049bb133111eb
+	return z ^ z>>31
 }
 
-// scheduleWakeup sets a timer for the next time at which there may be something to do for the request.
-func (b *Balancer) scheduleWakeup(r *request) {
-	next := r.deadline
-	if r.probeDeadline > b.now {
-		next = math.Min(next, r.probeDeadline)
-	} else if r.live == 0 {
-		next = math.Min(next, b.now+math.Max(b.cfg.BatchInterval, r.class.LatencyTarget/20))
-	}
-	for i := range r.attempts {
-		if a := &r.attempts[i]; a.live && !a.overdue {
-			next = math.Min(next, a.sentAt+b.overdueAfter(r))
-		}
-	}
-	if next < r.wakeAt {
-		r.wakeAt = next
-		b.emit(Action{Kind: SetTimer, Request: r.ID, Token: uint64(r.ID), After: math.Max(0, next-b.now)})
-	}
-}
+func clamp(v, lowest, highest float64) float64 { return math.Max(lowest, math.Min(highest, v)) }
--- /dev/null
+++ b/balance/lifecycle.go
@@ -0,0 +1,135 @@
+package balance
+
+import (
+	"fmt"
+	"math"
+	"slices"
+)
+
+// The life of a request: whether it is sent, waits, or is answered unserved.
+
+// Start begins the balancer's work. The actions are valid until the next call.
+func (b *Balancer) Start(now float64) []Action {
+	b.now, b.startedAt, b.actions = now, now, b.actions[:0]
+	if b.cfg.Subscribe {
+		b.watchList()
+	}
+	return b.actions
+}
+
+func (b *Balancer) onRequest(ev Request) error {
+	if ev.Class < 0 || ev.Class >= len(b.cfg.Classes) {
+		return fmt.Errorf("request %d: unknown class %d", ev.ID, ev.Class)
+	}
+	r := &request{
+		Request: ev, class: &b.cfg.Classes[ev.Class], stats: &b.traffic.classes[ev.Class],
+		tenant: b.traffic.tenant(ev.Tenant), arrivedAt: b.now, wakeAt: math.Inf(1),
+	}
+	r.deadline = b.now + finite(ev.Remaining, r.class.Deadline)
+	b.requests.byID[ev.ID] = r
+	admitted := b.admit(r)
+	r.stats.requests++ // only now: else its own class would look a little worse served
+	r.tenant.requests++
+	b.traffic.requestRate.count(b, 1)
+	b.retryBudget = math.Min(b.retryBudget+retryRatio, retryBurst)
+	if !admitted {
+		b.answerUnserved(r)
+		return nil
+	}
+	b.startProbes(r)
+	b.advance(r)
+	return nil
+}
+
+// advance takes the next step with a request: it sends, answers or waits.
+func (b *Balancer) advance(r *request) {
+	if r.done || r.streaming || r.bodyLeaving() {
+		return
+	}
+	b.recordOverdue(r)
+	if b.now >= r.deadline || r.live == 0 && b.noRetryLeft(r) {
+		b.answerUnserved(r)
+		return
+	}
+	if r.live == 0 && !b.awaitsProbes(r) {
+		if s := b.pick(r, len(r.attempts) > 0); s != nil {
+			if b.send(r, s); r.BodyOpen {
+				return
+			}
+		} else if !b.hasEligibleServer(r) {
+			b.answerUnserved(r)
+			return
+		}
+	}
+	b.scheduleWakeup(r)
+}
+
+// noRetryLeft: nothing more can be sent for the request, or it is of no use to wait for a server.
+func (b *Balancer) noRetryLeft(r *request) bool {
+	if r.bodyConsumed || len(r.attempts) >= b.cfg.MaxAttempts || r.totalCost > maxRetryCost ||
+		b.retryBudget < r.lastCost {
+		return true
+	}
+	mayRunTwice := slices.ContainsFunc(r.attempts, func(a attempt) bool {
+		forgotten := r.class.Effect == Keyed && b.now >= a.sentAt+r.class.Window
+		return !a.neverRan && (r.class.Effect == Unsafe || forgotten)
+	})
+	late := b.now >= r.arrivedAt+r.class.LatencyTarget
+	return mayRunTwice || late && b.rejectable(r) && r.class.LateValue <= b.shedding.lasting
+}
+
+// hasEligibleServer: there is a server to wait for; without one, a client rejected at once can still retry.
+func (b *Balancer) hasEligibleServer(r *request) bool {
+	return slices.ContainsFunc(b.servers.all, func(s *server) bool { return b.eligible(r, s) })
+}
+
+// answerUnserved ends a request that no server answered: rejected where a retry does no harm, else failed.
+func (b *Balancer) answerUnserved(r *request) {
+	if b.rejectable(r) {
+		b.emit(Action{Kind: Reject, Request: r.ID, After: b.retryAfter(r)})
+	} else {
+		b.emit(Action{Kind: Fail, Request: r.ID})
+	}
+	b.closeRequest(r)
+}
+
+// retryAfter is when a rejected client should retry: after what answers take too long now, and not too late.
+func (b *Balancer) retryAfter(r *request) float64 {
+	if !b.cfg.RetryAfter {
+		return 0
+	}
+	after := r.class.LatencyTarget * clamp(b.shedding.excess, minRetryAfter, maxRetryAfter)
+	if b.cfg.MaxRetryAfter > 0 {
+		after = math.Min(after, b.cfg.MaxRetryAfter)
+	}
+	return after
+}
+
+// rejectable guards against double effects: a rejected request is retried by its client. With a key that all
+// servers know that does no harm if they still know it at the time of the retry.
+func (b *Balancer) rejectable(r *request) bool {
+	knownToAll := r.class.Effect == Keyed && r.class.Group == GroupAll
+	retryAt := b.now + b.retryAfter(r)
+	return r.class.Effect == Safe || !slices.ContainsFunc(r.attempts, func(a attempt) bool {
+		return !a.neverRan && (!knownToAll || retryAt >= a.sentAt+r.class.Window)
+	})
+}
+
+// scheduleWakeup sets a timer for the next time at which there may be something to do for the request.
+func (b *Balancer) scheduleWakeup(r *request) {
+	next := r.deadline
+	if r.probeDeadline > b.now {
+		next = math.Min(next, r.probeDeadline)
+	} else if r.live == 0 {
+		next = math.Min(next, b.now+math.Max(b.cfg.BatchInterval, r.class.LatencyTarget/20))
+	}
+	for i := range r.attempts {
+		if a := &r.attempts[i]; a.live && !a.overdue {
+			next = math.Min(next, a.sentAt+b.overdueAfter(r))
+		}
+	}
+	if next < r.wakeAt {
+		r.wakeAt = next
+		b.emit(Action{Kind: SetTimer, Request: r.ID, Token: uint64(r.ID), After: math.Max(0, next-b.now)})
+	}
+}
