--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -7,9 +7,9 @@
 
 // State for the next process of a sidecar: it neither learns anew nor gives a second slow-start budget.
 
-// Snapshot is what a balancer has learned. Another process of the same sidecar goes on with it; it has nothing
-// of single requests. Points in time are of the clock that all events have. Its JSON form passes between
-// processes of different versions: the tags are fixed. See TestRecordedSnapshot.
+// Snapshot is what a balancer has learned. Another process of the same sidecar goes on with it; it has
+// nothing of single requests. Points in time are of the clock that all events have. Its JSON form
+// passes between processes of different versions: the tags are fixed. See TestRecordedSnapshot.
 type Snapshot struct {
 	StartedAt        float64          `json:"Started"`
 	Servers          []ServerSnapshot `json:"Servers"`
@@ -17,9 +17,9 @@
 	Zones            map[int]float64  `json:"Zones"`       // capacityModel.zones, by Server.Zone
 	Classes          []ClassSnapshot  `json:"Classes"`     // in the order of Config.Classes
 	ShedFraction     float64          `json:"Steady"`      // loadShedding.lasting
-	MeanLatency      float64          `json:"Slowness"`    // latencyStats.mean, a fraction of the latency target
+	MeanLatency      float64          `json:"Slowness"`    // latencyStats.mean
 	LatencySamples   float64          `json:"Seen"`        // latencyStats.samples
-	MinLatency       float64          `json:"Quickest"`    // latencyStats.min, a fraction of the latency target
+	MinLatency       float64          `json:"Quickest"`    // latencyStats.min
 	CapacitySamples  float64          `json:"Learned"`     // capacityModel.samples
 	MeanCapacityStep float64          `json:"Drift"`       // capacityModel.meanStep
 	RetryBudget      float64          `json:"Spare"`       // Balancer.retryBudget
@@ -52,8 +52,8 @@
 	ConnectionLost bool    `json:"Down"`      // a request was lost with one, and no answer came since
 }
 
-// SlowStartState is a server's last start, and the budget of sends to it while it warms up. In a snapshot it is
-// zero for a server that is warm.
+// SlowStartState is a server's last start, and the budget of sends to it while it warms up. In a snapshot it
+// is zero for a server that is warm.
 type SlowStartState struct {
 	SlowStartAt float64 `json:"ColdSince"` // -Inf: before this process knew the server
 	Tokens      float64 `json:"Tokens"`    // sends that were left at TokensAt
@@ -69,8 +69,8 @@
 	MaxRemaining float64 `json:"Longest"`
 }
 
-// Snapshot returns what was learned. Its maps are the balancer's own: they may be read until the next event, in
-// the goroutine that hands in events.
+// Snapshot returns what was learned. Its maps are the balancer's own: they may be read until the next
+// event, in the goroutine that hands in events.
 func (b *Balancer) Snapshot() Snapshot {
 	requests, answers := &b.traffic.requestRate, &b.traffic.answerRate
 	snapshot := Snapshot{
@@ -96,9 +96,9 @@
 	return snapshot
 }
 
-// Restore goes on with what another process of this sidecar learned. It is called after the first ServerList and
-// before the first Request: what is of servers that are not listed is dropped, and so are classes beyond those
-// of this process.
+// Restore goes on with what another process of this sidecar learned. It is called after the first ServerList
+// and before the first Request: what is of servers that are not listed is dropped, and so are classes beyond
+// those of this process.
 func (b *Balancer) Restore(from Snapshot) {
 	t := &b.traffic
 	b.startedAt, b.retryBudget = math.Min(from.StartedAt, b.now), from.RetryBudget
