--- a/balance/balance.go
+++ b/balance/balance.go
@@ -6,16 +6,18 @@
 	"math/rand/v2"
 )
 
-// listTimer is the token of the timer for the server list; requests use their ID (below 2^52).
+// listTimer is the token of the timer for the server list. A request's timers have its ID, which is below
+// 2^52.
 const listTimer = 1 << 60
 
-// Balancer takes the decisions of one sidecar. It is not safe for concurrent use.
+// Balancer takes the decisions of one sidecar. It is not safe for concurrent use. All its randomness is
+// that of Config.Seed, so that the same events give the same actions.
 type Balancer struct {
 	cfg              Config
 	rng              *rand.Rand
-	now, startedAt   float64
+	now, startedAt   float64  // the time of the last event, and of Start
 	maxLatencyTarget float64  // of all classes
-	actions          []Action // of the present event
+	actions          []Action // of the present event; the slice is used again for the next
 
 	servers      serverTable
 	requests     requestTable
@@ -25,8 +27,8 @@
 	shedding     loadShedding
 	timeouts     timeoutTable
 	polling      listPolling
-	retryBudget  float64 // cost of lost attempts that retries may still follow
-	busyFraction float64 // recent fraction of reports of servers that held anything
+	retryBudget  float64 // what retries may still cost, in whole attempts; see attemptCost
+	busyFraction float64 // recent fraction of load reports that came from servers with requests in flight
 }
 
 // New returns a balancer with the given settings, completed by withDefaults. Call Start before Handle.
@@ -51,7 +53,10 @@
 	return b
 }
 
-// Handle takes one event. The actions are valid until the next call. An error means an impossible event.
+// Handle takes one event and returns what is to be done now, in order. The actions are valid until the next
+// call. An error means that the event is impossible: the caller has made a mistake, nothing has changed but
+// the time, and there is nothing to do. Events for servers and requests that are not known any more are no
+// errors.
 func (b *Balancer) Handle(now float64, ev Event) ([]Action, error) {
 	if now > b.now && !math.IsInf(now, 1) { // time never goes back
 		b.now = now
@@ -89,8 +94,10 @@
 	return b.actions, err
 }
 
+// emit adds an action to those of the present event.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
+// onTimer handles a timer that is due. One of a request that has ended is ignored.
 func (b *Balancer) onTimer(ev Timer) {
 	if ev.Token == listTimer {
 		b.watchList()
@@ -100,6 +107,7 @@
 	}
 }
 
+// onResponseStarted leaves a streamed answer alone: the other attempts are of no use any more.
 func (b *Balancer) onResponseStarted(ev ResponseStarted) {
 	if r := b.requests.byID[ev.Request]; r != nil && !r.done && !r.streaming {
 		r.streaming = true // no deadline and no retry from here on
@@ -120,11 +128,12 @@
 	b.advance(r)
 }
 
-// mix scatters a number over all 64 bits, the same at every sidecar (the finalizer of splitmix64).
+// mix hashes a number to one of all 64 bits, the same at every sidecar: the finalizer of splitmix64.
 func mix(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
+// clamp returns v within bounds.
 func clamp(v, lowest, highest float64) float64 { return math.Max(lowest, math.Min(highest, v)) }
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -2,15 +2,18 @@
 
 import "math"
 
-// capacityModel holds the learned logarithms of capacity that servers of a kind or zone have in common.
+// capacityModel holds what is learned of capacities beyond what the list says. A server's learned capacity
+// is a factor on Server.Capacity: the exponential of its own logarithm and of those of its kind and its
+// zone, so that a new server begins with what others like it have shown.
 type capacityModel struct {
-	kinds, zones map[int]float64
-	samples      float64 // how often learnCapacity was called for a server that is warm
-	meanStep     float64
+	kinds, zones map[int]float64 // logarithms, by Server.Kind and Server.Zone
+	samples      float64         // how often learnCapacity was called for a server that is warm
+	meanStep     float64         // decayed mean of the steps
 }
 
-// learnCapacity moves learned capacities until answers take equally long everywhere; latency is relative to
-// its class's mean. The mean step is taken off: what all servers have in common is load, not capacity.
+// learnCapacity moves learned capacities until answers take equally long everywhere. latency is how long an
+// answer took as a multiple of its class's mean; an error counts as 3. The mean step is taken off: what all
+// servers have in common is load, not capacity. While a server warms up it shows nothing of its capacity.
 func (b *Balancer) learnCapacity(s *server, latency float64) {
 	if b.warmingUp(s) {
 		return
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,6 +1,7 @@
 // Package balance takes the decisions of one sidecar's load balancer: which server gets a request, when it is retried, when it is
-// rejected. It is pure: events and the time go in, actions come out; it opens nothing, waits for nothing, starts no goroutine and
-// imports the standard library only. A Balancer is used by one goroutine at a time; api.go says what its caller must do.
+// rejected. It is pure: events and the time go in, actions come out; it reads no clock, opens nothing, waits for nothing and starts no
+// goroutine. A Balancer is used by one goroutine at a time; api.go says what its caller must do. Its callers are the loop of package
+// core, in a sidecar, and the adapter, which plays many sidecars in virtual time.
 //
 // # The mechanism
 //
@@ -14,21 +15,22 @@
 //	   │
 //	   ├─ probes, where only they report the load                              probe.go
 //	   ▼
-//	advance ─ no server may have it ──────────────── Reject or Fail, at once   balance.go
+//	advance ─ no server may have it ──────────────── Reject or Fail, at once   lifecycle.go
 //	   │  ─ none has capacity yet: SetTimer, advance again
 //	   ▼
 //	 Send ─ pick: the rotation, or for a retry the healthiest                  pick.go
 //	   │    a key goes to its preferred server, ahead of its turn              keys.go
-//	   │    servers in their slow start within their budget                    cold.go
+//	   │    servers in their slow start within their budget                    slow_start.go
 //	   ▼
-//	Outcome ─ what it says of server and load                                  health.go, capacity.go
+//	Outcome ─ what it says of server and load                                  outcome.go, health.go, capacity.go
 //	   │  ─ served: the caller has answered
 //	   │  ─ may run again: advance again
-//	   └──── may not ─────────────────────────────── Reject or Fail, at once   balance.go
+//	   └──── may not ─────────────────────────────── Reject or Fail, at once   lifecycle.go
 //
 // At its deadline a request that is still open is answered, and what is in flight for it is cancelled; ClientGone does the same
-// without an answer. Updates of the server list, and when to subscribe to it, are in list.go. The state is in state.go, with the
-// tables of servers.go, requests.go and traffic.go; memory.go hands it to the next process.
+// without an answer. Updates of the server list, and when to subscribe to it, are in list.go. balance.go has the Balancer with its events,
+// whose tables are in servers.go, requests.go and traffic.go; snapshot.go hands what was learned to the next process. The settings are in
+// config.go, the constants in parameters.go.
 //
 // # The four rules, and where each is kept
 //
--- a/balance/lifecycle.go
+++ b/balance/lifecycle.go
@@ -8,7 +8,8 @@
 
 // The life of a request: whether it is sent, waits, or is answered unserved.
 
-// Start begins the balancer's work. The actions are valid until the next call.
+// Start begins the balancer's work; it is called once, before the first event. The actions are valid until
+// the next call.
 func (b *Balancer) Start(now float64) []Action {
 	b.now, b.startedAt, b.actions = now, now, b.actions[:0]
 	if b.cfg.Subscribe {
@@ -17,6 +18,7 @@
 	return b.actions
 }
 
+// onRequest admits a request or answers it at once. It counts either way: clients that are rejected retry.
 func (b *Balancer) onRequest(ev Request) error {
 	if ev.Class < 0 || ev.Class >= len(b.cfg.Classes) {
 		return fmt.Errorf("request %d: unknown class %d", ev.ID, ev.Class)
@@ -28,7 +30,7 @@
 	r.deadline = b.now + finite(ev.Remaining, r.class.Deadline)
 	b.requests.byID[ev.ID] = r
 	admitted := b.admit(r)
-	r.stats.requests++ // only now: else its own class would look a little worse served
+	r.stats.requests++ // only now: otherwise its own class would look a little worse served to admit
 	r.tenant.requests++
 	b.traffic.requestRate.count(b, 1)
 	b.retryBudget = math.Min(b.retryBudget+retryRatio, retryBurst)
@@ -41,7 +43,8 @@
 	return nil
 }
 
-// advance takes the next step with a request: it sends, answers or waits.
+// advance takes the next step with a request: it sends, answers or waits. It is called whenever something may
+// have changed for the request, and does nothing where nothing has.
 func (b *Balancer) advance(r *request) {
 	if r.done || r.streaming || r.bodyLeaving() {
 		return
@@ -64,12 +67,16 @@
 	b.scheduleWakeup(r)
 }
 
-// noRetryLeft: nothing more can be sent for the request, or it is of no use to wait for a server.
+// noRetryLeft reports whether nothing more can be sent for a request, or nothing that would be of use: its
+// body is gone, attempts or budget are used up, it may have been executed and must not be twice, or its
+// answer would be late and is worth less than the load that is shed.
 func (b *Balancer) noRetryLeft(r *request) bool {
 	if r.bodyConsumed || len(r.attempts) >= b.cfg.MaxAttempts || r.totalCost > maxRetryCost ||
 		b.retryBudget < r.lastCost {
 		return true
 	}
+	// An attempt that may have been executed forbids another: of an unsafe request always, of a keyed one
+	// once servers may have forgotten its key.
 	mayRunTwice := slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		forgotten := r.class.Effect == Keyed && b.now >= a.sentAt+r.class.Window
 		return !a.neverRan && (r.class.Effect == Unsafe || forgotten)
@@ -78,12 +85,14 @@
 	return mayRunTwice || late && b.rejectable(r) && r.class.LateValue <= b.shedding.lasting
 }
 
-// hasEligibleServer: there is a server to wait for; without one, a client rejected at once can still retry.
+// hasEligibleServer reports whether there is a server to wait for. Without one the client is answered at
+// once, and may still have the time to retry elsewhere.
 func (b *Balancer) hasEligibleServer(r *request) bool {
 	return slices.ContainsFunc(b.servers.all, func(s *server) bool { return b.eligible(r, s) })
 }
 
-// answerUnserved ends a request that no server answered: rejected where a retry does no harm, else failed.
+// answerUnserved ends a request that no server answered. It is rejected, which invites the client to retry,
+// where a retry does no harm; otherwise it has failed.
 func (b *Balancer) answerUnserved(r *request) {
 	if b.rejectable(r) {
 		b.emit(Action{Kind: Reject, Request: r.ID, After: b.retryAfter(r)})
@@ -93,7 +102,9 @@
 	b.closeRequest(r)
 }
 
-// retryAfter is when a rejected client should retry: after what answers take too long now, and not too late.
+// retryAfter is when a rejected client should retry, from now: after the time by which answers exceed what
+// they may take, within bounds, so that the retry comes when there is less load and is not too late. 0: not
+// said.
 func (b *Balancer) retryAfter(r *request) float64 {
 	if !b.cfg.RetryAfter {
 		return 0
@@ -105,8 +116,9 @@
 	return after
 }
 
-// rejectable guards against double effects: a rejected request is retried by its client. With a key that all
-// servers know that does no harm if they still know it at the time of the retry.
+// rejectable reports whether a request may be rejected, which means that its client may retry it, at any
+// server and in another request. That does no harm if the request is safe or was not executed, or if it has
+// a key that all servers share and still remember at the time of the retry.
 func (b *Balancer) rejectable(r *request) bool {
 	knownToAll := r.class.Effect == Keyed && r.class.Group == GroupAll
 	retryAt := b.now + b.retryAfter(r)
@@ -115,7 +127,9 @@
 	})
 }
 
-// scheduleWakeup sets a timer for the next time at which there may be something to do for the request.
+// scheduleWakeup sets a timer for the next time at which there may be something to do for the request: its
+// deadline, the end of its wait for probes, another look for a server, or an attempt that becomes overdue.
+// Timers are not cancelled, so none is set while an earlier one is.
 func (b *Balancer) scheduleWakeup(r *request) {
 	next := r.deadline
 	if r.probeDeadline > b.now {
--- a/balance/list.go
+++ b/balance/list.go
@@ -2,20 +2,24 @@
 
 import "math"
 
-// The server list: when to subscribe to it, and what its updates change.
+// The server list: when to subscribe to it, and what its updates change. The caller carries out the calls;
+// see WatchList.
 
-// listPolling counts the calls for the list that failed in a row, and has the time of the last call.
+// listPolling counts the calls for the list that failed since the last list came, and has the time of the
+// last call.
 type listPolling struct {
 	failures int
 	lastAt   float64
 }
 
-// watchList subscribes, at the start and after a failed call: changes cost less than complete lists.
+// watchList subscribes, at the start and after a failed call. The module never asks for a complete list: the
+// updates of a subscription cost less.
 func (b *Balancer) watchList() {
 	b.polling.lastAt = b.now
 	b.emit(Action{Kind: WatchList})
 }
 
+// onList applies an update of the list. In a complete one, servers that it does not name are removed.
 func (b *Balancer) onList(ev ServerList) {
 	switch ev.Kind {
 	case ListFailed:
@@ -31,7 +35,8 @@
 	b.servers.dropRemoved()
 }
 
-// updateServer applies one entry. A restart clears a server's faults.
+// updateServer applies one entry of a list. A later time of start is a restart, which clears a server's
+// faults and begins its slow start; a removed server stays in the table until dropRemoved.
 func (b *Balancer) updateServer(entry *Server) {
 	s := b.servers.byID[entry.ID]
 	if s == nil {
@@ -56,9 +61,11 @@
 	}
 }
 
-// retryWatch subscribes again after a backoff with jitter from the failed call on (one that hung was a wait).
-// It is bounded: updates must be known 6 s after discovery is back, and within MaxPollInterval. Without
-// Subscribe, an agent beside the sidecar gets the lists: to ask it is free, and what it has counts as known.
+// retryWatch subscribes again after a backoff with jitter. The backoff counts from the beginning of the
+// failed call on, since one that hung was a wait already, but never less than the shortest one from now. It
+// is bounded: updates must be known 6 s after discovery is back, and within MaxPollInterval. Without
+// Subscribe, an agent beside the sidecar gets the lists: to call it costs nothing, and what it has counts
+// as known to the sidecar.
 func (b *Balancer) retryWatch() {
 	shortest := float64(pollBackoff)
 	backoff := math.Min(pollBackoff*float64(int(1)<<min(b.polling.failures, 4)), maxPollBackoff)
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -4,6 +4,7 @@
 
 // The end of an attempt: what it says of its server and of the load, and what follows for its request.
 
+// onOutcome ends an attempt. The request ends too where it has its answer; otherwise it may be retried.
 func (b *Balancer) onOutcome(r *request, ev Outcome) {
 	a := &r.attempts[ev.Attempt]
 	r.endAttempt(a, ev.Result)
@@ -17,8 +18,9 @@
 	b.advance(r)
 }
 
-// attemptCost is what a failed attempt took of the servers, as a fraction of an answer: one that broke off at
-// once took next to nothing, and to retry it does no harm. A rejection or a time-out counts as a whole one.
+// attemptCost is what an attempt cost the servers, as a fraction of an answer's work: one that broke off at
+// once took next to nothing, and to retry it does no harm. A rejection, an error or a time-out counts in
+// full.
 func (b *Balancer) attemptCost(r *request, ev Outcome) float64 {
 	if ev.Result == Rejected || ev.Result == TimedOut || ev.Result == Failed || r.stats.Count == 0 {
 		return 1 // Failed: an error may be the request's own, and must not be tried at all servers
@@ -31,7 +33,8 @@
 	s := a.server
 	switch ev.Result {
 	case OK:
-		// It had ended and is back: a restart not listed yet. One lost connection is no restart.
+		// A server that lost connections and made other errors, and answers again, has restarted, though no
+		// list says so yet. One lost connection alone is no restart.
 		if s.ConnectionLost && s.Errors > 1 && !b.warmingUp(s) {
 			b.beginSlowStart(s, b.now)
 		}
@@ -49,11 +52,11 @@
 		r.stats.add(ev.Latency)
 	case Cancelled, NotSent:
 	default:
-		if ev.Result == TimedOut { // else the slowest answers of all would never be seen
+		if ev.Result == TimedOut { // counted as an answer: the slowest ones would never be seen otherwise
 			b.latencies.record(ev.Latency / r.class.LatencyTarget)
 			b.recordTimeout(r, a, ev.Latency)
 		}
-		// ConnectFailed is no loss: a server with a full connection table refuses too.
+		// A failure to connect is no lost connection: a server whose connection table is full refuses too.
 		s.ConnectionLost = s.ConnectionLost || ev.Result == Reset
 		if unreachable := ev.Result == ConnectFailed; unreachable || !a.overdue {
 			b.recordFault(s, unreachable)
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -5,10 +5,12 @@
 	"slices"
 )
 
-// Choice of a server: smooth weighted round robin over capacity × m, within the subset and the rules.
+// The choice of a server: smooth weighted round robin over capacity × m, among the servers of this sidecar's
+// subset that the rules allow.
 
-// pick returns the server for a send, or nil. A first send takes its turn in smooth weighted round robin; a
-// retry goes to the healthiest server that was not tried, which is charged in the rotation too.
+// pick returns the server for a send, or nil if none may have the request now. A first send takes the
+// server whose turn it is in smooth weighted round robin; a retry goes to the healthiest server that was
+// not tried. Either is charged in the rotation: its current weight falls by the sum of the weights.
 func (b *Balancer) pick(r *request, retry bool) *server {
 	pool := b.subset()
 	total := b.computeWeights(pool, r, retry, false)
@@ -16,7 +18,7 @@
 		pool = b.servers.all
 		total = b.computeWeights(pool, r, retry, false)
 	}
-	if total == 0 { // all are in a cooldown: the cause is hardly theirs
+	if total == 0 { // all are in a cooldown: the cause is hardly with each of them
 		total = b.computeWeights(pool, r, retry, true)
 	}
 	load, weights := 1.0, 0.0
@@ -32,8 +34,9 @@
 		if s.weight == 0 || b.warmingUp(s) && !b.slowStartBudget(s) {
 			continue
 		}
-		// Bounded load: a server that holds more than its share is slow, hung or filled by others, whatever
-		// its errors say. It is passed over and keeps its current weight for later.
+		// Bounded load: a server that has more requests in flight than its share is slow, hung or filled by
+		// others, whatever its errors say. It is passed over and keeps its current weight for later. Where
+		// all are over their share, precedes picks the least filled.
 		maxPending := math.Ceil(loadHeadroom * load * s.weight / weights)
 		if s == preferred {
 			maxPending += affinityRoom
@@ -49,8 +52,11 @@
 	return best
 }
 
-// subset is what this sidecar rotates over: else all servers get too many connections. It starts at its
-// position in a ring of servers, is wider with more traffic, and is extended past members in a cooldown.
+// subset returns the servers that this sidecar rotates over: if all sidecars used all servers, each server
+// had too many connections. A subset is a stretch of one of ringCount orders of the servers. Which order,
+// and where in it the stretch starts, follows from the number of the sidecar, so that all sidecars together
+// use servers evenly. It is wider with more traffic, and extended past members that are not ready or in a
+// cooldown.
 func (b *Balancer) subset() []*server {
 	t, n := &b.servers, float64(len(b.servers.all))
 	width := math.Max(minSubset, connectionsPerServer*n/float64(b.cfg.SidecarCount))
@@ -71,7 +77,11 @@
 	return t.subset
 }
 
-// computeWeights sets the weights of this pick and returns their sum; all includes servers in a cooldown.
+// computeWeights sets the weight of each server of a pool for this pick, 0 for those that may not have the
+// request, and returns the sum of the weights. For a first send the current weights grow by it, which is
+// the first half of smooth weighted round robin; a server that is passed over saves up no more than one
+// rotation. Servers in a cooldown, and for unsafe requests those of little health, are candidates only if
+// all is set.
 func (b *Balancer) computeWeights(pool []*server, r *request, retry, all bool) float64 {
 	total, anyReport := 0.0, false
 	for _, s := range pool {
@@ -97,7 +107,9 @@
 	return total
 }
 
-// precedes says which of two is preferred: where all exceed their share, for a first send the least filled.
+// precedes reports whether a server is preferred to the best one so far, both being over their share or
+// neither. A retry goes by health, then by turn; a first send by turn, or to the least filled where all are
+// over their share.
 func (b *Balancer) precedes(s, best *server, retry, over bool) bool {
 	if over && !retry {
 		return (b.pending(s)+1)*best.weight < (b.pending(best)+1)*s.weight
@@ -108,10 +120,11 @@
 	return retry && health > bestHealth || (!retry || health == bestHealth) && turn > bestTurn
 }
 
-// eligible: the rules allow to send this request to this server now.
+// eligible reports whether the rules allow to send a request to a server now: it accepts requests, did not
+// have this one, and, where a keyed request may have been executed, it is of the group that knows the key
+// and remembers it still.
 func (b *Balancer) eligible(r *request, s *server) bool {
 	return s.State == Ready && !slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		// A keyed request that may have run stays where the key is known, while it is known.
 		keyUnknown := b.now >= a.sentAt+r.class.Window ||
 			r.class.Group == GroupCell && a.server.Cell != s.Cell ||
 			r.class.Group == GroupZone && a.server.Zone != s.Zone
@@ -119,11 +132,12 @@
 	})
 }
 
-// weight is capacity × m, lowered while the server warms up.
+// weight is a server's part in the rotation: its capacity, with what was learned of it, times m; more in
+// the own zone, and less while the server warms up. It is never 0.
 func (b *Balancer) weight(s *server) float64 {
 	learned := s.capacityLog + b.capacities.kinds[s.Kind] + b.capacities.zones[s.Zone]
 	w := 100 * s.Capacity * math.Exp(learned) * b.health(s)
-	if s.Zone == b.cfg.Zone { // answers from others have a penalty, which a longer latency soon outweighs
+	if s.Zone == b.cfg.Zone { // others cost a penalty, which longer latencies soon outweigh
 		ease := 1 - zonePreferenceDecay*math.Max(0, b.latencies.mean-b.latencies.min)
 		w *= 1 + zonePreference*b.cfg.Penalties.CrossZone*math.Max(0, ease)
 	}
@@ -133,7 +147,8 @@
 	return math.Max(w, 1e-6)
 }
 
-// pending is how many requests a server has: by a fresh report and what was sent since, or of this sidecar's.
+// pending is how many requests a server has: those of its load report and what was sent since, if the
+// report is fresh, otherwise those of this sidecar alone.
 func (b *Balancer) pending(s *server) float64 {
 	if b.reportFresh(s) {
 		return s.reported + s.sentSince
@@ -141,6 +156,7 @@
 	return float64(s.inFlight)
 }
 
+// reportFresh reports whether a server's last load report is recent enough to go by.
 func (b *Balancer) reportFresh(s *server) bool {
 	return s.reportedAt > 0 && b.now-s.reportedAt <= probeWait*b.maxLatencyTarget
 }
--- a/balance/probe.go
+++ b/balance/probe.go
@@ -5,9 +5,11 @@
 	"slices"
 )
 
-// Probes: where only they report the load, some servers are probed before a first send.
+// Probes ask a server for a load report. Where reports come in no other way, some servers are probed before a
+// first send, which waits for the reports for a short time.
 
-// startProbes probes the servers that are next in the rotation before a first send.
+// startProbes probes the servers that are next in the rotation for a request. A server that is being probed
+// for another request is not probed twice.
 func (b *Balancer) startProbes(r *request) {
 	if !b.cfg.Probes || b.cfg.Reports != ReportProbe {
 		return
@@ -35,19 +37,22 @@
 	b.requests.awaitingProbes = append(b.requests.awaitingProbes, r)
 }
 
-// probeCount is how many servers to probe so that hardly ever all of them are busy, within what it may cost.
+// probeCount is how many servers to probe, so that all of them have work with a probability of
+// allBusyChance at most, within what probes may cost.
 func (b *Balancer) probeCount() int {
 	affordable := maxProbeCost / math.Max(b.cfg.Penalties.Probe, 1e-3)
 	needed := math.Ceil(math.Log(allBusyChance) / math.Log(clamp(b.busyFraction, 0.01, 0.99)))
 	return int(math.Min(affordable, needed))
 }
 
+// onProbe takes a load report, or begins the cooldown of a server that gave none, and advances the requests
+// that waited for it.
 func (b *Balancer) onProbe(ev ProbeResult) {
 	s := b.servers.byID[ev.Server]
 	if s == nil {
 		return
 	}
-	if s.probing = false; ev.Result != OK { // it may run, but cannot be reached from here
+	if s.probing = false; ev.Result != OK { // the server may work, but cannot be reached from here
 		b.startCooldown(s)
 		s.ProbeFailed = true
 	} else if b.applyLoadReport(s, ev.LoadReport); s.ProbeFailed {
@@ -56,6 +61,7 @@
 	b.advanceProbed()
 }
 
+// applyLoadReport takes over a report's number of requests in flight, if it has a possible one.
 func (b *Balancer) applyLoadReport(s *server, report []float32) {
 	for i, f := range b.cfg.Fields {
 		if i < len(report) && f == FieldInFlight && report[i] >= 0 && report[i] <= math.MaxFloat32 {
@@ -73,7 +79,7 @@
 	})
 }
 
-// awaitsProbes reports whether a request still waits for its probes; it never waits for long.
+// awaitsProbes reports whether a request still waits for a probe, until its probeDeadline at the latest.
 func (b *Balancer) awaitsProbes(r *request) bool {
 	probing := func(s *server) bool { return s.probing }
 	waits := b.now < r.probeDeadline && slices.ContainsFunc(r.probed, probing)
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -3,7 +3,7 @@
 // requestTable holds the requests that are open or have attempts in flight.
 type requestTable struct {
 	byID           map[RequestID]*request
-	awaitingProbes []*request
+	awaitingProbes []*request // which were not sent yet; some may have ended meanwhile
 }
 
 // attempt is one send of a request.
@@ -12,7 +12,7 @@
 	sentAt   float64
 	live     bool // has not ended
 	neverRan bool // proved not to have been executed
-	overdue  bool // has been counted as a fault of its server
+	overdue  bool // was counted as an error of its server while in flight
 }
 
 // request is a client's request with all its attempts.
@@ -24,18 +24,18 @@
 	arrivedAt     float64
 	deadline      float64
 	attempts      []attempt
-	live          int // attempts that have not ended
-	done          bool
-	streaming     bool
-	wakeAt        float64   // when its next timer is due
-	probed        []*server // before the first send
-	probeDeadline float64   // it waits for them until then
-	lastCost      float64   // of the last attempt, lost; see attemptCost
-	totalCost     float64   // of all attempts
-	bodyConsumed  bool      // it cannot be sent again
+	live          int       // attempts that have not ended
+	done          bool      // it has its answer, or needs none
+	streaming     bool      // an answer has begun and is read by the client: no deadline, no retry
+	wakeAt        float64   // when its earliest timer is due; +Inf: none is set
+	probed        []*server // servers that are probed for it, before its first send
+	probeDeadline float64   // it waits for their reports until then; 0: it does not wait
+	lastCost      float64   // of the last attempt that ended; see attemptCost
+	totalCost     float64   // of all attempts that ended
+	bodyConsumed  bool      // its body was read: it cannot be sent again
 }
 
-// inFlight reports whether an attempt was made and has not ended.
+// inFlight reports whether the attempt of a number was made and has not ended.
 func (r *request) inFlight(number int) bool {
 	return number >= 0 && number < len(r.attempts) && r.attempts[number].live
 }
@@ -49,10 +49,11 @@
 	r.live--
 }
 
-// bodyLeaving: an attempt is out while the body still comes. Nothing is late before its last byte has left.
+// bodyLeaving reports whether an attempt is in flight whose body is still sent: until its last byte has
+// left no time counts.
 func (r *request) bodyLeaving() bool { return r.BodyOpen && r.live > 0 }
 
-// closeRequest marks a request as answered and cancels what is still out for it.
+// closeRequest ends a request: it cancels what is in flight for it, and forgets it once nothing is.
 func (b *Balancer) closeRequest(r *request) {
 	r.done = true
 	b.cancelOthers(r, -1)
@@ -61,7 +62,8 @@
 	}
 }
 
-// cancelOthers cancels what is out for a request but one attempt: its answer is of no use any more.
+// cancelOthers cancels the attempts of a request that are in flight, but for one (-1: all), where the
+// settings allow that: their answers are of no use any more.
 func (b *Balancer) cancelOthers(r *request, except int) {
 	for i := range r.attempts {
 		if r.attempts[i].live && i != except && b.cfg.Cancel {
@@ -70,11 +72,11 @@
 	}
 }
 
-// send makes an attempt and counts it.
+// send makes an attempt. A retry is taken off the retry budget with the cost of the attempt that it follows.
 func (b *Balancer) send(r *request, s *server) {
 	b.retryBudget -= r.lastCost
 	s.Tokens--
-	if !r.BodyOpen { // else the server has no work before its last byte
+	if !r.BodyOpen { // otherwise the server has no work before the last byte; see onBodySent
 		s.countAttempt(1, r)
 	}
 	r.live++
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -8,16 +8,16 @@
 // serverTable holds the servers that are listed.
 type serverTable struct {
 	all         []*server // in order of ID
-	ring        []*server // in the order of this sidecar's ring; see subset
-	subset      []*server // scratch space of subset
+	ring        []*server // by ringPosition; see Balancer.subset
+	subset      []*server // what Balancer.subset returned last; its space is used again
 	byID        map[ServerID]*server
-	totalWeight float64 // sum of weights at the last first send
+	totalWeight float64 // sum of the weights of the candidates at the last first send
 }
 
 // server is what this sidecar knows of one server.
 type server struct {
 	Server
-	ringPosition uint64
+	ringPosition uint64  // place in this sidecar's order of servers, a hash
 	capacityLog  float64 // learned logarithm of capacity, beyond its kind's and zone's
 	rotationState
 	HealthState
@@ -25,22 +25,23 @@
 	loadState
 }
 
-// rotationState is a server's part in smooth weighted round robin. All but the current weight is of one pick.
+// rotationState is a server's part in smooth weighted round robin. All but the current weight is set anew
+// at each pick.
 type rotationState struct {
 	currentWeight float64
 	weight        float64 // 0: not a candidate
-	affinity      float64 // in rotations; see keys.go
+	affinity      float64 // to the key of the request, in rotations; see keys.go
 	loadKnown     bool    // its load is known as well as that of any candidate
 }
 
-// loadState is what a server has to do.
+// loadState is what is known of a server's present work.
 type loadState struct {
-	inFlight     int     // own attempts
-	weightedLoad float64 // the same, each as one over its latency target
-	probing      bool    // a probe is out
-	reported     float64 // requests that it held at its last load report
-	reportedAt   float64
-	sentSince    float64 // own sends since that report
+	inFlight     int     // attempts of this sidecar
+	weightedLoad float64 // sum over them of 1 / latency target
+	probing      bool    // a probe is in flight
+	reported     float64 // requests in flight by its last load report
+	reportedAt   float64 // when that came; 0: there was none
+	sentSince    float64 // sends of this sidecar since that report
 }
 
 // countAttempt counts an attempt that the server works on from now on (change 1) or no longer (-1).
@@ -50,7 +51,7 @@
 	s.sentSince += float64(max(0, change))
 }
 
-// resetHealth forgets a server's faults.
+// resetHealth forgets a server's errors and cooldowns, after an answer or a restart.
 func (s *server) resetHealth() {
 	s.HealthState = HealthState{LastErrorAt: s.LastErrorAt, AnsweredAt: s.AnsweredAt}
 }
@@ -68,7 +69,7 @@
 	}
 }
 
-// dropRemoved forgets servers that are removed and puts the others in order.
+// dropRemoved takes removed servers out of the table and sorts the others. Attempts in flight keep theirs.
 func (t *serverTable) dropRemoved() {
 	t.all = slices.DeleteFunc(t.all, func(s *server) bool {
 		if s.State == Removed {
@@ -81,7 +82,8 @@
 	sort.SliceStable(t.ring, func(i, j int) bool { return t.ring[i].ringPosition < t.ring[j].ringPosition })
 }
 
-// openLoad is the weighted load at servers without a cooldown since they last answered, and at the others.
+// openLoad returns the weighted load at servers that had no cooldown since they last answered, and at the
+// others.
 func (t *serverTable) openLoad() (healthy, suspect float64) {
 	for _, s := range t.all {
 		if s.CooldownUntil == 0 {
--- a/balance/shed.go
+++ b/balance/shed.go
@@ -2,21 +2,27 @@
 
 import "math"
 
-// Load shedding: what is rejected before anything is sent, as the fleet is too slow, and who goes first.
+// Load shedding: which requests are rejected before anything of them is sent, because all servers together
+// are too slow to answer the load in time.
 
-// loadShedding is the fraction shed lastingly, and what answers exceed, in latency targets.
-type loadShedding struct{ lasting, excess float64 }
+// loadShedding is how much load is shed.
+type loadShedding struct {
+	lasting float64 // fraction of the load, which follows the excess slowly
+	excess  float64 // by how many latency targets answers are slower than they may be; below 0: they are not
+}
 
-// admit reports whether a request is served at all; else the fleet cannot answer the load in time. Attempts
-// in flight over the rate of answers show how long answers take now (Little's law), earlier than answers do.
+// admit reports whether a request is served; if not, it is shed. How long answers take now is what is in
+// flight over the rate of answers (Little's law), which shows an overload earlier than the answers do; it
+// counts only as far as recent answers confirm it. What exceeds maxLatency is shed: a part at once, which
+// follows the load up and down, and a part that adds up over requests.
 func (b *Balancer) admit(r *request) bool {
-	load, hung := b.servers.openLoad()
-	if hung > load { // what hangs at a few servers is their fault; at most of them it is overload
-		load += hung
+	load, suspectLoad := b.servers.openLoad()
+	if suspectLoad > load { // what hangs at a few servers is their fault; at most servers it is overload
+		load += suspectLoad
 	}
-	shedding, least := &b.shedding, b.latencies.min
+	shedding, minLatency := &b.shedding, b.latencies.min
 	latency := loadTrust * load / b.traffic.answerRate.perMillisecond(b, assumedAnswers)
-	maxLatency := least + queueAllowance*(1-least) // the work and a fraction of the rest
+	maxLatency := minLatency + queueAllowance*(1-minLatency) // the work and a fraction of the rest
 	shedding.excess = math.Min(math.Min(latency, 2*b.latencies.recent), 2) - maxLatency
 	requestsInTarget := b.traffic.requestRate.perMillisecond(b, 0) * b.maxLatencyTarget
 	step := shedStep * clamp(fewRequests/requestsInTarget, 1, fewRequests)
@@ -29,13 +35,17 @@
 	return shed == 0 || b.rng.Float64() >= b.shedProbability(r, shed)
 }
 
-// lateRetry: a client's retry whose latency target has passed, by its time left: first requests have more.
+// lateRetry reports whether a request is a client's retry whose latency target has passed. It goes by the
+// time that is left: a first request has the longest that was seen of its class, and the deadline is that
+// of the first.
 func (b *Balancer) lateRetry(r *request) bool {
 	r.stats.MaxRemaining = math.Max(r.stats.MaxRemaining, r.Remaining)
 	return r.Remaining < 0.99*r.stats.MaxRemaining && r.Remaining <= r.class.Deadline-r.class.LatencyTarget
 }
 
-// shedProbability sheds first the classes and tenants whose answers add least to the goal for their work.
+// shedProbability returns the probability to shed a request, so that shed is the fraction of all work that
+// is shed: first goes the work of the classes and tenants whose answers add least to the goal for their
+// work, as far as needed, and none of those that add most. It may be below 0 or above 1.
 func (b *Balancer) shedProbability(r *request, shed float64) float64 {
 	all := b.traffic.totals()
 	total, below, similar, own := 0.0, 0.0, 1e-3, b.answerValue(&all, r.stats, r.tenant)
@@ -55,7 +65,8 @@
 	return (shed*total - below) / similar
 }
 
-// answerValue is what an answer adds to the goal for its work; the worst-served class and tenant count extra.
+// answerValue is what an answer of a class to a tenant adds to the goal, for each millisecond of its work.
+// Answers to the worst-served class and tenant add to the goal's weights of these as well.
 func (b *Balancer) answerValue(all *trafficTotals, class *classStats, tenant *servedCounts) float64 {
 	v := (b.cfg.Goal.Overall + b.cfg.Goal.WorstWindow) * class.value / all.value
 	if class == all.worstClass {
@@ -68,7 +79,9 @@
 	return v / math.Max(class.Mean, 1e-3)
 }
 
-// shareFactor is how much of a tenant's traffic has its full value, by its share of this sidecar's requests.
+// shareFactor is the mean value of a tenant's answers, as a fraction of the full value: within its share of
+// this sidecar's requests they have all of it, beyond that OverShareValue. A tenant below its share is
+// above 1.
 func (b *Balancer) shareFactor(t *servedCounts, requests float64) float64 {
 	if t.share <= 0 {
 		return 1
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -78,8 +78,8 @@
 		CapacitySamples: b.capacities.samples, MeanCapacityStep: b.capacities.meanStep,
 		ShedFraction: b.shedding.lasting, MeanLatency: b.latencies.mean,
 		LatencySamples: b.latencies.samples, MinLatency: b.latencies.min, RetryBudget: b.retryBudget,
-		RequestsRecent: requests.recent, RequestsLatest: requests.latest, RequestsAt: requests.at,
-		AnswersRecent: answers.recent, AnswersLatest: answers.latest, AnswersAt: answers.at,
+		RequestsRecent: requests.recent, RequestsLatest: requests.latest, RequestsAt: requests.updated,
+		AnswersRecent: answers.recent, AnswersLatest: answers.latest, AnswersAt: answers.updated,
 	}
 	for _, s := range b.servers.all {
 		one := ServerSnapshot{
--- a/balance/traffic.go
+++ b/balance/traffic.go
@@ -2,28 +2,30 @@
 
 import "math"
 
-// traffic counts what clients request and what is answered.
+// traffic counts what clients request and what is answered, at this sidecar.
 type traffic struct {
-	classes                 []classStats
-	tenants                 []servedCounts // the last is for requests without a tenant
+	classes                 []classStats   // in the order of Config.Classes
+	tenants                 []servedCounts // in that of Config.Tenants; the last is for requests without one
 	requestRate, answerRate rateMeter
 }
 
 // servedCounts counts the requests of a class or tenant, and those served within the latency target. Both
-// start at 1, so that neither is ever 0. share is a tenant's.
+// start at 1, so that neither is ever 0. share is Tenant.Share, and 0 for a class.
 type servedCounts struct{ requests, served, share float64 }
 
+// worseServedThan reports whether a smaller fraction of its requests was served in time.
 func (c *servedCounts) worseServedThan(other *servedCounts) bool {
 	return c.served*other.requests < other.served*c.requests
 }
 
-// classStats counts the requests of a class and follows how long its answers take.
+// classStats counts the requests of a class and follows how long its answers take; value is Class.Value.
 type classStats struct {
 	servedCounts
 	ClassSnapshot
 	value float64
 }
 
+// add counts an answer that took latency, in ms. Mean and deviation are of about the last 300 answers.
 func (c *classStats) add(latency float64) {
 	c.Count = math.Min(c.Count+1, 300)
 	c.Mean += (latency - c.Mean) / c.Count
@@ -38,13 +40,15 @@
 	return &t.tenants[i]
 }
 
-// trafficTotals are the requests of all classes, their value, and who is served the smallest part of them.
+// trafficTotals are the requests of all classes, their value if all were answered in time, and which class
+// and which tenant is served worst.
 type trafficTotals struct {
 	requests, value float64
 	worstClass      *classStats
 	worstTenant     *servedCounts
 }
 
+// totals returns the totals since the start of this process.
 func (t *traffic) totals() trafficTotals {
 	all := trafficTotals{value: 1e-9, worstClass: &t.classes[0], worstTenant: &t.tenants[0]}
 	for i := range t.classes {
@@ -63,18 +67,24 @@
 	return all
 }
 
-// rateMeter holds decayed counts, over rateSpan of the longest latency targets and over one, as of at.
-type rateMeter struct{ recent, latest, at float64 }
+// rateMeter counts events so that old ones decay exponentially.
+type rateMeter struct {
+	recent  float64 // with a time constant of rateSpan times the longest latency target
+	latest  float64 // ... and of one longest latency target
+	updated float64 // when both were last decayed
+}
 
+// count adds events at the present time; 0 only decays the counts.
 func (m *rateMeter) count(b *Balancer, events float64) {
 	short, long := b.maxLatencyTarget, rateSpan*b.maxLatencyTarget
-	m.latest = m.latest*math.Exp((m.at-b.now)/short) + events
-	m.recent = m.recent*math.Exp((m.at-b.now)/long) + events
-	m.at = b.now
+	m.latest = m.latest*math.Exp((m.updated-b.now)/short) + events
+	m.recent = m.recent*math.Exp((m.updated-b.now)/long) + events
+	m.updated = b.now
 }
 
-// perMillisecond is the rate over the long span, with some events assumed beside those counted; or over the
-// short span, where what is certain of it is more: traffic may grow fast.
+// perMillisecond returns the rate over the long span, with some events assumed beside those counted.
+// Traffic may grow fast: where the rate over the short span, less two standard deviations of its count, is
+// more, it is that. While the process is younger than a span, the long span is only what it has seen of it.
 func (m *rateMeter) perMillisecond(b *Balancer, assumed float64) float64 {
 	m.count(b, 0)
 	short, long := b.maxLatencyTarget, rateSpan*b.maxLatencyTarget
@@ -82,10 +92,15 @@
 	return math.Max(slow, (m.latest-2*math.Sqrt(m.latest))/short)
 }
 
-// latencyStats follows how long answers take, as a fraction of their latency target: the mean over meanSpan,
-// how many answers that is of, the least that it has been, and the mean over shortMeanSpan.
-type latencyStats struct{ mean, samples, min, recent float64 }
+// latencyStats follows how long answers take. All but samples is a fraction of the latency targets.
+type latencyStats struct {
+	mean    float64 // over meanSpan answers
+	samples float64 // how many answers mean is of, at most meanSpan
+	min     float64 // the least that mean has been: the work alone, without queues
+	recent  float64 // the mean over shortMeanSpan answers
+}
 
+// record counts an answer; more than twice its latency target counts as that.
 func (l *latencyStats) record(latency float64) {
 	l.samples = math.Min(l.samples+1, meanSpan)
 	l.recent += (math.Min(latency, 2) - l.recent) / shortMeanSpan
