--- a/balance/api.go
+++ b/balance/api.go
@@ -20,12 +20,12 @@
 // ID of its own.
 type RequestID uint64
 
-// ServerState is what discovery knows of a server.
+// ServerState is what discovery says of a server.
 type ServerState uint8
 
 // A server's states.
 const (
-	Ready    ServerState = iota // takes requests
+	Ready    ServerState = iota // accepts requests
 	Draining                    // finishes what it has and must get nothing new
 	Removed                     // does not exist any more
 )
@@ -34,9 +34,9 @@
 type Server struct {
 	ID               ServerID
 	State            ServerState
-	StartedAt        float64 // 0: long ago
+	StartedAt        float64 // when it last started; 0: long ago
 	Capacity         float64 // relative to other servers; 1 where nothing is known
-	Cell, Zone, Kind int
+	Cell, Zone, Kind int     // Kind is of machine: what is learned of one server's capacity counts for its kind too
 }
 
 // Event is anything that happens to a sidecar: one of the types below.
@@ -63,12 +63,12 @@
 type Request struct {
 	ID            RequestID
 	Class, Tenant int
-	WorkHint      float64 // expected work, 0 if unknown
-	Key           uint64
+	WorkHint      float64 // expected work, 0 if unknown; not used
+	Key           uint64  // what the request is about, for affinity, as a hash; 0: none
 	Remaining     float64 // time until the client gives this request up
 	ClientRetry   bool    // the client says that it is a retry
-	Write         bool
-	BodyOpen      bool // its body is still coming and is passed on as it comes: its time begins with BodySent
+	Write         bool    // it changes data; not used
+	BodyOpen      bool    // its body is still arriving and is passed on as it comes: its time begins with BodySent
 }
 
 // Result is how an attempt or a probe ended.
@@ -78,15 +78,15 @@
 const (
 	OK            Result = iota // answered
 	Failed                      // answered with an error
-	Rejected                    // the server had no room and did not run it
+	Rejected                    // the server had no capacity for it, and did not execute it
 	TimedOut                    // no answer in time
 	ConnectFailed               // no connection to the server
 	Reset                       // the connection was lost after the request had begun to leave
 	Cancelled                   // by the sidecar
-	NotSent                     // the sidecar did not begin it
+	NotSent                     // nothing of it was sent
 )
 
-// String names the result, for logs.
+// String names the result, as logs and conversations do.
 func (r Result) String() string {
 	names := [...]string{"served", "error", "full", "timed out", "connect failed", "reset", "cancelled", "moot"}
 	if int(r) < len(names) {
@@ -101,16 +101,17 @@
 // Outcome is the end of an attempt; each attempt gets one.
 type Outcome struct {
 	Request      RequestID
-	Attempt      int
+	Attempt      int // of the request, from 0
 	Server       ServerID
 	Result       Result
-	Latency      float64
-	Finished     bool      // the request needs no answer (any more)
-	BodyConsumed bool      // its body is gone: the request cannot be sent again
-	LoadReport   []float32 // empty if none
+	Latency      float64   // from Send until the end
+	Finished     bool      // the request needs no answer any more
+	BodyConsumed bool      // some of its streamed body was read: the request cannot be sent again
+	LoadReport   []float32 // in the order of Config.Fields; empty: none
 }
 
-// BodySent says that the last byte of a request with BodyOpen has left: its server can begin, and the time of its client does.
+// BodySent says that the last byte of a request with BodyOpen was sent: its server can begin, and the time limits of the request and of
+// its attempt do.
 type BodySent struct {
 	Request RequestID
 	Attempt int
@@ -124,7 +125,7 @@
 	Latency float64
 }
 
-// ClientGone says that the client has hung up; it gets no answer.
+// ClientGone says that the client has gone away; it gets no answer.
 type ClientGone struct{ Request RequestID }
 
 // Timer is a timer set by SetTimer that is due.
@@ -135,7 +136,7 @@
 	Server     ServerID
 	Result     Result
 	Latency    float64
-	LoadReport []float32
+	LoadReport []float32 // in the order of Config.Fields
 }
 
 // Message is a message from another sidecar. The module ignores it.
@@ -159,17 +160,17 @@
 
 // The actions; the comment names the fields of Action that count.
 const (
-	Send       ActionKind = iota // Request, Server, After: the attempt is dropped then (0: at the client's deadline)
+	Send       ActionKind = iota // Request, Server, After: when the attempt times out (0: at the client's deadline)
 	Reject                       // Request, After: when to retry (0: not said); a final answer: a retry does no harm
-	Fail                         // Request; a final answer that promises nothing
-	Cancel                       // Request, Attempt
-	SetTimer                     // Token, After, Request: need not come back once that has ended (0: it must)
-	Probe                        // Server: get a load report
+	Fail                         // Request; a final answer: a retry could be executed a second time
+	Cancel                       // Request, Attempt: its Outcome follows all the same
+	SetTimer                     // Token, After, Request: a Timer is not needed once that has ended (0: always)
+	Probe                        // Server: get a load report; a ProbeResult follows
 	CloseIdle                    // Server: close the idle connections to it
 	SendToPeer                   // Peer (-1: all), Data
 	Log                          // Text
-	WatchList                    // subscribe to the server list
-	FetchList                    // ask for the complete list once
+	WatchList                    // subscribe to the server list; a ServerList follows for each update, and at the end
+	FetchList                    // ask for the complete list once; a ServerList follows
 )
 
 // Action is one thing to do, in the order given.
@@ -178,7 +179,7 @@
 	Request RequestID
 	Attempt int // of the request, from 0
 	Server  ServerID
-	After   float64 // from now
+	After   float64 // milliseconds from now
 	Token   uint64
 	Peer    int
 	Data    []byte
--- a/balance/parameters.go
+++ b/balance/parameters.go
@@ -1,6 +1,7 @@
 package balance
 
-// The constants of the decisions; what a deployment sets is in Config. Times are milliseconds.
+// The constants of the decisions; what a deployment sets is in Config. Times are milliseconds. Tests of other
+// packages read some of them here by name.
 const (
 	errorHalfLife       = 5000 // errors lose half their weight in this time: faults last seconds, not minutes
 	errorPenalty        = 0.2  // m lost for each consecutive error
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -29,7 +29,7 @@
 		}
 	}
 	var best *server
-	bestOver, preferred := false, b.preferredServer(pool, r, retry)
+	bestOverShare, preferred := false, b.preferredServer(pool, r, retry)
 	for _, s := range pool {
 		if s.weight == 0 || b.warmingUp(s) && !b.slowStartBudget(s) {
 			continue
@@ -41,9 +41,10 @@
 		if s == preferred {
 			maxPending += affinityRoom
 		}
-		over := !s.loadKnown || b.pending(s)+1 > maxPending
-		if best == nil || bestOver && !over || over == bestOver && b.precedes(s, best, retry, over) {
-			best, bestOver = s, over
+		overShare := !s.loadKnown || b.pending(s)+1 > maxPending
+		if best == nil || bestOverShare && !overShare ||
+			overShare == bestOverShare && b.precedes(s, best, retry, overShare) {
+			best, bestOverShare = s, overShare
 		}
 	}
 	if best != nil {
@@ -82,12 +83,12 @@
 // the first half of smooth weighted round robin; a server that is passed over saves up no more than one
 // rotation. Servers in a cooldown, and for unsafe requests those of little health, are candidates only if
 // all is set.
-func (b *Balancer) computeWeights(pool []*server, r *request, retry, all bool) float64 {
+func (b *Balancer) computeWeights(pool []*server, r *request, retry, withSuspects bool) float64 {
 	total, anyReport := 0.0, false
 	for _, s := range pool {
 		s.weight = 0
 		if !b.eligible(r, s) ||
-			!all && (b.coolingDown(s) || r.class.Effect == Unsafe && b.health(s) < minUnsafeHealth) {
+			!withSuspects && (b.coolingDown(s) || r.class.Effect == Unsafe && b.health(s) < minUnsafeHealth) {
 			continue
 		}
 		s.weight, s.affinity = b.weight(s), b.affinity(r, s)
@@ -110,8 +111,8 @@
 // precedes reports whether a server is preferred to the best one so far, both being over their share or
 // neither. A retry goes by health, then by turn; a first send by turn, or to the least filled where all are
 // over their share.
-func (b *Balancer) precedes(s, best *server, retry, over bool) bool {
-	if over && !retry {
+func (b *Balancer) precedes(s, best *server, retry, overShare bool) bool {
+	if overShare && !retry {
 		return (b.pending(s)+1)*best.weight < (b.pending(best)+1)*s.weight
 	}
 	health, bestHealth := b.health(s), b.health(best)
