--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,11 +1,19 @@
 package balance
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"math/rand/v2"
 )
 
+// The errors of Handle: events that are impossible.
+var (
+	ErrIDInUse      = errors.New("the id is in use")
+	ErrUnknownClass = errors.New("unknown class")
+	ErrNotInFlight  = errors.New("it is not out")
+)
+
 // listTimer is the token of the timer for the server list. A request's timers have its ID, which is below
 // 2^52.
 const listTimer = 1 << 60
@@ -66,13 +74,14 @@
 	switch ev := ev.(type) {
 	case Request:
 		if b.requests.byID[ev.ID] != nil {
-			return nil, fmt.Errorf("request %d: the id is in use", ev.ID)
+			return nil, fmt.Errorf("request %d: %w", ev.ID, ErrIDInUse)
 		}
 		err = b.onRequest(ev)
 	case Outcome:
 		r := b.requests.byID[ev.Request]
 		if r == nil || !r.inFlight(ev.Attempt) {
-			return nil, fmt.Errorf("outcome of request %d, attempt %d: it is not out", ev.Request, ev.Attempt)
+			return nil, fmt.Errorf("outcome of request %d, attempt %d: %w",
+				ev.Request, ev.Attempt, ErrNotInFlight)
 		}
 		ev.Latency = finite(ev.Latency, math.MaxFloat32)
 		b.onOutcome(r, ev)
--- a/balance/lifecycle.go
+++ b/balance/lifecycle.go
@@ -21,7 +21,7 @@
 // onRequest admits a request or answers it at once. It counts either way: clients that are rejected retry.
 func (b *Balancer) onRequest(ev Request) error {
 	if ev.Class < 0 || ev.Class >= len(b.cfg.Classes) {
-		return fmt.Errorf("request %d: unknown class %d", ev.ID, ev.Class)
+		return fmt.Errorf("request %d: %w %d", ev.ID, ErrUnknownClass, ev.Class)
 	}
 	r := &request{
 		Request: ev, class: &b.cfg.Classes[ev.Class], stats: &b.traffic.classes[ev.Class],
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -16,7 +16,7 @@
 
 // mayImport are the packages that the module may import: those that only compute. None reads a clock, opens anything, waits or starts a
 // goroutine, and none is of this project.
-var mayImport = []string{"fmt", "maps", "math", "math/rand/v2", "slices", "sort"}
+var mayImport = []string{"errors", "fmt", "maps", "math", "math/rand/v2", "slices", "sort"}
 
 // The deployment names the files that decide: whoever is on call reads all of them, and finds every decision in one of them. The list is
 // taken from there, so that it and this test cannot drift apart.
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -82,7 +82,7 @@
 // request, and returns the sum of the weights. For a first send the current weights grow by it, which is
 // the first half of smooth weighted round robin; a server that is passed over saves up no more than one
 // rotation. Servers in a cooldown, and for unsafe requests those of little health, are candidates only if
-// all is set.
+// withSuspects is set.
 func (b *Balancer) computeWeights(pool []*server, r *request, retry, withSuspects bool) float64 {
 	total, anyReport := 0.0, false
 	for _, s := range pool {
--- a/internal/sidecar/admission/controller.go
+++ b/internal/sidecar/admission/controller.go
@@ -63,26 +63,26 @@
 
 // New returns a controller without connections.
 func New(c Config, now time.Time) *Controller {
-	d := &Controller{Config: c}
-	d.requestRates.decayed = now
-	return d
+	ctl := &Controller{Config: c}
+	ctl.requestRates.decayed = now
+	return ctl
 }
 
 // Admit decides on a new connection. It is rejected where MaxConnections are open and none of them may be evicted. A
 // connection that is evicted for it is returned; the caller closes it, and the controller does not count it any more. quiet
 // reports whether no unread bytes of a connection have arrived; only a quiet connection is evicted.
-func (d *Controller) Admit(c *Conn, now time.Time, quiet func(*Conn) bool) (evicted *Conn, admitted bool) {
-	d.observeOpen(now)
-	d.stats.Arrived++
-	if d.open >= d.MaxConnections {
-		if evicted = d.evictionCandidate(now, quiet); evicted == nil {
-			d.stats.Rejected++
+func (ctl *Controller) Admit(c *Conn, now time.Time, quiet func(*Conn) bool) (evicted *Conn, admitted bool) {
+	ctl.observeOpen(now)
+	ctl.stats.Arrived++
+	if ctl.open >= ctl.MaxConnections {
+		if evicted = ctl.evictionCandidate(now, quiet); evicted == nil {
+			ctl.stats.Rejected++
 			return nil, false
 		}
-		d.remove(evicted, now)
+		ctl.remove(evicted, now)
 	}
-	d.open++
-	d.link(c, idle, now)
+	ctl.open++
+	ctl.link(c, idle, now)
 	return evicted, true
 }
 
@@ -92,16 +92,16 @@
 
 // evictionCandidate returns the connection with the least expected value, or nil. One that had more than one response is
 // evicted only if less is expected of it within the horizon than of a new connection.
-func (d *Controller) evictionCandidate(now time.Time, quiet func(*Conn) bool) *Conn {
-	if e := d.closing.Front(); e != nil {
-		d.stats.ClosedEarly++
+func (ctl *Controller) evictionCandidate(now time.Time, quiet func(*Conn) bool) *Conn {
+	if e := ctl.closing.Front(); e != nil {
+		ctl.stats.ClosedEarly++
 		return e.Value.(*Conn)
 	}
-	responseValues := d.responseValues()
-	newcomerValue := d.requestRates.probability(never, 0, d.Horizon)
+	responseValues := ctl.responseValues()
+	newcomerValue := ctl.requestRates.probability(never, 0, ctl.Horizon)
 	var next [histories]*list.Element
-	for h := range d.idle {
-		next[h] = d.idle[h].Front()
+	for h := range ctl.idle {
+		next[h] = ctl.idle[h].Front()
 	}
 	for {
 		minValue, candidate := math.Inf(1), histories
@@ -114,7 +114,7 @@
 			if !c.requested && idleTime < FirstRequestGrace {
 				continue
 			}
-			value := d.requestRates.probability(h, idleTime, d.Horizon) * responseValues[h]
+			value := ctl.requestRates.probability(h, idleTime, ctl.Horizon) * responseValues[h]
 			if value < minValue && (h <= once || value < newcomerValue) {
 				minValue, candidate = value, h
 			}
@@ -124,7 +124,7 @@
 		}
 		c := next[candidate].Value.(*Conn)
 		if quiet(c) {
-			d.stats.Evicted[candidate]++
+			ctl.stats.Evicted[candidate]++
 			return c
 		}
 		next[candidate] = next[candidate].Next() // a request of this one is arriving
@@ -133,50 +133,50 @@
 
 // responseValues is the value of a response by the history of its connection: the response itself, and those that are expected
 // to follow it on the same connection within the horizon.
-func (d *Controller) responseValues() (values [histories]float64) {
-	values[regular] = 1 + d.requestRates.mean(regular)*d.Horizon.Seconds()
+func (ctl *Controller) responseValues() (values [histories]float64) {
+	values[regular] = 1 + ctl.requestRates.mean(regular)*ctl.Horizon.Seconds()
 	for h := regular; h > never; h-- {
-		values[h-1] = 1 + d.requestRates.probability(h, 0, d.Horizon)*values[h]
+		values[h-1] = 1 + ctl.requestRates.probability(h, 0, ctl.Horizon)*values[h]
 	}
 	return values
 }
 
 // RequestStarted tells the controller of the first byte of a request on a connection.
-func (d *Controller) RequestStarted(c *Conn, now time.Time) {
+func (ctl *Controller) RequestStarted(c *Conn, now time.Time) {
 	if c.state == idle {
 		c.requested = true
-		d.unlink(c)
-		d.link(c, busy, now)
+		ctl.unlink(c)
+		ctl.link(c, busy, now)
 	}
 }
 
 // ResponseStarted tells the controller that a complete request is being answered, whatever the response. It reports whether the
 // response should close the connection, because it is unlikely to be used again while connections are scarce. Closing also frees
 // a descriptor of the client, whose limit is not known here.
-func (d *Controller) ResponseStarted(c *Conn, now time.Time) (closeAfter bool) {
-	d.observeOpen(now)
+func (ctl *Controller) ResponseStarted(c *Conn, now time.Time) (closeAfter bool) {
+	ctl.observeOpen(now)
 	if c.state != busy {
 		return false
 	}
-	d.observe(c, now)
-	d.requestRates.ended(historyOf(c.responses), now.Sub(c.idleSince))
+	ctl.observe(c, now)
+	ctl.requestRates.ended(historyOf(c.responses), now.Sub(c.idleSince))
 	c.responses++
 	c.idleSince, c.observed = now, 0
-	return d.requestRates.probability(historyOf(c.responses), 0, d.Horizon) < minReuseProbability*float64(d.open)/float64(d.MaxConnections)
+	return ctl.requestRates.probability(historyOf(c.responses), 0, ctl.Horizon) < minReuseProbability*float64(ctl.open)/float64(ctl.MaxConnections)
 }
 
 // observeOpen adds, once in decayInterval, how long the open connections have had no response.
-func (d *Controller) observeOpen(now time.Time) {
-	if !d.requestRates.decay(now) || d.open < d.MaxConnections/observeFraction {
+func (ctl *Controller) observeOpen(now time.Time) {
+	if !ctl.requestRates.decay(now) || ctl.open < ctl.MaxConnections/observeFraction {
 		return
 	}
-	for h := range d.idle {
-		for e := d.idle[h].Front(); e != nil; e = e.Next() {
-			d.observe(e.Value.(*Conn), now)
+	for h := range ctl.idle {
+		for e := ctl.idle[h].Front(); e != nil; e = e.Next() {
+			ctl.observe(e.Value.(*Conn), now)
 		}
 	}
-	for e := d.busy.Front(); e != nil; e = e.Next() {
-		d.observe(e.Value.(*Conn), now)
+	for e := ctl.busy.Front(); e != nil; e = e.Next() {
+		ctl.observe(e.Value.(*Conn), now)
 	}
 }
 
@@ -185,36 +185,36 @@
 const observeFraction = 4
 
 // observe adds what is new of the time since the connection's last response.
-func (d *Controller) observe(c *Conn, now time.Time) {
+func (ctl *Controller) observe(c *Conn, now time.Time) {
 	idleTime := now.Sub(c.idleSince)
-	d.requestRates.observe(historyOf(c.responses), c.observed, idleTime)
+	ctl.requestRates.observe(historyOf(c.responses), c.observed, idleTime)
 	c.observed = idleTime
 }
 
 // ResponseDone tells the controller that the response has ended and the connection stays open.
-func (d *Controller) ResponseDone(c *Conn, now time.Time) {
+func (ctl *Controller) ResponseDone(c *Conn, now time.Time) {
 	if c.state == busy {
-		d.unlink(c)
-		d.link(c, idle, now)
+		ctl.unlink(c)
+		ctl.link(c, idle, now)
 	}
 }
 
 // Closing tells the controller that a connection had its last response and will be closed soon.
-func (d *Controller) Closing(c *Conn, now time.Time) {
+func (ctl *Controller) Closing(c *Conn, now time.Time) {
 	if c.state == idle || c.state == busy {
-		d.unlink(c)
-		d.link(c, closing, now)
+		ctl.unlink(c)
+		ctl.link(c, closing, now)
 	}
 }
 
 // Open returns how many connections are open.
-func (d *Controller) Open() int { return d.open }
+func (ctl *Controller) Open() int { return ctl.open }
 
 // IdleSince returns the connections that have been idle for at least a time, so that a sidecar that shuts down need not wait for
 // them; one without a request has to be idle for FirstRequestGrace in any case. They count as open until Closed.
-func (d *Controller) IdleSince(now time.Time, minIdle time.Duration) (conns []*Conn) {
-	for h := range d.idle {
-		for e := d.idle[h].Front(); e != nil; e = e.Next() {
+func (ctl *Controller) IdleSince(now time.Time, minIdle time.Duration) (conns []*Conn) {
+	for h := range ctl.idle {
+		for e := ctl.idle[h].Front(); e != nil; e = e.Next() {
 			c := e.Value.(*Conn)
 			required := minIdle
 			if !c.requested {
@@ -230,56 +230,56 @@
 }
 
 // Closed tells the controller that a connection was closed, by either side.
-func (d *Controller) Closed(c *Conn, now time.Time) {
+func (ctl *Controller) Closed(c *Conn, now time.Time) {
 	if c.state != notOpen {
-		d.remove(c, now)
+		ctl.remove(c, now)
 	}
 }
 
 // Stats returns the current connections and the totals.
-func (d *Controller) Stats() Stats {
-	f := d.stats
-	f.Closing = d.closing.Len()
-	f.Busy = d.open - f.Closing
-	for h := range d.idle {
-		f.Idle[h] = d.idle[h].Len()
-		f.Busy -= f.Idle[h]
+func (ctl *Controller) Stats() Stats {
+	stats := ctl.stats
+	stats.Closing = ctl.closing.Len()
+	stats.Busy = ctl.open - stats.Closing
+	for h := range ctl.idle {
+		stats.Idle[h] = ctl.idle[h].Len()
+		stats.Busy -= stats.Idle[h]
 	}
-	return f
+	return stats
 }
 
 // remove ends the record of an open connection.
-func (d *Controller) remove(c *Conn, now time.Time) {
+func (ctl *Controller) remove(c *Conn, now time.Time) {
 	if c.state != closing { // a response might have come later: all that is known is that none came until now
-		d.observe(c, now)
+		ctl.observe(c, now)
 	}
-	d.unlink(c)
-	d.open--
+	ctl.unlink(c)
+	ctl.open--
 }
 
 // unlink removes a connection from its list.
-func (d *Controller) unlink(c *Conn) {
+func (ctl *Controller) unlink(c *Conn) {
 	switch c.state {
 	case idle:
-		d.idle[historyOf(c.responses)].Remove(c.element)
+		ctl.idle[historyOf(c.responses)].Remove(c.element)
 	case busy:
-		d.busy.Remove(c.element)
+		ctl.busy.Remove(c.element)
 	case closing:
-		d.closing.Remove(c.element)
+		ctl.closing.Remove(c.element)
 	}
 	c.state, c.element = notOpen, nil
 }
 
 // link adds a connection to the list of a state.
-func (d *Controller) link(c *Conn, to state, now time.Time) {
+func (ctl *Controller) link(c *Conn, to state, now time.Time) {
 	c.state = to
 	switch to {
 	case idle:
 		c.idleSince, c.observed = now, 0
-		c.element = d.idle[historyOf(c.responses)].PushBack(c)
+		c.element = ctl.idle[historyOf(c.responses)].PushBack(c)
 	case busy:
-		c.element = d.busy.PushBack(c)
+		c.element = ctl.busy.PushBack(c)
 	case closing:
-		c.element = d.closing.PushBack(c)
+		c.element = ctl.closing.PushBack(c)
 	}
 }
--- a/internal/sidecar/connlimit/limiter.go
+++ b/internal/sidecar/connlimit/limiter.go
@@ -9,7 +9,7 @@
 // whatever it sent before.
 //
 // Locks: Limiter.mu guards the admission controller and the fields of each client that say so; readAhead.mu guards what was read
-// ahead. Neither is held during a blocking read or write, and readAhead.mu is never taken before Limiter.mu.
+// ahead. Neither is held during a blocking read or write. Who needs both takes Limiter.mu first.
 package connlimit
 
 import (
--- a/internal/sidecar/core/attempt.go
+++ b/internal/sidecar/core/attempt.go
@@ -92,6 +92,9 @@
 	l.attemptEnded(a, out)
 }
 
+// errNoConnection is the error of an attempt that timed out before its connection was open.
+var errNoConnection = errors.New("no connection in time")
+
 // attemptEnded handles the end of an attempt: it answers the request if the attempt was served, and passes the outcome to the module.
 // Only the first end of an attempt counts.
 func (l *Loop) attemptEnded(a *attempt, out upstream.Outcome) {
@@ -105,7 +108,7 @@
 	a.ended = true
 	l.timers.remove(a.timeout)
 	if out.Result == upstream.TimedOut && a.call.Claim() { // never connected; claimed before the exchange is cancelled
-		out = upstream.Outcome{Result: upstream.ConnectFailed, Err: errors.New("no connection in time")}
+		out = upstream.Outcome{Result: upstream.ConnectFailed, Err: errNoConnection}
 	}
 	if !a.streaming {
 		a.cancel()
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -31,8 +31,8 @@
 	OnServerAvailable func()
 }
 
-// Loop owns the decision module, its timers, and the tables of requests and servers. One goroutine runs it;
-// others hand it functions to run there.
+// Loop owns the decision module, its timers, and the tables of requests and servers. One goroutine runs it; others
+// post functions to it, which run there one after another.
 type Loop struct {
 	clock     clock
 	config    Config
@@ -60,7 +60,7 @@
 // eventQueueSize is how many functions may wait for the loop before those who post them wait.
 const eventQueueSize = 1024
 
-// New returns a loop; Run runs it.
+// New returns a loop for a source of lists and the servers' side; Run runs it.
 func New(c Config, source member.Source, endpoints upstream.Servers, log *slog.Logger) *Loop {
 	return &Loop{
 		clock: newClock(), config: c, balancer: balance.New(c.Module), endpoints: endpoints, source: source, log: log,
@@ -70,7 +70,8 @@
 	}
 }
 
-// Run runs the loop until ctx ends.
+// Run runs the loop until ctx ends, and is called once. The contexts of watches and attempts are ctx's, so that they end with it; requests
+// that have no answer then get front.ErrEnded.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.ended)
 	l.ctx = ctx
@@ -136,7 +137,8 @@
 	}
 }
 
-// handle passes an event to the module and carries out its actions. An error means that the module rejected the event.
+// handle passes an event to the module and carries out its actions. An error means that the event is impossible for the module: it has
+// ignored it.
 func (l *Loop) handle(event balance.Event) error {
 	actions, err := l.balancer.Handle(l.clock.nowMillis(), event)
 	if err != nil {
@@ -155,6 +157,7 @@
 // notify passes an event to the module. That the module rejected it is logged, and changes nothing for the caller.
 func (l *Loop) notify(event balance.Event) { _ = l.handle(event) }
 
+// carryOut carries out actions of the module, in their order. What ends at once is deferred until all are carried out.
 func (l *Loop) carryOut(actions []balance.Action) {
 	for i := range actions {
 		a := &actions[i]
--- a/internal/sidecar/core/snapshot.go
+++ b/internal/sidecar/core/snapshot.go
@@ -39,23 +39,23 @@
 	return rules
 }
 
-// remapMemory moves what was learned to the positions that its names have in this process. What has no name here, or belongs to a class
+// remapSnapshot moves what was learned to the positions that its names have in this process. What has no name here, or belongs to a class
 // with other rules, is dropped. If the previous version gave no names, positions keep their meaning if there are as many classes, and
 // everything is dropped if not.
-func remapMemory(memory balance.Snapshot, previous *Names, current Names) balance.Snapshot {
+func remapSnapshot(learned balance.Snapshot, previous *Names, current Names) balance.Snapshot {
 	if previous == nil {
-		if len(memory.Classes) != len(current.Classes) {
-			memory.Classes, memory.Zones, memory.Kinds = nil, nil, nil
+		if len(learned.Classes) != len(current.Classes) {
+			learned.Classes, learned.Zones, learned.Kinds = nil, nil, nil
 		}
-		return memory
+		return learned
 	}
 	if previous.equal(current) {
-		return memory
+		return learned
 	}
-	memory.Classes = remapClasses(memory.Classes, previous, current)
-	memory.Zones = remapPositions(memory.Zones, previous.Zones, current.Zones)
-	memory.Kinds = remapPositions(memory.Kinds, previous.Kinds, current.Kinds)
-	return memory
+	learned.Classes = remapClasses(learned.Classes, previous, current)
+	learned.Zones = remapPositions(learned.Zones, previous.Zones, current.Zones)
+	learned.Kinds = remapPositions(learned.Kinds, previous.Kinds, current.Kinds)
+	return learned
 }
 
 // equal reports whether all positions have the same meaning; rules count only if n has them.
@@ -64,14 +64,14 @@
 	return sameRules && slices.Equal(n.Classes, other.Classes) && slices.Equal(n.Zones, other.Zones) && slices.Equal(n.Kinds, other.Kinds)
 }
 
-func remapClasses(memories []balance.ClassSnapshot, previous *Names, current Names) []balance.ClassSnapshot {
+func remapClasses(learned []balance.ClassSnapshot, previous *Names, current Names) []balance.ClassSnapshot {
 	sameRules := func(from, to int) bool {
 		return from >= len(previous.Rules) || to < len(current.Rules) && previous.Rules[from] == current.Rules[to]
 	}
 	remapped := make([]balance.ClassSnapshot, len(current.Classes))
-	for from, memory := range memories {
+	for from, class := range learned {
 		if to, ok := newPosition(from, previous.Classes, current.Classes); ok && to < len(remapped) && sameRules(from, to) {
-			remapped[to] = memory
+			remapped[to] = class
 		}
 	}
 	return remapped
@@ -142,5 +142,5 @@
 		l.log.Info("other settings than before: learned times are taken where class, effect and window agree",
 			"before", before.Classes, "now", now.Classes)
 	}
-	l.balancer.Restore(remapMemory(previous.Module, previous.Names, *now))
+	l.balancer.Restore(remapSnapshot(previous.Module, previous.Names, *now))
 }
--- a/internal/sidecar/core/snapshot_test.go
+++ b/internal/sidecar/core/snapshot_test.go
@@ -115,7 +115,7 @@
 			balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 1}, {Count: 2}, {}}, Zones: map[int]float64{0: 10}, Kinds: m.Kinds}},
 		"no names, and others": {nil, Names{Classes: []string{"a"}}, balance.Snapshot{}},
 	} {
-		if got := remapMemory(m, c.was, c.now); !reflect.DeepEqual(got, c.want) {
+		if got := remapSnapshot(m, c.was, c.now); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
--- a/internal/sidecar/front/platform/parse.go
+++ b/internal/sidecar/front/platform/parse.go
@@ -21,7 +21,18 @@
 
 func badRequest(reason error) *rejection { return &rejection{http.StatusBadRequest, reason} }
 
-var errSafeWithBody = errors.New("a GET has no body")
+// Why a request is not valid: its class, its method, its path, its key and its body have to fit each other.
+var (
+	errSafeWithBody  = errors.New("a GET has no body")
+	errNoTraceID     = errors.New("no X-Trace-Id")
+	errPathOfClass   = errors.New("the path does not fit the class")
+	errMethodOfClass = errors.New("method and key do not fit the class")
+)
+
+// headerError is a header field that has no possible value.
+type headerError struct{ name, value string }
+
+func (e *headerError) Error() string { return fmt.Sprintf("%s: %q", e.name, e.value) }
 
 // singleHeaders must not come twice: which of two counts would be a guess.
 var singleHeaders = []string{"X-Trace-Id", "X-Qos", "X-Customer", "X-Expires-In", "X-Second-Try", "X-Size-Hint", "Idempotency-Key"}
@@ -78,7 +89,7 @@
 	}
 	for _, name := range singleHeaders {
 		if len(req.Header[name]) > 1 {
-			return errors.New(name + " comes twice")
+			return fmt.Errorf("%s comes twice", name)
 		}
 	}
 	return nil
@@ -94,12 +105,12 @@
 	case effect == front.Safe && req.ContentLength > 0:
 		return badRequest(errSafeWithBody)
 	case req.Header.Get("X-Trace-Id") == "":
-		return badRequest(errors.New("no X-Trace-Id"))
+		return badRequest(errNoTraceID)
 	case !strings.HasPrefix(req.RequestURI, "/") || firstSegment != req.Header.Get("X-Qos"):
-		return badRequest(errors.New("the path does not fit the class"))
+		return badRequest(errPathOfClass)
 	case (effect == front.Safe) != (req.Method == http.MethodGet), effect != front.Safe && req.Method != http.MethodPost,
 		(effect == front.Keyed) != (key != ""):
-		return badRequest(errors.New("method and key do not fit the class"))
+		return badRequest(errMethodOfClass)
 	}
 	return nil
 }
@@ -125,11 +136,11 @@
 	if digits+"u" == text {
 		unit = float64(time.Microsecond)
 	} else if digits+"m" != text {
-		return 0, fmt.Errorf("X-Expires-In: %q", text)
+		return 0, &headerError{"X-Expires-In", text}
 	}
 	value, err := strconv.ParseFloat(digits, 64)
 	if err != nil || !(value > 0) || value > 1e9 {
-		return 0, fmt.Errorf("X-Expires-In: %q", text)
+		return 0, &headerError{"X-Expires-In", text}
 	}
 	return time.Duration(value * unit), nil
 }
--- a/internal/sidecar/handover/frame.go
+++ b/internal/sidecar/handover/frame.go
@@ -20,8 +20,13 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrVersion is the error where the other process has another version of the format: nothing is handed over.
-var ErrVersion = errors.New("another version")
+// Why nothing is handed over: what the other process sent is of another version of the format, is none of this format, or is not what was
+// announced.
+var (
+	ErrVersion   = errors.New("another version")
+	ErrMalformed = errors.New("no hand-over")
+	ErrDamaged   = errors.New("the state is damaged")
+)
 
 // hello is the first line of the successor. The process in service answers it with a header.
 func hello() string { return fmt.Sprintf("%s %d\n", magic, version) }
@@ -36,11 +41,11 @@
 	var got int
 	afterMagic, ok := strings.CutPrefix(line, magic+" ")
 	if !ok {
-		return "", fmt.Errorf("no hand-over: %q", line)
+		return "", fmt.Errorf("%w: %q", ErrMalformed, line)
 	}
 	number, rest, _ := strings.Cut(strings.TrimSuffix(afterMagic, "\n"), " ")
 	if _, err := fmt.Sscanf(number, "%d", &got); err != nil {
-		return "", fmt.Errorf("no hand-over: %q", line)
+		return "", fmt.Errorf("%w: %q", ErrMalformed, line)
 	}
 	if got != version {
 		return "", fmt.Errorf("%w: %d, ours is %d", ErrVersion, got, version)
@@ -55,7 +60,7 @@
 		return 0, 0, err
 	}
 	if _, err := fmt.Sscanf(rest, "%d %x", &length, &checksum); err != nil || length < 0 || length > maxState {
-		return 0, 0, fmt.Errorf("no hand-over: %q", line)
+		return 0, 0, fmt.Errorf("%w: %q", ErrMalformed, line)
 	}
 	return length, checksum, nil
 }
@@ -63,7 +68,7 @@
 // verifyChecksum reports a state that differs from what was announced.
 func verifyChecksum(state []byte, announced uint32) error {
 	if got := crc32.Checksum(state, castagnoli); got != announced {
-		return fmt.Errorf("the state is damaged: checksum %08x, announced %08x", got, announced)
+		return fmt.Errorf("%w: checksum %08x, announced %08x", ErrDamaged, got, announced)
 	}
 	return nil
 }
--- a/internal/sidecar/handover/link.go
+++ b/internal/sidecar/handover/link.go
@@ -24,7 +24,8 @@
 	writeMu sync.Mutex
 }
 
-// Send sends a line, which has no line end in it, to the other process. An error means that this process has ended or hangs.
+// Send sends a line, which has no line end in it, to the other process. An error means that the other process has ended or
+// hangs: the line may not have arrived, or not completely.
 func (l *Link) Send(line string) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
--- a/internal/sidecar/handover/rendezvous.go
+++ b/internal/sidecar/handover/rendezvous.go
@@ -17,7 +17,7 @@
 // Rendezvous is the Unix socket at which the processes of one sidecar find each other: a file in a folder that they share.
 type Rendezvous struct{ folder, fileName string }
 
-// NewRendezvous is the rendezvous of the sidecar with a name and a listening address. Sidecars that differ in either have different ones.
+// NewRendezvous returns the rendezvous of the sidecar with a name and a listening address. Sidecars that differ in either have different ones.
 func NewRendezvous(folder, name, listen string) Rendezvous {
 	printable := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' {
@@ -29,6 +29,7 @@
 	return Rendezvous{folder, fmt.Sprintf("petrelhook-%.40s-%08x.sock", printable, digest)}
 }
 
+// path is that of the socket file.
 func (r Rendezvous) path() string { return filepath.Join(r.folder, r.fileName) }
 
 // withAddr calls use with the address of a file in the folder. Where the path is longer than an address holds it goes through a descriptor
--- a/internal/sidecar/handover/server.go
+++ b/internal/sidecar/handover/server.go
@@ -121,8 +121,10 @@
 		_, _, sendErr = conn.WriteMsgUnix([]byte(text), syscall.UnixRights(int(descriptor)), nil)
 	})
 	if err := errors.Join(err, sendErr); err != nil {
-		return err
+		return fmt.Errorf("send the socket to the successor: %w", err)
+	}
+	if _, err = conn.Write(state); err != nil {
+		return fmt.Errorf("send the state to the successor: %w", err)
 	}
-	_, err = conn.Write(state)
-	return err
+	return nil
 }
--- a/internal/sidecar/lifecycle/lifecycle.go
+++ b/internal/sidecar/lifecycle/lifecycle.go
@@ -9,9 +9,11 @@
 //	serversKnown          ServersKnown      -                  a server that accepts requests is known, or MaxStartWait has passed
 //	evacuationRequested   Evacuate          Rejoin             operators want no clients at this sidecar
 //	evacuationDone        EvacuationDone    Evacuate, Rejoin   no evacuated client is left
-//	hasSuccessor          Succeeded         SuccessorLost      the successor process has the listener too
+//	hasSuccessor          Succeeded         SuccessorLost (1)  the successor process has the listener too
 //	terminating           Terminate         -                  the process finishes its requests and ends
 //
+// (1) Not while terminating: a process that ends in favour of a successor goes on as it began.
+//
 // The state is the first line that applies:
 //
 //	Stopping     terminating
--- a/internal/sidecar/lifecycle/shutdown_window.go
+++ b/internal/sidecar/lifecycle/shutdown_window.go
@@ -14,12 +14,12 @@
 
 // Duration returns how long after Began the process ends, whatever is still open. The platform kills it no sooner than the longest
 // deadline and 0.7 s after SIGTERM.
-func (e ShutdownWindow) Duration() time.Duration { return e.AcceptTime + e.MaxDeadline }
+func (w ShutdownWindow) Duration() time.Duration { return w.AcceptTime + w.MaxDeadline }
 
 // ClampWait returns how long a request that is read now may wait for its response, at most maxWait. Without it a request on a
 // connection that was accepted last would still be in progress when the process ends.
-func (e ShutdownWindow) ClampWait(now time.Time, maxWait time.Duration) time.Duration {
-	return max(0, min(maxWait, e.Began.Add(e.Duration()-responseWriteTime).Sub(now)))
+func (w ShutdownWindow) ClampWait(now time.Time, maxWait time.Duration) time.Duration {
+	return max(0, min(maxWait, w.Began.Add(w.Duration()-responseWriteTime).Sub(now)))
 }
 
 // MaxStartWait is how long a process waits for a server that accepts requests before it is ready without one. An application whose
--- a/internal/sidecar/member/cursor.go
+++ b/internal/sidecar/member/cursor.go
@@ -18,6 +18,13 @@
 	acceptAny  bool // the complete list was requested, and is accepted whatever its generation
 }
 
+// OutdatedError is Accept's error for a list that is older than the current one.
+type OutdatedError struct{ Generation, Current uint64 }
+
+func (e *OutdatedError) Error() string {
+	return fmt.Sprintf("generation %d is older than %d, which is held", e.Generation, e.Current)
+}
+
 // After returns the generation after which lists are to be requested; 0 requests the complete list.
 func (c *Cursor) After() uint64 {
 	if c.acceptAny {
@@ -40,7 +47,7 @@
 	}
 	if list.Generation < c.generation && !c.acceptAny {
 		c.acceptAny = true
-		return fmt.Errorf("generation %d is older than %d, which is held", list.Generation, c.generation)
+		return &OutdatedError{list.Generation, c.generation}
 	}
 	c.generation, c.acceptAny = list.Generation, false
 	return nil
--- a/internal/sidecar/member/discovery/discovery.go
+++ b/internal/sidecar/member/discovery/discovery.go
@@ -101,11 +101,16 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close() // only read from
-		return nil, fmt.Errorf("discovery answers %s", resp.Status)
+		return nil, &StatusError{resp.Status}
 	}
 	return resp.Body, nil
 }
 
+// StatusError is the error of a call that discovery answers with another status than 200 OK.
+type StatusError struct{ Status string } // as "503 Service Unavailable"
+
+func (e *StatusError) Error() string { return "discovery answers " + e.Status }
+
 // Name implements member.Source: it is the service's address.
 func (s *Source) Name() string { return s.addr }
 
--- a/internal/sidecar/membudget/membudget.go
+++ b/internal/sidecar/membudget/membudget.go
@@ -1,6 +1,6 @@
 // Package membudget bounds the memory that a process uses for messages: request bodies that arrive, and responses that are buffered.
 // Code that needs memory reserves it first. Where none is left it passes on what it has, waits for a bounded time, or refuses the
-// request. A reservation is granted completely or not at all, so nobody waits while holding a part of what one call asked fob.
+// request. A reservation is granted completely or not at all, so nobody waits while holding a part of what one call asked for.
 //
 // Invariants: reservations never exceed the limit; waiting ones are granted in the order in which they were made, so that a large
 // one is not overtaken for ever by small ones.
@@ -22,13 +22,14 @@
 
 // waiter is a reservation that waits.
 type waiter struct {
-	n       int64
-	granted chan struct{} // closed when n bytes are reserved for it
+	bytes   int64
+	granted chan struct{} // closed when they are reserved for it
 }
 
 // New returns a budget of a number of bytes; 0 is no limit.
 func New(limit int64) *Budget { return &Budget{limit: limit} }
 
+// fits reports whether n more bytes are within the limit. The caller holds mu.
 func (b *Budget) fits(n int64) bool { return b.limit <= 0 || n <= b.limit-b.reserved }
 
 // TryAcquire reserves n bytes, if they are free now and nobody waits for them.
@@ -55,7 +56,7 @@
 		b.mu.Unlock()
 		return false
 	}
-	w := &waiter{n: n, granted: make(chan struct{})}
+	w := &waiter{bytes: n, granted: make(chan struct{})}
 	element := b.waiters.PushBack(w)
 	b.mu.Unlock()
 	select {
@@ -85,9 +86,9 @@
 
 // grant grants waiting reservations in their order, as far as there is memory. The caller holds mu.
 func (b *Budget) grant() {
-	for e := b.waiters.Front(); e != nil && b.fits(e.Value.(*waiter).n); e = b.waiters.Front() {
+	for e := b.waiters.Front(); e != nil && b.fits(e.Value.(*waiter).bytes); e = b.waiters.Front() {
 		w := b.waiters.Remove(e).(*waiter)
-		b.reserved += w.n
+		b.reserved += w.bytes
 		close(w.granted)
 	}
 }
--- a/internal/sidecar/progress/progress.go
+++ b/internal/sidecar/progress/progress.go
@@ -15,14 +15,14 @@
 }
 
 // Start begins an interval.
-func (p *Deadline) Start(now time.Time) { p.intervalStart, p.bytes = now, 0 }
+func (d *Deadline) Start(now time.Time) { d.intervalStart, d.bytes = now, 0 }
 
 // Progressed adds transferred bytes.
-func (p *Deadline) Progressed(n int, now time.Time) {
-	if p.bytes += int64(n); p.bytes >= p.MinBytes {
-		p.Start(now)
+func (d *Deadline) Progressed(n int, now time.Time) {
+	if d.bytes += int64(n); d.bytes >= d.MinBytes {
+		d.Start(now)
 	}
 }
 
 // Expires returns when MinBytes have to be transferred.
-func (p *Deadline) Expires() time.Time { return p.intervalStart.Add(p.Interval) }
+func (d *Deadline) Expires() time.Time { return d.intervalStart.Add(d.Interval) }
--- a/internal/sidecar/upstream/http1/response_reader.go
+++ b/internal/sidecar/upstream/http1/response_reader.go
@@ -109,11 +109,16 @@
 	if neverRan(resp) {
 		out.Result = upstream.Rejected
 	}
-	out.Err = errors.New(resp.Status)
+	out.Err = &StatusError{resp.Status}
 	body.abandon(nil)
 	return out, reusable
 }
 
+// StatusError is the error of a request that a server answers with another status than 200 OK.
+type StatusError struct{ Status string } // as "503 Service Unavailable"
+
+func (e *StatusError) Error() string { return e.Status }
+
 // readHead reads the head of a response, after any 1xx responses.
 func (r *responseReader) readHead(method string) (*http.Response, error) {
 	r.limit.N = message.MaxHead // for all heads together
--- a/internal/sidecar/wiring/succession.go
+++ b/internal/sidecar/wiring/succession.go
@@ -45,6 +45,7 @@
 	evacuationSent atomic.Bool
 }
 
+// init makes the channels; NewFrom calls it.
 func (p *handoverProgress) init() {
 	p.offered, p.successorLost, p.acknowledged = make(chan struct{}), make(chan struct{}, 1), make(chan struct{})
 	p.acknowledge = sync.OnceFunc(func() { close(p.acknowledged) })
@@ -80,14 +81,20 @@
 	}
 	state := &HandoverState{}
 	if err := json.Unmarshal(received.State, state); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("read the state of the process in service: %w", err)
 	}
 	if state.Share.Clients < 0 || state.Share.Servers < 0 {
-		return nil, errors.New("the share of connections is below 0")
+		return nil, errNegativeShare
 	}
 	return state, nil
 }
 
+// Why a hand-over fails that is complete by its form.
+var (
+	errNegativeShare = errors.New("the share of connections is below 0")
+	errCoreEnded     = errors.New("this process has ended")
+)
+
 // serveHandovers serves the links to the predecessor and to successors until ctx ends.
 func (s *Sidecar) serveHandovers(ctx context.Context, succession *Succession, listener net.Listener) {
 	var links sync.WaitGroup
@@ -160,7 +167,7 @@
 		state.Core = snapshot
 		encoded, err = json.Marshal(state)
 	}) {
-		err = errors.New("this process has ended")
+		err = errCoreEnded
 	}
 	if err != nil {
 		return nil, nil, err
@@ -188,7 +195,7 @@
 	s.lifecycle.Apply(lifecycle.ServersKnown)
 }
 
-// limitToShare bounds the connections and the memory of this process while there are two; restoreLimits ends that.
+// limitToShare bounds the connections and the memory of this process while there are two.
 func (s *Sidecar) limitToShare(share lifecycle.ConnectionShare) {
 	s.front.SetMaxConnections(max(1, share.Clients))
 	s.upstream.SetMaxConnections(max(1, share.Servers))
@@ -197,6 +204,7 @@
 	}
 }
 
+// restoreLimits ends limitToShare: this process has the sidecar's limits to itself again.
 func (s *Sidecar) restoreLimits() {
 	s.front.SetMaxConnections(s.limits.Clients)
 	s.upstream.SetMaxConnections(s.limits.Servers)
