--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -78,6 +78,7 @@
 	h.reply.Add(instance, balancer.Start(clock))
 }
 
+// handleEvent passes an event to an instance that was started. An event that is impossible for the instance is a fault in the reply.
 func (h *host) handleEvent(clock float64, instance uint16, ev balance.Event) error {
 	balancer, started := h.instances[instance]
 	if !started {
--- a/cmd/petrelhook-agent/main.go
+++ b/cmd/petrelhook-agent/main.go
@@ -30,6 +30,7 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
+// run is the program with its arguments and outputs; it returns the exit code.
 func run(args []string, out, errs io.Writer) int {
 	var path string
 	var check bool
@@ -44,10 +45,7 @@
 			if err != nil {
 				return command.Fail(err)
 			}
-			log := slog.New(slog.NewTextHandler(errs, nil))
-			for _, warning := range c.Warnings {
-				log.Warn("settings", "warning", warning)
-			}
+			log := command.Logger(errs, c.Warnings)
 			if check {
 				fmt.Fprintf(out, "%s: good: %d sidecars of %s\n", path, len(c.Sidecars), c.Application)
 				return nil
@@ -55,8 +53,7 @@
 			return serve(c, log)
 		},
 	}
-	cmd.Flags().StringVar(&path, "config", "", "the settings' `FILE` (YAML)")
-	cmd.Flags().BoolVar(&check, "check", false, "say whether the file is good, and end")
+	command.SettingsFlags(cmd, &path, &check)
 	cmd.AddCommand(&cobra.Command{Use: startCommand + " FILE PROGRAM", Hidden: true, DisableFlagParsing: true, Args: cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return command.Fail(machine.BecomeSidecar(args[0], args[1], args[2:]))
--- a/cmd/petrelhook-coordinator/main.go
+++ b/cmd/petrelhook-coordinator/main.go
@@ -29,6 +29,7 @@
 	check  bool
 }
 
+// run is the program with its arguments and outputs; it returns the exit code.
 func run(args []string, out, errs io.Writer) int {
 	var f flags
 	cmd := &cobra.Command{
@@ -39,10 +40,7 @@
 			if err != nil {
 				return err
 			}
-			log := slog.New(slog.NewTextHandler(errs, nil))
-			for _, w := range c.Warnings {
-				log.Warn("settings", "warning", w)
-			}
+			log := command.Logger(errs, c.Warnings)
 			if f.check {
 				fmt.Fprintf(out, "%s: good: replica %d of %d\n", f.config, c.ID, len(c.Replicas))
 				return nil
@@ -50,11 +48,10 @@
 			return serve(c, log)
 		},
 	}
+	command.SettingsFlags(cmd, &f.config, &f.check)
 	set := cmd.Flags()
-	set.StringVar(&f.config, "config", "", "the settings' `FILE` (YAML)")
 	set.StringVar(&f.data, "data", "", "`FOLDER` of the one coordinator of a machine; it needs no file")
 	set.StringVar(&f.listen, "listen", fleet.DefaultAddr, "with --data: `HOST:PORT`")
-	set.BoolVar(&f.check, "check", false, "say whether the file is good, and end")
 	return command.Run(cmd, args, out, errs)
 }
 
--- a/cmd/petrelhook/log_test.go
+++ b/cmd/petrelhook/log_test.go
@@ -49,7 +49,7 @@
 		for _, line := range logLines(file) {
 			seen++
 			rows := sidecar
-			if strings.Contains(path, "coordinator") || strings.Contains(path, "fleet") || strings.Contains(path, "agent") || strings.Contains(path, "machine") || strings.Contains(path, "subscribe") || strings.Contains(path, "driver") {
+			if strings.Contains(path, filepath.Join("common", "command")) || strings.Contains(path, "coordinator") || strings.Contains(path, "fleet") || strings.Contains(path, "agent") || strings.Contains(path, "machine") || strings.Contains(path, "subscribe") || strings.Contains(path, "driver") {
 				rows = fleet
 			}
 			row, ok := rows[line.message]
--- a/internal/common/command/command.go
+++ b/internal/common/command/command.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
@@ -47,6 +48,21 @@
 	return ExitUsage
 }
 
+// SettingsFlags adds the flags that coordinators and agents have in common: the file of the settings, and that it is only to be checked.
+func SettingsFlags(cmd *cobra.Command, path *string, check *bool) {
+	cmd.Flags().StringVar(path, "config", "", "the settings' `FILE` (YAML)")
+	cmd.Flags().BoolVar(check, "check", false, "say whether the file is good, and end")
+}
+
+// Logger returns the log of a process, which goes to errs, and logs the warnings about its settings.
+func Logger(errs io.Writer, warnings []string) *slog.Logger {
+	log := slog.New(slog.NewTextHandler(errs, nil))
+	for _, warning := range warnings {
+		log.Warn("settings", "warning", warning)
+	}
+	return log
+}
+
 // Terminated returns a context that ends with SIGTERM or an interrupt.
 func Terminated() (ctx context.Context, release func()) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
--- a/internal/sidecar/admin/admin.go
+++ b/internal/sidecar/admin/admin.go
@@ -55,7 +55,8 @@
 	return &Server{lifecycle: m, evictAfter: evictAfter, callerLeft: make(chan struct{})}
 }
 
-// Serve answers calls on ln until that is closed. It then closes the open ones, waits for their goroutines and returns.
+// Serve answers calls on ln until that is closed. It then closes the open ones, waits for their goroutines and returns nil. Any other
+// error of Accept counts as temporary: it is tried again when a caller has left, or after evictAfter. Serve is called once.
 func (s *Server) Serve(ln net.Listener) error {
 	defer s.end()
 	for {
--- a/internal/sidecar/admin/calls.go
+++ b/internal/sidecar/admin/calls.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/sidecar/lifecycle"
 )
 
-// answer is the response to a call.
+// answer is the response to a call: one line of text.
 type answer struct {
 	status int
 	allow  string // the method of the path, where the call used another
@@ -43,6 +43,7 @@
 	return answer{status: status, text: s.State().String()}
 }
 
+// ready says whether this process can serve, which an evacuated one can.
 func ready(s *Server) answer {
 	status := s.lifecycle.Status()
 	if !status.Ready() {
@@ -63,6 +64,7 @@
 	return answer{status: http.StatusOK, text: string(text)}
 }
 
+// evacuate has the clients go to other sidecars. A process that ends cannot be evacuated.
 func evacuate(server *Server) answer {
 	status, _ := server.lifecycle.Apply(lifecycle.Evacuate)
 	if !status.EvacuationRequested() || status.State() == lifecycle.Stopping {
@@ -71,6 +73,7 @@
 	return stateAnswer(http.StatusOK, status)
 }
 
+// rejoin takes an evacuation back.
 func rejoin(server *Server) answer {
 	switch status, _ := server.lifecycle.Apply(lifecycle.Rejoin); {
 	case status.State() == lifecycle.Stopping:
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -44,13 +44,20 @@
 	return Parse(path, raw)
 }
 
-// CheckName is an error where a configuration that is read again is not that of the sidecar with a name; one without a name is
+// CheckName returns a *NameError if a configuration that is read again is not that of the sidecar with a name; one without a name is
 // for any. A file that was mixed up must not send one customer's clients to another's servers.
 func (c *Config) CheckName(name string) error {
 	if c.Name == "" || c.Name == name {
 		return nil
 	}
-	return fmt.Errorf("the configuration is of %q, and this is %q", c.Name, name)
+	return &NameError{InFile: c.Name, Running: name}
+}
+
+// NameError is the error of a configuration that is another sidecar's.
+type NameError struct{ InFile, Running string }
+
+func (e *NameError) Error() string {
+	return fmt.Sprintf("the configuration is of %q, and this is %q", e.InFile, e.Running)
 }
 
 // Parse reads the text of a configuration file; name is the file's name in errors. An error is an *Error.
@@ -97,6 +104,7 @@
 	return c, nil
 }
 
+// checkAddresses checks that all addresses are host:port and that operators have one of their own.
 func (c *Config) checkAddresses(text source) error {
 	for _, address := range []struct{ field, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, port, err := net.SplitHostPort(address.value); err != nil || port == "" {
--- a/internal/sidecar/wire/decode.go
+++ b/internal/sidecar/wire/decode.go
@@ -79,9 +79,9 @@
 // NewReader returns a reader of the frames of in, which should be buffered.
 func NewReader(in io.Reader) *Reader { return &Reader{input: in} }
 
-// Read hands the events of the next frame to handle, in order, with the frame's clock.
-// It returns io.EOF at an end of input between frames. Slices in events are valid
-// during the call only.
+// Read hands the events of the next frame to handle, in order, with the frame's clock in milliseconds. It returns io.EOF itself at an
+// end of input between frames. Any other error is one of handle, or means that the frame is malformed or cut short: it says at which
+// byte, and nothing after it can be read. Slices in events are valid during the call only.
 func (r *Reader) Read(handle func(clock float64, rec Record) error) error {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r.input, header[:]); err != nil {
@@ -171,6 +171,7 @@
 	return rec, nil
 }
 
+// readServerTable reads a table of servers and keeps it under its number, for the lists that refer to it.
 func (r *Reader) readServerTable(f *frameFields, table uint16) error {
 	if table >= maxTables {
 		return fmt.Errorf("server table %d: want 0 to %d", table, maxTables-1)
@@ -197,6 +198,7 @@
 	return nil
 }
 
+// readServerList reads a list, which refers to a table that was sent before.
 func (r *Reader) readServerList(f *frameFields) (any, error) {
 	code, _, table := f.u8(), f.u32(), f.u16()
 	if f.truncated {
@@ -245,6 +247,7 @@
 	return ev, err
 }
 
+// resultOf translates the code of a result. Of a record that was cut short the code means nothing, and that is the error.
 func resultOf(code uint16, f *frameFields) (balance.Result, error) {
 	res, ok := resultsByCode[code]
 	if !ok && !f.truncated {
@@ -253,7 +256,7 @@
 	return res, nil
 }
 
-// readLoadReport reads the figures of a load report; the slice is used again by the next one.
+// readLoadReport reads the numbers of a load report; the slice is used again by the next one.
 func (r *Reader) readLoadReport(f *frameFields) []float32 {
 	r.report = r.report[:0]
 	for n := f.u8(); n > 0; n-- {
--- a/internal/sidecar/wire/encode.go
+++ b/internal/sidecar/wire/encode.go
@@ -35,7 +35,7 @@
 // Reset empties the reply.
 func (r *Reply) Reset() { r.buf = append(r.buf[:0], 0, 0, 0, 0) }
 
-// WriteTo writes the reply as one frame.
+// WriteTo writes the reply as one frame. It implements io.WriterTo.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
 	binary.BigEndian.PutUint32(r.buf, uint32(len(r.buf)))
 	n, err := w.Write(r.buf)
@@ -55,6 +55,7 @@
 	r.text([]byte(text))
 }
 
+// add appends one action. An action of an unknown kind is left out.
 func (r *Reply) add(instance uint16, a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
@@ -110,11 +111,13 @@
 func (r *Reply) u64(v uint64)  { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
+// server appends an ID as four bytes of address and a port; see frameFields.server.
 func (r *Reply) server(id balance.ServerID) {
 	r.buf = binary.BigEndian.AppendUint32(r.buf, uint32(id>>16))
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(id))
 }
 
+// text appends a text with its length before it, cut to maxTextSize.
 func (r *Reply) text(b []byte) {
 	if len(b) > maxTextSize {
 		b = b[:maxTextSize]
--- a/internal/sidecar/wire/fields.go
+++ b/internal/sidecar/wire/fields.go
@@ -8,7 +8,7 @@
 	"petrelhook/balance"
 )
 
-// errTruncated: the frame ends within a record.
+// errTruncated is the error of a record that is longer than the rest of its frame.
 var errTruncated = errors.New("record runs past the end of the frame")
 
 // frameFields takes values off a frame. A read past the end sets truncated and gives zero.
--- a/lease/commands.go
+++ b/lease/commands.go
@@ -16,7 +16,7 @@
 	return previous, func() { close(own) }
 }
 
-// commandResult is the answer to a command, and the session that it was sent in; nil: there was none.
+// commandResult is the answer to a command, the session that it was sent in (nil: there was none), and why there is no answer.
 type commandResult struct {
 	answer  lease.Answer
 	session *lease.SessionState
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -25,7 +25,7 @@
 // Token is the fencing token of one grant: larger than that of every grant before it.
 type Token = lease.Token
 
-// Errors of Hold and Try, and causes of the end of a lease's context.
+// Errors of Hold and Try, which wrap them with the name of the lease, and causes of the end of a lease's context.
 var (
 	// ErrTaken says that another session holds the lease.
 	ErrTaken = errors.New("another session holds the lease")
@@ -37,6 +37,12 @@
 	ErrBroken = errors.New("operators broke the lease")
 	// ErrClosed says that the client was closed.
 	ErrClosed = errors.New("the client is closed")
+	// ErrHeldHere says that this client holds the lease, or another of its calls waits for it.
+	ErrHeldHere = errors.New("this client holds the lease already, or waits for it")
+	// ErrFull says that the coordinators have as many sessions, or the lease as many waiters, as their bounds allow.
+	ErrFull = errors.New("full")
+	// ErrEmbargoed says that the coordinators grant nothing yet, because their state was restored from a copy.
+	ErrEmbargoed = errors.New("embargoed")
 )
 
 const (
@@ -47,10 +53,10 @@
 
 // Options are the settings of a client.
 type Options struct {
-	Addrs []string      // of the coordinators
-	Owner string        // a name for operators; two clients may have the same
-	TTL   time.Duration // for how long the session lives without a renewal; 0: 10 s
-	clock func() lease.Instant
+	Addrs []string             // of the coordinators
+	Owner string               // a name for operators; two clients may have the same
+	TTL   time.Duration        // for how long the session lives without a renewal; 0: 10 s
+	clock func() lease.Instant // replaced by tests; nil: monotonic.Now, which counts the time for which the machine sleeps
 }
 
 // Client is a session, and the leases that it holds.
@@ -103,7 +109,7 @@
 }
 
 // Hold waits until this client holds the lease of a name, or ctx ends. The lease is held until it is released, lost or broken, whatever
-// becomes of ctx. A client holds a name once; a second call meanwhile is an error.
+// becomes of ctx. A client holds a name once; a second call meanwhile is ErrHeldHere. While no coordinator answers it tries on.
 func (c *Client) Hold(ctx context.Context, name string) (*Held, error) {
 	return c.acquire(ctx, name, true)
 }
@@ -113,6 +119,7 @@
 	return c.acquire(ctx, name, false)
 }
 
+// acquire is Hold, or Try where wait is false. A session that ends meanwhile is replaced by a new one.
 func (c *Client) acquire(ctx context.Context, name string, wait bool) (*Held, error) {
 	c.mu.Lock()
 	busy := c.acquiring[name] || c.held[name] != nil
@@ -121,7 +128,7 @@
 	}
 	c.mu.Unlock()
 	if busy {
-		return nil, fmt.Errorf("%s: this client holds the lease already, or waits for it", name)
+		return nil, fmt.Errorf("%s: %w", name, ErrHeldHere)
 	}
 	defer func() {
 		c.mu.Lock()
@@ -147,7 +154,7 @@
 		case answer.Status == lease.HeldByOther:
 			return nil, fmt.Errorf("%s: %w: %s", name, ErrTaken, answer.Holder)
 		case answer.Status != lease.Waiting:
-			return nil, fmt.Errorf("%s: %v", name, answer.Status)
+			return nil, refusal(name, answer.Status)
 		}
 		if h, err := c.awaitGrant(ctx, session, name); h != nil || err != nil {
 			return h, err
@@ -155,6 +162,17 @@
 	}
 }
 
+// refusal is the error of a command that the coordinators refuse; what names the lease, or is "session".
+func refusal(what string, status lease.Status) error {
+	switch status {
+	case lease.Full:
+		return fmt.Errorf("%s: %w", what, ErrFull)
+	case lease.Embargoed:
+		return fmt.Errorf("%s: %w", what, ErrEmbargoed)
+	}
+	return fmt.Errorf("%s: %v", what, status)
+}
+
 // awaitGrant waits for a grant that a renewal reports. It returns neither a lease nor an error where the session is over.
 func (c *Client) awaitGrant(ctx context.Context, session *lease.SessionState, name string) (*Held, error) {
 	for {
@@ -244,4 +262,5 @@
 	return err
 }
 
+// errNoSession is the error of a command where the client has no session: there is nothing that it could be about.
 var errNoSession = errors.New("there is no session")
--- a/lease/session.go
+++ b/lease/session.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"crypto/rand"
-	"fmt"
 	mrand "math/rand/v2"
 	"time"
 
@@ -41,7 +40,7 @@
 			return err
 		}
 		if response.Answer.Status != lease.OK {
-			return fmt.Errorf("session: %v", response.Answer.Status)
+			return refusal("session", response.Answer.Status)
 		}
 		session := lease.NewSessionState(requestedAt, response.Answer.Session, c.options.TTL)
 		if session.Expiry() <= c.options.clock() { // the response came too late: this session may live or not, a new one certainly does
