--- a/cmd/petrelhook-router/commands.go
+++ b/cmd/petrelhook-router/commands.go
@@ -20,6 +20,7 @@
 
 	"petrelhook/internal/router/node"
 	"petrelhook/internal/router/operatorapi"
+	"petrelhook/internal/router/replication"
 	"petrelhook/internal/router/settings"
 	"petrelhook/internal/router/storage"
 )
@@ -63,6 +64,7 @@
 	return nil
 }
 
+// checkDeploy is check for a deploy file.
 func checkDeploy(c *cli.Command, path string) error {
 	d, err := settings.LoadDeploy(path)
 	if err != nil {
@@ -72,6 +74,16 @@
 	return nil
 }
 
+// diskState is what the state command prints; the names are those of its JSON form, in alphabetical order.
+type diskState struct {
+	Accepted   replication.View
+	Entries    int // after the snapshot
+	Generation int64
+	ID         string // of the disk
+	Position   replication.Position
+	Promised   replication.Epoch
+}
+
 // state prints what the disk of a stopped router holds, without changing it.
 func state(_ context.Context, c *cli.Command) error {
 	folder, err := argument(c)
@@ -93,13 +105,13 @@
 		register.Apply(e.Data)
 		position = e.Position
 	}
-	return printJSON(c, map[string]any{
-		"ID": persisted.ID, "Promised": persisted.Hard.Promised, "Accepted": persisted.Hard.Accepted, "Position": position,
-		"Entries": len(persisted.Entries), "Generation": register.Generation(),
+	return printJSON(c, diskState{
+		ID: persisted.ID, Promised: persisted.Hard.Promised, Accepted: persisted.Hard.Accepted, Position: position,
+		Entries: len(persisted.Entries), Generation: register.Generation(),
 	})
 }
 
-// status prints the status of a running router.
+// status prints what a running router says of itself, as JSON.
 func status(_ context.Context, c *cli.Command) error {
 	address, err := argument(c)
 	if err != nil {
@@ -117,7 +129,7 @@
 	return printJSON(c, got)
 }
 
-// admit tells a core member that a server is not to be ejected for some time.
+// admit is the admit command: it tells a core member that a server is not to be ejected for some time.
 func admit(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 2 {
 		return cli.Exit(c.Name+" takes "+c.ArgsUsage, exitUsage)
--- a/internal/sidecar/admin/doc.go
+++ b/internal/sidecar/admin/doc.go
@@ -5,8 +5,9 @@
 //	GET /api/ready      200 where the process can serve, else 503
 //	PUT /api/evacuate   200 once health checks fail and clients are being evacuated; 409 while the process stops
 //	PUT /api/rejoin     200 once health checks succeed; 409 while the process stops, 503 where no server is known
+//	GET /api/counts     200 with what the process has counted, as JSON on one line; 404 where it counts nothing
 //
-// Every answer is one line of text with the state. Another method gets 405 with Allow, another path 404, an invalid call 400, a body
+// Every other answer is one line of text: the state, or what is wrong. Another method gets 405 with Allow, another path 404, an invalid call 400, a body
 // over 4 KiB 413, a head over 8 KiB 431. A connection carries one call and is closed after the answer.
 //
 // Invariants: no more than MaxCalls connections are open at the same time; an incomplete call changes nothing; 200 is answered only
--- a/internal/sidecar/config/limits.go
+++ b/internal/sidecar/config/limits.go
@@ -8,6 +8,7 @@
 // unlimitedConnections is the number of connections where Sockets is no bound.
 const unlimitedConnections = 1 << 20
 
+// check reports a bound below 0.
 func (l Limits) check(text source) error {
 	for _, limit := range []struct {
 		field string
@@ -37,6 +38,6 @@
 	return max(1, l.Sockets/3)
 }
 
-// MessageBytes is how many bytes of bodies and answers may be in memory at once: a quarter of it. Most of the rest is for headers
-// and messages under 4 KiB, of which there are as many as connections, for buffers of what is passed on, and for garbage.
+// MessageBytes is how many bytes of bodies and responses may be in memory at once, a quarter of the limit; 0 is no bound. Most of the rest
+// is for headers and messages under 4 KiB, of which there are as many as connections, for buffers of streamed messages, and for garbage.
 func (l Limits) MessageBytes() int64 { return int64(l.MemoryMB) << 20 / 4 }
