--- a/cmd/petrelhook-router/fleet_test.go
+++ b/cmd/petrelhook-router/fleet_test.go
@@ -17,6 +17,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"petrelhook/internal/common/peertest"
 	"petrelhook/internal/rig/process"
 	"petrelhook/internal/router/node"
 )
@@ -137,7 +138,7 @@
 
 // order sends an order to one router after the other until it gets an answer other than 5xx.
 func (f *fleet) order(path string, base int, body string) (status int) {
-	process.Eventually(f.t, "an answer to an order", func() bool {
+	peertest.Eventually(f.t, "an answer to an order", func() bool {
 		for _, m := range f.machines {
 			status, _ = f.call(http.MethodPost, "http://"+f.address(m.ip, 2)+path, body, "X-Base-Version", strconv.Itoa(base))
 			if status >= 200 && status < 500 {
@@ -173,7 +174,7 @@
 }
 
 func (f *fleet) waitReady(m *machine) {
-	process.Eventually(f.t, m.ip+" is ready", func() bool {
+	peertest.Eventually(f.t, m.ip+" is ready", func() bool {
 		code, _ := f.call(http.MethodGet, "http://"+f.address(m.ip, 1)+"/-/readiness", "")
 		return code == http.StatusOK
 	})
@@ -204,13 +205,13 @@
 	}))
 	defer server.Close()
 	at, sequence := server.Listener.Addr().String(), 0
-	process.Eventually(t, "a heartbeat is accepted", func() bool {
+	peertest.Eventually(t, "a heartbeat is accepted", func() bool {
 		sequence++
 		return f.sendHeartbeat(f.machines[4], at, "ready", sequence) == http.StatusOK
 	})
 	for _, m := range f.machines {
 		f.waitReady(m)
-		process.Eventually(t, m.ip+" serves", func() bool {
+		peertest.Eventually(t, m.ip+" serves", func() bool {
 			sequence++
 			f.sendHeartbeat(m, at, "ready", sequence)
 			code, text := f.request(m, "/x/1")
@@ -227,24 +228,24 @@
 	require.Equal(t, http.StatusOK, f.order("/-/config/update", 3, update), "sent again")
 	killed.start()
 	for _, m := range f.machines {
-		process.Eventually(t, m.ip+" has the new route", func() bool {
+		peertest.Eventually(t, m.ip+" has the new route", func() bool {
 			sequence++
 			f.sendHeartbeat(m, at, "ready", sequence)
 			code, _ := f.request(m, "/y/1")
 			return code == http.StatusOK
 		})
 	}
-	process.Eventually(t, "the read is the newest", func() bool {
+	peertest.Eventually(t, "the read is the newest", func() bool {
 		code, text := f.call(http.MethodGet, "http://"+f.address(f.machines[4].ip, 2)+"/-/config/read", "")
 		return code == http.StatusOK && strings.HasPrefix(text, `{"Generation":7,`)
 	})
 
-	process.Eventually(t, "a drain is acknowledged", func() bool {
+	peertest.Eventually(t, "a drain is acknowledged", func() bool {
 		sequence++
 		return f.sendHeartbeat(f.machines[3], at, "draining", sequence) == http.StatusOK
 	})
 	for _, m := range f.machines {
-		process.Eventually(t, m.ip+" knows the drain", func() bool { return f.status(m).Servers["s"] == 0 })
+		peertest.Eventually(t, m.ip+" knows the drain", func() bool { return f.status(m).Servers["s"] == 0 })
 	}
 
 	var out bytes.Buffer
--- a/cmd/petrelhook-router/recovery_test.go
+++ b/cmd/petrelhook-router/recovery_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"petrelhook/internal/rig/process"
+	"petrelhook/internal/common/peertest"
 )
 
 const streamConfiguration = `{"Generation":3,"Routes":[{"Name":"r1","Host":"a.example","PathPrefix":"/x/","RouteType":"safe","TimeoutMs":2000,"Service":"s","MaxAttempts":2},
@@ -57,7 +57,7 @@
 	require.Equal(t, http.StatusOK, f.order("/-/config/replace", 0, streamConfiguration))
 	sequence := 0
 	for _, m := range f.machines {
-		process.Eventually(t, m.ip+" serves", func() bool {
+		peertest.Eventually(t, m.ip+" serves", func() bool {
 			sequence++
 			f.sendHeartbeat(m, e.Listener.Addr().String(), "ready", sequence)
 			code, text := f.request(m, "/x/1")
@@ -79,7 +79,7 @@
 // configuration and the servers that the disks have, although no server sends heartbeats.
 func TestAllAreKilledAndOneDiskIsLost(t *testing.T) {
 	f, _ := serving(t, 3, 2)
-	process.Eventually(t, "the servers are on the disks", func() bool {
+	peertest.Eventually(t, "the servers are on the disks", func() bool {
 		for _, m := range f.machines[:3] {
 			if _, err := os.Stat(filepath.Join(filepath.Dir(m.settings), "data", "servers.cache")); err != nil {
 				return false
@@ -99,7 +99,7 @@
 		code, text := f.request(m, "/x/1")
 		require.Equal(t, http.StatusOK, code, text)
 	}
-	process.Eventually(t, "all three disks are in sync", func() bool {
+	peertest.Eventually(t, "all three disks are in sync", func() bool {
 		p := f.primary()
 		return p != nil && len(f.status(p).View.InSync) == 3
 	})
@@ -135,7 +135,7 @@
 	<-e.streaming
 
 	require.NoError(t, m.process.Signal(syscall.SIGTERM))
-	process.Eventually(t, "what may outlast the end is refused", func() bool {
+	peertest.Eventually(t, "what may outlast the end is refused", func() bool {
 		c, in := dial("/stream/2", 60000)
 		defer c.Close()
 		answer, err := http.ReadResponse(in, nil)
--- a/cmd/petrelhook/crowd_test.go
+++ b/cmd/petrelhook/crowd_test.go
@@ -43,7 +43,7 @@
 		}
 		return resp.StatusCode
 	}
-	process.Eventually(t, "it is ready", func() bool { return ask(health) == 200 })
+	peertest.Eventually(t, "it is ready", func() bool { return ask(health) == 200 })
 	for i := range 3 * limit { // idle ones without a request, after a request, and within a head
 		c, err := net.Dial("tcp", f.listen)
 		if err != nil {
@@ -53,8 +53,8 @@
 		io.WriteString(c, []string{"", request("GET", "look", fmt.Sprint("i", i), "", 0), "GET /half HTTP/1.1\r\n"}[i%3])
 	}
 	n := 0
-	process.Eventually(t, "a request is served", func() bool { n++; return ask(request("GET", "look", fmt.Sprint("c", n), "", 0)) == 200 })
-	process.Eventually(t, "health answers", func() bool { return ask(health) == 200 })
+	peertest.Eventually(t, "a request is served", func() bool { n++; return ask(request("GET", "look", fmt.Sprint("c", n), "", 0)) == 200 })
+	peertest.Eventually(t, "health answers", func() bool { return ask(health) == 200 })
 	addr := value([]byte(f.config), "discovery").(string)
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/cmd/petrelhook/signals_test.go
+++ b/cmd/petrelhook/signals_test.go
@@ -40,12 +40,12 @@
 		io.WriteString(file, goodConfig)
 	}
 	write()
-	process.Eventually(t, "it serves", func() bool { return p.Log.Has("serving") || len(p.Ended) > 0 })
+	peertest.Eventually(t, "it serves", func() bool { return p.Log.Has("serving") || len(p.Ended) > 0 })
 	if len(p.Ended) > 0 {
 		t.Fatalf("the signal ended it: %v", <-p.Ended)
 	}
 	write()
-	process.Eventually(t, "it has followed the signal", func() bool { return p.Log.Has("reloaded") })
+	peertest.Eventually(t, "it has followed the signal", func() bool { return p.Log.Has("reloaded") })
 	p.Signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
 		t.Error(err)
@@ -106,7 +106,7 @@
 				}
 				began := time.Now()
 				s.Signal(syscall.SIGTERM)
-				process.Eventually(t, "it ends", func() bool { return s.Log.Has("now=stopping") })
+				peertest.Eventually(t, "it ends", func() bool { return s.Log.Has("now=stopping") })
 				s.Signal(again)
 				s.Signal(again)
 				io.WriteString(c, rest)
--- a/internal/common/peertest/discovery.go
+++ b/internal/common/peertest/discovery.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"strings"
 	"sync"
 	"testing"
 )
@@ -19,7 +20,7 @@
 }
 
 // NewDiscovery starts a discovery with a first list. It ends with the test.
-func NewDiscovery(t *testing.T, first string) (d *Discovery, addr string) {
+func NewDiscovery(t testing.TB, first string) (d *Discovery, addr string) {
 	d = &Discovery{list: first, subscribers: map[net.Conn]struct{}{}}
 	return d, NewRaw(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -67,3 +68,15 @@
 	defer d.mu.Unlock()
 	return d.calls
 }
+
+// Instance is an entry of discovery's list, in its JSON form: a server of cell 3 in zone a. lifecycle is one of the platform's, such as up.
+func Instance(name, addr, lifecycle string) string {
+	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"m2","cell":3,"lifecycle":%q,"weight":1.0,"startedAtMs":0}`,
+		name, addr, lifecycle)
+}
+
+// Catalog is a message of discovery, in its JSON form, of a list's generation. With reset the instances are the complete list, else what has
+// changed.
+func Catalog(generation int, reset bool, instances ...string) string {
+	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, reset, strings.Join(instances, ","))
+}
--- /dev/null
+++ b/internal/common/peertest/wait.go
@@ -0,0 +1,40 @@
+package peertest
+
+import (
+	"os"
+	"testing"
+	"time"
+)
+
+// EventTimeout bounds a wait for an event that must happen. No test waits so long when it passes.
+const EventTimeout = 20 * time.Second
+
+// Eventually polls until ok returns true, and fails the test if that takes longer than EventTimeout. what names the state in the failure.
+// It is called from the test's goroutine.
+func Eventually(t testing.TB, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(EventTimeout); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("not within %v: %s", EventTimeout, what)
+		}
+	}
+}
+
+// Wait receives a value that must come within EventTimeout; else it fails the test. It is called from the test's goroutine.
+func Wait[T any](t testing.TB, c <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(EventTimeout):
+		t.Fatalf("nothing was received within %v", EventTimeout)
+		panic("not reached")
+	}
+}
+
+// SkipUnlessMeasuring skips a measurement unless FIGURES is set: measurements are not part of the checks.
+func SkipUnlessMeasuring(t testing.TB) {
+	if os.Getenv("FIGURES") == "" {
+		t.Skip("FIGURES=1 measures")
+	}
+}
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -17,6 +17,7 @@
 
 	"connectrpc.com/connect"
 
+	"petrelhook/internal/common/peertest"
 	"petrelhook/internal/coordination/agent"
 	"petrelhook/internal/coordination/rpc"
 	"petrelhook/internal/rig/process"
@@ -53,13 +54,13 @@
 // release.
 func TestAFirstThreadIsNotAProcess(t *testing.T) {
 	s := process.Start(t, process.Self("MACHINE_TEST_THREADS", "1"))
-	process.Eventually(t, "its first thread has ended", func() bool { return s.State() == "Z" })
+	peertest.Eventually(t, "its first thread has ended", func() bool { return s.State() == "Z" })
 	began, _ := startTicks(s.Pid)
 	if p := (agent.Process{PID: s.Pid, StartTicks: began}); !Lives(p) {
 		t.Error("it is taken for ended")
 	}
 	s.Kill()
-	process.Eventually(t, "it ends", func() bool { _, err := startTicks(s.Pid); return err != nil })
+	peertest.Eventually(t, "it ends", func() bool { _, err := startTicks(s.Pid); return err != nil })
 }
 
 // A start is either made or given up: one that was given up is not made any more, and one that was made is found.
--- a/internal/rig/coordinator/group.go
+++ b/internal/rig/coordinator/group.go
@@ -15,6 +15,7 @@
 
 	"connectrpc.com/connect"
 
+	"petrelhook/internal/common/peertest"
 	"petrelhook/internal/coordination/fleet"
 	"petrelhook/internal/rig/link"
 	"petrelhook/internal/rig/process"
@@ -94,7 +95,7 @@
 func (g *Group) AwaitServing(p *process.Process) (addr string) {
 	g.t.Helper()
 	var found []string
-	process.Eventually(g.t, "the coordinator serves", func() bool { found = servingLine.FindStringSubmatch(p.Log.String()); return found != nil })
+	peertest.Eventually(g.t, "the coordinator serves", func() bool { found = servingLine.FindStringSubmatch(p.Log.String()); return found != nil })
 	return found[1]
 }
 
@@ -169,7 +170,7 @@
 // AwaitNewLeader waits until a member other than the previous leader leads (-1: any member).
 func (g *Group) AwaitNewLeader(previous int) (leader int) {
 	g.t.Helper()
-	process.Eventually(g.t, "another member leads", func() bool { leader = g.Leader(); return leader >= 0 && leader != previous })
+	peertest.Eventually(g.t, "another member leads", func() bool { leader = g.Leader(); return leader >= 0 && leader != previous })
 	return leader
 }
 
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -17,6 +17,7 @@
 	"testing"
 	"time"
 
+	"petrelhook/internal/common/peertest"
 	"petrelhook/internal/coordination/agent"
 	"petrelhook/internal/coordination/driver"
 	"petrelhook/internal/coordination/fleet"
@@ -164,7 +165,7 @@
 	if err != nil {
 		a.deployment.t.Fatal(err)
 	}
-	process.Eventually(a.deployment.t, "an agent serves", func() bool { return a.Log.Has("msg=serving") })
+	peertest.Eventually(a.deployment.t, "an agent serves", func() bool { return a.Log.Has("msg=serving") })
 	a.Link.SetTarget(c.Listen)
 }
 
@@ -211,7 +212,7 @@
 			}
 		}
 	}
-	process.Eventually(d.t, "the sidecars end", func() bool {
+	peertest.Eventually(d.t, "the sidecars end", func() bool {
 		for _, p := range all {
 			if machine.Lives(p) {
 				return false
--- a/internal/rig/deployment/site.go
+++ b/internal/rig/deployment/site.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
+	"petrelhook/internal/common/peertest"
 	"petrelhook/internal/coordination/release"
 	"petrelhook/internal/coordination/rollout"
 	"petrelhook/internal/rig/audit"
 	"petrelhook/internal/rig/load"
 	"petrelhook/internal/rig/loopback"
-	"petrelhook/internal/rig/process"
 	"petrelhook/internal/rig/rehearse"
 	"petrelhook/internal/rig/scenario"
 )
@@ -84,7 +84,7 @@
 		t.Fatal("the load did not start within 30 s")
 	}
 	t.Cleanup(func() { cancel(); <-ended }) // before the sidecars that agents leave running are killed
-	process.Eventually(t, "load", func() bool { return live.Load() > 50 })
+	peertest.Eventually(t, "load", func() bool { return live.Load() > 50 })
 	return s
 }
 
--- a/internal/rig/process/process.go
+++ b/internal/rig/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs processes of tests: a test starts, pauses and kills them and reads their logs. A test program with several
-// roles starts itself again, with the role in an environment variable (Self).
+// Package process runs the processes that a test needs: a test starts, pauses and kills them and reads their logs. A test program with
+// several roles starts itself again, with the role in an environment variable (Self); its TestMain reads the variable.
 package process
 
 import (
@@ -13,14 +13,16 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"petrelhook/internal/common/peertest"
 )
 
-// Process is a process that ends with the test at the latest.
+// Process is a process that is killed at the end of the test if it has not ended before.
 type Process struct {
 	*os.Process
 	Log   LogFile    // its standard error
-	Ended chan error // gets the result of exec.Cmd.Wait, once
-	Input io.Closer  // its standard input
+	Ended chan error // gets the result of exec.Cmd.Wait, once; it has room for that value
+	Input io.Closer  // its standard input: closing it is the end of that input to the process
 	t     testing.TB
 }
 
@@ -31,7 +33,7 @@
 	return cmd
 }
 
-// Start starts a process. If the test fails, the process' log is shown.
+// Start starts a process. If the test fails, the process's log is shown.
 func Start(t testing.TB, cmd *exec.Cmd) *Process {
 	t.Helper()
 	log, err := os.CreateTemp(t.TempDir(), "log")
@@ -90,17 +92,16 @@
 	_ = p.Wait()
 }
 
-// awaitTimeout bounds the waits for events that must happen.
-const awaitTimeout = 20 * time.Second
-
-// Wait waits for the end of the process and returns the result of exec.Cmd.Wait. Only one call returns, unless Ended is filled again.
+// Wait waits for the end of the process and returns the result of exec.Cmd.Wait. It fails the test if the process has not ended within
+// peertest.EventTimeout. It receives the only value of Ended: a second call returns only if the caller has put a value back.
+// It is called from the test's goroutine.
 func (p *Process) Wait() error {
 	p.t.Helper()
 	select {
 	case err := <-p.Ended:
 		return err
-	case <-time.After(awaitTimeout):
-		p.t.Fatalf("process %d does not end", p.Pid)
+	case <-time.After(peertest.EventTimeout):
+		p.t.Fatalf("process %d has not ended within %v", p.Pid, peertest.EventTimeout)
 		return nil
 	}
 }
@@ -111,7 +112,7 @@
 // Resume resumes a paused process.
 func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
-// State is the state of the process in /proc, such as T for a paused one.
+// State is the state of the process in /proc, such as T for a paused one and Z for one whose end was not waited for; "" once it is gone.
 func (p *Process) State() string {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
@@ -122,13 +123,13 @@
 // file: there is no pipe whose reader in the test could be late.
 type LogFile string
 
-func (w LogFile) String() string {
-	text, _ := os.ReadFile(string(w))
+func (f LogFile) String() string {
+	text, _ := os.ReadFile(string(f))
 	return string(text)
 }
 
 // Has reports whether the log contains a text by now.
-func (w LogFile) Has(text string) bool { return strings.Contains(w.String(), text) }
+func (f LogFile) Has(text string) bool { return strings.Contains(f.String(), text) }
 
 // Buffer is a bytes.Buffer for several goroutines. The buffer is not embedded, because its ReadFrom would bypass the lock.
 type Buffer struct {
@@ -136,24 +137,14 @@
 	text bytes.Buffer
 }
 
-func (l *Buffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *Buffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
+func (b *Buffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
 }
 
-// Eventually polls until ok returns true. what names the state in the failure.
-func Eventually(t testing.TB, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(awaitTimeout); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("not within " + awaitTimeout.String() + ": " + what)
-		}
-	}
+func (b *Buffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
 }
