--- a/internal/common/chart/chart.go
+++ b/internal/common/chart/chart.go
@@ -22,7 +22,7 @@
 	Blue   = color.RGBA{0x2a, 0x55, 0xa0, 0xff}
 )
 
-// Style is the style sheet of the pages.
+// Style is the style sheet of the pages. Its classes kept and broken colour a rule that was observed or violated; n is a number in a table.
 const Style = template.CSS(`
 body{font:15px/1.45 system-ui,sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
 pre{overflow-x:auto;background:#f6f6f4;padding:1em} svg{max-width:100%;height:auto}
@@ -30,7 +30,7 @@
 table{border-collapse:collapse}td,th{text-align:left;padding:.15em .8em .15em 0;border-bottom:1px solid #ddd;vertical-align:top}
 td.n{text-align:right;font-variant-numeric:tabular-nums}`)
 
-// New is an empty plot with a grid and the axes' labels.
+// New is an empty plot with a grid and the labels x and y of its axes.
 func New(x, y string) *plot.Plot {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = x, y
--- a/internal/common/command/command.go
+++ b/internal/common/command/command.go
@@ -1,4 +1,5 @@
-// Package command runs the command lines of the coordinators and agents, and turns their errors into exit codes.
+// Package command runs the command lines of the coordinators and agents, and turns their errors into exit codes: an error that a command
+// has marked with Fail is ExitFailed, and any other, such as cobra's for an unknown flag, is ExitUsage.
 package command
 
 import (
@@ -13,15 +14,17 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit codes.
+// The exit codes other than 0.
 const (
 	ExitFailed = 1 // the file is invalid, or the process could not go on
 	ExitUsage  = 2 // the command line is wrong
 )
 
-// FailedError is an error of a command whose command line was right.
+// FailedError is an error of a command whose command line was right. Fail makes it and Run looks for it.
 type FailedError struct{ error }
 
+func (e FailedError) Unwrap() error { return e.error }
+
 // Fail marks an error as one of a command whose command line was right; nil stays nil.
 func Fail(err error) error {
 	if err == nil {
@@ -30,7 +33,7 @@
 	return FailedError{err}
 }
 
-// Run runs a command and returns the exit code of the process. An error is written to errs as one line.
+// Run runs a command and returns the exit code of the process. An error is written to errs as one line, with the command's name.
 func Run(cmd *cobra.Command, args []string, out, errs io.Writer) int {
 	cmd.SilenceErrors, cmd.SilenceUsage, cmd.CompletionOptions.HiddenDefaultCmd = true, true, true
 	cmd.SetArgs(args)
@@ -47,7 +50,7 @@
 	return ExitUsage
 }
 
-// Terminated returns a context that ends with SIGTERM or an interrupt.
+// Terminated returns a context that ends with SIGTERM or an interrupt. After release they end the process, as they do by default.
 func Terminated() (ctx context.Context, release func()) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
--- a/internal/common/doc.go
+++ b/internal/common/doc.go
@@ -1,4 +1,5 @@
-// Package common holds what more than one of the products uses: sockets, command lines, files of settings, plots, and peers for tests.
+// Package common holds packages that more than one of the products uses: sockets, command lines, files of settings and plots; and for
+// tests, scripted peers and checks of recorded forms.
 //
-// It imports none of the products.
+// They import none of the products.
 package common
--- a/internal/common/sock/later.go
+++ b/internal/common/sock/later.go
@@ -19,13 +19,14 @@
 	once     sync.Once
 }
 
-// ListenLater listens at an address as soon as the process that has it releases it, which it tries at an interval. Accept waits for that
-// too.
+// ListenLater listens at an address as soon as the process that has it releases it. It returns at once: Accept attempts to listen, at an
+// interval, until the address is free, and then waits for a connection. An error of Accept other than net.ErrClosed is of an address that
+// cannot be listened at, whoever has it.
 func ListenLater(addr string, retryInterval time.Duration) net.Listener {
 	return &delayedListener{addr: addr, retryInterval: retryInterval, closed: make(chan struct{})}
 }
 
-// IsAddressInUse reports whether an error means that another process has the address.
+// IsAddressInUse reports whether an error of a listen means that another process has the address.
 func IsAddressInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
 
 // Accept waits until the address is free, and then for a connection.
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// Addr is the address, also before it is free.
+// Addr is the address, also before it is free; an empty one if it cannot be parsed.
 func (l *delayedListener) Addr() net.Addr {
 	a, err := net.ResolveTCPAddr("tcp", l.addr)
 	if err != nil {
--- a/internal/common/sock/later_test.go
+++ b/internal/common/sock/later_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The address is had once the other process lets it go; a close ends the wait, and one that listens.
+// The listener listens once the other process has released the address; a close ends the wait for the address, and one for a connection.
 func TestListenLater(t *testing.T) {
 	first, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -15,7 +15,7 @@
 	}
 	addr := first.Addr().String()
 	if _, err := net.Listen("tcp", addr); !IsAddressInUse(err) {
-		t.Errorf("%v", err)
+		t.Errorf("error of a second listener: %v", err)
 	}
 	type accepted struct {
 		c   net.Conn
@@ -26,11 +26,11 @@
 		go func() { c, err := ln.Accept(); got <- accepted{c, err} }()
 		return got
 	}
-	waits := ListenLater(addr, time.Millisecond)
-	got := accept(waits)
-	waits.Close()
+	waiting := ListenLater(addr, time.Millisecond)
+	got := accept(waiting)
+	waiting.Close()
 	if a := <-got; !errors.Is(a.err, net.ErrClosed) {
-		t.Errorf("closed while it waits: %v", a.err)
+		t.Errorf("closed while the address is in use: %v", a.err)
 	}
 	ln := ListenLater(addr, time.Millisecond)
 	got = accept(ln)
@@ -48,9 +48,9 @@
 	got = accept(ln)
 	ln.Close()
 	if a := <-got; !errors.Is(a.err, net.ErrClosed) {
-		t.Errorf("closed: %v", a.err)
+		t.Errorf("closed while it listens: %v", a.err)
 	}
 	if a := <-accept(ListenLater("127.0.0.1:none", time.Millisecond)); a.err == nil {
-		t.Error("no address")
+		t.Error("an invalid address is accepted")
 	}
 }
--- a/internal/common/sock/sock.go
+++ b/internal/common/sock/sock.go
@@ -1,5 +1,6 @@
 // Package sock has functions on connections and listeners that package net lacks: whether a connection is quiet or has ended, an end by
-// reset, and listeners that two processes share. It works on TCP and, apart from listeners, on the connections of package memnet.
+// reset, and listeners that two processes share or that wait for an address. It works on TCP and, apart from listeners, on connections
+// that have methods of the same names, such as those in memory of the rig's package memnet. Its functions are safe for concurrent use.
 package sock
 
 import (
@@ -59,8 +60,8 @@
 	return failed == nil && n > 0
 }
 
-// reusePort is SO_REUSEPORT, which package syscall does not name on every architecture; it is the same on those of Linux
-// that Go runs on but MIPS, where the option is refused and its port is one process's.
+// reusePort is SO_REUSEPORT, which package syscall does not name on every architecture. The number is the same on all of Linux that Go
+// supports but MIPS; there the option is refused, and two processes cannot share an address.
 const reusePort = 0xf
 
 // ListenShared listens at an address at which another process of the same user may listen too, if it uses ListenShared as well.
@@ -81,13 +82,14 @@
 }
 
 const (
-	attachReusePortCBPF = 0x33 // SO_ATTACH_REUSEPORT_CBPF and SO_DETACH_REUSEPORT_BPF, likewise
-	detachReusePortBPF  = 0x44
+	attachReusePortCBPF = 0x33 // SO_ATTACH_REUSEPORT_CBPF
+	detachReusePortBPF  = 0x44 // SO_DETACH_REUSEPORT_BPF
 )
 
 // Yield directs new connections to the other process that listens at the same address; both use ListenShared, and this one listened
 // first. Connections in this listener's queue are still to be accepted: closing the listener resets them. If no other process listens,
-// nothing changes.
+// nothing changes. An error means that the listener is not one of ListenShared, or that the kernel has refused the filter: new
+// connections then go to either process.
 //
 // The kernel asks a filter which socket of the group takes a connection; this one selects the second. If there is none, the
 // kernel uses its own choice.
@@ -125,7 +127,7 @@
 	return err
 }
 
-// Abort closes a connection with a reset.
+// Abort closes a connection with a reset, where it can: unread and unsent bytes are dropped. The error is that of Close.
 func Abort(c net.Conn) error {
 	if t, ok := c.(interface{ SetLinger(int) error }); ok {
 		t.SetLinger(0)
--- a/internal/common/sock/yield_test.go
+++ b/internal/common/sock/yield_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// A process that yields loses nothing of its queue when it closes: what comes after that goes to the other, also where a
-// process before it had yielded and gone.
+// A process that yields and accepts what is in its queue loses no connection when it closes: new ones go to the other process. That holds
+// also if an earlier process at the address had yielded and ended.
 func TestYield(t *testing.T) {
 	first, err := ListenShared("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := first.Addr().String()
-	if err := Yield(first); err != nil { // nobody beside it
+	if err := Yield(first); err != nil { // nobody else listens
 		t.Fatal(err)
 	}
 	for round := range 4 {
@@ -23,18 +23,19 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { next.Close() })
-		var dialed [3]int
-		for phase := range dialed { // before, while both listen and one yields, after the close
+		const phases, perPhase = 3, 40
+		accepted := 0               // by the first listener, at its end
+		for phase := range phases { // before, while both listen and one yields, after the close
 			switch phase {
 			case 1:
 				if err := Yield(first); err != nil {
 					t.Fatal(err)
 				}
 			case 2:
-				dialed[0] = drain(t, first) // the queue of before
+				accepted = drain(t, first) // those that were queued before
 				first.Close()
 			}
-			for range 40 {
+			for range perPhase {
 				c, err := net.Dial("tcp", addr)
 				if err != nil {
 					t.Fatal(err)
@@ -42,10 +43,10 @@
 				defer c.Close()
 			}
 		}
-		if n := drain(t, next); dialed[0]+n != 120 || round == 0 && dialed[0] == 0 {
-			t.Errorf("round %d: %d and %d of 120 connections", round, dialed[0], n)
-		} else if dialed[0] > 40 {
-			t.Errorf("round %d: %d connections came to the one that yields", round, dialed[0])
+		if n := drain(t, next); accepted+n != phases*perPhase || round == 0 && accepted == 0 {
+			t.Errorf("round %d: %d and %d of %d connections", round, accepted, n, phases*perPhase)
+		} else if accepted > perPhase {
+			t.Errorf("round %d: %d connections came to the one that yields", round, accepted)
 		}
 		first = next
 	}
