--- a/internal/rig/group/faults.go
+++ b/internal/rig/group/faults.go
@@ -2,6 +2,20 @@
 
 import "time"
 
+// faultKind is the kind of a fault. The numbers of faults encode it: its values and their order are part of recorded schedules.
+type faultKind int
+
+const (
+	crashOne            faultKind = iota // a replica's process
+	crashAll                             // the processes of all replicas
+	pauseReplica                         // a replica's process
+	isolateFromReplicas                  // a replica from the other replicas, not from clients
+	isolateOneDirection                  // a replica from replicas and clients, in one direction only
+	isolateFromClients                   // a replica from clients, not from the other replicas
+	pauseClient                          // a client
+	faultKinds                           // how many there are
+)
+
 // scheduleFaults injects faults at random times: those of the schedule in its order, or drawn ones where it is nil.
 func (s *sim) scheduleFaults(schedule []int) {
 	position := 0
@@ -23,37 +37,38 @@
 	next()
 }
 
-// inject injects the fault that a number encodes (its kind, target and duration), and schedules its end.
+// inject injects the fault that a number encodes (its kind, target, duration and, for some kinds, direction or client), and schedules its
+// end.
 func (s *sim) inject(number int) {
 	s.Faults++
-	kind := number % 7
-	number /= 7
+	kind := faultKind(number) % faultKinds
+	number /= int(faultKinds)
 	target := s.replicas[number%len(s.replicas)]
-	for _, l := range s.replicas { // in two of three cases the leader
-		if number/5%3 > 0 && l.core != nil && l.core.IsLeader() {
-			target = l
+	for _, r := range s.replicas { // in two of three cases the leader
+		if number/5%3 > 0 && r.core != nil && r.core.IsLeader() {
+			target = r
 		}
 	}
 	number /= 15
 	duration := time.Duration(100+number%30*100) * time.Millisecond
 	number /= 30
 	switch kind {
-	case 0:
+	case crashOne:
 		if target.core != nil {
 			s.crash(target, duration/2)
 		}
-	case 1:
-		for _, one := range s.replicas {
-			s.crash(one, duration/4)
+	case crashAll:
+		for _, r := range s.replicas {
+			s.crash(r, duration/4)
 		}
-	case 2:
+	case pauseReplica:
 		s.pause(target, duration)
-	case 3: // partitioned from the other replicas, not from clients
+	case isolateFromReplicas:
 		for i := range s.replicas {
 			s.partition(target.index, i, duration)
 			s.partition(i, target.index, duration)
 		}
-	case 4: // partitioned from replicas and clients, in one direction only
+	case isolateOneDirection:
 		for i := range len(s.replicas) + len(s.clients) {
 			if number%2 == 0 {
 				s.partition(target.index, i, duration)
@@ -61,12 +76,12 @@
 				s.partition(i, target.index, duration)
 			}
 		}
-	case 5: // partitioned from clients, not from the other replicas
+	case isolateFromClients:
 		for i := len(s.replicas); i < len(s.replicas)+len(s.clients); i++ {
 			s.partition(target.index, i, duration)
 			s.partition(i, target.index, duration)
 		}
-	case 6: // a client is paused
+	case pauseClient:
 		c := s.clients[number%len(s.clients)]
 		c.paused = true
 		s.after(duration, func() { c.paused = false })
@@ -96,13 +111,14 @@
 	r.paused = true
 	incarnation := r.incarnation
 	s.after(duration, func() {
-		if r.incarnation == incarnation {
-			r.paused = false
-			pending := r.pending
-			r.pending = nil
-			for _, do := range pending {
-				do()
-			}
+		if r.incarnation != incarnation {
+			return
+		}
+		r.paused = false
+		pending := r.pending
+		r.pending = nil
+		for _, do := range pending {
+			do()
 		}
 	})
 }
--- a/internal/rig/group/group.go
+++ b/internal/rig/group/group.go
@@ -29,8 +29,8 @@
 type Options struct {
 	Seed     uint64
 	Replicas int
-	Length   time.Duration
-	Faults   []int // numbers as inject takes them, in this order; nil: drawn
+	Length   time.Duration // of true time
+	Faults   []int         // in this order, each a number that encodes kind, target and duration; nil: drawn
 
 	NoSync, NoFencing, ClockRateOutOfBounds bool
 
@@ -58,7 +58,7 @@
 
 // event is a function that runs at a virtual time; sequence orders events of the same time.
 type event struct {
-	at       time.Duration
+	time     time.Duration
 	sequence int
 	run      func()
 }
@@ -68,7 +68,7 @@
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
+	return e[i].time < e[j].time || e[i].time == e[j].time && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -176,7 +176,7 @@
 	s.scheduleFaults(o.Faults)
 	for s.now < o.Length && s.Violation == "" && len(s.events) > 0 {
 		e := heap.Pop(&s.events).(event)
-		s.now = e.at
+		s.now = e.time
 		e.run()
 	}
 	slices.SortStableFunc(s.History, func(a, b porcupine.Operation) int { return int(a.Return - b.Return) })
--- a/internal/rig/group/shares.go
+++ b/internal/rig/group/shares.go
@@ -11,32 +11,41 @@
 // ShareLimit is the limit that clients of a group request allocations of.
 var ShareLimit = share.Limit{Name: "limit", Units: 20, Floor: 4, Members: 4, Period: 600 * time.Millisecond}
 
-// scheduleShareRequests has the client request all units of the limit from the replica that it assumes to lead, again and again;
-// it sets the limit itself besides, as an operator does. The sum over all clients is checked whenever a response arrives.
+// scheduleShareRequests has the client set the limit, as an operator does, and request an allocation, again and again.
 func (c *simClient) scheduleShareRequests() {
-	s := c.sim
-	s.after(s.uniform(5*time.Millisecond, 150*time.Millisecond), func() {
+	c.sim.after(c.sim.uniform(5*time.Millisecond, 150*time.Millisecond), func() {
 		if !c.paused {
-			c.callLeader(func(r *simReplica, _ func(func())) {
-				r.core.Submit(replica.Request{Limit: &share.Command{Set: ShareLimit}, Done: func(replica.Response) {}})
-			})
-			sentAt := c.clock()
-			request := c.consumer.NewRequest(ShareLimit.Units, sentAt)
-			c.callLeader(func(r *simReplica, reply func(func())) {
-				r.core.Submit(replica.Request{Share: &replica.ShareRequest{Limit: ShareLimit.Name, Request: request}, Done: func(a replica.Response) {
-					reply(func() {
-						if a.Err == nil && a.LimitErr == nil {
-							c.consumer.ApplyAllocation(sentAt, a.Share, request.Finished)
-						}
-						s.checkShares()
-					})
-				}})
-			})
+			c.setLimit()
+			c.requestShare()
 		}
 		c.scheduleShareRequests()
 	})
 }
 
+// setLimit sets ShareLimit at the replica that the client assumes to lead.
+func (c *simClient) setLimit() {
+	c.callLeader(func(r *simReplica, _ func(func())) {
+		r.core.Submit(replica.Request{Limit: &share.Command{Set: ShareLimit}, Done: func(replica.Response) {}})
+	})
+}
+
+// requestShare requests all units of the limit from the replica that the client assumes to lead. The sum over all clients is checked
+// whenever a response arrives.
+func (c *simClient) requestShare() {
+	sentAt := c.clock()
+	request := c.consumer.NewRequest(ShareLimit.Units, sentAt)
+	c.callLeader(func(r *simReplica, reply func(func())) {
+		r.core.Submit(replica.Request{Share: &replica.ShareRequest{Limit: ShareLimit.Name, Request: request}, Done: func(response replica.Response) {
+			reply(func() {
+				if response.Err == nil && response.LimitErr == nil {
+					c.consumer.ApplyAllocation(sentAt, response.Share, request.Finished)
+				}
+				c.sim.checkShares()
+			})
+		}})
+	})
+}
+
 // checkShares checks that clients together do not believe in more units than the limit has.
 func (s *sim) checkShares() {
 	sum := ShareLimit.Floor
