--- a/cmd/petrelhook-coordinator/figures_test.go
+++ b/cmd/petrelhook-coordinator/figures_test.go
@@ -109,7 +109,7 @@
 		const times = 10
 		for i := range times {
 			out := &process.Buffer{}
-			holder := start(t, "keeps", out, guarded, fmt.Sprintf("%s,%s,%s", g.ClientLinks[0].Addr, g.ClientLinks[1].Addr, g.ClientLinks[2].Addr), fmt.Sprint(what, i))
+			holder := start(t, contend.RoleIdleHolder, out, guarded, fmt.Sprintf("%s,%s,%s", g.ClientLinks[0].Addr, g.ClientLinks[1].Addr, g.ClientLinks[2].Addr), fmt.Sprint(what, i))
 			peertest.Eventually(t, "it holds", func() bool { return out.String() != "" })
 			next, err := lease.New(lease.Options{Addrs: g.Addrs(), Owner: "next", TTL: ttl})
 			if err != nil {
--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/hard_test.go
@@ -58,8 +58,8 @@
 	g, r := newGroup(t, 1), &contend.Resource{}
 	guarded := peertest.NewRaw(t, r.Serve)
 	out := &process.Buffer{}
-	first := start(t, "stops", out, guarded, strings.Join(g.Addrs(), ","))
-	peertest.Eventually(t, "it has looked, and is stopped", func() bool { return strings.Contains(out.String(), "looked") && first.State() == "T" })
+	first := start(t, contend.RolePausedHolder, out, guarded, strings.Join(g.Addrs(), ","))
+	peertest.Eventually(t, "it has checked the lease, and is paused", func() bool { return strings.Contains(out.String(), contend.CheckedMessage) && first.State() == "T" })
 	other := hold(t, client(t, g), "task") // its TTL has passed
 	if err := r.Guard.Admit(other.Token, func() error { return nil }); err != nil {
 		t.Error(err)
@@ -215,7 +215,7 @@
 	g, r := newGroup(t, 1), &contend.Resource{}
 	first := hold(t, client(t, g), "task")
 	out := &process.Buffer{}
-	waiter := start(t, "holder", out, "w", peertest.NewRaw(t, r.Serve), strings.Join(g.Addrs(), ","))
+	waiter := start(t, contend.RoleHolder, out, "w", peertest.NewRaw(t, r.Serve), strings.Join(g.Addrs(), ","))
 	name := "task"
 	queue := func() int {
 		response, err := g.Call(fleet.Request{ListLeases: &name})
--- a/cmd/petrelhook-coordinator/process_test.go
+++ b/cmd/petrelhook-coordinator/process_test.go
@@ -83,7 +83,7 @@
 	for i := range 8 {
 		out := &process.Buffer{}
 		outs = append(outs, out)
-		holders = append(holders, start(t, "holder", out, fmt.Sprint("h", i), guarded, strings.Join(g.Addrs(), ",")))
+		holders = append(holders, start(t, contend.RoleHolder, out, fmt.Sprint("h", i), guarded, strings.Join(g.Addrs(), ",")))
 	}
 	progress := func() {
 		t.Helper()
--- a/cmd/petrelhook-coordinator/share_test.go
+++ b/cmd/petrelhook-coordinator/share_test.go
@@ -45,7 +45,7 @@
 	var logs [members]process.Buffer
 	var all []*process.Process
 	for i := range members {
-		all = append(all, start(t, "spend", &logs[i], fmt.Sprint("m", i), "4ms", string(limit), strings.Join(g.Addrs(), ",")))
+		all = append(all, start(t, contend.RoleSpender, &logs[i], fmt.Sprint("m", i), "4ms", string(limit), strings.Join(g.Addrs(), ",")))
 	}
 	uses := func() (n int) {
 		for i := range logs {
--- a/internal/rig/contend/contend.go
+++ b/internal/rig/contend/contend.go
@@ -28,25 +28,36 @@
 // TTL is the TTL of holders' sessions.
 const TTL = 800 * time.Millisecond
 
-// Run runs a role until the process ends; a test's program calls it. Coordinators are addresses with commas. The arguments:
-//
-//	holder  name, address of the resource, coordinators
-//	stops   address of the resource, coordinators
-//	spend   name, interval, limit as JSON, coordinators
-//	keeps   (unused), coordinators, name of the lease
+// The roles of Run, and their arguments in order. The coordinators are addresses with commas between.
+const (
+	// RoleHolder acquires the lease, writes and releases it, again and again: name, address of the resource, coordinators.
+	RoleHolder = "holder"
+	// RolePausedHolder is paused between its check of the lease and its write: address of the resource, coordinators.
+	RolePausedHolder = "paused"
+	// RoleSpender uses units of a limit: name, interval, limit as JSON, coordinators.
+	RoleSpender = "spender"
+	// RoleIdleHolder keeps a lease until it is killed: an argument that is not used, coordinators, name of the lease.
+	RoleIdleHolder = "idle"
+)
+
+// Run runs a role until the process ends; a test's program calls it. An invalid argument, or a lease that cannot be had, is a panic,
+// which the log of the process shows.
 func Run(role string, args []string) {
 	switch role {
-	case "holder":
+	case RoleHolder:
 		runHolder(args[0], args[1], strings.Split(args[2], ","))
-	case "stops":
+	case RolePausedHolder:
 		runPausedHolder(args[0], strings.Split(args[1], ","))
-	case "spend":
+	case RoleSpender:
 		runSpender(args[0], args[1], args[2], strings.Split(args[3], ","))
-	case "keeps":
+	case RoleIdleHolder:
 		runIdleHolder(strings.Split(args[1], ","), args[2])
 	}
 }
 
+// CheckedMessage is what a paused holder prints once it has found that it holds the lease, just before it is paused.
+const CheckedMessage = "checked"
+
 // ParseBeliefs reads what a holder has printed.
 func ParseBeliefs(holder, text string) (all []belief.Belief) {
 	for in := bufio.NewScanner(strings.NewReader(text)); in.Scan(); {
@@ -109,10 +120,11 @@
 			panic(err)
 		}
 	}
-	fmt.Println("looked")
-	runtime.LockOSThread() // sent to this thread the signal takes effect before the next line; another thread would let this one go on for a moment
+	fmt.Println(CheckedMessage)
+	// Sent to this thread the signal takes effect before the next line; another thread would let this one go on for a moment.
+	runtime.LockOSThread()
 	_ = unix.Tgkill(os.Getpid(), unix.Gettid(), unix.SIGSTOP)
-	fmt.Fprintf(conn, "stops %d\n", h.Token)
+	fmt.Fprintf(conn, "%s %d\n", RolePausedHolder, h.Token)
 	answer, _ := bufio.NewReader(conn).ReadString('\n')
 	fmt.Print(answer)
 	os.Exit(0)
@@ -120,7 +132,7 @@
 
 // runIdleHolder acquires a lease, prints its token, and holds it until it is killed.
 func runIdleHolder(addrs []string, name string) {
-	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "keeps", TTL: TTL})
+	c, err := lease.New(lease.Options{Addrs: addrs, Owner: "idle", TTL: TTL})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/rig/coordinator/group.go
+++ b/internal/rig/coordinator/group.go
@@ -22,7 +22,8 @@
 )
 
 // Group is a group of coordinator processes. Each is reached through links only: one from each other coordinator, and one from clients.
-// A test breaks links and processes.
+// A test breaks links and processes. Its methods are called from the test's goroutine, because they end the test where a process does
+// not start or a state is not reached within peertest.EventTimeout; Call, Addrs and Leader may be called from any.
 type Group struct {
 	Dir         string // of configurations and data
 	Members     []*Member
@@ -39,7 +40,8 @@
 	group     *Group
 }
 
-// NewGroup starts n coordinators with a tick of 20 ms. program makes the command from its arguments.
+// NewGroup starts n coordinators with a tick of 20 ms, which end with the test. program makes the command of a coordinator from its
+// arguments.
 func NewGroup(t testing.TB, n int, program func(args ...string) *exec.Cmd) *Group {
 	t.Helper()
 	return NewGroupWith(t, n, "", program)
@@ -95,7 +97,10 @@
 func (g *Group) AwaitServing(p *process.Process) (addr string) {
 	g.t.Helper()
 	var found []string
-	peertest.Eventually(g.t, "the coordinator serves", func() bool { found = servingLine.FindStringSubmatch(p.Log.String()); return found != nil })
+	peertest.Eventually(g.t, "the coordinator serves", func() bool {
+		found = servingLine.FindStringSubmatch(p.Log.String())
+		return found != nil
+	})
 	return found[1]
 }
 
@@ -170,19 +175,22 @@
 // AwaitNewLeader waits until a member other than the previous leader leads (-1: any member).
 func (g *Group) AwaitNewLeader(previous int) (leader int) {
 	g.t.Helper()
-	peertest.Eventually(g.t, "another member leads", func() bool { leader = g.Leader(); return leader >= 0 && leader != previous })
+	peertest.Eventually(g.t, "another member leads", func() bool {
+		leader = g.Leader()
+		return leader >= 0 && leader != previous
+	})
 	return leader
 }
 
-// Call sends a request to the leader, as an operator does.
+// Call sends a request to the leader, as an operator does, within 20 s. The error is that of fleet.Operator.Call.
 func (g *Group) Call(in fleet.Request) (*fleet.Response, error) {
 	ctx, cancel := context.WithTimeout(g.t.Context(), 20*time.Second)
 	defer cancel()
 	return (&fleet.Operator{Addrs: g.Addrs()}).Call(ctx, in)
 }
 
-// NewCaller returns a function that sends a request until the leader answers, with a pause of 5 ms between attempts and no other: for
-// measurements.
+// NewCaller returns a function that sends a request until the leader answers, 5 ms after each attempt that fails, without a backoff: for
+// measurements. It may be called from any goroutine, and panics on an error that no further attempt can change.
 func (g *Group) NewCaller() func(fleet.Request) *fleet.Response {
 	client := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{}).DialContext, MaxIdleConnsPerHost: 64}}
 	var current atomic.Int64
