--- a/cmd/petrelhook-agent/change_test.go
+++ b/cmd/petrelhook-agent/change_test.go
@@ -26,13 +26,13 @@
 	os.Exit(code)
 }
 
-// newSite is a deployment under load. The programs that it starts are built without the race detector, which would see the rig alone: one
+// newLoadTest is a deployment under load. The programs that it starts are built without the race detector, which would see the rig alone: one
 // test is run under it, the others are not.
-func newSite(t *testing.T, sidecars, rate int, faults string, change func(*deployment.Deployment)) *deployment.Site {
+func newLoadTest(t *testing.T, sidecars, rate int, faults string, change func(*deployment.Deployment)) *deployment.LoadTest {
 	if raced && t.Name() != "TestStoppedProcesses" {
 		t.Skip("the programs are not built with the race detector")
 	}
-	return deployment.StartSite(t, func() string { return peertest.ReserveAddr(t) }, sidecars, rate, faults, change)
+	return deployment.StartLoadTest(t, func() string { return peertest.ReserveAddr(t) }, sidecars, rate, faults, change)
 }
 
 // short is a plan with two stages, the first of which is judged.
@@ -46,7 +46,7 @@
 // A release that is the old one under another name passes its stages while a third of the servers is slow; releases that are worse in one
 // way each are stopped in the first stage and rolled back. No request is affected by a change alone.
 func TestReleases(t *testing.T) {
-	s := newSite(t, 6, 240, "at 2s cell:1 slow x4 for 10s\n", nil)
+	s := newLoadTest(t, 6, 240, "at 2s cell:1 slow x4 for 10s\n", nil)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	if _, err := s.Begin(deployment.PlanText(s.Initial, good, short)); err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 // A release uses up capacity of the servers that the old sidecars need: those do worse than before, and the change pauses. An invalid
 // plan is refused before anything changes.
 func TestAReleaseThatHarmsOthers(t *testing.T) {
-	s := newSite(t, 6, 240, "", nil)
+	s := newLoadTest(t, 6, 240, "", nil)
 	id := s.FaultyRelease("takes from others")
 	for text, want := range map[string]string{
 		deployment.PlanText(s.Initial, "0123456789abcdef0123456789abcdef", short):                                                               "there is no such release here",
@@ -103,7 +103,7 @@
 
 // Releases whose processes end by themselves. The requests that they had accepted end with them.
 func TestReleasesThatEnd(t *testing.T) {
-	s := newSite(t, 6, 120, "", nil)
+	s := newLoadTest(t, 6, 120, "", nil)
 	s.CheckWorseReleases(s.Initial, []deployment.WorseRelease{worse("dies at start", "exit 1", "ended before it was ready"), worse("dies in its trial", `(sleep 0.5; kill -9 $$) & exec $REAL "$@"`, "ended in its trial"),
 		worse("dies later", `(sleep 4; kill -9 $$) & exec $REAL "$@"`, "it ended")})
 }
@@ -112,7 +112,7 @@
 func TestAReleaseThatIsBadUnderLoad(t *testing.T) {
 	began := time.Now()
 	const rises = 18 * time.Second // after the load began
-	s := newSite(t, 6, 240, "arrive step 1/s..600/s at=18s poisson\n", nil)
+	s := newLoadTest(t, 6, 240, "arrive step 1/s..600/s at=18s poisson\n", nil)
 	if _, err := s.Begin(deployment.PlanText(s.Initial, s.FaultyRelease("under load"), strings.Replace(short, "control: 2", "control: 2, least: 60s", 1))); err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 
 // A good release is not stopped for the faults of others: while it is rolled out, servers are deployed, discovery is down, and load doubles.
 func TestAGoodReleaseInBadTimes(t *testing.T) {
-	s := newSite(t, 6, 240, "rules cold-from=50% cold-time=2s\nat 3s all roll batch=2 every=3s drain=500ms down=500ms cold=50% warm=2s\nat 5s discovery down for 6s\narrive step 1/s..240/s at=8s poisson\n", nil)
+	s := newLoadTest(t, 6, 240, "rules cold-from=50% cold-time=2s\nat 3s all roll batch=2 every=3s drain=500ms down=500ms cold=50% warm=2s\nat 5s discovery down for 6s\narrive step 1/s..240/s at=8s poisson\n", nil)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	if _, err := s.Begin(deployment.PlanText(s.Initial, good, short)); err != nil {
 		t.Fatal(err)
--- a/cmd/petrelhook-agent/faults_test.go
+++ b/cmd/petrelhook-agent/faults_test.go
@@ -28,7 +28,7 @@
 // The coordinator that drives a change is killed again and again, and one is paused and continues with calls in flight: the change
 // completes, each sidecar is changed once, and the calls of the one that was paused are refused.
 func TestDriversThatDie(t *testing.T) {
-	s := newSite(t, 6, 200, "", nil)
+	s := newLoadTest(t, 6, 200, "", nil)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	if _, err := s.Begin(deployment.PlanText(s.Initial, good, twoStages)); err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 
 // kill kills one agent after the other, each after a random time up to within, and starts it again, until the function that it returns is
 // called or the test ends. That function returns the number of kills.
-func kill(t *testing.T, s *deployment.Site, within time.Duration) (end func() int) {
+func kill(t *testing.T, s *deployment.LoadTest, within time.Duration) (end func() int) {
 	stop, ended := make(chan struct{}), make(chan struct{})
 	kills := 0
 	go func() {
@@ -108,7 +108,7 @@
 // Agents are killed at random moments of a change and started again: no sidecar ever has a third process or none, and the change
 // completes.
 func TestAgentsThatDie(t *testing.T) {
-	s := newSite(t, 6, 200, "", func(d *deployment.Deployment) { // a trial starts over with the agent
+	s := newLoadTest(t, 6, 200, "", func(d *deployment.Deployment) { // a trial starts over with the agent
 		d.Limits = "{ready: 15s, trial: 300ms, end: 4s, look: 50ms, cut_off: 20s, heard: 4s, restart_pause: 200ms}"
 	})
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
@@ -128,7 +128,7 @@
 // A third of the agents is isolated in the middle of a stage, and the change is aborted meanwhile: the sidecars in reach are rolled back at
 // once; those that are isolated fall back by themselves, and their status says so later.
 func TestAgentsThatAreCutOff(t *testing.T) {
-	s := newSite(t, 6, 200, "", func(d *deployment.Deployment) {
+	s := newLoadTest(t, 6, 200, "", func(d *deployment.Deployment) {
 		d.PerAgent = 2
 		d.Limits = "{ready: 15s, trial: 1s, end: 4s, look: 50ms, cut_off: 4s, heard: 2s, restart_pause: 200ms}"
 	})
@@ -160,7 +160,7 @@
 // A sidecar is suspended in the middle of a stage: the change waits for it, and pauses. Then its agent is suspended, and the change is
 // aborted meanwhile: the order to roll back, repeated at every poll, is carried out once when the agent continues.
 func TestStoppedProcesses(t *testing.T) {
-	s := newSite(t, 4, 100, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
+	s := newLoadTest(t, 4, 100, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "patience: 8s\njudge: {effect: 0.001}\nstages:\n  - {names: [n00]}\n  - {share: 1}\n")); err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 // A machine comes back after weeks, and the release of its sidecars is no longer there. It starts nothing until a driver says which
 // release is confirmed.
 func TestAMachineThatIsBackAfterWeeks(t *testing.T) {
-	s := newSite(t, 4, 60, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
+	s := newLoadTest(t, 4, 60, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "at_once: 4\njudge: none\nstages: [{share: 1}]\n")); err != nil {
 		t.Fatal(err)
--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -14,7 +14,7 @@
 func TestFiguresOfHarm(t *testing.T) {
 	peertest.SkipUnlessMeasuring(t)
 	const horizon = 40 * time.Second
-	s := newSite(t, 12, 360, "", nil)
+	s := newLoadTest(t, 12, 360, "", nil)
 	bad := s.FaultyRelease("fails one class")
 	zero := time.Now()
 	var froms []time.Duration
@@ -62,7 +62,7 @@
 // Good changes of 12 sidecars in three stages, one after the other, forth and back: none is stopped, and no request is affected.
 func TestFiguresOfGoodChanges(t *testing.T) {
 	peertest.SkipUnlessMeasuring(t)
-	s := newSite(t, 12, 1500, "", nil)
+	s := newLoadTest(t, 12, 1500, "", nil)
 	now, next := s.Initial, s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	for i := range 20 {
 		began := time.Now()
--- a/cmd/petrelhook-agent/version_test.go
+++ b/cmd/petrelhook-agent/version_test.go
@@ -19,13 +19,13 @@
 
 // listed is a deployment whose servers are listed at two addresses, and whose agents receive versions.
 type listed struct {
-	*deployment.Site
+	*deployment.LoadTest
 	lists [2]*link.Link // both lead to the one list
 }
 
 func newListed(t *testing.T, rate int) *listed {
 	s := &listed{}
-	s.Site = newSite(t, 6, rate, "", func(d *deployment.Deployment) {
+	s.LoadTest = newLoadTest(t, 6, rate, "", func(d *deployment.Deployment) {
 		d.SubscribeVersions = true
 		d.Discovery = func(addr string) string {
 			for i := range s.lists {
@@ -280,7 +280,7 @@
 // has a third process, and the newest is in force on all.
 func TestAgentsKilledInAVersion(t *testing.T) {
 	s := newListed(t, 200)
-	killed := kill(t, s.Site, 1500*time.Millisecond)
+	killed := kill(t, s.LoadTest, 1500*time.Millisecond)
 	end := s.WatchRevisions(t)
 	for i := range 6 {
 		text := s.live(i / 2 % 2)
--- a/internal/common/peertest/peertest.go
+++ b/internal/common/peertest/peertest.go
@@ -1,5 +1,5 @@
 // Package peertest has scripted peers on loopback for tests: servers and a discovery that answer what a test has them answer, addresses
-// at which nothing answers, a client, and functions to wait for events. Only tests and the rig's packages for tests import it.
+// at which nothing answers, a client, and functions to wait for events. Only tests import it.
 //
 // A function that takes a testing.TB ends the test if its set-up fails, and releases with the test's clean-up what it started.
 package peertest
--- a/internal/common/peertest/wait.go
+++ b/internal/common/peertest/wait.go
@@ -4,20 +4,17 @@
 	"os"
 	"testing"
 	"time"
+
+	"petrelhook/internal/common/await"
 )
 
 // EventTimeout bounds a wait for an event that must happen. No test waits so long when it passes.
-const EventTimeout = 20 * time.Second
+const EventTimeout = await.Timeout
 
-// Eventually polls until ok returns true, and fails the test if that takes longer than EventTimeout. what names the state in the failure.
-// It is called from the test's goroutine.
+// Eventually is await.Eventually, for tests that use this package's peers.
 func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(EventTimeout); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", EventTimeout, what)
-		}
-	}
+	await.Eventually(t, what, ok)
 }
 
 // Wait receives a value that must come within EventTimeout; else it fails the test. It is called from the test's goroutine.
--- a/internal/rig/coordinator/group.go
+++ b/internal/rig/coordinator/group.go
@@ -15,7 +15,7 @@
 
 	"connectrpc.com/connect"
 
-	"petrelhook/internal/common/peertest"
+	"petrelhook/internal/common/await"
 	"petrelhook/internal/coordination/fleet"
 	"petrelhook/internal/rig/link"
 	"petrelhook/internal/rig/process"
@@ -23,7 +23,7 @@
 
 // Group is a group of coordinator processes. Each is reached through links only: one from each other coordinator, and one from clients.
 // A test breaks links and processes. Its methods are called from the test's goroutine, because they end the test where a process does
-// not start or a state is not reached within peertest.EventTimeout; Call, Addrs and Leader may be called from any.
+// not start or a state is not reached within await.Timeout; Call, Addrs and Leader may be called from any.
 type Group struct {
 	Dir         string // of configurations and data
 	Members     []*Member
@@ -97,7 +97,7 @@
 func (g *Group) AwaitServing(p *process.Process) (addr string) {
 	g.t.Helper()
 	var found []string
-	peertest.Eventually(g.t, "the coordinator serves", func() bool {
+	await.Eventually(g.t, "the coordinator serves", func() bool {
 		found = servingLine.FindStringSubmatch(p.Log.String())
 		return found != nil
 	})
@@ -175,7 +175,7 @@
 // AwaitNewLeader waits until a member other than the previous leader leads (-1: any member).
 func (g *Group) AwaitNewLeader(previous int) (leader int) {
 	g.t.Helper()
-	peertest.Eventually(g.t, "another member leads", func() bool {
+	await.Eventually(g.t, "another member leads", func() bool {
 		leader = g.Leader()
 		return leader >= 0 && leader != previous
 	})
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"petrelhook/internal/common/peertest"
+	"petrelhook/internal/common/await"
 	"petrelhook/internal/coordination/agent"
 	"petrelhook/internal/coordination/driver"
 	"petrelhook/internal/coordination/fleet"
@@ -165,7 +165,7 @@
 	if err != nil {
 		a.deployment.t.Fatal(err)
 	}
-	peertest.Eventually(a.deployment.t, "an agent serves", func() bool { return a.Log.Has("msg=serving") })
+	await.Eventually(a.deployment.t, "an agent serves", func() bool { return a.Log.Has("msg=serving") })
 	a.Link.SetTarget(c.Listen)
 }
 
@@ -212,7 +212,7 @@
 			}
 		}
 	}
-	peertest.Eventually(d.t, "the sidecars end", func() bool {
+	await.Eventually(d.t, "the sidecars end", func() bool {
 		for _, p := range all {
 			if machine.Lives(p) {
 				return false
--- a/internal/rig/deployment/site.go
+++ b/internal/rig/deployment/loadtest.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"petrelhook/internal/common/peertest"
+	"petrelhook/internal/common/await"
 	"petrelhook/internal/coordination/release"
 	"petrelhook/internal/coordination/rollout"
 	"petrelhook/internal/rig/audit"
@@ -34,8 +34,8 @@
 arrive poisson %d/s
 `
 
-// Site is a deployment under load, in three zones.
-type Site struct {
+// LoadTest is a deployment under load, in three zones.
+type LoadTest struct {
 	*Deployment
 	t        testing.TB
 	Settings []byte // of the initial release, for all sidecars
@@ -44,11 +44,11 @@
 	endLoad  context.CancelFunc
 }
 
-// StartSite starts a deployment and a load on it, which ends with End or Check. faults are statements of a scenario; configure, if not
+// StartLoadTest starts a deployment and a load on it, which ends with End or Check. faults are statements of a scenario; configure, if not
 // nil, changes the deployment before its sidecars start.
-func StartSite(t testing.TB, reserveAddr func() string, sidecars, rate int, faults string, configure func(*Deployment)) *Site {
+func StartLoadTest(t testing.TB, reserveAddr func() string, sidecars, rate int, faults string, configure func(*Deployment)) *LoadTest {
 	t.Helper()
-	s := &Site{Deployment: New(t, 3), t: t, outcome: make(chan *rehearse.Outcome, 1)}
+	s := &LoadTest{Deployment: New(t, 3), t: t, outcome: make(chan *rehearse.Outcome, 1)}
 	s.ReserveAddr = reserveAddr
 	s.Zones = []string{"a", "b", "c"}
 	s.InitialRelease = func(settings []byte) release.ID {
@@ -84,12 +84,12 @@
 		t.Fatal("the load did not start within 30 s")
 	}
 	t.Cleanup(func() { cancel(); <-ended }) // before the sidecars that agents leave running are killed
-	peertest.Eventually(t, "load", func() bool { return live.Load() > 50 })
+	await.Eventually(t, "load", func() bool { return live.Load() > 50 })
 	return s
 }
 
 // End ends the load, the agents and the sidecars. A test that has restarted an agent has to call it.
-func (s *Site) End() *rehearse.Outcome {
+func (s *LoadTest) End() *rehearse.Outcome {
 	s.t.Helper()
 	s.endLoad()
 	out := <-s.outcome
@@ -101,7 +101,7 @@
 
 // Check ends the load as End does, and checks the four rules of the audit, and that no client was refused a connection or lost a
 // request.
-func (s *Site) Check() *rehearse.Outcome {
+func (s *LoadTest) Check() *rehearse.Outcome {
 	s.t.Helper()
 	out := s.End()
 	if !out.Audit.OK() {
@@ -134,7 +134,7 @@
 }
 
 // FaultyRelease adds a release whose program is the test's own, in the role of RunFaultySidecar.
-func (s *Site) FaultyRelease(fault string) release.ID {
+func (s *LoadTest) FaultyRelease(fault string) release.ID {
 	s.t.Helper()
 	self, err := filepath.Abs(os.Args[0])
 	if err != nil {
@@ -144,7 +144,7 @@
 }
 
 // ReplaceSetting returns the settings with the first occurrence of a text replaced.
-func (s *Site) ReplaceSetting(from, to string) []byte {
+func (s *LoadTest) ReplaceSetting(from, to string) []byte {
 	return []byte(strings.Replace(string(s.Settings), from, to, 1))
 }
 
@@ -154,7 +154,7 @@
 
 // CheckWorseReleases starts changes to worse releases, one after the other, and checks that each is stopped in its first stage, for
 // its reason, and rolled back.
-func (s *Site) CheckWorseReleases(from release.ID, releases []WorseRelease) {
+func (s *LoadTest) CheckWorseReleases(from release.ID, releases []WorseRelease) {
 	s.t.Helper()
 	for _, b := range releases {
 		var id release.ID
--- a/internal/rig/process/process.go
+++ b/internal/rig/process/process.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"petrelhook/internal/common/peertest"
+	"petrelhook/internal/common/await"
 )
 
 // Process is a process that is killed at the end of the test if it has not ended before.
@@ -93,15 +93,15 @@
 }
 
 // Wait waits for the end of the process and returns the result of exec.Cmd.Wait. It fails the test if the process has not ended within
-// peertest.EventTimeout. It receives the only value of Ended: a second call returns only if the caller has put a value back.
+// await.Timeout. It receives the only value of Ended: a second call returns only if the caller has put a value back.
 // It is called from the test's goroutine.
 func (p *Process) Wait() error {
 	p.t.Helper()
 	select {
 	case err := <-p.Ended:
 		return err
-	case <-time.After(peertest.EventTimeout):
-		p.t.Fatalf("process %d has not ended within %v", p.Pid, peertest.EventTimeout)
+	case <-time.After(await.Timeout):
+		p.t.Fatalf("process %d has not ended within %v", p.Pid, await.Timeout)
 		return nil
 	}
 }
--- a/internal/sidecar/wiring/imports_test.go
+++ b/internal/sidecar/wiring/imports_test.go
@@ -101,7 +101,8 @@
 	{"internal/rig/contend", "internal/* lease"},
 	{"internal/rig/scale", "balance internal/* lease"},
 	{"internal/rig/*", "balance internal/*"},
-	{"internal/common/peertest", ""},
+	{"internal/common/await", ""},
+	{"internal/common/peertest", "internal/common/await"},
 	{"cmd/petrelhook", "balance internal/*"},
 	{"cmd/petrelhookctl", "balance internal/* lease"},
 	{"cmd/adapter", "balance internal/sidecar/wire"},
@@ -109,10 +110,10 @@
 
 // never lists what must not be imported even where a line of layers allows it.
 var never = []struct{ name, not string }{
-	{"internal/sidecar/wiring", "internal/rig/* internal/common/peertest"},
-	{"cmd/petrelhook", "internal/rig/* internal/common/peertest"},
+	{"internal/sidecar/wiring", "internal/rig/* internal/common/peertest internal/common/await"},
+	{"cmd/petrelhook", "internal/rig/* internal/common/peertest internal/common/await"},
 	{"internal/rig/*", "internal/common/peertest"},
-	{"cmd/petrelhookctl", "internal/common/peertest"},
+	{"cmd/petrelhookctl", "internal/common/peertest internal/common/await"},
 	{"*", "cmd/*"},
 	{"internal/common/*", "internal/sidecar/* internal/coordination/* internal/router/*"},
 	{"internal/router/*", "internal/sidecar/* internal/coordination/*"},
