--- a/cmd/petrelhook-agent/main_test.go
+++ b/cmd/petrelhook-agent/main_test.go
@@ -31,7 +31,7 @@
 		"a.yaml:2:1: release: missing":                                     {"release: 0123", "#"},
 		"a.yaml:2:1: listen: 10.0.0.1:7500 is not of loopback":             {"listen: 127.0.0.1:7500", "listen: 10.0.0.1:7500"},
 		`a.yaml:3:9: listen: "here" is no address`:                         {"listen: 127.0.0.1:7500", "listen: here"},
-		`a.yaml:7:17: limits.ready: "6"; write a time`:                     {"ready: 6s", "ready: 6"},
+		`a.yaml:7:25: limits.ready_timeout: "6"; write a time`:             {"ready_timeout: 6s", "ready_timeout: 6"},
 		"a.yaml:10:5: sidecars[1]: name n0 is in line 9 already":           {"name: n1", "name: n0"},
 		"a.yaml:10:5: sidecars[1]: 127.0.0.1:9600 is in line 9":            {"127.0.0.1:9602", "127.0.0.1:9600"},
 		"a.yaml:9:5: sidecars[0].name: \"../x\"":                           {"name: n0", "name: ../x"},
@@ -46,7 +46,7 @@
 		`a.yaml:11:31: configuration.coordinators: "here"; write a list`:     {`["127.0.0.1:7400"]`, `here`},
 		`a.yaml:11:16: configuration: write fields such as coordinators`:     {`{coordinators: ["127.0.0.1:7400"]}`, `["127.0.0.1:7400"]`},
 		`a.yaml:11:25: configuration.member: 0 bytes; write a name`:          {`{coordinators`, `{member: "", coordinators`},
-		`a.yaml:11:24: configuration.trial: "2"; write a time`:               {`{coordinators`, `{trial: 2, coordinators`},
+		`a.yaml:11:31: configuration.trial_period: "2"; write a time`:        {`{coordinators`, `{trial_period: 2, coordinators`},
 		`a.yaml:11:16: configuration: service: "per mits"; write printable`:  {`permits`, `per mits`},
 	} {
 		text := strings.Replace(good, c[0], c[1], 1)
--- a/cmd/petrelhook-coordinator/main.go
+++ b/cmd/petrelhook-coordinator/main.go
@@ -103,7 +103,7 @@
 // on.
 func startDriver(ctx context.Context, c *fleet.Config, log *slog.Logger) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	d := &driver.Driver{TTL: driverTTL, Interval: c.DriveEvery, Log: log}
+	d := &driver.Driver{TTL: driverTTL, Interval: c.DriveInterval, Log: log}
 	for _, m := range c.Replicas {
 		d.Coordinators = append(d.Coordinators, m.Addr)
 	}
--- a/cmd/petrelhookctl/fleet.go
+++ b/cmd/petrelhookctl/fleet.go
@@ -160,7 +160,7 @@
 			if err != nil {
 				return runError{err}
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: restored; once its group runs it grants nothing for %v\n", c.Data, c.LongestTTL)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: restored; once its group runs it grants nothing for %v\n", c.Data, c.MaxTTL)
 			return nil
 		}}
 	cmd.Flags().StringVar(&config, "config", "", "the coordinator's settings, a `FILE` (YAML)")
--- a/cmd/petrelhookctl/rollout_run.go
+++ b/cmd/petrelhookctl/rollout_run.go
@@ -33,6 +33,9 @@
 			if err != nil {
 				return runError{err}
 			}
+			for _, warning := range f.Warnings {
+				fmt.Fprintln(cmd.ErrOrStderr(), "petrelhookctl: warning:", warning)
+			}
 			b, err := driver.Begin(cmd.Context(), o, &http.Client{Timeout: 2 * checkTimeout}, f, stepsDone)
 			if err != nil {
 				return runError{err}
@@ -153,7 +156,7 @@
 		rolloutEventCommand("resume", "Go on after a pause; the stage is watched anew", func(c *cobra.Command) {
 			c.Flags().BoolVar(&accept, "accept", false, "take the stage for no worse, though there is not enough evidence")
 		}, func() rollout.Event { return rollout.Event{Resume: true, Accept: accept} }),
-		rolloutEventCommand("abort", "End the change: what was changed goes back, unless the plan says hold", func(c *cobra.Command) {
+		rolloutEventCommand("abort", "End the change: what was changed is rolled back, unless the plan says disable_rollback", func(c *cobra.Command) {
 			c.Flags().StringVar(&whyNot, "why", "an operator aborted it", "what others read")
 		}, func() rollout.Event { return rollout.Event{Abort: whyNot} }),
 	}
--- a/cmd/petrelhookctl/rollout_run_test.go
+++ b/cmd/petrelhookctl/rollout_run_test.go
@@ -17,7 +17,7 @@
 // What operators say of a change, and what they are shown, in the order of a bad day.
 func TestRolloutCommands(t *testing.T) {
 	addr, _ := coordinator.StartForTest(t)
-	start := &rollout.Start{Plan: rollout.Plan{Application: "permits", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: time.Hour,
+	start := &rollout.Start{Plan: rollout.Plan{Application: "permits", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, ProgressTimeout: time.Hour,
 		Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}}, Members: []rollout.Member{{Name: "n0"}}, Reports: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
 	begin := func() {
 		told, err := (&fleet.Operator{Addrs: []string{addr}}).Call(t.Context(), fleet.Request{Rollout: &rollout.Command{Application: "permits", Change: "c1", Start: start}})
@@ -25,7 +25,8 @@
 			t.Fatal(err, told)
 		}
 	}
-	plan := write(t, "plan.yaml", "application: permits\nfrom: old\nto: new\nagents: [\""+peertest.DeadAddr(t)+"\"]\nstages: [{share: 1}]\n")
+	planText := "application: permits\nfrom: old\nto: new\nagents: [\"" + peertest.DeadAddr(t) + "\"]\nstages: [{share: 1}]\n"
+	plan := write(t, "plan.yaml", planText)
 	page := filepath.Join(t.TempDir(), "page.html")
 	for i, c := range []struct {
 		args string
@@ -35,6 +36,7 @@
 		{"status permits", 1, "permits: no change was ever begun"},
 		{"start " + write(t, "bad.yaml", "application: permits\nfrom: a\n"), 1, "bad.yaml:1:1: application, from, to: write all three"},
 		{"start " + plan, 1, "agent 127.0.0.1:"},
+		{"start " + write(t, "old.yaml", planText+"patience: 1m\n"), 1, "old.yaml:6:11: patience: this is called progress_timeout now; write that\npetrelhookctl: agent 127.0.0.1:"},
 		{"", 0, ""},
 		{"status permits", 0, "sidecars: n0"},
 		{"pause permits --why lunch", 0, "paused"},
--- /dev/null
+++ b/internal/common/yamlfile/deprecated_test.go
@@ -0,0 +1,76 @@
+package yamlfile
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"go.yaml.in/yaml/v3"
+)
+
+// parseWindows reads a file with a list of windows, in which size was once called big, and a field limit that was once called most.
+func parseWindows(text string) (sizes []int, limit int, warnings []string, err error) {
+	const file = "w.yaml"
+	top, err := Mapping(file, []byte(text), "fields such as limit: 3")
+	if err != nil {
+		return nil, 0, nil, err
+	}
+	var names DeprecatedNames
+	var list yaml.Node
+	err = names.Fields(file, "", top, map[string]Reader{"limit": Into(&limit, "a number"), "windows": Into(&list, "a list")},
+		map[string]string{"most": "limit"})
+	if err != nil {
+		return nil, 0, nil, err
+	}
+	err = EachMapping(file, "windows", &list, func(field string, n *yaml.Node) error {
+		var size int
+		err := names.Fields(file, field+".", n, map[string]Reader{"size": Into(&size, "a number")}, map[string]string{"big": "size"})
+		sizes = append(sizes, size)
+		return err
+	})
+	if err != nil {
+		return nil, 0, nil, err
+	}
+	warnings, err = names.Warnings(file)
+	return sizes, limit, warnings, err
+}
+
+// A field is read under its deprecated name as under the current one. Each deprecated name gets one warning, with the place of its first use.
+func TestDeprecatedNames(t *testing.T) {
+	for name, c := range map[string]struct {
+		text     string
+		warnings []string
+	}{
+		"current names": {"limit: 7\nwindows: [{size: 1}, {size: 2}]\n", nil},
+		"one of them":   {"most: 7\nwindows: [{size: 1}, {size: 2}]\n", []string{"w.yaml:1:7: most: this is called limit now; write that"}},
+		"all of them": {"most: 7\nwindows:\n  - {big: 1}\n  - {big: 2}\n", []string{
+			"w.yaml:1:7: most: this is called limit now; write that",
+			"w.yaml:3:11: windows[0].big: this is called size now; write that",
+		}},
+	} {
+		sizes, limit, warnings, err := parseWindows(c.text)
+		if err != nil || limit != 7 || !slices.Equal(sizes, []int{1, 2}) || !slices.Equal(warnings, c.warnings) {
+			t.Errorf("%s: %v %d, warnings %q, %v; want warnings %q", name, sizes, limit, warnings, err, c.warnings)
+		}
+	}
+}
+
+// A file must not have both names of a field, not even in different items of a list. Other errors name what the file says.
+func TestBadDeprecatedNames(t *testing.T) {
+	for text, want := range map[string]string{
+		"most: 7\nlimit: 7\nwindows: [{size: 1}]\n":     "w.yaml:1:7: most: the file has limit as well; write limit alone",
+		"limit: 7\nmost: 7\nwindows: [{size: 1}]\n":     "w.yaml:2:7: most: the file has limit as well; write limit alone",
+		"limit: 7\nwindows: [{size: 1, big: 1}]\n":      "w.yaml:2:26: windows[0].big: the file has size as well; write size alone",
+		"limit: 7\nwindows: [{size: 1}, {big: 2}]\n":    "w.yaml:2:28: windows[1].big: the file has size as well; write size alone",
+		"most: 7\nmost: 8\n":                            "w.yaml:2:1: most: comes twice",
+		"most: seven\n":                                 `w.yaml:1:7: most: "seven"; write a number`,
+		"moist: 7\n":                                    "w.yaml:1:1: moist: unknown field; known are limit, windows",
+		"windows: [{most: 1}]\n":                        "w.yaml:1:12: windows[0].most: unknown field; known are size",
+		"limit: 7\nwindows: [{size: 1}, {big: here}]\n": `w.yaml:2:28: windows[1].big: "here"; write a number`,
+		"limit: 7\nwindows: [{size: 1, size: 1, x: 1}]": "w.yaml:2:21: windows[0].size: comes twice",
+	} {
+		if _, _, _, err := parseWindows(text); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("%q: %v, want %q", text, err, want)
+		}
+	}
+}
--- a/internal/common/yamlfile/yamlfile.go
+++ b/internal/common/yamlfile/yamlfile.go
@@ -54,11 +54,19 @@
 }
 
 // Fields calls the function in known for each field of a mapping. prefix is put before fields' names in errors.
-func Fields(file, prefix string, n *yaml.Node, known map[string]func(*yaml.Node) error) error {
+func Fields(file, prefix string, n *yaml.Node, known map[string]Reader) error {
+	return readFields(file, prefix, n, known, nil)
+}
+
+// readFields is Fields, with a second name for some fields: renamed leads from the second name to the one in known.
+func readFields(file, prefix string, n *yaml.Node, known map[string]Reader, renamed map[string]string) error {
 	seen := map[string]bool{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		name := n.Content[i].Value
 		read := known[name]
+		if read == nil {
+			read = known[renamed[name]]
+		}
 		if read == nil {
 			return Problem(file, n.Content[i], prefix+name, "unknown field; known are "+strings.Join(slices.Sorted(maps.Keys(known)), ", "))
 		}
--- a/internal/coordination/driver/many_test.go
+++ b/internal/coordination/driver/many_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, n := range sizes {
 		addr, stop := coordinator.StartForTest(t)
-		start := &rollout.Start{Plan: rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: max(1, n/20), MaxUnavailable: max(1, n/20), EvidenceTimeout: time.Minute,
+		start := &rollout.Start{Plan: rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: max(1, n/20), MaxUnavailable: max(1, n/20), ProgressTimeout: time.Minute,
 			Judge:  rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.2},
 			Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 0.05}, ControlCount: max(1, n/20)}, {Selector: rollout.Selector{Share: 0.25}, ControlCount: max(1, n/20)}, {Selector: rollout.Selector{Share: 1}}}}}
 		var agents []*deployment.SimulatedAgent
--- a/internal/coordination/driver/planfile.go
+++ b/internal/coordination/driver/planfile.go
@@ -13,8 +13,9 @@
 
 // PlanFile is a plan with the agents that it concerns, as operators write it.
 type PlanFile struct {
-	Plan   rollout.Plan
-	Agents []string // their addresses
+	Plan     rollout.Plan
+	Agents   []string // their addresses
+	Warnings []string // what the file should say otherwise, each with its place; petrelhookctl prints them
 }
 
 // The defaults of a plan file.
@@ -22,7 +23,24 @@
 
 const (
 	defaultMaxConcurrent   = 1
-	defaultEvidenceTimeout = 30 * time.Minute
+	defaultProgressTimeout = 30 * time.Minute
+)
+
+// The names that earlier versions had for fields, each with the current one. They are still read; see yamlfile.DeprecatedNames.
+var (
+	renamedPlanFields = map[string]string{
+		"at_once":     "max_concurrent",
+		"unavailable": "max_unavailable",
+		"before":      "baseline_period",
+		"patience":    "progress_timeout",
+		"hold":        "disable_rollback",
+	}
+	renamedJudgeFields = map[string]string{
+		"false_stops":  "false_stop_rate",
+		"missed_stops": "missed_stop_rate",
+		"effect":       "min_effect",
+	}
+	renamedStageFields = map[string]string{"least": "min_bake_time"}
 )
 
 // The longest times of a plan file.
@@ -48,12 +66,15 @@
 		return nil, err
 	}
 	p := &planParser{file: file, result: &PlanFile{Plan: rollout.Plan{MaxConcurrent: defaultMaxConcurrent,
-		EvidenceTimeout: defaultEvidenceTimeout, Judge: defaultJudge}}}
+		ProgressTimeout: defaultProgressTimeout, Judge: defaultJudge}}}
 	for _, step := range []func(*yaml.Node) error{p.readTop, p.checkTop, p.readJudge, p.readStages} {
 		if err := step(top); err != nil {
 			return nil, err
 		}
 	}
+	if p.result.Warnings, err = p.deprecated.Warnings(file); err != nil {
+		return nil, err
+	}
 	return p.result, nil
 }
 
@@ -63,6 +84,8 @@
 	result *PlanFile
 
 	agents, judge, stages yaml.Node // the zero node: the file does not have it
+
+	deprecated yamlfile.DeprecatedNames
 }
 
 func (p *planParser) problem(n *yaml.Node, field, what string) error {
@@ -71,22 +94,22 @@
 
 func (p *planParser) readTop(top *yaml.Node) error {
 	plan := &p.result.Plan
-	return yamlfile.Fields(p.file, "", top, map[string]yamlfile.Reader{
-		"application": yamlfile.Into(&plan.Application, "a name"),
-		"from":        yamlfile.Into(&plan.From, "a release"),
-		"to":          yamlfile.Into(&plan.To, "a release"),
-		"at_once":     yamlfile.Into(&plan.MaxConcurrent, "a number from 1 on"),
-		"unavailable": yamlfile.Into(&plan.MaxUnavailable, "a number from 1 on"),
-		"before":      yamlfile.IntoDuration(&plan.BaselinePeriod, 0, maxBaselinePeriod),
-		"patience":    yamlfile.IntoDuration(&plan.EvidenceTimeout, time.Second, maxStageTime),
-		"hold":        yamlfile.Into(&plan.KeepOnStop, "true or false"),
+	return p.deprecated.Fields(p.file, "", top, map[string]yamlfile.Reader{
+		"application":      yamlfile.Into(&plan.Application, "a name"),
+		"from":             yamlfile.Into(&plan.From, "a release"),
+		"to":               yamlfile.Into(&plan.To, "a release"),
+		"max_concurrent":   yamlfile.Into(&plan.MaxConcurrent, "a number from 1 on"),
+		"max_unavailable":  yamlfile.Into(&plan.MaxUnavailable, "a number from 1 on"),
+		"baseline_period":  yamlfile.IntoDuration(&plan.BaselinePeriod, 0, maxBaselinePeriod),
+		"progress_timeout": yamlfile.IntoDuration(&plan.ProgressTimeout, time.Second, maxStageTime),
+		"disable_rollback": yamlfile.Into(&plan.DisableRollback, "true or false"),
 		"agents": func(n *yaml.Node) error {
 			p.agents = *n
 			return yamlfile.Decode(n, &p.result.Agents, "a list of host:port")
 		},
 		"judge":  yamlfile.Into(&p.judge, "none, or fields"),
 		"stages": yamlfile.Into(&p.stages, "a list"),
-	})
+	}, renamedPlanFields)
 }
 
 // checkTop checks the fields that a plan file must have.
@@ -117,15 +140,15 @@
 	}
 	n, config := &p.judge, &p.result.Plan.Judge
 	if n.Kind != yaml.MappingNode && n.Value != "none" {
-		return p.problem(n, "judge", "write none, or fields such as effect: 0.02")
+		return p.problem(n, "judge", "write none, or fields such as min_effect: 0.02")
 	}
 	config.Disabled = n.Value == "none"
 	const fraction = "a share between 0 and 1"
-	err := yamlfile.Fields(p.file, "judge.", n, map[string]yamlfile.Reader{
-		"false_stops":  yamlfile.Into(&config.FalseStopRate, fraction),
-		"missed_stops": yamlfile.Into(&config.MissedStopRate, fraction),
-		"effect":       yamlfile.Into(&config.MinEffect, fraction),
-	})
+	err := p.deprecated.Fields(p.file, "judge.", n, map[string]yamlfile.Reader{
+		"false_stop_rate":  yamlfile.Into(&config.FalseStopRate, fraction),
+		"missed_stop_rate": yamlfile.Into(&config.MissedStopRate, fraction),
+		"min_effect":       yamlfile.Into(&config.MinEffect, fraction),
+	}, renamedJudgeFields)
 	if err != nil {
 		return err
 	}
@@ -139,14 +162,14 @@
 func (p *planParser) readStages(*yaml.Node) error {
 	return yamlfile.EachMapping(p.file, "stages", &p.stages, func(path string, n *yaml.Node) error {
 		var s rollout.Stage
-		err := yamlfile.Fields(p.file, path+".", n, map[string]yamlfile.Reader{
-			"names":   yamlfile.Into(&s.Selector.Names, "a list of sidecars"),
-			"zone":    yamlfile.Into(&s.Selector.Zone, "a zone"),
-			"count":   yamlfile.Into(&s.Selector.Count, "a number from 1 on"),
-			"share":   yamlfile.Into(&s.Selector.Share, "a share above 0, up to 1"),
-			"control": yamlfile.Into(&s.ControlCount, "a number"),
-			"least":   yamlfile.IntoDuration(&s.MinWatch, 0, maxStageTime),
-		})
+		err := p.deprecated.Fields(p.file, path+".", n, map[string]yamlfile.Reader{
+			"names":         yamlfile.Into(&s.Selector.Names, "a list of sidecars"),
+			"zone":          yamlfile.Into(&s.Selector.Zone, "a zone"),
+			"count":         yamlfile.Into(&s.Selector.Count, "a number from 1 on"),
+			"share":         yamlfile.Into(&s.Selector.Share, "a share above 0, up to 1"),
+			"control":       yamlfile.Into(&s.ControlCount, "a number"),
+			"min_bake_time": yamlfile.IntoDuration(&s.MinBakeTime, 0, maxStageTime),
+		}, renamedStageFields)
 		p.result.Plan.Stages = append(p.result.Plan.Stages, s)
 		return err
 	})
--- a/internal/coordination/evidence/chain_test.go
+++ b/internal/coordination/evidence/chain_test.go
@@ -53,7 +53,7 @@
 // play simulates a complete change of 12 sidecars in 3 zones and 3 stages, with its control, to its end or pause: the state that the log
 // keeps, the evidence and the judge, by windows of 2 s with a poll after each.
 func play(t *testing.T, r *rand.Rand, rate func(zone, window int, release string) load) *rollout.Change {
-	p := rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: 2, MaxUnavailable: 2, EvidenceTimeout: 20 * time.Minute, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.05},
+	p := rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: 2, MaxUnavailable: 2, ProgressTimeout: 20 * time.Minute, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.05},
 		Stages: []rollout.Stage{{Selector: rollout.Selector{Count: 2}, ControlCount: 2}, {Selector: rollout.Selector{Count: 4}, ControlCount: 2}, {Selector: rollout.Selector{Share: 1}}}}
 	var members []rollout.Member
 	var now []rollout.Report
--- a/internal/coordination/evidence/evidence.go
+++ b/internal/coordination/evidence/evidence.go
@@ -113,7 +113,7 @@
 		}
 	}
 	return &rollout.Verdict{Stage: s.Stage, Worse: v.Kind == judge.Worse, NoWorse: v.Kind == judge.NoWorse, Reason: v.String(),
-		Cells: e.cellResults(v.Kind, elapsed, s.Plan.EvidenceTimeout)}
+		Cells: e.cellResults(v.Kind, elapsed, s.Plan.ProgressTimeout)}
 }
 
 // maxCells is how many cells a verdict has.
--- a/internal/coordination/evidence/evidence_test.go
+++ b/internal/coordination/evidence/evidence_test.go
@@ -40,7 +40,7 @@
 		now = append(now, rollout.Report{Sidecar: name, Release: "old", Ready: true})
 		w.counts[name], w.began[name] = &counts.Class{Name: "look"}, 1
 	}
-	p := rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: 4, MaxUnavailable: 4, EvidenceTimeout: 1000 * time.Second, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.1},
+	p := rollout.Plan{Application: "a", From: "old", To: "new", MaxConcurrent: 4, MaxUnavailable: 4, ProgressTimeout: 1000 * time.Second, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.1},
 		Stages: []rollout.Stage{first, {Selector: rollout.Selector{Share: 1}}}}
 	s, err := rollout.New(p, members, now)
 	if err != nil {
--- a/internal/coordination/evidence/judging.go
+++ b/internal/coordination/evidence/judging.go
@@ -34,7 +34,7 @@
 			return err
 		}
 	}
-	return e.compareUsage(c.State.Plan.EvidenceTimeout)
+	return e.compareUsage(c.State.Plan.ProgressTimeout)
 }
 
 // collect adds counts to the incomplete windows. A zone without new sidecars has none.
--- a/internal/coordination/fleet/config.go
+++ b/internal/coordination/fleet/config.go
@@ -16,17 +16,17 @@
 
 // Config is the settings of a coordinator.
 type Config struct {
-	ID          uint64
-	Data        string // the folder of its replica
-	Replicas    []replica.Member
-	Listen      string        // "": the address among the replicas; another one where others reach it by way of something
-	Join        bool          // it is added to a group that exists: it begins with an empty replica
-	LongestTTL  time.Duration // that a session may have
-	Tick        time.Duration // of the replica
-	AllowRemote bool          // addresses that are not of loopback are allowed
-	Drive       bool          // it may drive rolling changes too
-	DriveEvery  time.Duration // between two looks of the driver at the agents
-	Warnings    []string      // what is valid and unwise
+	ID            uint64
+	Data          string // the folder of its replica
+	Replicas      []replica.Member
+	Listen        string        // "": the address among the replicas; another one where others reach it by way of something
+	Join          bool          // it is added to a group that exists: it begins with an empty replica
+	MaxTTL        time.Duration // that a session may have
+	Tick          time.Duration // of the replica
+	AllowRemote   bool          // addresses that are not of loopback are allowed
+	Drive         bool          // it may drive rolling changes too
+	DriveInterval time.Duration // between two polls of the agents by the driver
+	Warnings      []string      // what is valid and unwise, and fields under deprecated names; the program logs them
 }
 
 // Addr returns the address to listen on.
@@ -44,15 +44,22 @@
 
 // The defaults of settings.
 const (
-	DefaultAddr       = "127.0.0.1:7400"
-	defaultTick       = 50 * time.Millisecond
-	defaultLongestTTL = time.Minute
-	defaultDriveEvery = time.Second
+	DefaultAddr          = "127.0.0.1:7400"
+	defaultTick          = 50 * time.Millisecond
+	defaultMaxTTL        = time.Minute
+	defaultDriveInterval = time.Second
 )
 
+// renamedFields has the names that earlier versions had for fields, each with the current one. They are still read; see
+// yamlfile.DeprecatedNames.
+var renamedFields = map[string]string{
+	"drive_every": "drive_interval",
+	"longest_ttl": "max_ttl",
+}
+
 // SingleConfig returns the settings of the only coordinator of a machine, which needs no file.
 func SingleConfig(data, addr string) *Config {
-	return &Config{ID: 1, Data: data, Replicas: []replica.Member{{ID: 1, Addr: addr}}, LongestTTL: defaultLongestTTL, Tick: defaultTick}
+	return &Config{ID: 1, Data: data, Replicas: []replica.Member{{ID: 1, Addr: addr}}, MaxTTL: defaultMaxTTL, Tick: defaultTick}
 }
 
 // ReadConfig reads a file. A relative data folder is one beside the file.
@@ -74,11 +81,15 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{LongestTTL: defaultLongestTTL, Tick: defaultTick, DriveEvery: defaultDriveEvery}
-	replicas, err := c.parseFields(file, top)
+	c := &Config{MaxTTL: defaultMaxTTL, Tick: defaultTick, DriveInterval: defaultDriveInterval}
+	var deprecated yamlfile.DeprecatedNames
+	replicas, err := c.parseFields(file, top, &deprecated)
 	if err != nil {
 		return nil, err
 	}
+	if c.Warnings, err = deprecated.Warnings(file); err != nil {
+		return nil, err
+	}
 	switch {
 	case c.ID == 0:
 		return nil, yamlfile.Problem(file, top, "id", "missing or 0; write a number from 1 on, which no other replica has or had")
@@ -100,19 +111,21 @@
 }
 
 // parseFields reads the fields of the file, and returns the node of the replicas; nil: there is none.
-func (c *Config) parseFields(file string, top *yaml.Node) (replicas *yaml.Node, err error) {
-	err = yamlfile.Fields(file, "", top, map[string]func(*yaml.Node) error{
+func (c *Config) parseFields(file string, top *yaml.Node, deprecated *yamlfile.DeprecatedNames) (replicas *yaml.Node, err error) {
+	err = deprecated.Fields(file, "", top, map[string]func(*yaml.Node) error{
 		"id":           func(n *yaml.Node) error { return yamlfile.Decode(n, &c.ID, "a number from 1 on") },
 		"data":         func(n *yaml.Node) error { return yamlfile.Decode(n, &c.Data, "a folder") },
 		"listen":       func(n *yaml.Node) error { return yamlfile.Address(n, &c.Listen) },
 		"join":         func(n *yaml.Node) error { return yamlfile.Decode(n, &c.Join, "true or false") },
 		"allow_remote": func(n *yaml.Node) error { return yamlfile.Decode(n, &c.AllowRemote, "true or false") },
 		"drive":        func(n *yaml.Node) error { return yamlfile.Decode(n, &c.Drive, "true or false") },
-		"drive_every":  func(n *yaml.Node) error { return yamlfile.Duration(n, &c.DriveEvery, 50*time.Millisecond, time.Minute) },
-		"longest_ttl":  func(n *yaml.Node) error { return yamlfile.Duration(n, &c.LongestTTL, lease.MinTTL, lease.MaxTTL) },
-		"tick":         func(n *yaml.Node) error { return yamlfile.Duration(n, &c.Tick, 5*time.Millisecond, time.Second) },
-		"replicas":     keepNode(&replicas),
-	})
+		"drive_interval": func(n *yaml.Node) error {
+			return yamlfile.Duration(n, &c.DriveInterval, 50*time.Millisecond, time.Minute)
+		},
+		"max_ttl":  func(n *yaml.Node) error { return yamlfile.Duration(n, &c.MaxTTL, lease.MinTTL, lease.MaxTTL) },
+		"tick":     func(n *yaml.Node) error { return yamlfile.Duration(n, &c.Tick, 5*time.Millisecond, time.Second) },
+		"replicas": keepNode(&replicas),
+	}, renamedFields)
 	return replicas, err
 }
 
--- a/internal/coordination/fleet/handlers.go
+++ b/internal/coordination/fleet/handlers.go
@@ -38,8 +38,8 @@
 	switch {
 	case in.Command != nil:
 		r.Command = in.Command
-		if err = in.Command.Check(); err == nil && in.Command.Kind == lease.Open && in.Command.TTL > s.config.LongestTTL {
-			err = fmt.Errorf("ttl: %v is longer than these coordinators allow; write %v at most (longest_ttl)", in.Command.TTL, s.config.LongestTTL)
+		if err = in.Command.Check(); err == nil && in.Command.Kind == lease.Open && in.Command.TTL > s.config.MaxTTL {
+			err = fmt.Errorf("ttl: %v is longer than these coordinators allow; write %v at most (max_ttl)", in.Command.TTL, s.config.MaxTTL)
 		}
 	case in.Rollout != nil:
 		r.Rollout, err = in.Rollout, in.Rollout.Check()
--- a/internal/coordination/fleet/operator.go
+++ b/internal/coordination/fleet/operator.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	state, err := lease.RestoreNewGroup(backup, minToken, c.LongestTTL)
+	state, err := lease.RestoreNewGroup(backup, minToken, c.MaxTTL)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/coordination/judge/judge.go
+++ b/internal/coordination/judge/judge.go
@@ -33,11 +33,11 @@
 func (p *Plan) Check() error {
 	switch {
 	case !(p.FalseStopRate > 0 && p.FalseStopRate < 1):
-		return fmt.Errorf("false_stops: %v; write a share between 0 and 1, such as 0.01", p.FalseStopRate)
+		return fmt.Errorf("false_stop_rate: %v; write a share between 0 and 1, such as 0.01", p.FalseStopRate)
 	case !(p.MissedStopRate > 0 && p.MissedStopRate < 1):
-		return fmt.Errorf("missed_stops: %v; write a share between 0 and 1, such as 0.05", p.MissedStopRate)
+		return fmt.Errorf("missed_stop_rate: %v; write a share between 0 and 1, such as 0.05", p.MissedStopRate)
 	case !(p.MinEffect > 0 && p.MinEffect < 1):
-		return fmt.Errorf("effect: %v; write the smallest difference of a rate that matters, between 0 and 1", p.MinEffect)
+		return fmt.Errorf("min_effect: %v; write the smallest difference of a rate that matters, between 0 and 1", p.MinEffect)
 	case p.MaxCells < 1:
 		return fmt.Errorf("cells: %d; write how many there may be, 1 or more", p.MaxCells)
 	case p.ClusterSize != 0 && !(p.ClusterSize >= 1):
--- a/internal/coordination/judge/judge_test.go
+++ b/internal/coordination/judge/judge_test.go
@@ -188,11 +188,11 @@
 // Invalid plans and counts are errors that say what to write.
 func TestBadInput(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
-		"false_stops: 0;":  func(p *Plan) { p.FalseStopRate = 0 },
-		"missed_stops: 1;": func(p *Plan) { p.MissedStopRate = 1 },
-		"effect: -1;":      func(p *Plan) { p.MinEffect = -1 },
-		"cells: 0;":        func(p *Plan) { p.MaxCells = 0 },
-		"bunch: 0.5;":      func(p *Plan) { p.ClusterSize = 0.5 },
+		"false_stop_rate: 0;":  func(p *Plan) { p.FalseStopRate = 0 },
+		"missed_stop_rate: 1;": func(p *Plan) { p.MissedStopRate = 1 },
+		"min_effect: -1;":      func(p *Plan) { p.MinEffect = -1 },
+		"cells: 0;":            func(p *Plan) { p.MaxCells = 0 },
+		"bunch: 0.5;":          func(p *Plan) { p.ClusterSize = 0.5 },
 	} {
 		p := plan
 		change(&p)
--- a/internal/coordination/machine/parse.go
+++ b/internal/coordination/machine/parse.go
@@ -14,10 +14,20 @@
 	"petrelhook/internal/coordination/distribute"
 )
 
-// The key of a sidecar's operators' addresses, and the one that earlier versions had for it, which is still read.
-const (
-	adminAddressesKey    = "admin_addresses"
-	oldAdminAddressesKey = "doors"
+// The names that earlier versions had for fields, each with the current one. They are still read; see yamlfile.DeprecatedNames.
+var (
+	renamedLimits = map[string]string{
+		"ready":              "ready_timeout",
+		"trial":              "trial_period",
+		"end":                "termination_timeout",
+		"cut_off":            "isolation_timeout",
+		"restart_pause":      "initial_restart_backoff",
+		"restart_pause_most": "max_restart_backoff",
+		"heard":              "contact_timeout",
+		"look":               "poll_interval",
+	}
+	renamedConfigurationFields = map[string]string{"trial": "trial_period"}
+	renamedSidecarFields       = map[string]string{"doors": "admin_addresses"}
 )
 
 // parser reads one file of settings.
@@ -29,14 +39,7 @@
 	// Sections, which are read after the fields of the top; the zero node: the file does not have it.
 	limits, sidecars, configuration yaml.Node
 
-	oldAdminAddresses    *fieldPlace // the first use of oldAdminAddressesKey; nil: there is none
-	adminAddressesInFile bool        // adminAddressesKey is used
-}
-
-// fieldPlace is where a field stands in a file.
-type fieldPlace struct {
-	node *yaml.Node
-	path string
+	deprecated yamlfile.DeprecatedNames
 }
 
 // Parse reads the text of a file. Every error names file, line, column and field, and says what to write.
@@ -72,6 +75,9 @@
 	if err := p.checkMember(); err != nil {
 		return nil, err
 	}
+	if p.config.Warnings, err = p.deprecated.Warnings(file); err != nil {
+		return nil, err
+	}
 	return p.config, nil
 }
 
@@ -124,19 +130,19 @@
 
 func (p *parser) readLimits(n *yaml.Node) error {
 	if n.Kind != yaml.MappingNode {
-		return p.problem(n, "limits", "write fields such as ready: 6s")
+		return p.problem(n, "limits", "write fields such as ready_timeout: 6s")
 	}
 	c := p.config
-	return yamlfile.Fields(p.file, "limits.", n, map[string]yamlfile.Reader{
-		"ready":              yamlfile.IntoDuration(&c.Limits.ReadyTimeout, 100*time.Millisecond, maxDuration),
-		"trial":              yamlfile.IntoDuration(&c.Limits.TrialPeriod, 0, maxDuration),
-		"end":                yamlfile.IntoDuration(&c.Limits.TerminationTimeout, 100*time.Millisecond, maxDuration),
-		"cut_off":            yamlfile.IntoDuration(&c.Limits.IsolationTimeout, time.Second, maxDuration),
-		"restart_pause":      yamlfile.IntoDuration(&c.Limits.InitialBackoff, 10*time.Millisecond, maxDuration),
-		"restart_pause_most": yamlfile.IntoDuration(&c.Limits.MaxBackoff, 10*time.Millisecond, maxDuration),
-		"heard":              yamlfile.IntoDuration(&c.ContactTimeout, 100*time.Millisecond, maxDuration),
-		"look":               yamlfile.IntoDuration(&c.PollInterval, 10*time.Millisecond, maxDuration),
-	})
+	return p.deprecated.Fields(p.file, "limits.", n, map[string]yamlfile.Reader{
+		"ready_timeout":           yamlfile.IntoDuration(&c.Limits.ReadyTimeout, 100*time.Millisecond, maxDuration),
+		"trial_period":            yamlfile.IntoDuration(&c.Limits.TrialPeriod, 0, maxDuration),
+		"termination_timeout":     yamlfile.IntoDuration(&c.Limits.TerminationTimeout, 100*time.Millisecond, maxDuration),
+		"isolation_timeout":       yamlfile.IntoDuration(&c.Limits.IsolationTimeout, time.Second, maxDuration),
+		"initial_restart_backoff": yamlfile.IntoDuration(&c.Limits.InitialBackoff, 10*time.Millisecond, maxDuration),
+		"max_restart_backoff":     yamlfile.IntoDuration(&c.Limits.MaxBackoff, 10*time.Millisecond, maxDuration),
+		"contact_timeout":         yamlfile.IntoDuration(&c.ContactTimeout, 100*time.Millisecond, maxDuration),
+		"poll_interval":           yamlfile.IntoDuration(&c.PollInterval, 10*time.Millisecond, maxDuration),
+	}, renamedLimits)
 }
 
 // readConfiguration reads where versions of the configuration come from.
@@ -147,11 +153,11 @@
 	}
 	c := p.config
 	c.Limits.VersionTrialPeriod = min(defaultVersionTrialPeriod, c.Limits.TrialPeriod)
-	err := yamlfile.Fields(p.file, section+".", n, map[string]yamlfile.Reader{
-		"trial":        yamlfile.IntoDuration(&c.Limits.VersionTrialPeriod, 10*time.Millisecond, maxDuration),
+	err := p.deprecated.Fields(p.file, section+".", n, map[string]yamlfile.Reader{
+		"trial_period": yamlfile.IntoDuration(&c.Limits.VersionTrialPeriod, 10*time.Millisecond, maxDuration),
 		"member":       p.readMember,
 		"coordinators": p.readCoordinators,
-	})
+	}, renamedConfigurationFields)
 	switch {
 	case err != nil:
 		return err
@@ -196,7 +202,7 @@
 // readSidecars reads all sidecars. No two may have the same name or address.
 func (p *parser) readSidecars() error {
 	lines := map[string]int{} // where a name or address was used first
-	err := yamlfile.EachMapping(p.file, "sidecars", &p.sidecars, func(path string, n *yaml.Node) error {
+	return yamlfile.EachMapping(p.file, "sidecars", &p.sidecars, func(path string, n *yaml.Node) error {
 		s, err := p.readSidecar(path, n)
 		if err != nil {
 			return err
@@ -210,47 +216,28 @@
 		p.config.Sidecars = append(p.config.Sidecars, s)
 		return nil
 	})
-	if err != nil || p.oldAdminAddresses == nil {
-		return err
-	}
-	old := p.oldAdminAddresses
-	if p.adminAddressesInFile {
-		return p.problem(old.node, old.path, "the file has "+adminAddressesKey+" as well; write "+adminAddressesKey+" alone")
-	}
-	p.config.Warnings = append(p.config.Warnings, p.problem(old.node, old.path, "this is called "+adminAddressesKey+" now; write that").Error())
-	return nil
 }
 
 func (p *parser) readSidecar(path string, n *yaml.Node) (s SidecarConfig, err error) {
 	var addresses []string
 	var overrides map[string]any
-	readsAddresses := func(n *yaml.Node) (err error) {
-		addresses, err = readAdminAddresses(n)
-		return err
-	}
-	err = yamlfile.Fields(p.file, path+".", n, map[string]yamlfile.Reader{
+	err = p.deprecated.Fields(p.file, path+".", n, map[string]yamlfile.Reader{
 		"name":   yamlfile.Into(&s.Name, "a name"),
 		"zone":   yamlfile.Into(&s.Zone, "a name"),
 		"listen": yamlfile.IntoAddress(&s.Listen),
 		"set":    yamlfile.Into(&overrides, "fields of the settings"),
-		adminAddressesKey: func(n *yaml.Node) error {
-			p.adminAddressesInFile = true
-			return readsAddresses(n)
-		},
-		oldAdminAddressesKey: func(n *yaml.Node) error {
-			if p.oldAdminAddresses == nil {
-				p.oldAdminAddresses = &fieldPlace{n, path + "." + oldAdminAddressesKey}
-			}
-			return readsAddresses(n)
+		"admin_addresses": func(n *yaml.Node) (err error) {
+			addresses, err = readAdminAddresses(n)
+			return err
 		},
-	})
+	}, renamedSidecarFields)
 	switch {
 	case err != nil:
 		return s, err
 	case s.Name == "" || s.Name != filepath.Base(s.Name) || s.Name[0] == '.':
 		return s, p.problem(n, path+".name", fmt.Sprintf("%q; write a name without slashes that begins with no dot", s.Name))
 	case s.Listen == "" || addresses == nil:
-		return s, p.problem(n, path, "write listen, and two "+adminAddressesKey)
+		return s, p.problem(n, path, "write listen, and two admin_addresses")
 	}
 	s.AdminAddresses = [2]string(addresses)
 	s.Overrides, err = p.readOverrides(path, n, overrides)
--- a/internal/coordination/replica/snapshot_test.go
+++ b/internal/coordination/replica/snapshot_test.go
@@ -45,7 +45,7 @@
 		return text
 	}
 	c, pump := start(InitialState([]Member{{ID: 1}}, lease.NewState()))
-	change := &rollout.Start{Plan: rollout.Plan{From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: 1, Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}},
+	change := &rollout.Start{Plan: rollout.Plan{From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, ProgressTimeout: 1, Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}},
 		Members: []rollout.Member{{Name: "n0"}}, Reports: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
 	var answer rollout.Response
 	c.Submit(Request{Rollout: &rollout.Command{Application: "app", Change: "c", Start: change}, Done: func(r Response) { answer = r.Rollout }})
--- a/internal/coordination/rollout/advance.go
+++ b/internal/coordination/rollout/advance.go
@@ -25,10 +25,10 @@
 // pauses a change whose evidence does not come.
 func (s *State) advanceStage() {
 	for s.Phase == Running && s.stageComplete() {
-		if !s.JudgedNoWorse && s.StageElapsed >= s.Plan.EvidenceTimeout {
+		if !s.JudgedNoWorse && s.StageElapsed >= s.Plan.ProgressTimeout {
 			s.pause(fmt.Sprintf("stage %d: not enough evidence after %v", s.Stage, s.StageElapsed))
 		}
-		if !s.JudgedNoWorse || s.StageElapsed < s.Plan.Stages[s.Stage-1].MinWatch {
+		if !s.JudgedNoWorse || s.StageElapsed < s.Plan.Stages[s.Stage-1].MinBakeTime {
 			return
 		}
 		if s.Stage == len(s.stages) {
--- a/internal/coordination/rollout/plan.go
+++ b/internal/coordination/rollout/plan.go
@@ -24,7 +24,7 @@
 type Stage struct {
 	Selector     Selector      `json:"Select"`
 	ControlCount int           `json:"Control"` // how many sidecars of later stages are restarted with the old release, to compare with
-	MinWatch     time.Duration `json:"Least"`   // how long the stage is watched at least
+	MinBakeTime  time.Duration `json:"Least"`   // how long the stage is watched at least
 }
 
 // Plan is a change from one release to another. Its keys in JSON are part of the coordinators' log.
@@ -36,8 +36,8 @@
 	BaselinePeriod  time.Duration `json:"Before"`      // how long all are watched before anything is changed
 	MaxConcurrent   int           `json:"AtOnce"`      // how many sidecars may change at the same time
 	MaxUnavailable  int           `json:"Unavailable"` // how many may be out of service, including those that change
-	EvidenceTimeout time.Duration `json:"Patience"`    // how long a stage waits for evidence or for sidecars; then the change pauses
-	KeepOnStop      bool          `json:"Hold"`        // a stop does not roll back
+	ProgressTimeout time.Duration `json:"Patience"`    // how long a stage waits for evidence or for sidecars; then the change pauses
+	DisableRollback bool          `json:"Hold"`        // a stop or an abort does not roll back
 	Judge           JudgeConfig   `json:"Judge"`
 }
 
@@ -64,13 +64,13 @@
 	case len(p.Stages) == 0:
 		return fmt.Errorf("stages: write one at least")
 	case p.MaxConcurrent < 1:
-		return fmt.Errorf("at_once: %d; write 1 or more", p.MaxConcurrent)
+		return fmt.Errorf("max_concurrent: %d; write 1 or more", p.MaxConcurrent)
 	case p.MaxUnavailable < p.MaxConcurrent:
-		return fmt.Errorf("unavailable: %d; write at_once (%d) or more: a sidecar that changes counts", p.MaxUnavailable, p.MaxConcurrent)
+		return fmt.Errorf("max_unavailable: %d; write max_concurrent (%d) or more: a sidecar that changes counts", p.MaxUnavailable, p.MaxConcurrent)
 	case p.BaselinePeriod < 0:
-		return fmt.Errorf("before: %v; write how long all are watched before anything moves", p.BaselinePeriod)
-	case p.EvidenceTimeout <= 0:
-		return fmt.Errorf("patience: %v; write how long a stage may wait for evidence", p.EvidenceTimeout)
+		return fmt.Errorf("baseline_period: %v; write how long all are watched before anything is changed", p.BaselinePeriod)
+	case p.ProgressTimeout <= 0:
+		return fmt.Errorf("progress_timeout: %v; write how long a stage may wait for evidence", p.ProgressTimeout)
 	}
 	return nil
 }
--- a/internal/coordination/rollout/report/explain.go
+++ b/internal/coordination/rollout/report/explain.go
@@ -33,7 +33,7 @@
 	EvidenceMissing  = "evidence-missing"
 	EvidenceNever    = "evidence-never"
 	NoTraffic        = "evidence-none"
-	MinWatchTime     = "time-least"
+	MinBakeTime      = "time-least"
 	NoJudge          = "no-judge"
 	NoControl        = "no-control"
 	ResumeWith       = "resume"
@@ -68,8 +68,8 @@
 	if s.Phase != rollout.Done {
 		l.addEvidence(c)
 	}
-	if minWatch := s.Plan.Stages[s.Stage-1].MinWatch; s.Phase == rollout.Running && s.JudgedNoWorse && s.StageElapsed < minWatch {
-		l.add(MinWatchTime, "stage %d is no worse; it is watched for %v, so far %v", s.Stage, minWatch, s.StageElapsed.Round(time.Second))
+	if minBakeTime := s.Plan.Stages[s.Stage-1].MinBakeTime; s.Phase == rollout.Running && s.JudgedNoWorse && s.StageElapsed < minBakeTime {
+		l.add(MinBakeTime, "stage %d is no worse; it is watched for %v, so far %v", s.Stage, minBakeTime, s.StageElapsed.Round(time.Second))
 	}
 	if s.Phase == rollout.Paused {
 		l.add(ResumeWith, "rollout resume %s goes on and waits once more, with --accept it takes the stage for no worse; "+
@@ -104,9 +104,9 @@
 	}
 	changing, unavailable := s.Disruptions("")
 	if len(changing) >= s.Plan.MaxConcurrent {
-		l.add(ConcurrencyLimit, "%d more of this stage wait: at_once is %d, and %s change", waiting, s.Plan.MaxConcurrent, strings.Join(changing, ", "))
+		l.add(ConcurrencyLimit, "%d more of this stage wait: max_concurrent is %d, and %s change", waiting, s.Plan.MaxConcurrent, strings.Join(changing, ", "))
 	} else if len(unavailable)+1 > s.Plan.MaxUnavailable {
-		l.add(UnavailableLimit, "%d more of this stage wait: unavailable is %d, and out of service are %s", waiting, s.Plan.MaxUnavailable,
+		l.add(UnavailableLimit, "%d more of this stage wait: max_unavailable is %d, and out of service are %s", waiting, s.Plan.MaxUnavailable,
 			strings.Join(unavailable, ", "))
 	}
 }
@@ -116,7 +116,7 @@
 	s := c.State
 	switch {
 	case s.Plan.Judge.Disabled:
-		l.add(NoJudge, "the plan has no judge: stages go by least, and by what does not come up")
+		l.add(NoJudge, "the plan has no judge: stages go by min_bake_time, and by what does not come up")
 		return
 	case s.Stage == len(s.Plan.Stages) && s.Phase == rollout.Running:
 		l.add(NoControl, "the last stage has nobody to compare with: it ends when its sidecars have lived through their trials")
--- a/internal/coordination/rollout/report/report_test.go
+++ b/internal/coordination/rollout/report/report_test.go
@@ -18,8 +18,8 @@
 func newChange(t *testing.T, events ...rollout.Event) *rollout.Change {
 	t.Helper()
 	r := rollout.NewRegister()
-	start := &rollout.Start{Plan: rollout.Plan{Application: "a<b>", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: time.Hour, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02},
-		Stages: []rollout.Stage{{Selector: rollout.Selector{Count: 2}, ControlCount: 1, MinWatch: time.Minute}, {Selector: rollout.Selector{Share: 1}}}}}
+	start := &rollout.Start{Plan: rollout.Plan{Application: "a<b>", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, ProgressTimeout: time.Hour, Judge: rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02},
+		Stages: []rollout.Stage{{Selector: rollout.Selector{Count: 2}, ControlCount: 1, MinBakeTime: time.Minute}, {Selector: rollout.Selector{Share: 1}}}}}
 	for i := range 4 {
 		start.Members = append(start.Members, rollout.Member{Name: fmt.Sprint("n", i)})
 		start.Reports = append(start.Reports, rollout.Report{Sidecar: fmt.Sprint("n", i), Release: "old", Ready: true})
@@ -72,8 +72,8 @@
 		events []rollout.Event
 		want   []string
 	}{
-		"begun":          {nil, []string{"ordered n0 carries out order 1, to new", "limit-at-once 1 more of this stage wait: at_once is 1, and n0 change", "evidence-none nothing was counted of stage 1"}},
-		"one is down":    {[]rollout.Event{down, done("n0", "new", 1)}, []string{"not-ready n2 runs old", "limit-unavailable 1 more of this stage wait: unavailable is 1, and out of service are n2"}},
+		"begun":          {nil, []string{"ordered n0 carries out order 1, to new", "limit-at-once 1 more of this stage wait: max_concurrent is 1, and n0 change", "evidence-none nothing was counted of stage 1"}},
+		"one is down":    {[]rollout.Event{down, done("n0", "new", 1)}, []string{"not-ready n2 runs old", "limit-unavailable 1 more of this stage wait: max_unavailable is 1, and out of service are n2"}},
 		"evidence":       {with(verdict("not enough evidence", 1, 1, 1)), []string{"evidence-missing failed of class look in zone *: new 1 of 100", "more requests of the new at these rates"}},
 		"never":          {with(verdict("not enough evidence", 1, 9, 1)), []string{"evidence-never failed of class look"}},
 		"time":           {with(verdict("no worse", 9, 0, 0)), []string{"time-least stage 1 is no worse; it is watched for 1m0s"}},
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -22,8 +22,8 @@
 }
 
 func plan() Plan {
-	return Plan{Application: "app", From: "old", To: "new", MaxConcurrent: 2, MaxUnavailable: 3, EvidenceTimeout: time.Hour, Stages: []Stage{
-		{Selector: Selector{Count: 1}, ControlCount: 1, MinWatch: time.Minute}, {Selector: Selector{Share: 0.25}, ControlCount: 2}, {Selector: Selector{Share: 1}}}}
+	return Plan{Application: "app", From: "old", To: "new", MaxConcurrent: 2, MaxUnavailable: 3, ProgressTimeout: time.Hour, Stages: []Stage{
+		{Selector: Selector{Count: 1}, ControlCount: 1, MinBakeTime: time.Minute}, {Selector: Selector{Share: 0.25}, ControlCount: 2}, {Selector: Selector{Share: 1}}}}
 }
 
 // fleet is agents that carry out orders.
@@ -157,7 +157,7 @@
 		"taking back fails":    {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "w"}}, {Abort: "again"}, {Elapsed: 1}}, failsTo("old", 2), Stopped, 1, "w", 1},
 	} {
 		p := plan()
-		p.KeepOnStop = c.hold
+		p.DisableRollback = c.hold
 		f := begin(t, p, 12)
 		if c.fails == nil { // agents that have not carried out anything yet
 			f.state.Plan.Stages[0].ControlCount = 0
@@ -331,16 +331,16 @@
 		"from, to: write both":                   func(p *Plan) { p.To = "" },
 		"to: old is what is there":               func(p *Plan) { p.To = "old" },
 		"stages: write one":                      func(p *Plan) { p.Stages = nil },
-		"at_once: 0":                             func(p *Plan) { p.MaxConcurrent = 0 },
-		"unavailable: 1":                         func(p *Plan) { p.MaxUnavailable = 1 },
-		"patience: 0s":                           func(p *Plan) { p.EvidenceTimeout = 0 },
+		"max_concurrent: 0":                      func(p *Plan) { p.MaxConcurrent = 0 },
+		"max_unavailable: 1":                     func(p *Plan) { p.MaxUnavailable = 1 },
+		"progress_timeout: 0s":                   func(p *Plan) { p.ProgressTimeout = 0 },
 		"stages[0]: write one of":                func(p *Plan) { p.Stages[0].Selector = Selector{Count: 1, Zone: "a"} },
 		"stages[0]: share: 2":                    func(p *Plan) { p.Stages[0].Selector = Selector{Share: 2} },
 		"stages[0]: count: 9, and 6":             func(p *Plan) { p.Stages[0].Selector = Selector{Count: 9} },
 		"stages[0]: names: x is no":              func(p *Plan) { p.Stages[0].Selector = Selector{Names: []string{"x"}} },
 		"stages[0]: it takes nobody":             func(p *Plan) { p.Stages[0].Selector = Selector{Zone: "z"} },
 		"stages[2].control: 1, and 0":            func(p *Plan) { p.Stages[2].ControlCount = 1 },
-		"stages[0].least: 2h0m0s":                func(p *Plan) { p.Stages[0].MinWatch = 2 * time.Hour },
+		"stages[0].min_bake_time: 2h0m0s":        func(p *Plan) { p.Stages[0].MinBakeTime = 2 * time.Hour },
 		"stages: 3 of 6 sidecars are in none":    func(p *Plan) { p.Stages = p.Stages[:2] },
 		`n00 runs "old", and the change is from`: func(p *Plan) { p.From = "older" },
 	} {
--- a/internal/coordination/rollout/stages.go
+++ b/internal/coordination/rollout/stages.go
@@ -21,8 +21,8 @@
 		if s.ControlCount < 0 || s.ControlCount > len(left) {
 			return nil, fmt.Errorf("%s.control: %d, and %d are left for later stages; write %d at most", path, s.ControlCount, len(left), len(left))
 		}
-		if s.MinWatch < 0 || s.MinWatch > p.EvidenceTimeout {
-			return nil, fmt.Errorf("%s.least: %v; write a time up to patience (%v)", path, s.MinWatch, p.EvidenceTimeout)
+		if s.MinBakeTime < 0 || s.MinBakeTime > p.ProgressTimeout {
+			return nil, fmt.Errorf("%s.min_bake_time: %v; write a time up to progress_timeout (%v)", path, s.MinBakeTime, p.ProgressTimeout)
 		}
 		stages = append(stages, selected)
 	}
--- a/internal/coordination/rollout/state.go
+++ b/internal/coordination/rollout/state.go
@@ -111,7 +111,7 @@
 // stop ends a change: what was changed is rolled back, unless the plan keeps it.
 func (s *State) stop(reason string) {
 	s.Phase, s.Reason = RollingBack, reason
-	if s.Plan.KeepOnStop {
+	if s.Plan.DisableRollback {
 		s.Phase = Stopped
 	}
 }
@@ -136,7 +136,7 @@
 	case s.stageComplete():
 		s.StageElapsed += elapsed
 	default:
-		if s.WaitElapsed += elapsed; s.WaitElapsed >= s.Plan.EvidenceTimeout {
+		if s.WaitElapsed += elapsed; s.WaitElapsed >= s.Plan.ProgressTimeout {
 			s.pause(fmt.Sprintf("stage %d: nothing came of it in %v: %s", s.Stage, s.WaitElapsed, s.waitedFor()))
 		}
 	}
@@ -191,7 +191,7 @@
 	switch {
 	case s.Phase == Done:
 		return s.Plan.To
-	case s.Phase == Stopped && !s.Plan.KeepOnStop:
+	case s.Phase == Stopped && !s.Plan.DisableRollback:
 		return s.Plan.From
 	}
 	return ""
@@ -229,9 +229,9 @@
 	case !s.stageComplete():
 		return "sidecars: " + s.waitedFor()
 	case !s.JudgedNoWorse:
-		return fmt.Sprintf("evidence, for %v of %v: %s", s.StageElapsed.Round(time.Second), s.Plan.EvidenceTimeout, s.LastVerdict)
+		return fmt.Sprintf("evidence, for %v of %v: %s", s.StageElapsed.Round(time.Second), s.Plan.ProgressTimeout, s.LastVerdict)
 	}
-	return fmt.Sprintf("its time: %v of %v", s.StageElapsed.Round(time.Second), s.Plan.Stages[s.Stage-1].MinWatch)
+	return fmt.Sprintf("its time: %v of %v", s.StageElapsed.Round(time.Second), s.Plan.Stages[s.Stage-1].MinBakeTime)
 }
 
 // Groups returns the sidecars that the judge compares in this stage: those that are changed, and their control.
--- a/internal/rig/scale/workloads.go
+++ b/internal/rig/scale/workloads.go
@@ -86,7 +86,7 @@
 		return fmt.Errorf("%d agents listen, of %d", len(start.Members), r.size)
 	}
 	start.Plan = rollout.Plan{Application: application, From: oldRelease, To: newRelease,
-		MaxConcurrent: r.size, MaxUnavailable: r.size, BaselinePeriod: time.Hour, EvidenceTimeout: time.Hour,
+		MaxConcurrent: r.size, MaxUnavailable: r.size, BaselinePeriod: time.Hour, ProgressTimeout: time.Hour,
 		Judge:  rollout.JudgeConfig{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02},
 		Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}}
 	if err := r.begin(ctx, "watched", &start); err != nil {
