--- a/cmd/petrelhookctl/capacity.go
+++ b/cmd/petrelhookctl/capacity.go
@@ -1,9 +1,7 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
-	"fmt"
 	"io/fs"
 	"os"
 
@@ -22,8 +20,8 @@
 			"be not measured. With --write the tables go into a page, between its marks; what else it says stays.\n" +
 			"0: it was worked out, whatever the verdicts are; 1: a file is bad.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if output != "text" && output != "json" && output != "markdown" {
-				return fmt.Errorf("--output: %q: write text, json or markdown", output)
+			if err := checkOutput(output, outputText, outputJSON, outputMarkdown); err != nil {
+				return err
 			}
 			r, err := capacityReport(assumed, measured)
 			if err != nil {
@@ -36,11 +34,9 @@
 				return nil
 			}
 			switch output {
-			case "json":
-				e := json.NewEncoder(cmd.OutOrStdout())
-				e.SetIndent("", "  ")
-				return e.Encode(r)
-			case "markdown":
+			case outputJSON:
+				return writeJSON(cmd.OutOrStdout(), r)
+			case outputMarkdown:
 				return r.WriteMarkdown(cmd.OutOrStdout())
 			}
 			return r.WriteText(cmd.OutOrStdout())
@@ -49,7 +45,7 @@
 	cmd.Flags().StringVar(&assumed, "assume", "deploy/capacity.yaml", "the size and the assumptions, a `FILE`")
 	cmd.Flags().StringVar(&measured, "measured", "deploy/capacity-measured.json",
 		"what a scale run has left, a `FILE`; it may be missing")
-	cmd.Flags().StringVar(&output, "output", "text", "text, json or markdown")
+	cmd.Flags().StringVar(&output, "output", outputText, "text, json or markdown")
 	cmd.Flags().StringVar(&page, "write", "", "put the tables into a page, a `FILE`, and print nothing")
 	return cmd
 }
--- a/cmd/petrelhookctl/chain.go
+++ b/cmd/petrelhookctl/chain.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -45,7 +44,7 @@
 func (o *chainOptions) addFlags(cmd *cobra.Command) {
 	f, s := cmd.Flags(), o.study
 	f.StringVar(&o.bin, "bin", "", "`FOLDER` of petrelhook (default: that of this program)")
-	f.StringVar(&o.output, "output", "text", "form of the report: text or json")
+	f.StringVar(&o.output, "output", outputText, "form of the report: text or json")
 	f.BoolVar(&o.onlyAdded, "added", false, "only what sidecars add, and --fail where it is given too")
 	f.BoolVar(&o.onlyFail, "fail", false, "only what repeats do, and --added where it is given too")
 	f.IntSliceVar(&s.FailDepths, "depths", s.FailDepths, "sidecars in a row, where a part fails")
@@ -83,8 +82,8 @@
 
 // prepare checks the flags and finds the sidecar's program.
 func (o *chainOptions) prepare(cmd *cobra.Command) error {
-	if o.output != "text" && o.output != "json" {
-		return fmt.Errorf("--output: %q is neither text nor json", o.output)
+	if err := checkOutput(o.output, outputText, outputJSON); err != nil {
+		return err
 	}
 	if o.bin == "" {
 		self, err := os.Executable()
@@ -101,7 +100,7 @@
 	if err := o.study.Check(); err != nil {
 		return err
 	}
-	if o.output == "text" {
+	if o.output == outputText {
 		o.study.OnStart = func(what string) { fmt.Fprintln(cmd.ErrOrStderr(), what) }
 	}
 	return nil
@@ -122,10 +121,8 @@
 
 // write writes the report in the form of --output.
 func (o *chainOptions) write(out io.Writer, report *chain.Report) error {
-	if o.output != "json" {
-		return report.WriteText(out)
+	if o.output == outputJSON {
+		return writeJSON(out, report)
 	}
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(report)
+	return report.WriteText(out)
 }
--- a/cmd/petrelhookctl/chain_test.go
+++ b/cmd/petrelhookctl/chain_test.go
@@ -57,7 +57,7 @@
 		args, want string
 		code       int
 	}{
-		{"--output xml", "neither text nor json", 2},
+		{"--output xml", `--output: "xml": write text or json`, 2},
 		{"--pass on", "pass: unknown way", 2},
 		{"--fail --depths 99", "depth: 99; write 1 to 32", 2},
 		{"--fail --parts 2", "fail: 2; write a part", 2},
--- a/cmd/petrelhookctl/experiment.go
+++ b/cmd/petrelhookctl/experiment.go
@@ -24,8 +24,8 @@
 			"requests and why, tokens read again and the busiest server, with intervals. docs/operate/experiments.md explains\n" +
 			"the file and the figures. 0: it was played; 1: the file is bad.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if output != "text" && output != "json" {
-				return fmt.Errorf("--output: %q: write text or json", output)
+			if err := checkOutput(output, outputText, outputJSON); err != nil {
+				return err
 			}
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -44,7 +44,7 @@
 			return playSizes(cmd, spec, routers, output)
 		},
 	}
-	cmd.Flags().StringVar(&output, "output", "text", "text or json")
+	cmd.Flags().StringVar(&output, "output", outputText, "text or json")
 	cmd.Flags().IntVar(&seeds, "seeds", 0, "how many seeds, in place of the file's")
 	cmd.Flags().StringSliceVar(&policies, "policies", nil, "policies by name, in place of the file's")
 	cmd.Flags().IntSliceVar(&routers, "routers", nil, "numbers of routers to play; servers and requests grow with them")
@@ -78,7 +78,7 @@
 		}
 		reports = append(reports, engines.Report{Routers: n, Servers: scaled.Servers, Seeds: scaled.Seeds, Outcomes: outcomes})
 	}
-	if output == "json" {
+	if output == outputJSON {
 		return engines.WriteJSON(cmd.OutOrStdout(), reports)
 	}
 	return engines.WriteText(cmd.OutOrStdout(), reports)
--- a/cmd/petrelhookctl/fleet.go
+++ b/cmd/petrelhookctl/fleet.go
@@ -26,11 +26,11 @@
 	return cmd
 }
 
-// member is one coordinator in the output of status. Its JSON is an interface.
-type member struct {
+// coordinatorStatus is one coordinator in the output of status. Its JSON is an interface.
+type coordinatorStatus struct {
 	Addr   string        `json:"addr"`
 	Err    string        `json:"err,omitempty"`
-	Status *fleet.Status `json:"status,omitempty"`
+	Status *fleet.Status `json:"status,omitempty"` // nil: it did not answer
 }
 
 func (a *coordinatorFlags) statusCommand() *cobra.Command {
@@ -40,47 +40,61 @@
 			if err != nil {
 				return err
 			}
-			var all []member
-			follow := map[uint64]int{}
-			most := 0
+			var all []coordinatorStatus
 			for _, addr := range a.addrs {
-				ctx, cancel := context.WithTimeout(cmd.Context(), min(a.timeout, statusTimeout))
-				s, err := o.Status(ctx, addr)
-				cancel()
-				if m := (member{Addr: addr, Status: s}); err != nil {
-					m.Err = err.Error()
-					all = append(all, m)
-					continue
-				}
-				all = append(all, member{Addr: addr, Status: s})
-				if s.Leader != 0 {
-					follow[s.Leader]++
-				}
-				most = max(most, len(s.Members))
+				all = append(all, a.coordinatorStatus(cmd.Context(), o, addr))
 			}
-			err = a.print(cmd, all, func(w *tabwriter.Writer) {
-				fmt.Fprintln(w, "ADDRESS\tID\tLEADER\tTERM\tAPPLIED\tLOG\tSESSIONS\tLEASES\tTOKEN\t")
-				for _, m := range all {
-					if m.Status == nil {
-						fmt.Fprintf(w, "%s\t%s\n", m.Addr, m.Err)
-						continue
-					}
-					s := m.Status
-					fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", m.Addr, s.ID, s.Leader, s.Term, s.Applied, s.Log, s.Sessions, s.Leases, s.Token)
-				}
-			})
-			for _, n := range follow {
-				if err == nil && n > most/2 {
-					return nil
-				}
+			if err := a.print(cmd, all, func(w *tabwriter.Writer) { writeFleetStatus(w, all) }); err != nil {
+				return err
 			}
-			if err == nil {
-				err = errNegativeResult
+			if !majorityFollowsLeader(all) {
+				return errNegativeResult
 			}
-			return err
+			return nil
 		}}
 }
 
+// coordinatorStatus asks one coordinator for its status.
+func (a *coordinatorFlags) coordinatorStatus(ctx context.Context, o *fleet.Operator, addr string) coordinatorStatus {
+	ctx, cancel := context.WithTimeout(ctx, min(a.timeout, statusTimeout))
+	defer cancel()
+	s, err := o.Status(ctx, addr)
+	if err != nil {
+		return coordinatorStatus{Addr: addr, Err: err.Error(), Status: s}
+	}
+	return coordinatorStatus{Addr: addr, Status: s}
+}
+
+// writeFleetStatus writes a table with a line for each coordinator.
+func writeFleetStatus(w *tabwriter.Writer, all []coordinatorStatus) {
+	fmt.Fprintln(w, "ADDRESS\tID\tLEADER\tTERM\tAPPLIED\tLOG\tSESSIONS\tLEASES\tTOKEN\t")
+	for _, c := range all {
+		if c.Status == nil {
+			fmt.Fprintf(w, "%s\t%s\n", c.Addr, c.Err)
+			continue
+		}
+		s := c.Status
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", c.Addr, s.ID, s.Leader, s.Term, s.Applied, s.Log, s.Sessions, s.Leases, s.Token)
+	}
+}
+
+// majorityFollowsLeader reports whether a majority of the largest group that a coordinator knows follows the same leader.
+func majorityFollowsLeader(all []coordinatorStatus) bool {
+	followers := map[uint64]int{} // by the leader's id
+	groupSize, mostFollowers := 0, 0
+	for _, c := range all {
+		if c.Err != "" {
+			continue
+		}
+		groupSize = max(groupSize, len(c.Status.Members))
+		if c.Status.Leader != 0 {
+			followers[c.Status.Leader]++
+			mostFollowers = max(mostFollowers, followers[c.Status.Leader])
+		}
+	}
+	return mostFollowers > groupSize/2
+}
+
 // changeMembers sends a change of the group of coordinators, and prints the members after it.
 func (a *coordinatorFlags) changeMembers(cmd *cobra.Command, request fleet.Request) error {
 	response, err := a.call(cmd, request)
@@ -98,12 +112,21 @@
 	})
 }
 
+// parseCoordinatorID parses the id of a coordinator. expected says what is valid, for the error.
+func parseCoordinatorID(text, expected string) (uint64, error) {
+	id, err := strconv.ParseUint(text, 10, 64)
+	if err != nil || id == 0 {
+		return 0, fmt.Errorf("%q: write %s", text, expected)
+	}
+	return id, nil
+}
+
 func (a *coordinatorFlags) addCommand() *cobra.Command {
 	return &cobra.Command{Use: "add ID HOST:PORT", Short: "Add a coordinator, started with join: true; it votes once it has the log", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			id, err := strconv.ParseUint(args[0], 10, 64)
-			if err != nil || id == 0 {
-				return fmt.Errorf("%q: write an id from 1 on that was never used", args[0])
+			id, err := parseCoordinatorID(args[0], "an id from 1 on that was never used")
+			if err != nil {
+				return err
 			}
 			return a.changeMembers(cmd, fleet.Request{AddMember: &replica.Member{ID: id, Addr: args[1]}})
 		}}
@@ -112,9 +135,9 @@
 func (a *coordinatorFlags) removeCommand() *cobra.Command {
 	return &cobra.Command{Use: "remove ID", Short: "Remove a coordinator; it ends, and its id is never used again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			id, err := strconv.ParseUint(args[0], 10, 64)
-			if err != nil || id == 0 {
-				return fmt.Errorf("%q: write the id of a coordinator", args[0])
+			id, err := parseCoordinatorID(args[0], "the id of a coordinator")
+			if err != nil {
+				return err
 			}
 			return a.changeMembers(cmd, fleet.Request{RemoveMember: id})
 		}}
@@ -127,24 +150,31 @@
 			if err != nil {
 				return err
 			}
-			f, err := os.OpenFile(args[0], os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
-			if err != nil {
-				return runError{err}
-			}
-			if _, err = f.Write(response.Backup); err == nil {
-				err = f.Sync()
-			}
-			if failed := f.Close(); err == nil {
-				err = failed
-			}
-			if err != nil {
-				_ = os.Remove(args[0]) // a partial back-up must not be left; the first error is the one to report
+			if err := writeNewFile(args[0], response.Backup); err != nil {
 				return runError{err}
 			}
 			return nil
 		}}
 }
 
+// writeNewFile writes a file that must not exist and syncs it. After an error there is no partial file.
+func writeNewFile(path string, content []byte) error {
+	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	if err != nil {
+		return err
+	}
+	if _, err = f.Write(content); err == nil {
+		err = f.Sync()
+	}
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
+	}
+	if err != nil {
+		_ = os.Remove(path) // the first error is the one to report
+	}
+	return err
+}
+
 func restoreCommand() *cobra.Command {
 	var config string
 	var above uint64
--- a/cmd/petrelhookctl/load.go
+++ b/cmd/petrelhookctl/load.go
@@ -38,30 +38,25 @@
 			if err != nil {
 				return err
 			}
-			connections, err := o.clientConnections(0)
-			if err != nil {
-				return err
-			}
-			trace, endTrace, err := o.openTrace()
+			g, err := o.newGenerator(0)
 			if err != nil {
 				return err
 			}
 			r := &load.Runner{
 				Scenario: s, Targets: targets, Dial: (&net.Dialer{}).DialContext, Zero: time.Now(), Wait: load.WaitPrecisely,
-				Connections: connections, MaxLag: o.maxLag, Trace: trace,
+				Connections: g.connections, MaxLag: o.maxLag, Trace: g.trace,
 			}
 			if l := newProgressLine(cmd.ErrOrStderr()); l != nil {
 				r.Live = l.add
 				go l.run()
 				defer l.end()
 			}
-			before := ownCPUTime()
 			result, err := r.Run(cmd.Context())
-			if err = errors.Join(err, endTrace()); err != nil {
+			if err = errors.Join(err, g.close()); err != nil {
 				return runError{err}
 			}
 			report := rehearse.LoadReport(&rehearse.Outcome{Scenario: s, Load: result}, strings.Join(targets, ", "))
-			report.Generator.CPU = (ownCPUTime() - before).Seconds()
+			report.Generator.CPU = g.cpuSeconds()
 			return o.writeReport(cmd, report)
 		},
 	}
--- a/cmd/petrelhookctl/main_test.go
+++ b/cmd/petrelhookctl/main_test.go
@@ -213,7 +213,7 @@
 		{[]string{"rehearse", good, "--sidecar", "./nowhere"}, 1, "no sidecar program at ./nowhere"},
 		{[]string{"rehearse", good, "--sidecar", "/bin/false"}, 1, "/bin/false ended at once"},
 		{[]string{"rehearse", "calm", "stall"}, 2, "accepts at most 1 arg"},
-		{[]string{"rehearse", "--output", "xml"}, 2, `--output: "xml" is neither`},
+		{[]string{"rehearse", "--output", "xml"}, 2, `--output: "xml": write text or json`},
 		{[]string{"rehearse", "--max-lag", "0s"}, 2, "--max-lag: 0s must be over 0"},
 		{[]string{"rehearse", "--fast"}, 2, "unknown flag: --fast"},
 		{[]string{"rehearse", "--seed", "-1"}, 2, `"-1"`},
--- a/cmd/petrelhookctl/options.go
+++ b/cmd/petrelhookctl/options.go
@@ -22,7 +22,7 @@
 // reservedDescriptors is the number of descriptors that a rehearsal reserves for itself; the rest is for clients' connections.
 const reservedDescriptors = 64
 
-// runOptions are the flags that the subcommands rehearse, load and standin share.
+// runOptions are the flags that the subcommands rehearse and load share. Of them standin has the seed alone.
 type runOptions struct {
 	output, page, record string
 	seed                 uint64
@@ -32,7 +32,7 @@
 
 func (o *runOptions) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
-	f.StringVar(&o.output, "output", "text", "form of the report: text or json")
+	f.StringVar(&o.output, "output", outputText, "form of the report: text or json")
 	f.StringVar(&o.page, "html", "", "also write the report as a self-contained page to `FILE`")
 	f.StringVar(&o.record, "record", "", "also record the arrivals as a trace to `FILE`")
 	f.Uint64Var(&o.seed, "seed", 0, "draw with this seed in place of the scenario's")
@@ -41,9 +41,10 @@
 }
 
 func (o *runOptions) check() error {
+	if err := checkOutput(o.output, outputText, outputJSON); err != nil {
+		return err
+	}
 	switch {
-	case o.output != "text" && o.output != "json":
-		return fmt.Errorf("--output: %q is neither text nor json", o.output)
 	case o.maxLag <= 0:
 		return fmt.Errorf("--max-lag: %v must be over 0", o.maxLag)
 	case o.connections < 0:
@@ -91,24 +92,43 @@
 	return free, nil
 }
 
-// openTrace creates the file of --record, if it was given. The caller calls end after the last request was recorded.
-func (o *runOptions) openTrace() (w *arrival.TraceWriter, end func() error, err error) {
+// generator is what a run of rehearse or load needs to send its load, and what is measured of sending it.
+type generator struct {
+	connections int                  // that clients may have open
+	trace       *arrival.TraceWriter // of --record; nil: it was not given
+	traceFile   *os.File             // nil as well
+	cpuBefore   time.Duration        // the processor time of this process before the run
+}
+
+// newGenerator opens what a run needs. reserved is the number of descriptors that the run needs besides those of clients' connections. The
+// caller calls close after the last request was recorded.
+func (o *runOptions) newGenerator(reserved int) (*generator, error) {
+	connections, err := o.clientConnections(reserved)
+	if err != nil {
+		return nil, err
+	}
+	g := &generator{connections: connections, cpuBefore: ownCPUTime()}
 	if o.record == "" {
-		return nil, func() error { return nil }, nil
+		return g, nil
 	}
-	f, err := os.Create(o.record)
-	if err != nil {
-		return nil, nil, runError{err}
+	if g.traceFile, err = os.Create(o.record); err != nil {
+		return nil, runError{err}
 	}
-	w = arrival.NewTraceWriter(f)
-	return w, func() error {
-		if err := w.Flush(); err != nil {
-			return errors.Join(err, f.Close())
-		}
-		return f.Close()
-	}, nil
+	g.trace = arrival.NewTraceWriter(g.traceFile)
+	return g, nil
+}
+
+// close completes the trace.
+func (g *generator) close() error {
+	if g.trace == nil {
+		return nil
+	}
+	return errors.Join(g.trace.Flush(), g.traceFile.Close())
 }
 
+// cpuSeconds returns the processor time of this process since newGenerator.
+func (g *generator) cpuSeconds() float64 { return (ownCPUTime() - g.cpuBefore).Seconds() }
+
 // writeReport writes the report. It returns errNegativeResult if the report is not OK.
 func (o *runOptions) writeReport(cmd *cobra.Command, r *rehearse.Report) error {
 	if o.page != "" {
@@ -124,7 +144,7 @@
 		}
 	}
 	write := r.WriteText
-	if o.output == "json" {
+	if o.output == outputJSON {
 		write = r.WriteJSON
 	}
 	if err := write(cmd.OutOrStdout()); err != nil {
--- a/cmd/petrelhookctl/rehearse.go
+++ b/cmd/petrelhookctl/rehearse.go
@@ -73,19 +73,15 @@
 }
 
 // runRehearsal runs a scenario with sidecars of a program, or without any, and writes the report.
-func runRehearsal(cmd *cobra.Command, o *runOptions, s *scenario.Scenario, program string, verbose bool) (err error) {
+func runRehearsal(cmd *cobra.Command, o *runOptions, s *scenario.Scenario, program string, verbose bool) error {
 	// Reserved for others: listeners, and some connections from each sidecar to each server and to discovery.
-	connections, err := o.clientConnections(8 * (len(s.Servers) + 1) * max(s.Sidecars.Count, 1) * 2)
-	if err != nil {
-		return err
-	}
-	trace, endTrace, err := o.openTrace()
+	g, err := o.newGenerator(8 * (len(s.Servers) + 1) * max(s.Sidecars.Count, 1) * 2)
 	if err != nil {
 		return err
 	}
 	// This process has both the clients' ends of connections and the servers' ends of those that sidecars open.
 	r := &rehearse.Rehearsal{
-		Scenario: s, Network: loopback.New(), MaxConnections: max(1, connections/2), MaxLag: o.maxLag, WaitUntil: load.WaitPrecisely, Trace: trace,
+		Scenario: s, Network: loopback.New(), MaxConnections: max(1, g.connections/2), MaxLag: o.maxLag, WaitUntil: load.WaitPrecisely, Trace: g.trace,
 	}
 	target := "the servers, without sidecars"
 	processes := &rehearse.Processes{Program: program}
@@ -101,14 +97,12 @@
 		r.OnStart = func() { go l.run() }
 		defer l.end()
 	}
-	before := ownCPUTime()
 	outcome, err := r.Run(cmd.Context())
-	err = errors.Join(err, endTrace())
-	if err != nil {
+	if err = errors.Join(err, g.close()); err != nil {
 		return runError{err}
 	}
 	report := rehearse.NewReport(outcome, target)
-	report.Generator.CPU = (ownCPUTime() - before).Seconds()
+	report.Generator.CPU = g.cpuSeconds()
 	if s.Sidecars.Count > 0 {
 		report.Sidecars = processes.Usage()
 	}
--- a/cmd/petrelhookctl/revision.go
+++ b/cmd/petrelhookctl/revision.go
@@ -53,11 +53,11 @@
 				return a.awaitInForce(cmd, o, service, revision, wait)
 			}
 			return a.print(cmd, map[string]any{"service": service, "revision": revision, "already": already}, func(w *tabwriter.Writer) {
-				word := ""
+				note := ""
 				if already {
-					word = "\tit is the newest already"
+					note = "\tit is the newest already"
 				}
-				fmt.Fprintf(w, "%s\trevision %d%s\n", service, revision, word)
+				fmt.Fprintf(w, "%s\trevision %d%s\n", service, revision, note)
 			})
 		},
 	}
@@ -77,11 +77,11 @@
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for late := false; ; {
-		of, all := o.InForce(cmd.Context(), service)
-		s := of[service]
-		if done := s.Newest >= revision && s.Reported > 0 && s.InForce == s.Reported; done || late {
-			err := a.printSummary(cmd, s, all)
-			if err == nil && !done {
+		summaries, coordinators := o.InForce(cmd.Context(), service)
+		s := summaries[service]
+		if inForce := s.Newest >= revision && s.Reported > 0 && s.InForce == s.Reported; inForce || late {
+			err := a.printSummary(cmd, s, coordinators)
+			if err == nil && !inForce {
 				err = errNegativeResult
 			}
 			return err
@@ -106,18 +106,18 @@
 			if err != nil {
 				return err
 			}
-			if len(args) == 1 {
-				of, all := o.InForce(cmd.Context(), args[0])
-				s := of[args[0]]
-				if err := a.printSummary(cmd, s, all); err != nil {
-					return err
-				}
-				if s.InForce != s.Reported {
-					return errNegativeResult
-				}
-				return nil
+			if len(args) == 0 {
+				return a.printServices(cmd, o)
+			}
+			summaries, coordinators := o.InForce(cmd.Context(), args[0])
+			s := summaries[args[0]]
+			if err := a.printSummary(cmd, s, coordinators); err != nil {
+				return err
+			}
+			if s.InForce != s.Reported {
+				return errNegativeResult
 			}
-			return a.printServices(cmd, o)
+			return nil
 		},
 	}
 	a.add(cmd)
@@ -126,11 +126,11 @@
 
 // printServices prints a line for each service that has a version, and the coordinators that cannot answer.
 func (a *coordinatorFlags) printServices(cmd *cobra.Command, o *fleet.Operator) error {
-	of, coordinators := o.InForce(cmd.Context(), "")
-	all := make([]distribute.Summary, 0, len(of))
+	summaries, coordinators := o.InForce(cmd.Context(), "")
+	all := make([]distribute.Summary, 0, len(summaries))
 	behind := false
-	for _, service := range slices.Sorted(maps.Keys(of)) {
-		s := of[service]
+	for _, service := range slices.Sorted(maps.Keys(summaries)) {
+		s := summaries[service]
 		behind = behind || s.InForce != s.Reported
 		s.Members = nil
 		all = append(all, s)
@@ -149,8 +149,8 @@
 }
 
 // printCoordinators prints the coordinators that cannot answer.
-func printCoordinators(w *tabwriter.Writer, all []fleet.CoordinatorSummary) {
-	for _, c := range all {
+func printCoordinators(w *tabwriter.Writer, coordinators []fleet.CoordinatorSummary) {
+	for _, c := range coordinators {
 		switch {
 		case c.Err != nil:
 			fmt.Fprintf(w, "coordinator %s\t%v\n", c.Addr, c.Err)
@@ -161,20 +161,20 @@
 }
 
 // printSummary prints the state of a service: the counts, and the sidecars on which the newest version is not in force.
-func (a *coordinatorFlags) printSummary(cmd *cobra.Command, s distribute.Summary, all []fleet.CoordinatorSummary) error {
+func (a *coordinatorFlags) printSummary(cmd *cobra.Command, s distribute.Summary, coordinators []fleet.CoordinatorSummary) error {
 	return a.print(cmd, s, func(w *tabwriter.Writer) {
 		fmt.Fprintf(w, "%s\trevision %d\tin force at %d of %d\n", s.Service, s.Newest, s.InForce, s.Reported)
 		for _, m := range s.Members {
 			if m.InForce == s.Newest {
 				continue
 			}
-			why := m.Reason
+			reason := m.Reason
 			if m.InForce > s.Newest {
-				why = "it holds what these coordinators have forgotten; publish once more"
+				reason = "it holds what these coordinators have forgotten; publish once more"
 			}
-			fmt.Fprintf(w, "  %s\trevision %d\theard %v ago\t%s\n", m.Sidecar, m.InForce, m.Age.Round(100*time.Millisecond), why)
+			fmt.Fprintf(w, "  %s\trevision %d\theard %v ago\t%s\n", m.Sidecar, m.InForce, m.Age.Round(100*time.Millisecond), reason)
 		}
-		printCoordinators(w, all)
+		printCoordinators(w, coordinators)
 	})
 }
 
--- a/cmd/petrelhookctl/rollout.go
+++ b/cmd/petrelhookctl/rollout.go
@@ -32,41 +32,34 @@
 }
 
 func rolloutPlanCommand() *cobra.Command {
-	a := &coordinatorFlags{}
-	var from, to, program string
+	var from, to, program, output string
 	cmd := &cobra.Command{
 		Use: "plan --from FILE --to FILE", Args: cobra.NoArgs, Short: "Say which fields may differ side by side, which need two steps, and which are refused",
 		Long: "Checks both configurations, the new one also by the new program where --program names it, and compares them field by\n" +
 			"field. Nothing is changed. 0: all may differ side by side; 1: something needs two steps, or is refused, or is bad.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if a.output != "text" && a.output != "json" {
-				return fmt.Errorf("--output: %q: write text or json", a.output)
+			if err := checkOutput(output, outputText, outputJSON); err != nil {
+				return err
 			}
-			texts := [2][]byte{}
-			for i, f := range []struct{ flag, path string }{{"--from", from}, {"--to", to}} {
-				if f.path == "" {
-					return fmt.Errorf("%s: missing: a configuration", f.flag)
-				}
-				text, err := os.ReadFile(f.path)
-				if err != nil {
-					return runError{err}
-				}
-				if _, err := config.Parse(f.path, text); err != nil {
-					return runError{err}
-				}
-				texts[i] = text
+			oldText, err := readConfiguration("--from", from)
+			if err != nil {
+				return err
+			}
+			newText, err := readConfiguration("--to", to)
+			if err != nil {
+				return err
 			}
 			if program != "" {
 				if err := checkWithProgram(cmd.Context(), program, to); err != nil {
 					return runError{err}
 				}
 			}
-			all, err := release.Compare(texts[0], texts[1])
+			all, err := release.Compare(oldText, newText)
 			if err != nil {
 				return runError{err}
 			}
 			worst := release.Worst(all)
-			err = a.print(cmd, rolloutPlan{worst.String(), all}, func(w *tabwriter.Writer) {
+			err = writeResult(cmd, output, rolloutPlan{worst.String(), all}, func(w *tabwriter.Writer) {
 				for _, f := range all {
 					fmt.Fprintf(w, "%s\t%s -> %s\t%s\t%s\n", f.Field, f.Old, f.New, f.Verdict, f.Reason)
 				}
@@ -81,10 +74,25 @@
 	cmd.Flags().StringVar(&from, "from", "", "the configuration in use, a `FILE`")
 	cmd.Flags().StringVar(&to, "to", "", "the new one, a `FILE`")
 	cmd.Flags().StringVar(&program, "program", "", "the new sidecar, a `FILE`: it checks the new configuration")
-	cmd.Flags().StringVar(&a.output, "output", "text", "text or json")
+	cmd.Flags().StringVar(&output, "output", outputText, "text or json")
 	return cmd
 }
 
+// readConfiguration reads and checks the configuration that a flag names.
+func readConfiguration(flag, path string) ([]byte, error) {
+	if path == "" {
+		return nil, fmt.Errorf("%s: missing: a configuration", flag)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, runError{err}
+	}
+	if _, err := config.Parse(path, text); err != nil {
+		return nil, runError{err}
+	}
+	return text, nil
+}
+
 // checkWithProgram has a sidecar's program check a configuration.
 func checkWithProgram(ctx context.Context, program, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
--- a/cmd/petrelhookctl/rollout_run.go
+++ b/cmd/petrelhookctl/rollout_run.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/http"
@@ -50,22 +49,6 @@
 	return cmd
 }
 
-// application returns an application's changes, with or without the results of the last one's stages.
-func (a *coordinatorFlags) application(cmd *cobra.Command, name string, results bool) (*rollout.Application, error) {
-	response, err := a.call(cmd, fleet.Request{Changes: &name, StageResults: results})
-	if err != nil {
-		return nil, err
-	}
-	if len(response.Changes) == 0 {
-		return nil, runError{fmt.Errorf("%s: no change was ever begun", name)}
-	}
-	app := &rollout.Application{}
-	if err := json.Unmarshal(response.Changes, app); err != nil {
-		return nil, runError{err}
-	}
-	return app, nil
-}
-
 func rolloutStatusCommand() *cobra.Command {
 	a := &coordinatorFlags{}
 	var live bool
@@ -124,20 +107,13 @@
 	cmd := &cobra.Command{
 		Use: use + " APPLICATION", Args: cobra.ExactArgs(1), Short: short,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			app, err := a.application(cmd, args[0], false)
-			if err != nil {
+			if err := a.sendEvent(cmd, args[0], event()); err != nil {
 				return err
 			}
-			response, err := a.call(cmd, fleet.Request{Rollout: &rollout.Command{Application: args[0], Change: app.Current.Name, AtMillis: time.Now().UnixMilli(), Events: []rollout.Event{event()}}})
-			if err == nil && response.Rollout.Error != "" {
-				err = runError{errors.New(response.Rollout.Error)}
-			}
+			app, err := a.application(cmd, args[0], false)
 			if err != nil {
 				return err
 			}
-			if app, err = a.application(cmd, args[0], false); err != nil {
-				return err
-			}
 			return a.print(cmd, app.Current, func(w *tabwriter.Writer) { writeStatus(w, app.Current) })
 		},
 	}
@@ -146,49 +122,78 @@
 	return cmd
 }
 
+// sendEvent sends an event for the current change of an application.
+func (a *coordinatorFlags) sendEvent(cmd *cobra.Command, application string, event rollout.Event) error {
+	app, err := a.application(cmd, application, false)
+	if err != nil {
+		return err
+	}
+	response, err := a.call(cmd, fleet.Request{Rollout: &rollout.Command{Application: application, Change: app.Current.Name,
+		AtMillis: time.Now().UnixMilli(), Events: []rollout.Event{event}}})
+	if err != nil {
+		return err
+	}
+	if response.Rollout.Error != "" {
+		return runError{errors.New(response.Rollout.Error)}
+	}
+	return nil
+}
+
 func rolloutEventCommands() []*cobra.Command {
-	var why, whyNot string
+	var pauseReason, abortReason string
 	var accept bool
 	return []*cobra.Command{
 		rolloutEventCommand("pause", "Change no further sidecar for now", func(c *cobra.Command) {
-			c.Flags().StringVar(&why, "why", "an operator paused it", "what others read")
-		}, func() rollout.Event { return rollout.Event{Pause: why} }),
+			c.Flags().StringVar(&pauseReason, "why", "an operator paused it", "what others read")
+		}, func() rollout.Event { return rollout.Event{Pause: pauseReason} }),
 		rolloutEventCommand("resume", "Go on after a pause; the stage is watched anew", func(c *cobra.Command) {
 			c.Flags().BoolVar(&accept, "accept", false, "take the stage for no worse, though there is not enough evidence")
 		}, func() rollout.Event { return rollout.Event{Resume: true, Accept: accept} }),
 		rolloutEventCommand("abort", "End the change: what was changed is rolled back, unless the plan says disable_rollback", func(c *cobra.Command) {
-			c.Flags().StringVar(&whyNot, "why", "an operator aborted it", "what others read")
-		}, func() rollout.Event { return rollout.Event{Abort: whyNot} }),
+			c.Flags().StringVar(&abortReason, "why", "an operator aborted it", "what others read")
+		}, func() rollout.Event { return rollout.Event{Abort: abortReason} }),
 	}
 }
 
 func rolloutHistoryCommand() *cobra.Command {
+	return showChangesCommand("history", "The steps of this change and of those before", false, func(cmd *cobra.Command, a *coordinatorFlags, app *rollout.Application) error {
+		return a.print(cmd, app, func(w *tabwriter.Writer) { writeHistory(w, app) })
+	})
+}
+
+// showChangesCommand returns a subcommand that shows an application's changes. results: show also needs the results of the stages of the
+// last one.
+func showChangesCommand(use, short string, results bool, show func(*cobra.Command, *coordinatorFlags, *rollout.Application) error) *cobra.Command {
 	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
-		Use: "history APPLICATION", Args: cobra.ExactArgs(1), Short: "The steps of this change and of those before",
+		Use: use + " APPLICATION", Args: cobra.ExactArgs(1), Short: short,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			app, err := a.application(cmd, args[0], false)
+			app, err := a.application(cmd, args[0], results)
 			if err != nil {
 				return err
 			}
-			return a.print(cmd, app, func(w *tabwriter.Writer) {
-				line := func(name, plan string, all []rollout.Transition) {
-					fmt.Fprintf(w, "%s\t%s\n", name, plan)
-					for _, m := range all {
-						fmt.Fprintf(w, "\t%s\t%s\tstage %d\t%s\n", time.UnixMilli(m.AtMillis).UTC().Format(time.RFC3339), m.Phase, m.Stage, m.Reason)
-					}
-				}
-				for _, p := range app.Past {
-					line(p.Name, p.Plan, p.Transitions)
-				}
-				line(app.Current.Name, app.Current.State.Plan.String(), app.Current.Transitions)
-			})
+			return show(cmd, a, app)
 		},
 	}
 	a.add(cmd)
 	return cmd
 }
 
+// writeHistory writes the transitions of an application's changes, the oldest first.
+func writeHistory(w *tabwriter.Writer, app *rollout.Application) {
+	for _, past := range app.Past {
+		writeTransitions(w, past.Name, past.Plan, past.Transitions)
+	}
+	writeTransitions(w, app.Current.Name, app.Current.State.Plan.String(), app.Current.Transitions)
+}
+
+func writeTransitions(w *tabwriter.Writer, name, plan string, all []rollout.Transition) {
+	fmt.Fprintf(w, "%s\t%s\n", name, plan)
+	for _, t := range all {
+		fmt.Fprintf(w, "\t%s\t%s\tstage %d\t%s\n", time.UnixMilli(t.AtMillis).UTC().Format(time.RFC3339), t.Phase, t.Stage, t.Reason)
+	}
+}
+
 func releaseCommand() *cobra.Command {
 	var dir, program, settings string
 	cmd := &cobra.Command{Use: "release", Short: "Releases: a program and its settings, named by their content"}
--- a/cmd/petrelhookctl/rollout_show.go
+++ b/cmd/petrelhookctl/rollout_show.go
@@ -16,24 +16,18 @@
 )
 
 func rolloutExplainCommand() *cobra.Command {
-	a := &coordinatorFlags{}
-	cmd := &cobra.Command{
-		Use: "explain APPLICATION", Args: cobra.ExactArgs(1), Short: "Why the change stands where it stands: limits, evidence and how much more of it, what to do",
-		RunE: func(cmd *cobra.Command, args []string) error {
-			app, err := a.application(cmd, args[0], true)
-			if err != nil {
-				return err
-			}
-			lines := report.Explain(app.Current)
-			return a.print(cmd, lines, func(w *tabwriter.Writer) {
-				for _, l := range lines {
-					fmt.Fprintf(w, "%s\t%s\n", l.Rule, l.Text)
-				}
-			})
-		},
+	const short = "Why the change stands where it stands: limits, evidence and how much more of it, what to do"
+	return showChangesCommand("explain", short, true, func(cmd *cobra.Command, a *coordinatorFlags, app *rollout.Application) error {
+		lines := report.Explain(app.Current)
+		return a.print(cmd, lines, func(w *tabwriter.Writer) { writeReasons(w, lines) })
+	})
+}
+
+// writeReasons writes the reasons for the state of a change.
+func writeReasons(w io.Writer, lines []report.Line) {
+	for _, l := range lines {
+		fmt.Fprintf(w, "%s\t%s\n", l.Rule, l.Text)
 	}
-	a.add(cmd)
-	return cmd
 }
 
 func rolloutReportCommand() *cobra.Command {
@@ -53,15 +47,7 @@
 				path  string
 				write func(io.Writer, *rollout.Change) error
 			}{{html, report.WritePage}, {columns, report.WriteParquet}} {
-				if f.path == "" {
-					continue
-				}
-				var text bytes.Buffer
-				err := f.write(&text, app.Current)
-				if err == nil {
-					err = os.WriteFile(f.path, text.Bytes(), 0o644)
-				}
-				if err != nil {
+				if err := writeReportFile(f.path, app.Current, f.write); err != nil {
 					return runError{err}
 				}
 			}
@@ -74,6 +60,18 @@
 	return cmd
 }
 
+// writeReportFile writes a report of a change to a file. An empty path means that this report was not asked for.
+func writeReportFile(path string, c *rollout.Change, write func(io.Writer, *rollout.Change) error) error {
+	if path == "" {
+		return nil
+	}
+	var text bytes.Buffer
+	if err := write(&text, c); err != nil {
+		return err
+	}
+	return os.WriteFile(path, text.Bytes(), 0o644)
+}
+
 // watch shows a change until it is over or paused: on a terminal it redraws, otherwise it writes a line whenever phase, stage or reason
 // change. After its first result it goes on while coordinators cannot be reached.
 func (a *coordinatorFlags) watch(cmd *cobra.Command, application string, every time.Duration) error {
@@ -91,7 +89,7 @@
 		}
 		if err != nil {
 			fmt.Fprintln(out, "petrelhookctl:", err)
-		} else if stop := showChange(out, terminal, application, app.Current, &last); stop {
+		} else if finished := showChange(out, terminal, application, app.Current, &last); finished {
 			return nil
 		}
 		select {
@@ -111,9 +109,7 @@
 		var text bytes.Buffer
 		w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
 		writeStatus(w, c)
-		for _, l := range report.Explain(c) {
-			fmt.Fprintf(w, "%s\t%s\n", l.Rule, l.Text)
-		}
+		writeReasons(w, report.Explain(c))
 		_ = w.Flush() // to memory
 		fmt.Fprintf(out, "\033[H\033[2J%s", text.Bytes())
 	case line != *last:
--- a/cmd/petrelhookctl/scale.go
+++ b/cmd/petrelhookctl/scale.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -13,6 +14,7 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
+	"petrelhook/internal/coordination/capacity"
 	"petrelhook/internal/rig/scale"
 	"petrelhook/internal/rig/usage"
 )
@@ -40,8 +42,8 @@
 			"ends with 1 where a run has failed or was not made; what the product refuses at a size is found, and is no\n" +
 			"failure.",
 		RunE: func(cmd *cobra.Command, _ []string) (err error) {
-			if output != "text" && output != "json" {
-				return fmt.Errorf("--output: %q is neither text nor json", output)
+			if err := checkOutput(output, outputText, outputJSON); err != nil {
+				return err
 			}
 			if o.MemoryLimitBytes, err = parseMemoryLimit(memory); err != nil {
 				return err
@@ -61,7 +63,7 @@
 	}
 	addScaleFlags(cmd.Flags(), &o)
 	cmd.Flags().StringVar(&memory, "memory", "", "memory of all processes together, such as 6G (default: a quarter of the machine's)")
-	cmd.Flags().StringVar(&output, "output", "text", "form of what is measured: text or json")
+	cmd.Flags().StringVar(&output, "output", outputText, "form of what is measured: text or json")
 	cmd.Flags().StringVar(&file, "json", "", "also write what is measured to `FILE`")
 	cmd.AddCommand(scaleMembersCommand(), scaleMinderCommand())
 	return cmd
@@ -107,22 +109,31 @@
 	if m == nil {
 		return runError{err}
 	}
-	text, bad := json.MarshalIndent(m, "", "  ")
-	text = append(text, '\n')
-	if bad == nil && file != "" {
-		bad = os.WriteFile(file, text, 0o644)
-	}
-	if bad == nil && output == "json" {
-		_, bad = cmd.OutOrStdout().Write(text)
-	} else if bad == nil {
-		bad = scale.WriteText(cmd.OutOrStdout(), m)
-	}
-	if err = errors.Join(err, bad); err != nil {
+	if err = errors.Join(err, writeMeasurements(cmd.OutOrStdout(), m, output, file)); err != nil {
 		return runError{err}
 	}
 	return nil
 }
 
+// writeMeasurements writes what was measured in the form of --output, and as JSON to a file if one is named.
+func writeMeasurements(out io.Writer, m *capacity.Measured, output, file string) error {
+	text, err := json.MarshalIndent(m, "", "  ")
+	if err != nil {
+		return err
+	}
+	text = append(text, '\n')
+	if file != "" {
+		if err := os.WriteFile(file, text, 0o644); err != nil {
+			return err
+		}
+	}
+	if output == outputJSON {
+		_, err = out.Write(text)
+		return err
+	}
+	return scale.WriteText(out, m)
+}
+
 // programDir is the folder of the programs: the given one, or that of this program.
 func programDir(given string) (string, error) {
 	if given == "" {
--- a/cmd/petrelhookctl/scale_test.go
+++ b/cmd/petrelhookctl/scale_test.go
@@ -21,7 +21,7 @@
 		code int
 		want string
 	}{
-		{"--output xml", 2, `--output: "xml" is neither`},
+		{"--output xml", 2, `--output: "xml": write text or json`},
 		{"--memory 6X", 2, `--memory: "6X"; write a number of bytes, or with K, M or G`},
 		{"--memory -1", 2, `--memory: "-1"`},
 		{"--memory 99999999999G", 2, `--memory: "99999999999G"`},
--- a/cmd/petrelhookctl/share.go
+++ b/cmd/petrelhookctl/share.go
@@ -52,24 +52,32 @@
 			if err != nil {
 				return err
 			}
-			return a.print(cmd, response.LimitStatuses, func(w *tabwriter.Writer) {
-				for _, s := range response.LimitStatuses {
-					l, waits := s.Limit, ""
-					if s.Starting {
-						waits = "nothing is given yet: the leader is new"
-					}
-					fmt.Fprintf(w, "%s\t%d of %d out a period of %v\tfloor %d for %d members\t%s\n", l.Name, s.Outstanding, l.Units, l.Period, l.Floor, l.Members, waits)
-					for _, m := range s.Members {
-						alone := 0.0 // its allowance without contact to a coordinator
-						if l.Members > 0 {
-							alone = float64(l.Floor) / float64(l.Members)
-						}
-						fmt.Fprintf(w, "\t%s\thas %d, wants %d, is due %.2f a period\tweight %g, alone %.2f\n", m.Name, m.Outstanding, m.Demand, m.FairShare, m.Weight, alone)
-					}
-				}
-			})
+			return a.print(cmd, response.LimitStatuses, func(w *tabwriter.Writer) { writeLimits(w, response.LimitStatuses) })
 		},
 	}
 	a.add(cmd)
 	return cmd
 }
+
+// writeLimits writes a line for each limit, and one for each of its members.
+func writeLimits(w *tabwriter.Writer, all []share.LimitStatus) {
+	for _, s := range all {
+		l, note := s.Limit, ""
+		if s.Starting {
+			note = "nothing is given yet: the leader is new"
+		}
+		fmt.Fprintf(w, "%s\t%d of %d out a period of %v\tfloor %d for %d members\t%s\n", l.Name, s.Outstanding, l.Units, l.Period, l.Floor, l.Members, note)
+		isolated := isolatedAllowance(l)
+		for _, m := range s.Members {
+			fmt.Fprintf(w, "\t%s\thas %d, wants %d, is due %.2f a period\tweight %g, alone %.2f\n", m.Name, m.Outstanding, m.Demand, m.FairShare, m.Weight, isolated)
+		}
+	}
+}
+
+// isolatedAllowance returns the uses a period that a member of a limit has without contact to a coordinator.
+func isolatedAllowance(l share.Limit) float64 {
+	if l.Members == 0 {
+		return 0
+	}
+	return float64(l.Floor) / float64(l.Members)
+}
--- a/cmd/petrelhookctl/standin.go
+++ b/cmd/petrelhookctl/standin.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -63,9 +62,7 @@
 				<-cmd.Context().Done()
 			}
 			fleet.Close()
-			e := json.NewEncoder(cmd.OutOrStdout())
-			e.SetIndent("", "  ")
-			if err := e.Encode(summarizeByServer(rec.Records())); err != nil {
+			if err := writeJSON(cmd.OutOrStdout(), summarizeByServer(rec.Records())); err != nil {
 				return runError{err}
 			}
 			return nil
