--- a/cmd/petrelhookctl/capacity.go
+++ b/cmd/petrelhookctl/capacity.go
@@ -14,19 +14,20 @@
 	var assumed, measured, output, page string
 	cmd := &cobra.Command{
 		Use: "capacity", Args: cobra.NoArgs,
-		Short: "What a fleet of a stated size asks of each role, beside what each has",
-		Long: "Works out state, messages, processor time and memory of each role from assumptions and what a scale\n" +
-			"run has left, with a verdict beside each budget. What rests on a run that there is none of is said to\n" +
-			"be not measured. With --write the tables go into a page, between its marks; what else it says stays.\n" +
-			"0: it was worked out, whatever the verdicts are; 1: a file is bad.",
+		Short: "What a fleet of a stated size needs of each role, beside what each has",
+		Long: "Computes state, messages, processor time and memory of each role from assumptions and the measurements of\n" +
+			"a scale run, with a verdict beside each budget. What needs a run that was not made has the verdict not\n" +
+			"measured. With --write the tables replace those between the markers of a page; the rest of it stays.\n" +
+			"0: it was computed, whatever the verdicts are; 1: a file is bad.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := checkOutput(output, outputText, outputJSON, outputMarkdown); err != nil {
 				return err
 			}
-			r, err := capacityReport(assumed, measured)
+			r, warnings, err := capacityReport(assumed, measured)
 			if err != nil {
 				return runError{err}
 			}
+			printWarnings(cmd, warnings)
 			if page != "" {
 				if err := writePage(r, page); err != nil {
 					return runError{err}
@@ -50,28 +51,33 @@
 	return cmd
 }
 
-// capacityReport reads both files. The file of measurements may be missing: that is the same as one without points.
-func capacityReport(assumed, measured string) (*capacity.Report, error) {
+// capacityReport reads both files. The warnings are those of the file of assumptions.
+func capacityReport(assumed, measured string) (r *capacity.Report, warnings []string, err error) {
 	text, err := os.ReadFile(assumed)
 	if err != nil {
-		return nil, err
+		return nil, nil, err
 	}
 	a, err := capacity.Parse(assumed, text)
 	if err != nil {
-		return nil, err
+		return nil, nil, err
 	}
-	var m *capacity.Measured
-	text, err = os.ReadFile(measured)
-	switch {
-	case errors.Is(err, fs.ErrNotExist):
-	case err != nil:
+	m, err := readMeasured(measured)
+	if err != nil {
+		return nil, nil, err
+	}
+	return capacity.NewReport(a, m), a.Warnings, nil
+}
+
+// readMeasured reads a file of measurements; nil: there is no such file, and nothing was measured.
+func readMeasured(path string) (*capacity.Measured, error) {
+	text, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
 		return nil, err
-	default:
-		if m, err = capacity.ParseMeasured(measured, text); err != nil {
-			return nil, err
-		}
 	}
-	return capacity.NewReport(a, m), nil
+	return capacity.ParseMeasured(path, text)
 }
 
 // writePage replaces the tables in a page that exists.
--- a/cmd/petrelhookctl/capacity_test.go
+++ b/cmd/petrelhookctl/capacity_test.go
@@ -37,7 +37,7 @@
 	if !bytes.Equal(now, page) {
 		t.Error("docs/CAPACITY-sidecars.md is not what the figures say: petrelhookctl capacity --write docs/CAPACITY-sidecars.md")
 	}
-	r, err := capacityReport(assumedFile, measuredFile)
+	r, _, err := capacityReport(assumedFile, measuredFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,11 +83,11 @@
 		name, measured, output string
 		want                   []string
 	}{
-		{"nothing measured", none, "text", []string{"added to a call for 99 in 100, in the mean", "not measured",
+		{"nothing measured", none, "text", []string{"latency added to a call, p99, at the mean rate", "not measured",
 			"Not measured: there is no file of points."}},
 		{"a point", some, "text", []string{"400 us", "fits by 1.25 times",
 			"point calls/sidecar/look_added_p99_us_at_250_s at 1"}},
-		{"markdown", some, "markdown", []string{"### What does not fit\n\n| time | role |", "| fits by 1.25 times |"}},
+		{"markdown", some, "markdown", []string{"### What does not fit\n\n| situation | role |", "| fits by 1.25 times |"}},
 		{"json", some, "json", []string{`"verdict": "fits by 1.25 times"`, `"ranking": [`}},
 	} {
 		code, stdout, stderr := call(t.Context(), "capacity", "--assume", assumedFile, "--measured", c.measured,
@@ -115,7 +115,7 @@
 		{"--assume " + bad, bad + `:4:12: target.servers: "few"; write a number`, 1},
 		{"--assume " + none, "none.json: no such file", 1},
 		{"--assume " + assumedFile + " --measured " + odd, odd + ": points[0]: workload, role or metric is missing", 1},
-		{"--assume " + assumedFile + " --measured " + none + " --write " + empty, empty + ": no marks; write a line",
+		{"--assume " + assumedFile + " --measured " + none + " --write " + empty, empty + ": no markers; write a line",
 			1},
 		{"--assume " + assumedFile + " --measured " + none + " --write " + none, "none.json: no such file", 1},
 		{"--output xml", `--output: "xml": write text, json or markdown`, 2},
--- a/cmd/petrelhookctl/output.go
+++ b/cmd/petrelhookctl/output.go
@@ -27,6 +27,13 @@
 	return fmt.Errorf("--output: %q: write %s or %s", value, strings.Join(forms[:last], ", "), forms[last])
 }
 
+// printWarnings prints what is valid in a file and should be written otherwise, a line each.
+func printWarnings(cmd *cobra.Command, warnings []string) {
+	for _, warning := range warnings {
+		fmt.Fprintln(cmd.ErrOrStderr(), "petrelhookctl: warning:", warning)
+	}
+}
+
 // writeJSON writes a value as indented JSON.
 func writeJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
--- a/cmd/petrelhookctl/rollout_run.go
+++ b/cmd/petrelhookctl/rollout_run.go
@@ -32,9 +32,7 @@
 			if err != nil {
 				return runError{err}
 			}
-			for _, warning := range f.Warnings {
-				fmt.Fprintln(cmd.ErrOrStderr(), "petrelhookctl: warning:", warning)
-			}
+			printWarnings(cmd, f.Warnings)
 			b, err := driver.Begin(cmd.Context(), o, &http.Client{Timeout: 2 * checkTimeout}, f, stepsDone)
 			if err != nil {
 				return runError{err}
--- a/internal/coordination/capacity/assume_test.go
+++ b/internal/coordination/capacity/assume_test.go
@@ -4,6 +4,7 @@
 	"math"
 	"os"
 	"path/filepath"
+	"reflect"
 	"regexp"
 	"strconv"
 	"strings"
@@ -54,13 +55,13 @@
 		{"  servers: 12000 ", "  servers: [12000] ", "f:" + line("servers: 12000") +
 			`:12: target.servers: ""; write a number`},
 		{"  servers: 12000 ", "  severs: 12000 ", "f:" + line("servers: 12000") +
-			":3: target.severs: unknown field; known are added, calls"},
+			":3: target.severs: unknown field; known are added_latency, calls"},
 		{"  services: 1100 ", "  servers: 1100 ", "f:" + line("services: 1100") + ":3: target.servers: comes twice"},
 		{"  in_force: 14s ", "  in_force: 14 ", "f:" + line("in_force: 14s") +
 			`:13: target.in_force: "14"; write a time from 100ms to 24h0m0s, such as 30s`},
-		{"  depth: 15               # asked; a call calls others, up to so deep\n", "  depth: 15\n",
+		{"  depth: 15               # target: calls in a row, at most\n", "  depth: 15\n",
 			"f:" + line("depth: 15") + ":10: target.depth: 15 without a reason; write a comment behind it"},
-		{"  depth: 15               # asked; a call calls others, up to so deep\n", "",
+		{"  depth: 15               # target: calls in a row, at most\n", "",
 			"f:" + line("  servers: 12000") +
 				":3: target.depth: missing; write a number from 1 to 100, as depth: ... # why"},
 		{"  control_bytes: 9000 ", "  control_bytes: 0 ", "f:" + line("control_bytes: 9000") +
@@ -74,7 +75,7 @@
 			":13: target.services: 13000, more than the 12000 servers"},
 		{"  regions: 7 ", "  regions: 28 ", "f:" + line("regions: 7") + ":12: target.regions: more than zones"},
 		{"  zone_share: 0.08 ", "  zone_share: 0.3 ", "f:" + line("zone_share: 0.08") +
-			":15: places.zone_share: more than the region's"},
+			":15: topology.zone_share: more than the region's"},
 		{"  replicas: 3 ", "  replicas: 9 ", "f:" + line("replicas: 3") +
 			":13: machines.replicas: as many as there are machines set aside"},
 		{good, "", "f:1:1: write sections such as target"},
@@ -94,14 +95,14 @@
 	a := theAssumptions(t)
 	for name, want := range map[string]float64{
 		"limits.max_message": fleet.MaxMessage, "limits.max_content": distribute.MaxContent,
-		"limits.max_total":    distribute.MaxTotalContent,
-		"limits.max_services": distribute.MaxServices,
-		"limits.max_reports":  distribute.MaxReports,
-		"limits.max_ask":      constant(t, "../fleet/rpc.go", "maxRequest"),
-		"limits.max_waiting":  constant(t, "../replica/request.go", "maxWaiting"),
-		"limits.max_list":     constant(t, "../../sidecar/member/discovery/discovery.go", "maxMessage"),
-		"limits.repeat_share": constant(t, "../../../balance/parameters.go", "retryRatio"),
-		"periods.look_rest":   constant(t, "../driver/driver.go", "idlePollDivisor"),
+		"limits.max_total":          distribute.MaxTotalContent,
+		"limits.max_services":       distribute.MaxServices,
+		"limits.max_reports":        distribute.MaxReports,
+		"limits.max_request":        constant(t, "../fleet/rpc.go", "maxRequest"),
+		"limits.max_waiting":        constant(t, "../replica/request.go", "maxWaiting"),
+		"limits.max_list":           constant(t, "../../sidecar/member/discovery/discovery.go", "maxMessage"),
+		"limits.retry_ratio":        constant(t, "../../../balance/parameters.go", "retryRatio"),
+		"periods.idle_poll_divisor": constant(t, "../driver/driver.go", "idlePollDivisor"),
 	} {
 		if got := a.Get(name); got != want {
 			t.Errorf("%s: %v in the file, %v in the code", name, got, want)
@@ -109,11 +110,11 @@
 	}
 	o := distribute.DefaultSubscriberOptions("s", "m", 3, func(n int64) int64 { return n / 2 })
 	// each is drawn from 3/4 of it up to all of it
-	if got, want := a.Get("periods.watch_hold"), o.MaxWait.Seconds()*7/8; got != want {
-		t.Errorf("periods.watch_hold: %v in the file, %v in the code", got, want)
+	if got, want := a.Get("periods.watch_timeout"), o.MaxWait.Seconds()*7/8; got != want {
+		t.Errorf("periods.watch_timeout: %v in the file, %v in the code", got, want)
 	}
-	if got, want := a.Get("periods.back_within"), o.ReconnectWindow.Seconds(); got != want {
-		t.Errorf("periods.back_within: %v in the file, %v in the code", got, want)
+	if got, want := a.Get("periods.reconnect_window"), o.ReconnectWindow.Seconds(); got != want {
+		t.Errorf("periods.reconnect_window: %v in the file, %v in the code", got, want)
 	}
 }
 
@@ -157,3 +158,41 @@
 		t.Errorf("three servers see three, one sees one: %v", got)
 	}
 }
+
+// A field or section under the name that earlier versions had for it is read as under its current name, with one warning that says the
+// current one. A file with both names is an error.
+func TestDeprecatedAssumptions(t *testing.T) {
+	path, good := theFile(t)
+	want := theAssumptions(t)
+	if len(want.Warnings) != 0 {
+		t.Fatal(want.Warnings)
+	}
+	check := func(text, warning string) {
+		t.Helper()
+		got, err := Parse(path, []byte(text))
+		if err != nil || text == good {
+			t.Errorf("%s: %v", warning, err)
+			return
+		}
+		if len(got.Warnings) != 1 || !strings.HasSuffix(got.Warnings[0], warning) {
+			t.Errorf("warnings %q, want one that ends with %q", got.Warnings, warning)
+		}
+		if !reflect.DeepEqual(got.All(), want.All()) {
+			t.Errorf("%s: %v, want %v", warning, got.All(), want.All())
+		}
+	}
+	for section, fields := range renamedFields {
+		for deprecated, current := range fields {
+			re := regexp.MustCompile(`(?ms)(^` + section + `:.*?^  )` + current + `:`)
+			check(re.ReplaceAllString(good, "${1}"+deprecated+":"), ": "+section+"."+deprecated+": this is called "+current+" now; write that")
+		}
+	}
+	for deprecated, current := range renamedSections {
+		check(strings.Replace(good, "\n"+current+":", "\n"+deprecated+":", 1), ": "+deprecated+": this is called "+current+" now; write that")
+	}
+	both := strings.Replace(good, "  max_request: ", "  max_ask: 1 # a test\n  max_request: ", 1)
+	const problem = ": limits.max_ask: the file has max_request as well; write max_request alone"
+	if _, err := Parse(path, []byte(both)); err == nil || !strings.HasSuffix(err.Error(), problem) {
+		t.Errorf("%v, want %q", err, problem)
+	}
+}
--- a/internal/coordination/capacity/figure.go
+++ b/internal/coordination/capacity/figure.go
@@ -126,7 +126,7 @@
 // missingReason says which measurement is missing.
 func (in *inputs) missingReason(k Key, size float64) string {
 	if l, ok := in.lines[k]; ok {
-		return fmt.Sprintf("%s (its slope is not believed: %s)", k, l.Reason)
+		return fmt.Sprintf("%s (its slope is not trusted: %s)", k, l.Reason)
 	}
 	if len(in.points[k]) > 0 && size > 0 {
 		return fmt.Sprintf("%s at %s", k, number(size))
--- a/internal/coordination/capacity/model.go
+++ b/internal/coordination/capacity/model.go
@@ -58,21 +58,21 @@
 func newModel(in *inputs) *model {
 	m := &model{inputs: in}
 	m.servers = in.assumption("target.servers")
-	m.machines = m.derive("machines with an agent", "", div(m.servers, in.assumption("places.sidecars_a_machine")))
-	m.sessions = m.derive("sessions", "", mul(m.machines, in.assumption("places.sessions_a_machine")))
-	m.meanServiceSize = m.derive("servers of a mean service", "", div(m.servers, in.assumption("target.services")))
-	m.weightedServiceSize = m.derive("servers of a service, as a server sees its own", "", in.weightedMeanSize())
+	m.machines = m.derive("machines with an agent", unitNone, div(m.servers, in.assumption("topology.sidecars_a_machine")))
+	m.sessions = m.derive("sessions", unitNone, mul(m.machines, in.assumption("topology.sessions_a_machine")))
+	m.meanServiceSize = m.derive("servers of a mean service", unitNone, div(m.servers, in.assumption("target.services")))
+	m.weightedServiceSize = m.derive("servers of a service, as a server sees its own", unitNone, in.weightedMeanSize())
 	// A service is called by others in proportion to its size, so that each of a sidecar's lists has the size that a server sees of its
 	// own service. Each pair of a sidecar and a server that it knows counts at both ends: on the average as many sidecars know a server
 	// as a sidecar knows servers.
-	m.knownServers = m.derive("servers known to a sidecar, and sidecars that know a server", "",
+	m.knownServers = m.derive("servers known to a sidecar, and sidecars that know a server", unitNone,
 		smaller(mul(in.assumption("shape.fan_out"), m.weightedServiceSize), m.servers))
 	m.watchers = m.knownServers
-	m.listChangeRate = m.derive("changes of lists", "1/s",
+	m.listChangeRate = m.derive("changes of lists", unitPerSecond,
 		add(mul(in.assumption("target.failed_a_day"), in.assumption("lists.changes_a_failure")),
 			mul(in.assumption("target.restarted_a_day"), in.assumption("lists.changes_a_restart"))).times(1./secondsPerDay))
-	m.changeRate = m.derive("changes of configuration", "1/s", in.assumption("target.changes_a_day").times(1./secondsPerDay))
-	m.listMachines = m.derive("machines that tell lists", "", add(in.assumption("target.control_machines"),
+	m.changeRate = m.derive("changes of configuration", unitPerSecond, in.assumption("target.changes_a_day").times(1./secondsPerDay))
+	m.listMachines = m.derive("machines that serve lists", unitNone, add(in.assumption("target.control_machines"),
 		in.assumption("machines.replicas").times(-1)))
 	return m
 }
--- a/internal/coordination/capacity/model_test.go
+++ b/internal/coordination/capacity/model_test.go
@@ -33,21 +33,21 @@
 func small(t *testing.T) *Assumptions {
 	return with(t, map[string]string{"target.servers": "100", "target.services": "10", "target.calls": "5000",
 		"target.changes_a_day": "86400",
-		"shape.largest":        "10", "shape.fan_out": "2", "places.rack": "6", "places.zone_share": "0.1",
-		"places.region_share": "0.5",
-		"lists.entry_bytes":   "100", "lists.line_bytes": "50", "lists.empty_line_every": "2s",
+		"shape.largest":        "10", "shape.fan_out": "2", "topology.rack": "6", "topology.zone_share": "0.1",
+		"topology.region_share": "0.5",
+		"lists.entry_bytes":     "100", "lists.line_bytes": "50", "lists.empty_line_every": "2s",
 		"lists.changes_a_failure": "1",
 		"lists.changes_a_restart": "2", "target.failed_a_day": "864", "target.restarted_a_day": "432",
-		"changes.busiest_minute": "10", "changes.bytes": "1000", "changes.head_bytes": "200",
+		"changes.busiest_minute": "10", "changes.bytes": "1000", "changes.overhead_bytes": "200",
 		"machines.cores": "10", "machines.used_share": "0.5", "machines.replicas": "3", "target.control_machines": "5",
-		"periods.lease_ttl": "10s", "periods.renewals_a_ttl": "4", "periods.back_within": "2s",
-		"periods.heard_within":            "6s",
+		"periods.lease_ttl": "10s", "periods.renewals_a_ttl": "4", "periods.reconnect_window": "2s",
+		"periods.list_update_deadline":    "6s",
 		"earlier.renewals_a_second_12000": "100", "earlier.grants_a_second": "50",
 		"earlier.start_bytes_12000": "1200000",
 		"earlier.staged_20":         "8s", "earlier.staged_200": "6s", "earlier.staged_2000": "96s",
-		"earlier.read":       "10ms",
-		"earlier.looks_2000": "2s",
-		"periods.look_rest":  "3", "periods.look_every": "1s", "limits.max_ask": "8000", "periods.ask_pause": "100ms"})
+		"earlier.read":              "10ms",
+		"earlier.poll_2000":         "2s",
+		"periods.idle_poll_divisor": "3", "periods.poll_interval": "1s", "limits.max_request": "8000", "periods.retry_backoff": "100ms"})
 }
 
 func row(t *testing.T, rows []Row, time, role, what string) Row {
@@ -108,34 +108,34 @@
 		need             float64
 		verdict          string
 	}{
-		{Ordinary, SidecarCalls, "calls in the mean", 50, "no budget is stated"},
+		{Ordinary, SidecarCalls, "mean rate of calls", 50, "no budget is stated"},
 		// the worse class at 60
-		{Ordinary, SidecarCalls, "added to a call for 99 in 100, in the mean", 0.0002, "fits by 2.5 times"},
+		{Ordinary, SidecarCalls, "latency added to a call, p99, at the mean rate", 0.0002, "fits by 2.5 times"},
 		// ... at 500
-		{Busiest, SidecarCalls, "added to a call for 99 in 100, at the busiest", 0.0006, "does not: 1.2 times over"},
+		{Busiest, SidecarCalls, "latency added to a call, p99, at the busiest sidecar", 0.0006, "does not: 1.2 times over"},
 		// 55.6 calls, of which 60 were seen deeper
-		{ZoneLost, SidecarCalls, "added to a call for 99 in 100, at those that are left", 0.0025, "does not: 5 times over"},
-		{Ordinary, SidecarCalls, "added over the deepest chain for 99 in 100, in the mean", 0.0025, "fits by 3 times"},
-		{Ordinary, SidecarCalls, "processor time for calls, in the mean", 50 * 400e-6, "no budget is stated"},
-		{Busiest, SidecarCalls, "attempts at the leaf of the deepest chain, a call, where some of them fail", 3,
+		{ZoneLost, SidecarCalls, "latency added to a call, p99, at the sidecars that are left", 0.0025, "does not: 5 times over"},
+		{Ordinary, SidecarCalls, "latency added over the deepest chain, p99, at the mean rate", 0.0025, "fits by 3 times"},
+		{Ordinary, SidecarCalls, "processor time for calls, at the mean rate", 50 * 400e-6, "no budget is stated"},
+		{Busiest, SidecarCalls, "attempts at the leaf of the deepest chain per call, if some fail", 3,
 			"does not: 1.5 times over"},
 		{Busiest, SidecarCalls,
-			"attempts at the leaf of the deepest chain, a call, where all fail, as each sidecar's retries allow",
+			"attempts at the leaf of the deepest chain per call, if all fail, as each sidecar's retry budget allows",
 			math.Pow(1.2, 15), "does not: 7.8 times over"},
 		// 1,728 changes a day
 		{Ordinary, SidecarControl, "bytes of lists alone", 2*25 + 0.02*0.2*150, "fits by 170 times"},
 		// 20 servers
 		{Ordinary, SidecarControl, "lists in memory, as text", 2000, "fits by 120,000 times"},
-		{Ordinary, Leader, "renewals, by a trial with as many sessions", 40, "fits by 2.5 times"},
+		{Ordinary, Leader, "renewals, against a trial with as many sessions", 40, "fits by 2.5 times"},
 		// of half of 10
 		{Ordinary, Leader, "processor time of renewals and watches", 5.001, "does not: 1.01 times over"},
 		{Ordinary, Leader, "snapshot: sessions, versions, changes of all", 100*56 + 10*1000 + 10000,
 			"fits by 2,600 times"},
 		{Ordinary, Driver, "a poll of all applications, each changed once", 0.1 + 100*0.001/3, "fits by 7.5 times"},
 		// as with 20
-		{ByRollout, Driver, "staged, judged by the clock, in a mean service", 8, "fits by 1.75 times"},
+		{ByRollout, Driver, "staged, by time alone, in a mean service", 8, "fits by 1.75 times"},
 		// between 20 and 200
-		{ByRollout, Driver, "staged, judged by the clock, of all sidecars, could it begin", 8 - 2*80./180,
+		{ByRollout, Driver, "staged, by time alone, of all sidecars, if it could begin", 8 - 2*80./180,
 			"fits by 1.96 times"},
 		{ByRollout, Leader, "message that begins a change of all", 10000, "does not: 1.25 times over"},
 		// the worst run
@@ -145,10 +145,10 @@
 		{Ordinary, SidecarControl, "memory of a real agent and sidecar, as versions come into force", 128e6, "fits by 2 times"},
 		{ByRollout, Driver, "all at once, without a judge, in the largest service", 4, "fits by 3.5 times"}, // as 20 had it
 		{Busiest, Leader, "changes of configuration", 10, "fits by 5 times"},
-		{RackLost, SidecarControl, "bytes of lists, as they go, of a minute's budget", 6 * 0.2 * 150, "fits by 3,000 times"},
-		{RackLost, ListServer, "lines of lists out of a machine, each change a line", 6 * 20 / 6. / 2, "no budget is stated"},
+		{RackLost, SidecarControl, "bytes of list updates, of a minute's budget", 6 * 0.2 * 150, "fits by 3,000 times"},
+		{RackLost, ListServer, "list updates sent by a machine", 6 * 20 / 6. / 2, "no budget is stated"},
 		{RegionIsolated, Leader, "sessions opened as they return", 25, "fits by 2 times"},
-		{CoordinatorsLost, Leader, "renewals, and watches that return within their spread", 40 + 50/3.,
+		{CoordinatorsLost, Leader, "renewals, and watches that reconnect within their window", 40 + 50/3.,
 			"fits by 1.76 times"},
 		{CoordinatorsLost, Leader, "sessions opened again, one after the other", 2, "fits by 5 times"},
 		{CoordinatorsLost, Follower, "requests of sessions without a leader, beside what three replicas answered",
@@ -207,7 +207,7 @@
 	})
 	r = row(t, Evaluate(small(t), m), Ordinary, Leader, "processor time of renewals and watches")
 	if r.Class != NotMeasured || len(r.Missing()) != 1 || !strings.HasPrefix(r.Missing()[0],
-		"watches/leader/cpu_us_s (its slope is not believed: no run above") {
+		"watches/leader/cpu_us_s (its slope is not trusted: no run above") {
 		t.Errorf("%+v", r)
 	}
 }
@@ -316,7 +316,7 @@
 func TestWeights(t *testing.T) {
 	var moved []string
 	for _, w := range Sensitivities(small(t), measuredSmall()) {
-		if w.Name == "earlier.start_bytes_12000" || w.Name == "changes.head_bytes" || w.Name == "earlier.staged_2000" {
+		if w.Name == "earlier.start_bytes_12000" || w.Name == "changes.overhead_bytes" || w.Name == "earlier.staged_2000" {
 			for _, m := range w.Changes {
 				moved = append(moved, w.Name+" "+m.Variation+": "+m.Row+": "+m.Before+" -> "+m.After)
 			}
@@ -333,17 +333,17 @@
 		"earlier.start_bytes_12000 half: " + ByRollout + ": " + Leader +
 			": message that begins a change of all: does not: 1.25 times over -> fits by 1.6 times",
 		"earlier.start_bytes_12000 half: " + AllRestarted + ": " + Leader +
-			": one change of all: the message that begins it: does not: 1.25 times over -> fits by 1.6 times",
+			": message that begins one change of all: does not: 1.25 times over -> fits by 1.6 times",
 	}
 	if !slices.Equal(moved, want) {
 		t.Errorf("%s", strings.Join(moved, "\n"))
 	}
-	if _, times := small(t).Scaled("places.zone_share", 20); times != 5 { // the region's share
+	if _, times := small(t).Scaled("topology.zone_share", 20); times != 5 { // the region's share
 		t.Error(times)
 	}
 }
 
-// A page keeps its prose and gets each table between its marks.
+// A page keeps its prose and gets each table between its markers.
 func TestPage(t *testing.T) {
 	r := NewReport(small(t), measuredSmall())
 	const page = "# Title\n\nprose\n\n<!-- tables: begin ranking -->\nof-before\n<!-- tables: end -->\n\n" +
@@ -352,7 +352,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.HasPrefix(got, "# Title\n\nprose\n\n<!-- tables: begin ranking -->\n| time | role |") ||
+	if !strings.HasPrefix(got, "# Title\n\nprose\n\n<!-- tables: begin ranking -->\n| situation | role |") ||
 		strings.Contains(got, "of-before") ||
 		!strings.HasSuffix(got, "<!-- tables: end -->\nlast\n") || strings.Contains(got, "### What does not fit") ||
 		!strings.Contains(got, "### Slopes") {
@@ -362,13 +362,13 @@
 		t.Error("a page that is written twice is another", err)
 	}
 	for _, c := range []struct{ page, want string }{
-		{"no marks\n", "f: no marks; write a line"},
-		{"a\n<!-- tables: begin other -->\n<!-- tables: end -->\n", "f:2: other: no such table; write one of asked, "},
-		{"<!-- tables: begin asked -->\n", "f:1: no end; write a line <!-- tables: end -->"},
-		{"<!-- tables: begin asked -->\n<!-- tables: begin slopes -->\n<!-- tables: end -->\n",
-			"f:2: a begin before the end"},
-		{"<!-- tables: begin asked -->\n<!-- tables: end -->\n<!-- tables: begin asked -->\n<!-- tables: end -->\n",
-			"f:3: asked: comes twice"},
+		{"no markers\n", "f: no markers; write a line"},
+		{"a\n<!-- tables: begin other -->\n<!-- tables: end -->\n", "f:2: other: no such table; write one of targets, "},
+		{"<!-- tables: begin targets -->\n", "f:1: no end; write a line <!-- tables: end -->"},
+		{"<!-- tables: begin targets -->\n<!-- tables: begin slopes -->\n<!-- tables: end -->\n",
+			"f:2: begins before the end of the section above"},
+		{"<!-- tables: begin targets -->\n<!-- tables: end -->\n<!-- tables: begin targets -->\n<!-- tables: end -->\n",
+			"f:3: targets: comes twice"},
 	} {
 		if _, err := r.Page("f", c.page); err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%q: %v; want %s", c.page, err, c.want)
--- a/internal/coordination/capacity/page.go
+++ b/internal/coordination/capacity/page.go
@@ -66,16 +66,17 @@
 	return b.String()
 }
 
-// The marks of tables in a page. The program writes what stands between them, and leaves the rest as it is.
+// The markers of tables in a page. The program writes what stands between them, and leaves the rest as it is.
 const (
-	beginMark = "<!-- tables: begin"
-	endMark   = "<!-- tables: end -->"
+	beginMarker = "<!-- tables: begin"
+	endMarker   = "<!-- tables: end -->"
 )
 
-var tableMark = regexp.MustCompile(`(?m)^<!-- tables: begin((?: [a-z0-9-]+)*) -->\n`)
+// beginMarkerLine is a line that begins a section; its group is the names of the section's tables.
+var beginMarkerLine = regexp.MustCompile(`(?m)^<!-- tables: begin((?: [a-z0-9-]+)*) -->\n`)
 
-// Page puts the tables into a page between their marks: a line `<!-- tables: begin NAME ... -->`, where no name stands for all tables that
-// no other mark names, and `<!-- tables: end -->`. Every error names the file and line.
+// Page puts the tables into a page between their markers: a line `<!-- tables: begin NAME ... -->`, where no name stands for all tables that
+// no other marker names, and `<!-- tables: end -->`. Every error names the file and line.
 func (r *Report) Page(file, page string) (string, error) {
 	tables := r.Tables()
 	sections, err := findSections(file, page)
@@ -97,31 +98,31 @@
 	return b.String(), nil
 }
 
-// section is what stands between a pair of marks.
+// section is what stands between a pair of markers.
 type section struct {
-	line       int      // of the mark that begins it
+	line       int      // of the marker that begins it
 	names      []string // of its tables; none: all that no section names
-	begin, end int      // offsets of the text between the marks
+	begin, end int      // offsets of the text between the markers
 }
 
-// findSections finds the marks of a page.
+// findSections finds the markers of a page.
 func findSections(file, page string) (sections []section, err error) {
 	end := 0 // of the section before
-	for _, m := range tableMark.FindAllStringSubmatchIndex(page, -1) {
+	for _, m := range beginMarkerLine.FindAllStringSubmatchIndex(page, -1) {
 		s := section{line: 1 + strings.Count(page[:m[0]], "\n"), names: strings.Fields(page[m[2]:m[3]]), begin: m[1]}
 		if m[0] < end {
-			return nil, fmt.Errorf("%s:%d: a begin before the end of the one above", file, s.line)
+			return nil, fmt.Errorf("%s:%d: begins before the end of the section above", file, s.line)
 		}
-		length := strings.Index(page[s.begin:], endMark)
+		length := strings.Index(page[s.begin:], endMarker)
 		if length < 0 {
-			return nil, fmt.Errorf("%s:%d: no end; write a line %s", file, s.line, endMark)
+			return nil, fmt.Errorf("%s:%d: no end; write a line %s", file, s.line, endMarker)
 		}
 		s.end = s.begin + length
 		end = s.end
 		sections = append(sections, s)
 	}
 	if len(sections) == 0 {
-		return nil, fmt.Errorf("%s: no marks; write a line %s --> and a line %s", file, beginMark, endMark)
+		return nil, fmt.Errorf("%s: no markers; write a line %s --> and a line %s", file, beginMarker, endMarker)
 	}
 	return sections, nil
 }
--- a/internal/coordination/capacity/report.go
+++ b/internal/coordination/capacity/report.go
@@ -42,7 +42,7 @@
 	return r
 }
 
-// Table is a table of a report. Name is how the marks of a page name it.
+// Table is a table of a report. Name is how the markers of a page name it.
 type Table struct {
 	Name  string
 	Title string
@@ -59,7 +59,7 @@
 }
 
 func (r *Report) targetTable() Table {
-	t := Table{Name: "asked", Title: "Targets", Head: []string{"what", "how much", "of it"}}
+	t := Table{Name: "targets", Title: "Targets", Head: []string{"target", "value", "note"}}
 	for _, a := range r.Assumptions {
 		if rest, ok := strings.CutPrefix(a.Name, "target."); ok {
 			t.Rows = append(t.Rows, []string{strings.ReplaceAll(rest, "_", " "), quantity(a.Value, a.Unit), a.Reason})
@@ -84,7 +84,7 @@
 
 func (r *Report) derivedTable() Table {
 	t := Table{Name: "derived", Title: "Derived figures, named by other rows",
-		Head: []string{"what", "how much", "from"}}
+		Head: []string{"figure", "value", "sources"}}
 	for _, d := range r.Derived {
 		t.Rows = append(t.Rows, []string{d.Name, quantity(d.Value, d.Unit), strings.Join(d.From, ", ")})
 	}
@@ -95,15 +95,15 @@
 	t := Table{Name: "slopes", Title: "Slopes", Empty: "Not measured.",
 		Head: []string{"slope", "intercept", "per 1,000", "fitted on", "spread", "check: predicted", "measured", "trusted"}}
 	for _, l := range r.Lines {
-		said, saw, believed := "", "", "no: "+l.Reason
+		predicted, measured, trusted := "", "", "no: "+l.Reason
 		if l.Check != nil {
-			said, saw = number(l.Check.Predicted), number(l.Check.MeasuredMean)+" at "+number(float64(l.Check.Size))
+			predicted, measured = number(l.Check.Predicted), number(l.Check.MeasuredMean)+" at "+number(float64(l.Check.Size))
 		}
 		if l.Trusted {
-			believed = "yes: " + l.Reason
+			trusted = "yes: " + l.Reason
 		}
 		t.Rows = append(t.Rows, []string{l.String(), number(l.Intercept), number(1000 * l.Slope), sizes(l.Sizes),
-			fmt.Sprintf("%.0f%%", 100*l.Spread), said, saw, believed})
+			fmt.Sprintf("%.0f%%", 100*l.Spread), predicted, measured, trusted})
 	}
 	return t
 }
@@ -119,7 +119,7 @@
 func (r *Report) timeTables() (all []Table) {
 	for i, time := range Times() {
 		t := Table{Name: fmt.Sprintf("time-%d", i+1), Title: strings.ToUpper(time[:1]) + time[1:],
-			Head: []string{"role", "what", "need", "budget", "verdict", "carried by", "from"}}
+			Head: []string{"role", "quantity", "need", "budget", "verdict", "mechanism", "sources"}}
 		for _, row := range r.Rows {
 			if row.Time == time {
 				t.Rows = append(t.Rows, []string{row.Role, row.Quantity, row.need(), row.budget(), row.Verdict,
@@ -157,34 +157,36 @@
 	return strings.Join(from, ", ")
 }
 
+// breaksDescription says what a row breaks, for people.
+var breaksDescription = map[string]string{BreaksRule: "a rule", BreaksTime: "a time or cost"}
+
 func (r *Report) rankingTable() Table {
-	t := Table{Name: "ranking", Title: "What does not fit", Head: []string{"time", "role", "what", "over", "breaks",
-		"needed by", "carried by"},
+	t := Table{Name: "ranking", Title: "What does not fit", Head: []string{"situation", "role", "quantity", "over", "breaks",
+		"needed by", "mechanism"},
 		Empty: "Nothing that could be judged is over."}
 	for _, row := range r.Ranking {
-		needs := append([]string{}, row.NeededBy...)
 		t.Rows = append(t.Rows, []string{row.Time, row.Role, row.Quantity, strings.TrimPrefix(row.Verdict, "does not: "),
-			"a " + row.Breaks,
-			strings.Join(needs, "; "), row.Mechanism})
+			breaksDescription[row.Breaks],
+			strings.Join(row.NeededBy, "; "), row.Mechanism})
 	}
 	return t
 }
 
 func (r *Report) assumptionTable() Table {
 	t := Table{Name: "assumptions", Title: "Assumptions, and their weight",
-		Head: []string{"field", "value", "why", "verdicts that change at twice or half of it"}}
+		Head: []string{"field", "value", "reason", "verdicts that change at twice or half of it"}}
 	for _, w := range r.Weights {
-		var moves []string
-		for _, m := range w.Changes {
-			moves = append(moves, fmt.Sprintf("%s: %s (%s -> %s)", m.Variation, m.Row, m.Before, m.After))
+		var changes []string
+		for _, c := range w.Changes {
+			changes = append(changes, fmt.Sprintf("%s: %s (%s -> %s)", c.Variation, c.Row, c.Before, c.After))
 		}
-		t.Rows = append(t.Rows, []string{w.Name, quantity(w.Value, w.Unit), w.Reason, strings.Join(moves, "; ")})
+		t.Rows = append(t.Rows, []string{w.Name, quantity(w.Value, w.Unit), w.Reason, strings.Join(changes, "; ")})
 	}
 	return t
 }
 
 func (r *Report) missingTable() Table {
-	t := Table{Name: "missing", Title: "What was not measured", Head: []string{"time", "role", "what", "missing"},
+	t := Table{Name: "missing", Title: "What was not measured", Head: []string{"situation", "role", "quantity", "missing"},
 		Empty: "Nothing is missing."}
 	for _, row := range r.Rows {
 		if len(row.Missing()) > 0 {
@@ -195,7 +197,7 @@
 }
 
 func (r *Report) runTable() Table {
-	t := Table{Name: "findings", Title: "The run", Head: []string{"what", "of the run"},
+	t := Table{Name: "findings", Title: "The run", Head: []string{"property", "value"},
 		Empty: "Not measured: there is no file of points."}
 	if o := r.Measured; o != nil {
 		t.Rows = [][]string{{"at", o.At.UTC().Format(time.RFC3339)}, {"commit", o.Commit}, {"machine", o.Machine},
@@ -240,7 +242,7 @@
 
 // quantity writes a number with its unit.
 func quantity(v float64, unit string) string {
-	if unit == "s" {
+	if unit == unitSeconds {
 		switch {
 		case v == 0:
 			return "0 s"
@@ -251,7 +253,7 @@
 		}
 		return number(v) + " s"
 	}
-	if unit == "" {
+	if unit == unitNone {
 		return number(v)
 	}
 	return number(v) + " " + unit
