--- a/internal/coordination/driver/begin.go
+++ b/internal/coordination/driver/begin.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"crypto/rand"
-	"errors"
 	"fmt"
 	"net/http"
 	"strings"
@@ -43,8 +42,8 @@
 	result.Change = strings.ToLower(rand.Text()[:12])
 	response, err := operator.Call(ctx, fleet.Request{Rollout: &rollout.Command{Application: file.Plan.Application, Change: result.Change,
 		AtMillis: time.Now().UnixMilli(), Start: start}})
-	if err == nil && response.Rollout.Error != "" {
-		err = errors.New(response.Rollout.Error)
+	if err == nil {
+		err = response.Rollout.Err
 	}
 	return result, err
 }
--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -200,7 +200,7 @@
 		switch {
 		case err != nil:
 			return err
-		case response.Rollout.Error == rollout.ErrStaleDriver.Error():
+		case errors.Is(response.Rollout.Err, rollout.ErrStaleDriver):
 			return rollout.ErrStaleDriver
 		case response.Rollout.Error != "":
 			return nil
--- a/internal/coordination/fleet/caller.go
+++ b/internal/coordination/fleet/caller.go
@@ -40,12 +40,12 @@
 		}
 		out, err := c.attempt(ctx, addr, in)
 		if err == nil && out.Err == "" {
-			return out, nil
+			return &out.Response, nil
 		}
 		pause, leader := c.RetryInterval, ""
 		if err == nil {
-			err = errors.New(out.Err)
-			if sentOnce(in) && (out.OutcomeUnknown || out.Err == replica.ErrMembershipChangePending.Error()) {
+			err = newResponseError(out.ErrorCode, out.Err)
+			if sentOnce(in) && (out.OutcomeUnknown || errors.Is(err, replica.ErrMembershipChangePending)) {
 				return nil, fmt.Errorf("%s: %w", addr, err)
 			}
 			if leader = out.Leader; attempt%len(c.Addrs) == 0 {
@@ -90,17 +90,22 @@
 	}
 }
 
-func (c *Caller) attempt(ctx context.Context, addr string, in *Request) (*Response, error) {
+// attempt makes one call at one coordinator.
+func (c *Caller) attempt(ctx context.Context, addr string, in *Request) (*codedResponse, error) {
 	if c.Timeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, c.Timeout)
 		defer cancel()
 	}
-	res, err := Client[Request, Response](c.HTTPClient, addr, PathRequest).CallUnary(ctx, connect.NewRequest(in))
+	res, err := Client[Request, codedResponse](c.HTTPClient, addr, PathRequest).CallUnary(ctx, connect.NewRequest(in))
 	if err != nil {
 		return nil, err
 	}
-	return res.Msg, nil
+	out := res.Msg
+	if out.Rollout.Error != "" {
+		out.Rollout.Err = newResponseError(out.ErrorCode, out.Rollout.Error)
+	}
+	return out, nil
 }
 
 // sentOnce reports whether a request must not be sent again where the outcome is not known.
--- a/internal/coordination/fleet/handlers.go
+++ b/internal/coordination/fleet/handlers.go
@@ -17,7 +17,7 @@
 )
 
 // handleRequest answers a request of a client.
-func (s *Server) handleRequest(ctx context.Context, in *Request) (*Response, error) {
+func (s *Server) handleRequest(ctx context.Context, in *Request) (*codedResponse, error) {
 	if err := CheckVersion(in.Version); err != nil {
 		return nil, err
 	}
@@ -25,8 +25,10 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	response := make(chan *Response, 1)
-	r.Done = func(out replica.Response) { response <- s.toClient(in, out) }
+	response := make(chan *codedResponse, 1)
+	r.Done = func(out replica.Response) {
+		response <- &codedResponse{*s.toClient(in, out), codeOf(errors.Join(out.Err, out.Rollout.Err))}
+	}
 	if !s.post(func() { s.distribute.prepare(&r, in); s.core.Submit(r) }) {
 		return nil, errShutdown
 	}
--- a/internal/coordination/replica/doc.go
+++ b/internal/coordination/replica/doc.go
@@ -18,7 +18,7 @@
 
 // Errors of a Response. With all of them but ErrLeaderChanged nothing was done.
 //
-// The texts are sent to clients, and an earlier client recognizes ErrMembershipChangePending by its text.
+// The texts are sent to clients; ErrMembershipChangePending has a code beside it (package fleet), and earlier clients recognize it by its text.
 var (
 	// ErrNotLeader says that another replica leads; Response.Leader says which, if it is known.
 	ErrNotLeader = errors.New("another replica leads")
--- a/internal/coordination/rollout/command.go
+++ b/internal/coordination/rollout/command.go
@@ -32,9 +32,11 @@
 type Response struct {
 	Error      string `json:"err,omitempty"`    // the text of one of the errors below, or of New; then nothing was changed
 	EventCount uint64 `json:"events,omitempty"` // how many events the change has had
+	// Err is the error whose text Error is, for errors.Is; nil: there is none. It is not sent: package fleet sets it again at the client.
+	Err error `json:"-"`
 }
 
-// The errors of commands. Drivers compare their texts, which travel in Response: they must not change.
+// The errors of commands that callers tell apart. Drivers of earlier versions recognize ErrStaleDriver by its text, which must not change.
 var (
 	ErrNoChange    = errors.New("there is no such change")
 	ErrStaleDriver = errors.New("a newer driver was heard")
--- a/internal/coordination/rollout/register.go
+++ b/internal/coordination/rollout/register.go
@@ -57,7 +57,7 @@
 func (r *Register) Apply(c Command) Response {
 	a, err := r.apply(c)
 	if err != nil {
-		a.Error = err.Error()
+		a.Error, a.Err = err.Error(), err
 	}
 	return a
 }
