--- a/internal/coordination/release/release_test.go
+++ b/internal/coordination/release/release_test.go
@@ -197,3 +197,53 @@
 		t.Errorf("%v", entries)
 	}
 }
+
+// What is no name of a release is refused, and nothing outside the store's folder is touched.
+func TestBadIDs(t *testing.T) {
+	dir := t.TempDir()
+	s, err := NewStore(filepath.Join(dir, "releases"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	beside := filepath.Join(dir, "beside", "file")
+	if err := errors.Join(os.Mkdir(filepath.Dir(beside), 0o700), os.WriteFile(beside, []byte("x"), 0o600)); err != nil {
+		t.Fatal(err)
+	}
+	for _, id := range []ID{"", ".", "..", "../beside", "x/../../beside", "x", "x/../../beside/file", "9a3f74c8a7754141858e9dc4c4c0ef17/../x",
+		ID(dir + "/beside")} {
+		want := fmt.Sprintf("%q is no name of a release: write 32 hexadecimal digits", string(id))
+		if _, err := s.Open(id); !errors.Is(err, ErrInvalidID) || err.Error() != want {
+			t.Errorf("Open: %v, want %s", err, want)
+		}
+		if err := s.Remove(id); !errors.Is(err, ErrInvalidID) || err.Error() != want {
+			t.Errorf("Remove: %v, want %s", err, want)
+		}
+	}
+	if text, err := os.ReadFile(beside); err != nil || string(text) != "x" {
+		t.Errorf("beside the store: %q, %v", text, err)
+	}
+}
+
+// A release that is damaged can be removed, and added again.
+func TestRemoveOfADamagedRelease(t *testing.T) {
+	s, err := NewStore(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := s.Add(strings.NewReader("program"), strings.NewReader("{}"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := errors.Join(os.Chmod(r.Settings, 0o600), os.WriteFile(r.Settings, []byte("{x}"), 0o600)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := s.Open(r.ID); !errors.Is(err, ErrDamaged) {
+		t.Errorf("%v", err)
+	}
+	if err := s.Remove(r.ID); err != nil {
+		t.Error(err)
+	}
+	if again, err := s.Add(strings.NewReader("program"), strings.NewReader("{}")); err != nil || again != r {
+		t.Errorf("%+v, %v", again, err)
+	}
+}
--- a/internal/coordination/release/store.go
+++ b/internal/coordination/release/store.go
@@ -51,10 +51,13 @@
 	return &Store{dir}, nil
 }
 
+// idBytes is how many bytes of a hash an ID has, each as two hexadecimal digits.
+const idBytes = 16
+
 // contentID returns the ID of a release from the hashes of its program and its settings.
 func contentID(program, settings []byte) ID {
 	sum := sha256.Sum256(append(append([]byte("petrelhook release 1\n"), program...), settings...))
-	return ID(hex.EncodeToString(sum[:16]))
+	return ID(hex.EncodeToString(sum[:idBytes]))
 }
 
 // Add copies a program and its settings into the store. They are written to a staging folder and synced, and the folder is renamed, so that
@@ -111,13 +114,28 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// ErrNotFound is the error of Open and Remove for a release that is not in the store.
-var ErrNotFound = errors.New("there is no such release here")
+// Errors of Open and Remove.
+var (
+	// ErrNotFound says that the release is not in the store.
+	ErrNotFound = errors.New("there is no such release here")
+	// ErrInvalidID says that an ID has not the form of one.
+	ErrInvalidID = errors.New("no name of a release")
+	// ErrDamaged says that the content of a release is not that of its ID. Such a release can be removed.
+	ErrDamaged = errors.New("damaged")
+)
+
+// check returns ErrInvalidID unless an ID has the form that contentID returns. Only then it names a folder in the store.
+func (id ID) check() error {
+	if text, err := hex.DecodeString(string(id)); err != nil || len(text) != idBytes {
+		return fmt.Errorf("%q is %w: write %d hexadecimal digits", string(id), ErrInvalidID, hex.EncodedLen(idBytes))
+	}
+	return nil
+}
 
 // Open returns a release after it has checked that the content is that of the ID. The error for another content names the folder.
 func (s *Store) Open(id ID) (Release, error) {
-	if text, err := hex.DecodeString(string(id)); err != nil || len(text) != 16 {
-		return Release{}, fmt.Errorf("%q is no name of a release: write 32 hexadecimal digits", string(id))
+	if err := id.check(); err != nil {
+		return Release{}, err
 	}
 	dir := filepath.Join(s.dir, string(id))
 	r := Release{id, filepath.Join(dir, programName), filepath.Join(dir, settingsName)}
@@ -138,15 +156,15 @@
 		sums[i] = h.Sum(nil)
 	}
 	if got := contentID(sums[0], sums[1]); got != id {
-		return Release{}, fmt.Errorf("%s: damaged: its content is that of %s; add it again", dir, got)
+		return Release{}, fmt.Errorf("%s: %w: its content is that of %s; add it again", dir, ErrDamaged, got)
 	}
 	return r, nil
 }
 
 // Remove removes a release. The folder is renamed first, so that no one opens a part of it.
 func (s *Store) Remove(id ID) error {
-	if _, err := s.Open(id); errors.Is(err, ErrNotFound) {
-		return err
+	if _, err := s.Open(id); errors.Is(err, ErrInvalidID) || errors.Is(err, ErrNotFound) {
+		return err // a damaged release is removed
 	}
 	away := filepath.Join(s.dir, stagingPrefix+string(id))
 	if err := os.Rename(filepath.Join(s.dir, string(id)), away); err != nil {
