--- a/internal/coordination/evidence/evidence.go
+++ b/internal/coordination/evidence/evidence.go
@@ -30,14 +30,15 @@
 	incomplete   map[cellKey]*windowCounts // counts of which one side has none yet
 	baseline     countsByCell              // of all sidecars, before anything was changed
 	untouched    countsByCell              // of the old sidecars that the change has not touched, since it began
-	usageSpans   [2]usageSpan              // since the last comparisons, of short and of long spans
+	shortSpan    usageSpan                 // usage since the last comparison over a short span
+	longSpan     usageSpan                 // the same over a long span
 
 	lastKind       judge.Kind    // of the last verdict with cells
 	sinceLastCells time.Duration // since that verdict
 }
 
 // Window takes the readings of a poll and the time since the last one, and returns what holds now, nil if there is no verdict yet. The error
-// is one of counts that are none.
+// is that of judge.Judge.Add.
 func (e *Evidence) Window(c *rollout.Change, readings map[string]Reading, elapsed time.Duration) (*rollout.Verdict, error) {
 	s := c.State
 	if s.Phase != rollout.Running {
@@ -60,10 +61,9 @@
 	}
 	newCounts, newUsage := w.sum(s.Plan.To, isNew)
 	controlCounts, controlUsage := w.sum(s.Plan.From, isControl)
-	for i := range e.usageSpans {
-		e.usageSpans[i].add([2]usage{newUsage, controlUsage}, elapsed)
-	}
-	untouched, _ := w.sum(s.Plan.From, func(one rollout.Sidecar) bool { return isUntouched(one) && one.ControlStage == 0 })
+	e.shortSpan.add(newUsage, controlUsage, elapsed)
+	e.longSpan.add(newUsage, controlUsage, elapsed)
+	untouched, _ := w.sum(s.Plan.From, func(sidecar rollout.Sidecar) bool { return isUntouched(sidecar) && sidecar.ControlStage == 0 })
 	e.untouched.addAll(untouched)
 	if err := e.judgeWindow(c, newCounts, controlCounts); err != nil || e.judge == nil {
 		return nil, err
@@ -81,26 +81,28 @@
 	}
 	e.change, e.stage, e.judge = c.Name, c.State.Stage, nil
 	e.lastReadings, e.slowBounds, e.incomplete = map[string]Reading{}, map[cellKey]*slowBound{}, map[cellKey]*windowCounts{}
-	e.usageSpans = [2]usageSpan{}
+	e.shortSpan, e.longSpan = usageSpan{}, usageSpan{}
 	e.lastKind, e.sinceLastCells = judge.NotEnough, 0
 }
 
 // isUntouched reports whether a sidecar has no open order and was not abandoned.
-func isUntouched(one rollout.Sidecar) bool { return one.OpenOrder == 0 && one.AbandonedReason == "" }
+func isUntouched(sidecar rollout.Sidecar) bool {
+	return sidecar.OpenOrder == 0 && sidecar.AbandonedReason == ""
+}
 
 // comparedSidecars says which sidecars are the new ones and which their control: those that were restarted, or all others if the plan has
 // none restarted. comparable is false if no sidecar is left for the control.
 func comparedSidecars(s *rollout.State) (isNew, isControl func(rollout.Sidecar) bool, comparable bool) {
 	changed, control := s.Groups()
 	among := func(names []string) func(rollout.Sidecar) bool {
-		return func(one rollout.Sidecar) bool { return slices.Contains(names, one.Name) }
+		return func(sidecar rollout.Sidecar) bool { return slices.Contains(names, sidecar.Name) }
 	}
 	isNew = among(changed)
 	if len(control) > 0 {
 		return isNew, among(control), true
 	}
-	isControl = func(one rollout.Sidecar) bool { return isUntouched(one) && !isNew(one) }
-	comparable = slices.ContainsFunc(s.Sidecars(), func(one rollout.Sidecar) bool { return isControl(one) && one.Release == s.Plan.From })
+	isControl = func(sidecar rollout.Sidecar) bool { return isUntouched(sidecar) && !isNew(sidecar) }
+	comparable = slices.ContainsFunc(s.Sidecars(), func(sidecar rollout.Sidecar) bool { return isControl(sidecar) && sidecar.Release == s.Plan.From })
 	return isNew, isControl, comparable
 }
 
@@ -131,7 +133,7 @@
 	for _, v := range cells[:min(len(cells), maxCells)] {
 		results = append(results, rollout.CellResult{
 			Class: v.Cell.Class, Zone: v.Cell.Zone, Metric: v.Cell.Metric, Advisory: v.Cell.Advisory, Verdict: v.Kind.String(),
-			NewHits: v.Counts[0].Hits, NewTotal: v.Counts[0].Total, ControlHits: v.Counts[1].Hits, ControlTotal: v.Counts[1].Total,
+			NewHits: v.NewCounts.Hits, NewTotal: v.NewCounts.Total, ControlHits: v.ControlCounts.Hits, ControlTotal: v.ControlCounts.Total,
 			Odds: v.Odds, MaxDifference: v.MaxDifference,
 		})
 	}
--- a/internal/coordination/evidence/judging.go
+++ b/internal/coordination/evidence/judging.go
@@ -79,43 +79,51 @@
 	for _, r := range e.lastReadings { // classes without a request so far may have some later
 		classes = max(classes, len(r.Classes))
 	}
-	rates, places := len(outcomeMetrics)+1, len(zones)+1 // with slow requests, and with all zones together
+	rates, zoneCells := len(outcomeMetrics)+1, len(zones)+1 // with slow requests, and with all zones together
 	e.judge, err = judge.New(judge.Plan{FalseStopRate: s.Plan.Judge.FalseStopRate, MissedStopRate: s.Plan.Judge.MissedStopRate,
-		MinEffect: s.Plan.Judge.MinEffect, MaxCells: (rates*classes*places + pairedMetrics) * len(s.Plan.Stages)})
+		MinEffect: s.Plan.Judge.MinEffect, MaxCells: (rates*classes*zoneCells + pairedMetrics) * len(s.Plan.Stages)})
 	return err
 }
 
 // addWindow adds a window of a class to the judge: each zone by itself, and all together.
 func (e *Evidence) addWindow(class string, zones []windowCounts) error {
-	var slow []judge.Counts // of new and control, for each zone that has a bound
+	var slow []comparison // of each zone that has a bound
 	for _, w := range zones {
-		counted, err := e.addZone(class, w)
+		inZone, bounded, err := e.addZone(class, w)
 		if err != nil {
 			return err
 		}
-		slow = append(slow, counted...)
+		if bounded {
+			slow = append(slow, inZone)
+		}
 	}
 	for _, m := range outcomeMetrics {
-		var all []judge.Counts
+		var all []comparison
 		for _, w := range zones {
-			all = append(all, m.counts(w.new), m.counts(w.control))
+			all = append(all, comparison{m.counts(w.new), m.counts(w.control)})
 		}
-		newCounts, controlCounts := weightByZone(all)
-		if err := e.judge.Add(judge.Cell{Class: class, Zone: allZones, Metric: m.name}, newCounts, controlCounts); err != nil {
+		if err := e.addComparison(judge.Cell{Class: class, Zone: allZones, Metric: m.name}, weightByZone(all)); err != nil {
 			return err
 		}
 	}
-	newCounts, controlCounts := weightByZone(slow) // without any bound yet there are none, so that no worse is not shown
-	return e.judge.Add(judge.Cell{Class: class, Zone: allZones, Metric: slowMetric}, newCounts, controlCounts)
+	// Without any bound yet there are no counts of slow requests, so that the class is not shown to be no worse.
+	return e.addComparison(judge.Cell{Class: class, Zone: allZones, Metric: slowMetric}, weightByZone(slow))
+}
+
+// comparison is one metric's counts of new and control in the same time.
+type comparison struct{ new, control judge.Counts }
+
+func (e *Evidence) addComparison(cell judge.Cell, c comparison) error {
+	return e.judge.Add(cell, c.new, c.control)
 }
 
-// addZone adds a window of a class in one zone to the judge. It returns the slow requests of new and control, or nothing while the requests
-// that the bound is drawn from are counted.
-func (e *Evidence) addZone(class string, w windowCounts) ([]judge.Counts, error) {
+// addZone adds a window of a class in one zone to the judge. It returns the slow requests; bounded is false while the requests that the
+// bound is drawn from are counted.
+func (e *Evidence) addZone(class string, w windowCounts) (slow comparison, bounded bool, err error) {
 	for _, m := range outcomeMetrics {
 		cell := judge.Cell{Class: class, Zone: w.zone, Metric: m.name, Advisory: true}
-		if err := e.judge.Add(cell, m.counts(w.new), m.counts(w.control)); err != nil {
-			return nil, err
+		if err := e.addComparison(cell, comparison{m.counts(w.new), m.counts(w.control)}); err != nil {
+			return comparison{}, false, err
 		}
 	}
 	bound := e.slowBounds[w.cellKey]
@@ -125,33 +133,32 @@
 	}
 	if bound.step < 0 {
 		bound.add(w.control)
-		return nil, nil
+		return comparison{}, false, nil
 	}
-	newCounts, controlCounts := bound.slow(w.new), bound.slow(w.control)
+	slow = comparison{bound.slow(w.new), bound.slow(w.control)}
 	cell := judge.Cell{Class: class, Zone: w.zone, Metric: slowMetric, Advisory: true}
-	if err := e.judge.Add(cell, newCounts, controlCounts); err != nil {
-		return nil, err
+	if err := e.addComparison(cell, slow); err != nil {
+		return comparison{}, false, err
 	}
-	return []judge.Counts{newCounts, controlCounts}, nil
+	return slow, true, nil
 }
 
-// weightByZone sums up zones, given as new and control of one after the other. Each zone's control is weighted as its new counts are, by at
-// most 1.
-func weightByZone(zones []judge.Counts) (newSum, controlSum judge.Counts) {
+// weightByZone sums up the zones of a class. Each zone's control is weighted in proportion to its new requests, so that a zone counts for
+// as much on both sides; the largest weight is 1.
+func weightByZone(zones []comparison) (sum comparison) {
 	maxRatio := 0.0
-	for i := 0; i < len(zones); i += 2 {
-		if zones[i+1].Total > 0 {
-			maxRatio = max(maxRatio, zones[i].Total/zones[i+1].Total)
+	for _, zone := range zones {
+		if zone.control.Total > 0 {
+			maxRatio = max(maxRatio, zone.new.Total/zone.control.Total)
 		}
 	}
-	for i := 0; i < len(zones); i += 2 {
-		n, o := zones[i], zones[i+1]
-		if n.Total == 0 || o.Total == 0 {
+	for _, zone := range zones {
+		if zone.new.Total == 0 || zone.control.Total == 0 {
 			continue
 		}
-		weight := n.Total / o.Total / maxRatio
-		newSum = judge.Counts{Hits: newSum.Hits + n.Hits, Total: newSum.Total + n.Total}
-		controlSum = judge.Counts{Hits: controlSum.Hits + weight*o.Hits, Total: controlSum.Total + weight*o.Total}
+		weight := zone.new.Total / zone.control.Total / maxRatio
+		sum.new = judge.Counts{Hits: sum.new.Hits + zone.new.Hits, Total: sum.new.Total + zone.new.Total}
+		sum.control = judge.Counts{Hits: sum.control.Hits + weight*zone.control.Hits, Total: sum.control.Total + weight*zone.control.Total}
 	}
-	return newSum, controlSum
+	return sum
 }
--- a/internal/coordination/evidence/slow.go
+++ b/internal/coordination/evidence/slow.go
@@ -13,7 +13,7 @@
 
 // slowBound is the step of the histogram of times that a tenth of some requests took longer than.
 type slowBound struct {
-	took     [counts.Buckets]uint64
+	latency  [counts.Buckets]uint64 // the histogram
 	requests uint64
 	step     int // -1: it is not known yet
 }
@@ -21,14 +21,14 @@
 // add adds requests, until there are enough to know the bound.
 func (b *slowBound) add(c counts.Class) {
 	for i, n := range c.Latency {
-		b.took[i] += n
+		b.latency[i] += n
 		b.requests += n
 	}
 	if b.step >= 0 || b.requests < slowBoundSample {
 		return
 	}
 	above := b.requests
-	for i, n := range b.took {
+	for i, n := range b.latency {
 		if above -= n; above*10 <= b.requests {
 			b.step = i
 			return
--- a/internal/coordination/evidence/usage.go
+++ b/internal/coordination/evidence/usage.go
@@ -30,13 +30,13 @@
 
 // usage is what some sidecars have used in some time.
 type usage struct {
-	growthBytes    float64 // of memory
-	memoryBytes    float64 // at the end
-	cpuTicks       float64
-	requests       float64
-	sidecarWindows float64 // polls, counted for each sidecar
-	effortMissing  bool    // one of the processes does not report its effort
-	effort         counts.ServerUse
+	growthBytes      float64 // of memory
+	memoryBytes      float64 // at the end
+	cpuTicks         float64
+	requests         float64
+	sidecarWindows   float64 // polls, counted for each sidecar
+	serverUse        counts.ServerUse
+	serverUseMissing bool // one of the processes does not report its use of servers
 }
 
 // add adds what was used afterwards.
@@ -46,10 +46,10 @@
 	u.cpuTicks += more.cpuTicks
 	u.requests += more.requests
 	u.sidecarWindows += more.sidecarWindows
-	u.effortMissing = u.effortMissing || more.effortMissing
-	u.effort.Attempts += more.effort.Attempts
-	u.effort.Connections += more.effort.Connections
-	u.effort.HealthChecks += more.effort.HealthChecks
+	u.serverUseMissing = u.serverUseMissing || more.serverUseMissing
+	u.serverUse.Attempts += more.serverUse.Attempts
+	u.serverUse.Connections += more.serverUse.Connections
+	u.serverUse.HealthChecks += more.serverUse.HealthChecks
 }
 
 // similarLoad reports whether the sidecars of both sides had about the same load. What a process uses for itself is spread over its requests:
@@ -64,72 +64,75 @@
 
 // usageSpan is what new and control have used since the last comparison.
 type usageSpan struct {
-	used   [2]usage
-	length time.Duration
+	newUsage, controlUsage usage
+	length                 time.Duration
 }
 
-func (s *usageSpan) add(used [2]usage, elapsed time.Duration) {
-	for i := range used {
-		s.used[i].add(used[i])
-	}
+func (s *usageSpan) add(newUsage, controlUsage usage, elapsed time.Duration) {
+	s.newUsage.add(newUsage)
+	s.controlUsage.add(controlUsage)
 	s.length += elapsed
 }
 
 // compareUsage compares what new and control have used in the same time, once that is long enough.
 func (e *Evidence) compareUsage(evidenceTimeout time.Duration) error {
-	short := evidenceTimeout / comparisonsPerTimeout
-	if s := &e.usageSpans[1]; s.length >= longSpanFactor*short {
-		if err := e.compareGrowth("growth of memory over longer times", s.used); err != nil {
+	interval := evidenceTimeout / comparisonsPerTimeout
+	if e.longSpan.length >= longSpanFactor*interval {
+		if err := e.compareGrowth("growth of memory over longer times", e.longSpan); err != nil {
 			return err
 		}
-		*s = usageSpan{}
+		e.longSpan = usageSpan{}
 	}
-	s := &e.usageSpans[0]
-	if s.length < short {
+	if e.shortSpan.length < interval {
 		return nil
 	}
-	used := s.used
-	*s = usageSpan{}
-	if err := e.compareGrowth("growth of memory", used); err != nil {
+	span := e.shortSpan
+	e.shortSpan = usageSpan{}
+	if err := e.compareGrowth("growth of memory", span); err != nil {
 		return err
 	}
-	if !similarLoad(used[0], used[1]) {
+	if !similarLoad(span.newUsage, span.controlUsage) {
 		return nil
 	}
-	return e.comparePerRequest(used[0], used[1])
+	return e.comparePerRequest(span.newUsage, span.controlUsage)
 }
 
 // comparePerRequest compares processor time, health checks, attempts and connections. The metrics' names are part of the log.
-func (e *Evidence) comparePerRequest(n, o usage) error {
+func (e *Evidence) comparePerRequest(newUsage, controlUsage usage) error {
 	larger := func(name string, newValue, controlValue, fraction float64) error {
 		return e.addPair(name, newValue > (1+fraction)*controlValue, controlValue > (1+fraction)*newValue)
 	}
-	if n.requests > 0 && o.requests > 0 && o.cpuTicks > 0 {
-		if err := larger("processor time", n.cpuTicks/n.requests, o.cpuTicks/o.requests, maxCPUFraction); err != nil {
+	if newUsage.requests > 0 && controlUsage.requests > 0 && controlUsage.cpuTicks > 0 {
+		err := larger("processor time", newUsage.cpuTicks/newUsage.requests, controlUsage.cpuTicks/controlUsage.requests, maxCPUFraction)
+		if err != nil {
 			return err
 		}
 	}
-	if n.effortMissing || o.effortMissing {
+	if newUsage.serverUseMissing || controlUsage.serverUseMissing {
 		return nil
 	}
-	if err := larger("probes", float64(n.effort.HealthChecks)/n.sidecarWindows, float64(o.effort.HealthChecks)/o.sidecarWindows, maxConnectionsFraction); err != nil {
+	newServerUse, controlServerUse := newUsage.serverUse, controlUsage.serverUse
+	err := larger("probes", float64(newServerUse.HealthChecks)/newUsage.sidecarWindows,
+		float64(controlServerUse.HealthChecks)/controlUsage.sidecarWindows, maxConnectionsFraction)
+	if err != nil || newUsage.requests == 0 || controlUsage.requests == 0 {
 		return err
 	}
-	if n.requests == 0 || o.requests == 0 {
-		return nil
-	}
-	if err := larger("tries", float64(n.effort.Attempts)/n.requests, float64(o.effort.Attempts)/o.requests, maxAttemptsFraction); err != nil {
+	err = larger("tries", float64(newServerUse.Attempts)/newUsage.requests,
+		float64(controlServerUse.Attempts)/controlUsage.requests, maxAttemptsFraction)
+	if err != nil {
 		return err
 	}
-	return larger("connections", float64(n.effort.Connections)/n.requests, float64(o.effort.Connections)/o.requests, maxConnectionsFraction)
+	return larger("connections", float64(newServerUse.Connections)/newUsage.requests,
+		float64(controlServerUse.Connections)/controlUsage.requests, maxConnectionsFraction)
 }
 
-func (e *Evidence) compareGrowth(name string, used [2]usage) error {
-	n, o := used[0], used[1]
-	if n.memoryBytes == 0 || o.memoryBytes == 0 || !similarLoad(n, o) {
+// compareGrowth compares by what fraction of the memory of each side that memory has grown.
+func (e *Evidence) compareGrowth(name string, span usageSpan) error {
+	newUsage, controlUsage := span.newUsage, span.controlUsage
+	if newUsage.memoryBytes == 0 || controlUsage.memoryBytes == 0 || !similarLoad(newUsage, controlUsage) {
 		return nil
 	}
-	newGrowth, controlGrowth := n.growthBytes/n.memoryBytes, o.growthBytes/o.memoryBytes
+	newGrowth, controlGrowth := newUsage.growthBytes/newUsage.memoryBytes, controlUsage.growthBytes/controlUsage.memoryBytes
 	return e.addPair(name, newGrowth > controlGrowth+maxGrowthFraction, controlGrowth > newGrowth+maxGrowthFraction)
 }
 
--- a/internal/coordination/evidence/window.go
+++ b/internal/coordination/evidence/window.go
@@ -84,14 +84,14 @@
 // incrementBetween returns what a process has counted and used between two readings of it.
 func incrementBetween(before, now Reading) increment {
 	delta := increment{release: now.Process.Release, usage: usage{
-		growthBytes:    float64(now.ResidentBytes) - float64(before.ResidentBytes),
-		memoryBytes:    float64(now.ResidentBytes),
-		cpuTicks:       float64(now.CPUTicks - before.CPUTicks),
-		sidecarWindows: 1,
-		effortMissing:  now.ServerUse == nil || before.ServerUse == nil,
+		growthBytes:      float64(now.ResidentBytes) - float64(before.ResidentBytes),
+		memoryBytes:      float64(now.ResidentBytes),
+		cpuTicks:         float64(now.CPUTicks - before.CPUTicks),
+		sidecarWindows:   1,
+		serverUseMissing: now.ServerUse == nil || before.ServerUse == nil,
 	}}
-	if !delta.effortMissing {
-		delta.effort = counts.ServerUse{Attempts: now.ServerUse.Attempts - before.ServerUse.Attempts,
+	if !delta.serverUseMissing {
+		delta.serverUse = counts.ServerUse{Attempts: now.ServerUse.Attempts - before.ServerUse.Attempts,
 			Connections: now.ServerUse.Connections - before.ServerUse.Connections, HealthChecks: now.ServerUse.HealthChecks - before.ServerUse.HealthChecks}
 	}
 	for i, class := range now.Classes {
--- a/internal/coordination/judge/judge.go
+++ b/internal/coordination/judge/judge.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"maps"
 	"math"
@@ -62,16 +63,25 @@
 type Verdict struct {
 	Kind                 Kind
 	Cell                 Cell
-	NewRate, ControlRate float64   // the rates that were counted
-	Counts               [2]Counts // what the rates are of: new and control
-	Odds                 float64   // the evidence; for Worse at least MaxCells / FalseStopRate
-	MaxDifference        float64   // the upper confidence bound of how much larger the new rate is
+	NewRate, ControlRate float64 // the rates that were counted
+	NewCounts            Counts  // what NewRate is of
+	ControlCounts        Counts  // what ControlRate is of
+	Odds                 float64 // the evidence; for Worse at least MaxCells / FalseStopRate
+	MaxDifference        float64 // the upper confidence bound of how much larger the new rate is
 }
 
 func (v Verdict) String() string {
 	return fmt.Sprintf("%v: %v: %.4f, control %.4f (odds %.3g, at most %.4f more)", v.Kind, v.Cell, v.NewRate, v.ControlRate, v.Odds, v.MaxDifference)
 }
 
+// Errors of Judge.Add and Judge.AddPair.
+var (
+	// ErrInvalidCounts says that counts have more hits than requests, or are negative or infinite.
+	ErrInvalidCounts = errors.New("the counts are impossible")
+	// ErrTooManyCells says that a cell is beyond Plan.MaxCells.
+	ErrTooManyCells = errors.New("more cells than planned")
+)
+
 // Judge is one judgement. It is not safe for concurrent use.
 type Judge struct {
 	plan  Plan
@@ -89,11 +99,11 @@
 	return &Judge{plan: p, cells: map[Cell]*cellState{}}, nil
 }
 
-// Add adds the counts of a window of a cell. The error is for counts that are none, or for more cells than the plan has.
+// Add adds the counts of a window of a cell. The error is ErrInvalidCounts or ErrTooManyCells.
 func (j *Judge) Add(cell Cell, new, control Counts) error {
 	for _, counts := range []Counts{new, control} {
 		if !(counts.Hits >= 0 && counts.Hits <= counts.Total) || math.IsInf(counts.Total, 0) {
-			return fmt.Errorf("%v: %v of %v", cell, counts.Hits, counts.Total)
+			return fmt.Errorf("%v: %w: %v of %v requests", cell, ErrInvalidCounts, counts.Hits, counts.Total)
 		}
 	}
 	state, err := j.cellAt(cell)
@@ -111,7 +121,7 @@
 
 // AddPair adds one comparison of a magnitude, such as the growth of memory in the same window, in which one side was larger by more than
 // matters: larger says that it was the new release. If both are alike, each is the larger one as often as the other. Such a cell is
-// advisory.
+// advisory. The error is ErrTooManyCells.
 //
 // The evidence is a mixture of bets that the new release is the larger one with probability p, uniform over p from a half to one. Each bet
 // multiplies by 2p if it was and by 2(1-p) if it was not, which is 1 on average for a probability of a half and less below; so is their
@@ -138,7 +148,7 @@
 	state := j.cells[cell]
 	if state == nil {
 		if len(j.cells) == j.plan.MaxCells {
-			return nil, fmt.Errorf("%v: the plan has %d cells, and this is one more", cell, j.plan.MaxCells)
+			return nil, fmt.Errorf("%v: %w: the plan has %d", cell, ErrTooManyCells, j.plan.MaxCells)
 		}
 		state = &cellState{}
 		j.cells[cell] = state
@@ -159,7 +169,7 @@
 	}) {
 		state := j.cells[cell]
 		verdict := Verdict{Kind: NotEnough, Cell: cell, NewRate: state.new.rate(), ControlRate: state.control.rate(),
-			Counts: [2]Counts{state.new, state.control}, Odds: math.Exp(min(state.logEvidence, maxLogOdds)),
+			NewCounts: state.new, ControlCounts: state.control, Odds: math.Exp(min(state.logEvidence, maxLogOdds)),
 			MaxDifference: state.maxDifference(j.plan.MissedStopRate)}
 		switch {
 		case state.foundWorse:
--- a/internal/coordination/judge/judge_test.go
+++ b/internal/coordination/judge/judge_test.go
@@ -1,6 +1,7 @@
 package judge
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -203,10 +204,10 @@
 	p := plan
 	p.MaxCells = 1
 	j, _ := New(p)
-	if err := j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{2, 1}, Counts{0, 1}); err == nil {
-		t.Error("2 of 1")
+	if err := j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{2, 1}, Counts{0, 1}); !errors.Is(err, ErrInvalidCounts) {
+		t.Errorf("2 of 1: %v", err)
 	}
-	if j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{0, 1}, Counts{0, 1}); j.Add(Cell{Class: "a", Zone: "b", Metric: "d"}, Counts{0, 1}, Counts{0, 1}) == nil {
+	if j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{0, 1}, Counts{0, 1}); !errors.Is(j.Add(Cell{Class: "a", Zone: "b", Metric: "d"}, Counts{0, 1}, Counts{0, 1}), ErrTooManyCells) {
 		t.Error("a cell beyond the plan's")
 	}
 }
