--- a/internal/coordination/distribute/reporttable.go
+++ b/internal/coordination/distribute/reporttable.go
@@ -109,7 +109,7 @@
 func (t *ReportTable) removeSidecars(m *reporter) {
 	sidecars := t.services[m.service]
 	for _, name := range m.sidecars {
-		if one := sidecars[name]; one != nil && one.reporter == m {
+		if sidecar := sidecars[name]; sidecar != nil && sidecar.reporter == m {
 			delete(sidecars, name)
 			t.sidecars--
 		}
@@ -132,8 +132,8 @@
 	summary := t.count(service, newest)
 	sidecars := t.services[service]
 	for _, name := range slices.Sorted(maps.Keys(sidecars)) {
-		one := sidecars[name]
-		summary.Members = append(summary.Members, SidecarReport{one.report, one.reporter.member, now - one.reporter.lastContact})
+		sidecar := sidecars[name]
+		summary.Members = append(summary.Members, SidecarReport{sidecar.report, sidecar.reporter.member, now - sidecar.reporter.lastContact})
 	}
 	summary.sortOutdatedFirst()
 	return summary
@@ -152,9 +152,9 @@
 // count returns the counts of a service.
 func (t *ReportTable) count(service string, newest Version) Summary {
 	summary := Summary{Service: service, Newest: newest.Revision, Digest: newest.Digest}
-	for _, one := range t.services[service] {
-		summary.addReport(one.report)
-		summary.addHeld(one.reporter.knownRevision)
+	for _, sidecar := range t.services[service] {
+		summary.addReport(sidecar.report)
+		summary.addHeld(sidecar.reporter.knownRevision)
 	}
 	return summary
 }
--- a/internal/coordination/distribute/subscriber.go
+++ b/internal/coordination/distribute/subscriber.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// SubscriberOptions are the settings of an agent's subscription to one service. Times are above 0 but for ReconnectWindow and
-// ResponseTimeout.
+// SubscriberOptions are the settings of an agent's subscription to one service. ReconnectWindow and ResponseTimeout may be 0; all other times
+// are above 0.
 type SubscriberOptions struct {
 	Service string
 	Member  string // the agent's name
@@ -23,7 +23,7 @@
 	// after restarts.
 	RebalanceAfter time.Duration
 
-	// Rand returns a random number from 0 up to n, n not included; n is above 0.
+	// Rand returns a random number from 0 to n-1; n is above 0.
 	Rand func(n int64) int64
 }
 
@@ -92,7 +92,7 @@
 // NextCallAt returns when to begin the next call; ok is false where one is in flight.
 func (s *Subscriber) NextCallAt() (at time.Duration, ok bool) { return s.nextCallAt, !s.inFlight }
 
-// Begin returns the next call to make. One that is in flight still counts as failed; its response may be given to Accept.
+// Begin returns the next call to make. A call that is still in flight is given up; its response may still be given to Accept.
 func (s *Subscriber) Begin(now time.Duration) Call {
 	if s.server >= 0 && now >= s.drawAt {
 		s.lostServer, s.server = s.server, noServer
--- a/internal/coordination/distribute/summary.go
+++ b/internal/coordination/distribute/summary.go
@@ -39,19 +39,19 @@
 func Merge(all []Summary) Summary {
 	var merged Summary
 	latest := map[string]SidecarReport{}
-	for _, one := range all {
-		merged.Service = one.Service
-		if one.Newest > merged.Newest {
-			merged.Newest, merged.Digest = one.Newest, one.Digest
+	for _, summary := range all {
+		merged.Service = summary.Service
+		if summary.Newest > merged.Newest {
+			merged.Newest, merged.Digest = summary.Newest, summary.Digest
 		}
-		for _, r := range one.Members {
+		for _, r := range summary.Members {
 			if present, known := latest[r.Sidecar]; !known || r.Age < present.Age {
 				latest[r.Sidecar] = r
 			}
 		}
 	}
-	for _, one := range all {
-		merged.addHeld(one.Ahead)
+	for _, summary := range all {
+		merged.addHeld(summary.Ahead)
 	}
 	for _, name := range slices.Sorted(maps.Keys(latest)) {
 		merged.addReport(latest[name].Report)
--- a/internal/coordination/distribute/watches.go
+++ b/internal/coordination/distribute/watches.go
@@ -94,13 +94,13 @@
 		return func() {}
 	}
 	watch.Reports = nil // they were taken in: what waits is small
-	one := &pendingWatch{watch: watch, done: done, deadline: now + min(watch.MaxWait, MaxWatchWait)}
-	one.serviceIndex = len(w.byService[watch.Service])
-	w.byService[watch.Service] = append(w.byService[watch.Service], one)
-	heap.Push(&w.byDeadline, one)
+	pending := &pendingWatch{watch: watch, done: done, deadline: now + min(watch.MaxWait, MaxWatchWait)}
+	pending.serviceIndex = len(w.byService[watch.Service])
+	w.byService[watch.Service] = append(w.byService[watch.Service], pending)
+	heap.Push(&w.byDeadline, pending)
 	return func() {
-		w.remove(one)
-		one.ended = true
+		w.remove(pending)
+		pending.ended = true
 	}
 }
 
@@ -113,8 +113,8 @@
 // ChangedAll answers all calls for whose service there is a newer version: a snapshot was restored.
 func (w *Watches) ChangedAll(now time.Duration) {
 	w.expire(now)
-	for _, one := range slices.Clone(w.byDeadline) { // not by the map: the order is the same every time
-		w.answerNewer(one.watch.Service, []*pendingWatch{one})
+	for _, pending := range slices.Clone(w.byDeadline) { // not by the map: the order is the same every time
+		w.answerNewer(pending.watch.Service, []*pendingWatch{pending})
 	}
 }
 
@@ -126,7 +126,7 @@
 	if !ok {
 		return
 	}
-	all = slices.DeleteFunc(all, func(one *pendingWatch) bool { return v.Revision <= one.watch.Known })
+	all = slices.DeleteFunc(all, func(pending *pendingWatch) bool { return v.Revision <= pending.watch.Known })
 	w.answer(all, WatchResponse{Newer: &v}, nil)
 }
 
@@ -147,9 +147,9 @@
 	w.expire(now)
 	var all []*pendingWatch
 	for len(w.byDeadline) > 0 && w.byDeadline[0].deadline <= now {
-		one := w.byDeadline[0]
-		w.remove(one)
-		all = append(all, one)
+		pending := w.byDeadline[0]
+		w.remove(pending)
+		all = append(all, pending)
 	}
 	w.answer(all, WatchResponse{}, nil)
 }
@@ -174,27 +174,27 @@
 
 // answer removes all calls before it answers any: a done function may add and cancel others.
 func (w *Watches) answer(all []*pendingWatch, response WatchResponse, err error) {
-	for _, one := range all {
-		w.remove(one)
+	for _, pending := range all {
+		w.remove(pending)
 	}
-	for _, one := range all {
-		if !one.ended {
-			one.ended = true
-			one.done(response, err)
+	for _, pending := range all {
+		if !pending.ended {
+			pending.ended = true
+			pending.done(response, err)
 		}
 	}
 }
 
 // remove removes a call from the heap and from those of its service, unless it was removed before.
-func (w *Watches) remove(one *pendingWatch) {
-	if one.heapIndex < 0 {
+func (w *Watches) remove(pending *pendingWatch) {
+	if pending.heapIndex < 0 {
 		return
 	}
-	heap.Remove(&w.byDeadline, one.heapIndex)
-	service := one.watch.Service
+	heap.Remove(&w.byDeadline, pending.heapIndex)
+	service := pending.watch.Service
 	waiting := w.byService[service]
 	last := waiting[len(waiting)-1]
-	waiting[one.serviceIndex], last.serviceIndex = last, one.serviceIndex
+	waiting[pending.serviceIndex], last.serviceIndex = last, pending.serviceIndex
 	waiting[len(waiting)-1] = nil
 	if w.byService[service] = waiting[:len(waiting)-1]; len(waiting) == 1 {
 		delete(w.byService, service)
@@ -211,15 +211,15 @@
 	h[i].heapIndex, h[j].heapIndex = i, j
 }
 func (h *watchHeap) Push(x any) {
-	one := x.(*pendingWatch)
-	one.heapIndex = len(*h)
-	*h = append(*h, one)
+	pending := x.(*pendingWatch)
+	pending.heapIndex = len(*h)
+	*h = append(*h, pending)
 }
 func (h *watchHeap) Pop() any {
 	old := *h
-	one := old[len(old)-1]
+	pending := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	one.heapIndex = -1
-	return one
+	pending.heapIndex = -1
+	return pending
 }
--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -47,7 +47,8 @@
 	reachability  rollout.ReachabilityTracker
 }
 
-// Run drives while it holds the lease, and waits for the lease otherwise, until ctx ends. The error is one of the options.
+// Run drives while it holds the lease, and waits for the lease otherwise, until ctx ends. An error says which of the
+// exported fields is invalid.
 func (d *Driver) Run(ctx context.Context) error {
 	d.operator = fleet.Operator{Addrs: d.Coordinators}
 	d.client = http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 2}}
@@ -123,7 +124,7 @@
 	return errors.Join(failures...)
 }
 
-// readChanges reads the log's state: an rollout.Application, or with an empty name the names of the applications.
+// readChanges reads the log's state: a rollout.Application, or with an empty name the names of the applications.
 func (d *Driver) readChanges(ctx context.Context, application string, to any) error {
 	ctx, cancel := context.WithTimeout(ctx, coordinatorTimeout)
 	defer cancel()
--- a/internal/coordination/fleet/distribute.go
+++ b/internal/coordination/fleet/distribute.go
@@ -17,7 +17,7 @@
 	// election takes, so that agents do not all leave at a change of the leader. confirmTicks is the time between two confirmations.
 	freshTicks   = 8 * replica.ElectionTicks
 	confirmTicks = replica.ElectionTicks
-	// watchTickInterval is the time between two looks at the deadlines of watches.
+	// watchTickInterval is the time between two checks of the deadlines of watches.
 	watchTickInterval  = 100 * time.Millisecond
 	confirmDialTimeout = time.Second
 )
--- a/internal/coordination/fleet/server.go
+++ b/internal/coordination/fleet/server.go
@@ -83,7 +83,9 @@
 	return nil
 }
 
-// Run serves until ctx ends, or until the replica cannot go on. When it returns all goroutines that it began have ended.
+// Run serves on ln until ctx ends, and then returns nil. An error says why the replica cannot go on: its disk or listener has failed, or the
+// group has removed it (replica.ErrRemoved) or counts on another disk (replica.ErrLostDisk). Run is called once; when it returns, all
+// goroutines that it began have ended.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	defer func() { _ = s.disk.Close() }() // what was saved is synced already
 	server := s.httpServer()
@@ -180,12 +182,12 @@
 		for _, m := range ready.Messages {
 			s.peer(peers, background, m.GetTo()).send(m)
 		}
-		own, compact, err := s.core.Advance(ready, monotonic.Now())
+		snapshot, compact, err := s.core.Advance(ready, monotonic.Now())
 		if err != nil {
 			return err
 		}
-		if own != nil {
-			if err := s.disk.SaveSnapshot(own, compact); err != nil {
+		if snapshot != nil {
+			if err := s.disk.SaveSnapshot(snapshot, compact); err != nil {
 				return fmt.Errorf("the disk: %w", err)
 			}
 		}
--- a/internal/coordination/lease/doc.go
+++ b/internal/coordination/lease/doc.go
@@ -41,7 +41,7 @@
 // 0.0005 at most; 0.01 leaves room for virtual machines.
 const MaxDrift = 0.01
 
-// Instant is a reading of a steady clock, counted from any start. Readings of two clocks are never compared.
+// Instant is a reading of a steady clock: nanoseconds since a moment that the clock has chosen. Readings of two clocks are never compared.
 type Instant time.Duration
 
 // Add returns the instant that is d later.
@@ -50,7 +50,8 @@
 // Sub returns the time from another instant to this one.
 func (i Instant) Sub(other Instant) time.Duration { return time.Duration(i - other) }
 
-// ValidUntil returns the end of what a client may believe whose request, sent at an instant of its clock, was granted for a TTL.
+// ValidUntil returns until when, by its clock, a client may believe in what was granted for a TTL upon a request that it sent at
+// requestedAt.
 func ValidUntil(requestedAt Instant, ttl time.Duration) Instant {
 	return requestedAt.Add(time.Duration(float64(ttl) / (1 + MaxDrift)))
 }
--- a/internal/coordination/machine/messages.go
+++ b/internal/coordination/machine/messages.go
@@ -42,7 +42,7 @@
 	Zone          string          `json:"zone,omitempty"`
 	Phase         string          `json:"phase"`
 	Confirmed     string          `json:"confirmed"`
-	Process       agent.Process   `json:"process"` // the one that what follows is of
+	Process       agent.Process   `json:"process"` // the serving process, which Counts, CPUTicks and ResidentBytes are about
 	Counts        json.RawMessage `json:"counts,omitempty"`
 	CPUTicks      uint64          `json:"cpu,omitempty"`    // processor time used so far, in clock ticks of the system
 	ResidentBytes uint64          `json:"memory,omitempty"` // resident memory
--- a/internal/coordination/release/compare.go
+++ b/internal/coordination/release/compare.go
@@ -19,9 +19,9 @@
 
 func (k Kind) String() string { return [...]string{"side by side", "two steps", "refused"}[k] }
 
-// Finding is one field that differs.
+// Finding is one field that differs between old and new settings. Old and New are its values; "none" stands for a field that is absent.
 type Finding struct {
-	Field   string `json:"field"` // as settings.classes[plate-reserve].window_ms
+	Field   string `json:"field"` // its path, such as settings.classes[plate-reserve].window_ms
 	Old     string `json:"Old"`
 	New     string `json:"New"`
 	Kind    Kind   `json:"-"`
--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -36,7 +36,7 @@
 type Options struct {
 	ID          uint64
 	Incarnation string // of the replica's disk
-	// Rand returns a random number from 0 up to n, n not included.
+	// Rand returns a random number from 0 to n-1.
 	Rand           func(n int) int
 	SnapshotEvery  uint64 // applied entries between two snapshots; 0: 20,000
 	CatchUpEntries uint64 // entries that stay in the log behind a snapshot, for followers that are a little behind; 0: 5,000
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// Tick advances the time by one tick. A leader proposes the commands whose time has come by its clock; a follower campaigns at its
+// Tick advances the time by one tick; now is the reading of the owner's steady clock. A leader proposes the commands whose time has come by its clock; a follower campaigns at its
 // election time-out.
 func (c *Core) Tick(now lease.Instant) {
 	if c.membership.ticksSinceRemoval > 0 {
@@ -204,7 +204,7 @@
 	return c.node.Propose(data)
 }
 
-// Step takes in a message of a peer. What is of no use in the present state is dropped.
+// Step takes in a message of a peer, which CheckReceiver and CheckSender have admitted. What is of no use in the present state is dropped.
 func (c *Core) Step(m *pb.Message) {
 	switch m.GetType() {
 	case pb.MessageType_MsgApp, pb.MessageType_MsgHeartbeat, pb.MessageType_MsgSnap:
@@ -236,33 +236,34 @@
 }
 
 // Ready returns what is to be done; ok is false when there is nothing. Each Ready is followed by one Advance before the next.
-func (c *Core) Ready() (w Ready, ok bool) {
+func (c *Core) Ready() (ready Ready, ok bool) {
 	c.confirmReads()
 	if !c.node.HasReady() {
-		return w, false
+		return ready, false
 	}
 	rd := c.node.Ready()
-	w = Ready{raft: rd, Messages: rd.Messages, Sync: rd.MustSync}
-	w.HardState, w.Entries = rd.HardState, rd.Entries
+	ready = Ready{raft: rd, Messages: rd.Messages, Sync: rd.MustSync}
+	ready.HardState, ready.Entries = rd.HardState, rd.Entries
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		w.Snapshot, w.Sync = rd.Snapshot, true
+		ready.Snapshot, ready.Sync = rd.Snapshot, true
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
 		_ = c.storage.SetHardState(rd.HardState) // raft.MemoryStorage returns no error
 		c.leadership.term = rd.GetTerm()
 	}
-	return w, true
+	return ready, true
 }
 
 // Advance says that a Ready was carried out: what is committed is applied, and requests are answered. When a snapshot is due it is
-// returned: the owner has to persist it, and may then delete the entries up to compact. After an error the replica has to end.
-func (c *Core) Advance(w Ready, now lease.Instant) (own *pb.Snapshot, compact uint64, err error) {
-	rd := w.raft
-	if w.Snapshot != nil {
-		if err := c.storage.ApplySnapshot(w.Snapshot); err != nil {
+// returned: the owner has to persist it, and may then delete the entries up to and including the index compact. After an error, which
+// says that the log or a snapshot is not what raft or this package has written, the replica has to end.
+func (c *Core) Advance(ready Ready, now lease.Instant) (snapshot *pb.Snapshot, compact uint64, err error) {
+	rd := ready.raft
+	if ready.Snapshot != nil {
+		if err := c.storage.ApplySnapshot(ready.Snapshot); err != nil {
 			return nil, 0, fmt.Errorf("snapshot of the leader: %w", err)
 		}
-		if err := c.restore(w.Snapshot); err != nil {
+		if err := c.restore(ready.Snapshot); err != nil {
 			return nil, 0, err
 		}
 	}
@@ -305,8 +306,8 @@
 }
 
 // createSnapshot makes a snapshot of what is applied.
-func (c *Core) createSnapshot() (own *pb.Snapshot, compact uint64, err error) {
-	own, err = c.storage.CreateSnapshot(c.applied, c.membership.conf, c.state.encode(c.Members()))
+func (c *Core) createSnapshot() (snapshot *pb.Snapshot, compact uint64, err error) {
+	snapshot, err = c.storage.CreateSnapshot(c.applied, c.membership.conf, c.state.encode(c.Members()))
 	if err != nil {
 		return nil, 0, fmt.Errorf("snapshot at %d: %w", c.applied, err)
 	}
@@ -317,7 +318,7 @@
 			err = fmt.Errorf("compaction of the log at %d: %w", compact, err)
 		}
 	}
-	return own, compact, err
+	return snapshot, compact, err
 }
 
 // IsLeader reports whether this replica is the log's leader. It may not have applied all entries of earlier terms yet.
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -289,25 +289,25 @@
 
 // Save persists what a Ready has to have persisted, durably. After an error nothing is known of what is on the disk: the process has to
 // end.
-func (d *Disk) Save(w replica.Ready) error {
+func (d *Disk) Save(ready replica.Ready) error {
 	return d.update(func(meta, log *bbolt.Bucket) error {
-		if w.Snapshot != nil {
-			if err := putMessage(meta, keySnapshot, w.Snapshot); err != nil {
+		if ready.Snapshot != nil {
+			if err := putMessage(meta, keySnapshot, ready.Snapshot); err != nil {
 				return err
 			}
 			if err := deleteFirst(log, func(uint64) bool { return true }); err != nil { // the snapshot is ahead of all of the log
 				return err
 			}
 		}
-		if w.HardState != nil {
-			if err := putMessage(meta, keyHardState, w.HardState); err != nil {
+		if ready.HardState != nil {
+			if err := putMessage(meta, keyHardState, ready.HardState); err != nil {
 				return err
 			}
 		}
-		if len(w.Entries) == 0 {
+		if len(ready.Entries) == 0 {
 			return nil
 		}
-		return appendEntries(log, w.Entries)
+		return appendEntries(log, ready.Entries)
 	})
 }
 
--- a/internal/coordination/replica/doc.go
+++ b/internal/coordination/replica/doc.go
@@ -4,8 +4,11 @@
 // complete groups run in virtual time from one seed. Package disk persists what Core hands out, package fleet is the process around it.
 // A Core belongs to one goroutine.
 //
-// The log is go.etcd.io/raft/v3. Three things differ from its usual use. When a follower without contact to a leader campaigns is drawn
-// from a source that is handed in, for raft's own is not seeded. A leader confirms that a session lives only after a majority has
+// The owner of a Core calls Tick at a fixed interval, Step with each message of a peer and Submit with each request of a client. After any
+// of them it takes what Ready returns, persists it, sends its messages and calls Advance, until Ready returns nothing.
+//
+// The log is go.etcd.io/raft/v3. Three things differ from its usual use. The election time-out is drawn from a source of random numbers that
+// the owner supplies (Options.Rand), because raft's own cannot be seeded. A leader confirms that a session lives only after a majority has
 // confirmed, after the request came, that it leads (a read index). Its lessor and its allocators begin once it has applied an entry of
 // its own term.
 //
--- a/internal/coordination/replica/request.go
+++ b/internal/coordination/replica/request.go
@@ -21,7 +21,7 @@
 	confirmTicks = 2 * ElectionTicks
 )
 
-// Request is a request of a client to the leader; one of its fields besides Done says of which kind.
+// Request is a request of a client to the leader. Exactly one of its fields besides Done is set, and says what is requested.
 //
 // Command, Rollout, Limit and Publish are appended to the log, and answered when they are applied. AddMember and RemoveMember change the
 // membership. KeepAlive, Share and Read are answered by the leader from its own state, after a majority has confirmed that it leads.
@@ -100,7 +100,7 @@
 	return p.lastNumber
 }
 
-// Submit takes in a request. A replica that does not lead answers at once.
+// Submit takes in a request. A replica that does not lead answers at once, as does one with too many pending requests (ErrBusy).
 func (c *Core) Submit(r Request) {
 	if !c.leadership.isLeader {
 		err := ErrNotLeader
--- a/internal/coordination/rollout/report/explain.go
+++ b/internal/coordination/rollout/report/explain.go
@@ -26,7 +26,7 @@
 	BaselineTime     = "time-before"
 	Ordered          = "ordered"
 	NotReady         = "not-ready"
-	LeftAlone        = "left-alone"
+	Abandoned        = "left-alone"
 	ConcurrencyLimit = "limit-at-once"
 	UnavailableLimit = "limit-unavailable"
 	Worse            = "worse"
@@ -89,7 +89,7 @@
 		toChange := s.StageOf(c.Name) <= s.Stage && c.Release != target
 		switch {
 		case c.AbandonedReason != "":
-			l.add(LeftAlone, "%s is left alone at %s: %s", c.Name, c.Release, c.AbandonedReason)
+			l.add(Abandoned, "%s is left alone at %s: %s", c.Name, c.Release, c.AbandonedReason)
 		case s.Phase.Over():
 		case c.OpenOrder != 0:
 			l.add(Ordered, "%s carries out order %d, to %s", c.Name, c.OpenOrder, c.OrderedRelease)
--- a/internal/coordination/rollout/report/page.go
+++ b/internal/coordination/rollout/report/page.go
@@ -75,8 +75,8 @@
 		verdict += ": " + s.Reason
 	}
 	sidecars := []sidecarView{}
-	for _, one := range s.Sidecars() {
-		sidecars = append(sidecars, sidecarView{one, s.StageOf(one.Name)})
+	for _, sidecar := range s.Sidecars() {
+		sidecars = append(sidecars, sidecarView{sidecar, s.StageOf(sidecar.Name)})
 	}
 	effect := fmt.Sprintf("a difference of %v of a rate, false stops %v, missed stops %v", s.Plan.Judge.MinEffect, s.Plan.Judge.FalseStopRate,
 		s.Plan.Judge.MissedStopRate)
@@ -95,12 +95,12 @@
 func newStageView(s *rollout.State, r rollout.StageResult) (stageView, error) {
 	view := stageView{StageResult: r}
 	var changed, control []string
-	for _, one := range s.Sidecars() {
-		if s.StageOf(one.Name) == r.Stage {
-			changed = append(changed, one.Name)
+	for _, sidecar := range s.Sidecars() {
+		if s.StageOf(sidecar.Name) == r.Stage {
+			changed = append(changed, sidecar.Name)
 		}
-		if one.ControlStage == r.Stage {
-			control = append(control, one.Name)
+		if sidecar.ControlStage == r.Stage {
+			control = append(control, sidecar.Name)
 		}
 	}
 	view.Changed, view.Control = strings.Join(changed, ", "), strings.Join(control, ", ")
--- a/internal/coordination/share/allocator.go
+++ b/internal/coordination/share/allocator.go
@@ -95,8 +95,8 @@
 // that is reported twice changes nothing the second time.
 func (a *Allocator) returnUnspent(r AllocationRequest) {
 	for _, usage := range r.Finished {
-		if one := a.active[usage.Allocation]; one != nil && one.member == r.Member && usage.Units >= 0 && usage.Units < one.units {
-			a.giveBack(one, one.units-usage.Units)
+		if allocation := a.active[usage.Allocation]; allocation != nil && allocation.member == r.Member && usage.Units >= 0 && usage.Units < allocation.units {
+			a.giveBack(allocation, allocation.units-usage.Units)
 		}
 	}
 }
@@ -135,8 +135,8 @@
 	}
 	if free <= 0 {
 		nextEnd := now.Add(a.limit.Period)
-		for _, one := range a.active {
-			nextEnd = min(nextEnd, one.until)
+		for _, allocation := range a.active {
+			nextEnd = min(nextEnd, allocation.until)
 		}
 		wait = max(wait, nextEnd.Sub(now))
 	}
@@ -145,9 +145,9 @@
 
 // expire ends allocations whose period has passed, and forgets members that have not asked for long.
 func (a *Allocator) expire(now lease.Instant) {
-	for id, one := range a.active {
-		if one.until <= now {
-			a.giveBack(one, one.units)
+	for id, allocation := range a.active {
+		if allocation.until <= now {
+			a.giveBack(allocation, allocation.units)
 			delete(a.active, id)
 		}
 	}
@@ -159,10 +159,10 @@
 }
 
 // giveBack makes units of an allocation free.
-func (a *Allocator) giveBack(one *activeAllocation, units int) {
-	one.units -= units
+func (a *Allocator) giveBack(allocation *activeAllocation, units int) {
+	allocation.units -= units
 	a.outstanding -= units
-	if m := a.members[one.member]; m != nil {
+	if m := a.members[allocation.member]; m != nil {
 		m.outstanding -= units
 	}
 }
--- a/internal/coordination/share/allocators.go
+++ b/internal/coordination/share/allocators.go
@@ -25,8 +25,8 @@
 // Applied takes in a command of this term when it has been applied. A new limit waits for a period too: a group that was restored from a
 // back-up may have forgotten it.
 func (a *Allocators) Applied(c Command, now lease.Instant) {
-	if one := a.byLimit[c.Set.Name]; one != nil {
-		one.SetUnits(c.Set.Units)
+	if allocator := a.byLimit[c.Set.Name]; allocator != nil {
+		allocator.SetUnits(c.Set.Units)
 		return
 	}
 	a.byLimit[c.Set.Name] = NewAllocator(c.Set, a.term, now)
@@ -34,11 +34,11 @@
 
 // Allocate answers a request for units of a limit, as Allocator.Allocate does; ok is false where there is no such limit.
 func (a *Allocators) Allocate(limit string, r AllocationRequest, now lease.Instant) (allocation Allocation, ok bool) {
-	one := a.byLimit[limit]
-	if one == nil {
+	allocator := a.byLimit[limit]
+	if allocator == nil {
 		return Allocation{}, false
 	}
-	return one.Allocate(r, now), true
+	return allocator.Allocate(r, now), true
 }
 
 // LimitStatus is the state of a limit, for operators.
@@ -61,11 +61,11 @@
 // Statuses returns the state of all limits by name.
 func (a *Allocators) Statuses(now lease.Instant) (all []LimitStatus) {
 	for _, limit := range slices.Sorted(maps.Keys(a.byLimit)) {
-		one := a.byLimit[limit]
-		s := LimitStatus{Limit: one.limit, Outstanding: one.Outstanding(now), Starting: now < one.startsAt}
-		for _, name := range slices.Sorted(maps.Keys(one.members)) {
-			m := one.members[name]
-			s.Members = append(s.Members, MemberStatus{name, m.weight, m.demand, min(one.fairShare(m), float64(one.limit.Units)), m.outstanding})
+		allocator := a.byLimit[limit]
+		s := LimitStatus{Limit: allocator.limit, Outstanding: allocator.Outstanding(now), Starting: now < allocator.startsAt}
+		for _, name := range slices.Sorted(maps.Keys(allocator.members)) {
+			m := allocator.members[name]
+			s.Members = append(s.Members, MemberStatus{name, m.weight, m.demand, min(allocator.fairShare(m), float64(allocator.limit.Units)), m.outstanding})
 		}
 		all = append(all, s)
 	}
--- a/internal/coordination/share/consumer.go
+++ b/internal/coordination/share/consumer.go
@@ -23,10 +23,10 @@
 	nextRequestAt lease.Instant
 }
 
-// heldAllocation is an allocation that has not ended; its Usage counts what was spent of it.
+// heldAllocation is an allocation that has not ended.
 type heldAllocation struct {
-	Usage
-	units int
+	usage Usage // what was spent of it so far
+	units int   // that may be spent of it in all
 	until lease.Instant
 }
 
@@ -75,10 +75,10 @@
 func (c *Consumer) NewRequest(demand int, now lease.Instant) AllocationRequest {
 	c.expire(now)
 	for i := range c.allocations {
-		one := &c.allocations[i]
-		if left := one.units - one.Units; left > 0 && c.Remaining(now) > demand {
-			one.units = one.Units // what was spent counts until the end
-			c.finished = append(c.finished, one.Usage)
+		held := &c.allocations[i]
+		if left := held.units - held.usage.Units; left > 0 && c.Remaining(now) > demand {
+			held.units = held.usage.Units // what was spent counts until the end
+			c.finished = append(c.finished, held.usage)
 		}
 	}
 	finished := c.finished
@@ -93,9 +93,9 @@
 func (c *Consumer) ApplyAllocation(requestedAt lease.Instant, a Allocation, reported []Usage) {
 	c.finished = withoutReported(c.finished, reported)
 	c.nextRequestAt = requestedAt.Add(max(a.RetryAfter, c.limit.Period/2))
-	known := slices.ContainsFunc(c.allocations, func(one heldAllocation) bool { return one.Allocation == a.ID })
+	known := slices.ContainsFunc(c.allocations, func(held heldAllocation) bool { return held.usage.Allocation == a.ID })
 	if a.Units > 0 && !known {
-		c.allocations = append(c.allocations, heldAllocation{Usage{a.ID, 0}, a.Units, lease.ValidUntil(requestedAt, c.limit.Period)})
+		c.allocations = append(c.allocations, heldAllocation{usage: Usage{Allocation: a.ID}, units: a.Units, until: lease.ValidUntil(requestedAt, c.limit.Period)})
 	}
 }
 
@@ -119,8 +119,8 @@
 	c.demand.attempts++
 	c.expire(now)
 	for i := range c.allocations {
-		if one := &c.allocations[i]; one.Units < one.units {
-			one.Units++
+		if held := &c.allocations[i]; held.usage.Units < held.units {
+			held.usage.Units++
 			return true
 		}
 	}
@@ -146,8 +146,8 @@
 // Allocated returns the units of all allocations that have not ended, spent or not.
 func (c *Consumer) Allocated(now lease.Instant) (n int) {
 	c.expire(now)
-	for _, one := range c.allocations {
-		n += one.units
+	for _, held := range c.allocations {
+		n += held.units
 	}
 	return n
 }
@@ -155,13 +155,13 @@
 // Remaining returns the units that the member may still spend beside its floor.
 func (c *Consumer) Remaining(now lease.Instant) (n int) {
 	c.expire(now)
-	for _, one := range c.allocations {
-		n += one.units - one.Units
+	for _, held := range c.allocations {
+		n += held.units - held.usage.Units
 	}
 	return n
 }
 
 // expire removes the allocations that have ended. They need not be in the order of their ends, for responses may overtake one another.
 func (c *Consumer) expire(now lease.Instant) {
-	c.allocations = slices.DeleteFunc(c.allocations, func(one heldAllocation) bool { return one.until <= now })
+	c.allocations = slices.DeleteFunc(c.allocations, func(held heldAllocation) bool { return held.until <= now })
 }
