--- a/internal/coordination/distribute/command.go
+++ b/internal/coordination/distribute/command.go
@@ -13,15 +13,22 @@
 // compared without case, as package json does.
 var reservedFields = []string{"name", "listen", "admin_addr"}
 
+// What is wrong with a content.
+var (
+	errNotUTF8   = errors.New("it is no UTF-8")
+	errNotJSON   = errors.New("it is no JSON")
+	errNotObject = errors.New("content: it is no object; write a JSON object")
+)
+
 // Canonical returns a content in the bytes in which it is stored, counted, digested and sent: those that package json writes, so that no
 // message or snapshot changes them. A content that is not JSON in UTF-8 is an error.
 func Canonical(content []byte) (json.RawMessage, error) {
 	if !utf8.Valid(content) {
-		return nil, errors.New("it is no UTF-8")
+		return nil, errNotUTF8
 	}
 	text, err := json.Marshal(json.RawMessage(content))
 	if err != nil || content == nil {
-		return nil, errors.New("it is no JSON")
+		return nil, errNotJSON
 	}
 	return text, nil
 }
@@ -58,7 +65,7 @@
 func checkObject(content []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
-		return errors.New("content: it is no object; write a JSON object")
+		return errNotObject
 	}
 	seen := map[string]bool{}
 	for decoder.More() {
--- a/internal/coordination/distribute/register.go
+++ b/internal/coordination/distribute/register.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -105,6 +106,9 @@
 	return text
 }
 
+// errNoRevision is the error of a version in a snapshot whose revision is 0.
+var errNoRevision = errors.New("revision: 0; the first one is 1")
+
 // RestoreRegister returns the register of a snapshot; an empty one has no versions.
 func RestoreRegister(text []byte) (*Register, error) {
 	r, s, serviceOf := NewRegister(), snapshot{}, map[Revision]string{}
@@ -148,7 +152,7 @@
 	}
 	switch {
 	case v.Revision == 0:
-		return fmt.Errorf("revision: 0; the first one is 1")
+		return errNoRevision
 	case len(v.Content) == 0 || len(v.Content) > MaxContent:
 		return fmt.Errorf("content: %d bytes; 1 to %d are held", len(v.Content), MaxContent)
 	case v.Digest != Digest(v.Content):
--- a/internal/coordination/fleet/config.go
+++ b/internal/coordination/fleet/config.go
@@ -25,7 +25,7 @@
 	Tick        time.Duration // of the replica
 	AllowRemote bool          // addresses that are not of loopback are allowed
 	Drive       bool          // it may drive rolling changes too
-	DriveEvery  time.Duration // between two polls of the agents by the driver
+	DriveEvery  time.Duration // between two looks of the driver at the agents
 	Warnings    []string      // what is valid and unwise
 }
 
--- a/internal/coordination/fleet/handlers.go
+++ b/internal/coordination/fleet/handlers.go
@@ -35,6 +35,9 @@
 	return await(ctx, s, response)
 }
 
+// errEmptyRequest is the answer to a request that requests nothing that this version knows.
+var errEmptyRequest = errors.New("the request is empty")
+
 // toReplica checks a client's request, and returns it in the form of the replica.
 func (s *Server) toReplica(in *Request) (r replica.Request, err error) {
 	switch {
@@ -65,7 +68,7 @@
 	case in.ListLeases != nil || in.Backup || in.Changes != nil || in.ListLimits || in.LastRevision != nil || in.Versions != nil:
 		r.Read = true
 	default:
-		err = errors.New("the request is empty")
+		err = errEmptyRequest
 	}
 	return r, err
 }
--- a/internal/coordination/fleet/operator.go
+++ b/internal/coordination/fleet/operator.go
@@ -62,10 +62,13 @@
 	return res.Msg, nil
 }
 
-// Check returns what is wrong with the addresses.
+// errNoAddrs is the error of an Operator without addresses.
+var errNoAddrs = errors.New("--addrs: write the address of a coordinator")
+
+// Check returns what is wrong with the addresses, which petrelhookctl has from its flag --addrs.
 func (o *Operator) Check() error {
 	if len(o.Addrs) == 0 {
-		return errors.New("--addrs: write the address of a coordinator")
+		return errNoAddrs
 	}
 	for _, addr := range o.Addrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
--- a/internal/coordination/lease/command.go
+++ b/internal/coordination/lease/command.go
@@ -1,6 +1,7 @@
 package lease
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -58,6 +59,9 @@
 // OfClient reports whether a command comes from the client of a session.
 func (c *Command) OfClient() bool { return c.Kind >= Acquire && c.Kind <= Close }
 
+// errNoTransferTarget is the error of a Transfer that names no session.
+var errNoTransferTarget = errors.New("to: missing; write the session that is to have the lease")
+
 // Check returns what is wrong with a command of a client, before it gets into the log. The error names the field and says what to write.
 func (c *Command) Check() error {
 	switch c.Kind {
@@ -77,7 +81,7 @@
 			return fmt.Errorf("token: missing; %s needs that of the grant", c.Kind)
 		}
 		if c.TransferTo == 0 && c.Kind == Transfer {
-			return fmt.Errorf("to: missing; write the session that is to have the lease")
+			return errNoTransferTarget
 		}
 	case Close:
 	default:
--- a/internal/coordination/machine/service.go
+++ b/internal/coordination/machine/service.go
@@ -164,11 +164,10 @@
 
 // acceptOrder begins to carry out an order. The fence with its number is on the disk before anything is done.
 func (m *Machine) acceptOrder(managed *managedSidecar, token uint64, order rollout.Order) (*OrderResponse, error) {
-	if err := m.driver.fence.ObserveToken(token); err != nil {
-		return nil, connect.NewError(connect.CodeAborted, err)
-	}
 	known, err := m.driver.fence.Admit(token, order)
-	if err != nil {
+	if stale := (*rollout.StaleTokenError)(nil); errors.As(err, &stale) {
+		return nil, connect.NewError(connect.CodeAborted, stale)
+	} else if err != nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, err)
 	}
 	m.driver.lastContact = m.now()
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -18,6 +19,7 @@
 	"connectrpc.com/connect"
 
 	"petrelhook/internal/coordination/agent"
+	"petrelhook/internal/coordination/rollout"
 	"petrelhook/internal/coordination/rpc"
 	"petrelhook/internal/rig/process"
 )
@@ -149,3 +151,23 @@
 		}
 	}
 }
+
+// An order of an older driver is refused with another code than an order that came after a later one: a driver ends by the first alone.
+func TestCodesOfRefusedOrders(t *testing.T) {
+	m := &Machine{driver: driverContact{fence: rollout.Fence{Token: 5, LastOrders: map[string]uint64{"n0": 3}}}}
+	for _, c := range []struct {
+		token, number uint64
+		code          connect.Code
+		text          string
+	}{
+		{4, 4, connect.CodeAborted, "the driver with token 4: one with 5 was heard"},
+		{4, 2, connect.CodeAborted, "the driver with token 4: one with 5 was heard"},
+		{5, 2, connect.CodeFailedPrecondition, "order 2: order 3 came after it"},
+	} {
+		_, err := m.acceptOrder(nil, c.token, rollout.Order{Number: c.number, Sidecar: "n0", Release: "r"})
+		var refusal *connect.Error
+		if !errors.As(err, &refusal) || refusal.Code() != c.code || refusal.Message() != c.text {
+			t.Errorf("token %d, order %d: %v", c.token, c.number, err)
+		}
+	}
+}
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -49,8 +49,21 @@
 var (
 	checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-	errNoReplica = errors.New("there is no replica")
-	errMissing   = errors.New("missing: this is not all of a replica")
+	errMissing = errors.New("missing: this is not all of a replica")
+)
+
+// Errors of Create and Open, wrapped with the path of the file.
+var (
+	// ErrExists says that the folder has a replica already.
+	ErrExists = errors.New("there is a replica already")
+	// ErrNoReplica says that the folder has no replica.
+	ErrNoReplica = errors.New("there is no replica")
+	// ErrLocked says that another process uses the replica.
+	ErrLocked = errors.New("another process has it")
+	// ErrDamaged says that the file's content is not what was written.
+	ErrDamaged = errors.New("damaged")
+	// ErrTruncated says that the file is shorter than what was written.
+	ErrTruncated = errors.New("cut off")
 )
 
 // Disk is an open file.
@@ -67,11 +80,12 @@
 	return !errors.Is(err, os.ErrNotExist)
 }
 
-// Create makes the file of a new replica. It is made under another name and renamed, so that there is all of it or none.
+// Create makes the file of a new replica. It is made under another name and renamed, so that there is all of it or none. The error is
+// ErrExists or one of the disk.
 func Create(dir string, id uint64, initial *replica.PersistedState) (err error) {
 	path := filepath.Join(dir, fileName)
 	if Exists(dir) {
-		return fmt.Errorf("%s: there is a replica already", path)
+		return fmt.Errorf("%s: %w", path, ErrExists)
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -118,20 +132,21 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Open reads a replica. Damage is an error that names the offset, and then nothing is changed.
+// Open reads a replica. An error says where the file is not what was written, and nothing is changed then. Callers may tell
+// ErrNoReplica, ErrLocked, ErrDamaged and ErrTruncated apart; others come from bbolt or from the system.
 func Open(dir string) (d *Disk, persisted *replica.PersistedState, err error) {
 	path := filepath.Join(dir, fileName)
 	if !Exists(dir) {
-		return nil, nil, fmt.Errorf("%s: %w", path, errNoReplica)
+		return nil, nil, fmt.Errorf("%s: %w", path, ErrNoReplica)
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil { // bbolt panics at a page that is not one, and faults beyond the end of the file
-			d, persisted, err = nil, nil, fmt.Errorf("%s: damaged: %v", path, r)
+			d, persisted, err = nil, nil, fmt.Errorf("%s: %w: %v", path, ErrDamaged, r)
 		}
 	}()
 	if info, err := os.Stat(path); err != nil || info.Size() == 0 { // bbolt would make a new file of it
-		return nil, nil, errors.Join(err, fmt.Errorf("%s: offset 0: cut off: it is empty", path))
+		return nil, nil, errors.Join(err, fmt.Errorf("%s: offset 0: %w: it is empty", path, ErrTruncated))
 	}
 	// First without the free list, which bbolt makes from pages whose content it trusts.
 	readOnly := options()
@@ -150,7 +165,7 @@
 func open(path string, o *bbolt.Options) (*Disk, *replica.PersistedState, error) {
 	db, err := bbolt.Open(path, 0o600, o)
 	if errors.Is(err, berrors.ErrTimeout) {
-		return nil, nil, fmt.Errorf("%s: another process has it", path)
+		return nil, nil, fmt.Errorf("%s: %w", path, ErrLocked)
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: offset 0: %w", path, err)
@@ -171,7 +186,7 @@
 	if info, err := os.Stat(d.path); err != nil {
 		return err
 	} else if info.Size() < tx.Size() {
-		return fmt.Errorf("%s: offset %d: cut off; %d bytes belong to it", d.path, info.Size(), tx.Size())
+		return fmt.Errorf("%s: offset %d: %w; %d bytes belong to it", d.path, info.Size(), ErrTruncated, tx.Size())
 	}
 	meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 	if meta == nil || log == nil {
@@ -272,7 +287,7 @@
 	}
 	offset := uintptr(unsafe.Pointer(unsafe.SliceData(record))) - d.db.Info().Data // the file is mapped
 	if len(record) < checksumSize || binary.BigEndian.Uint32(record) != checksum(key, record[checksumSize:]) {
-		return nil, fmt.Errorf("offset %d: damaged: the checksum does not match", offset)
+		return nil, fmt.Errorf("offset %d: %w: the checksum does not match", offset, ErrDamaged)
 	}
 	return append([]byte(nil), record[checksumSize:]...), nil
 }
--- a/internal/coordination/replica/disk/disk_test.go
+++ b/internal/coordination/replica/disk/disk_test.go
@@ -1,6 +1,7 @@
 package disk
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -53,7 +54,7 @@
 	if err != nil || d.Incarnation != incarnation || len(persisted.Entries) != 199 || persisted.Entries[198].GetTerm() != 2 || persisted.HardState.GetTerm() != 2 {
 		t.Fatalf("%v, %d entries", err, len(persisted.Entries))
 	}
-	if _, _, err := Open(dir); err == nil || !strings.Contains(err.Error(), "another process has it") {
+	if _, _, err := Open(dir); !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), "another process has it") {
 		t.Errorf("%v", err)
 	}
 	if err := d.SaveSnapshot(&pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(180)}}, 170); err != nil {
@@ -64,8 +65,11 @@
 		t.Fatalf("%v, %v", err, persisted)
 	}
 	d.Close()
-	if err := Create(dir, 3, &replica.PersistedState{}); err == nil {
-		t.Error("a second replica was made in the folder")
+	if err := Create(dir, 3, &replica.PersistedState{}); !errors.Is(err, ErrExists) {
+		t.Errorf("a second replica in the folder: %v", err)
+	}
+	if _, _, err := Open(t.TempDir()); !errors.Is(err, ErrNoReplica) {
+		t.Errorf("%v", err)
 	}
 }
 
@@ -80,13 +84,14 @@
 	flip := func(at int) []byte { b := append([]byte(nil), intact...); b[at] ^= 4; return b }
 	inLog := strings.LastIndex(string(intact), "entryentry")
 	for name, c := range map[string]struct {
-		text []byte
-		want string
+		text  []byte
+		want  string
+		cause error // nil: one of bbolt's
 	}{
-		"an entry":     {flip(inLog), "offset"},
-		"cut off":      {intact[:inLog], "offset"},
-		"nothing":      {intact[:0], "offset 0: cut off"},
-		"both headers": {append(make([]byte, 8192), intact[8192:]...), "offset 0"},
+		"an entry":     {flip(inLog), "offset", ErrDamaged},
+		"cut off":      {intact[:inLog], "offset", ErrTruncated},
+		"nothing":      {intact[:0], "offset 0: cut off", ErrTruncated},
+		"both headers": {append(make([]byte, 8192), intact[8192:]...), "offset 0", nil},
 	} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, fileName)
@@ -94,7 +99,7 @@
 			t.Fatal(err)
 		}
 		_, _, err := Open(dir)
-		if err == nil || !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), c.want) {
+		if err == nil || !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), c.want) || c.cause != nil && !errors.Is(err, c.cause) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/coordination/rollout/command.go
+++ b/internal/coordination/rollout/command.go
@@ -43,6 +43,12 @@
 	ErrOtherEvents = errors.New("there were other events meanwhile")
 )
 
+// Errors of Command.Check.
+var (
+	errStartOrEvents = errors.New("write a start, or events")
+	errWrongSender   = errors.New("operators pause, resume and abort, without a token; all else is a driver's, with one")
+)
+
 // MaxEvents is how many events one command may have.
 const MaxEvents = 512
 
@@ -60,7 +66,7 @@
 	case c.Change == "" || len(c.Change) > maxName:
 		return fmt.Errorf("change: %q; write a name of 1 to %d bytes", c.Change, maxName)
 	case (c.Start == nil) == (len(c.Events) == 0):
-		return errors.New("write a start, or events")
+		return errStartOrEvents
 	case len(c.Events) > MaxEvents:
 		return fmt.Errorf("%d events; write %d at most", len(c.Events), MaxEvents)
 	case c.Start != nil && len(c.Start.Members) > maxMembers:
@@ -71,7 +77,7 @@
 			return fmt.Errorf("a tally of %d cells; %d at most", len(e.Verdict.Cells), maxCells)
 		}
 		if operators := e.Pause != "" || e.Resume || e.Abort != ""; operators != (c.Token == 0) {
-			return errors.New("operators pause, resume and abort, without a token; all else is a driver's, with one")
+			return errWrongSender
 		}
 	}
 	return nil
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"reflect"
 	"slices"
@@ -322,6 +323,18 @@
 	admit(6, 2, "", false)
 	admit(5, 3, "one with 6 was heard", false)
 	admit(6, 1, "order 2 came after it", false)
+
+	var staleToken *StaleTokenError
+	if _, err := f.Admit(5, Order{3, "n", "new"}); !errors.As(err, &staleToken) || *staleToken != (StaleTokenError{5, 6}) || err.Error() != "order 3 of the driver with token 5: one with 6 was heard" {
+		t.Errorf("%v", err)
+	}
+	if err := f.ObserveToken(4); err == nil || err.Error() != "the driver with token 4: one with 6 was heard" {
+		t.Errorf("%v", err)
+	}
+	var staleOrder *StaleOrderError
+	if _, err := f.Admit(6, Order{1, "n", "new"}); !errors.As(err, &staleOrder) || *staleOrder != (StaleOrderError{1, 2}) || err.Error() != "order 1: order 2 came after it" {
+		t.Errorf("%v", err)
+	}
 }
 
 // Plans that do not fit are errors that name the field, before anything is changed.
--- a/internal/coordination/rollout/snapshot.go
+++ b/internal/coordination/rollout/snapshot.go
@@ -2,10 +2,17 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"time"
 )
 
+// Errors of a snapshot that this package has not written.
+var (
+	errNoCurrentChange   = errors.New("it has no current change")
+	errInconsistentState = errors.New("the state of a change is inconsistent")
+)
+
 // Snapshot returns the register as JSON.
 func (r *Register) Snapshot() json.RawMessage { return marshal(r.applications) }
 
@@ -29,7 +36,7 @@
 	}
 	for name, app := range r.applications {
 		if app == nil || app.Current == nil || app.Current.State == nil {
-			return nil, fmt.Errorf("changes: %s has none", name)
+			return nil, fmt.Errorf("changes: application %q: %w", name, errNoCurrentChange)
 		}
 	}
 	return r, nil
@@ -82,12 +89,12 @@
 		s.sidecarNames = append(s.sidecarNames, sidecar.Name)
 	}
 	if record.Phase > Stopped || record.Stage < 1 || record.Stage > len(record.Stages) || len(record.Stages) != len(record.Plan.Stages) {
-		return fmt.Errorf("stage %d of %d, phase %d", record.Stage, len(record.Stages), record.Phase)
+		return fmt.Errorf("%w: stage %d of %d, phase %d", errInconsistentState, record.Stage, len(record.Stages), record.Phase)
 	}
 	for _, stage := range record.Stages {
 		for _, name := range stage {
 			if s.sidecars[name] == nil {
-				return fmt.Errorf("nothing of %s", name)
+				return fmt.Errorf("%w: stage has sidecar %q, of which nothing is recorded", errInconsistentState, name)
 			}
 		}
 	}
--- a/internal/coordination/rollout/stages.go
+++ b/internal/coordination/rollout/stages.go
@@ -1,6 +1,7 @@
 package rollout
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 )
@@ -32,6 +33,12 @@
 	return stages, nil
 }
 
+// Errors of a selector.
+var (
+	errSelectorFields = errors.New("write one of names, zone, count, share")
+	errNoneSelected   = errors.New("it takes nobody")
+)
+
 // check finds what is wrong with a selector by itself.
 func (s Selector) check() error {
 	given := 0
@@ -42,7 +49,7 @@
 	}
 	switch {
 	case given != 1:
-		return fmt.Errorf("write one of names, zone, count, share")
+		return errSelectorFields
 	case s.Share != 0 && !(s.Share > 0 && s.Share <= 1): // so that NaN is refused too
 		return fmt.Errorf("share: %v; write one above 0 and up to 1", s.Share)
 	case s.Count < 0:
@@ -69,7 +76,7 @@
 		selected, err = s.pickNumber(left, total)
 	}
 	if err == nil && len(selected) == 0 {
-		err = fmt.Errorf("it takes nobody")
+		err = errNoneSelected
 	}
 	if err != nil {
 		return nil, err
