--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -12,6 +12,7 @@
 	"petrelhook/internal/coordination/evidence"
 	"petrelhook/internal/coordination/fleet"
 	"petrelhook/internal/coordination/rollout"
+	"petrelhook/internal/coordination/rpc"
 	"petrelhook/lease"
 )
 
@@ -61,10 +62,7 @@
 	for ctx.Err() == nil {
 		held, err := client.Hold(ctx, LeaseName)
 		if err != nil {
-			select {
-			case <-ctx.Done():
-			case <-time.After(d.Interval):
-			}
+			rpc.Pause(ctx, d.Interval)
 			continue
 		}
 		d.driveWith(ctx, held)
--- a/internal/coordination/fleet/caller.go
+++ b/internal/coordination/fleet/caller.go
@@ -13,6 +13,7 @@
 	"connectrpc.com/connect"
 
 	"petrelhook/internal/coordination/replica"
+	"petrelhook/internal/coordination/rpc"
 )
 
 // Caller sends requests to coordinators, beginning with the one that answered last, until one that leads has answered. Requests have to be
@@ -20,17 +21,18 @@
 type Caller struct {
 	Addrs      []string
 	HTTPClient *http.Client
-	// Timeout bounds one call; 0: what the context leaves.
+	// Timeout bounds one call; 0: only the context does.
 	Timeout time.Duration
-	// RetryInterval is the longest pause before the next coordinator is tried. Once all have been, the coordinators say how long.
+	// RetryInterval is the longest delay before the next coordinator is tried. Once all have been, the last one's response says how long.
 	RetryInterval time.Duration
 
 	mu      sync.Mutex
 	current int // the index of the coordinator to try next
 }
 
-// Call sends a request until it is answered, or refused for good, or ctx ends. beforeAttempt, unless it is nil, is called before each
-// attempt.
+// Call sends a request until a leader answers it, or a coordinator refuses it for good (IsPermanent), or ctx ends. A change of the membership
+// ends with an error, too, where its outcome is unknown or another one is pending (replica.ErrMembershipChangePending). An error names the
+// coordinator that was called last. beforeAttempt, unless it is nil, is called before each attempt.
 func (c *Caller) Call(ctx context.Context, in *Request, beforeAttempt func()) (*Response, error) {
 	in.Version = Version
 	for attempt := 1; ; attempt++ {
@@ -42,20 +44,20 @@
 		if err == nil && out.Err == "" {
 			return &out.Response, nil
 		}
-		pause, leader := c.RetryInterval, ""
+		delay, leader := c.RetryInterval, ""
 		if err == nil {
 			err = newResponseError(out.ErrorCode, out.Err)
 			if sentOnce(in) && (out.OutcomeUnknown || errors.Is(err, replica.ErrMembershipChangePending)) {
 				return nil, fmt.Errorf("%s: %w", addr, err)
 			}
 			if leader = out.Leader; attempt%len(c.Addrs) == 0 {
-				pause = time.Duration(out.RetryAfterMs) * time.Millisecond
+				delay = time.Duration(out.RetryAfterMs) * time.Millisecond
 			}
 		} else if IsPermanent(err) {
 			return nil, fmt.Errorf("%s: %w", addr, err)
 		}
 		c.moveOn(leader)
-		if !sleep(ctx, pause) {
+		if !rpc.Pause(ctx, withJitter(delay)) {
 			return nil, fmt.Errorf("%s: %w: %w", addr, err, context.Cause(ctx))
 		}
 	}
@@ -78,17 +80,8 @@
 	}
 }
 
-// sleep waits for half to the whole of a pause, so that callers do not come back at the same moment; it returns false when ctx has ended.
-func sleep(ctx context.Context, pause time.Duration) bool {
-	timer := time.NewTimer(pause/2 + rand.N(pause/2+1))
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
+// withJitter returns half to the whole of a delay, so that callers do not come back at the same moment.
+func withJitter(delay time.Duration) time.Duration { return delay/2 + rand.N(delay/2+1) }
 
 // attempt makes one call at one coordinator.
 func (c *Caller) attempt(ctx context.Context, addr string, in *Request) (*codedResponse, error) {
--- a/internal/coordination/fleet/peer.go
+++ b/internal/coordination/fleet/peer.go
@@ -11,6 +11,8 @@
 	"connectrpc.com/connect"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"petrelhook/internal/coordination/rpc"
 )
 
 const (
@@ -76,10 +78,8 @@
 			return
 		}
 		p.server.post(func() { p.server.core.ReportUnreachable(p.id) })
-		select {
-		case <-ctx.Done():
+		if !rpc.Pause(ctx, peerRetryDelay) {
 			return
-		case <-time.After(peerRetryDelay):
 		}
 	}
 }
--- a/internal/coordination/machine/process.go
+++ b/internal/coordination/machine/process.go
@@ -29,15 +29,9 @@
 	if err != nil {
 		return nil, err
 	}
-	_, rest, ok := bytes.Cut(text, []byte(") ")) // the end of the name, which may contain the same bytes
-	for next := true; next; {
-		var more []byte
-		if _, more, next = bytes.Cut(rest, []byte(") ")); next {
-			rest = more
-		}
-	}
-	fields := strings.Fields(string(rest))
-	if !ok || len(fields) < statFields {
+	endOfName := bytes.LastIndexByte(text, ')') // the name, which is before it, may contain the same byte
+	fields := strings.Fields(string(text[endOfName+1:]))
+	if endOfName < 0 || len(fields) < statFields {
 		return nil, fmt.Errorf("/proc/%d/stat: it cannot be read", pid)
 	}
 	// A process may go on after its first thread has ended: while another of its threads becomes a new program, as in BecomeSidecar,
--- a/internal/coordination/release/rules.go
+++ b/internal/coordination/release/rules.go
@@ -14,6 +14,14 @@
 	classify func(old, new any) (Kind, string)
 }
 
+// The reasons of rules for what a sidecar decides by itself.
+const (
+	localWeight = "it weighs what each sidecar does by itself"
+	localLimit  = "each sidecar keeps to its own"
+	localShare  = "each sidecar keeps to its own share"
+	localTarget = "it is a latency target of each sidecar"
+)
+
 // rules has all fields that the program reads; the first pattern that matches counts. A field without a rule is one that the program does
 // not read, which may differ. TestEveryFieldHasARule compares the table with the program.
 var rules = []rule{
@@ -50,16 +58,16 @@
 		Refused, "clients wait no longer than the old one: what is sent after that runs for nobody; have clients wait longer, under a class of another name",
 		SideBySide, "new sidecars give up sooner")},
 	{"settings.classes[*].stream", alwaysKind(TwoSteps, "a stream is another exchange: add a class of another name, move clients to it")},
-	{"settings.classes[*].on_time_ms", alwaysKind(SideBySide, "it is a latency target of each sidecar")},
-	{"settings.classes[*].aim_stretch", alwaysKind(SideBySide, "it is a latency target of each sidecar")},
+	{"settings.classes[*].on_time_ms", alwaysKind(SideBySide, localTarget)},
+	{"settings.classes[*].aim_stretch", alwaysKind(SideBySide, localTarget)},
 	{"settings.classes[*].worth", alwaysKind(SideBySide, "each sidecar sheds load by its own; shares of classes differ until all are changed")},
 	{"settings.classes[*].late_worth", alwaysKind(SideBySide, "each sidecar sheds load by its own")},
 	{"settings.tenants", appendedOnly},
 	{"settings.tenants[*]", alwaysKind(SideBySide, "one that a sidecar does not know has no allowance there")},
-	{"settings.tenants[*].allowance_per_s", alwaysKind(SideBySide, "each sidecar keeps to its own share")},
-	{"settings.tenants[*].share", alwaysKind(SideBySide, "each sidecar keeps to its own share")},
-	{"settings.zones*", alwaysKind(Refused, "what was learned of zones is handed over by position: keep the list, or restart from nothing")},
-	{"settings.kinds*", alwaysKind(Refused, "what was learned of kinds of servers is handed over by position: keep the list, or restart from nothing")},
+	{"settings.tenants[*].allowance_per_s", alwaysKind(SideBySide, localShare)},
+	{"settings.tenants[*].share", alwaysKind(SideBySide, localShare)},
+	{"settings.zones*", keptList("zones")},
+	{"settings.kinds*", keptList("kinds of servers")},
 	{"settings.zone", alwaysKind(Refused, "a sidecar does not move: start it elsewhere")},
 	{"settings.discovery", alwaysKind(TwoSteps, "lists are polled or pushed: first discovery must do both, then change the sidecars, then end the old way")},
 	{"settings.my_number", alwaysKind(Refused, "it is one sidecar's own")},
@@ -95,11 +103,6 @@
 	{"settings.family_info.warm_keys", alwaysKind(SideBySide, "keys move to other servers until all are changed")},
 }
 
-const (
-	localWeight = "it weighs what each sidecar does by itself"
-	localLimit  = "each sidecar keeps to its own"
-)
-
 // appendedOnly classifies an ordered list of names: what was learned is handed over by position, so that names may be added and removed at
 // the end alone.
 func appendedOnly(old, new any) (Kind, string) {
@@ -110,6 +113,11 @@
 	return Refused, "what was learned is handed over by position: keep the order, add at the end and remove from the end"
 }
 
+// keptList classifies an ordered list that must not change.
+func keptList(of string) func(any, any) (Kind, string) {
+	return alwaysKind(Refused, "what was learned of "+of+" is handed over by position: keep the list, or restart from nothing")
+}
+
 // permission classifies a permission: what has to be done elsewhere before it is given.
 func permission(first string) func(any, any) (Kind, string) {
 	return func(_, new any) (Kind, string) {
--- a/internal/coordination/rollout/advance.go
+++ b/internal/coordination/rollout/advance.go
@@ -141,22 +141,24 @@
 		later = append(later, stage...)
 	}
 	wanted := s.Plan.Stages[s.Stage-1].ControlCount
-	// pick adds one sidecar of a zone, or of any zone as many as are wanted.
-	pick := func(zone string, any bool) {
+	// pick adds at most a number of sidecars that are not picked yet, of those that match.
+	pick := func(most int, matches func(*Sidecar) bool) {
 		for _, name := range slices.Backward(later) {
-			if sidecar := s.sidecars[name]; len(controls) < wanted && (any || sidecar.Zone == zone) && !slices.Contains(controls, sidecar) {
-				if controls = append(controls, sidecar); !any {
-					return
-				}
+			if most == 0 || len(controls) >= wanted {
+				return
+			}
+			if sidecar := s.sidecars[name]; matches(sidecar) && !slices.Contains(controls, sidecar) {
+				controls = append(controls, sidecar)
+				most--
 			}
 		}
 	}
 	for before := -1; len(controls) > before && len(controls) < wanted; { // rounds of one for each of the stage's sidecars
 		before = len(controls)
 		for _, name := range s.stages[s.Stage-1] {
-			pick(s.sidecars[name].Zone, false)
+			pick(1, func(sidecar *Sidecar) bool { return sidecar.Zone == s.sidecars[name].Zone })
 		}
 	}
-	pick("", true)
+	pick(wanted, func(*Sidecar) bool { return true })
 	return controls
 }
--- /dev/null
+++ b/internal/coordination/rpc/pause.go
@@ -0,0 +1,21 @@
+package rpc
+
+import (
+	"context"
+	"time"
+)
+
+// Pause waits before the next attempt of a call. It returns false when ctx has ended.
+func Pause(ctx context.Context, d time.Duration) bool {
+	if d <= 0 {
+		return ctx.Err() == nil
+	}
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
--- a/internal/coordination/subscribe/subscribe.go
+++ b/internal/coordination/subscribe/subscribe.go
@@ -41,7 +41,7 @@
 	HTTPClient *http.Client
 }
 
-// Client is one agent's subscription.
+// Client is one agent's subscription. Report may be called from any goroutine, before and while Run runs.
 type Client struct {
 	options    Options
 	httpClient *http.Client
@@ -76,7 +76,7 @@
 	}
 }
 
-// Run watches until ctx ends.
+// Run watches until ctx ends. It is called once; Options.Store is called by its goroutine.
 func (c *Client) Run(ctx context.Context) {
 	defer c.httpClient.CloseIdleConnections()
 	began := time.Now()
@@ -91,7 +91,7 @@
 	background.Go(func() { c.sendReports(ctx, watches) })
 	for {
 		at, _ := s.NextCallAt()
-		if !sleep(ctx, at-now()) {
+		if !rpc.Pause(ctx, at-now()) {
 			return
 		}
 		call := s.Begin(now())
@@ -174,7 +174,7 @@
 			continue // that call carries the reports that there are
 		case <-c.wake:
 		}
-		if !sleep(ctx, reportDelay) { // reports that come together are sent together
+		if !rpc.Pause(ctx, reportDelay) { // reports that come together are sent together
 			continue
 		}
 		select {
@@ -195,18 +195,3 @@
 		}
 	}
 }
-
-// sleep waits; it returns false when ctx has ended.
-func sleep(ctx context.Context, d time.Duration) bool {
-	if d <= 0 {
-		return ctx.Err() == nil
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
