--- a/internal/router/gateway/fleet.go
+++ b/internal/router/gateway/fleet.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// fleetShrinkDelay is how long a fleet counts as large as it was after a smaller size was reported: a distributor that has just
+// fleetShrinkDelay is how long a fleet counts as large as it was after a smaller size was reported: a home that has just
 // started knows few of the other routers, and what each router may do by itself is its part of the total.
 const fleetShrinkDelay = 10 * time.Second
 
--- a/internal/router/gateway/fleet_test.go
+++ b/internal/router/gateway/fleet_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A distributor that has just started knows few routers; a fleet that has really shrunk is accepted after a delay.
+// A home that has just started knows few routers; a fleet that has really shrunk is accepted after a delay.
 func TestAFleetShrinksLate(t *testing.T) {
 	f := fleetSize{size: 1}
 	require.True(t, f.set(11, 0))
--- a/internal/router/gateway/health_signal_test.go
+++ b/internal/router/gateway/health_signal_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// The outcomes of attempts are reported to the distributor, and a server that it ejects gets no more requests.
+// The outcomes of attempts are reported to the home, and a server that it ejects gets no more requests.
 func TestReportsAndEjections(t *testing.T) {
 	r := newRig(t)
 	requests := 0
--- a/internal/router/outlier/detector.go
+++ b/internal/router/outlier/detector.go
@@ -9,13 +9,15 @@
 	suspicionFailures = 0.5             // failed attempts from which peers are informed
 )
 
-// Services is what a detector has to know of the registered servers.
+// Services is what a detector has to know of the registered servers. The detector calls it from within its own methods,
+// on their goroutine.
 type Services interface {
 	ServiceOf(server string) string   // "": it is not known, or may not be used
 	UsableServers(service string) int // the number of servers that requests may go to
 }
 
-// Detector is a distributor's evidence on servers, and its decisions. Its size grows with the servers that its reporters sent to recently.
+// Detector is a home's evidence on servers, and its decisions. Its size grows with the servers that its reporters sent
+// attempts to recently. Times are on the steady clock of the home.
 type Detector struct {
 	services   Services
 	servers    map[string]*server        // by ID
@@ -28,12 +30,12 @@
 	service       string
 	total         decayingCount // of all own reporters
 	reporters     map[string]*decayingCount
-	peers         map[string]peerSum // by distributor
+	peers         map[string]peerSum // by home
 	ejection      ejection
 	admittedUntil time.Duration // by an operator: until then it is not ejected
 }
 
-// peerSum is another distributor's last sum of a server.
+// peerSum is another home's last sum of a server.
 type peerSum struct {
 	Sum
 	receivedAt time.Duration
@@ -58,7 +60,8 @@
 	return s
 }
 
-// ApplyReport adds a router's report.
+// ApplyReport adds the report of a router that has this home. Entries of servers that are not usable, and those without
+// a count, are left out.
 func (d *Detector) ApplyReport(reporter string, r Report, now time.Duration) {
 	for i, id := range r.Servers {
 		if i >= len(r.Sent) || i >= len(r.Failed) {
@@ -85,16 +88,18 @@
 	return c
 }
 
-// ApplyPeerSums replaces the sums of another distributor, of the servers that it names.
-func (d *Detector) ApplyPeerSums(distributor string, sums []Sum, now time.Duration) {
+// ApplyPeerSums replaces what another home, the peer, last sent of the servers that the sums name. Its sums of other
+// servers stay until they expire.
+func (d *Detector) ApplyPeerSums(peer string, sums []Sum, now time.Duration) {
 	for _, sum := range sums {
 		if s := d.server(sum.Server); s != nil {
-			s.peers[distributor] = peerSum{sum, now}
+			s.peers[peer] = peerSum{sum, now}
 		}
 	}
 }
 
-// Sums are what other distributors have to know: of servers that own reporters or other distributors suspect.
+// Sums returns what the other homes have to know: of the servers that own reporters or other homes suspect. The caller
+// sends it to each of them, whose ApplyPeerSums gets it.
 func (d *Detector) Sums(now time.Duration) []Sum {
 	var out []Sum
 	for id, s := range d.servers {
@@ -111,9 +116,9 @@
 
 // suspected reports whether anybody saw the server fail recently. Of most servers nobody did, and they cost no more than this.
 func (s *server) suspected(now time.Duration) bool {
-	for distributor, sum := range s.peers {
+	for peer, sum := range s.peers {
 		if now-sum.receivedAt > peerSumTTL {
-			delete(s.peers, distributor)
+			delete(s.peers, peer)
 		}
 	}
 	if s.ejection.active || len(s.peers) > 0 {
@@ -126,7 +131,7 @@
 	return s.total.failed >= minTrialFailures
 }
 
-// suspectedByPeer reports whether another distributor saw the server fail; one that only answers this one's suspicion did not.
+// suspectedByPeer reports whether another home saw the server fail; one that only answers this one's suspicion did not.
 func (s *server) suspectedByPeer() bool {
 	for _, sum := range s.peers {
 		if sum.All.Failed >= suspicionFailures {
@@ -154,7 +159,7 @@
 	return sum
 }
 
-// fleetSum adds the sums of all other distributors to the own one.
+// fleetSum adds the sums of all other homes to the own one.
 func (s *server) fleetSum(own Sum) Sum {
 	for _, sum := range s.peers {
 		own.All.add(sum.All)
--- a/internal/router/outlier/doc.go
+++ b/internal/router/outlier/doc.go
@@ -2,10 +2,11 @@
 // detection). It is pure: time is handed in, nothing is sent. Each type is for one goroutine at a time.
 //
 // One router of many sends a server too little to see that it fails a fraction of its requests while its health checks
-// succeed. So each router counts its attempts in a Tally and reports them to its distributor; distributors send one another the sums of servers that
-// are suspected; and each distributor's Detector decides, for the routers that report to it, which servers are ejected for some time.
+// succeed. So each router counts its attempts in a Tally and reports them to its home, the core member
+// that it subscribes to; homes send one another the sums of servers that
+// are suspected; and each home's Detector decides, for the routers that report to it, which servers are ejected for some time.
 //
-// Two sums are judged: that of the distributor's own reporters, for a server may fail for the callers of one zone alone, and that
+// Two sums are judged: that of the home's own reporters, for a server may fail for the callers of one zone alone, and that
 // of the whole fleet, which sees more.
 //
 // It does not say what counts as a failed attempt (package gateway), nor which server gets a request instead (package placement).
--- a/internal/router/outlier/explain.go
+++ b/internal/router/outlier/explain.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Finding is what a distributor believes of a server that failed for somebody recently, and from what. It is part of a router's status.
+// Finding is what a home knows of a server that failed for somebody recently, and what it decided. It is part of a
+// router's status.
 type Finding struct {
 	Server   string
 	Service  string
-	Own      Count // what the distributor's own reporters saw, decaying exponentially
+	Own      Count // what the home's own reporters saw, decaying exponentially
 	Fleet    Count // what all reporters saw
 	Ejected  bool
 	For      time.Duration // remaining time of the ejection, at least
--- a/internal/router/outlier/judge.go
+++ b/internal/router/outlier/judge.go
@@ -51,7 +51,7 @@
 	return seen.Failed >= minTrialFailures && seen.failureRatio() >= minFailureRatio
 }
 
-// Judge begins, extends and ends ejections, and returns the present ones, ordered by ID. Reporting is the fraction of the fleet that reports to this distributor.
+// Judge begins, extends and ends ejections, and returns the present ones, ordered by ID. Reporting is the fraction of the fleet that reports to this home.
 func (d *Detector) Judge(reporting float64, now time.Duration) []Ejection {
 	d.prune(now)
 	var out []Ejection
@@ -113,7 +113,7 @@
 	}
 }
 
-// ratioLimit is the failure ratio from which a server of a service is an outlier. Servers without failures in any distributor's reports
+// ratioLimit is the failure ratio from which a server of a service is an outlier. Servers without failures in any home's reports
 // count as well.
 func ratioLimit(suspects []*suspect, usable int) float64 {
 	ratios := make([]float64, max(usable, len(suspects)))
--- a/internal/router/outlier/outlier_test.go
+++ b/internal/router/outlier/outlier_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testFleet is some routers, each with a distributor, and servers that fail fractions of their requests, in virtual time.
+// testFleet is some routers, each with a home, and servers that fail fractions of their requests, in virtual time.
 type testFleet struct {
 	random             *rand.Rand
-	distributors       []*Detector
-	tallies            []*Tally // router i has distributor i mod len(distributors)
+	homes              []*Detector
+	tallies            []*Tally // router i has home i mod len(homes)
 	servers            map[string]string
 	failureProbability func(server string, router int) float64 // probability
-	ejected            []map[string]float64                    // by distributor
+	ejected            []map[string]float64                    // by home
 	now                time.Duration
 	sent               map[string]int
 	failed             map[string]int
@@ -38,14 +38,14 @@
 	return n
 }
 
-func newTestFleet(seed uint64, distributors, routers, servers int) *testFleet {
+func newTestFleet(seed uint64, homes, routers, servers int) *testFleet {
 	f := &testFleet{random: rand.New(rand.NewPCG(seed, 1)), servers: map[string]string{}, sent: map[string]int{}, failed: map[string]int{},
 		failureProbability: func(string, int) float64 { return 0 }}
 	for i := range servers {
 		f.servers[serverName(i)] = "s"
 	}
-	for range distributors {
-		f.distributors = append(f.distributors, NewDetector(f))
+	for range homes {
+		f.homes = append(f.homes, NewDetector(f))
 		f.ejected = append(f.ejected, map[string]float64{})
 	}
 	for range routers {
@@ -57,15 +57,15 @@
 func serverName(i int) string { return fmt.Sprintf("s%02d", i) }
 
 // pick is a router's choice: a trial, or any server that is not ejected.
-func (f *testFleet) pick(distributor int) string {
-	for _, id := range slices.Sorted(maps.Keys(f.ejected[distributor])) {
-		if f.random.Float64() < f.ejected[distributor][id] {
+func (f *testFleet) pick(home int) string {
+	for _, id := range slices.Sorted(maps.Keys(f.ejected[home])) {
+		if f.random.Float64() < f.ejected[home][id] {
 			return id
 		}
 	}
-	everywhere := len(f.ejected[distributor]) == len(f.servers)
+	everywhere := len(f.ejected[home]) == len(f.servers)
 	for {
-		if id := serverName(f.random.IntN(len(f.servers))); everywhere || f.ejected[distributor][id] == 0 {
+		if id := serverName(f.random.IntN(len(f.servers))); everywhere || f.ejected[home][id] == 0 {
 			return id
 		}
 	}
@@ -77,7 +77,7 @@
 	for end := f.now + span; f.now < end; f.now += step {
 		for range int(rate*step.Seconds() + f.random.Float64()) {
 			router := f.random.IntN(len(f.tallies))
-			id := f.pick(router % len(f.distributors))
+			id := f.pick(router % len(f.homes))
 			failed := f.random.Float64() < f.failureProbability(id, router)
 			f.tallies[router].Add(id, failed)
 			f.sent[id]++
@@ -87,19 +87,19 @@
 		}
 		for i, t := range f.tallies {
 			if r, ok := t.Take(f.now); ok {
-				f.distributors[i%len(f.distributors)].ApplyReport(fmt.Sprint(i), r, f.now)
+				f.homes[i%len(f.homes)].ApplyReport(fmt.Sprint(i), r, f.now)
 			}
 		}
-		for i, distributor := range f.distributors {
-			for j, other := range f.distributors {
+		for i, home := range f.homes {
+			for j, other := range f.homes {
 				if i != j {
-					other.ApplyPeerSums(fmt.Sprint(i), distributor.Sums(f.now), f.now)
+					other.ApplyPeerSums(fmt.Sprint(i), home.Sums(f.now), f.now)
 				}
 			}
 		}
-		for i, distributor := range f.distributors {
+		for i, home := range f.homes {
 			f.ejected[i] = map[string]float64{}
-			for _, e := range distributor.Judge(1/float64(len(f.distributors)), f.now) {
+			for _, e := range home.Judge(1/float64(len(f.homes)), f.now) {
 				f.ejected[i][e.Server] = e.Trial
 			}
 		}
@@ -116,7 +116,7 @@
 }
 
 // The fleets of the tables: the small deployments and the grown ones.
-var fleets = map[string]struct{ distributors, routers, servers, rate int }{
+var fleets = map[string]struct{ homes, routers, servers, rate int }{
 	"11 routers, 14 servers": {4, 11, 14, 250},
 	"9 routers, 3 servers":   {3, 9, 3, 60},
 	"92 routers, 44 servers": {5, 92, 44, 770},
@@ -128,14 +128,14 @@
 func TestAServerThatFailsInPart(t *testing.T) {
 	for title, size := range fleets {
 		for _, ratio := range []float64{0.3, 0.5, 1} {
-			f := newTestFleet(1, size.distributors, size.routers, size.servers)
+			f := newTestFleet(1, size.homes, size.routers, size.servers)
 			f.run(float64(size.rate), 5*time.Second)
-			for i := range f.distributors {
+			for i := range f.homes {
 				require.Empty(t, f.ejected[i], title)
 			}
 			f.failOnly("s01", ratio)
 			f.run(float64(size.rate), 3*time.Second)
-			for i := range f.distributors {
+			for i := range f.homes {
 				require.Contains(t, f.ejected[i], "s01", "%s, %.1f", title, ratio)
 			}
 			before := f.sent["s01"]
@@ -145,7 +145,7 @@
 			require.Positive(t, trials)
 			f.failOnly("", 0)
 			f.run(float64(size.rate), 15*time.Second)
-			for i := range f.distributors {
+			for i := range f.homes {
 				require.Empty(t, f.ejected[i], title)
 			}
 		}
@@ -156,7 +156,7 @@
 // consecutive errors.
 func TestSharedEvidenceBesideNone(t *testing.T) {
 	for title, size := range fleets {
-		f := newTestFleet(2, size.distributors, size.routers, size.servers)
+		f := newTestFleet(2, size.homes, size.routers, size.servers)
 		f.failOnly("s01", 0.4)
 		f.run(float64(size.rate), 10*time.Second)
 		alone := 0.4 * float64(size.rate) / float64(size.servers) * 10
@@ -178,8 +178,8 @@
 		}
 		for range 50 {
 			f.run(400, 100*time.Millisecond)
-			for _, distributor := range []int{0, 1, 3} {
-				require.NotContains(t, f.ejected[distributor], "s01")
+			for _, home := range []int{0, 1, 3} {
+				require.NotContains(t, f.ejected[home], "s01")
 			}
 		}
 		require.Contains(t, f.ejected[2], "s01")
@@ -193,21 +193,21 @@
 		ejected int
 	}{{2, 1}, {ownSendsToOverrule + 2, 0}} {
 		f := newTestFleet(9, 1, 1, 4)
-		f.distributors[0].ApplyReport("own", Report{Servers: []string{"s01"}, Sent: []uint16{c.own / 2}, Failed: []uint16{0}}, 0)
-		f.distributors[0].ApplyReport("another", Report{Servers: []string{"s01"}, Sent: []uint16{c.own / 2}, Failed: []uint16{0}}, 0)
-		f.distributors[0].ApplyPeerSums("peer", []Sum{{Server: "s01", All: Count{Sent: 40, Failed: 30}, Worst: Count{Sent: 4, Failed: 3}}}, 0)
-		require.Len(t, f.distributors[0].Judge(1, 0), c.ejected, "%d own sends", c.own)
+		f.homes[0].ApplyReport("own", Report{Servers: []string{"s01"}, Sent: []uint16{c.own / 2}, Failed: []uint16{0}}, 0)
+		f.homes[0].ApplyReport("another", Report{Servers: []string{"s01"}, Sent: []uint16{c.own / 2}, Failed: []uint16{0}}, 0)
+		f.homes[0].ApplyPeerSums("peer", []Sum{{Server: "s01", All: Count{Sent: 40, Failed: 30}, Worst: Count{Sent: 4, Failed: 3}}}, 0)
+		require.Len(t, f.homes[0].Judge(1, 0), c.ejected, "%d own sends", c.own)
 	}
 }
 
 // A reporter with many successful attempts does not outweigh many reporters that see a server fail.
 func TestOneReporterDoesNotHideWhatOthersSee(t *testing.T) {
 	f := newTestFleet(9, 1, 1, 4)
-	f.distributors[0].ApplyReport("much", Report{Servers: []string{"s01"}, Sent: []uint16{200}, Failed: []uint16{0}}, 0)
+	f.homes[0].ApplyReport("much", Report{Servers: []string{"s01"}, Sent: []uint16{200}, Failed: []uint16{0}}, 0)
 	for i := range 5 {
-		f.distributors[0].ApplyReport(fmt.Sprint("little ", i), Report{Servers: []string{"s01"}, Sent: []uint16{4}, Failed: []uint16{3}}, 0)
+		f.homes[0].ApplyReport(fmt.Sprint("little ", i), Report{Servers: []string{"s01"}, Sent: []uint16{4}, Failed: []uint16{3}}, 0)
 	}
-	require.Len(t, f.distributors[0].Judge(1, 0), 1)
+	require.Len(t, f.homes[0].Judge(1, 0), 1)
 }
 
 // Whatever is reported, half of a service's servers stay; where all fail alike none is ejected.
@@ -215,7 +215,7 @@
 	f := newTestFleet(4, 3, 20, 6)
 	f.failureProbability = func(string, int) float64 { return 0.5 }
 	f.run(400, 10*time.Second)
-	for i := range f.distributors {
+	for i := range f.homes {
 		require.Empty(t, f.ejected[i])
 	}
 	f.failureProbability = func(id string, _ int) float64 {
@@ -225,7 +225,7 @@
 		return 0
 	}
 	f.run(400, 20*time.Second)
-	for i := range f.distributors {
+	for i := range f.homes {
 		require.Len(t, f.ejected[i], 3)
 	}
 	f.failureProbability = func(id string, _ int) float64 {
@@ -235,7 +235,7 @@
 		return 0
 	}
 	f.run(400, 10*time.Second)
-	for i := range f.distributors {
+	for i := range f.homes {
 		require.LessOrEqual(t, len(f.ejected[i]), 3)
 	}
 	f = newTestFleet(4, 6, 36, 6)
@@ -259,7 +259,7 @@
 		return 0.004
 	}
 	f.run(300, 20*time.Second)
-	for i := range f.distributors {
+	for i := range f.homes {
 		require.Empty(t, f.ejected[i])
 	}
 	d := NewDetector(f)
@@ -293,25 +293,25 @@
 	f := newTestFleet(6, 2, 10, 5)
 	f.failOnly("s01", 0.8)
 	f.run(200, 5*time.Second)
-	require.NotEmpty(t, f.distributors[0].servers)
+	require.NotEmpty(t, f.homes[0].servers)
 	delete(f.servers, "s01")
-	f.distributors[0].Judge(1, f.now)
-	require.NotContains(t, f.distributors[0].servers, "s01")
-	f.distributors[0].Judge(1, f.now+time.Minute)
-	require.Empty(t, f.distributors[0].servers)
-	require.Empty(t, f.distributors[0].traffic)
+	f.homes[0].Judge(1, f.now)
+	require.NotContains(t, f.homes[0].servers, "s01")
+	f.homes[0].Judge(1, f.now+time.Minute)
+	require.Empty(t, f.homes[0].servers)
+	require.Empty(t, f.homes[0].traffic)
 }
 
-// Distributors that answer one another's suspicion end it together: a healthy server is not in their sums any more.
+// Homes that answer one another's suspicion end it together: a healthy server is not in their sums any more.
 func TestSuspicionEnds(t *testing.T) {
 	f := newTestFleet(7, 3, 12, 6)
 	f.failOnly("s01", 0.8)
 	f.run(300, 3*time.Second)
-	require.NotEmpty(t, f.distributors[0].Sums(f.now))
+	require.NotEmpty(t, f.homes[0].Sums(f.now))
 	f.failureProbability = func(string, int) float64 { return 0 }
 	f.run(300, 20*time.Second)
-	for _, distributor := range f.distributors {
-		require.Empty(t, distributor.Sums(f.now))
+	for _, home := range f.homes {
+		require.Empty(t, home.Sums(f.now))
 	}
 }
 
@@ -326,16 +326,16 @@
 	}
 	f.run(200, 5*time.Second)
 	require.Contains(t, f.ejected[0], "s01")
-	found := f.distributors[0].Explain(f.now)
+	found := f.homes[0].Explain(f.now)
 	require.Len(t, found, 1)
 	require.Equal(t, "s01", found[0].Server)
 	require.True(t, found[0].Ejected)
 	require.Greater(t, found[0].Own.failureRatio(), 0.5)
-	require.False(t, f.distributors[0].Admit("unknown", time.Minute, f.now))
-	require.True(t, f.distributors[0].Admit("s01", 10*time.Second, f.now))
+	require.False(t, f.homes[0].Admit("unknown", time.Minute, f.now))
+	require.True(t, f.homes[0].Admit("s01", 10*time.Second, f.now))
 	f.run(200, 9*time.Second)
 	require.NotContains(t, f.ejected[0], "s01")
-	require.Positive(t, f.distributors[0].Explain(f.now)[0].Admitted)
+	require.Positive(t, f.homes[0].Explain(f.now)[0].Admitted)
 	f.run(200, 3*time.Second)
 	require.Contains(t, f.ejected[0], "s01")
 }
--- a/internal/router/placement/load_board.go
+++ b/internal/router/placement/load_board.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// LoadBoard adds up the load reports of many senders. A distributor has one: the routers that it serves report what they
-// have in flight, and other distributors the sum of theirs. Each report replaces the sender's one before, and expires after
+// LoadBoard adds up the load reports of many senders. Each home has one: the routers that subscribe to it report what
+// they have in flight, and other homes the sum of theirs. Each report replaces the sender's one before, and expires after
 // loadReportTTL. The board grows with the senders and the servers in their reports. It is for one goroutine at a time.
 type LoadBoard struct{ reports map[string]loadReport }
 
@@ -14,7 +14,7 @@
 type loadReport struct {
 	sums       LoadSums
 	receivedAt time.Duration
-	peer       bool // it is another distributor's, for the routers that this one serves
+	peer       bool // it is another home's, for the routers that subscribe there
 }
 
 // loadReportTTL is how long a sender's report counts.
@@ -33,7 +33,7 @@
 	maps.DeleteFunc(b.reports, func(_ string, r loadReport) bool { return now-r.receivedAt >= loadReportTTL })
 }
 
-// ForPeers is the work of the routers that this distributor serves.
+// ForPeers returns the work of the routers that subscribe to this home: what it reports to the other homes.
 func (b *LoadBoard) ForPeers() LoadSums {
 	sums := LoadSums{}
 	for _, report := range b.reports {
--- a/internal/router/placement/loads.go
+++ b/internal/router/placement/loads.go
@@ -9,7 +9,7 @@
 const maxLoads = 128
 
 // Loads is the message by which a router reports the work that requests have pending: at Servers[i] Requests[i], Unread[i] tokens of prefill and Streams[i]. A router sends that of
-// its own requests to its distributor; distributors send sums to each other and to their routers.
+// its own requests to its home; homes send sums to each other and to their routers.
 type Loads struct {
 	Servers  []uint32
 	Requests []uint16
--- a/internal/router/placement/loads_test.go
+++ b/internal/router/placement/loads_test.go
@@ -30,7 +30,7 @@
 	require.NotContains(t, message.Sums(), ServerHash(0))
 }
 
-// A router gets the work of all others, another distributor that of the routers served here alone; a report that is not renewed expires.
+// A router gets the work of all others, another home that of the routers that subscribe here alone; a report that is not renewed expires.
 func TestBoard(t *testing.T) {
 	loads := func(requests float64) LoadSums { return LoadSums{1: {Requests: requests}} }
 	b := NewLoadBoard()
