--- a/internal/router/dissemination/messages.go
+++ b/internal/router/dissemination/messages.go
@@ -93,15 +93,15 @@
 }
 
 // ForwardedHeartbeat is sent by a router that received a server's heartbeat to its home, which applies it. Where
-// Request is not 0 the server is draining or has ended, and the home answers with HeartbeatAck.
+// Request is not 0 the server is draining or has ended, and the home answers with ForwardedHeartbeatAck.
 type ForwardedHeartbeat struct {
 	Request  uint64
 	Instance registry.Instance
 }
 
-// HeartbeatAck answers a ForwardedHeartbeat once a majority of the core has the server's state. The receiver
+// ForwardedHeartbeatAck answers a ForwardedHeartbeat once a majority of the core has the server's state. The receiver
 // acknowledges the server's call.
-type HeartbeatAck struct{ Request uint64 }
+type ForwardedHeartbeatAck struct{ Request uint64 }
 
 // Drain is sent by a core member to the others: the state of a server that is draining or has ended. The receiver
 // applies it and answers with DrainAck.
--- a/internal/router/gateway/stall_test.go
+++ b/internal/router/gateway/stall_test.go
@@ -152,7 +152,7 @@
 	require.Equal(t, "paced", reports[0].Route)
 	require.EqualValues(t, 1, reports[0].Reasons[latency.LateGap])
 	require.EqualValues(t, 1, reports[1].Reasons[latency.RefusedLimit])
-	require.EqualValues(t, 1, reports[0].First.Count)
+	require.EqualValues(t, 1, reports[0].TimeToFirstByte.Count)
 	require.Empty(t, missed)
 }
 
--- a/internal/router/homeselection/homeselection.go
+++ b/internal/router/homeselection/homeselection.go
@@ -44,14 +44,14 @@
 // Current returns the internal address of the home, or "".
 func (s *Selector) Current() string { return s.current }
 
-// Observe records a message of the home, which says whether it has contact with a majority of the core.
+// Observe records that the home sent a message, which says whether it has contact with a majority of the core.
 func (s *Selector) Observe(inTouch bool, now time.Duration) { s.lastContact, s.inTouch = now, inTouch }
 
-// Silent reports whether the home has sent nothing for longer than Timeout.
-func (s *Selector) Silent(now time.Duration) bool { return now-s.lastContact > Timeout }
+// TimedOut reports whether the home has sent nothing for longer than Timeout.
+func (s *Selector) TimedOut(now time.Duration) bool { return now-s.lastContact > Timeout }
 
 // InTouch reports whether this router has contact with a majority of the core by way of its home, as far as it knows.
-func (s *Selector) InTouch(now time.Duration) bool { return s.inTouch && !s.Silent(now) }
+func (s *Selector) InTouch(now time.Duration) bool { return s.inTouch && !s.TimedOut(now) }
 
 // LastInTouch reports whether the home's last message said that it has contact with a majority of the core, however
 // long ago.
@@ -64,14 +64,14 @@
 	if starting {
 		timeout = StartupTimeout
 	}
-	silent := now-max(s.lastContact, s.selectedAt) > timeout
+	timedOut := now-max(s.lastContact, s.selectedAt) > timeout
 	outOfTouch := now-s.selectedAt > Timeout && !s.inTouch
-	if s.current != "" && (silent || outOfTouch) {
+	if s.current != "" && (timedOut || outOfTouch) {
 		s.avoidedBefore[s.current] = now + reviewInterval
 	}
 	zone, isMember := s.zone(members)
 	remote := now-s.selectedAt > reviewInterval && zone != s.locality.Zone
-	if s.current != "" && isMember && !silent && !outOfTouch && !remote {
+	if s.current != "" && isMember && !timedOut && !outOfTouch && !remote {
 		return
 	}
 	best := s.best(members, now)
--- a/internal/router/latency/latency_test.go
+++ b/internal/router/latency/latency_test.go
@@ -36,10 +36,10 @@
 	reports := totals.Reports()
 	require.Len(t, reports, 2)
 	require.Equal(t, map[Reason]int64{RefusedLimit: 1}, reports[0].Reasons)
-	require.Zero(t, reports[0].First.Count)
-	require.InDelta(t, 50, reports[1].First.P50, 5)
-	require.InDelta(t, 99, reports[1].Spent["server"].P99, 8)
-	require.NotContains(t, reports[1].Spent, "quota")
+	require.Zero(t, reports[0].TimeToFirstByte.Count)
+	require.InDelta(t, 50, reports[1].TimeToFirstByte.P50, 5)
+	require.InDelta(t, 99, reports[1].PhaseTimes["server"].P99, 8)
+	require.NotContains(t, reports[1].PhaseTimes, "quota")
 }
 
 func TestRoutesAreBounded(t *testing.T) {
--- a/internal/router/latency/totals.go
+++ b/internal/router/latency/totals.go
@@ -18,7 +18,7 @@
 	significantDigits = 1
 )
 
-// Totals adds up what became of requests.
+// Totals adds up the outcomes and phases of requests, by route. Make it by NewTotals.
 type Totals struct{ routes map[string]*routeTotals }
 
 // routeTotals are those of one route. Histograms are nil until they have a value.
@@ -28,10 +28,10 @@
 	phaseTimes      [phases]*hdrhistogram.Histogram
 }
 
-// NewTotals makes totals of no requests.
+// NewTotals returns totals of no requests.
 func NewTotals() *Totals { return &Totals{routes: map[string]*routeTotals{}} }
 
-// Add adds a request of a route.
+// Add adds a request of a route that has ended, with Trace.Reason's result for it. Routes beyond maxRoutes count together.
 func (t *Totals) Add(route string, trace *Trace, reason Reason) {
 	r := t.route(route)
 	r.reasons[reason]++
@@ -68,31 +68,32 @@
 	_ = (*h).RecordValue(min(maxTicks, max(1, int64(d/resolution)))) // the value is in the range
 }
 
-// Report is what a router reports of one route, as a part of its status.
+// Report is what a router reports of one route, as a part of its status: the JSON names there are those of the tags, and
+// do not change.
 type Report struct {
-	Route   string
-	Reasons map[Reason]int64
-	First   Quantiles            // of the time to the first part of the answer
-	Spent   map[string]Quantiles // of that, by phase; of the requests that spent 0.1 ms or more there
+	Route           string
+	Reasons         map[Reason]int64
+	TimeToFirstByte Quantiles            `json:"First"` // from a request's receipt to the first part of its answer
+	PhaseTimes      map[string]Quantiles `json:"Spent"` // of that time, by the name of the phase; requests that spent less than 0.1 ms there are left out
 }
 
-// Quantiles are of a histogram, in milliseconds.
+// Quantiles are those of a histogram, in milliseconds. Worst is the largest value.
 type Quantiles struct {
 	Count                int64
 	P50, P90, P99, Worst float64
 }
 
-// Reports are the totals of all routes, ordered by name.
+// Reports returns the totals of all routes, ordered by the routes' names.
 func (t *Totals) Reports() []Report {
 	var reports []Report
 	for name, r := range t.routes {
-		report := Report{Route: name, Reasons: map[Reason]int64{}, First: quantiles(r.timeToFirstByte), Spent: map[string]Quantiles{}}
+		report := Report{Route: name, Reasons: map[Reason]int64{}, TimeToFirstByte: quantiles(r.timeToFirstByte), PhaseTimes: map[string]Quantiles{}}
 		for reason, n := range r.reasons {
 			report.Reasons[reason] = n
 		}
 		for p, h := range r.phaseTimes {
 			if h != nil {
-				report.Spent[Phase(p).String()] = quantiles(h)
+				report.PhaseTimes[Phase(p).String()] = quantiles(h)
 			}
 		}
 		reports = append(reports, report)
--- a/internal/router/latency/trace.go
+++ b/internal/router/latency/trace.go
@@ -17,13 +17,15 @@
 
 var phaseNames = [phases]string{"start", "quota", "rerouted", "connect", "server"}
 
-// String is the phase's name in reports.
+// String returns the phase's name in reports and logs.
 func (p Phase) String() string { return phaseNames[p] }
 
 // Reason is what became of a request, and why. Its text is in reports and logs.
 type Reason string
 
-// The reasons. A late request has latePrefix with the phase that took longest, or LateGap. Refused requests were not sent to any server, or none has run them; lost ones may have run.
+// The reasons. A request that was late with the first part of its answer has latePrefix and the name of the phase that
+// took longest, one that was late between two parts LateGap. No server has run a request with one of the Refused
+// reasons; one with one of the Lost reasons may have run.
 const (
 	InTime        Reason = "in_time"
 	LateGap       Reason = "late_pause" // between two parts of a stream
@@ -38,7 +40,7 @@
 	latePrefix = "late_"
 )
 
-// Trace is the time of one request.
+// Trace is the time of one request, and how it ended. Package gateway fills it while it serves the request.
 type Trace struct {
 	PhaseTimes      [phases]time.Duration
 	TimeToFirstByte time.Duration // from the request's receipt to the first part of its answer; 0: there was none
@@ -48,7 +50,8 @@
 	Attempts        int           // servers that were tried
 }
 
-// Reason is what became of a request with a latency target for the first part of its answer, and one for gaps; 0: it has none.
+// Reason returns what became of a request, and why it was late where it was. Target is the route's latency target for the
+// first part of the answer, gapTarget that for the time between two parts; 0 is none.
 func (t *Trace) Reason(target, gapTarget time.Duration) Reason {
 	switch {
 	case t.FailureReason != "":
--- a/internal/router/node/distributor.go
+++ b/internal/router/node/distributor.go
@@ -16,7 +16,8 @@
 	pushIntervalPerSubscriber = 500 * time.Microsecond
 )
 
-// distributor is a core member's part in telling routers what they lack. On other routers it has no subscribers.
+// distributor is what makes a core member the home of others: it keeps the routers that subscribe here, and when they are
+// pushed to. On a router that is no core member it has no subscribers.
 type distributor struct {
 	subscribers map[string]*subscriber // by internal address
 	sessions    *membership.Sessions
@@ -37,9 +38,9 @@
 	return interval - (now - d.lastPush)
 }
 
-// receiveHeartbeat renews the session of a router that subscribes, and pushes what it lacks. A router that does not
+// receiveSubscriptionHeartbeat renews the session of a router that subscribes, and pushes what it lacks. A router that does not
 // subscribe, or not to a core member, is told who the core is.
-func (n *Node) receiveHeartbeat(from string, m *dissemination.SubscriptionHeartbeat, now time.Duration) {
+func (n *Node) receiveSubscriptionHeartbeat(from string, m *dissemination.SubscriptionHeartbeat, now time.Duration) {
 	if m.Router.Member != nil {
 		n.addEligible(*m.Router.Member)
 	}
@@ -120,8 +121,8 @@
 	}
 }
 
-// pushPending pushes the changes that came just after the last push. It acquires the lock.
-func (n *Node) pushPending() {
+// pushDeferred pushes the changes that came just after the last push. It acquires the lock.
+func (n *Node) pushDeferred() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.distributor.lastPush = -time.Hour // the time has passed, whatever has changed its length since
--- a/internal/router/node/drains.go
+++ b/internal/router/node/drains.go
@@ -48,7 +48,7 @@
 // startDrain applies a drain or end at this core member and sends it to the others. Where another router forwarded the
 // server's call, request is its number there.
 func (n *Node) startDrain(forwardedBy string, request uint64, instance registry.Instance, now time.Duration) *pendingDrain {
-	n.applyHeartbeat(instance, now)
+	n.applyServerHeartbeat(instance, now)
 	own := n.nextRequest()
 	acks := map[string]bool{n.self.Address: true}
 	d := n.addPendingDrain(own, &pendingDrain{forwardedBy: forwardedBy, request: request, instance: instance, acks: acks})
@@ -104,12 +104,13 @@
 		return
 	}
 	if d.forwardedBy != "" {
-		n.transport.Send(d.forwardedBy, dissemination.HeartbeatAck{Request: d.request})
+		n.transport.Send(d.forwardedBy, dissemination.ForwardedHeartbeatAck{Request: d.request})
 	}
 	n.acknowledgeDrain(request)
 }
 
-// acknowledgeDrain has the server's call answered that waits for a drain. The home calls it too, by HeartbeatAck.
+// acknowledgeDrain has the server's call answered that waits for a drain. It is also called for the home's
+// ForwardedHeartbeatAck.
 func (n *Node) acknowledgeDrain(request uint64) {
 	if d := n.drains[request]; d != nil {
 		close(d.done)
--- a/internal/router/node/end.go
+++ b/internal/router/node/end.go
@@ -9,8 +9,8 @@
 	"petrelhook/internal/router/settings"
 )
 
-// servers are what listens. Those of addresses that the settings leave out are nil.
-type servers struct {
+// listeners are a router's open addresses. The servers of addresses that the settings leave out are nil.
+type listeners struct {
 	internal net.Listener // for other routers
 	front    *http.Server // for clients
 	ready    *http.Server // for the platform
@@ -26,7 +26,7 @@
 	maxHeaderBytes = 256 << 10
 )
 
-func newServer(h http.Handler) *http.Server {
+func newHTTPServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
@@ -64,7 +64,7 @@
 // end shuts down gracefully: the platform learns that the router is not ready and sends no new connections, another
 // replica becomes primary, and requests that were read are answered. It returns when all is closed. Run calls it, with
 // the ticker of its loop.
-func (n *Node) end(s *servers, ticker *time.Ticker) {
+func (n *Node) end(open *listeners, ticker *time.Ticker) {
 	n.ending.Store(true)
 	schedule := newShutdownSchedule(time.Now(), settings.Seconds(n.settings.Bounds.GraceS))
 	n.gateway.Drain(schedule.longUntil, schedule.forceClose)
@@ -78,8 +78,8 @@
 			break
 		}
 	}
-	n.tickUntil(s.shutdown(schedule.forceClose), ticker)
-	s.close()
+	n.tickUntil(open.shutdown(schedule.forceClose), ticker)
+	open.close()
 }
 
 // tickUntil keeps ticking until done is closed.
@@ -96,26 +96,26 @@
 
 // shutdown closes the clients' listener and idle connections. The channel that it returns is closed when the other
 // connections have ended, or at forceClose.
-func (s *servers) shutdown(forceClose time.Time) <-chan struct{} {
+func (l *listeners) shutdown(forceClose time.Time) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if s.front == nil {
+		if l.front == nil {
 			return
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), forceClose)
 		defer cancel()
-		_ = s.front.Shutdown(ctx) // its error is that time is up: close ends the rest
+		_ = l.front.Shutdown(ctx) // its error is that time is up: close ends the rest
 	}()
 	return done
 }
 
 // close closes all listeners and connections. The process ends next, so errors of closing matter to nobody.
-func (s *servers) close() {
-	for _, server := range []*http.Server{s.front, s.ready, s.control} {
+func (l *listeners) close() {
+	for _, server := range []*http.Server{l.front, l.ready, l.control} {
 		if server != nil {
 			_ = server.Close()
 		}
 	}
-	_ = s.internal.Close()
+	_ = l.internal.Close()
 }
--- a/internal/router/node/end_test.go
+++ b/internal/router/node/end_test.go
@@ -52,7 +52,7 @@
 	busy := request("/work")
 	<-working
 
-	done := (&servers{front: front}).shutdown(time.Now().Add(time.Minute))
+	done := (&listeners{front: front}).shutdown(time.Now().Add(time.Minute))
 	_, err = idle.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	select {
--- a/internal/router/node/list_comparison_test.go
+++ b/internal/router/node/list_comparison_test.go
@@ -42,7 +42,7 @@
 	}
 	n.receivePush(from, pushFrom(home, home.Stamp(), 2*differenceTolerance), 2*differenceTolerance)
 	require.True(t, n.subscription.requestFullState)
-	n.sendHeartbeat(from)
+	n.sendSubscriptionHeartbeat(from)
 	require.False(t, n.subscription.requestFullState, "it is requested once")
 
 	complete := pushFrom(home, 0, 2*differenceTolerance)
@@ -91,11 +91,11 @@
 	receiveFirstHeartbeat(n.registry, "i1")
 	heartbeat := dissemination.SubscriptionHeartbeat{Subscribe: true, HomeIncarnation: n.self.Incarnation, RegistryStamp: n.registry.Stamp()}
 	heartbeat.Router.Address = "10.0.1.2:7000"
-	n.receiveHeartbeat(heartbeat.Router.Address, &heartbeat, 0)
+	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, 0)
 	s := n.distributor.subscribers[heartbeat.Router.Address]
 	s.registryStamp, s.lastSent = n.registry.Stamp(), 0
 	heartbeat.FullState = true
-	n.receiveHeartbeat(heartbeat.Router.Address, &heartbeat, time.Millisecond)
+	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, time.Millisecond)
 	require.Equal(t, time.Millisecond, s.lastSent)
 	require.False(t, s.sendFullState, "it has been sent")
 }
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -43,8 +43,8 @@
 	pruneInterval = 2 * time.Second
 	// forgetInterval is the time between two removals of ended servers from the registry.
 	forgetInterval = 5 * time.Second
-	// memoryPerBodyMemory: one part in so many of the machine's memory is for the bodies of clients' requests.
-	memoryPerBodyMemory = 4
+	// bodyMemoryDivisor: the machine's memory, divided by it, is what the bodies of clients' requests may take together.
+	bodyMemoryDivisor = 4
 )
 
 // Node is one router. Make it by New; Run serves.
@@ -100,7 +100,7 @@
 		Acquirer:          n,
 		OnObjectiveMissed: n.logMissedTarget,
 		PrefixTTL:         settings.Seconds(b.AgainS),
-		MaxBodyMemory:     int64(s.Limits.MemoryMb) << 20 / memoryPerBodyMemory,
+		MaxBodyMemory:     int64(s.Limits.MemoryMb) << 20 / bodyMemoryDivisor,
 		BudgetRatio:       b.RetryBudgetRatio,
 		BudgetSlack:       b.RetryBudgetSlack,
 		BudgetWindow:      max(time.Second, settings.Seconds(b.BudgetWindowS)),
@@ -125,7 +125,7 @@
 	if err := n.open(); err != nil {
 		return err
 	}
-	servers, err := n.listen()
+	open, err := n.listen()
 	if err != nil {
 		return err
 	}
@@ -138,13 +138,13 @@
 		case <-reload:
 			n.reload(load)
 		case <-n.distributor.pushTimer.C:
-			n.pushPending()
+			n.pushDeferred()
 		case <-ticker.C:
 			n.tick()
 		}
 	}
 	n.distributor.pushTimer.Stop()
-	n.end(servers, ticker)
+	n.end(open, ticker)
 	n.transport.Close()
 	if n.control.disk != nil {
 		n.control.disk.close()
--- a/internal/router/node/outliers_test.go
+++ b/internal/router/node/outliers_test.go
@@ -68,7 +68,7 @@
 		require.Equal(t, http.StatusBadRequest, post("/-/servers/i1/admit"+bad))
 	}
 	require.Equal(t, http.StatusOK, post("/-/servers/i1/admit?for=1m"))
-	require.InDelta(t, time.Minute, n.Status().Findings[0].Admitted, float64(5*time.Second))
+	require.InDelta(t, time.Minute, n.Status().Findings[0].AdmissionRemaining, float64(5*time.Second))
 
 	n.registry.ReceiveHeartbeat(registry.Instance{ID: "i2", Service: "s", Address: "i2", Sequence: 1}, 0)
 	n.receiveReadmit("10.9.9.9:7000", dissemination.Readmit{Server: "i2", For: time.Minute}, n.now())
--- a/internal/router/node/periodic_timer.go
+++ b/internal/router/node/periodic_timer.go
@@ -20,7 +20,7 @@
 // restart has the interval begin now.
 func (t *periodicTimer) restart(now time.Duration) { t.last, t.started = now, true }
 
-// expire has the timer elapse when it is next asked.
+// expire has the next call of elapsed report true.
 func (t *periodicTimer) expire() { t.started = false }
 
 // timers are those of a node's loop.
--- a/internal/router/node/receive.go
+++ b/internal/router/node/receive.go
@@ -15,7 +15,7 @@
 	case replication.Message:
 		n.receiveReplication(from, m, now)
 	case dissemination.SubscriptionHeartbeat:
-		n.receiveHeartbeat(from, &m, now)
+		n.receiveSubscriptionHeartbeat(from, &m, now)
 	case dissemination.Push:
 		n.receivePush(from, &m, now)
 	case dissemination.PrefixReport:
@@ -32,7 +32,7 @@
 		n.receiveReadmit(from, m, now)
 	case dissemination.ForwardedHeartbeat:
 		n.receiveForwardedHeartbeat(from, m, now)
-	case dissemination.HeartbeatAck:
+	case dissemination.ForwardedHeartbeatAck:
 		n.acknowledgeDrain(m.Request)
 	case dissemination.Drain:
 		n.receiveDrain(from, m, now)
--- a/internal/router/node/registration.go
+++ b/internal/router/node/registration.go
@@ -58,7 +58,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	done, ok := n.acceptHeartbeat(instance)
+	done, ok := n.acceptServerHeartbeat(instance)
 	if !ok {
 		w.Header().Set("Retry-After", "0.5")
 		http.Error(w, "out of touch with the core", http.StatusServiceUnavailable)
@@ -80,10 +80,10 @@
 	io.WriteString(w, "{}")
 }
 
-// acceptHeartbeat applies a server's call, or forwards it to the home; ok is false without contact with the core, and
+// acceptServerHeartbeat applies a server's call, or forwards it to the home; ok is false without contact with the core, and
 // the call is not applied then. done is closed once a majority of the core has it, and nil where nothing is to be
 // waited for. It acquires the lock.
-func (n *Node) acceptHeartbeat(instance registry.Instance) (done <-chan struct{}, ok bool) {
+func (n *Node) acceptServerHeartbeat(instance registry.Instance) (done <-chan struct{}, ok bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.now()
@@ -93,18 +93,18 @@
 	isReady := instance.State == registry.Ready
 	switch {
 	case !n.isCoreMember():
-		return n.forwardHeartbeat(instance, now), true
+		return n.forwardServerHeartbeat(instance, now), true
 	case isReady:
-		n.applyHeartbeat(instance, now)
+		n.applyServerHeartbeat(instance, now)
 		return nil, true
 	default:
 		return n.startDrain("", 0, instance, now).done, true
 	}
 }
 
-// forwardHeartbeat sends a server's call to the home. Where the server is draining or has ended, the channel returned
+// forwardServerHeartbeat sends a server's call to the home. Where the server is draining or has ended, the channel returned
 // is closed when the home acknowledges it; this router stops using the server at once.
-func (n *Node) forwardHeartbeat(instance registry.Instance, now time.Duration) (done <-chan struct{}) {
+func (n *Node) forwardServerHeartbeat(instance registry.Instance, now time.Duration) (done <-chan struct{}) {
 	m := dissemination.ForwardedHeartbeat{Instance: instance}
 	if instance.State != registry.Ready {
 		m.Request = n.nextRequest()
@@ -116,8 +116,8 @@
 	return done
 }
 
-// applyHeartbeat applies a server's call at a core member.
-func (n *Node) applyHeartbeat(instance registry.Instance, now time.Duration) {
+// applyServerHeartbeat applies a server's call at a core member.
+func (n *Node) applyServerHeartbeat(instance registry.Instance, now time.Duration) {
 	changed := n.registry.ReceiveHeartbeat(instance, now)
 	for _, id := range n.registry.TakeReceived() {
 		for _, s := range n.distributor.subscribers {
@@ -138,7 +138,7 @@
 		return
 	}
 	if m.Request == 0 {
-		n.applyHeartbeat(m.Instance, now)
+		n.applyServerHeartbeat(m.Instance, now)
 		return
 	}
 	n.startDrain(from, m.Request, m.Instance, now)
--- a/internal/router/node/sessions.go
+++ b/internal/router/node/sessions.go
@@ -33,7 +33,7 @@
 		return
 	}
 	if n.self.Member != nil {
-		n.sendHeartbeatsToCore()
+		n.subscribeToCore()
 	}
 	switch {
 	case n.isCoreMember():
@@ -43,11 +43,11 @@
 	}
 }
 
-// sendHeartbeatsToCore subscribes this router, which can be a core member, to all core members.
-func (n *Node) sendHeartbeatsToCore() {
+// subscribeToCore sends the heartbeat of a subscription to all core members, since this router can be one of them.
+func (n *Node) subscribeToCore() {
 	for _, m := range n.control.view.Members {
 		if m.Address != n.self.Address {
-			n.sendHeartbeat(m.Address)
+			n.sendSubscriptionHeartbeat(m.Address)
 		}
 	}
 }
@@ -71,10 +71,10 @@
 	n.reviewHome(now)
 	home := n.subscription.home
 	if home.Current() != "" {
-		n.sendHeartbeat(home.Current())
+		n.sendSubscriptionHeartbeat(home.Current())
 	}
 	outOfTouch := n.starting(now) && !home.LastInTouch() && n.timers.seeds.elapsed(seedInterval, now)
-	if outOfTouch || home.Silent(now) {
+	if outOfTouch || home.TimedOut(now) {
 		n.contactSeeds()
 	}
 }
@@ -94,8 +94,8 @@
 	}
 }
 
-// sendHeartbeat sends a core member the heartbeat of the subscription to it, with what this router has.
-func (n *Node) sendHeartbeat(to string) {
+// sendSubscriptionHeartbeat sends a core member the heartbeat of the subscription to it, with what this router has.
+func (n *Node) sendSubscriptionHeartbeat(to string) {
 	s := &n.subscription
 	position := s.positions[to]
 	m := dissemination.SubscriptionHeartbeat{Router: n.self, Subscribe: true, View: n.control.view.Epoch, Version: s.versions.Version(),
--- a/internal/router/node/start.go
+++ b/internal/router/node/start.go
@@ -40,21 +40,21 @@
 }
 
 // listen opens the addresses of the settings and serves them, each in a goroutine that ends with its listener.
-func (n *Node) listen() (*servers, error) {
+func (n *Node) listen() (*listeners, error) {
 	internal, err := net.Listen("tcp", n.self.Address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for other routers")
 	}
 	go func() { _ = n.transport.Serve(internal) }() // ends when end closes the listener
-	s := &servers{internal: internal}
+	opened := &listeners{internal: internal}
 	for _, one := range []struct {
 		address string
 		handler http.Handler
 		server  **http.Server
 	}{
-		{n.settings.Listen.Ready, http.HandlerFunc(n.serveReady), &s.ready},
-		{n.settings.Listen.Control, n.controlHandler(), &s.control},
-		{n.settings.Listen.Front, n.gateway, &s.front},
+		{n.settings.Listen.Ready, http.HandlerFunc(n.serveReady), &opened.ready},
+		{n.settings.Listen.Control, n.controlHandler(), &opened.control},
+		{n.settings.Listen.Front, n.gateway, &opened.front},
 	} {
 		if one.address == "" {
 			continue
@@ -63,7 +63,7 @@
 			return nil, errors.Wrap(err, "listen")
 		}
 	}
-	return s, nil
+	return opened, nil
 }
 
 // serve listens on an address and has a new server serve it until the server is closed.
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	server := newServer(handler)
+	server := newHTTPServer(handler)
 	go func() { _ = server.Serve(listener) }() // ends when end shuts the server down
 	return server, nil
 }
--- a/internal/router/node/subscription_test.go
+++ b/internal/router/node/subscription_test.go
@@ -34,17 +34,17 @@
 	n.registry.ReceiveHeartbeat(registry.Instance{ID: "i1", Service: "s", Address: "10.1.1.1:80", Sequence: 1}, 0)
 	heartbeat := dissemination.SubscriptionHeartbeat{Router: membership.Router{Address: "10.0.1.2:7000", Zone: "z1", Incarnation: 7}, Subscribe: true}
 	now := time.Second
-	n.receiveHeartbeat(heartbeat.Router.Address, &heartbeat, now)
+	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, now)
 	s := n.distributor.subscribers[heartbeat.Router.Address]
 	require.Equal(t, now, s.lastSent)
-	n.receiveHeartbeat(heartbeat.Router.Address, &heartbeat, now+startupInterval)
+	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, now+startupInterval)
 	require.Equal(t, now, s.lastSent, "it is in flight")
-	n.receiveHeartbeat(heartbeat.Router.Address, &heartbeat, now+resendDelay+time.Millisecond)
+	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, now+resendDelay+time.Millisecond)
 	require.Equal(t, now+resendDelay+time.Millisecond, s.lastSent, "it may have been lost")
 
 	heartbeat.Router.Incarnation = 8
 	now += resendDelay + startupInterval
-	n.receiveHeartbeat(heartbeat.Router.Address, &heartbeat, now)
+	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, now)
 	require.Equal(t, now, s.lastSent, "another incarnation has nothing")
 }
 
@@ -62,14 +62,14 @@
 		heartbeat := dissemination.SubscriptionHeartbeat{Router: membership.Router{Address: "10.0.1.2:7000", Zone: "z1", Incarnation: 7}, Subscribe: true, HomeIncarnation: n.self.Incarnation}
 		last := -time.Hour
 		for now := time.Second; now < 11*time.Second; now += heartbeatInterval {
-			n.receiveHeartbeat(heartbeat.Router.Address, &heartbeat, now)
+			n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, now)
 			if sent := n.distributor.subscribers[heartbeat.Router.Address].lastSent; sent != last {
 				count, last = count+1, sent
 			}
 		}
 		s := n.distributor.subscribers[heartbeat.Router.Address]
 		heartbeat.RegistryStamp = n.registry.Stamp()
-		n.receiveHeartbeat(heartbeat.Router.Address, &heartbeat, 20*time.Second)
+		n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, 20*time.Second)
 		require.Zero(t, s.resends, "it has everything")
 		return count
 	}
@@ -147,7 +147,7 @@
 	heartbeat := dissemination.SubscriptionHeartbeat{Router: membership.Router{Address: listener.Addr().String(), Zone: "z1"}, Subscribe: true}
 	for previous := range uint64(2) {
 		heartbeat.Router.Incarnation = previous + 1
-		n.receiveHeartbeat(heartbeat.Router.Address, &heartbeat, time.Duration(previous)*time.Second)
+		n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, time.Duration(previous)*time.Second)
 		require.NoError(t, listener.(*net.TCPListener).SetDeadline(time.Now().Add(10*time.Second)))
 		peer, err := listener.Accept()
 		require.NoError(t, err, "no connection of its own for incarnation %d", previous+1)
--- a/internal/router/outlier/explain.go
+++ b/internal/router/outlier/explain.go
@@ -9,13 +9,13 @@
 // Finding is what a home knows of a server that failed for somebody recently, and what it decided. It is part of a
 // router's status.
 type Finding struct {
-	Server   string
-	Service  string
-	Own      Count // what the home's own reporters saw, decaying exponentially
-	Fleet    Count // what all reporters saw
-	Ejected  bool
-	For      time.Duration // remaining time of the ejection, at least
-	Admitted time.Duration // remaining time in which an operator's override prevents an ejection
+	Server             string
+	Service            string
+	Own                Count // what the home's own reporters saw, decaying exponentially
+	Fleet              Count // what all reporters saw
+	Ejected            bool
+	EjectionRemaining  time.Duration `json:"For"`      // at least so long, while Ejected
+	AdmissionRemaining time.Duration `json:"Admitted"` // for so long an operator's override prevents an ejection
 }
 
 // Explain lists the suspected servers, and those with an operator's override.
@@ -28,7 +28,7 @@
 		}
 		own := s.ownSum(id, now)
 		out = append(out, Finding{Server: id, Service: s.service, Own: own.All, Fleet: s.fleetSum(own).All,
-			Ejected: s.ejection.active, For: max(0, s.ejection.earliestEnd-now), Admitted: admitted})
+			Ejected: s.ejection.active, EjectionRemaining: max(0, s.ejection.earliestEnd-now), AdmissionRemaining: admitted})
 	}
 	slices.SortFunc(out, func(a, b Finding) int { return cmp.Compare(a.Server, b.Server) })
 	return out
--- a/internal/router/outlier/outlier_test.go
+++ b/internal/router/outlier/outlier_test.go
@@ -335,7 +335,7 @@
 	require.True(t, f.homes[0].Admit("s01", 10*time.Second, f.now))
 	f.run(200, 9*time.Second)
 	require.NotContains(t, f.ejected[0], "s01")
-	require.Positive(t, f.homes[0].Explain(f.now)[0].Admitted)
+	require.Positive(t, f.homes[0].Explain(f.now)[0].AdmissionRemaining)
 	f.run(200, 3*time.Second)
 	require.Contains(t, f.ejected[0], "s01")
 }
--- a/internal/router/registry/changes.go
+++ b/internal/router/registry/changes.go
@@ -28,17 +28,17 @@
 func (g *Registry) recordChange(entry *Entry, now time.Duration) {
 	g.stamp++
 	entry.Stamp, entry.lastChange = g.stamp, now
-	digestPart := entry.digest()
-	g.digest ^= entry.digestPart ^ digestPart
-	entry.digestPart = digestPart
+	hash := entry.hashIfUsable()
+	g.digest ^= entry.usableHash ^ hash
+	entry.usableHash = hash
 	g.changes = append(g.changes, change{g.stamp, entry})
 	if len(g.changes) > 2*len(g.entries)+spareChanges {
 		g.changes = slices.DeleteFunc(g.changes, func(c change) bool { return !c.isLatest() })
 	}
 }
 
-// digest is what an entry contributes to the registry's digest: 0 where it is not usable.
-func (e *Entry) digest() uint64 {
+// hashIfUsable returns a hash of what requests need of an instance, or 0 where they may not go to it.
+func (e *Entry) hashIfUsable() uint64 {
 	if !e.Usable() {
 		return 0
 	}
--- a/internal/router/registry/registry.go
+++ b/internal/router/registry/registry.go
@@ -55,7 +55,7 @@
 	Stamp       uint64        // of the entry's last change; 0 once the entry was dropped
 	LastContact time.Duration // when the server's last heartbeat was received, here or at another router
 	lastChange  time.Duration // when Stamp was given
-	digestPart  uint64        // what the entry contributes to the registry's digest
+	usableHash  uint64        // as hashIfUsable returned it for this stamp; Registry.Digest is the XOR of all
 }
 
 // Usable reports whether requests may go to the instance.
--- a/internal/router/replication/replica.go
+++ b/internal/router/replication/replica.go
@@ -59,7 +59,7 @@
 		Options:  o,
 		now:      now,
 		state:    replicatedState{machine: machine},
-		follower: followerState{lastContact: now - silenceAtStart},
+		follower: followerState{lastContact: now - contactAgeAtStart},
 		eligible: eligibleReplicas{byID: map[string]Member{}, lastAddedAt: now},
 	}
 	if persisted == nil {
--- a/internal/router/replication/timing.go
+++ b/internal/router/replication/timing.go
@@ -12,8 +12,9 @@
 	electionTimeout = 600 * time.Millisecond
 	// electionStagger is by how much the members of the in-sync set wait one after the other, so that one becomes candidate first.
 	electionStagger = 50 * time.Millisecond
-	// silenceAtStart is the time without contact that a process counts when it starts: it asks at once whether others have a primary.
-	silenceAtStart = electionTimeout
+	// contactAgeAtStart is how long ago a process that starts assumes its last contact with a primary to be: so long that it
+	// asks the others at once whether they have one.
+	contactAgeAtStart = electionTimeout
 	// leaderStickiness is for how long after a heartbeat a witness promises nothing to a candidate that has no reason to force it.
 	leaderStickiness = 400 * time.Millisecond
 	// reachableWindow is for how long after its last heartbeat ack a replica counts as reachable.
--- a/internal/router/wireformat/dissemination.go
+++ b/internal/router/wireformat/dissemination.go
@@ -6,47 +6,47 @@
 	"petrelhook/internal/router/replication"
 )
 
-// wireProcess is membership.Process as it is sent.
-type wireProcess struct {
+// wireRouter is membership.Router as it is sent.
+type wireRouter struct {
 	Address string
 	Zone    string
-	Life    uint64 // membership.Process.Incarnation
+	Life    uint64 // membership.Router.Incarnation
 	Member  *replication.Member
 }
 
-func toWireProcess(p membership.Router) wireProcess {
-	return wireProcess{Address: p.Address, Zone: p.Zone, Life: p.Incarnation, Member: p.Member}
+func toWireRouter(r membership.Router) wireRouter {
+	return wireRouter{Address: r.Address, Zone: r.Zone, Life: r.Incarnation, Member: r.Member}
 }
 
-func (w wireProcess) process() membership.Router {
+func (w wireRouter) router() membership.Router {
 	return membership.Router{Address: w.Address, Zone: w.Zone, Incarnation: w.Life, Member: w.Member}
 }
 
-func toWireProcesses(processes []membership.Router) []wireProcess {
-	if processes == nil {
+func toWireRouters(routers []membership.Router) []wireRouter {
+	if routers == nil {
 		return nil
 	}
-	wire := make([]wireProcess, 0, len(processes))
-	for _, p := range processes {
-		wire = append(wire, toWireProcess(p))
+	wire := make([]wireRouter, 0, len(routers))
+	for _, r := range routers {
+		wire = append(wire, toWireRouter(r))
 	}
 	return wire
 }
 
-func fromWireProcesses(wire []wireProcess) []membership.Router {
+func fromWireRouters(wire []wireRouter) []membership.Router {
 	if wire == nil {
 		return nil
 	}
-	processes := make([]membership.Router, 0, len(wire))
+	routers := make([]membership.Router, 0, len(wire))
 	for _, w := range wire {
-		processes = append(processes, w.process())
+		routers = append(routers, w.router())
 	}
-	return processes
+	return routers
 }
 
 // wireSubscriptionHeartbeat is dissemination.SubscriptionHeartbeat as it is sent.
 type wireSubscriptionHeartbeat struct {
-	Node      wireProcess
+	Node      wireRouter
 	Subscribe bool
 	View      replication.Epoch
 	Version   uint64
@@ -59,7 +59,7 @@
 
 func toWireSubscriptionHeartbeat(m dissemination.SubscriptionHeartbeat) wireSubscriptionHeartbeat {
 	return wireSubscriptionHeartbeat{
-		Node:      toWireProcess(m.Router),
+		Node:      toWireRouter(m.Router),
 		Subscribe: m.Subscribe,
 		View:      m.View,
 		Version:   m.Version,
@@ -73,7 +73,7 @@
 
 func (w wireSubscriptionHeartbeat) message() dissemination.SubscriptionHeartbeat {
 	return dissemination.SubscriptionHeartbeat{
-		Router:          w.Node.process(),
+		Router:          w.Node.router(),
 		Subscribe:       w.Subscribe,
 		View:            w.View,
 		Version:         w.Version,
@@ -106,7 +106,7 @@
 	Snapshot    []byte
 
 	SessionsStamp uint64
-	Nodes         []wireProcess
+	Nodes         []wireRouter
 }
 
 func toWirePush(m dissemination.Push) wirePush {
@@ -128,7 +128,7 @@
 		Orders:        m.Orders,
 		Snapshot:      m.Snapshot,
 		SessionsStamp: m.SessionsStamp,
-		Nodes:         toWireProcesses(m.Routers),
+		Nodes:         toWireRouters(m.Routers),
 	}
 }
 
@@ -151,7 +151,7 @@
 		Orders:             w.Orders,
 		Snapshot:           w.Snapshot,
 		SessionsStamp:      w.SessionsStamp,
-		Routers:            fromWireProcesses(w.Nodes),
+		Routers:            fromWireRouters(w.Nodes),
 	}
 }
 
--- a/internal/router/wireformat/wireformat.go
+++ b/internal/router/wireformat/wireformat.go
@@ -36,7 +36,7 @@
 	disseminationPrefix + "Ejections":          dissemination.Ejections{},
 	disseminationPrefix + "Admit":              dissemination.Readmit{},
 	disseminationPrefix + "ForwardedHeartbeat": wireForwardedHeartbeat{},
-	disseminationPrefix + "HeartbeatAck":       dissemination.HeartbeatAck{},
+	disseminationPrefix + "HeartbeatAck":       dissemination.ForwardedHeartbeatAck{},
 	disseminationPrefix + "Drain":              wireDrain{},
 	disseminationPrefix + "DrainAck":           dissemination.DrainAck{},
 	disseminationPrefix + "QuotaAsk":           wireQuotaRequest{},
