--- a/internal/router/backend/pool.go
+++ b/internal/router/backend/pool.go
@@ -15,7 +15,8 @@
 	"petrelhook/internal/router/transport"
 )
 
-// The errors of an exchange.
+// The errors of an exchange. An error may be marked with them: they are found by Is of github.com/cockroachdb/errors, not
+// by that of the standard library.
 var (
 	ErrNotSent      = errors.New("the request was not sent") // no byte of it left
 	ErrBroken       = errors.New("the exchange broke off")   // it may have run
--- a/internal/router/eventstream/eventstream.go
+++ b/internal/router/eventstream/eventstream.go
@@ -13,27 +13,31 @@
 	"io"
 )
 
-// ErrPartial is returned where a stream ended within an event.
-var ErrPartial = errors.New("the stream ended within an event")
-
 // MaxEvent bounds one event, in bytes.
 const MaxEvent = 1 << 20
 
+// The errors of Reader.Next beside io.EOF and those of the source.
+var (
+	ErrPartial = errors.New("the stream ended within an event")
+	ErrTooLong = fmt.Errorf("an event is longer than %d bytes", MaxEvent)
+)
+
 // readBuffer is the size of the buffer in bytes; a longer line is assembled from several reads.
 const readBuffer = 4 << 10
 
-// Reader reads events.
+// Reader reads the events of one stream. Make it by NewReader.
 type Reader struct {
 	source *bufio.Reader
 	event  []byte
 	lastID string
 }
 
-// NewReader reads events from a body.
+// NewReader returns a reader of the events in a body. It does not close the body.
 func NewReader(r io.Reader) *Reader { return &Reader{source: bufio.NewReaderSize(r, readBuffer)} }
 
-// Next returns the next event's bytes, which are valid until the next call. The error is io.EOF where the stream ended after a complete event, ErrPartial
-// where it ended within one, or that of the source.
+// Next returns the next event's bytes, which are valid until the next call. The error is io.EOF where the stream ended
+// after a complete event, ErrPartial where it ended within one, ErrTooLong where an event exceeds MaxEvent, or that of
+// the source. The reader is not used after an error.
 func (r *Reader) Next() ([]byte, error) {
 	r.event = r.event[:0]
 	lineStart := true
@@ -46,7 +50,7 @@
 			continue
 		}
 		if len(r.event) >= MaxEvent {
-			return nil, fmt.Errorf("an event is longer than %d bytes", MaxEvent)
+			return nil, ErrTooLong
 		}
 		if errors.Is(err, io.EOF) && len(r.event) > 0 {
 			return nil, ErrPartial
@@ -63,10 +67,10 @@
 
 func blank(line []byte) bool { return len(bytes.TrimRight(line, "\r\n")) == 0 }
 
-// Buffered reports whether more bytes have arrived already.
+// Buffered reports whether bytes after the event that Next returned have arrived already.
 func (r *Reader) Buffered() bool { return r.source.Buffered() > 0 }
 
-// LastID is the id of the last event that had one; "": none had.
+// LastID returns the id of the last event that had one, or "" where none had. A resumed stream continues after it.
 func (r *Reader) LastID() string { return r.lastID }
 
 // recordID finds the last id field of the event.
--- a/internal/router/eventstream/eventstream_test.go
+++ b/internal/router/eventstream/eventstream_test.go
@@ -41,7 +41,7 @@
 func TestAnEndlessEvent(t *testing.T) {
 	r := NewReader(strings.NewReader(strings.Repeat("data: x\n", MaxEvent/4)))
 	_, err := r.Next()
-	require.ErrorContains(t, err, "longer")
+	require.Equal(t, ErrTooLong, err)
 }
 
 func FuzzEvents(f *testing.F) {
--- a/internal/router/node/start.go
+++ b/internal/router/node/start.go
@@ -36,7 +36,7 @@
 	if err == nil && n.self.Member != nil {
 		n.control.replica.AddEligible(*n.self.Member)
 	}
-	return errors.Wrap(err, "replica")
+	return errors.Wrap(err, "make the replica")
 }
 
 // listen opens the addresses of the settings and serves them, each in a goroutine that ends with its listener.
@@ -48,19 +48,20 @@
 	go func() { _ = n.transport.Serve(internal) }() // ends when end closes the listener
 	opened := &listeners{internal: internal}
 	for _, one := range []struct {
+		callers string
 		address string
 		handler http.Handler
 		server  **http.Server
 	}{
-		{n.settings.Listen.Ready, http.HandlerFunc(n.serveReady), &opened.ready},
-		{n.settings.Listen.Control, n.controlHandler(), &opened.control},
-		{n.settings.Listen.Front, n.gateway, &opened.front},
+		{"the platform", n.settings.Listen.Ready, http.HandlerFunc(n.serveReady), &opened.ready},
+		{"model servers and operators", n.settings.Listen.Control, n.controlHandler(), &opened.control},
+		{"clients", n.settings.Listen.Front, n.gateway, &opened.front},
 	} {
 		if one.address == "" {
 			continue
 		}
 		if *one.server, err = serve(one.address, one.handler); err != nil {
-			return nil, errors.Wrap(err, "listen")
+			return nil, errors.Wrapf(err, "listen for %s", one.callers)
 		}
 	}
 	return opened, nil
--- a/internal/router/routetable/config.go
+++ b/internal/router/routetable/config.go
@@ -16,7 +16,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrInvalid marks the error of a configuration or an update that is rejected, whatever the version before it.
+// ErrInvalid marks the error of a configuration or an update that is rejected, whatever the version before it. As a mark
+// it is found by Is of github.com/cockroachdb/errors, not by that of the standard library.
 var ErrInvalid = errors.New("invalid configuration")
 
 // WeightedBackend is one of the services that a route is split over.
--- a/internal/router/settings/deploy.go
+++ b/internal/router/settings/deploy.go
@@ -27,7 +27,7 @@
 // maxRolesPerMachine bounds the roles that one machine runs.
 const maxRolesPerMachine = 2
 
-// LoadDeploy reads and checks a deploy file. Its error names the file, and the field or position where it is not usable.
+// LoadDeploy reads and checks a deploy file. Its errors are those of Load.
 func LoadDeploy(path string) (*Deploy, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -37,7 +37,8 @@
 	return d, errors.Wrapf(err, "deploy file %s", path)
 }
 
-// ParseDeploy reads and checks the text of a deploy file.
+// ParseDeploy reads and checks the text of a deploy file. Its error is an ErrInvalid that names the role, the field or the
+// position.
 func ParseDeploy(text []byte) (*Deploy, error) {
 	d := &Deploy{}
 	if err := decode(text, d); err != nil {
@@ -45,7 +46,7 @@
 	}
 	for _, name := range d.RoleNames() {
 		if role := d.Roles[name]; (role.Share > 0) == (role.Count > 0) {
-			return nil, errors.Newf("role %s: either share, above 0, or count is needed", name)
+			return nil, invalid("role %s: either share, above 0, or count is needed", name)
 		}
 	}
 	return d, d.checkClasses()
@@ -61,7 +62,7 @@
 		for _, callers := range role.Serves {
 			served := service{role.On, callers}
 			if other := servedBy[served]; other != "" {
-				return errors.Newf("roles %s and %s both serve %s on %s", other, name, callers, role.On)
+				return invalid("roles %s and %s both serve %s on %s", other, name, callers, role.On)
 			}
 			servedBy[served] = name
 		}
@@ -69,7 +70,7 @@
 			onAllMachines[role.On]++
 		}
 		if onAllMachines[role.On] > maxRolesPerMachine {
-			return errors.Newf("role %s: a machine of class %s runs %d roles at the most", name, role.On, maxRolesPerMachine)
+			return invalid("role %s: a machine of class %s runs %d roles at the most", name, role.On, maxRolesPerMachine)
 		}
 	}
 	return nil
--- a/internal/router/settings/deploy_test.go
+++ b/internal/router/settings/deploy_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"github.com/cockroachdb/errors"
 	"github.com/stretchr/testify/require"
 )
 
@@ -31,5 +32,6 @@
 	} {
 		_, err := ParseDeploy([]byte(c.text))
 		require.ErrorContains(t, err, c.says, name)
+		require.True(t, errors.Is(err, ErrInvalid), name)
 	}
 }
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -18,6 +18,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
+// ErrInvalid marks the error of a file that can be read and not be used. As a mark it is found by Is of
+// github.com/cockroachdb/errors, not by that of the standard library.
+var ErrInvalid = errors.New("invalid settings")
+
 // Variable is the environment variable that holds the path of the settings file.
 const Variable = "PETRELHOOK_SETTINGS"
 
@@ -92,7 +96,8 @@
 	Bounds            Bounds
 }
 
-// Load reads and checks a settings file. Its error names the file, and the field or position where it is not usable.
+// Load reads and checks a settings file. Its error names the file; it is an ErrInvalid, which also names the field or the
+// position, where the file can be read and not be used.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,14 +107,14 @@
 	return s, errors.Wrapf(err, "settings file %s", path)
 }
 
-// Parse reads and checks the text of a settings file.
+// Parse reads and checks the text of a settings file. Its error is an ErrInvalid that names the field or the position.
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{HeartbeatMs: 1000}
 	if err := decode(text, s); err != nil {
 		return nil, err
 	}
 	if s.InternalPortRange[0] > s.InternalPortRange[1] {
-		return nil, errors.Newf("field InternalPortRange: %d is above %d", s.InternalPortRange[0], s.InternalPortRange[1])
+		return nil, invalid("field InternalPortRange: %d is above %d", s.InternalPortRange[0], s.InternalPortRange[1])
 	}
 	return s, nil
 }
@@ -120,19 +125,24 @@
 		var syntax *toml.DecodeError
 		if errors.As(err, &syntax) {
 			line, column := syntax.Position()
-			return errors.Newf("line %d, column %d: %s", line, column, syntax.Error())
+			return invalid("line %d, column %d: %s", line, column, syntax.Error())
 		}
-		return err
+		return errors.Mark(err, ErrInvalid)
 	}
 	err := validator.New().Struct(into)
 	var fields validator.ValidationErrors
 	if errors.As(err, &fields) && len(fields) > 0 {
 		first := fields[0]
-		return errors.Newf("field %s: %v does not satisfy %s %s", first.Namespace(), first.Value(), first.Tag(), first.Param())
+		return invalid("field %s: %v does not satisfy %s %s", first.Namespace(), first.Value(), first.Tag(), first.Param())
 	}
 	return err
 }
 
+// invalid returns an ErrInvalid.
+func invalid(format string, args ...any) error {
+	return errors.Mark(errors.Newf(format, args...), ErrInvalid)
+}
+
 // InternalAddress returns the address at which this router listens for others.
 func (s *Settings) InternalAddress() string { return s.InternalOf(s.Ip) }
 
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/stretchr/testify/require"
 )
 
@@ -44,10 +45,12 @@
 	} {
 		_, err := Parse([]byte(withRequiredFields(c.text)))
 		require.ErrorContains(t, err, c.says, name)
+		require.True(t, errors.Is(err, ErrInvalid), name)
 	}
 	missing := filepath.Join(t.TempDir(), "none.toml")
 	_, err := Load(missing)
 	require.ErrorIs(t, err, os.ErrNotExist)
+	require.False(t, errors.Is(err, ErrInvalid), "there is no file to read")
 }
 
 // withRequiredFields puts a line before settings that are valid without it.
--- a/internal/router/storage/cache.go
+++ b/internal/router/storage/cache.go
@@ -21,10 +21,10 @@
 	path := filepath.Join(folder, name)
 	checked := binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(content))
 	if err := writeSynced(path+newSuffix, append(checked, content...)); err != nil {
-		return errors.Wrap(err, "storage: cache")
+		return errors.Wrapf(err, "storage: write cache %s", name)
 	}
 	if err := os.Rename(path+newSuffix, path); err != nil {
-		return errors.Wrap(err, "storage: cache")
+		return errors.Wrapf(err, "storage: replace cache %s", name)
 	}
 	return syncFolder(folder)
 }
@@ -49,10 +49,10 @@
 func ReadCache(folder, name string) ([]byte, error) {
 	checked, err := os.ReadFile(filepath.Join(folder, name))
 	if err != nil {
-		return nil, errors.Wrap(err, "storage: cache")
+		return nil, errors.Wrapf(err, "storage: read cache %s", name)
 	}
 	if len(checked) < checksumBytes || crc32.ChecksumIEEE(checked[checksumBytes:]) != binary.BigEndian.Uint32(checked) {
-		return nil, errors.Wrapf(ErrCacheDamaged, "storage: %s", name)
+		return nil, errors.Wrapf(ErrCacheDamaged, "storage: read cache %s", name)
 	}
 	return checked[checksumBytes:], nil
 }
--- a/internal/router/storage/create.go
+++ b/internal/router/storage/create.go
@@ -19,10 +19,10 @@
 	temporary := path + newSuffix
 	_ = os.Remove(temporary) // left by a start that was interrupted; if it stays, it cannot be opened or is overwritten
 	if err := writeEmptyState(temporary, newIdentity(address), genesis); err != nil {
-		return errors.Wrapf(err, "storage: %s", temporary)
+		return errors.Wrapf(err, "storage: make %s", temporary)
 	}
 	if err := os.Rename(temporary, path); err != nil {
-		return errors.Wrap(err, "storage")
+		return errors.Wrap(err, "storage: put the new state in its place")
 	}
 	return syncFolder(folder)
 }
@@ -62,7 +62,7 @@
 func syncFolder(folder string) error {
 	f, err := os.Open(folder)
 	if err != nil {
-		return errors.Wrap(err, "storage")
+		return errors.Wrap(err, "storage: open the folder to sync it")
 	}
 	defer func() { _ = f.Close() }() // it was opened to read
 	return errors.Wrapf(f.Sync(), "storage: sync %s", folder)
--- a/internal/router/storage/storage.go
+++ b/internal/router/storage/storage.go
@@ -32,6 +32,9 @@
 // ErrSnapshotRequired is returned for a save without a snapshot that follows one that failed.
 var ErrSnapshotRequired = errors.New("an earlier save failed: a snapshot is needed")
 
+// ErrNoIdentity is returned for a file that has no replica's state in it.
+var ErrNoIdentity = errors.New("the file has no identity")
+
 // Buckets and keys of the file.
 var (
 	bucketMeta    = []byte("meta")
@@ -48,11 +51,12 @@
 }
 
 // Open opens the state in a folder, or makes an empty one: address becomes part of its identity, and genesis says that
-// this is the first start of the whole system. The caller closes the Disk, and may keep the state.
+// this is the first start of the whole system. It waits a second for a process that has the file open, and fails then.
+// Its error is ErrNoIdentity where the file has no state in it. The caller closes the Disk, and may keep the state.
 func Open(folder, address string, genesis bool) (*Disk, *replication.PersistedState, error) {
 	path := filepath.Join(folder, fileName)
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return nil, nil, errors.Wrap(err, "storage")
+		return nil, nil, errors.Wrap(err, "storage: make the folder")
 	}
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		if err := create(folder, path, address, genesis); err != nil {
@@ -61,30 +65,32 @@
 	}
 	database, err := openDatabase(path)
 	if err != nil {
-		return nil, nil, errors.Wrapf(err, "storage: %s", path)
+		return nil, nil, errors.Wrapf(err, "storage: open %s", path)
 	}
 	d := &Disk{database: database}
 	state, err := d.read()
 	if err != nil {
 		_ = database.Close() // nothing was written
-		return nil, nil, errors.Wrapf(err, "storage: %s", path)
+		return nil, nil, errors.Wrapf(err, "storage: read %s", path)
 	}
 	return d, state, nil
 }
 
-// Inspect reads the state in a folder without changing anything. It waits a second for a process that has it open, and fails then.
+// Inspect reads the state in a folder without changing anything. It waits a second for a process that has the file open,
+// and fails then. Its error is os.ErrNotExist where there is no file, and ErrNoIdentity where that has no state in it.
 func Inspect(folder string) (*replication.PersistedState, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
-		return nil, errors.Wrap(err, "storage")
+		return nil, errors.Wrap(err, "storage: find the state")
 	}
 	database, err := bbolt.Open(path, 0o644, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
 	if err != nil {
-		return nil, errors.Wrapf(err, "storage: %s", path)
+		return nil, errors.Wrapf(err, "storage: open %s", path)
 	}
 	d := &Disk{database: database}
 	defer func() { _ = d.Close() }() // it was opened to read
-	return d.read()
+	state, err := d.read()
+	return state, errors.Wrapf(err, "storage: read %s", path)
 }
 
 func openDatabase(path string) (*bbolt.DB, error) {
@@ -99,7 +105,7 @@
 	err := d.database.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if meta == nil || meta.Get(keyID) == nil {
-			return errors.New("the file has no identity")
+			return ErrNoIdentity
 		}
 		state.ID = string(meta.Get(keyID))
 		if err := decodeGob(meta.Get(keyHard), &state.Hard); err != nil {
--- a/internal/router/storage/storage_test.go
+++ b/internal/router/storage/storage_test.go
@@ -58,6 +58,18 @@
 	require.NoError(t, d.Close())
 }
 
+// A file of bbolt that no replica made is not read as an empty state.
+func TestAFileWithoutAState(t *testing.T) {
+	folder := t.TempDir()
+	database, err := openDatabase(filepath.Join(folder, fileName))
+	require.NoError(t, err)
+	require.NoError(t, database.Close())
+	_, _, err = Open(folder, "10.0.0.1:7000", true)
+	require.ErrorIs(t, err, ErrNoIdentity)
+	_, err = Inspect(folder)
+	require.ErrorIs(t, err, ErrNoIdentity)
+}
+
 // After a failed save nothing that depends on it is accepted, until a snapshot is.
 func TestAGapNeedsASnapshot(t *testing.T) {
 	d, _, err := Open(t.TempDir(), "10.0.0.1:7000", true)
--- a/internal/router/wireformat/servers.go
+++ b/internal/router/wireformat/servers.go
@@ -5,6 +5,8 @@
 	"encoding/gob"
 	"time"
 
+	"github.com/cockroachdb/errors"
+
 	"petrelhook/internal/router/registry"
 )
 
@@ -82,7 +84,7 @@
 func EncodeServers(updates []registry.Update) ([]byte, error) {
 	var encoded bytes.Buffer
 	if err := gob.NewEncoder(&encoded).Encode(toWireUpdates(updates)); err != nil {
-		return nil, err
+		return nil, errors.Wrap(err, "wireformat: encode the list of servers")
 	}
 	return encoded.Bytes(), nil
 }
@@ -91,7 +93,7 @@
 func DecodeServers(encoded []byte) ([]registry.Update, error) {
 	var wire []wireUpdate
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&wire); err != nil {
-		return nil, err
+		return nil, errors.Wrap(err, "wireformat: decode the list of servers")
 	}
 	return fromWireUpdates(wire), nil
 }
