--- a/internal/rig/engines/simulation.go
+++ b/internal/rig/engines/simulation.go
@@ -58,7 +58,7 @@
 	r.pool = placement.NewPool(zoneName(r.zone), sim.spec.PrefixTTL, sim.policy.placement, sim.random.Float64)
 	index := map[string]int{}
 	for _, s := range sim.servers {
-		r.pool.Put(placement.Server{ID: serverName(s.index), Zone: zoneName(s.zone), Slots: sim.spec.Engine.Slots})
+		r.pool.Put(placement.Endpoint{ID: serverName(s.index), Zone: zoneName(s.zone), Slots: sim.spec.Engine.Slots})
 		index[serverName(s.index)] = s.index
 	}
 	r.views = make([]*placement.Server, len(sim.servers))
--- a/internal/router/gateway/gateway.go
+++ b/internal/router/gateway/gateway.go
@@ -29,16 +29,17 @@
 
 // Options are the parameters of a gateway.
 type Options struct {
-	Zone              string
-	Now               func() time.Duration // the steady clock, from the start of the process
-	Incarnation       uint64               // drawn at random at each start: it tells answers to an earlier process
-	Acquirer          Acquirer
-	PrefixTTL         time.Duration                                            // how long a shared prefix counts as cached after its last use
-	OnObjectiveMissed func(route string, t *latency.Trace, why latency.Reason) // is called for requests that missed their objective, on their goroutine; may be nil
-	MaxBodyMemory     int64                                                    // bytes of clients' bodies, all together; 0: no bound
-	BudgetRatio       float64                                                  // these three: of the retry budget, see quota.NewRetryBudget
-	BudgetSlack       float64
-	BudgetWindow      time.Duration
+	Zone          string               // of this router
+	Now           func() time.Duration // the steady clock, from the start of the process; it may be called from any goroutine
+	Incarnation   uint64               // drawn at random at each start: it tells answers to an earlier process
+	Acquirer      Acquirer
+	Retries       quota.RetryBounds
+	PrefixTTL     time.Duration // how long a shared prefix counts as cached after its last use; 0: prefixes are not recorded
+	MaxBodyMemory int64         // bytes of clients' bodies, all together; 0: no bound
+
+	// OnObjectiveMissed is called for each request that missed its objective, on the request's goroutine and without a
+	// lock. It may not keep the trace. It may be nil.
+	OnObjectiveMissed func(route string, t *latency.Trace, why latency.Reason)
 }
 
 // Source is who granted units of a limit.
@@ -51,20 +52,23 @@
 	FromPool
 )
 
-// Acquisition is what was acquired of a tenant's limit; where it does not suffice, RetryAfter says when to come back.
+// Acquisition is what was acquired of a tenant's limit. Where it does not suffice, RetryAfter says when to come back; 0 is
+// not known.
 type Acquisition struct {
 	Source     Source
 	Granted    float64 // units
 	RetryAfter time.Duration
 }
 
-// Acquirer acquires units of a tenant's limit, which all routers share. Acquire is called on the goroutine of the request that needs the units; it
-// returns when the context ends, at the latest.
+// Acquirer acquires units of a tenant's limit, which all routers share.
 type Acquirer interface {
+	// Acquire acquires need units for one request of a tenant and, where the primary has them to spare, up to extra units
+	// for the requests that follow. It is called on the request's goroutine and without a lock, and returns when the
+	// context ends, at the latest.
 	Acquire(ctx context.Context, tenant string, need, extra float64) Acquisition
 }
 
-// Gateway is an http.Handler for clients.
+// Gateway is an http.Handler for clients. Make it by New.
 type Gateway struct {
 	options       Options
 	table         atomic.Pointer[routetable.Table]
@@ -84,12 +88,14 @@
 	totals      *latency.Totals
 }
 
-// Counters are totals since the start. Retried counts retries with a permit of the budget; Migrated streams that continued at another server since they stalled.
+// Counters are totals of requests since the start: received, answered, rejected with a promise that they did not run,
+// failed without one. Retried counts retries with a permit of the budget; Migrated streams that continued at another
+// server because they stalled.
 type Counters struct {
 	Requests, Served, Rejected, Failed, Retried, Migrated atomic.Int64
 }
 
-// New makes a gateway without a configuration.
+// New returns a gateway without a configuration and servers: requests wait for them while the router starts.
 func New(o Options) *Gateway {
 	return &Gateway{
 		options:     o,
@@ -97,7 +103,7 @@
 		serviceOf:   map[string]string{},
 		routes:      map[string]*routeState{},
 		quota:       quota.NewClient(o.Incarnation),
-		retryBudget: quota.NewRetryBudget(o.BudgetRatio, o.BudgetSlack, o.BudgetWindow),
+		retryBudget: quota.NewRetryBudget(o.Retries),
 		fleet:       fleetSize{size: 1},
 		prefixUses:  map[string]*placement.PrefixUses{},
 		tally:       outlier.NewTally(),
@@ -105,7 +111,7 @@
 	}
 }
 
-// Table is the configuration in force here, or nil.
+// Table returns the configuration in force here, or nil.
 func (g *Gateway) Table() *routetable.Table { return g.table.Load() }
 
 // SetTable puts a configuration in force. Requests that began with the one before end with it.
@@ -120,7 +126,7 @@
 	g.limitConnections()
 }
 
-// Limits are the tenants' limits of a configuration.
+// Limits returns the tenants' limits of a configuration, by tenant.
 func Limits(t *routetable.Table) map[string]quota.Limit {
 	limits := map[string]quota.Limit{}
 	for name, tenant := range t.Tenants() {
@@ -129,7 +135,7 @@
 	return limits
 }
 
-// SetFleetSize hands in the number of routers.
+// SetFleetSize records a reported number of routers. A smaller one counts only after fleetShrinkDelay.
 func (g *Gateway) SetFleetSize(n int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -141,14 +147,15 @@
 	g.limitConnections()
 }
 
-// FleetSize is the number of routers that limits are divided by: as many as there were, for some time after there are fewer.
+// FleetSize returns the number of routers that limits are divided by: as many as there were, for some time after there
+// are fewer.
 func (g *Gateway) FleetSize() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.fleet.size
 }
 
-// Prune closes connections to servers that have been idle for long.
+// Prune closes connections to servers that have been idle for too long. The router calls it at intervals.
 func (g *Gateway) Prune() {
 	g.mutex.Lock()
 	var all []*backend.Pool
@@ -163,28 +170,30 @@
 	}
 }
 
-// RequestQuotaShares begins a request to the primary for shares of the tenants' limits.
+// RequestQuotaShares begins a request to the primary for shares of the tenants' limits, as quota.Client.RequestShares
+// does. The caller sends what it returns.
 func (g *Gateway) RequestQuotaShares() (nonce uint64, demand, held map[string]float64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.quota.RequestShares(g.options.Now())
 }
 
-// ApplyQuotaShares applies the primary's answer.
+// ApplyQuotaShares applies the primary's answer to the request with a nonce, if that was the last one.
 func (g *Gateway) ApplyQuotaShares(nonce uint64, shares map[string]float64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.quota.ApplyShares(nonce, shares, g.options.Now())
 }
 
-// QuotaDeposit hands the shares that this router may spend without the primary over to a pool.
+// QuotaDeposit hands the shares that this router may spend without the primary over to a pool, to which the caller sends
+// them. Until the deposit expires this router spends none of them itself.
 func (g *Gateway) QuotaDeposit() quota.Deposit {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.quota.Deposit(g.options.Now())
 }
 
-// QuotaPooledUntil is the time until which a pool has a deposit of this router.
+// QuotaPooledUntil returns the time until which a pool has a deposit of this router.
 func (g *Gateway) QuotaPooledUntil() time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/router/gateway/gateway_test.go
+++ b/internal/router/gateway/gateway_test.go
@@ -15,6 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"petrelhook/internal/router/quota"
 	"petrelhook/internal/router/registry"
 	"petrelhook/internal/router/routetable"
 )
@@ -59,7 +60,7 @@
 	t.Helper()
 	began := time.Now().Add(-time.Minute) // so that it is not starting any more
 	d := &acquirer{}
-	g := New(Options{Zone: "z", Now: func() time.Duration { return time.Since(began) }, Acquirer: d, BudgetRatio: 0.2, BudgetSlack: 60, BudgetWindow: 10 * time.Second})
+	g := New(Options{Zone: "z", Now: func() time.Duration { return time.Since(began) }, Acquirer: d, Retries: quota.RetryBounds{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}})
 	c, err := routetable.ParseConfig([]byte(configuration))
 	require.NoError(t, err)
 	require.NoError(t, c.Validate(nil))
--- a/internal/router/gateway/servers.go
+++ b/internal/router/gateway/servers.go
@@ -18,7 +18,8 @@
 	minConnections     = 2
 )
 
-// UpdateServers applies entries of the registry that changed. The cost is proportional to the number of changes.
+// UpdateServers applies entries of the registry that changed; it keeps none of them. The cost is proportional to the
+// number of changes.
 func (g *Gateway) UpdateServers(changed []*registry.Entry) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -52,11 +53,11 @@
 	if s.connections[i.ID] == nil {
 		s.connections[i.ID] = backend.NewPool(i.Address, g.connectionLimit(i.Service))
 	}
-	s.pool.Put(placement.Server{ID: i.ID, Address: i.Address, Zone: i.Zone, Slots: i.Slots})
+	s.pool.Put(placement.Endpoint{ID: i.ID, Address: i.Address, Zone: i.Zone, Slots: i.Slots})
 	g.serviceOf[i.ID] = i.Service
 }
 
-// ServerCounts is the number of servers that requests may go to, by service.
+// ServerCounts returns the number of servers that requests may go to, by service.
 func (g *Gateway) ServerCounts() map[string]int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -67,7 +68,7 @@
 	return counts
 }
 
-// ServerCount is the number of servers of a service that requests may go to.
+// ServerCount returns the number of servers of a service that requests may go to.
 func (g *Gateway) ServerCount(name string) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -27,6 +27,7 @@
 	"petrelhook/internal/router/outlier"
 	"petrelhook/internal/router/placement"
 	"petrelhook/internal/router/proximity"
+	"petrelhook/internal/router/quota"
 	"petrelhook/internal/router/registry"
 	"petrelhook/internal/router/settings"
 	"petrelhook/internal/router/transport"
@@ -101,9 +102,8 @@
 		OnObjectiveMissed: n.logMissedTarget,
 		PrefixTTL:         settings.Seconds(b.AgainS),
 		MaxBodyMemory:     int64(s.Limits.MemoryMb) << 20 / bodyMemoryDivisor,
-		BudgetRatio:       b.RetryBudgetRatio,
-		BudgetSlack:       b.RetryBudgetSlack,
-		BudgetWindow:      max(time.Second, settings.Seconds(b.BudgetWindowS)),
+		Retries: quota.RetryBounds{Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack,
+			Window: max(time.Second, settings.Seconds(b.BudgetWindowS))},
 	})
 	n.transport = transport.New(n.self.Address, wireformat.NewCodec(), n.receive)
 	return n
--- a/internal/router/placement/names_test.go
+++ b/internal/router/placement/names_test.go
@@ -25,7 +25,7 @@
 	number := map[string]int{}
 	for i := range servers {
 		number[names.server(i)] = i
-		pool.Put(Server{ID: names.server(i), Zone: names.zone(i % zones), Slots: 8})
+		pool.Put(Endpoint{ID: names.server(i), Zone: names.zone(i % zones), Slots: 8})
 	}
 	type sent struct {
 		server *Server
--- a/internal/router/placement/pool.go
+++ b/internal/router/placement/pool.go
@@ -11,7 +11,7 @@
 	"petrelhook/internal/router/rotation"
 )
 
-// Pool is the servers of one service, as one router knows them.
+// Pool is the servers of one service, as one router knows them. Make it by NewPool; it is for one goroutine at a time.
 type Pool struct {
 	zone    string // the router's
 	policy  Policy
@@ -27,7 +27,7 @@
 	maxGap      time.Duration // the last objective of long answers; 0: none had one
 }
 
-// NewPool makes an empty pool of a router in a zone; prefixTTL is how long a prefix counts as cached after its last use, 0 where
+// NewPool returns an empty pool of a router in a zone; prefixTTL is how long a prefix counts as cached after its last use, 0 where
 // that is not known. Random draws from 0 up to 1; nil is the default source.
 func NewPool(zone string, prefixTTL time.Duration, policy Policy, random func() float64) *Pool {
 	if random == nil {
@@ -37,23 +37,24 @@
 		prefixes: prefixTable{ttl: prefixTTL, uses: map[PrefixHash][]prefixUse{}}}
 }
 
-// RecordUse records that a server was sent a prefix, by this router or another.
+// RecordUse records that a server was sent a prefix, by this router or another. Requests with the same prefix prefer it
+// for the pool's prefixTTL.
 func (p *Pool) RecordUse(key PrefixHash, server string, now time.Duration) {
 	p.prefixes.record(key, server, now)
 }
 
-// Put adds a server that may be used, or updates the address and zone of one; what was learned of it is kept.
-func (p *Pool) Put(s Server) {
-	if old := p.servers[s.ID]; old != nil {
-		old.Address, old.Zone = s.Address, s.Zone
+// Put adds a server that may be used, or updates the address and zone of one; what was learned of it is kept, its slots
+// included.
+func (p *Pool) Put(e Endpoint) {
+	if known := p.servers[e.ID]; known != nil {
+		known.Address, known.Zone = e.Address, e.Zone
 		return
 	}
-	s.hash = HashServer(s.ID)
+	s := &Server{Endpoint: e, hash: HashServer(e.ID), order: p.hash("", e.ID)}
 	s.currentWeight.Seed(p.random())
-	s.order = p.hash("", s.ID)
-	at, _ := p.position(&s)
-	p.servers[s.ID] = &s
-	p.ordered = slices.Insert(p.ordered, at, &s)
+	at, _ := p.position(s)
+	p.servers[s.ID] = s
+	p.ordered = slices.Insert(p.ordered, at, s)
 }
 
 // Remove removes a server that may not be used any more.
@@ -74,10 +75,12 @@
 	})
 }
 
-// Servers lists the servers, in an order without a meaning. The caller may not change the list, nor keep it beyond the next Put or Remove.
+// Servers returns the servers, in an order without a meaning. The caller may not change the list, nor keep it beyond the
+// next Put or Remove.
 func (p *Pool) Servers() []*Server { return p.ordered }
 
-// AddLoads sets the work that this router's requests have pending in sums.
+// AddLoads puts into sums the work that this router's requests have pending at each server of the pool. A server is in one
+// pool alone.
 func (p *Pool) AddLoads(sums LoadSums) {
 	for _, s := range p.ordered {
 		if s.local.Requests > 0 {
@@ -97,7 +100,9 @@
 	}
 }
 
-// Pick chooses a server for a first attempt; usable is a further condition for a server. It returns nil where none is left.
+// Pick chooses the server of a request's first attempt, or a trial at an ejected one; usable is a further condition for a
+// server, as that it has a free connection. It returns nil where none is left. The caller adds the request's work to the
+// server by Begin.
 func (p *Pool) Pick(r Request, usable func(*Server) bool, now time.Duration) *Server {
 	if s := p.trialServer(r, usable, now); s != nil {
 		return s
@@ -135,7 +140,8 @@
 	return set[rotation.Pick(candidates)]
 }
 
-// Reroute chooses the healthiest server that was not tried; among equals one with a free slot, then one of the router's zone, then the least loaded.
+// Reroute chooses the server of a further attempt: the healthiest that was not tried; among equals one with a free slot,
+// then one of the router's zone, then the least loaded. It returns nil where none is left.
 func (p *Pool) Reroute(r Request, usable func(*Server) bool, now time.Duration) *Server {
 	var best *Server
 	for _, s := range p.candidates(r, usable, now) {
--- a/internal/router/placement/pool_test.go
+++ b/internal/router/placement/pool_test.go
@@ -10,9 +10,9 @@
 
 func newTestPool(zone string, n int) *Pool {
 	p := NewPool(zone, 0, DefaultPolicy(), nil)
-	var list []Server
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%3), Slots: 16})
+		list = append(list, Endpoint{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%3), Slots: 16})
 	}
 	for _, s := range list {
 		p.Put(s)
--- a/internal/router/placement/server.go
+++ b/internal/router/placement/server.go
@@ -16,19 +16,25 @@
 // ServerHash identifies a server in messages between routers, in four bytes.
 type ServerHash uint32
 
-// HashServer is the hash of a server's ID.
+// HashServer returns the hash of a server's ID. Two IDs may have the same.
 func HashServer(id string) ServerHash {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // a hash returns no error
 	return ServerHash(h.Sum32())
 }
 
-// Server is what a router knows of one server.
-type Server struct {
+// Endpoint is what the registry says of a server.
+type Endpoint struct {
 	ID      string
 	Address string
 	Zone    string
-	Slots   int // requests that it runs at a time; 0: unknown
+	Slots   int // requests that it runs at a time; 0: unknown. What the server reports replaces it
+}
+
+// Server is a server of a Pool: what the registry says of it, and what this router learned. The pool's owner may keep a
+// *Server for as long as it has requests there, also beyond Remove; it is guarded as the pool is.
+type Server struct {
+	Endpoint
 
 	Health        rotation.Health
 	currentWeight rotation.CurrentWeight
@@ -53,7 +59,7 @@
 	receivedAt time.Duration
 }
 
-// Begin adds the work of a request that is sent there.
+// Begin adds the work of a request that is sent there. The caller subtracts all of it by End, at once or in parts.
 func (s *Server) Begin(w Work) {
 	s.local = s.local.plus(w)
 	s.reported.sentSince++
@@ -62,7 +68,8 @@
 // End subtracts work of a request that is done.
 func (s *Server) End(w Work) { s.local = s.local.minus(w) }
 
-// ReportLoad records the load that the server reported; slots is 0 where it did not say.
+// ReportLoad records the load that the server reported with an answer: the requests that run and wait there, of all
+// routers, and its slots, 0 where it did not say.
 func (s *Server) ReportLoad(running, waiting float64, slots int, now time.Duration) {
 	s.reported = reportedLoad{requests: running + waiting, receivedAt: now}
 	if slots > 0 {
@@ -70,12 +77,13 @@
 	}
 }
 
-// Work is an estimate of what all routers' requests have pending there.
+// Work returns an estimate of what all routers' requests have pending there.
 func (s *Server) Work(now time.Duration) Work {
 	return s.local.plus(s.peers.work.times(freshness(s.peers.receivedAt, peerLoadTTL, now)))
 }
 
-// Load is an estimate of the requests at a server: those that all routers have there, or what the server reported if that is more.
+// Load returns an estimate of the requests at a server: those that all routers have there, or what the server reported if
+// that is more.
 func (s *Server) Load(now time.Duration) float64 {
 	load := s.Work(now).Requests
 	if fresh := freshness(s.reported.receivedAt, serverReportTTL, now); fresh > 0 {
--- a/internal/router/quota/quota_test.go
+++ b/internal/router/quota/quota_test.go
@@ -153,7 +153,7 @@
 	window := 10 * time.Second
 	budgets := make([]*RetryBudget, fleet)
 	for i := range budgets {
-		budgets[i] = NewRetryBudget(0.2, 62, window)
+		budgets[i] = NewRetryBudget(RetryBounds{Ratio: 0.2, Slack: 62, Window: window})
 		budgets[i].SetFleetSize(fleet)
 	}
 	requests, retries := 0, 0
@@ -172,7 +172,7 @@
 
 // Routers that have all just started do not know their number: none spends of the slack.
 func TestTheBudgetOfRetriesAfterAStart(t *testing.T) {
-	b := NewRetryBudget(0.2, 62, 10*time.Second)
+	b := NewRetryBudget(RetryBounds{Ratio: 0.2, Slack: 62, Window: 10 * time.Second})
 	b.SetFleetSize(1)
 	b.RecordRequest("s", 0)
 	require.False(t, b.AcquireRetry("s", 0))
--- a/internal/router/quota/retries.go
+++ b/internal/router/quota/retries.go
@@ -2,12 +2,19 @@
 
 import "time"
 
-// RetryBudget bounds one router's retries, of each service: the attempts of requests beyond their first. It needs no
-// coordination: the bound is a fraction of the router's own requests, and its part of the slack.
+// RetryBounds are the figures that retries are verified by: in any window, all routers together send a service at most
+// Ratio times its requests, and Slack, retries.
+type RetryBounds struct {
+	Ratio  float64
+	Slack  float64
+	Window time.Duration
+}
+
+// RetryBudget bounds one router's retries of requests to each service: the attempts beyond their first. It needs no
+// coordination: the bound is a fraction of the router's own requests, and its part of the slack. It is for one goroutine
+// at a time.
 type RetryBudget struct {
-	ratio     float64
-	slack     float64
-	window    time.Duration
+	bounds    RetryBounds
 	fleetSize int
 	usage     map[string]*retryUsage // by service
 }
@@ -28,12 +35,12 @@
 // usableFraction of the ratio and of the slack is used: windows slide, and a router that restarted has forgotten its use.
 const usableFraction = 0.5
 
-// NewRetryBudget makes a budget of a router that starts at time 0.
-func NewRetryBudget(ratio, slack float64, window time.Duration) *RetryBudget {
-	return &RetryBudget{ratio: ratio, slack: slack, window: window, fleetSize: 1, usage: map[string]*retryUsage{}}
+// NewRetryBudget returns the budget of a router that starts at time 0.
+func NewRetryBudget(b RetryBounds) *RetryBudget {
+	return &RetryBudget{bounds: b, fleetSize: 1, usage: map[string]*retryUsage{}}
 }
 
-// SetFleetSize sets the number of routers.
+// SetFleetSize sets the number of routers, which share the slack.
 func (b *RetryBudget) SetFleetSize(n int) { b.fleetSize = max(1, n) }
 
 // currentSlot returns a service's usage and the slot of now in it.
@@ -43,7 +50,7 @@
 		usage = &retryUsage{}
 		b.usage[service] = usage
 	}
-	number := int64(now / (b.window / retrySlots))
+	number := int64(now / (b.bounds.Window / retrySlots))
 	slot := &usage.slots[number%retrySlots]
 	if slot.number != number {
 		*slot = retrySlot{number: number}
@@ -57,7 +64,8 @@
 	slot.requests++
 }
 
-// AcquireRetry acquires a permit for one more attempt and counts it, or returns false.
+// AcquireRetry acquires a permit for one more attempt and counts it, or returns false. A permit is not given back: an
+// attempt that is not made counts too.
 func (b *RetryBudget) AcquireRetry(service string, now time.Duration) bool {
 	usage, current := b.currentSlot(service, now)
 	requests, retries := 0, 0
@@ -67,11 +75,11 @@
 			retries += slot.retries
 		}
 	}
-	slack := b.slack / float64(b.fleetSize)
-	if now < b.window { // the number of routers is not certain yet
+	slack := b.bounds.Slack / float64(b.fleetSize)
+	if now < b.bounds.Window { // the number of routers is not certain yet
 		slack = 0
 	}
-	if float64(retries+1) > usableFraction*(b.ratio*float64(requests)+slack) {
+	if float64(retries+1) > usableFraction*(b.bounds.Ratio*float64(requests)+slack) {
 		return false
 	}
 	current.retries++
