--- a/balance/config.go
+++ b/balance/config.go
@@ -85,7 +85,7 @@
 	Fields    []ReportField // what their numbers mean, in order
 
 	MaxAttempts    int     // of one request
-	Parallel       bool    // two attempts of a request may be in flight together
+	Parallel       bool    // two attempts of a request may be in flight together; not used
 	Cancel         bool    // attempts may be cancelled
 	Probes         bool    // servers may be probed
 	Messages       bool    // sidecars may message each other; not used
--- a/internal/sidecar/handover/link.go
+++ b/internal/sidecar/handover/link.go
@@ -13,8 +13,8 @@
 const (
 	// writeTimeout is how long a line may take to be written: the other process may hang.
 	writeTimeout = 500 * time.Millisecond
-	// maxKeptLineBuffer is the largest buffer that is kept for the next line.
-	maxKeptLineBuffer = 64 << 10
+	// maxReusedBuffer is the largest buffer that is used again for the next line.
+	maxReusedBuffer = 64 << 10
 )
 
 // Link connects two processes of one sidecar while both live. Send is safe for concurrent use; ReadLines is called by one goroutine.
@@ -49,7 +49,7 @@
 			return
 		}
 		handle(strings.TrimSuffix(string(line), "\n"))
-		if line = line[:0]; cap(line) > maxKeptLineBuffer {
+		if line = line[:0]; cap(line) > maxReusedBuffer {
 			line = nil
 		}
 	}
--- a/internal/sidecar/upstream/upstream.go
+++ b/internal/sidecar/upstream/upstream.go
@@ -6,7 +6,7 @@
 // that a streamed reply has begun; from then on it belongs to the client.
 //
 // Invariants: Send returns exactly once for each call, and calls OnReplyStarted at most once, before it returns. Nothing is sent of a
-// call whose Claim somebody else has won. A result whose NeverRan is true proves that the server did not execute the call; if that is
+// call whose Claim was won by a caller other than Send. A result whose NeverRan is true proves that the server did not execute the call; if that is
 // in doubt, the result is another one.
 package upstream
 
@@ -60,7 +60,7 @@
 	Expires    time.Time     // the response is awaited until then; zero: until the context of Send ends
 	Wait       time.Duration // the time limit that the server is given if Expires is zero, from the last byte of the request on
 	SendBefore time.Time     // the first byte must be sent before this time; zero: no such limit
-	ClientGone func() bool   // called last before the first byte is sent: reports that nobody waits any more; nil: somebody does
+	ClientGone func() bool   // called last before the first byte is sent: reports that the client has gone; nil: it has not
 	claimed    atomic.Bool
 
 	// OnRequestWritten is called, from a goroutine of Send, when the last byte of a streamed request was sent; may be nil.
