--- a/internal/sidecar/admission/controller_test.go
+++ b/internal/sidecar/admission/controller_test.go
@@ -13,121 +13,122 @@
 
 func always(*Conn) bool { return true }
 
-// rig is a limiter with its own clock.
-type rig struct {
-	t   *testing.T
-	d   *Controller
-	now time.Time
+// harness is a controller with its own clock.
+type harness struct {
+	t          *testing.T
+	controller *Controller
+	now        time.Time
 }
 
-func newRig(t *testing.T, places int) *rig {
-	return &rig{t, New(Config{MaxConnections: places, Horizon: 750 * time.Millisecond}, began), began}
+func newHarness(t *testing.T, maximum int) *harness {
+	return &harness{t, New(Config{MaxConnections: maximum, Horizon: 750 * time.Millisecond}, began), began}
 }
 
-func (r *rig) wait(d time.Duration) { r.now = r.now.Add(d) }
+func (r *harness) wait(d time.Duration) { r.now = r.now.Add(d) }
 
-func (r *rig) come() *Conn {
+// connect has a client connect, which must be admitted.
+func (r *harness) connect() *Conn {
 	r.t.Helper()
 	c := &Conn{}
-	if _, taken := r.d.Admit(c, r.now, always); !taken {
-		r.t.Fatalf("turned away: %+v", r.d.Stats())
+	if _, admitted := r.controller.Admit(c, r.now, always); !admitted {
+		r.t.Fatalf("rejected: %+v", r.controller.Stats())
 	}
 	return c
 }
 
-// serve has a connection ask once and get its answer after a time; it reports whether that ended the connection.
-func (r *rig) serve(c *Conn, after time.Duration) bool {
-	r.d.RequestStarted(c, r.now)
+// serve has a connection send one request and get the response after a time; it reports whether that closed the connection.
+func (r *harness) serve(c *Conn, after time.Duration) bool {
+	r.controller.RequestStarted(c, r.now)
 	r.wait(after)
-	if r.d.ResponseStarted(c, r.now) {
-		r.d.Closing(c, r.now)
-		r.d.Closed(c, r.now)
+	if r.controller.ResponseStarted(c, r.now) {
+		r.controller.Closing(c, r.now)
+		r.controller.Closed(c, r.now)
 		return true
 	}
-	r.d.ResponseDone(c, r.now)
+	r.controller.ResponseDone(c, r.now)
 	return false
 }
 
-// ordinary are clients that ask at random, each ten times a second, on connections that they keep; where theirs was closed
-// they come again. It counts what became of them.
-type ordinary struct {
-	r                       *rig
-	rnd                     *rand.Rand
-	conns                   []*Conn
-	asked, anew, turnedAway int
+// ordinaryClients send requests at random, each ten times a second, on connections that they keep open. A client whose connection was
+// closed connects again.
+type ordinaryClients struct {
+	harness                         *harness
+	random                          *rand.Rand
+	conns                           []*Conn
+	requests, reconnected, rejected int
 }
 
-// step is 2 ms of theirs.
-func (o *ordinary) step() {
-	o.r.wait(2 * time.Millisecond)
+// step plays 2 ms.
+func (o *ordinaryClients) step() {
+	o.harness.wait(2 * time.Millisecond)
 	for i, c := range o.conns {
-		if o.rnd.Float64() >= 0.02 {
+		if o.random.Float64() >= 0.02 {
 			continue
 		}
-		o.asked++
+		o.requests++
 		if c == nil || c.state == notOpen {
-			o.anew++
+			o.reconnected++
 			c = &Conn{}
-			if _, taken := o.r.d.Admit(c, o.r.now, always); !taken {
-				o.turnedAway++
+			if _, admitted := o.harness.controller.Admit(c, o.harness.now, always); !admitted {
+				o.rejected++
 				continue
 			}
 			o.conns[i] = c
 		}
-		o.r.serve(c, 0)
+		o.harness.serve(c, 0)
 	}
 }
 
-// A crowd of 500 a second, ten times the places in a second and a half, displaces itself, whether it asks once and stays or
-// never asks: ordinary clients keep their connections.
-func TestACrowdDisplacesItself(t *testing.T) {
-	for name, asks := range map[string]bool{"ask once and stay": true, "never ask": false} {
+// Of 500 new clients a second, in a second and a half ten times as many as may connect, each evicts another, whether they send one request
+// and stay connected or send none: ordinary clients keep their connections.
+func TestACrowdEvictsItself(t *testing.T) {
+	for name, sendsRequest := range map[string]bool{"one request": true, "no request": false} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 60)
-			o := &ordinary{r: r, rnd: rand.New(rand.NewPCG(3, 4)), conns: make([]*Conn, 20)}
+			r := newHarness(t, 60)
+			o := &ordinaryClients{harness: r, random: rand.New(rand.NewPCG(3, 4)), conns: make([]*Conn, 20)}
 			for range 1000 {
 				o.step()
 			}
-			o.asked, o.anew = 0, 0
+			o.requests, o.reconnected = 0, 0
 			for range 1500 {
 				o.step()
 				if c := (&Conn{}); true {
-					if _, taken := r.d.Admit(c, r.now, always); taken && asks {
+					if _, admitted := r.controller.Admit(c, r.now, always); admitted && sendsRequest {
 						r.serve(c, 0)
 					}
 				}
 			}
-			if o.asked < 500 || o.anew > o.asked/20 || o.turnedAway > 0 {
-				t.Errorf("of %d requests %d came on new connections, %d of these were turned away; %+v", o.asked, o.anew, o.turnedAway, r.d.Stats())
+			if o.requests < 500 || o.reconnected > o.requests/20 || o.rejected > 0 {
+				t.Errorf("of %d requests %d came on new connections, %d of these were rejected; %+v", o.requests, o.reconnected, o.rejected, r.controller.Stats())
 			}
 		})
 	}
 }
 
-// Clients that change to a connection for each request are met with answers that end theirs, within a few dozen requests;
-// when they change back, their connections are kept again.
-func TestClientsThatChangeTheirWays(t *testing.T) {
-	r := newRig(t, 200)
-	o := &ordinary{r: r, rnd: rand.New(rand.NewPCG(5, 6)), conns: make([]*Conn, 20)}
+// When clients change to a connection for each request, responses close their connections within a few dozen requests; when they change
+// back, connections stay open again.
+func TestClientsThatChange(t *testing.T) {
+	r := newHarness(t, 200)
+	o := &ordinaryClients{harness: r, random: rand.New(rand.NewPCG(5, 6)), conns: make([]*Conn, 20)}
 	for range 1000 {
 		o.step()
 	}
 	ended := 0
 	for range 200 {
-		if r.serve(r.come(), 20*time.Millisecond) {
+		if r.serve(r.connect(), 20*time.Millisecond) {
 			ended++
 		}
 	}
 	if ended < 50 {
-		t.Errorf("%d of 200 connections that ask once were ended", ended)
+		t.Errorf("%d of 200 connections with one request were closed", ended)
 	}
 	r.wait(60 * time.Second)
-	for _, c := range r.d.IdleSince(r.now, time.Second) {
-		r.d.Closed(c, r.now)
+	for _, c := range r.controller.IdleSince(r.now, time.Second) {
+		r.controller.Closed(c, r.now)
 	}
-	kept := 0
+	open := 0
 	for range 20 {
-		c := r.come()
+		c := r.connect()
 		for range 5 {
 			if c.state == notOpen || r.serve(c, 20*time.Millisecond) {
 				break
@@ -135,83 +136,82 @@
 			r.wait(80 * time.Millisecond)
 		}
 		if c.state == idle {
-			kept++
+			open++
 		}
 	}
-	if kept < 19 {
-		t.Errorf("%d of 20 connections are kept when their clients use them again", kept)
+	if open < 19 {
+		t.Errorf("%d of 20 connections stay open when their clients use them again", open)
 	}
 }
 
-// Nothing is ended where places are plentiful, whatever clients do.
-func TestPlentyOfPlaces(t *testing.T) {
-	r := newRig(t, 10000)
+// Nothing is closed far below the maximum, whatever clients do.
+func TestFarBelowTheMaximum(t *testing.T) {
+	r := newHarness(t, 10000)
 	for range 400 {
-		if r.serve(r.come(), 20*time.Millisecond) {
-			t.Fatal("ended")
+		if r.serve(r.connect(), 20*time.Millisecond) {
+			t.Fatal("closed")
 		}
 	}
 }
 
-// Who has a request open, or from whom something has come, never makes room; where all are like that, who comes is turned
-// away.
-func TestWhoNeverMakesRoom(t *testing.T) {
-	r := newRig(t, 2)
-	busyOne, heard := r.come(), r.come()
-	r.d.RequestStarted(busyOne, r.now)
+// A connection with a request in progress, or with unread bytes, is never evicted; where all are like that, a new one is rejected.
+func TestWhatIsNeverEvicted(t *testing.T) {
+	r := newHarness(t, 2)
+	busyConn, unread := r.connect(), r.connect()
+	r.controller.RequestStarted(busyConn, r.now)
 	r.wait(time.Hour)
-	victim, taken := r.d.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != heard })
-	if victim != nil || taken {
-		t.Errorf("victim %v, taken %v", victim, taken)
+	evicted, admitted := r.controller.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != unread })
+	if evicted != nil || admitted {
+		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
-	r.d.Closing(busyOne, r.now) // its last bytes are on their way: it is of no more use
-	if victim, taken = r.d.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != heard }); victim != busyOne || !taken {
-		t.Errorf("victim %v, taken %v", victim, taken)
+	r.controller.Closing(busyConn, r.now) // it had its last response, and is of no more use
+	if evicted, admitted = r.controller.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != unread }); evicted != busyConn || !admitted {
+		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
 }
 
-// Who has just come is waited for, whoever comes then; who never asks for longer than that makes room.
-func TestTheFirstCall(t *testing.T) {
-	r := newRig(t, 1)
-	first := r.come()
+// A new connection is not evicted within FirstRequestGrace; one that has sent no request after that is.
+func TestFirstRequestGrace(t *testing.T) {
+	r := newHarness(t, 1)
+	first := r.connect()
 	r.wait(FirstRequestGrace - 1)
-	if _, taken := r.d.Admit(&Conn{}, r.now, always); taken {
-		t.Error("it was not waited for")
+	if _, admitted := r.controller.Admit(&Conn{}, r.now, always); admitted {
+		t.Error("evicted within the grace")
 	}
 	r.wait(1)
 	second := &Conn{}
-	if victim, taken := r.d.Admit(second, r.now, always); victim != first || !taken {
-		t.Errorf("victim %v, taken %v", victim, taken)
+	if evicted, admitted := r.controller.Admit(second, r.now, always); evicted != first || !admitted {
+		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
-	r.d.RequestStarted(second, r.now) // for what has no answer of worth, such as its health
-	r.d.ResponseDone(second, r.now)
-	if victim, taken := r.d.Admit(&Conn{}, r.now, always); victim != second || !taken {
-		t.Errorf("who has asked: victim %v, taken %v", victim, taken)
+	r.controller.RequestStarted(second, r.now) // one whose response does not count, such as a health check
+	r.controller.ResponseDone(second, r.now)
+	if evicted, admitted := r.controller.Admit(&Conn{}, r.now, always); evicted != second || !admitted {
+		t.Errorf("after a request: evicted %v, admitted %v", evicted, admitted)
 	}
 }
 
-// Of two of the same history the one that has been silent for longer goes first.
-func TestTheLongestSilentGoesFirst(t *testing.T) {
-	r := newRig(t, 2)
-	first := r.come()
+// Of two with the same history the one that has been idle for longer is evicted first.
+func TestTheLongestIdleIsEvictedFirst(t *testing.T) {
+	r := newHarness(t, 2)
+	first := r.connect()
 	r.wait(time.Second)
-	r.come()
+	r.connect()
 	r.wait(time.Second)
-	if victim, _ := r.d.Admit(&Conn{}, r.now, always); victim != first {
+	if evicted, _ := r.controller.Admit(&Conn{}, r.now, always); evicted != first {
 		t.Error("not the first")
 	}
 }
 
-// The rates are those of the clients, whatever their scale: connections that ask after a random time with a mean are
-// expected to do so.
+// The rates are those of the clients, whatever their scale: connections that send a request after a random time with a mean are expected
+// to do so.
 func TestRatesAreLearned(t *testing.T) {
 	for _, mean := range []time.Duration{20 * time.Millisecond, time.Second} {
 		var r rates
 		rnd := rand.New(rand.NewPCG(1, 2))
 		for range 200000 {
-			silent := time.Duration(rnd.ExpFloat64() * float64(mean))
-			r.observe(regular, 0, silent)
-			r.ended(regular, silent)
+			idleTime := time.Duration(rnd.ExpFloat64() * float64(mean))
+			r.observe(regular, 0, idleTime)
+			r.ended(regular, idleTime)
 		}
 		for _, at := range []time.Duration{0, mean / 3, mean} {
 			if got := r.expected(regular, at) * mean.Seconds(); got < 0.85 || got > 1.15 {
@@ -224,25 +224,25 @@
 	}
 }
 
-// A part of a silence that is taken in twice over counts once: in pieces or at once, the sum is the same.
-func TestSilencesInPieces(t *testing.T) {
+// An idle time that is observed in parts counts as if it were observed at once.
+func TestIdleTimesInParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cuts := rapid.SliceOfN(rapid.Int64Range(0, int64(100*time.Second)), 0, 20).Draw(t, "cuts")
-		var whole, pieces rates
+		var atOnce, inParts rates
 		at := time.Duration(0)
 		for _, c := range cuts {
 			if d := time.Duration(c); d > at {
-				pieces.observe(once, at, d)
+				inParts.observe(once, at, d)
 				at = d
 			}
 		}
-		whole.observe(once, 0, at)
+		atOnce.observe(once, 0, at)
 		sum := 0.0
 		for c := range buckets {
-			if d := whole.idleSeconds[once][c] - pieces.idleSeconds[once][c]; d > 1e-6 || d < -1e-6 {
-				t.Errorf("cell %d: %v and %v", c, whole.idleSeconds[once][c], pieces.idleSeconds[once][c])
+			if d := atOnce.idleSeconds[once][c] - inParts.idleSeconds[once][c]; d > 1e-6 || d < -1e-6 {
+				t.Errorf("bucket %d: %v and %v", c, atOnce.idleSeconds[once][c], inParts.idleSeconds[once][c])
 			}
-			sum += pieces.idleSeconds[once][c]
+			sum += inParts.idleSeconds[once][c]
 		}
 		if d := sum - at.Seconds(); d > 1e-6 || d < -1e-6 {
 			t.Errorf("%v s of %v", sum, at)
@@ -250,13 +250,13 @@
 	})
 }
 
-// Whatever happens in whatever order, no place is leaked or counted twice: the limiter against a set of connections.
-func TestPlacesAgainstASet(t *testing.T) {
+// In any order of events no connection is lost or counted twice: the controller is compared with a set of connections.
+func TestConnectionsAgainstASet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.IntRange(1, 6).Draw(t, "places")
-		d := New(Config{MaxConnections: places, Horizon: time.Second}, began)
+		maximum := rapid.IntRange(1, 6).Draw(t, "maximum")
+		d := New(Config{MaxConnections: maximum, Horizon: time.Second}, began)
 		now := began
-		state := map[*Conn]string{} // of those that have a place
+		state := map[*Conn]string{} // of those that are open
 		var all []*Conn
 		on := func(event func(*Conn)) func(*rapid.T) {
 			return func(t *rapid.T) {
@@ -269,42 +269,42 @@
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 			},
-			"come": func(t *rapid.T) {
+			"connect": func(t *rapid.T) {
 				c := &Conn{}
-				loud := map[*Conn]bool{}
+				unread := map[*Conn]bool{}
 				for _, c := range all {
-					loud[c] = rapid.Bool().Draw(t, "loud")
+					unread[c] = rapid.Bool().Draw(t, "unread")
 				}
-				victim, taken := d.Admit(c, now, func(c *Conn) bool { return !loud[c] })
-				if victim != nil && (state[victim] == "" || state[victim] == "busy" || state[victim] == "silent" && loud[victim]) {
-					t.Fatalf("a victim that is %q, loud %v", state[victim], loud[victim])
+				evicted, admitted := d.Admit(c, now, func(c *Conn) bool { return !unread[c] })
+				if evicted != nil && (state[evicted] == "" || state[evicted] == "busy" || state[evicted] == "idle" && unread[evicted]) {
+					t.Fatalf("evicted, though it is %q, unread %v", state[evicted], unread[evicted])
 				}
-				if (len(state) < places) != (taken && victim == nil) || victim != nil && !taken {
-					t.Fatalf("%d of %d places: victim %v, taken %v", len(state), places, victim, taken)
+				if (len(state) < maximum) != (admitted && evicted == nil) || evicted != nil && !admitted {
+					t.Fatalf("%d of %d open: evicted %v, admitted %v", len(state), maximum, evicted, admitted)
 				}
-				delete(state, victim)
-				if taken {
-					state[c] = "silent"
+				delete(state, evicted)
+				if admitted {
+					state[c] = "idle"
 				}
 				all = append(all, c)
 			},
-			"ask": on(func(c *Conn) {
-				if d.RequestStarted(c, now); state[c] == "silent" {
+			"request": on(func(c *Conn) {
+				if d.RequestStarted(c, now); state[c] == "idle" {
 					state[c] = "busy"
 				}
 			}),
-			"answer": on(func(c *Conn) {
+			"respond": on(func(c *Conn) {
 				d.ResponseStarted(c, now)
 				if d.ResponseDone(c, now); state[c] == "busy" {
-					state[c] = "silent"
+					state[c] = "idle"
 				}
 			}),
-			"leave": on(func(c *Conn) {
+			"closing": on(func(c *Conn) {
 				if d.Closing(c, now); state[c] != "" {
-					state[c] = "leaving"
+					state[c] = "closing"
 				}
 			}),
-			"gone": on(func(c *Conn) {
+			"closed": on(func(c *Conn) {
 				d.Closed(c, now)
 				delete(state, c)
 			}),
@@ -313,26 +313,26 @@
 				for _, s := range state {
 					counts[s]++
 				}
-				f, silent := d.Stats(), 0
-				for _, n := range f.Idle {
-					silent += n
+				stats, idleCount := d.Stats(), 0
+				for _, n := range stats.Idle {
+					idleCount += n
 				}
-				if d.open != len(state) || f.Busy != counts["busy"] || f.Closing != counts["leaving"] || silent != counts["silent"] {
-					t.Fatalf("%d held, %+v; it should be %v", d.open, f, counts)
+				if d.open != len(state) || stats.Busy != counts["busy"] || stats.Closing != counts["closing"] || idleCount != counts["idle"] {
+					t.Fatalf("%d open, %+v; want %v", d.open, stats, counts)
 				}
 			},
 		})
 	})
 }
 
-// BenchmarkCome is what a connection costs at a limiter at which all places are taken, and one whose silences are followed.
+// BenchmarkAdmit measures what a new connection and its one request cost while the maximum is open.
 //
-//	go test ./internal/sidecar/admission -run - -bench Come
-func BenchmarkCome(b *testing.B) {
-	for _, places := range []int{224, 16384} {
-		b.Run(fmt.Sprint(places, "-places"), func(b *testing.B) {
-			d, now := New(Config{MaxConnections: places, Horizon: time.Second}, began), began
-			for range places {
+//	go test ./internal/sidecar/admission -run - -bench Admit
+func BenchmarkAdmit(b *testing.B) {
+	for _, maximum := range []int{224, 16384} {
+		b.Run(fmt.Sprint(maximum, "-connections"), func(b *testing.B) {
+			d, now := New(Config{MaxConnections: maximum, Horizon: time.Second}, began), began
+			for range maximum {
 				d.Admit(&Conn{}, now, always)
 			}
 			b.ReportAllocs()
