--- a/internal/sidecar/admin/admin_test.go
+++ b/internal/sidecar/admin/admin_test.go
@@ -17,13 +17,13 @@
 	"petrelhook/internal/sidecar/lifecycle"
 )
 
-// endpoint is the operators' endpoint on loopback.
+// endpoint starts an operators' endpoint on loopback.
 func endpoint(t *testing.T) (addr string, m *lifecycle.Machine) {
 	return patientEndpoint(t, evictAfter)
 }
 
-// patientEndpoint is one that waits for a caller for a time before he makes room.
-func patientEndpoint(t *testing.T, unheard time.Duration) (addr string, m *lifecycle.Machine) {
+// patientEndpoint starts one that waits for a caller for a time before it closes it for another.
+func patientEndpoint(t *testing.T, wait time.Duration) (addr string, m *lifecycle.Machine) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +32,7 @@
 	m = lifecycle.New()
 	ended := make(chan error, 1)
 	s := New(m)
-	s.evictAfter = unheard
+	s.evictAfter = wait
 	s.Counts = func() any { return []string{"counted"} }
 	go func() { ended <- s.Serve(ln) }()
 	t.Cleanup(func() {
@@ -48,7 +48,7 @@
 	return method + " " + path + " HTTP/1.1\r\nHost: admin\r\nContent-Length: 0\r\n\r\n"
 }
 
-// Each call in the order of a day, with its status and what it says; every answer ends its connection.
+// Calls, one after another, with the status and the text of each answer; every answer ends its connection.
 func TestCalls(t *testing.T) {
 	addr, m := endpoint(t)
 	for _, c := range []struct {
@@ -137,8 +137,8 @@
 	})
 }
 
-// 200 callers who say nothing come at the same moment, and one who calls in their midst and speaks a little later.
-func TestACallInACrowdIsHeardOut(t *testing.T) {
+// 200 callers that send nothing connect at the same time, and one among them sends its call a little later: it is answered.
+func TestACallAmongSilentCallers(t *testing.T) {
 	addr, m := patientEndpoint(t, peertest.EventTimeout)
 	m.Apply(lifecycle.ServersKnown)
 	call, in := peertest.Dial(t, addr)
--- a/internal/sidecar/connlimit/close_test.go
+++ b/internal/sidecar/connlimit/close_test.go
@@ -15,27 +15,27 @@
 	"petrelhook/internal/sidecar/membudget"
 )
 
-// much is more than the client's socket takes of an answer that nobody reads, and all of it fits into the server's.
-const much = 2 << 20
+// longResponse is the length of a response that does not fit into the buffer of the client's socket, but into that of the server's.
+const longResponse = 2 << 20
 
-// slowReader serves answers of that length, each in one write, and a client with a small buffer that has asked for one and reads
-// nothing yet. With last the answer ends the connection. written is closed when the handler has returned.
-func slowReader(t *testing.T, last bool) (d *Limiter, c net.Conn, in *bufio.Reader, written chan struct{}) {
+// slowReader serves responses of that length, each in one write, to a client with a small buffer that has sent a request and reads nothing
+// yet. With last the response ends the connection. written gets a value whenever a response was written.
+func slowReader(t *testing.T, last bool) (l *Limiter, c net.Conn, in *bufio.Reader, written chan struct{}) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, written = New(inner, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second), make(chan struct{}, 9)
+	l, written = New(inner, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second), make(chan struct{}, 9)
 	server := &http.Server{ConnState: func(nc net.Conn, s http.ConnState) {
-		if s == http.StateNew { // all of an answer fits into this side's buffer
-			nc.(*client).Conn.(*net.TCPConn).SetWriteBuffer(2 * much)
+		if s == http.StateNew { // a complete response fits into this side's buffer
+			nc.(*client).Conn.(*net.TCPConn).SetWriteBuffer(2 * longResponse)
 		}
-		if d.ConnState(nc, s); s == http.StateIdle || s == http.StateClosed {
+		if l.ConnState(nc, s); s == http.StateIdle || s == http.StateClosed {
 			written <- struct{}{}
 		}
-	}, ConnContext: d.ConnContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		d.ResponseStarted(req.Context())
+	}, ConnContext: l.ConnContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		l.ResponseStarted(req.Context())
 		if last {
 			w.Header().Set("Connection", "close")
 		}
@@ -43,16 +43,16 @@
 		w.Header().Set("Content-Length", strconv.Itoa(size))
 		w.Write(make([]byte, size))
 	})}
-	go server.Serve(d)
+	go server.Serve(l)
 	t.Cleanup(func() { server.Close() })
 	c, in = peertest.Dial(t, inner.Addr().String())
 	c.(*net.TCPConn).SetReadBuffer(256 << 10)
-	io.WriteString(c, get(strconv.Itoa(much)))
-	return d, c, in, written
+	io.WriteString(c, get(strconv.Itoa(longResponse)))
+	return l, c, in, written
 }
 
-// whole reads one answer to its end.
-func whole(t *testing.T, in *bufio.Reader) {
+// readCompletely reads one response to its end.
+func readCompletely(t *testing.T, in *bufio.Reader) {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -63,80 +63,80 @@
 	}
 }
 
-// A connection on which the client's machine lacks some of the last answer makes no room, and is not closed at once for having no
-// request: the next may be on its way, and would reset the rest away. Both orders: the close before the next request, and
-// after it.
+// A connection on which the client's machine has not acknowledged all of the last response is not evicted, nor closed at once where idle
+// ones are: the next request may be arriving, and would reset the rest of the response away. Both orders: the close before the next
+// request, and after it.
 func TestAnAnswerOnItsWayIsNotResetAway(t *testing.T) {
 	for _, first := range []string{"the close", "the request"} {
-		d, c, in, written := slowReader(t, false)
+		l, c, in, written := slowReader(t, false)
 		peertest.Wait(t, written)
-		if d.admit(c) != nil {
-			t.Error("it made room")
+		if l.admit(c) != nil {
+			t.Error("it was evicted")
 		}
 		if first == "the close" {
-			d.CloseIdle(0)
+			l.CloseIdle(0)
 		}
 		io.WriteString(c, get("2"))
-		if first == "the request" { // which has been answered, behind what is on its way
+		if first == "the request" { // which is answered behind the response that is not read yet
 			peertest.Wait(t, written)
-			d.CloseIdle(0)
+			l.CloseIdle(0)
 		}
-		whole(t, in)
+		readCompletely(t, in)
 		if first == "the request" {
-			whole(t, in)
+			readCompletely(t, in)
 		}
 		if _, err := in.ReadByte(); err != io.EOF {
 			t.Errorf("%s first: %v", first, err)
 		}
 		c.Close()
-		peertest.Eventually(t, "its place is free", func() bool { return d.Open() == 0 })
+		peertest.Eventually(t, "it is closed", func() bool { return l.Open() == 0 })
 	}
 }
 
-// The last answer of a connection, with bytes of the client unread behind its request: they reset nothing away.
+// The last response of a connection arrives completely, although bytes of the client behind its request are unread: they do not reset it away.
 func TestALastAnswerIsTakenWhole(t *testing.T) {
-	d, c, in, written := slowReader(t, true)
+	l, c, in, written := slowReader(t, true)
 	peertest.Wait(t, written)
 	io.WriteString(c, get("2"))
-	whole(t, in)
+	readCompletely(t, in)
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("%v", err)
 	}
 	c.Close()
-	peertest.Eventually(t, "its place is free", func() bool { return d.Open() == 0 })
+	peertest.Eventually(t, "it is closed", func() bool { return l.Open() == 0 })
 }
 
-// A request that was read ahead and not yet handed to net/http is no less on its way than one that is unread: its connection makes
-// no room, in the very moment between two requests.
+// A request that was read ahead, and not yet handed to net/http, counts like one that is unread: its connection is not evicted in the moment
+// between two requests.
 func TestARequestReadAheadKeepsItsPlace(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(inner, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second)
-	d.ReadAheadBudget = membudget.New(0)
-	between, taken := make(chan bool, 9), make(chan struct{}, 9)
-	server := &http.Server{ConnContext: d.ConnContext, ConnState: func(nc net.Conn, s http.ConnState) {
-		if d.ConnState(nc, s); s == http.StateIdle {
-			between <- d.admit(nc.(*client).Conn) != nil
+	l := New(inner, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second)
+	l.ReadAheadBudget = membudget.New(0)
+	between, accepted := make(chan bool, 9), make(chan struct{}, 9)
+	server := &http.Server{ConnContext: l.ConnContext, ConnState: func(nc net.Conn, s http.ConnState) {
+		if l.ConnState(nc, s); s == http.StateIdle {
+			between <- l.admit(nc.(*client).Conn) != nil
 		}
 	}, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		defer d.WatchClient(req.Context())()
-		taken <- struct{}{}
-		for req.URL.Path == "/1" && d.ReadAheadBudget.Reserved() <= 4<<10 { // until the next is read, beside the piece that is asked for
+		defer l.WatchClient(req.Context())()
+		accepted <- struct{}{}
+		for req.URL.Path == "/1" && l.ReadAheadBudget.Reserved() <= 4<<10 { // until the next one is read, beside the chunk that is reserved
 			runtime.Gosched()
 		}
-		d.ResponseStarted(req.Context())
+		l.ResponseStarted(req.Context())
 	})}
-	go server.Serve(d)
+	go server.Serve(l)
 	t.Cleanup(func() { server.Close() })
 	c, in := peertest.Dial(t, inner.Addr().String())
 	io.WriteString(c, get("1"))
-	peertest.Wait(t, taken)
+	peertest.Wait(t, accepted)
 	io.WriteString(c, get("2"))
-	whole(t, in)
+	readCompletely(t, in)
 	if peertest.Wait(t, between) {
-		t.Fatal("it made room")
+		t.Fatal("it was evicted")
 	}
-	whole(t, in)
+	readCompletely(t, in)
 }
--- a/internal/sidecar/lifecycle/lifecycle_test.go
+++ b/internal/sidecar/lifecycle/lifecycle_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Each row is what happens and what holds then: the state, the answer to health checks, to operators, whether connections
-// are kept, and whether new ones are taken.
-func TestWhatHolds(t *testing.T) {
+// Each row has events and the status after them: the state, the answers to health checks and to operators, whether connections stay open,
+// and whether new ones are accepted.
+func TestStatusAfterEvents(t *testing.T) {
 	all := func(e ...Event) []Event { return e }
 	for _, c := range []struct {
 		events []Event
@@ -60,8 +60,8 @@
 	}
 }
 
-// In any order of events: each may come twice, nothing leads out of Stopping, and nobody is told to come who would be sent
-// away.
+// In any order of events: each may come twice, nothing leads out of Stopping, and no process is healthy that would close the connections of
+// the clients that it invites.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Status
@@ -76,45 +76,45 @@
 				t.Fatalf("%v after %v", e, before)
 			}
 			if s.Healthy() && !s.KeepsConnections() && !s.HasSuccessor() {
-				t.Fatalf("%v is healthy and sends clients away", s)
+				t.Fatalf("%v is healthy and closes its clients' connections", s)
 			}
 			if s.State() == Ready && !(s.Healthy() && s.Ready() && s.KeepsConnections() && s.Accepts()) {
-				t.Fatalf("%v is ready, but not for all", s)
+				t.Fatalf("%v is ready, but not in all respects", s)
 			}
 		}
 	})
 }
 
-// Who waits for a change hears of each that is one, and of no other.
-func TestChangesAreTold(t *testing.T) {
+// The channel of Watch is closed by each event that changes the status, and by no other.
+func TestWatchReportsChanges(t *testing.T) {
 	m := New()
-	var heard []bool
+	var changes []bool
 	for _, e := range []Event{ServersKnown, ServersKnown, EvacuationDone, Evacuate, Evacuate, Rejoin, Terminate, Rejoin} {
-		_, over := m.Watch()
+		_, watched := m.Watch()
 		now, changed := m.Apply(e)
 		closed := false
 		select {
-		case <-over:
+		case <-watched:
 			closed = true
 		default:
 		}
 		if closed != changed || now != m.Status() {
-			t.Errorf("%v: told %v, changed %v", e, closed, changed)
+			t.Errorf("%v: reported %v, changed %v", e, closed, changed)
 		}
-		heard = append(heard, changed)
+		changes = append(changes, changed)
 	}
-	if !slices.Equal(heard, []bool{true, false, false, true, false, true, true, false}) {
-		t.Error(heard)
+	if !slices.Equal(changes, []bool{true, false, false, true, false, true, true, false}) {
+		t.Error(changes)
 	}
 }
 
-// Whatever is held: the parts are the whole together, and nobody has to give up what he holds.
-func TestTheDivisionOfRoom(t *testing.T) {
-	for held, want := range map[ConnectionShare][2]ConnectionShare{
+// However many connections are in use: the two shares are the total together, and the process in service keeps what it uses.
+func TestDivide(t *testing.T) {
+	for inUse, want := range map[ConnectionShare][2]ConnectionShare{
 		{0, 0}: {{50, 20}, {50, 20}}, {80, 10}: {{80, 20}, {20, 20}}, {100, 40}: {{100, 40}, {0, 0}}, {120, 41}: {{100, 40}, {0, 0}},
 	} {
-		if own, next := (ConnectionShare{100, 40}).Divide(held); own != want[0] || next != want[1] {
-			t.Errorf("%v held: %v and %v", held, own, next)
+		if own, next := (ConnectionShare{100, 40}).Divide(inUse); own != want[0] || next != want[1] {
+			t.Errorf("%v in use: %v and %v", inUse, own, next)
 		}
 	}
 }
--- a/internal/sidecar/lifecycle/shutdown_window_test.go
+++ b/internal/sidecar/lifecycle/shutdown_window_test.go
@@ -8,7 +8,7 @@
 // Whatever is read after the end has begun is answered before the last moment, however late it comes.
 func TestWhatIsReadLateIsAnsweredInTime(t *testing.T) {
 	began := time.Unix(1000, 0)
-	e := ShutdownWindow{Began: began, AcceptTime: 600 * time.Millisecond, MaxDeadline: 3 * time.Second}
+	window := ShutdownWindow{Began: began, AcceptTime: 600 * time.Millisecond, MaxDeadline: 3 * time.Second}
 	for _, c := range []struct{ read, wait, want time.Duration }{
 		{0, 3 * time.Second, 3 * time.Second},
 		{400 * time.Millisecond, 3 * time.Second, 3 * time.Second},
@@ -18,11 +18,11 @@
 		{3550 * time.Millisecond, time.Second, 0},
 		{4 * time.Second, time.Second, 0},
 	} {
-		if got := e.ClampWait(began.Add(c.read), c.wait); got != c.want {
+		if got := window.ClampWait(began.Add(c.read), c.wait); got != c.want {
 			t.Errorf("read after %v, waiting %v: %v, want %v", c.read, c.wait, got, c.want)
 		}
 	}
-	if e.Duration() >= e.MaxDeadline+700*time.Millisecond { // when the platform may kill it
-		t.Errorf("it ends after %v", e.Duration())
+	if window.Duration() >= window.MaxDeadline+700*time.Millisecond { // when the platform may kill it
+		t.Errorf("it ends after %v", window.Duration())
 	}
 }
