--- a/balance/doc.go
+++ b/balance/doc.go
@@ -45,8 +45,8 @@
 //     the caller keeps what was decided before the update from leaving after the grace. TestDrainingGetsNothingNew;
 //     conversations 09 and 10.
 //   - A server in its slow start is not overloaded. slowStartBudget is a hard limit of sends, retries included, which relies on
-//     every other sidecar's doing the same; see below. TestTheRampHoldsForTheFleet, TestColdBudgetHoldsForAllSidecars,
-//     TestReroutesKeepTheColdBudget; conversations 11, 12 and 24.
+//     every other sidecar's doing the same; see below. TestTheSlowStartBoundHoldsForTheFleet, TestSlowStartBudgetHoldsForAllSidecars,
+//     TestRetriesKeepTheSlowStartBudget; conversations 11, 12 and 24.
 //
 // # What servers in their slow start get from all sidecars together
 //
--- a/balance/keys_test.go
+++ b/balance/keys_test.go
@@ -49,7 +49,7 @@
 
 // A key goes to one server mostly, the same from all sidecars, so that it is warm there. Where servers do not keep keys
 // warm, keys change nothing. Large servers are home to more keys.
-func TestAKeyHasOneHome(t *testing.T) {
+func TestAKeyHasOnePreferredServer(t *testing.T) {
 	const keys = 60
 	servers := fleet(8)
 	for i := range 4 {
@@ -105,7 +105,7 @@
 }
 
 // The rules go before the keys: a home that drains gets nothing, and its keys go to the same next server from all sidecars.
-func TestAKeyLeavesAHomeThatDrains(t *testing.T) {
+func TestAKeyLeavesADrainingServer(t *testing.T) {
 	one, two := newHarness(t, affinityConfig(1, 0), fleet(8)...), newHarness(t, affinityConfig(2, 2), fleet(8)...)
 	before, _ := preferredServers(one, 40, 20)
 	drained := fleet(8)[:1]
@@ -133,7 +133,7 @@
 }
 
 // A client's repeat of what has just run out of time here is refused at once where it would cost more than it can earn.
-func TestARepeatOfWhatRanOutOfTime(t *testing.T) {
+func TestARetryOfWhatTimedOut(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Config, *harness, *Request)
@@ -178,7 +178,7 @@
 }
 
 // Time-outs are forgotten: the table does not grow with how many there were.
-func TestOverrunsAreForgotten(t *testing.T) {
+func TestTimeoutsAreForgotten(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	r := &request{class: &g.b.cfg.Classes[allClass]}
 	a := &attempt{server: &server{HealthState: HealthState{AnsweredAt: 1}}}
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -38,7 +38,7 @@
 
 // The next process goes on as the one before would have: the same choices for the same events, also after the memory went
 // through its text.
-func TestTheNextProcessGoesOn(t *testing.T) {
+func TestRestoreContinues(t *testing.T) {
 	g := learnedHarness(t)
 	text, err := json.Marshal(g.b.Snapshot())
 	if err != nil {
@@ -74,7 +74,7 @@
 
 // A server in its slow start has one budget: what the process before has used of it is used, and one that only it knows to have restarted
 // warms up for the next as well.
-func TestAColdServerHasOneBudget(t *testing.T) {
+func TestAServerInItsSlowStartHasOneBudget(t *testing.T) {
 	g := learnedHarness(t)
 	s := g.b.servers.byID[1]
 	g.b.beginSlowStart(s, g.now)
@@ -92,7 +92,7 @@
 }
 
 // What does not fit is left out: a server that is not listed, more classes than there are.
-func TestAMemoryThatDoesNotFit(t *testing.T) {
+func TestASnapshotThatDoesNotFit(t *testing.T) {
 	g := learnedHarness(t)
 	cfg := baseConfig()
 	cfg.Classes = cfg.Classes[:1]
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -226,7 +226,7 @@
 
 // The bound that doc.go derives, and that a server is used in its slow start all the same: it gets at least half of what it can do, over
 // its ramp.
-func TestTheRampHoldsForTheFleet(t *testing.T) {
+func TestTheSlowStartBoundHoldsForTheFleet(t *testing.T) {
 	worst := 0.0
 	for _, sidecars := range []int{1, 3, 20, 30, 300} {
 		for name, c := range map[string]ramp{
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestRerouteTakesTheHealthiestUntried(t *testing.T) {
+func TestRetryTakesTheHealthiestUntried(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	for _, s := range g.b.servers.all {
 		s.Errors, s.LastErrorAt = 2, g.now
@@ -98,7 +98,7 @@
 // Where every server holds far more than its share a first send goes to the one that holds least for
 // its weight: the next in turn was crowded further, and stayed slow; a retry still goes by m. While one is
 // not over its share, the turn decides.
-func TestFirstSendGoesToTheLeastCrowdedOfCrowdedServers(t *testing.T) {
+func TestFirstSendGoesToTheLeastFilledOfFullServers(t *testing.T) {
 	for _, c := range []struct {
 		holds [4]int
 		want  ServerID
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -139,7 +139,7 @@
 
 // In overload an alarm came a rounding error before its time and was not set again, so that the
 // request got no answer at its deadline.
-func TestEarlyAlarmIsSetAgain(t *testing.T) {
+func TestEarlyTimerIsSetAgain(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	id, _ := g.request(unsafeClass)
 	g.now = g.b.requests.byID[id].wakeAt - 1e-4
@@ -150,7 +150,7 @@
 
 // A server in its slow start was overloaded when the budget followed the requests of clients, retries included; and by many
 // sidecars that each knew of few answers. Whatever their number, all together stay under the multiple.
-func TestColdBudgetHoldsForAllSidecars(t *testing.T) {
+func TestSlowStartBudgetHoldsForAllSidecars(t *testing.T) {
 	for _, c := range []struct{ sidecars, servers, perSecond int }{{4, 5, 150}, {40, 10, 15}, {300, 60, 2}} {
 		cfg := baseConfig()
 		cfg.SidecarCount = c.sidecars
@@ -189,7 +189,7 @@
 // A server that lost a connection, failed again and then answers has restarted, whatever the list says. One that took
 // no connection may not have: healthy servers with full tables were given a starting server's share. Nor has one that
 // lost a single connection: networks and servers end some at any time.
-func TestBackFromTheDeadIsCold(t *testing.T) {
+func TestAnAnswerAfterLostConnectionsBeginsASlowStart(t *testing.T) {
 	for _, c := range []struct {
 		ends []Result
 		cold bool
@@ -280,7 +280,7 @@
 
 // Answers assumed for small sidecars counted in the budget of starting servers too, and together
 // they overloaded one. A sidecar that has seen no answers may hardly send anything to such a server.
-func TestAssumedAnswersGiveNoColdBudget(t *testing.T) {
+func TestAssumedAnswersGiveNoSlowStartBudget(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	entry := g.b.servers.all[0].Server
 	entry.StartedAt = g.now
@@ -300,7 +300,7 @@
 }
 
 // All other servers failed, and every sidecar's retries went to the one that had just started, as it had no errors.
-func TestReroutesKeepTheColdBudget(t *testing.T) {
+func TestRetriesKeepTheSlowStartBudget(t *testing.T) {
 	toCold, limit := 0, 0.0
 	const sidecars, requests = 40, 20
 	for n := range sidecars {
@@ -335,7 +335,7 @@
 
 // A rejected client gets the time for its retry: later in overload, never past what clients obey, and not at all
 // where the settings do not allow it.
-func TestRefusedClientsAreToldWhenToComeBack(t *testing.T) {
+func TestRejectedClientsGetARetryTime(t *testing.T) {
 	for _, c := range []struct {
 		over, most float64
 		allowed    bool
--- a/balance/trouble_test.go
+++ b/balance/trouble_test.go
@@ -30,7 +30,7 @@
 
 // The network was partitioned and most probes lost, and the servers next in turn, which could not be reached,
 // were probed again for every request.
-func TestServersOutOfReachRestAndComeBack(t *testing.T) {
+func TestUnreachableServersHaveACooldown(t *testing.T) {
 	g := newHarness(t, probeConfig(), fleet(3)...)
 	dark := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
@@ -120,7 +120,7 @@
 
 // In overload every queue filled and all answers came late. What cannot be answered in time is
 // rejected before it is sent, least value first.
-func TestOverloadIsShedLeastWorthFirst(t *testing.T) {
+func TestOverloadIsShedLeastValueFirst(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	refused := map[int]int{}
 	var open []RequestID
@@ -176,7 +176,7 @@
 
 // What hangs at a server in a cooldown is that server's fault and must not shed load. But as a whole fleet broke
 // down all servers had cooldowns, nothing in flight counted, and the shedding stopped when it was needed most.
-func TestRestingServersAreNoLoadUnlessMostRest(t *testing.T) {
+func TestServersInACooldownAreNoLoadUnlessMostAre(t *testing.T) {
 	for _, c := range []struct {
 		rested, steady float64
 		sheds          bool
@@ -263,7 +263,7 @@
 
 // Of two tenants with equal shares the one that requests three times as much loses what is beyond its
 // share; when both request the same they lose the same.
-func TestTenantsBeyondTheirShareAreRefusedFirst(t *testing.T) {
+func TestTenantsBeyondTheirShareAreRejectedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Share: 0.5}, {Share: 0.5}}
 	_, refused := shedding(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
@@ -307,7 +307,7 @@
 }
 
 // A restarted server starts afresh: no cooldown and no failed probe is remembered.
-func TestRestartClearsWhatWasHeldAgainstAServer(t *testing.T) {
+func TestRestartClearsHealth(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(2)...)
 	s := g.b.servers.all[0]
 	g.handle(ProbeResult{Server: s.ID, Result: TimedOut})
@@ -323,7 +323,7 @@
 }
 
 // Twice as fast a server is found to be larger, and its kind with it.
-func TestSizesAreLearned(t *testing.T) {
+func TestCapacitiesAreLearned(t *testing.T) {
 	servers := fleet(4)
 	servers[2].Kind, servers[3].Kind = 1, 1
 	g := newHarness(t, baseConfig(), servers...)
@@ -345,7 +345,7 @@
 
 // Half the fleet was removed and clients' retries, too late to be of value, took what was
 // left of it.
-func TestLateTriesAreRefusedFirst(t *testing.T) {
+func TestLateRetriesAreRejectedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[safeClass].LateValue = 0.3
 	for _, c := range []struct {
@@ -377,7 +377,7 @@
 }
 
 // A server that leaves several attempts unanswered has a cooldown, and is used again after an answer.
-func TestStrikesRestAServer(t *testing.T) {
+func TestErrorsBeginACooldown(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	s := g.b.servers.all[0]
 	for range cooldownErrors - 1 {
@@ -409,7 +409,7 @@
 }
 
 // When all servers are in a cooldown the cause is hardly theirs.
-func TestAllRestingAreUsed(t *testing.T) {
+func TestAllInACooldownAreUsed(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	for _, s := range g.b.servers.all {
 		g.b.recordFault(s, true)
@@ -445,7 +445,7 @@
 }
 
 // Where crossing zones has a penalty, the own zone gets more, and others still get some.
-func TestOwnZoneIsFavouredWhereCrossingCosts(t *testing.T) {
+func TestOwnZoneIsPreferredWhereCrossingCosts(t *testing.T) {
 	for price, least := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
 		cfg.Penalties.CrossZone, cfg.Zone = price, 1
@@ -487,7 +487,7 @@
 }
 
 // A restarted sidecar with few requests used slow servers as much as fast ones for a minute.
-func TestSizesAreLearnedFastAtFirst(t *testing.T) {
+func TestCapacitiesAreLearnedFastAtFirst(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(2)...)
 	fast, slow := g.b.servers.all[0], g.b.servers.all[1]
 	for range 20 {
@@ -510,7 +510,7 @@
 }
 
 // A request that must not run twice was lost for good at a server that had just failed, while others did well.
-func TestUnrepeatableRequestsAvoidSuspects(t *testing.T) {
+func TestUnsafeRequestsAvoidSuspects(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	suspect := g.b.servers.all[2]
 	suspect.Errors, suspect.LastErrorAt = 1, g.now
@@ -537,7 +537,7 @@
 }
 
 // Every request of a failing fleet was sent twice, which doubled the load. Repeats come out of a budget.
-func TestRepeatsAreHeldByABudget(t *testing.T) {
+func TestRetriesKeepTheirBudget(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(6)...)
 	repeats := 0
 	const requests = 200
@@ -558,7 +558,7 @@
 }
 
 // A safe request that failed after its latency target was rejected though a late answer still had a value.
-func TestLateAnswersOfWorthAreStillSought(t *testing.T) {
+func TestLateAnswersOfValueAreStillSought(t *testing.T) {
 	for value, sent := range map[float64]bool{0: false, 0.5: true} {
 		cfg := baseConfig()
 		cfg.Classes[safeClass].LateValue = value
@@ -595,7 +595,7 @@
 
 // The own data centre had more traffic than its servers could carry, while the other stood idle: where
 // answers turn slow the preference for the own zone, which avoids the cross-zone penalty, ends.
-func TestSlowAnswersEndTheFavourForTheOwnZone(t *testing.T) {
+func TestSlowAnswersEndThePreferenceForTheOwnZone(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Penalties.CrossZone, cfg.Zone = 0.05, 1
 	g := newHarness(t, cfg, fleet(8)...)
@@ -647,7 +647,7 @@
 
 // An attempt that broke off at once has cost the servers nothing, so its request is tried again while others are
 // left; one that met a full queue or took its time is repeated once.
-func TestQuickFailuresAreRepeatedMore(t *testing.T) {
+func TestQuickFailuresAreRetriedMore(t *testing.T) {
 	for _, c := range []struct {
 		end   Result
 		took  float64
--- a/cmd/petrelhook/log_blocked_test.go
+++ b/cmd/petrelhook/log_blocked_test.go
@@ -18,7 +18,7 @@
 )
 
 // Standard error is full and not read any more: each request still gets its response before its deadline, and the process ends normally.
-func TestALogThatNobodyReads(t *testing.T) {
+func TestALogThatIsNotRead(t *testing.T) {
 	const deadline = time.Second
 	server := peertest.NewPeer(t, peertest.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")) // a line for each attempt
 	listen, dir := peertest.ReserveAddr(t), t.TempDir()
--- a/cmd/petrelhook/upgrade_test.go
+++ b/cmd/petrelhook/upgrade_test.go
@@ -352,7 +352,7 @@
 
 // The process in service hangs: its successor waits no longer than the time-out, starts without its state beside it, and serves. A third
 // process takes over from the second.
-func TestTheOneInServiceHangs(t *testing.T) {
+func TestTheProcessInServiceHangs(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	first := f.start()
 	first.Pause()
--- a/internal/sidecar/connlimit/close_test.go
+++ b/internal/sidecar/connlimit/close_test.go
@@ -108,7 +108,7 @@
 
 // A request that was read ahead, and not yet handed to net/http, counts like one that is unread: its connection is not evicted in the moment
 // between two requests.
-func TestARequestReadAheadKeepsItsPlace(t *testing.T) {
+func TestARequestReadAheadIsNotEvicted(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/connlimit/limiter_test.go
+++ b/internal/sidecar/connlimit/limiter_test.go
@@ -70,7 +70,7 @@
 }
 
 // Connections of clients that sent one request, or none, are evicted for new ones; those with a request in progress are not.
-func TestIdleClientsMakeRoom(t *testing.T) {
+func TestIdleClientsAreEvicted(t *testing.T) {
 	addr, ln, release := boundedRig(t, 3)
 	busy, busyIn := peertest.Dial(t, addr)
 	io.WriteString(busy, "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/internal/sidecar/core/client_gone_test.go
+++ b/internal/sidecar/core/client_gone_test.go
@@ -33,7 +33,7 @@
 }
 
 // The event that the client has gone waits behind others: what the loop decides before it handles that event is not sent.
-func TestAHangUpBehindALongQueue(t *testing.T) {
+func TestADisconnectBehindALongQueue(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
 		a := r.request("t", unsafe)
 		x := <-r.servers.sent
--- a/internal/sidecar/core/core_test.go
+++ b/internal/sidecar/core/core_test.go
@@ -41,7 +41,7 @@
 
 // A reply arrives while the client disconnects: whichever comes first, the attempt ends once, nothing more is sent, and no state is
 // left.
-func TestAnAnswerCrossesAHangUp(t *testing.T) {
+func TestAReplyCrossesADisconnect(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
 		for _, trace := range []string{"hang-up first", "answer first", "at once"} {
 			a := r.request(trace, safe)
@@ -161,7 +161,7 @@
 }
 
 // A copy that is rejected, and whose client disconnects at the same time, does not release the id of the request that has it.
-func TestACopyThatIsTurnedDownAndHangsUp(t *testing.T) {
+func TestARejectedCopyThatDisconnects(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("1", unsafe)
 		x := <-r.servers.sent
--- a/internal/sidecar/counts/counts_test.go
+++ b/internal/sidecar/counts/counts_test.go
@@ -18,7 +18,7 @@
 func (c core) Answer(ctx context.Context, _ front.Request) (front.Answer, error) { return c(ctx) }
 
 // Each end of a request is counted once, under its own name, and what was not taken nowhere.
-func TestEnds(t *testing.T) {
+func TestOutcomesAreCounted(t *testing.T) {
 	var a front.Answer
 	var err error
 	f := New(core(func(context.Context) (front.Answer, error) { return a, err }), []front.Class{{Name: "a"}, {Name: "b"}})
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestStep(t *testing.T) {
+func TestBucket(t *testing.T) {
 	for took, want := range map[time.Duration]int{0: 0, 250 * time.Microsecond: 0, 251 * time.Microsecond: 1, 500 * time.Microsecond: 4, time.Millisecond: 8, 2 * time.Millisecond: 12, time.Hour: Buckets - 1} {
 		if got := Bucket(took); got != want {
 			t.Errorf("%v: %d, want %d", took, got, want)
@@ -62,7 +62,7 @@
 
 // What is asked of servers is counted by its kind; what a process tells is read again, and so is what one of an earlier version tells,
 // which has no effort rather than none used.
-func TestEffort(t *testing.T) {
+func TestServerUse(t *testing.T) {
 	s := &Servers{Servers: servers{}}
 	for range 3 {
 		s.NewEndpoint().Send(t.Context(), nil)
--- a/internal/sidecar/front/platform/long_test.go
+++ b/internal/sidecar/front/platform/long_test.go
@@ -173,7 +173,7 @@
 
 // The memory of bodies is reserved while their requests are in progress, and released with their responses. A body for which there is none
 // waits, and its request is rejected after a second, before anything of it was sent; small ones are served meanwhile.
-func TestRoomForBodies(t *testing.T) {
+func TestMemoryForBodies(t *testing.T) {
 	got, release := make(chan struct{}, 9), make(chan struct{})
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
 		if len(req.Message.Body) > 1000 {
--- a/internal/sidecar/member/discovery/discovery.go
+++ b/internal/sidecar/member/discovery/discovery.go
@@ -11,7 +11,7 @@
 //	discovery is back after a long time          1.5 s + a, dials that hang included
 //	another address by SIGHUP                    a: the call to the old one is cancelled
 //
-// so a may be 2.3 s in each of them, with 0.1 s to spare. TestNewsComeInTime plays them.
+// so a may be 2.3 s in each of them, with 0.1 s to spare. TestChangesArriveInTime plays them.
 package discovery
 
 import (
--- a/internal/sidecar/upstream/http1/pool_test.go
+++ b/internal/sidecar/upstream/http1/pool_test.go
@@ -235,7 +235,7 @@
 
 // At the limit on connections a call is not sent, for a reason that is not the server's, unless another server's idle connection can be
 // closed.
-func TestTheBoundOnConnections(t *testing.T) {
+func TestTheLimitOnConnections(t *testing.T) {
 	got := make(chan struct{}, 1)
 	busy := peertest.NewPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
 	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
--- a/internal/sidecar/upstream/reuse/reuse_test.go
+++ b/internal/sidecar/upstream/reuse/reuse_test.go
@@ -74,7 +74,7 @@
 }
 
 // A fault that has gone is forgotten: idle connections are used again within a few half-lives.
-func TestABoundIsTriedAgain(t *testing.T) {
+func TestALimitIsTriedAgain(t *testing.T) {
 	r := newTraffic()
 	if r.MaxIdle(r.now) != Unlimited {
 		t.Error("a limit although nothing was recorded")
--- a/internal/sidecar/wiring/file_test.go
+++ b/internal/sidecar/wiring/file_test.go
@@ -19,7 +19,7 @@
 )
 
 // GET /api/counts says which configuration file was read last, at the start and after each reload that succeeded.
-func TestTheFileIsTold(t *testing.T) {
+func TestTheLoadedFileIsReported(t *testing.T) {
 	calls, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/wiring/loop_test.go
+++ b/internal/sidecar/wiring/loop_test.go
@@ -18,7 +18,7 @@
 func closeWithoutAnswer(net.Conn, *http.Request, string) bool { return false }
 
 // A request that may have been executed is retried only where its class permits that.
-func TestWhatMayHaveRunIsNotRepeated(t *testing.T) {
+func TestWhatMayHaveRunIsNotRetried(t *testing.T) {
 	a, b := peertest.NewPeer(t, closeWithoutAnswer), peertest.NewPeer(t, closeWithoutAnswer)
 	r := newRigWithServers(t, a.Addr, b.Addr)
 	resp, _ := r.ask(onceRequest("t1"))
@@ -36,7 +36,7 @@
 }
 
 // A request that was not executed goes to another server, also where it must not be executed twice.
-func TestWhatNeverRanIsRepeated(t *testing.T) {
+func TestWhatNeverRanIsRetried(t *testing.T) {
 	full := peertest.NewPeer(t, peertest.RespondWith("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"))
 	good := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	r := newRigWithServers(t, peertest.DeadAddr(t), full.Addr, good.Addr)
--- a/internal/sidecar/wiring/news_test.go
+++ b/internal/sidecar/wiring/news_test.go
@@ -72,7 +72,7 @@
 
 // Whatever failed before, a change of the list arrives in time. Each case scripts discovery from its first call on, and notes from when on
 // the change could be reported.
-func TestNewsComeInTime(t *testing.T) {
+func TestChangesArriveInTime(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n\r\n"
 	list := func(generation int) string {
 		return peertest.Catalog(generation, true, peertest.Instance("s", "127.0.0.1:80", "up")) + "\n"
--- a/internal/sidecar/wiring/service_test.go
+++ b/internal/sidecar/wiring/service_test.go
@@ -127,7 +127,7 @@
 }
 
 // A request whose first bytes had come when an evacuation began is served, however long the rest takes: its connection is not idle.
-func TestARequestHalfWrittenIsNotSentAway(t *testing.T) {
+func TestARequestHalfWrittenIsNotEvacuated(t *testing.T) {
 	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	r, calls := newRigWithOperators(t, p.Addr)
 	c, in := r.open()
@@ -171,7 +171,7 @@
 
 // Operators are answered in time while clients have all their connections open, silent callers all of the operators', and the core's loop is
 // blocked: the answer depends on none of these.
-func TestOperatorsAreHeardUnderAnyLoad(t *testing.T) {
+func TestOperatorsAreAnsweredUnderAnyLoad(t *testing.T) {
 	p := peertest.NewPeer(t, peertest.NeverRespond)
 	r, calls := newRigWithOperators(t, p.Addr)
 	var all []net.Conn
--- a/lease/order_test.go
+++ b/lease/order_test.go
@@ -53,7 +53,7 @@
 
 // A caller gives up while its client sends the request: the grant that it may have got is released, and another client gets it. (Without Cancel
 // the session keeps it.)
-func TestWhoGivesUpKeepsNothing(t *testing.T) {
+func TestACancelledCallKeepsNothing(t *testing.T) {
 	addr, _ := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
