--- a/internal/sidecar/upstream/http1/truncated_test.go
+++ b/internal/sidecar/upstream/http1/truncated_test.go
@@ -1,8 +1,11 @@
 package http1
 
 import (
+	"bufio"
 	"context"
+	"errors"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"testing"
@@ -51,3 +54,37 @@
 		}
 	}
 }
+
+// wrappedEnd is a connection whose end comes as an error that wraps io.EOF.
+type wrappedEnd struct{ net.Conn }
+
+func (c wrappedEnd) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	if errors.Is(err, io.EOF) {
+		err = fmt.Errorf("cut short: %w", err)
+	}
+	return n, err
+}
+
+// Only io.EOF itself is the end of a response without a length: an error that wraps it is a response that was cut short.
+func TestAWrappedEndOfAResponseIsNone(t *testing.T) {
+	addr := server(t, func(c net.Conn, in *bufio.Reader) {
+		if _, err := http.ReadRequest(in); err == nil {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhi")
+		}
+	})
+	for wrapped, want := range map[bool]upstream.Result{false: upstream.Served, true: upstream.Reset} {
+		pool := testPool(9)
+		dial := pool.dial
+		pool.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			c, err := dial(ctx, network, addr)
+			if wrapped && err == nil {
+				c = wrappedEnd{c}
+			}
+			return c, err
+		}
+		if r := pool.endpointAt(addr).Send(t.Context(), look()); r.Result != want {
+			t.Errorf("wrapped %v: %v (%v), want %v", wrapped, r.Result, r.Err, want)
+		}
+	}
+}
