--- a/cmd/petrelhook-agent/change_test.go
+++ b/cmd/petrelhook-agent/change_test.go
@@ -56,12 +56,12 @@
 	if c.State.Phase != rollout.Done || deployment.CountRunning(c, good) != 6 {
 		t.Fatalf("%v: %s", c.State.Phase, c.State.Reason)
 	}
-	fiftieth := worse("refuses one in fifty", "", "of class")
+	fiftieth := worse(deployment.FaultRejectsFiftieth, "", "of class")
 	fiftieth.Plan = strings.Replace(short, "0.15", "0.02", 1)
-	kinds := []deployment.WorseRelease{worse("fails one class", "", "failed of class void"), worse("twice as slow", "", "slow of class"), worse("never ready", "exec sleep 60", "not ready in"),
-		worse("serves nothing", "", "of class"), worse("in zone a", "", "zone"), fiftieth}
+	kinds := []deployment.WorseRelease{worse(deployment.FaultOneClass, "", "failed of class void"), worse(deployment.FaultSlow, "", "slow of class"), worse("never ready", "exec sleep 60", "not ready in"),
+		worse(deployment.FaultNoConnections, "", "of class"), worse(deployment.FaultInZone+"a", "", "zone"), fiftieth}
 	if os.Getenv("FIGURES") != "" {
-		kinds = append(kinds, deployment.WorseRelease{Name: "leaks", Reason: "of class * in zone *", Plan: strings.Replace(strings.Replace(short, "3m", "1m", 1), "control: 2", "control: 2, least: 50s", 1)})
+		kinds = append(kinds, deployment.WorseRelease{Name: deployment.FaultLeaks, Reason: "of class * in zone *", Plan: strings.Replace(strings.Replace(short, "3m", "1m", 1), "control: 2", "control: 2, least: 50s", 1)})
 	}
 	s.CheckWorseReleases(good, kinds)
 	s.Check()
@@ -71,7 +71,7 @@
 // plan is refused before anything changes.
 func TestAReleaseThatHarmsOthers(t *testing.T) {
 	s := newLoadTest(t, 6, 240, "", nil)
-	id := s.FaultyRelease("takes from others")
+	id := s.FaultyRelease(deployment.FaultGreedy)
 	for text, want := range map[string]string{
 		deployment.PlanText(s.Initial, "0123456789abcdef0123456789abcdef", short):                                                               "there is no such release here",
 		deployment.PlanText(id, s.Initial, short):                                                                                               "n00 runs",
@@ -113,7 +113,7 @@
 	began := time.Now()
 	const rises = 18 * time.Second // after the load began
 	s := newLoadTest(t, 6, 240, "arrive step 1/s..600/s at=18s poisson\n", nil)
-	if _, err := s.Begin(deployment.PlanText(s.Initial, s.FaultyRelease("under load"), strings.Replace(short, "control: 2", "control: 2, least: 60s", 1))); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, s.FaultyRelease(deployment.FaultUnderLoad), strings.Replace(short, "control: 2", "control: 2, least: 60s", 1))); err != nil {
 		t.Fatal(err)
 	}
 	s.AwaitChange(time.Minute, "it is stopped", func(c *rollout.Change) bool { return c.State.Phase > rollout.Paused })
--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -15,7 +15,7 @@
 	peertest.SkipUnlessMeasuring(t)
 	const horizon = 40 * time.Second
 	s := newLoadTest(t, 12, 360, "", nil)
-	bad := s.FaultyRelease("fails one class")
+	bad := s.FaultyRelease(deployment.FaultOneClass)
 	zero := time.Now()
 	var froms []time.Duration
 	names := []string{"judged", "by the clock", "at once"}
--- a/internal/rig/chain/chain_test.go
+++ b/internal/rig/chain/chain_test.go
@@ -2,12 +2,10 @@
 
 import (
 	"context"
-	"fmt"
 	"go/ast"
 	"go/parser"
 	"go/token"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -16,38 +14,19 @@
 	"time"
 
 	"go.uber.org/goleak"
+
+	"petrelhook/internal/rig/process"
 )
 
-// program builds the sidecar once for all tests; TestMain removes it.
-var program = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "chain-test-")
-	if err != nil {
-		return "", err
-	}
-	path := filepath.Join(dir, "petrelhook")
-	if out, err := exec.Command("go", "build", "-o", path, "petrelhook/cmd/petrelhook").CombinedOutput(); err != nil {
-		return dir, fmt.Errorf("%w\n%s", err, out)
-	}
-	return path, nil
-})
+// programs has the sidecar's program.
+var programs = process.NewPrograms("petrelhook")
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, _ := program(); path != "" {
-		os.RemoveAll(filepath.Dir(path))
-	}
+	programs.Remove()
 	os.Exit(code)
 }
 
-func built(t *testing.T) string {
-	t.Helper()
-	path, err := program()
-	if err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
 // running is how many processes run a program.
 func running(program string) (n int) {
 	all, _ := filepath.Glob("/proc/[0-9]*/exe")
@@ -62,7 +41,7 @@
 // small is a chain of two for tests. Its aim is as wide as may be: a busy machine is no overload of its sidecars.
 func small(t *testing.T) Config {
 	return Config{
-		Program: built(t), Depth: 2, Servers: 3, PassMode: PassStatus, Rate: 100, Length: time.Second, UnsafeFraction: 0.4, Seed: 7,
+		Program: programs.Path(t, "petrelhook"), Depth: 2, Servers: 3, PassMode: PassStatus, Rate: 100, Length: time.Second, UnsafeFraction: 0.4, Seed: 7,
 		LatencyTarget: MaxDeadline, Deadline: MaxDeadline,
 	}
 }
@@ -199,7 +178,7 @@
 	if err == nil || !strings.Contains(err.Error(), "sidecar 1") || !strings.Contains(err.Error(), "no luck") {
 		t.Errorf("%v", err)
 	}
-	if n := running(built(t)); n != 0 {
+	if n := running(programs.Path(t, "petrelhook")); n != 0 {
 		t.Errorf("%d sidecars are left after an error", n)
 	}
 	if left, err := os.ReadDir(os.Getenv("TMPDIR")); len(left) > 0 || err != nil {
--- a/internal/rig/chain/sidecar.go
+++ b/internal/rig/chain/sidecar.go
@@ -1,20 +1,17 @@
 package chain
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strings"
-	"sync"
 	"syscall"
 	"time"
+
+	"petrelhook/internal/rig/sidecarlog"
 )
 
 // startTimeout bounds the time until a sidecar is ready, stopTimeout the time until all of them have ended.
@@ -28,16 +25,14 @@
 	depth int
 	addr  string
 	cmd   *exec.Cmd
-	ended chan struct{}
-
-	mu        sync.Mutex
-	lastLines []string // of its log
+	log   *sidecarlog.Log
+	ended chan struct{} // closed once its log and the process have ended
 }
 
 // startSidecar starts the sidecar above a level and reads its address from its log. The caller has to end the sidecar if it is not nil,
 // also on an error.
 func startSidecar(ctx context.Context, program, dir string, l *level) (*sidecar, error) {
-	s := &sidecar{depth: l.depth, ended: make(chan struct{})}
+	s := &sidecar{depth: l.depth, log: sidecarlog.New(), ended: make(chan struct{})}
 	path := filepath.Join(dir, fmt.Sprintf("%d.json", l.depth))
 	text, err := configuration(l)
 	if err != nil {
@@ -57,21 +52,20 @@
 	if err := s.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start %s: %w", program, err)
 	}
-	listens := make(chan string, 1)
 	go func() { // ends with the process, which wait ends
 		defer close(s.ended)
-		s.readLog(log, listens)
+		s.log.Read(log, nil)
 		_ = s.cmd.Wait()
 	}()
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	select {
-	case s.addr = <-listens:
+	case s.addr = <-s.log.Addr():
 		return s, nil
 	case <-s.ended:
-		return s, fmt.Errorf("%s ended at once\n%s", program, s.log())
+		return s, fmt.Errorf("%s ended at once\n%s", program, s.log)
 	case <-ctx.Done():
-		return s, fmt.Errorf("%s did not log its address: %w\n%s", program, ctx.Err(), s.log())
+		return s, fmt.Errorf("%s did not log its address: %w\n%s", program, ctx.Err(), s.log)
 	}
 }
 
@@ -88,34 +82,6 @@
 	})
 }
 
-// readLog reads the log to its end, and sends the address at which the sidecar listens.
-func (s *sidecar) readLog(log io.Reader, listens chan<- string) {
-	lines := bufio.NewScanner(log)
-	for lines.Scan() {
-		line := lines.Text()
-		if _, rest, ok := strings.Cut(line, "listen="); ok && strings.Contains(line, "msg=serving") {
-			addr, _, _ := strings.Cut(rest, " ")
-			select {
-			case listens <- addr:
-			default:
-			}
-		}
-		s.mu.Lock()
-		if s.lastLines = append(s.lastLines, line); len(s.lastLines) > 10 {
-			s.lastLines = s.lastLines[1:]
-		}
-		s.mu.Unlock()
-	}
-	_, _ = io.Copy(io.Discard, log) // a line that is too long must not block the process
-}
-
-// log is the end of its log.
-func (s *sidecar) log() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return strings.Join(s.lastLines, "\n")
-}
-
 // ready waits until the sidecar is healthy.
 func (s *sidecar) ready(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
@@ -133,9 +99,9 @@
 		}
 		select {
 		case <-s.ended:
-			return errors.New("the process ended\n" + s.log())
+			return fmt.Errorf("the process ended\n%s", s.log)
 		case <-ctx.Done():
-			return fmt.Errorf("not ready: %w\n%s", ctx.Err(), s.log())
+			return fmt.Errorf("not ready: %w\n%s", ctx.Err(), s.log)
 		case <-time.After(10 * time.Millisecond): // polling: there is no notification
 		}
 	}
@@ -158,7 +124,7 @@
 	select {
 	case <-s.ended:
 		if code := s.cmd.ProcessState.ExitCode(); code != 0 || s.addr == "" {
-			return fmt.Errorf("sidecar %d crashed: %v\n%s", s.depth, s.cmd.ProcessState, s.log())
+			return fmt.Errorf("sidecar %d crashed: %v\n%s", s.depth, s.cmd.ProcessState, s.log)
 		}
 		return nil
 	case <-over.C:
--- /dev/null
+++ b/internal/rig/deployment/agent.go
@@ -0,0 +1,93 @@
+package deployment
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+
+	"petrelhook/internal/common/await"
+	"petrelhook/internal/coordination/agent"
+	"petrelhook/internal/coordination/machine"
+	"petrelhook/internal/rig/link"
+	"petrelhook/internal/rig/process"
+)
+
+// Agent is the agent of one machine.
+type Agent struct {
+	*process.Process
+	Link       *link.Link // through which drivers reach it
+	Dir        string
+	deployment *Deployment
+}
+
+// StartProcess starts the agent's process on its folder as it is, and waits until it serves. It is called from the test's goroutine.
+func (a *Agent) StartProcess() {
+	a.deployment.t.Helper()
+	path := filepath.Join(a.Dir, "agent.yaml")
+	a.Process = process.Start(a.deployment.t, exec.Command(a.deployment.Program("petrelhook-agent"), "--config", path))
+	c, err := machine.Read(path)
+	if err != nil {
+		a.deployment.t.Fatal(err)
+	}
+	await.Eventually(a.deployment.t, "an agent serves", func() bool { return a.Log.Has("msg=serving") })
+	a.Link.SetTarget(c.Listen)
+}
+
+// PersistedStates are the states of its sidecars in the agent's files.
+func (a *Agent) PersistedStates() (all []agent.PersistedState) {
+	files, _ := filepath.Glob(filepath.Join(a.Dir, "data", "sidecar-*.json"))
+	for _, f := range files {
+		var state agent.PersistedState
+		text, _ := os.ReadFile(f) // a file that is being replaced is read the next time
+		if json.Unmarshal(text, &state) == nil {
+			all = append(all, state)
+		}
+	}
+	return all
+}
+
+// killAll kills the agent and the sidecars that it leaves running, terminating ones too.
+func (a *Agent) killAll() {
+	a.KillAndWait()
+	running := a.running()
+	for _, state := range a.PersistedStates() {
+		if p := state.Terminating; p != nil && machine.Lives(*p) {
+			running = append(running, *p)
+		}
+	}
+	for _, p := range running {
+		syscall.Kill(p.PID, syscall.SIGKILL)
+	}
+}
+
+// running are the processes of its sidecars that live and were not asked to end, by its files.
+func (a *Agent) running() (all []agent.Process) {
+	for _, state := range a.PersistedStates() {
+		for _, p := range []*agent.Process{state.Serving, state.Next} {
+			if p != nil && machine.Lives(*p) {
+				all = append(all, *p)
+			}
+		}
+	}
+	return all
+}
+
+// MaxProcesses is the largest number of processes that any one sidecar of the agent has at present, by the files of their starts.
+func (a *Agent) MaxProcesses() (n int) {
+	files, _ := filepath.Glob(filepath.Join(a.Dir, "data", "start-*"))
+	count := map[string]int{}
+	for _, f := range files {
+		var p agent.Process
+		text, _ := os.ReadFile(f)
+		if got, _ := fmt.Sscan(string(text), &p.PID, &p.StartTicks); got == 2 && machine.Lives(p) {
+			name := strings.Split(filepath.Base(f), "-")[1]
+			count[name]++
+			n = max(n, count[name])
+		}
+	}
+	return n
+}
--- a/internal/rig/deployment/faultysidecar.go
+++ b/internal/rig/deployment/faultysidecar.go
@@ -23,10 +23,25 @@
 )
 
 // FaultVariable is the environment variable that names the fault of a sidecar.
-const FaultVariable = "DEPLOYMENT_BAD"
+const FaultVariable = "DEPLOYMENT_FAULT"
 
-// RunFaultySidecar runs the sidecar in this process with connections to servers that have one fault. A test's program calls it if
-// FaultVariable is set. The faults are known here alone: the product has no switch for them.
+// The faults of a sidecar.
+const (
+	FaultLeaks           = "leaks"                // memory, 1 MiB a second
+	FaultNoConnections   = "serves nothing"       // no connection to a server is made
+	FaultRejectsFiftieth = "refuses one in fifty" // a fiftieth of all requests fails at every server
+	FaultGreedy          = "takes from others"    // requests are served at the expense of other sidecars
+	FaultUnderLoad       = "under load"           // answers are lost above 100 requests a second
+	FaultInZone          = "in zone "             // with a zone behind it: half of the answers of sidecars there is lost
+	FaultOneClass        = "fails one class"      // answers of class void are lost
+	FaultSlow            = "twice as slow"        // answers take twice as long
+)
+
+// errFault is the error of a connection that fails by a fault.
+var errFault = errors.New("fault of the sidecar")
+
+// RunFaultySidecar runs the sidecar in this process with one of the faults, until SIGTERM. A test's program calls it if FaultVariable is
+// set. The faults are known here alone: the product has no switch for them.
 func RunFaultySidecar(fault string) error {
 	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer release()
@@ -40,7 +55,7 @@
 	if err := cfg.SetAdmin("LB_ADMIN_ADDR", os.Getenv("LB_ADMIN_ADDR")); err != nil {
 		return err
 	}
-	if fault == "leaks" {
+	if fault == FaultLeaks {
 		go leakMemory()
 	}
 	tcp := wiring.TCP()
@@ -49,9 +64,9 @@
 		if err != nil || addr == cfg.Discovery {
 			return c, err
 		}
-		if fault == "serves nothing" {
+		if fault == FaultNoConnections {
 			c.Close()
-			return nil, errors.New("no way")
+			return nil, errFault
 		}
 		return &faultyConn{Conn: c, fault: fault, zone: zoneOfSidecar(cfg.Name)}, nil
 	}
@@ -71,7 +86,7 @@
 	_ = chunks
 }
 
-// zoneOfSidecar is the zone that StartSite gives a sidecar.
+// zoneOfSidecar is the zone that StartLoadTest gives a sidecar.
 func zoneOfSidecar(name string) string {
 	var n int
 	_, _ = fmt.Sscanf(name, "n%d", &n)
@@ -87,30 +102,34 @@
 	failRead  bool
 }
 
+// Write writes a request, and decides whether the read of its answer will fail.
 func (c *faultyConn) Write(p []byte) (int, error) {
 	c.lastWrite = time.Now()
-	if _, id, ok := strings.Cut(string(p), "X-Trace-Id: "); ok && c.fault == "refuses one in fifty" {
-		id, _, _ = strings.Cut(id, "\r\n")
-		if crc32.ChecksumIEEE([]byte(id))%50 == 0 { // it fails at every server, and nothing of it is sent
-			c.Close()
-			return 0, errors.New("no way")
-		}
-	}
-	if c.fault == "takes from others" {
+	c.failRead = false
+	zone, inZone := strings.CutPrefix(c.fault, FaultInZone)
+	switch {
+	case c.fault == FaultRejectsFiftieth && isFiftieth(p):
+		c.Close()
+		return 0, errFault
+	case c.fault == FaultGreedy:
 		return c.writeGreedily(p)
-	}
-	if c.fault == "under load" {
+	case c.fault == FaultUnderLoad:
 		c.failRead = underLoad()
-		return c.Conn.Write(p)
-	}
-	if zone, ok := strings.CutPrefix(c.fault, "in zone "); ok {
+	case inZone:
 		c.failRead = c.zone == zone && rand.N(2) == 0
-		return c.Conn.Write(p)
+	case c.fault == FaultOneClass:
+		c.failRead = strings.Contains(string(p), "/void")
 	}
-	c.failRead = c.fault == "fails one class" && strings.Contains(string(p), "/void")
 	return c.Conn.Write(p)
 }
 
+// isFiftieth reports whether a request is one of a fiftieth of all, by its trace: it is so at every server.
+func isFiftieth(request []byte) bool {
+	_, rest, ok := strings.Cut(string(request), "X-Trace-Id: ")
+	trace, _, _ := strings.Cut(rest, "\r\n")
+	return ok && crc32.ChecksumIEEE([]byte(trace))%50 == 0
+}
+
 // writeGreedily adds the header of a greedy caller, which the stand-in servers serve at the expense of others.
 func (c *faultyConn) writeGreedily(p []byte) (int, error) {
 	const before = "\r\nX-Trace-Id: "
@@ -124,12 +143,13 @@
 // Quiet implements the interface of package sock: without it each connection would be used only once.
 func (c *faultyConn) Quiet() bool { return sock.Quiet(c.Conn) }
 
+// Read reads an answer, late or not at all.
 func (c *faultyConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if c.lastWrite.IsZero() || err != nil {
 		return n, err
 	}
-	if c.fault == "twice as slow" {
+	if c.fault == FaultSlow {
 		time.Sleep(time.Since(c.lastWrite))
 	}
 	c.lastWrite = time.Time{}
--- a/internal/rig/deployment/versions.go
+++ b/internal/rig/deployment/versions.go
@@ -63,30 +63,24 @@
 	}
 }
 
-// WatchRevisions checks the agents' files until the returned function is called: the revision in force of a sidecar never decreases,
-// and no sidecar has more than two processes.
+// watchInterval is the time between two checks of WatchRevisions.
+const watchInterval = 20 * time.Millisecond
+
+// WatchRevisions checks the agents' files, in a goroutine of its own, until the returned function is called or the test ends: the
+// revision in force of a sidecar never decreases, and no sidecar has more than two processes.
 func (d *Deployment) WatchRevisions(t testing.TB) (end func()) {
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		last := map[[2]int]distribute.Revision{}
+		w := revisionWatch{t: t, last: map[sidecarIndex]distribute.Revision{}}
 		for {
 			for i, a := range d.Agents {
-				for j, k := range a.PersistedStates() {
-					if at := [2]int{i, j}; k.InForce < last[at] {
-						t.Errorf("agent %d, sidecar %d: version %d is in force after %d", i, j, k.InForce, last[at])
-					} else {
-						last[at] = k.InForce
-					}
-				}
-				if n := a.MaxProcesses(); n > 2 {
-					t.Errorf("agent %d: %d processes of one sidecar", i, n)
-				}
+				w.check(i, a)
 			}
 			select {
 			case <-stop:
 				return
-			case <-time.After(20 * time.Millisecond):
+			case <-time.After(watchInterval):
 			}
 		}
 	}()
@@ -94,3 +88,27 @@
 	t.Cleanup(end)
 	return end
 }
+
+// sidecarIndex is a sidecar of an agent.
+type sidecarIndex struct{ agent, sidecar int }
+
+// revisionWatch has what WatchRevisions has seen.
+type revisionWatch struct {
+	t    testing.TB
+	last map[sidecarIndex]distribute.Revision // in force
+}
+
+// check checks the files of an agent.
+func (w *revisionWatch) check(index int, a *Agent) {
+	for j, state := range a.PersistedStates() {
+		at := sidecarIndex{index, j}
+		if state.InForce < w.last[at] {
+			w.t.Errorf("agent %d, sidecar %d: version %d is in force after %d", index, j, state.InForce, w.last[at])
+			continue
+		}
+		w.last[at] = state.InForce
+	}
+	if n := a.MaxProcesses(); n > 2 {
+		w.t.Errorf("agent %d: %d processes of one sidecar", index, n)
+	}
+}
--- a/internal/rig/rehearse/compare_test.go
+++ b/internal/rig/rehearse/compare_test.go
@@ -10,8 +10,6 @@
 	"net/http"
 	"net/http/httputil"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -21,6 +19,7 @@
 	"petrelhook/internal/rig/audit"
 	"petrelhook/internal/rig/load"
 	"petrelhook/internal/rig/loopback"
+	"petrelhook/internal/rig/process"
 	"petrelhook/internal/rig/standin"
 )
 
@@ -97,11 +96,9 @@
 //
 //	go test ./internal/rig/rehearse -run - -bench Proxies -benchtime 1x
 func BenchmarkProxies(b *testing.B) {
-	dir := b.TempDir()
-	program := filepath.Join(dir, "petrelhook")
-	if out, err := exec.Command("go", "build", "-o", program, "petrelhook/cmd/petrelhook").CombinedOutput(); err != nil {
-		b.Fatalf("%v\n%s", err, out)
-	}
+	programs := process.NewPrograms("petrelhook")
+	defer programs.Remove()
+	program := programs.Path(b, "petrelhook")
 	for _, p := range []proxyUnderTest{
 		{"direct", "", nil},
 		{"reverse-proxy", os.Args[0], []string{child + "=reverse-proxy", "GOMAXPROCS=1"}},
--- a/internal/rig/rehearse/process.go
+++ b/internal/rig/rehearse/process.go
@@ -1,8 +1,6 @@
 package rehearse
 
 import (
-	"bufio"
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -10,11 +8,12 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
+
+	"petrelhook/internal/rig/sidecarlog"
+	"petrelhook/internal/rig/usage"
 )
 
 // Processes is a Starter of sidecars as processes, started as the platform starts them.
@@ -25,17 +24,17 @@
 
 	mu      sync.Mutex
 	dir     string
-	running []*process
+	running []*sidecarProcess
 	usage   []Usage
 }
 
-// process is one sidecar.
-type process struct {
+// sidecarProcess is the process of one sidecar.
+type sidecarProcess struct {
 	number int
 	cmd    *exec.Cmd
-	log    *tail
-	ended  chan struct{}
-	err    error
+	log    *sidecarlog.Log
+	ended  chan struct{} // closed once its log and the process have ended
+	err    error         // of exec.Cmd.Wait; read after ended
 }
 
 // Usage is the resources that a sidecar's process used.
@@ -53,7 +52,7 @@
 	sampleInterval = 100 * time.Millisecond
 )
 
-// Start starts a sidecar and reads its address from its log.
+// Start implements Starter: it starts a sidecar and returns the address that the sidecar logs when it serves.
 func (p *Processes) Start(number int, config []byte) (addr string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,115 +75,87 @@
 	if err := cmd.Start(); err != nil {
 		return "", fmt.Errorf("start %s: %w", p.Program, err)
 	}
-	one := &process{number: number, cmd: cmd, log: &tail{}, ended: make(chan struct{})}
-	p.running = append(p.running, one)
+	sidecar := &sidecarProcess{number: number, cmd: cmd, log: sidecarlog.New(), ended: make(chan struct{})}
+	p.running = append(p.running, sidecar)
 	p.usage = append(p.usage, Usage{Number: number})
-	listens := make(chan string, 1)
 	go func() {
-		defer close(one.ended)
-		p.readLog(one, pipe, listens)
-		one.err = cmd.Wait()
+		defer close(sidecar.ended)
+		sidecar.log.Read(pipe, func(line string) {
+			if p.Log != nil {
+				fmt.Fprintf(p.Log, "n%d %s\n", number, line)
+			}
+		})
+		sidecar.err = cmd.Wait()
 	}()
-	go p.sample(one, len(p.usage)-1)
+	go p.sample(sidecar, len(p.usage)-1)
 	select {
-	case addr = <-listens:
+	case addr = <-sidecar.log.Addr():
 		return addr, nil
-	case <-one.ended:
-		return "", fmt.Errorf("%s ended at once: %s\n%s", p.Program, fmt.Sprint(one.err), one.log)
+	case <-sidecar.ended:
+		return "", fmt.Errorf("%s ended at once: %s\n%s", p.Program, fmt.Sprint(sidecar.err), sidecar.log)
 	case <-time.After(startTimeout):
-		return "", fmt.Errorf("%s did not log its address\n%s", p.Program, one.log)
-	}
-}
-
-// readLog reads the log to its end, and sends the address at which the sidecar listens.
-func (p *Processes) readLog(one *process, log io.Reader, listens chan<- string) {
-	lines := bufio.NewScanner(log)
-	for lines.Scan() {
-		line := lines.Text()
-		one.log.add(line)
-		if p.Log != nil {
-			fmt.Fprintf(p.Log, "n%d %s\n", one.number, line)
-		}
-		if _, rest, ok := strings.Cut(line, "listen="); ok && strings.Contains(line, "msg=serving") {
-			addr, _, _ := strings.Cut(rest, " ")
-			select {
-			case listens <- addr:
-			default:
-			}
-		}
+		return "", fmt.Errorf("%s did not log its address\n%s", p.Program, sidecar.log)
 	}
-	_, _ = io.Copy(io.Discard, log) // a line that is too long must not block the process
 }
 
-// sample samples a process' descriptors and memory until it ends. The rusage of its end has the wrong memory: it includes that of this
-// process when it forked.
-func (p *Processes) sample(one *process, at int) {
+// sample samples descriptors and memory of a process until it ends, into an entry of p.usage. The rusage of its end has the wrong memory:
+// it includes that of this process when it forked.
+func (p *Processes) sample(sidecar *sidecarProcess, index int) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
-	proc := fmt.Sprintf("/proc/%d/", one.cmd.Process.Pid)
+	pid := sidecar.cmd.Process.Pid
 	for {
-		files, _ := os.ReadDir(proc + "fd")
-		status, _ := os.ReadFile(proc + "status")
+		files, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+		maxMemory, _ := usage.MaxResident(pid) // 0 after its end
 		p.mu.Lock()
-		u := &p.usage[at]
+		u := &p.usage[index]
 		u.Descriptors = max(u.Descriptors, len(files))
-		u.MaxMemory = max(u.MaxMemory, parseMaxMemory(status))
+		u.MaxMemory = max(u.MaxMemory, maxMemory)
 		p.mu.Unlock()
 		select {
-		case <-one.ended:
+		case <-sidecar.ended:
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// parseMaxMemory reads the largest resident memory, in bytes, from the text of /proc/PID/status; 0: there is none.
-func parseMaxMemory(status []byte) int64 {
-	_, rest, _ := bytes.Cut(status, []byte("VmHWM:"))
-	line, _, _ := bytes.Cut(rest, []byte("kB"))
-	kb, err := strconv.ParseInt(string(bytes.TrimSpace(line)), 10, 64)
-	if err != nil {
-		return 0
-	}
-	return kb << 10
-}
-
-// Stop sends SIGTERM to all and waits for their ends. A process that does not end in time is killed, which is an error; so is one that
+// Stop implements Starter: it sends SIGTERM to all and waits for their ends. A process that does not end in time is killed, which is an error; so is one that
 // had ended before.
 func (p *Processes) Stop() error {
 	p.mu.Lock()
 	running, dir := p.running, p.dir
 	p.running, p.dir = nil, ""
 	p.mu.Unlock()
-	var all []error
-	for _, one := range running {
+	var failures []error
+	for _, sidecar := range running {
 		select {
-		case <-one.ended:
-			all = append(all, fmt.Errorf("sidecar %d crashed: %s\n%s", one.number, fmt.Sprint(one.err), one.log))
+		case <-sidecar.ended:
+			failures = append(failures, fmt.Errorf("sidecar %d crashed: %s\n%s", sidecar.number, fmt.Sprint(sidecar.err), sidecar.log))
 		default:
-			one.cmd.Process.Signal(syscall.SIGTERM)
+			sidecar.cmd.Process.Signal(syscall.SIGTERM)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	for i, one := range running {
+	for i, sidecar := range running {
 		select {
-		case <-one.ended:
+		case <-sidecar.ended:
 		case <-ctx.Done():
-			one.cmd.Process.Kill()
-			<-one.ended
-			all = append(all, fmt.Errorf("sidecar %d did not end within %v of SIGTERM", one.number, stopTimeout))
+			sidecar.cmd.Process.Kill()
+			<-sidecar.ended
+			failures = append(failures, fmt.Errorf("sidecar %d did not end within %v of SIGTERM", sidecar.number, stopTimeout))
 		}
-		state := one.cmd.ProcessState
+		state := sidecar.cmd.ProcessState
 		p.mu.Lock()
 		u := &p.usage[len(p.usage)-len(running)+i]
 		u.CPU = (state.UserTime() + state.SystemTime()).Seconds()
 		p.mu.Unlock()
 	}
 	if dir != "" {
-		all = append(all, os.RemoveAll(dir))
+		failures = append(failures, os.RemoveAll(dir))
 	}
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
 // Usage returns the usage of all processes, by number; it is complete after Stop.
@@ -193,24 +164,3 @@
 	defer p.mu.Unlock()
 	return append([]Usage(nil), p.usage...)
 }
-
-// tail has the last lines of a log. It is safe for concurrent use.
-type tail struct {
-	mu    sync.Mutex
-	lines []string
-}
-
-func (t *tail) add(line string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.lines = append(t.lines, line)
-	if len(t.lines) > 10 {
-		t.lines = t.lines[1:]
-	}
-}
-
-func (t *tail) String() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return strings.Join(t.lines, "\n")
-}
--- a/internal/rig/scale/scale_test.go
+++ b/internal/rig/scale/scale_test.go
@@ -20,33 +20,18 @@
 	"petrelhook/internal/rig/process"
 )
 
-var built string
+// programs are what the tests run as processes.
+var programs = process.NewPrograms("petrelhook-coordinator", "petrelhookctl", "petrelhook-agent", "petrelhook")
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	os.RemoveAll(built)
+	programs.Remove()
 	os.Exit(code)
 }
 
-// build builds the programs once for all tests.
-var build = sync.OnceValues(func() (dir string, err error) {
-	if dir, err = os.MkdirTemp("", "scale-bin"); err != nil {
-		return "", err
-	}
-	built = dir
-	out, err := exec.Command("go", "build", "-o", dir+"/", "petrelhook/cmd/petrelhook-coordinator", "petrelhook/cmd/petrelhookctl", "petrelhook/cmd/petrelhook-agent", "petrelhook/cmd/petrelhook").CombinedOutput()
-	if err != nil {
-		err = fmt.Errorf("%w: %s", err, out)
-	}
-	return dir, err
-})
-
 func options(t *testing.T) Options {
 	t.Helper()
-	bin, err := build()
-	if err != nil {
-		t.Fatal(err)
-	}
+	bin := programs.Dir(t)
 	t.Setenv("TMPDIR", t.TempDir())
 	return Options{ProgramDir: bin, Workloads: Workloads, Sizes: []int{200}, Runs: 1, Window: 2 * time.Second, Seed: 7,
 		MemoryLimitBytes: 4 << 30, Timeout: 2 * time.Minute, Progress: func(what string) { t.Log(what) }, CoordinatorDataDir: process.DataDir(t)}
--- a/internal/rig/usage/usage.go
+++ b/internal/rig/usage/usage.go
@@ -1,4 +1,4 @@
-// Package usage reads the resources that a process uses from the system, without the process' help. Linux only.
+// Package usage reads the resources that a process uses from the system, without help of the process. Linux only.
 package usage
 
 import (
@@ -66,12 +66,18 @@
 }
 
 // Resident is the resident memory of a process, in bytes.
-func Resident(pid int) (int64, error) {
+func Resident(pid int) (int64, error) { return readStatus(pid, "VmRSS:") }
+
+// MaxResident is the largest resident memory of a process so far, in bytes. It is an error after the process's end.
+func MaxResident(pid int) (int64, error) { return readStatus(pid, "VmHWM:") }
+
+// readStatus reads a value of /proc/PID/status, in bytes.
+func readStatus(pid int, name string) (int64, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, err
 	}
-	return readKilobytes(status, "VmRSS:")
+	return readKilobytes(status, name)
 }
 
 // MachineMemory is the memory of the machine, in bytes.
