--- a/internal/rig/chain/report.go
+++ b/internal/rig/chain/report.go
@@ -1,16 +1,13 @@
 package chain
 
 import (
-	"bytes"
 	"fmt"
 	"io"
-	"os"
-	"runtime"
-	"runtime/debug"
 	"text/tabwriter"
 	"time"
 
 	"petrelhook/internal/coordination/capacity"
+	"petrelhook/internal/rig/provenance"
 	"petrelhook/internal/rig/usage"
 )
 
@@ -22,7 +19,7 @@
 
 // Report summarizes the completed runs of a study that began at a time.
 func (s *Study) Report(began time.Time) *Report {
-	r := &Report{Runs: s.Runs, Measured: capacity.Measured{At: began, Commit: buildRevision(), Machine: machineDescription(), Seed: s.Seed}}
+	r := &Report{Runs: s.Runs, Measured: capacity.Measured{At: began, Commit: provenance.Revision(), Machine: provenance.Machine(), Seed: s.Seed}}
 	for _, run := range s.Runs {
 		r.Measured.Points = append(r.Measured.Points, run.points(r.baseline(run))...)
 		r.Measured.Findings = append(r.Measured.Findings, run.findings()...)
@@ -184,24 +181,3 @@
 
 // ms converts microseconds to milliseconds.
 func ms(us int64) float64 { return float64(us) / 1000 }
-
-// buildRevision is the revision that this program was built from.
-func buildRevision() string {
-	info, _ := debug.ReadBuildInfo()
-	if info == nil {
-		return ""
-	}
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			return s.Value
-		}
-	}
-	return ""
-}
-
-// machineDescription names the machine's processors and memory, for the report.
-func machineDescription() string {
-	text, _ := os.ReadFile("/proc/meminfo")
-	line, _, _ := bytes.Cut(text, []byte("\n"))
-	return fmt.Sprintf("%d processors, %s", runtime.NumCPU(), bytes.Join(bytes.Fields(line), []byte(" ")))
-}
--- a/internal/rig/doc.go
+++ b/internal/rig/doc.go
@@ -28,6 +28,7 @@
 //
 //	link, process, usage   a TCP relay with faults; processes of tests; resources of a process
 //	sidecarlog             the address and the last lines of a sidecar's log
+//	provenance             the revision and the machine of a measurement
 //	engines                routing policies before simulated model servers, in virtual time
 //	mutate                 the product with a piece of its source replaced, to show that checks can fail
 //
--- a/internal/rig/scale/realmachines_test.go
+++ b/internal/rig/scale/realmachines_test.go
@@ -12,7 +12,7 @@
 	"petrelhook/internal/rig/rehearse"
 )
 
-// What comes into force at a real sidecar only grows: an older version is an error, a newer one is noted once.
+// The version in force at a real sidecar only grows: an older one is an error, a newer one is recorded once.
 func TestInForceNeverGoesBack(t *testing.T) {
 	m := &realMachines{all: []*realMachine{{name: "r00"}, {name: "r01"}}, changed: make(chan struct{})}
 	for _, revision := range []distribute.Revision{0, 3, 3, 5} {
@@ -28,7 +28,7 @@
 	select {
 	case <-before:
 	default:
-		t.Error("nobody was woken")
+		t.Error("waiters were not notified")
 	}
 	if _, err := m.await(t.Context(), 9, 0); err == nil || err.Error() != "r01: revision 4 is in force after 5" {
 		t.Error(err)
@@ -57,7 +57,7 @@
 	}
 }
 
-// Calls count in the time in which they were due, those served by how long they took.
+// Calls count by the time for which they were scheduled, those that were served with their latency.
 func TestLatencies(t *testing.T) {
 	began := time.Now()
 	v := &serving{began: began, operations: []load.Operation{
@@ -65,14 +65,14 @@
 		{ScheduledAt: 1500 * time.Millisecond, Latency: time.Second, Result: audit.Refused}, {ScheduledAt: 1900 * time.Millisecond, Latency: 2 * time.Second, Result: audit.Served},
 		{ScheduledAt: 2 * time.Second, Latency: time.Second, Result: audit.Served},
 	}}
-	took, not := v.latencies(began.Add(time.Second), began.Add(2*time.Second))
-	if len(took) != 2 || took[0] != 2 || took[1] != 3 || not != 1 {
-		t.Errorf("%v, %d", took, not)
+	served, others := v.latencies(began.Add(time.Second), began.Add(2*time.Second))
+	if len(served) != 2 || served[0] != 2 || served[1] != 3 || others != 1 {
+		t.Errorf("%v, %d", served, others)
 	}
 }
 
-// Where a hollow member costs a fifth more or less than a real one, by medians, it is found.
-func TestCompared(t *testing.T) {
+// A hollow member whose median cost differs by a fifth from that of a real one is a finding.
+func TestCompareCosts(t *testing.T) {
 	var points []capacity.Point
 	add := func(role, metric string, values ...float64) {
 		for i, v := range values {
@@ -83,7 +83,7 @@
 	add("member", "told_messages", 1.5, 1.5, 1.6)
 	add("agent", "told_cpu_us", 100)
 	add("member", "told_cpu_us", 81)
-	add("member", "told_bytes_in", 500) // no real one was asked
+	add("member", "told_bytes_in", 500) // not measured of real ones
 	if got := compareCosts(points); len(got) != 1 || got[0] != "publish: told_messages of a hollow member is 1.5, and of a real agent 2" {
 		t.Errorf("%q", got)
 	}
--- a/internal/rig/scale/run.go
+++ b/internal/rig/scale/run.go
@@ -6,13 +6,12 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"runtime"
-	"runtime/debug"
 	"slices"
 	"time"
 
 	"petrelhook/internal/coordination/capacity"
 	"petrelhook/internal/coordination/fleet"
+	"petrelhook/internal/rig/provenance"
 	"petrelhook/internal/rig/usage"
 )
 
@@ -27,7 +26,8 @@
 	defer cancel(nil)
 	ctx, release := context.WithTimeoutCause(ctx, o.Timeout, fmt.Errorf("--within: %v are over", o.Timeout))
 	defer release()
-	s := &series{options: &o, limit: limit, measured: &capacity.Measured{At: time.Now().UTC().Truncate(time.Second), Commit: commit(), Machine: machineDescription(),
+	s := &series{options: &o, limit: limit, measured: &capacity.Measured{
+		At: time.Now().UTC().Truncate(time.Second), Commit: provenance.Revision(), Machine: provenance.Machine(),
 		Seed: o.Seed, FitUpTo: slices.Max(o.Sizes)}}
 	for _, w := range o.Workloads {
 		for _, n := range o.sizes() {
@@ -323,28 +323,3 @@
 		}
 	}
 }
-
-// commit is the revision that this program was built from, as the tool chain records it.
-func commit() string {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return "unknown"
-	}
-	name, changed := "unknown", ""
-	for _, s := range info.Settings {
-		switch {
-		case s.Key == "vcs.revision":
-			name = s.Value
-		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = ", changed"
-		}
-	}
-	return name + changed
-}
-
-// machineDescription names the machine's processors, memory and platform, for the report.
-func machineDescription() string {
-	memory, _ := usage.MachineMemory()
-	return fmt.Sprintf("%d processors, %.1f GiB of memory, %s/%s", runtime.NumCPU(), float64(memory)/(1<<30),
-		runtime.GOOS, runtime.GOARCH)
-}
