--- a/internal/rig/scale/coordinators.go
+++ b/internal/rig/scale/coordinators.go
@@ -7,9 +7,9 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"syscall"
 	"time"
 
+	"petrelhook/internal/common/sock"
 	"petrelhook/internal/coordination/fleet"
 	"petrelhook/internal/rig/driverlog"
 )
@@ -27,13 +27,14 @@
 	files     []string
 	replicas  []*child
 	relays    [coordinators][coordinators]*relay // by sender, then receiver
-	reserved  []int                              // sockets that reserve the addresses
 	operator  fleet.Operator
-	leader    int
+	leader    int // index, when their status was last requested
+
+	releaseAddrs []func() // release the reserved addresses
 }
 
-// newCoordinatorGroup starts the coordinators, and returns when one leads. With drive they drive rolling changes too, and newGroup returns
-// when the leader is the driver.
+// newCoordinatorGroup starts the coordinators, and returns when one leads. With drive they drive rolling changes too, and it
+// returns when the leader is the driver.
 func newCoordinatorGroup(ctx context.Context, processes *processGroup, program, dir string, drive bool) (_ *coordinatorGroup, err error) {
 	g := &coordinatorGroup{processes: processes, program: program, dir: dir}
 	defer func() {
@@ -42,11 +43,11 @@
 		}
 	}()
 	for range coordinators {
-		addr, fd, err := reserve()
+		addr, release, err := sock.ReserveAddr()
 		if err != nil {
 			return nil, err
 		}
-		g.addrs, g.reserved = append(g.addrs, addr), append(g.reserved, fd)
+		g.addrs, g.releaseAddrs = append(g.addrs, addr), append(g.releaseAddrs, release)
 	}
 	for i := range coordinators {
 		text := fmt.Sprintf("id: %d\ndata: data%d\ndrive: %v\nreplicas:\n", i+1, i+1, drive)
@@ -93,8 +94,8 @@
 			}
 		}
 	}
-	for _, fd := range g.reserved {
-		_ = syscall.Close(fd)
+	for _, release := range g.releaseAddrs {
+		release()
 	}
 }
 
@@ -116,8 +117,8 @@
 	all := g.status(ctx)
 	for i, s := range all {
 		followers := 0
-		for _, o := range all {
-			if o != nil && s != nil && o.Leader == s.ID {
+		for _, other := range all {
+			if other != nil && s != nil && other.Leader == s.ID {
 				followers++
 			}
 		}
@@ -159,21 +160,21 @@
 // a lease: another coordinator that has it is restarted until the leader gets it.
 func (g *coordinatorGroup) awaitLeaderDrives(ctx context.Context) error {
 	for range 2 * coordinators {
-		now := -1
-		if err := pollUntil(ctx, "a coordinator drives", func() bool { now = g.driver(); return now >= 0 }); err != nil {
+		driver := -1
+		if err := pollUntil(ctx, "a coordinator drives", func() bool { driver = g.driver(); return driver >= 0 }); err != nil {
 			return err
 		}
-		if g.leader = g.currentLeader(ctx); g.leader == now {
+		if g.leader = g.currentLeader(ctx); g.leader == driver {
 			return nil
 		}
-		if err := g.processes.terminate(g.replicas[now]); err != nil {
+		if err := g.processes.terminate(g.replicas[driver]); err != nil {
 			return err
 		}
-		c, err := g.start(now)
+		c, err := g.start(driver)
 		if err != nil {
 			return err
 		}
-		g.replicas[now] = c
+		g.replicas[driver] = c
 		if err := g.awaitLeader(ctx); err != nil {
 			return err
 		}
@@ -194,42 +195,3 @@
 	}
 	return t
 }
-
-// pollInterval is the interval at which pollUntil calls its function.
-const pollInterval = 20 * time.Millisecond
-
-// pollUntil waits until ok returns true. what names the state in the error.
-func pollUntil(ctx context.Context, what string, ok func() bool) error {
-	ticker := time.NewTicker(pollInterval)
-	defer ticker.Stop()
-	for !ok() {
-		select {
-		case <-ctx.Done():
-			return fmt.Errorf("waiting until %s: %w", what, context.Cause(ctx))
-		case <-ticker.C:
-		}
-	}
-	return nil
-}
-
-// reserve is an address of loopback that nobody else is given until the descriptor is closed: a socket is bound to it
-// and does not listen, which a process that listens there by name does not mind.
-func reserve() (addr string, fd int, err error) {
-	fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return "", 0, err
-	}
-	err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
-	if err == nil {
-		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
-	}
-	var at syscall.Sockaddr
-	if err == nil {
-		at, err = syscall.Getsockname(fd)
-	}
-	if err != nil {
-		_ = syscall.Close(fd)
-		return "", 0, fmt.Errorf("an address: %w", err)
-	}
-	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port), fd, nil
-}
--- a/internal/rig/scale/memberprocess.go
+++ b/internal/rig/scale/memberprocess.go
@@ -41,18 +41,18 @@
 
 // startMemberProcess starts one process, whose standard input and output are pipes to this one.
 func startMemberProcess(processes *processGroup, name string, cmd *exec.Cmd, members span) (*memberProcess, error) {
-	theirs, in, err := os.Pipe()
+	processInput, in, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = theirs.Close() }()
-	out, its, err := os.Pipe()
+	defer func() { _ = processInput.Close() }()
+	out, processOutput, err := os.Pipe()
 	if err != nil {
 		_ = in.Close()
 		return nil, err
 	}
-	defer func() { _ = its.Close() }()
-	p, err := processes.start(name, cmd, theirs, its)
+	defer func() { _ = processOutput.Close() }()
+	p, err := processes.start(name, cmd, processInput, processOutput)
 	if err != nil {
 		_ = in.Close()
 		_ = out.Close()
@@ -75,20 +75,20 @@
 // call sends each process its request at the same time, and waits for all responses. When ctx ends, pending responses are never
 // read: the run is over.
 func (c *memberProcesses) call(ctx context.Context, newRequest func(span) request) ([]response, error) {
-	answers, errs := make([]response, len(c.all)), make([]error, len(c.all))
+	responses, errs := make([]response, len(c.all)), make([]error, len(c.all))
 	var calls sync.WaitGroup
 	for i, s := range c.all {
 		calls.Go(func() {
-			if errs[i] = s.call(ctx, newRequest(s.span), &answers[i]); errs[i] != nil {
+			if errs[i] = s.call(ctx, newRequest(s.span), &responses[i]); errs[i] != nil {
 				errs[i] = fmt.Errorf("%s: %w", s.name, errs[i])
 			}
 		})
 	}
 	calls.Wait()
-	return answers, errors.Join(errs...)
+	return responses, errors.Join(errs...)
 }
 
-// call sends one request and reads its response into a.
+// call sends one request and reads its response into out. A response with an error is that error.
 func (s *memberProcess) call(ctx context.Context, in request, out *response) error {
 	text, err := json.Marshal(&in)
 	if err != nil {
--- a/internal/rig/scale/members.go
+++ b/internal/rig/scale/members.go
@@ -9,10 +9,14 @@
 	"io"
 )
 
-// memberSet is the hollow members of one process. Only subscribers adopt versions.
+// memberSet is the hollow members of one process. Only subscribers adopt versions. The main loop of the process calls it.
 type memberSet interface {
+	// agents are the addresses of agents, in the order of members; nil: they are no agents.
 	agents() []string
+	// sample is what the members have done since they joined. An error is of a member that got what it must not.
 	sample() (*sample, error)
+	// await waits until a condition holds for all members, or ctx ends. It returns when the condition came to hold for each, in ns of the
+	// machine's monotonic clock, where the members know that.
 	await(context.Context, *condition) ([]int64, error)
 }
 
@@ -46,26 +50,34 @@
 			}
 			return context.Cause(ctx)
 		case line := <-lines:
-			var q request
-			var a response
-			err := json.Unmarshal(line, &q)
-			if err == nil {
-				err = handle(ctx, &all, &q, &a)
-			}
-			if err != nil {
-				a.Err = err.Error()
-			}
-			text, err := json.Marshal(&a)
-			if err == nil {
-				_, err = out.Write(append(text, '\n'))
-			}
-			if err != nil {
-				return fmt.Errorf("response: %w", err)
+			if err := serveLine(ctx, &all, line, out); err != nil {
+				return err
 			}
 		}
 	}
 }
 
+// serveLine carries out the request in a line, and writes the response.
+func serveLine(ctx context.Context, all *memberSet, line []byte, out io.Writer) error {
+	var in request
+	var answer response
+	err := json.Unmarshal(line, &in)
+	if err == nil {
+		err = handle(ctx, all, &in, &answer)
+	}
+	if err != nil {
+		answer.Err = err.Error()
+	}
+	text, err := json.Marshal(&answer)
+	if err == nil {
+		_, err = out.Write(append(text, '\n'))
+	}
+	if err != nil {
+		return fmt.Errorf("response: %w", err)
+	}
+	return nil
+}
+
 // errRunEnded says that the input has ended.
 var errRunEnded = errors.New("the run has ended")
 
@@ -77,35 +89,44 @@
 	switch {
 	case (in.Join != nil) != (*all == nil):
 		return errNotJoined
-	case in.Join != nil && in.Join.Workload == LeaseRenewals:
-		s, err := joinSessions(ctx, in.Join)
-		if err != nil {
-			return err
-		}
-		*all = s
-	case in.Join != nil && in.Join.Workload == AgentPolls:
-		s, err := joinAgents(in.Join)
-		if err != nil {
-			return err
-		}
-		*all = s
-		out.Agents = s.agents()
-	case in.Join != nil && (in.Join.Workload == Subscriptions || in.Join.Workload == Publishing):
-		*all = joinSubscribers(in.Join)
 	case in.Join != nil:
-		return fmt.Errorf("unknown workload %q", in.Join.Workload)
+		return handleJoin(ctx, all, in.Join, out)
 	case in.Sample:
 		out.Sample, err = (*all).sample()
 	case in.Await != nil:
 		out.InForce, err = (*all).await(ctx, in.Await)
 	case in.Adopted != nil:
-		w, ok := (*all).(*subscribers)
+		s, ok := (*all).(*subscribers)
 		if !ok {
 			return errors.New("these members adopt no versions")
 		}
-		out.Adoptions, err = w.adoptedSince(in.Adopted.From)
+		out.Adoptions, err = s.adoptedSince(in.Adopted.From)
 	default:
 		err = errors.New("the request is empty")
 	}
 	return err
 }
+
+// handleJoin makes the members of a workload.
+func handleJoin(ctx context.Context, all *memberSet, j *join, out *response) error {
+	switch j.Workload {
+	case LeaseRenewals:
+		s, err := joinSessions(ctx, j)
+		if err != nil {
+			return err
+		}
+		*all = s
+	case AgentPolls:
+		a, err := joinAgents(j)
+		if err != nil {
+			return err
+		}
+		*all = a
+		out.Agents = a.agents()
+	case Subscriptions, Publishing:
+		*all = joinSubscribers(j)
+	default:
+		return fmt.Errorf("unknown workload %q", j.Workload)
+	}
+	return nil
+}
--- a/internal/rig/scale/realmachines.go
+++ b/internal/rig/scale/realmachines.go
@@ -13,6 +13,7 @@
 	"syscall"
 	"time"
 
+	"petrelhook/internal/common/sock"
 	"petrelhook/internal/coordination/agent"
 	"petrelhook/internal/coordination/distribute"
 	"petrelhook/internal/coordination/monotonic"
@@ -40,14 +41,14 @@
 	input         *os.File   // the minder's standard input, whose end it waits for
 	release       release.ID // that all sidecars start with; "": none is made yet
 	store         *release.Store
-	reserved      []int // sockets that reserve addresses
+	releaseAddrs  []func() // release the reserved addresses
 
 	settings json.RawMessage // of the release
 
 	mu        sync.Mutex
 	all       []*realMachine
 	changed   chan struct{} // closed, and made anew, when a version has come into force at a machine
-	violation error         // the first version that came into force after a newer one
+	violation error         // of the first version that came into force after a newer one
 }
 
 // realMachine is one machine; realMachines.mu guards adoptions.
@@ -70,84 +71,91 @@
 		}
 	}()
 	for _, addr := range coordinators {
-		way, err := newRelay(addr)
+		r, err := newRelay(addr)
 		if err != nil {
 			return nil, err
 		}
-		m.relays = append(m.relays, way)
+		m.relays = append(m.relays, r)
 	}
 	if m.store, err = release.NewStore(filepath.Join(m.dir, "releases")); err != nil {
 		return nil, err
 	}
-	theirs, input, err := os.Pipe()
+	minderInput, input, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = theirs.Close() }()
+	defer func() { _ = minderInput.Close() }()
 	m.input = input
-	m.minder, err = processes.startDetached("minder", exec.Command(o.program("petrelhookctl"), "scale", "minder", m.dir), theirs)
+	m.minder, err = processes.startDetached("minder", exec.Command(o.program("petrelhookctl"), "scale", "minder", m.dir), minderInput)
 	return m, err
 }
 
-// Start implements rehearse.Starter.
+// Start implements rehearse.Starter: it starts a machine's agent, which starts the sidecar.
 func (m *realMachines) Start(number int, config []byte) (addr string, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(config, &fields); err != nil {
-		return "", err
+		return "", fmt.Errorf("settings of sidecar %d: %w", number, err)
 	}
 	if m.release == "" {
 		if err := m.createRelease(fields); err != nil {
-			return "", err
+			return "", fmt.Errorf("release: %w", err)
 		}
 	}
+	machine := &realMachine{name: fmt.Sprintf("r%02d", number)}
+	dir := filepath.Join(m.dir, machine.name)
+	machine.dataDir = filepath.Join(dir, "data")
+	addr, text, err := m.agentConfig(machine, fields)
+	if err != nil {
+		return "", fmt.Errorf("configuration of agent %d: %w", number, err)
+	}
+	path := filepath.Join(dir, "agent.yaml")
+	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(path, text, 0o600)); err != nil {
+		return "", err
+	}
+	machine.agent, err = m.processes.start("petrelhook-agent-"+machine.name, exec.Command(m.options.program("petrelhook-agent"), "--config", path),
+		nil, nil)
+	if err != nil {
+		return "", err
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.all = append(m.all, machine)
+	return addr, nil
+}
+
+// agentConfig is the configuration of a machine's agent, as JSON, which is YAML too; addr is where its sidecar will serve. fields are the
+// sidecar's settings.
+func (m *realMachines) agentConfig(machine *realMachine, fields map[string]json.RawMessage) (addr string, text []byte, err error) {
 	var addrs [4]string // of the sidecar, its two admin endpoints and the agent
 	for i := range addrs {
-		addr, fd, err := reserve()
+		addr, release, err := sock.ReserveAddr()
 		if err != nil {
-			return "", err
+			return "", nil, err
 		}
-		addrs[i], m.reserved = addr, append(m.reserved, fd)
+		addrs[i], m.releaseAddrs = addr, append(m.releaseAddrs, release)
 	}
 	var settings struct {
 		MyNumber int `json:"my_number"`
 	}
 	if err := json.Unmarshal(fields["settings"], &settings); err != nil {
-		return "", err
+		return "", nil, err
 	}
 	overrides := map[string]any{"settings.my_number": settings.MyNumber}
 	for _, name := range m.sidecarFields {
 		overrides[name] = fields[name]
 	}
-	machine := &realMachine{name: fmt.Sprintf("r%02d", number)}
-	dir := filepath.Join(m.dir, machine.name)
-	machine.dataDir = filepath.Join(dir, "data")
 	var relays []string
-	for _, w := range m.relays {
-		relays = append(relays, w.addr)
+	for _, r := range m.relays {
+		relays = append(relays, r.addr)
 	}
-	text, err := json.Marshal(map[string]any{ // JSON is YAML
+	text, err = json.Marshal(map[string]any{
 		"application": realService, "listen": addrs[3], "data": machine.dataDir, "releases": filepath.Join(m.dir, "releases"),
 		"release":       m.release,
 		"configuration": map[string]any{"coordinators": relays, "member": machine.name},
 		"sidecars": []any{map[string]any{"name": machine.name, "zone": "a", "listen": addrs[0],
 			"admin_addresses": []string{addrs[1], addrs[2]}, "set": overrides}},
 	})
-	if err != nil {
-		return "", err
-	}
-	path := filepath.Join(dir, "agent.yaml")
-	if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(path, text, 0o600)); err != nil {
-		return "", err
-	}
-	machine.agent, err = m.processes.start("petrelhook-agent-"+machine.name, exec.Command(m.options.program("petrelhook-agent"), "--config", path),
-		nil, nil)
-	if err != nil {
-		return "", err
-	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.all = append(m.all, machine)
-	return addrs[0], nil
+	return addrs[0], text, err
 }
 
 // createRelease makes the release that all sidecars start with, from the settings of the first one.
@@ -200,12 +208,12 @@
 }
 
 // persistedState reads the agent's file about its sidecar.
-func (one *realMachine) persistedState() (k agent.PersistedState, err error) {
-	text, err := os.ReadFile(filepath.Join(one.dataDir, "sidecar-"+one.name+".json"))
+func (m *realMachine) persistedState() (state agent.PersistedState, err error) {
+	text, err := os.ReadFile(filepath.Join(m.dataDir, "sidecar-"+m.name+".json"))
 	if err == nil {
-		err = json.Unmarshal(text, &k)
+		err = json.Unmarshal(text, &state)
 	}
-	return k, err
+	return state, err
 }
 
 // statePollInterval is how often that file is read: measured times may be too long by this.
@@ -219,9 +227,9 @@
 		m.mu.Lock()
 		all := m.all
 		m.mu.Unlock()
-		for i, one := range all {
-			if k, err := one.persistedState(); err == nil { // at first there is no file
-				m.observe(i, k.InForce)
+		for i, machine := range all {
+			if state, err := machine.persistedState(); err == nil { // at first there is no file
+				m.observe(i, state.InForce)
 			}
 		}
 		select {
@@ -263,11 +271,11 @@
 	for {
 		all = nil
 		done := 0
-		for _, one := range m.all {
-			if n := len(one.adoptions); n > 0 && one.adoptions[n-1].Revision >= revision {
+		for _, machine := range m.all {
+			if n := len(machine.adoptions); n > 0 && machine.adoptions[n-1].Revision >= revision {
 				done++
 			}
-			for _, t := range one.adoptions {
+			for _, t := range machine.adoptions {
 				if t.Revision >= from {
 					all = append(all, t)
 				}
@@ -292,19 +300,19 @@
 
 // usages are the usages of the agents and of the sidecars that serve.
 func (m *realMachines) usages() (agents, sidecars []usage.Usage, err error) {
-	for _, one := range m.all {
-		k, err := one.persistedState()
-		if err == nil && k.Serving == nil {
-			err = fmt.Errorf("%s: no sidecar serves", one.name)
+	for _, machine := range m.all {
+		state, err := machine.persistedState()
+		if err == nil && state.Serving == nil {
+			err = fmt.Errorf("%s: no sidecar serves", machine.name)
 		}
 		if err != nil {
 			return nil, nil, err
 		}
-		a, err := usage.Of(one.agent.Pid)
+		a, err := usage.Of(machine.agent.Pid)
 		if err != nil {
 			return nil, nil, err
 		}
-		s, err := usage.Of(k.Serving.PID)
+		s, err := usage.Of(state.Serving.PID)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -315,8 +323,8 @@
 
 // traffic is what all agents exchanged with each coordinator, in the order of relays.
 func (m *realMachines) traffic() (all []traffic) {
-	for _, w := range m.relays {
-		all = append(all, w.traffic())
+	for _, r := range m.relays {
+		all = append(all, r.traffic())
 	}
 	return all
 }
@@ -327,8 +335,8 @@
 // Stop implements rehearse.Starter: agents end first, so that they do not restart sidecars.
 func (m *realMachines) Stop() error {
 	var agents []*child
-	for _, one := range m.all {
-		agents = append(agents, one.agent)
+	for _, machine := range m.all {
+		agents = append(agents, machine.agent)
 	}
 	err := m.processes.terminate(agents...)
 	ctx, cancel := context.WithTimeoutCause(context.Background(), stopTimeout,
@@ -351,13 +359,13 @@
 			<-m.minder.ended
 		}
 	}
-	for _, w := range append(m.relays, m.lists[:]...) {
-		if w != nil {
-			w.close()
+	for _, r := range append(m.relays, m.lists[:]...) {
+		if r != nil {
+			r.close()
 		}
 	}
-	for _, fd := range m.reserved {
-		_ = syscall.Close(fd)
+	for _, release := range m.releaseAddrs {
+		release()
 	}
 	if m.minder == nil {
 		return nil
--- a/internal/rig/scale/relay.go
+++ b/internal/rig/scale/relay.go
@@ -18,25 +18,28 @@
 
 // newRelay starts a relay to an address.
 func newRelay(target string) (*relay, error) {
-	way, err := link.New()
+	l, err := link.New()
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{addr: way.Addr, link: way}
+	r := &relay{addr: l.Addr, link: l}
 	heads := [2][]byte{link.Forward: []byte("POST "), link.Backward: []byte("HTTP/1.1 ")}
-	way.Observe(func(d link.Direction, piece []byte) {
-		r.bytes[d].Add(uint64(len(piece)))
-		if bytes.HasPrefix(piece, heads[d]) {
+	l.Observe(func(d link.Direction, chunk []byte) {
+		r.bytes[d].Add(uint64(len(chunk)))
+		if bytes.HasPrefix(chunk, heads[d]) {
 			r.heads[d].Add(1)
 		}
 	})
-	way.SetTarget(target)
+	l.SetTarget(target)
 	return r, nil
 }
 
 // traffic is what went through, from the target's point of view.
 func (r *relay) traffic() traffic {
-	return traffic{r.bytes[link.Forward].Load(), r.bytes[link.Backward].Load(), r.heads[link.Forward].Load(), r.heads[link.Backward].Load(), r.link.Open()}
+	return traffic{
+		In: r.bytes[link.Forward].Load(), Out: r.bytes[link.Backward].Load(),
+		MessagesIn: r.heads[link.Forward].Load(), MessagesOut: r.heads[link.Backward].Load(), Open: r.link.Open(),
+	}
 }
 
 // close ends the relay and its connections.
--- a/internal/rig/scale/run.go
+++ b/internal/rig/scale/run.go
@@ -6,114 +6,12 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"time"
 
 	"petrelhook/internal/coordination/capacity"
 	"petrelhook/internal/coordination/fleet"
-	"petrelhook/internal/rig/provenance"
-	"petrelhook/internal/rig/usage"
 )
 
-// Run does all runs. On an error it returns what was measured until then as well; Findings name the runs that failed or were
-// not done.
-func Run(ctx context.Context, o Options) (m *capacity.Measured, err error) {
-	limit, err := o.prepare()
-	if err != nil {
-		return nil, err
-	}
-	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	ctx, release := context.WithTimeoutCause(ctx, o.Timeout, fmt.Errorf("--within: %v are over", o.Timeout))
-	defer release()
-	s := &series{options: &o, limit: limit, measured: &capacity.Measured{
-		At: time.Now().UTC().Truncate(time.Second), Commit: provenance.Revision(), Machine: provenance.Machine(),
-		Seed: o.Seed, FitUpTo: slices.Max(o.Sizes)}}
-	for _, w := range o.Workloads {
-		for _, n := range o.sizes() {
-			s.runSize(ctx, w, n)
-		}
-	}
-	s.measured.Findings = append(s.measured.Findings, compareCosts(s.measured.Points)...)
-	first := s.firstError
-	if first == nil && ctx.Err() != nil {
-		first = context.Cause(ctx)
-	}
-	if s.failed > 1 {
-		first = fmt.Errorf("%w (and %d more runs have failed: see what was found)", first, s.failed-1)
-	}
-	return s.measured, first
-}
-
-// prepare checks, before anything is started, that all runs are possible. It returns the limit of descriptors.
-func (o *Options) prepare() (limit uint64, err error) {
-	if err := o.Check(); err != nil {
-		return 0, err
-	}
-	limit = o.DescriptorLimit
-	if limit == 0 {
-		if limit, err = descriptorLimit(); err != nil {
-			return 0, err
-		}
-	}
-	for _, w := range o.Workloads {
-		for _, n := range o.sizes() {
-			if _, err := newLayout(w, n, o.realMachinesOf(w), limit); err != nil {
-				return 0, err
-			}
-		}
-	}
-	for _, name := range o.programs() {
-		if info, err := os.Stat(o.program(name)); err != nil || info.IsDir() {
-			return 0, fmt.Errorf("--bin: there is no %s; build it (go build -o bin/ ./cmd/...) or write another folder",
-				o.program(name))
-		}
-	}
-	return limit, nil
-}
-
-// series is all runs of one Run, with their results so far.
-type series struct {
-	options    *Options
-	limit      uint64 // of descriptors
-	measured   *capacity.Measured
-	firstError error // of the first run that failed; nil: none has
-	failed     int
-}
-
-// runSize does the runs of a workload at one size, and records their points and findings.
-func (s *series) runSize(ctx context.Context, workload string, size int) {
-	m := s.measured
-	for number := 1; number <= s.options.Runs; number++ {
-		what := fmt.Sprintf("%s of %d members, run %d of %d", workload, size, number, s.options.Runs)
-		if ctx.Err() != nil {
-			m.Findings = append(m.Findings, "not run: "+what)
-			continue
-		}
-		r := &run{options: s.options, workload: workload, size: size, number: number, description: what, limit: s.limit}
-		err := r.execute(ctx)
-		m.Points = append(m.Points, r.points...)
-		var no rejection
-		switch {
-		case err == nil:
-		case errors.As(err, &no): // the next run would be rejected too
-			m.Findings = append(m.Findings, fmt.Sprintf("%s of %d members: %v", workload, size, no.error))
-			return
-		default:
-			if ctx.Err() != nil {
-				err = context.Cause(ctx)
-			}
-			if s.failed++; s.firstError == nil {
-				s.firstError = fmt.Errorf("%s: %w", what, err)
-			}
-			m.Findings = append(m.Findings, fmt.Sprintf("failed: %s: %v", what, err))
-		}
-	}
-}
-
-// rejection is an error that the product answers by design, such as a limit of its own: a finding, not a failed run.
-type rejection struct{ error }
-
 // run is one run: a fleet that is started, measured and ended.
 type run struct {
 	options     *Options
@@ -126,14 +24,14 @@
 
 	layout             layout
 	dir                string
-	coordinatorDataDir string // what coordinators keep
+	coordinatorDataDir string // of coordinators' configurations and data
 	processes          *processGroup
 	group              *coordinatorGroup
 	members            *memberProcesses
 
 	machines *realMachines // nil: the workload has none, or they have not started
 	serving  *serving
-	fail     context.CancelCauseFunc
+	fail     context.CancelCauseFunc // ends the run with an error
 }
 
 func (r *run) progress(doing string) {
@@ -173,26 +71,31 @@
 		}
 		cancel(nil)
 		<-watched
-		if r.serving != nil { // a run that succeeded has stopped it already
-			_ = r.serving.stop()
-		}
-		if r.members != nil {
-			r.members.close()
-		}
-		r.processes.close()
-		if r.machines != nil {
-			err = errors.Join(err, r.machines.close())
-		}
-		if r.group != nil {
-			r.group.close()
-		}
-		if err != nil { // the points are incomplete
+		if err = errors.Join(err, r.end()); err != nil { // the points are incomplete
 			r.points = nil
 		}
 	}()
 	return r.startAndMeasure(ctx)
 }
 
+// end ends what the run has started and is left. The error is that of the process that ends leftover sidecars.
+func (r *run) end() (err error) {
+	if r.serving != nil { // a run that succeeded has stopped it already
+		_ = r.serving.stop()
+	}
+	if r.members != nil {
+		r.members.close()
+	}
+	r.processes.close()
+	if r.machines != nil {
+		err = r.machines.close()
+	}
+	if r.group != nil {
+		r.group.close()
+	}
+	return err
+}
+
 // startAndMeasure starts the coordinators and the processes of members, and runs the workload.
 func (r *run) startAndMeasure(ctx context.Context) (err error) {
 	r.progress("starts")
@@ -275,51 +178,3 @@
 	r.add(role, "state_bytes", float64(bytes))
 	return nil
 }
-
-// pids are those of the run's processes, including sidecars that agents have started.
-func (r *run) pids() []int {
-	all := r.processes.pids()
-	if r.options.realMachinesOf(r.workload) > 0 {
-		for _, p := range runningSidecars(filepath.Join(r.dir, machinesDir)) {
-			all = append(all, p.PID)
-		}
-	}
-	return all
-}
-
-// sleep returns after a duration, or with the cause when ctx ends.
-func sleep(ctx context.Context, duration time.Duration) error {
-	t := time.NewTimer(duration)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return context.Cause(ctx)
-	case <-t.C:
-		return nil
-	}
-}
-
-// watchMemory cancels the run when its processes together have more memory resident than the budget. It returns when ctx ends.
-func watchMemory(ctx context.Context, pids func() []int, budget int64, exceeded context.CancelCauseFunc) {
-	const every = 100 * time.Millisecond
-	ticker := time.NewTicker(every)
-	defer ticker.Stop()
-	for {
-		sum := int64(0)
-		for _, pid := range append(pids(), os.Getpid()) {
-			if n, err := usage.Resident(pid); err == nil { // a process that has ended meanwhile has none
-				sum += n
-			}
-		}
-		if sum > budget {
-			exceeded(fmt.Errorf("--memory: the processes of the run have %d MiB resident, over the budget of %d MiB",
-				sum>>20, budget>>20))
-			return
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-		}
-	}
-}
--- a/internal/sidecar/wiring/imports_test.go
+++ b/internal/sidecar/wiring/imports_test.go
@@ -102,7 +102,7 @@
 	{"internal/rig/scale", "balance internal/* lease"},
 	{"internal/rig/*", "balance internal/*"},
 	{"internal/common/await", ""},
-	{"internal/common/peertest", "internal/common/await"},
+	{"internal/common/peertest", "internal/common/await internal/common/sock"},
 	{"cmd/petrelhook", "balance internal/*"},
 	{"cmd/petrelhookctl", "balance internal/* lease"},
 	{"cmd/adapter", "balance internal/sidecar/wire"},
