--- a/internal/rig/audit/audit_test.go
+++ b/internal/rig/audit/audit_test.go
@@ -13,6 +13,7 @@
 
 const ms = time.Millisecond
 
+// service is a scenario with a class of each effect.
 func service(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("test", strings.NewReader(`
@@ -43,6 +44,7 @@
 	return c, a
 }
 
+// rules are the rules of the breaches, in their order.
 func rules(r Report) (list []Rule) {
 	for _, b := range r.Breaches {
 		list = append(list, b.Rule)
@@ -50,15 +52,33 @@
 	return list
 }
 
-// Each limit, from both sides of it.
-func TestLimits(t *testing.T) {
-	up := StateUpdate{Server: "s1", State: Up}
-	for _, c := range []struct {
-		name   string
-		class  string
-		change func(c *Call, a *Attempt, r *Records)
-		want   []Rule
-	}{
+// judgeCase is a change of the records of one served call, and the rules that are broken by it.
+type judgeCase struct {
+	name   string
+	class  string
+	change func(c *Call, a *Attempt, r *Records)
+	want   []Rule
+}
+
+// checkJudge judges the records of each case.
+func checkJudge(t *testing.T, cases []judgeCase) {
+	t.Helper()
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			call, attempt := served(c.class)
+			r := Records{Calls: []Call{call}, Attempts: []Attempt{attempt}, StateUpdates: []StateUpdate{{Server: "s1", State: Up}}}
+			c.change(&r.Calls[0], &attempt, &r)
+			report := Judge(service(t), r)
+			if got := rules(report); !slices.Equal(got, c.want) {
+				t.Errorf("%v, want %v: %v", got, c.want, report.Breaches)
+			}
+		})
+	}
+}
+
+// Limits on the answers to a call, from both sides.
+func TestLimitsOfAnswers(t *testing.T) {
+	checkJudge(t, []judgeCase{
 		{"served", "void", func(*Call, *Attempt, *Records) {}, nil},
 		{"answered within the slack", "read", func(c *Call, _ *Attempt, _ *Records) { c.Answered = 1450 * ms }, nil},
 		{"answered after it", "read", func(c *Call, _ *Attempt, _ *Records) { c.Answered = 1451 * ms }, []Rule{AnsweredLate}},
@@ -86,7 +106,12 @@
 			c.Sent, c.Answered, c.Result, r.Attempts = Never, Never, Unreached, nil
 		}, nil},
 		{"served by an error", "read", func(_ *Call, a *Attempt, r *Records) { r.Attempts[0].Status = 500 }, []Rule{WrongBody}},
+	})
+}
 
+// Limits on repeated attempts, from both sides.
+func TestLimitsOfRepeats(t *testing.T) {
+	checkJudge(t, []judgeCase{
 		{"a key, just within its window", "book", second(550*ms, 0), nil},
 		{"a key, after it", "book", second(551*ms, 0), []Rule{RepeatedAfterWindow}},
 		{"a key in another cell", "book", second(30*ms, 1), []Rule{RepeatedOutsideGroup}},
@@ -101,11 +126,16 @@
 			second(30*ms, 0)(c, a, r)
 			r.Attempts[0].NeverRan, r.Attempts[0].Status, r.Attempts[0].End = true, 503, 1036*ms
 		}, []Rule{UnsafeRepeated}},
-		{"an unsafe one that had not come whole", "void", func(c *Call, a *Attempt, r *Records) {
+		{"an unsafe one that had not arrived completely", "void", func(c *Call, a *Attempt, r *Records) {
 			second(30*ms, 0)(c, a, r)
 			r.Attempts[0].LastByte = Never
 		}, nil},
+	})
+}
 
+// Limits on refusals, from both sides.
+func TestLimitsOfRefusals(t *testing.T) {
+	checkJudge(t, []judgeCase{
 		{"refused after it ran, safe", "read", refused, nil},
 		{"refused after it ran, a key of all", "any", refused, nil},
 		{"refused after it ran, a key of a cell", "book", refused, []Rule{HarmfulRefusal}},
@@ -124,45 +154,40 @@
 		{"refused after half of its time", "void", func(c *Call, _ *Attempt, r *Records) {
 			c.Result, c.Answered, r.Attempts = Refused, 1201*ms, nil
 		}, []Rule{AnswerWithheld}},
-		{"refused late, after it was turned away late", "void", func(c *Call, _ *Attempt, r *Records) {
+		{"refused late, after a server rejected it late", "void", func(c *Call, _ *Attempt, r *Records) {
 			c.Result, c.Answered = Refused, 1350*ms
 			r.Attempts[0].NeverRan, r.Attempts[0].End = true, 1340*ms
 		}, nil},
+	})
+}
 
+// Limits on attempts at servers that drain or have gone, from both sides.
+func TestLimitsOfDraining(t *testing.T) {
+	checkJudge(t, []judgeCase{
 		{"to a draining server within the grace", "read", func(_ *Call, _ *Attempt, r *Records) {
 			r.StateUpdates = append(r.StateUpdates, StateUpdate{Server: "s1", State: Draining, ReceivedAt: 705 * ms})
 		}, nil},
 		{"to a draining server after it", "read", func(_ *Call, _ *Attempt, r *Records) {
 			r.StateUpdates = append(r.StateUpdates, StateUpdate{Server: "s1", State: Draining, ReceivedAt: 704 * ms})
 		}, []Rule{SentToDraining}},
-		{"another sidecar received it", "read", func(_ *Call, _ *Attempt, r *Records) {
+		{"another sidecar received that it drains", "read", func(_ *Call, _ *Attempt, r *Records) {
 			r.StateUpdates = append(r.StateUpdates, StateUpdate{Sidecar: 1, Server: "s1", State: Draining, ReceivedAt: 0})
 		}, nil},
-		{"from draining to gone the grace does not begin anew", "read", func(_ *Call, _ *Attempt, r *Records) {
+		{"the grace does not begin anew when a draining server is removed", "read", func(_ *Call, _ *Attempt, r *Records) {
 			r.StateUpdates = append(r.StateUpdates, StateUpdate{Server: "s1", State: Draining, ReceivedAt: 500 * ms}, StateUpdate{Server: "s1", State: Removed, ReceivedAt: 900 * ms})
 		}, []Rule{SentToDraining}},
-		{"it received that it is back", "read", func(_ *Call, _ *Attempt, r *Records) {
+		{"it received that the server is up again", "read", func(_ *Call, _ *Attempt, r *Records) {
 			r.StateUpdates = append(r.StateUpdates, StateUpdate{Server: "s1", State: Removed, ReceivedAt: 500 * ms}, StateUpdate{Server: "s1", State: Up, ReceivedAt: 900 * ms})
 		}, nil},
-		{"to whoever has a gone server's address now", "read", func(_ *Call, _ *Attempt, r *Records) {
+		{"to the server that has the address of a removed one", "read", func(_ *Call, _ *Attempt, r *Records) {
 			r.StateUpdates = append(r.StateUpdates, StateUpdate{Server: "s1", State: Removed, ReceivedAt: 500 * ms})
 			r.Incarnations = []Incarnation{{Server: "s1", FirstInstance: "s1", Start: Never, End: 500 * ms, CollapsedAt: Never}}
 			r.Attempts[0].Server = "s1.2"
 		}, []Rule{SentToDraining}},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			call, attempt := served(c.class)
-			r := Records{Calls: []Call{call}, Attempts: []Attempt{attempt}, StateUpdates: []StateUpdate{up}}
-			c.change(&r.Calls[0], &attempt, &r)
-			report := Judge(service(t), r)
-			if got := rules(report); !slices.Equal(got, c.want) {
-				t.Errorf("%v, want %v: %v", got, c.want, report.Breaches)
-			}
-		})
-	}
+	})
 }
 
-// second adds an attempt so much later, in a cell; the answer is its.
+// second returns a change that adds an attempt, by a duration later and in a cell, whose answer the call got.
 func second(later time.Duration, cell int) func(*Call, *Attempt, *Records) {
 	return func(c *Call, a *Attempt, r *Records) {
 		b := *a
@@ -174,23 +199,24 @@
 	}
 }
 
+// refused changes the records so that the call was refused although its attempt ran.
 func refused(c *Call, _ *Attempt, r *Records) {
 	c.Result, c.Status = Refused, 503
 	r.Attempts[0].Status = 500
 }
 
 // A server in its slow start can do 2 times a tenth of a core for a second, and a tenth more for chance: 220 ms of work.
-func TestColdServers(t *testing.T) {
+func TestSlowStarts(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		each  time.Duration // work of each of 20 attempts within half a second
-		knows int           // of the 20 come from the sidecar that received the start
-		want  []Rule
+		name     string
+		each     time.Duration // work of each of 20 attempts within half a second
+		informed int           // of the 20, those from the sidecar that received the start
+		want     []Rule
 	}{
-		{"within what it bears", 11 * ms, 20, nil},
+		{"within its capacity", 11 * ms, 20, nil},
 		{"more than that", 12 * ms, 20, []Rule{SlowStartOverload}},
-		{"more, two thirds of the first 19 from who knew", 12 * ms, 13, []Rule{SlowStartOverload}},
-		{"more, less from who knew", 12 * ms, 12, nil},
+		{"more, two thirds of the first 19 from the informed sidecar", 12 * ms, 13, []Rule{SlowStartOverload}},
+		{"more, fewer from the informed sidecar", 12 * ms, 12, nil},
 	} {
 		r := Records{
 			Incarnations: []Incarnation{{Server: "s1", FirstInstance: "s1", Start: 2 * time.Second, End: 9 * time.Second, CollapsedAt: Never,
@@ -200,7 +226,7 @@
 		for i := range 20 {
 			call, a := served("read")
 			call.Trace = string(rune('a' + i))
-			if i >= c.knows {
+			if i >= c.informed {
 				call.Sidecar = 1
 			}
 			at := 2*time.Second + time.Duration(i)*25*ms
@@ -215,7 +241,7 @@
 	}
 }
 
-// The order in which records were booked does not matter; the JSON has milliseconds.
+// The order of the records does not matter; times in the JSON are in milliseconds.
 func TestOrderDoesNotMatter(t *testing.T) {
 	call, attempt := served("void")
 	r := Records{Calls: []Call{call}, Attempts: []Attempt{attempt}, StateUpdates: []StateUpdate{{Server: "s1", State: Up}, {Server: "s1", State: Draining, ReceivedAt: 100 * ms}}}
