--- a/internal/rig/rehearse/bubble_test.go
+++ b/internal/rig/rehearse/bubble_test.go
@@ -27,18 +27,18 @@
 	return s
 }
 
-// play plays a scenario and gives what came of it.
+// play plays a scenario and returns its outcome.
 func play(t *testing.T, s *scenario.Scenario, change ...func(*Rehearsal)) *Outcome {
 	t.Helper()
-	out, err := tryPlay(t, s, change...)
+	out, err := playScenario(t, s, change...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out
 }
 
-// tryPlay plays a scenario on a network in memory, in virtual time. With REHEARSE_LOG set, the sidecars' logs are shown.
-func tryPlay(t *testing.T, s *scenario.Scenario, change ...func(*Rehearsal)) (out *Outcome, err error) {
+// playScenario plays a scenario on a network in memory, in virtual time. With REHEARSE_LOG set, the sidecars' logs are shown.
+func playScenario(t *testing.T, s *scenario.Scenario, change ...func(*Rehearsal)) (out *Outcome, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(latency)
@@ -58,7 +58,7 @@
 	return out, err
 }
 
-// service is classes of all effects, at a load that the fleet bears with a third of it away.
+// service has classes of all effects. The fleet can serve its loads with a third of its servers away.
 const service = `
 sidecars 2
 fleet 6 cells=2 cores=2 queue=32
@@ -74,19 +74,19 @@
 
 const steady = service + "length 5s\narrive poisson 150/s\n"
 
-// The real core, each fault by itself: no rule is broken, the fault was felt, and nearly all is served.
+// The real core, each fault by itself: no rule is broken, the fault had an effect, and nearly all is served.
 func TestFaultsBreakNoRule(t *testing.T) {
 	repeats := func(o *Outcome) bool { return o.Audit.Judged.Repeats > 0 }
 	drains := func(o *Outcome) bool { return o.Audit.Judged.Drains > 0 }
-	colds := func(o *Outcome) bool { return o.Audit.Judged.SlowStarts > 0 }
+	slowStarts := func(o *Outcome) bool { return o.Audit.Judged.SlowStarts > 0 }
 	slower := func(o *Outcome) bool { return o.Load.Classes[0].Percentile(99) > 30*time.Millisecond }
-	unheard := func(o *Outcome) bool { return o.Audit.Judged.Drains == 0 }
-	stays := func(*Outcome) bool { return true }
+	unnoticed := func(o *Outcome) bool { return o.Audit.Judged.Drains == 0 }
+	noEffect := func(*Outcome) bool { return true }
 	for _, c := range []struct {
-		fault string
-		felt  func(*Outcome) bool
+		fault  string
+		effect func(*Outcome) bool
 	}{
-		{"", stays},
+		{"", noEffect},
 		{"at 1s s1 stall for 1s", func(o *Outcome) bool { return o.Load.Classes[0].Latency.Max() > 400_000 }},
 		{"at 1s s1..s2 slow x6 for 2s", slower},
 		{"at 1s s1 error 50% for 2s", repeats},
@@ -98,21 +98,21 @@
 		{"at 1s s1 drain", drains},
 		{"at 1s s1 gone drain=1s", drains},
 		{"at 1s s1 gone", drains},
-		{"at 1s s1 restart down=300ms cold=12% warm=4s", colds},
-		{"at 1s all roll batch=1 every=600ms drain=500ms cold=12% warm=4s", colds},
+		{"at 1s s1 restart down=300ms cold=12% warm=4s", slowStarts},
+		{"at 1s all roll batch=1 every=600ms drain=500ms cold=12% warm=4s", slowStarts},
 		{"at 1s discovery down for 2s\nat 1500ms s1 gone drain=1s", drains},
-		{"at 1s discovery mute for 2s", stays},
+		{"at 1s discovery mute for 2s", noEffect},
 		{"discovery pushed=yes\nat 1s discovery down for 2s\nat 1500ms s1 gone drain=1s", drains},
 		{"discovery pushed=yes\nat 1s all roll batch=1 every=600ms drain=500ms cold=12% warm=4s", drains},
-		{"at 0s discovery late by=9s for 5s\nat 1s s1 gone drain=2s", unheard},
+		{"at 0s discovery late by=9s for 5s\nat 1s s1 gone drain=2s", unnoticed},
 	} {
 		t.Run(c.fault, func(t *testing.T) {
 			out := play(t, parse(t, steady+c.fault))
 			for _, b := range out.Audit.Breaches {
 				t.Error(b)
 			}
-			if !c.felt(out) {
-				t.Errorf("the fault was not felt: judged %+v, p99 %v", out.Audit.Judged, out.Load.Classes[0].Percentile(99))
+			if !c.effect(out) {
+				t.Errorf("the fault had no effect: judged %+v, p99 %v", out.Audit.Judged, out.Load.Classes[0].Percentile(99))
 			}
 			counts := out.Load.Classes[0].Counts
 			if counts.All() < 700 || float64(counts.Served) < 0.97*float64(counts.All()) {
@@ -142,28 +142,35 @@
 at 300ms s5 silent for 200ms
 `)
 	var mu sync.Mutex
-	seen := map[string]int{}
+	seen := map[string]int{} // how often, by summary
+	worker := func(t *testing.T) {
+		t.Parallel()
+		for range runs / workers {
+			summary := summarize(t, play(t, s))
+			mu.Lock()
+			seen[summary]++
+			mu.Unlock()
+		}
+	}
 	t.Run("runs", func(t *testing.T) {
 		for w := range workers {
-			t.Run(fmt.Sprint(w), func(t *testing.T) {
-				t.Parallel()
-				for range runs / workers {
-					out := play(t, s)
-					text, err := json.Marshal(out.Audit)
-					if err != nil {
-						t.Fatal(err)
-					}
-					all := out.Load.Classes[0]
-					mu.Lock()
-					seen[fmt.Sprintf("%s %+v p50 %v p99 %v", text, all.Counts, all.Percentile(50), all.Percentile(99))]++
-					mu.Unlock()
-				}
-			})
+			t.Run(fmt.Sprint(w), worker)
 		}
 	})
 	if len(seen) != 1 {
-		for outcome, n := range seen {
-			t.Errorf("%d times: %s", n, outcome)
+		for summary, n := range seen {
+			t.Errorf("%d times: %s", n, summary)
 		}
 	}
 }
+
+// summarize is the audit, the counts and two percentiles of an outcome as text.
+func summarize(t *testing.T, out *Outcome) string {
+	t.Helper()
+	text, err := json.Marshal(out.Audit)
+	if err != nil {
+		t.Fatal(err)
+	}
+	all := out.Load.Classes[0]
+	return fmt.Sprintf("%s %+v p50 %v p99 %v", text, all.Counts, all.Percentile(50), all.Percentile(99))
+}
--- a/internal/rig/rehearse/compare_test.go
+++ b/internal/rig/rehearse/compare_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// serveChild serves until SIGTERM, and says where, as the sidecar does.
+// serveChild serves until SIGTERM, and logs its address as the sidecar does.
 func serveChild(handler func(servers []string) http.Handler) {
 	var c struct {
 		Known struct{ Instances []peer }
@@ -66,7 +66,7 @@
 	}))
 }
 
-// reverseProxy is the standard library's, over all servers in turn.
+// reverseProxy is the standard library's reverse proxy, which takes the servers in rotation.
 func reverseProxy(servers []string) http.Handler {
 	var n atomic.Uint64
 	return &httputil.ReverseProxy{
@@ -77,7 +77,8 @@
 	}
 }
 
-const compared = `
+// comparedScenario is the fleet of BenchmarkProxies.
+const comparedScenario = `
 length 3s
 sidecars 1 cores=1 memory=192 sockets=1024
 fleet 4 cells=2 cores=1000
@@ -90,9 +91,9 @@
 	env           []string
 }
 
-// BenchmarkProxies sends the same load to the same stand-ins straight, through the standard library's reverse proxy and
+// BenchmarkProxies sends the same load to the same stand-ins directly, through the standard library's reverse proxy and
 // through the sidecar, each in a process of its own on one core (GOMAXPROCS=1). It reports, for 1,000 requests a second
-// on schedule, p50 and p99 and the CPU of the process for each; and for 32 clients that never wait, the requests a second.
+// on schedule, p50 and p99 and the CPU time of the process per request; and for 32 clients in a closed loop, the requests a second.
 //
 //	go test ./internal/rig/rehearse -run - -bench Proxies -benchtime 1x
 func BenchmarkProxies(b *testing.B) {
@@ -106,27 +107,28 @@
 	} {
 		b.Run(p.name, func(b *testing.B) {
 			for range b.N {
-				paced := measure(b, p, "arrive constant 1000/s", nil)
-				b.ReportMetric(paced.p50, "p50-ms")
-				b.ReportMetric(paced.p99, "p99-ms")
-				b.ReportMetric(paced.lag, "lag99-ms")
+				open := measure(b, p, "arrive constant 1000/s", nil)
+				b.ReportMetric(open.p50, "p50-ms")
+				b.ReportMetric(open.p99, "p99-ms")
+				b.ReportMetric(open.lag, "lag99-ms")
 				if p.program != "" {
-					b.ReportMetric(paced.cpu, "cpu-us/req")
+					b.ReportMetric(open.cpu, "cpu-us/req")
 				}
-				flat := measure(b, p, "arrive constant 1/s", closedLoop)
-				b.ReportMetric(flat.rate, "req/s")
+				closed := measure(b, p, "arrive constant 1/s", closedLoop)
+				b.ReportMetric(closed.rate, "req/s")
 				if p.program != "" {
-					b.ReportMetric(flat.cpu, "full-cpu-us/req")
-					b.ReportMetric(flat.memory, "MiB")
+					b.ReportMetric(closed.cpu, "full-cpu-us/req")
+					b.ReportMetric(closed.memory, "MiB")
 				}
 			}
 		})
 	}
 }
 
+// measured is what measure has measured: times in ms, CPU time in µs per request, requests a second, and memory in MiB.
 type measured struct{ p50, p99, lag, cpu, rate, memory float64 }
 
-// closedLoop asks over 32 connections as fast as answers come, for 3 s, and gives the number of answers.
+// closedLoop sends requests over 32 connections for 3 s, each as soon as the one before is answered, and returns the number of answers.
 func closedLoop(targets []string) (answers int, err error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
 	defer client.CloseIdleConnections()
@@ -163,9 +165,10 @@
 	return int(n.Load()), err
 }
 
+// measure sends a load of a schedule, or that of a loop, through a proxy.
 func measure(b *testing.B, p proxyUnderTest, arrive string, loop func([]string) (int, error)) (m measured) {
 	b.Helper()
-	s := parse(b, compared+arrive)
+	s := parse(b, comparedScenario+arrive)
 	network, rec, zero := loopback.New(), &audit.Recorder{}, time.Now()
 	fleet, err := standin.Start(s, network, rec, zero)
 	if err != nil {
@@ -201,7 +204,7 @@
 	if p.program == "" {
 		return m
 	}
-	if err := processes.Stop(); err != nil && p.program != os.Args[0] { // that one ends by the signal itself
+	if err := processes.Stop(); err != nil && p.program != os.Args[0] { // the test program ends by the signal itself
 		b.Error(err)
 	}
 	u := processes.Usage()[0]
@@ -209,9 +212,9 @@
 	return m
 }
 
-// BenchmarkGenerator finds the highest constant schedule that is kept with a lag of under 1 ms at the 99th percentile
-// over 2 s, against a plain server in a process of its own, and the CPU of the generator for each request; beside it a
-// loop of net/http's client over 32 connections does the same as fast as it can.
+// BenchmarkGenerator finds the highest constant rate that is sent on schedule, with a lag of under 1 ms at the 99th percentile
+// over 2 s, to a plain server in a process of its own, and the CPU time of the generator per request. For comparison,
+// net/http's client sends over 32 connections in a closed loop.
 //
 //	go test ./internal/rig/rehearse -run - -bench Generator -benchtime 1x
 func BenchmarkGenerator(b *testing.B) {
@@ -227,7 +230,7 @@
 	b.Run("open-loop", func(b *testing.B) {
 		addr, stop := start(b)
 		defer stop()
-		var best, cpuEach float64
+		var highestRate, cpuPerRequest float64
 		for rate := 1000; rate <= 64000; rate += max(1000, rate/4) {
 			s := parse(b, fmt.Sprintf("length 2s\nfleet 1\nclass lookup deadline=2s\narrive constant %d/s", rate))
 			before := selfCPU()
@@ -238,10 +241,10 @@
 			if lag := load.Percentile(result.Lag, 99); lag > time.Millisecond || result.Classes[0].Counts.Served < 2*rate {
 				break
 			}
-			best, cpuEach = float64(rate), (selfCPU()-before).Seconds()*1e6/float64(2*rate)
+			highestRate, cpuPerRequest = float64(rate), (selfCPU()-before).Seconds()*1e6/float64(2*rate)
 		}
-		b.ReportMetric(best, "req/s")
-		b.ReportMetric(cpuEach, "cpu-us/req")
+		b.ReportMetric(highestRate, "req/s")
+		b.ReportMetric(cpuPerRequest, "cpu-us/req")
 	})
 	b.Run("net-http-loop", func(b *testing.B) {
 		addr, stop := start(b)
@@ -256,6 +259,7 @@
 	})
 }
 
+// selfCPU is the CPU time that this process has used.
 func selfCPU() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/internal/rig/rehearse/inprocess.go
+++ b/internal/rig/rehearse/inprocess.go
@@ -13,17 +13,18 @@
 // memory; Processes shows what a sidecar costs.
 type InProcess struct {
 	Network Network
-	Log     *slog.Logger
+	Log     *slog.Logger // of all sidecars; nil: none
 
 	running []inProcessSidecar
 }
 
+// inProcessSidecar is one sidecar that runs.
 type inProcessSidecar struct {
 	stop  context.CancelFunc
-	ended chan error
+	ended chan error // gets the result of its Run, once
 }
 
-// Start starts a sidecar.
+// Start implements Starter.
 func (p *InProcess) Start(_ int, text []byte) (addr string, err error) {
 	cfg, err := config.Parse("config", text)
 	if err != nil {
@@ -37,24 +38,24 @@
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	one := inProcessSidecar{ended: make(chan error, 1)}
+	started := inProcessSidecar{ended: make(chan error, 1)}
 	var stop context.Context
-	stop, one.stop = context.WithCancel(context.Background())
+	stop, started.stop = context.WithCancel(context.Background())
 	sidecar := wiring.New(&cfg, p.Network.Dial, log)
-	go func() { one.ended <- sidecar.Run(stop, ln, nil, nil) }()
-	p.running = append(p.running, one)
+	go func() { started.ended <- sidecar.Run(stop, ln, nil, nil) }()
+	p.running = append(p.running, started)
 	return ln.Addr().String(), nil
 }
 
-// Stop shuts all of them down gracefully, as SIGTERM does.
+// Stop implements Starter: it shuts all sidecars down gracefully, as SIGTERM does.
 func (p *InProcess) Stop() error {
-	var all []error
-	for _, one := range p.running {
-		one.stop()
+	var failures []error
+	for _, s := range p.running {
+		s.stop()
 	}
-	for _, one := range p.running {
-		all = append(all, <-one.ended)
+	for _, s := range p.running {
+		failures = append(failures, <-s.ended)
 	}
 	p.running = nil
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
--- a/internal/rig/rehearse/proxy_test.go
+++ b/internal/rig/rehearse/proxy_test.go
@@ -21,54 +21,56 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// sin is a rule that a proxy breaks on purpose.
-type sin string
+// violation is a rule that a proxy breaks on purpose, and how.
+type violation string
 
 const (
-	honest       sin = "honest"
-	loses        sin = "loses answers"
-	drops        sin = "closes kept connections on requests that it has read"
-	late         sin = "answers late"
-	twice        sin = "answers twice"
-	wrongBody    sin = "answers with another request's body"
-	holdsBack    sin = "holds refusals back"
-	sendsAfter   sin = "sends a copy after the answer"
-	repeats      sin = "repeats unsafe requests"
-	otherGroup   sin = "repeats a keyed request in another group"
-	tooOld       sin = "repeats a keyed request after its window"
-	badRefusal   sin = "refuses what may have run"
-	invents      sin = "sends what nobody asked for"
-	ignoresDrain sin = "sends to a draining server 60 ms after the grace"
-	pushes       sin = "sends everything to cold servers"
+	noViolation        violation = "compliant"
+	losesAnswers       violation = "loses answers"
+	dropsConnections   violation = "closes reused connections on requests that it has read"
+	answersLate        violation = "answers late"
+	answersTwice       violation = "answers twice"
+	wrongBody          violation = "answers with another request's body"
+	withholdsRefusals  violation = "withholds refusals"
+	sendsAfterAnswer   violation = "sends an attempt after the answer"
+	repeatsUnsafe      violation = "repeats unsafe requests"
+	repeatsOutside     violation = "repeats a keyed request in another group"
+	repeatsAfterWindow violation = "repeats a keyed request after its window"
+	harmfulRefusals    violation = "refuses what may have run"
+	inventsRequests    violation = "sends what no client requested"
+	ignoresDrain       violation = "sends to a draining server 60 ms after the grace"
+	overloadsSlowStart violation = "sends everything to servers in their slow start"
 )
 
-// proxy is a sidecar that keeps the rules in the plainest way, but for one sin.
+// proxy is a Starter of a sidecar that keeps the rules in the simplest way, but for one violation.
 type proxy struct {
-	sin    sin
-	s      *scenario.Scenario
-	net    Network
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	lns    []net.Listener
+	violation violation
+	s         *scenario.Scenario
+	net       Network
+	ctx       context.Context
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	lns       []net.Listener
 
-	mu      sync.Mutex
-	conns   []net.Conn
-	members map[string]peer
-	next    int
-	counted int
-	old     []byte // another request's answer
+	mu          sync.Mutex
+	conns       []net.Conn
+	members     map[string]peer
+	next        int    // counts servers, for taking them in rotation
+	decisions   int    // of every
+	firstAnswer []byte // of the first request that was served
 }
 
+// peer is a server in discovery's list.
 type peer struct {
-	ID        string `json:"instanceId"`
-	HostPort  string `json:"hostPort"`
-	Cell      int    `json:"cell"`
-	Lifecycle string `json:"lifecycle"`
-	StartedAt int64  `json:"startedAtMs"`
-	offSince  time.Time
+	ID            string    `json:"instanceId"`
+	HostPort      string    `json:"hostPort"`
+	Cell          int       `json:"cell"`
+	Lifecycle     string    `json:"lifecycle"`
+	StartedAt     int64     `json:"startedAtMs"`
+	drainingSince time.Time // when the proxy learned it; zero: it is up
 }
 
+// Start implements Starter.
 func (p *proxy) Start(_ int, config []byte) (addr string, err error) {
 	var c struct {
 		Listen, Discovery string
@@ -101,6 +103,7 @@
 	return ln.Addr().String(), nil
 }
 
+// Stop implements Starter.
 func (p *proxy) Stop() error {
 	for _, ln := range p.lns {
 		ln.Close()
@@ -115,6 +118,7 @@
 	return nil
 }
 
+// learn adopts a list of servers.
 func (p *proxy) learn(list []peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,17 +126,17 @@
 	p.members = map[string]peer{}
 	for _, m := range list {
 		if m.Lifecycle == "draining" {
-			if m.offSince = old[m.ID].offSince; m.offSince.IsZero() {
-				m.offSince = time.Now()
+			if m.drainingSince = old[m.ID].drainingSince; m.drainingSince.IsZero() {
+				m.drainingSince = time.Now()
 			}
 		}
 		p.members[m.ID] = m
 	}
-	if p.sin == ignoresDrain { // what is gone is kept as if it drained
+	if p.violation == ignoresDrain { // a server that is gone stays as if it drained
 		for id, m := range old {
 			if _, listed := p.members[id]; !listed {
-				if m.offSince.IsZero() {
-					m.offSince = time.Now()
+				if m.drainingSince.IsZero() {
+					m.drainingSince = time.Now()
 				}
 				p.members[id] = m
 			}
@@ -140,6 +144,7 @@
 	}
 }
 
+// poll polls discovery until Stop.
 func (p *proxy) poll(addr string) {
 	client := &http.Client{Transport: &http.Transport{DialContext: p.net.Dial, DisableKeepAlives: true}}
 	for {
@@ -159,35 +164,36 @@
 	}
 }
 
-// pick takes the next server in turn that may have a request: not draining, not tried, in the cell where one is asked
-// for; of cold ones, one request in thirty.
+// pick returns the next server in rotation that may have a request: not draining, not tried, and in the cell unless that is negative.
+// Servers in their slow start get one request in thirty.
 func (p *proxy) pick(tried []string, cell int) (peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ids := slices.Sorted(maps.Keys(p.members))
-	var cold []peer
+	var inSlowStart []peer
 	for range ids {
 		p.next++
 		m := p.members[ids[p.next%len(ids)]]
-		since := time.Since(m.offSince)
+		since := time.Since(m.drainingSince)
 		switch {
 		case slices.Contains(tried, m.ID), cell >= 0 && m.Cell != cell:
-		case !m.offSince.IsZero() && (p.sin != ignoresDrain || since < 310*time.Millisecond || since > 330*time.Millisecond):
+		case !m.drainingSince.IsZero() && (p.violation != ignoresDrain || since < 310*time.Millisecond || since > 330*time.Millisecond):
 		case m.StartedAt > 0:
-			cold = append(cold, m)
-		case p.sin == pushes && len(cold) > 0:
+			inSlowStart = append(inSlowStart, m)
+		case p.violation == overloadsSlowStart && len(inSlowStart) > 0:
 		default:
-			if len(cold) == 0 || p.sin != pushes && p.next%30 != 0 {
+			if len(inSlowStart) == 0 || p.violation != overloadsSlowStart && p.next%30 != 0 {
 				return m, true
 			}
 		}
 	}
-	if len(cold) > 0 {
-		return cold[0], true
+	if len(inSlowStart) > 0 {
+		return inSlowStart[0], true
 	}
 	return peer{}, false
 }
 
+// serve serves the requests of one connection.
 func (p *proxy) serve(nc net.Conn) {
 	defer nc.Close()
 	in := bufio.NewReader(nc)
@@ -204,45 +210,46 @@
 		arrived := time.Now()
 		micros, _ := strconv.ParseInt(strings.TrimSuffix(req.Header.Get("X-Expires-In"), "u"), 10, 64)
 		patience := time.Duration(micros) * time.Microsecond
-		status, answer := p.handle(req, body, arrived.Add(patience*givesUpAfter/100))
+		status, answer := p.handle(req, body, arrived.Add(patience*maxWaitPercent/100))
 		text := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(answer), answer)
 		switch {
-		case p.sin == loses && p.every(10):
+		case p.violation == losesAnswers && p.every(10):
 			io.WriteString(nc, text[:12])
 			return
-		case p.sin == drops && n > 0 && req.Method == http.MethodGet && p.every(10):
+		case p.violation == dropsConnections && n > 0 && req.Method == http.MethodGet && p.every(10):
 			return
-		case p.sin == late && p.every(10):
+		case p.violation == answersLate && p.every(10):
 			time.Sleep(time.Until(arrived.Add(patience + 90*time.Millisecond)))
-		case p.sin == holdsBack && status == 503:
+		case p.violation == withholdsRefusals && status == 503:
 			time.Sleep(time.Until(arrived.Add(patience * 9 / 10)))
-		case p.sin == twice && p.every(10):
+		case p.violation == answersTwice && p.every(10):
 			text += text
 		}
 		io.WriteString(nc, text)
-		if p.sin == sendsAfter && req.Method == http.MethodGet && p.every(10) {
+		if p.violation == sendsAfterAnswer && req.Method == http.MethodGet && p.every(10) {
 			time.Sleep(100 * time.Millisecond)
 			p.send(req, body, nil, -1, time.Time{})
 		}
 	}
 }
 
+// every is true each nth time.
 func (p *proxy) every(n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.counted++
-	return p.counted%n == 0
+	p.decisions++
+	return p.decisions%n == 0
 }
 
-// givesUpAfter is the part of a client's time, in percent, after which the proxy answers without a server's answer.
-const givesUpAfter = 95
+// maxWaitPercent is the percentage of a client's time after which the proxy answers without a server's answer.
+const maxWaitPercent = 95
 
-// handle has a request served until a time, and gives the answer.
+// handle sends a request to servers until a time, and returns the status and body of the answer.
 func (p *proxy) handle(req *http.Request, body []byte, by time.Time) (int, []byte) {
 	class := p.s.Classes[p.s.Class(req.Header.Get("X-Qos"))]
 	var tried []string
 	cell, ran, began := -1, false, time.Now()
-	if p.sin == invents && p.every(20) {
+	if p.violation == inventsRequests && p.every(20) {
 		other := req.Clone(p.ctx)
 		other.Header.Set("X-Trace-Id", "invented"+req.Header.Get("X-Trace-Id"))
 		p.send(other, body, nil, -1, by)
@@ -255,16 +262,16 @@
 			return 502, nil // it may have run, and no time is left
 		case status == 200:
 			p.mu.Lock()
-			if p.sin == wrongBody && p.old != nil {
-				answer = p.old
+			if p.violation == wrongBody && p.firstAnswer != nil {
+				answer = p.firstAnswer
 			}
-			if p.old == nil {
-				p.old = answer
+			if p.firstAnswer == nil {
+				p.firstAnswer = answer
 			}
 			p.mu.Unlock()
 			return 200, answer
 		case m.ID == "" && !ran:
-			return 503, nil // nothing left to try, and nothing ran
+			return 503, nil // no server is left, and nothing ran
 		case m.ID == "":
 			return 502, nil
 		case neverRan || class.Effect == scenario.Safe:
@@ -272,15 +279,15 @@
 		}
 		ran = true
 		switch {
-		case p.sin == repeats && class.Effect == scenario.Unsafe:
-		case p.sin == badRefusal:
+		case p.violation == repeatsUnsafe && class.Effect == scenario.Unsafe:
+		case p.violation == harmfulRefusals:
 			return 503, nil
-		case class.Effect == scenario.Keyed && p.sin == otherGroup:
+		case class.Effect == scenario.Keyed && p.violation == repeatsOutside:
 			cell = 1 - m.Cell
-		case class.Effect == scenario.Keyed && p.sin == tooOld && len(tried) < 3:
+		case class.Effect == scenario.Keyed && p.violation == repeatsAfterWindow && len(tried) < 3:
 			cell = m.Cell
 			time.Sleep(class.Window + 60*time.Millisecond)
-		case class.Effect == scenario.Keyed && time.Since(began) < class.Window: // once more, where its key is known
+		case class.Effect == scenario.Keyed && time.Since(began) < class.Window: // again in the cell that has its key
 			cell = m.Cell
 		default:
 			return 502, nil
@@ -331,59 +338,59 @@
 arrive poisson 100/s
 `
 
-// Every rule that is broken on purpose is reported, and nothing else is; a proxy that breaks none is not reported,
-// whatever goes wrong around it.
+// Every rule that is broken on purpose is reported, and no other; a proxy that breaks none is not reported, whatever the faults of
+// servers are.
 func TestAuditCatchesEachRule(t *testing.T) {
 	const (
-		errors = "at 500ms all error 30% for 2s\n"
-		full   = "at 500ms all full for 2s\n"
-		drain  = "at 500ms s1,s2 gone drain=1s\n"
-		cold   = "at 200ms s1..s2 restart down=50ms cold=12% warm=8s\n"
+		errors    = "at 500ms all error 30% for 2s\n"
+		full      = "at 500ms all full for 2s\n"
+		drain     = "at 500ms s1,s2 gone drain=1s\n"
+		slowStart = "at 200ms s1..s2 restart down=50ms cold=12% warm=8s\n"
 	)
 	for _, c := range []struct {
-		sin    sin
-		faults string
-		want   []audit.Rule
+		violation violation
+		faults    string
+		want      []audit.Rule
 	}{
-		{honest, "", nil},
-		{honest, errors, nil},
-		{honest, full, nil},
-		{honest, drain, nil},
-		{honest, cold, nil},
-		{honest, errors + drain + cold, nil},
-		{loses, "", []audit.Rule{audit.Unanswered}},
-		{drops, "", []audit.Rule{audit.Unanswered}},
-		{late, "", []audit.Rule{audit.AnsweredLate}},
-		{twice, "", []audit.Rule{audit.AnsweredTwice}},
+		{noViolation, "", nil},
+		{noViolation, errors, nil},
+		{noViolation, full, nil},
+		{noViolation, drain, nil},
+		{noViolation, slowStart, nil},
+		{noViolation, errors + drain + slowStart, nil},
+		{losesAnswers, "", []audit.Rule{audit.Unanswered}},
+		{dropsConnections, "", []audit.Rule{audit.Unanswered}},
+		{answersLate, "", []audit.Rule{audit.AnsweredLate}},
+		{answersTwice, "", []audit.Rule{audit.AnsweredTwice}},
 		{wrongBody, "", []audit.Rule{audit.WrongBody}},
-		{holdsBack, full, []audit.Rule{audit.AnswerWithheld}},
-		{sendsAfter, "", []audit.Rule{audit.SentAfterAnswer}},
-		{repeats, errors, []audit.Rule{audit.UnsafeRepeated}},
-		{otherGroup, errors, []audit.Rule{audit.RepeatedOutsideGroup}},
-		{tooOld, errors, []audit.Rule{audit.RepeatedAfterWindow}},
-		{badRefusal, errors, []audit.Rule{audit.HarmfulRefusal, audit.EffectRepeated}},
-		{invents, "", []audit.Rule{audit.UnknownRequest}},
+		{withholdsRefusals, full, []audit.Rule{audit.AnswerWithheld}},
+		{sendsAfterAnswer, "", []audit.Rule{audit.SentAfterAnswer}},
+		{repeatsUnsafe, errors, []audit.Rule{audit.UnsafeRepeated}},
+		{repeatsOutside, errors, []audit.Rule{audit.RepeatedOutsideGroup}},
+		{repeatsAfterWindow, errors, []audit.Rule{audit.RepeatedAfterWindow}},
+		{harmfulRefusals, errors, []audit.Rule{audit.HarmfulRefusal, audit.EffectRepeated}},
+		{inventsRequests, "", []audit.Rule{audit.UnknownRequest}},
 		{ignoresDrain, drain, []audit.Rule{audit.SentToDraining}},
-		{pushes, cold, []audit.Rule{audit.SlowStartOverload}},
+		{overloadsSlowStart, slowStart, []audit.Rule{audit.SlowStartOverload}},
 	} {
-		t.Run(string(c.sin)+" "+c.faults, func(t *testing.T) {
+		t.Run(string(c.violation)+" "+c.faults, func(t *testing.T) {
 			s := parse(t, proxied+c.faults)
-			out := play(t, s, func(r *Rehearsal) { r.Sidecars = &proxy{sin: c.sin, s: s, net: r.Network} })
+			out := play(t, s, func(r *Rehearsal) { r.Sidecars = &proxy{violation: c.violation, s: s, net: r.Network} })
 			var got []audit.Rule
 			for _, b := range out.Audit.Breaches {
 				if !slices.Contains(got, b.Rule) {
 					got = append(got, b.Rule)
 				}
 				if !slices.Contains(c.want, b.Rule) {
-					t.Errorf("not what it did: %v", b)
+					t.Errorf("not a rule that it broke: %v", b)
 				}
 				if b.Text == "" || b.At == 0 || b.Request == "" && b.Rule != audit.SlowStartOverload {
-					t.Errorf("a breach without its place: %+v", b)
+					t.Errorf("an incomplete breach: %+v", b)
 				}
 			}
 			for _, rule := range c.want {
 				if !slices.Contains(got, rule) {
-					t.Errorf("not caught: %s; judged %+v", rule, out.Audit.Judged)
+					t.Errorf("not reported: %s; judged %+v", rule, out.Audit.Judged)
 				}
 			}
 		})
--- a/internal/rig/rehearse/random_test.go
+++ b/internal/rig/rehearse/random_test.go
@@ -14,15 +14,15 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// randomScripts is how many scripts TestRandomFaults plays, unless -rapid.checks says otherwise.
+// randomScripts is the number of scripts that TestRandomFaults plays, unless -rapid.checks says otherwise.
 const randomScripts = 300
 
 // drawScript draws a service, a load and a few faults, as the text of a scenario.
 func drawScript(t *rapid.T) string {
 	var b strings.Builder
 	pick := func(name string, choices ...string) string { return rapid.SampledFrom(choices).Draw(t, name) }
-	ms := func(name string, least, most int) string {
-		return fmt.Sprintf("%dms", 50*rapid.IntRange(least/50, most/50).Draw(t, name))
+	ms := func(name string, lowest, highest int) string {
+		return fmt.Sprintf("%dms", 50*rapid.IntRange(lowest/50, highest/50).Draw(t, name))
 	}
 	fmt.Fprintf(&b, "seed %d\nlength 2s\n", rapid.IntRange(1, 1000).Draw(t, "seed"))
 	fmt.Fprintf(&b, "sidecars %d\n", rapid.IntRange(1, 3).Draw(t, "sidecars"))
@@ -43,43 +43,43 @@
 	rate := rapid.IntRange(20, 150).Draw(t, "rate")
 	b.WriteString(pick("arrive", fmt.Sprintf("arrive poisson %d/s\n", rate), fmt.Sprintf("arrive bursts %d every=500ms\n", rate/2),
 		fmt.Sprintf("arrive step %d/s..%d/s at=1s\n", rate/4, 2*rate)))
-	lasting := map[string]bool{} // two of a kind at a time are no scenario
+	drawn := map[string]bool{} // two faults of a kind at the same time are no valid scenario
 	for range rapid.IntRange(0, 5).Draw(t, "faults") {
-		lasts := " for " + ms("for", 50, 1500)
-		part := fmt.Sprintf(" %d%%", 10*rapid.IntRange(1, 10).Draw(t, "part"))
-		cold := fmt.Sprintf(" down=%s cold=%d%% warm=%s", ms("down", 50, 500), rapid.IntRange(12, 60).Draw(t, "cold"), ms("warm", 1000, 8000))
+		duration := " for " + ms("for", 50, 1500)
+		percentage := fmt.Sprintf(" %d%%", 10*rapid.IntRange(1, 10).Draw(t, "part"))
+		slowStart := fmt.Sprintf(" down=%s cold=%d%% warm=%s", ms("down", 50, 500), rapid.IntRange(12, 60).Draw(t, "cold"), ms("warm", 1000, 8000))
 		target := pick("target", "s1", "s2", "s1,s2", "cell:0", "all")
-		ends := []string{target + " gone drain=" + ms("drain", 0, 500), target + " restart" + cold,
-			target + " replace drain=" + ms("drain", 0, 500) + cold, "all roll every=200ms drain=" + ms("drain", 0, 500) + cold}
+		ends := []string{target + " gone drain=" + ms("drain", 0, 500), target + " restart" + slowStart,
+			target + " replace drain=" + ms("drain", 0, 500) + slowStart, "all roll every=200ms drain=" + ms("drain", 0, 500) + slowStart}
 		faults := []string{
-			target + fmt.Sprintf(" slow x%d", rapid.IntRange(2, 20).Draw(t, "factor")) + lasts,
-			target + " stall" + lasts, target + " full" + lasts, target + " silent" + lasts,
-			target + " error" + part + lasts, target + " garble" + part + lasts, target + " reset-in" + part + lasts, target + " reset-out" + part + lasts,
-			target + " drain", "discovery down" + lasts, "discovery mute" + lasts, "discovery late by=" + ms("by", 50, 1000) + lasts,
+			target + fmt.Sprintf(" slow x%d", rapid.IntRange(2, 20).Draw(t, "factor")) + duration,
+			target + " stall" + duration, target + " full" + duration, target + " silent" + duration,
+			target + " error" + percentage + duration, target + " garble" + percentage + duration, target + " reset-in" + percentage + duration, target + " reset-out" + percentage + duration,
+			target + " drain", "discovery down" + duration, "discovery mute" + duration, "discovery late by=" + ms("by", 50, 1000) + duration,
 		}
 		fault := pick("fault", append(faults, ends...)...)
 		kind := strings.Fields(fault)[1]
 		if slices.Contains(ends, fault) {
 			kind = "end"
 		}
-		if at := ms("at", 0, 1500); !lasting[kind] {
-			lasting[kind] = true
+		if at := ms("at", 0, 1500); !drawn[kind] {
+			drawn[kind] = true
 			fmt.Fprintf(&b, "at %s %s\n", at, fault)
 		}
 	}
 	return b.String()
 }
 
-// outcome plays a script in virtual time.
-func outcome(t *testing.T, text string) (*Outcome, error) {
+// playText plays the text of a scenario in virtual time.
+func playText(t *testing.T, text string) (*Outcome, error) {
 	s, err := scenario.Parse("script", strings.NewReader(text))
 	if err != nil {
 		return nil, err
 	}
-	return tryPlay(t, s)
+	return playScenario(t, s)
 }
 
-// Whatever goes wrong, the real core breaks no rule. A failure prints the smallest script that still fails, and the seed
+// Under random faults the real core breaks no rule. A failure prints the smallest script that still fails, and the seed
 // that plays it again: go test ./internal/rig/rehearse -run TestRandomFaults -rapid.seed=SEED. The script, saved in a file,
 // is played alone with REHEARSE_SCRIPT=FILE, or on sockets with petrelhookctl rehearse FILE.
 func TestRandomFaults(t *testing.T) {
@@ -88,7 +88,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		out, err := outcome(t, string(text))
+		out, err := playText(t, string(text))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,7 +111,7 @@
 	began, operations := time.Now(), 0
 	rapid.Check(t, func(rt *rapid.T) {
 		text := drawScript(rt)
-		out, err := outcome(t, text)
+		out, err := playText(t, text)
 		if err != nil {
 			rt.Fatalf("%v\n%s", err, text)
 		}
--- a/internal/rig/rehearse/rehearse.go
+++ b/internal/rig/rehearse/rehearse.go
@@ -33,18 +33,18 @@
 	Stop() error
 }
 
-// Rehearsal is one run.
+// Rehearsal is one run. Run is called once.
 type Rehearsal struct {
 	Scenario *scenario.Scenario
 	Network  Network
 	Sidecars Starter // nil: clients send to the servers directly
 
-	MaxConnections int // of clients at once; 0: no limit
-	MaxLag         time.Duration
-	WaitUntil      func(ctx context.Context, until time.Time)
-	Trace          *arrival.TraceWriter
-	OnOperation    func(load.Operation)
-	OnStart        func() // is called when the load starts; may be nil
+	MaxConnections int                                        // of clients at once; 0: no limit
+	MaxLag         time.Duration                              // of the generator, for a valid load; 0: the default of load.Runner
+	WaitUntil      func(ctx context.Context, until time.Time) // waits for scheduled times; nil: the default of load.Runner
+	Trace          *arrival.TraceWriter                       // records what is sent; nil: nothing is recorded
+	OnOperation    func(load.Operation)                       // is called for each operation that has ended, from any goroutine; may be nil
+	OnStart        func()                                     // is called when the load starts, from Run's goroutine; may be nil
 }
 
 // Outcome is the result of a rehearsal.
