--- a/internal/rig/chain/chain.go
+++ b/internal/rig/chain/chain.go
@@ -47,7 +47,7 @@
 
 // Config is one chain and its load.
 type Config struct {
-	Program      string // of the sidecar; "": without sidecars, each call goes to the next level's servers directly, by turns
+	Program      string // of the sidecar; "": without sidecars, each call goes to the next level's servers directly, in rotation
 	Depth        int    // levels of servers, including the leaf
 	Servers      int    // of each level
 	PassMode     PassMode
@@ -141,13 +141,13 @@
 
 // close ends the sidecars, then the servers. Each finishes what it has accepted before it ends.
 func (c *chain) close() error {
-	var all []error
+	var failures []error
 	for i := len(c.sidecars) - 1; i >= 0; i-- {
 		c.sidecars[i].terminate()
 	}
 	until := time.Now().Add(stopTimeout)
 	for i := len(c.sidecars) - 1; i >= 0; i-- {
-		all = append(all, c.sidecars[i].wait(until))
+		failures = append(failures, c.sidecars[i].wait(until))
 	}
 	for _, l := range c.levels {
 		if l != nil {
@@ -155,9 +155,9 @@
 		}
 	}
 	if c.dir != "" {
-		all = append(all, os.RemoveAll(c.dir))
+		failures = append(failures, os.RemoveAll(c.dir))
 	}
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
 // newTransport is the transport of an application's calls. Connections are kept, and as many opened as there are concurrent calls.
--- a/internal/rig/chain/chain_test.go
+++ b/internal/rig/chain/chain_test.go
@@ -27,26 +27,28 @@
 	os.Exit(code)
 }
 
-// running is how many processes run a program.
-func running(program string) (n int) {
-	all, _ := filepath.Glob("/proc/[0-9]*/exe")
-	for _, link := range all {
-		if to, err := os.Readlink(link); err == nil && to == program {
+// countRunning is the number of processes that run a program.
+func countRunning(program string) (n int) {
+	links, _ := filepath.Glob("/proc/[0-9]*/exe")
+	for _, link := range links {
+		if target, err := os.Readlink(link); err == nil && target == program {
 			n++
 		}
 	}
 	return n
 }
 
-// small is a chain of two for tests. Its aim is as wide as may be: a busy machine is no overload of its sidecars.
-func small(t *testing.T) Config {
+// shortChain is a chain of two for tests. Its latency target is the largest that is valid, so that a busy machine is no overload of its
+// sidecars.
+func shortChain(t *testing.T) Config {
+	t.Helper()
 	return Config{
-		Program: programs.Path(t, "petrelhook"), Depth: 2, Servers: 3, PassMode: PassStatus, Rate: 100, Length: time.Second, UnsafeFraction: 0.4, Seed: 7,
-		LatencyTarget: MaxDeadline, Deadline: MaxDeadline,
+		Program: programs.Path(t, "petrelhook"), Depth: 2, Servers: 3, PassMode: PassStatus, Rate: 100, Length: time.Second,
+		UnsafeFraction: 0.4, Seed: 7, LatencyTarget: MaxDeadline, Deadline: MaxDeadline,
 	}
 }
 
-// parameter reads a number of balance/parameters.go.
+// parameter reads a constant of balance/parameters.go, which exports none.
 func parameter(t *testing.T, name string) float64 {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "../../../balance/parameters.go", nil, 0)
@@ -63,16 +65,16 @@
 		return true
 	})
 	if value < 0 {
-		t.Fatalf("balance/parameters.go has no %s any more: say here what bounds repeats", name)
+		t.Fatalf("balance/parameters.go has no %s any more: adapt this test to what bounds repeats", name)
 	}
 	return value
 }
 
-// one checks that each call got one final answer, and that no unsafe request went out again.
-func one(t *testing.T, r *Result) {
+// checkOneAnswerEach checks that each of the 100 calls got one final answer, and that no unsafe request was repeated.
+func checkOneAnswerEach(t *testing.T, r *Result) {
 	t.Helper()
 	if r.Partial || r.UnexpectedAnswers != 0 || r.UnsafeRepeats != 0 {
-		t.Errorf("partial %v, %d extra answers, %d unsafe requests again", r.Partial, r.UnexpectedAnswers, r.UnsafeRepeats)
+		t.Errorf("partial %v, %d unexpected answers, %d repeats of unsafe requests", r.Partial, r.UnexpectedAnswers, r.UnsafeRepeats)
 	}
 	calls := 0
 	for _, c := range r.Classes {
@@ -85,14 +87,14 @@
 	}
 }
 
-// Where nothing fails a call is one attempt at every level, and is served.
+// Without failures a call is one attempt at every level, and is served.
 func TestNothingIsRepeatedWithoutAFailure(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	r, err := Run(t.Context(), small(t))
+	r, err := Run(t.Context(), shortChain(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	one(t, r)
+	checkOneAnswerEach(t, r)
 	for i, l := range r.Levels {
 		for name, n := range l {
 			if n.Attempts != n.Calls || n.Served != n.Calls || n.Resent != 0 {
@@ -105,25 +107,24 @@
 	}
 }
 
-// Where the leaf fails all, a sidecar sends an unsafe call once, and its repeats of safe ones stay within what its
-// budget gives: half a burst at its start and a share for each request, whatever its class; and within maxRetryCost for
-// each call.
+// If the leaf fails all requests, a sidecar sends an unsafe call once, and its repeats of safe ones stay within its retry budget: half a
+// burst at its start, retryRatio for each request of any class, and maxRetryCost for each call.
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
-	share, burst, most := parameter(t, "retryRatio"), parameter(t, "retryBurst"), parameter(t, "maxRetryCost")
+	ratio, burst, maxCost := parameter(t, "retryRatio"), parameter(t, "retryBurst"), parameter(t, "maxRetryCost")
 	for _, pass := range []PassMode{PassStatus, PassMarked} {
 		t.Run(string(pass), func(t *testing.T) {
 			defer goleak.VerifyNone(t)
-			cfg := small(t)
+			cfg := shortChain(t)
 			cfg.FailFraction, cfg.PassMode = 1, pass
 			r, err := Run(t.Context(), cfg)
 			if err != nil {
 				t.Fatal(err)
 			}
-			one(t, r)
+			checkOneAnswerEach(t, r)
 			for i, l := range r.Levels {
 				safe, unsafe := l[safeClass], l[unsafeClass]
 				all := float64(safe.Calls + unsafe.Calls)
-				repeats, bound := float64(safe.Attempts-safe.Calls), min(burst/2+share*all, most*float64(safe.Calls))
+				repeats, bound := float64(safe.Attempts-safe.Calls), min(burst/2+ratio*all, maxCost*float64(safe.Calls))
 				if repeats < 1 || repeats > bound {
 					t.Errorf("level %d: %v repeats of %d calls, at most %v", i+1, repeats, safe.Calls, bound)
 				}
@@ -135,21 +136,21 @@
 	}
 }
 
-// A stop in the middle gives a result of what was sent until then; a sidecar that does not start gives an error.
-// Nothing is left of either.
+// A run that is stopped has a result of what was sent until then, and one whose sidecar does not start has an error. Neither leaves
+// processes or files.
 func TestNothingIsLeft(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	cfg := small(t)
+	cfg := shortChain(t)
 	t.Setenv("TMPDIR", t.TempDir())
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	var first sync.Once
+	var atLeaf sync.Once
 	cfg.Length, cfg.onArrival = 30*time.Second, func(depth int) {
 		if depth < 2 {
 			return
 		}
-		first.Do(func() {
-			if n := running(cfg.Program); n != 2 {
+		atLeaf.Do(func() {
+			if n := countRunning(cfg.Program); n != 2 {
 				t.Errorf("%d sidecars run under the load", n)
 			}
 			stop()
@@ -163,22 +164,22 @@
 	if !r.Partial || safe.Calls+unsafe.Calls > 1000 || safe.Lost+unsafe.Lost > 0 {
 		t.Errorf("%+v", r)
 	}
-	if n := running(cfg.Program); n != 0 {
+	if n := countRunning(cfg.Program); n != 0 {
 		t.Errorf("%d sidecars are left after a stop", n)
 	}
 
-	cfg = small(t)
-	bad := filepath.Join(t.TempDir(), "bad")
+	cfg = shortChain(t)
+	failing := filepath.Join(t.TempDir(), "failing")
 	script := "#!/bin/sh\ncase $LB_CONFIG in */1.json) echo no luck >&2; exit 3;; esac\nexec " + cfg.Program + " \"$@\"\n"
-	if err := os.WriteFile(bad, []byte(script), 0o700); err != nil {
+	if err := os.WriteFile(failing, []byte(script), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	cfg.Program = bad
+	cfg.Program = failing
 	_, err = Run(t.Context(), cfg)
 	if err == nil || !strings.Contains(err.Error(), "sidecar 1") || !strings.Contains(err.Error(), "no luck") {
 		t.Errorf("%v", err)
 	}
-	if n := running(programs.Path(t, "petrelhook")); n != 0 {
+	if n := countRunning(programs.Path(t, "petrelhook")); n != 0 {
 		t.Errorf("%d sidecars are left after an error", n)
 	}
 	if left, err := os.ReadDir(os.Getenv("TMPDIR")); len(left) > 0 || err != nil {
@@ -186,12 +187,12 @@
 	}
 }
 
-// What cannot be is refused before anything starts.
-func TestConfigurationsThatCannotBe(t *testing.T) {
-	good := Config{
+// An invalid configuration is an error before anything starts.
+func TestInvalidConfigurations(t *testing.T) {
+	valid := Config{
 		Depth: 1, Servers: 1, PassMode: PassStatus, Rate: 1, Length: time.Second, LatencyTarget: time.Second, Deadline: time.Second,
 	}
-	if err := good.Check(); err != nil {
+	if err := valid.Check(); err != nil {
 		t.Fatal(err)
 	}
 	for want, change := range map[string]func(*Config){
@@ -206,7 +207,7 @@
 		"aim: 2s; write 1ms to the deadline":   func(c *Config) { c.LatencyTarget = 2 * time.Second },
 		"rate: 200001 a second; write":         func(c *Config) { c.Rate = MaxCalls + 1 },
 	} {
-		c := good
+		c := valid
 		change(&c)
 		if _, err := Run(t.Context(), c); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
--- a/internal/rig/chain/level.go
+++ b/internal/rig/chain/level.go
@@ -96,7 +96,7 @@
 
 // serve handles one request at server name.
 func (l *level) serve(name string, w http.ResponseWriter, r *http.Request) {
-	came := time.Now()
+	arrived := time.Now()
 	class, trace, op := r.Header.Get("X-Qos"), r.Header.Get("X-Trace-Id"), r.URL.Query().Get("op")
 	_, _ = io.Copy(io.Discard, r.Body) // a request has arrived with its last byte
 	l.mu.Lock()
@@ -118,7 +118,7 @@
 		l.cfg.onArrival(l.depth)
 	}
 	if len(l.nextAddrs) > 0 {
-		l.forward(w, r, came)
+		l.forward(w, r, arrived)
 		return
 	}
 	work := time.NewTimer(l.cfg.Work)
@@ -135,13 +135,13 @@
 }
 
 // forward sends the application's one call, with the time that is left, and passes on its result.
-func (l *level) forward(w http.ResponseWriter, r *http.Request, came time.Time) {
+func (l *level) forward(w http.ResponseWriter, r *http.Request, arrived time.Time) {
 	class := r.Header.Get("X-Qos")
 	left := l.cfg.Deadline
 	if us, err := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Expires-In"), "u"), 10, 64); err == nil {
 		left = time.Duration(us) * time.Microsecond
 	}
-	left -= time.Since(came)
+	left -= time.Since(arrived)
 	if left <= 0 {
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return
@@ -168,10 +168,21 @@
 		body, err = io.ReadAll(resp.Body)
 		resp.Body.Close()
 	}
+	l.count(class, resp, err, int(sent.Load()))
+	if err != nil {
+		w.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	l.cfg.PassMode.writeAnswer(w, resp, body)
+}
+
+// count counts a call of the application, which was written to connections a number of times, by its answer or error.
+func (l *level) count(class string, resp *http.Response, err error, sent int) {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	c := l.calls[class]
 	c.Calls++
-	c.Resent += int(max(0, sent.Load()-1))
+	c.Resent += max(0, sent-1)
 	switch {
 	case err != nil:
 		c.Broken++
@@ -182,12 +193,6 @@
 	default:
 		c.Failed++
 	}
-	l.mu.Unlock()
-	if err != nil {
-		w.WriteHeader(http.StatusInternalServerError)
-		return
-	}
-	l.cfg.PassMode.writeAnswer(w, resp, body)
 }
 
 // writeAnswer passes on the answer to the application's own call.
--- a/internal/rig/chain/report.go
+++ b/internal/rig/chain/report.go
@@ -89,11 +89,11 @@
 	if n == 0 {
 		return u, 0
 	}
-	for i, one := range r.Usage {
-		u.CPU += one.CPU / time.Duration(n)
-		u.Memory += one.Memory / int64(n)
-		u.MaxMemory += one.MaxMemory / int64(n)
-		u.Descriptors = max(u.Descriptors, one.Descriptors)
+	for i, sidecar := range r.Usage {
+		u.CPU += sidecar.CPU / time.Duration(n)
+		u.Memory += sidecar.Memory / int64(n)
+		u.MaxMemory += sidecar.MaxMemory / int64(n)
+		u.Descriptors = max(u.Descriptors, sidecar.Descriptors)
 		for _, class := range r.Levels[i] {
 			calls += float64(class.Calls) / float64(n)
 		}
@@ -104,22 +104,22 @@
 // findings are remarks on the validity of the metrics, and broken rules.
 func (r *Result) findings() (all []string) {
 	name := fmt.Sprintf("depth %d, %g/s, %g%% fail, direct %v: ", r.Depth, r.Rate, 100*r.FailFraction, r.Direct)
-	say := func(format string, args ...any) { all = append(all, name+fmt.Sprintf(format, args...)) }
+	add := func(format string, args ...any) { all = append(all, name+fmt.Sprintf(format, args...)) }
 	for _, why := range r.Invalid {
-		say("times are not valid: %s", why)
+		add("times are not valid: %s", why)
 	}
 	if r.Partial {
-		say("stopped early")
+		add("stopped early")
 	}
 	if r.UnexpectedAnswers > 0 {
-		say("%d answers that nobody asked for", r.UnexpectedAnswers)
+		add("%d answers that nobody asked for", r.UnexpectedAnswers)
 	}
 	if r.UnsafeRepeats > 0 {
-		say("%d unsafe requests were sent again by one sidecar", r.UnsafeRepeats)
+		add("%d unsafe requests were sent again by one sidecar", r.UnsafeRepeats)
 	}
 	for _, c := range r.Classes {
 		if c.Late+c.Lost > 0 {
-			say("%s: %d answers were late and %d never came", c.Name, c.Late, c.Lost)
+			add("%s: %d answers were late and %d never came", c.Name, c.Late, c.Lost)
 		}
 	}
 	return all
@@ -131,14 +131,14 @@
 	fmt.Fprintln(w, "depth\trate/s\tfail\tclass\tcalls\tserved\trefused\tfailed\tlate\tlost\t"+
 		"leaf/call\ta level\tmost\tp50 ms\tp99 ms\tadded p50\tadded p99\t")
 	for _, run := range r.Runs {
-		beside := r.baseline(run)
+		baseline := r.baseline(run)
 		for i, c := range run.Classes {
 			depth, added := fmt.Sprint(run.Depth), "\t"
 			if run.Direct {
 				depth += " direct"
 			}
-			if beside != nil {
-				added = fmt.Sprintf("%.2f\t%.2f", ms(c.P50-beside.Classes[i].P50), ms(c.P99-beside.Classes[i].P99))
+			if baseline != nil {
+				added = fmt.Sprintf("%.2f\t%.2f", ms(c.P50-baseline.Classes[i].P50), ms(c.P99-baseline.Classes[i].P99))
 			}
 			fmt.Fprintf(w, "%s\t%g\t%g%%\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t", depth, run.Rate, 100*run.FailFraction, c.Name,
 				c.Calls, c.Served, c.Refused, c.Failed, c.Late, c.Lost)
--- a/internal/rig/chain/run.go
+++ b/internal/rig/chain/run.go
@@ -94,9 +94,9 @@
 		return nil, err
 	}
 	var mu sync.Mutex
-	took := make([]*hdrhistogram.Histogram, len(s.Classes))
-	for i := range took {
-		took[i] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+	latencies := make([]*hdrhistogram.Histogram, len(s.Classes))
+	for i := range latencies {
+		latencies[i] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	}
 	calls := &audit.Recorder{}
 	runner := &load.Runner{
@@ -105,25 +105,25 @@
 		Live: func(op load.Operation) {
 			mu.Lock()
 			defer mu.Unlock()
-			_ = took[op.Class].RecordValue(min(max(op.Latency.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
+			_ = latencies[op.Class].RecordValue(min(max(op.Latency.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
 		},
 	}
 	before := c.usages()
-	watched := c.sampleUsages()
+	stopSampling := c.sampleUsages()
 	result, err := runner.Run(ctx)
-	taken := watched()
+	usages := stopSampling()
 	if err = errors.Join(err, c.close()); err != nil {
 		return nil, err
 	}
-	for i := range taken {
-		taken[i].CPU -= before[i].CPU
+	for i := range usages {
+		usages[i].CPU -= before[i].CPU
 	}
-	return c.result(result, calls.Records().Calls, took, taken), nil
+	return c.result(result, calls.Records().Calls, latencies, usages), nil
 }
 
 // result combines the records of all sides. The chain has ended.
 func (c *chain) result(
-	result *load.Result, calls []audit.Call, took []*hdrhistogram.Histogram, taken []usage.Usage,
+	result *load.Result, calls []audit.Call, latencies []*hdrhistogram.Histogram, usages []usage.Usage,
 ) *Result {
 	cfg := c.cfg
 	late := map[string]int{}
@@ -133,7 +133,7 @@
 		}
 	}
 	r := &Result{
-		Depth: cfg.Depth, Direct: cfg.Program == "", FailFraction: cfg.FailFraction, Rate: cfg.Rate, PassMode: cfg.PassMode, Usage: taken,
+		Depth: cfg.Depth, Direct: cfg.Program == "", FailFraction: cfg.FailFraction, Rate: cfg.Rate, PassMode: cfg.PassMode, Usage: usages,
 		Duration: result.Duration, Partial: result.Partial, Invalid: result.Invalid, UnexpectedAnswers: result.Extras,
 	}
 	leaf := c.levels[len(c.levels)-1]
@@ -143,43 +143,48 @@
 			Name: in.Name, Calls: n.All(), Served: n.Served, Refused: n.Refused, Failed: n.Failed, Late: late[in.Name],
 			Lost:     n.Lost + n.Unreached - late[in.Name],
 			Attempts: leaf.calls[in.Name].Attempts,
-			P50:      took[i].ValueAtQuantile(50), P99: took[i].ValueAtQuantile(99), Max: took[i].Max(),
+			P50:      latencies[i].ValueAtQuantile(50), P99: latencies[i].ValueAtQuantile(99), Max: latencies[i].Max(),
 		}
 		if out.Calls > 0 {
 			out.AttemptsPerCall = float64(out.Attempts) / float64(out.Calls)
 		}
 		r.Classes = append(r.Classes, out)
 	}
-	for of, n := range leaf.arrivalsByCall {
+	for call, attempts := range leaf.arrivalsByCall {
 		for i := range r.Classes {
-			if r.Classes[i].Name == of.class {
-				r.Classes[i].MaxAttempts = max(r.Classes[i].MaxAttempts, n)
+			if r.Classes[i].Name == call.class {
+				r.Classes[i].MaxAttempts = max(r.Classes[i].MaxAttempts, attempts)
 			}
 		}
 	}
-	top := map[string]Counts{}
-	for _, in := range r.Classes {
-		top[in.Name] = Counts{
-			Calls: in.Calls, Served: in.Served, Refused: in.Refused, Failed: in.Failed, Broken: in.Late + in.Lost,
+	c.addLevels(r)
+	return r
+}
+
+// addLevels adds the counts of all levels. The counts at a level are of the calls that the level above sent; the client's are at the top.
+func (c *chain) addLevels(r *Result) {
+	sent := map[string]Counts{} // by class, to the present level
+	for _, class := range r.Classes {
+		sent[class.Name] = Counts{
+			Calls: class.Calls, Served: class.Served, Refused: class.Refused, Failed: class.Failed, Broken: class.Late + class.Lost,
 		}
 	}
 	for _, l := range c.levels {
 		r.UnsafeRepeats += l.unsafeRepeats
-		below := map[string]Counts{}
-		for name, n := range l.calls {
-			is := top[name]
-			is.Attempts = n.Attempts
-			if top[name] = is; is.Calls == 0 {
-				delete(top, name)
+		sentBelow := map[string]Counts{}
+		for class, counts := range l.calls {
+			present := sent[class]
+			present.Attempts = counts.Attempts
+			if sent[class] = present; present.Calls == 0 {
+				delete(sent, class)
 			}
-			made := *n
-			made.Attempts = 0 // those counted here are of this level, not of the one below
-			below[name] = made
+			below := *counts
+			below.Attempts = 0 // those counted here arrived at this level, not at the one below
+			sentBelow[class] = below
 		}
-		r.Levels = append(r.Levels, top)
-		top = below
+		r.Levels = append(r.Levels, sent)
+		sent = sentBelow
 	}
-	return r
 }
 
 // usages are the present usages of the sidecars, from the top.
@@ -194,33 +199,29 @@
 // sampleInterval is the interval at which the sidecars' usages are read.
 const sampleInterval = 250 * time.Millisecond
 
-// sampleUsages samples the sidecars' usages until the returned function is called, which returns the last sample with the largest memory
-// and descriptors of all samples.
-func (c *chain) sampleUsages() func() []usage.Usage {
-	stop, done := make(chan struct{}), make(chan []usage.Usage)
+// sampleUsages samples the sidecars' usages, in a goroutine, until the returned function is called, which returns the last sample with the
+// largest memory and descriptors of all samples.
+func (c *chain) sampleUsages() (stop func() []usage.Usage) {
+	stopping, result := make(chan struct{}), make(chan []usage.Usage)
 	go func() {
 		ticker := time.NewTicker(sampleInterval)
 		defer ticker.Stop()
-		most := c.usages()
-		for {
-			over := false
+		highest := c.usages()
+		for stopped := false; !stopped; {
 			select {
-			case <-stop:
-				over = true
+			case <-stopping:
+				stopped = true
 			case <-ticker.C:
 			}
 			for i, u := range c.usages() {
-				u.Memory, u.Descriptors = max(u.Memory, most[i].Memory), max(u.Descriptors, most[i].Descriptors)
-				most[i] = u
-			}
-			if over {
-				done <- most
-				return
+				u.Memory, u.Descriptors = max(u.Memory, highest[i].Memory), max(u.Descriptors, highest[i].Descriptors)
+				highest[i] = u
 			}
 		}
+		result <- highest
 	}()
 	return func() []usage.Usage {
-		close(stop)
-		return <-done
+		close(stopping)
+		return <-result
 	}
 }
--- a/internal/rig/chain/study.go
+++ b/internal/rig/chain/study.go
@@ -19,7 +19,7 @@
 	OnStart       func(what string) // is called at the start of each run; may be nil
 }
 
-// errStopped is the error of a study whose context has ended.
+// errStopped is the error of a study whose context has ended; its runs until then are complete.
 var errStopped = errors.New("stopped early")
 
 // Check returns an error if any of the runs is not valid.
@@ -33,9 +33,9 @@
 			return c.Check()
 		}
 	}
-	for _, part := range s.FailFractions {
+	for _, fraction := range s.FailFractions {
 		c := s.Config
-		if c.Depth, c.FailFraction = 1, part; c.Check() != nil {
+		if c.Depth, c.FailFraction = 1, fraction; c.Check() != nil {
 			return c.Check()
 		}
 	}
@@ -81,10 +81,10 @@
 
 // MeasureFailures measures each fraction of failures at the leaf at each depth.
 func (s *Study) MeasureFailures(ctx context.Context) error {
-	for _, part := range s.FailFractions {
+	for _, fraction := range s.FailFractions {
 		for _, depth := range s.FailDepths {
 			c := s.Config
-			c.Depth, c.FailFraction = depth, part
+			c.Depth, c.FailFraction = depth, fraction
 			if err := s.run(ctx, c); err != nil {
 				return err
 			}
@@ -93,6 +93,7 @@
 	return nil
 }
 
+// run does one run and adds its result.
 func (s *Study) run(ctx context.Context, c Config) error {
 	if s.OnStart != nil {
 		s.OnStart(fmt.Sprintf("depth %d, %g/s, %g%% fail, sidecars %v, %v",
