--- a/cmd/petrelhookctl/load.go
+++ b/cmd/petrelhookctl/load.go
@@ -48,10 +48,10 @@
 			}
 			r := &load.Runner{
 				Scenario: s, Targets: targets, Dial: (&net.Dialer{}).DialContext, Zero: time.Now(), Wait: load.WaitPrecisely,
-				Connections: connections, MaxLag: o.maxLag, Trace: trace,
+				MaxConnections: connections, MaxLag: o.maxLag, Trace: trace,
 			}
 			if l := newProgressLine(cmd.ErrOrStderr()); l != nil {
-				r.Live = l.add
+				r.OnOperation = l.add
 				go l.run()
 				defer l.end()
 			}
--- a/internal/rig/chain/run.go
+++ b/internal/rig/chain/run.go
@@ -102,7 +102,7 @@
 	runner := &load.Runner{
 		Calls: calls, Scenario: s, Targets: c.entryAddrs, Dial: (&net.Dialer{KeepAlive: -1}).DialContext,
 		Zero: time.Now(), Wait: load.WaitPrecisely,
-		Live: func(op load.Operation) {
+		OnOperation: func(op load.Operation) {
 			mu.Lock()
 			defer mu.Unlock()
 			_ = latencies[op.Class].RecordValue(min(max(op.Latency.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
@@ -134,7 +134,7 @@
 	}
 	r := &Result{
 		Depth: cfg.Depth, Direct: cfg.Program == "", FailFraction: cfg.FailFraction, Rate: cfg.Rate, PassMode: cfg.PassMode, Usage: usages,
-		Duration: result.Duration, Partial: result.Partial, Invalid: result.Invalid, UnexpectedAnswers: result.Extras,
+		Duration: result.Duration, Partial: result.Partial, Invalid: result.Invalid, UnexpectedAnswers: result.UnexpectedAnswers,
 	}
 	leaf := c.levels[len(c.levels)-1]
 	for i, in := range result.Classes[1:] {
--- a/internal/rig/load/client.go
+++ b/internal/rig/load/client.go
@@ -21,14 +21,14 @@
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// client is the application beside one sidecar: it keeps connections, sends one request at a time on each, and opens
-// more when all are busy. It is not an http.Client, since that retries requests by rules of its own and cannot say when
+// client is the application that uses one sidecar: it reuses connections, sends one request at a time on each, and opens
+// more when all are busy. It is no http.Client, which retries requests by rules of its own and does not report when
 // the last byte of a request was written. It is safe for concurrent use.
 type client struct {
-	dial          Dial
-	addr          string
-	limit         *connectionLimit
-	onExtraAnswer func(trace string) // more came than the answer to this request
+	dial               Dial
+	addr               string
+	limit              *connectionLimit
+	onUnexpectedAnswer func(trace string) // is called when more has arrived than the answer to this request
 
 	mu   sync.Mutex
 	idle []*conn // newest last
@@ -43,22 +43,24 @@
 	rejected int // requests that got no connection
 }
 
-func (r *connectionLimit) acquire() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.open >= r.max {
-		r.rejected++
+// acquire reports whether one more connection may be opened; the caller then releases it.
+func (l *connectionLimit) acquire() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.open >= l.max {
+		l.rejected++
 		return false
 	}
-	r.open++
-	r.peak = max(r.peak, r.open)
+	l.open++
+	l.peak = max(l.peak, l.open)
 	return true
 }
 
-func (r *connectionLimit) release() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.open--
+// release gives back what acquire has granted.
+func (l *connectionLimit) release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.open--
 }
 
 // conn is a connection of a client. One goroutine at a time uses it.
@@ -68,9 +70,10 @@
 	lastTrace string // trace of the request that it carried last
 }
 
+// errNoDescriptor is the error of a request that got no connection for lack of descriptors, or by connectionLimit.
 var errNoDescriptor = errors.New("no descriptor is free for one more connection")
 
-// connection returns a connection, and whether it was used before. The caller gives it back with keep or drop.
+// connection returns a connection, and whether it was used before. The caller gives it back with putBack or drop.
 func (c *client) connection(ctx context.Context) (cn *conn, used bool, err error) {
 	for {
 		c.mu.Lock()
@@ -111,19 +114,19 @@
 	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, 2<<10)}, nil
 }
 
-// keep puts a connection back for a later request.
-func (c *client) keep(cn *conn) {
+// putBack puts a connection back for a later request.
+func (c *client) putBack(cn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = append(c.idle, cn)
 }
 
-// drop closes a connection. What has come on it without a request is a second answer.
+// drop closes a connection. Unread bytes on it are an answer without a request.
 func (c *client) drop(cn *conn) {
 	if cn.lastTrace != "" && !sock.Quiet(cn.Conn) {
 		_ = cn.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := cn.reader.Peek(1); err == nil {
-			c.onExtraAnswer(cn.lastTrace)
+			c.onUnexpectedAnswer(cn.lastTrace)
 		}
 	}
 	_ = cn.Close()
@@ -169,11 +172,12 @@
 	return []byte(b.String())
 }
 
-// lateReadTime is how long a client still reads after its patience and the slack: an answer that comes then is lost to
-// it, but recorded as late.
+// lateReadTime is how long a client still reads after its patience and the slack: an answer that arrives then counts as lost,
+// but is recorded as late.
 const lateReadTime = 100 * time.Millisecond
 
-// send carries out one call and records in it what came of it.
+// send carries out one call and records its result in it. slack is the time after the client's patience within which an answer still
+// counts; since is the time of the run. An error means that there was no complete answer.
 func (c *client) send(call *audit.Call, q *request, slack time.Duration, since func() time.Duration) error {
 	call.Sent, call.Answered, call.HungUp = audit.Never, audit.Never, audit.Never
 	ctx, cancel := context.WithTimeout(context.Background(), call.Patience)
@@ -184,7 +188,7 @@
 		if silent, err = c.exchange(cn, call, q, slack, since); err == nil || !used || !silent {
 			return err
 		}
-		// The sidecar may close an idle connection at any time, also just before this request comes. Then it is sent again on a
+		// The sidecar may close an idle connection at any time, also just before this request arrives. Then it is sent again on a
 		// new connection; the audit checks that it had not been read.
 		call.ConnectionLostAt, call.Sent = since(), audit.Never
 		cn, err = c.open(ctx)
@@ -197,8 +201,8 @@
 	return err
 }
 
-// exchange sends a request and reads its answer. An error says that no complete answer came; silent, that the connection
-// ended before a byte of one.
+// exchange sends a request and reads its answer. An error means that there was no complete answer; silent, that the connection
+// ended before the first byte of one.
 func (c *client) exchange(
 	cn *conn, call *audit.Call, q *request, slack time.Duration, since func() time.Duration,
 ) (silent bool, err error) {
@@ -230,13 +234,13 @@
 	_ = cn.SetDeadline(time.Time{})
 	switch {
 	case cn.reader.Buffered() > 0:
-		c.onExtraAnswer(q.trace)
+		c.onUnexpectedAnswer(q.trace)
 		fallthrough
 	case reply.closes:
 		cn.lastTrace = ""
 		c.drop(cn)
 	default:
-		c.keep(cn)
+		c.putBack(cn)
 	}
 	return false, nil
 }
@@ -266,7 +270,7 @@
 	return answer{resp.StatusCode, resp.Header.Get("Retry-After"), body, resp.Close}, false, nil
 }
 
-// applyTo records in a call what its answer says.
+// applyTo records the answer in its call.
 func (a *answer) applyTo(call *audit.Call) {
 	call.Status = a.status
 	switch a.status {
--- a/internal/rig/load/crowd.go
+++ b/internal/rig/load/crowd.go
@@ -14,19 +14,19 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// CrowdResult is what came of one crowd. Its requests are not operations: they are counted here and in the audit only.
+// CrowdResult is the result of one crowd. Its requests are not operations: they are counted here and in the audit only.
 type CrowdResult struct {
 	Kind          scenario.CrowdKind
-	Opened        int    // connections that came up
-	ConnectFailed int    // connections that did not
-	Closed        int    // closed by the other side before the crowd was over
-	Requests      Counts // requests, by what came of them
+	Opened        int    // connections that were established
+	ConnectFailed int    // connections that were not
+	Closed        int    // connections that the other side closed before the crowd's end
+	Requests      Counts // of the crowd, by result
 }
 
-// Clients of a crowd that send slowly send a byte each slowByteInterval; those that come again do after returnDelay.
+// Clients of a crowd that send slowly send a byte each slowByteInterval; those that reconnect do so after reconnectDelay.
 const (
 	slowByteInterval = 200 * time.Millisecond
-	returnDelay      = 10 * time.Millisecond
+	reconnectDelay   = 10 * time.Millisecond
 )
 
 // crowd is one crowd: many clients that behave badly in the same way.
@@ -55,19 +55,20 @@
 	}
 }
 
+// count changes the result under its lock.
 func (k *crowd) count(f func(*CrowdResult)) {
 	k.run.result.mu.Lock()
 	defer k.run.result.mu.Unlock()
 	f(k.result)
 }
 
-// runClient is one client of the crowd, from when it comes until the crowd is over.
+// runClient is one client of the crowd, from its arrival until the crowd is over.
 func (k *crowd) runClient(ctx context.Context, i int) {
 	ctx, cancel := context.WithDeadline(ctx, k.began.Add(k.At+k.Duration))
 	defer cancel()
 	waitForTimer(ctx, k.began.Add(k.At+k.ArrivalPeriod*time.Duration(i)/time.Duration(k.Count)))
 	c := &client{
-		dial: k.dial, addr: k.clients[i%len(k.clients)].addr, limit: &k.limit, onExtraAnswer: k.recordExtraAnswer,
+		dial: k.dial, addr: k.clients[i%len(k.clients)].addr, limit: &k.limit, onUnexpectedAnswer: k.recordUnexpectedAnswer,
 	}
 	defer c.close()
 	for n := 0; ctx.Err() == nil; n++ {
@@ -99,7 +100,7 @@
 				sock.Abort(nc)
 			}
 		}
-		waitForTimer(ctx, time.Now().Add(returnDelay))
+		waitForTimer(ctx, time.Now().Add(reconnectDelay))
 	}
 }
 
@@ -116,7 +117,7 @@
 	return c, nil
 }
 
-// largeHeader is the header of a request with the largest body, of a class that has bodies, where there is one.
+// largeHeader is the header of a request with the largest body, of a class that has bodies, if there is one.
 func (k *crowd) largeHeader(i int) []byte {
 	class, key := k.class, ""
 	for c := range k.scenario.Classes {
@@ -144,7 +145,7 @@
 	}
 	defer nc.Close()
 	ended := make(chan error, 1)
-	go func() { // answers do not matter; the end does
+	go func() { // answers are discarded; only the end of the connection matters
 		_, err := io.Copy(io.Discard, nc)
 		ended <- err
 	}()
--- a/internal/rig/load/result.go
+++ b/internal/rig/load/result.go
@@ -20,23 +20,23 @@
 	maxSlices = 600
 )
 
-// Result is what came of a load. It may be read when Run has returned.
+// Result is the result of a load. It may be read when Run has returned.
 type Result struct {
 	mu sync.Mutex
 
-	Classes      []ClassResult
-	Timeline     Timeline
-	Lag          *hdrhistogram.Histogram // of sending behind the schedule, in microseconds
-	Duration     time.Duration
-	Partial      bool     // it was stopped before the schedule ended
-	Invalid      []string // why the figures cannot be trusted; empty: they are valid
-	PeakOpen     int      // connections at once
-	NoConnection int      // requests that got no connection for lack of descriptors
-	Extras       int      // answers without a request
-	Crowds       []*CrowdResult
+	Classes           []ClassResult
+	Timeline          Timeline
+	Lag               *hdrhistogram.Histogram // of sending behind the schedule, in microseconds
+	Duration          time.Duration
+	Partial           bool     // ctx ended before the schedule
+	Invalid           []string // reasons why the metrics are not valid; empty: they are
+	PeakOpen          int      // connections at once
+	NoConnection      int      // requests that got no connection for lack of descriptors
+	UnexpectedAnswers int      // answers without a request
+	Crowds            []*CrowdResult
 }
 
-// ClassResult is what came of one class; the first of a Result is of all classes together.
+// ClassResult is the result of one class; the first of a Result is of all classes together.
 type ClassResult struct {
 	Name           string
 	LatencyTarget  time.Duration
@@ -48,10 +48,10 @@
 	Latency        *hdrhistogram.Histogram // of those served, in microseconds from when they were scheduled
 }
 
-// Counts counts operations by how they ended.
+// Counts are numbers of operations by their result.
 type Counts struct{ Served, Refused, Failed, Lost, Unreached int }
 
-// All is the sum.
+// All is the sum of all results.
 func (c Counts) All() int { return c.Served + c.Refused + c.Failed + c.Lost + c.Unreached }
 
 func (c *Counts) add(r audit.Result, n int) {
@@ -75,12 +75,13 @@
 	Slices []Slice
 }
 
-// Slice is one of them.
+// Slice is one slice of a Timeline.
 type Slice struct {
 	Counts  Counts
 	Latency *hdrhistogram.Histogram // of those served, in microseconds
 }
 
+// newResult is the empty result of a scenario's classes.
 func newResult(s *scenario.Scenario) *Result {
 	r := &Result{Lag: hdrhistogram.New(1, maxLatencyMicros, significantDigits), Timeline: Timeline{Width: 250 * time.Millisecond}}
 	r.Classes = append(r.Classes, ClassResult{Name: "all", Latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits)})
@@ -90,29 +91,32 @@
 	return r
 }
 
+// record adds a duration to a histogram in microseconds.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros)) // within the bounds it cannot fail
 }
 
+// addLag records by how much a request was sent behind the schedule.
 func (r *Result) addLag(lag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	record(r.Lag, lag)
 }
 
-func (r *Result) addExtra() {
+func (r *Result) addUnexpectedAnswer() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Extras++
+	r.UnexpectedAnswers++
 }
 
+// add records an operation that has ended.
 func (r *Result) add(op Operation, class *scenario.Class) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	earned := 0.0
-	inAim := op.Result == audit.Served && op.Latency <= class.LatencyTarget
+	onTime := op.Result == audit.Served && op.Latency <= class.LatencyTarget
 	switch {
-	case inAim:
+	case onTime:
 		earned = class.Value
 	case op.Result == audit.Served:
 		earned = class.Value * class.LateValue
@@ -122,7 +126,7 @@
 		c.Requests += op.Requests
 		c.ValueRequested += class.Value
 		c.ValueEarned += earned
-		if inAim {
+		if onTime {
 			c.OnTime++
 		}
 		if op.Result == audit.Served {
@@ -136,9 +140,9 @@
 	}
 }
 
-// slice returns the slice of a time. Where there would be too many, pairs of them become one.
-func (c *Timeline) slice(due time.Duration) *Slice {
-	for due >= maxSlices*c.Width {
+// slice returns the slice of a time. If there would be more than maxSlices, pairs of them are merged.
+func (c *Timeline) slice(scheduledAt time.Duration) *Slice {
+	for scheduledAt >= maxSlices*c.Width {
 		var half []Slice
 		for i, s := range c.Slices {
 			if i%2 == 0 {
@@ -155,7 +159,7 @@
 		}
 		c.Slices, c.Width = half, 2*c.Width
 	}
-	i := int(due / c.Width)
+	i := int(scheduledAt / c.Width)
 	for len(c.Slices) <= i {
 		c.Slices = append(c.Slices, Slice{Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), sliceDigits)})
 	}
@@ -173,15 +177,15 @@
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// finish records how the generator itself did, and whether the result is valid.
-func (r *Result) finish(took time.Duration, partial bool, room *connectionLimit, maxLag time.Duration) {
+// finish records the measurements of the generator itself, and whether the result is valid.
+func (r *Result) finish(duration time.Duration, partial bool, limit *connectionLimit, maxLag time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Duration, r.Partial, r.PeakOpen, r.NoConnection = took, partial, room.peak, room.rejected
+	r.Duration, r.Partial, r.PeakOpen, r.NoConnection = duration, partial, limit.peak, limit.rejected
 	if lag := Percentile(r.Lag, 99); lag > maxLag {
 		r.Invalid = append(r.Invalid, fmt.Sprintf("sending lagged behind the schedule by %v at the 99th percentile; at most %v is allowed", lag, maxLag))
 	}
-	if room.rejected > 0 {
-		r.Invalid = append(r.Invalid, fmt.Sprintf("%d requests found no descriptor for a connection", room.rejected))
+	if limit.rejected > 0 {
+		r.Invalid = append(r.Invalid, fmt.Sprintf("%d requests found no descriptor for a connection", limit.rejected))
 	}
 }
--- a/internal/rig/load/run.go
+++ b/internal/rig/load/run.go
@@ -1,8 +1,8 @@
-// Package load sends arrivals on schedule, whether or not earlier answers have come, as the clients of an open system do.
+// Package load sends arrivals on schedule, whether or not earlier requests have been answered, as the clients of an open system do.
 //
 // Latency counts from when a request was scheduled, not from when it was sent: requests that wait because a server stalls count
-// in full. The generator measures itself: where its own sending falls behind the schedule, or it gets no descriptor for a
-// connection, the result says that it is not valid, whatever figures it has.
+// in full. The generator measures itself: if its own sending falls behind the schedule, or it gets no descriptor for a
+// connection, the result says that it is not valid, whatever its metrics are.
 //
 // Memory does not grow with the length of a run: latencies are in HDR histograms, the timeline of a run in a bounded number
 // of slices, and a trace is read as it is played. A Runner is used for one Run at a time; Run waits for all goroutines it starts.
@@ -11,9 +11,7 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
-	"math/rand/v2"
 	"net/http"
 	"strconv"
 	"sync"
@@ -37,12 +35,12 @@
 
 	// Wait waits until a time, or for ctx; nil: a timer's wait. See WaitPrecisely.
 	Wait func(ctx context.Context, until time.Time)
-	// Connections bounds those that are open at once; 0: no bound. A request that gets none makes the result invalid.
-	Connections int
+	// MaxConnections bounds those that are open at once; 0: no bound. A request that gets none makes the result invalid.
+	MaxConnections int
 	// MaxLag is the 99th percentile of the lag behind the schedule over which the result is not valid; 0: DefaultMaxLag.
 	MaxLag time.Duration
-	// Live, where set, is called with each operation that ended.
-	Live func(Operation)
+	// OnOperation is called with each operation that has ended, from the operation's goroutine; may be nil.
+	OnOperation func(Operation)
 }
 
 // DefaultMaxLag is several times the lateness of timers on a busy machine.
@@ -69,8 +67,8 @@
 	pending    sync.WaitGroup
 }
 
-// Run sends the load and returns when the last operation has ended. Where ctx ends first, no more is sent, what is in
-// flight is waited for, and the result is marked as partial. An error is one of the schedule: it ends the run in the same way.
+// Run sends the load and returns when the last operation has ended. If ctx ends before, no more is sent, requests in flight are waited
+// for, and the result is marked as partial. An error is one of the schedule: it ends the run in the same way.
 func (r *Runner) Run(ctx context.Context) (*Result, error) {
 	schedule := r.Schedule
 	if schedule == nil {
@@ -86,11 +84,11 @@
 		return nil, errors.New("load: no address to send to")
 	}
 	x := &run{Runner: r, scenario: r.Scenario, began: time.Now(), requestMix: newRequestMix(r.Scenario), result: newResult(r.Scenario)}
-	if x.limit.max = r.Connections; r.Connections <= 0 {
+	if x.limit.max = r.MaxConnections; r.MaxConnections <= 0 {
 		x.limit.max = 1 << 30
 	}
 	for _, addr := range r.Targets {
-		x.clients = append(x.clients, &client{dial: r.Dial, addr: addr, limit: &x.limit, onExtraAnswer: x.recordExtraAnswer})
+		x.clients = append(x.clients, &client{dial: r.Dial, addr: addr, limit: &x.limit, onUnexpectedAnswer: x.recordUnexpectedAnswer})
 	}
 	x.crowds(ctx)
 	err := x.arrivals(ctx, schedule)
@@ -141,6 +139,7 @@
 	}
 }
 
+// waitForTimer waits until a time, or for ctx, with the precision of a timer.
 func waitForTimer(ctx context.Context, until time.Time) {
 	t := time.NewTimer(time.Until(until))
 	defer t.Stop()
@@ -150,8 +149,9 @@
 	}
 }
 
-func (x *run) recordExtraAnswer(trace string) {
-	x.result.addExtra()
+// recordUnexpectedAnswer records an answer without a request, on the connection that last carried the trace's.
+func (x *run) recordUnexpectedAnswer(trace string) {
+	x.result.addUnexpectedAnswer()
 	if x.Calls != nil {
 		x.Calls.Extra(trace)
 	}
@@ -160,9 +160,9 @@
 // operate carries out one operation: a request, and retries as long as the client may and has time.
 func (x *run) operate(o completeArrival) {
 	class := &x.scenario.Classes[o.class]
-	due := x.began.Add(o.ScheduledAt)
-	x.result.addLag(time.Since(due))
-	first, over := time.Now(), due.Add(class.Deadline)
+	scheduled := x.began.Add(o.ScheduledAt)
+	x.result.addLag(time.Since(scheduled))
+	first, over := time.Now(), scheduled.Add(class.Deadline)
 	since := func() time.Duration { return time.Since(x.Zero) }
 	op := Operation{Class: o.class, ScheduledAt: o.ScheduledAt}
 	for retry := 0; ; retry++ {
@@ -178,7 +178,7 @@
 		}
 		call := audit.Call{
 			Trace: q.trace, Operation: q.operation, Key: q.key, Class: class.Name, Sidecar: o.number % len(x.clients),
-			ScheduledAt: due.Sub(x.Zero), Patience: min(o.patience(class, retry), time.Until(over)), Retry: retry > 0,
+			ScheduledAt: scheduled.Sub(x.Zero), Patience: min(o.patience(class, retry), time.Until(over)), Retry: retry > 0,
 		}
 		if retry > 0 {
 			call.ScheduledAt = since()
@@ -198,15 +198,15 @@
 		}
 		waitForTimer(context.Background(), time.Now().Add(wait))
 	}
-	op.Latency = time.Since(due)
+	op.Latency = time.Since(scheduled)
 	x.result.add(op, class)
-	if x.Live != nil {
-		x.Live(op)
+	if x.OnOperation != nil {
+		x.OnOperation(op)
 	}
 }
 
-// mayRetry says whether a client may retry, the given time after its first request: after a refusal, which promises that it
-// does no harm; where nothing was accepted; and after a failure where requests of the class may be repeated anywhere.
+// mayRetry reports whether a client may retry, a duration after its first request: after a refusal, which promises that a retry does no
+// harm; if no connection accepted the request; and after a failure if requests of the class may be repeated at any server.
 func mayRetry(class *scenario.Class, call *audit.Call, after time.Duration) bool {
 	switch call.Result {
 	case audit.Refused, audit.Unreached:
@@ -217,89 +217,3 @@
 	}
 	return false
 }
-
-// requestMix draws what arrivals do not specify. It is used by one goroutine, in the order of the arrivals.
-type requestMix struct {
-	scenario *scenario.Scenario
-	shares   []float64 // of classes, cumulative
-	zipf     *rand.Zipf
-}
-
-func newRequestMix(s *scenario.Scenario) *requestMix {
-	m := &requestMix{scenario: s}
-	sum := 0.0
-	for _, c := range s.Classes {
-		sum += c.Share
-		m.shares = append(m.shares, sum)
-	}
-	if s.Clients.Skew > 1 {
-		m.zipf = rand.NewZipf(rand.New(rand.NewPCG(s.Seed, 1<<32)), s.Clients.Skew, 1, uint64(s.Clients.Objects-1))
-	}
-	return m
-}
-
-// completeArrival is an arrival with everything specified.
-type completeArrival struct {
-	arrival.Arrival
-	scenario *scenario.Scenario
-	number   int
-	class    int
-}
-
-func (m *requestMix) draw(n int, a arrival.Arrival) completeArrival {
-	o := completeArrival{Arrival: a, scenario: m.scenario, number: n}
-	if o.class = m.scenario.Class(a.Class); o.class < 0 {
-		u := o.draw("class") * m.shares[len(m.shares)-1]
-		for o.class = 0; m.shares[o.class] <= u; o.class++ {
-		}
-		o.Class = m.scenario.Classes[o.class].Name
-	}
-	if o.Tenant == "" && len(m.scenario.Tenants) > 0 {
-		o.Tenant = m.tenant(o.draw("tenant"))
-	}
-	if o.Object == "" {
-		about := uint64(o.draw("about") * float64(m.scenario.Clients.Objects))
-		if m.zipf != nil {
-			about = m.zipf.Uint64()
-		}
-		o.Object = strconv.FormatUint(about, 10)
-	}
-	if o.Patience == 0 {
-		o.Patience = o.patience(&m.scenario.Classes[o.class], 0)
-	}
-	return o
-}
-
-func (m *requestMix) tenant(u float64) string {
-	sum := 0.0
-	for _, t := range m.scenario.Tenants {
-		sum += t.Share
-	}
-	u *= sum
-	for _, t := range m.scenario.Tenants {
-		if u -= t.Share; u < 0 {
-			return t.Name
-		}
-	}
-	return m.scenario.Tenants[len(m.scenario.Tenants)-1].Name
-}
-
-// draw returns a random number in [0, 1) that depends on the seed, the purpose and the arrival alone.
-func (o *completeArrival) draw(what string, more ...string) float64 {
-	return scenario.Draw(o.scenario.Seed, append(more, what, strconv.Itoa(o.number))...)
-}
-
-// patience is how long the client waits for one request.
-func (o *completeArrival) patience(class *scenario.Class, retry int) time.Duration {
-	if retry == 0 && o.Patience > 0 {
-		return o.Patience
-	}
-	p := o.scenario.Clients.Patience
-	u := o.draw("patience", strconv.Itoa(retry))
-	return time.Duration((p[0] + u*(p[1]-p[0])) * float64(class.Deadline))
-}
-
-// id is a name that no other request or operation has, nor one of a run with another seed.
-func (o *completeArrival) id(what string, retry int) string {
-	return fmt.Sprintf("%013x%08x%02x", uint64(o.draw(what, strconv.Itoa(retry))*(1<<52)), o.number, retry)
-}
--- a/internal/rig/load/run_test.go
+++ b/internal/rig/load/run_test.go
@@ -20,7 +20,7 @@
 	rtt     = 2*latency + 30*time.Microsecond
 )
 
-// direct sends a scenario's load straight to its first server, in virtual time.
+// direct sends a scenario's load to its first server without a sidecar, in virtual time.
 func direct(t *testing.T, text string, change func(r *Runner, stop func())) (result *Result, records audit.Records) {
 	t.Helper()
 	s, err := scenario.Parse("test", strings.NewReader(text))
@@ -62,7 +62,7 @@
 class read deadline=5s
 `
 
-// A server stalls for a second, from 3 s to 4 s, while 100 requests a second are due for 10 s. The 100 that are due in
+// A server stalls for a second, from 3 s to 4 s, while 100 requests a second are scheduled for 10 s. The 100 that are scheduled in
 // the stall, at 3.00, 3.01, ... 3.99 s, are answered when it ends: after 1000, 990, ... 10 ms. The other 900 take a round
 // trip. In order, then, ranks 1 to 900 are a round trip, and rank 900+k is 10k ms (and a round trip): the 90th percentile
 // is rank 900, a round trip; the 91st 100 ms, the 95th 500 ms, the 99th 900 ms, the 99.9th (rank 999) 990 ms, the
@@ -81,15 +81,15 @@
 		{99.9, 990 * time.Millisecond}, {100, time.Second},
 	} {
 		got := all.Percentile(c.percentile)
-		most := c.want + 2*rtt + c.want/1000 // histograms keep three digits; the first request of a connection opens it
-		if got < c.want || got > most {
-			t.Errorf("percentile %v: %v, want %v to %v", c.percentile, got, c.want, most)
+		highest := c.want + 2*rtt + c.want/1000 // histograms keep three digits; the first request of a connection opens it
+		if got < c.want || got > highest {
+			t.Errorf("percentile %v: %v, want %v to %v", c.percentile, got, c.want, highest)
 		}
 	}
 }
 
-// The same second beside a closed loop, which sends a request when the one before is answered and its time has come: it
-// sends one in the whole stall, and its 99th percentile is a round trip.
+// For comparison, a closed loop, which sends a request at its scheduled time or when the one before is answered, if that is later: it
+// sends a single request during the stall, and its 99th percentile is a round trip.
 func TestClosedLoopHidesTheStall(t *testing.T) {
 	s, err := scenario.Parse("test", strings.NewReader(oneServer+"arrive constant 100/s\nat 3s s1 stall for 1s"))
 	if err != nil {
@@ -103,11 +103,11 @@
 		}
 		defer fleet.Close()
 		go fleet.Run(t.Context())
-		c := &client{dial: n.Dial, addr: fleet.Addr(0), limit: &connectionLimit{max: 10}, onExtraAnswer: func(string) {}}
+		c := &client{dial: n.Dial, addr: fleet.Addr(0), limit: &connectionLimit{max: 10}, onUnexpectedAnswer: func(string) {}}
 		defer c.close()
-		var took []time.Duration
+		var latencies []time.Duration
 		for next := zero; next.Before(zero.Add(10 * time.Second)); next = next.Add(10 * time.Millisecond) {
-			time.Sleep(time.Until(next)) // nothing, where the loop is late: it has missed what was due
+			time.Sleep(time.Until(next)) // not at all if the loop is late: it has missed the scheduled time
 			if time.Since(next) > 10*time.Millisecond {
 				continue
 			}
@@ -116,19 +116,19 @@
 			if err := c.send(&call, &request{method: "GET", class: "read", trace: next.String(), operation: "1"}, 0, func() time.Duration { return time.Since(zero) }); err != nil {
 				t.Fatal(err)
 			}
-			took = append(took, time.Since(began))
+			latencies = append(latencies, time.Since(began))
 		}
-		slices.Sort(took)
-		if p99 := took[len(took)*99/100]; p99 > 2*rtt {
+		slices.Sort(latencies)
+		if p99 := latencies[len(latencies)*99/100]; p99 > 2*rtt {
 			t.Errorf("p99 %v: this loop should have hidden the stall", p99)
 		}
-		if longest := took[len(took)-1]; longest < 990*time.Millisecond {
+		if longest := latencies[len(latencies)-1]; longest < 990*time.Millisecond {
 			t.Errorf("no stall: %v", longest)
 		}
 	})
 }
 
-// Clients wait 300 ms, and the slack is 50 ms. What is due at 3.00 to 3.64 s, 65 requests, is answered after more than
+// Clients wait 300 ms, and the slack is 50 ms. The 65 requests that are scheduled for 3.00 to 3.64 s are answered after more than
 // that or never; the other 35 of the stall are served (that of 3.65 s is on a new connection, and sent a bit later).
 func TestStallLongerThanPatience(t *testing.T) {
 	text := strings.Replace(oneServer, "deadline=5s", "deadline=300ms", 1)
@@ -144,10 +144,10 @@
 	}
 }
 
-// A step needs a hundred connections and there are twenty: the result says so, and does not look good.
-func TestStepWiderThanTheDescriptors(t *testing.T) {
+// A step needs a hundred connections and the bound is twenty: the result is invalid, and counts the requests without a connection.
+func TestStepBeyondTheConnectionBound(t *testing.T) {
 	text := strings.Replace(oneServer, "class read", "class read io=100ms", 1)
-	result, records := direct(t, text+"arrive step 100/s..1000/s at=5s", func(r *Runner, stop func()) { r.Connections = 20 })
+	result, records := direct(t, text+"arrive step 100/s..1000/s at=5s", func(r *Runner, stop func()) { r.MaxConnections = 20 })
 	if result.NoConnection == 0 || len(result.Invalid) != 1 || !strings.Contains(result.Invalid[0], "descriptor") {
 		t.Errorf("%d got no connection, %v", result.NoConnection, result.Invalid)
 	}
@@ -170,11 +170,11 @@
 		t.Errorf("%v", result.Invalid)
 	}
 	if p50 := result.Classes[0].Percentile(50); p50 < 10*time.Millisecond {
-		t.Errorf("p50 %v: latency must count from when a request was due", p50)
+		t.Errorf("p50 %v: latency must count from the scheduled time of a request", p50)
 	}
 }
 
-// What was due before the stop is finished and counted; what was due later is not sent.
+// Requests that were scheduled before the stop are finished and counted; later ones are not sent.
 func TestEarlyStopIsPartial(t *testing.T) {
 	text := strings.Replace(oneServer, "class read", "class read io=500ms", 1)
 	result, _ := direct(t, text+"arrive constant 100/s", func(r *Runner, stop func()) {
@@ -207,12 +207,12 @@
 	}
 }
 
-// A run of any length is kept in so many slices.
-func TestCourseStaysBounded(t *testing.T) {
+// The timeline of a run of any length has at most maxSlices slices, and counts every operation.
+func TestTimelineStaysBounded(t *testing.T) {
 	c := Timeline{Width: 250 * time.Millisecond}
 	n := 0
-	for due := time.Duration(0); due < 100*time.Hour; due += 97 * time.Second {
-		c.slice(due).Counts.Served++
+	for at := time.Duration(0); at < 100*time.Hour; at += 97 * time.Second {
+		c.slice(at).Counts.Served++
 		n++
 	}
 	sum := 0
@@ -224,7 +224,7 @@
 	}
 }
 
-// Two requests due at once and one an hour later are each sent when they are due.
+// Two requests that are scheduled for the same time and one an hour later are each sent at their time.
 func TestTraceWithAnHoursGap(t *testing.T) {
 	text := strings.Replace(oneServer, "length 10s", "length 2h", 1) + "arrive constant 1/s"
 	result, records := direct(t, text, func(r *Runner, _ func()) {
@@ -233,19 +233,19 @@
 	if all := &result.Classes[0]; all.Counts.Served != 3 || all.Percentile(100) > 2*rtt {
 		t.Errorf("%+v, slowest %v", all.Counts, all.Percentile(100))
 	}
-	var due []time.Duration
+	var scheduled []time.Duration
 	for _, c := range records.Calls {
-		due = append(due, c.ScheduledAt)
+		scheduled = append(scheduled, c.ScheduledAt)
 	}
-	slices.Sort(due)
-	if want := []time.Duration{time.Millisecond, time.Millisecond, time.Hour + time.Millisecond}; !slices.Equal(due, want) {
-		t.Errorf("due %v", due)
+	slices.Sort(scheduled)
+	if want := []time.Duration{time.Millisecond, time.Millisecond, time.Hour + time.Millisecond}; !slices.Equal(scheduled, want) {
+		t.Errorf("scheduled for %v", scheduled)
 	}
 }
 
-// With a skew a few objects get most requests; without, all get as many.
+// With a skew a few objects get most requests; without one all get about as many.
 func TestKeysFollowZipf(t *testing.T) {
-	most := func(skew float64) (n int) {
+	highest := func(skew float64) (n int) {
 		s := &scenario.Scenario{Seed: 3, Classes: []scenario.Class{{Name: "read", Share: 1}}, Clients: scenario.Clients{Objects: 100, Skew: skew}}
 		m, seen := newRequestMix(s), map[string]int{}
 		for i := range 10_000 {
@@ -256,7 +256,7 @@
 		}
 		return n
 	}
-	if even, skewed := most(0), most(1.5); even > 150 || skewed < 3000 {
-		t.Errorf("the commonest of 100 objects: %d of 10,000 without skew, %d with", even, skewed)
+	if even, skewed := highest(0), highest(1.5); even > 150 || skewed < 3000 {
+		t.Errorf("the most frequent of 100 objects: %d of 10,000 without skew, %d with", even, skewed)
 	}
 }
--- a/internal/rig/load/wait.go
+++ b/internal/rig/load/wait.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// preciseAhead is how long before a time the waiting changes from a timer, which fires up to a millisecond late on an
-// idle machine, to the kernel's nanosleep.
-const preciseAhead = 2 * time.Millisecond
+// nanosleepTime is how long before the end of a wait the timer, which fires up to a millisecond late on an idle machine, is replaced by
+// the kernel's nanosleep.
+const nanosleepTime = 2 * time.Millisecond
 
-// WaitPrecisely waits until a time to some tens of microseconds. It is for real time only, and for a caller with a
-// thread of its own: the last two milliseconds are not interrupted.
+// WaitPrecisely waits until a time, or for ctx, with a precision of some tens of microseconds. It is for real time only. It blocks the
+// caller's thread for the last two milliseconds, in which ctx does not interrupt it.
 func WaitPrecisely(ctx context.Context, until time.Time) {
-	if time.Until(until) > preciseAhead {
-		waitForTimer(ctx, until.Add(-preciseAhead))
+	if time.Until(until) > nanosleepTime {
+		waitForTimer(ctx, until.Add(-nanosleepTime))
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/internal/rig/rehearse/rehearse.go
+++ b/internal/rig/rehearse/rehearse.go
@@ -101,7 +101,7 @@
 	go func() { played <- fleet.Run(faults) }()
 	runner := &load.Runner{
 		Scenario: s, Schedule: schedule, Targets: targets, Dial: r.Network.Dial, Zero: zero, Calls: rec, Trace: r.Trace,
-		Wait: r.WaitUntil, Connections: r.MaxConnections, MaxLag: r.MaxLag, Live: r.OnOperation,
+		Wait: r.WaitUntil, MaxConnections: r.MaxConnections, MaxLag: r.MaxLag, OnOperation: r.OnOperation,
 	}
 	result, err := runner.Run(ctx)
 	endFaults()
