--- a/internal/rig/audit/audit.go
+++ b/internal/rig/audit/audit.go
@@ -1,9 +1,9 @@
-// Package audit judges from what clients and servers saw whether a run kept the four rules. It is pure: records and a scenario in, a
+// Package audit judges from the records of clients and servers whether a run kept the four rules. It is pure: records and a scenario in, a
 // report out; the same records give the same report, in whatever order they were recorded. A Recorder may be used from any goroutine.
 //
-// It does not know what a sidecar meant to do, only what reached whom and when. A breach is reported where the records
-// prove it: where they leave the possibility that the sidecar kept the rule, none is, and the report counts what could not be
-// judged. Times have the scenario's slack, which covers what lies between a sidecar and the two ends.
+// It does not know what a sidecar intended, only who received what and when. A breach is reported only if the records
+// prove it: if they leave the possibility that the sidecar kept the rule, none is, and the report counts what could not be
+// judged. Times have the scenario's slack, which covers the way between a sidecar and the two ends.
 package audit
 
 import (
@@ -16,7 +16,7 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// Rule names what was broken.
+// Rule is a rule that can be broken. Its text is part of reports.
 type Rule string
 
 // The rules, by the number that the deployment gives them.
@@ -43,7 +43,7 @@
 	Request string // its trace id
 	Servers []string
 	At      time.Duration // when it was broken
-	Limit   time.Duration // the latest time that keeps the rule; 0 where time does not matter
+	Limit   time.Duration // the latest time that keeps the rule; 0 if time does not matter
 	Text    string
 }
 
@@ -72,7 +72,7 @@
 	Unjudged map[string]int `json:"unjudged,omitempty"` // how often, by the reason
 }
 
-// Judged counts what the report is based on: a rule that nothing tested is not known to be kept, only not broken.
+// Judged counts what the report is based on: without a case that tests it, a rule is not known to be kept, only not broken.
 type Judged struct {
 	Calls      int `json:"calls"`        // rule 1
 	Repeats    int `json:"repeats"`      // rule 2: attempts after the first
@@ -85,13 +85,14 @@
 func (r *Report) OK() bool { return len(r.Breaches) == 0 }
 
 // A sidecar may wait for a server before it gives up, but must not keep an answer until the client has no time left for a retry. So a
-// refusal or failure counts as withheld where no attempt was made for over maxIdleFraction of the client's patience, and for longer
+// refusal or failure counts as withheld if no attempt was made for over maxIdleFraction of the client's patience, and for longer
 // than minIdle: an attempt to connect that fails takes that long, and no server sees it.
 const (
 	maxIdleFraction = 0.5
 	minIdle         = 150 * time.Millisecond
 )
 
+// judge has the records of one run, sorted, and the report so far.
 type judge struct {
 	scenario *scenario.Scenario
 	records  Records
@@ -143,6 +144,7 @@
 	return j.report
 }
 
+// breach reports a breach; c is nil if it is of no call.
 func (j *judge) breach(rule Rule, c *Call, at, limit time.Duration, servers []string, format string, args ...any) {
 	b := Breach{Rule: rule, At: at, Limit: limit, Servers: servers, Text: fmt.Sprintf(format, args...)}
 	if c != nil {
@@ -151,8 +153,10 @@
 	j.report.Breaches = append(j.report.Breaches, b)
 }
 
+// countUnjudged counts a case that the records do not decide.
 func (j *judge) countUnjudged(reason string) { j.report.Unjudged[reason]++ }
 
+// serversOf are the names of the attempts' servers.
 func serversOf(list ...*Attempt) (servers []string) {
 	for _, a := range list {
 		servers = append(servers, a.Server)
@@ -160,7 +164,7 @@
 	return servers
 }
 
-// class returns the class of a call or attempt; nil where there is none of the name.
+// class returns the class of a call or attempt; nil if there is none of the name.
 func (j *judge) class(name string) *scenario.Class {
 	if i := j.scenario.Class(name); i >= 0 {
 		return &j.scenario.Classes[i]
@@ -168,7 +172,7 @@
 	return nil
 }
 
-// killed: the run ended the call's sidecar while it had the request.
+// killed reports whether the run ended the call's sidecar while it had the request.
 func (j *judge) killed(c *Call) bool {
 	return slices.ContainsFunc(j.records.Kills, func(k Kill) bool {
 		return k.Sidecar == c.Sidecar && k.From <= c.Sent+c.Patience && c.Sent <= k.To
@@ -214,7 +218,7 @@
 	case c.Answered == Never || c.Result == Lost:
 		j.breach(Unanswered, c, limit, limit, serversOf(all...), "accepted at %v, no complete answer", c.Sent)
 	}
-	if slices.Contains(j.records.Extras, c.Trace) {
+	if slices.Contains(j.records.UnexpectedAnswers, c.Trace) {
 		j.breach(AnsweredTwice, c, c.Answered, 0, serversOf(all...), "more than one answer came")
 	}
 	if c.Result == Served && !slices.ContainsFunc(all, func(a *Attempt) bool { return a.Status == 200 && a.Body == c.Body }) {
@@ -224,16 +228,16 @@
 
 // judgeLateAttempts looks for attempts that were made when the request was over.
 func (j *judge) judgeLateAttempts(c *Call, all []*Attempt) {
-	over := c.Sent + c.Patience + j.scenario.Rules.Slack
+	end := c.Sent + c.Patience + j.scenario.Rules.Slack
 	switch {
 	case c.Answered != Never:
-		over = min(over, c.Answered+j.scenario.Rules.Slack)
+		end = min(end, c.Answered+j.scenario.Rules.Slack)
 	case c.HungUp != Never:
-		over = min(over, c.HungUp+j.scenario.Rules.Slack)
+		end = min(end, c.HungUp+j.scenario.Rules.Slack)
 	}
 	for _, a := range all {
-		if a.FirstByte > over {
-			j.breach(SentAfterAnswer, c, a.FirstByte, over, serversOf(a), "sent %v after the request was over", a.FirstByte-over+j.scenario.Rules.Slack)
+		if a.FirstByte > end {
+			j.breach(SentAfterAnswer, c, a.FirstByte, end, serversOf(a), "sent %v after the request was over", a.FirstByte-end+j.scenario.Rules.Slack)
 		}
 	}
 }
@@ -290,7 +294,7 @@
 	}
 }
 
-// judgeRefusal: a refusal promises that a retry does no harm.
+// judgeRefusal judges a refusal, which promises that a retry does no harm.
 func (j *judge) judgeRefusal(c *Call, class *scenario.Class, all []*Attempt) {
 	if c.Result != Refused || class.Effect == scenario.Safe {
 		return
--- a/internal/rig/audit/records.go
+++ b/internal/rig/audit/records.go
@@ -109,16 +109,16 @@
 
 // Records is all that was recorded in a run.
 type Records struct {
-	Calls        []Call
-	Attempts     []Attempt
-	StateUpdates []StateUpdate
-	Incarnations []Incarnation
-	Kills        []Kill
-	Began        time.Duration // when the load began: the scenario's times count from there
-	Extras       []string      // traces of calls after whose answer more came on the connection
+	Calls             []Call
+	Attempts          []Attempt
+	StateUpdates      []StateUpdate
+	Incarnations      []Incarnation
+	Kills             []Kill
+	Began             time.Duration // when the load began: the scenario's times count from there
+	UnexpectedAnswers []string      // traces of calls after whose answer more came on the connection
 }
 
-// Recorder collects records from many goroutines.
+// Recorder collects records. It is safe for concurrent use.
 type Recorder struct {
 	mu      sync.Mutex
 	records Records
@@ -136,12 +136,13 @@
 // Incarnation records a server's incarnation.
 func (r *Recorder) Incarnation(l Incarnation) { add(r, &r.records.Incarnations, l) }
 
-// Extra records that more came on a connection than the answer to the call of this trace.
-func (r *Recorder) Extra(trace string) { add(r, &r.records.Extras, trace) }
+// UnexpectedAnswer records that more came on a connection than the answer to the call of this trace.
+func (r *Recorder) UnexpectedAnswer(trace string) { add(r, &r.records.UnexpectedAnswers, trace) }
 
 // Kill records a sidecar's end.
 func (r *Recorder) Kill(k Kill) { add(r, &r.records.Kills, k) }
 
+// add appends a record under the lock.
 func add[T any](r *Recorder, list *[]T, v T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,7 +155,7 @@
 	defer r.mu.Unlock()
 	return Records{
 		Calls: slices.Clone(r.records.Calls), Attempts: slices.Clone(r.records.Attempts), StateUpdates: slices.Clone(r.records.StateUpdates),
-		Incarnations: slices.Clone(r.records.Incarnations), Kills: slices.Clone(r.records.Kills), Extras: slices.Clone(r.records.Extras),
+		Incarnations: slices.Clone(r.records.Incarnations), Kills: slices.Clone(r.records.Kills), UnexpectedAnswers: slices.Clone(r.records.UnexpectedAnswers),
 	}
 }
 
--- a/internal/rig/load/run.go
+++ b/internal/rig/load/run.go
@@ -153,7 +153,7 @@
 func (x *run) recordUnexpectedAnswer(trace string) {
 	x.result.addUnexpectedAnswer()
 	if x.Calls != nil {
-		x.Calls.Extra(trace)
+		x.Calls.UnexpectedAnswer(trace)
 	}
 }
 
--- a/internal/rig/scenario/scenario.go
+++ b/internal/rig/scenario/scenario.go
@@ -239,13 +239,13 @@
 	return -1
 }
 
-// Draw is a number in [0, 1) that depends on the seed and the words alone, and so not on the order in which a run draws.
-func Draw(seed uint64, words ...string) float64 {
+// Draw is a number in [0, 1) that depends on the seed and the key alone, and so not on the order in which a run draws.
+func Draw(seed uint64, key ...string) float64 {
 	h := fnv.New64a()
 	var s [8]byte
 	binary.LittleEndian.PutUint64(s[:], seed)
 	h.Write(s[:])
-	for _, w := range words {
+	for _, w := range key {
 		h.Write([]byte(w))
 		h.Write([]byte{0})
 	}
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -42,7 +42,7 @@
 	members       []member // without those that are removed
 	history       []member // every change; generation n is the list after the first n-1 of them
 	changed       chan struct{}
-	silences      int
+	stalls        int
 	delay         time.Duration
 	lastPublishAt time.Time // when the last change that is delayed will be published
 	pending       map[*time.Timer]struct{}
@@ -51,11 +51,13 @@
 	finished      bool
 }
 
+// sidecarServer is a server as a sidecar knows it.
 type sidecarServer struct {
 	sidecar int
 	server  string
 }
 
+// newDiscovery is a discovery whose list of generation 1 is first.
 func newDiscovery(f *Fleet, first []member) *discovery {
 	return &discovery{
 		fleet: f, members: first, changed: make(chan struct{}), delay: f.scenario.Discovery.Delay,
@@ -86,8 +88,9 @@
 	return nil
 }
 
+// serve answers a request for the list, or a subscription, of a sidecar.
 func (d *discovery) serve(sidecar int, w http.ResponseWriter, r *http.Request) {
-	if !d.waitWhileSilent(r) {
+	if !d.waitWhileStalled(r) {
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
@@ -112,19 +115,19 @@
 			w.Write([]byte("\n"))
 			_ = http.NewResponseController(w).Flush()
 		}
-		if !d.waitWhileSilent(r) {
+		if !d.waitWhileStalled(r) {
 			return
 		}
 	}
 }
 
-// waitWhileSilent waits while a fault silences discovery; false: the caller has hung up.
-func (d *discovery) waitWhileSilent(r *http.Request) bool {
+// waitWhileStalled waits while a fault stalls discovery; false: the caller has hung up.
+func (d *discovery) waitWhileStalled(r *http.Request) bool {
 	for {
 		d.mu.Lock()
-		silent, changed := d.silences > 0, d.changed
+		stalled, changed := d.stalls > 0, d.changed
 		d.mu.Unlock()
-		if !silent {
+		if !stalled {
 			return r.Context().Err() == nil
 		}
 		select {
@@ -158,7 +161,7 @@
 	return m.Generation
 }
 
-// recordSent records what a sidecar was sent. It is called when that was written: what could not be written counts as unknown to it.
+// recordSent records what a sidecar was sent. It is called when that was written: what could not be written counts as unknown to the sidecar.
 func (d *discovery) recordSent(sidecar int, m message) {
 	now := d.fleet.now()
 	d.mu.Lock()
@@ -190,6 +193,7 @@
 	}
 }
 
+// containsID reports whether a list has the server of an ID.
 func containsID(list []member, id string) bool {
 	for _, m := range list {
 		if m.ID == id {
@@ -272,8 +276,8 @@
 			return nil
 		}
 	case scenario.DiscoveryStall:
-		begin = func() error { d.addSilence(1); return nil }
-		end = func() error { d.addSilence(-1); return nil }
+		begin = func() error { d.addStall(1); return nil }
+		end = func() error { d.addStall(-1); return nil }
 	case scenario.DiscoveryDelay:
 		begin = func() error { d.addDelay(fault.Delay); return nil }
 		end = func() error { d.addDelay(-fault.Delay); return nil }
@@ -281,13 +285,15 @@
 	return []event{{fault.At, begin}, {fault.At + fault.Duration, end}}
 }
 
-func (d *discovery) addSilence(n int) {
+// addStall changes the number of active faults that stall discovery.
+func (d *discovery) addStall(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silences += n
+	d.stalls += n
 	d.notifyWatchers()
 }
 
+// addDelay changes the delay of announcements.
 func (d *discovery) addDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -305,6 +311,7 @@
 	}
 }
 
+// close ends discovery for good: changes that are delayed are not published any more.
 func (d *discovery) close() {
 	d.stop()
 	d.mu.Lock()
--- a/internal/rig/standin/exchange.go
+++ b/internal/rig/standin/exchange.go
@@ -26,8 +26,8 @@
 
 // nextRequest is the first byte of a connection's next request, or the connection's end.
 type nextRequest struct {
-	at  time.Duration
-	err error
+	arrivedAt time.Duration
+	err       error
 }
 
 // await waits for the next request in a goroutine of its own: while a request is worked on, it shows whether the sidecar has closed
@@ -49,7 +49,7 @@
 		select {
 		case n := <-coming:
 			idle.Stop()
-			if n.err != nil || !x.request(n.at, &coming) {
+			if n.err != nil || !x.request(n.arrivedAt, &coming) {
 				return
 			}
 		case <-idle.C:
--- a/internal/rig/standin/fleet.go
+++ b/internal/rig/standin/fleet.go
@@ -1,5 +1,5 @@
 // Package standin is a fleet of servers and a discovery service that speak the platform's protocol, with the faults of a
-// scenario. It records what reached whom and when, what ran, and what discovery sent to each sidecar; package audit judges that.
+// scenario. It records what servers received and when, what ran, and what discovery sent to each sidecar; package audit judges that.
 //
 // It runs on the Network it is given: sockets on loopback, or a network in memory inside a testing/synctest
 // bubble. It reads the time through package time only, sleeps only on timers and channels, and its random numbers depend only
@@ -21,7 +21,7 @@
 // Network is what a fleet listens on.
 type Network interface {
 	Listen(addr string) (net.Listener, error)
-	// Silence partitions the machine that listens at an address from the network; Restore ends that.
+	// Isolate partitions the machine that listens at an address from the network; Restore ends that.
 	Isolate(addr string)
 	Restore(addr string)
 }
@@ -40,7 +40,8 @@
 	goroutines sync.WaitGroup
 }
 
-// Start starts the servers and discovery. Times in rec count from zero; the faults begin with Run.
+// Start starts the servers and discovery. Times in rec count from zero; the faults begin with Run. The caller closes the Fleet; on an
+// error everything has ended.
 func Start(s *scenario.Scenario, n Network, rec *audit.Recorder, zero time.Time) (*Fleet, error) {
 	f := &Fleet{scenario: s, net: n, recorder: rec, zero: zero, keys: keyStore{known: map[groupKey]time.Time{}}}
 	for _, def := range s.Servers {
@@ -74,15 +75,17 @@
 // Addr is the address of a server.
 func (f *Fleet) Addr(server int) string { return f.servers[server].addr }
 
+// now is the present time of the records.
 func (f *Fleet) now() time.Duration { return time.Since(f.zero) }
 
 // event is the beginning or the end of a fault.
 type event struct {
-	at    time.Duration
+	time  time.Duration
 	apply func() error
 }
 
-// Run causes the faults, at their times from now on, and returns when the last is over or ctx ends.
+// Run injects the faults, at their times from now on, and returns when the last has ended or ctx ends. An error is that of a server or
+// of discovery that could not listen again, or of ctx.
 func (f *Fleet) Run(ctx context.Context) error {
 	var events []event
 	for _, fault := range f.scenario.Faults {
@@ -93,10 +96,10 @@
 		i := slices.IndexFunc(f.scenario.Servers, func(s scenario.Server) bool { return s.Name == fault.Target })
 		events = append(events, f.servers[i].events(fault)...)
 	}
-	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
+	slices.SortStableFunc(events, func(a, b event) int { return int(a.time - b.time) })
 	began := time.Now()
 	for _, e := range events {
-		t := time.NewTimer(e.at - time.Since(began))
+		t := time.NewTimer(e.time - time.Since(began))
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -130,7 +133,7 @@
 	}()
 }
 
-// keyStore is what the groups of servers remember of keyed requests that ran.
+// keyStore has the keys of requests that ran, by the group of servers that remembers them. It is safe for concurrent use.
 type keyStore struct {
 	mu    sync.Mutex
 	known map[groupKey]time.Time // when it first ran
@@ -160,5 +163,5 @@
 	return false
 }
 
-// draw is a random number in [0, 1) that depends on the seed and the words alone.
-func (f *Fleet) draw(words ...string) float64 { return scenario.Draw(f.scenario.Seed, words...) }
+// draw is a random number in [0, 1) that depends on the seed and the key alone.
+func (f *Fleet) draw(key ...string) float64 { return scenario.Draw(f.scenario.Seed, key...) }
--- a/internal/rig/standin/greed.go
+++ b/internal/rig/standin/greed.go
@@ -16,12 +16,13 @@
 	rejectedCount = 4               // so many are rejected
 )
 
-// greed is when a server last had a request of a greedy caller.
+// greed is the time after requests of a greedy caller in which a server rejects those of others. It is safe for concurrent use.
 type greed struct {
 	mutex sync.Mutex
 	until time.Duration
 }
 
+// record records a request of a greedy caller.
 func (g *greed) record(now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/rig/standin/server.go
+++ b/internal/rig/standin/server.go
@@ -20,7 +20,7 @@
 
 	mu             sync.Mutex
 	process        *process // nil: no process runs
-	fullFaults     int      // active faults by which the server rejects all
+	fullFaults     int      // active faults by which the server rejects all requests
 	faultFractions map[scenario.Kind]float64
 	slowdown       float64
 	instances      int // that ran at this address so far
@@ -43,15 +43,16 @@
 	kill        context.CancelFunc
 
 	mu    sync.Mutex
-	conns map[net.Conn]struct{} // nil: it has ended
+	conns map[net.Conn]struct{} // nil: the process has ended
 }
 
+// newServer is a server at which no process runs yet.
 func newServer(f *Fleet, def scenario.Server) *server {
 	return &server{fleet: f, def: def, addr: "127.0.0.1:0", faultFractions: map[scenario.Kind]float64{}, slowdown: 1}
 }
 
 // begin starts a process with a name.
-func (s *server) begin(name string, cold scenario.SlowStart) error {
+func (s *server) begin(name string, slowStart scenario.SlowStart) error {
 	ln, err := s.fleet.net.Listen(s.addr)
 	if err != nil {
 		return err
@@ -59,11 +60,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := &process{
-		server: s, name: name, slowStart: cold, cores: newCores(s.def, cold), listener: ln, began: s.fleet.now(), collapsedAt: audit.Never,
+		server: s, name: name, slowStart: slowStart, cores: newCores(s.def, slowStart), listener: ln, began: s.fleet.now(), collapsedAt: audit.Never,
 		conns: map[net.Conn]struct{}{},
 	}
 	if s.instances++; s.instances > 1 { // it starts during the run
-		p.pressure = scenario.NewPressure(s.fleet.scenario.Rules, s.def, cold)
+		p.pressure = scenario.NewPressure(s.fleet.scenario.Rules, s.def, slowStart)
 		p.started = time.Now().UnixMilli()
 	} else {
 		p.began = audit.Never
@@ -118,6 +119,7 @@
 	}
 }
 
+// accept serves connections until the process ends.
 func (p *process) accept() {
 	for {
 		c, err := p.listener.Accept()
@@ -145,11 +147,12 @@
 // faultHits reports whether a fault that affects a fraction of the requests affects this one.
 func (s *server) faultHits(kind scenario.Kind, trace string) bool {
 	s.mu.Lock()
-	part := s.faultFractions[kind]
+	fraction := s.faultFractions[kind]
 	s.mu.Unlock()
-	return part > 0 && s.fleet.draw(string(kind), s.def.Name, trace) < part
+	return fraction > 0 && s.fleet.draw(string(kind), s.def.Name, trace) < fraction
 }
 
+// full reports whether a fault has the server reject all requests.
 func (s *server) full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -231,13 +234,14 @@
 	s.fleet.discovery.change(s.member(state, p.started))
 }
 
+// current is the process that runs; nil: none does.
 func (s *server) current() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.process
 }
 
-// stall stops or resumes a process; p is nil where none ran.
+// stall stops or resumes a process; p is nil if none ran.
 func (p *process) stall(on bool) {
 	switch {
 	case p == nil:
@@ -248,6 +252,7 @@
 	}
 }
 
+// setSlowdown sets the factor of this process and of those that follow it.
 func (s *server) setSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,12 +261,14 @@
 	}
 }
 
-func (s *server) setFaultFraction(kind scenario.Kind, part float64) {
+// setFaultFraction sets the fraction of requests that a kind of fault affects.
+func (s *server) setFaultFraction(kind scenario.Kind, fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faultFractions[kind] = part
+	s.faultFractions[kind] = fraction
 }
 
+// addFullFault changes the number of active faults by which the server rejects all requests.
 func (s *server) addFullFault(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/rig/standin/work.go
+++ b/internal/rig/standin/work.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// cores are the CPU cores of one process. Requests beyond them wait in the order in which they came.
+// cores are the CPU cores of one process. Requests beyond them wait in the order in which they arrived. It is safe for concurrent use.
 type cores struct {
 	def       scenario.Server
 	slowStart scenario.SlowStart
@@ -19,24 +19,25 @@
 	waiting     []chan struct{}
 	slowdown    float64
 	stalls      int           // active stalls
-	stalled     time.Duration // all stalls that are over
+	stalled     time.Duration // total time of the stalls that have ended
 	stalledAt   time.Time     // when the present stall began
 	resumed     chan struct{} // closed when no stall is active any more
 	used        time.Duration // core time since the last report
 	served      int
-	periodStart time.Time // of the present report period
-	reported    [2]float64
+	periodStart time.Time  // of the present report period
+	reported    [2]float64 // by scenario.ReportFields
 }
 
 // reportEvery is the period of load reports.
 const reportEvery = 500 * time.Millisecond
 
-func newCores(def scenario.Server, cold scenario.SlowStart) *cores {
+// newCores are the idle cores of a process that has just started.
+func newCores(def scenario.Server, slowStart scenario.SlowStart) *cores {
 	now := time.Now()
-	return &cores{def: def, slowStart: cold, start: now, slowdown: 1, periodStart: now, resumed: make(chan struct{})}
+	return &cores{def: def, slowStart: slowStart, start: now, slowdown: 1, periodStart: now, resumed: make(chan struct{})}
 }
 
-// acquire reserves a core, or a position in the queue for one; ready is closed when it has the core. ok is false where the queue is full.
+// acquire reserves a core, or a position in the queue for one; ready is closed when it has the core. ok is false if the queue is full.
 func (c *cores) acquire() (ready chan struct{}, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +72,7 @@
 	c.busy--
 }
 
-// work uses a core for work at speed 1. It ends early with ctx.
+// work occupies a core for the time that work of a duration at speed 1 takes here. It returns early if ctx ends.
 func (c *cores) work(ctx context.Context, work time.Duration) {
 	c.mu.Lock()
 	took := time.Duration(float64(work) * c.slowdown / (c.def.Speed * c.slowStart.Capacity(time.Since(c.start))))
@@ -82,7 +83,7 @@
 	c.used += took
 }
 
-// sleep waits in the time of the process, which does not go on while the server stalls.
+// sleep waits for a duration of process time, which stands still while the server stalls, or until ctx ends.
 func (c *cores) sleep(ctx context.Context, d time.Duration) {
 	began := c.processTime()
 	for ctx.Err() == nil {
@@ -109,7 +110,7 @@
 	}
 }
 
-// processTime is how long the server has run, without its stalls.
+// processTime is the time that the process has run, without its stalls.
 func (c *cores) processTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,6 +121,7 @@
 	return ran
 }
 
+// stall begins a stall; several may overlap.
 func (c *cores) stall() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,6 +130,7 @@
 	}
 }
 
+// resume ends a stall.
 func (c *cores) resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,6 +141,7 @@
 	}
 }
 
+// setSlowdown sets the factor by which work takes longer.
 func (c *cores) setSlowdown(factor float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
