--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -12,6 +12,7 @@
 	"petrelhook/internal/coordination/evidence"
 	"petrelhook/internal/coordination/fleet"
 	"petrelhook/internal/coordination/rollout"
+	"petrelhook/internal/coordination/rpc"
 	"petrelhook/lease"
 )
 
@@ -47,7 +48,8 @@
 	reachability  rollout.ReachabilityTracker
 }
 
-// Run drives while it holds the lease, and waits for the lease otherwise, until ctx ends. The error is one of the options.
+// Run drives while it holds the lease, and waits for the lease otherwise, until ctx ends. An error says which of the
+// exported fields is invalid.
 func (d *Driver) Run(ctx context.Context) error {
 	d.operator = fleet.Operator{Addrs: d.Coordinators}
 	d.client = http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 2}}
@@ -60,10 +62,7 @@
 	for ctx.Err() == nil {
 		held, err := client.Hold(ctx, LeaseName)
 		if err != nil {
-			select {
-			case <-ctx.Done():
-			case <-time.After(d.Interval):
-			}
+			rpc.Pause(ctx, d.Interval)
 			continue
 		}
 		d.driveWith(ctx, held)
@@ -123,7 +122,7 @@
 	return errors.Join(failures...)
 }
 
-// readChanges reads the log's state: an rollout.Application, or with an empty name the names of the applications.
+// readChanges reads the log's state: a rollout.Application, or with an empty name the names of the applications.
 func (d *Driver) readChanges(ctx context.Context, application string, to any) error {
 	ctx, cancel := context.WithTimeout(ctx, coordinatorTimeout)
 	defer cancel()
@@ -200,7 +199,7 @@
 		switch {
 		case err != nil:
 			return err
-		case response.Rollout.Error == rollout.ErrStaleDriver.Error():
+		case errors.Is(response.Rollout.Err, rollout.ErrStaleDriver):
 			return rollout.ErrStaleDriver
 		case response.Rollout.Error != "":
 			return nil
--- a/internal/router/node/start.go
+++ b/internal/router/node/start.go
@@ -36,34 +36,35 @@
 	if err == nil && n.self.Member != nil {
 		n.control.replica.AddEligible(*n.self.Member)
 	}
-	return errors.Wrap(err, "replica")
+	return errors.Wrap(err, "make the replica")
 }
 
 // listen opens the addresses of the settings and serves them, each in a goroutine that ends with its listener.
-func (n *Node) listen() (*servers, error) {
+func (n *Node) listen() (*listeners, error) {
 	internal, err := net.Listen("tcp", n.self.Address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for other routers")
 	}
 	go func() { _ = n.transport.Serve(internal) }() // ends when end closes the listener
-	s := &servers{internal: internal}
+	opened := &listeners{internal: internal}
 	for _, one := range []struct {
+		callers string
 		address string
 		handler http.Handler
 		server  **http.Server
 	}{
-		{n.settings.Listen.Ready, http.HandlerFunc(n.serveReady), &s.ready},
-		{n.settings.Listen.Control, n.controlHandler(), &s.control},
-		{n.settings.Listen.Front, n.gateway, &s.front},
+		{"the platform", n.settings.Listen.Ready, http.HandlerFunc(n.serveReady), &opened.ready},
+		{"model servers and operators", n.settings.Listen.Control, n.controlHandler(), &opened.control},
+		{"clients", n.settings.Listen.Front, n.gateway, &opened.front},
 	} {
 		if one.address == "" {
 			continue
 		}
 		if *one.server, err = serve(one.address, one.handler); err != nil {
-			return nil, errors.Wrap(err, "listen")
+			return nil, errors.Wrapf(err, "listen for %s", one.callers)
 		}
 	}
-	return s, nil
+	return opened, nil
 }
 
 // serve listens on an address and has a new server serve it until the server is closed.
@@ -72,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	server := newServer(handler)
+	server := newHTTPServer(handler)
 	go func() { _ = server.Serve(listener) }() // ends when end shuts the server down
 	return server, nil
 }
