--- a/internal/rig/arrival/schedule.go
+++ b/internal/rig/arrival/schedule.go
@@ -21,7 +21,7 @@
 	Patience    time.Duration // how long the client waits; 0: drawn
 }
 
-// Schedule returns arrivals in order of time; io.EOF ends it.
+// Schedule returns arrivals in order of time. Next returns io.EOF at the end; after any error it is not called again.
 type Schedule interface {
 	Next() (Arrival, error)
 }
@@ -31,7 +31,7 @@
 func NewSchedule(s *scenario.Scenario) (Schedule, error) {
 	m := &mergedStreams{length: s.Length}
 	for i, a := range s.Arrivals {
-		var one Schedule
+		var stream Schedule
 		if a.Shape == scenario.Trace {
 			t, err := OpenTrace(a.File)
 			if err != nil {
@@ -39,11 +39,11 @@
 				return nil, err
 			}
 			t.scenario = s
-			one = t
+			stream = t
 		} else {
-			one = &shapedStream{shape: NewShape(a), groupSize: max(a.Size, 1), gaps: gapSource(a, s.Seed, i)}
+			stream = &shapedStream{shape: NewShape(a), groupSize: max(a.Size, 1), gaps: gapSource(a, s.Seed, i)}
 		}
-		m.streams = append(m.streams, one)
+		m.streams = append(m.streams, stream)
 	}
 	m.next = make([]Arrival, len(m.streams))
 	m.ended = make([]bool, len(m.streams))
@@ -103,13 +103,13 @@
 
 // Close closes the traces that are open.
 func (m *mergedStreams) Close() error {
-	var all []error
+	var failures []error
 	for _, s := range m.streams {
 		if c, ok := s.(io.Closer); ok {
-			all = append(all, c.Close())
+			failures = append(failures, c.Close())
 		}
 	}
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
 // shapedStream is a stream of arrivals by a shape, in groups that arrive at once.
@@ -134,8 +134,8 @@
 	return Arrival{ScheduledAt: time.Duration(math.Round(at * float64(time.Second)))}, nil
 }
 
-// Shape is a rate that changes with time, as the inverse of its integral: TimeOf returns the seconds after which a number of arrivals
-// has come, +Inf if there are never so many. It is exact, so that no error accumulates over a long run.
+// Shape is a rate that changes with time, as the inverse of its integral: TimeOf returns the seconds after which there have been a number
+// of arrivals, +Inf if there are never so many. It is exact, so that no error accumulates over a long run.
 type Shape interface {
 	TimeOf(count float64) float64
 }
@@ -166,10 +166,10 @@
 	return count / float64(c)
 }
 
-// ramp is linear from one rate to another, then constant.
+// ramp is linear from one rate to another within a duration in seconds, then constant.
 type ramp struct{ from, to, duration float64 }
 
-// TimeOf solves from·t + (to-from)·t²/(2·over) = count within the ramp, in the form that is exact for a small slope.
+// TimeOf solves from·t + (to-from)·t²/(2·duration) = count within the ramp, in the form that is exact for a small slope.
 func (r ramp) TimeOf(count float64) float64 {
 	if all := (r.from + r.to) / 2 * r.duration; count > all {
 		return r.duration + constant(r.to).TimeOf(count-all)
@@ -181,7 +181,7 @@
 	return 2 * count / (r.from + math.Sqrt(math.Max(r.from*r.from+2*slope*count, 0)))
 }
 
-// step is one rate, and another from a time on.
+// step is one rate, and another from a time on, in seconds.
 type step struct{ from, to, stepTime float64 }
 
 func (s step) TimeOf(count float64) float64 {
@@ -191,10 +191,10 @@
 	return constant(s.from).TimeOf(count)
 }
 
-// wave is a sine between two rates.
+// wave is a sine between two rates, with a period in seconds.
 type wave struct{ from, to, period float64 }
 
-// TimeOf inverts mean·t - swing·sin(2πt/every)·every/2π, which begins at the lower rate, by bisection: the integral never decreases.
+// TimeOf inverts mean·t - swing·sin(2πt/period)·period/2π, which begins at the lower rate, by bisection: the integral never decreases.
 func (w wave) TimeOf(count float64) float64 {
 	mean, swing := (w.from+w.to)/2, (w.to-w.from)/2
 	if count == 0 {
--- a/internal/rig/arrival/schedule_test.go
+++ b/internal/rig/arrival/schedule_test.go
@@ -16,34 +16,36 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-func all(t *testing.T, s Schedule) (due []time.Duration) {
+// scheduledTimes reads a schedule to its end.
+func scheduledTimes(t *testing.T, s Schedule) (times []time.Duration) {
 	t.Helper()
 	for {
 		a, err := s.Next()
 		if errors.Is(err, io.EOF) {
-			return due
+			return times
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		due = append(due, a.ScheduledAt)
+		times = append(times, a.ScheduledAt)
 	}
 }
 
-func scheduleOf(t *testing.T, length time.Duration, arrivals ...scenario.Arrival) []time.Duration {
+// timesOf are the scheduled times of some streams, merged.
+func timesOf(t *testing.T, length time.Duration, arrivals ...scenario.Arrival) []time.Duration {
 	t.Helper()
 	s, err := NewSchedule(&scenario.Scenario{Length: length, Arrivals: arrivals})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return all(t, s)
+	return scheduledTimes(t, s)
 }
 
-// Each shape brings as many arrivals as its rate adds up to, exactly, also late in a long run.
+// The number of arrivals of each shape is the integral of its rate, exactly, also late in a long run.
 func TestShapesAddUp(t *testing.T) {
 	second := time.Second
-	count := func(due []time.Duration, from, to time.Duration) (n int) {
-		for _, d := range due {
+	count := func(times []time.Duration, from, to time.Duration) (n int) {
+		for _, d := range times {
 			if d >= from && d < to {
 				n++
 			}
@@ -60,16 +62,16 @@
 		{"constant", scenario.Arrival{Shape: scenario.Constant, FromRate: 100}, 10 * second, 3 * second, 4 * second, 100},
 		{"constant, an hour on", scenario.Arrival{Shape: scenario.Constant, FromRate: 30}, time.Hour, 3598 * second, 3599 * second, 30},
 		{"ramp", scenario.Arrival{Shape: scenario.Ramp, FromRate: 0, ToRate: 100, Over: 10 * second}, 20 * second, 0, 10 * second, 500},
-		{"behind a ramp", scenario.Arrival{Shape: scenario.Ramp, FromRate: 0, ToRate: 100, Over: 10 * second}, 20 * second, 12 * second, 13 * second, 100},
+		{"after a ramp", scenario.Arrival{Shape: scenario.Ramp, FromRate: 0, ToRate: 100, Over: 10 * second}, 20 * second, 12 * second, 13 * second, 100},
 		{"ramp down", scenario.Arrival{Shape: scenario.Ramp, FromRate: 100, ToRate: 0, Over: 10 * second}, 10 * second, 0, 5 * second, 375},
 		{"step", scenario.Arrival{Shape: scenario.Step, FromRate: 10, ToRate: 1000, At: 2 * second}, 4 * second, 2 * second, 3 * second, 1000},
 		{"before a step", scenario.Arrival{Shape: scenario.Step, FromRate: 10, ToRate: 1000, At: 2 * second}, 4 * second, 0, 2 * second, 20},
-		{"step from nothing", scenario.Arrival{Shape: scenario.Step, FromRate: 0, ToRate: 50, At: 2 * second}, 4 * second, 0, 4 * second, 100},
-		{"wave, whole periods", scenario.Arrival{Shape: scenario.Wave, FromRate: 50, ToRate: 150, Every: 2 * second}, 4 * second, 0, 4 * second, 400},
+		{"step from zero", scenario.Arrival{Shape: scenario.Step, FromRate: 0, ToRate: 50, At: 2 * second}, 4 * second, 0, 4 * second, 100},
+		{"wave, complete periods", scenario.Arrival{Shape: scenario.Wave, FromRate: 50, ToRate: 150, Every: 2 * second}, 4 * second, 0, 4 * second, 400},
 		{"wave, the upper half", scenario.Arrival{Shape: scenario.Wave, FromRate: 0, ToRate: 200, Every: 2 * second}, 2 * second, 500 * time.Millisecond, 1500 * time.Millisecond, 164},
 		{"bursts", scenario.Arrival{Shape: scenario.Bursts, Size: 7, Every: 300 * time.Millisecond}, second, 0, second, 28},
 	} {
-		got := count(scheduleOf(t, c.length, c.a), c.from, c.to)
+		got := count(timesOf(t, c.length, c.a), c.from, c.to)
 		if got < c.want-1 || got > c.want+1 {
 			t.Errorf("%s: %d arrivals, want %d", c.name, got, c.want)
 		}
@@ -77,35 +79,35 @@
 }
 
 func TestPoissonGapsAreExponential(t *testing.T) {
-	due := scheduleOf(t, 1000*time.Second, scenario.Arrival{Shape: scenario.Constant, FromRate: 20, Poisson: true})
-	if n := float64(len(due)); math.Abs(n-20000) > 4*math.Sqrt(20000) {
+	times := timesOf(t, 1000*time.Second, scenario.Arrival{Shape: scenario.Constant, FromRate: 20, Poisson: true})
+	if n := float64(len(times)); math.Abs(n-20000) > 4*math.Sqrt(20000) {
 		t.Errorf("%v arrivals, want about 20000", n)
 	}
 	longer := 0
-	for i := 1; i < len(due); i++ {
-		if due[i]-due[i-1] > 50*time.Millisecond { // the mean
+	for i := 1; i < len(times); i++ {
+		if times[i]-times[i-1] > 50*time.Millisecond { // the mean
 			longer++
 		}
 	}
-	if part := float64(longer) / float64(len(due)); math.Abs(part-1/math.E) > 0.02 {
-		t.Errorf("%.3f of the gaps are over the mean, want 1/e", part)
+	if fraction := float64(longer) / float64(len(times)); math.Abs(fraction-1/math.E) > 0.02 {
+		t.Errorf("%.3f of the gaps are over the mean, want 1/e", fraction)
 	}
 }
 
-func TestStreamsComeTogetherInOrder(t *testing.T) {
-	due := scheduleOf(t, 10*time.Second, scenario.Arrival{Shape: scenario.Constant, FromRate: 100},
+func TestStreamsAreMergedInOrder(t *testing.T) {
+	times := timesOf(t, 10*time.Second, scenario.Arrival{Shape: scenario.Constant, FromRate: 100},
 		scenario.Arrival{Shape: scenario.Bursts, Size: 50, Every: time.Second})
-	if len(due) != 1500 {
-		t.Errorf("%d arrivals", len(due))
+	if len(times) != 1500 {
+		t.Errorf("%d arrivals", len(times))
 	}
-	for i := 1; i < len(due); i++ {
-		if due[i] < due[i-1] {
-			t.Fatalf("%v comes after %v", due[i], due[i-1])
+	for i := 1; i < len(times); i++ {
+		if times[i] < times[i-1] {
+			t.Fatalf("%v comes after %v", times[i], times[i-1])
 		}
 	}
 }
 
-// Equal due times and a gap of an hour are no errors.
+// Equal times and a gap of an hour are valid.
 func TestTrace(t *testing.T) {
 	text := `{"due_us":1000,"class":"read","tenant":"north","about":"7","wait_us":250000}
 {"due_us":1000}
@@ -116,8 +118,8 @@
 	if err != nil || first != want {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	if due := all(t, tr); len(due) != 2 || due[0] != time.Millisecond || due[1] != time.Hour+time.Millisecond {
-		t.Error(due)
+	if times := scheduledTimes(t, tr); len(times) != 2 || times[0] != time.Millisecond || times[1] != time.Hour+time.Millisecond {
+		t.Error(times)
 	}
 }
 
@@ -148,7 +150,7 @@
 	}
 }
 
-// What a run records plays back as the same arrivals.
+// A trace that was recorded is read as the same arrivals.
 func TestTraceRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t.jsonl")
 	f, err := os.Create(path)
@@ -177,8 +179,8 @@
 	}
 }
 
-// Ten million lines are streamed: what is held does not grow with them.
-func TestLongTraceIsNotHeld(t *testing.T) {
+// Ten million lines are streamed: memory does not grow with them.
+func TestLongTraceIsStreamed(t *testing.T) {
 	lines := 10_000_000
 	if testing.Short() || raceEnabled {
 		lines = 200_000
@@ -211,6 +213,6 @@
 		t.Errorf("%d lines of %d", n, lines)
 	}
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 1<<20 {
-		t.Errorf("%d bytes more are held", grown)
+		t.Errorf("the heap has grown by %d bytes", grown)
 	}
 }
--- a/internal/rig/arrival/trace.go
+++ b/internal/rig/arrival/trace.go
@@ -14,7 +14,7 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// A trace is a text file of JSON objects, one a line, in order of their due times; equal times are allowed:
+// A trace is a text file of JSON objects, one a line, in order of their scheduled times; equal times are valid:
 //
 //	{"due_us":1250000,"class":"permit-lookup","tenant":"kamikawa-motors","about":"77","wait_us":2500000}
 //
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// TraceWriter records arrivals as a trace. It is safe for concurrent use; arrivals must come in order of time, as a
-// Runner hands them out.
+// TraceWriter records arrivals as a trace. It is safe for concurrent use; arrivals must be written in order of time, as
+// load.Runner does.
 type TraceWriter struct {
 	mu     sync.Mutex
 	writer *bufio.Writer
@@ -141,8 +141,8 @@
 func (t *TraceWriter) Write(a Arrival) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	due := a.ScheduledAt.Microseconds()
-	text, err := json.Marshal(traceLine{ScheduledMicros: &due, Class: a.Class, Tenant: a.Tenant, Object: a.Object, PatienceMicros: a.Patience.Microseconds()})
+	micros := a.ScheduledAt.Microseconds()
+	text, err := json.Marshal(traceLine{ScheduledMicros: &micros, Class: a.Class, Tenant: a.Tenant, Object: a.Object, PatienceMicros: a.Patience.Microseconds()})
 	if err == nil {
 		_, err = t.writer.Write(append(text, '\n'))
 	}
@@ -156,7 +156,7 @@
 	return errors.Join(t.err, t.writer.Flush())
 }
 
-// CheckTrace reads a whole trace, and returns its first error.
+// CheckTrace reads a trace to its end, and returns its first error.
 func CheckTrace(path string, s *scenario.Scenario) error {
 	t, err := OpenTrace(path)
 	if err != nil {
--- a/internal/rig/audit/fleet.go
+++ b/internal/rig/audit/fleet.go
@@ -22,6 +22,7 @@
 	return state, since, ok
 }
 
+// leaving reports whether a server in a state gets no new requests.
 func leaving(s State) bool { return s == Draining || s == Removed }
 
 // judgeDrains judges rule 3: each attempt by what its sidecar knew of the server.
@@ -65,7 +66,7 @@
 	return server, state, since, known
 }
 
-// judgeSlowStarts judges rule 4: each incarnation that started cold, by the work that reached it.
+// judgeSlowStarts judges rule 4: each incarnation with a slow start, by the work that arrived at it.
 func (j *judge) judgeSlowStarts() {
 	for _, l := range j.records.Incarnations {
 		if l.SlowStart.Duration <= 0 {
@@ -114,9 +115,9 @@
 		over, end-l.Start)
 }
 
-// mayWait reports whether a call may have waited for a server to the end: one that lost connections may be taken for
-// one that has restarted, hence in its slow start, for as long as a slow start takes; what was sent to a
-// machine behind a partition, or to a server that had just ended, reached no server.
+// mayWait reports whether a call may have waited for a server until its end. A sidecar may take a server that lost connections for
+// one that has restarted, and so is in its slow start, for as long as a slow start takes; an attempt at an isolated machine, or at a
+// server that has just ended, arrives at no server.
 func (j *judge) mayWait(c *Call) bool {
 	return slices.ContainsFunc(j.scenario.Faults, func(f scenario.Fault) bool {
 		switch f.Kind {
--- a/internal/rig/audit/records.go
+++ b/internal/rig/audit/records.go
@@ -60,10 +60,10 @@
 	Cell                         int
 
 	FirstByte   time.Duration // its first byte
-	LastByte    time.Duration // its last byte; Never: it did not come
+	LastByte    time.Duration // its last byte; Never: it did not arrive
 	WorkStarted time.Duration // when work on it began; Never: it did not run
 	End         time.Duration // when the answer was written, or the server gave it up
-	Work        time.Duration // core time it asks for
+	Work        time.Duration // core time that it takes
 
 	KeyKnown bool // it was a repeat without effect
 	NeverRan bool // its answer had the header that says so
@@ -96,7 +96,7 @@
 // Incarnation is one start of a server's process, until its end.
 type Incarnation struct {
 	Server, FirstInstance string
-	Start, End            time.Duration // Start is Never for what ran long before
+	Start, End            time.Duration // Start is Never for one that ran long before
 	SlowStart             scenario.SlowStart
 	CollapsedAt           time.Duration // when it was overloaded in its slow start; Never: it was not
 }
--- a/internal/rig/belief/belief.go
+++ b/internal/rig/belief/belief.go
@@ -1,5 +1,5 @@
-// Package belief checks records of several processes that contend for a lease, by the clock of their machine: no two believed at the
-// same time that they hold it, and the writes that the protected resource admitted are in the order of their tokens. It is pure.
+// Package belief checks the records of several processes that contend for a lease, by the clock of their machine: no two believed at the
+// same time that they hold it, and the writes that the protected resource admitted are in the order of their fencing tokens. It is pure.
 package belief
 
 import (
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Belief is a check of a holder that found, at some moment between From and To, that it holds the lease.
+// Belief is a check by which a holder found, at some moment between From and To, that it holds the lease. The times are of the machine's
+// monotonic clock.
 type Belief struct {
 	Holder   string
 	Token    uint64
@@ -36,11 +37,11 @@
 func Check(beliefs []Belief, writes []Write) (v Verdict) {
 	v.Beliefs, v.Writes = len(beliefs), len(writes)
 	owner := map[uint64]string{}
-	claim := func(token uint64, who, what string) {
-		if o, known := owner[token]; known && o != who {
-			v.Violations = append(v.Violations, fmt.Sprintf("token %d is %s's and %s's (%s)", token, o, who, what))
+	claim := func(token uint64, holder, what string) {
+		if other, known := owner[token]; known && other != holder {
+			v.Violations = append(v.Violations, fmt.Sprintf("token %d is %s's and %s's (%s)", token, other, holder, what))
 		}
-		owner[token] = who
+		owner[token] = holder
 	}
 	slices.SortFunc(beliefs, func(a, b Belief) int { return cmp.Compare(a.From, b.From) })
 	ended := slices.SortedFunc(slices.Values(beliefs), func(a, b Belief) int { return cmp.Compare(a.To, b.To) })
--- a/internal/rig/doc.go
+++ b/internal/rig/doc.go
@@ -1,6 +1,6 @@
 // Package rig describes the rehearsal rig and has no code of its own. The rig answers one question: do the sidecars keep the four
-// rules, and what do clients get, when a fleet has given faults? It is no part of the product: nothing outside internal/rig imports it
-// but the operators' tool and tests.
+// rules, and what do clients get, when a fleet has given faults? It is no part of the product: outside internal/rig only the operators'
+// tool and tests import it.
 //
 // Rehearsals of sidecars:
 //
--- a/internal/rig/engines/arrivals.go
+++ b/internal/rig/engines/arrivals.go
@@ -25,6 +25,7 @@
 	relativeSize float64 // beside its class's mean
 }
 
+// sharedTokens is the number of tokens of the shared parts.
 func (a *arrival) sharedTokens() (tokens int) {
 	for _, p := range a.parts {
 		tokens += p.tokens
@@ -32,6 +33,7 @@
 	return tokens
 }
 
+// promptTokens is the number of tokens of the prompt.
 func (a *arrival) promptTokens() int { return a.sharedTokens() + a.ownTokens }
 
 // draw draws a size.
@@ -53,6 +55,7 @@
 	tokens     []int
 }
 
+// newPartSource draws the tokens of each variant of a part.
 func newPartSource(p PromptPart, r *rand.Rand) partSource {
 	source := partSource{cumulative: make([]float64, p.Variants), tokens: make([]int, p.Variants)}
 	sum := 0.0
@@ -64,6 +67,7 @@
 	return source
 }
 
+// draw draws a variant by the variants' weights.
 func (s partSource) draw(r *rand.Rand) (variant int) {
 	x := r.Float64() * s.cumulative[len(s.cumulative)-1]
 	return min(sort.SearchFloat64s(s.cumulative, x), len(s.cumulative)-1)
--- a/internal/rig/engines/attempt.go
+++ b/internal/rig/engines/attempt.go
@@ -18,7 +18,7 @@
 	over    bool
 }
 
-// arrive has a request come to its server.
+// arrive has the request arrive at its server.
 func (a *attempt) arrive() {
 	if a.over {
 		return
@@ -42,7 +42,7 @@
 	}
 }
 
-// event has an event come to the router, and then to the client.
+// event has an event arrive at the router, and then at the client.
 func (a *attempt) event(n int, last bool) {
 	r, now := a.request, a.request.sim.schedule.now
 	if a.over || r.done || n != r.stream.events {
@@ -64,7 +64,7 @@
 	a.watchStall()
 }
 
-// record adds an event that comes to the client at a time.
+// record adds an event that arrives at the client at a time.
 func (s *streamProgress) record(at time.Duration) {
 	if s.events == 0 {
 		s.firstEventAt = at
@@ -100,7 +100,7 @@
 	}
 }
 
-// fail sends the request to another server where that is allowed; unsent is that it never ran.
+// fail sends the request to another server if that is allowed; unsent means that it never ran.
 func (a *attempt) fail(unsent bool) {
 	r := a.request
 	if a.over || r.done {
--- a/internal/rig/engines/experiment.go
+++ b/internal/rig/engines/experiment.go
@@ -18,7 +18,7 @@
 	HalfInterval float64 `json:"Half"`
 }
 
-// Outcome is what came of one policy: the metrics by name.
+// Outcome is the result of one policy: the metrics by name.
 type Outcome struct {
 	Policy  string
 	Metrics map[string]Estimate `json:"Figures"`
@@ -75,6 +75,7 @@
 	return out
 }
 
+// estimate is the Estimate of some values, one a seed.
 func estimate(values []float64) Estimate {
 	const upperQuantile = 0.975 // of a two-sided interval of 95 %
 	mean, deviation := stat.MeanStdDev(values, nil)
--- a/internal/rig/engines/parse.go
+++ b/internal/rig/engines/parse.go
@@ -65,13 +65,14 @@
 	return &Spec{Distributors: 2, Seeds: 4, Policies: PolicyNames()}
 }
 
-// check is one condition on a field, and what to write where it does not hold.
+// check is one condition on a field, and what to write if it does not hold.
 type check struct {
 	field string
 	ok    bool
 	want  string
 }
 
+// checks are the conditions on all fields.
 func (s *Spec) checks() []check {
 	all := []check{
 		{"length", s.Duration > 0 && s.Duration <= maxLength, "write a time up to 10m, such as 34s"},
@@ -124,6 +125,7 @@
 	maxServers = 10000
 )
 
+// classIndex is the index of the class of a name; -1: there is none.
 func (s *Spec) classIndex(name string) int {
 	return slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == name })
 }
@@ -144,6 +146,7 @@
 	return at
 }
 
+// childNode is the node of a field or of an index; nil: there is none.
 func childNode(n *yaml.Node, name string) *yaml.Node {
 	switch n.Kind {
 	case yaml.SequenceNode:
--- a/internal/rig/engines/policy.go
+++ b/internal/rig/engines/policy.go
@@ -12,7 +12,7 @@
 type policy struct {
 	name      string
 	placement placement.Policy
-	// choose chooses the server of a first attempt instead of the placement, where it is not nil.
+	// choose chooses the server of a first attempt instead of the placement; nil: the placement does.
 	choose func(sim *simulation, r *router, q *request) *server
 	// stallFraction is the fraction of the objective for gaps after which a long answer continues at another server; 0: never.
 	stallFraction float64
@@ -30,6 +30,7 @@
 	return names
 }
 
+// policies are all policies.
 func policies() []policy {
 	now := placement.DefaultPolicy()
 	changed := func(change func(*placement.Policy)) placement.Policy {
--- a/internal/rig/engines/request.go
+++ b/internal/rig/engines/request.go
@@ -34,7 +34,7 @@
 	maxGap       time.Duration
 }
 
-// startRequest has a request come to its router.
+// startRequest schedules a request's arrival at its router, and its deadline.
 func (sim *simulation) startRequest(a *arrival) {
 	class := &sim.spec.Classes[a.class]
 	r := &request{sim: sim, arrival: a, class: class, router: sim.routers[a.router]}
@@ -52,6 +52,7 @@
 	return time.Duration(float64(a.promptTokens()*8) / sim.spec.Network.LinkMbps * float64(time.Microsecond))
 }
 
+// decodeHeavy reports whether most of the work is generating tokens.
 func (r *request) decodeHeavy() bool { return r.placement.DecodeHeavy() }
 
 // send sends a request to a server, or loses it.
@@ -120,6 +121,7 @@
 	r.lose()
 }
 
+// lose ends a request without a complete answer.
 func (r *request) lose() {
 	if !r.done {
 		r.done = true
--- a/internal/rig/engines/schedule.go
+++ b/internal/rig/engines/schedule.go
@@ -12,6 +12,7 @@
 	scheduled int // so far
 }
 
+// entry is a function that runs at a virtual time; sequence orders those of the same time.
 type entry struct {
 	at       time.Duration
 	sequence int
@@ -44,6 +45,7 @@
 	})
 }
 
+// entries is a heap by time, then sequence.
 type entries []entry
 
 // Len implements heap.Interface.
--- a/internal/rig/engines/score.go
+++ b/internal/rig/engines/score.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// classScore is what became of the requests of a class. Values are in the users' units.
+// classScore is the results of the requests of a class. Values are in the users' units.
 type classScore struct {
 	requests, lateFirst, lateGap, lost float64
 
@@ -24,7 +24,7 @@
 // tiny avoids a division by zero.
 const tiny = 1e-9
 
-// score is what came of one simulation.
+// score is the result of one simulation.
 type score struct {
 	spec           *Spec
 	classes        []*classScore
@@ -43,6 +43,7 @@
 	significantDigits = 2
 )
 
+// newScore is the score before the first request.
 func newScore(s *Spec) *score {
 	c := &score{spec: s, arrivals: make([]float64, s.Servers), lastUse: map[uint64]time.Duration{}, windows: map[int]*valueScore{}}
 	for range s.Classes {
@@ -63,6 +64,7 @@
 	return class
 }
 
+// windowLength is the length of the windows of which the worst count.
 const windowLength = 2 * time.Second
 
 // window is the score of the requests that arrived in the same window.
@@ -86,7 +88,7 @@
 
 // The weights of the whole day, the worst windows and the worst class in the users' goal.
 const (
-	dayWeight    = 0.75
+	totalWeight  = 0.75
 	windowWeight = 0.15
 	classWeight  = 0.1
 )
@@ -122,6 +124,7 @@
 // largeSize is the size, beside the mean, from which a request counts among the large ones that are scored by themselves.
 const largeSize = 1.9
 
+// earn adds what a request earned to its class, its window and the large requests.
 func (c *score) earn(class *classScore, r *request, value float64) {
 	class.value.earned += value * r.arrival.relativeSize
 	c.window(r).earned += value * r.arrival.relativeSize
@@ -172,7 +175,7 @@
 	metrics["worth"] = total.fraction()
 	metrics["price"] = price
 	metrics["windows"] = c.worstWindows()
-	metrics["goal"] = dayWeight*total.earned/max(total.possible, tiny) + windowWeight*c.worstWindows() + classWeight*worstClass - price
+	metrics["goal"] = totalWeight*total.earned/max(total.possible, tiny) + windowWeight*c.worstWindows() + classWeight*worstClass - price
 	metrics["read M"] = c.prefillTokens / 1e6
 	metrics["again M"] = c.rereadTokens / 1e6
 	metrics["cross GB"] = c.crossZoneBytes / 1e9
--- a/internal/rig/engines/server.go
+++ b/internal/rig/engines/server.go
@@ -46,6 +46,7 @@
 	onEnd       func(ok bool)
 }
 
+// newServer is an idle server.
 func newServer(s *schedule, e *Engine, index, zone int) *server {
 	return &server{schedule: s, engine: e, index: index, zone: zone, slowFactor: 1, cache: newPrefixCache()}
 }
@@ -247,6 +248,7 @@
 	nextPrivateKey uint64 // of the part that a prompt shares with no other
 }
 
+// cachedPart is one part in the cache.
 type cachedPart struct {
 	key    uint64
 	tokens int
@@ -255,6 +257,7 @@
 // privateKeys marks the keys of parts that are not shared.
 const privateKeys = 1 << 62
 
+// newPrefixCache is an empty cache.
 func newPrefixCache() prefixCache {
 	return prefixCache{parts: map[uint64]*list.Element{}, byUse: list.New()}
 }
@@ -282,6 +285,7 @@
 	}
 }
 
+// add adds a part, or marks it as used.
 func (c *prefixCache) add(key uint64, tokens int) {
 	if c.touch(key) {
 		return
--- a/internal/rig/engines/simulation.go
+++ b/internal/rig/engines/simulation.go
@@ -20,8 +20,8 @@
 	score        *score
 }
 
-// settleTime is how long answers are awaited after the last request.
-const settleTime = 20 * time.Second
+// drainTime is the time after the last request in which answers still count.
+const drainTime = 20 * time.Second
 
 // simulate plays a day's arrivals under a policy, and returns its score.
 func simulate(s *Spec, p policy, list []arrival, seed uint64) *score {
@@ -41,7 +41,7 @@
 		a := &list[i]
 		sim.schedule.at(a.at, func() { sim.startRequest(a) })
 	}
-	sim.schedule.run(s.Duration + settleTime)
+	sim.schedule.run(s.Duration + drainTime)
 	sim.score.finish(sim)
 	return sim.score
 }
@@ -49,8 +49,10 @@
 // serverName is a server's ID; these have no order by index.
 func serverName(i int) string { return fmt.Sprintf("i-%08x", uint32(i)*2654435761) }
 
+// zoneName is a zone's name.
 func zoneName(i int) string { return fmt.Sprint("zone-", i) }
 
+// addRouter adds router i, with its view of all servers, to a distributor of its zone.
 func (sim *simulation) addRouter(i int) {
 	r := &router{sim: sim, index: i, zone: i % sim.spec.Zones}
 	r.distributor = sim.distributors[r.zone+sim.spec.Zones*(i/sim.spec.Zones%sim.spec.Distributors)]
--- a/internal/rig/loopback/loopback_test.go
+++ b/internal/rig/loopback/loopback_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A machine that is cut off is neither refused nor heard, until it is back.
-func TestSilentMachineOnLoopback(t *testing.T) {
+// An isolated machine neither sends nor accepts nor refuses anything until it is restored.
+func TestIsolatedMachine(t *testing.T) {
 	n := New()
 	ln, err := n.Listen("127.0.0.1:0")
 	if err != nil {
@@ -43,20 +43,20 @@
 	defer client2.Close()
 	server2 := <-accepted
 	n.Isolate(addr)
-	server2.Close() // nobody hears of it yet
+	server2.Close() // the peer does not learn of it yet
 	client2.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := client2.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("what a silent machine closes is heard of: %v", err)
+		t.Errorf("the peer learned of a close of an isolated machine: %v", err)
 	}
 	server.Write([]byte("x"))
 	client.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a silent machine spoke: %v", err)
+		t.Errorf("bytes of an isolated machine arrived: %v", err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	if _, err := n.Dial(ctx, "tcp", addr); err == nil || errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a silent machine answered: %v", err)
+		t.Errorf("an isolated machine answered: %v", err)
 	}
 	n.Restore(addr)
 	client.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -65,11 +65,11 @@
 	}
 	client2.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := client2.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("what it closed is not reset: %v", err)
+		t.Errorf("a connection that it closed meanwhile is not reset: %v", err)
 	}
 	again, err := n.Dial(t.Context(), "tcp", addr)
 	if err != nil {
-		t.Fatalf("it is not back: %v", err)
+		t.Fatalf("it is not restored: %v", err)
 	}
 	again.Close()
 }
--- a/internal/rig/memnet/conn.go
+++ b/internal/rig/memnet/conn.go
@@ -19,13 +19,13 @@
 	isolated bool // a machine was isolated: nothing arrives any more
 }
 
-func (w *connState) isIsolated() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.isolated
+func (s *connState) isIsolated() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.isolated
 }
 
-// Conn is one side of a connection.
+// Conn is one side of a connection. It is a net.Conn, and safe for concurrent use as one.
 type Conn struct {
 	network       *Network
 	state         *connState
@@ -51,7 +51,7 @@
 	data      []byte
 }
 
-// hasArrived reports whether a time is set and has come.
+// hasArrived reports whether a time is set and not after now.
 func hasArrived(at, now time.Time) bool { return !at.IsZero() && !at.After(now) }
 
 // awaitChange waits for a change, or for the earliest of the times in the future. The caller holds state.mu.
@@ -129,10 +129,10 @@
 			c.resetAt(now.Add(2 * delay))
 			return len(p), nil
 		case to.buffered < maxBuffered:
-			due := notBefore(now.Add(delay), to.lastArrival)
-			to.segments = append(to.segments, segment{arrivesAt: due, data: append([]byte(nil), p...)})
+			arrivesAt := notBefore(now.Add(delay), to.lastArrival)
+			to.segments = append(to.segments, segment{arrivesAt: arrivesAt, data: append([]byte(nil), p...)})
 			to.buffered += len(p)
-			to.lastArrival = due
+			to.lastArrival = arrivesAt
 			c.state.changed.Broadcast()
 			return len(p), nil
 		}
@@ -212,6 +212,7 @@
 	return nil
 }
 
+// isClosed reports whether this side has been closed.
 func (c *Conn) isClosed() bool {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
--- a/internal/rig/memnet/memnet_test.go
+++ b/internal/rig/memnet/memnet_test.go
@@ -32,14 +32,15 @@
 	return n, client, server
 }
 
+// bubble runs a subtest in virtual time.
 func bubble(t *testing.T, name string, f func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
 }
 
-// What the sidecar concludes from the end of a connection rests on these.
+// Connections end as those of TCP do: the sidecar draws conclusions from that.
 func TestEndsAreThoseOfTCP(t *testing.T) {
 	buf := make([]byte, 16)
-	bubble(t, "close: the rest, then the end", func(t *testing.T) {
+	bubble(t, "close: the remaining bytes, then the end of file", func(t *testing.T) {
 		_, client, server := connected(t)
 		client.Write([]byte("hi"))
 		client.Close()
@@ -87,14 +88,14 @@
 			t.Error(err)
 		}
 	})
-	bubble(t, "nobody listens: refused", func(t *testing.T) {
+	bubble(t, "no listener: refused", func(t *testing.T) {
 		if _, err := New(latency).Dial(t.Context(), "tcp", "127.0.0.1:9"); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Error(err)
 		}
 	})
 }
 
-func TestDeadlinesAndRoom(t *testing.T) {
+func TestDeadlinesAndBuffers(t *testing.T) {
 	bubble(t, "a read waits no longer than its deadline", func(t *testing.T) {
 		_, client, _ := connected(t)
 		began := time.Now()
@@ -123,7 +124,7 @@
 			t.Error(err)
 		}
 	})
-	bubble(t, "what has arrived is not quiet", func(t *testing.T) {
+	bubble(t, "a connection with unread bytes is not quiet", func(t *testing.T) {
 		_, client, server := connected(t)
 		if !server.(*Conn).Quiet() {
 			t.Error("not quiet at first")
@@ -140,8 +141,8 @@
 	})
 }
 
-// What a machine closes while it is cut off is heard of when it is back.
-func TestClosedWhileSilent(t *testing.T) {
+// The peer of an isolated machine learns of a close when the machine is restored.
+func TestCloseDuringIsolation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, client, server := connected(t)
 		addr := client.RemoteAddr().String()
@@ -149,7 +150,7 @@
 		server.Close()
 		client.SetReadDeadline(time.Now().Add(time.Minute))
 		if _, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Error("heard of too early:", err)
+			t.Error("the peer learned of it too early:", err)
 		}
 		client.SetReadDeadline(time.Time{})
 		n.Restore(addr)
@@ -159,8 +160,8 @@
 	})
 }
 
-// A machine that is cut off says nothing; when it is back, its old connections are reset.
-func TestSilentMachine(t *testing.T) {
+// An isolated machine sends and accepts nothing; when it is restored, its old connections are reset.
+func TestIsolatedMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, client, server := connected(t)
 		addr := client.RemoteAddr().String()
@@ -169,12 +170,12 @@
 		server.Write([]byte("hi"))
 		client.SetReadDeadline(time.Now().Add(time.Minute))
 		if _, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Error("a silent machine spoke:", err)
+			t.Error("bytes of an isolated machine arrived:", err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, err := n.Dial(ctx, "tcp", addr); !errors.Is(err, context.DeadlineExceeded) {
-			t.Error("a silent machine was dialled:", err)
+			t.Error("a connection to an isolated machine:", err)
 		}
 		client.SetReadDeadline(time.Time{})
 		n.Restore(addr)
@@ -184,7 +185,7 @@
 		client.Close()
 		server.Close()
 		if n.Open() != 0 {
-			t.Error("connections stay in the books:", n.Open())
+			t.Error("connections are still counted as open:", n.Open())
 		}
 	})
 }
--- a/internal/rig/memnet/network.go
+++ b/internal/rig/memnet/network.go
@@ -83,14 +83,14 @@
 		return opError(err)
 	}
 	n.mu.Lock()
-	back := n.isolated[at.String()]
+	restored := n.isolated[at.String()]
 	l := n.listeners[at.String()]
 	n.mu.Unlock()
-	if back != nil {
+	if restored != nil {
 		select {
 		case <-ctx.Done():
 			return opError(ctx.Err())
-		case <-back:
+		case <-restored:
 			return opError(syscall.ECONNRESET)
 		}
 	}
@@ -130,10 +130,10 @@
 	defer n.mu.Unlock()
 	n.lastPort++
 	from := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: n.lastPort}
-	w := &connState{}
-	w.changed.L = &w.mu
-	client = &Conn{network: n, state: w, local: from, remote: at}
-	server = &Conn{network: n, state: w, local: at, remote: from}
+	state := &connState{}
+	state.changed.L = &state.mu
+	client = &Conn{network: n, state: state, local: from, remote: at}
+	server = &Conn{network: n, state: state, local: at, remote: from}
 	client.peer, server.peer = server, client
 	n.conns[server] = at.String()
 	return client, server
@@ -158,8 +158,8 @@
 // Restore ends an Isolate. Connections that were open during it are reset.
 func (n *Network) Restore(addr string) {
 	n.mu.Lock()
-	if back := n.isolated[addr]; back != nil {
-		close(back)
+	if restored := n.isolated[addr]; restored != nil {
+		close(restored)
 		delete(n.isolated, addr)
 	}
 	var isolated []*Conn
--- a/internal/rig/usage/usage_test.go
+++ b/internal/rig/usage/usage_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What this process takes is seen, and grows with what it does.
+// The usage of this process is measured, and grows with what it uses.
 func TestOf(t *testing.T) {
 	before, err := Of(os.Getpid())
 	if err != nil {
@@ -17,9 +17,9 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	room := make([]byte, 64<<20)
-	for i := range room {
-		room[i] = byte(i)
+	memory := make([]byte, 64<<20)
+	for i := range memory {
+		memory[i] = byte(i)
 	}
 	after, err := Of(os.Getpid())
 	if err != nil {
@@ -30,12 +30,12 @@
 		t.Errorf("%+v, was %+v", after, before)
 	}
 	resident, err := Resident(os.Getpid())
-	all, err2 := MachineMemory()
-	if err != nil || err2 != nil || resident < int64(len(room)) || all <= resident {
-		t.Errorf("%d of %d: %v, %v", resident, all, err, err2)
+	total, err2 := MachineMemory()
+	if err != nil || err2 != nil || resident < int64(len(memory)) || total <= resident {
+		t.Errorf("%d of %d: %v, %v", resident, total, err, err2)
 	}
 	if _, err := Of(1 << 30); err == nil {
-		t.Error("what no process takes is seen")
+		t.Error("the usage of a process that does not exist is measured")
 	}
 	if _, err := readKilobytes([]byte("VmRSS:\t none\n"), "VmRSS:"); err == nil {
 		t.Error("a line without a number is read")
