--- a/internal/rig/chain/discovery.go
+++ b/internal/rig/chain/discovery.go
@@ -4,19 +4,9 @@
 	"encoding/json"
 	"net/http"
 	"time"
-)
 
-// member is one entry of discovery's list.
-type member struct {
-	ID        string  `json:"instanceId"`
-	HostPort  string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"machineType"`
-	Cell      int     `json:"cell"`
-	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
-	StartedAt int64   `json:"startedAtMs"`
-}
+	"petrelhook/internal/rig/standin"
+)
 
 // heartbeat is the interval of empty lines to a subscriber.
 const heartbeat = 2 * time.Second
@@ -28,8 +18,8 @@
 }
 
 // startDiscovery starts a discovery of these members.
-func startDiscovery(members []member) (*discovery, error) {
-	list, err := json.Marshal(map[string]any{"generation": 1, "reset": true, "instances": members})
+func startDiscovery(members []standin.Member) (*discovery, error) {
+	list, err := json.Marshal(standin.Message{Generation: 1, Reset: true, Instances: members})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rig/chain/level.go
+++ b/internal/rig/chain/level.go
@@ -12,7 +12,9 @@
 	"sync/atomic"
 	"time"
 
+	"petrelhook/internal/rig/audit"
 	"petrelhook/internal/rig/scenario"
+	"petrelhook/internal/rig/standin"
 )
 
 // idleTimeout is the time after which a server closes an idle connection.
@@ -66,7 +68,7 @@
 
 // listen starts the servers and their discovery.
 func (l *level) listen() error {
-	var members []member
+	var members []standin.Member
 	for i := range l.cfg.Servers {
 		name := fmt.Sprintf("l%d-s%d", l.depth, i)
 		p, err := serveAt(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { l.serve(name, w, r) }))
@@ -74,7 +76,7 @@
 			return err
 		}
 		l.servers, l.addrs = append(l.servers, p), append(l.addrs, p.addr)
-		members = append(members, member{ID: name, HostPort: p.addr, Zone: "a", Kind: "std", Lifecycle: "up", Weight: 1})
+		members = append(members, standin.Member{ID: name, HostPort: p.addr, Zone: "a", Kind: "std", Lifecycle: audit.Up, Weight: 1})
 	}
 	var err error
 	l.discovery, err = startDiscovery(members)
--- a/internal/rig/scenario/parse.go
+++ b/internal/rig/scenario/parse.go
@@ -160,6 +160,7 @@
 	return l.Err
 }
 
+// seed reads "seed NUMBER".
 func (p *parser) seed(l *statement.Line) error {
 	v := l.NextWord("a number")
 	n, err := strconv.ParseUint(v, 10, 64)
@@ -170,6 +171,7 @@
 	return l.Finish()
 }
 
+// sidecars reads "sidecars COUNT [options]".
 func (p *parser) sidecars(l *statement.Line) error {
 	s := &p.scenario.Sidecars
 	s.Count = l.ParseInteger("sidecars", l.NextWord("a number"), 0, 1000)
@@ -179,6 +181,7 @@
 	return l.Finish("cores", "memory (MB)", "sockets")
 }
 
+// rules reads "rules [options]".
 func (p *parser) rules(l *statement.Line) error {
 	r := &p.scenario.Rules
 	l.Duration("drain-grace", &r.DrainGrace)
@@ -191,6 +194,7 @@
 	return l.Finish("drain-grace", "cold-from", "cold-time", "fall-multiple", "fall-time", "ask-within", "slack")
 }
 
+// limits reads "limits [options]".
 func (p *parser) limits(l *statement.Line) error {
 	m := &p.scenario.Limits
 	l.Integer("attempts", &m.MaxAttempts, 1, 100)
@@ -203,6 +207,7 @@
 	return l.Finish("attempts", "connect", "idle", "retry-after", "probes", "parallel", "reports")
 }
 
+// fleet reads "fleet COUNT [options]", which adds servers.
 func (p *parser) fleet(l *statement.Line) error {
 	n := l.ParseInteger("fleet", l.NextWord("a number of servers"), 1, 10000)
 	server := Server{Zone: "a", Kind: "std", Cores: 2, Speed: 1, Queue: 64, Line: l.LineNumber}
@@ -225,6 +230,7 @@
 	return l.Finish("zone", "kind", "cells", "cores", "speed", "queue")
 }
 
+// class reads "class NAME [options]".
 func (p *parser) class(l *statement.Line) error {
 	c := Class{Name: l.NextWord("a name"), Share: 1, Effect: Safe, Group: GroupAll, Value: 1, Line: l.LineNumber}
 	if p.scenario.Class(c.Name) >= 0 {
@@ -267,6 +273,7 @@
 	return l.Err
 }
 
+// clients reads "clients [options]".
 func (p *parser) clients(l *statement.Line) error {
 	c := &p.scenario.Clients
 	if v, ok := l.Option("patience"); ok {
@@ -285,6 +292,7 @@
 	return l.Finish("patience", "retries", "wait", "obey", "marks", "keys", "skew")
 }
 
+// arrive reads "arrive SHAPE [amount] [options]".
 func (p *parser) arrive(l *statement.Line) error {
 	a := Arrival{Line: l.LineNumber}
 	shape := l.NextWord("a shape")
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -11,8 +11,8 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// member is one entry of discovery's list.
-type member struct {
+// Member is one entry of discovery's list, in the platform's form.
+type Member struct {
 	ID        string      `json:"instanceId"`
 	HostPort  string      `json:"hostPort"`
 	Zone      string      `json:"zone"`
@@ -23,11 +23,12 @@
 	StartedAt int64       `json:"startedAtMs"`
 }
 
-// message is one answer of discovery, or one line of a watch.
-type message struct {
+// Message is one answer of discovery, or one line of a watch: with Reset the complete list of a generation, else what has changed since
+// the one that the caller named.
+type Message struct {
 	Generation int      `json:"generation"`
 	Reset      bool     `json:"reset"`
-	Instances  []member `json:"instances"`
+	Instances  []Member `json:"instances"`
 }
 
 // heartbeat is the interval of empty lines on a watch without changes.
@@ -39,8 +40,8 @@
 	addresses []string
 
 	mu            sync.Mutex
-	members       []member // without those that are removed
-	history       []member // every change; generation n is the list after the first n-1 of them
+	members       []Member // without those that are removed
+	history       []Member // every change; generation n is the list after the first n-1 of them
 	changed       chan struct{}
 	stalls        int
 	delay         time.Duration
@@ -58,7 +59,7 @@
 }
 
 // newDiscovery is a discovery whose list of generation 1 is first.
-func newDiscovery(f *Fleet, first []member) *discovery {
+func newDiscovery(f *Fleet, first []Member) *discovery {
 	return &discovery{
 		fleet: f, members: first, changed: make(chan struct{}), delay: f.scenario.Discovery.Delay,
 		pending: map[*time.Timer]struct{}{}, servers: map[int]*http.Server{}, sent: map[sidecarServer]audit.State{},
@@ -141,7 +142,7 @@
 // send writes what changed after a generation, or the complete list, and returns the generation that was sent.
 func (d *discovery) send(sidecar int, w http.ResponseWriter, after int) int {
 	d.mu.Lock()
-	m := message{Generation: len(d.history) + 1, Reset: after < 1 || after > len(d.history)+1, Instances: []member{}}
+	m := Message{Generation: len(d.history) + 1, Reset: after < 1 || after > len(d.history)+1, Instances: []Member{}}
 	if m.Reset {
 		m.Instances = append(m.Instances, d.members...)
 	} else {
@@ -162,7 +163,7 @@
 }
 
 // recordSent records what a sidecar was sent. It is called when that was written: what could not be written counts as unknown to the sidecar.
-func (d *discovery) recordSent(sidecar int, m message) {
+func (d *discovery) recordSent(sidecar int, m Message) {
 	now := d.fleet.now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -194,7 +195,7 @@
 }
 
 // containsID reports whether a list has the server of an ID.
-func containsID(list []member, id string) bool {
+func containsID(list []Member, id string) bool {
 	for _, m := range list {
 		if m.ID == id {
 			return true
@@ -204,7 +205,7 @@
 }
 
 // change accepts a server's new state, which is published after the delay.
-func (d *discovery) change(m member) {
+func (d *discovery) change(m Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	publishAt := time.Now().Add(d.delay)
@@ -228,7 +229,7 @@
 }
 
 // publish puts a change on the list. The caller holds mu.
-func (d *discovery) publish(m member) {
+func (d *discovery) publish(m Member) {
 	members := d.members[:0:0]
 	for _, old := range d.members {
 		if old.ID != m.ID {
@@ -251,7 +252,7 @@
 // knownList is the list as a sidecar may know it from an earlier process.
 func (d *discovery) knownList(sidecar int) []byte {
 	d.mu.Lock()
-	m := message{Generation: len(d.history) + 1, Reset: true, Instances: append([]member{}, d.members...)}
+	m := Message{Generation: len(d.history) + 1, Reset: true, Instances: append([]Member{}, d.members...)}
 	d.mu.Unlock()
 	d.recordSent(sidecar, m)
 	text, err := json.Marshal(m)
--- a/internal/rig/standin/fleet.go
+++ b/internal/rig/standin/fleet.go
@@ -52,7 +52,7 @@
 			return nil, fmt.Errorf("server %s: %w", def.Name, err)
 		}
 	}
-	var first []member
+	var first []Member
 	for _, srv := range f.servers {
 		first = append(first, srv.member(audit.Up, 0))
 	}
--- a/internal/rig/standin/server.go
+++ b/internal/rig/standin/server.go
@@ -160,14 +160,14 @@
 }
 
 // member is the entry of discovery's list for the present instance.
-func (s *server) member(state audit.State, started int64) member {
+func (s *server) member(state audit.State, started int64) Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := s.def.Name
 	if s.process != nil {
 		name = s.process.name
 	}
-	return member{
+	return Member{
 		ID: name, HostPort: s.addr, Zone: s.def.Zone, Kind: s.def.Kind, Cell: s.def.Cell,
 		Lifecycle: state, Weight: float64(s.def.Cores) * s.def.Speed, StartedAt: started,
 	}
--- a/internal/rig/standin/standin_test.go
+++ b/internal/rig/standin/standin_test.go
@@ -298,7 +298,7 @@
 }
 
 // next returns the next message; ok is false if the subscription has ended.
-func (w watcher) next(t *testing.T) (m message, ok bool) {
+func (w watcher) next(t *testing.T) (m Message, ok bool) {
 	for w.lines.Scan() {
 		if len(w.lines.Bytes()) == 0 {
 			continue
