--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -11,8 +11,8 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// member is one entry of discovery's list.
-type member struct {
+// Member is one entry of discovery's list, in the platform's form.
+type Member struct {
 	ID        string      `json:"instanceId"`
 	HostPort  string      `json:"hostPort"`
 	Zone      string      `json:"zone"`
@@ -23,11 +23,12 @@
 	StartedAt int64       `json:"startedAtMs"`
 }
 
-// message is one answer of discovery, or one line of a watch.
-type message struct {
+// Message is one answer of discovery, or one line of a watch: with Reset the complete list of a generation, else what has changed since
+// the one that the caller named.
+type Message struct {
 	Generation int      `json:"generation"`
 	Reset      bool     `json:"reset"`
-	Instances  []member `json:"instances"`
+	Instances  []Member `json:"instances"`
 }
 
 // heartbeat is the interval of empty lines on a watch without changes.
@@ -39,10 +40,10 @@
 	addresses []string
 
 	mu            sync.Mutex
-	members       []member // without those that are removed
-	history       []member // every change; generation n is the list after the first n-1 of them
+	members       []Member // without those that are removed
+	history       []Member // every change; generation n is the list after the first n-1 of them
 	changed       chan struct{}
-	silences      int
+	stalls        int
 	delay         time.Duration
 	lastPublishAt time.Time // when the last change that is delayed will be published
 	pending       map[*time.Timer]struct{}
@@ -51,12 +52,14 @@
 	finished      bool
 }
 
+// sidecarServer is a server as a sidecar knows it.
 type sidecarServer struct {
 	sidecar int
 	server  string
 }
 
-func newDiscovery(f *Fleet, first []member) *discovery {
+// newDiscovery is a discovery whose list of generation 1 is first.
+func newDiscovery(f *Fleet, first []Member) *discovery {
 	return &discovery{
 		fleet: f, members: first, changed: make(chan struct{}), delay: f.scenario.Discovery.Delay,
 		pending: map[*time.Timer]struct{}{}, servers: map[int]*http.Server{}, sent: map[sidecarServer]audit.State{},
@@ -86,8 +89,9 @@
 	return nil
 }
 
+// serve answers a request for the list, or a subscription, of a sidecar.
 func (d *discovery) serve(sidecar int, w http.ResponseWriter, r *http.Request) {
-	if !d.waitWhileSilent(r) {
+	if !d.waitWhileStalled(r) {
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
@@ -112,19 +116,19 @@
 			w.Write([]byte("\n"))
 			_ = http.NewResponseController(w).Flush()
 		}
-		if !d.waitWhileSilent(r) {
+		if !d.waitWhileStalled(r) {
 			return
 		}
 	}
 }
 
-// waitWhileSilent waits while a fault silences discovery; false: the caller has hung up.
-func (d *discovery) waitWhileSilent(r *http.Request) bool {
+// waitWhileStalled waits while a fault stalls discovery; false: the caller has hung up.
+func (d *discovery) waitWhileStalled(r *http.Request) bool {
 	for {
 		d.mu.Lock()
-		silent, changed := d.silences > 0, d.changed
+		stalled, changed := d.stalls > 0, d.changed
 		d.mu.Unlock()
-		if !silent {
+		if !stalled {
 			return r.Context().Err() == nil
 		}
 		select {
@@ -138,7 +142,7 @@
 // send writes what changed after a generation, or the complete list, and returns the generation that was sent.
 func (d *discovery) send(sidecar int, w http.ResponseWriter, after int) int {
 	d.mu.Lock()
-	m := message{Generation: len(d.history) + 1, Reset: after < 1 || after > len(d.history)+1, Instances: []member{}}
+	m := Message{Generation: len(d.history) + 1, Reset: after < 1 || after > len(d.history)+1, Instances: []Member{}}
 	if m.Reset {
 		m.Instances = append(m.Instances, d.members...)
 	} else {
@@ -158,8 +162,8 @@
 	return m.Generation
 }
 
-// recordSent records what a sidecar was sent. It is called when that was written: what could not be written counts as unknown to it.
-func (d *discovery) recordSent(sidecar int, m message) {
+// recordSent records what a sidecar was sent. It is called when that was written: what could not be written counts as unknown to the sidecar.
+func (d *discovery) recordSent(sidecar int, m Message) {
 	now := d.fleet.now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -190,7 +194,8 @@
 	}
 }
 
-func containsID(list []member, id string) bool {
+// containsID reports whether a list has the server of an ID.
+func containsID(list []Member, id string) bool {
 	for _, m := range list {
 		if m.ID == id {
 			return true
@@ -200,7 +205,7 @@
 }
 
 // change accepts a server's new state, which is published after the delay.
-func (d *discovery) change(m member) {
+func (d *discovery) change(m Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	publishAt := time.Now().Add(d.delay)
@@ -224,7 +229,7 @@
 }
 
 // publish puts a change on the list. The caller holds mu.
-func (d *discovery) publish(m member) {
+func (d *discovery) publish(m Member) {
 	members := d.members[:0:0]
 	for _, old := range d.members {
 		if old.ID != m.ID {
@@ -247,7 +252,7 @@
 // knownList is the list as a sidecar may know it from an earlier process.
 func (d *discovery) knownList(sidecar int) []byte {
 	d.mu.Lock()
-	m := message{Generation: len(d.history) + 1, Reset: true, Instances: append([]member{}, d.members...)}
+	m := Message{Generation: len(d.history) + 1, Reset: true, Instances: append([]Member{}, d.members...)}
 	d.mu.Unlock()
 	d.recordSent(sidecar, m)
 	text, err := json.Marshal(m)
@@ -272,8 +277,8 @@
 			return nil
 		}
 	case scenario.DiscoveryStall:
-		begin = func() error { d.addSilence(1); return nil }
-		end = func() error { d.addSilence(-1); return nil }
+		begin = func() error { d.addStall(1); return nil }
+		end = func() error { d.addStall(-1); return nil }
 	case scenario.DiscoveryDelay:
 		begin = func() error { d.addDelay(fault.Delay); return nil }
 		end = func() error { d.addDelay(-fault.Delay); return nil }
@@ -281,13 +286,15 @@
 	return []event{{fault.At, begin}, {fault.At + fault.Duration, end}}
 }
 
-func (d *discovery) addSilence(n int) {
+// addStall changes the number of active faults that stall discovery.
+func (d *discovery) addStall(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silences += n
+	d.stalls += n
 	d.notifyWatchers()
 }
 
+// addDelay changes the delay of announcements.
 func (d *discovery) addDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -305,6 +312,7 @@
 	}
 }
 
+// close ends discovery for good: changes that are delayed are not published any more.
 func (d *discovery) close() {
 	d.stop()
 	d.mu.Lock()
