--- a/cmd/petrelhookctl/chain.go
+++ b/cmd/petrelhookctl/chain.go
@@ -28,11 +28,11 @@
 	}}
 	cmd := &cobra.Command{
 		Use:   "chain [--added] [--fail]",
-		Short: "Measure what sidecars add to a call, and what repeats do over a depth of calls",
+		Short: "Measure what sidecars add to a call, and how retries multiply over a chain of calls",
 		Long: "Starts chains of real sidecars with stand-in applications between them, on loopback, and sends load on\n" +
 			"schedule. Latency counts from when a call was due.\n\n" +
-			"  --added  p50 and p99 with and without sidecars, where nothing fails; what the sidecars' processes take\n" +
-			"  --fail   attempts at the leaf for a call at the top, where a part of the leaf's requests fails\n\n" +
+			"  --added  p50 and p99 with and without sidecars, where nothing fails; what the sidecars' processes use\n" +
+			"  --fail   attempts at the leaf for a call at the top, if a fraction of the leaf's requests fails\n\n" +
 			"Without either, both.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
@@ -45,22 +45,22 @@
 	f, s := cmd.Flags(), o.study
 	f.StringVar(&o.bin, "bin", "", "`FOLDER` of petrelhook (default: that of this program)")
 	f.StringVar(&o.output, "output", outputText, "form of the report: text or json")
-	f.BoolVar(&o.onlyAdded, "added", false, "only what sidecars add, and --fail where it is given too")
-	f.BoolVar(&o.onlyFail, "fail", false, "only what repeats do, and --added where it is given too")
-	f.IntSliceVar(&s.FailDepths, "depths", s.FailDepths, "sidecars in a row, where a part fails")
-	f.Float64SliceVar(&s.FailFractions, "parts", s.FailFractions, "parts of the leaf's requests that fail")
+	f.BoolVar(&o.onlyAdded, "added", false, "measure the added latency alone, or with --fail both")
+	f.BoolVar(&o.onlyFail, "fail", false, "measure the retries alone, or with --added both")
+	f.IntSliceVar(&s.FailDepths, "depths", s.FailDepths, "depths of the chains with failures, in sidecars")
+	f.Float64SliceVar(&s.FailFractions, "parts", s.FailFractions, "fractions of the leaf's requests that fail")
 	f.Float64SliceVar(&s.Rates, "rates", s.Rates, "calls a second at which one sidecar is measured")
-	f.IntSliceVar(&s.ChainDepths, "chains", s.ChainDepths, "sidecars in a row, where nothing fails, at the first of the rates")
-	f.Float64Var(&s.Rate, "rate", 80, "calls a second where a part fails")
-	f.Float64Var(&s.UnsafeFraction, "unsafe", 0.5, "part of the calls that are unsafe to repeat")
+	f.IntSliceVar(&s.ChainDepths, "chains", s.ChainDepths, "depths of the chains without failures, in sidecars, at the first of the rates")
+	f.Float64Var(&s.Rate, "rate", 80, "calls a second in chains with failures")
+	f.Float64Var(&s.UnsafeFraction, "unsafe", 0.5, "fraction of the calls that are not idempotent")
 	f.DurationVar(&s.Length, "length", 10*time.Second, "of the load of each run")
-	f.DurationVar(&s.LatencyTarget, "aim", 500*time.Millisecond, "time in which an answer earns its full worth")
-	f.DurationVar(&s.Deadline, "deadline", 2*time.Second, "time that a call at the top has; what is left is passed on")
-	f.DurationVar(&s.Work, "work", 0, "time that the leaf takes for each request")
-	f.IntVar(&s.Servers, "servers", 3, "servers a level")
+	f.DurationVar(&s.LatencyTarget, "aim", 500*time.Millisecond, "latency target: until then an answer has its full value")
+	f.DurationVar(&s.Deadline, "deadline", 2*time.Second, "deadline of a call at the top; the rest of it is passed on")
+	f.DurationVar(&s.Work, "work", 0, "service time of the leaf")
+	f.IntVar(&s.Servers, "servers", 3, "servers per level")
 	f.StringVar(&o.pass, "pass", string(chain.PassStatus),
-		"what an application says of a call not served: status (the same), marked (a refusal as never run), error (500)")
-	f.Uint64Var(&s.Seed, "seed", 1, "of all that is drawn")
+		"what an application answers for a call that was not served: status (the same), marked (a rejection marked as not executed), error (500)")
+	f.Uint64Var(&s.Seed, "seed", 1, "seed of all random draws")
 }
 
 // run checks the flags, runs the studies and writes the report.
--- a/cmd/petrelhookctl/coordinators.go
+++ b/cmd/petrelhookctl/coordinators.go
@@ -29,7 +29,7 @@
 	}
 	cmd.PersistentFlags().StringSliceVar(&a.addrs, "addrs", addrs, "`HOST:PORT,...` of the coordinators; else $PETRELFLEET_ADDRS")
 	cmd.PersistentFlags().StringVar(&a.output, "output", outputText, "text or json")
-	cmd.PersistentFlags().DurationVar(&a.timeout, "within", 10*time.Second, "how long an answer may take")
+	cmd.PersistentFlags().DurationVar(&a.timeout, "within", 10*time.Second, "time-out of a call")
 }
 
 // operator checks the flags, and returns the client of the coordinators.
--- a/cmd/petrelhookctl/experiment.go
+++ b/cmd/petrelhookctl/experiment.go
@@ -20,9 +20,9 @@
 	cmd := &cobra.Command{
 		Use: "experiment FILE", Args: cobra.ExactArgs(1),
 		Short: "Routing policies side by side before model servers, in virtual time",
-		Long: "Plays a day of a file under several policies, on the same arrivals and many seeds, and prints worth by class, late\n" +
+		Long: "Simulates a day of a file under several policies, on the same arrivals and many seeds, and prints value by class, late\n" +
 			"requests and why, tokens read again and the busiest server, with intervals. docs/operate/experiments.md explains\n" +
-			"the file and the figures. 0: it was played; 1: the file is bad.",
+			"the file and the figures. 0: it was simulated; 1: the file is bad.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := checkOutput(output, outputText, outputJSON); err != nil {
 				return err
@@ -41,13 +41,13 @@
 			if len(routers) == 0 {
 				routers = []int{spec.Routers}
 			}
-			return playSizes(cmd, spec, routers, output)
+			return simulateSizes(cmd, spec, routers, output)
 		},
 	}
 	cmd.Flags().StringVar(&output, "output", outputText, "text or json")
 	cmd.Flags().IntVar(&seeds, "seeds", 0, "how many seeds, in place of the file's")
 	cmd.Flags().StringSliceVar(&policies, "policies", nil, "policies by name, in place of the file's")
-	cmd.Flags().IntSliceVar(&routers, "routers", nil, "numbers of routers to play; servers and requests grow with them")
+	cmd.Flags().IntSliceVar(&routers, "routers", nil, "numbers of routers to simulate; servers and requests grow with them")
 	return cmd
 }
 
@@ -65,7 +65,8 @@
 	return nil
 }
 
-func playSizes(cmd *cobra.Command, spec *engines.Spec, routers []int, output string) error {
+// simulateSizes simulates each size and writes the report.
+func simulateSizes(cmd *cobra.Command, spec *engines.Spec, routers []int, output string) error {
 	var reports []engines.Report
 	for _, n := range routers {
 		if n < spec.Zones || n > maxExperimentRouters {
--- a/cmd/petrelhookctl/fleet.go
+++ b/cmd/petrelhookctl/fleet.go
@@ -20,7 +20,7 @@
 
 func fleetCommand() *cobra.Command {
 	a := &coordinatorFlags{}
-	cmd := &cobra.Command{Use: "fleet", Short: "The coordinators: how they are, add or remove one, back up and restore"}
+	cmd := &cobra.Command{Use: "fleet", Short: "The coordinators: their status, add or remove one, back up and restore"}
 	a.add(cmd)
 	cmd.AddCommand(a.statusCommand(), a.addCommand(), a.removeCommand(), a.backupCommand(), restoreCommand())
 	return cmd
@@ -34,7 +34,7 @@
 }
 
 func (a *coordinatorFlags) statusCommand() *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "What each coordinator says of itself; 1: no majority follows a leader", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "status", Short: "The status of each coordinator; 1: no majority follows a leader", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			o, err := a.operator()
 			if err != nil {
@@ -103,9 +103,9 @@
 	}
 	return a.print(cmd, response.Members, func(w *tabwriter.Writer) {
 		for _, m := range response.Members {
-			role := "votes"
+			role := "voter"
 			if m.Learner {
-				role = "learns"
+				role = "learner"
 			}
 			fmt.Fprintf(w, "%d\t%s\t%s\n", m.ID, m.Addr, role)
 		}
@@ -144,7 +144,7 @@
 }
 
 func (a *coordinatorFlags) backupCommand() *cobra.Command {
-	return &cobra.Command{Use: "backup FILE", Short: "Write all that is held, as of now, to a new file", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "backup FILE", Short: "Write the sessions and leases as of now to a new file", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			response, err := a.call(cmd, fleet.Request{Backup: true})
 			if err != nil {
@@ -178,7 +178,7 @@
 func restoreCommand() *cobra.Command {
 	var config string
 	var above uint64
-	cmd := &cobra.Command{Use: "restore FILE --config FILE", Short: "Begin a coordinator of a new group from a back-up; the old group must be ended", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "restore FILE --config FILE", Short: "Create the replica of a new group from a back-up; the old group must have ended", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if config == "" {
 				return fmt.Errorf("--config: missing: the coordinator's settings")
@@ -194,6 +194,6 @@
 			return nil
 		}}
 	cmd.Flags().StringVar(&config, "config", "", "the coordinator's settings, a `FILE` (YAML)")
-	cmd.Flags().Uint64Var(&above, "above", 0, "the largest `TOKEN` that is known to have been given after the back-up")
+	cmd.Flags().Uint64Var(&above, "above", 0, "the largest `TOKEN` that is known to have been granted after the back-up")
 	return cmd
 }
--- a/cmd/petrelhookctl/lease.go
+++ b/cmd/petrelhookctl/lease.go
@@ -20,8 +20,8 @@
 	cmd.AddCommand(
 		a.listLeasesCommand(),
 		a.showLeaseCommand(),
-		a.breakLeaseCommand("break NAME", "Have a lease renewed no more: its holder lets go, or it is free when its time is up", false),
-		a.breakLeaseCommand("release NAME", "As break, and wait until the holder has let go", true),
+		a.breakLeaseCommand("break NAME", "Reject further renewals of a lease: its holder releases it, or it expires", false),
+		a.breakLeaseCommand("release NAME", "As break, and wait until the holder has released it or it has expired", true),
 		a.runCommand())
 	return cmd
 }
--- a/cmd/petrelhookctl/lease_run.go
+++ b/cmd/petrelhookctl/lease_run.go
@@ -33,8 +33,8 @@
 	var try bool
 	cmd := &cobra.Command{
 		Use: "run NAME -- COMMAND [ARG...]", Short: "Hold a lease while a command runs", Args: cobra.MinimumNArgs(2),
-		Long: "Waits for the lease, runs the command with LEASE_NAME and LEASE_TOKEN in its environment, and lets go when it ends.\n" +
-			"Where the lease is about to be lost the command and its children get TERM, and KILL before it can be another's.\n" +
+		Long: "Waits for the lease, runs the command with LEASE_NAME and LEASE_TOKEN in its environment, and releases the lease when it ends.\n" +
+			"Where the lease is about to be lost the command and its children get TERM, and KILL before another client can hold it.\n" +
 			"It ends with the command's code; 69: no lease; 75: lost, and the command ended on TERM; 76: lost, and killed.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if grace <= 0 || grace > ttl/2 {
@@ -61,10 +61,10 @@
 			return runWithLease(cmd, held, args[1:], grace)
 		},
 	}
-	cmd.Flags().DurationVar(&ttl, "ttl", 10*time.Second, "for how long the lease outlives its holder")
+	cmd.Flags().DurationVar(&ttl, "ttl", 10*time.Second, "how long the lease lasts after its last renewal")
 	cmd.Flags().DurationVar(&grace, "grace", 2*time.Second, "how long before the end of the lease the command gets TERM")
 	cmd.Flags().StringVar(&owner, "owner", "", "a name for people; else host and process")
-	cmd.Flags().BoolVar(&try, "try", false, "do not wait where somebody else holds it")
+	cmd.Flags().BoolVar(&try, "try", false, "do not wait if another client holds it")
 	return cmd
 }
 
--- a/cmd/petrelhookctl/load.go
+++ b/cmd/petrelhookctl/load.go
@@ -61,6 +61,6 @@
 		},
 	}
 	o.addFlags(cmd)
-	cmd.Flags().StringSliceVar(&targets, "target", nil, "`ADDRESS` of a sidecar; several are dealt arrivals in turn")
+	cmd.Flags().StringSliceVar(&targets, "target", nil, "`ADDRESS` of a sidecar; several get arrivals in turn")
 	return cmd
 }
--- a/cmd/petrelhookctl/options.go
+++ b/cmd/petrelhookctl/options.go
@@ -35,9 +35,9 @@
 	f.StringVar(&o.output, "output", outputText, "form of the report: text or json")
 	f.StringVar(&o.page, "html", "", "also write the report as a self-contained page to `FILE`")
 	f.StringVar(&o.record, "record", "", "also record the arrivals as a trace to `FILE`")
-	f.Uint64Var(&o.seed, "seed", 0, "draw with this seed in place of the scenario's")
+	f.Uint64Var(&o.seed, "seed", 0, "seed of all random draws, in place of the scenario's")
 	f.DurationVar(&o.maxLag, "max-lag", load.DefaultMaxLag, "99th percentile of the lag behind the schedule over which the run is not valid")
-	f.IntVar(&o.connections, "connections", 0, "connections of clients at once (0: what the limit of descriptors leaves)")
+	f.IntVar(&o.connections, "connections", 0, "clients' concurrent connections (0: as many as the limit of descriptors leaves)")
 }
 
 func (o *runOptions) check() error {
--- a/cmd/petrelhookctl/rehearse.go
+++ b/cmd/petrelhookctl/rehearse.go
@@ -24,9 +24,9 @@
 	var direct, verbose bool
 	cmd := &cobra.Command{
 		Use:   "rehearse [SCENARIO | FILE]",
-		Short: "Play a scenario against real sidecar processes and judge the four rules",
+		Short: "Run a scenario against real sidecar processes and check the four rules",
 		Long: "Starts a fleet of stand-in servers, their discovery and the sidecars on loopback, sends the scenario's load,\n" +
-			"plays its faults, and judges the four rules from what clients and servers saw.\n\n" +
+			"injects its faults, and checks the four rules against the records of clients and servers.\n\n" +
 			"Scenarios: " + strings.Join(scenario.Names(), ", ") + ". Without an argument: " + defaultScenario + ".",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/petrelhookctl/revision.go
+++ b/cmd/petrelhookctl/revision.go
@@ -16,7 +16,7 @@
 )
 
 func revisionCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "revision", Short: "Versions of a service's configuration, brought to all its sidecars"}
+	cmd := &cobra.Command{Use: "revision", Short: "Versions of a service's configuration, distributed to all its sidecars"}
 	cmd.AddCommand(revisionPublishCommand(), revisionStatusCommand(), revisionShowCommand())
 	return cmd
 }
@@ -27,9 +27,9 @@
 	var stepsDone bool
 	cmd := &cobra.Command{
 		Use: "publish SERVICE FILE", Args: cobra.ExactArgs(2),
-		Short: "Publish a service's configuration: a JSON object whose fields go over those of the sidecars' release",
+		Short: "Publish a service's configuration: a JSON object whose fields replace those of the sidecars' release",
 		Long: `Publish accepts the version once, prints its revision, and with --wait waits until it is in force on all sidecars of the
-service that the coordinators have heard of. 1: it was refused, or not in force everywhere in time.`,
+service that the coordinators have had reports of. 1: it was refused, or not in force everywhere in time.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := a.operator()
 			if err != nil {
@@ -100,7 +100,7 @@
 	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
 		Use: "status [SERVICE]", Args: cobra.MaximumNArgs(1),
-		Short: "What is in force, at how many sidecars, and at which not and why; 1: the newest is not in force everywhere",
+		Short: "Which version is in force, on how many sidecars, and where and why it is not; 1: the newest is not in force everywhere",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := a.operator()
 			if err != nil {
@@ -155,7 +155,7 @@
 		case c.Err != nil:
 			fmt.Fprintf(w, "coordinator %s\t%v\n", c.Addr, c.Err)
 		case !c.Fresh:
-			fmt.Fprintf(w, "coordinator %s\tit reaches no leader, and tells agents nothing\n", c.Addr)
+			fmt.Fprintf(w, "coordinator %s\tit reaches no leader, and answers no watch\n", c.Addr)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 			if m.InForce > s.Newest {
 				reason = "it holds what these coordinators have forgotten; publish once more"
 			}
-			fmt.Fprintf(w, "  %s\trevision %d\theard %v ago\t%s\n", m.Sidecar, m.InForce, m.Age.Round(100*time.Millisecond), reason)
+			fmt.Fprintf(w, "  %s\trevision %d\tlast contact %v ago\t%s\n", m.Sidecar, m.InForce, m.Age.Round(100*time.Millisecond), reason)
 		}
 		printCoordinators(w, coordinators)
 	})
--- a/cmd/petrelhookctl/rollout.go
+++ b/cmd/petrelhookctl/rollout.go
@@ -19,7 +19,7 @@
 const checkTimeout = 10 * time.Second
 
 func rolloutCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "rollout", Short: "Rolling changes: check one, begin it, watch it, stop it"}
+	cmd := &cobra.Command{Use: "rollout", Short: "Rolling changes: check one, start it, watch it, stop it"}
 	cmd.AddCommand(rolloutPlanCommand(), rolloutStartCommand(), rolloutStatusCommand(), rolloutHistoryCommand(), rolloutExplainCommand(), rolloutReportCommand())
 	cmd.AddCommand(rolloutEventCommands()...)
 	return cmd
@@ -34,7 +34,7 @@
 func rolloutPlanCommand() *cobra.Command {
 	var from, to, program, output string
 	cmd := &cobra.Command{
-		Use: "plan --from FILE --to FILE", Args: cobra.NoArgs, Short: "Say which fields may differ side by side, which need two steps, and which are refused",
+		Use: "plan --from FILE --to FILE", Args: cobra.NoArgs, Short: "Compare two configurations: which fields may differ side by side, which need two steps, and which are refused",
 		Long: "Checks both configurations, the new one also by the new program where --program names it, and compares them field by\n" +
 			"field. Nothing is changed. 0: all may differ side by side; 1: something needs two steps, or is refused, or is bad.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -99,7 +99,7 @@
 	defer cancel()
 	out, err := exec.CommandContext(ctx, program, "--check", "--config", path).CombinedOutput()
 	if err != nil {
-		return fmt.Errorf("%s does not take %s: %w: %s", program, path, err, strings.TrimSpace(string(out)))
+		return fmt.Errorf("%s does not accept %s: %w: %s", program, path, err, strings.TrimSpace(string(out)))
 	}
 	return nil
 }
--- a/cmd/petrelhookctl/rollout_run.go
+++ b/cmd/petrelhookctl/rollout_run.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"os"
 	"text/tabwriter"
 	"time"
 
@@ -12,7 +11,6 @@
 
 	"petrelhook/internal/coordination/driver"
 	"petrelhook/internal/coordination/fleet"
-	"petrelhook/internal/coordination/release"
 	"petrelhook/internal/coordination/rollout"
 )
 
@@ -20,9 +18,9 @@
 	a := &coordinatorFlags{}
 	var stepsDone bool
 	cmd := &cobra.Command{
-		Use: "start PLAN", Args: cobra.ExactArgs(1), Short: "Begin a change by a plan (YAML), once everything is checked",
+		Use: "start PLAN", Args: cobra.ExactArgs(1), Short: "Start a change by a plan (YAML), after all checks have passed",
 		Long: "Asks all agents whether they have both releases and whether the new program takes its settings, compares old and new\n" +
-			"settings, and has the coordinators begin the change. Where anything is wrong nothing has moved.",
+			"settings, and has the coordinators begin the change. If a check fails nothing has been changed.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := a.operator()
 			if err != nil {
@@ -43,7 +41,7 @@
 		},
 	}
 	a.add(cmd)
-	cmd.Flags().BoolVar(&stepsDone, "steps-done", false, "what plan says is to be done besides, in two steps, was done")
+	cmd.Flags().BoolVar(&stepsDone, "steps-done", false, "the steps elsewhere that rollout plan names have been done")
 	return cmd
 }
 
@@ -52,7 +50,7 @@
 	var live bool
 	var every time.Duration
 	cmd := &cobra.Command{
-		Use: "status APPLICATION", Args: cobra.ExactArgs(1), Short: "Where the change stands, and why it waits; 1: it is paused or was stopped",
+		Use: "status APPLICATION", Args: cobra.ExactArgs(1), Short: "The state of the change, and what it waits for; 1: it is paused, is being rolled back or was stopped",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if live {
 				if every < 100*time.Millisecond {
@@ -75,8 +73,8 @@
 		},
 	}
 	a.add(cmd)
-	cmd.Flags().BoolVar(&live, "watch", false, "show it until it is over or paused: anew on a terminal, else a line for each step")
-	cmd.Flags().DurationVar(&every, "every", time.Second, "how often, with --watch")
+	cmd.Flags().BoolVar(&live, "watch", false, "show it until it is over or paused: redrawn on a terminal, otherwise a line for each step")
+	cmd.Flags().DurationVar(&every, "every", time.Second, "the interval of polls, with --watch")
 	return cmd
 }
 
@@ -142,19 +140,19 @@
 	var accept bool
 	return []*cobra.Command{
 		rolloutEventCommand("pause", "Change no further sidecar for now", func(c *cobra.Command) {
-			c.Flags().StringVar(&pauseReason, "why", "an operator paused it", "what others read")
+			c.Flags().StringVar(&pauseReason, "why", "an operator paused it", "the reason, which others see")
 		}, func() rollout.Event { return rollout.Event{Pause: pauseReason} }),
-		rolloutEventCommand("resume", "Go on after a pause; the stage is watched anew", func(c *cobra.Command) {
-			c.Flags().BoolVar(&accept, "accept", false, "take the stage for no worse, though there is not enough evidence")
+		rolloutEventCommand("resume", "Continue after a pause; the stage is watched again from its start", func(c *cobra.Command) {
+			c.Flags().BoolVar(&accept, "accept", false, "treat the stage as no worse, although there is not enough evidence")
 		}, func() rollout.Event { return rollout.Event{Resume: true, Accept: accept} }),
 		rolloutEventCommand("abort", "End the change: what was changed is rolled back, unless the plan says disable_rollback", func(c *cobra.Command) {
-			c.Flags().StringVar(&abortReason, "why", "an operator aborted it", "what others read")
+			c.Flags().StringVar(&abortReason, "why", "an operator aborted it", "the reason, which others see")
 		}, func() rollout.Event { return rollout.Event{Abort: abortReason} }),
 	}
 }
 
 func rolloutHistoryCommand() *cobra.Command {
-	return showChangesCommand("history", "The steps of this change and of those before", false, func(cmd *cobra.Command, a *coordinatorFlags, app *rollout.Application) error {
+	return showChangesCommand("history", "The transitions of this change and of earlier ones", false, func(cmd *cobra.Command, a *coordinatorFlags, app *rollout.Application) error {
 		return a.print(cmd, app, func(w *tabwriter.Writer) { writeHistory(w, app) })
 	})
 }
@@ -191,43 +189,3 @@
 		fmt.Fprintf(w, "\t%s\t%s\tstage %d\t%s\n", time.UnixMilli(t.AtMillis).UTC().Format(time.RFC3339), t.Phase, t.Stage, t.Reason)
 	}
 }
-
-func releaseCommand() *cobra.Command {
-	var dir, program, settings string
-	cmd := &cobra.Command{Use: "release", Short: "Releases: a program and its settings, named by their content"}
-	add := &cobra.Command{Use: "add --store FOLDER --program FILE --settings FILE", Args: cobra.NoArgs, Short: "Put a release into a machine's store, and say its name",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if dir == "" || program == "" || settings == "" {
-				return errors.New("write --store, --program and --settings")
-			}
-			r, err := addRelease(dir, program, settings)
-			if err != nil {
-				return runError{err}
-			}
-			fmt.Fprintln(cmd.OutOrStdout(), r.ID)
-			return nil
-		}}
-	add.Flags().StringVar(&dir, "store", "", "the `FOLDER` of releases, as the agent's file names it")
-	add.Flags().StringVar(&program, "program", "", "the sidecar, a `FILE`")
-	add.Flags().StringVar(&settings, "settings", "", "its settings, a `FILE` (JSON) without what is one sidecar's own")
-	cmd.AddCommand(add)
-	return cmd
-}
-
-func addRelease(dir, program, settings string) (r release.Release, err error) {
-	p, err := os.Open(program)
-	if err != nil {
-		return r, err
-	}
-	defer func() { _ = p.Close() }() // it was only read
-	s, err := os.Open(settings)
-	if err != nil {
-		return r, err
-	}
-	defer func() { _ = s.Close() }()
-	store, err := release.NewStore(dir)
-	if err != nil {
-		return r, err
-	}
-	return store.Add(p, s)
-}
--- a/cmd/petrelhookctl/rollout_run_test.go
+++ b/cmd/petrelhookctl/rollout_run_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// A limit is made and changed, and what does not change is refused; a member that asks is shown with what it has.
+// A limit is created and changed, and a change of its fixed fields is refused; a member with demand is shown with its allocation.
 func TestShareCommands(t *testing.T) {
 	addr, _ := coordinator.StartForTest(t)
 	o := &fleet.Operator{Addrs: []string{addr}}
@@ -98,8 +98,8 @@
 		{"set probes --units 20 --members 3 --floor 3 --period 2s", 0, ""},
 		{"set probes --units 20 --members 4 --floor 3 --period 2s", 1, "do not change"},
 		{"", 0, ""},
-		{"list", 0, "probes  5 of 20 out a period of 2s  floor 3 for 3 members"},
-		{"list", 0, "has 5, wants 5, is due 5.00 a period  weight 1, alone 1.00"},
+		{"list", 0, "probes  5 of 20 allocated per period of 2s  floor 3 for 3 members"},
+		{"list", 0, "allocated 5, demand 5, fair share 5.00 per period  weight 1, without contact 1.00"},
 	} {
 		if c.args == "" {
 			peertest.Eventually(t, "a part is given", func() bool {
--- a/cmd/petrelhookctl/rollout_show.go
+++ b/cmd/petrelhookctl/rollout_show.go
@@ -16,7 +16,7 @@
 )
 
 func rolloutExplainCommand() *cobra.Command {
-	const short = "Why the change stands where it stands: limits, evidence and how much more of it, what to do"
+	const short = "Why the change is in its state: limits, evidence and how much more of it is needed, what to do"
 	return showChangesCommand("explain", short, true, func(cmd *cobra.Command, a *coordinatorFlags, app *rollout.Application) error {
 		lines := report.Explain(app.Current)
 		return a.print(cmd, lines, func(w *tabwriter.Writer) { writeReasons(w, lines) })
@@ -34,7 +34,7 @@
 	a := &coordinatorFlags{}
 	var html, columns string
 	cmd := &cobra.Command{
-		Use: "report APPLICATION --html FILE | --parquet FILE", Args: cobra.ExactArgs(1), Short: "What each stage of the last change was counted to have done, as a page or as columns",
+		Use: "report APPLICATION --html FILE | --parquet FILE", Args: cobra.ExactArgs(1), Short: "The counts of each stage of the last change, as a page or as a table in columns",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if html == "" && columns == "" {
 				return errors.New("write --html FILE, --parquet FILE, or both")
@@ -55,8 +55,8 @@
 		},
 	}
 	a.add(cmd)
-	cmd.Flags().StringVar(&html, "html", "", "one page that needs nothing else, a `FILE`")
-	cmd.Flags().StringVar(&columns, "parquet", "", "a row for each cell of each stage, and for each point of its course, a `FILE`")
+	cmd.Flags().StringVar(&html, "html", "", "a self-contained page, a `FILE`")
+	cmd.Flags().StringVar(&columns, "parquet", "", "a row for each cell of each stage and each sample of its course, a `FILE`")
 	return cmd
 }
 
--- a/cmd/petrelhookctl/rollout_test.go
+++ b/cmd/petrelhookctl/rollout_test.go
@@ -26,7 +26,7 @@
 		"two steps":     {[]string{"--from", old, "--to", file(`"window_ms": 2000`, `"window_ms": 3000`)}, 1, "first servers must remember"},
 		"refused":       {[]string{"--from", old, "--to", file(`"window_ms": 2000`, `"window_ms": 1000`), "--output", "json"}, 1, `"verdict": "refused"`},
 		"bad settings":  {[]string{"--from", old, "--to", file(`"read_like"`, `"maybe"`)}, 1, "new.json:"},
-		"a bad program": {[]string{"--from", old, "--to", file("", ""), "--program", no}, 1, "does not take"},
+		"a bad program": {[]string{"--from", old, "--to", file("", ""), "--program", no}, 1, "does not accept"},
 		"no program":    {[]string{"--from", old, "--to", old, "--program", "/none"}, 1, "/none"},
 		"missing":       {[]string{"--from", old}, 2, "--to: missing"},
 	} {
--- a/cmd/petrelhookctl/scale.go
+++ b/cmd/petrelhookctl/scale.go
@@ -24,22 +24,22 @@
 	var output, file, memory string
 	cmd := &cobra.Command{
 		Use: "scale", Args: cobra.NoArgs,
-		Short: "Measure what a fleet of some sizes costs each role, with real coordinators and hollow members",
-		Long: "Starts petrelhook-coordinator processes and, beside them, hollow members that make and answer the calls of real ones,\n" +
+		Short: "Measure what a fleet of some sizes costs each role, with real coordinators and simulated members",
+		Long: "Starts petrelhook-coordinator processes and, beside them, simulated members that make and answer the calls of real ones,\n" +
 			"many to a process, and measures each role's processes from outside. Everything is on loopback, and has ended\n" +
 			"when it returns.\n\n" +
 			"Workloads:\n" +
 			"  renewals  sessions of the lease client (TTL 10s, its default), each with one lease\n" +
-			"  looks     a driver's looks at the agents of one change, and then a change of all of them at once\n" +
+			"  looks     a driver's polls of the agents of one change, and then a change of all of them at once\n" +
 			"  watches   agents that wait for versions of their service's configuration, at rest, for 8.75s at least\n" +
 			"  publish   the same with versions of 4 KiB on their way, for 8s or longer each: ordinary, as in the busiest\n" +
 			"            minute (busy_), for all services at once (all_); at 250 members and at --check also while a\n" +
 			"            coordinator that follows, and then the one that leads, is killed (killed_, leader_killed_)\n\n" +
-			"With --real, machines with a real agent and sidecar stand beside the hollow members of watches and publish;\n" +
+			"With --real, machines with a real agent and sidecar stand beside the simulated members of watches and publish;\n" +
 			"their sidecars serve calls, judged by the four rules. Versions come into force there as they run, and one by a\n" +
 			"hand-over (hand_over_); what calls take is measured without versions (quiet_) and with them (versions_).\n\n" +
 			"Figures are rates over a window of --steady; the table has the median of the runs, --json all of them. It\n" +
-			"ends with 1 where a run has failed or was not made; what the product refuses at a size is found, and is no\n" +
+			"ends with 1 where a run has failed or was not made; what the product refuses at a size is a finding, and no\n" +
 			"failure.",
 		RunE: func(cmd *cobra.Command, _ []string) (err error) {
 			if err := checkOutput(output, outputText, outputJSON); err != nil {
@@ -72,16 +72,16 @@
 func addScaleFlags(f *pflag.FlagSet, o *scale.Options) {
 	f.StringVar(&o.ProgramDir, "bin", "", "`FOLDER` of the programs (default: that of this program)")
 	f.StringSliceVar(&o.Workloads, "workloads", scale.Workloads, "what members do")
-	f.IntSliceVar(&o.Sizes, "sizes", []int{250, 500, 1000, 2000, 4000}, "members; a fit is made of these")
-	f.IntVar(&o.CheckSize, "check", 12_000, "a larger size, with which a fit is checked; 0: none")
+	f.IntSliceVar(&o.Sizes, "sizes", []int{250, 500, 1000, 2000, 4000}, "numbers of members; a line is fitted on these")
+	f.IntVar(&o.CheckSize, "check", 12_000, "a larger size, at which the line is checked; 0: none")
 	f.IntVar(&o.Runs, "runs", 3, "of each workload at each size")
-	f.IntVar(&o.RealMachines, "real", 0, "machines with a real agent and sidecar beside hollow members")
-	f.DurationVar(&o.Window, "steady", 4*time.Second, "for how long a fleet is measured once all have joined")
-	f.Uint64Var(&o.Seed, "seed", 1, "the same draws the same members")
-	f.DurationVar(&o.Timeout, "within", 40*time.Minute, "for how long it may run; the default sizes and runs take about 30m")
+	f.IntVar(&o.RealMachines, "real", 0, "machines with a real agent and sidecar beside simulated members")
+	f.DurationVar(&o.Window, "steady", 4*time.Second, "the time of measurement once all members have joined")
+	f.Uint64Var(&o.Seed, "seed", 1, "seed of the members; the same seed gives the same members")
+	f.DurationVar(&o.Timeout, "within", 40*time.Minute, "time-out of the whole; the default sizes and runs take about 30m")
 }
 
-// scaleMembersCommand runs a process of hollow members, which scale starts.
+// scaleMembersCommand runs a process of simulated members, which scale starts.
 func scaleMembersCommand() *cobra.Command {
 	return &cobra.Command{Use: "members", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/petrelhookctl/share.go
+++ b/cmd/petrelhookctl/share.go
@@ -13,7 +13,7 @@
 )
 
 func shareCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "share", Short: "Limits of the whole fleet, divided into parts that end by themselves"}
+	cmd := &cobra.Command{Use: "share", Short: "Limits of the whole fleet, divided into allocations that expire by themselves"}
 	cmd.AddCommand(shareSetCommand(), shareListCommand())
 	return cmd
 }
@@ -22,7 +22,7 @@
 	a := &coordinatorFlags{}
 	var l share.Limit
 	cmd := &cobra.Command{
-		Use: "set NAME --units N --period D --members N [--floor N]", Args: cobra.ExactArgs(1), Short: "Make a limit, or change its units",
+		Use: "set NAME --units N --period D --members N [--floor N]", Args: cobra.ExactArgs(1), Short: "Create a limit, or change its units",
 		Long: "Period, floor and members of a limit never change: use another name. To end one, set its units to its floor.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if l.Name = args[0]; l.Check() != nil {
@@ -37,16 +37,16 @@
 	}
 	a.add(cmd)
 	cmd.Flags().IntVar(&l.Units, "units", -1, "uses a period, of all members together")
-	cmd.Flags().DurationVar(&l.Period, "period", time.Second, "for how long a part is given")
-	cmd.Flags().IntVar(&l.Floor, "floor", 0, "of the units, those for members that reach no coordinator, all together")
-	cmd.Flags().IntVar(&l.Members, "members", 0, "how many there are at most")
+	cmd.Flags().DurationVar(&l.Period, "period", time.Second, "how long an allocation lasts")
+	cmd.Flags().IntVar(&l.Floor, "floor", 0, "of the units, those that all members together use without contact to a coordinator")
+	cmd.Flags().IntVar(&l.Members, "members", 0, "the largest number of members")
 	return cmd
 }
 
 func shareListCommand() *cobra.Command {
 	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
-		Use: "list", Args: cobra.NoArgs, Short: "All limits: what is out, and who has what, wants what and is due what",
+		Use: "list", Args: cobra.NoArgs, Short: "All limits: what is allocated, and the allocation, demand and fair share of each member",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			response, err := a.call(cmd, fleet.Request{ListLimits: true})
 			if err != nil {
@@ -64,12 +64,12 @@
 	for _, s := range all {
 		l, note := s.Limit, ""
 		if s.Starting {
-			note = "nothing is given yet: the leader is new"
+			note = "nothing is allocated yet: the leader is new"
 		}
-		fmt.Fprintf(w, "%s\t%d of %d out a period of %v\tfloor %d for %d members\t%s\n", l.Name, s.Outstanding, l.Units, l.Period, l.Floor, l.Members, note)
+		fmt.Fprintf(w, "%s\t%d of %d allocated per period of %v\tfloor %d for %d members\t%s\n", l.Name, s.Outstanding, l.Units, l.Period, l.Floor, l.Members, note)
 		isolated := isolatedAllowance(l)
 		for _, m := range s.Members {
-			fmt.Fprintf(w, "\t%s\thas %d, wants %d, is due %.2f a period\tweight %g, alone %.2f\n", m.Name, m.Outstanding, m.Demand, m.FairShare, m.Weight, isolated)
+			fmt.Fprintf(w, "\t%s\tallocated %d, demand %d, fair share %.2f per period\tweight %g, without contact %.2f\n", m.Name, m.Outstanding, m.Demand, m.FairShare, m.Weight, isolated)
 		}
 	}
 }
