--- a/cmd/petrelhookctl/rollout_run_test.go
+++ b/cmd/petrelhookctl/rollout_run_test.go
@@ -57,10 +57,16 @@
 			begin()
 			continue
 		}
-		args := append(strings.Fields("rollout "+c.args), "--addrs", addr)
-		if code, out, errs := call(t.Context(), args...); code != c.code || !strings.Contains(out+errs, c.want) {
-			t.Errorf("%d: %s: %d %s%s, want %d %s", i, c.args, code, out, errs, c.code, c.want)
-		}
+		checkCommand(t, i, addr, "rollout "+c.args, c.code, c.want)
+	}
+}
+
+// checkCommand runs the step i of a test, a subcommand that calls the coordinator at addr, and checks its exit code and a part of its output.
+func checkCommand(t *testing.T, i int, addr, command string, wantCode int, want string) {
+	t.Helper()
+	args := append(strings.Fields(command), "--addrs", addr)
+	if code, out, errs := call(t.Context(), args...); code != wantCode || !strings.Contains(out+errs, want) {
+		t.Errorf("%d: %s: %d %s%s, want %d %s", i, command, code, out, errs, wantCode, want)
 	}
 }
 
@@ -108,9 +114,6 @@
 			})
 			continue
 		}
-		args := append(strings.Fields("share "+c.args), "--addrs", addr)
-		if code, out, errs := call(t.Context(), args...); code != c.code || !strings.Contains(out+errs, c.want) {
-			t.Errorf("%d: %s: %d %s%s, want %d %s", i, c.args, code, out, errs, c.code, c.want)
-		}
+		checkCommand(t, i, addr, "share "+c.args, c.code, c.want)
 	}
 }
--- a/internal/coordination/capacity/fields.go
+++ b/internal/coordination/capacity/fields.go
@@ -91,7 +91,7 @@
 	{"periods", []fieldSpec{
 		{"lease_ttl", unitSeconds, 0.1, secondsPerDay},
 		{"renewals_a_ttl", unitNone, 1, 100},
-		{"retry_backoff", unitSeconds, 0.001, 60},
+		{"retry_interval", unitSeconds, 0.001, 60},
 		{"poll_interval", unitSeconds, 0.05, 60},
 		{"idle_poll_divisor", unitNone, 1, 100},
 		{"watch_timeout", unitSeconds, 0.01, 3600},
@@ -153,7 +153,7 @@
 		"head_bytes": "overhead_bytes",
 	},
 	"periods": {
-		"ask_pause":      "retry_backoff",
+		"ask_pause":      "retry_interval",
 		"look_every":     "poll_interval",
 		"look_rest":      "idle_poll_divisor",
 		"watch_hold":     "watch_timeout",
--- a/internal/coordination/capacity/measured.go
+++ b/internal/coordination/capacity/measured.go
@@ -1,5 +1,3 @@
-// Package capacity computes what a fleet of a stated size needs of each role. It is pure: assumptions and measured points go in; state,
-// messages, processor time and memory come out, each with a budget and a verdict. Each figure names its sources.
 package capacity
 
 import "time"
--- a/internal/coordination/capacity/model_test.go
+++ b/internal/coordination/capacity/model_test.go
@@ -47,7 +47,7 @@
 		"earlier.staged_20":         "8s", "earlier.staged_200": "6s", "earlier.staged_2000": "96s",
 		"earlier.read":              "10ms",
 		"earlier.poll_2000":         "2s",
-		"periods.idle_poll_divisor": "3", "periods.poll_interval": "1s", "limits.max_request": "8000", "periods.retry_backoff": "100ms"})
+		"periods.idle_poll_divisor": "3", "periods.poll_interval": "1s", "limits.max_request": "8000", "periods.retry_interval": "100ms"})
 }
 
 func row(t *testing.T, rows []Row, time, role, what string) Row {
--- a/internal/coordination/capacity/rows_fault.go
+++ b/internal/coordination/capacity/rows_fault.go
@@ -78,8 +78,8 @@
 		Need: add(m.assumption("periods.reconnect_window"), m.measured("return", "member", "in_force_max_s",
 			mul(m.machines, m.assumption("topology.region_share")))),
 		Budget: m.limit("target.in_force"), Breaks: BreaksTime, Mechanism: "internal/coordination/distribute (Subscriber)"})
-	part := add(Figure{Value: 1}, m.assumption("topology.zone_share").times(-1))
-	rate := div(div(m.assumption("target.calls"), m.servers), part)
+	remaining := add(Figure{Value: 1}, m.assumption("topology.zone_share").times(-1))
+	rate := div(div(m.assumption("target.calls"), m.servers), remaining)
 	m.addRow(Row{Time: ZoneLost, Role: SidecarCalls, Quantity: "latency added to a call, p99, at the sidecars that are left", Unit: unitSeconds,
 		Need: m.measuredAtRate("added_p99_us", Figure{Value: 1}, rate).times(1e-6), Budget: m.limit("target.added_latency"),
 		Breaks: BreaksTime, Mechanism: "balance, internal/sidecar/core, internal/sidecar/upstream/http1"})
@@ -118,11 +118,11 @@
 	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "sessions opened again, one after the other", Unit: unitSeconds,
 		Need: div(m.sessions, m.assumption("earlier.grants_a_second")), Budget: m.limit("periods.lease_ttl"),
 		Breaks: BreaksTime, Mechanism: "lease, internal/coordination/replica, internal/coordination/replica/disk"})
-	asks := div(div(m.sessions, m.assumption("periods.retry_backoff")), m.assumption("machines.replicas"))
+	requests := div(div(m.sessions, m.assumption("periods.retry_interval")), m.assumption("machines.replicas"))
 	m.addRow(Row{Time: CoordinatorsLost, Role: Follower,
-		Quantity: "requests of sessions without a leader, beside what three replicas answered", Unit: unitPerSecond, Need: asks,
+		Quantity: "requests of sessions without a leader, beside what three replicas answered", Unit: unitPerSecond, Need: requests,
 		Budget: m.limit("earlier.renewals_a_second"), Breaks: BreaksTime,
-		Mechanism: "internal/coordination/fleet (Caller), lease (Pause)", NeededBy: []string{ZoneLost, RegionIsolated, "each election"}})
+		Mechanism: "internal/coordination/fleet (Caller.RetryInterval), lease", NeededBy: []string{ZoneLost, RegionIsolated, "each election"}})
 	m.addRow(Row{Time: CoordinatorsLost, Role: Leader, Quantity: "renewals, and watches that reconnect within their window",
 		Unit: unitPerSecond, Need: add(div(div(m.machines, within), m.assumption("machines.replicas")), m.renewalRate()),
 		Budget: m.limit("earlier.renewals_a_second_12000"), Breaks: BreaksTime,
--- /dev/null
+++ b/internal/coordination/capacity/sensitivity.go
@@ -0,0 +1,46 @@
+package capacity
+
+// Sensitivity says which verdicts an assumption decides: those that differ if it is doubled or halved.
+type Sensitivity struct {
+	Assumption
+	DoubleFactor float64         `json:"double"` // by which it was multiplied within its bounds
+	HalfFactor   float64         `json:"half"`
+	Changes      []VerdictChange `json:"moves,omitempty"`
+}
+
+// VerdictChange is a verdict that differs.
+type VerdictChange struct {
+	Row       string `json:"row"`
+	Variation string `json:"times"` // "double" or "half"
+	Before    string `json:"before"`
+	After     string `json:"after"`
+}
+
+// Sensitivities doubles and halves each assumption. m may be nil: nothing was measured.
+func Sensitivities(a *Assumptions, m *Measured) (all []Sensitivity) {
+	in := newInputs(a, m)
+	before := newModel(in).rows()
+	for _, assumption := range a.All() {
+		doubled, doubleFactor := a.Scaled(assumption.Name, 2)
+		halved, halfFactor := a.Scaled(assumption.Name, 0.5)
+		all = append(all, Sensitivity{
+			Assumption:   assumption,
+			DoubleFactor: doubleFactor,
+			HalfFactor:   halfFactor,
+			Changes:      append(in.verdictChanges(doubled, "double", before), in.verdictChanges(halved, "half", before)...),
+		})
+	}
+	return all
+}
+
+// verdictChanges returns the verdicts that differ with other assumptions and the same measurements. before are the rows of the inputs.
+func (in *inputs) verdictChanges(a *Assumptions, variation string, before []Row) (changes []VerdictChange) {
+	varied := *in
+	varied.assumptions = a
+	for i, r := range newModel(&varied).rows() {
+		if r.Class != before[i].Class {
+			changes = append(changes, VerdictChange{Row: r.Name(), Variation: variation, Before: before[i].Verdict, After: r.Verdict})
+		}
+	}
+	return changes
+}
