--- a/internal/coordination/fleet/handlers.go
+++ b/internal/coordination/fleet/handlers.go
@@ -17,7 +17,7 @@
 )
 
 // handleRequest answers a request of a client.
-func (s *Server) handleRequest(ctx context.Context, in *Request) (*Response, error) {
+func (s *Server) handleRequest(ctx context.Context, in *Request) (*codedResponse, error) {
 	if err := CheckVersion(in.Version); err != nil {
 		return nil, err
 	}
@@ -25,14 +25,19 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	response := make(chan *Response, 1)
-	r.Done = func(out replica.Response) { response <- s.toClient(in, out) }
+	response := make(chan *codedResponse, 1)
+	r.Done = func(out replica.Response) {
+		response <- &codedResponse{*s.toClient(in, out), codeOf(errors.Join(out.Err, out.Rollout.Err))}
+	}
 	if !s.post(func() { s.distribute.prepare(&r, in); s.core.Submit(r) }) {
 		return nil, errShutdown
 	}
 	return await(ctx, s, response)
 }
 
+// errEmptyRequest is the answer to a request that requests nothing that this version knows.
+var errEmptyRequest = errors.New("the request is empty")
+
 // toReplica checks a client's request, and returns it in the form of the replica.
 func (s *Server) toReplica(in *Request) (r replica.Request, err error) {
 	switch {
@@ -63,7 +68,7 @@
 	case in.ListLeases != nil || in.Backup || in.Changes != nil || in.ListLimits || in.LastRevision != nil || in.Versions != nil:
 		r.Read = true
 	default:
-		err = errors.New("the request is empty")
+		err = errEmptyRequest
 	}
 	return r, err
 }
