--- a/cmd/petrelhookctl/rollout_run_test.go
+++ b/cmd/petrelhookctl/rollout_run_test.go
@@ -57,10 +57,16 @@
 			begin()
 			continue
 		}
-		args := append(strings.Fields("rollout "+c.args), "--addrs", addr)
-		if code, out, errs := call(t.Context(), args...); code != c.code || !strings.Contains(out+errs, c.want) {
-			t.Errorf("%d: %s: %d %s%s, want %d %s", i, c.args, code, out, errs, c.code, c.want)
-		}
+		checkCommand(t, i, addr, "rollout "+c.args, c.code, c.want)
+	}
+}
+
+// checkCommand runs the step i of a test, a subcommand that calls the coordinator at addr, and checks its exit code and a part of its output.
+func checkCommand(t *testing.T, i int, addr, command string, wantCode int, want string) {
+	t.Helper()
+	args := append(strings.Fields(command), "--addrs", addr)
+	if code, out, errs := call(t.Context(), args...); code != wantCode || !strings.Contains(out+errs, want) {
+		t.Errorf("%d: %s: %d %s%s, want %d %s", i, command, code, out, errs, wantCode, want)
 	}
 }
 
@@ -83,7 +89,7 @@
 	}
 }
 
-// A limit is made and changed, and what does not change is refused; a member that asks is shown with what it has.
+// A limit is created and changed, and a change of its fixed fields is refused; a member with demand is shown with its allocation.
 func TestShareCommands(t *testing.T) {
 	addr, _ := coordinator.StartForTest(t)
 	o := &fleet.Operator{Addrs: []string{addr}}
@@ -98,8 +104,8 @@
 		{"set probes --units 20 --members 3 --floor 3 --period 2s", 0, ""},
 		{"set probes --units 20 --members 4 --floor 3 --period 2s", 1, "do not change"},
 		{"", 0, ""},
-		{"list", 0, "probes  5 of 20 out a period of 2s  floor 3 for 3 members"},
-		{"list", 0, "has 5, wants 5, is due 5.00 a period  weight 1, alone 1.00"},
+		{"list", 0, "probes  5 of 20 allocated per period of 2s  floor 3 for 3 members"},
+		{"list", 0, "allocated 5, demand 5, fair share 5.00 per period  weight 1, without contact 1.00"},
 	} {
 		if c.args == "" {
 			peertest.Eventually(t, "a part is given", func() bool {
@@ -108,9 +114,6 @@
 			})
 			continue
 		}
-		args := append(strings.Fields("share "+c.args), "--addrs", addr)
-		if code, out, errs := call(t.Context(), args...); code != c.code || !strings.Contains(out+errs, c.want) {
-			t.Errorf("%d: %s: %d %s%s, want %d %s", i, c.args, code, out, errs, c.code, c.want)
-		}
+		checkCommand(t, i, addr, "share "+c.args, c.code, c.want)
 	}
 }
