--- a/internal/coordination/assignment/assignment.go
+++ b/internal/coordination/assignment/assignment.go
@@ -55,7 +55,7 @@
 	}
 	a := newAssignment(tasks, members, l)
 	a.retain(present)
-	a.assignRest()
+	a.assignUnowned()
 	a.moveToPreferred(l.MaxMoves)
 	next = map[string]string{}
 	for _, t := range a.tasks {
@@ -165,16 +165,16 @@
 	for m, tasks := range tasksOf {
 		slices.SortStableFunc(tasks, func(x, y *task) int { return cmp.Compare(y.preference(m), x.preference(m)) })
 		for _, t := range tasks {
-			if m.hasRoom(t.pool) {
+			if m.belowBound(t.pool) {
 				t.assign(m)
 			}
 		}
 	}
 }
 
-// assignRest assigns each task without an owner to the member that it prefers most of those with room, and finds the preferred member
+// assignUnowned assigns each task without an owner to the member that it prefers most of those below their bound, and finds the preferred member
 // of all tasks.
-func (a *assignment) assignRest() {
+func (a *assignment) assignUnowned() {
 	for _, t := range a.tasks {
 		best, bestPreference, highest := (*member)(nil), math.Inf(-1), math.Inf(-1)
 		for _, m := range t.pool.members {
@@ -182,7 +182,7 @@
 			if preference > highest {
 				t.preferred, highest = m, preference
 			}
-			if t.owner == nil && m.hasRoom(t.pool) && preference > bestPreference {
+			if t.owner == nil && m.belowBound(t.pool) && preference > bestPreference {
 				best, bestPreference = m, preference
 			}
 		}
@@ -200,7 +200,7 @@
 		if moves == 0 {
 			return
 		}
-		if t.preferred.hasRoom(t.pool) {
+		if t.preferred.belowBound(t.pool) {
 			t.owner.assigned[t.pool]--
 			t.assign(t.preferred)
 			moves--
@@ -208,8 +208,8 @@
 	}
 }
 
-// hasRoom reports whether a member may have one more task of a pool.
-func (m *member) hasRoom(p *pool) bool { return m.assigned[p] < m.bound[p] }
+// belowBound reports whether a member may have one more task of a pool.
+func (m *member) belowBound(p *pool) bool { return m.assigned[p] < m.bound[p] }
 
 // fullness is the fraction of its bound that a member has, of tasks of the same pool.
 func (t *task) fullness(m *member) float64 {
--- a/internal/coordination/distribute/mutation_test.go
+++ b/internal/coordination/distribute/mutation_test.go
@@ -22,7 +22,7 @@
 		"freshness of calls that wait": {watches, "	if !w.Fresh(now) {\n\t\tw.answer", "	if false {\n\t\tw.answer",
 			pkg, sim},
 		"when a confirmation was requested": {watches, "w.everConfirmed && now-w.confirmedAt < w.freshFor", "w.everConfirmed", pkg, sim},
-		"the window of first calls":         {subscriber, "s.pause(now, o.ReconnectWindow)", "s.pause(now, 0)", pkg, "TestCallsAreSpread"},
+		"the window of first calls":         {subscriber, "s.scheduleCall(now, o.ReconnectWindow)", "s.scheduleCall(now, 0)", pkg, "TestCallsAreSpread"},
 		"the window after a loss": {subscriber, "begin+s.draw(length), begin+length", "begin, begin", pkg,
 			"TestCallsAreSpread"},
 		"windows that do not overlap": {subscriber, "begin := max(now, s.windowEnd)", "begin := now", pkg,
--- a/internal/coordination/distribute/subscriber.go
+++ b/internal/coordination/distribute/subscriber.go
@@ -71,12 +71,12 @@
 // NewSubscriber returns the subscription of an agent that holds a revision, or none (0).
 func NewSubscriber(o SubscriberOptions, revision Revision, now time.Duration) *Subscriber {
 	s := &Subscriber{options: o, revision: revision, server: noServer, lostServer: noServer}
-	s.pause(now, o.ReconnectWindow)
+	s.scheduleCall(now, o.ReconnectWindow)
 	return s
 }
 
-// pause sets the next call to a random moment in a window of that length, which begins when the last one has ended.
-func (s *Subscriber) pause(now, length time.Duration) {
+// scheduleCall sets the next call to a random moment in a window of that length, which begins when the last one has ended.
+func (s *Subscriber) scheduleCall(now, length time.Duration) {
 	begin := max(now, s.windowEnd)
 	s.nextCallAt, s.windowEnd = begin+s.draw(length), begin+length
 }
@@ -163,14 +163,14 @@
 		length = min(2*length, max(s.options.MaxBackoff/2, s.options.ReconnectWindow))
 	}
 	s.failures++
-	s.pause(now, length)
+	s.scheduleCall(now, length)
 }
 
 // StoreFailed undoes the last version that was accepted, which the machine could not store; before is the revision of before. The version
 // is requested again after a pause.
 func (s *Subscriber) StoreFailed(now time.Duration, before Revision) {
 	s.revision = before
-	s.pause(now, s.options.ReconnectWindow)
+	s.scheduleCall(now, s.options.ReconnectWindow)
 }
 
 // Revision returns that of the version that was accepted last, or that the agent began with.
--- a/internal/coordination/release/rules.go
+++ b/internal/coordination/release/rules.go
@@ -132,20 +132,20 @@
 	return func(any, any) (Kind, string) { return k, why }
 }
 
-// number returns a setting as a number, and otherwise for one that is absent.
-func number(value any, otherwise float64) float64 {
+// number returns a setting as a number; absent stands for one that is not there.
+func number(value any, absent float64) float64 {
 	if n, ok := value.(json.Number); ok {
 		if f, err := strconv.ParseFloat(n.String(), 64); err == nil {
 			return f
 		}
 	}
-	return otherwise
+	return absent
 }
 
 // byGrowth classifies a number by whether it becomes larger.
-func byGrowth(otherwise float64, more Kind, whyMore string, less Kind, whyLess string) func(any, any) (Kind, string) {
+func byGrowth(absent float64, more Kind, whyMore string, less Kind, whyLess string) func(any, any) (Kind, string) {
 	return func(old, new any) (Kind, string) {
-		if number(new, otherwise) > number(old, otherwise) {
+		if number(new, absent) > number(old, absent) {
 			return more, whyMore
 		}
 		return less, whyLess
