--- a/internal/coordination/agent/change.go
+++ b/internal/coordination/agent/change.go
@@ -12,7 +12,7 @@
 func (s *Sidecar) ChangeRelease(now time.Duration, order uint64, release string) ([]Action, error) {
 	switch {
 	case order != 0 && (order == s.Order || order <= s.CompletedOrder):
-		return nil, nil // it goes on, or is over
+		return nil, nil // it is in progress, or over
 	case s.Phase != Idle:
 		s.reservedUntil = now + s.limits.ReadyTimeout
 		return nil, s.busyError(order)
@@ -167,7 +167,7 @@
 	s.FailureReason, s.Order, s.Target = failure, 0, ""
 }
 
-// failChange ends a change that failed; the process that served goes on. A candidate version that is not at fault is tried again.
+// failChange ends a change that failed; the old process continues to serve. A candidate version that is not at fault is tried again.
 func (s *Sidecar) failChange(now time.Duration, failure string, versionAtFault bool) (actions []Action) {
 	if s.Next != nil {
 		actions = append(actions, Action{Kill: s.Next})
--- a/internal/coordination/agent/configuration.go
+++ b/internal/coordination/agent/configuration.go
@@ -24,7 +24,7 @@
 	Reloadable  bool   // the serving process can reload: no field differs that it reads at its start alone
 }
 
-// configurationProgress is what a sidecar knows of versions of its configuration while its agent lives.
+// configurationProgress is what a sidecar knows of versions of its configuration until its agent ends.
 type configurationProgress struct {
 	newest         distribute.Revision // the newest version that the agent has accepted
 	pendingCheck   *Check              // requested, and not completed
@@ -93,7 +93,7 @@
 	return s.startNext(now, release)
 }
 
-// nextCheck is the check that the newest version has to pass as things stand now.
+// nextCheck is the check that the newest version has to pass with the processes and releases of this moment.
 func (s *Sidecar) nextCheck() Check {
 	check := Check{Version: s.newest, Releases: [2]string{s.Confirmed}}
 	if s.Serving != nil {
--- a/internal/coordination/agent/doc.go
+++ b/internal/coordination/agent/doc.go
@@ -7,7 +7,7 @@
 //
 //	Idle      at most one process, which serves; if there is none, one is started after a backoff that doubles with each crash
 //	Starting  a second process is started beside the one that serves and has to become ready in time
-//	Trial     both processes live; the new one has to survive its trial period
+//	Trial     both processes are alive; the new one has to survive its trial period
 //	Ending    the old process was sent SIGTERM, and is killed if it does not exit in time
 //
 // A release is confirmed when the coordinators say that its rollout is over. Until then a machine that is isolated from them for longer
--- a/internal/coordination/agent/sidecar.go
+++ b/internal/coordination/agent/sidecar.go
@@ -44,7 +44,7 @@
 	s.deadline = now + s.limits.ReadyTimeout
 	switch s.Phase {
 	case Trial:
-		s.deadline = now + s.trialPeriod() // the trial starts over: nobody watched meanwhile
+		s.deadline = now + s.trialPeriod() // the trial starts over: no agent watched meanwhile
 	case Ending:
 		s.deadline = now + s.limits.TerminationTimeout // nobody knows when SIGTERM was sent, or whether it was
 	}
--- a/internal/coordination/agent/state.go
+++ b/internal/coordination/agent/state.go
@@ -72,7 +72,7 @@
 	InForce         distribute.Revision `json:"in_force,omitempty"` // the version of every start but that of a candidate's own change
 	Candidate       distribute.Revision `json:"trying,omitempty"`   // the version that is being applied; 0: none
 	ByReload        bool                `json:"live,omitempty"`     // the serving process reloads for the candidate; otherwise a change applies it
-	Rejected        distribute.Revision `json:"refused,omitempty"`  // the newest version that was rejected for good
+	Rejected        distribute.Revision `json:"refused,omitempty"`  // the newest version that was rejected permanently
 	RejectionReason string              `json:"why,omitempty"`
 }
 
--- a/internal/coordination/distribute/distribute.go
+++ b/internal/coordination/distribute/distribute.go
@@ -104,7 +104,7 @@
 type Report struct {
 	Sidecar string   `json:"sidecar"`
 	InForce Revision `json:"in_force"`          // 0: the configuration of its release alone
-	Refused Revision `json:"refused,omitempty"` // the newest one that was refused for good
+	Refused Revision `json:"refused,omitempty"` // the newest one that was refused permanently
 	Reason  string   `json:"why,omitempty"`     // why, or what the newest version waits for
 }
 
--- a/internal/coordination/distribute/outbox.go
+++ b/internal/coordination/distribute/outbox.go
@@ -13,7 +13,7 @@
 	acknowledged map[int]uint64    // by coordinator: the sequence up to which it has all reports
 }
 
-// Set takes in the report of a sidecar, in place of the one before.
+// Set replaces the report of a sidecar.
 func (o *Outbox) Set(r Report) {
 	if present, known := o.reports[r.Sidecar]; known && present == r {
 		return
@@ -40,7 +40,7 @@
 	return all
 }
 
-// Acknowledge takes in the response to a call that was begun at a sequence. Where the coordinator has no reports of the member, as one
+// Acknowledge processes the response to a call that was begun at a sequence. Where the coordinator has no reports of the member, as one
 // that was restarted, it gets all of them again. What was set since the sequence is still unacknowledged.
 func (o *Outbox) Acknowledge(server int, sequence uint64, hasReports bool) {
 	switch {
--- a/internal/coordination/distribute/reporttable.go
+++ b/internal/coordination/distribute/reporttable.go
@@ -45,8 +45,8 @@
 	return &ReportTable{reporters: map[memberKey]*reporter{}, services: map[string]map[string]*sidecarReport{}}
 }
 
-// SetReports takes in a member's reports, which are those of all its sidecars: one that it does not report any more is removed. A sidecar
-// belongs to the member that reported it last.
+// SetReports replaces a member's reports by these, which are those of all its sidecars: one that it does not report any more is removed.
+// A sidecar belongs to the member that reported it last.
 func (t *ReportTable) SetReports(now time.Duration, service, member string, reports []Report) {
 	key := memberKey{service, member}
 	m := t.reporters[key]
@@ -79,7 +79,7 @@
 	return t.reporters[memberKey{service, member}] != nil
 }
 
-// Touch takes in that a member was in contact without reports: those of before still hold. A member without reports stays unknown.
+// Touch records that a member was in contact without reports: its earlier ones are still valid. A member without reports stays unknown.
 func (t *ReportTable) Touch(now time.Duration, service, member string) {
 	if m := t.reporters[memberKey{service, member}]; m != nil {
 		m.lastContact = now
@@ -87,7 +87,7 @@
 	}
 }
 
-// SetKnownRevision takes in the revision that a member's watch holds, in force or not. A member without reports stays unknown.
+// SetKnownRevision records the revision that a member's watch names as known, in force or not. A member without reports stays unknown.
 func (t *ReportTable) SetKnownRevision(service, member string, known Revision) {
 	if m := t.reporters[memberKey{service, member}]; m != nil {
 		m.knownRevision = known
--- a/internal/coordination/distribute/revisions.go
+++ b/internal/coordination/distribute/revisions.go
@@ -9,10 +9,10 @@
 	pending     bool          // a response of the leader waits until its revision is applied here
 	requestedAt time.Duration // of that response
 	last        Revision      // of that response
-	maxHeld     Revision      // the largest one that anybody has reported
+	maxHeld     Revision      // the largest one that was reported to be held
 }
 
-// LeaderRevision takes in a response of the leader to a request sent at requestedAt: the last revision at that time. One that is pending
+// LeaderRevision records a response of the leader to a request sent at requestedAt: the last revision at that time. One that is pending
 // already stays, for it is older and so applied sooner: a coordinator that is always a little behind is confirmed for the moment up to
 // which it is not.
 func (t *RevisionTracker) LeaderRevision(requestedAt time.Duration, last Revision) {
@@ -31,7 +31,8 @@
 	return t.requestedAt, true
 }
 
-// ObserveHeld takes in a revision that somebody reports to hold. One that is too far ahead for the log to go up to is ignored.
+// ObserveHeld records a revision that an agent or another coordinator reports to be held. One that is too far ahead for the log to go up
+// to is ignored.
 func (t *RevisionTracker) ObserveHeld(r, applied Revision) {
 	if r <= applied || r-applied <= MaxRevisionSkip {
 		t.maxHeld = max(t.maxHeld, r)
--- a/internal/coordination/distribute/subscriber.go
+++ b/internal/coordination/distribute/subscriber.go
@@ -9,8 +9,8 @@
 	Member  string // the agent's name
 	Servers int    // the number of coordinators, which are numbered from 0
 
-	// MaxWait is the longest that a call waits for a newer version: each waits for 3/4 of it to the whole, drawn at random, so that calls
-	// of many agents do not end at the same moments.
+	// MaxWait is the longest that a call waits for a newer version: each waits for three quarters of it to the whole, drawn at random,
+	// so that calls of many agents do not end at the same moments.
 	MaxWait time.Duration
 	// ResponseTimeout is how long after the end of its wait a call has failed.
 	ResponseTimeout time.Duration
@@ -19,8 +19,8 @@
 	ReconnectWindow time.Duration
 	// MaxBackoff is the longest pause while no coordinator answers; at least twice ReconnectWindow.
 	MaxBackoff time.Duration
-	// RebalanceAfter is how long one coordinator is used: after half to the whole of it another one is drawn, so that load spreads again
-	// after restarts.
+	// RebalanceAfter is how long one coordinator is used: after half of it to the whole, drawn at random, another one is chosen, so that
+	// load spreads again after restarts.
 	RebalanceAfter time.Duration
 
 	// Rand returns a random number from 0 to n-1; n is above 0.
@@ -121,7 +121,7 @@
 	return (excluded + 1 + int(s.options.Rand(int64(s.options.Servers-1)))) % s.options.Servers
 }
 
-// Answered takes in the response to the call in flight, and returns the version to apply, which counts as held from here on; nil: there
+// Answered processes the response to the call in flight, and returns the version to apply, which counts as held from here on; nil: there
 // is none. A version that is refused makes the call a failed one.
 func (s *Subscriber) Answered(now time.Duration, response WatchResponse) (*Version, error) {
 	v, err := s.Accept(response)
@@ -152,7 +152,7 @@
 	return v, nil
 }
 
-// Failed takes in that the call in flight got no response, or an error.
+// Failed records that the call in flight got no response, or an error.
 func (s *Subscriber) Failed(now time.Duration) {
 	if !s.inFlight {
 		return
--- a/internal/coordination/distribute/summary.go
+++ b/internal/coordination/distribute/summary.go
@@ -14,7 +14,7 @@
 	s.addHeld(max(r.InForce, r.Refused))
 }
 
-// addHeld takes in a revision that a member holds. One above the newest was given before the group was restored, and is forgotten by it.
+// addHeld counts a revision that a member holds. One above the newest was given before the group was restored, which has forgotten it.
 func (s *Summary) addHeld(held Revision) {
 	if held > s.Newest {
 		s.Ahead = max(s.Ahead, held)
--- a/internal/coordination/distribute/watches.go
+++ b/internal/coordination/distribute/watches.go
@@ -77,7 +77,7 @@
 	return &Watches{newest: newest, freshFor: freshFor, byService: map[string][]*pendingWatch{}}
 }
 
-// Add takes in a watch that was checked. done is called exactly once, now or later; never after cancel. The version that it gets is
+// Add adds a watch that was checked. done is called exactly once, now or later; never after cancel. The version that it gets is
 // shared: it is only to be read. ReportsReceived is left to the caller.
 func (w *Watches) Add(now time.Duration, watch Watch, done func(WatchResponse, error)) (cancel func()) {
 	w.expire(now)
@@ -93,7 +93,7 @@
 		done(WatchResponse{}, nil)
 		return func() {}
 	}
-	watch.Reports = nil // they were taken in: what waits is small
+	watch.Reports = nil // the caller has recorded them: what waits is small
 	pending := &pendingWatch{watch: watch, done: done, deadline: now + min(watch.MaxWait, MaxWatchWait)}
 	pending.serviceIndex = len(w.byService[watch.Service])
 	w.byService[watch.Service] = append(w.byService[watch.Service], pending)
@@ -130,7 +130,7 @@
 	w.answer(all, WatchResponse{Newer: &v}, nil)
 }
 
-// Confirmed takes in a confirmation by the leader that was requested at a moment: the register holds everything that was committed then.
+// Confirmed records a confirmation by the leader: the register holds everything that was committed at requestedAt.
 func (w *Watches) Confirmed(requestedAt time.Duration) {
 	if !w.everConfirmed || requestedAt > w.confirmedAt {
 		w.everConfirmed, w.confirmedAt = true, requestedAt
--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"log/slog"
 	"net"
 	"net/http"
@@ -117,7 +118,9 @@
 		if errors.Is(err, rollout.ErrStaleDriver) {
 			return err
 		}
-		failures = append(failures, err)
+		if err != nil {
+			failures = append(failures, fmt.Errorf("application %s: %w", name, err))
+		}
 	}
 	return errors.Join(failures...)
 }
--- a/internal/coordination/evidence/usage.go
+++ b/internal/coordination/evidence/usage.go
@@ -136,7 +136,8 @@
 	return e.addPair(name, newGrowth > controlGrowth+maxGrowthFraction, controlGrowth > newGrowth+maxGrowthFraction)
 }
 
-// addPair adds a comparison to the judge. If neither side is larger by what matters it is left out: memory stands still between its bursts.
+// addPair adds a comparison to the judge. If neither side is larger by what matters it is left out: memory does not grow between its
+// bursts.
 func (e *Evidence) addPair(metric string, newLarger, controlLarger bool) error {
 	if newLarger == controlLarger {
 		return nil
--- a/internal/coordination/fleet/caller.go
+++ b/internal/coordination/fleet/caller.go
@@ -30,9 +30,9 @@
 	current int // the index of the coordinator to try next
 }
 
-// Call sends a request until a leader answers it, or a coordinator refuses it for good (IsPermanent), or ctx ends. A change of the membership
-// ends with an error, too, where its outcome is unknown or another one is pending (replica.ErrMembershipChangePending). An error names the
-// coordinator that was called last. beforeAttempt, unless it is nil, is called before each attempt.
+// Call sends a request until a leader answers it, or a coordinator refuses it permanently (IsPermanent), or ctx ends. A change of the
+// membership ends with an error, too, where its outcome is unknown or another one is pending (replica.ErrMembershipChangePending). An
+// error names the coordinator that was called last. beforeAttempt, unless it is nil, is called before each attempt.
 func (c *Caller) Call(ctx context.Context, in *Request, beforeAttempt func()) (*Response, error) {
 	in.Version = Version
 	for attempt := 1; ; attempt++ {
@@ -104,7 +104,7 @@
 // sentOnce reports whether a request must not be sent again where the outcome is not known.
 func sentOnce(in *Request) bool { return in.AddMember != nil || in.RemoveMember != 0 }
 
-// IsPermanent reports whether an error of a call refuses the request for good, so that it need not be sent again.
+// IsPermanent reports whether an error of a call refuses the request permanently, so that it need not be sent again.
 func IsPermanent(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument, connect.CodeFailedPrecondition, connect.CodeUnimplemented, connect.CodeResourceExhausted:
--- a/internal/coordination/fleet/distribute.go
+++ b/internal/coordination/fleet/distribute.go
@@ -55,14 +55,14 @@
 	d.applyConfirmation()
 }
 
-// applyConfirmation takes in a leader's confirmation once this replica has applied what it is about.
+// applyConfirmation applies a leader's confirmation once this replica has applied what it is about.
 func (d *distributor) applyConfirmation() {
 	if requestedAt, ok := d.revisions.ConfirmedAt(d.server.core.Versions().Last()); ok {
 		d.watches.Confirmed(requestedAt)
 	}
 }
 
-// prepare takes in the revision that a request reports, and sets the revision that a new version has to be above.
+// prepare records the revision that a request reports, and sets the revision that a new version has to be above.
 func (d *distributor) prepare(r *replica.Request, in *Request) {
 	last := d.server.core.Versions().Last()
 	if in.LastRevision != nil {
@@ -89,22 +89,13 @@
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
-		type state struct {
-			addrs   []string
-			maxHeld distribute.Revision
-		}
-		now := make(chan state, 1)
-		if !d.server.post(func() { now <- state{d.server.replicaAddrs(), d.revisions.MaxHeld()} }) {
+		target, err := d.confirmationTarget(ctx)
+		if err != nil {
 			return
 		}
-		select {
-		case present := <-now:
-			if len(present.addrs) > 0 {
-				caller := &Caller{Addrs: present.addrs, HTTPClient: httpClient, Timeout: 2 * interval, RetryInterval: interval / 4}
-				d.confirmOnce(ctx, caller, 4*interval, present.maxHeld)
-			}
-		case <-d.server.ended:
-			return
+		if len(target.addrs) > 0 {
+			caller := &Caller{Addrs: target.addrs, HTTPClient: httpClient, Timeout: 2 * interval, RetryInterval: interval / 4}
+			d.confirmOnce(ctx, caller, 4*interval, target.maxHeld)
 		}
 		select {
 		case <-ctx.Done():
@@ -114,6 +105,21 @@
 	}
 }
 
+// confirmationTarget is where to send a request for the last revision, and what to report in it.
+type confirmationTarget struct {
+	addrs   []string // of the replicas, the leader's first if it is known
+	maxHeld distribute.Revision
+}
+
+// confirmationTarget reads the present target. An error says that the coordinator shuts down.
+func (d *distributor) confirmationTarget(ctx context.Context) (confirmationTarget, error) {
+	target := make(chan confirmationTarget, 1)
+	if !d.server.post(func() { target <- confirmationTarget{d.server.replicaAddrs(), d.revisions.MaxHeld()} }) {
+		return confirmationTarget{}, errShutdown
+	}
+	return await(ctx, d.server, target)
+}
+
 // confirmOnce asks for the last revision. Where it gets no answer the confirmation of before runs out by itself.
 func (d *distributor) confirmOnce(ctx context.Context, c *Caller, timeout time.Duration, maxHeld distribute.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -164,14 +170,14 @@
 		}
 		return &r.response, nil
 	case <-ctx.Done():
-		s.post(func() { (<-cancel)() })
+		s.post(func() { (<-cancel)() }) // it runs after the function above, which has filled the channel
 		return nil, ctx.Err()
 	case <-s.ended:
 		return nil, errShutdown
 	}
 }
 
-// watch takes in the reports of a watch, and begins it. done is called once, unless cancel is called before.
+// watch records the reports of a watch, and adds it to those that wait. done is called once, unless cancel is called before.
 func (d *distributor) watch(in *distribute.Watch, done func(distribute.WatchResponse, error)) (cancel func()) {
 	now, reportsReceived := d.now(), true
 	if len(in.Reports) > 0 {
--- a/internal/coordination/fleet/doc.go
+++ b/internal/coordination/fleet/doc.go
@@ -1,5 +1,5 @@
 // Package fleet is the process around one replica of the coordinators, and the clients' side of its calls. The server carries out what
-// package replica hands out, on a disk and over the network, and answers clients. It decides nothing about leases, limits or versions.
+// package replica returns, on a disk and over the network, and answers clients. It decides nothing about leases, limits or versions.
 // The network is connectrpc.com/connect over HTTP/1.1 with messages in JSON. There is no sign-in and no TLS: whoever reaches the address
 // may send requests, so it listens on loopback unless its file says otherwise.
 //
@@ -8,6 +8,6 @@
 //
 //	Server        one coordinator
 //	Caller        sends requests to whichever coordinator leads
-//	Operator      the calls of the operators' tool, by way of a Caller
+//	Operator      the calls of the operators' tool, with a Caller
 //	LimitClient   one member's allocations of one limit
 package fleet
--- a/internal/coordination/fleet/handlers.go
+++ b/internal/coordination/fleet/handlers.go
@@ -144,7 +144,8 @@
 	return await(ctx, s, status)
 }
 
-// handleStep takes in messages of another replica. A sender whose disk is not the recorded one, or that was removed, is refused.
+// handleStep passes messages of another replica to this one. A sender whose disk is not the recorded one, or that was removed, is
+// refused.
 func (s *Server) handleStep(_ context.Context, in *StepRequest) (*Empty, error) {
 	if err := CheckVersion(in.Version); err != nil {
 		return nil, err
--- a/internal/coordination/fleet/limitclient.go
+++ b/internal/coordination/fleet/limitclient.go
@@ -14,7 +14,7 @@
 const idleWait = time.Hour
 
 // LimitClient is one member's use of one limit. Run requests allocations from the coordinators while Allow, from any goroutine, spends
-// them. Allow never waits: where the coordinators are out of reach it goes on with what is allocated, and then with the floor.
+// them. Allow never waits: while the coordinators are out of reach it spends what is allocated, and then the floor.
 type LimitClient struct {
 	caller *Caller
 	limit  share.Limit
@@ -25,7 +25,7 @@
 	consumer *share.Consumer
 }
 
-// NewLimitClient returns the client of a member. clock is a steady clock; the name and weight are those of the member.
+// NewLimitClient returns the client of a member with that name and weight. clock reads a steady clock, such as monotonic.Now.
 func NewLimitClient(caller *Caller, l share.Limit, member string, weight float64, clock func() lease.Instant) *LimitClient {
 	return &LimitClient{caller: caller, limit: l, clock: clock, wake: make(chan struct{}, 1), consumer: share.NewConsumer(l, member, weight)}
 }
--- a/internal/coordination/fleet/server.go
+++ b/internal/coordination/fleet/server.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// eventQueue bounds the events that wait for the goroutine that owns the replica; maxBatch those that it takes in before one write.
+	// eventQueue bounds the events that wait for the goroutine that owns the replica; maxBatch those that it processes before one write.
 	eventQueue = 4096
 	maxBatch   = 512
 
@@ -30,7 +30,7 @@
 	idleTimeout       = 2 * time.Minute
 )
 
-// Server is one coordinator. Run's goroutine owns the core; calls reach it by way of post.
+// Server is one coordinator. Run's goroutine owns the core; the goroutines of calls run functions on it with post.
 type Server struct {
 	config *Config
 	log    *slog.Logger
@@ -113,7 +113,7 @@
 	rpc.Handle(mux, distribute.PathSummary, maxRequest, s.handleSummary)
 	return &http.Server{
 		Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
-		// The read time-out goes on while a call waits for its response, and would end it: it is longer than distribute.MaxWatchWait.
+		// The read time-out runs on while a call waits for its response, and would end it: it is longer than distribute.MaxWatchWait.
 		ReadTimeout: snapshotTimeout + 5*time.Second,
 		ErrorLog:    slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-// handleWaitingEvents takes in the events that have come meanwhile, so that one write to the disk serves them all.
+// handleWaitingEvents processes the events that have come meanwhile, so that one write to the disk serves them all.
 func (s *Server) handleWaitingEvents() {
 	for range maxBatch {
 		select {
@@ -167,7 +167,7 @@
 	}
 }
 
-// processReady carries out what the core hands out: first the disk, then the network, then the responses.
+// processReady carries out what the core returns: first the disk, then the network, then the responses.
 func (s *Server) processReady(peers context.Context, background *sync.WaitGroup) error {
 	for {
 		ready, ok := s.core.Ready()
--- a/internal/coordination/judge/eprocess.go
+++ b/internal/coordination/judge/eprocess.go
@@ -8,7 +8,7 @@
 	windows            float64
 	logEvidence        float64 // the logarithm of the evidence that the new release is worse
 	startedLogEvidence float64 // the same of the part of the mixture that begins at one of the windows so far; see addWindow
-	foundWorse         bool    // the evidence has reached the threshold once, which holds for good
+	foundWorse         bool    // the evidence has reached the threshold once, which is never withdrawn
 }
 
 // addWindow adds the logarithm of a window's factor. A release may become worse at any window, for example under load alone or after hours,
--- a/internal/coordination/lease/lessor.go
+++ b/internal/coordination/lease/lessor.go
@@ -74,7 +74,7 @@
 	return commands
 }
 
-// Applied takes in a command of this term when it has been applied, with its answer.
+// Applied is called after each command of this term that State.Apply has applied, with its answer.
 func (ls *Lessor) Applied(cmd Command, a Answer, now Instant) {
 	switch cmd.Kind {
 	case Open:
--- a/internal/coordination/lease/sessionstate.go
+++ b/internal/coordination/lease/sessionstate.go
@@ -7,7 +7,8 @@
 )
 
 // SessionState is what a client believes: which leases its session holds, and until when by its own steady clock. Every response is
-// taken in with the instant at which the client sent the request, never with that at which the response came.
+// applied with the instant at which the client sent the request, never with that at which the response arrived. It is not safe for
+// concurrent use.
 type SessionState struct {
 	Session       SessionID
 	ttl           time.Duration
@@ -33,8 +34,8 @@
 // reports is a new one.
 func (s *SessionState) BeginWait(name string, now Instant) { s.waiting[name] = now }
 
-// ApplyKeepAlive takes in the response to a keep-alive request that found the session alive, with the grants that the session holds;
-// nil: they are those of version. It returns the grants that the session has waited for.
+// ApplyKeepAlive applies the response to a keep-alive request that renewed the session. grants are those that the session holds at that
+// version; nil says that they are those of the version that the request named. It returns the grants that the session has waited for.
 func (s *SessionState) ApplyKeepAlive(requestedAt Instant, grants []Grant, version uint64) (granted []Grant) {
 	expiry := ValidUntil(requestedAt, s.ttl)
 	s.expiry = max(s.expiry, expiry)
@@ -73,7 +74,7 @@
 	}
 }
 
-// ApplyGrant takes in a grant that the client learned of now.
+// ApplyGrant records a grant that the client learned of now.
 func (s *SessionState) ApplyGrant(now Instant, name string, token Token) {
 	delete(s.waiting, name)
 	if held := s.grants[name]; held == nil || held.token < token {
@@ -87,12 +88,12 @@
 	delete(s.waiting, name)
 }
 
-// Invalidate ends the belief in everything: the session does not exist any more.
+// Invalidate ends the belief in the session and all its grants. The client calls it when a coordinator says that the session is gone.
 func (s *SessionState) Invalidate() {
 	s.expiry, s.grants, s.waiting = -1<<62, map[string]*heldGrant{}, map[string]Instant{}
 }
 
-// Expiry returns until when the session is believed to live.
+// Expiry returns the instant until which the session is believed to be alive.
 func (s *SessionState) Expiry() Instant { return s.expiry }
 
 // Held returns the token of a lease and until when it is believed to be held; ok is false where it is not.
--- a/internal/coordination/lease/snapshot.go
+++ b/internal/coordination/lease/snapshot.go
@@ -95,10 +95,10 @@
 // restoreOffset is by how many tokens a restored state goes beyond its back-up: more than a group grants in a year at 10,000 a second.
 const restoreOffset = 1 << 40
 
-// RestoreNewGroup returns the state with which a new group begins from a back-up, while holders of the old one may still live: what they
-// hold stays theirs for their TTL, nothing is granted until everything that the back-up lacks has expired, and tokens and session ids go
-// on beyond those of the old group. minToken is the largest token that is known to have been granted after the back-up, or 0; longestTTL
-// is the longest TTL that the old group allowed.
+// RestoreNewGroup returns the state with which a new group begins from a back-up, while holders of the old one may still be alive: what
+// they hold stays theirs for their TTL, nothing is granted until everything that the back-up lacks has expired, and tokens and session
+// ids go on beyond those of the old group. minToken is the largest token that is known to have been granted after the back-up, or 0;
+// longestTTL is the longest TTL that the old group allowed.
 func RestoreNewGroup(backup []byte, minToken Token, longestTTL time.Duration) (*State, error) {
 	s, err := Restore(backup)
 	if err != nil {
@@ -113,7 +113,7 @@
 // Info describes one lease to an operator.
 type Info struct {
 	Name    string        `json:"name"`
-	Token   Token         `json:"token,omitempty"`   // 0: nobody holds it
+	Token   Token         `json:"token,omitempty"`   // 0: the lease is free
 	Session SessionID     `json:"session,omitempty"` // of the holder
 	Owner   string        `json:"owner,omitempty"`   // of that session
 	TTL     time.Duration `json:"ttl_ns,omitempty"`
--- a/internal/coordination/lease/state.go
+++ b/internal/coordination/lease/state.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// State is which session holds which lease. Equal commands in equal order make equal states.
+// State records which session holds which lease. Equal commands in equal order make equal states.
 //
-// Invariants: every holder and every waiter is a session that exists; no session is twice in a queue, or waits for what it holds; a lease
-// that nobody holds has no queue, except under an embargo; tokens grow.
+// Invariants: every holder and every waiter is a session that exists; no session is twice in a queue, or waits for what it holds; a free
+// lease has no queue, except under an embargo; tokens grow.
 type State struct {
 	lastToken   Token     // the last one that was granted
 	lastSession SessionID // the last one that was opened
@@ -33,7 +33,7 @@
 
 type lease struct {
 	name    string
-	holder  SessionID // 0: nobody
+	holder  SessionID // 0: the lease is free
 	token   Token
 	broken  bool
 	waiters []SessionID // the next holder first
@@ -173,7 +173,7 @@
 	return Answer{Status: Waiting, Holder: s.ownerName(l.holder), WaitersAhead: position}
 }
 
-// grantToNext grants a lease that nobody holds to the first in its queue.
+// grantToNext grants a free lease to the first session in its queue.
 func (s *State) grantToNext(l *lease) {
 	if l.holder != 0 || s.embargo > 0 || len(l.waiters) == 0 {
 		return
@@ -197,7 +197,7 @@
 	s.removeIfUnused(l)
 }
 
-// removeIfUnused removes a lease that nobody holds or waits for.
+// removeIfUnused removes a lease that no session holds or waits for.
 func (s *State) removeIfUnused(l *lease) {
 	if l.holder == 0 && len(l.waiters) == 0 {
 		delete(s.leases, l.name)
--- a/internal/coordination/machine/data.go
+++ b/internal/coordination/machine/data.go
@@ -89,7 +89,7 @@
 	return m.startFile(managed, kind, managed.StartCount)
 }
 
-// removeOldFiles removes the files of old starts, but not those of a process that lives, which may reload its settings. A file that
+// removeOldFiles removes the files of old starts, but not those of a process that is alive, which may reload its settings. A file that
 // cannot be removed does no harm; the next start tries again.
 func (m *Machine) removeOldFiles(managed *managedSidecar) {
 	entries, _ := os.ReadDir(string(m.data))
--- a/internal/coordination/machine/machine.go
+++ b/internal/coordination/machine/machine.go
@@ -40,7 +40,7 @@
 }
 
 // versionSubscription delivers newer versions of the configuration to the function that it was made with, and reports to the
-// coordinators how the sidecars stand with them. *subscribe.Client is one; tests have another.
+// coordinators which version each sidecar has in force. *subscribe.Client is one; tests have another.
 type versionSubscription interface {
 	Run(context.Context)
 	Report(distribute.Report)
@@ -173,7 +173,8 @@
 	return nil
 }
 
-// poll reports processes that have ended to the sidecar, lets it act on the time, and probes those that live.
+// poll reports processes that have ended to the sidecar, carries out what it asks for at this time, and probes the processes that are
+// alive.
 func (m *Machine) poll(ctx context.Context, managed *managedSidecar) error {
 	var actions []agent.Action
 	for _, p := range []*agent.Process{managed.Serving, managed.Next, managed.Terminating} {
--- a/internal/coordination/machine/process.go
+++ b/internal/coordination/machine/process.go
@@ -58,8 +58,8 @@
 	return err == nil && ticks == p.StartTicks
 }
 
-// signal sends a signal to a process, if it lives. The error is not looked at: the process may have ended meanwhile, and the next poll
-// finds out.
+// signal sends a signal to a process, if it is alive. An error is ignored: the process may have ended meanwhile, and the next poll
+// detects that.
 func signal(p agent.Process, s syscall.Signal) {
 	if Lives(p) {
 		_ = syscall.Kill(p.PID, s)
--- a/internal/coordination/machine/sidecar.go
+++ b/internal/coordination/machine/sidecar.go
@@ -18,7 +18,7 @@
 	config     *SidecarConfig
 	savedState agent.PersistedState              // as it is on the disk
 	probing    map[agent.Process]bool            // a probe of the process is under way
-	counts     map[agent.Process]json.RawMessage // the last counts of each process that lives
+	counts     map[agent.Process]json.RawMessage // the last counts of each process that is alive
 	lastReport distribute.Report                 // handed to the subscription
 }
 
--- a/internal/coordination/monotonic/monotonic.go
+++ b/internal/coordination/monotonic/monotonic.go
@@ -1,4 +1,4 @@
-// Package monotonic reads a steady clock that nobody sets, and that counts the time for which the machine sleeps.
+// Package monotonic reads the clock by which leases are measured: it is never set, and it includes the time for which the machine sleeps.
 package monotonic
 
 import (
@@ -7,8 +7,8 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// Now returns the reading of CLOCK_BOOTTIME. Go's own monotonic readings stand still while a machine sleeps: with them a holder would
-// believe in its lease after another one got it. Now is safe for concurrent use.
+// Now returns the reading of CLOCK_BOOTTIME, in nanoseconds since the machine was started. Go's own monotonic clock stops while a
+// machine sleeps: with them a holder would believe in its lease after another one got it. Now is safe for concurrent use.
 func Now() lease.Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -18,7 +18,7 @@
 
 const (
 	// ElectionTicks is the shortest election time-out, in ticks: a follower without contact to a leader campaigns after ElectionTicks
-	// to twice as many, drawn anew each time.
+	// to twice as many, drawn again each time.
 	ElectionTicks  = 10
 	heartbeatTicks = 1
 
@@ -82,7 +82,7 @@
 	timeout int
 }
 
-// resetElectionTimer begins the wait for a leader's message anew, with another time-out.
+// resetElectionTimer restarts the wait for a leader's message, with another time-out.
 func (c *Core) resetElectionTimer() {
 	c.election = electionTimer{timeout: ElectionTicks + c.Rand(ElectionTicks)}
 }
@@ -204,7 +204,8 @@
 	return c.node.Propose(data)
 }
 
-// Step takes in a message of a peer, which CheckReceiver and CheckSender have admitted. What is of no use in the present state is dropped.
+// Step processes a message of a peer, which CheckReceiver and CheckSender have admitted. What is of no use in the present state is
+// dropped.
 func (c *Core) Step(m *pb.Message) {
 	switch m.GetType() {
 	case pb.MessageType_MsgApp, pb.MessageType_MsgHeartbeat, pb.MessageType_MsgSnap:
@@ -289,7 +290,7 @@
 	return c.createSnapshot()
 }
 
-// applySoftState takes in who leads. A replica whose own leadership begins or ends answers all pending requests.
+// applySoftState records who leads. A replica whose own leadership begins or ends answers all pending requests.
 func (c *Core) applySoftState(s *raft.SoftState) {
 	isLeader := s.RaftState == raft.StateLeader
 	if s.Lead != c.leadership.leader && s.Lead != 0 {
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -177,7 +177,7 @@
 	return d, persisted, nil
 }
 
-// options: the free list is made anew at each start, so that it cannot be damaged.
+// options returns those of every open of a file. The free list is built at each start and not stored, so that it cannot be damaged.
 func options() *bbolt.Options {
 	return &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true}
 }
--- a/internal/coordination/replica/doc.go
+++ b/internal/coordination/replica/doc.go
@@ -1,7 +1,7 @@
 // Package replica is one of the 1, 3 or 5 replicas that keep the coordinators' commands in one order: those of leases, rolling changes,
 // limits and configuration versions. Core is the replica as a deterministic state machine around a raft log: ticks, messages of peers and
 // requests go in; what to persist, what to send and the responses come out. It has no goroutine, no clock, no socket and no disk, so that
-// complete groups run in virtual time from one seed. Package disk persists what Core hands out, package fleet is the process around it.
+// complete groups run in virtual time from one seed. Package disk persists what Core returns, package fleet is the process around it.
 // A Core belongs to one goroutine.
 //
 // The owner of a Core calls Tick at a fixed interval, Step with each message of a peer and Submit with each request of a client. After any
--- a/internal/coordination/replica/members.go
+++ b/internal/coordination/replica/members.go
@@ -27,7 +27,7 @@
 )
 
 const (
-	// removalGraceTicks is how long a removed replica goes on, so that whoever asked for the removal gets the response.
+	// removalGraceTicks is how long a removed replica continues, so that the client that asked for the removal gets the response.
 	removalGraceTicks = 2 * ElectionTicks
 	// catchUpDistance is how many entries a learner may be behind the commit index when it becomes a voter.
 	catchUpDistance = 100
@@ -109,7 +109,7 @@
 // IncarnationOf returns the recorded incarnation of a member's disk; "": it is not known.
 func (c *Core) IncarnationOf(id uint64) string { return c.membership.members[id].Incarnation }
 
-// RemovedErr says why this replica has to end; nil: it goes on.
+// RemovedErr returns ErrRemoved once this replica was removed from the group and has to end; nil: it continues.
 func (c *Core) RemovedErr() error {
 	if c.membership.ticksSinceRemoval > removalGraceTicks {
 		return fmt.Errorf("replica %d: %w", c.ID, ErrRemoved)
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// CheckReceiver says why this replica has to end when a peer sends messages for a disk of that incarnation: the votes and entries that
-// the peer counts on are not on this disk. "" is a sender that does not know the incarnation.
+// CheckReceiver returns ErrLostDisk where a peer sends messages for a disk of another incarnation: the votes and entries that the peer
+// counts on are not on this disk, and this replica has to end. "" is a sender that does not know the incarnation.
 func (c *Core) CheckReceiver(incarnation string) error {
 	if incarnation != "" && incarnation != c.Incarnation {
 		return fmt.Errorf("replica %d: %w", c.ID, ErrLostDisk)
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// CheckSender says why messages of a peer whose disk has that incarnation must not be taken in: the log has another one recorded, or the
-// group has removed the peer. A leader records an incarnation that is not known yet.
+// CheckSender returns why messages of a peer whose disk has that incarnation must not reach Step: ErrLostDisk where the log has another
+// incarnation recorded, ErrRemoved where the group has removed the peer. A leader records an incarnation that is not known yet.
 func (c *Core) CheckSender(id uint64, incarnation string) error {
 	m, member := c.membership.members[id]
 	switch {
--- a/internal/coordination/replica/request.go
+++ b/internal/coordination/replica/request.go
@@ -44,7 +44,7 @@
 	return r.Command != nil || r.Rollout != nil || r.Limit != nil || r.Publish != nil
 }
 
-// KeepAlive asks whether a session lives, and renews it if it does.
+// KeepAlive renews a session, if it still exists.
 type KeepAlive struct {
 	Session      lease.SessionID `json:"Session"`
 	KnownVersion uint64          `json:"Known"` // the version of the session's grants that the client knows
@@ -100,7 +100,7 @@
 	return p.lastNumber
 }
 
-// Submit takes in a request. A replica that does not lead answers at once, as does one with too many pending requests (ErrBusy).
+// Submit processes a request. A replica that does not lead answers at once, as does one with too many pending requests (ErrBusy).
 func (c *Core) Submit(r Request) {
 	if !c.leadership.isLeader {
 		err := ErrNotLeader
@@ -162,7 +162,7 @@
 	c.node.ReadIndex(fmt.Appendf(nil, "%d", c.pending.lastNumber))
 }
 
-// confirmRead takes in that a majority has confirmed the leadership for the confirmation of that number.
+// confirmRead records that a majority has confirmed the leadership for the confirmation of that number.
 func (p *pendingRequests) confirmRead(number string, index uint64) {
 	if p.confirming != nil && number == fmt.Sprint(p.confirming.number) {
 		p.confirming.index = index
--- a/internal/coordination/replica/state.go
+++ b/internal/coordination/replica/state.go
@@ -15,7 +15,7 @@
 
 // entry is the data of one entry of the log: a command, or what became known of a member.
 type entry struct {
-	From    uint64              `json:"f,omitempty"` // the replica that proposed it; 0: nobody waits for the outcome
+	From    uint64              `json:"f,omitempty"` // the replica that proposed it; 0: no request waits for the outcome
 	Number  uint64              `json:"n,omitempty"` // the number of the request at that replica
 	Lease   *lease.Command      `json:"c,omitempty"`
 	Rollout *rollout.Command    `json:"r,omitempty"`
--- a/internal/coordination/rollout/doc.go
+++ b/internal/coordination/rollout/doc.go
@@ -13,11 +13,11 @@
 //
 // Time is what a driver has watched of a stage (Event.Elapsed): a driver that takes over continues from what the last one reported.
 //
-// Invariants: as far as is known, no more sidecars than the plan allows are out of service when another is ordered to change, and no more
-// than it allows change at the same time; a sidecar has one open order at a time, and the numbers of orders grow; after a stop nobody is
-// ordered to the new release; a sidecar that fails to go back is abandoned, named, and never ordered again; equal events make equal states
-// and equal orders, also the reasons in a state: replicas of different versions apply the same log, so that these texts must not change.
-// OpenOrders returns the orders that are open, so that a driver that takes over repeats them.
+// Invariants: as far as is known, no more sidecars than the plan allows are out of service when another is ordered to change, and no
+// more than it allows change at the same time; a sidecar has one open order at a time, and the numbers of orders grow; after a stop no
+// sidecar is ordered to the new release; a sidecar that fails to go back is abandoned, named, and never ordered again; equal events make
+// equal states and equal orders, also the reasons in a state: replicas of different versions apply the same log, so that these texts
+// must not change. OpenOrders returns the orders that are open, so that a driver that takes over repeats them.
 //
 // Nothing here is safe for concurrent use.
 package rollout
--- a/internal/coordination/share/allocator.go
+++ b/internal/coordination/share/allocator.go
@@ -46,7 +46,7 @@
 
 type member struct {
 	weight      float64
-	demand      int
+	demand      int           // units a period
 	entitled    float64       // units that are due to it and not allocated yet
 	requestedAt lease.Instant // its last request
 	outstanding int           // units of its active allocations
@@ -95,13 +95,14 @@
 // that is reported twice changes nothing the second time.
 func (a *Allocator) returnUnspent(r AllocationRequest) {
 	for _, usage := range r.Finished {
-		if allocation := a.active[usage.Allocation]; allocation != nil && allocation.member == r.Member && usage.Units >= 0 && usage.Units < allocation.units {
+		allocation := a.active[usage.Allocation]
+		if allocation != nil && allocation.member == r.Member && usage.Units >= 0 && usage.Units < allocation.units {
 			a.giveBack(allocation, allocation.units-usage.Units)
 		}
 	}
 }
 
-// updateMember takes in a request's weight and demand, and returns the member's fair units a period.
+// updateMember records a request's weight and demand, and returns the member's fair units a period.
 func (a *Allocator) updateMember(m *member, r AllocationRequest, now lease.Instant) (fair float64) {
 	if m.weight = r.Weight; !(m.weight > 0) || math.IsInf(m.weight, 1) {
 		m.weight = 1
--- a/internal/coordination/share/allocators.go
+++ b/internal/coordination/share/allocators.go
@@ -7,7 +7,7 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// Allocators are those of all limits, for one term of one leader.
+// Allocators has the allocator of each limit, for one term of one leader. It is not safe for concurrent use.
 type Allocators struct {
 	term    uint64
 	byLimit map[string]*Allocator
@@ -22,8 +22,8 @@
 	return a
 }
 
-// Applied takes in a command of this term when it has been applied. A new limit waits for a period too: a group that was restored from a
-// back-up may have forgotten it.
+// Applied is called after each command of this term that Register.Apply has accepted. A new limit waits for a period too: a group that
+// was restored from a back-up may have forgotten it.
 func (a *Allocators) Applied(c Command, now lease.Instant) {
 	if allocator := a.byLimit[c.Set.Name]; allocator != nil {
 		allocator.SetUnits(c.Set.Units)
--- a/internal/coordination/share/consumer.go
+++ b/internal/coordination/share/consumer.go
@@ -65,7 +65,7 @@
 	return c.nextRequestAt, c.Demand(now) > 0 || c.Remaining(now) > 0 || len(c.finished) > 0
 }
 
-// RequestFailed takes in that a request was not answered.
+// RequestFailed records that a request was not answered: the next one is sent half a period later.
 func (c *Consumer) RequestFailed(now lease.Instant) {
 	c.nextRequestAt = now.Add(c.limit.Period / 2)
 }
@@ -88,14 +88,15 @@
 	return AllocationRequest{Member: c.name, Weight: c.weight, Demand: max(0, demand-c.Remaining(now)), Finished: append([]Usage(nil), finished...)}
 }
 
-// ApplyAllocation takes in the response to a request that was sent at requestedAt and reported these usages. A response that arrives
+// ApplyAllocation applies the response to a request that was sent at requestedAt and reported these usages. A response that arrives
 // twice is one allocation.
 func (c *Consumer) ApplyAllocation(requestedAt lease.Instant, a Allocation, reported []Usage) {
 	c.finished = withoutReported(c.finished, reported)
 	c.nextRequestAt = requestedAt.Add(max(a.RetryAfter, c.limit.Period/2))
 	known := slices.ContainsFunc(c.allocations, func(held heldAllocation) bool { return held.usage.Allocation == a.ID })
 	if a.Units > 0 && !known {
-		c.allocations = append(c.allocations, heldAllocation{usage: Usage{Allocation: a.ID}, units: a.Units, until: lease.ValidUntil(requestedAt, c.limit.Period)})
+		until := lease.ValidUntil(requestedAt, c.limit.Period)
+		c.allocations = append(c.allocations, heldAllocation{usage: Usage{Allocation: a.ID}, units: a.Units, until: until})
 	}
 }
 
--- a/internal/coordination/share/register.go
+++ b/internal/coordination/share/register.go
@@ -22,8 +22,8 @@
 	ErrTooManyLimits  = fmt.Errorf("there are %d limits already", MaxLimits)
 )
 
-// Register is the limits, as the log makes them. Equal logs make equal registers. A limit that is not wanted any more stays, with no more
-// units than its floor: what was allocated of it ends, and its name never stands for another limit.
+// Register holds the limits, as the log makes them. Equal logs make equal registers. A limit that is not wanted any more stays, with no
+// more units than its floor: what was allocated of it ends, and its name never stands for another limit.
 type Register struct{ limits map[string]Limit }
 
 // NewRegister returns a register without limits.
--- a/internal/coordination/subscribe/subscribe.go
+++ b/internal/coordination/subscribe/subscribe.go
@@ -35,7 +35,7 @@
 	Service  string
 	Member   string                         // the agent's name, unique in the service
 	Revision distribute.Revision            // of the version that is stored from before; 0: none
-	Store    func(distribute.Version) error // stores a newer version, or says why not; then it is requested again. Run calls it.
+	Store    func(distribute.Version) error // stores a newer version; after an error the version is requested again
 	Log      *slog.Logger                   // nil: nothing is logged
 	// HTTPClient is nil for one of the client's own.
 	HTTPClient *http.Client
@@ -65,7 +65,8 @@
 	return c
 }
 
-// Report takes in the state of a sidecar, in place of the one before, and has it sent soon. It is safe for concurrent use.
+// Report replaces the report of a sidecar and has it sent soon, together with others that come within reportDelay. It is safe for
+// concurrent use.
 func (c *Client) Report(r distribute.Report) {
 	c.mu.Lock()
 	c.outbox.Set(r)
@@ -109,7 +110,7 @@
 	}
 }
 
-// handle takes in a response, and has a newer version stored.
+// handle passes a response to the subscriber, and has a newer version stored.
 func (c *Client) handle(s *distribute.Subscriber, now func() time.Duration, server int, response *distribute.WatchResponse) {
 	before := s.Revision()
 	newer, err := s.Answered(now(), *response)
