--- a/internal/coordination/fleet/errorcode_test.go
+++ b/internal/coordination/fleet/errorcode_test.go
@@ -109,7 +109,7 @@
 
 	caller := &Caller{Addrs: []string{config.Addr()}, HTTPClient: http.DefaultClient, RetryInterval: 10 * time.Millisecond}
 	start := &rollout.Start{Members: []rollout.Member{{Name: "n0"}}, Reports: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}},
-		Plan: rollout.Plan{Application: "app", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, EvidenceTimeout: time.Minute,
+		Plan: rollout.Plan{Application: "app", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, ProgressTimeout: time.Minute,
 			Judge: rollout.JudgeConfig{Disabled: true}, Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}}}
 	for _, command := range []rollout.Command{
 		{Application: "app", Change: "c", Start: start},
