--- a/internal/coordination/fleet/config.go
+++ b/internal/coordination/fleet/config.go
@@ -95,13 +95,13 @@
 		return nil, yamlfile.Problem(file, top, "id", "missing or 0; write a number from 1 on, which no other replica has or had")
 	case c.Data == "":
 		return nil, yamlfile.Problem(file, top, "data", "missing; write the folder for what is kept")
-	case replicas == nil || replicas.Kind != yaml.SequenceNode || len(replicas.Content) == 0:
+	case replicas.Kind != yaml.SequenceNode || len(replicas.Content) == 0:
 		return nil, yamlfile.Problem(file, top, "replicas", "missing; write a list of id and address")
 	}
-	if err := c.parseReplicas(file, replicas); err != nil {
+	if err := c.parseReplicas(file, &replicas); err != nil {
 		return nil, err
 	}
-	if host, _, _ := net.SplitHostPort(c.Addr()); !c.AllowRemote && !yamlfile.Loopback(host) {
+	if !c.reachable(c.Addr()) {
 		return nil, yamlfile.Problem(file, top, "listen", c.Addr()+" is not of loopback; write allow_remote: true where everybody who reaches it may ask")
 	}
 	if n := len(c.Replicas); n%2 == 0 && !c.Join {
@@ -110,31 +110,28 @@
 	return c, nil
 }
 
-// parseFields reads the fields of the file, and returns the node of the replicas; nil: there is none.
-func (c *Config) parseFields(file string, top *yaml.Node, deprecated *yamlfile.DeprecatedNames) (replicas *yaml.Node, err error) {
-	err = deprecated.Fields(file, "", top, map[string]func(*yaml.Node) error{
-		"id":           func(n *yaml.Node) error { return yamlfile.Decode(n, &c.ID, "a number from 1 on") },
-		"data":         func(n *yaml.Node) error { return yamlfile.Decode(n, &c.Data, "a folder") },
-		"listen":       func(n *yaml.Node) error { return yamlfile.Address(n, &c.Listen) },
-		"join":         func(n *yaml.Node) error { return yamlfile.Decode(n, &c.Join, "true or false") },
-		"allow_remote": func(n *yaml.Node) error { return yamlfile.Decode(n, &c.AllowRemote, "true or false") },
-		"drive":        func(n *yaml.Node) error { return yamlfile.Decode(n, &c.Drive, "true or false") },
-		"drive_interval": func(n *yaml.Node) error {
-			return yamlfile.Duration(n, &c.DriveInterval, 50*time.Millisecond, time.Minute)
-		},
-		"max_ttl":  func(n *yaml.Node) error { return yamlfile.Duration(n, &c.MaxTTL, lease.MinTTL, lease.MaxTTL) },
-		"tick":     func(n *yaml.Node) error { return yamlfile.Duration(n, &c.Tick, 5*time.Millisecond, time.Second) },
-		"replicas": keepNode(&replicas),
-	}, renamedFields)
-	return replicas, err
+// reachable reports whether the file allows an address: any address of loopback, and others only with allow_remote.
+func (c *Config) reachable(address string) bool {
+	host, _, _ := net.SplitHostPort(address)
+	return c.AllowRemote || yamlfile.Loopback(host)
 }
 
-// keepNode stores a field's node, to be read when all fields are known.
-func keepNode(to **yaml.Node) func(*yaml.Node) error {
-	return func(n *yaml.Node) error {
-		*to = n
-		return nil
-	}
+// parseFields reads the fields of the file, and returns the node of the replicas, which are read once all other fields are known; the zero
+// node: there is none.
+func (c *Config) parseFields(file string, top *yaml.Node, deprecated *yamlfile.DeprecatedNames) (replicas yaml.Node, err error) {
+	err = deprecated.Fields(file, "", top, map[string]yamlfile.Reader{
+		"id":             yamlfile.Into(&c.ID, "a number from 1 on"),
+		"data":           yamlfile.Into(&c.Data, "a folder"),
+		"listen":         yamlfile.IntoAddress(&c.Listen),
+		"join":           yamlfile.Into(&c.Join, "true or false"),
+		"allow_remote":   yamlfile.Into(&c.AllowRemote, "true or false"),
+		"drive":          yamlfile.Into(&c.Drive, "true or false"),
+		"drive_interval": yamlfile.IntoDuration(&c.DriveInterval, 50*time.Millisecond, time.Minute),
+		"max_ttl":        yamlfile.IntoDuration(&c.MaxTTL, lease.MinTTL, lease.MaxTTL),
+		"tick":           yamlfile.IntoDuration(&c.Tick, 5*time.Millisecond, time.Second),
+		"replicas":       yamlfile.Into(&replicas, "a list"),
+	}, renamedFields)
+	return replicas, err
 }
 
 // parseReplicas reads the list of replicas. Ids and addresses are different, and this coordinator is among them.
@@ -146,7 +143,6 @@
 		if err != nil {
 			return err
 		}
-		host, _, _ := net.SplitHostPort(m.Addr)
 		switch line, twice := lineOfID[m.ID]; {
 		case m.ID == 0:
 			return yamlfile.Problem(file, n, field+".id", "missing or 0; write a number from 1 on")
@@ -156,7 +152,7 @@
 			return yamlfile.Problem(file, n, field+".address", "missing; write host:port")
 		case lineOfAddr[m.Addr] > 0:
 			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is that of line %d", m.Addr, lineOfAddr[m.Addr]))
-		case !c.AllowRemote && !yamlfile.Loopback(host):
+		case !c.reachable(m.Addr):
 			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is not of loopback; write allow_remote: true where everybody who reaches it may ask", m.Addr))
 		}
 		lineOfID[m.ID], lineOfAddr[m.Addr] = n.Line, n.Line
@@ -172,9 +168,9 @@
 	if n.Kind != yaml.MappingNode {
 		return m, yamlfile.Problem(file, n, field, "write id and address")
 	}
-	err = yamlfile.Fields(file, field+".", n, map[string]func(*yaml.Node) error{
-		"id":      func(n *yaml.Node) error { return yamlfile.Decode(n, &m.ID, "a number from 1 on") },
-		"address": func(n *yaml.Node) error { return yamlfile.Address(n, &m.Addr) },
+	err = yamlfile.Fields(file, field+".", n, map[string]yamlfile.Reader{
+		"id":      yamlfile.Into(&m.ID, "a number from 1 on"),
+		"address": yamlfile.IntoAddress(&m.Addr),
 	})
 	return m, err
 }
--- a/internal/coordination/rollout/plan.go
+++ b/internal/coordination/rollout/plan.go
@@ -1,6 +1,7 @@
 package rollout
 
 import (
+	"errors"
 	"fmt"
 	"time"
 )
@@ -54,15 +55,21 @@
 	return fmt.Sprintf("%s: %s to %s in %d stages", p.Application, p.From, p.To, len(p.Stages))
 }
 
+// Errors of a plan that lacks something.
+var (
+	errReleases = errors.New("from, to: write both releases")
+	errNoStages = errors.New("stages: write one at least")
+)
+
 // check finds what is wrong with a plan by itself, with the field.
 func (p *Plan) check() error {
 	switch {
 	case p.From == "" || p.To == "":
-		return fmt.Errorf("from, to: write both releases")
+		return errReleases
 	case p.From == p.To:
 		return fmt.Errorf("to: %s is what is there", p.To)
 	case len(p.Stages) == 0:
-		return fmt.Errorf("stages: write one at least")
+		return errNoStages
 	case p.MaxConcurrent < 1:
 		return fmt.Errorf("max_concurrent: %d; write 1 or more", p.MaxConcurrent)
 	case p.MaxUnavailable < p.MaxConcurrent:
