--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -49,7 +49,7 @@
 	reachability  rollout.ReachabilityTracker
 }
 
-// Run drives while it holds the lease, and waits for the lease otherwise, until ctx ends. An error says which of the
+// Run drives while it holds the lease, and waits for the lease otherwise, until ctx ends. It is called once. An error says which of the
 // exported fields is invalid.
 func (d *Driver) Run(ctx context.Context) error {
 	d.operator = fleet.Operator{Addrs: d.Coordinators}
--- a/internal/coordination/lease/command.go
+++ b/internal/coordination/lease/command.go
@@ -66,13 +66,7 @@
 func (c *Command) Check() error {
 	switch c.Kind {
 	case Open:
-		switch {
-		case c.TTL < MinTTL || c.TTL > MaxTTL:
-			return fmt.Errorf("ttl: %v is out of bounds; write one from %v to %v", c.TTL, MinTTL, MaxTTL)
-		case len(c.Nonce) < 8 || len(c.Nonce) > MaxNameBytes:
-			return fmt.Errorf("nonce: %d bytes; draw 8 to %d at random", len(c.Nonce), MaxNameBytes)
-		}
-		return checkName("owner", c.Owner)
+		return c.checkOpen()
 	case Acquire, Cancel, Release, Transfer, Break:
 		if err := checkName("lease", c.Name); err != nil {
 			return err
@@ -93,6 +87,20 @@
 	return nil
 }
 
+// minNonceBytes is the shortest nonce: two clients must not draw the same one.
+const minNonceBytes = 8
+
+// checkOpen is Check for a command that opens a session.
+func (c *Command) checkOpen() error {
+	switch {
+	case c.TTL < MinTTL || c.TTL > MaxTTL:
+		return fmt.Errorf("ttl: %v is out of bounds; write one from %v to %v", c.TTL, MinTTL, MaxTTL)
+	case len(c.Nonce) < minNonceBytes || len(c.Nonce) > MaxNameBytes:
+		return fmt.Errorf("nonce: %d bytes; draw %d to %d at random", len(c.Nonce), minNonceBytes, MaxNameBytes)
+	}
+	return checkName("owner", c.Owner)
+}
+
 // checkName restricts names to printable ASCII without spaces.
 func checkName(field, name string) error {
 	if name == "" || len(name) > MaxNameBytes {
--- a/internal/coordination/lease/snapshot.go
+++ b/internal/coordination/lease/snapshot.go
@@ -68,30 +68,46 @@
 	}
 	s := NewState()
 	s.lastToken, s.lastSession, s.embargo = snapshot.Token, snapshot.Session, snapshot.Embargo
-	for _, i := range snapshot.Sessions {
-		s.sessions[i.ID] = &session{id: i.ID, owner: i.Owner, nonce: i.Nonce, ttl: i.TTL, lastSeq: i.Seq, lastAnswer: i.Answer,
-			version: i.Version, holds: map[string]struct{}{}, waits: map[string]struct{}{}}
-		s.nonces[i.Nonce] = i.ID
+	for _, record := range snapshot.Sessions {
+		s.sessions[record.ID] = &session{
+			id: record.ID, owner: record.Owner, nonce: record.Nonce, ttl: record.TTL, lastSeq: record.Seq, lastAnswer: record.Answer,
+			version: record.Version, holds: map[string]struct{}{}, waits: map[string]struct{}{},
+		}
+		s.nonces[record.Nonce] = record.ID
 	}
-	for _, i := range snapshot.Leases {
-		l := &lease{i.Name, i.Holder, i.Token, i.Broken, i.Queue}
-		s.leases[i.Name] = l
-		for n, id := range append([]SessionID{l.holder}, l.waiters...) {
-			sess := s.sessions[id]
-			switch {
-			case n == 0 && id == 0:
-			case sess == nil:
-				return nil, fmt.Errorf("snapshot: lease %q: there is no session %d", i.Name, id)
-			case n == 0:
-				sess.holds[i.Name] = struct{}{}
-			default:
-				sess.waits[i.Name] = struct{}{}
-			}
+	for _, record := range snapshot.Leases {
+		if err := s.restoreLease(record); err != nil {
+			return nil, fmt.Errorf("snapshot: lease %q: %w", record.Name, err)
 		}
 	}
 	return s, nil
 }
 
+// restoreLease adds a lease of a snapshot, and records it at its holder and its waiters, which must be in the snapshot.
+func (s *State) restoreLease(record leaseSnapshot) error {
+	s.leases[record.Name] = &lease{name: record.Name, holder: record.Holder, token: record.Token, broken: record.Broken, waiters: record.Queue}
+	if record.Holder != 0 {
+		holder := s.sessions[record.Holder]
+		if holder == nil {
+			return noSessionError(record.Holder)
+		}
+		holder.holds[record.Name] = struct{}{}
+	}
+	for _, id := range record.Queue {
+		waiter := s.sessions[id]
+		if waiter == nil {
+			return noSessionError(id)
+		}
+		waiter.waits[record.Name] = struct{}{}
+	}
+	return nil
+}
+
+// noSessionError says that a snapshot has a lease of a session that it does not have.
+type noSessionError SessionID
+
+func (e noSessionError) Error() string { return fmt.Sprintf("there is no session %d", SessionID(e)) }
+
 // restoreOffset is by how many tokens a restored state goes beyond its back-up: more than a group grants in a year at 10,000 a second.
 const restoreOffset = 1 << 40
 
@@ -133,14 +149,14 @@
 		if len(name) < len(prefix) || name[:len(prefix)] != prefix {
 			continue
 		}
-		h := Info{Name: name, Session: l.holder, Broken: l.broken}
+		info := Info{Name: name, Session: l.holder, Broken: l.broken}
 		if sess := s.sessions[l.holder]; sess != nil {
-			h.Token, h.Owner, h.TTL = l.token, sess.owner, sess.ttl
+			info.Token, info.Owner, info.TTL = l.token, sess.owner, sess.ttl
 		}
 		for _, id := range l.waiters {
-			h.Queue = append(h.Queue, Waiter{id, s.ownerName(id)})
+			info.Queue = append(info.Queue, Waiter{id, s.ownerName(id)})
 		}
-		all = append(all, h)
+		all = append(all, info)
 	}
 	slices.SortFunc(all, func(a, b Info) int { return cmp.Compare(a.Name, b.Name) })
 	return all
--- a/internal/coordination/lease/state_test.go
+++ b/internal/coordination/lease/state_test.go
@@ -249,3 +249,21 @@
 		t.Error(err)
 	}
 }
+
+// A snapshot with a lease whose holder or waiter it does not have is an error that names both.
+func TestInconsistentSnapshots(t *testing.T) {
+	const session = `{"id":1,"owner":"o","nonce":"12345678","ttl":1000000000,"seq":0,"answer":{"status":0},"version":0}`
+	for text, want := range map[string]string{
+		`{"format":1,"token":5,"session":1,"sessions":[` + session + `],"leases":[{"name":"a","holder":7,"token":5}]}`:             `snapshot: lease "a": there is no session 7`,
+		`{"format":1,"token":5,"session":1,"sessions":[` + session + `],"leases":[{"name":"a","holder":1,"token":5,"queue":[8]}]}`: `snapshot: lease "a": there is no session 8`,
+		`{"format":1,"token":5,"session":1,"sessions":[` + session + `],"leases":[{"name":"a","holder":1,"token":5,"queue":[0]}]}`: `snapshot: lease "a": there is no session 0`,
+		`{"format":2}`: "snapshot: format 2, ours is 1",
+	} {
+		if _, err := Restore([]byte(text)); err == nil || err.Error() != want {
+			t.Errorf("%v, want %s", err, want)
+		}
+	}
+	if _, err := Restore([]byte(`{"format":1,"token":5,"session":1,"sessions":[` + session + `],"leases":[{"name":"a","holder":1,"token":5}]}`)); err != nil {
+		t.Error(err)
+	}
+}
