--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"log/slog"
 	"net"
 	"net/http"
@@ -48,7 +49,7 @@
 	reachability  rollout.ReachabilityTracker
 }
 
-// Run drives while it holds the lease, and waits for the lease otherwise, until ctx ends. An error says which of the
+// Run drives while it holds the lease, and waits for the lease otherwise, until ctx ends. It is called once. An error says which of the
 // exported fields is invalid.
 func (d *Driver) Run(ctx context.Context) error {
 	d.operator = fleet.Operator{Addrs: d.Coordinators}
@@ -117,7 +118,9 @@
 		if errors.Is(err, rollout.ErrStaleDriver) {
 			return err
 		}
-		failures = append(failures, err)
+		if err != nil {
+			failures = append(failures, fmt.Errorf("application %s: %w", name, err))
+		}
 	}
 	return errors.Join(failures...)
 }
