--- a/internal/router/backend/backend_test.go
+++ b/internal/router/backend/backend_test.go
@@ -198,7 +198,8 @@
 	c.Close()
 }
 
-// An idle connection is used for as long as the server says that it keeps it, less a margin; and for a shorter time once one was lost.
+// An idle connection is used for as long as the server says that it keeps it, less a margin; and for a shorter time
+// once one was lost.
 func TestHowLongAnIdleConnectionIsUsed(t *testing.T) {
 	s := newScriptedServer(t, 4)
 	done := s.send("x")
--- a/internal/router/backend/exchange.go
+++ b/internal/router/backend/exchange.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is what is sent to a server.
+// Request is what is sent to a server. It is not changed, and may be sent again by another Do.
 type Request struct {
 	ID     string // X-Request-Id
 	Method string
@@ -21,7 +21,8 @@
 	Body   []byte
 }
 
-// Response is the head of an answer, and its body as it comes.
+// Response is the head of an answer, and its body as it comes. It belongs to the goroutine that called Do, which has to
+// close it.
 type Response struct {
 	Status   int
 	Header   http.Header
@@ -37,15 +38,16 @@
 
 const maxLateAnswers = 2 // to earlier requests, that are passed over
 
-// longRequestBytes is the size from which an answer is read while the request is still being written: a server may answer before it has
-// read a long one.
+// longRequestBytes is the size from which an answer is read while the request is still being written: a server may
+// answer before it has read a long one.
 const longRequestBytes = 16 << 10
 
 // longAgo is a deadline that ends all reads and writes of a connection.
 var longAgo = time.Unix(1, 0)
 
-// Do sends a request and reads the head of its answer. Until the answer is closed the exchange depends on the context: when that ends,
-// the connection does. An error is ErrNoConnection, ErrBroken, or ErrNotSent, which may be marked as ErrBroken too.
+// Do sends a request and reads the head of its answer. Until the answer is closed the exchange depends on the context:
+// when that ends, the connection does. An error is ErrNoConnection, ErrBroken, or ErrNotSent, which may be marked as
+// ErrBroken too.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	began := time.Now()
 	c, err := p.get(ctx)
@@ -77,8 +79,8 @@
 	return answer, nil
 }
 
-// exchange writes a request and reads the head of its answer. It reports whether the complete request was written: on a connection where the rest
-// of it is missing, the server would take the next request for that.
+// exchange writes a request and reads the head of its answer. It reports whether the complete request was written: on a
+// connection where the rest of it is missing, the server would take the next request for that.
 func exchange(c *conn, r *Request) (answer *Response, written bool, err error) {
 	request := encode(r)
 	if len(request) >= longRequestBytes {
@@ -131,7 +133,8 @@
 		case id != "":
 			_, _ = io.Copy(io.Discard, answer.Body) // nobody waits for it any more; the next read has its error, too
 		case c.exchanges > 0 || claimsNotExecuted(answer):
-			// On a used connection it may be the answer to an earlier request; and one that does not name its request promises nothing.
+			// On a used connection it may be the answer to an earlier request; and one that does not name its request promises
+			// nothing.
 			return nil, errors.Wrap(errOtherRequest, "an answer without an id")
 		default:
 			return newResponse(answer), nil
@@ -153,7 +156,8 @@
 	return answer.Header.Get("X-Not-Executed") != ""
 }
 
-// Read reads the body; io.EOF comes only at its true end.
+// Read implements io.Reader for the body. The error is io.EOF only at the body's true end; an answer that was cut off
+// has another one.
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if err == io.EOF {
@@ -162,7 +166,8 @@
 	return n, err
 }
 
-// Close ends the exchange: the connection is kept where the body was read to its end, else closed. It may be called again.
+// Close ends the exchange: the connection is kept where the body was read to its end, else closed. It may be called
+// again.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
--- a/internal/router/backend/exchange_model_test.go
+++ b/internal/router/backend/exchange_model_test.go
@@ -136,8 +136,8 @@
 	return complete
 }
 
-// Every two behaviours of a server, one after the other: the second exchange has the outcome of its own behaviour, on the first's connection where that
-// may be used again, and otherwise on a new one.
+// Every two behaviours of a server, one after the other: the second exchange has the outcome of its own behaviour, on
+// the first's connection where that may be used again, and otherwise on a new one.
 func TestEveryTwoExchanges(t *testing.T) {
 	for _, first := range behaviours() {
 		for _, second := range behaviours() {
--- a/internal/router/backend/pool.go
+++ b/internal/router/backend/pool.go
@@ -15,8 +15,8 @@
 	"petrelhook/internal/router/transport"
 )
 
-// The errors of an exchange. An error may be marked with them: they are found by Is of github.com/cockroachdb/errors, not
-// by that of the standard library.
+// The errors of an exchange. An error may be marked with them: they are found by Is of github.com/cockroachdb/errors,
+// not by that of the standard library.
 var (
 	ErrNotSent      = errors.New("the request was not sent") // no byte of it left
 	ErrBroken       = errors.New("the exchange broke off")   // it may have run
@@ -32,7 +32,7 @@
 	readBuffer     = 4 << 10
 )
 
-// Pool is the connections to one server.
+// Pool is the connections to one server. Make it by NewPool; its methods may be called from any goroutine.
 type Pool struct {
 	address string
 
@@ -53,12 +53,12 @@
 	exchanges int // that ended on it
 }
 
-// NewPool makes a pool without connections; limit bounds them.
+// NewPool returns a pool without connections to a server's address; limit bounds their number.
 func NewPool(address string, limit int) *Pool {
 	return &Pool{address: address, limit: max(1, limit), maxIdle: defaultMaxIdle}
 }
 
-// Address is the server's address.
+// Address returns the server's address, HOST:PORT.
 func (p *Pool) Address() string { return p.address }
 
 // SetLimit changes the bound on the connections. Open ones beyond it are kept.
@@ -68,14 +68,16 @@
 	p.mutex.Unlock()
 }
 
-// HasCapacity reports whether a request would find a connection or may open one.
+// HasCapacity reports whether a request would find a connection or may open one, as of now: by the time of Do that may
+// have changed.
 func (p *Pool) HasCapacity() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.idle) > 0 || p.open < p.limit
 }
 
-// Close closes the idle connections, and has the others closed when their exchange ends.
+// Close closes the idle connections, and has the others closed when their exchange ends. It is called when the server
+// may not be used any more; exchanges in progress go on.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	idle := p.idle
@@ -124,8 +126,8 @@
 	}
 }
 
-// takeIdle takes an idle connection, and returns how long one may have been idle. Where there is none it counts a new one, which the caller
-// opens, or returns ErrNoConnection.
+// takeIdle takes an idle connection, and returns how long one may have been idle. Where there is none it counts a new
+// one, which the caller opens, or returns ErrNoConnection.
 func (p *Pool) takeIdle() (*conn, time.Duration, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -168,7 +170,8 @@
 // close closes a connection. What it was used for has ended, so that its error means nothing.
 func (c *conn) close() { _ = c.Close() }
 
-// put makes a connection idle whose exchange ended completely; keepAlive is how long the server says that it keeps it, 0 where it does not.
+// put makes a connection idle whose exchange ended completely; keepAlive is how long the server says that it keeps it,
+// 0 where it does not.
 func (p *Pool) put(c *conn, keepAlive time.Duration) {
 	_ = c.SetDeadline(time.Time{}) // where it fails the connection does, at the next use
 	c.idleSince = time.Now()
--- a/internal/router/dissemination/messages.go
+++ b/internal/router/dissemination/messages.go
@@ -126,7 +126,8 @@
 	HeldShares  map[string]float64 // by tenant, 0 to 1
 }
 
-// QuotaGrant answers QuotaRequest with the shares that the receiver may use from now on, in place of those that it held.
+// QuotaGrant answers QuotaRequest with the shares that the receiver may use from now on, in place of those that it
+// held.
 type QuotaGrant struct {
 	Nonce  uint64
 	Shares map[string]float64
--- a/internal/router/eventstream/eventstream.go
+++ b/internal/router/eventstream/eventstream.go
@@ -1,6 +1,8 @@
-// Package eventstream splits a stream of server-sent events into complete events, as they come. It does not interpret them, but for their id.
+// Package eventstream splits a stream of server-sent events into complete events, as they come. It does not interpret
+// them, but for their id.
 //
-// Invariant: what Next returns ends with the blank line that ends an event; an event that was cut off is never returned.
+// Invariant: what Next returns ends with the blank line that ends an event; an event that was cut off is never
+// returned.
 //
 // A Reader is for one goroutine at a time.
 package eventstream
--- a/internal/router/gateway/account.go
+++ b/internal/router/gateway/account.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// recordFirstByte records that the first part of the answer is there; what was not spent in other phases was spent at the server.
+// recordFirstByte records that the first part of the answer is there; what was not spent in other phases was spent at
+// the server.
 func (r *request) recordFirstByte(dialTime time.Duration) {
 	t := &r.trace
 	t.TimeToFirstByte = time.Since(r.times.received)
@@ -30,8 +31,9 @@
 	}
 }
 
-// account adds a request that has ended to the totals, and reports one that missed its objective to Options.OnObjectiveMissed. Attempts of clients whose time
-// was nearly up when they came, and probes of the configuration, count like all others.
+// account adds a request that has ended to the totals, and reports one that missed its objective to
+// Options.OnObjectiveMissed. Requests of clients whose time was nearly up when they came, and those by which
+// an operator checks whether a configuration is in force, count like all others.
 func (g *Gateway) account(r *http.Request, req *request) {
 	if req.route == nil {
 		return
@@ -61,7 +63,7 @@
 	return latency.LostBroken
 }
 
-// LatencyReports says what became of the requests so far, by route.
+// LatencyReports returns what became of the requests since the start, by route, for the status.
 func (g *Gateway) LatencyReports() []latency.Report {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/router/gateway/attempt.go
+++ b/internal/router/gateway/attempt.go
@@ -77,8 +77,8 @@
 	return server, s.connections[server.ID]
 }
 
-// mayRetry reports whether a request goes to another server after an attempt's outcome, and takes what that costs: one of the route's attempts and a permit of the
-// retry budget, or neither where no server received it.
+// mayRetry reports whether a request goes to another server after an attempt's outcome, and takes what that costs: one
+// of the route's attempts and a permit of the retry budget, or neither where no server received it.
 func (g *Gateway) mayRetry(req *request, result outcome) bool {
 	if result == notSent {
 		return true
@@ -103,7 +103,8 @@
 	return true
 }
 
-// giveUp gives a request its final answer at once. An answer that has begun is aborted by a panic with http.ErrAbortHandler, so that it does not look complete.
+// giveUp gives a request its final answer at once. An answer that has begun is aborted by a panic with
+// http.ErrAbortHandler, so that it does not look complete.
 func (g *Gateway) giveUp(w http.ResponseWriter, req *request, result outcome) {
 	req.trace.FailureReason = g.failureReason(req, result)
 	if req.response.headerSent {
--- a/internal/router/gateway/body.go
+++ b/internal/router/gateway/body.go
@@ -13,8 +13,8 @@
 	bodyTimeout    = 10 * time.Second
 )
 
-// readBody reads the complete body, within the bounds in force as it begins, and counts its bytes until the request ends. It answers a request that
-// exceeds a bound.
+// readBody reads the complete body, within the bounds in force as it begins, and counts its bytes until the request
+// ends. It answers a request that exceeds a bound.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request, req *request) bool {
 	maxBody := int64(defaultMaxBody)
 	if t := g.table.Load(); t != nil {
--- a/internal/router/gateway/cost_test.go
+++ b/internal/router/gateway/cost_test.go
@@ -14,8 +14,8 @@
 	"petrelhook/internal/router/registry"
 )
 
-// BenchmarkPrompt is one prompt of 9 KB with an answer of two events, over loopback; client and server write and read bytes that
-// were made before.
+// BenchmarkPrompt is one prompt of 9 KB with an answer of two events, over loopback; client and server write and read
+// bytes that were made before.
 func BenchmarkPrompt(b *testing.B) {
 	r := newRig(b)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/router/gateway/deadline_test.go
+++ b/internal/router/gateway/deadline_test.go
@@ -35,7 +35,8 @@
 	return slices.Clone(d.seen)
 }
 
-// A server is given the remaining time of the client or of the route, whichever is less, and a second server no more than the first.
+// A server is given the remaining time of the client or of the route, whichever is less, and a second server no more
+// than the first.
 func TestTheDeadlineThatIsHandedOn(t *testing.T) {
 	for name, one := range map[string]struct {
 		header string
--- a/internal/router/gateway/drain_test.go
+++ b/internal/router/gateway/drain_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request that may outlast a draining router is rejected, with a promise, from rejectLongFrom on; the others are served.
+// A request that may outlast a draining router is rejected, with a promise, from rejectLongFrom on; the others are
+// served.
 func TestWhatMayOutlastTheEndIsRefused(t *testing.T) {
 	r := newRig(t)
 	ran := 0
--- a/internal/router/gateway/fleet.go
+++ b/internal/router/gateway/fleet.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// fleetShrinkDelay is how long a fleet counts as large as it was after a smaller size was reported: a home that has just
-// started knows few of the other routers, and what each router may do by itself is its part of the total.
+// fleetShrinkDelay is how long a fleet counts as large as it was after a smaller size was reported: a home that has
+// just started knows few of the other routers, and what each router may do by itself is its part of the total.
 const fleetShrinkDelay = 10 * time.Second
 
 // fleetSize is the number of routers for the limits that they divide among themselves.
--- a/internal/router/gateway/gateway.go
+++ b/internal/router/gateway/gateway.go
@@ -1,14 +1,15 @@
-// Package gateway is the clients' side of a router: it reads a request, decides by the configuration whether it may go on,
-// has placement choose a server, sends it, and relays the answer. Every request that was read gets one answer.
+// Package gateway is the clients' side of a router: it reads a request, decides by the configuration whether it may go
+// on, has placement choose a server, sends it, and relays the answer. Every request that was read gets one answer.
 //
 // It does not know the core: configuration, servers and the number of routers are handed in, and what was handed in
-// last stays in force when nothing more comes. It chooses no server itself (package placement) and keeps no connections (package backend).
+// last stays in force when nothing more comes. It chooses no server itself (package placement) and keeps no connections
+// (package backend).
 //
-// Invariants: a request that may have run is sent again only on a route that allows it; an answer that was cut off never looks complete; a
-// rejection (Retry-After) promises that the request has not run.
+// Invariants: a request that may have run is sent again only on a route that allows it; an answer that was cut off
+// never looks complete; a rejection (Retry-After) promises that the request has not run.
 //
-// A request is served on the goroutine that net/http calls ServeHTTP on. All methods of Gateway may be called from any goroutine. Its lock is held for short computations
-// only, never while something is sent or awaited.
+// A request is served on the goroutine that net/http calls ServeHTTP on. All methods of Gateway may be called from any
+// goroutine. Its lock is held for short computations only, never while something is sent or awaited.
 package gateway
 
 import (
@@ -52,8 +53,8 @@
 	FromPool
 )
 
-// Acquisition is what was acquired of a tenant's limit. Where it does not suffice, RetryAfter says when to come back; 0 is
-// not known.
+// Acquisition is what was acquired of a tenant's limit. Where it does not suffice, RetryAfter says when to come back; 0
+// is not known.
 type Acquisition struct {
 	Source     Source
 	Granted    float64 // units
@@ -185,8 +186,8 @@
 	g.quota.ApplyShares(nonce, shares, g.options.Now())
 }
 
-// QuotaDeposit hands the shares that this router may spend without the primary over to a pool, to which the caller sends
-// them. Until the deposit expires this router spends none of them itself.
+// QuotaDeposit hands the shares that this router may spend without the primary over to a pool, to which the caller
+// sends them. Until the deposit expires this router spends none of them itself.
 func (g *Gateway) QuotaDeposit() quota.Deposit {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/router/gateway/headers.go
+++ b/internal/router/gateway/headers.go
@@ -61,7 +61,8 @@
 	return max(0, min(lowestUrgency, rank))
 }
 
-// copyHeader copies the header of a server's answer to the client's. The router's own Connection field goes before the server's.
+// copyHeader copies the header of a server's answer to the client's. The router's own Connection field goes before the
+// server's.
 func copyHeader(w http.ResponseWriter, answer *backend.Response) {
 	connection := w.Header().Get("Connection")
 	dropConnectionHeaders(answer.Header)
--- a/internal/router/gateway/health_signal.go
+++ b/internal/router/gateway/health_signal.go
@@ -28,7 +28,8 @@
 // minTimeToAwait is how long an attempt has to have waited for its server, before a time-out counts against it.
 const minTimeToAwait = 200 * time.Millisecond
 
-// signalOfError is the signal of an attempt without an answer. There is none where the client went, and where it left the server hardly any time.
+// signalOfError is the signal of an attempt without an answer. There is none where the client went, and where it left
+// the server hardly any time.
 func signalOfError(ctx context.Context, req *request, took time.Duration, err error) healthSignal {
 	switch {
 	case errors.Is(err, backend.ErrNoConnection):
@@ -43,7 +44,8 @@
 	return failure
 }
 
-// signalOfRejection is the signal of an answer which says that the request did not run; reported says that it has a load.
+// signalOfRejection is the signal of an answer which says that the request did not run; reported says that it has a
+// load.
 func signalOfRejection(status int, load serverLoad, reported bool) healthSignal {
 	switch {
 	case status == http.StatusMisdirectedRequest:
@@ -65,7 +67,8 @@
 	return failure
 }
 
-// attemptEnded records the end of an attempt: its work at the server is done, and the server's health changes by the signal.
+// attemptEnded records the end of an attempt: its work at the server is done, and the server's health changes by the
+// signal.
 func (g *Gateway) attemptEnded(req *request, server *placement.Server, signal healthSignal) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/router/gateway/health_signal_test.go
+++ b/internal/router/gateway/health_signal_test.go
@@ -98,7 +98,8 @@
 	require.Greater(t, requests, before, "it is back")
 }
 
-// A server that accepts requests and does not answer is an error each time a request has waited for it until its deadline.
+// A server that accepts requests and does not answer is an error each time a request has waited for it until its
+// deadline.
 func TestAMuteServerIsNoted(t *testing.T) {
 	r := newRig(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/router/gateway/loads.go
+++ b/internal/router/gateway/loads.go
@@ -20,7 +20,7 @@
 	work.PrefillTokens = 0
 }
 
-// LocalLoads is the work that this router's requests have pending.
+// LocalLoads returns the work that this router's requests have pending, by server. The caller reports it to the others.
 func (g *Gateway) LocalLoads() placement.LoadSums {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -31,7 +31,8 @@
 	return all
 }
 
-// SetPeerLoads sets the work that the other routers' requests have pending: none at servers that are not named.
+// SetPeerLoads sets the work that the other routers' requests have pending, as last reported: none at servers that are
+// not named. It fades within a second where it is not set again.
 func (g *Gateway) SetPeerLoads(others placement.LoadSums) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/router/gateway/prefix_uses.go
+++ b/internal/router/gateway/prefix_uses.go
@@ -17,7 +17,8 @@
 	uses.Add(key, server.ID)
 }
 
-// TakePrefixUses returns what this router recorded since the last call, to be reported to the others.
+// TakePrefixUses returns where this router sent shared prefixes since the last call, by service. The caller reports it
+// to the home.
 func (g *Gateway) TakePrefixUses() []placement.PrefixUses {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -29,7 +30,7 @@
 	return out
 }
 
-// ApplyPrefixUses records what other routers reported.
+// ApplyPrefixUses records where other routers sent shared prefixes. It keeps none of the reports.
 func (g *Gateway) ApplyPrefixUses(reports []placement.PrefixUses) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/router/gateway/relay.go
+++ b/internal/router/gateway/relay.go
@@ -60,8 +60,8 @@
 	return answered
 }
 
-// relayStream passes complete events on as they come. The header goes with the first, so that a server that fails before it
-// leaves the client without any part of an answer, and another one can be tried.
+// relayStream passes complete events on as they come. The header goes with the first, so that a server that fails
+// before it leaves the client without any part of an answer, and another one can be tried.
 func (g *Gateway) relayStream(ctx context.Context, w http.ResponseWriter, req *request, from *serverAnswer) outcome {
 	control := http.NewResponseController(w)
 	events := eventstream.NewReader(from.Response)
@@ -101,7 +101,8 @@
 	r.response.headerSent = true
 }
 
-// streamEnded is the outcome of a stream that ended with an error: io.EOF after the last event, otherwise it was cut off.
+// streamEnded is the outcome of a stream that ended with an error: io.EOF after the last event, otherwise it was cut
+// off.
 func streamEnded(ctx context.Context, w http.ResponseWriter, req *request, from *serverAnswer, err error) outcome {
 	switch {
 	case errors.Is(err, io.EOF):
@@ -117,7 +118,8 @@
 	return mayHaveRun
 }
 
-// drainAnswer reads the rest of a short answer, so that its connection can be kept. An error shows when the answer is closed.
+// drainAnswer reads the rest of a short answer, so that its connection can be kept. An error shows when the answer is
+// closed.
 func drainAnswer(answer *backend.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxDrain))
 }
--- a/internal/router/gateway/request.go
+++ b/internal/router/gateway/request.go
@@ -105,7 +105,8 @@
 	return true
 }
 
-// admit decides whether this router serves a request now: it may not outlast a drain, and its tenant's quota has to suffice. It chooses the service, too.
+// admit decides whether this router serves a request now: it may not outlast a drain, and its tenant's quota has to
+// suffice. It chooses the service, too.
 func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, req *request) bool {
 	req.times.deadline = deadlineOf(r, req)
 	if g.draining.Load().mayOutlast(req) {
@@ -147,8 +148,8 @@
 	return true
 }
 
-// reserveQuota reserves a request's units of its tenant's limit: from what this router acquired ahead, else from the primary, and
-// where that does not answer from a pool or this router's lease.
+// reserveQuota reserves a request's units of its tenant's limit: from what this router acquired ahead, else from the
+// primary, and where that does not answer from a pool or this router's lease.
 func (g *Gateway) reserveQuota(ctx context.Context, req *request) (ok bool, wait time.Duration) {
 	name := req.tenant.Name
 	g.mutex.Lock()
--- a/internal/router/gateway/route_state.go
+++ b/internal/router/gateway/route_state.go
@@ -44,8 +44,8 @@
 // recentSamples is how many times of a route are remembered, and how many are needed before any conclusion.
 const recentSamples = 64
 
-// usualQuantile is the quantile of recent times that counts as usual. Of clients' deadlines it is a first attempt's: later attempts have less time left, and
-// are fewer.
+// usualQuantile is the quantile of recent times that counts as usual. Of clients' deadlines it is a first attempt's:
+// later attempts have less time left, and are fewer.
 const usualQuantile = 0.75
 
 // recentTimes are the last times of some kind on a route.
--- a/internal/router/gateway/servers.go
+++ b/internal/router/gateway/servers.go
@@ -92,7 +92,8 @@
 	return max(minConnections, int(usableFraction*float64(s.MaxConnections)/float64(g.fleet.size)))
 }
 
-// limitConnections bounds the connections to all servers by the configuration and the number of routers. The lock is held.
+// limitConnections bounds the connections to all servers by the configuration and the number of routers. The lock is
+// held.
 func (g *Gateway) limitConnections() {
 	for name, s := range g.services {
 		limit := g.connectionLimit(name)
--- a/internal/router/gateway/stall.go
+++ b/internal/router/gateway/stall.go
@@ -17,9 +17,10 @@
 	minPatience         = 0.5 // of the objective, before a server is left
 )
 
-// stallWatch has a stream that may be resumed continue at another server where its next event is so late that only another server can still
-// send it in time: an objective, less what another server usually takes to a first event, has passed. A stream is migrated once for each
-// attempt that its route allows, and only where the retry budget has a permit and there is another server.
+// stallWatch has a stream that may be resumed continue at another server where its next event is so late that only
+// another server can still send it in time: an objective, less what another server usually takes to a first event, has
+// passed. A stream is migrated once for each attempt that its route allows, and only where the retry budget has a
+// permit and there is another server.
 type stallWatch struct {
 	gateway     *Gateway
 	req         *request
@@ -72,7 +73,8 @@
 	}
 }
 
-// stop ends the watch. A timer that fires at this moment finds it stopped and does not access the request, which is used without the lock from now on.
+// stop ends the watch. A timer that fires at this moment finds it stopped and does not access the request, which is
+// used without the lock from now on.
 func (w *stallWatch) stop() {
 	if w.timer == nil {
 		return
@@ -94,7 +96,8 @@
 	}
 }
 
-// acquireMigration acquires a retry permit for a stream, where another server is there to continue it. The lock is held.
+// acquireMigration acquires a retry permit for a stream, where another server is there to continue it. The lock is
+// held.
 func (g *Gateway) acquireMigration(req *request) bool {
 	s := g.services[req.service]
 	if s == nil || req.attempts.retryAcquired {
--- a/internal/router/gateway/stall_test.go
+++ b/internal/router/gateway/stall_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// addStallingServers adds servers each of which sends an event and then nothing to a new request, and the remaining events to a resumed one.
+// addStallingServers adds servers each of which sends an event and then nothing to a new request, and the remaining
+// events to a resumed one.
 func (r *rig) addStallingServers(n int) (begun, resumed *atomic.Int64) {
 	begun, resumed = &atomic.Int64{}, &atomic.Int64{}
 	for range n {
@@ -75,7 +76,8 @@
 	require.Equal(t, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n", body)
 }
 
-// Where there is no other server, no attempt, no permit of the budget or no sample of the route, a stream stays at its server.
+// Where there is no other server, no attempt, no permit of the budget or no sample of the route, a stream stays at its
+// server.
 func TestAStreamThatStays(t *testing.T) {
 	for name, c := range map[string]struct {
 		path    string
@@ -156,7 +158,8 @@
 	require.Empty(t, missed)
 }
 
-// A timer that fires as its attempt ends does not access the request: by then another goroutine uses it without the lock.
+// A timer that fires as its attempt ends does not access the request: by then another goroutine uses it without the
+// lock.
 func TestAStoppedWatchLeavesTheRequestAlone(t *testing.T) {
 	r := newRig(t)
 	r.addStallingServers(2)
--- a/internal/router/gateway/startup.go
+++ b/internal/router/gateway/startup.go
@@ -21,8 +21,9 @@
 // starting reports whether this router may still lack a configuration or servers.
 func (g *Gateway) starting() bool { return g.options.Now() < maxStartup }
 
-// waitForStartup waits, while this router starts, until a condition holds, so that a client's last attempt is served. It returns when the
-// deadline has passed or the context ends, too: the wait is short enough for the client to come back.
+// waitForStartup waits, while this router starts, until a condition holds, so that a client's last attempt is served.
+// It returns when the deadline has passed or the context ends, too: the wait is short enough for the client to come
+// back.
 func (g *Gateway) waitForStartup(ctx context.Context, deadline time.Time, condition func() bool) {
 	if condition() {
 		return
--- a/internal/router/latency/totals.go
+++ b/internal/router/latency/totals.go
@@ -12,7 +12,8 @@
 	maxRoutes  = 64
 	otherRoute = "(others)"
 
-	// Histograms count in ticks of resolution, up to a minute, with one significant digit: a quantile is wrong by up to 10 %.
+	// Histograms count in ticks of resolution, up to a minute, with one significant digit: a quantile is wrong by up to 10
+	// %.
 	resolution        = 100 * time.Microsecond
 	maxTicks          = int64(time.Minute / resolution)
 	significantDigits = 1
@@ -31,7 +32,8 @@
 // NewTotals returns totals of no requests.
 func NewTotals() *Totals { return &Totals{routes: map[string]*routeTotals{}} }
 
-// Add adds a request of a route that has ended, with Trace.Reason's result for it. Routes beyond maxRoutes count together.
+// Add adds a request of a route that has ended, with Trace.Reason's result for it. Routes beyond maxRoutes count
+// together.
 func (t *Totals) Add(route string, trace *Trace, reason Reason) {
 	r := t.route(route)
 	r.reasons[reason]++
@@ -68,8 +70,8 @@
 	_ = (*h).RecordValue(min(maxTicks, max(1, int64(d/resolution)))) // the value is in the range
 }
 
-// Report is what a router reports of one route, as a part of its status: the JSON names there are those of the tags, and
-// do not change.
+// Report is what a router reports of one route, as a part of its status: the JSON names there are those of the tags,
+// and do not change.
 type Report struct {
 	Route           string
 	Reasons         map[Reason]int64
--- a/internal/router/latency/trace.go
+++ b/internal/router/latency/trace.go
@@ -50,8 +50,8 @@
 	Attempts        int           // servers that were tried
 }
 
-// Reason returns what became of a request, and why it was late where it was. Target is the route's latency target for the
-// first part of the answer, gapTarget that for the time between two parts; 0 is none.
+// Reason returns what became of a request, and why it was late where it was. Target is the route's latency target for
+// the first part of the answer, gapTarget that for the time between two parts; 0 is none.
 func (t *Trace) Reason(target, gapTarget time.Duration) Reason {
 	switch {
 	case t.FailureReason != "":
--- a/internal/router/membership/membership.go
+++ b/internal/router/membership/membership.go
@@ -60,7 +60,8 @@
 	s.own[router.Address] = &session{router: router, lastContact: now}
 }
 
-// Expire ends the sessions without a heartbeat in time, and drops what core members reported that have been silent for long.
+// Expire ends the sessions without a heartbeat in time, and drops what core members reported that have been silent for
+// long.
 func (s *Sessions) Expire(now time.Duration) {
 	for address, held := range s.own {
 		if now-held.lastContact > s.timeout {
@@ -75,7 +76,8 @@
 	}
 }
 
-// Own returns the routers whose sessions are held here, and a stamp that is greater than before whenever they are others.
+// Own returns the routers whose sessions are held here, and a stamp that is greater than before whenever they are
+// others.
 func (s *Sessions) Own() ([]Router, uint64) {
 	routers := make([]Router, 0, len(s.own))
 	for _, held := range s.own {
--- a/internal/router/node/distributor.go
+++ b/internal/router/node/distributor.go
@@ -16,8 +16,8 @@
 	pushIntervalPerSubscriber = 500 * time.Microsecond
 )
 
-// distributor is what makes a core member the home of others: it keeps the routers that subscribe here, and when they are
-// pushed to. On a router that is no core member it has no subscribers.
+// distributor is what makes a core member the home of others: it keeps the routers that subscribe here, and when they
+// are pushed to. On a router that is no core member it has no subscribers.
 type distributor struct {
 	subscribers map[string]*subscriber // by internal address
 	sessions    *membership.Sessions
@@ -38,8 +38,8 @@
 	return interval - (now - d.lastPush)
 }
 
-// receiveSubscriptionHeartbeat renews the session of a router that subscribes, and pushes what it lacks. A router that does not
-// subscribe, or not to a core member, is told who the core is.
+// receiveSubscriptionHeartbeat renews the session of a router that subscribes, and pushes what it lacks. A router that
+// does not subscribe, or not to a core member, is told who the core is.
 func (n *Node) receiveSubscriptionHeartbeat(from string, m *dissemination.SubscriptionHeartbeat, now time.Duration) {
 	if m.Router.Member != nil {
 		n.addEligible(*m.Router.Member)
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -93,7 +93,8 @@
 	require.Zero(t, n.quotas.pool.Offers())
 }
 
-// A pool whose host does not answer is left: the next host is another core member, as soon as the deposit there has ended.
+// A pool whose host does not answer is left: the next host is another core member, as soon as the deposit there has
+// ended.
 func TestASilentPoolIsLeft(t *testing.T) {
 	n := poolNode(t)
 	host := member("10.0.1.9:7000", "z1")
--- a/internal/router/node/primary_contact.go
+++ b/internal/router/node/primary_contact.go
@@ -41,7 +41,8 @@
 // requestAnswered records the answer to a client request.
 func (c *primaryContact) requestAnswered(now time.Duration) { c.lastAnswer, c.avoidedUntil = now, 0 }
 
-// sharesGranted records the answer to a request for shares. It says nothing of how fast the primary answers client requests.
+// sharesGranted records the answer to a request for shares. It says nothing of how fast the primary answers client
+// requests.
 func (c *primaryContact) sharesGranted(now time.Duration) { c.lastAnswer = now }
 
 // viewChanged records that there may be another primary, which is asked at once.
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -15,7 +15,8 @@
 // quotaInterval is the time between two requests for shares.
 const quotaInterval = 500 * time.Millisecond
 
-// quotas is a router's part in dividing tenants' limits: at the primary among all routers, and between routers without it.
+// quotas is a router's part in dividing tenants' limits: at the primary among all routers, and between routers without
+// it.
 type quotas struct {
 	allocator    *quota.Allocator // of the primary, in its term; nil elsewhere
 	tokenBuckets *quota.TokenBuckets
--- a/internal/router/node/registration.go
+++ b/internal/router/node/registration.go
@@ -80,8 +80,8 @@
 	io.WriteString(w, "{}")
 }
 
-// acceptServerHeartbeat applies a server's call, or forwards it to the home; ok is false without contact with the core, and
-// the call is not applied then. done is closed once a majority of the core has it, and nil where nothing is to be
+// acceptServerHeartbeat applies a server's call, or forwards it to the home; ok is false without contact with the core,
+// and the call is not applied then. done is closed once a majority of the core has it, and nil where nothing is to be
 // waited for. It acquires the lock.
 func (n *Node) acceptServerHeartbeat(instance registry.Instance) (done <-chan struct{}, ok bool) {
 	n.mutex.Lock()
@@ -102,8 +102,8 @@
 	}
 }
 
-// forwardServerHeartbeat sends a server's call to the home. Where the server is draining or has ended, the channel returned
-// is closed when the home acknowledges it; this router stops using the server at once.
+// forwardServerHeartbeat sends a server's call to the home. Where the server is draining or has ended, the channel
+// returned is closed when the home acknowledges it; this router stops using the server at once.
 func (n *Node) forwardServerHeartbeat(instance registry.Instance, now time.Duration) (done <-chan struct{}) {
 	m := dissemination.ForwardedHeartbeat{Instance: instance}
 	if instance.State != registry.Ready {
--- a/internal/router/node/start.go
+++ b/internal/router/node/start.go
@@ -10,7 +10,8 @@
 	"petrelhook/internal/router/storage"
 )
 
-// open reads the disk, where there is one, and makes the replica. It is called before anything else runs, without the lock.
+// open reads the disk, where there is one, and makes the replica. It is called before anything else runs, without the
+// lock.
 func (n *Node) open() error {
 	s := n.settings
 	options := replication.Options{Self: replication.Member{Address: n.self.Address, Zone: s.Zone}, Seeds: s.SeedAddresses(),
--- a/internal/router/operatorapi/recorded_test.go
+++ b/internal/router/operatorapi/recorded_test.go
@@ -11,8 +11,8 @@
 	"petrelhook/internal/common/gobschema"
 )
 
-// A snapshot of an earlier version restores the configuration and the orders that were accepted. The file is of revision cfdfdec;
-// internal/router/wireformat/testdata says how it was made.
+// A snapshot of an earlier version restores the configuration and the orders that were accepted. The file is of
+// revision cfdfdec; internal/router/wireformat/testdata says how it was made.
 func TestRecordedSnapshotIsRestored(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/cfdfdec/register.snapshot")
 	require.NoError(t, err)
--- a/internal/router/operatorapi/register.go
+++ b/internal/router/operatorapi/register.go
@@ -1,13 +1,15 @@
-// Package operatorapi is the state machine that the core replicates: the newest configuration, and which of the operator's orders led to
-// it. It answers what becomes of an order to replace or update the configuration. It does not serve the HTTP calls that bring orders
-// (internal/router/node does), and it does not know how orders are replicated (internal/router/replication does).
+// Package operatorapi is the state machine that the core replicates: the newest configuration, and which of the
+// operator's orders led to it. It answers what becomes of an order to replace or update the configuration. It does not
+// serve the HTTP calls that bring orders (internal/router/node does), and it does not know how orders are replicated
+// (internal/router/replication does).
 //
-// Register is deterministic: the same orders in the same order give the same configuration on every replica. Invariants: an order that was
-// accepted is recognized by its content for as long as maxRememberedOrders later ones, and is never rejected: one that may have been
-// accepted before that gets no clear answer. Versions only rise, and one number names one content.
+// Register is deterministic: the same orders in the same order give the same configuration on every replica.
+// Invariants: an order that was accepted is recognized by its content for as long as maxRememberedOrders later ones,
+// and is never rejected: one that may have been accepted before that gets no clear answer. Versions only rise, and one
+// number names one content.
 //
-// A Register is not safe for concurrent use: the replica alone calls it, under the router's lock. Configurations that it returns are
-// immutable.
+// A Register is not safe for concurrent use: the replica alone calls it, under the router's lock. Configurations that
+// it returns are immutable.
 package operatorapi
 
 import (
@@ -52,8 +54,9 @@
 	return g.config.Generation
 }
 
-// Decide says what becomes of an encoded order, with the status for the operator: 200 if it was accepted before or can be now (then
-// Accept is set), 400 if it is invalid, 412 if it is not on top of the current version, 503 if it may have been accepted long ago.
+// Decide says what becomes of an encoded order, with the status for the operator: 200 if it was accepted before or can
+// be now (then Accept is set), 400 if it is invalid, 412 if it is not on top of the current version, 503 if it may have
+// been accepted long ago.
 func (g *Register) Decide(entry []byte) replication.Decision {
 	o, err := DecodeOrder(entry)
 	if err != nil {
--- a/internal/router/operatorapi/register_test.go
+++ b/internal/router/operatorapi/register_test.go
@@ -92,8 +92,9 @@
 	return order(Replace, n-1, fmt.Sprintf(`{"Generation":%d,"Routes":[],"Services":[{"Name":"s%d"}]}`, n, n))
 }
 
-// An order that was accepted is acknowledged again by its content for as long as it is remembered, and is never rejected: after more orders
-// than are remembered the answer is unclear, also from a replica that was restored from a snapshot.
+// An order that was accepted is acknowledged again by its content for as long as it is remembered, and is never
+// rejected: after more orders than are remembered the answer is unclear, also from a replica that was restored from a
+// snapshot.
 func TestAnOrderIsNeverRefusedLater(t *testing.T) {
 	g := NewRegister()
 	const orders = maxRememberedOrders + 10
--- a/internal/router/operatorapi/snapshot.go
+++ b/internal/router/operatorapi/snapshot.go
@@ -13,7 +13,8 @@
 // ErrSnapshotMismatch is returned for a snapshot that has not as many versions as orders.
 var ErrSnapshotMismatch = errors.New("a snapshot has not as many versions as orders")
 
-// snapshot is a register's state as it is stored and sent, encoded by gob under these field names, which must not change.
+// snapshot is a register's state as it is stored and sent, encoded by gob under these field names, which must not
+// change.
 type snapshot struct {
 	Config    []byte  // JSON, empty before the first
 	Taken     []byte  // digests of the accepted orders, one after the other
--- a/internal/router/outlier/detector.go
+++ b/internal/router/outlier/detector.go
@@ -41,7 +41,7 @@
 	receivedAt time.Duration
 }
 
-// NewDetector makes a detector without evidence.
+// NewDetector returns a detector without evidence.
 func NewDetector(s Services) *Detector {
 	return &Detector{services: s, servers: map[string]*server{}, traffic: map[string]*decayingCount{}}
 }
@@ -114,7 +114,8 @@
 	return out
 }
 
-// suspected reports whether anybody saw the server fail recently. Of most servers nobody did, and they cost no more than this.
+// suspected reports whether anybody saw the server fail recently. Of most servers nobody did, and they cost no more
+// than this.
 func (s *server) suspected(now time.Duration) bool {
 	for peer, sum := range s.peers {
 		if now-sum.receivedAt > peerSumTTL {
--- a/internal/router/outlier/ejection.go
+++ b/internal/router/outlier/ejection.go
@@ -9,7 +9,8 @@
 	repetitionWindow  = 30 * time.Second // after an ejection's end, in which another one counts as its repetition
 )
 
-// Ejection says that a server gets no requests but trials. Homes send the list of them to their routers; it replaces the one before.
+// Ejection says that a server gets no requests but trials. Homes send the list of them to their routers; it replaces
+// the one before.
 type Ejection struct {
 	Server string
 	Trial  float64 // probability with which a request of the service is a trial there
--- a/internal/router/outlier/evidence.go
+++ b/internal/router/outlier/evidence.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Report is a message from a router to its home: what it sent to servers since its last report, Sent[i] requests to Servers[i], of which Failed[i] failed.
+// Report is a message from a router to its home: what it sent to servers since its last report, Sent[i] requests to
+// Servers[i], of which Failed[i] failed.
 type Report struct {
 	Servers      []string
 	Sent, Failed []uint16
@@ -26,7 +27,8 @@
 	return c.Failed / c.Sent
 }
 
-// Sum is a message between homes: what one knows of a server from its own reporters, as of now. The receiver replaces the sender's sum before.
+// Sum is a message between homes: what one knows of a server from its own reporters, as of now. The receiver replaces
+// the sender's sum before.
 type Sum struct {
 	Server string
 	All    Count
--- a/internal/router/outlier/explain.go
+++ b/internal/router/outlier/explain.go
@@ -18,7 +18,7 @@
 	AdmissionRemaining time.Duration `json:"Admitted"` // for so long an operator's override prevents an ejection
 }
 
-// Explain lists the suspected servers, and those with an operator's override.
+// Explain returns what is known of the suspected servers and of those with an operator's override, ordered by ID.
 func (d *Detector) Explain(now time.Duration) []Finding {
 	var out []Finding
 	for id, s := range d.servers {
@@ -34,8 +34,8 @@
 	return out
 }
 
-// Admit is an operator's override: a server is not ejected for some time, and a present ejection ends. It returns false
-// where there is no such server.
+// Admit is an operator's override: for span from now a server is not ejected, and a present ejection ends. It returns
+// false where no such server is usable.
 func (d *Detector) Admit(id string, span, now time.Duration) bool {
 	s := d.server(id)
 	if s == nil {
--- a/internal/router/outlier/judge.go
+++ b/internal/router/outlier/judge.go
@@ -32,8 +32,8 @@
 	return max(s.own.All.failureRatio(), s.fleet.All.failureRatio())
 }
 
-// isOutlier reports whether a server fails so much that it is to be ejected. What the own reporters see overrules what the
-// fleet sees: a server may fail for others alone.
+// isOutlier reports whether a server fails so much that it is to be ejected. What the own reporters see overrules what
+// the fleet sees: a server may fail for others alone.
 func (s *suspect) isOutlier(limit float64) bool {
 	if s.own.fails(limit) {
 		return true
@@ -51,7 +51,9 @@
 	return seen.Failed >= minTrialFailures && seen.failureRatio() >= minFailureRatio
 }
 
-// Judge begins, extends and ends ejections, and returns the present ones, ordered by ID. Reporting is the fraction of the fleet that reports to this home.
+// Judge begins, extends and ends ejections, and returns the present ones, ordered by ID. Reporting is the fraction of
+// the fleet that reports to this home: of the trials of all routers together, its routers send as many. The home calls
+// it at intervals, and sends the result to its routers.
 func (d *Detector) Judge(reporting float64, now time.Duration) []Ejection {
 	d.prune(now)
 	var out []Ejection
@@ -113,8 +115,8 @@
 	}
 }
 
-// ratioLimit is the failure ratio from which a server of a service is an outlier. Servers without failures in any home's reports
-// count as well.
+// ratioLimit is the failure ratio from which a server of a service is an outlier. Servers without failures in any
+// home's reports count as well.
 func ratioLimit(suspects []*suspect, usable int) float64 {
 	ratios := make([]float64, max(usable, len(suspects)))
 	for i, s := range suspects {
--- a/internal/router/outlier/outlier_test.go
+++ b/internal/router/outlier/outlier_test.go
@@ -123,8 +123,8 @@
 	"72 routers, 4 servers":  {6, 72, 4, 200},
 }
 
-// A server that fails a fraction of its requests is ejected within seconds, however little each router sends; it still gets
-// trials, few for all routers together; and it is back some seconds after it is healthy.
+// A server that fails a fraction of its requests is ejected within seconds, however little each router sends; it still
+// gets trials, few for all routers together; and it is back some seconds after it is healthy.
 func TestAServerThatFailsInPart(t *testing.T) {
 	for title, size := range fleets {
 		for _, ratio := range []float64{0.3, 0.5, 1} {
@@ -152,8 +152,8 @@
 	}
 }
 
-// How many attempts fail in ten seconds with the fleet's evidence and with each router's own alone, which for a server that fails a fraction never has three
-// consecutive errors.
+// How many attempts fail in ten seconds with the fleet's evidence and with each router's own alone, which for a server
+// that fails a fraction never has three consecutive errors.
 func TestSharedEvidenceBesideNone(t *testing.T) {
 	for title, size := range fleets {
 		f := newTestFleet(2, size.homes, size.routers, size.servers)
@@ -249,7 +249,8 @@
 	require.Len(t, f.ejected[0], 3)
 }
 
-// A router that is confused, or cut off, and reports every server as failing does no harm to the others, however much it reports.
+// A router that is confused, or cut off, and reports every server as failing does no harm to the others, however much
+// it reports.
 func TestAConfusedReporterDoesNoHarm(t *testing.T) {
 	f := newTestFleet(5, 3, 12, 8)
 	f.failureProbability = func(_ string, router int) float64 {
--- a/internal/router/outlier/tally.go
+++ b/internal/router/outlier/tally.go
@@ -10,7 +10,7 @@
 	maxReportServers = 512                    // in a report
 )
 
-// Tally counts one router's attempts until they are reported.
+// Tally counts one router's attempts until they are reported to its home. Make it by NewTally.
 type Tally struct {
 	counts     map[string]*tallyCount // by server
 	failures   bool                   // one of them failed
@@ -19,7 +19,7 @@
 
 type tallyCount struct{ sent, failed uint16 }
 
-// NewTally makes an empty tally.
+// NewTally returns an empty tally.
 func NewTally() *Tally { return &Tally{counts: map[string]*tallyCount{}} }
 
 // Add counts an attempt. Servers beyond maxReportServers and attempts beyond the range of a report are left out.
@@ -42,7 +42,8 @@
 	}
 }
 
-// Take returns the report that is due now, and begins a new count: at once where an attempt failed, otherwise once in a reportInterval.
+// Take returns the report that is due now, and begins a new count: at once where an attempt failed, otherwise once in a
+// reportInterval.
 func (t *Tally) Take(now time.Duration) (r Report, ok bool) {
 	if len(t.counts) == 0 || !t.failures && now-t.reportedAt < reportInterval {
 		return r, false
--- a/internal/router/placement/affinity.go
+++ b/internal/router/placement/affinity.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// affinityServers is the set of servers for a request with affinity: of those whose cost is near the lowest, the first one, or
-// two where the first has recent errors.
+// affinityServers is the set of servers for a request with affinity: of those whose cost is near the lowest, the first
+// one, or two where the first has recent errors.
 func (p *Pool) affinityServers(r Request, candidates []*Server, now time.Duration) []*Server {
 	ordered, cached := p.affinityOrder(r.PrefixKey, candidates, now)
 	costs := make([]float64, len(ordered))
@@ -37,8 +37,8 @@
 	return set
 }
 
-// cost is what it costs to have a server read a prompt, in tokens: the prefill that is pending there and the prompt's own, more where long
-// answers wait for it, and the price of a shared prefix that is computed again.
+// cost is what it costs to have a server read a prompt, in tokens: the prefill that is pending there and the prompt's
+// own, more where long answers wait for it, and the price of a shared prefix that is computed again.
 func (p *Pool) cost(r Request, s *Server, cached bool, now time.Duration) float64 {
 	work := s.Work(now)
 	prefill := work.PrefillTokens + r.PrefillTokens(cached)
@@ -52,8 +52,8 @@
 	return cost
 }
 
-// affinityOrder orders the servers for a shared prefix: first those that read it recently, the number of which is cached, then the others by rendezvous
-// hashing, those of the router's zone first.
+// affinityOrder orders the servers for a shared prefix: first those that read it recently, the number of which is
+// cached, then the others by rendezvous hashing, those of the router's zone first.
 func (p *Pool) affinityOrder(key string, candidates []*Server, now time.Duration) (ordered []*Server, cached int) {
 	ordered = p.rank(key, candidates)
 	if !p.policy.PrefixTable || p.prefixes.ttl == 0 {
@@ -114,8 +114,8 @@
 	return x ^ x>>33
 }
 
-// PrefixCached reports whether a server is believed to have the shared prefix of a request in its cache. A short one counts as cached
-// everywhere: all servers read it soon.
+// PrefixCached reports whether a server is believed to have the shared prefix of a request in its cache. A short one
+// counts as cached everywhere: all servers read it soon.
 func (p *Pool) PrefixCached(r Request, s *Server, now time.Duration) bool {
 	if !r.HasAffinity() {
 		return true
--- a/internal/router/placement/ejections.go
+++ b/internal/router/placement/ejections.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// ejections are the servers that get no requests but trials, since the fleet found them to be outliers (package outlier).
+// ejections are the servers that get no requests but trials, since the fleet found them to be outliers (package
+// outlier).
 type ejections struct {
 	trialProbability map[string]float64 // by server ID, that a request is a trial there
 	order            []string           // of the trials
@@ -22,7 +23,8 @@
 	return ok && now < e.expires
 }
 
-// SetEjections replaces the ejected servers, until they expire; where they are more than half of the pool, none is ejected.
+// SetEjections replaces the ejected servers, until they expire; where they are more than half of the pool, none is
+// ejected.
 func (p *Pool) SetEjections(trialProbability map[string]float64, expires time.Duration) {
 	known := 0
 	for id := range trialProbability {
--- a/internal/router/placement/load_board.go
+++ b/internal/router/placement/load_board.go
@@ -6,8 +6,9 @@
 )
 
 // LoadBoard adds up the load reports of many senders. Each home has one: the routers that subscribe to it report what
-// they have in flight, and other homes the sum of theirs. Each report replaces the sender's one before, and expires after
-// loadReportTTL. The board grows with the senders and the servers in their reports. It is for one goroutine at a time.
+// they have in flight, and other homes the sum of theirs. Each report replaces the sender's one before, and expires
+// after loadReportTTL. The board grows with the senders and the servers in their reports. It is for one goroutine at a
+// time.
 type LoadBoard struct{ reports map[string]loadReport }
 
 // loadReport is a sender's last report.
@@ -20,7 +21,7 @@
 // loadReportTTL is how long a sender's report counts.
 const loadReportTTL = time.Second
 
-// NewLoadBoard makes an empty board.
+// NewLoadBoard returns an empty board.
 func NewLoadBoard() *LoadBoard { return &LoadBoard{reports: map[string]loadReport{}} }
 
 // Put replaces a sender's report.
@@ -44,7 +45,7 @@
 	return sums
 }
 
-// All is the work of all routers.
+// All returns the work of all routers, as a map that the caller may keep.
 func (b *LoadBoard) All() LoadSums {
 	sums := LoadSums{}
 	for _, report := range b.reports {
@@ -53,7 +54,8 @@
 	return sums
 }
 
-// Others is the work of all senders but one; all is the result of All, which is not changed.
+// Others returns the work of all senders but one. All is the result of the method All; it is not changed, and returned
+// as it is where the sender has no work, so that the result must not be changed either.
 func (b *LoadBoard) Others(all LoadSums, sender string) LoadSums {
 	own := b.reports[sender].sums
 	if len(own) == 0 {
--- a/internal/router/placement/loads.go
+++ b/internal/router/placement/loads.go
@@ -8,8 +8,9 @@
 // maxLoads bounds the servers of one message: those with the most work are sent.
 const maxLoads = 128
 
-// Loads is the message by which a router reports the work that requests have pending: at Servers[i] Requests[i], Unread[i] tokens of prefill and Streams[i]. A router sends that of
-// its own requests to its home; homes send sums to each other and to their routers.
+// Loads is the message by which a router reports the work that requests have pending: at Servers[i] Requests[i],
+// Unread[i] tokens of prefill and Streams[i]. A router sends that of its own requests to its home; homes send sums to
+// each other and to their routers.
 type Loads struct {
 	Servers  []uint32
 	Requests []uint16
@@ -38,7 +39,8 @@
 	}
 }
 
-// Message encodes sums: of the servers with the most work, where there are many. Servers without a request are left out.
+// Message encodes sums: of the servers with the most work, where there are many. Servers without a request are left
+// out.
 func (s LoadSums) Message() Loads {
 	ids := slices.Sorted(maps.Keys(s))
 	if len(ids) > maxLoads {
--- a/internal/router/placement/loads_test.go
+++ b/internal/router/placement/loads_test.go
@@ -30,7 +30,8 @@
 	require.NotContains(t, message.Sums(), ServerHash(0))
 }
 
-// A router gets the work of all others, another home that of the routers that subscribe here alone; a report that is not renewed expires.
+// A router gets the work of all others, another home that of the routers that subscribe here alone; a report that is
+// not renewed expires.
 func TestBoard(t *testing.T) {
 	loads := func(requests float64) LoadSums { return LoadSums{1: {Requests: requests}} }
 	b := NewLoadBoard()
@@ -49,7 +50,8 @@
 	require.Empty(t, b.All())
 }
 
-// The other routers' work counts beside the local one, fades where it is not renewed, and is none at servers that are not named.
+// The other routers' work counts beside the local one, fades where it is not renewed, and is none at servers that are
+// not named.
 func TestPeerLoads(t *testing.T) {
 	p := newTestPool("z0", 3)
 	s := p.servers["s1"]
@@ -63,7 +65,8 @@
 	require.EqualValues(t, 100, s.Work(2*time.Second).PrefillTokens)
 }
 
-// A prompt does not go to the server with its prefix where so much prefill is pending there that computing the prefix again costs less.
+// A prompt does not go to the server with its prefix where so much prefill is pending there that computing the prefix
+// again costs less.
 func TestAPromptLeavesALoadedServer(t *testing.T) {
 	p := newTestPool("z0", 9)
 	p.prefixes.ttl = 10 * time.Second
@@ -104,7 +107,8 @@
 	}
 }
 
-// A router that received no peer loads for a while does not pack long answers: all routers would choose the same few servers.
+// A router that received no peer loads for a while does not pack long answers: all routers would choose the same few
+// servers.
 func TestLongAnswersWithoutPeerLoads(t *testing.T) {
 	long := Request{PromptTokens: 200, MaxOutputTokens: 4000}
 	for name, receivedAt := range map[string]time.Duration{"never received": 0, "not recently": time.Second} {
--- a/internal/router/placement/names_test.go
+++ b/internal/router/placement/names_test.go
@@ -9,13 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// namedFleet is a fleet whose servers and zones have other names, and the hashes of the original names: only through the hash may a name affect decisions.
+// namedFleet is a fleet whose servers and zones have other names, and the hashes of the original names: only through
+// the hash may a name affect decisions.
 type namedFleet struct {
 	server, zone func(int) string
 	hash         func(key, id string) uint64
 }
 
-// decisions simulates some thousand requests, failures, load reports and ejections, and returns the index of each request's server.
+// decisions simulates some thousand requests, failures, load reports and ejections, and returns the index of each
+// request's server.
 func decisions(t *testing.T, names namedFleet) []int {
 	t.Helper()
 	const servers, zones = 12, 3
--- a/internal/router/placement/pool.go
+++ b/internal/router/placement/pool.go
@@ -27,8 +27,8 @@
 	maxGap      time.Duration // the last objective of long answers; 0: none had one
 }
 
-// NewPool returns an empty pool of a router in a zone; prefixTTL is how long a prefix counts as cached after its last use, 0 where
-// that is not known. Random draws from 0 up to 1; nil is the default source.
+// NewPool returns an empty pool of a router in a zone; prefixTTL is how long a prefix counts as cached after its last
+// use, 0 where that is not known. Random draws from 0 up to 1; nil is the default source.
 func NewPool(zone string, prefixTTL time.Duration, policy Policy, random func() float64) *Pool {
 	if random == nil {
 		random = rand.Float64
@@ -75,12 +75,12 @@
 	})
 }
 
-// Servers returns the servers, in an order without a meaning. The caller may not change the list, nor keep it beyond the
-// next Put or Remove.
+// Servers returns the servers, in an order without a meaning. The caller may not change the list, nor keep it beyond
+// the next Put or Remove.
 func (p *Pool) Servers() []*Server { return p.ordered }
 
-// AddLoads puts into sums the work that this router's requests have pending at each server of the pool. A server is in one
-// pool alone.
+// AddLoads puts into sums the work that this router's requests have pending at each server of the pool. A server is in
+// one pool alone.
 func (p *Pool) AddLoads(sums LoadSums) {
 	for _, s := range p.ordered {
 		if s.local.Requests > 0 {
@@ -100,9 +100,9 @@
 	}
 }
 
-// Pick chooses the server of a request's first attempt, or a trial at an ejected one; usable is a further condition for a
-// server, as that it has a free connection. It returns nil where none is left. The caller adds the request's work to the
-// server by Begin.
+// Pick chooses the server of a request's first attempt, or a trial at an ejected one; usable is a further condition for
+// a server, as that it has a free connection. It returns nil where none is left. The caller adds the request's work to
+// the server by Begin.
 func (p *Pool) Pick(r Request, usable func(*Server) bool, now time.Duration) *Server {
 	if s := p.trialServer(r, usable, now); s != nil {
 		return s
@@ -140,8 +140,8 @@
 	return set[rotation.Pick(candidates)]
 }
 
-// Reroute chooses the server of a further attempt: the healthiest that was not tried; among equals one with a free slot,
-// then one of the router's zone, then the least loaded. It returns nil where none is left.
+// Reroute chooses the server of a further attempt: the healthiest that was not tried; among equals one with a free
+// slot, then one of the router's zone, then the least loaded. It returns nil where none is left.
 func (p *Pool) Reroute(r Request, usable func(*Server) bool, now time.Duration) *Server {
 	var best *Server
 	for _, s := range p.candidates(r, usable, now) {
@@ -207,8 +207,8 @@
 	return candidates
 }
 
-// packStreams is the subset of some servers that long answers go to: the smallest one, of those that have the most of them already, that
-// has room for all in StreamSlotFraction of its slots.
+// packStreams is the subset of some servers that long answers go to: the smallest one, of those that have the most of
+// them already, that has room for all in StreamSlotFraction of its slots.
 func (p *Pool) packStreams(servers []*Server, now time.Duration) []*Server {
 	needed, room := 1.0, 0.0
 	streams := make(map[*Server]float64, len(servers))
--- a/internal/router/placement/pool_test.go
+++ b/internal/router/placement/pool_test.go
@@ -109,7 +109,8 @@
 	}
 }
 
-// A request goes where another router's request with the same prefix was recently; one whose prefix was not read, or long ago, stays in the zone.
+// A request goes where another router's request with the same prefix was recently; one whose prefix was not read, or
+// long ago, stays in the zone.
 func TestRecentlyUsedPrefix(t *testing.T) {
 	p := newTestPool("z0", 9)
 	p.prefixes.ttl = 7 * time.Second
--- a/internal/router/placement/prefill.go
+++ b/internal/router/placement/prefill.go
@@ -13,8 +13,9 @@
 	maxPrefillTime      = 500 * time.Microsecond // is not a prefill that was measured
 )
 
-// prefillEstimate is how long the servers of a pool take to read a token more of a prompt. It fits a line to the time to the first part of an answer, by the
-// tokens of the prompt, with exponentially fading samples: the slope does not contain what all prompts wait for alike.
+// prefillEstimate is how long the servers of a pool take to read a token more of a prompt. It fits a line to the time
+// to the first part of an answer, by the tokens of the prompt, with exponentially fading samples: the slope does not
+// contain what all prompts wait for alike.
 type prefillEstimate struct {
 	count, tokens, time, squares, products float64 // the fit's sums
 	updatedAt                              time.Duration
@@ -42,14 +43,16 @@
 	return min(maxPrefillTime, max(minPrefillTime, slope))
 }
 
-// ObservePrefill records that a server sent the first part of an answer after a time, to a prompt with this many tokens that were not cached.
+// ObservePrefill records that a server sent the first part of an answer after a time, to a prompt with this many tokens
+// that were not cached.
 func (p *Pool) ObservePrefill(tokens float64, took, now time.Duration) {
 	if tokens > 0 {
 		p.prefillTime.add(tokens, took, now)
 	}
 }
 
-// tokensPerGap is how many tokens the servers read in the objective for gaps of long answers; infinitely many where there is no objective.
+// tokensPerGap is how many tokens the servers read in the objective for gaps of long answers; infinitely many where
+// there is no objective.
 func (p *Pool) tokensPerGap() float64 {
 	if p.maxGap == 0 {
 		return math.Inf(1)
--- a/internal/router/placement/prefix_uses.go
+++ b/internal/router/placement/prefix_uses.go
@@ -2,8 +2,8 @@
 
 import "iter"
 
-// PrefixUses is a message that says where shared prefixes of one service were read: Keys[i] at Servers[At[i]]. A router sends what it placed to its
-// home, which sends it on to the others; receivers add it to their prefix tables.
+// PrefixUses is a message that says where shared prefixes of one service were read: Keys[i] at Servers[At[i]]. A router
+// sends what it placed to its home, which sends it on to the others; receivers add it to their prefix tables.
 type PrefixUses struct {
 	Service string
 	Servers []string
--- a/internal/router/placement/prefixes.go
+++ b/internal/router/placement/prefixes.go
@@ -13,15 +13,16 @@
 // PrefixHash identifies a shared prefix in messages between routers.
 type PrefixHash uint32
 
-// HashPrefix is the hash of a prefix' key.
+// HashPrefix returns the hash of a prefix' key. Two keys may have the same: a request is then sent to a server without
+// its prefix.
 func HashPrefix(key string) PrefixHash {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key)) // a hash returns no error
 	return PrefixHash(h.Sum32())
 }
 
-// prefixTable says which servers read which shared prefix recently, for this router and for those that reported it. It grows with the prefixes in use,
-// up to maxPrefixes.
+// prefixTable says which servers read which shared prefix recently, for this router and for those that reported it. It
+// grows with the prefixes in use, up to maxPrefixes.
 type prefixTable struct {
 	ttl  time.Duration // how long a prefix counts as cached after its last use; 0: the table is not in use
 	uses map[PrefixHash][]prefixUse
--- a/internal/router/placement/request.go
+++ b/internal/router/placement/request.go
@@ -11,8 +11,8 @@
 	maxPartTokens     = 1 << 30 // of one part of a prompt
 )
 
-// Request is what placement knows of a request. The shared prefix is the part of the prompt up to the end of its longest part that other
-// requests may have in common with it.
+// Request is what placement knows of a request. The shared prefix is the part of the prompt up to the end of its
+// longest part that other requests may have in common with it.
 type Request struct {
 	PrefixKey       string        // of the shared prefix; "": there is none
 	SharedTokens    int           // of the complete shared prefix
@@ -29,8 +29,8 @@
 // DecodeHeavy reports whether a request generates more tokens than its prompt has: a long answer.
 func (r *Request) DecodeHeavy() bool { return r.MaxOutputTokens > max(r.PromptTokens, 0) }
 
-// PrefillTokens is the number of tokens that a server reads, depending on whether it has the last part of the shared prefix in its cache. The parts before that are
-// shared by so many requests that all servers have them.
+// PrefillTokens is the number of tokens that a server reads, depending on whether it has the last part of the shared
+// prefix in its cache. The parts before that are shared by so many requests that all servers have them.
 func (r *Request) PrefillTokens(cached bool) float64 {
 	tokens := r.PromptTokens - r.SharedTokens
 	if !cached {
@@ -48,8 +48,9 @@
 	return w
 }
 
-// ParsePrefix parses X-Prompt-Prefix, a prompt's parts as ID:TOKENS separated by commas, into the values of PrefixKey, SharedTokens and PrefixTokens. The last part
-// is the request's own or its session's, and not shared. Where the header is not valid there is no shared prefix.
+// ParsePrefix parses X-Prompt-Prefix, a prompt's parts as ID:TOKENS separated by commas, into the values of PrefixKey,
+// SharedTokens and PrefixTokens. The last part is the request's own or its session's, and not shared. Where the header
+// is not valid there is no shared prefix.
 func ParsePrefix(header string) (key string, sharedTokens, prefixTokens int) {
 	parts := strings.Split(header, ",")
 	if header == "" || len(parts) < 2 {
--- a/internal/router/placement/server.go
+++ b/internal/router/placement/server.go
@@ -82,8 +82,8 @@
 	return s.local.plus(s.peers.work.times(freshness(s.peers.receivedAt, peerLoadTTL, now)))
 }
 
-// Load returns an estimate of the requests at a server: those that all routers have there, or what the server reported if
-// that is more.
+// Load returns an estimate of the requests at a server: those that all routers have there, or what the server reported
+// if that is more.
 func (s *Server) Load(now time.Duration) float64 {
 	load := s.Work(now).Requests
 	if fresh := freshness(s.reported.receivedAt, serverReportTTL, now); fresh > 0 {
--- a/internal/router/placement/work.go
+++ b/internal/router/placement/work.go
@@ -19,7 +19,8 @@
 
 func (w Work) times(x float64) Work { return Work{w.Requests * x, w.PrefillTokens * x, w.Streams * x} }
 
-// streamPriorityTokens is the pending prefill that is as important to report as a stream: some tenths of a second's prefill is more.
+// streamPriorityTokens is the pending prefill that is as important to report as a stream: some tenths of a second's
+// prefill is more.
 const streamPriorityTokens = 1 << 10
 
 // reportPriority orders servers by the work that other routers should know of.
--- a/internal/router/quota/allocator.go
+++ b/internal/router/quota/allocator.go
@@ -8,7 +8,8 @@
 // clockMargin is how much longer the primary counts a lease, since clocks differ in rate.
 const clockMargin = 100 * time.Millisecond
 
-// reclaimPeriod is the time at the start of a term in which a primary only renews the shares that routers report to hold.
+// reclaimPeriod is the time at the start of a term in which a primary only renews the shares that routers report to
+// hold.
 const reclaimPeriod = 800 * time.Millisecond
 
 // evenFraction of a limit is divided evenly, the rest by demand.
@@ -25,8 +26,9 @@
 // tenantTotals adds up the demand and the shares of one tenant over all leases.
 type tenantTotals struct{ demand, shares float64 }
 
-// Allocator divides tenants' limits into leased shares, for one term of one primary. The cost of a request is proportional to the
-// number of tenants that it names. It is for one goroutine at a time.
+// Allocator divides tenants' limits into leased shares, for one term of one primary. Make it by NewAllocator when a
+// router becomes primary. The cost of a request is proportional to the number of tenants that it names. It is for one
+// goroutine at a time.
 type Allocator struct {
 	termStart  time.Duration
 	leases     map[string]*clientLease // by router
@@ -35,26 +37,28 @@
 	reserved   float64 // fraction of every limit that is left to routers without contact, see ReservedFraction
 }
 
-// NewAllocator begins a term.
+// NewAllocator returns the allocator of a term that begins now: what was allocated before is not known yet.
 func NewAllocator(now time.Duration) *Allocator {
 	return &Allocator{termStart: now, leases: map[string]*clientLease{}, totals: map[string]*tenantTotals{}}
 }
 
-// ActiveClients is the number of routers that requested shares within a lease duration.
+// ActiveClients returns the number of routers that requested shares within a lease duration.
 func (a *Allocator) ActiveClients(now time.Duration) int {
 	a.expire(now)
 	return len(a.leases)
 }
 
-// TermAge is how long the primary has led.
+// TermAge returns how long ago the term began.
 func (a *Allocator) TermAge(now time.Duration) time.Duration { return now - a.termStart }
 
-// SetReserve sets the fraction of the limits that is left to routers without contact.
+// SetReserve sets the fraction of every limit that is left to routers without contact, see ReservedFraction. The
+// primary sets it again and again.
 func (a *Allocator) SetReserve(fraction float64) { a.reserved = fraction }
 
-// Allocate answers a router's request for shares. Demand is in units a second, held is the shares that the router still has, both by
-// tenant; fleetSize is the number of routers. It returns a share for each tenant with a demand. A router that restarted has another
-// incarnation: it reports nothing of what its predecessor was allocated, which therefore stays counted until it expires.
+// Allocate answers a router's request for shares. Demand is in units a second, held is the shares that the router still
+// has, both by tenant; fleetSize is the number of routers. It returns a share for each tenant with a demand. A router
+// that restarted has another incarnation: it reports nothing of what its predecessor was allocated, which therefore
+// stays counted until it expires.
 func (a *Allocator) Allocate(router string, incarnation uint64, demand, held map[string]float64, fleetSize int, now time.Duration) map[string]float64 {
 	a.expire(now)
 	lease := a.leases[router]
@@ -115,8 +119,8 @@
 	}
 }
 
-// share is the new share of a router that wants so many units a second of a tenant and counts for a current share: a part that all
-// routers have alike and one by demand, as far as the others' shares leave room.
+// share is the new share of a router that wants so many units a second of a tenant and counts for a current share: a
+// part that all routers have alike and one by demand, as far as the others' shares leave room.
 func (a *Allocator) share(tenant string, wanted, current float64, fleetSize int) float64 {
 	totals := a.totals[tenant]
 	target := evenFraction / float64(fleetSize)
@@ -148,7 +152,7 @@
 	}
 }
 
-// Allocated is the sum of the shares of a tenant's limit that are allocated.
+// Allocated returns the sum of the shares of a tenant's limit that are allocated, at most 1.
 func (a *Allocator) Allocated(tenant string) float64 {
 	if totals := a.totals[tenant]; totals != nil {
 		return totals.shares
--- a/internal/router/quota/buckets.go
+++ b/internal/router/quota/buckets.go
@@ -21,7 +21,8 @@
 	initialFractionAfterStart = 1.0  // the same where the process has just started itself: then hardly any router holds a lease
 )
 
-// TokenBuckets are the token buckets of all tenants, at the primary. Routers acquire from them what their requests need.
+// TokenBuckets are the token buckets of all tenants, at the primary. Routers acquire from them what their requests
+// need. Make them by NewTokenBuckets when a router becomes primary. They are for one goroutine at a time.
 type TokenBuckets struct {
 	bounds         Bounds
 	termStart      time.Duration
@@ -37,7 +38,8 @@
 	refilledAt time.Duration
 }
 
-// NewTokenBuckets begins a primary's term; started says that the process has just started.
+// NewTokenBuckets returns the buckets of a primary's term that begins now; started says that the process has just
+// started. Buckets begin with a fraction of their capacity, since routers may hold leases of the term before.
 func NewTokenBuckets(b Bounds, started bool, now time.Duration) *TokenBuckets {
 	initial := initialFraction
 	if started {
@@ -46,22 +48,23 @@
 	return &TokenBuckets{bounds: b, initial: initial, termStart: now, refillFraction: 1, limits: map[string]Limit{}, buckets: map[string]*tokenBucket{}}
 }
 
-// SetLimits sets the tenants' limits, as a configuration has them.
+// SetLimits replaces the tenants' limits by those of a configuration; the map is kept and must not be changed.
 func (t *TokenBuckets) SetLimits(limits map[string]Limit) { t.limits = limits }
 
-// SetReserve sets the fraction of the limits that is left to routers without contact.
+// SetReserve sets the fraction of every limit that is left to routers without contact: buckets are refilled by so much
+// less.
 func (t *TokenBuckets) SetReserve(fraction float64) { t.refillFraction = 1 - fraction }
 
-// Capacity is the most that a tenant may acquire at once after it acquired nothing for a while.
+// Capacity returns the most units that a tenant with a limit may acquire at once after it acquired nothing for a while.
 func (t *TokenBuckets) Capacity(l Limit) float64 {
 	window := t.bounds.Window.Seconds()
 	bound := (l.Rate*window+l.Burst)*(1+t.bounds.Overshoot) + (slackFraction-overdraftFraction)*t.bounds.Slack
 	return max(minBurstFraction*l.Burst, bound-l.Rate*(window+transitSeconds+isolatedSeconds))
 }
 
-// Acquire grants the units that a request needs and, where there are more, up to extra; or none, and how long to wait before
-// another attempt. A bucket that is not empty may be overdrawn: otherwise what it is refilled with would go to small requests, and large
-// ones would never find enough.
+// Acquire grants the units that a request needs and, where there are more, up to extra; or none, and how long to wait
+// before another attempt. A bucket that is not empty may be overdrawn: otherwise what it is refilled with would go to
+// small requests, and large ones would never find enough.
 func (t *TokenBuckets) Acquire(tenant string, need, extra float64, now time.Duration) (granted float64, wait time.Duration) {
 	limit, ok := t.limits[tenant]
 	if !ok || limit.Rate == 0 {
--- a/internal/router/quota/client.go
+++ b/internal/router/quota/client.go
@@ -26,15 +26,15 @@
 // Verdict is the decision about a request's units.
 type Verdict int
 
-// The verdicts.
+// The verdicts. Only Client.Reserve returns NeedsPrimary.
 const (
 	Granted Verdict = iota
 	Rejected
 	NeedsPrimary // the units have to be acquired from the primary
 )
 
-// Client is one router's side of all limits: the units that it acquired from the primary ahead of requests, and its leased shares for
-// times without contact to the primary.
+// Client is one router's side of all limits: the units that it acquired from the primary ahead of requests, and its
+// leased shares for times without contact to the primary. Make it by NewClient; it is for one goroutine at a time.
 type Client struct {
 	tenants     map[string]*tenantState
 	fleetSize   int
@@ -93,16 +93,17 @@
 	d.units, d.measuredAt = 0, now
 }
 
-// NewClient makes a client without any share. Its requests for shares are numbered from its incarnation, which is drawn at random at each
-// start of the process, so that no answer to an earlier process is taken for one of this one.
+// NewClient returns a client without any share. Its requests for shares are numbered from its incarnation, which is
+// drawn at random at each start of the process, so that no answer to an earlier process is taken for one of this one.
 func NewClient(incarnation uint64) *Client {
 	return &Client{nonce: incarnation, tenants: map[string]*tenantState{}, fleetSize: math.MaxInt}
 }
 
-// SetFleetSize sets the number of routers.
+// SetFleetSize sets the number of routers, among which standing shares are divided. Before the first call there are
+// none.
 func (c *Client) SetFleetSize(n int) { c.fleetSize = max(1, n) }
 
-// SetLimits sets the tenants' limits, as a configuration has them. The state of tenants that keep a limit is kept.
+// SetLimits replaces the tenants' limits by those of a configuration. The state of tenants that keep a limit is kept.
 func (c *Client) SetLimits(limits map[string]Limit, now time.Duration) {
 	for name := range c.tenants {
 		if limits[name].Rate == 0 {
@@ -122,8 +123,8 @@
 	}
 }
 
-// Reserve spends units for a request of a tenant from those that were acquired ahead. Where these do not suffice the verdict is NeedsPrimary, and
-// extra is how many units to acquire beyond the request's own.
+// Reserve spends units for a request of a tenant from those that were acquired ahead. Where these do not suffice the
+// verdict is NeedsPrimary, and extra is how many units to acquire beyond the request's own.
 func (c *Client) Reserve(name string, units float64, now time.Duration) (v Verdict, extra float64) {
 	tenant := c.tenants[name]
 	if tenant == nil {
@@ -141,7 +142,9 @@
 	return NeedsPrimary, extra
 }
 
-// ApplyAcquired adds what the primary granted, and spends units of it where there are enough.
+// ApplyAcquired applies the primary's answer to a request for units after Reserve returned NeedsPrimary: it spends
+// units of what was granted, and keeps the rest for requests that follow. The verdict is Rejected where too few were
+// granted.
 func (c *Client) ApplyAcquired(name string, granted, units float64, now time.Duration) Verdict {
 	tenant := c.tenants[name]
 	if tenant == nil {
@@ -156,8 +159,9 @@
 	return Granted
 }
 
-// ReserveFromLease spends units of the router's own share; it is called where neither the primary nor a pool answers. One request may
-// overdraw the share: that of a small tenant's limit is less than a request. Wait is 0 where it is not known.
+// ReserveFromLease spends units of the router's own share; it is called after Reserve returned NeedsPrimary, where
+// neither the primary nor a pool answers. One request may overdraw the share: that of a small tenant's limit is less
+// than a request. Where the verdict is Rejected, wait is the time until the units are there, 0 where that is not known.
 func (c *Client) ReserveFromLease(name string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
 	tenant := c.tenants[name]
 	if tenant == nil {
@@ -184,8 +188,8 @@
 	tenant.refilledAt = now
 }
 
-// Deposit hands the shares that this router may spend without the primary over to a pool, and the debts of requests that overdrew them.
-// Until the deposit expires the client spends none of them itself.
+// Deposit hands the shares that this router may spend without the primary over to a pool, and the debts of requests
+// that overdrew them. Until the deposit expires the client spends none of them itself.
 func (c *Client) Deposit(now time.Duration) Deposit {
 	d := Deposit{For: depositSpan, Debts: map[string]float64{}}
 	for name, tenant := range c.tenants {
@@ -210,11 +214,12 @@
 	return d
 }
 
-// PooledUntil is the time until which a pool spends this router's shares.
+// PooledUntil returns the time until which a pool spends this router's shares.
 func (c *Client) PooledUntil() time.Duration { return c.pooledUntil }
 
-// isolatedRate is how many units a second may be spent without contact to the primary: those of the leased share, and once the lease has expired
-// those of the standing share, which the primary leaves to each router that does not reach it.
+// isolatedRate is how many units a second may be spent without contact to the primary: those of the leased share, and
+// once the lease has expired those of the standing share, which the primary leaves to each router that does not reach
+// it.
 func (c *Client) isolatedRate(tenant *tenantState, now time.Duration) float64 {
 	if now < c.leaseEnd {
 		return tenant.limit.Rate * tenant.share
@@ -222,7 +227,8 @@
 	return tenant.limit.Rate * c.standingShare(now) * min(1, tenant.share*float64(c.fleetSize))
 }
 
-// standingShare is the share of every limit that this router keeps without a lease; a client that never had a lease has none.
+// standingShare is the share of every limit that this router keeps without a lease; a client that never had a lease has
+// none.
 func (c *Client) standingShare(now time.Duration) float64 {
 	if c.leaseEnd == 0 {
 		return 0
@@ -234,13 +240,14 @@
 	return share
 }
 
-// OverLimit reports whether the primary rejected a request of a tenant within the last overLimitFor: the tenant requests more than its limit.
+// OverLimit reports whether the primary rejected a request of a tenant within the last overLimitFor: the tenant
+// requests more than its limit.
 func (c *Client) OverLimit(name string, now time.Duration) bool {
 	tenant := c.tenants[name]
 	return tenant != nil && now < tenant.overLimitUntil
 }
 
-// Refund gives back units of a request that did not run.
+// Refund gives back units of a request that did not run, for requests that follow within prefetchTTL.
 func (c *Client) Refund(name string, units float64, now time.Duration) {
 	if tenant := c.tenants[name]; tenant != nil {
 		tenant.prefetched.dropExpired(now)
@@ -248,8 +255,8 @@
 	}
 }
 
-// RequestShares begins a request for leases. The caller sends demand, in units a second, and the shares that are held to the primary, and
-// hands its answer to ApplyShares together with the nonce.
+// RequestShares begins a request for leases. The caller sends demand, in units a second, and the shares that are held
+// to the primary, and hands its answer to ApplyShares together with the nonce.
 func (c *Client) RequestShares(now time.Duration) (nonce uint64, demand, held map[string]float64) {
 	c.nonce++
 	c.requestedAt = now
@@ -268,7 +275,8 @@
 	return c.nonce, demand, held
 }
 
-// ApplyShares applies the answer to the last request for shares; one to an earlier request, or that comes too late, is dropped.
+// ApplyShares applies the answer to the last request for shares; one to an earlier request, or that comes too late, is
+// dropped.
 func (c *Client) ApplyShares(nonce uint64, shares map[string]float64, now time.Duration) {
 	if nonce != c.nonce || now-c.requestedAt >= LeaseDuration {
 		return
--- a/internal/router/quota/pool.go
+++ b/internal/router/quota/pool.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Deposit is what a router that has no contact to a primary leaves to a pool, for a time in which it spends nothing itself. Routers send it
-// to the host of the pool.
+// Deposit is what a router that has no contact to a primary leaves to a pool, for a time in which it spends nothing
+// itself. Routers send it to the host of the pool.
 type Deposit struct {
 	Shares   map[string]float64 // of its leases, by tenant
 	Standing float64            // or its standing share of every limit
@@ -11,11 +11,12 @@
 	For      time.Duration      // from when the pool requested it
 }
 
-// Pool spends what several routers without contact to a primary deposited. A router of many has a part of a small tenant's limit that is less
-// than a request a second, and its requests come in clusters: alone it rejects what all together could serve.
+// Pool spends what several routers without contact to a primary deposited. A router of many has a part of a small
+// tenant's limit that is less than a request a second, and its requests come in clusters: alone it rejects what all
+// together could serve.
 //
-// Invariant: each share is spent by its router or by one pool, never by both. A pool counts a deposit from before it requested it, the
-// router from when it answered; and deposits expire by themselves.
+// Invariant: each share is spent by its router or by one pool, never by both. A pool counts a deposit from before it
+// requested it, the router from when it answered; and deposits expire by themselves.
 type Pool struct {
 	limits   map[string]Limit
 	deposits map[string]*activeDeposit // by router
@@ -41,15 +42,16 @@
 	standingIntegral float64 // of the pool, at updatedAt
 }
 
-// NewPool makes a pool without deposits.
+// NewPool returns a pool without deposits.
 func NewPool() *Pool {
 	return &Pool{limits: map[string]Limit{}, deposits: map[string]*activeDeposit{}, accounts: map[string]*account{}}
 }
 
-// SetLimits sets the tenants' limits, as a configuration has them.
+// SetLimits replaces the tenants' limits by those of a configuration; the map is kept and must not be changed.
 func (p *Pool) SetLimits(limits map[string]Limit) { p.limits = limits }
 
-// Put replaces a router's deposit by one that was requested at requestedAt. An empty one takes it away.
+// Put replaces a router's deposit by one that was requested at requestedAt, on the pool's clock: the deposit's time
+// counts from then. An empty one takes it away.
 func (p *Pool) Put(router string, d Deposit, requestedAt, now time.Duration) {
 	p.expire(now)
 	p.remove(router, now)
@@ -68,7 +70,8 @@
 	}
 }
 
-// Reserve spends units of a tenant's limit, or says how long to wait; wait is 0 where that is not known.
+// Reserve spends units of a tenant's limit. Where the verdict is Rejected, wait is the time until they are there, 0
+// where that is not known. It never returns NeedsPrimary.
 func (p *Pool) Reserve(tenant string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
 	limit, ok := p.limits[tenant]
 	if !ok { // the requester has a newer configuration than the pool's host
@@ -82,7 +85,7 @@
 	return a.spend(units, limit.Rate*(a.shares+p.standing))
 }
 
-// DepositCount is the number of deposits that have not expired.
+// DepositCount returns the number of deposits that have not expired.
 func (p *Pool) DepositCount(now time.Duration) int {
 	p.expire(now)
 	return len(p.deposits)
@@ -103,7 +106,8 @@
 	return a
 }
 
-// integrate brings the integral of the standing shares up to now. With it, a change of them need not touch every account.
+// integrate brings the integral of the standing shares up to now. With it, a change of them need not touch every
+// account.
 func (p *Pool) integrate(now time.Duration) {
 	if now <= p.integratedTo {
 		return
@@ -156,8 +160,8 @@
 	}
 }
 
-// overdraft is a token bucket of which one request may take more than there is: what a router or a pool is refilled with of a small tenant's
-// limit is less than a request.
+// overdraft is a token bucket of which one request may take more than there is: what a router or a pool is refilled
+// with of a small tenant's limit is less than a request.
 type overdraft struct{ units float64 }
 
 // refill adds units, up to what a rate brings in leaseBurst.
@@ -165,7 +169,8 @@
 	o.units = min(o.units+units, leaseBurst.Seconds()*rate)
 }
 
-// spend takes units, unless an earlier request's debt is not yet paid off; then it returns how long that takes at the rate of the refill.
+// spend takes units, unless an earlier request's debt is not yet paid off; then it returns how long that takes at the
+// rate of the refill.
 func (o *overdraft) spend(units, rate float64) (v Verdict, wait time.Duration) {
 	if rate <= 0 {
 		return Rejected, 0
--- a/internal/router/quota/pool_test.go
+++ b/internal/router/quota/pool_test.go
@@ -35,8 +35,8 @@
 	return p
 }
 
-// tick has a client's pool request a deposit of it at intervals, and a pool fail, rarely. A client whose pool fails changes to another one once
-// its deposit has expired.
+// tick has a client's pool request a deposit of it at intervals, and a pool fail, rarely. A client whose pool fails
+// changes to another one once its deposit has expired.
 func (p *pooledClients) tick(i int, reaches bool, now time.Duration) {
 	if len(p.pools) == 0 {
 		return
@@ -86,8 +86,8 @@
 	return client
 }
 
-// A pool spends nothing of a deposit after its expiry, however late the deposit came; the router spends nothing before it, and is not refilled
-// meanwhile.
+// A pool spends nothing of a deposit after its expiry, however late the deposit came; the router spends nothing before
+// it, and is not refilled meanwhile.
 func TestADepositEndsAtThePoolFirst(t *testing.T) {
 	limits := map[string]Limit{"t": {Rate: 1000, Burst: 1000}}
 	client, pool := leasedClient(limits), NewPool()
@@ -190,7 +190,8 @@
 	}
 }
 
-// What a request costs the host of a pool of a region: 90 routers' deposits, renewed five times a second, and 7,700 tenants.
+// What a request costs the host of a pool of a region: 90 routers' deposits, renewed five times a second, and 7,700
+// tenants.
 func BenchmarkPoolTake(b *testing.B) {
 	const routers, tenants, takesBetween = 90, 7_700, 20
 	limits := map[string]Limit{}
--- a/internal/router/quota/quota_test.go
+++ b/internal/router/quota/quota_test.go
@@ -72,8 +72,8 @@
 	require.False(t, client.OverLimit("none", 0))
 }
 
-// Routers request shares and lose answers, are cut off and restart, and the primary changes: shares never add up to more than 1, as
-// far as the primary knows of them.
+// Routers request shares and lose answers, are cut off and restart, and the primary changes: shares never add up to
+// more than 1, as far as the primary knows of them.
 func TestSharesAddUpToNoMoreThanOne(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
--- a/internal/router/quota/retries.go
+++ b/internal/router/quota/retries.go
@@ -11,8 +11,8 @@
 }
 
 // RetryBudget bounds one router's retries of requests to each service: the attempts beyond their first. It needs no
-// coordination: the bound is a fraction of the router's own requests, and its part of the slack. It is for one goroutine
-// at a time.
+// coordination: the bound is a fraction of the router's own requests, and its part of the slack. It is for one
+// goroutine at a time.
 type RetryBudget struct {
 	bounds    RetryBounds
 	fleetSize int
@@ -32,7 +32,8 @@
 
 const retrySlots = 10
 
-// usableFraction of the ratio and of the slack is used: windows slide, and a router that restarted has forgotten its use.
+// usableFraction of the ratio and of the slack is used: windows slide, and a router that restarted has forgotten its
+// use.
 const usableFraction = 0.5
 
 // NewRetryBudget returns the budget of a router that starts at time 0.
--- a/internal/router/quota/window_test.go
+++ b/internal/router/quota/window_test.go
@@ -15,9 +15,9 @@
 	units float64
 }
 
-// simulation has routers, some with more of a tenant's requests than others, request nothing, less than its limit and many times
-// as much alternately, while primaries change, restart and stop to answer. With pools, those without contact to a primary deposit their shares at
-// one of a few, some of which fail.
+// simulation has routers, some with more of a tenant's requests than others, request nothing, less than its limit and
+// many times as much alternately, while primaries change, restart and stop to answer. With pools, those without contact
+// to a primary deposit their shares at one of a few, some of which fail.
 type simulation struct {
 	random *rand.Rand
 	limits map[string]Limit
@@ -180,8 +180,8 @@
 	}
 }
 
-// While there is no primary for longer than a lease lasts, the routers go on with most of the limit, together never with more than it; a router
-// that never learnt their number has nothing.
+// While there is no primary for longer than a lease lasts, the routers go on with most of the limit, together never
+// with more than it; a router that never learnt their number has nothing.
 func TestNobodyLeadsForLong(t *testing.T) {
 	limits := map[string]Limit{"t": {Rate: 100_000, Burst: 100_000}}
 	const fleet, units = 11, 500
@@ -225,7 +225,8 @@
 	require.Equal(t, Rejected, v)
 }
 
-// A primary leaves room for routers without contact, once their leases have expired, and none where it has contact to all.
+// A primary leaves room for routers without contact, once their leases have expired, and none where it has contact to
+// all.
 func TestReserve(t *testing.T) {
 	require.Zero(t, ReservedFraction(11, 11, time.Hour))
 	require.Zero(t, ReservedFraction(11, 12, time.Hour))
--- a/internal/router/quotapool/contributor.go
+++ b/internal/router/quotapool/contributor.go
@@ -5,7 +5,8 @@
 // time with what it may spend, and spends nothing itself meanwhile. When it has contact with a primary again it answers
 // with an empty deposit. How a pool is spent is decided by quota.Pool.
 //
-// The package is pure: the caller passes the view and the time, sends the messages, and holds one lock around every call.
+// The package is pure: the caller passes the view and the time, sends the messages, and holds one lock around every
+// call.
 package quotapool
 
 import (
--- a/internal/router/quotapool/host.go
+++ b/internal/router/quotapool/host.go
@@ -37,7 +37,8 @@
 	h.offers[address].lastContact = now
 }
 
-// Review drops the routers that have not answered for long, and returns those that are to be asked for their deposit now.
+// Review drops the routers that have not answered for long, and returns those that are to be asked for their deposit
+// now.
 func (h *Host) Review(now time.Duration) (due []string) {
 	for address, o := range h.offers {
 		if now-o.lastContact > OfferValidity {
--- a/internal/router/registry/registry_test.go
+++ b/internal/router/registry/registry_test.go
@@ -140,7 +140,8 @@
 	}
 }
 
-// An instance that another core member, which has lost it, is the first to report is not usable before the next judgement.
+// An instance that another core member, which has lost it, is the first to report is not usable before the next
+// judgement.
 func TestAnUnknownInstanceThatOthersHaveLost(t *testing.T) {
 	g := New()
 	g.Merge(Update{Instance: instance("a", 1, Ready), Lost: true, Age: time.Minute}, 2*time.Minute)
--- a/internal/router/replication/abandoned_test.go
+++ b/internal/router/replication/abandoned_test.go
@@ -86,8 +86,8 @@
 
 func (a *abandonedChange) isFollower(h *host) bool { return h == a.followers[0] || h == a.followers[1] }
 
-// The primary proposes again; a majority of the five accepts the second view, and the two of the three members before that do not are
-// partitioned from it. They know the view of three alone.
+// The primary proposes again; a majority of the five accepts the second view, and the two of the three members before
+// that do not are partitioned from it. They know the view of three alone.
 func TestAnAbandonedChangeOfMembers(t *testing.T) {
 	s := newAbandonedChange(t)
 	separated := false
@@ -124,8 +124,8 @@
 	require.NotEqual(t, porcupine.Illegal, check(s.history))
 }
 
-// The two other members before elect a primary and commit a value; then the first one finishes its change, and gets no promise of theirs
-// though they would accept its view.
+// The two other members before elect a primary and commit a value; then the first one finishes its change, and gets no
+// promise of theirs though they would accept its view.
 func TestAnAbandonedChangeHidesNoLaterView(t *testing.T) {
 	s := newAbandonedChange(t)
 	s.partition(s.followers, s.joiningSide)
@@ -173,8 +173,8 @@
 	require.NotEqual(t, porcupine.Illegal, check(s.history))
 }
 
-// A process that starts with a view on its disk that may never have been in force does not report it as known, and requests pre-votes by it
-// all the same.
+// A process that starts with a view on its disk that may never have been in force does not report it as known, and
+// requests pre-votes by it all the same.
 func TestAnAbandonedViewIsNotTold(t *testing.T) {
 	joint := viewOf(5, "a", "b")
 	joint.Old = joint.Members[:3]
--- a/internal/router/replication/catchup.go
+++ b/internal/router/replication/catchup.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Catching up, the primary's side. The primary sends a learner a snapshot in chunks and then the entries after it, beside the
-// proposals that it handles. Only when the learner has nearly all is a view proposed that has it in the in-sync set; the few entries
-// that it lacks by then are sent within the candidacy.
+// Catching up, the primary's side. The primary sends a learner a snapshot in chunks and then the entries after it,
+// beside the proposals that it handles. Only when the learner has nearly all is a view proposed that has it in the
+// in-sync set; the few entries that it lacks by then are sent within the candidacy.
 
 const (
 	snapshotChunkBytes    = 32 << 10
@@ -77,8 +77,8 @@
 	return s.hasDisk && !s.diskFails && !l.view.inSync(s.member.ID) && s.knownEpoch == l.view.Epoch
 }
 
-// firstBatch returns as many entries as go in one message; none where the first is too large: a snapshot goes in chunks, between which
-// the link carries proposals.
+// firstBatch returns as many entries as go in one message; none where the first is too large: a snapshot goes in
+// chunks, between which the link carries proposals.
 func firstBatch(entries []Entry) []Entry {
 	bytes := 0
 	for i, e := range entries {
--- a/internal/router/replication/disk.go
+++ b/internal/router/replication/disk.go
@@ -25,8 +25,8 @@
 	onDurable   func()    // may be nil
 }
 
-// saveHardState saves the hard state, and calls onDurable, which may be nil, once it is on the disk. If the save fails, onDurable is
-// never called: whoever waits for its message sends the request again.
+// saveHardState saves the hard state, and calls onDurable, which may be nil, once it is on the disk. If the save fails,
+// onDurable is never called: whoever waits for its message sends the request again.
 func (r *Replica) saveHardState(onDurable func()) {
 	r.save(nil, r.disk.needsSnapshot, onDurable)
 }
@@ -65,8 +65,8 @@
 	r.effects = append(r.effects, save)
 }
 
-// ifStillPromised returns a function that calls do if this replica has not promised another epoch by then. What was promised,
-// accepted or replicated for an epoch is not acknowledged after the epoch was left.
+// ifStillPromised returns a function that calls do if this replica has not promised another epoch by then. What was
+// promised, accepted or replicated for an epoch is not acknowledged after the epoch was left.
 func (r *Replica) ifStillPromised(epoch Epoch, do func()) func() {
 	return func() {
 		if r.hard.Promised == epoch {
@@ -97,7 +97,8 @@
 	}
 }
 
-// SaveFailed reports that a save is not on the disk. The replica saves a snapshot later, which the shell must not refuse.
+// SaveFailed reports that a save is not on the disk. The replica saves a snapshot later, which the shell must not
+// refuse.
 func (r *Replica) SaveFailed(number uint64, now time.Duration) {
 	r.now = now
 	r.disk.pendingSaves = slices.DeleteFunc(r.disk.pendingSaves, func(save pendingSave) bool { return save.number <= number })
@@ -114,7 +115,8 @@
 	}
 }
 
-// diskStalled reports whether the disk fails or hangs. Such a replica does not become candidate, and does not stay primary.
+// diskStalled reports whether the disk fails or hangs. Such a replica does not become candidate, and does not stay
+// primary.
 func (r *Replica) diskStalled() bool {
 	pending := r.disk.pendingSaves
 	return r.disk.failed || len(pending) > 0 && r.now-pending[0].startedAt > diskStallTimeout
--- a/internal/router/replication/doc.go
+++ b/internal/router/replication/doc.go
@@ -1,12 +1,14 @@
-// Package replication keeps one small state machine on the disks of the core members, by primary-backup replication. It answers
-// three questions: who is the primary, whose disks hold everything that was acknowledged, and what is committed.
+// Package replication keeps one small state machine on the disks of the core members, by primary-backup replication. It
+// answers three questions: who is the primary, whose disks hold everything that was acknowledged, and what is
+// committed.
 //
-// It does not send messages, write to disks, read clocks or start goroutines, and it does not know what the state machine is for.
+// It does not send messages, write to disks, read clocks or start goroutines, and it does not know what the state
+// machine is for.
 //
 // # Use
 //
-// The package is a pure core: events go in by method calls, effects come out as values. The shell (internal/router/node, or a
-// simulation in the tests) makes a Replica from what its disk holds, and then repeats:
+// The package is a pure core: events go in by method calls, effects come out as values. The shell
+// (internal/router/node, or a simulation in the tests) makes a Replica from what its disk holds, and then repeats:
 //
 //	replica.Receive(from, message, now) // or Tick, Propose, Confirm, Saved, SaveFailed, Leave ...
 //	for effects := replica.Effects(); len(effects) > 0; effects = replica.Effects() {
@@ -20,19 +22,20 @@
 //		}
 //	}
 //
-// A Replica is not safe for concurrent use: the shell holds a lock around every call. Times are offsets of one steady clock of the
-// process. What a replica does follows from its events alone, in their order: it draws no random numbers, and it iterates over maps
-// in the order of their keys where the order shows.
+// A Replica is not safe for concurrent use: the shell holds a lock around every call. Times are offsets of one steady
+// clock of the process. What a replica does follows from its events alone, in their order: it draws no random numbers,
+// and it iterates over maps in the order of their keys where the order shows.
 //
 // # Concepts
 //
-// A view is an epoch, a primary, the in-sync set, and the members. Views are decided by the members as witnesses, who persist no
-// more for this than the epoch they promised and the view they accepted last (HardState). Data goes from the primary to the in-sync
-// set alone. There is no log that a majority replicates.
+// A view is an epoch, a primary, the in-sync set, and the members. Views are decided by the members as witnesses, who
+// persist no more for this than the epoch they promised and the view they accepted last (HardState). Data goes from the
+// primary to the in-sync set alone. There is no log that a majority replicates.
 //
-// A view comes into force in three phases, which a candidate runs (election.go, phases.go): it prepares (a majority promises to follow no
-// smaller epoch), syncs (those that promised are brought to its state and become the in-sync set), and has the view accepted (by a
-// majority again). A replica with a disk outside the in-sync set is a learner: the primary catches it up beside its other work.
+// A view comes into force in three phases, which a candidate runs (election.go, phases.go): it prepares (a majority
+// promises to follow no smaller epoch), syncs (those that promised are brought to its state and become the in-sync
+// set), and has the view accepted (by a majority again). A replica with a disk outside the in-sync set is a learner:
+// the primary catches it up beside its other work.
 //
 // # Invariants
 //
@@ -50,6 +53,6 @@
 //
 // docs/design/control.md has the argument for each, and the tests that fail without it.
 //
-// The first view is decided by the seeds of the first start of the whole system. They hold a vote that is named by their address,
-// for this view alone, and only in a process or with a disk of that first start.
+// The first view is decided by the seeds of the first start of the whole system. They hold a vote that is named by
+// their address, for this view alone, and only in a process or with a disk of that first start.
 package replication
--- a/internal/router/replication/effects.go
+++ b/internal/router/replication/effects.go
@@ -1,6 +1,7 @@
 package replication
 
-// Effect is something that the shell carries out for a replica. Effects are carried out in the order in which Effects returns them.
+// Effect is something that the shell carries out for a replica. Effects are carried out in the order in which Effects
+// returns them.
 type Effect interface{ replicationEffect() }
 
 // Send sends a message to the router at an address. It may be lost: the replica sends again what it needs.
@@ -9,8 +10,8 @@
 	Message Message
 }
 
-// Save writes to the disk and syncs it. The shell then calls Saved or SaveFailed with Number. Saves keep their order, and after one
-// that failed those without a snapshot fail too until one with a snapshot succeeds.
+// Save writes to the disk and syncs it. The shell then calls Saved or SaveFailed with Number. Saves keep their order,
+// and after one that failed those without a snapshot fail too until one with a snapshot succeeds.
 type Save struct {
 	Number   uint64
 	Hard     HardState
--- a/internal/router/replication/election.go
+++ b/internal/router/replication/election.go
@@ -93,7 +93,8 @@
 	})
 }
 
-// stepDown ends a candidacy or a leadership. What waits for an answer gets an unclear one: the entry may be committed by the next primary.
+// stepDown ends a candidacy or a leadership. What waits for an answer gets an unclear one: the entry may be committed
+// by the next primary.
 func (r *Replica) stepDown() {
 	r.role = follower
 	r.follower.lastContact = r.now
@@ -125,8 +126,8 @@
 	}
 }
 
-// electionDelay is for how long a follower waits beyond the election timeout, so that candidates do not hinder one another: the
-// in-sync members in their order, and the others after them, spread by a hash.
+// electionDelay is for how long a follower waits beyond the election timeout, so that candidates do not hinder one
+// another: the in-sync members in their order, and the others after them, spread by a hash.
 func (r *Replica) electionDelay() time.Duration {
 	newest := r.newestKnown()
 	for i, id := range newest.InSync {
--- a/internal/router/replication/eligible.go
+++ b/internal/router/replication/eligible.go
@@ -23,7 +23,8 @@
 // AddEligible adds a replica that can be a member. The shell calls it whenever it learns of one, as often as it likes.
 func (r *Replica) AddEligible(m Member) { r.eligible.add(m, r.now) }
 
-// voters returns the identities with which this process votes as a witness: its disk's, and its address as a seed of the first start.
+// voters returns the identities with which this process votes as a witness: its disk's, and its address as a seed of
+// the first start.
 func (r *Replica) voters() []string {
 	var ids []string
 	if !r.Witness {
@@ -53,7 +54,8 @@
 	return r.knownView.Epoch.Round == 0 && r.hard.Accepted.Epoch.Round == 0
 }
 
-// bootstrapDelay is how long after the last newcomer this replica proposes the first view: the one with the smallest address first.
+// bootstrapDelay is how long after the last newcomer this replica proposes the first view: the one with the smallest
+// address first.
 func (r *Replica) bootstrapDelay() time.Duration {
 	rank := 0
 	for _, m := range r.eligible.byID {
--- a/internal/router/replication/explore_heal_test.go
+++ b/internal/router/replication/explore_heal_test.go
@@ -30,8 +30,8 @@
 	committed bool
 }
 
-// heal continues a world without faults. It returns "" if a primary commits an entry within the recovery time, on top of all that was
-// acknowledged.
+// heal continues a world without faults. It returns "" if a primary commits an entry within the recovery time, on top
+// of all that was acknowledged.
 func heal(w *world) (fault string) {
 	h := &healing{world: w.clone(), now: exploredNow}
 	for address := range h.nodes {
--- a/internal/router/replication/explore_limits_race_test.go
+++ b/internal/router/replication/explore_limits_race_test.go
@@ -2,7 +2,8 @@
 
 package replication
 
-// How many states each exploration of a usual run visits at the most: fewer with the race detector, which is many times as slow.
+// How many states each exploration of a usual run visits at the most: fewer with the race detector, which is many times
+// as slow.
 const (
 	sampledStates = 2_000
 	allStates     = 2_000
--- a/internal/router/replication/explore_test.go
+++ b/internal/router/replication/explore_test.go
@@ -154,7 +154,8 @@
 	return usual
 }
 
-// completeInCI are explored completely in each run without the race detector: what follows an abandoned change of members.
+// completeInCI are explored completely in each run without the race detector: what follows an abandoned change of
+// members.
 var completeInCI = []string{"overtaken, one candidacy", "abandoned, two candidacies"}
 
 func TestExplorationOfAbandonedViews(t *testing.T) {
--- a/internal/router/replication/explore_world_test.go
+++ b/internal/router/replication/explore_world_test.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// A world is a core as the exploration sees it: the real replicas, the requests in flight, and what was acknowledged. Disks sync at once
-// (the simulation has slow ones); messages are lost, delayed or duplicated in any order; time passes where a step says so.
+// A world is a core as the exploration sees it: the real replicas, the requests in flight, and what was acknowledged.
+// Disks sync at once (the simulation has slow ones); messages are lost, delayed or duplicated in any order; time passes
+// where a step says so.
 
 // exploredLog is a state machine that keeps all its entries.
 type exploredLog struct{ entries []string }
@@ -216,7 +217,8 @@
 	do   func(w *world)
 }
 
-// exploredCandidates may campaign: the primary, one other member, one that joins. The others are like these but for their names.
+// exploredCandidates may campaign: the primary, one other member, one that joins. The others are like these but for
+// their names.
 var exploredCandidates = []string{"a", "b", "d"}
 
 // steps returns all events that may happen next.
--- a/internal/router/replication/explore_worlds_test.go
+++ b/internal/router/replication/explore_worlds_test.go
@@ -4,7 +4,8 @@
 	"strings"
 )
 
-// Two more zones: d and e are added. c's zone has a second machine: d replaces c, with which a has had no contact for long.
+// Two more zones: d and e are added. c's zone has a second machine: d replaces c, with which a has had no contact for
+// long.
 var (
 	joiningZones     = map[string]string{"a": "1", "b": "2", "c": "3", "d": "4", "e": "5"}
 	replacementZones = map[string]string{"a": "1", "b": "2", "c": "3", "d": "3"}
@@ -20,7 +21,8 @@
 	return w
 }
 
-// abandonedWorld is a replacement whose first view was proposed by a, which stepped down with that view on its own disk alone.
+// abandonedWorld is a replacement whose first view was proposed by a, which stepped down with that view on its own disk
+// alone.
 func abandonedWorld(left budget) *world {
 	w := replacementWorld(budget{candidacies: 1})
 	for _, name := range []string{"a campaigns", "a>b Prepare", "a>d Prepare", "a waits no longer", "a>b Sync", "a>d Sync"} {
@@ -35,8 +37,8 @@
 	return w
 }
 
-// overtakenWorld continues from an abandoned view: b, which does not know of it, has become primary with c, and an entry was acknowledged.
-// a knows of a later epoch.
+// overtakenWorld continues from an abandoned view: b, which does not know of it, has become primary with c, and an
+// entry was acknowledged. a knows of a later epoch.
 func overtakenWorld(left budget) *world {
 	w := abandonedWorld(budget{candidacies: 1, writes: 1})
 	for _, name := range []string{"b campaigns", "b>c Prepare", "b waits no longer", "b>c Sync", "b>c Accept", "b commits an entry", "b>c Replicate"} {
@@ -50,8 +52,8 @@
 	return w
 }
 
-// jointWorld continues from a replacement that is in force, which b has accepted and does not know to be; a and d have moved to another view
-// without b, and an entry was acknowledged there.
+// jointWorld continues from a replacement that is in force, which b has accepted and does not know to be; a and d have
+// moved to another view without b, and an entry was acknowledged there.
 func jointWorld(left budget) *world {
 	w := replacementWorld(budget{candidacies: 2, writes: 1})
 	for _, name := range []string{"a campaigns", "a>b Prepare", "a>d Prepare", "a waits no longer", "a>b Sync", "a>d Sync", "a>b Accept",
--- a/internal/router/replication/faults_test.go
+++ b/internal/router/replication/faults_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// mayWipe reports whether a disk may be lost: as many may be lost at one time as FaultTolerance says, and each counts as lost until its
-// machine is back in the in-sync set.
+// mayWipe reports whether a disk may be lost: as many may be lost at one time as FaultTolerance says, and each counts
+// as lost until its machine is back in the in-sync set.
 func (s *simulation) mayWipe() bool {
 	p := s.primary()
 	if p == nil || len(p.replica.View().InSync) < len(s.hosts) {
--- a/internal/router/replication/guards_test.go
+++ b/internal/router/replication/guards_test.go
@@ -106,8 +106,8 @@
 	require.Equal(t, porcupine.Ok, check(s.history))
 }
 
-// A primary transfers its leadership while the next one's disk has not yet synced the last entry; the next one loses power as soon as it
-// has answered a read.
+// A primary transfers its leadership while the next one's disk has not yet synced the last entry; the next one loses
+// power as soon as it has answered a read.
 func TestACandidateWaitsForItsOwnDisk(t *testing.T) {
 	s, old := coreWithValue(t)
 	slow, fast := s.followers(old)[0], s.followers(old)[1]
@@ -146,8 +146,8 @@
 	require.Equal(t, porcupine.Ok, check(s.history))
 }
 
-// Two machines join while the two followers of a three-member core can promise and receive nothing more: the primary and those that join
-// are a majority of the members to be, and the followers one of the members that are.
+// Two machines join while the two followers of a three-member core can promise and receive nothing more: the primary
+// and those that join are a majority of the members to be, and the followers one of the members that are.
 func TestTheMembersBeforeHaveToAgree(t *testing.T) {
 	s, old := coreWithValue(t)
 	followers := s.followers(old)
--- a/internal/router/replication/handover.go
+++ b/internal/router/replication/handover.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Leave says that this process is about to end: it transfers its leadership, and another replica replaces it among the members as
-// soon as one that could has all that it has.
+// Leave says that this process is about to end: it transfers its leadership, and another replica replaces it among the
+// members as soon as one that could has all that it has.
 func (r *Replica) Leave(now time.Duration) {
 	r.leaving = true
 	r.Resign(now)
 }
 
-// Resign transfers the leadership to another in-sync replica, as far as that is possible. It does nothing where this is not the primary.
+// Resign transfers the leadership to another in-sync replica, as far as that is possible. It does nothing where this is
+// not the primary.
 func (r *Replica) Resign(now time.Duration) {
 	r.now = now
 	if r.role != primary {
@@ -35,7 +36,8 @@
 	return address
 }
 
-// handleTransferLeadership campaigns at once, if this replica is in sync and still follows the epoch of the primary that asks for it.
+// handleTransferLeadership campaigns at once, if this replica is in sync and still follows the epoch of the primary
+// that asks for it.
 func (r *Replica) handleTransferLeadership(m TransferLeadership) {
 	if r.role == follower && r.hard.Promised == m.Epoch && r.hard.Accepted.inSync(r.Self.ID) {
 		r.campaign(true)
--- a/internal/router/replication/heartbeat.go
+++ b/internal/router/replication/heartbeat.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// recipientsKnowingView returns the addresses that get heartbeats, and whether the replica there knows the view. At a member's address
-// the member's answer counts.
+// recipientsKnowingView returns the addresses that get heartbeats, and whether the replica there knows the view. At a
+// member's address the member's answer counts.
 func (r *Replica) recipientsKnowingView() map[string]bool {
 	l := &r.leadership
 	knowsView := map[string]bool{}
@@ -90,8 +90,8 @@
 	}
 }
 
-// acceptKnownView accepts the view whose primary sends heartbeats. It is in force, so accepting it late does no harm, and the members
-// before need not agree to what follows it.
+// acceptKnownView accepts the view whose primary sends heartbeats. It is in force, so accepting it late does no harm,
+// and the members before need not agree to what follows it.
 func (r *Replica) acceptKnownView() {
 	r.knownView.Old = r.knownView.Members
 	if r.hard.Accepted.Epoch.Less(r.knownView.Epoch) || r.hard.Accepted.joint() {
@@ -105,8 +105,8 @@
 	return r.state.position.Sequence == m.Committed && r.knownView.inSync(r.Self.ID) && r.hard.Accepted.Epoch == m.Epoch
 }
 
-// handleHeartbeatAck records what a replica reported, answers what its confirmation completes, and goes on catching it up. An ack with a
-// larger promised epoch makes this primary campaign above it.
+// handleHeartbeatAck records what a replica reported, answers what its confirmation completes, and goes on catching it
+// up. An ack with a larger promised epoch makes this primary campaign above it.
 func (r *Replica) handleHeartbeatAck(m HeartbeatAck) {
 	l := &r.leadership
 	if r.role != primary || m.Epoch != l.view.Epoch {
--- a/internal/router/replication/history.go
+++ b/internal/router/replication/history.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// after returns the entries after a position, and false where not all of them are there. A position names one history, so one that
-// is found is that of a state which these entries follow.
+// after returns the entries after a position, and false where not all of them are there. A position names one history,
+// so one that is found is that of a state which these entries follow.
 func (h *history) after(p Position) ([]Entry, bool) {
 	if p == h.base {
 		return h.entries, true
--- a/internal/router/replication/history_test.go
+++ b/internal/router/replication/history_test.go
@@ -56,8 +56,9 @@
 	},
 }
 
-// check asks porcupine whether what clients observed is linearizable. A write without a clear answer may be committed at any time after
-// it was proposed, or never; the model permits both: it ends at infinity, and where it does not fit it changes nothing.
+// check asks porcupine whether what clients observed is linearizable. A write without a clear answer may be committed
+// at any time after it was proposed, or never; the model permits both: it ends at infinity, and where it does not fit
+// it changes nothing.
 func check(history []operation) porcupine.CheckResult {
 	acknowledged := map[int]bool{} // versions on top of which a value was acknowledged
 	for _, o := range history {
@@ -115,7 +116,8 @@
 	return s
 }
 
-// What clients observe under random faults is linearizable, and the core has recovered some seconds after the last fault.
+// What clients observe under random faults is linearizable, and the core has recovered some seconds after the last
+// fault.
 func TestHistories(t *testing.T) {
 	runSeedsInParallel(t, scheduleCount(t, 400), func(seed int64) bool {
 		s := playSchedule(t, seed, nil)
@@ -135,8 +137,8 @@
 	})
 }
 
-// The same with cores of five, six and seven machines, of which two may be lost at once: killed, wiped, partitioned, suspended, or with
-// disks that are full or slow.
+// The same with cores of five, six and seven machines, of which two may be lost at once: killed, wiped, partitioned,
+// suspended, or with disks that are full or slow.
 func TestHistoriesOfLargerCores(t *testing.T) {
 	runSeedsInParallel(t, scheduleCount(t, 60), func(seed int64) bool {
 		s := playCore(t, seed, 5+int(seed%3), 2, nil)
--- a/internal/router/replication/learner.go
+++ b/internal/router/replication/learner.go
@@ -13,14 +13,15 @@
 	data     []byte // from the snapshot's start
 }
 
-// acceptsCatchUp reports whether this replica adopts the state that a primary of an epoch sends it: it follows that epoch, whose view is in
-// force without it in the in-sync set, so nothing that was acknowledged depends on what it has.
+// acceptsCatchUp reports whether this replica adopts the state that a primary of an epoch sends it: it follows that
+// epoch, whose view is in force without it in the in-sync set, so nothing that was acknowledged depends on what it has.
 func (r *Replica) acceptsCatchUp(epoch Epoch) bool {
 	follows := r.role == follower && !r.Witness && r.hard.Promised == epoch && r.hard.Accepted.Epoch == epoch && r.knownView.Epoch == epoch
 	return follows && !r.hard.Accepted.joint() && !r.knownView.inSync(r.Self.ID)
 }
 
-// handleSnapshotChunk collects a snapshot. Chunks come in order: one that is lost or repeated is acknowledged with what was received.
+// handleSnapshotChunk collects a snapshot. Chunks come in order: one that is lost or repeated is acknowledged with what
+// was received.
 func (r *Replica) handleSnapshotChunk(m SnapshotChunk, from string) {
 	if !r.acceptsCatchUp(m.Epoch) || m.Size > maxSnapshotBytes || m.Offset+len(m.Data) > m.Size {
 		return
--- a/internal/router/replication/learner_test.go
+++ b/internal/router/replication/learner_test.go
@@ -90,8 +90,8 @@
 	return a
 }
 
-// A member that was down for 300 entries, with a slow disk or an empty one, catches up over a slow link while proposals continue: none is
-// rejected, and none waits for it.
+// A member that was down for 300 entries, with a slow disk or an empty one, catches up over a slow link while proposals
+// continue: none is rejected, and none waits for it.
 func TestCatchingUpBesideOrders(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -116,7 +116,8 @@
 	}
 }
 
-// A replica in the in-sync set adopts no state to catch up: what was acknowledged depends on what it has. One outside does.
+// A replica in the in-sync set adopts no state to catch up: what was acknowledged depends on what it has. One outside
+// does.
 func TestAnInSyncReplicaRejectsCatchUp(t *testing.T) {
 	for _, test := range []struct {
 		view  View
--- a/internal/router/replication/machine.go
+++ b/internal/router/replication/machine.go
@@ -1,7 +1,7 @@
 package replication
 
-// StateMachine is the state that is replicated. It is deterministic: the same entries in the same order give the same state on
-// every replica. The replica alone calls it, within the shell's calls.
+// StateMachine is the state that is replicated. It is deterministic: the same entries in the same order give the same
+// state on every replica. The replica alone calls it, within the shell's calls.
 type StateMachine interface {
 	// Decide says what becomes of a proposed entry on top of the present state, which it does not change.
 	Decide(entry []byte) Decision
--- a/internal/router/replication/members.go
+++ b/internal/router/replication/members.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Who is a member of the next view. A newcomer replaces one member in one step, so that a repair never needs more votes than there were
-// before it; the number of members grows only where a zone has none, or where there are too few to tolerate the losses that
-// FaultTolerance names.
+// Who is a member of the next view. A newcomer replaces one member in one step, so that a repair never needs more votes
+// than there were before it; the number of members grows only where a zone has none, or where there are too few to
+// tolerate the losses that FaultTolerance names.
 
 const (
 	replacementTimeout          = time.Second     // without contact: a newcomer of its zone replaces a member
 	crossZoneReplacementTimeout = 4 * time.Second // without contact: a newcomer of a zone without a member does
 )
 
-// nextView returns the view that a candidate proposes. A change of members that was begun and is not known to be in force is
-// finished first, with the same members and the same ones before: a view built on members that never were in force would be
-// decided without those that still may decide.
+// nextView returns the view that a candidate proposes. A change of members that was begun and is not known to be in
+// force is finished first, with the same members and the same ones before: a view built on members that never were in
+// force would be decided without those that still may decide.
 func (r *Replica) nextView() View {
 	e := &r.election
 	v := View{Epoch: e.epoch, Primary: r.Self.ID, Members: e.newestView.Members, Old: e.newestView.Old}
@@ -69,7 +69,8 @@
 	return members
 }
 
-// planMembers returns the members that a primary wants instead of those of its view; ready says which replicas have its state.
+// planMembers returns the members that a primary wants instead of those of its view; ready says which replicas have its
+// state.
 func (r *Replica) planMembers(ready func(id string) bool) []Member {
 	members := slices.Clone(r.leadership.view.Members)
 	for _, id := range sortedKeys(r.leadership.statuses) {
@@ -90,8 +91,8 @@
 	return r.withoutPredecessor(members, ready)
 }
 
-// replacedBy returns the index of the member that a newcomer replaces, or the number of members where the newcomer is added; false
-// where it has to wait.
+// replacedBy returns the index of the member that a newcomer replaces, or the number of members where the newcomer is
+// added; false where it has to wait.
 func (r *Replica) replacedBy(newcomer Member, members []Member) (index int, ok bool) {
 	for i, m := range members {
 		if m.Address == newcomer.Address {
@@ -119,7 +120,8 @@
 	return len(members), allReachable && (!zoneHasMember || tooFew)
 }
 
-// withoutPredecessor drops one member that has long been unreachable and whose zone has a newer member, where enough remain.
+// withoutPredecessor drops one member that has long been unreachable and whose zone has a newer member, where enough
+// remain.
 func (r *Replica) withoutPredecessor(members []Member, ready func(id string) bool) []Member {
 	if len(members) <= 2*r.FaultTolerance+1 {
 		return members
@@ -140,8 +142,8 @@
 // isLeaving reports whether a member said in its last answer that its process is about to end.
 func (r *Replica) isLeaving(m Member) bool { return r.leadership.statuses[m.ID].leaving }
 
-// unreachableFor reports whether the primary has had no contact with a member for longer than a limit. What happened before it became
-// primary does not count.
+// unreachableFor reports whether the primary has had no contact with a member for longer than a limit. What happened
+// before it became primary does not count.
 func (r *Replica) unreachableFor(m Member, limit time.Duration) bool {
 	if m.ID == r.Self.ID {
 		return false
@@ -149,8 +151,8 @@
 	return r.now-max(r.leadership.statuses[m.ID].lastContact, r.leadership.primarySince) > limit
 }
 
-// wantedChange names what the next view would have that this one has not: other members, or more of them in sync. It is "" where there is
-// nothing.
+// wantedChange names what the next view would have that this one has not: other members, or more of them in sync. It is
+// "" where there is nothing.
 func (r *Replica) wantedChange() string {
 	l := &r.leadership
 	var wanted []string
--- a/internal/router/replication/persisted.go
+++ b/internal/router/replication/persisted.go
@@ -1,7 +1,7 @@
 package replication
 
-// What a replica keeps on its disk. HardState, Entry and SnapshotRecord, with Epoch, Member, View and Position within them, are
-// encoded by gob under their field names, on disks and in messages: the fields must not be renamed.
+// What a replica keeps on its disk. HardState, Entry and SnapshotRecord, with Epoch, Member, View and Position within
+// them, are encoded by gob under their field names, on disks and in messages: the fields must not be renamed.
 
 // HardState is what a replica must not forget as a witness.
 type HardState struct {
--- a/internal/router/replication/phases.go
+++ b/internal/router/replication/phases.go
@@ -30,7 +30,8 @@
 	r.advancePreparing()
 }
 
-// learnAcceptedView has the candidate build on a view that a witness accepted, if it is newer, and asks its members for their promises.
+// learnAcceptedView has the candidate build on a view that a witness accepted, if it is newer, and asks its members for
+// their promises.
 func (r *Replica) learnAcceptedView(accepted View) {
 	e := &r.election
 	later := laterView(e.newestView, accepted)
@@ -45,8 +46,9 @@
 	}
 }
 
-// advancePreparing begins the sync phase once enough have promised: a majority of the members of the newest view, and one of those before,
-// and all others that are likely to answer soon. Only a replica in that view's in-sync set goes on.
+// advancePreparing begins the sync phase once enough have promised: a majority of the members of the newest view, and
+// one of those before, and all others that are likely to answer soon. Only a replica in that view's in-sync set goes
+// on.
 func (r *Replica) advancePreparing() {
 	e := &r.election
 	if _, own := e.prepare.promises[r.Self.Address]; !own { // its own disk has to have what its memory has
@@ -70,8 +72,8 @@
 	r.advanceSyncing()
 }
 
-// promiseWait is for how long promises beyond a majority are waited for: those that come take about as long as the others, but for those
-// that this replica, as primary, knows to be reachable.
+// promiseWait is for how long promises beyond a majority are waited for: those that come take about as long as the
+// others, but for those that this replica, as primary, knows to be reachable.
 func (r *Replica) promiseWait() time.Duration {
 	prepare := &r.election.prepare
 	for _, id := range sortedKeys(r.leadership.statuses) {
@@ -92,8 +94,8 @@
 	return true
 }
 
-// syncPromised brings those that promised to this candidate's state: all that lack a few entries; one that needs the complete state only
-// where too few others have it, for that takes long and the primary does it beside its other work.
+// syncPromised brings those that promised to this candidate's state: all that lack a few entries; one that needs the
+// complete state only where too few others have it, for that takes long and the primary does it beside its other work.
 func (r *Replica) syncPromised() {
 	e := &r.election
 	var needSnapshot []Promise
@@ -146,7 +148,8 @@
 // minInSync is on how many disks an acknowledged entry is at least.
 func (r *Replica) minInSync() int { return r.FaultTolerance + 1 }
 
-// advanceSyncing proposes a view once all that were sent the state have it, or after maxPhaseWait those that do, if they are enough.
+// advanceSyncing proposes a view once all that were sent the state have it, or after maxPhaseWait those that do, if
+// they are enough.
 func (r *Replica) advanceSyncing() {
 	e := &r.election
 	if len(e.sync.synced) < len(e.sync.requested)+1 && r.now-e.phaseSince < maxPhaseWait {
@@ -165,7 +168,8 @@
 	}
 }
 
-// handleAccepted counts an acceptance. The view is in force once a majority of its members, and one of the members before, accepted it.
+// handleAccepted counts an acceptance. The view is in force once a majority of its members, and one of the members
+// before, accepted it.
 func (r *Replica) handleAccepted(m Accepted) {
 	if r.role != candidate || m.Epoch != r.election.epoch || r.election.phase != accepting {
 		return
--- a/internal/router/replication/prevote.go
+++ b/internal/router/replication/prevote.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// A replica without contact with a primary asks the others first whether they have it, and promises nothing meanwhile: one that has just
-// started, or that a partition keeps from receiving, would otherwise end a view that works.
+// A replica without contact with a primary asks the others first whether they have it, and promises nothing meanwhile:
+// one that has just started, or that a partition keeps from receiving, would otherwise end a view that works.
 
 const (
 	preVoteInterval      = 100 * time.Millisecond
 	preVoteReplyLifetime = 300 * time.Millisecond // for which an answer counts
 )
 
-// preVoteRequests is what a follower that suspects the primary has asked and been answered. It is empty while it suspects nobody.
+// preVoteRequests is what a follower that suspects the primary has asked and been answered. It is empty while it
+// suspects nobody.
 type preVoteRequests struct {
 	lastRequest time.Duration
 	replies     map[string]receivedPreVote // by address; nil before the first request
@@ -71,8 +72,9 @@
 	r.countPreVotes()
 }
 
-// countPreVotes begins a candidacy when a majority has no contact with a primary and the promises would let this replica lead. One that
-// is not in the in-sync set would hinder those that are by asking for promises: a promise gives the candidate time.
+// countPreVotes begins a candidacy when a majority has no contact with a primary and the promises would let this
+// replica lead. One that is not in the in-sync set would hinder those that are by asking for promises: a promise gives
+// the candidate time.
 func (r *Replica) countPreVotes() {
 	newest := r.newestKnown()
 	votes := map[string]bool{}
--- a/internal/router/replication/prevote_test.go
+++ b/internal/router/replication/prevote_test.go
@@ -29,8 +29,9 @@
 	return r
 }
 
-// A replica campaigns where the answers to its pre-vote say that it could lead. One outside the in-sync set does not: each promise gives
-// a candidate time, and two such replicas alternating would keep those who could lead from being elected, for ever.
+// A replica campaigns where the answers to its pre-vote say that it could lead. One outside the in-sync set does not:
+// each promise gives a candidate time, and two such replicas alternating would keep those who could lead from being
+// elected, for ever.
 func TestOnlyOneThatCouldLeadIsACandidate(t *testing.T) {
 	without, with := viewOf(4, "b", "c"), viewOf(5, "a", "b")
 	for _, test := range []struct {
--- a/internal/router/replication/primary.go
+++ b/internal/router/replication/primary.go
@@ -96,7 +96,8 @@
 	r.campaign(true)
 }
 
-// reviewView proposes a change of the view where one is wanted. A change that was proposed and brought nothing has a backoff; another one has none.
+// reviewView proposes a change of the view where one is wanted. A change that was proposed and brought nothing has a
+// backoff; another one has none.
 func (r *Replica) reviewView() {
 	review := &r.leadership.review
 	if r.now-review.reviewedAt < viewReviewInterval {
--- a/internal/router/replication/proposals.go
+++ b/internal/router/replication/proposals.go
@@ -35,8 +35,9 @@
 	return s.proposal != nil && now-s.stagedAt > entryTimeout+time.Duration(len(s.proposal.data))*entryTimeoutPerByte
 }
 
-// Propose submits an entry. An Answer with the token follows, unless the replica ends: with Accept once the entry is committed, with the
-// machine's decision where it rejects the entry, and with status 503 where it is unclear whether the entry will be committed.
+// Propose submits an entry. An Answer with the token follows, unless the replica ends: with Accept once the entry is
+// committed, with the machine's decision where it rejects the entry, and with status 503 where it is unclear whether
+// the entry will be committed.
 func (r *Replica) Propose(token uint64, data []byte, now time.Duration) {
 	r.now = now
 	l := &r.leadership
@@ -81,8 +82,9 @@
 	}
 }
 
-// handleReplicate applies the primary's next entry, and acknowledges it once it is on the disk. An entry of another epoch than the promised
-// and accepted one is dropped: acknowledged after its epoch was left, it could be missing in the view that follows.
+// handleReplicate applies the primary's next entry, and acknowledges it once it is on the disk. An entry of another
+// epoch than the promised and accepted one is dropped: acknowledged after its epoch was left, it could be missing in
+// the view that follows.
 func (r *Replica) handleReplicate(m Replicate, from string) {
 	if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Witness {
 		return
--- a/internal/router/replication/reads.go
+++ b/internal/router/replication/reads.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// confirmation is a read or a rejection that waits until a majority has confirmed, since the request came, that this is still the
-// primary: another primary may have committed what this one does not know.
+// confirmation is a read or a rejection that waits until a majority has confirmed, since the request came, that this is
+// still the primary: another primary may have committed what this one does not know.
 type confirmation struct {
 	token           uint64
 	heartbeatNumber uint64 // a majority has to answer this heartbeat or a later one
 	decision        Decision
 }
 
-// Confirm asks for an Answer with status 200 as soon as a majority has confirmed that this is still the primary. What was published by
-// then may be read. The Answer has status 503 where this is not the primary or stops being it.
+// Confirm asks for an Answer with status 200 as soon as a majority has confirmed that this is still the primary. What
+// was published by then may be read. The Answer has status 503 where this is not the primary or stops being it.
 func (r *Replica) Confirm(token uint64, now time.Duration) {
 	r.now = now
 	if r.role != primary {
--- a/internal/router/replication/removed_guards_test.go
+++ b/internal/router/replication/removed_guards_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// A primary is suspended, another is elected, and the first that the old one receives when it resumes is a proposal, at some time
-// before its own next tick; after that the new one is read.
+// A primary is suspended, another is elected, and the first that the old one receives when it resumes is a proposal, at
+// some time before its own next tick; after that the new one is read.
 func suspendedPrimaryGetsProposal(t *testing.T, early time.Duration, without func(*simulation)) *simulation {
 	t.Helper()
 	s, old := coreWithValue(t)
@@ -91,8 +91,8 @@
 	t.Logf("noticed %d times", noticed)
 }
 
-// A member is partitioned, a value is acknowledged, and then all lose power and one disk of the in-sync set is lost; the
-// partitioned member and the one without its disk are back first.
+// A member is partitioned, a value is acknowledged, and then all lose power and one disk of the in-sync set is lost;
+// the partitioned member and the one without its disk are back first.
 func lostDiskAndStaleMember(t *testing.T, without func(*simulation)) *simulation {
 	t.Helper()
 	s := newSimulation(t, 1, 3, 1)
--- a/internal/router/replication/replica.go
+++ b/internal/router/replication/replica.go
@@ -53,7 +53,8 @@
 	incomingSnapshot incomingSnapshot
 }
 
-// New makes a replica from what its disk holds; persisted is nil without a disk. An error means that the snapshot is not one of the machine.
+// New makes a replica from what its disk holds; persisted is nil without a disk. An error means that the snapshot is
+// not one of the machine.
 func New(o Options, persisted *PersistedState, machine StateMachine, now time.Duration) (*Replica, error) {
 	r := &Replica{
 		Options:  o,
@@ -86,11 +87,12 @@
 // View returns the newest view that is known to be in force; its epoch's round is 0 where none is known.
 func (r *Replica) View() View { return r.knownView }
 
-// IsPrimary reports whether this replica is the primary, as far as it knows. Another one may have taken over: what must not be stale
-// is asked for with Confirm.
+// IsPrimary reports whether this replica is the primary, as far as it knows. Another one may have taken over: what must
+// not be stale is asked for with Confirm.
 func (r *Replica) IsPrimary() bool { return r.role == primary }
 
-// InTouch reports whether a majority answered this primary lately or, for another replica, whether it had contact with the primary lately.
+// InTouch reports whether a majority answered this primary lately or, for another replica, whether it had contact with
+// the primary lately.
 func (r *Replica) InTouch() bool {
 	if r.role == primary {
 		return r.majorityReachable()
--- a/internal/router/replication/replication_test.go
+++ b/internal/router/replication/replication_test.go
@@ -183,8 +183,8 @@
 	require.Less(t, longest, electionTimeout+3*electionStagger+promiseWaitMargin+2*50*time.Millisecond)
 }
 
-// A member that can send and not receive requests pre-votes, and promises nothing meanwhile: the view stays the same when it can
-// receive again.
+// A member that can send and not receive requests pre-votes, and promises nothing meanwhile: the view stays the same
+// when it can receive again.
 func TestAMemberThatHearsNothingEndsNoView(t *testing.T) {
 	s := newSimulation(t, 1, 4, 1)
 	s.run(4 * time.Second)
@@ -222,7 +222,8 @@
 	}
 }
 
-// A CPU quota: all processes are suspended for the rest of each tenth of a second. No view changes, and entries are committed.
+// A CPU quota: all processes are suspended for the rest of each tenth of a second. No view changes, and entries are
+// committed.
 func TestAProcessorThatIsAQuota(t *testing.T) {
 	s, p := coreWithValue(t)
 	epoch := p.replica.View().Epoch
--- a/internal/router/replication/sim_test.go
+++ b/internal/router/replication/sim_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// simulation runs several replicas in virtual time, with a network that delays and loses messages and disks that lose what was not
-// synced. Everything is drawn from one seed.
+// simulation runs several replicas in virtual time, with a network that delays and loses messages and disks that lose
+// what was not synced. Everything is drawn from one seed.
 type simulation struct {
 	t            testing.TB
 	random       *rand.Rand
--- a/internal/router/replication/step.go
+++ b/internal/router/replication/step.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Receive handles a message from the router at an address. Messages that do not fit the replica's role, epoch or phase change nothing.
+// Receive handles a message from the router at an address. Messages that do not fit the replica's role, epoch or phase
+// change nothing.
 func (r *Replica) Receive(from string, m Message, now time.Duration) {
 	r.now = now
 	switch m := m.(type) {
@@ -74,7 +75,8 @@
 	}
 }
 
-// tickCandidate ends a candidacy that lasts too long, sends requests again, and stops waiting for answers that are not needed.
+// tickCandidate ends a candidacy that lasts too long, sends requests again, and stops waiting for answers that are not
+// needed.
 func (r *Replica) tickCandidate() {
 	e := &r.election
 	if r.now-e.candidateSince > candidacyTimeout || r.diskStalled() {
@@ -93,7 +95,8 @@
 	}
 }
 
-// tickPrimary sends heartbeats, and changes the view or steps down where the disk, an entry's acknowledgements or a majority fail.
+// tickPrimary sends heartbeats, and changes the view or steps down where the disk, an entry's acknowledgements or a
+// majority fail.
 func (r *Replica) tickPrimary() {
 	l := &r.leadership
 	if r.diskStalled() {
--- a/internal/router/replication/timing.go
+++ b/internal/router/replication/timing.go
@@ -10,12 +10,14 @@
 	// electionTimeout is for how long a follower goes without contact with a primary before it suspects it, and a primary
 	// without answers of a majority before it steps down.
 	electionTimeout = 600 * time.Millisecond
-	// electionStagger is by how much the members of the in-sync set wait one after the other, so that one becomes candidate first.
+	// electionStagger is by how much the members of the in-sync set wait one after the other, so that one becomes
+	// candidate first.
 	electionStagger = 50 * time.Millisecond
-	// contactAgeAtStart is how long ago a process that starts assumes its last contact with a primary to be: so long that it
-	// asks the others at once whether they have one.
+	// contactAgeAtStart is how long ago a process that starts assumes its last contact with a primary to be: so long that
+	// it asks the others at once whether they have one.
 	contactAgeAtStart = electionTimeout
-	// leaderStickiness is for how long after a heartbeat a witness promises nothing to a candidate that has no reason to force it.
+	// leaderStickiness is for how long after a heartbeat a witness promises nothing to a candidate that has no reason to
+	// force it.
 	leaderStickiness = 400 * time.Millisecond
 	// reachableWindow is for how long after its last heartbeat ack a replica counts as reachable.
 	reachableWindow = 500 * time.Millisecond
@@ -35,8 +37,8 @@
 
 // A primary's work.
 const (
-	// entryTimeout, and entryTimeoutPerByte for each byte of the entry, is the time after which the primary proposes a view without
-	// the in-sync members that have not acknowledged an entry.
+	// entryTimeout, and entryTimeoutPerByte for each byte of the entry, is the time after which the primary proposes a
+	// view without the in-sync members that have not acknowledged an entry.
 	entryTimeout        = 350 * time.Millisecond
 	entryTimeoutPerByte = 500 * time.Nanosecond
 	// viewReviewInterval is the time between two changes of a view that nobody waits for.
@@ -53,7 +55,8 @@
 const (
 	// bootstrapQuietTime is how long after the last newcomer of the first start the first view is proposed.
 	bootstrapQuietTime = 700 * time.Millisecond
-	// bootstrapStagger is by how much the replicas of the first start wait one after the other, in the order of their addresses.
+	// bootstrapStagger is by how much the replicas of the first start wait one after the other, in the order of their
+	// addresses.
 	bootstrapStagger = 500 * time.Millisecond
 )
 
--- a/internal/router/replication/view.go
+++ b/internal/router/replication/view.go
@@ -58,7 +58,8 @@
 
 func (v *View) inSync(id string) bool { return slices.Contains(v.InSync, id) }
 
-// Position names a state: the epoch in which its last entry was made, and that entry's number. Two states with one position are equal.
+// Position names a state: the epoch in which its last entry was made, and that entry's number. Two states with one
+// position are equal.
 type Position struct {
 	Epoch    Epoch
 	Sequence uint64
@@ -75,7 +76,8 @@
 	return n > len(members)/2
 }
 
-// laterView returns the one of two views that a candidate has to build on. Of one view the form that is known to be in force counts.
+// laterView returns the one of two views that a candidate has to build on. Of one view the form that is known to be in
+// force counts.
 func laterView(a, b View) View {
 	inForce := a.Epoch == b.Epoch && a.joint() && !b.joint()
 	if inForce || a.Epoch.Less(b.Epoch) {
--- a/internal/router/replication/witness.go
+++ b/internal/router/replication/witness.go
@@ -21,8 +21,8 @@
 	r.saveHardState(r.ifStillPromised(m.Epoch, func() { r.send(m.From.Address, r.promiseFor(m.Epoch)) }))
 }
 
-// refusesPrepare reports whether a larger epoch, or the same of another candidate, was promised, or whether there is contact with a primary
-// that neither the candidate is nor asked for this.
+// refusesPrepare reports whether a larger epoch, or the same of another candidate, was promised, or whether there is
+// contact with a primary that neither the candidate is nor asked for this.
 func (r *Replica) refusesPrepare(m *Prepare) bool {
 	if m.Epoch.Less(r.hard.Promised) || m.Epoch == r.hard.Promised && m.Epoch.Node != m.From.ID {
 		return true
--- a/internal/router/replication/worst_days_test.go
+++ b/internal/router/replication/worst_days_test.go
@@ -13,8 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// worstDay is a random schedule of what operators fear: machines that join, are replaced and leave while messages of one type are lost
-// or delayed, candidacies that are interrupted, and losses as close to each other as the deployment's page permits.
+// worstDay is a random schedule of what operators fear: machines that join, are replaced and leave while messages of
+// one type are lost or delayed, candidacies that are interrupted, and losses as close to each other as the deployment's
+// page permits.
 type worstDay struct {
 	*simulation
 	nextLossAt    time.Duration // the next machine may be lost then: the one before does not count any more
@@ -106,8 +107,8 @@
 	}
 }
 
-// abandonChange has two machines join, loses the Accept of the view that adds them, and has the primary propose again while a random
-// partition begins.
+// abandonChange has two machines join, loses the Accept of the view that adds them, and has the primary propose again
+// while a random partition begins.
 func (d *worstDay) abandonChange() {
 	if len(d.hosts) > 4 || d.primary() == nil {
 		return
@@ -166,7 +167,8 @@
 	d.nextLossAt = d.now + away + catchUpTime
 }
 
-// countAsLoss has machines count as lost during a fault that begins now and for CatchUpS after it. It returns the fault's duration.
+// countAsLoss has machines count as lost during a fault that begins now and for CatchUpS after it. It returns the
+// fault's duration.
 func (d *worstDay) countAsLoss(during time.Duration) time.Duration {
 	d.nextLossAt = max(d.nextLossAt, d.now+during+catchUpTime)
 	return during
@@ -189,7 +191,8 @@
 	d.after(d.countAsLoss(time.Duration(500+d.random.Intn(2500))*time.Millisecond), func() { d.mutate = nil })
 }
 
-// candidateAddress returns the address of a message's sender where the message has it: answers to other messages are lost.
+// candidateAddress returns the address of a message's sender where the message has it: answers to other messages are
+// lost.
 func candidateAddress(m Message) string {
 	switch m := m.(type) {
 	case Prepare:
@@ -261,7 +264,8 @@
 	d.run(d.now + time.Second)
 }
 
-// violation says what is wrong with a worst day, or is "". All machines are in sync at its end, but for one whose zone has a member.
+// violation says what is wrong with a worst day, or is "". All machines are in sync at its end, but for one whose zone
+// has a member.
 func (d *worstDay) violation() string {
 	if d.restoreError != nil {
 		return d.restoreError.Error()
--- a/internal/router/rotation/rotation.go
+++ b/internal/router/rotation/rotation.go
@@ -1,13 +1,15 @@
-// Package rotation is the design's choice among the servers of a set: each has a multiplier that errors lower and that time
-// and success restore, and smooth weighted round robin with the weight 100 × multiplier. It is pure; a value is for one goroutine at a time.
+// Package rotation is the design's choice among the servers of a set: each has a multiplier that errors lower and that
+// time and success restore, and smooth weighted round robin with the weight 100 × multiplier. It is pure; a value is
+// for one goroutine at a time.
 //
-// The multiplier is clamp(0.5, 1, 1 − 0.1 × errors × decay), decay = exp(−ln2 × (now − last error) / half-life), with the
-// consecutive errors since the last success. A server that cannot be reached is in cooldown besides: the multiplier alone would go
-// on sending it half of what others get.
+// The multiplier is clamp(0.5, 1, 1 − 0.1 × errors × decay), decay = exp(−ln2 × (now − last error) /
+// half-life), with the consecutive errors since the last success. A server that cannot be reached is in cooldown
+// besides: the multiplier alone would go on sending it half of what others get.
 //
-// The sidecar's decisions (package balance) have the same mechanism, with figures and neighbours of their own: errors there have a half-life of 5 s, for faults
-// that last seconds, and the weight also reflects slow start, learned sizes and subsets. The two are kept apart, since what they could share is the
-// multiplier and one step of the round robin (docs/ROADMAP.md).
+// The sidecar's decisions (package balance) have the same mechanism, with figures and neighbours of their own: errors
+// there have a half-life of 5 s, for faults that last seconds, and the weight also reflects slow start, learned sizes
+// and subsets. The two are kept apart, since what they could share is the multiplier and one step of the round robin
+// (docs/ROADMAP.md).
 package rotation
 
 import (
@@ -27,7 +29,8 @@
 	failuresToCooldown = 3 // consecutive errors after which a server that can be reached has a cooldown too
 )
 
-// Health is what a router's own requests show of one server. The zero value is a healthy server.
+// Health is what a router's own requests show of one server. The zero value is a healthy server. Times are on the
+// steady clock of the caller.
 type Health struct {
 	errors        int // since the last success
 	lastError     time.Duration
@@ -35,7 +38,7 @@
 	cooldownUntil time.Duration
 }
 
-// Multiplier is the factor of the server's weight, from minMultiplier to 1.
+// Multiplier returns the factor of the server's weight, from minMultiplier to 1.
 func (h *Health) Multiplier(now time.Duration) float64 {
 	if h.errors == 0 {
 		return 1
@@ -44,7 +47,7 @@
 	return math.Min(1, math.Max(minMultiplier, 1-errorStep*float64(h.errors)*decay))
 }
 
-// Weight is the server's weight in the rotation.
+// Weight returns the server's weight in the rotation, from 50 to 100.
 func (h *Health) Weight(now time.Duration) float64 { return baseWeight * h.Multiplier(now) }
 
 // Success resets the errors, and ends a cooldown.
@@ -62,8 +65,8 @@
 	h.cooldowns++
 }
 
-// TimedOut counts an error of a server that did not answer in time. It begins no cooldown: where all servers are slow, the ones with the fewest
-// requests would then get the fewest.
+// TimedOut counts an error of a server that did not answer in time. It begins no cooldown: where all servers are slow,
+// the ones with the fewest requests would then get the fewest.
 func (h *Health) TimedOut(now time.Duration) {
 	h.errors++
 	h.lastError = now
@@ -72,11 +75,12 @@
 // CoolingDown reports whether the server is in cooldown: it is used only where no other one is left.
 func (h *Health) CoolingDown(now time.Duration) bool { return now < h.cooldownUntil }
 
-// CurrentWeight is one server's current weight in smooth weighted round robin.
+// CurrentWeight is one server's current weight in smooth weighted round robin: the running value that Pick raises and
+// lowers. It belongs to one server of one set of candidates.
 type CurrentWeight struct{ value float64 }
 
-// Seed sets the initial value to a fraction, 0 to 1, of a server's weight: routers that start at the same time with the same
-// servers then do not all begin with the same one.
+// Seed sets the initial value to a fraction, 0 to 1, of a server's weight: routers that start at the same time with the
+// same servers then do not all begin with the same one.
 func (w *CurrentWeight) Seed(fraction float64) { w.value = fraction * baseWeight }
 
 // Candidate is a server that takes part in a pick.
@@ -85,8 +89,8 @@
 	Weight  float64
 }
 
-// Pick does one step of smooth weighted round robin: it adds each candidate's weight to its current weight, and returns the index of the largest, from
-// which the sum of the weights is subtracted. It returns -1 for no candidates.
+// Pick does one step of smooth weighted round robin: it adds each candidate's weight to its current weight, and returns
+// the index of the largest, from which the sum of the weights is subtracted. It returns -1 for no candidates.
 func Pick(candidates []Candidate) int {
 	best, total := -1, 0.0
 	for i, c := range candidates {
--- a/internal/router/routetable/config.go
+++ b/internal/router/routetable/config.go
@@ -16,8 +16,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrInvalid marks the error of a configuration or an update that is rejected, whatever the version before it. As a mark
-// it is found by Is of github.com/cockroachdb/errors, not by that of the standard library.
+// ErrInvalid marks the error of a configuration or an update that is rejected, whatever the version before it. As a
+// mark it is found by Is of github.com/cockroachdb/errors, not by that of the standard library.
 var ErrInvalid = errors.New("invalid configuration")
 
 // WeightedBackend is one of the services that a route is split over.
@@ -98,7 +98,8 @@
 func (s Service) name() string { return s.Name }
 func (t Tenant) name() string  { return t.Name }
 
-// Item is a value together with the text it was read from. Configurations share the values of items that did not change.
+// Item is a value together with the text it was read from. Configurations share the values of items that did not
+// change.
 type Item[T Named] struct {
 	Value *T
 	Text  json.RawMessage
--- a/internal/router/routetable/update.go
+++ b/internal/router/routetable/update.go
@@ -7,8 +7,8 @@
 	mapset "github.com/deckarep/golang-set/v2"
 )
 
-// Update is an operator's change of a configuration: items that are added, or that replace those with the same name, and
-// names of items that are removed. Limits, where there are any, replace those before.
+// Update is an operator's change of a configuration: items that are added, or that replace those with the same name,
+// and names of items that are removed. Limits, where there are any, replace those before.
 type Update struct {
 	Generation int64
 	Upsert     struct {
--- a/internal/router/settings/deploy.go
+++ b/internal/router/settings/deploy.go
@@ -14,14 +14,15 @@
 	Roles    map[string]Role `toml:"roles" validate:"required,min=1,dive"`
 }
 
-// Role is one program that runs on a class of machines (On): on a share of them in each zone, or on a number.
+// Role is one program that runs on a class of machines: on a fraction of them in each zone, or on a number of
+// them in each zone.
 type Role struct {
-	Run    string   `toml:"run" validate:"required"`
-	On     string   `toml:"on" validate:"required"`
-	Share  float64  `toml:"share" validate:"gte=0,lte=1"`
-	Count  int      `toml:"count" validate:"gte=0"`
-	Apart  bool     `toml:"apart"`
-	Serves []string `toml:"serves" validate:"dive,oneof=edge control_plane"`
+	Run    string   `toml:"run" validate:"required"`                         // command line
+	On     string   `toml:"on" validate:"required"`                          // class of machines
+	Share  float64  `toml:"share" validate:"gte=0,lte=1"`                    // fraction of the class in each zone; either this or Count is given
+	Count  int      `toml:"count" validate:"gte=0"`                          // machines of the class in each zone
+	Apart  bool     `toml:"apart"`                                           // read and not checked
+	Serves []string `toml:"serves" validate:"dive,oneof=edge control_plane"` // whose calls it answers; no other role of the class may serve the same
 }
 
 // maxRolesPerMachine bounds the roles that one machine runs.
@@ -37,8 +38,8 @@
 	return d, errors.Wrapf(err, "deploy file %s", path)
 }
 
-// ParseDeploy reads and checks the text of a deploy file. Its error is an ErrInvalid that names the role, the field or the
-// position.
+// ParseDeploy reads and checks the text of a deploy file. Its error is an ErrInvalid that names the role, the field or
+// the position.
 func ParseDeploy(text []byte) (*Deploy, error) {
 	d := &Deploy{}
 	if err := decode(text, d); err != nil {
@@ -52,7 +53,8 @@
 	return d, d.checkClasses()
 }
 
-// checkClasses checks that no two roles on a class of machines serve the same callers, and that no machine runs too many.
+// checkClasses checks that no two roles on a class of machines serve the same callers, and that no machine runs too
+// many.
 func (d *Deploy) checkClasses() error {
 	type service struct{ class, callers string }
 	servedBy := map[service]string{}
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -25,14 +25,14 @@
 // Variable is the environment variable that holds the path of the settings file.
 const Variable = "PETRELHOOK_SETTINGS"
 
-// Listen is the addresses of what a router serves; an empty one is not served.
+// Listen is the addresses of what a router serves, HOST:PORT; an empty one is not served.
 type Listen struct {
-	Front   string `validate:"omitempty,hostname_port"`
-	Ready   string `validate:"omitempty,hostname_port"`
-	Control string `validate:"omitempty,hostname_port"`
+	Front   string `validate:"omitempty,hostname_port"` // clients
+	Ready   string `validate:"omitempty,hostname_port"` // the platform, which asks whether the router is ready
+	Control string `validate:"omitempty,hostname_port"` // model servers and operators; its port is alike at all routers
 }
 
-// Limits is what the machine offers the router; 0 is not known.
+// Limits is what the machine offers the router; 0 is not known. A router uses MemoryMb alone.
 type Limits struct {
 	CpuShare float64 `validate:"gte=0"`
 	Cores    int     `validate:"gte=0"`
@@ -42,14 +42,16 @@
 	DiskMb   int     `validate:"gte=0"`
 }
 
-// FaultTolerance is how much may be lost at the same time while all rules are kept.
+// FaultTolerance is how much may be lost at the same time while all rules are kept. A router uses Machines alone.
 type FaultTolerance struct {
 	Machines int `validate:"gte=0"`
 	Zones    int `validate:"gte=0"`
 	Regions  int `validate:"gte=0"`
 }
 
-// Bounds are the figures of the rules in force, in the units that the names end in. Not all are used.
+// Bounds are the figures of the rules in force, in the units that the names end in: S seconds, Ms milliseconds. A router
+// uses GraceS (from SIGTERM to the end of the process), the three of the retry budget (quota.RetryBounds), the three of
+// quotas (quota.Bounds) and AgainS (gateway.Options.PrefixTTL); the others are read and not used.
 type Bounds struct {
 	SeedLagS         float64 `validate:"gte=0"`
 	ReuseAfterS      float64 `validate:"gte=0"`
@@ -73,31 +75,34 @@
 	AgainS           float64 `toml:"again_s" validate:"gte=0"`
 }
 
-// Settings is one router's settings file.
+// Settings is one router's settings file. Role, MachineClass, Serves and Contracts are read and not used.
 type Settings struct {
-	NodeName          string `validate:"required"`
-	Role              string
-	MachineClass      string
-	Serves            []string
-	Ip                string `validate:"required,ip"`
-	Zone              string `validate:"required"`
-	Region            string
-	InternalPortRange []int    `validate:"len=2,dive,gte=1,lte=65535"`
-	Seeds             []string `validate:"dive,hostname_port"`
-	Bootstrap         bool
-	CountsForQuorum   bool
-	DataDir           string
-	HeartbeatMs       float64 `validate:"gt=0"`
-	Contracts         []string
-	Zones             map[string]string
+	NodeName     string `validate:"required"` // name of the machine, for the status
+	Role         string
+	MachineClass string
+	Serves       []string
+
+	Ip                string            `validate:"required,ip"` // of this machine
+	Zone              string            `validate:"required"`
+	Region            string            // of Zone
+	Zones             map[string]string // the region of each zone, by zone
+	InternalPortRange []int             `validate:"len=2,dive,gte=1,lte=65535"` // the first one is the internal port of every router
 	Listen            Listen
-	Limits            Limits
-	FaultTolerance    FaultTolerance
-	Bounds            Bounds
+	Seeds             []string `validate:"dive,hostname_port"` // control addresses of routers that a start contacts first; their hosts alone are used
+
+	Bootstrap       bool           // this is the first start of the whole system
+	CountsForQuorum bool           // the router can be a core member, if it has a DataDir
+	DataDir         string         // folder of a core member's state
+	FaultTolerance  FaultTolerance // Machines is how many disks may be lost at one time
+
+	HeartbeatMs float64 `validate:"gt=0"` // between two heartbeats of a server; 1000 where it is left out
+	Contracts   []string
+	Limits      Limits
+	Bounds      Bounds
 }
 
-// Load reads and checks a settings file. Its error names the file; it is an ErrInvalid, which also names the field or the
-// position, where the file can be read and not be used.
+// Load reads and checks a settings file. Its error names the file; it is an ErrInvalid, which also names the field or
+// the position, where the file can be read and not be used.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/router/storage/cache.go
+++ b/internal/router/storage/cache.go
@@ -15,8 +15,8 @@
 // checksumBytes precede the content: CRC-32 (IEEE), big-endian.
 const checksumBytes = 4
 
-// WriteCache replaces a file in a folder. After a loss of power ReadCache finds the old content, the new one, or damage. Calls for
-// one file must not overlap.
+// WriteCache replaces a file in a folder. After a loss of power ReadCache finds the old content, the new one, or
+// damage. Calls for one file must not overlap.
 func WriteCache(folder, name string, content []byte) error {
 	path := filepath.Join(folder, name)
 	checked := binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(content))
@@ -45,7 +45,8 @@
 	return f.Sync()
 }
 
-// ReadCache returns what WriteCache wrote. The error is os.ErrNotExist or ErrCacheDamaged where there is nothing that can be used.
+// ReadCache returns what WriteCache wrote. The error is os.ErrNotExist or ErrCacheDamaged where there is nothing that
+// can be used.
 func ReadCache(folder, name string) ([]byte, error) {
 	checked, err := os.ReadFile(filepath.Join(folder, name))
 	if err != nil {
--- a/internal/router/storage/size_test.go
+++ b/internal/router/storage/size_test.go
@@ -12,8 +12,8 @@
 	"petrelhook/internal/router/replication"
 )
 
-// After 5,000 entries, with a snapshot as large as that of 500 routes and 4,096 digests every 32 of them, the file is a small fraction of a
-// disk of 64 MB, and is read at a start.
+// After 5,000 entries, with a snapshot as large as that of 500 routes and 4,096 digests every 32 of them, the file is a
+// small fraction of a disk of 64 MB, and is read at a start.
 func TestTheFileAfterManyOrders(t *testing.T) {
 	const (
 		entries       = 5_000
--- a/internal/router/storage/storage.go
+++ b/internal/router/storage/storage.go
@@ -1,15 +1,17 @@
-// Package storage keeps a replica's state on its disk: what a witness must not forget, the last snapshot, and the entries
-// since. It also keeps caches, files that may be lost (WriteCache). It does not know what the entries mean.
+// Package storage keeps a replica's state on its disk: what a witness must not forget, the last snapshot, and the
+// entries since. It also keeps caches, files that may be lost (WriteCache). It does not know what the entries mean.
 //
-// The state is one bbolt file, in which a transaction is there completely or not at all. The design note says why it is not pebble:
-// pebble ends the process where its log cannot be written, and a full disk must not end a router.
+// The state is one bbolt file, in which a transaction is there completely or not at all. The design note says why it is
+// not pebble: pebble ends the process where its log cannot be written, and a full disk must not end a router.
 //
-// Invariants: Open finds, after any loss of power, what Save returned nil for; after a failed Save nothing that depends on it
-// is accepted until a save with a snapshot succeeds.
+// Invariants: Open finds, after any loss of power, what Save returned nil for; after a failed Save nothing that depends
+// on it is accepted until a save with a snapshot succeeds.
 //
-// A Disk is for one goroutine at a time: the router has one for all saves, as a disk may hang. The caches have no state in memory.
+// A Disk is for one goroutine at a time: the router has one for all saves, as a disk may hang. The caches have no state
+// in memory.
 //
-// The encoding is gob, by the field names of replication's types; testdata/cfdfdec has a disk that is read in the tests.
+// The encoding is gob, by the field names of replication's types; testdata/cfdfdec has a disk that is read in the
+// tests.
 package storage
 
 import (
@@ -76,8 +78,9 @@
 	return d, state, nil
 }
 
-// Inspect reads the state in a folder without changing anything. It waits a second for a process that has the file open,
-// and fails then. Its error is os.ErrNotExist where there is no file, and ErrNoIdentity where that has no state in it.
+// Inspect reads the state in a folder without changing anything. It waits a second for a process that has the file
+// open, and fails then. Its error is os.ErrNotExist where there is no file, and ErrNoIdentity where that has no state
+// in it.
 func Inspect(folder string) (*replication.PersistedState, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
@@ -128,8 +131,8 @@
 	return state, err
 }
 
-// Save writes a save of the replica and syncs it, in one transaction. On an error it is unclear whether the disk has it, and the next
-// save needs a snapshot.
+// Save writes a save of the replica and syncs it, in one transaction. On an error it is unclear whether the disk has
+// it, and the next save needs a snapshot.
 func (d *Disk) Save(s replication.Save) error {
 	if d.snapshotRequired && s.Snapshot == nil {
 		return ErrSnapshotRequired
--- a/internal/router/transport/transport.go
+++ b/internal/router/transport/transport.go
@@ -229,7 +229,8 @@
 	return true
 }
 
-// connection is one to a peer, with the encoder that belongs to it: gob sends each type's description once a connection.
+// connection is one to a peer, with the encoder that belongs to it: gob sends each type's description once a
+// connection.
 type connection struct {
 	conn    net.Conn
 	writer  *bufio.Writer
--- a/internal/router/transport/transport_test.go
+++ b/internal/router/transport/transport_test.go
@@ -67,7 +67,8 @@
 	require.Less(t, time.Since(began), time.Second)
 }
 
-// What is sent after a new incarnation of the peer is known goes over a new connection, although the old one shows no fault.
+// What is sent after a new incarnation of the peer is known goes over a new connection, although the old one shows no
+// fault.
 func TestRenew(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/router/wireformat/wireformat.go
+++ b/internal/router/wireformat/wireformat.go
@@ -1,14 +1,15 @@
-// Package wireformat is the form in which routers send messages to one another and keep the list of servers on disk: encoding/gob, with
-// names that never change.
+// Package wireformat is the form in which routers send messages to one another and keep the list of servers on disk:
+// encoding/gob, with names that never change.
 //
-// Routers of several versions work in one fleet. gob identifies a message by the name under which its type is registered, and a
-// field by its Go name; a field that the reader does not know is dropped without an error. So each message is registered under a
-// fixed name, whatever its Go type is called by now, and a type whose fields were renamed since they were first sent has a wire
-// type of its own here, with the field names that are sent and a conversion both ways. All other messages are sent as they are.
+// Routers of several versions work in one fleet. gob identifies a message by the name under which its type is
+// registered, and a field by its Go name; a field that the reader does not know is dropped without an error. So each
+// message is registered under a fixed name, whatever its Go type is called by now, and a type whose fields were renamed
+// since they were first sent has a wire type of its own here, with the field names that are sent and a conversion both
+// ways. All other messages are sent as they are.
 //
-// To rename a field of a message, give the message a wire type. To add a field, add it to both: older routers pass it over.
-// Removing a field, or a message, needs a release in which nobody depends on it. The tests compare every message with bytes and
-// with a schema that were recorded from an earlier version.
+// To rename a field of a message, give the message a wire type. To add a field, add it to both: older routers pass it
+// over. Removing a field, or a message, needs a release in which nobody depends on it. The tests compare every message
+// with bytes and with a schema that were recorded from an earlier version.
 package wireformat
 
 import (
@@ -19,7 +20,8 @@
 	"petrelhook/internal/router/replication"
 )
 
-// Name prefixes under which messages are registered. They are the paths that the packages had when the messages were first sent.
+// Name prefixes under which messages are registered. They are the paths that the packages had when the messages were
+// first sent.
 const (
 	disseminationPrefix = "petrelhook/internal/router/dissemination."
 	replicationPrefix   = "petrelhook/internal/router/replication."
