--- a/internal/router/eventstream/eventstream.go
+++ b/internal/router/eventstream/eventstream.go
@@ -47,14 +47,14 @@
 		chunk, err := r.source.ReadSlice('\n')
 		r.event = append(r.event, chunk...)
 		completeLine := lineStart
-		lineStart = !errors.Is(err, bufio.ErrBufferFull)
+		lineStart = err != bufio.ErrBufferFull //nolint:errorlint // the buffer returns it plain; an error of the source that wraps it is not the buffer's
 		if !lineStart && len(r.event) < MaxEvent {
 			continue
 		}
 		if len(r.event) >= MaxEvent {
 			return nil, ErrTooLong
 		}
-		if errors.Is(err, io.EOF) && len(r.event) > 0 {
+		if err == io.EOF && len(r.event) > 0 {
 			return nil, ErrPartial
 		}
 		if err != nil {
--- a/internal/router/eventstream/eventstream_test.go
+++ b/internal/router/eventstream/eventstream_test.go
@@ -1,6 +1,7 @@
 package eventstream
 
 import (
+	"fmt"
 	"io"
 	"strings"
 	"testing"
@@ -23,7 +24,7 @@
 		require.Equal(t, "versions: 7\nid: 2\ndata: b\r\n\r\n", string(event))
 		require.Equal(t, "2", r.LastID())
 		_, err = r.Next()
-		require.ErrorIs(t, err, ErrPartial)
+		require.Equal(t, ErrPartial, err)
 		require.Equal(t, "2", r.LastID(), "an event that was cut off has no id")
 	}
 }
@@ -35,7 +36,21 @@
 	require.NoError(t, err)
 	require.Equal(t, long, string(event))
 	_, err = r.Next()
-	require.ErrorIs(t, err, io.EOF)
+	require.Equal(t, io.EOF, err)
+}
+
+// Only the plain io.EOF is the end of a stream: a source that failed with an error that wraps it is not taken for complete.
+func TestAnErrorThatWrapsEOFIsNoEnd(t *testing.T) {
+	failure := fmt.Errorf("connection: %w", io.EOF)
+	r := NewReader(io.MultiReader(strings.NewReader("id: 1\ndata: a\n\n"), iotest.ErrReader(failure)))
+	_, err := r.Next()
+	require.NoError(t, err)
+	_, err = r.Next()
+	require.Equal(t, failure, err)
+
+	r = NewReader(io.MultiReader(strings.NewReader("id: 1\ndata: cut"), iotest.ErrReader(failure)))
+	_, err = r.Next()
+	require.Equal(t, failure, err)
 }
 
 func TestAnEndlessEvent(t *testing.T) {
--- a/internal/router/gateway/gateway_test.go
+++ b/internal/router/gateway/gateway_test.go
@@ -257,6 +257,16 @@
 	require.Equal(t, "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\nid: 4\ndata: x\n\n", body)
 }
 
+// A stream whose server failed with an error that wraps io.EOF was cut off: only the plain io.EOF is the end of an answer.
+func TestOnlyPlainEOFEndsAStream(t *testing.T) {
+	wrapped := fmt.Errorf("connection: %w", io.EOF)
+	sent := &request{response: responseState{headerSent: true}}
+	w := httptest.NewRecorder()
+	require.Equal(t, answered, streamEnded(t.Context(), w, sent, nil, io.EOF))
+	require.Equal(t, brokenMidStream, streamEnded(t.Context(), w, sent, nil, wrapped))
+	require.Equal(t, mayHaveRun, streamEnded(t.Context(), w, &request{}, nil, wrapped))
+}
+
 func TestAStreamThatIsCutDoesNotLookComplete(t *testing.T) {
 	r := newRig(t)
 	var runs atomic.Int64
--- a/internal/router/gateway/relay.go
+++ b/internal/router/gateway/relay.go
@@ -8,8 +8,6 @@
 	"strings"
 	"time"
 
-	"github.com/cockroachdb/errors"
-
 	"petrelhook/internal/router/backend"
 	"petrelhook/internal/router/eventstream"
 	"petrelhook/internal/router/placement"
@@ -101,11 +99,11 @@
 	r.response.headerSent = true
 }
 
-// streamEnded is the outcome of a stream that ended with an error: io.EOF after the last event, otherwise it was cut
-// off.
+// streamEnded returns the outcome of a stream that ended with an error: the plain io.EOF after the last event, otherwise
+// it was cut off.
 func streamEnded(ctx context.Context, w http.ResponseWriter, req *request, from *serverAnswer, err error) outcome {
 	switch {
-	case errors.Is(err, io.EOF):
+	case err == io.EOF: //nolint:errorlint // the plain io.EOF alone is the end of a complete answer; one that wraps it was cut off
 		if !req.response.headerSent {
 			req.sendHeader(w, from.Response)
 		}
--- a/internal/router/replication/doc.go
+++ b/internal/router/replication/doc.go
@@ -32,9 +32,10 @@
 // persist no more for this than the epoch they promised and the view they accepted last (HardState). Data goes from the
 // primary to the in-sync set alone. There is no log that a majority replicates.
 //
-// A view comes into force in three phases, which a candidate runs (election.go, phases.go): it prepares (a majority
-// promises to follow no smaller epoch), syncs (those that promised are brought to its state and become the in-sync
-// set), and has the view accepted (by a majority again). A replica with a disk outside the in-sync set is a learner:
+// A view comes into force by Paxos, of which it is the value and its epoch the proposal number, with a phase of its own
+// between the two usual ones. A candidate runs them (election.go, phases.go): it prepares (phase 1: a majority promises
+// to follow no smaller epoch), syncs (those that promised are brought to its state and become the in-sync set), and has
+// the view accepted (phase 2, by a majority again). A replica with a disk outside the in-sync set is a learner:
 // the primary catches it up beside its other work.
 //
 // # Invariants
--- a/internal/router/replication/messages.go
+++ b/internal/router/replication/messages.go
@@ -1,6 +1,7 @@
 package replication
 
-// Message is what replicas send one another. Messages are encoded by gob under their field names;
+// Message is what replicas send one another. Prepare, Promise, Accept and Accepted are the messages of Paxos that have
+// these names. Messages are encoded by gob under their field names;
 // internal/router/wireformat has the forms of those whose fields were renamed. Each carries an epoch, or answers a
 // request that did not need one (PreVote): what does not belong to the receiver's present epoch and phase is dropped.
 type Message interface{ replicationMessage() }
--- a/internal/router/replication/phases.go
+++ b/internal/router/replication/phases.go
@@ -145,7 +145,8 @@
 	r.advanceSyncing()
 }
 
-// minInSync is on how many disks an acknowledged entry is at least.
+// minInSync returns the smallest size of an in-sync set: an acknowledged entry is on so many disks at least, so that
+// one is left when FaultTolerance of them are lost.
 func (r *Replica) minInSync() int { return r.FaultTolerance + 1 }
 
 // advanceSyncing proposes a view once all that were sent the state have it, or after maxPhaseWait those that do, if
--- a/internal/router/replication/proposals.go
+++ b/internal/router/replication/proposals.go
@@ -35,9 +35,10 @@
 	return s.proposal != nil && now-s.stagedAt > entryTimeout+time.Duration(len(s.proposal.data))*entryTimeoutPerByte
 }
 
-// Propose submits an entry. An Answer with the token follows, unless the replica ends: with Accept once the entry is
-// committed, with the machine's decision where it rejects the entry, and with status 503 where it is unclear whether
-// the entry will be committed.
+// Propose submits an entry, which the replica keeps. An Answer with the token follows, unless the process ends: with
+// Accept once the entry is committed, with the machine's decision where it rejects the entry, and with status 503 where
+// this is not the primary, where too many entries wait, or where it is unclear whether the entry will be committed: the
+// caller may propose it again, and the machine has to recognize one that it has.
 func (r *Replica) Propose(token uint64, data []byte, now time.Duration) {
 	r.now = now
 	l := &r.leadership
--- a/internal/router/replication/reads.go
+++ b/internal/router/replication/reads.go
@@ -14,8 +14,9 @@
 	decision        Decision
 }
 
-// Confirm asks for an Answer with status 200 as soon as a majority has confirmed that this is still the primary. What
-// was published by then may be read. The Answer has status 503 where this is not the primary or stops being it.
+// Confirm asks for an Answer to a read: with status 200 as soon as a majority has confirmed that this is still the
+// primary. What was published by then may be read. The Answer has status 503 where this is not the primary or stops
+// being it.
 func (r *Replica) Confirm(token uint64, now time.Duration) {
 	r.now = now
 	if r.role != primary {
--- a/internal/router/replication/replica.go
+++ b/internal/router/replication/replica.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Options say who a replica is.
+// Options say who a replica is. They do not change while it lives.
 type Options struct {
 	Self           Member   // Joined is not used
-	Witness        bool     // it may have no disk: then it votes for the first view alone
-	Seeds          []string // addresses, in the order of the settings
+	Witness        bool     // it has no disk: it stores nothing, and votes, where it is a seed, for the first view alone
+	Seeds          []string // internal addresses, in the order of the settings
 	Bootstrap      bool     // this is the first start of the whole system
-	FaultTolerance int      // disks that may be lost at one time
+	FaultTolerance int      // disks that may be lost at one time without losing what was acknowledged
 }
 
 // role is what a replica is at the moment.
@@ -25,7 +25,8 @@
 
 func (r role) String() string { return [...]string{"follower", "candidate", "primary"}[r] }
 
-// Replica is one member of the core, a learner that may become one, or a seed that only votes for the first view.
+// Replica is one member of the core, a learner that may become one, or a seed that only votes for the first view. Make
+// it by New. See the package's comment for how the shell calls it.
 type Replica struct {
 	Options
 
@@ -53,8 +54,9 @@
 	incomingSnapshot incomingSnapshot
 }
 
-// New makes a replica from what its disk holds; persisted is nil without a disk. An error means that the snapshot is
-// not one of the machine.
+// New returns a replica with what its disk holds; persisted is nil without a disk. It restores the machine, which is
+// the replica's from then on. An error means that the snapshot is not one of the machine: the process cannot go on with
+// this disk.
 func New(o Options, persisted *PersistedState, machine StateMachine, now time.Duration) (*Replica, error) {
 	r := &Replica{
 		Options:  o,
@@ -100,7 +102,8 @@
 	return r.follower.everContacted && r.now-r.follower.lastContact < electionTimeout
 }
 
-// LearnView adopts a view that somebody says is in force, if it is newer than the known one.
+// LearnView adopts a view that another router says is in force, if it is newer than the known one. The shell calls it
+// for views that come by other ways than Heartbeat.
 func (r *Replica) LearnView(v View) {
 	if r.knownView.Epoch.Less(v.Epoch) {
 		r.knownView = v
--- a/internal/router/replication/step.go
+++ b/internal/router/replication/step.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Receive handles a message from the router at an address. Messages that do not fit the replica's role, epoch or phase
-// change nothing.
+// Receive handles a message from the router at an internal address. Messages that do not fit the replica's role, epoch
+// or phase change nothing. The replica may keep what the message points to, which must not be changed afterwards.
 func (r *Replica) Receive(from string, m Message, now time.Duration) {
 	r.now = now
 	switch m := m.(type) {
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -77,28 +77,25 @@
 
 // Settings is one router's settings file. Role, MachineClass, Serves and Contracts are read and not used.
 type Settings struct {
-	NodeName     string `validate:"required"` // name of the machine, for the status
-	Role         string
-	MachineClass string
-	Serves       []string
-
-	Ip                string            `validate:"required,ip"` // of this machine
-	Zone              string            `validate:"required"`
-	Region            string            // of Zone
+	NodeName          string `validate:"required"` // name of the machine, for the status
+	Role              string
+	MachineClass      string
+	Serves            []string
+	Ip                string   `validate:"required,ip"` // of this machine
+	Zone              string   `validate:"required"`
+	Region            string   // of Zone
+	InternalPortRange []int    `validate:"len=2,dive,gte=1,lte=65535"` // the first one is the internal port of every router
+	Seeds             []string `validate:"dive,hostname_port"`         // control addresses of routers that a start contacts first; their hosts alone are used
+	Bootstrap         bool     // this is the first start of the whole system
+	CountsForQuorum   bool     // the router can be a core member, if it has a DataDir
+	DataDir           string   // folder of a core member's state
+	HeartbeatMs       float64  `validate:"gt=0"` // between two heartbeats of a server; 1000 where it is left out
+	Contracts         []string
 	Zones             map[string]string // the region of each zone, by zone
-	InternalPortRange []int             `validate:"len=2,dive,gte=1,lte=65535"` // the first one is the internal port of every router
 	Listen            Listen
-	Seeds             []string `validate:"dive,hostname_port"` // control addresses of routers that a start contacts first; their hosts alone are used
-
-	Bootstrap       bool           // this is the first start of the whole system
-	CountsForQuorum bool           // the router can be a core member, if it has a DataDir
-	DataDir         string         // folder of a core member's state
-	FaultTolerance  FaultTolerance // Machines is how many disks may be lost at one time
-
-	HeartbeatMs float64 `validate:"gt=0"` // between two heartbeats of a server; 1000 where it is left out
-	Contracts   []string
-	Limits      Limits
-	Bounds      Bounds
+	Limits            Limits
+	FaultTolerance    FaultTolerance
+	Bounds            Bounds
 }
 
 // Load reads and checks a settings file. Its error names the file; it is an ErrInvalid, which also names the field or
