--- a/internal/router/operatorapi/order_memory.go
+++ b/internal/router/operatorapi/accepted_orders.go
@@ -8,8 +8,8 @@
 // allRemembered is forgottenBase while no order was dropped.
 const allRemembered = -1
 
-// orderMemory remembers the newest accepted orders, so that one which is sent again is acknowledged again.
-type orderMemory struct {
+// acceptedOrders are the newest accepted orders, kept so that one which is sent again is acknowledged again.
+type acceptedOrders struct {
 	digests []Digest // oldest first
 	bases   []int64  // the versions that the orders were accepted on top of
 	known   map[Digest]bool
@@ -17,17 +17,17 @@
 	forgottenBase int64
 }
 
-func newOrderMemory() orderMemory {
-	return orderMemory{known: map[Digest]bool{}, forgottenBase: allRemembered}
+func newAcceptedOrders() acceptedOrders {
+	return acceptedOrders{known: map[Digest]bool{}, forgottenBase: allRemembered}
 }
 
-func (m *orderMemory) has(d Digest) bool { return m.known[d] }
+func (m *acceptedOrders) has(d Digest) bool { return m.known[d] }
 
 // mayHaveForgotten reports whether an order on top of a version may have been accepted and dropped.
-func (m *orderMemory) mayHaveForgotten(base int64) bool { return base <= m.forgottenBase }
+func (m *acceptedOrders) mayHaveForgotten(base int64) bool { return base <= m.forgottenBase }
 
 // add remembers an order, and drops the oldest one beyond the bound.
-func (m *orderMemory) add(d Digest, base int64) {
+func (m *acceptedOrders) add(d Digest, base int64) {
 	m.digests, m.bases = append(m.digests, d), append(m.bases, base)
 	m.known[d] = true
 	if len(m.digests) > maxRememberedOrders {
--- a/internal/router/operatorapi/register.go
+++ b/internal/router/operatorapi/register.go
@@ -28,7 +28,7 @@
 // Register is the replicated configuration. It implements replication.StateMachine.
 type Register struct {
 	config   *routetable.Config // nil before the first
-	accepted orderMemory
+	accepted acceptedOrders
 
 	// The configuration that Decide worked out, for Apply: an order is parsed and validated once.
 	pendingDigest Digest
@@ -38,7 +38,7 @@
 var _ replication.StateMachine = (*Register)(nil)
 
 // NewRegister returns an empty register.
-func NewRegister() *Register { return &Register{accepted: newOrderMemory()} }
+func NewRegister() *Register { return &Register{accepted: newAcceptedOrders()} }
 
 // Config returns the newest configuration, or nil before the first.
 func (g *Register) Config() *routetable.Config { return g.config }
--- a/internal/router/operatorapi/snapshot.go
+++ b/internal/router/operatorapi/snapshot.go
@@ -19,7 +19,7 @@
 	Config    []byte  // JSON, empty before the first
 	Taken     []byte  // digests of the accepted orders, one after the other
 	Bases     []int64 // of these orders; empty in snapshots of earlier versions
-	Forgotten int64   // orderMemory.forgottenBase + 1: 0 in snapshots of earlier versions
+	Forgotten int64   // acceptedOrders.forgottenBase + 1: 0 in snapshots of earlier versions
 }
 
 // Snapshot returns the complete state.
@@ -52,7 +52,7 @@
 			return errors.Wrap(err, "operatorapi: configuration of a snapshot")
 		}
 	}
-	accepted, err := s.orderMemory()
+	accepted, err := s.acceptedOrders()
 	if err != nil {
 		return err
 	}
@@ -60,14 +60,14 @@
 	return nil
 }
 
-// orderMemory returns the memory of accepted orders that a snapshot has.
-func (s *snapshot) orderMemory() (orderMemory, error) {
-	m := orderMemory{bases: s.Bases, known: map[Digest]bool{}, forgottenBase: s.Forgotten - 1}
+// acceptedOrders returns the accepted orders that a snapshot has.
+func (s *snapshot) acceptedOrders() (acceptedOrders, error) {
+	m := acceptedOrders{bases: s.Bases, known: map[Digest]bool{}, forgottenBase: s.Forgotten - 1}
 	switch orders := len(s.Taken) / sha256.Size; {
 	case len(s.Bases) == 0: // of an earlier version, which did not store them
 		m.bases = make([]int64, orders)
 	case len(s.Bases) != orders:
-		return orderMemory{}, errors.Wrapf(ErrSnapshotMismatch, "operatorapi: %d versions, %d orders", len(s.Bases), orders)
+		return acceptedOrders{}, errors.Wrapf(ErrSnapshotMismatch, "operatorapi: %d versions, %d orders", len(s.Bases), orders)
 	}
 	for rest := s.Taken; len(rest) >= sha256.Size; rest = rest[sha256.Size:] {
 		d := Digest(rest[:sha256.Size])
