--- a/internal/coordination/judge/judge_test.go
+++ b/internal/coordination/judge/judge_test.go
@@ -1,6 +1,7 @@
 package judge
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -188,11 +189,11 @@
 // Invalid plans and counts are errors that say what to write.
 func TestBadInput(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
-		"false_stops: 0;":  func(p *Plan) { p.FalseStopRate = 0 },
-		"missed_stops: 1;": func(p *Plan) { p.MissedStopRate = 1 },
-		"effect: -1;":      func(p *Plan) { p.MinEffect = -1 },
-		"cells: 0;":        func(p *Plan) { p.MaxCells = 0 },
-		"bunch: 0.5;":      func(p *Plan) { p.ClusterSize = 0.5 },
+		"false_stop_rate: 0;":  func(p *Plan) { p.FalseStopRate = 0 },
+		"missed_stop_rate: 1;": func(p *Plan) { p.MissedStopRate = 1 },
+		"min_effect: -1;":      func(p *Plan) { p.MinEffect = -1 },
+		"cells: 0;":            func(p *Plan) { p.MaxCells = 0 },
+		"bunch: 0.5;":          func(p *Plan) { p.ClusterSize = 0.5 },
 	} {
 		p := plan
 		change(&p)
@@ -203,10 +204,10 @@
 	p := plan
 	p.MaxCells = 1
 	j, _ := New(p)
-	if err := j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{2, 1}, Counts{0, 1}); err == nil {
-		t.Error("2 of 1")
+	if err := j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{2, 1}, Counts{0, 1}); !errors.Is(err, ErrInvalidCounts) {
+		t.Errorf("2 of 1: %v", err)
 	}
-	if j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{0, 1}, Counts{0, 1}); j.Add(Cell{Class: "a", Zone: "b", Metric: "d"}, Counts{0, 1}, Counts{0, 1}) == nil {
+	if j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{0, 1}, Counts{0, 1}); !errors.Is(j.Add(Cell{Class: "a", Zone: "b", Metric: "d"}, Counts{0, 1}, Counts{0, 1}), ErrTooManyCells) {
 		t.Error("a cell beyond the plan's")
 	}
 }
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -17,7 +18,9 @@
 
 	"connectrpc.com/connect"
 
+	"petrelhook/internal/common/peertest"
 	"petrelhook/internal/coordination/agent"
+	"petrelhook/internal/coordination/rollout"
 	"petrelhook/internal/coordination/rpc"
 	"petrelhook/internal/rig/process"
 )
@@ -53,13 +56,13 @@
 // release.
 func TestAFirstThreadIsNotAProcess(t *testing.T) {
 	s := process.Start(t, process.Self("MACHINE_TEST_THREADS", "1"))
-	process.Eventually(t, "its first thread has ended", func() bool { return s.State() == "Z" })
+	peertest.Eventually(t, "its first thread has ended", func() bool { return s.State() == "Z" })
 	began, _ := startTicks(s.Pid)
 	if p := (agent.Process{PID: s.Pid, StartTicks: began}); !Lives(p) {
 		t.Error("it is taken for ended")
 	}
 	s.Kill()
-	process.Eventually(t, "it ends", func() bool { _, err := startTicks(s.Pid); return err != nil })
+	peertest.Eventually(t, "it ends", func() bool { _, err := startTicks(s.Pid); return err != nil })
 }
 
 // A start is either made or given up: one that was given up is not made any more, and one that was made is found.
@@ -149,3 +152,23 @@
 		}
 	}
 }
+
+// An order of an older driver is refused with another code than an order that came after a later one: a driver ends by the first alone.
+func TestCodesOfRefusedOrders(t *testing.T) {
+	m := &Machine{driver: driverContact{fence: rollout.Fence{Token: 5, LastOrders: map[string]uint64{"n0": 3}}}}
+	for _, c := range []struct {
+		token, number uint64
+		code          connect.Code
+		text          string
+	}{
+		{4, 4, connect.CodeAborted, "the driver with token 4: one with 5 was heard"},
+		{4, 2, connect.CodeAborted, "the driver with token 4: one with 5 was heard"},
+		{5, 2, connect.CodeFailedPrecondition, "order 2: order 3 came after it"},
+	} {
+		_, err := m.acceptOrder(nil, c.token, rollout.Order{Number: c.number, Sidecar: "n0", Release: "r"})
+		var refusal *connect.Error
+		if !errors.As(err, &refusal) || refusal.Code() != c.code || refusal.Message() != c.text {
+			t.Errorf("token %d, order %d: %v", c.token, c.number, err)
+		}
+	}
+}
--- a/internal/coordination/rollout/command.go
+++ b/internal/coordination/rollout/command.go
@@ -32,15 +32,23 @@
 type Response struct {
 	Error      string `json:"err,omitempty"`    // the text of one of the errors below, or of New; then nothing was changed
 	EventCount uint64 `json:"events,omitempty"` // how many events the change has had
+	// Err is the error whose text Error is, for errors.Is; nil: there is none. It is not sent: package fleet sets it again at the client.
+	Err error `json:"-"`
 }
 
-// The errors of commands. Drivers compare their texts, which travel in Response: they must not change.
+// The errors of commands that callers tell apart. Drivers of earlier versions recognize ErrStaleDriver by its text, which must not change.
 var (
 	ErrNoChange    = errors.New("there is no such change")
 	ErrStaleDriver = errors.New("a newer driver was heard")
 	ErrOtherEvents = errors.New("there were other events meanwhile")
 )
 
+// Errors of Command.Check.
+var (
+	errStartOrEvents = errors.New("write a start, or events")
+	errWrongSender   = errors.New("operators pause, resume and abort, without a token; all else is a driver's, with one")
+)
+
 // MaxEvents is how many events one command may have.
 const MaxEvents = 512
 
@@ -58,7 +66,7 @@
 	case c.Change == "" || len(c.Change) > maxName:
 		return fmt.Errorf("change: %q; write a name of 1 to %d bytes", c.Change, maxName)
 	case (c.Start == nil) == (len(c.Events) == 0):
-		return errors.New("write a start, or events")
+		return errStartOrEvents
 	case len(c.Events) > MaxEvents:
 		return fmt.Errorf("%d events; write %d at most", len(c.Events), MaxEvents)
 	case c.Start != nil && len(c.Start.Members) > maxMembers:
@@ -69,7 +77,7 @@
 			return fmt.Errorf("a tally of %d cells; %d at most", len(e.Verdict.Cells), maxCells)
 		}
 		if operators := e.Pause != "" || e.Resume || e.Abort != ""; operators != (c.Token == 0) {
-			return errors.New("operators pause, resume and abort, without a token; all else is a driver's, with one")
+			return errWrongSender
 		}
 	}
 	return nil
--- a/internal/sidecar/member/discovery/discovery.go
+++ b/internal/sidecar/member/discovery/discovery.go
@@ -101,11 +101,16 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close() // only read from
-		return nil, fmt.Errorf("discovery answers %s", resp.Status)
+		return nil, &StatusError{resp.Status}
 	}
 	return resp.Body, nil
 }
 
+// StatusError is the error of a call that discovery answers with another status than 200 OK.
+type StatusError struct{ Status string } // as "503 Service Unavailable"
+
+func (e *StatusError) Error() string { return "discovery answers " + e.Status }
+
 // Name implements member.Source: it is the service's address.
 func (s *Source) Name() string { return s.addr }
 
@@ -144,7 +149,7 @@
 	stream := &watchStream{body: body, onEmptyLine: resetSilence}
 	for messages := json.NewDecoder(stream); ; {
 		var raw json.RawMessage
-		if err := messages.Decode(&raw); errors.Is(err, io.EOF) {
+		if err := messages.Decode(&raw); err == io.EOF { //nolint:errorlint // a wrapped one is a list that was cut short
 			return errWatchEnded
 		} else if err != nil {
 			return fmt.Errorf("watch: %w", errors.Join(err, context.Cause(ctx)))
