--- a/internal/router/gateway/deadline_test.go
+++ b/internal/router/gateway/deadline_test.go
@@ -37,7 +37,7 @@
 
 // A server is given the remaining time of the client or of the route, whichever is less, and a second server no more
 // than the first.
-func TestTheDeadlineThatIsHandedOn(t *testing.T) {
+func TestTheForwardedDeadline(t *testing.T) {
 	for name, one := range map[string]struct {
 		header string
 		most   int
@@ -65,7 +65,7 @@
 }
 
 // A request is answered when its route's time-out has passed, and its exchange with the server ends.
-func TestARoutesTimeIsKept(t *testing.T) {
+func TestARoutesTimeoutIsKept(t *testing.T) {
 	r := newRig(t)
 	c, err := routetable.ParseConfig([]byte(`{"Generation":2,"Routes":[{"Name":"short","Host":"a.example","PathPrefix":"/short/","RouteType":"unsafe",
 "TimeoutMs":200,"Service":"s","MaxAttempts":1}],"Services":[{"Name":"s","MaxConnections":5}]}`))
@@ -85,7 +85,7 @@
 }
 
 // The headers about a request's model and prompt are forwarded unchanged.
-func TestModelHeadersGoAlong(t *testing.T) {
+func TestModelHeadersAreForwarded(t *testing.T) {
 	r := newRig(t)
 	r.addServer(func(w http.ResponseWriter, got *http.Request) {
 		require.Equal(t, "m", got.Header.Get("X-Model-Name"))
--- a/internal/router/gateway/drain_test.go
+++ b/internal/router/gateway/drain_test.go
@@ -11,7 +11,7 @@
 
 // A request that may outlast a draining router is rejected, with a promise, from rejectLongFrom on; the others are
 // served.
-func TestWhatMayOutlastTheEndIsRefused(t *testing.T) {
+func TestWhatMayOutlastADrainIsRejected(t *testing.T) {
 	r := newRig(t)
 	ran := 0
 	r.addServer(func(w http.ResponseWriter, got *http.Request) {
--- a/internal/router/gateway/gateway_test.go
+++ b/internal/router/gateway/gateway_test.go
@@ -124,7 +124,7 @@
 	require.Equal(t, "answer", body)
 }
 
-func TestRefusals(t *testing.T) {
+func TestRejections(t *testing.T) {
 	r := newRig(t)
 	answer, _, _ := r.do("/nowhere/")
 	require.Equal(t, http.StatusNotFound, answer.StatusCode)
--- a/internal/router/gateway/health_signal_test.go
+++ b/internal/router/gateway/health_signal_test.go
@@ -100,7 +100,7 @@
 
 // A server that accepts requests and does not answer is an error each time a request has waited for it until its
 // deadline.
-func TestAMuteServerIsNoted(t *testing.T) {
+func TestAServerThatNeverAnswersIsRecorded(t *testing.T) {
 	r := newRig(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/router/gateway/lateness_test.go
+++ b/internal/router/gateway/lateness_test.go
@@ -9,7 +9,7 @@
 )
 
 // The units of a tenant over its limit go to requests that can still meet their objective.
-func TestLateTriesOfATenantOverItsLimitAreRefusedFirst(t *testing.T) {
+func TestLateAttemptsOfATenantOverItsLimitAreRejectedFirst(t *testing.T) {
 	r := newRig(t)
 	r.addServer(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Request-Id", "id1")
--- a/internal/router/node/end_test.go
+++ b/internal/router/node/end_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestScheduleOfAnEnd(t *testing.T) {
+func TestShutdownSchedule(t *testing.T) {
 	began := time.Now()
 	usual := newShutdownSchedule(began, 8*time.Second)
 	require.Equal(t, time.Second, usual.longUntil.Sub(began))
--- a/internal/router/node/list_comparison_test.go
+++ b/internal/router/node/list_comparison_test.go
@@ -23,7 +23,7 @@
 
 // A router that missed the end of a server for so long that its home has forgotten it requests the complete list, and
 // adopts it.
-func TestAServerWhoseEndWasMissedIsScrubbed(t *testing.T) {
+func TestAServerWhoseEndWasMissedIsRemoved(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"))
 	n.reviewHome(0)
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -69,7 +69,7 @@
 }
 
 // A home that starts anew knows less: what this router has stays, and its configuration never goes back.
-func TestAnEmptyHomeTakesNothingAway(t *testing.T) {
+func TestAnEmptyHomeRemovesNothing(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"))
 	n.reviewHome(0)
--- a/internal/router/node/partition_test.go
+++ b/internal/router/node/partition_test.go
@@ -32,7 +32,7 @@
 
 // A router that starts beside a home that is partitioned from the core selects another one, and is ready with what that
 // one has.
-func TestAStartBesideAHomeThatIsCutOff(t *testing.T) {
+func TestAStartBesideAPartitionedHome(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
 	n.reviewHome(0)
@@ -78,7 +78,7 @@
 }
 
 // A core member that is partitioned answers each caller 503: nothing that could be old, and nothing that promises.
-func TestAControlSidecarThatIsCutOff(t *testing.T) {
+func TestAPartitionedCoreMemberRejectsCalls(t *testing.T) {
 	heartbeat := `{"Service":"s","Address":"10.1.1.1:80","Zone":"z1","Slots":4,"State":"%s","Sequence":3}`
 	for _, one := range []struct {
 		name, method, path, body string
@@ -103,7 +103,7 @@
 }
 
 // A subscriber of a core member that is partitioned learns so from every push.
-func TestSubscribersAreToldOfACut(t *testing.T) {
+func TestSubscribersLearnOfAPartition(t *testing.T) {
 	n := memberOutOfTouch(t)
 	require.False(t, n.control.replica.InTouch())
 	subscriber := newNode(t, "")
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -95,7 +95,7 @@
 
 // A pool whose host does not answer is left: the next host is another core member, as soon as the deposit there has
 // ended.
-func TestASilentPoolIsLeft(t *testing.T) {
+func TestAPoolThatTimesOutIsLeft(t *testing.T) {
 	n := poolNode(t)
 	host := member("10.0.1.9:7000", "z1")
 	n.control.view = view(2, member("10.0.2.1:7000", "z1"), host)
--- a/internal/router/node/subscription_test.go
+++ b/internal/router/node/subscription_test.go
@@ -81,7 +81,7 @@
 
 // A core member that lost its disk has the complete list of servers as soon as another one's complete list has come, in
 // one push or several; the rest of a list that it did not follow from its beginning is not enough.
-func TestAMemberWithoutItsDiskTakesTheListOfOthers(t *testing.T) {
+func TestAMemberWithoutItsDiskAdoptsTheListOfOthers(t *testing.T) {
 	n := newNode(t, "")
 	self := v1
 	n.self.Member = &self
@@ -100,7 +100,7 @@
 }
 
 // A router that serves nobody yet does not wait long for a home that sends nothing.
-func TestASilentHomeIsLeftSoonAtTheStart(t *testing.T) {
+func TestAHomeThatTimesOutIsLeftSoonAtTheStart(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
 	n.reviewHome(0)
@@ -120,7 +120,7 @@
 
 // A core member that has just started tells the seeds at once who the core is: routers without a disk, which may have
 // other seeds than before, ask them.
-func TestSeedsAreToldAtOnceAfterAStart(t *testing.T) {
+func TestSeedsAreContactedAtOnceAfterAStart(t *testing.T) {
 	n := newNode(t, "")
 	self := v1
 	n.self.Member = &self
--- a/internal/router/operatorapi/register_test.go
+++ b/internal/router/operatorapi/register_test.go
@@ -95,7 +95,7 @@
 // An order that was accepted is acknowledged again by its content for as long as it is remembered, and is never
 // rejected: after more orders than are remembered the answer is unclear, also from a replica that was restored from a
 // snapshot.
-func TestAnOrderIsNeverRefusedLater(t *testing.T) {
+func TestAnOrderIsNeverRejectedLater(t *testing.T) {
 	g := NewRegister()
 	const orders = maxRememberedOrders + 10
 	for n := int64(1); n <= orders; n++ {
--- a/internal/router/placement/loads_test.go
+++ b/internal/router/placement/loads_test.go
@@ -32,7 +32,7 @@
 
 // A router gets the work of all others, another home that of the routers that subscribe here alone; a report that is
 // not renewed expires.
-func TestBoard(t *testing.T) {
+func TestLoadBoard(t *testing.T) {
 	loads := func(requests float64) LoadSums { return LoadSums{1: {Requests: requests}} }
 	b := NewLoadBoard()
 	b.Put("a", false, loads(1), 0)
--- a/internal/router/quota/incarnation_test.go
+++ b/internal/router/quota/incarnation_test.go
@@ -8,7 +8,7 @@
 )
 
 // An answer to a request of an earlier process is not applied: the primary allocated that share to another incarnation.
-func TestAGrantOfAnEarlierLife(t *testing.T) {
+func TestAnAnswerToAnEarlierIncarnation(t *testing.T) {
 	const now = 5 * time.Second
 	before, client := NewClient(4711), NewClient(815)
 	late, _, _ := before.RequestShares(now)
--- a/internal/router/quota/quota_test.go
+++ b/internal/router/quota/quota_test.go
@@ -42,7 +42,7 @@
 }
 
 // The refill of a bucket with requests for six times its rate goes to large requests as it does to small ones.
-func TestLargeRequestsAreNotRefusedBeforeSmallOnes(t *testing.T) {
+func TestLargeRequestsAreNotRejectedBeforeSmallOnes(t *testing.T) {
 	buckets := NewTokenBuckets(bounds, false, 0)
 	buckets.SetLimits(map[string]Limit{"a": {Rate: 640_000, Burst: 640_000}})
 	random := rand.New(rand.NewSource(1))
@@ -60,7 +60,7 @@
 	require.InDelta(t, small, large, 0.05)
 }
 
-func TestPressed(t *testing.T) {
+func TestOverLimit(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
 	require.False(t, client.OverLimit("t", 0))
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestALateGrantIsNotTaken(t *testing.T) {
+func TestALateAnswerIsNotApplied(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
 	nonce, _, _ := client.RequestShares(0)
--- a/internal/router/quota/window_test.go
+++ b/internal/router/quota/window_test.go
@@ -182,7 +182,7 @@
 
 // While there is no primary for longer than a lease lasts, the routers go on with most of the limit, together never
 // with more than it; a router that never learnt their number has nothing.
-func TestNobodyLeadsForLong(t *testing.T) {
+func TestNoPrimaryForLong(t *testing.T) {
 	limits := map[string]Limit{"t": {Rate: 100_000, Burst: 100_000}}
 	const fleet, units = 11, 500
 	clients := make([]*Client, fleet)
--- a/internal/router/replication/abandoned_test.go
+++ b/internal/router/replication/abandoned_test.go
@@ -175,7 +175,7 @@
 
 // A process that starts with a view on its disk that may never have been in force does not report it as known, and
 // requests pre-votes by it all the same.
-func TestAnAbandonedViewIsNotTold(t *testing.T) {
+func TestAnAbandonedViewIsNotReported(t *testing.T) {
 	joint := viewOf(5, "a", "b")
 	joint.Old = joint.Members[:3]
 	r := preVoter(t, joint)
--- a/internal/router/replication/mutation_test.go
+++ b/internal/router/replication/mutation_test.go
@@ -49,9 +49,9 @@
 		"a learner that is caught up is waited for": {"internal/router/replication/phases.go", "!ok && r.caughtUp(id) {", "!ok && false {",
 			here, "TestCatchingUpBesideOrders"},
 		"the epoch of a view": {"internal/router/replication/witness.go", "if m.View.Epoch.Less(r.hard.Promised) {", "if false {",
-			here, "TestAnOlderCandidateIsRefused"},
+			here, "TestAnOlderCandidateIsRejected"},
 		"the epoch of a state": {"internal/router/replication/witness.go", "if m.Epoch.Less(r.hard.Promised) || r.Witness {", "if r.Witness {",
-			here, "TestAnOlderCandidateIsRefused"},
+			here, "TestAnOlderCandidateIsRejected"},
 		"a candidate could lead": {"internal/router/replication/prevote.go", "|| !newest.inSync(r.Self.ID) ||", "||",
 			here, "TestOnlyOneThatCouldLeadIsACandidate"},
 	})
--- a/internal/router/replication/removed_guards_test.go
+++ b/internal/router/replication/removed_guards_test.go
@@ -79,7 +79,7 @@
 	return s
 }
 
-func TestAnOlderEpochIsRefused(t *testing.T) {
+func TestAnOlderEpochIsRejected(t *testing.T) {
 	noticed := 0
 	for early := time.Millisecond; early < 50*time.Millisecond; early += 3 * time.Millisecond {
 		require.Equal(t, porcupine.Ok, check(suspendedPrimaryGetsProposal(t, early, func(*simulation) {}).history))
--- a/internal/router/replication/replication_test.go
+++ b/internal/router/replication/replication_test.go
@@ -185,7 +185,7 @@
 
 // A member that can send and not receive requests pre-votes, and promises nothing meanwhile: the view stays the same
 // when it can receive again.
-func TestAMemberThatHearsNothingEndsNoView(t *testing.T) {
+func TestAMemberThatReceivesNothingEndsNoView(t *testing.T) {
 	s := newSimulation(t, 1, 4, 1)
 	s.run(4 * time.Second)
 	p := s.primary()
--- a/internal/router/replication/witness_test.go
+++ b/internal/router/replication/witness_test.go
@@ -8,7 +8,7 @@
 )
 
 // A replica that promised an epoch adopts neither the view nor the state of a candidate of an older one.
-func TestAnOlderCandidateIsRefused(t *testing.T) {
+func TestAnOlderCandidateIsRejected(t *testing.T) {
 	for _, older := range []Message{
 		Accept{View: viewOf(6, "c", "d")},
 		Sync{Epoch: Epoch{Round: 6, Node: "c"}, Position: Position{Epoch: Epoch{Round: 6, Node: "c"}, Sequence: 9},
--- a/internal/router/storage/storage_test.go
+++ b/internal/router/storage/storage_test.go
@@ -50,7 +50,7 @@
 }
 
 // A start that was interrupted leaves a temporary file, or none.
-func TestAStartThatWasCutOff(t *testing.T) {
+func TestAStartThatWasInterrupted(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, fileName+".new"), []byte("torn"), 0o644))
 	d, _, err := Open(folder, "10.0.0.1:7000", true)
--- a/internal/router/transport/transport_test.go
+++ b/internal/router/transport/transport_test.go
@@ -69,7 +69,7 @@
 
 // What is sent after a new incarnation of the peer is known goes over a new connection, although the old one shows no
 // fault.
-func TestRenew(t *testing.T) {
+func TestReconnect(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
