--- a/internal/router/backend/exchange.go
+++ b/internal/router/backend/exchange.go
@@ -119,7 +119,8 @@
 // readAnswer reads the head of the answer to a request; late answers to earlier ones are passed over.
 func readAnswer(c *conn, r *Request) (*Response, error) {
 	for range maxLateAnswers + 1 {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method}) //nolint:bodyclose // closing a body would read the rest of it; Response.Close keeps or closes the connection instead
+		// Closing a body would read the rest of it; Response.Close keeps or closes the connection instead.
+		answer, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method}) //nolint:bodyclose // see above
 		if err != nil {
 			return nil, err
 		}
@@ -144,7 +145,12 @@
 }
 
 func newResponse(answer *http.Response) *Response {
-	return &Response{Status: answer.StatusCode, Header: answer.Header, body: answer.Body, reusable: !answer.Close && answer.ProtoAtLeast(1, 1)}
+	return &Response{
+		Status:   answer.StatusCode,
+		Header:   answer.Header,
+		body:     answer.Body,
+		reusable: !answer.Close && answer.ProtoAtLeast(1, 1),
+	}
 }
 
 // claimsNotExecuted reports whether an answer says that its request was not run.
--- a/internal/router/eventstream/eventstream.go
+++ b/internal/router/eventstream/eventstream.go
@@ -47,7 +47,8 @@
 		chunk, err := r.source.ReadSlice('\n')
 		r.event = append(r.event, chunk...)
 		completeLine := lineStart
-		lineStart = err != bufio.ErrBufferFull //nolint:errorlint // the buffer returns it plain; an error of the source that wraps it is not the buffer's
+		// The buffer returns ErrBufferFull plain: an error of the source that wraps it is another one.
+		lineStart = err != bufio.ErrBufferFull //nolint:errorlint // see above
 		if !lineStart && len(r.event) < MaxEvent {
 			continue
 		}
--- a/internal/router/gateway/attempt.go
+++ b/internal/router/gateway/attempt.go
@@ -162,7 +162,8 @@
 }
 
 // attemptFailed records an attempt that got no answer, and returns its outcome. The context is the request's.
-func (g *Gateway) attemptFailed(ctx context.Context, req *request, server *placement.Server, sentAt time.Time, err error, stalled bool) outcome {
+func (g *Gateway) attemptFailed(ctx context.Context, req *request, server *placement.Server, sentAt time.Time,
+	err error, stalled bool) outcome {
 	ended := ctx.Err() != nil
 	unsent := errors.Is(err, backend.ErrNotSent) || errors.Is(err, backend.ErrNoConnection)
 	signal := signalOfError(ctx, req, time.Since(sentAt), err)
--- a/internal/router/gateway/gateway.go
+++ b/internal/router/gateway/gateway.go
@@ -173,7 +173,7 @@
 
 // RequestQuotaShares begins a request to the primary for shares of the tenants' limits, as quota.Client.RequestShares
 // does. The caller sends what it returns.
-func (g *Gateway) RequestQuotaShares() (nonce uint64, demand, held map[string]float64) {
+func (g *Gateway) RequestQuotaShares() quota.ShareRequest {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.quota.RequestShares(g.options.Now())
--- a/internal/router/gateway/health_signal.go
+++ b/internal/router/gateway/health_signal.go
@@ -86,7 +86,8 @@
 		server.Health.TimedOut(now)
 	case unreachable:
 		server.Health.Failure(now, true)
-	case rejectedWithCapacity: // the design does not count it as an error; a server that rejects more than others is found by outlier detection
+	case rejectedWithCapacity:
+		// The design does not count it as an error. A server that rejects more than others is found by outlier detection.
 	}
 	g.tally.Add(server.ID, signal != success)
 }
--- a/internal/router/gateway/servers.go
+++ b/internal/router/gateway/servers.go
@@ -44,7 +44,10 @@
 func (g *Gateway) putServer(i *registry.Instance) {
 	s := g.services[i.Service]
 	if s == nil {
-		s = &service{pool: placement.NewPool(g.options.Zone, g.options.PrefixTTL, placement.DefaultPolicy(), nil), connections: map[string]*backend.Pool{}}
+		s = &service{
+			pool:        placement.NewPool(g.options.Zone, g.options.PrefixTTL, placement.DefaultPolicy(), nil),
+			connections: map[string]*backend.Pool{},
+		}
 		g.services[i.Service] = s
 	}
 	if pool := s.connections[i.ID]; pool != nil && pool.Address() != i.Address {
--- a/internal/router/latency/totals.go
+++ b/internal/router/latency/totals.go
@@ -76,7 +76,7 @@
 	Route           string
 	Reasons         map[Reason]int64
 	TimeToFirstByte Quantiles            `json:"First"` // from a request's receipt to the first part of its answer
-	PhaseTimes      map[string]Quantiles `json:"Spent"` // of that time, by the name of the phase; requests that spent less than 0.1 ms there are left out
+	PhaseTimes      map[string]Quantiles `json:"Spent"` // of that time, by phase; without those below 0.1 ms
 }
 
 // Quantiles are those of a histogram, in milliseconds. Worst is the largest value.
@@ -89,7 +89,12 @@
 func (t *Totals) Reports() []Report {
 	var reports []Report
 	for name, r := range t.routes {
-		report := Report{Route: name, Reasons: map[Reason]int64{}, TimeToFirstByte: quantiles(r.timeToFirstByte), PhaseTimes: map[string]Quantiles{}}
+		report := Report{
+			Route:           name,
+			Reasons:         map[Reason]int64{},
+			TimeToFirstByte: quantiles(r.timeToFirstByte),
+			PhaseTimes:      map[string]Quantiles{},
+		}
 		for reason, n := range r.reasons {
 			report.Reasons[reason] = n
 		}
--- a/internal/router/node/core.go
+++ b/internal/router/node/core.go
@@ -21,7 +21,7 @@
 	eligible map[string]replication.Member // who can be a core member, as far as known, by ID
 
 	decisions    pendingReplies[replication.Decision] // that HTTP calls wait for
-	inTouchSince time.Duration                        // when this core member got into contact with a majority; negative while it has none
+	inTouchSince time.Duration                        // in contact with a majority since then; negative: it is not
 }
 
 func newControlPlane() controlPlane {
--- a/internal/router/node/distributor.go
+++ b/internal/router/node/distributor.go
@@ -85,8 +85,14 @@
 // push sends a subscriber what it lacks. It is sent also where that is nothing: it is the heartbeat of the session in
 // the other direction.
 func (n *Node) push(s *subscriber, now time.Duration) {
-	p := dissemination.Push{Incarnation: n.self.Incarnation, InTouch: n.control.replica.InTouch(), Complete: n.subscription.serversComplete,
-		FleetSize: n.fleetSize, Stamp: n.registry.Stamp(), Digest: n.registry.Digest()}
+	p := dissemination.Push{
+		Incarnation: n.self.Incarnation,
+		InTouch:     n.control.replica.InTouch(),
+		Complete:    n.subscription.serversComplete,
+		FleetSize:   n.fleetSize,
+		Stamp:       n.registry.Stamp(),
+		Digest:      n.registry.Digest(),
+	}
 	if s.view.Less(n.control.view.Epoch) {
 		view := n.control.view
 		p.View = &view
--- a/internal/router/node/operator_http.go
+++ b/internal/router/node/operator_http.go
@@ -57,7 +57,8 @@
 	}
 	order := operatorapi.Order{Kind: kind, Base: base, Body: body}
 	d := n.decide(orderTimeout, func(request uint64) { n.control.replica.Propose(request, order.Encode(), n.now()) })
-	n.logger.Info().Int64("base_version", base).Int("size_bytes", len(body)).Int("status", d.Status).Str("reason", d.Reason).Msg("order decided")
+	n.logger.Info().Int64("base_version", base).Int("size_bytes", len(body)).Int("status", d.Status).
+		Str("reason", d.Reason).Msg("order decided")
 	if d.Status == http.StatusOK {
 		w.WriteHeader(http.StatusOK)
 		return
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -32,7 +32,7 @@
 	n.gateway.SetTable(routetable.Compile(c, nil))
 	n.setLimits()
 	n.setFleetSize(4)
-	nonce, _, _ := n.gateway.RequestQuotaShares()
+	nonce := n.gateway.RequestQuotaShares().Nonce
 	n.gateway.ApplyQuotaShares(nonce, map[string]float64{"t1": 0.5})
 	return n
 }
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -94,8 +94,13 @@
 		allocator.SetReserve(reserve)
 		n.quotas.tokenBuckets.SetReserve(reserve)
 	}
-	nonce, demand, held := n.gateway.RequestQuotaShares()
-	request := dissemination.QuotaRequest{Nonce: nonce, Incarnation: n.self.Incarnation, Demand: demand, HeldShares: held}
+	wanted := n.gateway.RequestQuotaShares()
+	request := dissemination.QuotaRequest{
+		Nonce:       wanted.Nonce,
+		Incarnation: n.self.Incarnation,
+		Demand:      wanted.Demand,
+		HeldShares:  wanted.Held,
+	}
 	if n.dividesQuota() {
 		n.receiveQuotaRequest(n.self.Address, request)
 		return
@@ -108,7 +113,8 @@
 	if !n.dividesQuota() {
 		return
 	}
-	shares := n.quotas.allocator.Allocate(from, m.Incarnation, m.Demand, m.HeldShares, n.fleetSize, n.now())
+	request := quota.ShareRequest{Nonce: m.Nonce, Demand: m.Demand, Held: m.HeldShares}
+	shares := n.quotas.allocator.Allocate(from, m.Incarnation, request, n.fleetSize, n.now())
 	if from == n.self.Address {
 		n.gateway.ApplyQuotaShares(m.Nonce, shares)
 		return
--- a/internal/router/node/registration.go
+++ b/internal/router/node/registration.go
@@ -39,8 +39,16 @@
 			return registry.Instance{}, err
 		}
 	}
-	instance := registry.Instance{ID: r.PathValue("id"), Service: body.Service, Address: body.Address, Zone: body.Zone, Generation: body.Generation,
-		Slots: body.Slots, Sequence: body.Sequence, WarmupRemaining: settings.Milliseconds(body.WarmupRemainingMs)}
+	instance := registry.Instance{
+		ID:              r.PathValue("id"),
+		Service:         body.Service,
+		Address:         body.Address,
+		Zone:            body.Zone,
+		Generation:      body.Generation,
+		Slots:           body.Slots,
+		Sequence:        body.Sequence,
+		WarmupRemaining: settings.Milliseconds(body.WarmupRemainingMs),
+	}
 	switch {
 	case deregister:
 		instance.State = registry.Deregistered
--- a/internal/router/node/status.go
+++ b/internal/router/node/status.go
@@ -46,10 +46,24 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := n.now()
-	s := Status{Node: n.settings.NodeName, Zone: n.settings.Zone, Ready: n.ready.Load(), Core: n.isCoreMember(), Primary: n.control.replica.IsPrimary(),
-		InTouch: n.hasCoreContact(now), Home: n.subscription.home.Current(), View: n.control.view, Replica: n.control.replica.Status(),
-		Version: n.applied.configVersion, Fleet: n.fleetSize, Servers: n.gateway.ServerCounts(), SentBytes: n.transport.SentBytes(),
-		LacksPrimary: n.lacksPrimary(now), Deposits: n.quotas.pool.Deposits(now), Latency: n.gateway.LatencyReports()}
+	s := Status{
+		Node:         n.settings.NodeName,
+		Zone:         n.settings.Zone,
+		Ready:        n.ready.Load(),
+		Core:         n.isCoreMember(),
+		Primary:      n.control.replica.IsPrimary(),
+		InTouch:      n.hasCoreContact(now),
+		Home:         n.subscription.home.Current(),
+		View:         n.control.view,
+		Replica:      n.control.replica.Status(),
+		Version:      n.applied.configVersion,
+		Fleet:        n.fleetSize,
+		Servers:      n.gateway.ServerCounts(),
+		SentBytes:    n.transport.SentBytes(),
+		LacksPrimary: n.lacksPrimary(now),
+		Deposits:     n.quotas.pool.Deposits(now),
+		Latency:      n.gateway.LatencyReports(),
+	}
 	if table := n.gateway.Table(); table != nil {
 		s.Generation = table.Generation
 	}
--- a/internal/router/node/subscription.go
+++ b/internal/router/node/subscription.go
@@ -15,7 +15,7 @@
 	positions        map[string]registryPosition // by the internal address of a core member
 	versions         *dissemination.Versions     // the committed configuration
 	serversComplete  bool                        // the registry has every server that lives
-	configCurrent    bool                        // the configuration was the core's newest, according to a core member in contact with a majority
+	configCurrent    bool                        // a core member in contact with a majority had none newer
 	comparison       listComparison
 	requestFullState bool // the next heartbeat to the home asks for the complete list of servers
 }
--- a/internal/router/placement/pool.go
+++ b/internal/router/placement/pool.go
@@ -33,8 +33,15 @@
 	if random == nil {
 		random = rand.Float64
 	}
-	return &Pool{zone: zone, policy: policy, random: random, hash: rendezvous, ejections: ejections{random: random}, servers: map[string]*Server{},
-		prefixes: prefixTable{ttl: prefixTTL, uses: map[PrefixHash][]prefixUse{}}}
+	return &Pool{
+		zone:      zone,
+		policy:    policy,
+		random:    random,
+		hash:      rendezvous,
+		servers:   map[string]*Server{},
+		prefixes:  prefixTable{ttl: prefixTTL, uses: map[PrefixHash][]prefixUse{}},
+		ejections: ejections{random: random},
+	}
 }
 
 // RecordUse records that a server was sent a prefix, by this router or another. Requests with the same prefix prefer it
@@ -122,7 +129,8 @@
 	switch {
 	case p.policy.Affinity && r.HasAffinity():
 		return p.affinityServers(r, candidates, now)
-	case p.policy.PackStreams && r.DecodeHeavy() && freshness(p.peerLoadsAt, peerLoadTTL, now) > 0: // otherwise all routers would choose the same few, unaware of each other
+	case p.policy.PackStreams && r.DecodeHeavy() && freshness(p.peerLoadsAt, peerLoadTTL, now) > 0:
+		// Without the others' loads all routers would choose the same few servers, unaware of each other.
 		return p.packStreams(p.nearby(candidates, now), now)
 	}
 	return p.nearby(candidates, now)
--- a/internal/router/quota/allocator.go
+++ b/internal/router/quota/allocator.go
@@ -55,11 +55,11 @@
 // primary sets it again and again.
 func (a *Allocator) SetReserve(fraction float64) { a.reserved = fraction }
 
-// Allocate answers a router's request for shares. Demand is in units a second, held is the shares that the router still
-// has, both by tenant; fleetSize is the number of routers. It returns a share for each tenant with a demand. A router
-// that restarted has another incarnation: it reports nothing of what its predecessor was allocated, which therefore
-// stays counted until it expires.
-func (a *Allocator) Allocate(router string, incarnation uint64, demand, held map[string]float64, fleetSize int, now time.Duration) map[string]float64 {
+// Allocate answers a router's request for shares; fleetSize is the number of routers. It returns a share for each tenant
+// with a demand. A router that restarted has another incarnation: it reports nothing of what its predecessor was
+// allocated, which therefore stays counted until it expires.
+func (a *Allocator) Allocate(router string, incarnation uint64, r ShareRequest, fleetSize int,
+	now time.Duration) map[string]float64 {
 	a.expire(now)
 	lease := a.leases[router]
 	if lease == nil {
@@ -68,17 +68,17 @@
 	}
 	sameIncarnation := lease.incarnation == incarnation
 	lease.incarnation, lease.expires = incarnation, now+LeaseDuration+clockMargin
-	a.reconcile(lease, sameIncarnation, demand, held)
+	a.reconcile(lease, sameIncarnation, r)
 
 	reclaiming := now-a.termStart < reclaimPeriod
 	allocated := map[string]float64{}
-	for tenant, wanted := range demand {
+	for tenant, wanted := range r.Demand {
 		current := lease.shares[tenant]
 		if sameIncarnation {
-			current = held[tenant]
+			current = r.Held[tenant]
 		}
 		a.record(lease, tenant, wanted, current)
-		share := held[tenant]
+		share := r.Held[tenant]
 		if !reclaiming {
 			share = a.share(tenant, wanted, current, max(1, fleetSize))
 		}
@@ -89,14 +89,14 @@
 }
 
 // reconcile updates a lease to what its router reports: a tenant that it neither wants nor holds is released.
-func (a *Allocator) reconcile(lease *clientLease, sameIncarnation bool, demand, held map[string]float64) {
+func (a *Allocator) reconcile(lease *clientLease, sameIncarnation bool, r ShareRequest) {
 	for tenant, share := range lease.shares {
-		_, wanted := demand[tenant]
-		if sameIncarnation && !wanted && held[tenant] == 0 {
+		_, wanted := r.Demand[tenant]
+		if sameIncarnation && !wanted && r.Held[tenant] == 0 {
 			a.record(lease, tenant, 0, 0)
 			continue
 		}
-		a.record(lease, tenant, demand[tenant], max(share, held[tenant]))
+		a.record(lease, tenant, r.Demand[tenant], max(share, r.Held[tenant]))
 	}
 }
 
--- a/internal/router/quota/buckets.go
+++ b/internal/router/quota/buckets.go
@@ -15,7 +15,7 @@
 	transitSeconds            = 0.5  // of the rate: what was acquired and may still arrive at a server
 	isolatedSeconds           = 0.75 // of the rate: the leases of routers that are cut off, 0.3 of the fleet for 2.5 s
 	slackFraction             = 0.42 // of the slack; the rest is for the one request by which each lease may be overdrawn
-	overdraftFraction         = 0.25 // of the slack, contained in slackFraction: a request may overdraw a bucket that is not empty by so much
+	overdraftFraction         = 0.25 // of the slack, within slackFraction: by so much a request may overdraw a bucket that is not empty
 	minBurstFraction          = 0.25 // of a tenant's burst: the smallest capacity
 	initialFraction           = 0.4  // of the capacity that a new primary begins with
 	initialFractionAfterStart = 1.0  // the same where the process has just started itself: then hardly any router holds a lease
@@ -45,7 +45,14 @@
 	if started {
 		initial = initialFractionAfterStart
 	}
-	return &TokenBuckets{bounds: b, initial: initial, termStart: now, refillFraction: 1, limits: map[string]Limit{}, buckets: map[string]*tokenBucket{}}
+	return &TokenBuckets{
+		bounds:         b,
+		termStart:      now,
+		initial:        initial,
+		limits:         map[string]Limit{},
+		buckets:        map[string]*tokenBucket{},
+		refillFraction: 1,
+	}
 }
 
 // SetLimits replaces the tenants' limits by those of a configuration; the map is kept and must not be changed.
--- a/internal/router/quota/client.go
+++ b/internal/router/quota/client.go
@@ -255,24 +255,31 @@
 	}
 }
 
-// RequestShares begins a request for leases. The caller sends demand, in units a second, and the shares that are held
-// to the primary, and hands its answer to ApplyShares together with the nonce.
-func (c *Client) RequestShares(now time.Duration) (nonce uint64, demand, held map[string]float64) {
+// ShareRequest is what a router asks of the primary's Allocator.
+type ShareRequest struct {
+	Nonce  uint64             // number of the request: the answer belongs to this one alone
+	Demand map[string]float64 // by tenant, units a second
+	Held   map[string]float64 // by tenant, the shares that the router still has, 0 to 1
+}
+
+// RequestShares begins a request for leases. The caller sends it to the primary, and passes the answer to ApplyShares
+// together with the nonce.
+func (c *Client) RequestShares(now time.Duration) ShareRequest {
 	c.nonce++
 	c.requestedAt = now
-	demand, held = map[string]float64{}, map[string]float64{}
+	request := ShareRequest{Nonce: c.nonce, Demand: map[string]float64{}, Held: map[string]float64{}}
 	for name, tenant := range c.tenants {
 		tenant.demand.update(now)
 		if tenant.demand.rate < minDemand { // most tenants have no requests at most routers
 			tenant.share = 0
 			continue
 		}
-		demand[name] = tenant.demand.rate
+		request.Demand[name] = tenant.demand.rate
 		if now < c.leaseEnd {
-			held[name] = tenant.share
+			request.Held[name] = tenant.share
 		}
 	}
-	return c.nonce, demand, held
+	return request
 }
 
 // ApplyShares applies the answer to the last request for shares; one to an earlier request, or that comes too late, is
--- a/internal/router/quota/incarnation_test.go
+++ b/internal/router/quota/incarnation_test.go
@@ -11,8 +11,8 @@
 func TestAnAnswerToAnEarlierIncarnation(t *testing.T) {
 	const now = 5 * time.Second
 	before, client := NewClient(4711), NewClient(815)
-	late, _, _ := before.RequestShares(now)
-	request, _, _ := client.RequestShares(now)
+	late := before.RequestShares(now).Nonce
+	request := client.RequestShares(now).Nonce
 	client.ApplyShares(late, map[string]float64{"t": 1}, now)
 	require.Zero(t, client.leaseEnd)
 	client.ApplyShares(request, map[string]float64{"t": 1}, now)
--- a/internal/router/quota/pool_test.go
+++ b/internal/router/quota/pool_test.go
@@ -81,7 +81,7 @@
 	client := NewClient(1)
 	client.SetLimits(limits, 0)
 	client.SetFleetSize(2)
-	nonce, _, _ := client.RequestShares(0)
+	nonce := client.RequestShares(0).Nonce
 	client.ApplyShares(nonce, map[string]float64{"t": 0.5}, 0)
 	return client
 }
--- a/internal/router/quota/quota_test.go
+++ b/internal/router/quota/quota_test.go
@@ -89,10 +89,10 @@
 			i := random.Intn(len(clients))
 			client := clients[i]
 			client.Reserve("t", float64(random.Intn(500)), now)
-			nonce, demand, held := client.RequestShares(now)
-			shares := a.Allocate(fmt.Sprint(i), 1, demand, held, len(clients), now)
+			request := client.RequestShares(now)
+			shares := a.Allocate(fmt.Sprint(i), 1, request, len(clients), now)
 			if random.Intn(4) > 0 { // else the answer is lost
-				client.ApplyShares(nonce, shares, now+time.Millisecond)
+				client.ApplyShares(request.Nonce, shares, now+time.Millisecond)
 			}
 			sum := 0.0
 			for _, one := range clients {
@@ -108,11 +108,11 @@
 func TestALateAnswerIsNotApplied(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	nonce, _, _ := client.RequestShares(0)
+	nonce := client.RequestShares(0).Nonce
 	client.ApplyShares(nonce, map[string]float64{"t": 1}, LeaseDuration)
 	v, _ := client.ReserveFromLease("t", 1, LeaseDuration)
 	require.Equal(t, Rejected, v)
-	nonce, _, _ = client.RequestShares(LeaseDuration)
+	nonce = client.RequestShares(LeaseDuration).Nonce
 	client.RequestShares(LeaseDuration + 1)
 	client.ApplyShares(nonce, map[string]float64{"t": 1}, LeaseDuration+2)
 	v, _ = client.ReserveFromLease("t", 1, LeaseDuration+3)
@@ -122,7 +122,7 @@
 func TestALeaseEndsAndOverdrawsOnce(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	nonce, _, _ := client.RequestShares(0)
+	nonce := client.RequestShares(0).Nonce
 	client.ApplyShares(nonce, map[string]float64{"t": 0.5}, 0)
 	v, _ := client.ReserveFromLease("t", 300, 0)
 	require.Equal(t, Granted, v)
--- a/internal/router/quota/standing.go
+++ b/internal/router/quota/standing.go
@@ -7,9 +7,11 @@
 // last lease was smaller, and all of it in a pool. A primary leaves that much to each router without contact, for as
 // long as the router may still be running.
 const (
-	standingFraction   = 0.95
-	standingPeriod     = 12 * time.Second // after the lease; the fleet counts as large as it was for longer than that
-	standingLateFactor = 1.0 / 3          // of the share, after standingPeriod: few are cut off for so long, and the limit's overshoot has room for them
+	standingFraction = 0.95
+	standingPeriod   = 12 * time.Second // after the lease; the fleet counts as large as it was for longer than that
+	// standingLateFactor is what is left of the share after standingPeriod: few routers are partitioned for so long, and the
+	// limit's overshoot has room for them.
+	standingLateFactor = 1.0 / 3
 )
 
 // ReservedFraction returns the fraction of the limits that a primary leaves to the routers that do not reach it, of a
--- a/internal/router/quota/window_test.go
+++ b/internal/router/quota/window_test.go
@@ -122,8 +122,8 @@
 
 func (p *simulation) requestShares(i int, now time.Duration) {
 	client := p.clients[i]
-	nonce, demand, held := client.RequestShares(now)
-	client.ApplyShares(nonce, p.allocator.Allocate(fmt.Sprint(i), 1, demand, held, len(p.clients), now), now)
+	request := client.RequestShares(now)
+	client.ApplyShares(request.Nonce, p.allocator.Allocate(fmt.Sprint(i), 1, request, len(p.clients), now), now)
 }
 
 // request has a router receive a request of the tenant, with the probability that follows from its load.
@@ -199,8 +199,8 @@
 			for range 20 + i {
 				clients[i].Reserve("t", units, start)
 			}
-			nonce, demand, held := clients[i].RequestShares(start)
-			clients[i].ApplyShares(nonce, allocator.Allocate(fmt.Sprint(i), 1, demand, held, fleet, start), start)
+			request := clients[i].RequestShares(start)
+			clients[i].ApplyShares(request.Nonce, allocator.Allocate(fmt.Sprint(i), 1, request, fleet, start), start)
 		}
 	}
 	spent := func(from, to time.Duration) (rate float64) {
@@ -235,7 +235,7 @@
 	require.InDelta(t, standingFraction*3/11, ReservedFraction(11, 8, time.Hour), 1e-9)
 	allocator := NewAllocator(0)
 	for i := range 5 {
-		allocator.Allocate(fmt.Sprint(i), 1, nil, nil, 8, time.Duration(i)*time.Second)
+		allocator.Allocate(fmt.Sprint(i), 1, ShareRequest{}, 8, time.Duration(i)*time.Second)
 	}
 	require.Equal(t, 3, allocator.ActiveClients(4*time.Second+100*time.Millisecond))
 	buckets := NewTokenBuckets(bounds, true, 0)
--- a/internal/router/registry/registry.go
+++ b/internal/router/registry/registry.go
@@ -156,7 +156,8 @@
 	if !newer || entry.State == Deregistered {
 		return false
 	}
-	changed = entry.State != observed.State || entry.Address != observed.Address || entry.Service != observed.Service || entry.Slots != observed.Slots
+	changed = entry.State != observed.State || entry.Address != observed.Address ||
+		entry.Service != observed.Service || entry.Slots != observed.Slots
 	sequence := max(observed.Sequence, entry.Sequence)
 	if observed.State < entry.State {
 		observed.State = entry.State
--- a/internal/router/replication/catchup.go
+++ b/internal/router/replication/catchup.go
@@ -92,7 +92,11 @@
 
 func (r *Replica) sendMissingEntries(status replicaStatus, learner *learnerProgress, batch []Entry) {
 	learner.lastSent, learner.awaitingAck = r.now, true
-	r.send(status.member.Address, MissingEntries{Epoch: r.leadership.view.Epoch, After: status.durablePosition, Entries: slices.Clone(batch)})
+	r.send(status.member.Address, MissingEntries{
+		Epoch:   r.leadership.view.Epoch,
+		After:   status.durablePosition,
+		Entries: slices.Clone(batch),
+	})
 }
 
 func (r *Replica) sendSnapshotChunk(status replicaStatus, learner *learnerProgress) {
--- a/internal/router/settings/deploy.go
+++ b/internal/router/settings/deploy.go
@@ -19,10 +19,10 @@
 type Role struct {
 	Run    string   `toml:"run" validate:"required"`                         // command line
 	On     string   `toml:"on" validate:"required"`                          // class of machines
-	Share  float64  `toml:"share" validate:"gte=0,lte=1"`                    // fraction of the class in each zone; either this or Count is given
+	Share  float64  `toml:"share" validate:"gte=0,lte=1"`                    // fraction of the class in each zone; this or Count is given
 	Count  int      `toml:"count" validate:"gte=0"`                          // machines of the class in each zone
 	Apart  bool     `toml:"apart"`                                           // read and not checked
-	Serves []string `toml:"serves" validate:"dive,oneof=edge control_plane"` // whose calls it answers; no other role of the class may serve the same
+	Serves []string `toml:"serves" validate:"dive,oneof=edge control_plane"` // whose calls it answers; no other role of the class may
 }
 
 // maxRolesPerMachine bounds the roles that one machine runs.
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -85,7 +85,7 @@
 	Zone              string   `validate:"required"`
 	Region            string   // of Zone
 	InternalPortRange []int    `validate:"len=2,dive,gte=1,lte=65535"` // the first one is the internal port of every router
-	Seeds             []string `validate:"dive,hostname_port"`         // control addresses of routers that a start contacts first; their hosts alone are used
+	Seeds             []string `validate:"dive,hostname_port"`         // HOST:PORT of routers that a start contacts first; the ports are not used
 	Bootstrap         bool     // this is the first start of the whole system
 	CountsForQuorum   bool     // the router can be a core member, if it has a DataDir
 	DataDir           string   // folder of a core member's state
