--- a/internal/router/quota/mutation_test.go
+++ b/internal/router/quota/mutation_test.go
@@ -12,14 +12,14 @@
 func TestGuardsOfPools(t *testing.T) {
 	const (
 		here   = "petrelhook/internal/router/quota"
-		client = "internal/router/quota/client.go"
+		shares = "internal/router/quota/leased_shares.go"
 		pool   = "internal/router/quota/pool.go"
 	)
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"a deposit is spent by the pool alone": {client, "if now < c.pooledUntil {", "if false {", here, "TestTheLimitHolds"},
+		"a deposit is spent by the pool alone": {shares, "if now < c.pooledUntil {", "if false {", here, "TestTheLimitHolds"},
 		"a deposit counts from its request":    {pool, "expires := requestedAt + d.For", "expires := now + d.For", here, "TestADepositEndsAtThePoolFirst"},
 		"debts outlast deposits":               {pool, "if a.units >= 0 {", "if true {", here, "TestTheLimitHolds"},
-		"debts go with a deposit":              {client, "d.Debts[name] = -tenant.overdraft.units", "_ = name", here, "TestDebtsGoWithADeposit"},
-		"a router is not refilled meanwhile":   {client, "from := max(tenant.refilledAt, c.pooledUntil)", "from := tenant.refilledAt", here, "TestADepositEndsAtThePoolFirst"},
+		"debts go with a deposit":              {shares, "d.Debts[name] = -tenant.overdraft.units", "_ = name", here, "TestDebtsGoWithADeposit"},
+		"a router is not refilled meanwhile":   {shares, "from := max(tenant.refilledAt, c.pooledUntil)", "from := tenant.refilledAt", here, "TestADepositEndsAtThePoolFirst"},
 	})
 }
