--- a/internal/router/placement/load_board.go
+++ b/internal/router/placement/load_board.go
@@ -24,7 +24,8 @@
 // NewLoadBoard returns an empty board.
 func NewLoadBoard() *LoadBoard { return &LoadBoard{reports: map[string]loadReport{}} }
 
-// Put replaces a sender's report.
+// Put replaces a sender's report; peer says that the sender is another home, whose report is of the routers that
+// subscribe there. The board keeps the sums.
 func (b *LoadBoard) Put(sender string, peer bool, sums LoadSums, now time.Duration) {
 	b.reports[sender] = loadReport{sums, now, peer}
 }
--- a/internal/router/placement/prefix_uses.go
+++ b/internal/router/placement/prefix_uses.go
@@ -14,7 +14,7 @@
 // maxUses bounds what is collected for a message; further uses are left out.
 const maxUses = 4096
 
-// Add adds a use, up to maxUses.
+// Add adds a use: that a server was sent a prefix. Beyond maxUses it is left out.
 func (u *PrefixUses) Add(key PrefixHash, server string) {
 	if len(u.Keys) >= maxUses {
 		return
--- a/internal/router/placement/request.go
+++ b/internal/router/placement/request.go
@@ -11,8 +11,8 @@
 	maxPartTokens     = 1 << 30 // of one part of a prompt
 )
 
-// Request is what placement knows of a request. The shared prefix is the part of the prompt up to the end of its
-// longest part that other requests may have in common with it.
+// Request is what placement knows of a request. A prompt has parts, as X-Prompt-Prefix lists them; the shared prefix is
+// the prompt up to the last part that other requests may have in common with it.
 type Request struct {
 	PrefixKey       string        // of the shared prefix; "": there is none
 	SharedTokens    int           // of the complete shared prefix
@@ -20,7 +20,7 @@
 	PromptTokens    int           // of the complete prompt, 0: unknown
 	MaxOutputTokens int           // that are generated at most
 	MaxGap          time.Duration // the objective for the time between two parts of the answer; 0: none
-	Tried           map[string]bool
+	Tried           map[string]bool // servers that it was sent to, by ID
 }
 
 // HasAffinity reports whether a request goes where its shared prefix is cached.
@@ -29,8 +29,8 @@
 // DecodeHeavy reports whether a request generates more tokens than its prompt has: a long answer.
 func (r *Request) DecodeHeavy() bool { return r.MaxOutputTokens > max(r.PromptTokens, 0) }
 
-// PrefillTokens is the number of tokens that a server reads, depending on whether it has the last part of the shared
-// prefix in its cache. The parts before that are shared by so many requests that all servers have them.
+// PrefillTokens returns the number of tokens that a server reads, depending on whether it has the last part of the
+// shared prefix in its cache. The parts before that are shared by so many requests that all servers have them.
 func (r *Request) PrefillTokens(cached bool) float64 {
 	tokens := r.PromptTokens - r.SharedTokens
 	if !cached {
@@ -39,7 +39,7 @@
 	return float64(max(0, tokens))
 }
 
-// Work is the work that a request adds to a server as it is sent.
+// Work returns the work that a request adds to a server as it is sent; cached as for PrefillTokens.
 func (r *Request) Work(cached bool) Work {
 	w := Work{Requests: 1, PrefillTokens: r.PrefillTokens(cached)}
 	if r.DecodeHeavy() {
@@ -68,7 +68,8 @@
 	return key, sharedTokens, prefixTokens
 }
 
-// ParseUsage parses X-Token-Usage: the tokens of the prompt, and those generated at most.
+// ParseUsage parses X-Token-Usage, PROMPT,OUTPUT: the tokens of the prompt, and those generated at most. It returns
+// false where the header is not valid.
 func ParseUsage(header string) (prompt, output int, ok bool) {
 	in, out, found := strings.Cut(header, ",")
 	prompt, errIn := strconv.Atoi(strings.TrimSpace(in))
--- a/internal/router/quota/allocator.go
+++ b/internal/router/quota/allocator.go
@@ -55,8 +55,8 @@
 // primary sets it again and again.
 func (a *Allocator) SetReserve(fraction float64) { a.reserved = fraction }
 
-// Allocate answers a router's request for shares; fleetSize is the number of routers. It returns a share for each tenant
-// with a demand. A router that restarted has another incarnation: it reports nothing of what its predecessor was
+// Allocate answers a router's request for shares; fleetSize is the number of routers. It returns a share for each
+// tenant with a demand. A router that restarted has another incarnation: it reports nothing of what its predecessor was
 // allocated, which therefore stays counted until it expires.
 func (a *Allocator) Allocate(router string, incarnation uint64, r ShareRequest, fleetSize int,
 	now time.Duration) map[string]float64 {
@@ -152,7 +152,7 @@
 	}
 }
 
-// Allocated returns the sum of the shares of a tenant's limit that are allocated, at most 1.
+// Allocated returns the sum of the shares of a tenant's limit that are allocated, as far as this primary knows.
 func (a *Allocator) Allocated(tenant string) float64 {
 	if totals := a.totals[tenant]; totals != nil {
 		return totals.shares
