--- a/internal/router/eventstream/eventstream.go
+++ b/internal/router/eventstream/eventstream.go
@@ -1,6 +1,8 @@
-// Package eventstream splits a stream of server-sent events into complete events, as they come. It does not interpret them, but for their id.
+// Package eventstream splits a stream of server-sent events into complete events, as they come. It does not interpret
+// them, but for their id.
 //
-// Invariant: what Next returns ends with the blank line that ends an event; an event that was cut off is never returned.
+// Invariant: what Next returns ends with the blank line that ends an event; an event that was cut off is never
+// returned.
 //
 // A Reader is for one goroutine at a time.
 package eventstream
@@ -45,14 +47,15 @@
 		chunk, err := r.source.ReadSlice('\n')
 		r.event = append(r.event, chunk...)
 		completeLine := lineStart
-		lineStart = !errors.Is(err, bufio.ErrBufferFull)
+		// The buffer returns ErrBufferFull plain: an error of the source that wraps it is another one.
+		lineStart = err != bufio.ErrBufferFull //nolint:errorlint // see above
 		if !lineStart && len(r.event) < MaxEvent {
 			continue
 		}
 		if len(r.event) >= MaxEvent {
 			return nil, ErrTooLong
 		}
-		if errors.Is(err, io.EOF) && len(r.event) > 0 {
+		if err == io.EOF && len(r.event) > 0 {
 			return nil, ErrPartial
 		}
 		if err != nil {
--- a/internal/router/gateway/servers.go
+++ b/internal/router/gateway/servers.go
@@ -44,7 +44,10 @@
 func (g *Gateway) putServer(i *registry.Instance) {
 	s := g.services[i.Service]
 	if s == nil {
-		s = &service{pool: placement.NewPool(g.options.Zone, g.options.PrefixTTL, placement.DefaultPolicy(), nil), connections: map[string]*backend.Pool{}}
+		s = &service{
+			pool:        placement.NewPool(g.options.Zone, g.options.PrefixTTL, placement.DefaultPolicy(), nil),
+			connections: map[string]*backend.Pool{},
+		}
 		g.services[i.Service] = s
 	}
 	if pool := s.connections[i.ID]; pool != nil && pool.Address() != i.Address {
@@ -92,7 +95,8 @@
 	return max(minConnections, int(usableFraction*float64(s.MaxConnections)/float64(g.fleet.size)))
 }
 
-// limitConnections bounds the connections to all servers by the configuration and the number of routers. The lock is held.
+// limitConnections bounds the connections to all servers by the configuration and the number of routers. The lock is
+// held.
 func (g *Gateway) limitConnections() {
 	for name, s := range g.services {
 		limit := g.connectionLimit(name)
--- a/internal/router/latency/totals.go
+++ b/internal/router/latency/totals.go
@@ -12,7 +12,8 @@
 	maxRoutes  = 64
 	otherRoute = "(others)"
 
-	// Histograms count in ticks of resolution, up to a minute, with one significant digit: a quantile is wrong by up to 10 %.
+	// Histograms count in ticks of resolution, up to a minute, with one significant digit: a quantile is wrong by up to 10
+	// %.
 	resolution        = 100 * time.Microsecond
 	maxTicks          = int64(time.Minute / resolution)
 	significantDigits = 1
@@ -31,7 +32,8 @@
 // NewTotals returns totals of no requests.
 func NewTotals() *Totals { return &Totals{routes: map[string]*routeTotals{}} }
 
-// Add adds a request of a route that has ended, with Trace.Reason's result for it. Routes beyond maxRoutes count together.
+// Add adds a request of a route that has ended, with Trace.Reason's result for it. Routes beyond maxRoutes count
+// together.
 func (t *Totals) Add(route string, trace *Trace, reason Reason) {
 	r := t.route(route)
 	r.reasons[reason]++
@@ -68,13 +70,13 @@
 	_ = (*h).RecordValue(min(maxTicks, max(1, int64(d/resolution)))) // the value is in the range
 }
 
-// Report is what a router reports of one route, as a part of its status: the JSON names there are those of the tags, and
-// do not change.
+// Report is what a router reports of one route, as a part of its status: the JSON names there are those of the tags,
+// and do not change.
 type Report struct {
 	Route           string
 	Reasons         map[Reason]int64
 	TimeToFirstByte Quantiles            `json:"First"` // from a request's receipt to the first part of its answer
-	PhaseTimes      map[string]Quantiles `json:"Spent"` // of that time, by the name of the phase; requests that spent less than 0.1 ms there are left out
+	PhaseTimes      map[string]Quantiles `json:"Spent"` // of that time, by phase; without those below 0.1 ms
 }
 
 // Quantiles are those of a histogram, in milliseconds. Worst is the largest value.
@@ -87,7 +89,12 @@
 func (t *Totals) Reports() []Report {
 	var reports []Report
 	for name, r := range t.routes {
-		report := Report{Route: name, Reasons: map[Reason]int64{}, TimeToFirstByte: quantiles(r.timeToFirstByte), PhaseTimes: map[string]Quantiles{}}
+		report := Report{
+			Route:           name,
+			Reasons:         map[Reason]int64{},
+			TimeToFirstByte: quantiles(r.timeToFirstByte),
+			PhaseTimes:      map[string]Quantiles{},
+		}
 		for reason, n := range r.reasons {
 			report.Reasons[reason] = n
 		}
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -32,7 +32,7 @@
 	n.gateway.SetTable(routetable.Compile(c, nil))
 	n.setLimits()
 	n.setFleetSize(4)
-	nonce, _, _ := n.gateway.RequestQuotaShares()
+	nonce := n.gateway.RequestQuotaShares().Nonce
 	n.gateway.ApplyQuotaShares(nonce, map[string]float64{"t1": 0.5})
 	return n
 }
@@ -93,8 +93,9 @@
 	require.Zero(t, n.quotas.pool.Offers())
 }
 
-// A pool whose host does not answer is left: the next host is another core member, as soon as the deposit there has ended.
-func TestASilentPoolIsLeft(t *testing.T) {
+// A pool whose host does not answer is left: the next host is another core member, as soon as the deposit there has
+// ended.
+func TestAPoolThatTimesOutIsLeft(t *testing.T) {
 	n := poolNode(t)
 	host := member("10.0.1.9:7000", "z1")
 	n.control.view = view(2, member("10.0.2.1:7000", "z1"), host)
--- a/internal/router/quota/allocator.go
+++ b/internal/router/quota/allocator.go
@@ -8,7 +8,8 @@
 // clockMargin is how much longer the primary counts a lease, since clocks differ in rate.
 const clockMargin = 100 * time.Millisecond
 
-// reclaimPeriod is the time at the start of a term in which a primary only renews the shares that routers report to hold.
+// reclaimPeriod is the time at the start of a term in which a primary only renews the shares that routers report to
+// hold.
 const reclaimPeriod = 800 * time.Millisecond
 
 // evenFraction of a limit is divided evenly, the rest by demand.
@@ -25,8 +26,9 @@
 // tenantTotals adds up the demand and the shares of one tenant over all leases.
 type tenantTotals struct{ demand, shares float64 }
 
-// Allocator divides tenants' limits into leased shares, for one term of one primary. The cost of a request is proportional to the
-// number of tenants that it names. It is for one goroutine at a time.
+// Allocator divides tenants' limits into leased shares, for one term of one primary. Make it by NewAllocator when a
+// router becomes primary. The cost of a request is proportional to the number of tenants that it names. It is for one
+// goroutine at a time.
 type Allocator struct {
 	termStart  time.Duration
 	leases     map[string]*clientLease // by router
@@ -35,27 +37,29 @@
 	reserved   float64 // fraction of every limit that is left to routers without contact, see ReservedFraction
 }
 
-// NewAllocator begins a term.
+// NewAllocator returns the allocator of a term that begins now: what was allocated before is not known yet.
 func NewAllocator(now time.Duration) *Allocator {
 	return &Allocator{termStart: now, leases: map[string]*clientLease{}, totals: map[string]*tenantTotals{}}
 }
 
-// ActiveClients is the number of routers that requested shares within a lease duration.
+// ActiveClients returns the number of routers that requested shares within a lease duration.
 func (a *Allocator) ActiveClients(now time.Duration) int {
 	a.expire(now)
 	return len(a.leases)
 }
 
-// TermAge is how long the primary has led.
+// TermAge returns how long ago the term began.
 func (a *Allocator) TermAge(now time.Duration) time.Duration { return now - a.termStart }
 
-// SetReserve sets the fraction of the limits that is left to routers without contact.
+// SetReserve sets the fraction of every limit that is left to routers without contact, see ReservedFraction. The
+// primary sets it again and again.
 func (a *Allocator) SetReserve(fraction float64) { a.reserved = fraction }
 
-// Allocate answers a router's request for shares. Demand is in units a second, held is the shares that the router still has, both by
-// tenant; fleetSize is the number of routers. It returns a share for each tenant with a demand. A router that restarted has another
-// incarnation: it reports nothing of what its predecessor was allocated, which therefore stays counted until it expires.
-func (a *Allocator) Allocate(router string, incarnation uint64, demand, held map[string]float64, fleetSize int, now time.Duration) map[string]float64 {
+// Allocate answers a router's request for shares; fleetSize is the number of routers. It returns a share for each
+// tenant with a demand. A router that restarted has another incarnation: it reports nothing of what its predecessor was
+// allocated, which therefore stays counted until it expires.
+func (a *Allocator) Allocate(router string, incarnation uint64, r ShareRequest, fleetSize int,
+	now time.Duration) map[string]float64 {
 	a.expire(now)
 	lease := a.leases[router]
 	if lease == nil {
@@ -64,17 +68,17 @@
 	}
 	sameIncarnation := lease.incarnation == incarnation
 	lease.incarnation, lease.expires = incarnation, now+LeaseDuration+clockMargin
-	a.reconcile(lease, sameIncarnation, demand, held)
+	a.reconcile(lease, sameIncarnation, r)
 
 	reclaiming := now-a.termStart < reclaimPeriod
 	allocated := map[string]float64{}
-	for tenant, wanted := range demand {
+	for tenant, wanted := range r.Demand {
 		current := lease.shares[tenant]
 		if sameIncarnation {
-			current = held[tenant]
+			current = r.Held[tenant]
 		}
 		a.record(lease, tenant, wanted, current)
-		share := held[tenant]
+		share := r.Held[tenant]
 		if !reclaiming {
 			share = a.share(tenant, wanted, current, max(1, fleetSize))
 		}
@@ -85,14 +89,14 @@
 }
 
 // reconcile updates a lease to what its router reports: a tenant that it neither wants nor holds is released.
-func (a *Allocator) reconcile(lease *clientLease, sameIncarnation bool, demand, held map[string]float64) {
+func (a *Allocator) reconcile(lease *clientLease, sameIncarnation bool, r ShareRequest) {
 	for tenant, share := range lease.shares {
-		_, wanted := demand[tenant]
-		if sameIncarnation && !wanted && held[tenant] == 0 {
+		_, wanted := r.Demand[tenant]
+		if sameIncarnation && !wanted && r.Held[tenant] == 0 {
 			a.record(lease, tenant, 0, 0)
 			continue
 		}
-		a.record(lease, tenant, demand[tenant], max(share, held[tenant]))
+		a.record(lease, tenant, r.Demand[tenant], max(share, r.Held[tenant]))
 	}
 }
 
@@ -115,8 +119,8 @@
 	}
 }
 
-// share is the new share of a router that wants so many units a second of a tenant and counts for a current share: a part that all
-// routers have alike and one by demand, as far as the others' shares leave room.
+// share is the new share of a router that wants so many units a second of a tenant and counts for a current share: a
+// part that all routers have alike and one by demand, as far as the others' shares leave room.
 func (a *Allocator) share(tenant string, wanted, current float64, fleetSize int) float64 {
 	totals := a.totals[tenant]
 	target := evenFraction / float64(fleetSize)
@@ -148,7 +152,7 @@
 	}
 }
 
-// Allocated is the sum of the shares of a tenant's limit that are allocated.
+// Allocated returns the sum of the shares of a tenant's limit that are allocated, as far as this primary knows.
 func (a *Allocator) Allocated(tenant string) float64 {
 	if totals := a.totals[tenant]; totals != nil {
 		return totals.shares
--- a/internal/router/quota/quota_test.go
+++ b/internal/router/quota/quota_test.go
@@ -42,7 +42,7 @@
 }
 
 // The refill of a bucket with requests for six times its rate goes to large requests as it does to small ones.
-func TestLargeRequestsAreNotRefusedBeforeSmallOnes(t *testing.T) {
+func TestLargeRequestsAreNotRejectedBeforeSmallOnes(t *testing.T) {
 	buckets := NewTokenBuckets(bounds, false, 0)
 	buckets.SetLimits(map[string]Limit{"a": {Rate: 640_000, Burst: 640_000}})
 	random := rand.New(rand.NewSource(1))
@@ -60,7 +60,7 @@
 	require.InDelta(t, small, large, 0.05)
 }
 
-func TestPressed(t *testing.T) {
+func TestOverLimit(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
 	require.False(t, client.OverLimit("t", 0))
@@ -72,8 +72,8 @@
 	require.False(t, client.OverLimit("none", 0))
 }
 
-// Routers request shares and lose answers, are cut off and restart, and the primary changes: shares never add up to more than 1, as
-// far as the primary knows of them.
+// Routers request shares and lose answers, are cut off and restart, and the primary changes: shares never add up to
+// more than 1, as far as the primary knows of them.
 func TestSharesAddUpToNoMoreThanOne(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
@@ -89,10 +89,10 @@
 			i := random.Intn(len(clients))
 			client := clients[i]
 			client.Reserve("t", float64(random.Intn(500)), now)
-			nonce, demand, held := client.RequestShares(now)
-			shares := a.Allocate(fmt.Sprint(i), 1, demand, held, len(clients), now)
+			request := client.RequestShares(now)
+			shares := a.Allocate(fmt.Sprint(i), 1, request, len(clients), now)
 			if random.Intn(4) > 0 { // else the answer is lost
-				client.ApplyShares(nonce, shares, now+time.Millisecond)
+				client.ApplyShares(request.Nonce, shares, now+time.Millisecond)
 			}
 			sum := 0.0
 			for _, one := range clients {
@@ -105,14 +105,14 @@
 	}
 }
 
-func TestALateGrantIsNotTaken(t *testing.T) {
+func TestALateAnswerIsNotApplied(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	nonce, _, _ := client.RequestShares(0)
+	nonce := client.RequestShares(0).Nonce
 	client.ApplyShares(nonce, map[string]float64{"t": 1}, LeaseDuration)
 	v, _ := client.ReserveFromLease("t", 1, LeaseDuration)
 	require.Equal(t, Rejected, v)
-	nonce, _, _ = client.RequestShares(LeaseDuration)
+	nonce = client.RequestShares(LeaseDuration).Nonce
 	client.RequestShares(LeaseDuration + 1)
 	client.ApplyShares(nonce, map[string]float64{"t": 1}, LeaseDuration+2)
 	v, _ = client.ReserveFromLease("t", 1, LeaseDuration+3)
@@ -122,7 +122,7 @@
 func TestALeaseEndsAndOverdrawsOnce(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
-	nonce, _, _ := client.RequestShares(0)
+	nonce := client.RequestShares(0).Nonce
 	client.ApplyShares(nonce, map[string]float64{"t": 0.5}, 0)
 	v, _ := client.ReserveFromLease("t", 300, 0)
 	require.Equal(t, Granted, v)
--- a/internal/router/quota/window_test.go
+++ b/internal/router/quota/window_test.go
@@ -15,9 +15,9 @@
 	units float64
 }
 
-// simulation has routers, some with more of a tenant's requests than others, request nothing, less than its limit and many times
-// as much alternately, while primaries change, restart and stop to answer. With pools, those without contact to a primary deposit their shares at
-// one of a few, some of which fail.
+// simulation has routers, some with more of a tenant's requests than others, request nothing, less than its limit and
+// many times as much alternately, while primaries change, restart and stop to answer. With pools, those without contact
+// to a primary deposit their shares at one of a few, some of which fail.
 type simulation struct {
 	random *rand.Rand
 	limits map[string]Limit
@@ -122,8 +122,8 @@
 
 func (p *simulation) requestShares(i int, now time.Duration) {
 	client := p.clients[i]
-	nonce, demand, held := client.RequestShares(now)
-	client.ApplyShares(nonce, p.allocator.Allocate(fmt.Sprint(i), 1, demand, held, len(p.clients), now), now)
+	request := client.RequestShares(now)
+	client.ApplyShares(request.Nonce, p.allocator.Allocate(fmt.Sprint(i), 1, request, len(p.clients), now), now)
 }
 
 // request has a router receive a request of the tenant, with the probability that follows from its load.
@@ -180,9 +180,9 @@
 	}
 }
 
-// While there is no primary for longer than a lease lasts, the routers go on with most of the limit, together never with more than it; a router
-// that never learnt their number has nothing.
-func TestNobodyLeadsForLong(t *testing.T) {
+// While there is no primary for longer than a lease lasts, the routers go on with most of the limit, together never
+// with more than it; a router that never learnt their number has nothing.
+func TestNoPrimaryForLong(t *testing.T) {
 	limits := map[string]Limit{"t": {Rate: 100_000, Burst: 100_000}}
 	const fleet, units = 11, 500
 	clients := make([]*Client, fleet)
@@ -199,8 +199,8 @@
 			for range 20 + i {
 				clients[i].Reserve("t", units, start)
 			}
-			nonce, demand, held := clients[i].RequestShares(start)
-			clients[i].ApplyShares(nonce, allocator.Allocate(fmt.Sprint(i), 1, demand, held, fleet, start), start)
+			request := clients[i].RequestShares(start)
+			clients[i].ApplyShares(request.Nonce, allocator.Allocate(fmt.Sprint(i), 1, request, fleet, start), start)
 		}
 	}
 	spent := func(from, to time.Duration) (rate float64) {
@@ -225,7 +225,8 @@
 	require.Equal(t, Rejected, v)
 }
 
-// A primary leaves room for routers without contact, once their leases have expired, and none where it has contact to all.
+// A primary leaves room for routers without contact, once their leases have expired, and none where it has contact to
+// all.
 func TestReserve(t *testing.T) {
 	require.Zero(t, ReservedFraction(11, 11, time.Hour))
 	require.Zero(t, ReservedFraction(11, 12, time.Hour))
@@ -234,7 +235,7 @@
 	require.InDelta(t, standingFraction*3/11, ReservedFraction(11, 8, time.Hour), 1e-9)
 	allocator := NewAllocator(0)
 	for i := range 5 {
-		allocator.Allocate(fmt.Sprint(i), 1, nil, nil, 8, time.Duration(i)*time.Second)
+		allocator.Allocate(fmt.Sprint(i), 1, ShareRequest{}, 8, time.Duration(i)*time.Second)
 	}
 	require.Equal(t, 3, allocator.ActiveClients(4*time.Second+100*time.Millisecond))
 	buckets := NewTokenBuckets(bounds, true, 0)
