--- a/internal/router/placement/ejections.go
+++ b/internal/router/placement/ejections.go
@@ -23,8 +23,8 @@
 	return ok && now < e.expires
 }
 
-// SetEjections replaces the ejected servers, until they expire; where they are more than half of the pool, none is
-// ejected.
+// SetEjections replaces the ejected servers by those named, each with the probability that a request is a trial there,
+// until they expire. Where they are more than half of the pool none is ejected. The pool keeps the map.
 func (p *Pool) SetEjections(trialProbability map[string]float64, expires time.Duration) {
 	known := 0
 	for id := range trialProbability {
--- a/internal/router/placement/request.go
+++ b/internal/router/placement/request.go
@@ -14,12 +14,12 @@
 // Request is what placement knows of a request. A prompt has parts, as X-Prompt-Prefix lists them; the shared prefix is
 // the prompt up to the last part that other requests may have in common with it.
 type Request struct {
-	PrefixKey       string        // of the shared prefix; "": there is none
-	SharedTokens    int           // of the complete shared prefix
-	PrefixTokens    int           // of its last part, which PrefixKey names, alone
-	PromptTokens    int           // of the complete prompt, 0: unknown
-	MaxOutputTokens int           // that are generated at most
-	MaxGap          time.Duration // the objective for the time between two parts of the answer; 0: none
+	PrefixKey       string          // of the shared prefix; "": there is none
+	SharedTokens    int             // of the complete shared prefix
+	PrefixTokens    int             // of its last part, which PrefixKey names, alone
+	PromptTokens    int             // of the complete prompt, 0: unknown
+	MaxOutputTokens int             // that are generated at most
+	MaxGap          time.Duration   // the objective for the time between two parts of the answer; 0: none
 	Tried           map[string]bool // servers that it was sent to, by ID
 }
 
