--- a/internal/router/gateway/account.go
+++ b/internal/router/gateway/account.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// account adds a request that has ended to the totals, and reports one that missed its objective to
-// Options.OnObjectiveMissed. Requests of clients whose time was nearly up when they came, and those by which
+// account adds a request that has ended to the totals, and reports one that missed its latency target to
+// Options.OnTargetMissed. Requests of clients whose time was nearly up when they came, and those by which
 // an operator checks whether a configuration is in force, count like all others.
 func (g *Gateway) account(r *http.Request, req *request) {
 	if req.route == nil {
@@ -45,8 +45,8 @@
 	g.mutex.Lock()
 	g.totals.Add(req.route.Name, &req.trace, reason)
 	g.mutex.Unlock()
-	if reason != latency.InTime && g.options.OnObjectiveMissed != nil {
-		g.options.OnObjectiveMissed(req.route.Name, &req.trace, reason)
+	if reason != latency.InTime && g.options.OnTargetMissed != nil {
+		g.options.OnTargetMissed(req.route.Name, &req.trace, reason)
 	}
 }
 
--- a/internal/router/gateway/gateway.go
+++ b/internal/router/gateway/gateway.go
@@ -38,9 +38,9 @@
 	PrefixTTL     time.Duration // how long a shared prefix counts as cached after its last use; 0: prefixes are not recorded
 	MaxBodyMemory int64         // bytes of clients' bodies, all together; 0: no bound
 
-	// OnObjectiveMissed is called for each request that missed its objective, on the request's goroutine and without a
+	// OnTargetMissed is called for each request that missed its latency target, on the request's goroutine and without a
 	// lock. It may not keep the trace. It may be nil.
-	OnObjectiveMissed func(route string, t *latency.Trace, why latency.Reason)
+	OnTargetMissed func(route string, t *latency.Trace, why latency.Reason)
 }
 
 // Source is who granted units of a limit.
--- a/internal/router/gateway/lateness.go
+++ b/internal/router/gateway/lateness.go
@@ -15,7 +15,7 @@
 	return time.Duration(ms * float64(time.Millisecond)), true
 }
 
-// tooLateOverLimit reports whether a request of a tenant over its limit has already missed its route's objective: what
+// tooLateOverLimit reports whether a request of a tenant over its limit has already missed its route's latency target: what
 // the tenant is granted then goes to requests that can still be answered in time. The time that passed at the client is
 // estimated from the deadlines that clients usually give. The lock is held.
 func (g *Gateway) tooLateOverLimit(r *http.Request, req *request) bool {
--- a/internal/router/gateway/lateness_test.go
+++ b/internal/router/gateway/lateness_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The units of a tenant over its limit go to requests that can still meet their objective.
+// The units of a tenant over its limit go to requests that can still meet their latency target.
 func TestLateAttemptsOfATenantOverItsLimitAreRejectedFirst(t *testing.T) {
 	r := newRig(t)
 	r.addServer(func(w http.ResponseWriter, _ *http.Request) {
@@ -27,7 +27,7 @@
 	r.acquirer.empty.Store(true)
 	require.Equal(t, http.StatusTooManyRequests, status("4000"))
 	r.acquirer.empty.Store(false)
-	require.Equal(t, http.StatusTooManyRequests, status("3700"), "0.3 s of an objective of 0.2 s have passed")
+	require.Equal(t, http.StatusTooManyRequests, status("3700"), "0.3 s of a latency target of 0.2 s have passed")
 	require.Equal(t, http.StatusOK, status("3900"))
 	require.Equal(t, http.StatusOK, status("4000"))
 }
--- a/internal/router/gateway/request.go
+++ b/internal/router/gateway/request.go
@@ -111,7 +111,7 @@
 	req.times.deadline = deadlineOf(r, req)
 	if g.draining.Load().mayOutlast(req) {
 		req.trace.FailureReason = latency.RefusedEnding
-		g.reject(w, http.StatusServiceUnavailable, retryElsewhere, "the sidecar ends before the answer may")
+		g.reject(w, http.StatusServiceUnavailable, retryElsewhere, "this router ends before the answer may")
 		return false
 	}
 	req.units = quotaUnits(r, req.tenant)
--- a/internal/router/gateway/stall.go
+++ b/internal/router/gateway/stall.go
@@ -14,11 +14,11 @@
 
 const (
 	firstEventAllowance = 2   // usual times to a first event that another server is given, to be in time
-	minPatience         = 0.5 // of the objective, before a server is left
+	minPatience         = 0.5 // of the gap target, before a server is left
 )
 
 // stallWatch has a stream that may be resumed continue at another server where its next event is so late that only
-// another server can still send it in time: an objective, less what another server usually takes to a first event, has
+// another server can still send it in time: the gap target, less what another server usually takes to a first event, has
 // passed. A stream is migrated once for each attempt that its route allows, and only where the retry budget has a
 // permit and there is another server.
 type stallWatch struct {
@@ -61,9 +61,9 @@
 	return 0
 }
 
-// patience is how long an event with an objective is awaited at one server.
-func patience(objective, usual time.Duration) time.Duration {
-	return max(time.Duration(minPatience*float64(objective)), objective-firstEventAllowance*usual)
+// patience is how long an event with a gap target is awaited at one server.
+func patience(gapTarget, usual time.Duration) time.Duration {
+	return max(time.Duration(minPatience*float64(gapTarget)), gapTarget-firstEventAllowance*usual)
 }
 
 // event is called for each event of the stream.
--- a/internal/router/gateway/stall_test.go
+++ b/internal/router/gateway/stall_test.go
@@ -85,11 +85,11 @@
 		usual   bool
 		budget  bool
 	}{
-		"no other server":        {"/paced/x", 1, true, true},
-		"no attempt":             {"/once/x", 2, true, true},
-		"no budget":              {"/paced/x", 2, true, false},
-		"no samples so far":      {"/paced/x", 2, false, true},
-		"no objective for a gap": {"/stream/x", 2, true, true},
+		"no other server":   {"/paced/x", 1, true, true},
+		"no attempt":        {"/once/x", 2, true, true},
+		"no budget":         {"/paced/x", 2, true, false},
+		"no samples so far": {"/paced/x", 2, false, true},
+		"no gap target":     {"/stream/x", 2, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
@@ -114,7 +114,7 @@
 				}
 				r.gateway.mutex.Unlock()
 			}
-			time.AfterFunc(250*time.Millisecond, func() { close(goOn) }) // three times the objective
+			time.AfterFunc(250*time.Millisecond, func() { close(goOn) }) // three times the gap target
 			_, body, err := r.do(c.path)
 			require.NoError(t, err)
 			require.Equal(t, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n", body)
@@ -127,14 +127,14 @@
 func TestPatience(t *testing.T) {
 	const ms = time.Millisecond
 	require.Equal(t, 160*ms, patience(200*ms, 20*ms))
-	require.Equal(t, 100*ms, patience(200*ms, 90*ms), "half of the objective at the least")
+	require.Equal(t, 100*ms, patience(200*ms, 90*ms), "half of the gap target at the least")
 }
 
-// The outcomes of requests are counted by route, and those that missed their objective are reported with their phases.
+// The outcomes of requests are counted by route, and those that missed their latency target are reported with their phases.
 func TestMissedRequestsAreAccountedFor(t *testing.T) {
 	r := newRig(t)
 	missed := make(chan latency.Reason, 8)
-	r.gateway.options.OnObjectiveMissed = func(route string, _ *latency.Trace, why latency.Reason) { missed <- latency.Reason(route) + " " + why }
+	r.gateway.options.OnTargetMissed = func(route string, _ *latency.Trace, why latency.Reason) { missed <- latency.Reason(route) + " " + why }
 	r.addServer(func(w http.ResponseWriter, got *http.Request) {
 		events(w, 1, 1)
 		if got.URL.Path == "/paced/slow" {
--- a/internal/router/latency/doc.go
+++ b/internal/router/latency/doc.go
@@ -1,5 +1,5 @@
 // Package latency accounts for the time of requests: which part of it each spent waiting for what, and why those that
-// missed their objective missed it. It is pure. It does not measure: package gateway fills a Trace and decides when a
+// missed their latency target missed it. It is pure. It does not measure: package gateway fills a Trace and decides when a
 // request has ended.
 //
 // A Trace is one request's own; Totals add up traces by route and by reason, and keep histograms of the phases. Totals
--- a/internal/router/latency/latency_test.go
+++ b/internal/router/latency/latency_test.go
@@ -24,7 +24,7 @@
 	} {
 		require.Equal(t, c.want, c.trace.Reason(250*ms, 200*ms), "%+v", c.trace)
 	}
-	require.Equal(t, InTime, (&Trace{TimeToFirstByte: time.Hour, MaxGap: time.Hour}).Reason(0, 0), "without objectives nothing is late")
+	require.Equal(t, InTime, (&Trace{TimeToFirstByte: time.Hour, MaxGap: time.Hour}).Reason(0, 0), "without targets nothing is late")
 }
 
 func TestReports(t *testing.T) {
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -95,13 +95,13 @@
 	n.timers.expireServers.restart(0)
 	b := s.Bounds
 	n.gateway = gateway.New(gateway.Options{
-		Zone:              s.Zone,
-		Now:               n.now,
-		Incarnation:       incarnation,
-		Acquirer:          n,
-		OnObjectiveMissed: n.logMissedTarget,
-		PrefixTTL:         settings.Seconds(b.AgainS),
-		MaxBodyMemory:     int64(s.Limits.MemoryMb) << 20 / bodyMemoryDivisor,
+		Zone:           s.Zone,
+		Now:            n.now,
+		Incarnation:    incarnation,
+		Acquirer:       n,
+		OnTargetMissed: n.logMissedTarget,
+		PrefixTTL:      settings.Seconds(b.AgainS),
+		MaxBodyMemory:  int64(s.Limits.MemoryMb) << 20 / bodyMemoryDivisor,
 		Retries: quota.RetryBounds{Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack,
 			Window: max(time.Second, settings.Seconds(b.BudgetWindowS))},
 	})
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -39,7 +39,7 @@
 	require.NoError(t, err)
 	n := New(s, &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}})
 	t.Cleanup(n.transport.Close)
-	n.control.replica, err = replication.New(replication.Options{Self: replication.Member{ID: "self", Address: n.self.Address}, Witness: true}, nil, n.control.register, 0)
+	n.control.replica, err = replication.New(replication.Options{Self: replication.Member{ID: "self", Address: n.self.Address}, Diskless: true}, nil, n.control.register, 0)
 	require.NoError(t, err)
 	return n
 }
--- a/internal/router/node/start.go
+++ b/internal/router/node/start.go
@@ -29,7 +29,7 @@
 		n.control.eligible[persisted.ID] = options.Self
 		n.loadServers()
 	} else {
-		options.Witness = true
+		options.Diskless = true
 		options.Self.ID = n.self.Address
 	}
 	var err error
--- a/internal/router/placement/loads_test.go
+++ b/internal/router/placement/loads_test.go
@@ -145,7 +145,7 @@
 	require.InDelta(t, 5*time.Microsecond, estimate.perToken(), 100)
 	p := newTestPool("z0", 3)
 	p.prefillTime = estimate
-	require.True(t, math.IsInf(p.tokensPerGap(), 1), "no long answer has an objective")
+	require.True(t, math.IsInf(p.tokensPerGap(), 1), "no long answer has a gap target")
 	p.Pick(Request{PromptTokens: 10, MaxOutputTokens: 1000, MaxGap: 200 * time.Millisecond}, anyServer, 0)
 	require.InDelta(t, 40_000, p.tokensPerGap(), 1000)
 }
--- a/internal/router/placement/policy.go
+++ b/internal/router/placement/policy.go
@@ -10,8 +10,8 @@
 	// StreamSlotFraction is the fraction of a server's slots that long answers take before another server takes some: the
 	// others are for prompts whose prefix is cached there, and for what comes before other routers know of the streams.
 	StreamSlotFraction float64
-	// StreamDelayFraction is the fraction of the objective for gaps that the prefill of a prompt may take before it costs
-	// as much again for each long answer behind it. It is twice the objective: a prompt alone makes no gap, and two that
+	// StreamDelayFraction is the fraction of the gap target that the prefill of a prompt may take before it costs
+	// as much again for each long answer behind it. It is twice the target: a prompt alone makes no gap, and two that
 	// coincide do.
 	StreamDelayFraction float64
 	// RecomputeFactor is how many times its tokens the prefill of a prefix costs that some server has in its cache: it
--- a/internal/router/placement/pool.go
+++ b/internal/router/placement/pool.go
@@ -24,7 +24,7 @@
 	ejections   ejections
 	peerLoadsAt time.Duration // when the other routers' work was last received; 0: never
 	prefillTime prefillEstimate
-	maxGap      time.Duration // the last objective of long answers; 0: none had one
+	maxGap      time.Duration // the last gap target of long answers; 0: none had one
 }
 
 // NewPool returns an empty pool of a router in a zone; prefixTTL is how long a prefix counts as cached after its last
--- a/internal/router/placement/prefill.go
+++ b/internal/router/placement/prefill.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// tokensPerGap is how many tokens the servers read in the objective for gaps of long answers; infinitely many where
-// there is no objective.
+// tokensPerGap is how many tokens the servers read within the gap target of long answers; infinitely many where
+// there is no target.
 func (p *Pool) tokensPerGap() float64 {
 	if p.maxGap == 0 {
 		return math.Inf(1)
--- a/internal/router/placement/request.go
+++ b/internal/router/placement/request.go
@@ -19,7 +19,7 @@
 	PrefixTokens    int             // of its last part, which PrefixKey names, alone
 	PromptTokens    int             // of the complete prompt, 0: unknown
 	MaxOutputTokens int             // that are generated at most
-	MaxGap          time.Duration   // the objective for the time between two parts of the answer; 0: none
+	MaxGap          time.Duration   // gap target: the longest time between two parts of the answer that is in time; 0: none
 	Tried           map[string]bool // servers that it was sent to, by ID
 }
 
--- a/internal/router/replication/disk.go
+++ b/internal/router/replication/disk.go
@@ -42,7 +42,7 @@
 }
 
 func (r *Replica) save(entry *Entry, asSnapshot bool, onDurable func()) {
-	if r.Witness {
+	if r.Diskless {
 		if onDurable != nil {
 			onDurable()
 		}
@@ -75,7 +75,8 @@
 	}
 }
 
-// Saved reports that a save, and all before it, is on the disk.
+// Saved reports that a save is on the disk, and with it all before it. What an earlier save was to do that was not
+// reported by itself is dropped.
 func (r *Replica) Saved(number uint64, now time.Duration) {
 	r.now = now
 	r.disk.failed = false
--- a/internal/router/replication/election.go
+++ b/internal/router/replication/election.go
@@ -51,7 +51,7 @@
 
 // campaign begins a candidacy for the next epoch. It does nothing without a working disk.
 func (r *Replica) campaign(force bool) {
-	if r.Witness || r.diskStalled() {
+	if r.Diskless || r.diskStalled() {
 		return
 	}
 	r.follower.incomingSnapshot = incomingSnapshot{}
--- a/internal/router/replication/eligible.go
+++ b/internal/router/replication/eligible.go
@@ -27,7 +27,7 @@
 // the first start.
 func (r *Replica) voters() []string {
 	var ids []string
-	if !r.Witness {
+	if !r.Diskless {
 		ids = append(ids, r.Self.ID)
 	}
 	if r.hard.Genesis && slices.Contains(r.Seeds, r.Self.Address) {
--- a/internal/router/replication/heartbeat.go
+++ b/internal/router/replication/heartbeat.go
@@ -84,7 +84,7 @@
 		Promised:   r.hard.Promised,
 		KnownEpoch: r.knownView.Epoch,
 		DiskFails:  r.diskStalled(),
-		HasDisk:    !r.Witness,
+		HasDisk:    !r.Diskless,
 		Position:   r.disk.durablePosition,
 		Leaving:    r.leaving,
 	}
--- a/internal/router/replication/learner.go
+++ b/internal/router/replication/learner.go
@@ -16,7 +16,7 @@
 // acceptsCatchUp reports whether this replica adopts the state that a primary of an epoch sends it: it follows that
 // epoch, whose view is in force without it in the in-sync set, so nothing that was acknowledged depends on what it has.
 func (r *Replica) acceptsCatchUp(epoch Epoch) bool {
-	follows := r.role == follower && !r.Witness &&
+	follows := r.role == follower && !r.Diskless &&
 		r.hard.Promised == epoch && r.hard.Accepted.Epoch == epoch && r.knownView.Epoch == epoch
 	return follows && !r.hard.Accepted.joint() && !r.knownView.inSync(r.Self.ID)
 }
--- a/internal/router/replication/mutation_test.go
+++ b/internal/router/replication/mutation_test.go
@@ -12,7 +12,7 @@
 func TestGuardsOfTheCode(t *testing.T) {
 	const here = "petrelhook/internal/router/replication"
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"the epoch of an entry": {"internal/router/replication/proposals.go", "if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Witness {", "if r.Witness {",
+		"the epoch of an entry": {"internal/router/replication/proposals.go", "if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Diskless {", "if r.Diskless {",
 			here, "TestAnEntryOfAnEpochThatWasLeft"},
 		"read confirmation": {"internal/router/replication/reads.go", "	r.confirmThenAnswer(token, Decision{Status: http.StatusOK})", "	r.answer(token, Decision{Status: http.StatusOK})",
 			here, "TestAFrozenPrimaryAnswersNoRead"},
@@ -50,7 +50,7 @@
 			here, "TestCatchingUpBesideOrders"},
 		"the epoch of a view": {"internal/router/replication/witness.go", "if m.View.Epoch.Less(r.hard.Promised) {", "if false {",
 			here, "TestAnOlderCandidateIsRejected"},
-		"the epoch of a state": {"internal/router/replication/witness.go", "if m.Epoch.Less(r.hard.Promised) || r.Witness {", "if r.Witness {",
+		"the epoch of a state": {"internal/router/replication/witness.go", "if m.Epoch.Less(r.hard.Promised) || r.Diskless {", "if r.Diskless {",
 			here, "TestAnOlderCandidateIsRejected"},
 		"a candidate could lead": {"internal/router/replication/prevote.go", "|| !newest.inSync(r.Self.ID) ||", "||",
 			here, "TestOnlyOneThatCouldLeadIsACandidate"},
--- a/internal/router/replication/persisted.go
+++ b/internal/router/replication/persisted.go
@@ -3,7 +3,7 @@
 // What a replica keeps on its disk. HardState, Entry and SnapshotRecord, with Epoch, Member, View and Position within
 // them, are encoded by gob under their field names, on disks and in messages: the fields must not be renamed.
 
-// HardState is what a replica must not forget as a witness.
+// HardState is what a replica must not forget as a voter.
 type HardState struct {
 	Promised Epoch // no smaller epoch is followed
 	Accepted View  // the newest view that was accepted
--- a/internal/router/replication/prevote.go
+++ b/internal/router/replication/prevote.go
@@ -26,7 +26,7 @@
 // suspectsPrimary reports whether a follower should become a candidate, if the others agree.
 func (r *Replica) suspectsPrimary() bool {
 	newest := r.newestKnown()
-	if r.role != follower || r.Witness || r.diskStalled() || newest.Epoch.Round == 0 {
+	if r.role != follower || r.Diskless || r.diskStalled() || newest.Epoch.Round == 0 {
 		return false
 	}
 	if r.knownView.Member(r.Self.ID) == nil && r.hard.Accepted.Member(r.Self.ID) == nil {
--- a/internal/router/replication/proposals.go
+++ b/internal/router/replication/proposals.go
@@ -87,7 +87,7 @@
 // epoch than the promised and accepted one is dropped: acknowledged after its epoch was left, it could be missing in
 // the view that follows.
 func (r *Replica) handleReplicate(m Replicate, from string) {
-	if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Witness {
+	if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Diskless {
 		return
 	}
 	if m.Sequence != r.state.position.Sequence+1 {
--- a/internal/router/replication/replica.go
+++ b/internal/router/replication/replica.go
@@ -8,7 +8,7 @@
 // Options say who a replica is. They do not change while it lives.
 type Options struct {
 	Self           Member   // Joined is not used
-	Witness        bool     // it has no disk: it stores nothing, and votes, where it is a seed, for the first view alone
+	Diskless       bool     // it has no disk: it stores nothing, and votes, where it is a seed, for the first view alone
 	Seeds          []string // internal addresses, in the order of the settings
 	Bootstrap      bool     // this is the first start of the whole system
 	FaultTolerance int      // disks that may be lost at one time without losing what was acknowledged
--- a/internal/router/replication/step.go
+++ b/internal/router/replication/step.go
@@ -58,7 +58,7 @@
 
 // tickFollower proposes the first view, or requests pre-votes where the primary is suspected.
 func (r *Replica) tickFollower() {
-	if r.Witness || r.diskStalled() {
+	if r.Diskless || r.diskStalled() {
 		return
 	}
 	if r.noViewYet() {
--- a/internal/router/replication/witness.go
+++ b/internal/router/replication/witness.go
@@ -44,7 +44,7 @@
 
 // handleSync adopts a candidate's state, and acknowledges it once it is on the disk.
 func (r *Replica) handleSync(m Sync, from string) {
-	if m.Epoch.Less(r.hard.Promised) || r.Witness {
+	if m.Epoch.Less(r.hard.Promised) || r.Diskless {
 		return
 	}
 	r.adoptEpoch(m.Epoch)
--- a/internal/router/storage/storage.go
+++ b/internal/router/storage/storage.go
@@ -1,4 +1,4 @@
-// Package storage keeps a replica's state on its disk: what a witness must not forget, the last snapshot, and the
+// Package storage keeps a replica's state on its disk: what a voter must not forget, the last snapshot, and the
 // entries since. It also keeps caches, files that may be lost (WriteCache). It does not know what the entries mean.
 //
 // The state is one bbolt file, in which a transaction is there completely or not at all. The design note says why it is
