--- a/cmd/petrelhook-router/commands.go
+++ b/cmd/petrelhook-router/commands.go
@@ -58,7 +58,7 @@
 	}
 	s, err := settings.Load(path)
 	if err != nil {
-		return cli.Exit(err, exitFailure)
+		return failure(err)
 	}
 	fmt.Fprintf(c.Root().Writer, "%s: %s in zone %s: fit\n", path, s.NodeName, s.Zone)
 	return nil
@@ -68,12 +68,15 @@
 func checkDeploy(c *cli.Command, path string) error {
 	d, err := settings.LoadDeploy(path)
 	if err != nil {
-		return cli.Exit(err, exitFailure)
+		return failure(err)
 	}
 	fmt.Fprintf(c.Root().Writer, "%s: roles %s: fit\n", path, strings.Join(d.RoleNames(), ", "))
 	return nil
 }
 
+// failure is a command's error, by its text alone: cli.Exit would add the stack traces that errors of cockroachdb/errors have.
+func failure(err error) error { return cli.Exit(err.Error(), exitFailure) }
+
 // diskState is what the state command prints; the names are those of its JSON form, in alphabetical order.
 type diskState struct {
 	Accepted   replication.View
@@ -92,12 +95,12 @@
 	}
 	persisted, err := storage.Inspect(folder)
 	if err != nil {
-		return cli.Exit(err, exitFailure)
+		return failure(err)
 	}
 	register := operatorapi.NewRegister()
 	if len(persisted.Snapshot.Data) > 0 {
 		if err := register.Restore(persisted.Snapshot.Data); err != nil {
-			return cli.Exit(err, exitFailure)
+			return failure(err)
 		}
 	}
 	position := persisted.Snapshot.Position
@@ -120,7 +123,7 @@
 	var got node.Status
 	answer, err := call(address).Get(node.StatusPath).ReceiveSuccess(&got)
 	if err != nil {
-		return cli.Exit(err, exitFailure)
+		return failure(err)
 	}
 	_ = answer.Body.Close() // it was read, and closed by sling
 	if answer.StatusCode != http.StatusOK {
@@ -144,7 +147,7 @@
 	}
 	answer, err := (&http.Client{Timeout: callTimeout}).Do(request)
 	if err != nil {
-		return cli.Exit(err, exitFailure)
+		return failure(err)
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
@@ -173,7 +176,7 @@
 	}
 	s, err := settings.Load(os.Getenv(settings.Variable))
 	if err != nil {
-		return cli.Exit(err, exitFailure)
+		return failure(err)
 	}
 	if s.Limits.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitFraction * megabyte * float64(s.Limits.MemoryMb)))
@@ -185,7 +188,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 	if err := node.New(s, logger).Run(ctx, reload, settings.Load); err != nil {
-		return cli.Exit(err, exitFailure)
+		return failure(err)
 	}
 	return nil
 }
