--- a/internal/router/gateway/account.go
+++ b/internal/router/gateway/account.go
@@ -58,7 +58,7 @@
 	case !req.attempts.mayHaveRun:
 		return latency.RefusedServer
 	case result == expired:
-		return latency.LostTime
+		return latency.LostTimeout
 	}
 	return latency.LostBroken
 }
--- a/internal/router/latency/trace.go
+++ b/internal/router/latency/trace.go
@@ -33,7 +33,7 @@
 	RefusedEnding Reason = "refused_ending"
 	RefusedServer Reason = "refused_no_server"
 	RefusedStart  Reason = "refused_start"
-	LostTime      Reason = "lost_out_of_time"
+	LostTimeout   Reason = "lost_out_of_time"
 	LostBroken    Reason = "lost_broken_off"
 	ClientGone    Reason = "client_gone"
 
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -157,7 +157,7 @@
 // notify passes an event to the module. That the module rejected it is logged, and changes nothing for the caller.
 func (l *Loop) notify(event balance.Event) { _ = l.handle(event) }
 
-// carryOut carries out actions of the module, in their order. What ends at once is deferred until all are carried out.
+// carryOut carries out actions of the module, in their order. An attempt that ends at once is reported to the module after all of them.
 func (l *Loop) carryOut(actions []balance.Action) {
 	for i := range actions {
 		a := &actions[i]
--- a/internal/sidecar/progress/progress.go
+++ b/internal/sidecar/progress/progress.go
@@ -5,7 +5,7 @@
 import "time"
 
 // Deadline is the moving deadline of one transfer. A peer that makes no progress has until Interval after the last; one that
-// transfers at least MinBytes in every Interval never meets its deadline. It is not safe for concurrent use.
+// transfers at least MinBytes in every Interval is never timed out. It is not safe for concurrent use.
 type Deadline struct {
 	MinBytes int64
 	Interval time.Duration
--- a/internal/sidecar/progress/progress_test.go
+++ b/internal/sidecar/progress/progress_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A peer with the same mean rate, in chunks of any size, never meets its deadline; one that stops, or is too slow, does in time.
+// A peer with the same mean rate, in chunks of any size, is never timed out; one that stops, or is too slow, is in time.
 func TestDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name  string
