--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -63,7 +63,7 @@
 	for ctx.Err() == nil {
 		held, err := client.Hold(ctx, LeaseName)
 		if err != nil {
-			rpc.Pause(ctx, d.Interval)
+			rpc.Sleep(ctx, d.Interval)
 			continue
 		}
 		d.driveWith(ctx, held)
--- a/internal/coordination/fleet/caller.go
+++ b/internal/coordination/fleet/caller.go
@@ -57,7 +57,7 @@
 			return nil, fmt.Errorf("%s: %w", addr, err)
 		}
 		c.moveOn(leader)
-		if !rpc.Pause(ctx, withJitter(delay)) {
+		if !rpc.Sleep(ctx, withJitter(delay)) {
 			return nil, fmt.Errorf("%s: %w: %w", addr, err, context.Cause(ctx))
 		}
 	}
--- a/internal/coordination/fleet/peer.go
+++ b/internal/coordination/fleet/peer.go
@@ -78,7 +78,7 @@
 			return
 		}
 		p.server.post(func() { p.server.core.ReportUnreachable(p.id) })
-		if !rpc.Pause(ctx, peerRetryDelay) {
+		if !rpc.Sleep(ctx, peerRetryDelay) {
 			return
 		}
 	}
--- a/internal/coordination/release/rules.go
+++ b/internal/coordination/release/rules.go
@@ -66,8 +66,8 @@
 	{"settings.tenants[*]", alwaysKind(SideBySide, "one that a sidecar does not know has no allowance there")},
 	{"settings.tenants[*].allowance_per_s", alwaysKind(SideBySide, localShare)},
 	{"settings.tenants[*].share", alwaysKind(SideBySide, localShare)},
-	{"settings.zones*", keptList("zones")},
-	{"settings.kinds*", keptList("kinds of servers")},
+	{"settings.zones*", immutableList("zones")},
+	{"settings.kinds*", immutableList("kinds of servers")},
 	{"settings.zone", alwaysKind(Refused, "a sidecar does not move: start it elsewhere")},
 	{"settings.discovery", alwaysKind(TwoSteps, "lists are polled or pushed: first discovery must do both, then change the sidecars, then end the old way")},
 	{"settings.my_number", alwaysKind(Refused, "it is one sidecar's own")},
@@ -113,8 +113,8 @@
 	return Refused, "what was learned is handed over by position: keep the order, add at the end and remove from the end"
 }
 
-// keptList classifies an ordered list that must not change.
-func keptList(of string) func(any, any) (Kind, string) {
+// immutableList classifies an ordered list that must not change.
+func immutableList(of string) func(any, any) (Kind, string) {
 	return alwaysKind(Refused, "what was learned of "+of+" is handed over by position: keep the list, or restart from nothing")
 }
 
--- a/internal/coordination/rpc/pause.go
+++ b/internal/coordination/rpc/sleep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause waits before the next attempt of a call. It returns false when ctx has ended.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep waits before the next attempt of a call. It returns false when ctx has ended.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/coordination/rpc/pause_test.go
+++ b/internal/coordination/rpc/sleep_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A pause that passes lets the caller go on; a context that has ended, before or meanwhile, does not.
-func TestPause(t *testing.T) {
+// A wait that passes lets the caller go on; a context that has ended, before or meanwhile, does not.
+func TestSleep(t *testing.T) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	soon, cancel := context.WithTimeout(context.Background(), time.Millisecond)
@@ -21,7 +21,7 @@
 		{ended, 0, false}, {ended, time.Hour, false}, {soon, time.Hour, false},
 	} {
 		began := time.Now()
-		if got := Pause(c.ctx, c.d); got != c.want || got && time.Since(began) < c.d {
+		if got := Sleep(c.ctx, c.d); got != c.want || got && time.Since(began) < c.d {
 			t.Errorf("%v, %v: %v after %v", c.ctx, c.d, got, time.Since(began))
 		}
 	}
--- a/internal/coordination/subscribe/subscribe.go
+++ b/internal/coordination/subscribe/subscribe.go
@@ -92,7 +92,7 @@
 	background.Go(func() { c.sendReports(ctx, watches) })
 	for {
 		at, _ := s.NextCallAt()
-		if !rpc.Pause(ctx, at-now()) {
+		if !rpc.Sleep(ctx, at-now()) {
 			return
 		}
 		call := s.Begin(now())
@@ -175,7 +175,7 @@
 			continue // that call carries the reports that there are
 		case <-c.wake:
 		}
-		if !rpc.Pause(ctx, reportDelay) { // reports that come together are sent together
+		if !rpc.Sleep(ctx, reportDelay) { // reports that come together are sent together
 			continue
 		}
 		select {
