--- a/internal/coordination/agent/change.go
+++ b/internal/coordination/agent/change.go
@@ -123,7 +123,7 @@
 		return s.failChange(now, "it ended in its trial"+afterColon(lastLine), true), true
 	case Ending: // the old process is ending too: it is all there is, or there is none
 		s.Phase = Idle
-		s.finishChange("it ended as the one before was told to", true)
+		s.finishChange("it ended while the old process was ending", true)
 		if s.Serving == nil {
 			s.scheduleRestart(now)
 		}
--- a/internal/coordination/agent/sidecar.go
+++ b/internal/coordination/agent/sidecar.go
@@ -28,8 +28,8 @@
 }
 
 // Restore returns the sidecar that continues from the state that an earlier agent persisted. isAlive reports whether a process still
-// runs. A start that was requested last may have been made without being noted in the state: found is its process, nil if it was not
-// made. It must be impossible by then that the start is still made.
+// runs. The last start that was requested may have been made without being noted in the state: found is its process then. nil: it was
+// noted, or not made, and the caller has made sure that it cannot be made any more.
 func Restore(state PersistedState, limits Limits, now time.Duration, isAlive func(Process) bool, found *Process) (s *Sidecar, actions []Action) {
 	s = &Sidecar{PersistedState: state, limits: limits, isolatedSince: -1}
 	if found != nil && s.Terminating != nil && found.PID == s.Terminating.PID && found.StartTicks == s.Terminating.StartTicks {
@@ -144,7 +144,7 @@
 	case now < s.deadline:
 		return nil
 	case !s.nextReady:
-		return s.failChange(now, "it said no at the end of its trial", true)
+		return s.failChange(now, "not ready at the end of its trial", true)
 	case s.Serving == nil:
 		s.promote()
 		return nil // the next tick does what follows
--- a/internal/coordination/machine/recorded_test.go
+++ b/internal/coordination/machine/recorded_test.go
@@ -73,7 +73,7 @@
 		t.Errorf("the process of another agent was touched: %+v", serving)
 	}
 
-	found, err := claim(filepath.Join(c.Data, "start-n0-3"))
+	found, err := resolveStart(filepath.Join(c.Data, "start-n0-3"))
 	if err != nil || found == nil || *found != (agent.Process{PID: 18162, StartTicks: 79747}) {
 		t.Errorf("%+v, %v", found, err)
 	}
--- a/internal/coordination/machine/sidecar.go
+++ b/internal/coordination/machine/sidecar.go
@@ -79,7 +79,7 @@
 	if state.StartCount == 0 || !undecided {
 		return nil, nil
 	}
-	found, err := claim(m.startFile(managed, claimFile, state.StartCount))
+	found, err := resolveStart(m.startFile(managed, claimFile, state.StartCount))
 	if found == nil || err != nil {
 		return nil, err
 	}
--- a/internal/coordination/machine/start.go
+++ b/internal/coordination/machine/start.go
@@ -28,14 +28,14 @@
 	if err != nil {
 		return err
 	}
-	if err := link(claimFile, fmt.Sprintf("%d %d", os.Getpid(), ticks)); err != nil {
+	if err := createExclusive(claimFile, fmt.Sprintf("%d %d", os.Getpid(), ticks)); err != nil {
 		return fmt.Errorf("this start is not to be made any more: %w", err)
 	}
 	return syscall.Exec(program, append([]string{program}, args...), os.Environ())
 }
 
-// link makes a file with all of its text, or fails with os.ErrExist.
-func link(path, text string) error {
+// createExclusive creates path with its whole text at once; os.ErrExist where there is such a file.
+func createExclusive(path, text string) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".start-")
 	if err != nil {
 		return err
@@ -48,9 +48,9 @@
 	return os.Link(f.Name(), path)
 }
 
-// claim returns the process of a start, nil if it was not made; then it will not be made.
-func claim(claimFile string) (*agent.Process, error) {
-	err := link(claimFile, claimedByAgent)
+// resolveStart returns the process of a start. Where none was made it makes sure that none ever is, and returns nil.
+func resolveStart(claimFile string) (*agent.Process, error) {
+	err := createExclusive(claimFile, claimedByAgent)
 	if !errors.Is(err, os.ErrExist) {
 		return nil, err
 	}
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -79,10 +79,10 @@
 		t.Fatal(out)
 	}
 	for range 2 {
-		if p, err := claim(made); err != nil || p == nil || p.PID != pid || p.StartTicks == 0 || Lives(*p) {
+		if p, err := resolveStart(made); err != nil || p == nil || p.PID != pid || p.StartTicks == 0 || Lives(*p) {
 			t.Errorf("%v, %v", p, err)
 		}
-		if p, err := claim(unmade); err != nil || p != nil {
+		if p, err := resolveStart(unmade); err != nil || p != nil {
 			t.Errorf("%v, %v", p, err)
 		}
 	}
