--- a/internal/sidecar/wiring/news_test.go
+++ b/internal/sidecar/wiring/news_test.go
@@ -70,140 +70,203 @@
 	return n
 }
 
+// scriptedCall plays what discovery does on one connection once it has read the request.
+type scriptedCall = func(*scriptedDiscovery, net.Conn)
+
+const (
+	knownGeneration   = 41 // of the list that the sidecar starts with
+	changedGeneration = 42 // of the list that has to arrive in time
+	olderGeneration   = 3
+
+	okHead = "HTTP/1.1 200 OK\r\n\r\n" // what follows lasts until the connection ends
+)
+
+// listOf is the complete list of a generation, as a line of a response of discovery.
+func listOf(generation int) string {
+	return peertest.Catalog(generation, true, peertest.Instance("s", "127.0.0.1:80", "up")) + "\n"
+}
+
+// answerSlowly sends the changed list as late as discovery may.
+func answerSlowly(_ *scriptedDiscovery, conn net.Conn) {
+	time.Sleep(slowestAnswer)
+	io.WriteString(conn, okHead+listOf(changedGeneration))
+	holdOpen(conn)
+}
+
+// neverAnswer reads the request and sends nothing.
+func neverAnswer(p *scriptedDiscovery, conn net.Conn) {
+	p.setReachable()
+	holdOpen(conn)
+}
+
+// sendKnownList sends the list that the sidecar has, and then nothing.
+func sendKnownList(p *scriptedDiscovery, conn net.Conn) {
+	io.WriteString(conn, okHead+listOf(knownGeneration))
+	p.setReachable()
+	holdOpen(conn)
+}
+
+// sendThenHang sends a text, which isn't the changed list, and then nothing.
+func sendThenHang(text string) scriptedCall {
+	return func(p *scriptedDiscovery, conn net.Conn) {
+		p.setReachable()
+		io.WriteString(conn, text)
+		holdOpen(conn)
+	}
+}
+
+// sendByteByByte sends the changed list at a pace at which it would take minutes.
+func sendByteByByte(p *scriptedDiscovery, conn net.Conn) {
+	p.setReachable()
+	io.WriteString(conn, okHead)
+	for _, b := range []byte(listOf(changedGeneration)) {
+		if _, err := conn.Write([]byte{b}); err != nil {
+			return
+		}
+		time.Sleep(time.Second)
+	}
+}
+
+// reloadThenHang moves the sidecar to the second address of discovery, and answers nothing.
+func reloadThenHang(p *scriptedDiscovery, conn net.Conn) {
+	p.setReachable()
+	p.move()
+	holdOpen(conn)
+}
+
+func answerBusy(_ *scriptedDiscovery, conn net.Conn) {
+	io.WriteString(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+}
+
+// resetConnection has the connection end with a reset, as soon as the call returns.
+func resetConnection(_ *scriptedDiscovery, conn net.Conn) {
+	conn.(interface{ SetLinger(int) error }).SetLinger(0)
+}
+
+// failingForAMinute is the script of a discovery that fails each call of its first minute. Where fail is nil, dials get no answer in that time.
+func failingForAMinute(fail scriptedCall) []scriptedCall {
+	first := func(p *scriptedDiscovery, conn net.Conn) {
+		p.mu.Lock()
+		p.unreachable = fail == nil
+		p.mu.Unlock()
+		p.setReachableFrom(time.Now().Add(time.Minute))
+		if fail != nil {
+			fail(p, conn)
+		}
+	}
+	later := func(p *scriptedDiscovery, conn net.Conn) {
+		if p.reachableFor() < 0 {
+			fail(p, conn)
+			return
+		}
+		answerSlowly(p, conn)
+	}
+	return []scriptedCall{first, later}
+}
+
 // Whatever failed before, a change of the list arrives in time. Each case scripts discovery from its first call on, and notes from when on
-// the change could be reported.
+// the change could be reported. The last call of a script is repeated.
 func TestChangesArriveInTime(t *testing.T) {
-	const head = "HTTP/1.1 200 OK\r\n\r\n"
-	list := func(generation int) string {
-		return peertest.Catalog(generation, true, peertest.Instance("s", "127.0.0.1:80", "up")) + "\n"
+	noList := sendThenHang(okHead)
+	halfAList := sendThenHang(okHead + listOf(changedGeneration)[:40])
+	olderList := sendThenHang(okHead + listOf(olderGeneration))
+	for name, script := range map[string][]scriptedCall{
+		"silent after a line":    {sendKnownList, answerSlowly},
+		"taken and not answered": {neverAnswer, answerSlowly},
+		"... after failures": {answerBusy, resetConnection, answerBusy, resetConnection, answerBusy,
+			neverAnswer, answerSlowly},
+		"opened without a list":       {noList, answerSlowly},
+		"half a list":                 {halfAList, answerSlowly},
+		"a list in drops":             {sendByteByByte, answerSlowly},
+		"an older list":               {sendKnownList, olderList, answerSlowly},
+		"silent, then moved by a HUP": {sendKnownList, reloadThenHang},
+		"busy for long":               failingForAMinute(answerBusy),
+		"resets for long":             failingForAMinute(resetConnection),
+		"out of reach for long":       failingForAMinute(nil),
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { checkChangeArrivesInTime(t, script) })
+		})
 	}
-	answers := func(_ *scriptedDiscovery, c net.Conn) {
-		time.Sleep(slowestAnswer)
-		io.WriteString(c, head+list(42))
-		holdOpen(c)
+}
+
+// checkChangeArrivesInTime runs a sidecar, in simulated time, against a discovery that plays a script.
+func checkChangeArrivesInTime(t *testing.T, script []scriptedCall) {
+	t.Helper()
+	p := &scriptedDiscovery{calls: map[string]int{}}
+	network := memnet.New(200 * time.Microsecond)
+	var played sync.WaitGroup // the end of a connection takes time to arrive
+	p.serve(t, network, "127.0.0.1:82", script, &played)
+	p.serve(t, network, "127.0.0.1:83", []scriptedCall{answerSlowly}, &played)
+
+	sidecar, listener := newScriptedSidecar(t, network, p)
+	p.move = func() { sidecar.core.Replace(sidecar.source("127.0.0.1:83")) }
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	defer func() { cancel(); <-ended; played.Wait() }()
+	go func() { ended <- sidecar.Run(ctx, listener, nil, nil) }()
+
+	for time.Sleep(time.Millisecond); p.reachableFor() < 0; time.Sleep(time.Millisecond) {
 	}
-	silent := func(p *scriptedDiscovery, c net.Conn) {
-		io.WriteString(c, head+list(41))
-		p.setReachable()
-		holdOpen(c)
+	for sidecar.core.Stats().Generation != changedGeneration {
+		if p.reachableFor() > maxUpdateDelay {
+			t.Fatalf("the change has not arrived after %v", maxUpdateDelay)
+		}
+		time.Sleep(10 * time.Millisecond)
 	}
-	taken := func(p *scriptedDiscovery, c net.Conn) { p.setReachable(); holdOpen(c) }
-	noList := func(p *scriptedDiscovery, c net.Conn) { p.setReachable(); io.WriteString(c, head); holdOpen(c) }
-	half := func(p *scriptedDiscovery, c net.Conn) {
-		p.setReachable()
-		io.WriteString(c, head+list(42)[:40])
-		holdOpen(c)
+	t.Logf("after %v", p.reachableFor().Round(10*time.Millisecond))
+}
+
+// newScriptedSidecar is a sidecar that knows the list of knownGeneration and watches discovery at 127.0.0.1:82, and the listener to run it on.
+func newScriptedSidecar(t *testing.T, network *memnet.Network, p *scriptedDiscovery) (*Sidecar, net.Listener) {
+	t.Helper()
+	cfg, err := config.Parse("test", []byte(fmt.Sprintf(
+		`{"name":"n0","listen":"127.0.0.1:81","discovery":"127.0.0.1:82","seed":"1f","known":%s,"settings":%s}`,
+		listOf(knownGeneration), peertest.Settings)))
+	if err != nil {
+		t.Fatal(err)
 	}
-	busy := func(_ *scriptedDiscovery, c net.Conn) {
-		io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+	listener, err := network.Listen(cfg.Listen)
+	if err != nil {
+		t.Fatal(err)
 	}
-	reset := func(_ *scriptedDiscovery, c net.Conn) { c.(interface{ SetLinger(int) error }).SetLinger(0) }
-	older := func(p *scriptedDiscovery, c net.Conn) { p.setReachable(); io.WriteString(c, head+list(3)); holdOpen(c) }
-	drops := func(p *scriptedDiscovery, c net.Conn) { // it would take minutes
-		p.setReachable()
-		io.WriteString(c, head)
-		for _, b := range []byte(list(42)) {
-			if _, err := c.Write([]byte{b}); err != nil {
-				return
-			}
-			time.Sleep(time.Second)
+	dial := func(ctx context.Context, protocol, addr string) (net.Conn, error) {
+		if p.isUnreachable() {
+			<-ctx.Done()
+			return nil, errors.Join(ctx.Err(), net.ErrClosed)
 		}
+		return network.Dial(ctx, protocol, addr)
 	}
-	moves := func(p *scriptedDiscovery, c net.Conn) { p.setReachable(); p.move(); holdOpen(c) }
-	type call = func(*scriptedDiscovery, net.Conn)
-	cases := map[string][]call{
-		"silent after a line":         {silent, answers},
-		"taken and not answered":      {taken, answers},
-		"... after failures":          {busy, reset, busy, reset, busy, taken, answers},
-		"opened without a list":       {noList, answers},
-		"half a list":                 {half, answers},
-		"a list in drops":             {drops, answers},
-		"an older list":               {silent, older, answers},
-		"silent, then moved by a HUP": {silent, moves},
+	return New(&cfg, dial, slog.New(slog.DiscardHandler)), listener
+}
+
+// serve plays a script at an address, one call of it a connection, until the test ends. Each connection that is served counts in played.
+func (p *scriptedDiscovery) serve(t *testing.T, network *memnet.Network, addr string, script []scriptedCall, played *sync.WaitGroup) {
+	t.Helper()
+	listener, err := network.Listen(addr)
+	if err != nil {
+		t.Fatal(err)
 	}
-	for _, c := range []struct {
-		name string
-		fail call
-	}{{"busy for long", busy}, {"resets for long", reset}, {"out of reach for long", nil}} {
-		cases[c.name] = []call{func(p *scriptedDiscovery, conn net.Conn) {
-			p.mu.Lock()
-			p.unreachable = c.fail == nil
-			p.mu.Unlock()
-			p.setReachableFrom(time.Now().Add(time.Minute)) // it is back in a minute
-			if c.fail != nil {
-				c.fail(p, conn)
-			}
-		}, func(p *scriptedDiscovery, conn net.Conn) {
-			if p.reachableFor() < 0 {
-				c.fail(p, conn)
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
 				return
 			}
-			answers(p, conn)
-		}}
-	}
-	for name, script := range cases {
-		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				p := &scriptedDiscovery{calls: map[string]int{}}
-				n := memnet.New(200 * time.Microsecond)
-				var played sync.WaitGroup // the end of a connection takes time to arrive
-				discovery := func(addr string, script []call) {
-					ln, err := n.Listen(addr)
-					if err != nil {
-						t.Fatal(err)
-					}
-					t.Cleanup(func() { ln.Close() })
-					go func() {
-						for {
-							c, err := ln.Accept()
-							if err != nil {
-								return
-							}
-							played.Go(func() {
-								defer c.Close()
-								if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
-									return
-								}
-								script[min(p.countCall(addr), len(script)-1)](p, c)
-							})
-						}
-					}()
-				}
-				discovery("127.0.0.1:82", script)
-				discovery("127.0.0.1:83", []call{answers})
-				dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
-					if p.isUnreachable() {
-						<-ctx.Done()
-						return nil, errors.Join(ctx.Err(), net.ErrClosed)
-					}
-					return n.Dial(ctx, network, addr)
-				}
-				cfg, err := config.Parse("test", []byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:81","discovery":"127.0.0.1:82","seed":"1f","known":%s,"settings":%s}`,
-					list(41), peertest.Settings)))
-				if err != nil {
-					t.Fatal(err)
-				}
-				ln, err := n.Listen(cfg.Listen)
-				if err != nil {
-					t.Fatal(err)
-				}
-				side, ended := New(&cfg, dial, slog.New(slog.DiscardHandler)), make(chan error, 1)
-				p.move = func() { side.core.Replace(side.source("127.0.0.1:83")) }
-				stop, end := context.WithCancel(t.Context())
-				defer func() { end(); <-ended; played.Wait() }()
-				go func() { ended <- side.Run(stop, ln, nil, nil) }()
-				for time.Sleep(time.Millisecond); p.reachableFor() < 0; time.Sleep(time.Millisecond) {
-				}
-				for side.core.Stats().Generation != 42 {
-					if p.reachableFor() > maxUpdateDelay {
-						t.Fatalf("the change has not arrived after %v", maxUpdateDelay)
-					}
-					time.Sleep(10 * time.Millisecond)
-				}
-				t.Logf("after %v", p.reachableFor().Round(10*time.Millisecond))
-			})
-		})
+			played.Go(func() { p.play(conn, addr, script) })
+		}
+	}()
+}
+
+// play reads the request of a connection, and plays the call that is due at this address.
+func (p *scriptedDiscovery) play(conn net.Conn, addr string, script []scriptedCall) {
+	defer conn.Close()
+	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
+		return
 	}
+	call := script[min(p.countCall(addr), len(script)-1)]
+	call(p, conn)
 }
 
 // holdOpen keeps a connection open until the other side closes it.
