--- a/internal/sidecar/wiring/drain_test.go
+++ b/internal/sidecar/wiring/drain_test.go
@@ -18,93 +18,130 @@
 	"petrelhook/internal/sidecar/lifecycle"
 )
 
+const (
+	drainAddr = "127.0.0.1:80" // of the server
+	// A stream is requested streamHead before the drain, and lasts until about the time after its begin that its trace ID says.
+	streamHead  = time.Second
+	streamBytes = 600_000
+)
+
+// drainRig is a sidecar on a simulated network, and a server whose responses end at a given time.
+type drainRig struct {
+	t       *testing.T
+	network *memnet.Network
+	sidecar *Sidecar
+	addr    string // of the sidecar
+}
+
+// startDrainRig runs the server and the sidecar until the test ends.
+func startDrainRig(t *testing.T) *drainRig {
+	t.Helper()
+	network := memnet.New(200 * time.Microsecond)
+	servers, err := network.Listen(drainAddr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := &http.Server{Handler: http.HandlerFunc(streamUntilTraceTime)}
+	go server.Serve(servers)
+	t.Cleanup(func() { server.Close() })
+
+	cfg, err := config.Parse("test", []byte(fmt.Sprintf(
+		`{"name":"n0","listen":"127.0.0.1:81","discovery":"127.0.0.1:82","seed":"1f","known":%s,"settings":%s}`,
+		catalogOf([]string{drainAddr}), peertest.Settings)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener, err := network.Listen(cfg.Listen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sidecar, ended := New(&cfg, network.Dial, slog.New(slog.DiscardHandler)), make(chan error, 1)
+	ctx, cancel := context.WithCancel(t.Context())
+	go func() { ended <- sidecar.Run(ctx, listener, nil, nil) }()
+	t.Cleanup(func() { cancel(); <-ended })
+	synctest.Wait()
+	return &drainRig{t: t, network: network, sidecar: sidecar, addr: cfg.Listen}
+}
+
+// streamUntilTraceTime writes a response of streamBytes that ends when the trace ID says, a duration from the drain on. Without a duration
+// the response is short.
+func streamUntilTraceTime(w http.ResponseWriter, req *http.Request) {
+	until, err := time.ParseDuration(req.Header.Get("X-Trace-Id"))
+	if err != nil {
+		io.WriteString(w, "hi")
+		return
+	}
+	w.Header().Set("Content-Length", fmt.Sprint(streamBytes))
+	w.Write(make([]byte, streamBytes/2))
+	http.NewResponseController(w).Flush()
+	const parts = 10
+	for range parts { // a pace that is served
+		time.Sleep((until + streamHead) / parts)
+		w.Write(make([]byte, streamBytes/2/parts))
+		http.NewResponseController(w).Flush()
+	}
+}
+
+// drainClient is a client's connection, and the response that it is reading.
+type drainClient struct {
+	net.Conn
+	in       *bufio.Reader
+	response *http.Response
+}
+
+// stream requests a response that ends that long after the drain, and reads its head, which keeps the connection open.
+func (r *drainRig) stream(until time.Duration) *drainClient {
+	r.t.Helper()
+	conn, err := r.network.Dial(r.t.Context(), "tcp", r.addr)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	client := &drainClient{Conn: conn, in: bufio.NewReader(conn)}
+	io.WriteString(client, lookRequest(fmt.Sprint(until.Milliseconds(), "ms")))
+	if client.response, err = http.ReadResponse(client.in, nil); err != nil || client.response.Close {
+		r.t.Fatalf("%v, %v", client.response, err)
+	}
+	return client
+}
+
 // An evacuation begins while two responses are relayed, whose heads were written before and keep their connections open. One response ends
 // just before 4 s and its client sends a request at once: that is served, and ends the connection. The other client sends nothing more, and
 // its connection is closed before 4 s.
 func TestTheLastMomentOfADrain(t *testing.T) {
+	const (
+		drainTime = 4 * time.Second
+		late      = 3800 * time.Millisecond // both streams end after it
+	)
 	synctest.Test(t, func(t *testing.T) {
-		n := memnet.New(200 * time.Microsecond)
-		servers, err := n.Listen("127.0.0.1:80")
-		if err != nil {
-			t.Fatal(err)
-		}
-		var out time.Time // when clients were sent away
-		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-			until, err := time.ParseDuration(req.Header.Get("X-Trace-Id"))
-			if err != nil {
-				io.WriteString(w, "hi")
-				return
-			}
-			w.Header().Set("Content-Length", "600000")
-			w.Write(make([]byte, 300_000))
-			http.NewResponseController(w).Flush()
-			for sent := 0; sent < 300_000; sent += 30_000 { // a pace that is served
-				time.Sleep((until + time.Second) / 10) // begun 1 s before
-				w.Write(make([]byte, 30_000))
-				http.NewResponseController(w).Flush()
-			}
-		})}
-		go server.Serve(servers)
-		defer server.Close()
-
-		cfg, err := config.Parse("test", []byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:81","discovery":"127.0.0.1:82","seed":"1f","known":%s,"settings":%s}`,
-			catalogOf([]string{"127.0.0.1:80"}), peertest.Settings)))
-		if err != nil {
-			t.Fatal(err)
-		}
-		ln, err := n.Listen(cfg.Listen)
-		if err != nil {
-			t.Fatal(err)
-		}
-		side, ended := New(&cfg, n.Dial, slog.New(slog.DiscardHandler)), make(chan error, 1)
-		stop, end := context.WithCancel(t.Context())
-		defer func() { end(); <-ended }()
-		go func() { ended <- side.Run(stop, ln, nil, nil) }()
-		synctest.Wait()
-
-		type conn struct {
-			net.Conn
-			in *bufio.Reader
-		}
-		stream := func(trace string) (c conn, resp *http.Response) {
-			nc, err := n.Dial(t.Context(), "tcp", cfg.Listen)
-			if err != nil {
-				t.Fatal(err)
-			}
-			c = conn{nc, bufio.NewReader(nc)}
-			io.WriteString(c, lookRequest(trace))
-			if resp, err = http.ReadResponse(c.in, nil); err != nil || resp.Close {
-				t.Fatalf("%v, %v", resp, err)
-			}
-			return c, resp
-		}
+		r := startDrainRig(t)
 		began := time.Now()
-		asks, asksResp := stream("3870ms")
-		quiet, quietResp := stream("3860ms")
-		defer asks.Close()
+		asking, quiet := r.stream(3870*time.Millisecond), r.stream(3860*time.Millisecond)
+		defer asking.Close()
 		defer quiet.Close()
-		time.Sleep(time.Second - time.Since(began))
-		side.lifecycle.Apply(lifecycle.Evacuate)
-		out = time.Now()
-		gone := make(chan time.Duration, 1)
+		time.Sleep(streamHead - time.Since(began))
+		r.sidecar.lifecycle.Apply(lifecycle.Evacuate)
+		drainBegan := time.Now()
+
+		quietClosed := make(chan time.Duration, 1)
 		go func() {
-			io.Copy(io.Discard, quietResp.Body)
+			io.Copy(io.Discard, quiet.response.Body)
 			quiet.in.ReadByte()
-			gone <- time.Since(out)
+			quietClosed <- time.Since(drainBegan)
 		}()
-		if got, err := io.Copy(io.Discard, asksResp.Body); err != nil || got != 600_000 || time.Since(out) < 3800*time.Millisecond {
-			t.Fatalf("%d bytes, %v after %v", got, err, time.Since(out))
+		got, err := io.Copy(io.Discard, asking.response.Body)
+		if err != nil || got != streamBytes || time.Since(drainBegan) < late {
+			t.Fatalf("%d bytes, %v after %v", got, err, time.Since(drainBegan))
 		}
-		io.WriteString(asks, lookRequest("again"))
-		if resp, err := http.ReadResponse(asks.in, nil); err != nil || resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("a request after %v: %v, %v", time.Since(out), resp, err)
+		io.WriteString(asking, lookRequest("again"))
+		if resp, err := http.ReadResponse(asking.in, nil); err != nil || resp.StatusCode != 200 || !resp.Close {
+			t.Errorf("a request after %v: %v, %v", time.Since(drainBegan), resp, err)
 		}
-		if after := <-gone; after < 3800*time.Millisecond || after >= 4*time.Second {
+		if after := <-quietClosed; after < late || after >= drainTime {
 			t.Errorf("a connection without a request is closed after %v", after)
 		}
-		time.Sleep(4*time.Second - time.Since(out))
-		if now := side.lifecycle.Status().State(); now != lifecycle.Evacuated || side.front.OpenConnections() != 0 {
-			t.Errorf("at 4 s: %v, %d open", now, side.front.OpenConnections())
+		time.Sleep(drainTime - time.Since(drainBegan))
+		if now := r.sidecar.lifecycle.Status().State(); now != lifecycle.Evacuated || r.sidecar.front.OpenConnections() != 0 {
+			t.Errorf("at %v: %v, %d open", drainTime, now, r.sidecar.front.OpenConnections())
 		}
 	})
 }
