--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -146,68 +147,75 @@
 	}
 }
 
+// scriptedAnswer is what a process answers to a request: a text that carries some sockets, and then the end of the connection or silence.
+type scriptedAnswer struct {
+	text    string
+	sockets int
+	hangs   bool // the connection stays open
+}
+
+// answerOnce gives the answer to the first request at a rendezvous. A connection that hangs is closed at the end of the test.
+func answerOnce(t *testing.T, r Rendezvous, answer scriptedAnswer) {
+	t.Helper()
+	listener, err := r.listen()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	socket, err := listen(t).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { socket.Close() })
+	release := make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	fds := slices.Repeat([]int{int(socket.Fd())}, answer.sockets)
+	go func() {
+		conn, err := listener.AcceptUnix()
+		if err != nil {
+			return
+		}
+		defer conn.Close()
+		io.ReadFull(conn, make([]byte, len(hello())))
+		if answer.text != "" {
+			conn.WriteMsgUnix([]byte(answer.text), syscall.UnixRights(fds...), nil)
+		}
+		if answer.hangs {
+			<-release
+		}
+	}()
+}
+
 // An answer that is not a complete hand-over gives an error and nothing else; a process that does not answer is not waited for beyond the
 // time-out.
 func TestIncompleteHandoverIsAnError(t *testing.T) {
 	good := header([]byte("state"))
 	for name, c := range map[string]struct {
-		says    string
-		sockets int
-		hangs   bool
-		want    string
+		answer scriptedAnswer
+		want   string // in the error's text
 	}{
-		"another version": {strings.Replace(good, " 1 ", " 2 ", 1), 1, false, "another version"},
-		"an older one":    {strings.Replace(good, " 1 ", " 0 ", 1), 1, false, "another version"},
-		"flipped bits":    {good + "stAte", 1, false, "damaged"},
-		"cut short":       {good + "stat", 1, false, "the state"},
-		"half a header":   {good[:9], 1, false, "header"},
-		"no socket":       {good + "state", 0, false, "0 sockets"},
-		"two sockets":     {good + "state", 2, false, "2 sockets"},
-		"nonsense":        {"HTTP/1.1 200 OK\r\n\r\n", 1, false, "no hand-over"},
-		"a huge state":    {"petrelhook handover 1 99999999999 0\n", 1, false, "no hand-over"},
-		"a negative one":  {"petrelhook handover 1 -1 0\n", 1, false, "no hand-over"},
-		"nothing":         {"", 0, false, "EOF"},
-		"silence":         {"", 0, true, "timeout"},
-		"a silent state":  {good + "st", 1, true, "timeout"},
+		"another version": {scriptedAnswer{text: strings.Replace(good, " 1 ", " 2 ", 1), sockets: 1}, "another version"},
+		"an older one":    {scriptedAnswer{text: strings.Replace(good, " 1 ", " 0 ", 1), sockets: 1}, "another version"},
+		"flipped bits":    {scriptedAnswer{text: good + "stAte", sockets: 1}, "damaged"},
+		"cut short":       {scriptedAnswer{text: good + "stat", sockets: 1}, "the state"},
+		"half a header":   {scriptedAnswer{text: good[:9], sockets: 1}, "header"},
+		"no socket":       {scriptedAnswer{text: good + "state", sockets: 0}, "0 sockets"},
+		"two sockets":     {scriptedAnswer{text: good + "state", sockets: 2}, "2 sockets"},
+		"nonsense":        {scriptedAnswer{text: "HTTP/1.1 200 OK\r\n\r\n", sockets: 1}, "no hand-over"},
+		"a huge state":    {scriptedAnswer{text: "petrelhook handover 1 99999999999 0\n", sockets: 1}, "no hand-over"},
+		"a negative one":  {scriptedAnswer{text: "petrelhook handover 1 -1 0\n", sockets: 1}, "no hand-over"},
+		"nothing":         {scriptedAnswer{}, "EOF"},
+		"silence":         {scriptedAnswer{hangs: true}, "timeout"},
+		"a silent state":  {scriptedAnswer{text: good + "st", sockets: 1, hangs: true}, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewRendezvous(t.TempDir(), "n0", "a:1")
-			unix, err := r.listen()
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer unix.Close()
-			file, err := listen(t).File()
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer file.Close()
-			fd := int(file.Fd())
-			release := make(chan struct{})
-			defer close(release)
-			go func() {
-				conn, err := unix.AcceptUnix()
-				if err != nil {
-					return
-				}
-				defer conn.Close()
-				io.ReadFull(conn, make([]byte, len(hello())))
-				var fds []int
-				for range c.sockets {
-					fds = append(fds, fd)
-				}
-				if c.says != "" {
-					conn.WriteMsgUnix([]byte(c.says), syscall.UnixRights(fds...), nil)
-				}
-				if c.hangs {
-					<-release
-				}
-			}()
+			answerOnce(t, r, c.answer)
 			timeout := patience
-			if c.hangs {
+			if c.answer.hangs {
 				timeout = 20 * time.Millisecond
 			}
-			_, err = r.Request(timeout)
+			_, err := r.Request(timeout)
 			if err == nil || errors.Is(err, ErrNoPredecessor) || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%v, want %q", err, c.want)
 			}
