--- a/internal/sidecar/admission/controller_test.go
+++ b/internal/sidecar/admission/controller_test.go
@@ -250,77 +250,130 @@
 	})
 }
 
+// modelState is the state of an open connection in the model. A connection without one is closed, or was never admitted.
+type modelState string
+
+const (
+	modelIdle    modelState = "idle"
+	modelBusy    modelState = "busy"
+	modelClosing modelState = "closing"
+)
+
+// admissionModel is a controller and what its state has to be: a set of the open connections.
+type admissionModel struct {
+	controller *Controller
+	maximum    int
+	now        time.Time
+	open       map[*Conn]modelState
+	all        []*Conn // those that are open, and those that were or weren't admitted
+}
+
+// wait lets up to 5 s pass.
+func (m *admissionModel) wait(t *rapid.T) {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
+}
+
+// connect offers a new connection while any of the others may have a request that is unread, so that they can't be evicted.
+func (m *admissionModel) connect(t *rapid.T) {
+	unread := map[*Conn]bool{}
+	for _, other := range m.all {
+		unread[other] = rapid.Bool().Draw(t, "unread")
+	}
+	quiet := func(other *Conn) bool { return !unread[other] }
+	conn := &Conn{}
+	evicted, admitted := m.controller.Admit(conn, m.now, quiet)
+	m.checkEvicted(t, evicted, unread[evicted])
+	full := len(m.open) >= m.maximum
+	if full == (admitted && evicted == nil) || evicted != nil && !admitted {
+		t.Fatalf("%d of %d open: evicted %v, admitted %v", len(m.open), m.maximum, evicted, admitted)
+	}
+	delete(m.open, evicted)
+	if admitted {
+		m.open[conn] = modelIdle
+	}
+	m.all = append(m.all, conn)
+}
+
+// checkEvicted fails unless the evicted connection, if there is one, is open, has no request in progress, and none unread where it is idle.
+func (m *admissionModel) checkEvicted(t *rapid.T, evicted *Conn, unread bool) {
+	if evicted == nil {
+		return
+	}
+	state := m.open[evicted]
+	if state == "" || state == modelBusy || state == modelIdle && unread {
+		t.Fatalf("evicted, though it is %q, unread %v", state, unread)
+	}
+}
+
+func (m *admissionModel) request(conn *Conn) {
+	m.controller.RequestStarted(conn, m.now)
+	if m.open[conn] == modelIdle {
+		m.open[conn] = modelBusy
+	}
+}
+
+func (m *admissionModel) respond(conn *Conn) {
+	m.controller.ResponseStarted(conn, m.now)
+	m.controller.ResponseDone(conn, m.now)
+	if m.open[conn] == modelBusy {
+		m.open[conn] = modelIdle
+	}
+}
+
+func (m *admissionModel) closing(conn *Conn) {
+	m.controller.Closing(conn, m.now)
+	if m.open[conn] != "" {
+		m.open[conn] = modelClosing
+	}
+}
+
+func (m *admissionModel) closed(conn *Conn) {
+	m.controller.Closed(conn, m.now)
+	delete(m.open, conn)
+}
+
+// onAny is the event on a connection that is drawn from all of them, whatever its state.
+func (m *admissionModel) onAny(event func(*Conn)) func(*rapid.T) {
+	return func(t *rapid.T) {
+		if len(m.all) > 0 {
+			event(m.all[rapid.IntRange(0, len(m.all)-1).Draw(t, "which")])
+		}
+	}
+}
+
+// check compares the controller's counts with the set.
+func (m *admissionModel) check(t *rapid.T) {
+	want := map[modelState]int{}
+	for _, state := range m.open {
+		want[state]++
+	}
+	stats, idle := m.controller.Stats(), 0
+	for _, n := range stats.Idle {
+		idle += n
+	}
+	if m.controller.open != len(m.open) || stats.Busy != want[modelBusy] || stats.Closing != want[modelClosing] || idle != want[modelIdle] {
+		t.Fatalf("%d open, %+v; want %v", m.controller.open, stats, want)
+	}
+}
+
 // In any order of events no connection is lost or counted twice: the controller is compared with a set of connections.
 func TestConnectionsAgainstASet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maximum := rapid.IntRange(1, 6).Draw(t, "maximum")
-		d := New(Config{MaxConnections: maximum, Horizon: time.Second}, began)
-		now := began
-		state := map[*Conn]string{} // of those that are open
-		var all []*Conn
-		on := func(event func(*Conn)) func(*rapid.T) {
-			return func(t *rapid.T) {
-				if len(all) > 0 {
-					event(all[rapid.IntRange(0, len(all)-1).Draw(t, "which")])
-				}
-			}
+		m := &admissionModel{
+			controller: New(Config{MaxConnections: maximum, Horizon: time.Second}, began),
+			maximum:    maximum,
+			now:        began,
+			open:       map[*Conn]modelState{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"wait": func(t *rapid.T) {
-				now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
-			},
-			"connect": func(t *rapid.T) {
-				c := &Conn{}
-				unread := map[*Conn]bool{}
-				for _, c := range all {
-					unread[c] = rapid.Bool().Draw(t, "unread")
-				}
-				evicted, admitted := d.Admit(c, now, func(c *Conn) bool { return !unread[c] })
-				if evicted != nil && (state[evicted] == "" || state[evicted] == "busy" || state[evicted] == "idle" && unread[evicted]) {
-					t.Fatalf("evicted, though it is %q, unread %v", state[evicted], unread[evicted])
-				}
-				if (len(state) < maximum) != (admitted && evicted == nil) || evicted != nil && !admitted {
-					t.Fatalf("%d of %d open: evicted %v, admitted %v", len(state), maximum, evicted, admitted)
-				}
-				delete(state, evicted)
-				if admitted {
-					state[c] = "idle"
-				}
-				all = append(all, c)
-			},
-			"request": on(func(c *Conn) {
-				if d.RequestStarted(c, now); state[c] == "idle" {
-					state[c] = "busy"
-				}
-			}),
-			"respond": on(func(c *Conn) {
-				d.ResponseStarted(c, now)
-				if d.ResponseDone(c, now); state[c] == "busy" {
-					state[c] = "idle"
-				}
-			}),
-			"closing": on(func(c *Conn) {
-				if d.Closing(c, now); state[c] != "" {
-					state[c] = "closing"
-				}
-			}),
-			"closed": on(func(c *Conn) {
-				d.Closed(c, now)
-				delete(state, c)
-			}),
-			"": func(t *rapid.T) {
-				counts := map[string]int{}
-				for _, s := range state {
-					counts[s]++
-				}
-				stats, idleCount := d.Stats(), 0
-				for _, n := range stats.Idle {
-					idleCount += n
-				}
-				if d.open != len(state) || stats.Busy != counts["busy"] || stats.Closing != counts["closing"] || idleCount != counts["idle"] {
-					t.Fatalf("%d open, %+v; want %v", d.open, stats, counts)
-				}
-			},
+			"wait":    m.wait,
+			"connect": m.connect,
+			"request": m.onAny(m.request),
+			"respond": m.onAny(m.respond),
+			"closing": m.onAny(m.closing),
+			"closed":  m.onAny(m.closed),
+			"":        m.check, // after each event
 		})
 	})
 }
