--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -70,18 +70,23 @@
 	}
 }
 
+// newOneSecondClient is a client whose leases last a second. All of them have the same owner, and are told apart by their sessions.
+func newOneSecondClient(t *testing.T, addr string) *lease.Client {
+	t.Helper()
+	client, err := lease.New(lease.Options{Addrs: []string{addr}, Owner: "same", TTL: time.Second})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return client
+}
+
+// A lease has one holder at a time: a second client gets it after its release, or at once when the holder's client is closed, and always with
+// a higher token. Without a coordinator the lease ends.
 func TestOneHolder(t *testing.T) {
-	addr, stop := coordinator.StartForTest(t)
+	addr, stopCoordinator := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	client := func() *lease.Client {
-		c, err := lease.New(lease.Options{Addrs: []string{addr}, Owner: "same", TTL: time.Second})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return c
-	}
-	a, b := client(), client()
+	a, b := newOneSecondClient(t, addr), newOneSecondClient(t, addr)
 	first, err := a.Hold(ctx, "x")
 	if err != nil {
 		t.Fatal(err)
@@ -89,55 +94,75 @@
 	if _, err := b.Try(ctx, "x"); !errors.Is(err, lease.ErrTaken) {
 		t.Errorf("%v", err)
 	}
-	got := make(chan *lease.Held, 1)
+	second := releaseToWaiter(ctx, t, first, b)
+	checkOnlyNewestAdmitted(t, first, second)
+
+	// the session ends with the client, and what it held is free at once
+	if err := b.Close(); err != nil {
+		t.Error(err)
+	}
+	third, err := a.Hold(ctx, "x")
+	if err != nil || third.Token <= second.Token {
+		t.Errorf("%v", err)
+	}
+	stopCoordinator()
+	checkLost(ctx, t, third)
+	short, end := context.WithTimeout(ctx, 300*time.Millisecond)
+	defer end()
+	if _, err := a.Try(short, "y"); err == nil {
+		t.Error("a grant without a coordinator")
+	}
+	a.Close()
+}
+
+// releaseToWaiter has another client wait for a lease, releases it, and returns it as the other holds it.
+func releaseToWaiter(ctx context.Context, t *testing.T, held *lease.Held, waiter *lease.Client) *lease.Held {
+	t.Helper()
+	granted := make(chan *lease.Held, 1)
 	go func() {
-		h, err := b.Hold(ctx, "x")
+		next, err := waiter.Hold(ctx, "x")
 		if err != nil {
 			t.Error(err)
 		}
-		got <- h
+		granted <- next
 	}()
-	if err := first.Release(ctx); err != nil {
+	if err := held.Release(ctx); err != nil {
 		t.Error(err)
 	}
-	if context.Cause(first.Context()) != lease.ErrReleased || first.Valid() { //nolint:errorlint // the sentinel itself, not wrapped
+	if context.Cause(held.Context()) != lease.ErrReleased || held.Valid() { //nolint:errorlint // the sentinel itself, not wrapped
 		t.Error("the lease is still valid")
 	}
-	second := <-got
-	if second.Token <= first.Token || !second.Valid() {
-		t.Errorf("token %d after %d", second.Token, first.Token)
-	}
-	var g lease.Guard
-	if err := g.Admit(second.Token, func() error { return nil }); err != nil {
-		t.Error(err)
+	next := <-granted
+	if next.Token <= held.Token || !next.Valid() {
+		t.Errorf("token %d after %d", next.Token, held.Token)
 	}
-	if err := g.Admit(first.Token, func() error { t.Error("the act was admitted"); return nil }); !errors.Is(err, lease.ErrOld) {
-		t.Errorf("%v", err)
-	}
-	// the session ends with the client, and what it held is free at once
-	if err := b.Close(); err != nil {
+	return next
+}
+
+// checkOnlyNewestAdmitted presents the tokens of two holders, one after the other, to the guard of a resource, the newer one first.
+func checkOnlyNewestAdmitted(t *testing.T, older, newer *lease.Held) {
+	t.Helper()
+	var guard lease.Guard
+	if err := guard.Admit(newer.Token, func() error { return nil }); err != nil {
 		t.Error(err)
 	}
-	third, err := a.Hold(ctx, "x")
-	if err != nil || third.Token <= second.Token {
+	err := guard.Admit(older.Token, func() error { t.Error("the act was admitted"); return nil })
+	if !errors.Is(err, lease.ErrOld) {
 		t.Errorf("%v", err)
 	}
-	// with no coordinator in reach the context ends within the TTL
-	stop()
+}
+
+// checkLost waits until ctx ends for the end of a lease whose coordinator is out of reach, and checks its cause.
+func checkLost(ctx context.Context, t *testing.T, held *lease.Held) {
+	t.Helper()
 	select {
-	case <-third.Context().Done():
-		if context.Cause(third.Context()) != lease.ErrLost { //nolint:errorlint // the sentinel itself, not wrapped
-			t.Errorf("%v", context.Cause(third.Context()))
+	case <-held.Context().Done():
+		if context.Cause(held.Context()) != lease.ErrLost { //nolint:errorlint // the sentinel itself, not wrapped
+			t.Errorf("%v", context.Cause(held.Context()))
 		}
 	case <-ctx.Done():
 		t.Error("the lease does not end")
 	}
-	short, end := context.WithTimeout(ctx, 300*time.Millisecond)
-	defer end()
-	if _, err := a.Try(short, "y"); err == nil {
-		t.Error("a grant without a coordinator")
-	}
-	a.Close()
 }
 
 // A lease is handed to the last waiter; it cannot be handed to a session that does not wait, and then the first waiter gets it.
