--- a/cmd/petrelhook/streams_test.go
+++ b/cmd/petrelhook/streams_test.go
@@ -57,101 +57,154 @@
 	return fmt.Sprintf("%x", sum.Sum(nil)), nil
 }
 
-// Long bodies and responses in chunks of any size, many at once and far more than the memory limit, with clients that pause and some that go
-// away half way: each of the others gets its own response, and the process stays within its memory limit.
-func TestLongMessagesInLittleMemory(t *testing.T) {
-	const memory = 32
-	n, size := streams()
-	var mu sync.Mutex
-	bodies := map[string]string{} // digests by id, as the server saw them
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		sum := sha256.New()
-		if _, err := io.Copy(sum, req.Body); err != nil {
-			return
-		}
-		mu.Lock()
-		bodies[req.Header.Get("X-Trace-Id")] = fmt.Sprintf("%x", sum.Sum(nil))
-		mu.Unlock()
-		io.CopyN(w, rand.NewChaCha8([32]byte{byte(len(req.Header.Get("X-Trace-Id")))}), size)
-	})}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// digestServer keeps the digests of the bodies that it has read to the end, and answers with a long response.
+type digestServer struct {
+	addr         string
+	responseSize int64
+
+	mu     sync.Mutex
+	bodies map[string]string // digests by trace ID
+}
+
+func newDigestServer(t *testing.T, responseSize int64) *digestServer {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go server.Serve(ln)
+	d := &digestServer{addr: listener.Addr().String(), responseSize: responseSize, bodies: map[string]string{}}
+	server := &http.Server{Handler: d}
+	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
+	return d
+}
+
+func (d *digestServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	sum := sha256.New()
+	if _, err := io.Copy(sum, req.Body); err != nil {
+		return
+	}
+	id := req.Header.Get("X-Trace-Id")
+	d.mu.Lock()
+	d.bodies[id] = fmt.Sprintf("%x", sum.Sum(nil))
+	d.mu.Unlock()
+	io.CopyN(w, rand.NewChaCha8([32]byte{byte(len(id))}), d.responseSize)
+}
+
+// body is the digest of the body of a request, or "" where none was read to the end.
+func (d *digestServer) body(id string) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.bodies[id]
+}
+
+// longClient sends one long request on a connection of its own and reads the long response. Every second client sends its body chunked.
+type longClient struct {
+	number int
+	size   int64 // of the body and of the response
+}
+
+func (c longClient) id() string { return fmt.Sprint("long", c.number) }
+
+// leaves is whether the client goes away half way through its body.
+func (c longClient) leaves() bool { return c.number%5 == 4 }
+
+func (c longClient) isChunked() bool { return c.number%2 == 1 }
+
+// exchange sends the request, and checks the response and the body that the server has seen.
+func (c longClient) exchange(t *testing.T, addr string, server *digestServer) {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(10 * peertest.EventTimeout))
+	if c.leaves() {
+		c.send(conn, c.size/2)
+		return
+	}
+	sent, err := c.send(conn, c.size)
+	if c.isChunked() {
+		io.WriteString(conn, "0\r\n\r\n")
+	}
+	if err != nil {
+		t.Errorf("%s: %v", c.id(), err)
+		return
+	}
+	if !c.readResponse(t, conn) {
+		return
+	}
+	if server.body(c.id()) != sent {
+		t.Errorf("%s: the server had another body", c.id())
+	}
+}
+
+// send writes the request's head and bodySize bytes of its body, and returns their digest.
+func (c longClient) send(conn net.Conn, bodySize int64) (digest string, err error) {
+	framing, write := fmt.Sprint("Content-Length: ", c.size), conn.Write
+	if c.isChunked() {
+		framing, write = "Transfer-Encoding: chunked", func(p []byte) (int, error) { return writeChunk(conn, p) }
+	}
+	fmt.Fprintf(conn, "POST /once HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: once\r\nX-Expires-In: 9000m\r\n%s\r\n\r\n", c.id(), framing)
+	return inChunks(uint64(c.number), bodySize, write)
+}
+
+// writeChunk writes one chunk of a chunked body, and returns how many bytes of p it has written.
+func writeChunk(conn net.Conn, p []byte) (n int, err error) {
+	fmt.Fprintf(conn, "%x\r\n", len(p))
+	n, err = conn.Write(p)
+	io.WriteString(conn, "\r\n")
+	return n, err
+}
+
+// readResponse checks the status and the size of the response, which it reads in pieces of any size. It reports whether there was a response
+// with the status 200.
+func (c longClient) readResponse(t *testing.T, conn net.Conn) bool {
+	t.Helper()
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil || resp.StatusCode != 200 {
+		t.Errorf("%s: %+v, %v", c.id(), resp, err)
+		return false
+	}
+	got := int64(0)
+	_, err = inChunks(uint64(c.number), c.size, func(p []byte) (int, error) {
+		n, err := io.ReadFull(resp.Body, p)
+		got += int64(n)
+		return n, err
+	})
+	if err != nil || got != c.size {
+		t.Errorf("%s: %d bytes of the answer, %v", c.id(), got, err)
+	}
+	return true
+}
+
+// Long bodies and responses in chunks of any size, many at once and far more than the memory limit, with clients that pause and some that go
+// away half way: each of the others gets its own response, and the process stays within its memory limit.
+func TestLongMessagesInLittleMemory(t *testing.T) {
+	const memoryMB = 32
+	n, size := streams()
+	server := newDigestServer(t, size)
 	f := newFleet(t, peertest.Settings)
-	f.config = strings.Replace(f.config, `"memory_mb":64`, fmt.Sprintf(`"memory_mb":%d`, memory), 1)
-	f.config = f.config[:strings.Index(f.config, `"known"`)] + fmt.Sprintf(`"known":%s,"settings":%s}`,
-		peertest.Catalog(1, true, peertest.Instance("s-1", ln.Addr().String(), "up")), peertest.Settings)
+	f.config = strings.Replace(f.config, `"memory_mb":64`, fmt.Sprintf(`"memory_mb":%d`, memoryMB), 1)
+	f.setServers(peertest.Instance("s-1", server.addr, "up"))
 	s := f.start()
+
 	began := time.Now()
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range n {
-		all.Go(func() {
-			id := fmt.Sprint("long", i)
-			c, err := net.Dial("tcp", f.listen)
-			if err != nil {
-				t.Error(err)
-				return
-			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(10 * peertest.EventTimeout))
-			framing, write := fmt.Sprint("Content-Length: ", size), c.Write
-			if i%2 == 1 {
-				framing = "Transfer-Encoding: chunked"
-				write = func(p []byte) (int, error) {
-					fmt.Fprintf(c, "%x\r\n", len(p))
-					n, err := c.Write(p)
-					io.WriteString(c, "\r\n")
-					return n, err
-				}
-			}
-			fmt.Fprintf(c, "POST /once HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: once\r\nX-Expires-In: 9000m\r\n%s\r\n\r\n", id, framing)
-			if i%5 == 4 { // this client goes away half way
-				inChunks(uint64(i), size/2, write)
-				return
-			}
-			sent, err := inChunks(uint64(i), size, write)
-			if i%2 == 1 {
-				io.WriteString(c, "0\r\n\r\n")
-			}
-			if err != nil {
-				t.Errorf("%s: %v", id, err)
-				return
-			}
-			in := bufio.NewReader(c)
-			resp, err := http.ReadResponse(in, nil)
-			if err != nil || resp.StatusCode != 200 {
-				t.Errorf("%s: %+v, %v", id, resp, err)
-				return
-			}
-			got := int64(0)
-			if _, err := inChunks(uint64(i), size, func(p []byte) (int, error) {
-				n, err := io.ReadFull(resp.Body, p)
-				got += int64(n)
-				return n, err
-			}); err != nil || got != size {
-				t.Errorf("%s: %d bytes of the answer, %v", id, got, err)
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			if bodies[id] != sent {
-				t.Errorf("%s: the server had another body", id)
-			}
-		})
-	}
-	all.Wait()
+		clients.Go(func() { longClient{number: i, size: size}.exchange(t, f.listen, server) })
+	}
+	clients.Wait()
 	took, peak := time.Since(began), s.peak()
 	t.Logf("%d messages of %d MB both ways in %v: %.1f MB of memory at most", n, size>>20, took.Round(time.Millisecond), float64(peak)/(1<<20))
-	if peak > memory<<20 && !raced { // the race detector takes several times the memory
-		t.Errorf("%d bytes of memory, of %d MB", peak, memory)
+	if peak > memoryMB<<20 && !raced { // the race detector takes several times the memory
+		t.Errorf("%d bytes of memory, of %d MB", peak, memoryMB)
 	}
-	mu.Lock()
-	defer mu.Unlock()
 	for i := range n {
-		if id := fmt.Sprint("long", i); i%5 == 4 && bodies[id] != "" {
-			t.Errorf("%s: half a body passed for a whole one", id)
+		if c := (longClient{number: i, size: size}); c.leaves() && server.body(c.id()) != "" {
+			t.Errorf("%s: half a body passed for a whole one", c.id())
 		}
 	}
 	s.end()
--- a/cmd/petrelhook/upgrade_test.go
+++ b/cmd/petrelhook/upgrade_test.go
@@ -77,6 +77,13 @@
 	return f
 }
 
+// setServers replaces the servers of the configuration by these, in discovery's form.
+func (f *fleet) setServers(instances ...string) {
+	before, rest, _ := strings.Cut(f.config, `"known":`)
+	_, settings, _ := strings.Cut(rest, `,"settings"`)
+	f.config = before + `"known":` + peertest.Catalog(1, true, instances...) + `,"settings"` + settings
+}
+
 // sidecar is a process of the sidecar.
 type sidecar struct {
 	*process.Process
@@ -555,9 +562,7 @@
 	// both servers are of one group, which shares the keys
 	a, b := peertest.NewPeer(t, handle), peertest.NewPeer(t, handle)
 	f := newFleet(t, peertest.Settings)
-	before, rest, _ := strings.Cut(f.config, `"known":`)
-	_, rest, _ = strings.Cut(rest, `,"settings"`)
-	f.config = before + `"known":` + peertest.Catalog(1, true, peertest.Instance("a", a.Addr, "up"), peertest.Instance("b", b.Addr, "up")) + `,"settings"` + rest
+	f.setServers(peertest.Instance("a", a.Addr, "up"), peertest.Instance("b", b.Addr, "up"))
 	first := f.start()
 	book := func(trace string) string { return request("POST", "book", trace, "Idempotency-Key: k\r\n", 9) }
 	c, _ := peertest.Dial(t, f.listen)
