--- a/cmd/petrelhook/signals_test.go
+++ b/cmd/petrelhook/signals_test.go
@@ -52,78 +52,132 @@
 	}
 }
 
+// shutdownStep is what is in progress as a process gets SIGTERM.
+type shutdownStep string
+
+const (
+	headHalfRead     shutdownStep = "a head is half read"
+	bodyHalfRead     shutdownStep = "a body is half read"
+	serverHangs      shutdownStep = "a server hangs"
+	responseHalfSent shutdownStep = "an answer is half written"
+	connectionIsIdle shutdownStep = "a connection is idle"
+)
+
+const halfResponseLength = 100_000
+
+// stepServer behaves as a step needs it.
+type stepServer struct {
+	*peertest.Peer
+	taken   chan struct{} // receives when a request has come, or its response is half sent
+	release chan struct{} // closed to have the other half sent
+}
+
+func newStepServer(t *testing.T, step shutdownStep) *stepServer {
+	t.Helper()
+	s := &stepServer{taken: make(chan struct{}, 1), release: make(chan struct{})}
+	s.Peer = peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		half := strings.Repeat("x", halfResponseLength)
+		switch step {
+		case responseHalfSent:
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*halfResponseLength, half)
+			s.taken <- struct{}{}
+			<-s.release
+			io.WriteString(c, half)
+		case serverHangs:
+			s.taken <- struct{}{}
+		default:
+			io.WriteString(c, peertest.OKResponse)
+		}
+		return true
+	})
+	return s
+}
+
+// split is what a client sends before SIGTERM and after it.
+func (step shutdownStep) split() (before, after string) {
+	whole := request("POST", "once", "t", "", 1000)
+	switch step {
+	case headHalfRead:
+		return whole[:40], whole[40:]
+	case bodyHalfRead:
+		return whole[:len(whole)-500], whole[len(whole)-500:]
+	case connectionIsIdle:
+		return whole, request("POST", "once", "u", "", 1000)
+	default:
+		return whole, ""
+	}
+}
+
+// waitReached waits until what the client has sent has brought the sidecar to the step.
+func (step shutdownStep) waitReached(t *testing.T, server *stepServer, listen string, in *bufio.Reader) {
+	t.Helper()
+	switch step {
+	case serverHangs, responseHalfSent:
+		peertest.Wait(t, server.taken)
+	case connectionIsIdle:
+		if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 {
+			t.Fatalf("before the end: %d", resp.StatusCode)
+		}
+	default: // it has been read when a request behind it on another connection is answered
+		peertest.SendRequest(t, listen, request("GET", "look", "v", "", 0))
+	}
+}
+
+// checkResponse fails unless the request is answered completely. Only that of an idle connection, which was not read before SIGTERM, may be
+// left without an answer, its connection closed.
+func (step shutdownStep) checkResponse(t *testing.T, in *bufio.Reader) {
+	t.Helper()
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil {
+		if step != connectionIsIdle {
+			t.Errorf("%v", err)
+		}
+		return
+	}
+	want := 200
+	if step == serverHangs {
+		want = 502
+	}
+	if n, err := io.Copy(io.Discard, resp.Body); resp.StatusCode != want || err != nil || n != resp.ContentLength {
+		t.Errorf("status %d, %d of %d bytes, %v", resp.StatusCode, n, resp.ContentLength, err)
+	}
+}
+
 // Signals at each step of a shutdown: whatever comes after SIGTERM, accepted requests are answered, and the process ends with success and in
-// time. The longest deadline in the settings is a second, and one of two servers never answers.
+// time. The longest deadline in the settings is a second.
 func TestSignalsInTheEnd(t *testing.T) {
-	const longest = time.Second
 	for _, again := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
-		for _, step := range []string{"a head is half read", "a body is half read", "a server hangs", "an answer is half written", "a connection is idle"} {
+		for _, step := range []shutdownStep{headHalfRead, bodyHalfRead, serverHangs, responseHalfSent, connectionIsIdle} {
 			t.Run(fmt.Sprint(again, " while ", step), func(t *testing.T) {
 				t.Parallel()
-				taken, half := make(chan struct{}, 1), make(chan struct{})
-				server := peertest.NewPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
-					if step == "an answer is half written" {
-						io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100_000))
-						taken <- struct{}{}
-						<-half
-						io.WriteString(c, strings.Repeat("x", 100_000))
-						return true
-					}
-					if step == "a server hangs" {
-						taken <- struct{}{}
-						return true
-					}
-					io.WriteString(c, peertest.OKResponse)
-					return true
-				})
-				f := newFleet(t, strings.ReplaceAll(peertest.Settings, `"hard_limit_ms": 10000`, `"hard_limit_ms": 1000`))
-				f.config = strings.Replace(f.config, f.config[strings.Index(f.config, `"known"`):strings.Index(f.config, `,"settings"`)],
-					`"known":`+peertest.Catalog(1, true, peertest.Instance("s-1", server.Addr, "up")), 1)
-				s := f.start()
-				c, in := peertest.Dial(t, f.listen)
-				whole := request("POST", "once", "t", "", 1000)
-				rest, want := "", 200
-				switch step {
-				case "a head is half read":
-					whole, rest = whole[:40], whole[40:]
-				case "a body is half read":
-					whole, rest = whole[:len(whole)-500], whole[len(whole)-500:]
-				case "a server hangs":
-					want = 502
-				case "a connection is idle":
-					rest = request("POST", "once", "u", "", 1000)
-				}
-				io.WriteString(c, whole)
-				switch step {
-				case "a server hangs", "an answer is half written":
-					peertest.Wait(t, taken)
-				case "a connection is idle":
-					if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 {
-						t.Fatalf("before the end: %d", resp.StatusCode)
-					}
-				default: // it has been read when a request behind it on another connection is answered
-					peertest.SendRequest(t, f.listen, request("GET", "look", "v", "", 0))
-				}
-				began := time.Now()
-				s.Signal(syscall.SIGTERM)
-				peertest.Eventually(t, "it ends", func() bool { return s.Log.Has("now=stopping") })
-				s.Signal(again)
-				s.Signal(again)
-				io.WriteString(c, rest)
-				close(half)
-				resp, err := http.ReadResponse(bufio.NewReader(in), nil)
-				switch {
-				case err == nil:
-					if n, err := io.Copy(io.Discard, resp.Body); resp.StatusCode != want || err != nil || n != resp.ContentLength {
-						t.Errorf("status %d, %d of %d bytes, %v", resp.StatusCode, n, resp.ContentLength, err)
-					}
-				case step != "a connection is idle": // which may be closed: its request was not read
-					t.Errorf("%v", err)
-				}
-				if err := s.Wait(); err != nil || time.Since(began) > longest+700*time.Millisecond {
-					t.Errorf("it ended after %v: %v", time.Since(began), err)
-				}
+				checkSignalsInTheEnd(t, again, step)
 			})
 		}
 	}
 }
+
+// checkSignalsInTheEnd ends a process at a step by SIGTERM, and sends it another signal twice once it is stopping.
+func checkSignalsInTheEnd(t *testing.T, again syscall.Signal, step shutdownStep) {
+	t.Helper()
+	const longestDeadline = time.Second
+	server := newStepServer(t, step)
+	f := newFleet(t, strings.ReplaceAll(peertest.Settings, `"hard_limit_ms": 10000`, `"hard_limit_ms": 1000`))
+	f.setServers(peertest.Instance("s-1", server.Addr, "up"))
+	s := f.start()
+	conn, in := peertest.Dial(t, f.listen)
+	before, after := step.split()
+	io.WriteString(conn, before)
+	step.waitReached(t, server, f.listen, in)
+
+	began := time.Now()
+	s.Signal(syscall.SIGTERM)
+	peertest.Eventually(t, "it ends", func() bool { return s.Log.Has("now=stopping") })
+	s.Signal(again)
+	s.Signal(again)
+	io.WriteString(conn, after)
+	close(server.release)
+	step.checkResponse(t, in)
+	if err := s.Wait(); err != nil || time.Since(began) > longestDeadline+700*time.Millisecond {
+		t.Errorf("it ended after %v: %v", time.Since(began), err)
+	}
+}
