--- a/cmd/petrelhookctl/lease_run.go
+++ b/cmd/petrelhookctl/lease_run.go
@@ -68,8 +68,8 @@
 	return cmd
 }
 
-// killMargin is the divisor of the grace that gives the time before the end of a lease at which its command is killed.
-const killMargin = 5
+// killGraceDivisor divides the grace: the command is killed that part of the grace before the end of its lease.
+const killGraceDivisor = 5
 
 // maxLeasePollInterval bounds the interval at which the time that is left of a lease is read.
 const maxLeasePollInterval = 50 * time.Millisecond
@@ -124,7 +124,7 @@
 			c.signal(syscall.SIGTERM)
 		case <-lost:
 			lost = nil
-			if c.held.Left() > c.grace/killMargin {
+			if c.held.Left() > c.grace/killGraceDivisor {
 				c.terminate()
 			}
 		case <-poll.C:
@@ -136,7 +136,7 @@
 // checkTimeLeft signals the command if its lease is about to end.
 func (c *leasedCommand) checkTimeLeft() {
 	switch left := c.held.Left(); {
-	case left <= c.grace/killMargin:
+	case left <= c.grace/killGraceDivisor:
 		c.signal(syscall.SIGKILL)
 		c.lossCode = exitKilled
 	case left <= c.grace:
--- a/internal/common/yamlfile/yamlfile.go
+++ b/internal/common/yamlfile/yamlfile.go
@@ -7,6 +7,8 @@
 //		"listen": yamlfile.IntoAddress(&c.Listen),
 //		"grace":  yamlfile.IntoDuration(&c.Grace, 0, time.Minute),
 //	})
+//
+// Fields that had other names in earlier versions are read by DeprecatedNames, which warns of the earlier names.
 package yamlfile
 
 import (
