--- a/internal/rig/rehearse/report.go
+++ b/internal/rig/rehearse/report.go
@@ -224,7 +224,7 @@
 			c.Refused, c.Failed, c.Lost, c.Unreached, c.Attempts, c.Goodput, c.P50, c.P90, c.P99, c.P999, c.Max)
 	}
 	_ = table.Flush()
-	out.print("\nLatency counts from when a request was due. Goodput is worth earned over worth asked for.\n")
+	out.print("\nLatency counts from when a request was due. Goodput is the value of the answers over that of all requests.\n")
 	for _, c := range r.Crowds {
 		out.print("Crowd of %s: %d connections came up, %d did not, %d were closed early; %d asked, %d served, %d refused, %d failed\n",
 			c.Kind, c.Connected, c.NotConnected, c.Closed, c.Requests, c.Served, c.Refused, c.Failed)
@@ -254,7 +254,7 @@
 
 func (r *Report) writeRules(out *printer) {
 	j := r.Rules.Judged
-	out.print("\nThe rules, judged from %d calls, %d repeats, %d refusals of what is not safe, %d drains told, %d cold starts:\n",
+	out.print("\nThe rules, judged from %d calls, %d repeats, %d unsafe requests rejected, %d drains announced, %d slow starts:\n",
 		j.Calls, j.Repeats, j.Refusals, j.Drains, j.SlowStarts)
 	reasons := make([]string, 0, len(r.Rules.Unjudged))
 	for reason := range r.Rules.Unjudged {
