--- a/internal/coordination/distribute/subscriber.go
+++ b/internal/coordination/distribute/subscriber.go
@@ -9,8 +9,8 @@
 	Member  string // the agent's name
 	Servers int    // the number of coordinators, which are numbered from 0
 
-	// MaxWait is the longest that a call waits for a newer version: each waits for 3/4 of it to the whole, drawn at random, so that calls
-	// of many agents do not end at the same moments.
+	// MaxWait is the longest that a call waits for a newer version: each waits for three quarters of it to the whole, drawn at random,
+	// so that calls of many agents do not end at the same moments.
 	MaxWait time.Duration
 	// ResponseTimeout is how long after the end of its wait a call has failed.
 	ResponseTimeout time.Duration
@@ -19,8 +19,8 @@
 	ReconnectWindow time.Duration
 	// MaxBackoff is the longest pause while no coordinator answers; at least twice ReconnectWindow.
 	MaxBackoff time.Duration
-	// RebalanceAfter is how long one coordinator is used: after half to the whole of it another one is drawn, so that load spreads again
-	// after restarts.
+	// RebalanceAfter is how long one coordinator is used: after half of it to the whole, drawn at random, another one is chosen, so that
+	// load spreads again after restarts.
 	RebalanceAfter time.Duration
 
 	// Rand returns a random number from 0 to n-1; n is above 0.
@@ -71,12 +71,12 @@
 // NewSubscriber returns the subscription of an agent that holds a revision, or none (0).
 func NewSubscriber(o SubscriberOptions, revision Revision, now time.Duration) *Subscriber {
 	s := &Subscriber{options: o, revision: revision, server: noServer, lostServer: noServer}
-	s.pause(now, o.ReconnectWindow)
+	s.scheduleCall(now, o.ReconnectWindow)
 	return s
 }
 
-// pause sets the next call to a random moment in a window of that length, which begins when the last one has ended.
-func (s *Subscriber) pause(now, length time.Duration) {
+// scheduleCall sets the next call to a random moment in a window of that length, which begins when the last one has ended.
+func (s *Subscriber) scheduleCall(now, length time.Duration) {
 	begin := max(now, s.windowEnd)
 	s.nextCallAt, s.windowEnd = begin+s.draw(length), begin+length
 }
@@ -121,7 +121,7 @@
 	return (excluded + 1 + int(s.options.Rand(int64(s.options.Servers-1)))) % s.options.Servers
 }
 
-// Answered takes in the response to the call in flight, and returns the version to apply, which counts as held from here on; nil: there
+// Answered processes the response to the call in flight, and returns the version to apply, which counts as held from here on; nil: there
 // is none. A version that is refused makes the call a failed one.
 func (s *Subscriber) Answered(now time.Duration, response WatchResponse) (*Version, error) {
 	v, err := s.Accept(response)
@@ -152,7 +152,7 @@
 	return v, nil
 }
 
-// Failed takes in that the call in flight got no response, or an error.
+// Failed records that the call in flight got no response, or an error.
 func (s *Subscriber) Failed(now time.Duration) {
 	if !s.inFlight {
 		return
@@ -163,14 +163,14 @@
 		length = min(2*length, max(s.options.MaxBackoff/2, s.options.ReconnectWindow))
 	}
 	s.failures++
-	s.pause(now, length)
+	s.scheduleCall(now, length)
 }
 
 // StoreFailed undoes the last version that was accepted, which the machine could not store; before is the revision of before. The version
 // is requested again after a pause.
 func (s *Subscriber) StoreFailed(now time.Duration, before Revision) {
 	s.revision = before
-	s.pause(now, s.options.ReconnectWindow)
+	s.scheduleCall(now, s.options.ReconnectWindow)
 }
 
 // Revision returns that of the version that was accepted last, or that the agent began with.
--- a/internal/rig/doc.go
+++ b/internal/rig/doc.go
@@ -1,6 +1,6 @@
 // Package rig describes the rehearsal rig and has no code of its own. The rig answers one question: do the sidecars keep the four
-// rules, and what do clients get, when a fleet has given faults? It is no part of the product: nothing outside internal/rig imports it
-// but the operators' tool and tests.
+// rules, and what do clients get, when a fleet has given faults? It is no part of the product: outside internal/rig only the operators'
+// tool and tests import it.
 //
 // Rehearsals of sidecars:
 //
@@ -27,6 +27,8 @@
 // Used by these:
 //
 //	link, process, usage   a TCP relay with faults; processes of tests; resources of a process
+//	sidecarlog             the address and the last lines of a sidecar's log
+//	provenance             the revision and the machine of a measurement
 //	engines                routing policies before simulated model servers, in virtual time
 //	mutate                 the product with a piece of its source replaced, to show that checks can fail
 //
--- a/internal/router/gateway/drain_test.go
+++ b/internal/router/gateway/drain_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request that may outlast a draining router is rejected, with a promise, from rejectLongFrom on; the others are served.
-func TestWhatMayOutlastTheEndIsRefused(t *testing.T) {
+// A request that may outlast a draining router is rejected, with a promise, from rejectLongFrom on; the others are
+// served.
+func TestWhatMayOutlastADrainIsRejected(t *testing.T) {
 	r := newRig(t)
 	ran := 0
 	r.addServer(func(w http.ResponseWriter, got *http.Request) {
--- a/internal/router/gateway/health_signal.go
+++ b/internal/router/gateway/health_signal.go
@@ -28,7 +28,8 @@
 // minTimeToAwait is how long an attempt has to have waited for its server, before a time-out counts against it.
 const minTimeToAwait = 200 * time.Millisecond
 
-// signalOfError is the signal of an attempt without an answer. There is none where the client went, and where it left the server hardly any time.
+// signalOfError is the signal of an attempt without an answer. There is none where the client went, and where it left
+// the server hardly any time.
 func signalOfError(ctx context.Context, req *request, took time.Duration, err error) healthSignal {
 	switch {
 	case errors.Is(err, backend.ErrNoConnection):
@@ -43,7 +44,8 @@
 	return failure
 }
 
-// signalOfRejection is the signal of an answer which says that the request did not run; reported says that it has a load.
+// signalOfRejection is the signal of an answer which says that the request did not run; reported says that it has a
+// load.
 func signalOfRejection(status int, load serverLoad, reported bool) healthSignal {
 	switch {
 	case status == http.StatusMisdirectedRequest:
@@ -65,7 +67,8 @@
 	return failure
 }
 
-// attemptEnded records the end of an attempt: its work at the server is done, and the server's health changes by the signal.
+// attemptEnded records the end of an attempt: its work at the server is done, and the server's health changes by the
+// signal.
 func (g *Gateway) attemptEnded(req *request, server *placement.Server, signal healthSignal) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -83,7 +86,8 @@
 		server.Health.TimedOut(now)
 	case unreachable:
 		server.Health.Failure(now, true)
-	case rejectedWithCapacity: // the design does not count it as an error; a server that rejects more than others is found by outlier detection
+	case rejectedWithCapacity:
+		// The design does not count it as an error. A server that rejects more than others is found by outlier detection.
 	}
 	g.tally.Add(server.ID, signal != success)
 }
--- a/internal/router/gateway/relay.go
+++ b/internal/router/gateway/relay.go
@@ -8,8 +8,6 @@
 	"strings"
 	"time"
 
-	"github.com/cockroachdb/errors"
-
 	"petrelhook/internal/router/backend"
 	"petrelhook/internal/router/eventstream"
 	"petrelhook/internal/router/placement"
@@ -60,8 +58,8 @@
 	return answered
 }
 
-// relayStream passes complete events on as they come. The header goes with the first, so that a server that fails before it
-// leaves the client without any part of an answer, and another one can be tried.
+// relayStream passes complete events on as they come. The header goes with the first, so that a server that fails
+// before it leaves the client without any part of an answer, and another one can be tried.
 func (g *Gateway) relayStream(ctx context.Context, w http.ResponseWriter, req *request, from *serverAnswer) outcome {
 	control := http.NewResponseController(w)
 	events := eventstream.NewReader(from.Response)
@@ -101,10 +99,11 @@
 	r.response.headerSent = true
 }
 
-// streamEnded is the outcome of a stream that ended with an error: io.EOF after the last event, otherwise it was cut off.
+// streamEnded returns the outcome of a stream that ended with an error: the plain io.EOF after the last event, otherwise
+// it was cut off.
 func streamEnded(ctx context.Context, w http.ResponseWriter, req *request, from *serverAnswer, err error) outcome {
 	switch {
-	case errors.Is(err, io.EOF):
+	case err == io.EOF: //nolint:errorlint // the plain io.EOF alone is the end of a complete answer; one that wraps it was cut off
 		if !req.response.headerSent {
 			req.sendHeader(w, from.Response)
 		}
@@ -117,7 +116,8 @@
 	return mayHaveRun
 }
 
-// drainAnswer reads the rest of a short answer, so that its connection can be kept. An error shows when the answer is closed.
+// drainAnswer reads the rest of a short answer, so that its connection can be kept. An error shows when the answer is
+// closed.
 func drainAnswer(answer *backend.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxDrain))
 }
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -15,7 +15,8 @@
 // quotaInterval is the time between two requests for shares.
 const quotaInterval = 500 * time.Millisecond
 
-// quotas is a router's part in dividing tenants' limits: at the primary among all routers, and between routers without it.
+// quotas is a router's part in dividing tenants' limits: at the primary among all routers, and between routers without
+// it.
 type quotas struct {
 	allocator    *quota.Allocator // of the primary, in its term; nil elsewhere
 	tokenBuckets *quota.TokenBuckets
@@ -93,8 +94,13 @@
 		allocator.SetReserve(reserve)
 		n.quotas.tokenBuckets.SetReserve(reserve)
 	}
-	nonce, demand, held := n.gateway.RequestQuotaShares()
-	request := dissemination.QuotaRequest{Nonce: nonce, Incarnation: n.self.Incarnation, Demand: demand, HeldShares: held}
+	wanted := n.gateway.RequestQuotaShares()
+	request := dissemination.QuotaRequest{
+		Nonce:       wanted.Nonce,
+		Incarnation: n.self.Incarnation,
+		Demand:      wanted.Demand,
+		HeldShares:  wanted.Held,
+	}
 	if n.dividesQuota() {
 		n.receiveQuotaRequest(n.self.Address, request)
 		return
@@ -107,7 +113,8 @@
 	if !n.dividesQuota() {
 		return
 	}
-	shares := n.quotas.allocator.Allocate(from, m.Incarnation, m.Demand, m.HeldShares, n.fleetSize, n.now())
+	request := quota.ShareRequest{Nonce: m.Nonce, Demand: m.Demand, Held: m.HeldShares}
+	shares := n.quotas.allocator.Allocate(from, m.Incarnation, request, n.fleetSize, n.now())
 	if from == n.self.Address {
 		n.gateway.ApplyQuotaShares(m.Nonce, shares)
 		return
--- a/internal/router/placement/prefix_uses.go
+++ b/internal/router/placement/prefix_uses.go
@@ -2,8 +2,8 @@
 
 import "iter"
 
-// PrefixUses is a message that says where shared prefixes of one service were read: Keys[i] at Servers[At[i]]. A router sends what it placed to its
-// home, which sends it on to the others; receivers add it to their prefix tables.
+// PrefixUses is a message that says where shared prefixes of one service were read: Keys[i] at Servers[At[i]]. A router
+// sends what it placed to its home, which sends it on to the others; receivers add it to their prefix tables.
 type PrefixUses struct {
 	Service string
 	Servers []string
@@ -14,7 +14,7 @@
 // maxUses bounds what is collected for a message; further uses are left out.
 const maxUses = 4096
 
-// Add adds a use, up to maxUses.
+// Add adds a use: that a server was sent a prefix. Beyond maxUses it is left out.
 func (u *PrefixUses) Add(key PrefixHash, server string) {
 	if len(u.Keys) >= maxUses {
 		return
--- a/internal/router/quota/buckets.go
+++ b/internal/router/quota/buckets.go
@@ -15,13 +15,14 @@
 	transitSeconds            = 0.5  // of the rate: what was acquired and may still arrive at a server
 	isolatedSeconds           = 0.75 // of the rate: the leases of routers that are cut off, 0.3 of the fleet for 2.5 s
 	slackFraction             = 0.42 // of the slack; the rest is for the one request by which each lease may be overdrawn
-	overdraftFraction         = 0.25 // of the slack, contained in slackFraction: a request may overdraw a bucket that is not empty by so much
+	overdraftFraction         = 0.25 // of the slack, within slackFraction: by so much a request may overdraw a bucket that is not empty
 	minBurstFraction          = 0.25 // of a tenant's burst: the smallest capacity
 	initialFraction           = 0.4  // of the capacity that a new primary begins with
 	initialFractionAfterStart = 1.0  // the same where the process has just started itself: then hardly any router holds a lease
 )
 
-// TokenBuckets are the token buckets of all tenants, at the primary. Routers acquire from them what their requests need.
+// TokenBuckets are the token buckets of all tenants, at the primary. Routers acquire from them what their requests
+// need. Make them by NewTokenBuckets when a router becomes primary. They are for one goroutine at a time.
 type TokenBuckets struct {
 	bounds         Bounds
 	termStart      time.Duration
@@ -37,31 +38,40 @@
 	refilledAt time.Duration
 }
 
-// NewTokenBuckets begins a primary's term; started says that the process has just started.
+// NewTokenBuckets returns the buckets of a primary's term that begins now; started says that the process has just
+// started. Buckets begin with a fraction of their capacity, since routers may hold leases of the term before.
 func NewTokenBuckets(b Bounds, started bool, now time.Duration) *TokenBuckets {
 	initial := initialFraction
 	if started {
 		initial = initialFractionAfterStart
 	}
-	return &TokenBuckets{bounds: b, initial: initial, termStart: now, refillFraction: 1, limits: map[string]Limit{}, buckets: map[string]*tokenBucket{}}
+	return &TokenBuckets{
+		bounds:         b,
+		termStart:      now,
+		initial:        initial,
+		limits:         map[string]Limit{},
+		buckets:        map[string]*tokenBucket{},
+		refillFraction: 1,
+	}
 }
 
-// SetLimits sets the tenants' limits, as a configuration has them.
+// SetLimits replaces the tenants' limits by those of a configuration; the map is kept and must not be changed.
 func (t *TokenBuckets) SetLimits(limits map[string]Limit) { t.limits = limits }
 
-// SetReserve sets the fraction of the limits that is left to routers without contact.
+// SetReserve sets the fraction of every limit that is left to routers without contact: buckets are refilled by so much
+// less.
 func (t *TokenBuckets) SetReserve(fraction float64) { t.refillFraction = 1 - fraction }
 
-// Capacity is the most that a tenant may acquire at once after it acquired nothing for a while.
+// Capacity returns the most units that a tenant with a limit may acquire at once after it acquired nothing for a while.
 func (t *TokenBuckets) Capacity(l Limit) float64 {
 	window := t.bounds.Window.Seconds()
 	bound := (l.Rate*window+l.Burst)*(1+t.bounds.Overshoot) + (slackFraction-overdraftFraction)*t.bounds.Slack
 	return max(minBurstFraction*l.Burst, bound-l.Rate*(window+transitSeconds+isolatedSeconds))
 }
 
-// Acquire grants the units that a request needs and, where there are more, up to extra; or none, and how long to wait before
-// another attempt. A bucket that is not empty may be overdrawn: otherwise what it is refilled with would go to small requests, and large
-// ones would never find enough.
+// Acquire grants the units that a request needs and, where there are more, up to extra; or none, and how long to wait
+// before another attempt. A bucket that is not empty may be overdrawn: otherwise what it is refilled with would go to
+// small requests, and large ones would never find enough.
 func (t *TokenBuckets) Acquire(tenant string, need, extra float64, now time.Duration) (granted float64, wait time.Duration) {
 	limit, ok := t.limits[tenant]
 	if !ok || limit.Rate == 0 {
