--- a/cmd/petrelhook-agent/change_test.go
+++ b/cmd/petrelhook-agent/change_test.go
@@ -36,7 +36,7 @@
 }
 
 // short is a plan with two stages, the first of which is judged.
-const short = "at_once: 2\npatience: 3m\njudge: {effect: 0.15}\nstages:\n  - {count: 2, control: 2}\n  - {share: 1}\n"
+const short = "max_concurrent: 2\nprogress_timeout: 3m\njudge: {min_effect: 0.15}\nstages:\n  - {count: 2, control: 2}\n  - {share: 1}\n"
 
 // worse is a release that is bad in one way, for the plan with two stages.
 func worse(name, script, why string) deployment.WorseRelease {
@@ -61,7 +61,7 @@
 	kinds := []deployment.WorseRelease{worse(deployment.FaultOneClass, "", "failed of class void"), worse(deployment.FaultSlow, "", "slow of class"), worse("never ready", "exec sleep 60", "not ready in"),
 		worse(deployment.FaultNoConnections, "", "of class"), worse(deployment.FaultInZone+"a", "", "zone"), fiftieth}
 	if os.Getenv("FIGURES") != "" {
-		kinds = append(kinds, deployment.WorseRelease{Name: deployment.FaultLeaks, Reason: "of class * in zone *", Plan: strings.Replace(strings.Replace(short, "3m", "1m", 1), "control: 2", "control: 2, least: 50s", 1)})
+		kinds = append(kinds, deployment.WorseRelease{Name: deployment.FaultLeaks, Reason: "of class * in zone *", Plan: strings.Replace(strings.Replace(short, "3m", "1m", 1), "control: 2", "control: 2, min_bake_time: 50s", 1)})
 	}
 	s.CheckWorseReleases(good, kinds)
 	s.Check()
@@ -84,7 +84,7 @@
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
-	if _, err := s.Begin(deployment.PlanText(s.Initial, id, "before: 5s\n"+strings.Replace(short, "0.15", "0.1", 1))); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, id, "baseline_period: 5s\n"+strings.Replace(short, "0.15", "0.1", 1))); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Begin(deployment.PlanText(s.Initial, id, short)); err == nil || !strings.Contains(err.Error(), "is running") {
@@ -113,7 +113,7 @@
 	began := time.Now()
 	const rises = 18 * time.Second // after the load began
 	s := newLoadTest(t, 6, 240, "arrive step 1/s..600/s at=18s poisson\n", nil)
-	if _, err := s.Begin(deployment.PlanText(s.Initial, s.FaultyRelease(deployment.FaultUnderLoad), strings.Replace(short, "control: 2", "control: 2, least: 60s", 1))); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, s.FaultyRelease(deployment.FaultUnderLoad), strings.Replace(short, "control: 2", "control: 2, min_bake_time: 60s", 1))); err != nil {
 		t.Fatal(err)
 	}
 	s.AwaitChange(time.Minute, "it is stopped", func(c *rollout.Change) bool { return c.State.Phase > rollout.Paused })
--- a/cmd/petrelhook-agent/faults_test.go
+++ b/cmd/petrelhook-agent/faults_test.go
@@ -23,7 +23,7 @@
 	"petrelhook/internal/rig/link"
 )
 
-const twoStages = "at_once: 2\nunavailable: 3\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 1}\n  - {share: 1}\n"
+const twoStages = "max_concurrent: 2\nmax_unavailable: 3\nprogress_timeout: 3m\njudge: {min_effect: 0.2}\nstages:\n  - {count: 2, control: 1}\n  - {share: 1}\n"
 
 // The coordinator that drives a change is killed again and again, and one is paused and continues with calls in flight: the change
 // completes, each sidecar is changed once, and the calls of the one that was paused are refused.
@@ -109,7 +109,7 @@
 // completes.
 func TestAgentsThatDie(t *testing.T) {
 	s := newLoadTest(t, 6, 200, "", func(d *deployment.Deployment) { // a trial starts over with the agent
-		d.Limits = "{ready: 15s, trial: 300ms, end: 4s, look: 50ms, cut_off: 20s, heard: 4s, restart_pause: 200ms}"
+		d.Limits = "{ready_timeout: 15s, trial_period: 300ms, termination_timeout: 4s, poll_interval: 50ms, isolation_timeout: 20s, contact_timeout: 4s, initial_restart_backoff: 200ms}"
 	})
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	if _, err := s.Begin(deployment.PlanText(s.Initial, good, twoStages)); err != nil {
@@ -130,10 +130,10 @@
 func TestAgentsThatAreCutOff(t *testing.T) {
 	s := newLoadTest(t, 6, 200, "", func(d *deployment.Deployment) {
 		d.PerAgent = 2
-		d.Limits = "{ready: 15s, trial: 1s, end: 4s, look: 50ms, cut_off: 4s, heard: 2s, restart_pause: 200ms}"
+		d.Limits = "{ready_timeout: 15s, trial_period: 1s, termination_timeout: 4s, poll_interval: 50ms, isolation_timeout: 4s, contact_timeout: 2s, initial_restart_backoff: 200ms}"
 	})
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "at_once: 3\nunavailable: 6\npatience: 3m\njudge: {effect: 0.02}\nstages:\n  - {names: [n00, n02, n04], control: 1}\n  - {share: 1}\n")); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "max_concurrent: 3\nmax_unavailable: 6\nprogress_timeout: 3m\njudge: {min_effect: 0.02}\nstages:\n  - {names: [n00, n02, n04], control: 1}\n  - {share: 1}\n")); err != nil {
 		t.Fatal(err)
 	}
 	s.AwaitChange(time.Minute, "three are changed", func(c *rollout.Change) bool { return deployment.CountRunning(c, good) == 3 })
@@ -162,7 +162,7 @@
 func TestStoppedProcesses(t *testing.T) {
 	s := newLoadTest(t, 4, 100, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "patience: 8s\njudge: {effect: 0.001}\nstages:\n  - {names: [n00]}\n  - {share: 1}\n")); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "progress_timeout: 8s\njudge: {min_effect: 0.001}\nstages:\n  - {names: [n00]}\n  - {share: 1}\n")); err != nil {
 		t.Fatal(err)
 	}
 	s.AwaitChange(time.Minute, "it is changed", func(c *rollout.Change) bool { return deployment.CountRunning(c, good) == 1 })
@@ -192,7 +192,7 @@
 func TestAMachineThatIsBackAfterWeeks(t *testing.T) {
 	s := newLoadTest(t, 4, 60, "", func(d *deployment.Deployment) { d.PerAgent = 2 })
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "at_once: 4\njudge: none\nstages: [{share: 1}]\n")); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "max_concurrent: 4\njudge: none\nstages: [{share: 1}]\n")); err != nil {
 		t.Fatal(err)
 	}
 	s.AwaitEnd(time.Minute)
--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -20,9 +20,9 @@
 	var froms []time.Duration
 	names := []string{"judged", "by the clock", "at once"}
 	for i, p := range []string{
-		"at_once: 2\nstages:\n  - {count: 1, control: 1, least: 10s}\n  - {share: 0.25, control: 2, least: 10s}\n  - {share: 1}\n",
-		"at_once: 2\njudge: none\nstages:\n  - {count: 1, least: 10s}\n  - {share: 0.25, least: 10s}\n  - {share: 1}\n",
-		"at_once: 12\njudge: none\nstages:\n  - {share: 1}\n",
+		"max_concurrent: 2\nstages:\n  - {count: 1, control: 1, min_bake_time: 10s}\n  - {share: 0.25, control: 2, min_bake_time: 10s}\n  - {share: 1}\n",
+		"max_concurrent: 2\njudge: none\nstages:\n  - {count: 1, min_bake_time: 10s}\n  - {share: 0.25, min_bake_time: 10s}\n  - {share: 1}\n",
+		"max_concurrent: 12\njudge: none\nstages:\n  - {share: 1}\n",
 	} {
 		from := time.Since(zero)
 		froms = append(froms, from)
@@ -36,7 +36,7 @@
 			s.SendEvent(rollout.Event{Abort: "measured"})
 		}
 		if c := s.AwaitEnd(time.Minute); c.State.Phase == rollout.Done {
-			if _, err := s.Begin(deployment.PlanText(bad, s.Initial, "at_once: 12\njudge: none\nstages:\n  - {share: 1}\n")); err != nil {
+			if _, err := s.Begin(deployment.PlanText(bad, s.Initial, "max_concurrent: 12\njudge: none\nstages:\n  - {share: 1}\n")); err != nil {
 				t.Fatal(err)
 			}
 			s.AwaitEnd(time.Minute)
@@ -66,7 +66,7 @@
 	now, next := s.Initial, s.Script("another-name", `exec $REAL "$@"`, s.Settings)
 	for i := range 20 {
 		began := time.Now()
-		if _, err := s.Begin(deployment.PlanText(now, next, "at_once: 4\nunavailable: 4\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {count: 4, control: 2}\n  - {share: 1}\n")); err != nil {
+		if _, err := s.Begin(deployment.PlanText(now, next, "max_concurrent: 4\nmax_unavailable: 4\nprogress_timeout: 3m\njudge: {min_effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {count: 4, control: 2}\n  - {share: 1}\n")); err != nil {
 			t.Fatal(err)
 		}
 		c := s.AwaitEnd(3 * time.Minute)
--- a/cmd/petrelhook-agent/version_test.go
+++ b/cmd/petrelhook-agent/version_test.go
@@ -180,7 +180,7 @@
 	s := newListed(t, 240)
 	end := s.WatchRevisions(t)
 	good := s.Script("another-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "at_once: 2\npatience: 3m\njudge: {effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {share: 1}\n")); err != nil {
+	if _, err := s.Begin(deployment.PlanText(s.Initial, good, "max_concurrent: 2\nprogress_timeout: 3m\njudge: {min_effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {share: 1}\n")); err != nil {
 		t.Fatal(err)
 	}
 	s.AwaitChange(time.Minute, "it moves", func(c *rollout.Change) bool { return len(c.State.OpenOrders()) > 0 })
@@ -193,7 +193,7 @@
 
 	before := s.Publish(s.quantum(0, 4))
 	third := s.Script("a-third-name", `exec $REAL "$@"`, s.Settings)
-	if _, err := s.Begin(deployment.PlanText(good, third, "at_once: 3\nunavailable: 3\njudge: none\nstages: [{share: 1}]\n")); err != nil {
+	if _, err := s.Begin(deployment.PlanText(good, third, "max_concurrent: 3\nmax_unavailable: 3\njudge: none\nstages: [{share: 1}]\n")); err != nil {
 		t.Fatal(err)
 	}
 	s.AwaitChange(time.Minute, "both go on", func(c *rollout.Change) bool { return len(c.State.OpenOrders()) > 0 })
--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/hard_test.go
@@ -186,7 +186,7 @@
 	os.WriteFile(path, backup.Backup, 0o600)
 	os.RemoveAll(filepath.Join(g.Dir, "data1"))
 	text, _ := os.ReadFile(g.ConfigFile(0))
-	os.WriteFile(g.ConfigFile(0), append(text, "longest_ttl: 2s\n"...), 0o600)
+	os.WriteFile(g.ConfigFile(0), append(text, "max_ttl: 2s\n"...), 0o600)
 	cfg, err := fleet.ReadConfig(g.ConfigFile(0))
 	if err == nil {
 		err = fleet.Restore(cfg, path, 0)
@@ -279,7 +279,7 @@
 		`c.yaml:4:22: replicas[0].address: "x" is no address`:     strings.Replace(good, "127.0.0.1:7001", "x", 1),
 		"replicas[0].address: 10.0.0.1:7001 is not of loopback":   strings.Replace(good, "127.0.0.1", "10.0.0.1", 1),
 		"c.yaml:4:3: replicas: id 7 is not among them":            strings.Replace(good, "id: 1\n", "id: 7\n", 1),
-		`longest_ttl: "1d"; write a time from`:                    good + "longest_ttl: 1d\n",
+		`max_ttl: "1d"; write a time from`:                        good + "max_ttl: 1d\n",
 		"c.yaml: line 1: did not find expected":                   "id: [1\n",
 		"c.yaml:1:1: write fields":                                "",
 	} {
--- a/internal/rig/deployment/deployment.go
+++ b/internal/rig/deployment/deployment.go
@@ -58,8 +58,8 @@
 	t.Helper()
 	bin := programs.Dir(t)
 	d := &Deployment{t: t, programDir: bin, Releases: filepath.Join(t.TempDir(), "releases"), PerAgent: 3, Zones: []string{""},
-		Limits: "{ready: 10s, trial: 1s, end: 4s, look: 50ms, cut_off: 20s, heard: 4s, restart_pause: 200ms}"}
-	d.Group = coordinator.NewGroupWith(t, coordinators, "drive: true\ndrive_every: 200ms\n", func(args ...string) *exec.Cmd {
+		Limits: "{ready_timeout: 10s, trial_period: 1s, termination_timeout: 4s, poll_interval: 50ms, isolation_timeout: 20s, contact_timeout: 4s, initial_restart_backoff: 200ms}"}
+	d.Group = coordinator.NewGroupWith(t, coordinators, "drive: true\ndrive_interval: 200ms\n", func(args ...string) *exec.Cmd {
 		return exec.Command(filepath.Join(bin, "petrelhook-coordinator"), args...)
 	})
 	return d
