--- a/cmd/petrelhook-router/fleet_test.go
+++ b/cmd/petrelhook-router/fleet_test.go
@@ -187,80 +187,136 @@
 	return code
 }
 
+// applicationServer is the one server of the service. It reports its state in heartbeats.
+type applicationServer struct {
+	f        *fleet
+	address  string
+	sequence int // of the last heartbeat
+}
+
+func newApplicationServer(t *testing.T, f *fleet) *applicationServer {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
+		io.WriteString(w, "answer")
+	}))
+	t.Cleanup(server.Close)
+	return &applicationServer{f: f, address: server.Listener.Addr().String()}
+}
+
+// sendHeartbeat sends the next heartbeat to a machine, and returns its status.
+func (s *applicationServer) sendHeartbeat(m *machine, state string) int {
+	s.sequence++
+	return s.f.sendHeartbeat(m, s.address, state, s.sequence)
+}
+
+// waitHeartbeat sends heartbeats to a machine until one is accepted.
+func (s *applicationServer) waitHeartbeat(m *machine, state, what string) {
+	s.f.t.Helper()
+	peertest.Eventually(s.f.t, what, func() bool { return s.sendHeartbeat(m, state) == http.StatusOK })
+}
+
 const firstConfiguration = `{"Generation":3,"Routes":[{"Name":"r1","Host":"a.example","PathPrefix":"/x/","RouteType":"safe","TimeoutMs":2000,"Service":"s","MaxAttempts":2}],
 "Services":[{"Name":"s","MaxConnections":50}],"Tenants":[{"Name":"t1","ApiKeys":["k1"],"RatePerS":1000,"Burst":1000}]}`
 
+const secondConfigurationUpdate = `{"Generation":7,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","RouteType":"safe","TimeoutMs":2000,"Service":"s"}]}}`
+
 // A fleet of processes forms a core, accepts a configuration and serves; the primary is killed and comes back; a drain
 // is known everywhere once it is acknowledged.
 func TestFleet(t *testing.T) {
 	f := newFleet(t, 3, 2)
-	require.Equal(t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration))
-	require.Equal(t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration), "sent again")
-	require.Equal(t, http.StatusPreconditionFailed, f.order("/-/config/update", 1, `{"Generation":9}`))
-	require.Equal(t, http.StatusBadRequest, f.order("/-/config/update", 3, `{"Generation":`))
+	f.configureFirst()
+	server := newApplicationServer(t, f)
+	f.waitServing(server)
+	f.updateWithoutPrimary(server)
+	f.drain(server)
+	f.checkStatusCommand()
+	f.stop()
+	f.checkStateCommand()
+}
 
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
-		io.WriteString(w, "answer")
-	}))
-	defer server.Close()
-	at, sequence := server.Listener.Addr().String(), 0
-	peertest.Eventually(t, "a heartbeat is accepted", func() bool {
-		sequence++
-		return f.sendHeartbeat(f.machines[4], at, "ready", sequence) == http.StatusOK
-	})
+// configureFirst has the first configuration accepted, again where it is sent again, and others refused.
+func (f *fleet) configureFirst() {
+	f.t.Helper()
+	require.Equal(f.t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration))
+	require.Equal(f.t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration), "sent again")
+	require.Equal(f.t, http.StatusPreconditionFailed, f.order("/-/config/update", 1, `{"Generation":9}`))
+	require.Equal(f.t, http.StatusBadRequest, f.order("/-/config/update", 3, `{"Generation":`))
+}
+
+// waitServing waits until each machine answers requests of the first route by way of the server.
+func (f *fleet) waitServing(server *applicationServer) {
+	f.t.Helper()
+	server.waitHeartbeat(f.machines[4], "ready", "a heartbeat is accepted")
 	for _, m := range f.machines {
 		f.waitReady(m)
-		peertest.Eventually(t, m.ip+" serves", func() bool {
-			sequence++
-			f.sendHeartbeat(m, at, "ready", sequence)
+		peertest.Eventually(f.t, m.ip+" serves", func() bool {
+			server.sendHeartbeat(m, "ready")
 			code, text := f.request(m, "/x/1")
 			return code == http.StatusOK && text == "answer"
 		})
 	}
+}
 
+// updateWithoutPrimary kills the primary, adds a route by way of the next one, and starts the killed machine again. Each machine has the route
+// in the end, and a read at one of them the newest configuration.
+func (f *fleet) updateWithoutPrimary(server *applicationServer) {
+	f.t.Helper()
 	killed := f.primary()
-	require.NotNil(t, killed)
+	require.NotNil(f.t, killed)
 	killed.process.KillAndWait()
-	const update = `{"Generation":7,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","RouteType":"safe","TimeoutMs":2000,"Service":"s"}]}}`
-	require.Equal(t, http.StatusOK, f.order("/-/config/update", 3, update))
-	require.Equal(t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration), "sent again to the next primary")
-	require.Equal(t, http.StatusOK, f.order("/-/config/update", 3, update), "sent again")
+	require.Equal(f.t, http.StatusOK, f.order("/-/config/update", 3, secondConfigurationUpdate))
+	require.Equal(f.t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration), "sent again to the next primary")
+	require.Equal(f.t, http.StatusOK, f.order("/-/config/update", 3, secondConfigurationUpdate), "sent again")
 	killed.start()
 	for _, m := range f.machines {
-		peertest.Eventually(t, m.ip+" has the new route", func() bool {
-			sequence++
-			f.sendHeartbeat(m, at, "ready", sequence)
+		peertest.Eventually(f.t, m.ip+" has the new route", func() bool {
+			server.sendHeartbeat(m, "ready")
 			code, _ := f.request(m, "/y/1")
 			return code == http.StatusOK
 		})
 	}
-	peertest.Eventually(t, "the read is the newest", func() bool {
+	peertest.Eventually(f.t, "the read is the newest", func() bool {
 		code, text := f.call(http.MethodGet, "http://"+f.address(f.machines[4].ip, 2)+"/-/config/read", "")
 		return code == http.StatusOK && strings.HasPrefix(text, `{"Generation":7,`)
 	})
+}
 
-	peertest.Eventually(t, "a drain is acknowledged", func() bool {
-		sequence++
-		return f.sendHeartbeat(f.machines[3], at, "draining", sequence) == http.StatusOK
-	})
+// drain has the server announce its drain to one machine, and waits until all of them know.
+func (f *fleet) drain(server *applicationServer) {
+	f.t.Helper()
+	server.waitHeartbeat(f.machines[3], "draining", "a drain is acknowledged")
 	for _, m := range f.machines {
-		peertest.Eventually(t, m.ip+" knows the drain", func() bool { return f.status(m).Servers["s"] == 0 })
+		peertest.Eventually(f.t, m.ip+" knows the drain", func() bool { return f.status(m).Servers["s"] == 0 })
 	}
+}
 
+// checkStatusCommand asks the first machine by the status command.
+func (f *fleet) checkStatusCommand() {
+	f.t.Helper()
 	var out bytes.Buffer
-	require.Zero(t, run([]string{"petrelhook-router", "status", f.address(f.machines[0].ip, 2)}, &out, &out))
-	require.Contains(t, out.String(), `"Generation": 7`)
+	require.Zero(f.t, run([]string{"petrelhook-router", "status", f.address(f.machines[0].ip, 2)}, &out, &out))
+	require.Contains(f.t, out.String(), `"Generation": 7`)
+}
+
+// stop interrupts all machines, and waits until each has ended with success.
+func (f *fleet) stop() {
+	f.t.Helper()
 	for _, m := range f.machines {
-		require.NoError(t, m.process.Signal(os.Interrupt))
+		require.NoError(f.t, m.process.Signal(os.Interrupt))
 	}
 	for _, m := range f.machines {
-		require.NoError(t, <-m.process.Ended, m.ip)
+		require.NoError(f.t, <-m.process.Ended, m.ip)
 	}
-	out.Reset()
+}
+
+// checkStateCommand reads the disk of the first machine, which has been stopped, by the state command.
+func (f *fleet) checkStateCommand() {
+	f.t.Helper()
+	var out bytes.Buffer
 	data := filepath.Join(filepath.Dir(f.machines[0].settings), "data")
-	require.Zero(t, run([]string{"petrelhook-router", "state", data}, &out, &out), out.String())
-	require.Contains(t, out.String(), `"Generation": 7`)
+	require.Zero(f.t, run([]string{"petrelhook-router", "state", data}, &out, &out), out.String())
+	require.Contains(f.t, out.String(), `"Generation": 7`)
 }
 
 func TestCommandLine(t *testing.T) {
