--- a/internal/sidecar/wiring/news_test.go
+++ b/internal/sidecar/wiring/news_test.go
@@ -36,37 +36,37 @@
 }
 
 // setReachable notes that a working discovery could report the change from now on.
-func (p *scriptedDiscovery) setReachable() { p.setReachableFrom(time.Now()) }
+func (d *scriptedDiscovery) setReachable() { d.setReachableFrom(time.Now()) }
 
 // setReachableFrom notes from when on it could. Until then dials get no answer where unreachable is set.
-func (p *scriptedDiscovery) setReachableFrom(t time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.reachableFrom = t
+func (d *scriptedDiscovery) setReachableFrom(t time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.reachableFrom = t
 }
 
 // reachableFor is for how long it could have; below 0: it could not yet.
-func (p *scriptedDiscovery) reachableFor() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.reachableFrom.IsZero() {
+func (d *scriptedDiscovery) reachableFor() time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.reachableFrom.IsZero() {
 		return -1
 	}
-	return time.Since(p.reachableFrom)
+	return time.Since(d.reachableFrom)
 }
 
-func (p *scriptedDiscovery) isUnreachable() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.unreachable && time.Now().Before(p.reachableFrom)
+func (d *scriptedDiscovery) isUnreachable() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.unreachable && time.Now().Before(d.reachableFrom)
 }
 
 // countCall counts a call to an address, and returns how many there were before.
-func (p *scriptedDiscovery) countCall(addr string) (n int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n = p.calls[addr]
-	p.calls[addr]++
+func (d *scriptedDiscovery) countCall(addr string) (n int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	n = d.calls[addr]
+	d.calls[addr]++
 	return n
 }
 
@@ -94,30 +94,30 @@
 }
 
 // neverAnswer reads the request and sends nothing.
-func neverAnswer(p *scriptedDiscovery, conn net.Conn) {
-	p.setReachable()
+func neverAnswer(d *scriptedDiscovery, conn net.Conn) {
+	d.setReachable()
 	holdOpen(conn)
 }
 
 // sendKnownList sends the list that the sidecar has, and then nothing.
-func sendKnownList(p *scriptedDiscovery, conn net.Conn) {
+func sendKnownList(d *scriptedDiscovery, conn net.Conn) {
 	io.WriteString(conn, okHead+listOf(knownGeneration))
-	p.setReachable()
+	d.setReachable()
 	holdOpen(conn)
 }
 
 // sendThenHang sends a text, which isn't the changed list, and then nothing.
 func sendThenHang(text string) scriptedCall {
-	return func(p *scriptedDiscovery, conn net.Conn) {
-		p.setReachable()
+	return func(d *scriptedDiscovery, conn net.Conn) {
+		d.setReachable()
 		io.WriteString(conn, text)
 		holdOpen(conn)
 	}
 }
 
 // sendByteByByte sends the changed list at a pace at which it would take minutes.
-func sendByteByByte(p *scriptedDiscovery, conn net.Conn) {
-	p.setReachable()
+func sendByteByByte(d *scriptedDiscovery, conn net.Conn) {
+	d.setReachable()
 	io.WriteString(conn, okHead)
 	for _, b := range []byte(listOf(changedGeneration)) {
 		if _, err := conn.Write([]byte{b}); err != nil {
@@ -128,9 +128,9 @@
 }
 
 // reloadThenHang moves the sidecar to the second address of discovery, and answers nothing.
-func reloadThenHang(p *scriptedDiscovery, conn net.Conn) {
-	p.setReachable()
-	p.move()
+func reloadThenHang(d *scriptedDiscovery, conn net.Conn) {
+	d.setReachable()
+	d.move()
 	holdOpen(conn)
 }
 
@@ -145,21 +145,21 @@
 
 // failingForAMinute is the script of a discovery that fails each call of its first minute. Where fail is nil, dials get no answer in that time.
 func failingForAMinute(fail scriptedCall) []scriptedCall {
-	first := func(p *scriptedDiscovery, conn net.Conn) {
-		p.mu.Lock()
-		p.unreachable = fail == nil
-		p.mu.Unlock()
-		p.setReachableFrom(time.Now().Add(time.Minute))
+	first := func(d *scriptedDiscovery, conn net.Conn) {
+		d.mu.Lock()
+		d.unreachable = fail == nil
+		d.mu.Unlock()
+		d.setReachableFrom(time.Now().Add(time.Minute))
 		if fail != nil {
-			fail(p, conn)
+			fail(d, conn)
 		}
 	}
-	later := func(p *scriptedDiscovery, conn net.Conn) {
-		if p.reachableFor() < 0 {
-			fail(p, conn)
+	later := func(d *scriptedDiscovery, conn net.Conn) {
+		if d.reachableFor() < 0 {
+			fail(d, conn)
 			return
 		}
-		answerSlowly(p, conn)
+		answerSlowly(d, conn)
 	}
 	return []scriptedCall{first, later}
 }
@@ -193,32 +193,32 @@
 // checkChangeArrivesInTime runs a sidecar, in simulated time, against a discovery that plays a script.
 func checkChangeArrivesInTime(t *testing.T, script []scriptedCall) {
 	t.Helper()
-	p := &scriptedDiscovery{calls: map[string]int{}}
+	d := &scriptedDiscovery{calls: map[string]int{}}
 	network := memnet.New(200 * time.Microsecond)
 	var played sync.WaitGroup // the end of a connection takes time to arrive
-	p.serve(t, network, "127.0.0.1:82", script, &played)
-	p.serve(t, network, "127.0.0.1:83", []scriptedCall{answerSlowly}, &played)
+	d.serve(t, network, "127.0.0.1:82", script, &played)
+	d.serve(t, network, "127.0.0.1:83", []scriptedCall{answerSlowly}, &played)
 
-	sidecar, listener := newScriptedSidecar(t, network, p)
-	p.move = func() { sidecar.core.Replace(sidecar.source("127.0.0.1:83")) }
+	sidecar, listener := newScriptedSidecar(t, network, d)
+	d.move = func() { sidecar.core.Replace(sidecar.source("127.0.0.1:83")) }
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	defer func() { cancel(); <-ended; played.Wait() }()
 	go func() { ended <- sidecar.Run(ctx, listener, nil, nil) }()
 
-	for time.Sleep(time.Millisecond); p.reachableFor() < 0; time.Sleep(time.Millisecond) {
+	for time.Sleep(time.Millisecond); d.reachableFor() < 0; time.Sleep(time.Millisecond) {
 	}
 	for sidecar.core.Stats().Generation != changedGeneration {
-		if p.reachableFor() > maxUpdateDelay {
+		if d.reachableFor() > maxUpdateDelay {
 			t.Fatalf("the change has not arrived after %v", maxUpdateDelay)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Logf("after %v", p.reachableFor().Round(10*time.Millisecond))
+	t.Logf("after %v", d.reachableFor().Round(10*time.Millisecond))
 }
 
 // newScriptedSidecar is a sidecar that knows the list of knownGeneration and watches discovery at 127.0.0.1:82, and the listener to run it on.
-func newScriptedSidecar(t *testing.T, network *memnet.Network, p *scriptedDiscovery) (*Sidecar, net.Listener) {
+func newScriptedSidecar(t *testing.T, network *memnet.Network, d *scriptedDiscovery) (*Sidecar, net.Listener) {
 	t.Helper()
 	cfg, err := config.Parse("test", []byte(fmt.Sprintf(
 		`{"name":"n0","listen":"127.0.0.1:81","discovery":"127.0.0.1:82","seed":"1f","known":%s,"settings":%s}`,
@@ -231,7 +231,7 @@
 		t.Fatal(err)
 	}
 	dial := func(ctx context.Context, protocol, addr string) (net.Conn, error) {
-		if p.isUnreachable() {
+		if d.isUnreachable() {
 			<-ctx.Done()
 			return nil, errors.Join(ctx.Err(), net.ErrClosed)
 		}
@@ -241,7 +241,7 @@
 }
 
 // serve plays a script at an address, one call of it a connection, until the test ends. Each connection that is served counts in played.
-func (p *scriptedDiscovery) serve(t *testing.T, network *memnet.Network, addr string, script []scriptedCall, played *sync.WaitGroup) {
+func (d *scriptedDiscovery) serve(t *testing.T, network *memnet.Network, addr string, script []scriptedCall, played *sync.WaitGroup) {
 	t.Helper()
 	listener, err := network.Listen(addr)
 	if err != nil {
@@ -254,19 +254,19 @@
 			if err != nil {
 				return
 			}
-			played.Go(func() { p.play(conn, addr, script) })
+			played.Go(func() { d.play(conn, addr, script) })
 		}
 	}()
 }
 
 // play reads the request of a connection, and plays the call that is due at this address.
-func (p *scriptedDiscovery) play(conn net.Conn, addr string, script []scriptedCall) {
+func (d *scriptedDiscovery) play(conn net.Conn, addr string, script []scriptedCall) {
 	defer conn.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		return
 	}
-	call := script[min(p.countCall(addr), len(script)-1)]
-	call(p, conn)
+	call := script[min(d.countCall(addr), len(script)-1)]
+	call(d, conn)
 }
 
 // holdOpen keeps a connection open until the other side closes it.
