--- a/cmd/petrelhook-router/fleet_test.go
+++ b/cmd/petrelhook-router/fleet_test.go
@@ -282,12 +282,16 @@
 	})
 }
 
-// drain has the server announce its drain to one machine, and waits until all of them know.
+// drain has the server announce its drain to one machine, and waits until all of them know. The server sends heartbeats all the time: without
+// them it would be unusable after a while even if its drain was lost.
 func (f *fleet) drain(server *applicationServer) {
 	f.t.Helper()
 	server.waitHeartbeat(f.machines[3], "draining", "a drain is acknowledged")
 	for _, m := range f.machines {
-		peertest.Eventually(f.t, m.ip+" knows the drain", func() bool { return f.status(m).Servers["s"] == 0 })
+		peertest.Eventually(f.t, m.ip+" knows the drain", func() bool {
+			server.sendHeartbeat(f.machines[3], "draining")
+			return f.status(m).Servers["s"] == 0
+		})
 	}
 }
 
