--- a/internal/coordination/share/mutation_test.go
+++ b/internal/coordination/share/mutation_test.go
@@ -12,13 +12,13 @@
 func TestTheChecksCanFail(t *testing.T) {
 	const allocator, pkg, test = "internal/coordination/share/allocator.go", "./internal/coordination/share", "TestNeverOverTheLimit"
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"the drift margin":             {"internal/coordination/lease/doc.go", "/ (1 + MaxDrift)", "/ 1", pkg, test},
-		"the wait of a new leader":     {allocator, "if now < a.startsAt {", "if false {", pkg, test},
-		"the free units":               {allocator, "units := max(0, min(m.demand, int(m.entitled), free))", "units := max(0, min(m.demand, int(m.entitled)))", pkg, test},
-		"the floors":                   {allocator, "free := a.limit.Units - a.limit.Floor - a.outstanding", "free := a.limit.Units - a.outstanding", pkg, test},
-		"a lower limit":                {allocator, "func (a *Allocator) SetUnits(units int) { a", "func (a *Allocator) SetUnits(units int) { units = max(units, a.limit.Units); a", pkg, test},
-		"spent units count":            {allocator, "a.giveBack(allocation, allocation.units-usage.Units)", "a.giveBack(allocation, allocation.units)", pkg, test},
-		"returned units are not spent": {"internal/coordination/share/consumer.go", "held.units = held.usage.Units // what was spent counts until the end", "_ = 0", pkg, test},
-		"reported twice is once":       {allocator, "usage.Units < allocation.units {", "usage.Units < allocation.units+1 {\n			a.outstanding--", pkg, test},
+		"the drift margin":             {File: "internal/coordination/lease/doc.go", Text: "/ (1 + MaxDrift)", Replacement: "/ 1", Package: pkg, Test: test},
+		"the wait of a new leader":     {File: allocator, Text: "if now < a.startsAt {", Replacement: "if false {", Package: pkg, Test: test},
+		"the free units":               {File: allocator, Text: "units := max(0, min(m.demand, int(m.entitled), free))", Replacement: "units := max(0, min(m.demand, int(m.entitled)))", Package: pkg, Test: test},
+		"the floors":                   {File: allocator, Text: "free := a.limit.Units - a.limit.Floor - a.outstanding", Replacement: "free := a.limit.Units - a.outstanding", Package: pkg, Test: test},
+		"a lower limit":                {File: allocator, Text: "func (a *Allocator) SetUnits(units int) { a", Replacement: "func (a *Allocator) SetUnits(units int) { units = max(units, a.limit.Units); a", Package: pkg, Test: test},
+		"spent units count":            {File: allocator, Text: "a.giveBack(allocation, allocation.units-usage.Units)", Replacement: "a.giveBack(allocation, allocation.units)", Package: pkg, Test: test},
+		"returned units are not spent": {File: "internal/coordination/share/consumer.go", Text: "held.units = held.usage.Units // what was spent counts until the end", Replacement: "_ = 0", Package: pkg, Test: test},
+		"reported twice is once":       {File: allocator, Text: "usage.Units < allocation.units {", Replacement: "usage.Units < allocation.units+1 {\n			a.outstanding--", Package: pkg, Test: test},
 	})
 }
--- a/internal/rig/mutate/mutate.go
+++ b/internal/rig/mutate/mutate.go
@@ -11,9 +11,14 @@
 	"testing"
 )
 
-// Mutant is a replacement in a file of the module, and a test that has to fail with it: the file's path from the module's root, the text
-// (which the file has once), its replacement, the package and the name of the test.
-type Mutant [5]string
+// Mutant is a replacement in a file of the module, and a test that has to fail with it.
+type Mutant struct {
+	File        string // its path from the module's root
+	Text        string // the file has it once
+	Replacement string
+	Package     string // of the test, as go test takes it
+	Test        string // the name of the function
+}
 
 // Caught runs the test of each mutant in a subtest with its name, one at a time, and fails those whose test does not fail. root is the path
 // of the module's root.
@@ -37,28 +42,26 @@
 // check fails unless the mutant's test fails.
 func (m Mutant) check(t *testing.T, root string) {
 	t.Helper()
-	pkg, test := m[3], m[4]
 	overlay := m.writeOverlay(t, root)
-	cmd := exec.Command("go", "test", "-count=1", "-timeout", "60s", "-overlay", overlay, "-run", "^"+test+"$", pkg)
+	cmd := exec.Command("go", "test", "-count=1", "-timeout", "60s", "-overlay", overlay, "-run", "^"+m.Test+"$", m.Package)
 	cmd.Dir = root
 	out, err := cmd.CombinedOutput()
-	if err == nil || !strings.Contains(string(out), "--- FAIL: "+test) {
-		t.Errorf("%s does not notice: %v\n%s", test, err, out)
+	if err == nil || !strings.Contains(string(out), "--- FAIL: "+m.Test) {
+		t.Errorf("%s does not notice: %v\n%s", m.Test, err, out)
 	}
 }
 
 // writeOverlay writes the changed file and the overlay that has the compiler read it, and returns the overlay's path.
 func (m Mutant) writeOverlay(t *testing.T, root string) string {
 	t.Helper()
-	file, from, to := m[0], m[1], m[2]
-	path := filepath.Join(root, file)
+	path := filepath.Join(root, m.File)
 	text, err := os.ReadFile(path)
-	if err != nil || strings.Count(string(text), from) != 1 {
-		t.Fatalf("%v: %q is %d times in %s", err, from, strings.Count(string(text), from), file)
+	if err != nil || strings.Count(string(text), m.Text) != 1 {
+		t.Fatalf("%v: %q is %d times in %s", err, m.Text, strings.Count(string(text), m.Text), m.File)
 	}
 	dir := t.TempDir()
 	mutant, overlay := filepath.Join(dir, "mutant.go"), filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(mutant, []byte(strings.Replace(string(text), from, to, 1)), 0o600); err != nil {
+	if err := os.WriteFile(mutant, []byte(strings.Replace(string(text), m.Text, m.Replacement, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	list, err := json.Marshal(map[string]any{"Replace": map[string]string{path: mutant}})
--- a/internal/router/outlier/mutation_test.go
+++ b/internal/router/outlier/mutation_test.go
@@ -17,19 +17,19 @@
 		judge    = "internal/router/outlier/judge.go"
 	)
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"the others than the worst reporter": {evidence, "		others.Failed >= minFailures/3 && others.failureRatio() >= limit/2", "		others.Failed < 1e9",
-			here, "TestAConfusedReporterDoesNoHarm"},
-		"a reporter's weight": {detector, "if c.sent > maxReporterSends {", "if false {",
-			here, "TestOneReporterDoesNotHideWhatOthersSee"},
-		"half of a service": {judge, "allowed := int(maxEjectedFraction * float64(usable))", "allowed := usable",
-			here, "TestAServiceIsNeverEmptied"},
-		"the median of the service": {judge, "return max(minFailureRatio, medianFactor*median)", "_ = median\n\treturn minFailureRatio",
-			here, "TestAServiceIsNeverEmptied"},
-		"the own zone's evidence": {judge, "return s.fleet.fails(limit) && !contradicted", "_ = contradicted\n\treturn s.fleet.fails(limit)",
-			here, "TestOwnEvidenceGoesBeforeTheFleets"},
-		"trials of all together": {judge, "return min(maxProbability, trialsPerSecond/max(rate, minSends))", "_ = rate\n\treturn maxProbability",
-			here, "TestAServerThatFailsInPart"},
-		"an operator's override": {judge, "&& now >= s.server.admittedUntil && s.isOutlier(limit)", "&& s.isOutlier(limit)",
-			here, "TestAnOperatorAdmitsAServer"},
+		"the others than the worst reporter": {File: evidence, Text: "		others.Failed >= minFailures/3 && others.failureRatio() >= limit/2", Replacement: "		others.Failed < 1e9",
+			Package: here, Test: "TestAConfusedReporterDoesNoHarm"},
+		"a reporter's weight": {File: detector, Text: "if c.sent > maxReporterSends {", Replacement: "if false {",
+			Package: here, Test: "TestOneReporterDoesNotHideWhatOthersSee"},
+		"half of a service": {File: judge, Text: "allowed := int(maxEjectedFraction * float64(usable))", Replacement: "allowed := usable",
+			Package: here, Test: "TestAServiceIsNeverEmptied"},
+		"the median of the service": {File: judge, Text: "return max(minFailureRatio, medianFactor*median)", Replacement: "_ = median\n\treturn minFailureRatio",
+			Package: here, Test: "TestAServiceIsNeverEmptied"},
+		"the own zone's evidence": {File: judge, Text: "return s.fleet.fails(limit) && !contradicted", Replacement: "_ = contradicted\n\treturn s.fleet.fails(limit)",
+			Package: here, Test: "TestOwnEvidenceGoesBeforeTheFleets"},
+		"trials of all together": {File: judge, Text: "return min(maxProbability, trialsPerSecond/max(rate, minSends))", Replacement: "_ = rate\n\treturn maxProbability",
+			Package: here, Test: "TestAServerThatFailsInPart"},
+		"an operator's override": {File: judge, Text: "&& now >= s.server.admittedUntil && s.isOutlier(limit)", Replacement: "&& s.isOutlier(limit)",
+			Package: here, Test: "TestAnOperatorAdmitsAServer"},
 	})
 }
--- a/internal/router/quota/mutation_test.go
+++ b/internal/router/quota/mutation_test.go
@@ -16,10 +16,10 @@
 		pool   = "internal/router/quota/pool.go"
 	)
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"a deposit is spent by the pool alone": {shares, "if now < c.pooledUntil {", "if false {", here, "TestTheLimitIsNotExceeded"},
-		"a deposit counts from its request":    {pool, "expires := requestedAt + d.For", "expires := now + d.For", here, "TestADepositEndsAtThePoolFirst"},
-		"debts outlast deposits":               {pool, "if a.units >= 0 {", "if true {", here, "TestTheLimitIsNotExceeded"},
-		"debts go with a deposit":              {shares, "d.Debts[name] = -tenant.overdraft.units", "_ = name", here, "TestDebtsGoWithADeposit"},
-		"a router is not refilled meanwhile":   {shares, "from := max(tenant.refilledAt, c.pooledUntil)", "from := tenant.refilledAt", here, "TestADepositEndsAtThePoolFirst"},
+		"a deposit is spent by the pool alone": {File: shares, Text: "if now < c.pooledUntil {", Replacement: "if false {", Package: here, Test: "TestTheLimitIsNotExceeded"},
+		"a deposit counts from its request":    {File: pool, Text: "expires := requestedAt + d.For", Replacement: "expires := now + d.For", Package: here, Test: "TestADepositEndsAtThePoolFirst"},
+		"debts outlast deposits":               {File: pool, Text: "if a.units >= 0 {", Replacement: "if true {", Package: here, Test: "TestTheLimitIsNotExceeded"},
+		"debts go with a deposit":              {File: shares, Text: "d.Debts[name] = -tenant.overdraft.units", Replacement: "_ = name", Package: here, Test: "TestDebtsGoWithADeposit"},
+		"a router is not refilled meanwhile":   {File: shares, Text: "from := max(tenant.refilledAt, c.pooledUntil)", Replacement: "from := tenant.refilledAt", Package: here, Test: "TestADepositEndsAtThePoolFirst"},
 	})
 }
