--- a/internal/router/backend/exchange.go
+++ b/internal/router/backend/exchange.go
@@ -119,8 +119,7 @@
 // readAnswer reads the head of the answer to a request; late answers to earlier ones are passed over.
 func readAnswer(c *conn, r *Request) (*Response, error) {
 	for range maxLateAnswers + 1 {
-		// Closing a body would read the rest of it; Response.Close keeps or closes the connection instead.
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method}) //nolint:bodyclose // see above
+		answer, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method}) //nolint:bodyclose // Close would read the body to its end; Response.Close keeps or closes the connection instead
 		if err != nil {
 			return nil, err
 		}
--- a/internal/router/eventstream/eventstream.go
+++ b/internal/router/eventstream/eventstream.go
@@ -47,8 +47,7 @@
 		chunk, err := r.source.ReadSlice('\n')
 		r.event = append(r.event, chunk...)
 		completeLine := lineStart
-		// The buffer returns ErrBufferFull plain: an error of the source that wraps it is another one.
-		lineStart = err != bufio.ErrBufferFull //nolint:errorlint // see above
+		lineStart = err != bufio.ErrBufferFull //nolint:errorlint // the buffer returns it plain; an error of the source that wraps it is another one
 		if !lineStart && len(r.event) < MaxEvent {
 			continue
 		}
