--- a/internal/sidecar/core/attempt.go
+++ b/internal/sidecar/core/attempt.go
@@ -11,7 +11,7 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// attempt is one exchange for a request, from the module's decision until its end.
+// attempt is one exchange for a request, from the module's decision to send until its end.
 type attempt struct {
 	request   *request
 	number    int     // position in the request's attempts
@@ -20,17 +20,17 @@
 	sentAt    time.Time
 	call      *upstream.Call
 	neverRan  bool // it has ended, and the server certainly did not execute it
-	ended     bool // for the module; a streamed reply may still be on its way
-	streaming bool // its reply is streamed to the client: the exchange must not be cancelled
+	ended     bool // its outcome was handled; the rest of a streamed reply may still be arriving
+	streaming bool // its reply is being streamed to the client, so the exchange must not be cancelled
 	cancel    context.CancelFunc
-	timeout   *timer // nil: the body of the request is still arriving
+	timeout   *timer // nil while the body of the request is still arriving
 }
 
-// send starts an attempt.
+// send starts an attempt. If its server is no longer in the table, or the request is closed, the attempt ends as not sent.
 func (l *Loop) send(action *balance.Action) {
 	r := l.requests[action.Request]
 	if r == nil {
-		l.log.Error("the module sends for a request that is over", "request", action.Request)
+		l.log.Error("the decision module sent an attempt for a request that is no longer in the table", "request", action.Request)
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
@@ -60,13 +60,13 @@
 // newCall returns the call for a new attempt of a request, with its time limits.
 func (l *Loop) newCall(r *request, action *balance.Action) *upstream.Call {
 	call := &upstream.Call{Message: r.Message, Expires: r.deadline, ClientGone: r.isClientGone}
-	if r.Message.Remainder != nil { // the time limit begins with the last byte of the body
+	if r.Message.Remainder != nil { // the time limit starts with the last byte of the body
 		call.Expires, call.Wait = time.Time{}, r.Wait
 	}
 	if action.After > 0 {
 		call.Expires = earlier(call.Expires, l.clock.timeAt(action.After))
 	}
-	for _, previous := range r.attempts { // a keyed request must not be sent after servers may have forgotten its key
+	for _, previous := range r.attempts { // a keyed request must not be sent again once servers may have forgotten its key
 		if r.effect == balance.Keyed && !previous.neverRan && !math.IsInf(r.windowMillis, 1) {
 			call.SendBefore = earlier(call.SendBefore, previous.sentAt.Add(toDuration(r.windowMillis)))
 		}
@@ -74,15 +74,15 @@
 	return call
 }
 
-// balancerResults translates the results of exchanges to those of the module.
+// balancerResults maps the results of exchanges to those of the module.
 var balancerResults = [...]balance.Result{
 	upstream.Served: balance.OK, upstream.Failed: balance.Failed, upstream.Rejected: balance.Rejected,
 	upstream.TimedOut: balance.TimedOut, upstream.ConnectFailed: balance.ConnectFailed, upstream.Reset: balance.Reset,
 	upstream.Cancelled: balance.Cancelled, upstream.NotSent: balance.NotSent,
 }
 
-// onReplyStarted handles the beginning of a streamed reply. For the module the attempt ends here, since the server has done its work;
-// the connection stays in use until the remainder of the reply was read or closed.
+// onReplyStarted handles the start of a streamed reply. For the module the attempt ends here, because the server has accepted and answered
+// the request; the connection stays in use until the remainder of the reply is read or closed.
 func (l *Loop) onReplyStarted(a *attempt, out upstream.Outcome) {
 	if a.ended {
 		out.Reply.Done()
@@ -92,11 +92,11 @@
 	l.attemptEnded(a, out)
 }
 
-// errNoConnection is the error of an attempt that timed out before its connection was open.
-var errNoConnection = errors.New("no connection in time")
+// errNoConnection is the error of an attempt that timed out before its connection was established.
+var errNoConnection = errors.New("timed out before a connection was established")
 
 // attemptEnded handles the end of an attempt: it answers the request if the attempt was served, and passes the outcome to the module.
-// Only the first end of an attempt counts.
+// Only the first call for an attempt counts; a later one discards the reply.
 func (l *Loop) attemptEnded(a *attempt, out upstream.Outcome) {
 	if a.ended {
 		if a.streaming {
@@ -107,7 +107,7 @@
 	}
 	a.ended = true
 	l.timers.remove(a.timeout)
-	if out.Result == upstream.TimedOut && a.call.Claim() { // never connected; claimed before the exchange is cancelled
+	if out.Result == upstream.TimedOut && a.call.Claim() { // nothing was sent; claimed before the cancellation, so that nothing will be
 		out = upstream.Outcome{Result: upstream.ConnectFailed, Err: errNoConnection}
 	}
 	if !a.streaming {
@@ -123,15 +123,15 @@
 		Request: r.id, Attempt: a.number, Server: a.serverID, Result: balancerResults[out.Result], Latency: toMillis(took), Finished: r.closed,
 		LoadReport: out.LoadReport, BodyConsumed: r.Message.Remainder != nil && r.Message.Remainder.Consumed(),
 	})
-	if err != nil && r.inFlight == 0 { // the module does not know the attempt and will not act on it
+	if err != nil && r.inFlight == 0 { // the module does not know the attempt and will take no further action
 		l.finish(r.id, front.Answer{Verdict: front.Failed})
 	}
 	l.removeIfOver(r)
 }
 
-// deliver gives the outcome of an attempt to the client's goroutine if it ends the request. Otherwise the reply is discarded.
+// deliver passes the outcome of an attempt to the goroutine in Answer if it ends the request. Otherwise it discards the reply.
 func (r *request) deliver(out upstream.Outcome) {
-	if errors.Is(out.Err, upstream.ErrClientGone) && !r.closed { // noticed here before the front's context ended
+	if errors.Is(out.Err, upstream.ErrClientGone) && !r.closed { // the exchange noticed it before the front's context ended
 		r.closed = true
 		r.answer <- answer{err: front.ErrClientGone}
 	}
@@ -143,7 +143,7 @@
 	}
 }
 
-// logAttempt logs an attempt that was not served, unless it was abandoned on this side.
+// logAttempt logs an attempt that was not served, unless the sidecar cancelled it or its client has gone.
 func (l *Loop) logAttempt(a *attempt, out upstream.Outcome, took time.Duration) {
 	abandoned := errors.Is(out.Err, context.Canceled) || errors.Is(out.Err, upstream.ErrClientGone)
 	if out.Result == upstream.Served || abandoned {
@@ -157,7 +157,7 @@
 		"took", toMillis(took), "err", out.Err)
 }
 
-// cancelAttempt abandons an attempt at the module's request. The module learns of its end once all actions are carried out.
+// cancelAttempt cancels an attempt at the module's request. The outcome is passed to the module after all actions are carried out.
 func (l *Loop) cancelAttempt(action *balance.Action) {
 	r := l.requests[action.Request]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) || r.attempts[action.Attempt].ended {
--- a/internal/sidecar/core/clock.go
+++ b/internal/sidecar/core/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// clock converts between the module's time, Unix time in milliseconds that never goes back, and time.Time. The wall clock is read once,
-// because sources give the start times of servers as Unix time; from then on monotonic time is added.
+// clock converts between time.Time and the module's time: Unix time in milliseconds that never goes back. It reads the wall clock once,
+// because sources give the start times of servers as Unix time, and adds the monotonic time since then.
 type clock struct {
 	start       time.Time
 	startMillis float64 // Unix time
@@ -17,9 +17,10 @@
 	return clock{start, float64(start.UnixMicro()) / 1000}
 }
 
+// nowMillis returns the current time as the module's time.
 func (c clock) nowMillis() float64 { return c.millisAt(time.Now()) }
 
-// millisAt converts a time to the module's.
+// millisAt converts a time.Time to the module's time.
 func (c clock) millisAt(t time.Time) float64 { return c.startMillis + toMillis(t.Sub(c.start)) }
 
 // timeAt converts the module's time to a time.Time.
@@ -29,7 +30,8 @@
 
 func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// toDuration converts milliseconds to a Duration. What a Duration cannot represent becomes the nearest that it can.
+// toDuration converts milliseconds to a Duration. Values beyond half the range of a Duration are clamped to it, so that adding the result
+// to a time does not overflow.
 func toDuration(millis float64) time.Duration {
 	const limit = float64(math.MaxInt64 / 2)
 	return time.Duration(max(-limit, min(limit, millis*float64(time.Millisecond))))
--- a/internal/sidecar/core/core_test.go
+++ b/internal/sidecar/core/core_test.go
@@ -21,7 +21,7 @@
 	unsafe
 )
 
-// A request goes through a core whose front, source and servers' side are fakes: it is answered, and its id is reserved until its deadline.
+// A request that is served is answered and leaves the table, and its id is reserved until its deadline.
 func TestRequestLifecycle(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("t", unsafe)
@@ -39,22 +39,21 @@
 	})
 }
 
-// A reply arrives while the client disconnects: whichever comes first, the attempt ends once, nothing more is sent, and no state is
-// left.
-func TestAReplyCrossesADisconnect(t *testing.T) {
+// A reply arrives while the client disconnects. Whichever comes first, the attempt ends once, nothing more is sent, and no state is left.
+func TestReplyDuringDisconnect(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
-		for _, trace := range []string{"hang-up first", "answer first", "at once"} {
+		for _, trace := range []string{"disconnect first", "reply first", "at once"} {
 			a := r.request(trace, safe)
 			x := <-r.servers.sent
 			switch trace {
-			case "hang-up first":
+			case "disconnect first":
 				a.disconnect()
 				synctest.Wait()
 				if x.ctx.Err() == nil {
 					t.Error("the attempt was not cancelled")
 				}
 				x.serve()
-			case "answer first":
+			case "reply first":
 				x.serve()
 				synctest.Wait()
 				a.disconnect()
@@ -78,9 +77,9 @@
 	})
 }
 
-// A list removes the server of an attempt in flight: the attempt goes on to its end and its reply counts, and the next request goes to
-// another server.
-func TestAListRemovesTheServerOfAnAttempt(t *testing.T) {
+// A list removes the server of an attempt in flight. The attempt continues and its reply is delivered; the next request goes to another
+// server.
+func TestListRemovesServerOfAttempt(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("1", unsafe)
 		x := <-r.servers.sent
@@ -101,9 +100,9 @@
 	})
 }
 
-// A server is removed between the decision to send and the exchange, and another attempt is cancelled by the same actions: the attempts
-// are reported to the module as not sent.
-func TestASendToAServerThatIsGone(t *testing.T) {
+// The server of an attempt is removed between the decision to send and the exchange, and the same actions cancel the attempt. The outcome,
+// not sent, is deferred until all actions are carried out; it neither ends the request nor changes the answer of the other attempt.
+func TestSendToRemovedServer(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		r.allowWarnings.Store(true)
 		a := r.request("1", safe)
@@ -124,9 +123,9 @@
 	})
 }
 
-// An attempt ends after its request: the answer is given at the deadline, and what the server replies later is no second answer. Only
-// then is the request removed.
-func TestAnOutcomeAfterTheEnd(t *testing.T) {
+// An attempt ends after its request: the answer is given at the deadline, and a later reply of the server is not a second answer. The
+// request is removed when the attempt has ended.
+func TestOutcomeAfterDeadline(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		began := time.Now()
 		a := r.request("1", unsafe)
@@ -144,8 +143,9 @@
 	})
 }
 
-// If attempts cannot be cancelled, a request whose client has gone stays in the table until the server has ended it, and so does its id.
-func TestARequestStaysUntilItsLastAttemptEnds(t *testing.T) {
+// If the settings do not allow attempts to be cancelled, a request whose client has gone stays in the table, with its id, until the server
+// has replied.
+func TestRequestStaysUntilItsLastAttemptEnds(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("1", safe)
 		x := <-r.servers.sent
@@ -160,8 +160,8 @@
 	}, func(c *balance.Config) { c.Cancel = false })
 }
 
-// A copy that is rejected, and whose client disconnects at the same time, does not release the id of the request that has it.
-func TestARejectedCopyThatDisconnects(t *testing.T) {
+// A second request with the id of an open one is rejected while its client disconnects. This does not release the id of the open request.
+func TestRejectedCopyDisconnects(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("1", unsafe)
 		x := <-r.servers.sent
@@ -181,8 +181,8 @@
 	})
 }
 
-// If an attempt times out before anything of it was sent it was never executed, and the client may retry.
-func TestAnAttemptThatNeverLeft(t *testing.T) {
+// An attempt that times out before anything of it was sent was not executed, so the request is refused and the client may retry.
+func TestTimeoutBeforeConnection(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		began := time.Now()
 		r.servers.unreachable.Store(true)
@@ -194,9 +194,9 @@
 	})
 }
 
-// The loop ends while requests are open: each front gets an error at once, and what the servers' side reports later is dropped without
-// blocking.
-func TestALoopThatEnds(t *testing.T) {
+// The loop ends while requests are open. Each front gets an error at once, and outcomes that endpoints report later are dropped without
+// blocking them.
+func TestLoopEndsWithOpenRequests(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("1", safe)
 		x := <-r.servers.sent
@@ -214,9 +214,9 @@
 	})
 }
 
-// An attempt that was certainly not executed is followed by another at the next server, also for an unsafe request; one that may have
-// been executed is not.
-func TestWhatHasRunDecides(t *testing.T) {
+// An attempt that was certainly not executed is retried at another server, also for an unsafe request. One that may have been executed is
+// not.
+func TestRetryOnlyIfNotExecuted(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
 		a := r.request("1", unsafe)
 		x := <-r.servers.sent
@@ -232,25 +232,25 @@
 }
 
 // A keyed request is sent again only while servers remember the key of its first attempt.
-func TestTheWindowOfAKey(t *testing.T) {
+func TestKeyedRetryWindow(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
 		began := time.Now()
 		a := r.request("1", keyed)
 		x := <-r.servers.sent
 		if !x.call.SendBefore.IsZero() {
-			t.Errorf("the first must begin by %v", x.call.SendBefore)
+			t.Errorf("the first attempt must be sent before %v, want no limit", x.call.SendBefore)
 		}
 		x.outcome <- upstream.Outcome{Result: upstream.Reset}
 		y := <-r.servers.sent
 		if d := y.call.SendBefore.Sub(began); d != 500*time.Millisecond {
-			t.Errorf("the second must begin by %v", d)
+			t.Errorf("the second attempt must be sent within %v", d)
 		}
 		y.serve()
 		r.expect(a, front.Served, nil)
 	})
 }
 
-// A source that replaces another is asked for its complete list, and the current list stays until that arrives; one of the same name
+// A source that replaces another is asked for its complete list, and the current list stays until that arrives. A source with the same name
 // changes nothing.
 func TestReplace(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
@@ -266,7 +266,7 @@
 		if s := r.Stats(); len(s.Servers) != 1 || s.Servers[0] != "c" || s.Generation != 7 {
 			t.Errorf("%+v", s)
 		}
-		// What the old source delivers while it is replaced is ignored.
+		// A list that the old source delivers while it is being replaced is ignored.
 		blocked, last := make(chan struct{}), &otherSource{fakeSource: fakeSource{lists: make(chan member.List)}}
 		last.name = "last"
 		r.post(func() { <-blocked })
@@ -292,7 +292,7 @@
 
 func (s *otherSource) Name() string { return "other" + s.name }
 
-// An answered request leaves no timer that would wake an idle sidecar: neither its attempt's time-out nor a timer of the module.
+// An answered request leaves no timer that would wake an idle sidecar: neither the timeout of its attempt nor a timer of the module.
 func TestAnsweredRequestsLeaveNoTimers(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		for i := range 20 {
@@ -303,29 +303,28 @@
 		r.expectNoRequests(20) // ids are reserved until their deadline
 		r.post(func() {
 			for _, timer := range r.timers {
-				t.Errorf("it would wake in %v for %+v", time.Until(timer.deadline), timer)
+				t.Errorf("the loop would wake in %v for %+v", time.Until(timer.deadline), timer)
 			}
 		})
 	})
 }
 
-// The time-out of an attempt comes before the module's own timer of the same moment.
-func TestATimeOutComesBeforeTheModulesTimer(t *testing.T) {
+// The timeout of an attempt fires before a timer of the module that expires at the same moment.
+func TestAttemptTimeoutBeforeModuleTimer(t *testing.T) {
 	withCore(t, nil, func(r *testCore) {
 		r.post(func() {
 			timedOut := &attempt{}
 			r.carryOut([]balance.Action{{Kind: balance.SetTimer, Token: 7, After: 100}})
 			r.timers.add(&timer{deadline: time.Now().Add(100 * time.Millisecond), attempt: timedOut})
 			if r.timers[0].attempt != timedOut {
-				t.Error("the module's timer comes first")
+				t.Error("the module's timer fires first")
 			}
 			r.timers = nil
 		})
 	})
 }
 
-// Sources give the start times of servers as Unix time, so the module's clock must be Unix time too; and it must not jump with the
-// wall clock.
+// Sources give the start times of servers as Unix time, so the module's time must be Unix time too. It must not jump with the wall clock.
 func TestClock(t *testing.T) {
 	c := newClock()
 	if d := c.nowMillis() - float64(time.Now().UnixMicro())/1000; d < -1000 || d > 1000 {
@@ -336,22 +335,23 @@
 		t.Errorf("1500 ms are %v", d)
 	}
 	if d := c.timeAt(c.millisAt(at)).Sub(at); d < -time.Microsecond || d > time.Microsecond {
-		t.Errorf("there and back: %v off", d)
+		t.Errorf("converted back: %v off", d)
 	}
 }
 
-// The module's order of servers must be the same at every sidecar and after every restart.
+// The module orders servers by id, and their order must be the same in every sidecar and after every restart.
 func TestServerIDsAreStable(t *testing.T) {
 	if id := stableHash("s-5be2a07c"); id != 0xace623f1fdc27c8a {
 		t.Errorf("%#x", id)
 	}
 }
 
-// Where lists are pushed, an agent beside the sidecar has the current list, and the sidecar counts as informed: the agent is watched
-// although the module does not ask for it, and again so soon after a watch has ended that the drain grace is kept.
-func TestAPushedListIsWatched(t *testing.T) {
+// In push mode an agent on the sidecar's machine has the current list, and the sidecar is assumed to have it too. It must watch the agent
+// although the module does not ask for the first watch, and open a new watch so soon after one has ended that drains are noticed within the
+// drain grace.
+func TestPushedListIsWatched(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
-		for generation := uint64(2); generation < 12; generation++ { // after the tenth end the watch is opened as soon as after the first
+		for generation := uint64(2); generation < 12; generation++ { // there is no backoff: the tenth watch is reopened as soon as the first
 			began := time.Now()
 			r.source.watchErrors <- errors.New("gone away")
 			r.source.lists <- completeList(generation, "b")
@@ -360,7 +360,7 @@
 				t.Fatalf("%+v", s)
 			}
 			if took := time.Since(began); took == 0 || took > 100*time.Millisecond {
-				t.Errorf("the list came %v after the watch had ended", took)
+				t.Errorf("the list arrived %v after the watch had ended", took)
 			}
 		}
 		a := r.request("1", unsafe)
@@ -373,11 +373,11 @@
 	}, func(c *balance.Config) { c.Subscribe = false })
 }
 
-// The memory that a reply is counted in is released once: by the front that writes the reply, or by the core if the client had gone
-// before it arrived, or goes as it arrives.
-func TestRepliesGiveTheirMemoryBack(t *testing.T) {
+// The memory that is reserved for a reply is released once: by the front that writes the reply, or by the core if the client disconnects
+// before or while the reply arrives.
+func TestReplyMemoryIsReleasedOnce(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
-		for _, when := range []string{"written", "before", "as it comes"} {
+		for _, when := range []string{"written", "disconnect before", "while it arrives"} {
 			var released atomic.Int32
 			a := r.request(when, safe)
 			x := <-r.servers.sent
@@ -387,7 +387,7 @@
 				x.outcome <- reply
 				<-a.done
 				a.answer.Reply.Done()
-			case "before":
+			case "disconnect before":
 				a.disconnect()
 				synctest.Wait()
 				x.outcome <- reply
--- a/internal/sidecar/core/fakes_test.go
+++ b/internal/sidecar/core/fakes_test.go
@@ -37,12 +37,13 @@
 func (s *fakeSource) Fetch(ctx context.Context) (member.List, error) { return <-s.lists, ctx.Err() }
 func (s *fakeSource) Name() string                                   { return "fake" }
 
-// fakeServers passes each exchange to the test, which ends it, whether or not it was cancelled meanwhile.
+// fakeServers passes each exchange to the test. Only the test ends an exchange, even one that was cancelled.
 type fakeServers struct {
 	sent        chan *exchange
-	unreachable atomic.Bool // connections never come up
+	unreachable atomic.Bool // connections are never established
 }
 
+// exchange is an attempt that was sent; a value on outcome ends it.
 type exchange struct {
 	ctx     context.Context
 	addr    string
@@ -74,10 +75,10 @@
 	return <-x.outcome
 }
 
-// noWarnings is a log output on which a warning is a failure: the core never passes an impossible event to the module.
+// noWarnings is a log output that fails the test on each warning, because the core must never pass an impossible event to the module.
 type noWarnings struct {
 	t       *testing.T
-	allowed *atomic.Bool // the test itself makes up actions of the module
+	allowed *atomic.Bool // see testCore.allowWarnings
 }
 
 func (w noWarnings) Write(line []byte) (int, error) {
@@ -87,7 +88,7 @@
 	return len(line), nil
 }
 
-// testCore is a core with its fakes, in virtual time; the test's own goroutines are the front.
+// testCore is a core with a fake source and fake servers, in virtual time. Goroutines of the test act as the front.
 type testCore struct {
 	*Loop
 	t             *testing.T
@@ -98,7 +99,7 @@
 	allowWarnings atomic.Bool // the test carries out actions that the module did not ask for
 }
 
-// pendingRequest is a request that a fake front has passed to the core.
+// pendingRequest is a request that was passed to the core; answer and err are set when done is closed.
 type pendingRequest struct {
 	answer     front.Answer
 	err        error
@@ -106,7 +107,7 @@
 	disconnect context.CancelFunc
 }
 
-// withCore runs a test in virtual time with a core that knows these servers.
+// withCore runs a test in virtual time with a core that knows the servers with these names; change modifies the module's configuration.
 func withCore(t *testing.T, names []string, test func(r *testCore), change ...func(*balance.Config)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -143,7 +144,7 @@
 	return l
 }
 
-// request passes a request to the core, as a front does.
+// request passes a request to the core in its own goroutine, as a front does.
 func (r *testCore) request(trace string, class int) *pendingRequest {
 	return r.requestWith(trace, class, message.Request{})
 }
@@ -160,7 +161,7 @@
 	return a
 }
 
-// expect checks the one answer to a request.
+// expect waits for the answer to a request and checks it.
 func (r *testCore) expect(a *pendingRequest, want front.Verdict, err error) {
 	r.t.Helper()
 	<-a.done
@@ -169,7 +170,7 @@
 	}
 }
 
-// expectNoRequests checks that no request is in the table and that so many ids are reserved.
+// expectNoRequests checks that no request is in the table, and the number of reserved ids.
 func (r *testCore) expectNoRequests(ids int) {
 	r.t.Helper()
 	synctest.Wait()
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -1,13 +1,13 @@
 // Package core keeps each request from its acceptance until its last attempt has ended. One goroutine, the loop, owns the decision
-// module, the module's timers and the tables of requests and servers, and carries out what the module decides. The core decides nothing
-// itself, and it knows neither HTTP nor sockets: fronts pass requests to it, sources deliver lists of servers, and the servers' side
-// carries out exchanges, each through an interface of its own package (front, member, upstream).
+// module (package balance), the module's timers and the tables of requests and servers, and carries out the module's actions. The core
+// makes no decisions itself, and it depends on neither HTTP nor sockets: fronts pass requests to it, sources deliver lists of servers, and
+// endpoints carry out exchanges with servers, each through an interface of its own package (front, member, upstream).
 //
-// Invariants: only the loop's goroutine reaches the module and the tables; a request gets one answer, and stays in its table until its
-// last attempt has ended; an attempt has one end, which the module is given once; a trace id is not accepted again before the deadline
-// of the request that had it has passed.
+// Invariants: only the loop's goroutine accesses the module and the tables; a request gets one answer, and stays in its table until its
+// last attempt has ended; an attempt ends once, and its outcome is passed to the module once; a trace id is not accepted again before the
+// deadline of its request has passed.
 //
-// Answer, Replace, Snapshot and Stats are safe for concurrent use; all other methods run in the loop.
+// Answer, Replace, Snapshot and Stats are safe for concurrent use; all other methods run in the loop's goroutine.
 package core
 
 import (
@@ -24,15 +24,15 @@
 // Config is the configuration of a Loop.
 type Config struct {
 	Module   balance.Config
-	Names                // of the positions in Module
+	Names                // of the classes, zones and kinds in Module
 	Known    member.List // the last known list of servers, which may be out of date
-	Previous *Snapshot   // of the previous process; nil: there was none. Its list replaces Known if it is of the same source
-	// OnServerAvailable is called once, in the loop, when the first server that accepts requests is known; may be nil.
+	Previous *Snapshot   // of the previous process; nil if there was none. Its list replaces Known if it is from the same source
+	// OnServerAvailable is called once, in the loop, when the first server that accepts requests is known. It may be nil.
 	OnServerAvailable func()
 }
 
-// Loop owns the decision module, its timers, and the tables of requests and servers. One goroutine runs it; others
-// post functions to it, which run there one after another.
+// Loop owns the decision module, its timers, and the tables of requests and servers. One goroutine runs it; other goroutines post
+// functions to it, which the loop's goroutine calls one after another.
 type Loop struct {
 	clock     clock
 	config    Config
@@ -52,15 +52,15 @@
 	servers         map[balance.ServerID]*server
 	instances       map[string]member.Instance // the current list, by instance id
 	cursor          member.Cursor
-	serverAvailable bool // a server that accepts requests has been known
-	stopWatch       context.CancelFunc
-	deferred        []func() // outcomes that were known while actions were carried out
+	serverAvailable bool               // a server that accepts requests has been known
+	stopWatch       context.CancelFunc // of the open watch; nil if there is none
+	deferred        []func()           // report outcomes that became known while actions were carried out
 }
 
-// eventQueueSize is how many functions may wait for the loop before those who post them wait.
+// eventQueueSize is how many posted functions may wait for the loop before post blocks.
 const eventQueueSize = 1024
 
-// New returns a loop for a source of lists and the servers' side; Run runs it.
+// New returns a loop that takes lists from source and sends exchanges through endpoints. Nothing happens before Run.
 func New(c Config, source member.Source, endpoints upstream.Servers, log *slog.Logger) *Loop {
 	return &Loop{
 		clock: newClock(), config: c, balancer: balance.New(c.Module), endpoints: endpoints, source: source, log: log,
@@ -70,8 +70,8 @@
 	}
 }
 
-// Run runs the loop until ctx ends, and is called once. The contexts of watches and attempts are ctx's, so that they end with it; requests
-// that have no answer then get front.ErrEnded.
+// Run runs the loop until ctx ends, and is called once. The contexts of watches and attempts are derived from ctx, so that they end with
+// it. Requests that have no answer by then get front.ErrEnded.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.ended)
 	l.ctx = ctx
@@ -91,7 +91,7 @@
 	}
 }
 
-// start applies the last known list and the previous process's snapshot, and opens the first watch where the module does not.
+// start applies the last known list and the snapshot of the previous process. It opens the first watch if the module does not ask for one.
 func (l *Loop) start() {
 	previous := l.config.Previous
 	if previous != nil && previous.Source == l.source.Name() {
@@ -100,10 +100,10 @@
 	l.cursor = member.Cursor{Zones: l.config.Zones, Kinds: l.config.Kinds}
 	l.config.Known.Complete = true
 	if err := l.cursor.Accept(l.config.Known); err != nil {
-		l.log.Warn("the list last known is not taken", "err", err)
+		l.log.Warn("ignoring the last known list of servers", "err", err)
 		l.config.Known = member.List{}
 	}
-	l.carryOut(l.balancer.Start(l.clock.nowMillis())) // the first watch requests what follows the known list
+	l.carryOut(l.balancer.Start(l.clock.nowMillis())) // the first watch requests the changes since the known list
 	l.applyList(l.config.Known, balance.ListCached)
 	if previous != nil {
 		l.restore(previous)
@@ -114,10 +114,11 @@
 	}
 }
 
-// idReleaseInterval is how often ids are released while nothing else happens, so that an idle sidecar sleeps.
+// idReleaseInterval is how often ids are released while nothing else happens. It is longer than batchInterval so that an idle sidecar
+// wakes rarely.
 const idReleaseInterval = time.Second
 
-// untilNextTimer returns how long the loop may sleep if nothing is posted.
+// untilNextTimer returns how long the loop may sleep if no function is posted.
 func (l *Loop) untilNextTimer() time.Duration {
 	wait := time.Hour
 	if !l.ids.nextExpiry.IsZero() {
@@ -129,7 +130,7 @@
 	return wait
 }
 
-// post has f run in the loop; after the loop's end f is dropped. It waits while the queue is full.
+// post queues f to run in the loop, and drops it if the loop has ended. It blocks while the queue is full.
 func (l *Loop) post(f func()) {
 	select {
 	case l.events <- f:
@@ -137,16 +138,16 @@
 	}
 }
 
-// handle passes an event to the module and carries out its actions. An error means that the event is impossible for the module: it has
-// ignored it.
+// handle passes an event to the module and carries out the resulting actions. An error means that the module considers the event
+// impossible and has ignored it.
 func (l *Loop) handle(event balance.Event) error {
 	actions, err := l.balancer.Handle(l.clock.nowMillis(), event)
 	if err != nil {
-		l.log.Warn("the module refuses an event", "err", err)
+		l.log.Warn("the decision module rejected an event", "err", err)
 		return err
 	}
 	l.carryOut(actions)
-	for len(l.deferred) > 0 { // only now: the actions are valid until the next event
+	for len(l.deferred) > 0 { // after carryOut, because the actions are valid only until the next event
 		f := l.deferred[0]
 		l.deferred = l.deferred[1:]
 		f()
@@ -154,10 +155,11 @@
 	return nil
 }
 
-// notify passes an event to the module. That the module rejected it is logged, and changes nothing for the caller.
+// notify passes an event to the module like handle, for callers that do nothing else if the module rejects it.
 func (l *Loop) notify(event balance.Event) { _ = l.handle(event) }
 
-// carryOut carries out actions of the module, in their order. An attempt that ends at once is reported to the module after all of them.
+// carryOut carries out actions of the module, in their order. If an attempt or a health check ends meanwhile, its outcome is deferred until
+// all actions are carried out.
 func (l *Loop) carryOut(actions []balance.Action) {
 	for i := range actions {
 		a := &actions[i]
@@ -179,7 +181,7 @@
 				s.endpoint.CloseIdle()
 			}
 		case balance.WatchList:
-			if l.stopWatch == nil { // otherwise a watch is open or being opened, and would have to start again
+			if l.stopWatch == nil { // an open watch, or one that is being opened, need not start again
 				l.watch()
 			}
 		case balance.FetchList:
@@ -190,10 +192,11 @@
 	}
 }
 
-// timerDelay is added to the module's timers: an attempt that times out at the same moment comes first, as the module expects.
+// timerDelay is added to the module's timers, because the module expects that an attempt that times out at the same moment is reported
+// first.
 const timerDelay = 20 * time.Microsecond
 
-// setTimer sets a timer of the module. A timer for a request that is over is not set.
+// setTimer sets a timer of the module, unless it is for a request that is no longer in the table.
 func (l *Loop) setTimer(a *balance.Action) {
 	r := l.requests[a.Request]
 	if r == nil && a.Request != 0 {
@@ -205,7 +208,7 @@
 		return
 	}
 	for _, t := range r.timers {
-		if t.index < 0 { // it has fired and can be used again
+		if t.index < 0 { // it has fired and can be reused
 			t.deadline, t.token = deadline, a.Token
 			l.timers.add(t)
 			return
--- a/internal/sidecar/core/recorded_test.go
+++ b/internal/sidecar/core/recorded_test.go
@@ -11,7 +11,8 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// A snapshot goes to a process that may be of another version: that of revision cfdfdec is read, and is written byte for byte the same.
+// A snapshot is passed to a process that may be of another version. The snapshot recorded at revision cfdfdec is read correctly, and the same
+// state is written byte for byte as it was then.
 func TestRecordedSnapshot(t *testing.T) {
 	want := Snapshot{
 		Source: "127.0.0.1:7000",
--- a/internal/sidecar/core/servers.go
+++ b/internal/sidecar/core/servers.go
@@ -11,13 +11,14 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// server is one instance of the current list. Attempts keep it after it was removed from the list.
+// server is one instance of the current list. Attempts keep a reference to it after it was removed from the list.
 type server struct {
 	name     string
 	endpoint upstream.Endpoint
 }
 
-// watch opens a watch of the source and closes the previous one, whose lists are ignored from now on.
+// watch closes the open watch, if there is one, and opens a new one at the current source. Lists of the closed watch that are already
+// queued are ignored.
 func (l *Loop) watch() {
 	if l.stopWatch != nil {
 		l.stopWatch()
@@ -34,7 +35,7 @@
 			})
 		})
 		l.post(func() {
-			if ctx.Err() == nil { // it was not replaced
+			if ctx.Err() == nil { // the watch was not replaced
 				stop()
 				l.stopWatch = nil
 				l.onSourceResult(member.List{}, err)
@@ -43,7 +44,7 @@
 	}()
 }
 
-// fetch requests the complete list once. The result is ignored if the source was replaced or has delivered a newer list meanwhile.
+// fetch requests the complete list once. The result is ignored if the source was replaced, or has delivered a newer list meanwhile.
 func (l *Loop) fetch() {
 	source := l.source
 	go func() {
@@ -56,10 +57,10 @@
 	}()
 }
 
-// onSourceResult handles a list or an error of the source. If the list is not accepted the current one stays, and the call has failed.
+// onSourceResult handles a list or an error of the source. A list that is not accepted counts as an error; the current list stays.
 func (l *Loop) onSourceResult(list member.List, err error) {
 	if err == nil {
-		if err = l.cursor.Accept(list); err != nil && l.stopWatch != nil { // the watch's next list would build on this one
+		if err = l.cursor.Accept(list); err != nil && l.stopWatch != nil { // the next list of the watch would be a change to this one
 			l.stopWatch()
 			l.stopWatch = nil
 		}
@@ -76,22 +77,22 @@
 	l.applyList(list, kind)
 }
 
-// balancerStates translates the states of servers to those of the module.
+// balancerStates maps the states of instances to those of the module.
 var balancerStates = [...]balance.ServerState{member.Up: balance.Ready, member.Draining: balance.Draining, member.Removed: balance.Removed}
 
-// applyList updates the table of servers by an accepted list and passes the list to the module.
+// applyList updates the tables of servers from an accepted list and passes the list to the module.
 func (l *Loop) applyList(list member.List, kind balance.ListKind) {
-	named, availableBefore := map[balance.ServerID]bool{}, l.serverAvailable
+	listed, availableBefore := map[balance.ServerID]bool{}, l.serverAvailable
 	event := balance.ServerList{Kind: kind}
 	for i := range list.Instances {
 		in := &list.Instances[i]
 		entry := l.moduleEntry(in)
-		named[entry.ID] = true
+		listed[entry.ID] = true
 		event.Servers = append(event.Servers, entry)
 		l.applyInstance(in, entry)
 	}
-	if kind != balance.ListDelta { // a server that a complete list does not name is gone
-		l.removeUnnamed(named)
+	if kind != balance.ListDelta { // the list is complete
+		l.removeUnlisted(listed)
 	}
 	l.notify(event)
 	if l.serverAvailable && !availableBefore && l.config.OnServerAvailable != nil {
@@ -99,7 +100,7 @@
 	}
 }
 
-// moduleEntry returns the module's form of an instance.
+// moduleEntry converts an instance to the module's representation of a server.
 func (l *Loop) moduleEntry(in *member.Instance) balance.Server {
 	entry := balance.Server{
 		ID: balance.ServerID(stableHash(in.ID)), State: balancerStates[in.State], Capacity: in.Weight, Cell: in.Cell,
@@ -112,7 +113,7 @@
 	return entry
 }
 
-// applyInstance updates the tables by one instance of a list.
+// applyInstance updates the tables from one instance of a list and its entry for the module.
 func (l *Loop) applyInstance(in *member.Instance, entry balance.Server) {
 	if l.instances[in.ID] = *in; in.State == member.Removed {
 		delete(l.instances, in.ID)
@@ -126,7 +127,7 @@
 		l.servers[entry.ID] = s
 	}
 	s.endpoint.Update(in.Addr, entry.State == balance.Ready)
-	if entry.State == balance.Removed { // attempts in flight keep the server
+	if entry.State == balance.Removed { // attempts in flight keep their reference
 		delete(l.servers, entry.ID)
 	}
 	if entry.State == balance.Ready {
@@ -134,22 +135,23 @@
 	}
 }
 
-// removeUnnamed removes the servers that a complete list does not name.
-func (l *Loop) removeUnnamed(named map[balance.ServerID]bool) {
+// removeUnlisted removes the servers that a complete list does not contain.
+func (l *Loop) removeUnlisted(listed map[balance.ServerID]bool) {
 	for id := range l.instances {
-		if !named[balance.ServerID(stableHash(id))] {
+		if !listed[balance.ServerID(stableHash(id))] {
 			delete(l.instances, id)
 		}
 	}
 	for id, s := range l.servers {
-		if !named[id] {
+		if !listed[id] {
 			s.endpoint.Update("", false)
 			delete(l.servers, id)
 		}
 	}
 }
 
-// checkHealth sends a health check to a server and passes its outcome to the module.
+// checkHealth sends a health check to a server and passes its outcome to the module. A server that is no longer in the table counts as
+// unreachable.
 func (l *Loop) checkHealth(id balance.ServerID) {
 	s := l.servers[id]
 	if s == nil {
@@ -167,8 +169,8 @@
 	}()
 }
 
-// Replace makes another source the one that delivers servers. The current list stays until the new source has delivered its own;
-// requests and attempts go on. The new source may number generations anew, so its complete list is requested.
+// Replace replaces the source of the lists, unless the new one has the same name. The current list stays until the new source has delivered
+// its own; requests and attempts go on. The new source may number its generations differently, so its complete list is requested.
 func (l *Loop) Replace(source member.Source) {
 	l.post(func() {
 		moved := source.Name() != l.source.Name()
@@ -182,7 +184,7 @@
 	})
 }
 
-// stableHash returns a hash that is the same at every sidecar and after every restart.
+// stableHash returns a hash of text that is the same in every sidecar and after every restart.
 func stableHash(text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text)) // never fails
--- a/internal/sidecar/core/snapshot.go
+++ b/internal/sidecar/core/snapshot.go
@@ -10,27 +10,27 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// Snapshot is what one process of a sidecar hands over to the next: the list with its generation, the ids that must not be accepted
-// again, and what the module has learned. It has nothing of open requests: each process answers those that it accepted. Its JSON form
-// is read by processes of other versions.
+// Snapshot is the state that one process of a sidecar hands over to the next: the list with its generation, the ids that must not be
+// accepted again, and the statistics that the module has learned. It does not contain open requests, because each process answers those
+// that it has accepted. Its JSON form is read by processes of other versions.
 type Snapshot struct {
 	Source string               `json:"Source"` // the name of the source of List
 	List   member.List          `json:"List"`
-	IDs    map[string]time.Time `json:"IDs"` // until when each is reserved; those of open requests too
+	IDs    map[string]time.Time `json:"IDs"` // until when each id is reserved, including those of open requests
 	Module balance.Snapshot     `json:"Module"`
-	Names  *Names               `json:"Names"` // of the positions in Module; nil: written by a version that has none
+	Names  *Names               `json:"Names"` // of the positions in Module; nil if written by a version without names
 }
 
-// Names are the names of positions in the module.
+// Names holds the names of the classes, zones and kinds that the module knows only by their positions.
 type Names struct {
 	Classes []string `json:"Classes"`
 	Zones   []string `json:"Zones"`
 	Kinds   []string `json:"Kinds"`
-	// Rules has for each class its effect, group and window; empty: written by a version that has none.
+	// Rules holds the effect, group and window of each class. It is empty if written by a version without rules.
 	Rules []string `json:",omitempty"`
 }
 
-// classRules returns the rules of classes as texts that can be compared.
+// classRules returns the rules of each class as a text that can be compared with those of another process.
 func classRules(classes []balance.Class) []string {
 	var rules []string
 	for _, c := range classes {
@@ -39,9 +39,9 @@
 	return rules
 }
 
-// remapSnapshot moves what was learned to the positions that its names have in this process. What has no name here, or belongs to a class
-// with other rules, is dropped. If the previous version gave no names, positions keep their meaning if there are as many classes, and
-// everything is dropped if not.
+// remapSnapshot moves learned statistics to the positions that their names have in this process. It drops the statistics of names that this
+// process does not have and of classes whose rules differ. If the previous version gave no names, all positions are kept if the number of
+// classes is the same; otherwise everything is dropped.
 func remapSnapshot(learned balance.Snapshot, previous *Names, current Names) balance.Snapshot {
 	if previous == nil {
 		if len(learned.Classes) != len(current.Classes) {
@@ -58,12 +58,13 @@
 	return learned
 }
 
-// equal reports whether all positions have the same meaning; rules count only if n has them.
+// equal reports whether all positions have the same meaning in both. Rules are compared only if n has them.
 func (n *Names) equal(other Names) bool {
 	sameRules := len(n.Rules) == 0 || slices.Equal(n.Rules, other.Rules)
 	return sameRules && slices.Equal(n.Classes, other.Classes) && slices.Equal(n.Zones, other.Zones) && slices.Equal(n.Kinds, other.Kinds)
 }
 
+// remapClasses moves the statistics of each class to its position in current, if its rules are the same there.
 func remapClasses(learned []balance.ClassSnapshot, previous *Names, current Names) []balance.ClassSnapshot {
 	sameRules := func(from, to int) bool {
 		return from >= len(previous.Rules) || to < len(current.Rules) && previous.Rules[from] == current.Rules[to]
@@ -77,6 +78,7 @@
 	return remapped
 }
 
+// remapPositions moves each value to the position that its name has in current, and drops those without one.
 func remapPositions(values map[int]float64, previous, current []string) map[int]float64 {
 	remapped := map[int]float64{}
 	for from, value := range values {
@@ -87,7 +89,8 @@
 	return remapped
 }
 
-// newPosition returns where a position's name is in current. Without names, position 0 stands for everything.
+// newPosition returns the position in current of the name that has position from in previous. If both are empty, position 0 is the only one
+// and stays.
 func newPosition(from int, previous, current []string) (to int, ok bool) {
 	if len(previous) == 0 && len(current) == 0 {
 		return from, from == 0
@@ -99,8 +102,8 @@
 	return to, to >= 0
 }
 
-// Snapshot calls encode, in the loop, with what the core would hand over now; encode must not keep it, since some of it is the loop's.
-// It returns false if the loop has ended.
+// Snapshot calls encode in the loop with the state that the core would hand over now, and waits for it. encode must not keep the snapshot,
+// because it shares memory with the loop. Snapshot returns false if the loop has ended.
 func (l *Loop) Snapshot(encode func(Snapshot)) (ok bool) {
 	done := make(chan struct{})
 	l.post(func() {
@@ -130,7 +133,8 @@
 	return &n
 }
 
-// restore reserves the ids and recalls what the module of the previous process had learned. It runs before the first request.
+// restore reserves the ids of the previous process and restores the statistics that its module had learned. It runs before the first
+// request.
 func (l *Loop) restore(previous *Snapshot) {
 	for id, expiry := range previous.IDs {
 		if expiry.After(time.Now()) && l.ids.reserve(id) {
@@ -139,7 +143,7 @@
 	}
 	before, now := previous.Names, l.names()
 	if before != nil && len(before.Rules) > 0 && (!slices.Equal(before.Classes, now.Classes) || !slices.Equal(before.Rules, now.Rules)) {
-		l.log.Info("other settings than before: learned times are taken where class, effect and window agree",
+		l.log.Info("the classes have changed: learned statistics are kept for those with the same name, effect, group and window",
 			"before", before.Classes, "now", now.Classes)
 	}
 	l.balancer.Restore(remapSnapshot(previous.Module, previous.Names, *now))
--- a/internal/sidecar/core/snapshot_test.go
+++ b/internal/sidecar/core/snapshot_test.go
@@ -13,7 +13,7 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// snapshot returns what a core hands over, encoded and decoded.
+// snapshot returns the snapshot that a core hands over, after encoding and decoding it.
 func (r *testCore) snapshot() (l Snapshot) {
 	r.t.Helper()
 	var text []byte
@@ -27,7 +27,7 @@
 	return l
 }
 
-// successor runs a core that continues from another's snapshot; stop ends it.
+// successor runs a core that starts from another's snapshot; stop ends it.
 func (r *testCore) successor(from Snapshot) (next *testCore, stop func()) {
 	r.t.Helper()
 	next = &testCore{
@@ -40,9 +40,9 @@
 	return next, func() { cancel(); <-next.stopped }
 }
 
-// The next process has the list of the previous one: changes, draining servers, removed servers, and the generation after which it
-// continues. It sends nothing to a draining server from its first moment on.
-func TestTheServerListIsHandedOver(t *testing.T) {
+// The next process starts with the list of the previous one, including changed, draining and removed servers, and with its generation. It
+// never sends to a draining server, not even with its first request.
+func TestServerListIsHandedOver(t *testing.T) {
 	withCore(t, []string{"a", "b", "c", "d"}, func(r *testCore) {
 		r.source.lists <- member.List{Generation: 7, Instances: []member.Instance{
 			{ID: "a", Addr: "a", Weight: 1, State: member.Draining}, {ID: "b", State: member.Removed},
@@ -71,7 +71,7 @@
 	})
 }
 
-// The id of a request that is open, or whose deadline has not passed, is reserved in the next process too, until the deadline.
+// The id of a request that is open, or was answered before its deadline, is reserved in the next process too, until the deadline.
 func TestIDsAreHandedOver(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		answered := r.request("answered", unsafe)
@@ -92,30 +92,30 @@
 	})
 }
 
-// What was learned moves to the position that its name has in the next process; what has no name there is dropped. If the previous
-// version gave no names, positions keep their meaning, unless their number differs.
+// Learned statistics move to the positions that their names have in the next process, and are dropped if they have no name there or their
+// class has other rules. If the previous version gave no names, positions are kept, unless the number of classes differs.
 func TestLearnedByName(t *testing.T) {
-	m := balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 1}, {Count: 2}, {Count: 3}}, Zones: map[int]float64{0: 10, 1: 11}, Kinds: map[int]float64{0: 7}}
-	was := &Names{Classes: []string{"a", "b", "c"}, Zones: []string{"x", "y"}}
+	learned := balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 1}, {Count: 2}, {Count: 3}}, Zones: map[int]float64{0: 10, 1: 11}, Kinds: map[int]float64{0: 7}}
+	previous := &Names{Classes: []string{"a", "b", "c"}, Zones: []string{"x", "y"}}
 	for name, c := range map[string]struct {
-		was  *Names
-		now  Names
-		want balance.Snapshot
+		previous *Names
+		current  Names
+		want     balance.Snapshot
 	}{
-		"another order": {was, Names{Classes: []string{"c", "a", "b"}, Zones: []string{"y", "x"}},
-			balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 3}, {Count: 1}, {Count: 2}}, Zones: map[int]float64{1: 10, 0: 11}, Kinds: m.Kinds}},
-		"one gone, one new": {was, Names{Classes: []string{"new", "b"}, Zones: []string{"z"}, Kinds: []string{"k"}},
+		"another order": {previous, Names{Classes: []string{"c", "a", "b"}, Zones: []string{"y", "x"}},
+			balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 3}, {Count: 1}, {Count: 2}}, Zones: map[int]float64{1: 10, 0: 11}, Kinds: learned.Kinds}},
+		"one gone, one new": {previous, Names{Classes: []string{"new", "b"}, Zones: []string{"z"}, Kinds: []string{"k"}},
 			balance.Snapshot{Classes: []balance.ClassSnapshot{{}, {Count: 2}}, Zones: map[int]float64{}, Kinds: map[int]float64{}}},
-		"no names": {nil, *was, m},
-		"other rules of one": {&Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "2/0/500"}},
+		"no names": {nil, *previous, learned},
+		"another order, other rules of one": {&Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "2/0/500"}},
 			Names{Classes: []string{"b", "a", "c"}, Rules: []string{"1/2/900", "0/0/500", "2/0/500"}},
-			balance.Snapshot{Classes: []balance.ClassSnapshot{{}, {Count: 1}, {Count: 3}}, Zones: map[int]float64{0: 10}, Kinds: m.Kinds}},
-		"the same names, other rules": {&Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "2/0/500"}},
+			balance.Snapshot{Classes: []balance.ClassSnapshot{{}, {Count: 1}, {Count: 3}}, Zones: map[int]float64{0: 10}, Kinds: learned.Kinds}},
+		"same names, other rules": {&Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "2/0/500"}},
 			Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "1/0/500"}},
-			balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 1}, {Count: 2}, {}}, Zones: map[int]float64{0: 10}, Kinds: m.Kinds}},
-		"no names, and others": {nil, Names{Classes: []string{"a"}}, balance.Snapshot{}},
+			balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 1}, {Count: 2}, {}}, Zones: map[int]float64{0: 10}, Kinds: learned.Kinds}},
+		"no names, another number of classes": {nil, Names{Classes: []string{"a"}}, balance.Snapshot{}},
 	} {
-		if got := remapSnapshot(m, c.was, c.now); !reflect.DeepEqual(got, c.want) {
+		if got := remapSnapshot(learned, c.previous, c.current); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
--- a/internal/sidecar/core/stats.go
+++ b/internal/sidecar/core/stats.go
@@ -5,12 +5,12 @@
 // Stats describes the state of the core at one moment.
 type Stats struct {
 	Requests   int      // unanswered, or with attempts in flight
-	IDs        int      // trace ids that are not accepted
+	IDs        int      // reserved trace ids
 	Servers    []string // ids of the instances in the table, sorted
 	Generation uint64   // of the current list
 }
 
-// Stats returns the current state; after the loop's end it is the zero value.
+// Stats returns the current state. It waits for the loop, and returns the zero value if the loop has ended.
 func (l *Loop) Stats() Stats {
 	result := make(chan Stats, 1)
 	l.post(func() {
--- a/internal/sidecar/core/streaming_test.go
+++ b/internal/sidecar/core/streaming_test.go
@@ -14,7 +14,7 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// streamedRequest passes a request to the core whose body is still arriving.
+// streamedRequest passes to the core a request whose body is still arriving.
 func (r *testCore) streamedRequest(trace string, class int) *pendingRequest {
 	return r.requestWith(trace, class, message.Request{Remainder: message.NewUpload(10)})
 }
@@ -27,8 +27,8 @@
 
 func (r *trackedBody) Close() error { r.closed++; return nil }
 
-// A request's time limit begins with its last byte, however long that takes to arrive.
-func TestTheTimeOfALongRequest(t *testing.T) {
+// The time limit of a streamed request starts with its last byte, however long the body takes to arrive.
+func TestTimeLimitOfStreamedRequest(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
 		a := r.streamedRequest("long", int(balance.Keyed))
 		x := <-r.servers.sent
@@ -39,7 +39,7 @@
 		synctest.Wait()
 		select {
 		case <-a.done:
-			t.Fatal("answered while its body arrives")
+			t.Fatal("answered while its body was arriving")
 		default:
 		}
 		x.call.OnRequestWritten()
@@ -57,9 +57,9 @@
 	})
 }
 
-// What one exchange has read of a body is not available to another, however the first one ended: the request is answered, refused if
-// nothing was executed and failed if it may have been. A body that was not read goes to another server.
-func TestALongRequestThatBreaksOff(t *testing.T) {
+// A request whose body an exchange has started to read cannot be retried, however that exchange ended: it is refused if it was certainly not
+// executed, and has failed if it may have been. A request whose body was not read is retried at another server.
+func TestRetryOfStreamedRequest(t *testing.T) {
 	for result, want := range map[upstream.Result]front.Verdict{upstream.ConnectFailed: front.Refused, upstream.Reset: front.Failed} {
 		withCore(t, []string{"a", "b", "c"}, func(r *testCore) {
 			a := r.streamedRequest("long", unsafe)
@@ -78,9 +78,9 @@
 	}
 }
 
-// A reply that has begun belongs to the client: the module gets one outcome, there is no retry and no deadline. The exchange goes on
-// until the remainder has ended, and answering the request does not cancel it.
-func TestAnAnswerThatHasBegun(t *testing.T) {
+// Once a reply has started, the client is being answered: the module gets one outcome, and there is neither a retry nor a deadline. The
+// exchange continues until the remainder has ended; answering the request does not cancel it.
+func TestStreamedReplyIsNotCancelled(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
 		a := r.request("t", int(balance.Safe))
 		x := <-r.servers.sent
@@ -104,8 +104,8 @@
 	})
 }
 
-// A reply that begins when nobody waits for it any more is dropped, so that its exchange ends.
-func TestABeginningThatComesTooLate(t *testing.T) {
+// A reply that starts after the client has disconnected is closed, so that its exchange ends.
+func TestReplyStartsAfterDisconnect(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("t", int(balance.Safe))
 		x := <-r.servers.sent
--- a/internal/sidecar/core/timer.go
+++ b/internal/sidecar/core/timer.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// timer is a timer of the module, or the time-out of an attempt. It is removed when what it is for ends: most attempts end long before
-// their time-out, and timers that were kept until then would keep attempts in memory, and waking for each took a third of an idle
-// process's work.
+// timer is a timer of the module or the timeout of an attempt. It is removed when its request or attempt ends. Most attempts end long
+// before their timeout; timers kept until then would keep the attempts in memory, and waking the loop for each of them was a third of the
+// work of an idle process.
 type timer struct {
 	deadline time.Time
-	index    int // in the heap; -1: not in it
-	token    uint64
-	attempt  *attempt
+	index    int      // position in the heap; -1 if the timer is not set
+	token    uint64   // the module's name for its timer
+	attempt  *attempt // the attempt that times out; nil for a timer of the module
 }
 
-// timers is a heap of the timers that are set, the earliest first.
+// timers is a min-heap of the timers that are set, ordered by deadline.
 type timers []*timer
 
 func (h *timers) add(t *timer) { heap.Push(h, t) }
 
-// remove removes timers; nil ones and those that are not in the heap are skipped.
+// remove removes timers from the heap. It skips nil timers and those that are not in the heap.
 func (h *timers) remove(all ...*timer) {
 	for _, t := range all {
 		if t != nil && t.index >= 0 {
