--- a/internal/sidecar/admission/controller.go
+++ b/internal/sidecar/admission/controller.go
@@ -9,12 +9,14 @@
 // Config is the part of the settings that admission needs.
 type Config struct {
 	MaxConnections int // open at the same time
-	// Horizon is how far ahead a connection's next request counts: as long as clients wait for an answer.
+	// Horizon is the time within which an expected request counts towards the value of a connection: as long as clients wait
+	// for an answer.
 	Horizon time.Duration
 }
 
-// minReuseProbability is the probability of another request within the horizon below which a response closes the connection
-// while MaxConnections are open: as likely as not. With fewer open connections the bound is lower in proportion.
+// minReuseProbability is the probability of another request within the horizon below which a response closes its connection
+// while MaxConnections are open. At 0.5, another request is as likely as not. With fewer open connections the bound is lower in
+// proportion.
 const minReuseProbability = 0.5
 
 // Conn is the controller's record of one connection. The zero value is a connection that was not admitted.
@@ -23,10 +25,10 @@
 
 	state     state
 	element   *list.Element
-	requested bool          // ever, also where the request got no response that counts
-	responses int           // to requests of this connection
-	idleSince time.Time     // its last response, or its admission
-	observed  time.Duration // how much of the time since then the rates contain already
+	requested bool          // a request was received, even if its response was not counted
+	responses int           // counted by ResponseStarted
+	idleSince time.Time     // time of the last response or, before the first one, of the admission
+	observed  time.Duration // the part of the time since then that was added to the rates already
 }
 
 // state is the list that a connection is in.
@@ -36,13 +38,13 @@
 	notOpen state = iota // not admitted, evicted or closed
 	idle                 // no request in progress
 	busy                 // a request in progress
-	closing              // the last response was given; its last bytes are being delivered
+	closing              // the last response was written; its last bytes are being delivered
 )
 
-// Stats are the current connections, and totals since the start.
+// Stats holds the number of current connections by state, and totals since the start.
 type Stats struct {
 	Busy, Closing int
-	Idle          [histories]int // by history: no request yet, one, a few, many
+	Idle          [histories]int // by history: no request yet, one, a few or many
 
 	Arrived, Rejected uint64
 	Evicted           [histories]uint64 // idle connections that were evicted for new ones, by history
@@ -55,7 +57,7 @@
 	Config
 	requestRates rates
 	open         int
-	idle         [histories]list.List // of *Conn, the longest idle first
+	idle         [histories]list.List // of *Conn, longest idle first
 	busy         list.List
 	closing      list.List
 	stats        Stats
@@ -68,14 +70,14 @@
 	return ctl
 }
 
-// Admit decides on a new connection. It is rejected where MaxConnections are open and none of them may be evicted. A
-// connection that is evicted for it is returned; the caller closes it, and the controller does not count it any more. quiet
-// reports whether no unread bytes of a connection have arrived; only a quiet connection is evicted.
-func (ctl *Controller) Admit(c *Conn, now time.Time, quiet func(*Conn) bool) (evicted *Conn, admitted bool) {
+// Admit decides whether a new connection is admitted. It is rejected if MaxConnections are open and none of them may be evicted.
+// If one is evicted for it, Admit returns that one, which the caller must close; the controller no longer counts it. evictable
+// reports whether the caller allows an idle connection to be evicted; it must return false if unread bytes have arrived.
+func (ctl *Controller) Admit(c *Conn, now time.Time, evictable func(*Conn) bool) (evicted *Conn, admitted bool) {
 	ctl.observeOpen(now)
 	ctl.stats.Arrived++
 	if ctl.open >= ctl.MaxConnections {
-		if evicted = ctl.evictionCandidate(now, quiet); evicted == nil {
+		if evicted = ctl.evictionCandidate(now, evictable); evicted == nil {
 			ctl.stats.Rejected++
 			return nil, false
 		}
@@ -86,13 +88,14 @@
 	return evicted, true
 }
 
-// FirstRequestGrace is how long a connection without a request is never evicted. Its client's first request may be on the
-// way, and not every client retries on a new connection what crossed with a close.
+// FirstRequestGrace is how long a new connection without a request is protected from eviction. Its first request may be on its
+// way, and not every client retries a request that arrives after the connection was closed.
 const FirstRequestGrace = 200 * time.Millisecond
 
-// evictionCandidate returns the connection with the least expected value, or nil. One that had more than one response is
-// evicted only if less is expected of it within the horizon than of a new connection.
-func (ctl *Controller) evictionCandidate(now time.Time, quiet func(*Conn) bool) *Conn {
+// evictionCandidate returns the connection to evict, or nil if there is none: a closing one if there is one, otherwise the idle one
+// with the least expected value. A connection that had more than one response is evicted only if its expected value within the
+// horizon is less than that of a new connection.
+func (ctl *Controller) evictionCandidate(now time.Time, evictable func(*Conn) bool) *Conn {
 	if e := ctl.closing.Front(); e != nil {
 		ctl.stats.ClosedEarly++
 		return e.Value.(*Conn)
@@ -123,16 +126,16 @@
 			return nil
 		}
 		c := next[candidate].Value.(*Conn)
-		if quiet(c) {
+		if evictable(c) {
 			ctl.stats.Evicted[candidate]++
 			return c
 		}
-		next[candidate] = next[candidate].Next() // a request of this one is arriving
+		next[candidate] = next[candidate].Next()
 	}
 }
 
-// responseValues is the value of a response by the history of its connection: the response itself, and those that are expected
-// to follow it on the same connection within the horizon.
+// responseValues returns the value of a response by the history of its connection: 1 for the response itself, plus the number of
+// responses that are expected to follow it on the same connection within the horizon.
 func (ctl *Controller) responseValues() (values [histories]float64) {
 	values[regular] = 1 + ctl.requestRates.mean(regular)*ctl.Horizon.Seconds()
 	for h := regular; h > never; h-- {
@@ -141,7 +144,7 @@
 	return values
 }
 
-// RequestStarted tells the controller of the first byte of a request on a connection.
+// RequestStarted records that a request has started on a connection.
 func (ctl *Controller) RequestStarted(c *Conn, now time.Time) {
 	if c.state == idle {
 		c.requested = true
@@ -150,9 +153,9 @@
 	}
 }
 
-// ResponseStarted tells the controller that a complete request is being answered, whatever the response. It reports whether the
-// response should close the connection, because it is unlikely to be used again while connections are scarce. Closing also frees
-// a descriptor of the client, whose limit is not known here.
+// ResponseStarted records that a complete request is being answered, whatever the response. It reports whether the response should
+// close the connection, because the connection is unlikely to be used again while connections are scarce. Closing also frees a
+// descriptor of the client, whose limit is not known here.
 func (ctl *Controller) ResponseStarted(c *Conn, now time.Time) (closeAfter bool) {
 	ctl.observeOpen(now)
 	if c.state != busy {
@@ -165,7 +168,7 @@
 	return ctl.requestRates.probability(historyOf(c.responses), 0, ctl.Horizon) < minReuseProbability*float64(ctl.open)/float64(ctl.MaxConnections)
 }
 
-// observeOpen adds, once in decayInterval, how long the open connections have had no response.
+// observeOpen adds to the rates, once per decayInterval, how long the open connections have had no response.
 func (ctl *Controller) observeOpen(now time.Time) {
 	if !ctl.requestRates.decay(now) || ctl.open < ctl.MaxConnections/observeFraction {
 		return
@@ -180,18 +183,18 @@
 	}
 }
 
-// observeFraction: idle times are observed while they last only when 1/observeFraction of MaxConnections are open; before that no
-// decision needs them.
+// observeFraction limits the work of observeOpen: idle times that still last are observed only while at least 1/observeFraction of
+// MaxConnections are open. Below that no decision needs them.
 const observeFraction = 4
 
-// observe adds what is new of the time since the connection's last response.
+// observe adds to the rates the part of the time since the connection's last response that was not added before.
 func (ctl *Controller) observe(c *Conn, now time.Time) {
 	idleTime := now.Sub(c.idleSince)
 	ctl.requestRates.observe(historyOf(c.responses), c.observed, idleTime)
 	c.observed = idleTime
 }
 
-// ResponseDone tells the controller that the response has ended and the connection stays open.
+// ResponseDone records that the response has ended and the connection stays open.
 func (ctl *Controller) ResponseDone(c *Conn, now time.Time) {
 	if c.state == busy {
 		ctl.unlink(c)
@@ -199,7 +202,7 @@
 	}
 }
 
-// Closing tells the controller that a connection had its last response and will be closed soon.
+// Closing records that the last response of a connection was written and that the connection will be closed soon.
 func (ctl *Controller) Closing(c *Conn, now time.Time) {
 	if c.state == idle || c.state == busy {
 		ctl.unlink(c)
@@ -210,9 +213,9 @@
 // Open returns how many connections are open.
 func (ctl *Controller) Open() int { return ctl.open }
 
-// IdleSince returns the connections that have been idle for at least a time, so that a sidecar that shuts down need not wait for
-// them; one without a request has to be idle for FirstRequestGrace in any case. They count as open until Closed.
-func (ctl *Controller) IdleSince(now time.Time, minIdle time.Duration) (conns []*Conn) {
+// IdleFor returns the connections that have been idle for at least minIdle, so that a sidecar that shuts down can close them. A
+// connection without a request must also have been idle for FirstRequestGrace. The connections count as open until Closed.
+func (ctl *Controller) IdleFor(now time.Time, minIdle time.Duration) (conns []*Conn) {
 	for h := range ctl.idle {
 		for e := ctl.idle[h].Front(); e != nil; e = e.Next() {
 			c := e.Value.(*Conn)
@@ -229,7 +232,7 @@
 	return conns
 }
 
-// Closed tells the controller that a connection was closed, by either side.
+// Closed records that a connection was closed, by either side.
 func (ctl *Controller) Closed(c *Conn, now time.Time) {
 	if c.state != notOpen {
 		ctl.remove(c, now)
@@ -248,9 +251,9 @@
 	return stats
 }
 
-// remove ends the record of an open connection.
+// remove takes an open connection out of the records.
 func (ctl *Controller) remove(c *Conn, now time.Time) {
-	if c.state != closing { // a response might have come later: all that is known is that none came until now
+	if c.state != closing { // its idle time did not end with a response, but all of it until now was without one
 		ctl.observe(c, now)
 	}
 	ctl.unlink(c)
@@ -270,7 +273,7 @@
 	c.state, c.element = notOpen, nil
 }
 
-// link adds a connection to the list of a state.
+// link puts a connection into a state and adds it to the list of that state.
 func (ctl *Controller) link(c *Conn, to state, now time.Time) {
 	c.state = to
 	switch to {
--- a/internal/sidecar/admission/controller_test.go
+++ b/internal/sidecar/admission/controller_test.go
@@ -13,7 +13,7 @@
 
 func always(*Conn) bool { return true }
 
-// harness is a controller with its own clock.
+// harness is a controller with a clock that the test advances.
 type harness struct {
 	t          *testing.T
 	controller *Controller
@@ -26,7 +26,7 @@
 
 func (r *harness) wait(d time.Duration) { r.now = r.now.Add(d) }
 
-// connect has a client connect, which must be admitted.
+// connect opens a connection, which must be admitted.
 func (r *harness) connect() *Conn {
 	r.t.Helper()
 	c := &Conn{}
@@ -36,7 +36,7 @@
 	return c
 }
 
-// serve has a connection send one request and get the response after a time; it reports whether that closed the connection.
+// serve plays one request on a connection, and its response after a time; it reports whether the response closed the connection.
 func (r *harness) serve(c *Conn, after time.Duration) bool {
 	r.controller.RequestStarted(c, r.now)
 	r.wait(after)
@@ -79,9 +79,9 @@
 	}
 }
 
-// Of 500 new clients a second, in a second and a half ten times as many as may connect, each evicts another, whether they send one request
-// and stay connected or send none: ordinary clients keep their connections.
-func TestACrowdEvictsItself(t *testing.T) {
+// 500 new clients a second connect for three seconds, far more than may be connected, and either send one request and stay connected or send
+// none. They must evict each other, while ordinary clients keep their connections.
+func TestNewClientsEvictEachOther(t *testing.T) {
 	for name, sendsRequest := range map[string]bool{"one request": true, "no request": false} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 60)
@@ -105,9 +105,9 @@
 	}
 }
 
-// When clients change to a connection for each request, responses close their connections within a few dozen requests; when they change
-// back, connections stay open again.
-func TestClientsThatChange(t *testing.T) {
+// When clients change to one connection per request, responses close their connections within a few dozen requests. When they change back,
+// connections stay open again.
+func TestClientBehaviourChanges(t *testing.T) {
 	r := newHarness(t, 200)
 	o := &ordinaryClients{harness: r, random: rand.New(rand.NewPCG(5, 6)), conns: make([]*Conn, 20)}
 	for range 1000 {
@@ -123,7 +123,7 @@
 		t.Errorf("%d of 200 connections with one request were closed", ended)
 	}
 	r.wait(60 * time.Second)
-	for _, c := range r.controller.IdleSince(r.now, time.Second) {
+	for _, c := range r.controller.IdleFor(r.now, time.Second) {
 		r.controller.Closed(c, r.now)
 	}
 	open := 0
@@ -144,8 +144,8 @@
 	}
 }
 
-// Nothing is closed far below the maximum, whatever clients do.
-func TestFarBelowTheMaximum(t *testing.T) {
+// Responses close no connection far below the maximum, whatever clients do.
+func TestNothingIsClosedFarBelowTheMaximum(t *testing.T) {
 	r := newHarness(t, 10000)
 	for range 400 {
 		if r.serve(r.connect(), 20*time.Millisecond) {
@@ -154,8 +154,8 @@
 	}
 }
 
-// A connection with a request in progress, or with unread bytes, is never evicted; where all are like that, a new one is rejected.
-func TestWhatIsNeverEvicted(t *testing.T) {
+// A connection with a request in progress, or with unread bytes, is never evicted. If there is no other, a new connection is rejected.
+func TestBusyAndUnreadAreNeverEvicted(t *testing.T) {
 	r := newHarness(t, 2)
 	busyConn, unread := r.connect(), r.connect()
 	r.controller.RequestStarted(busyConn, r.now)
@@ -164,13 +164,13 @@
 	if evicted != nil || admitted {
 		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
-	r.controller.Closing(busyConn, r.now) // it had its last response, and is of no more use
+	r.controller.Closing(busyConn, r.now) // its last response was written
 	if evicted, admitted = r.controller.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != unread }); evicted != busyConn || !admitted {
 		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
 }
 
-// A new connection is not evicted within FirstRequestGrace; one that has sent no request after that is.
+// A new connection is not evicted within FirstRequestGrace; afterwards one without a request is.
 func TestFirstRequestGrace(t *testing.T) {
 	r := newHarness(t, 1)
 	first := r.connect()
@@ -183,15 +183,15 @@
 	if evicted, admitted := r.controller.Admit(second, r.now, always); evicted != first || !admitted {
 		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
-	r.controller.RequestStarted(second, r.now) // one whose response does not count, such as a health check
+	r.controller.RequestStarted(second, r.now) // a request whose response is not counted, such as a health check
 	r.controller.ResponseDone(second, r.now)
 	if evicted, admitted := r.controller.Admit(&Conn{}, r.now, always); evicted != second || !admitted {
 		t.Errorf("after a request: evicted %v, admitted %v", evicted, admitted)
 	}
 }
 
-// Of two with the same history the one that has been idle for longer is evicted first.
-func TestTheLongestIdleIsEvictedFirst(t *testing.T) {
+// Of two connections with the same history the one that has been idle for longer is evicted first.
+func TestLongestIdleIsEvictedFirst(t *testing.T) {
 	r := newHarness(t, 2)
 	first := r.connect()
 	r.wait(time.Second)
@@ -202,8 +202,8 @@
 	}
 }
 
-// The rates are those of the clients, whatever their scale: connections that send a request after a random time with a mean are expected
-// to do so.
+// Rates are learned at any time scale: for connections that send requests after exponentially distributed idle times, the expected rate is
+// that of the distribution.
 func TestRatesAreLearned(t *testing.T) {
 	for _, mean := range []time.Duration{20 * time.Millisecond, time.Second} {
 		var r rates
@@ -219,13 +219,13 @@
 			}
 		}
 		if got := r.probability(regular, 0, mean); got < 0.6 || got > 0.66 { // 1 - 1/e
-			t.Errorf("mean %v: %.2f within it", mean, got)
+			t.Errorf("mean %v: probability %.2f within the mean, want 0.63", mean, got)
 		}
 	}
 }
 
 // An idle time that is observed in parts counts as if it were observed at once.
-func TestIdleTimesInParts(t *testing.T) {
+func TestIdleTimeObservedInParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cuts := rapid.SliceOfN(rapid.Int64Range(0, int64(100*time.Second)), 0, 20).Draw(t, "cuts")
 		var atOnce, inParts rates
@@ -250,7 +250,7 @@
 	})
 }
 
-// modelState is the state of an open connection in the model. A connection without one is closed, or was never admitted.
+// modelState is the state of an open connection in the model. A connection without a state is closed, or was never admitted.
 type modelState string
 
 const (
@@ -259,13 +259,13 @@
 	modelClosing modelState = "closing"
 )
 
-// admissionModel is a controller and what its state has to be: a set of the open connections.
+// admissionModel is a controller with a model of its state: the set of open connections.
 type admissionModel struct {
 	controller *Controller
 	maximum    int
 	now        time.Time
 	open       map[*Conn]modelState
-	all        []*Conn // those that are open, and those that were or weren't admitted
+	all        []*Conn // open, closed and rejected ones
 }
 
 // wait lets up to 5 s pass.
@@ -273,15 +273,15 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// connect offers a new connection while any of the others may have a request that is unread, so that they can't be evicted.
+// connect offers a new connection. Any of the others may have an unread request, so that it must not be evicted.
 func (m *admissionModel) connect(t *rapid.T) {
 	unread := map[*Conn]bool{}
 	for _, other := range m.all {
 		unread[other] = rapid.Bool().Draw(t, "unread")
 	}
-	quiet := func(other *Conn) bool { return !unread[other] }
+	evictable := func(other *Conn) bool { return !unread[other] }
 	conn := &Conn{}
-	evicted, admitted := m.controller.Admit(conn, m.now, quiet)
+	evicted, admitted := m.controller.Admit(conn, m.now, evictable)
 	m.checkEvicted(t, evicted, unread[evicted])
 	full := len(m.open) >= m.maximum
 	if full == (admitted && evicted == nil) || evicted != nil && !admitted {
@@ -294,7 +294,7 @@
 	m.all = append(m.all, conn)
 }
 
-// checkEvicted fails unless the evicted connection, if there is one, is open, has no request in progress, and none unread where it is idle.
+// checkEvicted fails if the evicted connection is not open, has a request in progress, or is idle and has an unread request. It accepts nil.
 func (m *admissionModel) checkEvicted(t *rapid.T, evicted *Conn, unread bool) {
 	if evicted == nil {
 		return
@@ -332,7 +332,7 @@
 	delete(m.open, conn)
 }
 
-// onAny is the event on a connection that is drawn from all of them, whatever its state.
+// onAny returns an action that applies an event to a connection drawn from all of them, whatever its state.
 func (m *admissionModel) onAny(event func(*Conn)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		if len(m.all) > 0 {
@@ -341,7 +341,7 @@
 	}
 }
 
-// check compares the controller's counts with the set.
+// check compares the controller's counts with the model.
 func (m *admissionModel) check(t *rapid.T) {
 	want := map[modelState]int{}
 	for _, state := range m.open {
@@ -356,8 +356,8 @@
 	}
 }
 
-// In any order of events no connection is lost or counted twice: the controller is compared with a set of connections.
-func TestConnectionsAgainstASet(t *testing.T) {
+// For any sequence of events the controller's counts match a model that keeps a set of connections: none is lost or counted twice.
+func TestControllerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maximum := rapid.IntRange(1, 6).Draw(t, "maximum")
 		m := &admissionModel{
@@ -378,24 +378,24 @@
 	})
 }
 
-// BenchmarkAdmit measures what a new connection and its one request cost while the maximum is open.
+// BenchmarkAdmit measures the cost of a new connection with one request while the maximum is open.
 //
 //	go test ./internal/sidecar/admission -run - -bench Admit
 func BenchmarkAdmit(b *testing.B) {
 	for _, maximum := range []int{224, 16384} {
 		b.Run(fmt.Sprint(maximum, "-connections"), func(b *testing.B) {
-			d, now := New(Config{MaxConnections: maximum, Horizon: time.Second}, began), began
+			controller, now := New(Config{MaxConnections: maximum, Horizon: time.Second}, began), began
 			for range maximum {
-				d.Admit(&Conn{}, now, always)
+				controller.Admit(&Conn{}, now, always)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(100 * time.Microsecond)
 				c := &Conn{}
-				d.Admit(c, now, always)
-				d.RequestStarted(c, now)
-				d.ResponseStarted(c, now)
-				d.ResponseDone(c, now)
+				controller.Admit(c, now, always)
+				controller.RequestStarted(c, now)
+				controller.ResponseStarted(c, now)
+				controller.ResponseDone(c, now)
 			}
 		})
 	}
--- a/internal/sidecar/admission/doc.go
+++ b/internal/sidecar/admission/doc.go
@@ -1,12 +1,13 @@
 // Package admission decides which client connections of a sidecar stay open: whether a new one is admitted, and which idle
-// one is evicted for it when the maximum is reached. It is pure: events and times go in, decisions come out; package connlimit
-// opens and closes the connections. Whether a request is served is not decided here but by the decision module.
+// one is evicted for it when the maximum is reached. It performs no I/O and reads no clock: its methods get events with their
+// times and return decisions. Package connlimit opens and closes the connections. Package balance, the decision module, decides
+// whether a request is served.
 //
-// A connection is valued by the probability that it sends another request soon. The probability is learned from what
-// connections with the same history did after the same idle time: those that never sent a request, sent one, a few, or many.
-// Observations decay exponentially, so a change in the clients' behaviour is learned within seconds.
+// The value of a connection is derived from the probability that it sends another request soon. The probability is learned from
+// connections with the same history, which have never sent a request, or have sent one, a few or many, and from their behaviour
+// after the same idle time. Observations decay exponentially, so a change in the clients' behaviour is learned within seconds.
 //
 // Invariants: a connection is in exactly one list from Admit to Closed; no more than MaxConnections are open; one with a
-// request in progress is never evicted; of two connections with the same history the one that has been idle for longer is
+// request in progress is never evicted; of two idle connections with the same history the one that has been idle for longer is
 // evicted first.
 package admission
--- a/internal/sidecar/connlimit/limiter.go
+++ b/internal/sidecar/connlimit/limiter.go
@@ -1,15 +1,15 @@
-// Package connlimit bounds the client connections of a front that speaks HTTP. It is the front's listener and carries out what
-// package admission decides. It knows whether a request is in progress on a connection, and reads no more of it than the end
-// of its head.
+// Package connlimit limits the number of client connections of an HTTP front. It is the front's listener and carries out the
+// decisions of package admission. It knows whether a request is in progress on a connection, and parses no more of a request than
+// the end of its head.
 //
-// Invariants: no more than the given number of connections are open, besides MaxRejecting that are being rejected. Accept never
-// waits for a connection. A connection with a request in progress, with unread bytes, or with response bytes that the client's
-// machine has not acknowledged is never closed for a new one; nothing of a request is passed on that is read after its connection
-// was closed. A close over unread bytes does not reset the last response away. A client that has closed its connection is noticed
-// whatever it sent before.
+// Invariants: no more than MaxConnections are open, besides up to MaxRejecting that are being rejected. Accept does not wait for the
+// client of any connection. A connection with a request in progress, with unread bytes, or with response bytes that the client's
+// machine has not acknowledged is never closed for a new one. Bytes of a request that are read after its connection was closed are
+// dropped. If unread bytes remain when a connection is closed, the end of the last response still reaches the client, although a
+// plain close would then send a reset and could discard it. A client that closes its connection is noticed, whatever it sent before.
 //
-// Locks: Limiter.mu guards the admission controller and the fields of each client that say so; readAhead.mu guards what was read
-// ahead. Neither is held during a blocking read or write. Who needs both takes Limiter.mu first.
+// Locks: Limiter.mu guards the admission controller and those fields of each client that are marked so; readAhead.mu guards the bytes
+// that were read ahead. Neither is held during a blocking read or write. Code that needs both takes Limiter.mu first.
 package connlimit
 
 import (
@@ -27,28 +27,29 @@
 )
 
 const (
-	// MaxRejecting is how many connections may be rejected with a response at the same time; further ones are closed.
-	MaxRejecting  = 8
+	// MaxRejecting is how many connections may be rejected with a response at the same time; further ones are closed at once.
+	MaxRejecting = 8
+	// rejectTimeout limits the rejection of one connection.
 	rejectTimeout = 500 * time.Millisecond
 )
 
-// Limiter is a listener with a bounded number of open connections; the other descriptors are needed for servers. A connection
-// beyond the bound replaces an idle one or gets a prompt 503. Its methods may be called from any goroutine.
+// Limiter is a listener with a bounded number of open connections; the remaining file descriptors are needed for servers. A
+// connection beyond the bound replaces an idle one or gets a prompt 503. Its methods may be called from any goroutine.
 type Limiter struct {
 	net.Listener
-	// ReadAheadBudget bounds the memory for what clients send ahead of a response, all together; nil is no bound. It is set
-	// before the first Accept.
+	// ReadAheadBudget bounds the total memory for bytes that clients send before the response to their previous request has ended;
+	// nil means no bound. It is set before the first Accept.
 	ReadAheadBudget *membudget.Budget
 
-	requestTimeout time.Duration // for a request to arrive completely
-	rejecting      chan struct{} // holds a value for each connection that is being rejected
+	requestTimeout time.Duration // within which a request must arrive completely
+	rejecting      chan struct{} // semaphore: holds a value for each connection that is being rejected
 
 	mu        sync.Mutex
 	admission *admission.Controller
 }
 
-// New returns a listener that accepts the connections of another. A request has to arrive within requestTimeout of its first byte;
-// the first one of a connection, of the connection's start.
+// New returns a limiter that accepts connections from ln. A request has to arrive completely within requestTimeout of its first
+// byte; the first request of a connection, within requestTimeout of the connection's start.
 func New(ln net.Listener, c admission.Config, requestTimeout time.Duration) *Limiter {
 	return &Limiter{
 		Listener:       ln,
@@ -58,7 +59,7 @@
 	}
 }
 
-// Accept returns the next connection that is admitted.
+// Accept returns the next connection that is admitted. It rejects or closes the others.
 func (l *Limiter) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -80,7 +81,8 @@
 	}
 }
 
-// admit returns the client of an admitted connection, or nil. It closes the connection that was evicted for it.
+// admit returns the client of an admitted connection, or nil if the connection is rejected. It closes the connection that was evicted
+// for it.
 func (l *Limiter) admit(conn net.Conn) *client {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +102,8 @@
 	return c
 }
 
-// reject answers 503 and reads on for a moment, because a close over unread bytes would reset the response away.
+// reject answers 503 and closes the connection. Before that it reads what the client sends, for up to rejectTimeout, because closing a
+// connection with unread bytes sends a reset, which can discard the response.
 func reject(c net.Conn) {
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(rejectTimeout))
@@ -118,20 +121,20 @@
 	return l.admission.Open()
 }
 
-// SetMaxConnections changes the bound. Connections beyond a lower one stay until they end.
+// SetMaxConnections changes the bound. Connections beyond a lower bound stay open until they end.
 func (l *Limiter) SetMaxConnections(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.admission.MaxConnections = n
 }
 
-// CloseIdle closes connections that have been idle for at least a time and have no unread bytes. One that never sent a request is
-// given admission.FirstRequestGrace in any case.
+// CloseIdle closes the connections that have been idle for at least minIdle and have no unread bytes. A connection that never sent a
+// request is kept for at least admission.FirstRequestGrace.
 func (l *Limiter) CloseIdle(minIdle time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for _, record := range l.admission.IdleSince(now, minIdle) {
+	for _, record := range l.admission.IdleFor(now, minIdle) {
 		if c := record.Owner.(*client); c.idle() {
 			c.closed = true
 			_ = c.closeWhenDelivered(now) // nothing more is written to it
@@ -146,7 +149,7 @@
 	return l.admission.Stats()
 }
 
-// ConnState follows the state of connections. It is for http.Server.ConnState.
+// ConnState records changes of the state of connections. It is for http.Server.ConnState.
 func (l *Limiter) ConnState(conn net.Conn, s http.ConnState) {
 	c, ok := conn.(*client)
 	if !ok {
@@ -169,10 +172,11 @@
 	}
 }
 
-// clientKey is the key of the client in the context of its requests.
+// clientKey is the key under which the context of a request holds its client.
 type clientKey struct{}
 
-// ConnContext lets a handler find its request's connection. It is for http.Server.ConnContext.
+// ConnContext adds the connection to the context of its requests, for the methods that take a handler's context. It is for
+// http.Server.ConnContext.
 func (l *Limiter) ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	if c, ok := conn.(*client); ok {
 		ctx, c.cancel = context.WithCancel(ctx)
@@ -180,7 +184,7 @@
 	return context.WithValue(ctx, clientKey{}, conn)
 }
 
-// clientOf returns the client whose request a handler's context belongs to.
+// clientOf returns the client of the request whose context ctx is.
 func clientOf(ctx context.Context) (*client, bool) {
 	c, ok := ctx.Value(clientKey{}).(*client)
 	return c, ok
@@ -197,23 +201,23 @@
 	return l.admission.ResponseStarted(&c.record, time.Now()) || c.readAhead.lost()
 }
 
-// SetResponseOpen says whether the end of the connection would now be taken for the end of the response to a handler's request. A
-// response that breaks off meanwhile ends by a reset, so that no client takes it for a complete one.
+// SetResponseOpen sets whether a client would now take the end of the connection for the end of the response to a handler's request.
+// While it is set, closing the connection sends a reset, so that no client takes a response that breaks off for a complete one.
 func (l *Limiter) SetResponseOpen(ctx context.Context, open bool) {
 	if c, ok := clientOf(ctx); ok {
 		c.responseOpen.Store(open)
 	}
 }
 
-// ClientGone reports whether the client of a handler's request has closed its connection. It looks at the socket, so it may know
+// ClientGone reports whether the client of a handler's request has closed its connection. It checks the socket, so it may return true
 // before the request's context ends.
 func (l *Limiter) ClientGone(ctx context.Context) bool {
 	c, ok := clientOf(ctx)
 	return ok && (c.peerClosed.Load() || sock.Ended(c.Conn))
 }
 
-// RequestHead returns the head of a handler's request as it was received, or nil where it was received together with the request
-// before it. The slice is valid until the response has ended.
+// RequestHead returns the head of a handler's request as it was received, or nil if it was received together with the previous request.
+// The slice is valid until the response has ended.
 func (l *Limiter) RequestHead(ctx context.Context) []byte {
 	if c, ok := clientOf(ctx); ok {
 		l.mu.Lock()
@@ -225,7 +229,7 @@
 	return nil
 }
 
-// RequestDeadline returns when a handler's request has to have arrived completely.
+// RequestDeadline returns the time by which a handler's request must have arrived completely.
 func (l *Limiter) RequestDeadline(ctx context.Context) time.Time {
 	c, ok := clientOf(ctx)
 	if !ok {
@@ -236,12 +240,12 @@
 	return c.requestDeadline
 }
 
-// reserve reserves memory for bytes that are read ahead, and reports whether there was enough.
+// reserve reserves memory for n bytes that are read ahead, and reports whether there was enough.
 func (l *Limiter) reserve(n int64) bool {
 	return l.ReadAheadBudget == nil || l.ReadAheadBudget.TryAcquire(n)
 }
 
-// release returns memory that reserve gave.
+// release releases n bytes that reserve has reserved.
 func (l *Limiter) release(n int64) {
 	if l.ReadAheadBudget != nil && n > 0 {
 		l.ReadAheadBudget.Release(n)
