--- a/internal/sidecar/connlimit/client.go
+++ b/internal/sidecar/connlimit/client.go
@@ -13,7 +13,7 @@
 	"petrelhook/internal/sidecar/admission"
 )
 
-// lingerTime is how long a closed connection is kept for its client to receive the rest of its last response.
+// lingerTime is how long a closed connection is kept so that its client can receive the rest of the last response.
 const lingerTime = 500 * time.Millisecond
 
 // client is an admitted connection of the application. net/http calls its net.Conn methods.
@@ -27,19 +27,19 @@
 
 	// Guarded by Limiter.mu:
 	record          admission.Conn
-	requestDeadline time.Time // for the present request to arrive completely
+	requestDeadline time.Time // by which the current request must have arrived completely
 	requested       bool      // a request was received
 	closed          bool
 	partialRequest  bool // bytes were received since the last response; net/http reports a request only with its whole head
 	head            requestHead
 }
 
-// closeWriter is a connection whose sending side can be closed by itself.
+// closeWriter is a connection whose sending side can be closed separately.
 type closeWriter interface{ CloseWrite() error }
 
-// Read notes the first byte of a request at once: net/http reports a request when it has read the whole head, and until then the
-// connection would be taken for an idle one. What is read after the limiter has closed the connection is dropped, because a request
-// that cannot be answered any more must have no effect.
+// Read records the first byte of a request at once, because net/http reports a request only when it has read the whole head, and the
+// connection would count as idle until then. Bytes that are read after the limiter has closed the connection are dropped, because a
+// request that cannot be answered must have no effect.
 func (c *client) Read(p []byte) (int, error) {
 	n, err := c.readAhead.read(p, c.limiter.release)
 	if n == 0 && err == nil {
@@ -56,30 +56,32 @@
 		return 0, net.ErrClosed
 	}
 	c.partialRequest = true
-	if c.head.add(p[:n], len(p) == 1) { // net/http has seen that more follows, and reads no further
+	if c.head.add(p[:n], len(p) == 1) { // net/http has seen that the next request follows, and reads no further
 		c.sawNextRequest()
 	}
 	return n, err
 }
 
-// peerGone is called when the client has closed its side: its requests are cancelled.
+// peerGone handles that the client has closed its side: it cancels the client's requests.
 func (c *client) peerGone() {
 	c.peerClosed.Store(true)
 	c.cancel()
 }
 
-// idle reports whether nothing of a next request was received. The caller holds Limiter.mu.
+// idle reports whether nothing of the next request was received. The caller holds Limiter.mu.
 func (c *client) idle() bool { return !c.partialRequest && c.quiet() }
 
-// evictable reports whether the connection may be closed for another: no whole head was received, and the client's machine has
-// acknowledged every byte of the last response. A request that arrives in this very moment is reset. The caller holds Limiter.mu.
+// evictable reports whether the connection may be closed for another: no complete head was received, no bytes are unread, and the
+// client's machine has acknowledged every byte of the last response. A request that arrives after this check is reset. The caller holds
+// Limiter.mu.
 func (c *client) evictable() bool { return !c.head.complete && c.quiet() && !sock.Unsent(c.Conn) }
 
-// quiet reports whether no bytes of a request wait to be read.
+// quiet reports whether no bytes of a request are waiting to be read.
 func (c *client) quiet() bool { return c.readAhead.empty() && sock.Quiet(c.Conn) }
 
-// Close closes the connection when its client has received the last response: bytes that are unread, or still arrive, would reset
-// the rest of it away.
+// Close closes the connection once its client has received the last response: if bytes were unread or still arrived, an earlier close
+// would send a reset, which could discard the rest of the response. If a response is open (see Limiter.SetResponseOpen), it resets the
+// connection at once.
 func (c *client) Close() error {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -97,8 +99,8 @@
 	return c.closeWhenDelivered(now)
 }
 
-// closeWhenDelivered closes the connection at once where the client's machine has acknowledged everything, and otherwise its sending
-// side now and the rest within lingerTime. The caller holds Limiter.mu.
+// closeWhenDelivered closes the connection at once if the client's machine has acknowledged everything. Otherwise it closes the sending
+// side now, and the connection when the client closes it or after lingerTime. The caller holds Limiter.mu.
 func (c *client) closeWhenDelivered(now time.Time) error {
 	half, canHalfClose := c.Conn.(closeWriter)
 	if c.peerClosed.Load() || !canHalfClose || !sock.Unsent(c.Conn) {
@@ -106,9 +108,9 @@
 		return c.Conn.Close()
 	}
 	c.limiter.admission.Closing(&c.record, now)
-	_ = half.CloseWrite() // a connection that fails here is closed below
+	_ = half.CloseWrite() // if it fails, the connection is closed below all the same
 	c.Conn.SetReadDeadline(now.Add(lingerTime))
-	go func() { // it ends with the deadline
+	go func() { // ends at the read deadline at the latest
 		_, _ = io.Copy(io.Discard, c.Conn)
 		c.limiter.mu.Lock()
 		defer c.limiter.mu.Unlock()
@@ -118,8 +120,8 @@
 	return nil
 }
 
-// CloseWrite closes the sending side, which net/http does some time before it closes the connection, because a close over unread
-// bytes would reset the last response away.
+// CloseWrite closes the sending side. net/http calls it some time before it closes the connection, because closing a connection with
+// unread bytes sends a reset, which can discard the last response.
 func (c *client) CloseWrite() error {
 	c.limiter.mu.Lock()
 	c.limiter.admission.Closing(&c.record, time.Now())
--- a/internal/sidecar/connlimit/limiter_test.go
+++ b/internal/sidecar/connlimit/limiter_test.go
@@ -14,8 +14,8 @@
 
 func get(path string) string { return "GET /" + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
-// boundedRig serves requests behind a bounded listener; those for /slow are answered when release is closed.
-func boundedRig(t *testing.T, maxConnections int) (addr string, ln *Limiter, release chan struct{}) {
+// boundedServer starts a server behind a Limiter. Requests for /slow are answered when release is closed.
+func boundedServer(t *testing.T, maxConnections int) (addr string, ln *Limiter, release chan struct{}) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,14 +44,14 @@
 	return n
 }
 
-// At the maximum a new connection gets a complete 503 at once while the others are in use; when one is closed the next is admitted.
-func TestTooManyClients(t *testing.T) {
-	addr, ln, release := boundedRig(t, 1)
+// While all connections are in use, a new one gets a complete 503 at once. When one of them is closed, the next is admitted.
+func TestRejectionAtTheMaximum(t *testing.T) {
+	addr, ln, release := boundedServer(t, 1)
 	defer close(release)
 	first, _ := peertest.Dial(t, addr)
 	io.WriteString(first, "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
 	peertest.Eventually(t, "it is served", func() bool { return ln.Stats().Busy == 1 })
-	for range 3 * MaxRejecting { // whatever rejected clients do, the next is handled
+	for range 3 * MaxRejecting { // rejected clients that send and read nothing do not delay the next
 		if c, err := net.Dial("tcp", addr); err == nil {
 			defer c.Close()
 		}
@@ -71,7 +71,7 @@
 
 // Connections of clients that sent one request, or none, are evicted for new ones; those with a request in progress are not.
 func TestIdleClientsAreEvicted(t *testing.T) {
-	addr, ln, release := boundedRig(t, 3)
+	addr, ln, release := boundedServer(t, 3)
 	busy, busyIn := peertest.Dial(t, addr)
 	io.WriteString(busy, "GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
 	peertest.Eventually(t, "it is served", func() bool { return ln.Stats().Busy == 1 })
@@ -98,15 +98,15 @@
 	}
 }
 
-// crossing is a connection on which a request arrives just after the limiter has found that none had.
-type crossing struct {
+// lateRequestConn is a connection on which a request arrives immediately after the limiter has checked for unread bytes and found none.
+type lateRequestConn struct {
 	net.Conn
 	arrives, read chan struct{}
 	closed        chan struct{}
 	once          sync.Once
 }
 
-func (c *crossing) Read(p []byte) (int, error) {
+func (c *lateRequestConn) Read(p []byte) (int, error) {
 	select {
 	case <-c.arrives:
 		defer func() { c.read <- struct{}{} }()
@@ -116,23 +116,23 @@
 	}
 }
 
-func (c *crossing) Quiet() bool {
-	c.arrives <- struct{}{} // nothing had arrived before
+func (c *lateRequestConn) Quiet() bool {
+	c.arrives <- struct{}{} // the request arrives only now
 	<-c.read
 	return true
 }
 
-func (c *crossing) Close() error { c.once.Do(func() { close(c.closed) }); return nil }
+func (c *lateRequestConn) Close() error { c.once.Do(func() { close(c.closed) }); return nil }
 
-// A request that crosses with the limiter's close is never read. It must not be executed: its client learns that it was not accepted, and
-// sends it again.
-func TestARequestThatCrossesWithOurClose(t *testing.T) {
+// A request that arrives while the limiter closes its connection is not passed to net/http. It must not be executed, because its client sees
+// a closed connection and sends it again.
+func TestRequestArrivesDuringClose(t *testing.T) {
 	for name, closes := range map[string]func(l *Limiter){
-		"an evacuation": func(l *Limiter) { l.CloseIdle(0) },
-		"an eviction":   func(l *Limiter) { l.admit(&crossing{}) },
+		"CloseIdle": func(l *Limiter) { l.CloseIdle(0) },
+		"eviction":  func(l *Limiter) { l.admit(&lateRequestConn{}) },
 	} {
 		l := New(nil, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second)
-		conn := &crossing{arrives: make(chan struct{}), read: make(chan struct{}, 1), closed: make(chan struct{})}
+		conn := &lateRequestConn{arrives: make(chan struct{}), read: make(chan struct{}, 1), closed: make(chan struct{})}
 		c := l.admit(conn)
 		l.mu.Lock() // it had a request before
 		l.admission.RequestStarted(&c.record, time.Now())
@@ -159,14 +159,14 @@
 	}
 }
 
-// A connection of which a complete head was read is not evicted, although net/http has not reported the request yet. One that has sent part
-// of a head is, and nothing is read from it any more.
-func TestWhatIsEvicted(t *testing.T) {
+// A connection from which a complete head was read is not evicted, although net/http has not reported the request yet. One that has sent only
+// part of a head is evicted.
+func TestPartialHeadIsEvicted(t *testing.T) {
 	for text, stays := range map[string]bool{get("whole"): true, "GET /half HTTP/1.1\r\nHost": false} {
 		l := New(nil, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second)
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		c := l.admit(quiet{ours})
+		c := l.admit(quietConn{ours})
 		l.mu.Lock()
 		l.admission.RequestStarted(&c.record, time.Now())
 		l.admission.ResponseDone(&c.record, time.Now())
@@ -175,13 +175,13 @@
 		if n, err := c.Read(make([]byte, 4096)); n != len(text) || err != nil {
 			t.Fatal(n, err)
 		}
-		if admitted := l.admit(quiet{nil}) != nil; admitted == stays {
+		if admitted := l.admit(quietConn{nil}) != nil; admitted == stays {
 			t.Errorf("%q: evicted for another: %v", text, admitted)
 		}
 	}
 }
 
-// quiet is a connection without unread bytes.
-type quiet struct{ net.Conn }
+// quietConn is a connection without unread bytes.
+type quietConn struct{ net.Conn }
 
-func (quiet) Quiet() bool { return true }
+func (quietConn) Quiet() bool { return true }
--- a/internal/sidecar/connlimit/read_ahead.go
+++ b/internal/sidecar/connlimit/read_ahead.go
@@ -11,24 +11,25 @@
 	"petrelhook/internal/sidecar/message"
 )
 
-// maxReadAhead is how much is read of a client ahead of a response: a short request with its head. What exceeds it is dropped, and
-// the connection is closed with the response. Otherwise a client could hide its close behind the bytes that it sent.
+// maxReadAhead is how much is read from a client before the response to its current request has ended: a short request with its head.
+// Further bytes are read and dropped, and the connection is closed with the response. If they were left unread, a close of the client
+// behind them would not be noticed.
 const maxReadAhead = message.MaxBuffered + message.MaxHead
 
-// readAhead is what a client sends while its request is in progress. net/http notices a client's close by reading one byte, and
-// does not look further once that byte belongs to a next request: from there on the bytes are read here.
+// readAhead holds the bytes that a client sends while its request is in progress. net/http notices a client's close by reading one
+// byte, and does not read further if that byte belongs to the next request. From there on a goroutine of readAhead reads.
 type readAhead struct {
 	mu         sync.Mutex
-	active     bool          // a request is in progress, and bytes of the next may hide its client's close
+	active     bool          // a request is in progress whose client may close the connection behind bytes of the next request
 	nextSeen   bool          // a byte of the next request was received
-	text       []byte        // was read, and not yet returned by read
-	err        error         // why nothing follows text
-	overflowed bool          // some of it was dropped
+	text       []byte        // read ahead, and not yet returned by read
+	err        error         // the read error after text; nil: none
+	overflowed bool          // bytes beyond maxReadAhead were dropped
 	done       chan struct{} // closed when the goroutine that reads ahead has ended; nil: there is none
 }
 
-// WatchClient notices that the client of a handler's request closes its connection, whatever it sends before that. The handler calls
-// stop when it has responded.
+// WatchClient watches for a close of the connection by the client of a handler's request, whatever the client sends before it; the
+// context of the request is cancelled then. The handler calls stop when it has responded.
 func (l *Limiter) WatchClient(ctx context.Context) (stop func()) {
 	c, ok := clientOf(ctx)
 	if !ok {
@@ -41,7 +42,7 @@
 	return c.stopReadAhead
 }
 
-// sawNextRequest is called with the first byte of a next request.
+// sawNextRequest records that the first byte of the next request was received.
 func (c *client) sawNextRequest() {
 	c.readAhead.mu.Lock()
 	defer c.readAhead.mu.Unlock()
@@ -49,7 +50,8 @@
 	c.startReadAhead()
 }
 
-// startReadAhead starts to read where a request is in progress and the next one has begun. The caller holds readAhead.mu.
+// startReadAhead starts the goroutine that reads ahead, if a request is in progress and a byte of the next one was received. The caller
+// holds readAhead.mu.
 func (c *client) startReadAhead() {
 	a := &c.readAhead
 	if !a.active || !a.nextSeen || a.done != nil || a.err != nil {
@@ -60,7 +62,7 @@
 	go func() {
 		defer close(done)
 		const chunk = 4 << 10
-		for buffer := make([]byte, chunk); c.limiter.reserve(chunk); { // without memory the close is noticed with the response
+		for buffer := make([]byte, chunk); c.limiter.reserve(chunk); { // if there is no memory, a close is noticed only when the response is written
 			n, err := c.Conn.Read(buffer)
 			ended := err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 			a.mu.Lock()
@@ -83,7 +85,7 @@
 	}()
 }
 
-// stopReadAhead waits for the goroutine that reads ahead. What is received from then on is read by net/http.
+// stopReadAhead stops the goroutine that reads ahead and waits for its end. Later bytes are read by net/http.
 func (c *client) stopReadAhead() {
 	a := &c.readAhead
 	a.mu.Lock()
@@ -101,14 +103,14 @@
 	a.mu.Unlock()
 }
 
-// startNext begins with the next request, whose first byte may have been the one that was seen.
+// startNext moves on to the next request: the byte that was seen belongs to it.
 func (a *readAhead) startNext() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.nextSeen = false
 }
 
-// read returns what was read ahead, and then why nothing follows it.
+// read returns the bytes that were read ahead and, once there are none left, the error that followed them, if any.
 func (a *readAhead) read(p []byte, release func(int64)) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -126,7 +128,7 @@
 	return 0, a.err
 }
 
-// discard drops what was read ahead.
+// discard drops the bytes that were read ahead.
 func (a *readAhead) discard(release func(int64)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -141,7 +143,7 @@
 	return len(a.text) == 0
 }
 
-// lost reports whether some of what the client sent was dropped.
+// lost reports whether some bytes that the client sent were dropped.
 func (a *readAhead) lost() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
