--- a/internal/sidecar/upstream/http1/endpoint.go
+++ b/internal/sidecar/upstream/http1/endpoint.go
@@ -16,16 +16,18 @@
 // endpoint is one server. It implements upstream.Endpoint.
 type endpoint struct {
 	pool *Pool
-	// notAcceptingSince is when the server stopped accepting requests, as time since the pool's epoch; 0: it accepts them.
+	// notAcceptingSince is when the server stopped accepting requests, in nanoseconds since the pool's epoch; 0 if it accepts them.
 	notAcceptingSince atomic.Int64
-	addr              string  // guarded by Pool.mu, as is idle
-	idle              []*conn // newest last
+
+	// Guarded by Pool.mu:
+	addr string
+	idle []*conn // newest last
 }
 
 // NewEndpoint returns an endpoint, which accepts requests once Update has set its address.
 func (p *Pool) NewEndpoint() upstream.Endpoint { return &endpoint{pool: p} }
 
-// Update implements upstream.Endpoint. Idle connections that are of no more use are closed.
+// Update implements upstream.Endpoint. It closes the idle connections if the server has moved or does not accept requests.
 func (e *endpoint) Update(addr string, accepting bool) {
 	p := e.pool
 	if accepting {
@@ -52,14 +54,14 @@
 	return e.pool.send(ctx, e, c)
 }
 
-// graceOver reports whether it is too late to send anything to a server that stopped accepting requests. A tenth of the grace period is
-// left for the first byte to arrive.
+// graceOver reports whether it is too late to start a call to a server that has stopped accepting requests. The last tenth of the grace
+// period is reserved for the first byte to arrive.
 func (e *endpoint) graceOver(now time.Time) bool {
 	since := e.notAcceptingSince.Load()
 	return since > 0 && now.Sub(e.pool.epoch) >= time.Duration(since)+e.pool.DrainGrace*9/10
 }
 
-// CheckHealth implements upstream.Endpoint. The load report is that of the response's header field or, without one, its body.
+// CheckHealth implements upstream.Endpoint. The load report is taken from the response's header field or, if that has none, from its body.
 func (e *endpoint) CheckHealth(ctx context.Context) upstream.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
--- a/internal/sidecar/upstream/http1/exchange.go
+++ b/internal/sidecar/upstream/http1/exchange.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	errTooLate      = errors.New("too late to begin")
-	errBodyConsumed = errors.New("the body is gone")
+	errTooLate      = errors.New("too late to send the request")
+	errBodyConsumed = errors.New("an earlier exchange has read part of the request body")
 )
 
 // send carries out a call; see upstream.Endpoint.
@@ -27,12 +27,12 @@
 	if err != nil {
 		return upstream.Outcome{Result: upstream.ConnectFailed, Err: err}
 	}
-	now, err := e.mayBegin(call)
+	now, err := e.claimCall(call)
 	if err != nil {
 		p.putIdle(c)
 		return upstream.Outcome{Result: upstream.NotSent, Err: err}
 	}
-	stopClosing := context.AfterFunc(ctx, func() { _ = c.Close() }) // which ends reads and writes
+	stopClosing := context.AfterFunc(ctx, func() { _ = c.Close() }) // ends blocked reads and writes
 	idleFor := reuse.Fresh
 	if c.used {
 		idleFor = now.Sub(c.idleSince)
@@ -40,7 +40,7 @@
 	out, reusable, broke := p.exchange(c, call, now)
 	if ctx.Err() == nil {
 		p.mu.Lock()
-		p.idleAges.Record(now, idleFor, broke)
+		p.idleEstimator.Record(now, idleFor, broke)
 		p.mu.Unlock()
 	}
 	if stopClosing() && reusable {
@@ -54,10 +54,10 @@
 	return out
 }
 
-// mayBegin claims a call whose connection is open, and returns the time at which it begins. Opening a connection may take long: meanwhile
-// the client may have gone, the server's drain grace may have ended, or the time limit of the request or of its idempotency key may have
-// passed. An error means that nothing was sent, so nothing was executed.
-func (e *endpoint) mayBegin(call *upstream.Call) (now time.Time, err error) {
+// claimCall claims a call whose connection is open, and returns the time at which it is sent. Opening a connection may take long; meanwhile
+// the client may have gone, the server's drain grace period may have ended, or the time limit of the request or of its idempotency key may
+// have passed. An error means that nothing is sent, so nothing is executed.
+func (e *endpoint) claimCall(call *upstream.Call) (now time.Time, err error) {
 	if call.ClientGone != nil && call.ClientGone() {
 		return now, upstream.ErrClientGone
 	}
@@ -72,32 +72,32 @@
 // exchange writes the request and reads the response. It returns whether the connection can be used again, and whether it broke.
 func (p *Pool) exchange(c *conn, call *upstream.Call, now time.Time) (out upstream.Outcome, reusable, broke bool) {
 	if call.Message.Remainder != nil {
-		if call.Message.Remainder.Consumed() { // what is left of it would be another request
+		if call.Message.Remainder.Consumed() { // the rest of the body alone would be another request
 			return upstream.Outcome{Result: upstream.NotSent, Err: errBodyConsumed}, true, false
 		}
 		return p.exchangeStreamed(c, call)
 	}
-	_ = c.SetWriteDeadline(call.Expires) // fails only if the connection is closed, and then so does the write; reading ends with ctx
+	_ = c.SetWriteDeadline(call.Expires) // fails only if the connection is closed, and then Write fails too; reading ends with ctx
 	text := encode(&call.Message, c.addr, call.Expires.Sub(now))
 	if n, err := c.Write(text); err != nil {
 		switch {
 		case n == len(text):
 			return upstream.Outcome{Result: upstream.Reset, Err: err}, false, true
-		case c.used: // the server closed it just now, which does not say that the server cannot be reached
+		case c.used: // the server has just closed the idle connection, which does not mean that it cannot be reached
 			return upstream.Outcome{Result: upstream.NotSent, Err: err}, false, true
-		default: // the server begins only with the last byte
+		default: // a server executes a request only after its last byte has arrived
 			return upstream.Outcome{Result: upstream.ConnectFailed, Err: err}, false, true
 		}
 	}
-	// The reader starts empty: connect has checked that nothing had arrived before the request was sent.
+	// The reader starts empty, because connect has checked that nothing had arrived before the request was sent.
 	in := newResponseReader(c)
 	defer in.release()
 	out, reusable = in.read(call.Message.Method, p.LoadReportFields, p.ResponseBudget, call.OnReplyStarted)
 	return out, reusable && in.Buffered() == 0, out.Result == upstream.Reset
 }
 
-// encode returns a message in the form of HTTP/1.1: complete, or as much of it as is known if its body is streamed. timeout is what the
-// server is told.
+// encode returns a request in the form of HTTP/1.1. If its body is streamed, the result ends with the part of the body in m.Body. timeout
+// is the time limit that the server is given.
 func encode(m *message.Request, host string, timeout time.Duration) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Expires-In: %du\r\n", m.Method, m.Target, host, timeout.Microseconds())
--- a/internal/sidecar/upstream/http1/load_report.go
+++ b/internal/sidecar/upstream/http1/load_report.go
@@ -10,8 +10,8 @@
 // loadReportHeader is the header field in which servers report their load.
 const loadReportHeader = "Endpoint-Load-Metrics"
 
-// parseReport parses "TEXT name=value, name=value". The values are returned in the order of fields, NaN for a missing one; nil: there is
-// none. Other names, and values that are not finite numbers from 0 on, are skipped.
+// parseReport parses "TEXT name=value, name=value". It returns the values in the order of fields, with NaN for a missing one, or nil if there
+// is no value. It skips other names, and values that are negative or not finite numbers.
 func parseReport(text string, fields []string) []float32 {
 	var report []float32
 	for _, item := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' }) {
--- a/internal/sidecar/upstream/http1/pool.go
+++ b/internal/sidecar/upstream/http1/pool.go
@@ -1,8 +1,8 @@
 // Package http1 implements upstream.Servers over HTTP/1.1 and plain TCP. Connections carry one request at a time and are reused; their
 // number is limited for all servers together.
 //
-// It never sends a request again, and does not use a connection on which unexpected bytes arrived. Go's own HTTP client is not used
-// because it does by itself what must not happen here: it repeats a request on a new connection and follows redirects.
+// It never sends a request twice, and does not use a connection on which unexpected bytes arrived. The client of net/http is not used
+// because it may repeat a request on a new connection and follows redirects, which must not happen here.
 //
 // Files: pool.go (connections), endpoint.go (one server), exchange.go (one call), request_writer.go (streamed request bodies),
 // response_reader.go and response.go (responses, buffered or streamed), load_report.go.
@@ -26,7 +26,7 @@
 	MaxConnections   int               // open at once, over all servers
 	ConnectTimeout   time.Duration     // for opening one connection
 	IdleTimeout      time.Duration     // after which an idle connection is closed
-	DrainGrace       time.Duration     // how long something may still be sent to a server after it stopped accepting
+	DrainGrace       time.Duration     // how long requests may still be sent to a server after it stopped accepting them
 	ResponseBudget   *membudget.Budget // the memory for buffered responses
 	LoadReportFields []string          // in the order of a load report's values
 	HealthCheckPath  string
@@ -39,12 +39,12 @@
 type Pool struct {
 	Settings
 	dial  Dial
-	epoch time.Time // the zero of times that are stored as atomic integers
+	epoch time.Time // origin of the times that are stored as atomic integers
 
-	mu              sync.Mutex
-	idleAges        reuse.Ages
-	openConnections int
-	withIdle        map[*endpoint]struct{} // the endpoints with idle connections
+	mu                sync.Mutex
+	idleEstimator     reuse.Estimator
+	openConnections   int
+	endpointsWithIdle map[*endpoint]struct{} // the endpoints with idle connections
 }
 
 // conn is a connection to a server.
@@ -57,12 +57,12 @@
 
 	// Guarded by Pool.mu:
 	idleSince time.Time
-	counted   bool // it is one of Pool.openConnections
+	counted   bool // included in Pool.openConnections
 }
 
-// New returns a pool. It starts no goroutine, and there is nothing to close but its connections.
+// New returns a pool that opens connections with dial. It starts no goroutine, and nothing but its connections needs to be closed.
 func New(s Settings, dial Dial) *Pool {
-	return &Pool{Settings: s, dial: dial, epoch: time.Now().Add(-1), withIdle: map[*endpoint]struct{}{}}
+	return &Pool{Settings: s, dial: dial, epoch: time.Now().Add(-1), endpointsWithIdle: map[*endpoint]struct{}{}}
 }
 
 // Open returns the number of open connections.
@@ -72,7 +72,7 @@
 	return p.openConnections
 }
 
-// SetMaxConnections changes the limit. Connections above it stay open until their exchanges end.
+// SetMaxConnections changes the limit. Connections above a lower limit are not closed for it.
 func (p *Pool) SetMaxConnections(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +84,7 @@
 	p.mu.Lock()
 	idle := e.idle
 	e.idle = nil
-	delete(p.withIdle, e)
+	delete(p.endpointsWithIdle, e)
 	p.mu.Unlock()
 	for _, c := range idle {
 		c.idleTimer.Stop()
@@ -92,11 +92,11 @@
 	}
 }
 
-// errConnectionLimit says that the limit on connections is reached, which says nothing about the server.
+// errConnectionLimit means that the limit on connections is reached, which says nothing about the server.
 var errConnectionLimit = errors.New("all connections are in use")
 
-// connect returns the newest idle connection, which is the least likely to be closed by the server, or opens one. An idle connection
-// that the server has closed, or on which unexpected bytes arrived, is closed.
+// connect returns the newest idle connection, which the server is least likely to have closed, or opens one. It closes idle connections that
+// were idle for too long, that the server has closed, or on which unexpected bytes arrived.
 func (p *Pool) connect(ctx context.Context, e *endpoint) (*conn, error) {
 	for {
 		c := p.takeIdle(e)
@@ -110,15 +110,15 @@
 	}
 }
 
-// idleTooLong reports whether a connection was idle for so long that it would likely break.
+// idleTooLong reports whether a connection was idle for so long that it is likely to break.
 func (p *Pool) idleTooLong(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	return now.Sub(c.idleSince) > p.idleAges.MaxIdle(now)
+	return now.Sub(c.idleSince) > p.idleEstimator.MaxIdle(now)
 }
 
-// takeIdle removes the newest idle connection from the pool and returns it; nil: there is none.
+// takeIdle removes the newest idle connection from the pool and returns it, or returns nil if there is none.
 func (p *Pool) takeIdle(e *endpoint) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,12 +135,12 @@
 func (p *Pool) removeIdle(c *conn, i int) {
 	c.endpoint.idle = slices.Delete(c.endpoint.idle, i, i+1)
 	if len(c.endpoint.idle) == 0 {
-		delete(p.withIdle, c.endpoint)
+		delete(p.endpointsWithIdle, c.endpoint)
 	}
 	c.idleTimer.Stop()
 }
 
-// open opens a connection. At the limit it replaces the connection that was idle the longest.
+// open opens a connection. At the limit it closes the connection that has been idle the longest and takes its place.
 func (p *Pool) open(ctx context.Context, e *endpoint) (*conn, error) {
 	addr, evicted, err := p.reserveConnection(e)
 	if err != nil {
@@ -161,8 +161,8 @@
 	return &conn{Conn: nc, endpoint: e, addr: addr, counted: true}, nil
 }
 
-// reserveConnection counts a connection that is about to be opened to the endpoint's address. At the limit it takes over the count of the
-// connection that was idle the longest, which the caller must close.
+// reserveConnection counts a connection that is about to be opened, and returns the endpoint's address. At the limit it returns the
+// connection that has been idle the longest, of any endpoint; it is no longer counted, and the caller must close it.
 func (p *Pool) reserveConnection(e *endpoint) (addr string, evicted *conn, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,7 +170,7 @@
 		p.openConnections++
 		return e.addr, nil, nil
 	}
-	for other := range p.withIdle {
+	for other := range p.endpointsWithIdle {
 		if evicted == nil || other.idle[0].idleSince.Before(evicted.idleSince) {
 			evicted = other.idle[0]
 		}
@@ -185,7 +185,7 @@
 
 // closeConn closes a connection that is not in the pool.
 func (p *Pool) closeConn(c *conn) {
-	_ = c.Close() // its exchange is over, or will report an error of its own
+	_ = c.Close() // its exchange has ended, or will get an error from the connection
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.counted {
@@ -194,8 +194,8 @@
 	}
 }
 
-// putIdle puts a connection into the pool, or closes it if the server has moved or accepts no requests. It is closed after the idle
-// time-out, before the server would close it.
+// putIdle puts a connection into the pool, or closes it if the server has moved or does not accept requests. An idle connection is closed
+// after IdleTimeout, before the server would close it.
 func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	if c.addr != c.endpoint.addr || c.endpoint.notAcceptingSince.Load() != 0 {
@@ -206,7 +206,7 @@
 	defer p.mu.Unlock()
 	c.used, c.idleSince = true, time.Now()
 	c.endpoint.idle = append(c.endpoint.idle, c)
-	p.withIdle[c.endpoint] = struct{}{}
+	p.endpointsWithIdle[c.endpoint] = struct{}{}
 	if c.idleTimer == nil {
 		c.idleTimer = time.AfterFunc(p.IdleTimeout, func() { p.expireIdle(c) })
 	} else {
@@ -214,7 +214,7 @@
 	}
 }
 
-// expireIdle closes a connection at the end of its idle time-out, unless it was used meanwhile.
+// expireIdle closes a connection that has been idle for IdleTimeout, unless it was used meanwhile.
 func (p *Pool) expireIdle(c *conn) {
 	p.mu.Lock()
 	i := slices.Index(c.endpoint.idle, c)
--- a/internal/sidecar/upstream/http1/pool_test.go
+++ b/internal/sidecar/upstream/http1/pool_test.go
@@ -23,25 +23,25 @@
 	}, (&net.Dialer{}).DialContext)
 }
 
-// endpointAt returns an endpoint that listens at an address.
+// endpointAt returns an endpoint for a server that listens at an address.
 func (pool *Pool) endpointAt(addr string) *endpoint { return &endpoint{pool: pool, addr: addr} }
 
-// stopAccepting makes the endpoint one that stopped accepting requests some time ago.
+// stopAccepting marks the server as one that stopped accepting requests some time ago.
 func (e *endpoint) stopAccepting(ago time.Duration) {
 	e.notAcceptingSince.Store(int64(time.Since(e.pool.epoch) - ago))
 }
 
-func look() *upstream.Call {
+func newCall() *upstream.Call {
 	return &upstream.Call{Message: message.Request{Method: "GET", Target: "/look"}, Expires: time.Now().Add(30 * time.Second)}
 }
 
-// That an unsafe request is not executed twice rests on what an outcome proves: only these say that nothing was executed, and only a
-// complete 200 is served.
+// Each response leads to the right outcome. Unsafe requests are retried if the outcome proves that they were not executed, so only an explicit
+// statement of the server may prove that; and only a complete 200 response is served.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer string
-		want   upstream.Result
-		reused bool
+		response string
+		want     upstream.Result
+		reused   bool
 	}{
 		"served":              {peertest.OKResponse, upstream.Served, true},
 		"served in chunks":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", upstream.Served, true},
@@ -53,24 +53,24 @@
 		"rejected as late":    {"HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Rejected, true},
 		"503 alone":           {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
 		"500, never ran":      {"HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", upstream.Failed, true},
-		"not an answer":       {"\x16\x03\x01nonsense\r\n\r\n", upstream.Failed, false},
+		"not a response":      {"\x16\x03\x01nonsense\r\n\r\n", upstream.Failed, false},
 		"two lengths":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi", upstream.Failed, false},
 		"a negative length":   {"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", upstream.Failed, false},
 		"a bad load report":   {"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: \xff{],=;\r\nContent-Length: 2\r\n\r\nhi", upstream.Served, true},
 		"too large":           {"HTTP/1.1 200 OK\r\nContent-Length: 2000000\r\n\r\n", upstream.Failed, false},
 		"broken off":          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi", upstream.Reset, false},
-		"of unknown length":   {"HTTP/1.1 200 OK\r\n\r\nhi", upstream.Served, false}, // its end is the connection's
+		"of unknown length":   {"HTTP/1.1 200 OK\r\n\r\nhi", upstream.Served, false}, // it ends with the connection
 		"nothing":             {"", upstream.Reset, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ends := name == "broken off" || name == "of unknown length" || name == "nothing"
 			p := peertest.NewPeer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
-				io.WriteString(conn, c.answer)
+				io.WriteString(conn, c.response)
 				return !ends
 			})
 			pool := testPool(9)
 			e := pool.endpointAt(p.Addr)
-			r := e.Send(context.Background(), look())
+			r := e.Send(context.Background(), newCall())
 			if r.Result != c.want {
 				t.Fatalf("result %v (%v), want %v", r.Result, r.Err, c.want)
 			}
@@ -78,7 +78,7 @@
 				t.Errorf("body %q", r.Reply.Body)
 			}
 			if c.reused {
-				e.Send(context.Background(), look())
+				e.Send(context.Background(), newCall())
 				if n := p.Conns.Load(); n != 1 {
 					t.Errorf("%d connections for two requests", n)
 				}
@@ -91,7 +91,7 @@
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	pool := testPool(9)
-	if r := pool.endpointAt(peertest.DeadAddr(t)).Send(context.Background(), look()); r.Result != upstream.ConnectFailed {
+	if r := pool.endpointAt(peertest.DeadAddr(t)).Send(context.Background(), newCall()); r.Result != upstream.ConnectFailed {
 		t.Errorf("result %v", r.Result)
 	}
 	if pool.Open() != 0 {
@@ -99,19 +99,19 @@
 	}
 }
 
-// Opening a connection takes time: a call that became too late meanwhile is not sent.
-func TestTooLateToBegin(t *testing.T) {
-	for name, spoil := range map[string]func(*endpoint, *upstream.Call){
-		"the grace is over":      func(e *endpoint, _ *upstream.Call) { e.stopAccepting(e.pool.DrainGrace) },
-		"the key's time is over": func(_ *endpoint, c *upstream.Call) { c.SendBefore = time.Now() },
-		"the client's time is":   func(_ *endpoint, c *upstream.Call) { c.Expires = time.Now() },
-		"it was abandoned":       func(_ *endpoint, c *upstream.Call) { c.Claim() },
+// Opening a connection takes time. A call whose time limit has passed meanwhile, or that was abandoned, is not sent.
+func TestTooLateToSend(t *testing.T) {
+	for name, change := range map[string]func(*endpoint, *upstream.Call){
+		"drain grace is over": func(e *endpoint, _ *upstream.Call) { e.stopAccepting(e.pool.DrainGrace) },
+		"key window is over":  func(_ *endpoint, c *upstream.Call) { c.SendBefore = time.Now() },
+		"deadline has passed": func(_ *endpoint, c *upstream.Call) { c.Expires = time.Now() },
+		"claimed elsewhere":   func(_ *endpoint, c *upstream.Call) { c.Claim() },
 	} {
 		p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 		pool := testPool(9)
-		e, c := pool.endpointAt(p.Addr), look()
+		e, c := pool.endpointAt(p.Addr), newCall()
 		pool.epoch = pool.epoch.Add(-time.Minute)
-		spoil(e, c)
+		change(e, c)
 		if r := e.Send(context.Background(), c); r.Result != upstream.NotSent {
 			t.Errorf("%s: result %v", name, r.Result)
 		}
@@ -121,14 +121,14 @@
 	}
 }
 
-// Cancelling an exchange closes its connection, by which the server notices.
+// Cancelling an exchange closes its connection, so that the server notices.
 func TestCancellingClosesTheConnection(t *testing.T) {
 	got := make(chan struct{}, 1)
 	p := peertest.NewPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
 	pool := testPool(9)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan upstream.Outcome, 1)
-	go func() { done <- pool.endpointAt(p.Addr).Send(ctx, look()) }()
+	go func() { done <- pool.endpointAt(p.Addr).Send(ctx, newCall()) }()
 	peertest.Wait(t, got)
 	cancel()
 	if r := peertest.Wait(t, done); r.Result != upstream.Cancelled {
@@ -138,24 +138,24 @@
 	peertest.Eventually(t, "the connection is not counted", func() bool { return pool.Open() == 0 })
 }
 
-// An idle connection is closed before the server closes it: a request written to a closed connection is lost.
-func TestIdleConnectionsAreClosedByUs(t *testing.T) {
+// The pool closes an idle connection before the server does, because a request written to a connection that the server has closed is lost.
+func TestIdleConnectionsExpire(t *testing.T) {
 	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	pool := testPool(9)
 	pool.IdleTimeout = 10 * time.Millisecond
-	pool.endpointAt(p.Addr).Send(context.Background(), look())
+	pool.endpointAt(p.Addr).Send(context.Background(), newCall())
 	peertest.Wait(t, p.Ended)
 	peertest.Eventually(t, "the connection is not counted", func() bool { return pool.Open() == 0 })
 }
 
-// A server's close, or unexpected bytes, are noticed before a request is written: such a connection is not used, and the server is not
-// blamed.
-func TestAnIdleConnectionThatIsNotCleanIsNotUsed(t *testing.T) {
-	for name, spoil := range map[string]func(net.Conn){
-		"closed":                 func(c net.Conn) { c.Close() },
-		"reset":                  func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"a second copy":          func(c net.Conn) { io.WriteString(c, strings.Replace(peertest.OKResponse, "hi", "no", 1)) },
-		"a copy and then an end": func(c net.Conn) { io.WriteString(c, peertest.OKResponse); c.Close() },
+// A connection that the server has closed, or on which unexpected bytes arrived, is not used. This is noticed before a request is written, and
+// does not count as a failure of the server.
+func TestUnusableIdleConnections(t *testing.T) {
+	for name, change := range map[string]func(net.Conn){
+		"closed":                           func(c net.Conn) { c.Close() },
+		"reset":                            func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
+		"unexpected response":              func(c net.Conn) { io.WriteString(c, strings.Replace(peertest.OKResponse, "hi", "no", 1)) },
+		"unexpected response, then closed": func(c net.Conn) { io.WriteString(c, peertest.OKResponse); c.Close() },
 	} {
 		conns := make(chan net.Conn, 2)
 		p := peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
@@ -165,10 +165,10 @@
 		})
 		pool := testPool(9)
 		e := pool.endpointAt(p.Addr)
-		e.Send(context.Background(), look())
-		spoil(peertest.Wait(t, conns))
+		e.Send(context.Background(), newCall())
+		change(peertest.Wait(t, conns))
 		peertest.Eventually(t, "it has arrived", func() bool { return !sock.Quiet(e.idle[0].Conn) })
-		if r := e.Send(context.Background(), look()); r.Result != upstream.Served || string(r.Reply.Body) != "hi" || p.Conns.Load() != 2 {
+		if r := e.Send(context.Background(), newCall()); r.Result != upstream.Served || string(r.Reply.Body) != "hi" || p.Conns.Load() != 2 {
 			t.Errorf("%s: result %v, %q, %d connections", name, r.Result, r.Reply.Body, p.Conns.Load())
 		}
 		if n := pool.Open(); n != 1 {
@@ -177,8 +177,8 @@
 	}
 }
 
-// A limited number of bytes is read of a response, whatever length it announces.
-func TestAnswersAreBounded(t *testing.T) {
+// The number of bytes that are read of a response is limited, whatever length it announces.
+func TestResponseSizeIsLimited(t *testing.T) {
 	for name, head := range map[string]string{
 		"a head without end":   "HTTP/1.1 200 OK\r\n",
 		"a line without end":   "HTTP/1.1 200 OK\r\nX: ",
@@ -199,12 +199,12 @@
 			io.WriteString(c, head)
 			for {
 				if _, err := io.WriteString(c, block); err != nil {
-					return false // closed by the other side
+					return false // the pool has closed the connection
 				}
 			}
 		})
 		pool := testPool(9)
-		r := pool.endpointAt(p.Addr).Send(context.Background(), look())
+		r := pool.endpointAt(p.Addr).Send(context.Background(), newCall())
 		if r.Result == upstream.Served || r.Result.NeverRan() {
 			t.Errorf("%s: result %v", name, r.Result)
 		}
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestTheNewestConnectionIsUsedFirst(t *testing.T) {
+func TestNewestConnectionIsUsedFirst(t *testing.T) {
 	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	pool := testPool(9)
 	e := pool.endpointAt(p.Addr)
@@ -229,31 +229,31 @@
 	pool.putIdle(conns[0])
 	pool.putIdle(conns[1])
 	if c, _ := pool.connect(context.Background(), e); c != conns[1] {
-		t.Error("not the newest")
+		t.Error("the newest connection is not used first")
 	}
 }
 
-// At the limit on connections a call is not sent, for a reason that is not the server's, unless another server's idle connection can be
-// closed.
-func TestTheLimitOnConnections(t *testing.T) {
+// At the limit on connections, an idle connection of another server is closed for a call. If there is none, the call is not sent, and its
+// result does not blame the server.
+func TestConnectionLimit(t *testing.T) {
 	got := make(chan struct{}, 1)
 	busy := peertest.NewPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
 	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	pool := testPool(1)
 	first, second := pool.endpointAt(p.Addr), pool.endpointAt(busy.Addr)
-	first.Send(context.Background(), look())
+	first.Send(context.Background(), newCall())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	done := make(chan upstream.Outcome, 1)
-	go func() { done <- second.Send(ctx, look()) }()
-	peertest.Wait(t, got)     // it took over the count ...
-	peertest.Wait(t, p.Ended) // ... of the idle one
-	if r := first.Send(context.Background(), look()); r.Result != upstream.NotSent {
+	go func() { done <- second.Send(ctx, newCall()) }()
+	peertest.Wait(t, got)     // the second server's connection is open,
+	peertest.Wait(t, p.Ended) // and the idle one of the first was closed for it
+	if r := first.Send(context.Background(), newCall()); r.Result != upstream.NotSent {
 		t.Errorf("result %v", r.Result)
 	}
 	cancel()
 	peertest.Wait(t, done)
-	peertest.Eventually(t, "the count is right again", func() bool { return pool.Open() == 0 })
+	peertest.Eventually(t, "no connection is counted", func() bool { return pool.Open() == 0 })
 }
 
 func TestParseReport(t *testing.T) {
@@ -269,17 +269,17 @@
 	}
 }
 
-// A server that moves is reached at its new address, and its old connections are closed. A draining one gets nothing new, so its idle
-// connections are closed too.
-func TestAServerThatMoves(t *testing.T) {
+// If a server moves, requests are sent to its new address, and its idle connections to the old address are closed. The idle connections to
+// a draining server are closed too, because it gets no new requests.
+func TestServerMoves(t *testing.T) {
 	first, second := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse)), peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	pool := testPool(9)
 	e := pool.endpointAt("")
 	e.Update(first.Addr, true)
-	e.Send(context.Background(), look())
+	e.Send(context.Background(), newCall())
 	e.Update(second.Addr, true)
 	peertest.Wait(t, first.Ended)
-	if r := e.Send(context.Background(), look()); r.Result != upstream.Served || second.Requests.Load() != 1 {
+	if r := e.Send(context.Background(), newCall()); r.Result != upstream.Served || second.Requests.Load() != 1 {
 		t.Errorf("result %v, %d requests", r.Result, second.Requests.Load())
 	}
 	e.Update("", false)
@@ -287,7 +287,7 @@
 	peertest.Eventually(t, "all are closed", func() bool { return pool.Open() == 0 })
 }
 
-// A health check is a request of its own; the load report is in the body or the header.
+// A health check is a separate request to HealthCheckPath. The load report is read from the body if the header has none.
 func TestCheckHealth(t *testing.T) {
 	paths := make(chan string, 1)
 	p := peertest.NewPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
--- a/internal/sidecar/upstream/http1/request_writer_test.go
+++ b/internal/sidecar/upstream/http1/request_writer_test.go
@@ -20,13 +20,13 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// server handles each connection by a function that gets the connection and a reader of it.
+// server starts a server that calls handle with each connection and a reader of it.
 func server(t *testing.T, handle func(net.Conn, *bufio.Reader)) (addr string) {
 	t.Helper()
 	return peertest.NewRaw(t, func(c net.Conn) { handle(c, bufio.NewReader(c)) })
 }
 
-// client writes a body in parts, as a test says.
+// client is a client whose request body the test writes in parts.
 type client struct {
 	*io.PipeWriter
 	upload *message.Upload
@@ -50,8 +50,8 @@
 	return call, written
 }
 
-// A body is streamed, with its length or in chunks; the server gets all of it, and the connection is used again.
-func TestABodyIsStreamed(t *testing.T) {
+// A request body is streamed, with its length or in chunks. The server gets all of it, and the connection is reused.
+func TestRequestBodyIsStreamed(t *testing.T) {
 	rest := strings.Repeat("0123456789", 100_000)
 	for name, size := range map[string]int64{"with a length": int64(5 + len(rest)), "in chunks": -1} {
 		got := make(chan string, 2)
@@ -87,10 +87,10 @@
 	}
 }
 
-// What an end proves while the body is streamed: before its last byte nothing was executed, whoever broke off; after it, it may have been.
-// Whether the body can be sent again depends on whether anything of its remainder was read.
-func TestEndsOfStreamedBodies(t *testing.T) {
-	readAll := func(c net.Conn, in *bufio.Reader) { // and sends no response
+// An exchange ends while its request body is streamed. If the last byte was not sent, the request was not executed, whichever side failed;
+// otherwise it may have been. The body can be sent again only if nothing of its remainder was read.
+func TestOutcomesOfStreamedRequests(t *testing.T) {
+	readAll := func(c net.Conn, in *bufio.Reader) { // sends no response
 		req, err := http.ReadRequest(in)
 		if err == nil {
 			io.Copy(io.Discard, req.Body)
@@ -104,7 +104,7 @@
 			then(c)
 		}
 	}
-	says := func(text string) func(net.Conn) {
+	respond := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
 			io.WriteString(c, text)
 			c.(*net.TCPConn).CloseWrite()
@@ -117,14 +117,14 @@
 		want     upstream.Result
 		consumed bool
 	}{
-		"the server goes at its end":       {readAll, func(c *client) { io.WriteString(c, "01234"); c.Close() }, upstream.Reset, true},
-		"the server goes before":           {after(7, func(c net.Conn) { sock.Abort(c) }), func(c *client) { io.WriteString(c, "01") }, upstream.ConnectFailed, true},
-		"the server goes before any of it": {after(0, func(c net.Conn) { sock.Abort(c) }), func(c *client) {}, upstream.ConnectFailed, false},
-		"the server is full":               {after(7, says("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")), func(c *client) { io.WriteString(c, "01") }, upstream.Rejected, true},
-		"the server is full at once":       {after(0, says("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")), func(c *client) {}, upstream.Rejected, false},
-		"the server fails early":           {after(5, says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")), func(c *client) {}, upstream.Failed, false},
-		"the client goes a byte before":    {readAll, func(c *client) { io.WriteString(c, "0123"); c.CloseWithError(io.ErrUnexpectedEOF) }, upstream.NotSent, true},
-		"the client goes":                  {readAll, func(c *client) { c.CloseWithError(io.ErrUnexpectedEOF) }, upstream.NotSent, true},
+		"server closes after the last byte":     {readAll, func(c *client) { io.WriteString(c, "01234"); c.Close() }, upstream.Reset, true},
+		"server resets before the last byte":    {after(7, func(c net.Conn) { sock.Abort(c) }), func(c *client) { io.WriteString(c, "01") }, upstream.ConnectFailed, true},
+		"server resets before reading the body": {after(0, func(c net.Conn) { sock.Abort(c) }), func(c *client) {}, upstream.ConnectFailed, false},
+		"server rejects after part of the body": {after(7, respond("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")), func(c *client) { io.WriteString(c, "01") }, upstream.Rejected, true},
+		"server rejects at once":                {after(0, respond("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")), func(c *client) {}, upstream.Rejected, false},
+		"server fails early":                    {after(5, respond("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")), func(c *client) {}, upstream.Failed, false},
+		"client ends one byte early":            {readAll, func(c *client) { io.WriteString(c, "0123"); c.CloseWithError(io.ErrUnexpectedEOF) }, upstream.NotSent, true},
+		"client ends before the remainder":      {readAll, func(c *client) { c.CloseWithError(io.ErrUnexpectedEOF) }, upstream.NotSent, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := testPool(9)
@@ -143,9 +143,9 @@
 	}
 }
 
-// Only io.EOF itself is the end of a body without a length: an error that wraps it is a body that was cut short, and the server does not
-// get the last chunk.
-func TestAWrappedEndOfABodyIsNone(t *testing.T) {
+// A request body without a length is complete only if it ends with io.EOF itself. An error that wraps io.EOF means that it was truncated, and
+// the server does not get the last chunk.
+func TestWrappedEOFInRequestBody(t *testing.T) {
 	read := make(chan error, 1)
 	addr := server(t, func(_ net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
@@ -165,9 +165,9 @@
 	}
 }
 
-// A server that responds early and reads no more delays nobody: its response counts at once, although the body is stuck. A body of which
-// something was read begins no other exchange.
-func TestAnEarlyAnswerFromAServerThatReadsNoMore(t *testing.T) {
+// A server responds before it has the complete body, and then reads no more. Its response is returned at once, although writing the body is
+// blocked. No other exchange is started with a body of which a part was read.
+func TestEarlyResponseWhileBodyIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(time.Millisecond)
 		ln, err := n.Listen("127.0.0.1:80")
@@ -181,7 +181,7 @@
 				return
 			}
 			http.ReadRequest(bufio.NewReaderSize(c, 16))
-			time.Sleep(time.Second) // what is being sent to it is stuck
+			time.Sleep(time.Second) // until the writer is blocked
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 		}()
 		pool := New(Settings{MaxConnections: 9, ConnectTimeout: time.Second, IdleTimeout: time.Second, ResponseBudget: membudget.New(0)}, n.Dial)
@@ -197,7 +197,7 @@
 		}
 		go ln.Accept()
 		if r := pool.endpointAt("127.0.0.1:80").Send(t.Context(), call()); r.Result != upstream.NotSent {
-			t.Errorf("part of a body is sent: %v", r.Result)
+			t.Errorf("a partial body was sent: %v", r.Result)
 		}
 	})
 }
@@ -206,8 +206,8 @@
 
 func (neverEnding) Read(p []byte) (int, error) { return len(p), nil }
 
-// A call whose body is streamed is cancelled: the server does not get the end of the body.
-func TestAStreamedBodyIsCancelled(t *testing.T) {
+// If a call whose body is streamed is cancelled, the server does not get the end of the body.
+func TestCancelDuringStreamedRequest(t *testing.T) {
 	got, ended := make(chan struct{}, 1), make(chan error, 1)
 	addr := server(t, func(c net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
@@ -240,9 +240,8 @@
 	}
 }
 
-// A slow response is passed on before it is complete, in chunks, with a length or until the end of the connection; what its reader does
-// not read is not read from the server.
-func TestASlowResponseIsStreamed(t *testing.T) {
+// A slow response is passed on before it is complete, whether it is sent in chunks, with a length or until the connection ends.
+func TestSlowResponseIsStreamed(t *testing.T) {
 	for name, head := range map[string]string{
 		"with a length": "Content-Length: 2000000\r\n", "in chunks": "Transfer-Encoding: chunked\r\n", "to the end": "Connection: close\r\n",
 	} {
@@ -259,7 +258,7 @@
 			io.WriteString(c, last)
 		})
 		pool := testPool(9)
-		call := look()
+		call := newCall()
 		began, ended := make(chan upstream.Outcome, 1), make(chan upstream.Outcome, 1)
 		call.OnReplyStarted = func(out upstream.Outcome) { began <- out }
 		go func() { ended <- pool.endpointAt(addr).Send(context.Background(), call) }()
@@ -275,19 +274,19 @@
 	}
 }
 
-// A response that breaks off after its beginning was passed on ends with an error for its reader, never as if it were complete; one
-// whose reader goes away ends its connection.
-func TestStreamedResponsesThatBreakOff(t *testing.T) {
-	for name, answer := range map[string]string{
+// If a response breaks off after its first part was passed on, its reader gets an error, never an end as of a complete response. If the reader
+// closes a response, its connection is closed.
+func TestStreamedResponseBreaksOff(t *testing.T) {
+	for name, response := range map[string]string{
 		"with a length": "HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n" + strings.Repeat("x", 2_000_000),
 		"in chunks":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2dc6c0\r\n" + strings.Repeat("x", 2_000_000),
 		"a bad chunk":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1e8480\r\n" + strings.Repeat("x", 2_000_000) + "\r\nzz\r\n",
 	} {
 		addr := server(t, func(c net.Conn, in *bufio.Reader) {
 			http.ReadRequest(in)
-			io.WriteString(c, answer)
+			io.WriteString(c, response)
 		})
-		r := send(testPool(9).endpointAt(addr), look())
+		r := send(testPool(9).endpointAt(addr), newCall())
 		if !r.streamed || r.err == nil || r.ended.Result == upstream.Served {
 			t.Errorf("%s: streamed %v, remainder %v, %v", name, r.streamed, r.err, r.ended.Result)
 		}
@@ -300,14 +299,14 @@
 		_, err := c.Write(make([]byte, 33_000_000))
 		gone <- err
 	})
-	call := look()
+	call := newCall()
 	began := make(chan upstream.Outcome, 1)
 	call.OnReplyStarted = func(out upstream.Outcome) { began <- out }
 	go pool.endpointAt(addr).Send(context.Background(), call)
 	out := peertest.Wait(t, began)
 	out.Reply.Done()
 	if err := peertest.Wait(t, gone); err == nil {
-		t.Error("the server could write all of it to nobody")
+		t.Error("the server could write the complete response after its reader had closed it")
 	}
 	peertest.Eventually(t, "the connection is closed", func() bool { return pool.Open() == 0 })
 }
--- a/internal/sidecar/upstream/http1/response.go
+++ b/internal/sidecar/upstream/http1/response.go
@@ -14,39 +14,41 @@
 )
 
 const (
-	// maxBufferTime is how long a response is buffered in the hope that it becomes complete: until its beginning is passed to the client
-	// a retry may still succeed. Then what has arrived is passed on.
+	// maxBufferTime is how long a response is buffered while it is incomplete. Until its first bytes are passed to the client, a retry is
+	// still possible. After this time the part that has arrived is passed on.
 	maxBufferTime = 50 * time.Millisecond
 	// maxBufferSize is the largest response with a known length that is buffered, memory permitting.
 	maxBufferSize = 1 << 20
-	// uncountedSize is how much of every response is buffered without being counted: nearly all are no longer.
+	// uncountedSize is how much of each response is buffered without reserving memory. Nearly all responses are not longer.
 	uncountedSize = 4 << 10
-	// readSize is the size of one read of a body.
+	// readSize is the size of the buffer for one read of a body.
 	readSize = 32 << 10
 )
 
 var (
-	errTooLong = fmt.Errorf("an answer over %d MiB", message.MaxBody>>20)
+	errTooLong = fmt.Errorf("response body exceeds %d MiB", message.MaxBody>>20)
 	// errNotBuffered is the error of a response that is too long to be buffered and must not be streamed.
-	errNotBuffered = errors.New("an answer that is long and not passed on")
+	errNotBuffered = errors.New("response body is too long to be buffered and may not be streamed")
 )
 
-// response is a response while it arrives: buffered at first, and streamed once its beginning was passed on. It belongs to the goroutine
-// that reads the response; whoever got the beginning reads the remainder from a pipe.
+// response is a response that is being read. It is buffered at first; once its first part is passed to onStarted, it is streamed. It is
+// owned by the goroutine that reads the response from the server; the receiver of the first part reads the remainder from a pipe, so the
+// server is read no faster than the receiver reads.
 type response struct {
 	reader      *responseReader
 	budget      *membudget.Budget
-	bufferLimit int                    // the most bytes that are buffered
-	onStarted   func(upstream.Outcome) // gets the beginning of a streamed response; nil: it must not be streamed
-	outcome     upstream.Outcome
+	bufferLimit int                    // maximum number of bytes that are buffered
+	onStarted   func(upstream.Outcome) // gets the first part of a streamed response; nil if the response must not be streamed
+	outcome     upstream.Outcome       // template of the outcome, with the load report
 	header      http.Header
-	size        int64 // of the complete body; -1: unknown
+	size        int64 // of the complete body; -1 if unknown
 
 	buffered []byte
-	reserved int64          // bytes of the budget
-	stream   *io.PipeWriter // nil: the response is not streamed yet
+	reserved int64          // number of bytes reserved from the budget
+	stream   *io.PipeWriter // nil until the response is streamed
 }
 
+// bufferPool holds buffers of readSize bytes.
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, readSize); return &b }}
 
 // readBody reads the body to its end.
@@ -60,12 +62,12 @@
 		r.bufferLimit = int(r.size)
 	}
 	source := &r.reader.source
-	r.reader.limit.N = message.MaxBody + message.MaxHead // chunks have heads too
+	r.reader.limit.N = message.MaxBody + message.MaxHead // MaxHead leaves room for the heads of chunks
 	if r.onStarted == nil {
 		r.reader.limit.N = message.MaxBuffered + message.MaxHead
-	} else if r.size > message.MaxBuffered || r.size < 0 { // a short one is read completely, however late it is
+	} else if r.size > message.MaxBuffered || r.size < 0 { // a short response is buffered completely, however late it is
 		source.onDeadline = r.startStreaming
-		_ = source.SetReadDeadline(time.Now().Add(maxBufferTime)) // fails only if the connection is closed, as for the one below
+		_ = source.SetReadDeadline(time.Now().Add(maxBufferTime)) // fails only if the connection is closed, like the call below
 		defer func() {
 			source.onDeadline = nil
 			_ = source.SetReadDeadline(time.Time{})
@@ -74,7 +76,7 @@
 	return r.copyBody(resp.Body)
 }
 
-// copyBody reads a body and buffers or streams it.
+// copyBody reads a body to its end, and buffers or streams it.
 func (r *response) copyBody(body io.Reader) error {
 	buffer := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(buffer)
@@ -98,7 +100,7 @@
 	}
 }
 
-// add buffers or streams what has arrived. What cannot be buffered starts the stream.
+// add buffers or streams the next bytes of the body. If they cannot be buffered, it starts streaming.
 func (r *response) add(p []byte) error {
 	if r.stream == nil && r.reserve(len(r.buffered)+len(p)) {
 		r.buffered = append(r.buffered, p...)
@@ -112,8 +114,8 @@
 	return err
 }
 
-// reserve reports whether n bytes of the body may be buffered. Memory is reserved as the body arrives; for a long response all of it at
-// once, which may fail.
+// reserve reserves memory for n bytes of the body in total, and reports whether they may be buffered. Memory is reserved as the body
+// arrives; for a long response with a known length, all of it is reserved at once.
 func (r *response) reserve(n int) bool {
 	if n > r.bufferLimit {
 		return false
@@ -126,13 +128,14 @@
 		want = r.size
 	}
 	if !r.budget.TryAcquire(want - r.reserved) {
-		return r.onStarted == nil // then it is short, and cannot be streamed
+		return r.onStarted == nil // such a response is short and cannot be streamed, so it is buffered all the same
 	}
 	r.reserved = want
 	return true
 }
 
-// takeReservation returns a function that releases the reserved memory once, and is from now on responsible for it; nil: nothing is reserved.
+// takeReservation passes the responsibility for the reserved memory to the caller: it returns a function that releases the memory once, or
+// nil if nothing is reserved.
 func (r *response) takeReservation() func() {
 	n := r.reserved
 	if r.reserved = 0; n == 0 {
@@ -141,7 +144,7 @@
 	return sync.OnceFunc(func() { r.budget.Release(n) })
 }
 
-// startStreaming passes on what has arrived, unless that was done before.
+// startStreaming passes the part of the response that has arrived to onStarted, unless the response is streamed already.
 func (r *response) startStreaming() {
 	if r.stream != nil {
 		return
@@ -168,7 +171,7 @@
 	return out
 }
 
-// abandon ends a response that is not served, or not completely. Whoever reads the stream gets err.
+// abandon ends a response that is not served, or not completely. The reader of the stream, if there is one, gets err.
 func (r *response) abandon(err error) {
 	if r.stream != nil {
 		_ = r.stream.CloseWithError(err) // always nil
--- a/internal/sidecar/upstream/http1/response_reader.go
+++ b/internal/sidecar/upstream/http1/response_reader.go
@@ -15,11 +15,11 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// neverRanHeader is the header field by which a server says that it did not execute a request.
+// neverRanHeader is the header field by which a server states that it did not execute a request.
 const neverRanHeader = "X-Never-Ran"
 
-// responseReader reads what a server sends on a connection, up to a limit and regardless of the length that the server announces: what
-// exceeds the limit stays unread, and the connection is closed.
+// responseReader reads the bytes that a server sends on a connection up to a limit, whatever length the server announces. Bytes beyond the
+// limit stay unread, and the connection is closed.
 type responseReader struct {
 	*bufio.Reader
 	limit  *io.LimitedReader
@@ -27,14 +27,14 @@
 }
 
 // timedConn is a connection whose reads have one of two kinds of deadline: a single one, at which onDeadline is called and after which
-// reading goes on, or a new one for each read, which ends a connection that makes no progress.
+// reading continues, or a new one for each read, after which a connection without progress fails.
 type timedConn struct {
 	net.Conn
-	onDeadline      func() // called once, from Read; nil: a deadline is an error
+	onDeadline      func() // called once, from Read; if nil, a deadline is an error
 	deadlinePerRead bool
 }
 
-// Read reads on after the single deadline, so its caller never sees that one.
+// Read reads from the connection. It continues after the single deadline, so that its caller does not get an error for that.
 func (c *timedConn) Read(p []byte) (int, error) {
 	if c.deadlinePerRead {
 		_ = c.SetReadDeadline(time.Now().Add(stallTimeout)) // fails only if the connection is closed, and then so does Read
@@ -59,6 +59,7 @@
 	return r
 }}
 
+// newResponseReader returns a reader of a connection from the pool. The caller calls release when it is done.
 func newResponseReader(c net.Conn) *responseReader {
 	r := readerPool.Get().(*responseReader)
 	r.source, r.limit.N = timedConn{Conn: c}, 0
@@ -66,16 +67,16 @@
 	return r
 }
 
-// release returns the reader to the pool; it must not be used any more.
+// release returns the reader to the pool. The reader must not be used afterwards.
 func (r *responseReader) release() {
 	r.source = timedConn{}
 	readerPool.Put(r)
 }
 
-// read reads one response, after any 1xx ones, and returns whether the connection can be used again. Only a complete 200 is served, and
-// only the server's own statement proves that it did not execute the request. A malformed response comes from a server that is alive,
-// and is an error; a reset means that the connection ended. If onStarted is not nil a long 200 is passed to it once it has begun, and the
-// returned outcome says how the rest went.
+// read reads one response, after any 1xx ones, and returns whether the connection can be used again. Only a complete 200 response is Served,
+// and the result is Rejected only if the server states that it did not execute the request. A malformed response proves that the server is
+// alive, so the result is Failed; Reset means that the connection ended. If onStarted is not nil, a long 200 response is passed to it when
+// it has started to arrive, and the returned outcome tells how it ended.
 func (r *responseReader) read(
 	method string, reportFields []string, budget *membudget.Budget, onStarted func(upstream.Outcome),
 ) (out upstream.Outcome, reusable bool) {
@@ -88,7 +89,7 @@
 	}
 	out = upstream.Outcome{Result: upstream.Failed, LoadReport: parseReport(resp.Header.Get(loadReportHeader), reportFields)}
 	if resp.StatusCode != http.StatusOK {
-		onStarted = nil // it is not passed on, and need not be read to its end
+		onStarted = nil // the response is not passed on, and need not be read to its end
 	}
 	body := &response{
 		reader: r, budget: budget, bufferLimit: message.MaxBuffered, onStarted: onStarted, outcome: out,
@@ -114,8 +115,8 @@
 	return out, reusable
 }
 
-// StatusError is the error of a request that a server answers with another status than 200 OK.
-type StatusError struct{ Status string } // as "503 Service Unavailable"
+// StatusError is the error of a request that a server answered with another status than 200 OK.
+type StatusError struct{ Status string } // for example "503 Service Unavailable"
 
 func (e *StatusError) Error() string { return e.Status }
 
@@ -129,7 +130,7 @@
 	return resp, err
 }
 
-// neverRan reports whether a server says that it did not execute the request.
+// neverRan reports whether the server states that it did not execute the request.
 func neverRan(resp *http.Response) bool {
 	return (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get(neverRanHeader) == "1"
--- a/internal/sidecar/upstream/http1/response_test.go
+++ b/internal/sidecar/upstream/http1/response_test.go
@@ -16,7 +16,7 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// largeResponse returns a response with a body of a size, with a length or as one chunk.
+// largeResponse returns a response whose body has a size, with a length or as one chunk.
 func largeResponse(size int, chunked bool) string {
 	body := strings.Repeat("x", size)
 	if chunked {
@@ -25,8 +25,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, body)
 }
 
-// A response of any length is passed on unchanged, and its connection is used again. If there is memory for it, it is buffered up to some
-// size until it is complete; otherwise it is streamed. Whoever has passed it on releases the memory.
+// A response of any length is passed on unchanged, and its connection is reused. Up to some size, and if there is memory for it, it is
+// buffered until it is complete; otherwise it is streamed. The receiver releases the memory.
 func TestLargeResponses(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		for _, c := range []struct {
@@ -34,7 +34,7 @@
 			budget   int64
 			buffered bool
 		}{
-			{uncountedSize, 1, true}, // is not counted
+			{uncountedSize, 1, true}, // needs no memory from the budget
 			{message.MaxBuffered, message.MaxBuffered, true},
 			{message.MaxBuffered, uncountedSize, false},
 			{message.MaxBuffered + 1, maxBufferSize, !chunked},
@@ -52,8 +52,8 @@
 				e := pool.endpointAt(p.Addr)
 				for range 3 {
 					sentAt := time.Now()
-					got := send(e, look())
-					if c.buffered && got.streamed && time.Since(sentAt) >= maxBufferTime { // a busy machine: it did not arrive in time
+					got := send(e, newCall())
+					if c.buffered && got.streamed && time.Since(sentAt) >= maxBufferTime { // on a busy machine it may not have arrived in time
 						got.Reply.Done()
 						continue
 					}
@@ -64,7 +64,7 @@
 						t.Errorf("%d bytes are reserved", reserved)
 					}
 					got.Reply.Done()
-					got.Reply.Done() // releases once
+					got.Reply.Done() // releases nothing more
 					if reserved := pool.ResponseBudget.Reserved(); reserved != 0 {
 						t.Fatalf("%d bytes are still reserved", reserved)
 					}
@@ -77,8 +77,8 @@
 	}
 }
 
-// got is the outcome of a call whose response was read to its end.
-type got struct {
+// sendResult is the outcome of a call whose response was read to its end.
+type sendResult struct {
 	upstream.Outcome
 	streamed bool
 	size     int
@@ -87,7 +87,7 @@
 }
 
 // send carries out a call as the core does, and reads the response to its end.
-func send(e upstream.Endpoint, c *upstream.Call) (g got) {
+func send(e upstream.Endpoint, c *upstream.Call) (g sendResult) {
 	started, ended := make(chan upstream.Outcome, 1), make(chan upstream.Outcome, 1)
 	c.OnReplyStarted = func(out upstream.Outcome) { started <- out }
 	go func() { ended <- e.Send(context.Background(), c) }()
@@ -95,7 +95,7 @@
 	case g.Outcome = <-started:
 		g.streamed = true
 	case g.Outcome = <-ended:
-		return got{Outcome: g.Outcome, ended: g.Outcome, size: len(g.Reply.Body)}
+		return sendResult{Outcome: g.Outcome, ended: g.Outcome, size: len(g.Reply.Body)}
 	}
 	g.size = len(g.Reply.Body)
 	if g.streamed {
@@ -106,24 +106,24 @@
 	return g
 }
 
-// No memory stays reserved for a large response that breaks off, or that is no success.
-func TestLargeResponsesThatAreNotServed(t *testing.T) {
+// No memory stays reserved for a large response that is truncated, malformed or has an error status.
+func TestFailedLargeResponses(t *testing.T) {
 	complete := largeResponse(400_000, false)
 	for name, c := range map[string]struct {
-		answer string
-		want   upstream.Result
+		response string
+		want     upstream.Result
 	}{
-		"broken off":           {complete[:300_000], upstream.Reset},
-		"an error":             {strings.Replace(complete, "200 OK", "500 Oops", 1), upstream.Failed},
-		"chunks that break":    {largeResponse(400_000, true)[:300_000], upstream.Reset},
-		"chunks without sense": {strings.Replace(largeResponse(400_000, true), "\r\n0\r\n", "\r\nzz\r\n", 1), upstream.Failed},
+		"truncated":        {complete[:300_000], upstream.Reset},
+		"an error":         {strings.Replace(complete, "200 OK", "500 Oops", 1), upstream.Failed},
+		"truncated chunks": {largeResponse(400_000, true)[:300_000], upstream.Reset},
+		"malformed chunk":  {strings.Replace(largeResponse(400_000, true), "\r\n0\r\n", "\r\nzz\r\n", 1), upstream.Failed},
 	} {
 		p := peertest.NewPeer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
-			io.WriteString(conn, c.answer)
+			io.WriteString(conn, c.response)
 			return false
 		})
 		pool := testPool(9)
-		r := send(pool.endpointAt(p.Addr), look())
+		r := send(pool.endpointAt(p.Addr), newCall())
 		r.Reply.Done()
 		if r.ended.Result != c.want || r.streamed && r.err == nil || pool.ResponseBudget.Reserved() != 0 {
 			t.Errorf("%s: %v (%v), remainder %v, %d bytes are reserved", name, r.ended.Result, r.ended.Err, r.err, pool.ResponseBudget.Reserved())
--- a/internal/sidecar/upstream/http1/stale_test.go
+++ b/internal/sidecar/upstream/http1/stale_test.go
@@ -13,9 +13,9 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// A server breaks connections that were idle for long, unnoticeably until the next request: after a few breaks no more requests are
-// written to connections of that age; younger ones still carry them.
-func TestConnectionsThatWentStale(t *testing.T) {
+// A server breaks connections that were idle for long, which shows only when the next request is written. After a few breaks no more requests
+// are written to connections that were idle for so long; others are still used.
+func TestStaleConnections(t *testing.T) {
 	var breaks atomic.Bool
 	p := peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		if breaks.Load() {
@@ -28,7 +28,7 @@
 	e := pool.endpointAt(p.Addr)
 	send := func(want upstream.Result) {
 		t.Helper()
-		if r := e.Send(context.Background(), look()); r.Result != want {
+		if r := e.Send(context.Background(), newCall()); r.Result != want {
 			t.Fatalf("%v (%v), want %v", r.Result, r.Err, want)
 		}
 	}
@@ -37,14 +37,14 @@
 			send(upstream.Served)
 		}
 		pool.mu.Lock()
-		e.idle[0].idleSince = e.idle[0].idleSince.Add(-20 * time.Second) // no test waits so long
-		limit := pool.idleAges.MaxIdle(time.Now())
+		e.idle[0].idleSince = e.idle[0].idleSince.Add(-20 * time.Second) // so that the test need not wait
+		limit := pool.idleEstimator.MaxIdle(time.Now())
 		pool.mu.Unlock()
 		if limit < 20*time.Second {
 			break
 		}
 		if n == 10 {
-			t.Fatal("ten have broken and there is no limit")
+			t.Fatal("ten connections have broken and there is no limit")
 		}
 		breaks.Store(true)
 		send(upstream.Reset)
@@ -54,6 +54,6 @@
 	send(upstream.Served)
 	send(upstream.Served)
 	if opened := p.Conns.Load() - before; opened != 1 {
-		t.Errorf("%d connections for a request that finds an old one and one that finds a young one", opened)
+		t.Errorf("%d new connections, want 1: the first request finds a long idle connection, the second one a new one", opened)
 	}
 }
--- a/internal/sidecar/upstream/http1/truncated_test.go
+++ b/internal/sidecar/upstream/http1/truncated_test.go
@@ -14,8 +14,8 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// A response that is cut off at any byte, by an end or a reset of the connection, is not served. A reset does not end a response without a
-// length, even if all of it has arrived.
+// A response that is truncated at any byte, by a close or a reset of the connection, is not served. A response without a length ends only with
+// a close: after a reset it is not served, even if all of it has arrived.
 func TestAnswersTruncatedAtEachByte(t *testing.T) {
 	for name, text := range map[string]string{
 		"a length":  "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
@@ -34,15 +34,15 @@
 					}
 					return false
 				})
-				bare := name == "no length" || name == "HTTP/1.0"
-				body := len(text) - len("hello") // where the body of a bare response begins
+				withoutLength := name == "no length" || name == "HTTP/1.0"
+				body := len(text) - len("hello") // where the body of a response without a length starts
 				pool := testPool(4)
 				for cut := range len(text) + 1 {
 					cuts <- cut
-					got := pool.endpointAt(p.Addr).Send(context.Background(), look())
-					complete := cut == len(text) && !reset || bare && !reset && cut >= body
+					got := pool.endpointAt(p.Addr).Send(context.Background(), newCall())
+					complete := cut == len(text) && !reset || withoutLength && !reset && cut >= body
 					if served := got.Result == upstream.Served; served && !complete || !served && complete && cut == len(text) {
-						if !reset || cut != len(text) || bare { // otherwise it was complete by its length before the reset
+						if !reset || cut != len(text) || withoutLength { // otherwise the response was complete before the reset
 							t.Errorf("%d of %d bytes: %v, %v", cut, len(text), got.Result, got.Err)
 						}
 					}
@@ -55,7 +55,7 @@
 	}
 }
 
-// wrappedEnd is a connection whose end comes as an error that wraps io.EOF.
+// wrappedEnd is a connection whose end is reported as an error that wraps io.EOF.
 type wrappedEnd struct{ net.Conn }
 
 func (c wrappedEnd) Read(p []byte) (int, error) {
@@ -66,8 +66,8 @@
 	return n, err
 }
 
-// Only io.EOF itself is the end of a response without a length: an error that wraps it is a response that was cut short.
-func TestAWrappedEndOfAResponseIsNone(t *testing.T) {
+// A response without a length is complete only if its body ends with io.EOF itself. An error that wraps io.EOF means that it was truncated.
+func TestWrappedEOFInResponse(t *testing.T) {
 	addr := server(t, func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhi")
@@ -83,7 +83,7 @@
 			}
 			return c, err
 		}
-		if r := pool.endpointAt(addr).Send(t.Context(), look()); r.Result != want {
+		if r := pool.endpointAt(addr).Send(t.Context(), newCall()); r.Result != want {
 			t.Errorf("wrapped %v: %v (%v), want %v", wrapped, r.Result, r.Err, want)
 		}
 	}
--- a/internal/sidecar/upstream/reuse/reuse.go
+++ b/internal/sidecar/upstream/reuse/reuse.go
@@ -1,12 +1,13 @@
-// Package reuse answers one question: how long may a connection to a server have been idle and still carry a request? It learns from how
-// exchanges ended. Servers, and what stands between, close idle connections after times that no setting gives, and a request that is
-// written to a closed one ends as a reset: it may have been executed, so an unsafe request is lost.
+// Package reuse estimates how long a connection to a server may have been idle and still be used for a request. It learns from the ends of
+// exchanges. Servers, and network devices between the sidecar and the servers, close idle connections after times that no setting gives.
+// A request that is written to such a connection ends as a reset: it may have been executed, so an unsafe request cannot be retried.
 //
-// The package is pure: idle times and ends go in with their times, a limit comes out. It opens and closes nothing, and does not tell
-// servers apart: what stands between is common to them, and a sidecar with little traffic would learn about each too late.
+// The package performs no I/O and reads no clock: it gets idle times and results with their times, and returns a limit. It does not
+// distinguish servers, because devices on the network are common to all of them, and because a sidecar with little traffic would learn
+// about each server too late.
 //
-// Invariants: connections that do not break more often for having been idle are used as long as before; what was learned decays, so that
-// a limit is tried again when its cause may have gone; the limit is never below the first cell.
+// Invariants: if connections do not break more often after having been idle, there is no limit; observations decay, so that longer idle
+// times are tried again when the cause of a limit may have gone; the limit is never below firstBucket.
 package reuse
 
 import (
@@ -15,37 +16,40 @@
 )
 
 const (
-	// firstCell is the end of the first cell of idle times. Each of the others is as long as all before it; the last has no end.
-	firstCell = time.Millisecond
-	cellCount = 16
+	// firstBucket is the end of the first bucket of idle times. Each further bucket ends at twice the end of the previous one; the last has
+	// no end.
+	firstBucket = time.Millisecond
+	bucketCount = 16
 	// halfLife is the time in which the weight of an observation halves. Faults of this kind last for seconds.
 	halfLife = 10 * time.Second
-	// decayStep is the least time between two decays: the limit is computed for each use of a connection.
+	// decayStep is the minimum time between two decays. The limit is computed for each use of a connection, and need not decay each time.
 	decayStep = halfLife / 20
-	// tolerance is how much more often than younger ones a connection may break for being idle: a new connection costs a round trip or
-	// two and some work of the server, a break costs the request if it is unsafe.
+	// tolerance is by how much the probability to break may exceed that of connections that were idle for a shorter time. A break costs
+	// the request if it is unsafe, but a new connection costs one or two round trips and some work of the server.
 	tolerance = 0.05
-	// minDeviations is by how many standard deviations more must have broken than by chance. All cells are tested all the time.
+	// minDeviations is by how many standard deviations the number of breaks must exceed the expected one. It is high because all buckets
+	// are tested for each use of a connection.
 	minDeviations = 3
 )
 
-// Unlimited means that a connection may have been idle for any time.
+// Unlimited is the limit if a connection may have been idle for any time.
 const Unlimited = time.Duration(math.MaxInt64)
 
 // Fresh is the idle time of a connection that carries its first request.
 const Fresh = time.Duration(-1)
 
-// Ages holds what was learned. Its zero value has learned nothing. It is not safe for concurrent use; the times that its methods are given
-// must not go back.
-type Ages struct {
+// Estimator holds the observations from which MaxIdle is computed. Its zero value has none. It is not safe for concurrent use. The times given
+// to its methods must not decrease.
+type Estimator struct {
 	fresh     tally
-	cells     [cellCount]tally
+	buckets   [bucketCount]tally
 	lastDecay time.Time
 }
 
-// tally holds decayed counts of uses, and of those under which the connection broke.
+// tally holds decayed counts of the uses of connections, and of the uses during which the connection broke.
 type tally struct{ uses, breaks float64 }
 
+// add counts one use.
 func (t *tally) add(broke bool) {
 	t.uses++
 	if broke {
@@ -53,57 +57,58 @@
 	}
 }
 
-// Record adds the end of an exchange on a connection that had been idle for idleTime: whether the connection broke under it. Exchanges
-// that were cancelled say nothing and must not be recorded.
-func (a *Ages) Record(now time.Time, idleTime time.Duration, broke bool) {
-	a.decay(now)
+// Record adds an exchange on a connection that had been idle for idleTime, or Fresh; broke is whether the connection broke during the
+// exchange. Cancelled exchanges say nothing about the connection and must not be recorded.
+func (e *Estimator) Record(now time.Time, idleTime time.Duration, broke bool) {
+	e.decay(now)
 	if idleTime < 0 {
-		a.fresh.add(broke)
+		e.fresh.add(broke)
 	} else {
-		a.cells[cellOf(idleTime)].add(broke)
+		e.buckets[bucketOf(idleTime)].add(broke)
 	}
 }
 
-// MaxIdle returns the longest that a connection may have been idle to be used now.
-func (a *Ages) MaxIdle(now time.Time) time.Duration {
-	a.decay(now)
-	younger := a.fresh
-	for i := range a.cells {
-		cell := a.cells[i]
-		rate := younger.breaks / math.Max(younger.uses, 1)
-		excess, deviation := cell.breaks-rate*cell.uses, math.Sqrt(rate*(1-rate)*cell.uses+1)
-		if i > 0 && excess > tolerance*cell.uses && excess > minDeviations*deviation { // what closes these closes older ones too
-			return firstCell << (i - 1)
+// MaxIdle returns how long a connection may have been idle to be used now.
+func (e *Estimator) MaxIdle(now time.Time) time.Duration {
+	e.decay(now)
+	shorter := e.fresh
+	for i := range e.buckets {
+		bucket := e.buckets[i]
+		rate := shorter.breaks / math.Max(shorter.uses, 1)
+		excess, deviation := bucket.breaks-rate*bucket.uses, math.Sqrt(rate*(1-rate)*bucket.uses+1)
+		if i > 0 && excess > tolerance*bucket.uses && excess > minDeviations*deviation { // longer idle connections are closed too
+			return firstBucket << (i - 1)
 		}
-		younger.uses += cell.uses
-		younger.breaks += cell.breaks
+		shorter.uses += bucket.uses
+		shorter.breaks += bucket.breaks
 	}
 	return Unlimited
 }
 
-// cellOf returns the cell of an idle time: 0 below firstCell, 1 below twice that, and so on.
-func cellOf(idleTime time.Duration) int {
+// bucketOf returns the bucket of an idle time: 0 below firstBucket, 1 below twice that, and so on.
+func bucketOf(idleTime time.Duration) int {
 	i := 0
-	for i < cellCount-1 && idleTime >= firstCell<<i {
+	for i < bucketCount-1 && idleTime >= firstBucket<<i {
 		i++
 	}
 	return i
 }
 
 // decay reduces the weight of earlier observations, in steps.
-func (a *Ages) decay(now time.Time) {
-	passed := now.Sub(a.lastDecay)
+func (e *Estimator) decay(now time.Time) {
+	passed := now.Sub(e.lastDecay)
 	if passed < decayStep {
 		return
 	}
-	a.lastDecay = now
+	e.lastDecay = now
 	factor := math.Exp2(-passed.Seconds() / halfLife.Seconds())
-	a.fresh.decay(factor)
-	for i := range a.cells {
-		a.cells[i].decay(factor)
+	e.fresh.decay(factor)
+	for i := range e.buckets {
+		e.buckets[i].decay(factor)
 	}
 }
 
+// decay multiplies the counts by factor.
 func (t *tally) decay(factor float64) {
 	t.uses *= factor
 	t.breaks *= factor
--- a/internal/sidecar/upstream/reuse/reuse_test.go
+++ b/internal/sidecar/upstream/reuse/reuse_test.go
@@ -10,9 +10,9 @@
 
 var startTime = time.Unix(1_000_000, 0)
 
-// traffic plays uses of connections, 100 a second. A connection is used if it was idle for no longer than the limit.
+// traffic simulates the use of connections, 100 times a second. A connection is used if it was idle for no longer than the limit.
 type traffic struct {
-	Ages
+	Estimator
 	now    time.Time
 	random *rand.Rand
 }
@@ -21,66 +21,67 @@
 	return &traffic{now: startTime, random: rand.New(rand.NewPCG(1, 2))}
 }
 
-// play plays n uses: connections were idle for exponential times with a mean, and break with a probability that depends on their idle
-// time. It returns how many were too old to be used, and how many broke.
-func (r *traffic) play(n int, mean time.Duration, probability func(time.Duration) float64) (tooOld, broken int) {
+// play simulates n uses. Idle times are exponentially distributed, and connections break with a probability that depends on the idle time.
+// It returns how many connections had been idle for too long to be used, and how many broke.
+func (r *traffic) play(n int, mean time.Duration, probability func(time.Duration) float64) (tooLong, broken int) {
 	for range n {
 		r.now = r.now.Add(10 * time.Millisecond)
-		age := time.Duration(r.random.ExpFloat64() * float64(mean))
-		if age > r.MaxIdle(r.now) {
-			age = Fresh
-			tooOld++
+		idleTime := time.Duration(r.random.ExpFloat64() * float64(mean))
+		if idleTime > r.MaxIdle(r.now) {
+			idleTime = Fresh
+			tooLong++
 		}
-		broke := r.random.Float64() < probability(age)
-		r.Record(r.now, age, broke)
+		broke := r.random.Float64() < probability(idleTime)
+		r.Record(r.now, idleTime, broke)
 		if broke {
 			broken++
 		}
 	}
-	return tooOld, broken
+	return tooLong, broken
 }
 
-// If servers close connections after some time, older ones are soon no longer used, and nearly all younger ones are.
-func TestTheTimeOfServersIsLearned(t *testing.T) {
+// If servers close connections after some idle time, connections that were idle for longer are soon no longer used, while nearly all others
+// are.
+func TestIdleLimitIsLearned(t *testing.T) {
 	for _, closed := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, time.Second} {
-		for _, always := range []float64{0, 0.1} { // the probability to break at any age
+		for _, always := range []float64{0, 0.1} { // the probability to break after any idle time
 			r := newTraffic()
-			probability := func(age time.Duration) float64 {
-				if age > closed {
+			probability := func(idleTime time.Duration) float64 {
+				if idleTime > closed {
 					return always + 0.5
 				}
 				return always
 			}
 			r.play(1000, 2*closed, probability)
 			if limit := r.MaxIdle(r.now); limit > 2*closed || limit < closed/4 {
-				t.Errorf("closed after %v, %.1f break always: the limit is %v", closed, always, limit)
+				t.Errorf("closed after %v, %.1f break at any idle time: the limit is %v", closed, always, limit)
 			}
 			_, broken := r.play(1000, 2*closed, probability)
 			if limit := int(1000*always) + 80; broken > limit {
-				t.Errorf("closed after %v, %.1f break always: %d of 1000 broke", closed, always, broken)
+				t.Errorf("closed after %v, %.1f break at any idle time: %d of 1000 broke", closed, always, broken)
 			}
 		}
 	}
 }
 
-// Connections that do not break more often for being idle are used as before, however often all break.
-func TestWhatBreaksAnywayIsNoReason(t *testing.T) {
+// If connections break equally often after any idle time, however often that is, they continue to be used.
+func TestNoLimitIfIdleTimeDoesNotMatter(t *testing.T) {
 	for _, always := range []float64{0, 0.1, 0.3} {
 		r := newTraffic()
-		if tooOld, _ := r.play(5000, 200*time.Millisecond, func(time.Duration) float64 { return always }); tooOld > 250 {
-			t.Errorf("%.1f break: %d of 5000 were not used", always, tooOld)
+		if tooLong, _ := r.play(5000, 200*time.Millisecond, func(time.Duration) float64 { return always }); tooLong > 250 {
+			t.Errorf("%.1f break: %d of 5000 were not used", always, tooLong)
 		}
 	}
 }
 
-// A fault that has gone is forgotten: idle connections are used again within a few half-lives.
-func TestALimitIsTriedAgain(t *testing.T) {
+// After a fault has ended, idle connections are used again within a few half-lives.
+func TestLimitIsForgotten(t *testing.T) {
 	r := newTraffic()
 	if r.MaxIdle(r.now) != Unlimited {
-		t.Error("a limit although nothing was recorded")
+		t.Error("there is a limit although nothing was recorded")
 	}
-	r.play(2000, 200*time.Millisecond, func(age time.Duration) float64 {
-		if age > 50*time.Millisecond {
+	r.play(2000, 200*time.Millisecond, func(idleTime time.Duration) float64 {
+		if idleTime > 50*time.Millisecond {
 			return 0.6
 		}
 		return 0
@@ -94,26 +95,26 @@
 	}
 }
 
-// Whatever is recorded in whatever order: a limit is at least the first cell, and at most the oldest connection that broke.
-func TestAnySequence(t *testing.T) {
+// For any recorded sequence, a limit is at least firstBucket and at most the longest idle time of a connection that broke.
+func TestLimitBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var a Ages
-		now, oldest := startTime, time.Duration(0) // of those that broke
+		var e Estimator
+		now, longest := startTime, time.Duration(0) // the longest idle time of a connection that broke
 		for range rapid.IntRange(0, 200).Draw(t, "n") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "passed")))
-			age := time.Duration(rapid.Int64Range(-1, int64(time.Hour)).Draw(t, "age"))
+			idleTime := time.Duration(rapid.Int64Range(-1, int64(time.Hour)).Draw(t, "idleTime"))
 			broke := rapid.Bool().Draw(t, "broke")
-			if a.Record(now, age, broke); broke {
-				oldest = max(oldest, age)
+			if e.Record(now, idleTime, broke); broke {
+				longest = max(longest, idleTime)
 			}
-			if limit := a.MaxIdle(now); limit < firstCell || limit != Unlimited && limit > oldest {
-				t.Fatalf("the limit is %v, the oldest that broke was idle for %v", limit, oldest)
+			if limit := e.MaxIdle(now); limit < firstBucket || limit != Unlimited && limit > longest {
+				t.Fatalf("the limit is %v, but no connection broke after more than %v", limit, longest)
 			}
 		}
 	})
 }
 
-// BenchmarkMaxIdle measures what the limit costs each use of a connection.
+// BenchmarkMaxIdle measures the cost of MaxIdle, which is paid for each use of a connection.
 //
 //	go test ./internal/sidecar/upstream/reuse -run - -bench MaxIdle
 func BenchmarkMaxIdle(b *testing.B) {
