--- a/internal/sidecar/member/cursor.go
+++ b/internal/sidecar/member/cursor.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Cursor decides which lists of a source are accepted, and remembers the generation of the last one. It is pure and not safe for
+// Cursor decides which lists of a source are accepted, and holds the generation of the last one. It performs no I/O and is not safe for
 // concurrent use.
 //
-// Invariants: a list older than the current one is not accepted, unless the source was asked for its complete list: it may have lost its
-// state and begun to number anew. A complete list in which no server belongs to this deployment is not accepted.
+// Invariants: a list that is older than the current one is not accepted, unless the complete list was requested, because the source may
+// have lost its state and restarted its numbering. A complete list in which no server belongs to this deployment is not accepted.
 type Cursor struct {
-	Zones, Kinds []string // those of this deployment's servers; empty: not known
+	Zones, Kinds []string // of this deployment's servers; empty if not known
 
 	generation uint64
 	acceptAny  bool // the complete list was requested, and is accepted whatever its generation
@@ -22,10 +22,10 @@
 type OutdatedError struct{ Generation, Current uint64 }
 
 func (e *OutdatedError) Error() string {
-	return fmt.Sprintf("generation %d is older than %d, which is held", e.Generation, e.Current)
+	return fmt.Sprintf("generation %d is older than the current generation %d", e.Generation, e.Current)
 }
 
-// After returns the generation after which lists are to be requested; 0 requests the complete list.
+// After returns the generation after which lists are to be requested from the source; 0 requests the complete list.
 func (c *Cursor) After() uint64 {
 	if c.acceptAny {
 		return 0
@@ -36,11 +36,11 @@
 // Generation returns the generation of the current list.
 func (c *Cursor) Generation() uint64 { return c.generation }
 
-// Restart prepares for another source, whose generations have nothing to do with those of the previous one.
+// Restart prepares for another source, whose generations are not comparable with those of the previous one.
 func (c *Cursor) Restart() { c.generation, c.acceptAny = 0, true }
 
-// Accept makes a list the current one, or returns why it is not accepted. Nothing of a list that is not accepted may be used, and the
-// source is to be called again, for what follows After.
+// Accept makes a list the current one, or returns an error that says why it is not accepted. Then the caller must not use any part of the
+// list, and calls the source again, for the lists that follow After.
 func (c *Cursor) Accept(list List) error {
 	if err := c.checkDeployment(list); err != nil {
 		return err
@@ -54,12 +54,12 @@
 }
 
 var (
-	errNoKnownZone = errors.New("none of its servers is of a zone in the settings: it is another deployment's")
-	errNoKnownKind = errors.New("none of its servers is of a kind in the settings: it is another deployment's")
+	errNoKnownZone = errors.New("no server of the list has a zone from the settings: the list belongs to another deployment")
+	errNoKnownKind = errors.New("no server of the list has a kind from the settings: the list belongs to another deployment")
 )
 
-// checkDeployment returns an error if a complete list is another deployment's: not one of its servers has a zone, or a kind, that the
-// settings name.
+// checkDeployment returns an error if a complete list belongs to another deployment: it has servers, and either all of them have a zone that
+// is not in the settings, or all of them have a kind that is not in the settings.
 func (c *Cursor) checkDeployment(list List) error {
 	noneOf := func(known []string, attribute func(Instance) string) bool {
 		return list.Complete && len(known) > 0 && len(list.Instances) > 0 &&
--- a/internal/sidecar/member/discovery/discovery.go
+++ b/internal/sidecar/member/discovery/discovery.go
@@ -1,17 +1,18 @@
-// Package discovery implements member.Source by the platform's discovery service: a watch that delivers changes, and calls for the
-// complete list, over HTTP. It decides neither when to call nor what to do about a failure. A message is accepted completely or not at
-// all. Watch and Fetch may be called from any goroutine, and at the same time.
+// Package discovery implements member.Source with the platform's discovery service: a watch that delivers changes, and calls for the
+// complete list, over HTTP. It decides neither when to call nor how to handle a failure. A message is accepted completely or not at
+// all. Watch and Fetch may be called concurrently.
 //
-// A change that discovery has and could deliver must be here 6 s later, whatever failed before. These are the worst cases. The decision
-// module waits at most 0.5 s before the next call, or 1.5 s from the beginning of a call that failed early; an answer takes a:
+// Once discovery has a change and can deliver it, the change must arrive within 6 s, whatever failed before. The table lists the worst
+// cases. The decision module waits at most 0.5 s before the next call, or 1.5 s from the start of a call that failed early; a is the time
+// that discovery takes to answer a call:
 //
 //	a watch falls silent just after a line       2.5 s of silence + 0.5 s + a
 //	a call is accepted and not answered          3.1 s until it is cancelled + 0.5 s + a
-//	a watch opens and sends no first message     the same 3.1 s, which end with the first message
-//	discovery is back after a long time          1.5 s + a, dials that hang included
-//	another address by SIGHUP                    a: the call to the old one is cancelled
+//	a watch opens and sends no first message     the same 3.1 s, because that limit ends with the first message
+//	discovery is back after a long time          1.5 s + a, including dials that hang
+//	SIGHUP sets another address                  a, because the call to the old address is cancelled
 //
-// so a may be 2.3 s in each of them, with 0.1 s to spare. TestChangesArriveInTime plays them.
+// So a may be up to 2.3 s in each case, with 0.1 s to spare. TestChangesArriveInTime covers these cases.
 package discovery
 
 import (
@@ -34,11 +35,11 @@
 const (
 	// maxMessage is the largest message of discovery, in bytes.
 	maxMessage = 4 << 20
-	// silenceTimeout is how long a watch may be silent before it counts as dead. An empty line comes every 2 s.
+	// silenceTimeout is how long a watch may receive nothing before it counts as broken. Discovery sends an empty line every 2 s.
 	silenceTimeout = 2500 * time.Millisecond
-	// dialTimeout is for opening the connection; it is part of callTimeout.
+	// dialTimeout limits the opening of a connection; it is part of callTimeout.
 	dialTimeout = time.Second
-	// callTimeout is for a call until its first list. Discovery may answer late, but cancels a call itself after 3 s.
+	// callTimeout limits a call until its first list. Discovery may answer late, but cancels a call itself after 3 s.
 	callTimeout = 3100 * time.Millisecond
 )
 
@@ -47,7 +48,7 @@
 
 // Source calls the discovery service. It implements member.Source.
 type Source struct {
-	// OnWatchOpened is called, in the goroutine of Watch, when a watch is open; may be nil. It is set before the first call.
+	// OnWatchOpened is called, in the goroutine of Watch, when a watch is open. It may be nil, and is set before the first call.
 	OnWatchOpened func()
 
 	addr           string
@@ -56,7 +57,7 @@
 	silenceTimeout time.Duration
 }
 
-// New returns a source for the service at an address.
+// New returns a source for the discovery service at an address. It opens connections with dial.
 func New(addr string, dial Dial) *Source {
 	return &Source{
 		addr:           addr,
@@ -72,8 +73,8 @@
 	}
 }
 
-// dialForCall returns a dial function that ends with the call that it is for. The transport by itself would go on to dial for the next
-// call; here there is none on the same connection.
+// dialForCall returns a dial function that is cancelled with the call that it is for. By default the transport continues to dial, so that
+// the connection can be used for the next call; here each call has its own connection.
 func dialForCall(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -85,7 +86,7 @@
 	}
 }
 
-// callKey is the key of a call's context in the context of its dial.
+// callKey is the key under which the context of a dial holds the context of its call.
 type callKey struct{}
 
 // get sends a request and returns the body of the response, which the caller closes.
@@ -100,18 +101,18 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		_ = resp.Body.Close() // only read from
+		_ = resp.Body.Close() // only read from, so no data can be lost
 		return nil, &StatusError{resp.Status}
 	}
 	return resp.Body, nil
 }
 
-// StatusError is the error of a call that discovery answers with another status than 200 OK.
-type StatusError struct{ Status string } // as "503 Service Unavailable"
+// StatusError is the error of a call that discovery answered with another status than 200 OK.
+type StatusError struct{ Status string } // for example "503 Service Unavailable"
 
-func (e *StatusError) Error() string { return "discovery answers " + e.Status }
+func (e *StatusError) Error() string { return "discovery responded with status " + e.Status }
 
-// Name implements member.Source: it is the service's address.
+// Name implements member.Source. It returns the address of the service.
 func (s *Source) Name() string { return s.addr }
 
 // Fetch implements member.Source.
@@ -130,8 +131,8 @@
 	return Parse(raw)
 }
 
-// Watch implements member.Source. It ends when the watch ends, breaks, is malformed or falls silent. A message may take several lines; it
-// is delivered when its last brace has arrived.
+// Watch implements member.Source. It returns when the stream ends, breaks, is malformed or falls silent. A message may span several lines;
+// it is delivered when its closing brace has arrived.
 func (s *Source) Watch(ctx context.Context, after uint64, onList func(member.List)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -165,19 +166,20 @@
 }
 
 var (
-	errWatchEnded = errors.New("watch: ended")
-	errSilent     = errors.New("silent")
-	errTooLong    = fmt.Errorf("a message over %d MiB", maxMessage>>20)
+	errWatchEnded = errors.New("watch: discovery ended the stream")
+	errSilent     = errors.New("received nothing in time")
+	errTooLong    = fmt.Errorf("message exceeds %d MiB", maxMessage>>20)
 )
 
-// watchStream is the body of a watch: messages with empty lines between them. A part of a message does not reset the silence: a message
-// that arrives byte by byte would hide that nothing new arrives.
+// watchStream is the body of a watch: messages with empty lines between them. Part of a message does not reset the silence timer, because a
+// message that arrives byte by byte would hide that no list arrives.
 type watchStream struct {
 	body        io.Reader
-	unparsed    int    // bytes since the last complete message
-	onEmptyLine func() // called when a read returns nothing but white space
+	unparsed    int    // number of bytes since the last complete message
+	onEmptyLine func() // called when a read returns only white space
 }
 
+// Read reads from the body. It fails if a message is too long.
 func (s *watchStream) Read(p []byte) (int, error) {
 	n, err := s.body.Read(p)
 	if n > 0 && len(bytes.TrimSpace(p[:n])) == 0 {
--- a/internal/sidecar/member/discovery/discovery_test.go
+++ b/internal/sidecar/member/discovery/discovery_test.go
@@ -16,14 +16,14 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// indented returns a list as some implementations of discovery write it, over several lines.
+// indented returns a list over several lines, as some implementations of discovery write it.
 func indented(list string) string {
 	var out bytes.Buffer
 	json.Indent(&out, []byte(list), "", "  ")
 	return out.String()
 }
 
-// However a watch fails, it ends with an error, and what arrived before was delivered.
+// A watch that fails in any way returns an error, and the lists that arrived before are delivered.
 func TestWatchEnds(t *testing.T) {
 	list := peertest.Catalog(7, true, peertest.Instance("s", "127.0.0.1:1", "up"))
 	for name, c := range map[string]struct {
@@ -63,10 +63,10 @@
 	}
 }
 
-// A dead watch must be ended, and the next one begun, soon enough for a change to be here within 6 s.
-func TestAnIdleWatchIsEndedInTime(t *testing.T) {
+// A silent watch must be ended, and the next one opened, soon enough for a change to arrive within 6 s.
+func TestSilenceTimeoutBounds(t *testing.T) {
 	if silenceTimeout <= 2*time.Second || silenceTimeout >= 3*time.Second {
-		t.Errorf("%v, where an empty line comes every 2 s", silenceTimeout)
+		t.Errorf("silenceTimeout is %v; an empty line arrives every 2 s", silenceTimeout)
 	}
 }
 
@@ -85,8 +85,8 @@
 	}
 }
 
-// A call that is cancelled while its connection is being opened ends that too: nobody else would.
-func TestACallOwnsItsDial(t *testing.T) {
+// Cancelling a call while its connection is being opened cancels the dial too; nothing else would.
+func TestCancelledCallEndsItsDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		dialling := make(chan struct{})
--- a/internal/sidecar/member/discovery/list.go
+++ b/internal/sidecar/member/discovery/list.go
@@ -9,7 +9,7 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// catalogMessage is one message of discovery: the complete list, or what has changed.
+// catalogMessage is one message of discovery: the complete list or changes.
 type catalogMessage struct {
 	Generation uint64            `json:"generation"`
 	Reset      bool              `json:"reset"` // the list is complete
@@ -28,23 +28,23 @@
 	StartedMillis float64 `json:"startedAtMs"` // Unix time
 }
 
-// maxStartedMillis is the end of the start times that are believed, as Unix time; later ones count as unknown.
+// maxStartedMillis is the limit of plausible start times, in milliseconds of Unix time; later ones count as unknown.
 const maxStartedMillis = 1e15
 
-// EntryError says what is wrong with a message.
+// EntryError is the error of a message with an invalid entry or field.
 type EntryError struct {
 	Field   string // for example instances[3].hostPort
 	Problem string
-	Remedy  string // what would be right; "": the problem says it
+	Remedy  string // what to write instead; empty if Problem says it
 }
 
 func (e *EntryError) Error() string { return fmt.Sprintf("catalog: %s: %s", e.Field, e.Problem) }
 
-// states are the names of states in messages.
+// states maps the values of lifecycle in messages to states.
 var states = map[string]member.State{"up": member.Up, "draining": member.Draining, "removed": member.Removed}
 
-// Parse parses one message. One bad entry invalidates it, since part of a list would be worse than none. If an entry or a field is wrong
-// the error is an *EntryError.
+// Parse parses one message. One invalid entry invalidates the message, because part of a list would be worse than none. If an entry or a
+// field is invalid, the error is an *EntryError.
 func Parse(raw []byte) (member.List, error) {
 	var catalog catalogMessage
 	if err := json.Unmarshal(raw, &catalog); err != nil {
--- a/internal/sidecar/member/relay/doc.go
+++ b/internal/sidecar/member/relay/doc.go
@@ -1,11 +1,11 @@
-// Package relay lets two processes of one sidecar share one watch of discovery during a handover. The next process watches, and sends the
-// previous one each list as it arrives and heartbeats between them; the previous process closes its own watch once it receives that the
-// next one's is open, and opens it again when it has received nothing for FollowTimeout. The package knows neither links nor sockets:
-// updates are sent and received by its caller.
+// Package relay lets two processes of one sidecar share one watch of discovery during a handover. The next process watches discovery, and
+// sends the previous process each list as it arrives, with heartbeats in between. The previous process closes its own watch when it learns
+// that the watch of the next process is open, and opens it again when it has received nothing for FollowTimeout. The package opens no
+// connections: its caller sends and receives the updates.
 //
-// Invariants: one of the two processes watches at any time, except around a change, when both may; what a process delivers is in the order
-// in which discovery sent it, and nothing is left out, because a watch requests all that followed the current list; a process that receives
-// nothing is no worse off than one that is alone, except for FollowTimeout; neither process waits for the other.
+// Invariants: one of the two processes watches at any time, except around a change, when both may. A process delivers lists in the order in
+// which discovery sent them, and leaves none out, because a new watch requests all lists that follow the current one. A process that
+// receives nothing gets lists like one that is alone, except for a delay of FollowTimeout. Neither process waits for the other.
 //
 // All methods of Hub are safe for concurrent use.
 package relay
@@ -17,32 +17,33 @@
 )
 
 const (
-	// FollowTimeout is how long a process relies on the last update of the other. Together with the time in which a watch opens it is
-	// shorter than the drain grace: if the next process stops, the previous one must not miss a drain.
+	// FollowTimeout is how long a process relies on the last update of the other. Together with the time to open a watch it is shorter
+	// than the drain grace period: if the next process stops, the previous one must not miss a drain.
 	FollowTimeout = 150 * time.Millisecond
-	// HeartbeatInterval is how often the process that watches says so.
+	// HeartbeatInterval is the interval between heartbeats of the process that watches.
 	HeartbeatInterval = 40 * time.Millisecond
-	// FollowCooldown is how long a process that stopped following watches by itself: each change is a call to discovery.
+	// FollowCooldown is how long a process that has stopped following watches by itself before it follows again. It limits the calls to
+	// discovery, because each change between the two costs one.
 	FollowCooldown = 2 * time.Second
-	// maxPending is how many lists may wait for the other side.
+	// maxPending is how many lists may be queued on each side.
 	maxPending = 64
 )
 
-// Update is sent by the process that watches, which is the next one, to the previous one: the name of the source of which a watch is open
-// and, if List is not nil, a list that it delivered. Without a list it is a heartbeat. The receiver follows that watch for FollowTimeout.
+// Update is a message from the next process, which watches, to the previous one. It holds the name of the source whose watch is open and, if
+// List is not nil, a list that the watch delivered; without a list it is a heartbeat. The receiver follows that watch for FollowTimeout.
 type Update struct {
 	Source string       `json:"source"`
 	List   *member.List `json:"list,omitempty"`
 }
 
-// follower decides whether a process follows the other's watch. It is pure.
+// follower decides whether a process follows the other's watch. It reads no clock and starts no timer.
 type follower struct {
-	source      string // whose watch is followed; "": none
-	expiry      time.Time
-	cooldownEnd time.Time // the process does not follow before
+	source      string    // whose watch is followed; empty if none is
+	expiry      time.Time // until when the watch is followed if no further update arrives
+	cooldownEnd time.Time // no watch is followed before this time
 }
 
-// observe notes that the other process watches a source.
+// observe records that the other process watches a source.
 func (f *follower) observe(source string, now time.Time) {
 	if now.Before(f.cooldownEnd) {
 		return
@@ -50,7 +51,7 @@
 	f.source, f.expiry = source, now.Add(FollowTimeout)
 }
 
-// follows reports whether to follow the other's watch of a source, and until when if nothing more is received.
+// follows reports whether the other's watch of a source is followed, and until when it is if no further update arrives.
 func (f *follower) follows(source string, now time.Time) (expiry time.Time, ok bool) {
 	if f.source == "" {
 		return expiry, false
@@ -62,11 +63,12 @@
 	return f.expiry, f.source == source
 }
 
-// unfollow begins the cooldown: the other process is silent, or its lists were lost.
+// unfollow stops following and starts the cooldown. It is called when the other process is silent, or its lists were dropped.
 func (f *follower) unfollow(now time.Time) { f.source, f.cooldownEnd = "", now.Add(FollowCooldown) }
 
-// isNewer reports whether a list of the other process is to be delivered by one that has a generation: the other's watch may have begun
-// before what this one's own watch delivered last. A complete list may be of a source that numbers anew.
+// isNewer reports whether a list of the other process is newer than this process's generation and must be delivered. It may be older,
+// because the other's watch may lag behind the watch of this process. A complete list always counts as newer, because its source may have
+// restarted its numbering.
 func isNewer(list *member.List, generation uint64) bool {
 	return list.Complete || list.Generation > generation
 }
--- a/internal/sidecar/member/relay/relay.go
+++ b/internal/sidecar/member/relay/relay.go
@@ -9,14 +9,14 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// Hub is one process's side of the relay, for all its sources one after another.
+// Hub is one process's side of the relay. It serves all sources that the process uses one after another.
 type Hub struct {
 	mu         sync.Mutex
 	follower   follower
-	changed    chan struct{} // closed and replaced when received or follower has changed
-	received   []member.List // from the other process, in order, not delivered yet
-	openSource string        // the source of which a watch is open; "": none
-	publishers map[chan Update]struct{}
+	changed    chan struct{}            // closed and replaced when received or follower has changed
+	received   []member.List            // lists from the other process, in order, that are not delivered yet
+	openSource string                   // the source whose watch is open; empty if there is none
+	publishers map[chan Update]struct{} // the queues of running calls of Publish
 }
 
 // New returns the hub of a process that is alone.
@@ -24,14 +24,14 @@
 	return &Hub{changed: make(chan struct{}), publishers: map[chan Update]struct{}{}}
 }
 
-// notifyChanged wakes those who wait for a change. The caller holds mu.
+// notifyChanged wakes the goroutines that wait for changed to be closed. The caller holds mu.
 func (h *Hub) notifyChanged() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// Receive handles an update of the next process. If more lists are pending than there is room for, they are dropped and the process
-// watches by itself.
+// Receive handles an update of the next process. If the queue of received lists is full, it drops them all, and the process watches by
+// itself.
 func (h *Hub) Receive(update Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// PeerGone says that there is no next process any more.
+// PeerGone records that there is no next process any more.
 func (h *Hub) PeerGone() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,8 +64,8 @@
 	h.notifyChanged()
 }
 
-// Publish sends the lists that this process's watch delivers to the previous process, and heartbeats, until ctx ends, send fails, or the
-// other side does not keep up and so watches by itself. send may block.
+// Publish sends the lists that this process's watch delivers, and heartbeats, to the previous process. It returns when ctx ends, when send
+// fails, or when the other side does not keep up; that one then watches by itself. send may block.
 func (h *Hub) Publish(ctx context.Context, send func(Update) error) {
 	updates := make(chan Update, maxPending)
 	h.mu.Lock()
@@ -84,7 +84,7 @@
 		case <-ctx.Done():
 			return
 		case next, ok := <-updates:
-			if update = next; !ok { // closed by publishList: the other side does not keep up
+			if update = next; !ok { // publishList has closed the queue, because the other side does not keep up
 				return
 			}
 		case <-heartbeat.C:
@@ -98,7 +98,7 @@
 	}
 }
 
-// publishList passes a list that a watch delivered to the publishers, without waiting for them.
+// publishList passes a list that a watch delivered to the running calls of Publish, without waiting for them. It closes queues that are full.
 func (h *Hub) publishList(source string, list member.List) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,14 +113,14 @@
 	}
 }
 
-// WatchOpened says that a watch of a source is open. The code that opens watches calls it.
+// WatchOpened records that a watch of a source is open. The code that opens watches calls it.
 func (h *Hub) WatchOpened(source string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.openSource = source
 }
 
-// watchClosed says that the watch of a source is not open any more; that of another source may be.
+// watchClosed records that the watch of a source is no longer open. It has no effect if that of another source is open.
 func (h *Hub) watchClosed(source string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -129,8 +129,8 @@
 	}
 }
 
-// nextList returns the next list that was received, if there is one. Otherwise, if follows is true, the caller waits for changed to be
-// closed, or for expiry.
+// nextList removes and returns the next received list if there is one. Otherwise, if follows is true, the caller waits until changed is
+// closed or until expiry.
 func (h *Hub) nextList(source string) (list *member.List, expiry time.Time, changed <-chan struct{}, follows bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -141,7 +141,8 @@
 	return list, expiry, h.changed, follows
 }
 
-// followsPeer reports whether the process follows the other's watch of a source, and returns what is closed when that may change.
+// followsPeer reports whether the process follows the other's watch of a source, and returns a channel that is closed when that may have
+// changed.
 func (h *Hub) followsPeer(source string) (follows bool, changed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -149,15 +150,16 @@
 	return follows, h.changed
 }
 
-// Wrap returns a source that delivers what the next process's watch delivers while there is one, and otherwise watches inner.
+// Wrap returns a source that delivers the lists from the next process while that one watches, and otherwise watches inner.
 func (h *Hub) Wrap(inner member.Source) member.Source { return &relayedSource{Source: inner, hub: h} }
 
+// relayedSource is a source that either follows the other process or watches the inner source.
 type relayedSource struct {
 	member.Source
 	hub *Hub
 }
 
-// Watch implements member.Source. It ends when the inner source's watch does, or with ctx.
+// Watch implements member.Source. It returns when the watch of the inner source ends, or when ctx ends.
 func (s *relayedSource) Watch(ctx context.Context, after uint64, onList func(member.List)) error {
 	name := s.Name()
 	defer s.hub.watchClosed(name)
@@ -182,7 +184,8 @@
 	}
 }
 
-// followPeer passes on the received lists for as long as the other process is followed. The error is the cause of ctx's end.
+// followPeer passes the received lists to onList for as long as the other process is followed. It returns an error only if ctx ends: the
+// cause of that.
 func (s *relayedSource) followPeer(ctx context.Context, name string, onList func(*member.List)) error {
 	for {
 		list, expiry, changed, follows := s.hub.nextList(name)
@@ -200,7 +203,7 @@
 	}
 }
 
-// waitForChange waits until changed is closed or a time has come. The error is the cause of ctx's end.
+// waitForChange waits until changed is closed or until a time. It returns an error only if ctx ends: the cause of that.
 func waitForChange(ctx context.Context, changed <-chan struct{}, until time.Time) error {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -218,7 +221,7 @@
 // errPeerWatches ends a watch because the next process watches.
 var errPeerWatches = errors.New("the next process watches")
 
-// watchAlone watches the inner source until its watch ends, or with errPeerWatches once the next process watches.
+// watchAlone watches the inner source until its watch ends. When the next process watches, it closes the watch and returns errPeerWatches.
 func (s *relayedSource) watchAlone(ctx context.Context, after uint64, onList func(member.List)) error {
 	watchCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/sidecar/member/relay/relay_test.go
+++ b/internal/sidecar/member/relay/relay_test.go
@@ -12,11 +12,11 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// fakeSource is a discovery that delivers the lists that a test sends it, and records its watches.
+// fakeSource delivers the lists that a test sends it, and records its watches.
 type fakeSource struct {
-	mu             sync.Mutex // a timer that wakes the writer does not order its writes before the reader's
-	watches        int
-	requestedAfter []uint64
+	mu             sync.Mutex // needed although time is virtual: a timer that wakes a goroutine does not order its writes before a read
+	watches        int        // number of open watches
+	requestedAfter []uint64   // the generation of each watch
 	lists          chan member.List
 	hub            *Hub
 }
@@ -46,9 +46,9 @@
 	}
 }
 
-// A process follows the other while updates arrive, skips lists that it has had, and watches by itself as soon as they stop, for
-// FollowCooldown at least, from its current generation.
-func TestFollowing(t *testing.T) {
+// A process follows the other while updates arrive, and skips lists that it has delivered already. As soon as the updates stop, it watches by
+// itself from its current generation, for at least FollowCooldown.
+func TestFollowPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := New()
 		d := &fakeSource{lists: make(chan member.List), hub: h}
@@ -79,9 +79,9 @@
 		}
 		check("alone", 1, 9)
 		h.Receive(Update{Source: "another"})
-		check("it watches another source", 1, 9)
+		check("the other watches another source", 1, 9)
 		h.Receive(Update{Source: "d"})
-		check("its watch is open", 0, 9)
+		check("the watch of the other is open", 0, 9)
 		receive(8)
 		receive(9)
 		receive(10)
@@ -89,7 +89,7 @@
 		time.Sleep(FollowTimeout / 2)
 		h.Receive(Update{Source: "d"})
 		time.Sleep(FollowTimeout - 1)
-		check("just before the time-out", 0, 9, 10)
+		check("just before the timeout", 0, 9, 10)
 		time.Sleep(time.Nanosecond)
 		check("silent", 1, 9, 10)
 		receive(11)
@@ -98,9 +98,9 @@
 		receive(11)
 		check("following again", 0, 9, 10, 11)
 		h.PeerGone()
-		check("it has gone", 1, 9, 10, 11)
+		check("the next process has gone", 1, 9, 10, 11)
 		if !slices.Equal(d.requestedAfter, []uint64{7, 10, 11}) {
-			t.Errorf("requested what follows %v", d.requestedAfter)
+			t.Errorf("watches were opened after the generations %v", d.requestedAfter)
 		}
 		end()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
@@ -109,9 +109,9 @@
 	})
 }
 
-// The process that watches sends heartbeats while its watch is open, and each list at once, and never waits for the other, which is left
-// to itself when it does not keep up.
-func TestPublishing(t *testing.T) {
+// The process that watches sends heartbeats while its watch is open, and each list at once. It never waits for the other process: if that one
+// does not keep up, Publish returns.
+func TestPublish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := New()
 		d := &fakeSource{lists: make(chan member.List), hub: h}
