--- a/internal/sidecar/admission/controller.go
+++ b/internal/sidecar/admission/controller.go
@@ -92,9 +92,9 @@
 // way, and not every client retries a request that arrives after the connection was closed.
 const FirstRequestGrace = 200 * time.Millisecond
 
-// evictionCandidate returns the connection to evict, or nil if there is none: a closing one if there is one, otherwise the idle one
-// with the least expected value. A connection that had more than one response is evicted only if its expected value within the
-// horizon is less than that of a new connection.
+// evictionCandidate returns the connection to evict, or nil if there is none: a closing one if there is one, otherwise the idle
+// one with the least expected value. A connection that had more than one response is evicted only if its expected value within
+// the horizon is less than that of a new connection.
 func (ctl *Controller) evictionCandidate(now time.Time, evictable func(*Conn) bool) *Conn {
 	if e := ctl.closing.Front(); e != nil {
 		ctl.stats.ClosedEarly++
@@ -153,9 +153,9 @@
 	}
 }
 
-// ResponseStarted records that a complete request is being answered, whatever the response. It reports whether the response should
-// close the connection, because the connection is unlikely to be used again while connections are scarce. Closing also frees a
-// descriptor of the client, whose limit is not known here.
+// ResponseStarted records that a complete request is being answered, whatever the response. It reports whether the response
+// should close the connection, because the connection is unlikely to be used again while connections are scarce. Closing also
+// frees a descriptor of the client, whose limit is not known here.
 func (ctl *Controller) ResponseStarted(c *Conn, now time.Time) (closeAfter bool) {
 	ctl.observeOpen(now)
 	if c.state != busy {
@@ -183,8 +183,8 @@
 	}
 }
 
-// observeFraction limits the work of observeOpen: idle times that still last are observed only while at least 1/observeFraction of
-// MaxConnections are open. Below that no decision needs them.
+// observeFraction limits the work of observeOpen: idle times that still last are observed only while at least 1/observeFraction
+// of MaxConnections are open. Below that no decision needs them.
 const observeFraction = 4
 
 // observe adds to the rates the part of the time since the connection's last response that was not added before.
--- a/internal/sidecar/admission/controller_test.go
+++ b/internal/sidecar/admission/controller_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// 500 new clients a second connect for three seconds, far more than may be connected, and either send one request and stay connected or send
-// none. They must evict each other, while ordinary clients keep their connections.
+// 500 new clients a second connect for three seconds, far more than may be connected, and either send one request and stay
+// connected or send none. They must evict each other, while ordinary clients keep their connections.
 func TestNewClientsEvictEachOther(t *testing.T) {
 	for name, sendsRequest := range map[string]bool{"one request": true, "no request": false} {
 		t.Run(name, func(t *testing.T) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// When clients change to one connection per request, responses close their connections within a few dozen requests. When they change back,
-// connections stay open again.
+// When clients change to one connection per request, responses close their connections within a few dozen requests. When they
+// change back, connections stay open again.
 func TestClientBehaviourChanges(t *testing.T) {
 	r := newHarness(t, 200)
 	o := &ordinaryClients{harness: r, random: rand.New(rand.NewPCG(5, 6)), conns: make([]*Conn, 20)}
@@ -154,7 +154,8 @@
 	}
 }
 
-// A connection with a request in progress, or with unread bytes, is never evicted. If there is no other, a new connection is rejected.
+// A connection with a request in progress, or with unread bytes, is never evicted. If there is no other, a new connection is
+// rejected.
 func TestBusyAndUnreadAreNeverEvicted(t *testing.T) {
 	r := newHarness(t, 2)
 	busyConn, unread := r.connect(), r.connect()
@@ -202,8 +203,8 @@
 	}
 }
 
-// Rates are learned at any time scale: for connections that send requests after exponentially distributed idle times, the expected rate is
-// that of the distribution.
+// Rates are learned at any time scale: for connections that send requests after exponentially distributed idle times, the
+// expected rate is that of the distribution.
 func TestRatesAreLearned(t *testing.T) {
 	for _, mean := range []time.Duration{20 * time.Millisecond, time.Second} {
 		var r rates
@@ -294,7 +295,8 @@
 	m.all = append(m.all, conn)
 }
 
-// checkEvicted fails if the evicted connection is not open, has a request in progress, or is idle and has an unread request. It accepts nil.
+// checkEvicted fails if the evicted connection is not open, has a request in progress, or is idle and has an unread request. It
+// accepts nil.
 func (m *admissionModel) checkEvicted(t *rapid.T, evicted *Conn, unread bool) {
 	if evicted == nil {
 		return
@@ -356,7 +358,8 @@
 	}
 }
 
-// For any sequence of events the controller's counts match a model that keeps a set of connections: none is lost or counted twice.
+// For any sequence of events the controller's counts match a model that keeps a set of connections: none is lost or counted
+// twice.
 func TestControllerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maximum := rapid.IntRange(1, 6).Draw(t, "maximum")
--- a/internal/sidecar/admission/rates.go
+++ b/internal/sidecar/admission/rates.go
@@ -32,7 +32,8 @@
 	return history(requests)
 }
 
-// Idle times are counted in buckets whose ends double: up to 2 ms, 4 ms, 8 ms, ... The rate is assumed to be constant within a bucket.
+// Idle times are counted in buckets whose ends double: up to 2 ms, 4 ms, 8 ms, ... The rate is assumed to be constant within a
+// bucket.
 const (
 	firstBucket = 2 * time.Millisecond
 	buckets     = 16 // the last begins after 32 s
@@ -50,16 +51,16 @@
 // clients still send a request, and short compared to the minutes for which a client's behaviour stays the same.
 const decayTime = 20 * time.Second
 
-// rates holds the observed times from one response to the next: for each history and bucket, the number of responses after an idle
-// time in it, and the total time that connections were idle in it. The quotient is the rate of responses. Responses are counted
-// rather than requests, because a client that sends invalid or incomplete requests occupies a connection all the same.
+// rates holds the observed times from one response to the next: for each history and bucket, the number of responses after an
+// idle time in it, and the total time that connections were idle in it. The quotient is the rate of responses. Responses are
+// counted rather than requests, because a client that sends invalid or incomplete requests occupies a connection all the same.
 type rates struct {
 	responses, idleSeconds [histories][buckets]float64
 	decayed                time.Time // time of the last decay
 }
 
-// decayInterval is how often the observations decay and idle times that still last are added. It is short enough to follow behaviour
-// that changes within seconds.
+// decayInterval is how often the observations decay and idle times that still last are added. It is short enough to follow
+// behaviour that changes within seconds.
 const decayInterval = decayTime / 64
 
 // decay reduces the weight of earlier observations, once per decayInterval, and reports whether it did.
@@ -79,7 +80,8 @@
 	return true
 }
 
-// observe adds the part of an idle time between from and to, both measured from its start. The part before from was added earlier.
+// observe adds the part of an idle time between from and to, both measured from its start. The part before from was added
+// earlier.
 func (r *rates) observe(h history, from, to time.Duration) {
 	for bucket := bucketOf(from); from < to; bucket++ {
 		until := to
@@ -108,16 +110,16 @@
 }
 
 // expected returns the rate, per second, at which a connection with a history sends a request after an idle time. Without
-// observations the rate is one request per idle time so far, which assumes no time scale. This prior has, over all buckets, the weight
-// of one observed connection.
+// observations the rate is one request per idle time so far, which assumes no time scale. This prior has, over all buckets, the
+// weight of one observed connection.
 func (r *rates) expected(h history, idleTime time.Duration) float64 {
 	const weight = 1.0 / buckets
 	bucket := bucketOf(idleTime)
 	return (weight + r.responses[h][bucket]) / (weight*max(idleTime, firstBucket).Seconds() + r.idleSeconds[h][bucket])
 }
 
-// probability returns the probability that a connection with a history, which has been idle for idleTime, sends a request within the
-// time that follows. It is computed from the rates of the buckets that this time crosses.
+// probability returns the probability that a connection with a history, which has been idle for idleTime, sends a request within
+// the time that follows. It is computed from the rates of the buckets that this time crosses.
 func (r *rates) probability(h history, idleTime, within time.Duration) float64 {
 	remaining, expected := within, 0.0
 	for at := idleTime; remaining > 0; {
--- a/internal/sidecar/connlimit/client.go
+++ b/internal/sidecar/connlimit/client.go
@@ -37,9 +37,9 @@
 // closeWriter is a connection whose sending side can be closed separately.
 type closeWriter interface{ CloseWrite() error }
 
-// Read records the first byte of a request at once, because net/http reports a request only when it has read the whole head, and the
-// connection would count as idle until then. Bytes that are read after the limiter has closed the connection are dropped, because a
-// request that cannot be answered must have no effect.
+// Read records the first byte of a request at once, because net/http reports a request only when it has read the whole head, and
+// the connection would count as idle until then. Bytes that are read after the limiter has closed the connection are dropped,
+// because a request that cannot be answered must have no effect.
 func (c *client) Read(p []byte) (int, error) {
 	n, err := c.readAhead.read(p, c.limiter.release)
 	if n == 0 && err == nil {
@@ -72,16 +72,16 @@
 func (c *client) idle() bool { return !c.partialRequest && c.quiet() }
 
 // evictable reports whether the connection may be closed for another: no complete head was received, no bytes are unread, and the
-// client's machine has acknowledged every byte of the last response. A request that arrives after this check is reset. The caller holds
-// Limiter.mu.
+// client's machine has acknowledged every byte of the last response. A request that arrives after this check is reset. The caller
+// holds Limiter.mu.
 func (c *client) evictable() bool { return !c.head.complete && c.quiet() && !sock.Unsent(c.Conn) }
 
 // quiet reports whether no bytes of a request are waiting to be read.
 func (c *client) quiet() bool { return c.readAhead.empty() && sock.Quiet(c.Conn) }
 
-// Close closes the connection once its client has received the last response: if bytes were unread or still arrived, an earlier close
-// would send a reset, which could discard the rest of the response. If a response is open (see Limiter.SetResponseOpen), it resets the
-// connection at once.
+// Close closes the connection once its client has received the last response: if bytes were unread or still arrived, an earlier
+// close would send a reset, which could discard the rest of the response. If a response is open (see Limiter.SetResponseOpen), it
+// resets the connection at once.
 func (c *client) Close() error {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -99,8 +99,8 @@
 	return c.closeWhenDelivered(now)
 }
 
-// closeWhenDelivered closes the connection at once if the client's machine has acknowledged everything. Otherwise it closes the sending
-// side now, and the connection when the client closes it or after lingerTime. The caller holds Limiter.mu.
+// closeWhenDelivered closes the connection at once if the client's machine has acknowledged everything. Otherwise it closes the
+// sending side now, and the connection when the client closes it or after lingerTime. The caller holds Limiter.mu.
 func (c *client) closeWhenDelivered(now time.Time) error {
 	half, canHalfClose := c.Conn.(closeWriter)
 	if c.peerClosed.Load() || !canHalfClose || !sock.Unsent(c.Conn) {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// CloseWrite closes the sending side. net/http calls it some time before it closes the connection, because closing a connection with
-// unread bytes sends a reset, which can discard the last response.
+// CloseWrite closes the sending side. net/http calls it some time before it closes the connection, because closing a connection
+// with unread bytes sends a reset, which can discard the last response.
 func (c *client) CloseWrite() error {
 	c.limiter.mu.Lock()
 	c.limiter.admission.Closing(&c.record, time.Now())
--- a/internal/sidecar/connlimit/close_test.go
+++ b/internal/sidecar/connlimit/close_test.go
@@ -18,8 +18,9 @@
 // longResponse is the length of a response that fits into the buffer of the server's socket, but not into that of the client's.
 const longResponse = 2 << 20
 
-// slowReader starts a server that sends each response in one write, and a client with a small receive buffer that has requested longResponse
-// bytes and reads nothing yet. If last is true, the response closes the connection. written gets a value whenever a response was written.
+// slowReader starts a server that sends each response in one write, and a client with a small receive buffer that has requested
+// longResponse bytes and reads nothing yet. If last is true, the response closes the connection. written gets a value whenever a
+// response was written.
 func slowReader(t *testing.T, last bool) (l *Limiter, c net.Conn, in *bufio.Reader, written chan struct{}) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,9 +64,9 @@
 	}
 }
 
-// A connection on which the client's machine has not acknowledged all of the last response is not evicted, and CloseIdle does not close it
-// at once. The next request may be arriving; closing the connection over it would send a reset and discard the rest of the response. The
-// test plays both orders: CloseIdle before the next request, and after it.
+// A connection on which the client's machine has not acknowledged all of the last response is not evicted, and CloseIdle does not
+// close it at once. The next request may be arriving; closing the connection over it would send a reset and discard the rest of
+// the response. The test plays both orders: CloseIdle before the next request, and after it.
 func TestAnAnswerOnItsWayIsNotResetAway(t *testing.T) {
 	for _, first := range []string{"the close", "the request"} {
 		l, c, in, written := slowReader(t, false)
@@ -93,8 +94,8 @@
 	}
 }
 
-// The last response of a connection arrives completely, although the server has not read all bytes that the client sent after its request. A
-// plain close would send a reset because of these bytes and discard the rest of the response.
+// The last response of a connection arrives completely, although the server has not read all bytes that the client sent after its
+// request. A plain close would send a reset because of these bytes and discard the rest of the response.
 func TestTheLastAnswerArrivesComplete(t *testing.T) {
 	l, c, in, written := slowReader(t, true)
 	peertest.Wait(t, written)
@@ -107,8 +108,8 @@
 	peertest.Eventually(t, "it is closed", func() bool { return l.Open() == 0 })
 }
 
-// A connection with a request that was read ahead, and not yet passed to net/http, is not evicted, although it counts as idle between the two
-// requests.
+// A connection with a request that was read ahead, and not yet passed to net/http, is not evicted, although it counts as idle
+// between the two requests.
 func TestARequestReadAheadIsNotEvicted(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -124,7 +125,7 @@
 	}, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		defer l.WatchClient(req.Context())()
 		accepted <- struct{}{}
-		for req.URL.Path == "/1" && l.ReadAheadBudget.Reserved() <= 4<<10 { // until the next one is read; 4 KiB are reserved for a read
+		for req.URL.Path == "/1" && l.ReadAheadBudget.Reserved() <= 4<<10 { // until the next one is read; a read reserves 4 KiB
 			runtime.Gosched()
 		}
 		l.ResponseStarted(req.Context())
--- a/internal/sidecar/connlimit/limiter.go
+++ b/internal/sidecar/connlimit/limiter.go
@@ -2,14 +2,15 @@
 // decisions of package admission. It knows whether a request is in progress on a connection, and parses no more of a request than
 // the end of its head.
 //
-// Invariants: no more than MaxConnections are open, besides up to MaxRejecting that are being rejected. Accept does not wait for the
-// client of any connection. A connection with a request in progress, with unread bytes, or with response bytes that the client's
-// machine has not acknowledged is never closed for a new one. Bytes of a request that are read after its connection was closed are
-// dropped. If unread bytes remain when a connection is closed, the end of the last response still reaches the client, although a
-// plain close would then send a reset and could discard it. A client that closes its connection is noticed, whatever it sent before.
+// Invariants: no more than MaxConnections are open, besides up to MaxRejecting that are being rejected. Accept does not wait for
+// the client of any connection. A connection with a request in progress, with unread bytes, or with response bytes that the
+// client's machine has not acknowledged is never closed for a new one. Bytes of a request that are read after its connection was
+// closed are dropped. If unread bytes remain when a connection is closed, the end of the last response still reaches the client,
+// although a plain close would then send a reset and could discard it. A client that closes its connection is noticed, whatever
+// it sent before.
 //
-// Locks: Limiter.mu guards the admission controller and those fields of each client that are marked so; readAhead.mu guards the bytes
-// that were read ahead. Neither is held during a blocking read or write. Code that needs both takes Limiter.mu first.
+// Locks: Limiter.mu guards the admission controller and those fields of each client that are marked so; readAhead.mu guards the
+// bytes that were read ahead. Neither is held during a blocking read or write. Code that needs both takes Limiter.mu first.
 package connlimit
 
 import (
@@ -37,8 +38,8 @@
 // connection beyond the bound replaces an idle one or gets a prompt 503. Its methods may be called from any goroutine.
 type Limiter struct {
 	net.Listener
-	// ReadAheadBudget bounds the total memory for bytes that clients send before the response to their previous request has ended;
-	// nil means no bound. It is set before the first Accept.
+	// ReadAheadBudget bounds the total memory for bytes that clients send before the response to their previous request has
+	// ended; nil means no bound. It is set before the first Accept.
 	ReadAheadBudget *membudget.Budget
 
 	requestTimeout time.Duration // within which a request must arrive completely
@@ -81,8 +82,8 @@
 	}
 }
 
-// admit returns the client of an admitted connection, or nil if the connection is rejected. It closes the connection that was evicted
-// for it.
+// admit returns the client of an admitted connection, or nil if the connection is rejected. It closes the connection that was
+// evicted for it.
 func (l *Limiter) admit(conn net.Conn) *client {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,8 +103,8 @@
 	return c
 }
 
-// reject answers 503 and closes the connection. Before that it reads what the client sends, for up to rejectTimeout, because closing a
-// connection with unread bytes sends a reset, which can discard the response.
+// reject answers 503 and closes the connection. Before that it reads what the client sends, for up to rejectTimeout, because
+// closing a connection with unread bytes sends a reset, which can discard the response.
 func reject(c net.Conn) {
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(rejectTimeout))
@@ -128,8 +129,8 @@
 	l.admission.MaxConnections = n
 }
 
-// CloseIdle closes the connections that have been idle for at least minIdle and have no unread bytes. A connection that never sent a
-// request is kept for at least admission.FirstRequestGrace.
+// CloseIdle closes the connections that have been idle for at least minIdle and have no unread bytes. A connection that never
+// sent a request is kept for at least admission.FirstRequestGrace.
 func (l *Limiter) CloseIdle(minIdle time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -201,23 +202,24 @@
 	return l.admission.ResponseStarted(&c.record, time.Now()) || c.readAhead.lost()
 }
 
-// SetResponseOpen sets whether a client would now take the end of the connection for the end of the response to a handler's request.
-// While it is set, closing the connection sends a reset, so that no client takes a response that breaks off for a complete one.
+// SetResponseOpen sets whether a client would now take the end of the connection for the end of the response to a handler's
+// request. While it is set, closing the connection sends a reset, so that no client takes a response that breaks off for a
+// complete one.
 func (l *Limiter) SetResponseOpen(ctx context.Context, open bool) {
 	if c, ok := clientOf(ctx); ok {
 		c.responseOpen.Store(open)
 	}
 }
 
-// ClientGone reports whether the client of a handler's request has closed its connection. It checks the socket, so it may return true
-// before the request's context ends.
+// ClientGone reports whether the client of a handler's request has closed its connection. It checks the socket, so it may return
+// true before the request's context ends.
 func (l *Limiter) ClientGone(ctx context.Context) bool {
 	c, ok := clientOf(ctx)
 	return ok && (c.peerClosed.Load() || sock.Ended(c.Conn))
 }
 
-// RequestHead returns the head of a handler's request as it was received, or nil if it was received together with the previous request.
-// The slice is valid until the response has ended.
+// RequestHead returns the head of a handler's request as it was received, or nil if it was received together with the previous
+// request. The slice is valid until the response has ended.
 func (l *Limiter) RequestHead(ctx context.Context) []byte {
 	if c, ok := clientOf(ctx); ok {
 		l.mu.Lock()
--- a/internal/sidecar/connlimit/limiter_test.go
+++ b/internal/sidecar/connlimit/limiter_test.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// lateRequestConn is a connection on which a request arrives immediately after the limiter has checked for unread bytes and found none.
+// lateRequestConn is a connection on which a request arrives immediately after the limiter has checked for unread bytes and found
+// none.
 type lateRequestConn struct {
 	net.Conn
 	arrives, read chan struct{}
@@ -124,8 +125,8 @@
 
 func (c *lateRequestConn) Close() error { c.once.Do(func() { close(c.closed) }); return nil }
 
-// A request that arrives while the limiter closes its connection is not passed to net/http. It must not be executed, because its client sees
-// a closed connection and sends it again.
+// A request that arrives while the limiter closes its connection is not passed to net/http. It must not be executed, because its
+// client sees a closed connection and sends it again.
 func TestRequestArrivesDuringClose(t *testing.T) {
 	for name, closes := range map[string]func(l *Limiter){
 		"CloseIdle": func(l *Limiter) { l.CloseIdle(0) },
@@ -159,8 +160,8 @@
 	}
 }
 
-// A connection from which a complete head was read is not evicted, although net/http has not reported the request yet. One that has sent only
-// part of a head is evicted.
+// A connection from which a complete head was read is not evicted, although net/http has not reported the request yet. One that
+// has sent only part of a head is evicted.
 func TestPartialHeadIsEvicted(t *testing.T) {
 	for text, stays := range map[string]bool{get("whole"): true, "GET /half HTTP/1.1\r\nHost": false} {
 		l := New(nil, admission.Config{MaxConnections: 1, Horizon: time.Second}, time.Second)
--- a/internal/sidecar/connlimit/read_ahead.go
+++ b/internal/sidecar/connlimit/read_ahead.go
@@ -11,13 +11,13 @@
 	"petrelhook/internal/sidecar/message"
 )
 
-// maxReadAhead is how much is read from a client before the response to its current request has ended: a short request with its head.
-// Further bytes are read and dropped, and the connection is closed with the response. If they were left unread, a close of the client
-// behind them would not be noticed.
+// maxReadAhead is how much is read from a client before the response to its current request has ended: a short request with its
+// head. Further bytes are read and dropped, and the connection is closed with the response. If they were left unread, a close of
+// the client behind them would not be noticed.
 const maxReadAhead = message.MaxBuffered + message.MaxHead
 
-// readAhead holds the bytes that a client sends while its request is in progress. net/http notices a client's close by reading one
-// byte, and does not read further if that byte belongs to the next request. From there on a goroutine of readAhead reads.
+// readAhead holds the bytes that a client sends while its request is in progress. net/http notices a client's close by reading
+// one byte, and does not read further if that byte belongs to the next request. From there on a goroutine of readAhead reads.
 type readAhead struct {
 	mu         sync.Mutex
 	active     bool          // a request is in progress whose client may close the connection behind bytes of the next request
@@ -28,8 +28,8 @@
 	done       chan struct{} // closed when the goroutine that reads ahead has ended; nil: there is none
 }
 
-// WatchClient watches for a close of the connection by the client of a handler's request, whatever the client sends before it; the
-// context of the request is cancelled then. The handler calls stop when it has responded.
+// WatchClient watches for a close of the connection by the client of a handler's request, whatever the client sends before it;
+// the context of the request is cancelled then. The handler calls stop when it has responded.
 func (l *Limiter) WatchClient(ctx context.Context) (stop func()) {
 	c, ok := clientOf(ctx)
 	if !ok {
@@ -50,8 +50,8 @@
 	c.startReadAhead()
 }
 
-// startReadAhead starts the goroutine that reads ahead, if a request is in progress and a byte of the next one was received. The caller
-// holds readAhead.mu.
+// startReadAhead starts the goroutine that reads ahead, if a request is in progress and a byte of the next one was received. The
+// caller holds readAhead.mu.
 func (c *client) startReadAhead() {
 	a := &c.readAhead
 	if !a.active || !a.nextSeen || a.done != nil || a.err != nil {
@@ -62,7 +62,7 @@
 	go func() {
 		defer close(done)
 		const chunk = 4 << 10
-		for buffer := make([]byte, chunk); c.limiter.reserve(chunk); { // if there is no memory, a close is noticed only when the response is written
+		for buffer := make([]byte, chunk); c.limiter.reserve(chunk); { // without memory, a close is noticed only with the response
 			n, err := c.Conn.Read(buffer)
 			ended := err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 			a.mu.Lock()
--- a/internal/sidecar/connlimit/request_head.go
+++ b/internal/sidecar/connlimit/request_head.go
@@ -6,8 +6,8 @@
 	"petrelhook/internal/sidecar/message"
 )
 
-// requestHead holds the head of the current request as it was received, unless the request was received together with the previous
-// one. It is guarded by Limiter.mu.
+// requestHead holds the head of the current request as it was received, unless the request was received together with the
+// previous one. It is guarded by Limiter.mu.
 type requestHead struct {
 	text     []byte
 	complete bool
@@ -21,8 +21,8 @@
 	return len(h.text) > 0
 }
 
-// add adds received bytes, and reports whether they belong to the next request. single is whether net/http asked for a single byte, as it
-// does to notice that the client closes the connection.
+// add adds received bytes, and reports whether they belong to the next request. single is whether net/http asked for a single
+// byte, as it does to notice that the client closes the connection.
 func (h *requestHead) add(p []byte, single bool) (ahead bool) {
 	if h.complete && single {
 		h.ahead = append(h.ahead, p...)
--- a/internal/sidecar/core/attempt.go
+++ b/internal/sidecar/core/attempt.go
@@ -81,8 +81,8 @@
 	upstream.Cancelled: balance.Cancelled, upstream.NotSent: balance.NotSent,
 }
 
-// onReplyStarted handles the start of a streamed reply. For the module the attempt ends here, because the server has accepted and answered
-// the request; the connection stays in use until the remainder of the reply is read or closed.
+// onReplyStarted handles the start of a streamed reply. For the module the attempt ends here, because the server has accepted and
+// answered the request; the connection stays in use until the remainder of the reply is read or closed.
 func (l *Loop) onReplyStarted(a *attempt, out upstream.Outcome) {
 	if a.ended {
 		out.Reply.Done()
@@ -95,8 +95,8 @@
 // errNoConnection is the error of an attempt that timed out before its connection was established.
 var errNoConnection = errors.New("timed out before a connection was established")
 
-// attemptEnded handles the end of an attempt: it answers the request if the attempt was served, and passes the outcome to the module.
-// Only the first call for an attempt counts; a later one discards the reply.
+// attemptEnded handles the end of an attempt: it answers the request if the attempt was served, and passes the outcome to the
+// module. Only the first call for an attempt counts; a later one discards the reply.
 func (l *Loop) attemptEnded(a *attempt, out upstream.Outcome) {
 	if a.ended {
 		if a.streaming {
@@ -107,7 +107,7 @@
 	}
 	a.ended = true
 	l.timers.remove(a.timeout)
-	if out.Result == upstream.TimedOut && a.call.Claim() { // nothing was sent; claimed before the cancellation, so that nothing will be
+	if out.Result == upstream.TimedOut && a.call.Claim() { // nothing was sent, and nothing will be after the claim
 		out = upstream.Outcome{Result: upstream.ConnectFailed, Err: errNoConnection}
 	}
 	if !a.streaming {
@@ -157,7 +157,8 @@
 		"took", toMillis(took), "err", out.Err)
 }
 
-// cancelAttempt cancels an attempt at the module's request. The outcome is passed to the module after all actions are carried out.
+// cancelAttempt cancels an attempt at the module's request. The outcome is passed to the module after all actions are carried
+// out.
 func (l *Loop) cancelAttempt(action *balance.Action) {
 	r := l.requests[action.Request]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) || r.attempts[action.Attempt].ended {
--- a/internal/sidecar/core/client_gone_test.go
+++ b/internal/sidecar/core/client_gone_test.go
@@ -11,8 +11,8 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// An attempt that waits for its connection when the client disconnects is not sent, and the request leaves the table at once, even if the
-// settings do not allow attempts to be cancelled.
+// An attempt that waits for its connection when the client disconnects is not sent, and the request leaves the table at once,
+// even if the settings do not allow attempts to be cancelled.
 func TestNothingBeginsOnceTheClientHasGone(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		withCore(t, []string{"a"}, func(r *testCore) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// The event that the client has disconnected waits behind others in the queue. An attempt that is decided before the loop handles that event
-// is not sent.
+// The event that the client has disconnected waits behind others in the queue. An attempt that is decided before the loop handles
+// that event is not sent.
 func TestADisconnectBehindALongQueue(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
 		a := r.request("t", unsafe)
@@ -60,7 +60,8 @@
 	})
 }
 
-// The goroutine that is about to send an attempt notices first that the client has gone. The front gets ErrClientGone, and no state is left.
+// The goroutine that is about to send an attempt notices first that the client has gone. The front gets ErrClientGone, and no
+// state is left.
 func TestAnEndThatIsSeenFirstByTheSender(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		gone := func() bool { return true }
--- a/internal/sidecar/core/clock.go
+++ b/internal/sidecar/core/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// clock converts between time.Time and the module's time: Unix time in milliseconds that never goes back. It reads the wall clock once,
-// because sources give the start times of servers as Unix time, and adds the monotonic time since then.
+// clock converts between time.Time and the module's time: Unix time in milliseconds that never goes back. It reads the wall clock
+// once, because sources give the start times of servers as Unix time, and adds the monotonic time since then.
 type clock struct {
 	start       time.Time
 	startMillis float64 // Unix time
@@ -30,8 +30,8 @@
 
 func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// toDuration converts milliseconds to a Duration. Values beyond half the range of a Duration are clamped to it, so that adding the result
-// to a time does not overflow.
+// toDuration converts milliseconds to a Duration. Values beyond half the range of a Duration are clamped to it, so that adding
+// the result to a time does not overflow.
 func toDuration(millis float64) time.Duration {
 	const limit = float64(math.MaxInt64 / 2)
 	return time.Duration(max(-limit, min(limit, millis*float64(time.Millisecond))))
--- a/internal/sidecar/core/core_test.go
+++ b/internal/sidecar/core/core_test.go
@@ -39,7 +39,8 @@
 	})
 }
 
-// A reply arrives while the client disconnects. Whichever comes first, the attempt ends once, nothing more is sent, and no state is left.
+// A reply arrives while the client disconnects. Whichever comes first, the attempt ends once, nothing more is sent, and no state
+// is left.
 func TestReplyDuringDisconnect(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
 		for _, trace := range []string{"disconnect first", "reply first", "at once"} {
@@ -77,8 +78,8 @@
 	})
 }
 
-// A list removes the server of an attempt in flight. The attempt continues and its reply is delivered; the next request goes to another
-// server.
+// A list removes the server of an attempt in flight. The attempt continues and its reply is delivered; the next request goes to
+// another server.
 func TestListRemovesServerOfAttempt(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("1", unsafe)
@@ -100,8 +101,9 @@
 	})
 }
 
-// The server of an attempt is removed between the decision to send and the exchange, and the same actions cancel the attempt. The outcome,
-// not sent, is deferred until all actions are carried out; it neither ends the request nor changes the answer of the other attempt.
+// The server of an attempt is removed between the decision to send and the exchange, and the same actions cancel the attempt. The
+// outcome, not sent, is deferred until all actions are carried out; it neither ends the request nor changes the answer of the
+// other attempt.
 func TestSendToRemovedServer(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		r.allowWarnings.Store(true)
@@ -123,8 +125,8 @@
 	})
 }
 
-// An attempt ends after its request: the answer is given at the deadline, and a later reply of the server is not a second answer. The
-// request is removed when the attempt has ended.
+// An attempt ends after its request: the answer is given at the deadline, and a later reply of the server is not a second answer.
+// The request is removed when the attempt has ended.
 func TestOutcomeAfterDeadline(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		began := time.Now()
@@ -143,8 +145,8 @@
 	})
 }
 
-// If the settings do not allow attempts to be cancelled, a request whose client has gone stays in the table, with its id, until the server
-// has replied.
+// If the settings do not allow attempts to be cancelled, a request whose client has gone stays in the table, with its id, until
+// the server has replied.
 func TestRequestStaysUntilItsLastAttemptEnds(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("1", safe)
@@ -160,7 +162,8 @@
 	}, func(c *balance.Config) { c.Cancel = false })
 }
 
-// A second request with the id of an open one is rejected while its client disconnects. This does not release the id of the open request.
+// A second request with the id of an open one is rejected while its client disconnects. This does not release the id of the open
+// request.
 func TestRejectedCopyDisconnects(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("1", unsafe)
@@ -194,8 +197,8 @@
 	})
 }
 
-// The loop ends while requests are open. Each front gets an error at once, and outcomes that endpoints report later are dropped without
-// blocking them.
+// The loop ends while requests are open. Each front gets an error at once, and outcomes that endpoints report later are dropped
+// without blocking them.
 func TestLoopEndsWithOpenRequests(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		a := r.request("1", safe)
@@ -214,8 +217,8 @@
 	})
 }
 
-// An attempt that was certainly not executed is retried at another server, also for an unsafe request. One that may have been executed is
-// not.
+// An attempt that was certainly not executed is retried at another server, also for an unsafe request. One that may have been
+// executed is not.
 func TestRetryOnlyIfNotExecuted(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
 		a := r.request("1", unsafe)
@@ -250,8 +253,8 @@
 	})
 }
 
-// A source that replaces another is asked for its complete list, and the current list stays until that arrives. A source with the same name
-// changes nothing.
+// A source that replaces another is asked for its complete list, and the current list stays until that arrives. A source with the
+// same name changes nothing.
 func TestReplace(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		r.Replace(&fakeSource{lists: make(chan member.List)})
@@ -292,7 +295,8 @@
 
 func (s *otherSource) Name() string { return "other" + s.name }
 
-// An answered request leaves no timer that would wake an idle sidecar: neither the timeout of its attempt nor a timer of the module.
+// An answered request leaves no timer that would wake an idle sidecar: neither the timeout of its attempt nor a timer of the
+// module.
 func TestAnsweredRequestsLeaveNoTimers(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		for i := range 20 {
@@ -324,7 +328,8 @@
 	})
 }
 
-// Sources give the start times of servers as Unix time, so the module's time must be Unix time too. It must not jump with the wall clock.
+// Sources give the start times of servers as Unix time, so the module's time must be Unix time too. It must not jump with the
+// wall clock.
 func TestClock(t *testing.T) {
 	c := newClock()
 	if d := c.nowMillis() - float64(time.Now().UnixMicro())/1000; d < -1000 || d > 1000 {
@@ -346,12 +351,12 @@
 	}
 }
 
-// In push mode an agent on the sidecar's machine has the current list, and the sidecar is assumed to have it too. It must watch the agent
-// although the module does not ask for the first watch, and open a new watch so soon after one has ended that drains are noticed within the
-// drain grace.
+// In push mode an agent on the sidecar's machine has the current list, and the sidecar is assumed to have it too. It must watch
+// the agent although the module does not ask for the first watch, and open a new watch so soon after one has ended that drains
+// are noticed within the drain grace.
 func TestPushedListIsWatched(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
-		for generation := uint64(2); generation < 12; generation++ { // there is no backoff: the tenth watch is reopened as soon as the first
+		for generation := uint64(2); generation < 12; generation++ { // the tenth watch is reopened as soon as the first
 			began := time.Now()
 			r.source.watchErrors <- errors.New("gone away")
 			r.source.lists <- completeList(generation, "b")
@@ -373,8 +378,8 @@
 	}, func(c *balance.Config) { c.Subscribe = false })
 }
 
-// The memory that is reserved for a reply is released once: by the front that writes the reply, or by the core if the client disconnects
-// before or while the reply arrives.
+// The memory that is reserved for a reply is released once: by the front that writes the reply, or by the core if the client
+// disconnects before or while the reply arrives.
 func TestReplyMemoryIsReleasedOnce(t *testing.T) {
 	withCore(t, []string{"a"}, func(r *testCore) {
 		for _, when := range []string{"written", "disconnect before", "while it arrives"} {
--- a/internal/sidecar/core/fakes_test.go
+++ b/internal/sidecar/core/fakes_test.go
@@ -75,7 +75,8 @@
 	return <-x.outcome
 }
 
-// noWarnings is a log output that fails the test on each warning, because the core must never pass an impossible event to the module.
+// noWarnings is a log output that fails the test on each warning, because the core must never pass an impossible event to the
+// module.
 type noWarnings struct {
 	t       *testing.T
 	allowed *atomic.Bool // see testCore.allowWarnings
@@ -107,7 +108,8 @@
 	disconnect context.CancelFunc
 }
 
-// withCore runs a test in virtual time with a core that knows the servers with these names; change modifies the module's configuration.
+// withCore runs a test in virtual time with a core that knows the servers with these names; change modifies the module's
+// configuration.
 func withCore(t *testing.T, names []string, test func(r *testCore), change ...func(*balance.Config)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sidecar/core/ids.go
+++ b/internal/sidecar/core/ids.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ids holds the trace ids that must not be accepted: those of requests in the table, and those of earlier requests whose deadline has not
-// passed, since a late copy of a request must not be executed either. The ids of earlier requests are released in batches; a batch is
-// released when the last of its ids has expired.
+// ids holds the trace ids that must not be accepted: those of requests in the table, and those of earlier requests whose deadline
+// has not passed, since a late copy of a request must not be executed either. The ids of earlier requests are released in
+// batches; a batch is released when the last of its ids has expired.
 type ids struct {
 	reserved   map[string]struct{}
 	start      time.Time
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -1,11 +1,12 @@
-// Package core keeps each request from its acceptance until its last attempt has ended. One goroutine, the loop, owns the decision
-// module (package balance), the module's timers and the tables of requests and servers, and carries out the module's actions. The core
-// makes no decisions itself, and it depends on neither HTTP nor sockets: fronts pass requests to it, sources deliver lists of servers, and
-// endpoints carry out exchanges with servers, each through an interface of its own package (front, member, upstream).
+// Package core keeps each request from its acceptance until its last attempt has ended. One goroutine, the loop, owns the
+// decision module (package balance), the module's timers and the tables of requests and servers, and carries out the module's
+// actions. The core makes no decisions itself, and it depends on neither HTTP nor sockets: fronts pass requests to it, sources
+// deliver lists of servers, and endpoints carry out exchanges with servers, each through an interface of its own package (front,
+// member, upstream).
 //
-// Invariants: only the loop's goroutine accesses the module and the tables; a request gets one answer, and stays in its table until its
-// last attempt has ended; an attempt ends once, and its outcome is passed to the module once; a trace id is not accepted again before the
-// deadline of its request has passed.
+// Invariants: only the loop's goroutine accesses the module and the tables; a request gets one answer, and stays in its table
+// until its last attempt has ended; an attempt ends once, and its outcome is passed to the module once; a trace id is not
+// accepted again before the deadline of its request has passed.
 //
 // Answer, Replace, Snapshot and Stats are safe for concurrent use; all other methods run in the loop's goroutine.
 package core
@@ -70,8 +71,8 @@
 	}
 }
 
-// Run runs the loop until ctx ends, and is called once. The contexts of watches and attempts are derived from ctx, so that they end with
-// it. Requests that have no answer by then get front.ErrEnded.
+// Run runs the loop until ctx ends, and is called once. The contexts of watches and attempts are derived from ctx, so that they
+// end with it. Requests that have no answer by then get front.ErrEnded.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.ended)
 	l.ctx = ctx
@@ -91,7 +92,8 @@
 	}
 }
 
-// start applies the last known list and the snapshot of the previous process. It opens the first watch if the module does not ask for one.
+// start applies the last known list and the snapshot of the previous process. It opens the first watch if the module does not ask
+// for one.
 func (l *Loop) start() {
 	previous := l.config.Previous
 	if previous != nil && previous.Source == l.source.Name() {
@@ -114,8 +116,8 @@
 	}
 }
 
-// idReleaseInterval is how often ids are released while nothing else happens. It is longer than batchInterval so that an idle sidecar
-// wakes rarely.
+// idReleaseInterval is how often ids are released while nothing else happens. It is longer than batchInterval so that an idle
+// sidecar wakes rarely.
 const idReleaseInterval = time.Second
 
 // untilNextTimer returns how long the loop may sleep if no function is posted.
@@ -158,8 +160,8 @@
 // notify passes an event to the module like handle, for callers that do nothing else if the module rejects it.
 func (l *Loop) notify(event balance.Event) { _ = l.handle(event) }
 
-// carryOut carries out actions of the module, in their order. If an attempt or a health check ends meanwhile, its outcome is deferred until
-// all actions are carried out.
+// carryOut carries out actions of the module, in their order. If an attempt or a health check ends meanwhile, its outcome is
+// deferred until all actions are carried out.
 func (l *Loop) carryOut(actions []balance.Action) {
 	for i := range actions {
 		a := &actions[i]
@@ -192,8 +194,8 @@
 	}
 }
 
-// timerDelay is added to the module's timers, because the module expects that an attempt that times out at the same moment is reported
-// first.
+// timerDelay is added to the module's timers, because the module expects that an attempt that times out at the same moment is
+// reported first.
 const timerDelay = 20 * time.Microsecond
 
 // setTimer sets a timer of the module, unless it is for a request that is no longer in the table.
--- a/internal/sidecar/core/recorded_test.go
+++ b/internal/sidecar/core/recorded_test.go
@@ -11,8 +11,8 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// A snapshot is passed to a process that may be of another version. The snapshot recorded at revision cfdfdec is read correctly, and the same
-// state is written byte for byte as it was then.
+// A snapshot is passed to a process that may be of another version. The snapshot recorded at revision cfdfdec is read correctly,
+// and the same state is written byte for byte as it was then.
 func TestRecordedSnapshot(t *testing.T) {
 	want := Snapshot{
 		Source: "127.0.0.1:7000",
--- a/internal/sidecar/core/request.go
+++ b/internal/sidecar/core/request.go
@@ -13,8 +13,8 @@
 const (
 	// answerMargin is how long before the client's deadline its answer is due, because timers and writes take time.
 	answerMargin = 4 * time.Millisecond
-	// maxUploadTime is how long the id of a request is reserved while its body is still arriving: the time that the largest body takes
-	// from the slowest client that is served.
+	// maxUploadTime is how long the id of a request is reserved while its body is still arriving: the time that the largest body
+	// takes from the slowest client that is served.
 	maxUploadTime = 15 * time.Minute
 	// minRemainingMillis is the least remaining time, in milliseconds, that the module accepts.
 	minRemainingMillis = 1e-3
@@ -28,8 +28,8 @@
 	windowMillis float64
 	deadline     time.Time
 	answer       chan answer // buffered, for the one answer
-	// isClientGone reports whether the client has disconnected. An exchange calls it immediately before it sends, because the loop may
-	// handle the disconnect much later: its event waits behind others in the queue.
+	// isClientGone reports whether the client has disconnected. An exchange calls it immediately before it sends, because the
+	// loop may handle the disconnect much later: its event waits behind others in the queue.
 	isClientGone func() bool
 	closed       bool // answered, or the client has gone
 	attempts     []*attempt
@@ -46,8 +46,8 @@
 // timeLimit returns how long after Arrived, or after the last byte of a streamed body, the request is answered at the latest.
 func (r *request) timeLimit() time.Duration { return r.Wait - min(answerMargin, r.Wait/10) }
 
-// Answer passes a request to the loop and waits for its answer; see front.Core. If ctx ends first, the client counts as gone and the error
-// is that of ctx.
+// Answer passes a request to the loop and waits for its answer; see front.Core. If ctx ends first, the client counts as gone and
+// the error is that of ctx.
 func (l *Loop) Answer(ctx context.Context, in front.Request) (front.Answer, error) {
 	r := &request{Request: in, answer: make(chan answer, 1)}
 	r.isClientGone = func() bool { return ctx.Err() != nil || in.ClientGone != nil && in.ClientGone() }
@@ -109,7 +109,8 @@
 	}
 }
 
-// onRequestWritten handles that the last byte of a streamed request was sent. It starts the time limit of the request and of the attempt.
+// onRequestWritten handles that the last byte of a streamed request was sent. It starts the time limit of the request and of the
+// attempt.
 func (l *Loop) onRequestWritten(a *attempt) {
 	r := a.request
 	if a.ended || r.closed || r.Message.Remainder == nil {
@@ -141,7 +142,7 @@
 		return
 	}
 	r.closed = true
-	for _, a := range r.attempts { // an attempt that was not sent is ended even if the settings do not allow attempts to be cancelled
+	for _, a := range r.attempts { // unsent attempts end here, even if the settings do not allow attempts to be cancelled
 		if !a.ended && a.call.Claim() {
 			a.cancel()
 			l.attemptEnded(a, upstream.Outcome{Result: upstream.NotSent, Err: upstream.ErrClientGone})
--- a/internal/sidecar/core/servers.go
+++ b/internal/sidecar/core/servers.go
@@ -17,8 +17,8 @@
 	endpoint upstream.Endpoint
 }
 
-// watch closes the open watch, if there is one, and opens a new one at the current source. Lists of the closed watch that are already
-// queued are ignored.
+// watch closes the open watch, if there is one, and opens a new one at the current source. Lists of the closed watch that are
+// already queued are ignored.
 func (l *Loop) watch() {
 	if l.stopWatch != nil {
 		l.stopWatch()
@@ -44,7 +44,8 @@
 	}()
 }
 
-// fetch requests the complete list once. The result is ignored if the source was replaced, or has delivered a newer list meanwhile.
+// fetch requests the complete list once. The result is ignored if the source was replaced, or has delivered a newer list
+// meanwhile.
 func (l *Loop) fetch() {
 	source := l.source
 	go func() {
@@ -57,10 +58,11 @@
 	}()
 }
 
-// onSourceResult handles a list or an error of the source. A list that is not accepted counts as an error; the current list stays.
+// onSourceResult handles a list or an error of the source. A list that is not accepted counts as an error; the current list
+// stays.
 func (l *Loop) onSourceResult(list member.List, err error) {
 	if err == nil {
-		if err = l.cursor.Accept(list); err != nil && l.stopWatch != nil { // the next list of the watch would be a change to this one
+		if err = l.cursor.Accept(list); err != nil && l.stopWatch != nil { // the watch's next list would build on this one
 			l.stopWatch()
 			l.stopWatch = nil
 		}
@@ -150,8 +152,8 @@
 	}
 }
 
-// checkHealth sends a health check to a server and passes its outcome to the module. A server that is no longer in the table counts as
-// unreachable.
+// checkHealth sends a health check to a server and passes its outcome to the module. A server that is no longer in the table
+// counts as unreachable.
 func (l *Loop) checkHealth(id balance.ServerID) {
 	s := l.servers[id]
 	if s == nil {
@@ -169,8 +171,9 @@
 	}()
 }
 
-// Replace replaces the source of the lists, unless the new one has the same name. The current list stays until the new source has delivered
-// its own; requests and attempts go on. The new source may number its generations differently, so its complete list is requested.
+// Replace replaces the source of the lists, unless the new one has the same name. The current list stays until the new source has
+// delivered its own; requests and attempts go on. The new source may number its generations differently, so its complete list is
+// requested.
 func (l *Loop) Replace(source member.Source) {
 	l.post(func() {
 		moved := source.Name() != l.source.Name()
--- a/internal/sidecar/core/snapshot.go
+++ b/internal/sidecar/core/snapshot.go
@@ -10,9 +10,9 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// Snapshot is the state that one process of a sidecar hands over to the next: the list with its generation, the ids that must not be
-// accepted again, and the statistics that the module has learned. It does not contain open requests, because each process answers those
-// that it has accepted. Its JSON form is read by processes of other versions.
+// Snapshot is the state that one process of a sidecar hands over to the next: the list with its generation, the ids that must not
+// be accepted again, and the statistics that the module has learned. It does not contain open requests, because each process
+// answers those that it has accepted. Its JSON form is read by processes of other versions.
 type Snapshot struct {
 	Source string               `json:"Source"` // the name of the source of List
 	List   member.List          `json:"List"`
@@ -39,9 +39,9 @@
 	return rules
 }
 
-// remapSnapshot moves learned statistics to the positions that their names have in this process. It drops the statistics of names that this
-// process does not have and of classes whose rules differ. If the previous version gave no names, all positions are kept if the number of
-// classes is the same; otherwise everything is dropped.
+// remapSnapshot moves learned statistics to the positions that their names have in this process. It drops the statistics of names
+// that this process does not have and of classes whose rules differ. If the previous version gave no names, all positions are
+// kept if the number of classes is the same; otherwise everything is dropped.
 func remapSnapshot(learned balance.Snapshot, previous *Names, current Names) balance.Snapshot {
 	if previous == nil {
 		if len(learned.Classes) != len(current.Classes) {
@@ -89,8 +89,8 @@
 	return remapped
 }
 
-// newPosition returns the position in current of the name that has position from in previous. If both are empty, position 0 is the only one
-// and stays.
+// newPosition returns the position in current of the name that has position from in previous. If both are empty, position 0 is
+// the only one and stays.
 func newPosition(from int, previous, current []string) (to int, ok bool) {
 	if len(previous) == 0 && len(current) == 0 {
 		return from, from == 0
@@ -102,8 +102,8 @@
 	return to, to >= 0
 }
 
-// Snapshot calls encode in the loop with the state that the core would hand over now, and waits for it. encode must not keep the snapshot,
-// because it shares memory with the loop. Snapshot returns false if the loop has ended.
+// Snapshot calls encode in the loop with the state that the core would hand over now, and waits for it. encode must not keep the
+// snapshot, because it shares memory with the loop. Snapshot returns false if the loop has ended.
 func (l *Loop) Snapshot(encode func(Snapshot)) (ok bool) {
 	done := make(chan struct{})
 	l.post(func() {
@@ -133,8 +133,8 @@
 	return &n
 }
 
-// restore reserves the ids of the previous process and restores the statistics that its module had learned. It runs before the first
-// request.
+// restore reserves the ids of the previous process and restores the statistics that its module had learned. It runs before the
+// first request.
 func (l *Loop) restore(previous *Snapshot) {
 	for id, expiry := range previous.IDs {
 		if expiry.After(time.Now()) && l.ids.reserve(id) {
--- a/internal/sidecar/core/snapshot_test.go
+++ b/internal/sidecar/core/snapshot_test.go
@@ -40,8 +40,8 @@
 	return next, func() { cancel(); <-next.stopped }
 }
 
-// The next process starts with the list of the previous one, including changed, draining and removed servers, and with its generation. It
-// never sends to a draining server, not even with its first request.
+// The next process starts with the list of the previous one, including changed, draining and removed servers, and with its
+// generation. It never sends to a draining server, not even with its first request.
 func TestServerListIsHandedOver(t *testing.T) {
 	withCore(t, []string{"a", "b", "c", "d"}, func(r *testCore) {
 		r.source.lists <- member.List{Generation: 7, Instances: []member.Instance{
@@ -92,8 +92,9 @@
 	})
 }
 
-// Learned statistics move to the positions that their names have in the next process, and are dropped if they have no name there or their
-// class has other rules. If the previous version gave no names, positions are kept, unless the number of classes differs.
+// Learned statistics move to the positions that their names have in the next process, and are dropped if they have no name there
+// or their class has other rules. If the previous version gave no names, positions are kept, unless the number of classes
+// differs.
 func TestLearnedByName(t *testing.T) {
 	learned := balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 1}, {Count: 2}, {Count: 3}}, Zones: map[int]float64{0: 10, 1: 11}, Kinds: map[int]float64{0: 7}}
 	previous := &Names{Classes: []string{"a", "b", "c"}, Zones: []string{"x", "y"}}
--- a/internal/sidecar/core/streaming_test.go
+++ b/internal/sidecar/core/streaming_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// A request whose body an exchange has started to read cannot be retried, however that exchange ended: it is refused if it was certainly not
-// executed, and has failed if it may have been. A request whose body was not read is retried at another server.
+// A request whose body an exchange has started to read cannot be retried, however that exchange ended: it is refused if it was
+// certainly not executed, and has failed if it may have been. A request whose body was not read is retried at another server.
 func TestRetryOfStreamedRequest(t *testing.T) {
 	for result, want := range map[upstream.Result]front.Verdict{upstream.ConnectFailed: front.Refused, upstream.Reset: front.Failed} {
 		withCore(t, []string{"a", "b", "c"}, func(r *testCore) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// Once a reply has started, the client is being answered: the module gets one outcome, and there is neither a retry nor a deadline. The
-// exchange continues until the remainder has ended; answering the request does not cancel it.
+// Once a reply has started, the client is being answered: the module gets one outcome, and there is neither a retry nor a
+// deadline. The exchange continues until the remainder has ended; answering the request does not cancel it.
 func TestStreamedReplyIsNotCancelled(t *testing.T) {
 	withCore(t, []string{"a", "b"}, func(r *testCore) {
 		a := r.request("t", int(balance.Safe))
--- a/internal/sidecar/core/timer.go
+++ b/internal/sidecar/core/timer.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// timer is a timer of the module or the timeout of an attempt. It is removed when its request or attempt ends. Most attempts end long
-// before their timeout; timers kept until then would keep the attempts in memory, and waking the loop for each of them was a third of the
-// work of an idle process.
+// timer is a timer of the module or the timeout of an attempt. It is removed when its request or attempt ends. Most attempts end
+// long before their timeout; timers kept until then would keep the attempts in memory, and waking the loop for each of them was a
+// third of the work of an idle process.
 type timer struct {
 	deadline time.Time
 	index    int      // position in the heap; -1 if the timer is not set
-	token    uint64   // the module's name for its timer
+	token    uint64   // by which the module knows its timer
 	attempt  *attempt // the attempt that times out; nil for a timer of the module
 }
 
--- a/internal/sidecar/member/cursor.go
+++ b/internal/sidecar/member/cursor.go
@@ -6,11 +6,12 @@
 	"slices"
 )
 
-// Cursor decides which lists of a source are accepted, and holds the generation of the last one. It performs no I/O and is not safe for
-// concurrent use.
+// Cursor decides which lists of a source are accepted, and holds the generation of the last one. It performs no I/O and is not
+// safe for concurrent use.
 //
-// Invariants: a list that is older than the current one is not accepted, unless the complete list was requested, because the source may
-// have lost its state and restarted its numbering. A complete list in which no server belongs to this deployment is not accepted.
+// Invariants: a list that is older than the current one is not accepted, unless the complete list was requested, because the
+// source may have lost its state and restarted its numbering. A complete list in which no server belongs to this deployment is
+// not accepted.
 type Cursor struct {
 	Zones, Kinds []string // of this deployment's servers; empty if not known
 
@@ -39,8 +40,8 @@
 // Restart prepares for another source, whose generations are not comparable with those of the previous one.
 func (c *Cursor) Restart() { c.generation, c.acceptAny = 0, true }
 
-// Accept makes a list the current one, or returns an error that says why it is not accepted. Then the caller must not use any part of the
-// list, and calls the source again, for the lists that follow After.
+// Accept makes a list the current one, or returns an error that says why it is not accepted. Then the caller must not use any
+// part of the list, and calls the source again, for the lists that follow After.
 func (c *Cursor) Accept(list List) error {
 	if err := c.checkDeployment(list); err != nil {
 		return err
@@ -58,8 +59,8 @@
 	errNoKnownKind = errors.New("no server of the list has a kind from the settings: the list belongs to another deployment")
 )
 
-// checkDeployment returns an error if a complete list belongs to another deployment: it has servers, and either all of them have a zone that
-// is not in the settings, or all of them have a kind that is not in the settings.
+// checkDeployment returns an error if a complete list belongs to another deployment: it has servers, and either all of them have
+// a zone that is not in the settings, or all of them have a kind that is not in the settings.
 func (c *Cursor) checkDeployment(list List) error {
 	noneOf := func(known []string, attribute func(Instance) string) bool {
 		return list.Complete && len(known) > 0 && len(list.Instances) > 0 &&
--- a/internal/sidecar/member/discovery/discovery.go
+++ b/internal/sidecar/member/discovery/discovery.go
@@ -1,10 +1,10 @@
-// Package discovery implements member.Source with the platform's discovery service: a watch that delivers changes, and calls for the
-// complete list, over HTTP. It decides neither when to call nor how to handle a failure. A message is accepted completely or not at
-// all. Watch and Fetch may be called concurrently.
+// Package discovery implements member.Source with the platform's discovery service: a watch that delivers changes, and calls for
+// the complete list, over HTTP. It decides neither when to call nor how to handle a failure. A message is accepted completely or
+// not at all. Watch and Fetch may be called concurrently.
 //
-// Once discovery has a change and can deliver it, the change must arrive within 6 s, whatever failed before. The table lists the worst
-// cases. The decision module waits at most 0.5 s before the next call, or 1.5 s from the start of a call that failed early; a is the time
-// that discovery takes to answer a call:
+// Once discovery has a change and can deliver it, the change must arrive within 6 s, whatever failed before. The table lists the
+// worst cases. The decision module waits at most 0.5 s before the next call, or 1.5 s from the start of a call that failed early;
+// a is the time that discovery takes to answer a call:
 //
 //	a watch falls silent just after a line       2.5 s of silence + 0.5 s + a
 //	a call is accepted and not answered          3.1 s until it is cancelled + 0.5 s + a
@@ -73,8 +73,8 @@
 	}
 }
 
-// dialForCall returns a dial function that is cancelled with the call that it is for. By default the transport continues to dial, so that
-// the connection can be used for the next call; here each call has its own connection.
+// dialForCall returns a dial function that is cancelled with the call that it is for. By default the transport continues to dial,
+// so that the connection can be used for the next call; here each call has its own connection.
 func dialForCall(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -131,8 +131,8 @@
 	return Parse(raw)
 }
 
-// Watch implements member.Source. It returns when the stream ends, breaks, is malformed or falls silent. A message may span several lines;
-// it is delivered when its closing brace has arrived.
+// Watch implements member.Source. It returns when the stream ends, breaks, is malformed or falls silent. A message may span
+// several lines; it is delivered when its closing brace has arrived.
 func (s *Source) Watch(ctx context.Context, after uint64, onList func(member.List)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -171,8 +171,8 @@
 	errTooLong    = fmt.Errorf("message exceeds %d MiB", maxMessage>>20)
 )
 
-// watchStream is the body of a watch: messages with empty lines between them. Part of a message does not reset the silence timer, because a
-// message that arrives byte by byte would hide that no list arrives.
+// watchStream is the body of a watch: messages with empty lines between them. Part of a message does not reset the silence timer,
+// because a message that arrives byte by byte would hide that no list arrives.
 type watchStream struct {
 	body        io.Reader
 	unparsed    int    // number of bytes since the last complete message
--- a/internal/sidecar/member/discovery/list.go
+++ b/internal/sidecar/member/discovery/list.go
@@ -43,8 +43,8 @@
 // states maps the values of lifecycle in messages to states.
 var states = map[string]member.State{"up": member.Up, "draining": member.Draining, "removed": member.Removed}
 
-// Parse parses one message. One invalid entry invalidates the message, because part of a list would be worse than none. If an entry or a
-// field is invalid, the error is an *EntryError.
+// Parse parses one message. One invalid entry invalidates the message, because part of a list would be worse than none. If an
+// entry or a field is invalid, the error is an *EntryError.
 func Parse(raw []byte) (member.List, error) {
 	var catalog catalogMessage
 	if err := json.Unmarshal(raw, &catalog); err != nil {
--- a/internal/sidecar/member/member.go
+++ b/internal/sidecar/member/member.go
@@ -1,8 +1,8 @@
-// Package member is the interface between the core and the sources of server lists. A source delivers complete lists or changes, each
-// with a generation number. Sources do not depend on requests, and the core does not depend on how a source gets its lists.
+// Package member is the interface between the core and the sources of server lists. A source delivers complete lists or changes,
+// each with a generation number. Sources do not depend on requests, and the core does not depend on how a source gets its lists.
 //
-// Invariants: a source validates a list completely before it delivers it, so the core never gets part of one; while a source fails, the
-// core keeps using the last list that it accepted.
+// Invariants: a source validates a list completely before it delivers it, so the core never gets part of one; while a source
+// fails, the core keeps using the last list that it accepted.
 package member
 
 import (
@@ -35,14 +35,14 @@
 // List is one message of a source. Its JSON form is exchanged between two processes of a sidecar, which may be of different versions.
 type List struct {
 	Generation uint64     `json:"Generation"`
-	Complete   bool       `json:"Whole"` // true: servers that are not in Instances are removed; false: Instances holds only the changes
+	Complete   bool       `json:"Whole"` // true: Instances holds all servers; false: it holds only the changes
 	Instances  []Instance `json:"Instances"`
 }
 
 // Source delivers the list of servers. Its methods may be called from any goroutine.
 type Source interface {
-	// Watch calls onList, from one goroutine and in order, with each list that follows the generation after. It always returns an error,
-	// which says why the watch ended.
+	// Watch calls onList, from one goroutine and in order, with each list that follows the generation after. It always returns an
+	// error, which says why the watch ended.
 	Watch(ctx context.Context, after uint64, onList func(List)) error
 	// Fetch requests the complete list once, and returns it or an error.
 	Fetch(ctx context.Context) (List, error)
--- a/internal/sidecar/member/relay/recorded_test.go
+++ b/internal/sidecar/member/relay/recorded_test.go
@@ -11,8 +11,8 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// Updates are exchanged between processes of different versions. The updates recorded at revision cfdfdec are read correctly, and the same
-// updates are written byte for byte as they were then.
+// Updates are exchanged between processes of different versions. The updates recorded at revision cfdfdec are read correctly, and
+// the same updates are written byte for byte as they were then.
 func TestRecordedUpdates(t *testing.T) {
 	list := &member.List{Generation: 42, Complete: true, Instances: []member.Instance{
 		{
--- a/internal/sidecar/member/relay/relay.go
+++ b/internal/sidecar/member/relay/relay.go
@@ -30,8 +30,8 @@
 	h.changed = make(chan struct{})
 }
 
-// Receive handles an update of the next process. If the queue of received lists is full, it drops them all, and the process watches by
-// itself.
+// Receive handles an update of the next process. If the queue of received lists is full, it drops them all, and the process
+// watches by itself.
 func (h *Hub) Receive(update Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,8 +64,8 @@
 	h.notifyChanged()
 }
 
-// Publish sends the lists that this process's watch delivers, and heartbeats, to the previous process. It returns when ctx ends, when send
-// fails, or when the other side does not keep up; that one then watches by itself. send may block.
+// Publish sends the lists that this process's watch delivers, and heartbeats, to the previous process. It returns when ctx ends,
+// when send fails, or when the other side does not keep up; that one then watches by itself. send may block.
 func (h *Hub) Publish(ctx context.Context, send func(Update) error) {
 	updates := make(chan Update, maxPending)
 	h.mu.Lock()
@@ -98,7 +98,8 @@
 	}
 }
 
-// publishList passes a list that a watch delivered to the running calls of Publish, without waiting for them. It closes queues that are full.
+// publishList passes a list that a watch delivered to the running calls of Publish, without waiting for them. It closes queues
+// that are full.
 func (h *Hub) publishList(source string, list member.List) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -129,8 +130,8 @@
 	}
 }
 
-// nextList removes and returns the next received list if there is one. Otherwise, if follows is true, the caller waits until changed is
-// closed or until expiry.
+// nextList removes and returns the next received list if there is one. Otherwise, if follows is true, the caller waits until
+// changed is closed or until expiry.
 func (h *Hub) nextList(source string) (list *member.List, expiry time.Time, changed <-chan struct{}, follows bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -141,8 +142,8 @@
 	return list, expiry, h.changed, follows
 }
 
-// followsPeer reports whether the process follows the other's watch of a source, and returns a channel that is closed when that may have
-// changed.
+// followsPeer reports whether the process follows the other's watch of a source, and returns a channel that is closed when that
+// may have changed.
 func (h *Hub) followsPeer(source string) (follows bool, changed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -184,8 +185,8 @@
 	}
 }
 
-// followPeer passes the received lists to onList for as long as the other process is followed. It returns an error only if ctx ends: the
-// cause of that.
+// followPeer passes the received lists to onList for as long as the other process is followed. It returns an error only if ctx
+// ends: the cause of that.
 func (s *relayedSource) followPeer(ctx context.Context, name string, onList func(*member.List)) error {
 	for {
 		list, expiry, changed, follows := s.hub.nextList(name)
@@ -221,7 +222,8 @@
 // errPeerWatches ends a watch because the next process watches.
 var errPeerWatches = errors.New("the next process watches")
 
-// watchAlone watches the inner source until its watch ends. When the next process watches, it closes the watch and returns errPeerWatches.
+// watchAlone watches the inner source until its watch ends. When the next process watches, it closes the watch and returns
+// errPeerWatches.
 func (s *relayedSource) watchAlone(ctx context.Context, after uint64, onList func(member.List)) error {
 	watchCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/sidecar/member/relay/relay_test.go
+++ b/internal/sidecar/member/relay/relay_test.go
@@ -14,7 +14,7 @@
 
 // fakeSource delivers the lists that a test sends it, and records its watches.
 type fakeSource struct {
-	mu             sync.Mutex // needed although time is virtual: a timer that wakes a goroutine does not order its writes before a read
+	mu             sync.Mutex // a timer that wakes the writer does not order its writes before the reader's reads
 	watches        int        // number of open watches
 	requestedAfter []uint64   // the generation of each watch
 	lists          chan member.List
@@ -46,8 +46,8 @@
 	}
 }
 
-// A process follows the other while updates arrive, and skips lists that it has delivered already. As soon as the updates stop, it watches by
-// itself from its current generation, for at least FollowCooldown.
+// A process follows the other while updates arrive, and skips lists that it has delivered already. As soon as the updates stop,
+// it watches by itself from its current generation, for at least FollowCooldown.
 func TestFollowPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := New()
@@ -109,8 +109,8 @@
 	})
 }
 
-// The process that watches sends heartbeats while its watch is open, and each list at once. It never waits for the other process: if that one
-// does not keep up, Publish returns.
+// The process that watches sends heartbeats while its watch is open, and each list at once. It never waits for the other process:
+// if that one does not keep up, Publish returns.
 func TestPublish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := New()
--- a/internal/sidecar/upstream/http1/endpoint.go
+++ b/internal/sidecar/upstream/http1/endpoint.go
@@ -16,7 +16,8 @@
 // endpoint is one server. It implements upstream.Endpoint.
 type endpoint struct {
 	pool *Pool
-	// notAcceptingSince is when the server stopped accepting requests, in nanoseconds since the pool's epoch; 0 if it accepts them.
+	// notAcceptingSince is when the server stopped accepting requests, in nanoseconds since the pool's epoch; 0 if it accepts
+	// them.
 	notAcceptingSince atomic.Int64
 
 	// Guarded by Pool.mu:
@@ -54,14 +55,15 @@
 	return e.pool.send(ctx, e, c)
 }
 
-// graceOver reports whether it is too late to start a call to a server that has stopped accepting requests. The last tenth of the grace
-// period is reserved for the first byte to arrive.
+// graceOver reports whether it is too late to start a call to a server that has stopped accepting requests. The last tenth of the
+// grace period is reserved for the first byte to arrive.
 func (e *endpoint) graceOver(now time.Time) bool {
 	since := e.notAcceptingSince.Load()
 	return since > 0 && now.Sub(e.pool.epoch) >= time.Duration(since)+e.pool.DrainGrace*9/10
 }
 
-// CheckHealth implements upstream.Endpoint. The load report is taken from the response's header field or, if that has none, from its body.
+// CheckHealth implements upstream.Endpoint. The load report is taken from the response's header field or, if that has none, from
+// its body.
 func (e *endpoint) CheckHealth(ctx context.Context) upstream.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
--- a/internal/sidecar/upstream/http1/exchange.go
+++ b/internal/sidecar/upstream/http1/exchange.go
@@ -54,9 +54,9 @@
 	return out
 }
 
-// claimCall claims a call whose connection is open, and returns the time at which it is sent. Opening a connection may take long; meanwhile
-// the client may have gone, the server's drain grace period may have ended, or the time limit of the request or of its idempotency key may
-// have passed. An error means that nothing is sent, so nothing is executed.
+// claimCall claims a call whose connection is open, and returns the time at which it is sent. Opening a connection may take long;
+// meanwhile the client may have gone, the server's drain grace period may have ended, or the time limit of the request or of its
+// idempotency key may have passed. An error means that nothing is sent, so nothing is executed.
 func (e *endpoint) claimCall(call *upstream.Call) (now time.Time, err error) {
 	if call.ClientGone != nil && call.ClientGone() {
 		return now, upstream.ErrClientGone
@@ -77,7 +77,7 @@
 		}
 		return p.exchangeStreamed(c, call)
 	}
-	_ = c.SetWriteDeadline(call.Expires) // fails only if the connection is closed, and then Write fails too; reading ends with ctx
+	_ = c.SetWriteDeadline(call.Expires) // fails only if the connection is closed, like Write then; reading ends with ctx
 	text := encode(&call.Message, c.addr, call.Expires.Sub(now))
 	if n, err := c.Write(text); err != nil {
 		switch {
@@ -96,8 +96,8 @@
 	return out, reusable && in.Buffered() == 0, out.Result == upstream.Reset
 }
 
-// encode returns a request in the form of HTTP/1.1. If its body is streamed, the result ends with the part of the body in m.Body. timeout
-// is the time limit that the server is given.
+// encode returns a request in the form of HTTP/1.1. If its body is streamed, the result ends with the part of the body in m.Body.
+// timeout is the time limit that the server is given.
 func encode(m *message.Request, host string, timeout time.Duration) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Expires-In: %du\r\n", m.Method, m.Target, host, timeout.Microseconds())
--- a/internal/sidecar/upstream/http1/load_report.go
+++ b/internal/sidecar/upstream/http1/load_report.go
@@ -10,8 +10,8 @@
 // loadReportHeader is the header field in which servers report their load.
 const loadReportHeader = "Endpoint-Load-Metrics"
 
-// parseReport parses "TEXT name=value, name=value". It returns the values in the order of fields, with NaN for a missing one, or nil if there
-// is no value. It skips other names, and values that are negative or not finite numbers.
+// parseReport parses "TEXT name=value, name=value". It returns the values in the order of fields, with NaN for a missing one, or
+// nil if there is no value. It skips other names, and values that are negative or not finite numbers.
 func parseReport(text string, fields []string) []float32 {
 	var report []float32
 	for _, item := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' }) {
--- a/internal/sidecar/upstream/http1/pool.go
+++ b/internal/sidecar/upstream/http1/pool.go
@@ -1,8 +1,8 @@
 // Package http1 implements upstream.Servers over HTTP/1.1 and plain TCP. Connections carry one request at a time and are reused; their
 // number is limited for all servers together.
 //
-// It never sends a request twice, and does not use a connection on which unexpected bytes arrived. The client of net/http is not used
-// because it may repeat a request on a new connection and follows redirects, which must not happen here.
+// It never sends a request twice, and does not use a connection on which unexpected bytes arrived. The client of net/http is not
+// used because it may repeat a request on a new connection and follows redirects, which must not happen here.
 //
 // Files: pool.go (connections), endpoint.go (one server), exchange.go (one call), request_writer.go (streamed request bodies),
 // response_reader.go and response.go (responses, buffered or streamed), load_report.go.
@@ -60,7 +60,8 @@
 	counted   bool // included in Pool.openConnections
 }
 
-// New returns a pool that opens connections with dial. It starts no goroutine, and nothing but its connections needs to be closed.
+// New returns a pool that opens connections with dial. It starts no goroutine, and nothing but its connections needs to be
+// closed.
 func New(s Settings, dial Dial) *Pool {
 	return &Pool{Settings: s, dial: dial, epoch: time.Now().Add(-1), endpointsWithIdle: map[*endpoint]struct{}{}}
 }
@@ -95,8 +96,8 @@
 // errConnectionLimit means that the limit on connections is reached, which says nothing about the server.
 var errConnectionLimit = errors.New("all connections are in use")
 
-// connect returns the newest idle connection, which the server is least likely to have closed, or opens one. It closes idle connections that
-// were idle for too long, that the server has closed, or on which unexpected bytes arrived.
+// connect returns the newest idle connection, which the server is least likely to have closed, or opens one. It closes idle
+// connections that were idle for too long, that the server has closed, or on which unexpected bytes arrived.
 func (p *Pool) connect(ctx context.Context, e *endpoint) (*conn, error) {
 	for {
 		c := p.takeIdle(e)
@@ -161,8 +162,8 @@
 	return &conn{Conn: nc, endpoint: e, addr: addr, counted: true}, nil
 }
 
-// reserveConnection counts a connection that is about to be opened, and returns the endpoint's address. At the limit it returns the
-// connection that has been idle the longest, of any endpoint; it is no longer counted, and the caller must close it.
+// reserveConnection counts a connection that is about to be opened, and returns the endpoint's address. At the limit it returns
+// the connection that has been idle the longest, of any endpoint; it is no longer counted, and the caller must close it.
 func (p *Pool) reserveConnection(e *endpoint) (addr string, evicted *conn, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,8 +195,8 @@
 	}
 }
 
-// putIdle puts a connection into the pool, or closes it if the server has moved or does not accept requests. An idle connection is closed
-// after IdleTimeout, before the server would close it.
+// putIdle puts a connection into the pool, or closes it if the server has moved or does not accept requests. An idle connection
+// is closed after IdleTimeout, before the server would close it.
 func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	if c.addr != c.endpoint.addr || c.endpoint.notAcceptingSince.Load() != 0 {
--- a/internal/sidecar/upstream/http1/pool_test.go
+++ b/internal/sidecar/upstream/http1/pool_test.go
@@ -35,8 +35,8 @@
 	return &upstream.Call{Message: message.Request{Method: "GET", Target: "/look"}, Expires: time.Now().Add(30 * time.Second)}
 }
 
-// Each response leads to the right outcome. Unsafe requests are retried if the outcome proves that they were not executed, so only an explicit
-// statement of the server may prove that; and only a complete 200 response is served.
+// Each response leads to the right outcome. Unsafe requests are retried if the outcome proves that they were not executed, so
+// only an explicit statement of the server may prove that; and only a complete 200 response is served.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		response string
@@ -138,7 +138,8 @@
 	peertest.Eventually(t, "the connection is not counted", func() bool { return pool.Open() == 0 })
 }
 
-// The pool closes an idle connection before the server does, because a request written to a connection that the server has closed is lost.
+// The pool closes an idle connection before the server does, because a request written to a connection that the server has closed
+// is lost.
 func TestIdleConnectionsExpire(t *testing.T) {
 	p := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	pool := testPool(9)
@@ -148,8 +149,8 @@
 	peertest.Eventually(t, "the connection is not counted", func() bool { return pool.Open() == 0 })
 }
 
-// A connection that the server has closed, or on which unexpected bytes arrived, is not used. This is noticed before a request is written, and
-// does not count as a failure of the server.
+// A connection that the server has closed, or on which unexpected bytes arrived, is not used. This is noticed before a request is
+// written, and does not count as a failure of the server.
 func TestUnusableIdleConnections(t *testing.T) {
 	for name, change := range map[string]func(net.Conn){
 		"closed":                           func(c net.Conn) { c.Close() },
@@ -233,8 +234,8 @@
 	}
 }
 
-// At the limit on connections, an idle connection of another server is closed for a call. If there is none, the call is not sent, and its
-// result does not blame the server.
+// At the limit on connections, an idle connection of another server is closed for a call. If there is none, the call is not sent,
+// and its result does not blame the server.
 func TestConnectionLimit(t *testing.T) {
 	got := make(chan struct{}, 1)
 	busy := peertest.NewPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
@@ -269,8 +270,8 @@
 	}
 }
 
-// If a server moves, requests are sent to its new address, and its idle connections to the old address are closed. The idle connections to
-// a draining server are closed too, because it gets no new requests.
+// If a server moves, requests are sent to its new address, and its idle connections to the old address are closed. The idle
+// connections to a draining server are closed too, because it gets no new requests.
 func TestServerMoves(t *testing.T) {
 	first, second := peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse)), peertest.NewPeer(t, peertest.RespondWith(peertest.OKResponse))
 	pool := testPool(9)
--- a/internal/sidecar/upstream/http1/request_writer.go
+++ b/internal/sidecar/upstream/http1/request_writer.go
@@ -17,8 +17,8 @@
 // expiredDeadline is a deadline that ends a read or a write at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// requestWriter writes a request whose body is streamed from the client. One goroutine calls run while another reads the response; that
-// one reads complete, clientErr and serverErr only after run has returned.
+// requestWriter writes a request whose body is streamed from the client. One goroutine calls run while another reads the
+// response; that one reads complete, clientErr and serverErr only after run has returned.
 type requestWriter struct {
 	conn *conn
 	call *upstream.Call
@@ -30,8 +30,8 @@
 	responseRead atomic.Bool
 }
 
-// exchangeStreamed carries out a call whose body is streamed. It reads the response at the same time, because a server may respond before it
-// has the complete body; the rest of the body is not sent then. The results are those of exchange.
+// exchangeStreamed carries out a call whose body is streamed. It reads the response at the same time, because a server may
+// respond before it has the complete body; the rest of the body is not sent then. The results are those of exchange.
 func (p *Pool) exchangeStreamed(c *conn, call *upstream.Call) (out upstream.Outcome, reusable, broke bool) {
 	w := &requestWriter{conn: c, call: call, hasLength: call.Message.Remainder.Size >= 0}
 	written, stop := make(chan struct{}), make(chan struct{})
@@ -111,8 +111,8 @@
 	w.complete = w.write([]byte("0\r\n\r\n"))
 }
 
-// write writes a text and reports whether all of it was sent; if not, serverErr says why. An error after the last byte is ignored, because
-// all of the text was sent.
+// write writes a text and reports whether all of it was sent; if not, serverErr says why. An error after the last byte is
+// ignored, because all of the text was sent.
 func (w *requestWriter) write(text []byte) bool {
 	_ = w.conn.SetWriteDeadline(time.Now().Add(stallTimeout))
 	if w.responseRead.Load() { // checked after the deadline was set, because exchangeStreamed may have set its own in between
--- a/internal/sidecar/upstream/http1/request_writer_test.go
+++ b/internal/sidecar/upstream/http1/request_writer_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// An exchange ends while its request body is streamed. If the last byte was not sent, the request was not executed, whichever side failed;
-// otherwise it may have been. The body can be sent again only if nothing of its remainder was read.
+// An exchange ends while its request body is streamed. If the last byte was not sent, the request was not executed, whichever
+// side failed; otherwise it may have been. The body can be sent again only if nothing of its remainder was read.
 func TestOutcomesOfStreamedRequests(t *testing.T) {
 	readAll := func(c net.Conn, in *bufio.Reader) { // sends no response
 		req, err := http.ReadRequest(in)
@@ -143,8 +143,8 @@
 	}
 }
 
-// A request body without a length is complete only if it ends with io.EOF itself. An error that wraps io.EOF means that it was truncated, and
-// the server does not get the last chunk.
+// A request body without a length is complete only if it ends with io.EOF itself. An error that wraps io.EOF means that it was
+// truncated, and the server does not get the last chunk.
 func TestWrappedEOFInRequestBody(t *testing.T) {
 	read := make(chan error, 1)
 	addr := server(t, func(_ net.Conn, in *bufio.Reader) {
@@ -165,8 +165,8 @@
 	}
 }
 
-// A server responds before it has the complete body, and then reads no more. Its response is returned at once, although writing the body is
-// blocked. No other exchange is started with a body of which a part was read.
+// A server responds before it has the complete body, and then reads no more. Its response is returned at once, although writing
+// the body is blocked. No other exchange is started with a body of which a part was read.
 func TestEarlyResponseWhileBodyIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(time.Millisecond)
@@ -274,8 +274,8 @@
 	}
 }
 
-// If a response breaks off after its first part was passed on, its reader gets an error, never an end as of a complete response. If the reader
-// closes a response, its connection is closed.
+// If a response breaks off after its first part was passed on, its reader gets an error, never an end as of a complete response.
+// If the reader closes a response, its connection is closed.
 func TestStreamedResponseBreaksOff(t *testing.T) {
 	for name, response := range map[string]string{
 		"with a length": "HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n" + strings.Repeat("x", 2_000_000),
--- a/internal/sidecar/upstream/http1/response.go
+++ b/internal/sidecar/upstream/http1/response.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxBufferTime is how long a response is buffered while it is incomplete. Until its first bytes are passed to the client, a retry is
-	// still possible. After this time the part that has arrived is passed on.
+	// maxBufferTime is how long a response is buffered while it is incomplete. Until its first bytes are passed to the client, a
+	// retry is still possible. After this time the part that has arrived is passed on.
 	maxBufferTime = 50 * time.Millisecond
 	// maxBufferSize is the largest response with a known length that is buffered, memory permitting.
 	maxBufferSize = 1 << 20
@@ -31,9 +31,9 @@
 	errNotBuffered = errors.New("response body is too long to be buffered and may not be streamed")
 )
 
-// response is a response that is being read. It is buffered at first; once its first part is passed to onStarted, it is streamed. It is
-// owned by the goroutine that reads the response from the server; the receiver of the first part reads the remainder from a pipe, so the
-// server is read no faster than the receiver reads.
+// response is a response that is being read. It is buffered at first; once its first part is passed to onStarted, it is streamed.
+// It is owned by the goroutine that reads the response from the server; the receiver of the first part reads the remainder from a
+// pipe, so the server is read no faster than the receiver reads.
 type response struct {
 	reader      *responseReader
 	budget      *membudget.Budget
@@ -114,8 +114,8 @@
 	return err
 }
 
-// reserve reserves memory for n bytes of the body in total, and reports whether they may be buffered. Memory is reserved as the body
-// arrives; for a long response with a known length, all of it is reserved at once.
+// reserve reserves memory for n bytes of the body in total, and reports whether they may be buffered. Memory is reserved as the
+// body arrives; for a long response with a known length, all of it is reserved at once.
 func (r *response) reserve(n int) bool {
 	if n > r.bufferLimit {
 		return false
@@ -134,8 +134,8 @@
 	return true
 }
 
-// takeReservation passes the responsibility for the reserved memory to the caller: it returns a function that releases the memory once, or
-// nil if nothing is reserved.
+// takeReservation passes the responsibility for the reserved memory to the caller: it returns a function that releases the memory
+// once, or nil if nothing is reserved.
 func (r *response) takeReservation() func() {
 	n := r.reserved
 	if r.reserved = 0; n == 0 {
--- a/internal/sidecar/upstream/http1/response_reader.go
+++ b/internal/sidecar/upstream/http1/response_reader.go
@@ -18,16 +18,16 @@
 // neverRanHeader is the header field by which a server states that it did not execute a request.
 const neverRanHeader = "X-Never-Ran"
 
-// responseReader reads the bytes that a server sends on a connection up to a limit, whatever length the server announces. Bytes beyond the
-// limit stay unread, and the connection is closed.
+// responseReader reads the bytes that a server sends on a connection up to a limit, whatever length the server announces. Bytes
+// beyond the limit stay unread, and the connection is closed.
 type responseReader struct {
 	*bufio.Reader
 	limit  *io.LimitedReader
 	source timedConn
 }
 
-// timedConn is a connection whose reads have one of two kinds of deadline: a single one, at which onDeadline is called and after which
-// reading continues, or a new one for each read, after which a connection without progress fails.
+// timedConn is a connection whose reads have one of two kinds of deadline: a single one, at which onDeadline is called and after
+// which reading continues, or a new one for each read, after which a connection without progress fails.
 type timedConn struct {
 	net.Conn
 	onDeadline      func() // called once, from Read; if nil, a deadline is an error
@@ -73,10 +73,10 @@
 	readerPool.Put(r)
 }
 
-// read reads one response, after any 1xx ones, and returns whether the connection can be used again. Only a complete 200 response is Served,
-// and the result is Rejected only if the server states that it did not execute the request. A malformed response proves that the server is
-// alive, so the result is Failed; Reset means that the connection ended. If onStarted is not nil, a long 200 response is passed to it when
-// it has started to arrive, and the returned outcome tells how it ended.
+// read reads one response, after any 1xx ones, and returns whether the connection can be used again. Only a complete 200 response
+// is Served, and the result is Rejected only if the server states that it did not execute the request. A malformed response
+// proves that the server is alive, so the result is Failed; Reset means that the connection ended. If onStarted is not nil, a
+// long 200 response is passed to it when it has started to arrive, and the returned outcome tells how it ended.
 func (r *responseReader) read(
 	method string, reportFields []string, budget *membudget.Budget, onStarted func(upstream.Outcome),
 ) (out upstream.Outcome, reusable bool) {
--- a/internal/sidecar/upstream/http1/response_test.go
+++ b/internal/sidecar/upstream/http1/response_test.go
@@ -25,8 +25,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, body)
 }
 
-// A response of any length is passed on unchanged, and its connection is reused. Up to some size, and if there is memory for it, it is
-// buffered until it is complete; otherwise it is streamed. The receiver releases the memory.
+// A response of any length is passed on unchanged, and its connection is reused. Up to some size, and if there is memory for it,
+// it is buffered until it is complete; otherwise it is streamed. The receiver releases the memory.
 func TestLargeResponses(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		for _, c := range []struct {
@@ -53,7 +53,7 @@
 				for range 3 {
 					sentAt := time.Now()
 					got := send(e, newCall())
-					if c.buffered && got.streamed && time.Since(sentAt) >= maxBufferTime { // on a busy machine it may not have arrived in time
+					if c.buffered && got.streamed && time.Since(sentAt) >= maxBufferTime { // it arrived too late: the machine is busy
 						got.Reply.Done()
 						continue
 					}
--- a/internal/sidecar/upstream/http1/stale_test.go
+++ b/internal/sidecar/upstream/http1/stale_test.go
@@ -13,8 +13,8 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// A server breaks connections that were idle for long, which shows only when the next request is written. After a few breaks no more requests
-// are written to connections that were idle for so long; others are still used.
+// A server breaks connections that were idle for long, which shows only when the next request is written. After a few breaks no
+// more requests are written to connections that were idle for so long; others are still used.
 func TestStaleConnections(t *testing.T) {
 	var breaks atomic.Bool
 	p := peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
--- a/internal/sidecar/upstream/http1/truncated_test.go
+++ b/internal/sidecar/upstream/http1/truncated_test.go
@@ -14,8 +14,8 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// A response that is truncated at any byte, by a close or a reset of the connection, is not served. A response without a length ends only with
-// a close: after a reset it is not served, even if all of it has arrived.
+// A response that is truncated at any byte, by a close or a reset of the connection, is not served. A response without a length
+// ends only with a close: after a reset it is not served, even if all of it has arrived.
 func TestAnswersTruncatedAtEachByte(t *testing.T) {
 	for name, text := range map[string]string{
 		"a length":  "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
@@ -66,7 +66,8 @@
 	return n, err
 }
 
-// A response without a length is complete only if its body ends with io.EOF itself. An error that wraps io.EOF means that it was truncated.
+// A response without a length is complete only if its body ends with io.EOF itself. An error that wraps io.EOF means that it was
+// truncated.
 func TestWrappedEOFInResponse(t *testing.T) {
 	addr := server(t, func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
--- a/internal/sidecar/upstream/reuse/reuse.go
+++ b/internal/sidecar/upstream/reuse/reuse.go
@@ -1,13 +1,14 @@
-// Package reuse estimates how long a connection to a server may have been idle and still be used for a request. It learns from the ends of
-// exchanges. Servers, and network devices between the sidecar and the servers, close idle connections after times that no setting gives.
-// A request that is written to such a connection ends as a reset: it may have been executed, so an unsafe request cannot be retried.
+// Package reuse estimates how long a connection to a server may have been idle and still be used for a request. It learns from
+// the ends of exchanges. Servers, and network devices between the sidecar and the servers, close idle connections after times
+// that no setting gives. A request that is written to such a connection ends as a reset: it may have been executed, so an unsafe
+// request cannot be retried.
 //
-// The package performs no I/O and reads no clock: it gets idle times and results with their times, and returns a limit. It does not
-// distinguish servers, because devices on the network are common to all of them, and because a sidecar with little traffic would learn
-// about each server too late.
+// The package performs no I/O and reads no clock: it gets idle times and results with their times, and returns a limit. It does
+// not distinguish servers, because devices on the network are common to all of them, and because a sidecar with little traffic
+// would learn about each server too late.
 //
-// Invariants: if connections do not break more often after having been idle, there is no limit; observations decay, so that longer idle
-// times are tried again when the cause of a limit may have gone; the limit is never below firstBucket.
+// Invariants: if connections do not break more often after having been idle, there is no limit; observations decay, so that
+// longer idle times are tried again when the cause of a limit may have gone; the limit is never below firstBucket.
 package reuse
 
 import (
@@ -16,19 +17,20 @@
 )
 
 const (
-	// firstBucket is the end of the first bucket of idle times. Each further bucket ends at twice the end of the previous one; the last has
-	// no end.
+	// firstBucket is the end of the first bucket of idle times. Each further bucket ends at twice the end of the previous one;
+	// the last has no end.
 	firstBucket = time.Millisecond
 	bucketCount = 16
 	// halfLife is the time in which the weight of an observation halves. Faults of this kind last for seconds.
 	halfLife = 10 * time.Second
-	// decayStep is the minimum time between two decays. The limit is computed for each use of a connection, and need not decay each time.
+	// decayStep is the minimum time between two decays. The limit is computed for each use of a connection, and need not decay
+	// each time.
 	decayStep = halfLife / 20
-	// tolerance is by how much the probability to break may exceed that of connections that were idle for a shorter time. A break costs
-	// the request if it is unsafe, but a new connection costs one or two round trips and some work of the server.
+	// tolerance is by how much the probability to break may exceed that of connections that were idle for a shorter time. A break
+	// costs the request if it is unsafe, but a new connection costs one or two round trips and some work of the server.
 	tolerance = 0.05
-	// minDeviations is by how many standard deviations the number of breaks must exceed the expected one. It is high because all buckets
-	// are tested for each use of a connection.
+	// minDeviations is by how many standard deviations the number of breaks must exceed the expected one. It is high because all
+	// buckets are tested for each use of a connection.
 	minDeviations = 3
 )
 
@@ -38,8 +40,8 @@
 // Fresh is the idle time of a connection that carries its first request.
 const Fresh = time.Duration(-1)
 
-// Estimator holds the observations from which MaxIdle is computed. Its zero value has none. It is not safe for concurrent use. The times given
-// to its methods must not decrease.
+// Estimator holds the observations from which MaxIdle is computed. Its zero value has none. It is not safe for concurrent use.
+// The times given to its methods must not decrease.
 type Estimator struct {
 	fresh     tally
 	buckets   [bucketCount]tally
@@ -57,8 +59,8 @@
 	}
 }
 
-// Record adds an exchange on a connection that had been idle for idleTime, or Fresh; broke is whether the connection broke during the
-// exchange. Cancelled exchanges say nothing about the connection and must not be recorded.
+// Record adds an exchange on a connection that had been idle for idleTime, or Fresh; broke is whether the connection broke during
+// the exchange. Cancelled exchanges say nothing about the connection and must not be recorded.
 func (e *Estimator) Record(now time.Time, idleTime time.Duration, broke bool) {
 	e.decay(now)
 	if idleTime < 0 {
--- a/internal/sidecar/upstream/reuse/reuse_test.go
+++ b/internal/sidecar/upstream/reuse/reuse_test.go
@@ -21,8 +21,8 @@
 	return &traffic{now: startTime, random: rand.New(rand.NewPCG(1, 2))}
 }
 
-// play simulates n uses. Idle times are exponentially distributed, and connections break with a probability that depends on the idle time.
-// It returns how many connections had been idle for too long to be used, and how many broke.
+// play simulates n uses. Idle times are exponentially distributed, and connections break with a probability that depends on the
+// idle time. It returns how many connections had been idle for too long to be used, and how many broke.
 func (r *traffic) play(n int, mean time.Duration, probability func(time.Duration) float64) (tooLong, broken int) {
 	for range n {
 		r.now = r.now.Add(10 * time.Millisecond)
@@ -40,8 +40,8 @@
 	return tooLong, broken
 }
 
-// If servers close connections after some idle time, connections that were idle for longer are soon no longer used, while nearly all others
-// are.
+// If servers close connections after some idle time, connections that were idle for longer are soon no longer used, while nearly
+// all others are.
 func TestIdleLimitIsLearned(t *testing.T) {
 	for _, closed := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, time.Second} {
 		for _, always := range []float64{0, 0.1} { // the probability to break after any idle time
