--- a/internal/sidecar/core/client_gone_test.go
+++ b/internal/sidecar/core/client_gone_test.go
@@ -15,19 +15,19 @@
 // even if the settings do not allow attempts to be cancelled.
 func TestNothingBeginsOnceTheClientHasGone(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		withCore(t, []string{"a"}, func(r *testCore) {
-			r.servers.unreachable.Store(true)
-			a := r.request("t", unsafe)
+		withCore(t, []string{"a"}, func(core *testCore) {
+			core.servers.unreachable.Store(true)
+			pending := core.request("t", unsafe)
 			synctest.Wait()
 			began := time.Now()
-			a.disconnect()
-			r.expect(a, 0, context.Canceled)
+			pending.disconnect()
+			core.expect(pending, 0, context.Canceled)
 			synctest.Wait()
-			if s := r.Stats(); s.Requests != 0 || time.Since(began) != 0 {
+			if s := core.Stats(); s.Requests != 0 || time.Since(began) != 0 {
 				t.Errorf("cancel %v: %d requests in the table", cancel, s.Requests)
 			}
 			time.Sleep(2 * time.Second)
-			r.expectNoRequests(0)
+			core.expectNoRequests(0)
 		}, func(c *balance.Config) { c.Cancel = cancel })
 	}
 }
@@ -35,41 +35,41 @@
 // The event that the client has disconnected waits behind others in the queue. An attempt that is decided before the loop handles
 // that event is not sent.
 func TestADisconnectBehindALongQueue(t *testing.T) {
-	withCore(t, []string{"a", "b"}, func(r *testCore) {
-		a := r.request("t", unsafe)
-		x := <-r.servers.sent
+	withCore(t, []string{"a", "b"}, func(core *testCore) {
+		pending := core.request("t", unsafe)
+		x := <-core.servers.sent
 		before, behind := make(chan struct{}), make(chan struct{})
-		r.post(func() { <-before })
+		core.post(func() { <-before })
 		x.outcome <- upstream.Outcome{Result: upstream.Rejected} // the module retries
 		synctest.Wait()
-		r.post(func() { <-behind })
-		a.disconnect()
+		core.post(func() { <-behind })
+		pending.disconnect()
 		synctest.Wait()
 		close(before) // the retry is decided now, before the disconnect is handled
 		synctest.Wait()
 		select {
-		case x := <-r.servers.sent:
+		case x := <-core.servers.sent:
 			t.Errorf("sent to %s for a client that has gone", x.addr)
 			go x.serve()
 		default:
 		}
 		close(behind)
 		synctest.Wait()
-		r.expect(a, 0, context.Canceled)
-		r.expectNoRequests(1) // until the deadline
+		core.expect(pending, 0, context.Canceled)
+		core.expectNoRequests(1) // until the deadline
 	})
 }
 
 // The goroutine that is about to send an attempt notices first that the client has gone. The front gets ErrClientGone, and no
 // state is left.
 func TestAnEndThatIsSeenFirstByTheSender(t *testing.T) {
-	withCore(t, []string{"a"}, func(r *testCore) {
+	withCore(t, []string{"a"}, func(core *testCore) {
 		gone := func() bool { return true }
-		_, err := r.Answer(r.t.Context(), front.Request{TraceID: "t", Class: safe, Tenant: -1, Arrived: time.Now(), Wait: time.Second, ClientGone: gone})
+		_, err := core.Answer(core.t.Context(), front.Request{TraceID: "t", Class: safe, Tenant: -1, Arrived: time.Now(), Wait: time.Second, ClientGone: gone})
 		if err != front.ErrClientGone { //nolint:errorlint // the sentinel itself, not wrapped
 			t.Errorf("%v", err)
 		}
 		time.Sleep(2 * time.Second)
-		r.expectNoRequests(0)
+		core.expectNoRequests(0)
 	})
 }
--- a/internal/sidecar/core/fakes_test.go
+++ b/internal/sidecar/core/fakes_test.go
@@ -110,13 +110,13 @@
 
 // withCore runs a test in virtual time with a core that knows the servers with these names; change modifies the module's
 // configuration.
-func withCore(t *testing.T, names []string, test func(r *testCore), change ...func(*balance.Config)) {
+func withCore(t *testing.T, names []string, test func(core *testCore), change ...func(*balance.Config)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		class := func(e balance.Effect) balance.Class {
 			return balance.Class{Effect: e, Window: 500, LatencyTarget: 500, Deadline: 1000, Value: 1}
 		}
-		r := &testCore{
+		core := &testCore{
 			t: t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)},
 			stopped: make(chan struct{}),
 		}
@@ -127,14 +127,14 @@
 		for _, f := range change {
 			f(&module)
 		}
-		log := slog.New(slog.NewTextHandler(noWarnings{t, &r.allowWarnings}, &slog.HandlerOptions{Level: slog.LevelWarn}))
-		r.Loop = New(Config{Module: module, Known: completeList(1, names...)}, r.source, r.servers, log)
+		log := slog.New(slog.NewTextHandler(noWarnings{t, &core.allowWarnings}, &slog.HandlerOptions{Level: slog.LevelWarn}))
+		core.Loop = New(Config{Module: module, Known: completeList(1, names...)}, core.source, core.servers, log)
 		ctx, stop := context.WithCancel(t.Context())
-		r.stop = stop
-		go func() { r.Run(ctx); close(r.stopped) }()
-		test(r)
+		core.stop = stop
+		go func() { core.Run(ctx); close(core.stopped) }()
+		test(core)
 		stop()
-		<-r.stopped
+		<-core.stopped
 	})
 }
 
@@ -147,37 +147,37 @@
 }
 
 // request passes a request to the core in its own goroutine, as a front does.
-func (r *testCore) request(trace string, class int) *pendingRequest {
-	return r.requestWith(trace, class, message.Request{})
+func (core *testCore) request(trace string, class int) *pendingRequest {
+	return core.requestWith(trace, class, message.Request{})
 }
 
-func (r *testCore) requestWith(trace string, class int, m message.Request) *pendingRequest {
-	ctx, cancel := context.WithCancel(r.t.Context())
-	a := &pendingRequest{done: make(chan struct{}), disconnect: cancel}
+func (core *testCore) requestWith(trace string, class int, m message.Request) *pendingRequest {
+	ctx, cancel := context.WithCancel(core.t.Context())
+	pending := &pendingRequest{done: make(chan struct{}), disconnect: cancel}
 	go func() {
-		defer close(a.done)
-		a.answer, a.err = r.Answer(ctx, front.Request{
+		defer close(pending.done)
+		pending.answer, pending.err = core.Answer(ctx, front.Request{
 			TraceID: trace, Class: class, Tenant: -1, Arrived: time.Now(), Wait: time.Second, Message: m,
 		})
 	}()
-	return a
+	return pending
 }
 
 // expect waits for the answer to a request and checks it.
-func (r *testCore) expect(a *pendingRequest, want front.Verdict, err error) {
-	r.t.Helper()
-	<-a.done
-	if a.err != err || err == nil && a.answer.Verdict != want { //nolint:errorlint // the sentinel itself, not wrapped
-		r.t.Errorf("verdict %v, error %v; want %v, %v", a.answer.Verdict, a.err, want, err)
+func (core *testCore) expect(pending *pendingRequest, want front.Verdict, err error) {
+	core.t.Helper()
+	<-pending.done
+	if pending.err != err || err == nil && pending.answer.Verdict != want { //nolint:errorlint // the sentinel itself, not wrapped
+		core.t.Errorf("verdict %v, error %v; want %v, %v", pending.answer.Verdict, pending.err, want, err)
 	}
 }
 
 // expectNoRequests checks that no request is in the table, and the number of reserved ids.
-func (r *testCore) expectNoRequests(ids int) {
-	r.t.Helper()
+func (core *testCore) expectNoRequests(ids int) {
+	core.t.Helper()
 	synctest.Wait()
-	if s := r.Stats(); s.Requests != 0 || s.IDs != ids {
-		r.t.Errorf("%d requests in the table and %d ids reserved, want 0 and %d", s.Requests, s.IDs, ids)
+	if s := core.Stats(); s.Requests != 0 || s.IDs != ids {
+		core.t.Errorf("%d requests in the table and %d ids reserved, want 0 and %d", s.Requests, s.IDs, ids)
 	}
 }
 
--- a/internal/sidecar/core/snapshot_test.go
+++ b/internal/sidecar/core/snapshot_test.go
@@ -14,28 +14,28 @@
 )
 
 // snapshot returns the snapshot that a core hands over, after encoding and decoding it.
-func (r *testCore) snapshot() (l Snapshot) {
-	r.t.Helper()
+func (core *testCore) snapshot() (l Snapshot) {
+	core.t.Helper()
 	var text []byte
 	var err error
-	if !r.Snapshot(func(l Snapshot) { text, err = json.Marshal(l) }) || err != nil {
-		r.t.Fatal(err)
+	if !core.Snapshot(func(l Snapshot) { text, err = json.Marshal(l) }) || err != nil {
+		core.t.Fatal(err)
 	}
 	if err := json.Unmarshal(text, &l); err != nil {
-		r.t.Fatal(err)
+		core.t.Fatal(err)
 	}
 	return l
 }
 
 // successor runs a core that starts from another's snapshot; stop ends it.
-func (r *testCore) successor(from Snapshot) (next *testCore, stop func()) {
-	r.t.Helper()
+func (core *testCore) successor(from Snapshot) (next *testCore, stop func()) {
+	core.t.Helper()
 	next = &testCore{
-		t: r.t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)},
+		t: core.t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)},
 		stopped: make(chan struct{}),
 	}
-	next.Loop = New(Config{Module: r.config.Module, Known: completeList(1, "outdated"), Previous: &from}, next.source, next.servers, r.log)
-	ctx, cancel := context.WithCancel(r.t.Context())
+	next.Loop = New(Config{Module: core.config.Module, Known: completeList(1, "outdated"), Previous: &from}, next.source, next.servers, core.log)
+	ctx, cancel := context.WithCancel(core.t.Context())
 	go func() { next.Run(ctx); close(next.stopped) }()
 	return next, func() { cancel(); <-next.stopped }
 }
@@ -43,29 +43,29 @@
 // The next process starts with the list of the previous one, including changed, draining and removed servers, and with its
 // generation. It never sends to a draining server, not even with its first request.
 func TestServerListIsHandedOver(t *testing.T) {
-	withCore(t, []string{"a", "b", "c", "d"}, func(r *testCore) {
-		r.source.lists <- member.List{Generation: 7, Instances: []member.Instance{
+	withCore(t, []string{"a", "b", "c", "d"}, func(core *testCore) {
+		core.source.lists <- member.List{Generation: 7, Instances: []member.Instance{
 			{ID: "a", Addr: "a", Weight: 1, State: member.Draining}, {ID: "b", State: member.Removed},
 			{ID: "c", Addr: "c2", Weight: 2, Zone: "z", Cell: 3, Started: time.Now()},
 		}}
 		synctest.Wait()
-		from := r.snapshot()
+		from := core.snapshot()
 		if from.List.Generation != 7 || len(from.List.Instances) != 3 {
 			t.Fatalf("%+v", from.List)
 		}
-		next, stop := r.successor(from)
+		next, stop := core.successor(from)
 		defer stop()
 		if again := next.snapshot(); !reflect.DeepEqual(again.List, from.List) {
 			t.Errorf("%+v\n%+v", again.List, from.List)
 		}
 		for range 20 {
-			a := next.request(time.Now().String(), safe)
+			pending := next.request(time.Now().String(), safe)
 			x := <-next.servers.sent
 			if x.addr != "c2" && x.addr != "d" {
 				t.Errorf("sent to %q", x.addr)
 			}
 			x.serve()
-			next.expect(a, front.Served, nil)
+			next.expect(pending, front.Served, nil)
 			time.Sleep(time.Millisecond)
 		}
 	})
@@ -73,18 +73,18 @@
 
 // The id of a request that is open, or was answered before its deadline, is reserved in the next process too, until the deadline.
 func TestIDsAreHandedOver(t *testing.T) {
-	withCore(t, []string{"a"}, func(r *testCore) {
-		answered := r.request("answered", unsafe)
-		(<-r.servers.sent).serve()
-		r.expect(answered, front.Served, nil)
-		open := r.request("open", unsafe)
-		x := <-r.servers.sent
-		next, stop := r.successor(r.snapshot())
+	withCore(t, []string{"a"}, func(core *testCore) {
+		answered := core.request("answered", unsafe)
+		(<-core.servers.sent).serve()
+		core.expect(answered, front.Served, nil)
+		open := core.request("open", unsafe)
+		x := <-core.servers.sent
+		next, stop := core.successor(core.snapshot())
 		defer stop()
 		next.expect(next.request("open", unsafe), 0, front.ErrInUse)
 		next.expect(next.request("answered", unsafe), 0, front.ErrInUse)
 		x.serve()
-		r.expect(open, front.Served, nil)
+		core.expect(open, front.Served, nil)
 		time.Sleep(time.Second + 2*batchInterval)
 		again := next.request("open", unsafe)
 		(<-next.servers.sent).serve()
