--- a/internal/sidecar/admission/controller.go
+++ b/internal/sidecar/admission/controller.go
@@ -144,7 +144,7 @@
 	return values
 }
 
-// RequestStarted records that a request has started on a connection.
+// RequestStarted records that a request has begun on a connection, which is busy until ResponseDone, Closing or Closed.
 func (ctl *Controller) RequestStarted(c *Conn, now time.Time) {
 	if c.state == idle {
 		c.requested = true
@@ -251,9 +251,9 @@
 	return stats
 }
 
-// remove takes an open connection out of the records.
+// remove removes an open connection from its list and from the count of open connections.
 func (ctl *Controller) remove(c *Conn, now time.Time) {
-	if c.state != closing { // its idle time did not end with a response, but all of it until now was without one
+	if c.state != closing { // it is not known when a response would have come, only that none came until now
 		ctl.observe(c, now)
 	}
 	ctl.unlink(c)
--- a/internal/sidecar/admission/controller_test.go
+++ b/internal/sidecar/admission/controller_test.go
@@ -24,28 +24,28 @@
 	return &harness{t, New(Config{MaxConnections: maximum, Horizon: 750 * time.Millisecond}, began), began}
 }
 
-func (r *harness) wait(d time.Duration) { r.now = r.now.Add(d) }
+func (h *harness) wait(d time.Duration) { h.now = h.now.Add(d) }
 
 // connect opens a connection, which must be admitted.
-func (r *harness) connect() *Conn {
-	r.t.Helper()
+func (h *harness) connect() *Conn {
+	h.t.Helper()
 	c := &Conn{}
-	if _, admitted := r.controller.Admit(c, r.now, always); !admitted {
-		r.t.Fatalf("rejected: %+v", r.controller.Stats())
+	if _, admitted := h.controller.Admit(c, h.now, always); !admitted {
+		h.t.Fatalf("rejected: %+v", h.controller.Stats())
 	}
 	return c
 }
 
 // serve plays one request on a connection, and its response after a time; it reports whether the response closed the connection.
-func (r *harness) serve(c *Conn, after time.Duration) bool {
-	r.controller.RequestStarted(c, r.now)
-	r.wait(after)
-	if r.controller.ResponseStarted(c, r.now) {
-		r.controller.Closing(c, r.now)
-		r.controller.Closed(c, r.now)
+func (h *harness) serve(c *Conn, after time.Duration) bool {
+	h.controller.RequestStarted(c, h.now)
+	h.wait(after)
+	if h.controller.ResponseStarted(c, h.now) {
+		h.controller.Closing(c, h.now)
+		h.controller.Closed(c, h.now)
 		return true
 	}
-	r.controller.ResponseDone(c, r.now)
+	h.controller.ResponseDone(c, h.now)
 	return false
 }
 
@@ -84,8 +84,8 @@
 func TestNewClientsEvictEachOther(t *testing.T) {
 	for name, sendsRequest := range map[string]bool{"one request": true, "no request": false} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 60)
-			o := &ordinaryClients{harness: r, random: rand.New(rand.NewPCG(3, 4)), conns: make([]*Conn, 20)}
+			h := newHarness(t, 60)
+			o := &ordinaryClients{harness: h, random: rand.New(rand.NewPCG(3, 4)), conns: make([]*Conn, 20)}
 			for range 1000 {
 				o.step()
 			}
@@ -93,13 +93,13 @@
 			for range 1500 {
 				o.step()
 				if c := (&Conn{}); true {
-					if _, admitted := r.controller.Admit(c, r.now, always); admitted && sendsRequest {
-						r.serve(c, 0)
+					if _, admitted := h.controller.Admit(c, h.now, always); admitted && sendsRequest {
+						h.serve(c, 0)
 					}
 				}
 			}
 			if o.requests < 500 || o.reconnected > o.requests/20 || o.rejected > 0 {
-				t.Errorf("of %d requests %d came on new connections, %d of these were rejected; %+v", o.requests, o.reconnected, o.rejected, r.controller.Stats())
+				t.Errorf("of %d requests %d came on new connections, %d of these were rejected; %+v", o.requests, o.reconnected, o.rejected, h.controller.Stats())
 			}
 		})
 	}
@@ -108,32 +108,32 @@
 // When clients change to one connection per request, responses close their connections within a few dozen requests. When they
 // change back, connections stay open again.
 func TestClientBehaviourChanges(t *testing.T) {
-	r := newHarness(t, 200)
-	o := &ordinaryClients{harness: r, random: rand.New(rand.NewPCG(5, 6)), conns: make([]*Conn, 20)}
+	h := newHarness(t, 200)
+	o := &ordinaryClients{harness: h, random: rand.New(rand.NewPCG(5, 6)), conns: make([]*Conn, 20)}
 	for range 1000 {
 		o.step()
 	}
 	ended := 0
 	for range 200 {
-		if r.serve(r.connect(), 20*time.Millisecond) {
+		if h.serve(h.connect(), 20*time.Millisecond) {
 			ended++
 		}
 	}
 	if ended < 50 {
 		t.Errorf("%d of 200 connections with one request were closed", ended)
 	}
-	r.wait(60 * time.Second)
-	for _, c := range r.controller.IdleFor(r.now, time.Second) {
-		r.controller.Closed(c, r.now)
+	h.wait(60 * time.Second)
+	for _, c := range h.controller.IdleFor(h.now, time.Second) {
+		h.controller.Closed(c, h.now)
 	}
 	open := 0
 	for range 20 {
-		c := r.connect()
+		c := h.connect()
 		for range 5 {
-			if c.state == notOpen || r.serve(c, 20*time.Millisecond) {
+			if c.state == notOpen || h.serve(c, 20*time.Millisecond) {
 				break
 			}
-			r.wait(80 * time.Millisecond)
+			h.wait(80 * time.Millisecond)
 		}
 		if c.state == idle {
 			open++
@@ -146,9 +146,9 @@
 
 // Responses close no connection far below the maximum, whatever clients do.
 func TestNothingIsClosedFarBelowTheMaximum(t *testing.T) {
-	r := newHarness(t, 10000)
+	h := newHarness(t, 10000)
 	for range 400 {
-		if r.serve(r.connect(), 20*time.Millisecond) {
+		if h.serve(h.connect(), 20*time.Millisecond) {
 			t.Fatal("closed")
 		}
 	}
@@ -157,48 +157,48 @@
 // A connection with a request in progress, or with unread bytes, is never evicted. If there is no other, a new connection is
 // rejected.
 func TestBusyAndUnreadAreNeverEvicted(t *testing.T) {
-	r := newHarness(t, 2)
-	busyConn, unread := r.connect(), r.connect()
-	r.controller.RequestStarted(busyConn, r.now)
-	r.wait(time.Hour)
-	evicted, admitted := r.controller.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != unread })
+	h := newHarness(t, 2)
+	busyConn, unread := h.connect(), h.connect()
+	h.controller.RequestStarted(busyConn, h.now)
+	h.wait(time.Hour)
+	evicted, admitted := h.controller.Admit(&Conn{}, h.now, func(c *Conn) bool { return c != unread })
 	if evicted != nil || admitted {
 		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
-	r.controller.Closing(busyConn, r.now) // its last response was written
-	if evicted, admitted = r.controller.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != unread }); evicted != busyConn || !admitted {
+	h.controller.Closing(busyConn, h.now) // its last response was written
+	if evicted, admitted = h.controller.Admit(&Conn{}, h.now, func(c *Conn) bool { return c != unread }); evicted != busyConn || !admitted {
 		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
 }
 
 // A new connection is not evicted within FirstRequestGrace; afterwards one without a request is.
 func TestFirstRequestGrace(t *testing.T) {
-	r := newHarness(t, 1)
-	first := r.connect()
-	r.wait(FirstRequestGrace - 1)
-	if _, admitted := r.controller.Admit(&Conn{}, r.now, always); admitted {
+	h := newHarness(t, 1)
+	first := h.connect()
+	h.wait(FirstRequestGrace - 1)
+	if _, admitted := h.controller.Admit(&Conn{}, h.now, always); admitted {
 		t.Error("evicted within the grace")
 	}
-	r.wait(1)
+	h.wait(1)
 	second := &Conn{}
-	if evicted, admitted := r.controller.Admit(second, r.now, always); evicted != first || !admitted {
+	if evicted, admitted := h.controller.Admit(second, h.now, always); evicted != first || !admitted {
 		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
-	r.controller.RequestStarted(second, r.now) // a request whose response is not counted, such as a health check
-	r.controller.ResponseDone(second, r.now)
-	if evicted, admitted := r.controller.Admit(&Conn{}, r.now, always); evicted != second || !admitted {
+	h.controller.RequestStarted(second, h.now) // a request whose response is not counted, such as a health check
+	h.controller.ResponseDone(second, h.now)
+	if evicted, admitted := h.controller.Admit(&Conn{}, h.now, always); evicted != second || !admitted {
 		t.Errorf("after a request: evicted %v, admitted %v", evicted, admitted)
 	}
 }
 
 // Of two connections with the same history the one that has been idle for longer is evicted first.
 func TestLongestIdleIsEvictedFirst(t *testing.T) {
-	r := newHarness(t, 2)
-	first := r.connect()
-	r.wait(time.Second)
-	r.connect()
-	r.wait(time.Second)
-	if evicted, _ := r.controller.Admit(&Conn{}, r.now, always); evicted != first {
+	h := newHarness(t, 2)
+	first := h.connect()
+	h.wait(time.Second)
+	h.connect()
+	h.wait(time.Second)
+	if evicted, _ := h.controller.Admit(&Conn{}, h.now, always); evicted != first {
 		t.Error("not the first")
 	}
 }
--- a/internal/sidecar/admission/doc.go
+++ b/internal/sidecar/admission/doc.go
@@ -4,8 +4,8 @@
 // whether a request is served.
 //
 // The value of a connection is derived from the probability that it sends another request soon. The probability is learned from
-// connections with the same history, which have never sent a request, or have sent one, a few or many, and from their behaviour
-// after the same idle time. Observations decay exponentially, so a change in the clients' behaviour is learned within seconds.
+// how connections with the same history (no request so far, one, a few or many) behaved after the same idle time. Observations
+// decay exponentially, so a change in the clients' behaviour is learned within seconds.
 //
 // Invariants: a connection is in exactly one list from Admit to Closed; no more than MaxConnections are open; one with a
 // request in progress is never evicted; of two idle connections with the same history the one that has been idle for longer is
--- a/internal/sidecar/connlimit/close_test.go
+++ b/internal/sidecar/connlimit/close_test.go
@@ -65,8 +65,8 @@
 }
 
 // A connection on which the client's machine has not acknowledged all of the last response is not evicted, and CloseIdle does not
-// close it at once. The next request may be arriving; closing the connection over it would send a reset and discard the rest of
-// the response. The test plays both orders: CloseIdle before the next request, and after it.
+// close it at once. The next request may be arriving; closing the connection with that request unread would send a reset and
+// discard the rest of the response. The test plays both orders: CloseIdle before the next request, and after it.
 func TestAnAnswerOnItsWayIsNotResetAway(t *testing.T) {
 	for _, first := range []string{"the close", "the request"} {
 		l, c, in, written := slowReader(t, false)
--- a/internal/sidecar/connlimit/limiter.go
+++ b/internal/sidecar/connlimit/limiter.go
@@ -1,6 +1,6 @@
 // Package connlimit limits the number of client connections of an HTTP front. It is the front's listener and carries out the
-// decisions of package admission. It knows whether a request is in progress on a connection, and parses no more of a request than
-// the end of its head.
+// decisions of package admission. It tracks whether a request is in progress on a connection, and looks no further into a request
+// than the end of its head.
 //
 // Invariants: no more than MaxConnections are open, besides up to MaxRejecting that are being rejected. Accept does not wait for
 // the client of any connection. A connection with a request in progress, with unread bytes, or with response bytes that the
--- a/internal/sidecar/upstream/reuse/reuse_test.go
+++ b/internal/sidecar/upstream/reuse/reuse_test.go
@@ -23,16 +23,16 @@
 
 // play simulates n uses. Idle times are exponentially distributed, and connections break with a probability that depends on the
 // idle time. It returns how many connections had been idle for too long to be used, and how many broke.
-func (r *traffic) play(n int, mean time.Duration, probability func(time.Duration) float64) (tooLong, broken int) {
+func (tr *traffic) play(n int, mean time.Duration, probability func(time.Duration) float64) (tooLong, broken int) {
 	for range n {
-		r.now = r.now.Add(10 * time.Millisecond)
-		idleTime := time.Duration(r.random.ExpFloat64() * float64(mean))
-		if idleTime > r.MaxIdle(r.now) {
+		tr.now = tr.now.Add(10 * time.Millisecond)
+		idleTime := time.Duration(tr.random.ExpFloat64() * float64(mean))
+		if idleTime > tr.MaxIdle(tr.now) {
 			idleTime = Fresh
 			tooLong++
 		}
-		broke := r.random.Float64() < probability(idleTime)
-		r.Record(r.now, idleTime, broke)
+		broke := tr.random.Float64() < probability(idleTime)
+		tr.Record(tr.now, idleTime, broke)
 		if broke {
 			broken++
 		}
@@ -45,18 +45,18 @@
 func TestIdleLimitIsLearned(t *testing.T) {
 	for _, closed := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond, time.Second} {
 		for _, always := range []float64{0, 0.1} { // the probability to break after any idle time
-			r := newTraffic()
+			tr := newTraffic()
 			probability := func(idleTime time.Duration) float64 {
 				if idleTime > closed {
 					return always + 0.5
 				}
 				return always
 			}
-			r.play(1000, 2*closed, probability)
-			if limit := r.MaxIdle(r.now); limit > 2*closed || limit < closed/4 {
+			tr.play(1000, 2*closed, probability)
+			if limit := tr.MaxIdle(tr.now); limit > 2*closed || limit < closed/4 {
 				t.Errorf("closed after %v, %.1f break at any idle time: the limit is %v", closed, always, limit)
 			}
-			_, broken := r.play(1000, 2*closed, probability)
+			_, broken := tr.play(1000, 2*closed, probability)
 			if limit := int(1000*always) + 80; broken > limit {
 				t.Errorf("closed after %v, %.1f break at any idle time: %d of 1000 broke", closed, always, broken)
 			}
@@ -67,8 +67,8 @@
 // If connections break equally often after any idle time, however often that is, they continue to be used.
 func TestNoLimitIfIdleTimeDoesNotMatter(t *testing.T) {
 	for _, always := range []float64{0, 0.1, 0.3} {
-		r := newTraffic()
-		if tooLong, _ := r.play(5000, 200*time.Millisecond, func(time.Duration) float64 { return always }); tooLong > 250 {
+		tr := newTraffic()
+		if tooLong, _ := tr.play(5000, 200*time.Millisecond, func(time.Duration) float64 { return always }); tooLong > 250 {
 			t.Errorf("%.1f break: %d of 5000 were not used", always, tooLong)
 		}
 	}
@@ -76,21 +76,21 @@
 
 // After a fault has ended, idle connections are used again within a few half-lives.
 func TestLimitIsForgotten(t *testing.T) {
-	r := newTraffic()
-	if r.MaxIdle(r.now) != Unlimited {
+	tr := newTraffic()
+	if tr.MaxIdle(tr.now) != Unlimited {
 		t.Error("there is a limit although nothing was recorded")
 	}
-	r.play(2000, 200*time.Millisecond, func(idleTime time.Duration) float64 {
+	tr.play(2000, 200*time.Millisecond, func(idleTime time.Duration) float64 {
 		if idleTime > 50*time.Millisecond {
 			return 0.6
 		}
 		return 0
 	})
-	if limit := r.MaxIdle(r.now); limit > 50*time.Millisecond {
+	if limit := tr.MaxIdle(tr.now); limit > 50*time.Millisecond {
 		t.Fatalf("the limit is %v", limit)
 	}
-	r.play(100*60, 200*time.Millisecond, func(time.Duration) float64 { return 0 })
-	if limit := r.MaxIdle(r.now); limit < time.Second {
+	tr.play(100*60, 200*time.Millisecond, func(time.Duration) float64 { return 0 })
+	if limit := tr.MaxIdle(tr.now); limit < time.Second {
 		t.Errorf("a minute later the limit is %v", limit)
 	}
 }
@@ -118,9 +118,9 @@
 //
 //	go test ./internal/sidecar/upstream/reuse -run - -bench MaxIdle
 func BenchmarkMaxIdle(b *testing.B) {
-	r := newTraffic()
-	r.play(1000, 200*time.Millisecond, func(time.Duration) float64 { return 0.1 })
+	tr := newTraffic()
+	tr.play(1000, 200*time.Millisecond, func(time.Duration) float64 { return 0.1 })
 	for b.Loop() {
-		r.MaxIdle(r.now)
+		tr.MaxIdle(tr.now)
 	}
 }
