--- a/internal/sidecar/upstream/http1/pool_test.go
+++ b/internal/sidecar/upstream/http1/pool_test.go
@@ -16,6 +16,7 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
+// testPool returns a pool that opens TCP connections.
 func testPool(maxConnections int) *Pool {
 	return New(Settings{
 		MaxConnections: maxConnections, ConnectTimeout: 5 * time.Second, IdleTimeout: 8 * time.Second, DrainGrace: 250 * time.Millisecond,
@@ -31,6 +32,7 @@
 	e.notAcceptingSince.Store(int64(time.Since(e.pool.epoch) - ago))
 }
 
+// newCall returns a call of a GET request that expires in 30 s.
 func newCall() *upstream.Call {
 	return &upstream.Call{Message: message.Request{Method: "GET", Target: "/look"}, Expires: time.Now().Add(30 * time.Second)}
 }
@@ -235,7 +237,7 @@
 }
 
 // At the limit on connections, an idle connection of another server is closed for a call. If there is none, the call is not sent,
-// and its result does not blame the server.
+// and its result says nothing about the server.
 func TestConnectionLimit(t *testing.T) {
 	got := make(chan struct{}, 1)
 	busy := peertest.NewPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
