--- a/internal/sidecar/admission/controller_test.go
+++ b/internal/sidecar/admission/controller_test.go
@@ -13,7 +13,7 @@
 
 func always(*Conn) bool { return true }
 
-// harness is a controller with its own clock.
+// harness is a controller with a clock that the test advances.
 type harness struct {
 	t          *testing.T
 	controller *Controller
@@ -24,28 +24,28 @@
 	return &harness{t, New(Config{MaxConnections: maximum, Horizon: 750 * time.Millisecond}, began), began}
 }
 
-func (r *harness) wait(d time.Duration) { r.now = r.now.Add(d) }
+func (h *harness) wait(d time.Duration) { h.now = h.now.Add(d) }
 
-// connect has a client connect, which must be admitted.
-func (r *harness) connect() *Conn {
-	r.t.Helper()
+// connect opens a connection, which must be admitted.
+func (h *harness) connect() *Conn {
+	h.t.Helper()
 	c := &Conn{}
-	if _, admitted := r.controller.Admit(c, r.now, always); !admitted {
-		r.t.Fatalf("rejected: %+v", r.controller.Stats())
+	if _, admitted := h.controller.Admit(c, h.now, always); !admitted {
+		h.t.Fatalf("rejected: %+v", h.controller.Stats())
 	}
 	return c
 }
 
-// serve has a connection send one request and get the response after a time; it reports whether that closed the connection.
-func (r *harness) serve(c *Conn, after time.Duration) bool {
-	r.controller.RequestStarted(c, r.now)
-	r.wait(after)
-	if r.controller.ResponseStarted(c, r.now) {
-		r.controller.Closing(c, r.now)
-		r.controller.Closed(c, r.now)
+// serve plays one request on a connection, and its response after a time; it reports whether the response closed the connection.
+func (h *harness) serve(c *Conn, after time.Duration) bool {
+	h.controller.RequestStarted(c, h.now)
+	h.wait(after)
+	if h.controller.ResponseStarted(c, h.now) {
+		h.controller.Closing(c, h.now)
+		h.controller.Closed(c, h.now)
 		return true
 	}
-	r.controller.ResponseDone(c, r.now)
+	h.controller.ResponseDone(c, h.now)
 	return false
 }
 
@@ -79,13 +79,13 @@
 	}
 }
 
-// Of 500 new clients a second, in a second and a half ten times as many as may connect, each evicts another, whether they send one request
-// and stay connected or send none: ordinary clients keep their connections.
-func TestACrowdEvictsItself(t *testing.T) {
+// 500 new clients a second connect for three seconds, far more than may be connected, and either send one request and stay
+// connected or send none. They must evict each other, while ordinary clients keep their connections.
+func TestNewClientsEvictEachOther(t *testing.T) {
 	for name, sendsRequest := range map[string]bool{"one request": true, "no request": false} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, 60)
-			o := &ordinaryClients{harness: r, random: rand.New(rand.NewPCG(3, 4)), conns: make([]*Conn, 20)}
+			h := newHarness(t, 60)
+			o := &ordinaryClients{harness: h, random: rand.New(rand.NewPCG(3, 4)), conns: make([]*Conn, 20)}
 			for range 1000 {
 				o.step()
 			}
@@ -93,47 +93,47 @@
 			for range 1500 {
 				o.step()
 				if c := (&Conn{}); true {
-					if _, admitted := r.controller.Admit(c, r.now, always); admitted && sendsRequest {
-						r.serve(c, 0)
+					if _, admitted := h.controller.Admit(c, h.now, always); admitted && sendsRequest {
+						h.serve(c, 0)
 					}
 				}
 			}
 			if o.requests < 500 || o.reconnected > o.requests/20 || o.rejected > 0 {
-				t.Errorf("of %d requests %d came on new connections, %d of these were rejected; %+v", o.requests, o.reconnected, o.rejected, r.controller.Stats())
+				t.Errorf("of %d requests %d came on new connections, %d of these were rejected; %+v", o.requests, o.reconnected, o.rejected, h.controller.Stats())
 			}
 		})
 	}
 }
 
-// When clients change to a connection for each request, responses close their connections within a few dozen requests; when they change
-// back, connections stay open again.
-func TestClientsThatChange(t *testing.T) {
-	r := newHarness(t, 200)
-	o := &ordinaryClients{harness: r, random: rand.New(rand.NewPCG(5, 6)), conns: make([]*Conn, 20)}
+// When clients change to one connection per request, responses close their connections within a few dozen requests. When they
+// change back, connections stay open again.
+func TestClientBehaviourChanges(t *testing.T) {
+	h := newHarness(t, 200)
+	o := &ordinaryClients{harness: h, random: rand.New(rand.NewPCG(5, 6)), conns: make([]*Conn, 20)}
 	for range 1000 {
 		o.step()
 	}
 	ended := 0
 	for range 200 {
-		if r.serve(r.connect(), 20*time.Millisecond) {
+		if h.serve(h.connect(), 20*time.Millisecond) {
 			ended++
 		}
 	}
 	if ended < 50 {
 		t.Errorf("%d of 200 connections with one request were closed", ended)
 	}
-	r.wait(60 * time.Second)
-	for _, c := range r.controller.IdleSince(r.now, time.Second) {
-		r.controller.Closed(c, r.now)
+	h.wait(60 * time.Second)
+	for _, c := range h.controller.IdleFor(h.now, time.Second) {
+		h.controller.Closed(c, h.now)
 	}
 	open := 0
 	for range 20 {
-		c := r.connect()
+		c := h.connect()
 		for range 5 {
-			if c.state == notOpen || r.serve(c, 20*time.Millisecond) {
+			if c.state == notOpen || h.serve(c, 20*time.Millisecond) {
 				break
 			}
-			r.wait(80 * time.Millisecond)
+			h.wait(80 * time.Millisecond)
 		}
 		if c.state == idle {
 			open++
@@ -144,66 +144,67 @@
 	}
 }
 
-// Nothing is closed far below the maximum, whatever clients do.
-func TestFarBelowTheMaximum(t *testing.T) {
-	r := newHarness(t, 10000)
+// Responses close no connection far below the maximum, whatever clients do.
+func TestNothingIsClosedFarBelowTheMaximum(t *testing.T) {
+	h := newHarness(t, 10000)
 	for range 400 {
-		if r.serve(r.connect(), 20*time.Millisecond) {
+		if h.serve(h.connect(), 20*time.Millisecond) {
 			t.Fatal("closed")
 		}
 	}
 }
 
-// A connection with a request in progress, or with unread bytes, is never evicted; where all are like that, a new one is rejected.
-func TestWhatIsNeverEvicted(t *testing.T) {
-	r := newHarness(t, 2)
-	busyConn, unread := r.connect(), r.connect()
-	r.controller.RequestStarted(busyConn, r.now)
-	r.wait(time.Hour)
-	evicted, admitted := r.controller.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != unread })
+// A connection with a request in progress, or with unread bytes, is never evicted. If there is no other, a new connection is
+// rejected.
+func TestBusyAndUnreadAreNeverEvicted(t *testing.T) {
+	h := newHarness(t, 2)
+	busyConn, unread := h.connect(), h.connect()
+	h.controller.RequestStarted(busyConn, h.now)
+	h.wait(time.Hour)
+	evicted, admitted := h.controller.Admit(&Conn{}, h.now, func(c *Conn) bool { return c != unread })
 	if evicted != nil || admitted {
 		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
-	r.controller.Closing(busyConn, r.now) // it had its last response, and is of no more use
-	if evicted, admitted = r.controller.Admit(&Conn{}, r.now, func(c *Conn) bool { return c != unread }); evicted != busyConn || !admitted {
+	h.controller.Closing(busyConn, h.now) // its last response was written
+	if evicted, admitted = h.controller.Admit(&Conn{}, h.now, func(c *Conn) bool { return c != unread }); evicted != busyConn || !admitted {
 		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
 }
 
-// A new connection is not evicted within FirstRequestGrace; one that has sent no request after that is.
+// A new connection is not evicted within FirstRequestGrace; afterwards one without a request is.
 func TestFirstRequestGrace(t *testing.T) {
-	r := newHarness(t, 1)
-	first := r.connect()
-	r.wait(FirstRequestGrace - 1)
-	if _, admitted := r.controller.Admit(&Conn{}, r.now, always); admitted {
+	h := newHarness(t, 1)
+	first := h.connect()
+	h.wait(FirstRequestGrace - 1)
+	if _, admitted := h.controller.Admit(&Conn{}, h.now, always); admitted {
 		t.Error("evicted within the grace")
 	}
-	r.wait(1)
+	h.wait(1)
 	second := &Conn{}
-	if evicted, admitted := r.controller.Admit(second, r.now, always); evicted != first || !admitted {
+	if evicted, admitted := h.controller.Admit(second, h.now, always); evicted != first || !admitted {
 		t.Errorf("evicted %v, admitted %v", evicted, admitted)
 	}
-	r.controller.RequestStarted(second, r.now) // one whose response does not count, such as a health check
-	r.controller.ResponseDone(second, r.now)
-	if evicted, admitted := r.controller.Admit(&Conn{}, r.now, always); evicted != second || !admitted {
+	h.controller.RequestStarted(second, h.now) // a request whose response is not counted, such as a health check
+	h.controller.ResponseDone(second, h.now)
+	if evicted, admitted := h.controller.Admit(&Conn{}, h.now, always); evicted != second || !admitted {
 		t.Errorf("after a request: evicted %v, admitted %v", evicted, admitted)
 	}
 }
 
-// Of two with the same history the one that has been idle for longer is evicted first.
-func TestTheLongestIdleIsEvictedFirst(t *testing.T) {
-	r := newHarness(t, 2)
-	first := r.connect()
-	r.wait(time.Second)
-	r.connect()
-	r.wait(time.Second)
-	if evicted, _ := r.controller.Admit(&Conn{}, r.now, always); evicted != first {
+// Of two connections with the same history the one that has been idle for longer is evicted first.
+func TestLongestIdleIsEvictedFirst(t *testing.T) {
+	h := newHarness(t, 2)
+	first := h.connect()
+	h.wait(time.Second)
+	h.connect()
+	h.wait(time.Second)
+	if evicted, _ := h.controller.Admit(&Conn{}, h.now, always); evicted != first {
 		t.Error("not the first")
 	}
 }
 
-// The rates are those of the clients, whatever their scale: connections that send a request after a random time with a mean are expected
-// to do so.
+// Rates are learned at any time scale: for connections that send requests after exponentially distributed idle times, the
+// expected rate is that of the distribution.
 func TestRatesAreLearned(t *testing.T) {
 	for _, mean := range []time.Duration{20 * time.Millisecond, time.Second} {
 		var r rates
@@ -219,13 +220,13 @@
 			}
 		}
 		if got := r.probability(regular, 0, mean); got < 0.6 || got > 0.66 { // 1 - 1/e
-			t.Errorf("mean %v: %.2f within it", mean, got)
+			t.Errorf("mean %v: probability %.2f within the mean, want 0.63", mean, got)
 		}
 	}
 }
 
 // An idle time that is observed in parts counts as if it were observed at once.
-func TestIdleTimesInParts(t *testing.T) {
+func TestIdleTimeObservedInParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cuts := rapid.SliceOfN(rapid.Int64Range(0, int64(100*time.Second)), 0, 20).Draw(t, "cuts")
 		var atOnce, inParts rates
@@ -250,7 +251,7 @@
 	})
 }
 
-// modelState is the state of an open connection in the model. A connection without one is closed, or was never admitted.
+// modelState is the state of an open connection in the model. A connection without a state is closed, or was never admitted.
 type modelState string
 
 const (
@@ -259,13 +260,13 @@
 	modelClosing modelState = "closing"
 )
 
-// admissionModel is a controller and what its state has to be: a set of the open connections.
+// admissionModel is a controller with a model of its state: the set of open connections.
 type admissionModel struct {
 	controller *Controller
 	maximum    int
 	now        time.Time
 	open       map[*Conn]modelState
-	all        []*Conn // those that are open, and those that were or weren't admitted
+	all        []*Conn // open, closed and rejected ones
 }
 
 // wait lets up to 5 s pass.
@@ -273,15 +274,15 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// connect offers a new connection while any of the others may have a request that is unread, so that they can't be evicted.
+// connect offers a new connection. Any of the others may have an unread request, so that it must not be evicted.
 func (m *admissionModel) connect(t *rapid.T) {
 	unread := map[*Conn]bool{}
 	for _, other := range m.all {
 		unread[other] = rapid.Bool().Draw(t, "unread")
 	}
-	quiet := func(other *Conn) bool { return !unread[other] }
+	evictable := func(other *Conn) bool { return !unread[other] }
 	conn := &Conn{}
-	evicted, admitted := m.controller.Admit(conn, m.now, quiet)
+	evicted, admitted := m.controller.Admit(conn, m.now, evictable)
 	m.checkEvicted(t, evicted, unread[evicted])
 	full := len(m.open) >= m.maximum
 	if full == (admitted && evicted == nil) || evicted != nil && !admitted {
@@ -294,7 +295,8 @@
 	m.all = append(m.all, conn)
 }
 
-// checkEvicted fails unless the evicted connection, if there is one, is open, has no request in progress, and none unread where it is idle.
+// checkEvicted fails if the evicted connection is not open, has a request in progress, or is idle and has an unread request. It
+// accepts nil.
 func (m *admissionModel) checkEvicted(t *rapid.T, evicted *Conn, unread bool) {
 	if evicted == nil {
 		return
@@ -332,7 +334,7 @@
 	delete(m.open, conn)
 }
 
-// onAny is the event on a connection that is drawn from all of them, whatever its state.
+// onAny returns an action that applies an event to a connection drawn from all of them, whatever its state.
 func (m *admissionModel) onAny(event func(*Conn)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		if len(m.all) > 0 {
@@ -341,7 +343,7 @@
 	}
 }
 
-// check compares the controller's counts with the set.
+// check compares the controller's counts with the model.
 func (m *admissionModel) check(t *rapid.T) {
 	want := map[modelState]int{}
 	for _, state := range m.open {
@@ -356,8 +358,9 @@
 	}
 }
 
-// In any order of events no connection is lost or counted twice: the controller is compared with a set of connections.
-func TestConnectionsAgainstASet(t *testing.T) {
+// For any sequence of events the controller's counts match a model that keeps a set of connections: none is lost or counted
+// twice.
+func TestControllerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maximum := rapid.IntRange(1, 6).Draw(t, "maximum")
 		m := &admissionModel{
@@ -378,24 +381,24 @@
 	})
 }
 
-// BenchmarkAdmit measures what a new connection and its one request cost while the maximum is open.
+// BenchmarkAdmit measures the cost of a new connection with one request while the maximum is open.
 //
 //	go test ./internal/sidecar/admission -run - -bench Admit
 func BenchmarkAdmit(b *testing.B) {
 	for _, maximum := range []int{224, 16384} {
 		b.Run(fmt.Sprint(maximum, "-connections"), func(b *testing.B) {
-			d, now := New(Config{MaxConnections: maximum, Horizon: time.Second}, began), began
+			controller, now := New(Config{MaxConnections: maximum, Horizon: time.Second}, began), began
 			for range maximum {
-				d.Admit(&Conn{}, now, always)
+				controller.Admit(&Conn{}, now, always)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(100 * time.Microsecond)
 				c := &Conn{}
-				d.Admit(c, now, always)
-				d.RequestStarted(c, now)
-				d.ResponseStarted(c, now)
-				d.ResponseDone(c, now)
+				controller.Admit(c, now, always)
+				controller.RequestStarted(c, now)
+				controller.ResponseStarted(c, now)
+				controller.ResponseDone(c, now)
 			}
 		})
 	}
--- a/internal/sidecar/core/fakes_test.go
+++ b/internal/sidecar/core/fakes_test.go
@@ -37,12 +37,13 @@
 func (s *fakeSource) Fetch(ctx context.Context) (member.List, error) { return <-s.lists, ctx.Err() }
 func (s *fakeSource) Name() string                                   { return "fake" }
 
-// fakeServers passes each exchange to the test, which ends it, whether or not it was cancelled meanwhile.
+// fakeServers passes each exchange to the test. Only the test ends an exchange, even one that was cancelled.
 type fakeServers struct {
 	sent        chan *exchange
-	unreachable atomic.Bool // connections never come up
+	unreachable atomic.Bool // connections are never established
 }
 
+// exchange is an attempt that was sent; a value on outcome ends it.
 type exchange struct {
 	ctx     context.Context
 	addr    string
@@ -74,10 +75,11 @@
 	return <-x.outcome
 }
 
-// noWarnings is a log output on which a warning is a failure: the core never passes an impossible event to the module.
+// noWarnings is a log output that fails the test on each warning, because the core must never pass an impossible event to the
+// module.
 type noWarnings struct {
 	t       *testing.T
-	allowed *atomic.Bool // the test itself makes up actions of the module
+	allowed *atomic.Bool // see testCore.allowWarnings
 }
 
 func (w noWarnings) Write(line []byte) (int, error) {
@@ -87,7 +89,7 @@
 	return len(line), nil
 }
 
-// testCore is a core with its fakes, in virtual time; the test's own goroutines are the front.
+// testCore is a core with a fake source and fake servers, in virtual time. Goroutines of the test act as the front.
 type testCore struct {
 	*Loop
 	t             *testing.T
@@ -98,7 +100,7 @@
 	allowWarnings atomic.Bool // the test carries out actions that the module did not ask for
 }
 
-// pendingRequest is a request that a fake front has passed to the core.
+// pendingRequest is a request that was passed to the core; answer and err are set when done is closed.
 type pendingRequest struct {
 	answer     front.Answer
 	err        error
@@ -106,14 +108,15 @@
 	disconnect context.CancelFunc
 }
 
-// withCore runs a test in virtual time with a core that knows these servers.
-func withCore(t *testing.T, names []string, test func(r *testCore), change ...func(*balance.Config)) {
+// withCore runs a test in virtual time with a core that knows the servers with these names; change modifies the module's
+// configuration.
+func withCore(t *testing.T, names []string, test func(core *testCore), change ...func(*balance.Config)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		class := func(e balance.Effect) balance.Class {
 			return balance.Class{Effect: e, Window: 500, LatencyTarget: 500, Deadline: 1000, Value: 1}
 		}
-		r := &testCore{
+		core := &testCore{
 			t: t, source: &fakeSource{make(chan member.List), make(chan error)}, servers: &fakeServers{sent: make(chan *exchange)},
 			stopped: make(chan struct{}),
 		}
@@ -124,14 +127,14 @@
 		for _, f := range change {
 			f(&module)
 		}
-		log := slog.New(slog.NewTextHandler(noWarnings{t, &r.allowWarnings}, &slog.HandlerOptions{Level: slog.LevelWarn}))
-		r.Loop = New(Config{Module: module, Known: completeList(1, names...)}, r.source, r.servers, log)
+		log := slog.New(slog.NewTextHandler(noWarnings{t, &core.allowWarnings}, &slog.HandlerOptions{Level: slog.LevelWarn}))
+		core.Loop = New(Config{Module: module, Known: completeList(1, names...)}, core.source, core.servers, log)
 		ctx, stop := context.WithCancel(t.Context())
-		r.stop = stop
-		go func() { r.Run(ctx); close(r.stopped) }()
-		test(r)
+		core.stop = stop
+		go func() { core.Run(ctx); close(core.stopped) }()
+		test(core)
 		stop()
-		<-r.stopped
+		<-core.stopped
 	})
 }
 
@@ -143,38 +146,38 @@
 	return l
 }
 
-// request passes a request to the core, as a front does.
-func (r *testCore) request(trace string, class int) *pendingRequest {
-	return r.requestWith(trace, class, message.Request{})
+// request passes a request to the core in its own goroutine, as a front does.
+func (core *testCore) request(trace string, class int) *pendingRequest {
+	return core.requestWith(trace, class, message.Request{})
 }
 
-func (r *testCore) requestWith(trace string, class int, m message.Request) *pendingRequest {
-	ctx, cancel := context.WithCancel(r.t.Context())
-	a := &pendingRequest{done: make(chan struct{}), disconnect: cancel}
+func (core *testCore) requestWith(trace string, class int, m message.Request) *pendingRequest {
+	ctx, cancel := context.WithCancel(core.t.Context())
+	pending := &pendingRequest{done: make(chan struct{}), disconnect: cancel}
 	go func() {
-		defer close(a.done)
-		a.answer, a.err = r.Answer(ctx, front.Request{
+		defer close(pending.done)
+		pending.answer, pending.err = core.Answer(ctx, front.Request{
 			TraceID: trace, Class: class, Tenant: -1, Arrived: time.Now(), Wait: time.Second, Message: m,
 		})
 	}()
-	return a
+	return pending
 }
 
-// expect checks the one answer to a request.
-func (r *testCore) expect(a *pendingRequest, want front.Verdict, err error) {
-	r.t.Helper()
-	<-a.done
-	if a.err != err || err == nil && a.answer.Verdict != want { //nolint:errorlint // the sentinel itself, not wrapped
-		r.t.Errorf("verdict %v, error %v; want %v, %v", a.answer.Verdict, a.err, want, err)
+// expect waits for the answer to a request and checks it.
+func (core *testCore) expect(pending *pendingRequest, want front.Verdict, err error) {
+	core.t.Helper()
+	<-pending.done
+	if pending.err != err || err == nil && pending.answer.Verdict != want { //nolint:errorlint // the sentinel itself, not wrapped
+		core.t.Errorf("verdict %v, error %v; want %v, %v", pending.answer.Verdict, pending.err, want, err)
 	}
 }
 
-// expectNoRequests checks that no request is in the table and that so many ids are reserved.
-func (r *testCore) expectNoRequests(ids int) {
-	r.t.Helper()
+// expectNoRequests checks that no request is in the table, and the number of reserved ids.
+func (core *testCore) expectNoRequests(ids int) {
+	core.t.Helper()
 	synctest.Wait()
-	if s := r.Stats(); s.Requests != 0 || s.IDs != ids {
-		r.t.Errorf("%d requests in the table and %d ids reserved, want 0 and %d", s.Requests, s.IDs, ids)
+	if s := core.Stats(); s.Requests != 0 || s.IDs != ids {
+		core.t.Errorf("%d requests in the table and %d ids reserved, want 0 and %d", s.Requests, s.IDs, ids)
 	}
 }
 
