--- a/internal/router/placement/affinity.go
+++ b/internal/router/placement/affinity.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// affinityServers is the set of servers for a request with affinity: of those whose cost is near the lowest, the first
-// one, or two where the first has recent errors.
+// affinityServers returns the set of servers for a request with affinity: in affinity order, the first server whose cost
+// is within SlackTokens of the lowest, and the second such server too if the first has recent errors. Full servers are
+// left out unless all are full.
 func (p *Pool) affinityServers(r Request, candidates []*Server, now time.Duration) []*Server {
 	ordered, cached := p.affinityOrder(r.PrefixKey, candidates, now)
 	costs := make([]float64, len(ordered))
@@ -37,8 +38,9 @@
 	return set
 }
 
-// cost is what it costs to have a server read a prompt, in tokens: the prefill that is pending there and the prompt's
-// own, more where long answers wait for it, and the price of a shared prefix that is computed again.
+// cost returns the cost of processing a prompt at a server, in tokens: the pending prefill and the prompt's own, a
+// penalty for delaying the long answers that run there, and a penalty for recomputing a shared prefix that is not
+// cached there.
 func (p *Pool) cost(r Request, s *Server, cached bool, now time.Duration) float64 {
 	work := s.Work(now)
 	prefill := work.PrefillTokens + r.PrefillTokens(cached)
@@ -52,8 +54,9 @@
 	return cost
 }
 
-// affinityOrder orders the servers for a shared prefix: first those that read it recently, the number of which is
-// cached, then the others by rendezvous hashing, those of the router's zone first.
+// affinityOrder orders the servers for a shared prefix: first those that processed it recently, then those of the
+// router's zone, then the others; the last two groups by rendezvous hashing. It returns the size of the first group as
+// cached. Without a prefix table the order is that of rendezvous hashing alone, and the first server counts as cached.
 func (p *Pool) affinityOrder(key string, candidates []*Server, now time.Duration) (ordered []*Server, cached int) {
 	ordered = p.rank(key, candidates)
 	if !p.policy.PrefixTable || p.prefixes.ttl == 0 {
@@ -78,34 +81,34 @@
 	return ordered, cached
 }
 
-// rank orders servers for a key by rendezvous hashing.
+// rank returns the servers in descending order of their rendezvous weights for a key.
 func (p *Pool) rank(key string, servers []*Server) []*Server {
 	type ranked struct {
 		server *Server
 		weight uint64
 	}
-	list := make([]ranked, len(servers))
+	entries := make([]ranked, len(servers))
 	for i, s := range servers {
-		list[i] = ranked{s, p.hash(key, s.ID)}
+		entries[i] = ranked{s, p.hash(key, s.ID)}
 	}
-	slices.SortFunc(list, func(a, b ranked) int { return cmp.Compare(b.weight, a.weight) })
-	out := make([]*Server, len(list))
-	for i, entry := range list {
+	slices.SortFunc(entries, func(a, b ranked) int { return cmp.Compare(b.weight, a.weight) })
+	out := make([]*Server, len(entries))
+	for i, entry := range entries {
 		out[i] = entry.server
 	}
 	return out
 }
 
-// rendezvous is the weight of a server for a key.
+// rendezvous returns the rendezvous hashing weight of a server for a key.
 func rendezvous(key, id string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(key)) // a hash returns no error
+	_, _ = h.Write([]byte(key)) // Write of a hash never returns an error
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(id))
 	return mix(h.Sum64())
 }
 
-// mix spreads the last bytes of a hash over all its bits.
+// mix makes all bits of a hash depend on the last bytes of its input, which FNV does not spread far enough.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -114,8 +117,8 @@
 	return x ^ x>>33
 }
 
-// PrefixCached reports whether a server is believed to have the shared prefix of a request in its cache. A short one
-// counts as cached everywhere: all servers read it soon.
+// PrefixCached reports whether a server probably has the shared prefix of a request in its cache. A request without
+// affinity has at most a short shared prefix, which counts as cached everywhere: all servers process it before long.
 func (p *Pool) PrefixCached(r Request, s *Server, now time.Duration) bool {
 	if !r.HasAffinity() {
 		return true
--- a/internal/router/placement/doc.go
+++ b/internal/router/placement/doc.go
@@ -1,18 +1,19 @@
-// Package placement chooses the server for a request. It is pure: time and random draws are handed in. A Pool is for
-// one goroutine at a time.
+// Package placement chooses the server for a request. It is pure: the caller passes the time and the source of random
+// numbers. A Pool must not be used by two goroutines at the same time.
 //
-// It does not send requests, and it does not decide whether one is retried.
+// The package does not send requests, and does not decide whether a request is retried.
 //
-// A request whose prompt shares a long prefix with others goes to a server that read this prefix recently, as far as
-// routers have reported it to one another, unless that server has so much prefill pending that another one would read
-// the complete prompt sooner. All other requests go to the servers of the router's zone. The work pending at a server
-// is estimated from the requests that all routers have in flight there; the load that a server reports itself is one
-// more source. Requests with long answers are packed on as few servers as have room for them, and pending prefill costs
-// more where many of them are, so that the tokens of long answers do not wait for prompts to be read.
+// A request whose prompt shares a long prefix with other requests goes to a server that processed this prefix recently,
+// according to the reports that routers exchange. The exception is a server with so much pending prefill that another
+// server would finish the complete prompt sooner. All other requests go to the servers of the router's zone. The work
+// pending at a server is estimated from the requests that all routers have in flight there, and from the load that the
+// server itself reports. Requests with long answers are packed onto as few servers as have room for them, and pending
+// prefill costs more on servers with many long answers, so that the tokens of long answers do not wait for the prefill
+// of prompts.
 //
-// Within the set the pick is the design's: smooth weighted round robin over 100 × multiplier, see package rotation. A
-// re-route goes to the healthiest server that was not tried yet.
+// Within the set of servers that qualify, smooth weighted round robin with the weight 100 × multiplier picks the server,
+// see package rotation. A re-route goes to the healthiest server that was not tried yet.
 //
-// Invariants: decisions do not change when servers and zones are renamed, except by the hash of a server's name
-// (names_test.go); with all servers ejected or in cooldown a request still gets one.
+// Invariants: renaming servers and zones changes no decision, except through the hash of a server's name
+// (names_test.go); a request gets a server even if all of them are ejected or in cooldown.
 package placement
--- a/internal/router/placement/ejections_test.go
+++ b/internal/router/placement/ejections_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An ejected server gets nothing but trials, until the ejection ends by itself.
-func TestAnEjectedServerGetsTrialsAlone(t *testing.T) {
+// An ejected server receives only trial requests until the ejection expires.
+func TestAnEjectedServerGetsOnlyTrials(t *testing.T) {
 	p := newTestPool("z0", 9)
 	draw := 0.5
 	p.ejections.random = func() float64 { return draw }
@@ -28,11 +28,11 @@
 	for range 50 {
 		seen[p.Pick(Request{}, anyServer, time.Second).ID] = true
 	}
-	require.True(t, seen["s0"], "the ejection was not renewed")
+	require.True(t, seen["s0"], "the ejection was not renewed and has expired")
 }
 
-// Where more than half of the servers are to be ejected none is, and where only ejected ones may be used they serve.
-func TestEjectionsEmptyNoPool(t *testing.T) {
+// If more than half of the servers are to be ejected, none is. If only ejected servers are usable, they get requests.
+func TestEjectionsDoNotEmptyAPool(t *testing.T) {
 	p := newTestPool("z0", 3)
 	p.ejections.random = func() float64 { return 1 }
 	p.SetEjections(map[string]float64{"s0": 0, "s1": 0}, time.Second)
--- a/internal/router/placement/load_board.go
+++ b/internal/router/placement/load_board.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// LoadBoard adds up the load reports of many senders. Each home has one: the routers that subscribe to it report what
-// they have in flight, and other homes the sum of theirs. Each report replaces the sender's one before, and expires
-// after loadReportTTL. The board grows with the senders and the servers in their reports. It is for one goroutine at a
-// time.
+// LoadBoard aggregates the load reports of many senders. Each home has one: the routers that subscribe to it report the
+// work that they have in flight, and each other home reports the sum for its own subscribers. A report replaces the
+// previous one of the same sender, and expires after loadReportTTL. The size of a LoadBoard grows with the number of
+// senders and of the servers in their reports. It must not be used by two goroutines at the same time.
 type LoadBoard struct{ reports map[string]loadReport }
 
-// loadReport is a sender's last report.
+// loadReport is the latest report of a sender.
 type loadReport struct {
 	sums       LoadSums
 	receivedAt time.Duration
-	peer       bool // it is another home's, for the routers that subscribe there
+	peer       bool // the sender is another home, reporting for the routers that subscribe to it
 }
 
 // loadReportTTL is how long a sender's report counts.
 const loadReportTTL = time.Second
 
-// NewLoadBoard returns an empty board.
+// NewLoadBoard returns a LoadBoard without reports.
 func NewLoadBoard() *LoadBoard { return &LoadBoard{reports: map[string]loadReport{}} }
 
-// Put replaces a sender's report; peer says that the sender is another home, whose report is of the routers that
-// subscribe there. The board keeps the sums.
+// Put replaces a sender's report. If peer is set, the sender is another home, and the report is the sum for the routers
+// that subscribe to that home. The LoadBoard keeps the map.
 func (b *LoadBoard) Put(sender string, peer bool, sums LoadSums, now time.Duration) {
 	b.reports[sender] = loadReport{sums, now, peer}
 }
 
-// Expire drops reports that were not renewed.
+// Expire removes the reports that were not renewed within loadReportTTL.
 func (b *LoadBoard) Expire(now time.Duration) {
 	maps.DeleteFunc(b.reports, func(_ string, r loadReport) bool { return now-r.receivedAt >= loadReportTTL })
 }
 
-// ForPeers returns the work of the routers that subscribe to this home: what it reports to the other homes.
+// ForPeers returns the work of the routers that subscribe to this home, which the home reports to the other homes.
 func (b *LoadBoard) ForPeers() LoadSums {
 	sums := LoadSums{}
 	for _, report := range b.reports {
@@ -46,7 +46,7 @@
 	return sums
 }
 
-// All returns the work of all routers, as a map that the caller may keep.
+// All returns the work of all routers, in a new map that the caller may keep.
 func (b *LoadBoard) All() LoadSums {
 	sums := LoadSums{}
 	for _, report := range b.reports {
@@ -55,8 +55,8 @@
 	return sums
 }
 
-// Others returns the work of all senders but one. All is the result of the method All; it is not changed, and returned
-// as it is where the sender has no work, so that the result must not be changed either.
+// Others returns the work of all senders except one. The argument all is the result of the method All. Others does not
+// change it, but returns the map itself if the sender has no work: the caller must not change the result.
 func (b *LoadBoard) Others(all LoadSums, sender string) LoadSums {
 	own := b.reports[sender].sums
 	if len(own) == 0 {
--- a/internal/router/placement/loads.go
+++ b/internal/router/placement/loads.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// maxLoads bounds the servers of one message: those with the most work are sent.
-const maxLoads = 128
+// maxReportedServers bounds the number of servers in one message: those with the most work are sent.
+const maxReportedServers = 128
 
-// Loads is the message by which a router reports the work that requests have pending: at Servers[i] Requests[i],
-// Unread[i] tokens of prefill and Streams[i]. A router sends that of its own requests to its home; homes send sums to
-// each other and to their routers.
+// Loads is the message that reports pending work: Servers[i] has Requests[i] requests in flight, Unread[i] tokens of
+// pending prefill and Streams[i] long answers. A router reports its own requests to its home; homes send sums to each
+// other and to the routers that subscribe to them.
 type Loads struct {
 	Servers  []uint32
 	Requests []uint16
@@ -21,7 +21,7 @@
 // LoadSums is the pending work by server.
 type LoadSums map[ServerHash]Work
 
-// Sums decodes a message; servers for which a value is missing are left out.
+// Sums decodes a message. It leaves out servers for which a value is missing.
 func (l Loads) Sums() LoadSums {
 	sums := make(LoadSums, len(l.Servers))
 	for i, id := range l.Servers {
@@ -39,13 +39,13 @@
 	}
 }
 
-// Message encodes sums: of the servers with the most work, where there are many. Servers without a request are left
-// out.
+// Message encodes the sums. It leaves out servers without requests, and if there are more than maxReportedServers it
+// keeps those with the most work.
 func (s LoadSums) Message() Loads {
 	ids := slices.Sorted(maps.Keys(s))
-	if len(ids) > maxLoads {
+	if len(ids) > maxReportedServers {
 		slices.SortStableFunc(ids, func(a, b ServerHash) int { return int(s[b].reportPriority() - s[a].reportPriority()) })
-		ids = ids[:maxLoads]
+		ids = ids[:maxReportedServers]
 	}
 	var l Loads
 	for _, id := range ids {
--- a/internal/router/placement/loads_test.go
+++ b/internal/router/placement/loads_test.go
@@ -15,43 +15,43 @@
 	require.Len(t, message.Servers, 1, "a server without work is not reported")
 	require.Equal(t, LoadSums{HashServer("a"): sums[HashServer("a")]}, message.Sums())
 	message.Unread = nil
-	require.Empty(t, message.Sums(), "incomplete entries are left out")
+	require.Empty(t, message.Sums(), "entries with a missing value are left out")
 }
 
-// Of very many servers those with the most work are reported.
+// If there are more than maxReportedServers servers, those with the most work are reported.
 func TestLoadsAreBounded(t *testing.T) {
 	sums := LoadSums{}
-	for i := range 5 * maxLoads {
+	for i := range 5 * maxReportedServers {
 		sums[ServerHash(i)] = Work{Requests: 1, PrefillTokens: float64(i)}
 	}
 	message := sums.Message()
-	require.Len(t, message.Servers, maxLoads)
-	require.Contains(t, message.Sums(), ServerHash(5*maxLoads-1))
+	require.Len(t, message.Servers, maxReportedServers)
+	require.Contains(t, message.Sums(), ServerHash(5*maxReportedServers-1))
 	require.NotContains(t, message.Sums(), ServerHash(0))
 }
 
-// A router gets the work of all others, another home that of the routers that subscribe here alone; a report that is
-// not renewed expires.
+// A router receives the work of all other routers; another home receives only that of the routers that subscribe to this
+// home. A report that is not renewed expires.
 func TestLoadBoard(t *testing.T) {
-	loads := func(requests float64) LoadSums { return LoadSums{1: {Requests: requests}} }
+	withRequests := func(requests float64) LoadSums { return LoadSums{1: {Requests: requests}} }
 	b := NewLoadBoard()
-	b.Put("a", false, loads(1), 0)
-	b.Put("b", false, loads(2), 0)
-	b.Put("peer", true, loads(4), 0)
+	b.Put("a", false, withRequests(1), 0)
+	b.Put("b", false, withRequests(2), 0)
+	b.Put("peer", true, withRequests(4), 0)
 	require.EqualValues(t, 3, b.ForPeers()[1].Requests)
 	all := b.All()
 	require.EqualValues(t, 7, all[1].Requests)
 	require.EqualValues(t, 6, b.Others(all, "a")[1].Requests)
 	require.EqualValues(t, 7, b.Others(all, "nobody")[1].Requests)
-	require.EqualValues(t, 7, all[1].Requests, "the sum itself stays")
+	require.EqualValues(t, 7, all[1].Requests, "Others does not change its argument")
 	b.Put("a", false, LoadSums{}, loadReportTTL/2)
 	require.EqualValues(t, 6, b.All()[1].Requests)
 	b.Expire(loadReportTTL)
 	require.Empty(t, b.All())
 }
 
-// The other routers' work counts beside the local one, fades where it is not renewed, and is none at servers that are
-// not named.
+// The other routers' work is added to the local work, loses weight over time unless it is renewed, and is 0 at servers
+// that are not in the message.
 func TestPeerLoads(t *testing.T) {
 	p := newTestPool("z0", 3)
 	s := p.servers["s1"]
@@ -65,39 +65,39 @@
 	require.EqualValues(t, 100, s.Work(2*time.Second).PrefillTokens)
 }
 
-// A prompt does not go to the server with its prefix where so much prefill is pending there that computing the prefix
-// again costs less.
-func TestAPromptLeavesALoadedServer(t *testing.T) {
+// A prompt does not go to the server that has its prefix if that server has so much pending prefill that recomputing the
+// prefix elsewhere costs less.
+func TestAPromptAvoidsALoadedServer(t *testing.T) {
 	p := newTestPool("z0", 9)
 	p.prefixes.ttl = 10 * time.Second
 	r := Request{PrefixKey: "part", SharedTokens: 6000, PrefixTokens: 4000, PromptTokens: 9000, MaxOutputTokens: 100}
 	p.RecordUse(HashPrefix("part"), "s4", time.Second)
-	load := func(unread float64) {
-		p.SetPeerLoads(LoadSums{p.servers["s4"].hash: {Requests: 1, PrefillTokens: unread}}, time.Second)
+	setPendingPrefill := func(tokens float64) {
+		p.SetPeerLoads(LoadSums{p.servers["s4"].hash: {Requests: 1, PrefillTokens: tokens}}, time.Second)
 	}
-	recompute := (1 + p.policy.RecomputeFactor) * 4000
-	load(recompute - 2000)
+	recomputeCost := (1 + p.policy.RecomputeFactor) * 4000
+	setPendingPrefill(recomputeCost - 2000)
 	require.Equal(t, "s4", p.Pick(r, anyServer, time.Second).ID)
-	load(recompute + 2000)
+	setPendingPrefill(recomputeCost + 2000)
 	require.NotEqual(t, "s4", p.Pick(r, anyServer, time.Second).ID)
 }
 
-// Prompts avoid servers with long answers, and long answers are packed on few servers as long as these have room.
+// Prompts avoid servers with long answers, and long answers are packed onto few servers as long as these have room.
 func TestLongAnswersAndPrompts(t *testing.T) {
 	p := newTestPool("z0", 9)
 	p.prefixes.ttl = 10 * time.Second
-	long := Request{PromptTokens: 200, MaxOutputTokens: 4000, MaxGap: 200 * time.Millisecond}
+	longAnswer := Request{PromptTokens: 200, MaxOutputTokens: 4000, MaxGap: 200 * time.Millisecond}
 	p.SetPeerLoads(LoadSums{}, time.Second)
 	got := map[string]int{}
-	for range 9 { // 3 servers in the zone, 16 slots each
-		s := p.Pick(long, anyServer, time.Second)
-		s.Begin(long.Work(true))
+	for range 9 { // the zone has 3 servers with 16 slots each
+		s := p.Pick(longAnswer, anyServer, time.Second)
+		s.Begin(longAnswer.Work(true))
 		got[s.ID]++
 	}
-	require.Len(t, got, 1, "in 0.6 of the slots of one server")
+	require.Len(t, got, 1, "9 long answers fit into 0.6 of one server's 16 slots")
 	for range 9 {
-		s := p.Pick(long, anyServer, time.Second)
-		s.Begin(long.Work(true))
+		s := p.Pick(longAnswer, anyServer, time.Second)
+		s.Begin(longAnswer.Work(true))
 		got[s.ID]++
 	}
 	require.Len(t, got, 2)
@@ -107,10 +107,10 @@
 	}
 }
 
-// A router that received no peer loads for a while does not pack long answers: all routers would choose the same few
-// servers.
+// A router that has received no peer loads recently does not pack long answers: without them all routers would choose
+// the same few servers, unaware of each other.
 func TestLongAnswersWithoutPeerLoads(t *testing.T) {
-	long := Request{PromptTokens: 200, MaxOutputTokens: 4000}
+	longAnswer := Request{PromptTokens: 200, MaxOutputTokens: 4000}
 	for name, receivedAt := range map[string]time.Duration{"never received": 0, "not recently": time.Second} {
 		p := newTestPool("z0", 9)
 		if receivedAt > 0 {
@@ -118,8 +118,8 @@
 		}
 		got := map[string]bool{}
 		for range 6 {
-			s := p.Pick(long, anyServer, receivedAt+peerLoadTTL)
-			s.Begin(long.Work(true))
+			s := p.Pick(longAnswer, anyServer, receivedAt+peerLoadTTL)
+			s.Begin(longAnswer.Work(true))
 			got[s.ID] = true
 		}
 		require.Len(t, got, 3, name)
@@ -134,7 +134,7 @@
 	}
 }
 
-// The time a token takes follows from how the time grows with the tokens, whatever all prompts wait for alike.
+// The time per token is the slope of time over tokens; a constant delay common to all prompts does not affect it.
 func TestPrefillEstimate(t *testing.T) {
 	var estimate prefillEstimate
 	require.Equal(t, defaultPrefillTime, estimate.perToken())
--- a/internal/router/placement/names_test.go
+++ b/internal/router/placement/names_test.go
@@ -9,31 +9,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// namedFleet is a fleet whose servers and zones have other names, and the hashes of the original names: only through
-// the hash may a name affect decisions.
+// namedFleet names the servers and zones of a fleet by their indexes. The hash of a renamed fleet is computed from the
+// original names, since a name may affect decisions through the hash.
 type namedFleet struct {
 	server, zone func(int) string
 	hash         func(key, id string) uint64
 }
 
-// decisions simulates some thousand requests, failures, load reports and ejections, and returns the index of each
-// request's server.
+// decisions simulates 4000 requests with failures, load reports and ejections, and returns the index of the server that
+// was chosen for each request and re-route.
 func decisions(t *testing.T, names namedFleet) []int {
 	t.Helper()
 	const servers, zones = 12, 3
 	random := rand.New(rand.NewPCG(7, 7))
 	pool := NewPool(names.zone(1), 5*time.Second, DefaultPolicy(), random.Float64)
 	pool.hash = names.hash
-	number := map[string]int{}
+	indexOf := map[string]int{}
 	for i := range servers {
-		number[names.server(i)] = i
+		indexOf[names.server(i)] = i
 		pool.Put(Endpoint{ID: names.server(i), Zone: names.zone(i % zones), Slots: 8})
 	}
-	type sent struct {
+	type sentRequest struct {
 		server *Server
 		work   Work
 	}
-	var inFlight []sent
+	var inFlight []sentRequest
 	var got []int
 	for step := range 4000 {
 		now := time.Duration(step) * 5 * time.Millisecond
@@ -45,10 +45,10 @@
 		}
 		s := pool.Pick(request, anyServer, now)
 		require.NotNil(t, s)
-		got = append(got, number[s.ID])
+		got = append(got, indexOf[s.ID])
 		work := request.Work(pool.PrefixCached(request, s, now))
 		s.Begin(work)
-		inFlight = append(inFlight, sent{s, work})
+		inFlight = append(inFlight, sentRequest{s, work})
 		if request.HasAffinity() {
 			pool.RecordUse(HashPrefix(request.PrefixKey), s.ID, now)
 		}
@@ -72,13 +72,13 @@
 		}
 		if step%300 == 299 {
 			request.Tried[s.ID] = true
-			got = append(got, number[pool.Reroute(request, anyServer, now).ID])
+			got = append(got, indexOf[pool.Reroute(request, anyServer, now).ID])
 		}
 	}
 	return got
 }
 
-// randomLoads draws the other routers' work at each server.
+// randomLoads returns random work of the other routers at each server.
 func (f namedFleet) randomLoads(servers int, random *rand.Rand) LoadSums {
 	loads := LoadSums{}
 	for i := range servers {
@@ -87,25 +87,25 @@
 	return loads
 }
 
-// Servers and zones under other names get the same requests: names affect no decision.
+// Renaming servers and zones changes no decision.
 func TestNamesDecideNothing(t *testing.T) {
-	plain := namedFleet{server: func(i int) string { return fmt.Sprint("i-", i) }, zone: func(i int) string { return fmt.Sprint("zone-", i) }, hash: rendezvous}
-	want := decisions(t, plain)
+	original := namedFleet{server: func(i int) string { return fmt.Sprint("i-", i) }, zone: func(i int) string { return fmt.Sprint("zone-", i) }, hash: rendezvous}
+	want := decisions(t, original)
 	for seed := range uint64(5) {
 		order := rand.New(rand.NewPCG(seed, 1)).Perm(12)
-		before := map[string]string{}
-		other := namedFleet{server: func(i int) string { return fmt.Sprint("server-", order[i]) }, zone: func(i int) string { return fmt.Sprint("region/", (i+int(seed))%3) }}
+		originalName := map[string]string{}
+		renamed := namedFleet{server: func(i int) string { return fmt.Sprint("server-", order[i]) }, zone: func(i int) string { return fmt.Sprint("region/", (i+int(seed))%3) }}
 		for i := range 12 {
-			before[other.server(i)] = plain.server(i)
+			originalName[renamed.server(i)] = original.server(i)
 		}
-		other.hash = func(key, id string) uint64 { return rendezvous(key, before[id]) }
-		require.Equal(t, want, decisions(t, other))
+		renamed.hash = func(key, id string) uint64 { return rendezvous(key, originalName[id]) }
+		require.Equal(t, want, decisions(t, renamed))
 	}
 }
 
-// The comparison detects a decision that depends on the order of names.
-func TestNamesThatDecideAreNoticed(t *testing.T) {
-	plain := namedFleet{server: func(i int) string { return fmt.Sprint("i-", i) }, zone: func(i int) string { return fmt.Sprint("zone-", i) }, hash: rendezvous}
-	reversed := namedFleet{server: func(i int) string { return fmt.Sprint("i-", 11-i) }, zone: plain.zone, hash: rendezvous}
-	require.NotEqual(t, decisions(t, plain), decisions(t, reversed))
+// TestNamesDecideNothing can fail: a fleet in which names do affect the decisions, through the hash, yields others.
+func TestADecisionThatDependsOnNamesIsDetected(t *testing.T) {
+	original := namedFleet{server: func(i int) string { return fmt.Sprint("i-", i) }, zone: func(i int) string { return fmt.Sprint("zone-", i) }, hash: rendezvous}
+	reversed := namedFleet{server: func(i int) string { return fmt.Sprint("i-", 11-i) }, zone: original.zone, hash: rendezvous}
+	require.NotEqual(t, decisions(t, original), decisions(t, reversed))
 }
--- a/internal/router/placement/policy.go
+++ b/internal/router/placement/policy.go
@@ -1,28 +1,29 @@
 package placement
 
-// Policy says which mechanisms are in use. Ablations and experiments switch single ones off.
+// Policy selects the mechanisms in use. Ablations and experiments switch off single ones.
 type Policy struct {
-	Affinity    bool // requests go where the prefix of their prompt is cached
-	PrefixTable bool // as routers reported it; otherwise by rendezvous hashing alone
-	ZoneFirst   bool // servers of the router's zone go first
-	PeerLoads   bool // the other routers' work counts
-	PackStreams bool // long answers are packed on few servers
-	// StreamSlotFraction is the fraction of a server's slots that long answers take before another server takes some: the
-	// others are for prompts whose prefix is cached there, and for what comes before other routers know of the streams.
+	Affinity    bool // a request prefers servers that have the shared prefix of its prompt in their cache
+	PrefixTable bool // routers' reports tell which servers these are; otherwise rendezvous hashing alone does
+	ZoneFirst   bool // servers of the router's zone are preferred
+	PeerLoads   bool // the work of other routers' requests is counted
+	PackStreams bool // long answers are packed onto few servers
+	// StreamSlotFraction is the fraction of a server's slots that long answers may fill before they go to another server
+	// too. The remaining slots are for prompts whose prefix is cached there, and for requests that arrive before other
+	// routers know of the long answers.
 	StreamSlotFraction float64
-	// StreamDelayFraction is the fraction of the gap target that the prefill of a prompt may take before it costs
-	// as much again for each long answer behind it. It is twice the target: a prompt alone makes no gap, and two that
-	// coincide do.
+	// StreamDelayFraction is the prefill time, as a fraction of the gap target, at which each long answer at a server adds
+	// a prompt's prefill once more to the prompt's cost. The default is twice the target: a single prompt causes no gap,
+	// but two that coincide do.
 	StreamDelayFraction float64
-	// RecomputeFactor is how many times its tokens the prefill of a prefix costs that some server has in its cache: it
-	// takes that server's time and the space in the other one's cache.
+	// RecomputeFactor is the penalty, in multiples of the prefix's tokens, for processing a prefix at a server that does
+	// not have it cached: this takes the server's time and space in its cache.
 	RecomputeFactor float64
-	// SlackTokens is by how much servers' costs may differ and still count as equal: a chunk of a prompt, below which a
-	// server does not stop.
+	// SlackTokens is the difference up to which the costs of servers count as equal: one chunk of a prompt, which a server
+	// processes without interruption.
 	SlackTokens float64
 }
 
-// DefaultPolicy returns the policy of routers.
+// DefaultPolicy returns the policy that routers use.
 func DefaultPolicy() Policy {
 	return Policy{Affinity: true, PrefixTable: true, ZoneFirst: true, PeerLoads: true, PackStreams: true,
 		StreamDelayFraction: 2, StreamSlotFraction: 0.6, RecomputeFactor: 12, SlackTokens: 1024}
--- a/internal/router/placement/pool.go
+++ b/internal/router/placement/pool.go
@@ -11,24 +11,26 @@
 	"petrelhook/internal/router/rotation"
 )
 
-// Pool is the servers of one service, as one router knows them. Make it by NewPool; it is for one goroutine at a time.
+// Pool holds the servers of one service, as one router knows them. NewPool creates it. It must not be used by two
+// goroutines at the same time.
 type Pool struct {
-	zone    string // the router's
+	zone    string // of the router
 	policy  Policy
 	random  func() float64
 	hash    func(key, id string) uint64 // the only way in which a server's name affects decisions
 	servers map[string]*Server          // by ID
-	ordered []*Server                   // by Server.order
+	ordered []*Server                   // by Server.sortKey, then by ID
 
 	prefixes    prefixTable
 	ejections   ejections
-	peerLoadsAt time.Duration // when the other routers' work was last received; 0: never
+	peerLoadsAt time.Duration // when the other routers' loads were last received; 0: never
 	prefillTime prefillEstimate
-	maxGap      time.Duration // the last gap target of long answers; 0: none had one
+	maxGap      time.Duration // the gap target of the latest long answer that has one; 0: none yet
 }
 
-// NewPool returns an empty pool of a router in a zone; prefixTTL is how long a prefix counts as cached after its last
-// use, 0 where that is not known. Random draws from 0 up to 1; nil is the default source.
+// NewPool returns an empty pool of a router in a zone. A prefix counts as cached for prefixTTL after its last use; 0
+// means that this time is unknown, and disables the prefix table. The function random returns numbers in [0, 1); nil
+// selects the default source.
 func NewPool(zone string, prefixTTL time.Duration, policy Policy, random func() float64) *Pool {
 	if random == nil {
 		random = rand.Float64
@@ -44,27 +46,27 @@
 	}
 }
 
-// RecordUse records that a server was sent a prefix, by this router or another. Requests with the same prefix prefer it
-// for the pool's prefixTTL.
+// RecordUse records that this router or another one sent a prompt with this prefix to a server. Requests with the same
+// prefix prefer that server for the pool's prefixTTL.
 func (p *Pool) RecordUse(key PrefixHash, server string, now time.Duration) {
 	p.prefixes.record(key, server, now)
 }
 
-// Put adds a server that may be used, or updates the address and zone of one; what was learned of it is kept, its slots
-// included.
+// Put adds a usable server. If the pool has it already, Put updates its address and zone, and keeps what was learned
+// about it, its number of slots included.
 func (p *Pool) Put(e Endpoint) {
-	if known := p.servers[e.ID]; known != nil {
-		known.Address, known.Zone = e.Address, e.Zone
+	if existing := p.servers[e.ID]; existing != nil {
+		existing.Address, existing.Zone = e.Address, e.Zone
 		return
 	}
-	s := &Server{Endpoint: e, hash: HashServer(e.ID), order: p.hash("", e.ID)}
+	s := &Server{Endpoint: e, hash: HashServer(e.ID), sortKey: p.hash("", e.ID)}
 	s.currentWeight.Seed(p.random())
-	at, _ := p.position(s)
+	index, _ := p.position(s)
 	p.servers[s.ID] = s
-	p.ordered = slices.Insert(p.ordered, at, s)
+	p.ordered = slices.Insert(p.ordered, index, s)
 }
 
-// Remove removes a server that may not be used any more.
+// Remove removes a server that is no longer usable. It ignores unknown servers.
 func (p *Pool) Remove(id string) {
 	s := p.servers[id]
 	if s == nil {
@@ -75,19 +77,19 @@
 	p.ordered = slices.Delete(p.ordered, at, at+1)
 }
 
-// position is the index of a server in the order, or the one to insert it at.
+// position returns the index of a server in p.ordered and true, or the index at which to insert it and false.
 func (p *Pool) position(s *Server) (int, bool) {
 	return slices.BinarySearchFunc(p.ordered, s, func(a, b *Server) int {
-		return cmp.Or(cmp.Compare(a.order, b.order), strings.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.sortKey, b.sortKey), strings.Compare(a.ID, b.ID))
 	})
 }
 
-// Servers returns the servers, in an order without a meaning. The caller may not change the list, nor keep it beyond
-// the next Put or Remove.
+// Servers returns the servers in an unspecified order. The caller must not change the slice, nor use it after the next
+// Put or Remove.
 func (p *Pool) Servers() []*Server { return p.ordered }
 
-// AddLoads puts into sums the work that this router's requests have pending at each server of the pool. A server is in
-// one pool alone.
+// AddLoads stores in sums the pending work of this router's requests at each server of the pool. It replaces a server's
+// entry rather than adding to it: a server belongs to one pool only.
 func (p *Pool) AddLoads(sums LoadSums) {
 	for _, s := range p.ordered {
 		if s.local.Requests > 0 {
@@ -96,7 +98,7 @@
 	}
 }
 
-// SetPeerLoads sets the work that the other routers' requests have pending: none at servers that are not named.
+// SetPeerLoads replaces the pending work of the other routers' requests. A server that is not in the map has none.
 func (p *Pool) SetPeerLoads(others LoadSums, now time.Duration) {
 	if !p.policy.PeerLoads {
 		return
@@ -107,9 +109,9 @@
 	}
 }
 
-// Pick chooses the server of a request's first attempt, or a trial at an ejected one; usable is a further condition for
-// a server, as that it has a free connection. It returns nil where none is left. The caller adds the request's work to
-// the server by Begin.
+// Pick chooses the server for a request's first attempt; this may be a trial at an ejected server. The function usable
+// is a further condition, for example that the server has a free connection. Pick returns nil if no server is left. The
+// caller adds the request's work to the server with Begin.
 func (p *Pool) Pick(r Request, usable func(*Server) bool, now time.Duration) *Server {
 	if s := p.trialServer(r, usable, now); s != nil {
 		return s
@@ -124,19 +126,19 @@
 	return p.rotate(p.choices(r, candidates, now), now)
 }
 
-// choices is the set of servers among which a request is rotated.
+// choices returns the candidates among which smooth weighted round robin picks the server for a request.
 func (p *Pool) choices(r Request, candidates []*Server, now time.Duration) []*Server {
 	switch {
 	case p.policy.Affinity && r.HasAffinity():
 		return p.affinityServers(r, candidates, now)
 	case p.policy.PackStreams && r.DecodeHeavy() && freshness(p.peerLoadsAt, peerLoadTTL, now) > 0:
-		// Without the others' loads all routers would choose the same few servers, unaware of each other.
+		// Without the other routers' loads all routers would choose the same few servers, unaware of each other.
 		return p.packStreams(p.nearby(candidates, now), now)
 	}
 	return p.nearby(candidates, now)
 }
 
-// rotate is the design's choice within a set.
+// rotate picks a server from a set by smooth weighted round robin.
 func (p *Pool) rotate(set []*Server, now time.Duration) *Server {
 	if len(set) == 1 {
 		return set[0]
@@ -148,8 +150,8 @@
 	return set[rotation.Pick(candidates)]
 }
 
-// Reroute chooses the server of a further attempt: the healthiest that was not tried; among equals one with a free
-// slot, then one of the router's zone, then the least loaded. It returns nil where none is left.
+// Reroute chooses the server for a further attempt: the healthiest one that was not tried. Among equally healthy servers
+// it prefers one with a free slot, then one of the router's zone, then the least loaded. It returns nil if none is left.
 func (p *Pool) Reroute(r Request, usable func(*Server) bool, now time.Duration) *Server {
 	var best *Server
 	for _, s := range p.candidates(r, usable, now) {
@@ -174,7 +176,8 @@
 	return s.Load(now) < best.Load(now)
 }
 
-// candidates are the servers that may have the request; those in cooldown or ejected only where no other may.
+// candidates returns the usable servers that were not tried. Servers that are in cooldown or ejected are returned only
+// if there are no others.
 func (p *Pool) candidates(r Request, usable func(*Server) bool, now time.Duration) []*Server {
 	out := make([]*Server, 0, len(p.ordered))
 	var avoided []*Server
@@ -194,7 +197,8 @@
 	return out
 }
 
-// nearby are the servers of the router's zone with a free slot, else all with a free slot, else all.
+// nearby returns the servers of the router's zone that have a free slot; if there are none, all servers that have a free
+// slot; if there are none either, all servers.
 func (p *Pool) nearby(candidates []*Server, now time.Duration) []*Server {
 	var local, free []*Server
 	for _, s := range candidates {
@@ -215,8 +219,9 @@
 	return candidates
 }
 
-// packStreams is the subset of some servers that long answers go to: the smallest one, of those that have the most of
-// them already, that has room for all in StreamSlotFraction of its slots.
+// packStreams returns the servers to which long answers go: the shortest list of servers, in descending order of the
+// long answers that they have, with room for all of them and one more in StreamSlotFraction of the slots. It returns all
+// servers if there is not enough room or the number of slots of a server in this list is unknown.
 func (p *Pool) packStreams(servers []*Server, now time.Duration) []*Server {
 	needed, room := 1.0, 0.0
 	streams := make(map[*Server]float64, len(servers))
--- a/internal/router/placement/pool_test.go
+++ b/internal/router/placement/pool_test.go
@@ -10,11 +10,11 @@
 
 func newTestPool(zone string, n int) *Pool {
 	p := NewPool(zone, 0, DefaultPolicy(), nil)
-	var list []Endpoint
+	var endpoints []Endpoint
 	for i := range n {
-		list = append(list, Endpoint{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%3), Slots: 16})
+		endpoints = append(endpoints, Endpoint{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%3), Slots: 16})
 	}
-	for _, s := range list {
+	for _, s := range endpoints {
 		p.Put(s)
 	}
 	return p
@@ -32,18 +32,18 @@
 	}
 }
 
-// Without one server the prompts that it had move, and no others.
-func TestOneServerLessMovesItsOwnPrompts(t *testing.T) {
+// Removing a server moves only the prompts that went to it.
+func TestRemovingAServerMovesOnlyItsPrompts(t *testing.T) {
 	before, after := newTestPool("z0", 9), newTestPool("z0", 8)
 	for i := range 200 {
 		r := Request{PrefixKey: fmt.Sprint(i), SharedTokens: 6000}
-		if one := before.Pick(r, anyServer, 0).ID; one != "s8" {
-			require.Equal(t, one, after.Pick(r, anyServer, 0).ID)
+		if server := before.Pick(r, anyServer, 0).ID; server != "s8" {
+			require.Equal(t, server, after.Pick(r, anyServer, 0).ID)
 		}
 	}
 }
 
-// The set of a prefix with many requests grows beyond one server.
+// A prefix with many requests spreads to further servers, and no server gets more requests than it has slots.
 func TestAHotPromptSpreads(t *testing.T) {
 	p := newTestPool("z0", 9)
 	seen := map[string]int{}
@@ -80,7 +80,7 @@
 	require.Nil(t, p.Reroute(r, anyServer, 0))
 }
 
-func TestAServerInCooldownIsUsedOnlyAlone(t *testing.T) {
+func TestAServerInCooldownIsUsedOnlyWithoutAlternative(t *testing.T) {
 	p := newTestPool("z0", 2)
 	p.servers["s0"].Health.Failure(0, true)
 	for range 4 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// A request goes where another router's request with the same prefix was recently; one whose prefix was not read, or
-// long ago, stays in the zone.
+// A request goes to the server to which another router recently sent a request with the same prefix. If no server
+// processed the prefix recently, the request stays in the router's zone.
 func TestRecentlyUsedPrefix(t *testing.T) {
 	p := newTestPool("z0", 9)
 	p.prefixes.ttl = 7 * time.Second
@@ -124,7 +124,7 @@
 	for range 3 {
 		p.servers["s5"].Begin(Work{Requests: 1, PrefillTokens: 10000})
 	}
-	require.Equal(t, "s4", p.Pick(r, anyServer, 11*time.Second).ID, "the one that read it before, since the last one is loaded")
+	require.Equal(t, "s4", p.Pick(r, anyServer, 11*time.Second).ID, "the earlier server with this prefix, since the latest one is loaded")
 }
 
 func TestPrefixTableIsBounded(t *testing.T) {
--- a/internal/router/placement/prefill.go
+++ b/internal/router/placement/prefill.go
@@ -6,53 +6,54 @@
 )
 
 const (
-	prefillTimeConstant = 30 * time.Second       // after which a sample's weight is a third
-	minPrefillSamples   = 30                     // samples, before they are used
-	defaultPrefillTime  = 3 * time.Microsecond   // a token, until then: a third of a million tokens a second
-	minPrefillTime      = 100 * time.Nanosecond  // a shorter or longer time a token
-	maxPrefillTime      = 500 * time.Microsecond // is not a prefill that was measured
+	prefillTimeConstant = 30 * time.Second       // a sample's weight falls to 1/e in this time
+	minPrefillSamples   = 30                     // sum of the samples' weights from which the estimate is used
+	defaultPrefillTime  = 3 * time.Microsecond   // per token, until then: a third of a million tokens per second
+	minPrefillTime      = 100 * time.Nanosecond  // lower bound of the estimate per token: a shorter time is not a measured prefill
+	maxPrefillTime      = 500 * time.Microsecond // upper bound of the estimate per token: a longer time is not a measured prefill
 )
 
-// prefillEstimate is how long the servers of a pool take to read a token more of a prompt. It fits a line to the time
-// to the first part of an answer, by the tokens of the prompt, with exponentially fading samples: the slope does not
-// contain what all prompts wait for alike.
+// prefillEstimate estimates the prefill time per prompt token at the servers of a pool. It is a linear regression of the
+// time to the first part of the answer over the tokens of the prompt; the weights of the samples decay exponentially.
+// The slope excludes delays that all prompts have in common.
 type prefillEstimate struct {
-	count, tokens, time, squares, products float64 // the fit's sums
-	updatedAt                              time.Duration
+	sumWeights, sumTokens, sumTimeNs, sumTokensSquared, sumTokensTimeNs float64 // weighted sums of the regression
+	updatedAt                                                           time.Duration
 }
 
-// add adds a sample: a prompt with this many tokens to read, and the time to the first part of its answer.
-func (e *prefillEstimate) add(tokens float64, took, now time.Duration) {
-	fade := math.Exp(-float64(now-e.updatedAt) / float64(prefillTimeConstant))
+// add adds a sample: the uncached tokens of a prompt, and the time to the first part of its answer.
+func (e *prefillEstimate) add(tokens float64, elapsed, now time.Duration) {
+	decay := math.Exp(-float64(now-e.updatedAt) / float64(prefillTimeConstant))
 	e.updatedAt = now
-	y := float64(took)
-	e.count = e.count*fade + 1
-	e.tokens = e.tokens*fade + tokens
-	e.time = e.time*fade + y
-	e.squares = e.squares*fade + tokens*tokens
-	e.products = e.products*fade + tokens*y
+	elapsedNs := float64(elapsed)
+	e.sumWeights = e.sumWeights*decay + 1
+	e.sumTokens = e.sumTokens*decay + tokens
+	e.sumTimeNs = e.sumTimeNs*decay + elapsedNs
+	e.sumTokensSquared = e.sumTokensSquared*decay + tokens*tokens
+	e.sumTokensTimeNs = e.sumTokensTimeNs*decay + tokens*elapsedNs
 }
 
-// perToken is the slope of the line.
+// perToken returns the estimated prefill time per token: the slope of the regression line, within bounds, or
+// defaultPrefillTime if there are too few samples.
 func (e *prefillEstimate) perToken() time.Duration {
-	spread := e.count*e.squares - e.tokens*e.tokens
-	if e.count < minPrefillSamples || spread <= 0 {
+	denominator := e.sumWeights*e.sumTokensSquared - e.sumTokens*e.sumTokens
+	if e.sumWeights < minPrefillSamples || denominator <= 0 {
 		return defaultPrefillTime
 	}
-	slope := time.Duration((e.count*e.products - e.tokens*e.time) / spread)
+	slope := time.Duration((e.sumWeights*e.sumTokensTimeNs - e.sumTokens*e.sumTimeNs) / denominator)
 	return min(maxPrefillTime, max(minPrefillTime, slope))
 }
 
-// ObservePrefill records that a server sent the first part of an answer after a time, to a prompt with this many tokens
-// that were not cached.
-func (p *Pool) ObservePrefill(tokens float64, took, now time.Duration) {
+// ObservePrefill records the time from sending a prompt to the first part of the answer; tokens is the number of the
+// prompt's tokens that were not cached.
+func (p *Pool) ObservePrefill(tokens float64, elapsed, now time.Duration) {
 	if tokens > 0 {
-		p.prefillTime.add(tokens, took, now)
+		p.prefillTime.add(tokens, elapsed, now)
 	}
 }
 
-// tokensPerGap is how many tokens the servers read within the gap target of long answers; infinitely many where
-// there is no target.
+// tokensPerGap returns the number of prompt tokens that a server processes within the gap target of long answers, +Inf
+// if there is no target.
 func (p *Pool) tokensPerGap() float64 {
 	if p.maxGap == 0 {
 		return math.Inf(1)
--- a/internal/router/placement/prefix_uses.go
+++ b/internal/router/placement/prefix_uses.go
@@ -2,8 +2,9 @@
 
 import "iter"
 
-// PrefixUses is a message that says where shared prefixes of one service were read: Keys[i] at Servers[At[i]]. A router
-// sends what it placed to its home, which sends it on to the others; receivers add it to their prefix tables.
+// PrefixUses is the message that reports to which servers of one service shared prefixes were sent: Keys[i] to
+// Servers[At[i]]. A router sends the uses of its own requests to its home, which forwards them to the other routers;
+// receivers add them to their prefix tables.
 type PrefixUses struct {
 	Service string
 	Servers []string
@@ -11,30 +12,31 @@
 	At      []uint16
 }
 
-// maxUses bounds what is collected for a message; further uses are left out.
-const maxUses = 4096
+// maxPrefixUses bounds the number of uses in one message.
+const maxPrefixUses = 4096
 
-// Add adds a use: that a server was sent a prefix. Beyond maxUses it is left out.
+// Add adds a use: a prompt with this prefix was sent to a server. If the message already has maxPrefixUses uses, Add
+// drops the new one.
 func (u *PrefixUses) Add(key PrefixHash, server string) {
-	if len(u.Keys) >= maxUses {
+	if len(u.Keys) >= maxPrefixUses {
 		return
 	}
-	at := -1
+	index := -1
 	for i, id := range u.Servers {
 		if id == server {
-			at = i
+			index = i
 			break
 		}
 	}
-	if at < 0 {
-		at = len(u.Servers)
+	if index < 0 {
+		index = len(u.Servers)
 		u.Servers = append(u.Servers, server)
 	}
 	u.Keys = append(u.Keys, uint32(key))
-	u.At = append(u.At, uint16(at))
+	u.At = append(u.At, uint16(index))
 }
 
-// All iterates over the uses; keys without a server are left out.
+// All iterates over the uses. It skips keys without a server.
 func (u *PrefixUses) All() iter.Seq2[PrefixHash, string] {
 	return func(yield func(PrefixHash, string) bool) {
 		for i, key := range u.Keys {
@@ -45,7 +47,7 @@
 	}
 }
 
-// Merge adds the uses of another message of the same service.
+// Merge adds the uses of another message for the same service.
 func (u *PrefixUses) Merge(other PrefixUses) {
 	for key, server := range other.All() {
 		u.Add(key, server)
--- a/internal/router/placement/prefixes.go
+++ b/internal/router/placement/prefixes.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	maxPrefixes      = 1 << 16 // that are remembered
-	serversPerPrefix = 3       // those that read it last
+	maxPrefixes      = 1 << 16 // prefixes in a table
+	serversPerPrefix = 3       // servers per prefix: those to which it was sent last
 )
 
 // PrefixHash identifies a shared prefix in messages between routers.
 type PrefixHash uint32
 
-// HashPrefix returns the hash of a prefix' key. Two keys may have the same: a request is then sent to a server without
-// its prefix.
+// HashPrefix returns the hash of a prefix's key. If two keys collide, a request may be sent to a server that does not
+// have its prefix cached.
 func HashPrefix(key string) PrefixHash {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(key)) // a hash returns no error
+	_, _ = h.Write([]byte(key)) // Write of a hash never returns an error
 	return PrefixHash(h.Sum32())
 }
 
-// prefixTable says which servers read which shared prefix recently, for this router and for those that reported it. It
-// grows with the prefixes in use, up to maxPrefixes.
+// prefixTable records to which servers each shared prefix was sent recently, by this router and by the routers that
+// reported it. Its size grows with the number of prefixes in use, up to maxPrefixes.
 type prefixTable struct {
-	ttl  time.Duration // how long a prefix counts as cached after its last use; 0: the table is not in use
+	ttl  time.Duration // how long a prefix counts as cached after its last use; 0 disables the table
 	uses map[PrefixHash][]prefixUse
 }
 
-// prefixUse is that a server was sent a prompt with a prefix.
+// prefixUse records that a prompt with a given prefix was sent to a server.
 type prefixUse struct {
 	server string
 	at     time.Duration
 }
 
-// record adds a use; a prefix' newest use comes first.
+// record adds a use. The uses of a prefix are kept in the order newest first, one per server.
 func (t *prefixTable) record(key PrefixHash, server string, at time.Duration) {
 	if t.ttl == 0 {
 		return
@@ -52,7 +52,7 @@
 	t.uses[key] = next
 }
 
-// evict removes the prefixes that expired, or all where none did.
+// evict removes the prefixes that have expired. If the table is still full, it removes all prefixes.
 func (t *prefixTable) evict(now time.Duration) {
 	for key, uses := range t.uses {
 		if now-uses[0].at >= t.ttl {
@@ -64,7 +64,7 @@
 	}
 }
 
-// servers are the uses of a prefix that have not expired.
+// servers returns the uses of a prefix that have not expired, newest first.
 func (t *prefixTable) servers(key PrefixHash, now time.Duration) []prefixUse {
 	uses := t.uses[key]
 	for i, use := range uses {
--- a/internal/router/placement/request.go
+++ b/internal/router/placement/request.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	minAffinityTokens = 600     // shared tokens from which a request goes where they are cached
-	maxPartTokens     = 1 << 30 // of one part of a prompt
+	minAffinityTokens = 600     // shared tokens from which a request prefers servers that have them cached
+	maxPartTokens     = 1 << 30 // tokens of one part of a prompt that a header may state
 )
 
-// Request is what placement knows of a request. A prompt has parts, as X-Prompt-Prefix lists them; the shared prefix is
-// the prompt up to the last part that other requests may have in common with it.
+// Request describes a request to be placed. A prompt consists of parts, which the header X-Prompt-Prefix lists; the shared
+// prefix is the prompt up to the last part that other requests may have in common with it.
 type Request struct {
-	PrefixKey       string          // of the shared prefix; "": there is none
-	SharedTokens    int             // of the complete shared prefix
-	PrefixTokens    int             // of its last part, which PrefixKey names, alone
-	PromptTokens    int             // of the complete prompt, 0: unknown
-	MaxOutputTokens int             // that are generated at most
-	MaxGap          time.Duration   // gap target: the longest time between two parts of the answer that is in time; 0: none
-	Tried           map[string]bool // servers that it was sent to, by ID
+	PrefixKey       string          // ID of the last part of the shared prefix; "": no shared prefix
+	SharedTokens    int             // tokens of the complete shared prefix
+	PrefixTokens    int             // tokens of the part that PrefixKey names
+	PromptTokens    int             // tokens of the complete prompt; 0: unknown
+	MaxOutputTokens int             // upper bound of the tokens that are generated
+	MaxGap          time.Duration   // gap target: the longest acceptable time between two parts of the answer; 0: none
+	Tried           map[string]bool // IDs of the servers to which the request was sent
 }
 
-// HasAffinity reports whether a request goes where its shared prefix is cached.
+// HasAffinity reports whether a request prefers servers that have its shared prefix cached.
 func (r *Request) HasAffinity() bool { return r.PrefixKey != "" && r.SharedTokens >= minAffinityTokens }
 
-// DecodeHeavy reports whether a request generates more tokens than its prompt has: a long answer.
+// DecodeHeavy reports whether a request may generate more tokens than its prompt has. Its answer is called a long answer,
+// or a stream.
 func (r *Request) DecodeHeavy() bool { return r.MaxOutputTokens > max(r.PromptTokens, 0) }
 
-// PrefillTokens returns the number of tokens that a server reads, depending on whether it has the last part of the
-// shared prefix in its cache. The parts before that are shared by so many requests that all servers have them.
+// PrefillTokens returns the number of prompt tokens that a server has to process; cached says whether the server has the
+// last part of the shared prefix in its cache. The parts before the last one are shared by so many requests that all
+// servers have them cached.
 func (r *Request) PrefillTokens(cached bool) float64 {
 	tokens := r.PromptTokens - r.SharedTokens
 	if !cached {
@@ -39,7 +41,7 @@
 	return float64(max(0, tokens))
 }
 
-// Work returns the work that a request adds to a server as it is sent; cached as for PrefillTokens.
+// Work returns the work that sending a request adds to a server; cached is as for PrefillTokens.
 func (r *Request) Work(cached bool) Work {
 	w := Work{Requests: 1, PrefillTokens: r.PrefillTokens(cached)}
 	if r.DecodeHeavy() {
@@ -48,9 +50,9 @@
 	return w
 }
 
-// ParsePrefix parses X-Prompt-Prefix, a prompt's parts as ID:TOKENS separated by commas, into the values of PrefixKey,
-// SharedTokens and PrefixTokens. The last part is the request's own or its session's, and not shared. Where the header
-// is not valid there is no shared prefix.
+// ParsePrefix parses the header X-Prompt-Prefix, which lists the parts of a prompt as ID:TOKENS separated by commas. It
+// returns the values for PrefixKey, SharedTokens and PrefixTokens. The last part in the header belongs to the request or
+// its session alone and is not shared. An invalid header means that there is no shared prefix.
 func ParsePrefix(header string) (key string, sharedTokens, prefixTokens int) {
 	parts := strings.Split(header, ",")
 	if header == "" || len(parts) < 2 {
@@ -68,8 +70,8 @@
 	return key, sharedTokens, prefixTokens
 }
 
-// ParseUsage parses X-Token-Usage, PROMPT,OUTPUT: the tokens of the prompt, and those generated at most. It returns
-// false where the header is not valid.
+// ParseUsage parses the header X-Token-Usage, PROMPT,OUTPUT: the tokens of the prompt and the upper bound of the tokens
+// that are generated. It returns false if the header is invalid.
 func ParseUsage(header string) (prompt, output int, ok bool) {
 	in, out, found := strings.Cut(header, ",")
 	prompt, errIn := strconv.Atoi(strings.TrimSpace(in))
--- a/internal/router/placement/server.go
+++ b/internal/router/placement/server.go
@@ -9,67 +9,69 @@
 )
 
 const (
-	serverReportTTL = time.Second // how long a load that a server reported counts, with falling weight
-	peerLoadTTL     = time.Second // how long the other routers' work counts, with falling weight
+	serverReportTTL = time.Second // time in which the weight of a server's own load report falls to 0
+	peerLoadTTL     = time.Second // time in which the weight of the other routers' loads falls to 0
 )
 
 // ServerHash identifies a server in messages between routers, in four bytes.
 type ServerHash uint32
 
-// HashServer returns the hash of a server's ID. Two IDs may have the same.
+// HashServer returns the hash of a server's ID. Hashes of two IDs may collide.
 func HashServer(id string) ServerHash {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(id)) // a hash returns no error
+	_, _ = h.Write([]byte(id)) // Write of a hash never returns an error
 	return ServerHash(h.Sum32())
 }
 
-// Endpoint is what the registry says of a server.
+// Endpoint is the registry's information about a server.
 type Endpoint struct {
 	ID      string
 	Address string
 	Zone    string
-	Slots   int // requests that it runs at a time; 0: unknown. What the server reports replaces it
+	Slots   int // requests that it runs concurrently; 0: unknown. The server's own load reports replace this value
 }
 
-// Server is a server of a Pool: what the registry says of it, and what this router learned. The pool's owner may keep a
-// *Server for as long as it has requests there, also beyond Remove; it is guarded as the pool is.
+// Server is a server of a Pool: the registry's information, and what this router learned about the server. The owner of
+// the Pool may keep a *Server while it has requests there, also after Remove. The lock that guards the Pool must guard
+// its Servers too.
 type Server struct {
 	Endpoint
 
 	Health        rotation.Health
 	currentWeight rotation.CurrentWeight
 	hash          ServerHash
-	order         uint64 // position in the pool's order
+	sortKey       uint64 // by which the pool orders its servers: a hash of the ID
 
-	local    Work // of this router's requests
+	local    Work // pending work of this router's requests
 	peers    peerWork
 	reported reportedLoad
 }
 
-// peerWork is the work of the other routers' requests, as last received.
+// peerWork is the pending work of the other routers' requests, as last received.
 type peerWork struct {
 	work       Work
 	receivedAt time.Duration
 }
 
-// reportedLoad is what the server said of itself in its last answer.
+// reportedLoad is the load that the server reported with its latest answer.
 type reportedLoad struct {
 	requests   float64 // running and queued
-	sentSince  int     // requests that this router sent after that
+	sentSince  int     // requests that this router sent since the report
 	receivedAt time.Duration
 }
 
-// Begin adds the work of a request that is sent there. The caller subtracts all of it by End, at once or in parts.
+// Begin adds the work of a request that is sent to the server. The caller subtracts all of it again with End, in one
+// call or in several.
 func (s *Server) Begin(w Work) {
 	s.local = s.local.plus(w)
 	s.reported.sentSince++
 }
 
-// End subtracts work of a request that is done.
+// End subtracts completed work of a request.
 func (s *Server) End(w Work) { s.local = s.local.minus(w) }
 
-// ReportLoad records the load that the server reported with an answer: the requests that run and wait there, of all
-// routers, and its slots, 0 where it did not say.
+// ReportLoad records the load that the server reported with an answer: the numbers of running and waiting requests of
+// all routers, and the number of its slots, 0 if the report does not contain it.
 func (s *Server) ReportLoad(running, waiting float64, slots int, now time.Duration) {
 	s.reported = reportedLoad{requests: running + waiting, receivedAt: now}
 	if slots > 0 {
@@ -77,13 +79,13 @@
 	}
 }
 
-// Work returns an estimate of what all routers' requests have pending there.
+// Work returns an estimate of the work that requests of all routers have pending at the server.
 func (s *Server) Work(now time.Duration) Work {
 	return s.local.plus(s.peers.work.times(freshness(s.peers.receivedAt, peerLoadTTL, now)))
 }
 
-// Load returns an estimate of the requests at a server: those that all routers have there, or what the server reported
-// if that is more.
+// Load returns an estimate of the number of requests at the server: the requests that all routers have in flight there,
+// or the number that the server reported, whichever is larger.
 func (s *Server) Load(now time.Duration) float64 {
 	load := s.Work(now).Requests
 	if fresh := freshness(s.reported.receivedAt, serverReportTTL, now); fresh > 0 {
@@ -92,7 +94,7 @@
 	return load
 }
 
-// Full reports whether a server is believed to have no free slot.
+// Full reports whether the server probably has no free slot.
 func (s *Server) Full(now time.Duration) bool {
 	return s.Slots > 0 && s.Load(now) >= float64(s.Slots)
 }
