--- a/internal/router/rotation/rotation_test.go
+++ b/internal/router/rotation/rotation_test.go
@@ -35,16 +35,16 @@
 }
 
 func TestSmoothWeightedRoundRobin(t *testing.T) {
-	currents := make([]CurrentWeight, 3)
+	currentWeights := make([]CurrentWeight, 3)
 	weights := []float64{100, 100, 50}
-	got := make([]int, 3)
+	picks := make([]int, 3)
 	for range 250 {
 		var candidates []Candidate
-		for i := range currents {
-			candidates = append(candidates, Candidate{Current: &currents[i], Weight: weights[i]})
+		for i := range currentWeights {
+			candidates = append(candidates, Candidate{Current: &currentWeights[i], Weight: weights[i]})
 		}
-		got[Pick(candidates)]++
+		picks[Pick(candidates)]++
 	}
-	require.Equal(t, []int{100, 100, 50}, got)
+	require.Equal(t, []int{100, 100, 50}, picks)
 	require.Equal(t, -1, Pick(nil))
 }
