--- a/internal/router/quota/allocator.go
+++ b/internal/router/quota/allocator.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// LeaseDuration is how long a share is valid, counted from before it was requested.
+// LeaseDuration is how long a leased share is valid. A router counts it from before its request.
 const LeaseDuration = 2500 * time.Millisecond
 
-// clockMargin is how much longer the primary counts a lease, since clocks differ in rate.
+// clockMargin is the time by which the primary extends LeaseDuration, because clocks run at different rates.
 const clockMargin = 100 * time.Millisecond
 
-// reclaimPeriod is the time at the start of a term in which a primary only renews the shares that routers report to
+// reclaimPeriod is the time at the start of a term during which a primary only renews the shares that routers report to
 // hold.
 const reclaimPeriod = 800 * time.Millisecond
 
-// evenFraction of a limit is divided evenly, the rest by demand.
+// evenFraction is the fraction of a limit that is divided evenly among routers. The rest is divided by demand.
 const evenFraction = 0.2
 
-// clientLease is what one router was allocated, by tenant. Tenants with neither a share nor a demand are left out.
+// clientLease holds the shares allocated to one router, and its demand, by tenant. Tenants with neither a share nor a
+// demand are left out.
 type clientLease struct {
 	shares      map[string]float64
 	demand      map[string]float64
@@ -23,26 +24,27 @@
 	incarnation uint64
 }
 
-// tenantTotals adds up the demand and the shares of one tenant over all leases.
+// tenantTotals holds the sums of a tenant's demand and shares over all leases.
 type tenantTotals struct{ demand, shares float64 }
 
-// Allocator divides tenants' limits into leased shares, for one term of one primary. Make it by NewAllocator when a
-// router becomes primary. The cost of a request is proportional to the number of tenants that it names. It is for one
-// goroutine at a time.
+// Allocator divides the tenants' limits into leased shares during one term of a primary. NewAllocator creates it when a
+// router becomes primary. Answering a request takes time proportional to the number of tenants in the request and in the
+// router's lease.
 type Allocator struct {
 	termStart  time.Duration
 	leases     map[string]*clientLease // by router
 	totals     map[string]*tenantTotals
 	lastExpiry time.Duration
-	reserved   float64 // fraction of every limit that is left to routers without contact, see ReservedFraction
+	reserved   float64 // fraction of each limit that is left to routers that do not reach the primary, see ReservedFraction
 }
 
-// NewAllocator returns the allocator of a term that begins now: what was allocated before is not known yet.
+// NewAllocator returns the Allocator of a term that begins now. It does not know yet what earlier primaries allocated.
 func NewAllocator(now time.Duration) *Allocator {
 	return &Allocator{termStart: now, leases: map[string]*clientLease{}, totals: map[string]*tenantTotals{}}
 }
 
-// ActiveClients returns the number of routers that requested shares within a lease duration.
+// ActiveClients returns the number of routers whose leases have not expired: those that requested shares within the last
+// LeaseDuration.
 func (a *Allocator) ActiveClients(now time.Duration) int {
 	a.expire(now)
 	return len(a.leases)
@@ -51,13 +53,13 @@
 // TermAge returns how long ago the term began.
 func (a *Allocator) TermAge(now time.Duration) time.Duration { return now - a.termStart }
 
-// SetReserve sets the fraction of every limit that is left to routers without contact, see ReservedFraction. The
-// primary sets it again and again.
+// SetReserve sets the fraction of each limit that is left to routers that do not reach the primary, see
+// ReservedFraction. The primary updates it periodically.
 func (a *Allocator) SetReserve(fraction float64) { a.reserved = fraction }
 
-// Allocate answers a router's request for shares; fleetSize is the number of routers. It returns a share for each
-// tenant with a demand. A router that restarted has another incarnation: it reports nothing of what its predecessor was
-// allocated, which therefore stays counted until it expires.
+// Allocate answers a router's request for shares, and returns a share for each tenant in r.Demand; fleetSize is the
+// number of routers. After a restart a router has another incarnation and does not report the shares that were allocated
+// to its previous one, so these stay counted until they expire.
 func (a *Allocator) Allocate(router string, incarnation uint64, r ShareRequest, fleetSize int,
 	now time.Duration) map[string]float64 {
 	a.expire(now)
@@ -83,12 +85,13 @@
 			share = a.share(tenant, wanted, current, max(1, fleetSize))
 		}
 		allocated[tenant] = share
-		a.record(lease, tenant, wanted, max(current, share)) // until the next request reports otherwise
+		a.record(lease, tenant, wanted, max(current, share)) // the larger one counts until the next request reports otherwise
 	}
 	return allocated
 }
 
-// reconcile updates a lease to what its router reports: a tenant that it neither wants nor holds is released.
+// reconcile updates a lease to its router's report. If the report is of the same incarnation, the share of a tenant that
+// the router neither demands nor holds is released.
 func (a *Allocator) reconcile(lease *clientLease, sameIncarnation bool, r ShareRequest) {
 	for tenant, share := range lease.shares {
 		_, wanted := r.Demand[tenant]
@@ -100,7 +103,7 @@
 	}
 }
 
-// record sets the demand and the share of a tenant in a lease, and keeps the tenant's totals.
+// record sets the demand and the share of a tenant in a lease, and updates the tenant's totals.
 func (a *Allocator) record(lease *clientLease, tenant string, demand, share float64) {
 	totals := a.totals[tenant]
 	if totals == nil {
@@ -119,8 +122,9 @@
 	}
 }
 
-// share is the new share of a router that wants so many units a second of a tenant and counts for a current share: a
-// part that all routers have alike and one by demand, as far as the others' shares leave room.
+// share returns the new share of a router that wants wanted units per second of a tenant's limit and has been allocated
+// the share current. It consists of an even part and a part by demand, and is reduced to what the reserve and the other
+// routers' shares leave.
 func (a *Allocator) share(tenant string, wanted, current float64, fleetSize int) float64 {
 	totals := a.totals[tenant]
 	target := evenFraction / float64(fleetSize)
@@ -132,7 +136,7 @@
 	return max(0, min(target, 1-a.reserved-(totals.shares-current)))
 }
 
-// expire removes the leases that have ended, at most once in a clockMargin.
+// expire removes the leases that have expired. It does so at most once per clockMargin, to bound its cost.
 func (a *Allocator) expire(now time.Duration) {
 	if now-a.lastExpiry < clockMargin {
 		return
@@ -152,7 +156,7 @@
 	}
 }
 
-// Allocated returns the sum of the shares of a tenant's limit that are allocated, as far as this primary knows.
+// Allocated returns the sum of the allocated shares of a tenant's limit, as far as this primary knows.
 func (a *Allocator) Allocated(tenant string) float64 {
 	if totals := a.totals[tenant]; totals != nil {
 		return totals.shares
--- a/internal/router/quota/buckets.go
+++ b/internal/router/quota/buckets.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bounds are the figures that the limits are verified by: in any window a tenant is granted at most
+// Bounds defines the guarantee that limits have to meet: in any interval of length Window, a tenant is granted at most
 // (rate × Window + burst) × (1 + Overshoot) + Slack units.
 type Bounds struct {
 	Window    time.Duration
@@ -10,68 +10,72 @@
 	Slack     float64
 }
 
-// What the bound of a window leaves beyond the rate is for bursts, less what others may spend meanwhile.
+// The difference between the bound of a window and what the rate brings in this time is available for bursts, less the
+// units that may be spent elsewhere during the window.
 const (
-	transitSeconds            = 0.5  // of the rate: what was acquired and may still arrive at a server
-	isolatedSeconds           = 0.75 // of the rate: the leases of routers that are cut off, 0.3 of the fleet for 2.5 s
-	slackFraction             = 0.42 // of the slack; the rest is for the one request by which each lease may be overdrawn
-	overdraftFraction         = 0.25 // of the slack, within slackFraction: by so much a request may overdraw a bucket that is not empty
-	minBurstFraction          = 0.25 // of a tenant's burst: the smallest capacity
-	initialFraction           = 0.4  // of the capacity that a new primary begins with
-	initialFractionAfterStart = 1.0  // the same where the process has just started itself: then hardly any router holds a lease
+	transitSeconds          = 0.5  // of the rate: units that were acquired, but whose requests may still reach a server later
+	isolatedSeconds         = 0.75 // of the rate: spent by partitioned routers from their leases, 0.3 of the fleet for 2.5 s
+	slackFraction           = 0.42 // of the slack; the rest covers the one request by which each lease may be overdrawn
+	overdraftFraction       = 0.25 // of the slack, within slackFraction: the amount by which a request may overdraw a non-empty bucket
+	minBurstFraction        = 0.25 // of a tenant's burst: the minimum capacity
+	takeoverInitialFraction = 0.4  // of the capacity: the initial content of buckets at a new primary
+	startupInitialFraction  = 1.0  // the same if the process has just started: then hardly any router holds a lease
 )
 
-// TokenBuckets are the token buckets of all tenants, at the primary. Routers acquire from them what their requests
-// need. Make them by NewTokenBuckets when a router becomes primary. They are for one goroutine at a time.
+// TokenBuckets holds the primary's token buckets of all tenants, from which routers acquire the units of their requests.
+// NewTokenBuckets creates it when a router becomes primary.
 type TokenBuckets struct {
-	bounds         Bounds
-	termStart      time.Duration
-	initial        float64 // fraction of the capacity that buckets begin with
-	limits         map[string]Limit
-	buckets        map[string]*tokenBucket // by tenant, of those that were used in this term
-	refillFraction float64                 // of the rates
+	bounds          Bounds
+	termStart       time.Duration
+	initialFraction float64 // of the capacity: the initial content of buckets
+	limits          map[string]Limit
+	buckets         map[string]*tokenBucket // by tenant, for tenants with requests in this term
+	refillFraction  float64                 // of the rate: the refill that routers without contact to the primary leave
 }
 
-// tokenBucket is one tenant's bucket. It may be negative, see Acquire.
+// tokenBucket is one tenant's bucket. Its content may be negative, see Acquire.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// NewTokenBuckets returns the buckets of a primary's term that begins now; started says that the process has just
-// started. Buckets begin with a fraction of their capacity, since routers may hold leases of the term before.
+// NewTokenBuckets returns the buckets of a primary's term that begins now; started tells that the process has just
+// started. Buckets initially hold a fraction of their capacity, because routers may hold leases of the previous term.
 func NewTokenBuckets(b Bounds, started bool, now time.Duration) *TokenBuckets {
-	initial := initialFraction
+	initialFraction := takeoverInitialFraction
 	if started {
-		initial = initialFractionAfterStart
+		initialFraction = startupInitialFraction
 	}
 	return &TokenBuckets{
-		bounds:         b,
-		termStart:      now,
-		initial:        initial,
-		limits:         map[string]Limit{},
-		buckets:        map[string]*tokenBucket{},
-		refillFraction: 1,
+		bounds:          b,
+		termStart:       now,
+		initialFraction: initialFraction,
+		limits:          map[string]Limit{},
+		buckets:         map[string]*tokenBucket{},
+		refillFraction:  1,
 	}
 }
 
-// SetLimits replaces the tenants' limits by those of a configuration; the map is kept and must not be changed.
+// SetLimits replaces the tenants' limits by those of a configuration. TokenBuckets keeps the map; the caller must not
+// change it afterwards.
 func (t *TokenBuckets) SetLimits(limits map[string]Limit) { t.limits = limits }
 
-// SetReserve sets the fraction of every limit that is left to routers without contact: buckets are refilled by so much
-// less.
+// SetReserve sets the fraction of each limit that is left to routers that do not reach the primary. It reduces the
+// refill of the buckets.
 func (t *TokenBuckets) SetReserve(fraction float64) { t.refillFraction = 1 - fraction }
 
-// Capacity returns the most units that a tenant with a limit may acquire at once after it acquired nothing for a while.
+// Capacity returns the capacity of the bucket of a tenant with this limit: the units that it can acquire at once after
+// having acquired none for a while.
 func (t *TokenBuckets) Capacity(l Limit) float64 {
 	window := t.bounds.Window.Seconds()
 	bound := (l.Rate*window+l.Burst)*(1+t.bounds.Overshoot) + (slackFraction-overdraftFraction)*t.bounds.Slack
 	return max(minBurstFraction*l.Burst, bound-l.Rate*(window+transitSeconds+isolatedSeconds))
 }
 
-// Acquire grants the units that a request needs and, where there are more, up to extra; or none, and how long to wait
-// before another attempt. A bucket that is not empty may be overdrawn: otherwise what it is refilled with would go to
-// small requests, and large ones would never find enough.
+// Acquire grants the units that a request needs, and up to extra further units if the bucket holds more. If the bucket
+// holds too little, it grants none and returns how long to wait before another attempt. A request may overdraw the
+// bucket by a bounded amount: otherwise small requests would use up the refill, and large ones would never find enough
+// units.
 func (t *TokenBuckets) Acquire(tenant string, need, extra float64, now time.Duration) (granted float64, wait time.Duration) {
 	limit, ok := t.limits[tenant]
 	if !ok || limit.Rate == 0 {
@@ -80,7 +84,7 @@
 	capacity := t.Capacity(limit)
 	bucket := t.buckets[tenant]
 	if bucket == nil {
-		bucket = &tokenBucket{tokens: t.initial * capacity, refilledAt: t.termStart}
+		bucket = &tokenBucket{tokens: t.initialFraction * capacity, refilledAt: t.termStart}
 		t.buckets[tenant] = bucket
 	}
 	bucket.tokens = min(capacity, bucket.tokens+(now-bucket.refilledAt).Seconds()*limit.Rate*t.refillFraction)
--- a/internal/router/quota/client.go
+++ b/internal/router/quota/client.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// Limit is a tenant's limit over all routers, in units: requests or tokens.
+// Limit is a tenant's limit over all routers. Its units are requests or tokens.
 type Limit struct {
-	Rate  float64 // units a second; 0: none
-	Burst float64
+	Rate  float64 // units per second; 0: unlimited
+	Burst float64 // units beyond the rate, see Bounds
 }
 
 const (
-	prefetchTTL         = 400 * time.Millisecond // how long units that were acquired ahead of requests may be spent
-	prefetchSpan        = 100 * time.Millisecond // of demand is acquired ahead
-	minPrefetchRequests = 3                      // requests within prefetchSpan from which it is worthwhile
-	overLimitFor        = time.Second            // how long a tenant counts as over its limit after a rejection
+	prefetchTTL         = 400 * time.Millisecond // how long prefetched units may be spent
+	prefetchSpan        = 100 * time.Millisecond // the demand of this time is prefetched
+	minPrefetchRequests = 3                      // requests within prefetchSpan from which prefetching is worthwhile
+	overLimitPeriod     = time.Second            // how long a tenant counts as over its limit after a rejection
 )
 
-// Verdict is the decision about a request's units.
+// Verdict is the decision on a request for units.
 type Verdict int
 
 // The verdicts. Only Client.Reserve returns NeedsPrimary.
 const (
 	Granted Verdict = iota
 	Rejected
-	NeedsPrimary // the units have to be acquired from the primary
+	NeedsPrimary // the caller has to acquire the units from the primary
 )
 
-// Client is one router's side of all limits: the units that it acquired from the primary ahead of requests, and its
-// leased shares for times without contact to the primary. Make it by NewClient; it is for one goroutine at a time.
+// Client is a router's part in enforcing the limits. It holds the units that the router prefetched from the primary, and
+// its leased shares for times without contact to the primary. NewClient creates it.
 type Client struct {
 	tenants     map[string]*tenantState
 	fleetSize   int
-	nonce       uint64        // number of the last request for shares
-	requestedAt time.Duration // when that was
+	nonce       uint64        // of the last request for shares
+	requestedAt time.Duration // time of the last request for shares
 	leaseEnd    time.Duration // 0: there was no lease yet
 	pooledUntil time.Duration // until then a pool spends this router's shares
 }
 
-// tenantState is what a client knows of one tenant with a limit.
+// tenantState is the state of one tenant with a limit.
 type tenantState struct {
 	limit          Limit
 	prefetched     prefetchedUnits
 	demand         demandEstimate
 	overLimitUntil time.Duration
 
-	share      float64   // of the limit, by the lease
-	overdraft  overdraft // of the share, since the last contact to the primary
+	share      float64   // leased fraction of the limit
+	overdraft  overdraft // bucket of the share, since the last contact to the primary
 	refilledAt time.Duration
 }
 
-// NewClient returns a client without any share. Its requests for shares are numbered from its incarnation, which is
-// drawn at random at each start of the process, so that no answer to an earlier process is taken for one of this one.
+// NewClient returns a Client without shares. Its requests for shares are numbered starting from incarnation, which is
+// random for each start of the process, so that it does not accept an answer that was sent to an earlier process.
 func NewClient(incarnation uint64) *Client {
 	return &Client{nonce: incarnation, tenants: map[string]*tenantState{}, fleetSize: math.MaxInt}
 }
 
-// SetFleetSize sets the number of routers, among which standing shares are divided. Before the first call there are
-// none.
+// SetFleetSize sets the number of routers, which determines the standing share. Before the first call the standing share
+// is practically 0.
 func (c *Client) SetFleetSize(n int) { c.fleetSize = max(1, n) }
 
-// SetLimits replaces the tenants' limits by those of a configuration. The state of tenants that keep a limit is kept.
+// SetLimits replaces the tenants' limits by those of a configuration. Tenants that still have a limit keep their state.
 func (c *Client) SetLimits(limits map[string]Limit, now time.Duration) {
 	for name := range c.tenants {
 		if limits[name].Rate == 0 {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Reserve spends units for a request of a tenant from those that were acquired ahead. Where these do not suffice the
-// verdict is NeedsPrimary, and extra is how many units to acquire beyond the request's own.
+// Reserve spends prefetched units for a request of a tenant. If these do not suffice, the verdict is NeedsPrimary, and
+// extra is the number of units to acquire for prefetching, in addition to those of the request.
 func (c *Client) Reserve(name string, units float64, now time.Duration) (v Verdict, extra float64) {
 	tenant := c.tenants[name]
 	if tenant == nil {
@@ -94,37 +94,38 @@
 		tenant.prefetched.units -= units
 		return Granted, 0
 	}
-	if ahead := tenant.demand.rate * prefetchSpan.Seconds(); ahead >= minPrefetchRequests*units {
-		extra = ahead
+	if prefetch := tenant.demand.rate * prefetchSpan.Seconds(); prefetch >= minPrefetchRequests*units {
+		extra = prefetch
 	}
 	return NeedsPrimary, extra
 }
 
-// ApplyAcquired applies the primary's answer to a request for units after Reserve returned NeedsPrimary: it spends
-// units of what was granted, and keeps the rest for requests that follow. The verdict is Rejected where too few were
-// granted.
+// ApplyAcquired applies the primary's answer after Reserve returned NeedsPrimary. Of the granted units it spends those
+// of the request, and keeps the rest as prefetched units. The verdict is Rejected if fewer units were granted than the
+// request needs.
 func (c *Client) ApplyAcquired(name string, granted, units float64, now time.Duration) Verdict {
 	tenant := c.tenants[name]
 	if tenant == nil {
 		return Granted
 	}
-	tenant.overdraft, tenant.refilledAt = overdraft{}, now // shares are refilled from the last contact to the primary on
+	// The bucket of the share is emptied, and its refill starts at this contact to the primary.
+	tenant.overdraft, tenant.refilledAt = overdraft{}, now
 	if granted < units {
-		tenant.overLimitUntil = now + overLimitFor
+		tenant.overLimitUntil = now + overLimitPeriod
 		return Rejected
 	}
 	tenant.prefetched.add(granted-units, now)
 	return Granted
 }
 
-// OverLimit reports whether the primary rejected a request of a tenant within the last overLimitFor: the tenant
-// requests more than its limit.
+// OverLimit reports whether the primary rejected a request of a tenant within the last overLimitPeriod, which means that
+// the tenant exceeds its limit.
 func (c *Client) OverLimit(name string, now time.Duration) bool {
 	tenant := c.tenants[name]
 	return tenant != nil && now < tenant.overLimitUntil
 }
 
-// Refund gives back units of a request that did not run, for requests that follow within prefetchTTL.
+// Refund returns the units of a request that did not run. Requests within the next prefetchTTL can spend them.
 func (c *Client) Refund(name string, units float64, now time.Duration) {
 	if tenant := c.tenants[name]; tenant != nil {
 		tenant.prefetched.dropExpired(now)
@@ -132,20 +133,20 @@
 	}
 }
 
-// prefetchedUnits were acquired from the primary ahead of requests.
+// prefetchedUnits are units acquired from the primary in advance of the requests that spend them.
 type prefetchedUnits struct {
 	units      float64
 	acquiredAt time.Duration
 }
 
-// dropExpired forgets units that were acquired too long ago.
+// dropExpired discards the units if they were acquired more than prefetchTTL ago.
 func (p *prefetchedUnits) dropExpired(now time.Duration) {
 	if now-p.acquiredAt > prefetchTTL {
 		p.units = 0
 	}
 }
 
-// add adds units that may be spent from now on.
+// add adds units. They, and those that were there before, may be spent within prefetchTTL from now.
 func (p *prefetchedUnits) add(units float64, now time.Duration) {
 	p.units += units
 	p.acquiredAt = now
--- a/internal/router/quota/demand.go
+++ b/internal/router/quota/demand.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	demandTimeConstant = 2 * time.Second // of the smoothing
-	minDemand          = 0.01            // units a second from which demand is reported
+	demandTimeConstant = 2 * time.Second // time constant of the exponential smoothing
+	minDemand          = 0.01            // units per second; a lower demand is not reported
 )
 
-// demandEstimate is an exponentially smoothed rate.
+// demandEstimate is an exponentially smoothed rate of requested units.
 type demandEstimate struct {
-	rate       float64 // units a second
-	units      float64 // requested since measuredAt
+	rate       float64 // units per second
+	units      float64 // requested since measuredAt, not yet in rate
 	measuredAt time.Duration
 }
 
-// update includes the units since the last measurement in the rate.
+// update adds the units requested since the last update to the smoothed rate.
 func (d *demandEstimate) update(now time.Duration) {
 	elapsed := now - d.measuredAt
 	if elapsed <= 0 {
--- a/internal/router/quota/incarnation_test.go
+++ b/internal/router/quota/incarnation_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An answer to a request of an earlier process is not applied: the primary allocated that share to another incarnation.
+// A client does not apply an answer to a request of an earlier process: the primary allocated that share to another
+// incarnation.
 func TestAnAnswerToAnEarlierIncarnation(t *testing.T) {
 	const now = 5 * time.Second
 	before, client := NewClient(4711), NewClient(815)
--- a/internal/router/quota/leased_shares.go
+++ b/internal/router/quota/leased_shares.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// What a Client does with its leased shares: it requests them while there is a primary, and spends them, or deposits them
-// with a pool, while there is none.
+// This file has the methods of Client for leased shares: it requests them while there is a primary, and spends them or
+// deposits them with a pool while there is none.
 
 const (
-	depositSpan       = 600 * time.Millisecond // how long a deposit is valid
-	overdraftCooldown = 8 * time.Second        // after a deposit, until the router's own requests may overdraw its shares again
+	depositDuration   = 600 * time.Millisecond // how long a deposit is valid
+	overdraftCooldown = 8 * time.Second        // time after a deposit during which the router's own requests may not overdraw its shares
 )
 
-// ShareRequest is what a router asks of the primary's Allocator.
+// ShareRequest is a router's request for shares to the primary's Allocator.
 type ShareRequest struct {
-	Nonce  uint64             // number of the request: the answer belongs to this one alone
-	Demand map[string]float64 // by tenant, units a second
-	Held   map[string]float64 // by tenant, the shares that the router still has, 0 to 1
+	Nonce  uint64             // identifies the request; the answer carries the same nonce
+	Demand map[string]float64 // units per second, by tenant
+	Held   map[string]float64 // shares of the router's valid lease, 0 to 1, by tenant
 }
 
-// RequestShares begins a request for leases. The caller sends it to the primary, and passes the answer to ApplyShares
+// RequestShares returns a request for shares. The caller sends it to the primary, and passes the answer to ApplyShares
 // together with the nonce.
 func (c *Client) RequestShares(now time.Duration) ShareRequest {
 	c.nonce++
@@ -25,7 +25,7 @@
 	request := ShareRequest{Nonce: c.nonce, Demand: map[string]float64{}, Held: map[string]float64{}}
 	for name, tenant := range c.tenants {
 		tenant.demand.update(now)
-		if tenant.demand.rate < minDemand { // most tenants have no requests at most routers
+		if tenant.demand.rate < minDemand { // applies to most tenants at most routers
 			tenant.share = 0
 			continue
 		}
@@ -37,8 +37,8 @@
 	return request
 }
 
-// ApplyShares applies the answer to the last request for shares; one to an earlier request, or that comes too late, is
-// dropped.
+// ApplyShares applies the answer to the latest request for shares. It ignores an answer to an earlier request, and one
+// that arrives LeaseDuration or more after the request.
 func (c *Client) ApplyShares(nonce uint64, shares map[string]float64, now time.Duration) {
 	if nonce != c.nonce || now-c.requestedAt >= LeaseDuration {
 		return
@@ -53,9 +53,10 @@
 	c.leaseEnd = c.requestedAt + LeaseDuration
 }
 
-// ReserveFromLease spends units of the router's own share; it is called after Reserve returned NeedsPrimary, where
-// neither the primary nor a pool answers. One request may overdraw the share: that of a small tenant's limit is less
-// than a request. Where the verdict is Rejected, wait is the time until the units are there, 0 where that is not known.
+// ReserveFromLease spends units of the router's own share. The caller uses it after Reserve returned NeedsPrimary, if
+// neither the primary nor a pool answers. One request may overdraw the share, because the share of a small tenant's limit
+// can be less than one request needs. If the verdict is Rejected, wait is the time until the units are available, 0 if
+// that time is unknown.
 func (c *Client) ReserveFromLease(name string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
 	tenant := c.tenants[name]
 	if tenant == nil {
@@ -67,12 +68,12 @@
 	rate := c.isolatedRate(tenant, now)
 	c.refill(tenant, rate, now)
 	if c.pooledUntil > 0 && now < c.pooledUntil+overdraftCooldown && units > tenant.overdraft.units {
-		return Rejected, 0 // the pool spent the share from which an overdraft would be paid off
+		return Rejected, 0 // the pool has spent the units that would pay off an overdraft
 	}
 	return tenant.overdraft.spend(units, rate)
 }
 
-// refill adds the units since the last refill. While a pool has the share these are none.
+// refill adds the units earned since the last refill. The share earns none while it is deposited with a pool.
 func (c *Client) refill(tenant *tenantState, rate float64, now time.Duration) {
 	from := max(tenant.refilledAt, c.pooledUntil)
 	if now <= from {
@@ -82,9 +83,9 @@
 	tenant.refilledAt = now
 }
 
-// isolatedRate is how many units a second may be spent without contact to the primary: those of the leased share, and
-// once the lease has expired those of the standing share, which the primary leaves to each router that does not reach
-// it.
+// isolatedRate returns the units per second that may be spent without contact to the primary: the rate of the leased
+// share while the lease is valid, and then that of the standing share, which the primary leaves to each router that does
+// not reach it. The standing share is reduced in proportion if the last lease was smaller than an equal part.
 func (c *Client) isolatedRate(tenant *tenantState, now time.Duration) float64 {
 	if now < c.leaseEnd {
 		return tenant.limit.Rate * tenant.share
@@ -92,8 +93,8 @@
 	return tenant.limit.Rate * c.standingShare(now) * min(1, tenant.share*float64(c.fleetSize))
 }
 
-// standingShare is the share of every limit that this router keeps without a lease; a client that never had a lease has
-// none.
+// standingShare returns the share of each limit that this router keeps without a valid lease. It is 0 for a client that
+// never had a lease.
 func (c *Client) standingShare(now time.Duration) float64 {
 	if c.leaseEnd == 0 {
 		return 0
@@ -105,10 +106,10 @@
 	return share
 }
 
-// Deposit hands the shares that this router may spend without the primary over to a pool, and the debts of requests
-// that overdrew them. Until the deposit expires the client spends none of them itself.
+// Deposit returns the deposit that transfers to a pool the shares that this router may spend without the primary, and
+// the debts of requests that overdrew them. The client does not spend these shares itself until the deposit expires.
 func (c *Client) Deposit(now time.Duration) Deposit {
-	d := Deposit{For: depositSpan, Debts: map[string]float64{}}
+	d := Deposit{For: depositDuration, Debts: map[string]float64{}}
 	for name, tenant := range c.tenants {
 		c.refill(tenant, c.isolatedRate(tenant, now), now)
 		if tenant.overdraft.units < 0 {
--- a/internal/router/quota/mutation_test.go
+++ b/internal/router/quota/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each guard that keeps pools within the limits is taken out of the code, and the simulations notice.
+// Removing any of the guards that keep pools within the limits makes a test fail.
 func TestGuardsOfPools(t *testing.T) {
 	const (
 		here   = "petrelhook/internal/router/quota"
--- a/internal/router/quota/pool.go
+++ b/internal/router/quota/pool.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Deposit is what a router that has no contact to a primary leaves to a pool, for a time in which it spends nothing
-// itself. Routers send it to the host of the pool.
+// Deposit transfers the shares of a router without contact to a primary to a pool, for a time in which the router does
+// not spend them itself. Routers send it to the host of the pool.
 type Deposit struct {
-	Shares   map[string]float64 // of its leases, by tenant
-	Standing float64            // or its standing share of every limit
+	Shares   map[string]float64 // shares of its valid lease, by tenant
+	Standing float64            // without a valid lease: its standing share of each limit
 	Debts    map[string]float64 // units by which its requests overdrew its shares, by tenant
-	For      time.Duration      // from when the pool requested it
+	For      time.Duration      // validity: for the pool from its request, for the router from its answer
 }
 
-// Pool spends what several routers without contact to a primary deposited. A router of many has a part of a small
-// tenant's limit that is less than a request a second, and its requests come in clusters: alone it rejects what all
-// together could serve.
+// Pool spends the deposits of several routers without contact to a primary. In a large fleet one router's part of a small
+// tenant's limit is less than one request per second, and its requests come in clusters: on its own it rejects requests
+// that the routers together could serve.
 //
-// Invariant: each share is spent by its router or by one pool, never by both. A pool counts a deposit from before it
-// requested it, the router from when it answered; and deposits expire by themselves.
+// Invariant: a share is spent either by its router or by one pool, never by both. A pool counts the validity of a deposit
+// from its request, the router from its answer, which is later. Deposits expire without a further message.
 type Pool struct {
 	limits   map[string]Limit
 	deposits map[string]*activeDeposit // by router
 	accounts map[string]*account       // by tenant
 
 	standing         float64       // sum of the deposits' standing shares
-	standingIntegral float64       // of standing over time, in seconds
-	integratedTo     time.Duration // up to which the integral goes
+	standingIntegral float64       // integral of standing over time, in seconds
+	integratedTo     time.Duration // end of the interval that standingIntegral covers
 }
 
 // activeDeposit is a deposit that has not expired.
@@ -34,24 +34,25 @@
 	expires  time.Duration
 }
 
-// account is one tenant's part of a pool, as of updatedAt.
+// account is the state of one tenant in a pool, as of updatedAt.
 type account struct {
 	overdraft
-	shares           float64 // sum of the deposits'
+	shares           float64 // sum of the deposits' shares
 	updatedAt        time.Duration
-	standingIntegral float64 // of the pool, at updatedAt
+	standingIntegral float64 // Pool.standingIntegral at updatedAt
 }
 
-// NewPool returns a pool without deposits.
+// NewPool returns a Pool without deposits.
 func NewPool() *Pool {
 	return &Pool{limits: map[string]Limit{}, deposits: map[string]*activeDeposit{}, accounts: map[string]*account{}}
 }
 
-// SetLimits replaces the tenants' limits by those of a configuration; the map is kept and must not be changed.
+// SetLimits replaces the tenants' limits by those of a configuration. The Pool keeps the map; the caller must not change
+// it afterwards.
 func (p *Pool) SetLimits(limits map[string]Limit) { p.limits = limits }
 
-// Put replaces a router's deposit by one that was requested at requestedAt, on the pool's clock: the deposit's time
-// counts from then. An empty one takes it away.
+// Put replaces a router's deposit. Its validity counts from requestedAt, the time on the pool's clock at which the pool
+// requested it. An empty deposit removes the router's deposit.
 func (p *Pool) Put(router string, d Deposit, requestedAt, now time.Duration) {
 	p.expire(now)
 	p.remove(router, now)
@@ -70,8 +71,8 @@
 	}
 }
 
-// Reserve spends units of a tenant's limit. Where the verdict is Rejected, wait is the time until they are there, 0
-// where that is not known. It never returns NeedsPrimary.
+// Reserve spends units of a tenant's limit. If the verdict is Rejected, wait is the time until the units are available, 0
+// if that time is unknown. Reserve never returns NeedsPrimary.
 func (p *Pool) Reserve(tenant string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
 	limit, ok := p.limits[tenant]
 	if !ok { // the requester has a newer configuration than the pool's host
@@ -106,7 +107,7 @@
 	return a
 }
 
-// integrate brings the integral of the standing shares up to now. With it, a change of them need not touch every
+// integrate extends standingIntegral up to now. With the integral, a change of the standing shares need not update every
 // account.
 func (p *Pool) integrate(now time.Duration) {
 	if now <= p.integratedTo {
@@ -116,23 +117,23 @@
 	p.integratedTo = now
 }
 
-// expire removes the deposits that have expired, each as of its expiry, in the order of these.
+// expire removes the deposits that have expired, in the order of their expiry, each as of the time of its expiry.
 func (p *Pool) expire(now time.Duration) {
 	for {
-		first, expires := "", now
+		firstRouter, expires := "", now
 		for router, d := range p.deposits {
 			if d.expires <= expires {
-				first, expires = router, d.expires
+				firstRouter, expires = router, d.expires
 			}
 		}
-		if first == "" {
+		if firstRouter == "" {
 			return
 		}
-		p.remove(first, expires)
+		p.remove(firstRouter, expires)
 	}
 }
 
-// remove takes a router's deposit away, if there is one. The debts that came with it stay.
+// remove removes a router's deposit, if there is one. The debts that were part of it stay.
 func (p *Pool) remove(router string, at time.Duration) {
 	d := p.deposits[router]
 	if d == nil {
@@ -149,7 +150,8 @@
 	}
 }
 
-// reset drops what rounding left of shares, and accounts without a debt.
+// reset sets the sums of shares to 0, which clears rounding errors, and removes the accounts without a debt. It requires
+// that there are no deposits.
 func (p *Pool) reset() {
 	p.standing = 0
 	for tenant, a := range p.accounts {
--- a/internal/router/quota/pool_test.go
+++ b/internal/router/quota/pool_test.go
@@ -11,19 +11,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pooledClients are clients that deposit their shares with pools while they have no contact to a primary.
+// pooledClients simulates clients that deposit their shares with pools while they have no contact to a primary.
 type pooledClients struct {
-	random         *rand.Rand
-	clients        []*Client
-	pools          []*Pool
-	failedUntil    []time.Duration // until then a pool does not answer
-	poolOf         []int           // the index of a client's pool
-	every          time.Duration
-	injectFailures bool
+	random          *rand.Rand
+	clients         []*Client
+	pools           []*Pool
+	failedUntil     []time.Duration // until then a pool does not answer
+	poolOf          []int           // the index of a client's pool
+	collectInterval time.Duration
+	injectFailures  bool
 }
 
 func newPooledClients(random *rand.Rand, clients []*Client, limits map[string]Limit, pools int) *pooledClients {
-	p := &pooledClients{random: random, clients: clients, failedUntil: make([]time.Duration, pools), poolOf: make([]int, len(clients)), every: 200 * time.Millisecond, injectFailures: true}
+	p := &pooledClients{random: random, clients: clients, failedUntil: make([]time.Duration, pools), poolOf: make([]int, len(clients)), collectInterval: 200 * time.Millisecond, injectFailures: true}
 	for range pools {
 		pool := NewPool()
 		pool.SetLimits(limits)
@@ -35,16 +35,16 @@
 	return p
 }
 
-// tick has a client's pool request a deposit of it at intervals, and a pool fail, rarely. A client whose pool fails
-// changes to another one once its deposit has expired.
-func (p *pooledClients) tick(i int, reaches bool, now time.Duration) {
+// tick lets the pool of a client request its deposit every collectInterval, and rarely lets a pool fail. A client whose
+// pool has failed changes to another pool once its deposit has expired.
+func (p *pooledClients) tick(i int, reachesPrimary bool, now time.Duration) {
 	if len(p.pools) == 0 {
 		return
 	}
 	if p.injectFailures && i == 0 && p.random.Intn(1000) == 0 {
 		p.failedUntil[p.random.Intn(len(p.pools))] = now + time.Duration(p.random.Intn(2000))*time.Millisecond
 	}
-	if now%p.every != time.Duration(i%20)*10*time.Millisecond {
+	if now%p.collectInterval != time.Duration(i%20)*10*time.Millisecond {
 		return
 	}
 	client := p.clients[i]
@@ -56,15 +56,15 @@
 	}
 	requestedAt := now - time.Duration(p.random.Intn(300))*time.Millisecond
 	deposit := Deposit{}
-	if !reaches {
+	if !reachesPrimary {
 		deposit = client.Deposit(now)
 	}
-	if p.random.Intn(10) > 0 { // else it is lost on the way
+	if p.random.Intn(10) > 0 { // otherwise the deposit is lost on the way
 		p.pools[p.poolOf[i]].Put(fmt.Sprint(i), deposit, requestedAt, now)
 	}
 }
 
-// reserve spends the client's own share, or the pool's where the client deposited its share.
+// reserve spends the client's own share, or the pool's shares if the client has deposited its own.
 func (p *pooledClients) reserve(i int, units float64, now time.Duration) Verdict {
 	v, _ := p.clients[i].ReserveFromLease("t", units, now)
 	if v == Granted || now >= p.clients[i].PooledUntil() {
@@ -76,7 +76,8 @@
 	return v
 }
 
-// leasedClient is a client of a fleet of two that had half of the limit when it lost contact to the primary, at 0.
+// leasedClient returns a client of a fleet of two that held half of the limit when it lost contact to the primary at
+// time 0.
 func leasedClient(limits map[string]Limit) *Client {
 	client := NewClient(1)
 	client.SetLimits(limits, 0)
@@ -86,8 +87,8 @@
 	return client
 }
 
-// A pool spends nothing of a deposit after its expiry, however late the deposit came; the router spends nothing before
-// it, and is not refilled meanwhile.
+// A pool does not spend a deposit after its expiry, however late the deposit arrived. The router spends nothing before
+// the expiry, and its bucket is not refilled until then.
 func TestADepositEndsAtThePoolFirst(t *testing.T) {
 	limits := map[string]Limit{"t": {Rate: 1000, Burst: 1000}}
 	client, pool := leasedClient(limits), NewPool()
@@ -99,23 +100,23 @@
 	require.Equal(t, Rejected, v)
 	v, _ = pool.Reserve("t", 1, answeredAt)
 	require.Equal(t, Granted, v)
-	require.Equal(t, 1, pool.DepositCount(requestedAt+depositSpan-time.Millisecond))
-	require.Zero(t, pool.DepositCount(requestedAt+depositSpan))
-	v, _ = pool.Reserve("t", 1, requestedAt+depositSpan)
+	require.Equal(t, 1, pool.DepositCount(requestedAt+depositDuration-time.Millisecond))
+	require.Zero(t, pool.DepositCount(requestedAt+depositDuration))
+	v, _ = pool.Reserve("t", 1, requestedAt+depositDuration)
 	require.Equal(t, Rejected, v)
 
-	ended := answeredAt + depositSpan
-	v, wait := client.ReserveFromLease("t", 1, ended-time.Millisecond)
+	depositEnd := answeredAt + depositDuration
+	v, wait := client.ReserveFromLease("t", 1, depositEnd-time.Millisecond)
 	require.Equal(t, Rejected, v)
 	require.Equal(t, time.Millisecond, wait)
-	earned := answeredAt.Seconds() * 500 // until it left its share to the pool
-	v, _ = client.ReserveFromLease("t", earned, ended)
+	earned := answeredAt.Seconds() * 500 // before it deposited its share
+	v, _ = client.ReserveFromLease("t", earned, depositEnd)
 	require.Equal(t, Granted, v)
-	v, _ = client.ReserveFromLease("t", 1, ended+time.Millisecond)
+	v, _ = client.ReserveFromLease("t", 1, depositEnd+time.Millisecond)
 	require.Equal(t, Rejected, v)
 }
 
-// The debt of a router's requests is paid off by the pool, and outlasts the deposit there.
+// The pool pays off the debt of a router's requests, and keeps the debt after the deposit has ended.
 func TestDebtsGoWithADeposit(t *testing.T) {
 	limits := map[string]Limit{"t": {Rate: 1000, Burst: 1000}}
 	client, pool := leasedClient(limits), NewPool()
@@ -130,23 +131,23 @@
 	pool.Put("a", Deposit{Standing: 0.5, For: time.Second}, 2*time.Second, 2*time.Second)
 	v, wait = pool.Reserve("t", 1, 2*time.Second)
 	require.Equal(t, Rejected, v)
-	require.Equal(t, 3400*time.Millisecond, wait, "the first deposit has paid off a part")
+	require.Equal(t, 3400*time.Millisecond, wait, "the first deposit has paid off part of the debt")
 }
 
-// primarySilence is a load within a tenant's limit, first with a primary and then without one.
-type primarySilence struct {
+// primaryOutage is a load within a tenant's limit, first with a primary and then without one.
+type primaryOutage struct {
 	fleet int
 	rate  float64
 	pools int
 }
 
-// rejected simulates it and returns the fraction of the requests without a primary that were rejected.
-func (s primarySilence) rejected() float64 {
+// rejectedFraction simulates the outage and returns the fraction of the requests without a primary that were rejected.
+func (s primaryOutage) rejectedFraction() float64 {
 	const (
-		units = 1500.0
-		load  = 0.77            // of the limit
-		start = 6 * time.Second // until then a primary answers
-		span  = 12 * time.Second
+		units          = 1500.0
+		load           = 0.77            // of the limit
+		outageStart    = 6 * time.Second // until then a primary answers
+		outageDuration = 12 * time.Second
 	)
 	p := &simulation{random: rand.New(rand.NewSource(1)), limits: map[string]Limit{"t": {Rate: s.rate, Burst: s.rate}}, allocator: NewAllocator(-time.Minute)}
 	for range s.fleet {
@@ -158,18 +159,18 @@
 	p.pooled = newPooledClients(p.random, p.clients, p.limits, s.pools)
 	p.pooled.injectFailures = false
 	requests, rejected := 0, 0
-	for now := time.Duration(0); now < start+span; now += simulationStep {
+	for now := time.Duration(0); now < outageStart+outageDuration; now += simulationStep {
 		for i, client := range p.clients {
-			if now < start && now%requestInterval == time.Duration(i%50)*simulationStep {
+			if now < outageStart && now%requestInterval == time.Duration(i%50)*simulationStep {
 				p.requestShares(i, now)
 			}
-			if now >= start {
+			if now >= outageStart {
 				p.pooled.tick(i, false, now)
 			}
 			if p.random.Float64() > load*s.rate/float64(s.fleet)/units*simulationStep.Seconds() {
 				continue
 			}
-			if v, _ := client.Reserve("t", units, now); now < start || v == Granted {
+			if v, _ := client.Reserve("t", units, now); now < outageStart || v == Granted {
 				continue
 			}
 			requests++
@@ -181,17 +182,18 @@
 	return float64(rejected) / float64(requests)
 }
 
-// While there is no primary, what routers reject of a load within the limit: alone and with a pool in each zone.
+// Without a primary, routers with a pool in each zone reject less than half as many requests of a load within the limit
+// as routers without pools.
 func TestPoolsBesideNone(t *testing.T) {
-	for _, with := range []primarySilence{{11, 60_000, 4}, {92, 250_000, 5}, {72, 60_000, 6}, {630, 250_000, 7}} {
-		alone, together := primarySilence{with.fleet, with.rate, 0}.rejected(), with.rejected()
-		t.Logf("%d routers: %.2f alone, %.2f with %d pools", with.fleet, alone, together, with.pools)
-		assert.Less(t, together, 0.5*alone, "%d routers", with.fleet)
+	for _, outage := range []primaryOutage{{11, 60_000, 4}, {92, 250_000, 5}, {72, 60_000, 6}, {630, 250_000, 7}} {
+		aloneFraction, pooledFraction := primaryOutage{outage.fleet, outage.rate, 0}.rejectedFraction(), outage.rejectedFraction()
+		t.Logf("%d routers: %.2f alone, %.2f with %d pools", outage.fleet, aloneFraction, pooledFraction, outage.pools)
+		assert.Less(t, pooledFraction, 0.5*aloneFraction, "%d routers", outage.fleet)
 	}
 }
 
-// What a request costs the host of a pool of a region: 90 routers' deposits, renewed five times a second, and 7,700
-// tenants.
+// BenchmarkPoolTake measures the cost of a request at the host of a region's pool: deposits of 90 routers, each renewed
+// five times per second, and 7,700 tenants.
 func BenchmarkPoolTake(b *testing.B) {
 	const routers, tenants, takesBetween = 90, 7_700, 20
 	limits := map[string]Limit{}
@@ -207,7 +209,7 @@
 	}
 	for i := 0; b.Loop(); i++ {
 		if i%takesBetween == 0 {
-			pool.Put(names[i/takesBetween%routers], Deposit{Standing: standingFraction / 630, For: depositSpan}, now, now)
+			pool.Put(names[i/takesBetween%routers], Deposit{Standing: standingFraction / 630, For: depositDuration}, now, now)
 		}
 		pool.Reserve(strconv.Itoa(i%tenants), 1000, now)
 		now += 110 * time.Microsecond
--- a/internal/router/quota/quota_test.go
+++ b/internal/router/quota/quota_test.go
@@ -15,33 +15,33 @@
 	buckets := NewTokenBuckets(bounds, false, 0)
 	limit := Limit{Rate: 29_000, Burst: 29_000}
 	buckets.SetLimits(map[string]Limit{"a": limit})
-	given, _ := buckets.Acquire("a", 9_000, 0, 0)
-	require.Equal(t, 9_000.0, given)
+	granted, _ := buckets.Acquire("a", 9_000, 0, 0)
+	require.Equal(t, 9_000.0, granted)
 	var wait time.Duration
-	for given > 0 {
-		given, wait = buckets.Acquire("a", 9_000, 0, 0)
+	for granted > 0 {
+		granted, wait = buckets.Acquire("a", 9_000, 0, 0)
 	}
 	require.Positive(t, wait)
-	given, _ = buckets.Acquire("a", 9_000, 0, wait+time.Millisecond)
-	require.Equal(t, 9_000.0, given)
-	given, _ = buckets.Acquire("none", 5, 0, 0)
-	require.Equal(t, 5.0, given, "a tenant without a limit")
+	granted, _ = buckets.Acquire("a", 9_000, 0, wait+time.Millisecond)
+	require.Equal(t, 9_000.0, granted)
+	granted, _ = buckets.Acquire("none", 5, 0, 0)
+	require.Equal(t, 5.0, granted, "a tenant without a limit")
 }
 
-// A request that is larger than the whole capacity goes through once the bucket is full.
+// A request that needs more than the capacity of the bucket is granted once the bucket is full.
 func TestALargeRequest(t *testing.T) {
 	buckets := NewTokenBuckets(Bounds{Window: 8 * time.Second}, false, 0)
 	buckets.SetLimits(map[string]Limit{"a": {Rate: 100, Burst: 100}})
-	given, wait := buckets.Acquire("a", 5_000, 0, 0)
-	require.Zero(t, given)
-	given, _ = buckets.Acquire("a", 5_000, 0, wait+time.Second)
-	require.Equal(t, 5_000.0, given)
-	given, wait = buckets.Acquire("a", 10, 0, wait+time.Second)
-	require.Zero(t, given)
+	granted, wait := buckets.Acquire("a", 5_000, 0, 0)
+	require.Zero(t, granted)
+	granted, _ = buckets.Acquire("a", 5_000, 0, wait+time.Second)
+	require.Equal(t, 5_000.0, granted)
+	granted, wait = buckets.Acquire("a", 10, 0, wait+time.Second)
+	require.Zero(t, granted)
 	require.Greater(t, wait, 10*time.Second)
 }
 
-// The refill of a bucket with requests for six times its rate goes to large requests as it does to small ones.
+// If the demand is about six times the rate of a bucket, large requests are granted as often as small ones.
 func TestLargeRequestsAreNotRejectedBeforeSmallOnes(t *testing.T) {
 	buckets := NewTokenBuckets(bounds, false, 0)
 	buckets.SetLimits(map[string]Limit{"a": {Rate: 640_000, Burst: 640_000}})
@@ -51,12 +51,12 @@
 	for now := time.Duration(0); now < 30*time.Second; now += 3 * time.Millisecond {
 		size := sizes[random.Intn(len(sizes))]
 		requested[size]++
-		if given, _ := buckets.Acquire("a", size, 0, now); given > 0 {
+		if granted, _ := buckets.Acquire("a", size, 0, now); granted > 0 {
 			served[size]++
 		}
 	}
 	small, large := served[sizes[0]]/requested[sizes[0]], served[sizes[1]]/requested[sizes[1]]
-	require.Less(t, small, 0.5, "the tenant is over its limit")
+	require.Less(t, small, 0.5, "the tenant exceeds its limit")
 	require.InDelta(t, small, large, 0.05)
 }
 
@@ -67,14 +67,14 @@
 	require.Equal(t, Granted, client.ApplyAcquired("t", 10, 10, 0))
 	require.False(t, client.OverLimit("t", 0))
 	require.Equal(t, Rejected, client.ApplyAcquired("t", 0, 10, 0))
-	require.True(t, client.OverLimit("t", overLimitFor-1))
-	require.False(t, client.OverLimit("t", overLimitFor))
+	require.True(t, client.OverLimit("t", overLimitPeriod-1))
+	require.False(t, client.OverLimit("t", overLimitPeriod))
 	require.False(t, client.OverLimit("none", 0))
 }
 
-// Routers request shares and lose answers, are cut off and restart, and the primary changes: shares never add up to
-// more than 1, as far as the primary knows of them.
-func TestSharesAddUpToNoMoreThanOne(t *testing.T) {
+// Routers request shares and lose a part of the answers: the shares that they consider valid never add up to more than
+// 1.
+func TestSharesAddUpToAtMostOne(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
 		now := time.Duration(0)
@@ -91,13 +91,13 @@
 			client.Reserve("t", float64(random.Intn(500)), now)
 			request := client.RequestShares(now)
 			shares := a.Allocate(fmt.Sprint(i), 1, request, len(clients), now)
-			if random.Intn(4) > 0 { // else the answer is lost
+			if random.Intn(4) > 0 { // otherwise the answer is lost
 				client.ApplyShares(request.Nonce, shares, now+time.Millisecond)
 			}
 			sum := 0.0
-			for _, one := range clients {
-				if now < one.leaseEnd {
-					sum += one.tenants["t"].share
+			for _, other := range clients {
+				if now < other.leaseEnd {
+					sum += other.tenants["t"].share
 				}
 			}
 			require.LessOrEqual(t, sum, 1.0001, "seed %d at %v", seed, now)
@@ -119,7 +119,7 @@
 	require.Equal(t, Rejected, v, "the answer to an earlier request")
 }
 
-func TestALeaseEndsAndOverdrawsOnce(t *testing.T) {
+func TestALeaseExpiresAndIsOverdrawnOnce(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
 	nonce := client.RequestShares(0).Nonce
@@ -135,7 +135,7 @@
 	require.Equal(t, Rejected, v)
 }
 
-func TestWhatWasAcquiredAheadEnds(t *testing.T) {
+func TestPrefetchedUnitsExpire(t *testing.T) {
 	client := NewClient(1)
 	client.SetLimits(map[string]Limit{"t": {Rate: 1000}}, 0)
 	v, _ := client.Reserve("t", 10, 0)
@@ -147,7 +147,7 @@
 	require.Equal(t, NeedsPrimary, v)
 }
 
-// Many routers together stay within the limit's bound, whatever their loads are.
+// The retries of all routers together stay within the bound.
 func TestTheBudgetOfRetries(t *testing.T) {
 	const fleet = 11
 	window := 10 * time.Second
@@ -170,7 +170,7 @@
 	require.Positive(t, retries)
 }
 
-// Routers that have all just started do not know their number: none spends of the slack.
+// Routers that have all just started do not know their number, so none of them uses the slack.
 func TestTheBudgetOfRetriesAfterAStart(t *testing.T) {
 	b := NewRetryBudget(RetryBounds{Ratio: 0.2, Slack: 62, Window: 10 * time.Second})
 	b.SetFleetSize(1)
--- a/internal/router/quota/retries.go
+++ b/internal/router/quota/retries.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// RetryBounds are the figures that retries are verified by: in any window, all routers together send a service at most
-// Ratio times its requests, and Slack, retries.
+// RetryBounds defines the guarantee that retries have to meet: in any interval of length Window, all routers together
+// send a service at most Ratio × requests + Slack retries.
 type RetryBounds struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// RetryBudget bounds one router's retries of requests to each service: the attempts beyond their first. It needs no
-// coordination: the bound is a fraction of the router's own requests, and its part of the slack. It is for one
-// goroutine at a time.
+// RetryBudget bounds the retries of one router for each service, that is the attempts beyond the first of each request.
+// It needs no coordination between routers: the bound is a fraction of the router's own requests plus its part of the
+// slack.
 type RetryBudget struct {
 	bounds    RetryBounds
 	fleetSize int
 	usage     map[string]*retryUsage // by service
 }
 
-// retryUsage counts requests and retries of the last window, in a ring of slots.
+// retryUsage counts the requests and retries of the last window, in a ring of slots.
 type retryUsage struct {
 	slots [retrySlots]retrySlot
 }
 
-// retrySlot counts those of one slot; number is the slot's, counted from time 0, and tells old slots from present ones.
+// retrySlot counts the requests and retries of one slot of time. Slots are numbered from time 0; the number tells whether
+// an element of the ring is still within the window.
 type retrySlot struct {
 	number            int64
 	requests, retries int
@@ -32,19 +33,19 @@
 
 const retrySlots = 10
 
-// usableFraction of the ratio and of the slack is used: windows slide, and a router that restarted has forgotten its
-// use.
+// usableFraction is the fraction of the ratio and of the slack that is used. The rest covers windows that do not coincide
+// with slots, and routers that restarted and lost their counts.
 const usableFraction = 0.5
 
-// NewRetryBudget returns the budget of a router that starts at time 0.
+// NewRetryBudget returns the RetryBudget of a router that starts at time 0.
 func NewRetryBudget(b RetryBounds) *RetryBudget {
 	return &RetryBudget{bounds: b, fleetSize: 1, usage: map[string]*retryUsage{}}
 }
 
-// SetFleetSize sets the number of routers, which share the slack.
+// SetFleetSize sets the number of routers that share the slack.
 func (b *RetryBudget) SetFleetSize(n int) { b.fleetSize = max(1, n) }
 
-// currentSlot returns a service's usage and the slot of now in it.
+// currentSlot returns a service's usage, and in it the slot of the time now.
 func (b *RetryBudget) currentSlot(service string, now time.Duration) (*retryUsage, *retrySlot) {
 	usage := b.usage[service]
 	if usage == nil {
@@ -65,8 +66,8 @@
 	slot.requests++
 }
 
-// AcquireRetry acquires a permit for one more attempt and counts it, or returns false. A permit is not given back: an
-// attempt that is not made counts too.
+// AcquireRetry reports whether the budget permits one more retry, and if so counts it. A permit cannot be returned: a
+// retry that is then not made counts too.
 func (b *RetryBudget) AcquireRetry(service string, now time.Duration) bool {
 	usage, current := b.currentSlot(service, now)
 	requests, retries := 0, 0
@@ -77,7 +78,7 @@
 		}
 	}
 	slack := b.bounds.Slack / float64(b.fleetSize)
-	if now < b.bounds.Window { // the number of routers is not certain yet
+	if now < b.bounds.Window { // after its start a router may not know the number of routers yet
 		slack = 0
 	}
 	if float64(retries+1) > usableFraction*(b.bounds.Ratio*float64(requests)+slack) {
