--- a/internal/router/quotapool/contributor.go
+++ b/internal/router/quotapool/contributor.go
@@ -1,12 +1,13 @@
-// Package quotapool keeps the pools of quota that routers share while they have no contact with the primary: which core
-// member hosts a router's deposit, when it is given up, and whose deposits a host asks for.
+// Package quotapool manages the pools of quota that routers share while they have no contact with the primary. It decides
+// which core member hosts a router's deposit, when the router changes to another host, and which deposits a host
+// requests.
 //
-// A router offers its deposit to a core member, the host, which asks for it again and again; the router answers each
-// time with what it may spend, and spends nothing itself meanwhile. When it has contact with a primary again it answers
-// with an empty deposit. How a pool is spent is decided by quota.Pool.
+// A router offers its deposit to a core member, the host, which requests the deposit periodically. The router answers
+// each request with the shares that it may spend, and does not spend them itself until that deposit expires. Once it has
+// contact with a primary again, it answers with an empty deposit. quota.Pool decides how the pool is spent.
 //
-// The package is pure: the caller passes the view and the time, sends the messages, and holds one lock around every
-// call.
+// The package is pure: the caller passes the view and the time, and sends the messages. It must serialize all calls to a
+// Contributor or a Host with one lock.
 package quotapool
 
 import (
@@ -17,90 +18,92 @@
 )
 
 const (
-	// OfferInterval is the time between two offers of a deposit that the host has not asked for.
+	// OfferInterval is the time between two offers of a deposit that the host has not requested.
 	OfferInterval = 100 * time.Millisecond
-	// CollectTimeout is how long a host may take to ask for a deposit after the first offer, before another one is chosen.
+	// CollectTimeout is how long a host may take to request a deposit after the first offer before another host is chosen.
 	CollectTimeout = 300 * time.Millisecond
 	// hostRetryDelay is how long a host that did not answer is avoided.
 	hostRetryDelay = 2 * time.Second
-	// collectionValidity is how long after a host's question for a deposit its pool may be spent of: a host asks each
-	// CollectInterval, so one that has not asked for longer is gone.
+	// collectionValidity is how long after a host's request for the deposit the router may use the host's pool. A host
+	// sends a request every CollectInterval, so a host without a request for this time is considered failed.
 	collectionValidity = 500 * time.Millisecond
 )
 
-// Contributor is a router's part in the pool of its host. Make it by NewContributor.
+// Contributor is the state of a router that contributes its deposit to the pool of a host. NewContributor creates it.
 type Contributor struct {
 	locality proximity.Locality
 
-	host          string // internal address; "" before the first offer
+	host          string // internal address; "": none was chosen yet
 	hostSince     time.Duration
-	offered       bool // lastOffer counts
+	offered       bool // lastOffer is set
 	lastOffer     time.Duration
-	lastCollected time.Duration // when the host last asked for the deposit
-	avoidedBefore map[string]time.Duration
+	lastCollected time.Duration            // when the host last requested the deposit
+	avoidedUntil  map[string]time.Duration // by internal address of the member
 }
 
-// NewContributor returns one that has no host yet.
+// NewContributor returns a Contributor without a host.
 func NewContributor(locality proximity.Locality) *Contributor {
-	return &Contributor{locality: locality, lastCollected: -collectionValidity, avoidedBefore: map[string]time.Duration{}}
+	return &Contributor{locality: locality, lastCollected: -collectionValidity, avoidedUntil: map[string]time.Duration{}}
 }
 
-// Host returns the internal address of the host, or "".
+// Host returns the internal address of the host, or "" if there is none.
 func (c *Contributor) Host() string { return c.host }
 
-// Active reports whether the host has the router's deposit and requests may spend of its pool.
+// Active reports whether the host has the router's deposit, so that requests may acquire units from its pool.
 func (c *Contributor) Active(now time.Duration) bool {
-	return c.host != "" && c.collectedLately(now)
+	return c.host != "" && c.collectedRecently(now)
 }
 
-func (c *Contributor) collectedLately(now time.Duration) bool {
+func (c *Contributor) collectedRecently(now time.Duration) bool {
 	return now-c.lastCollected < collectionValidity
 }
 
-// Offer decides whether a deposit is to be offered now, and to which host. It chooses another host where the one there
-// did not ask for the deposit in time, but not before depositEnd: until then the last host may still spend of the last
-// deposit. The primary, which does not answer, is not chosen unless there is no other member.
+// Offer decides whether the deposit is to be offered now, and to which host. If the host did not request the deposit
+// within CollectTimeout, Offer chooses another one, but not before depositEnd: until then the previous host may still
+// spend the latest deposit. The primary does not answer, and is chosen only if there is no other member. If ok is true,
+// the caller sends the offer to host.
 func (c *Contributor) Offer(members []replication.Member, primary string, depositEnd, now time.Duration) (host string, ok bool) {
-	if c.collectedLately(now) || c.offered && now-c.lastOffer < OfferInterval {
+	if c.collectedRecently(now) || c.offered && now-c.lastOffer < OfferInterval {
 		return "", false
 	}
-	if now-c.lastOffer >= CollectTimeout { // the first offer of a new time without the primary
+	if now-c.lastOffer >= CollectTimeout { // the first offer after contact to the primary was lost
 		c.hostSince = now
 	}
 	c.offered, c.lastOffer = true, now
 	if now >= depositEnd {
-		c.reviewHost(members, primary, now)
+		c.updateHost(members, primary, now)
 	}
 	return c.host, c.host != ""
 }
 
-func (c *Contributor) reviewHost(members []replication.Member, primary string, now time.Duration) {
+func (c *Contributor) updateHost(members []replication.Member, primary string, now time.Duration) {
 	if c.host != "" && now-c.hostSince > CollectTimeout {
-		c.avoidedBefore[c.host] = now + hostRetryDelay
+		c.avoidedUntil[c.host] = now + hostRetryDelay
 	}
 	if best := c.ChooseHost(members, primary, now); best != c.host {
 		c.host, c.hostSince = best, now
 	}
 }
 
-// ChooseHost returns the member that all routers of the zone choose.
+// ChooseHost returns the member to which to offer the deposit. All routers of a zone choose the same member, unless they
+// avoid different ones.
 func (c *Contributor) ChooseHost(members []replication.Member, primary string, now time.Duration) string {
 	return c.locality.Nearest(members, c.locality.Zone, func(address string) bool {
 		return address == primary || c.Avoids(address, now)
 	})
 }
 
-// Avoids reports whether a member did not answer as a host lately.
+// Avoids reports whether a member is avoided because it recently did not answer as a host.
 func (c *Contributor) Avoids(address string, now time.Duration) bool {
-	return now < c.avoidedBefore[address]
+	return now < c.avoidedUntil[address]
 }
 
-// RecordCollection records that the host asked for the deposit.
+// RecordCollection records that the host requested the deposit.
 func (c *Contributor) RecordCollection(now time.Duration) { c.lastCollected = now }
 
-// HostTimedOut records that a host did not answer a request in time: its pool is not spent of before it asks for a
-// deposit again.
+// HostTimedOut records that a host did not answer a request for units in time. The router avoids the host for a while,
+// and does not use its pool until a host requests the deposit again.
 func (c *Contributor) HostTimedOut(host string, now time.Duration) {
-	c.avoidedBefore[host] = now + hostRetryDelay
+	c.avoidedUntil[host] = now + hostRetryDelay
 	c.lastCollected = -collectionValidity
 }
--- a/internal/router/quotapool/quotapool_test.go
+++ b/internal/router/quotapool/quotapool_test.go
@@ -23,7 +23,7 @@
 	return NewContributor(proximity.Locality{Zone: "z1", Region: "r1", RegionOf: map[string]string{"z1": "r1", "z3": "r2"}})
 }
 
-// The host is in the own zone, and not the primary; it is offered a deposit until it asks for it.
+// The host is in the router's zone and is not the primary. The router sends it offers until it requests the deposit.
 func TestOffersEndWithTheHostsRequest(t *testing.T) {
 	c := newContributor()
 	require.False(t, c.Active(0))
@@ -31,15 +31,16 @@
 	require.True(t, ok)
 	require.Equal(t, "10.0.1.9:7000", host)
 	_, ok = c.Offer(members, primary, 0, time.Second+OfferInterval-1)
-	require.False(t, ok, "it was offered just now")
+	require.False(t, ok, "less than OfferInterval after the last offer")
 	c.RecordCollection(time.Second + OfferInterval)
 	require.True(t, c.Active(time.Second+OfferInterval))
 	_, ok = c.Offer(members, primary, 0, time.Second+2*OfferInterval)
-	require.False(t, ok, "the host has it")
-	require.False(t, c.Active(time.Second+OfferInterval+collectionValidity), "the host asks no more")
+	require.False(t, ok, "the host has the deposit")
+	require.False(t, c.Active(time.Second+OfferInterval+collectionValidity), "the host has stopped sending requests")
 }
 
-// A host that does not answer a request is avoided for a time, but has the deposit until that ends.
+// A host that does not answer a request is avoided for hostRetryDelay, but another host is chosen only after the deposit
+// has expired.
 func TestAHostThatTimedOutIsAvoided(t *testing.T) {
 	c := newContributor()
 	now := time.Second
@@ -51,12 +52,12 @@
 	require.False(t, c.Avoids(near, now+hostRetryDelay))
 	depositEnd := now + 2*OfferInterval
 	host, _ := c.Offer(members, primary, depositEnd, now+OfferInterval)
-	require.Equal(t, near, host, "it still has the deposit")
+	require.Equal(t, near, host, "the host still has the deposit")
 	host, _ = c.Offer(members, primary, depositEnd, depositEnd)
 	require.Equal(t, "10.0.3.9:7000", host)
 }
 
-// A host asks for a deposit again and again, and no more after an empty one or a time without an answer.
+// A host requests a deposit periodically, and stops after an empty deposit or OfferValidity without an answer.
 func TestAHostRequestsDeposits(t *testing.T) {
 	h := NewHost()
 	h.SetLimits(map[string]quota.Limit{"t": {Rate: 100, Burst: 100}})
@@ -67,7 +68,7 @@
 	h.Collect("a", 7, now)
 	require.Empty(t, h.Review(now+CollectInterval-1))
 	h.ReceiveDeposit("a", 6, deposit, now)
-	require.Zero(t, h.Deposits(now), "it answers another question")
+	require.Zero(t, h.Deposits(now), "the deposit answers another request")
 	h.ReceiveDeposit("a", 7, deposit, now)
 	require.Equal(t, 1, h.Deposits(now))
 	require.Equal(t, []string{"a"}, h.Review(now+CollectInterval))
