--- a/internal/router/outlier/detector.go
+++ b/internal/router/outlier/detector.go
@@ -2,51 +2,50 @@
 
 import "time"
 
-// The figures of the evidence on a server.
 const (
-	maxReporterSends  = 8.0             // attempts of one reporter at a server that count, at most
-	peerSumTTL        = 2 * time.Second // how long a peer's sum counts
-	suspicionFailures = 0.5             // failed attempts from which peers are informed
+	maxReporterSends  = 8.0             // upper bound of one reporter's attempts at a server that count
+	peerSumTTL        = 2 * time.Second // how long the sum of another home counts
+	suspicionFailures = 0.5             // failed attempts from which the other homes are informed
 )
 
-// Services is what a detector has to know of the registered servers. The detector calls it from within its own methods,
-// on their goroutine.
+// Services gives a Detector access to the registered servers. The Detector calls it only from its own methods, on the
+// goroutine of their caller.
 type Services interface {
-	ServiceOf(server string) string   // "": it is not known, or may not be used
-	UsableServers(service string) int // the number of servers that requests may go to
+	ServiceOf(server string) string   // service of a server; "" if the server is unknown or not usable
+	UsableServers(service string) int // number of usable servers of a service
 }
 
-// Detector is a home's evidence on servers, and its decisions. Its size grows with the servers that its reporters sent
-// attempts to recently. Times are on the steady clock of the home.
+// Detector holds a home's evidence on servers and its decisions. Its size grows with the number of servers that received
+// attempts from its reporters recently. Times are readings of the home's monotonic clock.
 type Detector struct {
 	services   Services
 	servers    map[string]*server        // by ID
-	traffic    map[string]*decayingCount // by service, of the own reporters
+	traffic    map[string]*decayingCount // attempts of the own reporters, by service
 	lastPruned time.Duration
 }
 
-// server is what is known of one server.
+// server holds the evidence on one server, and its ejection.
 type server struct {
 	service       string
-	total         decayingCount // of all own reporters
-	reporters     map[string]*decayingCount
-	peers         map[string]peerSum // by home
+	total         decayingCount             // of all own reporters
+	reporters     map[string]*decayingCount // of each own reporter
+	peers         map[string]peerSum        // by home
 	ejection      ejection
-	admittedUntil time.Duration // by an operator: until then it is not ejected
+	admittedUntil time.Duration // end of an operator's override, until which the server is not ejected
 }
 
-// peerSum is another home's last sum of a server.
+// peerSum is the latest sum for a server that another home sent.
 type peerSum struct {
 	Sum
 	receivedAt time.Duration
 }
 
-// NewDetector returns a detector without evidence.
+// NewDetector returns a Detector without evidence.
 func NewDetector(s Services) *Detector {
 	return &Detector{services: s, servers: map[string]*server{}, traffic: map[string]*decayingCount{}}
 }
 
-// server returns what is known of a server, empty at first; nil where no such server is usable.
+// server returns the evidence on a server, and creates it if there is none. It returns nil if the server is not usable.
 func (d *Detector) server(id string) *server {
 	if s := d.servers[id]; s != nil {
 		return s
@@ -60,8 +59,8 @@
 	return s
 }
 
-// ApplyReport adds the report of a router that has this home. Entries of servers that are not usable, and those without
-// a count, are left out.
+// ApplyReport adds the report of a router that subscribes to this home. It ignores entries for unusable servers, and
+// incomplete entries.
 func (d *Detector) ApplyReport(reporter string, r Report, now time.Duration) {
 	for i, id := range r.Servers {
 		if i >= len(r.Sent) || i >= len(r.Failed) {
@@ -78,7 +77,7 @@
 	}
 }
 
-// countOf returns the count of a key, which is empty at first.
+// countOf returns the count for a key, and creates an empty one if there is none.
 func countOf(counts map[string]*decayingCount, key string) *decayingCount {
 	c := counts[key]
 	if c == nil {
@@ -88,8 +87,8 @@
 	return c
 }
 
-// ApplyPeerSums replaces what another home, the peer, last sent of the servers that the sums name. Its sums of other
-// servers stay until they expire.
+// ApplyPeerSums replaces the sums that another home, the peer, sent before for the same servers. The peer's sums for
+// other servers stay until they expire.
 func (d *Detector) ApplyPeerSums(peer string, sums []Sum, now time.Duration) {
 	for _, sum := range sums {
 		if s := d.server(sum.Server); s != nil {
@@ -98,8 +97,8 @@
 	}
 }
 
-// Sums returns what the other homes have to know: of the servers that own reporters or other homes suspect. The caller
-// sends it to each of them, whose ApplyPeerSums gets it.
+// Sums returns this home's sums for the servers that its own reporters or other homes suspect. The caller sends them to
+// each of the other homes, which pass them to ApplyPeerSums.
 func (d *Detector) Sums(now time.Duration) []Sum {
 	var out []Sum
 	for id, s := range d.servers {
@@ -114,8 +113,8 @@
 	return out
 }
 
-// suspected reports whether anybody saw the server fail recently. Of most servers nobody did, and they cost no more
-// than this.
+// suspected reports whether there is recent evidence of failures of the server. Most servers have none, and take no
+// further work than this check. It removes the peers' sums that have expired.
 func (s *server) suspected(now time.Duration) bool {
 	for peer, sum := range s.peers {
 		if now-sum.receivedAt > peerSumTTL {
@@ -132,7 +131,8 @@
 	return s.total.failed >= minTrialFailures
 }
 
-// suspectedByPeer reports whether another home saw the server fail; one that only answers this one's suspicion did not.
+// suspectedByPeer reports whether another home's sum contains failures of the server. A home also sends sums with fewer
+// failures, in answer to the suspicion of others; these do not count.
 func (s *server) suspectedByPeer() bool {
 	for _, sum := range s.peers {
 		if sum.All.Failed >= suspicionFailures {
@@ -142,7 +142,8 @@
 	return false
 }
 
-// ownSum is the sum of the own reporters, each one's attempts scaled down to maxReporterSends.
+// ownSum returns the sum over the own reporters. A reporter's counts are scaled down to at most maxReporterSends
+// attempts.
 func (s *server) ownSum(id string, now time.Duration) Sum {
 	sum := Sum{Server: id}
 	for _, c := range s.reporters {
@@ -160,7 +161,7 @@
 	return sum
 }
 
-// fleetSum adds the sums of all other homes to the own one.
+// fleetSum returns the total of the home's own sum and the sums of all other homes.
 func (s *server) fleetSum(own Sum) Sum {
 	for _, sum := range s.peers {
 		own.All.add(sum.All)
@@ -171,7 +172,7 @@
 	return own
 }
 
-// prune drops what has decayed, at intervals.
+// prune removes decayed counts and servers without evidence, at most once per decayTimeConstant.
 func (d *Detector) prune(now time.Duration) {
 	if now-d.lastPruned < decayTimeConstant {
 		return
--- a/internal/router/outlier/doc.go
+++ b/internal/router/outlier/doc.go
@@ -1,19 +1,22 @@
-// Package outlier finds servers that fail more of the requests sent to them than the others of their service do
-// (outlier detection). It is pure: time is handed in, nothing is sent. Each type is for one goroutine at a time.
+// Package outlier detects servers that fail a larger fraction of their requests than the other servers of their service,
+// and ejects them for some time (outlier detection). It is pure: the caller passes the time and sends the messages. A
+// value of any of its types must not be used by two goroutines at the same time.
 //
-// One router of many sends a server too little to see that it fails a fraction of its requests while its health checks
-// succeed. So each router counts its attempts in a Tally and reports them to its home, the core member that it
-// subscribes to; homes send one another the sums of servers that are suspected; and each home's Detector decides, for
-// the routers that report to it, which servers are ejected for some time.
+// In a large fleet, one router sends a server too few requests to notice that it fails a fraction of them while its
+// health checks succeed. Therefore each router counts its attempts in a Tally and reports them to its home, the core
+// member that it subscribes to. Homes send each other their sums for suspected servers. The Detector of a home decides
+// which servers are ejected for the routers that report to this home.
 //
-// Two sums are judged: that of the home's own reporters, for a server may fail for the callers of one zone alone, and
-// that of the whole fleet, which sees more.
+// A decision uses two sums: that of the home's own reporters, because a server may fail only for the callers of one
+// zone, and that of the whole fleet, which contains more attempts.
 //
-// It does not say what counts as a failed attempt (package gateway), nor which server gets a request instead (package
-// placement).
+// The package does not decide what counts as a failed attempt (package gateway), nor which server gets a request instead
+// (package placement).
 //
-// Invariants: no reporter counts for more than maxReporterSends of a server's attempts, and without the one that saw
-// the most failures there is evidence enough, so that one that is confused does no harm; at most half of a service's
-// servers are ejected, whatever is reported; an ejection ends by itself; and while it lasts the server still gets
-// requests as trials, few for all routers together.
+// Invariants:
+//   - A faulty reporter does no harm: at most maxReporterSends attempts of one reporter at a server count, and the
+//     evidence must suffice without the reporter that saw the most failures.
+//   - At most half of a service's servers are ejected, whatever is reported.
+//   - An ejection ends unless trials continue to fail. Until then the server still gets requests as trials, only a few
+//     from all routers together.
 package outlier
--- a/internal/router/outlier/ejection.go
+++ b/internal/router/outlier/ejection.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	initialEjection   = 3 * time.Second // doubled with each ejection that follows within repetitionWindow
+	initialEjection   = 3 * time.Second // doubled for each repetition within repetitionWindow
 	maxEjection       = 12 * time.Second
-	ejectionExtension = time.Second      // while trials fail
-	repetitionWindow  = 30 * time.Second // after an ejection's end, in which another one counts as its repetition
+	ejectionExtension = time.Second      // extension of an ejection while trials fail
+	repetitionWindow  = 30 * time.Second // time after the end of an ejection during which the next one is a repetition
 )
 
-// Ejection says that a server gets no requests but trials. Homes send the list of them to their routers; it replaces
-// the one before.
+// Ejection tells routers that a server gets only trial requests. Homes send the complete list of ejections to their
+// routers, where it replaces the previous list.
 type Ejection struct {
 	Server string
-	Trial  float64 // probability with which a request of the service is a trial there
+	Trial  float64 // probability that a request of the service is a trial at this server
 }
 
-// ejection is a server's present and past ejections.
+// ejection is the state of a server's current ejection, and the history that determines the length of the next one.
 type ejection struct {
 	active      bool
 	earliestEnd time.Duration
-	endedAt     time.Duration // of the last one
-	repetitions int           // that followed one another within repetitionWindow
+	endedAt     time.Duration // end of the last ejection
+	repetitions int           // consecutive ejections, each within repetitionWindow of the one before
 }
 
 func (e *ejection) begin(now time.Duration) {
@@ -33,7 +33,7 @@
 	e.repetitions++
 }
 
-// reviewTrials ends an ejection whose time has passed, or extends it while trials fail.
+// reviewTrials ends an ejection after earliestEnd, or extends it if trials are failing.
 func (e *ejection) reviewTrials(failing bool, now time.Duration) {
 	switch {
 	case now < e.earliestEnd:
--- a/internal/router/outlier/evidence.go
+++ b/internal/router/outlier/evidence.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Report is a message from a router to its home: what it sent to servers since its last report, Sent[i] requests to
-// Servers[i], of which Failed[i] failed.
+// Report is the message in which a router reports the attempts since its last report to its home: Sent[i] requests were
+// sent to Servers[i], and Failed[i] of them failed.
 type Report struct {
 	Servers      []string
 	Sent, Failed []uint16
 }
 
-// Count is a number of attempts, and how many of them failed.
+// Count is a number of attempts, and the number of failed ones among them.
 type Count struct{ Sent, Failed float64 }
 
 func (c *Count) add(other Count) {
@@ -27,28 +27,29 @@
 	return c.Failed / c.Sent
 }
 
-// Sum is a message between homes: what one knows of a server from its own reporters, as of now. The receiver replaces
-// the sender's sum before.
+// Sum is the message in which a home sends the other homes the evidence of its own reporters on a server. It replaces the
+// previous Sum of the same sender and server.
 type Sum struct {
 	Server string
-	All    Count
+	All    Count // of all reporters
 	Worst  Count // of the reporter that saw the most failures
 }
 
-// fails reports whether a server fails more than a limit allows, also without the reporter that saw the most failures.
+// fails reports whether a server's failure ratio reaches a limit on enough evidence, and at least half the limit without
+// the reporter that saw the most failures.
 func (s *Sum) fails(limit float64) bool {
 	others := Count{s.All.Sent - s.Worst.Sent, s.All.Failed - s.Worst.Failed}
 	return s.All.Failed >= minFailures && s.All.failureRatio() >= limit &&
 		others.Failed >= minFailures/3 && others.failureRatio() >= limit/2
 }
 
-// decayTimeConstant is the time constant with which attempts are forgotten.
+// decayTimeConstant is the time constant of the exponential decay of counts.
 const decayTimeConstant = 2 * time.Second
 
-// minSends is the number of attempts below which a count is dropped.
+// minSends is the number of attempts below which a count is removed.
 const minSends = 0.05
 
-// decayingCount is a count of attempts that decays exponentially, as of updatedAt.
+// decayingCount is an exponentially decaying count of attempts, as of updatedAt.
 type decayingCount struct {
 	sent, failed float64
 	updatedAt    time.Duration
--- a/internal/router/outlier/explain.go
+++ b/internal/router/outlier/explain.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// Finding is what a home knows of a server that failed for somebody recently, and what it decided. It is part of a
-// router's status.
+// Finding is a home's evidence on a suspected server, and its decision. It is part of a router's status.
 type Finding struct {
 	Server             string
 	Service            string
-	Own                Count // what the home's own reporters saw, decaying exponentially
-	Fleet              Count // what all reporters saw
+	Own                Count // attempts of the home's own reporters, decaying exponentially
+	Fleet              Count // attempts of all reporters
 	Ejected            bool
-	EjectionRemaining  time.Duration `json:"For"`      // at least so long, while Ejected
-	AdmissionRemaining time.Duration `json:"Admitted"` // for so long an operator's override prevents an ejection
+	EjectionRemaining  time.Duration `json:"For"`      // time until the earliest end of the ejection, if Ejected
+	AdmissionRemaining time.Duration `json:"Admitted"` // time for which an operator's override prevents an ejection
 }
 
-// Explain returns what is known of the suspected servers and of those with an operator's override, ordered by ID.
+// Explain returns the findings for suspected servers and for servers with an operator's override, ordered by ID.
 func (d *Detector) Explain(now time.Duration) []Finding {
 	var out []Finding
 	for id, s := range d.servers {
@@ -34,8 +33,8 @@
 	return out
 }
 
-// Admit is an operator's override: for span from now a server is not ejected, and a present ejection ends. It returns
-// false where no such server is usable.
+// Admit is an operator's override: it ends a current ejection of a server, and prevents ejections for span from now. It
+// returns false if the server is not usable.
 func (d *Detector) Admit(id string, span, now time.Duration) bool {
 	s := d.server(id)
 	if s == nil {
--- a/internal/router/outlier/judge.go
+++ b/internal/router/outlier/judge.go
@@ -6,20 +6,19 @@
 	"time"
 )
 
-// The figures of a decision.
 const (
-	minFailures         = 3.0  // failed attempts, to eject a server
-	minFailureRatio     = 0.15 // of attempts, to eject a server
-	medianFactor        = 3.0  // times the median failure ratio of the service
-	ownSendsToOverrule  = 10.0 // attempts of the own reporters that overrule the fleet's
+	minFailures         = 3.0  // minimum number of failed attempts to eject a server
+	minFailureRatio     = 0.15 // minimum failure ratio to eject a server
+	medianFactor        = 3.0  // multiple of the service's median failure ratio from which a server is an outlier
+	ownSendsToOverrule  = 10.0 // attempts of the own reporters from which they overrule the fleet's evidence
 	maxEjectedFraction  = 0.5  // of a service's servers
-	trialsPerSecond     = 2.0  // of an ejected server, by all routers together
-	maxTrialFraction    = 0.2  // of an ejected server's part of the requests
-	ownTrialsToOverrule = 1.5  // trials of the own reporters that overrule those of the fleet
-	minTrialFailures    = 0.15 // failed trials that extend an ejection
+	trialsPerSecond     = 2.0  // at an ejected server, by all routers together
+	maxTrialFraction    = 0.2  // upper bound of the trials, as a fraction of an equal part of the service's requests
+	ownTrialsToOverrule = 1.5  // trials of the own reporters from which they overrule the fleet's trials
+	minTrialFailures    = 0.15 // decayed number of failed trials from which an ejection is extended
 )
 
-// suspect is a server that is judged.
+// suspect is a suspected server with the evidence for a decision.
 type suspect struct {
 	id     string
 	server *server
@@ -27,13 +26,13 @@
 	fleet  Sum
 }
 
-// failureRatio ranks suspects.
+// failureRatio returns the failure ratio by which suspects are ranked.
 func (s *suspect) failureRatio() float64 {
 	return max(s.own.All.failureRatio(), s.fleet.All.failureRatio())
 }
 
-// isOutlier reports whether a server fails so much that it is to be ejected. What the own reporters see overrules what
-// the fleet sees: a server may fail for others alone.
+// isOutlier reports whether a server is to be ejected. The evidence of the own reporters overrules that of the fleet,
+// because a server may fail only for the callers of other zones.
 func (s *suspect) isOutlier(limit float64) bool {
 	if s.own.fails(limit) {
 		return true
@@ -42,18 +41,19 @@
 	return s.fleet.fails(limit) && !contradicted
 }
 
-// failsTrials reports whether an ejected server still fails: by the own reporters' trials where there were enough.
+// failsTrials reports whether an ejected server still fails, according to the trials of the own reporters if there were
+// enough of them, otherwise of the fleet.
 func (s *suspect) failsTrials() bool {
-	seen := s.fleet.All
+	trials := s.fleet.All
 	if s.own.All.Sent >= ownTrialsToOverrule {
-		seen = s.own.All
+		trials = s.own.All
 	}
-	return seen.Failed >= minTrialFailures && seen.failureRatio() >= minFailureRatio
+	return trials.Failed >= minTrialFailures && trials.failureRatio() >= minFailureRatio
 }
 
-// Judge begins, extends and ends ejections, and returns the present ones, ordered by ID. Reporting is the fraction of
-// the fleet that reports to this home: of the trials of all routers together, its routers send as many. The home calls
-// it at intervals, and sends the result to its routers.
+// Judge begins, extends and ends ejections, and returns the current ones, ordered by server ID. The argument reporting is
+// the fraction of the fleet that reports to this home; the routers of this home send the same fraction of all trials. The
+// home calls Judge periodically, and sends the result to its routers.
 func (d *Detector) Judge(reporting float64, now time.Duration) []Ejection {
 	d.prune(now)
 	var out []Ejection
@@ -70,7 +70,7 @@
 	return out
 }
 
-// suspectsByService lists the suspected servers, and drops those that ended or may not be used any more.
+// suspectsByService returns the suspected servers by service, and removes servers that are no longer usable.
 func (d *Detector) suspectsByService(now time.Duration) map[string][]*suspect {
 	byService := map[string][]*suspect{}
 	for id, s := range d.servers {
@@ -87,7 +87,8 @@
 	return byService
 }
 
-// judgeService begins and ends the ejections of one service; the worst servers come first.
+// judgeService begins, extends and ends the ejections of one service. It begins with the servers with the highest failure
+// ratios, since the number of ejections is bounded.
 func (d *Detector) judgeService(service string, suspects []*suspect, now time.Duration) {
 	slices.SortFunc(suspects, func(a, b *suspect) int {
 		return cmp.Or(cmp.Compare(b.failureRatio(), a.failureRatio()), cmp.Compare(a.id, b.id))
@@ -115,8 +116,8 @@
 	}
 }
 
-// ratioLimit is the failure ratio from which a server of a service is an outlier. Servers without failures in any
-// home's reports count as well.
+// ratioLimit returns the failure ratio from which a server of a service is an outlier. Usable servers that are not
+// suspected enter the median with a ratio of 0.
 func ratioLimit(suspects []*suspect, usable int) float64 {
 	ratios := make([]float64, max(usable, len(suspects)))
 	for i, s := range suspects {
@@ -127,7 +128,7 @@
 	return max(minFailureRatio, medianFactor*median)
 }
 
-// trialProbability is the probability with which a request of a service is a trial at one of its ejected servers.
+// trialProbability returns the probability that a request of a service is a trial at a given ejected server of it.
 func (d *Detector) trialProbability(service string, reporting float64, now time.Duration) float64 {
 	maxProbability := maxTrialFraction / float64(max(1, d.services.UsableServers(service)))
 	traffic := d.traffic[service]
--- a/internal/router/outlier/mutation_test.go
+++ b/internal/router/outlier/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each guard of the detector is taken out of the code, and a test notices.
+// Removing any of the detector's guards makes a test fail.
 func TestGuardsOfTheCode(t *testing.T) {
 	const (
 		here     = "petrelhook/internal/router/outlier"
@@ -17,17 +17,17 @@
 		judge    = "internal/router/outlier/judge.go"
 	)
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
-		"the others than the worst reporter": {File: evidence, Text: "		others.Failed >= minFailures/3 && others.failureRatio() >= limit/2", Replacement: "		others.Failed < 1e9",
-			Package: here, Test: "TestAConfusedReporterDoesNoHarm"},
-		"a reporter's weight": {File: detector, Text: "if c.sent > maxReporterSends {", Replacement: "if false {",
+		"evidence without the worst reporter": {File: evidence, Text: "		others.Failed >= minFailures/3 && others.failureRatio() >= limit/2", Replacement: "		others.Failed < 1e9",
+			Package: here, Test: "TestAFaultyReporterDoesNoHarm"},
+		"the bound on one reporter's attempts": {File: detector, Text: "if c.sent > maxReporterSends {", Replacement: "if false {",
 			Package: here, Test: "TestOneReporterDoesNotHideWhatOthersSee"},
-		"half of a service": {File: judge, Text: "allowed := int(maxEjectedFraction * float64(usable))", Replacement: "allowed := usable",
+		"at most half of a service's servers": {File: judge, Text: "allowed := int(maxEjectedFraction * float64(usable))", Replacement: "allowed := usable",
 			Package: here, Test: "TestAServiceIsNeverEmptied"},
 		"the median of the service": {File: judge, Text: "return max(minFailureRatio, medianFactor*median)", Replacement: "_ = median\n\treturn minFailureRatio",
 			Package: here, Test: "TestAServiceIsNeverEmptied"},
-		"the own zone's evidence": {File: judge, Text: "return s.fleet.fails(limit) && !contradicted", Replacement: "_ = contradicted\n\treturn s.fleet.fails(limit)",
-			Package: here, Test: "TestOwnEvidenceGoesBeforeTheFleets"},
-		"trials of all together": {File: judge, Text: "return min(maxProbability, trialsPerSecond/max(rate, minSends))", Replacement: "_ = rate\n\treturn maxProbability",
+		"own evidence overrules the fleet's": {File: judge, Text: "return s.fleet.fails(limit) && !contradicted", Replacement: "_ = contradicted\n\treturn s.fleet.fails(limit)",
+			Package: here, Test: "TestOwnEvidenceOverrulesTheFleets"},
+		"the rate of trials": {File: judge, Text: "return min(maxProbability, trialsPerSecond/max(rate, minSends))", Replacement: "_ = rate\n\treturn maxProbability",
 			Package: here, Test: "TestAServerThatFailsInPart"},
 		"an operator's override": {File: judge, Text: "&& now >= s.server.admittedUntil && s.isOutlier(limit)", Replacement: "&& s.isOutlier(limit)",
 			Package: here, Test: "TestAnOperatorAdmitsAServer"},
--- a/internal/router/outlier/outlier_test.go
+++ b/internal/router/outlier/outlier_test.go
@@ -11,14 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testFleet is some routers, each with a home, and servers that fail fractions of their requests, in virtual time.
+// testFleet simulates, in virtual time, routers that each report to a home, and servers that fail a fraction of their
+// requests.
 type testFleet struct {
 	random             *rand.Rand
 	homes              []*Detector
 	tallies            []*Tally // router i has home i mod len(homes)
 	servers            map[string]string
-	failureProbability func(server string, router int) float64 // probability
-	ejected            []map[string]float64                    // by home
+	failureProbability func(server string, router int) float64 // of a router's request to a server
+	ejected            []map[string]float64                    // by home: the trial probabilities of ejected servers
 	now                time.Duration
 	sent               map[string]int
 	failed             map[string]int
@@ -56,22 +57,23 @@
 
 func serverName(i int) string { return fmt.Sprintf("s%02d", i) }
 
-// pick is a router's choice: a trial, or any server that is not ejected.
+// pick returns the server that a router of a home chooses: an ejected one as a trial, or a random one that is not
+// ejected.
 func (f *testFleet) pick(home int) string {
 	for _, id := range slices.Sorted(maps.Keys(f.ejected[home])) {
 		if f.random.Float64() < f.ejected[home][id] {
 			return id
 		}
 	}
-	everywhere := len(f.ejected[home]) == len(f.servers)
+	allEjected := len(f.ejected[home]) == len(f.servers)
 	for {
-		if id := serverName(f.random.IntN(len(f.servers))); everywhere || f.ejected[home][id] == 0 {
+		if id := serverName(f.random.IntN(len(f.servers))); allEjected || f.ejected[home][id] == 0 {
 			return id
 		}
 	}
 }
 
-// run lets a time pass with requests at a rate, of all routers together.
+// run simulates span with rate requests per second from all routers together.
 func (f *testFleet) run(rate float64, span time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := f.now + span; f.now < end; f.now += step {
@@ -115,7 +117,7 @@
 	}
 }
 
-// The fleets of the tables: the small deployments and the grown ones.
+// fleets are deployments of different sizes, with the requests per second of each.
 var fleets = map[string]struct{ homes, routers, servers, rate int }{
 	"11 routers, 14 servers": {4, 11, 14, 250},
 	"9 routers, 3 servers":   {3, 9, 3, 60},
@@ -123,8 +125,8 @@
 	"72 routers, 4 servers":  {6, 72, 4, 200},
 }
 
-// A server that fails a fraction of its requests is ejected within seconds, however little each router sends; it still
-// gets trials, few for all routers together; and it is back some seconds after it is healthy.
+// A server that fails a fraction of its requests is ejected within seconds, however few requests each router sends. While
+// it is ejected it gets a few trials from all routers together, and the ejection ends within seconds after it recovers.
 func TestAServerThatFailsInPart(t *testing.T) {
 	for title, size := range fleets {
 		for _, ratio := range []float64{0.3, 0.5, 1} {
@@ -152,20 +154,20 @@
 	}
 }
 
-// How many attempts fail in ten seconds with the fleet's evidence and with each router's own alone, which for a server
-// that fails a fraction never has three consecutive errors.
+// Within ten seconds, fewer attempts fail than without shared evidence. Without it, a router ejects no server that fails
+// only a fraction of its requests, since it hardly ever sees three consecutive errors.
 func TestSharedEvidenceBesideNone(t *testing.T) {
 	for title, size := range fleets {
 		f := newTestFleet(2, size.homes, size.routers, size.servers)
 		f.failOnly("s01", 0.4)
 		f.run(float64(size.rate), 10*time.Second)
-		alone := 0.4 * float64(size.rate) / float64(size.servers) * 10
-		t.Logf("%s: %d failed, about %.0f without the others' evidence", title, f.failed["s01"], alone)
-		require.Less(t, float64(f.failed["s01"]), 0.7*alone, title)
+		withoutSharing := 0.4 * float64(size.rate) / float64(size.servers) * 10
+		t.Logf("%s: %d failed, about %.0f without shared evidence", title, f.failed["s01"], withoutSharing)
+		require.Less(t, float64(f.failed["s01"]), 0.7*withoutSharing, title)
 	}
 }
 
-// A server that fails for the callers of one zone alone is ejected there, and serves the others at all times.
+// A server that fails only for the callers of one zone is ejected there, and never for the other zones.
 func TestAServerThatFailsForOneZone(t *testing.T) {
 	for _, ratio := range []float64{0.6, 1} {
 		f := newTestFleet(3, 4, 40, 12)
@@ -186,31 +188,31 @@
 	}
 }
 
-// The fleet's evidence on a server counts unless the own reporters sent it enough to overrule that.
-func TestOwnEvidenceGoesBeforeTheFleets(t *testing.T) {
-	for _, c := range []struct {
+// The fleet's evidence on a server counts unless the own reporters have enough successful attempts there to overrule it.
+func TestOwnEvidenceOverrulesTheFleets(t *testing.T) {
+	for _, test := range []struct {
 		own     uint16 // attempts of the own reporters, all of which succeeded
 		ejected int
 	}{{2, 1}, {ownSendsToOverrule + 2, 0}} {
 		f := newTestFleet(9, 1, 1, 4)
-		f.homes[0].ApplyReport("own", Report{Servers: []string{"s01"}, Sent: []uint16{c.own / 2}, Failed: []uint16{0}}, 0)
-		f.homes[0].ApplyReport("another", Report{Servers: []string{"s01"}, Sent: []uint16{c.own / 2}, Failed: []uint16{0}}, 0)
+		f.homes[0].ApplyReport("own", Report{Servers: []string{"s01"}, Sent: []uint16{test.own / 2}, Failed: []uint16{0}}, 0)
+		f.homes[0].ApplyReport("another", Report{Servers: []string{"s01"}, Sent: []uint16{test.own / 2}, Failed: []uint16{0}}, 0)
 		f.homes[0].ApplyPeerSums("peer", []Sum{{Server: "s01", All: Count{Sent: 40, Failed: 30}, Worst: Count{Sent: 4, Failed: 3}}}, 0)
-		require.Len(t, f.homes[0].Judge(1, 0), c.ejected, "%d own sends", c.own)
+		require.Len(t, f.homes[0].Judge(1, 0), test.ejected, "%d own sends", test.own)
 	}
 }
 
 // A reporter with many successful attempts does not outweigh many reporters that see a server fail.
 func TestOneReporterDoesNotHideWhatOthersSee(t *testing.T) {
 	f := newTestFleet(9, 1, 1, 4)
-	f.homes[0].ApplyReport("much", Report{Servers: []string{"s01"}, Sent: []uint16{200}, Failed: []uint16{0}}, 0)
+	f.homes[0].ApplyReport("heavy", Report{Servers: []string{"s01"}, Sent: []uint16{200}, Failed: []uint16{0}}, 0)
 	for i := range 5 {
-		f.homes[0].ApplyReport(fmt.Sprint("little ", i), Report{Servers: []string{"s01"}, Sent: []uint16{4}, Failed: []uint16{3}}, 0)
+		f.homes[0].ApplyReport(fmt.Sprint("light ", i), Report{Servers: []string{"s01"}, Sent: []uint16{4}, Failed: []uint16{3}}, 0)
 	}
 	require.Len(t, f.homes[0].Judge(1, 0), 1)
 }
 
-// Whatever is reported, half of a service's servers stay; where all fail alike none is ejected.
+// Whatever is reported, at least half of a service's servers are not ejected. If all servers fail alike, none is ejected.
 func TestAServiceIsNeverEmptied(t *testing.T) {
 	f := newTestFleet(4, 3, 20, 6)
 	f.failureProbability = func(string, int) float64 { return 0.5 }
@@ -239,7 +241,7 @@
 		require.LessOrEqual(t, len(f.ejected[i]), 3)
 	}
 	f = newTestFleet(4, 6, 36, 6)
-	f.failureProbability = func(_ string, router int) float64 { // all of them, for the callers of one zone
+	f.failureProbability = func(_ string, router int) float64 { // all servers fail for the callers of one zone
 		if router%6 == 0 {
 			return 0.9
 		}
@@ -249,9 +251,9 @@
 	require.Len(t, f.ejected[0], 3)
 }
 
-// A router that is confused, or cut off, and reports every server as failing does no harm to the others, however much
-// it reports.
-func TestAConfusedReporterDoesNoHarm(t *testing.T) {
+// A faulty or partitioned router that reports all servers as failing causes no ejection, however many attempts it
+// reports.
+func TestAFaultyReporterDoesNoHarm(t *testing.T) {
 	f := newTestFleet(5, 3, 12, 8)
 	f.failureProbability = func(_ string, router int) float64 {
 		if router == 7 {
@@ -264,13 +266,13 @@
 		require.Empty(t, f.ejected[i])
 	}
 	d := NewDetector(f)
-	d.ApplyReport("confused", Report{Servers: []string{"s01", "no such server", "s02"}, Sent: []uint16{60000, 1}, Failed: []uint16{65000, 1, 1}}, 0)
+	d.ApplyReport("faulty", Report{Servers: []string{"s01", "no such server", "s02"}, Sent: []uint16{60000, 1}, Failed: []uint16{65000, 1, 1}}, 0)
 	d.ApplyReport("other", Report{Servers: []string{"s01", "s02", "s03"}, Sent: []uint16{30, 30, 30}, Failed: []uint16{0, 0, 0}}, 0)
 	require.Empty(t, d.Judge(1, 0))
 }
 
-// A server that fails again soon after an ejection is ejected for longer; one that does so much later is not.
-func TestEjectionsThatFollowOneAnotherLastLonger(t *testing.T) {
+// A server that fails again soon after an ejection is ejected for longer; one that fails again much later is not.
+func TestRepeatedEjectionsLastLonger(t *testing.T) {
 	var e ejection
 	now := time.Minute
 	for _, want := range []time.Duration{initialEjection, 2 * initialEjection, maxEjection, maxEjection} {
@@ -289,8 +291,8 @@
 	require.Equal(t, now+initialEjection, e.earliestEnd)
 }
 
-// Evidence that is not renewed is dropped, also that on servers that have ended.
-func TestADetectorForgets(t *testing.T) {
+// Evidence that is not renewed is removed, and so is the evidence on servers that no longer exist.
+func TestOldEvidenceIsDropped(t *testing.T) {
 	f := newTestFleet(6, 2, 10, 5)
 	f.failOnly("s01", 0.8)
 	f.run(200, 5*time.Second)
@@ -303,7 +305,8 @@
 	require.Empty(t, f.homes[0].traffic)
 }
 
-// Homes that answer one another's suspicion end it together: a healthy server is not in their sums any more.
+// Once a server has recovered, the homes stop sending sums for it, although they also send sums in answer to each
+// other's.
 func TestSuspicionEnds(t *testing.T) {
 	f := newTestFleet(7, 3, 12, 6)
 	f.failOnly("s01", 0.8)
@@ -316,7 +319,7 @@
 	}
 }
 
-// An operator's override goes before the evidence, for as long as it says, and findings can be listed.
+// An operator's override prevents an ejection for the given time, whatever the evidence is. Explain lists the findings.
 func TestAnOperatorAdmitsAServer(t *testing.T) {
 	f := newTestFleet(8, 1, 10, 5)
 	f.failureProbability = func(id string, _ int) float64 {
@@ -327,11 +330,11 @@
 	}
 	f.run(200, 5*time.Second)
 	require.Contains(t, f.ejected[0], "s01")
-	found := f.homes[0].Explain(f.now)
-	require.Len(t, found, 1)
-	require.Equal(t, "s01", found[0].Server)
-	require.True(t, found[0].Ejected)
-	require.Greater(t, found[0].Own.failureRatio(), 0.5)
+	findings := f.homes[0].Explain(f.now)
+	require.Len(t, findings, 1)
+	require.Equal(t, "s01", findings[0].Server)
+	require.True(t, findings[0].Ejected)
+	require.Greater(t, findings[0].Own.failureRatio(), 0.5)
 	require.False(t, f.homes[0].Admit("unknown", time.Minute, f.now))
 	require.True(t, f.homes[0].Admit("s01", 10*time.Second, f.now))
 	f.run(200, 9*time.Second)
@@ -341,7 +344,7 @@
 	require.Contains(t, f.ejected[0], "s01")
 }
 
-func TestASummaryIsDueAtOnceAfterAFailure(t *testing.T) {
+func TestAReportIsDueAtOnceAfterAFailure(t *testing.T) {
 	tally := NewTally()
 	_, ok := tally.Take(time.Minute)
 	require.False(t, ok)
--- a/internal/router/outlier/tally.go
+++ b/internal/router/outlier/tally.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	reportInterval   = 500 * time.Millisecond // without failures
-	maxReportServers = 512                    // in a report
+	reportInterval   = 500 * time.Millisecond // time between reports without failures
+	maxReportServers = 512                    // servers in one report
 )
 
-// Tally counts one router's attempts until they are reported to its home. Make it by NewTally.
+// Tally counts one router's attempts until they are reported to its home. NewTally creates it.
 type Tally struct {
 	counts     map[string]*tallyCount // by server
-	failures   bool                   // one of them failed
+	failures   bool                   // at least one counted attempt failed
 	reportedAt time.Duration
 }
 
 type tallyCount struct{ sent, failed uint16 }
 
-// NewTally returns an empty tally.
+// NewTally returns an empty Tally.
 func NewTally() *Tally { return &Tally{counts: map[string]*tallyCount{}} }
 
-// Add counts an attempt. Servers beyond maxReportServers and attempts beyond the range of a report are left out.
+// Add counts an attempt. It ignores attempts at further servers if there are already maxReportServers, and attempts
+// beyond the range of the counts in a Report.
 func (t *Tally) Add(server string, failed bool) {
 	c := t.counts[server]
 	if c == nil {
@@ -42,8 +43,8 @@
 	}
 }
 
-// Take returns the report that is due now, and begins a new count: at once where an attempt failed, otherwise once in a
-// reportInterval.
+// Take returns the report that is due now and resets the Tally, or returns false if none is due. A report is due at once
+// if an attempt failed, and otherwise once per reportInterval.
 func (t *Tally) Take(now time.Duration) (r Report, ok bool) {
 	if len(t.counts) == 0 || !t.failures && now-t.reportedAt < reportInterval {
 		return r, false
