--- a/internal/router/routetable/config.go
+++ b/internal/router/routetable/config.go
@@ -1,11 +1,12 @@
-// Package routetable is the operator's configuration: its format, its validity, what an update makes of it, and the
-// immutable table in which a request's route and tenant are looked up (by host and longest prefix, and by key).
+// Package routetable defines the operator's configuration: its JSON format, its validation and its updates. It also
+// compiles a configuration to an immutable table for looking up the route of a request, by host and longest path prefix,
+// and its tenant, by API key.
 //
-// It does not store or replicate configurations, nor decide which one is in force. It is pure, and any goroutine may
-// use it: a Config is never changed after Validate, and a Table never after Compile. An update makes a new Config,
-// which shares what did not change.
+// The package does not store or replicate configurations, nor decide which one is in force. It is pure. Any goroutine may
+// use its values: a Config does not change after Validate, and a Table does not change after Compile. An update creates a
+// new Config, which shares unchanged items with the previous one.
 //
-// Field names of the JSON are the Go names unless a tag says otherwise; the names in errors are the JSON's.
+// JSON fields have the names of the Go fields unless a tag says otherwise. Errors contain the JSON names.
 package routetable
 
 import (
@@ -16,22 +17,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrInvalid marks the error of a configuration or an update that is rejected, whatever the version before it. As a
-// mark it is found by Is of github.com/cockroachdb/errors, not by that of the standard library.
+// ErrInvalid marks the errors of all rejected configurations and updates. Since it is a mark, errors.Is of
+// github.com/cockroachdb/errors finds it, and errors.Is of the standard library does not.
 var ErrInvalid = errors.New("invalid configuration")
 
-// WeightedBackend is one of the services that a route is split over.
+// WeightedBackend is one of several services among which the requests of a route are divided by weight.
 type WeightedBackend struct {
 	Service string `validate:"required"`
 	Weight  float64
 }
 
-// Route says to which service, or services, the requests of one host and path prefix go, and how.
+// Route configures to which service or services the requests for a host and path prefix go, and how they are handled.
 type Route struct {
 	Name             string  `validate:"required"`
 	Host             string  `validate:"required"`
 	PathPrefix       string  `validate:"required,startswith=/,endswith=/"`
-	RouteType        string  // "safe", "streaming" or else unsafe: see Kind
+	RouteType        string  // "safe" or "streaming"; any other value means unsafe, see Kind
 	TimeoutMs        float64 `validate:"gt=0"`
 	TargetLatencyMs  float64 `validate:"gte=0"` // for the first part of the answer; 0: none
 	Priority         int
@@ -41,10 +42,10 @@
 	Public           bool
 	SessionAffinity  bool
 	StreamResume     bool
-	GapAimMs         float64 `json:"gap_aim_ms,omitempty" validate:"gte=0"` // target for the longest time between two parts; 0: none
+	GapAimMs         float64 `json:"gap_aim_ms,omitempty" validate:"gte=0"` // target for the longest time between two parts of the answer; 0: none
 }
 
-// Engine describes the model servers of a service.
+// Engine describes the servers of a service that run a language model.
 type Engine struct {
 	Slots            int
 	KvCapacityTokens float64
@@ -53,7 +54,7 @@
 	Stride           float64 `json:"stride"`
 }
 
-// Service is a set of servers.
+// Service configures a service, which is a set of servers.
 type Service struct {
 	Name           string `validate:"required"`
 	HealthPath     string
@@ -61,8 +62,8 @@
 	Engine         *Engine `json:",omitempty"`
 }
 
-// ClientLimits bound what a client may send, how long it may take to send a header, and how long its connection may be
-// idle. 0 is no bound.
+// ClientLimits bounds the size of a client's request, the time to send its header, and the time that the client's
+// connection may be idle. 0 means no bound.
 type ClientLimits struct {
 	MaxHeaderBytes  int
 	MaxBodyBytes    int64
@@ -70,7 +71,7 @@
 	IdleTimeoutMs   float64
 }
 
-// Tenant is a customer, its keys and its limit.
+// Tenant configures a customer: its API keys and its limit.
 type Tenant struct {
 	Name           string `validate:"required"`
 	ApiKeys        []string
@@ -81,8 +82,8 @@
 	Burst          float64 `validate:"gte=0"`
 }
 
-// Config is a complete configuration as the operator sends it. Items keep the text that they came in, so that what is
-// read back is what was sent, fields that this version does not know included.
+// Config is a complete configuration as the operator sends it. Its items keep their JSON text, so that reading the
+// configuration back returns what was sent, including fields that this version does not know.
 type Config struct {
 	Generation int64 `validate:"gt=0"`
 	Routes     []Item[Route]
@@ -91,15 +92,15 @@
 	Tenants    []Item[Tenant]  `json:",omitempty"`
 }
 
-// Named is the value of an item, which an update refers to by its name.
+// Named is implemented by the values of items. Updates refer to an item by the name of its value.
 type Named interface{ name() string }
 
 func (r Route) name() string   { return r.Name }
 func (s Service) name() string { return s.Name }
 func (t Tenant) name() string  { return t.Name }
 
-// Item is a value together with the text it was read from. Configurations share the values of items that did not
-// change.
+// Item is a value together with the JSON text from which it was read. Configurations share the values of unchanged
+// items.
 type Item[T Named] struct {
 	Value *T
 	Text  json.RawMessage
@@ -114,7 +115,7 @@
 
 func (i Item[T]) name() string { return (*i.Value).name() }
 
-// ParseConfig reads a complete configuration, without validating it. Its error is an ErrInvalid.
+// ParseConfig parses a complete configuration without validating it. Its errors are marked with ErrInvalid.
 func ParseConfig(body []byte) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(body, c); err != nil {
@@ -123,7 +124,7 @@
 	return c, nil
 }
 
-// ClientLimits reads the bounds on clients; what is left out is not bounded. Its error is an ErrInvalid.
+// ClientLimits parses the field Limits. Limits that are left out are 0. Its errors are marked with ErrInvalid.
 func (c *Config) ClientLimits() (ClientLimits, error) {
 	var limits ClientLimits
 	if len(c.Limits) == 0 {
@@ -135,13 +136,13 @@
 	return limits, nil
 }
 
-// sameList reports whether two lists are one and the same: an update leaves a list as it is where it names none of its
-// items.
+// sameList reports whether two lists are the same slice, or both empty. An update that names no item of a list keeps the
+// slice.
 func sameList[T Named](a, b []Item[T]) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// Encode returns the configuration as JSON, made of the texts that its items came in.
+// Encode returns the configuration as JSON, composed of the original texts of its items.
 func (c *Config) Encode() []byte {
 	var b bytes.Buffer
 	b.WriteString(`{"Generation":`)
--- a/internal/router/routetable/table.go
+++ b/internal/router/routetable/table.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// Kind says whether requests of a route are idempotent.
+// Kind tells whether requests of a route are idempotent.
 type Kind int
 
 // The kinds of routes.
 const (
 	Unsafe    Kind = iota // a request must not run twice
 	Safe                  // a request may run more than once
-	Streaming             // the answer is a stream of events; as Unsafe, unless the route allows to resume it
+	Streaming             // the answer is a stream of events; like Unsafe, unless the route allows resuming the stream
 )
 
-// Compiled is a route as the data plane uses it. It is immutable.
+// Compiled is a route prepared for the data plane. It is immutable.
 type Compiled struct {
 	Route
 	Kind          Kind
 	Timeout       time.Duration
 	TargetLatency time.Duration // for the first part of the answer; 0: none
 	TargetGap     time.Duration // for the longest time between two parts of the answer; 0: none
-	Attempts      int           // servers that a request is sent to at most; at least 1
+	Attempts      int           // maximum number of servers to which a request is sent; at least 1
 	Backends      []WeightedBackend
 }
 
-// Idempotent reports whether a request of the route may be sent again after a server may have run it.
+// Idempotent reports whether a request of the route may be retried even if a server may already have run it.
 func (r *Compiled) Idempotent() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.StreamResume
 }
 
-// Table is a configuration compiled for lookups. It is immutable; a request holds the one that it began with.
+// Table is a configuration compiled for lookups. It is immutable. A request uses the same Table from its start to its
+// end.
 type Table struct {
 	Generation int64
 	Limits     ClientLimits
-	hosts      map[string]map[string]*Compiled // by host, in lower case, and prefix
+	hosts      map[string]map[string]*Compiled // by lower-case host and path prefix
 	routes     map[*Route]*Compiled
-	names      map[string]bool // of the routes
+	routeNames map[string]bool
 	services   map[string]*Service
-	*tenancy
+	*tenantIndex
 }
 
-// tenancy is the tenants of a configuration. Tables share it where their configurations share the list of tenants.
-type tenancy struct {
+// tenantIndex indexes the tenants of a configuration by API key and by name. Tables share it if their configurations
+// share the list of tenants.
+type tenantIndex struct {
 	list    []Item[Tenant]
-	keys    map[string]*Tenant
-	tenants map[string]*Tenant
+	keys    map[string]*Tenant // by API key
+	tenants map[string]*Tenant // by name
 }
 
-func newTenancy(list []Item[Tenant]) *tenancy {
-	t := &tenancy{list: list, keys: make(map[string]*Tenant, len(list)), tenants: make(map[string]*Tenant, len(list))}
+func newTenantIndex(list []Item[Tenant]) *tenantIndex {
+	t := &tenantIndex{list: list, keys: make(map[string]*Tenant, len(list)), tenants: make(map[string]*Tenant, len(list))}
 	for i := range list {
 		tenant := list[i].Value
 		t.tenants[tenant.Name] = tenant
@@ -61,31 +63,31 @@
 	return t
 }
 
-// Compile returns the table of a valid configuration. It shares with the previous table, which may be nil, what did not
-// change.
+// Compile returns the Table of a valid configuration. It shares unchanged routes and tenants with the previous Table,
+// which may be nil.
 func Compile(c *Config, previous *Table) *Table {
 	if previous == nil {
-		previous = &Table{tenancy: newTenancy(nil)}
+		previous = &Table{tenantIndex: newTenantIndex(nil)}
 	}
 	t := &Table{
-		tenancy:    previous.tenancy,
-		Generation: c.Generation,
-		hosts:      map[string]map[string]*Compiled{},
-		routes:     make(map[*Route]*Compiled, len(c.Routes)),
-		names:      make(map[string]bool, len(c.Routes)),
-		services:   map[string]*Service{},
+		tenantIndex: previous.tenantIndex,
+		Generation:  c.Generation,
+		hosts:       map[string]map[string]*Compiled{},
+		routes:      make(map[*Route]*Compiled, len(c.Routes)),
+		routeNames:  make(map[string]bool, len(c.Routes)),
+		services:    map[string]*Service{},
 	}
-	t.Limits, _ = c.ClientLimits() // a valid configuration has limits that can be read
+	t.Limits, _ = c.ClientLimits() // Validate has checked that the limits can be parsed
 	for i := range c.Routes {
 		r := c.Routes[i].Value
 		compiled := previous.routes[r]
 		if compiled == nil {
-			compiled = compile(r)
+			compiled = compileRoute(r)
 		}
-		t.add(r, compiled)
+		t.addRoute(r, compiled)
 	}
 	if !sameList(c.Tenants, previous.list) {
-		t.tenancy = newTenancy(c.Tenants)
+		t.tenantIndex = newTenantIndex(c.Tenants)
 	}
 	for i := range c.Services {
 		t.services[c.Services[i].Value.Name] = c.Services[i].Value
@@ -93,7 +95,7 @@
 	return t
 }
 
-func compile(r *Route) *Compiled {
+func compileRoute(r *Route) *Compiled {
 	compiled := &Compiled{
 		Route:         *r,
 		Timeout:       time.Duration(r.TimeoutMs * float64(time.Millisecond)),
@@ -114,10 +116,10 @@
 	return compiled
 }
 
-// add makes a route findable.
-func (t *Table) add(r *Route, compiled *Compiled) {
+// addRoute adds a route to the indexes of the table.
+func (t *Table) addRoute(r *Route, compiled *Compiled) {
 	t.routes[r] = compiled
-	t.names[r.Name] = true
+	t.routeNames[r.Name] = true
 	host := strings.ToLower(r.Host)
 	if t.hosts[host] == nil {
 		t.hosts[host] = map[string]*Compiled{}
@@ -125,7 +127,8 @@
 	t.hosts[host][r.PathPrefix] = compiled
 }
 
-// Route returns the route with the longest prefix of a path, or nil. It takes as many steps as the path has slashes.
+// Route returns the route of a host with the longest prefix of a path, or nil if there is none. It does one map lookup
+// per slash of the path.
 func (t *Table) Route(host, path string) *Compiled {
 	prefixes := t.hosts[strings.ToLower(stripPort(host))]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
@@ -136,10 +139,10 @@
 	return nil
 }
 
-// HasRoute reports whether there is a route with a name.
-func (t *Table) HasRoute(name string) bool { return t.names[name] }
+// HasRoute reports whether there is a route with this name.
+func (t *Table) HasRoute(name string) bool { return t.routeNames[name] }
 
-// stripPort returns a host without its port; an IPv6 address in brackets may have none.
+// stripPort returns a host without its port. An IPv6 address in brackets without a port is returned unchanged.
 func stripPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
@@ -147,23 +150,26 @@
 	return host
 }
 
-// SharesTenants reports whether the tenants are those of another table, which may be nil.
-func (t *Table) SharesTenants(other *Table) bool { return other != nil && t.tenancy == other.tenancy }
+// SharesTenants reports whether the table has the same tenants as another table, because it was compiled with that table
+// as the previous one and its configuration has the same list. The other table may be nil.
+func (t *Table) SharesTenants(other *Table) bool {
+	return other != nil && t.tenantIndex == other.tenantIndex
+}
 
-// HasTenants reports whether requests must carry a key.
+// HasTenants reports whether there are tenants, in which case requests must carry an API key.
 func (t *Table) HasTenants() bool { return len(t.tenants) > 0 }
 
-// TenantOf returns the tenant that holds a key, or nil.
+// TenantOf returns the tenant that has an API key, or nil.
 func (t *Table) TenantOf(key string) *Tenant { return t.keys[key] }
 
-// Tenant returns the tenant with a name, or nil.
+// Tenant returns the tenant with this name, or nil.
 func (t *Table) Tenant(name string) *Tenant { return t.tenants[name] }
 
-// Tenants returns all tenants by name. The map must not be changed.
+// Tenants returns all tenants by name. The caller must not change the map.
 func (t *Table) Tenants() map[string]*Tenant { return t.tenants }
 
-// Service returns the service with a name, or nil.
+// Service returns the service with this name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services returns all services by name. The map must not be changed.
+// Services returns all services by name. The caller must not change the map.
 func (t *Table) Services() map[string]*Service { return t.services }
--- a/internal/router/routetable/table_test.go
+++ b/internal/router/routetable/table_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func config(t require.TestingT, text string) *Config {
+func mustParseConfig(t require.TestingT, text string) *Config {
 	if helper, ok := t.(interface{ Helper() }); ok {
 		helper.Helper()
 	}
@@ -19,14 +19,14 @@
 	return c
 }
 
-const three = `{"Generation":1,"Routes":[
+const threeRoutes = `{"Generation":1,"Routes":[
 {"Name":"a","Host":"A.example","PathPrefix":"/","RouteType":"safe","TimeoutMs":100,"Service":"s"},
 {"Name":"b","Host":"a.example","PathPrefix":"/x/","RouteType":"streaming","TimeoutMs":100,"Service":"s","StreamResume":true,"gap_aim_ms":200},
 {"Name":"c","Host":"a.example","PathPrefix":"/x/y/","TimeoutMs":100,"WeightedBackends":[{"Service":"s","Weight":1},{"Service":"u","Weight":0}]}],
 "Services":[{"Name":"s"},{"Name":"u"}],"Tenants":[{"Name":"t","ApiKeys":["k"]}]}`
 
 func TestLongestPrefix(t *testing.T) {
-	table := Compile(config(t, three), nil)
+	table := Compile(mustParseConfig(t, threeRoutes), nil)
 	for path, want := range map[string]string{"/": "a", "/x": "a", "/x/": "b", "/x/z/q": "b", "/x/y/": "c", "/x/y/z": "c", "/xy/": "a"} {
 		require.Equal(t, want, table.Route("a.example:80", path).Name, path)
 	}
@@ -37,15 +37,15 @@
 	require.Nil(t, table.TenantOf(""))
 }
 
-// A lookup finds what a search through all routes finds.
-func TestLookupsAreRight(t *testing.T) {
+// A lookup finds the same route as a linear search for the longest prefix.
+func TestLookupsFindTheLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefixes := rapid.SliceOfNDistinct(rapid.StringMatching(`/([ab]/){0,4}`), 1, 12, rapid.ID[string]).Draw(t, "prefixes")
 		var routes []string
 		for i, p := range prefixes {
 			routes = append(routes, fmt.Sprintf(`{"Name":"r%d","Host":"h","PathPrefix":%q,"TimeoutMs":1,"Service":"s"}`, i, p))
 		}
-		table := Compile(config(t, `{"Generation":1,"Routes":[`+strings.Join(routes, ",")+`],"Services":[{"Name":"s"}]}`), nil)
+		table := Compile(mustParseConfig(t, `{"Generation":1,"Routes":[`+strings.Join(routes, ",")+`],"Services":[{"Name":"s"}]}`), nil)
 		path := rapid.StringMatching(`/([ab]/){0,5}[ab]?`).Draw(t, "path")
 		best := ""
 		for _, p := range prefixes {
@@ -62,9 +62,10 @@
 	})
 }
 
-// What did not change is shared, and the table of the next version finds what it would find if compiled alone.
+// A table shares unchanged routes with the previous table, finds the changed ones, and leaves the previous table
+// unchanged.
 func TestCompileShares(t *testing.T) {
-	first := config(t, three)
+	first := mustParseConfig(t, threeRoutes)
 	u, err := ParseUpdate([]byte(`{"Generation":2,"Upsert":{"Routes":[{"Name":"b","Host":"a.example","PathPrefix":"/z/","TimeoutMs":5,"Service":"u"}]},"Remove":{"Routes":["a"]}}`))
 	require.NoError(t, err)
 	second := first.Apply(u)
@@ -74,23 +75,23 @@
 	require.Same(t, before.Route("a.example", "/x/y/"), after.Route("a.example", "/x/y/"))
 	require.Nil(t, after.Route("a.example", "/x/q/"))
 	require.Equal(t, "u", after.Route("a.example", "/z/").Backends[0].Service)
-	require.Equal(t, "a", before.Route("a.example", "/q").Name, "the table before is unchanged")
+	require.Equal(t, "a", before.Route("a.example", "/q").Name, "the previous table is unchanged")
 }
 
-// Validation takes time in proportion to the size of a configuration: 20,000 tenants took minutes where each was
-// compared with a new set of all keys.
-func TestManyTenants(t *testing.T) {
+// The time for validation is proportional to the size of a configuration. Validating 20,000 tenants took minutes when
+// each of them was compared with a newly built set of all keys.
+func TestValidationOfManyTenants(t *testing.T) {
 	var tenants []string
 	for i := range 20_000 {
 		tenants = append(tenants, fmt.Sprintf(`{"Name":"t%d","ApiKeys":["k%d","l%d"]}`, i, i, i))
 	}
-	c := config(t, `{"Generation":1,"Routes":[],"Services":[],"Tenants":[`+strings.Join(tenants, ",")+`]}`)
+	c := mustParseConfig(t, `{"Generation":1,"Routes":[],"Services":[],"Tenants":[`+strings.Join(tenants, ",")+`]}`)
 	require.Equal(t, "t7", Compile(c, nil).TenantOf("l7").Name)
 }
 
-// A change of one route does not touch the tenants, however many there are; one of a tenant does.
-func TestAChangeOfARouteLeavesTheTenants(t *testing.T) {
-	first := config(t, three)
+// After a change of a route the table shares the tenants with the previous table; after a change of a tenant it does not.
+func TestAChangeOfARouteSharesTheTenants(t *testing.T) {
+	first := mustParseConfig(t, threeRoutes)
 	update := func(text string) *Config {
 		u, err := ParseUpdate([]byte(text))
 		require.NoError(t, err)
@@ -113,7 +114,8 @@
 	require.Error(t, tenant.Apply(u).Validate(tenant), "a key that another tenant has")
 }
 
-// BenchmarkOneRoute is a change of one route among 1,260 beside 7,700 tenants, applied and compiled.
+// BenchmarkOneRoute measures applying and compiling a change of one route, in a configuration of 1,260 routes and 7,700
+// tenants.
 func BenchmarkOneRoute(b *testing.B) {
 	var routes, tenants []string
 	for i := range 1260 {
@@ -122,7 +124,7 @@
 	for i := range 7700 {
 		tenants = append(tenants, fmt.Sprintf(`{"Name":"t%d","ApiKeys":["k%d","l%d"]}`, i, i, i))
 	}
-	c := config(b, `{"Generation":1,"Routes":[`+strings.Join(routes, ",")+`],"Services":[{"Name":"s"}],"Tenants":[`+strings.Join(tenants, ",")+`]}`)
+	c := mustParseConfig(b, `{"Generation":1,"Routes":[`+strings.Join(routes, ",")+`],"Services":[{"Name":"s"}],"Tenants":[`+strings.Join(tenants, ",")+`]}`)
 	table := Compile(c, nil)
 	u, err := ParseUpdate([]byte(`{"Generation":2,"Upsert":{"Routes":[{"Name":"r7","Host":"h7","PathPrefix":"/","TimeoutMs":2,"Service":"s"}]}}`))
 	require.NoError(b, err)
@@ -132,15 +134,15 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(three)
+	f.Add(threeRoutes)
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := ParseConfig([]byte(text))
 		if err != nil || c.Validate(nil) != nil {
 			return
 		}
-		again, err := ParseConfig(c.Encode())
+		reparsed, err := ParseConfig(c.Encode())
 		require.NoError(t, err)
-		require.NoError(t, again.Validate(nil))
-		require.Equal(t, c.Generation, again.Generation)
+		require.NoError(t, reparsed.Validate(nil))
+		require.Equal(t, c.Generation, reparsed.Generation)
 	})
 }
--- a/internal/router/routetable/update.go
+++ b/internal/router/routetable/update.go
@@ -7,8 +7,8 @@
 	mapset "github.com/deckarep/golang-set/v2"
 )
 
-// Update is an operator's change of a configuration: items that are added, or that replace those with the same name,
-// and names of items that are removed. Limits, where there are any, replace those before.
+// Update is an operator's change of a configuration. Items in Upsert are added, or replace those with the same name.
+// Remove names items to be removed. Limits replaces the previous limits unless it is empty.
 type Update struct {
 	Generation int64
 	Upsert     struct {
@@ -24,7 +24,7 @@
 	Limits json.RawMessage `json:",omitempty"`
 }
 
-// ParseUpdate reads an update, without validating it. Its error is an ErrInvalid.
+// ParseUpdate parses an update without validating it. Its errors are marked with ErrInvalid.
 func ParseUpdate(body []byte) (*Update, error) {
 	u := &Update{}
 	if err := json.Unmarshal(body, u); err != nil {
@@ -33,8 +33,8 @@
 	return u, nil
 }
 
-// Apply returns the configuration that an update makes of c, which stays as it is. It is not validated, and shares
-// items and lists with c that the update does not name.
+// Apply returns the configuration that results from applying an update to c. It does not change c, and does not validate
+// the result, which shares with c the items and lists that the update does not name.
 func (c *Config) Apply(u *Update) *Config {
 	next := &Config{Generation: u.Generation, Limits: c.Limits}
 	next.Routes = merge(c.Routes, u.Upsert.Routes, u.Remove.Routes)
@@ -46,8 +46,8 @@
 	return next
 }
 
-// merge returns a list with an update applied: items keep their positions, and added ones follow in the order of the
-// update. An item that is both in upsert and in remove stays.
+// merge returns a list with an update applied. Existing items keep their order, and added ones follow in the order of the
+// update. An item that is in both upsert and remove is not removed.
 func merge[T Named](old, upsert []Item[T], remove []string) []Item[T] {
 	if len(upsert) == 0 && len(remove) == 0 {
 		return old
--- a/internal/router/routetable/validate.go
+++ b/internal/router/routetable/validate.go
@@ -9,12 +9,13 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// structValidator checks the bounds in the tags of the fields. It caches what it knows of each type.
+// structValidator returns the validator that checks the bounds in the tags of fields. It is shared, since it caches
+// information about each type.
 var structValidator = sync.OnceValue(func() *validator.Validate { return validator.New() })
 
-// Validate returns why a configuration cannot follow the previous one, which may be nil: an ErrInvalid that names the
-// field. Items that it shares with the previous one were validated with it, and are only checked against the other
-// items. It takes time in proportion to the number of items.
+// Validate checks whether a configuration is valid and may follow the previous one, which may be nil. If not, it returns
+// an error that is marked with ErrInvalid and names the field. The previous configuration must be valid: items shared
+// with it are only checked against the other items. The time for Validate is proportional to the number of items.
 func (c *Config) Validate(previous *Config) error {
 	if previous == nil {
 		previous = &Config{}
@@ -23,7 +24,7 @@
 		return invalid("field Generation: %d is not above %d", c.Generation, previous.Generation)
 	}
 	services := mapset.NewThreadUnsafeSetWithSize[string](len(c.Services))
-	validated := values(previous.Services)
+	validated := validatedValues(previous.Services)
 	for i, s := range c.Services {
 		if err := checkItem("Services", i, s, validated); err != nil {
 			return err
@@ -32,11 +33,11 @@
 			return invalid("field Services[%d].Name: %s is used twice", i, s.Value.Name)
 		}
 	}
-	if err := c.validateRoutes(services, values(previous.Routes)); err != nil {
+	if err := c.validateRoutes(services, validatedValues(previous.Routes)); err != nil {
 		return err
 	}
 	if !sameList(c.Tenants, previous.Tenants) {
-		if err := c.validateTenants(values(previous.Tenants)); err != nil {
+		if err := c.validateTenants(validatedValues(previous.Tenants)); err != nil {
 			return err
 		}
 	}
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// values returns the values of a list, which were validated already.
-func values[T Named](items []Item[T]) map[*T]bool {
+// validatedValues returns the set of the values of a list that was validated before.
+func validatedValues[T Named](items []Item[T]) map[*T]bool {
 	validated := make(map[*T]bool, len(items))
 	for _, item := range items {
 		validated[item.Value] = true
@@ -117,7 +118,7 @@
 	return validated
 }
 
-// checkItem validates the fields of one item, unless it was validated before.
+// checkItem validates the fields of an item, unless its value was validated before.
 func checkItem[T Named](list string, i int, item Item[T], validated map[*T]bool) error {
 	if item.Value == nil {
 		return invalid("field %s[%d]: null is not an item", list, i)
@@ -134,7 +135,7 @@
 	return err
 }
 
-// invalid returns an ErrInvalid.
+// invalid returns a formatted error that is marked with ErrInvalid.
 func invalid(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), ErrInvalid)
 }
