--- a/internal/router/proximity/proximity.go
+++ b/internal/router/proximity/proximity.go
@@ -1,5 +1,5 @@
-// Package proximity ranks the members of the core by their distance from a router: its own zone first, then its region,
-// then the others. It is pure.
+// Package proximity ranks core members by their distance from a router: members in the router's zone first, then those
+// in its region, then the others. It is pure.
 package proximity
 
 import (
@@ -10,14 +10,14 @@
 	"petrelhook/internal/router/replication"
 )
 
-// Locality is where a router is.
+// Locality is the location of a router.
 type Locality struct {
 	Zone     string
 	Region   string
-	RegionOf map[string]string // by zone
+	RegionOf map[string]string // regions of all zones, by zone
 }
 
-// distance is how far a member is from a router.
+// distance is the distance of a member from a router.
 type distance int
 
 const (
@@ -37,7 +37,7 @@
 	}
 }
 
-// candidate is a member with what it is ranked by.
+// candidate is a member with the criteria by which it is ranked, in descending order of importance.
 type candidate struct {
 	address  string
 	avoided  bool
@@ -55,9 +55,9 @@
 	return cmp.Or(cmp.Compare(c.distance, other.distance), cmp.Compare(c.hash, other.hash))
 }
 
-// Nearest returns the address of the nearest member, or "" where there is none. A member that is to be avoided is taken
-// only where all are. Among members at the same distance rendezvous hashing of a key decides: routers with the same key
-// choose the same member, and different keys spread over the members.
+// Nearest returns the address of the nearest member, or "" if there are no members. It returns a member that is to be
+// avoided only if all members are. Among members at the same distance it chooses by rendezvous hashing of key: routers
+// with the same key choose the same member, and different keys are spread over the members.
 func (l Locality) Nearest(members []replication.Member, key string, avoided func(address string) bool) string {
 	if len(members) == 0 {
 		return ""
--- a/internal/router/proximity/proximity_test.go
+++ b/internal/router/proximity/proximity_test.go
@@ -37,15 +37,15 @@
 	}
 }
 
-// Routers with the same key choose the same member whatever the order of the view; different keys spread over the
-// members of a zone.
+// Routers with the same key choose the same member, whatever the order of the members. Different keys are spread over
+// the members of a zone.
 func TestKeysSpreadOverAZone(t *testing.T) {
 	a, b := replication.Member{Address: "10.0.1.1:7000", Zone: "z"}, replication.Member{Address: "10.0.1.2:7000", Zone: "z"}
 	chosen := map[string]int{}
 	for _, key := range []string{"k1", "k2", "k3", "k4", "k5", "k6", "k7", "k8", "k9", "k10"} {
-		never := func(string) bool { return false }
-		first := Locality{Zone: "z"}.Nearest([]replication.Member{a, b}, key, never)
-		require.Equal(t, first, Locality{Zone: "z"}.Nearest([]replication.Member{b, a}, key, never))
+		avoidNone := func(string) bool { return false }
+		first := Locality{Zone: "z"}.Nearest([]replication.Member{a, b}, key, avoidNone)
+		require.Equal(t, first, Locality{Zone: "z"}.Nearest([]replication.Member{b, a}, key, avoidNone))
 		chosen[first]++
 	}
 	require.Len(t, chosen, 2)
