--- a/internal/router/latency/doc.go
+++ b/internal/router/latency/doc.go
@@ -1,7 +1,8 @@
-// Package latency accounts for the time of requests: which part of it each spent waiting for what, and why those that
-// missed their latency target missed it. It is pure. It does not measure: package gateway fills a Trace and decides when a
-// request has ended.
+// Package latency accounts for the time that requests take: how long each spent in which phase, and why requests missed
+// their latency targets. It is pure, and does not measure: package gateway fills the Traces and decides when a request
+// has ended.
 //
-// A Trace is one request's own; Totals add up traces by route and by reason, and keep histograms of the phases. Totals
-// grow with the routes in use, up to maxRoutes; the others are counted together. Both are for one goroutine at a time.
+// A Trace belongs to one request. Totals counts requests by route and by reason, and keeps histograms of their phases. Its
+// size grows with the number of routes in use, up to maxRoutes; further routes are counted together. A Trace and a Totals
+// must not be used by two goroutines at the same time.
 package latency
--- a/internal/router/latency/latency_test.go
+++ b/internal/router/latency/latency_test.go
@@ -11,26 +11,26 @@
 const ms = time.Millisecond
 
 func TestReasons(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		trace Trace
 		want  Reason
 	}{
 		{Trace{TimeToFirstByte: 200 * ms}, InTime},
-		{Trace{TimeToFirstByte: 251 * ms, PhaseTimes: [phases]time.Duration{Quota: 120 * ms, Server: 90 * ms}}, "late_quota"},
-		{Trace{TimeToFirstByte: 251 * ms, PhaseTimes: [phases]time.Duration{Rerouted: 90 * ms, Server: 120 * ms}}, "late_server"},
+		{Trace{TimeToFirstByte: 251 * ms, PhaseTimes: [phaseCount]time.Duration{Quota: 120 * ms, Server: 90 * ms}}, "late_quota"},
+		{Trace{TimeToFirstByte: 251 * ms, PhaseTimes: [phaseCount]time.Duration{Rerouted: 90 * ms, Server: 120 * ms}}, "late_server"},
 		{Trace{TimeToFirstByte: 251 * ms}, "late_server"},
 		{Trace{TimeToFirstByte: 20 * ms, MaxGap: 201 * ms}, LateGap},
 		{Trace{TimeToFirstByte: 20 * ms, MaxGap: 201 * ms, FailureReason: LostBroken}, LostBroken},
 	} {
-		require.Equal(t, c.want, c.trace.Reason(250*ms, 200*ms), "%+v", c.trace)
+		require.Equal(t, test.want, test.trace.Reason(250*ms, 200*ms), "%+v", test.trace)
 	}
-	require.Equal(t, InTime, (&Trace{TimeToFirstByte: time.Hour, MaxGap: time.Hour}).Reason(0, 0), "without targets nothing is late")
+	require.Equal(t, InTime, (&Trace{TimeToFirstByte: time.Hour, MaxGap: time.Hour}).Reason(0, 0), "a request without targets is never late")
 }
 
 func TestReports(t *testing.T) {
 	totals := NewTotals()
 	for i := range 100 {
-		totals.Add("b", &Trace{TimeToFirstByte: time.Duration(i+1) * ms, PhaseTimes: [phases]time.Duration{Server: time.Duration(i+1) * ms}}, InTime)
+		totals.Add("b", &Trace{TimeToFirstByte: time.Duration(i+1) * ms, PhaseTimes: [phaseCount]time.Duration{Server: time.Duration(i+1) * ms}}, InTime)
 	}
 	totals.Add("a", &Trace{}, RefusedLimit)
 	reports := totals.Reports()
--- a/internal/router/latency/totals.go
+++ b/internal/router/latency/totals.go
@@ -12,27 +12,27 @@
 	maxRoutes  = 64
 	otherRoute = "(others)"
 
-	// Histograms count in ticks of resolution, up to a minute, with one significant digit: a quantile is wrong by up to 10
-	// %.
+	// Histograms count ticks of resolution, up to a minute, with one significant digit: a quantile has an error of up to
+	// 10 %.
 	resolution        = 100 * time.Microsecond
 	maxTicks          = int64(time.Minute / resolution)
 	significantDigits = 1
 )
 
-// Totals adds up the outcomes and phases of requests, by route. Make it by NewTotals.
+// Totals aggregates the outcomes and phases of requests by route. NewTotals creates it.
 type Totals struct{ routes map[string]*routeTotals }
 
-// routeTotals are those of one route. Histograms are nil until they have a value.
+// routeTotals holds the totals of one route. Histograms are nil until they have a value.
 type routeTotals struct {
 	reasons         map[Reason]int64
 	timeToFirstByte *hdrhistogram.Histogram
-	phaseTimes      [phases]*hdrhistogram.Histogram
+	phaseTimes      [phaseCount]*hdrhistogram.Histogram
 }
 
-// NewTotals returns totals of no requests.
+// NewTotals returns an empty Totals.
 func NewTotals() *Totals { return &Totals{routes: map[string]*routeTotals{}} }
 
-// Add adds a request of a route that has ended, with Trace.Reason's result for it. Routes beyond maxRoutes count
+// Add adds a request of a route that has ended; reason is the result of Trace.Reason. Add counts routes beyond maxRoutes
 // together.
 func (t *Totals) Add(route string, trace *Trace, reason Reason) {
 	r := t.route(route)
@@ -48,7 +48,8 @@
 	}
 }
 
-// route returns the totals of a route, or those of the others where there are too many.
+// route returns the totals of a route, and creates them if there are none. If there are maxRoutes already, it returns
+// those of otherRoute.
 func (t *Totals) route(name string) *routeTotals {
 	r := t.routes[name]
 	if r == nil && len(t.routes) >= maxRoutes {
@@ -62,30 +63,29 @@
 	return r
 }
 
-// record adds a time to a histogram, which is made where there is none.
+// record adds a duration to a histogram, and creates the histogram if it is nil.
 func record(h **hdrhistogram.Histogram, d time.Duration) {
 	if *h == nil {
 		*h = hdrhistogram.New(1, maxTicks, significantDigits)
 	}
-	_ = (*h).RecordValue(min(maxTicks, max(1, int64(d/resolution)))) // the value is in the range
+	_ = (*h).RecordValue(min(maxTicks, max(1, int64(d/resolution)))) // never fails: the value is within the histogram's range
 }
 
-// Report is what a router reports of one route, as a part of its status: the JSON names there are those of the tags,
-// and do not change.
+// Report is the part of a router's status about one route. Its JSON names must not change.
 type Report struct {
 	Route           string
 	Reasons         map[Reason]int64
 	TimeToFirstByte Quantiles            `json:"First"` // from a request's receipt to the first part of its answer
-	PhaseTimes      map[string]Quantiles `json:"Spent"` // of that time, by phase; without those below 0.1 ms
+	PhaseTimes      map[string]Quantiles `json:"Spent"` // of that time, by phase; phases below 0.1 ms are not counted
 }
 
-// Quantiles are those of a histogram, in milliseconds. Worst is the largest value.
+// Quantiles holds quantiles of a histogram in milliseconds, and the number of its values. Worst is the largest value.
 type Quantiles struct {
 	Count                int64
 	P50, P90, P99, Worst float64
 }
 
-// Reports returns the totals of all routes, ordered by the routes' names.
+// Reports returns the totals of all routes, ordered by route name.
 func (t *Totals) Reports() []Report {
 	var reports []Report
 	for name, r := range t.routes {
--- a/internal/router/latency/trace.go
+++ b/internal/router/latency/trace.go
@@ -7,28 +7,28 @@
 
 // The phases, in the order in which a request goes through them.
 const (
-	Start    Phase = iota // until the router had a configuration and servers
-	Quota                 // until units of the tenant's limit were granted
-	Rerouted              // at servers that did not answer
-	Connect               // until there was a connection to the server that answered
-	Server                // from then to the first part of the answer: the server's queue, the prompts before this one, the prompt itself
-	phases
+	Start    Phase = iota // waiting until the router has a configuration and servers
+	Quota                 // waiting until units of the tenant's limit are granted
+	Rerouted              // attempts at servers that did not answer
+	Connect               // waiting for a connection to the server that answered
+	Server                // from the connection to the first part of the answer: queueing at the server, earlier prompts, this prompt
+	phaseCount
 )
 
-var phaseNames = [phases]string{"start", "quota", "rerouted", "connect", "server"}
+var phaseNames = [phaseCount]string{"start", "quota", "rerouted", "connect", "server"}
 
 // String returns the phase's name in reports and logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Reason is what became of a request, and why. Its text is in reports and logs.
+// Reason is the outcome of a request and its cause. Its text appears in reports and logs.
 type Reason string
 
-// The reasons. A request that was late with the first part of its answer has latePrefix and the name of the phase that
-// took longest, one that was late between two parts LateGap. No server has run a request with one of the Refused
-// reasons; one with one of the Lost reasons may have run.
+// The reasons. If the first part of the answer is late, the reason is latePrefix followed by the name of the longest
+// phase; if only a later part is late, it is LateGap. A request with one of the Refused reasons was not run by any
+// server; a request with one of the Lost reasons may have been run.
 const (
 	InTime        Reason = "in_time"
-	LateGap       Reason = "late_pause" // between two parts of a stream
+	LateGap       Reason = "late_pause" // too much time between two parts of the answer
 	RefusedLimit  Reason = "refused_limit"
 	RefusedEnding Reason = "refused_ending"
 	RefusedServer Reason = "refused_no_server"
@@ -40,18 +40,18 @@
 	latePrefix = "late_"
 )
 
-// Trace is the time of one request, and how it ended. Package gateway fills it while it serves the request.
+// Trace records the times of one request and its outcome. Package gateway fills it while it serves the request.
 type Trace struct {
-	PhaseTimes      [phases]time.Duration
+	PhaseTimes      [phaseCount]time.Duration
 	TimeToFirstByte time.Duration // from the request's receipt to the first part of its answer; 0: there was none
-	MaxGap          time.Duration // the longest between two parts of the answer
-	FailureReason   Reason        // why it was not served; "": it was
-	Server          string        // that answered, or of the last attempt
-	Attempts        int           // servers that were tried
+	MaxGap          time.Duration // the longest time between two parts of the answer
+	FailureReason   Reason        // why the request was not served; "": it was served
+	Server          string        // ID of the server that answered, or of the last attempt
+	Attempts        int           // number of servers that were tried
 }
 
-// Reason returns what became of a request, and why it was late where it was. Target is the route's latency target for
-// the first part of the answer, gapTarget that for the time between two parts; 0 is none.
+// Reason returns the outcome of a request and, if it was late, the cause. The argument target is the route's latency
+// target for the first part of the answer, and gapTarget that for the time between two parts; 0 means no target.
 func (t *Trace) Reason(target, gapTarget time.Duration) Reason {
 	switch {
 	case t.FailureReason != "":
@@ -66,7 +66,7 @@
 
 func (t *Trace) longestPhase() Phase {
 	longest := Server
-	for p := range phases {
+	for p := range phaseCount {
 		if t.PhaseTimes[p] > t.PhaseTimes[longest] {
 			longest = p
 		}
