--- a/internal/router/placement/names_test.go
+++ b/internal/router/placement/names_test.go
@@ -87,7 +87,7 @@
 	return loads
 }
 
-// Renaming servers and zones changes no decision.
+// Renaming servers and zones changes no decision if the hashes of the servers' names stay the same.
 func TestNamesDecideNothing(t *testing.T) {
 	original := namedFleet{server: func(i int) string { return fmt.Sprint("i-", i) }, zone: func(i int) string { return fmt.Sprint("zone-", i) }, hash: rendezvous}
 	want := decisions(t, original)
--- a/internal/router/placement/policy.go
+++ b/internal/router/placement/policy.go
@@ -16,7 +16,7 @@
 	// but two that coincide do.
 	StreamDelayFraction float64
 	// RecomputeFactor is the penalty, in multiples of the prefix's tokens, for processing a prefix at a server that does
-	// not have it cached: this takes the server's time and space in its cache.
+	// not have it cached although another server does: this takes time and cache space of the first server.
 	RecomputeFactor float64
 	// SlackTokens is the difference up to which the costs of servers count as equal: one chunk of a prompt, which a server
 	// processes without interruption.
--- a/internal/router/placement/prefill.go
+++ b/internal/router/placement/prefill.go
@@ -9,8 +9,8 @@
 	prefillTimeConstant = 30 * time.Second       // a sample's weight falls to 1/e in this time
 	minPrefillSamples   = 30                     // sum of the samples' weights from which the estimate is used
 	defaultPrefillTime  = 3 * time.Microsecond   // per token, until then: a third of a million tokens per second
-	minPrefillTime      = 100 * time.Nanosecond  // lower bound of the estimate per token: a shorter time is not a measured prefill
-	maxPrefillTime      = 500 * time.Microsecond // upper bound of the estimate per token: a longer time is not a measured prefill
+	minPrefillTime      = 100 * time.Nanosecond  // lower bound of the estimate per token: anything shorter is a measurement error
+	maxPrefillTime      = 500 * time.Microsecond // upper bound of the estimate per token: anything longer is a measurement error
 )
 
 // prefillEstimate estimates the prefill time per prompt token at the servers of a pool. It is a linear regression of the
--- a/internal/router/quota/allocator.go
+++ b/internal/router/quota/allocator.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// share returns the new share of a router that wants wanted units per second of a tenant's limit and has been allocated
-// the share current. It consists of an even part and a part by demand, and is reduced to what the reserve and the other
-// routers' shares leave.
+// share returns a router's new share of a tenant's limit. The argument wanted is the router's demand in units per second,
+// and current is the share that counts as allocated to it. The new share consists of an even part and a part by demand,
+// and is reduced to what the reserve and the other routers' shares leave.
 func (a *Allocator) share(tenant string, wanted, current float64, fleetSize int) float64 {
 	totals := a.totals[tenant]
 	target := evenFraction / float64(fleetSize)
--- a/internal/router/quota/buckets.go
+++ b/internal/router/quota/buckets.go
@@ -13,7 +13,7 @@
 // The difference between the bound of a window and what the rate brings in this time is available for bursts, less the
 // units that may be spent elsewhere during the window.
 const (
-	transitSeconds          = 0.5  // of the rate: units that were acquired, but whose requests may still reach a server later
+	transitSeconds          = 0.5  // of the rate: units acquired for requests that have not reached a server yet
 	isolatedSeconds         = 0.75 // of the rate: spent by partitioned routers from their leases, 0.3 of the fleet for 2.5 s
 	slackFraction           = 0.42 // of the slack; the rest covers the one request by which each lease may be overdrawn
 	overdraftFraction       = 0.25 // of the slack, within slackFraction: the amount by which a request may overdraw a non-empty bucket
@@ -30,7 +30,7 @@
 	initialFraction float64 // of the capacity: the initial content of buckets
 	limits          map[string]Limit
 	buckets         map[string]*tokenBucket // by tenant, for tenants with requests in this term
-	refillFraction  float64                 // of the rate: the refill that routers without contact to the primary leave
+	refillFraction  float64                 // of the rate: what the reserve for routers that do not reach the primary leaves
 }
 
 // tokenBucket is one tenant's bucket. Its content may be negative, see Acquire.
@@ -73,8 +73,8 @@
 }
 
 // Acquire grants the units that a request needs, and up to extra further units if the bucket holds more. If the bucket
-// holds too little, it grants none and returns how long to wait before another attempt. A request may overdraw the
-// bucket by a bounded amount: otherwise small requests would use up the refill, and large ones would never find enough
+// holds too little, it grants none and returns how long to wait before another attempt. A request may overdraw a
+// bucket that is not empty: otherwise small requests would use up the refill, and large ones would never find enough
 // units.
 func (t *TokenBuckets) Acquire(tenant string, need, extra float64, now time.Duration) (granted float64, wait time.Duration) {
 	limit, ok := t.limits[tenant]
--- a/internal/router/quota/client.go
+++ b/internal/router/quota/client.go
@@ -83,7 +83,7 @@
 
 // Reserve spends prefetched units for a request of a tenant. If these do not suffice, the verdict is NeedsPrimary, and
 // extra is the number of units to acquire for prefetching, in addition to those of the request.
-func (c *Client) Reserve(name string, units float64, now time.Duration) (v Verdict, extra float64) {
+func (c *Client) Reserve(name string, units float64, now time.Duration) (verdict Verdict, extra float64) {
 	tenant := c.tenants[name]
 	if tenant == nil {
 		return Granted, 0
--- a/internal/router/quota/leased_shares.go
+++ b/internal/router/quota/leased_shares.go
@@ -57,7 +57,7 @@
 // neither the primary nor a pool answers. One request may overdraw the share, because the share of a small tenant's limit
 // can be less than one request needs. If the verdict is Rejected, wait is the time until the units are available, 0 if
 // that time is unknown.
-func (c *Client) ReserveFromLease(name string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
+func (c *Client) ReserveFromLease(name string, units float64, now time.Duration) (verdict Verdict, wait time.Duration) {
 	tenant := c.tenants[name]
 	if tenant == nil {
 		return Granted, 0
--- a/internal/router/quota/overdraft.go
+++ b/internal/router/quota/overdraft.go
@@ -17,7 +17,7 @@
 
 // spend takes units, even more than the bucket holds. It rejects the request while the debt of an earlier one is not paid
 // off, and returns the time that this takes at the rate of the refill. With a rate of 0 it rejects all requests.
-func (o *overdraft) spend(units, rate float64) (v Verdict, wait time.Duration) {
+func (o *overdraft) spend(units, rate float64) (verdict Verdict, wait time.Duration) {
 	if rate <= 0 {
 		return Rejected, 0
 	}
--- a/internal/router/quota/pool.go
+++ b/internal/router/quota/pool.go
@@ -73,7 +73,7 @@
 
 // Reserve spends units of a tenant's limit. If the verdict is Rejected, wait is the time until the units are available, 0
 // if that time is unknown. Reserve never returns NeedsPrimary.
-func (p *Pool) Reserve(tenant string, units float64, now time.Duration) (v Verdict, wait time.Duration) {
+func (p *Pool) Reserve(tenant string, units float64, now time.Duration) (verdict Verdict, wait time.Duration) {
 	limit, ok := p.limits[tenant]
 	if !ok { // the requester has a newer configuration than the pool's host
 		return Rejected, 0
--- a/internal/router/quota/pool_test.go
+++ b/internal/router/quota/pool_test.go
@@ -66,14 +66,14 @@
 
 // reserve spends the client's own share, or the pool's shares if the client has deposited its own.
 func (p *pooledClients) reserve(i int, units float64, now time.Duration) Verdict {
-	v, _ := p.clients[i].ReserveFromLease("t", units, now)
-	if v == Granted || now >= p.clients[i].PooledUntil() {
-		return v
+	verdict, _ := p.clients[i].ReserveFromLease("t", units, now)
+	if verdict == Granted || now >= p.clients[i].PooledUntil() {
+		return verdict
 	}
 	if now >= p.failedUntil[p.poolOf[i]] {
-		v, _ = p.pools[p.poolOf[i]].Reserve("t", units, now)
+		verdict, _ = p.pools[p.poolOf[i]].Reserve("t", units, now)
 	}
-	return v
+	return verdict
 }
 
 // leasedClient returns a client of a fleet of two that held half of the limit when it lost contact to the primary at
--- a/internal/router/quota/window_test.go
+++ b/internal/router/quota/window_test.go
@@ -134,14 +134,14 @@
 		return
 	}
 	client := p.clients[i]
-	v, extra := client.Reserve("t", p.units, now)
-	if v == NeedsPrimary && reachesPrimary {
+	verdict, extra := client.Reserve("t", p.units, now)
+	if verdict == NeedsPrimary && reachesPrimary {
 		granted, _ := p.buckets.Acquire("t", p.units, extra, now)
-		v = client.ApplyAcquired("t", granted, p.units, now)
-	} else if v == NeedsPrimary {
-		v = p.pooled.reserve(i, p.units, now)
+		verdict = client.ApplyAcquired("t", granted, p.units, now)
+	} else if verdict == NeedsPrimary {
+		verdict = p.pooled.reserve(i, p.units, now)
 	}
-	if v == Granted {
+	if verdict == Granted {
 		p.grants = append(p.grants, grantedRequest{now, p.units})
 	}
 }
--- a/internal/router/rotation/rotation.go
+++ b/internal/router/rotation/rotation.go
@@ -66,7 +66,7 @@
 }
 
 // TimedOut records an error of a server that did not answer in time. It begins no cooldown: if all servers are slow,
-// cooldowns would keep requests away from the servers with the fewest requests.
+// cooldowns would take requests away from the servers that already have the fewest.
 func (h *Health) TimedOut(now time.Duration) {
 	h.errors++
 	h.lastError = now
