--- a/balance/api.go
+++ b/balance/api.go
@@ -1,33 +1,32 @@
 package balance
 
-// This file is the interface of the module: events in, actions out. It takes no decisions. The settings are in config.go, what one
-// process hands to the next is in snapshot.go.
+// This file declares the interface of the module: events go in, actions come out. It makes no decisions. The settings are in config.go;
+// the state that one process hands to the next is in snapshot.go.
 //
-// All times, durations and latencies are milliseconds; points in time are of the caller's clock. What the caller must do:
+// All times, durations and latencies are in milliseconds; points in time are on the caller's clock. The caller must:
 //
 //   - use one clock for all events, which never goes back;
-//   - hand events in in the order in which they came about, from one goroutine at a time;
-//   - carry out the actions of each call in their order before the next event is handed in;
+//   - hand in events in the order in which they occurred, from one goroutine at a time;
+//   - carry out the actions of each call in order before it hands in the next event;
 //   - hand in each timer once, when it is due, and one Outcome for each Send.
 //
-// Slices in events are not kept; the actions returned are valid until the next call.
+// The balancer keeps no slice of an event. The returned actions are valid until the next call.
 
-// ServerID names a server; it carries no meaning beyond identity. The caller chooses it, the same at every sidecar: affinity and the
-// ring of servers depend on it.
+// ServerID identifies a server and has no other meaning. The caller chooses it, and all sidecars must use the same ID for a server: key
+// affinity and the ring of servers are computed from it.
 type ServerID uint64
 
-// RequestID names a request until its last attempt has ended, and is below 2^52. A client's retry of a request is another request with an
-// ID of its own.
+// RequestID identifies a request until its last attempt has ended. It is below 2^52. A client's retry is another request with its own ID.
 type RequestID uint64
 
-// ServerState is what discovery says of a server.
+// ServerState is the state of a server as discovery reports it.
 type ServerState uint8
 
-// A server's states.
+// The states of a server.
 const (
 	Ready    ServerState = iota // accepts requests
-	Draining                    // finishes what it has and must get nothing new
-	Removed                     // does not exist any more
+	Draining                    // finishes the requests that it has and must get no new ones
+	Removed                     // no longer exists
 )
 
 // Server is one entry of the server list.
@@ -35,22 +34,22 @@
 	ID               ServerID
 	State            ServerState
 	StartedAt        float64 // when it last started; 0: long ago
-	Capacity         float64 // relative to other servers; 1 where nothing is known
-	Cell, Zone, Kind int     // Kind is of machine: what is learned of one server's capacity counts for its kind too
+	Capacity         float64 // relative to other servers; 1 if unknown
+	Cell, Zone, Kind int     // Kind is that of its machine: servers of one kind share a part of their learned capacity
 }
 
-// Event is anything that happens to a sidecar: one of the types below.
+// Event is an input of the balancer: one of the types below.
 type Event interface{ event() }
 
-// ListKind says how a server list is to be read.
+// ListKind says which servers a ServerList contains.
 type ListKind uint8
 
 // The kinds of updates from discovery.
 const (
-	ListFull   ListKind = iota // everything there is
-	ListCached                 // everything there was when last seen
+	ListFull   ListKind = iota // all servers
+	ListCached                 // all servers, as last seen
 	ListDelta                  // changed entries only
-	ListFailed                 // a call failed, or the subscription ended; nothing else changed
+	ListFailed                 // none: a call failed, or the subscription ended, and the list is unchanged
 )
 
 // ServerList is an update from discovery.
@@ -59,16 +58,16 @@
 	Servers []Server
 }
 
-// Request is a client's request. It gets one final answer: that of an attempt, Reject or Fail.
+// Request is a client's request. It gets one final answer: the response of an attempt, a Reject or a Fail.
 type Request struct {
 	ID            RequestID
 	Class, Tenant int
 	WorkHint      float64 // expected work, 0 if unknown; not used
-	Key           uint64  // what the request is about, for affinity, as a hash; 0: none
-	Remaining     float64 // time until the client gives this request up
+	Key           uint64  // hash of the subject of the request, for affinity; 0: none
+	Remaining     float64 // time until the client gives up
 	ClientRetry   bool    // the client says that it is a retry
-	Write         bool    // it changes data; not used
-	BodyOpen      bool    // its body is still arriving and is passed on as it comes: its time begins with BodySent
+	Write         bool    // the request changes data; not used
+	BodyOpen      bool    // the body is still arriving and is streamed to the server: the time limits begin with BodySent
 }
 
 // Result is how an attempt or a probe ended.
@@ -78,15 +77,15 @@
 const (
 	OK            Result = iota // answered
 	Failed                      // answered with an error
-	Rejected                    // the server had no capacity for it, and did not execute it
+	Rejected                    // the server had no capacity and did not execute the request
 	TimedOut                    // no answer in time
 	ConnectFailed               // no connection to the server
-	Reset                       // the connection was lost after the request had begun to leave
+	Reset                       // the connection was lost after a part of the request had been sent
 	Cancelled                   // by the sidecar
-	NotSent                     // nothing of it was sent
+	NotSent                     // no part of the request was sent
 )
 
-// String names the result, as logs and conversations do.
+// String returns the name of the result in logs.
 func (r Result) String() string {
 	names := [...]string{"served", "error", "full", "timed out", "connect failed", "reset", "cancelled", "moot"}
 	if int(r) < len(names) {
@@ -98,26 +97,26 @@
 // NeverRan reports whether the result proves that the attempt was not executed.
 func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// Outcome is the end of an attempt; each attempt gets one.
+// Outcome is the end of an attempt; each attempt has exactly one.
 type Outcome struct {
 	Request      RequestID
-	Attempt      int // of the request, from 0
+	Attempt      int // number of the attempt within the request, from 0
 	Server       ServerID
 	Result       Result
 	Latency      float64   // from Send until the end
-	Finished     bool      // the request needs no answer any more
-	BodyConsumed bool      // some of its streamed body was read: the request cannot be sent again
+	Finished     bool      // the request needs no further answer
+	BodyConsumed bool      // part of its streamed body was read: the request cannot be sent again
 	LoadReport   []float32 // in the order of Config.Fields; empty: none
 }
 
-// BodySent says that the last byte of a request with BodyOpen was sent: its server can begin, and the time limits of the request and of
-// its attempt do.
+// BodySent says that the last byte of a request with BodyOpen was sent. Only now can the server begin its work, so the time limits of the
+// request and of its attempt begin.
 type BodySent struct {
 	Request RequestID
 	Attempt int
 }
 
-// ResponseStarted says that a streamed answer has begun: the client reads this attempt's answer, and there are no retries any more.
+// ResponseStarted says that a streamed answer has begun. The client is reading it, so there are no more retries.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
@@ -125,10 +124,10 @@
 	Latency float64
 }
 
-// ClientGone says that the client has gone away; it gets no answer.
+// ClientGone says that the client has disconnected; it gets no answer.
 type ClientGone struct{ Request RequestID }
 
-// Timer is a timer set by SetTimer that is due.
+// Timer says that a timer of SetTimer is due.
 type Timer struct{ Token uint64 }
 
 // ProbeResult is the end of a probe.
@@ -139,7 +138,7 @@
 	LoadReport []float32 // in the order of Config.Fields
 }
 
-// Message is a message from another sidecar. The module ignores it.
+// Message is a message from another sidecar. The balancer ignores it.
 type Message struct {
 	From int
 	Data []byte
@@ -155,16 +154,16 @@
 func (ProbeResult) event()     {}
 func (Message) event()         {}
 
-// ActionKind says what to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The actions; the comment names the fields of Action that count.
+// The kinds of actions. Each comment lists the fields of Action that are set.
 const (
 	Send       ActionKind = iota // Request, Server, After: when the attempt times out (0: at the client's deadline)
-	Reject                       // Request, After: when to retry (0: not said); a final answer: a retry does no harm
-	Fail                         // Request; a final answer: a retry could be executed a second time
-	Cancel                       // Request, Attempt: its Outcome follows all the same
-	SetTimer                     // Token, After, Request: a Timer is not needed once that has ended (0: always)
+	Reject                       // Request, After: when to retry (0: not given); the final answer if a client's retry is harmless
+	Fail                         // Request; the final answer if a client's retry could be executed a second time
+	Cancel                       // Request, Attempt; the Outcome of the attempt still follows
+	SetTimer                     // Token, After, Request: the timer may be dropped once this request has ended (0: never)
 	Probe                        // Server: get a load report; a ProbeResult follows
 	CloseIdle                    // Server: close the idle connections to it
 	SendToPeer                   // Peer (-1: all), Data
@@ -173,11 +172,11 @@
 	FetchList                    // ask for the complete list once; a ServerList follows
 )
 
-// Action is one thing to do, in the order given.
+// Action is one instruction to the caller. Actions are carried out in order.
 type Action struct {
 	Kind    ActionKind
 	Request RequestID
-	Attempt int // of the request, from 0
+	Attempt int // number of the attempt within the request, from 0
 	Server  ServerID
 	After   float64 // milliseconds from now
 	Token   uint64
--- a/balance/paper_test.go
+++ b/balance/awrr_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// The six behaviours that the paper asks tests for. The floor, recovery with time and the retry at the healthiest
-// have theirs in rotation_test.go as well, with the exact values.
+// The six behaviours that define AWRR, the mechanism of doc.go. rotation_test.go also tests the floor, the recovery with
+// time and the retry at the healthiest server, with exact values.
 
-func shares(t *testing.T, errs float64, n int) map[ServerID]int {
+// requestsPerServer sends n requests to four servers, of which the first has errs errors, and counts them by server.
+func requestsPerServer(t *testing.T, errs float64, n int) map[ServerID]int {
 	t.Helper()
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	hits := map[ServerID]int{}
@@ -16,22 +17,22 @@
 	return hits
 }
 
-func TestPaperFairBaseline(t *testing.T) {
-	for id, n := range shares(t, 0, 40) {
+func TestAWRRHealthyServersShareEvenly(t *testing.T) {
+	for id, n := range requestsPerServer(t, 0, 40) {
 		if n != 10 {
 			t.Errorf("server %d got %d of 40", id, n)
 		}
 	}
 }
 
-func TestPaperPenaltyReducesShareAndTheFloorHolds(t *testing.T) {
-	none, some, many := shares(t, 0, 400)[1], shares(t, 2, 400)[1], shares(t, 1000, 400)[1]
+func TestAWRRErrorsReduceTheShareDownToTheFloor(t *testing.T) {
+	none, some, many := requestsPerServer(t, 0, 400)[1], requestsPerServer(t, 2, 400)[1], requestsPerServer(t, 1000, 400)[1]
 	if !(none > some && some > many && many > 0) {
 		t.Fatalf("shares of 400 with none, two and very many errors: %d, %d, %d", none, some, many)
 	}
 }
 
-func TestPaperTimeRecovery(t *testing.T) {
+func TestAWRRHealthRecoversWithTime(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(2)...)
 	s := g.b.servers.all[0]
 	g.b.recordFault(s, false)
@@ -46,7 +47,7 @@
 	}
 }
 
-func TestPaperRetryRecoversToBest(t *testing.T) {
+func TestAWRRRetryGoesToTheHealthiest(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	g.b.servers.all[1].Errors, g.b.servers.all[1].LastErrorAt = 2, g.now
 	id, _ := g.request(safeClass)
@@ -56,7 +57,7 @@
 	}
 }
 
-func TestPaperIsolation(t *testing.T) {
+func TestAWRRErrorsAffectOneServerOnly(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	for range 5 {
 		g.b.recordFault(g.b.servers.all[0], false)
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -7,25 +7,25 @@
 	"math/rand/v2"
 )
 
-// The errors of Handle: events that are impossible.
+// The errors that Handle returns for impossible events.
 var (
-	ErrIDInUse      = errors.New("the id is in use")
+	ErrIDInUse      = errors.New("ID is in use")
 	ErrUnknownClass = errors.New("unknown class")
-	ErrNotInFlight  = errors.New("it is not out")
+	ErrNotInFlight  = errors.New("not in flight")
 )
 
 // listTimer is the token of the timer for the server list. A request's timers have its ID, which is below
 // 2^52.
 const listTimer = 1 << 60
 
-// Balancer takes the decisions of one sidecar. It is not safe for concurrent use. All its randomness is
-// that of Config.Seed, so that the same events give the same actions.
+// Balancer makes the decisions of one sidecar. It is not safe for concurrent use. All its randomness comes
+// from Config.Seed, so that the same events give the same actions.
 type Balancer struct {
 	cfg              Config
 	rng              *rand.Rand
 	now, startedAt   float64  // the time of the last event, and of Start
 	maxLatencyTarget float64  // of all classes
-	actions          []Action // of the present event; the slice is used again for the next
+	actions          []Action // of the current event; the slice is reused for the next one
 
 	servers      serverTable
 	requests     requestTable
@@ -35,11 +35,12 @@
 	shedding     loadShedding
 	timeouts     timeoutTable
 	polling      listPolling
-	retryBudget  float64 // what retries may still cost, in whole attempts; see attemptCost
+	retryBudget  float64 // cost that retries may still have, in whole attempts; see attemptCost
 	busyFraction float64 // recent fraction of load reports that came from servers with requests in flight
 }
 
-// New returns a balancer with the given settings, completed by withDefaults. Call Start before Handle.
+// New returns a balancer with the given settings, completed by withDefaults. Start must be called before
+// Handle.
 func New(cfg Config) *Balancer {
 	cfg = cfg.withDefaults()
 	b := &Balancer{
@@ -61,10 +62,10 @@
 	return b
 }
 
-// Handle takes one event and returns what is to be done now, in order. The actions are valid until the next
-// call. An error means that the event is impossible: the caller has made a mistake, nothing has changed but
-// the time, and there is nothing to do. Events for servers and requests that are not known any more are no
-// errors.
+// Handle handles one event and returns the actions to carry out now, in order. The actions are valid until
+// the next call. An error means that the event is impossible, by a fault of the caller: only the time has
+// changed, and there are no actions. Events for servers and requests that are unknown by now are ignored
+// without an error.
 func (b *Balancer) Handle(now float64, ev Event) ([]Action, error) {
 	if now > b.now && !math.IsInf(now, 1) { // time never goes back
 		b.now = now
@@ -103,7 +104,7 @@
 	return b.actions, err
 }
 
-// emit adds an action to those of the present event.
+// emit adds an action to those of the current event.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 // onTimer handles a timer that is due. One of a request that has ended is ignored.
@@ -111,12 +112,13 @@
 	if ev.Token == listTimer {
 		b.watchList()
 	} else if r := b.requests.byID[RequestID(ev.Token)]; r != nil {
-		r.wakeAt = math.Inf(1) // not compared with the clock: a timer may come a rounding error early
+		r.wakeAt = math.Inf(1) // without a look at the clock: a timer may fire early by a rounding error
 		b.advance(r)
 	}
 }
 
-// onResponseStarted leaves a streamed answer alone: the other attempts are of no use any more.
+// onResponseStarted ends retries and time limits of a request whose streamed answer has begun, and cancels
+// its other attempts.
 func (b *Balancer) onResponseStarted(ev ResponseStarted) {
 	if r := b.requests.byID[ev.Request]; r != nil && !r.done && !r.streaming {
 		r.streaming = true // no deadline and no retry from here on
@@ -124,7 +126,7 @@
 	}
 }
 
-// onBodySent begins the time of a request whose body was still coming, and that of its attempt.
+// onBodySent starts the time limits of a request whose body was still arriving, and those of its attempt.
 func (b *Balancer) onBodySent(ev BodySent) {
 	r := b.requests.byID[ev.Request]
 	if r == nil || !r.BodyOpen || !r.inFlight(ev.Attempt) {
@@ -137,12 +139,12 @@
 	b.advance(r)
 }
 
-// mix hashes a number to one of all 64 bits, the same at every sidecar: the finalizer of splitmix64.
+// mix returns a 64-bit hash of a number, the same at every sidecar. It is the finalizer of splitmix64.
 func mix(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
-// clamp returns v within bounds.
+// clamp returns v limited to the given bounds.
 func clamp(v, lowest, highest float64) float64 { return math.Max(lowest, math.Min(highest, v)) }
--- a/balance/capacity.go
+++ b/balance/capacity.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// capacityModel holds what is learned of capacities beyond what the list says. A server's learned capacity
-// is a factor on Server.Capacity: the exponential of its own logarithm and of those of its kind and its
-// zone, so that a new server begins with what others like it have shown.
+// capacityModel holds the learned corrections to the capacities of the server list. A server's correction is
+// a factor on Server.Capacity: the exponential of the sum of its own logarithm, that of its kind and that of
+// its zone. A new server thus starts with what was learned from similar servers.
 type capacityModel struct {
 	kinds, zones map[int]float64 // logarithms, by Server.Kind and Server.Zone
-	samples      float64         // how often learnCapacity was called for a server that is warm
-	meanStep     float64         // decayed mean of the steps
+	samples      float64         // number of calls of learnCapacity for warm servers
+	meanStep     float64         // exponential moving average of the steps
 }
 
-// learnCapacity moves learned capacities until answers take equally long everywhere. latency is how long an
-// answer took as a multiple of its class's mean; an error counts as 3. The mean step is taken off: what all
-// servers have in common is load, not capacity. While a server warms up it shows nothing of its capacity.
+// learnCapacity adjusts learned capacities so that answers come to take equally long at all servers. latency
+// is the latency of an answer as a multiple of its class's mean; an error counts as 3. The mean step is
+// subtracted: what all servers have in common is load, not capacity. A server that is warming up is ignored,
+// as its latency does not reflect its capacity.
 func (b *Balancer) learnCapacity(s *server, latency float64) {
 	if b.warmingUp(s) {
 		return
--- a/balance/config.go
+++ b/balance/config.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// The settings, and what stands in for those that are not given. All times are milliseconds. Package wire
-// reads the settings and has the names that operators write them by.
+// The settings and their defaults. All times are in milliseconds. Package wire parses the settings and
+// defines the names under which operators write them.
 
 // Effect says whether the requests of a class may be executed more than once.
 type Effect uint8
 
-// The three effects that a class of requests can have.
+// The effects of a class of requests.
 const (
 	Safe   Effect = iota // may run any number of times
 	Keyed                // has an idempotency key: the servers of one group drop repeats within a window
 	Unsafe               // must never run twice
 )
 
-// Group says which servers share the idempotency keys that they remember: a keyed request that may have been
-// executed is sent again only to a server of the same group as the first.
+// Group says which servers share their memory of idempotency keys. A keyed request that may have been
+// executed is retried only at a server of the same group as the first.
 type Group uint8
 
 // The groups.
@@ -30,35 +30,35 @@
 type Class struct {
 	Effect               Effect
 	Group                Group   // of a keyed class
-	Window               float64 // of a keyed class: how long a group remembers a key, from the send on
+	Window               float64 // of a keyed class: how long a group remembers a key, counted from the send
 	LatencyTarget        float64 // an answer within this has its full value
 	LatencyTargetStretch float64 // the target grows by this multiple of a request's own work; not used
 	Deadline             float64 // the longest that a client waits, its own retries included
 	Value                float64 // of an answer within the latency target
 	LateValue            float64 // fraction of Value that an answer after the latency target still has
-	Stream               bool    // answers are streams; not used: ResponseStarted says so of each
+	Stream               bool    // answers are streamed; not used: ResponseStarted marks each such answer
 }
 
 // Tenant is one customer of the service, which a request names by its position in Config.Tenants.
 type Tenant struct {
 	Allowance float64 // requests a second within its share, over all sidecars; not used
-	Share     float64 // its fraction of the requests, of which answers have their full value; 0: no limit
+	Share     float64 // fraction of all requests up to which its answers have full value; 0: no limit
 }
 
 // ReportVia says how load reports reach a sidecar.
 type ReportVia uint8
 
-// The ways of load reports.
+// The ways in which load reports arrive.
 const (
 	ReportNone      ReportVia = iota // servers report no load
 	ReportPiggyback                  // with each answer
 	ReportProbe                      // as the answer to a probe
 )
 
-// ReportField is what one number of a load report means.
+// ReportField is the meaning of one number of a load report.
 type ReportField uint8
 
-// The numbers that a load report can have. Of these the module uses FieldInFlight alone.
+// The fields of load reports. The balancer uses only FieldInFlight.
 const (
 	FieldUnknown   ReportField = iota
 	FieldInFlight              // requests being handled
@@ -69,8 +69,8 @@
 	FieldErrorRate             // errors a second
 )
 
-// Config holds the settings that one sidecar starts with. New completes them; see withDefaults. The settings
-// are one page to operators, of which the module does not use all: what it does not use says so.
+// Config holds the settings that one sidecar starts with. New completes them; see withDefaults. They mirror
+// the operators' settings, of which the balancer does not use all; unused fields are marked.
 type Config struct {
 	Seed                        uint64 // of all random choices
 	SidecarNumber, SidecarCount int    // this sidecar's number, from 0, and how many sidecars there are
@@ -80,46 +80,47 @@
 	OverShareValue              float64 // value of a request beyond its tenant's share, as a fraction
 	BatchInterval               float64 // shortest time between two batches of events
 
-	Subscribe bool          // the server list does not come by itself: subscribe to it
-	Reports   ReportVia     // how load reports come
-	Fields    []ReportField // what their numbers mean, in order
+	Subscribe bool          // the server list is not pushed: the sidecar has to subscribe to it
+	Reports   ReportVia     // how load reports arrive
+	Fields    []ReportField // meanings of the numbers of a load report, in order
 
 	MaxAttempts    int     // of one request
 	Parallel       bool    // two attempts of a request may be in flight together; not used
 	Cancel         bool    // attempts may be cancelled
 	Probes         bool    // servers may be probed
 	Messages       bool    // sidecars may message each other; not used
-	KeyAffinity    bool    // a server that had a key lately does less work for it; see keys.go
+	KeyAffinity    bool    // a server that recently had a key does less work for it; see keys.go
 	RetryAfter     bool    // rejected clients are told when to retry
 	MaxRetryAfter  float64 // the longest such time that a client obeys; 0: any
-	ConnectTimeout float64 // of a connection to a server; used by its caller
+	ConnectTimeout float64 // of a connection to a server; used by the caller only
 
 	DrainGrace        float64 // sends to a draining or removed server must stop within this
 	SlowStartFraction float64 // a server that has just started has at least this fraction of its capacity ...
-	SlowStartTime     float64 // ... and all of it after this; between the two it grows linearly
+	SlowStartTime     float64 // ... and all of it after this time; in between the fraction grows linearly
 	OverloadMultiple  float64 // a server that warms up and gets more than this multiple of its capacity ...
 	OverloadTime      float64 // ... for this long breaks down
-	MaxPollInterval   float64 // without a subscription the list must be asked for this often; see retryWatch
+	MaxPollInterval   float64 // without a subscription the list must be fetched this often; see retryWatch
 	AnswerSlack       float64 // an answer this long after the client's deadline still counts; not used
 
 	Goal      Goal
 	Penalties Penalties
 }
 
-// Goal has the weights of the parts of the operators' result: the value of all answers, that in the worst
-// window of time, that of the worst-served class, and that of the worst-served tenant. Their ratios decide
-// which requests are shed in overload; see answerValue.
+// Goal holds the weights of the components of the operators' result: the value of all answers, of those in
+// the worst time window, of those to the worst-served class, and of those to the worst-served tenant. The
+// ratios of the weights decide which requests are shed in overload; see answerValue.
 type Goal struct{ Overall, WorstWindow, WorstClass, WorstTenant float64 }
 
-// Penalties are taken off the operators' result. Each is the fraction of it that is lost where every request
-// has one occurrence of what it is named after: an answer from another zone, as much work wasted as its own,
-// a handshake, a probe, a message to another sidecar, a failure after the latency target. Handshake,
-// PeerMessage and LateFailure are not used.
+// Penalties are subtracted from the operators' result. Each is the fraction of the result that is lost if
+// every request has one occurrence of its subject: an answer from another zone, wasted work equal to the
+// request's own, a handshake, a probe, a message to another sidecar, a failure after the latency target.
+// Handshake, PeerMessage and LateFailure are not used.
 type Penalties struct{ CrossZone, Waste, Handshake, Probe, PeerMessage, LateFailure float64 }
 
-// withDefaults replaces impossible numbers: negative, infinite or not a number counts as not given. Defaults:
-// the latency target is the deadline, or the reverse, or both a second; a key's window has no end; one
-// attempt; one sidecar; a server starts with all its capacity; the goal is the overall result.
+// withDefaults returns the settings with defaults for missing numbers; negative, infinite and NaN count as
+// missing. The latency target defaults to the deadline and the reverse, or both to a second; a key's window
+// to unlimited; attempts and sidecars to one; a server's initial capacity to all of it; the goal to the
+// overall result.
 func (c Config) withDefaults() Config {
 	c.Classes = append([]Class(nil), c.Classes...)
 	for i := range c.Classes {
@@ -158,7 +159,7 @@
 	return c
 }
 
-// zeroUnlessFinite sets to zero what is no finite number of at least zero.
+// zeroUnlessFinite sets values to zero that are negative, infinite or NaN.
 func zeroUnlessFinite(values ...*float64) {
 	for _, v := range values {
 		if *v = finite(*v, math.Inf(1)); math.IsInf(*v, 1) {
@@ -167,7 +168,7 @@
 	}
 }
 
-// finite returns v, at most the given bound, and 0 for what is negative or not a number.
+// finite returns v limited to the given bound, or 0 if v is negative or NaN.
 func finite(v, highest float64) float64 {
 	if !(v > 0) {
 		return 0
--- a/balance/conversation_test.go
+++ b/balance/conversation_test.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestConversations plays the conversations in testdata: events go in, and what the module does stands below each. They
-// are meant to be read; go test ./balance -run TestConversations -rewrite writes what the module does now in its place.
+// TestConversations plays the conversations in testdata: each event is followed by the expected actions of the balancer. They
+// are meant to be read; go test ./balance -run TestConversations -rewrite replaces the expected actions by the current ones.
 //
 //	begin [attempts=N] [peers=N] [cancel=no] [retry-after=MS] [probes] [warm-keys] [waste=PRICE] [cold=PART,MS] [fall=MULTIPLE,MS] ...
 //	      with a line for each class: NAME safe|keyed|unsafe [group=all|zone|cell] [window=MS] aim=MS deadline=MS ...
@@ -20,10 +20,10 @@
 //	ask   ID CLASS [left=MS] [again] [key=N]
 //	end   ID.ATTEMPT served|error|full|timed-out|no-connection|reset|cancelled|moot
 //	hangup ID
-//	wait  MS: time passes, and the timers that come due are brought back
-//	busy  N CLASS every=MS took=MS [key=N]: N requests come evenly, each answered by whoever gets it; prints by whom
+//	wait  MS: time passes, and timers are handed in as they come due
+//	busy  N CLASS every=MS took=MS [key=N]: N requests arrive evenly, each answered by the server that gets it; prints the counts
 //	probed NAME served|no-connection [holds=N]
-//	show  prints what the module holds of each server
+//	show  prints the balancer's state of each server
 func TestConversations(t *testing.T) {
 	conversations := 0
 	datadriven.Walk(t, "testdata/conversations", func(t *testing.T, path string) {
@@ -46,19 +46,19 @@
 	statesByName = map[string]ServerState{"up": Ready, "draining": Draining, "gone": Removed}
 )
 
-// conversation is one module and what is going on around it. Times are printed from its beginning.
+// conversation is one balancer with its simulated surroundings. Times are printed relative to the start of a command.
 type conversation struct {
-	t        *testing.T
-	b        *Balancer
-	now      float64
-	classes  []string
-	names    []string // of servers, by ID less 1
-	timers   []timer
-	sent     map[RequestID][]ServerID
-	sentAt   map[string]float64 // attempts
-	finished map[RequestID]bool
-	next     RequestID // of busy's own requests
-	counted  map[RequestID]bool
+	t          *testing.T
+	b          *Balancer
+	now        float64
+	classes    []string
+	names      []string // of servers, by ID less 1
+	timers     []timer
+	sent       map[RequestID][]ServerID // servers of each request's attempts
+	sentAt     map[string]float64       // by REQUEST.ATTEMPT
+	finished   map[RequestID]bool
+	lastBusyID RequestID          // last ID that busy gave to a request
+	tallied    map[RequestID]bool // requests of busy that are finished and counted
 }
 
 type timer struct {
@@ -80,17 +80,17 @@
 	return ServerID(len(c.names))
 }
 
-// number is an argument's value, or another where it is not given.
-func number(d *datadriven.TestData, key string, otherwise float64) float64 {
+// argumentNumber returns an argument's value, or byDefault if it is not given.
+func argumentNumber(d *datadriven.TestData, key string, byDefault float64) float64 {
 	for _, a := range d.CmdArgs {
 		if a.Key == key {
-			return value(d, a.Vals[0])
+			return parseNumber(d, a.Vals[0])
 		}
 	}
-	return otherwise
+	return byDefault
 }
 
-func value(d *datadriven.TestData, text string) float64 {
+func parseNumber(d *datadriven.TestData, text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		panic(fmt.Sprintf("%s: %v", d.Pos, err))
@@ -98,24 +98,24 @@
 	return v
 }
 
-// splitWords splits a line into its plain words and its key=value ones.
-func splitWords(line string) (plain []string, set map[string]string) {
-	set = map[string]string{}
+// splitWords splits a line into its plain words and its key=value options.
+func splitWords(line string) (plain []string, options map[string]string) {
+	options = map[string]string{}
 	for _, w := range strings.Fields(line) {
 		if key, v, ok := strings.Cut(w, "="); ok {
-			set[key] = v
+			options[key] = v
 		} else {
 			plain = append(plain, w)
 		}
 	}
-	return plain, set
+	return plain, options
 }
 
-func setNumber(set map[string]string, key string, otherwise float64) float64 {
-	if v, err := strconv.ParseFloat(set[key], 64); err == nil {
+func optionNumber(options map[string]string, key string, byDefault float64) float64 {
+	if v, err := strconv.ParseFloat(options[key], 64); err == nil {
 		return v
 	}
-	return otherwise
+	return byDefault
 }
 
 func (c *conversation) line(t *testing.T, d *datadriven.TestData) string {
@@ -128,25 +128,25 @@
 		c.list(d, &out)
 	case "ask":
 		class := c.class(arg(1))
-		ev := Request{ID: RequestID(value(d, arg(0))), Class: class, Tenant: -1, Remaining: number(d, "left", c.b.cfg.Classes[class].Deadline)}
-		ev.Key = uint64(number(d, "key", 0))
+		ev := Request{ID: RequestID(parseNumber(d, arg(0))), Class: class, Tenant: -1, Remaining: argumentNumber(d, "left", c.b.cfg.Classes[class].Deadline)}
+		ev.Key = uint64(argumentNumber(d, "key", 0))
 		for _, a := range d.CmdArgs {
 			ev.ClientRetry = ev.ClientRetry || a.Key == "again"
 		}
 		c.handle(ev, &out)
 	case "end":
 		request, attempt, _ := strings.Cut(arg(0), ".")
-		c.end(RequestID(value(d, request)), int(value(d, attempt)), resultsByName[arg(1)], &out)
+		c.end(RequestID(parseNumber(d, request)), int(parseNumber(d, attempt)), resultsByName[arg(1)], &out)
 	case "hangup":
-		c.finished[RequestID(value(d, arg(0)))] = true
-		c.handle(ClientGone{RequestID(value(d, arg(0)))}, &out)
+		c.finished[RequestID(parseNumber(d, arg(0)))] = true
+		c.handle(ClientGone{RequestID(parseNumber(d, arg(0)))}, &out)
 	case "wait":
-		c.wait(value(d, arg(0)), &out)
+		c.wait(parseNumber(d, arg(0)), &out)
 	case "busy":
 		c.busy(d, &out)
 	case "probed":
 		ev := ProbeResult{Server: c.id(arg(0)), Result: resultsByName[arg(1)]}
-		if holds := number(d, "holds", -1); holds >= 0 {
+		if holds := argumentNumber(d, "holds", -1); holds >= 0 {
 			ev.LoadReport = []float32{float32(holds)}
 		}
 		c.handle(ev, &out)
@@ -168,16 +168,16 @@
 	}
 	ev := ServerList{Kind: kind}
 	for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-		plain, set := splitWords(line)
+		plain, options := splitWords(line)
 		if len(plain) == 0 {
 			continue
 		}
-		s := Server{ID: c.id(plain[0]), Capacity: setNumber(set, "size", 1), Cell: int(setNumber(set, "cell", 0))}
+		s := Server{ID: c.id(plain[0]), Capacity: optionNumber(options, "size", 1), Cell: int(optionNumber(options, "cell", 0))}
 		if len(plain) > 1 {
 			s.State = statesByName[plain[1]]
 		}
-		if age, ok := set["age"]; ok {
-			s.StartedAt = c.now - value(d, age)
+		if age, ok := options["age"]; ok {
+			s.StartedAt = c.now - parseNumber(d, age)
 		}
 		ev.Servers = append(ev.Servers, s)
 	}
@@ -185,40 +185,40 @@
 }
 
 func (c *conversation) begin(d *datadriven.TestData, out *strings.Builder) {
-	cfg := Config{Seed: 1, SidecarCount: int(number(d, "peers", 1)), MaxAttempts: int(number(d, "attempts", 4)), Cancel: true, DrainGrace: 250, Subscribe: true}
+	cfg := Config{Seed: 1, SidecarCount: int(argumentNumber(d, "peers", 1)), MaxAttempts: int(argumentNumber(d, "attempts", 4)), Cancel: true, DrainGrace: 250, Subscribe: true}
 	for _, a := range d.CmdArgs {
 		switch a.Key {
 		case "cold":
-			cfg.SlowStartFraction, cfg.SlowStartTime = value(d, a.Vals[0]), value(d, a.Vals[1])
+			cfg.SlowStartFraction, cfg.SlowStartTime = parseNumber(d, a.Vals[0]), parseNumber(d, a.Vals[1])
 		case "fall":
-			cfg.OverloadMultiple, cfg.OverloadTime = value(d, a.Vals[0]), value(d, a.Vals[1])
+			cfg.OverloadMultiple, cfg.OverloadTime = parseNumber(d, a.Vals[0]), parseNumber(d, a.Vals[1])
 		case "retry-after":
-			cfg.RetryAfter, cfg.MaxRetryAfter = true, value(d, a.Vals[0])
+			cfg.RetryAfter, cfg.MaxRetryAfter = true, parseNumber(d, a.Vals[0])
 		case "cancel":
 			cfg.Cancel = a.Vals[0] != "no"
 		case "warm-keys":
 			cfg.KeyAffinity = true
 		case "waste":
-			cfg.Penalties.Waste = value(d, a.Vals[0])
+			cfg.Penalties.Waste = parseNumber(d, a.Vals[0])
 		case "number":
-			cfg.SidecarNumber = int(value(d, a.Vals[0]))
+			cfg.SidecarNumber = int(parseNumber(d, a.Vals[0]))
 		case "probes":
 			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []ReportField{FieldInFlight}
 		}
 	}
 	c.classes = nil
 	for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-		plain, set := splitWords(line)
+		plain, options := splitWords(line)
 		c.classes = append(c.classes, plain[0])
 		cfg.Classes = append(cfg.Classes, Class{
-			Effect: effectsByName[plain[1]], Group: groupsByName[set["group"]], Window: setNumber(set, "window", math.Inf(1)),
-			LatencyTarget: setNumber(set, "aim", 0), Deadline: setNumber(set, "deadline", 0), Value: setNumber(set, "worth", 1),
-			LateValue: setNumber(set, "late", 0),
+			Effect: effectsByName[plain[1]], Group: groupsByName[options["group"]], Window: optionNumber(options, "window", math.Inf(1)),
+			LatencyTarget: optionNumber(options, "aim", 0), Deadline: optionNumber(options, "deadline", 0), Value: optionNumber(options, "worth", 1),
+			LateValue: optionNumber(options, "late", 0),
 		})
 	}
-	c.b, c.now, c.next = New(cfg), conversationStart, 1000
+	c.b, c.now, c.lastBusyID = New(cfg), conversationStart, 1000
 	c.sent, c.sentAt, c.finished = map[RequestID][]ServerID{}, map[string]float64{}, map[RequestID]bool{}
-	c.counted = map[RequestID]bool{}
+	c.tallied = map[RequestID]bool{}
 	c.carryOut(c.b.Start(c.now), out)
 }
 
@@ -239,7 +239,7 @@
 	c.carryOut(actions, out)
 }
 
-// carryOut remembers the actions of the module, and writes them down but for the timers of requests.
+// carryOut records the actions of the balancer, and prints all but the timers of requests.
 func (c *conversation) carryOut(actions []Action, out *strings.Builder) {
 	for _, a := range actions {
 		switch a.Kind {
@@ -287,7 +287,7 @@
 	}, out)
 }
 
-// wait lets time pass; what happens meanwhile is written with the time since it began.
+// wait lets time pass; actions meanwhile are printed with the time since its start.
 func (c *conversation) wait(ms float64, out *strings.Builder) {
 	start, until := c.now, c.now+ms
 	for {
@@ -309,17 +309,17 @@
 	c.now = until
 }
 
-// spread varies how long answers take, by a fifth and less.
-var spread5 = [...]float64{0.8, 1.1, 0.9, 1.2, 1}
+// answerTimeFactors vary how long answers take by up to a fifth.
+var answerTimeFactors = [...]float64{0.8, 1.1, 0.9, 1.2, 1}
 
-// busy has requests come at an even pace, each answered some time after it was sent, and writes how many each server
-// answered and what the others met.
+// busy hands in requests at an even pace, each answered some time after it was sent. It prints how many each server
+// answered and how many were not served.
 func (c *conversation) busy(d *datadriven.TestData, out *strings.Builder) {
-	class, every, took := c.class(d.CmdArgs[1].Key), number(d, "every", 100), number(d, "took", 20)
-	n, start := int(value(d, d.CmdArgs[0].Key)), c.now
-	first := c.next + 1
-	ends := map[string]float64{} // of attempts that are out
-	met := map[string]int{}
+	class, every, took := c.class(d.CmdArgs[1].Key), argumentNumber(d, "every", 100), argumentNumber(d, "took", 20)
+	n, start := int(parseNumber(d, d.CmdArgs[0].Key)), c.now
+	first := c.lastBusyID + 1
+	ends := map[string]float64{} // when the attempts in flight end
+	tally := map[string]int{}
 	for i, left := 0, n; left > 0 || len(ends) > 0; {
 		at, ending := math.Inf(1), ""
 		for attempt, end := range ends {
@@ -334,49 +334,49 @@
 		var said strings.Builder
 		c.wait(math.Min(at, c.now+every)-c.now, &said)
 		switch {
-		case c.now < at: // what was waited for may have been sent meanwhile
+		case c.now < at: // a request that waited may have been sent meanwhile
 		case arrival:
 			i++
-			c.next++
-			c.handle(Request{ID: c.next, Class: class, Tenant: -1, Remaining: c.b.cfg.Classes[class].Deadline, Key: uint64(number(d, "key", 0))}, &said)
+			c.lastBusyID++
+			c.handle(Request{ID: c.lastBusyID, Class: class, Tenant: -1, Remaining: c.b.cfg.Classes[class].Deadline, Key: uint64(argumentNumber(d, "key", 0))}, &said)
 		default:
 			var request RequestID
 			var attempt int
 			fmt.Sscanf(ending, "%d.%d", &request, &attempt)
-			met["by "+c.name(c.sent[request][attempt])]++
+			tally["by "+c.name(c.sent[request][attempt])]++
 			c.end(request, attempt, OK, &said)
 			left--
 		}
-		for id := first; id <= c.next; id++ {
+		for id := first; id <= c.lastBusyID; id++ {
 			for k := range c.sent[id] {
 				name := fmt.Sprint(id, ".", k)
 				if c.finished[id] {
 					delete(ends, name)
 				} else {
-					ends[name] = c.sentAt[name] + took*spread5[int(id)%len(spread5)]
+					ends[name] = c.sentAt[name] + took*answerTimeFactors[int(id)%len(answerTimeFactors)]
 				}
 			}
-			if _, counted := c.counted[id]; c.finished[id] && !counted {
-				c.counted[id] = true
+			if _, tallied := c.tallied[id]; c.finished[id] && !tallied {
+				c.tallied[id] = true
 				if k := len(c.sent[id]); k == 0 || !strings.Contains(ending, fmt.Sprint(id, ".")) {
-					met["not served"]++
+					tally["not served"]++
 					left--
 				}
 			}
 		}
 	}
 	var keys []string
-	for k := range met {
+	for k := range tally {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		fmt.Fprintf(out, "%s: %d\n", k, met[k])
+		fmt.Fprintf(out, "%s: %d\n", k, tally[k])
 	}
 }
 
 func (c *conversation) show(out *strings.Builder) {
-	c.handle(Timer{Token: 0}, out) // of no request: only the time passes
+	c.handle(Timer{Token: 0}, out) // a timer without a request only advances the time
 	for _, s := range c.b.servers.all {
 		fmt.Fprintf(out, "%s: m %.2f", c.name(s.ID), c.b.health(s))
 		if s.State != Ready {
@@ -396,7 +396,7 @@
 		}
 		fmt.Fprintln(out)
 	}
-	if c.b.shedding.lasting > 0.005 {
-		fmt.Fprintf(out, "sheds %.0f%% lastingly\n", 100*c.b.shedding.lasting)
+	if c.b.shedding.integral > 0.005 {
+		fmt.Fprintf(out, "sheds %.0f%% lastingly\n", 100*c.b.shedding.integral)
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -16,7 +16,7 @@
 	show := func(now float64, ev balance.Event) {
 		actions, err := b.Handle(now, ev)
 		if err != nil {
-			fmt.Println("cannot be:", err)
+			fmt.Println("impossible event:", err)
 		}
 		for _, a := range actions {
 			switch a.Kind {
@@ -25,7 +25,7 @@
 			case balance.SetTimer:
 				fmt.Printf("%v ms: timer %d in %v ms\n", now, a.Token, a.After)
 			case balance.Reject:
-				fmt.Printf("%v ms: refuse request %d\n", now, a.Request)
+				fmt.Printf("%v ms: reject request %d\n", now, a.Request)
 			}
 		}
 	}
--- a/balance/trouble_test.go
+++ b/balance/failures_test.go
@@ -12,15 +12,16 @@
 	return cfg
 }
 
-// probes answers the probes of acts: servers in dark give no answer, the others hold n requests.
-func (g *harness) probes(acts []Action, n float32, dark map[ServerID]bool) []Action {
+// answerProbes answers the probes among acts: servers in unreachable time out, the others report n requests in flight. It returns the
+// actions that follow.
+func (g *harness) answerProbes(acts []Action, n float32, unreachable map[ServerID]bool) []Action {
 	var after []Action
 	for _, a := range acts {
 		if a.Kind != Probe {
 			continue
 		}
 		res := ProbeResult{Server: a.Server, LoadReport: []float32{n}}
-		if dark[a.Server] {
+		if unreachable[a.Server] {
 			res = ProbeResult{Server: a.Server, Result: TimedOut}
 		}
 		after = append(after, g.handle(res)...)
@@ -28,17 +29,17 @@
 	return after
 }
 
-// The network was partitioned and most probes lost, and the servers next in turn, which could not be reached,
-// were probed again for every request.
+// A server whose probe fails gets a cooldown. When a network partition lost most probes, the unreachable servers stayed
+// next in turn and were probed again for every request.
 func TestUnreachableServersHaveACooldown(t *testing.T) {
 	g := newHarness(t, probeConfig(), fleet(3)...)
-	dark := map[ServerID]bool{1: true, 2: true}
+	unreachable := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
 		id, acts := g.request(safeClass)
 		if asked := len(acts) - 1; i > 0 && asked > 1 {
-			t.Fatalf("request %d: %d servers probed though two are out of reach", id, asked)
+			t.Fatalf("request %d: %d servers probed though two are unreachable", id, asked)
 		}
-		if s, ok := sentTo(g.probes(acts, 0, dark)); !ok || s != 3 {
+		if s, ok := sentTo(g.answerProbes(acts, 0, unreachable)); !ok || s != 3 {
 			t.Fatalf("request %d went to %d", id, s)
 		}
 		g.answer(id, 0, OK, 10)
@@ -47,7 +48,7 @@
 	used := map[ServerID]bool{}
 	for range 6 {
 		id, acts := g.request(safeClass)
-		s, _ := sentTo(g.probes(acts, 0, nil))
+		s, _ := sentTo(g.answerProbes(acts, 0, nil))
 		used[s] = true
 		g.answer(id, 0, OK, 10)
 	}
@@ -56,7 +57,7 @@
 	}
 }
 
-// A sidecar with little traffic cannot know from its own requests what others fill.
+// A probed server with a queue is skipped: a sidecar with little traffic cannot infer the load of others from its own requests.
 func TestProbedQueueIsPassedOver(t *testing.T) {
 	g := newHarness(t, probeConfig(), fleet(3)...)
 	g.b.servers.all[0].currentWeight = 1000 // its turn
@@ -80,20 +81,20 @@
 	}
 }
 
-// A hung server is passed over at once, for what it holds, and has a cooldown after several errors;
-// what is stuck there must not look like overload of the whole fleet.
+// A hung server is skipped early because of its requests in flight, and has a cooldown after several errors. The requests
+// stuck there must not count as an overload of the whole fleet.
 func TestHungServerIsNoOverload(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(6)...)
 	hung := 0
 	for range 900 {
 		g.now += 5
-		for _, a := range g.due() {
+		for _, a := range g.dueTimers() {
 			g.handle(a)
 		}
 		id, acts := g.request(safeClass)
 		s, ok := sentTo(acts)
 		if !ok {
-			t.Fatalf("request %d was refused: shed %v", id, g.b.shedding.lasting)
+			t.Fatalf("request %d was rejected; integral %v", id, g.b.shedding.integral)
 		}
 		if s == 1 {
 			hung++
@@ -107,8 +108,8 @@
 	}
 }
 
-// due returns the timers of open requests that have come.
-func (g *harness) due() []Timer {
+// dueTimers returns the timers of open requests that are due.
+func (g *harness) dueTimers() []Timer {
 	var list []Timer
 	for id := RequestID(1); id <= g.next; id++ {
 		if r := g.b.requests.byID[id]; r != nil && r.wakeAt <= g.now && !r.done {
@@ -118,18 +119,18 @@
 	return list
 }
 
-// In overload every queue filled and all answers came late. What cannot be answered in time is
-// rejected before it is sent, least value first.
+// In overload, requests that cannot be answered in time are rejected before they are sent, those of least value first. Without
+// that every queue fills and all answers are late.
 func TestOverloadIsShedLeastValueFirst(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
-	refused := map[int]int{}
+	rejected := map[int]int{}
 	var open []RequestID
 	for i := range 2000 {
 		g.now += 2
 		class := []int{safeClass, unsafeClass}[i%2]
 		id, acts := g.request(class)
 		if has(acts, Reject) {
-			refused[class]++
+			rejected[class]++
 			continue
 		}
 		open = append(open, id)
@@ -138,13 +139,13 @@
 			open = open[1:]
 		}
 	}
-	if refused[safeClass] < 100 || refused[unsafeClass] >= refused[safeClass] {
-		t.Fatalf("refused %d of low value and %d of high value", refused[safeClass], refused[unsafeClass])
+	if rejected[safeClass] < 100 || rejected[unsafeClass] >= rejected[safeClass] {
+		t.Fatalf("rejected %d of low value and %d of high value", rejected[safeClass], rejected[unsafeClass])
 	}
 }
 
-// In a congested fleet all answers are late, and that is no server's fault: once the class is
-// known to take long, an attempt of 430 ms with a latency target of 300 is no error.
+// In a congested fleet all answers are late, by no server's fault: once the class is known to take long, an attempt of 430 ms
+// with a latency target of 300 is no error.
 func TestLateInACongestedFleetIsNoError(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	times := []float64{370, 430, 400}
@@ -167,57 +168,57 @@
 	id, _ := g.request(unsafeClass)
 	r := g.b.requests.byID[id]
 	if g.now = r.wakeAt; g.now >= r.deadline {
-		t.Fatal("nothing looks at the attempt before its deadline")
+		t.Fatal("no timer for the attempt before its deadline")
 	}
 	if g.handle(Timer{Token: uint64(id)}); !r.attempts[0].overdue || r.attempts[0].server.Errors != 1 {
-		t.Fatal("an attempt far beyond all others is no error")
+		t.Fatal("an attempt that is far slower than all others is no error")
 	}
 }
 
-// What hangs at a server in a cooldown is that server's fault and must not shed load. But as a whole fleet broke
-// down all servers had cooldowns, nothing in flight counted, and the shedding stopped when it was needed most.
+// Attempts that hang at a server in a cooldown are that server's fault and must not shed load, unless most of the load is at such
+// servers. When a whole fleet broke down, all servers had cooldowns, nothing in flight counted, and the shedding stopped.
 func TestServersInACooldownAreNoLoadUnlessMostAre(t *testing.T) {
 	for _, c := range []struct {
-		rested, steady float64
-		sheds          bool
+		suspect, healthy float64
+		sheds            bool
 	}{{20, 0.1, true}, {0.4, 0.5, false}} {
 		g := newHarness(t, baseConfig(), fleet(2)...)
 		g.b.traffic.answerRate.count(g.b, 2)
 		g.b.latencies.recent = 1
-		g.b.servers.all[0].weightedLoad, g.b.servers.all[1].weightedLoad = c.rested, c.steady
+		g.b.servers.all[0].weightedLoad, g.b.servers.all[1].weightedLoad = c.suspect, c.healthy
 		g.b.startCooldown(g.b.servers.all[0])
 		for range 20 {
 			g.request(unsafeClass)
-			g.b.servers.all[0].weightedLoad, g.b.servers.all[1].weightedLoad = c.rested, c.steady
+			g.b.servers.all[0].weightedLoad, g.b.servers.all[1].weightedLoad = c.suspect, c.healthy
 		}
-		if g.b.shedding.lasting > 0 != c.sheds {
-			t.Errorf("%+v: lasting part %.2f", c, g.b.shedding.lasting)
+		if g.b.shedding.integral > 0 != c.sheds {
+			t.Errorf("%+v: integral %.2f", c, g.b.shedding.integral)
 		}
 	}
 }
 
-// crowd sets the fraction to shed lastingly and fills the fleet so that answers take the given fraction of the
-// latency target longer than they may.
-func (g *harness) crowd(lasting, over float64) {
+// setLoad sets the integral part of the shed fraction, and loads the fleet so that the latency exceeds the permitted one by the
+// given fraction of the latency target.
+func (g *harness) setLoad(integral, over float64) {
 	full := g.b.latencies.min + queueAllowance*(1-g.b.latencies.min)
-	g.b.shedding.lasting = lasting
-	g.b.servers.all[0].weightedLoad += (full+over)*g.b.traffic.answerRate.perMillisecond(g.b, assumedAnswers)/loadTrust - g.load()
+	g.b.shedding.integral = integral
+	g.b.servers.all[0].weightedLoad += (full+over)*g.b.traffic.answerRate.perMillisecond(g.b, assumedAnswers)/loadTrust - g.healthyLoad()
 	g.b.latencies.recent = 1
 }
 
-// shedding brings 4000 requests, drawn from turns of (class, tenant), of which 0.4 of the work is to be shed,
-// and returns the part refused of each class and of each tenant.
-func shedding(t *testing.T, cfg Config, turns ...[2]int) (byClass, byTenant [5]float64) {
+// rejectedFractions hands in 4000 requests, drawn from turns of (class, tenant), while 0.4 of the work is to be shed. It returns the
+// rejected fraction of each class and of each tenant.
+func rejectedFractions(t *testing.T, cfg Config, turns ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
 	g := newHarness(t, cfg, fleet(4)...)
-	var asked [2][5]float64
+	var requested [2][5]float64
 	draw := rand.New(rand.NewPCG(1, 2))
 	for i := range 4000 {
 		turn := turns[draw.IntN(len(turns))]
 		g.now++
-		g.crowd(0.4, 0)
-		asked[0][turn[0]]++
-		asked[1][turn[1]]++
+		g.setLoad(0.4, 0)
+		requested[0][turn[0]]++
+		requested[1][turn[1]]++
 		id := RequestID(i + 1)
 		acts := g.handle(Request{ID: id, Class: turn[0], Tenant: turn[1], Remaining: cfg.Classes[turn[0]].Deadline})
 		if has(acts, Reject) {
@@ -228,19 +229,19 @@
 		}
 	}
 	for i := range 5 {
-		byClass[i] /= max(1, asked[0][i])
-		byTenant[i] /= max(1, asked[1][i])
+		byClass[i] /= max(1, requested[0][i])
+		byTenant[i] /= max(1, requested[1][i])
 	}
 	return byClass, byTenant
 }
 
-// Busy sidecars let queues grow for seconds before enough was shed, and crowded servers
-// stayed slow. What is shed follows the load at once, between nothing and twice the lasting part; a
-// sidecar that has not shed lately refuses nothing, as its few requests may crowd by chance.
+// The shed fraction follows the load at once, between nothing and twice its integral part. Without the immediate part busy sidecars
+// let queues grow for seconds before enough was shed, and overloaded servers stayed slow. A sidecar that has not shed recently
+// rejects nothing at once, as its few requests may coincide by chance.
 func TestShedFollowsTheLoadAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		lasting, over float64 // over: of the latency target, beyond what answers may take
-		least, most   float64 // part refused
+		lasting, over float64 // integral part; latency above the permitted one, in latency targets
+		least, most   float64 // bounds of the rejected fraction
 	}{{0, 0.5, 0, 0.1}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
 		g := newHarness(t, baseConfig(), fleet(4)...)
 		for range 100 {
@@ -248,71 +249,71 @@
 			g.now += 5
 			g.answer(id, 0, OK, 50)
 		}
-		refused := 0.0
+		rejected := 0.0
 		for range 200 {
-			g.crowd(c.lasting, c.over)
+			g.setLoad(c.lasting, c.over)
 			if _, acts := g.request(safeClass); has(acts, Reject) {
-				refused++
+				rejected++
 			}
 		}
-		if refused /= 200; refused < c.least || refused > c.most {
-			t.Errorf("%+v: %.2f were refused", c, refused)
+		if rejected /= 200; rejected < c.least || rejected > c.most {
+			t.Errorf("%+v: %.2f were rejected", c, rejected)
 		}
 	}
 }
 
-// Of two tenants with equal shares the one that requests three times as much loses what is beyond its
-// share; when both request the same they lose the same.
+// Of two tenants with equal shares, the one with three times the requests loses those beyond its share. With equal requests both
+// lose the same fraction.
 func TestTenantsBeyondTheirShareAreRejectedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Share: 0.5}, {Share: 0.5}}
-	_, refused := shedding(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
-	if refused[0] < 0.4 || refused[1] > 0.1 {
-		t.Fatalf("refused %.2f of the tenant with much traffic, %.2f of the other", refused[0], refused[1])
+	_, rejected := rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
+	if rejected[0] < 0.4 || rejected[1] > 0.1 {
+		t.Fatalf("rejected %.2f of the tenant with much traffic, %.2f of the other", rejected[0], rejected[1])
 	}
-	_, refused = shedding(t, cfg, [2]int{0, 0}, [2]int{0, 1})
-	if math.Abs(refused[0]-refused[1]) > 0.15 {
-		t.Fatalf("of equal tenants %.2f and %.2f are refused", refused[0], refused[1])
+	_, rejected = rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 1})
+	if math.Abs(rejected[0]-rejected[1]) > 0.15 {
+		t.Fatalf("of equal tenants %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 }
 
-// All of the class of least value was rejected although the worst-served class weighs much
-// in the goal. Then the classes come near each other; without such a weight the least goes first.
+// If the worst-served class has a high weight in the goal, similar fractions of all classes are rejected. Without such a weight the
+// class of least value is rejected first. All of that class was once rejected despite the weight.
 func TestTheWorstClassStaysServed(t *testing.T) {
 	cfg := baseConfig()
 	turns := [][2]int{{safeClass, 0}, {unsafeClass, 0}}
 	cfg.Goal = Goal{Overall: 1}
-	if refused, _ := shedding(t, cfg, turns...); refused[safeClass] < 0.7 || refused[unsafeClass] > 0.1 {
-		t.Fatalf("without the weight %.2f and %.2f are refused", refused[safeClass], refused[unsafeClass])
+	if rejected, _ := rejectedFractions(t, cfg, turns...); rejected[safeClass] < 0.7 || rejected[unsafeClass] > 0.1 {
+		t.Fatalf("without the weight %.2f and %.2f are rejected", rejected[safeClass], rejected[unsafeClass])
 	}
 	cfg.Goal = Goal{Overall: 0.3, WorstClass: 0.7}
-	if refused, _ := shedding(t, cfg, turns...); refused[safeClass] > 0.5 || refused[unsafeClass] < 0.3 {
-		t.Fatalf("with the weight %.2f and %.2f are refused", refused[safeClass], refused[unsafeClass])
+	if rejected, _ := rejectedFractions(t, cfg, turns...); rejected[safeClass] > 0.5 || rejected[unsafeClass] < 0.3 {
+		t.Fatalf("with the weight %.2f and %.2f are rejected", rejected[safeClass], rejected[unsafeClass])
 	}
 }
 
-// A tenant beyond its share is not starved where the worst-served tenant weighs in the goal.
+// A tenant beyond its share is not starved if the worst-served tenant has a weight in the goal.
 func TestTheWorstTenantStaysServed(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Share: 0.8}, {Share: 0.2}}
 	turns := [][2]int{{0, 0}, {0, 1}}
 	cfg.Goal = Goal{Overall: 1}
-	if _, refused := shedding(t, cfg, turns...); refused[0] > 0.1 || refused[1] < 0.7 {
-		t.Fatalf("without the weight %.2f and %.2f are refused", refused[0], refused[1])
+	if _, rejected := rejectedFractions(t, cfg, turns...); rejected[0] > 0.1 || rejected[1] < 0.7 {
+		t.Fatalf("without the weight %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 	cfg.Goal = Goal{Overall: 0.3, WorstTenant: 0.7}
-	if _, refused := shedding(t, cfg, turns...); math.Abs(refused[0]-refused[1]) > 0.15 {
-		t.Fatalf("with the weight %.2f and %.2f are refused", refused[0], refused[1])
+	if _, rejected := rejectedFractions(t, cfg, turns...); math.Abs(rejected[0]-rejected[1]) > 0.15 {
+		t.Fatalf("with the weight %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 }
 
-// A restarted server starts afresh: no cooldown and no failed probe is remembered.
+// A restart clears a server's cooldowns and its failed probe.
 func TestRestartClearsHealth(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(2)...)
 	s := g.b.servers.all[0]
 	g.handle(ProbeResult{Server: s.ID, Result: TimedOut})
 	if !s.ProbeFailed || !g.b.coolingDown(s) {
-		t.Fatal("a probe without answer begins no cooldown")
+		t.Fatal("a probe without an answer starts no cooldown")
 	}
 	entry := s.Server
 	entry.StartedAt = g.now
@@ -322,7 +323,7 @@
 	}
 }
 
-// Twice as fast a server is found to be larger, and its kind with it.
+// Servers that answer twice as fast get a higher learned capacity, and so does their kind.
 func TestCapacitiesAreLearned(t *testing.T) {
 	servers := fleet(4)
 	servers[2].Kind, servers[3].Kind = 1, 1
@@ -343,40 +344,40 @@
 	}
 }
 
-// Half the fleet was removed and clients' retries, too late to be of value, took what was
-// left of it.
+// Clients' late retries are rejected first in overload. After half of a fleet was removed, retries that came too late to be of
+// value used up the remaining capacity.
 func TestLateRetriesAreRejectedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[safeClass].LateValue = 0.3
 	for _, c := range []struct {
 		shed, remaining float64
-		refused         bool
+		rejected        bool
 	}{
-		{0.5, 1000, true},   // 500 ms passed, the latency target of 300 has passed
-		{0.2, 1000, false},  // the load to shed is less than the value of a late answer
-		{0.5, 1300, false},  // 200 ms passed, it can still be in time
+		{0.5, 1000, true},   // after 500 ms, the latency target of 300 has passed
+		{0.2, 1000, false},  // the fraction to shed is less than the value of a late answer
+		{0.5, 1300, false},  // after 200 ms, it can still be answered in time
 		{0.99, 1500, false}, // a first request
 	} {
 		g := newHarness(t, cfg, fleet(4)...)
 		g.request(safeClass)
-		g.b.shedding.lasting = c.shed
+		g.b.shedding.integral = c.shed
 		r := &request{
 			Request: Request{Remaining: c.remaining}, class: &g.b.cfg.Classes[safeClass], stats: &g.b.traffic.classes[safeClass],
 		}
-		if got := g.b.lateRetry(r) && g.b.shedding.lasting >= r.class.LateValue; got != c.refused {
-			t.Errorf("%+v: refused %v", c, got)
+		if got := g.b.lateRetry(r) && g.b.shedding.integral >= r.class.LateValue; got != c.rejected {
+			t.Errorf("%+v: rejected: %v", c, got)
 		}
-		if !c.refused {
+		if !c.rejected {
 			continue
 		}
-		g.b.shedding.lasting = c.shed
+		g.b.shedding.integral = c.shed
 		if acts := g.handle(Request{ID: 77, Remaining: c.remaining}); !has(acts, Reject) {
 			t.Errorf("%+v: %+v", c, acts)
 		}
 	}
 }
 
-// A server that leaves several attempts unanswered has a cooldown, and is used again after an answer.
+// Several errors in a row start a cooldown, after which the server is tried again. An answer clears its errors.
 func TestErrorsBeginACooldown(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	s := g.b.servers.all[0]
@@ -408,7 +409,7 @@
 	t.Fatal("the server was not tried after its cooldown")
 }
 
-// When all servers are in a cooldown the cause is hardly theirs.
+// If all servers are in a cooldown they are used all the same, as they are hardly the cause.
 func TestAllInACooldownAreUsed(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	for _, s := range g.b.servers.all {
@@ -419,7 +420,7 @@
 	}
 }
 
-// Probes cost: in quiet hours a few find an idle server, in busy ones all are probed.
+// As probes have a cost, their number follows the load: a few find an idle server at low load, and all are probed at high load.
 func TestProbesFollowHowBusyServersAre(t *testing.T) {
 	g := newHarness(t, probeConfig(), fleet(12)...)
 	asked := func(holds float32) int {
@@ -433,7 +434,7 @@
 					n++
 				}
 			}
-			g.probes(acts, holds, nil)
+			g.answerProbes(acts, holds, nil)
 			g.answer(id, 0, OK, 10)
 		}
 		return n
@@ -444,11 +445,11 @@
 	}
 }
 
-// Where crossing zones has a penalty, the own zone gets more, and others still get some.
+// If crossing zones has a penalty, the own zone gets more requests, and others still get some.
 func TestOwnZoneIsPreferredWhereCrossingCosts(t *testing.T) {
-	for price, least := range map[float64]int{0: 10, 0.05: 25} {
+	for penalty, least := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
-		cfg.Penalties.CrossZone, cfg.Zone = price, 1
+		cfg.Penalties.CrossZone, cfg.Zone = penalty, 1
 		g := newHarness(t, cfg, fleet(8)...)
 		own := 0
 		for _, s := range sequence(g, 40) {
@@ -456,23 +457,23 @@
 				own++
 			}
 		}
-		if own < least || own > 38 || price == 0 && own != 20 {
-			t.Errorf("price %v: %d of 40 in the own zone", price, own)
+		if own < least || own > 38 || penalty == 0 && own != 20 {
+			t.Errorf("penalty %v: %d of 40 in the own zone", penalty, own)
 		}
 	}
 }
 
-// Traffic grew sevenfold within seconds on an enlarged fleet; answers stayed fast, but the attempts
-// in flight were set against the rate of answers of some time before, and half was refused.
+// Fast growth of the traffic without slow answers is no overload. When traffic grew sevenfold within seconds on an enlarged fleet,
+// the attempts in flight were compared with an outdated rate of answers, and half of the requests were rejected.
 func TestFastGrowthIsNoOverload(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(12)...)
 	var open []RequestID
-	refused := 0
+	rejected := 0
 	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold in some nine seconds
 		g.now += gap
 		id, acts := g.request(safeClass)
 		if has(acts, Reject) {
-			refused++
+			rejected++
 			continue
 		}
 		open = append(open, id)
@@ -481,12 +482,13 @@
 			open = open[1:]
 		}
 	}
-	if refused > 0 {
-		t.Fatalf("%d requests were refused", refused)
+	if rejected > 0 {
+		t.Fatalf("%d requests were rejected", rejected)
 	}
 }
 
-// A restarted sidecar with few requests used slow servers as much as fast ones for a minute.
+// Capacities are learned faster at first. Otherwise a restarted sidecar with few requests uses slow servers as much as fast ones
+// for a minute.
 func TestCapacitiesAreLearnedFastAtFirst(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(2)...)
 	fast, slow := g.b.servers.all[0], g.b.servers.all[1]
@@ -495,7 +497,7 @@
 		g.b.learnCapacity(slow, 1.5)
 	}
 	early := fast.capacityLog - slow.capacityLog
-	for range 2000 { // much later, of two servers alike, one turns fast
+	for range 2000 { // a long time with equal latencies, before one server turns fast again
 		g.b.learnCapacity(fast, 1)
 		g.b.learnCapacity(slow, 1)
 	}
@@ -509,7 +511,7 @@
 	}
 }
 
-// A request that must not run twice was lost for good at a server that had just failed, while others did well.
+// Unsafe requests avoid servers with recent errors while there are others, as an unsafe request that is lost cannot be retried.
 func TestUnsafeRequestsAvoidSuspects(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	suspect := g.b.servers.all[2]
@@ -526,17 +528,17 @@
 		suspect.Errors, suspect.LastErrorAt = 1, g.now
 	}
 	if hits[unsafeClass] != 0 || hits[safeClass] == 0 {
-		t.Fatalf("the suspect got %d that must not repeat, %d that may", hits[unsafeClass], hits[safeClass])
+		t.Fatalf("the suspect server got %d unsafe and %d safe requests", hits[unsafeClass], hits[safeClass])
 	}
-	for _, s := range g.b.servers.all { // with all suspect the rotation goes on over all of them
+	for _, s := range g.b.servers.all { // if all servers are suspect, all stay in the rotation
 		s.Errors, s.LastErrorAt = 1, g.now
 	}
 	if _, acts := g.request(unsafeClass); !has(acts, Send) {
-		t.Fatal("nothing was sent with all suspect")
+		t.Fatal("nothing was sent with all servers suspect")
 	}
 }
 
-// Every request of a failing fleet was sent twice, which doubled the load. Repeats come out of a budget.
+// Retries are limited by a budget. Without one every request to a failing fleet was sent twice, which doubled the load.
 func TestRetriesKeepTheirBudget(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(6)...)
 	repeats := 0
@@ -553,12 +555,12 @@
 		}
 	}
 	if most := int(retryBurst + retryRatio*requests); repeats < most/2 || repeats > most {
-		t.Fatalf("%d of %d requests were repeated, at most %d wanted", repeats, requests, most)
+		t.Fatalf("%d of %d requests were retried, want at most %d", repeats, requests, most)
 	}
 }
 
-// A safe request that failed after its latency target was rejected though a late answer still had a value.
-func TestLateAnswersOfValueAreStillSought(t *testing.T) {
+// A safe request that fails after its latency target is retried if a late answer still has a value, and otherwise rejected.
+func TestLateAnswersWithAValueAreStillAttempted(t *testing.T) {
 	for value, sent := range map[float64]bool{0: false, 0.5: true} {
 		cfg := baseConfig()
 		cfg.Classes[safeClass].LateValue = value
@@ -571,37 +573,37 @@
 	}
 }
 
-// A few requests of a quiet sidecar often meet by chance; they were taken for a crowd and some refused. While
-// answers come quickly nothing is shed, whatever is in flight.
+// While answers are quick nothing is shed, whatever is in flight. A few requests of a sidecar with little traffic often coincide by
+// chance; they were taken for an overload and some were rejected.
 func TestQuickAnswersShedNothing(t *testing.T) {
-	for quick, refuses := range map[bool]bool{true: false, false: true} {
+	for quick, rejects := range map[bool]bool{true: false, false: true} {
 		g := newHarness(t, baseConfig(), fleet(4)...)
 		for range 60 {
 			id, _ := g.request(safeClass)
 			g.now += 5
 			g.answer(id, 0, OK, map[bool]float64{true: 30, false: 290}[quick])
 		}
-		refused := false
+		rejected := false
 		for range 60 {
 			g.b.servers.all[0].weightedLoad++
 			_, acts := g.request(safeClass)
-			refused = refused || has(acts, Reject)
+			rejected = rejected || has(acts, Reject)
 		}
-		if refused != refuses {
-			t.Errorf("quick answers %v: refused %v", quick, refused)
+		if rejected != rejects {
+			t.Errorf("quick answers %v: rejected %v", quick, rejected)
 		}
 	}
 }
 
-// The own data centre had more traffic than its servers could carry, while the other stood idle: where
-// answers turn slow the preference for the own zone, which avoids the cross-zone penalty, ends.
+// When answers become slow, the preference for the own zone, which avoids the cross-zone penalty, ends. Otherwise one data centre
+// has more traffic than its servers can handle while the other is idle.
 func TestSlowAnswersEndThePreferenceForTheOwnZone(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Penalties.CrossZone, cfg.Zone = 0.05, 1
 	g := newHarness(t, cfg, fleet(8)...)
 	near, far := g.b.servers.all[7], g.b.servers.all[0]
 	if g.b.weight(near) < 10*g.b.weight(far) {
-		t.Error("the own zone is not preferred in quiet times")
+		t.Error("the own zone is not preferred while answers are quick")
 	}
 	g.b.latencies.min, g.b.latencies.mean = 0.2, 0.6
 	if g.b.weight(near) != g.b.weight(far) {
@@ -609,31 +611,33 @@
 	}
 }
 
-// Of the same crowd a sidecar of few requests must take in as much as a busy one within some latency targets: it went on
-// sending until servers that stay slow once crowded had choked.
-func TestFewRequestsFollowTheLoadToo(t *testing.T) {
-	steady := map[float64]float64{}
+// With few requests each one moves the integral part further, so that a sidecar with little traffic reacts to the same overload
+// within as many latency targets as a busy one. Otherwise it went on sending until overloaded servers, which stay slow, broke down.
+func TestSheddingFollowsTheLoadWithFewRequests(t *testing.T) {
+	steps := map[float64]float64{}
 	for _, gap := range []float64{300, 3} {
 		g := newHarness(t, baseConfig(), fleet(4)...)
 		for range 8 {
 			g.now += gap
 			g.b.traffic.requestRate.count(g.b, 1)
 		}
-		g.crowd(0.1, 0.5)
+		g.setLoad(0.1, 0.5)
 		g.request(safeClass)
-		steady[gap] = g.b.shedding.lasting - 0.1
+		steps[gap] = g.b.shedding.integral - 0.1
 	}
-	if steady[300] < 2*steady[3] || steady[3] <= 0 {
-		t.Fatalf("a request moved the lasting part by %v", steady)
+	if steps[300] < 2*steps[3] || steps[3] <= 0 {
+		t.Fatalf("a request moved the integral part by %v", steps)
 	}
 }
 
-func (g *harness) load() float64 {
-	steady, _ := g.b.servers.openLoad()
-	return steady
+// healthyLoad returns the weighted load at servers without a cooldown.
+func (g *harness) healthyLoad() float64 {
+	healthy, _ := g.b.servers.openLoad()
+	return healthy
 }
 
-// Where nothing was answered before the clients gave up, only the quick answers counted and all seemed well.
+// Time-outs count as slow answers. Otherwise only quick answers count, and a fleet that answers nothing before its clients give up
+// seems healthy.
 func TestTimeOutsCountAsSlowAnswers(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	for range 10 {
@@ -641,12 +645,12 @@
 		g.answer(id, 0, TimedOut, 600)
 	}
 	if g.b.latencies.recent < 1 {
-		t.Fatalf("pressure %.2f after ten time-outs", g.b.latencies.recent)
+		t.Fatalf("recent latency %.2f after ten time-outs", g.b.latencies.recent)
 	}
 }
 
-// An attempt that broke off at once has cost the servers nothing, so its request is tried again while others are
-// left; one that met a full queue or took its time is repeated once.
+// An attempt that broke off at once cost the servers nothing, so its request is retried until the attempt limit. An attempt that was
+// rejected, got an error or took long is retried once.
 func TestQuickFailuresAreRetriedMore(t *testing.T) {
 	for _, c := range []struct {
 		end   Result
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// harness drives one balancer by a script of events and keeps what it asked for.
+// harness drives one balancer by a script of events and records its actions.
 type harness struct {
 	t       *testing.T
 	b       *Balancer
@@ -39,12 +39,12 @@
 	g.actions = append(g.actions, g.b.Start(g.now)...)
 	g.handle(ServerList{Kind: ListCached, Servers: servers})
 	for _, s := range g.b.servers.all {
-		s.currentWeight = 0 // the random start would hide the sequence
+		s.currentWeight = 0 // a random initial weight would change the sequence
 	}
 	return g
 }
 
-// fleet is n like servers with IDs from 1, two to a cell, four to a zone.
+// fleet returns n similar servers with IDs from 1, two to a cell, four to a zone.
 func fleet(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
@@ -64,14 +64,14 @@
 	return acts
 }
 
-// request brings a request and returns its ID with what was done at once.
+// request hands in a request of a class and returns its ID and the immediate actions.
 func (g *harness) request(class int) (RequestID, []Action) {
 	g.t.Helper()
 	g.next++
 	return g.next, g.handle(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
 }
 
-// answer ends an attempt with a result.
+// answer ends an attempt with a result and returns the actions that follow.
 func (g *harness) answer(id RequestID, attempt int, res Result, took float64) []Action {
 	g.t.Helper()
 	s := g.b.requests.byID[id].attempts[attempt].server
--- a/balance/input_test.go
+++ b/balance/input_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// An event that cannot be is an error that says what was wrong, and leaves the balancer as it was.
+// An impossible event is an error that names the cause, and does not change the balancer.
 func TestImpossibleEventsAreErrors(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	id, _ := g.request(safeClass)
 	before, r := *g.b, *g.b.requests.byID[id]
 	for _, c := range []struct {
-		ev   Event
-		says string
+		ev      Event
+		message string
 	}{
 		{Request{ID: 50, Class: 99}, "unknown class 99"},
 		{Request{ID: 50, Class: -1}, "unknown class -1"},
@@ -24,7 +24,7 @@
 		{Outcome{Request: id, Attempt: 1}, "attempt 1"},
 	} {
 		acts, err := g.b.Handle(g.now, c.ev)
-		if err == nil || !strings.Contains(err.Error(), c.says) || len(acts) > 0 {
+		if err == nil || !strings.Contains(err.Error(), c.message) || len(acts) > 0 {
 			t.Errorf("%+v: error %v, actions %v", c.ev, err, acts)
 		}
 		after := *g.b
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestEventsForTheUnknownAreIgnored(t *testing.T) {
+func TestEventsForUnknownIDsAreIgnored(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	for _, ev := range []Event{
 		ClientGone{Request: 9}, Timer{Token: 9}, ProbeResult{Server: 99, Result: TimedOut}, ResponseStarted{Request: 9},
@@ -52,50 +52,50 @@
 	}
 }
 
-// Numbers that are not finite or below zero, in settings, lists, reports and times, reach no weight and no timer.
-func TestOddNumbersDoNotSpread(t *testing.T) {
-	for _, odd := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5} {
+// NaN, infinite and negative numbers in settings, lists, reports and times reach no weight and no timer.
+func TestInvalidNumbersDoNotSpread(t *testing.T) {
+	for _, invalid := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5} {
 		cfg := probeConfig()
-		cfg.BatchInterval, cfg.SlowStartFraction, cfg.SlowStartTime, cfg.OverloadMultiple, cfg.OverloadTime = odd, odd, odd, odd, odd
-		cfg.MaxPollInterval, cfg.Penalties.CrossZone, cfg.Penalties.Probe, cfg.Goal.WorstClass = odd, odd, odd, odd
-		cfg.Tenants = []Tenant{{Share: odd, Allowance: odd}}
+		cfg.BatchInterval, cfg.SlowStartFraction, cfg.SlowStartTime, cfg.OverloadMultiple, cfg.OverloadTime = invalid, invalid, invalid, invalid, invalid
+		cfg.MaxPollInterval, cfg.Penalties.CrossZone, cfg.Penalties.Probe, cfg.Goal.WorstClass = invalid, invalid, invalid, invalid
+		cfg.Tenants = []Tenant{{Share: invalid, Allowance: invalid}}
 		for i := range cfg.Classes {
 			c := &cfg.Classes[i]
-			c.LatencyTarget, c.Deadline, c.Value, c.LateValue, c.Window = odd, odd, odd, odd, odd
+			c.LatencyTarget, c.Deadline, c.Value, c.LateValue, c.Window = invalid, invalid, invalid, invalid, invalid
 		}
 		servers := fleet(4)
 		for i := range servers {
-			servers[i].Capacity, servers[i].StartedAt = odd, odd
+			servers[i].Capacity, servers[i].StartedAt = invalid, invalid
 		}
 		g := newHarness(t, cfg, servers...)
 		for i := range 40 {
 			id, acts := g.request(i % len(cfg.Classes))
 			if i%2 == 0 {
-				acts = g.handle(Request{ID: RequestID(1000 + i), Class: i % len(cfg.Classes), Remaining: odd})
+				acts = g.handle(Request{ID: RequestID(1000 + i), Class: i % len(cfg.Classes), Remaining: invalid})
 			}
-			acts = append(acts, g.probes(acts, float32(odd), nil)...)
+			acts = append(acts, g.answerProbes(acts, float32(invalid), nil)...)
 			if r := g.b.requests.byID[id]; r != nil && r.live > 0 {
-				acts = append(acts, g.answer(id, 0, OK, odd)...)
+				acts = append(acts, g.answer(id, 0, OK, invalid)...)
 			}
 			for _, a := range acts {
 				if !(a.After >= 0) || math.IsInf(a.After, 0) {
-					t.Fatalf("%v: action %+v", odd, a)
+					t.Fatalf("%v: action %+v", invalid, a)
 				}
 			}
 			g.now += 10
 		}
-		if _, err := g.b.Handle(odd, Timer{}); err != nil || g.b.now != g.now-10 {
-			t.Fatalf("%v as the time: now %v, error %v", odd, g.b.now, err)
+		if _, err := g.b.Handle(invalid, Timer{}); err != nil || g.b.now != g.now-10 {
+			t.Fatalf("%v as the time: now %v, error %v", invalid, g.b.now, err)
 		}
 		for _, s := range g.b.servers.all {
 			if w := g.b.weight(s); !(w > 0) || math.IsInf(w, 0) || math.IsNaN(s.currentWeight) {
-				t.Errorf("%v: server %d has weight %v, current weight %v", odd, s.ID, w, s.currentWeight)
+				t.Errorf("%v: server %d has weight %v, current weight %v", invalid, s.ID, w, s.currentWeight)
 			}
 		}
 	}
 }
 
-// An empty list, one server, all draining: each request still gets one final answer in time.
+// With an empty list, a single server, or all servers draining, each request still gets a final answer in time.
 func TestEveryRequestIsAnsweredWhateverTheList(t *testing.T) {
 	draining := fleet(3)
 	for i := range draining {
@@ -114,7 +114,7 @@
 				t.Errorf("%s, class %d: no answer in time", name, class)
 			}
 			if name != "one" && (!has(acts, Reject) || g.now > 0 && r != nil) {
-				t.Errorf("%s, class %d: not refused at once", name, class)
+				t.Errorf("%s, class %d: not rejected at once", name, class)
 			}
 		}
 	}
--- a/balance/keys.go
+++ b/balance/keys.go
@@ -5,16 +5,17 @@
 	"math"
 )
 
-// Keys. A server may do less work for a request whose key it had lately, so that keys have preferred
-// servers. And what has just timed out is long work at every server, so that its retry is of no use.
+// Request keys. A server may do less work for a request whose key it had recently, so each key has a
+// preferred server. A keyed request that has just timed out takes long at every server, so a client's retry
+// of it is futile.
 
-// classKey is what requests for the same work have in common.
+// classKey identifies the work of a request: requests of one class with the same key ask for the same work.
 type classKey struct {
 	class int
 	key   uint64
 }
 
-// timeoutTable holds the attempts with a key that timed out lately.
+// timeoutTable holds the keyed attempts that timed out recently.
 type timeoutTable struct {
 	records   map[classKey]timeoutRecord
 	sweepSize int // number of records at which expired ones are removed
@@ -23,14 +24,14 @@
 // timeoutRecord is how long an attempt took until it timed out, and until when it is remembered.
 type timeoutRecord struct{ latency, until float64 }
 
-// hasAffinity reports whether servers do less work for a request if they had its key lately.
+// hasAffinity reports whether servers do less work for a request if they had its key recently.
 func (b *Balancer) hasAffinity(r *request) bool { return b.cfg.KeyAffinity && r.Key != 0 }
 
-// affinity is how many rotations ahead of its turn a server may get a request for its key, the same at all
-// sidecars, so that each key has an order of servers. It is rendezvous hashing: a Gumbel variate, hashed
-// from key and server, plus the logarithm of the capacity that the list says, so that a server is the first
-// choice of as large a part of the keys as its capacity is of all. What a server got ahead of its turn its
-// current weight owes; when that is maxDebt its keys go to the next server.
+// affinity returns by how many rotations a request may reach a server ahead of its turn because of its key.
+// It is the same at all sidecars, so that they agree on an order of servers for each key. It is rendezvous
+// hashing: a Gumbel variate, hashed from key and server, plus the logarithm of the listed capacity, so that
+// a server is the first choice for a fraction of the keys equal to its fraction of the total capacity. Sends
+// ahead of its turn make a server's current weight negative; at minus maxDebt its keys go to the next server.
 func (b *Balancer) affinity(r *request, s *server) float64 {
 	if !b.hasAffinity(r) {
 		return 0
@@ -39,7 +40,7 @@
 	return affinityStrength * (math.Log(s.Capacity) - math.Log(-math.Log(u)))
 }
 
-// maxDebt is the most that a server can have got ahead of its turn, in rotations of all candidates.
+// maxDebt returns how far below zero a current weight may fall, in rotations of all candidates.
 func (b *Balancer) maxDebt() float64 {
 	if b.cfg.KeyAffinity {
 		return maxAffinityDebt
@@ -47,8 +48,8 @@
 	return 1
 }
 
-// preferredServer returns the candidate with the highest affinity for a first send, which may have
-// affinityRoom more requests in flight than its share, or nil if the request has none.
+// preferredServer returns the candidate with the highest affinity for a first send, or nil for a retry or a
+// request without affinity. pick allows it affinityRoom more requests in flight than its share.
 func (b *Balancer) preferredServer(pool []*server, r *request, retry bool) (preferred *server) {
 	if retry || !b.hasAffinity(r) {
 		return nil
@@ -61,23 +62,24 @@
 	return preferred
 }
 
-// recordTimeout remembers for a latency target that an attempt with a key timed out, as its client may
-// retry the request. Only if its server answered others meanwhile was it for the work: a silent server does
-// none.
+// recordTimeout remembers for one latency target that a keyed attempt timed out, as its client may retry the
+// request. It does so only if the server answered another request meanwhile: otherwise the server, not the
+// work, may be the cause.
 func (b *Balancer) recordTimeout(r *request, a *attempt, latency float64) {
 	if r.Key == 0 || a.server.AnsweredAt <= a.sentAt {
 		return
 	}
 	t := &b.timeouts
-	if len(t.records) >= t.sweepSize { // there are twice as many as the last sweep left
+	if len(t.records) >= t.sweepSize { // about twice as many as remained after the last sweep
 		maps.DeleteFunc(t.records, func(_ classKey, r timeoutRecord) bool { return b.now > r.until })
 		t.sweepSize = 2*len(t.records) + 16
 	}
 	t.records[classKey{r.Class, r.Key}] = timeoutRecord{latency, b.now + r.class.LatencyTarget}
 }
 
-// futileRetry reports whether a request is a client's retry of what has just timed out, with less than
-// twice the time, where the penalty for the wasted work is no less than the value of a late answer.
+// futileRetry reports whether a request is a client's retry of a request that has just timed out, has less
+// than twice the time that the timed-out attempt took, and would on a timeout waste work whose penalty is at
+// least the value of a late answer.
 func (b *Balancer) futileRetry(r *request) bool {
 	record := b.timeouts.records[classKey{r.Class, r.Key}]
 	return r.ClientRetry && b.now <= record.until && r.Remaining < 2*record.latency &&
--- a/balance/keys_test.go
+++ b/balance/keys_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// requestKey brings a request about a subject and returns where it was sent; it is answered at once.
+// requestKey hands in a request with a key, answers it after 10 ms, and returns the server that it was sent to.
 func (g *harness) requestKey(key uint64) ServerID {
 	g.t.Helper()
 	g.next++
@@ -19,8 +19,9 @@
 	return s
 }
 
-// preferredServers asks for keys in no order and returns for each the server that had it most, and the part of all requests that went there.
-func preferredServers(g *harness, keys, rounds int) (most map[uint64]ServerID, part float64) {
+// preferredServers sends requests for keys in pseudo-random order. It returns the server that each key was mostly sent to, and the
+// fraction of all requests that went to these servers.
+func preferredServers(g *harness, keys, rounds int) (mostUsed map[uint64]ServerID, fraction float64) {
 	counts := map[uint64]map[ServerID]int{}
 	for i := range keys * rounds {
 		key := 1 + mix(uint64(i))%uint64(keys)
@@ -29,16 +30,16 @@
 		}
 		counts[key][g.requestKey(key)]++
 	}
-	most, home := map[uint64]ServerID{}, 0
+	mostUsed, toMostUsed := map[uint64]ServerID{}, 0
 	for key, by := range counts {
 		for s, n := range by {
-			if n > by[most[key]] || n == by[most[key]] && s < most[key] {
-				most[key] = s
+			if n > by[mostUsed[key]] || n == by[mostUsed[key]] && s < mostUsed[key] {
+				mostUsed[key] = s
 			}
 		}
-		home += by[most[key]]
+		toMostUsed += by[mostUsed[key]]
 	}
-	return most, float64(home) / float64(keys*rounds)
+	return mostUsed, float64(toMostUsed) / float64(keys*rounds)
 }
 
 func affinityConfig(seed uint64, number int) Config {
@@ -47,15 +48,15 @@
 	return cfg
 }
 
-// A key goes to one server mostly, the same from all sidecars, so that it is warm there. Where servers do not keep keys
-// warm, keys change nothing. Large servers are home to more keys.
+// All sidecars send a key mostly to the same server, which can then keep it cached. Large servers are preferred by more keys.
+// Without key affinity the keys change nothing.
 func TestAKeyHasOnePreferredServer(t *testing.T) {
 	const keys = 60
 	servers := fleet(8)
 	for i := range 4 {
 		servers[i].Capacity = 3
 	}
-	one, part := preferredServers(newHarness(t, affinityConfig(1, 0), servers...), keys, 30)
+	one, fraction := preferredServers(newHarness(t, affinityConfig(1, 0), servers...), keys, 30)
 	two, _ := preferredServers(newHarness(t, affinityConfig(2, 2), servers...), keys, 30)
 	same, large := 0, 0
 	for key, s := range one {
@@ -66,17 +67,17 @@
 			large++
 		}
 	}
-	if same < keys*9/10 || part < 0.6 || large < keys*6/10 || large > keys*9/10 {
-		t.Errorf("%d of %d homes are the same, %.2f of the requests go home, %d homes are large servers", same, keys, part, large)
+	if same < keys*9/10 || fraction < 0.6 || large < keys*6/10 || large > keys*9/10 {
+		t.Errorf("%d of %d preferred servers are the same, %.2f of the requests go to them, %d are large", same, keys, fraction, large)
 	}
-	cold := affinityConfig(1, 0)
-	cold.KeyAffinity = false
-	if _, part := preferredServers(newHarness(t, cold, servers...), keys, 30); part > 0.4 {
-		t.Errorf("%.2f of the requests go to one server though no server keeps keys warm", part)
+	withoutAffinity := affinityConfig(1, 0)
+	withoutAffinity.KeyAffinity = false
+	if _, fraction := preferredServers(newHarness(t, withoutAffinity, servers...), keys, 30); fraction > 0.4 {
+		t.Errorf("%.2f of the requests go to their keys' most used servers without key affinity", fraction)
 	}
 }
 
-// The rotation goes on under the keys: servers get their shares, and what is busy at home goes elsewhere.
+// Key affinity preserves the rotation: servers get their shares, and requests for a key whose preferred server is busy go elsewhere.
 func TestKeysFollowTheWeights(t *testing.T) {
 	g := newHarness(t, affinityConfig(1, 0), fleet(6)...)
 	got := map[ServerID]int{}
@@ -99,12 +100,13 @@
 	}
 	for s, n := range busy {
 		if n > 2+affinityRoom {
-			t.Errorf("server %d holds %d of 12 requests for one key", s, n)
+			t.Errorf("server %d has %d of 12 requests for one key in flight", s, n)
 		}
 	}
 }
 
-// The rules go before the keys: a home that drains gets nothing, and its keys go to the same next server from all sidecars.
+// The rules take precedence over affinity: a preferred server that drains gets nothing, and all sidecars send its keys to the same
+// next server.
 func TestAKeyLeavesADrainingServer(t *testing.T) {
 	one, two := newHarness(t, affinityConfig(1, 0), fleet(8)...), newHarness(t, affinityConfig(2, 2), fleet(8)...)
 	before, _ := preferredServers(one, 40, 20)
@@ -118,7 +120,7 @@
 	stayed, agreed := 0, 0
 	for key := range before {
 		if a[key] == 1 || b[key] == 1 {
-			t.Errorf("key %d still goes to the server that drains", key)
+			t.Errorf("key %d still goes to the draining server", key)
 		}
 		if before[key] == a[key] || before[key] == 1 {
 			stayed++
@@ -128,11 +130,11 @@
 		}
 	}
 	if stayed < 34 || agreed < 34 {
-		t.Errorf("of 40 keys %d stayed where they were and %d agree", stayed, agreed)
+		t.Errorf("of 40 keys %d stayed at their server, and the sidecars agree on %d", stayed, agreed)
 	}
 }
 
-// A client's repeat of what has just run out of time here is refused at once where it would cost more than it can earn.
+// A client's retry of a request that has just timed out is rejected at once if its expected waste outweighs the value of a late answer.
 func TestARetryOfWhatTimedOut(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -177,7 +179,7 @@
 	}
 }
 
-// Time-outs are forgotten: the table does not grow with how many there were.
+// The table of time-outs drops old entries: it does not grow with the number of time-outs.
 func TestTimeoutsAreForgotten(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	r := &request{class: &g.b.cfg.Classes[allClass]}
@@ -187,13 +189,13 @@
 		g.b.now += 4 // 100 within a latency target of 400 ms
 		g.b.recordTimeout(r, a, 800)
 		if len(g.b.timeouts.records) > 400 {
-			t.Fatal(fmt.Sprint(len(g.b.timeouts.records), " are kept after ", i))
+			t.Fatal(fmt.Sprint(len(g.b.timeouts.records), " time-outs are kept after ", i))
 		}
 	}
 }
 
-// What a server owes for keys is not forgiven by a request without one.
-func TestDebtsRemainAfterRequestsWithoutAKey(t *testing.T) {
+// A request without a key does not reset the negative weight that a server has from requests ahead of its turn.
+func TestNegativeWeightsRemainAfterRequestsWithoutAKey(t *testing.T) {
 	g := newHarness(t, affinityConfig(1, 0), fleet(4)...)
 	for i, s := range g.b.servers.all {
 		s.currentWeight = -1500 - 1000*float64(i)
@@ -202,6 +204,6 @@
 		t.Fatalf("sent to %d", s)
 	}
 	if got := g.b.servers.all[0].currentWeight; got > -1500 {
-		t.Errorf("it owed 1500 and is at %v", got)
+		t.Errorf("current weight is %v after a send, was -1500", got)
 	}
 }
--- a/balance/lifecycle.go
+++ b/balance/lifecycle.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// The life of a request: whether it is sent, waits, or is answered unserved.
+// The life of a request: whether it is sent, waits, or is answered without having been served.
 
-// Start begins the balancer's work; it is called once, before the first event. The actions are valid until
-// the next call.
+// Start returns the first actions of the balancer. It is called once, before the first event. The actions are
+// valid until the next call.
 func (b *Balancer) Start(now float64) []Action {
 	b.now, b.startedAt, b.actions = now, now, b.actions[:0]
 	if b.cfg.Subscribe {
@@ -18,7 +18,8 @@
 	return b.actions
 }
 
-// onRequest admits a request or answers it at once. It counts either way: clients that are rejected retry.
+// onRequest admits a request or answers it at once. The request is counted either way, as rejected clients
+// retry.
 func (b *Balancer) onRequest(ev Request) error {
 	if ev.Class < 0 || ev.Class >= len(b.cfg.Classes) {
 		return fmt.Errorf("request %d: %w %d", ev.ID, ErrUnknownClass, ev.Class)
@@ -30,7 +31,7 @@
 	r.deadline = b.now + finite(ev.Remaining, r.class.Deadline)
 	b.requests.byID[ev.ID] = r
 	admitted := b.admit(r)
-	r.stats.requests++ // only now: otherwise its own class would look a little worse served to admit
+	r.stats.requests++ // after admit, to which the request's own class would otherwise look worse served
 	r.tenant.requests++
 	b.traffic.requestRate.count(b, 1)
 	b.retryBudget = math.Min(b.retryBudget+retryRatio, retryBurst)
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// advance takes the next step with a request: it sends, answers or waits. It is called whenever something may
-// have changed for the request, and does nothing where nothing has.
+// advance takes the next step for a request: it sends it, answers it or sets a timer. It may be called at any
+// time, and does nothing if there is nothing to do.
 func (b *Balancer) advance(r *request) {
 	if r.done || r.streaming || r.bodyLeaving() {
 		return
@@ -67,32 +68,32 @@
 	b.scheduleWakeup(r)
 }
 
-// noRetryLeft reports whether nothing more can be sent for a request, or nothing that would be of use: its
-// body is gone, attempts or budget are used up, it may have been executed and must not be twice, or its
-// answer would be late and is worth less than the load that is shed.
+// noRetryLeft reports whether another attempt at a request is impossible or of no use: its body has been
+// consumed, its attempts or the retry budget are used up, it may have been executed and must not run twice,
+// or its answer would be late, with a value no higher than the fraction of the load that is being shed.
 func (b *Balancer) noRetryLeft(r *request) bool {
 	if r.bodyConsumed || len(r.attempts) >= b.cfg.MaxAttempts || r.totalCost > maxRetryCost ||
 		b.retryBudget < r.lastCost {
 		return true
 	}
-	// An attempt that may have been executed forbids another: of an unsafe request always, of a keyed one
-	// once servers may have forgotten its key.
+	// An attempt that may have been executed forbids another one: always for an unsafe request, and for a
+	// keyed one once servers may have forgotten its key.
 	mayRunTwice := slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		forgotten := r.class.Effect == Keyed && b.now >= a.sentAt+r.class.Window
 		return !a.neverRan && (r.class.Effect == Unsafe || forgotten)
 	})
 	late := b.now >= r.arrivedAt+r.class.LatencyTarget
-	return mayRunTwice || late && b.rejectable(r) && r.class.LateValue <= b.shedding.lasting
+	return mayRunTwice || late && b.rejectable(r) && r.class.LateValue <= b.shedding.integral
 }
 
 // hasEligibleServer reports whether there is a server to wait for. Without one the client is answered at
-// once, and may still have the time to retry elsewhere.
+// once, and may still have time to retry elsewhere.
 func (b *Balancer) hasEligibleServer(r *request) bool {
 	return slices.ContainsFunc(b.servers.all, func(s *server) bool { return b.eligible(r, s) })
 }
 
-// answerUnserved ends a request that no server answered. It is rejected, which invites the client to retry,
-// where a retry does no harm; otherwise it has failed.
+// answerUnserved ends a request that no server answered. If a client's retry is harmless the request is
+// rejected, which invites a retry; otherwise it fails.
 func (b *Balancer) answerUnserved(r *request) {
 	if b.rejectable(r) {
 		b.emit(Action{Kind: Reject, Request: r.ID, After: b.retryAfter(r)})
@@ -102,9 +103,9 @@
 	b.closeRequest(r)
 }
 
-// retryAfter is when a rejected client should retry, from now: after the time by which answers exceed what
-// they may take, within bounds, so that the retry comes when there is less load and is not too late. 0: not
-// said.
+// retryAfter returns the time from now after which a rejected client should retry, or 0 to give none. It is
+// the time by which answers exceed their permitted latency, within bounds, so that the retry arrives at a
+// lower load and still in time.
 func (b *Balancer) retryAfter(r *request) float64 {
 	if !b.cfg.RetryAfter {
 		return 0
@@ -116,9 +117,9 @@
 	return after
 }
 
-// rejectable reports whether a request may be rejected, which means that its client may retry it, at any
-// server and in another request. That does no harm if the request is safe or was not executed, or if it has
-// a key that all servers share and still remember at the time of the retry.
+// rejectable reports whether a request may be rejected, which allows its client to retry it in a new request
+// at any server. That is harmless if the request is safe or was not executed, or if it has a key that all
+// servers share and still remember at the time of the retry.
 func (b *Balancer) rejectable(r *request) bool {
 	knownToAll := r.class.Effect == Keyed && r.class.Group == GroupAll
 	retryAt := b.now + b.retryAfter(r)
@@ -128,8 +129,8 @@
 }
 
 // scheduleWakeup sets a timer for the next time at which there may be something to do for the request: its
-// deadline, the end of its wait for probes, another look for a server, or an attempt that becomes overdue.
-// Timers are not cancelled, so none is set while an earlier one is.
+// deadline, the end of its wait for probes, another search for a server, or an attempt that becomes overdue.
+// Timers cannot be cancelled, so none is set while an earlier one is pending.
 func (b *Balancer) scheduleWakeup(r *request) {
 	next := r.deadline
 	if r.probeDeadline > b.now {
--- a/balance/list.go
+++ b/balance/list.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// The server list: when to subscribe to it, and what its updates change. The caller carries out the calls;
-// see WatchList.
+// The server list: when to subscribe to it, and what its updates change. The caller makes the calls; see
+// WatchList.
 
-// listPolling counts the calls for the list that failed since the last list came, and has the time of the
-// last call.
+// listPolling holds the number of failed list calls since the last list arrived, and the time of the last
+// call.
 type listPolling struct {
 	failures int
 	lastAt   float64
 }
 
-// watchList subscribes, at the start and after a failed call. The module never asks for a complete list: the
-// updates of a subscription cost less.
+// watchList subscribes to the list, at the start and after a failed call. The balancer never fetches the
+// complete list, as the updates of a subscription cost less.
 func (b *Balancer) watchList() {
 	b.polling.lastAt = b.now
 	b.emit(Action{Kind: WatchList})
 }
 
-// onList applies an update of the list. In a complete one, servers that it does not name are removed.
+// onList applies an update of the list. Servers that a complete list does not name are removed.
 func (b *Balancer) onList(ev ServerList) {
 	switch ev.Kind {
 	case ListFailed:
@@ -35,15 +35,15 @@
 	b.servers.dropRemoved()
 }
 
-// updateServer applies one entry of a list. A later time of start is a restart, which clears a server's
-// faults and begins its slow start; a removed server stays in the table until dropRemoved.
+// updateServer applies one entry of a list. A later start time means a restart, which clears the server's
+// errors and begins its slow start. A removed server stays in the table until dropRemoved.
 func (b *Balancer) updateServer(entry *Server) {
 	s := b.servers.byID[entry.ID]
 	if s == nil {
 		if entry.State == Removed {
 			return
 		}
-		// A random start keeps sidecars that begin together from choosing alike.
+		// A random initial weight keeps sidecars that start together from choosing the same servers.
 		s = &server{rotationState: rotationState{currentWeight: 100 * b.rng.Float64()}}
 		s.SlowStartAt = math.Inf(-1)
 		s.ringPosition = mix(uint64(entry.ID) + mix(uint64(b.cfg.SidecarNumber%ringCount)+1))
@@ -61,11 +61,11 @@
 	}
 }
 
-// retryWatch subscribes again after a backoff with jitter. The backoff counts from the beginning of the
-// failed call on, since one that hung was a wait already, but never less than the shortest one from now. It
-// is bounded: updates must be known 6 s after discovery is back, and within MaxPollInterval. Without
-// Subscribe, an agent beside the sidecar gets the lists: to call it costs nothing, and what it has counts
-// as known to the sidecar.
+// retryWatch subscribes again after an exponential backoff with jitter. The backoff counts from the start of
+// the failed call, as a call that hung has already waited, but is never shorter than the minimum from now on.
+// It is bounded: updates must be known 6 s after discovery is back, and within MaxPollInterval. Without
+// Subscribe an agent on the same machine receives the lists: calls to it cost nothing, and whatever the agent
+// has counts as known to the sidecar.
 func (b *Balancer) retryWatch() {
 	shortest := float64(pollBackoff)
 	backoff := math.Min(pollBackoff*float64(int(1)<<min(b.polling.failures, 4)), maxPollBackoff)
--- a/balance/limits_test.go
+++ b/balance/module_files_test.go
@@ -12,25 +12,25 @@
 	"testing"
 )
 
-const mostWidth = 110
+const maxLineWidth = 110
 
-// mayImport are the packages that the module may import: those that only compute. None reads a clock, opens anything, waits or starts a
-// goroutine, and none is of this project.
-var mayImport = []string{"errors", "fmt", "maps", "math", "math/rand/v2", "slices", "sort"}
+// allowedImports are the packages that the module may import. They only compute: none reads a clock, does input or output, blocks or
+// starts a goroutine, and none is of this project.
+var allowedImports = []string{"errors", "fmt", "maps", "math", "math/rand/v2", "slices", "sort"}
 
-// The deployment names the files that decide: whoever is on call reads all of them, and finds every decision in one of them. The list is
-// taken from there, so that it and this test cannot drift apart.
+// The deployment lists the files that make decisions, as operators on call read all of them and must find every decision there. The test
+// reads that list, so that the two cannot differ.
 func TestModuleStaysInItsFiles(t *testing.T) {
 	deploy, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	key := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(deploy)
-	if key == nil {
-		t.Fatal("deploy/balancer.toml has no policy")
+	policy := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(deploy)
+	if policy == nil {
+		t.Fatal("deploy/balancer.toml has no key policy")
 	}
 	named := map[string]bool{}
-	for _, quoted := range strings.Split(string(key[1]), ",") {
+	for _, quoted := range strings.Split(string(policy[1]), ",") {
 		name := strings.Trim(quoted, ` "`)
 		if filepath.Dir(name) != "balance" {
 			t.Errorf("policy names %s, which is not in the decision module", name)
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		for i, line := range strings.Split(string(text), "\n") {
-			if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > mostWidth {
+			if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > maxLineWidth {
 				t.Errorf("%s:%d is %d columns wide", name, i+1, width)
 			}
 		}
@@ -58,7 +58,7 @@
 			t.Errorf("policy does not name balance/%s", file)
 		}
 		for _, path := range importsOf(t, file) {
-			if !slices.Contains(mayImport, path) {
+			if !slices.Contains(allowedImports, path) {
 				t.Errorf("balance/%s imports %s", file, path)
 			}
 		}
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// The end of an attempt: what it says of its server and of the load, and what follows for its request.
+// The end of an attempt: what it shows about its server and the load, and what follows for its request.
 
-// onOutcome ends an attempt. The request ends too where it has its answer; otherwise it may be retried.
+// onOutcome ends an attempt. The request ends too if it has its answer; otherwise it may be retried.
 func (b *Balancer) onOutcome(r *request, ev Outcome) {
 	a := &r.attempts[ev.Attempt]
 	r.endAttempt(a, ev.Result)
@@ -18,23 +18,23 @@
 	b.advance(r)
 }
 
-// attemptCost is what an attempt cost the servers, as a fraction of an answer's work: one that broke off at
-// once took next to nothing, and to retry it does no harm. A rejection, an error or a time-out counts in
-// full.
+// attemptCost returns the work that an attempt cost the servers, as a fraction of an answer's work. An
+// attempt that broke off at once cost next to nothing, so that its retry is harmless. A rejection, an error
+// or a time-out counts in full.
 func (b *Balancer) attemptCost(r *request, ev Outcome) float64 {
 	if ev.Result == Rejected || ev.Result == TimedOut || ev.Result == Failed || r.stats.Count == 0 {
-		return 1 // Failed: an error may be the request's own, and must not be tried at all servers
+		return 1 // Failed: the request itself may cause the error, and must not reach every server
 	}
 	return clamp(ev.Latency/math.Max(r.stats.Mean, 1e-3), 0, 1)
 }
 
-// applyOutcome learns from an outcome what it says of the server and of the load.
+// applyOutcome updates the state of the server and the load from an outcome.
 func (b *Balancer) applyOutcome(r *request, a *attempt, ev Outcome) {
 	s := a.server
 	switch ev.Result {
 	case OK:
-		// A server that lost connections and made other errors, and answers again, has restarted, though no
-		// list says so yet. One lost connection alone is no restart.
+		// A server that answers again after a lost connection and further errors has restarted, even if no
+		// list says so yet. A single lost connection does not show a restart.
 		if s.ConnectionLost && s.Errors > 1 && !b.warmingUp(s) {
 			b.beginSlowStart(s, b.now)
 		}
@@ -52,11 +52,11 @@
 		r.stats.add(ev.Latency)
 	case Cancelled, NotSent:
 	default:
-		if ev.Result == TimedOut { // counted as an answer: the slowest ones would never be seen otherwise
+		if ev.Result == TimedOut { // counted as an answer, or the slowest answers would be missing
 			b.latencies.record(ev.Latency / r.class.LatencyTarget)
 			b.recordTimeout(r, a, ev.Latency)
 		}
-		// A failure to connect is no lost connection: a server whose connection table is full refuses too.
+		// A failure to connect is no lost connection: a server with a full connection table refuses as well.
 		s.ConnectionLost = s.ConnectionLost || ev.Result == Reset
 		if unreachable := ev.Result == ConnectFailed; unreachable || !a.overdue {
 			b.recordFault(s, unreachable)
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// The choice of a server: smooth weighted round robin over capacity × m, among the servers of this sidecar's
-// subset that the rules allow.
+// The choice of a server: smooth weighted round robin over capacity × m, among the eligible servers of this
+// sidecar's subset.
 
-// pick returns the server for a send, or nil if none may have the request now. A first send takes the
-// server whose turn it is in smooth weighted round robin; a retry goes to the healthiest server that was
-// not tried. Either is charged in the rotation: its current weight falls by the sum of the weights.
+// pick returns the server for a send, or nil if none may have the request now. A first send goes to the
+// server whose turn it is in smooth weighted round robin, a retry to the healthiest untried server. In both
+// cases the server's current weight falls by the sum of the weights.
 func (b *Balancer) pick(r *request, retry bool) *server {
 	pool := b.subset()
 	total := b.computeWeights(pool, r, retry, false)
-	if total == 0 && len(pool) < len(b.servers.all) { // the subset has none: a key stays in its cell
+	if total == 0 && len(pool) < len(b.servers.all) { // none in the subset, as a key may stay in its cell
 		pool = b.servers.all
 		total = b.computeWeights(pool, r, retry, false)
 	}
-	if total == 0 { // all are in a cooldown: the cause is hardly with each of them
+	if total == 0 { // if all are in a cooldown, the servers are hardly the cause
 		total = b.computeWeights(pool, r, retry, true)
 	}
 	load, weights := 1.0, 0.0
@@ -34,9 +34,9 @@
 		if s.weight == 0 || b.warmingUp(s) && !b.slowStartBudget(s) {
 			continue
 		}
-		// Bounded load: a server that has more requests in flight than its share is slow, hung or filled by
-		// others, whatever its errors say. It is passed over and keeps its current weight for later. Where
-		// all are over their share, precedes picks the least filled.
+		// Bounded load: a server with more requests in flight than its share is slow, hung or loaded by
+		// other sidecars, whatever its error count. It is skipped and keeps its current weight. If all are
+		// over their share, precedes prefers the least loaded.
 		maxPending := math.Ceil(loadHeadroom * load * s.weight / weights)
 		if s == preferred {
 			maxPending += affinityRoom
@@ -53,11 +53,11 @@
 	return best
 }
 
-// subset returns the servers that this sidecar rotates over: if all sidecars used all servers, each server
-// had too many connections. A subset is a stretch of one of ringCount orders of the servers. Which order,
-// and where in it the stretch starts, follows from the number of the sidecar, so that all sidecars together
-// use servers evenly. It is wider with more traffic, and extended past members that are not ready or in a
-// cooldown.
+// subset returns the servers that this sidecar rotates over. If all sidecars used all servers, each server
+// would have too many connections. A subset is a section of one of ringCount orders of the servers. The
+// sidecar's number determines the order and the start of the section, so that all sidecars together use the
+// servers evenly. The section is wider with more traffic, and extended by one for each member that is not
+// ready or in a cooldown.
 func (b *Balancer) subset() []*server {
 	t, n := &b.servers, float64(len(b.servers.all))
 	width := math.Max(minSubset, connectionsPerServer*n/float64(b.cfg.SidecarCount))
@@ -79,10 +79,9 @@
 }
 
 // computeWeights sets the weight of each server of a pool for this pick, 0 for those that may not have the
-// request, and returns the sum of the weights. For a first send the current weights grow by it, which is
-// the first half of smooth weighted round robin; a server that is passed over saves up no more than one
-// rotation. Servers in a cooldown, and for unsafe requests those of little health, are candidates only if
-// withSuspects is set.
+// request, and returns the sum of the weights. For a first send each current weight grows by the weight, the
+// first half of smooth weighted round robin; a skipped server saves up at most one rotation. Servers in a
+// cooldown, and for unsafe requests those of low health, are candidates only if withSuspects is set.
 func (b *Balancer) computeWeights(pool []*server, r *request, retry, withSuspects bool) float64 {
 	total, anyReport := 0.0, false
 	for _, s := range pool {
@@ -108,9 +107,9 @@
 	return total
 }
 
-// precedes reports whether a server is preferred to the best one so far, both being over their share or
-// neither. A retry goes by health, then by turn; a first send by turn, or to the least filled where all are
-// over their share.
+// precedes reports whether a server is preferred to the best one so far; both are over their share, or
+// neither is. A retry goes by health, then by turn. A first send goes by turn, or to the least loaded if all
+// are over their share.
 func (b *Balancer) precedes(s, best *server, retry, overShare bool) bool {
 	if overShare && !retry {
 		return (b.pending(s)+1)*best.weight < (b.pending(best)+1)*s.weight
@@ -121,9 +120,9 @@
 	return retry && health > bestHealth || (!retry || health == bestHealth) && turn > bestTurn
 }
 
-// eligible reports whether the rules allow to send a request to a server now: it accepts requests, did not
-// have this one, and, where a keyed request may have been executed, it is of the group that knows the key
-// and remembers it still.
+// eligible reports whether the rules allow sending a request to a server now: the server is ready and has not
+// had this request, and, if the request is keyed and may have been executed, the server belongs to the group
+// that knows the key and still remembers it.
 func (b *Balancer) eligible(r *request, s *server) bool {
 	return s.State == Ready && !slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		keyUnknown := b.now >= a.sentAt+r.class.Window ||
@@ -133,14 +132,14 @@
 	})
 }
 
-// weight is a server's part in the rotation: its capacity, with what was learned of it, times m; more in
-// the own zone, and less while the server warms up. It is never 0.
+// weight returns a server's weight in the rotation: its listed capacity, corrected by the learned capacity,
+// times m; higher in the sidecar's own zone, and lower while the server warms up. It is never 0.
 func (b *Balancer) weight(s *server) float64 {
 	learned := s.capacityLog + b.capacities.kinds[s.Kind] + b.capacities.zones[s.Zone]
 	w := 100 * s.Capacity * math.Exp(learned) * b.health(s)
-	if s.Zone == b.cfg.Zone { // others cost a penalty, which longer latencies soon outweigh
-		ease := 1 - zonePreferenceDecay*math.Max(0, b.latencies.mean-b.latencies.min)
-		w *= 1 + zonePreference*b.cfg.Penalties.CrossZone*math.Max(0, ease)
+	if s.Zone == b.cfg.Zone { // other zones cost a penalty, which longer latencies soon outweigh
+		preference := 1 - zonePreferenceDecay*math.Max(0, b.latencies.mean-b.latencies.min)
+		w *= 1 + zonePreference*b.cfg.Penalties.CrossZone*math.Max(0, preference)
 	}
 	if b.warmingUp(s) {
 		w *= b.warmupFraction(s)
@@ -148,8 +147,8 @@
 	return math.Max(w, 1e-6)
 }
 
-// pending is how many requests a server has: those of its load report and what was sent since, if the
-// report is fresh, otherwise those of this sidecar alone.
+// pending returns how many requests a server has: those of its load report plus later sends of this sidecar,
+// if the report is fresh; otherwise this sidecar's requests in flight.
 func (b *Balancer) pending(s *server) float64 {
 	if b.reportFresh(s) {
 		return s.reported + s.sentSince
@@ -157,7 +156,7 @@
 	return float64(s.inFlight)
 }
 
-// reportFresh reports whether a server's last load report is recent enough to go by.
+// reportFresh reports whether a server's last load report is recent enough to be used.
 func (b *Balancer) reportFresh(s *server) bool {
 	return s.reportedAt > 0 && b.now-s.reportedAt <= probeWait*b.maxLatencyTarget
 }
--- a/balance/probe.go
+++ b/balance/probe.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Probes ask a server for a load report. Where reports come in no other way, some servers are probed before a
-// first send, which waits for the reports for a short time.
+// Probes ask a server for a load report. If reports arrive in no other way, some servers are probed before a
+// first send, which waits for their reports for a short time.
 
-// startProbes probes the servers that are next in the rotation for a request. A server that is being probed
-// for another request is not probed twice.
+// startProbes probes the servers that are next in the rotation for a request. A server with a probe in flight
+// for another request is not probed again.
 func (b *Balancer) startProbes(r *request) {
 	if !b.cfg.Probes || b.cfg.Reports != ReportProbe {
 		return
@@ -37,16 +37,16 @@
 	b.requests.awaitingProbes = append(b.requests.awaitingProbes, r)
 }
 
-// probeCount is how many servers to probe, so that all of them have work with a probability of
-// allBusyChance at most, within what probes may cost.
+// probeCount returns how many servers to probe, so that the probability that all of them are busy is at most
+// allBusyChance, within the permitted cost of probes.
 func (b *Balancer) probeCount() int {
 	affordable := maxProbeCost / math.Max(b.cfg.Penalties.Probe, 1e-3)
 	needed := math.Ceil(math.Log(allBusyChance) / math.Log(clamp(b.busyFraction, 0.01, 0.99)))
 	return int(math.Min(affordable, needed))
 }
 
-// onProbe takes a load report, or begins the cooldown of a server that gave none, and advances the requests
-// that waited for it.
+// onProbe applies a load report, or starts the cooldown of a server that gave none, and advances the requests
+// that wait for probes.
 func (b *Balancer) onProbe(ev ProbeResult) {
 	s := b.servers.byID[ev.Server]
 	if s == nil {
@@ -61,7 +61,7 @@
 	b.advanceProbed()
 }
 
-// applyLoadReport takes over a report's number of requests in flight, if it has a possible one.
+// applyLoadReport stores a report's number of requests in flight, if it has a possible one.
 func (b *Balancer) applyLoadReport(s *server, report []float32) {
 	for i, f := range b.cfg.Fields {
 		if i < len(report) && f == FieldInFlight && report[i] >= 0 && report[i] <= math.MaxFloat32 {
@@ -71,7 +71,7 @@
 	}
 }
 
-// advanceProbed advances the requests that wait for probes and keeps those that still do.
+// advanceProbed advances the requests that wait for probes, and keeps those in the list that still wait.
 func (b *Balancer) advanceProbed() {
 	b.requests.awaitingProbes = slices.DeleteFunc(b.requests.awaitingProbes, func(r *request) bool {
 		b.advance(r)
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// world feeds one balancer random but legal events and checks rules 1 to 3 at every action.
-type world struct {
+// workload feeds one balancer random but legal events and checks the first three rules of doc.go at every action.
+type workload struct {
 	t       *testing.T
 	rnd     *rand.Rand
 	b       *Balancer
 	cfg     Config
 	now     float64
 	servers map[ServerID]*Server
-	ready   map[ServerID]bool // may be sent to
+	ready   map[ServerID]bool // servers that accept requests
 	open    map[RequestID]*openRequest
 	timers  []pendingTimer
 	probes  []ServerID
@@ -23,14 +23,14 @@
 	class    int
 	deadline float64
 	answered bool
-	tries    []openAttempt
+	attempts []openAttempt
 }
 
 type openAttempt struct {
-	server Server
-	sent   float64
-	live   bool
-	clean  bool
+	server   Server
+	sentAt   float64
+	live     bool
+	neverRan bool
 }
 
 type pendingTimer struct {
@@ -38,8 +38,8 @@
 	token uint64
 }
 
-func newWorld(t *testing.T, rnd *rand.Rand, cfg Config) *world {
-	w := &world{
+func newWorkload(t *testing.T, rnd *rand.Rand, cfg Config) *workload {
+	w := &workload{
 		t: t, rnd: rnd, b: New(cfg), cfg: cfg, now: 5000, servers: map[ServerID]*Server{},
 		ready: map[ServerID]bool{}, open: map[RequestID]*openRequest{},
 	}
@@ -59,12 +59,12 @@
 		if seed%4 == 1 {
 			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []ReportField{FieldInFlight, FieldQueue, FieldUtil}
 		}
-		w := newWorld(t, rnd, cfg)
-		w.list(ListCached)
+		w := newWorkload(t, rnd, cfg)
+		w.updateList(ListCached)
 		for id := RequestID(1); id <= 1500; id++ {
 			w.now += rnd.ExpFloat64() * 8
 			w.fireTimers()
-			w.anything(id)
+			w.randomEvent(id)
 		}
 		for w.now += 10; len(w.timers) > 0 && w.anyOpen(); w.now += 10 {
 			w.fireTimers()
@@ -75,7 +75,8 @@
 	}
 }
 
-func (w *world) anything(id RequestID) {
+// randomEvent hands in an event; id is the ID of a new request.
+func (w *workload) randomEvent(id RequestID) {
 	switch n := w.rnd.Intn(20); {
 	case n < 9:
 		class := w.rnd.Intn(len(w.cfg.Classes))
@@ -86,9 +87,9 @@
 		w.open[id] = &openRequest{class: class, deadline: w.now + left}
 		w.handle(Request{ID: id, Class: class, Remaining: left, Key: uint64(id % 7), ClientRetry: id%3 == 0})
 	case n < 17:
-		w.endOne(id)
+		w.endRandomAttempt(id)
 	case n < 18:
-		w.list([]ListKind{ListFull, ListDelta, ListCached}[w.rnd.Intn(3)])
+		w.updateList([]ListKind{ListFull, ListDelta, ListCached}[w.rnd.Intn(3)])
 	case n < 19:
 		if len(w.probes) > 0 {
 			s := w.probes[0]
@@ -96,7 +97,7 @@
 			w.handle(ProbeResult{Server: s, Latency: 1, LoadReport: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
 		}
 	default:
-		gone := id - RequestID(w.rnd.Intn(20)) // may never have been or have ended: ignored then
+		gone := id - RequestID(w.rnd.Intn(20)) // ignored if there was no such request or it has ended
 		if o := w.open[gone]; o != nil {
 			o.answered = true
 		}
@@ -104,20 +105,20 @@
 	}
 }
 
-// endOne ends one live attempt of some request at random.
-func (w *world) endOne(before RequestID) {
+// endRandomAttempt ends a random live attempt of a recent request, if there is one.
+func (w *workload) endRandomAttempt(before RequestID) {
 	for id := before; id > 0 && id+60 > before; id-- {
 		o := w.open[id]
 		if o == nil {
 			continue
 		}
-		for i := range o.tries {
-			if a := &o.tries[i]; a.live && w.rnd.Intn(3) > 0 {
-				res := []Result{OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut}[w.rnd.Intn(9)]
-				a.live, a.clean = false, res.NeverRan()
-				o.answered = o.answered || res == OK
+		for i := range o.attempts {
+			if a := &o.attempts[i]; a.live && w.rnd.Intn(3) > 0 {
+				result := []Result{OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut}[w.rnd.Intn(9)]
+				a.live, a.neverRan = false, result.NeverRan()
+				o.answered = o.answered || result == OK
 				w.handle(Outcome{
-					Request: id, Attempt: i, Server: a.server.ID, Result: res, Latency: w.now - a.sent, Finished: o.answered,
+					Request: id, Attempt: i, Server: a.server.ID, Result: result, Latency: w.now - a.sentAt, Finished: o.answered,
 				})
 				return
 			}
@@ -125,7 +126,7 @@
 	}
 }
 
-func (w *world) list(kind ListKind) {
+func (w *workload) updateList(kind ListKind) {
 	var entries []Server
 	for i := range 10 {
 		id := ServerID(i + 1)
@@ -150,7 +151,7 @@
 	w.handle(ServerList{Kind: kind, Servers: entries})
 }
 
-func (w *world) handle(ev Event) {
+func (w *workload) handle(ev Event) {
 	acts, err := w.b.Handle(w.now, ev)
 	if err != nil {
 		w.t.Fatalf("%#v: %v", ev, err)
@@ -158,7 +159,7 @@
 	w.apply(acts)
 }
 
-func (w *world) apply(acts []Action) {
+func (w *workload) apply(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case SetTimer:
@@ -169,44 +170,44 @@
 			}
 			w.probes = append(w.probes, a.Server)
 		case Send:
-			w.send(a)
+			w.checkSend(a)
 		case Reject, Fail:
-			w.final(a)
+			w.checkFinalAnswer(a)
 		case Cancel:
-			if !w.cfg.Cancel || a.Attempt >= len(w.open[a.Request].tries) {
+			if !w.cfg.Cancel || a.Attempt >= len(w.open[a.Request].attempts) {
 				w.t.Fatalf("cancel of %+v", a)
 			}
 		}
 	}
 }
 
-func (w *world) send(a Action) {
+func (w *workload) checkSend(a Action) {
 	o, c := w.open[a.Request], w.cfg.Classes[w.open[a.Request].class]
 	switch {
 	case o.answered:
 		w.t.Fatalf("request %d was sent after its answer", a.Request)
 	case !w.ready[a.Server]:
-		w.t.Fatalf("request %d was sent to server %d, which drains or is gone", a.Request, a.Server)
-	case len(o.tries) >= w.cfg.MaxAttempts:
+		w.t.Fatalf("request %d was sent to server %d, which is draining or removed", a.Request, a.Server)
+	case len(o.attempts) >= w.cfg.MaxAttempts:
 		w.t.Fatalf("request %d was sent too often", a.Request)
 	}
 	to := *w.servers[a.Server]
-	for _, p := range o.tries {
+	for _, p := range o.attempts {
 		if p.live && !w.cfg.Parallel {
-			w.t.Fatalf("request %d is out twice", a.Request)
+			w.t.Fatalf("request %d has two attempts in flight", a.Request)
 		}
-		if p.clean || c.Effect == Safe {
+		if p.neverRan || c.Effect == Safe {
 			continue
 		}
 		apart := c.Group == GroupCell && p.server.Cell != to.Cell || c.Group == GroupZone && p.server.Zone != to.Zone
-		if c.Effect == Unsafe || apart || w.now >= p.sent+c.Window {
+		if c.Effect == Unsafe || apart || w.now >= p.sentAt+c.Window {
 			w.t.Fatalf("request %d may have run and was sent again", a.Request)
 		}
 	}
-	o.tries = append(o.tries, openAttempt{server: to, sent: w.now, live: true})
+	o.attempts = append(o.attempts, openAttempt{server: to, sentAt: w.now, live: true})
 }
 
-func (w *world) final(a Action) {
+func (w *workload) checkFinalAnswer(a Action) {
 	o, c := w.open[a.Request], w.cfg.Classes[w.open[a.Request].class]
 	if o.answered || w.now > o.deadline+w.cfg.AnswerSlack {
 		w.t.Fatalf("request %d: a second or late answer at %v, deadline %v", a.Request, w.now, o.deadline)
@@ -215,15 +216,15 @@
 	if a.Kind == Fail || c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
 		return
 	}
-	for _, p := range o.tries {
-		if !p.clean {
-			w.t.Fatalf("request %d may have run and was refused", a.Request)
+	for _, p := range o.attempts {
+		if !p.neverRan {
+			w.t.Fatalf("request %d may have run and was rejected", a.Request)
 		}
 	}
 }
 
-// fireTimers brings the alarms that are due, each at its own time.
-func (w *world) fireTimers() {
+// fireTimers hands in the timers that are due, each at its own time.
+func (w *workload) fireTimers() {
 	end := w.now
 	for {
 		next := -1
@@ -243,7 +244,7 @@
 	w.now = end
 }
 
-func (w *world) anyOpen() bool {
+func (w *workload) anyOpen() bool {
 	for _, o := range w.open {
 		if !o.answered {
 			return true
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -8,41 +8,40 @@
 	"testing"
 )
 
-// ramp is a fleet of sidecars, each with its own module, before some servers that restart, in virtual time.
+// ramp configures a simulation in virtual time: a fleet of sidecars, each with its own balancer, and servers of which some restart.
 type ramp struct {
 	sidecars, servers, warming int
 	uneven                     bool    // some sidecars have several times the mean traffic
 	maxDelay                   float64 // ms within which the sidecars learn of a restart
-	restarts                   bool    // half of the sidecars are started anew during the ramp
-	oldLists                   bool    // ... with the list of before it, and learn of it half a second later
-	slow                       bool    // servers can do a tenth: one that warms up may be sent a few requests
-	unknown                    bool    // each has a count of one sidecar
+	restarts                   bool    // half of the sidecars restart during the slow start
+	oldLists                   bool    // ... with the list from before the servers' restart, and get the new one half a second later
+	slow                       bool    // servers have a tenth of the rate: one that warms up may be sent only a few requests
+	unknown                    bool    // each sidecar is configured as the only one
 	failing                    float64 // fraction of the answers of warm servers that are errors, each retried
 	multiple, overloadTime     float64
 }
 
-// rampLoad is the fraction of what the servers can do that is requested, and rampWork what one request takes, in ms.
 const (
-	rampLoad          = 0.7
-	rampWork          = 40.0
-	rampServerRate    = 50.0 // requests a second that a warm server can do
-	rampStartFraction = 0.2  // fraction of that at the start
-	rampTime          = 10_000.0
+	rampLoad          = 0.7      // requests as a fraction of the servers' capacity
+	rampWork          = 40.0     // mean time of a request, in ms
+	rampServerRate    = 50.0     // requests a second that a warm server can handle
+	rampStartFraction = 0.2      // fraction of that at the start
+	rampTime          = 10_000.0 // length of the slow start, in ms
 )
 
-// rampEvent is an event at a time: a request at a sidecar, an answer to one, a timer, an update of the list.
+// rampEvent is a scheduled event at a sidecar: the arrival of a request, an event for its balancer, or a restart of the sidecar.
 type rampEvent struct {
 	at          float64
 	sidecar     int
-	incarnation int // of the sidecar: what is for the one before its restart is dropped
+	incarnation int // of the sidecar: events for an earlier incarnation are dropped
 	event       Event
 	kind        int
 }
 
 const (
-	rampArrival = iota
-	rampHandle
-	rampRestart
+	rampArrival = iota // a request arrives
+	rampHandle         // the balancer handles event
+	rampRestart        // the sidecar restarts
 )
 
 type rampQueue []rampEvent
@@ -58,20 +57,20 @@
 }
 
 const (
-	rampRestartAt = 10_000.0 // when the servers restart
+	rampRestartAt = 10_000.0 // when the servers restart, in ms
 	rampEnd       = rampRestartAt + rampTime
 )
 
-// rampRun is one run of a ramp.
+// rampRun is the state of one run of a ramp.
 type rampRun struct {
 	ramp
 	rng          *rand.Rand
 	cfg          Config
-	before       []Server  // the list before the restart
-	after        []Server  // ... and after it
+	before       []Server  // the list before the servers' restart
+	after        []Server  // the list after it
 	weights      []float64 // of the sidecars' traffic
 	weightSum    float64
-	serverRate   float64 // requests a millisecond that a warm server can do
+	serverRate   float64 // requests a millisecond that a warm server can handle
 	totalRate    float64 // requests a millisecond of all sidecars
 	balancers    []*Balancer
 	incarnations []int
@@ -109,7 +108,7 @@
 	heap.Push(&run.queue, e)
 }
 
-// begin starts a sidecar with a list.
+// begin starts a sidecar with a server list.
 func (run *rampRun) begin(sidecar int, now float64, list []Server) {
 	own := run.cfg
 	own.Seed, own.SidecarNumber = run.rng.Uint64(), sidecar
@@ -148,7 +147,7 @@
 	return run.rng.ExpFloat64() * run.weightSum / run.weights[sidecar] / run.totalRate
 }
 
-// start starts all sidecars and schedules what happens to them.
+// start starts all sidecars and schedules their first arrivals, list updates and restarts.
 func (run *rampRun) start() {
 	for n := range run.balancers {
 		run.begin(n, 0, run.before)
@@ -184,9 +183,9 @@
 	}
 }
 
-// play plays a ramp and returns the largest use of what may be sent to a server that warms up, N + 2 x root of N + 2 in any
-// window, and what such servers were sent over their slow start, as a fraction of what they could do.
-func (c ramp) play(seed uint64) (most, used float64) {
+// simulate runs a ramp. most is the largest number of requests sent to a server that warms up within an overloadTime, as a fraction of the
+// bound N + 2 x sqrt(N) + 2. used is the number sent to such servers over their slow start, as a fraction of what they could handle.
+func (c ramp) simulate(seed uint64) (most, used float64) {
 	run := newRampRun(c, seed)
 	run.start()
 	next := RequestID(1)
@@ -202,12 +201,12 @@
 		}
 		run.handle(e, next)
 	}
-	return run.use()
+	return run.results()
 }
 
-// use returns the results of play.
-func (run *rampRun) use() (most, used float64) {
-	could, sent := 0.0, 0
+// results returns the results of simulate.
+func (run *rampRun) results() (most, used float64) {
+	capacity, sent := 0.0, 0
 	for _, times := range run.sends {
 		sort.Float64s(times)
 		sent += len(times)
@@ -215,17 +214,17 @@
 			for times[from] <= times[i]-run.overloadTime {
 				from++
 			}
-			age := math.Max(0, times[i]-rampRestartAt-run.overloadTime) // at the beginning of the window, where it can do least
+			age := math.Max(0, times[i]-rampRestartAt-run.overloadTime) // at the start of the window, when capacity is lowest
 			n := run.multiple * run.serverRate * run.overloadTime * (rampStartFraction + (1-rampStartFraction)*age/rampTime)
 			most = math.Max(most, float64(i-from+1)/(n+2*math.Sqrt(n)+2))
 		}
-		could += run.serverRate * rampTime * (1 + rampStartFraction) / 2
+		capacity += run.serverRate * rampTime * (1 + rampStartFraction) / 2
 	}
-	return most, float64(sent) / could
+	return most, float64(sent) / capacity
 }
 
-// The bound that doc.go derives, and that a server is used in its slow start all the same: it gets at least half of what it can do, over
-// its ramp.
+// The fleet stays within the bound that doc.go derives, and still uses a server in its slow start: over that time the server gets at least
+// half of the requests that it can handle.
 func TestTheSlowStartBoundHoldsForTheFleet(t *testing.T) {
 	worst := 0.0
 	for _, sidecars := range []int{1, 3, 20, 30, 300} {
@@ -239,7 +238,7 @@
 			"unknown peers":    {uneven: true, unknown: true},
 			"several start":    {uneven: true, warming: 3},
 			"retries":          {uneven: true, failing: 0.2},
-			"all of it":        {uneven: true, warming: 3, maxDelay: 1000, restarts: true, failing: 0.1},
+			"combined":         {uneven: true, warming: 3, maxDelay: 1000, restarts: true, failing: 0.1},
 			"a short time":     {uneven: true, multiple: 4, overloadTime: 1500},
 			"a small multiple": {uneven: true, multiple: 1.5, overloadTime: 2000},
 		} {
@@ -250,14 +249,14 @@
 			use, used := 0.0, 0.0
 			const seeds = 3
 			for seed := range uint64(seeds) {
-				most, part := c.play(seed)
-				use, used = math.Max(use, most), used+part/seeds
+				most, fraction := c.simulate(seed)
+				use, used = math.Max(use, most), used+fraction/seeds
 			}
 			worst = math.Max(worst, use)
-			t.Logf("%3d sidecars, %-17s largest use %.2f of the bound, sent %.2f of what they could do",
+			t.Logf("%3d sidecars, %-17s largest use %.2f of the bound, sent %.2f of the warming servers' capacity",
 				sidecars, name+":", use, used)
 			if use > 1 || used < 0.5 {
-				t.Errorf("%d sidecars, %s: a server that warms up got %.2f times what it may get, and %.2f of what it could do",
+				t.Errorf("%d sidecars, %s: a server that warms up got %.2f times its bound, and %.2f of its capacity",
 					sidecars, name, use, used)
 			}
 		}
--- a/balance/open_test.go
+++ b/balance/request_body_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-// open brings a request of a class whose body is still coming.
-func (g *harness) open(class int) (RequestID, []Action) {
+// requestWithOpenBody hands in a request of a class whose body is still arriving.
+func (g *harness) requestWithOpenBody(class int) (RequestID, []Action) {
 	g.t.Helper()
 	g.next++
 	return g.next, g.handle(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline, BodyOpen: true})
 }
 
-// However long a body takes to come, its request is not late, no fault of its server is counted, and the fleet is not taken to be full.
-// Its time begins with the last byte.
+// However long a body takes to arrive, its request is not late, no error of its server is counted, and the fleet does not count as
+// overloaded. The time limits begin with the last byte.
 func TestABodyThatTakesLong(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
-	id, acts := g.open(safeClass)
+	id, acts := g.requestWithOpenBody(safeClass)
 	to, sent := sentTo(acts)
 	if !sent || has(acts, SetTimer) {
 		t.Fatalf("%+v", acts)
@@ -24,13 +24,13 @@
 		t.Errorf("after a minute: %+v", acts)
 	}
 	if s.Errors != 0 || s.weightedLoad != 0 || s.inFlight != 0 {
-		t.Errorf("a fault or load of the server is counted: %+v", s)
+		t.Errorf("an error or load of the server is counted: %+v", s)
 	}
 	if acts = g.handle(BodySent{Request: id}); !has(acts, SetTimer) || s.inFlight != 1 || s.weightedLoad == 0 {
-		t.Errorf("its time begins: %+v, in flight %d", acts, s.inFlight)
+		t.Errorf("after the last byte: %+v, in flight %d", acts, s.inFlight)
 	}
 	if again := g.handle(BodySent{Request: id}); len(again) != 0 || s.inFlight != 1 {
-		t.Errorf("twice: %+v", again)
+		t.Errorf("after a second BodySent: %+v", again)
 	}
 	g.now += g.b.cfg.Classes[safeClass].Deadline + 1
 	if acts = g.handle(Timer{Token: uint64(id)}); !has(acts, Reject) {
@@ -42,22 +42,22 @@
 	}
 }
 
-// Before the last byte an attempt that ends has not run, of any class. It is made again while the body can be sent again,
-// and else answered at once: refused, for nothing ran.
+// An attempt that ends before the last byte has not run, whatever the class. The request is retried while its body can be sent again.
+// Otherwise it is answered at once, with a rejection, as nothing ran.
 func TestAConsumedBody(t *testing.T) {
 	for class := range baseConfig().Classes {
 		g := newHarness(t, baseConfig(), fleet(4)...)
-		id, acts := g.open(class)
+		id, acts := g.requestWithOpenBody(class)
 		first, _ := sentTo(acts)
 		g.now += 5
 		acts = g.answer(id, 0, ConnectFailed, 5)
 		second, sent := sentTo(acts)
 		if !sent || second == first {
-			t.Fatalf("class %d: the body is complete, and it goes to another: %+v", class, acts)
+			t.Fatalf("class %d: not retried at another server though the body can be sent again: %+v", class, acts)
 		}
 		g.now += 5
 		if acts = g.handle(Outcome{Request: id, Attempt: 1, Server: second, Result: ConnectFailed, Latency: 5, BodyConsumed: true}); !has(acts, Reject) || has(acts, Send) {
-			t.Errorf("class %d: the body is gone: %+v", class, acts)
+			t.Errorf("class %d: not rejected after its body was consumed: %+v", class, acts)
 		}
 		for _, s := range g.b.servers.all {
 			if s.inFlight != 0 || s.weightedLoad != 0 {
@@ -67,11 +67,11 @@
 	}
 }
 
-// What may have run and cannot be sent again is failed where a client's retry might do harm, and refused where it cannot.
+// A request that may have run and cannot be sent again fails if a client's retry might do harm; otherwise it is rejected.
 func TestAConsumedBodyThatMayHaveRun(t *testing.T) {
 	for class, want := range map[int]ActionKind{safeClass: Reject, unsafeClass: Fail, cellClass: Fail, allClass: Reject} {
 		g := newHarness(t, baseConfig(), fleet(4)...)
-		id, acts := g.open(class)
+		id, acts := g.requestWithOpenBody(class)
 		to, _ := sentTo(acts)
 		g.handle(BodySent{Request: id})
 		g.now += 20
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -3,7 +3,7 @@
 // requestTable holds the requests that are open or have attempts in flight.
 type requestTable struct {
 	byID           map[RequestID]*request
-	awaitingProbes []*request // which were not sent yet; some may have ended meanwhile
+	awaitingProbes []*request // not sent yet; some may have ended meanwhile
 }
 
 // attempt is one send of a request.
@@ -26,16 +26,16 @@
 	attempts      []attempt
 	live          int       // attempts that have not ended
 	done          bool      // it has its answer, or needs none
-	streaming     bool      // an answer has begun and is read by the client: no deadline, no retry
+	streaming     bool      // the client is reading a streamed answer: no deadline, no retry
 	wakeAt        float64   // when its earliest timer is due; +Inf: none is set
-	probed        []*server // servers that are probed for it, before its first send
-	probeDeadline float64   // it waits for their reports until then; 0: it does not wait
+	probed        []*server // servers that are probed for it before its first send
+	probeDeadline float64   // until when it waits for their reports; 0: it does not wait
 	lastCost      float64   // of the last attempt that ended; see attemptCost
 	totalCost     float64   // of all attempts that ended
 	bodyConsumed  bool      // its body was read: it cannot be sent again
 }
 
-// inFlight reports whether the attempt of a number was made and has not ended.
+// inFlight reports whether the attempt with a number was made and has not ended.
 func (r *request) inFlight(number int) bool {
 	return number >= 0 && number < len(r.attempts) && r.attempts[number].live
 }
@@ -49,11 +49,11 @@
 	r.live--
 }
 
-// bodyLeaving reports whether an attempt is in flight whose body is still sent: until its last byte has
-// left no time counts.
+// bodyLeaving reports whether an attempt is in flight whose body is still being sent. No time limits apply
+// until its last byte has been sent.
 func (r *request) bodyLeaving() bool { return r.BodyOpen && r.live > 0 }
 
-// closeRequest ends a request: it cancels what is in flight for it, and forgets it once nothing is.
+// closeRequest ends a request: it cancels the attempts in flight, and forgets the request if there are none.
 func (b *Balancer) closeRequest(r *request) {
 	r.done = true
 	b.cancelOthers(r, -1)
@@ -62,8 +62,8 @@
 	}
 }
 
-// cancelOthers cancels the attempts of a request that are in flight, but for one (-1: all), where the
-// settings allow that: their answers are of no use any more.
+// cancelOthers cancels the attempts of a request that are in flight, except one (-1: none), if the settings
+// allow it. Their answers are no longer needed.
 func (b *Balancer) cancelOthers(r *request, except int) {
 	for i := range r.attempts {
 		if r.attempts[i].live && i != except && b.cfg.Cancel {
@@ -72,11 +72,11 @@
 	}
 }
 
-// send makes an attempt. A retry is taken off the retry budget with the cost of the attempt that it follows.
+// send makes an attempt. A retry reduces the retry budget by the cost of the attempt before it.
 func (b *Balancer) send(r *request, s *server) {
 	b.retryBudget -= r.lastCost
 	s.Tokens--
-	if !r.BodyOpen { // otherwise the server has no work before the last byte; see onBodySent
+	if !r.BodyOpen { // otherwise the server has no work until the last byte; see onBodySent
 		s.countAttempt(1, r)
 	}
 	r.live++
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// sequence sends n safe requests one after the other, each answered before the next.
+// sequence sends n safe requests, each answered before the next, and returns their servers.
 func sequence(g *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
@@ -15,7 +15,7 @@
 			g.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
-		g.b.requests.byID[id].stats.Count = 0 // no learning from these answers
+		g.b.requests.byID[id].stats.Count = 0 // keeps capacities from being learned from these answers
 		g.answer(id, 0, OK, 10)
 	}
 	return ids
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestRetryTakesTheHealthiestUntried(t *testing.T) {
+func TestRetryGoesToTheHealthiestUntriedServer(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	for _, s := range g.b.servers.all {
 		s.Errors, s.LastErrorAt = 2, g.now
@@ -95,16 +95,16 @@
 	}
 }
 
-// Where every server holds far more than its share a first send goes to the one that holds least for
-// its weight: the next in turn was crowded further, and stayed slow; a retry still goes by m. While one is
-// not over its share, the turn decides.
-func TestFirstSendGoesToTheLeastFilledOfFullServers(t *testing.T) {
+// If all servers have more than their share in flight, a first send goes to the one with the least for its
+// weight, and a retry still goes by m. Sends in turn would load a slow server further and keep it slow. If a
+// server is not over its share, the turn decides.
+func TestFirstSendGoesToTheLeastLoadedOfFullServers(t *testing.T) {
 	for _, c := range []struct {
 		holds [4]int
 		want  ServerID
 	}{
-		{[4]int{4, 3, 4, 4}, 2}, // all are over
-		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
+		{[4]int{4, 3, 4, 4}, 2}, // all are over their share
+		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not, and it is the turn of 3
 	} {
 		g := newHarness(t, baseConfig(), fleet(4)...)
 		for i, s := range g.b.servers.all {
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// What may follow the end of a first attempt, for each effect, group and result, within the
-// window and after it: another send, a refusal, a failure.
+// The end of a first attempt is followed by another send, a rejection or a failure as the rules allow, for each
+// effect, group and result, within the window and after it.
 func TestWhatMayFollowAnAttempt(t *testing.T) {
 	for _, class := range []int{safeClass, unsafeClass, cellClass, allClass, zoneClass} {
 		for _, res := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled} {
@@ -20,6 +20,7 @@
 	}
 }
 
+// followAttempt ends a first attempt with a result, within the window of its key or late, and checks the actions.
 func followAttempt(t *testing.T, class int, res Result, late bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
@@ -44,13 +45,13 @@
 	}
 	if !sent {
 		if has(acts, Reject) || !has(acts, Fail) { // a client's retry could run a second time
-			t.Fatalf("refused: %+v", acts)
+			t.Fatalf("rejected or not failed: %+v", acts)
 		}
 		return
 	}
 	a, b := g.b.servers.byID[first], g.b.servers.byID[second]
-	dirty := !res.NeverRan()
-	if a == b || dirty && class == cellClass && a.Cell != b.Cell || dirty && class == zoneClass && a.Zone != b.Zone {
+	mayHaveRun := !res.NeverRan()
+	if a == b || mayHaveRun && class == cellClass && a.Cell != b.Cell || mayHaveRun && class == zoneClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
 	}
 }
@@ -62,7 +63,7 @@
 		g.now = g.b.requests.byID[id].deadline
 		acts := g.handle(Timer{Token: uint64(id)})
 		if has(acts, Reject) || !has(acts, Fail) {
-			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
+			t.Errorf("class %d at its deadline with an attempt in flight: %+v", class, acts)
 		}
 	}
 }
@@ -75,8 +76,8 @@
 	}
 }
 
-// A key that may have run stays in its cell. When all servers there have been tried, waiting brings nothing: the client
-// gets its answer at once, and not at its deadline.
+// A keyed request that may have run stays in its cell. Once all servers there have been tried, waiting is of no use: the client
+// gets its answer at once, not at its deadline.
 func TestAllEligibleServersWereTried(t *testing.T) {
 	servers := fleet(4)
 	for i := range servers {
@@ -86,7 +87,7 @@
 	id, _ := g.request(cellClass)
 	g.now += 5
 	if acts := g.answer(id, 0, Reset, 5); !has(acts, Send) {
-		t.Fatalf("not repeated in its cell: %+v", acts)
+		t.Fatalf("not retried in its cell: %+v", acts)
 	}
 	g.now += 5
 	if acts := g.answer(id, 1, Reset, 5); !has(acts, Fail) || has(acts, Send) {
@@ -109,9 +110,9 @@
 
 func TestDrainingGetsNothingNew(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(2)...)
-	gone := fleet(1)[0]
-	gone.State = Draining
-	g.handle(ServerList{Kind: ListDelta, Servers: []Server{gone}})
+	draining := fleet(1)[0]
+	draining.State = Draining
+	g.handle(ServerList{Kind: ListDelta, Servers: []Server{draining}})
 	for range 20 {
 		id, acts := g.request(safeClass)
 		if s, _ := sentTo(acts); s != 2 {
@@ -119,8 +120,8 @@
 		}
 		g.answer(id, 0, OK, 10)
 	}
-	gone.State = Ready
-	g.handle(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
+	draining.State = Ready
+	g.handle(ServerList{Kind: ListFull, Servers: []Server{draining}}) // without the other server, which is thus removed
 	id, acts := g.request(safeClass)
 	if s, _ := sentTo(acts); s != 1 {
 		t.Fatalf("sent to %d of request %d", s, id)
@@ -137,24 +138,24 @@
 	}
 }
 
-// In overload an alarm came a rounding error before its time and was not set again, so that the
-// request got no answer at its deadline.
+// A timer that fires early by a rounding error is set again. Otherwise the request gets no answer at its deadline, which
+// happened in overload.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	id, _ := g.request(unsafeClass)
 	g.now = g.b.requests.byID[id].wakeAt - 1e-4
 	if acts := g.handle(Timer{Token: uint64(id)}); !has(acts, SetTimer) {
-		t.Fatalf("no timer after an early alarm: %+v", acts)
+		t.Fatalf("no timer after one that fired early: %+v", acts)
 	}
 }
 
-// A server in its slow start was overloaded when the budget followed the requests of clients, retries included; and by many
-// sidecars that each knew of few answers. Whatever their number, all together stay under the multiple.
+// All sidecars together stay below the overload multiple of a server in its slow start, whatever their number. Such a server was
+// overloaded when the budget followed the requests of clients, retries included, and by many sidecars with few answers each.
 func TestSlowStartBudgetHoldsForAllSidecars(t *testing.T) {
 	for _, c := range []struct{ sidecars, servers, perSecond int }{{4, 5, 150}, {40, 10, 15}, {300, 60, 2}} {
 		cfg := baseConfig()
 		cfg.SidecarCount = c.sidecars
-		toCold, later := 0, 0
+		toWarming, later := 0, 0
 		for n := range c.sidecars {
 			cfg.Seed, cfg.SidecarNumber = uint64(n+1), n
 			servers := fleet(c.servers)
@@ -170,29 +171,29 @@
 				if s, ok := sentTo(acts); !ok {
 					t.Fatal("nothing sent")
 				} else if s == 1 && restarted && g.now < start+4000 {
-					toCold++
+					toWarming++
 				} else if s == 1 && restarted {
 					later++
 				}
 				g.answer(id, 0, OK, 10)
 			}
 		}
-		// A warm server gets its part of the traffic; one that starts can do SlowStartFraction of that and a little
-		// more as it warms up, and breaks down at OverloadMultiple times what it can do.
+		// A warm server gets its share of the traffic. One that starts can handle SlowStartFraction of that and a little
+		// more as it warms up, and breaks down at OverloadMultiple times what it can handle.
 		limit := float64(c.sidecars*c.perSecond) / float64(c.servers) * cfg.OverloadMultiple * (cfg.SlowStartFraction + 0.05)
-		if later == 0 || float64(toCold) > limit {
-			t.Errorf("%+v: %d sends to a server in its first second, at most %.0f wanted; %d later", c, toCold, limit, later)
+		if later == 0 || float64(toWarming) > limit {
+			t.Errorf("%+v: %d sends to a server in its first second, want at most %.0f; %d later", c, toWarming, limit, later)
 		}
 	}
 }
 
-// A server that lost a connection, failed again and then answers has restarted, whatever the list says. One that took
-// no connection may not have: healthy servers with full tables were given a starting server's share. Nor has one that
-// lost a single connection: networks and servers end some at any time.
+// A server that lost a connection, failed again and then answers has restarted, whatever the list says. Failures to connect
+// alone do not show a restart: healthy servers with full connection tables got the share of a starting server. Nor does a
+// single lost connection, as networks and servers close some at any time.
 func TestAnAnswerAfterLostConnectionsBeginsASlowStart(t *testing.T) {
 	for _, c := range []struct {
-		ends []Result
-		cold bool
+		ends    []Result
+		warming bool
 	}{
 		{[]Result{Reset, ConnectFailed}, true}, {[]Result{Reset, Reset}, true}, {[]Result{Reset}, false},
 		{[]Result{ConnectFailed}, false}, {[]Result{ConnectFailed, ConnectFailed}, false},
@@ -202,21 +203,21 @@
 		for _, end := range c.ends {
 			id, _ := g.request(unsafeClass)
 			g.answer(id, 0, end, 150)
-			if rests := g.b.coolingDown(s); rests != (end == ConnectFailed) {
-				t.Errorf("%v: in a cooldown: %v", c.ends, rests)
+			if inCooldown := g.b.coolingDown(s); inCooldown != (end == ConnectFailed) {
+				t.Errorf("%v: in a cooldown: %v", c.ends, inCooldown)
 			}
 			g.now += 60000
 		}
 		id, _ := g.request(safeClass)
 		g.answer(id, 0, OK, 10)
-		if g.b.warmingUp(s) != c.cold {
-			t.Errorf("%v: warming up %v", c.ends, !c.cold)
+		if g.b.warmingUp(s) != c.warming {
+			t.Errorf("%v: warming up %v", c.ends, !c.warming)
 		}
 	}
 }
 
-// Once a streamed answer has begun the client owns it: no deadline, no repeat, no answer of ours.
-func TestStartedStreamIsLeftAlone(t *testing.T) {
+// Once a streamed answer has begun, the request has no deadline and gets no retry and no other answer.
+func TestStartedStreamIsNotRetried(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[safeClass].Stream = true
 	g := newHarness(t, cfg, fleet(3)...)
@@ -233,7 +234,7 @@
 	}
 }
 
-// Failed list calls keep the old list and are made again, ever later, within the limit.
+// After failed list calls the old list stays, and the calls are repeated with a growing backoff up to the limit.
 func TestListCallsBackOff(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
@@ -258,8 +259,8 @@
 	}
 }
 
-// Where lists are pushed, what the agent has counts as known to the sidecar: it subscribes again well within the grace
-// for drains, however often it has failed, and not without a pause.
+// Where lists are pushed, whatever the agent has counts as known to the sidecar. It subscribes again after a pause that is
+// well within the drain grace, however often calls have failed.
 func TestAFailedSubscriptionIsRetriedSoon(t *testing.T) {
 	for _, grace := range []float64{0, 250, 2500, 1e6} {
 		cfg := baseConfig()
@@ -278,8 +279,8 @@
 	}
 }
 
-// Answers assumed for small sidecars counted in the budget of starting servers too, and together
-// they overloaded one. A sidecar that has seen no answers may hardly send anything to such a server.
+// A sidecar that has seen no answers may send hardly anything to a server in its slow start. When the answers that are
+// assumed for small sidecars also counted in that budget, many such sidecars together overloaded a server.
 func TestAssumedAnswersGiveNoSlowStartBudget(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	entry := g.b.servers.all[0].Server
@@ -289,19 +290,20 @@
 	g.request(safeClass) // sets the weights
 	s := g.b.servers.all[0]
 	s.Tokens, s.TokensAt = 0, g.now-2000
-	if g.b.slowStartBudget(s); s.Tokens > 0.2 { // with ten assumed: 1
-		t.Fatalf("%.2f sends in two seconds", s.Tokens)
+	if g.b.slowStartBudget(s); s.Tokens > 0.2 { // with ten assumed answers: 1
+		t.Fatalf("%.2f tokens in two seconds without answers", s.Tokens)
 	}
-	g.b.traffic.answerRate.count(g.b, 400) // of two hundred answers a second it may have its part
+	g.b.traffic.answerRate.count(g.b, 400) // two hundred answers a second
 	s.Tokens, s.TokensAt = 0, g.now-2000
 	if g.b.slowStartBudget(s); s.Tokens < 0.5 {
-		t.Fatalf("%.2f sends in two seconds for a busy sidecar", s.Tokens)
+		t.Fatalf("%.2f tokens in two seconds for a busy sidecar", s.Tokens)
 	}
 }
 
-// All other servers failed, and every sidecar's retries went to the one that had just started, as it had no errors.
+// Retries keep the budget of a server in its slow start. When all other servers failed, the retries of all sidecars went to the
+// one that had just started, as it had no errors.
 func TestRetriesKeepTheSlowStartBudget(t *testing.T) {
-	toCold, limit := 0, 0.0
+	toWarming, limit := 0, 0.0
 	const sidecars, requests = 40, 20
 	for n := range sidecars {
 		cfg := baseConfig()
@@ -318,7 +320,7 @@
 					break
 				}
 				if s == 1 {
-					toCold++
+					toWarming++
 				}
 				g.now++
 				acts = g.answer(id, i, Failed, 1)
@@ -326,28 +328,28 @@
 			g.now += 50
 		}
 	}
-	// In this second a warm server's part of the requests is a fifth.
+	// In this second a warm server's share of the requests is a fifth.
 	limit = sidecars * requests / 5 * 2.5 * (0.2 + 0.05)
-	if float64(toCold) > limit {
-		t.Fatalf("%d sends to the starting server, at most %.0f wanted", toCold, limit)
+	if float64(toWarming) > limit {
+		t.Fatalf("%d sends to the starting server, want at most %.0f", toWarming, limit)
 	}
 }
 
-// A rejected client gets the time for its retry: later in overload, never past what clients obey, and not at all
-// where the settings do not allow it.
+// A rejected client is told when to retry: later in overload, never later than clients obey, and not at all if the settings do
+// not allow it.
 func TestRejectedClientsGetARetryTime(t *testing.T) {
 	for _, c := range []struct {
-		over, most float64
-		allowed    bool
-		want       float64
+		latencyExcess, maxRetryAfter float64
+		allowed                      bool
+		want                         float64
 	}{
 		{-0.3, 1000, true, 15}, {0.1, 1000, true, 30}, {1.2, 1000, true, 75}, {0.5, 20, true, 20}, {0.1, 0, true, 30}, {0.5, 1000, false, 0},
 	} {
 		cfg := baseConfig()
-		cfg.MaxRetryAfter, cfg.RetryAfter = c.most, c.allowed
+		cfg.MaxRetryAfter, cfg.RetryAfter = c.maxRetryAfter, c.allowed
 		g := newHarness(t, cfg, fleet(2)...)
 		_, _ = g.request(safeClass)
-		g.b.shedding.excess = c.over
+		g.b.shedding.excess = c.latencyExcess
 		g.b.actions = g.b.actions[:0]
 		for _, r := range g.b.requests.byID {
 			g.b.answerUnserved(r)
@@ -358,7 +360,7 @@
 			}
 		}
 		if !has(g.b.actions, Reject) {
-			t.Errorf("%+v: no refusal", c)
+			t.Errorf("%+v: not rejected", c)
 		}
 	}
 }
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -5,58 +5,58 @@
 	"sort"
 )
 
-// serverTable holds the servers that are listed.
+// serverTable holds the servers of the list.
 type serverTable struct {
 	all         []*server // in order of ID
 	ring        []*server // by ringPosition; see Balancer.subset
-	subset      []*server // what Balancer.subset returned last; its space is used again
+	subset      []*server // last result of Balancer.subset; the slice is reused
 	byID        map[ServerID]*server
 	totalWeight float64 // sum of the weights of the candidates at the last first send
 }
 
-// server is what this sidecar knows of one server.
+// server holds what this sidecar knows about one server.
 type server struct {
 	Server
-	ringPosition uint64  // place in this sidecar's order of servers, a hash
-	capacityLog  float64 // learned logarithm of capacity, beyond its kind's and zone's
+	ringPosition uint64  // position in this sidecar's order of servers, a hash
+	capacityLog  float64 // learned logarithm of capacity, in addition to its kind's and zone's
 	rotationState
 	HealthState
 	SlowStartState
 	loadState
 }
 
-// rotationState is a server's part in smooth weighted round robin. All but the current weight is set anew
-// at each pick.
+// rotationState is a server's state in smooth weighted round robin. All but the current weight is set anew at
+// each pick.
 type rotationState struct {
 	currentWeight float64
 	weight        float64 // 0: not a candidate
 	affinity      float64 // to the key of the request, in rotations; see keys.go
-	loadKnown     bool    // its load is known as well as that of any candidate
+	loadKnown     bool    // it has a fresh load report, or no candidate has one
 }
 
-// loadState is what is known of a server's present work.
+// loadState is the known load of a server.
 type loadState struct {
 	inFlight     int     // attempts of this sidecar
 	weightedLoad float64 // sum over them of 1 / latency target
 	probing      bool    // a probe is in flight
-	reported     float64 // requests in flight by its last load report
-	reportedAt   float64 // when that came; 0: there was none
+	reported     float64 // requests in flight according to its last load report
+	reportedAt   float64 // when that report arrived; 0: there was none
 	sentSince    float64 // sends of this sidecar since that report
 }
 
-// countAttempt counts an attempt that the server works on from now on (change 1) or no longer (-1).
+// countAttempt adds an attempt to the server's load (change 1) or removes it (-1).
 func (s *server) countAttempt(change int, r *request) {
 	s.inFlight += change
 	s.weightedLoad += float64(change) / r.class.LatencyTarget
 	s.sentSince += float64(max(0, change))
 }
 
-// resetHealth forgets a server's errors and cooldowns, after an answer or a restart.
+// resetHealth clears a server's errors and cooldowns, after an answer or a restart.
 func (s *server) resetHealth() {
 	s.HealthState = HealthState{LastErrorAt: s.LastErrorAt, AnsweredAt: s.AnsweredAt}
 }
 
-// markUnlistedRemoved marks as removed what a full list does not name.
+// markUnlistedRemoved marks the servers as removed that a complete list does not name.
 func (t *serverTable) markUnlistedRemoved(entries []Server) {
 	listed := make(map[ServerID]bool, len(entries))
 	for i := range entries {
@@ -69,7 +69,8 @@
 	}
 }
 
-// dropRemoved takes removed servers out of the table and sorts the others. Attempts in flight keep theirs.
+// dropRemoved deletes removed servers from the table and sorts the others. Attempts in flight still refer to
+// deleted servers.
 func (t *serverTable) dropRemoved() {
 	t.all = slices.DeleteFunc(t.all, func(s *server) bool {
 		if s.State == Removed {
@@ -82,8 +83,8 @@
 	sort.SliceStable(t.ring, func(i, j int) bool { return t.ring[i].ringPosition < t.ring[j].ringPosition })
 }
 
-// openLoad returns the weighted load at servers that had no cooldown since they last answered, and at the
-// others.
+// openLoad returns the sum of weightedLoad over the servers without a cooldown since their last answer, and
+// over the others.
 func (t *serverTable) openLoad() (healthy, suspect float64) {
 	for _, s := range t.all {
 		if s.CooldownUntil == 0 {
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Settings apart from the base configuration. Each run checks rules 1 to 3 as it goes.
+// Settings other than the base configuration; workload checks the first three rules of doc.go in each run.
 func TestOtherSettings(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
 		"one server":  func(_ *Config, n *int) { *n = 1 },
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
 			change(&cfg, &n)
-			w := newWorld(t, rand.New(rand.NewSource(7)), cfg)
+			w := newWorkload(t, rand.New(rand.NewSource(7)), cfg)
 			list := fleet(n)
 			for i := range list {
 				w.servers[list[i].ID], w.ready[list[i].ID] = &list[i], true
@@ -50,9 +50,9 @@
 					w.probes = w.probes[1:]
 					w.handle(ProbeResult{Server: s, LoadReport: []float32{1}})
 				}
-				sent += len(w.open[id].tries)
+				sent += len(w.open[id].attempts)
 				if id > 2 {
-					w.serve(id - 2)
+					w.answerOpenAttempt(id - 2)
 				}
 			}
 			for w.now += 1000; w.anyOpen() && len(w.timers) > 0; w.now += 1000 {
@@ -65,29 +65,29 @@
 	}
 }
 
-// serve answers what is out for a request, if anything is.
-func (w *world) serve(id RequestID) {
+// answerOpenAttempt answers the attempts of a request that are in flight.
+func (w *workload) answerOpenAttempt(id RequestID) {
 	o := w.open[id]
-	for i := range o.tries {
-		if a := &o.tries[i]; a.live {
+	for i := range o.attempts {
+		if a := &o.attempts[i]; a.live {
 			a.live, o.answered = false, true
-			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Latency: w.now - a.sent, Finished: true})
+			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Latency: w.now - a.sentAt, Finished: true})
 		}
 	}
 }
 
-// What has ended is forgotten: requests, servers that are gone, probes that are waited for.
-func TestMemoryStaysFlat(t *testing.T) {
+// The balancer keeps no requests that have ended, no removed servers and no probes that are over.
+func TestMemoryDoesNotGrow(t *testing.T) {
 	g := newHarness(t, probeConfig(), fleet(5)...)
 	for i := range 20000 {
 		g.actions = g.actions[:0]
 		g.now += 5
 		id, acts := g.request(safeClass)
-		acts = append(acts, g.probes(acts, 0, nil)...)
+		acts = append(acts, g.answerProbes(acts, 0, nil)...)
 		if _, ok := sentTo(acts); ok {
 			g.answer(id, 0, OK, 5)
 		}
-		if i%20 == 0 { // a rolling deploy: new names all the time
+		if i%20 == 0 { // a rolling deployment, in which all servers get new IDs
 			list := fleet(5)
 			for k := range list {
 				list[k].ID = ServerID(i + k + 1)
@@ -103,7 +103,7 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	for _, n := range []int{12, 100, 300, 1000} { // the figures count as ratios: with a subset they hardly grow
+	for _, n := range []int{12, 100, 300, 1000} { // to be compared with each other: with a subset the time hardly grows
 		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
 			cfg := baseConfig()
 			cfg.SidecarCount = 10 * n
--- a/balance/memory_test.go
+++ b/balance/snapshot_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// learnedHarness is a balancer that has served for some seconds, with a bad server, a slow one and one that warms up.
+// learnedHarness returns a balancer that has served for some seconds, with a failing server, a slow one and one that warms up.
 func learnedHarness(t *testing.T) *harness {
 	g := newHarness(t, baseConfig(), fleet(5)...)
 	for i := range 400 {
@@ -36,16 +36,16 @@
 	return g
 }
 
-// The next process goes on as the one before would have: the same choices for the same events, also after the memory went
-// through its text.
+// The next process continues as the previous one would have: it makes the same choices for the same events, also after the snapshot
+// was encoded and decoded.
 func TestRestoreContinues(t *testing.T) {
 	g := learnedHarness(t)
-	text, err := json.Marshal(g.b.Snapshot())
+	encoded, err := json.Marshal(g.b.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m Snapshot
-	if err := json.Unmarshal(text, &m); err != nil {
+	var snapshot Snapshot
+	if err := json.Unmarshal(encoded, &snapshot); err != nil {
 		t.Fatal(err)
 	}
 	list := fleet(5)
@@ -53,7 +53,7 @@
 	next := &harness{t: t, b: New(baseConfig()), now: g.now, next: g.next}
 	next.b.Start(next.now)
 	next.handle(ServerList{Kind: ListCached, Servers: list})
-	next.b.Restore(m)
+	next.b.Restore(snapshot)
 	if !reflect.DeepEqual(next.b.Snapshot(), g.b.Snapshot()) {
 		t.Errorf("%+v\n%+v", next.b.Snapshot(), g.b.Snapshot())
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// A server in its slow start has one budget: what the process before has used of it is used, and one that only it knows to have restarted
-// warms up for the next as well.
+// A server in its slow start has one budget over all processes: tokens that the previous process used stay used, and a server of whose
+// restart only that process knows is also warming up for the next one.
 func TestAServerInItsSlowStartHasOneBudget(t *testing.T) {
 	g := learnedHarness(t)
 	s := g.b.servers.byID[1]
@@ -91,7 +91,7 @@
 	}
 }
 
-// What does not fit is left out: a server that is not listed, more classes than there are.
+// Restore ignores servers that are not listed and classes that the process does not have.
 func TestASnapshotThatDoesNotFit(t *testing.T) {
 	g := learnedHarness(t)
 	cfg := baseConfig()
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// members returns the subset of sidecar n of peers over a fleet.
+// members returns the subset of servers that sidecar n of a number of peers uses.
 func members(t *testing.T, n, peers int, servers []Server) map[ServerID]bool {
 	t.Helper()
 	cfg := baseConfig()
@@ -17,8 +17,8 @@
 	return got
 }
 
-// A thousand sidecars that each used every server filled the servers' connection tables, and most
-// attempts got no connection.
+// Subsets are of the smallest size, use all servers evenly, and change little with the list. When each of a thousand sidecars
+// used every server, the servers' connection tables filled up and most attempts got no connection.
 func TestSubsetsAreSmallEvenAndStable(t *testing.T) {
 	const peers, servers = 800, 100
 	all, fewer := fleet(servers), fleet(servers)[:servers-1]
@@ -42,7 +42,7 @@
 			t.Errorf("server %d is used by %d sidecars, on average %.0f", id, n, mean)
 		}
 	}
-	// One of a hundred servers left: of five members about one moves at the edge of the window.
+	// Without one of the hundred servers, on average at most one member of a subset changes.
 	if len(users) != servers || changed > peers {
 		t.Errorf("%d servers used; %d members changed as one server left", len(users), changed)
 	}
@@ -51,13 +51,13 @@
 func TestFewSidecarsUseTheWholeFleet(t *testing.T) {
 	for _, peers := range []int{1, 3, connectionsPerServer} {
 		if got := members(t, 0, peers, fleet(60)); len(got) != 60 {
-			t.Errorf("of %d sidecars one uses %d servers of 60", peers, len(got))
+			t.Errorf("one of %d sidecars uses %d servers of 60", peers, len(got))
 		}
 	}
 }
 
-// A sidecar that turned hot must not overload the few servers of its subset.
-func TestBusySidecarSpreadsWider(t *testing.T) {
+// A sidecar whose traffic grows widens its subset, so as not to overload the few servers of it.
+func TestBusySidecarsWidenTheirSubset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.SidecarCount = 1000
 	g := newHarness(t, cfg, fleet(100)...)
@@ -69,11 +69,11 @@
 		g.now += 4
 	}
 	if n := len(g.b.subset()); n < 40 {
-		t.Fatalf("250 requests a second go over %d servers of 100", n)
+		t.Fatalf("250 requests a second are spread over %d servers of 100", n)
 	}
 }
 
-// Most of a subset failed at once, and its sidecar had nobody left to send to.
+// Members in a cooldown widen the subset. Otherwise a sidecar has no server left when most of its subset fails at once.
 func TestFailedMembersWidenTheSubset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.SidecarCount = 1000
@@ -92,8 +92,8 @@
 	}
 }
 
-// A keyed request that may have run could go nowhere, as no other member of the subset was of its cell.
-func TestAKeyBoundToACellSeesTheWholeFleet(t *testing.T) {
+// A keyed request that may have run is retried outside the subset if no other member of the subset is in its cell.
+func TestAKeyedRequestInItsCellMayLeaveTheSubset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.SidecarCount = 1000
 	for n := range 20 {
