--- a/internal/sidecar/wire/decode.go
+++ b/internal/sidecar/wire/decode.go
@@ -1,7 +1,7 @@
-// Package wire translates the simulator's binary frames and the settings to the types of package balance and back. It takes no
-// decisions. A frame from the simulator is a header (number of records, size, clock) and records, each an event for one instance
-// of the module; it is answered by one frame of actions, a Reply. All numbers are big-endian. A Reader and a Reply are used by one
-// goroutine each.
+// Package wire translates the simulator's binary frames and the settings to types of package balance, and actions to frames. It makes
+// no decisions. A frame from the simulator has a header (number of records, size, clock) and records, each an event for one instance
+// of the balancer. It is answered by one frame of actions, a Reply. All numbers are big-endian. A Reader or a Reply is used by one
+// goroutine at a time.
 package wire
 
 import (
@@ -14,7 +14,7 @@
 	"petrelhook/balance"
 )
 
-// Codes of events. The table of servers is no event: a later list refers to it.
+// Codes of records. All but the server table are events; later lists refer to a table.
 const (
 	eventServerTable     = 1000
 	eventRequest         = 1010
@@ -31,8 +31,8 @@
 
 const (
 	headerSize = 16
-	entrySize  = 23      // of a server in a table
-	maxFrame   = 1 << 28 // bytes; far above any batch of the simulator
+	entrySize  = 23      // bytes of a server in a table
+	maxFrame   = 1 << 28 // bytes; far above any frame of the simulator
 	maxTables  = 16
 
 	// Flags of a request.
@@ -52,7 +52,7 @@
 	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Cancelled, 9: balance.NotSent,
 }
 
-// InstanceStarted starts an instance; Settings is the raw profile for ParseSettings.
+// InstanceStarted starts an instance. Settings is the JSON profile for ParseSettings; Reader.Read limits how long it is valid.
 type InstanceStarted struct {
 	Seed     uint64
 	Settings []byte
@@ -67,42 +67,42 @@
 	Event    any
 }
 
-// Reader reads frames. Server tables are kept across frames.
+// Reader reads frames. It keeps server tables across frames.
 type Reader struct {
 	input  io.Reader
-	frame  bytes.Buffer
+	frame  bytes.Buffer // the current frame without its header
 	tables [maxTables][]balance.Server
-	sent   [maxTables]bool
-	report []float32
+	sent   [maxTables]bool // which tables were received
+	report []float32       // the last load report; the slice is reused
 }
 
-// NewReader returns a reader of the frames of in, which should be buffered.
+// NewReader returns a reader of the frames from in, which should be buffered.
 func NewReader(in io.Reader) *Reader { return &Reader{input: in} }
 
-// Read hands the events of the next frame to handle, in order, with the frame's clock in milliseconds. It returns io.EOF itself at an
-// end of input between frames. Any other error is one of handle, or means that the frame is malformed or cut short: it says at which
-// byte, and nothing after it can be read. Slices in events are valid during the call only.
+// Read calls handle for each event of the next frame, in order, with the frame's clock in milliseconds. It returns io.EOF itself at an
+// end of input between frames. Any other error comes from handle, or means that the frame is malformed or truncated; it says at which
+// byte if a record is the cause, and nothing can be read after it. Slices in events are valid only until handle returns.
 func (r *Reader) Read(handle func(clock float64, rec Record) error) error {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r.input, header[:]); err != nil {
 		if err == io.EOF {
 			return io.EOF
 		}
-		return fmt.Errorf("frame header cut short: %w", err)
+		return fmt.Errorf("truncated frame header: %w", err)
 	}
 	count := binary.BigEndian.Uint32(header[0:])
 	size := binary.BigEndian.Uint32(header[4:])
 	clock := math.Float64frombits(binary.BigEndian.Uint64(header[8:]))
 	if size < headerSize || size > maxFrame {
-		return fmt.Errorf("frame length %d: want %d to %d", size, headerSize, maxFrame)
+		return fmt.Errorf("frame length %d: want %d to %d bytes", size, headerSize, maxFrame)
 	}
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return fmt.Errorf("frame clock is %v", clock)
+		return fmt.Errorf("frame clock is %v, want a finite number", clock)
 	}
 	r.frame.Reset()
 	// The buffer grows with what arrives, not with what the header claims.
 	if n, err := io.CopyN(&r.frame, r.input, int64(size-headerSize)); err != nil {
-		return fmt.Errorf("frame of %d bytes cut short after %d: %w", size, n+headerSize, err)
+		return fmt.Errorf("frame of %d bytes truncated after %d: %w", size, n+headerSize, err)
 	}
 	fields := frameFields{data: r.frame.Bytes()}
 	for i := uint32(0); i < count; i++ {
@@ -124,17 +124,17 @@
 	return nil
 }
 
-// readRecord reads the next record. The Event of a server table is nil: it is kept for later lists.
+// readRecord reads the next record. A server table is kept for later lists and has a nil Event.
 func (r *Reader) readRecord(f *frameFields) (Record, error) {
-	code, first := f.u16(), f.u16()
+	code, instanceOrTable := f.u16(), f.u16()
 	if f.truncated {
 		return Record{}, errTruncated
 	}
-	rec := Record{Instance: first}
+	rec := Record{Instance: instanceOrTable}
 	var err error
 	switch code {
 	case eventServerTable:
-		err = r.readServerTable(f, first)
+		err = r.readServerTable(f, instanceOrTable)
 	case eventInstanceStarted:
 		seed := f.u64()
 		rec.Event = InstanceStarted{Seed: seed, Settings: f.bytes(f.u32())}
@@ -171,7 +171,7 @@
 	return rec, nil
 }
 
-// readServerTable reads a table of servers and keeps it under its number, for the lists that refer to it.
+// readServerTable reads a table of servers and keeps it under its number for later lists.
 func (r *Reader) readServerTable(f *frameFields, table uint16) error {
 	if table >= maxTables {
 		return fmt.Errorf("server table %d: want 0 to %d", table, maxTables-1)
@@ -187,7 +187,7 @@
 		code := f.u8()
 		state, ok := serverStatesByCode[code]
 		if !ok {
-			return fmt.Errorf("entry %d: unknown condition %d", i, code)
+			return fmt.Errorf("entry %d: unknown server state %d", i, code)
 		}
 		s.State = state
 		s.ID = f.server()
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// readServerList reads a list, which refers to a table that was sent before.
+// readServerList reads a list, which refers to an earlier table unless it is a ListFailed.
 func (r *Reader) readServerList(f *frameFields) (any, error) {
 	code, _, table := f.u8(), f.u32(), f.u16()
 	if f.truncated {
@@ -247,16 +247,16 @@
 	return ev, err
 }
 
-// resultOf translates the code of a result. Of a record that was cut short the code means nothing, and that is the error.
+// resultOf translates the code of a result. It reports no error for a truncated record, whose code has no meaning; readRecord does.
 func resultOf(code uint16, f *frameFields) (balance.Result, error) {
-	res, ok := resultsByCode[code]
+	result, ok := resultsByCode[code]
 	if !ok && !f.truncated {
 		return 0, fmt.Errorf("unknown result %d", code)
 	}
-	return res, nil
+	return result, nil
 }
 
-// readLoadReport reads the numbers of a load report; the slice is used again by the next one.
+// readLoadReport reads the numbers of a load report. The next call reuses the slice.
 func (r *Reader) readLoadReport(f *frameFields) []float32 {
 	r.report = r.report[:0]
 	for n := f.u8(); n > 0; n-- {
--- a/internal/sidecar/wire/encode.go
+++ b/internal/sidecar/wire/encode.go
@@ -25,14 +25,14 @@
 )
 
 const (
-	allPeers    = 0xffffffff // as the receiver of a message
-	maxTextSize = 0xffff     // bytes; longer text is cut
+	allPeers    = 0xffffffff // the receiver of a message to all peers
+	maxTextSize = 0xffff     // bytes; longer text is truncated
 )
 
-// Reply collects the actions that answer one frame. Reset begins it; its first four bytes are its size.
+// Reply collects the actions that answer one frame. Reset must be called before each use. The first four bytes hold the size.
 type Reply struct{ buf []byte }
 
-// Reset empties the reply.
+// Reset empties the reply and makes room for its size.
 func (r *Reply) Reset() { r.buf = append(r.buf[:0], 0, 0, 0, 0) }
 
 // WriteTo writes the reply as one frame. It implements io.WriterTo.
@@ -42,20 +42,21 @@
 	return int64(n), err
 }
 
-// Add appends the actions of one instance.
+// Add appends the actions of one instance. It does not keep the slice.
 func (r *Reply) Add(instance uint16, actions []balance.Action) {
 	for i := range actions {
 		r.add(instance, &actions[i])
 	}
 }
 
-// Fault reports that an instance could not handle an event: its settings are wrong, the event is impossible, or it panicked.
+// Fault appends a report that an instance could not handle an event: its settings are invalid, the event is impossible, or the
+// instance panicked.
 func (r *Reply) Fault(instance uint16, text string) {
 	r.header(actionFault, instance)
 	r.text([]byte(text))
 }
 
-// add appends one action. An action of an unknown kind is left out.
+// add appends one action. It ignores actions of unknown kinds.
 func (r *Reply) add(instance uint16, a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
@@ -111,13 +112,13 @@
 func (r *Reply) u64(v uint64)  { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
-// server appends an ID as four bytes of address and a port; see frameFields.server.
+// server appends an ID as a four-byte address and a port; see frameFields.server.
 func (r *Reply) server(id balance.ServerID) {
 	r.buf = binary.BigEndian.AppendUint32(r.buf, uint32(id>>16))
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(id))
 }
 
-// text appends a text with its length before it, cut to maxTextSize.
+// text appends the length of a text and the text, truncated to maxTextSize.
 func (r *Reply) text(b []byte) {
 	if len(b) > maxTextSize {
 		b = b[:maxTextSize]
--- a/internal/sidecar/wire/fields.go
+++ b/internal/sidecar/wire/fields.go
@@ -8,17 +8,17 @@
 	"petrelhook/balance"
 )
 
-// errTruncated is the error of a record that is longer than the rest of its frame.
+// errTruncated is the error for a record that is longer than the rest of its frame.
 var errTruncated = errors.New("record runs past the end of the frame")
 
-// frameFields takes values off a frame. A read past the end sets truncated and gives zero.
+// frameFields reads values from a frame. A read past the end sets truncated and returns zero.
 type frameFields struct {
 	data      []byte
 	pos       int
 	truncated bool
 }
 
-// bytes returns the next n bytes; they are part of the frame.
+// bytes returns the next n bytes as a slice of the frame.
 func (f *frameFields) bytes(n uint32) []byte {
 	if uint64(n) > uint64(len(f.data)-f.pos) {
 		f.truncated, f.pos = true, len(f.data)
@@ -56,7 +56,7 @@
 	return 0
 }
 
-// f64 reads a number; one that is not finite counts as absent, as in f32.
+// f64 reads a number. Like f32, it returns 0 for NaN and infinities.
 func (f *frameFields) f64() float64 {
 	v := math.Float64frombits(f.u64())
 	if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -73,7 +73,7 @@
 	return v
 }
 
-// server reads four bytes of address and a port as an ID.
+// server reads an ID, sent as a four-byte address and a port.
 func (f *frameFields) server() balance.ServerID {
 	host := f.u32()
 	return balance.ServerID(uint64(host)<<16 | uint64(f.u16()))
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -8,8 +8,8 @@
 	"petrelhook/balance"
 )
 
-// settings is the JSON form of the profile. Keys that are not here are skipped: the platform adds some from time to time. The
-// type's name is in texts of encoding/json.
+// settings is the JSON form of the profile. Unknown keys are ignored, as the platform adds some from time to time. The type's name
+// appears in error messages of encoding/json.
 type settings struct {
 	Classes []struct {
 		Name                 string   `json:"name"`
@@ -63,7 +63,7 @@
 		OverloadTime      float64  `json:"fall_ms"`
 		OverloadMultiple  float64  `json:"fall_multiple"`
 	} `json:"rules"`
-	Goal struct { // in the order of balance.Goal, to which it converts; so do the penalties
+	Goal struct { // the fields match balance.Goal, so that the type converts to it; likewise Penalties
 		Overall     float64 `json:"whole"`
 		WorstWindow float64 `json:"worst_window"`
 		WorstClass  float64 `json:"worst_class"`
@@ -97,9 +97,9 @@
 	"lat_ms": balance.FieldLatency, "rate": balance.FieldRate, "fail_rate": balance.FieldErrorRate,
 }
 
-// FieldError is a setting that has an impossible value.
+// FieldError is the error for a setting with an invalid value.
 type FieldError struct {
-	Field   string // as classes[2].effect
+	Field   string // path of the setting, such as classes[2].effect
 	Problem string
 	Remedy  string // what to write instead
 }
@@ -108,7 +108,8 @@
 	return fmt.Sprintf("settings: %s: %s; %s", e.Field, e.Problem, e.Remedy)
 }
 
-// oneOf returns what a name stands for among those that a field may hold; kind says what it names, and remedy lists the names.
+// oneOf returns the value of a name in valuesByName. An unknown name is a FieldError for the field, in which kind says what is named
+// and remedy lists the valid names.
 func oneOf[T any](field, kind, name string, valuesByName map[string]T, remedy string) (T, error) {
 	v, ok := valuesByName[name]
 	if !ok {
@@ -117,16 +118,15 @@
 	return v, nil
 }
 
-// Profile is the settings in full: those of the module, and what only a sidecar on sockets needs: the names that positions in the
-// module stand for, and how long servers keep an idle connection.
+// Profile holds all settings: those of the balancer, and those that only a sidecar with real connections needs.
 type Profile struct {
 	Config                                 balance.Config
-	Classes, Tenants, Zones, Kinds, Fields []string
-	ConnectionIdleTime                     float64 // ms; 0: not given
+	Classes, Tenants, Zones, Kinds, Fields []string // names, by the numbers that balance uses for them
+	ConnectionIdleTime                     float64  // how long servers keep an idle connection, in ms; 0: not given
 }
 
-// ParseProfile reads the settings for a sidecar on sockets. An impossible value is a *FieldError; text that is no JSON of the
-// right types is an error of encoding/json, wrapped.
+// ParseProfile parses the settings of a sidecar with real connections. An invalid value is a *FieldError; malformed JSON and values of
+// a wrong type are errors of encoding/json, wrapped.
 func ParseProfile(seed uint64, profile []byte) (Profile, error) {
 	var s settings
 	if err := json.Unmarshal(profile, &s); err != nil {
@@ -145,13 +145,13 @@
 	return p, err
 }
 
-// ParseSettings reads the profile of an InstanceStarted. Its errors are those of ParseProfile.
+// ParseSettings parses the profile of an InstanceStarted. Its errors are those of ParseProfile.
 func ParseSettings(seed uint64, profile []byte) (balance.Config, error) {
 	p, err := ParseProfile(seed, profile)
 	return p.Config, err
 }
 
-// config converts the settings; names of load report fields that are not known become balance.FieldUnknown.
+// config converts the settings to those of the balancer. Unknown names of load report fields become balance.FieldUnknown.
 func (s *settings) config(seed uint64) (balance.Config, error) {
 	cfg := balance.Config{
 		Seed: seed, SidecarNumber: s.SidecarNumber, SidecarCount: max(s.SidecarCount, 1), Zone: s.Zone,
@@ -187,7 +187,7 @@
 	return cfg, s.addClasses(&cfg)
 }
 
-// addClasses checks the classes and appends them.
+// addClasses checks the classes and appends them to the settings of the balancer.
 func (s *settings) addClasses(cfg *balance.Config) error {
 	if len(s.Classes) == 0 {
 		return &FieldError{"classes", "missing", "list one class at least"}
@@ -223,7 +223,7 @@
 	return nil
 }
 
-// valueOr returns what a setting holds, or the default where it is left out.
+// valueOr returns the value of a setting, or the default if the setting is missing.
 func valueOr[T any](setting *T, byDefault T) T {
 	if setting == nil {
 		return byDefault
--- a/internal/sidecar/wire/wire_test.go
+++ b/internal/sidecar/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"petrelhook/balance"
 )
 
-// unhex joins hex text with spaces and line breaks.
+// unhex decodes hex text, in which it ignores spaces and line breaks.
 func unhex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -21,6 +21,7 @@
 	return b
 }
 
+// readAll reads all frames, and returns their records and the clock of the last one.
 func readAll(r *Reader) ([]Record, float64, error) {
 	var recs []Record
 	var at float64
@@ -113,13 +114,13 @@
 
 func TestMalformedFramesAreErrors(t *testing.T) {
 	for name, frame := range map[string]string{
-		"header cut short":     "00000000 0000",
-		"length under header":  "00000000 0000000f 40c06e2000000000",
+		"truncated header":     "00000000 0000",
+		"length below header":  "00000000 0000000f 40c06e2000000000",
 		"length past the end":  "00000001 00000050 40c06e2000000000 03fc",
 		"huge length":          "00000001 ffffffff 40c06e2000000000",
 		"clock not a number":   "00000000 00000010 7ff8000000000000",
 		"unknown code":         "00000001 00000014 40c06e2000000000 ffff 0003",
-		"record cut short":     "00000001 00000016 40c06e2000000000 03fc 0003 0000",
+		"truncated record":     "00000001 00000016 40c06e2000000000 03fc 0003 0000",
 		"bytes left over":      "00000000 00000012 40c06e2000000000 0000",
 		"count past the end":   "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff",
 		"settings past end":    "00000001 00000020 40c06e2000000000 042e 0000 0000000000000001 7fffffff",
@@ -162,7 +163,7 @@
 	}
 	second := cfg.Classes[1]
 	if second.Effect != balance.Keyed || second.Group != balance.GroupCell || second.LatencyTarget != 600 || second.Value != 1 {
-		t.Errorf("a class with keys left out: %+v", second)
+		t.Errorf("a class with missing keys: %+v", second)
 	}
 	if cfg.Reports != balance.ReportProbe || len(cfg.Fields) != 3 || cfg.Fields[1] != balance.FieldUnknown {
 		t.Errorf("reports %v %v", cfg.Reports, cfg.Fields)
@@ -193,7 +194,7 @@
 	})
 }
 
-// Whatever the profile, it is an error or gives settings that a balancer can start with.
+// Any profile is either an error or gives settings with which a balancer can start.
 func FuzzSettings(f *testing.F) {
 	for _, profile := range []string{
 		`{"classes": [{"effect": "read_like", "hard_limit_ms": 1500}]}`,
@@ -230,7 +231,8 @@
 	})
 }
 
-// A sidecar on sockets has the names behind the positions, and must not keep connections longer than servers do.
+// A profile has the names of classes, tenants, zones, kinds and fields, and the time for which servers keep idle connections, as a
+// sidecar must not keep them longer.
 func TestProfileKeepsTheNames(t *testing.T) {
 	p, err := ParseProfile(9, []byte(`{"classes": [{"name": "look", "effect": "read_like", "hard_limit_ms": 300}],
 		"tenants": [{"name": "acme"}], "zones": ["a", "b"], "kinds": ["m1"], "report": {"via": "piggyback", "fields": ["busy", "new"]},
