--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,7 +1,7 @@
-// Command adapter runs instances of the decision module (package balance) for the simulator: frames of events are read from standard
-// input, and each is answered by one frame of actions on standard output (package wire). It ends with exit code 0 at an end of
-// input between two frames, and with 1 and a message on standard error if a frame cannot be read or names an instance that was
-// not started. What goes wrong within one instance is a fault in the reply; the others go on.
+// Command adapter runs instances of the decision module (package balance) for the simulator. It reads frames of events from standard
+// input and answers each with one frame of actions on standard output (package wire). It exits with code 0 at an end of input
+// between two frames, and with code 1 and a message on standard error if a frame cannot be read or names an instance that was not
+// started. An error within one instance is reported as a fault in the reply, and the other instances continue.
 package main
 
 import (
@@ -41,13 +41,13 @@
 	}
 }
 
-// host has the instances of this process; they share no state.
+// host holds the instances of this process, which share no state, and the reply to the current frame.
 type host struct {
-	instances map[uint16]*balance.Balancer // nil: its settings could not be read
+	instances map[uint16]*balance.Balancer // nil: the instance's settings are invalid
 	reply     wire.Reply
 }
 
-// handle passes one event to its instance and adds the actions to the reply. An error ends the adapter.
+// handle passes one event to its instance and adds the actions to the reply. A panic is a fault in the reply; an error ends the adapter.
 func (h *host) handle(clock float64, record wire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// start starts an instance. Where its settings cannot be read, that is its only answer.
+// start starts an instance. Invalid settings are a fault in the reply, and the instance's events are ignored.
 func (h *host) start(clock float64, instance uint16, ev wire.InstanceStarted) {
 	cfg, err := wire.ParseSettings(ev.Seed, ev.Settings)
 	if err != nil {
-		h.instances[instance] = nil // its further events are ignored
+		h.instances[instance] = nil // handleEvent ignores its further events
 		h.reply.Fault(instance, err.Error())
 		return
 	}
@@ -78,11 +78,11 @@
 	h.reply.Add(instance, balancer.Start(clock))
 }
 
-// handleEvent passes an event to an instance that was started. An event that is impossible for the instance is a fault in the reply.
+// handleEvent passes an event to its instance. An impossible event is a fault in the reply; an instance that was not started is an error.
 func (h *host) handleEvent(clock float64, instance uint16, ev balance.Event) error {
 	balancer, started := h.instances[instance]
 	if !started {
-		return fmt.Errorf("event for instance %d, which has not begun", instance)
+		return fmt.Errorf("event for instance %d, which is not running", instance)
 	}
 	if balancer == nil {
 		return nil
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// script builds frames for the adapter.
+// script builds the input of the adapter.
 type script struct{ bytes.Buffer }
 
 func (s *script) frame(clock float64, records ...[]byte) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// record packs its fields big-endian.
+// record encodes its fields in big-endian order.
 func record(fields ...any) []byte {
 	var b bytes.Buffer
 	for _, f := range fields {
@@ -64,7 +64,7 @@
 	return out.Bytes()
 }
 
-// sends counts the records of code 1000 in replies whose records are sends and timers only.
+// sends counts the sends (code 1000) of each instance in replies that contain only sends and timers.
 func sends(t *testing.T, replies []byte) map[uint16]int {
 	t.Helper()
 	n := map[uint16]int{}
@@ -101,19 +101,19 @@
 		}
 		return mustRun(t, s)
 	}
-	together := play(1, 2, 3)
+	joint := play(1, 2, 3)
 	for _, i := range []uint16{1, 2, 3} {
-		apart := play(i)
-		if n, m := sends(t, together)[i], sends(t, apart)[i]; n != 60 || m != 60 {
-			t.Fatalf("instance %d sent %d together, %d alone", i, n, m)
+		separate := play(i)
+		if n, alone := sends(t, joint)[i], sends(t, separate)[i]; n != 60 || alone != 60 {
+			t.Fatalf("instance %d sent %d together, %d alone", i, n, alone)
 		}
-		if !bytes.Equal(actionsOf(together, i), actionsOf(apart, i)) {
-			t.Fatalf("instance %d acts differently in one process and in three", i)
+		if !bytes.Equal(actionsOf(joint, i), actionsOf(separate, i)) {
+			t.Fatalf("instance %d acts differently in one process with others and alone", i)
 		}
 	}
 }
 
-// actionsOf picks one instance's sends and timers out of replies.
+// actionsOf returns the bytes of one instance's sends and timers in replies.
 func actionsOf(replies []byte, instance uint16) []byte {
 	var out []byte
 	for len(replies) > 0 {
@@ -137,9 +137,9 @@
 	s := &script{}
 	s.frame(1000, startInstance(1, 7, settings), serverTable(3), cachedList(1), request(1, 5),
 		record(uint16(1060), uint16(1)), startInstance(1, 8, settings), cachedList(1), request(1, 6))
-	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the instance before: ignored
+	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the killed instance, which is ignored
 	if n := sends(t, mustRun(t, s)); n[1] != 2 {
-		t.Fatalf("%d sends, want one of each instance", n[1])
+		t.Fatalf("%d sends, want one before and one after the restart", n[1])
 	}
 }
 
@@ -155,9 +155,9 @@
 func TestWrongInputEndsTheAdapter(t *testing.T) {
 	notStarted := &script{}
 	notStarted.frame(1000, request(4, 1))
-	short := &script{}
-	short.frame(math.Inf(1))
-	for name, s := range map[string]*script{"instance not started": notStarted, "clock": short} {
+	infiniteClock := &script{}
+	infiniteClock.frame(math.Inf(1))
+	for name, s := range map[string]*script{"instance not started": notStarted, "clock": infiniteClock} {
 		var out bytes.Buffer
 		if err := run(&s.Buffer, &out); err == nil || out.Len() > 0 {
 			t.Errorf("%s: error %v, %d bytes of reply", name, err, out.Len())
@@ -165,7 +165,7 @@
 	}
 }
 
-// Frames that cannot be read end the adapter with an error and without a reply; an end of input is a clean end.
+// Unreadable frames end the adapter with an error and without a reply. An end of input between frames is no error.
 func TestUnreadableFramesEndTheAdapter(t *testing.T) {
 	complete := &script{}
 	complete.frame(1000, startInstance(1, 7, settings), serverTable(3), cachedList(1))
@@ -174,10 +174,10 @@
 	binary.BigEndian.PutUint32(long[4:], 1<<31)
 	unknown := &script{}
 	unknown.frame(1000, record(uint16(77), uint16(1)))
-	count := &script{}
-	count.frame(1000, record(uint16(1000), uint16(0), uint32(math.MaxUint32)))
+	countPastFrame := &script{}
+	countPastFrame.frame(1000, record(uint16(1000), uint16(0), uint32(math.MaxUint32)))
 	for name, in := range map[string][]byte{
-		"cut short": cut, "over-long": long, "unknown code": unknown.Bytes(), "count past the frame": count.Bytes(),
+		"cut short": cut, "over-long": long, "unknown code": unknown.Bytes(), "count past the frame": countPastFrame.Bytes(),
 	} {
 		var out bytes.Buffer
 		if err := run(bytes.NewReader(in), &out); err == nil || out.Len() > 0 {
@@ -190,7 +190,7 @@
 	}
 }
 
-// Settings that cannot be read are a fault of one instance; the others of the process go on.
+// Invalid settings are a fault of one instance; the other instances of the process continue.
 func TestUnusableSettingsLeaveOtherInstancesAlone(t *testing.T) {
 	s := &script{}
 	s.frame(1000, startInstance(1, 7, `{"classes": 5}`), startInstance(2, 7, settings), serverTable(2), cachedList(1), cachedList(2), request(1, 5), request(2, 6))
@@ -198,8 +198,8 @@
 	if binary.BigEndian.Uint16(out[4:]) != 1090 || binary.BigEndian.Uint16(out[6:]) != 1 {
 		t.Fatalf("no fault of instance 1: %x", out)
 	}
-	text := int(binary.BigEndian.Uint16(out[8:]))
-	rest := append(binary.BigEndian.AppendUint32(nil, uint32(len(out)-6-text)), out[10+text:]...)
+	textLength := int(binary.BigEndian.Uint16(out[8:]))
+	rest := append(binary.BigEndian.AppendUint32(nil, uint32(len(out)-6-textLength)), out[10+textLength:]...)
 	if n := sends(t, rest); n[2] != 1 || n[1] != 0 {
 		t.Fatalf("sends %v", n)
 	}
