--- a/balance/api.go
+++ b/balance/api.go
@@ -1,7 +1,7 @@
 package balance
 
-// This file declares the interface of the module: events go in, actions come out. It makes no decisions. The settings are in config.go;
-// the state that one process hands to the next is in snapshot.go.
+// This file declares the interface of the module: events go in, actions come out. It makes no decisions. The settings are in
+// config.go; the state that one process hands to the next is in snapshot.go.
 //
 // All times, durations and latencies are in milliseconds; points in time are on the caller's clock. The caller must:
 //
@@ -12,11 +12,12 @@
 //
 // The balancer keeps no slice of an event. The returned actions are valid until the next call.
 
-// ServerID identifies a server and has no other meaning. The caller chooses it, and all sidecars must use the same ID for a server: key
-// affinity and the ring of servers are computed from it.
+// ServerID identifies a server and has no other meaning. The caller chooses it, and all sidecars must use the same ID for a
+// server: key affinity and the ring of servers are computed from it.
 type ServerID uint64
 
-// RequestID identifies a request until its last attempt has ended. It is below 2^52. A client's retry is another request with its own ID.
+// RequestID identifies a request until its last attempt has ended. It is below 2^52. A client's retry is another request with its
+// own ID.
 type RequestID uint64
 
 // ServerState is the state of a server as discovery reports it.
@@ -109,8 +110,8 @@
 	LoadReport   []float32 // in the order of Config.Fields; empty: none
 }
 
-// BodySent says that the last byte of a request with BodyOpen was sent. Only now can the server begin its work, so the time limits of the
-// request and of its attempt begin.
+// BodySent says that the last byte of a request with BodyOpen was sent. Only now can the server begin its work, so the time
+// limits of the request and of its attempt begin.
 type BodySent struct {
 	Request RequestID
 	Attempt int
--- a/balance/conversation_test.go
+++ b/balance/conversation_test.go
@@ -298,9 +298,9 @@
 		t := c.timers[0]
 		c.timers = c.timers[1:]
 		c.now = math.Max(c.now, t.at)
-		var said strings.Builder
-		c.handle(Timer{Token: t.token}, &said)
-		for _, line := range strings.Split(strings.TrimSpace(said.String()), "\n") {
+		var output strings.Builder
+		c.handle(Timer{Token: t.token}, &output)
+		for _, line := range strings.Split(strings.TrimSpace(output.String()), "\n") {
 			if line != "" {
 				fmt.Fprintf(out, "after %.0f ms: %s\n", c.now-start, line)
 			}
@@ -331,20 +331,20 @@
 		if arrival {
 			at = start + float64(i)*every
 		}
-		var said strings.Builder
-		c.wait(math.Min(at, c.now+every)-c.now, &said)
+		var output strings.Builder
+		c.wait(math.Min(at, c.now+every)-c.now, &output)
 		switch {
 		case c.now < at: // a request that waited may have been sent meanwhile
 		case arrival:
 			i++
 			c.lastBusyID++
-			c.handle(Request{ID: c.lastBusyID, Class: class, Tenant: -1, Remaining: c.b.cfg.Classes[class].Deadline, Key: uint64(argumentNumber(d, "key", 0))}, &said)
+			c.handle(Request{ID: c.lastBusyID, Class: class, Tenant: -1, Remaining: c.b.cfg.Classes[class].Deadline, Key: uint64(argumentNumber(d, "key", 0))}, &output)
 		default:
 			var request RequestID
 			var attempt int
 			fmt.Sscanf(ending, "%d.%d", &request, &attempt)
 			tally["by "+c.name(c.sent[request][attempt])]++
-			c.end(request, attempt, OK, &said)
+			c.end(request, attempt, OK, &output)
 			left--
 		}
 		for id := first; id <= c.lastBusyID; id++ {
--- a/balance/failures_test.go
+++ b/balance/failures_test.go
@@ -12,8 +12,8 @@
 	return cfg
 }
 
-// answerProbes answers the probes among acts: servers in unreachable time out, the others report n requests in flight. It returns the
-// actions that follow.
+// answerProbes answers the probes among acts: servers in unreachable time out, the others report n requests in flight. It returns
+// the actions that follow.
 func (g *harness) answerProbes(acts []Action, n float32, unreachable map[ServerID]bool) []Action {
 	var after []Action
 	for _, a := range acts {
@@ -206,8 +206,8 @@
 	g.b.latencies.recent = 1
 }
 
-// rejectedFractions hands in 4000 requests, drawn from turns of (class, tenant), while 0.4 of the work is to be shed. It returns the
-// rejected fraction of each class and of each tenant.
+// rejectedFractions hands in 4000 requests, drawn from turns of (class, tenant), while 0.4 of the work is to be shed. It returns
+// the rejected fraction of each class and of each tenant.
 func rejectedFractions(t *testing.T, cfg Config, turns ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
 	g := newHarness(t, cfg, fleet(4)...)
@@ -235,9 +235,9 @@
 	return byClass, byTenant
 }
 
-// The shed fraction follows the load at once, between nothing and twice its integral part. Without the immediate part busy sidecars
-// let queues grow for seconds before enough was shed, and overloaded servers stayed slow. A sidecar that has not shed recently
-// rejects nothing at once, as its few requests may coincide by chance.
+// The shed fraction follows the load at once, between nothing and twice its integral part. Without the immediate part busy
+// sidecars let queues grow for seconds before enough was shed, and overloaded servers stayed slow. A sidecar that has not shed
+// recently rejects nothing at once, as its few requests may coincide by chance.
 func TestShedFollowsTheLoadAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		lasting, over float64 // integral part; latency above the permitted one, in latency targets
@@ -277,8 +277,8 @@
 	}
 }
 
-// If the worst-served class has a high weight in the goal, similar fractions of all classes are rejected. Without such a weight the
-// class of least value is rejected first. All of that class was once rejected despite the weight.
+// If the worst-served class has a high weight in the goal, similar fractions of all classes are rejected. Without such a weight
+// the class of least value is rejected first. All of that class was once rejected despite the weight.
 func TestTheWorstClassStaysServed(t *testing.T) {
 	cfg := baseConfig()
 	turns := [][2]int{{safeClass, 0}, {unsafeClass, 0}}
@@ -463,8 +463,8 @@
 	}
 }
 
-// Fast growth of the traffic without slow answers is no overload. When traffic grew sevenfold within seconds on an enlarged fleet,
-// the attempts in flight were compared with an outdated rate of answers, and half of the requests were rejected.
+// Fast growth of the traffic without slow answers is no overload. When traffic grew sevenfold within seconds on an enlarged
+// fleet, the attempts in flight were compared with an outdated rate of answers, and half of the requests were rejected.
 func TestFastGrowthIsNoOverload(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(12)...)
 	var open []RequestID
@@ -541,7 +541,7 @@
 // Retries are limited by a budget. Without one every request to a failing fleet was sent twice, which doubled the load.
 func TestRetriesKeepTheirBudget(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(6)...)
-	repeats := 0
+	retries := 0
 	const requests = 200
 	for range requests {
 		id, acts := g.request(safeClass)
@@ -550,12 +550,12 @@
 		}
 		g.now++
 		if has(g.answer(id, 0, Failed, 1), Send) {
-			repeats++
+			retries++
 			g.answer(id, 1, Failed, 1)
 		}
 	}
-	if most := int(retryBurst + retryRatio*requests); repeats < most/2 || repeats > most {
-		t.Fatalf("%d of %d requests were retried, want at most %d", repeats, requests, most)
+	if maxRetries := int(retryBurst + retryRatio*requests); retries < maxRetries/2 || retries > maxRetries {
+		t.Fatalf("%d of %d requests were retried, want at most %d", retries, requests, maxRetries)
 	}
 }
 
@@ -573,8 +573,8 @@
 	}
 }
 
-// While answers are quick nothing is shed, whatever is in flight. A few requests of a sidecar with little traffic often coincide by
-// chance; they were taken for an overload and some were rejected.
+// While answers are quick nothing is shed, whatever is in flight. A few requests of a sidecar with little traffic often coincide
+// by chance; they were taken for an overload and some were rejected.
 func TestQuickAnswersShedNothing(t *testing.T) {
 	for quick, rejects := range map[bool]bool{true: false, false: true} {
 		g := newHarness(t, baseConfig(), fleet(4)...)
@@ -612,7 +612,8 @@
 }
 
 // With few requests each one moves the integral part further, so that a sidecar with little traffic reacts to the same overload
-// within as many latency targets as a busy one. Otherwise it went on sending until overloaded servers, which stay slow, broke down.
+// within as many latency targets as a busy one. Otherwise it went on sending until overloaded servers, which stay slow, broke
+// down.
 func TestSheddingFollowsTheLoadWithFewRequests(t *testing.T) {
 	steps := map[float64]float64{}
 	for _, gap := range []float64{300, 3} {
@@ -636,8 +637,8 @@
 	return healthy
 }
 
-// Time-outs count as slow answers. Otherwise only quick answers count, and a fleet that answers nothing before its clients give up
-// seems healthy.
+// Time-outs count as slow answers. Otherwise only quick answers count, and a fleet that answers nothing before its clients give
+// up seems healthy.
 func TestTimeOutsCountAsSlowAnswers(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	for range 10 {
@@ -649,13 +650,13 @@
 	}
 }
 
-// An attempt that broke off at once cost the servers nothing, so its request is retried until the attempt limit. An attempt that was
-// rejected, got an error or took long is retried once.
+// An attempt that broke off at once cost the servers nothing, so its request is retried until the attempt limit. An attempt that
+// was rejected, got an error or took long is retried once.
 func TestQuickFailuresAreRetriedMore(t *testing.T) {
 	for _, c := range []struct {
-		end   Result
-		took  float64
-		tries int
+		end      Result
+		took     float64
+		attempts int
 	}{{Reset, 1, 4}, {ConnectFailed, 1, 4}, {Failed, 1, 2}, {Reset, 100, 2}, {Rejected, 1, 2}, {TimedOut, 1, 2}} {
 		g := newHarness(t, baseConfig(), fleet(8)...)
 		for range 20 {
@@ -664,13 +665,13 @@
 			g.now += 5
 		}
 		id, _ := g.request(safeClass)
-		tries := 0
-		for g.b.requests.byID[id] != nil && tries < 9 {
-			g.answer(id, tries, c.end, c.took)
-			tries++
+		attempts := 0
+		for g.b.requests.byID[id] != nil && attempts < 9 {
+			g.answer(id, attempts, c.end, c.took)
+			attempts++
 		}
-		if tries != c.tries {
-			t.Errorf("%v after %v ms: %d attempts, want %d", c.end, c.took, tries, c.tries)
+		if attempts != c.attempts {
+			t.Errorf("%v after %v ms: %d attempts, want %d", c.end, c.took, attempts, c.attempts)
 		}
 	}
 }
--- a/balance/keys.go
+++ b/balance/keys.go
@@ -77,9 +77,9 @@
 	t.records[classKey{r.Class, r.Key}] = timeoutRecord{latency, b.now + r.class.LatencyTarget}
 }
 
-// futileRetry reports whether a request is a client's retry of a request that has just timed out, has less
-// than twice the time that the timed-out attempt took, and would on a timeout waste work whose penalty is at
-// least the value of a late answer.
+// futileRetry reports whether a request is a client's retry of a request that has just timed out, and not
+// worth an attempt: it has less than twice the time that the earlier attempt took, and the penalty for
+// wasting that much work again is at least the value of a late answer.
 func (b *Balancer) futileRetry(r *request) bool {
 	record := b.timeouts.records[classKey{r.Class, r.Key}]
 	return r.ClientRetry && b.now <= record.until && r.Remaining < 2*record.latency &&
--- a/balance/keys_test.go
+++ b/balance/keys_test.go
@@ -19,8 +19,8 @@
 	return s
 }
 
-// preferredServers sends requests for keys in pseudo-random order. It returns the server that each key was mostly sent to, and the
-// fraction of all requests that went to these servers.
+// preferredServers sends requests for keys in pseudo-random order. It returns the server that each key was mostly sent to, and
+// the fraction of all requests that went to these servers.
 func preferredServers(g *harness, keys, rounds int) (mostUsed map[uint64]ServerID, fraction float64) {
 	counts := map[uint64]map[ServerID]int{}
 	for i := range keys * rounds {
@@ -77,7 +77,8 @@
 	}
 }
 
-// Key affinity preserves the rotation: servers get their shares, and requests for a key whose preferred server is busy go elsewhere.
+// Key affinity preserves the rotation: servers get their shares, and requests for a key whose preferred server is busy go
+// elsewhere.
 func TestKeysFollowTheWeights(t *testing.T) {
 	g := newHarness(t, affinityConfig(1, 0), fleet(6)...)
 	got := map[ServerID]int{}
@@ -105,8 +106,8 @@
 	}
 }
 
-// The rules take precedence over affinity: a preferred server that drains gets nothing, and all sidecars send its keys to the same
-// next server.
+// The rules take precedence over affinity: a preferred server that drains gets nothing, and all sidecars send its keys to the
+// same next server.
 func TestAKeyLeavesADrainingServer(t *testing.T) {
 	one, two := newHarness(t, affinityConfig(1, 0), fleet(8)...), newHarness(t, affinityConfig(2, 2), fleet(8)...)
 	before, _ := preferredServers(one, 40, 20)
@@ -134,7 +135,8 @@
 	}
 }
 
-// A client's retry of a request that has just timed out is rejected at once if its expected waste outweighs the value of a late answer.
+// A client's retry of a request that has just timed out is rejected at once if its expected waste outweighs the value of a late
+// answer.
 func TestARetryOfWhatTimedOut(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/balance/module_files_test.go
+++ b/balance/module_files_test.go
@@ -14,12 +14,12 @@
 
 const maxLineWidth = 110
 
-// allowedImports are the packages that the module may import. They only compute: none reads a clock, does input or output, blocks or
-// starts a goroutine, and none is of this project.
+// allowedImports are the packages that the module may import. They only compute: none reads a clock, does input or output, blocks
+// or starts a goroutine, and none is of this project.
 var allowedImports = []string{"errors", "fmt", "maps", "math", "math/rand/v2", "slices", "sort"}
 
-// The deployment lists the files that make decisions, as operators on call read all of them and must find every decision there. The test
-// reads that list, so that the two cannot differ.
+// The deployment lists the files that make decisions, as operators on call read all of them and must find every decision there.
+// The test reads that list, so that the two cannot differ.
 func TestModuleStaysInItsFiles(t *testing.T) {
 	deploy, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
 	if err != nil {
--- a/balance/parameters.go
+++ b/balance/parameters.go
@@ -10,11 +10,11 @@
 	overdueDeviations   = 4    // mean deviations above its class's mean at which an attempt is overdue
 	cooldownErrors      = 3    // consecutive errors before a cooldown
 	capacityLearnRate   = 0.01 // step of a server's capacity per answer; half of it for kind and zone
-	initialLearnBoost   = 8    // learning starts faster by this: restarted sidecars know no capacities
+	initialLearnBoost   = 8    // learning is 1 + this times as fast at first: restarted sidecars know nothing
 	maxCapacityLog      = 2.5  // bound of each learned logarithm of capacity
 	loadHeadroom        = 0.7  // multiple of its share of requests in flight beyond which a server is full
 	maxRetryCost        = 1    // cost of a request's failed attempts: more would multiply an overload
-	retryRatio          = 0.2  // retries per request added to the budget: retries must not slow the fleet
+	retryRatio          = 0.2  // retries added to the budget per request: a slow fleet must not become slower
 	retryBurst          = 10   // ... and the largest budget
 	queueAllowance      = 0.25 // queueing allowed without shedding, as a fraction of (target - least latency)
 	initialMinLatency   = 0.33 // least latency assumed until there are answers
@@ -22,7 +22,7 @@
 	shortMeanSpan       = 10   // answers of the short mean, which shows whether there is a load at all
 	shedImmediate       = 4    // proportional gain: shed fraction per latency target of excess latency
 	shedStep            = 0.04 // integral gain: the same, added with each request
-	fewRequests         = 5    // in a latency target, below which each one moves the integral further
+	fewRequests         = 5    // requests in a latency target; with fewer, each moves the integral further
 	maxShedFraction     = 0.95 // below 1, as answers are needed to see that the load has gone
 	rateSpan            = 8    // longest latency targets over which rates are taken
 	assumedAnswers      = 2    // added to the recent answers, for a sidecar that has hardly any
@@ -48,5 +48,5 @@
 
 	pollBackoff       = 500  // before a failed list call is repeated; doubles each time
 	maxPollBackoff    = 1500 // ... up to this
-	pushedPollBackoff = 50   // minimum where lists are pushed, for a backoff of 1/10 of the drain grace
+	pushedPollBackoff = 50   // minimum where lists are pushed; the backoff there is 1/10 of the drain grace
 )
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -8,7 +8,7 @@
 // workload feeds one balancer random but legal events and checks the first three rules of doc.go at every action.
 type workload struct {
 	t       *testing.T
-	rnd     *rand.Rand
+	rng     *rand.Rand
 	b       *Balancer
 	cfg     Config
 	now     float64
@@ -38,9 +38,9 @@
 	token uint64
 }
 
-func newWorkload(t *testing.T, rnd *rand.Rand, cfg Config) *workload {
+func newWorkload(t *testing.T, rng *rand.Rand, cfg Config) *workload {
 	w := &workload{
-		t: t, rnd: rnd, b: New(cfg), cfg: cfg, now: 5000, servers: map[ServerID]*Server{},
+		t: t, rng: rng, b: New(cfg), cfg: cfg, now: 5000, servers: map[ServerID]*Server{},
 		ready: map[ServerID]bool{}, open: map[RequestID]*openRequest{},
 	}
 	w.apply(w.b.Start(w.now))
@@ -49,7 +49,7 @@
 
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := range int64(40) {
-		rnd := rand.New(rand.NewSource(seed))
+		rng := rand.New(rand.NewSource(seed))
 		cfg := baseConfig()
 		cfg.Seed = uint64(seed)
 		cfg.Parallel, cfg.Cancel = seed%2 == 0, seed%3 != 0
@@ -59,10 +59,10 @@
 		if seed%4 == 1 {
 			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []ReportField{FieldInFlight, FieldQueue, FieldUtil}
 		}
-		w := newWorkload(t, rnd, cfg)
+		w := newWorkload(t, rng, cfg)
 		w.updateList(ListCached)
 		for id := RequestID(1); id <= 1500; id++ {
-			w.now += rnd.ExpFloat64() * 8
+			w.now += rng.ExpFloat64() * 8
 			w.fireTimers()
 			w.randomEvent(id)
 		}
@@ -77,11 +77,11 @@
 
 // randomEvent hands in an event; id is the ID of a new request.
 func (w *workload) randomEvent(id RequestID) {
-	switch n := w.rnd.Intn(20); {
+	switch n := w.rng.Intn(20); {
 	case n < 9:
-		class := w.rnd.Intn(len(w.cfg.Classes))
-		left := w.cfg.Classes[class].Deadline * w.rnd.Float64()
-		if w.rnd.Intn(20) == 0 {
+		class := w.rng.Intn(len(w.cfg.Classes))
+		left := w.cfg.Classes[class].Deadline * w.rng.Float64()
+		if w.rng.Intn(20) == 0 {
 			left = 0
 		}
 		w.open[id] = &openRequest{class: class, deadline: w.now + left}
@@ -89,15 +89,15 @@
 	case n < 17:
 		w.endRandomAttempt(id)
 	case n < 18:
-		w.updateList([]ListKind{ListFull, ListDelta, ListCached}[w.rnd.Intn(3)])
+		w.updateList([]ListKind{ListFull, ListDelta, ListCached}[w.rng.Intn(3)])
 	case n < 19:
 		if len(w.probes) > 0 {
 			s := w.probes[0]
 			w.probes = w.probes[1:]
-			w.handle(ProbeResult{Server: s, Latency: 1, LoadReport: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
+			w.handle(ProbeResult{Server: s, Latency: 1, LoadReport: []float32{float32(w.rng.Intn(6)), 0, 0.5}})
 		}
 	default:
-		gone := id - RequestID(w.rnd.Intn(20)) // ignored if there was no such request or it has ended
+		gone := id - RequestID(w.rng.Intn(20)) // ignored if there was no such request or it has ended
 		if o := w.open[gone]; o != nil {
 			o.answered = true
 		}
@@ -113,8 +113,8 @@
 			continue
 		}
 		for i := range o.attempts {
-			if a := &o.attempts[i]; a.live && w.rnd.Intn(3) > 0 {
-				result := []Result{OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut}[w.rnd.Intn(9)]
+			if a := &o.attempts[i]; a.live && w.rng.Intn(3) > 0 {
+				result := []Result{OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut}[w.rng.Intn(9)]
 				a.live, a.neverRan = false, result.NeverRan()
 				o.answered = o.answered || result == OK
 				w.handle(Outcome{
@@ -131,17 +131,17 @@
 	for i := range 10 {
 		id := ServerID(i + 1)
 		s := w.servers[id]
-		if s == nil || w.rnd.Intn(4) == 0 {
-			s = &Server{ID: id, State: ServerState(w.rnd.Intn(3) % 2), Capacity: 1, Cell: i % 3, Zone: i % 2, Kind: i % 2}
-			if w.rnd.Intn(3) == 0 {
+		if s == nil || w.rng.Intn(4) == 0 {
+			s = &Server{ID: id, State: ServerState(w.rng.Intn(3) % 2), Capacity: 1, Cell: i % 3, Zone: i % 2, Kind: i % 2}
+			if w.rng.Intn(3) == 0 {
 				s.StartedAt = w.now
 			}
 			w.servers[id] = s
 		}
-		if kind == ListDelta && w.rnd.Intn(2) == 0 {
+		if kind == ListDelta && w.rng.Intn(2) == 0 {
 			continue
 		}
-		if kind != ListDelta && w.rnd.Intn(8) == 0 {
+		if kind != ListDelta && w.rng.Intn(8) == 0 {
 			w.ready[id] = false
 			continue
 		}
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// ramp configures a simulation in virtual time: a fleet of sidecars, each with its own balancer, and servers of which some restart.
+// ramp configures a simulation in virtual time: a fleet of sidecars, each with its own balancer, and servers of which some
+// restart.
 type ramp struct {
 	sidecars, servers, warming int
 	uneven                     bool    // some sidecars have several times the mean traffic
@@ -183,9 +184,10 @@
 	}
 }
 
-// simulate runs a ramp. most is the largest number of requests sent to a server that warms up within an overloadTime, as a fraction of the
-// bound N + 2 x sqrt(N) + 2. used is the number sent to such servers over their slow start, as a fraction of what they could handle.
-func (c ramp) simulate(seed uint64) (most, used float64) {
+// simulate runs a ramp. maxUse is the largest number of requests sent to a server that warms up within an overloadTime, as a
+// fraction of the bound N + 2 x sqrt(N) + 2. utilization is the number sent to such servers over their slow start, as a fraction
+// of their capacity.
+func (c ramp) simulate(seed uint64) (maxUse, utilization float64) {
 	run := newRampRun(c, seed)
 	run.start()
 	next := RequestID(1)
@@ -205,7 +207,7 @@
 }
 
 // results returns the results of simulate.
-func (run *rampRun) results() (most, used float64) {
+func (run *rampRun) results() (maxUse, utilization float64) {
 	capacity, sent := 0.0, 0
 	for _, times := range run.sends {
 		sort.Float64s(times)
@@ -216,17 +218,17 @@
 			}
 			age := math.Max(0, times[i]-rampRestartAt-run.overloadTime) // at the start of the window, when capacity is lowest
 			n := run.multiple * run.serverRate * run.overloadTime * (rampStartFraction + (1-rampStartFraction)*age/rampTime)
-			most = math.Max(most, float64(i-from+1)/(n+2*math.Sqrt(n)+2))
+			maxUse = math.Max(maxUse, float64(i-from+1)/(n+2*math.Sqrt(n)+2))
 		}
 		capacity += run.serverRate * rampTime * (1 + rampStartFraction) / 2
 	}
-	return most, float64(sent) / capacity
+	return maxUse, float64(sent) / capacity
 }
 
-// The fleet stays within the bound that doc.go derives, and still uses a server in its slow start: over that time the server gets at least
-// half of the requests that it can handle.
+// The fleet stays within the bound that doc.go derives, and still uses a server in its slow start: over that time the server gets
+// at least half of the requests that it can handle.
 func TestTheSlowStartBoundHoldsForTheFleet(t *testing.T) {
-	worst := 0.0
+	largestUse := 0.0
 	for _, sidecars := range []int{1, 3, 20, 30, 300} {
 		for name, c := range map[string]ramp{
 			"even":             {},
@@ -246,20 +248,20 @@
 				c.multiple, c.overloadTime = 2.5, 3000
 			}
 			c.sidecars, c.servers, c.warming = sidecars, 10, max(c.warming, 1)
-			use, used := 0.0, 0.0
+			maxUse, utilization := 0.0, 0.0
 			const seeds = 3
 			for seed := range uint64(seeds) {
-				most, fraction := c.simulate(seed)
-				use, used = math.Max(use, most), used+fraction/seeds
+				seedMaxUse, seedUtilization := c.simulate(seed)
+				maxUse, utilization = math.Max(maxUse, seedMaxUse), utilization+seedUtilization/seeds
 			}
-			worst = math.Max(worst, use)
+			largestUse = math.Max(largestUse, maxUse)
 			t.Logf("%3d sidecars, %-17s largest use %.2f of the bound, sent %.2f of the warming servers' capacity",
-				sidecars, name+":", use, used)
-			if use > 1 || used < 0.5 {
+				sidecars, name+":", maxUse, utilization)
+			if maxUse > 1 || utilization < 0.5 {
 				t.Errorf("%d sidecars, %s: a server that warms up got %.2f times its bound, and %.2f of its capacity",
-					sidecars, name, use, used)
+					sidecars, name, maxUse, utilization)
 			}
 		}
 	}
-	t.Logf("largest use %.2f", worst)
+	t.Logf("largest use %.2f", largestUse)
 }
--- a/balance/recorded_test.go
+++ b/balance/recorded_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A snapshot goes to a process that may be of another version. The one that revision cfdfdec wrote is read, and written again byte for
-// byte the same.
+// A snapshot goes to a process that may be of another version. The one that revision cfdfdec wrote is read, and written again
+// byte for byte the same.
 func TestRecordedSnapshot(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/cfdfdec/snapshot.json")
 	if err != nil {
--- a/balance/request_body_test.go
+++ b/balance/request_body_test.go
@@ -9,8 +9,8 @@
 	return g.next, g.handle(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline, BodyOpen: true})
 }
 
-// However long a body takes to arrive, its request is not late, no error of its server is counted, and the fleet does not count as
-// overloaded. The time limits begin with the last byte.
+// However long a body takes to arrive, its request is not late, no error of its server is counted, and the fleet does not count
+// as overloaded. The time limits begin with the last byte.
 func TestABodyThatTakesLong(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	id, acts := g.requestWithOpenBody(safeClass)
@@ -42,8 +42,8 @@
 	}
 }
 
-// An attempt that ends before the last byte has not run, whatever the class. The request is retried while its body can be sent again.
-// Otherwise it is answered at once, with a rejection, as nothing ran.
+// An attempt that ends before the last byte has not run, whatever the class. The request is retried while its body can be sent
+// again. Otherwise it is answered at once, with a rejection, as nothing ran.
 func TestAConsumedBody(t *testing.T) {
 	for class := range baseConfig().Classes {
 		g := newHarness(t, baseConfig(), fleet(4)...)
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -9,8 +9,8 @@
 // Settings other than the base configuration; workload checks the first three rules of doc.go in each run.
 func TestOtherSettings(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
-		"one server":  func(_ *Config, n *int) { *n = 1 },
-		"hundreds":    func(_ *Config, n *int) { *n = 300 },
+		"one server":  func(_ *Config, serverCount *int) { *serverCount = 1 },
+		"hundreds":    func(_ *Config, serverCount *int) { *serverCount = 300 },
 		"one attempt": func(c *Config, _ *int) { c.MaxAttempts = 1 },
 		"no cancels":  func(c *Config, _ *int) { c.Cancel, c.Parallel = false, false },
 		"streams":     func(c *Config, _ *int) { c.Classes[safeClass].Stream = true },
@@ -30,10 +30,10 @@
 		"targets of zero": func(c *Config, _ *int) { c.Classes[safeClass].LatencyTarget, c.Classes[unsafeClass].Value = 0, 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg, n := baseConfig(), 6
-			change(&cfg, &n)
+			cfg, serverCount := baseConfig(), 6
+			change(&cfg, &serverCount)
 			w := newWorkload(t, rand.New(rand.NewSource(7)), cfg)
-			list := fleet(n)
+			list := fleet(serverCount)
 			for i := range list {
 				w.servers[list[i].ID], w.ready[list[i].ID] = &list[i], true
 			}
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -36,8 +36,8 @@
 	return g
 }
 
-// The next process continues as the previous one would have: it makes the same choices for the same events, also after the snapshot
-// was encoded and decoded.
+// The next process continues as the previous one would have: it makes the same choices for the same events, also after the
+// snapshot was encoded and decoded.
 func TestRestoreContinues(t *testing.T) {
 	g := learnedHarness(t)
 	encoded, err := json.Marshal(g.b.Snapshot())
@@ -72,8 +72,8 @@
 	}
 }
 
-// A server in its slow start has one budget over all processes: tokens that the previous process used stay used, and a server of whose
-// restart only that process knows is also warming up for the next one.
+// A server in its slow start has one budget over all processes: tokens that the previous process used stay used, and a server of
+// whose restart only that process knows is also warming up for the next one.
 func TestAServerInItsSlowStartHasOneBudget(t *testing.T) {
 	g := learnedHarness(t)
 	s := g.b.servers.byID[1]
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,7 +1,7 @@
-// Command adapter runs instances of the decision module (package balance) for the simulator. It reads frames of events from standard
-// input and answers each with one frame of actions on standard output (package wire). It exits with code 0 at an end of input
-// between two frames, and with code 1 and a message on standard error if a frame cannot be read or names an instance that was not
-// started. An error within one instance is reported as a fault in the reply, and the other instances continue.
+// Command adapter runs instances of the decision module (package balance) for the simulator. It reads frames of events from
+// standard input and answers each with one frame of actions on standard output (package wire). It exits with code 0 at an end of
+// input between two frames, and with code 1 and a message on standard error if a frame cannot be read or names an instance that
+// was not started. An error within one instance is reported as a fault in the reply, and the other instances continue.
 package main
 
 import (
@@ -47,7 +47,8 @@
 	reply     wire.Reply
 }
 
-// handle passes one event to its instance and adds the actions to the reply. A panic is a fault in the reply; an error ends the adapter.
+// handle passes one event to its instance and adds the actions to the reply. A panic is a fault in the reply; an error ends the
+// adapter.
 func (h *host) handle(clock float64, record wire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -78,7 +79,8 @@
 	h.reply.Add(instance, balancer.Start(clock))
 }
 
-// handleEvent passes an event to its instance. An impossible event is a fault in the reply; an instance that was not started is an error.
+// handleEvent passes an event to its instance. An impossible event is a fault in the reply; an instance that was not started is
+// an error.
 func (h *host) handleEvent(clock float64, instance uint16, ev balance.Event) error {
 	balancer, started := h.instances[instance]
 	if !started {
--- a/internal/sidecar/wire/decode.go
+++ b/internal/sidecar/wire/decode.go
@@ -1,7 +1,7 @@
-// Package wire translates the simulator's binary frames and the settings to types of package balance, and actions to frames. It makes
-// no decisions. A frame from the simulator has a header (number of records, size, clock) and records, each an event for one instance
-// of the balancer. It is answered by one frame of actions, a Reply. All numbers are big-endian. A Reader or a Reply is used by one
-// goroutine at a time.
+// Package wire translates the simulator's binary frames and the settings to types of package balance, and actions to frames. It
+// makes no decisions. A frame from the simulator has a header (number of records, size, clock) and records, each an event for one
+// instance of the balancer. It is answered by one frame of actions, a Reply. All numbers are big-endian. A Reader or a Reply is
+// used by one goroutine at a time.
 package wire
 
 import (
@@ -79,9 +79,10 @@
 // NewReader returns a reader of the frames from in, which should be buffered.
 func NewReader(in io.Reader) *Reader { return &Reader{input: in} }
 
-// Read calls handle for each event of the next frame, in order, with the frame's clock in milliseconds. It returns io.EOF itself at an
-// end of input between frames. Any other error comes from handle, or means that the frame is malformed or truncated; it says at which
-// byte if a record is the cause, and nothing can be read after it. Slices in events are valid only until handle returns.
+// Read calls handle for each event of the next frame, in order, with the frame's clock in milliseconds. It returns io.EOF itself
+// at an end of input between frames. Any other error comes from handle, or means that the frame is malformed or truncated; it
+// says at which byte if a record is the cause, and nothing can be read after it. Slices in events are valid only until handle
+// returns.
 func (r *Reader) Read(handle func(clock float64, rec Record) error) error {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r.input, header[:]); err != nil {
@@ -247,7 +248,8 @@
 	return ev, err
 }
 
-// resultOf translates the code of a result. It reports no error for a truncated record, whose code has no meaning; readRecord does.
+// resultOf translates the code of a result. It reports no error for a truncated record, whose code has no meaning; readRecord
+// does.
 func resultOf(code uint16, f *frameFields) (balance.Result, error) {
 	result, ok := resultsByCode[code]
 	if !ok && !f.truncated {
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -8,8 +8,8 @@
 	"petrelhook/balance"
 )
 
-// settings is the JSON form of the profile. Unknown keys are ignored, as the platform adds some from time to time. The type's name
-// appears in error messages of encoding/json.
+// settings is the JSON form of the profile. Unknown keys are ignored, as the platform adds some from time to time. The type's
+// name appears in error messages of encoding/json.
 type settings struct {
 	Classes []struct {
 		Name                 string   `json:"name"`
@@ -108,8 +108,8 @@
 	return fmt.Sprintf("settings: %s: %s; %s", e.Field, e.Problem, e.Remedy)
 }
 
-// oneOf returns the value of a name in valuesByName. An unknown name is a FieldError for the field, in which kind says what is named
-// and remedy lists the valid names.
+// oneOf returns the value of a name in valuesByName. An unknown name is a FieldError for the field, in which kind says what is
+// named and remedy lists the valid names.
 func oneOf[T any](field, kind, name string, valuesByName map[string]T, remedy string) (T, error) {
 	v, ok := valuesByName[name]
 	if !ok {
@@ -125,8 +125,8 @@
 	ConnectionIdleTime                     float64  // how long servers keep an idle connection, in ms; 0: not given
 }
 
-// ParseProfile parses the settings of a sidecar with real connections. An invalid value is a *FieldError; malformed JSON and values of
-// a wrong type are errors of encoding/json, wrapped.
+// ParseProfile parses the settings of a sidecar with real connections. An invalid value is a *FieldError; malformed JSON and
+// values of a wrong type are errors of encoding/json, wrapped.
 func ParseProfile(seed uint64, profile []byte) (Profile, error) {
 	var s settings
 	if err := json.Unmarshal(profile, &s); err != nil {
--- a/internal/sidecar/wire/wire_test.go
+++ b/internal/sidecar/wire/wire_test.go
@@ -231,8 +231,8 @@
 	})
 }
 
-// A profile has the names of classes, tenants, zones, kinds and fields, and the time for which servers keep idle connections, as a
-// sidecar must not keep them longer.
+// A profile has the names of classes, tenants, zones, kinds and fields, and the time for which servers keep idle connections, as
+// a sidecar must not keep them longer.
 func TestProfileKeepsTheNames(t *testing.T) {
 	p, err := ParseProfile(9, []byte(`{"classes": [{"name": "look", "effect": "read_like", "hard_limit_ms": 300}],
 		"tenants": [{"name": "acme"}], "zones": ["a", "b"], "kinds": ["m1"], "report": {"via": "piggyback", "fields": ["busy", "new"]},
