--- a/balance/balance.go
+++ b/balance/balance.go
@@ -139,8 +139,8 @@
 	b.advance(r)
 }
 
-// mix returns a 64-bit hash of a number, the same at every sidecar. It is the finalizer of splitmix64.
-func mix(z uint64) uint64 {
+// hash64 returns a 64-bit hash of a number, the same at every sidecar. It is the finalizer of splitmix64.
+func hash64(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
--- a/balance/failures_test.go
+++ b/balance/failures_test.go
@@ -202,7 +202,7 @@
 func (g *harness) setLoad(integral, over float64) {
 	full := g.b.latencies.min + queueAllowance*(1-g.b.latencies.min)
 	g.b.shedding.integral = integral
-	g.b.servers.all[0].weightedLoad += (full+over)*g.b.traffic.answerRate.perMillisecond(g.b, assumedAnswers)/loadTrust - g.healthyLoad()
+	g.b.servers.all[0].weightedLoad += (full+over)*g.b.traffic.answerRate.perMillisecond(g.b, assumedAnswers)/inFlightWeight - g.healthyLoad()
 	g.b.latencies.recent = 1
 }
 
@@ -633,7 +633,7 @@
 
 // healthyLoad returns the weighted load at servers without a cooldown.
 func (g *harness) healthyLoad() float64 {
-	healthy, _ := g.b.servers.openLoad()
+	healthy, _ := g.b.servers.loadByHealth()
 	return healthy
 }
 
--- a/balance/keys.go
+++ b/balance/keys.go
@@ -36,7 +36,7 @@
 	if !b.hasAffinity(r) {
 		return 0
 	}
-	u := (float64(mix(r.Key^mix(uint64(s.ID)))>>11) + 0.5) / (1 << 53)
+	u := (float64(hash64(r.Key^hash64(uint64(s.ID)))>>11) + 0.5) / (1 << 53)
 	return affinityStrength * (math.Log(s.Capacity) - math.Log(-math.Log(u)))
 }
 
@@ -49,7 +49,7 @@
 }
 
 // preferredServer returns the candidate with the highest affinity for a first send, or nil for a retry or a
-// request without affinity. pick allows it affinityRoom more requests in flight than its share.
+// request without affinity. pick allows it affinityHeadroom more requests in flight than its share.
 func (b *Balancer) preferredServer(pool []*server, r *request, retry bool) (preferred *server) {
 	if retry || !b.hasAffinity(r) {
 		return nil
--- a/balance/keys_test.go
+++ b/balance/keys_test.go
@@ -24,7 +24,7 @@
 func preferredServers(g *harness, keys, rounds int) (mostUsed map[uint64]ServerID, fraction float64) {
 	counts := map[uint64]map[ServerID]int{}
 	for i := range keys * rounds {
-		key := 1 + mix(uint64(i))%uint64(keys)
+		key := 1 + hash64(uint64(i))%uint64(keys)
 		if counts[key] == nil {
 			counts[key] = map[ServerID]int{}
 		}
@@ -83,7 +83,7 @@
 	g := newHarness(t, affinityConfig(1, 0), fleet(6)...)
 	got := map[ServerID]int{}
 	for i := range 3000 {
-		got[g.requestKey(1+mix(uint64(i))%500)]++
+		got[g.requestKey(1+hash64(uint64(i))%500)]++
 	}
 	for s, n := range got {
 		if math.Abs(float64(n)-500) > 150 {
@@ -100,7 +100,7 @@
 		busy[s]++
 	}
 	for s, n := range busy {
-		if n > 2+affinityRoom {
+		if n > 2+affinityHeadroom {
 			t.Errorf("server %d has %d of 12 requests for one key in flight", s, n)
 		}
 	}
--- a/balance/lifecycle.go
+++ b/balance/lifecycle.go
@@ -47,7 +47,7 @@
 // advance takes the next step for a request: it sends it, answers it or sets a timer. It may be called at any
 // time, and does nothing if there is nothing to do.
 func (b *Balancer) advance(r *request) {
-	if r.done || r.streaming || r.bodyLeaving() {
+	if r.done || r.streaming || r.sendingBody() {
 		return
 	}
 	b.recordOverdue(r)
--- a/balance/list.go
+++ b/balance/list.go
@@ -46,7 +46,7 @@
 		// A random initial weight keeps sidecars that start together from choosing the same servers.
 		s = &server{rotationState: rotationState{currentWeight: 100 * b.rng.Float64()}}
 		s.SlowStartAt = math.Inf(-1)
-		s.ringPosition = mix(uint64(entry.ID) + mix(uint64(b.cfg.SidecarNumber%ringCount)+1))
+		s.ringPosition = hash64(uint64(entry.ID) + hash64(uint64(b.cfg.SidecarNumber%ringCount)+1))
 		b.servers.byID[entry.ID] = s
 		b.servers.all = append(b.servers.all, s)
 	}
--- a/balance/parameters.go
+++ b/balance/parameters.go
@@ -20,13 +20,13 @@
 	initialMinLatency   = 0.33 // least latency assumed until there are answers
 	meanSpan            = 50   // answers or reports over which a mean is taken
 	shortMeanSpan       = 10   // answers of the short mean, which shows whether there is a load at all
-	shedImmediate       = 4    // proportional gain: shed fraction per latency target of excess latency
-	shedStep            = 0.04 // integral gain: the same, added with each request
+	shedGain            = 4    // proportional gain: shed fraction per latency target of excess latency
+	shedIntegralGain    = 0.04 // integral gain: the same, added with each request
 	fewRequests         = 5    // requests in a latency target; with fewer, each moves the integral further
 	maxShedFraction     = 0.95 // below 1, as answers are needed to see that the load has gone
 	rateSpan            = 8    // longest latency targets over which rates are taken
 	assumedAnswers      = 2    // added to the recent answers, for a sidecar that has hardly any
-	loadTrust           = 0.85 // fraction of the requests in flight that is compared with the answer rate
+	inFlightWeight      = 0.85 // fraction of the requests in flight that is compared with the answer rate
 	zonePreferenceDecay = 4    // no preference for the own zone if answers slow by 1/4 of the target
 	maxShareFactor      = 2    // a tenant counts as at most this many times below its share
 	similarValue        = 1.25 // values within this factor are shed alike: no tenant pays for a tiny excess
@@ -36,15 +36,15 @@
 	subsetPerRequest     = 0.5 // ... and per request in the longest target: busy sidecars spread their load
 	ringCount            = 8   // orders of the servers: neighbours in one have other neighbours in the others
 
-	maxProbeCost     = 0.03 // fraction of the result that the probes for each request may cost
-	probeWait        = 0.05 // of the target: wait of a first send for probes, and validity of reports
-	allBusyChance    = 0.01 // probability that all probed servers are busy, low enough to probe no more
-	zonePreference   = 400  // relative weight added in the own zone, per unit of cross-zone penalty
-	affinityStrength = 3    // rotations that a key may go ahead of its turn, times a variate around 1
-	maxAffinityDebt  = 6    // ... and the most rotations that a server can be ahead
-	affinityRoom     = 1    // requests of a key's preferred server beyond its share, which may be below 1
-	minRetryAfter    = 0.05 // of the latency target: the earliest retry of a rejected client
-	maxRetryAfter    = 0.25 // ... and the latest, as a later one would come too late
+	maxProbeCost       = 0.03 // fraction of the result that the probes for each request may cost
+	probeWait          = 0.05 // of the target: wait of a first send for probes, and validity of reports
+	allBusyProbability = 0.01 // probability that all probed servers are busy, low enough to probe no more
+	zonePreference     = 400  // relative weight added in the own zone, per unit of cross-zone penalty
+	affinityStrength   = 3    // rotations that a key may go ahead of its turn, times a variate around 1
+	maxAffinityDebt    = 6    // ... and the most rotations that a server can be ahead
+	affinityHeadroom   = 1    // requests of a key's preferred server beyond its share, which may be below 1
+	minRetryAfter      = 0.05 // of the latency target: the earliest retry of a rejected client
+	maxRetryAfter      = 0.25 // ... and the latest, as a later one would come too late
 
 	pollBackoff       = 500  // before a failed list call is repeated; doubles each time
 	maxPollBackoff    = 1500 // ... up to this
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -39,7 +39,7 @@
 		// over their share, precedes prefers the least loaded.
 		maxPending := math.Ceil(loadHeadroom * load * s.weight / weights)
 		if s == preferred {
-			maxPending += affinityRoom
+			maxPending += affinityHeadroom
 		}
 		overShare := !s.loadKnown || b.pending(s)+1 > maxPending
 		if best == nil || bestOverShare && !overShare ||
--- a/balance/probe.go
+++ b/balance/probe.go
@@ -38,10 +38,10 @@
 }
 
 // probeCount returns how many servers to probe, so that the probability that all of them are busy is at most
-// allBusyChance, within the permitted cost of probes.
+// allBusyProbability, within the permitted cost of probes.
 func (b *Balancer) probeCount() int {
 	affordable := maxProbeCost / math.Max(b.cfg.Penalties.Probe, 1e-3)
-	needed := math.Ceil(math.Log(allBusyChance) / math.Log(clamp(b.busyFraction, 0.01, 0.99)))
+	needed := math.Ceil(math.Log(allBusyProbability) / math.Log(clamp(b.busyFraction, 0.01, 0.99)))
 	return int(math.Min(affordable, needed))
 }
 
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -66,10 +66,10 @@
 			w.fireTimers()
 			w.randomEvent(id)
 		}
-		for w.now += 10; len(w.timers) > 0 && w.anyOpen(); w.now += 10 {
+		for w.now += 10; len(w.timers) > 0 && w.anyUnanswered(); w.now += 10 {
 			w.fireTimers()
 		}
-		if w.anyOpen() {
+		if w.anyUnanswered() {
 			t.Fatalf("seed %d: a request was never answered", seed)
 		}
 	}
@@ -244,7 +244,7 @@
 	w.now = end
 }
 
-func (w *workload) anyOpen() bool {
+func (w *workload) anyUnanswered() bool {
 	for _, o := range w.open {
 		if !o.answered {
 			return true
--- a/balance/requests.go
+++ b/balance/requests.go
@@ -49,9 +49,9 @@
 	r.live--
 }
 
-// bodyLeaving reports whether an attempt is in flight whose body is still being sent. No time limits apply
+// sendingBody reports whether an attempt is in flight whose body is still being sent. No time limits apply
 // until its last byte has been sent.
-func (r *request) bodyLeaving() bool { return r.BodyOpen && r.live > 0 }
+func (r *request) sendingBody() bool { return r.BodyOpen && r.live > 0 }
 
 // closeRequest ends a request: it cancels the attempts in flight, and forgets the request if there are none.
 func (b *Balancer) closeRequest(r *request) {
--- a/balance/servers.go
+++ b/balance/servers.go
@@ -83,9 +83,9 @@
 	sort.SliceStable(t.ring, func(i, j int) bool { return t.ring[i].ringPosition < t.ring[j].ringPosition })
 }
 
-// openLoad returns the sum of weightedLoad over the servers without a cooldown since their last answer, and
-// over the others.
-func (t *serverTable) openLoad() (healthy, suspect float64) {
+// loadByHealth returns the sum of weightedLoad over the servers without a cooldown since their last answer,
+// and over the others.
+func (t *serverTable) loadByHealth() (healthy, suspect float64) {
 	for _, s := range t.all {
 		if s.CooldownUntil == 0 {
 			healthy += s.weightedLoad
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -55,11 +55,11 @@
 					w.answerOpenAttempt(id - 2)
 				}
 			}
-			for w.now += 1000; w.anyOpen() && len(w.timers) > 0; w.now += 1000 {
+			for w.now += 1000; w.anyUnanswered() && len(w.timers) > 0; w.now += 1000 {
 				w.fireTimers()
 			}
-			if w.anyOpen() || sent < 300 {
-				t.Fatalf("unanswered requests: %v; %d of 400 sent", w.anyOpen(), sent)
+			if w.anyUnanswered() || sent < 300 {
+				t.Fatalf("unanswered requests: %v; %d of 400 sent", w.anyUnanswered(), sent)
 			}
 		})
 	}
--- a/balance/shed.go
+++ b/balance/shed.go
@@ -18,19 +18,19 @@
 // excess, from which the shed fraction follows: a proportional part follows the load up and down at once, and
 // an integral part adds up over requests.
 func (b *Balancer) admit(r *request) bool {
-	load, suspectLoad := b.servers.openLoad()
+	load, suspectLoad := b.servers.loadByHealth()
 	if suspectLoad > load { // attempts that hang at few servers are their fault; at most servers, overload
 		load += suspectLoad
 	}
 	shedding, minLatency := &b.shedding, b.latencies.min
-	latency := loadTrust * load / b.traffic.answerRate.perMillisecond(b, assumedAnswers)
+	latency := inFlightWeight * load / b.traffic.answerRate.perMillisecond(b, assumedAnswers)
 	maxLatency := minLatency + queueAllowance*(1-minLatency) // work, and a part of the rest for queues
 	shedding.excess = math.Min(math.Min(latency, 2*b.latencies.recent), 2) - maxLatency
 	requestsInTarget := b.traffic.requestRate.perMillisecond(b, 0) * b.maxLatencyTarget
-	step := shedStep * clamp(fewRequests/requestsInTarget, 1, fewRequests)
+	step := shedIntegralGain * clamp(fewRequests/requestsInTarget, 1, fewRequests)
 	shedding.integral = clamp(shedding.integral+step*shedding.excess, 0, maxShedFraction)
 	maxShed := math.Min(maxShedFraction, 2*shedding.integral) // as a few requests may coincide by chance
-	shed := clamp(shedding.integral+shedImmediate*shedding.excess, 0, maxShed)
+	shed := clamp(shedding.integral+shedGain*shedding.excess, 0, maxShed)
 	if b.futileRetry(r) || b.lateRetry(r) && shedding.integral >= r.class.LateValue {
 		return false
 	}
