--- a/internal/router/registry/changes.go
+++ b/internal/router/registry/changes.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// endedRetention is how long an instance that requests may not go to any more is remembered after its last change, so
-// that all subscribers of this registry learn of its end.
+// endedRetention is how long an unusable instance is kept after its last change, so that all subscribers of this
+// registry learn that it ended.
 const endedRetention = 2 * time.Minute
 
-// spareChanges is how many superseded changes are kept besides two changes for each entry, before they are removed in
-// one go.
-const spareChanges = 64
+// compactionSlack is how many superseded changes may accumulate, in addition to two changes for each entry, before the
+// superseded ones are removed together.
+const compactionSlack = 64
 
-// change is one change of an entry.
+// change records that an entry changed at a stamp.
 type change struct {
 	stamp uint64
 	entry *Entry
 }
 
-// isLatest reports whether the entry has not changed since, and was not dropped.
+// isLatest reports whether this is the last change of its entry and the entry has not been removed.
 func (c change) isLatest() bool { return c.entry.Stamp == c.stamp }
 
-// recordChange gives an entry that has changed the next stamp.
+// recordChange gives a changed entry the next stamp, updates the digest and appends to the list of changes.
 func (g *Registry) recordChange(entry *Entry, now time.Duration) {
 	g.stamp++
 	entry.Stamp, entry.lastChange = g.stamp, now
@@ -32,12 +32,13 @@
 	g.digest ^= entry.usableHash ^ hash
 	entry.usableHash = hash
 	g.changes = append(g.changes, change{g.stamp, entry})
-	if len(g.changes) > 2*len(g.entries)+spareChanges {
+	if len(g.changes) > 2*len(g.entries)+compactionSlack {
 		g.changes = slices.DeleteFunc(g.changes, func(c change) bool { return !c.isLatest() })
 	}
 }
 
-// hashIfUsable returns a hash of what requests need of an instance, or 0 where they may not go to it.
+// hashIfUsable returns a hash of the fields of a usable instance that request routing needs, or 0 if the instance is
+// not usable.
 func (e *Entry) hashIfUsable() uint64 {
 	if !e.Usable() {
 		return 0
@@ -47,12 +48,13 @@
 	return hash.Sum64()
 }
 
-// Digest returns a hash of the usable instances. It is equal for registries that list the same ones, in whatever order
-// they learned of them.
+// Digest returns a hash of the usable instances. Two registries with the same usable instances have the same digest, in
+// whatever order they learned of them.
 func (g *Registry) Digest() uint64 { return g.digest }
 
-// ChangedSince returns the entries that changed after a stamp, in the order of their last changes. It takes time in
-// proportion to the number of changes since, not of entries: it is called for every subscriber at every push.
+// ChangedSince returns the entries that changed after stamp, in the order of their last changes. Its cost is
+// proportional to the number of changes since stamp, not to the number of entries, because it is called for every
+// subscriber at every push.
 func (g *Registry) ChangedSince(stamp uint64) []*Entry {
 	first := sort.Search(len(g.changes), func(i int) bool { return g.changes[i].stamp > stamp })
 	var changed []*Entry
@@ -64,7 +66,7 @@
 	return changed
 }
 
-// UpdatesSince returns what ChangedSince does, as updates to be sent to another router.
+// UpdatesSince returns the entries that ChangedSince returns, as updates to send to another router.
 func (g *Registry) UpdatesSince(stamp uint64, now time.Duration) []Update {
 	var updates []Update
 	for _, entry := range g.ChangedSince(stamp) {
@@ -73,8 +75,8 @@
 	return updates
 }
 
-// Replace applies the complete list of the core member that this router subscribes to: usable instances that are not in
-// it are lost.
+// Replace applies the complete list of the core member that this router subscribes to. Usable instances that are
+// missing from the list become lost.
 func (g *Registry) Replace(list []Update, now time.Duration) {
 	listed := make(map[string]bool, len(list))
 	for _, u := range list {
@@ -89,15 +91,15 @@
 	}
 }
 
-// Forget drops instances that ended long ago. Only those go whose last change has a stamp up to applied, which the data
-// plane of this router has applied.
+// Forget removes the instances that have been unusable for longer than endedRetention. It keeps an entry whose stamp is
+// greater than applied, the last stamp that the data plane of this router has applied.
 func (g *Registry) Forget(applied uint64, now time.Duration) {
 	for id, entry := range g.entries {
 		if entry.Usable() || entry.Stamp > applied || now-entry.lastChange <= endedRetention {
 			continue
 		}
 		delete(g.entries, id)
-		entry.Stamp = 0 // its changes are no longer listed
+		entry.Stamp = 0 // ChangedSince no longer returns its changes
 		g.detachAddress(entry)
 	}
 }
--- a/internal/router/registry/registry.go
+++ b/internal/router/registry/registry.go
@@ -1,15 +1,15 @@
-// Package registry is one router's list of model servers: what their heartbeats said, what other routers reported of
-// them, and which of them have been silent for too long.
+// Package registry is one router's list of model servers: the contents of their heartbeats, the reports of other
+// routers about them, and which of them have been silent for longer than the timeout.
 //
-// It does not decide where a request goes, nor who sends what to whom. It is pure: no clock, network or goroutine of
-// its own; the caller passes the time and holds a lock around every call.
+// It does not decide where a request goes, nor which router sends what to which. It has no clock, network or goroutine
+// of its own; the caller passes the time and holds a lock around every call.
 //
-// A server counts up a sequence number with each of its heartbeats, and entries are merged by that number. So the order
-// in which reports arrive, how often, and by way of which routers does not matter. Deregistration is final for an
+// A server increments a sequence number with each of its heartbeats, and entries are merged by that number. So it does
+// not matter in which order, how often and through which routers reports arrive. Deregistration is final for an
 // instance.
 //
-// Invariant: an entry's stamp grows whenever anything changes that the data plane has to know of it, so a subscriber
-// that has applied all changes up to a stamp lacks exactly the changes after it.
+// Invariant: an entry's stamp increases with every change that the data plane has to know of, so a subscriber that has
+// applied all changes up to a stamp lacks exactly the changes after it.
 package registry
 
 import (
@@ -34,45 +34,45 @@
 	Address         string
 	Zone            string
 	Generation      string
-	Slots           int // requests that it serves at the same time
+	Slots           int // requests that it serves concurrently
 	State           State
-	WarmupRemaining time.Duration // how much longer it is slow, counted from the heartbeat with Sequence
-	Sequence        int64         // counted up by the server with every call
+	WarmupRemaining time.Duration // at the heartbeat with Sequence: how much longer it is slow
+	Sequence        int64         // incremented by the server with every heartbeat
 }
 
-// Update is what one router sends another about an instance.
+// Update is a report about an instance that one router sends to another.
 type Update struct {
 	Instance Instance
-	Lost     bool          // the sender judges that the server has been silent for too long
+	Lost     bool          // the sender considers the server lost, as in Entry
 	Age      time.Duration // time since the server's last heartbeat that the sender knows of
 }
 
-// Entry is what a registry holds of an instance. Callers may read an entry until they release the lock that guards the
-// registry.
+// Entry is the record that a registry has of an instance. Callers may read an entry until they release the lock that
+// guards the registry.
 type Entry struct {
 	Instance
-	Lost        bool          // silent for too long, or another instance has its address
-	Stamp       uint64        // of the entry's last change; 0 once the entry was dropped
+	Lost        bool          // silent for longer than the timeout, or another instance has taken over its address
+	Stamp       uint64        // of the entry's last change; 0 once the entry was removed
 	LastContact time.Duration // when the server's last heartbeat was received, here or at another router
-	lastChange  time.Duration // when Stamp was given
-	usableHash  uint64        // as hashIfUsable returned it for this stamp; Registry.Digest is the XOR of all
+	lastChange  time.Duration // when Stamp was assigned
+	usableHash  uint64        // result of hashIfUsable at this stamp; Registry.Digest is the XOR over all entries
 }
 
 // Usable reports whether requests may go to the instance.
 func (e *Entry) Usable() bool { return e.State == Ready && !e.Lost }
 
-// Registry is one router's list of servers. Make one by New.
+// Registry is one router's list of servers. Create one with New.
 type Registry struct {
 	entries   map[string]*Entry   // by instance ID
-	byAddress map[string][]*Entry // more than one only while an address passes from one instance to the next
+	byAddress map[string][]*Entry // several entries only while one instance replaces another at an address
 	stamp     uint64
-	changes   []change // in the order of their stamps; each entry's last change is among them
+	changes   []change // sorted by stamp; includes the last change of each entry
 	digest    uint64
-	received  []string // instances whose heartbeats were received here since TakeReceived was called
+	received  []string // IDs of the instances whose heartbeats were received here since the last TakeReceived
 }
 
-// maxRevivalAge is the largest age of a heartbeat by which an instance that was lost becomes usable again. An older one
-// proves only that the server lived at some time after the last one known.
+// maxRevivalAge is the maximum age of a heartbeat that makes a lost instance usable again. An older heartbeat proves
+// only that the server was alive at some time after its previous known heartbeat.
 const maxRevivalAge = time.Second
 
 // New returns an empty registry.
@@ -83,22 +83,23 @@
 // Stamp returns the stamp of the newest change.
 func (g *Registry) Stamp() uint64 { return g.stamp }
 
-// Len returns the number of instances known, ended ones included.
+// Len returns the number of known instances, including those that ended.
 func (g *Registry) Len() int { return len(g.entries) }
 
-// Entry returns the entry of an instance, or nil where the instance is not known.
+// Entry returns the entry of an instance, or nil if the instance is not known.
 func (g *Registry) Entry(id string) *Entry { return g.entries[id] }
 
 // ReceiveHeartbeat applies a heartbeat that a server sent to this router, directly or forwarded by one of its
 // subscribers. It reports whether an entry changed.
-func (g *Registry) ReceiveHeartbeat(i Instance, now time.Duration) bool {
-	g.received = append(g.received, i.ID)
-	return g.merge(i, now, now)
+func (g *Registry) ReceiveHeartbeat(observed Instance, now time.Duration) bool {
+	g.received = append(g.received, observed.ID)
+	return g.merge(observed, now, now)
 }
 
-// Merge applies an update of another core member and reports whether an entry changed. Of an instance that is known,
-// Update.Lost is ignored: each core member judges by itself, from the time of the last heartbeat, who is lost. If
-// members adopted one another's judgement, two that differ would exchange it for ever.
+// Merge applies an update of another core member and reports whether an entry changed. For an instance that is already
+// known it ignores Update.Lost: each core member decides by itself, from the time of the last heartbeat, which
+// instances are lost. If members adopted the decisions of one another, two members that disagree would send each other
+// updates forever.
 func (g *Registry) Merge(u Update, now time.Duration) bool {
 	if g.entries[u.Instance.ID] == nil {
 		return g.Adopt(u, now)
@@ -106,8 +107,8 @@
 	return g.merge(u.Instance, now-u.Age, now)
 }
 
-// Adopt applies an update of the core member that this router subscribes to, which judges for its subscribers who is
-// lost. It reports whether an entry changed.
+// Adopt applies an update of the core member that this router subscribes to, which decides for its subscribers which
+// instances are lost. It reports whether an entry changed.
 func (g *Registry) Adopt(u Update, now time.Duration) bool {
 	changed := g.merge(u.Instance, now-u.Age, now)
 	if entry := g.entries[u.Instance.ID]; entry.Lost != u.Lost {
@@ -118,8 +119,8 @@
 	return changed
 }
 
-// merge applies what a server said of itself in a heartbeat that was received at lastContact. It reports whether its
-// entry changed in a way that the data plane has to know.
+// merge applies the contents of a heartbeat that was received at lastContact, here or at another router. It reports
+// whether the entry changed in a way that the data plane has to know.
 func (g *Registry) merge(observed Instance, lastContact, now time.Duration) bool {
 	entry := g.entries[observed.ID]
 	if entry == nil {
@@ -140,7 +141,7 @@
 	return changed
 }
 
-// add makes the entry of an instance that was not known.
+// add creates the entry of a new instance.
 func (g *Registry) add(observed Instance, lastContact, now time.Duration) {
 	entry := &Entry{Instance: observed, LastContact: lastContact}
 	g.entries[observed.ID] = entry
@@ -149,8 +150,8 @@
 	g.claimAddress(entry, now)
 }
 
-// mergeInstance replaces an entry's instance by a newer one. Its state never goes back: an instance that is draining
-// does not become ready again, and a deregistration counts whatever its sequence number is.
+// mergeInstance replaces an entry's instance by a newer one. The state never goes back: an instance that is draining
+// does not become ready again, and a deregistration applies whatever its sequence number is.
 func (g *Registry) mergeInstance(entry *Entry, observed Instance) (changed bool) {
 	newer := observed.Sequence > entry.Sequence || observed.State == Deregistered
 	if !newer || entry.State == Deregistered {
@@ -172,7 +173,8 @@
 	return changed
 }
 
-// claimAddress marks the instances lost that had the address of an entry and sent their last heartbeat before it.
+// claimAddress marks the other instances at the address of an entry as lost if their last heartbeats are older than
+// that of the entry.
 func (g *Registry) claimAddress(entry *Entry, now time.Duration) {
 	for _, other := range g.byAddress[entry.Address] {
 		if other != entry && !other.Lost && other.State != Deregistered && other.LastContact < entry.LastContact {
@@ -182,7 +184,7 @@
 	}
 }
 
-// ownsAddress reports whether no other instance sent a later heartbeat with the same address.
+// ownsAddress reports whether no other instance with the same address had a later heartbeat.
 func (g *Registry) ownsAddress(entry *Entry) bool {
 	for _, other := range g.byAddress[entry.Address] {
 		if other != entry && other.LastContact > entry.LastContact {
@@ -202,7 +204,7 @@
 	g.byAddress[entry.Address] = rest
 }
 
-// RefreshContact records that another core member has just received heartbeats of these instances.
+// RefreshContact records that another core member has just received heartbeats of the instances ids.
 func (g *Registry) RefreshContact(ids []string, now time.Duration) {
 	for _, id := range ids {
 		entry := g.entries[id]
@@ -217,16 +219,17 @@
 	}
 }
 
-// TakeReceived returns the instances whose heartbeats were received here since the last call.
+// TakeReceived returns the IDs of the instances whose heartbeats were received here since the previous call.
 func (g *Registry) TakeReceived() []string {
 	received := g.received
 	g.received = nil
 	return received
 }
 
-// Expire judges who is lost: the instances without a heartbeat for longer than timeout, and those at whose address
-// another instance was seen later. It reports whether an entry changed. Core members call it; other routers adopt the
-// judgement of theirs.
+// Expire marks as lost the instances without a heartbeat for longer than timeout, and those at whose address another
+// instance had a later heartbeat. Instances to which neither applies are no longer lost. Deregistered instances stay as
+// they are. Expire reports whether an entry changed. Core members call it; other routers adopt the decisions of their
+// core member.
 func (g *Registry) Expire(timeout, now time.Duration) bool {
 	changed := false
 	for _, entry := range g.entries {
--- a/internal/router/registry/registry_test.go
+++ b/internal/router/registry/registry_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// usable lists the instances of a service that requests may go to, by ID.
+// usable returns the IDs of the usable instances of a service, sorted.
 func usable(g *Registry, service string) []string {
 	var ids []string
 	for id, e := range g.entries {
@@ -60,8 +60,8 @@
 	require.Len(t, usable(g, "registry"), 1)
 }
 
-// Two core members that judge differently who is lost would send each other updates without end if either adopted the
-// judgement of the other.
+// Two core members that disagree on whether an instance is lost would send each other updates forever if either adopted
+// the decision of the other.
 func TestJudgementsDoNotGoBackAndForth(t *testing.T) {
 	a, b := New(), New()
 	a.ReceiveHeartbeat(instance("x", 1, Ready), 0)
@@ -96,8 +96,8 @@
 	require.Empty(t, usable(g, "llm"))
 }
 
-// What is read from a disk after a restart is older than it looks: the living instance at an address wins with its next
-// heartbeat.
+// An instance that is read from a disk after a restart has a contact time that is too recent, so it takes over the
+// address of the instance that is running there. The running instance gets the address back with its next heartbeat.
 func TestTheLivingInstanceGetsItsAddressBack(t *testing.T) {
 	g := New()
 	g.ReceiveHeartbeat(instance("new", 1, Ready), time.Second)
@@ -109,8 +109,8 @@
 	require.Equal(t, "new", usable(g, "llm")[0])
 }
 
-// The changes since any stamp are those that a search of all entries finds, however often entries change, come and are
-// forgotten; and the number of changes kept is bounded by the number of entries.
+// UpdatesSince returns the same changes as a search of all entries, however often entries change, are added and are
+// forgotten, and the number of recorded changes is bounded by the number of entries.
 func TestUpdatesSinceFindsWhatASearchOfAllEntriesFinds(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	g := New()
@@ -136,12 +136,12 @@
 			got = append(got, u.Instance.ID)
 		}
 		require.Equal(t, want, got)
-		require.LessOrEqual(t, len(g.changes), 2*len(g.entries)+spareChanges+1)
+		require.LessOrEqual(t, len(g.changes), 2*len(g.entries)+compactionSlack+1)
 	}
 }
 
-// An instance that another core member, which has lost it, is the first to report is not usable before the next
-// judgement.
+// An instance that is first reported by a core member for which it is lost is not usable until a heartbeat or the next
+// Expire.
 func TestAnUnknownInstanceThatOthersHaveLost(t *testing.T) {
 	g := New()
 	g.Merge(Update{Instance: instance("a", 1, Ready), Lost: true, Age: time.Minute}, 2*time.Minute)
@@ -150,7 +150,7 @@
 	require.Len(t, usable(g, "llm"), 1)
 }
 
-// A subscriber learns of an end before it is forgotten, and ends are forgotten.
+// A subscriber learns of the end of an instance before the entry is forgotten, and entries are forgotten in the end.
 func TestEndsAreForgottenOnceTheyWereFollowed(t *testing.T) {
 	g := New()
 	g.ReceiveHeartbeat(instance("a", 1, Ready), 0)
@@ -168,7 +168,7 @@
 	require.Empty(t, g.ChangedSince(0))
 }
 
-// Registries that list the same usable instances have the same digest, however they learned of them.
+// Registries with the same usable instances have the same digest, however they learned of them.
 func TestDigest(t *testing.T) {
 	random := rand.New(rand.NewSource(2))
 	home, subscriber := New(), New()
@@ -194,8 +194,8 @@
 	require.NotEqual(t, home.Digest(), subscriber.Digest())
 }
 
-// A complete list removes what the home no longer has; a subscriber that was partitioned for long never receives those
-// changes.
+// A complete list removes the instances that the home no longer has: a subscriber that was partitioned for a long time
+// never receives the changes that ended them.
 func TestACompleteListReplaces(t *testing.T) {
 	home, subscriber := New(), New()
 	for _, g := range []*Registry{home, subscriber} {
