--- a/internal/router/dissemination/versions.go
+++ b/internal/router/dissemination/versions.go
@@ -10,39 +10,39 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// maxRetainedOrders is how many orders a router keeps for subscribers that are a little behind. One that lacks more
-// gets a snapshot.
+// maxRetainedOrders is how many orders a router keeps for subscribers that are slightly behind. A subscriber that lacks
+// more gets a snapshot.
 const maxRetainedOrders = 64
 
-// ErrVersionGap says that the orders of a Push do not follow the version that is held: a snapshot is needed.
+// ErrVersionGap is returned if the orders of a Push do not follow the version held, so that a snapshot is needed.
 var ErrVersionGap = errors.New("orders do not follow the version held")
 
-// ApplyOrder returns the configuration that an order makes of another.
+// ApplyOrder returns the configuration that results from applying an encoded order to base, which it does not change.
 type ApplyOrder func(base *routetable.Config, order []byte) (*routetable.Config, error)
 
-// Versions is the committed configuration as one router holds it, with the last orders that led to it. Its version
-// never goes back. The caller holds a lock around every call.
+// Versions holds the committed configuration of one router, with the last orders that led to it. Its version never
+// decreases. The caller holds a lock around every call.
 type Versions struct {
 	apply   ApplyOrder
 	version uint64
 	config  *routetable.Config
 	orders  [][]byte // the last ones, up to version
 
-	compressedSnapshot []byte // of compressedVersion, made when it is first needed
+	compressedSnapshot []byte // of compressedVersion, created on first use
 	compressedVersion  uint64
 }
 
-// NewVersions returns one that holds no configuration.
+// NewVersions returns Versions without a configuration.
 func NewVersions(apply ApplyOrder) *Versions { return &Versions{apply: apply} }
 
-// Version returns the number of the version held; 0 is none.
+// Version returns the number of the version held, or 0 if there is none.
 func (v *Versions) Version() uint64 { return v.version }
 
 // Config returns the configuration held, or nil.
 func (v *Versions) Config() *routetable.Config { return v.config }
 
-// Commit replaces the configuration by a committed one where that is newer, and reports whether it is. Orders are the
-// last ones that led to it, as many as are known.
+// Commit replaces the configuration by a committed one if that is newer, and reports whether it was. Argument orders
+// holds the last orders that led to the new configuration, as many as are known.
 func (v *Versions) Commit(version uint64, config *routetable.Config, orders [][]byte) bool {
 	if version <= v.version || config == nil {
 		return false
@@ -63,15 +63,15 @@
 	}
 }
 
-// FillPush puts into a push what a subscriber lacks that has a version: the orders since, or a snapshot where these are
-// not known.
-func (v *Versions) FillPush(p *Push, has uint64) {
+// FillPush adds to a push the configuration for a subscriber that holds subscriberVersion: the orders since then, or a
+// snapshot if these are no longer known.
+func (v *Versions) FillPush(p *Push, subscriberVersion uint64) {
 	p.Version = v.version
-	if has >= v.version {
+	if subscriberVersion >= v.version {
 		return
 	}
-	if missing := v.version - has; has > 0 && missing <= uint64(len(v.orders)) {
-		p.FromVersion = has
+	if missing := v.version - subscriberVersion; subscriberVersion > 0 && missing <= uint64(len(v.orders)) {
+		p.FromVersion = subscriberVersion
 		p.Orders = v.orders[uint64(len(v.orders))-missing:]
 		return
 	}
@@ -85,8 +85,8 @@
 	return v.compressedSnapshot
 }
 
-// ApplyPush applies the configuration of a push. It reports whether the configuration held is newer than before, also
-// beside an error; the error is ErrVersionGap where a snapshot is needed.
+// ApplyPush applies the configuration of a push. It reports whether the configuration held has become newer, which it
+// may have even if there is an error; the error is ErrVersionGap if a snapshot is needed.
 func (v *Versions) ApplyPush(p *Push) (bool, error) {
 	switch {
 	case p.Version <= v.version:
@@ -128,7 +128,7 @@
 	return changed, nil
 }
 
-// compress has no error to report: the level is one that flate knows, and a buffer accepts all that is written.
+// compress ignores the errors of flate, which cannot occur: the level is valid, and writes to a buffer do not fail.
 func compress(text []byte) []byte {
 	var compressed bytes.Buffer
 	w, _ := flate.NewWriter(&compressed, flate.BestSpeed)
--- a/internal/router/dissemination/versions_test.go
+++ b/internal/router/dissemination/versions_test.go
@@ -16,7 +16,7 @@
 	return c
 }
 
-// applyGeneration applies an order that is the next generation.
+// applyGeneration implements ApplyOrder for orders that consist of the next generation number.
 func applyGeneration(base *routetable.Config, order []byte) (*routetable.Config, error) {
 	var generation int
 	if _, err := fmt.Sscan(string(order), &generation); err != nil {
@@ -28,19 +28,19 @@
 	return routetable.ParseConfig(fmt.Appendf(nil, `{"Generation":%d,"Routes":[],"Services":[]}`, generation))
 }
 
-// Whichever pushes are lost, duplicated or late, a subscriber's version never goes back, is always the configuration of
-// that version, and is the newest once one push arrives that was made for what it has.
+// Whichever pushes are lost, duplicated or delayed, a subscriber's version never decreases and always matches the
+// configuration held, and one push for the version that the subscriber holds brings it to the newest version.
 func TestVersionsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		home, subscriber := NewVersions(applyGeneration), NewVersions(applyGeneration)
 		var inFlight []Push
-		assumed := uint64(0)
+		assumedVersion := uint64(0)
 		for version := uint64(1); version <= uint64(rapid.IntRange(1, 150).Draw(t, "versions")); version++ {
 			require.True(t, home.Commit(version, configuration(t, int(version)), [][]byte{fmt.Append(nil, version)}))
 			var p Push
-			home.FillPush(&p, assumed)
+			home.FillPush(&p, assumedVersion)
 			inFlight = append(inFlight, p)
-			assumed = version
+			assumedVersion = version
 			for range rapid.IntRange(0, 2).Draw(t, "arrivals") {
 				before := subscriber.Version()
 				subscriber.ApplyPush(&inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")])
@@ -50,7 +50,7 @@
 				}
 			}
 			if rapid.IntRange(0, 9).Draw(t, "reports its version") == 0 {
-				assumed = subscriber.Version()
+				assumedVersion = subscriber.Version()
 			}
 		}
 		var last Push
@@ -61,17 +61,18 @@
 	})
 }
 
-// A subscriber that is far behind, or has nothing, gets a snapshot; one that is a little behind gets the orders.
+// A subscriber that is far behind, or has no configuration, gets a snapshot; one that is slightly behind gets the
+// orders.
 func TestOrdersOrASnapshot(t *testing.T) {
 	home := NewVersions(applyGeneration)
 	for version := 1; version <= maxRetainedOrders+10; version++ {
 		home.Commit(uint64(version), configuration(t, version), [][]byte{fmt.Append(nil, version)})
 	}
-	for has, snapshot := range map[uint64]bool{0: true, 3: true, 10: false, maxRetainedOrders + 9: false} {
+	for subscriberVersion, wantSnapshot := range map[uint64]bool{0: true, 3: true, 10: false, maxRetainedOrders + 9: false} {
 		var p Push
-		home.FillPush(&p, has)
-		require.Equal(t, snapshot, len(p.Snapshot) > 0, "has %d", has)
-		require.Equal(t, snapshot, len(p.Orders) == 0, "has %d", has)
+		home.FillPush(&p, subscriberVersion)
+		require.Equal(t, wantSnapshot, len(p.Snapshot) > 0, "has %d", subscriberVersion)
+		require.Equal(t, wantSnapshot, len(p.Orders) == 0, "has %d", subscriberVersion)
 	}
 	var p Push
 	home.FillPush(&p, home.Version())
--- a/internal/router/membership/membership_test.go
+++ b/internal/router/membership/membership_test.go
@@ -16,7 +16,8 @@
 	require.Contains(t, s.Fleet(), "b")
 }
 
-// The stamp of the sessions held here changes with them, and not with a heartbeat that only renews one.
+// The stamp changes when a session is opened, ends or belongs to a new incarnation, but not with a heartbeat that only
+// renews a session.
 func TestTheStampOfSessions(t *testing.T) {
 	s := New(3 * time.Second)
 	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
@@ -32,8 +33,8 @@
 	require.Greater(t, ended, restarted)
 }
 
-// The fleet is all sessions of all core members; those of a core member that has ended count for a while longer, so
-// that its routers are not missing before they have found another core member.
+// The fleet consists of all sessions of all core members. The sessions of a core member that stopped are kept for some
+// time, so that its routers do not leave the fleet before they have found another core member.
 func TestTheFleetIsKnownThroughPeers(t *testing.T) {
 	s := New(3 * time.Second)
 	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
