--- a/internal/router/homeselection/homeselection.go
+++ b/internal/router/homeselection/homeselection.go
@@ -1,7 +1,7 @@
-// Package homeselection decides which core member a router subscribes to, and when it changes to another one.
+// Package homeselection decides which core member a router subscribes to, and when the router changes to another one.
 //
-// It is pure: the caller passes the view's members and the time, reports what it receives from the member selected, and
-// subscribes to it. One lock is held around every call.
+// It has no clock, network or goroutine of its own: the caller passes the members of the view and the time, reports the
+// messages of the selected member, and subscribes to it. The caller holds one lock around every call.
 package homeselection
 
 import (
@@ -13,52 +13,55 @@
 )
 
 const (
-	// Timeout is how long a home may send nothing, or be without contact with a majority of the core, before another
-	// one is selected. It is three heartbeats of a subscription.
+	// Timeout is how long a home may be silent, or without contact with a majority of the core, before another one is
+	// selected. It is three heartbeat intervals of a subscription.
 	Timeout = 1200 * time.Millisecond
-	// StartupTimeout is the same of a router that has just started and serves nobody until a home answers.
+	// StartupTimeout replaces Timeout for the silence of a home while a router is starting and serves no requests until
+	// a home answers.
 	StartupTimeout = 300 * time.Millisecond
-	// reviewInterval is how long a home that did not work is avoided, and after how long a home in another zone is
-	// given up for one in the own zone.
+	// reviewInterval is how long a failed home is avoided, and how long a router keeps a home in another zone before it
+	// looks for one in its own zone.
 	reviewInterval = 5 * time.Second
 )
 
 // Selector selects the home of one router: the core member that it subscribes to, which distributes configuration and
-// servers to the routers of its zone. Operators' pages and the status call it home too.
+// servers to the routers of its zone. The operators' pages and the status use the term "home" too.
 type Selector struct {
 	self     string // internal address of this router
 	locality proximity.Locality
 
-	current       string        // internal address; "" before the first selection
-	selectedAt    time.Duration // or when it was last found to be the best one still
-	lastContact   time.Duration // with the home, or with the one before
-	inTouch       bool          // the home's last message says that it has contact with a majority of the core
-	avoidedBefore map[string]time.Duration
+	current      string                   // internal address of the home; "" before the first selection
+	selectedAt   time.Duration            // when current was selected, or a later review found no better one
+	lastContact  time.Duration            // with the current home, or with the previous one until the current one answers
+	inTouch      bool                     // the home's last message said that it has contact with a majority of the core
+	avoidedUntil map[string]time.Duration // by internal address: until when a member that failed as the home is avoided
 }
 
-// New returns the selector of a router at an internal address, which has no home yet.
+// New returns the Selector of the router with internal address self. It has no home yet.
 func New(self string, locality proximity.Locality) *Selector {
-	return &Selector{self: self, locality: locality, avoidedBefore: map[string]time.Duration{}}
+	return &Selector{self: self, locality: locality, avoidedUntil: map[string]time.Duration{}}
 }
 
-// Current returns the internal address of the home, or "".
+// Current returns the internal address of the home, or "" before the first selection.
 func (s *Selector) Current() string { return s.current }
 
-// Observe records that the home sent a message, which says whether it has contact with a majority of the core.
+// Observe records a message of the home, which says whether the home has contact with a majority of the core.
 func (s *Selector) Observe(inTouch bool, now time.Duration) { s.lastContact, s.inTouch = now, inTouch }
 
-// TimedOut reports whether the home has sent nothing for longer than Timeout.
+// TimedOut reports whether the home has been silent for longer than Timeout.
 func (s *Selector) TimedOut(now time.Duration) bool { return now-s.lastContact > Timeout }
 
-// InTouch reports whether this router has contact with a majority of the core by way of its home, as far as it knows.
+// InTouch reports whether this router has contact with a majority of the core through its home: the home said so in its
+// last message and has not timed out.
 func (s *Selector) InTouch(now time.Duration) bool { return s.inTouch && !s.TimedOut(now) }
 
-// LastInTouch reports whether the home's last message said that it has contact with a majority of the core, however
-// long ago.
+// LastInTouch reports whether the home's last message said that it has contact with a majority of the core, however old
+// that message is.
 func (s *Selector) LastInTouch() bool { return s.inTouch }
 
-// Review selects another home where the current one is no member of the core any more, sends nothing, has lost contact
-// with a majority, or is in another zone; starting is true for a router that has just started and serves nobody yet.
+// Review selects another home if the current one is no longer a member of the core, is silent, has lost contact with a
+// majority, or has been in another zone for longer than reviewInterval. Argument starting is true for a router that has
+// just started and serves no requests yet.
 func (s *Selector) Review(members []replication.Member, starting bool, now time.Duration) {
 	timeout := Timeout
 	if starting {
@@ -67,7 +70,7 @@
 	timedOut := now-max(s.lastContact, s.selectedAt) > timeout
 	outOfTouch := now-s.selectedAt > Timeout && !s.inTouch
 	if s.current != "" && (timedOut || outOfTouch) {
-		s.avoidedBefore[s.current] = now + reviewInterval
+		s.avoidedUntil[s.current] = now + reviewInterval
 	}
 	zone, isMember := s.zone(members)
 	remote := now-s.selectedAt > reviewInterval && zone != s.locality.Zone
@@ -82,7 +85,7 @@
 	s.current, s.selectedAt, s.inTouch = best, now, false
 }
 
-// zone returns the zone of the home, where it is a member.
+// zone returns the zone of the home, and whether the home is among members.
 func (s *Selector) zone(members []replication.Member) (zone string, isMember bool) {
 	i := slices.IndexFunc(members, func(m replication.Member) bool { return m.Address == s.current })
 	if i < 0 {
@@ -91,7 +94,8 @@
 	return members[i].Zone, true
 }
 
-// best returns the nearest member that did not fail as a home lately. Routers of a zone spread over its members.
+// best returns the nearest member that is not avoided because it failed as the home recently. The routers of a zone
+// spread over the members of that zone.
 func (s *Selector) best(members []replication.Member, now time.Duration) string {
-	return s.locality.Nearest(members, s.self, func(address string) bool { return now < s.avoidedBefore[address] })
+	return s.locality.Nearest(members, s.self, func(address string) bool { return now < s.avoidedUntil[address] })
 }
--- a/internal/router/homeselection/homeselection_test.go
+++ b/internal/router/homeselection/homeselection_test.go
@@ -20,7 +20,7 @@
 	require.Equal(t, here.Address, s.best([]replication.Member{far, near, here}, 0))
 	withoutOwnZone := []replication.Member{far, near}
 	require.Equal(t, near.Address, s.best(withoutOwnZone, 0))
-	s.avoidedBefore = map[string]time.Duration{near.Address: time.Second}
+	s.avoidedUntil = map[string]time.Duration{near.Address: time.Second}
 	require.Equal(t, far.Address, s.best(withoutOwnZone, 0))
 	require.Equal(t, near.Address, s.best(withoutOwnZone, 2*time.Second))
 }
--- a/internal/router/storage/cache.go
+++ b/internal/router/storage/cache.go
@@ -9,18 +9,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrCacheDamaged is returned for a cache whose content is not what was written last.
+// ErrCacheDamaged is returned for a cache that is truncated or whose checksum does not match its content.
 var ErrCacheDamaged = errors.New("the cache is damaged")
 
-// checksumBytes precede the content: CRC-32 (IEEE), big-endian.
+// checksumBytes is the size of the checksum before the content: CRC-32 (IEEE), big-endian.
 const checksumBytes = 4
 
-// WriteCache replaces a file in a folder. After a loss of power ReadCache finds the old content, the new one, or
-// damage. Calls for one file must not overlap.
+// WriteCache replaces a file in a folder. After a power failure ReadCache finds the old content, the new content, or a
+// damaged file. Calls for the same file must not overlap.
 func WriteCache(folder, name string, content []byte) error {
 	path := filepath.Join(folder, name)
-	checked := binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(content))
-	if err := writeSynced(path+newSuffix, append(checked, content...)); err != nil {
+	stored := binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(content))
+	if err := writeSynced(path+newSuffix, append(stored, content...)); err != nil {
 		return errors.Wrapf(err, "storage: write cache %s", name)
 	}
 	if err := os.Rename(path+newSuffix, path); err != nil {
@@ -45,15 +45,15 @@
 	return f.Sync()
 }
 
-// ReadCache returns what WriteCache wrote. The error is os.ErrNotExist or ErrCacheDamaged where there is nothing that
-// can be used.
+// ReadCache returns the content that WriteCache wrote. Its error is os.ErrNotExist if there is no file, and
+// ErrCacheDamaged if the file is damaged.
 func ReadCache(folder, name string) ([]byte, error) {
-	checked, err := os.ReadFile(filepath.Join(folder, name))
+	stored, err := os.ReadFile(filepath.Join(folder, name))
 	if err != nil {
 		return nil, errors.Wrapf(err, "storage: read cache %s", name)
 	}
-	if len(checked) < checksumBytes || crc32.ChecksumIEEE(checked[checksumBytes:]) != binary.BigEndian.Uint32(checked) {
+	if len(stored) < checksumBytes || crc32.ChecksumIEEE(stored[checksumBytes:]) != binary.BigEndian.Uint32(stored) {
 		return nil, errors.Wrapf(ErrCacheDamaged, "storage: read cache %s", name)
 	}
-	return checked[checksumBytes:], nil
+	return stored[checksumBytes:], nil
 }
--- a/internal/router/storage/create.go
+++ b/internal/router/storage/create.go
@@ -11,23 +11,23 @@
 	"petrelhook/internal/router/replication"
 )
 
-// newSuffix is of a file that is being written; it is renamed once it is complete.
+// newSuffix marks a file that is still being written; the file is renamed once it is complete.
 const newSuffix = ".new"
 
-// create makes an empty state in a file beside and renames it, so that there is all of it or none.
+// create writes an empty state to a temporary file and renames it, so that the state exists completely or not at all.
 func create(folder, path, address string, genesis bool) error {
 	temporary := path + newSuffix
-	_ = os.Remove(temporary) // left by a start that was interrupted; if it stays, it cannot be opened or is overwritten
+	_ = os.Remove(temporary) // left by an interrupted start; if it cannot be removed, it is overwritten or opening it fails
 	if err := writeEmptyState(temporary, newIdentity(address), genesis); err != nil {
-		return errors.Wrapf(err, "storage: make %s", temporary)
+		return errors.Wrapf(err, "storage: create %s", temporary)
 	}
 	if err := os.Rename(temporary, path); err != nil {
-		return errors.Wrap(err, "storage: put the new state in its place")
+		return errors.Wrap(err, "storage: rename the new state")
 	}
 	return syncFolder(folder)
 }
 
-// newIdentity draws the identity of a disk: one that is made anew at the same address is another member.
+// newIdentity returns a random identity for a disk: a disk that is created again at the same address is another member.
 func newIdentity(address string) string {
 	var random [8]byte
 	rand.Read(random[:])
@@ -62,8 +62,8 @@
 func syncFolder(folder string) error {
 	f, err := os.Open(folder)
 	if err != nil {
-		return errors.Wrap(err, "storage: open the folder to sync it")
+		return errors.Wrap(err, "storage: open folder for sync")
 	}
-	defer func() { _ = f.Close() }() // it was opened to read
+	defer func() { _ = f.Close() }() // opened for reading only
 	return errors.Wrapf(f.Sync(), "storage: sync %s", folder)
 }
--- a/internal/router/storage/recorded_test.go
+++ b/internal/router/storage/recorded_test.go
@@ -14,10 +14,11 @@
 	"petrelhook/internal/router/replication"
 )
 
-// recordedFolder has what revision cfdfdec left on a disk; internal/router/wireformat/testdata says how it was made.
+// recordedFolder holds the disk state that revision cfdfdec wrote; internal/router/wireformat/testdata says how it was
+// created.
 const recordedFolder = "testdata/cfdfdec"
 
-// A disk that an earlier version wrote is read, and further entries are added to it, with nothing lost.
+// A disk that an earlier version wrote is read, and further entries are added to it, without losing anything.
 func TestRecordedDiskIsRead(t *testing.T) {
 	database, err := os.ReadFile(filepath.Join(recordedFolder, fileName))
 	require.NoError(t, err)
@@ -51,13 +52,13 @@
 	require.NoError(t, d.Save(replication.Save{Hard: state.Hard, Entry: entry}))
 	require.NoError(t, d.Close())
 
-	again, err := Inspect(folder)
+	reread, err := Inspect(folder)
 	require.NoError(t, err)
-	check(again)
-	require.Equal(t, *entry, again.Entries[2])
+	check(reread)
+	require.Equal(t, *entry, reread.Entries[2])
 }
 
-// What is written has the recorded fields and no others: an earlier version reads it.
+// The stored types have exactly the recorded fields, so an earlier version can read what this version writes.
 func TestSchemaIsTheRecordedOne(t *testing.T) {
 	recorded, err := os.ReadFile(filepath.Join(recordedFolder, "schema.txt"))
 	require.NoError(t, err)
--- a/internal/router/storage/size_test.go
+++ b/internal/router/storage/size_test.go
@@ -12,8 +12,8 @@
 	"petrelhook/internal/router/replication"
 )
 
-// After 5,000 entries, with a snapshot as large as that of 500 routes and 4,096 digests every 32 of them, the file is a
-// small fraction of a disk of 64 MB, and is read at a start.
+// After 5,000 entries, with a snapshot every 32 of them that is as large as that of 500 routes and 4,096 digests, the
+// file occupies a small fraction of a 64 MB disk and can be opened and read.
 func TestTheFileAfterManyOrders(t *testing.T) {
 	const (
 		entries       = 5_000
@@ -25,7 +25,7 @@
 	folder := t.TempDir()
 	d, _, err := Open(folder, "10.0.0.1:7000", true)
 	require.NoError(t, err)
-	d.database.NoSync = true // what is on the disk in the end is the same, and nothing is lost here
+	d.database.NoSync = true // the content of the file in the end is the same, and no power failure occurs here
 	for n := uint64(1); n <= entries; n++ {
 		save := replication.Save{Entry: &replication.Entry{Position: position(n), Data: bytes.Repeat([]byte("e"), entryBytes)}}
 		if n%snapshotEvery == 0 {
--- a/internal/router/storage/storage.go
+++ b/internal/router/storage/storage.go
@@ -1,17 +1,17 @@
-// Package storage keeps a replica's state on its disk: what a voter must not forget, the last snapshot, and the
-// entries since. It also keeps caches, files that may be lost (WriteCache). It does not know what the entries mean.
+// Package storage keeps a replica's state on its disk: the state that a voter must not lose, the last snapshot, and the
+// entries since then. It also keeps caches, which are files that may be lost (WriteCache). It does not interpret the
+// entries.
 //
-// The state is one bbolt file, in which a transaction is there completely or not at all. The design note says why it is
-// not pebble: pebble ends the process where its log cannot be written, and a full disk must not end a router.
+// The state is one bbolt file, in which a transaction is either complete or absent. The design note says why it is not
+// pebble: pebble terminates the process if its log cannot be written, and a full disk must not terminate a router.
 //
-// Invariants: Open finds, after any loss of power, what Save returned nil for; after a failed Save nothing that depends
-// on it is accepted until a save with a snapshot succeeds.
+// Invariants: after any power failure, Open finds the saves for which Save returned nil; after a failed Save, nothing
+// that depends on it is accepted until a save with a snapshot succeeds.
 //
-// A Disk is for one goroutine at a time: the router has one for all saves, as a disk may hang. The caches have no state
-// in memory.
+// A Disk may be used by one goroutine at a time. The router has one goroutine for all saves, because a disk may hang.
+// The caches have no state in memory.
 //
-// The encoding is gob, by the field names of replication's types; testdata/cfdfdec has a disk that is read in the
-// tests.
+// The encoding is gob, with the field names of replication's types; the tests read a recorded disk in testdata/cfdfdec.
 package storage
 
 import (
@@ -28,37 +28,38 @@
 
 const fileName = "replica.db"
 
-// lockTimeout is for how long another process that has the file open is waited for.
+// lockTimeout is how long opening waits while another process has the file open.
 const lockTimeout = time.Second
 
-// ErrSnapshotRequired is returned for a save without a snapshot that follows one that failed.
+// ErrSnapshotRequired is returned for a save without a snapshot after a failed save.
 var ErrSnapshotRequired = errors.New("an earlier save failed: a snapshot is needed")
 
-// ErrNoIdentity is returned for a file that has no replica's state in it.
-var ErrNoIdentity = errors.New("the file has no identity")
+// ErrNoIdentity is returned for a file that does not contain the state of a replica.
+var ErrNoIdentity = errors.New("the file does not contain a replica identity")
 
 // Buckets and keys of the file.
 var (
 	bucketMeta    = []byte("meta")
-	bucketEntries = []byte("entries") // by sequence, big-endian
+	bucketEntries = []byte("entries") // keyed by sequence, big-endian
 	keyID         = []byte("id")
 	keyHard       = []byte("hard")
 	keySnapshot   = []byte("snapshot")
 )
 
-// Disk is an open state. Its methods are for one goroutine at a time.
+// Disk is the open state of a replica. Its methods may be called by one goroutine at a time.
 type Disk struct {
 	database         *bbolt.DB
 	snapshotRequired bool // the last save failed
 }
 
-// Open opens the state in a folder, or makes an empty one: address becomes part of its identity, and genesis says that
-// this is the first start of the whole system. It waits a second for a process that has the file open, and fails then.
-// Its error is ErrNoIdentity where the file has no state in it. The caller closes the Disk, and may keep the state.
+// Open opens the state in a folder, or creates an empty one: address becomes part of its identity, and genesis says
+// that this is the first start of the whole system. Open fails if another process still has the file open after one
+// second. Its error is ErrNoIdentity if the file does not contain the state of a replica. The caller closes the Disk,
+// and may keep the state that is returned.
 func Open(folder, address string, genesis bool) (*Disk, *replication.PersistedState, error) {
 	path := filepath.Join(folder, fileName)
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return nil, nil, errors.Wrap(err, "storage: make the folder")
+		return nil, nil, errors.Wrap(err, "storage: create folder")
 	}
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		if err := create(folder, path, address, genesis); err != nil {
@@ -78,20 +79,20 @@
 	return d, state, nil
 }
 
-// Inspect reads the state in a folder without changing anything. It waits a second for a process that has the file
-// open, and fails then. Its error is os.ErrNotExist where there is no file, and ErrNoIdentity where that has no state
-// in it.
+// Inspect reads the state in a folder without changing anything. It fails if another process still has the file open
+// after one second. Its error is os.ErrNotExist if there is no file, and ErrNoIdentity if the file does not contain the
+// state of a replica.
 func Inspect(folder string) (*replication.PersistedState, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
-		return nil, errors.Wrap(err, "storage: find the state")
+		return nil, errors.Wrap(err, "storage: stat state file")
 	}
 	database, err := bbolt.Open(path, 0o644, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
 	if err != nil {
 		return nil, errors.Wrapf(err, "storage: open %s", path)
 	}
 	d := &Disk{database: database}
-	defer func() { _ = d.Close() }() // it was opened to read
+	defer func() { _ = d.Close() }() // opened for reading only
 	state, err := d.read()
 	return state, errors.Wrapf(err, "storage: read %s", path)
 }
@@ -102,7 +103,7 @@
 	})
 }
 
-// read returns all that is in the file.
+// read returns the complete state in the file.
 func (d *Disk) read() (*replication.PersistedState, error) {
 	state := &replication.PersistedState{}
 	err := d.database.View(func(tx *bbolt.Tx) error {
@@ -131,12 +132,12 @@
 	return state, err
 }
 
-// Save writes a save of the replica and syncs it. See SaveAll.
+// Save writes one save of the replica and syncs it to the disk. See SaveAll.
 func (d *Disk) Save(s replication.Save) error { return d.SaveAll([]replication.Save{s})[0] }
 
-// SaveAll writes saves of the replica in their order and syncs them together, in one transaction. It returns an error or nil
-// for each. On an error it is unclear whether the disk has the save, and the next one needs a snapshot: those without one
-// that come before it are not written, with ErrSnapshotRequired.
+// SaveAll writes saves of the replica in order and syncs them together, in one transaction. It returns one error or nil
+// for each. After an error it is unknown whether the disk has the save, and the next save needs a snapshot: saves
+// before the next snapshot are not written and return ErrSnapshotRequired.
 func (d *Disk) SaveAll(saves []replication.Save) []error {
 	errs := make([]error, len(saves))
 	first := 0
@@ -181,10 +182,10 @@
 	return nil
 }
 
-// entryKey orders the entries by their sequence.
+// entryKey returns a key that sorts entries by sequence.
 func entryKey(e *replication.Entry) []byte {
 	return binary.BigEndian.AppendUint64(nil, e.Position.Sequence)
 }
 
-// Close closes the state. What Save returned nil for is on the disk already.
+// Close closes the file. All saves for which Save returned nil are already on the disk.
 func (d *Disk) Close() error { return d.database.Close() }
--- a/internal/router/storage/storage_test.go
+++ b/internal/router/storage/storage_test.go
@@ -35,7 +35,7 @@
 	require.Equal(t, "four", string(persisted.Entries[0].Data))
 }
 
-// A disk that is made anew after a loss is another member.
+// A disk that is created again after a loss is another member.
 func TestALostDiskIsAnotherMember(t *testing.T) {
 	folder := t.TempDir()
 	d, first, err := Open(folder, "10.0.0.1:7000", true)
@@ -49,7 +49,7 @@
 	require.False(t, second.Hard.Genesis)
 }
 
-// A start that was interrupted leaves a temporary file, or none.
+// An interrupted start leaves a temporary file, or none; the next start succeeds.
 func TestAStartThatWasInterrupted(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, fileName+".new"), []byte("torn"), 0o644))
@@ -58,7 +58,7 @@
 	require.NoError(t, d.Close())
 }
 
-// A file of bbolt that no replica made is not read as an empty state.
+// A bbolt file that no replica created is not read as an empty state.
 func TestAFileWithoutAState(t *testing.T) {
 	folder := t.TempDir()
 	database, err := openDatabase(filepath.Join(folder, fileName))
@@ -70,7 +70,7 @@
 	require.ErrorIs(t, err, ErrNoIdentity)
 }
 
-// After a failed save nothing that depends on it is accepted, until a snapshot is.
+// After a failed save nothing that depends on it is accepted until a snapshot is saved.
 func TestAGapNeedsASnapshot(t *testing.T) {
 	d, _, err := Open(t.TempDir(), "10.0.0.1:7000", true)
 	require.NoError(t, err)
@@ -82,8 +82,8 @@
 	require.NoError(t, d.Save(entry))
 }
 
-// Saves that are synced together leave the state that they leave one by one; of those behind a gap the ones before the
-// snapshot are refused.
+// Saves that are synced together leave the same state as saves that are synced one by one. After a failed save, those
+// before the next snapshot are rejected.
 func TestSavesThatAreSyncedTogether(t *testing.T) {
 	folder := t.TempDir()
 	d, _, err := Open(folder, "10.0.0.1:7000", true)
