--- a/internal/router/transport/connection.go
+++ b/internal/router/transport/connection.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// connection is one to a peer, with the encoder that belongs to it: gob sends each type's description once a
+// connection is a connection to a peer, with its own encoder: gob sends the description of each type once per
 // connection.
 type connection struct {
 	conn    net.Conn
@@ -16,7 +16,7 @@
 	encoder *gob.Encoder
 }
 
-// dial returns a connection to a router, or nil.
+// dial returns a connection to a router, or nil if it cannot be established.
 func (t *Transport) dial(address string) *connection {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: UserTimeout(deadPeerTimeout), KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes,
@@ -34,15 +34,15 @@
 	return &connection{conn: conn, writer: writer, encoder: gob.NewEncoder(writer)}
 }
 
-// closeWithPeer closes a connection as soon as its peer does. The peer never writes to it, so a read ends with the
-// connection alone.
+// closeWithPeer closes a connection as soon as the peer closes it. The peer never writes to this connection, so Read
+// returns only when the connection ends.
 func (t *Transport) closeWithPeer(conn net.Conn) {
 	var unused [1]byte
 	_, _ = conn.Read(unused[:])
 	t.closeConnection(conn)
 }
 
-// countingWriter writes to a connection and counts the bytes.
+// countingWriter writes to a connection and adds the number of bytes written to total.
 type countingWriter struct {
 	conn  net.Conn
 	total *atomic.Uint64
--- a/internal/router/transport/receiver.go
+++ b/internal/router/transport/receiver.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Serve accepts connections of other routers until the listener or the transport is closed, and returns the error by
-// which it ended.
+// Serve accepts connections of other routers until the listener or the transport is closed. It returns the error that
+// ended it, which is never nil.
 func (t *Transport) Serve(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
@@ -23,7 +23,7 @@
 	}
 }
 
-// receive passes the messages of a connection to the handler.
+// receive passes the messages of a connection to the handler until the connection fails or has been idle for too long.
 func (t *Transport) receive(conn net.Conn) {
 	defer t.closeConnection(conn)
 	decoder := gob.NewDecoder(bufio.NewReaderSize(conn, bufferBytes))
--- a/internal/router/transport/sender.go
+++ b/internal/router/transport/sender.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// peer is a router that messages are sent to.
+// peer is a router with a queue of messages to it.
 type peer struct {
 	address   string
 	queue     chan any
-	reconnect atomic.Bool // the connection is to an incarnation that has ended
+	reconnect atomic.Bool // the connection belongs to an incarnation that has ended
 }
 
-// Send puts a message into the queue to a peer; it is dropped where the queue is full. The message must not be changed
-// afterwards. Send never calls the handler itself, also not for what the router sends to itself: callers hold locks
-// that the handler acquires.
+// Send appends a message to the queue of a peer, or drops it if the queue is full. The caller must not change the
+// message afterwards. Send never calls the handler itself, not even for messages of the router to itself, because
+// callers hold locks that the handler acquires.
 func (t *Transport) Send(to string, body any) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// addPeer starts the goroutine that empties a peer's queue. The lock is held.
+// addPeer adds a peer and starts the goroutine that empties its queue. The caller holds t.mutex.
 func (t *Transport) addPeer(address string) *peer {
 	p := &peer{address: address, queue: make(chan any, queueLength)}
 	t.peers[address] = p
@@ -43,8 +43,9 @@
 	return p
 }
 
-// Reconnect says that another incarnation of the router at an address has started: what is sent next goes over a new
-// connection. The end of the old one may not have been noticed, where a machine lost its power.
+// Reconnect tells the transport that a new incarnation of the router at an address has started: the next message to it
+// goes over a new connection. The end of the old connection may have gone unnoticed, for instance if the machine lost
+// power.
 func (t *Transport) Reconnect(address string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -53,7 +54,7 @@
 	}
 }
 
-// deliverToSelf passes to the handler what the router sends to itself.
+// deliverToSelf passes the messages that the router sends to itself to the handler.
 func (t *Transport) deliverToSelf(p *peer) {
 	for {
 		select {
@@ -65,7 +66,7 @@
 	}
 }
 
-// writeQueue writes a peer's messages to its connection, until there have been none for idleTimeout.
+// writeQueue writes a peer's messages to its connection, and returns after idleTimeout without a message.
 func (t *Transport) writeQueue(p *peer) {
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -95,7 +96,7 @@
 	}
 }
 
-// removeIdlePeer removes a peer unless there is a message for it; it reports whether it did.
+// removeIdlePeer removes a peer if its queue is empty, and reports whether it did.
 func (t *Transport) removeIdlePeer(p *peer) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -106,8 +107,8 @@
 	return true
 }
 
-// write sends a message and all that wait behind it together, over the current connection or a new one. It returns the
-// connection to use next, nil where there is none.
+// write sends a message together with all messages that are queued behind it, over the current connection or a new one.
+// It returns the connection to use next, or nil if there is none.
 func (t *Transport) write(current *connection, p *peer, body any) *connection {
 	if current == nil {
 		if current = t.dial(p.address); current == nil {
@@ -123,7 +124,7 @@
 }
 
 func (t *Transport) writeAll(current *connection, p *peer, body any) error {
-	_ = current.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection alone, as the flush does
+	_ = current.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as the flush does
 	for {
 		if err := current.encoder.Encode(Envelope{From: t.self, Body: t.codec.ToWire(body)}); err != nil {
 			return err
@@ -136,7 +137,7 @@
 	}
 }
 
-// dropUntilRedial waits before the next dial. The messages that came meanwhile are out of date and dropped.
+// dropUntilRedial waits for redialDelay and then drops the queued messages, which are out of date by then.
 func (t *Transport) dropUntilRedial(p *peer) {
 	select {
 	case <-t.done:
--- a/internal/router/transport/sockopt.go
+++ b/internal/router/transport/sockopt.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout returns a control function for dialers by which a connection ends when the peer's machine has not
-// acknowledged what was sent for so long (TCP_USER_TIMEOUT). Without it that takes the kernel many minutes where a
-// machine lost its power.
+// UserTimeout returns a control function for dialers that sets TCP_USER_TIMEOUT: the connection fails if sent data
+// stays unacknowledged for longer than d. Without it, the kernel takes many minutes to notice that the machine of the
+// peer lost power.
 func UserTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var optionErr error
--- a/internal/router/transport/transport_test.go
+++ b/internal/router/transport/transport_test.go
@@ -14,24 +14,24 @@
 
 func init() { gob.Register(message{}) }
 
-// sameOnWire sends messages as they are.
+// sameOnWire is a Codec that sends messages unchanged.
 type sameOnWire struct{}
 
 func (sameOnWire) ToWire(message any) any { return message }
 func (sameOnWire) FromWire(value any) any { return value }
 
-// A router that sends to itself under a lock that its handler acquires must not deadlock.
+// A router that sends to itself while it holds a lock that its handler acquires must not deadlock.
 func TestSendingToItselfUnderALock(t *testing.T) {
 	var mutex sync.Mutex
 	got := make(chan int, 1)
-	one := New("127.0.0.1:1", sameOnWire{}, func(_ string, body any) {
+	router := New("127.0.0.1:1", sameOnWire{}, func(_ string, body any) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		got <- body.(message).Number
 	})
-	defer one.Close()
+	defer router.Close()
 	mutex.Lock()
-	one.Send("127.0.0.1:1", message{7})
+	router.Send("127.0.0.1:1", message{7})
 	mutex.Unlock()
 	require.Equal(t, 7, <-got)
 }
@@ -52,11 +52,11 @@
 	for i := range 100 {
 		require.Equal(t, i, <-got)
 	}
-	from.Close() // it waits for the writer, which counts after it has written
+	from.Close() // waits for the writer, which counts the bytes after writing them
 	require.Positive(t, from.SentBytes())
 }
 
-// Messages to a peer that does not listen are lost, and the sender does not wait.
+// Messages to a peer that does not listen are lost, and the sender does not block.
 func TestAnAbsentPeer(t *testing.T) {
 	from := New("127.0.0.1:2", sameOnWire{}, nil)
 	defer from.Close()
@@ -67,8 +67,7 @@
 	require.Less(t, time.Since(began), time.Second)
 }
 
-// What is sent after a new incarnation of the peer is known goes over a new connection, although the old one shows no
-// fault.
+// After Reconnect, messages go over a new connection, although the old one shows no error.
 func TestReconnect(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/router/wireformat/servers.go
+++ b/internal/router/wireformat/servers.go
@@ -80,7 +80,7 @@
 	return updates
 }
 
-// EncodeServers returns the contents of the cache of servers that a member of the core keeps on its disk.
+// EncodeServers returns the content of the server cache that a core member keeps on its disk.
 func EncodeServers(updates []registry.Update) ([]byte, error) {
 	var encoded bytes.Buffer
 	if err := gob.NewEncoder(&encoded).Encode(toWireUpdates(updates)); err != nil {
@@ -89,7 +89,7 @@
 	return encoded.Bytes(), nil
 }
 
-// DecodeServers reads what EncodeServers returned, in this version or an earlier one.
+// DecodeServers decodes the output of EncodeServers of this version or an earlier one.
 func DecodeServers(encoded []byte) ([]registry.Update, error) {
 	var wire []wireUpdate
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&wire); err != nil {
--- a/internal/router/wireformat/wireformat.go
+++ b/internal/router/wireformat/wireformat.go
@@ -1,15 +1,15 @@
-// Package wireformat is the form in which routers send messages to one another and keep the list of servers on disk:
-// encoding/gob, with names that never change.
+// Package wireformat defines the encoding in which routers send messages to one another and keep the list of servers on
+// disk: encoding/gob, with names that never change.
 //
 // Routers of several versions work in one fleet. gob identifies a message by the name under which its type is
-// registered, and a field by its Go name; a field that the reader does not know is dropped without an error. So each
-// message is registered under a fixed name, whatever its Go type is called by now, and a type whose fields were renamed
-// since they were first sent has a wire type of its own here, with the field names that are sent and a conversion both
-// ways. All other messages are sent as they are.
+// registered, and a field by its Go name; it silently ignores a field that the reader does not have. So each message is
+// registered under a fixed name, independent of the current name of its Go type. A type whose fields were renamed since
+// they were first sent has a wire type here, which keeps the field names that are sent, and conversions in both
+// directions. All other messages are sent as they are.
 //
-// To rename a field of a message, give the message a wire type. To add a field, add it to both: older routers pass it
-// over. Removing a field, or a message, needs a release in which nobody depends on it. The tests compare every message
-// with bytes and with a schema that were recorded from an earlier version.
+// To rename a field of a message, give the message a wire type. To add a field, add it to the message and to its wire
+// type; older routers ignore it. A field or message can only be removed in a release in which no router depends on it
+// any more. The tests compare every message with bytes and with a schema that were recorded from an earlier version.
 package wireformat
 
 import (
@@ -27,7 +27,7 @@
 	replicationPrefix   = "petrelhook/internal/router/replication."
 )
 
-// registered has a value of the wire type of each message, by the name that is sent.
+// registered maps the name under which each message is sent to a value of its wire type.
 var registered = map[string]any{
 	disseminationPrefix + "Session":            wireSubscriptionHeartbeat{},
 	disseminationPrefix + "Push":               wirePush{},
@@ -69,23 +69,23 @@
 	replicationPrefix + "LearnerAck":     replication.LearnerAck{},
 }
 
-// register makes gob know all messages. gob's table belongs to the process, so once is enough.
+// register registers all messages with gob. It runs once, because gob's table is global to the process.
 var register = sync.OnceFunc(func() {
 	for name, message := range registered {
 		gob.RegisterName(name, message)
 	}
 })
 
-// Codec converts messages to what is sent and back. It has no state; any goroutine may use it.
+// Codec converts messages to the values that are sent, and back. It has no state and may be used from any goroutine.
 type Codec struct{}
 
-// NewCodec returns a codec, after which gob can encode and decode every message.
+// NewCodec registers all messages with gob, so that they can be encoded and decoded, and returns a Codec.
 func NewCodec() Codec {
 	register()
 	return Codec{}
 }
 
-// ToWire returns what is sent of a message. It may share memory with the message.
+// ToWire returns the value that is sent for a message. It may share memory with the message.
 func (Codec) ToWire(message any) any {
 	switch m := message.(type) {
 	case dissemination.SubscriptionHeartbeat:
@@ -109,7 +109,7 @@
 	}
 }
 
-// FromWire returns the message that was received as a wire value. It may share memory with the value.
+// FromWire returns the message for a value that was received. It may share memory with the value.
 func (Codec) FromWire(value any) any {
 	switch w := value.(type) {
 	case wireSubscriptionHeartbeat:
--- a/internal/router/wireformat/wireformat_test.go
+++ b/internal/router/wireformat/wireformat_test.go
@@ -28,7 +28,7 @@
 
 const recordedFolder = "testdata/cfdfdec"
 
-// recordedName is the base name of the files that have a recorded message.
+// recordedName returns the base name of the files with the recorded message of a registered name.
 func recordedName(registeredName string) string {
 	return strings.ReplaceAll(strings.TrimPrefix(registeredName, "petrelhook/internal/router/"), "/", ".")
 }
@@ -40,7 +40,7 @@
 	return content
 }
 
-// decodeRecorded decodes a recorded message as transport does, up to the conversion.
+// decodeRecorded decodes a recorded message as package transport does, without converting it from its wire type.
 func decodeRecorded(t *testing.T, name string) any {
 	t.Helper()
 	NewCodec()
@@ -51,7 +51,8 @@
 	return envelope.Body
 }
 
-// What is sent has the names that routers of the recorded version know, and no other fields: an older router reads it.
+// The registered names and their fields are exactly the recorded ones, so an older router can read what this version
+// sends.
 func TestSchemaIsTheRecordedOne(t *testing.T) {
 	var lines []string
 	for name, message := range registered {
@@ -63,7 +64,7 @@
 	require.ElementsMatch(t, recorded, lines)
 }
 
-// A message of the recorded version is read with all its values, and would be sent on with the same ones.
+// A message of the recorded version is decoded with all its values, and would be sent with the same values again.
 func TestRecordedMessagesAreRead(t *testing.T) {
 	codec := NewCodec()
 	for _, name := range slices.Sorted(maps.Keys(registered)) {
@@ -78,7 +79,7 @@
 	}
 }
 
-// What this version sends, read by types with the recorded fields, has the recorded values.
+// A message that this version sends has the recorded values when it is decoded into types with the recorded fields.
 func TestSentMessagesAreReadByTheRecordedVersion(t *testing.T) {
 	for _, name := range slices.Sorted(maps.Keys(registered)) {
 		t.Run(recordedName(name), func(t *testing.T) {
@@ -95,7 +96,7 @@
 	}
 }
 
-// Each field that has another name on the wire gets its own value, not a neighbour's.
+// Each field that has another name on the wire is converted from its own value, not from that of a neighbouring field.
 func TestRenamedFields(t *testing.T) {
 	codec := NewCodec()
 
@@ -140,7 +141,7 @@
 	require.Equal(t, replication.PreVoteReply{LeaderContact: true}, codec.FromWire(wirePreVoteReply{Hears: true}))
 }
 
-// The list of servers that the recorded version left on a disk is read.
+// The server cache that the recorded version wrote to disk is read.
 func TestRecordedServersAreRead(t *testing.T) {
 	encoded, err := storage.ReadCache(recordedFolder, "servers.cache")
 	require.NoError(t, err)
@@ -159,7 +160,8 @@
 	require.Equal(t, servers, decoded)
 }
 
-// Each message of replication can be sent: one that gob does not know would be dropped without an error.
+// All messages of package replication can be sent: a message that is not registered with gob would be dropped without
+// an error.
 func TestAllMessagesOfReplicationAreRegistered(t *testing.T) {
 	codec := NewCodec()
 	count := 0
