--- a/internal/router/eventstream/eventstream.go
+++ b/internal/router/eventstream/eventstream.go
@@ -1,10 +1,10 @@
-// Package eventstream splits a stream of server-sent events into complete events, as they come. It does not interpret
-// them, but for their id.
+// Package eventstream splits a stream of server-sent events into complete events as they arrive. It does not interpret
+// the events, except for their id.
 //
-// Invariant: what Next returns ends with the blank line that ends an event; an event that was cut off is never
+// Invariant: the bytes that Next returns end with the blank line that ends an event; a truncated event is never
 // returned.
 //
-// A Reader is for one goroutine at a time.
+// A Reader may be used by one goroutine at a time.
 package eventstream
 
 import (
@@ -15,19 +15,19 @@
 	"io"
 )
 
-// MaxEvent bounds one event, in bytes.
+// MaxEvent is the size in bytes from which an event is too long.
 const MaxEvent = 1 << 20
 
-// The errors of Reader.Next beside io.EOF and those of the source.
+// The errors of Reader.Next in addition to io.EOF and those of the source.
 var (
 	ErrPartial = errors.New("the stream ended within an event")
 	ErrTooLong = fmt.Errorf("an event is longer than %d bytes", MaxEvent)
 )
 
-// readBuffer is the size of the buffer in bytes; a longer line is assembled from several reads.
+// readBuffer is the size of the read buffer in bytes; a longer line is assembled from several reads.
 const readBuffer = 4 << 10
 
-// Reader reads the events of one stream. Make it by NewReader.
+// Reader reads the events of one stream. Create it with NewReader.
 type Reader struct {
 	source *bufio.Reader
 	event  []byte
@@ -37,9 +37,9 @@
 // NewReader returns a reader of the events in a body. It does not close the body.
 func NewReader(r io.Reader) *Reader { return &Reader{source: bufio.NewReaderSize(r, readBuffer)} }
 
-// Next returns the next event's bytes, which are valid until the next call. The error is io.EOF where the stream ended
-// after a complete event, ErrPartial where it ended within one, ErrTooLong where an event exceeds MaxEvent, or that of
-// the source. The reader is not used after an error.
+// Next returns the bytes of the next event, which are valid until the next call. The error is io.EOF if the stream
+// ended after a complete event, ErrPartial if it ended within an event, ErrTooLong if an event reaches MaxEvent bytes,
+// or the error of the source. The caller must not use the Reader after an error.
 func (r *Reader) Next() ([]byte, error) {
 	r.event = r.event[:0]
 	lineStart := true
@@ -69,13 +69,13 @@
 
 func blank(line []byte) bool { return len(bytes.TrimRight(line, "\r\n")) == 0 }
 
-// Buffered reports whether bytes after the event that Next returned have arrived already.
+// Buffered reports whether bytes after the event that Next returned have already been read from the source.
 func (r *Reader) Buffered() bool { return r.source.Buffered() > 0 }
 
-// LastID returns the id of the last event that had one, or "" where none had. A resumed stream continues after it.
+// LastID returns the id of the last event that had one, or "" if none had. A resumed stream continues after that event.
 func (r *Reader) LastID() string { return r.lastID }
 
-// recordID finds the last id field of the event.
+// recordID sets lastID to the value of the last id field of the event, if it has one.
 func (r *Reader) recordID() {
 	for rest := r.event; len(rest) > 0; {
 		line, more, _ := bytes.Cut(rest, []byte{'\n'})
--- a/internal/router/eventstream/eventstream_test.go
+++ b/internal/router/eventstream/eventstream_test.go
@@ -25,7 +25,7 @@
 		require.Equal(t, "2", r.LastID())
 		_, err = r.Next()
 		require.Equal(t, ErrPartial, err)
-		require.Equal(t, "2", r.LastID(), "an event that was cut off has no id")
+		require.Equal(t, "2", r.LastID(), "the id of a truncated event is ignored")
 	}
 }
 
@@ -39,7 +39,8 @@
 	require.Equal(t, io.EOF, err)
 }
 
-// Only the plain io.EOF is the end of a stream: a source that failed with an error that wraps it is not taken for complete.
+// Only an unwrapped io.EOF is the end of a stream: if the source fails with an error that wraps io.EOF, the stream is
+// not treated as complete.
 func TestAnErrorThatWrapsEOFIsNoEnd(t *testing.T) {
 	failure := fmt.Errorf("connection: %w", io.EOF)
 	r := NewReader(io.MultiReader(strings.NewReader("id: 1\ndata: a\n\n"), iotest.ErrReader(failure)))
--- a/internal/router/operatorapi/accepted_orders.go
+++ b/internal/router/operatorapi/accepted_orders.go
@@ -5,15 +5,16 @@
 // maxRememberedOrders is how many accepted orders are remembered.
 const maxRememberedOrders = 4096
 
-// allRemembered is forgottenBase while no order was dropped.
+// allRemembered is the value of forgottenBase while no order has been forgotten.
 const allRemembered = -1
 
-// acceptedOrders are the newest accepted orders, kept so that one which is sent again is acknowledged again.
+// acceptedOrders holds the digests of the newest accepted orders, so that an order that is sent again is acknowledged
+// again.
 type acceptedOrders struct {
 	digests []Digest // oldest first
-	bases   []int64  // the versions that the orders were accepted on top of
+	bases   []int64  // for each digest, the version that the order was based on
 	known   map[Digest]bool
-	// forgottenBase is the version that the newest order which is not remembered any more was accepted on top of.
+	// forgottenBase is the version that the newest forgotten order was based on.
 	forgottenBase int64
 }
 
@@ -21,18 +22,18 @@
 	return acceptedOrders{known: map[Digest]bool{}, forgottenBase: allRemembered}
 }
 
-func (m *acceptedOrders) has(d Digest) bool { return m.known[d] }
+func (a *acceptedOrders) has(d Digest) bool { return a.known[d] }
 
-// mayHaveForgotten reports whether an order on top of a version may have been accepted and dropped.
-func (m *acceptedOrders) mayHaveForgotten(base int64) bool { return base <= m.forgottenBase }
+// mayHaveForgotten reports whether an order that is based on a version may have been accepted and then forgotten.
+func (a *acceptedOrders) mayHaveForgotten(base int64) bool { return base <= a.forgottenBase }
 
-// add remembers an order, and drops the oldest one beyond the bound.
-func (m *acceptedOrders) add(d Digest, base int64) {
-	m.digests, m.bases = append(m.digests, d), append(m.bases, base)
-	m.known[d] = true
-	if len(m.digests) > maxRememberedOrders {
-		delete(m.known, m.digests[0])
-		m.forgottenBase = m.bases[0]
-		m.digests, m.bases = slices.Clone(m.digests[1:]), slices.Clone(m.bases[1:])
+// add remembers an accepted order, and forgets the oldest one if there are more than maxRememberedOrders.
+func (a *acceptedOrders) add(d Digest, base int64) {
+	a.digests, a.bases = append(a.digests, d), append(a.bases, base)
+	a.known[d] = true
+	if len(a.digests) > maxRememberedOrders {
+		delete(a.known, a.digests[0])
+		a.forgottenBase = a.bases[0]
+		a.digests, a.bases = slices.Clone(a.digests[1:]), slices.Clone(a.bases[1:])
 	}
 }
--- a/internal/router/operatorapi/order.go
+++ b/internal/router/operatorapi/order.go
@@ -12,16 +12,16 @@
 // errOrderTruncated is returned for an entry that is shorter than an order's header.
 var errOrderTruncated = errors.New("the order is truncated")
 
-// OrderKind says what an order does.
+// OrderKind is the operation that an order requests.
 type OrderKind uint8
 
 // The kinds of orders. Their numbers are part of the encoding.
 const (
 	Replace OrderKind = iota + 1 // Body is a complete configuration
-	Update                       // Body is a change of one
+	Update                       // Body is an update of the current configuration
 )
 
-// Order is one call of the operator.
+// Order is one configuration call of the operator.
 type Order struct {
 	Kind OrderKind
 	Base int64  // the version that the operator expects to be current
@@ -31,12 +31,12 @@
 // Digest identifies the content of an order.
 type Digest [sha256.Size]byte
 
-// Digest returns the digest of the encoded order: a call that is sent again has the same.
+// Digest returns the digest of the encoded order. A call that is sent again has the same digest.
 func (o *Order) Digest() Digest { return sha256.Sum256(o.Encode()) }
 
 const orderHeaderBytes = 1 + 8 // kind and base, big-endian
 
-// Encode returns an order as an entry for the state machine.
+// Encode returns the order as an entry for the state machine.
 func (o *Order) Encode() []byte {
 	entry := make([]byte, orderHeaderBytes, orderHeaderBytes+len(o.Body))
 	entry[0] = byte(o.Kind)
@@ -44,7 +44,7 @@
 	return append(entry, o.Body...)
 }
 
-// DecodeOrder reads an entry. The order shares memory with it.
+// DecodeOrder decodes an entry. The order shares memory with the entry.
 func DecodeOrder(entry []byte) (*Order, error) {
 	if len(entry) < orderHeaderBytes {
 		return nil, errOrderTruncated
@@ -52,7 +52,7 @@
 	return &Order{Kind: OrderKind(entry[0]), Base: int64(binary.BigEndian.Uint64(entry[1:])), Body: entry[orderHeaderBytes:]}, nil
 }
 
-// ApplyOrder returns the configuration that an encoded order which was accepted makes of another, which may be nil.
+// ApplyOrder returns the configuration that results from applying an accepted, encoded order to base, which may be nil.
 func ApplyOrder(base *routetable.Config, entry []byte) (*routetable.Config, error) {
 	o, err := DecodeOrder(entry)
 	if err != nil {
@@ -61,7 +61,8 @@
 	return o.applyTo(base)
 }
 
-// applyTo returns the configuration that the order makes of another, which may be nil. It does not validate it.
+// applyTo returns the configuration that results from applying the order to base, which may be nil. It does not
+// validate the result.
 func (o *Order) applyTo(base *routetable.Config) (*routetable.Config, error) {
 	if o.Kind != Update {
 		return routetable.ParseConfig(o.Body)
--- a/internal/router/operatorapi/recorded_test.go
+++ b/internal/router/operatorapi/recorded_test.go
@@ -11,8 +11,8 @@
 	"petrelhook/internal/common/gobschema"
 )
 
-// A snapshot of an earlier version restores the configuration and the orders that were accepted. The file is of
-// revision cfdfdec; internal/router/wireformat/testdata says how it was made.
+// A snapshot of an earlier version restores the configuration and the accepted orders. The file was written by revision
+// cfdfdec; internal/router/wireformat/testdata says how.
 func TestRecordedSnapshotIsRestored(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/cfdfdec/register.snapshot")
 	require.NoError(t, err)
@@ -29,7 +29,7 @@
 	require.Equal(t, register.Config(), same.Config())
 }
 
-// What is written has the recorded fields and no others: an earlier version reads it.
+// A snapshot has exactly the recorded fields, so an earlier version can read it.
 func TestSnapshotSchema(t *testing.T) {
 	require.Equal(t, "{Config bytes; Taken bytes; Bases []int; Forgotten int}", gobschema.Describe(reflect.TypeFor[snapshot]()))
 }
--- a/internal/router/operatorapi/register.go
+++ b/internal/router/operatorapi/register.go
@@ -1,15 +1,15 @@
-// Package operatorapi is the state machine that the core replicates: the newest configuration, and which of the
-// operator's orders led to it. It answers what becomes of an order to replace or update the configuration. It does not
-// serve the HTTP calls that bring orders (internal/router/node does), and it does not know how orders are replicated
+// Package operatorapi implements the state machine that the core replicates: the newest configuration, and the
+// operator's orders that led to it. It decides whether an order to replace or update the configuration is accepted. It
+// does not serve the HTTP calls that carry orders (internal/router/node does), and it does not replicate orders
 // (internal/router/replication does).
 //
-// Register is deterministic: the same orders in the same order give the same configuration on every replica.
-// Invariants: an order that was accepted is recognized by its content for as long as maxRememberedOrders later ones,
-// and is never rejected: one that may have been accepted before that gets no clear answer. Versions only rise, and one
-// number names one content.
+// Register is deterministic: the same orders in the same sequence give the same configuration on every replica.
+// Invariants: an accepted order is recognized by its content until maxRememberedOrders later orders have been accepted,
+// and is never rejected: an order that may have been accepted before that gets an answer that leaves this open.
+// Versions only increase, and one version number belongs to one content.
 //
-// A Register is not safe for concurrent use: the replica alone calls it, under the router's lock. Configurations that
-// it returns are immutable.
+// A Register is not safe for concurrent use: only the replica calls it, under the router's lock. The configurations
+// that it returns are immutable.
 package operatorapi
 
 import (
@@ -27,10 +27,11 @@
 
 // Register is the replicated configuration. It implements replication.StateMachine.
 type Register struct {
-	config   *routetable.Config // nil before the first
+	config   *routetable.Config // nil before the first order
 	accepted acceptedOrders
 
-	// The configuration that Decide worked out, for Apply: an order is parsed and validated once.
+	// The configuration that results from the order with pendingDigest, or nil. Decide stores it for Apply, so that an
+	// order is parsed and validated only once.
 	pendingDigest Digest
 	pendingConfig *routetable.Config
 }
@@ -40,13 +41,13 @@
 // NewRegister returns an empty register.
 func NewRegister() *Register { return &Register{accepted: newAcceptedOrders()} }
 
-// Config returns the newest configuration, or nil before the first.
+// Config returns the newest configuration, or nil before the first order.
 func (g *Register) Config() *routetable.Config { return g.config }
 
 // Value returns the newest configuration as a *routetable.Config.
 func (g *Register) Value() any { return g.config }
 
-// Generation returns the newest configuration's number, or 0 before the first.
+// Generation returns the version number of the newest configuration, or 0 before the first order.
 func (g *Register) Generation() int64 {
 	if g.config == nil {
 		return 0
@@ -54,9 +55,9 @@
 	return g.config.Generation
 }
 
-// Decide says what becomes of an encoded order, with the status for the operator: 200 if it was accepted before or can
-// be now (then Accept is set), 400 if it is invalid, 412 if it is not on top of the current version, 503 if it may have
-// been accepted long ago.
+// Decide returns whether an encoded order can be accepted, and the HTTP status for the operator: 200 if the order was
+// accepted before or can be accepted now (only then Accept is set), 400 if it is invalid, 412 if it is not based on the
+// current version, 503 if it may have been accepted and forgotten.
 func (g *Register) Decide(entry []byte) replication.Decision {
 	o, err := DecodeOrder(entry)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return replication.Decision{Accept: true, Status: http.StatusOK}
 }
 
-// Apply applies an order that Decide accepted, here or on another replica.
+// Apply applies an order that Decide accepted on this replica or another one.
 func (g *Register) Apply(entry []byte) {
 	o, err := DecodeOrder(entry)
 	if err != nil {
@@ -91,7 +92,7 @@
 	g.accepted.add(o.Digest(), o.Base)
 }
 
-// result returns the valid configuration that an order leads to.
+// result returns the validated configuration that results from an order.
 func (g *Register) result(o *Order) (*routetable.Config, error) {
 	digest := o.Digest()
 	if g.pendingConfig != nil && g.pendingDigest == digest {
--- a/internal/router/operatorapi/register_test.go
+++ b/internal/router/operatorapi/register_test.go
@@ -23,7 +23,7 @@
 	return o.Encode()
 }
 
-// decideAndApply decides on an order and applies it where it is accepted.
+// decideAndApply decides on an order, applies it if it is accepted, and returns the status.
 func decideAndApply(g *Register, entry []byte) int {
 	d := g.Decide(entry)
 	if d.Accept {
@@ -67,34 +67,33 @@
 	require.Equal(t, int64(3), g.Generation())
 }
 
-// A snapshot restores the configuration, with fields that this version does not know, and the memory of orders.
+// A snapshot restores the configuration, including fields that this version does not know, and the accepted orders.
 func TestSnapshot(t *testing.T) {
 	g := NewRegister()
 	first := order(Replace, 0, completeConfig)
 	require.Equal(t, http.StatusOK, decideAndApply(g, first))
 	require.Equal(t, http.StatusOK, decideAndApply(g, order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("/y/")+`]}}`)))
-	h := NewRegister()
-	require.NoError(t, h.Restore(g.Snapshot()))
-	require.Equal(t, string(g.Config().Encode()), string(h.Config().Encode()))
-	require.Contains(t, string(h.Config().Encode()), `"Unknown":{"kept":true}`)
-	require.Equal(t, http.StatusOK, decideAndApply(h, first))
-	require.Equal(t, int64(5), h.Generation())
+	restored := NewRegister()
+	require.NoError(t, restored.Restore(g.Snapshot()))
+	require.Equal(t, string(g.Config().Encode()), string(restored.Config().Encode()))
+	require.Contains(t, string(restored.Config().Encode()), `"Unknown":{"kept":true}`)
+	require.Equal(t, http.StatusOK, decideAndApply(restored, first))
+	require.Equal(t, int64(5), restored.Generation())
 	g.accepted.bases = nil // as an earlier version wrote it
-	require.NoError(t, h.Restore(g.Snapshot()))
-	require.Equal(t, http.StatusOK, decideAndApply(h, first))
+	require.NoError(t, restored.Restore(g.Snapshot()))
+	require.Equal(t, http.StatusOK, decideAndApply(restored, first))
 	empty := NewRegister()
-	require.NoError(t, h.Restore(empty.Snapshot()))
-	require.Zero(t, h.Generation())
+	require.NoError(t, restored.Restore(empty.Snapshot()))
+	require.Zero(t, restored.Generation())
 }
 
-// orderNumber is the n-th order of a series, each on top of the one before.
+// orderNumber returns the n-th order of a series in which each order is based on the previous one.
 func orderNumber(n int64) []byte {
 	return order(Replace, n-1, fmt.Sprintf(`{"Generation":%d,"Routes":[],"Services":[{"Name":"s%d"}]}`, n, n))
 }
 
-// An order that was accepted is acknowledged again by its content for as long as it is remembered, and is never
-// rejected: after more orders than are remembered the answer is unclear, also from a replica that was restored from a
-// snapshot.
+// An accepted order is acknowledged again by its content while it is remembered, and is never rejected. Once it is
+// forgotten the status is 503, also from a replica that was restored from a snapshot.
 func TestAnOrderIsNeverRejectedLater(t *testing.T) {
 	g := NewRegister()
 	const orders = maxRememberedOrders + 10
@@ -119,7 +118,8 @@
 	t.Logf("a snapshot has %d bytes", len(g.Snapshot()))
 }
 
-// Two operators choose one number on top of one version: one content gets it. Two who send the same bytes both get 200.
+// Two operators choose the same new version number on top of the same version: only one content gets it. If both send
+// the same bytes, both get status 200.
 func TestOneNumberNamesOneContent(t *testing.T) {
 	g := NewRegister()
 	require.Equal(t, http.StatusOK, decideAndApply(g, order(Replace, 0, completeConfig)))
--- a/internal/router/settings/deploy.go
+++ b/internal/router/settings/deploy.go
@@ -7,28 +7,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Deploy is a deploy file: how the system is built, and which role runs where.
+// Deploy is a deploy file: how to build the system, and which role runs on which machines.
 type Deploy struct {
 	Build    string          `toml:"build" validate:"required"`
 	Packages []string        `toml:"packages"`
 	Roles    map[string]Role `toml:"roles" validate:"required,min=1,dive"`
 }
 
-// Role is one program that runs on a class of machines: on a fraction of them in each zone, or on a number of
-// them in each zone.
+// Role is a program that runs on some machines of a class: either on a fraction of them in each zone (Share) or on a
+// fixed number of them in each zone (Count).
 type Role struct {
 	Run    string   `toml:"run" validate:"required"`                         // command line
 	On     string   `toml:"on" validate:"required"`                          // class of machines
-	Share  float64  `toml:"share" validate:"gte=0,lte=1"`                    // fraction of the class in each zone; this or Count is given
-	Count  int      `toml:"count" validate:"gte=0"`                          // machines of the class in each zone
-	Apart  bool     `toml:"apart"`                                           // read and not checked
-	Serves []string `toml:"serves" validate:"dive,oneof=edge control_plane"` // whose calls it answers; no other role of the class may
+	Share  float64  `toml:"share" validate:"gte=0,lte=1"`                    // fraction of the class in each zone; excludes Count
+	Count  int      `toml:"count" validate:"gte=0"`                          // number of machines of the class in each zone
+	Apart  bool     `toml:"apart"`                                           // read but not checked
+	Serves []string `toml:"serves" validate:"dive,oneof=edge control_plane"` // callers that it serves; unique within the class
 }
 
-// maxRolesPerMachine bounds the roles that one machine runs.
+// maxRolesPerMachine is the maximum number of roles on one machine.
 const maxRolesPerMachine = 2
 
-// LoadDeploy reads and checks a deploy file. Its errors are those of Load.
+// LoadDeploy reads and validates a deploy file. Its errors are those of Load.
 func LoadDeploy(path string) (*Deploy, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return d, errors.Wrapf(err, "deploy file %s", path)
 }
 
-// ParseDeploy reads and checks the text of a deploy file. Its error is an ErrInvalid that names the role, the field or
-// the position.
+// ParseDeploy reads and validates the text of a deploy file. Its error is marked with ErrInvalid and names the role,
+// the field or the position.
 func ParseDeploy(text []byte) (*Deploy, error) {
 	d := &Deploy{}
 	if err := decode(text, d); err != nil {
@@ -53,12 +53,12 @@
 	return d, d.checkClasses()
 }
 
-// checkClasses checks that no two roles on a class of machines serve the same callers, and that no machine runs too
-// many.
+// checkClasses returns an error if two roles on a class of machines serve the same callers, or if a machine would run
+// too many roles.
 func (d *Deploy) checkClasses() error {
 	type service struct{ class, callers string }
 	servedBy := map[service]string{}
-	onAllMachines := map[string]int{} // roles that run on all machines of a class
+	onAllMachines := map[string]int{} // by class: number of roles that run on all of its machines
 	for _, name := range d.RoleNames() {
 		role := d.Roles[name]
 		for _, callers := range role.Serves {
--- a/internal/router/settings/deploy_test.go
+++ b/internal/router/settings/deploy_test.go
@@ -17,7 +17,7 @@
 
 func TestBadDeployFiles(t *testing.T) {
 	const role = "build = \"b\"\n[roles.a]\nrun = \"p\"\non = \"edge\"\n"
-	for name, c := range map[string]struct{ text, says string }{
+	for name, c := range map[string]struct{ text, wantError string }{
 		"no build":         {"[roles.a]\nrun = \"p\"\non = \"edge\"\nshare = 1.0\n", "Deploy.Build"},
 		"no role":          {"build = \"b\"\n", "Deploy.Roles"},
 		"no place":         {"build = \"b\"\n[roles.a]\nrun = \"p\"\nshare = 1.0\n", "Deploy.Roles[a].On"},
@@ -31,7 +31,7 @@
 		"no TOML": {"build =", "line 1"},
 	} {
 		_, err := ParseDeploy([]byte(c.text))
-		require.ErrorContains(t, err, c.says, name)
+		require.ErrorContains(t, err, c.wantError, name)
 		require.True(t, errors.Is(err, ErrInvalid), name)
 	}
 }
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads the settings file of one router (who it is, where it listens, its limits, and the bounds of
-// the rules that it has to keep) and the deploy file of the fleet.
+// Package settings reads the settings file of one router (its identity, listen addresses and limits, and the bounds of
+// the rules that it must keep) and the deploy file of the fleet.
 //
-// Go fields have the names of the files' fields, which errors name too. Fields that are not known are ignored, since
-// new ones may appear. A file that cannot be used gives one error that names the file and the field; nothing is started
-// from it.
+// The Go fields have the names of the fields in the files, and errors use the same names. Unknown fields are ignored,
+// because newer files may contain new ones. An unusable file gives one error that names the file and the field; nothing
+// is started with it.
 package settings
 
 import (
@@ -18,21 +18,22 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ErrInvalid marks the error of a file that can be read and not be used. As a mark it is found by Is of
-// github.com/cockroachdb/errors, not by that of the standard library.
+// ErrInvalid marks the error of a file that can be read but is invalid. Check for it with errors.Is of
+// github.com/cockroachdb/errors; the standard library does not find marks.
 var ErrInvalid = errors.New("invalid settings")
 
 // Variable is the environment variable that holds the path of the settings file.
 const Variable = "PETRELHOOK_SETTINGS"
 
-// Listen is the addresses of what a router serves, HOST:PORT; an empty one is not served.
+// Listen holds the addresses that a router listens on, as HOST:PORT. A service with an empty address is not started.
 type Listen struct {
 	Front   string `validate:"omitempty,hostname_port"` // clients
-	Ready   string `validate:"omitempty,hostname_port"` // the platform, which asks whether the router is ready
-	Control string `validate:"omitempty,hostname_port"` // model servers and operators; its port is alike at all routers
+	Ready   string `validate:"omitempty,hostname_port"` // readiness checks of the platform
+	Control string `validate:"omitempty,hostname_port"` // model servers and operators; all routers use the same port
 }
 
-// Limits is what the machine offers the router; 0 is not known. A router uses MemoryMb alone.
+// Limits holds the resources of the machine that are available to the router; 0 means unknown. A router uses only
+// MemoryMb.
 type Limits struct {
 	CpuShare float64 `validate:"gte=0"`
 	Cores    int     `validate:"gte=0"`
@@ -42,16 +43,17 @@
 	DiskMb   int     `validate:"gte=0"`
 }
 
-// FaultTolerance is how much may be lost at the same time while all rules are kept. A router uses Machines alone.
+// FaultTolerance is how many failures at the same time the rules must withstand. A router uses only Machines.
 type FaultTolerance struct {
 	Machines int `validate:"gte=0"`
 	Zones    int `validate:"gte=0"`
 	Regions  int `validate:"gte=0"`
 }
 
-// Bounds are the figures of the rules in force, in the units that the names end in: S seconds, Ms milliseconds. A router
-// uses GraceS (from SIGTERM to the end of the process), the three of the retry budget (quota.RetryBounds), the three of
-// quotas (quota.Bounds) and AgainS (gateway.Options.PrefixTTL); the others are read and not used.
+// Bounds holds the parameters of the rules in force, in the units of their suffixes: S for seconds, Ms for
+// milliseconds. A router uses GraceS (from SIGTERM to the end of the process), the three parameters of the retry budget
+// (quota.RetryBounds), the three of quotas (quota.Bounds) and AgainS (gateway.Options.PrefixTTL); the others are read
+// but not used.
 type Bounds struct {
 	SeedLagS         float64 `validate:"gte=0"`
 	ReuseAfterS      float64 `validate:"gte=0"`
@@ -75,31 +77,31 @@
 	AgainS           float64 `toml:"again_s" validate:"gte=0"`
 }
 
-// Settings is one router's settings file. Role, MachineClass, Serves and Contracts are read and not used.
+// Settings is one router's settings file. Role, MachineClass, Serves and Contracts are read but not used.
 type Settings struct {
-	NodeName          string `validate:"required"` // name of the machine, for the status
+	NodeName          string `validate:"required"` // name of the machine, shown in the status
 	Role              string
 	MachineClass      string
 	Serves            []string
-	Ip                string   `validate:"required,ip"` // of this machine
+	Ip                string   `validate:"required,ip"` // address of this machine
 	Zone              string   `validate:"required"`
 	Region            string   // of Zone
-	InternalPortRange []int    `validate:"len=2,dive,gte=1,lte=65535"` // the first one is the internal port of every router
-	Seeds             []string `validate:"dive,hostname_port"`         // HOST:PORT of routers that a start contacts first; the ports are not used
-	Bootstrap         bool     // this is the first start of the whole system
-	CountsForQuorum   bool     // the router can be a core member, if it has a DataDir
-	DataDir           string   // folder of a core member's state
-	HeartbeatMs       float64  `validate:"gt=0"` // between two heartbeats of a server; 1000 where it is left out
+	InternalPortRange []int    `validate:"len=2,dive,gte=1,lte=65535"` // first, last; the first is the internal port of all routers
+	Seeds             []string `validate:"dive,hostname_port"`         // HOST:PORT of routers to contact first at a start; ports are ignored
+	Bootstrap         bool     // true on the first start of the whole system
+	CountsForQuorum   bool     // the router can be a core member if DataDir is set too
+	DataDir           string   // folder for the state of a core member
+	HeartbeatMs       float64  `validate:"gt=0"` // interval between heartbeats of a server; default 1000
 	Contracts         []string
-	Zones             map[string]string // the region of each zone, by zone
+	Zones             map[string]string // region of each zone, keyed by zone
 	Listen            Listen
 	Limits            Limits
 	FaultTolerance    FaultTolerance
 	Bounds            Bounds
 }
 
-// Load reads and checks a settings file. Its error names the file; it is an ErrInvalid, which also names the field or
-// the position, where the file can be read and not be used.
+// Load reads and validates a settings file. Its error names the file; if the file can be read but is invalid, the error
+// is marked with ErrInvalid and also names the field or the position.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -109,7 +111,8 @@
 	return s, errors.Wrapf(err, "settings file %s", path)
 }
 
-// Parse reads and checks the text of a settings file. Its error is an ErrInvalid that names the field or the position.
+// Parse reads and validates the text of a settings file. Its error is marked with ErrInvalid and names the field or the
+// position.
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{HeartbeatMs: 1000}
 	if err := decode(text, s); err != nil {
@@ -121,7 +124,7 @@
 	return s, nil
 }
 
-// decode reads TOML and checks the bounds in the tags of the fields. The error gives the position or the field.
+// decode reads TOML and validates it by the tags of the fields. Its error names the position or the field.
 func decode(text []byte, into any) error {
 	if err := toml.NewDecoder(bytes.NewReader(text)).Decode(into); err != nil {
 		var syntax *toml.DecodeError
@@ -140,16 +143,16 @@
 	return err
 }
 
-// invalid returns an ErrInvalid.
+// invalid returns an error that is marked with ErrInvalid.
 func invalid(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), ErrInvalid)
 }
 
-// InternalAddress returns the address at which this router listens for others.
-func (s *Settings) InternalAddress() string { return s.InternalOf(s.Ip) }
+// InternalAddress returns the address on which this router listens for other routers.
+func (s *Settings) InternalAddress() string { return s.InternalAddressOf(s.Ip) }
 
-// InternalOf returns the internal address of the router at an IP address: ports are alike on all machines.
-func (s *Settings) InternalOf(ip string) string {
+// InternalAddressOf returns the internal address of the router with an IP address. All routers use the same internal port.
+func (s *Settings) InternalAddressOf(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPortRange[0]))
 }
 
@@ -158,13 +161,13 @@
 	var addresses []string
 	for _, seed := range s.Seeds {
 		if ip, _, err := net.SplitHostPort(seed); err == nil {
-			addresses = append(addresses, s.InternalOf(ip))
+			addresses = append(addresses, s.InternalAddressOf(ip))
 		}
 	}
 	return addresses
 }
 
-// ControlOf returns the control address of the router with an internal address, or "" where there is none.
+// ControlOf returns the control address of the router with an internal address, or "" if the routers have none.
 func (s *Settings) ControlOf(internal string) string {
 	ip, _, err := net.SplitHostPort(internal)
 	if err != nil {
@@ -180,8 +183,8 @@
 // Core reports whether this router can be a core member.
 func (s *Settings) Core() bool { return s.CountsForQuorum && s.DataDir != "" }
 
-// Milliseconds converts a figure of the settings to a duration.
+// Milliseconds converts a setting in milliseconds to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds converts a figure of the settings to a duration.
+// Seconds converts a setting in seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	for name, c := range map[string]struct{ text, says string }{
+	for name, c := range map[string]struct{ text, wantError string }{
 		"no address":     {`Ip = "x"`, "Settings.Ip"},
 		"a bad seed":     {`Seeds = ["nowhere"]`, "Settings.Seeds[0]"},
 		"a bad port":     {`InternalPortRange = [0, 7]`, "Settings.InternalPortRange[0]"},
@@ -44,16 +44,16 @@
 		"no TOML":        {`NodeName =`, "line 1"},
 	} {
 		_, err := Parse([]byte(withRequiredFields(c.text)))
-		require.ErrorContains(t, err, c.says, name)
+		require.ErrorContains(t, err, c.wantError, name)
 		require.True(t, errors.Is(err, ErrInvalid), name)
 	}
 	missing := filepath.Join(t.TempDir(), "none.toml")
 	_, err := Load(missing)
 	require.ErrorIs(t, err, os.ErrNotExist)
-	require.False(t, errors.Is(err, ErrInvalid), "there is no file to read")
+	require.False(t, errors.Is(err, ErrInvalid), "a missing file is not an invalid one")
 }
 
-// withRequiredFields puts a line before settings that are valid without it.
+// withRequiredFields returns settings that consist of the line and the required fields that the line does not set.
 func withRequiredFields(line string) string {
 	text := line + "\n"
 	for field, value := range map[string]string{"NodeName": `"a"`, "Ip": `"10.0.0.1"`, "Zone": `"z"`, "InternalPortRange": "[1, 2]"} {
