--- a/internal/router/settings/deploy.go
+++ b/internal/router/settings/deploy.go
@@ -47,7 +47,7 @@
 	}
 	for _, name := range d.RoleNames() {
 		if role := d.Roles[name]; (role.Share > 0) == (role.Count > 0) {
-			return nil, invalid("role %s: either share, above 0, or count is needed", name)
+			return nil, invalid("role %s: exactly one of share and count must be above 0", name)
 		}
 	}
 	return d, d.checkClasses()
@@ -72,7 +72,7 @@
 			onAllMachines[role.On]++
 		}
 		if onAllMachines[role.On] > maxRolesPerMachine {
-			return invalid("role %s: a machine of class %s runs %d roles at the most", name, role.On, maxRolesPerMachine)
+			return invalid("role %s: a machine of class %s can run at most %d roles", name, role.On, maxRolesPerMachine)
 		}
 	}
 	return nil
--- a/internal/router/settings/deploy_test.go
+++ b/internal/router/settings/deploy_test.go
@@ -21,13 +21,13 @@
 		"no build":         {"[roles.a]\nrun = \"p\"\non = \"edge\"\nshare = 1.0\n", "Deploy.Build"},
 		"no role":          {"build = \"b\"\n", "Deploy.Roles"},
 		"no place":         {"build = \"b\"\n[roles.a]\nrun = \"p\"\nshare = 1.0\n", "Deploy.Roles[a].On"},
-		"neither":          {role, "role a: either share"},
-		"both":             {role + "share = 1.0\ncount = 1\n", "role a: either share"},
+		"neither":          {role, "role a: exactly one of share and count must be above 0"},
+		"both":             {role + "share = 1.0\ncount = 1\n", "role a: exactly one of share and count must be above 0"},
 		"too large":        {role + "share = 1.5\n", "Deploy.Roles[a].Share"},
 		"unknown callers":  {role + "share = 1.0\nserves = [\"all\"]\n", "Deploy.Roles[a].Serves[0]"},
 		"the same callers": {role + "share = 1.0\nserves = [\"edge\"]\n[roles.b]\nrun = \"p\"\non = \"edge\"\ncount = 1\nserves = [\"edge\"]\n", "roles a and b both serve edge"},
 		"three roles": {role + "share = 1.0\n[roles.b]\nrun = \"p\"\non = \"edge\"\nshare = 1.0\n[roles.c]\nrun = \"p\"\non = \"edge\"\nshare = 1.0\n",
-			"role c: a machine of class edge runs 2 roles"},
+			"role c: a machine of class edge can run at most 2 roles"},
 		"no TOML": {"build =", "line 1"},
 	} {
 		_, err := ParseDeploy([]byte(c.text))
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	if s.InternalPortRange[0] > s.InternalPortRange[1] {
-		return nil, invalid("field InternalPortRange: %d is above %d", s.InternalPortRange[0], s.InternalPortRange[1])
+		return nil, invalid("field InternalPortRange: the first port, %d, is above the last one, %d", s.InternalPortRange[0], s.InternalPortRange[1])
 	}
 	return s, nil
 }
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -39,7 +39,7 @@
 		"no address":     {`Ip = "x"`, "Settings.Ip"},
 		"a bad seed":     {`Seeds = ["nowhere"]`, "Settings.Seeds[0]"},
 		"a bad port":     {`InternalPortRange = [0, 7]`, "Settings.InternalPortRange[0]"},
-		"ports reversed": {`InternalPortRange = [9, 7]`, "9 is above 7"},
+		"ports reversed": {`InternalPortRange = [9, 7]`, "the first port, 9, is above the last one, 7"},
 		"a bad type":     {`HeartbeatMs = "often"`, "line 1"},
 		"no TOML":        {`NodeName =`, "line 1"},
 	} {
