--- a/internal/router/dissemination/messages.go
+++ b/internal/router/dissemination/messages.go
@@ -23,8 +23,9 @@
 )
 
 // SubscriptionHeartbeat is sent by every router to its home, by core members and candidates for the core to all core
-// members, and, with Subscribe false, to the seeds to find out the members of the core. The receiver renews the
-// sender's session and answers with a Push.
+// members, and, with Subscribe false, to the seeds to find out the members of the core. A core member that receives one
+// with Subscribe renews the session of the sender and answers with a Push. Any other receiver answers with a Push that
+// has only the view of the core or the candidates for it, if the sender lacks them.
 type SubscriptionHeartbeat struct {
 	Router          membership.Router
 	Subscribe       bool // false: the sender only asks for the members of the core
--- a/internal/router/homeselection/homeselection.go
+++ b/internal/router/homeselection/homeselection.go
@@ -30,11 +30,11 @@
 	self     string // internal address of this router
 	locality proximity.Locality
 
-	current      string                   // internal address of the home; "" before the first selection
-	selectedAt   time.Duration            // when current was selected, or a later review found no better one
-	lastContact  time.Duration            // with the current home, or with the previous one until the current one answers
-	inTouch      bool                     // the home's last message said that it has contact with a majority of the core
-	avoidedUntil map[string]time.Duration // by internal address: until when a member that failed as the home is avoided
+	current       string                   // internal address of the home; "" before the first selection
+	selectedAt    time.Duration            // when current was selected, or a later review found no better one
+	lastContact   time.Duration            // with the current home, or with the previous one until the current one answers
+	quorumContact bool                     // the home's last message said that it has contact with a majority of the core
+	avoidedUntil  map[string]time.Duration // by internal address: until when a member that failed as the home is avoided
 }
 
 // New returns the Selector of the router with internal address self. It has no home yet.
@@ -46,18 +46,20 @@
 func (s *Selector) Current() string { return s.current }
 
 // Observe records a message of the home, which says whether the home has contact with a majority of the core.
-func (s *Selector) Observe(inTouch bool, now time.Duration) { s.lastContact, s.inTouch = now, inTouch }
+func (s *Selector) Observe(quorumContact bool, now time.Duration) {
+	s.lastContact, s.quorumContact = now, quorumContact
+}
 
 // TimedOut reports whether the home has been silent for longer than Timeout.
 func (s *Selector) TimedOut(now time.Duration) bool { return now-s.lastContact > Timeout }
 
 // InTouch reports whether this router has contact with a majority of the core through its home: the home said so in its
 // last message and has not timed out.
-func (s *Selector) InTouch(now time.Duration) bool { return s.inTouch && !s.TimedOut(now) }
+func (s *Selector) InTouch(now time.Duration) bool { return s.quorumContact && !s.TimedOut(now) }
 
 // LastInTouch reports whether the home's last message said that it has contact with a majority of the core, however old
 // that message is.
-func (s *Selector) LastInTouch() bool { return s.inTouch }
+func (s *Selector) LastInTouch() bool { return s.quorumContact }
 
 // Review selects another home if the current one is no longer a member of the core, is silent, has lost contact with a
 // majority, or has been in another zone for longer than reviewInterval. Argument starting is true for a router that has
@@ -68,13 +70,13 @@
 		timeout = StartupTimeout
 	}
 	timedOut := now-max(s.lastContact, s.selectedAt) > timeout
-	outOfTouch := now-s.selectedAt > Timeout && !s.inTouch
-	if s.current != "" && (timedOut || outOfTouch) {
+	quorumLost := now-s.selectedAt > Timeout && !s.quorumContact
+	if s.current != "" && (timedOut || quorumLost) {
 		s.avoidedUntil[s.current] = now + reviewInterval
 	}
 	zone, isMember := s.zone(members)
 	remote := now-s.selectedAt > reviewInterval && zone != s.locality.Zone
-	if s.current != "" && isMember && !timedOut && !outOfTouch && !remote {
+	if s.current != "" && isMember && !timedOut && !quorumLost && !remote {
 		return
 	}
 	best := s.best(members, now)
@@ -82,7 +84,7 @@
 		s.selectedAt = now
 		return
 	}
-	s.current, s.selectedAt, s.inTouch = best, now, false
+	s.current, s.selectedAt, s.quorumContact = best, now, false
 }
 
 // zone returns the zone of the home, and whether the home is among members.
--- a/internal/router/operatorapi/register.go
+++ b/internal/router/operatorapi/register.go
@@ -4,9 +4,9 @@
 // (internal/router/replication does).
 //
 // Register is deterministic: the same orders in the same sequence give the same configuration on every replica.
-// Invariants: an accepted order is recognized by its content until maxRememberedOrders later orders have been accepted,
-// and is never rejected: an order that may have been accepted before that gets an answer that leaves this open.
-// Versions only increase, and one version number belongs to one content.
+// Invariants: an accepted order is recognized by its content until maxRememberedOrders later orders have been accepted.
+// It is never rejected: an order that is so old that it may have been accepted and forgotten gets status 503. Versions
+// only increase, and no two contents have the same version number.
 //
 // A Register is not safe for concurrent use: only the replica calls it, under the router's lock. The configurations
 // that it returns are immutable.
--- a/internal/router/registry/registry.go
+++ b/internal/router/registry/registry.go
@@ -37,7 +37,7 @@
 	Slots           int // requests that it serves concurrently
 	State           State
 	WarmupRemaining time.Duration // at the heartbeat with Sequence: how much longer it is slow
-	Sequence        int64         // incremented by the server with every heartbeat
+	Sequence        int64         // incremented by the server with every call
 }
 
 // Update is a report about an instance that one router sends to another.
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -43,7 +43,8 @@
 	DiskMb   int     `validate:"gte=0"`
 }
 
-// FaultTolerance is how many failures at the same time the rules must withstand. A router uses only Machines.
+// FaultTolerance is how many machines, zones and regions may fail at the same time without violating a rule. A router
+// uses only Machines.
 type FaultTolerance struct {
 	Machines int `validate:"gte=0"`
 	Zones    int `validate:"gte=0"`
@@ -151,7 +152,8 @@
 // InternalAddress returns the address on which this router listens for other routers.
 func (s *Settings) InternalAddress() string { return s.InternalAddressOf(s.Ip) }
 
-// InternalAddressOf returns the internal address of the router with an IP address. All routers use the same internal port.
+// InternalAddressOf returns the internal address of the router with an IP address. All routers use the same internal
+// port.
 func (s *Settings) InternalAddressOf(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPortRange[0]))
 }
