--- a/internal/router/eventstream/eventstream.go
+++ b/internal/router/eventstream/eventstream.go
@@ -15,7 +15,7 @@
 	"io"
 )
 
-// MaxEvent is the size in bytes from which an event is too long.
+// MaxEvent is the size limit of an event in bytes; an event must be smaller.
 const MaxEvent = 1 << 20
 
 // The errors of Reader.Next in addition to io.EOF and those of the source.
--- a/internal/router/homeselection/homeselection.go
+++ b/internal/router/homeselection/homeselection.go
@@ -16,8 +16,8 @@
 	// Timeout is how long a home may be silent, or without contact with a majority of the core, before another one is
 	// selected. It is three heartbeat intervals of a subscription.
 	Timeout = 1200 * time.Millisecond
-	// StartupTimeout replaces Timeout for the silence of a home while a router is starting and serves no requests until
-	// a home answers.
+	// StartupTimeout is how long a home may be silent while a router is starting: it serves no requests until a home
+	// answers.
 	StartupTimeout = 300 * time.Millisecond
 	// reviewInterval is how long a failed home is avoided, and how long a router keeps a home in another zone before it
 	// looks for one in its own zone.
@@ -34,7 +34,7 @@
 	selectedAt    time.Duration            // when current was selected, or a later review found no better one
 	lastContact   time.Duration            // with the current home, or with the previous one until the current one answers
 	quorumContact bool                     // the home's last message said that it has contact with a majority of the core
-	avoidedUntil  map[string]time.Duration // by internal address: until when a member that failed as the home is avoided
+	avoidedUntil  map[string]time.Duration // by internal address of a failed home: time until which it is not selected
 }
 
 // New returns the Selector of the router with internal address self. It has no home yet.
