--- a/internal/coordination/lease/command.go
+++ b/internal/coordination/lease/command.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// SessionID identifies a session; no two of a group ever have the same one.
+// SessionID identifies a session. A group of coordinators never uses an id twice.
 type SessionID uint64
 
-// Token is the fencing token of one grant: larger than that of every grant before it, of whichever lease.
+// Token is the fencing token of one grant. It is larger than the token of every earlier grant of any lease.
 type Token uint64
 
 // Kind is what a command does. It is stored as its number.
 type Kind uint8
 
-// The kinds of commands. Those of clients carry their session and a sequence number in it, so that one that is repeated, or arrives late,
-// acts once.
+// The kinds of commands. A client's command carries its session and a sequence number within the session, so that a command that is
+// repeated or arrives late is applied only once.
 const (
-	Open       Kind = iota + 1 // begins a session; a second one with the same nonce gives the same session
-	Acquire                    // grants the lease if it is free; else the session waits for it, if Wait
-	Cancel                     // ends the wait for a lease, or releases what was granted meanwhile
+	Open       Kind = iota + 1 // opens a session; a second Open with the same nonce returns the same session
+	Acquire                    // grants the lease if it is free; otherwise the session waits for it if Wait is set
+	Cancel                     // ends the wait for a lease, or releases the lease if it was granted in the meantime
 	Release                    // ends a grant
-	Transfer                   // hands a lease to a session that waits for it, before all others
-	Close                      // ends the session, and its grants
-	Break                      // from operators: a grant is not renewed any more, and free after a TTL
+	Transfer                   // passes a lease to a session that waits for it, ahead of all other waiters
+	Close                      // ends the session and its grants
+	Break                      // from operators: the grant is not renewed any more, and the lease is free after a TTL
 	Expire                     // from the leader: the TTL of a session has passed
 	Free                       // from the leader: the TTL of a broken grant has passed
-	EndEmbargo                 // from the leader: everything from before a restore has expired
+	EndEmbargo                 // from the leader: everything granted before a restore has expired
 )
 
 var kindNames = [...]string{Open: "open", Acquire: "acquire", Cancel: "cancel", Release: "release", Transfer: "transfer", Close: "close",
 	Break: "break", Expire: "expire", Free: "free", EndEmbargo: "end embargo"}
 
-// String names the kind.
+// String returns the name of the kind, for logs and error messages.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) && kindNames[k] != "" {
 		return kindNames[k]
@@ -42,27 +42,28 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Command is one command of the log. Which fields it needs depends on its kind.
+// Command is one entry of the replicated log. Which fields are used depends on its kind.
 type Command struct {
 	Kind       Kind          `json:"k"`
 	Session    SessionID     `json:"s,omitempty"`
-	Seq        uint64        `json:"n,omitempty"` // 1, 2, ... in the session; commands of clients alone have one
-	Name       string        `json:"l,omitempty"` // of the lease
-	Token      Token         `json:"t,omitempty"` // Release, Transfer, Break, Free: of the grant
-	Wait       bool          `json:"w,omitempty"` // Acquire: wait in the queue where another session holds the lease
-	TransferTo SessionID     `json:"o,omitempty"` // Transfer: who gets the lease
-	Nonce      string        `json:"c,omitempty"` // Open: drawn by the client at random
-	Owner      string        `json:"u,omitempty"` // Open: a name for operators; two sessions may have the same
-	TTL        time.Duration `json:"d,omitempty"` // Open
+	Seq        uint64        `json:"n,omitempty"` // 1, 2, ... in the session; only commands of clients have one
+	Name       string        `json:"l,omitempty"` // name of the lease
+	Token      Token         `json:"t,omitempty"` // Release, Transfer, Break, Free: token of the grant
+	Wait       bool          `json:"w,omitempty"` // Acquire: wait in the queue if another session holds the lease
+	TransferTo SessionID     `json:"o,omitempty"` // Transfer: the session that gets the lease
+	Nonce      string        `json:"c,omitempty"` // Open: chosen by the client at random
+	Owner      string        `json:"u,omitempty"` // Open: a name for operators; several sessions may share it
+	TTL        time.Duration `json:"d,omitempty"` // Open: how long the session lives without a renewal
 }
 
-// OfClient reports whether a command comes from the client of a session.
+// OfClient reports whether the command is sent by the client of an open session.
 func (c *Command) OfClient() bool { return c.Kind >= Acquire && c.Kind <= Close }
 
 // errNoTransferTarget is the error of a Transfer that names no session.
 var errNoTransferTarget = errors.New("to: missing; write the session that is to have the lease")
 
-// Check returns what is wrong with a command of a client, before it gets into the log. The error names the field and says what to write.
+// Check validates a command of a client or an operator before it is proposed to the log. The error names the field and states what it must
+// contain.
 func (c *Command) Check() error {
 	switch c.Kind {
 	case Open:
@@ -87,10 +88,10 @@
 	return nil
 }
 
-// minNonceBytes is the shortest nonce: two clients must not draw the same one.
+// minNonceBytes is the length of the shortest nonce that makes it unlikely that two clients choose the same one.
 const minNonceBytes = 8
 
-// checkOpen is Check for a command that opens a session.
+// checkOpen validates an Open command.
 func (c *Command) checkOpen() error {
 	switch {
 	case c.TTL < MinTTL || c.TTL > MaxTTL:
@@ -119,15 +120,15 @@
 const (
 	OK          Status = iota + 1
 	Waiting            // another session holds the lease; this one is in the queue
-	HeldByOther        // another session holds the lease
-	NoSession          // the session does not exist, or does not exist any more
-	NotHeld            // the session does not hold that grant
-	Stale              // a command with a larger number came before it; nothing was done
-	Full               // a bound is reached
-	Embargoed          // nothing is granted yet after a restore
+	HeldByOther        // another session holds the lease, and the command did not ask to wait
+	NoSession          // the session never existed or has ended
+	NotHeld            // the session does not hold the grant with this token
+	Stale              // a command of the session with a larger sequence number was applied before; nothing was done
+	Full               // a limit on sessions, leases or waiters is reached
+	Embargoed          // the state was restored from a back-up and grants nothing yet
 )
 
-// String returns the status as it is shown to people.
+// String returns the status for output to operators.
 func (s Status) String() string {
 	return [...]string{"none", "ok", "waiting", "held by another session", "no such session", "not held", "stale", "full", "embargoed"}[min(int(s), 8)]
 }
@@ -138,5 +139,5 @@
 	Session      SessionID `json:"session,omitempty"`
 	Token        Token     `json:"token,omitempty"`
 	Holder       string    `json:"holder,omitempty"` // HeldByOther and Waiting: the owner of the session that holds the lease
-	WaitersAhead int       `json:"ahead,omitempty"`  // Waiting: how many are before it in the queue
+	WaitersAhead int       `json:"ahead,omitempty"`  // Waiting: how many sessions are ahead of it in the queue
 }
--- a/internal/coordination/lease/explore_test.go
+++ b/internal/coordination/lease/explore_test.go
@@ -13,31 +13,33 @@
 	"time"
 )
 
-// The model: two clients, three replicas one of which leads (and others that still believe so), clocks at either end of the bound,
-// requests and responses that are delayed or lost, proposals that a later leader finds in its log or does not. Every reachable state is
-// visited, with the code itself: State, Lessor and SessionState.
+// The model has two clients, three replicas, of which one leads and others may still act as leaders of earlier terms, clocks at either end
+// of the drift bound, requests and responses that are delayed or lost, and proposals that a later leader may or may not find in its log. The
+// exploration visits every reachable state and runs the real code: State, Lessor and SessionState.
 //
-// A true tick moves a fast clock by 404 and a slow one by 400, a part of 0.01 between them; a TTL is two ticks of a fast one.
+// One tick of true time advances a fast clock by 404 and a slow clock by 400, so that their rates differ by MaxDrift. A TTL is two ticks of a
+// fast clock.
 const (
 	fast, slow = 404, 400
 	modelTTL   = time.Duration(2 * fast)
 )
 
-// The bounds of the exploration: true ticks and elections, as in LEASE_EXPLORE="5 2"; the defaults are what the tests need.
+// The bounds of the exploration: ticks of true time and elections. The environment variable LEASE_EXPLORE="5 2" changes them; the defaults
+// suffice for the tests.
 var maxTicks, maxElections uint8 = 3, 1
 
 func init() { fmt.Sscan(os.Getenv("LEASE_EXPLORE"), &maxTicks, &maxElections) }
 
-// maxRequests are how many requests each client sends after the start.
+// maxRequests is how many requests each client sends after the initial state.
 var maxRequests = [2]uint8{2, 1}
 
 type phase uint8
 
 const (
 	noRequest    phase = iota
-	requestSent        // on the way to a replica that leads, or believes so
-	confirmed          // received, and a majority has confirmed since that the replica led
-	responseSent       // on the way back
+	requestSent        // on its way to the leader, or to a replica that has not noticed that it was replaced
+	confirmed          // received, after which a majority has confirmed that the replica leads
+	responseSent       // the response is on its way back
 )
 
 type modelRequest struct {
@@ -61,16 +63,16 @@
 }
 
 type modelLeader struct {
-	clock  Instant // runs all the time
-	lessor *Lessor // nil: it does not believe that it leads
+	clock  Instant // advances whether or not the replica leads
+	lessor *Lessor // nil: the replica does not act as leader
 }
 
 type world struct {
-	state     *State // as committed
+	state     *State // after all committed commands
 	clients   [2]modelClient
 	leaders   [3]modelLeader
-	leader    uint8     // the index of the one that leads
-	proposed  []Command // proposed by it, not yet committed
+	leader    uint8     // the index of the current leader
+	proposed  []Command // proposed by the current leader, not yet committed
 	tick      uint8
 	elections uint8
 }
@@ -78,9 +80,9 @@
 func (s *State) clone() *State {
 	n := *s
 	n.sessions, n.nonces, n.leases = map[SessionID]*session{}, maps.Clone(s.nonces), map[string]*lease{}
-	for id, own := range s.sessions {
-		c := *own
-		c.holds, c.waits = maps.Clone(own.holds), maps.Clone(own.waits)
+	for id, sess := range s.sessions {
+		c := *sess
+		c.holds, c.waits = maps.Clone(sess.holds), maps.Clone(sess.waits)
 		n.sessions[id] = &c
 	}
 	for name, l := range s.leases {
@@ -101,19 +103,19 @@
 	n := *w
 	n.state, n.proposed = w.state.clone(), slices.Clone(w.proposed)
 	for i := range n.leaders {
-		if v := w.leaders[i].lessor; v != nil && i == int(w.leader) {
-			n.leaders[i].lessor = v.clone(n.state)
-		} else if v != nil { // one that was succeeded has the state of that time, which does not change any more
-			n.leaders[i].lessor = v.clone(v.state)
+		if ls := w.leaders[i].lessor; ls != nil && i == int(w.leader) {
+			n.leaders[i].lessor = ls.clone(n.state)
+		} else if ls != nil { // a replaced leader keeps the state of its last moment, which does not change any more
+			n.leaders[i].lessor = ls.clone(ls.state)
 		}
 	}
 	for i := range n.clients {
-		if h := w.clients[i].session; h != nil {
-			c := *h
+		if sess := w.clients[i].session; sess != nil {
+			c := *sess
 			c.grants = map[string]*heldGrant{}
-			for name, l := range h.grants {
-				one := *l
-				c.grants[name] = &one
+			for name, grant := range sess.grants {
+				grantCopy := *grant
+				c.grants[name] = &grantCopy
 			}
 			n.clients[i].session = &c
 		}
@@ -121,12 +123,12 @@
 	return &n
 }
 
-// key returns bytes that differ where worlds differ.
+// key returns an encoding that differs if the worlds differ.
 func (w *world) key() []byte {
-	var b []byte
+	var encoded []byte
 	num := func(all ...int64) {
 		for _, n := range all {
-			b = binary.AppendVarint(b, n)
+			encoded = binary.AppendVarint(encoded, n)
 		}
 	}
 	state := func(s *State) {
@@ -135,8 +137,8 @@
 			num(int64(l.holder), int64(l.token))
 		}
 		for _, id := range slices.Sorted(maps.Keys(s.sessions)) {
-			own := s.sessions[id]
-			num(int64(id), int64(own.lastSeq), int64(own.lastAnswer.Status), int64(own.version))
+			sess := s.sessions[id]
+			num(int64(id), int64(sess.lastSeq), int64(sess.lastAnswer.Status), int64(sess.version))
 		}
 	}
 	state(w.state)
@@ -167,7 +169,7 @@
 		if c.session != nil {
 			num(int64(c.session.Session), int64(c.session.expiry), int64(c.session.grantsVersion))
 			for name, l := range c.session.grants {
-				b = append(b, name...)
+				encoded = append(encoded, name...)
 				num(int64(l.token), int64(l.expiry), int64(l.learnedAt))
 			}
 		}
@@ -175,10 +177,10 @@
 	for _, c := range w.proposed {
 		num(int64(c.Kind), int64(c.Session))
 	}
-	return b
+	return encoded
 }
 
-// omissions are what the model leaves out, to show that it is needed.
+// omissions states which steps of the protocol the model leaves out, to show that they are necessary.
 type omissions struct{ confirmation bool }
 
 func (w *world) apply(c Command) Answer {
@@ -187,7 +189,7 @@
 	return a
 }
 
-// successors calls visit with each world that can follow.
+// successors calls visit with each world that can follow in one step.
 func (w *world) successors(rates [5]Instant, omit omissions, visit func(*world)) {
 	if w.tick < maxTicks {
 		n := w.clone()
@@ -214,11 +216,11 @@
 		visit(n)
 	}
 	if w.elections < maxElections {
-		for kept := range len(w.proposed) + 1 { // how much of what was proposed is in the next leader's log
+		for kept := range len(w.proposed) + 1 { // the number of proposed commands that are in the next leader's log
 			n := w.clone()
 			n.elections++
 			old := &n.leaders[n.leader]
-			old.lessor = old.lessor.clone(old.lessor.state.clone()) // it still believes that it leads
+			old.lessor = old.lessor.clone(old.lessor.state.clone()) // the old leader still acts as one, on its own state
 			n.leader = (n.leader + 1) % 3
 			for _, c := range n.proposed[:kept] {
 				n.state.Apply(c)
@@ -260,13 +262,13 @@
 		} else {
 			begin(Acquire, 0)
 		}
-		if i == 0 { // the session of the other one outlives the model
+		if i == 0 { // the other client's session does not expire within the model's bounds
 			begin(0, 0)
 		}
 	case requestSent:
 		for l := range w.leaders {
 			if w.leaders[l].lessor == nil || l != int(w.leader) && (c.request.kind != 0 || !omit.confirmation) {
-				continue // a replica that does not lead gets nothing committed and nothing confirmed
+				continue // a replica that does not lead can commit nothing and gets no confirmation
 			}
 			n := w.clone()
 			q := &n.clients[i]
@@ -280,7 +282,7 @@
 			}
 			visit(n)
 		}
-	case confirmed: // the replica answers; another one may lead by now
+	case confirmed: // the replica answers; another replica may be the leader by now
 		n := w.clone()
 		q, l := &n.clients[i], &n.leaders[c.request.leader]
 		if q.request.phase = responseSent; q.request.kind == 0 {
@@ -308,10 +310,11 @@
 	}
 }
 
-// explore visits every reachable world. It returns how many there are, in how many a client holds the lease, and whether two ever hold it.
+// explore visits the reachable worlds until two clients hold the lease. It returns how many worlds there are, in how many some client holds
+// the lease, and whether two clients hold it in any.
 func explore(rates [5]Instant, omit omissions) (states, held int, twoHold bool) {
 	s := NewState()
-	first := &world{state: s} // one client holds the lease; the session of the other one has a longer TTL
+	first := &world{state: s} // the first client holds the lease; the second one's session has a longer TTL
 	first.leaders[0].lessor = NewLessor(s, 0)
 	for i := range first.clients {
 		a := first.apply(Command{Kind: Open, Nonce: fmt.Sprint(i), Owner: "same", TTL: modelTTL * time.Duration(1+4*i)})
@@ -320,14 +323,14 @@
 	first.clients[0].seq = 1
 	first.clients[0].session.ApplyGrant(0, "x", first.apply(Command{Kind: Acquire, Session: 1, Seq: 1, Name: "x"}).Token)
 	type hash [32]byte
-	seen, open := map[hash]struct{}{}, []*world{first}
-	for len(open) > 0 && !twoHold {
-		w := open[len(open)-1]
-		open = open[:len(open)-1]
+	seen, pending := map[hash]struct{}{}, []*world{first}
+	for len(pending) > 0 && !twoHold {
+		w := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
 		n := 0
 		for i := range w.clients {
-			if h := w.clients[i].session; h != nil {
-				if _, _, ok := h.Held("x", w.clients[i].clock); ok {
+			if sess := w.clients[i].session; sess != nil {
+				if _, _, ok := sess.Held("x", w.clients[i].clock); ok {
 					n++
 				}
 			}
@@ -338,19 +341,20 @@
 			k := hash(sha256.Sum256(n.key()))
 			if _, known := seen[k]; !known {
 				seen[k] = struct{}{}
-				open = append(open, n)
+				pending = append(pending, n)
 			}
 		})
 	}
 	return len(seen), held, twoHold
 }
 
-// In every state of the model, with the clocks of clients and leaders at either end of the bound, no two clients hold the lease. Without
-// the confirmation by a majority two do; what else the argument needs is taken out of the code by TestTheChecksCanFail of package replica.
+// In no state of the model do two clients hold the lease, with the clocks of clients and leaders at either end of the drift bound. Without
+// the confirmation by a majority there is a state in which they do. TestTheChecksCanFail here and in package replica removes the other
+// steps of the argument from the code.
 func TestExploration(t *testing.T) {
 	var all atomic.Int64
 	var explorers sync.WaitGroup
-	slots := make(chan struct{}, 2) // other packages are tested at the same time
+	slots := make(chan struct{}, 2) // leaves processors to other packages' tests, which run at the same time
 	for _, rates := range [][5]Instant{
 		{slow, slow, fast, fast, fast}, {fast, fast, slow, slow, slow}, {slow, fast, fast, slow, fast}, {fast, slow, slow, fast, slow},
 	} {
@@ -367,6 +371,6 @@
 	explorers.Wait()
 	t.Logf("%d states", all.Load())
 	if _, _, twoHold := explore([5]Instant{slow, slow, fast, fast, fast}, omissions{confirmation: true}); !twoHold {
-		t.Error("without the confirmation no two hold: the model finds nothing")
+		t.Error("without the confirmation no two clients hold the lease: the model cannot find the violation")
 	}
 }
--- a/internal/coordination/lease/lessor.go
+++ b/internal/coordination/lease/lessor.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Lessor is the granting side's view of time: until when each session, and each grant that was broken, must not be ended. It
-// belongs to one term of one leader; nothing of it is in the log. All instants are of the leader's own steady clock.
+// Lessor holds the leader's timers: the earliest instant at which each session, and each broken grant, may be ended. It belongs to one
+// term of one leader and is not replicated. All instants are of the leader's own steady clock.
 type Lessor struct {
 	state        *State
-	expiry       map[SessionID]Instant // a session must not be ended before
-	expiring     map[SessionID]bool    // Expire is proposed
+	expiry       map[SessionID]Instant // the earliest instant at which a session may be ended
+	expiring     map[SessionID]bool    // sessions whose Expire has been proposed
 	brokenGrants map[string]brokenGrant
 	embargoEnd   Instant
 }
 
-// brokenGrant is a grant that operators broke. Its holder may believe in it until freeAt.
+// brokenGrant is a grant that operators broke. Its holder may rely on it until freeAt.
 type brokenGrant struct {
 	token  Token
 	freeAt Instant
 }
 
-// NewLessor begins a term, at an instant at which this leader has applied everything that was in the log before it. Every session
-// lives a complete TTL more: the leader before may have renewed it just before it was succeeded.
+// NewLessor returns the Lessor of a new term. The caller must have applied every entry that was in the log before the term. Every session
+// gets a complete TTL from now, because the previous leader may have renewed it until it was replaced.
 func NewLessor(s *State, now Instant) *Lessor {
 	ls := &Lessor{state: s, expiry: map[SessionID]Instant{}, expiring: map[SessionID]bool{}, brokenGrants: map[string]brokenGrant{}}
 	ls.embargoEnd = now.Add(s.embargo)
@@ -35,20 +35,21 @@
 	return ls
 }
 
-// Renew grants a session its TTL from now on. The caller has checked that it is Renewable.
+// Renew extends a session by its TTL from now. It does nothing for a session that does not exist or whose Expire has been proposed.
 func (ls *Lessor) Renew(id SessionID, now Instant) {
 	if sess := ls.state.sessions[id]; sess != nil && !ls.expiring[id] {
 		ls.expiry[id] = now.Add(sess.ttl)
 	}
 }
 
-// Renewable reports whether a session may still be renewed: it exists, and no Expire of it is proposed.
+// Renewable reports whether a session may still be renewed: it exists, and no Expire has been proposed for it.
 func (ls *Lessor) Renewable(id SessionID) bool {
 	_, ok := ls.state.sessions[id]
 	return ok && !ls.expiring[id]
 }
 
-// ExpiryCommands returns the commands whose time has come. They are returned again until they are applied: a proposal may be lost.
+// ExpiryCommands returns the Expire, Free and EndEmbargo commands that are due. It returns a command again until the command is applied,
+// because a proposal may be lost.
 func (ls *Lessor) ExpiryCommands(now Instant) (commands []Command) {
 	for _, id := range slices.Sorted(maps.Keys(ls.expiry)) {
 		if ls.state.sessions[id] == nil {
@@ -74,7 +75,7 @@
 	return commands
 }
 
-// Applied is called after each command of this term that State.Apply has applied, with its answer.
+// Applied updates the timers. The leader calls it after State.Apply for each command that was applied in its term, with the answer.
 func (ls *Lessor) Applied(cmd Command, a Answer, now Instant) {
 	switch cmd.Kind {
 	case Open:
@@ -86,7 +87,8 @@
 	}
 }
 
-// watchBroken begins the time after which a broken grant is free: its holder may have been renewed until now.
+// watchBroken starts the timer after which a broken grant is freed. The timer runs for a complete TTL, because the holder may have been
+// renewed until now.
 func (ls *Lessor) watchBroken(name string, now Instant) {
 	l := ls.state.leases[name]
 	if l == nil || !l.broken || l.holder == 0 || ls.brokenGrants[name].token == l.token {
--- a/internal/coordination/lease/mutation_test.go
+++ b/internal/coordination/lease/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each step of the argument that this package has is taken out of the code, one at a time: the test that is named with it fails.
+// Each mutant removes one step of the package's safety argument from the code; the named test must fail with it.
 func TestTheChecksCanFail(t *testing.T) {
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
 		"the drift margin":              {File: "internal/coordination/lease/doc.go", Text: "/ (1 + MaxDrift)", Replacement: "/ 1", Package: "./internal/coordination/lease", Test: "TestExploration"},
--- a/internal/coordination/lease/recorded_test.go
+++ b/internal/coordination/lease/recorded_test.go
@@ -6,15 +6,15 @@
 	"petrelhook/internal/common/jsonform"
 )
 
-// What the coordinators' logs, snapshots and back-ups of revision cfdfdec hold is read, and written as the same bytes. The README in
-// testdata/cfdfdec says how it was made.
+// Commands, answers and snapshots as the coordinators of revision cfdfdec stored them in logs, snapshots and back-ups are decoded, and
+// encoded to the same bytes. The README in testdata/cfdfdec describes how they were recorded.
 func TestRecordedFormsAreRead(t *testing.T) {
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/command.json", &Command{})
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/answer.json", &Answer{})
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/snapshot.json", &stateSnapshot{})
 }
 
-// Kinds and statuses are sent and stored as these numbers.
+// Kinds and statuses keep their numbers, which are sent and stored.
 func TestNumbersAreTheRecordedOnes(t *testing.T) {
 	for i, kind := range []Kind{Open, Acquire, Cancel, Release, Transfer, Close, Break, Expire, Free, EndEmbargo} {
 		if int(kind) != i+1 {
--- a/internal/coordination/lease/sessionstate.go
+++ b/internal/coordination/lease/sessionstate.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// SessionState is what a client believes: which leases its session holds, and until when by its own steady clock. Every response is
-// applied with the instant at which the client sent the request, never with that at which the response arrived. It is not safe for
-// concurrent use.
+// SessionState is the client's view of its session: which leases it holds, and until when by the client's own steady clock. Every response
+// is applied with the instant at which the client sent the request, never with the instant at which the response arrived. It is not safe
+// for concurrent use.
 type SessionState struct {
 	Session       SessionID
 	ttl           time.Duration
 	expiry        Instant // of the session
 	grantsVersion uint64
 	grants        map[string]*heldGrant
-	waiting       map[string]Instant // leases that it waits for, and since when
+	waiting       map[string]Instant // leases that the client waits for, and since when
 }
 
 type heldGrant struct {
@@ -25,17 +25,18 @@
 	broken    bool
 }
 
-// NewSessionState returns the state of a session that was opened by a request sent at requestedAt.
+// NewSessionState returns the state of a session without leases. requestedAt is when the client sent the request that opened it.
 func NewSessionState(requestedAt Instant, id SessionID, ttl time.Duration) *SessionState {
 	return &SessionState{Session: id, ttl: ttl, expiry: ValidUntil(requestedAt, ttl), grants: map[string]*heldGrant{}, waiting: map[string]Instant{}}
 }
 
-// BeginWait begins to wait for a lease. Every release of it has been answered by now: a grant that the response to a later request
-// reports is a new one.
+// BeginWait records that the client waits for a lease from now on. The caller must have received the responses to all earlier releases of
+// this lease: then a grant that is reported in response to a later request is a new one.
 func (s *SessionState) BeginWait(name string, now Instant) { s.waiting[name] = now }
 
-// ApplyKeepAlive applies the response to a keep-alive request that renewed the session. grants are those that the session holds at that
-// version; nil says that they are those of the version that the request named. It returns the grants that the session has waited for.
+// ApplyKeepAlive applies the response to a keep-alive request that renewed the session. grants are all grants of the session at this
+// version; nil means that they have not changed since the version that the request named. It returns the grants that the client has waited
+// for.
 func (s *SessionState) ApplyKeepAlive(requestedAt Instant, grants []Grant, version uint64) (granted []Grant) {
 	expiry := ValidUntil(requestedAt, s.ttl)
 	s.expiry = max(s.expiry, expiry)
@@ -43,7 +44,7 @@
 		s.grantsVersion = version
 		s.dropMissing(requestedAt, grants)
 	}
-	// Whatever the version: a lease may have been granted before the client recorded that it waits for it.
+	// This does not depend on the version: a lease may have been granted before the client recorded that it waits for it.
 	for _, g := range grants {
 		if waitingSince, isWaiting := s.waiting[g.Name]; isWaiting && waitingSince <= requestedAt && !g.Broken {
 			s.ApplyGrant(requestedAt, g.Name, g.Token)
@@ -58,7 +59,8 @@
 	return granted
 }
 
-// dropMissing forgets the grants that a newer list does not have. One that was learned of after the request is not in its response.
+// dropMissing removes the grants that a newer list does not contain, and marks those that operators broke. It keeps a grant that the client
+// learned of after it sent the request, because the list may be older than this grant.
 func (s *SessionState) dropMissing(requestedAt Instant, grants []Grant) {
 	current := map[string]Grant{}
 	for _, g := range grants {
@@ -74,7 +76,7 @@
 	}
 }
 
-// ApplyGrant records a grant that the client learned of now.
+// ApplyGrant records a grant that the client learned of at now. It is valid as long as the session is.
 func (s *SessionState) ApplyGrant(now Instant, name string, token Token) {
 	delete(s.waiting, name)
 	if held := s.grants[name]; held == nil || held.token < token {
@@ -82,21 +84,24 @@
 	}
 }
 
-// Forget ends the belief in a lease, and the wait for it. A client calls it before it sends a release.
+// Forget removes a lease from the client's view, whether the client holds it or waits for it. The client calls it before it sends a
+// release.
 func (s *SessionState) Forget(name string) {
 	delete(s.grants, name)
 	delete(s.waiting, name)
 }
 
-// Invalidate ends the belief in the session and all its grants. The client calls it when a coordinator says that the session is gone.
+// Invalidate marks the session as expired and removes all its grants and waits. The client calls it when a coordinator answers that the
+// session does not exist any more.
 func (s *SessionState) Invalidate() {
 	s.expiry, s.grants, s.waiting = -1<<62, map[string]*heldGrant{}, map[string]Instant{}
 }
 
-// Expiry returns the instant until which the session is believed to be alive.
+// Expiry returns the instant until which the client may assume that its session is alive.
 func (s *SessionState) Expiry() Instant { return s.expiry }
 
-// Held returns the token of a lease and until when it is believed to be held; ok is false where it is not.
+// Held returns the token of a lease and the instant until which the client may assume that it holds the lease; ok is false if it may not
+// assume so at now.
 func (s *SessionState) Held(name string, now Instant) (token Token, until Instant, ok bool) {
 	held := s.grants[name]
 	if held == nil || now >= held.expiry {
@@ -105,8 +110,9 @@
 	return held.token, held.expiry, true
 }
 
-// KnownVersion returns the version of the session's grants for which a keep-alive request need not be answered with the grants. It is 0
-// while the client waits for a lease: it may have been granted before the client recorded that it waits.
+// KnownVersion returns the version of the grants that the client knows, which a keep-alive request carries so that unchanged grants are not
+// sent again. It is 0, which requests all grants, while the client waits for a lease: the lease may have been granted before the client
+// recorded that it waits for it.
 func (s *SessionState) KnownVersion() uint64 {
 	if len(s.waiting) > 0 {
 		return 0
@@ -114,7 +120,7 @@
 	return s.grantsVersion
 }
 
-// Broken reports whether operators broke the grant of a lease that is held: it is not renewed any more.
+// Broken reports whether operators broke the grant of a lease that the client holds. Such a grant is not renewed any more.
 func (s *SessionState) Broken(name string) bool {
 	return s.grants[name] != nil && s.grants[name].broken
 }
--- a/internal/coordination/lease/snapshot.go
+++ b/internal/coordination/lease/snapshot.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// stateSnapshot is the form of a state in a snapshot or a back-up, with everything in order, so that equal states have equal bytes.
+// stateSnapshot is the JSON form of a State in snapshots and back-ups. Its lists are sorted, so that equal states have equal bytes.
 type stateSnapshot struct {
 	Format   int               `json:"format"`
 	Token    Token             `json:"token"`
@@ -39,7 +39,7 @@
 
 const snapshotFormat = 1
 
-// Snapshot returns the state as bytes, for Restore.
+// Snapshot encodes the state for Restore.
 func (s *State) Snapshot() []byte {
 	snapshot := stateSnapshot{Format: snapshotFormat, Token: s.lastToken, Session: s.lastSession, Embargo: s.embargo}
 	for _, id := range slices.Sorted(maps.Keys(s.sessions)) {
@@ -57,7 +57,7 @@
 	return text
 }
 
-// Restore returns the state of a snapshot or a back-up.
+// Restore decodes a snapshot or a back-up. It returns an error if the format is unknown or a lease names a session that is missing.
 func Restore(text []byte) (*State, error) {
 	var snapshot stateSnapshot
 	if err := json.Unmarshal(text, &snapshot); err != nil {
@@ -83,7 +83,7 @@
 	return s, nil
 }
 
-// restoreLease adds a lease of a snapshot, and records it at its holder and its waiters, which must be in the snapshot.
+// restoreLease adds a lease of a snapshot to the state, and to its holder and its waiters, which must be in the snapshot.
 func (s *State) restoreLease(record leaseSnapshot) error {
 	s.leases[record.Name] = &lease{name: record.Name, holder: record.Holder, token: record.Token, broken: record.Broken, waiters: record.Queue}
 	if record.Holder != 0 {
@@ -103,18 +103,18 @@
 	return nil
 }
 
-// noSessionError says that a snapshot has a lease of a session that it does not have.
+// noSessionError is returned for a snapshot in which a lease names a session that the snapshot does not contain.
 type noSessionError SessionID
 
 func (e noSessionError) Error() string { return fmt.Sprintf("there is no session %d", SessionID(e)) }
 
-// restoreOffset is by how many tokens a restored state goes beyond its back-up: more than a group grants in a year at 10,000 a second.
+// restoreOffset is the least number of tokens that a restored group skips: more than a group grants in a year at 10,000 a second.
 const restoreOffset = 1 << 40
 
-// RestoreNewGroup returns the state with which a new group begins from a back-up, while holders of the old one may still be alive: what
-// they hold stays theirs for their TTL, nothing is granted until everything that the back-up lacks has expired, and tokens and session
-// ids go on beyond those of the old group. minToken is the largest token that is known to have been granted after the back-up, or 0;
-// longestTTL is the longest TTL that the old group allowed.
+// RestoreNewGroup returns the initial state of a new group that is restored from a back-up while holders of the old group may still be
+// alive. They keep their leases for their TTL, nothing is granted until every session that the back-up lacks has expired, and tokens and
+// session ids continue beyond those of the old group. minToken is the largest token that is known to have been granted after the back-up,
+// or 0; longestTTL is the longest TTL that the old group allowed.
 func RestoreNewGroup(backup []byte, minToken Token, longestTTL time.Duration) (*State, error) {
 	s, err := Restore(backup)
 	if err != nil {
@@ -130,8 +130,8 @@
 type Info struct {
 	Name    string        `json:"name"`
 	Token   Token         `json:"token,omitempty"`   // 0: the lease is free
-	Session SessionID     `json:"session,omitempty"` // of the holder
-	Owner   string        `json:"owner,omitempty"`   // of that session
+	Session SessionID     `json:"session,omitempty"` // the holder
+	Owner   string        `json:"owner,omitempty"`   // the owner of the holder's session
 	TTL     time.Duration `json:"ttl_ns,omitempty"`
 	Broken  bool          `json:"broken,omitempty"`
 	Queue   []Waiter      `json:"queue,omitempty"`
@@ -143,7 +143,7 @@
 	Owner   string    `json:"owner"`
 }
 
-// List returns the leases whose names begin with a prefix, by name.
+// List returns the leases whose names begin with prefix, sorted by name.
 func (s *State) List(prefix string) (all []Info) {
 	for name, l := range s.leases {
 		if len(name) < len(prefix) || name[:len(prefix)] != prefix {
@@ -162,7 +162,7 @@
 	return all
 }
 
-// Counts returns how many sessions and leases there are, and the last token that was granted.
+// Counts returns the numbers of sessions and leases, and the token of the latest grant.
 func (s *State) Counts() (sessions, leases int, token Token) {
 	return len(s.sessions), len(s.leases), s.lastToken
 }
--- a/internal/coordination/lease/state.go
+++ b/internal/coordination/lease/state.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// State records which session holds which lease. Equal commands in equal order make equal states.
+// State is the replicated state machine: it records which session holds which lease. The same commands in the same order produce the same
+// state.
 //
-// Invariants: every holder and every waiter is a session that exists; no session is twice in a queue, or waits for what it holds; a free
-// lease has no queue, except under an embargo; tokens grow.
+// Invariants: every holder and every waiter is a session that exists; no session is in a queue twice or waits for a lease that it holds; a
+// free lease has no queue, except under an embargo; tokens only grow.
 type State struct {
-	lastToken   Token     // the last one that was granted
-	lastSession SessionID // the last one that was opened
+	lastToken   Token     // of the latest grant
+	lastSession SessionID // the id of the session that was opened last
 	sessions    map[SessionID]*session
 	nonces      map[string]SessionID
 	leases      map[string]*lease
-	embargo     time.Duration // above 0: nothing is granted until a leader has led for so long
+	embargo     time.Duration // above 0: nothing is granted until one leader has led for this long
 }
 
 type session struct {
@@ -25,10 +26,10 @@
 	nonce      string
 	ttl        time.Duration
 	lastSeq    uint64              // sequence number of the last command
-	lastAnswer Answer              // to it
-	version    uint64              // of its grants: grows with each change
-	holds      map[string]struct{} // names of leases
-	waits      map[string]struct{}
+	lastAnswer Answer              // the answer to that command, repeated when the command is repeated
+	version    uint64              // version of its grants; grows with each change of them
+	holds      map[string]struct{} // names of the leases that it holds
+	waits      map[string]struct{} // names of the leases that it waits for
 }
 
 type lease struct {
@@ -36,7 +37,7 @@
 	holder  SessionID // 0: the lease is free
 	token   Token
 	broken  bool
-	waiters []SessionID // the next holder first
+	waiters []SessionID // the queue; the next holder comes first
 }
 
 // NewState returns the state of a new group.
@@ -44,7 +45,7 @@
 	return &State{sessions: map[SessionID]*session{}, nonces: map[string]SessionID{}, leases: map[string]*lease{}}
 }
 
-// Apply carries out the next command of the log.
+// Apply applies the next command of the log and returns its outcome.
 func (s *State) Apply(c Command) Answer {
 	switch c.Kind {
 	case Open:
@@ -88,7 +89,7 @@
 	return sess.lastAnswer
 }
 
-// openSession begins a session, or finds the one that the same nonce has begun.
+// openSession opens a session, or returns the existing one that was opened with the same nonce.
 func (s *State) openSession(c Command) Answer {
 	if id, known := s.nonces[c.Nonce]; known {
 		return Answer{Status: OK, Session: id}
@@ -102,7 +103,7 @@
 	return Answer{Status: OK, Session: sess.id}
 }
 
-// applyClientCommand carries out a command of a session.
+// applyClientCommand applies a command of the client of a session. Its sequence number has been checked.
 func (s *State) applyClientCommand(sess *session, c Command) Answer {
 	if c.Kind == Close {
 		s.endSession(sess)
@@ -146,13 +147,15 @@
 	return Answer{Status: NoSession}
 }
 
+// acquire grants a free lease to the session. Otherwise the session joins the queue if wait is set. An Acquire for a lease that the session
+// holds already returns the existing grant.
 func (s *State) acquire(sess *session, l *lease, wait bool) Answer {
 	if l.holder == sess.id {
 		return Answer{Status: OK, Token: l.token}
 	}
 	position := slices.Index(l.waiters, sess.id)
 	switch {
-	case position >= 0: // it waits already
+	case position >= 0: // the session is in the queue already
 	case len(sess.holds)+len(sess.waits) >= MaxSessionLeases:
 		return Answer{Status: Full}
 	case l.holder == 0 && s.embargo == 0:
@@ -187,7 +190,7 @@
 	sess.version++
 }
 
-// release ends a grant, and makes the next one.
+// release ends the grant of a lease and grants it to the next waiter.
 func (s *State) release(l *lease) {
 	sess := s.sessions[l.holder]
 	delete(sess.holds, l.name)
@@ -204,7 +207,7 @@
 	}
 }
 
-// endSession ends a session. Its waits end first, so that nothing that it holds is granted to it again.
+// endSession ends a session. It is removed from all queues first, so that none of the leases it holds is granted to it again.
 func (s *State) endSession(sess *session) {
 	for name := range sess.waits {
 		l := s.leases[name]
@@ -212,13 +215,14 @@
 		s.removeIfUnused(l)
 	}
 	clear(sess.waits)
-	for _, name := range slices.Sorted(maps.Keys(sess.holds)) { // in a fixed order, for tokens are granted
+	for _, name := range slices.Sorted(maps.Keys(sess.holds)) { // sorted: all replicas must assign the tokens in the same order
 		s.release(s.leases[name])
 	}
 	delete(s.sessions, sess.id)
 	delete(s.nonces, sess.nonce)
 }
 
+// ownerName returns the owner of a session, or "" if there is no such session.
 func (s *State) ownerName(id SessionID) string {
 	if sess := s.sessions[id]; sess != nil {
 		return sess.owner
@@ -233,7 +237,8 @@
 	Broken bool   `json:"broken,omitempty"` // operators broke it: it is not renewed any more
 }
 
-// Grants returns what a session holds, by name, and the version of that; nil where known is that version.
+// Grants returns the leases that a session holds, sorted by name, and the version of that list. The list is nil if known is its version
+// or if there is no such session.
 func (s *State) Grants(id SessionID, known uint64) (grants []Grant, version uint64) {
 	sess := s.sessions[id]
 	if sess == nil || sess.version == known {
--- a/internal/coordination/lease/state_test.go
+++ b/internal/coordination/lease/state_test.go
@@ -20,7 +20,8 @@
 	return s
 }
 
-// A command that is repeated, or arrives late, acts once; a late release of an old grant does not end the new one; an owner is no session.
+// A command that is repeated or arrives late is applied once, and a late release of an old grant does not end the new one. Two sessions
+// with the same owner are different sessions.
 func TestRepeatedCommandsActOnce(t *testing.T) {
 	s := stateWithSessions(2)
 	do := func(kind Kind, id SessionID, seq uint64, token Token, want Status, wantToken Token) {
@@ -43,12 +44,13 @@
 	do(Release, 1, 4, 1, NotHeld, 0)
 	do(Release, 2, 3, 1, NotHeld, 0)
 	do(Acquire, 9, 1, 0, NoSession, 0)
-	if h := s.List(""); len(h) != 1 || h[0].Session != 2 || h[0].Token != 2 {
-		t.Errorf("%+v", h)
+	if leases := s.List(""); len(leases) != 1 || leases[0].Session != 2 || leases[0].Token != 2 {
+		t.Errorf("%+v", leases)
 	}
 }
 
-// Waiters are granted the lease in order; one whose session has ended, or that waits no more, is left out; a transfer goes before.
+// A lease is granted to its waiters in the order of the queue. A session that has ended or cancelled its wait is skipped, and the target of
+// a transfer goes ahead of the queue.
 func TestQueue(t *testing.T) {
 	s := stateWithSessions(5)
 	for id := SessionID(1); id <= 5; id++ {
@@ -58,8 +60,8 @@
 	}
 	holder := func(want SessionID, token Token) {
 		t.Helper()
-		if h := s.List("x")[0]; h.Session != want || h.Token != token {
-			t.Errorf("%+v, want session %d, token %d", h, want, token)
+		if leases := s.List("x")[0]; leases.Session != want || leases.Token != token {
+			t.Errorf("%+v, want session %d, token %d", leases, want, token)
 		}
 	}
 	s.Apply(Command{Kind: Expire, Session: 2})
@@ -72,62 +74,62 @@
 	s.Apply(Command{Kind: Close, Session: 5, Seq: 3})
 	holder(3, 3)
 	s.Apply(Command{Kind: Expire, Session: 3})
-	if h := s.List(""); len(h) != 0 {
-		t.Errorf("%+v", h)
+	if leases := s.List(""); len(leases) != 0 {
+		t.Errorf("%+v", leases)
 	}
 }
 
-// A keep-alive reports the grants of a session only where they have changed, or while the client waits for a lease.
+// The response to a keep-alive contains the grants of a session only if they have changed or while the client waits for a lease.
 func TestGrantsAreSentOnce(t *testing.T) {
 	s := stateWithSessions(1)
-	h := NewSessionState(0, 1, time.Second)
+	client := NewSessionState(0, 1, time.Second)
 	s.Apply(Command{Kind: Acquire, Session: 1, Seq: 1, Name: "x"})
-	h.BeginWait("x", 1)
-	if h.KnownVersion() != 0 {
-		t.Error("the client waits, and does not ask for all grants")
+	client.BeginWait("x", 1)
+	if client.KnownVersion() != 0 {
+		t.Error("the client waits for a lease, but does not request all grants")
 	}
-	grants, version := s.Grants(1, h.KnownVersion())
-	if got := h.ApplyKeepAlive(2, grants, version); len(got) != 1 || got[0].Name != "x" || h.KnownVersion() != version {
-		t.Errorf("%v, known %d of %d", got, h.KnownVersion(), version)
+	grants, version := s.Grants(1, client.KnownVersion())
+	if got := client.ApplyKeepAlive(2, grants, version); len(got) != 1 || got[0].Name != "x" || client.KnownVersion() != version {
+		t.Errorf("%v, known %d of %d", got, client.KnownVersion(), version)
 	}
-	if grants, same := s.Grants(1, h.KnownVersion()); grants != nil || same != version {
+	if grants, same := s.Grants(1, client.KnownVersion()); grants != nil || same != version {
 		t.Errorf("reported again: %v, %d", grants, same)
 	}
-	h.ApplyKeepAlive(Instant(time.Second/2), nil, version)
-	if _, until, ok := h.Held("x", Instant(time.Second)); !ok || until <= Instant(time.Second) {
+	client.ApplyKeepAlive(Instant(time.Second/2), nil, version)
+	if _, until, ok := client.Held("x", Instant(time.Second)); !ok || until <= Instant(time.Second) {
 		t.Errorf("not renewed: %v, %v", until, ok)
 	}
 	s.Apply(Command{Kind: Expire, Session: 1})
-	if _, version := s.Grants(1, h.KnownVersion()); version != h.KnownVersion() {
-		t.Errorf("%d of a session that has ended", version)
+	if _, version := s.Grants(1, client.KnownVersion()); version != client.KnownVersion() {
+		t.Errorf("version %d of a session that has ended", version)
 	}
 }
 
-// A grant that operators break is free a TTL later, in this term or counted anew in the next, and no sooner; other leases of the
-// session go on, and the broken grant is not renewed.
+// A lease whose grant operators break is free a TTL later and no sooner. A leader of a later term counts a complete TTL anew. The session's
+// other leases are renewed as before, but the broken grant is not.
 func TestBreak(t *testing.T) {
 	s := stateWithSessions(1)
-	c := NewLessor(s, 0)
-	h := NewSessionState(0, 1, time.Second)
+	lessor := NewLessor(s, 0)
+	client := NewSessionState(0, 1, time.Second)
 	for i, name := range []string{"x", "y"} {
-		h.ApplyGrant(0, name, s.Apply(Command{Kind: Acquire, Session: 1, Seq: uint64(i + 1), Name: name}).Token)
+		client.ApplyGrant(0, name, s.Apply(Command{Kind: Acquire, Session: 1, Seq: uint64(i + 1), Name: name}).Token)
 	}
 	at := func(ms int) Instant { return Instant(time.Duration(ms) * time.Millisecond) }
 	cmd := Command{Kind: Break, Name: "x", Token: 1}
-	c.Applied(cmd, s.Apply(cmd), at(500))
-	c.Renew(1, at(600))
+	lessor.Applied(cmd, s.Apply(cmd), at(500))
+	lessor.Renew(1, at(600))
 	grants, version := s.Grants(1, 0)
-	h.ApplyKeepAlive(at(600), grants, version)
-	if _, until, ok := h.Held("x", at(700)); !ok || until >= at(1000) {
-		t.Errorf("the broken one: until %v, %v", until, ok)
+	client.ApplyKeepAlive(at(600), grants, version)
+	if _, until, ok := client.Held("x", at(700)); !ok || until >= at(1000) {
+		t.Errorf("the broken grant: valid until %v, held %v", until, ok)
 	}
-	if _, until, _ := h.Held("y", at(700)); until < at(1500) {
-		t.Errorf("the other: until %v", until)
+	if _, until, _ := client.Held("y", at(700)); until < at(1500) {
+		t.Errorf("the other grant: valid until %v", until)
 	}
-	if due := c.ExpiryCommands(at(1499)); len(due) != 0 {
+	if due := lessor.ExpiryCommands(at(1499)); len(due) != 0 {
 		t.Errorf("%v", due)
 	}
-	next := NewLessor(s, at(1400)) // another leader counts from when it began to lead
+	next := NewLessor(s, at(1400)) // a new leader counts from the beginning of its term
 	next.Renew(1, at(2000))
 	if due := next.ExpiryCommands(at(2399)); len(due) != 0 {
 		t.Errorf("%v", due)
@@ -137,44 +139,45 @@
 	}
 }
 
-// A back-up is restored while holders of the old group still live: what they hold stays theirs, nothing is granted until everything that
-// the back-up lacks has expired, and tokens go beyond any of the old group, also in a second restore.
+// A back-up is restored while holders of the old group are still alive: they keep their leases, nothing is granted until every session that
+// the back-up lacks has expired, and tokens are beyond any of the old group, also after a second restore.
 func TestRestored(t *testing.T) {
 	s := stateWithSessions(2)
 	s.Apply(Command{Kind: Acquire, Session: 1, Seq: 1, Name: "x"})
 	backup := s.Snapshot()
 	var last Token
 	for range 2 {
-		r, err := RestoreNewGroup(backup, last, time.Minute)
+		restored, err := RestoreNewGroup(backup, last, time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := NewLessor(r, 0)
-		if a := r.Apply(Command{Kind: Acquire, Session: 2, Seq: 1, Name: "new"}); a.Status != Embargoed {
+		lessor := NewLessor(restored, 0)
+		if a := restored.Apply(Command{Kind: Acquire, Session: 2, Seq: 1, Name: "new"}); a.Status != Embargoed {
 			t.Errorf("%v", a)
 		}
-		r.Apply(Command{Kind: Acquire, Session: 2, Seq: 2, Name: "x", Wait: true})
-		r.Apply(Command{Kind: Expire, Session: 1})
-		if h := r.List("x"); len(h) != 1 || h[0].Session != 0 {
-			t.Errorf("granted under the embargo: %+v", h)
+		restored.Apply(Command{Kind: Acquire, Session: 2, Seq: 2, Name: "x", Wait: true})
+		restored.Apply(Command{Kind: Expire, Session: 1})
+		if leases := restored.List("x"); len(leases) != 1 || leases[0].Session != 0 {
+			t.Errorf("granted under the embargo: %+v", leases)
 		}
-		c.Renew(2, Instant(time.Hour))
-		if due := c.ExpiryCommands(Instant(time.Minute)); len(due) != 1 || due[0].Kind != EndEmbargo {
+		lessor.Renew(2, Instant(time.Hour))
+		if due := lessor.ExpiryCommands(Instant(time.Minute)); len(due) != 1 || due[0].Kind != EndEmbargo {
 			t.Fatalf("%v", due)
 		}
-		r.Apply(Command{Kind: EndEmbargo})
-		h := r.List("x")
-		if len(h) != 1 || h[0].Session != 2 || h[0].Token <= max(last, 1<<40) {
-			t.Errorf("%+v after token %d", h, last)
+		restored.Apply(Command{Kind: EndEmbargo})
+		leases := restored.List("x")
+		if len(leases) != 1 || leases[0].Session != 2 || leases[0].Token <= max(last, 1<<40) {
+			t.Errorf("%+v after token %d", leases, last)
 		}
-		last = h[0].Token
-		if a := r.Apply(Command{Kind: Open, Nonce: "another one", TTL: time.Second}); a.Session <= 1<<40 {
+		last = leases[0].Token
+		if a := restored.Apply(Command{Kind: Open, Nonce: "another one", TTL: time.Second}); a.Session <= 1<<40 {
 			t.Errorf("a session id of the old group: %v", a)
 		}
 	}
 }
 
-// With any commands the invariants of the state hold, tokens grow, and a snapshot restores an equal state that goes on equally.
+// After any sequence of commands the invariants of the state hold, tokens have only grown, and a state restored from a snapshot is equal and
+// gives the same answer to the next command.
 func TestAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := stateWithSessions(3)
@@ -193,7 +196,7 @@
 			}
 			a := s.Apply(c)
 			if b := twin.Apply(c); a != b || !bytes.Equal(twin.Snapshot(), s.Snapshot()) {
-				t.Fatalf("%v: %v, and %v after a snapshot", c, a, b)
+				t.Fatalf("%v: %v, but %v after a restore", c, a, b)
 			}
 			if s.lastToken < last {
 				t.Fatal("tokens do not grow")
@@ -208,11 +211,11 @@
 				all := append([]SessionID{l.holder}, l.waiters...)
 				slices.Sort(all)
 				if len(slices.Compact(all)) != len(l.waiters)+1 {
-					t.Fatalf("%s: a session is there twice: %d, %v", name, l.holder, l.waiters)
+					t.Fatalf("%s: a session is listed twice: holder %d, waiters %v", name, l.holder, l.waiters)
 				}
 				for _, id := range l.waiters {
 					if _, waits := s.sessions[id].waits[name]; !waits {
-						t.Fatalf("%s: session %d does not have the wait", name, id)
+						t.Fatalf("%s: session %d is in the queue, but does not record that it waits", name, id)
 					}
 				}
 			}
@@ -225,7 +228,7 @@
 	})
 }
 
-// Commands of clients are checked before they get into the log.
+// Check rejects invalid commands of clients, and its error names the field.
 func TestCheck(t *testing.T) {
 	long := string(bytes.Repeat([]byte("x"), MaxNameBytes+1))
 	good := Command{Kind: Acquire, Session: 1, Seq: 1, Name: "a/b"}
@@ -250,7 +253,7 @@
 	}
 }
 
-// A snapshot with a lease whose holder or waiter it does not have is an error that names both.
+// Restore rejects a snapshot in which the holder or a waiter of a lease is missing; the error names the lease and the session.
 func TestInconsistentSnapshots(t *testing.T) {
 	const session = `{"id":1,"owner":"o","nonce":"12345678","ttl":1000000000,"seq":0,"answer":{"status":0},"version":0}`
 	for text, want := range map[string]string{
