--- a/internal/coordination/share/allocator.go
+++ b/internal/coordination/share/allocator.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// recomputations is how often in a period the fair level is computed.
+	// recomputations is how many times per period the fair level is computed.
 	recomputations = 16
-	// minRetryFraction is the shortest wait before the next request, as a part of the period; maxRetryPeriods is the longest, in periods.
+	// The shortest wait before the next request is the period divided by minRetryFraction; the longest is maxRetryPeriods periods.
 	minRetryFraction = 8
 	maxRetryPeriods  = 4
-	// forgetAfterPeriods is after how many periods without a request a member without units is forgotten.
+	// forgetAfterPeriods is after how many periods without a request a member without active allocations is forgotten.
 	forgetAfterPeriods = 8
 
-	// neverRequested is the time of the last request of a member that comes.
+	// neverRequested is the time of the last request of a member whose first request is being answered.
 	neverRequested lease.Instant = math.MinInt64
 )
 
@@ -29,12 +29,12 @@
 type Allocator struct {
 	limit       Limit
 	term        uint64
-	startsAt    lease.Instant // nothing is allocated before
+	startsAt    lease.Instant // nothing is allocated before this instant
 	active      map[AllocationID]*activeAllocation
 	outstanding int // units of all active allocations
 	lastID      AllocationID
 	members     map[string]*member
-	fairLevel   float64       // units a period for a weight of 1, where more are wanted than there are
+	fairLevel   float64       // units per period for a weight of 1 if the demand exceeds the limit, otherwise infinite
 	computedAt  lease.Instant // when the fair level was computed
 }
 
@@ -46,23 +46,23 @@
 
 type member struct {
 	weight      float64
-	demand      int           // units a period
-	entitled    float64       // units that are due to it and not allocated yet
-	requestedAt lease.Instant // its last request
+	demand      int           // units per period
+	entitled    float64       // units that it is entitled to and that are not allocated yet
+	requestedAt lease.Instant // when its last request arrived
 	outstanding int           // units of its active allocations
 }
 
-// NewAllocator begins to allocate, at an instant at which this leader has confirmed that it leads. It allocates nothing in its first
-// period: allocations of the leader before it have ended by then.
+// NewAllocator returns the allocator of a limit for one term. now is an instant at which a majority has confirmed that this leader leads. The
+// allocator allocates nothing in its first period, by the end of which the allocations of the previous leader have expired.
 func NewAllocator(l Limit, term uint64, now lease.Instant) *Allocator {
 	return &Allocator{limit: l, term: term, startsAt: now.Add(l.Period), lastID: firstID(term),
 		active: map[AllocationID]*activeAllocation{}, members: map[string]*member{}}
 }
 
-// SetUnits changes the units of the limit. What is allocated stays so until it ends; the other fields of a limit never change.
+// SetUnits changes the units of the limit. Existing allocations stay until they expire. The other fields of a limit never change.
 func (a *Allocator) SetUnits(units int) { a.limit.Units = max(units, a.limit.Floor) }
 
-// Allocate answers a request. The caller has a confirmation by a majority, from after the request came, that this leader leads.
+// Allocate answers a request of a member. Before the call a majority must have confirmed, after the request arrived, that this leader leads.
 func (a *Allocator) Allocate(r AllocationRequest, now lease.Instant) Allocation {
 	a.expire(now)
 	a.returnUnspent(r)
@@ -91,8 +91,8 @@
 	return Allocation{ID: a.lastID, Units: units}
 }
 
-// returnUnspent takes back what a member will not spend of its allocations. What it has spent counts until the allocation ends; a usage
-// that is reported twice changes nothing the second time.
+// returnUnspent frees the units of finished allocations that the member has not spent. What it has spent counts until the allocation expires.
+// A usage that is reported twice changes nothing the second time.
 func (a *Allocator) returnUnspent(r AllocationRequest) {
 	for _, usage := range r.Finished {
 		allocation := a.active[usage.Allocation]
@@ -102,7 +102,8 @@
 	}
 }
 
-// updateMember records a request's weight and demand, and returns the member's fair units a period.
+// updateMember records the weight and demand of a request, adds what the member has become entitled to since its last request, and returns
+// its fair share in units per period.
 func (a *Allocator) updateMember(m *member, r AllocationRequest, now lease.Instant) (fair float64) {
 	if m.weight = r.Weight; !(m.weight > 0) || math.IsInf(m.weight, 1) {
 		m.weight = 1
@@ -120,15 +121,15 @@
 	return fair
 }
 
-// initialEntitlement is between nothing and one unit, different for each member, so that members that come together and are due less
-// than one unit each do not all wait for the same moment.
+// initialEntitlement returns a fraction of a unit, different for each member, so that members that start at the same time and are entitled to
+// less than one unit per period do not all become entitled to their first unit at the same moment.
 func initialEntitlement(name string, term uint64) float64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, name, term)
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
-// retryAfter returns when there may be units for a member that gets none now.
+// retryAfter returns how long a member that gets no units now should wait before its next request.
 func (a *Allocator) retryAfter(m *member, fair float64, free int, now lease.Instant) time.Duration {
 	wait := a.limit.Period / minRetryFraction
 	if m.demand > 0 && m.entitled < 1 && fair > 0 {
@@ -144,7 +145,7 @@
 	return min(wait, maxRetryPeriods*a.limit.Period)
 }
 
-// expire ends allocations whose period has passed, and forgets members that have not asked for long.
+// expire removes the allocations whose period has passed, and the members that have sent no request for forgetAfterPeriods.
 func (a *Allocator) expire(now lease.Instant) {
 	for id, allocation := range a.active {
 		if allocation.until <= now {
@@ -159,7 +160,7 @@
 	}
 }
 
-// giveBack makes units of an allocation free.
+// giveBack frees units of an allocation.
 func (a *Allocator) giveBack(allocation *activeAllocation, units int) {
 	allocation.units -= units
 	a.outstanding -= units
@@ -168,14 +169,14 @@
 	}
 }
 
-// fairShare returns the units a period that a member is entitled to.
+// fairShare returns the units per period that a member is entitled to.
 func (a *Allocator) fairShare(m *member) float64 { return min(float64(m.demand), a.fairLevel*m.weight) }
 
-// computeFairLevel computes the max-min fair level by weight: every member gets its demand where there is enough; else those that want
-// most for their weight get the same for it, and the others their demand.
+// computeFairLevel computes the weighted max-min fair level. If the units suffice, every member gets its demand. Otherwise the members with
+// the largest demand for their weight get the same number of units for a weight of 1, and the others get their demand.
 func (a *Allocator) computeFairLevel(now lease.Instant) {
 	a.computedAt, a.fairLevel = now, math.Inf(1)
-	byDemand := slices.SortedFunc(maps.Values(a.members), func(x, y *member) int { // the least demand for its weight first
+	byDemand := slices.SortedFunc(maps.Values(a.members), func(x, y *member) int { // the member with the least demand for its weight first
 		return cmp.Compare(float64(x.demand)/x.weight, float64(y.demand)/y.weight)
 	})
 	left, weight := float64(a.limit.Units-a.limit.Floor), 0.0
@@ -183,7 +184,7 @@
 		weight += m.weight
 	}
 	for _, m := range byDemand {
-		if float64(m.demand) > left*m.weight/weight { // so do all that follow
+		if float64(m.demand) > left*m.weight/weight { // and so do the demands of all members that follow
 			a.fairLevel = left / weight
 			return
 		}
@@ -191,7 +192,7 @@
 	}
 }
 
-// Outstanding returns the units of all allocations that have not ended.
+// Outstanding returns the units of all active allocations.
 func (a *Allocator) Outstanding(now lease.Instant) int {
 	a.expire(now)
 	return a.outstanding
--- a/internal/coordination/share/allocators.go
+++ b/internal/coordination/share/allocators.go
@@ -13,7 +13,8 @@
 	byLimit map[string]*Allocator
 }
 
-// NewAllocators begins to allocate all limits, at an instant at which this leader has applied everything that was in the log before it.
+// NewAllocators returns the allocators of all limits for a new term. The caller must have applied every entry that was in the log before the
+// term.
 func NewAllocators(r *Register, term uint64, now lease.Instant) *Allocators {
 	a := &Allocators{term, map[string]*Allocator{}}
 	for _, l := range r.Limits() {
@@ -22,8 +23,8 @@
 	return a
 }
 
-// Applied is called after each command of this term that Register.Apply has accepted. A new limit waits for a period too: a group that
-// was restored from a back-up may have forgotten it.
+// Applied updates the allocators. The leader calls it after each command of its term that Register.Apply has accepted. For a new limit
+// nothing is allocated for a period either, because the limit may have existed before the group was restored from a back-up without it.
 func (a *Allocators) Applied(c Command, now lease.Instant) {
 	if allocator := a.byLimit[c.Set.Name]; allocator != nil {
 		allocator.SetUnits(c.Set.Units)
@@ -32,7 +33,7 @@
 	a.byLimit[c.Set.Name] = NewAllocator(c.Set, a.term, now)
 }
 
-// Allocate answers a request for units of a limit, as Allocator.Allocate does; ok is false where there is no such limit.
+// Allocate answers a request for units of a limit, as Allocator.Allocate does; ok is false if there is no such limit.
 func (a *Allocators) Allocate(limit string, r AllocationRequest, now lease.Instant) (allocation Allocation, ok bool) {
 	allocator := a.byLimit[limit]
 	if allocator == nil {
@@ -44,8 +45,8 @@
 // LimitStatus is the state of a limit, for operators.
 type LimitStatus struct {
 	Limit       Limit          `json:"limit"`
-	Outstanding int            `json:"out"`             // units of all allocations that have not ended
-	Starting    bool           `json:"waits,omitempty"` // nothing is allocated yet: the leader is in its first period
+	Outstanding int            `json:"out"`             // units of all active allocations
+	Starting    bool           `json:"waits,omitempty"` // nothing is allocated yet, because the leader is in its first period
 	Members     []MemberStatus `json:"members,omitempty"`
 }
 
@@ -53,12 +54,12 @@
 type MemberStatus struct {
 	Name        string  `json:"name"`
 	Weight      float64 `json:"weight"`
-	Demand      int     `json:"want"` // units a period of its last request
-	FairShare   float64 `json:"fair"` // units a period that it is entitled to
-	Outstanding int     `json:"out"`  // units of its allocations, spent or not
+	Demand      int     `json:"want"` // units per period, as stated in its last request
+	FairShare   float64 `json:"fair"` // units per period that it is entitled to
+	Outstanding int     `json:"out"`  // units of its active allocations, spent or not
 }
 
-// Statuses returns the state of all limits by name.
+// Statuses returns the state of all limits, sorted by name.
 func (a *Allocators) Statuses(now lease.Instant) (all []LimitStatus) {
 	for _, limit := range slices.Sorted(maps.Keys(a.byLimit)) {
 		allocator := a.byLimit[limit]
--- a/internal/coordination/share/consumer.go
+++ b/internal/coordination/share/consumer.go
@@ -7,48 +7,47 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// maxFinished bounds the usages in one request. Units of those that are left out come back when their allocation ends.
+// maxFinished bounds the usages in one request. The unspent units of usages that are left out are free when their allocations expire.
 const maxFinished = 64
 
-// Consumer is what one member believes it may spend of one limit. Instants are of its own steady clock. It is not safe for concurrent
-// use.
+// Consumer tracks what one member may spend of one limit. Instants are of the member's own steady clock. It is not safe for concurrent use.
 type Consumer struct {
 	limit         Limit
 	name          string
 	weight        float64
-	allocations   []heldAllocation // the oldest, which ends first, first
-	finished      []Usage          // to be reported
+	allocations   []heldAllocation // in the order of their responses
+	finished      []Usage          // not yet reported
 	floor         floorRate
 	demand        demandMeter
 	nextRequestAt lease.Instant
 }
 
-// heldAllocation is an allocation that has not ended.
+// heldAllocation is an allocation that has not expired.
 type heldAllocation struct {
 	usage Usage // what was spent of it so far
-	units int   // that may be spent of it in all
+	units int   // how much may be spent of it in all
 	until lease.Instant
 }
 
-// floorRate allows one use in an interval.
+// floorRate limits the use of the floor to one use per interval.
 type floorRate struct {
 	started bool
 	nextAt  lease.Instant // when the next use is allowed
 }
 
-// demandMeter counts attempts to spend, a period at a time.
+// demandMeter counts attempts to spend per period.
 type demandMeter struct {
-	since    lease.Instant // when the present period began
-	attempts int           // in the present period
-	previous int           // attempts in the period before
+	since    lease.Instant // when the current period began
+	attempts int           // attempts in the current period
+	previous int           // attempts in the previous period
 }
 
-// NewConsumer returns a member that has no allocation yet.
+// NewConsumer returns the Consumer of a member without allocations.
 func NewConsumer(l Limit, name string, weight float64) *Consumer {
 	return &Consumer{limit: l, name: name, weight: weight}
 }
 
-// Demand returns how many uses a period are attempted: the larger number of this period and the one before.
+// Demand returns how many uses per period are attempted: the larger of the numbers of the current and the previous period.
 func (c *Consumer) Demand(now lease.Instant) int {
 	d := &c.demand
 	if past := now.Sub(d.since); past >= c.limit.Period {
@@ -60,7 +59,7 @@
 	return max(d.previous, d.attempts)
 }
 
-// NextRequestAt returns when to send the next request; ok is false where nothing is wanted and there is nothing to report.
+// NextRequestAt returns when to send the next request; ok is false if the member needs no units and has nothing to report.
 func (c *Consumer) NextRequestAt(now lease.Instant) (at lease.Instant, ok bool) {
 	return c.nextRequestAt, c.Demand(now) > 0 || c.Remaining(now) > 0 || len(c.finished) > 0
 }
@@ -70,8 +69,8 @@
 	c.nextRequestAt = now.Add(c.limit.Period / 2)
 }
 
-// NewRequest returns the request for what the member would spend in the next period. Units that it has beyond its demand are returned
-// with it, and are not spent from here on.
+// NewRequest returns the request for the units that the member would spend in the next period. It returns units that the member holds beyond
+// demand to the allocator; these are not spent from here on, even if the request is lost.
 func (c *Consumer) NewRequest(demand int, now lease.Instant) AllocationRequest {
 	c.expire(now)
 	for i := range c.allocations {
@@ -88,8 +87,8 @@
 	return AllocationRequest{Member: c.name, Weight: c.weight, Demand: max(0, demand-c.Remaining(now)), Finished: append([]Usage(nil), finished...)}
 }
 
-// ApplyAllocation applies the response to a request that was sent at requestedAt and reported these usages. A response that arrives
-// twice is one allocation.
+// ApplyAllocation applies the response to a request that was sent at requestedAt and reported these usages. A response that arrives twice
+// counts as one allocation.
 func (c *Consumer) ApplyAllocation(requestedAt lease.Instant, a Allocation, reported []Usage) {
 	c.finished = withoutReported(c.finished, reported)
 	c.nextRequestAt = requestedAt.Add(max(a.RetryAfter, c.limit.Period/2))
@@ -100,7 +99,7 @@
 	}
 }
 
-// withoutReported returns the usages that were not reported.
+// withoutReported returns the usages of all that are not in reported.
 func withoutReported(all, reported []Usage) (left []Usage) {
 	known := map[AllocationID]bool{}
 	for _, usage := range reported {
@@ -114,7 +113,7 @@
 	return left
 }
 
-// Spend reports whether one use is allowed now, and counts it.
+// Spend reports whether one use is allowed now, and counts the attempt and, if it is allowed, the use.
 func (c *Consumer) Spend(now lease.Instant) bool {
 	c.Demand(now)
 	c.demand.attempts++
@@ -128,7 +127,8 @@
 	return c.spendFloor(now)
 }
 
-// spendFloor spends of the floor, which is one use in an interval. A complete interval passes before the first one.
+// spendFloor reports whether the member may use its part of the floor now: one use per interval. The first use is allowed after a complete
+// interval.
 func (c *Consumer) spendFloor(now lease.Instant) bool {
 	if c.limit.Floor == 0 {
 		return false
@@ -144,7 +144,7 @@
 	return true
 }
 
-// Allocated returns the units of all allocations that have not ended, spent or not.
+// Allocated returns the units of all allocations that have not expired, spent or not.
 func (c *Consumer) Allocated(now lease.Instant) (n int) {
 	c.expire(now)
 	for _, held := range c.allocations {
@@ -153,7 +153,7 @@
 	return n
 }
 
-// Remaining returns the units that the member may still spend beside its floor.
+// Remaining returns the units that the member may still spend in addition to its floor.
 func (c *Consumer) Remaining(now lease.Instant) (n int) {
 	c.expire(now)
 	for _, held := range c.allocations {
@@ -162,7 +162,7 @@
 	return n
 }
 
-// expire removes the allocations that have ended. They need not be in the order of their ends, for responses may overtake one another.
+// expire removes the allocations that have expired. They are not necessarily sorted by expiry, because responses may overtake one another.
 func (c *Consumer) expire(now lease.Instant) {
 	c.allocations = slices.DeleteFunc(c.allocations, func(held heldAllocation) bool { return held.until <= now })
 }
--- a/internal/coordination/share/limit.go
+++ b/internal/coordination/share/limit.go
@@ -7,12 +7,12 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// Limit is what is divided among members.
+// Limit is a fleet-wide limit whose units are divided among members.
 type Limit struct {
 	Name    string        `json:"name"`
-	Units   int           `json:"units"`   // a period, of all members together
-	Period  time.Duration `json:"period"`  // by the allocator's clock
-	Floor   int           `json:"floor"`   // of Units: what all members together use without an allocation
+	Units   int           `json:"units"`   // units per period for all members together
+	Period  time.Duration `json:"period"`  // measured by the allocator's clock
+	Floor   int           `json:"floor"`   // the part of Units that all members together may use without an allocation
 	Members int           `json:"members"` // the largest number of members
 }
 
@@ -24,7 +24,7 @@
 	MaxMembers = 100_000
 )
 
-// Check returns what is wrong with a limit. The error names the field and says what to write.
+// Check validates a limit. The error names the field and states what to write.
 func (l *Limit) Check() error {
 	switch {
 	case l.Name == "" || len(l.Name) > lease.MaxNameBytes:
@@ -41,29 +41,29 @@
 	return nil
 }
 
-// AllocationID identifies an allocation by the leader's term and a number in it. Later ones are larger.
+// AllocationID identifies an allocation by the leader's term and a number within the term. Later allocations have larger ids.
 type AllocationID uint64
 
-// firstID returns the id before the first one of a term.
+// firstID returns the id that precedes the first allocation of a term.
 func firstID(term uint64) AllocationID { return AllocationID(term << 32) }
 
 // AllocationRequest is a member's request for units of one limit.
 type AllocationRequest struct {
 	Member   string  `json:"member"`
 	Weight   float64 `json:"weight,omitempty"` // 0: 1
-	Demand   int     `json:"want"`             // units that it would spend in the next period
-	Finished []Usage `json:"over,omitempty"`   // allocations of which it spends no more
+	Demand   int     `json:"want"`             // units that the member would spend in the next period beyond those that it has
+	Finished []Usage `json:"over,omitempty"`   // allocations that the member does not spend any more
 }
 
-// Usage is what was spent of an allocation when the member stopped spending it.
+// Usage reports how many units of an allocation were spent when the member stopped spending it.
 type Usage struct {
 	Allocation AllocationID `json:"part"`
 	Units      int          `json:"units"`
 }
 
-// Allocation is the response: units that the member may spend within a period from its request.
+// Allocation is the response to an AllocationRequest: units that the member may spend within a period from its request.
 type Allocation struct {
 	ID         AllocationID  `json:"part,omitempty"`
 	Units      int           `json:"units,omitempty"` // 0: none now
-	RetryAfter time.Duration `json:"again,omitempty"` // when more may be available; 0: whenever the member wants
+	RetryAfter time.Duration `json:"again,omitempty"` // how long to wait before the next request; 0: no wait is required
 }
--- a/internal/coordination/share/mutation_test.go
+++ b/internal/coordination/share/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each step of the argument is taken out of the code, one at a time: the test fails.
+// Each mutant removes one step of the package's safety argument from the code; TestNeverOverTheLimit must fail with it.
 func TestTheChecksCanFail(t *testing.T) {
 	const allocator, pkg, test = "internal/coordination/share/allocator.go", "./internal/coordination/share", "TestNeverOverTheLimit"
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
--- a/internal/coordination/share/register.go
+++ b/internal/coordination/share/register.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Command is a command of the replicated log: a limit is to be as it says. A repeated command changes nothing.
+// Command is an entry of the replicated log. It adds a limit or changes its units. A repeated command changes nothing.
 type Command struct {
 	Set Limit `json:"set"`
 }
@@ -22,14 +22,14 @@
 	ErrTooManyLimits  = fmt.Errorf("there are %d limits already", MaxLimits)
 )
 
-// Register holds the limits, as the log makes them. Equal logs make equal registers. A limit that is not wanted any more stays, with no
-// more units than its floor: what was allocated of it ends, and its name never stands for another limit.
+// Register is the replicated state machine of all limits: the same log produces the same register. Limits are never removed. An unused limit
+// is set to no more units than its floor; then its allocations expire, and its name never stands for another limit.
 type Register struct{ limits map[string]Limit }
 
 // NewRegister returns a register without limits.
 func NewRegister() *Register { return &Register{map[string]Limit{}} }
 
-// Apply carries out a command that was checked.
+// Apply applies a command whose limit has passed Limit.Check. It returns ErrLimitImmutable or ErrTooManyLimits, and then nothing is changed.
 func (r *Register) Apply(c Command) error {
 	l := c.Set
 	present, known := r.limits[l.Name]
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Limits returns all limits by name.
+// Limits returns all limits, sorted by name.
 func (r *Register) Limits() (all []Limit) {
 	for _, name := range slices.Sorted(maps.Keys(r.limits)) {
 		all = append(all, r.limits[name])
@@ -51,7 +51,7 @@
 	return all
 }
 
-// Snapshot returns the register as bytes, for RestoreRegister; nil: there are no limits.
+// Snapshot encodes the register for RestoreRegister. It returns nil if there are no limits.
 func (r *Register) Snapshot() json.RawMessage {
 	if len(r.limits) == 0 {
 		return nil
@@ -63,7 +63,7 @@
 	return text
 }
 
-// RestoreRegister returns the register of a snapshot; an empty one has no limits.
+// RestoreRegister decodes a snapshot. An empty text is a register without limits.
 func RestoreRegister(text []byte) (*Register, error) {
 	r, all := NewRegister(), []Limit{}
 	if len(text) == 0 {
--- a/internal/coordination/share/share_test.go
+++ b/internal/coordination/share/share_test.go
@@ -12,7 +12,7 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// events is a queue of what happens, by true time.
+// events is a priority queue of simulated events, the earliest by true time first.
 type events []event
 
 type event struct {
@@ -31,12 +31,13 @@
 	return x
 }
 
-// clock is a steady clock at either end of the bound.
+// clock is a steady clock whose rate is at either end of the drift bound.
 type clock struct {
 	fast  bool
 	begin lease.Instant
 }
 
+// at returns the reading of the clock at a moment of true time.
 func (c clock) at(t time.Duration) lease.Instant {
 	if c.fast {
 		t = time.Duration(float64(t) * (1 + lease.MaxDrift))
@@ -44,28 +45,30 @@
 	return c.begin + lease.Instant(t)
 }
 
-// world is members, and leaders one after another, under a schedule drawn from a seed: responses that are late, lost and out of order,
-// members that are stopped, leaders that answer what was confirmed before the next one was elected, limits that change.
+// world simulates members and a sequence of leaders under a schedule drawn from a seed: responses are late, lost and out of order, a replaced
+// leader still answers requests that were confirmed before the next leader was elected, and the limit changes.
 type world struct {
 	rand         *rand.Rand
 	now          time.Duration
 	events       events
 	limit        Limit
-	earlierUntil []time.Duration // until when each limit of before still counts
-	earlierUnits []int
+	earlierUntil []time.Duration // until when each earlier limit still counts
+	earlierUnits []int           // the units of each earlier limit
 	term         uint64
 	leader       *Allocator
 	clocks       map[*Allocator]clock
 	members      []*Consumer
 	memberClocks []clock
 	violation    string
-	largest      float64 // the largest use, as a part of the limit
+	largest      float64 // the largest sum of allocations and floors, as a fraction of the limit
 	spent        int
 }
 
 func (w *world) after(d time.Duration, do func()) { heap.Push(&w.events, event{w.now + d, do}) }
+
+// upTo draws a delay below limit; in one of three cases it is 1 ns.
 func (w *world) upTo(limit time.Duration) time.Duration {
-	if w.rand.IntN(3) == 0 { // at once, now and then
+	if w.rand.IntN(3) == 0 {
 		return 1
 	}
 	return time.Duration(w.rand.Int64N(int64(limit)))
@@ -78,8 +81,8 @@
 	w.clocks[w.leader] = c
 }
 
-// requestAgain has a member send requests again and again: each is confirmed some time later, by the leader of that time, answered after
-// that, and the response arrives later still.
+// requestAgain makes a member send requests repeatedly. Each request is confirmed some time later by the leader of that time, then answered,
+// and the response arrives later still.
 func (w *world) requestAgain(i int) {
 	w.request(i, w.limit.Period)
 	w.after(w.upTo(w.limit.Period)+w.limit.Period/50, func() { w.requestAgain(i) })
@@ -92,12 +95,12 @@
 		allocator := w.leader
 		w.after(w.upTo(maxDelay/2), func() {
 			allocation := allocator.Allocate(request, w.clocks[allocator].at(w.now))
-			for range 1 + w.rand.IntN(10)/9 { // now and then the request arrives twice; one response alone arrives
+			for range 1 + w.rand.IntN(10)/9 { // some requests arrive twice, but only one response arrives
 				if w.rand.IntN(10) == 0 {
 					allocation = allocator.Allocate(request, w.clocks[allocator].at(w.now))
 				}
 			}
-			if allocation.Units > 0 && w.rand.IntN(4) == 0 { // another member sends a request at the moment at which this allocation ends for the leader
+			if allocation.Units > 0 && w.rand.IntN(4) == 0 { // some member sends a request at the moment at which this allocation expires at the leader
 				period := w.limit.Period
 				if w.clocks[allocator].fast {
 					period = time.Duration(float64(period) / (1 + lease.MaxDrift))
@@ -111,7 +114,7 @@
 	})
 }
 
-// check compares what members believe they may spend with the largest limit that counts.
+// check compares the floor and the units that members count as allocated with the largest limit that is in effect.
 func (w *world) check() {
 	sum, limit := w.limit.Floor, w.limit.Units
 	for i, m := range w.members {
@@ -127,7 +130,8 @@
 	}
 }
 
-func play(seed uint64) *world {
+// runSchedule runs the schedule of a seed for 20 simulated seconds, or until the limit is exceeded.
+func runSchedule(seed uint64) *world {
 	w := &world{rand: rand.New(rand.NewPCG(seed, 1)), clocks: map[*Allocator]clock{}}
 	w.limit = Limit{Name: "l", Units: 4 + w.rand.IntN(40), Period: time.Second, Members: 8}
 	w.limit.Floor = w.rand.IntN(w.limit.Units / 2)
@@ -162,26 +166,26 @@
 	for w.now < 20*time.Second && w.violation == "" {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		w.check() // just before the event, where the most is counted, and after it
+		w.check() // just before the event, when the sum is largest, and after it
 		e.do()
 		w.check()
 	}
 	return w
 }
 
-// Over schedules drawn from seeds, with clocks at the ends of their bound, members never believe that they may spend more than the limit.
-// SCHEDULES of the environment says how many schedules.
+// Under schedules drawn from seeds, with clocks at either end of the drift bound, the allocations of the members and the floor never exceed
+// the limit. The environment variable SCHEDULES sets the number of schedules.
 func TestNeverOverTheLimit(t *testing.T) {
 	n := 2000
 	fmt.Sscan(os.Getenv("SCHEDULES"), &n)
 	largest, spent := 0.0, 0
-	const players = 3 // other packages are tested at the same time
+	const workerCount = 3 // leaves processors to other packages' tests, which run at the same time
 	var workers sync.WaitGroup
 	var mu sync.Mutex
-	for first := range players {
+	for first := range workerCount {
 		workers.Go(func() {
-			for seed := first; seed < n; seed += players {
-				w := play(uint64(seed))
+			for seed := first; seed < n; seed += workerCount {
+				w := runSchedule(uint64(seed))
 				if w.violation != "" {
 					t.Errorf("seed %d: %s", seed, w.violation)
 					return
@@ -195,11 +199,11 @@
 	workers.Wait()
 	t.Logf("%d schedules, %d uses, at most %.3f of the limit", n, spent, largest)
 	if largest < 0.99 {
-		t.Error("the limit is never used up: the test shows nothing")
+		t.Error("the limit is never used up, so the test cannot find a violation")
 	}
 }
 
-// crowd is members with a demand each, which send requests when RetryAfter says so.
+// crowd simulates many members that send requests as often as RetryAfter allows.
 type crowd struct {
 	allocator *Allocator
 	limit     Limit
@@ -207,6 +211,7 @@
 	requests  int
 }
 
+// run simulates the members from one moment to another and returns the units that they got.
 func (c *crowd) run(from, to time.Duration, members int, demand func(i int) int) (got int) {
 	next := map[int]time.Duration{}
 	step := c.limit.Period / 50
@@ -228,7 +233,8 @@
 	return got
 }
 
-// Allocations are fair by weight, no member gets nothing, and the limit is used up, whatever members there are and however they come.
+// Allocations are fair by weight, every member gets some units, and the limit is nearly used up: with many members that start at once, with a
+// member of a large demand, and when members join while the limit is halved.
 func TestFair(t *testing.T) {
 	const period = time.Second
 	begin := func(units int) *crowd {
@@ -242,48 +248,48 @@
 			t.Errorf("%s: %d, want %d to %d", what, got, low, high)
 		}
 	}
-	c := begin(20) // 2,000 that start at once, a hundredth of a unit each
-	within("a crowd, over 200 periods", c.run(period, 201*period, 2000, func(int) int { return 1 }), 200*20*10/12, 201*20)
+	c := begin(20) // 2,000 members start at once, with a hundredth of a unit per period each
+	within("2,000 members, over 200 periods", c.run(period, 201*period, 2000, func(int) int { return 1 }), 200*20*10/12, 201*20)
 	smallest, largest := 1<<30, 0
 	for i := range 2000 {
 		n := c.received[fmt.Sprint("m", i)] * 2 / (1 + i%2)
 		smallest, largest = min(smallest, n), max(largest, n)
 	}
-	within("the one with least for its weight", smallest, 1, 3)
-	within("the one with most for its weight", largest, 1, 5)
-	t.Logf("2,000 members at 20 units a period: %d to %d for a weight, %.1f questions a period", smallest, largest, float64(c.requests)/200)
+	within("the member with the fewest units for its weight", smallest, 1, 3)
+	within("the member with the most units for its weight", largest, 1, 5)
+	t.Logf("2,000 members at 20 units a period: %d to %d units for a weight of 1, %.1f requests a period", smallest, largest, float64(c.requests)/200)
 
-	c = begin(100) // one wants as much as all others, and all together more than there is
+	c = begin(100) // one member demands as much as all others together, and the sum exceeds the limit
 	large := func(i int) int { return map[bool]int{true: 100, false: 10}[i == 0] }
-	c.run(period, 3*period, 11, large) // the first to come has all, for a period
+	c.run(period, 3*period, 11, large) // the first member to send a request gets all units for a period
 	c.received = map[string]int{}
 	c.run(3*period, 23*period, 11, large)
-	within("the large one", c.received["m0"], 20*6, 20*12)
-	within("a small one", c.received["m1"], 20*9, 21*10)
+	within("the member with the large demand", c.received["m0"], 20*6, 20*12)
+	within("a member with a small demand", c.received["m1"], 20*9, 21*10)
 
-	c = begin(100) // as many members again come, and the limit is halved
+	c = begin(100) // the number of members doubles, and the limit is halved
 	c.run(period, 6*period+period/2, 10, func(int) int { return 10 })
 	before := c.received["m0"]
 	c.allocator.SetUnits(50)
 	if got := c.allocator.Outstanding(lease.Instant(6*period + period/2)); got < 90 {
 		t.Errorf("%d are outstanding", got)
 	}
-	within("all, in nine periods and a half of the half", c.run(6*period+period/2, 16*period, 20, func(int) int { return 10 }), 9*50*10/13, 10*50)
-	within("an old member of weight 1, of its share", c.received["m0"]-before, 8, 25)
+	within("all members, in nine and a half periods of the halved limit", c.run(6*period+period/2, 16*period, 20, func(int) int { return 10 }), 9*50*10/13, 10*50)
+	within("a member of weight 1 that was there before", c.received["m0"]-before, 8, 25)
 	if got := c.allocator.Outstanding(lease.Instant(16 * period)); got > 50 {
 		t.Errorf("%d of 50 are outstanding", got)
 	}
 
 	l := Limit{Name: "l", Units: 10, Period: period, Members: 2}
 	allocator := NewAllocator(l, 1, 0)
-	for i, want := range []int{1, 1, 0} { // a member beyond the number of the limit gets nothing
+	for i, want := range []int{1, 1, 0} { // a member beyond Limit.Members gets nothing
 		if allocation := allocator.Allocate(AllocationRequest{Member: fmt.Sprint(i), Demand: 5}, lease.Instant(period+time.Duration(i))); min(allocation.Units, 1) != want {
 			t.Errorf("member %d: %+v", i, allocation)
 		}
 	}
 }
 
-// A member without an allocation uses its floor and no more; what it returns it does not spend; a limit that is wrong is refused.
+// A member without an allocation uses its floor and no more, and does not spend units that it has returned. Check rejects invalid limits.
 func TestConsumer(t *testing.T) {
 	l := Limit{Name: "l", Units: 100, Floor: 10, Members: 5, Period: time.Second}
 	consumer, uses := NewConsumer(l, "m", 1), 0
@@ -306,14 +312,14 @@
 		t.Errorf("%+v", request)
 	}
 	if again := consumer.NewRequest(3, now); len(again.Finished) != 1 {
-		t.Error("a usage that was not acknowledged is not reported again")
+		t.Error("a usage that was not acknowledged must be reported again")
 	}
 	consumer.ApplyAllocation(now, Allocation{}, request.Finished)
 	if again := consumer.NewRequest(3, now); len(again.Finished) != 0 {
 		t.Error("a usage that was acknowledged is reported again")
 	}
 	if end := now + lease.Instant(time.Second); consumer.Remaining(end-lease.Instant(9*time.Millisecond)) != 0 {
-		t.Error("the member believes for as long as the leader counts")
+		t.Error("the member may spend an allocation for as long as the leader counts it")
 	}
 	for want, bad := range map[string]Limit{"name": {}, "units": {Name: "l", Units: -1}, "period": {Name: "l", Units: 1}, "floor": {Name: "l", Units: 1, Period: time.Second, Floor: 2}, "members": {Name: "l", Units: 1, Period: time.Second}} {
 		if err := bad.Check(); err == nil || err.Error()[:len(want)] != want {
