--- a/internal/coordination/rollout/advance.go
+++ b/internal/coordination/rollout/advance.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// advance takes all steps that the state allows now, and returns the new orders.
+// advance performs all transitions that the state allows, and returns the new orders.
 func (s *State) advance() (orders []Order) {
 	if s.Phase == Running && s.BaselineElapsed < s.Plan.BaselinePeriod {
 		return nil
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// advanceStage goes to the next stage, and to Done after the last one, where a stage is complete, judged and watched for long enough. It
-// pauses a change whose evidence does not come.
+// advanceStage moves to the next stage, or to Done after the last one, if the stage is complete, judged to be no worse and observed for its
+// minimum time. It pauses a change whose stage has not been judged to be no worse within the plan's timeout.
 func (s *State) advanceStage() {
 	for s.Phase == Running && s.stageComplete() {
 		if !s.JudgedNoWorse && s.StageElapsed >= s.Plan.ProgressTimeout {
@@ -39,7 +39,7 @@
 	}
 }
 
-// orderChanges orders sidecars of the stage to change and controls to restart.
+// orderChanges issues orders to change the sidecars of the stage and to restart its controls.
 func (s *State) orderChanges() (orders []Order) {
 	for _, name := range s.stages[s.Stage-1] {
 		if sidecar := s.sidecars[name]; sidecar.Release != s.Plan.To {
@@ -58,7 +58,8 @@
 	return orders
 }
 
-// orderRollback orders sidecars back to the old release, the last changed first. The change is stopped once none is left.
+// orderRollback orders sidecars back to the old release, those of later stages first. The phase becomes Stopped once all are back or
+// abandoned.
 func (s *State) orderRollback() (orders []Order) {
 	open := false
 	for _, name := range slices.Backward(s.sidecarNames) {
@@ -74,13 +75,13 @@
 	return orders
 }
 
-// issueOrder appends an order for a sidecar, if it has none open and the plan's limits allow one more.
+// issueOrder appends an order for a sidecar if the sidecar is not abandoned, has no open order, and the plan's limits allow one more.
 func (s *State) issueOrder(orders []Order, sidecar *Sidecar, target string) []Order {
 	if sidecar.AbandonedReason != "" || sidecar.OpenOrder != 0 {
 		return orders
 	}
 	changing, unavailable := s.Disruptions(sidecar.Name)
-	repairs := s.Phase == RollingBack && !sidecar.Ready // it is out of service as it is
+	repairs := s.Phase == RollingBack && !sidecar.Ready // the sidecar is out of service already
 	if len(changing) >= s.Plan.MaxConcurrent || len(unavailable)+1 > s.Plan.MaxUnavailable && !repairs {
 		return orders
 	}
@@ -89,8 +90,8 @@
 	return append(orders, Order{s.lastOrder, sidecar.Name, target})
 }
 
-// Disruptions returns what the plan's limits count when a sidecar is to change: those that change, and those that change or are not ready
-// except that one.
+// Disruptions returns the sidecars that the plan's limits count before the sidecar named except gets an order: those that have an open order,
+// and those other than except that have one or are not ready.
 func (s *State) Disruptions(except string) (changing, unavailable []string) {
 	for _, name := range s.sidecarNames {
 		sidecar := s.sidecars[name]
@@ -104,7 +105,8 @@
 	return changing, unavailable
 }
 
-// stageComplete reports whether all sidecars of the stage are changed and all its controls are restarted, but for abandoned ones.
+// stageComplete reports whether all sidecars of the stage are changed, all its controls are restarted, and all of them are ready, except for
+// abandoned ones.
 func (s *State) stageComplete() bool {
 	for _, name := range s.stages[s.Stage-1] {
 		sidecar := s.sidecars[name]
@@ -122,7 +124,7 @@
 	return true
 }
 
-// waitedFor names the sidecars that a stage may wait for.
+// waitedFor returns the names of the sidecars that the stage may be waiting for.
 func (s *State) waitedFor() string {
 	var names []string
 	for _, name := range s.sidecarNames {
@@ -133,15 +135,15 @@
 	return strings.Join(names, ", ")
 }
 
-// controlSidecars returns the sidecars that are restarted as control of the stage. They are of later stages, the last first, because those
-// keep the old release for the longest; and of the zones of the stage's own sidecars before others, because zones are not alike.
+// controlSidecars returns the sidecars that are restarted as controls of the stage. They belong to later stages, the last stage first, because
+// its sidecars keep the old release for the longest. Sidecars in the zones of the stage's own sidecars come first, because zones differ.
 func (s *State) controlSidecars() (controls []*Sidecar) {
 	var later []string
 	for _, stage := range s.stages[s.Stage:] {
 		later = append(later, stage...)
 	}
 	wanted := s.Plan.Stages[s.Stage-1].ControlCount
-	// pick adds at most a number of sidecars that are not picked yet, of those that match.
+	// pick adds at most a given number of matching sidecars that have not been picked yet.
 	pick := func(most int, matches func(*Sidecar) bool) {
 		for _, name := range slices.Backward(later) {
 			if most == 0 || len(controls) >= wanted {
@@ -153,7 +155,7 @@
 			}
 		}
 	}
-	for before := -1; len(controls) > before && len(controls) < wanted; { // rounds of one for each of the stage's sidecars
+	for before := -1; len(controls) > before && len(controls) < wanted; { // each round picks one control per sidecar of the stage
 		before = len(controls)
 		for _, name := range s.stages[s.Stage-1] {
 			pick(1, func(sidecar *Sidecar) bool { return sidecar.Zone == s.sidecars[name].Zone })
--- a/internal/coordination/rollout/command.go
+++ b/internal/coordination/rollout/command.go
@@ -5,23 +5,23 @@
 	"fmt"
 )
 
-// Command is an entry of the replicated log: it begins a change, or adds events to one. It may come twice, because its sender does not
-// always get the response.
+// Command is an entry of the replicated log. It begins a change, or adds events to one. The log may contain a command twice, because the
+// sender repeats it if it gets no response.
 //
-// A driver's command names the number of events that the driver knows of. If the change has had others the command has no effect, and so
-// none when it is repeated. An operator's command, with token 0, is accepted at any time and may be repeated without harm: pause, resume
-// and abort say what state is wanted.
+// A driver's command states how many events of the change the driver knows (KnownEvents). If the change has had more, the command has no
+// effect; so a repeated command has none either. An operator's command has token 0, is accepted at any time and may be repeated without harm,
+// because pause, resume and abort name the wanted state.
 type Command struct {
 	Application string  `json:"application"`
-	Change      string  `json:"change"`          // its name, drawn at random by whoever starts it
-	Token       uint64  `json:"token,omitempty"` // the driver's fencing token
+	Change      string  `json:"change"`          // name of the change, chosen at random by the client that starts it
+	Token       uint64  `json:"token,omitempty"` // the driver's fencing token; 0: the command is an operator's
 	KnownEvents uint64  `json:"after,omitempty"`
-	AtMillis    int64   `json:"at,omitempty"` // the sender's calendar time, Unix ms, for people; nothing is decided by it
+	AtMillis    int64   `json:"at,omitempty"` // the sender's wall clock time, Unix ms; only displayed, no decision depends on it
 	Start       *Start  `json:"start,omitempty"`
 	Events      []Event `json:"events,omitempty"`
 }
 
-// Start is what a change begins with.
+// Start has the initial data of a change: the plan, the sidecars, and the agents' reports of them when the change begins.
 type Start struct {
 	Plan    Plan     `json:"plan"`
 	Members []Member `json:"members"`
@@ -30,13 +30,14 @@
 
 // Response is the result of a command.
 type Response struct {
-	Error      string `json:"err,omitempty"`    // the text of one of the errors below, or of New; then nothing was changed
+	Error      string `json:"err,omitempty"`    // the text of Err; "": the command was applied
 	EventCount uint64 `json:"events,omitempty"` // how many events the change has had
-	// Err is the error whose text Error is, for errors.Is; nil: there is none. It is not sent: package fleet sets it again at the client.
+	// Err is one of the errors below, for errors.Is, or an error of New; then nothing was changed. It is not sent: package fleet restores it
+	// at the client.
 	Err error `json:"-"`
 }
 
-// The errors of commands that callers tell apart. Drivers of earlier versions recognize ErrStaleDriver by its text, which must not change.
+// Errors of commands that callers distinguish. Drivers of earlier versions recognize ErrStaleDriver by its text, which must not change.
 var (
 	ErrNoChange    = errors.New("there is no such change")
 	ErrStaleDriver = errors.New("a newer driver was heard")
@@ -49,7 +50,7 @@
 	errWrongSender   = errors.New("operators pause, resume and abort, without a token; all else is a driver's, with one")
 )
 
-// MaxEvents is how many events one command may have.
+// MaxEvents is the largest number of events in one command.
 const MaxEvents = 512
 
 // The bounds of a command.
@@ -58,7 +59,7 @@
 	maxMembers = 5000
 )
 
-// Check says what is wrong with a command by itself. The leader refuses such a command before it enters the log.
+// Check validates a command without the state. The leader refuses an invalid command before it enters the log.
 func (c *Command) Check() error {
 	switch {
 	case c.Application == "" || len(c.Application) > maxName:
--- a/internal/coordination/rollout/doc.go
+++ b/internal/coordination/rollout/doc.go
@@ -1,23 +1,31 @@
-// Package rollout defines a rolling change of a release in stages: its plan, its state, the events that change the state, and the orders
-// that follow. It is pure. The coordinators' replicated log keeps the events in order (Register), a driver that holds a lease delivers the
-// orders to agents, and agents report. The package compares nothing (package judge does) and starts nothing.
+// Package rollout implements the state machine of a rolling change from one release to another in stages: the plan, the state, the events
+// that change the state, and the orders that result. It does no I/O and reads no clock. The coordinators' replicated log orders the events
+// (Register), a driver that holds a lease delivers the orders to agents, and the agents report the results. Comparing the releases is left
+// to package judge.
 //
 // The phases of a change:
 //
-//	Running      stage after stage: sidecars are changed, and as many old ones restarted as their control; then the stage waits for the
-//	             judge and for the plan's time
-//	Paused       nothing further is changed; what is changed stays
-//	RollingBack  no further sidecar is changed, and those that were go back, within the same limits
+//	Running      stage after stage, sidecars are changed and the plan's number of old ones is restarted as a control group; then the stage
+//	             waits for the judge's verdict and for the plan's minimum time
+//	Paused       no further sidecar is changed; changed sidecars keep the new release
+//	RollingBack  no further sidecar is changed, and the changed ones go back to the old release, within the same limits
 //	Done         all sidecars are changed
-//	Stopped      the change was rolled back or kept as it was, except for sidecars that were abandoned
+//	Stopped      the change was rolled back, except for abandoned sidecars, or the plan keeps what was changed
 //
-// Time is what a driver has watched of a stage (Event.Elapsed): a driver that takes over continues from what the last one reported.
+// Durations are measured by the driver and reported as events (Event.Elapsed), so that a driver that takes over continues from what the
+// last one reported.
 //
-// Invariants: as far as is known, no more sidecars than the plan allows are out of service when another is ordered to change, and no
-// more than it allows change at the same time; a sidecar has one open order at a time, and the numbers of orders grow; after a stop no
-// sidecar is ordered to the new release; a sidecar that fails to go back is abandoned, named, and never ordered again; equal events make
-// equal states and equal orders, also the reasons in a state: replicas of different versions apply the same log, so that these texts
-// must not change. OpenOrders returns the orders that are open, so that a driver that takes over repeats them.
+// Invariants:
 //
-// Nothing here is safe for concurrent use.
+//   - An order is issued only if, as far as is known, no more sidecars than the plan allows are then out of service, and no more are then
+//     changing. The rollback of a sidecar that is out of service already is exempt from the first limit.
+//   - A sidecar has at most one open order, and the numbers of orders grow.
+//   - After a stop no sidecar is ordered to run the new release.
+//   - A sidecar that cannot be rolled back is marked as abandoned, with the reason, and never ordered again.
+//   - The same events produce the same states and orders, including the reasons in a state. Replicas of different versions apply the same
+//     log, so these texts must not change.
+//
+// OpenOrders returns the orders that are open, so that a driver that takes over can repeat them.
+//
+// No type is safe for concurrent use.
 package rollout
--- a/internal/coordination/rollout/reachability.go
+++ b/internal/coordination/rollout/reachability.go
@@ -1,14 +1,15 @@
 package rollout
 
-// ReachabilityTracker counts for a driver how many polls in a row each agent of a change has not answered. The zero value is ready to use.
+// ReachabilityTracker counts how many polls in a row each agent of a change has not answered. A driver keeps one per change. The zero value
+// is ready to use.
 type ReachabilityTracker struct{ missedPolls map[string]int }
 
-// maxMissedPolls is the number of polls in a row without an answer from which on an agent's sidecars count as not ready.
+// maxMissedPolls is the number of polls in a row without an answer after which the sidecars of an agent count as not ready.
 const maxMissedPolls = 3
 
-// Observe takes the result of a poll: the reports by sidecar, and which agents have not answered. It returns the events that say something
-// new, and the agents that count as unreachable since this poll. A sidecar whose agent is unreachable is not ready, and runs what was
-// reported last.
+// Observe processes the result of a poll: the reports by sidecar, and which agents have not answered. It returns events for the reports that
+// differ from the state, and the agents that count as unreachable as of this poll. A sidecar whose agent is unreachable counts as not ready
+// and as still running the release that was reported last.
 func (t *ReachabilityTracker) Observe(c *Change, reports map[string]Report, unanswered func(agent string) bool) (events []Event, unreachable []string) {
 	before := t.missedPolls
 	t.missedPolls = map[string]int{}
@@ -30,7 +31,7 @@
 	return events, unreachable
 }
 
-// differs reports whether a report says something new of a sidecar.
+// differs reports whether a report differs from the known state of the sidecar or completes its open order.
 func (s *Sidecar) differs(r Report) bool {
 	return s.Release != r.Release || s.Ready != r.Ready || s.OpenOrder != 0 && r.CompletedOrder == s.OpenOrder
 }
--- a/internal/coordination/rollout/recorded_test.go
+++ b/internal/coordination/rollout/recorded_test.go
@@ -9,10 +9,10 @@
 	"petrelhook/internal/common/jsonform"
 )
 
-// recordedFolder has what revision cfdfdec wrote; the README in it says how it was made.
+// recordedFolder has data that revision cfdfdec wrote; the README in it describes how it was recorded.
 const recordedFolder = "testdata/cfdfdec"
 
-// What the coordinators' log holds is read, and written in the same form.
+// Recorded commands, responses, fences and applications are decoded, and encoded to the same bytes.
 func TestRecordedCommandsAreRead(t *testing.T) {
 	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "command.json"), &Command{})
 	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "answer.json"), &Response{})
@@ -20,8 +20,8 @@
 	jsonform.CheckRecorded(t, filepath.Join(recordedFolder, "application.json"), &Application{})
 }
 
-// A register of a snapshot goes on as the one that was recorded.
-func TestRecordedRegisterGoesOn(t *testing.T) {
+// A register that is restored from a recorded snapshot is encoded to the same bytes and continues the recorded change.
+func TestRecordedRegisterContinues(t *testing.T) {
 	recorded, err := os.ReadFile(filepath.Join(recordedFolder, "register.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -40,12 +40,12 @@
 	}
 	answer := r.Apply(Command{Application: "app", Change: "two", Token: 6, KnownEvents: 4, Events: []Event{
 		{Report: &Report{Sidecar: "n03", Release: "newer", Ready: true, CompletedOrder: 6}}}})
-	if answer.Error != "" || answer.EventCount != 5 || len(s.OpenOrders()) != 2 { // the next one is ordered in its place
+	if answer.Error != "" || answer.EventCount != 5 || len(s.OpenOrders()) != 2 { // the next sidecar is ordered in its place
 		t.Errorf("%+v, %+v", answer, s.OpenOrders())
 	}
 }
 
-// Reasons that agents report and the log keeps have the recorded texts.
+// The reasons that agents report and the log stores keep the recorded texts.
 func TestReasonsHaveTheirTexts(t *testing.T) {
 	if ProcessEnded != "it ended" || MachineIsolated != "its machine was cut off" {
 		t.Errorf("%q, %q", ProcessEnded, MachineIsolated)
--- a/internal/coordination/rollout/register.go
+++ b/internal/coordination/rollout/register.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// The bounds of what a register keeps.
+// The bounds of a register.
 const (
-	maxTransitions = 200 // of a change
-	maxPast        = 20  // changes of an application, besides the current one
+	maxTransitions = 200 // transitions of a change
+	maxPast        = 20  // past changes of an application
 )
 
-// Transition is a change's step to another phase, stage or reason.
+// Transition is a step of a change to another phase, stage or reason.
 type Transition struct {
-	AtMillis int64  `json:"at"` // by Command.AtMillis
+	AtMillis int64  `json:"at"` // from Command.AtMillis
 	Phase    string `json:"phase"`
 	Stage    int    `json:"stage"`
 	Reason   string `json:"why,omitempty"`
@@ -29,10 +29,10 @@
 	Members     []Member      `json:"members"`
 	State       *State        `json:"state"`
 	Transitions []Transition  `json:"moments"`
-	Results     []StageResult `json:"results,omitempty"` // of the stages so far; see Register.Application
+	Results     []StageResult `json:"results,omitempty"` // results of the stages so far; see Register.Application
 }
 
-// Summary is what is kept of a change that is over and has a successor.
+// Summary is the record of a past change. It replaces the Change when the next change of the application starts.
 type Summary struct {
 	Name        string       `json:"name"`
 	Plan        string       `json:"plan"`
@@ -43,11 +43,11 @@
 
 // Application has the changes of one application.
 type Application struct {
-	Current *Change   `json:"now"` // in progress, or the last one
+	Current *Change   `json:"now"` // the change in progress, or the last one
 	Past    []Summary `json:"past,omitempty"`
 }
 
-// Register has the changes of all applications, as the replicated log makes them. Equal commands make equal registers.
+// Register is the replicated state machine of the changes of all applications: the same commands produce the same register.
 type Register struct{ applications map[string]*Application }
 
 // NewRegister returns an empty register.
@@ -62,7 +62,7 @@
 	return a
 }
 
-// apply is Apply with the error by itself.
+// apply is Apply with the error as a separate result.
 func (r *Register) apply(c Command) (Response, error) {
 	app := r.applications[c.Application]
 	if c.Start != nil {
@@ -80,7 +80,7 @@
 	}
 	change.Token = max(change.Token, c.Token)
 	for _, e := range c.Events {
-		stageElapsed := change.State.StageElapsed // before the verdict, which may end the stage
+		stageElapsed := change.State.StageElapsed // read before the verdict is applied, which may end the stage
 		change.State.Apply(e)
 		change.recordVerdict(c.AtMillis, e.Verdict, stageElapsed)
 		change.EventCount++
@@ -89,9 +89,9 @@
 	return Response{EventCount: change.EventCount}, nil
 }
 
-// start begins a change. app is nil if the application has had none.
+// start begins a change. app is nil if the application has had no change yet.
 func (r *Register) start(app *Application, c Command) (Response, error) {
-	if app != nil && app.Current.Name == c.Change { // it is repeated
+	if app != nil && app.Current.Name == c.Change { // the command is a repeated one
 		return Response{EventCount: app.Current.EventCount}, nil
 	}
 	if app != nil && !app.Current.State.Phase.Over() {
@@ -105,7 +105,7 @@
 		app = &Application{}
 		r.applications[c.Application] = app
 	} else {
-		s.lastOrder = max(s.lastOrder, app.Current.State.lastOrder) // agents know the orders of the last change
+		s.lastOrder = max(s.lastOrder, app.Current.State.lastOrder) // agents do not execute orders whose numbers they have seen
 		app.Past = append(app.Past, app.Current.summary())
 		app.Past = app.Past[max(0, len(app.Past)-maxPast):]
 	}
@@ -115,7 +115,7 @@
 	return Response{}, nil
 }
 
-// recordTransition adds a transition if phase, stage or reason differ from those of the last one.
+// recordTransition appends a transition if the phase, the stage or the reason differs from the last one.
 func (c *Change) recordTransition(atMillis int64) {
 	now := Transition{atMillis, c.State.Phase.String(), c.State.Stage, c.State.Reason}
 	if n := len(c.Transitions); n > 0 {
@@ -132,10 +132,11 @@
 	return Summary{Name: c.Name, Plan: c.State.Plan.String(), Phase: c.State.Phase.String(), Reason: c.State.Reason, Transitions: c.Transitions}
 }
 
-// Applications returns the names of the applications that have changes, in order.
+// Applications returns the sorted names of the applications that have changes.
 func (r *Register) Applications() []string { return slices.Sorted(maps.Keys(r.applications)) }
 
-// Application returns an Application as JSON, nil if it has no changes. Results are large; without results they are left out.
+// Application returns the Application with this name as JSON, or nil if it has no changes. Because results are large, Change.Results is
+// included only if results is true.
 func (r *Register) Application(name string, results bool) json.RawMessage {
 	app := r.applications[name]
 	if app == nil {
--- a/internal/coordination/rollout/register_test.go
+++ b/internal/coordination/rollout/register_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Commands of drivers and operators, one after the other: the response to each, and a register that is restored from its snapshot after
-// each continues as the first would.
+// A sequence of commands of drivers and operators gets the expected responses, although the register is replaced after each command by one
+// that is restored from its snapshot.
 func TestRegister(t *testing.T) {
 	all, now := members(4)
 	begin := func(change, from, to string) Command {
@@ -40,9 +40,9 @@
 		{driver("one", 6, 2, Event{Elapsed: 1}), "", 3},
 		{driver("one", 5, 3, Event{Elapsed: 1}), "a newer driver", 3},
 		{driver("one", 0, 0, Event{Pause: "lunch"}), "", 4},
-		{driver("one", 6, 3, Event{Elapsed: 1}), "other events", 4}, // it did not know of the pause
+		{driver("one", 6, 3, Event{Elapsed: 1}), "other events", 4}, // the driver did not know of the pause
 		{driver("one", 0, 0, Event{Abort: "enough"}), "", 5},
-		{begin("two", "old", "new"), "taking back", 0}, // a new one while the last is rolled back
+		{begin("two", "old", "new"), "taking back", 0}, // a new change while the last one is rolled back
 		{driver("one", 6, 5, Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 2}}), "", 6},
 		{begin("two", "old", "new"), "", 0},
 		{driver("one", 6, 6, Event{Elapsed: 1}), "no such change", 0},
@@ -60,7 +60,7 @@
 		}
 	}
 	two := r.applications["app"].Current
-	if orders := two.State.OpenOrders(); len(orders) != 1 || orders[0].Number <= 2 { // agents know 1 and 2
+	if orders := two.State.OpenOrders(); len(orders) != 1 || orders[0].Number <= 2 { // agents have seen orders 1 and 2
 		t.Errorf("%v", orders)
 	}
 	if past := r.applications["app"].Past; len(past) != 1 || past[0].Phase != "stopped" || past[0].Reason != "enough" || len(past[0].Transitions) != 4 {
@@ -91,8 +91,9 @@
 	}
 }
 
-// A driver reports differences and completed orders; sidecars count as not ready once their agent has missed some polls.
-func TestWatch(t *testing.T) {
+// The tracker returns events for changed reports and completed orders only, and reports sidecars as not ready once their agent has missed
+// maxMissedPolls polls.
+func TestReachability(t *testing.T) {
 	all, now := members(3)
 	for i := range all {
 		all[i].Agent = "of " + all[i].Name
@@ -102,19 +103,19 @@
 		t.Fatal(err)
 	}
 	s.Apply(Event{})
-	c, w := &Change{State: s, Members: all}, ReachabilityTracker{}
-	seen := map[string]Report{"n00": {Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "f"}, "n02": now[2], "stranger": {Sidecar: "stranger"}}
-	for look := 1; look <= 4; look++ {
-		got, lost := w.Observe(c, seen, func(agent string) bool { return agent == "of n01" })
-		if len(got) < 1 || got[0].Report.FailureReason != "f" || len(got) > 1 != (look >= maxMissedPolls) || (look == maxMissedPolls) != (len(lost) == 1) {
-			t.Errorf("look %d: %+v, %v", look, got, lost)
+	c, tracker := &Change{State: s, Members: all}, ReachabilityTracker{}
+	reports := map[string]Report{"n00": {Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "f"}, "n02": now[2], "stranger": {Sidecar: "stranger"}}
+	for poll := 1; poll <= 4; poll++ {
+		got, unreachable := tracker.Observe(c, reports, func(agent string) bool { return agent == "of n01" })
+		if len(got) < 1 || got[0].Report.FailureReason != "f" || len(got) > 1 != (poll >= maxMissedPolls) || (poll == maxMissedPolls) != (len(unreachable) == 1) {
+			t.Errorf("look %d: %+v, %v", poll, got, unreachable)
 		}
-		if look >= maxMissedPolls && (got[1].Report.Release != "old" || got[1].Report.Ready || got[1].Report.Sidecar != "n01") {
+		if poll >= maxMissedPolls && (got[1].Report.Release != "old" || got[1].Report.Ready || got[1].Report.Sidecar != "n01") {
 			t.Errorf("%+v", got[1].Report)
 		}
 	}
-	seen["n01"] = now[1]
-	if got, _ := w.Observe(c, seen, func(string) bool { return false }); len(got) != 1 {
+	reports["n01"] = now[1]
+	if got, _ := tracker.Observe(c, reports, func(string) bool { return false }); len(got) != 1 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/coordination/rollout/report/explain.go
+++ b/internal/coordination/rollout/report/explain.go
@@ -1,5 +1,5 @@
-// Package report presents a change to people: why it is in its state, what was counted in each stage, and the same as a page of HTML and as
-// a table in columns for other tools. It is pure but for the writers that it is given; it decides nothing.
+// Package report presents a rolling change to operators: the reasons for its state, the counts of each stage, and both as an HTML page and as
+// a Parquet file for other tools. It only reads the change, and its only I/O is with the writers that it is given.
 package report
 
 import (
@@ -11,13 +11,13 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// Line is one reason for the state of a change. Rule is stable, for tools.
+// Line is one reason for the state of a change. Tools may rely on Rule, which does not change between versions; Text is for people.
 type Line struct {
 	Rule string `json:"rule"`
 	Text string `json:"text"`
 }
 
-// The rules; docs/operate/rollout.md lists them.
+// The values of Line.Rule; docs/operate/rollout.md lists them.
 const (
 	Over             = "over"
 	Stopped          = "stopped"
@@ -39,14 +39,14 @@
 	ResumeWith       = "resume"
 )
 
-// lines collects lines.
+// lines collects the reasons for the state of a change.
 type lines []Line
 
 func (l *lines) add(rule, format string, args ...any) {
 	*l = append(*l, Line{rule, fmt.Sprintf(format, args...)})
 }
 
-// Explain says why a change is in its state, the most important reason first.
+// Explain returns the reasons why a change is in its state, the most important first.
 func Explain(c *rollout.Change) []Line {
 	s := c.State
 	var l lines
@@ -78,7 +78,8 @@
 	return l
 }
 
-// addSidecars says what holds up the sidecars that are to change now.
+// addSidecars adds the reasons why sidecars have not changed yet: abandoned ones, open orders, sidecars that are not ready, and the limits that
+// other sidecars of the stage wait for.
 func (l *lines) addSidecars(s *rollout.State) {
 	waiting := 0
 	for _, c := range s.Sidecars() {
@@ -111,7 +112,7 @@
 	}
 }
 
-// addEvidence says what the judge has found of the stage, and what it lacks.
+// addEvidence adds the judge's findings about the stage and the evidence that is missing.
 func (l *lines) addEvidence(c *rollout.Change) {
 	s := c.State
 	switch {
@@ -134,7 +135,7 @@
 	}
 }
 
-// addCell says what a cell shows or lacks. Cells that lack nothing are left out.
+// addCell adds what a cell shows or which evidence it lacks. It adds nothing for a cell that is judged to be no worse or is advisory.
 func (l *lines) addCell(s *rollout.State, r rollout.CellResult) {
 	cell := judge.Cell{Class: r.Class, Zone: r.Zone, Metric: r.Metric}
 	counted := fmt.Sprintf("%v: new %v of %v, control %.6g of %.6g", cell, r.NewHits, r.NewTotal, r.ControlHits, r.ControlTotal)
--- a/internal/coordination/rollout/report/page.go
+++ b/internal/coordination/rollout/report/page.go
@@ -38,7 +38,7 @@
 {{end}}</table></body></html>
 `))
 
-// rate writes a rate with the number that it is of.
+// rate formats a rate with the total that it is a fraction of.
 func rate(hits, total float64) string {
 	if total == 0 {
 		return "none"
@@ -46,20 +46,21 @@
 	return fmt.Sprintf("%.4f of %.0f", hits/total, total)
 }
 
-// stageView is what the page shows of a stage.
+// stageView is the data of the page about a stage.
 type stageView struct {
 	rollout.StageResult
 	Changed, Control string
 	Charts           []template.HTML
 }
 
-// sidecarView is what the page shows of a sidecar.
+// sidecarView is the data of the page about a sidecar.
 type sidecarView struct {
 	rollout.Sidecar
 	Stage int
 }
 
-// WritePage writes a change as a page of HTML that needs nothing else: when and why it ended, and new against old in each stage.
+// WritePage writes a self-contained HTML page about a change: its state and the reasons for it, its transitions, and for each stage the
+// comparison of the new release with the control group.
 func WritePage(w io.Writer, c *rollout.Change) error {
 	s := c.State
 	stages := []stageView{}
@@ -91,7 +92,7 @@
 	})
 }
 
-// newStageView names the sidecars of a stage and draws its metrics.
+// newStageView collects the names of a stage's sidecars and draws the charts of its metrics.
 func newStageView(s *rollout.State, r rollout.StageResult) (stageView, error) {
 	view := stageView{StageResult: r}
 	var changed, control []string
@@ -114,7 +115,7 @@
 	return view, nil
 }
 
-// metrics returns the names of the metrics of a course, in order.
+// metrics returns the sorted names of the metrics of a course.
 func metrics(course []rollout.CourseSample) (names []string) {
 	for _, sample := range course {
 		for _, cell := range sample.Cells {
@@ -142,13 +143,14 @@
 	return t
 }
 
-// draw draws a metric of all classes together over a stage's time: its rate from sample to sample, of new and control.
+// draw draws the chart of a metric, summed over its cells: the rates of the new release and of the control group between consecutive samples,
+// over the time of the stage.
 func draw(metric string, course []rollout.CourseSample) (template.HTML, error) {
 	var newRates, controlRates plotter.XYs
 	var before totals
 	for _, sample := range course {
 		now := totalsOf(sample, metric)
-		if now.newTotal < before.newTotal || now.controlTotal < before.controlTotal { // the counts started over: with another driver, or after a pause
+		if now.newTotal < before.newTotal || now.controlTotal < before.controlTotal { // another driver or a pause has reset the counts
 			before = totals{}
 		}
 		seconds := sample.StageElapsed.Seconds()
--- a/internal/coordination/rollout/report/report_test.go
+++ b/internal/coordination/rollout/report/report_test.go
@@ -14,7 +14,7 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// newChange returns a change of four sidecars in two stages, after some events, as the log's register has it.
+// newChange returns a change of four sidecars in two stages after the given events, as read from a restored register.
 func newChange(t *testing.T, events ...rollout.Event) *rollout.Change {
 	t.Helper()
 	r := rollout.NewRegister()
@@ -54,18 +54,20 @@
 	return rollout.Event{Report: &rollout.Report{Sidecar: name, Release: release, Ready: true, CompletedOrder: order}}
 }
 
-// verdict is a verdict on the first stage with cells: hits of 100 requests times n, of new and control.
+// verdict returns a verdict on the first stage whose cells have 100*n requests of each group, with new*n and control*n hits.
 func verdict(kind string, n, new, control float64) rollout.Event {
 	return rollout.Event{Verdict: &rollout.Verdict{Stage: 1, Worse: kind == "worse", NoWorse: kind == "no worse", Reason: kind, Cells: []rollout.CellResult{
 		{Class: "look", Zone: "*", Metric: "failed", Verdict: kind, NewHits: new * n, NewTotal: 100 * n, ControlHits: control * n, ControlTotal: 100 * n, Odds: 2, MaxDifference: 0.3},
 		{Class: "look", Zone: "z", Metric: "slow", Advisory: true, Verdict: "no worse", NewTotal: 5, ControlTotal: 5}}}}
 }
 
-var changed = []rollout.Event{done("n0", "new", 1), done("n1", "new", 2), done("n3", "old", 3)}
+var firstStageChanged = []rollout.Event{done("n0", "new", 1), done("n1", "new", 2), done("n3", "old", 3)}
 
-func with(more ...rollout.Event) []rollout.Event { return append(slices.Clone(changed), more...) }
+func afterFirstStage(more ...rollout.Event) []rollout.Event {
+	return append(slices.Clone(firstStageChanged), more...)
+}
 
-// Each reason why a change may wait is reported, with its rule and its details.
+// Explain returns each reason why a change may wait, with its rule and its details.
 func TestExplain(t *testing.T) {
 	down := rollout.Event{Report: &rollout.Report{Sidecar: "n2", Release: "old"}}
 	for name, c := range map[string]struct {
@@ -74,13 +76,13 @@
 	}{
 		"begun":          {nil, []string{"ordered n0 carries out order 1, to new", "limit-at-once 1 more of this stage wait: max_concurrent is 1, and n0 change", "evidence-none nothing was counted of stage 1"}},
 		"one is down":    {[]rollout.Event{down, done("n0", "new", 1)}, []string{"not-ready n2 runs old", "limit-unavailable 1 more of this stage wait: max_unavailable is 1, and out of service are n2"}},
-		"evidence":       {with(verdict("not enough evidence", 1, 1, 1)), []string{"evidence-missing failed of class look in zone *: new 1 of 100", "more requests of the new at these rates"}},
-		"never":          {with(verdict("not enough evidence", 1, 9, 1)), []string{"evidence-never failed of class look"}},
-		"time":           {with(verdict("no worse", 9, 0, 0)), []string{"time-least stage 1 is no worse; it is watched for 1m0s"}},
-		"worse":          {with(verdict("worse", 1, 50, 0)), []string{"taking-back taken back from stage 1: worse", "worse failed of class look in zone *: new 50 of 100, control 0 of 100: worse, odds 2"}},
-		"paused":         {with(rollout.Event{Pause: "lunch"}), []string{"paused paused in stage 1: lunch", "resume rollout resume a<b>"}},
+		"evidence":       {afterFirstStage(verdict("not enough evidence", 1, 1, 1)), []string{"evidence-missing failed of class look in zone *: new 1 of 100", "more requests of the new at these rates"}},
+		"never":          {afterFirstStage(verdict("not enough evidence", 1, 9, 1)), []string{"evidence-never failed of class look"}},
+		"time":           {afterFirstStage(verdict("no worse", 9, 0, 0)), []string{"time-least stage 1 is no worse; it is watched for 1m0s"}},
+		"worse":          {afterFirstStage(verdict("worse", 1, 50, 0)), []string{"taking-back taken back from stage 1: worse", "worse failed of class look in zone *: new 50 of 100, control 0 of 100: worse, odds 2"}},
+		"paused":         {afterFirstStage(rollout.Event{Pause: "lunch"}), []string{"paused paused in stage 1: lunch", "resume rollout resume a<b>"}},
 		"left alone":     {[]rollout.Event{done("n0", "new", 1), {Abort: "x"}, {Report: &rollout.Report{Sidecar: "n1", Release: "old", Ready: true, CompletedOrder: 2}}, {Report: &rollout.Report{Sidecar: "n0", Release: "new", CompletedOrder: 3, FailureReason: "no disk"}}}, []string{"stopped stopped in stage 1: x", "left-alone n0 is left alone at new: order 3: no disk"}},
-		"the last stage": {with(verdict("no worse", 9, 0, 0), rollout.Event{Elapsed: time.Minute}), []string{"ordered n2 carries out order 4", "no-control the last stage has nobody"}},
+		"the last stage": {afterFirstStage(verdict("no worse", 9, 0, 0), rollout.Event{Elapsed: time.Minute}), []string{"ordered n2 carries out order 4", "no-control the last stage has nobody"}},
 	} {
 		var text strings.Builder
 		for _, l := range Explain(newChange(t, c.events...)) {
@@ -94,18 +96,18 @@
 	}
 }
 
-// The page shows when and why a change was stopped, needs nothing else, and escapes names; a reader of the format reads the columns; what is
-// kept of a long stage is bounded.
+// The page shows when and why a change was stopped, refers to no other files, and escapes names. The Parquet file contains the rows of the
+// change. The number of samples of a long stage is bounded.
 func TestReport(t *testing.T) {
-	events := with()
+	events := afterFirstStage()
 	for i := range 3000 {
 		events = append(events, verdict("not enough evidence", float64(1+i%2000), 2, 1), rollout.Event{Elapsed: time.Second / 4})
 	}
 	c := newChange(t, append(events, verdict("worse", 2001, 2, 1))...)
 	if n := len(c.Results[0].Course); n < 1000 || n > 2000 {
-		t.Errorf("%d points", n)
+		t.Errorf("%d samples", n)
 	}
-	passed := newChange(t, with(verdict("not enough evidence", 1, 0, 0), rollout.Event{Elapsed: 2 * time.Minute}, verdict("no worse", 9, 0, 0))...)
+	passed := newChange(t, afterFirstStage(verdict("not enough evidence", 1, 0, 0), rollout.Event{Elapsed: 2 * time.Minute}, verdict("no worse", 9, 0, 0))...)
 	if course := passed.Results[0].Course; passed.State.Stage != 2 || course[len(course)-1].StageElapsed != 2*time.Minute {
 		t.Errorf("stage %d: %+v", passed.State.Stage, course)
 	}
@@ -119,9 +121,9 @@
 			t.Errorf("no %q", want)
 		}
 	}
-	for _, never := range []string{"<b>", "src=", "href=", "NaN"} {
-		if strings.Contains(page, never) {
-			t.Errorf("%q is there", never)
+	for _, forbidden := range []string{"<b>", "src=", "href=", "NaN"} {
+		if strings.Contains(page, forbidden) {
+			t.Errorf("the page contains %q", forbidden)
 		}
 	}
 	text.Reset()
--- a/internal/coordination/rollout/report/rows.go
+++ b/internal/coordination/rollout/report/rows.go
@@ -9,7 +9,8 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// Row is one cell of one stage at one moment, in the file of columns. Counts are since the judge of that moment began.
+// Row is one cell of one stage at one moment, as a row of the Parquet file. Its counts start at zero with each judge: when the stage begins,
+// when another driver takes over, and after a pause.
 type Row struct {
 	Application   string    `parquet:"application,dict"`
 	Change        string    `parquet:"change,dict"`
@@ -33,7 +34,7 @@
 	MaxDifference float64   `parquet:"most"`
 }
 
-// Rows returns all that is kept of the results of a change.
+// Rows returns the stored results of a change as rows: the samples of each stage, then its last cells.
 func Rows(c *rollout.Change) (rows []Row) {
 	for _, r := range c.Results {
 		for _, sample := range r.Course {
@@ -46,7 +47,7 @@
 	return rows
 }
 
-// rowsOf returns the rows of some cells at the moment of a sample.
+// rowsOf returns the rows of cells at the time of a sample.
 func rowsOf(c *rollout.Change, stage int, sample rollout.CourseSample, cells []rollout.CellResult, final bool) (rows []Row) {
 	p := &c.State.Plan
 	for _, cell := range cells {
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -27,14 +27,14 @@
 		{Selector: Selector{Count: 1}, ControlCount: 1, MinBakeTime: time.Minute}, {Selector: Selector{Share: 0.25}, ControlCount: 2}, {Selector: Selector{Share: 1}}}}
 }
 
-// fleet is agents that carry out orders.
+// fleet simulates agents that execute the orders of a state.
 type fleet struct {
 	t        testing.TB
 	state    *State
 	releases map[string]string // the release of each sidecar
 }
 
-func begin(t testing.TB, p Plan, n int) *fleet {
+func newFleet(t testing.TB, p Plan, n int) *fleet {
 	all, now := members(n)
 	s, err := New(p, all, now)
 	if err != nil {
@@ -47,26 +47,27 @@
 	return f
 }
 
-// apply applies an event and carries out all orders that follow; fails says why an order fails, "": it succeeds.
+// apply applies an event and executes all orders that follow; fails returns why an order fails, or "" if it succeeds.
 func (f *fleet) apply(e Event, fails func(Order) string) {
-	todo := f.state.Apply(e)
-	for len(todo) > 0 {
+	orders := f.state.Apply(e)
+	for len(orders) > 0 {
 		if len(f.state.OpenOrders()) > f.state.Plan.MaxConcurrent {
 			f.t.Errorf("%d change at once", len(f.state.OpenOrders()))
 		}
-		o := todo[0]
-		todo = todo[1:]
-		r := Report{Sidecar: o.Sidecar, Ready: true, CompletedOrder: o.Number}
-		if r.FailureReason = fails(o); r.FailureReason == "" {
-			f.releases[o.Sidecar] = o.Release
+		order := orders[0]
+		orders = orders[1:]
+		report := Report{Sidecar: order.Sidecar, Ready: true, CompletedOrder: order.Number}
+		if report.FailureReason = fails(order); report.FailureReason == "" {
+			f.releases[order.Sidecar] = order.Release
 		}
-		r.Release = f.releases[o.Sidecar]
-		todo = append(todo, f.state.Apply(Event{Report: &r})...)
+		report.Release = f.releases[order.Sidecar]
+		orders = append(orders, f.state.Apply(Event{Report: &report})...)
 	}
 }
 
-func never(Order) string { return "" }
+func noFailure(Order) string { return "" }
 
+// running returns how many sidecars run a release.
 func (f *fleet) running(release string) (n int) {
 	for _, r := range f.releases {
 		if r == release {
@@ -76,53 +77,53 @@
 	return n
 }
 
-// A good change passes its stages, each after its time has passed and the judge has said that it is no worse.
+// A good change passes its stages, each after its minimum time has passed and the judge has found it to be no worse.
 func TestAGoodChange(t *testing.T) {
-	f := begin(t, plan(), 12)
-	f.apply(Event{Elapsed: time.Second}, never)
-	if c, control := f.state.Groups(); f.running("new") != 1 || len(c) != 1 || len(control) != 1 || control[0] != "n09" { // the last of its zone
+	f := newFleet(t, plan(), 12)
+	f.apply(Event{Elapsed: time.Second}, noFailure)
+	if c, control := f.state.Groups(); f.running("new") != 1 || len(c) != 1 || len(control) != 1 || control[0] != "n09" { // the control is the last sidecar of the same zone
 		t.Fatalf("%d changed; %v, %v", f.running("new"), c, control)
 	}
-	f.apply(Event{Verdict: &Verdict{Stage: 1, NoWorse: true}}, never)
+	f.apply(Event{Verdict: &Verdict{Stage: 1, NoWorse: true}}, noFailure)
 	if f.state.Stage != 1 {
-		t.Error("its time was not watched")
+		t.Error("the stage ended before its minimum time")
 	}
-	f.apply(Event{Elapsed: time.Minute}, never)
+	f.apply(Event{Elapsed: time.Minute}, noFailure)
 	if f.state.Stage != 2 || f.running("new") != 4 {
 		t.Fatalf("stage %d, %d changed", f.state.Stage, f.running("new"))
 	}
-	f.apply(Event{Verdict: &Verdict{Stage: 1, Worse: true}}, never) // late
-	f.apply(Event{Verdict: &Verdict{Stage: 2, NoWorse: true}}, never)
-	f.apply(Event{Verdict: &Verdict{Stage: 3, NoWorse: true}}, never)
+	f.apply(Event{Verdict: &Verdict{Stage: 1, Worse: true}}, noFailure) // late
+	f.apply(Event{Verdict: &Verdict{Stage: 2, NoWorse: true}}, noFailure)
+	f.apply(Event{Verdict: &Verdict{Stage: 3, NoWorse: true}}, noFailure)
 	if f.state.Phase != Done || f.running("new") != 12 {
 		t.Errorf("%v, %d changed", f.state.Phase, f.running("new"))
 	}
 }
 
 // Nothing is changed before the baseline period is over.
-func TestBefore(t *testing.T) {
+func TestBaselinePeriod(t *testing.T) {
 	p := plan()
 	p.BaselinePeriod = time.Minute
-	f := begin(t, p, 12)
-	f.apply(Event{Elapsed: 59 * time.Second}, never)
+	f := newFleet(t, p, 12)
+	f.apply(Event{Elapsed: 59 * time.Second}, noFailure)
 	if f.running("new") != 0 || f.state.WaitingFor() != "what is before: 59s of 1m0s" {
 		t.Errorf("%d are changed; waits for %s", f.running("new"), f.state.WaitingFor())
 	}
-	if f.apply(Event{Elapsed: time.Second}, never); f.running("new") != 1 {
+	if f.apply(Event{Elapsed: time.Second}, noFailure); f.running("new") != 1 {
 		t.Errorf("%d are changed", f.running("new"))
 	}
 }
 
-// slow stands for agents that carry out nothing: the events report all that happens.
-var slow func(Order) string
+// noReports stands for agents that execute no orders: all reports are among the test's events.
+var noReports func(Order) string
 
-// back reports that the first sidecar of a stage runs the old release again, without an order.
-func back(why FallbackReason) Event {
+// fallback is the report that the first sidecar runs the old release again, without an order.
+func fallback(why FallbackReason) Event {
 	return Event{Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FallbackReason: why}}
 }
 
-// What stops or pauses a change, and what becomes of the changed sidecars.
-func TestStops(t *testing.T) {
+// Each cause of a stop or a pause leads to the expected phase and reason, and to the expected number of changed sidecars.
+func TestStopsAndPauses(t *testing.T) {
 	failsTo := func(release string, n int) func(Order) string {
 		return func(o Order) string {
 			if n--; o.Release == release && n < 0 {
@@ -132,35 +133,35 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		hold   bool
-		events []Event
-		fails  func(Order) string
-		phase  Phase
-		new    int
-		why    string
-		alone  int
+		disableRollback bool
+		events          []Event
+		fails           func(Order) string
+		phase           Phase
+		new             int
+		reason          string
+		abandoned       int
 	}{
-		"worse":                {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "failed"}}}, never, Stopped, 0, "failed", 0},
-		"worse, and held":      {true, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "failed"}}}, never, Stopped, 1, "failed", 0},
-		"never ready":          {false, []Event{{Elapsed: 1}}, failsTo("new", 0), Stopped, 0, "not ready in time", 0},
-		"a control fails":      {false, []Event{{Elapsed: 1}}, failsTo("old", 1), Paused, 1, "restarted as it was", 1},
-		"no evidence":          {false, []Event{{Elapsed: 1}, {Elapsed: time.Hour}, {Elapsed: time.Hour}}, never, Paused, 1, "not enough evidence", 0},
-		"falls back":           {false, []Event{{Elapsed: 1}, back(ProcessEnded)}, never, Stopped, 1, "without an order: it ended", 0},
-		"cut off":              {false, []Event{{Elapsed: 1}, back(MachineIsolated)}, never, Paused, 1, "cut off", 0},
-		"nothing comes of it":  {false, []Event{{Elapsed: 1}, {Report: &Report{Sidecar: "n00", Release: "new"}}, {Elapsed: 59 * time.Minute}, {Elapsed: time.Minute}}, never, Paused, 1, "nothing came of it in 1h0m0s: n00", 0},
-		"accepted":             {false, []Event{{Elapsed: 1}, {Elapsed: time.Hour}, {Resume: true, Accept: true}, {Elapsed: time.Minute}}, never, Running, 4, "", 0},
-		"fails in a pause":     {false, []Event{{Pause: "lunch"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "not ready"}}}, slow, Stopped, 0, "not ready", 0},
-		"ends in a pause":      {false, []Event{{Elapsed: 1}, {Pause: "lunch"}, back(ProcessEnded)}, never, Stopped, 1, "it ended", 0},
-		"fails after the stop": {false, []Event{{Abort: "by hand"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "not ready"}}}, slow, Stopped, 0, "by hand", 0},
-		"old ones worse":       {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, BaselineWorse: true, Reason: "old"}}}, never, Paused, 1, "old", 0},
-		"aborted":              {false, []Event{{Elapsed: 1}, {Abort: "by hand"}}, never, Stopped, 0, "by hand", 0},
-		"paused, then aborted": {false, []Event{{Elapsed: 1}, {Pause: "lunch"}, {Abort: "by hand"}, {Resume: true}}, never, Stopped, 0, "by hand", 0},
-		"taking back fails":    {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "w"}}, {Abort: "again"}, {Elapsed: 1}}, failsTo("old", 2), Stopped, 1, "w", 1},
+		"worse":                       {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "failed"}}}, noFailure, Stopped, 0, "failed", 0},
+		"worse, rollback disabled":    {true, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "failed"}}}, noFailure, Stopped, 1, "failed", 0},
+		"never ready":                 {false, []Event{{Elapsed: 1}}, failsTo("new", 0), Stopped, 0, "not ready in time", 0},
+		"a control fails":             {false, []Event{{Elapsed: 1}}, failsTo("old", 1), Paused, 1, "restarted as it was", 1},
+		"no evidence":                 {false, []Event{{Elapsed: 1}, {Elapsed: time.Hour}, {Elapsed: time.Hour}}, noFailure, Paused, 1, "not enough evidence", 0},
+		"falls back without an order": {false, []Event{{Elapsed: 1}, fallback(ProcessEnded)}, noFailure, Stopped, 1, "without an order: it ended", 0},
+		"machine isolated":            {false, []Event{{Elapsed: 1}, fallback(MachineIsolated)}, noFailure, Paused, 1, "cut off", 0},
+		"no progress":                 {false, []Event{{Elapsed: 1}, {Report: &Report{Sidecar: "n00", Release: "new"}}, {Elapsed: 59 * time.Minute}, {Elapsed: time.Minute}}, noFailure, Paused, 1, "nothing came of it in 1h0m0s: n00", 0},
+		"accepted":                    {false, []Event{{Elapsed: 1}, {Elapsed: time.Hour}, {Resume: true, Accept: true}, {Elapsed: time.Minute}}, noFailure, Running, 4, "", 0},
+		"fails while paused":          {false, []Event{{Pause: "lunch"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "not ready"}}}, noReports, Stopped, 0, "not ready", 0},
+		"ends while paused":           {false, []Event{{Elapsed: 1}, {Pause: "lunch"}, fallback(ProcessEnded)}, noFailure, Stopped, 1, "it ended", 0},
+		"fails after the stop":        {false, []Event{{Abort: "by hand"}, {Report: &Report{Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "not ready"}}}, noReports, Stopped, 0, "by hand", 0},
+		"baseline worse":              {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, BaselineWorse: true, Reason: "old"}}}, noFailure, Paused, 1, "old", 0},
+		"aborted":                     {false, []Event{{Elapsed: 1}, {Abort: "by hand"}}, noFailure, Stopped, 0, "by hand", 0},
+		"paused, then aborted":        {false, []Event{{Elapsed: 1}, {Pause: "lunch"}, {Abort: "by hand"}, {Resume: true}}, noFailure, Stopped, 0, "by hand", 0},
+		"rollback fails":              {false, []Event{{Elapsed: 1}, {Verdict: &Verdict{Stage: 1, Worse: true, Reason: "w"}}, {Abort: "again"}, {Elapsed: 1}}, failsTo("old", 2), Stopped, 1, "w", 1},
 	} {
 		p := plan()
-		p.DisableRollback = c.hold
-		f := begin(t, p, 12)
-		if c.fails == nil { // agents that have not carried out anything yet
+		p.DisableRollback = c.disableRollback
+		f := newFleet(t, p, 12)
+		if c.fails == nil { // the agents have not executed any order yet
 			f.state.Plan.Stages[0].ControlCount = 0
 			f.state.Apply(Event{})
 		}
@@ -171,37 +172,38 @@
 			}
 			f.apply(e, c.fails)
 		}
-		alone := 0
+		abandoned := 0
 		for _, s := range f.state.Sidecars() {
 			if s.AbandonedReason != "" {
-				alone++
+				abandoned++
 			}
 		}
-		if f.state.Phase != c.phase || f.running("new") != c.new || !strings.Contains(f.state.Reason, c.why) || alone != c.alone || len(f.state.OpenOrders()) > 0 {
-			t.Errorf("%s: %v (%s), %d new, %d left alone, open %v", name, f.state.Phase, f.state.Reason, f.running("new"), alone, f.state.OpenOrders())
+		if f.state.Phase != c.phase || f.running("new") != c.new || !strings.Contains(f.state.Reason, c.reason) || abandoned != c.abandoned || len(f.state.OpenOrders()) > 0 {
+			t.Errorf("%s: %v (%s), %d new, %d abandoned, open %v", name, f.state.Phase, f.state.Reason, f.running("new"), abandoned, f.state.OpenOrders())
 		}
 	}
 }
 
-// A changed sidecar that is out of service is rolled back even if more are out of service than the plan allows.
+// A changed sidecar that is out of service is rolled back even if more sidecars are out of service than the plan allows.
 func TestRollingBackSidecarsOutOfService(t *testing.T) {
 	p := plan()
 	p.MaxConcurrent, p.MaxUnavailable = 1, 1
 	p.Stages = []Stage{{Selector: Selector{Count: 3}}, {Selector: Selector{Share: 1}}}
-	f := begin(t, p, 6)
-	f.apply(Event{Elapsed: 1}, never)
+	f := newFleet(t, p, 6)
+	f.apply(Event{Elapsed: 1}, noFailure)
 	for _, name := range []string{"n00", "n01", "n02"} {
-		f.apply(Event{Report: &Report{Sidecar: name, Release: "new", CompletedOrder: 9}}, never)
+		f.apply(Event{Report: &Report{Sidecar: name, Release: "new", CompletedOrder: 9}}, noFailure)
 	}
-	f.apply(Event{Abort: "a"}, never)
+	f.apply(Event{Abort: "a"}, noFailure)
 	if f.state.Phase != Stopped || f.running("old") != 6 {
-		t.Errorf("%v: %d are back", f.state.Phase, f.running("old"))
+		t.Errorf("%v: %d are rolled back", f.state.Phase, f.running("old"))
 	}
 }
 
-// Whatever reports come, late, doubled, lost or false, whatever operators ask, and whichever driver takes over: the limits hold, no sidecar
-// is ordered to the new release after a stop, an agent carries out an order once, and a state that was replayed continues equally.
-func TestAnything(t *testing.T) {
+// For any sequence of reports (late, duplicated, lost or wrong), verdicts, elapsed times and commands of operators, the plan's limits hold, no
+// sidecar is ordered to the new release after a stop, an agent executes an order once, and a replayed or restored state returns the same
+// orders.
+func TestAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := plan()
 		p.MaxConcurrent = rapid.IntRange(1, 3).Draw(t, "at once")
@@ -211,12 +213,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		twin, _ := New(p, all, now)
+		replayed, _ := New(p, all, now)
 		ready := map[string]bool{}
 		for _, m := range all {
 			ready[m.Name] = true
 		}
-		fences, done := map[string]*Fence{}, map[uint64]int{}
+		fences, executions := map[string]*Fence{}, map[uint64]int{}
 		var known []Order
 		stopped := false
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
@@ -251,12 +253,12 @@
 				e.Report = &r
 			}
 			orders := s.Apply(e)
-			if again := twin.Apply(e); !slices.Equal(orders, again) || !reflect.DeepEqual(s.Sidecars(), twin.Sidecars()) || s.Phase != twin.Phase {
-				t.Fatalf("%v, and replayed %v", orders, again)
+			if replayedOrders := replayed.Apply(e); !slices.Equal(orders, replayedOrders) || !reflect.DeepEqual(s.Sidecars(), replayed.Sidecars()) || s.Phase != replayed.Phase {
+				t.Fatalf("orders %v, but %v when replayed", orders, replayedOrders)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "kept") == 0 { // restored from a snapshot by another coordinator
-				text, err := json.Marshal(twin)
-				if twin = new(State); err != nil || json.Unmarshal(text, twin) != nil {
+				text, err := json.Marshal(replayed)
+				if replayed = new(State); err != nil || json.Unmarshal(text, replayed) != nil {
 					t.Fatalf("%v: %s", err, text)
 				}
 			}
@@ -265,20 +267,20 @@
 				t.Fatalf("%d change at once, of %d", len(open), p.MaxConcurrent)
 			}
 			if len(orders) > 0 {
-				out, mended := map[string]bool{}, s.Phase == RollingBack // those that are out of service already may always be rolled back
+				unavailable, repairs := map[string]bool{}, s.Phase == RollingBack // sidecars that are out of service already may always be rolled back
 				for _, o := range open {
-					out[o.Sidecar] = true
+					unavailable[o.Sidecar] = true
 				}
 				for name, r := range ready {
 					if !r {
-						out[name] = true
+						unavailable[name] = true
 					}
 				}
 				for _, o := range orders {
-					mended = mended && !ready[o.Sidecar]
+					repairs = repairs && !ready[o.Sidecar]
 				}
-				if len(out) > p.MaxUnavailable && !mended {
-					t.Fatalf("%d are out of service, of %d, and one more was ordered", len(out), p.MaxUnavailable)
+				if len(unavailable) > p.MaxUnavailable && !repairs {
+					t.Fatalf("%d are out of service, of %d, and one more was ordered", len(unavailable), p.MaxUnavailable)
 				}
 			}
 			for _, o := range orders {
@@ -288,7 +290,7 @@
 				known = append(known, o)
 			}
 			stopped = stopped || s.Phase == RollingBack || s.Phase == Stopped
-			for _, o := range append(orders, open...) { // and repeated, by this driver or the next
+			for _, o := range append(orders, open...) { // the open orders are sent again, by this driver or the next
 				if fences[o.Sidecar] == nil {
 					fences[o.Sidecar] = &Fence{}
 				}
@@ -297,17 +299,17 @@
 					t.Fatal(err)
 				}
 				if !known {
-					done[o.Number]++
+					executions[o.Number]++
 				}
-				if done[o.Number] != 1 {
-					t.Fatalf("order %d is carried out %d times", o.Number, done[o.Number])
+				if executions[o.Number] != 1 {
+					t.Fatalf("order %d is executed %d times", o.Number, executions[o.Number])
 				}
 			}
 		}
 	})
 }
 
-// A fence refuses orders of an older driver, and older orders; a refused one changes nothing.
+// A fence refuses orders of an older driver and orders older than the last one, and a refused order changes nothing.
 func TestFence(t *testing.T) {
 	var f Fence
 	admit := func(token, number uint64, want string, known bool) {
@@ -337,7 +339,7 @@
 	}
 }
 
-// Plans that do not fit are errors that name the field, before anything is changed.
+// New rejects plans that are invalid or do not fit the sidecars, and its error names the field.
 func TestBadPlans(t *testing.T) {
 	all, now := members(6)
 	for want, change := range map[string]func(*Plan){
--- a/internal/coordination/rollout/snapshot.go
+++ b/internal/coordination/rollout/snapshot.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Errors of a snapshot that this package has not written.
+// Errors of a malformed snapshot.
 var (
 	errNoCurrentChange   = errors.New("it has no current change")
 	errInconsistentState = errors.New("the state of a change is inconsistent")
 )
 
-// Snapshot returns the register as JSON.
+// Snapshot encodes the register as JSON, for RestoreRegister.
 func (r *Register) Snapshot() json.RawMessage { return marshal(r.applications) }
 
-// marshal returns a value as JSON whose fields cannot fail.
+// marshal encodes a value of a type whose encoding cannot fail.
 func marshal(v any) json.RawMessage {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return text
 }
 
-// RestoreRegister returns the register of a snapshot. An empty text is that of a version without rollouts.
+// RestoreRegister decodes a snapshot. An empty text is an empty register: versions without rollouts wrote none.
 func RestoreRegister(text []byte) (*Register, error) {
 	r := NewRegister()
 	if len(text) == 0 {
@@ -42,7 +42,7 @@
 	return r, nil
 }
 
-// stateRecord is the form of a State in JSON.
+// stateRecord is the JSON form of a State.
 type stateRecord struct {
 	Plan            Plan          `json:"plan"`
 	Phase           Phase         `json:"phase"`
@@ -58,7 +58,7 @@
 	LastOrder       uint64        `json:"number,omitempty"`
 }
 
-// MarshalJSON returns all of a state.
+// MarshalJSON encodes the complete state, including its unexported fields.
 func (s *State) MarshalJSON() ([]byte, error) {
 	record := stateRecord{
 		Plan: s.Plan, Phase: s.Phase, Reason: s.Reason, Stage: s.Stage,
@@ -72,7 +72,7 @@
 	return json.Marshal(record)
 }
 
-// UnmarshalJSON restores a state that continues as the one that was marshalled. A state that is not consistent is an error.
+// UnmarshalJSON decodes a state that behaves like the one that was encoded. It returns an error if the state is inconsistent.
 func (s *State) UnmarshalJSON(text []byte) error {
 	var record stateRecord
 	if err := json.Unmarshal(text, &record); err != nil {
--- a/internal/coordination/rollout/stages.go
+++ b/internal/coordination/rollout/stages.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// resolveStages returns the names of each stage's sidecars. The error names the field of the plan that does not fit the members.
+// resolveStages returns the names of the sidecars of each stage. The error names the field of the plan that does not fit the members.
 func (p *Plan) resolveStages(members []Member) (stages [][]string, err error) {
 	if err := p.check(); err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 	errNoneSelected   = errors.New("it takes nobody")
 )
 
-// check finds what is wrong with a selector by itself.
+// check validates a selector without the members.
 func (s Selector) check() error {
 	given := 0
 	for _, set := range []bool{len(s.Names) > 0, s.Zone != "", s.Count != 0, s.Share != 0} {
@@ -50,7 +50,7 @@
 	switch {
 	case given != 1:
 		return errSelectorFields
-	case s.Share != 0 && !(s.Share > 0 && s.Share <= 1): // so that NaN is refused too
+	case s.Share != 0 && !(s.Share > 0 && s.Share <= 1): // written so that NaN is refused too
 		return fmt.Errorf("share: %v; write one above 0 and up to 1", s.Share)
 	case s.Count < 0:
 		return fmt.Errorf("count: %d; write 1 or more", s.Count)
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// pick returns the names of the members that a stage changes, of those that are left of total. A number of them is spread over zones.
+// pick returns the names of the members that a stage changes. left are the members that no earlier stage changes, out of total. A count or a
+// share of members is spread over the zones.
 func (s Selector) pick(left []Member, total int) (selected []string, err error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -105,7 +106,7 @@
 	return pickAcrossZones(left, n), nil
 }
 
-// pickAcrossZones returns n members, one of each zone after the other.
+// pickAcrossZones returns the names of n members, taken from the zones in turn.
 func pickAcrossZones(left []Member, n int) (selected []string) {
 	byZone, zones := map[string][]string{}, []string{}
 	for _, m := range left {
--- a/internal/coordination/rollout/state.go
+++ b/internal/coordination/rollout/state.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Phase is what a change does; see the package's comment. Its number is part of snapshots, its text of the log's transitions.
+// Phase is the phase of a change; see the package comment. Its number is stored in snapshots, and its text in the transitions of a change.
 type Phase uint8
 
 // The phases.
@@ -23,10 +23,10 @@
 	return [...]string{"running", "paused", "taking back", "done", "stopped"}[p]
 }
 
-// Over reports whether nothing will follow.
+// Over reports whether the phase is final.
 func (p Phase) Over() bool { return p == Done || p == Stopped }
 
-// Sidecar is what is known of one sidecar of a change.
+// Sidecar is the known state of one sidecar of a change.
 type Sidecar struct {
 	Name            string `json:"name"`
 	Zone            string `json:"zone,omitempty"`
@@ -34,29 +34,30 @@
 	Ready           bool   `json:"ready"`
 	OpenOrder       uint64 `json:"order,omitempty"` // 0: none
 	OrderedRelease  string `json:"to,omitempty"`    // the release of the open order
-	AbandonedReason string `json:"alone,omitempty"` // why it is no longer ordered to change; "": it may be
-	ControlStage    int    `json:"control"`         // the last stage for which it was restarted as control, counted from 1; 0: none
+	AbandonedReason string `json:"alone,omitempty"` // why it gets no more orders; "": it may get some
+	ControlStage    int    `json:"control"`         // the last stage for which it was restarted as a control, counted from 1; 0: none
 }
 
-// State is the state of a change. New begins it, Apply changes it.
+// State is the state of a change. New returns the initial state, Apply applies events to it.
 type State struct {
 	Plan            Plan
 	Phase           Phase
-	Reason          string        // of the pause or the stop
-	Stage           int           // counted from 1
-	BaselineElapsed time.Duration // of Plan.BaselinePeriod
-	StageElapsed    time.Duration // watched since the stage was complete
-	WaitElapsed     time.Duration // waited for sidecars of the stage, since one of them last changed
-	JudgedNoWorse   bool          // by the judge, or by an operator
-	LastVerdict     string        // the judge's last reason in this stage
+	Reason          string        // why the change is paused, rolled back or stopped
+	Stage           int           // the current stage, counted from 1
+	BaselineElapsed time.Duration // how much of Plan.BaselinePeriod has passed
+	StageElapsed    time.Duration // how long the stage has been observed since all its sidecars were changed
+	WaitElapsed     time.Duration // how long the stage has waited for sidecars since one of them last changed its release or completed an order
+	JudgedNoWorse   bool          // the judge or an operator has found the stage to be no worse
+	LastVerdict     string        // the reason of the judge's last verdict on this stage
 
 	stages       [][]string // the names of each stage's sidecars
 	sidecars     map[string]*Sidecar
 	sidecarNames []string // in the order of the stages
-	lastOrder    uint64   // the highest number of an order
+	lastOrder    uint64   // the largest number of an order
 }
 
-// New begins a change of sidecars that all run the plan's From. The error says which field of the plan or which sidecar prevents it.
+// New returns the initial state of a change of sidecars that all run the release Plan.From. The error names the field of the plan or the
+// sidecar that prevents the change.
 func New(p Plan, members []Member, reports []Report) (*State, error) {
 	stages, err := p.resolveStages(members)
 	if err != nil {
@@ -75,7 +76,7 @@
 	for _, r := range reports {
 		if sidecar := s.sidecars[r.Sidecar]; sidecar != nil {
 			sidecar.Release, sidecar.Ready = r.Release, r.Ready
-			s.lastOrder = max(s.lastOrder, r.CompletedOrder) // agents refuse numbers that they know
+			s.lastOrder = max(s.lastOrder, r.CompletedOrder) // agents do not execute orders whose numbers they have seen
 		}
 	}
 	for _, name := range s.sidecarNames {
@@ -108,7 +109,7 @@
 
 func (s *State) pause(reason string) { s.Phase, s.Reason = Paused, reason }
 
-// stop ends a change: what was changed is rolled back, unless the plan keeps it.
+// stop ends a change: the changed sidecars are rolled back, unless the plan disables that.
 func (s *State) stop(reason string) {
 	s.Phase, s.Reason = RollingBack, reason
 	if s.Plan.DisableRollback {
@@ -124,11 +125,13 @@
 	switch {
 	case v.Worse:
 		s.stop(v.Reason)
-	case v.BaselineWorse: // the release may use up what the others need, or something else happens
+	case v.BaselineWorse: // the new release may take resources from the old one, or the cause lies outside the change
 		s.pause(v.Reason)
 	}
 }
 
+// applyElapsed adds time to the baseline period, to the observation of a complete stage, or to the wait for the stage's sidecars, and pauses
+// the change when that wait reaches the plan's timeout.
 func (s *State) applyElapsed(elapsed time.Duration) {
 	switch {
 	case s.BaselineElapsed < s.Plan.BaselinePeriod:
@@ -142,6 +145,8 @@
 	}
 }
 
+// applyReport updates a sidecar and closes its order if the report completes it. A changed sidecar that is back at another release without
+// an order stops the change, or pauses it if only its machine was isolated.
 func (s *State) applyReport(r Report) {
 	sidecar := s.sidecars[r.Sidecar]
 	if sidecar == nil {
@@ -165,7 +170,7 @@
 
 func (s *State) inProgress() bool { return s.Phase == Running || s.Phase == Paused }
 
-// completeOrder closes a sidecar's open order.
+// completeOrder closes a sidecar's open order. A failed order to the new release stops the change; a failed restart of a control pauses it.
 func (s *State) completeOrder(sidecar *Sidecar, r Report) {
 	target := sidecar.OrderedRelease
 	s.WaitElapsed = 0
@@ -174,11 +179,11 @@
 	case r.FailureReason == "" && r.Release == target:
 	case s.inProgress() && target == s.Plan.To:
 		s.stop(fmt.Sprintf("%s: %s", sidecar.Name, r.FailureReason))
-		if sidecar.Release != s.Plan.From { // it runs neither of the two
+		if sidecar.Release != s.Plan.From { // it did not return to the old release
 			sidecar.AbandonedReason = r.FailureReason
 		}
-	case target == s.Plan.To && sidecar.Release == s.Plan.From: // ordered before the stop: it is where the rollback wants it
-	case s.inProgress(): // a control that does not come up is no fault of the new release
+	case target == s.Plan.To && sidecar.Release == s.Plan.From: // ordered before the stop: the sidecar runs the old release, as the rollback requires
+	case s.inProgress(): // a control that fails to restart is no fault of the new release
 		s.pause(fmt.Sprintf("%s, restarted as it was: %s", sidecar.Name, r.FailureReason))
 		sidecar.AbandonedReason = r.FailureReason
 	case sidecar.Release != s.Plan.From || r.FailureReason != "":
@@ -186,7 +191,7 @@
 	}
 }
 
-// Confirmed is the release that agents may confirm now that the change is over; "": none.
+// Confirmed returns the release that agents may confirm because the change is over; "": there is none.
 func (s *State) Confirmed() string {
 	switch {
 	case s.Phase == Done:
@@ -197,7 +202,7 @@
 	return ""
 }
 
-// OpenOrders returns the orders that are open, by number.
+// OpenOrders returns the open orders, sorted by number.
 func (s *State) OpenOrders() (orders []Order) {
 	for _, name := range s.sidecarNames {
 		if sidecar := s.sidecars[name]; sidecar.OpenOrder != 0 {
@@ -208,7 +213,7 @@
 	return orders
 }
 
-// Sidecars returns what is known of each sidecar, by name.
+// Sidecars returns the state of all sidecars, sorted by name.
 func (s *State) Sidecars() (all []Sidecar) {
 	for _, name := range slices.Sorted(maps.Keys(s.sidecars)) {
 		all = append(all, *s.sidecars[name])
@@ -221,7 +226,7 @@
 	return 1 + slices.IndexFunc(s.stages, func(stage []string) bool { return slices.Contains(stage, name) })
 }
 
-// WaitingFor says, for people, what a change that runs waits for.
+// WaitingFor describes to operators what a running change waits for.
 func (s *State) WaitingFor() string {
 	switch {
 	case s.BaselineElapsed < s.Plan.BaselinePeriod:
@@ -234,7 +239,7 @@
 	return fmt.Sprintf("its time: %v of %v", s.StageElapsed.Round(time.Second), s.Plan.Stages[s.Stage-1].MinBakeTime)
 }
 
-// Groups returns the sidecars that the judge compares in this stage: those that are changed, and their control.
+// Groups returns the sidecars that the judge compares in the current stage: those that the stage changes, and the control group.
 func (s *State) Groups() (changed, control []string) {
 	changed = append(changed, s.stages[s.Stage-1]...)
 	for _, sidecar := range s.controlSidecars() {
