--- a/cmd/petrelhookctl/rollout_run_test.go
+++ b/cmd/petrelhookctl/rollout_run_test.go
@@ -46,7 +46,7 @@
 		{"abort permits --why enough", 0, "taking back"},
 		{"status permits --output json", 1, `"why": "enough"`},
 		{"history permits", 0, "enough"},
-		{"explain permits", 0, "taken back from stage 1: enough"},
+		{"explain permits", 0, "rolling back from stage 1: enough"},
 		{"report permits", 2, "write --html FILE, --parquet FILE, or both"},
 		{"report permits --html " + page, 0, ""},
 		{"report permits --parquet /none/x", 1, "/none/x"},
--- a/internal/coordination/rollout/report/explain.go
+++ b/internal/coordination/rollout/report/explain.go
@@ -58,22 +58,22 @@
 	case rollout.Paused:
 		l.add(Paused, "paused in stage %d: %s", s.Stage, s.Reason)
 	case rollout.RollingBack:
-		l.add(RollingBack, "taken back from stage %d: %s", s.Stage, s.Reason)
+		l.add(RollingBack, "rolling back from stage %d: %s", s.Stage, s.Reason)
 	}
 	l.addSidecars(s)
 	if s.Phase == rollout.Running && s.BaselineElapsed < s.Plan.BaselinePeriod {
-		l.add(BaselineTime, "nothing moves until all were watched for %v; so far %v", s.Plan.BaselinePeriod, s.BaselineElapsed.Round(time.Second))
+		l.add(BaselineTime, "no sidecar is changed until all were observed for %v; so far %v", s.Plan.BaselinePeriod, s.BaselineElapsed.Round(time.Second))
 		return l
 	}
 	if s.Phase != rollout.Done {
 		l.addEvidence(c)
 	}
 	if minBakeTime := s.Plan.Stages[s.Stage-1].MinBakeTime; s.Phase == rollout.Running && s.JudgedNoWorse && s.StageElapsed < minBakeTime {
-		l.add(MinBakeTime, "stage %d is no worse; it is watched for %v, so far %v", s.Stage, minBakeTime, s.StageElapsed.Round(time.Second))
+		l.add(MinBakeTime, "stage %d is no worse; it is observed for at least %v, so far %v", s.Stage, minBakeTime, s.StageElapsed.Round(time.Second))
 	}
 	if s.Phase == rollout.Paused {
-		l.add(ResumeWith, "rollout resume %s goes on and waits once more, with --accept it takes the stage for no worse; "+
-			"rollout abort %s takes back what was changed", s.Plan.Application, s.Plan.Application)
+		l.add(ResumeWith, "rollout resume %s continues and waits again, with --accept it accepts the stage as no worse; "+
+			"rollout abort %s rolls back what was changed", s.Plan.Application, s.Plan.Application)
 	}
 	return l
 }
@@ -90,12 +90,12 @@
 		toChange := s.StageOf(c.Name) <= s.Stage && c.Release != target
 		switch {
 		case c.AbandonedReason != "":
-			l.add(Abandoned, "%s is left alone at %s: %s", c.Name, c.Release, c.AbandonedReason)
+			l.add(Abandoned, "%s was abandoned at %s: %s", c.Name, c.Release, c.AbandonedReason)
 		case s.Phase.Over():
 		case c.OpenOrder != 0:
 			l.add(Ordered, "%s carries out order %d, to %s", c.Name, c.OpenOrder, c.OrderedRelease)
 		case !c.Ready:
-			l.add(NotReady, "%s runs %s and is not ready, or its agent is out of reach", c.Name, c.Release)
+			l.add(NotReady, "%s runs %s and is not ready, or its agent is unreachable", c.Name, c.Release)
 		case toChange && s.Phase != rollout.Paused:
 			waiting++
 		}
@@ -105,9 +105,9 @@
 	}
 	changing, unavailable := s.Disruptions("")
 	if len(changing) >= s.Plan.MaxConcurrent {
-		l.add(ConcurrencyLimit, "%d more of this stage wait: max_concurrent is %d, and %s change", waiting, s.Plan.MaxConcurrent, strings.Join(changing, ", "))
+		l.add(ConcurrencyLimit, "%d more sidecars wait: max_concurrent is %d, and these are changing: %s", waiting, s.Plan.MaxConcurrent, strings.Join(changing, ", "))
 	} else if len(unavailable)+1 > s.Plan.MaxUnavailable {
-		l.add(UnavailableLimit, "%d more of this stage wait: max_unavailable is %d, and out of service are %s", waiting, s.Plan.MaxUnavailable,
+		l.add(UnavailableLimit, "%d more sidecars wait: max_unavailable is %d, and these are out of service: %s", waiting, s.Plan.MaxUnavailable,
 			strings.Join(unavailable, ", "))
 	}
 }
@@ -117,16 +117,16 @@
 	s := c.State
 	switch {
 	case s.Plan.Judge.Disabled:
-		l.add(NoJudge, "the plan has no judge: stages go by min_bake_time, and by what does not come up")
+		l.add(NoJudge, "the plan has no judge: stages advance by min_bake_time and readiness alone")
 		return
 	case s.Stage == len(s.Plan.Stages) && s.Phase == rollout.Running:
-		l.add(NoControl, "the last stage has nobody to compare with: it ends when its sidecars have lived through their trials")
+		l.add(NoControl, "the last stage has no control group: it ends when its sidecars have passed their trials")
 		return
 	}
 	n := len(c.Results)
 	if n == 0 || c.Results[n-1].Stage != s.Stage {
 		if s.Phase == rollout.Running {
-			l.add(NoTraffic, "nothing was counted of stage %d yet at both the new and the control", s.Stage)
+			l.add(NoTraffic, "stage %d: nothing was counted yet at both the new sidecars and the control group", s.Stage)
 		}
 		return
 	}
@@ -149,10 +149,10 @@
 	default:
 		newCounts, control := judge.Counts{Hits: r.NewHits, Total: r.NewTotal}, judge.Counts{Hits: r.ControlHits, Total: r.ControlTotal}
 		if more, ok := judge.RequestsNeeded(newCounts, control, config.MissedStopRate, config.MinEffect); ok {
-			l.add(EvidenceMissing, "%s; at most %.4f more, where %v matters: about %.0f more requests of the new at these rates", counted,
+			l.add(EvidenceMissing, "%s; the rate is larger by at most %.4f, and %v matters: about %.0f more requests to the new release are needed at these rates", counted,
 				r.MaxDifference, config.MinEffect, more)
 		} else {
-			l.add(EvidenceNever, "%s; at these rates it will not be shown to be within %v", counted, config.MinEffect)
+			l.add(EvidenceNever, "%s; at these rates the difference will not be shown to be below %v", counted, config.MinEffect)
 		}
 	}
 }
--- a/internal/coordination/rollout/report/page.go
+++ b/internal/coordination/rollout/report/page.go
@@ -22,15 +22,15 @@
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title><style>{{.Style}}</style></head><body>
 <h1>{{.Title}}</h1>
 <p class="{{if .OK}}kept{{else}}broken{{end}}">{{.Verdict}}</p>
-<p>{{.Plan}}; {{.Sidecars}} sidecars; what matters: {{.Effect}}</p>
+<p>{{.Plan}}; {{.Sidecars}} sidecars; judge: {{.Effect}}</p>
 {{if .Lines}}<h2>Why</h2><ul>{{range .Lines}}<li>{{.Text}}</li>{{end}}</ul>{{end}}
 <h2>Course</h2><table><tr><th>When (UTC)</th><th>Phase</th><th>Stage</th><th></th></tr>
 {{range .Transitions}}<tr><td>{{moment .AtMillis}}</td><td>{{.Phase}}</td><td class="n">{{.Stage}}</td><td>{{.Reason}}</td></tr>{{end}}</table>
-{{range .Stages}}<h2>Stage {{.Stage}}: old against new</h2>
+{{range .Stages}}<h2>Stage {{.Stage}}: new release and control group</h2>
 <p>{{.Verdict}}</p>
-<p>Changed: {{.Changed}}. {{if .Control}}Restarted as they were, to compare with: {{.Control}}.{{end}}</p>
+<p>Changed: {{.Changed}}. {{if .Control}}Restarted with the old release as the control group: {{.Control}}.{{end}}</p>
 {{range .Charts}}{{.}}{{end}}
-<table><tr><th>Metric</th><th>Class</th><th>Zone</th><th>New</th><th>Control</th><th>Odds</th><th>At most more</th><th></th></tr>
+<table><tr><th>Metric</th><th>Class</th><th>Zone</th><th>New</th><th>Control</th><th>Odds</th><th>Difference at most</th><th></th></tr>
 {{range .Cells}}<tr{{if eq .Verdict "worse"}} class="broken"{{end}}><td>{{.Metric}}</td><td>{{.Class}}</td><td>{{.Zone}}</td><td class="n">{{rate .NewHits .NewTotal}}</td><td class="n">{{rate .ControlHits .ControlTotal}}</td><td class="n">{{printf "%.3g" .Odds}}</td><td class="n">{{printf "%.4f" .MaxDifference}}</td><td>{{.Verdict}}</td></tr>
 {{end}}</table>{{end}}
 <h2>Sidecars</h2><table><tr><th>Name</th><th>Zone</th><th>Stage</th><th>Release</th><th>Ready</th><th></th></tr>
@@ -79,10 +79,10 @@
 	for _, sidecar := range s.Sidecars() {
 		sidecars = append(sidecars, sidecarView{sidecar, s.StageOf(sidecar.Name)})
 	}
-	effect := fmt.Sprintf("a difference of %v of a rate, false stops %v, missed stops %v", s.Plan.Judge.MinEffect, s.Plan.Judge.FalseStopRate,
+	effect := fmt.Sprintf("smallest relevant difference of a rate %v, false stop rate %v, missed stop rate %v", s.Plan.Judge.MinEffect, s.Plan.Judge.FalseStopRate,
 		s.Plan.Judge.MissedStopRate)
 	if s.Plan.Judge.Disabled {
-		effect = "the plan has no judge"
+		effect = "none"
 	}
 	return page.Execute(w, map[string]any{
 		"Title": fmt.Sprintf("Change %s of %s", c.Name, s.Plan.Application), "Style": chart.Style,
--- a/internal/coordination/rollout/report/report_test.go
+++ b/internal/coordination/rollout/report/report_test.go
@@ -74,15 +74,15 @@
 		events []rollout.Event
 		want   []string
 	}{
-		"begun":          {nil, []string{"ordered n0 carries out order 1, to new", "limit-at-once 1 more of this stage wait: max_concurrent is 1, and n0 change", "evidence-none nothing was counted of stage 1"}},
-		"one is down":    {[]rollout.Event{down, done("n0", "new", 1)}, []string{"not-ready n2 runs old", "limit-unavailable 1 more of this stage wait: max_unavailable is 1, and out of service are n2"}},
-		"evidence":       {afterFirstStage(verdict("not enough evidence", 1, 1, 1)), []string{"evidence-missing failed of class look in zone *: new 1 of 100", "more requests of the new at these rates"}},
+		"begun":          {nil, []string{"ordered n0 carries out order 1, to new", "limit-at-once 1 more sidecars wait: max_concurrent is 1, and these are changing: n0", "evidence-none stage 1: nothing was counted yet"}},
+		"one is down":    {[]rollout.Event{down, done("n0", "new", 1)}, []string{"not-ready n2 runs old", "limit-unavailable 1 more sidecars wait: max_unavailable is 1, and these are out of service: n2"}},
+		"evidence":       {afterFirstStage(verdict("not enough evidence", 1, 1, 1)), []string{"evidence-missing failed of class look in zone *: new 1 of 100", "more requests to the new release are needed at these rates"}},
 		"never":          {afterFirstStage(verdict("not enough evidence", 1, 9, 1)), []string{"evidence-never failed of class look"}},
-		"time":           {afterFirstStage(verdict("no worse", 9, 0, 0)), []string{"time-least stage 1 is no worse; it is watched for 1m0s"}},
-		"worse":          {afterFirstStage(verdict("worse", 1, 50, 0)), []string{"taking-back taken back from stage 1: worse", "worse failed of class look in zone *: new 50 of 100, control 0 of 100: worse, odds 2"}},
+		"time":           {afterFirstStage(verdict("no worse", 9, 0, 0)), []string{"time-least stage 1 is no worse; it is observed for at least 1m0s"}},
+		"worse":          {afterFirstStage(verdict("worse", 1, 50, 0)), []string{"taking-back rolling back from stage 1: worse", "worse failed of class look in zone *: new 50 of 100, control 0 of 100: worse, odds 2"}},
 		"paused":         {afterFirstStage(rollout.Event{Pause: "lunch"}), []string{"paused paused in stage 1: lunch", "resume rollout resume a<b>"}},
-		"left alone":     {[]rollout.Event{done("n0", "new", 1), {Abort: "x"}, {Report: &rollout.Report{Sidecar: "n1", Release: "old", Ready: true, CompletedOrder: 2}}, {Report: &rollout.Report{Sidecar: "n0", Release: "new", CompletedOrder: 3, FailureReason: "no disk"}}}, []string{"stopped stopped in stage 1: x", "left-alone n0 is left alone at new: order 3: no disk"}},
-		"the last stage": {afterFirstStage(verdict("no worse", 9, 0, 0), rollout.Event{Elapsed: time.Minute}), []string{"ordered n2 carries out order 4", "no-control the last stage has nobody"}},
+		"left alone":     {[]rollout.Event{done("n0", "new", 1), {Abort: "x"}, {Report: &rollout.Report{Sidecar: "n1", Release: "old", Ready: true, CompletedOrder: 2}}, {Report: &rollout.Report{Sidecar: "n0", Release: "new", CompletedOrder: 3, FailureReason: "no disk"}}}, []string{"stopped stopped in stage 1: x", "left-alone n0 was abandoned at new: order 3: no disk"}},
+		"the last stage": {afterFirstStage(verdict("no worse", 9, 0, 0), rollout.Event{Elapsed: time.Minute}), []string{"ordered n2 carries out order 4", "no-control the last stage has no control group"}},
 	} {
 		var text strings.Builder
 		for _, l := range Explain(newChange(t, c.events...)) {
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	page := text.String()
-	for _, want := range []string{"taking back in stage 1 of 2: worse", "2001-09-09 03:26:", "a&lt;b&gt;", "0.0200 of 200100", "Restarted as they were, to compare with: n3", "<svg"} {
+	for _, want := range []string{"taking back in stage 1 of 2: worse", "2001-09-09 03:26:", "a&lt;b&gt;", "0.0200 of 200100", "Restarted with the old release as the control group: n3", "<svg"} {
 		if !strings.Contains(page, want) {
 			t.Errorf("no %q", want)
 		}
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -106,7 +106,7 @@
 	p.BaselinePeriod = time.Minute
 	f := newFleet(t, p, 12)
 	f.apply(Event{Elapsed: 59 * time.Second}, noFailure)
-	if f.running("new") != 0 || f.state.WaitingFor() != "what is before: 59s of 1m0s" {
+	if f.running("new") != 0 || f.state.WaitingFor() != "baseline period: 59s of 1m0s" {
 		t.Errorf("%d are changed; waits for %s", f.running("new"), f.state.WaitingFor())
 	}
 	if f.apply(Event{Elapsed: time.Second}, noFailure); f.running("new") != 1 {
--- a/internal/coordination/rollout/state.go
+++ b/internal/coordination/rollout/state.go
@@ -230,13 +230,13 @@
 func (s *State) WaitingFor() string {
 	switch {
 	case s.BaselineElapsed < s.Plan.BaselinePeriod:
-		return fmt.Sprintf("what is before: %v of %v", s.BaselineElapsed.Round(time.Second), s.Plan.BaselinePeriod)
+		return fmt.Sprintf("baseline period: %v of %v", s.BaselineElapsed.Round(time.Second), s.Plan.BaselinePeriod)
 	case !s.stageComplete():
 		return "sidecars: " + s.waitedFor()
 	case !s.JudgedNoWorse:
-		return fmt.Sprintf("evidence, for %v of %v: %s", s.StageElapsed.Round(time.Second), s.Plan.ProgressTimeout, s.LastVerdict)
+		return fmt.Sprintf("evidence: %v of at most %v: %s", s.StageElapsed.Round(time.Second), s.Plan.ProgressTimeout, s.LastVerdict)
 	}
-	return fmt.Sprintf("its time: %v of %v", s.StageElapsed.Round(time.Second), s.Plan.Stages[s.Stage-1].MinBakeTime)
+	return fmt.Sprintf("minimum bake time: %v of %v", s.StageElapsed.Round(time.Second), s.Plan.Stages[s.Stage-1].MinBakeTime)
 }
 
 // Groups returns the sidecars that the judge compares in the current stage: those that the stage changes, and the control group.
