--- a/internal/coordination/judge/confidence.go
+++ b/internal/coordination/judge/confidence.go
@@ -2,13 +2,14 @@
 
 import "math"
 
-// maxDifference returns the upper confidence bound of how much larger the new rate is than the control's, valid at all times together.
+// maxDifference returns the upper confidence bound of the new rate minus the control's, valid at all times together with probability
+// 1 - missed.
 func (c *cellState) maxDifference(missed float64) float64 {
 	return upperBound(c.new, missed/2) - (1 - upperBound(Counts{c.control.Total - c.control.Hits, c.control.Total}, missed/2))
 }
 
-// RequestsNeeded returns how many more requests the new release needs, and the control in proportion, until it is judged to be no worse, if the
-// rates stay as they are. ok is false if no number of them would show it.
+// RequestsNeeded returns how many more requests the new release needs, and the control group in proportion, until it is judged to be no worse,
+// provided that the rates stay the same. ok is false if no number of requests would suffice.
 func RequestsNeeded(new, control Counts, missed, effect float64) (more float64, ok bool) {
 	shownNoWorse := func(times float64) bool {
 		c := cellState{new: Counts{new.Hits * times, new.Total * times}, control: Counts{control.Hits * times, control.Total * times}}
@@ -34,18 +35,19 @@
 	return math.Ceil(new.Total * (high - 1)), true
 }
 
-// MinDifference returns the lower confidence bound of how much larger the first rate is, valid at all times together with probability
-// 1 - alpha. The counts need not be of the same time; then a difference says that something has changed, and not what.
+// MinDifference returns the lower confidence bound of the rate of now minus that of before, valid at all times together with probability
+// 1 - alpha. If the counts are from different times, a difference shows that something has changed, but not what.
 func MinDifference(now, before Counts, alpha float64) float64 {
 	return 1 - upperBound(Counts{now.Total - now.Hits, now.Total}, alpha/2) - upperBound(before, alpha/2)
 }
 
-// upperBound returns the upper end of a confidence sequence of a rate: Robbins' mixture with a uniform prior.
+// upperBound returns the upper bound of a rate by a confidence sequence (Robbins' mixture with a uniform prior), which holds at all times
+// together with probability 1 - alpha.
 func upperBound(c Counts, alpha float64) float64 {
-	a, _ := math.Lgamma(c.Hits + 1)
-	b, _ := math.Lgamma(c.Total - c.Hits + 1)
-	ab, _ := math.Lgamma(c.Total + 2)
-	threshold := a + b - ab - math.Log(1/alpha) // the logarithm of the mixture's likelihood times alpha
+	logGammaHits, _ := math.Lgamma(c.Hits + 1)
+	logGammaMisses, _ := math.Lgamma(c.Total - c.Hits + 1)
+	logGammaTotal, _ := math.Lgamma(c.Total + 2)
+	threshold := logGammaHits + logGammaMisses - logGammaTotal - math.Log(1/alpha) // the logarithm of the mixture's likelihood times alpha
 	lo, hi := c.rate(), 1.0
 	if c.Total == 0 {
 		return 1
--- a/internal/coordination/judge/counts.go
+++ b/internal/coordination/judge/counts.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Counts say of how many of some requests something was true. Both are fractions where requests were weighted.
+// Counts has the number of requests that had a property, such as having failed, and the number of all requests. Both may be fractional,
+// because requests may be weighted.
 type Counts struct{ Hits, Total float64 }
 
 func (c Counts) dividedBy(n float64) Counts { return Counts{c.Hits / n, c.Total / n} }
@@ -14,7 +15,7 @@
 	return xlog(c.Hits, p) + xlog(c.Total-c.Hits, 1-p)
 }
 
-// xlog returns x log p, and 0 for x = 0 whatever p is.
+// xlog returns x log p, or 0 if x is 0, even for p = 0.
 func xlog(x, p float64) float64 {
 	if x == 0 {
 		return 0
--- a/internal/coordination/judge/judge.go
+++ b/internal/coordination/judge/judge.go
@@ -11,26 +11,26 @@
 	"gonum.org/v1/gonum/mathext"
 )
 
-// Cell is a metric that is compared by itself.
+// Cell identifies one comparison: a metric of a class in a zone.
 type Cell struct {
 	Class, Zone, Metric string
-	Advisory            bool // it may show that the new release is worse, and need not show that it is not
+	Advisory            bool // the cell may show that the new release is worse, but NoWorse does not require its evidence
 }
 
 func (c Cell) String() string {
 	return fmt.Sprintf("%s of class %s in zone %s", c.Metric, c.Class, c.Zone)
 }
 
-// Plan says what a judgement guarantees.
+// Plan sets the error rates that a judgement guarantees.
 type Plan struct {
 	FalseStopRate  float64 // the probability that equal releases are ever judged to be worse, over all cells and windows
 	MissedStopRate float64 // the probability that a release that is worse by MinEffect is judged to be no worse, per cell
 	MinEffect      float64 // the smallest difference of a rate that matters
-	MaxCells       int     // how many cells there may be, over all stages of a change
-	ClusterSize    float64 // how many requests fail together; 0: 1
+	MaxCells       int     // the largest number of cells, over all stages of a change
+	ClusterSize    float64 // how many requests fail together; 0 means 1
 }
 
-// Check finds what is wrong with a plan, by the names of the fields in plan files.
+// Check validates a plan. The error names the field as plan files do.
 func (p *Plan) Check() error {
 	switch {
 	case !(p.FalseStopRate > 0 && p.FalseStopRate < 1):
@@ -50,24 +50,25 @@
 // Kind is the result of a judgement.
 type Kind uint8
 
-// The results. Their texts are part of the log of rollouts.
+// The results. The log of rollouts stores their texts, which must not change.
 const (
-	NotEnough Kind = iota // there is not enough evidence
+	NotEnough Kind = iota // there is not enough evidence for either result
 	NoWorse
 	Worse
 )
 
 func (k Kind) String() string { return [...]string{"not enough evidence", "no worse", "worse"}[k] }
 
-// Verdict is the state of a judgement. Cell is the one that is worse, or that lacks most evidence.
+// Verdict is the current result of a judgement, with the figures of the cell that decides it: the cell that is worse, or the one that lacks
+// most evidence.
 type Verdict struct {
 	Kind                 Kind
 	Cell                 Cell
-	NewRate, ControlRate float64 // the rates that were counted
-	NewCounts            Counts  // what NewRate is of
-	ControlCounts        Counts  // what ControlRate is of
-	Odds                 float64 // the evidence; for Worse at least MaxCells / FalseStopRate
-	MaxDifference        float64 // the upper confidence bound of how much larger the new rate is
+	NewRate, ControlRate float64 // the observed rates
+	NewCounts            Counts  // the counts behind NewRate
+	ControlCounts        Counts  // the counts behind ControlRate
+	Odds                 float64 // the evidence that the new release is worse; at least MaxCells / FalseStopRate when Worse is found
+	MaxDifference        float64 // the upper confidence bound of the new rate minus the control's
 }
 
 func (v Verdict) String() string {
@@ -76,19 +77,19 @@
 
 // Errors of Judge.Add and Judge.AddPair.
 var (
-	// ErrInvalidCounts says that counts have more hits than requests, or are negative or infinite.
+	// ErrInvalidCounts is returned for counts that have more hits than requests, or are negative or infinite.
 	ErrInvalidCounts = errors.New("the counts are impossible")
-	// ErrTooManyCells says that a cell is beyond Plan.MaxCells.
+	// ErrTooManyCells is returned for a new cell when there are Plan.MaxCells already.
 	ErrTooManyCells = errors.New("more cells than planned")
 )
 
-// Judge is one judgement. It is not safe for concurrent use.
+// Judge accumulates the evidence of one judgement. It is not safe for concurrent use.
 type Judge struct {
 	plan  Plan
 	cells map[Cell]*cellState
 }
 
-// New begins a judgement. The error is one of the plan.
+// New returns a Judge without evidence. The error is that of Plan.Check.
 func New(p Plan) (*Judge, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -99,7 +100,7 @@
 	return &Judge{plan: p, cells: map[Cell]*cellState{}}, nil
 }
 
-// Add adds the counts of a window of a cell. The error is ErrInvalidCounts or ErrTooManyCells.
+// Add adds the counts of one window to a cell. The error wraps ErrInvalidCounts or ErrTooManyCells, and then nothing is added.
 func (j *Judge) Add(cell Cell, new, control Counts) error {
 	for _, counts := range []Counts{new, control} {
 		if !(counts.Hits >= 0 && counts.Hits <= counts.Total) || math.IsInf(counts.Total, 0) {
@@ -119,13 +120,13 @@
 	return nil
 }
 
-// AddPair adds one comparison of a magnitude, such as the growth of memory in the same window, in which one side was larger by more than
-// matters: larger says that it was the new release. If both are alike, each is the larger one as often as the other. Such a cell is
-// advisory. The error is ErrTooManyCells.
+// AddPair adds one comparison of a magnitude, such as the growth of memory in the same window, in which the two sides differed by more than
+// the smallest relevant amount. larger reports whether the new release had the larger value; if the releases are equal, each has it equally
+// often. Such a cell is advisory. The error wraps ErrTooManyCells.
 //
-// The evidence is a mixture of bets that the new release is the larger one with probability p, uniform over p from a half to one. Each bet
-// multiplies by 2p if it was and by 2(1-p) if it was not, which is 1 on average for a probability of a half and less below; so is their
-// mean.
+// The evidence is a mixture of bets that the new release has the larger value with probability p, uniform over p from a half to one. Each bet
+// multiplies the evidence by 2p if it has and by 2(1-p) if it has not. The expectation of this factor is 1 if the true probability is a half
+// and less if it is smaller, and the same holds for the mixture.
 func (j *Judge) AddPair(cell Cell, larger bool) error {
 	cell.Advisory = true
 	state, err := j.cellAt(cell)
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// cellAt returns the state of a cell, which is made if it is new.
+// cellAt returns the state of a cell, and creates it for a new cell. The error wraps ErrTooManyCells.
 func (j *Judge) cellAt(cell Cell) (*cellState, error) {
 	state := j.cells[cell]
 	if state == nil {
@@ -156,13 +157,13 @@
 	return state, nil
 }
 
-// threshold is what the logarithm of a cell's evidence has to reach: each cell has an equal share of the rate of false stops.
+// threshold returns the logarithm of the evidence at which a cell is judged to be worse. Each cell has an equal share of FalseStopRate.
 func (j *Judge) threshold() float64 { return math.Log(float64(j.plan.MaxCells) / j.plan.FalseStopRate) }
 
 // maxLogOdds keeps Verdict.Odds finite.
 const maxLogOdds = 700
 
-// Cells returns the verdict on each cell by itself, in the order of metric, class and zone.
+// Cells returns the verdict on each cell separately, sorted by metric, class and zone.
 func (j *Judge) Cells() (verdicts []Verdict) {
 	for _, cell := range slices.SortedFunc(maps.Keys(j.cells), func(a, b Cell) int {
 		return cmp.Or(cmp.Compare(a.Metric, b.Metric), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Zone, b.Zone))
@@ -182,7 +183,7 @@
 	return verdicts
 }
 
-// Verdict returns the verdict over all cells: worse if one is, no worse if all are.
+// Verdict returns the verdict over all cells: Worse if any cell is worse, NoWorse if all are no worse and at least one is not advisory.
 func (j *Judge) Verdict() Verdict {
 	overall := Verdict{Kind: NotEnough}
 	required := false
@@ -198,7 +199,8 @@
 	return overall
 }
 
-// ranksAbove orders verdicts: worse ones, then those without enough evidence, then no worse ones.
+// ranksAbove reports whether a comes before b in the order Worse, NotEnough, NoWorse. Within Worse the larger odds come first, within the others
+// the larger MaxDifference.
 func ranksAbove(a, b Verdict) bool {
 	order := [...]int{NotEnough: 1, NoWorse: 0, Worse: 2}
 	if a.Kind != b.Kind {
--- a/internal/coordination/judge/judge_test.go
+++ b/internal/coordination/judge/judge_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// draw returns counts of n requests, of which each is hit with probability p.
+// draw returns counts of n simulated requests, each of which is a hit with probability p.
 func draw(r *rand.Rand, n int, p float64) (c Counts) {
 	c.Total = float64(n)
 	for range n {
@@ -20,7 +20,7 @@
 	return c
 }
 
-// change is a change of a release over classes, zones and windows, judged after each.
+// change is a simulated change of a release over classes, zones and windows, judged after each window.
 type change struct {
 	classes, zones, windows      int
 	newRequests, controlRequests int // requests per window and cell
@@ -29,7 +29,8 @@
 
 var plan = Plan{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02, MaxCells: 18}
 
-// judge simulates a change until it is judged worse or all windows are over; at is the window. NoWorse has to last to the end.
+// judge simulates a change until it is judged to be worse or all windows are over, and returns the last verdict and the number of windows. A
+// verdict of NoWorse does not end the simulation.
 func (c change) judge(t testing.TB, r *rand.Rand, p Plan) (v Verdict, at int) {
 	j, err := New(p)
 	if err != nil {
@@ -52,27 +53,27 @@
 	return v, c.windows
 }
 
-// changes is how many changes a test simulates: CHANGES in the environment, or a few.
-func changes(few int) int {
-	n := few
+// changes returns how many changes a test simulates: defaultCount, or the value of the environment variable CHANGES.
+func changes(defaultCount int) int {
+	n := defaultCount
 	fmt.Sscan(os.Getenv("CHANGES"), &n)
 	return n
 }
 
-func steady(p float64) func(int, int, int, bool) float64 {
+func constantRate(p float64) func(int, int, int, bool) float64 {
 	return func(int, int, int, bool) float64 { return p }
 }
 
-// Equal releases, judged after every window, are stopped no more often than planned, whatever happens to both; and they are judged to be no
-// worse once there is evidence for it.
+// Equal releases that are judged after every window are stopped no more often than planned, also when the rates of both change together. The
+// log shows how many were judged to be no worse.
 func TestEqualReleases(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for name, c := range map[string]change{
-		"quiet":                    {3, 3, 120, 20, 40, steady(0.002)},
-		"nothing fails":            {3, 3, 120, 20, 40, steady(0)},
-		"much fails":               {3, 3, 120, 20, 40, steady(0.3)},
-		"few requests":             {3, 3, 120, 1, 1, steady(0.02)},
-		"one has half the traffic": {3, 3, 120, 60, 5, steady(0.01)},
+		"quiet":                    {3, 3, 120, 20, 40, constantRate(0.002)},
+		"nothing fails":            {3, 3, 120, 20, 40, constantRate(0)},
+		"much fails":               {3, 3, 120, 20, 40, constantRate(0.3)},
+		"few requests":             {3, 3, 120, 1, 1, constantRate(0.02)},
+		"one has half the traffic": {3, 3, 120, 60, 5, constantRate(0.01)},
 		"servers fail for a while": {3, 3, 120, 20, 40, func(w, _, zone int, _ bool) float64 {
 			if zone == 1 && w > 30 && w < 60 {
 				return 0.4
@@ -80,28 +81,28 @@
 			return 0.002
 		}},
 	} {
-		n, stops, fine := changes(150), 0, 0
+		n, stopped, noWorse := changes(150), 0, 0
 		for range n {
 			v, _ := c.judge(t, r, plan)
 			switch v.Kind {
 			case Worse:
-				stops++
+				stopped++
 			case NoWorse:
-				fine++
+				noWorse++
 			}
 		}
-		if allowed := max(2, 3*n/100); stops > allowed {
-			t.Errorf("%s: %d of %d stopped", name, stops, n)
+		if allowed := max(2, 3*n/100); stopped > allowed {
+			t.Errorf("%s: %d of %d stopped", name, stopped, n)
 		}
-		t.Logf("%s: %d of %d stopped, %d said to be no worse", name, stops, n, fine)
+		t.Logf("%s: %d of %d stopped, %d said to be no worse", name, stopped, n, noWorse)
 	}
 }
 
-// Worse releases are stopped, the sooner the larger the effect, also if one class in one zone alone is worse, and they are judged to be no
-// worse no more often than planned.
+// Worse releases are stopped even if only one class in one zone is worse, and the sooner the larger the effect. They are judged to be no worse
+// no more often than planned.
 func TestWorseReleases(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
-	in := func(base, more float64) func(int, int, int, bool) float64 {
+	worseInOneCell := func(base, more float64) func(int, int, int, bool) float64 {
 		return func(_, class, zone int, new bool) float64 {
 			if new && class == 1 && zone == 2 {
 				return base + more
@@ -116,7 +117,7 @@
 	}{{0.02, 600}, {0.05, 300}, {0.2, 120}, {1 - 0.002, 30}} {
 		n, stopped, wrong, sum := changes(60), 0, 0, 0
 		for range n {
-			v, at := change{3, 3, c.windows, 20, 40, in(0.002, c.more)}.judge(t, r, plan)
+			v, at := change{3, 3, c.windows, 20, 40, worseInOneCell(0.002, c.more)}.judge(t, r, plan)
 			if v.Kind == Worse && v.Cell == (Cell{Class: "c1", Zone: "z2", Metric: "failed"}) {
 				stopped++
 				sum += at
@@ -134,10 +135,10 @@
 	}
 }
 
-// A release that is as good as the old one for a long time, and then worse, is found about as soon as one that is worse from the start.
+// A release that becomes worse after 3,000 equal windows is detected about as soon after that as one that is worse from the start.
 func TestWorseLate(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 8))
-	after := func(equal int) int {
+	windowsToDetect := func(equal int) int {
 		sum := 0
 		const n = 40
 		for range n {
@@ -154,39 +155,39 @@
 		}
 		return sum / n
 	}
-	soon, late := after(0), after(3000)
-	t.Logf("worse by 0.1: after %d windows from the begin, after %d where 3,000 equal ones were before", soon, late)
-	if late > 4*soon {
-		t.Errorf("after %d windows, and %d", soon, late)
+	fromStart, late := windowsToDetect(0), windowsToDetect(3000)
+	t.Logf("worse by 0.1: detected after %d windows from the start, and after %d if 3,000 equal ones came before", fromStart, late)
+	if late > 4*fromStart {
+		t.Errorf("detected after %d windows from the start, but after %d if 3,000 equal ones came before", fromStart, late)
 	}
 }
 
-// Almost no traffic is no evidence for either verdict; counts that come in clusters count less.
+// Very little traffic is not enough evidence for either verdict, and a larger ClusterSize reduces the evidence.
 func TestLittleEvidence(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	for range 100 {
-		if v, _ := (change{1, 1, 6, 1, 1, steady(0.01)}).judge(t, r, plan); v.Kind != NotEnough {
+		if v, _ := (change{1, 1, 6, 1, 1, constantRate(0.01)}).judge(t, r, plan); v.Kind != NotEnough {
 			t.Fatalf("%v", v)
 		}
 	}
-	evidence := func(bunch float64) float64 {
+	evidence := func(clusterSize float64) float64 {
 		p := plan
-		p.ClusterSize = bunch
+		p.ClusterSize = clusterSize
 		j, _ := New(p)
 		for range 10 {
 			j.Add(Cell{}, Counts{10, 100}, Counts{2, 100})
 		}
 		return j.Verdict().Odds
 	}
-	if alone, bunched := evidence(1), evidence(10); bunched >= alone/10 {
-		t.Errorf("odds %g, and in bunches %g", alone, bunched)
+	if single, clustered := evidence(1), evidence(10); clustered >= single/10 {
+		t.Errorf("odds %g, but in clusters %g", single, clustered)
 	}
 	if j, _ := New(plan); j.Verdict().Kind != NotEnough {
-		t.Error("a verdict without a window")
+		t.Error("a verdict other than NotEnough without a window")
 	}
 }
 
-// Invalid plans and counts are errors that say what to write.
+// Invalid plans and counts are rejected, and the error of a plan names the field.
 func TestBadInput(t *testing.T) {
 	for want, change := range map[string]func(*Plan){
 		"false_stop_rate: 0;":  func(p *Plan) { p.FalseStopRate = 0 },
@@ -208,6 +209,6 @@
 		t.Errorf("2 of 1: %v", err)
 	}
 	if j.Add(Cell{Class: "a", Zone: "b", Metric: "c"}, Counts{0, 1}, Counts{0, 1}); !errors.Is(j.Add(Cell{Class: "a", Zone: "b", Metric: "d"}, Counts{0, 1}, Counts{0, 1}), ErrTooManyCells) {
-		t.Error("a cell beyond the plan's")
+		t.Error("a cell beyond MaxCells was accepted")
 	}
 }
