--- a/internal/coordination/driver/agents.go
+++ b/internal/coordination/driver/agents.go
@@ -15,10 +15,10 @@
 	"petrelhook/lease"
 )
 
-// SidecarStatus is what an agent reports of a sidecar.
+// SidecarStatus is an agent's report of a sidecar.
 type SidecarStatus = machine.SidecarStatus
 
-// callAgent makes one call of an agent.
+// callAgent calls the method at path of the agent at addr.
 func callAgent[Req, Res any](ctx context.Context, client *http.Client, addr, path string, in *Req) (*Res, error) {
 	res, err := rpc.Client[Req, Res](client, addr, path, machine.MaxResponseBytes).CallUnary(ctx, connect.NewRequest(in))
 	if err != nil {
@@ -27,7 +27,8 @@
 	return res.Msg, nil
 }
 
-// forEach calls do with 0 to n-1, several at a time, and returns when all calls have.
+// forEach calls do with each of 0 to n-1, at most maxConcurrentCalls at a time on goroutines of their own, and returns when all calls have
+// returned.
 func forEach(n int, do func(i int)) {
 	var calls sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentCalls)
@@ -41,7 +42,7 @@
 	calls.Wait()
 }
 
-// agentAddresses returns the addresses of the members' agents, each once.
+// agentAddresses returns the addresses of the members' agents without duplicates.
 func agentAddresses(members []rollout.Member) (addresses []string) {
 	known := map[string]bool{}
 	for _, m := range members {
@@ -53,7 +54,7 @@
 	return addresses
 }
 
-// queryAgents asks agents for their status. It returns the statuses by sidecar, and the errors by agent.
+// queryAgents requests the status of agents. It returns the statuses by sidecar name, and the errors by agent address.
 func (d *Driver) queryAgents(ctx context.Context, agents []string, request machine.StatusRequest) (map[string]SidecarStatus, map[string]error) {
 	var mu sync.Mutex
 	statuses, errs := map[string]SidecarStatus{}, map[string]error{}
@@ -74,8 +75,8 @@
 	return statuses, errs
 }
 
-// pollAgents asks the agents of a change for their status and sends them the confirmed release. It returns the statuses by sidecar and
-// the events that follow, or rollout.ErrStaleDriver if an agent knows a newer driver.
+// pollAgents requests the status of the agents of a change and sends them the confirmed release. It returns the statuses by sidecar name and
+// the events for what has changed, or rollout.ErrStaleDriver if an agent knows a newer driver.
 func (d *Driver) pollAgents(
 	ctx context.Context, application string, token uint64, change *applicationDriver,
 ) (map[string]SidecarStatus, []rollout.Event, error) {
@@ -97,7 +98,7 @@
 	return statuses, events, nil
 }
 
-// readings returns the counts of sidecars. A sidecar whose counts cannot be read has none.
+// readings returns the counts of sidecars by name. Sidecars whose counts cannot be decoded are left out.
 func readings(statuses map[string]SidecarStatus) map[string]evidence.Reading {
 	all := map[string]evidence.Reading{}
 	for name, s := range statuses {
@@ -109,8 +110,8 @@
 	return all
 }
 
-// deliverOrders sends the open orders to their agents. It is repeated at every poll until an order is reported as completed; an agent
-// carries out an order once. The error is rollout.ErrStaleDriver; an agent that does not accept an order is logged.
+// deliverOrders sends the open orders to their agents while the lease is valid. Every poll repeats this until an order is reported as
+// completed; an agent executes an order only once. It returns rollout.ErrStaleDriver if an agent knows a newer driver. Other errors are logged.
 func (d *Driver) deliverOrders(ctx context.Context, held *lease.Held, application string, change *applicationDriver) error {
 	agentOf := map[string]string{}
 	for _, m := range change.Members {
--- a/internal/coordination/driver/begin.go
+++ b/internal/coordination/driver/begin.go
@@ -16,14 +16,15 @@
 
 // BeginResult describes a change that was begun, or one that Begin refused because of its findings.
 type BeginResult struct {
-	Change   string            `json:"change,omitempty"` // its name; "": it was not begun
+	Change   string            `json:"change,omitempty"` // name of the change; "": Begin refused it
 	Sidecars int               `json:"sidecars"`
 	Findings []release.Finding `json:"findings"`
 }
 
-// Begin checks a plan against the agents as they are, and has the log begin the change. Before anything is changed: every agent answers and
-// has both releases complete, the new program accepts the new settings on every machine, no field differs that must not, the stages fit the
-// sidecars, and all sidecars run the old release. stepsDone says that an operator has done what fields of the kind TwoSteps need besides.
+// Begin validates a plan against the agents' current state and begins the change in the log. It refuses the plan unless every agent answers
+// and has both releases complete, the new program accepts the new settings on every machine, the settings differ only in fields that may
+// differ side by side, the stages fit the sidecars, and all sidecars run the old release. stepsDone says that the operator has completed the
+// additional steps that fields of the kind TwoSteps require. If the settings are refused, the result has the findings besides the error.
 func Begin(ctx context.Context, operator *fleet.Operator, client *http.Client, file *PlanFile, stepsDone bool) (*BeginResult, error) {
 	answers := surveyAgents(ctx, client, file)
 	start, err := newStart(file, answers)
@@ -48,14 +49,15 @@
 	return result, err
 }
 
-// agentAnswer is what one agent says to a plan.
+// agentAnswer has the responses of one agent about a plan.
 type agentAnswer struct {
 	sidecars []SidecarStatus
-	settings [2][]byte // of the releases before and after
+	settings [2][]byte // settings of the old and of the new release
 	err      error
 }
 
-// surveyAgents asks all agents of a plan for their sidecars and has them check both releases.
+// surveyAgents requests the sidecars of all agents of a plan and has the agents check both releases. The answers are in the order of
+// file.Agents.
 func surveyAgents(ctx context.Context, client *http.Client, file *PlanFile) []agentAnswer {
 	answers := make([]agentAnswer, len(file.Agents))
 	forEach(len(file.Agents), func(i int) {
@@ -78,7 +80,8 @@
 	return answers
 }
 
-// newStart collects the members of a change. No two agents may have the same sidecar.
+// newStart collects the members of a change and their reports. It returns the first error of an agent, or an error if two agents report the
+// same sidecar.
 func newStart(file *PlanFile, answers []agentAnswer) (*rollout.Start, error) {
 	start, agentOf := &rollout.Start{Plan: file.Plan}, map[string]string{}
 	for i, answer := range answers {
@@ -98,7 +101,7 @@
 	return start, nil
 }
 
-// checkFindings refuses settings that must not be in use side by side.
+// checkFindings returns an error if the old and the new settings must not be in use side by side.
 func checkFindings(findings []release.Finding, stepsDone bool) error {
 	worst := release.Worst(findings)
 	if worst == release.SideBySide || worst == release.TwoSteps && stepsDone {
--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -23,38 +23,38 @@
 	agentTimeout       = 2 * time.Second // for one call of an agent
 	dialTimeout        = time.Second     // for one connection to an agent or a coordinator
 	coordinatorTimeout = 5 * time.Second // for one read of the log's state
-	maxConcurrentCalls = 64              // of agents
-	idlePollDivisor    = 3               // agents are polled so many times less often once a change is over
-	maxElapsedPolls    = 3               // a longer time between polls counts as so many intervals
+	maxConcurrentCalls = 64              // calls of agents at the same time
+	idlePollDivisor    = 3               // once a change is over, agents are polled this many times less often
+	maxElapsedPolls    = 3               // a longer time between two polls counts as this many intervals
 )
 
-// Driver drives the changes of all applications. Its exported fields are set before Run is called.
+// Driver executes the changes of all applications. Its exported fields must be set before Run is called and not changed afterwards.
 type Driver struct {
-	Coordinators []string // their addresses
-	TTL          time.Duration
-	Interval     time.Duration // between polls
+	Coordinators []string      // addresses of the coordinators
+	TTL          time.Duration // TTL of the lease
+	Interval     time.Duration // time between polls
 	Log          *slog.Logger
-	Dial         rpc.Dial             // to coordinators and agents; nil: TCP
-	Clock        func() time.Duration // of its lease; nil: the default of package lease
+	Dial         rpc.Dial             // connects to coordinators and agents; nil: TCP
+	Clock        func() time.Duration // the steady clock of the lease client; nil: the default of package lease
 
 	operator fleet.Operator
 	client   *http.Client
 	changes  map[string]*applicationDriver // by application
 }
 
-// applicationDriver is the change of one application as this driver knows it.
+// applicationDriver is the driver's copy of the current change of one application, with the evidence collected for it.
 type applicationDriver struct {
 	*rollout.Change
 	evidence      evidence.Evidence
-	lastElapsedAt time.Time // up to when time was reported; zero: none was
+	lastElapsedAt time.Time // until when elapsed time has been reported; zero: none has been
 	polls         int
 	reachability  rollout.ReachabilityTracker
 }
 
-// leaseTTL is how long other coordinators wait for a driver that does not renew its lease.
+// leaseTTL is the TTL of a coordinator's driver: how long other coordinators wait for a driver that does not renew its lease.
 const leaseTTL = 3 * time.Second
 
-// ForCoordinator returns the driver that runs beside a coordinator with these settings.
+// ForCoordinator returns the driver that runs in the process of a coordinator with these settings.
 func ForCoordinator(c *fleet.Config, log *slog.Logger) *Driver {
 	d := &Driver{TTL: leaseTTL, Interval: c.DriveInterval, Log: log, Dial: c.Dial}
 	if c.Clock != nil {
@@ -66,8 +66,8 @@
 	return d
 }
 
-// Start has Run run on a goroutine of its own, and returns the function that ends it and waits for its end. An error of Run is logged: the
-// coordinator serves on without a driver.
+// Start calls Run on a new goroutine. The returned function stops it and waits until it has returned. An error of Run is logged, and the
+// coordinator continues without a driver.
 func (d *Driver) Start(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
@@ -83,8 +83,8 @@
 	}
 }
 
-// Run drives while it holds the lease, and waits for the lease otherwise, until ctx ends. It is called once. An error says which of the
-// exported fields is invalid.
+// Run waits for the lease and executes changes while it holds the lease, until ctx ends. It may be called once. It returns an error only if
+// the lease client rejects the exported fields.
 func (d *Driver) Run(ctx context.Context) error {
 	d.client = rpc.NewHTTPClient(rpc.HTTPOptions{Dial: d.Dial, DialTimeout: dialTimeout, MaxIdleConnsPerHost: 2})
 	defer d.client.CloseIdleConnections()
@@ -93,31 +93,31 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = client.Close() }() // the lease was released, or ends by itself
+	defer func() { _ = client.Close() }() // on an error the session expires by itself
 	for ctx.Err() == nil {
 		held, err := client.Hold(ctx, LeaseName)
 		if err != nil {
 			rpc.Sleep(ctx, d.Interval)
 			continue
 		}
-		d.driveWith(ctx, held)
+		d.runWithLease(ctx, held)
 	}
 	return nil
 }
 
-// driveWith drives while a lease is held and releases it afterwards.
-func (d *Driver) driveWith(ctx context.Context, held *lease.Held) {
+// runWithLease executes changes while the lease is held, and releases the lease afterwards.
+func (d *Driver) runWithLease(ctx context.Context, held *lease.Held) {
 	d.Log.Info("drives", "token", uint64(held.Token))
 	d.changes = map[string]*applicationDriver{}
-	err := d.driveWhileHeld(ctx, held)
+	err := d.pollUntilLeaseLost(ctx, held)
 	d.Log.Info("drives no more", "token", uint64(held.Token), "err", err)
 	releaseContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), agentTimeout)
 	defer cancel()
-	_ = held.Release(releaseContext) // an error says that it is lost already
+	_ = held.Release(releaseContext) // on an error the lease is lost already or expires by itself
 }
 
-// driveWhileHeld polls until the lease is lost, a newer driver is known, or stop ends. The error says which.
-func (d *Driver) driveWhileHeld(stop context.Context, held *lease.Held) error {
+// pollUntilLeaseLost polls until the lease is lost, a newer driver is known, or stop ends. The returned error is never nil and names the cause.
+func (d *Driver) pollUntilLeaseLost(stop context.Context, held *lease.Held) error {
 	ctx, cancel := context.WithCancelCause(held.Context())
 	defer cancel(nil)
 	defer context.AfterFunc(stop, func() { cancel(context.Cause(stop)) })()
@@ -139,8 +139,8 @@
 	}
 }
 
-// pollAll polls the changes of all applications. An error of one does not keep the others from being polled, but for
-// rollout.ErrStaleDriver.
+// pollAll polls the changes of all applications. After an error of one application it continues with the others, except after
+// rollout.ErrStaleDriver, which it returns at once.
 func (d *Driver) pollAll(ctx context.Context, held *lease.Held) error {
 	var names []string
 	if err := d.readChanges(ctx, "", &names); err != nil {
@@ -159,7 +159,8 @@
 	return errors.Join(failures...)
 }
 
-// readChanges reads the log's state: a rollout.Application, or with an empty name the names of the applications.
+// readChanges reads the state of the log from a coordinator and decodes it into to: a rollout.Application, or the names of all applications
+// if application is empty.
 func (d *Driver) readChanges(ctx context.Context, application string, to any) error {
 	ctx, cancel := context.WithTimeout(ctx, coordinatorTimeout)
 	defer cancel()
@@ -173,8 +174,8 @@
 	return json.Unmarshal(response.Changes, to)
 }
 
-// driveApplication polls one application: it reads the log's state, polls the agents, has the counts judged, appends the events and
-// delivers the orders.
+// driveApplication executes one poll of an application: it reads the state of the log, polls the agents, judges the counts, appends the events
+// to the log and delivers the orders.
 func (d *Driver) driveApplication(ctx context.Context, held *lease.Held, application string) error {
 	change, err := d.refresh(ctx, application)
 	if err != nil {
@@ -208,7 +209,8 @@
 	return d.deliverOrders(ctx, held, application, change)
 }
 
-// refresh reads the current change of an application: operators may have added events to it, or begun another.
+// refresh updates the driver's copy of the current change of an application from the log. Operators may have added events to the change or
+// begun another one.
 func (d *Driver) refresh(ctx context.Context, application string) (*applicationDriver, error) {
 	change := d.changes[application]
 	if change == nil {
@@ -226,8 +228,8 @@
 	return change, nil
 }
 
-// appendEvents appends events to the log and applies them to the driver's copy of the state. If the log has had others meanwhile it
-// stops, and the next poll begins with what the log holds.
+// appendEvents appends events to the log and applies them to the driver's copy of the state. If the log refuses them, for example because it
+// has had other events in the meantime, the rest is dropped without an error, and the next poll starts from the state of the log.
 func (d *Driver) appendEvents(ctx context.Context, token uint64, application string, change *applicationDriver, events []rollout.Event) error {
 	for len(events) > 0 {
 		n := min(len(events), rollout.MaxEvents)
--- a/internal/coordination/driver/many_test.go
+++ b/internal/coordination/driver/many_test.go
@@ -16,8 +16,9 @@
 	"petrelhook/internal/rig/deployment"
 )
 
-// A complete change of many agents, with the driver in this process: each is ordered once, and the number of requests to log and agents grows
-// with the agents that change, not with the time. FIGURES=1 has 2,000 of them.
+// A driver completes a change of many simulated agents with one order for each sidecar that changes or is restarted as a control. With the
+// environment variable FIGURES set, the test also runs with 200 and 2,000 agents. Its log shows that the numbers of log entries and polls grow
+// with the agents that change, not with the time.
 func TestManyAgents(t *testing.T) {
 	sizes := []int{20}
 	if os.Getenv("FIGURES") != "" {
@@ -30,13 +31,13 @@
 			Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 0.05}, ControlCount: max(1, n/20)}, {Selector: rollout.Selector{Share: 0.25}, ControlCount: max(1, n/20)}, {Selector: rollout.Selector{Share: 1}}}}}
 		var agents []*deployment.SimulatedAgent
 		for i := range n {
-			p, err := deployment.StartSimulatedAgent(fmt.Sprintf("n%04d", i), "old")
+			agent, err := deployment.StartSimulatedAgent(fmt.Sprintf("n%04d", i), "old")
 			if err != nil {
 				t.Fatal(err)
 			}
-			agents = append(agents, p)
-			start.Members = append(start.Members, rollout.Member{Name: p.Name, Agent: p.Addr})
-			start.Reports = append(start.Reports, p.Report())
+			agents = append(agents, agent)
+			start.Members = append(start.Members, rollout.Member{Name: agent.Name, Agent: agent.Addr})
+			start.Reports = append(start.Reports, agent.Report())
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		d := &driver.Driver{Coordinators: []string{addr}, TTL: 3 * time.Second, Interval: 200 * time.Millisecond, Log: slog.New(slog.DiscardHandler)}
@@ -47,24 +48,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		response, err := o.Call(ctx, fleet.Request{Rollout: &rollout.Command{Application: "a", Change: "c", Start: start}})
 		if err != nil || response.Rollout.Error != "" {
 			t.Fatal(err, response)
 		}
 		var app rollout.Application
 		name := "a"
-		for end := time.Now().Add(2 * time.Minute); app.Current == nil || !app.Current.State.Phase.Over(); {
+		for deadline := time.Now().Add(2 * time.Minute); app.Current == nil || !app.Current.State.Phase.Over(); {
 			response, err := o.Call(ctx, fleet.Request{Changes: &name})
-			if err != nil || json.Unmarshal(response.Changes, &app) != nil || time.Now().After(end) {
+			if err != nil || json.Unmarshal(response.Changes, &app) != nil || time.Now().After(deadline) {
 				t.Fatal(err, app.Current.State.Phase, app.Current.State.WaitingFor())
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		elapsed := time.Since(began)
+		elapsed := time.Since(startedAt)
 		polls, orders := 0, 0
-		for _, p := range agents {
-			polls, orders = polls+p.Polls(), orders+p.Orders()
+		for _, agent := range agents {
+			polls, orders = polls+agent.Polls(), orders+agent.Orders()
 		}
 		after, err := o.Status(ctx, addr)
 		if err != nil {
@@ -72,15 +73,15 @@
 		}
 		t.Logf("%d agents: %v after %v; %d entries of the log (%.1f a second), %d events, %d polls of agents (%.0f a second), %d orders; state of %d bytes", n, app.Current.State.Phase,
 			elapsed.Round(100*time.Millisecond), after.Applied-before.Applied, float64(after.Applied-before.Applied)/elapsed.Seconds(), app.Current.EventCount, polls, float64(polls)/elapsed.Seconds(),
-			orders, len(must(json.Marshal(app.Current))))
+			orders, len(mustMarshal(json.Marshal(app.Current))))
 		if want := n + 2*max(1, n/20); app.Current.State.Phase != rollout.Done || orders != want {
 			t.Errorf("%v (%s), %d orders, want %d", app.Current.State.Phase, app.Current.State.Reason, orders, want)
 		}
-		agents[0].SwitchRelease("old") // after the end it is reported, and nothing is done about it
-		for end := time.Now().Add(20 * time.Second); app.Current.State.Sidecars()[0].Release != "old"; time.Sleep(50 * time.Millisecond) {
+		agents[0].SwitchRelease("old") // after the end of the change the driver still reports this, but issues no order
+		for deadline := time.Now().Add(20 * time.Second); app.Current.State.Sidecars()[0].Release != "old"; time.Sleep(50 * time.Millisecond) {
 			response, err := o.Call(ctx, fleet.Request{Changes: &name})
-			if err != nil || json.Unmarshal(response.Changes, &app) != nil || time.Now().After(end) {
-				t.Fatal("it is not reported", err)
+			if err != nil || json.Unmarshal(response.Changes, &app) != nil || time.Now().After(deadline) {
+				t.Fatal("the fallback is not reported", err)
 			}
 		}
 		cancel()
@@ -92,14 +93,14 @@
 		case <-time.After(10 * time.Second):
 			t.Fatal("the driver does not end")
 		}
-		for _, p := range agents {
-			p.Close()
+		for _, agent := range agents {
+			agent.Close()
 		}
 		stop()
 	}
 }
 
-func must(text []byte, err error) []byte {
+func mustMarshal(text []byte, err error) []byte {
 	if err != nil {
 		panic(err)
 	}
--- a/internal/coordination/driver/planfile.go
+++ b/internal/coordination/driver/planfile.go
@@ -11,11 +11,11 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// PlanFile is a plan with the agents that it concerns, as operators write it.
+// PlanFile is the content of a plan file: a plan and the agents whose sidecars it changes.
 type PlanFile struct {
 	Plan     rollout.Plan
-	Agents   []string // their addresses
-	Warnings []string // what the file should say otherwise, each with its place; petrelhookctl prints them
+	Agents   []string // addresses of the agents
+	Warnings []string // deprecated names in the file, each with its position; petrelhookctl prints them
 }
 
 // The defaults of a plan file.
@@ -26,7 +26,7 @@
 	defaultProgressTimeout = 30 * time.Minute
 )
 
-// The names that earlier versions had for fields, each with the current one. They are still read; see yamlfile.DeprecatedNames.
+// The deprecated names of fields, each with the current name. They are still read; see yamlfile.DeprecatedNames.
 var (
 	renamedPlanFields = map[string]string{
 		"at_once":     "max_concurrent",
@@ -43,13 +43,13 @@
 	renamedStageFields = map[string]string{"least": "min_bake_time"}
 )
 
-// The longest times of a plan file.
+// The upper bounds of durations in a plan file.
 const (
 	maxBaselinePeriod = 24 * time.Hour
 	maxStageTime      = 7 * 24 * time.Hour
 )
 
-// ReadPlan reads a plan file.
+// ReadPlan reads the plan file at path; see ParsePlan.
 func ReadPlan(path string) (*PlanFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return ParsePlan(path, text)
 }
 
-// ParsePlan reads the text of a plan file. Every error names file, line, column and field, and says what to write. Whether the stages fit
-// the sidecars is found out when those are known; see Begin.
+// ParsePlan parses the text of a plan file. Every error names file, line, column and field, and states what to write. It does not check whether
+// the stages fit the sidecars, which are not known yet; Begin does.
 func ParsePlan(file string, text []byte) (*PlanFile, error) {
 	top, err := yamlfile.Mapping(file, text, "fields such as application: permits")
 	if err != nil {
@@ -78,12 +78,12 @@
 	return p.result, nil
 }
 
-// planParser reads one plan file.
+// planParser holds the state of parsing one plan file.
 type planParser struct {
 	file   string
 	result *PlanFile
 
-	agents, judge, stages yaml.Node // the zero node: the file does not have it
+	agents, judge, stages yaml.Node // values of these fields; the zero node if the file does not have the field
 
 	deprecated yamlfile.DeprecatedNames
 }
@@ -112,7 +112,7 @@
 	}, renamedPlanFields)
 }
 
-// checkTop checks the fields that a plan file must have.
+// checkTop checks the fields that a plan file must have, and sets the default of max_unavailable.
 func (p *planParser) checkTop(top *yaml.Node) error {
 	plan := &p.result.Plan
 	switch {
--- a/internal/coordination/driver/planfile_test.go
+++ b/internal/coordination/driver/planfile_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Slips in a plan's file are errors with their place.
+// Mistakes in a plan file are errors that name their position.
 func TestBadPlanFiles(t *testing.T) {
 	good := "application: a\nfrom: x\nto: y\nagents: [\"127.0.0.1:1\"]\nstages:\n  - {count: 1}\n"
 	if f, err := ParsePlan("p", []byte(good)); err != nil || f.Plan.MaxUnavailable != 1 || f.Plan.ProgressTimeout != defaultProgressTimeout {
@@ -35,7 +35,7 @@
 	}
 }
 
-// planFile is a plan with all settings that have had another name.
+// planFile is a plan file with all fields that have a deprecated name.
 const planFile = `application: a
 from: x
 to: y
@@ -54,8 +54,8 @@
   - {share: 1, min_bake_time: 10s}
 `
 
-// A setting under the name that earlier versions had for it is read as under its current name, with one warning that says the current one. A
-// file with both names is an error.
+// A field under its deprecated name is read like one under its current name, with one warning that states the current name. A file with both
+// names is an error.
 func TestDeprecatedPlanSettings(t *testing.T) {
 	want, err := ParsePlan("p", []byte(planFile))
 	if err != nil || len(want.Warnings) != 0 {
@@ -95,14 +95,14 @@
 	}
 }
 
-// The example of a plan has no deprecated names.
+// The example plan file in the deploy folder is valid and has no deprecated names.
 func TestExamplePlan(t *testing.T) {
 	if f, err := ReadPlan("../../../deploy/rollout.yaml"); err != nil || len(f.Warnings) != 0 {
 		t.Error(err, f)
 	}
 }
 
-// A plan is sent and stored under the names of the first versions, whatever its file calls its fields.
+// The JSON form of a plan, which is sent and stored, keeps the keys of the first versions, independent of the names in plan files.
 func TestPlanOnTheWire(t *testing.T) {
 	f, err := ParsePlan("p", []byte(planFile))
 	if err != nil {
