--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -74,7 +74,7 @@
 	go func() {
 		defer close(ended)
 		if err := d.Run(ctx); err != nil {
-			d.Log.Error("drives no changes", "err", err)
+			d.Log.Error("rollout driver failed", "err", err)
 		}
 	}()
 	return func() {
@@ -107,10 +107,10 @@
 
 // runWithLease executes changes while the lease is held, and releases the lease afterwards.
 func (d *Driver) runWithLease(ctx context.Context, held *lease.Held) {
-	d.Log.Info("drives", "token", uint64(held.Token))
+	d.Log.Info("rollout driver started", "token", uint64(held.Token))
 	d.changes = map[string]*applicationDriver{}
 	err := d.pollUntilLeaseLost(ctx, held)
-	d.Log.Info("drives no more", "token", uint64(held.Token), "err", err)
+	d.Log.Info("rollout driver stopped", "token", uint64(held.Token), "err", err)
 	releaseContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), agentTimeout)
 	defer cancel()
 	_ = held.Release(releaseContext) // on an error the lease is lost already or expires by itself
--- a/internal/rig/driverlog/driverlog.go
+++ b/internal/rig/driverlog/driverlog.go
@@ -1,5 +1,5 @@
-// Package driverlog finds the coordinator that drives rolling changes from the logs of all coordinators: the driver's status is in no
-// response. It is pure.
+// Package driverlog finds the coordinator whose rollout driver is running from the logs of all coordinators, because no response of a
+// coordinator tells. It does no I/O.
 package driverlog
 
 import (
@@ -9,12 +9,12 @@
 
 // The log lines of package coordination/driver, as log/slog writes them.
 const (
-	began = "msg=drives token="
-	ended = `msg="drives no more"`
+	began = `msg="rollout driver started" token=`
+	ended = `msg="rollout driver stopped"`
 )
 
-// Driver is the index of the log whose coordinator drives, -1 if none does. Of several that have not noticed their end yet it is the one
-// with the largest fencing token.
+// Driver returns the index of the log whose coordinator's driver is running, -1 if there is none. If several drivers have not logged their
+// end yet, it returns the one with the largest fencing token.
 func Driver(logs []string) int {
 	highest, index := uint64(0), -1
 	for i, log := range logs {
@@ -23,7 +23,7 @@
 			continue
 		}
 		var token uint64
-		// without a token it stays 0, which is no token
+		// without a token in the line it stays 0, which no driver has
 		if _, _ = fmt.Sscanf(log[last:], began+"%d", &token); token > highest {
 			highest, index = token, i
 		}
