--- a/internal/coordination/driver/agents.go
+++ b/internal/coordination/driver/agents.go
@@ -75,8 +75,8 @@
 	return statuses, errs
 }
 
-// pollAgents requests the status of the agents of a change and sends them the confirmed release. It returns the statuses by sidecar name and
-// the events for what has changed, or rollout.ErrStaleDriver if an agent knows a newer driver.
+// pollAgents requests the status of the agents of a change and sends them the confirmed release. It returns the statuses by sidecar name
+// and the events for what has changed, or rollout.ErrStaleDriver if an agent knows a newer driver.
 func (d *Driver) pollAgents(
 	ctx context.Context, application string, token uint64, change *applicationDriver,
 ) (map[string]SidecarStatus, []rollout.Event, error) {
@@ -111,7 +111,8 @@
 }
 
 // deliverOrders sends the open orders to their agents while the lease is valid. Every poll repeats this until an order is reported as
-// completed; an agent executes an order only once. It returns rollout.ErrStaleDriver if an agent knows a newer driver. Other errors are logged.
+// completed; an agent executes an order only once. It returns rollout.ErrStaleDriver if an agent knows a newer driver. Other errors are
+// logged.
 func (d *Driver) deliverOrders(ctx context.Context, held *lease.Held, application string, change *applicationDriver) error {
 	agentOf := map[string]string{}
 	for _, m := range change.Members {
--- a/internal/coordination/driver/begin.go
+++ b/internal/coordination/driver/begin.go
@@ -16,15 +16,16 @@
 
 // BeginResult describes a change that was begun, or one that Begin refused because of its findings.
 type BeginResult struct {
-	Change   string            `json:"change,omitempty"` // name of the change; "": Begin refused it
+	Change   string            `json:"change,omitempty"` // name of the change; "": Begin refused it because of its findings
 	Sidecars int               `json:"sidecars"`
 	Findings []release.Finding `json:"findings"`
 }
 
-// Begin validates a plan against the agents' current state and begins the change in the log. It refuses the plan unless every agent answers
-// and has both releases complete, the new program accepts the new settings on every machine, the settings differ only in fields that may
-// differ side by side, the stages fit the sidecars, and all sidecars run the old release. stepsDone says that the operator has completed the
-// additional steps that fields of the kind TwoSteps require. If the settings are refused, the result has the findings besides the error.
+// Begin validates a plan against the agents' current state and begins the change in the log. It refuses the plan unless every agent
+// answers and has both releases complete, the new program accepts the new settings on every machine, the settings differ only in fields
+// that may differ side by side, the stages fit the sidecars, and all sidecars run the old release. stepsDone says that the operator has
+// completed the additional steps that fields of the kind TwoSteps require. If the settings are refused, the result has the findings
+// besides the error.
 func Begin(ctx context.Context, operator *fleet.Operator, client *http.Client, file *PlanFile, stepsDone bool) (*BeginResult, error) {
 	answers := surveyAgents(ctx, client, file)
 	start, err := newStart(file, answers)
--- a/internal/coordination/driver/driver.go
+++ b/internal/coordination/driver/driver.go
@@ -116,7 +116,8 @@
 	_ = held.Release(releaseContext) // on an error the lease is lost already or expires by itself
 }
 
-// pollUntilLeaseLost polls until the lease is lost, a newer driver is known, or stop ends. The returned error is never nil and names the cause.
+// pollUntilLeaseLost polls until the lease is lost, a newer driver is known, or stop ends. The returned error is never nil and names the
+// cause.
 func (d *Driver) pollUntilLeaseLost(stop context.Context, held *lease.Held) error {
 	ctx, cancel := context.WithCancelCause(held.Context())
 	defer cancel(nil)
@@ -174,8 +175,8 @@
 	return json.Unmarshal(response.Changes, to)
 }
 
-// driveApplication executes one poll of an application: it reads the state of the log, polls the agents, judges the counts, appends the events
-// to the log and delivers the orders.
+// driveApplication executes one poll of an application: it reads the state of the log, polls the agents, judges the counts, appends the
+// events to the log and delivers the orders.
 func (d *Driver) driveApplication(ctx context.Context, held *lease.Held, application string) error {
 	change, err := d.refresh(ctx, application)
 	if err != nil {
@@ -228,8 +229,8 @@
 	return change, nil
 }
 
-// appendEvents appends events to the log and applies them to the driver's copy of the state. If the log refuses them, for example because it
-// has had other events in the meantime, the rest is dropped without an error, and the next poll starts from the state of the log.
+// appendEvents appends events to the log and applies them to the driver's copy of the state. If the log refuses them, for example because
+// it has had other events in the meantime, the rest is dropped without an error, and the next poll starts from the state of the log.
 func (d *Driver) appendEvents(ctx context.Context, token uint64, application string, change *applicationDriver, events []rollout.Event) error {
 	for len(events) > 0 {
 		n := min(len(events), rollout.MaxEvents)
--- a/internal/coordination/driver/many_test.go
+++ b/internal/coordination/driver/many_test.go
@@ -16,9 +16,9 @@
 	"petrelhook/internal/rig/deployment"
 )
 
-// A driver completes a change of many simulated agents with one order for each sidecar that changes or is restarted as a control. With the
-// environment variable FIGURES set, the test also runs with 200 and 2,000 agents. Its log shows that the numbers of log entries and polls grow
-// with the agents that change, not with the time.
+// A driver completes a change of many simulated agents with one order for each sidecar that changes or is restarted as a control. With
+// the environment variable FIGURES set, the test also runs with 200 and 2,000 agents. Its log shows that the numbers of log entries and
+// polls grow with the agents that change, not with the time.
 func TestManyAgents(t *testing.T) {
 	sizes := []int{20}
 	if os.Getenv("FIGURES") != "" {
--- a/internal/coordination/driver/planfile.go
+++ b/internal/coordination/driver/planfile.go
@@ -58,8 +58,8 @@
 	return ParsePlan(path, text)
 }
 
-// ParsePlan parses the text of a plan file. Every error names file, line, column and field, and states what to write. It does not check whether
-// the stages fit the sidecars, which are not known yet; Begin does.
+// ParsePlan parses the text of a plan file. Every error names file, line, column and field, and states what to write. It does not check
+// whether the stages fit the sidecars, which are not known yet; Begin does.
 func ParsePlan(file string, text []byte) (*PlanFile, error) {
 	top, err := yamlfile.Mapping(file, text, "fields such as application: permits")
 	if err != nil {
--- a/internal/coordination/driver/planfile_test.go
+++ b/internal/coordination/driver/planfile_test.go
@@ -54,8 +54,8 @@
   - {share: 1, min_bake_time: 10s}
 `
 
-// A field under its deprecated name is read like one under its current name, with one warning that states the current name. A file with both
-// names is an error.
+// A field under its deprecated name is read like one under its current name, with one warning that states the current name. A file with
+// both names is an error.
 func TestDeprecatedPlanSettings(t *testing.T) {
 	want, err := ParsePlan("p", []byte(planFile))
 	if err != nil || len(want.Warnings) != 0 {
--- a/internal/coordination/judge/confidence.go
+++ b/internal/coordination/judge/confidence.go
@@ -8,8 +8,8 @@
 	return upperBound(c.new, missed/2) - (1 - upperBound(Counts{c.control.Total - c.control.Hits, c.control.Total}, missed/2))
 }
 
-// RequestsNeeded returns how many more requests the new release needs, and the control group in proportion, until it is judged to be no worse,
-// provided that the rates stay the same. ok is false if no number of requests would suffice.
+// RequestsNeeded returns how many more requests the new release needs, and the control group in proportion, until it is judged to be no
+// worse, provided that the rates stay the same. ok is false if no number of requests would suffice.
 func RequestsNeeded(new, control Counts, missed, effect float64) (more float64, ok bool) {
 	shownNoWorse := func(times float64) bool {
 		c := cellState{new: Counts{new.Hits * times, new.Total * times}, control: Counts{control.Hits * times, control.Total * times}}
--- a/internal/coordination/judge/eprocess.go
+++ b/internal/coordination/judge/eprocess.go
@@ -11,10 +11,10 @@
 	foundWorse         bool    // the evidence has reached the threshold; this is never reset
 }
 
-// addWindow adds the logarithm of a window's factor. A release may become worse at any window, for example only under load or after hours, and
-// by then the product over all windows would have become too small. So the evidence is a mixture of the products that start at each window n,
-// with weights 1/n(n+1), whose sum is 1. Products that have not started have the value 1. A weighted mean of terms whose expectation is at
-// most 1 has an expectation of at most 1 too.
+// addWindow adds the logarithm of a window's factor. A release may become worse at any window, for example only under load or after
+// hours, and by then the product over all windows would have become too small. So the evidence is a mixture of the products that start at
+// each window n, with weights 1/n(n+1), whose sum is 1. Products that have not started have the value 1. A weighted mean of terms whose
+// expectation is at most 1 has an expectation of at most 1 too.
 func (c *cellState) addWindow(logFactor float64) {
 	if c.windows++; c.windows == 1 {
 		c.startedLogEvidence = math.Inf(-1)
@@ -41,7 +41,8 @@
 }
 
 // alternative returns the two rates of the alternative hypothesis for a window, estimated from the earlier windows alone: the rate of the
-// control group, and a rate of the new release that is larger by the smallest relevant effect, or by the observed difference if that is more.
+// control group, and a rate of the new release that is larger by the smallest relevant effect, or by the observed difference if that is
+// more.
 func (c *cellState) alternative(effect float64) (base, worse float64) {
 	const prior = 1 // pseudo-requests added to the counts; for the control group effect/2 of them are hits
 	base = (c.control.Hits + prior*effect/2) / (c.control.Total + prior)
--- a/internal/coordination/judge/judge.go
+++ b/internal/coordination/judge/judge.go
@@ -124,9 +124,9 @@
 // the smallest relevant amount. larger reports whether the new release had the larger value; if the releases are equal, each has it equally
 // often. Such a cell is advisory. The error wraps ErrTooManyCells.
 //
-// The evidence is a mixture of bets that the new release has the larger value with probability p, uniform over p from a half to one. Each bet
-// multiplies the evidence by 2p if it has and by 2(1-p) if it has not. The expectation of this factor is 1 if the true probability is a half
-// and less if it is smaller, and the same holds for the mixture.
+// The evidence is a mixture of bets that the new release has the larger value with probability p, uniform over p from a half to one. Each
+// bet multiplies the evidence by 2p if it has and by 2(1-p) if it has not. The expectation of this factor is 1 if the true probability is
+// a half and less if it is smaller, and the same holds for the mixture.
 func (j *Judge) AddPair(cell Cell, larger bool) error {
 	cell.Advisory = true
 	state, err := j.cellAt(cell)
@@ -199,8 +199,8 @@
 	return overall
 }
 
-// ranksAbove reports whether a comes before b in the order Worse, NotEnough, NoWorse. Within Worse the larger odds come first, within the others
-// the larger MaxDifference.
+// ranksAbove reports whether a comes before b in the order Worse, NotEnough, NoWorse. Within Worse the larger odds come first, within the
+// others the larger MaxDifference.
 func ranksAbove(a, b Verdict) bool {
 	order := [...]int{NotEnough: 1, NoWorse: 0, Worse: 2}
 	if a.Kind != b.Kind {
--- a/internal/coordination/judge/judge_test.go
+++ b/internal/coordination/judge/judge_test.go
@@ -29,8 +29,8 @@
 
 var plan = Plan{FalseStopRate: 0.01, MissedStopRate: 0.05, MinEffect: 0.02, MaxCells: 18}
 
-// judge simulates a change until it is judged to be worse or all windows are over, and returns the last verdict and the number of windows. A
-// verdict of NoWorse does not end the simulation.
+// judge simulates a change until it is judged to be worse or all windows are over, and returns the last verdict and the number of
+// windows. A verdict of NoWorse does not end the simulation.
 func (c change) judge(t testing.TB, r *rand.Rand, p Plan) (v Verdict, at int) {
 	j, err := New(p)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return func(int, int, int, bool) float64 { return p }
 }
 
-// Equal releases that are judged after every window are stopped no more often than planned, also when the rates of both change together. The
-// log shows how many were judged to be no worse.
+// Equal releases that are judged after every window are stopped no more often than planned, also when the rates of both change together.
+// The log shows how many were judged to be no worse.
 func TestEqualReleases(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for name, c := range map[string]change{
@@ -98,8 +98,8 @@
 	}
 }
 
-// Worse releases are stopped even if only one class in one zone is worse, and the sooner the larger the effect. They are judged to be no worse
-// no more often than planned.
+// Worse releases are stopped even if only one class in one zone is worse, and the sooner the larger the effect. They are judged to be no
+// worse no more often than planned.
 func TestWorseReleases(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	worseInOneCell := func(base, more float64) func(int, int, int, bool) float64 {
--- a/internal/coordination/lease/doc.go
+++ b/internal/coordination/lease/doc.go
@@ -23,9 +23,9 @@
 //     leader counts the TTL from when it granted the renewal, after a. A later leader was elected after the confirmation, because the two
 //     majorities share a replica that had not yet voted for it. So it was elected after a, and it counts a complete TTL from then or later.
 //     (NewLessor; TestExploration: without the wait of a new leader there are two holders)
-//  5. So an Expire is proposed after a + TTL by the leader's clock, and by step 2 the client has stopped relying on the renewal before.
-//     Once Expire is proposed, the leader does not renew this session any more (Lessor.Renewable). A later leader has either applied the
-//     proposal or lost it before it answers any request. (TestExploration: with a renewal after the proposal there are two holders)
+//  5. So an Expire is proposed after a + TTL by the leader's clock, when by step 2 the client does not rely on the renewal any more. Once
+//     Expire is proposed, the leader does not renew this session again (Lessor.Renewable). Before a later leader answers any request, it
+//     has either applied the proposal or lost it. (TestExploration: with a renewal after the proposal there are two holders)
 //  6. Grants are made in the order of the log, and a lease is granted only while no session holds it. (State.Apply)
 //
 // The claim is about what clients assume. An operation of a client may take effect after its lease has expired, for example when the
--- a/internal/coordination/lease/explore_test.go
+++ b/internal/coordination/lease/explore_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// The model has two clients, three replicas, of which one leads and others may still act as leaders of earlier terms, clocks at either end
-// of the drift bound, requests and responses that are delayed or lost, and proposals that a later leader may or may not find in its log. The
-// exploration visits every reachable state and runs the real code: State, Lessor and SessionState.
+// The model has two clients, three replicas, of which one leads and others may still act as leaders of earlier terms, clocks at either
+// end of the drift bound, requests and responses that are delayed or lost, and proposals that a later leader may or may not find in its
+// log. The exploration visits every reachable state and runs the real code: State, Lessor and SessionState.
 //
-// One tick of true time advances a fast clock by 404 and a slow clock by 400, so that their rates differ by MaxDrift. A TTL is two ticks of a
-// fast clock.
+// One tick of true time advances a fast clock by 404 and a slow clock by 400, so that their rates differ by MaxDrift. A TTL is two ticks
+// of a fast clock.
 const (
 	fast, slow = 404, 400
 	modelTTL   = time.Duration(2 * fast)
--- a/internal/coordination/lease/state_test.go
+++ b/internal/coordination/lease/state_test.go
@@ -60,8 +60,8 @@
 	}
 	holder := func(want SessionID, token Token) {
 		t.Helper()
-		if leases := s.List("x")[0]; leases.Session != want || leases.Token != token {
-			t.Errorf("%+v, want session %d, token %d", leases, want, token)
+		if got := s.List("x")[0]; got.Session != want || got.Token != token {
+			t.Errorf("%+v, want session %d, token %d", got, want, token)
 		}
 	}
 	s.Apply(Command{Kind: Expire, Session: 2})
@@ -74,8 +74,8 @@
 	s.Apply(Command{Kind: Close, Session: 5, Seq: 3})
 	holder(3, 3)
 	s.Apply(Command{Kind: Expire, Session: 3})
-	if leases := s.List(""); len(leases) != 0 {
-		t.Errorf("%+v", leases)
+	if got := s.List(""); len(got) != 0 {
+		t.Errorf("%+v", got)
 	}
 }
 
@@ -176,8 +176,8 @@
 	}
 }
 
-// After any sequence of commands the invariants of the state hold, tokens have only grown, and a state restored from a snapshot is equal and
-// gives the same answer to the next command.
+// After any sequence of commands the invariants of the state hold, tokens have only grown, and a state restored from a snapshot is equal
+// and gives the same answer to the next command.
 func TestAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := stateWithSessions(3)
--- a/internal/coordination/rollout/advance.go
+++ b/internal/coordination/rollout/advance.go
@@ -90,8 +90,8 @@
 	return append(orders, Order{s.lastOrder, sidecar.Name, target})
 }
 
-// Disruptions returns the sidecars that the plan's limits count before the sidecar named except gets an order: those that have an open order,
-// and those other than except that have one or are not ready.
+// Disruptions returns the sidecars that the plan's limits count before the sidecar named except gets an order: those that have an open
+// order, and those other than except that have one or are not ready.
 func (s *State) Disruptions(except string) (changing, unavailable []string) {
 	for _, name := range s.sidecarNames {
 		sidecar := s.sidecars[name]
@@ -105,8 +105,8 @@
 	return changing, unavailable
 }
 
-// stageComplete reports whether all sidecars of the stage are changed, all its controls are restarted, and all of them are ready, except for
-// abandoned ones.
+// stageComplete reports whether all sidecars of the stage are changed, all its controls are restarted, and all of them are ready, except
+// for abandoned ones.
 func (s *State) stageComplete() bool {
 	for _, name := range s.stages[s.Stage-1] {
 		sidecar := s.sidecars[name]
@@ -135,8 +135,9 @@
 	return strings.Join(names, ", ")
 }
 
-// controlSidecars returns the sidecars that are restarted as controls of the stage. They belong to later stages, the last stage first, because
-// its sidecars keep the old release for the longest. Sidecars in the zones of the stage's own sidecars come first, because zones differ.
+// controlSidecars returns the sidecars that are restarted as controls of the stage. They belong to later stages, the last stage first,
+// because its sidecars keep the old release for the longest. Sidecars in the zones of the stage's own sidecars come first, because zones
+// differ.
 func (s *State) controlSidecars() (controls []*Sidecar) {
 	var later []string
 	for _, stage := range s.stages[s.Stage:] {
--- a/internal/coordination/rollout/command.go
+++ b/internal/coordination/rollout/command.go
@@ -9,8 +9,8 @@
 // sender repeats it if it gets no response.
 //
 // A driver's command states how many events of the change the driver knows (KnownEvents). If the change has had more, the command has no
-// effect; so a repeated command has none either. An operator's command has token 0, is accepted at any time and may be repeated without harm,
-// because pause, resume and abort name the wanted state.
+// effect; so a repeated command has none either. An operator's command has token 0, is accepted at any time and may be repeated without
+// harm, because pause, resume and abort name the wanted state.
 type Command struct {
 	Application string  `json:"application"`
 	Change      string  `json:"change"`          // name of the change, chosen at random by the client that starts it
@@ -32,8 +32,8 @@
 type Response struct {
 	Error      string `json:"err,omitempty"`    // the text of Err; "": the command was applied
 	EventCount uint64 `json:"events,omitempty"` // how many events the change has had
-	// Err is one of the errors below, for errors.Is, or an error of New; then nothing was changed. It is not sent: package fleet restores it
-	// at the client.
+	// Err is one of the errors below, for errors.Is, or an error of New; then nothing was changed. It is not sent: package fleet restores
+	// it at the client.
 	Err error `json:"-"`
 }
 
--- a/internal/coordination/rollout/event.go
+++ b/internal/coordination/rollout/event.go
@@ -10,8 +10,8 @@
 	Release string `json:"release"`
 }
 
-// Event is an input of the state machine. Exactly one field is set, besides Accept. Reports, verdicts and elapsed times come from the driver,
-// the others from operators.
+// Event is an input of the state machine. Exactly one field is set, besides Accept. Reports, verdicts and elapsed times come from the
+// driver, the others from operators.
 type Event struct {
 	Report  *Report       `json:"report,omitempty"`
 	Verdict *Verdict      `json:"verdict,omitempty"`
--- a/internal/coordination/rollout/fence.go
+++ b/internal/coordination/rollout/fence.go
@@ -40,8 +40,8 @@
 	return f.Token == other.Token && maps.Equal(f.LastOrders, other.LastOrders)
 }
 
-// Admit records an order; known reports that it was admitted before and need not be executed again. The error is or wraps a *StaleTokenError
-// or a *StaleOrderError, and then the order is not recorded.
+// Admit records an order; known reports that it was admitted before and need not be executed again. The error is or wraps a
+// *StaleTokenError or a *StaleOrderError, and then the order is not recorded.
 func (f *Fence) Admit(token uint64, order Order) (known bool, err error) {
 	if err := f.ObserveToken(token); err != nil {
 		return false, fmt.Errorf("order %d of %w", order.Number, err)
--- a/internal/coordination/rollout/reachability.go
+++ b/internal/coordination/rollout/reachability.go
@@ -7,9 +7,9 @@
 // maxMissedPolls is the number of polls in a row without an answer after which the sidecars of an agent count as not ready.
 const maxMissedPolls = 3
 
-// Observe processes the result of a poll: the reports by sidecar, and which agents have not answered. It returns events for the reports that
-// differ from the state, and the agents that count as unreachable as of this poll. A sidecar whose agent is unreachable counts as not ready
-// and as still running the release that was reported last.
+// Observe processes the result of a poll: the reports by sidecar, and which agents have not answered. It returns events for the reports
+// that differ from the state, and the agents that count as unreachable as of this poll. A sidecar whose agent is unreachable counts as
+// not ready and as still running the release that was reported last.
 func (t *ReachabilityTracker) Observe(c *Change, reports map[string]Report, unanswered func(agent string) bool) (events []Event, unreachable []string) {
 	before := t.missedPolls
 	t.missedPolls = map[string]int{}
--- a/internal/coordination/rollout/report/explain.go
+++ b/internal/coordination/rollout/report/explain.go
@@ -1,5 +1,5 @@
-// Package report presents a rolling change to operators: the reasons for its state, the counts of each stage, and both as an HTML page and as
-// a Parquet file for other tools. It only reads the change, and its only I/O is with the writers that it is given.
+// Package report presents a rolling change to operators: the reasons for its state, the counts of each stage, and both as an HTML page
+// and as a Parquet file for other tools. It only reads the change, and its only I/O is with the writers that it is given.
 package report
 
 import (
@@ -78,8 +78,8 @@
 	return l
 }
 
-// addSidecars adds the reasons why sidecars have not changed yet: abandoned ones, open orders, sidecars that are not ready, and the limits that
-// other sidecars of the stage wait for.
+// addSidecars adds the reasons why sidecars have not changed yet: abandoned ones, open orders, sidecars that are not ready, and the
+// limits that other sidecars of the stage wait for.
 func (l *lines) addSidecars(s *rollout.State) {
 	waiting := 0
 	for _, c := range s.Sidecars() {
--- a/internal/coordination/rollout/report/page.go
+++ b/internal/coordination/rollout/report/page.go
@@ -143,8 +143,8 @@
 	return t
 }
 
-// draw draws the chart of a metric, summed over its cells: the rates of the new release and of the control group between consecutive samples,
-// over the time of the stage.
+// draw draws the chart of a metric, summed over its cells: the rates of the new release and of the control group between consecutive
+// samples, over the time of the stage.
 func draw(metric string, course []rollout.CourseSample) (template.HTML, error) {
 	var newRates, controlRates plotter.XYs
 	var before totals
--- a/internal/coordination/rollout/report/rows.go
+++ b/internal/coordination/rollout/report/rows.go
@@ -9,8 +9,8 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// Row is one cell of one stage at one moment, as a row of the Parquet file. Its counts start at zero with each judge: when the stage begins,
-// when another driver takes over, and after a pause.
+// Row is one cell of one stage at one moment, as a row of the Parquet file. Its counts start at zero with each judge: when the stage
+// begins, when another driver takes over, and after a pause.
 type Row struct {
 	Application   string    `parquet:"application,dict"`
 	Change        string    `parquet:"change,dict"`
--- a/internal/coordination/rollout/results.go
+++ b/internal/coordination/rollout/results.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// CellResult is one cell of a verdict: the counts of the sidecars with the new release and of the control group, and the judge's conclusions
-// from them. See judge.Cell.
+// CellResult is one cell of a verdict: the counts of the sidecars with the new release and of the control group, and the judge's
+// conclusions from them. See judge.Cell.
 type CellResult struct {
 	Class         string  `json:"class"`
 	Zone          string  `json:"zone"`
@@ -25,8 +25,8 @@
 	Cells        []CellResult  `json:"cells"`
 }
 
-// StageResult has the last verdict on a stage with its cells, and the course of the cells over time. The counts are those of one driver: they
-// start from zero when another driver takes over, and after a pause.
+// StageResult has the last verdict on a stage with its cells, and the course of the cells over time. The counts are those of one driver:
+// they start from zero when another driver takes over, and after a pause.
 type StageResult struct {
 	Stage   int            `json:"stage"` // counted from 1
 	Verdict string         `json:"verdict"`
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -200,9 +200,9 @@
 	}
 }
 
-// For any sequence of reports (late, duplicated, lost or wrong), verdicts, elapsed times and commands of operators, the plan's limits hold, no
-// sidecar is ordered to the new release after a stop, an agent executes an order once, and a replayed or restored state returns the same
-// orders.
+// For any sequence of reports (late, duplicated, lost or wrong), verdicts, elapsed times and commands of operators, the plan's limits
+// hold, no sidecar is ordered to the new release after a stop, an agent executes an order once, and a replayed or restored state returns
+// the same orders.
 func TestAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := plan()
--- a/internal/coordination/rollout/stages.go
+++ b/internal/coordination/rollout/stages.go
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// pick returns the names of the members that a stage changes. left are the members that no earlier stage changes, out of total. A count or a
-// share of members is spread over the zones.
+// pick returns the names of the members that a stage changes. left are the members that no earlier stage changes, out of total. A count
+// or a share of members is spread over the zones.
 func (s Selector) pick(left []Member, total int) (selected []string, err error) {
 	if err := s.check(); err != nil {
 		return nil, err
--- a/internal/coordination/rollout/state.go
+++ b/internal/coordination/rollout/state.go
@@ -45,7 +45,7 @@
 	Reason          string        // why the change is paused, rolled back or stopped
 	Stage           int           // the current stage, counted from 1
 	BaselineElapsed time.Duration // how much of Plan.BaselinePeriod has passed
-	StageElapsed    time.Duration // how long the stage has been observed since all its sidecars were changed
+	StageElapsed    time.Duration // how long the stage has been observed while it was complete
 	WaitElapsed     time.Duration // how long the stage has waited for sidecars since one of them last changed its release or completed an order
 	JudgedNoWorse   bool          // the judge or an operator has found the stage to be no worse
 	LastVerdict     string        // the reason of the judge's last verdict on this stage
@@ -130,8 +130,8 @@
 	}
 }
 
-// applyElapsed adds time to the baseline period, to the observation of a complete stage, or to the wait for the stage's sidecars, and pauses
-// the change when that wait reaches the plan's timeout.
+// applyElapsed adds time to the baseline period, to the observation of a complete stage, or to the wait for the stage's sidecars, and
+// pauses the change when that wait reaches the plan's timeout.
 func (s *State) applyElapsed(elapsed time.Duration) {
 	switch {
 	case s.BaselineElapsed < s.Plan.BaselinePeriod:
--- a/internal/coordination/share/allocator.go
+++ b/internal/coordination/share/allocator.go
@@ -52,8 +52,8 @@
 	outstanding int           // units of its active allocations
 }
 
-// NewAllocator returns the allocator of a limit for one term. now is an instant at which a majority has confirmed that this leader leads. The
-// allocator allocates nothing in its first period, by the end of which the allocations of the previous leader have expired.
+// NewAllocator returns the allocator of a limit for one term. now is an instant at which a majority has confirmed that this leader leads.
+// The allocator allocates nothing in its first period, by the end of which the allocations of the previous leader have expired.
 func NewAllocator(l Limit, term uint64, now lease.Instant) *Allocator {
 	return &Allocator{limit: l, term: term, startsAt: now.Add(l.Period), lastID: firstID(term),
 		active: map[AllocationID]*activeAllocation{}, members: map[string]*member{}}
@@ -62,7 +62,8 @@
 // SetUnits changes the units of the limit. Existing allocations stay until they expire. The other fields of a limit never change.
 func (a *Allocator) SetUnits(units int) { a.limit.Units = max(units, a.limit.Floor) }
 
-// Allocate answers a request of a member. Before the call a majority must have confirmed, after the request arrived, that this leader leads.
+// Allocate answers a request of a member. Before the call a majority must have confirmed, after the request arrived, that this leader
+// leads.
 func (a *Allocator) Allocate(r AllocationRequest, now lease.Instant) Allocation {
 	a.expire(now)
 	a.returnUnspent(r)
@@ -91,8 +92,8 @@
 	return Allocation{ID: a.lastID, Units: units}
 }
 
-// returnUnspent frees the units of finished allocations that the member has not spent. What it has spent counts until the allocation expires.
-// A usage that is reported twice changes nothing the second time.
+// returnUnspent frees the units of finished allocations that the member has not spent. What it has spent counts until the allocation
+// expires. A usage that is reported twice changes nothing the second time.
 func (a *Allocator) returnUnspent(r AllocationRequest) {
 	for _, usage := range r.Finished {
 		allocation := a.active[usage.Allocation]
@@ -121,8 +122,8 @@
 	return fair
 }
 
-// initialEntitlement returns a fraction of a unit, different for each member, so that members that start at the same time and are entitled to
-// less than one unit per period do not all become entitled to their first unit at the same moment.
+// initialEntitlement returns a fraction of a unit, different for each member, so that members that start at the same time and are
+// entitled to less than one unit per period do not all become entitled to their first unit at the same moment.
 func initialEntitlement(name string, term uint64) float64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, name, term)
--- a/internal/coordination/share/allocators.go
+++ b/internal/coordination/share/allocators.go
@@ -13,8 +13,8 @@
 	byLimit map[string]*Allocator
 }
 
-// NewAllocators returns the allocators of all limits for a new term. The caller must have applied every entry that was in the log before the
-// term.
+// NewAllocators returns the allocators of all limits for a new term. The caller must have applied every entry that was in the log before
+// the term.
 func NewAllocators(r *Register, term uint64, now lease.Instant) *Allocators {
 	a := &Allocators{term, map[string]*Allocator{}}
 	for _, l := range r.Limits() {
--- a/internal/coordination/share/consumer.go
+++ b/internal/coordination/share/consumer.go
@@ -16,7 +16,7 @@
 	name          string
 	weight        float64
 	allocations   []heldAllocation // in the order of their responses
-	finished      []Usage          // not yet reported
+	finished      []Usage          // usages whose report has not been acknowledged
 	floor         floorRate
 	demand        demandMeter
 	nextRequestAt lease.Instant
@@ -69,8 +69,8 @@
 	c.nextRequestAt = now.Add(c.limit.Period / 2)
 }
 
-// NewRequest returns the request for the units that the member would spend in the next period. It returns units that the member holds beyond
-// demand to the allocator; these are not spent from here on, even if the request is lost.
+// NewRequest returns the request for the units that the member would spend in the next period. It returns units that the member holds
+// beyond demand to the allocator; these are not spent from here on, even if the request is lost.
 func (c *Consumer) NewRequest(demand int, now lease.Instant) AllocationRequest {
 	c.expire(now)
 	for i := range c.allocations {
--- a/internal/coordination/share/register.go
+++ b/internal/coordination/share/register.go
@@ -22,14 +22,15 @@
 	ErrTooManyLimits  = fmt.Errorf("there are %d limits already", MaxLimits)
 )
 
-// Register is the replicated state machine of all limits: the same log produces the same register. Limits are never removed. An unused limit
-// is set to no more units than its floor; then its allocations expire, and its name never stands for another limit.
+// Register is the replicated state machine of all limits: the same log produces the same register. Limits are never removed. An unused
+// limit is set to no more units than its floor; then its allocations expire, and its name never stands for another limit.
 type Register struct{ limits map[string]Limit }
 
 // NewRegister returns a register without limits.
 func NewRegister() *Register { return &Register{map[string]Limit{}} }
 
-// Apply applies a command whose limit has passed Limit.Check. It returns ErrLimitImmutable or ErrTooManyLimits, and then nothing is changed.
+// Apply applies a command whose limit has passed Limit.Check. It returns ErrLimitImmutable or ErrTooManyLimits, and then nothing is
+// changed.
 func (r *Register) Apply(c Command) error {
 	l := c.Set
 	present, known := r.limits[l.Name]
--- a/internal/coordination/share/share_test.go
+++ b/internal/coordination/share/share_test.go
@@ -45,8 +45,8 @@
 	return c.begin + lease.Instant(t)
 }
 
-// world simulates members and a sequence of leaders under a schedule drawn from a seed: responses are late, lost and out of order, a replaced
-// leader still answers requests that were confirmed before the next leader was elected, and the limit changes.
+// world simulates members and a sequence of leaders under a schedule drawn from a seed: responses are late, lost and out of order, a
+// replaced leader still answers requests that were confirmed before the next leader was elected, and the limit changes.
 type world struct {
 	rand         *rand.Rand
 	now          time.Duration
@@ -81,8 +81,8 @@
 	w.clocks[w.leader] = c
 }
 
-// requestAgain makes a member send requests repeatedly. Each request is confirmed some time later by the leader of that time, then answered,
-// and the response arrives later still.
+// requestAgain makes a member send requests repeatedly. Each request is confirmed some time later by the leader of that time, then
+// answered, and the response arrives later still.
 func (w *world) requestAgain(i int) {
 	w.request(i, w.limit.Period)
 	w.after(w.upTo(w.limit.Period)+w.limit.Period/50, func() { w.requestAgain(i) })
@@ -233,8 +233,8 @@
 	return got
 }
 
-// Allocations are fair by weight, every member gets some units, and the limit is nearly used up: with many members that start at once, with a
-// member of a large demand, and when members join while the limit is halved.
+// Allocations are fair by weight, every member gets some units, and the limit is nearly used up: with many members that start at once,
+// with a member of a large demand, and when members join while the limit is halved.
 func TestFair(t *testing.T) {
 	const period = time.Second
 	begin := func(units int) *crowd {
