--- a/internal/coordination/lease/explore_test.go
+++ b/internal/coordination/lease/explore_test.go
@@ -237,14 +237,14 @@
 
 func (w *world) clientSuccessors(i int, omit omissions, visit func(*world)) {
 	c := &w.clients[i]
-	begin := func(what Kind, token Token) {
+	sendRequest := func(commandKind Kind, token Token) {
 		n := w.clone()
 		c := &n.clients[i]
-		c.request = modelRequest{phase: requestSent, kind: what, requestedAt: c.clock, token: token}
-		if c.requests++; what != 0 {
+		c.request = modelRequest{phase: requestSent, kind: commandKind, requestedAt: c.clock, token: token}
+		if c.requests++; commandKind != 0 {
 			c.seq++
 		}
-		if what == Release {
+		if commandKind == Release {
 			c.session.Forget("x")
 		}
 		visit(n)
@@ -258,12 +258,12 @@
 			return
 		}
 		if token, _, ok := c.session.Held("x", c.clock); ok {
-			begin(Release, token)
+			sendRequest(Release, token)
 		} else {
-			begin(Acquire, 0)
+			sendRequest(Acquire, 0)
 		}
 		if i == 0 { // the other client's session does not expire within the model's bounds
-			begin(0, 0)
+			sendRequest(0, 0)
 		}
 	case requestSent:
 		for l := range w.leaders {
@@ -271,23 +271,23 @@
 				continue // a replica that does not lead can commit nothing and gets no confirmation
 			}
 			n := w.clone()
-			q := &n.clients[i]
-			q.request.phase, q.request.leader = confirmed, uint8(l)
-			switch q.request.kind {
+			next := &n.clients[i]
+			next.request.phase, next.request.leader = confirmed, uint8(l)
+			switch next.request.kind {
 			case Acquire, Release:
-				q.request.phase = responseSent
-				q.request.answer = n.apply(Command{Kind: q.request.kind, Session: q.session.Session, Seq: q.seq, Name: "x", Token: q.request.token})
+				next.request.phase = responseSent
+				next.request.answer = n.apply(Command{Kind: next.request.kind, Session: next.session.Session, Seq: next.seq, Name: "x", Token: next.request.token})
 			default:
-				q.request.grants, q.request.version = n.leaders[l].lessor.state.Grants(q.session.Session, q.session.grantsVersion)
+				next.request.grants, next.request.version = n.leaders[l].lessor.state.Grants(next.session.Session, next.session.grantsVersion)
 			}
 			visit(n)
 		}
 	case confirmed: // the replica answers; another replica may be the leader by now
 		n := w.clone()
-		q, l := &n.clients[i], &n.leaders[c.request.leader]
-		if q.request.phase = responseSent; q.request.kind == 0 {
-			if q.request.alive = l.lessor.Renewable(q.session.Session); q.request.alive {
-				l.lessor.Renew(q.session.Session, l.clock)
+		next, l := &n.clients[i], &n.leaders[c.request.leader]
+		if next.request.phase = responseSent; next.request.kind == 0 {
+			if next.request.alive = l.lessor.Renewable(next.session.Session); next.request.alive {
+				l.lessor.Renew(next.session.Session, l.clock)
 			}
 		}
 		visit(n)
@@ -296,16 +296,16 @@
 		n.clients[i].request = modelRequest{}
 		visit(n) // the response is lost
 		n = w.clone()
-		q := &n.clients[i]
-		switch a := q.request; {
-		case a.kind == Acquire && a.answer.Status == OK:
-			q.session.ApplyGrant(q.clock, "x", a.answer.Token)
-		case a.answer.Status == NoSession || a.kind == 0 && !a.alive:
-			q.session.Invalidate()
-		case a.kind == 0:
-			q.session.ApplyKeepAlive(a.requestedAt, a.grants, a.version)
+		next := &n.clients[i]
+		switch r := next.request; {
+		case r.kind == Acquire && r.answer.Status == OK:
+			next.session.ApplyGrant(next.clock, "x", r.answer.Token)
+		case r.answer.Status == NoSession || r.kind == 0 && !r.alive:
+			next.session.Invalidate()
+		case r.kind == 0:
+			next.session.ApplyKeepAlive(r.requestedAt, r.grants, r.version)
 		}
-		q.request = modelRequest{}
+		next.request = modelRequest{}
 		visit(n)
 	}
 }
--- a/internal/coordination/lease/lessor.go
+++ b/internal/coordination/lease/lessor.go
@@ -76,11 +76,11 @@
 }
 
 // Applied updates the timers. The leader calls it after State.Apply for each command that was applied in its term, with the answer.
-func (ls *Lessor) Applied(cmd Command, a Answer, now Instant) {
+func (ls *Lessor) Applied(cmd Command, answer Answer, now Instant) {
 	switch cmd.Kind {
 	case Open:
-		if _, known := ls.expiry[a.Session]; a.Status == OK && !known {
-			ls.Renew(a.Session, now)
+		if _, known := ls.expiry[answer.Session]; answer.Status == OK && !known {
+			ls.Renew(answer.Session, now)
 		}
 	case Break:
 		ls.watchBroken(cmd.Name, now)
--- a/internal/coordination/lease/state_test.go
+++ b/internal/coordination/lease/state_test.go
@@ -24,7 +24,7 @@
 // with the same owner are different sessions.
 func TestRepeatedCommandsActOnce(t *testing.T) {
 	s := stateWithSessions(2)
-	do := func(kind Kind, id SessionID, seq uint64, token Token, want Status, wantToken Token) {
+	apply := func(kind Kind, id SessionID, seq uint64, token Token, want Status, wantToken Token) {
 		t.Helper()
 		if a := s.Apply(Command{Kind: kind, Session: id, Seq: seq, Name: "x", Token: token}); a.Status != want || a.Token != wantToken {
 			t.Errorf("%v %d/%d: %v", kind, id, seq, a)
@@ -33,17 +33,17 @@
 	if a := s.Apply(Command{Kind: Open, Nonce: "nonce1", Owner: "other", TTL: time.Second}); a.Session != 2 {
 		t.Errorf("opened again: %v", a)
 	}
-	do(Acquire, 1, 1, 0, OK, 1)
-	do(Acquire, 1, 1, 0, OK, 1) // the response was lost
-	do(Acquire, 1, 2, 0, OK, 1) // a new command: no second grant
-	do(Acquire, 2, 1, 0, HeldByOther, 0)
-	do(Release, 1, 3, 1, OK, 0)
-	do(Release, 1, 3, 1, OK, 0)
-	do(Acquire, 1, 2, 0, Stale, 0) // a duplicate that the network had delayed: no client would learn of its grant
-	do(Acquire, 2, 2, 0, OK, 2)
-	do(Release, 1, 4, 1, NotHeld, 0)
-	do(Release, 2, 3, 1, NotHeld, 0)
-	do(Acquire, 9, 1, 0, NoSession, 0)
+	apply(Acquire, 1, 1, 0, OK, 1)
+	apply(Acquire, 1, 1, 0, OK, 1) // the response was lost
+	apply(Acquire, 1, 2, 0, OK, 1) // a new command: no second grant
+	apply(Acquire, 2, 1, 0, HeldByOther, 0)
+	apply(Release, 1, 3, 1, OK, 0)
+	apply(Release, 1, 3, 1, OK, 0)
+	apply(Acquire, 1, 2, 0, Stale, 0) // a duplicate that the network had delayed: no client would learn of its grant
+	apply(Acquire, 2, 2, 0, OK, 2)
+	apply(Release, 1, 4, 1, NotHeld, 0)
+	apply(Release, 2, 3, 1, NotHeld, 0)
+	apply(Acquire, 9, 1, 0, NoSession, 0)
 	if leases := s.List(""); len(leases) != 1 || leases[0].Session != 2 || leases[0].Token != 2 {
 		t.Errorf("%+v", leases)
 	}
@@ -58,7 +58,7 @@
 			t.Errorf("%d: %v", id, a)
 		}
 	}
-	holder := func(want SessionID, token Token) {
+	checkHolder := func(want SessionID, token Token) {
 		t.Helper()
 		if got := s.List("x")[0]; got.Session != want || got.Token != token {
 			t.Errorf("%+v, want session %d, token %d", got, want, token)
@@ -67,12 +67,12 @@
 	s.Apply(Command{Kind: Expire, Session: 2})
 	s.Apply(Command{Kind: Cancel, Session: 4, Seq: 2, Name: "x"})
 	s.Apply(Command{Kind: Transfer, Session: 1, Seq: 2, Name: "x", Token: 1, TransferTo: 5})
-	holder(5, 2)
+	checkHolder(5, 2)
 	if a := s.Apply(Command{Kind: Transfer, Session: 5, Seq: 2, Name: "x", Token: 2, TransferTo: 4}); a.Status != NotHeld {
 		t.Errorf("to a session that does not wait: %v", a)
 	}
 	s.Apply(Command{Kind: Close, Session: 5, Seq: 3})
-	holder(3, 3)
+	checkHolder(3, 3)
 	s.Apply(Command{Kind: Expire, Session: 3})
 	if got := s.List(""); len(got) != 0 {
 		t.Errorf("%+v", got)
--- a/internal/coordination/rollout/register.go
+++ b/internal/coordination/rollout/register.go
@@ -55,11 +55,11 @@
 
 // Apply applies a command that has passed Check.
 func (r *Register) Apply(c Command) Response {
-	a, err := r.apply(c)
+	response, err := r.apply(c)
 	if err != nil {
-		a.Error, a.Err = err.Error(), err
+		response.Error, response.Err = err.Error(), err
 	}
-	return a
+	return response
 }
 
 // apply is Apply with the error as a separate result.
@@ -143,9 +143,9 @@
 		return nil
 	}
 	if !results {
-		now := *app.Current
-		now.Results = nil
-		app = &Application{&now, app.Past}
+		current := *app.Current
+		current.Results = nil
+		app = &Application{&current, app.Past}
 	}
 	return marshal(app)
 }
--- a/internal/coordination/rollout/register_test.go
+++ b/internal/coordination/rollout/register_test.go
@@ -11,11 +11,11 @@
 // A sequence of commands of drivers and operators gets the expected responses, although the register is replaced after each command by one
 // that is restored from its snapshot.
 func TestRegister(t *testing.T) {
-	all, now := members(4)
+	all, reports := members(4)
 	begin := func(change, from, to string) Command {
 		p := plan()
 		p.From, p.To, p.Stages = from, to, []Stage{{Selector: Selector{Count: 1}}, {Selector: Selector{Share: 1}}}
-		return Command{Application: "app", Change: change, Start: &Start{Plan: p, Members: all, Reports: now}}
+		return Command{Application: "app", Change: change, Start: &Start{Plan: p, Members: all, Reports: reports}}
 	}
 	driver := func(change string, token, after uint64, e ...Event) Command {
 		return Command{Application: "app", Change: change, Token: token, KnownEvents: after, Events: e}
@@ -50,8 +50,8 @@
 		if err := c.Check(); err != nil {
 			t.Fatal(i, err)
 		}
-		if a := r.Apply(c.Command); (a.Error == "") != (c.err == "") || !strings.Contains(a.Error, c.err) || a.EventCount != c.events {
-			t.Errorf("%d: %+v, want %q, %d", i, a, c.err, c.events)
+		if response := r.Apply(c.Command); (response.Error == "") != (c.err == "") || !strings.Contains(response.Error, c.err) || response.EventCount != c.events {
+			t.Errorf("%d: %+v, want %q, %d", i, response, c.err, c.events)
 		}
 		kept := r.Snapshot()
 		var err error
@@ -94,17 +94,17 @@
 // The tracker returns events for changed reports and completed orders only, and reports sidecars as not ready once their agent has missed
 // maxMissedPolls polls.
 func TestReachability(t *testing.T) {
-	all, now := members(3)
+	all, initialReports := members(3)
 	for i := range all {
 		all[i].Agent = "of " + all[i].Name
 	}
-	s, err := New(plan3(), all, now)
+	s, err := New(plan3(), all, initialReports)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Apply(Event{})
 	c, tracker := &Change{State: s, Members: all}, ReachabilityTracker{}
-	reports := map[string]Report{"n00": {Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "f"}, "n02": now[2], "stranger": {Sidecar: "stranger"}}
+	reports := map[string]Report{"n00": {Sidecar: "n00", Release: "old", Ready: true, CompletedOrder: 1, FailureReason: "f"}, "n02": initialReports[2], "stranger": {Sidecar: "stranger"}}
 	for poll := 1; poll <= 4; poll++ {
 		got, unreachable := tracker.Observe(c, reports, func(agent string) bool { return agent == "of n01" })
 		if len(got) < 1 || got[0].Report.FailureReason != "f" || len(got) > 1 != (poll >= maxMissedPolls) || (poll == maxMissedPolls) != (len(unreachable) == 1) {
@@ -114,7 +114,7 @@
 			t.Errorf("%+v", got[1].Report)
 		}
 	}
-	reports["n01"] = now[1]
+	reports["n01"] = initialReports[1]
 	if got, _ := tracker.Observe(c, reports, func(string) bool { return false }); len(got) != 1 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/coordination/rollout/report/page.go
+++ b/internal/coordination/rollout/report/page.go
@@ -147,20 +147,20 @@
 // samples, over the time of the stage.
 func draw(metric string, course []rollout.CourseSample) (template.HTML, error) {
 	var newRates, controlRates plotter.XYs
-	var before totals
+	var previous totals
 	for _, sample := range course {
-		now := totalsOf(sample, metric)
-		if now.newTotal < before.newTotal || now.controlTotal < before.controlTotal { // another driver or a pause has reset the counts
-			before = totals{}
+		current := totalsOf(sample, metric)
+		if current.newTotal < previous.newTotal || current.controlTotal < previous.controlTotal { // another driver or a pause has reset the counts
+			previous = totals{}
 		}
 		seconds := sample.StageElapsed.Seconds()
-		if n := now.newTotal - before.newTotal; n > 0 {
-			newRates = append(newRates, plotter.XY{X: seconds, Y: (now.newHits - before.newHits) / n})
+		if n := current.newTotal - previous.newTotal; n > 0 {
+			newRates = append(newRates, plotter.XY{X: seconds, Y: (current.newHits - previous.newHits) / n})
 		}
-		if n := now.controlTotal - before.controlTotal; n > 0 {
-			controlRates = append(controlRates, plotter.XY{X: seconds, Y: (now.controlHits - before.controlHits) / n})
+		if n := current.controlTotal - previous.controlTotal; n > 0 {
+			controlRates = append(controlRates, plotter.XY{X: seconds, Y: (current.controlHits - previous.controlHits) / n})
 		}
-		before = now
+		previous = current
 	}
 	p := chart.New("seconds of the stage", metric)
 	p.Y.Min = 0
--- a/internal/coordination/rollout/report/report_test.go
+++ b/internal/coordination/rollout/report/report_test.go
@@ -29,8 +29,8 @@
 		if err := command.Check(); err != nil {
 			t.Fatal(err)
 		}
-		if a := r.Apply(command); a.Error != "" {
-			t.Fatal(i, a.Error)
+		if response := r.Apply(command); response.Error != "" {
+			t.Fatal(i, response.Error)
 		}
 		if i < len(events) {
 			command = rollout.Command{Application: "a<b>", Change: "c", KnownEvents: uint64(i), AtMillis: int64(1e12 + 1000*i), Events: events[i : i+1]}
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -13,13 +13,13 @@
 	"pgregory.net/rapid"
 )
 
-func members(n int) (all []Member, now []Report) {
+func members(n int) (all []Member, reports []Report) {
 	for i := range n {
 		name := fmt.Sprintf("n%02d", i)
 		all = append(all, Member{Name: name, Zone: string(rune('a' + i%3))})
-		now = append(now, Report{Sidecar: name, Release: "old", Ready: true})
+		reports = append(reports, Report{Sidecar: name, Release: "old", Ready: true})
 	}
-	return all, now
+	return all, reports
 }
 
 func plan() Plan {
@@ -35,8 +35,8 @@
 }
 
 func newFleet(t testing.TB, p Plan, n int) *fleet {
-	all, now := members(n)
-	s, err := New(p, all, now)
+	all, reports := members(n)
+	s, err := New(p, all, reports)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,12 +208,12 @@
 		p := plan()
 		p.MaxConcurrent = rapid.IntRange(1, 3).Draw(t, "at once")
 		p.MaxUnavailable = p.MaxConcurrent + rapid.IntRange(0, 2).Draw(t, "unavailable")
-		all, now := members(9)
-		s, err := New(p, all, now)
+		all, reports := members(9)
+		s, err := New(p, all, reports)
 		if err != nil {
 			t.Fatal(err)
 		}
-		replayed, _ := New(p, all, now)
+		replayed, _ := New(p, all, reports)
 		ready := map[string]bool{}
 		for _, m := range all {
 			ready[m.Name] = true
@@ -341,7 +341,7 @@
 
 // New rejects plans that are invalid or do not fit the sidecars, and its error names the field.
 func TestBadPlans(t *testing.T) {
-	all, now := members(6)
+	all, reports := members(6)
 	for want, change := range map[string]func(*Plan){
 		"from, to: write both":                   func(p *Plan) { p.To = "" },
 		"to: old is what is there":               func(p *Plan) { p.To = "old" },
@@ -361,7 +361,7 @@
 	} {
 		p := plan()
 		change(&p)
-		if _, err := New(p, all, now); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if _, err := New(p, all, reports); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
