--- a/internal/coordination/judge/judge.go
+++ b/internal/coordination/judge/judge.go
@@ -42,7 +42,7 @@
 	case p.MaxCells < 1:
 		return fmt.Errorf("cells: %d; write how many there may be, 1 or more", p.MaxCells)
 	case p.ClusterSize != 0 && !(p.ClusterSize >= 1):
-		return fmt.Errorf("bunch: %v; write 1 or more", p.ClusterSize)
+		return fmt.Errorf("cluster_size: %v; write 1 or more", p.ClusterSize)
 	}
 	return nil
 }
--- a/internal/coordination/judge/judge_test.go
+++ b/internal/coordination/judge/judge_test.go
@@ -194,7 +194,7 @@
 		"missed_stop_rate: 1;": func(p *Plan) { p.MissedStopRate = 1 },
 		"min_effect: -1;":      func(p *Plan) { p.MinEffect = -1 },
 		"cells: 0;":            func(p *Plan) { p.MaxCells = 0 },
-		"bunch: 0.5;":          func(p *Plan) { p.ClusterSize = 0.5 },
+		"cluster_size: 0.5;":   func(p *Plan) { p.ClusterSize = 0.5 },
 	} {
 		p := plan
 		change(&p)
