--- a/internal/coordination/rollout/event.go
+++ b/internal/coordination/rollout/event.go
@@ -15,7 +15,7 @@
 type Event struct {
 	Report  *Report       `json:"report,omitempty"`
 	Verdict *Verdict      `json:"verdict,omitempty"`
-	Elapsed time.Duration `json:"elapsed,omitempty"` // how long the driver has observed the change since it last reported this
+	Elapsed time.Duration `json:"elapsed,omitempty"` // how long the driver has observed the change since its last Elapsed event
 	Pause   string        `json:"pause,omitempty"`   // the reason
 	Resume  bool          `json:"resume,omitempty"`
 	Abort   string        `json:"abort,omitempty"`  // the reason
@@ -28,7 +28,7 @@
 	Release        string         `json:"release"`
 	Ready          bool           `json:"ready"`
 	CompletedOrder uint64         `json:"done,omitempty"`   // number of the last order that has ended, successful or not
-	FailureReason  string         `json:"failed,omitempty"` // why that order failed, "": it succeeded; the sidecar runs Release in either case
+	FailureReason  string         `json:"failed,omitempty"` // why that order failed; "" if it succeeded. The sidecar runs Release in either case
 	FallbackReason FallbackReason `json:"fell,omitempty"`   // why the sidecar went back to the confirmed release without an order; "": it did not
 }
 
@@ -43,7 +43,7 @@
 
 // Verdict is the judge's verdict on the current stage. If neither Worse nor NoWorse is set, there is not enough evidence.
 type Verdict struct {
-	Stage         int          `json:"stage"` // counted from 1; a verdict on another than the current stage has no effect
+	Stage         int          `json:"stage"` // counted from 1; a verdict on a stage other than the current one has no effect
 	Worse         bool         `json:"worse,omitempty"`
 	BaselineWorse bool         `json:"old,omitempty"` // sidecars with the old release perform worse than before the change
 	NoWorse       bool         `json:"fine,omitempty"`
--- a/internal/coordination/rollout/report/explain.go
+++ b/internal/coordination/rollout/report/explain.go
@@ -135,7 +135,8 @@
 	}
 }
 
-// addCell adds what a cell shows or which evidence it lacks. It adds nothing for a cell that is judged to be no worse or is advisory.
+// addCell adds that a cell is worse, or which evidence it lacks. It adds nothing for a cell that is judged to be no worse, for an advisory
+// cell that is not worse, and for missing evidence once the change is rolled back or stopped.
 func (l *lines) addCell(s *rollout.State, r rollout.CellResult) {
 	cell := judge.Cell{Class: r.Class, Zone: r.Zone, Metric: r.Metric}
 	counted := fmt.Sprintf("%v: new %v of %v, control %.6g of %.6g", cell, r.NewHits, r.NewTotal, r.ControlHits, r.ControlTotal)
--- a/internal/rig/driverlog/driverlog_test.go
+++ b/internal/rig/driverlog/driverlog_test.go
@@ -5,7 +5,9 @@
 // The driver is the coordinator with the largest token that has not logged its end since.
 func TestDriver(t *testing.T) {
 	const ends = "time=2 level=INFO msg=\"rollout driver stopped\" token=7 err=<nil>\n"
-	begin := func(token string) string { return "time=1 level=INFO msg=\"rollout driver started\" token=" + token + "\n" }
+	begin := func(token string) string {
+		return "time=1 level=INFO msg=\"rollout driver started\" token=" + token + "\n"
+	}
 	for name, c := range map[string]struct {
 		logs []string
 		want int
