--- a/internal/coordination/rollout/report/page.go
+++ b/internal/coordination/rollout/report/page.go
@@ -22,15 +22,15 @@
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title><style>{{.Style}}</style></head><body>
 <h1>{{.Title}}</h1>
 <p class="{{if .OK}}kept{{else}}broken{{end}}">{{.Verdict}}</p>
-<p>{{.Plan}}; {{.Sidecars}} sidecars; what matters: {{.Effect}}</p>
+<p>{{.Plan}}; {{.Sidecars}} sidecars; judge: {{.Effect}}</p>
 {{if .Lines}}<h2>Why</h2><ul>{{range .Lines}}<li>{{.Text}}</li>{{end}}</ul>{{end}}
 <h2>Course</h2><table><tr><th>When (UTC)</th><th>Phase</th><th>Stage</th><th></th></tr>
 {{range .Transitions}}<tr><td>{{moment .AtMillis}}</td><td>{{.Phase}}</td><td class="n">{{.Stage}}</td><td>{{.Reason}}</td></tr>{{end}}</table>
-{{range .Stages}}<h2>Stage {{.Stage}}: old against new</h2>
+{{range .Stages}}<h2>Stage {{.Stage}}: new release and control group</h2>
 <p>{{.Verdict}}</p>
-<p>Changed: {{.Changed}}. {{if .Control}}Restarted as they were, to compare with: {{.Control}}.{{end}}</p>
+<p>Changed: {{.Changed}}. {{if .Control}}Restarted with the old release as the control group: {{.Control}}.{{end}}</p>
 {{range .Charts}}{{.}}{{end}}
-<table><tr><th>Metric</th><th>Class</th><th>Zone</th><th>New</th><th>Control</th><th>Odds</th><th>At most more</th><th></th></tr>
+<table><tr><th>Metric</th><th>Class</th><th>Zone</th><th>New</th><th>Control</th><th>Odds</th><th>Difference at most</th><th></th></tr>
 {{range .Cells}}<tr{{if eq .Verdict "worse"}} class="broken"{{end}}><td>{{.Metric}}</td><td>{{.Class}}</td><td>{{.Zone}}</td><td class="n">{{rate .NewHits .NewTotal}}</td><td class="n">{{rate .ControlHits .ControlTotal}}</td><td class="n">{{printf "%.3g" .Odds}}</td><td class="n">{{printf "%.4f" .MaxDifference}}</td><td>{{.Verdict}}</td></tr>
 {{end}}</table>{{end}}
 <h2>Sidecars</h2><table><tr><th>Name</th><th>Zone</th><th>Stage</th><th>Release</th><th>Ready</th><th></th></tr>
@@ -38,7 +38,7 @@
 {{end}}</table></body></html>
 `))
 
-// rate writes a rate with the number that it is of.
+// rate formats a rate with the total that it is a fraction of.
 func rate(hits, total float64) string {
 	if total == 0 {
 		return "none"
@@ -46,20 +46,21 @@
 	return fmt.Sprintf("%.4f of %.0f", hits/total, total)
 }
 
-// stageView is what the page shows of a stage.
+// stageView is the data of the page about a stage.
 type stageView struct {
 	rollout.StageResult
 	Changed, Control string
 	Charts           []template.HTML
 }
 
-// sidecarView is what the page shows of a sidecar.
+// sidecarView is the data of the page about a sidecar.
 type sidecarView struct {
 	rollout.Sidecar
 	Stage int
 }
 
-// WritePage writes a change as a page of HTML that needs nothing else: when and why it ended, and new against old in each stage.
+// WritePage writes a self-contained HTML page about a change: its state and the reasons for it, its transitions, and for each stage the
+// comparison of the new release with the control group.
 func WritePage(w io.Writer, c *rollout.Change) error {
 	s := c.State
 	stages := []stageView{}
@@ -78,10 +79,10 @@
 	for _, sidecar := range s.Sidecars() {
 		sidecars = append(sidecars, sidecarView{sidecar, s.StageOf(sidecar.Name)})
 	}
-	effect := fmt.Sprintf("a difference of %v of a rate, false stops %v, missed stops %v", s.Plan.Judge.MinEffect, s.Plan.Judge.FalseStopRate,
+	effect := fmt.Sprintf("smallest relevant difference of a rate %v, false stop rate %v, missed stop rate %v", s.Plan.Judge.MinEffect, s.Plan.Judge.FalseStopRate,
 		s.Plan.Judge.MissedStopRate)
 	if s.Plan.Judge.Disabled {
-		effect = "the plan has no judge"
+		effect = "none"
 	}
 	return page.Execute(w, map[string]any{
 		"Title": fmt.Sprintf("Change %s of %s", c.Name, s.Plan.Application), "Style": chart.Style,
@@ -91,7 +92,7 @@
 	})
 }
 
-// newStageView names the sidecars of a stage and draws its metrics.
+// newStageView collects the names of a stage's sidecars and draws the charts of its metrics.
 func newStageView(s *rollout.State, r rollout.StageResult) (stageView, error) {
 	view := stageView{StageResult: r}
 	var changed, control []string
@@ -114,7 +115,7 @@
 	return view, nil
 }
 
-// metrics returns the names of the metrics of a course, in order.
+// metrics returns the sorted names of the metrics of a course.
 func metrics(course []rollout.CourseSample) (names []string) {
 	for _, sample := range course {
 		for _, cell := range sample.Cells {
@@ -142,23 +143,24 @@
 	return t
 }
 
-// draw draws a metric of all classes together over a stage's time: its rate from sample to sample, of new and control.
+// draw draws the chart of a metric, summed over its cells: the rates of the new release and of the control group between consecutive
+// samples, over the time of the stage.
 func draw(metric string, course []rollout.CourseSample) (template.HTML, error) {
 	var newRates, controlRates plotter.XYs
-	var before totals
+	var previous totals
 	for _, sample := range course {
-		now := totalsOf(sample, metric)
-		if now.newTotal < before.newTotal || now.controlTotal < before.controlTotal { // the counts started over: with another driver, or after a pause
-			before = totals{}
+		current := totalsOf(sample, metric)
+		if current.newTotal < previous.newTotal || current.controlTotal < previous.controlTotal { // another driver or a pause has reset the counts
+			previous = totals{}
 		}
 		seconds := sample.StageElapsed.Seconds()
-		if n := now.newTotal - before.newTotal; n > 0 {
-			newRates = append(newRates, plotter.XY{X: seconds, Y: (now.newHits - before.newHits) / n})
+		if n := current.newTotal - previous.newTotal; n > 0 {
+			newRates = append(newRates, plotter.XY{X: seconds, Y: (current.newHits - previous.newHits) / n})
 		}
-		if n := now.controlTotal - before.controlTotal; n > 0 {
-			controlRates = append(controlRates, plotter.XY{X: seconds, Y: (now.controlHits - before.controlHits) / n})
+		if n := current.controlTotal - previous.controlTotal; n > 0 {
+			controlRates = append(controlRates, plotter.XY{X: seconds, Y: (current.controlHits - previous.controlHits) / n})
 		}
-		before = now
+		previous = current
 	}
 	p := chart.New("seconds of the stage", metric)
 	p.Y.Min = 0
