--- a/internal/router/replication/abandoned_test.go
+++ b/internal/router/replication/abandoned_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startInOwnZones adds machines, each in a zone of its own, and starts them.
-func (s *simulation) startInOwnZones(addresses ...string) (joined []*host) {
+// startInSeparateZones adds machines, each in a zone of its own, and starts them.
+func (s *simulation) startInSeparateZones(addresses ...string) (joined []*host) {
 	for _, address := range addresses {
 		h := &host{address: address, zone: "zone-" + address, syncTime: 2 * time.Millisecond}
 		s.hosts[address] = h
@@ -20,7 +20,7 @@
 	return joined
 }
 
-// candidateID is who a message of an election is from, or "".
+// candidateID returns the ID of the sender of a Prepare or PreVote, or "" for other messages.
 func candidateID(m Message) string {
 	switch m := m.(type) {
 	case Prepare:
@@ -31,7 +31,7 @@
 	return ""
 }
 
-// writeAndRead proposes a value to every process that says it is primary, and reads there.
+// writeAndRead proposes a value to every process that considers itself primary, and reads there.
 func (s *simulation) writeAndRead(round int) {
 	for client, address := range s.addresses() {
 		h := s.hosts[address]
@@ -42,12 +42,12 @@
 	}
 }
 
-// abandonedChange is a core of three whose primary has proposed a view of five, which is on its own disk alone.
+// abandonedChange is a core of three whose primary has proposed a view of five, which only the primary's own disk holds.
 type abandonedChange struct {
 	*simulation
 	oldPrimary     *process
 	followers      []*host
-	joiningSide    []*host // the primary's host and those that join
+	joiningSide    []*host // the primary's host and the hosts that join
 	abandonedEpoch Epoch
 }
 
@@ -55,10 +55,10 @@
 	t.Helper()
 	s, old := coreWithValue(t)
 	a := &abandonedChange{simulation: s, oldPrimary: old, followers: s.followers(old)}
-	joining := s.startInOwnZones("10.1.0.1:7000", "10.1.1.1:7000")
+	joining := s.startInSeparateZones("10.1.0.1:7000", "10.1.1.1:7000")
 	a.joiningSide = append([]*host{old.host}, joining...)
-	s.mutate = func(_ *process, m Message) Message {
-		if _, accept := m.(Accept); accept || a.isFromFollower(m) {
+	s.intercept = func(_ *process, m Message) Message {
+		if _, accept := m.(Accept); accept || a.isFollowerCandidacy(m) {
 			return nil
 		}
 		return m
@@ -72,13 +72,13 @@
 	return a
 }
 
-// isFromFollower: reports whether by this message one of the two followers would become candidate.
-func (a *abandonedChange) isFromFollower(m Message) bool {
+// isFollowerCandidacy reports whether a message is a Prepare or PreVote of one of the two followers.
+func (a *abandonedChange) isFollowerCandidacy(m Message) bool {
 	from := candidateID(m)
 	return from != "" && (from == a.followers[0].process.replica.Self.ID || from == a.followers[1].process.replica.Self.ID)
 }
 
-// isLateAccept: reports whether a message is the Accept of the abandoned view.
+// isLateAccept reports whether a message is the Accept of the abandoned view.
 func (a *abandonedChange) isLateAccept(m Message) bool {
 	accept, ok := m.(Accept)
 	return ok && accept.View.Epoch == a.abandonedEpoch
@@ -86,21 +86,22 @@
 
 func (a *abandonedChange) isFollower(h *host) bool { return h == a.followers[0] || h == a.followers[1] }
 
-// The primary proposes again; a majority of the five accepts the second view, and the two of the three members before
-// that do not are partitioned from it. They know the view of three alone.
+// The primary proposes again, and a majority of the five accepts the second view. The two previous members that do not
+// accept it are partitioned from the others. They know only the view of three, of which they are a majority, and go on: if
+// the second view needed only votes of the five, both sides would decide.
 func TestAnAbandonedChangeOfMembers(t *testing.T) {
 	s := newAbandonedChange(t)
-	separated := false
-	s.mutate = func(to *process, m Message) Message {
+	partitioned := false
+	s.intercept = func(to *process, m Message) Message {
 		_, accept := m.(Accept)
 		_, sync := m.(Sync)
 		switch {
-		case s.isLateAccept(m) || !separated && s.isFromFollower(m):
+		case s.isLateAccept(m) || !partitioned && s.isFollowerCandidacy(m):
 			return nil
 		case to.host == s.followers[1] && candidateID(m) == s.oldPrimary.replica.Self.ID:
 			return nil
-		case !separated && to.host == s.followers[0] && (accept || sync):
-			separated = true
+		case !partitioned && to.host == s.followers[0] && (accept || sync):
+			partitioned = true
 			s.partition(s.followers, s.joiningSide)
 			return nil
 		}
@@ -108,28 +109,28 @@
 	}
 	s.runIn(s.oldPrimary, func() { s.oldPrimary.replica.campaign(true) })
 	s.run(s.now + 2*time.Second)
-	require.True(t, separated)
+	require.True(t, partitioned)
 	for round := range 8 {
 		s.writeAndRead(round)
 		s.run(s.now + 500*time.Millisecond)
 	}
-	require.NotEqual(t, porcupine.Illegal, check(s.history))
+	require.NotEqual(t, porcupine.Illegal, checkHistory(s.history))
 	require.NotNil(t, leaderAmong(s.followers), "a majority of the members goes on")
-	s.mutate = nil
+	s.intercept = nil
 	s.heal()
 	s.run(s.now + 12*time.Second)
 	require.Len(t, s.primary().replica.View().InSync, 5)
 	s.read(9)
 	s.run(s.now + time.Second)
-	require.NotEqual(t, porcupine.Illegal, check(s.history))
+	require.NotEqual(t, porcupine.Illegal, checkHistory(s.history))
 }
 
-// The two other members before elect a primary and commit a value; then the first one finishes its change, and gets no
-// promise of theirs though they would accept its view.
+// The two other previous members elect a primary and commit a value. Then the old primary finishes its change, and gets
+// no promise of these two, though they would accept its view: the committed value must not be lost.
 func TestAnAbandonedChangeHidesNoLaterView(t *testing.T) {
 	s := newAbandonedChange(t)
 	s.partition(s.followers, s.joiningSide)
-	s.mutate = func(_ *process, m Message) Message {
+	s.intercept = func(_ *process, m Message) Message {
 		if s.isLateAccept(m) {
 			return nil
 		}
@@ -142,7 +143,7 @@
 	s.run(s.now + time.Second)
 	require.Equal(t, http.StatusOK, s.history[len(s.history)-1].status)
 	s.heal()
-	s.mutate = func(to *process, m Message) Message {
+	s.intercept = func(to *process, m Message) Message {
 		if s.isFollower(to.host) {
 			switch m.(type) {
 			case Prepare, PreVote, Sync:
@@ -165,24 +166,24 @@
 			s.callAt(s.oldPrimary, operation{client: 2})
 		}
 	}
-	s.mutate = nil
+	s.intercept = nil
 	s.run(s.now + 12*time.Second)
 	s.read(3)
 	s.run(s.now + time.Second)
 	require.Equal(t, http.StatusOK, s.history[len(s.history)-1].status)
-	require.NotEqual(t, porcupine.Illegal, check(s.history))
+	require.NotEqual(t, porcupine.Illegal, checkHistory(s.history))
 }
 
-// A process that starts with a view on its disk that may never have been in force does not report it as known, and
-// requests pre-votes by it all the same.
+// A process that starts with a view on its disk that may never have been in force does not report that view, but requests
+// pre-votes of its members.
 func TestAnAbandonedViewIsNotReported(t *testing.T) {
 	joint := viewOf(5, "a", "b")
 	joint.Old = joint.Members[:3]
-	r := preVoter(t, joint)
+	r := suspectingReplica(t, joint)
 	view := r.View()
 	require.Zero(t, view.Epoch.Round)
 	require.Zero(t, r.knownView.Epoch.Round)
 	require.True(t, r.suspectsPrimary())
-	inForce := preVoter(t, viewOf(5, "a", "b")).View()
+	inForce := suspectingReplica(t, viewOf(5, "a", "b")).View()
 	require.Equal(t, uint64(5), inForce.Epoch.Round)
 }
--- a/internal/router/replication/catchup.go
+++ b/internal/router/replication/catchup.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Catching up, the primary's side. The primary sends a learner a snapshot in chunks and then the entries after it,
-// beside the proposals that it handles. Only when the learner has nearly all is a view proposed that has it in the
-// in-sync set; the few entries that it lacks by then are sent within the candidacy.
+// This file has the primary's side of catching up. The primary sends a learner a snapshot in chunks and then the entries
+// after it, while it goes on handling proposals. It proposes a view with the learner in the in-sync set only when the
+// learner lacks few entries. These are sent during the candidacy.
 
 const (
 	snapshotChunkBytes    = 32 << 10
 	maxBatchEntries       = 64
 	maxBatchBytes         = snapshotChunkBytes
-	catchUpResendInterval = 300 * time.Millisecond // after which what was not answered is sent again
-	maxActiveTransfers    = 2                      // snapshots on their way at one time
-	transferTimeout       = 2 * time.Second        // without an answer, after which the transfer does not count as active
+	catchUpResendInterval = 300 * time.Millisecond // after which an unanswered message is resent
+	maxActiveTransfers    = 2                      // snapshots that are being sent at one time
+	transferTimeout       = 2 * time.Second        // without an answer; then the transfer does not count as active
 	maxLearnerLagEntries  = 8                      // entries that a learner may lack when a view adds it to the in-sync set
 )
 
-// learnerProgress is what a primary has sent to a learner.
+// learnerProgress is a primary's progress in catching up a learner.
 type learnerProgress struct {
-	transfer    *snapshotTransfer // nil where entries are enough
+	transfer    *snapshotTransfer // nil if the learner lacks no more than the entries in memory
 	lastSent    time.Duration
-	awaitingAck bool // of what was sent then
+	awaitingAck bool // of the message sent at lastSent
 }
 
-// snapshotTransfer is a snapshot on its way to a learner.
+// snapshotTransfer is a snapshot that is being sent to a learner.
 type snapshotTransfer struct {
 	position Position
 	data     []byte
@@ -34,7 +34,7 @@
 	lastAck  time.Duration
 }
 
-// caughtUp reports whether a replica is reachable, can write, and has all but a few entries on its disk.
+// caughtUp reports whether a replica is reachable, has a working disk, and lacks at most maxLearnerLagEntries on it.
 func (r *Replica) caughtUp(id string) bool {
 	status, ok := r.leadership.statuses[id]
 	if !ok || !status.hasDisk || status.diskFails || status.leaving || r.now-status.lastContact >= reachableWindow {
@@ -44,7 +44,8 @@
 	return status.durablePosition == r.state.position || ok && len(missing) <= maxLearnerLagEntries
 }
 
-// catchUp sends a learner the next of what it lacks. Only committed entries are sent: nothing is while one is staged.
+// catchUp sends a learner the next entries or the next snapshot chunk. Only committed entries may be sent: it sends nothing
+// while an entry is staged.
 func (r *Replica) catchUp(id string) {
 	l := &r.leadership
 	status, ok := l.statuses[id]
@@ -72,13 +73,13 @@
 	r.sendSnapshotChunk(status, learner)
 }
 
-// isLearner reports whether a replica can write, knows the view, and is not in the in-sync set.
+// isLearner reports whether a replica has a working disk, knows the view, and is not in the in-sync set.
 func (l *leadership) isLearner(s *replicaStatus) bool {
 	return s.hasDisk && !s.diskFails && !l.view.inSync(s.member.ID) && s.knownEpoch == l.view.Epoch
 }
 
-// firstBatch returns as many entries as go in one message; none where the first is too large: a snapshot goes in
-// chunks, between which the link carries proposals.
+// firstBatch returns as many entries as fit in one message. It returns none if the first is too large: then a snapshot is
+// sent, in chunks between which the link can carry proposals.
 func firstBatch(entries []Entry) []Entry {
 	bytes := 0
 	for i, e := range entries {
@@ -101,7 +102,7 @@
 
 func (r *Replica) sendSnapshotChunk(status replicaStatus, learner *learnerProgress) {
 	if learner.transfer != nil && learner.transfer.position == status.durablePosition {
-		learner.transfer = nil // it has the complete snapshot, and the entries that follow are not in memory any more
+		learner.transfer = nil // the learner has this snapshot, but the entries after it are no longer in memory
 	}
 	if learner.transfer == nil {
 		if r.activeTransfers() >= maxActiveTransfers {
@@ -121,7 +122,7 @@
 	})
 }
 
-// activeTransfers counts the snapshots whose learners answer.
+// activeTransfers returns the number of snapshots that are being sent to learners that still answer.
 func (r *Replica) activeTransfers() int {
 	n := 0
 	for _, learner := range r.leadership.learners {
@@ -132,14 +133,14 @@
 	return n
 }
 
-// catchUpAll sends all learners what they lack.
+// catchUpAll calls catchUp for all learners.
 func (r *Replica) catchUpAll() {
 	for _, id := range sortedKeys(r.leadership.learners) {
 		r.catchUp(id)
 	}
 }
 
-// handleLearnerAck records what a learner has, and sends it what follows.
+// handleLearnerAck records a learner's progress, and sends it the next entries or the next snapshot chunk.
 func (r *Replica) handleLearnerAck(m LearnerAck) {
 	l := &r.leadership
 	if r.role != primary || m.Epoch != l.view.Epoch {
--- a/internal/router/replication/disk.go
+++ b/internal/router/replication/disk.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// diskState is what a replica knows of its disk.
+// diskState is the state of a replica's disk and of the saves that were issued.
 type diskState struct {
-	lastSave             uint64 // number of the newest save
+	lastSaveNumber       uint64 // number of the newest save
 	pendingSaves         []pendingSave
-	needsSnapshot        bool // the disk lacks something that memory has
-	failed               bool // the last save that ended did not succeed
-	retriedAt            time.Duration
+	needsSnapshot        bool // a save failed: the disk may lack an entry, so that the next save has to be a snapshot
+	failed               bool // the last completed save failed
+	lastRetryAt          time.Duration
 	entriesSinceSnapshot int
-	durablePosition      Position
+	durablePosition      Position // of the state on the disk
 }
 
-// pendingSave is a save that the shell has not reported on.
+// pendingSave is a save that the shell has not yet reported as saved or failed.
 type pendingSave struct {
 	number      uint64
 	startedAt   time.Duration
 	hasSnapshot bool
-	position    *Position // of what is on the disk afterwards, where that changes
+	position    *Position // of the state on the disk after this save; nil if the save does not change it
 	onDurable   func()    // may be nil
 }
 
 // saveHardState saves the hard state, and calls onDurable, which may be nil, once it is on the disk. If the save fails,
-// onDurable is never called: whoever waits for its message sends the request again.
+// onDurable is never called: the replica that waits for the answer resends its request.
 func (r *Replica) saveHardState(onDurable func()) {
 	r.save(nil, r.disk.needsSnapshot, onDurable)
 }
 
-// saveEntry is saveHardState with the entry that was applied last.
+// saveEntry is like saveHardState, but also saves the entry that was applied last, or a snapshot where one is due.
 func (r *Replica) saveEntry(entry *Entry, onDurable func()) {
 	r.save(entry, r.disk.needsSnapshot || r.disk.entriesSinceSnapshot >= entriesPerSnapshot, onDurable)
 }
 
-// saveSnapshot is saveHardState with the machine's complete state.
+// saveSnapshot is like saveHardState, but also saves the machine's complete state.
 func (r *Replica) saveSnapshot(onDurable func()) {
 	r.save(nil, true, onDurable)
 }
@@ -48,8 +48,8 @@
 		}
 		return
 	}
-	r.disk.lastSave++
-	save := Save{Number: r.disk.lastSave, Hard: r.hard}
+	r.disk.lastSaveNumber++
+	save := Save{Number: r.disk.lastSaveNumber, Hard: r.hard}
 	pending := pendingSave{number: save.Number, startedAt: r.now, hasSnapshot: asSnapshot, onDurable: onDurable}
 	switch {
 	case asSnapshot:
@@ -65,8 +65,8 @@
 	r.effects = append(r.effects, save)
 }
 
-// ifStillPromised returns a function that calls do if this replica has not promised another epoch by then. What was
-// promised, accepted or replicated for an epoch is not acknowledged after the epoch was left.
+// ifStillPromised returns a function that calls do only if this replica has not promised another epoch meanwhile. A promise,
+// an accepted view or an entry must not be acknowledged after its epoch was left.
 func (r *Replica) ifStillPromised(epoch Epoch, do func()) func() {
 	return func() {
 		if r.hard.Promised == epoch {
@@ -75,8 +75,8 @@
 	}
 }
 
-// Saved reports that a save is on the disk, and with it all before it. What an earlier save was to do that was not
-// reported by itself is dropped.
+// Saved reports that a save is on the disk, and all earlier saves with it. The shell calls it for each save: the onDurable
+// function of an earlier save that was not reported itself is dropped.
 func (r *Replica) Saved(number uint64, now time.Duration) {
 	r.now = now
 	r.disk.failed = false
@@ -98,26 +98,26 @@
 	}
 }
 
-// SaveFailed reports that a save is not on the disk. The replica saves a snapshot later, which the shell must not
-// refuse.
+// SaveFailed reports that a save is not on the disk. The replica drops the pending saves up to it, and later issues one with a
+// snapshot, which the shell must try to write.
 func (r *Replica) SaveFailed(number uint64, now time.Duration) {
 	r.now = now
 	r.disk.pendingSaves = slices.DeleteFunc(r.disk.pendingSaves, func(save pendingSave) bool { return save.number <= number })
 	r.disk.needsSnapshot = true
 	r.disk.failed = true
-	r.disk.retriedAt = now
+	r.disk.lastRetryAt = now
 }
 
-// retryFailedDisk tries a snapshot on a disk whose last save failed.
+// retryFailedDisk saves a snapshot if the last save failed and diskRetryInterval has passed.
 func (r *Replica) retryFailedDisk() {
-	if r.disk.failed && len(r.disk.pendingSaves) == 0 && r.now-r.disk.retriedAt > diskRetryInterval {
-		r.disk.retriedAt = r.now
+	if r.disk.failed && len(r.disk.pendingSaves) == 0 && r.now-r.disk.lastRetryAt > diskRetryInterval {
+		r.disk.lastRetryAt = r.now
 		r.saveSnapshot(nil)
 	}
 }
 
-// diskStalled reports whether the disk fails or hangs. Such a replica does not become candidate, and does not stay
-// primary.
+// diskStalled reports whether the last save failed or the oldest pending one is overdue. Such a replica does not become
+// candidate, and does not stay primary.
 func (r *Replica) diskStalled() bool {
 	pending := r.disk.pendingSaves
 	return r.disk.failed || len(pending) > 0 && r.now-pending[0].startedAt > diskStallTimeout
--- a/internal/router/replication/effects.go
+++ b/internal/router/replication/effects.go
@@ -1,17 +1,18 @@
 package replication
 
-// Effect is something that the shell carries out for a replica. Effects are carried out in the order in which Effects
-// returns them.
+// Effect is an action that the shell carries out for a replica. The shell carries out effects in the order in which
+// Replica.Effects returns them.
 type Effect interface{ replicationEffect() }
 
-// Send sends a message to the router at an address. It may be lost: the replica sends again what it needs.
+// Send sends a message to the router at an address. The message may be lost: the replica resends requests that are not
+// answered.
 type Send struct {
 	To      string
 	Message Message
 }
 
-// Save writes to the disk and syncs it. The shell then calls Saved or SaveFailed with Number. Saves keep their order,
-// and after one that failed those without a snapshot fail too until one with a snapshot succeeds.
+// Save writes to the disk and syncs it. The shell then calls Saved or SaveFailed with Number. Saves keep their order. After
+// a save has failed, every save without a snapshot fails too, until one with a snapshot succeeds.
 type Save struct {
 	Number   uint64
 	Hard     HardState
@@ -19,14 +20,14 @@
 	Snapshot *SnapshotRecord // to replace all entries, or nil
 }
 
-// Publish says that a state of the machine is committed.
+// Publish reports a committed state of the machine.
 type Publish struct {
 	Position Position
-	Entries  [][]byte // the newest ones that led to it, as far as they are in memory
+	Entries  [][]byte // the newest entries up to that state, as far as they are in memory
 	Value    any      // StateMachine.Value
 }
 
-// Answer ends the proposal or read with a token.
+// Answer is the result of the proposal or read that was submitted with Token.
 type Answer struct {
 	Token    uint64
 	Decision Decision
@@ -37,7 +38,7 @@
 func (Publish) replicationEffect() {}
 func (Answer) replicationEffect()  {}
 
-// Effects returns the effects since the last call, in order. The caller keeps them.
+// Effects returns the effects since the last call, in order. The caller may keep the slice.
 func (r *Replica) Effects() []Effect {
 	effects := r.effects
 	r.effects = nil
--- a/internal/router/replication/election.go
+++ b/internal/router/replication/election.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// electionPhase is what a candidate is waiting for.
+// electionPhase is the phase of a candidacy.
 type electionPhase int
 
 const (
-	preparing electionPhase = iota // promises
-	syncing                        // disks that have its state
-	accepting                      // acceptances of its view
+	preparing electionPhase = iota // the candidate waits for promises
+	syncing                        // it waits until other disks have its state
+	accepting                      // it waits until witnesses accept its view
 )
 
 // election is a candidacy for one epoch.
 type election struct {
 	epoch          Epoch
-	force          bool // the primary wants this itself: contact with it is no reason to refuse
+	force          bool // the primary itself wants another view: contact with it is no reason to refuse
 	candidateSince time.Duration
 	phase          electionPhase
 	phaseSince     time.Duration
-	lastRequest    time.Duration // when the phase's request was last sent to those that have not answered
-	newestView     View          // that this candidate learned of; the proposed one is built on it
+	lastRequest    time.Duration // when the phase's request was last sent to the replicas that have not answered
+	newestView     View          // newest view that this candidate learned of; the proposed one is built on it
 
 	prepare preparePhase
 	sync    syncPhase
 	accept  acceptPhase
 }
 
-// preparePhase is what the answers to Prepare said.
+// preparePhase holds the answers to Prepare.
 type preparePhase struct {
 	promises       map[string]Promise // by address
-	votes          map[string]bool    // of witness identities
-	slowestPromise time.Duration      // that a promise took since lastRequest
-	majoritySince  time.Duration
+	votes          map[string]bool    // by witness identity
+	slowestPromise time.Duration      // longest time from lastRequest until a promise came
+	majoritySince  time.Duration      // the time up to which there was no majority of promises
 }
 
-// syncPhase is who was sent Sync, and who answered.
+// syncPhase holds the replicas that were sent Sync, and those that answered.
 type syncPhase struct {
 	requested map[string]Member // by ID
-	synced    map[string]bool   // by ID, with this replica's
+	synced    map[string]bool   // by ID, this replica's included
 }
 
-// acceptPhase is the proposed view, and who accepted it.
+// acceptPhase is the proposed view, and the votes of the witnesses that accepted it.
 type acceptPhase struct {
 	view  View
-	votes map[string]bool // of witness identities
+	votes map[string]bool // by witness identity
 }
 
 // campaign begins a candidacy for the next epoch. It does nothing without a working disk.
@@ -78,13 +78,13 @@
 	}
 }
 
-// nextEpoch returns an epoch larger than all that this replica knows.
+// nextEpoch returns an epoch larger than all epochs that this replica knows of.
 func (r *Replica) nextEpoch() Epoch {
 	round := max(r.hard.Promised.Round, r.knownView.Epoch.Round, r.hard.Accepted.Epoch.Round) + 1
 	return Epoch{Round: round, Node: r.Self.ID}
 }
 
-// ifStillCandidate returns a function that calls do if this replica is still candidate for an epoch by then.
+// ifStillCandidate returns a function that calls do only if this replica is still candidate for the epoch.
 func (r *Replica) ifStillCandidate(epoch Epoch, do func()) func() {
 	return r.ifStillPromised(epoch, func() {
 		if r.role == candidate && r.election.epoch == epoch {
@@ -93,8 +93,8 @@
 	})
 }
 
-// stepDown ends a candidacy or a leadership. What waits for an answer gets an unclear one: the entry may be committed
-// by the next primary.
+// stepDown ends a candidacy or a leadership. All pending proposals and reads are answered with status 503: the next primary
+// may still commit the staged entry.
 func (r *Replica) stepDown() {
 	r.role = follower
 	r.follower.lastContact = r.now
@@ -110,7 +110,7 @@
 	r.leadership = leadership{}
 }
 
-// resendRequests sends the phase's request to those that have not answered: they may just have started.
+// resendRequests resends the phase's request to the replicas that have not answered: they may just have started.
 func (r *Replica) resendRequests() {
 	e := &r.election
 	for _, address := range r.contacts() {
@@ -119,17 +119,17 @@
 		case e.phase == preparing && !promised:
 			r.send(address, Prepare{Epoch: e.epoch, From: r.Self, Force: e.force})
 		case e.phase == syncing && promised:
-			r.send(address, Prepare{Epoch: e.epoch, From: r.Self, Force: e.force}) // it gives this candidate more time
+			r.send(address, Prepare{Epoch: e.epoch, From: r.Self, Force: e.force}) // counts as contact, which delays other candidacies
 		case e.phase == accepting:
 			r.send(address, Accept{View: e.accept.view})
 		}
 	}
 }
 
-// electionDelay is for how long a follower waits beyond the election timeout, so that candidates do not hinder one
-// another: the in-sync members in their order, and the others after them, spread by a hash.
+// electionDelay returns how long a follower waits beyond the election timeout, so that candidates do not compete: first the
+// in-sync members in the order of the view, then the others, spread by a hash of their IDs.
 func (r *Replica) electionDelay() time.Duration {
-	newest := r.newestKnown()
+	newest := r.newestKnownView()
 	for i, id := range newest.InSync {
 		if id == r.Self.ID {
 			return time.Duration(i) * electionStagger
--- a/internal/router/replication/eligible.go
+++ b/internal/router/replication/eligible.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// eligibleReplicas are the routers that could be members: they have a disk, and a zone that may have a core member.
+// eligibleReplicas are the routers that may become members: they have a disk, and a zone that may have a core member.
 type eligibleReplicas struct {
 	byID        map[string]Member
-	lastAddedAt time.Duration
+	lastAddedAt time.Duration // when a replica with a new ID was added last
 }
 
-// add adds a replica, or replaces what is known of it.
+// add adds a replica, or replaces the entry with its ID.
 func (e *eligibleReplicas) add(m Member, now time.Duration) {
 	if _, ok := e.byID[m.ID]; !ok {
 		e.lastAddedAt = now
@@ -20,7 +20,8 @@
 	e.byID[m.ID] = m
 }
 
-// AddEligible adds a replica that can be a member. The shell calls it whenever it learns of one, as often as it likes.
+// AddEligible adds a replica that may become a member. The shell calls it whenever it learns of one; repeated calls do no
+// harm.
 func (r *Replica) AddEligible(m Member) { r.eligible.add(m, r.now) }
 
 // voters returns the identities with which this process votes as a witness: its disk's, and its address as a seed of
@@ -36,10 +37,10 @@
 	return ids
 }
 
-// seedIdentity is the identity under which a seed votes for the first view.
+// seedIdentity returns the identity under which the seed at an address votes for the first view.
 func seedIdentity(address string) string { return "seed/" + address }
 
-// bootstrapView returns the view that the first view follows: the seeds are its members.
+// bootstrapView returns the placeholder that the first view is built on: its members are the seeds.
 func (r *Replica) bootstrapView() View {
 	var v View
 	for _, seed := range r.Seeds {
@@ -49,13 +50,13 @@
 	return v
 }
 
-// noViewYet reports whether this replica knows of no view at all, neither in force nor accepted.
+// noViewYet reports whether this replica knows of no view, neither of one in force nor of an accepted one.
 func (r *Replica) noViewYet() bool {
 	return r.knownView.Epoch.Round == 0 && r.hard.Accepted.Epoch.Round == 0
 }
 
-// bootstrapDelay is how long after the last newcomer this replica proposes the first view: the one with the smallest
-// address first.
+// bootstrapDelay returns how long after the last newly discovered replica this replica proposes the first view. The replica
+// with the smallest address has the shortest delay.
 func (r *Replica) bootstrapDelay() time.Duration {
 	rank := 0
 	for _, m := range r.eligible.byID {
@@ -66,7 +67,7 @@
 	return bootstrapQuietTime + time.Duration(rank)*bootstrapStagger
 }
 
-// contacts returns the addresses of all whose promise may be needed, in order, without this replica's.
+// contacts returns the addresses of all replicas whose promise may be needed, sorted, without this replica's.
 func (r *Replica) contacts() []string {
 	addresses := map[string]bool{}
 	views := []View{r.knownView, r.hard.Accepted, r.election.newestView}
@@ -88,5 +89,5 @@
 	return sortedKeys(addresses)
 }
 
-// sortedKeys returns a map's keys in order: what a replica does follows from its events alone, also in which order.
+// sortedKeys returns a map's keys in ascending order. Iterating in this order keeps a replica deterministic.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/router/replication/explore_heal_test.go
+++ b/internal/router/replication/explore_heal_test.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	recovery             = 12 * time.Second // RecoveryS: by then an entry is committed, whatever state the core was left in
+	recovery             = 12 * time.Second // RecoveryS: by then an entry is committed, whatever state the faults left
 	healTick             = 50 * time.Millisecond
 	healDelay            = time.Millisecond
 	healProposalInterval = 300 * time.Millisecond // between two proposals
 	probeToken           = 1 << 32
 )
 
-// sentMessage is a message on its way while a world heals.
+// sentMessage is a message in flight while a world heals.
 type sentMessage struct {
 	at       time.Duration
 	from, to string
 	message  Message
 }
 
-// healing is a world in which everything works from now on: messages arrive, disks sync, all machines run.
+// healing is a world without further faults: messages arrive, disks sync, all machines run.
 type healing struct {
 	*world
 	now       time.Duration
@@ -31,8 +31,8 @@
 	committed bool
 }
 
-// heal continues a world without faults. It returns "" if a primary commits an entry within the recovery time, on top
-// of all that was acknowledged.
+// heal continues a copy of a world without faults. It returns "" if a primary commits an entry within the recovery time and
+// has all acknowledged entries, and a description of the fault otherwise.
 func heal(w *world) (fault string) {
 	h := &healing{world: w.clone(), now: exploredNow}
 	for address := range h.nodes {
@@ -95,10 +95,10 @@
 	h.now = until
 }
 
-// healSampling: one of so many states of an exploration is healed.
+// healSampling is the number of states of an exploration of which one is healed.
 const healSampling = 40
 
-// From every state that an exploration reaches, a primary commits an entry soon after all works again.
+// From every state that an exploration reaches, a primary commits an entry within the recovery time after the last fault.
 func TestEveryReachedStateHeals(t *testing.T) {
 	all := explorations()
 	for _, name := range sortedKeys(all) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// A world that cannot heal is noticed: two of three disks are lost.
+// heal reports a world that cannot recover, because two of three disks are lost.
 func TestAWorldWithoutAMajorityDoesNotHeal(t *testing.T) {
 	w := newWorld(budget{wipes: 2}, joiningZones)
 	w.playStep("a loses")
--- a/internal/router/replication/explore_limits_race_test.go
+++ b/internal/router/replication/explore_limits_race_test.go
@@ -2,8 +2,7 @@
 
 package replication
 
-// How many states each exploration of a usual run visits at the most: fewer with the race detector, which is many times
-// as slow.
+// Limits of an exploration in a default run: lower with the race detector, with which a run takes many times as long.
 const (
 	sampledStates = 2_000
 	allStates     = 2_000
--- a/internal/router/replication/explore_limits_test.go
+++ b/internal/router/replication/explore_limits_test.go
@@ -2,7 +2,7 @@
 
 package replication
 
-// How many states each exploration of a usual run visits at the most.
+// Limits of an exploration in a default run.
 const (
 	sampledStates = 20_000
 	allStates     = 1 << 30
--- a/internal/router/replication/explore_test.go
+++ b/internal/router/replication/explore_test.go
@@ -17,11 +17,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// statesVariable sets how many states an exploration visits at most; without it, a sample that needs some seconds.
+// statesVariable is the environment variable that sets how many states an exploration visits at most. Without it, each
+// exploration visits a sample that takes some seconds.
 const statesVariable = "PETRELHOOK_STATES"
 
-// decides reports whether a majority of a primary's members would still confirm it.
-func (w *world) decides(r *Replica) bool {
+// hasMajority reports whether a replica is primary and a majority of its view's members would still confirm it.
+func (w *world) hasMajority(r *Replica) bool {
 	votes := map[string]bool{}
 	for _, n := range w.nodes {
 		votes[n.replica.Self.ID] = !r.leadership.view.Epoch.Less(n.replica.hard.Promised)
@@ -29,24 +30,24 @@
 	return r.role == primary && majority(r.leadership.view.Members, votes)
 }
 
-// violation names the invariant that a world violates, or is "".
+// violation describes the invariant that a world violates, or returns "".
 func (w *world) violation() string {
 	if w.conflict != "" {
 		return "one sequence number, two entries: " + w.conflict
 	}
-	deciding := ""
+	primaryWithMajority := ""
 	for _, address := range sortedKeys(w.nodes) {
 		r := w.nodes[address].replica
-		if !w.decides(r) {
+		if !w.hasMajority(r) {
 			continue
 		}
-		if deciding != "" {
-			return "two primaries decide: " + deciding + " and " + address
+		if primaryWithMajority != "" {
+			return "two primaries have a majority: " + primaryWithMajority + " and " + address
 		}
-		deciding = address
-		has := w.nodes[address].log.entries
-		if len(has) < len(w.committed) || !slices.Equal(has[:len(w.committed)], w.committed) {
-			return fmt.Sprintf("%s leads with %v where %v was acknowledged", address, has, w.committed)
+		primaryWithMajority = address
+		applied := w.nodes[address].log.entries
+		if len(applied) < len(w.committed) || !slices.Equal(applied[:len(w.committed)], w.committed) {
+			return fmt.Sprintf("%s leads with %v where %v was acknowledged", address, applied, w.committed)
 		}
 		if len(r.leadership.view.InSync) < r.minInSync() {
 			return address + " leads with too few disks in sync"
@@ -58,8 +59,8 @@
 	return ""
 }
 
-// aheadOf returns the address of a replica in sync with a primary, in its epoch, whose entries are not the first ones of the
-// primary's; "": there is none. Such a replica would acknowledge no further entry.
+// aheadOf returns the address of an in-sync replica in a primary's epoch whose entries are not a prefix of the primary's, or
+// "" if there is none. Such a replica would acknowledge no further entry.
 func (w *world) aheadOf(primaryAddress string) string {
 	n := w.nodes[primaryAddress]
 	view := &n.replica.leadership.view
@@ -69,35 +70,35 @@
 		if !view.inSync(r.Self.ID) || r.hard.Promised != view.Epoch || r.hard.Accepted.Epoch != view.Epoch {
 			continue
 		}
-		if has := other.log.entries; len(has) > len(n.log.entries) || !slices.Equal(has, n.log.entries[:len(has)]) {
+		if applied := other.log.entries; len(applied) > len(n.log.entries) || !slices.Equal(applied, n.log.entries[:len(applied)]) {
 			return address
 		}
 	}
 	return ""
 }
 
-// exploringGCPercent lets the heap of an exploration, most of which is garbage at once, grow further between two collections.
+// exploringGCPercent lets the heap of an exploration grow further between two collections: most of it is short-lived garbage.
 const exploringGCPercent = 400
 
-// exploration visits worlds until none is new, or until it has visited enough.
+// exploration visits all reachable worlds, up to a maximum, on several goroutines.
 type exploration struct {
-	mutex     sync.Mutex
-	wake      *sync.Cond
-	seen      map[fingerprint]struct{}
-	stack     []*world
-	busy      int
-	maxStates int
-	deepest   int
-	complete  bool
-	heapFull  bool // it stopped because of its memory
-	violation string
-	trace     []string
-	visit     func(w *world) string // a check beyond violation; "" is fine
+	mutex         sync.Mutex
+	changed       *sync.Cond
+	seen          map[fingerprint]struct{}
+	stack         []*world
+	activeWorkers int
+	maxStates     int
+	maxDepth      int
+	complete      bool
+	heapFull      bool // it stopped because of its memory
+	violation     string
+	trace         []string
+	visit         func(w *world) string // a check in addition to violation; it returns "" for a valid world
 }
 
 func explore(start *world, maxStates int, visit func(w *world) string) *exploration {
 	x := &exploration{seen: map[fingerprint]struct{}{}, maxStates: maxStates, stack: []*world{start}, visit: visit}
-	x.wake = sync.NewCond(&x.mutex)
+	x.changed = sync.NewCond(&x.mutex)
 	defer debug.SetGCPercent(debug.SetGCPercent(exploringGCPercent))
 	x.seen[start.fingerprint()] = struct{}{}
 	var group sync.WaitGroup
@@ -113,40 +114,40 @@
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	for {
-		if x.violation != "" || x.heapFull || len(x.seen) >= x.maxStates || len(x.stack) == 0 && x.busy == 0 {
-			x.wake.Broadcast()
+		if x.violation != "" || x.heapFull || len(x.seen) >= x.maxStates || len(x.stack) == 0 && x.activeWorkers == 0 {
+			x.changed.Broadcast()
 			return nil
 		}
 		if n := len(x.stack); n > 0 {
 			w := x.stack[n-1]
 			x.stack = x.stack[:n-1]
-			x.busy++
+			x.activeWorkers++
 			return w
 		}
-		x.wake.Wait()
+		x.changed.Wait()
 	}
 }
 
 func (x *exploration) work() {
 	for w := x.next(); w != nil; w = x.next() {
-		var fresh []*world
+		var newWorlds []*world
 		for _, s := range w.steps() {
 			next := w.clone()
 			next.trace = append(next.trace, s.name)
 			s.do(next)
 			if x.record(next) {
-				fresh = append(fresh, next)
+				newWorlds = append(newWorlds, next)
 			}
 		}
 		x.mutex.Lock()
-		x.stack = append(x.stack, fresh...)
-		x.busy--
-		x.wake.Broadcast()
+		x.stack = append(x.stack, newWorlds...)
+		x.activeWorkers--
+		x.changed.Broadcast()
 		x.mutex.Unlock()
 	}
 }
 
-// record adds a world to those seen, and reports whether it is new and violates nothing.
+// record adds a world to the visited ones, and reports whether it is new and valid.
 func (x *exploration) record(w *world) bool {
 	f := w.fingerprint()
 	x.mutex.Lock()
@@ -155,7 +156,7 @@
 	if !seen && len(x.seen)%statesPerHeapCheck == 0 {
 		x.heapFull = x.heapFull || heapBytes() > maxHeapBytes
 	}
-	x.deepest = max(x.deepest, len(w.trace))
+	x.maxDepth = max(x.maxDepth, len(w.trace))
 	x.mutex.Unlock()
 	if seen {
 		return false
@@ -175,20 +176,21 @@
 	return false
 }
 
-// An exploration stops, and says so, once its heap has grown beyond maxHeapBytes.
+// An exploration stops and sets heapFull once its heap has grown beyond maxHeapBytes.
 const (
 	maxHeapBytes       = 10 << 30
 	statesPerHeapCheck = 50_000
 )
 
-// heapBytes returns the size of the heap, with garbage.
+// heapBytes returns the size of the heap in bytes, garbage included.
 func heapBytes() uint64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample)
 	return sample[0].Value.Uint64()
 }
 
-// sampleOf returns how many states of a world a usual run visits: fewer where each has many names.
+// sampleOf returns how many states of a world a default run visits: fewer with renamings, since each state is then encoded
+// once for every renaming.
 func sampleOf(w *world, usual int) int {
 	if len(w.layout.renamings) > 1 {
 		return usual / renamedSampleDivisor
@@ -208,11 +210,12 @@
 	return usual
 }
 
-// completeInCI are explored completely in each run without the race detector: what follows an abandoned change of
-// members, and the smaller ones of the worlds that a guard needs or of larger cores.
+// completeInCI are explorations that each run without the race detector completes: the states after an abandoned change of
+// members.
 var completeInCI = []string{"overtaken, one candidacy", "abandoned, two candidacies"}
 
-// guardWorlds are the small worlds that one guard needs; they are explored completely in each run, too.
+// guardWorlds are the small worlds each of which detects the removal of one guard. Each run without the race detector
+// explores them completely too.
 var guardWorlds = []string{"one behind, two candidacies", "a late state, one candidacy", "five, after a joint view"}
 
 func TestExplorationOfAbandonedViews(t *testing.T) {
@@ -233,13 +236,13 @@
 	t.Helper()
 	began := time.Now()
 	x := explore(start, maxStates, nil)
-	t.Logf("%s: %d states, %d steps deep, complete %t, %v", name, len(x.seen), x.deepest, x.complete, time.Since(began).Round(time.Millisecond))
+	t.Logf("%s: %d states, %d steps deep, complete %t, %v", name, len(x.seen), x.maxDepth, x.complete, time.Since(began).Round(time.Millisecond))
 	require.Empty(t, x.violation, strings.Join(x.trace, "\n"))
 	require.False(t, x.heapFull, "the bound on memory was reached after %d states", len(x.seen))
 	require.True(t, x.complete || len(x.seen) >= maxStates)
 }
 
-// A sample of all worlds, or as many states as the variable says.
+// Visits a sample of the states of each exploration, or as many as statesVariable sets.
 func TestExploration(t *testing.T) {
 	all := explorations()
 	for _, name := range sortedKeys(all) {
@@ -247,8 +250,8 @@
 	}
 }
 
-// An exploration that takes worlds that differ by names for one agrees with one that does not: both are complete and find
-// nothing, and the worlds that each of its own stands for are together as many as those of the other.
+// An exploration with symmetry reduction agrees with one without: both are complete and find no violation, and the states
+// that the visited worlds of the first represent are as many as those that the second visits.
 func TestReducedAndFullExplorationsAgree(t *testing.T) {
 	for name, start := range map[string]func() *world{
 		"five, one candidacy": func() *world { return coreOfFive(budget{candidacies: 1}) },
@@ -265,10 +268,10 @@
 				return ""
 			})
 			full := start()
-			first := full.distinctRenamings() // that of the start, which is not visited
+			first := full.distinctRenamings() // of the start, for which visit is not called
 			full.layout.renamings = nil
 			all := explore(full, allStates, nil)
-			t.Logf("%d states, which stand for %d", len(reduced.seen), len(all.seen))
+			t.Logf("%d states, which represent %d", len(reduced.seen), len(all.seen))
 			require.Empty(t, reduced.violation+all.violation)
 			if !reduced.complete || !all.complete {
 				t.Log("only a sample was visited")
@@ -280,7 +283,7 @@
 	}
 }
 
-// distinctRenamings returns how many worlds a world becomes by the renamings of its layout.
+// distinctRenamings returns the number of different worlds among the renamings of a world.
 func (w *world) distinctRenamings() int {
 	distinct := map[string]bool{}
 	for i := range max(1, len(w.layout.renamings)) {
--- a/internal/router/replication/explore_world_test.go
+++ b/internal/router/replication/explore_world_test.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// A world is a core as the exploration sees it: the real replicas, the requests in flight, and what was acknowledged.
-// Disks sync at once (the simulation has slow ones); messages are lost, delayed or duplicated in any order; time passes
-// where a step says so.
+// This file has the model that an exploration checks: a world is one state of a core, with real replicas, the requests in
+// flight, and the acknowledged entries. Disks sync at once (the simulation covers slow ones). Messages are lost, delayed or
+// duplicated in any order. Time passes only in steps that end a wait.
 
 // exploredLog is a state machine that keeps all its entries.
 type exploredLog struct{ entries []string }
@@ -31,48 +31,49 @@
 	replica *Replica
 	log     *exploredLog
 	wiped   bool
-	key     [][]byte // its encoded state by renaming, once it was needed
+	encoded [][]byte // cache of the encoded state, by renaming
 }
 
-// requestRoute is from whom to whom a request is in flight; only the newest one is kept.
+// requestRoute is the sender and the receiver of a request in flight. Only the newest request of a route is kept.
 type requestRoute struct{ from, to string }
 
-// lateRequest is a Sync or an Accept that a newer request overtook, and that may still arrive, or arrive again.
+// lateRequest is a Sync or an Accept that may still arrive, or arrive again, after a newer request of the same route.
 type lateRequest struct {
 	requestRoute
 	message Message
 }
 
-// budget is how many events of each kind may still happen in a world.
+// budget limits how many events of each kind may still happen in a world.
 type budget struct {
 	candidacies, writes, wipes, restarts, lateRequests int
 }
 
-// coreLayout is what does not change in a world.
+// coreLayout is the part of a world that does not change.
 type coreLayout struct {
 	zones          map[string]string // of all machines, by address
-	members        []string          // of the first view, whose primary is the first of them
-	behind         []string          // members that are not in sync in the first view
-	lateSyncs      bool              // a Sync, too, may arrive late or again; not only an Accept that was overtaken
-	snapshot       bool              // those in sync have a snapshot with an entry, which the others lack
+	members        []string          // of the first view; the first of them is its primary
+	outOfSync      []string          // members that are not in sync in the first view
+	lateSyncs      bool              // a Sync may arrive late or again, too; otherwise only an Accept that was overtaken
+	snapshot       bool              // the in-sync members have a snapshot with an entry, which the others lack
 	faultTolerance int
-	candidates     []string            // who may campaign; nil: exploredCandidates
-	renamings      []map[string]string // of machines that differ by name only; see alike
+	candidates     []string            // machines that may campaign; nil: exploredCandidates
+	renamings      []map[string]string // of machines that differ by name only; see symmetryRenamings
 }
 
+// world is one state of an exploration.
 type world struct {
 	layout       *coreLayout
-	nodes        map[string]*exploredNode // by address; those that are not owned are shared with other worlds, and not changed
+	nodes        map[string]*exploredNode // by address; nodes that are not owned are shared with other worlds: read-only
 	owned        map[string]bool
 	inFlight     map[requestRoute]Message
 	lateRequests []lateRequest
-	committed    []string // what was acknowledged, by sequence
+	committed    []string // acknowledged entries, by sequence
 	remaining    budget
-	conflict     string // an acknowledged sequence number that names two entries
+	conflict     string // describes a sequence number under which two entries were acknowledged
 	trace        []string
 }
 
-const exploredNow = 1_000_000_000_000 // nanoseconds on every replica's clock
+const exploredNow = 1_000_000_000_000 // reading of every replica's clock, in nanoseconds
 
 func (w *world) clone() *world {
 	next := &world{layout: w.layout, nodes: maps.Clone(w.nodes), owned: map[string]bool{}, inFlight: maps.Clone(w.inFlight), lateRequests: slices.Clone(w.lateRequests),
@@ -80,7 +81,7 @@
 	return next
 }
 
-// node returns a machine that may be changed: a copy, if other worlds share it.
+// node returns a machine that may be changed. It copies the machine first if other worlds share it.
 func (w *world) node(address string) *exploredNode {
 	n := w.nodes[address]
 	if !w.owned[address] {
@@ -91,7 +92,7 @@
 	return n
 }
 
-// cloneReplica copies a replica without pending saves: it has no callbacks.
+// cloneReplica copies a replica. It must have no pending saves, since their callbacks cannot be copied.
 func cloneReplica(r *Replica, m StateMachine) *Replica {
 	if len(r.disk.pendingSaves) > 0 || len(r.effects) > 0 {
 		panic("a replica that waits for its disk cannot be copied")
@@ -111,14 +112,15 @@
 	return &c
 }
 
-// newWorld is a core of three, a the primary, and others that are caught up and would join.
-func newWorld(left budget, zones map[string]string) *world {
-	return newCore(left, &coreLayout{zones: zones, members: []string{"a", "b", "c"}, faultTolerance: 1})
+// newWorld returns a core of three with the primary a, and other machines that are caught up and would join.
+func newWorld(allowed budget, zones map[string]string) *world {
+	return newCore(allowed, &coreLayout{zones: zones, members: []string{"a", "b", "c"}, faultTolerance: 1})
 }
 
-// newCore is a core in its first view, whose members have no entries, and others that are caught up and would join.
-func newCore(left budget, layout *coreLayout) *world {
-	w := &world{layout: layout, nodes: map[string]*exploredNode{}, owned: map[string]bool{}, inFlight: map[requestRoute]Message{}, remaining: left}
+// newCore returns a core in its first view, whose members have no entries unless the layout has a snapshot, and other
+// machines that are caught up and would join.
+func newCore(allowed budget, layout *coreLayout) *world {
+	w := &world{layout: layout, nodes: map[string]*exploredNode{}, owned: map[string]bool{}, inFlight: map[requestRoute]Message{}, remaining: allowed}
 	if layout.candidates == nil {
 		layout.candidates = exploredCandidates
 	}
@@ -126,7 +128,7 @@
 	first := View{Epoch: Epoch{Round: 1, Node: "a"}, Primary: "a"}
 	for _, id := range layout.members {
 		first.Members = append(first.Members, Member{ID: id, Address: id, Zone: zones[id], Joined: 1})
-		if !slices.Contains(layout.behind, id) {
+		if !slices.Contains(layout.outOfSync, id) {
 			first.InSync = append(first.InSync, id)
 		}
 	}
@@ -137,7 +139,7 @@
 			w.committed = []string{"first"}
 			persisted.Snapshot = SnapshotRecord{Position: Position{Epoch: first.Epoch, Sequence: 1}, Data: []byte("first,")}
 		}
-		w.start(address, persisted, zone)
+		w.startNode(address, persisted, zone)
 	}
 	for _, n := range w.nodes {
 		n.replica.knownView = first
@@ -154,7 +156,7 @@
 	return w
 }
 
-func (w *world) start(address string, persisted *PersistedState, zone string) {
+func (w *world) startNode(address string, persisted *PersistedState, zone string) {
 	log := &exploredLog{}
 	r, err := New(Options{Self: Member{ID: persisted.ID, Address: address, Zone: zone}, FaultTolerance: w.layout.faultTolerance}, persisted, log, exploredNow)
 	if err != nil {
@@ -163,8 +165,8 @@
 	w.nodes[address], w.owned[address] = &exploredNode{replica: r, log: log, wiped: persisted.ID != address}, true
 }
 
-// settle executes a replica's effects, with a disk that syncs at once. It returns the answers to the requester.
-func (w *world) settle(address, requester string) (answers []Message) {
+// executeNodeEffects executes a replica's effects, with a disk that syncs at once. It returns the answers to the requester.
+func (w *world) executeNodeEffects(address, requester string) (answers []Message) {
 	r := w.node(address).replica
 	for effects := r.Effects(); len(effects) > 0; effects = r.Effects() {
 		for _, effect := range effects {
@@ -181,7 +183,7 @@
 						answers = append(answers, e.Message)
 					}
 				} else {
-					w.post(requestRoute{address, e.To}, e.Message)
+					w.enqueueRequest(requestRoute{address, e.To}, e.Message)
 				}
 			}
 		}
@@ -197,32 +199,32 @@
 	return false
 }
 
-// post puts a request in flight; a Sync or an Accept that it overtakes may arrive late.
-func (w *world) post(to requestRoute, m Message) {
+// enqueueRequest puts a request in flight. A Sync or an Accept that it overtakes may arrive late.
+func (w *world) enqueueRequest(route requestRoute, m Message) {
 	switch m := m.(type) {
 	case Prepare, Sync, Accept, Replicate:
 	case Heartbeat:
 		if m.View == nil {
-			return // it has no content but the time
+			return // it has no effect but to renew the contact
 		}
 	default:
 		return // catching up and transfers of leadership are not explored
 	}
 	if w.remaining.lateRequests > 0 {
-		switch before := w.inFlight[to].(type) {
+		switch overtaken := w.inFlight[route].(type) {
 		case Sync:
-			w.keepLate(to, before)
+			w.keepLateSync(route, overtaken)
 		case Accept:
-			w.lateRequests = append(slices.Clip(w.lateRequests), lateRequest{to, before})
+			w.lateRequests = append(slices.Clip(w.lateRequests), lateRequest{route, overtaken})
 		}
 	}
-	w.inFlight[to] = m
+	w.inFlight[route] = m
 }
 
-// keepLate keeps a Sync, which may arrive late or again.
-func (w *world) keepLate(to requestRoute, m Message) {
+// keepLateSync adds a Sync to the late requests, if the layout and the budget permit: it may arrive late, or again.
+func (w *world) keepLateSync(route requestRoute, m Message) {
 	if _, ok := m.(Sync); ok && w.layout.lateSyncs && w.remaining.lateRequests > 0 {
-		w.lateRequests = append(slices.Clip(w.lateRequests), lateRequest{to, m})
+		w.lateRequests = append(slices.Clip(w.lateRequests), lateRequest{route, m})
 	}
 }
 
@@ -238,20 +240,20 @@
 	}
 }
 
-// deliver gives a request to its receiver, and the answer to the sender where it is not lost.
-func (w *world) deliver(to requestRoute, m Message, answered bool) {
-	n := w.node(to.to)
-	n.replica.Receive(to.from, m, exploredNow)
-	answers := w.settle(to.to, to.from)
+// deliver delivers a request to its receiver and, if answered is set, the answer to the sender; otherwise the answer is lost.
+func (w *world) deliver(route requestRoute, m Message, answered bool) {
+	n := w.node(route.to)
+	n.replica.Receive(route.from, m, exploredNow)
+	answers := w.executeNodeEffects(route.to, route.from)
 	if !answered {
 		return
 	}
 	for _, a := range answers {
 		if ack, ok := a.(HeartbeatAck); ok && ack.Epoch.Less(ack.Promised) {
-			continue // a candidacy follows, which is a step of its own
+			continue // the candidacy that it causes is a step of its own
 		}
-		w.node(to.from).replica.Receive(to.to, a, exploredNow)
-		w.settle(to.from, "")
+		w.node(route.from).replica.Receive(route.to, a, exploredNow)
+		w.executeNodeEffects(route.from, "")
 	}
 }
 
@@ -261,24 +263,24 @@
 	do   func(w *world)
 }
 
-// exploredCandidates may campaign: the primary, one other member, one that joins. The others are like these but for
-// their names.
+// exploredCandidates are the machines that may campaign: the primary, one other member, and one machine that joins. The
+// other machines differ from these by name only.
 var exploredCandidates = []string{"a", "b", "d"}
 
 // steps returns all events that may happen next.
 func (w *world) steps() (steps []step) {
-	for _, to := range sortedRequests(w.inFlight) {
-		m := w.inFlight[to]
+	for _, route := range sortedRequests(w.inFlight) {
+		m := w.inFlight[route]
 		for _, answered := range []bool{true, false} {
-			if _, beat := m.(Heartbeat); beat && !answered {
+			if _, isHeartbeat := m.(Heartbeat); isHeartbeat && !answered {
 				continue
 			}
-			steps = append(steps, step{fmt.Sprintf("%s>%s %T answered %t", to.from, to.to, m, answered), func(w *world) {
+			steps = append(steps, step{fmt.Sprintf("%s>%s %T answered %t", route.from, route.to, m, answered), func(w *world) {
 				if answered {
-					delete(w.inFlight, to)
-					w.keepLate(to, m)
+					delete(w.inFlight, route)
+					w.keepLateSync(route, m)
 				}
-				w.deliver(to, m, answered)
+				w.deliver(route, m, answered)
 			}})
 		}
 	}
@@ -292,17 +294,17 @@
 		}
 	}
 	for _, address := range sortedKeys(w.nodes) {
-		steps = append(steps, w.stepsOf(address)...)
+		steps = append(steps, w.nodeSteps(address)...)
 	}
 	return steps
 }
 
-func (w *world) stepsOf(address string) (steps []step) {
+func (w *world) nodeSteps(address string) (steps []step) {
 	r := w.nodes[address].replica
 	if r.role == candidate && r.election.phase != accepting {
-		steps = append(steps, step{address + " waits no longer", func(w *world) { w.endWait(address) }})
+		steps = append(steps, step{address + " stops waiting", func(w *world) { w.endPhaseWait(address) }})
 	}
-	newest := r.newestKnown()
+	newest := r.newestKnownView()
 	if w.remaining.candidacies > 0 && slices.Contains(w.layout.candidates, address) && (r.role == primary || newest.Member(r.Self.ID) != nil) {
 		steps = append(steps, step{address + " campaigns", func(w *world) {
 			w.remaining.candidacies--
@@ -312,7 +314,7 @@
 			}
 			r.now = exploredNow
 			r.campaign(true)
-			w.settle(address, "")
+			w.executeNodeEffects(address, "")
 		}})
 	}
 	if w.remaining.writes > 0 && r.role == primary && r.leadership.staged.proposal == nil {
@@ -320,15 +322,15 @@
 			w.remaining.writes--
 			r := w.node(address).replica
 			r.Propose(uint64(1), []byte(fmt.Sprint(address, w.remaining.writes)), exploredNow)
-			w.settle(address, "")
+			w.executeNodeEffects(address, "")
 		}})
 	}
 	if w.remaining.wipes > 0 && !w.nodes[address].wiped {
 		steps = append(steps, step{address + " loses its disk", func(w *world) {
 			w.remaining.wipes--
 			self := w.nodes[address].replica.Self
-			w.start(address, &PersistedState{ID: address + "'"}, self.Zone)
-			w.forget(address)
+			w.startNode(address, &PersistedState{ID: address + "'"}, self.Zone)
+			w.dropRequestsOf(address)
 		}})
 	}
 	if w.remaining.restarts > 0 {
@@ -337,24 +339,24 @@
 			n := w.nodes[address]
 			persisted := &PersistedState{ID: n.replica.Self.ID, Hard: n.replica.hard,
 				Snapshot: SnapshotRecord{Position: n.replica.state.position, Data: n.log.Snapshot()}}
-			w.start(address, persisted, n.replica.Self.Zone)
-			w.forget(address)
+			w.startNode(address, persisted, n.replica.Self.Zone)
+			w.dropRequestsOf(address)
 		}})
 	}
 	return steps
 }
 
-// forget drops the requests in flight of a process that ended, but for late Accepts.
-func (w *world) forget(address string) {
-	for to := range w.inFlight {
-		if to.from == address {
-			delete(w.inFlight, to)
+// dropRequestsOf drops the requests in flight of a process that ended. Its late requests remain.
+func (w *world) dropRequestsOf(address string) {
+	for route := range w.inFlight {
+		if route.from == address {
+			delete(w.inFlight, route)
 		}
 	}
 }
 
-// endWait ends a candidate's wait for answers beyond those that it needs.
-func (w *world) endWait(address string) {
+// endPhaseWait ends a candidate's wait for answers beyond those that it needs.
+func (w *world) endPhaseWait(address string) {
 	r := w.node(address).replica
 	r.now = exploredNow + maxPhaseWait + 1
 	switch r.election.phase {
@@ -365,7 +367,7 @@
 	}
 	r.now = exploredNow
 	r.election.prepare.majoritySince, r.election.phaseSince = min(r.election.prepare.majoritySince, exploredNow), min(r.election.phaseSince, exploredNow)
-	w.settle(address, "")
+	w.executeNodeEffects(address, "")
 }
 
 func sortedRequests(m map[requestRoute]Message) []requestRoute {
--- a/internal/router/replication/faults_test.go
+++ b/internal/router/replication/faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// faultTargets draws the machines of a fault: one, or up to as many as may be lost at once.
+// faultTargets draws the machines of a fault: at least one, and at most as many as may be lost at once.
 func (s *simulation) faultTargets() []*host {
 	hosts := s.addresses()
 	h := s.hosts[hosts[s.random.Intn(len(hosts))]]
@@ -26,7 +26,7 @@
 type faultKind int
 
 const (
-	killOne faultKind = iota // or a loss of power: the disk holds what was synced
+	killOne faultKind = iota // a crash or a loss of power: the disk keeps what was synced
 	killAll
 	loseDisk
 	freeze
@@ -34,30 +34,30 @@
 	isolate
 	blockOneLink
 	slowDisk
-	suspend // freeze, and what is sent to it meanwhile is lost
+	suspend // like freeze, but messages that are sent to the machine meanwhile are lost
 	loseMessages
-	faultKinds // their number
+	faultKindCount // number of the kinds above
 )
 
 // injectFault injects a random fault, and ends it later.
 func (s *simulation) injectFault() {
 	targets := s.faultTargets()
-	back := time.Duration(200+s.random.Intn(2500)) * time.Millisecond
-	kind := faultKind(s.random.Intn(int(faultKinds)))
+	recoverAfter := time.Duration(200+s.random.Intn(2500)) * time.Millisecond
+	kind := faultKind(s.random.Intn(int(faultKindCount)))
 	if kind == loseDisk && !s.mayWipe() {
 		return
 	}
 	for _, h := range targets {
-		s.applyFault(kind, h, back)
+		s.applyFault(kind, h, recoverAfter)
 	}
 }
 
-// applyFault injects a fault of a kind at a machine, or, where it is about links or all machines, at all.
-func (s *simulation) applyFault(kind faultKind, h *host, back time.Duration) {
+// applyFault injects a fault of a kind at a machine; killAll and loseMessages affect all machines.
+func (s *simulation) applyFault(kind faultKind, h *host, recoverAfter time.Duration) {
 	switch kind {
 	case killOne:
 		s.kill(h)
-		s.after(back, func() { s.boot(h) })
+		s.after(recoverAfter, func() { s.boot(h) })
 	case killAll:
 		for _, target := range s.ordered() {
 			s.kill(target)
@@ -66,36 +66,36 @@
 	case loseDisk:
 		s.kill(h)
 		s.wipe(h)
-		s.after(back, func() { s.boot(h) })
+		s.after(recoverAfter, func() { s.boot(h) })
 	case freeze:
-		h.frozenUntil = s.now + back
+		h.frozenUntil = s.now + recoverAfter
 	case fillDisk:
-		h.diskFullUntil = s.now + back
+		h.diskFullUntil = s.now + recoverAfter
 	case isolate:
 		for _, other := range s.ordered() {
 			if other != h {
 				s.blockLink(h, other, s.random.Intn(2) == 0)
 			}
 		}
-		s.after(back, s.heal)
+		s.after(recoverAfter, s.heal)
 	case blockOneLink:
 		hosts := s.addresses()
 		s.blockLink(h, s.hosts[hosts[s.random.Intn(len(hosts))]], true)
-		s.after(back, s.heal)
+		s.after(recoverAfter, s.heal)
 	case slowDisk:
 		h.syncTime = 40 * time.Millisecond
-		s.after(back, func() { h.syncTime = 2 * time.Millisecond })
+		s.after(recoverAfter, func() { h.syncTime = 2 * time.Millisecond })
 	case suspend:
-		h.frozenUntil = s.now + back
+		h.frozenUntil = s.now + recoverAfter
 		h.inboundLostUntil = h.frozenUntil
 	case loseMessages:
-		s.loss = 0.2
-		s.after(back, func() { s.loss = 0 })
+		s.lossProbability = 0.2
+		s.after(recoverAfter, func() { s.lossProbability = 0 })
 	}
 }
 
-// mayWipe reports whether a disk may be lost: as many may be lost at one time as FaultTolerance says, and each counts
-// as lost until its machine is back in the in-sync set.
+// mayWipe reports whether a disk may be lost. At most FaultTolerance disks may be lost at one time, and each counts as lost
+// until its machine is back in the in-sync set.
 func (s *simulation) mayWipe() bool {
 	p := s.primary()
 	if p == nil || len(p.replica.View().InSync) < len(s.hosts) {
--- a/internal/router/replication/guards/mutation_test.go
+++ b/internal/router/replication/guards/mutation_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// Package guards removes the guards of package replication from its code, one at a time: see its test.
+// Package guards has a mutation test of package replication: it removes one guard at a time from the source.
 package guards
 
 import (
@@ -9,7 +9,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each guard that the argument of this package depends on is removed from the code, and a directed schedule notices.
+// Each guard that the correctness of package replication depends on is removed from the source. The named test must then fail.
 func TestGuardsOfTheCode(t *testing.T) {
 	const replication = "petrelhook/internal/router/replication"
 	mutate.Caught(t, "../../../..", map[string]mutate.Mutant{
@@ -19,19 +19,19 @@
 			Package: replication, Test: "TestAFrozenPrimaryAnswersNoRead"},
 		"the candidate's own promise": {File: "internal/router/replication/phases.go", Text: "if _, own := e.prepare.promises[r.Self.Address]; !own {", Replacement: "if false {",
 			Package: replication, Test: "TestACandidateWaitsForItsOwnDisk"},
-		"the members before promise": {File: "internal/router/replication/phases.go", Text: "|| !majority(e.newestView.Old, e.prepare.votes) {", Replacement: "{",
+		"the previous members promise": {File: "internal/router/replication/phases.go", Text: "|| !majority(e.newestView.Old, e.prepare.votes) {", Replacement: "{",
 			Package: replication, Test: "TestAnAbandonedChangeHidesNoLaterView"},
 		"a change that was begun is finished, explored": {File: "internal/router/replication/members.go", Text: "if !e.newestView.joint() {", Replacement: "if true {",
 			Package: replication, Test: "TestExplorationOfAbandonedViews"},
-		"the members before promise, explored": {File: "internal/router/replication/phases.go", Text: "|| !majority(e.newestView.Old, e.prepare.votes) {", Replacement: "{",
+		"the previous members promise, explored": {File: "internal/router/replication/phases.go", Text: "|| !majority(e.newestView.Old, e.prepare.votes) {", Replacement: "{",
 			Package: replication, Test: "TestExplorationOfAbandonedViews"},
 		"the epoch of a view, explored": {File: "internal/router/replication/witness.go", Text: "if m.View.Epoch.Less(r.hard.Promised) {", Replacement: "if false {",
 			Package: replication, Test: "TestExplorationOfAbandonedViews"},
 		"disks in the in-sync set, explored": {File: "internal/router/replication/phases.go", Text: "if len(view.InSync) < r.minInSync() {", Replacement: "if false {",
 			Package: replication, Test: "TestExplorationOfAbandonedViews"},
-		"a late copy of a state, explored": {File: "internal/router/replication/witness.go", Text: " || m.Epoch == r.hard.Accepted.Epoch || r.Diskless {", Replacement: " || r.Diskless {",
+		"a duplicate of a state, explored": {File: "internal/router/replication/witness.go", Text: " || m.Epoch == r.hard.Accepted.Epoch || r.Diskless {", Replacement: " || r.Diskless {",
 			Package: replication, Test: "TestExplorationOfWorldsForGuards"},
-		"the members' own promises, explored": {File: "internal/router/replication/phases.go", Text: "!majority(e.newestView.Members, e.prepare.votes) || ", Replacement: "",
+		"the new members promise, explored": {File: "internal/router/replication/phases.go", Text: "!majority(e.newestView.Members, e.prepare.votes) || ", Replacement: "",
 			Package: replication, Test: "TestExplorationOfWorldsForGuards"},
 		"the epoch of an entry, explored": {File: "internal/router/replication/proposals.go", Text: "if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Diskless {", Replacement: "if r.Diskless {",
 			Package: replication, Test: "TestExplorationOfWorldsForGuards"},
@@ -41,8 +41,8 @@
 			Package: replication, Test: "TestWorstDays"},
 		"a change that was begun is finished": {File: "internal/router/replication/members.go", Text: "if !e.newestView.joint() {", Replacement: "if true {",
 			Package: replication, Test: "TestAnAbandonedChangeOfMembers"},
-		"the members before accept": {File: "internal/router/replication/phases.go", Text: "if majority(accept.view.Members, accept.votes) && majority(accept.view.Old, accept.votes) {", Replacement: "if majority(accept.view.Members, accept.votes) {",
-			Package: replication, Test: "TestTheMembersBeforeHaveToAgree"},
+		"the previous members accept": {File: "internal/router/replication/phases.go", Text: "if majority(accept.view.Members, accept.votes) && majority(accept.view.Old, accept.votes) {", Replacement: "if majority(accept.view.Members, accept.votes) {",
+			Package: replication, Test: "TestThePreviousMembersHaveToAgree"},
 		"disks in the in-sync set": {File: "internal/router/replication/phases.go", Text: "if len(view.InSync) < r.minInSync() {", Replacement: "if false {",
 			Package: replication, Test: "TestTheInSyncMinimum"},
 		"a newcomer replaces a member": {File: "internal/router/replication/members.go", Text: "index, ok := r.replacedBy(status.member, members)", Replacement: "index, ok := len(members), true",
--- a/internal/router/replication/guards_test.go
+++ b/internal/router/replication/guards_test.go
@@ -19,7 +19,7 @@
 	return out
 }
 
-// leaderAmong returns a process on one of some hosts that says it is primary, or nil.
+// leaderAmong returns a process on one of the hosts that considers itself primary, or nil.
 func leaderAmong(hosts []*host) *process {
 	for _, h := range hosts {
 		if h.process != nil && h.process.replica.IsPrimary() {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// coreWithValue is a core of three that has acknowledged "a", and its primary.
+// coreWithValue returns a core of three that has acknowledged the value "a", and its primary.
 func coreWithValue(t *testing.T) (*simulation, *process) {
 	t.Helper()
 	s := newSimulation(t, 1, 3, 1)
@@ -56,7 +56,7 @@
 	old := s.primary()
 	require.NotNil(t, old)
 	var late Replicate
-	s.mutate = func(_ *process, m Message) Message {
+	s.intercept = func(_ *process, m Message) Message {
 		if r, ok := m.(Replicate); ok {
 			late = r
 			return nil
@@ -82,7 +82,7 @@
 	}
 }
 
-// A primary that was frozen while another was elected does not answer a read with its stale state.
+// A primary that was frozen while another one was elected does not answer a read with its stale state.
 func TestAFrozenPrimaryAnswersNoRead(t *testing.T) {
 	s, old := coreWithValue(t)
 	old.host.frozenUntil = s.now + 3*time.Second
@@ -91,7 +91,7 @@
 	require.NotNil(t, next)
 	s.callAt(next, operation{client: 1, write: true, base: next.machine.Version, value: "b"})
 	s.run(old.host.frozenUntil - 500*time.Microsecond)
-	for i := range 20 { // until the write is done, still within the freeze
+	for i := range 20 { // until the write is done; the freeze is extended meanwhile
 		if s.history[len(s.history)-1].status == http.StatusOK {
 			break
 		}
@@ -99,23 +99,24 @@
 		s.run(s.now + 2*time.Millisecond)
 		require.Less(t, i, 19)
 	}
-	old.host.frozenUntil = s.now // it resumes, and the first request that it gets is a read
+	old.host.frozenUntil = s.now // it resumes, and the first request that it receives is a read
 	require.True(t, old.replica.IsPrimary())
 	s.callAt(old, operation{client: 2})
 	s.run(s.now + 2*time.Second)
-	require.Equal(t, porcupine.Ok, check(s.history))
+	require.Equal(t, porcupine.Ok, checkHistory(s.history))
 }
 
-// A primary transfers its leadership while the next one's disk has not yet synced the last entry; the third one, whose disk
-// is not brought to its state, accepts its view. The next one loses power as soon as it has answered a read.
+// A primary transfers its leadership while the disk of the next primary has not yet synced the last entry. The third replica
+// gets no Sync, but accepts the view. The next primary loses power as soon as it has answered a read: the entry must be on
+// its disk by then.
 func TestACandidateWaitsForItsOwnDisk(t *testing.T) {
 	s, old := coreWithValue(t)
 	slow, fast := s.followers(old)[0], s.followers(old)[1]
 	slow.syncTime = 350 * time.Millisecond
 	s.callAt(old, operation{client: 1, write: true, base: old.machine.Version, value: "b"})
 	s.run(s.now + 10*time.Millisecond)
-	takeOver := TransferLeadership{Epoch: old.replica.View().Epoch}
-	s.mutate = func(to *process, m Message) Message {
+	transfer := TransferLeadership{Epoch: old.replica.View().Epoch}
+	s.intercept = func(to *process, m Message) Message {
 		switch m.(type) {
 		case TransferLeadership, Sync:
 			if to.host == fast {
@@ -126,7 +127,7 @@
 	}
 	s.runIn(old, func() { old.replica.Resign(s.now) })
 	next := slow.process
-	s.runIn(next, func() { next.replica.Receive(old.host.address, takeOver, s.now) })
+	s.runIn(next, func() { next.replica.Receive(old.host.address, transfer, s.now) })
 	for range 300 {
 		if next.replica.IsPrimary() {
 			break
@@ -138,7 +139,7 @@
 	s.run(s.now + 20*time.Millisecond)
 	s.kill(next.host)
 	s.kill(old.host)
-	s.mutate = nil
+	s.intercept = nil
 	slow.syncTime = 2 * time.Millisecond
 	s.run(s.now + 100*time.Millisecond)
 	s.boot(next.host)
@@ -147,12 +148,13 @@
 	s.read(3)
 	s.run(s.now + time.Second)
 	require.Equal(t, http.StatusOK, s.history[len(s.history)-1].status)
-	require.Equal(t, porcupine.Ok, check(s.history))
+	require.Equal(t, porcupine.Ok, checkHistory(s.history))
 }
 
-// Two machines join while the two followers of a three-member core can promise and receive nothing more: the primary
-// and those that join are a majority of the members to be, and the followers one of the members that are.
-func TestTheMembersBeforeHaveToAgree(t *testing.T) {
+// Two machines join a core of three whose two followers are partitioned after their promises. The primary and the joining
+// machines are a majority of the new members, and the followers a majority of the previous ones: the two sides must not both
+// decide.
+func TestThePreviousMembersHaveToAgree(t *testing.T) {
 	s, old := coreWithValue(t)
 	followers := s.followers(old)
 	joining := []*host{}
@@ -161,17 +163,17 @@
 		s.hosts[address] = h
 		joining = append(joining, h)
 	}
-	within := append([]*host{old.host}, joining...)
-	separated := false
-	s.mutate = func(to *process, m Message) Message {
+	joiningSide := append([]*host{old.host}, joining...)
+	partitioned := false
+	s.intercept = func(to *process, m Message) Message {
 		if _, ok := m.(Sync); ok && (to.host == followers[0] || to.host == followers[1]) {
-			separated = true
-			s.partition(followers, within)
+			partitioned = true
+			s.partition(followers, joiningSide)
 		}
-		if separated && (to.host == followers[0]) != (to.host == followers[1]) {
+		if partitioned && (to.host == followers[0]) != (to.host == followers[1]) {
 			switch m.(type) {
 			case Sync, Accept:
-				return nil // what was in flight
+				return nil // it was in flight when the partition began
 			}
 		}
 		return m
@@ -180,14 +182,14 @@
 		s.boot(h)
 	}
 	s.run(s.now + 2*time.Second)
-	require.True(t, separated)
-	s.mutate = nil
-	for round := range 8 { // on both sides, whoever leads there
-		if round == 4 { // and one that joined campaigns without pre-votes
+	require.True(t, partitioned)
+	s.intercept = nil
+	for round := range 8 { // writes and reads on both sides, at each primary there
+		if round == 4 { // one of the joining machines campaigns without pre-votes
 			p := joining[0].process
 			s.runIn(p, func() { p.replica.campaign(true) })
 		}
-		for client, side := range [][]*host{within, followers} {
+		for client, side := range [][]*host{joiningSide, followers} {
 			for _, h := range side {
 				if p := h.process; p.replica.IsPrimary() {
 					s.callAt(p, operation{client: client, write: true, base: p.machine.Version, value: string(rune('b'+round)) + h.address})
@@ -197,7 +199,7 @@
 		}
 		s.run(s.now + 500*time.Millisecond)
 	}
-	require.NotEqual(t, porcupine.Illegal, check(s.history))
+	require.NotEqual(t, porcupine.Illegal, checkHistory(s.history))
 	acceptedWrites := 0
 	for _, o := range s.history[1:] {
 		if o.write && o.status == http.StatusOK {
@@ -210,5 +212,5 @@
 	require.Len(t, s.primary().replica.View().InSync, 5)
 	s.read(9)
 	s.run(s.now + time.Second)
-	require.NotEqual(t, porcupine.Illegal, check(s.history))
+	require.NotEqual(t, porcupine.Illegal, checkHistory(s.history))
 }
--- a/internal/router/replication/handover.go
+++ b/internal/router/replication/handover.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Leave says that this process is about to end: it transfers its leadership, and another replica replaces it among the
-// members as soon as one that could has all that it has.
+// Leave announces that this process is about to end. The replica transfers its leadership, and a caught-up replica of its
+// zone replaces it among the members as soon as there is one.
 func (r *Replica) Leave(now time.Duration) {
 	r.leaving = true
 	r.Resign(now)
 }
 
-// Resign transfers the leadership to another in-sync replica, as far as that is possible. It does nothing where this is
-// not the primary.
+// Resign steps down as primary, and asks another in-sync replica to campaign if there is a suitable one. It does nothing if
+// this replica is not the primary.
 func (r *Replica) Resign(now time.Duration) {
 	r.now = now
 	if r.role != primary {
@@ -23,7 +23,7 @@
 	}
 }
 
-// successor returns the address of the in-sync replica that answered last of those that could be primary, or "".
+// successor returns the address of the in-sync replica with the most recent contact among those that could be primary, or "".
 func (r *Replica) successor() string {
 	l := &r.leadership
 	address, latest := "", time.Duration(-1)
@@ -36,8 +36,8 @@
 	return address
 }
 
-// handleTransferLeadership campaigns at once, if this replica is in sync and still follows the epoch of the primary
-// that asks for it.
+// handleTransferLeadership campaigns at once, if this replica is in sync and still follows the epoch of the primary that
+// sent the request.
 func (r *Replica) handleTransferLeadership(m TransferLeadership) {
 	if r.role == follower && r.hard.Promised == m.Epoch && r.hard.Accepted.inSync(r.Self.ID) {
 		r.campaign(true)
--- a/internal/router/replication/heartbeat.go
+++ b/internal/router/replication/heartbeat.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// replicaStatus is what a replica reported in its last answer to a heartbeat.
+// replicaStatus holds the content of a replica's last heartbeat ack.
 type replicaStatus struct {
 	member          Member
-	heartbeatNumber uint64        // the newest that it answered
-	lastContact     time.Duration // when the answer came
+	heartbeatNumber uint64        // of the newest heartbeat that it answered
+	lastContact     time.Duration // when the ack came
 	diskFails       bool
 	knownEpoch      Epoch // of the view that it knows to be in force
 	hasDisk         bool
-	durablePosition Position // of what is on its disk
+	durablePosition Position // of the state on its disk
 	leaving         bool
 }
 
-// broadcastHeartbeat sends a heartbeat to all members and all that may become members.
+// broadcastHeartbeat sends a heartbeat to all members and all replicas that may become members.
 func (r *Replica) broadcastHeartbeat() {
 	l := &r.leadership
 	l.heartbeatNumber++
@@ -38,8 +38,8 @@
 	}
 }
 
-// recipientsKnowingView returns the addresses that get heartbeats, and whether the replica there knows the view. At a
-// member's address the member's answer counts.
+// recipientsKnowingView returns the addresses that get heartbeats, each with whether the replica there knows the view. Where
+// several replicas had one address, the member's status counts.
 func (r *Replica) recipientsKnowingView() map[string]bool {
 	l := &r.leadership
 	knowsView := map[string]bool{}
@@ -55,7 +55,7 @@
 // handleHeartbeat follows the primary of an epoch that is not smaller than the promised one.
 func (r *Replica) handleHeartbeat(m Heartbeat, from string) {
 	if m.Epoch.Less(r.hard.Promised) {
-		r.send(from, r.heartbeatAck(m)) // which says the larger epoch
+		r.send(from, r.heartbeatAck(m)) // has the larger epoch
 		return
 	}
 	if r.role != follower {
@@ -65,10 +65,10 @@
 		r.LearnView(*m.View)
 	}
 	r.follower.lastContact, r.follower.everContacted = r.now, true
-	r.preVote = preVoteRequests{}
+	r.preVote = preVoteRound{}
 	r.send(from, r.heartbeatAck(m))
 	if r.knownView.Epoch != m.Epoch {
-		return // the next heartbeat brings the view
+		return // the primary sends the view with the next heartbeat
 	}
 	r.acceptKnownView()
 	if r.hasCommittedState(m) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// acceptKnownView accepts the view whose primary sends heartbeats. It is in force, so accepting it late does no harm,
-// and the members before need not agree to what follows it.
+// acceptKnownView accepts the view of the primary that sent a heartbeat. The view is in force: it is safe to accept it late,
+// and later views need no votes of the members before it.
 func (r *Replica) acceptKnownView() {
 	r.knownView.Old = r.knownView.Members
 	if r.hard.Accepted.Epoch.Less(r.knownView.Epoch) || r.hard.Accepted.joint() {
@@ -105,8 +105,8 @@
 	return r.state.position.Sequence == m.Committed && r.knownView.inSync(r.Self.ID) && r.hard.Accepted.Epoch == m.Epoch
 }
 
-// handleHeartbeatAck records what a replica reported, answers what its confirmation completes, and goes on catching it
-// up. An ack with a larger promised epoch makes this primary campaign above it.
+// handleHeartbeatAck records a replica's status, answers the reads and rejections that are confirmed by it, and continues to
+// catch the replica up. After an ack with a larger promised epoch this primary campaigns for an epoch above it.
 func (r *Replica) handleHeartbeatAck(m HeartbeatAck) {
 	l := &r.leadership
 	if r.role != primary || m.Epoch != l.view.Epoch {
@@ -134,7 +134,8 @@
 	r.catchUp(m.From.ID)
 }
 
-// majorityReachable reports whether a majority of this primary's members, itself included, answered lately.
+// majorityReachable reports whether a majority of this primary's members, itself included, answered within the election
+// timeout.
 func (r *Replica) majorityReachable() bool {
 	votes := map[string]bool{}
 	for id, status := range r.leadership.statuses {
--- a/internal/router/replication/history.go
+++ b/internal/router/replication/history.go
@@ -13,10 +13,10 @@
 	bytes   int
 }
 
-// restart drops all entries: the state at a position was not reached by them.
+// restart drops all entries and begins at a position, whose state was not reached by them.
 func (h *history) restart(p Position) { *h = history{base: p} }
 
-// add appends the entry that was applied last, and drops the oldest beyond the bounds. The newest is always kept.
+// add appends the entry that was applied last, and drops the oldest entries beyond the bounds. The newest is always kept.
 func (h *history) add(e Entry) {
 	h.entries = append(h.entries, e)
 	h.bytes += len(e.Data)
@@ -31,8 +31,8 @@
 	}
 }
 
-// after returns the entries after a position, and false where not all of them are there. A position names one history,
-// so one that is found is that of a state which these entries follow.
+// after returns the entries after a position, and false if not all of them are in memory. Two states with the same position
+// have the same history: if the position is found here, the entries after it follow that state.
 func (h *history) after(p Position) ([]Entry, bool) {
 	if p == h.base {
 		return h.entries, true
@@ -45,7 +45,7 @@
 	return nil, false
 }
 
-// newest returns the data of the newest entries, n at most.
+// newest returns the data of the newest entries, at most n.
 func (h *history) newest(n int) [][]byte {
 	from := max(0, len(h.entries)-n)
 	var data [][]byte
--- a/internal/router/replication/history_test.go
+++ b/internal/router/replication/history_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// schedulesVariable sets how many random schedules are played; every run has a few with fixed seeds.
+// schedulesVariable is the environment variable that sets how many random schedules are played. The seeds are 0, 1, 2, ...
 const schedulesVariable = "PETRELHOOK_SCHEDULES"
 
 func scheduleCount(t *testing.T, usual int) int {
@@ -34,7 +34,7 @@
 	value   string
 }
 
-// registerModel is a register that accepts a value on top of the version that the write names.
+// registerModel is a register with a version: a write succeeds if it names the current version.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -49,17 +49,17 @@
 		case http.StatusPreconditionFailed:
 			return !matches, s
 		}
-		if matches { // the answer was unclear: it may have been committed
+		if matches { // the outcome is unknown: the write may have been committed
 			return true, registerState{s.version + 1, o.value}
 		}
 		return true, s
 	},
 }
 
-// check asks porcupine whether what clients observed is linearizable. A write without a clear answer may be committed
-// at any time after it was proposed, or never; the model permits both: it ends at infinity, and where it does not fit
-// it changes nothing.
-func check(history []operation) porcupine.CheckResult {
+// checkHistory checks with porcupine whether a history is linearizable. A write with an unknown outcome may be committed at
+// any time after it was proposed, or never. The model permits both: such a write ends at infinity, and changes nothing if its
+// base is not the current version.
+func checkHistory(history []operation) porcupine.CheckResult {
 	acknowledged := map[int]bool{} // versions on top of which a value was acknowledged
 	for _, o := range history {
 		if o.write && o.status == http.StatusOK {
@@ -69,7 +69,7 @@
 	var list []porcupine.Operation
 	for i, o := range history {
 		if o.status != http.StatusOK && o.status != http.StatusPreconditionFailed {
-			// Versions only rise: a write on top of one that an acknowledged write has replaced was never committed.
+			// Versions only increase: a write with a base that an acknowledged write has replaced was never committed.
 			if !o.write || acknowledged[o.base] {
 				continue
 			}
@@ -81,17 +81,17 @@
 }
 
 // playSchedule runs one random schedule of faults and calls, and returns the simulation after it has recovered.
-func playSchedule(t testing.TB, seed int64, mutate func(*simulation)) *simulation {
+func playSchedule(t testing.TB, seed int64, configure func(*simulation)) *simulation {
 	t.Helper()
-	return playCore(t, seed, 3+int(seed%3), 1, mutate)
+	return playCore(t, seed, 3+int(seed%3), 1, configure)
 }
 
-// playCore is playSchedule with a core of a size, of which some machines may be lost at once.
-func playCore(t testing.TB, seed int64, machines, tolerance int, mutate func(*simulation)) *simulation {
+// playCore is like playSchedule, with a core of the given size that tolerates the loss of so many disks.
+func playCore(t testing.TB, seed int64, machines, tolerance int, configure func(*simulation)) *simulation {
 	t.Helper()
 	s := newSimulation(t, seed, machines, tolerance)
-	if mutate != nil {
-		mutate(s)
+	if configure != nil {
+		configure(s)
 	}
 	s.run(4 * time.Second)
 	for round := range 14 {
@@ -109,15 +109,14 @@
 		s.run(s.now + time.Duration(1+s.random.Intn(900))*time.Millisecond)
 	}
 	s.heal()
-	s.loss = 0
+	s.lossProbability = 0
 	s.run(s.now + 12*time.Second)
 	s.read(9)
 	s.run(s.now + 2*time.Second)
 	return s
 }
 
-// What clients observe under random faults is linearizable, and the core has recovered some seconds after the last
-// fault.
+// Histories under random faults are linearizable, and the core has recovered some seconds after the last fault.
 func TestHistories(t *testing.T) {
 	runSeedsInParallel(t, scheduleCount(t, 400), func(seed int64) bool {
 		s := playSchedule(t, seed, nil)
@@ -129,7 +128,7 @@
 	})
 }
 
-// A schedule is the same each time it is played: a failure can be reproduced.
+// A seed gives the same history each time it is played, so that a failure can be reproduced.
 func TestSchedulesRepeat(t *testing.T) {
 	runSeedsInParallel(t, 24, func(seed int64) bool {
 		first, second := playSchedule(t, seed, nil), playSchedule(t, seed, nil)
@@ -137,8 +136,8 @@
 	})
 }
 
-// The same with cores of five, six and seven machines, of which two may be lost at once: killed, wiped, partitioned,
-// suspended, or with disks that are full or slow.
+// Like TestHistories, with cores of five, six and seven machines. Up to two of them fail at once: they are killed, wiped,
+// partitioned or suspended, or their disks are full or slow.
 func TestHistoriesOfLargerCores(t *testing.T) {
 	runSeedsInParallel(t, scheduleCount(t, 60), func(seed int64) bool {
 		s := playCore(t, seed, 5+int(seed%3), 2, nil)
@@ -150,7 +149,7 @@
 	})
 }
 
-// runSeedsInParallel runs seeds side by side until one returns false.
+// runSeedsInParallel runs all seeds on several goroutines. It stops early once run has returned false.
 func runSeedsInParallel(t *testing.T, seeds int, run func(seed int64) bool) {
 	t.Helper()
 	var next atomic.Int64
@@ -172,20 +171,20 @@
 	group.Wait()
 }
 
-// linearizable returns "" where one register could have given the answers that clients got.
-func linearizable(history []operation) string {
-	if check(history) == porcupine.Illegal {
+// linearizabilityViolation returns "" if a history is linearizable or the check timed out, and otherwise says that it is not.
+func linearizabilityViolation(history []operation) string {
+	if checkHistory(history) == porcupine.Illegal {
 		return "the history is not linearizable"
 	}
 	return ""
 }
 
-// scheduleViolation says what is wrong with a schedule that was played, or is "".
+// scheduleViolation describes what is wrong after a schedule, or returns "".
 func scheduleViolation(s *simulation) string {
 	if s.restoreError != nil {
 		return s.restoreError.Error()
 	}
-	if fault := linearizable(s.history); fault != "" {
+	if fault := linearizabilityViolation(s.history); fault != "" {
 		return fault
 	}
 	p := s.primary()
@@ -196,21 +195,21 @@
 	if last.write || last.status != http.StatusOK {
 		return "no answer after the faults"
 	}
-	if in := len(p.replica.View().InSync); in != len(s.hosts) {
-		return fmt.Sprintf("%d of %d in sync after the faults", in, len(s.hosts))
+	if inSyncCount := len(p.replica.View().InSync); inSyncCount != len(s.hosts) {
+		return fmt.Sprintf("%d of %d in sync after the faults", inSyncCount, len(s.hosts))
 	}
 	return ""
 }
 
-// The check can fail: it notices an acknowledged value that is not there.
+// The check rejects a history in which an acknowledged value is missing or two writes succeed on the same version.
 func TestTheCheckCanFail(t *testing.T) {
 	written := operation{write: true, value: "a", begin: 1, end: 2, status: http.StatusOK}
-	require.Equal(t, porcupine.Ok, check([]operation{written, {begin: 3, end: 4, status: 200, seenVersion: 1, seenValue: "a"}}))
-	require.Equal(t, porcupine.Illegal, check([]operation{written, {begin: 3, end: 4, status: 200}}))
+	require.Equal(t, porcupine.Ok, checkHistory([]operation{written, {begin: 3, end: 4, status: 200, seenVersion: 1, seenValue: "a"}}))
+	require.Equal(t, porcupine.Illegal, checkHistory([]operation{written, {begin: 3, end: 4, status: 200}}))
 	second := operation{write: true, value: "b", begin: 3, end: 4, status: http.StatusOK}
-	require.Equal(t, porcupine.Illegal, check([]operation{written, second}), "two on the same version")
+	require.Equal(t, porcupine.Illegal, checkHistory([]operation{written, second}), "two on the same version")
 	second.status = http.StatusServiceUnavailable
-	require.Equal(t, porcupine.Ok, check([]operation{written, second}))
+	require.Equal(t, porcupine.Ok, checkHistory([]operation{written, second}))
 }
 
 func isMember(v View, id string) bool { return v.Member(id) != nil }
--- a/internal/router/replication/learner.go
+++ b/internal/router/replication/learner.go
@@ -1,28 +1,30 @@
 package replication
 
-// Catching up, the learner's side: a replica with a disk outside the in-sync set adopts what the primary sends it.
+// This file has the learner's side of catching up: a replica with a disk outside the in-sync set adopts the snapshots and
+// entries that the primary sends.
 
 const (
 	maxSnapshotBytes          = 64 << 20
-	maxSeparatelySavedEntries = 2 // more are saved as one snapshot
+	maxSeparatelySavedEntries = 2 // more entries are saved as one snapshot
 )
 
 // incomingSnapshot is a snapshot that a learner is receiving.
 type incomingSnapshot struct {
 	position Position
-	data     []byte // from the snapshot's start
+	data     []byte // received so far, from the snapshot's start
 }
 
-// acceptsCatchUp reports whether this replica adopts the state that a primary of an epoch sends it: it follows that
-// epoch, whose view is in force without it in the in-sync set, so nothing that was acknowledged depends on what it has.
+// acceptsCatchUp reports whether this replica adopts the state that the primary of an epoch sends. It does if it follows that
+// epoch and is not in the in-sync set of the epoch's view, which is in force: then no acknowledged entry depends on the
+// state that it replaces.
 func (r *Replica) acceptsCatchUp(epoch Epoch) bool {
 	follows := r.role == follower && !r.Diskless &&
 		r.hard.Promised == epoch && r.hard.Accepted.Epoch == epoch && r.knownView.Epoch == epoch
 	return follows && !r.hard.Accepted.joint() && !r.knownView.inSync(r.Self.ID)
 }
 
-// handleSnapshotChunk collects a snapshot. Chunks come in order: one that is lost or repeated is acknowledged with what
-// was received.
+// handleSnapshotChunk collects a snapshot, whose chunks are sent in order. The answer to each chunk has the number of bytes
+// received so far, so the primary resends from there after a lost or repeated chunk.
 func (r *Replica) handleSnapshotChunk(m SnapshotChunk, from string) {
 	if !r.acceptsCatchUp(m.Epoch) || m.Size > maxSnapshotBytes || m.Offset+len(m.Data) > m.Size {
 		return
@@ -41,7 +43,7 @@
 	data := incoming.data
 	*incoming = incomingSnapshot{}
 	if r.state.restore(data, m.Position) != nil {
-		return // the primary sends it again
+		return // the primary resends it
 	}
 	r.saveSnapshot(func() { r.acknowledgeCatchUp(m.Epoch, from) })
 }
@@ -54,7 +56,8 @@
 	r.applyEntries(m.Entries, func() { r.acknowledgeCatchUp(m.Epoch, from) })
 }
 
-// acknowledgeCatchUp tells the primary what is on the disk and how much of a snapshot came, unless its epoch was left.
+// acknowledgeCatchUp reports to the primary the position on the disk and how much of a snapshot was received, unless this
+// replica has left the epoch.
 func (r *Replica) acknowledgeCatchUp(epoch Epoch, to string) {
 	if r.hard.Promised != epoch {
 		return
--- a/internal/router/replication/learner_test.go
+++ b/internal/router/replication/learner_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	slowLink         = 10_000_000 / 8 // bytes a second: 10 Mbit/s
-	bulkBytes        = 400_000        // about the size of 500 routes and 4,096 digests
-	proposalInterval = 100 * time.Millisecond
+	slowLinkBytesPerSecond = 10_000_000 / 8 // 10 Mbit/s
+	largeValueBytes        = 400_000        // about the size of 500 routes and 4,096 digests
+	proposalInterval       = 100 * time.Millisecond
 )
 
 // proposalOutcomes counts the outcomes of a series of proposals.
@@ -24,7 +24,8 @@
 
 const lateThreshold = 500 * time.Millisecond
 
-// proposeFor proposes a value each 100 ms for a time, as an operator that knows the newest version.
+// proposeFor proposes a value every proposalInterval for some time, on top of the newest version. It skips a turn while the
+// last proposal is not answered.
 func (s *simulation) proposeFor(during time.Duration) {
 	for until := s.now + during; s.now < until; {
 		if p := s.primary(); p != nil && s.history[len(s.history)-1].end >= 0 {
@@ -54,34 +55,34 @@
 	return total
 }
 
-// absence is a core on slow links of which one member misses entries and comes back while there are more.
-type absence struct {
+// catchUpRun is a core on slow links of which one member misses entries and returns while proposals continue.
+type catchUpRun struct {
 	*simulation
-	away            *host
-	whileCatchingUp proposalOutcomes // while it catches up
-	inSyncAfter     time.Duration
-	catchUpBytes    int
+	restarted       *host
+	whileCatchingUp proposalOutcomes // after the member's return
+	inSyncAfter     time.Duration    // time from its return until it was in sync
+	catchUpBytes    int              // bytes sent by all machines in that time
 }
 
-func playAbsence(t *testing.T, seed int64, syncTime time.Duration, wiped bool) *absence {
+func playCatchUp(t *testing.T, seed int64, syncTime time.Duration, wiped bool) *catchUpRun {
 	t.Helper()
 	s := newSimulation(t, seed, 4, 1)
 	s.run(4 * time.Second)
 	require.NotNil(t, s.primary())
-	require.Equal(t, http.StatusOK, writeNow(s, bulk+strings.Repeat("x", bulkBytes)).status)
-	s.bytesPerSecond = slowLink
-	a := &absence{simulation: s, away: s.followers(s.primary())[seed%3], inSyncAfter: -1}
-	a.away.syncTime = syncTime
-	s.kill(a.away)
+	require.Equal(t, http.StatusOK, writeNow(s, largeValuePrefix+strings.Repeat("x", largeValueBytes)).status)
+	s.bytesPerSecond = slowLinkBytesPerSecond
+	a := &catchUpRun{simulation: s, restarted: s.followers(s.primary())[seed%3], inSyncAfter: -1}
+	a.restarted.syncTime = syncTime
+	s.kill(a.restarted)
 	if wiped {
-		s.wipe(a.away)
+		s.wipe(a.restarted)
 	}
 	s.proposeFor(30 * time.Second)
-	s.boot(a.away)
+	s.boot(a.restarted)
 	back, sent, from := s.now, s.sentBytes, len(s.history)
 	for range 100 {
 		s.proposeFor(proposalInterval)
-		if p := s.primary(); a.inSyncAfter < 0 && p != nil && p.replica.knownView.inSync(a.away.process.replica.Self.ID) {
+		if p := s.primary(); a.inSyncAfter < 0 && p != nil && p.replica.knownView.inSync(a.restarted.process.replica.Self.ID) {
 			a.inSyncAfter, a.catchUpBytes = s.now-back, s.sentBytes-sent
 		}
 	}
@@ -90,8 +91,8 @@
 	return a
 }
 
-// A member that was down for 300 entries, with a slow disk or an empty one, catches up over a slow link while proposals
-// continue: none is rejected, and none waits for it.
+// A member that missed 300 entries, with an intact or an empty, a fast or a slow disk, catches up over a slow link while
+// proposals continue. No proposal is rejected or delayed by it.
 func TestCatchingUpBesideOrders(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -105,7 +106,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range int64(6) {
-				a := playAbsence(t, seed, test.syncTime, test.wiped)
+				a := playCatchUp(t, seed, test.syncTime, test.wiped)
 				t.Logf("seed %d: in sync after %v, %d bytes sent, proposals %+v", seed, a.inSyncAfter, a.catchUpBytes, a.whileCatchingUp)
 				require.Positive(t, a.inSyncAfter, "it never caught up")
 				require.Less(t, a.inSyncAfter, 1200*time.Millisecond)
@@ -116,18 +117,18 @@
 	}
 }
 
-// A replica in the in-sync set adopts no state to catch up: what was acknowledged depends on what it has. One outside
-// does.
+// A replica in the in-sync set rejects a snapshot to catch up, because acknowledged entries depend on its state. A replica
+// outside the set adopts it.
 func TestAnInSyncReplicaRejectsCatchUp(t *testing.T) {
 	for _, test := range []struct {
-		view  View
-		taken bool
+		view    View
+		adopted bool
 	}{{viewOf(5, "b", "a"), false}, {viewOf(5, "b", "c"), true}} {
-		r := preVoter(t, test.view)
+		r := suspectingReplica(t, test.view)
 		r.hard.Promised = test.view.Epoch
 		snapshot := (&versionMachine{Version: 9, Value: "caught up"}).Snapshot()
 		at := Position{Epoch: test.view.Epoch, Sequence: 9}
 		r.Receive("b", SnapshotChunk{Epoch: test.view.Epoch, Position: at, Size: len(snapshot), Data: snapshot}, 4*time.Second)
-		require.Equal(t, test.taken, r.state.position == at)
+		require.Equal(t, test.adopted, r.state.position == at)
 	}
 }
--- a/internal/router/replication/machine.go
+++ b/internal/router/replication/machine.go
@@ -1,9 +1,9 @@
 package replication
 
 // StateMachine is the state that is replicated. It is deterministic: the same entries in the same order give the same
-// state on every replica. The replica alone calls it, within the shell's calls.
+// state on every replica. Only the replica calls it, on the goroutine of the shell's call.
 type StateMachine interface {
-	// Decide says what becomes of a proposed entry on top of the present state, which it does not change.
+	// Decide reports whether a proposed entry is accepted on top of the current state, which it does not change.
 	Decide(entry []byte) Decision
 	// Apply changes the state by an entry that Decide accepted, here or on another replica.
 	Apply(entry []byte)
@@ -15,7 +15,7 @@
 	Value() any
 }
 
-// Decision is what becomes of a proposal or of a read.
+// Decision is the result of a proposal or of a read.
 type Decision struct {
 	Accept bool   // the entry is to be replicated, or was committed
 	Status int    // HTTP status for the caller
--- a/internal/router/replication/members.go
+++ b/internal/router/replication/members.go
@@ -7,18 +7,21 @@
 	"time"
 )
 
-// Who is a member of the next view. A newcomer replaces one member in one step, so that a repair never needs more votes
-// than there were before it; the number of members grows only where a zone has none, or where there are too few to
-// tolerate the losses that FaultTolerance names.
+// This file decides the members of the next view. A newcomer replaces one member in one step, so that a repair never needs
+// more votes than were needed before it. The number of members grows only where a zone has no member, or where there are
+// too few members to tolerate FaultTolerance losses.
 
 const (
-	replacementTimeout          = time.Second     // without contact: a newcomer of its zone replaces a member
-	crossZoneReplacementTimeout = 4 * time.Second // without contact: a newcomer of a zone without a member does
+	// replacementTimeout is the time without contact after which a newcomer of a member's zone replaces the member.
+	replacementTimeout = time.Second
+	// crossZoneReplacementTimeout is the time without contact after which a newcomer of a zone without a member replaces
+	// the member.
+	crossZoneReplacementTimeout = 4 * time.Second
 )
 
-// nextView returns the view that a candidate proposes. A change of members that was begun and is not known to be in
-// force is finished first, with the same members and the same ones before: a view built on members that never were in
-// force would be decided without those that still may decide.
+// nextView returns the view that a candidate proposes. A change of members that was begun and is not known to be in force
+// is finished first, with the same members and the same previous members. A view built on members that were never in force
+// would be decided without the previous members, which may still decide on another view.
 func (r *Replica) nextView() View {
 	e := &r.election
 	v := View{Epoch: e.epoch, Primary: r.Self.ID, Members: e.newestView.Members, Old: e.newestView.Old}
@@ -41,7 +44,7 @@
 	case e.newestView.Epoch.Round == 0:
 		return r.firstMembers()
 	case r.leadership.view.Epoch != e.newestView.Epoch:
-		return e.newestView.Members // who was not primary just now does not know who is unreachable or leaving
+		return e.newestView.Members // only that view's primary knows which members are unreachable or leaving
 	}
 	members := r.planMembers(func(id string) bool { return e.sync.synced[id] })
 	for i := range members {
@@ -52,7 +55,7 @@
 	return members
 }
 
-// firstMembers returns those of the first view: all disks that were brought to the candidate's state.
+// firstMembers returns the members of the first view: all disks that were brought to the candidate's state.
 func (r *Replica) firstMembers() []Member {
 	e := &r.election
 	var members []Member
@@ -69,7 +72,7 @@
 	return members
 }
 
-// planMembers returns the members that a primary wants instead of those of its view; ready says which replicas have its
+// planMembers returns the members that a primary wants for the next view. ready reports whether a replica has the primary's
 // state.
 func (r *Replica) planMembers(ready func(id string) bool) []Member {
 	members := slices.Clone(r.leadership.view.Members)
@@ -88,15 +91,15 @@
 			members = append(members, status.member)
 		}
 	}
-	return r.withoutPredecessor(members, ready)
+	return r.withoutSupersededMember(members, ready)
 }
 
-// replacedBy returns the index of the member that a newcomer replaces, or the number of members where the newcomer is
-// added; false where it has to wait.
+// replacedBy returns the index of the member that a newcomer replaces, or len(members) if the newcomer is to be added. ok is
+// false if the newcomer has to wait.
 func (r *Replica) replacedBy(newcomer Member, members []Member) (index int, ok bool) {
 	for i, m := range members {
 		if m.Address == newcomer.Address {
-			return i, true // its disk is gone
+			return i, true // the member's disk was lost
 		}
 	}
 	zoneHasMember := false
@@ -120,9 +123,9 @@
 	return len(members), allReachable && (!zoneHasMember || tooFew)
 }
 
-// withoutPredecessor drops one member that has long been unreachable and whose zone has a newer member, where enough
-// remain.
-func (r *Replica) withoutPredecessor(members []Member, ready func(id string) bool) []Member {
+// withoutSupersededMember removes one member that has been unreachable for crossZoneReplacementTimeout and whose zone has a
+// newer member that is ready, provided that at least 2*FaultTolerance+1 members remain.
+func (r *Replica) withoutSupersededMember(members []Member, ready func(id string) bool) []Member {
 	if len(members) <= 2*r.FaultTolerance+1 {
 		return members
 	}
@@ -139,11 +142,11 @@
 	return members
 }
 
-// isLeaving reports whether a member said in its last answer that its process is about to end.
+// isLeaving reports whether a member reported in its last heartbeat ack that its process is about to end.
 func (r *Replica) isLeaving(m Member) bool { return r.leadership.statuses[m.ID].leaving }
 
-// unreachableFor reports whether the primary has had no contact with a member for longer than a limit. What happened
-// before it became primary does not count.
+// unreachableFor reports whether the primary has had no contact with a member for longer than a limit. Time before it became
+// primary does not count.
 func (r *Replica) unreachableFor(m Member, limit time.Duration) bool {
 	if m.ID == r.Self.ID {
 		return false
@@ -151,8 +154,8 @@
 	return r.now-max(r.leadership.statuses[m.ID].lastContact, r.leadership.primarySince) > limit
 }
 
-// wantedChange names what the next view would have that this one has not: other members, or more of them in sync. It is
-// "" where there is nothing.
+// wantedChange describes the difference that the next view would make: the IDs of the members that would join the in-sync
+// set and, if the members would change, the IDs of the new ones. It is "" if the next view would be the same.
 func (r *Replica) wantedChange() string {
 	l := &r.leadership
 	var wanted []string
--- a/internal/router/replication/messages.go
+++ b/internal/router/replication/messages.go
@@ -1,30 +1,30 @@
 package replication
 
-// Message is what replicas send one another. Prepare, Promise, Accept and Accepted are the messages of Paxos that have
-// these names. Messages are encoded by gob under their field names;
-// internal/router/wireformat has the forms of those whose fields were renamed. Each carries an epoch, or answers a
-// request that did not need one (PreVote): what does not belong to the receiver's present epoch and phase is dropped.
+// Message is a message between replicas. Prepare, Promise, Accept and Accepted are the messages of Paxos with the same
+// names. Messages are encoded by gob under their field names; where a field has another name on the wire,
+// internal/router/wireformat has the type that is encoded. Every message but PreVote and PreVoteReply carries an epoch: the
+// receiver drops a message that does not belong to its current epoch and phase.
 type Message interface{ replicationMessage() }
 
-// PreVote is sent by a follower that suspects the primary, to all whose promise it may need. The receiver answers with
-// what it would say to a Prepare, and promises nothing.
+// PreVote is sent by a follower that suspects the primary to have failed, to all replicas whose promise it may need. The
+// receiver answers as it would answer a Prepare, but promises nothing.
 type PreVote struct{ From Member }
 
 // PreVoteReply is the answer to PreVote. The follower becomes candidate once a majority has no contact with a primary
-// either and it is in the in-sync set of the newest view accepted among them.
+// either, and the follower is in the in-sync set of the newest view that any of this majority accepted.
 type PreVoteReply struct {
 	Voters        []string // the witness identities that would promise
-	Accepted      View     // the newest view that they accepted
-	LeaderContact bool     // they would promise nothing: they have contact with a primary or a candidate
+	Accepted      View     // the newest view that the sender accepted
+	LeaderContact bool     // the sender would promise nothing: it has contact with a primary or a candidate
 }
 
-// Prepare is sent by a candidate to all whose promise it may need. The receiver promises to follow no smaller epoch,
-// and answers once that is on its disk. It refuses if it has promised a larger one, or if it has contact with a primary
-// and the candidate does not force it.
+// Prepare is sent by a candidate to all replicas whose promise it may need. The receiver promises to follow no smaller
+// epoch, and answers once the promise is on its disk. It refuses if it has promised a larger epoch, or if it has contact
+// with a primary and Force is not set.
 type Prepare struct {
 	Epoch Epoch
 	From  Member
-	Force bool // also while the receiver has contact with a primary: that primary asked for this itself
+	Force bool // promise despite contact with a primary: that primary itself wants another view
 }
 
 // Promise is the answer to Prepare. The candidate counts its voters, builds on the newest accepted view that it learns
@@ -32,19 +32,19 @@
 type Promise struct {
 	Epoch    Epoch
 	From     Member
-	Refused  bool     // the sender has promised Promised, or has contact with a primary
+	Refused  bool     // the sender promised a larger epoch, Promised, or has contact with a primary
 	Promised Epoch    // the largest epoch that the sender promised
 	Voters   []string // the witness identities that promise
 	Accepted View     // the newest view that the sender accepted
 	Position Position // of the sender's state
 }
 
-// Sync is sent by a candidate to those that promised. The receiver adopts the candidate's state, by the entries that it
-// lacks or by a complete state, and answers once that is on its disk. A receiver whose position is the candidate's gets
-// neither.
+// Sync is sent by a candidate to the replicas that promised. The receiver adopts the candidate's state from the missing
+// entries or from a snapshot, and answers once the state is on its disk. Both are empty where the receiver already has the
+// candidate's position.
 type Sync struct {
 	Epoch    Epoch
-	Position Position
+	Position Position // of the candidate's state
 	After    Position // of the state that Entries follow
 	Entries  []Entry
 	Snapshot []byte
@@ -58,11 +58,11 @@
 }
 
 // Accept is sent by a candidate to all witnesses. The receiver accepts the view unless it has promised a larger epoch,
-// and answers once that is on its disk.
+// and answers once the view is on its disk.
 type Accept struct{ View View }
 
-// Accepted is the answer to Accept. The candidate becomes primary once a majority of the members, and of the members
-// before, accepted.
+// Accepted is the answer to Accept. The candidate becomes primary once a majority of the view's members, and a majority
+// of the previous members, accepted.
 type Accepted struct {
 	Epoch    Epoch
 	Voters   []string
@@ -70,33 +70,33 @@
 	Promised Epoch
 }
 
-// Replicate is sent by the primary to the in-sync set for each entry. The receiver applies the entry if it follows its
-// state, and answers once it is on its disk; it ignores an entry of an epoch that it has left.
+// Replicate is sent by the primary to the in-sync set for each entry. The receiver applies the entry if it follows the
+// receiver's state, and answers once the entry is on its disk. It ignores an entry of an epoch that it has left.
 type Replicate struct {
 	Epoch    Epoch
 	Sequence uint64
 	Entry    []byte
 }
 
-// Replicated is the answer to Replicate. The primary commits the entry once all of the in-sync set have answered.
+// Replicated is the answer to Replicate. The primary commits the entry once all members of the in-sync set have answered.
 type Replicated struct {
 	Epoch    Epoch
 	From     string
 	Sequence uint64
 }
 
-// Heartbeat is sent by the primary to all members and all that may become members. The receiver follows the primary,
-// accepts its view, and publishes its state once that is the committed one.
+// Heartbeat is sent by the primary to all members and all replicas that may become members. The receiver follows the
+// primary, accepts its view, and publishes its own state if that is the committed one.
 type Heartbeat struct {
 	Epoch     Epoch
-	View      *View  // nil where the receiver has said that it knows it
+	View      *View  // nil where the receiver has acknowledged the view
 	Number    uint64 // counts this primary's heartbeats
 	Committed uint64 // sequence of the last committed entry
 }
 
-// HeartbeatAck is the answer to Heartbeat. The primary learns from it who is reachable and what is on whose disk, and
-// counts it as a confirmation that it is still primary. One with a larger promised epoch makes it campaign for a new
-// view.
+// HeartbeatAck is the answer to Heartbeat. It tells the primary that the sender is reachable and which state is on the
+// sender's disk, and counts as a confirmation that the receiver is still primary. If the sender promised a larger epoch,
+// the primary campaigns for a new view.
 type HeartbeatAck struct {
 	Epoch      Epoch
 	Number     uint64 // of the heartbeat
@@ -104,9 +104,9 @@
 	Promised   Epoch
 	KnownEpoch Epoch // of the view that the sender knows to be in force
 	DiskFails  bool
-	HasDisk    bool     // it may become a member
-	Position   Position // of what is on its disk
-	Leaving    bool     // its process is about to end
+	HasDisk    bool     // the sender may become a member
+	Position   Position // of the state on the sender's disk
+	Leaving    bool     // the sender's process is about to end
 }
 
 // SnapshotChunk is sent by the primary to a learner: a replica with a disk outside the in-sync set. The receiver
@@ -115,29 +115,29 @@
 	Epoch    Epoch
 	Position Position
 	Size     int // of the complete snapshot, in bytes
-	Offset   int // of Data in it
+	Offset   int // of Data in the snapshot, in bytes
 	Data     []byte
 }
 
-// MissingEntries is sent by the primary to a learner. The receiver applies the entries if they follow its state, and
-// answers once they are on its disk.
+// MissingEntries is sent by the primary to a learner. The receiver applies the entries if they follow the receiver's state,
+// and answers once they are on its disk.
 type MissingEntries struct {
 	Epoch   Epoch
 	After   Position // of the state that the entries follow
 	Entries []Entry
 }
 
-// LearnerAck is the answer to SnapshotChunk and MissingEntries. The primary sends what follows.
+// LearnerAck is the answer to SnapshotChunk and MissingEntries. The primary sends the next chunk or entries.
 type LearnerAck struct {
 	Epoch    Epoch
 	From     Member
-	Position Position // of what is on its disk
-	Transfer Position // of the snapshot that it is receiving
+	Position Position // of the state on the sender's disk
+	Transfer Position // of the snapshot that the sender is receiving
 	Received int      // bytes of that snapshot
 }
 
-// TransferLeadership is sent by a primary that is about to end or whose disk fails, to one of the in-sync set. The
-// receiver becomes candidate at once, if it still follows that epoch.
+// TransferLeadership is sent by a primary whose process is about to end or whose disk fails, to one member of the in-sync
+// set. The receiver becomes candidate at once, if it still follows that epoch.
 type TransferLeadership struct{ Epoch Epoch }
 
 func (PreVote) replicationMessage()            {}
@@ -157,7 +157,7 @@
 func (MissingEntries) replicationMessage()     {}
 func (LearnerAck) replicationMessage()         {}
 
-// Messages returns one message of each type, for whoever encodes them.
+// Messages returns one message of each type, for the registration of the types with an encoder.
 func Messages() []Message {
 	return []Message{PreVote{}, PreVoteReply{}, Prepare{}, Promise{}, Sync{}, Synced{}, Accept{}, Accepted{}, Replicate{}, Replicated{},
 		Heartbeat{}, HeartbeatAck{}, TransferLeadership{}, SnapshotChunk{}, MissingEntries{}, LearnerAck{}}
--- a/internal/router/replication/persisted.go
+++ b/internal/router/replication/persisted.go
@@ -1,13 +1,13 @@
 package replication
 
-// What a replica keeps on its disk. HardState, Entry and SnapshotRecord, with Epoch, Member, View and Position within
-// them, are encoded by gob under their field names, on disks and in messages: the fields must not be renamed.
+// This file has the state that a replica persists. HardState, Entry and SnapshotRecord, and the Epoch, Member, View and
+// Position in them, are encoded by gob under their field names, on disks and in messages: the fields must not be renamed.
 
-// HardState is what a replica must not forget as a voter.
+// HardState is the state that a witness persists before it answers: without it, it could vote twice in one epoch.
 type HardState struct {
 	Promised Epoch // no smaller epoch is followed
 	Accepted View  // the newest view that was accepted
-	Genesis  bool  // this disk was made at the first start of the whole system
+	Genesis  bool  // this disk's file was created at the first start of the whole system
 }
 
 // Entry is one committed or staged entry.
@@ -16,15 +16,15 @@
 	Data     []byte
 }
 
-// SnapshotRecord is a complete state at a position. On the disk it replaces all entries before it.
+// SnapshotRecord is the complete state at a position. On the disk it replaces all entries up to that position.
 type SnapshotRecord struct {
 	Position Position
 	Data     []byte
 }
 
-// PersistedState is all that a replica finds on its disk when it starts.
+// PersistedState is the content of a replica's disk when its process starts.
 type PersistedState struct {
-	ID       string // the disk's identity, drawn when its file was made
+	ID       string // the disk's identity, drawn when its file was created
 	Hard     HardState
 	Snapshot SnapshotRecord
 	Entries  []Entry // after the snapshot, in order
--- a/internal/router/replication/phases.go
+++ b/internal/router/replication/phases.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The three phases of a candidacy: what a candidate does with the answers to Prepare, Sync and Accept.
+// This file has the three phases of a candidacy: how a candidate handles the answers to Prepare, Sync and Accept.
 
 // handlePromise counts a promise. A refusal by a larger epoch ends the candidacy.
 func (r *Replica) handlePromise(m Promise) {
@@ -30,8 +30,8 @@
 	r.advancePreparing()
 }
 
-// learnAcceptedView has the candidate build on a view that a witness accepted, if it is newer, and asks its members for
-// their promises.
+// learnAcceptedView makes a view that a witness accepted the one that the candidate builds on, if it is newer, and requests
+// promises of that view's members.
 func (r *Replica) learnAcceptedView(accepted View) {
 	e := &r.election
 	later := laterView(e.newestView, accepted)
@@ -46,12 +46,12 @@
 	}
 }
 
-// advancePreparing begins the sync phase once enough have promised: a majority of the members of the newest view, and
-// one of those before, and all others that are likely to answer soon. Only a replica in that view's in-sync set goes
-// on.
+// advancePreparing begins the sync phase once there are enough promises: of a majority of the newest view's members, of a
+// majority of its previous members, and of all others that are likely to answer soon. A candidate outside that view's
+// in-sync set steps down instead.
 func (r *Replica) advancePreparing() {
 	e := &r.election
-	if _, own := e.prepare.promises[r.Self.Address]; !own { // its own disk has to have what its memory has
+	if _, own := e.prepare.promises[r.Self.Address]; !own { // its own disk has to hold the state that it has in memory
 		return
 	}
 	if !majority(e.newestView.Members, e.prepare.votes) || !majority(e.newestView.Old, e.prepare.votes) {
@@ -63,7 +63,7 @@
 	}
 	if e.newestView.Epoch.Round > 0 && !e.newestView.inSync(r.Self.ID) {
 		r.LearnView(e.newestView)
-		r.stepDown() // one of the in-sync set has to do it
+		r.stepDown() // only a member of the in-sync set may lead
 		return
 	}
 	e.phase, e.phaseSince = syncing, r.now
@@ -72,8 +72,8 @@
 	r.advanceSyncing()
 }
 
-// promiseWait is for how long promises beyond a majority are waited for: those that come take about as long as the
-// others, but for those that this replica, as primary, knows to be reachable.
+// promiseWait returns how long the candidate waits for promises beyond a majority: somewhat longer than the slowest promise
+// took, or maxPhaseWait if one is missing of a replica that this primary knows to be caught up.
 func (r *Replica) promiseWait() time.Duration {
 	prepare := &r.election.prepare
 	for _, id := range sortedKeys(r.leadership.statuses) {
@@ -84,7 +84,7 @@
 	return min(maxPhaseWait, promiseWaitMargin+2*prepare.slowestPromise)
 }
 
-// allPromised reports whether nothing is gained by waiting for more promises.
+// allPromised reports whether all replicas whose promise may be needed have promised.
 func (r *Replica) allPromised() bool {
 	for _, address := range r.contacts() {
 		if _, ok := r.election.prepare.promises[address]; !ok {
@@ -94,8 +94,9 @@
 	return true
 }
 
-// syncPromised brings those that promised to this candidate's state: all that lack a few entries; one that needs the
-// complete state only where too few others have it, for that takes long and the primary does it beside its other work.
+// syncPromised sends this candidate's state to the replicas that promised. A replica that needs a snapshot gets one only if
+// too few members can be synced without: a snapshot takes long, and the primary can send it later while it handles
+// proposals.
 func (r *Replica) syncPromised() {
 	e := &r.election
 	var needSnapshot []Promise
@@ -121,10 +122,10 @@
 	}
 }
 
-// isFromDisk reports whether a replica promised with its disk's identity: it can be in the in-sync set.
+// isFromDisk reports whether the sender promised with its disk's identity. Only then can it be in the in-sync set.
 func (m *Promise) isFromDisk() bool { return slices.Contains(m.Voters, m.From.ID) }
 
-// membersBeingSynced counts the members, this one included, that were sent what they lack.
+// membersBeingSynced returns the number of members that were sent Sync, plus one for the candidate.
 func (r *Replica) membersBeingSynced() int {
 	e := &r.election
 	n := 1
@@ -136,7 +137,7 @@
 	return n
 }
 
-// handleSynced adds a replica to the in-sync set to be, if it has exactly the candidate's state.
+// handleSynced adds a replica to the in-sync set of the view to propose, if it has exactly the candidate's state.
 func (r *Replica) handleSynced(m Synced) {
 	if r.role != candidate || m.Epoch != r.election.epoch || r.election.phase != syncing || m.Position != r.state.position {
 		return
@@ -145,12 +146,12 @@
 	r.advanceSyncing()
 }
 
-// minInSync returns the smallest size of an in-sync set: an acknowledged entry is on so many disks at least, so that
-// one is left when FaultTolerance of them are lost.
+// minInSync returns the smallest size of an in-sync set. An acknowledged entry is on at least as many disks, so that one is
+// left when FaultTolerance of them are lost.
 func (r *Replica) minInSync() int { return r.FaultTolerance + 1 }
 
-// advanceSyncing proposes a view once all that were sent the state have it, or after maxPhaseWait those that do, if
-// they are enough.
+// advanceSyncing proposes a view once all replicas that were sent Sync have answered, or after maxPhaseWait. The view's
+// in-sync set are the members that answered; the candidate goes on waiting while they are fewer than minInSync.
 func (r *Replica) advanceSyncing() {
 	e := &r.election
 	if len(e.sync.synced) < len(e.sync.requested)+1 && r.now-e.phaseSince < maxPhaseWait {
@@ -169,14 +170,14 @@
 	}
 }
 
-// handleAccepted counts an acceptance. The view is in force once a majority of its members, and one of the members
-// before, accepted it.
+// handleAccepted counts a vote for the proposed view. The view is in force once a majority of its members and a majority of
+// the previous members have accepted it.
 func (r *Replica) handleAccepted(m Accepted) {
 	if r.role != candidate || m.Epoch != r.election.epoch || r.election.phase != accepting {
 		return
 	}
 	if m.Refused {
-		return // the candidacy times out, unless a majority accepts all the same
+		return // the candidacy goes on: others may still be a majority; otherwise it times out
 	}
 	accept := &r.election.accept
 	for _, id := range m.Voters {
--- a/internal/router/replication/prevote.go
+++ b/internal/router/replication/prevote.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// A replica without contact with a primary asks the others first whether they have it, and promises nothing meanwhile:
-// one that has just started, or that a partition keeps from receiving, would otherwise end a view that works.
+// Before a candidacy, a replica without contact with a primary asks the others whether they have contact, and promises
+// nothing meanwhile. Without this, a replica that has just started, or that can send but not receive, would end a working
+// view.
 
 const (
 	preVoteInterval      = 100 * time.Millisecond
-	preVoteReplyLifetime = 300 * time.Millisecond // for which an answer counts
+	preVoteReplyLifetime = 300 * time.Millisecond // the time for which a reply counts
 )
 
-// preVoteRequests is what a follower that suspects the primary has asked and been answered. It is empty while it
-// suspects nobody.
-type preVoteRequests struct {
+// preVoteRound holds the pre-vote requests of a follower that suspects the primary to have failed, and the replies. It is
+// empty otherwise.
+type preVoteRound struct {
 	lastRequest time.Duration
-	replies     map[string]receivedPreVote // by address; nil before the first request
+	replies     map[string]receivedPreVoteReply // by address; nil before the first request
 }
 
-// receivedPreVote is an answer and when it came.
-type receivedPreVote struct {
+// receivedPreVoteReply is a reply and the time at which it came.
+type receivedPreVoteReply struct {
 	PreVoteReply
 	receivedAt time.Duration
 }
 
-// suspectsPrimary reports whether a follower should become a candidate, if the others agree.
+// suspectsPrimary reports whether this replica is a follower that should become candidate if the others agree.
 func (r *Replica) suspectsPrimary() bool {
-	newest := r.newestKnown()
+	newest := r.newestKnownView()
 	if r.role != follower || r.Diskless || r.diskStalled() || newest.Epoch.Round == 0 {
 		return false
 	}
 	if r.knownView.Member(r.Self.ID) == nil && r.hard.Accepted.Member(r.Self.ID) == nil {
-		return false // it waits to become a member
+		return false // it is no member and has no vote
 	}
 	return r.now-r.follower.lastContact > electionTimeout+r.electionDelay()
 }
 
-// requestPreVotes asks all whose promise may be needed, at most once in preVoteInterval.
+// requestPreVotes sends PreVote to all replicas whose promise may be needed, at most once in preVoteInterval.
 func (r *Replica) requestPreVotes() {
 	if r.preVote.replies == nil {
-		r.preVote.replies = map[string]receivedPreVote{}
+		r.preVote.replies = map[string]receivedPreVoteReply{}
 	} else if r.now-r.preVote.lastRequest < preVoteInterval {
 		return
 	}
@@ -46,10 +47,10 @@
 	for _, address := range r.contacts() {
 		r.send(address, PreVote{From: r.Self})
 	}
-	r.countPreVotes()
+	r.evaluatePreVotes()
 }
 
-// handlePreVote answers what a Prepare would be answered, and changes nothing.
+// handlePreVote answers as a Prepare would be answered, and changes nothing.
 func (r *Replica) handlePreVote(m PreVote) {
 	voters := r.voters()
 	if len(voters) == 0 {
@@ -59,7 +60,7 @@
 	r.send(m.From.Address, PreVoteReply{Voters: voters, Accepted: r.hard.Accepted, LeaderContact: leaderContact})
 }
 
-// handlePreVoteReply counts an answer; contact with a primary takes an earlier one back.
+// handlePreVoteReply counts a reply. A reply that reports contact with a primary revokes an earlier one of the same sender.
 func (r *Replica) handlePreVoteReply(m PreVoteReply, from string) {
 	if r.preVote.replies == nil {
 		return
@@ -68,15 +69,15 @@
 		delete(r.preVote.replies, from)
 		return
 	}
-	r.preVote.replies[from] = receivedPreVote{m, r.now}
-	r.countPreVotes()
+	r.preVote.replies[from] = receivedPreVoteReply{m, r.now}
+	r.evaluatePreVotes()
 }
 
-// countPreVotes begins a candidacy when a majority has no contact with a primary and the promises would let this
-// replica lead. One that is not in the in-sync set would hinder those that are by asking for promises: a promise gives
-// the candidate time.
-func (r *Replica) countPreVotes() {
-	newest := r.newestKnown()
+// evaluatePreVotes begins a candidacy when a majority has no contact with a primary and this replica is in the in-sync set of
+// the newest view among the replies. A candidate outside the in-sync set cannot lead, and would delay those that can: a
+// witness that promised waits for an election timeout before it campaigns itself.
+func (r *Replica) evaluatePreVotes() {
+	newest := r.newestKnownView()
 	votes := map[string]bool{}
 	for _, id := range r.voters() {
 		votes[id] = true
@@ -93,12 +94,12 @@
 	if !r.suspectsPrimary() || !newest.inSync(r.Self.ID) || !majority(newest.Members, votes) || !majority(newest.Old, votes) {
 		return
 	}
-	r.preVote = preVoteRequests{}
+	r.preVote = preVoteRound{}
 	r.campaign(false)
 }
 
-// newestKnown returns the newest view that this replica accepted or knows to be in force.
-func (r *Replica) newestKnown() View {
+// newestKnownView returns the newer of the view that this replica accepted and the view that it knows to be in force.
+func (r *Replica) newestKnownView() View {
 	if r.knownView.Epoch.Less(r.hard.Accepted.Epoch) {
 		return r.hard.Accepted
 	}
--- a/internal/router/replication/prevote_test.go
+++ b/internal/router/replication/prevote_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// viewOf is a view of the members a, b, c, d, e that is known to be in force.
+// viewOf returns a view of the members a, b, c, d, e that is known to be in force. The first in-sync member is the primary.
 func viewOf(round uint64, inSync ...string) View {
 	v := View{Epoch: Epoch{Round: round, Node: inSync[0]}, Primary: inSync[0], InSync: inSync}
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
@@ -18,8 +18,8 @@
 	return v
 }
 
-// preVoter returns the replica "a", which accepted a view and has no contact with anybody.
-func preVoter(t *testing.T, accepted View) *Replica {
+// suspectingReplica returns the replica "a", which accepted a view, has had no contact with a primary, and requests pre-votes.
+func suspectingReplica(t *testing.T, accepted View) *Replica {
 	t.Helper()
 	r, err := New(Options{Self: Member{ID: "a", Address: "a"}, FaultTolerance: 1}, &PersistedState{ID: "a", Hard: HardState{Accepted: accepted}},
 		machineAdapter{&versionMachine{}}, 0)
@@ -29,9 +29,9 @@
 	return r
 }
 
-// A replica campaigns where the answers to its pre-vote say that it could lead. One outside the in-sync set does not:
-// each promise gives a candidate time, and two such replicas alternating would keep those who could lead from being
-// elected, for ever.
+// A replica campaigns only if the replies to its pre-vote show that it could lead. A replica outside the in-sync set does
+// not: a promise delays the candidacy of the replica that gives it, so two such replicas in turn would keep the in-sync ones
+// from being elected for ever.
 func TestOnlyOneThatCouldLeadIsACandidate(t *testing.T) {
 	without, with := viewOf(4, "b", "c"), viewOf(5, "a", "b")
 	for _, test := range []struct {
@@ -43,11 +43,11 @@
 		{"in the in-sync set", with, []View{with, with, with}, true},
 		{"one of the others is behind", with, []View{with, without, with}, true},
 		{"outside the in-sync set", without, []View{without, without, without}, false},
-		{"others are further, without it", with, []View{viewOf(6, "b", "c"), with, with}, false},
-		{"one other accepted a view in which it is", without, []View{without, without, with}, true},
+		{"one other accepted a newer view without it", with, []View{viewOf(6, "b", "c"), with, with}, false},
+		{"one other accepted a newer view with it in sync", without, []View{without, without, with}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := preVoter(t, test.own)
+			r := suspectingReplica(t, test.own)
 			for i, from := range []string{"c", "d", "e"} {
 				r.Receive(from, PreVoteReply{Voters: []string{from}, Accepted: test.accepted[i]}, r.now)
 			}
@@ -63,7 +63,7 @@
 	}
 }
 
-// Schedules after whose faults two replicas outside the in-sync set kept the others from electing a primary.
+// With these seeds, two replicas outside the in-sync set used to keep the others from electing a primary after the faults.
 func TestOutsidersDoNotHinderAnElection(t *testing.T) {
 	assert.Empty(t, scheduleViolation(playSchedule(t, 140690, nil)))
 	assert.Empty(t, scheduleViolation(playCore(t, 116838, 5, 2, nil)))
--- a/internal/router/replication/proposals.go
+++ b/internal/router/replication/proposals.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// Reasons for a caller that gets status 503.
+// Reasons of answers with status 503.
 const (
 	reasonNotPrimary      = "not the primary"
 	reasonNoLongerPrimary = "no longer primary"
 	reasonViewChanges     = "the view changes"
 )
 
-// unavailable is the decision that says nothing clear: the caller asks again.
+// unavailable returns a decision with status 503, which leaves the outcome open: the caller may retry.
 func unavailable(reason string) Decision {
 	return Decision{Status: http.StatusServiceUnavailable, Reason: reason}
 }
 
-// proposal is an entry that waits for its turn or for its commit.
+// proposal is an entry that is queued or staged.
 type proposal struct {
 	token uint64
 	data  []byte
 }
 
-// stagedEntry is the one proposal that is applied at the primary and not yet committed.
+// stagedEntry is the one proposal that the primary has applied and not yet committed.
 type stagedEntry struct {
 	proposal *proposal // nil: there is none
 	stagedAt time.Duration
-	acks     map[string]bool // IDs of in-sync members that have it on the disk
+	acks     map[string]bool // IDs of in-sync members that have the entry on the disk
 }
 
-// timedOut reports whether in-sync members take too long to acknowledge the entry.
+// timedOut reports whether the entry has not been committed within its timeout.
 func (s *stagedEntry) timedOut(now time.Duration) bool {
 	return s.proposal != nil && now-s.stagedAt > entryTimeout+time.Duration(len(s.proposal.data))*entryTimeoutPerByte
 }
 
-// Propose submits an entry, which the replica keeps. An Answer with the token follows, unless the process ends: with
-// Accept once the entry is committed, with the machine's decision where it rejects the entry, and with status 503 where
-// this is not the primary, where too many entries wait, or where it is unclear whether the entry will be committed: the
-// caller may propose it again, and the machine has to recognize one that it has.
+// Propose submits an entry. The replica keeps data: the caller must not change it afterwards. An Answer with the token
+// follows unless the process ends: with Accept once the entry is committed, with the machine's decision if the machine
+// rejects the entry, and with status 503 if this is not the primary, if too many proposals are queued, or if it is unclear
+// whether the entry will be committed. In the last case the caller may propose it again, and the machine has to recognize
+// an entry that it has already applied.
 func (r *Replica) Propose(token uint64, data []byte, now time.Duration) {
 	r.now = now
 	l := &r.leadership
@@ -48,11 +49,12 @@
 		return
 	}
 	l.proposals = append(l.proposals, proposal{token: token, data: data})
-	r.nextProposal()
+	r.stageNextProposal()
 }
 
-// nextProposal decides on proposals until one is staged: it has to be committed before the next is decided.
-func (r *Replica) nextProposal() {
+// stageNextProposal takes proposals from the queue until one is staged. The next is decided only when the staged one is
+// committed.
+func (r *Replica) stageNextProposal() {
 	l := &r.leadership
 	for r.role == primary && l.staged.proposal == nil && len(l.proposals) > 0 {
 		p := l.proposals[0]
@@ -83,9 +85,9 @@
 	}
 }
 
-// handleReplicate applies the primary's next entry, and acknowledges it once it is on the disk. An entry of another
-// epoch than the promised and accepted one is dropped: acknowledged after its epoch was left, it could be missing in
-// the view that follows.
+// handleReplicate applies the primary's next entry, and acknowledges it once it is on the disk. An entry of another epoch
+// than the promised and accepted one is dropped: if it were acknowledged after this replica left its epoch, the next view
+// could lack it.
 func (r *Replica) handleReplicate(m Replicate, from string) {
 	if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Diskless {
 		return
@@ -100,7 +102,7 @@
 	}))
 }
 
-// handleReplicated counts an acknowledgement, and commits the staged entry with the last one.
+// handleReplicated counts an acknowledgement. With the last one it commits the staged entry.
 func (r *Replica) handleReplicated(m Replicated) {
 	l := &r.leadership
 	if r.role != primary || m.Epoch != l.view.Epoch || l.staged.proposal == nil || m.Sequence != r.state.position.Sequence {
@@ -115,7 +117,7 @@
 	r.commitStaged()
 }
 
-// commitStaged commits the staged entry: all of the in-sync set have it on the disk.
+// commitStaged commits the staged entry. It is called when all members of the in-sync set have it on the disk.
 func (r *Replica) commitStaged() {
 	l := &r.leadership
 	token := l.staged.proposal.token
@@ -125,5 +127,5 @@
 	r.answer(token, Decision{Accept: true, Status: http.StatusOK})
 	r.broadcastHeartbeat()
 	r.catchUpAll()
-	r.nextProposal()
+	r.stageNextProposal()
 }
--- a/internal/router/replication/reads.go
+++ b/internal/router/replication/reads.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// confirmation is a read or a rejection that waits until a majority has confirmed, since the request came, that this is
-// still the primary: another primary may have committed what this one does not know.
+// confirmation is the pending answer to a read, or to a proposal that the machine rejected. It is given once a majority has
+// confirmed, after the request came, that this replica is still the primary. Without that, another primary may have
+// committed entries that this one does not have.
 type confirmation struct {
 	token           uint64
 	heartbeatNumber uint64 // a majority has to answer this heartbeat or a later one
 	decision        Decision
 }
 
-// Confirm asks for an Answer to a read: with status 200 as soon as a majority has confirmed that this is still the
-// primary. What was published by then may be read. The Answer has status 503 where this is not the primary or stops
-// being it.
+// Confirm submits a read. An Answer with the token and status 200 follows as soon as a majority has confirmed that this
+// replica is still the primary: the state published last by then is current for this read. The Answer has status 503 if
+// this replica is not the primary, or is no longer.
 func (r *Replica) Confirm(token uint64, now time.Duration) {
 	r.now = now
 	if r.role != primary {
@@ -26,7 +27,7 @@
 	r.confirmThenAnswer(token, Decision{Status: http.StatusOK})
 }
 
-// confirmThenAnswer gives an answer once a heartbeat that is sent now has been answered by a majority.
+// confirmThenAnswer broadcasts a heartbeat, and gives the answer once a majority has acknowledged it.
 func (r *Replica) confirmThenAnswer(token uint64, d Decision) {
 	r.broadcastHeartbeat()
 	l := &r.leadership
@@ -34,7 +35,7 @@
 	r.answerConfirmed()
 }
 
-// answerConfirmed gives the answers that a majority has confirmed.
+// answerConfirmed gives the pending answers whose heartbeat a majority has acknowledged.
 func (r *Replica) answerConfirmed() {
 	l := &r.leadership
 	l.confirmations = slices.DeleteFunc(l.confirmations, func(c confirmation) bool {
--- a/internal/router/replication/removed_guards_test.go
+++ b/internal/router/replication/removed_guards_test.go
@@ -10,38 +10,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// maxSchedulesUntilNoticed: a guard that is removed has to be noticed within so many schedules.
-const maxSchedulesUntilNoticed = 5_000
+// maxSchedulesUntilDetected is the number of schedules within which the removal of a guard has to be detected.
+const maxSchedulesUntilDetected = 5_000
 
 func TestGuards(t *testing.T) {
-	for name, without := range map[string]func(*simulation){
-		// A replica answers before its disk has what it answers for.
-		"sync before answer": func(s *simulation) { s.lyingDisks = true },
-		// A read is answered without a confirmation that this is still the primary.
-		"read confirmation": func(s *simulation) { s.readsAtOnce = true },
+	for name, removeGuard := range map[string]func(*simulation){
+		// A replica answers before the state that the answer depends on is on its disk.
+		"sync before answer": func(s *simulation) { s.acksBeforeSync = true },
+		// A read is answered without a confirmation that the replica is still the primary.
+		"read confirmation": func(s *simulation) { s.unconfirmedReads = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var noticed atomic.Int64
-			noticed.Store(-1)
-			runSeedsInParallel(t, maxSchedulesUntilNoticed, func(seed int64) bool {
-				s := playSchedule(t, seed, without)
-				if s.restoreError == nil && check(s.history) != porcupine.Illegal {
+			var detected atomic.Int64
+			detected.Store(-1)
+			runSeedsInParallel(t, maxSchedulesUntilDetected, func(seed int64) bool {
+				s := playSchedule(t, seed, removeGuard)
+				if s.restoreError == nil && checkHistory(s.history) != porcupine.Illegal {
 					return true
 				}
-				noticed.Store(seed)
+				detected.Store(seed)
 				return false
 			})
-			if noticed.Load() < 0 {
-				t.Errorf("removed, and not noticed in %d schedules", maxSchedulesUntilNoticed)
+			if detected.Load() < 0 {
+				t.Errorf("the removal was not detected in %d schedules", maxSchedulesUntilDetected)
 			}
-			t.Logf("noticed by schedule %d", noticed.Load())
+			t.Logf("detected by schedule %d", detected.Load())
 		})
 	}
 }
 
-// withoutEpochCheck has replicas accept what a primary of an older epoch sends, and that primary accept their answers.
+// withoutEpochCheck makes replicas accept entries of a primary of an older epoch, and that primary accept their answers.
 func withoutEpochCheck(s *simulation) {
-	s.mutate = func(to *process, m Message) Message {
+	s.intercept = func(to *process, m Message) Message {
 		switch m := m.(type) {
 		case Replicate:
 			m.Epoch = to.replica.hard.Promised
@@ -52,22 +52,22 @@
 			return m
 		case Heartbeat:
 			if m.Epoch.Less(to.replica.hard.Promised) {
-				return nil // nor does it learn that it is not the primary any more
+				return nil // it would be answered with the larger epoch, which ends the old leadership
 			}
 		}
 		return m
 	}
 }
 
-// A primary is suspended, another is elected, and the first that the old one receives when it resumes is a proposal, at
-// some time before its own next tick; after that the new one is read.
-func suspendedPrimaryGetsProposal(t *testing.T, early time.Duration, without func(*simulation)) *simulation {
+// suspendedPrimaryGetsProposal suspends a primary until another one is elected. The first request that the old primary
+// receives when it resumes is a proposal, some time before its next tick. Then the new primary is read.
+func suspendedPrimaryGetsProposal(t *testing.T, beforeResume time.Duration, removeGuard func(*simulation)) *simulation {
 	t.Helper()
 	s, old := coreWithValue(t)
-	without(s)
+	removeGuard(s)
 	old.host.frozenUntil = s.now + 2*time.Second
 	old.host.inboundLostUntil = old.host.frozenUntil
-	s.run(old.host.frozenUntil - early)
+	s.run(old.host.frozenUntil - beforeResume)
 	next := leaderAmong(s.followers(old))
 	require.NotNil(t, next)
 	old.host.frozenUntil, old.host.inboundLostUntil = s.now, s.now
@@ -80,23 +80,24 @@
 }
 
 func TestAnOlderEpochIsRejected(t *testing.T) {
-	noticed := 0
-	for early := time.Millisecond; early < 50*time.Millisecond; early += 3 * time.Millisecond {
-		require.Equal(t, porcupine.Ok, check(suspendedPrimaryGetsProposal(t, early, func(*simulation) {}).history))
-		if check(suspendedPrimaryGetsProposal(t, early, withoutEpochCheck).history) == porcupine.Illegal {
-			noticed++
+	detected := 0
+	for beforeResume := time.Millisecond; beforeResume < 50*time.Millisecond; beforeResume += 3 * time.Millisecond {
+		require.Equal(t, porcupine.Ok, checkHistory(suspendedPrimaryGetsProposal(t, beforeResume, func(*simulation) {}).history))
+		if checkHistory(suspendedPrimaryGetsProposal(t, beforeResume, withoutEpochCheck).history) == porcupine.Illegal {
+			detected++
 		}
 	}
-	require.NotZero(t, noticed, "an entry of an epoch that was left is acknowledged, and that is not noticed")
-	t.Logf("noticed %d times", noticed)
+	require.NotZero(t, detected, "an entry of an epoch that was left is acknowledged, and that is not detected")
+	t.Logf("detected %d times", detected)
 }
 
-// A member is partitioned, a value is acknowledged, and then all lose power and one disk of the in-sync set is lost;
-// the partitioned member and the one without its disk are back first.
-func lostDiskAndStaleMember(t *testing.T, without func(*simulation)) *simulation {
+// lostDiskAndStaleMember partitions a member and has a value acknowledged without it. Then all machines lose power and one
+// disk of the in-sync set is lost. The partitioned member and the machine with the lost disk start first: together they must
+// not elect a primary.
+func lostDiskAndStaleMember(t *testing.T, removeGuard func(*simulation)) *simulation {
 	t.Helper()
 	s := newSimulation(t, 1, 3, 1)
-	without(s)
+	removeGuard(s)
 	s.run(4 * time.Second)
 	p := s.primary()
 	require.NotNil(t, p)
@@ -129,20 +130,21 @@
 }
 
 func TestALostDiskHasNoVote(t *testing.T) {
-	require.Equal(t, porcupine.Ok, check(lostDiskAndStaleMember(t, func(*simulation) {}).history))
-	require.Equal(t, porcupine.Illegal, check(lostDiskAndStaleMember(t, func(s *simulation) { s.sameIdentity = true }).history),
-		"a disk that was lost votes under its old identity, and that is not noticed")
+	require.Equal(t, porcupine.Ok, checkHistory(lostDiskAndStaleMember(t, func(*simulation) {}).history))
+	require.Equal(t, porcupine.Illegal, checkHistory(lostDiskAndStaleMember(t, func(s *simulation) { s.reusesDiskIDs = true }).history),
+		"a disk that was lost votes under its old identity, and that is not detected")
 }
 
-// A view in which no other disk could be brought to the primary's state, then the primary's disk is lost.
-func oneDiskInSync(t *testing.T, without func(*simulation)) *simulation {
+// oneDiskInSync kills an in-sync member while no other disk can be brought to the primary's state, has a value proposed, and
+// then loses the primary's disk.
+func oneDiskInSync(t *testing.T, removeGuard func(*simulation)) *simulation {
 	t.Helper()
 	s := newSimulation(t, 1, 4, 1)
-	without(s)
+	removeGuard(s)
 	s.run(4 * time.Second)
 	p := s.primary()
 	require.NotNil(t, p)
-	s.mutate = func(_ *process, m Message) Message {
+	s.intercept = func(_ *process, m Message) Message {
 		if _, ok := m.(Sync); ok {
 			return nil
 		}
@@ -159,7 +161,7 @@
 	s.run(s.now + 2*time.Second)
 	s.kill(p.host)
 	s.wipe(p.host)
-	s.mutate = nil
+	s.intercept = nil
 	s.boot(p.host)
 	s.run(s.now + 5*time.Second)
 	s.read(2)
@@ -169,9 +171,9 @@
 
 func TestTheInSyncMinimum(t *testing.T) {
 	withMinimum := oneDiskInSync(t, func(*simulation) {})
-	require.Equal(t, porcupine.Ok, check(withMinimum.history))
+	require.Equal(t, porcupine.Ok, checkHistory(withMinimum.history))
 	require.NotNil(t, withMinimum.primary())
 	withoutMinimum := oneDiskInSync(t, func(s *simulation) { s.tolerance = 0 })
 	require.Equal(t, http.StatusOK, withoutMinimum.history[0].status)
-	require.Nil(t, withoutMinimum.primary(), "what was acknowledged was on one disk, which is lost, and somebody leads without it")
+	require.Nil(t, withoutMinimum.primary(), "the only disk with an acknowledged value is lost, and a replica leads without the value")
 }
--- a/internal/router/replication/replacement_test.go
+++ b/internal/router/replication/replacement_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	successorLead = time.Second     // before the end of the one that it replaces
-	catchUpTime   = 4 * time.Second // CatchUpS: for so long after its start a successor counts as lost
+	successorLead = time.Second     // from a successor's start to the end of the machine that it replaces
+	catchUpTime   = 4 * time.Second // CatchUpS: the time after its start during which a successor counts as lost
 )
 
-// replace starts a successor in a machine's zone, and ends that machine as planned or by a kill.
+// replace starts a successor in a machine's zone, and ends that machine: with a notice if planned, otherwise by a kill.
 func (s *simulation) replace(old *host, address string, planned bool) {
 	next := &host{address: address, zone: old.zone, syncTime: 2 * time.Millisecond}
 	s.hosts[address] = next
@@ -28,7 +28,8 @@
 	s.after(300*time.Millisecond, func() { delete(s.hosts, old.address) })
 }
 
-// A member is replaced, and another one loses its disk as soon as the first does not count as lost any more.
+// A member is replaced, and another one loses its disk as soon as the first no longer counts as lost. No acknowledged entry
+// is lost, and all machines are in sync again.
 func TestALostDiskAfterAReplacement(t *testing.T) {
 	for seed := range int64(10) {
 		for _, planned := range []bool{true, false} {
@@ -65,7 +66,7 @@
 	require.Equal(t, http.StatusOK, writeNow(s, "b").status)
 }
 
-// terminate stands for SIGTERM: a process says that it leaves, and ends a little later.
+// terminate simulates SIGTERM: a process announces its end, and ends a little later.
 func (s *simulation) terminate(h *host) {
 	p := h.process
 	s.runIn(p, func() { p.replica.Leave(s.clock(p.host)) })
--- a/internal/router/replication/replication_test.go
+++ b/internal/router/replication/replication_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// The primary is lost: another is elected and has what was acknowledged.
+// After the loss of the primary another one is elected, which has the acknowledged value.
 func TestPrimaryIsLost(t *testing.T) {
 	s := newSimulation(t, 1, 4, 1)
 	s.run(4 * time.Second)
@@ -44,7 +44,7 @@
 	require.Equal(t, http.StatusOK, writeNow(s, "b").status)
 }
 
-// A disk is lost: its machine comes back as another member and replaces the one before.
+// A machine that lost its disk returns as another member, which replaces its previous one.
 func TestALostDiskRejoins(t *testing.T) {
 	for seed := range int64(20) {
 		s := newSimulation(t, seed, 4, 1)
@@ -87,7 +87,7 @@
 	}
 }
 
-// A disk that is full leaves the in-sync set, and comes back into it.
+// A replica whose disk is full leaves the in-sync set, so that writes go on. It is in sync again after the disk has space.
 func TestFullDisk(t *testing.T) {
 	for seed := range int64(10) {
 		s := newSimulation(t, seed, 4, 1)
@@ -103,7 +103,7 @@
 	}
 }
 
-// All lose power at once and one disk is lost: what was acknowledged is there.
+// All machines lose power at once and one disk is lost: an acknowledged value remains.
 func TestPowerIsLostEverywhere(t *testing.T) {
 	for seed := range int64(40) {
 		s := newSimulation(t, seed, 4, 1)
@@ -130,7 +130,7 @@
 	}
 }
 
-// All processes end at once and come back: all are in sync again.
+// All processes end at once and are started again: all are in sync afterwards.
 func TestAllAreKilled(t *testing.T) {
 	for seed := range int64(20) {
 		s := newSimulation(t, seed, 3, 1)
@@ -149,7 +149,7 @@
 	}
 }
 
-// The seeds of a later start are others, and none of them is a member.
+// All processes restart with other seeds, none of which is a member: the core still elects a primary.
 func TestSeedsAreExchanged(t *testing.T) {
 	s := newSimulation(t, 1, 3, 1)
 	s.run(4 * time.Second)
@@ -163,7 +163,8 @@
 	require.Len(t, s.primary().replica.View().InSync, 3)
 }
 
-// A lost primary does not answer the next one's candidacy, which does not wait for it longer than for the others.
+// A lost primary does not answer the candidacy that follows. The candidate waits for it no longer than promiseWaitMargin
+// beyond twice the time of the other answers.
 func TestTheNextPrimaryDoesNotWaitForTheLostOne(t *testing.T) {
 	const step = 5 * time.Millisecond
 	longest := time.Duration(0)
@@ -183,17 +184,17 @@
 	require.Less(t, longest, electionTimeout+3*electionStagger+promiseWaitMargin+2*50*time.Millisecond)
 }
 
-// A member that can send and not receive requests pre-votes, and promises nothing meanwhile: the view stays the same
-// when it can receive again.
+// A member that can send but not receive only requests pre-votes, and raises no epoch. When it can receive again, the view
+// is unchanged.
 func TestAMemberThatReceivesNothingEndsNoView(t *testing.T) {
 	s := newSimulation(t, 1, 4, 1)
 	s.run(4 * time.Second)
 	p := s.primary()
 	require.NotNil(t, p)
 	epoch := p.replica.View().Epoch
-	deaf := s.followers(p)[0]
+	receivesNothing := s.followers(p)[0]
 	for _, h := range s.ordered() {
-		s.blockLink(h, deaf, true)
+		s.blockLink(h, receivesNothing, true)
 	}
 	s.run(s.now + 3*time.Second)
 	s.heal()
@@ -222,8 +223,7 @@
 	}
 }
 
-// A CPU quota: all processes are suspended for the rest of each tenth of a second. No view changes, and entries are
-// committed.
+// A CPU quota suspends all processes for the rest of each 100 ms. The view does not change, and entries are committed.
 func TestAProcessorThatIsAQuota(t *testing.T) {
 	s, p := coreWithValue(t)
 	epoch := p.replica.View().Epoch
--- a/internal/router/replication/sim_clients_test.go
+++ b/internal/router/replication/sim_clients_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// operation is a call of a client and the answer that it got.
+// operation is a client's call and the answer to it.
 type operation struct {
 	client      int
 	write       bool
@@ -17,7 +17,7 @@
 	seenValue   string
 }
 
-// write proposes a value at a process that says it is primary.
+// write proposes a value at a process that considers itself primary.
 func (s *simulation) write(client, base int, value string) {
 	s.call(operation{client: client, write: true, base: base, value: value})
 }
@@ -50,7 +50,7 @@
 	s.runIn(p, func() {
 		if o.write {
 			p.replica.Propose(token, encodeEntry(versionEntry{o.base, o.value}), s.clock(p.host))
-		} else if s.readsAtOnce {
+		} else if s.unconfirmedReads {
 			p.answers[token](Decision{Status: http.StatusOK})
 		} else {
 			p.replica.Confirm(token, s.clock(p.host))
--- a/internal/router/replication/sim_machine_test.go
+++ b/internal/router/replication/sim_machine_test.go
@@ -12,10 +12,10 @@
 type versionMachine struct {
 	Version int
 	Value   string
-	Bulk    string // a value that begins with bulk; it makes snapshots large
+	Bulk    string // the last value that begins with largeValuePrefix; it makes snapshots large
 }
 
-const bulk = "bulk"
+const largeValuePrefix = "bulk"
 
 type versionEntry struct {
 	Base  int
@@ -39,8 +39,8 @@
 func (m *versionMachine) Apply(data []byte) {
 	m.Version++
 	value := decodeEntry(data).Value
-	if strings.HasPrefix(value, bulk) {
-		m.Bulk, value = value, bulk
+	if strings.HasPrefix(value, largeValuePrefix) {
+		m.Bulk, value = value, largeValuePrefix
 	}
 	m.Value = value
 }
@@ -58,7 +58,8 @@
 
 func (m *versionMachine) value() versionMachine { return *m }
 
-// machineAdapter makes a versionMachine a StateMachine: versionMachine has a field Value and so no method of that name.
+// machineAdapter makes a versionMachine a StateMachine. versionMachine has a field Value and so cannot have a method of that
+// name.
 type machineAdapter struct{ *versionMachine }
 
 func (a machineAdapter) Value() any { return a.value() }
--- a/internal/router/replication/sim_test.go
+++ b/internal/router/replication/sim_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// simulation runs several replicas in virtual time, with a network that delays and loses messages and disks that lose
-// what was not synced. Everything is drawn from one seed.
+// simulation runs several replicas in virtual time, with a network that delays and loses messages, and disks that lose
+// unsynced data. All random choices are drawn from one seed.
 type simulation struct {
-	t            testing.TB
-	random       *rand.Rand
-	now          time.Duration
-	events       []event
-	eventNumber  uint64
-	hosts        map[string]*host
-	seeds        []string
-	blockedLinks map[[2]string]bool
-	history      []operation
-	loss         float64
-	restoreError error // of a process that could not start from its disk
-
-	bytesPerSecond int // that a machine's link carries; 0: unlimited
-	sentBytes      int // bytes
-
-	// Guards that a test removes.
-	tolerance    int // FaultTolerance of the replicas
-	lyingDisks   bool
-	sameIdentity bool
-	readsAtOnce  bool
-	mutate       func(to *process, m Message) Message
+	t               testing.TB
+	random          *rand.Rand
+	now             time.Duration
+	events          []event
+	eventNumber     uint64
+	hosts           map[string]*host
+	seeds           []string
+	blockedLinks    map[[2]string]bool
+	history         []operation
+	lossProbability float64 // that a message is lost
+	restoreError    error   // of a process that could not start from its disk
+
+	bytesPerSecond int // rate of each machine's link; 0: unlimited
+	sentBytes      int // by all machines
+
+	// Settings with which a test removes guards.
+	tolerance        int // FaultTolerance of the replicas
+	acksBeforeSync   bool
+	reusesDiskIDs    bool
+	unconfirmedReads bool
+	intercept        func(to *process, m Message) Message
 }
 
 type event struct {
@@ -40,31 +40,31 @@
 	do     func()
 }
 
-// host is one machine: its disk outlives its processes.
+// host is one machine. Its disk outlives its processes.
 type host struct {
 	address, zone    string
-	disk             *PersistedState // what is synced; nil: no file yet
+	disk             *PersistedState // synced state; nil: no file yet
 	genesis          bool
 	process          *process
 	frozenUntil      time.Duration
-	inboundLostUntil time.Duration // what is sent to it until then is lost, as for a suspended machine
+	inboundLostUntil time.Duration // messages that arrive until then are lost, as for a suspended machine
 	diskFullUntil    time.Duration
 	syncTime         time.Duration
 	wipes            int
-	clockAhead       time.Duration // of its steady clock, against that of the simulation: it only grows
-	linkFreeAt       time.Duration // when the link has transmitted all that was sent
+	clockOffset      time.Duration // of its monotonic clock, relative to the simulation's: it only increases
+	linkFreeAt       time.Duration // when the link has transmitted all messages sent so far
 }
 
-// process is one incarnation of a replica.
+// process is one run of a replica, from its start to its end.
 type process struct {
-	host      *host
-	replica   *Replica
-	machine   *versionMachine
-	answers   map[uint64]func(Decision)
-	published versionMachine // what was published last
-	saveGap   bool
-	queued    []Save // that wait for the sync that is under way
-	syncing   bool
+	host          *host
+	replica       *Replica
+	machine       *versionMachine
+	answers       map[uint64]func(Decision)
+	published     versionMachine // the state that was published last
+	needsSnapshot bool           // a save failed: only one with a snapshot can succeed
+	queuedSaves   []Save         // saves that came during the current sync
+	syncing       bool
 }
 
 func newSimulation(t testing.TB, seed int64, machines, tolerance int) *simulation {
@@ -92,7 +92,7 @@
 	s.events[i] = e
 }
 
-// run processes all events until a time.
+// run executes all events up to a time.
 func (s *simulation) run(until time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		e := s.events[0]
@@ -103,13 +103,13 @@
 	s.now = until
 }
 
-// boot starts a process on a host; an empty disk becomes a member of its own.
+// boot starts a process on a host. A disk without a file gets a new identity, so it becomes another member.
 func (s *simulation) boot(h *host) {
 	if h.process != nil {
 		return
 	}
 	if h.disk == nil {
-		if !s.sameIdentity || h.wipes == 0 {
+		if !s.reusesDiskIDs || h.wipes == 0 {
 			h.wipes++
 		}
 		h.disk = &PersistedState{ID: fmt.Sprintf("%s/%d", h.address, h.wipes), Hard: HardState{Genesis: h.genesis}}
@@ -131,7 +131,7 @@
 	s.announce(p)
 }
 
-// announce stands for the sessions by which routers learn of one another.
+// announce simulates the sessions through which routers learn of one another.
 func (s *simulation) announce(p *process) {
 	if p.host.process != p {
 		return
@@ -156,7 +156,8 @@
 	s.runIn(p, func() { p.replica.Tick(s.clock(p.host)) })
 }
 
-// runIn calls do in a process, after its freeze, unless the process has ended.
+// runIn calls do in a process and executes the effects, at the end of a freeze if there is one. It does nothing if the process
+// has ended.
 func (s *simulation) runIn(p *process, do func()) {
 	if p.host.process != p {
 		return
@@ -174,7 +175,7 @@
 }
 
 func (s *simulation) reaches(from, to *host) bool {
-	return !s.blockedLinks[[2]string{from.address, to.address}] && s.random.Float64() >= s.loss
+	return !s.blockedLinks[[2]string{from.address, to.address}] && s.random.Float64() >= s.lossProbability
 }
 
 func (s *simulation) executeEffects(p *process) {
@@ -206,8 +207,8 @@
 			return
 		}
 		s.runIn(q, func() {
-			if s.mutate != nil {
-				m = s.mutate(q, m)
+			if s.intercept != nil {
+				m = s.intercept(q, m)
 			}
 			if m != nil {
 				q.replica.Receive(p.host.address, m, s.clock(to))
@@ -216,7 +217,7 @@
 	})
 }
 
-// transmissionDelay returns how long it lasts until a message has left its sender's link.
+// transmissionDelay returns the time until a message has left its sender's link.
 func (s *simulation) transmissionDelay(h *host, m Message) time.Duration {
 	size := messageBytes(m)
 	s.sentBytes += size
@@ -227,20 +228,20 @@
 	return h.linkFreeAt - s.now
 }
 
-// messageBytes is about the size of a message on the wire.
+// messageBytes returns the approximate size of a message on the wire, in bytes.
 func messageBytes(m Message) int {
-	const head = 200
+	const headerBytes = 200
 	switch m := m.(type) {
 	case Sync:
-		return head + len(m.Snapshot) + entryBytes(m.Entries)
+		return headerBytes + len(m.Snapshot) + entryBytes(m.Entries)
 	case SnapshotChunk:
-		return head + len(m.Data)
+		return headerBytes + len(m.Data)
 	case MissingEntries:
-		return head + entryBytes(m.Entries)
+		return headerBytes + entryBytes(m.Entries)
 	case Replicate:
-		return head + len(m.Entry)
+		return headerBytes + len(m.Entry)
 	}
-	return head
+	return headerBytes
 }
 
 func entryBytes(entries []Entry) (n int) {
@@ -250,58 +251,58 @@
 	return n
 }
 
-// save writes in order, as the node's disk writer does; what is not synced when the process ends is lost.
+// save queues a save, in order, as the node's disk writer does. Saves that are not synced when the process ends are lost.
 func (s *simulation) save(p *process, e Save) {
 	h := p.host
-	if s.lyingDisks {
+	if s.acksBeforeSync {
 		s.after(time.Millisecond, func() { s.runIn(p, func() { p.replica.Saved(e.Number, s.clock(h)) }) })
 	}
-	p.queued = append(p.queued, e)
+	p.queuedSaves = append(p.queuedSaves, e)
 	if !p.syncing {
 		s.sync(p)
 	}
 }
 
-// sync syncs what is queued together; what comes meanwhile waits for the next sync.
+// sync syncs all queued saves together. Saves that come meanwhile wait for the next sync.
 func (s *simulation) sync(p *process) {
-	batch := p.queued
-	p.queued, p.syncing = nil, true
+	batch := p.queuedSaves
+	p.queuedSaves, p.syncing = nil, true
 	s.after(p.host.syncTime, func() {
 		if p.host.process != p {
 			return
 		}
 		for _, e := range batch {
-			s.synced(p, e)
+			s.completeSave(p, e)
 		}
 		p.syncing = false
-		if len(p.queued) > 0 {
+		if len(p.queuedSaves) > 0 {
 			s.sync(p)
 		}
 	})
 }
 
-// synced ends a save: it is on the disk, or was refused.
-func (s *simulation) synced(p *process, e Save) {
+// completeSave completes a save: the data is on the disk, or the save fails.
+func (s *simulation) completeSave(p *process, e Save) {
 	h := p.host
-	if s.now < h.diskFullUntil || p.saveGap && e.Snapshot == nil {
-		p.saveGap = true
+	if s.now < h.diskFullUntil || p.needsSnapshot && e.Snapshot == nil {
+		p.needsSnapshot = true
 		s.runIn(p, func() { p.replica.SaveFailed(e.Number, s.clock(h)) })
 		return
 	}
-	p.saveGap = false
+	p.needsSnapshot = false
 	h.disk.Hard = e.Hard
 	if e.Snapshot != nil {
 		h.disk.Snapshot, h.disk.Entries = *e.Snapshot, nil
 	} else if e.Entry != nil {
 		h.disk.Entries = append(h.disk.Entries, *e.Entry)
 	}
-	if !s.lyingDisks {
+	if !s.acksBeforeSync {
 		s.runIn(p, func() { p.replica.Saved(e.Number, s.clock(h)) })
 	}
 }
 
-// clock returns the reading of a host's steady clock.
-func (s *simulation) clock(h *host) time.Duration { return s.now + h.clockAhead }
+// clock returns the reading of a host's monotonic clock.
+func (s *simulation) clock(h *host) time.Duration { return s.now + h.clockOffset }
 
 func (s *simulation) kill(h *host) { h.process = nil }
 
@@ -335,7 +336,7 @@
 	return out
 }
 
-// ordered returns the hosts by address: a schedule has the same draws each time.
+// ordered returns the hosts sorted by address, so that a seed has the same draws each time.
 func (s *simulation) ordered() []*host {
 	var out []*host
 	for _, address := range s.addresses() {
--- a/internal/router/replication/state.go
+++ b/internal/router/replication/state.go
@@ -1,14 +1,14 @@
 package replication
 
-// replicatedState is the state machine, where it stands, and the entries that led there.
+// replicatedState is the state machine, its position, and the latest entries that were applied to it.
 type replicatedState struct {
 	machine   StateMachine
 	position  Position // of machine; its last entry may be staged, or not be on the disk yet
-	published Position
+	published Position // of the state that was published last
 	history   history
 }
 
-// apply changes the state by the entry that follows it.
+// apply applies the entry that follows the current state.
 func (s *replicatedState) apply(e Entry) {
 	s.machine.Apply(e.Data)
 	s.position = e.Position
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// publish says that the machine's state is committed, once for each position.
+// publish adds a Publish effect: the machine's state is committed. It does so once for each position.
 func (r *Replica) publish() {
 	s := &r.state
 	if s.published == s.position {
--- a/internal/router/replication/step.go
+++ b/internal/router/replication/step.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Receive handles a message from the router at an internal address. Messages that do not fit the replica's role, epoch
-// or phase change nothing. The replica may keep what the message points to, which must not be changed afterwards.
+// Receive handles a message from the router at an internal address. It ignores a message that does not fit the replica's
+// role, epoch or phase. The replica may keep references into the message: the caller must not change it afterwards.
 func (r *Replica) Receive(from string, m Message, now time.Duration) {
 	r.now = now
 	switch m := m.(type) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Tick lets time pass; the shell calls it every few tens of milliseconds.
+// Tick checks all timeouts and sends what is due. The shell calls it every few tens of milliseconds.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = now
 	r.retryFailedDisk()
@@ -56,7 +56,7 @@
 	}
 }
 
-// tickFollower proposes the first view, or requests pre-votes where the primary is suspected.
+// tickFollower proposes the first view, or requests pre-votes if it suspects the primary to have failed.
 func (r *Replica) tickFollower() {
 	if r.Diskless || r.diskStalled() {
 		return
@@ -68,15 +68,14 @@
 		return
 	}
 	if r.knownView.Epoch.Round == 0 && !r.hard.Accepted.joint() {
-		r.knownView = r.hard.Accepted // a joint view may never have been in force: it is not reported to anybody
+		r.knownView = r.hard.Accepted // a joint view is not reported by View: it may never have been in force
 	}
 	if r.suspectsPrimary() {
 		r.requestPreVotes()
 	}
 }
 
-// tickCandidate ends a candidacy that lasts too long, sends requests again, and stops waiting for answers that are not
-// needed.
+// tickCandidate ends a candidacy that lasts too long, resends requests, and ends the wait for answers that are not needed.
 func (r *Replica) tickCandidate() {
 	e := &r.election
 	if r.now-e.candidateSince > candidacyTimeout || r.diskStalled() {
@@ -95,8 +94,8 @@
 	}
 }
 
-// tickPrimary sends heartbeats, and changes the view or steps down where the disk, an entry's acknowledgements or a
-// majority fail.
+// tickPrimary sends heartbeats. It steps down where its disk fails or a majority is unreachable, and proposes another view
+// where in-sync members do not acknowledge an entry or a change of the view is wanted.
 func (r *Replica) tickPrimary() {
 	l := &r.leadership
 	if r.diskStalled() {
--- a/internal/router/replication/timing.go
+++ b/internal/router/replication/timing.go
@@ -7,19 +7,19 @@
 
 // Contact between replicas.
 const (
-	// electionTimeout is for how long a follower goes without contact with a primary before it suspects it, and a primary
-	// without answers of a majority before it steps down.
+	// electionTimeout is the time without contact after which a follower suspects the primary to have failed, and the time
+	// without answers of a majority after which a primary steps down.
 	electionTimeout = 600 * time.Millisecond
-	// electionStagger is by how much the members of the in-sync set wait one after the other, so that one becomes
-	// candidate first.
+	// electionStagger is the difference between the election delays of two successive members of the in-sync set, so that
+	// one becomes candidate first.
 	electionStagger = 50 * time.Millisecond
-	// contactAgeAtStart is how long ago a process that starts assumes its last contact with a primary to be: so long that
-	// it asks the others at once whether they have one.
+	// contactAgeAtStart is the assumed age of the last contact with a primary when a process starts: old enough for pre-votes
+	// to be requested at once, which tell whether others have contact with a primary.
 	contactAgeAtStart = electionTimeout
-	// leaderStickiness is for how long after a heartbeat a witness promises nothing to a candidate that has no reason to
+	// leaderStickiness is the time after a heartbeat during which a witness promises nothing to a candidate that does not
 	// force it.
 	leaderStickiness = 400 * time.Millisecond
-	// reachableWindow is for how long after its last heartbeat ack a replica counts as reachable.
+	// reachableWindow is the time after its last heartbeat ack during which a replica counts as reachable.
 	reachableWindow = 500 * time.Millisecond
 )
 
@@ -27,36 +27,36 @@
 const (
 	// maxPhaseWait is the longest wait for answers beyond those that a phase needs.
 	maxPhaseWait = 200 * time.Millisecond
-	// promiseWaitMargin is the wait for promises beyond a majority, on top of twice the time that the others took.
+	// promiseWaitMargin is added to twice the time of the slowest promise so far: the wait for promises beyond a majority.
 	promiseWaitMargin = 40 * time.Millisecond
-	// candidacyTimeout ends a candidacy that has not succeeded.
+	// candidacyTimeout is the time after which a candidacy that has not succeeded ends.
 	candidacyTimeout = 1200 * time.Millisecond
-	// resendInterval is how often a phase's request is sent again to those that have not answered.
+	// resendInterval is how often a phase's request is resent to the replicas that have not answered.
 	resendInterval = 100 * time.Millisecond
 )
 
 // A primary's work.
 const (
-	// entryTimeout, and entryTimeoutPerByte for each byte of the entry, is the time after which the primary proposes a
-	// view without the in-sync members that have not acknowledged an entry.
+	// entryTimeout, plus entryTimeoutPerByte for each byte of the entry, is the time after which the primary proposes a
+	// view without the in-sync members that have not acknowledged the entry.
 	entryTimeout        = 350 * time.Millisecond
 	entryTimeoutPerByte = 500 * time.Nanosecond
-	// viewReviewInterval is the time between two changes of a view that nobody waits for.
+	// viewReviewInterval is the least time between two changes of the view that no entry depends on.
 	viewReviewInterval = 400 * time.Millisecond
-	// maxViewReviewBackoff bounds the backoff for a change that was proposed and brought nothing.
+	// maxViewReviewBackoff bounds the backoff after a proposed change that left the view the same.
 	maxViewReviewBackoff = 4 * time.Second
-	// maxProposals bounds the proposals that wait for the staged one.
+	// maxProposals bounds the queue of proposals behind the staged one.
 	maxProposals = 64
-	// maxPublishedEntries is how many entries are published with a state.
+	// maxPublishedEntries bounds the entries that are published with a state.
 	maxPublishedEntries = 32
 )
 
 // The first view.
 const (
-	// bootstrapQuietTime is how long after the last newcomer of the first start the first view is proposed.
+	// bootstrapQuietTime is the time without a newly discovered replica after which the first view is proposed.
 	bootstrapQuietTime = 700 * time.Millisecond
-	// bootstrapStagger is by how much the replicas of the first start wait one after the other, in the order of their
-	// addresses.
+	// bootstrapStagger is the difference between the delays of two successive replicas of the first start, in the order of
+	// their addresses.
 	bootstrapStagger = 500 * time.Millisecond
 )
 
@@ -64,8 +64,8 @@
 const (
 	// diskStallTimeout is the age of a pending save at which the disk counts as failing.
 	diskStallTimeout = 500 * time.Millisecond
-	// diskRetryInterval is how often a save is tried on a disk that failed.
+	// diskRetryInterval is how often a save is retried on a disk that failed.
 	diskRetryInterval = 300 * time.Millisecond
-	// entriesPerSnapshot is how many entries are saved between two snapshots.
+	// entriesPerSnapshot is the number of entries that are saved between two snapshots.
 	entriesPerSnapshot = 32
 )
--- a/internal/router/replication/view.go
+++ b/internal/router/replication/view.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// Epoch numbers views; a larger one supersedes. The node's identity breaks ties, so that no two candidates share one.
+// Epoch is the number of a view; a larger one supersedes. The node's identity breaks ties: no two candidates use the same
+// epoch.
 type Epoch struct {
 	Round uint64
 	Node  string // the candidate's Member.ID
 }
 
-// Less orders epochs.
+// Less reports whether e is smaller than other.
 func (e Epoch) Less(other Epoch) bool {
 	if e.Round != other.Round {
 		return e.Round < other.Round
@@ -16,7 +17,7 @@
 	return e.Node < other.Node
 }
 
-// Member is one replica and witness. ID names a disk: a machine that lost its disk is another member.
+// Member is one replica and witness. ID identifies a disk: a machine that lost its disk is another member.
 type Member struct {
 	ID      string
 	Address string
@@ -24,16 +25,17 @@
 	Joined  uint64 // the round of the view that added it
 }
 
-// View says who is primary, whose disks hold everything that was acknowledged, and who decides what follows.
+// View is the configuration of an epoch: the primary, the in-sync set, whose disks have every acknowledged entry, and the
+// members, who vote on the next view.
 type View struct {
 	Epoch   Epoch
-	Primary string   // its ID
-	InSync  []string // IDs
+	Primary string   // ID of a member
+	InSync  []string // IDs of members
 	Members []Member
-	Old     []Member // the members of the view before, who have to agree too until this one is known to be in force
+	Old     []Member // members of the previous view, whose majority is needed too until this view is known to be in force
 }
 
-// Member returns the member with an ID, or nil.
+// Member returns the member with an ID, or nil if there is none.
 func (v *View) Member(id string) *Member {
 	for i := range v.Members {
 		if v.Members[i].ID == id {
@@ -43,7 +45,7 @@
 	return nil
 }
 
-// PrimaryAddress returns the address of the primary, or "".
+// PrimaryAddress returns the address of the primary, or "" if the view has none.
 func (v *View) PrimaryAddress() string {
 	if m := v.Member(v.Primary); m != nil {
 		return m.Address
@@ -51,21 +53,21 @@
 	return ""
 }
 
-// joint reports whether the members of the view before have to agree to what follows.
+// joint reports whether the next view also needs a majority of the previous view's members.
 func (v *View) joint() bool {
 	return !slices.Equal(v.Old, v.Members)
 }
 
 func (v *View) inSync(id string) bool { return slices.Contains(v.InSync, id) }
 
-// Position names a state: the epoch in which its last entry was made, and that entry's number. Two states with one
-// position are equal.
+// Position identifies a state: the epoch in which its last entry was proposed, and that entry's number. Two states with the
+// same position are equal.
 type Position struct {
 	Epoch    Epoch
 	Sequence uint64
 }
 
-// majority reports whether more than half of some members are among voters.
+// majority reports whether more than half of the members are among the voters.
 func majority(members []Member, voters map[string]bool) bool {
 	n := 0
 	for _, m := range members {
@@ -76,8 +78,8 @@
 	return n > len(members)/2
 }
 
-// laterView returns the one of two views that a candidate has to build on. Of one view the form that is known to be in
-// force counts.
+// laterView returns the one of two views that a candidate has to build on: the one with the larger epoch. Of the same view,
+// the copy that is known to be in force takes precedence over the joint one.
 func laterView(a, b View) View {
 	inForce := a.Epoch == b.Epoch && a.joint() && !b.joint()
 	if inForce || a.Epoch.Less(b.Epoch) {
--- a/internal/router/replication/witness.go
+++ b/internal/router/replication/witness.go
@@ -1,8 +1,9 @@
 package replication
 
-// What a replica does for a candidate: it promises an epoch, adopts the candidate's state, and accepts its view.
+// This file has a replica's side of another replica's candidacy: it promises an epoch, adopts the candidate's state, and
+// accepts its view.
 
-// promiseFor returns the promise of an epoch with what this replica has now.
+// promiseFor returns the promise of an epoch with this replica's accepted view and position.
 func (r *Replica) promiseFor(epoch Epoch) Promise {
 	return Promise{Epoch: epoch, From: r.Self, Promised: r.hard.Promised, Voters: r.voters(),
 		Accepted: r.hard.Accepted, Position: r.state.position}
@@ -21,8 +22,9 @@
 	r.saveHardState(r.ifStillPromised(m.Epoch, func() { r.send(m.From.Address, r.promiseFor(m.Epoch)) }))
 }
 
-// refusesPrepare reports whether a larger epoch, or the same of another candidate, was promised, or whether there is
-// contact with a primary that neither the candidate is nor asked for this.
+// refusesPrepare reports whether this replica refuses a promise. It does if it promised a larger epoch, or if it promised
+// this epoch to a candidate other than the sender. It also refuses if it has contact with a primary, unless the candidate
+// is that primary or forces the promise.
 func (r *Replica) refusesPrepare(m *Prepare) bool {
 	if m.Epoch.Less(r.hard.Promised) || m.Epoch == r.hard.Promised && m.Epoch.Node != m.From.ID {
 		return true
@@ -39,11 +41,12 @@
 		r.stepDown()
 	}
 	r.hard.Promised = e
-	r.follower.lastContact = r.now // the candidate gets an election timeout's time
+	r.follower.lastContact = r.now // the candidate has an election timeout before this replica campaigns itself
 }
 
-// handleSync adopts a candidate's state, and acknowledges it once it is on the disk. One whose view was accepted here is a
-// late copy: entries of that view may have been acknowledged since, and its state has none of them.
+// handleSync adopts a candidate's state, and acknowledges it once it is on the disk. A Sync of the epoch whose view was
+// already accepted here is a delayed duplicate: entries of that view may have been acknowledged since, and its state lacks
+// them.
 func (r *Replica) handleSync(m Sync, from string) {
 	if m.Epoch.Less(r.hard.Promised) || m.Epoch == r.hard.Accepted.Epoch || r.Diskless {
 		return
@@ -65,7 +68,7 @@
 	}
 }
 
-// follows reports whether the entries of a Sync follow the state at a position.
+// follows reports whether the message has entries and they follow the state at a position.
 func (m *Sync) follows(p Position) bool { return len(m.Entries) > 0 && m.After == p }
 
 // handleAccept accepts a view, unless a larger epoch was promised.
--- a/internal/router/replication/witness_test.go
+++ b/internal/router/replication/witness_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A replica that promised an epoch adopts neither the view nor the state of a candidate of an older one.
+// A replica that promised an epoch adopts neither the view nor the state of a candidate of an older epoch.
 func TestAnOlderCandidateIsRejected(t *testing.T) {
 	for _, older := range []Message{
 		Accept{View: viewOf(6, "c", "d")},
@@ -15,7 +15,7 @@
 			Snapshot: (&versionMachine{Version: 9, Value: "older"}).Snapshot()},
 	} {
 		accepted := viewOf(5, "a", "b")
-		r := preVoter(t, accepted)
+		r := suspectingReplica(t, accepted)
 		r.Receive("b", Prepare{Epoch: Epoch{Round: 7, Node: "b"}, From: Member{ID: "b", Address: "b"}, Force: true}, 4*time.Second)
 		promised := r.hard.Promised
 		require.Equal(t, uint64(7), promised.Round)
@@ -26,7 +26,7 @@
 		require.Zero(t, r.state.position.Sequence)
 		for _, effect := range r.Effects() {
 			_, saved := effect.(Save)
-			require.False(t, saved, "nothing of it goes to the disk")
+			require.False(t, saved, "the rejected message is saved")
 		}
 	}
 }
--- a/internal/router/replication/worst_days_larger_test.go
+++ b/internal/router/replication/worst_days_larger_test.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Worst days of cores of five and six machines, of which two may be lost at once. In addition to the episodes of smaller
-// cores, links are cut in one direction, disks stall, steady clocks jump ahead, a machine is replaced while another one is
-// down, two are replaced in turn, two disks are lost together, and at the end two with all power.
+// This file has the worst days of cores of five and six machines, of which two may be lost at once. In addition to the
+// episodes of smaller cores, links are blocked in one direction, disks stall, monotonic clocks jump ahead, a machine is
+// replaced while another one is down, two machines are replaced in turn, and two disks are lost together. At the end all
+// machines lose power and two of them their disks.
 
 const (
-	stalledSync  = 600 * time.Millisecond // of a disk that stalls: longer than the election time-out
-	largestLeap  = 10 * time.Second       // of a clock, as that of a machine that was suspended
-	usualSync    = 2 * time.Millisecond
-	disksLostNow = 2
+	stalledSyncTime = 600 * time.Millisecond // of a disk that stalls: as long as the election timeout
+	maxClockJump    = 10 * time.Second       // of a clock, like that of a machine that was suspended
+	usualSyncTime   = 2 * time.Millisecond
+	disksLostAtOnce = 2
 )
 
-func playLargerWorstDay(t testing.TB, seed int64, mutate func(*simulation)) *worstDay {
+func playLargerWorstDay(t testing.TB, seed int64, configure func(*simulation)) *worstDay {
 	t.Helper()
-	d := &worstDay{simulation: newSimulation(t, seed, 5+int(seed%2), disksLostNow)}
-	if mutate != nil {
-		mutate(d.simulation)
+	d := &worstDay{simulation: newSimulation(t, seed, 5+int(seed%2), disksLostAtOnce)}
+	if configure != nil {
+		configure(d.simulation)
 	}
 	d.run(6 * time.Second)
 	for range episodesPerDay {
@@ -30,10 +31,10 @@
 	}
 	d.endFaults()
 	for _, h := range d.ordered() {
-		h.syncTime = usualSync
+		h.syncTime = usualSyncTime
 	}
 	d.run(max(d.now, d.nextLossAt) + recoveryTime)
-	d.loseAllPower(disksLostNow)
+	d.loseAllPower(disksLostAtOnce)
 	return d
 }
 
@@ -44,7 +45,7 @@
 	case 2, 3:
 		d.stallDisks()
 	case 4:
-		d.leapClocks()
+		d.jumpClocks()
 	case 5:
 		d.replaceWhileOneIsDown()
 	case 6:
@@ -56,7 +57,7 @@
 	}
 }
 
-// smallerEpisode is one of those of smaller cores that leave the number of machines as it is.
+// smallerEpisode runs an episode of smaller cores that does not change the number of machines.
 func (d *worstDay) smallerEpisode() {
 	switch d.random.Intn(5) {
 	case 0:
@@ -80,7 +81,7 @@
 	}
 }
 
-// cutOneWay loses what one machine sends to some others, or what these send to it.
+// cutOneWay blocks the links from one machine to some others, or the links from these to it.
 func (d *worstDay) cutOneWay() {
 	h, outward := d.randomHost(), d.random.Intn(2) == 0
 	for _, other := range d.ordered() {
@@ -95,36 +96,36 @@
 	d.after(d.countAsLoss(time.Duration(300+d.random.Intn(4000))*time.Millisecond), d.heal)
 }
 
-// stallDisks has the disks of one or two machines take very long for each sync.
+// stallDisks makes each sync of one or two machines take stalledSyncTime.
 func (d *worstDay) stallDisks() {
 	until := d.countAsLoss(time.Duration(500+d.random.Intn(3000)) * time.Millisecond)
 	for range 1 + d.random.Intn(2) {
 		h := d.randomHost()
-		h.syncTime = stalledSync
-		d.after(until, func() { h.syncTime = usualSync })
+		h.syncTime = stalledSyncTime
+		d.after(until, func() { h.syncTime = usualSyncTime })
 	}
 }
 
-// leapClocks has the steady clocks of one or two machines leap ahead.
-func (d *worstDay) leapClocks() {
+// jumpClocks makes the monotonic clocks of one or two machines jump ahead.
+func (d *worstDay) jumpClocks() {
 	for range 1 + d.random.Intn(2) {
-		d.randomHost().clockAhead += time.Duration(d.random.Int63n(int64(largestLeap)))
+		d.randomHost().clockOffset += time.Duration(d.random.Int63n(int64(maxClockJump)))
 	}
 	d.countAsLoss(0)
 }
 
-// awaitNoLoss runs until no machine counts as lost: then two may be lost at once.
-func (d *worstDay) awaitNoLoss() { d.run(max(d.now, d.nextLossAt)) }
+// awaitNoLostMachine runs until no machine counts as lost. Then two may be lost at once.
+func (d *worstDay) awaitNoLostMachine() { d.run(max(d.now, d.nextLossAt)) }
 
-// newAddress is one that no machine had before.
+// newAddress returns an address that no machine has had before.
 func (d *worstDay) newAddress() string {
 	d.addedMachines++
 	return fmt.Sprintf("10.2.%d.1:7000", d.addedMachines)
 }
 
-// replaceWhileOneIsDown replaces a machine while another one is down, which comes back with its disk.
+// replaceWhileOneIsDown replaces a machine while another one is down, which returns with its disk.
 func (d *worstDay) replaceWhileOneIsDown() {
-	d.awaitNoLoss()
+	d.awaitNoLostMachine()
 	down, old := d.twoHosts()
 	if down.process == nil || old.process == nil {
 		return
@@ -135,9 +136,9 @@
 	d.nextLossAt = d.now + 4*time.Second + catchUpTime
 }
 
-// replaceTwoInTurn replaces one machine, and another one as soon as the successor of the first does not count as lost.
+// replaceTwoInTurn replaces one machine, and another one as soon as the successor of the first no longer counts as lost.
 func (d *worstDay) replaceTwoInTurn() {
-	d.awaitNoLoss()
+	d.awaitNoLostMachine()
 	one, other := d.twoHosts()
 	for _, old := range []*host{one, other} {
 		if old.process == nil {
@@ -151,7 +152,7 @@
 
 // loseTwoDisks loses two disks at the same moment.
 func (d *worstDay) loseTwoDisks() {
-	d.awaitNoLoss()
+	d.awaitNoLostMachine()
 	one, other := d.twoHosts()
 	away := time.Duration(300+d.random.Intn(1500)) * time.Millisecond
 	for _, h := range []*host{one, other} {
@@ -162,14 +163,14 @@
 	d.nextLossAt = d.now + away + catchUpTime
 }
 
-// twoHosts draws two machines.
+// twoHosts draws two different machines.
 func (d *worstDay) twoHosts() (one, other *host) {
 	hosts := d.ordered()
 	first := d.random.Intn(len(hosts))
 	return hosts[first], hosts[(first+1+d.random.Intn(len(hosts)-1))%len(hosts)]
 }
 
-// The schedules of a run; PETRELHOOK_SCHEDULES plays more.
+// Plays largerWorstDays worst days, or as many as PETRELHOOK_SCHEDULES sets.
 func TestWorstDaysOfLargerCores(t *testing.T) {
 	runSeedsInParallel(t, scheduleCount(t, largerWorstDays), func(seed int64) bool {
 		if fault := playLargerWorstDay(t, seed, nil).violation(); fault != "" {
@@ -180,16 +181,16 @@
 	})
 }
 
-// A disk that answers before it has synced is noticed in larger cores too.
+// A disk that acknowledges a save before the sync is detected in larger cores too.
 func TestWorstDaysOfLargerCoresNotice(t *testing.T) {
-	noticed := int64(-1)
-	for seed := int64(0); seed < maxWorstDaysUntilNoticed && noticed < 0; seed++ {
-		if playLargerWorstDay(t, seed, func(s *simulation) { s.lyingDisks = true }).violation() != "" {
-			noticed = seed
+	detected := int64(-1)
+	for seed := int64(0); seed < maxWorstDaysUntilDetected && detected < 0; seed++ {
+		if playLargerWorstDay(t, seed, func(s *simulation) { s.acksBeforeSync = true }).violation() != "" {
+			detected = seed
 		}
 	}
-	if noticed < 0 {
-		t.Error("not noticed")
+	if detected < 0 {
+		t.Error("not detected")
 	}
-	t.Logf("noticed by worst day %d", noticed)
+	t.Logf("detected by worst day %d", detected)
 }
