--- a/internal/router/replication/worst_days_test.go
+++ b/internal/router/replication/worst_days_test.go
@@ -13,31 +13,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// worstDay is a random schedule of what operators fear: machines that join, are replaced and leave while messages of
-// one type are lost or delayed, candidacies that are interrupted, and losses as close to each other as the deployment's
-// page permits.
+// worstDay is a random schedule of the faults that are hardest to recover from: machines that join, are replaced and leave
+// while messages of one type are lost or delayed, candidacies that are interrupted, and losses in as short a succession as
+// the deployment's documentation permits.
 type worstDay struct {
 	*simulation
-	nextLossAt    time.Duration // the next machine may be lost then: the one before does not count any more
-	addedMachines int           // machines that were added
+	nextLossAt    time.Duration // when the next machine may be lost: the previous one no longer counts as lost
+	addedMachines int           // number of machines that were added
 	writes        int
 }
 
 const (
 	episodesPerDay = 8
 	recoveryTime   = 12 * time.Second
-	closingSync    = 20 * time.Millisecond
+	finalSyncTime  = 20 * time.Millisecond
 )
 
-// electionMessages are the types that an episode loses or delays.
-var electionMessages = []Message{Prepare{}, Promise{}, Sync{}, Synced{}, Accept{}, Accepted{}, Heartbeat{}, HeartbeatAck{}, Replicate{},
+// replicationMessages are the message types of which an episode loses or delays one.
+var replicationMessages = []Message{Prepare{}, Promise{}, Sync{}, Synced{}, Accept{}, Accepted{}, Heartbeat{}, HeartbeatAck{}, Replicate{},
 	Replicated{}, MissingEntries{}, SnapshotChunk{}, LearnerAck{}, PreVoteReply{}}
 
-func playWorstDay(t testing.TB, seed int64, mutate func(*simulation)) *worstDay {
+func playWorstDay(t testing.TB, seed int64, configure func(*simulation)) *worstDay {
 	t.Helper()
 	d := &worstDay{simulation: newSimulation(t, seed, 3+int(seed%2), 1)}
-	if mutate != nil {
-		mutate(d.simulation)
+	if configure != nil {
+		configure(d.simulation)
 	}
 	d.run(4 * time.Second)
 	for range episodesPerDay {
@@ -50,7 +50,7 @@
 	return d
 }
 
-// runClients has clients propose and read for a time.
+// runClients makes clients propose and read for some time.
 func (d *worstDay) runClients(during time.Duration) {
 	for until := d.now + during; d.now < until; {
 		if p := d.primary(); p != nil {
@@ -58,7 +58,7 @@
 			d.write(1, p.machine.Version, fmt.Sprint("w", d.writes))
 			d.read(2)
 		}
-		for _, h := range d.ordered() { // every process that says it is primary, reachable or not
+		for _, h := range d.ordered() { // every process that considers itself primary, reachable or not
 			if p := h.process; p != nil && p.replica.IsPrimary() && d.random.Intn(4) == 0 {
 				d.writes++
 				d.callAt(p, operation{client: 3, write: true, base: p.machine.Version, value: fmt.Sprint("w", d.writes)})
@@ -71,7 +71,7 @@
 
 func (d *worstDay) endFaults() {
 	d.heal()
-	d.loss, d.mutate = 0, nil
+	d.lossProbability, d.intercept = 0, nil
 }
 
 func (d *worstDay) randomHost() *host {
@@ -107,8 +107,8 @@
 	}
 }
 
-// abandonChange has two machines join, loses the Accept of the view that adds them, and has the primary propose again
-// while a random partition begins.
+// abandonChange makes machines join, loses the Accept of the view that adds them, and makes the primary propose again while a
+// random partition begins.
 func (d *worstDay) abandonChange() {
 	if len(d.hosts) > 4 || d.primary() == nil {
 		return
@@ -117,7 +117,7 @@
 	d.addMachines()
 	d.addMachines()
 	lost := true
-	d.mutate = func(_ *process, m Message) Message {
+	d.intercept = func(_ *process, m Message) Message {
 		if _, accept := m.(Accept); accept && lost {
 			return nil
 		}
@@ -137,12 +137,12 @@
 	for range 1 + d.random.Intn(2) {
 		if len(d.hosts) < 6 {
 			d.addedMachines++
-			d.startInOwnZones(fmt.Sprintf("10.1.%d.1:7000", d.addedMachines))
+			d.startInSeparateZones(fmt.Sprintf("10.1.%d.1:7000", d.addedMachines))
 		}
 	}
 }
 
-// replaceMachine replaces a machine; it counts as lost from its end until its successor has been there for CatchUpS.
+// replaceMachine replaces a machine, which counts as lost from its end until CatchUpS after its successor's start.
 func (d *worstDay) replaceMachine(planned bool) {
 	if d.now < d.nextLossAt {
 		return
@@ -167,20 +167,20 @@
 	d.nextLossAt = d.now + away + catchUpTime
 }
 
-// countAsLoss has machines count as lost during a fault that begins now and for CatchUpS after it. It returns the
-// fault's duration.
+// countAsLoss makes machines count as lost during a fault that begins now and for CatchUpS after it. It returns the fault's
+// duration.
 func (d *worstDay) countAsLoss(during time.Duration) time.Duration {
 	d.nextLossAt = max(d.nextLossAt, d.now+during+catchUpTime)
 	return during
 }
 
-// loseOneMessageType loses or delays the messages of one type for some seconds, to all or to some.
+// loseOneMessageType loses or delays the messages of one type to all or some machines, for up to some seconds.
 func (d *worstDay) loseOneMessageType() {
-	kind := reflect.TypeOf(electionMessages[d.random.Intn(len(electionMessages))])
+	messageType := reflect.TypeOf(replicationMessages[d.random.Intn(len(replicationMessages))])
 	hosts := d.ordered()
 	spared := hosts[:d.random.Intn(len(hosts)+1)]
-	d.mutate = func(to *process, m Message) Message {
-		if reflect.TypeOf(m) != kind || slices.Contains(spared, to.host) {
+	d.intercept = func(to *process, m Message) Message {
+		if reflect.TypeOf(m) != messageType || slices.Contains(spared, to.host) {
 			return m
 		}
 		if d.random.Intn(2) == 0 {
@@ -188,10 +188,10 @@
 		}
 		return nil
 	}
-	d.after(d.countAsLoss(time.Duration(500+d.random.Intn(2500))*time.Millisecond), func() { d.mutate = nil })
+	d.after(d.countAsLoss(time.Duration(500+d.random.Intn(2500))*time.Millisecond), func() { d.intercept = nil })
 }
 
-// candidateAddress returns the address of a message's sender where the message has it: answers to other messages are
+// candidateAddress returns the address of a message's sender if the message contains it, or "". Answers to other messages are
 // lost.
 func candidateAddress(m Message) string {
 	switch m := m.(type) {
@@ -203,7 +203,7 @@
 	return ""
 }
 
-// interruptCandidacy has a replica campaign, and partitions it from some others once it is in some phase.
+// interruptCandidacy makes a replica campaign, and partitions it from some others once it reaches a random phase.
 func (d *worstDay) interruptCandidacy() {
 	h := d.randomHost()
 	p := h.process
@@ -237,14 +237,14 @@
 	d.after(d.countAsLoss(time.Duration(300+d.random.Intn(4000))*time.Millisecond), d.heal)
 }
 
-// loseAllPower: right after one more change was acknowledged all lose power, and some their disks.
+// loseAllPower has one more value acknowledged. Right after that all machines lose power, and some of them their disks.
 func (d *worstDay) loseAllPower(disks int) {
 	p := d.primary()
 	if p == nil || d.now < d.nextLossAt {
 		return
 	}
-	for _, h := range d.ordered() { // an answer before the sync is noticed with disks that are no faster than the network
-		h.syncTime = closingSync
+	for _, h := range d.ordered() { // with disks slower than the network, an acknowledgement before the sync loses the value
+		h.syncTime = finalSyncTime
 	}
 	d.write(1, p.machine.Version, "last")
 	for last := len(d.history) - 1; d.history[last].end < 0 && p.host.process == p; {
@@ -267,13 +267,13 @@
 	d.run(d.now + time.Second)
 }
 
-// violation says what is wrong with a worst day, or is "". All machines are in sync at its end, but for one whose zone
-// has a member.
+// violation describes what is wrong after a worst day, or returns "". All members are in sync at its end and their machines
+// run; a machine whose zone has another member need not be one.
 func (d *worstDay) violation() string {
 	if d.restoreError != nil {
 		return d.restoreError.Error()
 	}
-	if fault := linearizable(d.history); fault != "" {
+	if fault := linearizabilityViolation(d.history); fault != "" {
 		return fault
 	}
 	p := d.primary()
@@ -289,7 +289,7 @@
 	}
 	for _, m := range v.Members {
 		if h := d.hosts[m.Address]; h == nil || h.process == nil || h.process.replica.Self.ID != m.ID {
-			return fmt.Sprintf("%s is a member, and gone", m.ID)
+			return fmt.Sprintf("%s is a member, but its machine or disk is gone", m.ID)
 		}
 	}
 	return ""
@@ -311,20 +311,20 @@
 	})
 }
 
-// maxWorstDaysUntilNoticed: a guard that is removed has to be noticed within so many worst days.
-const maxWorstDaysUntilNoticed = 2_000
+// maxWorstDaysUntilDetected is the number of worst days within which the removal of a guard has to be detected.
+const maxWorstDaysUntilDetected = 2_000
 
-// A disk that answers before it has synced is noticed.
+// A disk that acknowledges a save before the sync is detected.
 func TestWorstDaysNotice(t *testing.T) {
-	var noticed atomic.Int64
-	noticed.Store(-1)
-	runSeedsInParallel(t, maxWorstDaysUntilNoticed, func(seed int64) bool {
-		if playWorstDay(t, seed, func(s *simulation) { s.lyingDisks = true }).violation() == "" {
+	var detected atomic.Int64
+	detected.Store(-1)
+	runSeedsInParallel(t, maxWorstDaysUntilDetected, func(seed int64) bool {
+		if playWorstDay(t, seed, func(s *simulation) { s.acksBeforeSync = true }).violation() == "" {
 			return true
 		}
-		noticed.Store(seed)
+		detected.Store(seed)
 		return false
 	})
-	require.GreaterOrEqual(t, noticed.Load(), int64(0), "not noticed")
-	t.Logf("noticed by worst day %d", noticed.Load())
+	require.GreaterOrEqual(t, detected.Load(), int64(0), "not detected")
+	t.Logf("detected by worst day %d", detected.Load())
 }
