--- a/internal/router/node/applied.go
+++ b/internal/router/node/applied.go
@@ -6,21 +6,21 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// coreSearchTimeout is how long after its start a router looks for a core member in contact with a majority, before it
-// serves with what it received from others.
+// coreSearchTimeout is how long after its start a router looks for a core member in contact with a majority. After that
+// it also serves with the configuration and the servers that other core members sent.
 const coreSearchTimeout = 3 * time.Second
 
-// applied is what of the configuration and of the servers the gateway has.
+// applied records which configuration and which servers have been passed to the gateway.
 type applied struct {
 	configVersion uint64
 	registryStamp uint64
-	usableServers map[string]int // by service, as logged last
+	usableServers map[string]int // by service, as last logged
 }
 
 func newApplied() applied { return applied{usableServers: map[string]int{}} }
 
-// apply passes to the gateway what is newer than what it has, and makes the router ready once it has all that it needs.
-// It is called at the end of every event.
+// apply passes newer configurations and changed servers to the gateway, and makes the router ready once it has all that
+// it needs to serve. It is called at the end of every event.
 func (n *Node) apply() {
 	if version := n.subscription.versions.Version(); version != n.applied.configVersion {
 		n.applyConfig(version)
@@ -44,13 +44,13 @@
 	n.logger.Info().Uint64("version", version).Int64("generation", config.Generation).Msg("configuration applied")
 }
 
-// canServe reports whether the router has a configuration and the complete list of servers, from a core member in
-// contact with a majority where one could be found.
+// canServe reports whether the router has a configuration and the complete list of servers. Until coreSearchTimeout, a
+// core member in contact with a majority must also have confirmed that the configuration is current.
 func (n *Node) canServe() bool {
 	return n.applied.configVersion > 0 && n.subscription.serversComplete && (n.subscription.configCurrent || n.now() > coreSearchTimeout)
 }
 
-// logServers logs the number of usable servers of each service where it has changed.
+// logServers logs the number of usable servers of each service for which it has changed.
 func (n *Node) logServers() {
 	for service, count := range n.gateway.ServerCounts() {
 		if n.applied.usableServers[service] != count {
--- a/internal/router/node/core.go
+++ b/internal/router/node/core.go
@@ -11,17 +11,17 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// controlPlane is a router's part in the replicated configuration. A router that cannot be a core member has a replica
-// too: a witness, which stores nothing and follows the view.
+// controlPlane is the state of a router's replica of the configuration. A router that cannot be a core member has a
+// replica as well: a witness, which stores nothing and only follows the view.
 type controlPlane struct {
-	replica  *replication.Replica // nil until open
+	replica  *replication.Replica // nil until openReplica
 	register *operatorapi.Register
-	disk     *diskWriter // nil at a witness
+	disk     *diskWriter // nil on a witness
 	view     replication.View
-	eligible map[string]replication.Member // who can be a core member, as far as known, by ID
+	eligible map[string]replication.Member // routers known to be able to become core members, by ID
 
-	decisions    pendingReplies[replication.Decision] // that HTTP calls wait for
-	inTouchSince time.Duration                        // in contact with a majority since then; negative: it is not
+	decisions    pendingReplies[replication.Decision] // awaited by HTTP calls
+	inTouchSince time.Duration                        // start of the present contact with a majority; negative without contact
 }
 
 func newControlPlane() controlPlane {
@@ -29,17 +29,17 @@
 		decisions: pendingReplies[replication.Decision]{}, inTouchSince: -1}
 }
 
-// isMember reports whether the router at an internal address is a core member.
+// isMember reports whether the current view names the router at an internal address as a core member.
 func (c *controlPlane) isMember(address string) bool {
 	return slices.ContainsFunc(c.view.Members, func(m replication.Member) bool { return m.Address == address })
 }
 
-// isCoreMember reports whether this router is a core member, as far as it knows.
+// isCoreMember reports whether the newest view that this router knows names it as a core member.
 func (n *Node) isCoreMember() bool {
 	return n.self.Member != nil && n.control.view.Member(n.self.Member.ID) != nil
 }
 
-// hasCoreContact reports whether this router has contact with a majority of the core, itself or by way of its home.
+// hasCoreContact reports whether this router has contact with a majority of the core, directly or through its home.
 func (n *Node) hasCoreContact(now time.Duration) bool {
 	if n.isCoreMember() {
 		return n.control.replica.InTouch()
@@ -47,20 +47,20 @@
 	return n.subscription.home.InTouch(now)
 }
 
-// addEligible records that a router can be a core member.
+// addEligible records that a router can become a core member.
 func (n *Node) addEligible(m replication.Member) {
 	n.control.eligible[m.ID] = m
 	n.control.replica.AddEligible(m)
 }
 
-// receiveReplication passes a message to the replica.
+// receiveReplication passes a message to the replica and performs the effects that result.
 func (n *Node) receiveReplication(from string, m replication.Message, now time.Duration) {
 	n.control.replica.Receive(from, m, now)
 	n.performEffects()
 	n.applyView(n.control.replica.View())
 }
 
-// performEffects applies the replica's view and performs the effects that it wants.
+// performEffects applies the replica's view, then performs the replica's effects until it has none left.
 func (n *Node) performEffects() {
 	n.applyView(n.control.replica.View())
 	for effects := n.control.replica.Effects(); len(effects) > 0; effects = n.control.replica.Effects() {
@@ -83,7 +83,7 @@
 	}
 }
 
-// saved is called by the disk's goroutine when a save has ended. It acquires the lock.
+// saved passes the result of a save to the replica. The goroutine of the diskWriter calls it. It acquires the lock.
 func (n *Node) saved(number uint64, err error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -97,7 +97,7 @@
 	n.apply()
 }
 
-// publish adopts a configuration that the replica knows to be committed.
+// publish adopts a configuration that the replica has found to be committed, and pushes it to the subscribers.
 func (n *Node) publish(e replication.Publish) {
 	n.subscription.configCurrent = true
 	config, ok := e.Value.(*routetable.Config)
@@ -106,14 +106,14 @@
 	}
 }
 
-// applyView adopts a view where it is newer. It is called at every event too, because what follows from contact with
-// the core and from being primary changes within a view.
+// applyView adopts a view if it is newer than the current one. It is called after every event of the replica as well,
+// because contact with the core and the role of primary can change within a view.
 func (n *Node) applyView(v replication.View) {
 	if n.control.view.Epoch.Less(v.Epoch) {
 		n.adoptView(v)
 	}
-	// A core member whose disk had the servers has the complete list, once it is in contact: all that changed since is
-	// pushed to it.
+	// A core member that loaded the servers from its disk has the complete list once it has contact with a majority: the
+	// others push all later changes to it.
 	if !n.subscription.serversComplete && n.serversCache.loaded && n.isCoreMember() && n.control.replica.InTouch() {
 		n.subscription.serversComplete = true
 		n.pushAll()
@@ -127,7 +127,7 @@
 	n.quotas.primary.viewChanged()
 	n.control.replica.LearnView(v)
 	if first {
-		n.timers.sessions.expire() // the core is known now: this router subscribes at once
+		n.timers.sessions.expire() // the core has become known: subscribe at once
 	}
 	n.logger.Info().Uint64("round", v.Epoch.Round).Str("primary", v.PrimaryAddress()).Int("members", len(v.Members)).
 		Int("in_sync", len(v.InSync)).Msg("view changed")
@@ -135,9 +135,9 @@
 	n.pushAll()
 }
 
-// decide passes a request to the replica by propose, which is called with the lock held and the number by which the
-// replica answers, and waits for its decision. Without one in time the status is 503: the request may have been
-// accepted or not. It acquires the lock.
+// decide passes a request to the replica and waits for its decision. propose is called with the lock held; it makes the
+// request under the number that the replica's answer will carry. If no decision comes within timeout, the returned status
+// is 503 and it is unknown whether the request was accepted. decide is called without the lock, and acquires it.
 func (n *Node) decide(timeout time.Duration, propose func(request uint64)) replication.Decision {
 	n.mutex.Lock()
 	request := n.nextRequest()
--- a/internal/router/node/disk_writer.go
+++ b/internal/router/node/disk_writer.go
@@ -6,16 +6,17 @@
 	"petrelhook/internal/router/replication"
 )
 
-// saver is the disk of a diskWriter: *storage.Disk.
+// saver is the disk of a diskWriter. *storage.Disk implements it; SaveAll returns one result for each save.
 type saver interface {
 	SaveAll(saves []replication.Save) []error
 }
 
-// maxSavesPerSync bounds the saves that are synced together, each of which may have the complete state.
+// maxSavesPerSync bounds the number of saves in one sync, since each of them may hold the complete state.
 const maxSavesPerSync = 64
 
-// diskWriter carries out the replica's saves in their order, in a goroutine of its own, since a disk may hang. Saves that
-// have come during a sync are synced together by the next one: a disk that takes long for each falls no further behind.
+// diskWriter carries out the replica's saves in order, in a goroutine of its own, since a disk may hang. Saves queued
+// during a sync are written together by the next sync, so that a disk with slow syncs falls no further behind. save and
+// close may be called from any goroutine.
 type diskWriter struct {
 	disk  saver
 	saved func(number uint64, err error) // called after each save, from the writer's goroutine
@@ -33,7 +34,7 @@
 	return w
 }
 
-// save queues a save. It does not wait for it.
+// save queues a save and returns without waiting for it.
 func (w *diskWriter) save(s replication.Save) {
 	w.mutex.Lock()
 	w.queue = append(w.queue, s)
@@ -54,8 +55,8 @@
 	}
 }
 
-// nextBatch waits for a save, and removes from the queue those that there are. It returns none once the writer is closed and the
-// queue is empty.
+// nextBatch waits until the queue has a save, and removes up to maxSavesPerSync saves from it. It returns none once the
+// writer is closed and the queue is empty.
 func (w *diskWriter) nextBatch() []replication.Save {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -68,8 +69,8 @@
 	return batch
 }
 
-// close ends the writer once its queue is empty. It does not wait for that, nor for a disk that hangs: the process ends
-// next, and a save that was not acknowledged may be lost.
+// close makes the writer's goroutine end once the queue is empty. It waits neither for that nor for a disk that hangs:
+// the process exits next, and a save that was not acknowledged may be lost.
 func (w *diskWriter) close() {
 	w.mutex.Lock()
 	w.closed = true
--- a/internal/router/node/disk_writer_test.go
+++ b/internal/router/node/disk_writer_test.go
@@ -9,13 +9,13 @@
 	"petrelhook/internal/router/replication"
 )
 
-// slowDisk is a disk whose syncs end when the test says so.
-type slowDisk struct {
+// blockingDisk is a disk whose syncs block until the test lets them end.
+type blockingDisk struct {
 	begun chan []replication.Save
-	end   chan error // the result of all saves of a sync
+	end   chan error // receives the result for all saves of a sync
 }
 
-func (d *slowDisk) SaveAll(saves []replication.Save) []error {
+func (d *blockingDisk) SaveAll(saves []replication.Save) []error {
 	d.begun <- saves
 	err := <-d.end
 	errs := make([]error, len(saves))
@@ -25,18 +25,18 @@
 	return errs
 }
 
-// savedReport is a call of diskWriter.saved.
-type savedReport struct {
+// saveResult holds the arguments of a call of diskWriter.saved.
+type saveResult struct {
 	number uint64
 	err    error
 }
 
-// Saves that come while a sync is under way are synced together by the next one, in their order, and each is reported, also
-// after an error. A sync has a bounded number of them.
+// Saves queued during a sync are written together by the next one, in order and up to the bound. Each save is reported,
+// also after an error.
 func TestSavesDuringASyncShareTheNextOne(t *testing.T) {
-	disk := &slowDisk{begun: make(chan []replication.Save), end: make(chan error)}
-	reports := make(chan savedReport, 200)
-	w := newDiskWriter(disk, func(number uint64, err error) { reports <- savedReport{number, err} })
+	disk := &blockingDisk{begun: make(chan []replication.Save), end: make(chan error)}
+	results := make(chan saveResult, 200)
+	w := newDiskWriter(disk, func(number uint64, err error) { results <- saveResult{number, err} })
 	defer w.close()
 	w.save(replication.Save{Number: 1})
 	require.Len(t, <-disk.begun, 1)
@@ -51,10 +51,10 @@
 	require.Len(t, <-disk.begun, 10)
 	disk.end <- nil
 	for number := uint64(1); number <= last; number++ {
-		want := savedReport{number: number}
+		want := saveResult{number: number}
 		if number > 1 && number <= 1+maxSavesPerSync {
 			want.err = full
 		}
-		require.Equal(t, want, <-reports)
+		require.Equal(t, want, <-results)
 	}
 }
--- a/internal/router/node/distributor.go
+++ b/internal/router/node/distributor.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// sessionTimeout is how long a router without a heartbeat belongs to the fleet and is pushed to.
+	// sessionTimeout is how long after its last heartbeat a router still counts as part of the fleet and receives pushes.
 	sessionTimeout = 3 * time.Second
-	// minPushInterval is the time between two pushes to all subscribers, so that changes in quick succession go together.
+	// minPushInterval is the least time between two pushes to all subscribers. It combines changes in quick succession.
 	minPushInterval = 15 * time.Millisecond
-	// pushIntervalPerSubscriber is the same for each subscriber, where that is longer.
+	// pushIntervalPerSubscriber, times the number of subscribers, is the interval if that is longer.
 	pushIntervalPerSubscriber = 500 * time.Microsecond
 )
 
-// distributor is what makes a core member the home of others: it keeps the routers that subscribe here, and when they
-// are pushed to. On a router that is no core member it has no subscribers.
+// distributor is the state by which a core member serves as the home of other routers: its subscribers, their sessions,
+// and the time of the next push. On a router that is not a core member it has no subscribers.
 type distributor struct {
 	subscribers map[string]*subscriber // by internal address
 	sessions    *membership.Sessions
 	lastPush    time.Duration
-	pushTimer   *time.Timer // for changes just after a push; Run waits for it
-	pushPending bool        // the timer runs
+	pushTimer   *time.Timer // fires when deferred changes may be pushed; Run receives from it
+	pushPending bool        // changes wait for the timer
 }
 
 func newDistributor() distributor {
@@ -32,20 +32,20 @@
 	return distributor{subscribers: map[string]*subscriber{}, sessions: membership.New(sessionTimeout), pushTimer: timer}
 }
 
-// pushDelay returns how long a push to all subscribers has to wait; it is not positive where one may be sent now.
+// pushDelay returns how long a push to all subscribers has to wait. It is zero or negative if one may be sent now.
 func (d *distributor) pushDelay(now time.Duration) time.Duration {
 	interval := max(minPushInterval, time.Duration(len(d.subscribers))*pushIntervalPerSubscriber)
 	return interval - (now - d.lastPush)
 }
 
-// receiveSubscriptionHeartbeat renews the session of a router that subscribes, and pushes what it lacks. A router that
-// does not subscribe, or not to a core member, is told who the core is.
+// receiveSubscriptionHeartbeat renews the session of a subscriber and pushes what the subscriber lacks. If the sender
+// does not subscribe, or this router is not a core member, the answer only names the core.
 func (n *Node) receiveSubscriptionHeartbeat(from string, m *dissemination.SubscriptionHeartbeat, now time.Duration) {
 	if m.Router.Member != nil {
 		n.addEligible(*m.Router.Member)
 	}
 	if n.control.view.Epoch.Less(m.View) && !m.Subscribe {
-		// The sender knows a newer view, which it answers with.
+		// The sender knows a newer view. It answers this message with that view.
 		n.transport.Send(from, dissemination.SubscriptionHeartbeat{Router: n.self, View: n.control.view.Epoch})
 		return
 	}
@@ -65,7 +65,8 @@
 	n.push(s, now)
 }
 
-// introduceCore tells a router that does not subscribe here who the core is, or who can become it.
+// introduceCore sends a router that does not subscribe here the current view if it is newer than the view in m. While no
+// view is known here it sends the routers that can become core members.
 func (n *Node) introduceCore(to string, m *dissemination.SubscriptionHeartbeat) {
 	p := dissemination.Push{Incarnation: n.self.Incarnation}
 	if m.View.Less(n.control.view.Epoch) {
@@ -82,8 +83,8 @@
 	}
 }
 
-// push sends a subscriber what it lacks. It is sent also where that is nothing: it is the heartbeat of the session in
-// the other direction.
+// push sends a subscriber what it lacks. An empty push is sent as well: pushes are the heartbeats of the session from the
+// home to the subscriber.
 func (n *Node) push(s *subscriber, now time.Duration) {
 	p := dissemination.Push{
 		Incarnation: n.self.Incarnation,
@@ -106,7 +107,8 @@
 	n.transport.Send(s.address, p)
 }
 
-// pushAll pushes a change to all subscribers: at once, or as soon as the time since the last push allows.
+// pushAll pushes changes to all subscribers, at once or as soon as the least interval since the last push has passed. It
+// removes the subscribers whose session has expired.
 func (n *Node) pushAll() {
 	d := &n.distributor
 	now := n.now()
@@ -127,10 +129,10 @@
 	}
 }
 
-// pushDeferred pushes the changes that came just after the last push. It acquires the lock.
+// pushDeferred pushes the changes that pushAll deferred. Run calls it when the timer fires. It acquires the lock.
 func (n *Node) pushDeferred() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.distributor.lastPush = -time.Hour // the time has passed, whatever has changed its length since
+	n.distributor.lastPush = -time.Hour // the interval is over, even if more subscribers have made it longer meanwhile
 	n.pushAll()
 }
--- a/internal/router/node/list_comparison_test.go
+++ b/internal/router/node/list_comparison_test.go
@@ -10,26 +10,26 @@
 	"petrelhook/internal/router/registry"
 )
 
-// receiveFirstHeartbeat adds a ready server to a registry.
-func receiveFirstHeartbeat(g *registry.Registry, id string) {
+// addReadyServer adds a server to a registry by its first heartbeat.
+func addReadyServer(g *registry.Registry, id string) {
 	g.ReceiveHeartbeat(registry.Instance{ID: id, Service: "s", Address: id, Sequence: 1}, 0)
 }
 
-// pushFrom is what a home pushes to a subscriber that has its registry up to a stamp.
+// pushFrom returns the push of a home to a subscriber that has the home's registry up to a stamp.
 func pushFrom(home *registry.Registry, stamp uint64, now time.Duration) *dissemination.Push {
 	return &dissemination.Push{Incarnation: 1, InTouch: true, Complete: true, FleetSize: 2, FromStamp: stamp, Stamp: home.Stamp(),
 		Digest: home.Digest(), Instances: home.UpdatesSince(stamp, now)}
 }
 
-// A router that missed the end of a server for so long that its home has forgotten it requests the complete list, and
-// adopts it.
+// A router misses the deregistration of a server for so long that its home has forgotten the server. The router requests
+// the complete list from its home and adopts it.
 func TestAServerWhoseEndWasMissedIsRemoved(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"))
 	n.reviewHome(0)
 	from := n.subscription.home.Current()
 	home := registry.New()
-	receiveFirstHeartbeat(home, "stays")
+	addReadyServer(home, "stays")
 	n.receivePush(from, pushFrom(home, 0, 0), 0)
 	n.registry.Adopt(registry.Update{Instance: registry.Instance{ID: "ended", Service: "s", Address: "b"}}, 0)
 	n.apply()
@@ -38,12 +38,12 @@
 	now := 100 * time.Millisecond
 	for ; now < differenceTolerance; now += heartbeatInterval {
 		n.receivePush(from, pushFrom(home, home.Stamp(), now), now)
-		require.False(t, n.subscription.requestFullState, "lists may differ for a moment")
+		require.False(t, n.subscription.requestFullState, "a short difference is tolerated")
 	}
 	n.receivePush(from, pushFrom(home, home.Stamp(), 2*differenceTolerance), 2*differenceTolerance)
 	require.True(t, n.subscription.requestFullState)
 	n.sendSubscriptionHeartbeat(from)
-	require.False(t, n.subscription.requestFullState, "it is requested once")
+	require.False(t, n.subscription.requestFullState, "the list is requested once")
 
 	complete := pushFrom(home, 0, 2*differenceTolerance)
 	complete.FullState = true
@@ -53,8 +53,8 @@
 	require.Equal(t, home.Digest(), n.registry.Digest())
 }
 
-// What is in flight to a router is no difference, and a home that lost contact with the core, or that does not have the
-// complete list itself, removes nothing.
+// The lists are not compared while changes are in flight to the router, nor with a home that lacks contact with the core
+// or the complete list. Such a home does not make the router remove servers.
 func TestWhenListsAreNotCompared(t *testing.T) {
 	for name, alter := range map[string]func(*dissemination.Push){
 		"a push was lost":   func(p *dissemination.Push) { p.FromStamp, p.Stamp = p.Stamp+1, p.Stamp+2 },
@@ -67,7 +67,7 @@
 		n.reviewHome(0)
 		home := registry.New()
 		if name != "the digests agree" {
-			receiveFirstHeartbeat(home, "i")
+			addReadyServer(home, "i")
 		}
 		for now := time.Duration(0); now < 3*differenceTolerance; now += heartbeatInterval {
 			p := pushFrom(home, home.Stamp(), now)
@@ -77,18 +77,18 @@
 		}
 	}
 	n := newNode(t, "")
-	receiveFirstHeartbeat(n.registry, "i")
+	addReadyServer(n.registry, "i")
 	n.applyServers("x", &dissemination.Push{Incarnation: 1, FullState: true, Complete: true}, 0)
 	require.NotZero(t, n.registry.Digest(), "a home without contact with the core removes nothing")
 }
 
-// A subscriber that requests the complete list is sent it whatever it was sent before; the next pushes have changes
-// alone again.
+// A subscriber that requests the complete list is sent it, whatever it has received before. Later pushes contain changes
+// only.
 func TestTheCompleteListIsSentOnRequest(t *testing.T) {
 	n := newNode(t, "")
-	n.self.Member = &v1
-	n.control.view = view(1, v1)
-	receiveFirstHeartbeat(n.registry, "i1")
+	n.self.Member = &selfMember
+	n.control.view = view(1, selfMember)
+	addReadyServer(n.registry, "i1")
 	heartbeat := dissemination.SubscriptionHeartbeat{Subscribe: true, HomeIncarnation: n.self.Incarnation, RegistryStamp: n.registry.Stamp()}
 	heartbeat.Router.Address = "10.0.1.2:7000"
 	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, 0)
@@ -97,5 +97,5 @@
 	heartbeat.FullState = true
 	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, time.Millisecond)
 	require.Equal(t, time.Millisecond, s.lastSent)
-	require.False(t, s.sendFullState, "it has been sent")
+	require.False(t, s.sendFullState, "the request has been met")
 }
--- a/internal/router/node/loads.go
+++ b/internal/router/node/loads.go
@@ -8,51 +8,54 @@
 )
 
 const (
-	// loadsInterval is the time between two load reports: each tick, also one that comes a little early.
+	// loadsInterval is the time between two load reports. It is a little shorter than a tick, so that each tick sends one
+	// even if it comes early.
 	loadsInterval = tickInterval - tickInterval/8
-	// loadsIntervalPerSubscriber is the same for each subscriber, where that is longer, so that a core member spends a
-	// few percent of a processor on it.
+	// loadsIntervalPerSubscriber, times the number of subscribers, is the interval if that is longer. It keeps the cost to
+	// a core member at a few percent of a processor.
 	loadsIntervalPerSubscriber = 2 * time.Millisecond
 )
 
-// loads is a router's part in the exchange of what work requests have left at servers.
+// loads is the state of a router's exchange of load reports: the work that open requests still have at each server.
 type loads struct {
-	board    *placement.LoadBoard // of a core member: the last report of each router
-	reported bool                 // the last report to the home was of some work
+	board    *placement.LoadBoard // used by a core member: the last report of each router
+	reported bool                 // the last report to the home was not empty
 }
 
-// tickLoads reports this router's loads to the home, once more when there are none any more. A core member sends the
-// sum of its subscribers' loads to other core members, and to each subscriber the sum of all others'.
+// tickLoads reports this router's loads to the home; after the last load has ended it sends one empty report. A core
+// member sends the sum of its subscribers' loads to the other core members, and to each subscriber the sum of the loads
+// of all other routers.
 func (n *Node) tickLoads(now time.Duration) {
 	interval := max(loadsInterval, time.Duration(len(n.distributor.subscribers))*loadsIntervalPerSubscriber)
 	if !n.timers.loads.elapsed(interval, now) {
 		return
 	}
-	own := n.gateway.LocalLoads()
+	localLoads := n.gateway.LocalLoads()
 	if !n.isCoreMember() {
 		home := n.subscription.home.Current()
-		if home != "" && (len(own) > 0 || n.loads.reported) {
-			n.transport.Send(home, dissemination.LoadReport{Loads: own.Message()})
+		if home != "" && (len(localLoads) > 0 || n.loads.reported) {
+			n.transport.Send(home, dissemination.LoadReport{Loads: localLoads.Message()})
 		}
-		n.loads.reported = len(own) > 0
+		n.loads.reported = len(localLoads) > 0
 		return
 	}
 	board := n.loads.board
 	board.Expire(now)
-	board.Put(n.self.Address, false, own, now)
+	board.Put(n.self.Address, false, localLoads, now)
 	forPeers := dissemination.LoadReport{Loads: board.ForPeers().Message()}
-	all := board.All()
+	total := board.All()
 	for _, s := range n.distributor.subscribers {
 		if s.coreMember {
 			n.transport.Send(s.address, forPeers)
 			continue
 		}
-		n.transport.Send(s.address, dissemination.LoadReport{Loads: board.Others(all, s.address).Message()})
+		n.transport.Send(s.address, dissemination.LoadReport{Loads: board.Others(total, s.address).Message()})
 	}
-	n.gateway.SetPeerLoads(board.Others(all, n.self.Address))
+	n.gateway.SetPeerLoads(board.Others(total, n.self.Address))
 }
 
-// receiveLoadReport records a router's loads at a core member, and passes those of all others to the gateway elsewhere.
+// receiveLoadReport records a router's loads if this router is a core member. Otherwise it passes the home's sum of all
+// other routers' loads to the gateway.
 func (n *Node) receiveLoadReport(from string, m dissemination.LoadReport, now time.Duration) {
 	switch {
 	case n.isCoreMember():
--- a/internal/router/node/loads_test.go
+++ b/internal/router/node/loads_test.go
@@ -11,16 +11,17 @@
 	"petrelhook/internal/router/placement"
 )
 
+// loadReport returns a report of one request at server i1 with prompt tokens that are not yet prefilled.
 func loadReport(unread float64) dissemination.LoadReport {
 	return dissemination.LoadReport{Loads: placement.LoadSums{placement.HashServer("i1"): {Requests: 1, PrefillTokens: unread}}.Message()}
 }
 
-// A core member adds up the loads of its subscribers and those that other core members report; it sends these only the
-// first.
+// A core member adds up the loads of its subscribers and those reported by other core members. To other core members it
+// sends only the sum of its subscribers.
 func TestLoadsAreAddedUp(t *testing.T) {
-	n := poolNode(t)
+	n := newNodeWithoutPrimary(t)
 	peer := member("10.0.3.9:7000", "z3")
-	n.control.view = view(2, member("10.0.2.1:7000", "z1"), v1, peer)
+	n.control.view = view(2, member("10.0.2.1:7000", "z1"), selfMember, peer)
 	now := n.now()
 	n.receiveLoadReport("10.0.1.2:7000", loadReport(1000), now)
 	n.receiveLoadReport("10.0.1.3:7000", loadReport(300), now)
@@ -31,12 +32,13 @@
 	require.EqualValues(t, 1320, all[i1].PrefillTokens)
 	require.EqualValues(t, 320, n.loads.board.Others(all, "10.0.1.2:7000")[i1].PrefillTokens)
 	n.tickLoads(now + 2*time.Second)
-	require.Empty(t, n.loads.board.All(), "nobody has renewed it")
+	require.Empty(t, n.loads.board.All(), "no router has renewed its report")
 }
 
-// A router that is no core member adopts the loads of its home alone, and reports to it once that no work is left.
+// A router that is not a core member adopts loads from its home only. When its work has ended it sends the home one empty
+// report.
 func TestLoadsComeFromTheHome(t *testing.T) {
-	n := poolNode(t)
+	n := newNodeWithoutPrimary(t)
 	n.self.Member = nil
 	n.control.view = view(2, member("10.0.2.1:7000", "z1"))
 	n.reviewHome(n.now())
@@ -45,12 +47,12 @@
 	n.tickLoads(n.now())
 	require.False(t, n.loads.reported)
 	n.receiveLoadReport("10.0.9.9:7000", loadReport(1000), n.now())
-	require.Empty(t, n.loads.board.All(), "it has no board of others' loads")
+	require.Empty(t, n.loads.board.All(), "only a core member records the loads of others")
 }
 
-// With many subscribers a home sends them loads less often.
+// A home sends loads less often if it has many subscribers.
 func TestLoadsAreSentLessOftenToManySubscribers(t *testing.T) {
-	n := poolNode(t)
+	n := newNodeWithoutPrimary(t)
 	for i := range 100 {
 		n.distributor.subscribers[fmt.Sprint("10.1.0.", i, ":7000")] = &subscriber{}
 	}
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -1,15 +1,15 @@
-// Package node puts one router together from its settings: the clients' side, the control side, and, where the machine
-// counts for the core, a replica of the configuration. It is the shell: sockets, loops, the disk's goroutine, and who
-// sends what to whom. The decisions are in the pure packages that it calls, which have no clock or network of their
-// own.
+// Package node assembles one router from its settings: the gateway for clients, the control endpoints, and, on a machine
+// that can be a core member, a replica of the configuration. It does the I/O: it owns the sockets, the main loop and the
+// goroutine that writes to the disk, and it sends messages to other routers. The decisions are made by the pure packages
+// that it calls, which have neither a clock nor a network.
 //
-// A *router* is one process of the fleet, a *core member* a router that the current view names, a *server* a model
+// A *router* is one process of the fleet, a *core member* a router that the current view names, and a *server* a model
 // server. The *home* of a router is the core member that it subscribes to.
 //
-// One lock guards the state of all pure packages and of this one. It is acquired by whatever brings an event: a
-// message, a tick, an HTTP call, a save that ended. Unless a comment says otherwise, an unexported method is called
-// with the lock held. Nothing waits while it holds the lock; the transport and the gateway never call back from within
-// a call.
+// One mutex, called the lock in this package, guards the state of this package and of all pure packages. The handler of
+// each event acquires it: of a message, a tick, an HTTP call, or the end of a save. Unless a comment says otherwise, an
+// unexported method is called with the lock held. No code blocks while it holds the lock. The transport and the gateway
+// never call the node from within a call that the node makes to them.
 package node
 
 import (
@@ -35,36 +35,38 @@
 )
 
 const (
-	// tickInterval is the time between two runs of the work that depends on time alone.
+	// tickInterval is the time between two calls of Node.tick, which does the periodic work.
 	tickInterval = 50 * time.Millisecond
-	// startupPeriod is how long after its start a router counts as just started: it contacts others more often, and as a
-	// primary it begins with the token levels of a restart (quota.NewTokenBuckets).
+	// startupPeriod is how long after its start a router counts as just started. In this period it contacts others more
+	// often, and if it becomes primary its token buckets begin with the levels of a restart (quota.NewTokenBuckets).
 	startupPeriod = 5 * time.Second
 	// pruneInterval is the time between two removals of idle connections to servers.
 	pruneInterval = 2 * time.Second
-	// forgetInterval is the time between two removals of ended servers from the registry.
+	// forgetInterval is the time between two removals of deregistered and lost servers from the registry.
 	forgetInterval = 5 * time.Second
-	// bodyMemoryDivisor: the machine's memory, divided by it, is what the bodies of clients' requests may take together.
+	// bodyMemoryDivisor limits the bodies of client requests to a fraction of the machine's memory: all of them together
+	// may take 1/bodyMemoryDivisor of it.
 	bodyMemoryDivisor = 4
 )
 
-// Node is one router. Make it by New; Run serves.
+// Node is one router. New creates it, and Run serves until its context ends. The exported methods acquire the lock where
+// they need it and may be called from any goroutine.
 type Node struct {
 	settings *settings.Settings
 	logger   *log.Logger
 	start    time.Time
-	self     membership.Router // does not change after open
+	self     membership.Router // does not change after openReplica
 
 	gateway       *gateway.Gateway
 	transport     *transport.Transport
 	missedTargets missedTargetLog
 
-	ready  atomic.Bool // it has had a configuration and the servers; this stays
-	ending atomic.Bool
+	ready        atomic.Bool // it has received a configuration and the servers; never reset
+	shuttingDown atomic.Bool
 
-	mutex        sync.Mutex // guards all below
+	mutex        sync.Mutex // guards all fields below
 	seeds        []string   // internal addresses
-	lastRequest  uint64     // number of the last request to others; the first is drawn, so that no answer to an earlier incarnation fits
+	lastRequest  uint64     // number of the last request; random at first, so that no answer to an earlier incarnation matches
 	fleetSize    int        // routers, this one included
 	registry     *registry.Registry
 	control      controlPlane
@@ -79,7 +81,7 @@
 	timers       timers
 }
 
-// New returns a router of which nothing is started or opened.
+// New returns a router that has not yet opened its disk or sockets and runs no goroutine of its own; Run does both.
 func New(s *settings.Settings, logger *log.Logger) *Node {
 	incarnation := rand.Uint64() | 1
 	n := &Node{settings: s, logger: logger, start: time.Now(), seeds: s.SeedAddresses(), registry: registry.New(), fleetSize: 1,
@@ -91,7 +93,7 @@
 	n.quotas = newQuotas(locality)
 	n.loads.board = placement.NewLoadBoard()
 	n.outliers.detector = outlier.NewDetector(usableServers{n})
-	n.timers.storeServers.restart(0) // what is on the disk is good enough, at first
+	n.timers.storeServers.restart(0) // the copy on the disk is recent enough at the start
 	n.timers.expireServers.restart(0)
 	b := s.Bounds
 	n.gateway = gateway.New(gateway.Options{
@@ -109,7 +111,7 @@
 	return n
 }
 
-// now is the time on the steady clock since the start. It needs no lock.
+// now returns the time since the start on the monotonic clock. It needs no lock.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
 // nextRequest returns the number of a new request to another router.
@@ -118,14 +120,14 @@
 	return n.lastRequest
 }
 
-// Run serves until the context ends, and then until open requests have ended or their time has. On a signal of reload
-// it reads the settings again by load; of these the seeds count from then on, all else from the next start. Its error
-// is one of the start.
+// Run serves until the context ends, then shuts down gracefully: it returns when the open requests have ended or the
+// grace period is over. For each signal received from reload it reads the settings again with load. Only the seeds take
+// effect then; all other settings take effect at the next start. Run returns an error only if the router cannot start.
 func (n *Node) Run(ctx context.Context, reload <-chan os.Signal, load func(path string) (*settings.Settings, error)) error {
-	if err := n.open(); err != nil {
+	if err := n.openReplica(); err != nil {
 		return err
 	}
-	open, err := n.listen()
+	opened, err := n.listen()
 	if err != nil {
 		return err
 	}
@@ -144,7 +146,7 @@
 		}
 	}
 	n.distributor.pushTimer.Stop()
-	n.end(open, ticker)
+	n.gracefulShutdown(opened, ticker)
 	n.transport.Close()
 	if n.control.disk != nil {
 		n.control.disk.close()
@@ -152,16 +154,16 @@
 	return nil
 }
 
-// reload replaces the seeds by those of the settings as they are now; settings that cannot be used change nothing. It
+// reload reads the settings again and replaces the seeds by theirs. Invalid settings are logged and change nothing. It
 // acquires the lock.
 func (n *Node) reload(load func(path string) (*settings.Settings, error)) {
-	next, err := load(os.Getenv(settings.Variable))
+	reloaded, err := load(os.Getenv(settings.Variable))
 	if err != nil {
 		n.logger.Error().Err(err).Msg("settings not reloaded")
 		return
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.seeds = next.SeedAddresses()
+	n.seeds = reloaded.SeedAddresses()
 	n.logger.Info().Strs("seeds", n.seeds).Msg("settings reloaded")
 }
--- a/internal/router/node/node_test.go
+++ b/internal/router/node/node_test.go
@@ -32,10 +32,10 @@
 Control = "127.0.0.1:80"
 `
 
-// newNode is a router of which nothing was started.
-func newNode(t *testing.T, more string) *Node {
+// newNode returns a router with settings for the test and a diskless replica. Nothing is started.
+func newNode(t *testing.T, extraSettings string) *Node {
 	t.Helper()
-	s, err := settings.Parse([]byte(more + settingsText))
+	s, err := settings.Parse([]byte(extraSettings + settingsText))
 	require.NoError(t, err)
 	n := New(s, &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}})
 	t.Cleanup(n.transport.Close)
@@ -44,14 +44,17 @@
 	return n
 }
 
+// member returns a core member whose ID is made of its address.
 func member(address, zone string) replication.Member {
 	return replication.Member{ID: address + "/id", Address: address, Zone: zone}
 }
 
+// view returns a view whose primary is the first of its members.
 func view(round uint64, members ...replication.Member) replication.View {
 	return replication.View{Epoch: replication.Epoch{Round: round, Node: "x"}, Primary: members[0].ID, Members: members, Old: members}
 }
 
+// A router replaces a home that has had no contact with a majority for longer than homeselection.Timeout.
 func TestAHomeThatLostTheCoreIsReplaced(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
@@ -61,14 +64,15 @@
 	now := homeselection.Timeout / 2
 	n.receivePush(first, &dissemination.Push{Incarnation: 1, InTouch: false, Stamp: 1}, now)
 	n.reviewHome(now)
-	require.Equal(t, first, n.subscription.home.Current(), "its time-out has not passed")
+	require.Equal(t, first, n.subscription.home.Current(), "the timeout has not passed")
 	now = homeselection.Timeout + time.Millisecond
 	n.receivePush(first, &dissemination.Push{Incarnation: 1, InTouch: false, Stamp: 1}, now)
 	n.reviewHome(now)
 	require.NotEqual(t, first, n.subscription.home.Current())
 }
 
-// A home that starts anew knows less: what this router has stays, and its configuration never goes back.
+// A home that has restarted knows less than this router. The router keeps its servers, and its configuration does not go
+// back to an older version.
 func TestAnEmptyHomeRemovesNothing(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"))
@@ -89,7 +93,8 @@
 	require.Equal(t, map[string]int{"s": 1}, n.gateway.ServerCounts())
 }
 
-// Servers come from the disk after a restart, without those that were lost, and in the order of their last contacts.
+// After a restart the servers are loaded from the disk, without those that were lost, and in the order of their last
+// contacts.
 func TestServersOnTheDisk(t *testing.T) {
 	folder := t.TempDir()
 	core := "CountsForQuorum = true\nDataDir = \"" + folder + "\"\n"
@@ -99,19 +104,19 @@
 	n.registry.ReceiveHeartbeat(registry.Instance{ID: "other", Service: "s", Address: "b"}, time.Second)
 	n.storeServers(2 * time.Second)
 	n.serversCache.writers.Wait()
-	again := newNode(t, core)
-	again.loadServers()
+	restarted := newNode(t, core)
+	restarted.loadServers()
 	var ids []string
-	for _, e := range again.registry.ChangedSince(0) {
+	for _, e := range restarted.registry.ChangedSince(0) {
 		if e.Usable() {
 			ids = append(ids, e.ID)
 		}
 	}
 	require.ElementsMatch(t, []string{"new", "other"}, ids)
-	require.True(t, again.serversCache.loaded)
+	require.True(t, restarted.serversCache.loaded)
 }
 
-// A drain is acknowledged only once a majority of the core has it.
+// A drain is acknowledged only once a majority of the core has received it.
 func TestADrainNeedsAMajority(t *testing.T) {
 	n := newNode(t, "")
 	self := replication.Member{ID: "self", Address: n.self.Address, Zone: "z1"}
@@ -120,13 +125,13 @@
 	d := n.startDrain("", 0, registry.Instance{ID: "i1", Service: "s", State: registry.Draining, Sequence: 2}, 0)
 	select {
 	case <-d.done:
-		require.Fail(t, "acknowledged by one member of three")
+		require.Fail(t, "acknowledged with one member of three")
 	default:
 	}
 	n.receiveDrainAck("10.9.9.9:7000", dissemination.DrainAck{Request: n.lastRequest})
 	select {
 	case <-d.done:
-		require.Fail(t, "acknowledged by a router that is no member")
+		require.Fail(t, "counted a router that is not a member")
 	default:
 	}
 	n.receiveDrainAck("10.0.2.1:7000", dissemination.DrainAck{Request: n.lastRequest})
--- a/internal/router/node/operator_http.go
+++ b/internal/router/node/operator_http.go
@@ -12,13 +12,14 @@
 const (
 	maxHeartbeatBytes = 4 << 10
 	maxOrderBytes     = 16 << 20
-	// orderTimeout bounds the wait for the core's decision on an order. Operators give a router a second, as servers do.
+	// orderTimeout bounds the wait for the core's decision on an order. Operators' clients time out after a second, as
+	// servers do.
 	orderTimeout = 900 * time.Millisecond
-	// readTimeout bounds the wait until the primary is confirmed for a read.
+	// readTimeout bounds the wait for the confirmation of the primary before a read.
 	readTimeout = 700 * time.Millisecond
 )
 
-// controlHandler serves servers' heartbeats and operators, on the control address.
+// controlHandler returns the handler of the control address, which model servers and operators call.
 func (n *Node) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /-/instances/{id}/heartbeat", func(w http.ResponseWriter, r *http.Request) { n.serveHeartbeat(w, r, false) })
@@ -31,7 +32,7 @@
 	return mux
 }
 
-// serveReady answers the platform's question whether this router takes clients.
+// serveReady answers the platform's readiness probe: 200 while this router accepts clients, otherwise 503.
 func (n *Node) serveReady(w http.ResponseWriter, r *http.Request) {
 	if n.Ready() {
 		w.WriteHeader(http.StatusOK)
@@ -40,7 +41,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// serveOrder has the core decide on an operator's order, or redirects the caller to the primary.
+// serveOrder proposes an operator's order to the core and answers with the decision, or redirects the caller to the
+// primary.
 func (n *Node) serveOrder(w http.ResponseWriter, r *http.Request, kind operatorapi.OrderKind) {
 	if n.redirectToPrimary(w, r) {
 		return
@@ -66,7 +68,8 @@
 	http.Error(w, d.Reason, d.Status)
 }
 
-// serveRead answers with the newest configuration, once a majority has confirmed that this router is still the primary.
+// serveRead answers with the newest configuration after a majority has confirmed that this router is still the primary,
+// or redirects the caller to the primary.
 func (n *Node) serveRead(w http.ResponseWriter, r *http.Request) {
 	if n.redirectToPrimary(w, r) {
 		return
@@ -87,9 +90,9 @@
 	w.Write(config.Encode())
 }
 
-// redirectToPrimary answers a caller that has to go to another router, or that there is no primary to go to; it reports
-// false where this router is the primary and the caller is not answered yet. A router without contact with the core
-// names no primary: the one that it knows may not be the primary any more.
+// redirectToPrimary redirects the caller to the primary if that is another router, or answers 503 if the primary is not
+// known, and returns true. It returns false, without an answer, if this router is the primary. A router without contact
+// with the core names no primary, because the one that it knows may have been replaced. It acquires the lock.
 func (n *Node) redirectToPrimary(w http.ResponseWriter, r *http.Request) bool {
 	n.mutex.Lock()
 	isPrimary := n.control.replica.IsPrimary()
--- a/internal/router/node/outliers.go
+++ b/internal/router/node/outliers.go
@@ -10,33 +10,34 @@
 )
 
 const (
-	// outcomeInterval is the time between two reports of how requests to servers ended, where some failed.
+	// outcomeInterval is the time between two reports of the outcomes of requests to servers if some requests have failed.
+	// Without failures the gateway returns reports less often.
 	outcomeInterval = 100 * time.Millisecond
-	// judgementInterval is the time between two judgements of which servers to eject.
+	// judgementInterval is the time between two decisions of which servers to eject.
 	judgementInterval = 100 * time.Millisecond
-	// ejectionsRenewal is after how long ejections that have not changed are sent again, since a message may be lost.
+	// ejectionsRenewal is the interval at which unchanged ejections are sent again, since a message may be lost.
 	ejectionsRenewal = 500 * time.Millisecond
-	// ejectionsTTL is after how long ejections end where they are not renewed, as at a router that is partitioned from
-	// its home.
+	// ejectionsTTL is how long ejections remain in force without renewal, for example on a router that is partitioned
+	// from its home.
 	ejectionsTTL = 2500 * time.Millisecond
-	// maxReadmission bounds for how long an operator can have a server readmitted. One that is to serve for longer
-	// whatever is observed of it is a matter for the service.
+	// maxReadmission bounds the time for which an operator can have a server readmitted. A server that has to serve for
+	// longer, whatever its failures, needs a change to the service instead.
 	maxReadmission = 24 * time.Hour
 )
 
-// outliers is a router's part in finding servers that fail more than others.
+// outliers is the state of a router's detection of servers that fail more often than others.
 type outliers struct {
-	detector     *outlier.Detector // of a core member
+	detector     *outlier.Detector // used by a core member
 	ejected      []outlier.Ejection
 	lastNotified time.Duration // when the ejections were last sent to subscribers
 }
 
-// usableServers is what the detector has to know of servers. Its methods are called with the node's lock held.
+// usableServers tells the detector which servers are usable. Its methods are called with the node's lock held.
 type usableServers struct{ node *Node }
 
 var _ outlier.Services = usableServers{}
 
-// ServiceOf implements outlier.Services.
+// ServiceOf implements outlier.Services. It returns an empty string for a server that is not usable.
 func (u usableServers) ServiceOf(server string) string {
 	if e := u.node.registry.Entry(server); e != nil && e.Usable() {
 		return e.Service
@@ -47,7 +48,8 @@
 // UsableServers implements outlier.Services.
 func (u usableServers) UsableServers(service string) int { return u.node.gateway.ServerCount(service) }
 
-// tickOutliers reports how this router's requests ended; a core member judges servers by all reports.
+// tickOutliers reports the outcomes of this router's requests. A core member then decides from all reports which servers
+// to eject.
 func (n *Node) tickOutliers(now time.Duration) {
 	if n.timers.reports.elapsed(outcomeInterval, now) {
 		n.reportOutcomes(now)
@@ -57,6 +59,7 @@
 	}
 }
 
+// reportOutcomes sends the outcomes since the last report to the home; a core member applies them itself.
 func (n *Node) reportOutcomes(now time.Duration) {
 	report, ok := n.gateway.TakeOutcomeReport()
 	home := n.subscription.home.Current()
@@ -69,13 +72,13 @@
 	}
 }
 
-// judgeServers decides which servers are ejected. It sends the decision to the subscribers, and what speaks against
-// servers to the other core members.
+// judgeServers decides which servers to eject. It sends the ejections to the subscribers when they change and at each
+// ejectionsRenewal, and its sums for suspected servers to the other core members.
 func (n *Node) judgeServers(now time.Duration) {
 	o := &n.outliers
 	sums := o.detector.Sums(now)
-	reporting := float64(len(n.distributor.subscribers)+1) / float64(max(1, n.fleetSize))
-	ejected := o.detector.Judge(reporting, now)
+	reportingFraction := float64(len(n.distributor.subscribers)+1) / float64(max(1, n.fleetSize))
+	ejected := o.detector.Judge(reportingFraction, now)
 	changed := !slices.EqualFunc(ejected, o.ejected, func(a, b outlier.Ejection) bool { return a.Server == b.Server })
 	if changed {
 		n.logEjections(ejected)
@@ -104,39 +107,39 @@
 	n.logger.Info().Strs("servers", ids).Msg("ejected servers changed")
 }
 
-// receiveOutcomeReport counts a subscriber's report.
+// receiveOutcomeReport adds a subscriber's report to the detector.
 func (n *Node) receiveOutcomeReport(from string, m dissemination.OutcomeReport, now time.Duration) {
 	if n.isCoreMember() {
 		n.outliers.detector.ApplyReport(from, m.Report, now)
 	}
 }
 
-// receiveOutcomeSums counts what another core member's subscribers reported.
+// receiveOutcomeSums adds the sums that another core member's subscribers reported to the detector.
 func (n *Node) receiveOutcomeSums(from string, m dissemination.OutcomeSums, now time.Duration) {
 	if n.isCoreMember() && n.control.isMember(from) {
 		n.outliers.detector.ApplyPeerSums(from, m.Sums, now)
 	}
 }
 
-// receiveEjections adopts the ejections of the home.
+// receiveEjections adopts the ejections sent by the home, and ignores those of other routers.
 func (n *Node) receiveEjections(from string, m dissemination.Ejections) {
 	if from == n.subscription.home.Current() && !n.isCoreMember() {
 		n.gateway.SetEjections(m.Servers, ejectionsTTL)
 	}
 }
 
-// receiveReadmit has a server readmitted that an operator named at another core member.
+// receiveReadmit readmits a server that an operator has readmitted at another core member.
 func (n *Node) receiveReadmit(from string, m dissemination.Readmit, now time.Duration) {
 	if n.isCoreMember() && n.control.isMember(from) {
 		n.outliers.detector.Admit(m.Server, m.For, now)
 	}
 }
 
-// serveReadmit has a server readmitted for some time because an operator says so, here and at the other core members.
-// It acquires the lock.
+// serveReadmit readmits a server for a time that an operator chooses, at this core member and at the others. It acquires
+// the lock.
 func (n *Node) serveReadmit(w http.ResponseWriter, r *http.Request) {
-	span, err := time.ParseDuration(r.URL.Query().Get("for"))
-	if err != nil || span <= 0 || span > maxReadmission {
+	duration, err := time.ParseDuration(r.URL.Query().Get("for"))
+	if err != nil || duration <= 0 || duration > maxReadmission {
 		http.Error(w, "for: a time like 10m is wanted, up to "+maxReadmission.String(), http.StatusBadRequest)
 		return
 	}
@@ -147,15 +150,15 @@
 		return
 	}
 	server := r.PathValue("id")
-	if !n.outliers.detector.Admit(server, span, n.now()) {
+	if !n.outliers.detector.Admit(server, duration, n.now()) {
 		http.Error(w, "no usable server "+server, http.StatusNotFound)
 		return
 	}
 	for _, m := range n.control.view.Members {
 		if m.Address != n.self.Address {
-			n.transport.Send(m.Address, dissemination.Readmit{Server: server, For: span})
+			n.transport.Send(m.Address, dissemination.Readmit{Server: server, For: duration})
 		}
 	}
-	n.logger.Info().Str("server", server).Int64("duration_ms", span.Milliseconds()).Msg("server readmitted by an operator")
+	n.logger.Info().Str("server", server).Int64("duration_ms", duration.Milliseconds()).Msg("server readmitted by an operator")
 	w.WriteHeader(http.StatusOK)
 }
--- a/internal/router/node/partition_test.go
+++ b/internal/router/node/partition_test.go
@@ -17,8 +17,8 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// configured is a push of a home that has a configuration and the complete list of servers.
-func configured(t *testing.T, inTouch bool) *dissemination.Push {
+// configuredPush returns the push of a home that has a configuration and the complete list of servers.
+func configuredPush(t *testing.T, inTouch bool) *dissemination.Push {
 	t.Helper()
 	config, err := routetable.ParseConfig([]byte(`{"Generation":4,"Routes":[],"Services":[{"Name":"s"}]}`))
 	require.NoError(t, err)
@@ -30,29 +30,30 @@
 	return p
 }
 
-// A router that starts beside a home that is partitioned from the core selects another one, and is ready with what that
-// one has.
+// A router starts with a home that is partitioned from the core. It selects another home, and becomes ready with the
+// configuration and the servers of that one.
 func TestAStartBesideAPartitionedHome(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
 	n.reviewHome(0)
-	cut := n.subscription.home.Current()
-	n.receivePush(cut, configured(t, false), time.Millisecond)
+	partitioned := n.subscription.home.Current()
+	n.receivePush(partitioned, configuredPush(t, false), time.Millisecond)
 	n.apply()
 	require.NotZero(t, n.Version())
-	require.False(t, n.ready.Load(), "the configuration may be old")
+	require.False(t, n.ready.Load(), "the configuration may be outdated")
 	n.reviewHome(homeselection.Timeout + time.Millisecond)
-	require.NotEqual(t, cut, n.subscription.home.Current())
-	n.receivePush(n.subscription.home.Current(), configured(t, true), homeselection.Timeout+2*time.Millisecond)
+	require.NotEqual(t, partitioned, n.subscription.home.Current())
+	n.receivePush(n.subscription.home.Current(), configuredPush(t, true), homeselection.Timeout+2*time.Millisecond)
 	n.apply()
 	require.True(t, n.ready.Load())
 }
 
-// Where no core member in contact with a majority can be reached, a router serves with what there is.
+// If no core member in contact with a majority can be reached for coreSearchTimeout, a router serves with the
+// configuration and the servers that it has received.
 func TestAStartWithoutAMajorityInContact(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"))
-	n.receivePush("10.0.1.1:7000", configured(t, false), time.Millisecond)
+	n.receivePush("10.0.1.1:7000", configuredPush(t, false), time.Millisecond)
 	n.apply()
 	require.False(t, n.ready.Load())
 	n.start = n.start.Add(-coreSearchTimeout - time.Millisecond)
@@ -60,8 +61,8 @@
 	require.True(t, n.ready.Load())
 }
 
-// memberOutOfTouch is a core member that has no contact with a primary and is none.
-func memberOutOfTouch(t *testing.T) *Node {
+// newIsolatedMember returns a core member that is not the primary and has no contact with the other members.
+func newIsolatedMember(t *testing.T) *Node {
 	t.Helper()
 	n := newNode(t, "")
 	self := member("127.0.0.1:7000", "z1")
@@ -77,34 +78,36 @@
 	return n
 }
 
-// A core member that is partitioned answers each caller 503: nothing that could be old, and nothing that promises.
+// A partitioned core member answers every call with 503: it returns no configuration that could be outdated, and accepts no
+// order or server call that it could not pass to a majority.
 func TestAPartitionedCoreMemberRejectsCalls(t *testing.T) {
 	heartbeat := `{"Service":"s","Address":"10.1.1.1:80","Zone":"z1","Slots":4,"State":"%s","Sequence":3}`
-	for _, one := range []struct {
+	for _, call := range []struct {
 		name, method, path, body string
 	}{
-		{"an order", http.MethodPost, "/-/config/replace", `{"Generation":7}`},
-		{"an update", http.MethodPost, "/-/config/update", `{"Generation":7}`},
-		{"a read", http.MethodGet, "/-/config/read", ""},
-		{"a heartbeat", http.MethodPost, "/-/instances/i1/heartbeat", strings.Replace(heartbeat, "%s", "ready", 1)},
-		{"a drain", http.MethodPost, "/-/instances/i1/heartbeat", strings.Replace(heartbeat, "%s", "draining", 1)},
-		{"an end", http.MethodPost, "/-/instances/i1/deregister", ""},
+		{"replace", http.MethodPost, "/-/config/replace", `{"Generation":7}`},
+		{"update", http.MethodPost, "/-/config/update", `{"Generation":7}`},
+		{"read", http.MethodGet, "/-/config/read", ""},
+		{"heartbeat", http.MethodPost, "/-/instances/i1/heartbeat", strings.Replace(heartbeat, "%s", "ready", 1)},
+		{"drain", http.MethodPost, "/-/instances/i1/heartbeat", strings.Replace(heartbeat, "%s", "draining", 1)},
+		{"deregister", http.MethodPost, "/-/instances/i1/deregister", ""},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			n := memberOutOfTouch(t)
-			r := httptest.NewRequest(one.method, one.path, strings.NewReader(one.body))
+		t.Run(call.name, func(t *testing.T) {
+			n := newIsolatedMember(t)
+			r := httptest.NewRequest(call.method, call.path, strings.NewReader(call.body))
 			r.Header.Set("X-Base-Version", "0")
 			w := httptest.NewRecorder()
 			n.controlHandler().ServeHTTP(w, r)
 			require.Equal(t, http.StatusServiceUnavailable, w.Code)
-			require.Zero(t, n.registry.Len(), "what it rejected is not applied")
+			require.Zero(t, n.registry.Len(), "a rejected call is not applied")
 		})
 	}
 }
 
-// A subscriber of a core member that is partitioned learns so from every push.
+// Each push of a partitioned core member tells the subscriber that its home has lost contact with the core. The subscriber
+// then names no primary to callers.
 func TestSubscribersLearnOfAPartition(t *testing.T) {
-	n := memberOutOfTouch(t)
+	n := newIsolatedMember(t)
 	require.False(t, n.control.replica.InTouch())
 	subscriber := newNode(t, "")
 	subscriber.control.view = n.control.view
@@ -115,5 +118,5 @@
 	r := httptest.NewRequest(http.MethodGet, "/-/config/read", nil)
 	w := httptest.NewRecorder()
 	subscriber.controlHandler().ServeHTTP(w, r)
-	require.Equal(t, http.StatusServiceUnavailable, w.Code, "it redirects nobody to a primary that may be none")
+	require.Equal(t, http.StatusServiceUnavailable, w.Code, "it does not redirect to a primary that may have been replaced")
 }
--- a/internal/router/node/periodic_timer.go
+++ b/internal/router/node/periodic_timer.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// periodicTimer says when work that is repeated is to be done again. Its zero value elapses at once.
+// periodicTimer determines when periodic work is due. With its zero value the work is due at once.
 type periodicTimer struct {
 	last    time.Duration // on the node's clock
-	started bool          // last counts
+	started bool          // last is valid
 }
 
-// elapsed reports whether an interval has passed since the timer was restarted; if so it is restarted.
+// elapsed reports whether an interval has passed since the timer was last restarted. If so, it restarts the timer.
 func (t *periodicTimer) elapsed(interval, now time.Duration) bool {
 	if t.started && now-t.last < interval {
 		return false
@@ -17,16 +17,16 @@
 	return true
 }
 
-// restart has the interval begin now.
+// restart makes the interval begin now.
 func (t *periodicTimer) restart(now time.Duration) { t.last, t.started = now, true }
 
-// expire has the next call of elapsed report true.
+// expire makes the next call of elapsed return true.
 func (t *periodicTimer) expire() { t.started = false }
 
-// timers are those of a node's loop.
+// timers holds the timers of the periodic work that the node's tick does.
 type timers struct {
 	sessions, seeds                        periodicTimer // messages to other routers
 	quotas, prefixes, reports, loads       periodicTimer
-	judgement, expireServers, storeServers periodicTimer // of core members
+	judgement, expireServers, storeServers periodicTimer // used by core members
 	pruneConnections, forgetServers        periodicTimer
 }
--- a/internal/router/node/pool.go
+++ b/internal/router/node/pool.go
@@ -8,10 +8,11 @@
 	"petrelhook/internal/router/gateway"
 )
 
-// poolTimeout bounds how long a client's request waits for a pool's answer. The host may ask the primary meanwhile.
+// poolTimeout bounds how long a client request waits for the answer of a pool, whose host may ask the primary first.
 const poolTimeout = 100 * time.Millisecond
 
-// tickPool asks routers for their deposits, and offers this router's while it has no contact with the primary.
+// tickPool requests deposits for the pool hosted here, and offers this router's deposit to a pool while the router has no
+// contact with the primary.
 func (n *Node) tickPool(now time.Duration) {
 	for _, address := range n.quotas.pool.Review(now) {
 		n.collectDeposit(address, now)
@@ -27,16 +28,16 @@
 }
 
 func (n *Node) logPrimaryContact(lost bool) {
-	line := n.logger.Info().Str("pool", n.quotas.contributor.Host())
+	entry := n.logger.Info().Str("pool", n.quotas.contributor.Host())
 	if lost {
-		line.Msg("primary contact lost")
+		entry.Msg("primary contact lost")
 		return
 	}
-	line.Msg("primary contact restored")
+	entry.Msg("primary contact restored")
 }
 
-// offerDeposit offers this router's deposit to the pool of its zone, unless that has asked for it lately. It does
-// nothing while there is no other router to share a pool with.
+// offerDeposit offers this router's deposit to the host of a pool, unless that has requested it recently. It does nothing
+// while no other router could share a pool.
 func (n *Node) offerDeposit(now time.Duration) {
 	view := &n.control.view
 	if view.Epoch.Round == 0 || n.fleetSize <= 1 {
@@ -52,7 +53,7 @@
 	}
 }
 
-// receivePoolOffer asks a router for its deposit.
+// receivePoolOffer records a router's offer and requests its deposit. A router that is not a core member ignores offers.
 func (n *Node) receivePoolOffer(from string, now time.Duration) {
 	if !n.isCoreMember() {
 		return
@@ -61,7 +62,8 @@
 	n.collectDeposit(from, now)
 }
 
-// collectDeposit asks a router for its deposit, which counts from now on.
+// collectDeposit requests a router's deposit under a new nonce. Only the answer with this nonce is accepted, and its
+// validity counts from now on.
 func (n *Node) collectDeposit(from string, now time.Duration) {
 	m := dissemination.PoolCollect{Nonce: n.nextRequest()}
 	n.quotas.pool.Collect(from, m.Nonce, now)
@@ -72,7 +74,8 @@
 	n.transport.Send(from, m)
 }
 
-// receivePoolCollect answers a host with a deposit, or, once this router has contact with a primary, with an empty one.
+// receivePoolCollect answers a host's request with this router's deposit. The deposit is empty once the router has contact
+// with a primary, and for a host that the router did not choose.
 func (n *Node) receivePoolCollect(from string, m dissemination.PoolCollect, now time.Duration) {
 	answer := dissemination.PoolDeposit{Nonce: m.Nonce}
 	if from == n.quotas.contributor.Host() && n.lacksPrimary(now) {
@@ -91,8 +94,8 @@
 	n.quotas.pool.ReceiveDeposit(from, m.Nonce, m.Deposit, now)
 }
 
-// receivePoolAcquire spends of the pool for a router's client request. Where the pool does not have enough and this
-// router has contact with the primary, it asks the primary.
+// receivePoolAcquire spends units of the pool hosted here for a client request at another router. If the pool does not
+// have enough, and this router has contact with the primary, it asks the primary instead.
 func (n *Node) receivePoolAcquire(from string, m dissemination.PoolAcquire, now time.Duration) {
 	granted, wait := n.quotas.pool.Acquire(m.Tenant, m.Units, now)
 	answer := dissemination.PoolAcquired{Request: m.Request, Granted: granted, Wait: wait}
@@ -100,11 +103,11 @@
 		n.transport.Send(from, answer)
 		return
 	}
-	go n.answerFromPrimary(from, m, answer) // it ends within poolTimeout
+	go n.answerFromPrimary(from, m, answer) // returns within poolTimeout
 }
 
-// answerFromPrimary answers a request for units by what the primary gives, or by answer where the primary does not
-// respond. It acquires the lock.
+// answerFromPrimary answers a request for units with what the primary grants, or with the given answer if the primary does
+// not respond in time. It runs in a goroutine of its own and acquires the lock.
 func (n *Node) answerFromPrimary(to string, m dissemination.PoolAcquire, answer dissemination.PoolAcquired) {
 	ctx, cancel := context.WithTimeout(context.Background(), poolTimeout)
 	defer cancel()
@@ -114,7 +117,8 @@
 	n.transport.Send(to, answer)
 }
 
-// acquireFromPool spends of the pool that has this router's deposit. It acquires the lock.
+// acquireFromPool acquires units from the pool that holds this router's deposit. Its result has the source FromNone if
+// there is no such pool or its host does not answer in time. It acquires the lock.
 func (n *Node) acquireFromPool(ctx context.Context, tenant string, units float64) gateway.Acquisition {
 	q := &n.quotas
 	n.mutex.Lock()
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -18,15 +18,15 @@
 "Services":[{"Name":"s","MaxConnections":50}],"Limits":{"MaxBodyBytes":1000,"MaxHeaderBytes":4000},
 "Tenants":[{"Name":"t1","ApiKeys":["k1"],"Unit":"request_based","RatePerS":100,"Burst":100}]}`
 
-// poolNode is a core member that has had no contact with a primary for a minute, of a fleet of four, with half of the
-// limit of t1 as a lease.
-func poolNode(t *testing.T) *Node {
+// newNodeWithoutPrimary returns a core member, in a fleet of four, that has had no contact with the primary for a minute.
+// It holds a lease on half of the limit of t1.
+func newNodeWithoutPrimary(t *testing.T) *Node {
 	t.Helper()
 	n := newNode(t, "")
 	n.start = time.Now().Add(-time.Minute)
-	n.self.Member = &v1
+	n.self.Member = &selfMember
 	primary := member("10.0.2.1:7000", "z1")
-	n.control.view = view(1, primary, v1)
+	n.control.view = view(1, primary, selfMember)
 	c, err := routetable.ParseConfig([]byte(limitedTenant))
 	require.NoError(t, err)
 	n.gateway.SetTable(routetable.Compile(c, nil))
@@ -37,14 +37,14 @@
 	return n
 }
 
-// A router without contact with a primary spends of the pool of its zone, which the primary does not host; others'
-// deposits count there once each was asked for.
+// A router without contact with the primary spends from the pool of its zone, which a core member other than the primary
+// hosts. The host adds the deposit of another router only as the answer to its own request.
 func TestARouterSpendsFromThePool(t *testing.T) {
-	n := poolNode(t)
+	n := newNodeWithoutPrimary(t)
 	require.Equal(t, n.self.Address, n.quotas.contributor.ChooseHost(n.control.view.Members, n.control.view.PrimaryAddress(), n.now()))
 	first := n.acquireFromPool(context.Background(), "t1", 1000)
-	require.Equal(t, gateway.Acquisition{Source: gateway.FromPool, Granted: 1000}, first, "one request may overdraw what is replenished")
-	require.Positive(t, n.gateway.QuotaPooledUntil(), "its own lease belongs to the pool now")
+	require.Equal(t, gateway.Acquisition{Source: gateway.FromPool, Granted: 1000}, first, "one request may overdraw the bucket")
+	require.Positive(t, n.gateway.QuotaPooledUntil(), "the router's own lease is part of the pool now")
 	status := n.Status()
 	require.True(t, status.LacksPrimary)
 	require.Equal(t, n.self.Address, status.PoolHost)
@@ -52,23 +52,23 @@
 	rejected := n.acquireFromPool(context.Background(), "t1", 1)
 	require.Equal(t, gateway.FromPool, rejected.Source)
 	require.Zero(t, rejected.Granted)
-	alone := rejected.RetryAfter // 20 s
+	waitWithOneDeposit := rejected.RetryAfter // 20 s
 
 	const other = "10.0.1.2:7000"
 	n.receivePoolOffer(other, n.now())
 	nonce := n.lastRequest
 	deposit := dissemination.PoolDeposit{Nonce: n.lastRequest + 1, Deposit: quota.Deposit{Standing: 0.5, For: time.Hour}}
 	n.receivePoolDeposit(other, deposit, n.now())
-	require.Greater(t, n.acquireFromPool(context.Background(), "t1", 1).RetryAfter, alone/2+time.Second, "this deposit was not asked for")
+	require.Greater(t, n.acquireFromPool(context.Background(), "t1", 1).RetryAfter, waitWithOneDeposit/2+time.Second, "this deposit was not requested")
 	deposit.Nonce = nonce
 	n.receivePoolDeposit(other, deposit, n.now())
-	require.Less(t, n.acquireFromPool(context.Background(), "t1", 1).RetryAfter, alone/2+time.Second)
+	require.Less(t, n.acquireFromPool(context.Background(), "t1", 1).RetryAfter, waitWithOneDeposit/2+time.Second)
 }
 
-// Once there is contact with a primary again the next deposit is an empty one, and the router is not asked for deposits
-// any more.
+// Once a router has contact with the primary again, its next deposit is empty, and the host requests no more deposits from
+// it.
 func TestARouterLeavesThePool(t *testing.T) {
-	n := poolNode(t)
+	n := newNodeWithoutPrimary(t)
 	n.acquireFromPool(context.Background(), "t1", 1)
 	require.Equal(t, 1, n.quotas.pool.Offers())
 	n.tickPool(n.now() + quotapool.CollectInterval)
@@ -80,9 +80,10 @@
 	require.Zero(t, n.acquireFromPool(context.Background(), "t1", 1).Granted)
 }
 
-// A router that offers and does not answer is asked no more, and a router that is no core member ignores offers.
+// A host stops requesting deposits from a router that offered one and does not answer. A router that is not a core member
+// ignores offers.
 func TestOffersAreForgotten(t *testing.T) {
-	n := poolNode(t)
+	n := newNodeWithoutPrimary(t)
 	n.receivePoolOffer("10.0.1.2:7000", n.now())
 	require.Equal(t, 1, n.quotas.pool.Offers())
 	n.quotas.primary.lastAnswer = n.now() + time.Hour
@@ -93,10 +94,10 @@
 	require.Zero(t, n.quotas.pool.Offers())
 }
 
-// A pool whose host does not answer is left: the next host is another core member, as soon as the deposit there has
-// ended.
+// A router leaves a pool whose host does not answer. It chooses another core member as host, but only after its deposit at
+// the previous one has expired.
 func TestAPoolThatTimesOutIsLeft(t *testing.T) {
-	n := poolNode(t)
+	n := newNodeWithoutPrimary(t)
 	host := member("10.0.1.9:7000", "z1")
 	n.control.view = view(2, member("10.0.2.1:7000", "z1"), host)
 	n.offerDeposit(n.now())
@@ -105,31 +106,31 @@
 	require.Equal(t, gateway.FromNone, n.acquireFromPool(context.Background(), "t1", 1).Source)
 	require.True(t, n.quotas.contributor.Avoids(host.Address, n.now()))
 	require.Empty(t, n.quotas.poolAcquisitions)
-	n.control.view = view(3, member("10.0.2.1:7000", "z1"), host, v1)
+	n.control.view = view(3, member("10.0.2.1:7000", "z1"), host, selfMember)
 	n.offerDeposit(n.now() + quotapool.OfferInterval)
-	require.Equal(t, host.Address, n.quotas.contributor.Host(), "it still has the deposit")
+	require.Equal(t, host.Address, n.quotas.contributor.Host(), "this host still has the deposit")
 	n.offerDeposit(n.now() + time.Second)
 	require.Equal(t, n.self.Address, n.quotas.contributor.Host())
 }
 
-// While the primary does not answer, one request at a time waits for it, and not all that come.
+// While the primary does not answer, only one request at a time waits for it.
 func TestOneRequestWaitsForAPrimaryThatDoesNotAnswer(t *testing.T) {
-	n := poolNode(t)
+	n := newNodeWithoutPrimary(t)
 	n.quotas.primary.lastAnswer = n.now()
 	require.Equal(t, gateway.FromNone, n.acquireFromPrimary(context.Background(), "t1", 1, 0).Source)
 	require.Greater(t, n.quotas.primary.avoidedUntil, n.now())
-	n.quotas.primary.avoidedUntil = n.now() // it may be asked again
+	n.quotas.primary.avoidedUntil = n.now() // a request may wait for it again
 	before := n.now()
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	n.acquireFromPrimary(canceled, "t1", 1, 0)
-	require.GreaterOrEqual(t, n.quotas.primary.avoidedUntil, before+acquireTimeout, "others do not wait for it until this request knows")
+	require.GreaterOrEqual(t, n.quotas.primary.avoidedUntil, before+acquireTimeout, "no other request waits before this one has a result")
 }
 
-// A core member that does not ask for a deposit after offers is left for another; the next loss of contact begins with
-// the zone's own again.
+// A router replaces a host that requests no deposit after its offers. At the next loss of contact with the primary it
+// begins with the host of its own zone again.
 func TestAHostThatRequestsNoDepositIsReplaced(t *testing.T) {
-	n := poolNode(t)
+	n := newNodeWithoutPrimary(t)
 	near, far := member("10.0.1.9:7000", "z1"), member("10.0.3.9:7000", "z3")
 	n.control.view = view(2, member("10.0.2.1:7000", "z1"), near, far)
 	began := n.now()
--- a/internal/router/node/prefixes.go
+++ b/internal/router/node/prefixes.go
@@ -7,23 +7,23 @@
 	"petrelhook/internal/router/placement"
 )
 
-// prefixInterval is the time between two reports of where shared prefixes of prompts were prefilled.
+// prefixInterval is the time between two reports of which servers have prefilled shared prefixes of prompts.
 const prefixInterval = 100 * time.Millisecond
 
-// tickPrefixes reports to the home where this router sent shared prefixes; a core member passes on what it received to
-// its subscribers.
+// tickPrefixes reports to the home to which servers this router sent shared prefixes. A core member sends the reports
+// that it received, merged by service, to its subscribers.
 func (n *Node) tickPrefixes(now time.Duration) {
 	if !n.timers.prefixes.elapsed(prefixInterval, now) {
 		return
 	}
-	own := n.gateway.TakePrefixUses()
+	localUses := n.gateway.TakePrefixUses()
 	if !n.isCoreMember() {
-		if home := n.subscription.home.Current(); len(own) > 0 && home != "" {
-			n.transport.Send(home, dissemination.PrefixReport{Uses: own})
+		if home := n.subscription.home.Current(); len(localUses) > 0 && home != "" {
+			n.transport.Send(home, dissemination.PrefixReport{Uses: localUses})
 		}
 		return
 	}
-	n.queuePrefixes(n.self.Address, false, own)
+	n.queuePrefixes(n.self.Address, false, localUses)
 	for _, s := range n.distributor.subscribers {
 		if len(s.unsentPrefixes) == 0 {
 			continue
@@ -37,7 +37,8 @@
 	}
 }
 
-// receivePrefixReport has the gateway prefer the servers of a report, and a core member pass it on.
+// receivePrefixReport makes the gateway prefer the servers of a report for its prefixes. A core member also queues the
+// report for its subscribers.
 func (n *Node) receivePrefixReport(from string, m dissemination.PrefixReport) {
 	n.gateway.ApplyPrefixUses(m.Uses)
 	if n.isCoreMember() {
@@ -45,8 +46,8 @@
 	}
 }
 
-// queuePrefixes merges a router's report into what is to be sent to the other subscribers. What came from another core
-// member goes only to those that are none: it sends it to core members itself.
+// queuePrefixes merges a router's report into the unsent reports of the other subscribers. A report from another core
+// member is queued only for subscribers that cannot be core members, since its sender reports to those itself.
 func (n *Node) queuePrefixes(from string, fromCore bool, uses []placement.PrefixUses) {
 	for _, u := range uses {
 		for address, s := range n.distributor.subscribers {
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -15,19 +15,19 @@
 // quotaInterval is the time between two requests for shares.
 const quotaInterval = 500 * time.Millisecond
 
-// quotas is a router's part in dividing tenants' limits: at the primary among all routers, and between routers without
-// it.
+// quotas is the state by which a router takes part in dividing tenants' limits among routers: through the primary, and
+// through pools of routers that have no contact with the primary.
 type quotas struct {
-	allocator    *quota.Allocator // of the primary, in its term; nil elsewhere
+	allocator    *quota.Allocator // non-nil on the primary during its term
 	tokenBuckets *quota.TokenBuckets
 
-	acquisitions pendingReplies[dissemination.QuotaAcquired] // that client requests wait for
+	acquisitions pendingReplies[dissemination.QuotaAcquired] // awaited by client requests
 	primary      primaryContact
-	lostPrimary  bool // as logged last
+	lostPrimary  bool // as last logged
 
 	pool             *quotapool.Host
 	contributor      *quotapool.Contributor
-	poolAcquisitions pendingReplies[dissemination.PoolAcquired] // that client requests wait for
+	poolAcquisitions pendingReplies[dissemination.PoolAcquired] // awaited by client requests
 }
 
 func newQuotas(locality proximity.Locality) quotas {
@@ -35,8 +35,8 @@
 		contributor: quotapool.NewContributor(locality), poolAcquisitions: pendingReplies[dissemination.PoolAcquired]{}}
 }
 
-// updateQuotaTerm begins this router's term as the one that divides limits when it becomes primary, and ends it when
-// another one does.
+// updateQuotaTerm creates the allocator and the token buckets when this router becomes primary, and removes them when
+// another router does.
 func (n *Node) updateQuotaTerm() {
 	q := &n.quotas
 	if !n.control.replica.IsPrimary() {
@@ -56,7 +56,7 @@
 	n.setLimits()
 }
 
-// setLimits adopts the limits of the configuration in force.
+// setLimits passes the limits of the configuration in force to the pool and, on the primary, to the token buckets.
 func (n *Node) setLimits() {
 	table := n.gateway.Table()
 	if table == nil {
@@ -69,48 +69,48 @@
 	}
 }
 
-// dividesQuota reports whether this router may divide limits now: it is the primary, and has contact with a majority.
-func (n *Node) dividesQuota() bool {
+// allocatesQuota reports whether this router may allocate quota now: it is the primary and has contact with a majority.
+func (n *Node) allocatesQuota() bool {
 	return n.quotas.allocator != nil && n.control.replica.InTouch() && n.control.view.Primary == n.control.replica.Self.ID
 }
 
 // lacksPrimary reports whether this router has no contact with a primary.
 func (n *Node) lacksPrimary(now time.Duration) bool {
-	if n.dividesQuota() {
+	if n.allocatesQuota() {
 		return false
 	}
 	return n.control.view.PrimaryAddress() == "" || n.quotas.primary.lost(now)
 }
 
-// tickQuota requests shares of the primary. It does so also where no tenant wants anything, to keep contact.
+// tickQuota requests shares from the primary. It does so even without demand, to keep contact with the primary.
 func (n *Node) tickQuota(now time.Duration) {
 	primary := n.control.view.PrimaryAddress()
 	if primary == "" || !n.timers.quotas.elapsed(quotaInterval, now) {
 		return
 	}
-	if n.dividesQuota() {
+	if n.allocatesQuota() {
 		allocator := n.quotas.allocator
 		reserve := quota.ReservedFraction(n.gateway.FleetSize(), allocator.ActiveClients(now), allocator.TermAge(now))
 		allocator.SetReserve(reserve)
 		n.quotas.tokenBuckets.SetReserve(reserve)
 	}
-	wanted := n.gateway.RequestQuotaShares()
+	shareRequest := n.gateway.RequestQuotaShares()
 	request := dissemination.QuotaRequest{
-		Nonce:       wanted.Nonce,
+		Nonce:       shareRequest.Nonce,
 		Incarnation: n.self.Incarnation,
-		Demand:      wanted.Demand,
-		HeldShares:  wanted.Held,
+		Demand:      shareRequest.Demand,
+		HeldShares:  shareRequest.Held,
 	}
-	if n.dividesQuota() {
+	if n.allocatesQuota() {
 		n.receiveQuotaRequest(n.self.Address, request)
 		return
 	}
 	n.transport.Send(primary, request)
 }
 
-// receiveQuotaRequest grants a router its shares.
+// receiveQuotaRequest allocates a router its shares and sends them. Only the primary answers.
 func (n *Node) receiveQuotaRequest(from string, m dissemination.QuotaRequest) {
-	if !n.dividesQuota() {
+	if !n.allocatesQuota() {
 		return
 	}
 	request := quota.ShareRequest{Nonce: m.Nonce, Demand: m.Demand, Held: m.HeldShares}
@@ -122,28 +122,29 @@
 	n.transport.Send(from, dissemination.QuotaGrant{Nonce: m.Nonce, Shares: shares})
 }
 
-// receiveQuotaGrant adopts the shares that the primary grants.
+// receiveQuotaGrant adopts the shares granted by the primary.
 func (n *Node) receiveQuotaGrant(m dissemination.QuotaGrant, now time.Duration) {
 	n.quotas.primary.sharesGranted(now)
 	n.gateway.ApplyQuotaShares(m.Nonce, m.Shares)
 }
 
-// receiveQuotaAcquire answers a router's request for units.
+// receiveQuotaAcquire answers a router's request for units. Only the primary answers.
 func (n *Node) receiveQuotaAcquire(from string, m dissemination.QuotaAcquire, now time.Duration) {
-	if !n.dividesQuota() {
+	if !n.allocatesQuota() {
 		return
 	}
 	given, wait := n.quotas.tokenBuckets.Acquire(m.Tenant, m.Need, m.Extra, now)
 	n.transport.Send(from, dissemination.QuotaAcquired{Request: m.Request, Given: given, Wait: wait})
 }
 
-// receiveQuotaAcquired passes the primary's answer to the client request that waits for it.
+// receiveQuotaAcquired passes the primary's answer to the client request that awaits it.
 func (n *Node) receiveQuotaAcquired(m dissemination.QuotaAcquired, now time.Duration) {
 	n.quotas.primary.requestAnswered(now)
 	n.quotas.acquisitions.deliver(m.Request, m)
 }
 
-// Acquire implements gateway.Acquirer: it acquires units from the primary, or else from the pool. It acquires the lock.
+// Acquire implements gateway.Acquirer: it acquires units from the primary or, if that does not answer in time, from a
+// pool. It may be called from any goroutine; it acquires the lock, and releases it while it waits.
 func (n *Node) Acquire(ctx context.Context, tenant string, need, extra float64) gateway.Acquisition {
 	if acquired := n.acquireFromPrimary(ctx, tenant, need, extra); acquired.Source == gateway.FromPrimary || ctx.Err() != nil {
 		return acquired
@@ -151,12 +152,13 @@
 	return n.acquireFromPool(ctx, tenant, need)
 }
 
-// acquireFromPrimary acquires units from the primary for a client request. While the primary does not answer, only one
-// of the requests that come waits for it, once each primaryRetryDelay. It acquires the lock.
+// acquireFromPrimary acquires units from the primary for a client request. Its result has the source FromNone if the
+// primary does not answer in time. While the primary does not answer, only one request in each primaryRetryDelay waits for
+// it. It acquires the lock.
 func (n *Node) acquireFromPrimary(ctx context.Context, tenant string, need, extra float64) gateway.Acquisition {
 	q := &n.quotas
 	n.mutex.Lock()
-	if n.dividesQuota() {
+	if n.allocatesQuota() {
 		given, wait := q.tokenBuckets.Acquire(tenant, need, extra, n.now())
 		n.mutex.Unlock()
 		return gateway.Acquisition{Source: gateway.FromPrimary, Granted: given, RetryAfter: wait}
--- a/internal/router/node/receive.go
+++ b/internal/router/node/receive.go
@@ -5,8 +5,8 @@
 	"petrelhook/internal/router/replication"
 )
 
-// receive is the transport's handler: it passes a message of another router to the method for its type. It acquires the
-// lock.
+// receive is the transport's handler of messages from other routers. It passes each message to the method for its type,
+// then sends due heartbeats and applies what has changed. Messages of other types are ignored. It acquires the lock.
 func (n *Node) receive(from string, body any) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/router/node/registration.go
+++ b/internal/router/node/registration.go
@@ -11,11 +11,11 @@
 	"petrelhook/internal/router/settings"
 )
 
-// drainTimeout bounds the wait for a majority of the core to have a server's drain or end. A server calls the next
-// router after a second.
+// drainTimeout bounds the wait until a majority of the core has acknowledged a server's drain or deregistration. It is
+// less than a second, after which a server calls the next router.
 const drainTimeout = 850 * time.Millisecond
 
-// heartbeatBody is the JSON that a server sends.
+// heartbeatBody is the JSON body of a server's heartbeat or deregistration.
 type heartbeatBody struct {
 	Service           string
 	Address           string
@@ -27,15 +27,15 @@
 	Sequence          int64
 }
 
-// readInstance reads a server's call. A deregistration may have no body.
+// readInstance reads an instance from a server's heartbeat or deregistration. A deregistration may have no body.
 func readInstance(w http.ResponseWriter, r *http.Request, deregister bool) (registry.Instance, error) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
+	encoded, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
 	if err != nil {
 		return registry.Instance{}, err
 	}
 	var body heartbeatBody
-	if len(text) > 0 || !deregister {
-		if err := json.Unmarshal(text, &body); err != nil {
+	if len(encoded) > 0 || !deregister {
+		if err := json.Unmarshal(encoded, &body); err != nil {
 			return registry.Instance{}, err
 		}
 	}
@@ -58,8 +58,9 @@
 	return instance, nil
 }
 
-// serveHeartbeat answers a server's call. That it is ready is acknowledged at once; that it is draining or ends, only
-// when a majority of the core has it: whichever routers end then, every other will learn it.
+// serveHeartbeat answers a server's heartbeat or deregistration. A ready server is acknowledged at once. A drain or
+// deregistration is acknowledged only when a majority of the core has received it, so that all routers learn of it even
+// if others fail afterwards.
 func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request, deregister bool) {
 	instance, err := readInstance(w, r, deregister)
 	if err != nil {
@@ -88,9 +89,9 @@
 	io.WriteString(w, "{}")
 }
 
-// acceptServerHeartbeat applies a server's call, or forwards it to the home; ok is false without contact with the core,
-// and the call is not applied then. done is closed once a majority of the core has it, and nil where nothing is to be
-// waited for. It acquires the lock.
+// acceptServerHeartbeat applies a server's call at a core member, or forwards it to the home. Without contact with the
+// core it applies nothing and returns false for ok. done is closed once a majority of the core has received the call; it
+// is nil if the caller need not wait. It acquires the lock.
 func (n *Node) acceptServerHeartbeat(instance registry.Instance) (done <-chan struct{}, ok bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -110,8 +111,8 @@
 	}
 }
 
-// forwardServerHeartbeat sends a server's call to the home. Where the server is draining or has ended, the channel
-// returned is closed when the home acknowledges it; this router stops using the server at once.
+// forwardServerHeartbeat sends a server's call to the home. If the server is draining or deregistered, this router stops
+// using it at once, and the returned channel is closed when the home acknowledges the call. For a ready server it is nil.
 func (n *Node) forwardServerHeartbeat(instance registry.Instance, now time.Duration) (done <-chan struct{}) {
 	m := dissemination.ForwardedHeartbeat{Instance: instance}
 	if instance.State != registry.Ready {
@@ -124,7 +125,8 @@
 	return done
 }
 
-// applyServerHeartbeat applies a server's call at a core member.
+// applyServerHeartbeat applies a server's call at a core member. It queues the received heartbeat for the subscribers that
+// can be core members, and pushes a change of the registry to all subscribers.
 func (n *Node) applyServerHeartbeat(instance registry.Instance, now time.Duration) {
 	changed := n.registry.ReceiveHeartbeat(instance, now)
 	for _, id := range n.registry.TakeReceived() {
@@ -140,7 +142,8 @@
 	}
 }
 
-// receiveForwardedHeartbeat applies a server's call that a subscriber received.
+// receiveForwardedHeartbeat applies a server's call forwarded by a subscriber. A request number other than 0 means that
+// the subscriber waits for the acknowledgement.
 func (n *Node) receiveForwardedHeartbeat(from string, m dissemination.ForwardedHeartbeat, now time.Duration) {
 	if !n.isCoreMember() {
 		return
--- a/internal/router/node/servers_cache.go
+++ b/internal/router/node/servers_cache.go
@@ -13,21 +13,21 @@
 
 const (
 	serversCacheFile = "servers.cache"
-	// storeServersInterval is the time between two writes of the file.
+	// storeServersInterval is the least time between two writes of the file.
 	storeServersInterval = time.Second
 )
 
-// serversCache is the copy of the registry on the disk of a router that can be a core member. After all routers ended
-// at once, servers are used by it until their heartbeats come, or do not.
+// serversCache is the state of the copy of the registry on the disk of a router that can be a core member. When all
+// routers restart at once, they use the servers of this copy until the servers send heartbeats or are lost.
 type serversCache struct {
 	loaded      bool   // servers were read from the disk
-	storedStamp uint64 // of the registry on the disk
+	storedStamp uint64 // stamp of the registry last written
 	storing     atomic.Bool
 	writers     sync.WaitGroup
 }
 
-// loadServers adds the servers on the disk to the registry. Where another server has one's address by now, a request to
-// it costs a 421.
+// loadServers adds the servers on the disk to the registry. If another server has taken over an address meanwhile, it
+// rejects a request meant for the old one with 421.
 func (n *Node) loadServers() {
 	encoded, err := storage.ReadCache(n.settings.DataDir, serversCacheFile)
 	if err != nil {
@@ -43,16 +43,17 @@
 		if u.Lost || u.Instance.State == registry.Deregistered {
 			continue
 		}
-		u.Age += settings.Milliseconds(n.settings.HeartbeatMs) // it was written some time ago; the order of last contacts stays
+		// The file was written some time ago. Adding the same time to each age keeps the order of last contacts.
+		u.Age += settings.Milliseconds(n.settings.HeartbeatMs)
 		n.registry.Merge(u, n.now())
 		n.serversCache.loaded = true
 	}
 	n.serversCache.storedStamp = n.registry.Stamp()
 }
 
-// storeServers writes the registry to the disk where it has changed, in a goroutine, since a disk may hang. The next
-// write comes after its end only. One that fails is not repeated before the next change: the file saves time after a
-// restart alone.
+// storeServers writes the registry to the disk if it has changed. It writes in a goroutine, since a disk may hang, and
+// starts no other write before that one has ended. A failed write is not repeated before the next change, because the
+// file only saves time after a restart.
 func (n *Node) storeServers(now time.Duration) {
 	c := &n.serversCache
 	if n.registry.Stamp() == c.storedStamp || c.storing.Load() || !n.timers.storeServers.elapsed(storeServersInterval, now) {
--- a/internal/router/node/sessions.go
+++ b/internal/router/node/sessions.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats of a subscription.
+	// heartbeatInterval is the time between two heartbeats to a home or a core member.
 	heartbeatInterval = 400 * time.Millisecond
-	// startupInterval is the same of a router that has just started: others may start at the same moment, and not have
-	// received the last one.
+	// startupInterval is the heartbeat interval of a router that has just started. It is shorter because other routers may
+	// have started at the same moment and missed the last heartbeat.
 	startupInterval = 100 * time.Millisecond
-	// seedInterval is the time between two messages in which a core member tells the seeds who the core is.
+	// seedInterval is the time between two messages in which a core member announces its view to the seeds.
 	seedInterval = time.Second
 )
 
-// starting reports whether this router has just started and serves nobody yet.
+// starting reports whether this router has just started and is not ready yet.
 func (n *Node) starting(now time.Duration) bool { return now < startupPeriod && !n.ready.Load() }
 
-// tickSessions keeps this router's sessions with core members alive, and looks for the core where it is not known.
+// tickSessions keeps this router's sessions with core members alive. While no view is known it contacts the seeds.
 func (n *Node) tickSessions(now time.Duration) {
 	interval := heartbeatInterval
 	if n.starting(now) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// subscribeToCore sends the heartbeat of a subscription to all core members, since this router can be one of them.
+// subscribeToCore sends subscription heartbeats to all other core members. Routers that can be core members do so.
 func (n *Node) subscribeToCore() {
 	for _, m := range n.control.view.Members {
 		if m.Address != n.self.Address {
@@ -52,8 +52,8 @@
 	}
 }
 
-// tickOwnSession renews the session that this core member has with itself, and tells the seeds who the core is. In its
-// startup period it does so with each heartbeat: the seeds may have started anew too, and routers ask them.
+// tickOwnSession renews the session that this core member has with itself, and announces its view to the seeds. In its
+// startup period it does so at each heartbeat, because the seeds may have restarted too and other routers ask them.
 func (n *Node) tickOwnSession(now time.Duration) {
 	n.distributor.sessions.ReceiveHeartbeat(n.self, now)
 	interval := seedInterval
@@ -65,26 +65,27 @@
 	}
 }
 
-// tickHomeSession renews the session with the home. Where that has no contact with the core, or is silent, the seeds
-// may know another core.
+// tickHomeSession renews the session with the home. It also contacts the seeds, which may know a newer view, if the home
+// has timed out, or has no contact with the core while this router is starting.
 func (n *Node) tickHomeSession(now time.Duration) {
 	n.reviewHome(now)
 	home := n.subscription.home
 	if home.Current() != "" {
 		n.sendSubscriptionHeartbeat(home.Current())
 	}
-	outOfTouch := n.starting(now) && !home.LastInTouch() && n.timers.seeds.elapsed(seedInterval, now)
-	if outOfTouch || home.TimedOut(now) {
+	homeIsolated := n.starting(now) && !home.LastInTouch() && n.timers.seeds.elapsed(seedInterval, now)
+	if homeIsolated || home.TimedOut(now) {
 		n.contactSeeds()
 	}
 }
 
-// reviewHome selects another home where the current one does not work.
+// reviewHome selects another home if there is none or the current one has failed.
 func (n *Node) reviewHome(now time.Duration) {
 	n.subscription.home.Review(n.control.view.Members, n.starting(now), now)
 }
 
-// contactSeeds asks the seeds who the core is. A seed with an older view asks back and so learns it.
+// contactSeeds sends the seeds the epoch of this router's view. A seed with a newer view answers with it; a seed with an
+// older one asks for this router's view.
 func (n *Node) contactSeeds() {
 	m := dissemination.SubscriptionHeartbeat{Router: n.self, View: n.control.view.Epoch}
 	for _, seed := range n.seeds {
@@ -94,7 +95,8 @@
 	}
 }
 
-// sendSubscriptionHeartbeat sends a core member the heartbeat of the subscription to it, with what this router has.
+// sendSubscriptionHeartbeat sends a core member a heartbeat, with the versions and stamps up to which this router has its
+// pushes.
 func (n *Node) sendSubscriptionHeartbeat(to string) {
 	s := &n.subscription
 	position := s.positions[to]
--- /dev/null
+++ b/internal/router/node/shutdown.go
@@ -0,0 +1,121 @@
+package node
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+
+	"petrelhook/internal/router/settings"
+)
+
+// listeners holds the listener and the HTTP servers of a router. The server of an address that the settings omit is nil.
+type listeners struct {
+	internal net.Listener // for other routers
+	front    *http.Server // for clients
+	ready    *http.Server // for the platform
+	control  *http.Server // for model servers and operators
+}
+
+// Limits on HTTP callers. They hold before the configuration is known, and bound the limits that it may set.
+const (
+	headerTimeout = 10 * time.Second
+	// idleTimeout is the longest time between two requests on a connection. Clients may reuse a connection that has been
+	// idle for four fifths of the configured time.
+	idleTimeout    = 90 * time.Second
+	maxHeaderBytes = 256 << 10
+)
+
+func newHTTPServer(h http.Handler) *http.Server {
+	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
+}
+
+const (
+	// notReadyPeriod is how long the router still accepts connections after it has begun to report that it is not ready.
+	// The platform probes readiness once a second, and stops sending connections after two failed probes.
+	notReadyPeriod = 3200 * time.Millisecond
+	// longRequestFraction is the initial fraction of the grace period during which the router still accepts requests that
+	// may outlast the period.
+	longRequestFraction = 0.125
+	// exitMargin is the time between the forced close of all connections and the end of the grace period.
+	exitMargin = 500 * time.Millisecond
+	// minOpenFraction applies to short grace periods: clients are served for at least this fraction of the period, and new
+	// connections are accepted for at most this fraction.
+	minOpenFraction = 0.5
+)
+
+// shutdownSchedule holds the times of the steps of a graceful shutdown.
+type shutdownSchedule struct {
+	rejectLongAt time.Time // requests that may outlast the shutdown are rejected from then on
+	closeIdleAt  time.Time // the clients' listener and idle connections are closed
+	forceCloseAt time.Time // all remaining connections are closed
+}
+
+func newShutdownSchedule(began time.Time, grace time.Duration) shutdownSchedule {
+	graceFraction := func(fraction float64) time.Duration { return time.Duration(fraction * float64(grace)) }
+	untilForceClose := max(graceFraction(minOpenFraction), grace-exitMargin)
+	return shutdownSchedule{
+		rejectLongAt: began.Add(graceFraction(longRequestFraction)),
+		closeIdleAt:  began.Add(min(notReadyPeriod, graceFraction(minOpenFraction))),
+		forceCloseAt: began.Add(untilForceClose),
+	}
+}
+
+// gracefulShutdown reports to the platform that the router is not ready, so that it sends no new connections; makes the
+// replica leave, so that another one becomes primary; and answers the requests that were read. It returns when all
+// listeners and connections are closed. Run calls it without the lock, with the ticker of its loop.
+func (n *Node) gracefulShutdown(opened *listeners, ticker *time.Ticker) {
+	n.shuttingDown.Store(true)
+	schedule := newShutdownSchedule(time.Now(), settings.Seconds(n.settings.Bounds.GraceS))
+	n.gateway.Drain(schedule.rejectLongAt, schedule.forceCloseAt)
+	n.mutex.Lock()
+	n.control.replica.Leave(n.now())
+	n.performEffects()
+	n.mutex.Unlock()
+	for range ticker.C {
+		n.tick()
+		if !time.Now().Before(schedule.closeIdleAt) {
+			break
+		}
+	}
+	n.tickUntil(opened.shutdown(schedule.forceCloseAt), ticker)
+	opened.close()
+}
+
+// tickUntil calls tick at each tick of the ticker until done is closed.
+func (n *Node) tickUntil(done <-chan struct{}, ticker *time.Ticker) {
+	for {
+		select {
+		case <-ticker.C:
+			n.tick()
+		case <-done:
+			return
+		}
+	}
+}
+
+// shutdown closes the clients' listener and idle connections. The returned channel is closed when the other client
+// connections have ended, or at forceCloseAt.
+func (l *listeners) shutdown(forceCloseAt time.Time) <-chan struct{} {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		if l.front == nil {
+			return
+		}
+		ctx, cancel := context.WithDeadline(context.Background(), forceCloseAt)
+		defer cancel()
+		_ = l.front.Shutdown(ctx) // it fails at the deadline; close then ends the remaining connections
+	}()
+	return done
+}
+
+// close closes all listeners and connections. It ignores errors, since the process exits next.
+func (l *listeners) close() {
+	for _, server := range []*http.Server{l.front, l.ready, l.control} {
+		if server != nil {
+			_ = server.Close()
+		}
+	}
+	_ = l.internal.Close()
+}
--- a/internal/router/node/end_test.go
+++ b/internal/router/node/shutdown_test.go
@@ -14,18 +14,18 @@
 
 func TestShutdownSchedule(t *testing.T) {
 	began := time.Now()
-	usual := newShutdownSchedule(began, 8*time.Second)
-	require.Equal(t, time.Second, usual.longUntil.Sub(began))
-	require.Equal(t, 3200*time.Millisecond, usual.closeIdle.Sub(began), "two checks of readiness, a second apart, have failed")
-	require.Equal(t, 7500*time.Millisecond, usual.forceClose.Sub(began))
-	short := newShutdownSchedule(began, time.Second)
-	require.Equal(t, 500*time.Millisecond, short.closeIdle.Sub(began))
-	require.Equal(t, 500*time.Millisecond, short.forceClose.Sub(began))
-	require.Equal(t, began, newShutdownSchedule(began, 0).forceClose)
+	schedule := newShutdownSchedule(began, 8*time.Second)
+	require.Equal(t, time.Second, schedule.rejectLongAt.Sub(began))
+	require.Equal(t, 3200*time.Millisecond, schedule.closeIdleAt.Sub(began), "two readiness probes, a second apart, have failed")
+	require.Equal(t, 7500*time.Millisecond, schedule.forceCloseAt.Sub(began))
+	shortSchedule := newShutdownSchedule(began, time.Second)
+	require.Equal(t, 500*time.Millisecond, shortSchedule.closeIdleAt.Sub(began))
+	require.Equal(t, 500*time.Millisecond, shortSchedule.forceCloseAt.Sub(began))
+	require.Equal(t, began, newShutdownSchedule(began, 0).forceCloseAt)
 }
 
-// While an answer is still in progress, idle connections are closed: a request that came on them might not be answered
-// completely any more.
+// Idle connections are closed while a response is still in progress on another one: a request that came on them later
+// might not be answered completely.
 func TestIdleConnectionsAreClosedBeforeTheLastAnswerEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -57,7 +57,7 @@
 	require.ErrorIs(t, err, io.EOF)
 	select {
 	case <-done:
-		t.Fatal("an answer is still in progress")
+		t.Fatal("a response is still in progress")
 	default:
 	}
 	close(answer)
@@ -66,16 +66,16 @@
 	<-done
 }
 
-// From SIGTERM on the router answers that it is not ready, whatever is still open.
+// After SIGTERM the router fails readiness probes at once, whatever connections are still open.
 func TestReadinessEndsWithTheSignal(t *testing.T) {
 	n := newNode(t, "")
 	n.ready.Store(true)
-	readiness := func() int {
+	readinessCode := func() int {
 		w := httptest.NewRecorder()
 		n.serveReady(w, httptest.NewRequest(http.MethodGet, "/-/readiness", nil))
 		return w.Code
 	}
-	require.Equal(t, http.StatusOK, readiness())
-	n.ending.Store(true) // the first thing that end does
-	require.Equal(t, http.StatusServiceUnavailable, readiness())
+	require.Equal(t, http.StatusOK, readinessCode())
+	n.shuttingDown.Store(true) // the first statement of gracefulShutdown
+	require.Equal(t, http.StatusServiceUnavailable, readinessCode())
 }
--- a/internal/router/node/start.go
+++ b/internal/router/node/start.go
@@ -10,9 +10,9 @@
 	"petrelhook/internal/router/storage"
 )
 
-// open reads the disk, where there is one, and makes the replica. It is called before anything else runs, without the
-// lock.
-func (n *Node) open() error {
+// openReplica reads the persisted state, if this router has a disk, and creates the replica. Run calls it without the
+// lock, before any other goroutine of the node runs.
+func (n *Node) openReplica() error {
 	s := n.settings
 	options := replication.Options{Self: replication.Member{Address: n.self.Address, Zone: s.Zone}, Seeds: s.SeedAddresses(),
 		Bootstrap: s.Bootstrap, FaultTolerance: s.FaultTolerance.Machines}
@@ -37,18 +37,18 @@
 	if err == nil && n.self.Member != nil {
 		n.control.replica.AddEligible(*n.self.Member)
 	}
-	return errors.Wrap(err, "make the replica")
+	return errors.Wrap(err, "create the replica")
 }
 
-// listen opens the addresses of the settings and serves them, each in a goroutine that ends with its listener.
+// listen opens the addresses of the settings and serves each in a goroutine that ends when its listener is closed.
 func (n *Node) listen() (*listeners, error) {
 	internal, err := net.Listen("tcp", n.self.Address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for other routers")
 	}
-	go func() { _ = n.transport.Serve(internal) }() // ends when end closes the listener
+	go func() { _ = n.transport.Serve(internal) }() // returns when gracefulShutdown closes the listener
 	opened := &listeners{internal: internal}
-	for _, one := range []struct {
+	for _, endpoint := range []struct {
 		callers string
 		address string
 		handler http.Handler
@@ -58,23 +58,23 @@
 		{"model servers and operators", n.settings.Listen.Control, n.controlHandler(), &opened.control},
 		{"clients", n.settings.Listen.Front, n.gateway, &opened.front},
 	} {
-		if one.address == "" {
+		if endpoint.address == "" {
 			continue
 		}
-		if *one.server, err = serve(one.address, one.handler); err != nil {
-			return nil, errors.Wrapf(err, "listen for %s", one.callers)
+		if *endpoint.server, err = serve(endpoint.address, endpoint.handler); err != nil {
+			return nil, errors.Wrapf(err, "listen for %s", endpoint.callers)
 		}
 	}
 	return opened, nil
 }
 
-// serve listens on an address and has a new server serve it until the server is closed.
+// serve listens on an address and starts an HTTP server for it in a goroutine, which ends when the server is closed.
 func serve(address string, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	server := newHTTPServer(handler)
-	go func() { _ = server.Serve(listener) }() // ends when end shuts the server down
+	go func() { _ = server.Serve(listener) }() // returns when gracefulShutdown closes the server
 	return server, nil
 }
--- a/internal/router/node/status.go
+++ b/internal/router/node/status.go
@@ -9,22 +9,22 @@
 	"petrelhook/internal/router/replication"
 )
 
-// StatusPath is where a router serves its status, on its control address.
+// StatusPath is the path on the control address at which a router serves its status.
 const StatusPath = "/-/status"
 
-// Status is what a router knows of itself and of the fleet. It is sent as JSON, with the names that docs/operate gives.
+// Status is the state of a router and what it knows of the fleet. It is sent as JSON under the names in docs/operate.
 type Status struct {
 	Node         string // name of the machine, as in the settings
 	Zone         string
-	Ready        bool // it has served, or could have, since its start
+	Ready        bool // it has become ready to serve since its start
 	Core         bool // it is a core member
 	Primary      bool
-	InTouch      bool   // it has contact with a majority of the core, itself or by way of its home
+	InTouch      bool   // it has contact with a majority of the core, directly or through its home
 	Home         string // internal address of the core member that it subscribes to
 	View         replication.View
-	Replica      string         // state of the replica, for people to read
-	Version      uint64         // of the configuration in force here, counted by the core
-	Generation   int64          // of the same, counted by the operator
+	Replica      string         // state of the replica, in readable form
+	Version      uint64         // of the configuration in force here, assigned by the core
+	Generation   int64          // of the same configuration, assigned by the operator
 	Fleet        int            // number of routers
 	Servers      map[string]int // usable ones by service
 	Requests     int64
@@ -33,15 +33,15 @@
 	Failed       int64
 	Retried      int64
 	SentBytes    uint64            // to other routers
-	Findings     []outlier.Finding `json:"Doubted"` // servers that fail more than others, at a core member
+	Findings     []outlier.Finding `json:"Doubted"` // servers that fail more often than others; only at a core member
 	LacksPrimary bool              `json:"Silent"`  // it has no contact with a primary
-	PoolHost     string            `json:"Pool"`    // whose pool has what it may spend of tenants' limits meanwhile
-	Deposits     int               // of routers, in the pool hosted here
-	Migrated     int64             `json:"Moved"` // streams that were continued at another server because they stalled
-	Latency      []latency.Report  // what became of requests, by route, and what they waited for
+	PoolHost     string            `json:"Pool"`    // host of the pool that holds its share of tenants' limits meanwhile
+	Deposits     int               // number of deposits in the pool hosted here
+	Migrated     int64             `json:"Moved"` // stalled streams that were continued at another server
+	Latency      []latency.Report  // outcomes and waiting times of requests, by route
 }
 
-// Status returns the status. It acquires the lock.
+// Status returns the router's present status. It acquires the lock.
 func (n *Node) Status() Status {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -81,15 +81,15 @@
 
 func (n *Node) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(n.Status()) // fails where the caller has gone
+	_ = json.NewEncoder(w).Encode(n.Status()) // fails only if the caller has disconnected
 }
 
-// Version returns the version of the configuration in force here; 0 is none. It acquires the lock.
+// Version returns the version of the configuration in force here, or 0 if there is none. It acquires the lock.
 func (n *Node) Version() uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.applied.configVersion
 }
 
-// Ready reports whether this router takes clients. It needs no lock.
-func (n *Node) Ready() bool { return n.ready.Load() && !n.ending.Load() }
+// Ready reports whether this router is ready to serve and is not shutting down. It needs no lock.
+func (n *Node) Ready() bool { return n.ready.Load() && !n.shuttingDown.Load() }
--- a/internal/router/node/status_test.go
+++ b/internal/router/node/status_test.go
@@ -15,7 +15,8 @@
 	"petrelhook/internal/router/registry"
 )
 
-// Operators' programs read the status: each field of the recorded one is known, and written under the same name.
+// Operators' programs parse the status, so its field names must not change: each field of a recorded status is decoded and
+// encoded again under the same name.
 func TestStatusFieldsKeepTheirNames(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/cfdfdec/status.json")
 	require.NoError(t, err)
@@ -28,7 +29,7 @@
 	require.Equal(t, strings.TrimSpace(string(recorded)), string(written))
 }
 
-// Servers' calls keep their field names.
+// Servers send heartbeats as JSON, so the field names of the body must not change.
 func TestHeartbeatFieldsKeepTheirNames(t *testing.T) {
 	body := `{"Service":"s","Address":"10.1.1.1:80","Zone":"z1","Generation":"g","Slots":4,"State":"draining","ColdRemainingMs":1500,"Sequence":3}`
 	r := httptest.NewRequest(http.MethodPost, "/-/instances/i1/heartbeat", strings.NewReader(body))
--- a/internal/router/node/subscriber.go
+++ b/internal/router/node/subscriber.go
@@ -11,34 +11,33 @@
 )
 
 const (
-	// resendDelay is how long after something was sent to a subscriber it is sent again where the subscriber does not
-	// have it.
+	// resendDelay is the time after which changes are sent again to a subscriber that has not acknowledged them.
 	resendDelay = 300 * time.Millisecond
-	// maxResendDoublings bounds how often that time doubles.
+	// maxResendDoublings bounds how often resendDelay doubles.
 	maxResendDoublings = 2
-	// resendDelayPerServer is the same for each server that was sent, where that is longer.
+	// resendDelayPerServer, times the number of servers sent, is the delay if that is longer.
 	resendDelayPerServer = 500 * time.Microsecond
 )
 
-// subscriber is what a core member knows of a router that subscribes to it.
+// subscriber is the state that a core member keeps of a router that subscribes to it.
 type subscriber struct {
 	address     string
 	incarnation uint64
-	coreMember  bool // it is one, or can become one
+	coreMember  bool // it is a core member or can become one
 	lastContact time.Duration
 
-	// What the subscriber has, or what was sent to it and may be in flight.
+	// What the subscriber has acknowledged, or what was sent to it and may be in flight.
 	view          replication.Epoch
 	version       uint64
 	registryStamp uint64
 	sessionsStamp uint64
 
-	lastSent        time.Duration // when something was last sent that it lacked
-	lastSentServers int           // servers in that
-	resends         int           // how often in a row it was sent something again that it did not have
+	lastSent        time.Duration // when changes were last sent
+	lastSentServers int           // number of servers last sent
+	resends         int           // consecutive resends of changes that it did not acknowledge
 	sendFullState   bool          // it requested the complete list of servers
 
-	unsentHeartbeats map[string]bool                  // servers that called here since the last push; for core members
+	unsentHeartbeats map[string]bool                  // servers whose heartbeats came here since the last push; for core members
 	unsentPrefixes   map[string]*placement.PrefixUses // by service
 }
 
@@ -46,8 +45,8 @@
 	return &subscriber{address: address, unsentHeartbeats: map[string]bool{}, unsentPrefixes: map[string]*placement.PrefixUses{}}
 }
 
-// receiveHeartbeat records what a subscriber says of itself. It reports whether the subscriber is another incarnation
-// than before.
+// receiveHeartbeat records the state in a subscriber's heartbeat. incarnation is that of this core member. It reports
+// whether the subscriber has another incarnation than before.
 func (s *subscriber) receiveHeartbeat(m *dissemination.SubscriptionHeartbeat, incarnation uint64, now time.Duration) (restarted bool) {
 	s.coreMember, s.lastContact, s.view = m.CoreMember, now, m.View
 	restarted = s.incarnation != m.Router.Incarnation
@@ -60,13 +59,13 @@
 	return restarted
 }
 
-// acknowledge records what a subscriber has of the core member with an incarnation. While what was sent may be in
-// flight it counts as received.
+// acknowledge records what the subscriber has received from this core member, whose incarnation is given. While changes
+// may be in flight, they count as received.
 func (s *subscriber) acknowledge(m *dissemination.SubscriptionHeartbeat, incarnation uint64, restarted bool, now time.Duration) {
-	followsThis := m.HomeIncarnation == incarnation
-	hasAll := followsThis && m.RegistryStamp >= s.registryStamp && m.Version >= s.version
+	sameIncarnation := m.HomeIncarnation == incarnation
+	upToDate := sameIncarnation && m.RegistryStamp >= s.registryStamp && m.Version >= s.version
 	switch {
-	case hasAll || restarted:
+	case upToDate || restarted:
 		s.resends = 0
 	case now-s.lastSent <= s.resendTimeout():
 		return
@@ -74,21 +73,21 @@
 		s.resends++
 	}
 	s.version = m.Version
-	if followsThis {
+	if sameIncarnation {
 		s.registryStamp, s.sessionsStamp = m.RegistryStamp, m.SessionsStamp
 	} else {
 		s.registryStamp, s.sessionsStamp = 0, 0
 	}
 }
 
-// resendTimeout is how long after something was sent it is sent again. It is longer for a subscriber that was sent
-// things again already, and for a long list: otherwise subscribers that are slow to apply it would be sent it over and
-// over, which makes them slower.
+// resendTimeout returns the time after which unacknowledged changes are sent again. It is longer after earlier resends and
+// for a long list of servers. Otherwise subscribers that are slow to apply a list would be sent it over and over, which
+// makes them slower.
 func (s *subscriber) resendTimeout() time.Duration {
 	return max(resendDelay<<min(s.resends, maxResendDoublings), time.Duration(s.lastSentServers)*resendDelayPerServer)
 }
 
-// fillServers puts into a push the changes of the registry that the subscriber lacks; p has the registry's stamp.
+// fillServers adds the changes of the registry that the subscriber lacks to a push. p.Stamp is the registry's stamp.
 func (s *subscriber) fillServers(p *dissemination.Push, servers *registry.Registry, now time.Duration) {
 	p.FromStamp = s.registryStamp
 	p.FullState, s.sendFullState = s.sendFullState, false
@@ -100,7 +99,7 @@
 	s.lastSent = now
 }
 
-// fillVersion puts into a push the configuration that the subscriber lacks.
+// fillVersion adds the configuration to a push if the subscriber lacks it.
 func (s *subscriber) fillVersion(p *dissemination.Push, versions *dissemination.Versions, now time.Duration) {
 	if s.version >= versions.Version() {
 		p.Version = versions.Version()
@@ -111,8 +110,8 @@
 	s.lastSent = now
 }
 
-// fillSessions puts into a push to a core member whose heartbeats came here, and the sessions held here where they have
-// changed.
+// fillSessions adds the servers whose heartbeats came here to a push to a core member, and the sessions held here if they
+// have changed.
 func (s *subscriber) fillSessions(p *dissemination.Push, sessions *membership.Sessions) {
 	for id := range s.unsentHeartbeats {
 		p.HeartbeatsReceived = append(p.HeartbeatsReceived, id)
--- a/internal/router/node/subscription.go
+++ b/internal/router/node/subscription.go
@@ -9,20 +9,21 @@
 	"petrelhook/internal/router/proximity"
 )
 
-// subscription is what a router follows of core members: a router its home, a core member all others.
+// subscription is the state that a router receives from core members: a core member follows all other members, any other
+// router its home.
 type subscription struct {
 	home             *homeselection.Selector
 	positions        map[string]registryPosition // by the internal address of a core member
 	versions         *dissemination.Versions     // the committed configuration
-	serversComplete  bool                        // the registry has every server that lives
-	configCurrent    bool                        // a core member in contact with a majority had none newer
+	serversComplete  bool                        // the registry has every live server
+	configCurrent    bool                        // a core member in contact with a majority had no newer configuration
 	comparison       listComparison
-	requestFullState bool // the next heartbeat to the home asks for the complete list of servers
+	requestFullState bool // the next heartbeat to the home requests the complete list of servers
 }
 
-// registryPosition is up to which stamp a router has all changes of a core member's registry.
+// registryPosition is the stamp up to which a router has all changes of a core member's registry.
 type registryPosition struct {
-	incarnation uint64 // of the core member; stamps count in it alone
+	incarnation uint64 // of the core member; a stamp is valid within one incarnation only
 	stamp       uint64
 }
 
@@ -31,7 +32,7 @@
 		versions: dissemination.NewVersions(operatorapi.ApplyOrder)}
 }
 
-// stamp returns up to which stamp all changes of a core member's registry have come, in its present incarnation.
+// stamp returns the stamp up to which all changes of a core member's registry in the given incarnation were received.
 func (s *subscription) stamp(from string, incarnation uint64) uint64 {
 	if position := s.positions[from]; position.incarnation == incarnation {
 		return position.stamp
@@ -39,8 +40,8 @@
 	return 0
 }
 
-// advance records that the changes of a push were applied. A push that begins after the position leaves it: a push
-// before was lost.
+// advance records that the changes of a push were applied. A push that begins after the position does not move it,
+// because an earlier push was lost.
 func (s *subscription) advance(from string, p *dissemination.Push) {
 	stamp := s.stamp(from, p.Incarnation)
 	if p.FromStamp <= stamp {
@@ -49,7 +50,7 @@
 	s.positions[from] = registryPosition{incarnation: p.Incarnation, stamp: stamp}
 }
 
-// receivePush applies what a core member pushes.
+// receivePush applies a push of a core member.
 func (n *Node) receivePush(from string, p *dissemination.Push, now time.Duration) {
 	s := &n.subscription
 	for _, m := range p.Eligible {
@@ -65,19 +66,19 @@
 		}
 	}
 	if p.Complete && p.FromStamp <= s.stamp(from, p.Incarnation) {
-		s.serversComplete = true // the sender has the complete list, and this is the rest of it
+		s.serversComplete = true // the sender has the complete list, and this push is the rest of it
 	}
 	if p.Stamp == 0 && p.Version == 0 && p.SessionsStamp == 0 {
-		return // it only introduces the core
+		return // the push only introduces the core
 	}
 	n.applyPush(from, p, now)
 }
 
-// applyPush applies the servers, sessions and configuration of a push, and pushes what has changed by them to this
-// router's own subscribers.
+// applyPush applies the servers, sessions and configuration of a push, and pushes the resulting changes to this router's
+// own subscribers.
 func (n *Node) applyPush(from string, p *dissemination.Push, now time.Duration) {
 	s := &n.subscription
-	before := n.registry.Stamp()
+	stampBefore := n.registry.Stamp()
 	n.applyServers(from, p, now)
 	if n.isCoreMember() {
 		n.distributor.sessions.UpdatePeer(from, p.Incarnation, p.SessionsStamp, p.Routers, now)
@@ -89,12 +90,12 @@
 	if p.InTouch && s.versions.Version() >= p.Version {
 		s.configCurrent = true
 	}
-	if changed || n.registry.Stamp() != before {
+	if changed || n.registry.Stamp() != stampBefore {
 		n.pushAll()
 	}
 }
 
-// applyServers applies what a push says of servers.
+// applyServers applies the servers of a push, and compares the list of servers with the home's.
 func (n *Node) applyServers(from string, p *dissemination.Push, now time.Duration) {
 	s := &n.subscription
 	isCoreMember := n.isCoreMember()
@@ -112,8 +113,8 @@
 	}
 	n.registry.RefreshContact(p.HeartbeatsReceived, now)
 	s.advance(from, p)
-	comparable := !isCoreMember && from == s.home.Current() && p.Complete && p.InTouch && s.stamp(from, p.Incarnation) == p.Stamp
-	if comparable && s.comparison.observe(p.Digest == n.registry.Digest(), now) {
+	canCompare := !isCoreMember && from == s.home.Current() && p.Complete && p.InTouch && s.stamp(from, p.Incarnation) == p.Stamp
+	if canCompare && s.comparison.observe(p.Digest == n.registry.Digest(), now) {
 		n.logger.Info().Str("home", from).Msg("list of servers differs from the home's")
 		s.requestFullState = true
 	}
--- a/internal/router/node/subscription_test.go
+++ b/internal/router/node/subscription_test.go
@@ -14,7 +14,7 @@
 	"petrelhook/internal/router/registry"
 )
 
-// A router that learns who the core is subscribes with that message, and not at some later tick.
+// A router subscribes as soon as a message names the core, not at a later tick.
 func TestASubscriptionBeginsAsSoonAsTheCoreIsKnown(t *testing.T) {
 	n := newNode(t, "")
 	n.tick()
@@ -25,12 +25,12 @@
 	require.Less(t, n.now()-n.timers.sessions.last, heartbeatInterval)
 }
 
-// A subscriber whose next heartbeat comes before the first push can have reached it is not sent everything again;
-// another incarnation of it is.
+// A subscriber is not sent everything again if its next heartbeat comes while the first push may be in flight. A new
+// incarnation of the subscriber is.
 func TestASubscriberIsSentEverythingOnce(t *testing.T) {
 	n := newNode(t, "")
-	n.self.Member = &v1
-	n.control.view = view(1, v1)
+	n.self.Member = &selfMember
+	n.control.view = view(1, selfMember)
 	n.registry.ReceiveHeartbeat(registry.Instance{ID: "i1", Service: "s", Address: "10.1.1.1:80", Sequence: 1}, 0)
 	heartbeat := dissemination.SubscriptionHeartbeat{Router: membership.Router{Address: "10.0.1.2:7000", Zone: "z1", Incarnation: 7}, Subscribe: true}
 	now := time.Second
@@ -38,26 +38,25 @@
 	s := n.distributor.subscribers[heartbeat.Router.Address]
 	require.Equal(t, now, s.lastSent)
 	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, now+startupInterval)
-	require.Equal(t, now, s.lastSent, "it is in flight")
+	require.Equal(t, now, s.lastSent, "the push may be in flight")
 	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, now+resendDelay+time.Millisecond)
-	require.Equal(t, now+resendDelay+time.Millisecond, s.lastSent, "it may have been lost")
+	require.Equal(t, now+resendDelay+time.Millisecond, s.lastSent, "the push may have been lost")
 
 	heartbeat.Router.Incarnation = 8
 	now += resendDelay + startupInterval
 	n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, now)
-	require.Equal(t, now, s.lastSent, "another incarnation has nothing")
+	require.Equal(t, now, s.lastSent, "a new incarnation has nothing")
 }
 
-// A subscriber that does not apply what it was sent is sent it again more and more rarely, and a long list more rarely
-// than a short one: in a fleet of 630 routers slow ones were sent all 6,700 servers over and over, which made them
-// slower.
+// A subscriber that does not acknowledge pushes is sent them again at growing intervals, which are longer for a long list.
+// In a fleet of 630 routers, slow ones were sent all 6,700 servers over and over, which made them slower.
 func TestSlowSubscribersAreSentAllMoreRarely(t *testing.T) {
-	sends := func(servers int) (count int) {
+	countSends := func(servers int) (count int) {
 		n := newNode(t, "")
-		n.self.Member = &v1
-		n.control.view = view(1, v1)
+		n.self.Member = &selfMember
+		n.control.view = view(1, selfMember)
 		for i := range servers {
-			receiveFirstHeartbeat(n.registry, fmt.Sprint("i", i))
+			addReadyServer(n.registry, fmt.Sprint("i", i))
 		}
 		heartbeat := dissemination.SubscriptionHeartbeat{Router: membership.Router{Address: "10.0.1.2:7000", Zone: "z1", Incarnation: 7}, Subscribe: true, HomeIncarnation: n.self.Incarnation}
 		last := -time.Hour
@@ -70,36 +69,37 @@
 		s := n.distributor.subscribers[heartbeat.Router.Address]
 		heartbeat.RegistryStamp = n.registry.Stamp()
 		n.receiveSubscriptionHeartbeat(heartbeat.Router.Address, &heartbeat, 20*time.Second)
-		require.Zero(t, s.resends, "it has everything")
+		require.Zero(t, s.resends, "it has acknowledged everything")
 		return count
 	}
-	require.InDelta(t, 9, sends(10), 2)
-	require.InDelta(t, 3, sends(6700), 1)
+	require.InDelta(t, 9, countSends(10), 2)
+	require.InDelta(t, 3, countSends(6700), 1)
 }
 
-var v1 = member("127.0.0.1:7000", "z1")
+// selfMember is the core member with the address of the router of newNode.
+var selfMember = member("127.0.0.1:7000", "z1")
 
-// A core member that lost its disk has the complete list of servers as soon as another one's complete list has come, in
-// one push or several; the rest of a list that it did not follow from its beginning is not enough.
+// A core member that lost its disk has the complete list of servers once it has received the complete list of another core
+// member, in one push or several. Later pushes without the beginning of the list are not enough.
 func TestAMemberWithoutItsDiskAdoptsTheListOfOthers(t *testing.T) {
 	n := newNode(t, "")
-	self := v1
+	self := selfMember
 	n.self.Member = &self
-	before := v1
-	before.ID = "the disk that was lost"
-	n.control.view = view(1, before, member("10.0.1.1:7000", "z2"))
-	update := func(id string) []registry.Update {
+	formerSelf := selfMember
+	formerSelf.ID = "the disk that was lost"
+	n.control.view = view(1, formerSelf, member("10.0.1.1:7000", "z2"))
+	updates := func(id string) []registry.Update {
 		return []registry.Update{{Instance: registry.Instance{ID: id, Service: "s", Address: id}}}
 	}
-	n.receivePush("10.0.1.1:7000", &dissemination.Push{Incarnation: 1, FromStamp: 3, Stamp: 4, Instances: update("i4"), Complete: true}, 0)
+	n.receivePush("10.0.1.1:7000", &dissemination.Push{Incarnation: 1, FromStamp: 3, Stamp: 4, Instances: updates("i4"), Complete: true}, 0)
 	require.False(t, n.subscription.serversComplete)
-	n.receivePush("10.0.1.1:7000", &dissemination.Push{Incarnation: 1, FromStamp: 0, Stamp: 4, Instances: update("i1")}, 0)
+	n.receivePush("10.0.1.1:7000", &dissemination.Push{Incarnation: 1, FromStamp: 0, Stamp: 4, Instances: updates("i1")}, 0)
 	require.False(t, n.subscription.serversComplete, "the sender does not have the complete list yet")
-	n.receivePush("10.0.1.1:7000", &dissemination.Push{Incarnation: 1, FromStamp: 4, Stamp: 5, Instances: update("i5"), Complete: true}, 0)
+	n.receivePush("10.0.1.1:7000", &dissemination.Push{Incarnation: 1, FromStamp: 4, Stamp: 5, Instances: updates("i5"), Complete: true}, 0)
 	require.True(t, n.subscription.serversComplete)
 }
 
-// A router that serves nobody yet does not wait long for a home that sends nothing.
+// A router that is not ready yet replaces a silent home after homeselection.StartupTimeout; a ready one waits longer.
 func TestAHomeThatTimesOutIsLeftSoonAtTheStart(t *testing.T) {
 	n := newNode(t, "")
 	n.control.view = view(1, member("10.0.1.1:7000", "z1"), member("10.0.2.1:7000", "z2"))
@@ -118,11 +118,11 @@
 	require.Equal(t, "10.0.1.1:7000", n.subscription.home.Current())
 }
 
-// A core member that has just started tells the seeds at once who the core is: routers without a disk, which may have
-// other seeds than before, ask them.
+// A core member that has just started announces its view to the seeds at once and at each heartbeat. Routers without a
+// disk, whose seeds may have changed, ask the seeds for it.
 func TestSeedsAreContactedAtOnceAfterAStart(t *testing.T) {
 	n := newNode(t, "")
-	self := v1
+	self := selfMember
 	n.self.Member = &self
 	n.control.view = view(1, self, member("10.0.1.1:7000", "z2"))
 	n.tickSessions(startupInterval)
@@ -134,14 +134,14 @@
 	require.Equal(t, startupPeriod+startupInterval, n.timers.seeds.last)
 }
 
-// The answer to a heartbeat of a new incarnation goes over a new connection: the end of the one before may not have
-// been noticed.
+// The answer to a heartbeat of a new incarnation is sent over a new connection, because the failure of the previous
+// connection may not have been detected yet.
 func TestANewProcessIsAnsweredOverANewConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
 	n := newNode(t, "")
-	self := v1
+	self := selfMember
 	n.self.Member = &self
 	n.control.view = view(1, self)
 	heartbeat := dissemination.SubscriptionHeartbeat{Router: membership.Router{Address: listener.Addr().String(), Zone: "z1"}, Subscribe: true}
--- a/internal/router/node/tick.go
+++ b/internal/router/node/tick.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// maxMissedHeartbeats is how many heartbeats a server may miss before it is lost.
+	// maxMissedHeartbeats is the number of missed heartbeats after which a server is lost.
 	maxMissedHeartbeats = 4.5
-	// expireInterval is the time between two searches for servers that are lost.
+	// expireInterval is the time between two checks for lost servers.
 	expireInterval = 250 * time.Millisecond
-	// heartbeatsUntilComplete is after how many intervals of heartbeats, in contact with a majority, a core member has
-	// the complete list of servers: every server that lives has called some core member by then.
+	// heartbeatsUntilComplete is the number of heartbeat intervals of servers, in contact with a majority, after which a
+	// core member has the complete list of servers: every live server has called some core member by then.
 	heartbeatsUntilComplete = 2
 )
 
-// tick does what depends on time alone, each part at its own interval. It acquires the lock.
+// tick does the periodic work, each part at its own interval. Run calls it every tickInterval. It acquires the lock.
 func (n *Node) tick() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -27,7 +27,7 @@
 		n.tickCore(now)
 	}
 	if n.distributor.pushPending {
-		n.pushAll() // while the router shuts down nobody waits for the timer
+		n.pushAll() // during shutdown Run does not receive from the timer
 	}
 	n.tickSessions(now)
 	n.tickQuota(now)
@@ -44,8 +44,8 @@
 	n.apply()
 }
 
-// tickCore does what only core members do: count the fleet, and judge which servers are lost while in contact with a
-// majority.
+// tickCore does the periodic work of core members: it counts the fleet and, in contact with a majority, stores the servers
+// and decides which of them are lost.
 func (n *Node) tickCore(now time.Duration) {
 	n.distributor.sessions.Expire(now)
 	n.countFleet()
@@ -57,19 +57,19 @@
 		n.control.inTouchSince = now
 	}
 	n.storeServers(now)
-	interval := settings.Milliseconds(n.settings.HeartbeatMs) // of servers
-	if now-n.control.inTouchSince > heartbeatsUntilComplete*interval {
+	serverHeartbeatInterval := settings.Milliseconds(n.settings.HeartbeatMs)
+	if now-n.control.inTouchSince > heartbeatsUntilComplete*serverHeartbeatInterval {
 		n.subscription.serversComplete = true
 	}
 	if !n.timers.expireServers.elapsed(expireInterval, now) {
 		return
 	}
-	if n.registry.Expire(time.Duration(maxMissedHeartbeats*float64(interval)), now) {
+	if n.registry.Expire(time.Duration(maxMissedHeartbeats*float64(serverHeartbeatInterval)), now) {
 		n.pushAll()
 	}
 }
 
-// countFleet sets the fleet's size to the number of routers with a session and this one.
+// countFleet sets the fleet's size to the number of routers with a session, counting this router.
 func (n *Node) countFleet() {
 	fleet := n.distributor.sessions.Fleet()
 	size := len(fleet)
@@ -79,6 +79,7 @@
 	n.setFleetSize(size)
 }
 
+// setFleetSize records the number of routers. It ignores a size that is not positive.
 func (n *Node) setFleetSize(size int) {
 	if size > 0 {
 		n.fleetSize = size
