--- a/cmd/petrelhook-router/commands.go
+++ b/cmd/petrelhook-router/commands.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	memoryLimitFraction = 0.7 // of the machine's memory, beyond which garbage is collected harder
+	memoryLimitFraction = 0.7 // fraction of the machine's memory near which the garbage collector works harder
 	megabyte            = 1 << 20
 	callTimeout         = 3 * time.Second // of an operator's call to a router
 	defaultAdmission    = 10 * time.Minute
@@ -47,7 +47,7 @@
 	return err
 }
 
-// check tells whether a settings file or a deploy file is usable.
+// check reports whether a settings file or a deploy file is valid.
 func check(_ context.Context, c *cli.Command) error {
 	path, err := argument(c)
 	if err != nil {
@@ -58,36 +58,38 @@
 	}
 	s, err := settings.Load(path)
 	if err != nil {
-		return failure(err)
+		return exitError(err)
 	}
 	fmt.Fprintf(c.Root().Writer, "%s: %s in zone %s: fit\n", path, s.NodeName, s.Zone)
 	return nil
 }
 
-// checkDeploy is check for a deploy file.
+// checkDeploy reports whether a deploy file is valid, and prints its roles.
 func checkDeploy(c *cli.Command, path string) error {
 	d, err := settings.LoadDeploy(path)
 	if err != nil {
-		return failure(err)
+		return exitError(err)
 	}
 	fmt.Fprintf(c.Root().Writer, "%s: roles %s: fit\n", path, strings.Join(d.RoleNames(), ", "))
 	return nil
 }
 
-// failure is a command's error, by its text alone: cli.Exit would add the stack traces that errors of cockroachdb/errors have.
-func failure(err error) error { return cli.Exit(err.Error(), exitFailure) }
+// exitError returns the error of a failed command with the text of err. Given err itself, cli.Exit would print the stack
+// trace of an error of cockroachdb/errors as well.
+func exitError(err error) error { return cli.Exit(err.Error(), exitFailure) }
 
-// diskState is what the state command prints; the names are those of its JSON form, in alphabetical order.
+// diskState is the output of the state command. It is printed as JSON under the names of the fields, which are in
+// alphabetical order.
 type diskState struct {
 	Accepted   replication.View
-	Entries    int // after the snapshot
+	Entries    int // number of log entries after the snapshot
 	Generation int64
 	ID         string // of the disk
 	Position   replication.Position
 	Promised   replication.Epoch
 }
 
-// state prints what the disk of a stopped router holds, without changing it.
+// state prints the state on the disk of a stopped router. It does not change the disk.
 func state(_ context.Context, c *cli.Command) error {
 	folder, err := argument(c)
 	if err != nil {
@@ -95,12 +97,12 @@
 	}
 	persisted, err := storage.Inspect(folder)
 	if err != nil {
-		return failure(err)
+		return exitError(err)
 	}
 	register := operatorapi.NewRegister()
 	if len(persisted.Snapshot.Data) > 0 {
 		if err := register.Restore(persisted.Snapshot.Data); err != nil {
-			return failure(err)
+			return exitError(err)
 		}
 	}
 	position := persisted.Snapshot.Position
@@ -114,25 +116,25 @@
 	})
 }
 
-// status prints what a running router says of itself, as JSON.
+// status prints the status of a running router as JSON.
 func status(_ context.Context, c *cli.Command) error {
 	address, err := argument(c)
 	if err != nil {
 		return err
 	}
-	var got node.Status
-	answer, err := call(address).Get(node.StatusPath).ReceiveSuccess(&got)
+	var routerStatus node.Status
+	response, err := controlClient(address).Get(node.StatusPath).ReceiveSuccess(&routerStatus)
 	if err != nil {
-		return failure(err)
+		return exitError(err)
 	}
-	_ = answer.Body.Close() // it was read, and closed by sling
-	if answer.StatusCode != http.StatusOK {
-		return cli.Exit("it answers "+answer.Status, exitFailure)
+	_ = response.Body.Close() // sling has read and closed the body
+	if response.StatusCode != http.StatusOK {
+		return cli.Exit("the router answered "+response.Status, exitFailure)
 	}
-	return printJSON(c, got)
+	return printJSON(c, routerStatus)
 }
 
-// admit is the admit command: it tells a core member that a server is not to be ejected for some time.
+// admit calls a core member to readmit a server: the server is not ejected for the time of the flag "for".
 func admit(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 2 {
 		return cli.Exit(c.Name+" takes "+c.ArgsUsage, exitUsage)
@@ -141,42 +143,42 @@
 		For string `url:"for"`
 	}{c.Duration("for").String()}
 	path := "/-/servers/" + url.PathEscape(c.Args().Get(1)) + "/admit"
-	request, err := call(c.Args().Get(0)).Post(path).QueryStruct(query).Request()
+	request, err := controlClient(c.Args().Get(0)).Post(path).QueryStruct(query).Request()
 	if err != nil {
 		return cli.Exit(err, exitUsage)
 	}
-	answer, err := (&http.Client{Timeout: callTimeout}).Do(request)
+	response, err := (&http.Client{Timeout: callTimeout}).Do(request)
 	if err != nil {
-		return failure(err)
+		return exitError(err)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(answer.Body, megabyte))
-		return cli.Exit("it answers "+answer.Status+": "+strings.TrimSpace(string(text)), exitFailure)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		text, _ := io.ReadAll(io.LimitReader(response.Body, megabyte))
+		return cli.Exit("the router answered "+response.Status+": "+strings.TrimSpace(string(text)), exitFailure)
 	}
 	return nil
 }
 
-// call prepares a call to a router's control address.
-func call(address string) *sling.Sling {
+// controlClient returns an HTTP client for a router's control address.
+func controlClient(address string) *sling.Sling {
 	return sling.New().Client(&http.Client{Timeout: callTimeout}).Base("http://" + address)
 }
 
-// printJSON prints a value for people and for programs such as jq.
+// printJSON prints a value as indented JSON, which people and programs such as jq can read.
 func printJSON(c *cli.Command, value any) error {
 	encoder := json.NewEncoder(c.Root().Writer)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// serve runs the router until SIGTERM or an interrupt; on SIGHUP it reads the settings again.
+// serve runs a router until SIGTERM or SIGINT. On SIGHUP the router reads its settings again.
 func serve(parent context.Context, c *cli.Command) error {
 	if c.Args().Len() > 0 {
 		return cli.Exit("router takes no arguments", exitUsage)
 	}
 	s, err := settings.Load(os.Getenv(settings.Variable))
 	if err != nil {
-		return failure(err)
+		return exitError(err)
 	}
 	if s.Limits.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitFraction * megabyte * float64(s.Limits.MemoryMb)))
@@ -188,7 +190,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 	if err := node.New(s, logger).Run(ctx, reload, settings.Load); err != nil {
-		return failure(err)
+		return exitError(err)
 	}
 	return nil
 }
--- a/cmd/petrelhook-router/commands_test.go
+++ b/cmd/petrelhook-router/commands_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The disk of a coordinator, whose file has the same name, is an error of one line.
+// The state command rejects the disk of a coordinator, whose file has the same name, with an error of one line.
 func TestStateOfACoordinatorsDisk(t *testing.T) {
-	text, err := os.ReadFile("../../internal/coordination/replica/disk/testdata/cfdfdec/replica.db")
+	coordinatorState, err := os.ReadFile("../../internal/coordination/replica/disk/testdata/cfdfdec/replica.db")
 	require.NoError(t, err)
 	folder := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(folder, "replica.db"), text, 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(folder, "replica.db"), coordinatorState, 0o600))
 	var out bytes.Buffer
 	require.Equal(t, exitFailure, run([]string{"petrelhook-router", "state", folder}, &out, &out))
 	require.Equal(t, 1, strings.Count(out.String(), "\n"), out.String())
--- a/cmd/petrelhook-router/fleet_test.go
+++ b/cmd/petrelhook-router/fleet_test.go
@@ -22,9 +22,10 @@
 	"petrelhook/internal/router/node"
 )
 
+// roleVariable is set in the environment of the processes that run as routers.
 const roleVariable = "PETRELROUTER_TEST"
 
-// The test's binary is the router as well.
+// TestMain runs the tests, or a router if the test binary was started as one by machine.start.
 func TestMain(m *testing.M) {
 	if os.Getenv(roleVariable) != "" {
 		os.Exit(run([]string{"petrelhook-router", "router"}, os.Stdout, os.Stderr))
@@ -32,32 +33,41 @@
 	os.Exit(m.Run())
 }
 
-// machine is one router on a loopback address of its own.
+// machine is a machine of the fleet: one router process on a loopback address of its own.
 type machine struct {
-	t        *testing.T
-	ip       string
-	settings string
-	process  *process.Process
+	t            *testing.T
+	ip           string
+	settingsPath string // of its settings file; the data directory is beside it
+	process      *process.Process
 }
 
-// fleet is several machines; those with a disk come first.
+// Indexes of the ports of a fleet's machines.
+const (
+	frontPort = iota
+	readyPort
+	controlPort
+	internalPort
+)
+
+// fleet is a set of machines that use the same ports. The core members, which have a disk, come first.
 type fleet struct {
 	t        *testing.T
 	machines []*machine
-	ports    [4]int // front, ready, control, internal
+	ports    [4]int // by the indexes above
 	client   *http.Client
 }
 
-func newFleet(t *testing.T, disks, others int) *fleet {
+// newFleet starts a fleet with the given numbers of core members and other routers.
+func newFleet(t *testing.T, coreMembers, others int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, ports: freePorts(t), client: &http.Client{Timeout: 5 * time.Second}}
 	var seeds []string
-	for i := range min(3, disks) {
-		seeds = append(seeds, fmt.Sprintf("%q", f.address(fmt.Sprintf("127.9.0.%d", i+1), 2)))
+	for i := range min(3, coreMembers) {
+		seeds = append(seeds, fmt.Sprintf("%q", f.address(fmt.Sprintf("127.9.0.%d", i+1), controlPort)))
 	}
-	for i := range disks + others {
+	for i := range coreMembers + others {
 		m := &machine{t: t, ip: fmt.Sprintf("127.9.0.%d", i+1)}
-		folder := process.DataDir(t)
+		directory := process.DataDir(t)
 		text := fmt.Sprintf(`NodeName = "edge-%d"
 Ip = %q
 Zone = "zone-%d"
@@ -81,12 +91,13 @@
 QuotaOvershoot = 0.1
 QuotaSlack = 1000
 again_s = 5
-`, i+1, m.ip, i%2, f.ports[3], f.ports[3], strings.Join(seeds, ", "), f.address(m.ip, 0), f.address(m.ip, 1), f.address(m.ip, 2))
-		if i < disks {
-			text = fmt.Sprintf("CountsForQuorum = true\nDataDir = %q\n", filepath.Join(folder, "data")) + text
+`, i+1, m.ip, i%2, f.ports[internalPort], f.ports[internalPort], strings.Join(seeds, ", "),
+			f.address(m.ip, frontPort), f.address(m.ip, readyPort), f.address(m.ip, controlPort))
+		if i < coreMembers {
+			text = fmt.Sprintf("CountsForQuorum = true\nDataDir = %q\n", filepath.Join(directory, "data")) + text
 		}
-		m.settings = filepath.Join(folder, "boot.toml")
-		require.NoError(t, os.WriteFile(m.settings, []byte(text), 0o644))
+		m.settingsPath = filepath.Join(directory, "boot.toml")
+		require.NoError(t, os.WriteFile(m.settingsPath, []byte(text), 0o644))
 		f.machines = append(f.machines, m)
 	}
 	for _, m := range f.machines {
@@ -95,17 +106,19 @@
 	return f
 }
 
+// start starts the machine's router process.
 func (m *machine) start() {
 	cmd := process.Self(roleVariable, "router")
-	cmd.Env = append(cmd.Env, "PETRELHOOK_SETTINGS="+m.settings)
+	cmd.Env = append(cmd.Env, "PETRELHOOK_SETTINGS="+m.settingsPath)
 	m.process = process.Start(m.t, cmd)
 }
 
+// address returns the address of an IP and one of the fleet's ports.
 func (f *fleet) address(ip string, port int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(f.ports[port]))
 }
 
-// freePorts finds ports that are free on all addresses of the test.
+// freePorts returns ports that are free on one address of the test. The fleet uses them on all its addresses.
 func freePorts(t *testing.T) (ports [4]int) {
 	t.Helper()
 	for i := range ports {
@@ -117,7 +130,7 @@
 	return ports
 }
 
-// call makes one call and returns its status and body; 0 is no answer.
+// call makes an HTTP call and returns its status and body. Without a response the status is 0 and the body is the error.
 func (f *fleet) call(method, url string, body string, header ...string) (int, string) {
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	require.NoError(f.t, err)
@@ -127,20 +140,20 @@
 			request.Host = header[i+1]
 		}
 	}
-	answer, err := f.client.Do(request)
+	response, err := f.client.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer answer.Body.Close()
-	text, _ := io.ReadAll(answer.Body)
-	return answer.StatusCode, string(text)
+	defer response.Body.Close()
+	text, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(text)
 }
 
-// order sends an order to one router after the other until it gets an answer other than 5xx.
-func (f *fleet) order(path string, base int, body string) (status int) {
+// sendOrder sends an order to one router after the other until one answers with a status of 200 to 499.
+func (f *fleet) sendOrder(path string, base int, body string) (status int) {
 	peertest.Eventually(f.t, "an answer to an order", func() bool {
 		for _, m := range f.machines {
-			status, _ = f.call(http.MethodPost, "http://"+f.address(m.ip, 2)+path, body, "X-Base-Version", strconv.Itoa(base))
+			status, _ = f.call(http.MethodPost, "http://"+f.address(m.ip, controlPort)+path, body, "X-Base-Version", strconv.Itoa(base))
 			if status >= 200 && status < 500 {
 				return true
 			}
@@ -150,14 +163,16 @@
 	return status
 }
 
+// status returns a machine's status, or an empty one if it does not answer.
 func (f *fleet) status(m *machine) (s node.Status) {
-	code, text := f.call(http.MethodGet, "http://"+f.address(m.ip, 2)+node.StatusPath, "")
+	code, text := f.call(http.MethodGet, "http://"+f.address(m.ip, controlPort)+node.StatusPath, "")
 	if code == http.StatusOK {
 		require.NoError(f.t, json.Unmarshal([]byte(text), &s))
 	}
 	return s
 }
 
+// primary returns the machine that reports to be the primary, or nil.
 func (f *fleet) primary() *machine {
 	for _, m := range f.machines {
 		if f.status(m).Primary {
@@ -169,25 +184,26 @@
 
 // request sends a client's request to a machine.
 func (f *fleet) request(m *machine, path string) (int, string) {
-	return f.call(http.MethodPost, "http://"+f.address(m.ip, 0)+path, "body", "Host", "a.example", "X-Request-Id", "id1",
+	return f.call(http.MethodPost, "http://"+f.address(m.ip, frontPort)+path, "body", "Host", "a.example", "X-Request-Id", "id1",
 		"X-Request-Deadline", "2000", "X-Key", "k1")
 }
 
+// waitReady waits until a machine's readiness probe succeeds.
 func (f *fleet) waitReady(m *machine) {
 	peertest.Eventually(f.t, m.ip+" is ready", func() bool {
-		code, _ := f.call(http.MethodGet, "http://"+f.address(m.ip, 1)+"/-/readiness", "")
+		code, _ := f.call(http.MethodGet, "http://"+f.address(m.ip, readyPort)+"/-/readiness", "")
 		return code == http.StatusOK
 	})
 }
 
-// sendHeartbeat is a call of the one server.
+// sendHeartbeat sends a heartbeat of server i1 to a machine and returns the status.
 func (f *fleet) sendHeartbeat(m *machine, address, state string, sequence int) int {
 	body := fmt.Sprintf(`{"Service":"s","Address":%q,"Zone":"zone-0","Slots":4,"State":%q,"Sequence":%d}`, address, state, sequence)
-	code, _ := f.call(http.MethodPost, "http://"+f.address(m.ip, 2)+"/-/instances/i1/heartbeat", body)
+	code, _ := f.call(http.MethodPost, "http://"+f.address(m.ip, controlPort)+"/-/instances/i1/heartbeat", body)
 	return code
 }
 
-// applicationServer is the one server of the service. It reports its state in heartbeats.
+// applicationServer is server i1, the only server of the service. It reports its state in heartbeats.
 type applicationServer struct {
 	f        *fleet
 	address  string
@@ -204,7 +220,7 @@
 	return &applicationServer{f: f, address: server.Listener.Addr().String()}
 }
 
-// sendHeartbeat sends the next heartbeat to a machine, and returns its status.
+// sendHeartbeat sends the next heartbeat to a machine and returns the status of the call.
 func (s *applicationServer) sendHeartbeat(m *machine, state string) int {
 	s.sequence++
 	return s.f.sendHeartbeat(m, s.address, state, s.sequence)
@@ -221,8 +237,8 @@
 
 const secondConfigurationUpdate = `{"Generation":7,"Upsert":{"Routes":[{"Name":"r2","Host":"a.example","PathPrefix":"/y/","RouteType":"safe","TimeoutMs":2000,"Service":"s"}]}}`
 
-// A fleet of processes forms a core, accepts a configuration and serves; the primary is killed and comes back; a drain
-// is known everywhere once it is acknowledged.
+// A fleet of processes forms a core, accepts a configuration and serves. The primary is killed and restarted, and an update
+// is accepted meanwhile. An acknowledged drain reaches all routers.
 func TestFleet(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	f.configureFirst()
@@ -235,16 +251,17 @@
 	f.checkStateCommand()
 }
 
-// configureFirst has the first configuration accepted, again where it is sent again, and others refused.
+// configureFirst checks that the first configuration is accepted, also when it is repeated, and that an update with a wrong
+// base version and an invalid one are rejected.
 func (f *fleet) configureFirst() {
 	f.t.Helper()
-	require.Equal(f.t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration))
-	require.Equal(f.t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration), "sent again")
-	require.Equal(f.t, http.StatusPreconditionFailed, f.order("/-/config/update", 1, `{"Generation":9}`))
-	require.Equal(f.t, http.StatusBadRequest, f.order("/-/config/update", 3, `{"Generation":`))
+	require.Equal(f.t, http.StatusOK, f.sendOrder("/-/config/replace", 0, firstConfiguration))
+	require.Equal(f.t, http.StatusOK, f.sendOrder("/-/config/replace", 0, firstConfiguration), "sent again")
+	require.Equal(f.t, http.StatusPreconditionFailed, f.sendOrder("/-/config/update", 1, `{"Generation":9}`))
+	require.Equal(f.t, http.StatusBadRequest, f.sendOrder("/-/config/update", 3, `{"Generation":`))
 }
 
-// waitServing waits until each machine answers requests of the first route by way of the server.
+// waitServing waits until each machine routes requests of the first route to the server.
 func (f *fleet) waitServing(server *applicationServer) {
 	f.t.Helper()
 	server.waitHeartbeat(f.machines[4], "ready", "a heartbeat is accepted")
@@ -258,16 +275,16 @@
 	}
 }
 
-// updateWithoutPrimary kills the primary, adds a route by way of the next one, and starts the killed machine again. Each machine has the route
-// in the end, and a read at one of them the newest configuration.
+// updateWithoutPrimary kills the primary, adds a route through the next primary, and restarts the killed machine. It waits
+// until each machine has the route, and a read at one of them returns the newest configuration.
 func (f *fleet) updateWithoutPrimary(server *applicationServer) {
 	f.t.Helper()
 	killed := f.primary()
 	require.NotNil(f.t, killed)
 	killed.process.KillAndWait()
-	require.Equal(f.t, http.StatusOK, f.order("/-/config/update", 3, secondConfigurationUpdate))
-	require.Equal(f.t, http.StatusOK, f.order("/-/config/replace", 0, firstConfiguration), "sent again to the next primary")
-	require.Equal(f.t, http.StatusOK, f.order("/-/config/update", 3, secondConfigurationUpdate), "sent again")
+	require.Equal(f.t, http.StatusOK, f.sendOrder("/-/config/update", 3, secondConfigurationUpdate))
+	require.Equal(f.t, http.StatusOK, f.sendOrder("/-/config/replace", 0, firstConfiguration), "sent again to the next primary")
+	require.Equal(f.t, http.StatusOK, f.sendOrder("/-/config/update", 3, secondConfigurationUpdate), "sent again")
 	killed.start()
 	for _, m := range f.machines {
 		peertest.Eventually(f.t, m.ip+" has the new route", func() bool {
@@ -277,13 +294,13 @@
 		})
 	}
 	peertest.Eventually(f.t, "the read is the newest", func() bool {
-		code, text := f.call(http.MethodGet, "http://"+f.address(f.machines[4].ip, 2)+"/-/config/read", "")
+		code, text := f.call(http.MethodGet, "http://"+f.address(f.machines[4].ip, controlPort)+"/-/config/read", "")
 		return code == http.StatusOK && strings.HasPrefix(text, `{"Generation":7,`)
 	})
 }
 
-// drain has the server announce its drain to one machine, and waits until all of them know. The server sends heartbeats all the time: without
-// them it would be unusable after a while even if its drain was lost.
+// drain sends the server's drain to one machine and waits until all machines have received it. The server keeps sending
+// heartbeats, because without them it would become unusable even if its drain was lost.
 func (f *fleet) drain(server *applicationServer) {
 	f.t.Helper()
 	server.waitHeartbeat(f.machines[3], "draining", "a drain is acknowledged")
@@ -295,15 +312,15 @@
 	}
 }
 
-// checkStatusCommand asks the first machine by the status command.
+// checkStatusCommand checks the output of the status command for the first machine.
 func (f *fleet) checkStatusCommand() {
 	f.t.Helper()
 	var out bytes.Buffer
-	require.Zero(f.t, run([]string{"petrelhook-router", "status", f.address(f.machines[0].ip, 2)}, &out, &out))
+	require.Zero(f.t, run([]string{"petrelhook-router", "status", f.address(f.machines[0].ip, controlPort)}, &out, &out))
 	require.Contains(f.t, out.String(), `"Generation": 7`)
 }
 
-// stop interrupts all machines, and waits until each has ended with success.
+// stop interrupts all machines and waits until each process has exited successfully.
 func (f *fleet) stop() {
 	f.t.Helper()
 	for _, m := range f.machines {
@@ -314,11 +331,11 @@
 	}
 }
 
-// checkStateCommand reads the disk of the first machine, which has been stopped, by the state command.
+// checkStateCommand checks the output of the state command for the disk of the first machine, which has been stopped.
 func (f *fleet) checkStateCommand() {
 	f.t.Helper()
 	var out bytes.Buffer
-	data := filepath.Join(filepath.Dir(f.machines[0].settings), "data")
+	data := filepath.Join(filepath.Dir(f.machines[0].settingsPath), "data")
 	require.Zero(f.t, run([]string{"petrelhook-router", "state", data}, &out, &out), out.String())
 	require.Contains(f.t, out.String(), `"Generation": 7`)
 }
@@ -328,10 +345,10 @@
 	require.NoError(t, os.WriteFile(bad, []byte("NodeName = \"a\"\nIp = \"no address\"\nZone = \"z\"\nInternalPortRange = [1, 2]\n"), 0o644))
 	broken := filepath.Join(t.TempDir(), "broken.toml")
 	require.NoError(t, os.WriteFile(broken, []byte("NodeName = \"a\"\nIp = \n"), 0o644))
-	for _, c := range []struct {
-		args []string
-		code int
-		says string
+	for _, test := range []struct {
+		args     []string
+		exitCode int
+		output   string
 	}{
 		{[]string{"version"}, 0, "petrelhook-router"},
 		{[]string{"check", bad}, exitFailure, "field Settings.Ip"},
@@ -344,8 +361,8 @@
 		{[]string{"check", "--what"}, exitUsage, "flag"},
 		{[]string{"--help"}, 0, "status"},
 	} {
-		var out bytes.Buffer
-		require.Equal(t, c.code, run(append([]string{"petrelhook-router"}, c.args...), &out, &out), c.args)
-		require.Contains(t, out.String(), c.says, c.args)
+		var printed bytes.Buffer
+		require.Equal(t, test.exitCode, run(append([]string{"petrelhook-router"}, test.args...), &printed, &printed), test.args)
+		require.Contains(t, printed.String(), test.output, test.args)
 	}
 }
--- a/cmd/petrelhook-router/main.go
+++ b/cmd/petrelhook-router/main.go
@@ -1,7 +1,7 @@
-// Command petrelhook-router is a router of the fleet, and the operators' commands for one: check a file, ask a running
-// router, look at a disk.
+// Command petrelhook-router runs a router of the fleet. Its other commands are for operators: they check a file, print the
+// status of a running router, readmit a server, and print the state on the disk of a stopped router.
 //
-// Results go to standard output, logs and errors to standard error.
+// Results are written to standard output, logs and errors to standard error.
 package main
 
 import (
@@ -15,8 +15,8 @@
 
 // Exit codes besides 0.
 const (
-	exitFailure = 1 // what was checked is not usable, or the router or the call failed
-	exitUsage   = 2
+	exitFailure = 1 // a checked file is invalid, or the router or a call failed
+	exitUsage   = 2 // the command line is invalid
 )
 
 func main() {
@@ -27,17 +27,17 @@
 func run(args []string, stdout, stderr io.Writer) int {
 	command := &cli.Command{
 		Name:           "petrelhook-router",
-		Usage:          "a router fleet for a language model",
+		Usage:          "a router in front of the servers of a language model",
 		Writer:         stdout,
 		ErrWriter:      stderr,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		OnUsageError:   func(_ context.Context, _ *cli.Command, err error, _ bool) error { return cli.Exit(err, exitUsage) },
 		Commands: []*cli.Command{
-			{Name: "router", Usage: "serve clients, servers and the operator, as the file named by PETRELHOOK_SETTINGS says", Action: serve},
+			{Name: "router", Usage: "serve clients, servers and operators with the settings file named by PETRELHOOK_SETTINGS", Action: serve},
 			{Name: "check", Usage: "check a settings file or a deploy file", ArgsUsage: "FILE", Action: check},
-			{Name: "state", Usage: "print what the disk of a stopped router holds", ArgsUsage: "FOLDER", Action: state},
-			{Name: "status", Usage: "ask a router who it is, who leads, and what is in force there", ArgsUsage: "CONTROL-ADDRESS", Action: status},
-			{Name: "admit", Usage: "have requests go to a server for some time, even if it would be ejected", ArgsUsage: "CONTROL-ADDRESS SERVER",
+			{Name: "state", Usage: "print the state on the disk of a stopped router", ArgsUsage: "FOLDER", Action: state},
+			{Name: "status", Usage: "print the status of a running router", ArgsUsage: "CONTROL-ADDRESS", Action: status},
+			{Name: "admit", Usage: "send requests to a server for some time even if it would be ejected", ArgsUsage: "CONTROL-ADDRESS SERVER",
 				Flags: []cli.Flag{&cli.DurationFlag{Name: "for", Value: defaultAdmission, Usage: "how long"}}, Action: admit},
 			{Name: "version", Usage: "print the version", Action: version},
 		},
--- a/cmd/petrelhook-router/recovery_test.go
+++ b/cmd/petrelhook-router/recovery_test.go
@@ -22,16 +22,16 @@
 const streamConfiguration = `{"Generation":3,"Routes":[{"Name":"r1","Host":"a.example","PathPrefix":"/x/","RouteType":"safe","TimeoutMs":2000,"Service":"s","MaxAttempts":2},
 {"Name":"r2","Host":"a.example","PathPrefix":"/stream/","RouteType":"streaming","TimeoutMs":60000,"Service":"s"}],"Services":[{"Name":"s","MaxConnections":50}]}`
 
-// engine is a model server whose streams send one event at once and another when the test allows it.
+// engine is a model server whose streams send one event at once and a second one when the test closes proceed.
 type engine struct {
 	*httptest.Server
-	streaming, proceed chan struct{} // closed when the first stream begins, and by the test
+	streaming, proceed chan struct{} // closed when the first stream has begun, and by the test
 }
 
 func newEngine(t *testing.T) *engine {
 	t.Helper()
 	e := &engine{streaming: make(chan struct{}), proceed: make(chan struct{})}
-	first := sync.OnceFunc(func() { close(e.streaming) })
+	signalFirst := sync.OnceFunc(func() { close(e.streaming) })
 	e.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		if !strings.HasPrefix(r.URL.Path, "/stream/") {
@@ -41,7 +41,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, "id: 1\ndata: a\n\n")
 		http.NewResponseController(w).Flush()
-		first()
+		signalFirst()
 		<-e.proceed
 		io.WriteString(w, "id: 2\ndata: b\n\n")
 	}))
@@ -49,12 +49,12 @@
 	return e
 }
 
-// serving is a fleet with a configuration and one server, which every machine serves from.
-func serving(t *testing.T, disks, others int) (*fleet, *engine) {
+// newServingFleet starts a fleet with a configuration and one server, and waits until every machine routes to the server.
+func newServingFleet(t *testing.T, coreMembers, others int) (*fleet, *engine) {
 	t.Helper()
-	f := newFleet(t, disks, others)
+	f := newFleet(t, coreMembers, others)
 	e := newEngine(t)
-	require.Equal(t, http.StatusOK, f.order("/-/config/replace", 0, streamConfiguration))
+	require.Equal(t, http.StatusOK, f.sendOrder("/-/config/replace", 0, streamConfiguration))
 	sequence := 0
 	for _, m := range f.machines {
 		peertest.Eventually(t, m.ip+" serves", func() bool {
@@ -67,21 +67,21 @@
 	return f, e
 }
 
-// startAgain starts a machine after its first start: nothing is bootstrapped any more.
-func (m *machine) startAgain() {
-	text, err := os.ReadFile(m.settings)
+// restartAfterBootstrap starts a machine again with Bootstrap set to false, as the core exists since its first start.
+func (m *machine) restartAfterBootstrap() {
+	text, err := os.ReadFile(m.settingsPath)
 	require.NoError(m.t, err)
-	require.NoError(m.t, os.WriteFile(m.settings, []byte(strings.Replace(string(text), "Bootstrap = true", "Bootstrap = false", 1)), 0o644))
+	require.NoError(m.t, os.WriteFile(m.settingsPath, []byte(strings.Replace(string(text), "Bootstrap = true", "Bootstrap = false", 1)), 0o644))
 	m.start()
 }
 
-// All processes are killed at once and start again, one core member without its disk: each serves with the
-// configuration and the servers that the disks have, although no server sends heartbeats.
+// All processes are killed at once and restarted, one core member without its disk. Each serves with the configuration and
+// the servers stored on the other disks, although no server sends heartbeats.
 func TestAllAreKilledAndOneDiskIsLost(t *testing.T) {
-	f, _ := serving(t, 3, 2)
+	f, _ := newServingFleet(t, 3, 2)
 	peertest.Eventually(t, "the servers are on the disks", func() bool {
 		for _, m := range f.machines[:3] {
-			if _, err := os.Stat(filepath.Join(filepath.Dir(m.settings), "data", "servers.cache")); err != nil {
+			if _, err := os.Stat(filepath.Join(filepath.Dir(m.settingsPath), "data", "servers.cache")); err != nil {
 				return false
 			}
 		}
@@ -90,9 +90,9 @@
 	for _, m := range f.machines {
 		m.process.KillAndWait()
 	}
-	require.NoError(t, os.RemoveAll(filepath.Join(filepath.Dir(f.machines[1].settings), "data")))
+	require.NoError(t, os.RemoveAll(filepath.Join(filepath.Dir(f.machines[1].settingsPath), "data")))
 	for _, m := range f.machines {
-		m.startAgain()
+		m.restartAfterBootstrap()
 	}
 	for _, m := range f.machines {
 		f.waitReady(m)
@@ -103,18 +103,18 @@
 		p := f.primary()
 		return p != nil && len(f.status(p).View.InSync) == 3
 	})
-	code, text := f.call(http.MethodGet, "http://"+f.address(f.machines[4].ip, 2)+"/-/config/read", "")
+	code, text := f.call(http.MethodGet, "http://"+f.address(f.machines[4].ip, controlPort)+"/-/config/read", "")
 	require.Equal(t, http.StatusOK, code, text)
 	require.Contains(t, text, `"Generation":3`)
 }
 
-// A router gets SIGTERM while a stream is in progress: the stream is completed, an idle connection is closed before,
-// and a request that may take longer than the router has is rejected.
+// A router receives SIGTERM while a stream is in progress. It completes the stream, closes an idle connection before that,
+// and rejects a request that may outlast its grace period.
 func TestAnEndWhileAStreamIsOnItsWay(t *testing.T) {
-	f, e := serving(t, 3, 0)
+	f, e := newServingFleet(t, 3, 0)
 	m := f.machines[2]
 	dial := func(path string, deadline int) (net.Conn, *bufio.Reader) {
-		c, err := net.Dial("tcp", f.address(m.ip, 0))
+		c, err := net.Dial("tcp", f.address(m.ip, frontPort))
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: id\r\nX-Request-Deadline: %d\r\nContent-Length: 0\r\n\r\n", path, deadline)
@@ -122,11 +122,11 @@
 		return c, bufio.NewReader(c)
 	}
 	read := func(in *bufio.Reader) (*http.Response, string) {
-		answer, err := http.ReadResponse(in, nil)
+		response, err := http.ReadResponse(in, nil)
 		require.NoError(t, err)
-		body, err := io.ReadAll(answer.Body)
+		body, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
-		return answer, string(body)
+		return response, string(body)
 	}
 	_, idle := dial("/x/1", 1000)
 	_, text := read(idle)
@@ -135,20 +135,20 @@
 	<-e.streaming
 
 	require.NoError(t, m.process.Signal(syscall.SIGTERM))
-	peertest.Eventually(t, "what may outlast the end is refused", func() bool {
+	peertest.Eventually(t, "a request that may outlast the shutdown is rejected", func() bool {
 		c, in := dial("/stream/2", 60000)
 		defer c.Close()
-		answer, err := http.ReadResponse(in, nil)
-		if err != nil || answer.StatusCode != http.StatusServiceUnavailable {
+		response, err := http.ReadResponse(in, nil)
+		if err != nil || response.StatusCode != http.StatusServiceUnavailable {
 			return false
 		}
-		reason, _ := io.ReadAll(answer.Body)
-		return answer.Close && strings.Contains(string(reason), "ends before the answer may")
+		reason, _ := io.ReadAll(response.Body)
+		return response.Close && strings.Contains(string(reason), "ends before the answer may")
 	})
 	_, in := dial("/x/1", 1000)
-	answer, text := read(in)
-	require.Equal(t, "answer", text, "it ends in time")
-	require.True(t, answer.Close)
+	response, text := read(in)
+	require.Equal(t, "answer", text, "this request ends in time")
+	require.True(t, response.Close)
 	_, err := idle.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	close(e.proceed)
