--- a/internal/router/node/applied.go
+++ b/internal/router/node/applied.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// applyConfig passes the newest configuration, which has the given version, to the gateway and sets its limits.
 func (n *Node) applyConfig(version uint64) {
 	n.applied.configVersion = version
 	config := n.subscription.versions.Config()
--- a/internal/router/node/core.go
+++ b/internal/router/node/core.go
@@ -121,6 +121,7 @@
 	n.updateQuotaTerm()
 }
 
+// adoptView replaces the view, resends the pending drains to its members, and pushes it to the subscribers.
 func (n *Node) adoptView(v replication.View) {
 	first := n.control.view.Epoch.Round == 0
 	n.control.view = v
--- a/internal/router/node/disk_writer.go
+++ b/internal/router/node/disk_writer.go
@@ -27,6 +27,7 @@
 	closed bool
 }
 
+// newDiskWriter returns a writer and starts its goroutine, which calls saved once for each save.
 func newDiskWriter(disk saver, saved func(uint64, error)) *diskWriter {
 	w := &diskWriter{disk: disk, saved: saved}
 	w.wake = sync.NewCond(&w.mutex)
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -81,7 +81,7 @@
 	timers       timers
 }
 
-// New returns a router that has not yet opened its disk or sockets and runs no goroutine of its own; Run does both.
+// New returns a router that has opened neither its disk nor its sockets; Run opens both.
 func New(s *settings.Settings, logger *log.Logger) *Node {
 	incarnation := rand.Uint64() | 1
 	n := &Node{settings: s, logger: logger, start: time.Now(), seeds: s.SeedAddresses(), registry: registry.New(), fleetSize: 1,
--- a/internal/router/node/outliers_test.go
+++ b/internal/router/node/outliers_test.go
@@ -15,7 +15,7 @@
 
 // A core member ejects a server on the combined evidence of its subscribers' reports and the sums of other core members.
 // It renews the ejection at its subscribers until the server is deregistered.
-func TestACoreMemberJudges(t *testing.T) {
+func TestACoreMemberEjectsServers(t *testing.T) {
 	n := newNode(t, "")
 	n.self.Member = &selfMember
 	peer := member("10.0.2.1:7000", "z2")
@@ -52,7 +52,7 @@
 
 // An operator can readmit a server at any core member. Invalid calls are rejected with a fitting status, and a core member
 // accepts readmissions from other core members only.
-func TestAnOperatorAdmitsAServer(t *testing.T) {
+func TestAnOperatorReadmitsAServer(t *testing.T) {
 	n := newNode(t, "")
 	post := func(path string) int {
 		w := httptest.NewRecorder()
--- a/internal/router/node/pool.go
+++ b/internal/router/node/pool.go
@@ -145,6 +145,7 @@
 	return poolAcquisition(acquired.Granted, units, acquired.Wait)
 }
 
+// poolAcquisition returns the result of a request for units from a pool, which grants all of them or none.
 func poolAcquisition(granted bool, units float64, wait time.Duration) gateway.Acquisition {
 	if !granted {
 		units = 0
--- a/internal/router/node/pool_test.go
+++ b/internal/router/node/pool_test.go
@@ -82,7 +82,7 @@
 
 // A host stops requesting deposits from a router that offered one and does not answer. A router that is not a core member
 // ignores offers.
-func TestOffersAreForgotten(t *testing.T) {
+func TestPoolOffersExpire(t *testing.T) {
 	n := newNodeWithoutPrimary(t)
 	n.receivePoolOffer("10.0.1.2:7000", n.now())
 	require.Equal(t, 1, n.quotas.pool.Offers())
--- a/internal/router/node/shutdown.go
+++ b/internal/router/node/shutdown.go
@@ -51,6 +51,7 @@
 	forceCloseAt time.Time // all remaining connections are closed
 }
 
+// newShutdownSchedule returns the schedule of a shutdown that begins at a time and has a grace period.
 func newShutdownSchedule(began time.Time, grace time.Duration) shutdownSchedule {
 	graceFraction := func(fraction float64) time.Duration { return time.Duration(fraction * float64(grace)) }
 	untilForceClose := max(graceFraction(minOpenFraction), grace-exitMargin)
