--- a/internal/router/backend/doc.go
+++ b/internal/router/backend/doc.go
@@ -1,9 +1,7 @@
-// Package backend sends requests to one server over HTTP/1.1 and reports of each whether it may have run.
+// Package backend sends requests to one server over HTTP/1.1 and reports for each whether it may have run.
 //
-// It does not choose the server, and it sends nothing twice. It uses no connection on which anything came that answers
-// no request. What Go's own client does by itself (to repeat a request on a new connection) is why that is not used
-// here.
+// It does not choose the server, and it never retries a request. It does not reuse a connection on which bytes arrived that
+// belong to no request. It does not use net/http.Client, whose transport may repeat a request on a new connection by itself.
 //
-// A Pool may be used from any goroutine. A Response belongs to one: the goroutine that called Do, which has to close
-// it.
+// A Pool may be used from any goroutine. A Response may be used only by the goroutine that called Do, which must close it.
 package backend
--- a/internal/router/backend/exchange.go
+++ b/internal/router/backend/exchange.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is what is sent to a server. It is not changed, and may be sent again by another Do.
+// Request is a request to a server. Do does not modify it, so that it may be passed to Do again.
 type Request struct {
 	ID     string // X-Request-Id
 	Method string
@@ -21,148 +21,151 @@
 	Body   []byte
 }
 
-// Response is the head of an answer, and its body as it comes. It belongs to the goroutine that called Do, which has to
+// Response is the head of a server's response, and a reader of its body. Only the goroutine that called Do may use it, and must
 // close it.
 type Response struct {
 	Status   int
 	Header   http.Header
-	DialTime time.Duration // how long it took to make the connection; 0 where there was one
+	DialTime time.Duration // time taken to open the connection; 0 for a reused one
 	body     io.ReadCloser
 
 	pool     *Pool
 	conn     *conn       // nil: the response is closed
-	detach   func() bool // from the context
-	reusable bool        // the connection, once the body is complete
-	complete bool        // the body was read to its end
+	detach   func() bool // ends the connection's dependence on the context; false: the context has ended already
+	reusable bool        // whether the connection may be reused once the body has been read completely
+	complete bool        // the body has been read to its end
 }
 
-const maxLateAnswers = 2 // to earlier requests, that are passed over
+const maxStaleResponses = 2 // responses to earlier requests that are skipped before an exchange fails
 
-// longRequestBytes is the size from which an answer is read while the request is still being written: a server may
-// answer before it has read a long one.
-const longRequestBytes = 16 << 10
+// largeRequestBytes is the size from which the response is read concurrently with writing the request, because a server may
+// respond before it has read a large request completely.
+const largeRequestBytes = 16 << 10
 
-// longAgo is a deadline that ends all reads and writes of a connection.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that makes all reads and writes of a connection fail at once.
+var pastDeadline = time.Unix(1, 0)
 
-// Do sends a request and reads the head of its answer. Until the answer is closed the exchange depends on the context:
-// when that ends, the connection does. An error is ErrNoConnection, ErrBroken, or ErrNotSent, which may be marked as
-// ErrBroken too.
+// Do sends a request and reads the head of the response. Until the response is closed, the exchange depends on the context: when
+// the context ends, reads and writes fail and the connection is not reused. Every error is ErrNoConnection, ErrNotSent or
+// ErrBroken. An error that is both ErrNotSent and ErrBroken means that the request was not sent.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
-	began := time.Now()
+	start := time.Now()
 	c, err := p.get(ctx)
 	if err != nil {
 		return nil, err
 	}
-	dialTime := time.Since(began)
+	dialTime := time.Since(start)
 	if c.exchanges > 0 {
 		dialTime = 0
 	}
-	detach := context.AfterFunc(ctx, func() { _ = c.SetDeadline(longAgo) }) // it fails for a closed connection, which has ended already
+	// SetDeadline fails only for a connection that is closed already.
+	detach := context.AfterFunc(ctx, func() { _ = c.SetDeadline(pastDeadline) })
 	fail := func(err error) error {
 		detach()
-		p.drop(c)
+		p.discard(c)
 		return errors.Mark(err, ErrBroken)
 	}
 	if ctx.Err() != nil {
 		return nil, errors.Mark(fail(ctx.Err()), ErrNotSent)
 	}
-	answer, written, err := exchange(c, r)
+	response, written, err := exchange(c, r)
 	if err != nil {
-		if c.exchanges > 0 && ctx.Err() == nil && !errors.IsAny(err, errOtherRequest, ErrNotSent) {
+		if c.exchanges > 0 && ctx.Err() == nil && !errors.IsAny(err, errOtherResponse, ErrNotSent) {
 			p.shortenMaxIdle(c)
 		}
 		return nil, fail(err)
 	}
-	answer.DialTime, answer.pool, answer.conn, answer.detach = dialTime, p, c, detach
-	answer.reusable = answer.reusable && written
-	return answer, nil
+	response.DialTime, response.pool, response.conn, response.detach = dialTime, p, c, detach
+	response.reusable = response.reusable && written
+	return response, nil
 }
 
-// exchange writes a request and reads the head of its answer. It reports whether the complete request was written: on a
-// connection where the rest of it is missing, the server would take the next request for that.
-func exchange(c *conn, r *Request) (answer *Response, written bool, err error) {
-	request := encode(r)
-	if len(request) >= longRequestBytes {
-		return exchangeLong(c, r, request)
+// exchange writes a request and reads the head of the response. It reports whether the complete request was written. If it was
+// not, the connection must not be reused, because the server would take the next request for the rest of this one.
+func exchange(c *conn, r *Request) (response *Response, written bool, err error) {
+	request := encodeRequest(r)
+	if len(request) >= largeRequestBytes {
+		return exchangeLarge(c, r, request)
 	}
 	if n, err := c.Write(request); err != nil {
-		if n == 0 { // the server had closed the connection before
+		if n == 0 { // the server had already closed the connection
 			err = errors.Mark(err, ErrNotSent)
 		}
 		return nil, false, err
 	}
-	answer, err = readAnswer(c, r)
-	return answer, true, err
+	response, err = readResponse(c, r)
+	return response, true, err
 }
 
-// exchangeLong reads the answer while it writes the request, and writes no more once the answer is there.
-func exchangeLong(c *conn, r *Request, request []byte) (answer *Response, written bool, err error) {
-	read := make(chan error, 1)
+// exchangeLarge reads the response while it writes the request, and stops writing once the head of the response has been read.
+func exchangeLarge(c *conn, r *Request, request []byte) (response *Response, written bool, err error) {
+	readDone := make(chan error, 1)
 	go func() {
 		var err error
-		answer, err = readAnswer(c, r)
-		_ = c.SetWriteDeadline(longAgo) // it fails for a closed connection, where the write ends by itself
-		read <- err
+		response, err = readResponse(c, r)
+		_ = c.SetWriteDeadline(pastDeadline) // fails only for a closed connection, on which the write fails anyway
+		readDone <- err
 	}()
-	n, _ := c.Write(request) // where it fails the answer tells, or its error
-	err = <-read             // it ends with the connection or the context, at the latest
+	n, _ := c.Write(request) // a write error does not matter if there is a response; if there is none, reading fails too
+	err = <-readDone         // at the latest when the connection or the context ends
 	if err != nil && n == 0 {
 		err = errors.Mark(err, ErrNotSent)
 	}
-	return answer, n == len(request), err
+	return response, n == len(request), err
 }
 
-// errOtherRequest is that what came does not answer this request, or does not say which one it answers.
-var errOtherRequest = errors.New("no answer to this request")
+// errOtherResponse is the error of an exchange that got only responses to other requests, or one that does not identify its
+// request.
+var errOtherResponse = errors.New("no response to this request")
 
-// readAnswer reads the head of the answer to a request; late answers to earlier ones are passed over.
-func readAnswer(c *conn, r *Request) (*Response, error) {
-	for range maxLateAnswers + 1 {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method}) //nolint:bodyclose // Close would read the body to its end; Response.Close keeps or closes the connection instead
+// readResponse reads the head of the response to a request. It skips interim (1xx) responses and late responses to earlier
+// requests, maxStaleResponses of them together.
+func readResponse(c *conn, r *Request) (*Response, error) {
+	for range maxStaleResponses + 1 {
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method}) //nolint:bodyclose // Close would read the body to its end; Response.Close keeps or closes the connection instead
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode < http.StatusOK {
+		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		id := answer.Header.Get("X-Request-Id")
+		id := response.Header.Get("X-Request-Id")
 		switch {
 		case id == r.ID:
-			return newResponse(answer), nil
+			return newResponse(response), nil
 		case id != "":
-			_, _ = io.Copy(io.Discard, answer.Body) // nobody waits for it any more; the next read has its error, too
-		case c.exchanges > 0 || claimsNotExecuted(answer):
-			// On a used connection it may be the answer to an earlier request; and one that does not name its request promises
-			// nothing.
-			return nil, errors.Wrap(errOtherRequest, "an answer without an id")
+			_, _ = io.Copy(io.Discard, response.Body) // no caller waits for it any more; a read error recurs at the next read
+		case c.exchanges > 0 || claimsNotExecuted(response):
+			// On a reused connection it may be the response to an earlier request. On a new one, a response that does not
+			// identify its request cannot guarantee that the request has not run.
+			return nil, errors.Wrap(errOtherResponse, "a response without X-Request-Id")
 		default:
-			return newResponse(answer), nil
+			return newResponse(response), nil
 		}
 	}
-	return nil, errors.Wrap(errOtherRequest, "only answers to other requests came")
+	return nil, errors.Wrap(errOtherResponse, "only responses to other requests")
 }
 
-func newResponse(answer *http.Response) *Response {
+func newResponse(response *http.Response) *Response {
 	return &Response{
-		Status:   answer.StatusCode,
-		Header:   answer.Header,
-		body:     answer.Body,
-		reusable: !answer.Close && answer.ProtoAtLeast(1, 1),
+		Status:   response.StatusCode,
+		Header:   response.Header,
+		body:     response.Body,
+		reusable: !response.Close && response.ProtoAtLeast(1, 1),
 	}
 }
 
-// claimsNotExecuted reports whether an answer says that its request was not run.
-func claimsNotExecuted(answer *http.Response) bool {
-	switch answer.StatusCode {
+// claimsNotExecuted reports whether a response states or suggests that its request has not run.
+func claimsNotExecuted(response *http.Response) bool {
+	switch response.StatusCode {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
 	}
-	return answer.Header.Get("X-Not-Executed") != ""
+	return response.Header.Get("X-Not-Executed") != ""
 }
 
-// Read implements io.Reader for the body. The error is io.EOF only at the body's true end; an answer that was cut off
-// has another one.
+// Read implements io.Reader for the body. It returns io.EOF only at the end of a complete body, and another error for a truncated
+// one.
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if err == io.EOF {
@@ -171,8 +174,8 @@
 	return n, err
 }
 
-// Close ends the exchange: the connection is kept where the body was read to its end, else closed. It may be called
-// again.
+// Close ends the exchange. The connection becomes idle if the body was read to its end and the connection may be reused;
+// otherwise it is closed. Close may be called more than once.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
@@ -180,24 +183,25 @@
 	c := r.conn
 	r.conn = nil
 	if !r.detach() || !r.complete || !r.reusable {
-		r.pool.drop(c)
+		r.pool.discard(c)
 		return
 	}
 	r.pool.put(c, parseKeepAlive(r.Header.Get("Keep-Alive")))
 }
 
-// encode is a request as it is written. Its header fields are valid as they come from a parsed request.
-func encode(r *Request) []byte {
-	const maxUsualHead = 512
+// encodeRequest returns the bytes of a request. It does not validate the header fields, which come from a request that net/http
+// has parsed.
+func encodeRequest(r *Request) []byte {
+	const typicalHeadBytes = 512
 	var b bytes.Buffer
-	b.Grow(maxUsualHead + len(r.Body))
+	b.Grow(typicalHeadBytes + len(r.Body))
 	b.WriteString(r.Method)
 	b.WriteByte(' ')
 	b.WriteString(r.Target)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
-	_ = r.Header.Write(&b) // a buffer returns no error
+	_ = r.Header.Write(&b) // bytes.Buffer returns no error
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
--- a/internal/router/backend/exchange_model_test.go
+++ b/internal/router/backend/exchange_model_test.go
@@ -13,25 +13,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// outcome is what a caller learns of an exchange.
+// outcome is the result of an exchange as its caller sees it.
 type outcome string
 
 const (
-	complete outcome = "complete" // a complete answer to this request
-	notRun   outcome = "not run"  // the server says that it has not run the request
-	broken   outcome = "broken"   // it may have run
+	complete outcome = "complete" // a complete response to this request
+	rejected outcome = "rejected" // the server reports that it has not run the request
+	broken   outcome = "broken"   // the request may have run
 )
 
-// behaviour is what a server does with one request: what it writes, and whether and how it closes.
+// behaviour describes how a server handles one request: what it writes, and whether and how it closes the connection.
 type behaviour struct {
 	name     string
 	write    func(id string) string
 	end      connectionEnd
-	onNew    outcome // what the caller learns, on a connection that nothing was sent on before
-	onUsed   outcome // and on one that an exchange has ended on
-	reusable bool    // whether the connection may be used again
+	onNew    outcome // expected outcome on a new connection
+	onReused outcome // expected outcome on a reused connection
+	reusable bool    // whether the connection may be reused afterwards
 }
 
+// connectionEnd is what a server does with the connection after it has written.
 type connectionEnd int
 
 const (
@@ -40,68 +41,72 @@
 	resets
 )
 
-func answerHead(status, id, more string) string {
-	text := "HTTP/1.1 " + status + "\r\n"
+// responseHead returns a status line and a header with an X-Request-Id, unless id is empty, and extra header lines.
+func responseHead(status, id, extraHeaders string) string {
+	head := "HTTP/1.1 " + status + "\r\n"
 	if id != "" {
-		text += "X-Request-Id: " + id + "\r\n"
+		head += "X-Request-Id: " + id + "\r\n"
 	}
-	return text + more + "\r\n"
+	return head + extraHeaders + "\r\n"
 }
 
-func answerWithLength(status, id, more, body string) string {
-	return answerHead(status, id, more+fmt.Sprintf("Content-Length: %d\r\n", len(body))) + body
+// responseWithLength returns a response with a Content-Length.
+func responseWithLength(status, id, extraHeaders, body string) string {
+	return responseHead(status, id, extraHeaders+fmt.Sprintf("Content-Length: %d\r\n", len(body))) + body
 }
 
 const notExecuted = "X-Not-Executed: 1\r\n"
 
+// behaviours returns the behaviours that the tests combine. A response with the body "mine" belongs to the request, one with the
+// body "other" to another request.
 func behaviours() []behaviour {
-	text := func(s string) func(string) string { return func(string) string { return s } }
-	mine := func(status, more string) func(string) string {
-		return func(id string) string { return answerWithLength(status, id, more, "mine") }
+	fixed := func(s string) func(string) string { return func(string) string { return s } }
+	ownResponse := func(status, extraHeaders string) func(string) string {
+		return func(id string) string { return responseWithLength(status, id, extraHeaders, "mine") }
 	}
 	return []behaviour{
-		{"answers", mine("200 OK", ""), staysOpen, complete, complete, true},
-		{"answers and closes", mine("200 OK", ""), closes, complete, complete, false},
-		{"says that it closes", mine("200 OK", "Connection: close\r\n"), staysOpen, complete, complete, false},
-		{"answers in chunks", func(id string) string {
-			return answerHead("200 OK", id, "Transfer-Encoding: chunked\r\n") + "4\r\nmine\r\n0\r\n\r\n"
+		{"complete response", ownResponse("200 OK", ""), staysOpen, complete, complete, true},
+		{"complete response and close", ownResponse("200 OK", ""), closes, complete, complete, false},
+		{"Connection: close", ownResponse("200 OK", "Connection: close\r\n"), staysOpen, complete, complete, false},
+		{"chunked response", func(id string) string {
+			return responseHead("200 OK", id, "Transfer-Encoding: chunked\r\n") + "4\r\nmine\r\n0\r\n\r\n"
 		}, staysOpen, complete, complete, true},
-		{"answers without a length", func(id string) string { return answerHead("200 OK", id, "") + "mine" }, closes, complete, complete, false},
-		{"is reset after an answer without a length", func(id string) string { return answerHead("200 OK", id, "") + "mi" }, resets, broken, broken, false},
-		{"cuts the body", func(id string) string { return answerHead("200 OK", id, "Content-Length: 4\r\n") + "mi" }, closes, broken, broken, false},
-		{"cuts a chunk", func(id string) string {
-			return answerHead("200 OK", id, "Transfer-Encoding: chunked\r\n") + "4\r\nmi"
+		{"response without a length", func(id string) string { return responseHead("200 OK", id, "") + "mine" }, closes, complete, complete, false},
+		{"reset after a response without a length", func(id string) string { return responseHead("200 OK", id, "") + "mi" }, resets, broken, broken, false},
+		{"truncated body", func(id string) string { return responseHead("200 OK", id, "Content-Length: 4\r\n") + "mi" }, closes, broken, broken, false},
+		{"truncated chunk", func(id string) string {
+			return responseHead("200 OK", id, "Transfer-Encoding: chunked\r\n") + "4\r\nmi"
 		}, closes, broken, broken, false},
-		{"ends chunks without the last", func(id string) string {
-			return answerHead("200 OK", id, "Transfer-Encoding: chunked\r\n") + "4\r\nmine\r\n"
+		{"chunks without the last one", func(id string) string {
+			return responseHead("200 OK", id, "Transfer-Encoding: chunked\r\n") + "4\r\nmine\r\n"
 		}, closes, broken, broken, false},
-		{"cuts the head", text("HTTP/1.1 200 OK\r\nX-Requ"), closes, broken, broken, false},
-		{"closes", text(""), closes, broken, broken, false},
-		{"is reset", text(""), resets, broken, broken, false},
-		{"writes what is no answer", text("nonsense\r\n\r\n"), staysOpen, broken, broken, false},
-		{"fails", mine("500 Internal Server Error", ""), staysOpen, complete, complete, true},
-		{"says that it has not run it", mine("503 Service Unavailable", notExecuted), staysOpen, notRun, notRun, true},
-		{"says that it is another", mine("421 Misdirected Request", ""), staysOpen, notRun, notRun, true},
-		{"promises without an id", text(answerWithLength("503 Service Unavailable", "", notExecuted, "mine")), staysOpen, broken, broken, false},
-		{"says that it is another without an id", text(answerWithLength("421 Misdirected Request", "", "", "mine")), staysOpen, broken, broken, false},
-		{"answers without an id", text(answerWithLength("200 OK", "", "", "mine")), staysOpen, complete, broken, true},
-		{"fails without an id", text(answerWithLength("500 Internal Server Error", "", "", "mine")), staysOpen, complete, broken, true},
-		{"answers another first", func(id string) string {
-			return answerWithLength("200 OK", "another", "", "other") + answerWithLength("200 OK", id, "", "mine")
+		{"truncated head", fixed("HTTP/1.1 200 OK\r\nX-Requ"), closes, broken, broken, false},
+		{"close", fixed(""), closes, broken, broken, false},
+		{"reset", fixed(""), resets, broken, broken, false},
+		{"not HTTP", fixed("nonsense\r\n\r\n"), staysOpen, broken, broken, false},
+		{"500", ownResponse("500 Internal Server Error", ""), staysOpen, complete, complete, true},
+		{"not executed", ownResponse("503 Service Unavailable", notExecuted), staysOpen, rejected, rejected, true},
+		{"misdirected", ownResponse("421 Misdirected Request", ""), staysOpen, rejected, rejected, true},
+		{"not executed without an id", fixed(responseWithLength("503 Service Unavailable", "", notExecuted, "mine")), staysOpen, broken, broken, false},
+		{"misdirected without an id", fixed(responseWithLength("421 Misdirected Request", "", "", "mine")), staysOpen, broken, broken, false},
+		{"complete response without an id", fixed(responseWithLength("200 OK", "", "", "mine")), staysOpen, complete, broken, true},
+		{"500 without an id", fixed(responseWithLength("500 Internal Server Error", "", "", "mine")), staysOpen, complete, broken, true},
+		{"response to another request first", func(id string) string {
+			return responseWithLength("200 OK", "another", "", "other") + responseWithLength("200 OK", id, "", "mine")
 		}, staysOpen, complete, complete, true},
-		{"promises another first", func(id string) string {
-			return answerWithLength("503 Service Unavailable", "another", notExecuted, "other") + answerWithLength("200 OK", id, "", "mine")
+		{"not executed for another request first", func(id string) string {
+			return responseWithLength("503 Service Unavailable", "another", notExecuted, "other") + responseWithLength("200 OK", id, "", "mine")
 		}, staysOpen, complete, complete, true},
-		{"answers an earlier attempt alone", text(answerWithLength("200 OK", "0", "", "other")), closes, broken, broken, false},
-		{"says to go on first", func(id string) string {
-			return "HTTP/1.1 100 Continue\r\n\r\n" + answerWithLength("200 OK", id, "", "mine")
+		{"only a response to an earlier request", fixed(responseWithLength("200 OK", "0", "", "other")), closes, broken, broken, false},
+		{"100 Continue first", func(id string) string {
+			return "HTTP/1.1 100 Continue\r\n\r\n" + responseWithLength("200 OK", id, "", "mine")
 		}, staysOpen, complete, complete, true},
-		{"answers twice", func(id string) string { return strings.Repeat(answerWithLength("200 OK", id, "", "mine"), 2) }, staysOpen, complete, complete, false},
-		{"answers and goes on writing", func(id string) string { return answerWithLength("200 OK", id, "", "mine") + "rest" }, staysOpen, complete, complete, false},
+		{"two responses", func(id string) string { return strings.Repeat(responseWithLength("200 OK", id, "", "mine"), 2) }, staysOpen, complete, complete, false},
+		{"bytes after the response", func(id string) string { return responseWithLength("200 OK", id, "", "mine") + "rest" }, staysOpen, complete, complete, false},
 	}
 }
 
-// respond is a server's side of one exchange; it returns the connection, or nil where it ended.
+// respond carries out the server's side of one exchange. It returns the connection, or nil if it has closed it.
 func (b *behaviour) respond(c net.Conn, id string) net.Conn {
 	io.WriteString(c, b.write(id))
 	switch b.end {
@@ -116,28 +121,28 @@
 	return c
 }
 
-// outcomeOf is the outcome that a caller sees in a result.
+// outcomeOf returns the outcome that a result shows to the caller of Do.
 func outcomeOf(t *testing.T, r result) outcome {
 	t.Helper()
 	if r.err != nil {
 		require.True(t, errors.Is(r.err, ErrBroken), "%v", r.err)
-		require.False(t, errors.Is(r.err, ErrNotSent), "the server had it")
+		require.False(t, errors.Is(r.err, ErrNotSent), "the server has received the request")
 		return broken
 	}
-	defer r.answer.Close()
-	body, err := io.ReadAll(r.answer)
+	defer r.response.Close()
+	body, err := io.ReadAll(r.response)
 	if err != nil {
 		return broken
 	}
-	require.Equal(t, "mine", string(body), "another's answer")
-	if r.answer.Header.Get("X-Not-Executed") != "" || r.answer.Status == http.StatusMisdirectedRequest {
-		return notRun
+	require.Equal(t, "mine", string(body), "the response belongs to another request")
+	if r.response.Header.Get("X-Not-Executed") != "" || r.response.Status == http.StatusMisdirectedRequest {
+		return rejected
 	}
 	return complete
 }
 
-// Every two behaviours of a server, one after the other: the second exchange has the outcome of its own behaviour, on
-// the first's connection where that may be used again, and otherwise on a new one.
+// For every two behaviours in succession, the second exchange has the outcome of its own behaviour. It takes place on the first
+// one's connection if that may be reused, and otherwise on a new one.
 func TestEveryTwoExchanges(t *testing.T) {
 	for _, first := range behaviours() {
 		for _, second := range behaviours() {
@@ -151,23 +156,24 @@
 				}
 				expected := second.onNew
 				if reused {
-					expected = second.onUsed
+					expected = second.onReused
 				}
 				_, got = s.exchange(c, &second, "2")
 				require.Equal(t, expected, got)
-				require.Equal(t, reused, s.pool.opened == 1, "a connection that may not be used again was, or one that may was not")
+				require.Equal(t, reused, s.pool.opened == 1, "a connection was reused exactly if it may be")
 			})
 		}
 	}
 }
 
-// exchange carries out one exchange, on a connection or, where that is nil, on a new one.
+// exchange carries out one exchange, for which the pool is expected to use the connection c, or a new one if c is nil. It returns
+// the connection, or nil if the server has closed it.
 func (s *scriptedServer) exchange(c net.Conn, b *behaviour, id string) (net.Conn, outcome) {
 	done := s.send(id)
 	if c == nil {
-		made := <-s.conns
-		s.t.Cleanup(func() { made.Close() })
-		c = made
+		accepted := <-s.conns
+		s.t.Cleanup(func() { accepted.Close() })
+		c = accepted
 	}
 	_, err := http.ReadRequest(bufio.NewReader(c))
 	require.NoError(s.t, err)
@@ -175,39 +181,39 @@
 	return c, outcomeOf(s.t, <-done)
 }
 
-// A server answers before it has read a long request: the answer comes at once, and the connection, on which the
-// rest of the body was not sent, is not used again.
+// If a server responds before it has read a large request, Do returns the response at once, and the connection is not reused
+// because the rest of the body was not sent on it.
 func TestAnEarlyAnswer(t *testing.T) {
 	for _, status := range []string{"413 Request Entity Too Large", "503 Service Unavailable"} {
 		s := newScriptedServer(t, 4)
 		done := make(chan result, 1)
 		go func() {
-			long := make([]byte, 8<<20) // more than two sockets hold
-			answer, err := s.pool.Do(s.t.Context(), &Request{ID: "long", Method: http.MethodPost, Target: "/x", Host: "a.example", Header: http.Header{}, Body: long})
-			done <- result{answer, err}
+			large := make([]byte, 8<<20) // more than the buffers of both sockets hold
+			response, err := s.pool.Do(s.t.Context(), &Request{ID: "long", Method: http.MethodPost, Target: "/x", Host: "a.example", Header: http.Header{}, Body: large})
+			done <- result{response, err}
 		}()
 		c, in := s.accept()
 		_, err := http.ReadRequest(in)
 		require.NoError(t, err)
-		_, err = io.WriteString(c, answerWithLength(status, "long", notExecuted, "mine"))
+		_, err = io.WriteString(c, responseWithLength(status, "long", notExecuted, "mine"))
 		require.NoError(t, err)
-		require.Equal(t, notRun, outcomeOf(t, <-done))
-		require.Zero(t, s.pool.open, "its connection is closed")
+		require.Equal(t, rejected, outcomeOf(t, <-done))
+		require.Zero(t, s.pool.open, "the connection is closed")
 		next := s.send("next")
 		c, in = s.accept()
-		s.serve(c, in, answerTo("next", "two"))
-		require.Equal(t, "two", s.readAnswer(<-next))
+		s.serve(c, in, responseTo("next", "two"))
+		require.Equal(t, "two", s.readBody(<-next))
 	}
 }
 
-// A long request that is read completely leaves its connection usable.
-func TestALongRequest(t *testing.T) {
+// After a large request that the server has read completely, the connection is reused.
+func TestLargeRequest(t *testing.T) {
 	s := newScriptedServer(t, 4)
-	body := strings.Repeat("x", longRequestBytes)
+	body := strings.Repeat("x", largeRequestBytes)
 	done := make(chan result, 1)
 	go func() {
-		answer, err := s.pool.Do(s.t.Context(), &Request{ID: "long", Method: http.MethodPost, Target: "/x", Host: "a.example", Header: http.Header{}, Body: []byte(body)})
-		done <- result{answer, err}
+		response, err := s.pool.Do(s.t.Context(), &Request{ID: "long", Method: http.MethodPost, Target: "/x", Host: "a.example", Header: http.Header{}, Body: []byte(body)})
+		done <- result{response, err}
 	}()
 	c, in := s.accept()
 	request, err := http.ReadRequest(in)
@@ -215,11 +221,11 @@
 	got, err := io.ReadAll(request.Body)
 	require.NoError(t, err)
 	require.Equal(t, body, string(got))
-	_, err = io.WriteString(c, answerTo("long", "one"))
+	_, err = io.WriteString(c, responseTo("long", "one"))
 	require.NoError(t, err)
-	require.Equal(t, "one", s.readAnswer(<-done))
+	require.Equal(t, "one", s.readBody(<-done))
 	next := s.send("next")
-	s.serve(c, in, answerTo("next", "two"))
-	require.Equal(t, "two", s.readAnswer(<-next))
+	s.serve(c, in, responseTo("next", "two"))
+	require.Equal(t, "two", s.readBody(<-next))
 	require.Equal(t, 1, s.pool.opened)
 }
--- a/internal/router/backend/pool.go
+++ b/internal/router/backend/pool.go
@@ -15,34 +15,34 @@
 	"petrelhook/internal/router/transport"
 )
 
-// The errors of an exchange. An error may be marked with them: they are found by Is of github.com/cockroachdb/errors,
-// not by that of the standard library.
+// The errors of an exchange. Test for them by errors.Is of github.com/cockroachdb/errors: errors are marked with them, which
+// errors.Is of the standard library does not detect.
 var (
-	ErrNotSent      = errors.New("the request was not sent") // no byte of it left
-	ErrBroken       = errors.New("the exchange broke off")   // it may have run
-	ErrNoConnection = errors.New("no connection is free")    // and the limit is reached; nothing was sent
+	ErrNotSent      = errors.New("the request was not sent") // not a single byte of it
+	ErrBroken       = errors.New("the exchange failed")      // the request may have run, unless it is ErrNotSent too
+	ErrNoConnection = errors.New("no connection is free")    // the limit is reached and none is idle; nothing was sent
 )
 
 const (
-	dialTimeout    = 400 * time.Millisecond
-	userTimeout    = time.Second // without an acknowledgement of what was sent, after which a connection fails
-	defaultMaxIdle = 10 * time.Second
-	minMaxIdle     = 500 * time.Millisecond
-	idleMargin     = 400 * time.Millisecond // less than the server says that it keeps an idle connection
-	readBuffer     = 4 << 10
+	dialTimeout     = 400 * time.Millisecond
+	tcpUserTimeout  = time.Second // TCP_USER_TIMEOUT: how long sent data may stay unacknowledged before the connection fails
+	defaultMaxIdle  = 10 * time.Second
+	minMaxIdle      = 500 * time.Millisecond
+	idleMargin      = 400 * time.Millisecond // subtracted from the server's Keep-Alive timeout
+	readBufferBytes = 4 << 10
 )
 
-// Pool is the connections to one server. Make it by NewPool; its methods may be called from any goroutine.
+// Pool holds the connections to one server. It is created by NewPool. Its methods may be called from any goroutine.
 type Pool struct {
 	address string
 
-	mutex   sync.Mutex // guards all below
-	idle    []*conn    // the last one became idle last
-	open    int        // connections, idle ones included
-	limit   int
-	maxIdle time.Duration // how long an idle connection is used
+	mutex   sync.Mutex    // guards the fields below
+	idle    []*conn       // ordered by the time at which they became idle, the latest at the end
+	open    int           // number of connections that are idle, in use or being opened
+	limit   int           // of open
+	maxIdle time.Duration // how long a connection may be idle and still be reused
 	closed  bool
-	opened  int // connections made since the start
+	opened  int // number of connections dialed so far
 }
 
 // conn is one connection, in use by one exchange or idle.
@@ -50,10 +50,10 @@
 	net.Conn
 	reader    *bufio.Reader
 	idleSince time.Time
-	exchanges int // that ended on it
+	exchanges int // number of completed exchanges; 0 for a new connection
 }
 
-// NewPool returns a pool without connections to a server's address; limit bounds their number.
+// NewPool returns a pool of at most limit connections to a server's address. It opens none yet.
 func NewPool(address string, limit int) *Pool {
 	return &Pool{address: address, limit: max(1, limit), maxIdle: defaultMaxIdle}
 }
@@ -61,23 +61,23 @@
 // Address returns the server's address, HOST:PORT.
 func (p *Pool) Address() string { return p.address }
 
-// SetLimit changes the bound on the connections. Open ones beyond it are kept.
+// SetLimit changes the limit on the number of connections. Connections above a lower limit stay open.
 func (p *Pool) SetLimit(limit int) {
 	p.mutex.Lock()
 	p.limit = max(1, limit)
 	p.mutex.Unlock()
 }
 
-// HasCapacity reports whether a request would find a connection or may open one, as of now: by the time of Do that may
-// have changed.
+// HasCapacity reports whether a request can currently get an idle connection or open one. The result may be outdated when Do is
+// called.
 func (p *Pool) HasCapacity() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.idle) > 0 || p.open < p.limit
 }
 
-// Close closes the idle connections, and has the others closed when their exchange ends. It is called when the server
-// may not be used any more; exchanges in progress go on.
+// Close closes the idle connections. A connection in use is closed when its exchange ends; exchanges in progress continue. It is
+// called when the server must not be used for new requests.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	idle := p.idle
@@ -89,7 +89,7 @@
 	}
 }
 
-// Prune closes connections that have been idle for too long.
+// Prune closes the connections that have been idle for longer than they may be reused.
 func (p *Pool) Prune() {
 	p.mutex.Lock()
 	var expired []*conn
@@ -109,10 +109,11 @@
 	}
 }
 
-// get returns an idle connection that may be used, or a new one.
+// get returns an idle connection that may be reused, or a new one. It closes the idle connections that it finds too old, closed by
+// the server or with unexpected data.
 func (p *Pool) get(ctx context.Context) (*conn, error) {
 	for {
-		c, maxIdle, err := p.takeIdle()
+		c, maxIdle, err := p.takeIdleOrReserve()
 		if err != nil {
 			return nil, err
 		}
@@ -122,13 +123,13 @@
 		if time.Since(c.idleSince) < maxIdle && sock.Quiet(c.Conn) {
 			return c, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
-// takeIdle takes an idle connection, and returns how long one may have been idle. Where there is none it counts a new
-// one, which the caller opens, or returns ErrNoConnection.
-func (p *Pool) takeIdle() (*conn, time.Duration, error) {
+// takeIdleOrReserve removes and returns the connection that became idle last, and how long it may have been idle to be reused. If
+// there is none, it returns a nil connection after it has reserved a new one, which the caller must dial, or ErrNoConnection.
+func (p *Pool) takeIdleOrReserve() (*conn, time.Duration, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if n := len(p.idle); n > 0 {
@@ -144,36 +145,37 @@
 	return nil, 0, nil
 }
 
-// dial opens a connection that has been counted.
+// dial opens a connection that has been reserved by takeIdleOrReserve.
 func (p *Pool) dial(ctx context.Context) (*conn, error) {
-	dialer := net.Dialer{Timeout: dialTimeout, Control: transport.UserTimeout(userTimeout), KeepAlive: -1}
-	raw, err := dialer.DialContext(ctx, "tcp", p.address)
+	dialer := net.Dialer{Timeout: dialTimeout, Control: transport.UserTimeout(tcpUserTimeout), KeepAlive: -1}
+	tcpConn, err := dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
-		p.uncount()
+		p.releaseSlot()
 		return nil, errors.Mark(err, ErrNotSent)
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: tcpConn, reader: bufio.NewReaderSize(tcpConn, readBufferBytes)}, nil
 }
 
-// drop closes a connection that is not idle.
-func (p *Pool) drop(c *conn) {
+// discard closes a connection that is not among the idle ones.
+func (p *Pool) discard(c *conn) {
 	c.close()
-	p.uncount()
+	p.releaseSlot()
 }
 
-func (p *Pool) uncount() {
+// releaseSlot subtracts a connection that is closed, or could not be opened, from the open ones.
+func (p *Pool) releaseSlot() {
 	p.mutex.Lock()
 	p.open--
 	p.mutex.Unlock()
 }
 
-// close closes a connection. What it was used for has ended, so that its error means nothing.
+// close closes a connection. The error does not matter, because its exchange has ended.
 func (c *conn) close() { _ = c.Close() }
 
-// put makes a connection idle whose exchange ended completely; keepAlive is how long the server says that it keeps it,
-// 0 where it does not.
+// put makes a connection idle after a complete exchange. It closes the connection instead if the pool is closed or more bytes
+// have arrived than the response had. keepAlive is the timeout that the server sent for idle connections; 0 if it sent none.
 func (p *Pool) put(c *conn, keepAlive time.Duration) {
-	_ = c.SetDeadline(time.Time{}) // where it fails the connection does, at the next use
+	_ = c.SetDeadline(time.Time{}) // if it fails, the next use of the connection fails too
 	c.idleSince = time.Now()
 	c.exchanges++
 	p.mutex.Lock()
@@ -192,14 +194,15 @@
 	}
 }
 
-// shortenMaxIdle learns from a connection that the server closed while it was idle.
+// shortenMaxIdle reduces maxIdle after an exchange on a reused connection failed, as it does where the server closed the idle
+// connection earlier than expected.
 func (p *Pool) shortenMaxIdle(c *conn) {
 	p.mutex.Lock()
 	p.maxIdle = max(minMaxIdle, min(p.maxIdle, time.Since(c.idleSince)*3/4))
 	p.mutex.Unlock()
 }
 
-// parseKeepAlive parses the time-out in a Keep-Alive header; 0: it has none.
+// parseKeepAlive returns the timeout parameter of a Keep-Alive header; 0 if it has none.
 func parseKeepAlive(header string) time.Duration {
 	for parameter := range strings.SplitSeq(header, ",") {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(parameter), "timeout="); ok {
