--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,18 +1,20 @@
-// Package router holds what the router fleet alone is made of: cmd/petrelhook-router links it, and petrelhookctl where it
-// plays placement in virtual time. It imports nothing of the sidecar and nothing of coordination.
+// Package router contains the packages that belong to the router fleet alone. They are linked by cmd/petrelhook-router, and
+// package placement also by petrelhookctl, which simulates it in virtual time. They import nothing from the sidecar and nothing
+// from coordination.
 //
 // A router is one process of the fleet; a core member is a router that has a replica of the configuration. Package node
-// puts a router together and is the only one here that knows all the others. A reader may begin there, and go on
+// assembles a router, and is the only package here that depends on all the others. It is the best starting point for a reader,
+// followed by
 //
-//   - for what replicates the operators' configuration, with operatorapi (the state machine), replication (views,
-//     elections, commit) and storage (the disk);
-//   - for how every router gets configuration and servers, with dissemination (the messages), homeselection (from whom),
-//     registry (servers) and membership (routers);
-//   - for a client's request, with gateway, which calls routetable (route and tenant), quota (limits), placement (which
-//     server) and backend (the exchange with it);
-//   - for what routers find out together, with outlier (failing servers), placement.LoadBoard (loads) and quotapool
-//     (limits without a primary).
+//   - for the replication of the operators' configuration: operatorapi (the state machine), replication (views, elections,
+//     commit) and storage (persistence);
+//   - for the distribution of configuration and servers to every router: dissemination (the messages), homeselection (the
+//     choice of the core member that sends them), registry (servers) and membership (routers);
+//   - for the path of a client's request: gateway, which calls routetable (route and tenant), quota (limits), placement (choice
+//     of the server) and backend (the exchange with the server);
+//   - for what the routers aggregate: outlier (failing servers), placement.LoadBoard (loads) and quotapool (limits without a
+//     primary).
 //
-// Most of these packages are pure: the caller passes the time, and sends the messages. docs/design/system.md says how the
-// parts work together, docs/design/layers.md lists every package.
+// Most of these packages do no I/O and read no clock: the caller passes the time in, and sends the messages.
+// docs/design/system.md describes how the parts work together, and docs/design/layers.md lists every package.
 package router
