--- a/internal/coordination/agent/configuration.go
+++ b/internal/coordination/agent/configuration.go
@@ -9,41 +9,42 @@
 )
 
 // Check is a request to check whether a version can be applied: the program of each release that may be started with it has to accept
-// it. If a process serves, the check also finds out whether that process can reload. It is comparable: a result belongs to an equal
-// Check.
+// it. If a process serves, the check also finds out whether that process can apply the version by a reload. Checks are compared with ==
+// to match a result with its request.
 type Check struct {
 	Version  distribute.Revision
-	Releases [2]string // the release that runs, and the confirmed one where it is another; "": none
-	Process  Process   // the process that serves; the zero value: none does
+	Releases [2]string // the running release, then the confirmed one if it differs; "": none
+	Process  Process   // the serving process; the zero value: there is none
 }
 
 // CheckResult is the result of a Check.
 type CheckResult struct {
-	Rejection   string // what a release's program says against the version; "": it is accepted
-	Unavailable string // why the check could not be made now; "": it was made
-	Reloadable  bool   // the serving process can reload: no field differs that it reads at its start alone
+	Rejection   string // why a release's program rejects the version; "": all accept it
+	Unavailable string // why the check could not be made now; "": it has been made
+	Reloadable  bool   // the serving process can reload: no field differs that is only read at a start
 }
 
-// configurationProgress is what a sidecar knows of versions of its configuration until its agent ends.
+// configurationProgress is the part of a sidecar's state on versions of its configuration that is not persisted.
 type configurationProgress struct {
 	newest         distribute.Revision // the newest version that the agent has accepted
-	pendingCheck   *Check              // requested, and not completed
-	lastCheck      Check               // completed with lastResult
+	pendingCheck   *Check              // the check that was requested and has not completed
+	lastCheck      Check               // the last accepted check; its result is lastResult
 	lastResult     CheckResult
 	digestReported bool          // DigestReported was called for the serving process
-	reportedDigest string        // the digest of the file that it read last; "": its program does not report one
-	expectedDigest string        // the digest of the file that was written for its reload; "": none was
-	retryAt        time.Duration // when to try again, or to request the reload again
-	failures       int           // attempts in a row that failed without the version's fault
+	reportedDigest string        // the digest of the file that the serving process read last; "": its program reports none
+	expectedDigest string        // the digest of the file that was written for its reload; "": no file was
+	retryAt        time.Duration // when to try the version or request the reload again
+	failures       int           // consecutive attempts that failed for reasons other than the version
 	delayReason    string        // why the last of them failed
-	reservedUntil  time.Duration // until then no version is applied: a rollout's order found the sidecar busy and is repeated
+	reservedUntil  time.Duration // no version is applied before, because a rollout's order found the sidecar busy and will be repeated
 }
 
-// crashLoopThreshold is the number of exits in a row, without readiness in between, from which on a sidecar is taken not to come up
-// with the version in force; then a newer version is applied although nothing serves.
+// crashLoopThreshold is the number of consecutive exits without readiness in between after which a sidecar counts as unable to start with
+// the version in force. From then on a newer version is applied although no process serves.
 const crashLoopThreshold = 2
 
-// SetNewestVersion reports the newest version that the agent has accepted. An older one has no effect.
+// SetNewestVersion reports the newest version that the agent has accepted. A version that is not newer than the last reported one has no
+// effect.
 func (s *Sidecar) SetNewestVersion(version distribute.Revision) {
 	if version > s.newest {
 		s.newest, s.delayReason, s.retryAt, s.failures = version, "", 0, 0
@@ -53,7 +54,7 @@
 // hasPendingVersion reports whether the newest version is neither in force nor rejected.
 func (s *Sidecar) hasPendingVersion() bool { return s.newest > max(s.InForce, s.Rejected) }
 
-// startVersion is the version that a process is started with.
+// startVersion returns the version with which the next requested process is started.
 func (s *Sidecar) startVersion() distribute.Revision {
 	if s.Phase == Starting && s.Candidate != 0 {
 		return s.Candidate
@@ -72,9 +73,9 @@
 		return nil
 	case !s.hasPendingVersion() || s.pendingCheck != nil || now < s.reservedUntil || now < s.retryAt:
 		return nil
-	case s.Serving == nil && (s.startRequested || s.consecutiveCrashes < crashLoopThreshold): // the version in force comes first
+	case s.Serving == nil && (s.startRequested || s.consecutiveCrashes < crashLoopThreshold): // restarts with the version in force come first
 		return nil
-	case s.Serving != nil && (!s.servingReady || !s.digestReported) && now < s.deadline: // it has just been started
+	case s.Serving != nil && (!s.servingReady || !s.digestReported) && now < s.deadline: // it was started only recently
 		return nil
 	}
 	if check := s.nextCheck(); s.lastCheck != check {
@@ -93,7 +94,7 @@
 	return s.startNext(now, release)
 }
 
-// nextCheck is the check that the newest version has to pass with the processes and releases of this moment.
+// nextCheck returns the check that the newest version has to pass, given the current processes and releases.
 func (s *Sidecar) nextCheck() Check {
 	check := Check{Version: s.newest, Releases: [2]string{s.Confirmed}}
 	if s.Serving != nil {
@@ -104,7 +105,7 @@
 	return check
 }
 
-// CheckCompleted reports the result of a check. A result that has become outdated is dropped, and the check is requested again.
+// CheckCompleted reports the result of a check. If the check is outdated by now, the result is dropped and a new check is requested.
 func (s *Sidecar) CheckCompleted(now time.Duration, check Check, result CheckResult) []Action {
 	s.pendingCheck = nil
 	switch {
@@ -119,20 +120,20 @@
 	return s.Tick(now)
 }
 
-// retryVersionLater schedules another attempt after one that failed without the version's fault.
+// retryVersionLater schedules another attempt after one that failed for a reason other than the version.
 func (s *Sidecar) retryVersionLater(now time.Duration, reason string) {
 	s.delayReason, s.retryAt, s.lastCheck = reason, now+s.limits.backoff(s.failures), Check{}
 	s.failures++
 }
 
-// requestReload has the serving process reload its file with the candidate.
+// requestReload returns the action that writes the candidate to the serving process's file and has the process reload it.
 func (s *Sidecar) requestReload(now time.Duration) []Action {
 	s.expectedDigest, s.retryAt = "", now+s.limits.ReadyTimeout
 	return []Action{{Reload: s.Serving, Version: s.Candidate}}
 }
 
-// ReloadRequested reports that the file of a process was written, with this digest, and that the process was asked to reload it; or the
-// error that prevented it.
+// ReloadRequested reports that the file of a process was written with the given digest and that the process was asked to reload it. A
+// non-nil err says why this failed; the version is then tried again later.
 func (s *Sidecar) ReloadRequested(now time.Duration, p Process, digest string, err error) {
 	switch {
 	case !s.ByReload || s.Serving == nil || *s.Serving != p:
@@ -144,8 +145,8 @@
 	}
 }
 
-// DigestReported reports the digest of the file that a process says it has read last, "" if its program reports none. The candidate of
-// a reload is in force once the process reports the expected digest.
+// DigestReported reports the digest of the file that a process read last, according to the process itself, or "" if its program reports
+// none. The candidate of a reload is in force once the process reports the expected digest.
 func (s *Sidecar) DigestReported(p Process, digest string) {
 	if s.Serving == nil || *s.Serving != p {
 		return
@@ -156,8 +157,8 @@
 	}
 }
 
-// finishCandidate ends the attempt to apply the candidate: a failure of "" puts it in force. A version that has come into force stays
-// in force whatever happens to its process afterwards. A candidate that is not at fault stays pending.
+// finishCandidate ends the attempt to apply the candidate, which comes into force if failure is "". A version in force remains so
+// whatever happens to its process afterwards. A failed candidate is rejected if it is at fault, and stays pending otherwise.
 func (s *Sidecar) finishCandidate(failure string, versionAtFault bool) {
 	switch {
 	case failure == "":
@@ -168,20 +169,21 @@
 	s.Candidate, s.ByReload = 0, false
 }
 
-// resetReportedDigest forgets what the last serving process reported: another one serves now, or none.
+// resetReportedDigest discards the report of the last serving process, because another one serves now, or none does. A reload in
+// progress is withdrawn.
 func (s *Sidecar) resetReportedDigest() {
 	s.digestReported, s.reportedDigest, s.expectedDigest = false, "", ""
 	s.withdrawReload()
 }
 
-// withdrawReload gives up a reload that the process has not confirmed. The version stays pending.
+// withdrawReload abandons a reload that the process has not confirmed. The version stays pending.
 func (s *Sidecar) withdrawReload() {
 	if s.ByReload {
 		s.Candidate, s.ByReload, s.retryAt = 0, false, 0
 	}
 }
 
-// Report returns the report to the coordinators on the versions of this sidecar, which is called name.
+// Report returns the report on this sidecar's versions for the coordinators. name is the name of the sidecar.
 func (s *Sidecar) Report(name string) distribute.Report {
 	report := distribute.Report{Sidecar: name, InForce: s.InForce}
 	if s.Rejected > s.InForce {
@@ -195,7 +197,7 @@
 	return report
 }
 
-// pendingReason says what the newest version waits for.
+// pendingReason returns what the newest version is waiting for.
 func (s *Sidecar) pendingReason() string {
 	switch {
 	case s.Candidate != 0 && s.Candidate != s.newest:
--- a/internal/coordination/agent/mutation_test.go
+++ b/internal/coordination/agent/mutation_test.go
@@ -8,7 +8,8 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each condition that the application of versions rests on is removed from the code, one at a time, and a test notices.
+// Removes each condition that the supervision of processes and the application of versions rely on, one at a time, and requires a
+// test to fail.
 func TestTheChecksCanFail(t *testing.T) {
 	const (
 		pkg, machine = "./internal/coordination/agent", "./internal/coordination/machine"
@@ -26,13 +27,13 @@
 		"in force once it was read":           {File: versions, Text: "digest == s.expectedDigest", Replacement: "true", Package: pkg, Test: "TestAVersionBehindAReload"},
 		"the result of another check":         {File: versions, Text: "|| check != s.nextCheck()", Replacement: "", Package: pkg, Test: "TestBothReleasesAreChecked"},
 		"the start that was not made":         {File: sidecar, Text: "\t\tactions = append(actions, s.requestStart(s.Target)...)\n", Replacement: "", Package: pkg, Test: "TestAStartThatWasNeverMade"},
-		"the time of a process that ends":     {File: sidecar, Text: "s.deadline = now + s.limits.TerminationTimeout // nobody", Replacement: "s.deadline = now // nobody", Package: pkg, Test: "TestAnAgentKilledWhileTheOldProcessEnds"},
+		"the time of a process that ends":     {File: sidecar, Text: "s.deadline = now + s.limits.TerminationTimeout // it is unknown", Replacement: "s.deadline = now // it is unknown", Package: pkg, Test: "TestAnAgentKilledWhileTheOldProcessEnds"},
 		"SIGTERM by the next agent":           {File: sidecar, Text: "if s.Phase == Ending && s.Serving != nil {", Replacement: "if false {", Package: pkg, Test: "TestAnAgentKilledWhileTheOldProcessEnds"},
 		"a terminating process, for a start":  {File: sidecar, Text: "\tcase s.Terminating != nil:\n\t\treturn nil\n", Replacement: "", Package: pkg, Test: "TestNothingStartsBesideATerminatingProcess"},
 		"a terminating process, for an order": {File: change, Text: "\tcase s.Terminating != nil:\n\t\treturn nil, fmt", Replacement: "\tcase false:\n\t\treturn nil, fmt", Package: pkg, Test: "TestNothingStartsBesideATerminatingProcess"},
-		"older than the stored ones":          {File: store, Text: "v.Revision <= m.versions.newest", Replacement: "false", Package: machine, Test: "TestVersionsOnAMachine"},
+		"older than the stored versions":      {File: store, Text: "v.Revision <= m.versions.newest", Replacement: "false", Package: machine, Test: "TestVersionsOnAMachine"},
 		"another service's version":           {File: store, Text: "v.Service != m.config.Application:\n\t\t\treturn struct{}", Replacement: "false:\n\t\t\treturn struct{}", Package: machine, Test: "TestVersionsOnAMachine"},
 		"the digest of a stored version":      {File: store, Text: "|| distribute.Digest(content) != v.Digest:", Replacement: "|| false:", Package: machine, Test: "TestVersionsOnAMachine"},
-		"what must not be side by side":       {File: checks, Text: "f.Kind == release.Refused", Replacement: "false", Package: machine, Test: "TestIncompatibility"},
+		"incompatible versions of a release":  {File: checks, Text: "f.Kind == release.Refused", Replacement: "false", Package: machine, Test: "TestIncompatibility"},
 	})
 }
--- a/internal/coordination/agent/sidecar.go
+++ b/internal/coordination/agent/sidecar.go
@@ -7,18 +7,19 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// Sidecar supervises the processes of one sidecar. Each method takes the time since some fixed moment and returns the actions to carry
-// out, in order. The caller persists PersistedState whenever it has changed, before it carries out any action.
+// Sidecar is the state machine that supervises the processes of one sidecar. The parameter now of its methods is the time since a fixed
+// moment. The returned actions are carried out in order. The caller persists PersistedState whenever it has changed, before it carries
+// out any action.
 type Sidecar struct {
 	PersistedState
 	limits             Limits
-	servingReady       bool          // the last observation of Serving
-	nextReady          bool          // the last observation of Next
-	deadline           time.Duration // of the phase; in Idle without a process, when the next start may be made
+	servingReady       bool          // whether Serving was ready when last observed
+	nextReady          bool          // whether Next was ready when last observed
+	deadline           time.Duration // end of the phase; in Idle without a process, the earliest time of the next start
 	consecutiveCrashes int
-	isolatedSince      time.Duration // below 0: the machine is not isolated
-	startRequested     bool          // and neither ProcessStarted nor StartFailed was called yet
-	confirmedMissing   bool          // the store does not have the confirmed release
+	isolatedSince      time.Duration // negative: the machine is not isolated
+	startRequested     bool          // a start was requested, and neither ProcessStarted nor StartFailed has been called since
+	confirmedMissing   bool          // the store lacks the confirmed release
 	configurationProgress
 }
 
@@ -27,13 +28,13 @@
 	return &Sidecar{PersistedState: PersistedState{Confirmed: confirmed}, limits: limits, isolatedSince: -1}
 }
 
-// Restore returns the sidecar that continues from the state that an earlier agent persisted. isAlive reports whether a process still
-// runs. The last start that was requested may have been made without being noted in the state: found is its process then. nil: it was
-// noted, or not made, and the caller has made sure that it cannot be made any more.
+// Restore returns a sidecar that continues from the state that an earlier agent persisted. isAlive reports whether a process still
+// runs. The earlier agent may have made the last requested start without persisting its process; found is that process. If found is nil,
+// the process is in the state or the start was not made, and the caller has made sure that it cannot be made any more.
 func Restore(state PersistedState, limits Limits, now time.Duration, isAlive func(Process) bool, found *Process) (s *Sidecar, actions []Action) {
 	s = &Sidecar{PersistedState: state, limits: limits, isolatedSince: -1}
 	if found != nil && s.Terminating != nil && found.PID == s.Terminating.PID && found.StartTicks == s.Terminating.StartTicks {
-		found = nil // it is known
+		found = nil // the state has it as Terminating
 	}
 	switch {
 	case s.Phase == Starting && s.Next == nil && found != nil:
@@ -44,9 +45,9 @@
 	s.deadline = now + s.limits.ReadyTimeout
 	switch s.Phase {
 	case Trial:
-		s.deadline = now + s.trialPeriod() // the trial starts over: no agent watched meanwhile
+		s.deadline = now + s.trialPeriod() // the trial starts over, because no agent observed the process meanwhile
 	case Ending:
-		s.deadline = now + s.limits.TerminationTimeout // nobody knows when SIGTERM was sent, or whether it was
+		s.deadline = now + s.limits.TerminationTimeout // it is unknown when SIGTERM was sent, or whether it was
 	}
 	for _, p := range []*Process{s.Serving, s.Next, s.Terminating} {
 		if p != nil && !isAlive(*p) {
@@ -57,29 +58,29 @@
 		actions = append(actions, Action{Kill: s.Terminating})
 	}
 	if s.Phase == Ending && s.Serving != nil {
-		actions = append(actions, Action{Term: s.Serving}) // again: it has no effect on a process that is ending already
+		actions = append(actions, Action{Term: s.Serving}) // a repeated SIGTERM has no effect on a process that is already terminating
 	}
-	if s.Phase == Starting && s.Next == nil { // the start was noted and never made
+	if s.Phase == Starting && s.Next == nil { // the start was persisted as requested and never made
 		actions = append(actions, s.requestStart(s.Target)...)
 	}
 	return s, append(actions, s.Tick(now)...)
 }
 
-// Confirm reports that the rollout of a release is over, so that the sidecar may fall back to it. It has an effect where the sidecar
-// runs the release, or where the release that was confirmed before is missing on this machine.
+// Confirm reports that the rollout of a release has ended, so that the sidecar may fall back to it. It only has an effect if the sidecar
+// runs the release, or if the release confirmed before is missing on this machine.
 func (s *Sidecar) Confirm(release string) {
 	if s.Serving != nil && s.Serving.Release == release || s.confirmedMissing {
-		s.Confirmed, s.confirmedMissing = release, false // if this one is missing too, ReleaseMissing says so again
+		s.Confirmed, s.confirmedMissing = release, false // if this release is missing too, ReleaseMissing is called again
 	}
 }
 
-// ReleaseMissing reports that the store does not have a release, as on a machine that comes back after a long time. If it is the
-// confirmed one and nothing runs, the next Confirm is accepted whatever it names.
+// ReleaseMissing reports that the store lacks a release, as on a machine that returns after a long absence. If it is the confirmed
+// release and no process runs, the next Confirm is accepted for any release.
 func (s *Sidecar) ReleaseMissing(release string) {
 	s.confirmedMissing = s.Phase == Idle && s.Serving == nil && release == s.Confirmed
 }
 
-// SetIsolated reports whether the machine is out of contact with the coordinators' driver.
+// SetIsolated reports whether the machine has lost contact with the coordinators' driver.
 func (s *Sidecar) SetIsolated(now time.Duration, isolated bool) {
 	if !isolated {
 		s.isolatedSince = -1
@@ -88,8 +89,8 @@
 	}
 }
 
-// Serves returns the release of the process that serves, or starts to while there is none, and whether that process is ready. The
-// release is "" if there is no process.
+// Serves returns the release of the serving process and whether that process is ready. If there is no serving process, it returns those
+// of the new process of a change; without any process, the release is "".
 func (s *Sidecar) Serves() (release string, ready bool) {
 	switch {
 	case s.Serving != nil:
@@ -100,7 +101,7 @@
 	return "", false
 }
 
-// Tick returns the actions that the passing of time makes necessary. It is called at every poll of the processes.
+// Tick returns the actions that have become due. It is called at every poll of the processes.
 func (s *Sidecar) Tick(now time.Duration) []Action {
 	switch s.Phase {
 	case Idle:
@@ -133,7 +134,7 @@
 	return s.advanceConfiguration(now)
 }
 
-// mustFallBack reports whether a process of an unconfirmed release has served for too long without contact with the coordinators.
+// mustFallBack reports whether a process of an unconfirmed release serves on a machine that has been isolated for too long.
 func (s *Sidecar) mustFallBack(now time.Duration) bool {
 	isolated := s.isolatedSince >= 0 && now-s.isolatedSince >= s.limits.IsolationTimeout
 	return isolated && s.Serving != nil && s.Serving.Release != s.Confirmed && s.servingReady
@@ -147,21 +148,21 @@
 		return s.failChange(now, "not ready at the end of its trial", true)
 	case s.Serving == nil:
 		s.promote()
-		return nil // the next tick does what follows
+		return nil // the next tick continues in Idle
 	}
 	s.Phase, s.deadline = Ending, now+s.limits.TerminationTimeout
 	return []Action{{Term: s.Serving}}
 }
 
-// requestStart returns the action that starts a process. Starts are counted, so that an agent that is started again can find out
-// whether the last one was made.
+// requestStart returns the action that starts a process. It counts the starts, so that a restarted agent can find out whether the last
+// one was made.
 func (s *Sidecar) requestStart(release string) []Action {
 	s.StartCount++
 	s.startRequested = true
 	return []Action{{Start: release, Version: s.startVersion()}}
 }
 
-// scheduleRestart sets when a process may be started in place of one that ended.
+// scheduleRestart sets the time from which a process may be started to replace one that exited.
 func (s *Sidecar) scheduleRestart(now time.Duration) {
 	s.deadline, s.startRequested = now+s.limits.backoff(s.consecutiveCrashes), false
 	s.consecutiveCrashes++
--- a/internal/coordination/agent/sidecar_test.go
+++ b/internal/coordination/agent/sidecar_test.go
@@ -14,150 +14,153 @@
 
 var testLimits = Limits{ReadyTimeout: 6 * time.Second, TrialPeriod: 5 * time.Second, TerminationTimeout: 4 * time.Second, IsolationTimeout: time.Minute, InitialBackoff: time.Second, MaxBackoff: 30 * time.Second}
 
-// simpleWorld carries out the actions of a sidecar on simulated processes, without versions.
-type simpleWorld struct {
-	t                     testing.TB
-	sidecar               *Sidecar
-	now                   time.Duration
-	lastPID               int
-	alive                 []Process
-	ignoresTERM           bool            // SIGTERM has no effect
-	neverReady            map[string]bool // releases whose processes never become ready
-	maxProcesses          int             // at the same time
-	momentsWithoutProcess int             // polls that found no process
+// releaseSimulation carries out the actions of a sidecar on simulated processes that run releases, without versions of the configuration.
+type releaseSimulation struct {
+	t                   testing.TB
+	sidecar             *Sidecar
+	now                 time.Duration
+	lastPID             int
+	alive               []Process
+	ignoresTERM         bool            // SIGTERM has no effect
+	neverReady          map[string]bool // releases whose processes never become ready
+	maxProcesses        int             // the most that were alive at the same time
+	pollsWithoutProcess int             // polls that found no process
 }
 
-func newSimpleWorld(t testing.TB) *simpleWorld {
-	m := &simpleWorld{t: t, sidecar: New("old", testLimits), neverReady: map[string]bool{}}
-	m.carryOut(m.sidecar.Tick(0))
-	m.advance(time.Second)
-	return m
+func newReleaseSimulation(t testing.TB) *releaseSimulation {
+	sim := &releaseSimulation{t: t, sidecar: New("old", testLimits), neverReady: map[string]bool{}}
+	sim.carryOut(sim.sidecar.Tick(0))
+	sim.advance(time.Second)
+	return sim
 }
 
-func (m *simpleWorld) carryOut(actions []Action) {
+func (sim *releaseSimulation) carryOut(actions []Action) {
 	for _, action := range actions {
 		switch {
 		case action.Start != "":
-			m.lastPID++
-			p := Process{PID: m.lastPID, StartTicks: uint64(m.lastPID), Release: action.Start}
-			m.alive = append(m.alive, p)
-			m.maxProcesses = max(m.maxProcesses, len(m.alive))
-			m.carryOut(m.sidecar.ProcessStarted(m.now, p))
-		case action.Term != nil && !m.ignoresTERM:
-			m.exit(*action.Term)
+			sim.lastPID++
+			p := Process{PID: sim.lastPID, StartTicks: uint64(sim.lastPID), Release: action.Start}
+			sim.alive = append(sim.alive, p)
+			sim.maxProcesses = max(sim.maxProcesses, len(sim.alive))
+			sim.carryOut(sim.sidecar.ProcessStarted(sim.now, p))
+		case action.Term != nil && !sim.ignoresTERM:
+			sim.exit(*action.Term)
 		case action.Kill != nil:
-			m.exit(*action.Kill)
+			sim.exit(*action.Kill)
 		}
 	}
 }
 
-func (m *simpleWorld) exit(p Process) {
-	if i := slices.Index(m.alive, p); i >= 0 {
-		m.alive = slices.Delete(m.alive, i, i+1)
-		m.carryOut(m.sidecar.ProcessExited(m.now, p, ""))
+func (sim *releaseSimulation) exit(p Process) {
+	if i := slices.Index(sim.alive, p); i >= 0 {
+		sim.alive = slices.Delete(sim.alive, i, i+1)
+		sim.carryOut(sim.sidecar.ProcessExited(sim.now, p, ""))
 	}
 }
 
-// advance lets time pass and probes the processes.
-func (m *simpleWorld) advance(d time.Duration) {
-	for end := m.now + d; m.now < end; {
-		m.now += 500 * time.Millisecond
-		for _, p := range slices.Clone(m.alive) {
-			m.carryOut(m.sidecar.ReadinessObserved(m.now, p, !m.neverReady[p.Release]))
+// advance lets time pass, probes the processes and ticks the sidecar.
+func (sim *releaseSimulation) advance(d time.Duration) {
+	for end := sim.now + d; sim.now < end; {
+		sim.now += 500 * time.Millisecond
+		for _, p := range slices.Clone(sim.alive) {
+			sim.carryOut(sim.sidecar.ReadinessObserved(sim.now, p, !sim.neverReady[p.Release]))
 		}
-		m.carryOut(m.sidecar.Tick(m.now))
-		if len(m.alive) == 0 {
-			m.momentsWithoutProcess++
+		sim.carryOut(sim.sidecar.Tick(sim.now))
+		if len(sim.alive) == 0 {
+			sim.pollsWithoutProcess++
 		}
 	}
 }
 
-func (m *simpleWorld) changeRelease(order uint64, release string) {
-	m.t.Helper()
-	todo, err := m.sidecar.ChangeRelease(m.now, order, release)
+func (sim *releaseSimulation) changeRelease(order uint64, release string) {
+	sim.t.Helper()
+	actions, err := sim.sidecar.ChangeRelease(sim.now, order, release)
 	if err != nil {
-		m.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	m.carryOut(todo)
+	sim.carryOut(actions)
 }
 
-func (m *simpleWorld) requireState(what, release string, done uint64, failed string) {
-	m.t.Helper()
-	got, ready := m.sidecar.Serves()
-	if got != release || !ready || m.sidecar.CompletedOrder != done || !strings.Contains(m.sidecar.FailureReason, failed) || failed == "" && m.sidecar.FailureReason != "" || m.sidecar.Phase != Idle || len(m.alive) != 1 {
-		m.t.Errorf("%s: %s, ready %v, order %d over (%s), %v, %d processes", what, got, ready, m.sidecar.CompletedOrder, m.sidecar.FailureReason, m.sidecar.Phase, len(m.alive))
+// requireState checks that one process serves, that it is ready and runs the release, that order is the last completed one, and its
+// failure reason.
+func (sim *releaseSimulation) requireState(what, release string, order uint64, reason string) {
+	sim.t.Helper()
+	got, ready := sim.sidecar.Serves()
+	if got != release || !ready || sim.sidecar.CompletedOrder != order || !strings.Contains(sim.sidecar.FailureReason, reason) || reason == "" && sim.sidecar.FailureReason != "" || sim.sidecar.Phase != Idle || len(sim.alive) != 1 {
+		sim.t.Errorf("%s: %s, ready %v, order %d completed (%s), %v, %d processes", what, got, ready, sim.sidecar.CompletedOrder, sim.sidecar.FailureReason, sim.sidecar.Phase, len(sim.alive))
 	}
 }
 
-// Changes that succeed, and others that fail in one way each: a process serves all the time, and there are never more than two.
+// During changes that succeed and changes that fail in one way each, a process serves all the time, and there are never more than two
+// processes.
 func TestChanges(t *testing.T) {
-	m := newSimpleWorld(t)
-	m.changeRelease(1, "new")
-	m.advance(2 * time.Second)
-	if len(m.alive) != 2 || m.sidecar.Phase != Trial {
-		t.Fatalf("%v, %v", m.sidecar.Phase, m.alive)
+	sim := newReleaseSimulation(t)
+	sim.changeRelease(1, "new")
+	sim.advance(2 * time.Second)
+	if len(sim.alive) != 2 || sim.sidecar.Phase != Trial {
+		t.Fatalf("%v, %v", sim.sidecar.Phase, sim.alive)
 	}
-	m.changeRelease(1, "new") // repeated
-	if _, err := m.sidecar.ChangeRelease(m.now, 2, "other"); err == nil {
+	sim.changeRelease(1, "new") // the order is repeated
+	if _, err := sim.sidecar.ChangeRelease(sim.now, 2, "other"); err == nil {
 		t.Error("two changes at once")
 	}
-	m.advance(6 * time.Second)
-	m.requireState("changed", "new", 1, "")
-	m.changeRelease(1, "new") // and again, late
-	m.requireState("changed", "new", 1, "")
+	sim.advance(6 * time.Second)
+	sim.requireState("changed", "new", 1, "")
+	sim.changeRelease(1, "new") // repeated after its end
+	sim.requireState("changed", "new", 1, "")
 
-	m.neverReady["bad"] = true
-	m.changeRelease(2, "bad")
-	m.advance(7 * time.Second)
-	m.requireState("never ready", "new", 2, "not ready in 6s")
+	sim.neverReady["bad"] = true
+	sim.changeRelease(2, "bad")
+	sim.advance(7 * time.Second)
+	sim.requireState("never ready", "new", 2, "not ready in 6s")
 
-	m.changeRelease(3, "dies")
-	m.advance(3 * time.Second)
-	m.exit(m.alive[1])
-	m.requireState("dies in its trial", "new", 3, "in its trial")
+	sim.changeRelease(3, "exits")
+	sim.advance(3 * time.Second)
+	sim.exit(sim.alive[1])
+	sim.requireState("exits in its trial", "new", 3, "in its trial")
 
-	m.ignoresTERM = true
-	m.changeRelease(4, "old")
-	m.advance(11 * time.Second)
-	m.requireState("the one before hears no TERM", "old", 4, "")
-	m.ignoresTERM = false
+	sim.ignoresTERM = true
+	sim.changeRelease(4, "old")
+	sim.advance(11 * time.Second)
+	sim.requireState("the old process ignores SIGTERM", "old", 4, "")
+	sim.ignoresTERM = false
 
-	m.changeRelease(5, "new")
-	m.advance(2 * time.Second)
-	m.exit(m.alive[0]) // the serving process ends: the next one is left
-	m.advance(6 * time.Second)
-	m.requireState("the one before died", "new", 5, "")
-	if m.maxProcesses != 2 || m.momentsWithoutProcess != 0 {
-		t.Errorf("%d processes at once; %d moments with none", m.maxProcesses, m.momentsWithoutProcess)
+	sim.changeRelease(5, "new")
+	sim.advance(2 * time.Second)
+	sim.exit(sim.alive[0]) // the serving process exits, and the next one remains
+	sim.advance(6 * time.Second)
+	sim.requireState("the old process exited", "new", 5, "")
+	if sim.maxProcesses != 2 || sim.pollsWithoutProcess != 0 {
+		t.Errorf("%d processes at once; %d polls without any", sim.maxProcesses, sim.pollsWithoutProcess)
 	}
 }
 
-// A change while no process serves: the new release is started alone, and if it fails the confirmed one.
-func TestAChangeWhileNobodyServes(t *testing.T) {
-	m := newSimpleWorld(t)
-	m.neverReady["bad"] = true
-	m.exit(m.alive[0])
-	m.changeRelease(1, "new")
-	m.advance(12 * time.Second)
-	m.requireState("changed", "new", 1, "")
-	m.exit(m.alive[0])
-	m.changeRelease(2, "bad")
-	m.advance(12 * time.Second)
-	m.requireState("it did not work", "old", 2, "not ready in 6s")
+// A change while no process serves starts the new release alone; if that fails, the confirmed release is started.
+func TestChangeWithoutServingProcess(t *testing.T) {
+	sim := newReleaseSimulation(t)
+	sim.neverReady["bad"] = true
+	sim.exit(sim.alive[0])
+	sim.changeRelease(1, "new")
+	sim.advance(12 * time.Second)
+	sim.requireState("changed", "new", 1, "")
+	sim.exit(sim.alive[0])
+	sim.changeRelease(2, "bad")
+	sim.advance(12 * time.Second)
+	sim.requireState("the new release failed", "old", 2, "not ready in 6s")
 }
 
-// A process that crashes again and again is restarted with a backoff that doubles; readiness resets it.
+// A process that crashes repeatedly is restarted with a backoff that doubles each time; readiness resets the backoff.
 func TestCrashes(t *testing.T) {
-	m := newSimpleWorld(t)
+	sim := newReleaseSimulation(t)
 	var starts []time.Duration
-	m.neverReady["old"] = true
-	m.advance(time.Second)
+	sim.neverReady["old"] = true
+	sim.advance(time.Second)
 	for range 8 {
-		m.exit(m.alive[0])
-		for at := m.now; len(m.alive) == 0; {
-			m.advance(500 * time.Millisecond)
-			if len(m.alive) > 0 {
-				starts = append(starts, m.now-at)
+		sim.exit(sim.alive[0])
+		for at := sim.now; len(sim.alive) == 0; {
+			sim.advance(500 * time.Millisecond)
+			if len(sim.alive) > 0 {
+				starts = append(starts, sim.now-at)
 			}
 		}
 	}
@@ -167,62 +170,63 @@
 			t.Fatalf("%v", starts)
 		}
 	}
-	m.neverReady["old"] = false
-	m.advance(time.Second)
-	m.exit(m.alive[0])
-	m.advance(time.Second)
-	if len(m.alive) != 1 {
-		t.Error("the pause is as long as before")
+	sim.neverReady["old"] = false
+	sim.advance(time.Second)
+	sim.exit(sim.alive[0])
+	sim.advance(time.Second)
+	if len(sim.alive) != 1 {
+		t.Error("readiness did not reset the backoff")
 	}
-	m.changeRelease(1, "new") // an unconfirmed release that ends is not restarted
-	m.advance(10 * time.Second)
-	m.exit(m.alive[0])
-	m.advance(2 * time.Second)
-	if m.requireState("back", "old", 1, ""); m.sidecar.FallbackReason != rollout.ProcessEnded {
-		t.Errorf("fell: %q", m.sidecar.FallbackReason)
+	sim.changeRelease(1, "new") // an unconfirmed release whose process exits is not restarted
+	sim.advance(10 * time.Second)
+	sim.exit(sim.alive[0])
+	sim.advance(2 * time.Second)
+	if sim.requireState("fallback after an exit", "old", 1, ""); sim.sidecar.FallbackReason != rollout.ProcessEnded {
+		t.Errorf("fell: %q", sim.sidecar.FallbackReason)
 	}
 }
 
-// A process is found that was started by an agent that was killed before it could note so, whatever it was started for.
+// Restore adopts a process that an earlier agent started and could not persist before it was killed, both as the serving process and as
+// the next one of a change.
 func TestUnnotedStartIsFound(t *testing.T) {
 	p := Process{PID: 7, StartTicks: 7, Release: "new"}
 	alive := func(Process) bool { return true }
-	for _, k := range []PersistedState{{Confirmed: "new", StartCount: 1}, {Confirmed: "old", StartCount: 2, Phase: Starting, Target: "new", Serving: &Process{PID: 3}}} {
-		s, todo := Restore(k, testLimits, 0, alive, &p)
-		if len(todo) > 0 || (s.Serving == nil || *s.Serving != p) && (s.Next == nil || *s.Next != p) {
-			t.Errorf("%+v: %v, %v, %v", k, s.Serving, s.Next, todo)
+	for _, state := range []PersistedState{{Confirmed: "new", StartCount: 1}, {Confirmed: "old", StartCount: 2, Phase: Starting, Target: "new", Serving: &Process{PID: 3}}} {
+		s, actions := Restore(state, testLimits, 0, alive, &p)
+		if len(actions) > 0 || (s.Serving == nil || *s.Serving != p) && (s.Next == nil || *s.Next != p) {
+			t.Errorf("%+v: %v, %v, %v", state, s.Serving, s.Next, actions)
 		}
 	}
 }
 
-// An agent that is killed while the old process ends does not know when SIGTERM was sent, or whether it was. The one after it sends
-// SIGTERM again and leaves the process the same time as always to answer its last requests.
+// If an agent is killed while the old process terminates, it is unknown when SIGTERM was sent, or whether it was. The next agent sends
+// SIGTERM again and gives the process the full time to answer its last requests.
 func TestAnAgentKilledWhileTheOldProcessEnds(t *testing.T) {
-	m := newSimpleWorld(t)
-	m.ignoresTERM = true
-	m.changeRelease(1, "new")
-	for m.sidecar.Phase != Ending {
-		m.advance(500 * time.Millisecond)
+	sim := newReleaseSimulation(t)
+	sim.ignoresTERM = true
+	sim.changeRelease(1, "new")
+	for sim.sidecar.Phase != Ending {
+		sim.advance(500 * time.Millisecond)
 	}
-	old, restored := *m.sidecar.Serving, m.now
+	old, restored := *sim.sidecar.Serving, sim.now
 	var actions []Action
-	m.sidecar, actions = Restore(cloneOf(t, m.sidecar.PersistedState), testLimits, m.now, func(p Process) bool { return slices.Contains(m.alive, p) }, nil)
+	sim.sidecar, actions = Restore(cloneOf(t, sim.sidecar.PersistedState), testLimits, sim.now, func(p Process) bool { return slices.Contains(sim.alive, p) }, nil)
 	if len(actions) != 1 || actions[0].Term == nil || *actions[0].Term != old {
 		t.Fatalf("%+v", actions)
 	}
-	m.carryOut(actions)
-	for len(m.alive) == 2 {
-		m.advance(500 * time.Millisecond)
+	sim.carryOut(actions)
+	for len(sim.alive) == 2 {
+		sim.advance(500 * time.Millisecond)
 	}
-	if took := m.now - restored; took != testLimits.TerminationTimeout {
+	if took := sim.now - restored; took != testLimits.TerminationTimeout {
 		t.Errorf("killed %v after SIGTERM, want %v", took, testLimits.TerminationTimeout)
 	}
-	m.ignoresTERM = false
-	m.advance(500 * time.Millisecond)
-	m.requireState("changed", "new", 1, "")
+	sim.ignoresTERM = false
+	sim.advance(500 * time.Millisecond)
+	sim.requireState("changed", "new", 1, "")
 }
 
-// cloneOf returns a persisted state as the next agent reads it.
+// cloneOf returns a persisted state as the next agent reads it from the disk.
 func cloneOf(t *testing.T, state PersistedState) (clone PersistedState) {
 	t.Helper()
 	text, err := json.Marshal(state)
@@ -235,37 +239,37 @@
 	return clone
 }
 
-// On an isolated machine a confirmed release stays, and an unconfirmed one is replaced after the time-out.
+// An isolated machine keeps a confirmed release, and replaces an unconfirmed one after the timeout.
 func TestIsolation(t *testing.T) {
-	m := newSimpleWorld(t)
-	m.changeRelease(1, "new")
-	m.advance(10 * time.Second)
-	m.sidecar.SetIsolated(m.now, true)
-	m.advance(50 * time.Second)
-	m.requireState("not yet", "new", 1, "")
-	m.advance(25 * time.Second)
-	m.requireState("back", "old", 1, "")
-	if m.sidecar.FallbackReason != rollout.MachineIsolated {
-		t.Errorf("fell: %q", m.sidecar.FallbackReason)
+	sim := newReleaseSimulation(t)
+	sim.changeRelease(1, "new")
+	sim.advance(10 * time.Second)
+	sim.sidecar.SetIsolated(sim.now, true)
+	sim.advance(50 * time.Second)
+	sim.requireState("before the timeout", "new", 1, "")
+	sim.advance(25 * time.Second)
+	sim.requireState("fallback after the timeout", "old", 1, "")
+	if sim.sidecar.FallbackReason != rollout.MachineIsolated {
+		t.Errorf("fell: %q", sim.sidecar.FallbackReason)
 	}
-	m.sidecar.SetIsolated(m.now, false)
-	m.changeRelease(2, "new")
-	m.advance(10 * time.Second)
-	m.sidecar.Confirm("new")
-	m.sidecar.SetIsolated(m.now, true)
-	m.advance(2 * time.Minute)
-	m.requireState("confirmed", "new", 2, "")
+	sim.sidecar.SetIsolated(sim.now, false)
+	sim.changeRelease(2, "new")
+	sim.advance(10 * time.Second)
+	sim.sidecar.Confirm("new")
+	sim.sidecar.SetIsolated(sim.now, true)
+	sim.advance(2 * time.Minute)
+	sim.requireState("confirmed", "new", 2, "")
 }
 
-// If the confirmed release is missing, the next confirmation is accepted, until a process runs again.
+// While the confirmed release is missing and no process runs, a confirmation of any release is accepted.
 func TestMissingRelease(t *testing.T) {
-	m := newSimpleWorld(t)
-	m.sidecar.ReleaseMissing("old")
-	m.sidecar.Confirm("x")
-	m.requireState("it runs", "old", 0, "")
-	s := New("gone", m.sidecar.limits)
-	if todo := s.Tick(0); len(todo) != 1 || todo[0].Start != "gone" {
-		t.Fatal(todo)
+	sim := newReleaseSimulation(t)
+	sim.sidecar.ReleaseMissing("old")
+	sim.sidecar.Confirm("x")
+	sim.requireState("the release is missing, and its process runs", "old", 0, "")
+	s := New("gone", sim.sidecar.limits)
+	if actions := s.Tick(0); len(actions) != 1 || actions[0].Start != "gone" {
+		t.Fatal(actions)
 	}
 	s.ReleaseMissing("another")
 	s.Confirm("x")
@@ -274,7 +278,7 @@
 	s.ProcessStarted(0, p) // the release was added again
 	s.Confirm("x")
 	if s.Confirmed != "gone" {
-		t.Errorf("%q is confirmed, and gone runs", s.Confirmed)
+		t.Errorf("%q was confirmed while release gone runs", s.Confirmed)
 	}
 	s.ProcessExited(0, p, "")
 	s.ReleaseMissing("gone")
@@ -283,45 +287,45 @@
 	}
 }
 
-// The agent is killed after any step and restored from the persisted state and the processes that live: there is never a third process,
-// one serves, and an order completes once, with the same result.
+// The agent is killed at random moments and restored from the persisted state and the processes that are alive: there are never more
+// than two processes, one of them serves, and each order completes once.
 func TestKilledAgents(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		m := newSimpleWorld(t)
+		sim := newReleaseSimulation(t)
 		for order := uint64(1); order < 6; order++ {
-			todo, err := m.sidecar.ChangeRelease(m.now, order, []string{"old", "new"}[order%2])
+			actions, err := sim.sidecar.ChangeRelease(sim.now, order, []string{"old", "new"}[order%2])
 			if err != nil {
 				r.Fatal(err)
 			}
-			m.carryOut(todo)
+			sim.carryOut(actions)
 			for range rapid.IntRange(0, 3).Draw(r, "kills") {
-				m.advance(time.Duration(rapid.IntRange(0, 16).Draw(r, "half seconds")) * 500 * time.Millisecond)
-				kept, err := json.Marshal(m.sidecar.PersistedState)
+				sim.advance(time.Duration(rapid.IntRange(0, 16).Draw(r, "half seconds")) * 500 * time.Millisecond)
+				persisted, err := json.Marshal(sim.sidecar.PersistedState)
 				if err != nil {
 					r.Fatal(err)
 				}
-				if rapid.IntRange(0, 3).Draw(r, "one dies") == 0 && len(m.alive) > 0 { // meanwhile
-					i := rapid.IntRange(0, len(m.alive)-1).Draw(r, "which")
-					m.alive = slices.Delete(m.alive, i, i+1)
+				if rapid.IntRange(0, 3).Draw(r, "one dies") == 0 && len(sim.alive) > 0 { // while no agent runs
+					i := rapid.IntRange(0, len(sim.alive)-1).Draw(r, "which")
+					sim.alive = slices.Delete(sim.alive, i, i+1)
 				}
-				var k PersistedState
-				if err := json.Unmarshal(kept, &k); err != nil {
+				var state PersistedState
+				if err := json.Unmarshal(persisted, &state); err != nil {
 					r.Fatal(err)
 				}
-				s, todo := Restore(k, testLimits, m.now, func(p Process) bool { return slices.Contains(m.alive, p) }, nil)
-				m.sidecar = s
-				m.carryOut(todo)
+				s, actions := Restore(state, testLimits, sim.now, func(p Process) bool { return slices.Contains(sim.alive, p) }, nil)
+				sim.sidecar = s
+				sim.carryOut(actions)
 			}
-			m.advance(90 * time.Second)
-			if m.sidecar.CompletedOrder != order || len(m.alive) != 1 || m.sidecar.Phase != Idle {
-				r.Fatalf("order %d: %d over, %v, %v", order, m.sidecar.CompletedOrder, m.sidecar.Phase, m.alive)
+			sim.advance(90 * time.Second)
+			if sim.sidecar.CompletedOrder != order || len(sim.alive) != 1 || sim.sidecar.Phase != Idle {
+				r.Fatalf("order %d: %d completed, %v, %v", order, sim.sidecar.CompletedOrder, sim.sidecar.Phase, sim.alive)
 			}
-			if release, _ := m.sidecar.Serves(); m.sidecar.FailureReason == "" && release != []string{"old", "new"}[order%2] && m.sidecar.Confirmed == release {
-				r.Logf("order %d was done, and its process died after it", order)
+			if release, _ := sim.sidecar.Serves(); sim.sidecar.FailureReason == "" && release != []string{"old", "new"}[order%2] && sim.sidecar.Confirmed == release {
+				r.Logf("order %d succeeded, and its process exited afterwards", order)
 			}
 		}
-		if m.maxProcesses > 2 {
-			r.Fatalf("%d processes at once", m.maxProcesses)
+		if sim.maxProcesses > 2 {
+			r.Fatalf("%d processes at once", sim.maxProcesses)
 		}
 	})
 }
