--- a/internal/coordination/distribute/agents_test.go
+++ b/internal/coordination/distribute/agents_test.go
@@ -2,79 +2,81 @@
 
 import "time"
 
-// simSubscriber is an agent around its Subscriber and Outbox.
+// simSubscriber simulates an agent with its Subscriber and Outbox.
 type simSubscriber struct {
 	*Subscriber
-	world        *world
+	sim          *simulation
 	service      string
 	name         string
-	callKind     string // of the next call: "return", "hold" or "version"
-	lastCall     *call
+	callKind     string // the callWindow.kind of the next call
+	lastCall     *simCall
 	outbox       Outbox
-	versionsSent int // also those that did not arrive
-	asleep       bool
-	wakes        int
+	versionsSent int  // including those that did not arrive
+	absent       bool // the machine neither calls nor receives responses
+	scheduled    int  // counts calls of scheduleNextCall; only the last one has an effect
 }
 
-type call struct {
+// simCall is a watch call of an agent, seen from both sides.
+type simCall struct {
 	sub              *simSubscriber
-	call             Call
+	request          Call
 	sequence         uint64
 	cancel           func()
 	answeredByServer bool // the coordinator has answered
-	disconnected     bool // the coordinator knows that the agent does not wait any more
-	over             bool // the agent has a response, or the call has failed
+	disconnected     bool // the coordinator has noticed that the connection is closed
+	ended            bool // the agent has a response, or the call has failed
 }
 
-// wake begins the next call at its time.
-func (s *simSubscriber) wake() {
+// scheduleNextCall begins the next call when it is due.
+func (s *simSubscriber) scheduleNextCall() {
 	at, ok := s.NextCallAt()
 	if !ok {
 		return
 	}
-	s.wakes++
-	wakes := s.wakes
-	s.world.after(max(0, at-s.world.now), func() {
-		if s.asleep || wakes != s.wakes {
+	s.scheduled++
+	scheduled := s.scheduled
+	s.sim.after(max(0, at-s.sim.now), func() {
+		if s.absent || scheduled != s.scheduled {
 			return
 		}
-		s.world.calls[callWindow{int(s.world.now / simWindow), s.callKind}]++
-		c := &call{sub: s, call: s.Begin(s.world.now)}
-		c.sequence, c.call.Watch.Reports = s.outbox.Sequence(), s.outbox.Unacknowledged(c.call.Server)
+		s.sim.calls[callWindow{int(s.sim.now / simWindow), s.callKind}]++
+		c := &simCall{sub: s, request: s.Begin(s.sim.now)}
+		c.sequence, c.request.Watch.Reports = s.outbox.Sequence(), s.outbox.Unacknowledged(c.request.Server)
 		s.lastCall = c
-		s.world.after(s.world.delay(), func() { s.world.coordinators[c.call.Server].receive(c) })
-		s.world.after(c.call.Deadline-s.world.now, c.failed)
+		s.sim.after(s.sim.delay(), func() { s.sim.coordinators[c.request.Server].receive(c) })
+		s.sim.after(c.request.Deadline-s.sim.now, c.failed)
 	})
 }
 
-// failed takes in an error, or that no response came.
-func (c *call) failed() {
-	if c.over {
+// failed handles an error, or a missing response, at the agent.
+func (c *simCall) failed() {
+	if c.ended {
 		return
 	}
 	c.end()
-	c.sub.callKind = "return"
-	c.sub.Failed(c.sub.world.now)
-	c.sub.wake()
+	c.sub.callKind = "reconnect"
+	c.sub.Failed(c.sub.sim.now)
+	c.sub.scheduleNextCall()
 }
 
-// end closes the connection: the coordinator learns of it later.
-func (c *call) end() {
-	c.over = true
-	n := c.sub.world.coordinators[c.call.Server]
-	n.later(c.sub.world.delay(), func() {
+// end closes the connection, which the coordinator notices later.
+func (c *simCall) end() {
+	c.ended = true
+	coord := c.sub.sim.coordinators[c.request.Server]
+	coord.later(c.sub.sim.delay(), func() {
 		if c.disconnected = true; c.cancel != nil {
 			c.cancel()
 		}
 	})
 }
 
-func (c *call) answered(response WatchResponse) {
+// answered handles a response at the agent.
+func (c *simCall) answered(response WatchResponse) {
 	s := c.sub
-	if s.asleep {
+	if s.absent {
 		return
 	}
-	if c.over { // late
+	if c.ended { // a late response
 		before := s.Revision()
 		v, err := s.Accept(response)
 		s.accepted(before, v, err)
@@ -82,39 +84,39 @@
 	}
 	c.end()
 	before := s.Revision()
-	s.outbox.Acknowledge(c.call.Server, c.sequence, response.ReportsReceived)
-	v, err := s.Answered(s.world.now, response)
+	s.outbox.Acknowledge(c.request.Server, c.sequence, response.ReportsReceived)
+	v, err := s.Answered(s.sim.now, response)
 	s.accepted(before, v, err)
 	switch {
 	case err != nil:
-		s.callKind = "return"
+		s.callKind = "reconnect"
 	case v != nil:
 		s.callKind = "version"
 	default:
-		s.callKind = "hold"
+		s.callKind = "unchanged"
 	}
-	s.wake()
+	s.scheduleNextCall()
 }
 
-// accepted checks what an agent accepts, and puts it in force a little later.
+// accepted checks the result of a response at the agent, and puts an accepted version in force a little later.
 func (s *simSubscriber) accepted(before Revision, v *Version, err error) {
-	w := s.world
-	w.refused[err]++
+	sim := s.sim
+	sim.acceptErrors[err]++
 	if s.Revision() < before || v == nil && s.Revision() != before {
-		w.t.Errorf("%v: %s had %d and has %d", w.now, s.name, before, s.Revision())
+		sim.t.Errorf("%v: %s held %d and now holds %d, without an accepted version", sim.now, s.name, before, s.Revision())
 	}
 	if v == nil {
 		return
 	}
-	w.accepted++
+	sim.accepted++
 	published := false
-	for _, c := range w.history[s.service] {
+	for _, c := range sim.history[s.service] {
 		published = published || c.Revision == v.Revision && c.Service == v.Service && string(c.Content) == string(v.Content)
 	}
 	if !published || v.Revision <= before || v.Revision != s.Revision() {
-		w.t.Errorf("%v: %s had %d of %s and took %+v", w.now, s.name, before, s.service, v)
+		sim.t.Errorf("%v: %s held %d of %s and accepted %+v", sim.now, s.name, before, s.service, v)
 	}
-	w.after(w.between(10*time.Millisecond, 500*time.Millisecond), func() {
+	sim.after(sim.between(10*time.Millisecond, 500*time.Millisecond), func() {
 		s.outbox.Set(Report{Sidecar: "sidecar-" + s.name, InForce: s.Revision()})
 	})
 }
--- a/internal/coordination/distribute/command.go
+++ b/internal/coordination/distribute/command.go
@@ -9,19 +9,19 @@
 	"unicode/utf8"
 )
 
-// reservedFields are the top fields that an agent writes itself: a machine's own name and addresses are not those of a service. They are
-// compared without case, as package json does.
+// reservedFields are the top-level fields that an agent writes itself, because a machine's name and addresses are not part of a
+// service's configuration. They are compared case-insensitively, as package json does.
 var reservedFields = []string{"name", "listen", "admin_addr"}
 
-// What is wrong with a content.
+// Errors of a content.
 var (
 	errNotUTF8   = errors.New("it is no UTF-8")
 	errNotJSON   = errors.New("it is no JSON")
 	errNotObject = errors.New("content: it is no object; write a JSON object")
 )
 
-// Canonical returns a content in the bytes in which it is stored, counted, digested and sent: those that package json writes, so that no
-// message or snapshot changes them. A content that is not JSON in UTF-8 is an error.
+// Canonical returns the encoding of a content in which it is stored, counted, digested and sent. It is the one that package json
+// writes, so that encoding a message or a snapshot does not change the bytes. A content that is not JSON in UTF-8 is an error.
 func Canonical(content []byte) (json.RawMessage, error) {
 	if !utf8.Valid(content) {
 		return nil, errNotUTF8
@@ -33,7 +33,7 @@
 	return text, nil
 }
 
-// Check returns why a command may not go into the log. The error names the field and says what to write.
+// Check returns an error if the command must not enter the log. The error names the field and says what to write.
 func (c *Command) Check() error {
 	if err := checkName("service", c.Service); err != nil {
 		return err
@@ -48,7 +48,7 @@
 	return checkObject(content)
 }
 
-// checkName returns what is wrong with the name of a service, member or sidecar.
+// checkName checks the name of a service, member or sidecar. field names the field in the error.
 func checkName(field, name string) error {
 	if len(name) < 1 || len(name) > MaxNameBytes {
 		return fmt.Errorf("%s: %d bytes; write 1 to %d", field, len(name), MaxNameBytes)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// checkObject returns what is wrong with the top fields of a content, which is valid JSON.
+// checkObject checks that a content, which is valid JSON, is an object without duplicate or reserved top-level fields.
 func checkObject(content []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
--- a/internal/coordination/distribute/distribute_test.go
+++ b/internal/coordination/distribute/distribute_test.go
@@ -9,202 +9,204 @@
 
 var simOptions = DefaultSubscriberOptions("", "", 3, nil)
 
-// simMissTime is the time of a call that is not answered, and of the pause after it.
-var simMissTime = simOptions.MaxWait + simOptions.ResponseTimeout + simOptions.MaxBackoff
+// simFailedCallTime bounds the time of a call that is not answered and of the pause after it.
+var simFailedCallTime = simOptions.MaxWait + simOptions.ResponseTimeout + simOptions.MaxBackoff
 
-// All subscribers hold a version after a second without faults; after two misses, with one coordinator at a time down,
-// stopped or partitioned, and some responses lost, late, duplicated and corrupted; and after one miss, and a second, when
-// faults have ended.
+// All subscribers hold a version within a second if there are no faults; within the time of two failed calls if one coordinator
+// at a time is down, stopped or partitioned and some responses are lost, late, duplicated or corrupted; and within the time of
+// one failed call and a second once the faults have ended.
 func TestAllHoldTheNewest(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			w := newWorld(t, seed, 3, 500, 40)
-			service := func() string { return fmt.Sprint("service-", w.rand.IntN(40)) }
-			w.run(5 * time.Second)
+			sim := newSimulation(t, seed, 3, 500, 40)
+			service := func() string { return fmt.Sprint("service-", sim.rand.IntN(40)) }
+			sim.run(5 * time.Second)
 			for range 20 {
-				w.publish(service(), time.Second)
-				w.run(w.now + w.between(0, 500*time.Millisecond))
+				sim.publish(service(), time.Second)
+				sim.run(sim.now + sim.between(0, 500*time.Millisecond))
 			}
 
-			w.faultRate = 0.004
+			sim.faultRate = 0.004
 			for range 12 {
-				n := w.coordinators[w.rand.IntN(len(w.coordinators))]
-				switch w.rand.IntN(3) {
+				coord := sim.coordinators[sim.rand.IntN(len(sim.coordinators))]
+				switch sim.rand.IntN(3) {
 				case 0:
-					n.kill()
+					coord.kill()
 				case 1:
-					n.stopped = true
+					coord.stopped = true
 				default:
-					n.partitioned = true
+					coord.partitioned = true
 				}
-				w.traffic(w.now+w.between(3*time.Second, 12*time.Second), service)
+				sim.traffic(sim.now+sim.between(3*time.Second, 12*time.Second), service)
 				switch {
-				case !n.up:
-					n.revive()
-				case n.stopped:
-					n.resume()
+				case !coord.up:
+					coord.start()
+				case coord.stopped:
+					coord.resume()
 				}
-				n.partitioned = false
-				w.traffic(w.now+w.between(3*time.Second, 6*time.Second), service)
+				coord.partitioned = false
+				sim.traffic(sim.now+sim.between(3*time.Second, 6*time.Second), service)
 			}
-			w.takeAllDown(time.Minute)
-			w.traffic(w.now+5*time.Second, service)
-			for _, n := range w.coordinators[:2] {
-				n.stopped = true
+			sim.takeAllDown(time.Minute)
+			sim.traffic(sim.now+5*time.Second, service)
+			for _, coord := range sim.coordinators[:2] {
+				coord.stopped = true
 			}
-			w.coordinators[2].kill()
-			w.run(w.now + 10*time.Second)
+			sim.coordinators[2].kill()
+			sim.run(sim.now + 10*time.Second)
 
-			w.coordinators[0].resume()
-			w.coordinators[1].resume()
-			w.coordinators[2].revive()
-			w.faultRate, w.allUpAt = 0, w.now
-			end := w.now + simMissTime + time.Second
-			w.run(end)
-			for _, s := range w.subscribers {
-				if v, _ := w.truth.Newest(s.service); s.Revision() != v.Revision {
-					t.Errorf("%s holds %d of %s, of which %d is the newest", s.name, s.Revision(), s.service, v.Revision)
+			sim.coordinators[0].resume()
+			sim.coordinators[1].resume()
+			sim.coordinators[2].start()
+			sim.faultRate, sim.allUpAt = 0, sim.now
+			end := sim.now + simFailedCallTime + time.Second
+			sim.run(end)
+			for _, s := range sim.subscribers {
+				if v, _ := sim.reference.Newest(s.service); s.Revision() != v.Revision {
+					t.Errorf("%s holds %d of %s, whose newest version is %d", s.name, s.Revision(), s.service, v.Revision)
 				}
 			}
-			// All reports are at the coordinators that their agents call, and merge to the present state.
-			w.run(end + 3*simOptions.MaxWait)
+			// Each coordinator has the reports of the agents that call it, and merging them gives the current state.
+			sim.run(end + 3*simOptions.MaxWait)
 			for i := range 40 {
 				name := fmt.Sprint("service-", i)
-				v, _ := w.truth.Newest(name)
+				v, _ := sim.reference.Newest(name)
 				var all []Summary
-				for _, n := range w.coordinators {
-					all = append(all, n.reports.Summary(w.now, name, v))
+				for _, coord := range sim.coordinators {
+					all = append(all, coord.reports.Summary(sim.now, name, v))
 				}
 				known := (500 + 39 - i) / 40
 				if sum := Merge(all); sum.Reported != known || sum.InForce != known || sum.Ahead != 0 || sum.Newest != v.Revision {
 					t.Errorf("%d subscribers: %+v", known, sum)
 				}
 			}
-			for _, s := range w.subscribers {
-				if n := w.coordinators[s.lastCall.call.Server]; !n.reports.HasReports(s.service, s.name) {
+			for _, s := range sim.subscribers {
+				if coord := sim.coordinators[s.lastCall.request.Server]; !coord.reports.HasReports(s.service, s.name) {
 					t.Errorf("the coordinator of %s does not have its reports", s.name)
 				}
 			}
-			w.checkCallRates(t)
-			t.Logf("%v, %d versions in %d answers, %d taken; refused %v; lost, late, doubled, broken %v; stale %d; "+
-				"snapshots %d", w.now, len(w.log), w.sent, w.accepted, w.refused, w.faults, w.stale, w.snapshots)
-			for _, n := range w.coordinators {
-				if n.watches.Waiting() > len(w.subscribers) {
-					t.Errorf("%d wait", n.watches.Waiting())
+			sim.checkCallRates(t)
+			t.Logf("%v, %d versions in %d answers, %d accepted; results %v; lost, late, duplicated, corrupted %v; stale %d; "+
+				"snapshots %d", sim.now, len(sim.log), sim.sent, sim.accepted, sim.acceptErrors, sim.faults, sim.stale, sim.snapshots)
+			for _, coord := range sim.coordinators {
+				if coord.watches.Waiting() > len(sim.subscribers) {
+					t.Errorf("%d calls wait", coord.watches.Waiting())
 				}
 			}
 		})
 	}
 }
 
-// traffic publishes versions: now and then two of one service within a second, or one of each service at once.
-func (w *world) traffic(until time.Duration, service func() string) {
-	for w.now < until && !w.t.Failed() {
+// traffic publishes versions at random times, sometimes two of one service within a second, or one of each service at once.
+func (sim *simulation) traffic(until time.Duration, service func() string) {
+	for sim.now < until && !sim.t.Failed() {
 		name := service()
-		switch w.rand.IntN(12) {
+		switch sim.rand.IntN(12) {
 		case 0:
-			w.publish(name, 2*simMissTime)
-			w.run(w.now + w.between(0, time.Second))
-			w.publish(name, 2*simMissTime)
+			sim.publish(name, 2*simFailedCallTime)
+			sim.run(sim.now + sim.between(0, time.Second))
+			sim.publish(name, 2*simFailedCallTime)
 		case 1:
 			for i := range 40 {
-				w.publish(fmt.Sprint("service-", i), 2*simMissTime)
+				sim.publish(fmt.Sprint("service-", i), 2*simFailedCallTime)
 			}
 		default:
-			w.publish(name, 2*simMissTime)
+			sim.publish(name, 2*simFailedCallTime)
 		}
-		w.run(w.now + w.between(0, 3*time.Second))
+		sim.run(sim.now + sim.between(0, 3*time.Second))
 	}
 }
 
-func (w *world) takeAllDown(d time.Duration) {
-	w.allDown = true
-	for _, n := range w.coordinators {
-		n.kill()
+// takeAllDown kills all coordinators and starts them after d.
+func (sim *simulation) takeAllDown(d time.Duration) {
+	sim.allDown = true
+	for _, coord := range sim.coordinators {
+		coord.kill()
 	}
-	w.run(w.now + d)
-	w.allDown, w.allUpAt = false, w.now
-	for _, n := range w.coordinators {
-		n.revive()
+	sim.run(sim.now + d)
+	sim.allDown, sim.allUpAt = false, sim.now
+	for _, coord := range sim.coordinators {
+		coord.start()
 	}
 }
 
-// checkCallRates checks the numbers of calls in each window. Of n subscribers, n/ReconnectWindow a second in the mean call after a
-// loss, however many lose a coordinator together. Others call again when their wait ends: at n/(MaxWait/4) a second, where all
-// were answered at one moment. Six standard deviations above the mean are left to chance.
-func (w *world) checkCallRates(t *testing.T) (most int) {
+// checkCallRates checks the number of calls in each window and returns the largest number of reconnects. With n subscribers, the
+// mean rate of reconnects is at most n/ReconnectWindow, however many subscribers lose a coordinator at the same time. Subscribers
+// whose wait ended call again at a mean rate of at most n/(MaxWait/4), which is reached if all were answered at the same time.
+// The check allows six standard deviations above these means.
+func (sim *simulation) checkCallRates(t *testing.T) (most int) {
 	bound := func(window time.Duration) int {
-		mean := float64(len(w.subscribers)) * simWindow.Seconds() / window.Seconds()
+		mean := float64(len(sim.subscribers)) * simWindow.Seconds() / window.Seconds()
 		return int(mean + 6*math.Sqrt(mean))
 	}
-	for a, count := range w.calls {
-		at := time.Duration(a.window) * simWindow
-		switch a.kind {
-		case "return":
+	for key, count := range sim.calls {
+		at := time.Duration(key.window) * simWindow
+		switch key.kind {
+		case "reconnect":
 			if most = max(most, count); count > bound(simOptions.ReconnectWindow) {
-				t.Errorf("%v: %d come back in %v; %d are the most", at, count, simWindow, bound(simOptions.ReconnectWindow))
+				t.Errorf("%v: %d reconnects in %v; want at most %d", at, count, simWindow, bound(simOptions.ReconnectWindow))
 			}
-		case "hold":
+		case "unchanged":
 			if count > bound(simOptions.MaxWait/4) {
-				t.Errorf("%v: %d call again in %v; %d are the most", at, count, simWindow, bound(simOptions.MaxWait/4))
+				t.Errorf("%v: %d calls after a wait in %v; want at most %d", at, count, simWindow, bound(simOptions.MaxWait/4))
 			}
 		}
 	}
 	return most
 }
 
-// Calls of agents that begin together, that are answered together, and that lose all coordinators together, are spread over time;
-// also while refusals come at once.
+// The calls of agents that start together, are answered together or lose all coordinators together are spread over time, even if
+// refusals arrive immediately.
 func TestCallsAreSpread(t *testing.T) {
-	w := newWorld(t, 4, 3, 4000, 40)
-	w.run(10 * time.Second)
-	for i := range 40 { // all are answered at one moment
-		w.publish(fmt.Sprint("service-", i), time.Second)
+	sim := newSimulation(t, 4, 3, 4000, 40)
+	sim.run(10 * time.Second)
+	for i := range 40 { // all agents are answered at the same time
+		sim.publish(fmt.Sprint("service-", i), time.Second)
 	}
-	w.run(w.now + 12*time.Second)
-	w.takeAllDown(3 * time.Second)
-	if w.checkCallRates(t); t.Failed() { // the rest would only take long
+	sim.run(sim.now + 12*time.Second)
+	sim.takeAllDown(3 * time.Second)
+	if sim.checkCallRates(t); t.Failed() { // with these failures the rest would take long
 		return
 	}
-	w.run(w.now + 10*time.Second)
-	w.takeAllDown(20 * time.Second)
-	w.run(w.now + 10*time.Second)
-	most := w.checkCallRates(t)
-	t.Logf("4000 subscribers: at most %d came back in %v", most, simWindow)
+	sim.run(sim.now + 10*time.Second)
+	sim.takeAllDown(20 * time.Second)
+	sim.run(sim.now + 10*time.Second)
+	most := sim.checkCallRates(t)
+	t.Logf("4000 subscribers: at most %d reconnects in %v", most, simWindow)
 	if most < 150 {
-		t.Errorf("at most %d came back in %v: this shows nothing", most, simWindow)
+		t.Errorf("at most %d reconnects in %v: too few for the bound to be tested", most, simWindow)
 	}
-	// All have a coordinator after one miss.
-	for _, s := range w.subscribers {
+	// All subscribers have a coordinator again.
+	for _, s := range sim.subscribers {
 		if s.failures != 0 {
 			t.Errorf("%s has no coordinator", s.name)
 		}
 	}
 }
 
-// A machine that was absent while many versions came is sent one.
+// A machine that was absent while many versions were published is sent one version only.
 func TestOneVersionAfterAnAbsence(t *testing.T) {
-	w := newWorld(t, 5, 3, 80, 8)
-	w.run(5 * time.Second)
-	for _, s := range w.subscribers[:20] {
-		s.asleep = true
+	sim := newSimulation(t, 5, 3, 80, 8)
+	sim.run(5 * time.Second)
+	for _, s := range sim.subscribers[:20] {
+		s.absent = true
 	}
 	for i := range 10 {
 		for j := range 8 {
-			w.publish(fmt.Sprint("service-", j), time.Second)
+			sim.publish(fmt.Sprint("service-", j), time.Second)
 		}
-		w.run(w.now + time.Duration(i+1)*100*time.Millisecond)
+		sim.run(sim.now + time.Duration(i+1)*100*time.Millisecond)
 	}
-	w.run(w.now + 30*time.Second)
-	for _, s := range w.subscribers[:20] {
-		s.asleep, s.versionsSent = false, 0
-		s.Failed(w.now) // its connection is closed
-		s.wake()
+	sim.run(sim.now + 30*time.Second)
+	for _, s := range sim.subscribers[:20] {
+		s.absent, s.versionsSent = false, 0
+		s.Failed(sim.now) // its connection was closed
+		s.scheduleNextCall()
 	}
-	w.run(w.now + simOptions.ReconnectWindow + time.Second)
-	for _, s := range w.subscribers[:20] {
-		if v, _ := w.truth.Newest(s.service); s.Revision() != v.Revision || s.versionsSent != 1 {
-			t.Errorf("%s holds %d of %d and was sent %d versions", s.name, s.Revision(), v.Revision, s.versionsSent)
+	sim.run(sim.now + simOptions.ReconnectWindow + time.Second)
+	for _, s := range sim.subscribers[:20] {
+		if v, _ := sim.reference.Newest(s.service); s.Revision() != v.Revision || s.versionsSent != 1 {
+			t.Errorf("%s holds %d, want %d, and was sent %d versions", s.name, s.Revision(), v.Revision, s.versionsSent)
 		}
 	}
 }
--- a/internal/coordination/distribute/outbox.go
+++ b/internal/coordination/distribute/outbox.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Outbox holds the reports of one member, and which coordinator has acknowledged them. Its zero value holds none. It is not safe for
-// concurrent use.
+// Outbox holds the reports of one member's sidecars and tracks which coordinator has acknowledged them. Its zero value is empty.
+// It is not safe for concurrent use.
 type Outbox struct {
 	reports      map[string]Report // by sidecar
-	sequence     uint64            // counts changes
-	acknowledged map[int]uint64    // by coordinator: the sequence up to which it has all reports
+	sequence     uint64            // incremented by each change
+	acknowledged map[int]uint64    // by coordinator: the sequence up to which the coordinator has all reports
 }
 
 // Set replaces the report of a sidecar.
@@ -25,10 +25,11 @@
 	o.sequence++
 }
 
-// Sequence identifies the state that Unacknowledged returns now: it is for Acknowledge, when the call is answered.
+// Sequence returns the sequence number of the current reports. The caller notes it together with Unacknowledged and passes it to
+// Acknowledge when the call is answered.
 func (o *Outbox) Sequence() uint64 { return o.sequence }
 
-// Unacknowledged returns all reports by name, where a coordinator may lack one of them as it is now; else nil.
+// Unacknowledged returns all reports, sorted by sidecar, if the coordinator may lack the current state of any; otherwise nil.
 func (o *Outbox) Unacknowledged(server int) []Report {
 	if o.sequence == o.acknowledged[server] {
 		return nil
@@ -40,8 +41,8 @@
 	return all
 }
 
-// Acknowledge processes the response to a call that was begun at a sequence. Where the coordinator has no reports of the member, as one
-// that was restarted, it gets all of them again. What was set since the sequence is still unacknowledged.
+// Acknowledge processes the response to a call that was started at a sequence. A coordinator without reports of the member, such
+// as one that was restarted, is sent all of them again. Reports set after the sequence remain unacknowledged.
 func (o *Outbox) Acknowledge(server int, sequence uint64, hasReports bool) {
 	switch {
 	case !hasReports:
--- a/internal/coordination/distribute/recorded_test.go
+++ b/internal/coordination/distribute/recorded_test.go
@@ -6,8 +6,8 @@
 	"petrelhook/internal/common/jsonform"
 )
 
-// What the coordinators' logs and snapshots of revision cfdfdec hold is read, and written as the same bytes. The README in
-// testdata/cfdfdec says how it was made.
+// Commands and snapshots that were recorded by revision cfdfdec are still decoded, and encoded as the same bytes. The README in
+// testdata/cfdfdec says how they were recorded.
 func TestRecordedFormsAreRead(t *testing.T) {
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/command.json", &Command{})
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/snapshot.json", &snapshot{})
--- a/internal/coordination/distribute/register.go
+++ b/internal/coordination/distribute/register.go
@@ -8,44 +8,46 @@
 	"slices"
 )
 
-// The bounds of a register.
+// Bounds of a register.
 const (
-	// MaxTotalContent bounds the contents of all newest versions together, in bytes: a snapshot, with everything else that is in it, has to
-	// stay below 64 MiB.
+	// MaxTotalContent bounds the total size of the contents of all newest versions, in bytes, because a snapshot of the
+	// coordinators' whole state has to stay below 64 MiB.
 	MaxTotalContent = 24 << 20
-	// MaxRevisionSkip bounds how far a command's Above may be over the last revision: one typing error must not use up the numbers.
+	// MaxRevisionSkip bounds how far a command's Above may exceed the last revision, so that a typing error cannot exhaust the
+	// numbers.
 	MaxRevisionSkip = 1 << 32
 )
 
-// Register is the newest version of each service, as the log makes it. Equal logs make equal registers.
+// Register holds the newest version of each service. It is a deterministic function of the log: equal logs result in equal
+// registers.
 type Register struct {
 	newest map[string]Version // by service
-	last   Revision           // that was given, of all services
-	size   int                // bytes of all contents
+	last   Revision           // the last assigned revision of all services
+	size   int                // total bytes of the contents
 }
 
 // NewRegister returns a register without versions.
 func NewRegister() *Register { return &Register{newest: map[string]Version{}} }
 
-// Apply carries out a command that was checked. A command that it refuses changes nothing.
+// Apply applies a checked command of the log. A refused command changes nothing.
 func (r *Register) Apply(c Command) Answer {
-	present, known := r.newest[c.Service]
+	current, known := r.newest[c.Service]
 	refuse := func(format string, a ...any) Answer {
-		return Answer{present.Revision, fmt.Sprintf(format, a...)}
+		return Answer{current.Revision, fmt.Sprintf(format, a...)}
 	}
 	content, err := Canonical(c.Content)
 	if err != nil {
 		return refuse("content: %v; write a JSON object", err)
 	}
 	digest := Digest(content)
-	if known && present.Digest == digest && present.StepsDone == c.StepsDone && present.Revision > c.Above {
-		return Answer{Revision: present.Revision} // repeated, or nothing new
+	if known && current.Digest == digest && current.StepsDone == c.StepsDone && current.Revision > c.Above {
+		return Answer{Revision: current.Revision} // a repeated command, or an unchanged content
 	}
-	size := r.size - len(present.Content) + len(content)
+	size := r.size - len(current.Content) + len(content)
 	switch {
-	case c.After != present.Revision:
+	case c.After != current.Revision:
 		return refuse("after: the newest of service %s is revision %d, not %d: another was published meanwhile; "+
-			"look at it and write after: %d", c.Service, present.Revision, c.After, present.Revision)
+			"look at it and write after: %d", c.Service, current.Revision, c.After, current.Revision)
 	case c.Above > r.last && c.Above-r.last > MaxRevisionSkip:
 		return refuse("above: %d is more than %d over the last revision, %d; write the largest one that a sidecar holds",
 			c.Above, uint64(MaxRevisionSkip), r.last)
@@ -59,19 +61,19 @@
 	return Answer{Revision: r.last}
 }
 
-// Newest returns the newest version of a service; ok is false where it never got one. The content is shared: it is only to be read.
+// Newest returns the newest version of a service; ok is false if it has none. The content is shared and must not be modified.
 func (r *Register) Newest(service string) (v Version, ok bool) {
 	v, ok = r.newest[service]
 	return v, ok
 }
 
-// Last returns the last revision that was given, of all services.
+// Last returns the last assigned revision of all services.
 func (r *Register) Last() Revision { return r.last }
 
-// Bytes returns the size of all contents.
+// Bytes returns the total size of the contents.
 func (r *Register) Bytes() int { return r.size }
 
-// Services returns the newest versions by service, without their contents.
+// Services returns the newest versions, sorted by service, without their contents.
 func (r *Register) Services() []Version {
 	all := r.sorted()
 	for i := range all {
@@ -80,6 +82,7 @@
 	return all
 }
 
+// sorted returns the newest versions, sorted by service.
 func (r *Register) sorted() []Version {
 	all := make([]Version, 0, len(r.newest))
 	for _, name := range slices.Sorted(maps.Keys(r.newest)) {
@@ -88,28 +91,28 @@
 	return all
 }
 
-// snapshot is the form of a register in a snapshot.
+// snapshot is the encoded form of a register.
 type snapshot struct {
 	Last Revision  `json:"last"`
 	All  []Version `json:"all"`
 }
 
-// Snapshot returns the register as bytes, for RestoreRegister; nil: there are no versions.
+// Snapshot encodes the register for RestoreRegister. It returns nil if there are no versions.
 func (r *Register) Snapshot() json.RawMessage {
 	if len(r.newest) == 0 {
 		return nil
 	}
 	text, err := json.Marshal(snapshot{r.last, r.sorted()})
 	if err != nil {
-		panic(err) // contents are valid JSON: Apply and RestoreRegister accept no others
+		panic(err) // not reached: Apply and RestoreRegister only accept valid JSON
 	}
 	return text
 }
 
-// errNoRevision is the error of a version in a snapshot whose revision is 0.
+// errNoRevision is the error of a snapshot with a version whose revision is 0.
 var errNoRevision = errors.New("revision: 0; the first one is 1")
 
-// RestoreRegister returns the register of a snapshot; an empty one has no versions.
+// RestoreRegister decodes a snapshot. An empty text stands for a register without versions.
 func RestoreRegister(text []byte) (*Register, error) {
 	r, s, serviceOf := NewRegister(), snapshot{}, map[Revision]string{}
 	if len(text) == 0 {
@@ -145,7 +148,7 @@
 	return r, nil
 }
 
-// check returns what is wrong with a version: a field that is out of bounds, or a content that does not match its digest.
+// check returns an error if a field of the version is out of bounds or the content does not match the digest.
 func (v *Version) check() error {
 	if err := checkName("service", v.Service); err != nil {
 		return err
--- a/internal/coordination/distribute/register_test.go
+++ b/internal/coordination/distribute/register_test.go
@@ -60,16 +60,16 @@
 		refused string
 	}{
 		{"a", 0, 0, `{"n":1}`, 1, ""},
-		{"a", 0, 0, ` {"n": 1}`, 1, ""}, // repeated, in other bytes
+		{"a", 0, 0, ` {"n": 1}`, 1, ""}, // repeated, formatted differently
 		{"b", 0, 0, ` {"n": 1}`, 2, ""},
 		{"a", 0, 0, `{"n":2}`, 1, "after: the newest of service a is revision 1, not 0: another was published meanwhile; " +
 			"look at it and write after: 1"},
 		{"c", 1, 0, `{}`, 0, "after: the newest of service c is revision 0, not 1"},
 		{"a", 1, 0, `{"n":2}`, 3, ""},
 		{"a", 1, 0, `{"n":2}`, 3, ""}, // repeated
-		{"a", 3, 0, `{"n":1}`, 4, ""}, // back
+		{"a", 3, 0, `{"n":1}`, 4, ""}, // an earlier content again
 		{"a", 1, 0, `{"n":2}`, 4, "after:"},
-		{"b", 2, 10, ` {"n": 1}`, 11, ""}, // the same content, above what is held
+		{"b", 2, 10, ` {"n": 1}`, 11, ""}, // the same content, above a held revision
 		{"b", 2, 10, `{"n":1}`, 11, ""},
 		{"b", 2, 11, `{"n":1}`, 11, "after:"},
 		{"a", 4, 11, `{"n":3}`, 12, ""},
@@ -79,13 +79,13 @@
 		{"a", 13 + MaxRevisionSkip, 1<<64 - 1, `{"n":5}`, 13 + MaxRevisionSkip, "above:"},
 		{"a", 13 + MaxRevisionSkip, 0, `{"n":`, 13 + MaxRevisionSkip, "content: it is no JSON; write a JSON object"},
 	} {
-		was := r.Snapshot()
+		before := r.Snapshot()
 		got := r.Apply(Command{c.service, c.after, c.above, json.RawMessage(c.content), false})
 		if got.Revision != c.want || (got.Refused == "") != (c.refused == "") || !strings.Contains(got.Refused, c.refused) {
 			t.Errorf("step %d: %+v, want %d %q", i, got, c.want, c.refused)
 		}
-		if got.Refused != "" && !bytes.Equal(was, r.Snapshot()) {
-			t.Errorf("step %d: refused, and %s became %s", i, was, r.Snapshot())
+		if got.Refused != "" && !bytes.Equal(before, r.Snapshot()) {
+			t.Errorf("step %d: refused, but %s became %s", i, before, r.Snapshot())
 		}
 	}
 	if v, ok := r.Newest("b"); !ok || !reflect.DeepEqual(v, version("b", 11, `{"n":1}`)) {
@@ -118,7 +118,7 @@
 		t.Errorf("%+v", a)
 	}
 	if a := r.Apply(Command{Service: "7", After: 8, Content: []byte(`{"a":1}`)}); a.Refused != "" {
-		t.Errorf("one that is known: %+v", a)
+		t.Errorf("a service that has a version: %+v", a)
 	}
 
 	r = NewRegister()
@@ -136,10 +136,10 @@
 	if len(text) > 32<<20 {
 		t.Errorf("a snapshot of %d bytes", len(text))
 	}
-	if again, err := RestoreRegister(text); err != nil || again.Bytes() != MaxTotalContent {
+	if restored, err := RestoreRegister(text); err != nil || restored.Bytes() != MaxTotalContent {
 		t.Errorf("%v", err)
 	}
-	if a := r.Apply(Command{Service: "0", After: 1, Content: []byte(`{}`)}); a.Refused != "" { // room again
+	if a := r.Apply(Command{Service: "0", After: 1, Content: []byte(`{}`)}); a.Refused != "" { // below the bound again
 		t.Errorf("%+v", a)
 	}
 	if a := r.Apply(Command{Service: "one more", Content: []byte(`{}`)}); a.Refused != "" {
@@ -151,22 +151,22 @@
 	if r, err := RestoreRegister(nil); err != nil || r.Last() != 0 || NewRegister().Snapshot() != nil {
 		t.Errorf("%v", err)
 	}
-	one := func(service string, revision Revision, content, digested string) string {
+	encode := func(service string, revision Revision, content, digested string) string {
 		text, _ := json.Marshal(Version{service, revision, Digest([]byte(digested)), json.RawMessage(content), false})
 		return string(text)
 	}
-	good := one("a", 3, `{"n":1}`, `{"n":1}`)
+	good := encode("a", 3, `{"n":1}`, `{"n":1}`)
 	big := `{"a":"` + strings.Repeat("x", MaxContent) + `"}`
 	for _, c := range []struct{ text, want string }{
 		{`{"last":7,"all":[` + good + `]}`, ""},
 		{`{"last":7,"all":[` + good, "versions: unexpected end"},
 		{`{"last":2,"all":[` + good + `]}`, `versions: service "a" has revision 3, above the last one, 2`},
-		{`{"last":7,"all":[` + good + `,` + one("a", 4, `{}`, `{}`) + `]}`, `versions: service "a" is there twice`},
-		{`{"last":7,"all":[` + good + `,` + one("b", 3, `{}`, `{}`) + `]}`, `services "a" and "b" have the one revision 3`},
-		{`{"last":7,"all":[` + one("a", 3, `{"n":2}`, `{"n":1}`) + `]}`, `"a": content: ` + ErrDigestMismatch.Error()},
-		{`{"last":7,"all":[` + one("a", 0, `{}`, `{}`) + `]}`, "revision: 0"},
-		{`{"last":7,"all":[` + one("", 1, `{}`, `{}`) + `]}`, "service: 0 bytes"},
-		{`{"last":7,"all":[` + one("a", 1, big, big) + `]}`, "content: 65544 bytes; 1 to 65536 are held"},
+		{`{"last":7,"all":[` + good + `,` + encode("a", 4, `{}`, `{}`) + `]}`, `versions: service "a" is there twice`},
+		{`{"last":7,"all":[` + good + `,` + encode("b", 3, `{}`, `{}`) + `]}`, `services "a" and "b" have the one revision 3`},
+		{`{"last":7,"all":[` + encode("a", 3, `{"n":2}`, `{"n":1}`) + `]}`, `"a": content: ` + ErrDigestMismatch.Error()},
+		{`{"last":7,"all":[` + encode("a", 0, `{}`, `{}`) + `]}`, "revision: 0"},
+		{`{"last":7,"all":[` + encode("", 1, `{}`, `{}`) + `]}`, "service: 0 bytes"},
+		{`{"last":7,"all":[` + encode("a", 1, big, big) + `]}`, "content: 65544 bytes; 1 to 65536 are held"},
 		{`{"last":7,"all":[{"service":"a","revision":1,"digest":"` + Digest(nil) + `"}]}`, "content: 0 bytes"},
 		{`{"last":7,"all":[` + strings.Repeat("{},", MaxServices) + `{}]}`, "versions: 10001 services; 10000 are the most"},
 	} {
@@ -182,7 +182,7 @@
 	var all []string
 	full := `{"a":"` + strings.Repeat("x", MaxContent-8) + `"}`
 	for i := range MaxTotalContent/MaxContent + 1 {
-		all = append(all, one(fmt.Sprint(i), Revision(i+1), full, full))
+		all = append(all, encode(fmt.Sprint(i), Revision(i+1), full, full))
 	}
 	if _, err := RestoreRegister([]byte(`{"last":999,"all":[` + strings.Join(all, ",") + `]}`)); err == nil ||
 		!strings.Contains(err.Error(), "versions: contents of 25231360 bytes together; 25165824 are the most") {
@@ -190,9 +190,9 @@
 	}
 }
 
-// Equal logs make equal registers, also over snapshots; a message keeps the digest of a content; only one of several that
-// saw the same newest version publishes; a repeated command gives one revision; revisions grow over all services, and
-// above Above.
+// Equal logs result in equal registers, also across snapshots. Encoding a command does not change the digest of its content. Of
+// several commands with the same After, only one is accepted. A repeated command is assigned one revision. Revisions increase
+// across all services and are above Above.
 func TestRegisterProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, other := NewRegister(), NewRegister()
@@ -226,24 +226,24 @@
 				if again := r.Apply(c); again != answer {
 					t.Fatalf("%+v again: %+v, was %+v", c, again, answer)
 				}
-				rival := c
-				rival.Content = []byte(`{"rival":true}`)
-				if a := r.Apply(rival); a.Refused == "" {
-					t.Fatalf("two were published after %d: %+v", c.After, a)
+				concurrent := c
+				concurrent.Content = []byte(`{"concurrent":true}`)
+				if a := r.Apply(concurrent); a.Refused == "" {
+					t.Fatalf("two versions were published after %d: %+v", c.After, a)
 				}
 			}
 			if v, _ := r.Newest(service); !reflect.DeepEqual(v, model[service]) {
 				t.Fatalf("%+v, want %+v", v, model[service])
 			}
-			text, err := json.Marshal(c) // the log changes its bytes
+			text, err := json.Marshal(c) // encoding may change the bytes of the content
 			if err != nil {
 				t.Fatal(err)
 			}
-			var carried Command
-			if err := json.Unmarshal(text, &carried); err != nil {
+			var decoded Command
+			if err := json.Unmarshal(text, &decoded); err != nil {
 				t.Fatal(err)
 			}
-			if a := other.Apply(carried); a.Refused != answer.Refused || a.Revision != answer.Revision {
+			if a := other.Apply(decoded); a.Refused != answer.Refused || a.Revision != answer.Revision {
 				t.Fatalf("%+v, other %+v", answer, a)
 			}
 			if rapid.Bool().Draw(t, "restored") {
@@ -258,22 +258,22 @@
 	})
 }
 
-// StepsDone is part of a version: the same content with it is another version.
+// StepsDone is part of a version: the same content with a different StepsDone is another version.
 func TestStepsDone(t *testing.T) {
 	r := NewRegister()
 	c := Command{Service: "a", Content: json.RawMessage(`{"n":1}`)}
 	first := r.Apply(c)
 	c.After, c.StepsDone = first.Revision, true
-	for range 2 { // repeated, it is one version
+	for range 2 { // the repeated command is assigned one revision
 		if second := r.Apply(c); second.Refused != "" || second.Revision != first.Revision+1 {
 			t.Errorf("%+v after %+v", second, first)
 		}
 	}
-	again, err := RestoreRegister(r.Snapshot())
+	restored, err := RestoreRegister(r.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, _ := again.Newest("a"); !v.StepsDone {
+	if v, _ := restored.Newest("a"); !v.StepsDone {
 		t.Errorf("%+v", v)
 	}
 }
--- a/internal/coordination/distribute/reporttable.go
+++ b/internal/coordination/distribute/reporttable.go
@@ -7,29 +7,31 @@
 	"time"
 )
 
-// MaxReporters bounds a ReportTable: the members of all services together, and their sidecars together. Beyond it the member whose last
-// contact is longest ago is removed.
+// MaxReporters bounds a ReportTable: it is the maximum number of members of all services, and also that of their sidecars. When
+// it is exceeded, the member with the oldest contact is removed.
 const MaxReporters = 65_536
 
-// MemberTimeout is how long a member without contact is counted.
+// MemberTimeout is the time after its last contact for which a member is kept.
 const MemberTimeout = time.Hour
 
-// ReportTable holds what agents have reported to one coordinator. Moments are of its steady clock. It belongs to one goroutine.
+// ReportTable holds the reports that agents have sent to one coordinator. Times are those of the coordinator's monotonic clock.
+// It must be used from a single goroutine.
 type ReportTable struct {
 	reporters map[memberKey]*reporter
 	services  map[string]map[string]*sidecarReport // by service, by sidecar
-	order     list.List                            // of *reporter, the longest without contact first
-	sidecars  int
+	order     list.List                            // of *reporter, ordered by last contact, the oldest first
+	sidecars  int                                  // number of sidecars of all services
 }
 
+// memberKey identifies a member of a service.
 type memberKey struct{ service, member string }
 
 // reporter is a member that has sent reports.
 type reporter struct {
 	memberKey
 	lastContact   time.Duration
-	knownRevision Revision // the one that its last watch holds
-	// sidecars are those of its last reports. One that another member has reported since does not belong to it any more.
+	knownRevision Revision // Watch.Known of its last watch
+	// sidecars are the names in its last reports. A sidecar that another member has reported since then belongs to that member.
 	sidecars []string
 	element  *list.Element // in the table's order
 }
@@ -45,8 +47,8 @@
 	return &ReportTable{reporters: map[memberKey]*reporter{}, services: map[string]map[string]*sidecarReport{}}
 }
 
-// SetReports replaces a member's reports by these, which are those of all its sidecars: one that it does not report any more is removed.
-// A sidecar belongs to the member that reported it last.
+// SetReports replaces all reports of a member, so that a sidecar that is not among the new ones is removed. A sidecar belongs to
+// the member that reported it last.
 func (t *ReportTable) SetReports(now time.Duration, service, member string, reports []Report) {
 	key := memberKey{service, member}
 	m := t.reporters[key]
@@ -74,12 +76,13 @@
 	}
 }
 
-// HasReports reports whether the member's reports are here.
+// HasReports reports whether the table holds reports of the member.
 func (t *ReportTable) HasReports(service, member string) bool {
 	return t.reporters[memberKey{service, member}] != nil
 }
 
-// Touch records that a member was in contact without reports: its earlier ones are still valid. A member without reports stays unknown.
+// Touch records a contact of a member that sent no reports, so that its earlier ones remain valid. It has no effect for an
+// unknown member.
 func (t *ReportTable) Touch(now time.Duration, service, member string) {
 	if m := t.reporters[memberKey{service, member}]; m != nil {
 		m.lastContact = now
@@ -87,14 +90,15 @@
 	}
 }
 
-// SetKnownRevision records the revision that a member's watch names as known, in force or not. A member without reports stays unknown.
+// SetKnownRevision records the revision that a member's watch names as known, whether it is in force or not. It has no effect for
+// an unknown member.
 func (t *ReportTable) SetKnownRevision(service, member string, known Revision) {
 	if m := t.reporters[memberKey{service, member}]; m != nil {
 		m.knownRevision = known
 	}
 }
 
-// Tick removes the members whose last contact is MemberTimeout ago.
+// Tick removes the members whose last contact is at least MemberTimeout ago.
 func (t *ReportTable) Tick(now time.Duration) {
 	for e := t.order.Front(); e != nil; e = t.order.Front() {
 		m := e.Value.(*reporter)
@@ -105,7 +109,7 @@
 	}
 }
 
-// removeSidecars removes the sidecars of a member.
+// removeSidecars removes the reports of a member's sidecars, except for those that another member has reported since.
 func (t *ReportTable) removeSidecars(m *reporter) {
 	sidecars := t.services[m.service]
 	for _, name := range m.sidecars {
@@ -119,14 +123,15 @@
 	}
 }
 
+// remove removes a member and its reports.
 func (t *ReportTable) remove(m *reporter) {
 	t.removeSidecars(m)
 	t.order.Remove(m.element)
 	delete(t.reporters, m.memberKey)
 }
 
-// Summary returns the summary of a service with each of its sidecars: those first that do not run the newest version. newest is the zero
-// Version for a service that has none.
+// Summary returns the summary of a service with all of its sidecars. Those that do not run the newest version come first. newest
+// is the zero Version if the service has none.
 func (t *ReportTable) Summary(now time.Duration, service string, newest Version) Summary {
 	t.Tick(now)
 	summary := t.count(service, newest)
@@ -139,7 +144,7 @@
 	return summary
 }
 
-// Summaries returns the summaries of the services of these versions, in their order, without the sidecars.
+// Summaries returns, in the order of the given newest versions, the summary of each one's service without the sidecars.
 func (t *ReportTable) Summaries(now time.Duration, newest []Version) []Summary {
 	t.Tick(now)
 	all := make([]Summary, 0, len(newest))
@@ -149,7 +154,7 @@
 	return all
 }
 
-// count returns the counts of a service.
+// count returns the summary of a service without its sidecars.
 func (t *ReportTable) count(service string, newest Version) Summary {
 	summary := Summary{Service: service, Newest: newest.Revision, Digest: newest.Digest}
 	for _, sidecar := range t.services[service] {
--- a/internal/coordination/distribute/reporttable_test.go
+++ b/internal/coordination/distribute/reporttable_test.go
@@ -29,7 +29,7 @@
 	want("acknowledged", 0)
 	want("not acknowledged by the other", 1, a, b)
 	o.Set(a)
-	want("set to the same", 0)
+	want("set without a change", 0)
 	sequence := o.Sequence()
 	a.InForce = 2
 	o.Set(a) // while the call is in flight
@@ -44,60 +44,60 @@
 	want("the other one, set since", 0, a, b)
 }
 
-// However calls and changes interleave, the reports that a coordinator keeps of a member are the present ones, where it says that it has them
-// and gets a call without any.
+// However calls and changes interleave, a coordinator that has reports of a member and receives a call without reports has the
+// member's current ones.
 func TestOutboxProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Outbox
-		var kept [2][]Report // by coordinator
-		now := map[string]Report{}
+		var received [2][]Report // by coordinator
+		current := map[string]Report{}
 		type call struct {
 			server   int
 			sequence uint64
 			reports  []Report
-			has      bool
+			has      bool // the coordinator has reports when it handles the call
 		}
-		var out *call
+		var inFlight *call
 		t.Repeat(map[string]func(*rapid.T){
 			"set": func(*rapid.T) {
 				r := Report{Sidecar: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "sidecar"),
 					InForce: Revision(rapid.IntRange(0, 3).Draw(t, "in force"))}
-				now[r.Sidecar] = r
+				current[r.Sidecar] = r
 				o.Set(r)
 			},
 			"begin": func(*rapid.T) {
-				if out != nil {
+				if inFlight != nil {
 					return
 				}
-				out = &call{server: rapid.IntRange(0, 1).Draw(t, "server"), sequence: o.Sequence()}
-				if out.reports = o.Unacknowledged(out.server); out.reports != nil {
-					if len(out.reports) != len(now) {
-						t.Fatalf("%+v of %+v", out.reports, now)
+				inFlight = &call{server: rapid.IntRange(0, 1).Draw(t, "server"), sequence: o.Sequence()}
+				if inFlight.reports = o.Unacknowledged(inFlight.server); inFlight.reports != nil {
+					if len(inFlight.reports) != len(current) {
+						t.Fatalf("sent %+v of %+v", inFlight.reports, current)
 					}
-					kept[out.server] = out.reports
+					received[inFlight.server] = inFlight.reports
 				}
-				if out.has = kept[out.server] != nil; out.has && out.reports == nil {
-					for _, r := range kept[out.server] {
-						if now[r.Sidecar] != r || len(kept[out.server]) != len(now) {
-							t.Fatalf("the coordinator has %+v of %+v", kept[out.server], now)
+				if inFlight.has = received[inFlight.server] != nil; inFlight.has && inFlight.reports == nil {
+					for _, r := range received[inFlight.server] {
+						if current[r.Sidecar] != r || len(received[inFlight.server]) != len(current) {
+							t.Fatalf("the coordinator has %+v of %+v", received[inFlight.server], current)
 						}
 					}
 				}
 			},
 			"answered": func(*rapid.T) {
-				if out != nil {
-					o.Acknowledge(out.server, out.sequence, out.has)
-					if reports := o.Unacknowledged(out.server); !out.has && len(now) > 0 && reports == nil {
-						t.Fatal("the coordinator has no reports, and gets none")
+				if inFlight != nil {
+					o.Acknowledge(inFlight.server, inFlight.sequence, inFlight.has)
+					if reports := o.Unacknowledged(inFlight.server); !inFlight.has && len(current) > 0 && reports == nil {
+						t.Fatal("the coordinator has no reports, and is sent none")
 					}
-					out = nil
+					inFlight = nil
 				}
 			},
-			"lost": func(*rapid.T) { out = nil },
+			"lost": func(*rapid.T) { inFlight = nil },
 			"restart": func(*rapid.T) {
 				server := rapid.IntRange(0, 1).Draw(t, "server")
-				if kept[server] = nil; out != nil && out.server == server {
-					out = nil // its response does not come
+				if received[server] = nil; inFlight != nil && inFlight.server == server {
+					inFlight = nil // its response is lost
 				}
 			},
 		})
@@ -111,8 +111,8 @@
 	s.SetReports(0, "a", "n", []Report{{Sidecar: "n1", InForce: 7}})
 	s.SetReports(0, "b", "m", []Report{{Sidecar: "m1"}})
 	s.Touch(time.Second, "a", "m")
-	s.Touch(time.Second, "a", "stranger")
-	if !s.HasReports("a", "m") || !s.HasReports("b", "m") || s.HasReports("b", "n") || s.HasReports("a", "stranger") {
+	s.Touch(time.Second, "a", "unknown")
+	if !s.HasReports("a", "m") || !s.HasReports("b", "m") || s.HasReports("b", "n") || s.HasReports("a", "unknown") {
 		t.Error("wrong members have reports")
 	}
 	got := s.Summary(3*time.Second, "a", newest)
@@ -124,7 +124,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	// A restored group: members run, refused or hold revisions that it has forgotten.
+	// Coordinators restored from a backup: members run, have rejected or hold revisions that the coordinators have lost.
 	if got := s.Summary(0, "a", version("a", 5, `{}`)); got.Ahead != 7 || got.InForce != 0 {
 		t.Errorf("%+v", got)
 	}
@@ -134,7 +134,7 @@
 	}
 	s.SetReports(0, "d", "m", nil)
 	s.SetKnownRevision("a", "n", 9)
-	s.SetKnownRevision("a", "stranger", 11)
+	s.SetKnownRevision("a", "unknown", 11)
 	if got := s.Summary(0, "a", newest); got.Ahead != 9 {
 		t.Errorf("%+v", got)
 	}
@@ -151,7 +151,7 @@
 		got.Members[0].Member != "n" || got.Members[1].Sidecar != "m3" {
 		t.Errorf("%+v, %d sidecars", got, s.sidecars)
 	}
-	// An hour without contact: the sidecars of a member are removed, but not one that has moved.
+	// After MemberTimeout without contact, a member's sidecars are removed, but not the one that has moved to another member.
 	s.Touch(10*time.Second, "a", "n")
 	got = s.Summary(5*time.Second+MemberTimeout, "a", newest)
 	if got.Reported != 2 || s.HasReports("a", "m") || s.HasReports("b", "m") || s.sidecars != 2 {
@@ -185,7 +185,7 @@
 	if s.sidecars != MaxReporters || !s.HasReports("b", "many") || len(s.reporters) != MaxReporters-MaxReports+1 {
 		t.Errorf("%d sidecars of %d members", s.sidecars, len(s.reporters))
 	}
-	// Members without sidecars are bounded too.
+	// The number of members without sidecars is bounded too.
 	for i := range MaxReporters + 1 {
 		s.SetReports(MaxReporters, "c", fmt.Sprint("m", i), nil)
 	}
--- a/internal/coordination/distribute/simulation_test.go
+++ b/internal/coordination/distribute/simulation_test.go
@@ -9,45 +9,46 @@
 	"time"
 )
 
-// The times of the simulated coordinators.
+// Times of the simulated coordinators.
 const (
-	simFresh           = time.Second            // how long a confirmation by the leader is good
-	simConfirmInterval = 200 * time.Millisecond // between two requests for it
+	simFresh           = time.Second            // how long a confirmation by the leader is valid
+	simConfirmInterval = 200 * time.Millisecond // between two requests for a confirmation
 	simTick            = 50 * time.Millisecond
 	simWindow          = 100 * time.Millisecond // calls are counted in windows of this length
 )
 
-// world is coordinators that follow a log, and subscribers, in virtual time: the seed determines everything.
-type world struct {
+// simulation runs coordinators that follow a log, and subscribers, in virtual time. It is deterministic for a seed.
+type simulation struct {
 	t            testing.TB
 	rand         *rand.Rand
 	now          time.Duration
 	events       events
 	seq          int
 	log          []Command
-	truth        *Register              // of the complete log
+	reference    *Register              // has applied the complete log
 	history      map[string][]committed // by service
 	coordinators []*simCoordinator
 	subscribers  []*simSubscriber
 	allDown      bool          // all coordinators are down, and so is the leader
-	allUpAt      time.Duration // when all were up again last
-	faultRate    float64       // the fraction of responses that are lost; as many are late, duplicated, and corrupted
+	allUpAt      time.Duration // since when all coordinators are up again, after all were down or the faults have ended
+	faultRate    float64       // the fraction of responses that are lost; as many are late, duplicated and corrupted
 	calls        map[callWindow]int
 
 	sent, accepted, stale, snapshots int
-	faults                           [4]int // responses lost, late, duplicated, corrupted
-	refused                          map[error]int
+	faults                           [4]int        // responses that were lost, late, duplicated and corrupted
+	acceptErrors                     map[error]int // results of Answered and Accept; nil: no error
 }
 
+// committed is a version with the time at which it was committed.
 type committed struct {
 	at time.Duration
 	Version
 }
 
-// callWindow is the calls of a kind in one window.
+// callWindow identifies the calls of one kind in one window.
 type callWindow struct {
 	window int
-	kind   string // "return": first or after a loss; "hold": after nothing newer; "version": after a version
+	kind   string // "reconnect": first or after a failed call; "unchanged": after a wait without a newer version; "version": after a version
 }
 
 type event struct {
@@ -70,88 +71,93 @@
 	return last
 }
 
-func newWorld(t testing.TB, seed uint64, nodes, subs, services int) *world {
-	w := &world{t: t, rand: rand.New(rand.NewPCG(seed, 1)), truth: NewRegister(),
-		history: map[string][]committed{}, calls: map[callWindow]int{}, refused: map[error]int{}}
-	for i := range nodes {
-		n := &simCoordinator{world: w, register: NewRegister(), up: true, phase: time.Duration(i) * time.Millisecond}
-		n.restart()
-		w.coordinators = append(w.coordinators, n)
-		w.after(n.phase, n.requestConfirmation)
-		w.after(n.phase, n.tick)
+func newSimulation(t testing.TB, seed uint64, coordinators, subscribers, services int) *simulation {
+	sim := &simulation{t: t, rand: rand.New(rand.NewPCG(seed, 1)), reference: NewRegister(),
+		history: map[string][]committed{}, calls: map[callWindow]int{}, acceptErrors: map[error]int{}}
+	for i := range coordinators {
+		coord := &simCoordinator{sim: sim, register: NewRegister(), up: true, phase: time.Duration(i) * time.Millisecond}
+		coord.restart()
+		sim.coordinators = append(sim.coordinators, coord)
+		sim.after(coord.phase, coord.requestConfirmation)
+		sim.after(coord.phase, coord.tick)
 	}
-	for i := range subs {
-		s := &simSubscriber{world: w, service: fmt.Sprintf("service-%d", i%services), name: fmt.Sprintf("agent-%d", i), callKind: "return"}
-		s.Subscriber = NewSubscriber(DefaultSubscriberOptions(s.service, s.name, nodes, w.rand.Int64N), 0, 0)
+	for i := range subscribers {
+		s := &simSubscriber{sim: sim, service: fmt.Sprintf("service-%d", i%services), name: fmt.Sprintf("agent-%d", i), callKind: "reconnect"}
+		s.Subscriber = NewSubscriber(DefaultSubscriberOptions(s.service, s.name, coordinators, sim.rand.Int64N), 0, 0)
 		s.outbox.Set(Report{Sidecar: "sidecar-" + s.name})
-		w.subscribers = append(w.subscribers, s)
-		s.wake()
+		sim.subscribers = append(sim.subscribers, s)
+		s.scheduleNextCall()
 	}
-	return w
+	return sim
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.events, event{w.now + d, w.seq, do})
+// after schedules a callback after a delay.
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.events, event{sim.now + d, sim.seq, do})
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= until && !w.t.Failed() {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
+// run runs all events up to a time.
+func (sim *simulation) run(until time.Duration) {
+	for len(sim.events) > 0 && sim.events[0].at <= until && !sim.t.Failed() {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
 		e.do()
 	}
-	w.now = until
+	sim.now = until
 }
 
-// between returns a random time.
-func (w *world) between(shortest, longest time.Duration) time.Duration {
-	return shortest + time.Duration(w.rand.Int64N(int64(longest-shortest)))
+// between returns a random duration in [shortest, longest).
+func (sim *simulation) between(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(sim.rand.Int64N(int64(longest-shortest)))
 }
 
-// delay returns the delay of one message.
-func (w *world) delay() time.Duration { return w.between(time.Millisecond, 20*time.Millisecond) }
+// delay returns a random delay of one message.
+func (sim *simulation) delay() time.Duration {
+	return sim.between(time.Millisecond, 20*time.Millisecond)
+}
 
-func (w *world) chance(p float64) bool { return w.rand.Float64() < p }
+func (sim *simulation) chance(p float64) bool { return sim.rand.Float64() < p }
 
-// publish commits a version. All subscribers of the service have it, or a newer one, after the bound, in which
-// no coordinator was down.
-func (w *world) publish(service string, bound time.Duration) {
-	v, _ := w.truth.Newest(service)
-	c := Command{Service: service, After: v.Revision, Content: json.RawMessage(fmt.Sprintf(`{"n":%d}`, len(w.log)))}
-	w.log = append(w.log, c)
-	answer := w.truth.Apply(c)
+// publish commits a version, and checks that all subscribers of the service hold it, or a newer one, after the bound. Time during
+// which all coordinators are down does not count.
+func (sim *simulation) publish(service string, bound time.Duration) {
+	v, _ := sim.reference.Newest(service)
+	c := Command{Service: service, After: v.Revision, Content: json.RawMessage(fmt.Sprintf(`{"n":%d}`, len(sim.log)))}
+	sim.log = append(sim.log, c)
+	answer := sim.reference.Apply(c)
 	if answer.Refused != "" || answer.Revision <= v.Revision {
-		w.t.Fatalf("%+v", answer)
+		sim.t.Fatalf("%+v", answer)
 	}
-	if v, _ = w.truth.Newest(service); v.Revision != answer.Revision {
-		w.t.Fatalf("%+v, newest %+v", answer, v)
+	if v, _ = sim.reference.Newest(service); v.Revision != answer.Revision {
+		sim.t.Fatalf("%+v, newest %+v", answer, v)
 	}
-	w.history[service] = append(w.history[service], committed{w.now, v})
-	for _, n := range w.coordinators {
-		n.follow(len(w.log))
+	sim.history[service] = append(sim.history[service], committed{sim.now, v})
+	for _, coord := range sim.coordinators {
+		coord.follow(len(sim.log))
 	}
-	w.checkHeld(service, answer.Revision, bound, bound)
+	sim.checkHeld(service, answer.Revision, bound, bound)
 }
 
-// checkHeld checks after a delay that all subscribers of a service hold a revision, or a newer one.
-func (w *world) checkHeld(service string, r Revision, delay, bound time.Duration) {
-	w.after(delay, func() {
-		if w.allDown || w.allUpAt+bound > w.now && w.allUpAt > w.now-delay {
-			w.checkHeld(service, r, bound, bound)
+// checkHeld checks after a delay that all subscribers of a service hold a revision, or a newer one. If all coordinators were down
+// meanwhile, it checks again later, so that the whole bound has passed since they came back.
+func (sim *simulation) checkHeld(service string, r Revision, delay, bound time.Duration) {
+	sim.after(delay, func() {
+		if sim.allDown || sim.allUpAt+bound > sim.now && sim.allUpAt > sim.now-delay {
+			sim.checkHeld(service, r, bound, bound)
 			return
 		}
-		for _, s := range w.subscribers {
-			if s.service == service && s.Revision() < r && !s.asleep {
-				w.t.Errorf("%v: %s holds %d of %s; %d was published %v ago", w.now, s.name, s.Revision(), service, r, delay)
+		for _, s := range sim.subscribers {
+			if s.service == service && s.Revision() < r && !s.absent {
+				sim.t.Errorf("%v: %s holds %d of %s; %d was published %v ago", sim.now, s.name, s.Revision(), service, r, delay)
 			}
 		}
 	})
 }
 
-// newestAt returns the newest revision that was committed at a moment.
-func (w *world) newestAt(service string, at time.Duration) (r Revision) {
-	for _, c := range w.history[service] {
+// newestAt returns the newest revision of a service that was committed at a given time.
+func (sim *simulation) newestAt(service string, at time.Duration) (r Revision) {
+	for _, c := range sim.history[service] {
 		if c.at <= at {
 			r = c.Revision
 		}
@@ -159,73 +165,75 @@
 	return r
 }
 
-// simCoordinator is a coordinator.
+// simCoordinator simulates a coordinator.
 type simCoordinator struct {
-	world         *world
+	sim           *simulation
 	register      *Register
 	applied       int
 	watches       *Watches
 	reports       *ReportTable
 	up            bool
 	stopped       bool
-	partitioned   bool // from the leader: it gets no entries, and no confirmation
-	incarnation   int  // counts starts of the process
+	partitioned   bool // from the leader: the coordinator receives neither entries nor confirmations
+	incarnation   int  // counts the starts of the process
 	phase         time.Duration
-	backlog       []func()
-	open          []*call
+	backlog       []func()   // callbacks that are run when the stopped process resumes
+	open          []*simCall // calls that fail if the process is killed
 	confirmations []leaderConfirmation
 }
 
-// leaderConfirmation says that the log was that long when it was requested.
+// leaderConfirmation is a confirmation by the leader that the log had a length of index.
 type leaderConfirmation struct {
 	requestedAt time.Duration
 	index       int
 }
 
-// restart starts a new process: its register is kept, and everything else is lost.
-func (n *simCoordinator) restart() {
-	n.incarnation++
-	n.watches = NewWatches(func(s string) (Version, bool) { return n.register.Newest(s) }, simFresh)
-	n.reports, n.open, n.confirmations, n.backlog = NewReportTable(), nil, nil, nil
+// restart starts a new process, which keeps the register and loses everything else.
+func (coord *simCoordinator) restart() {
+	coord.incarnation++
+	coord.watches = NewWatches(func(s string) (Version, bool) { return coord.register.Newest(s) }, simFresh)
+	coord.reports, coord.open, coord.confirmations, coord.backlog = NewReportTable(), nil, nil, nil
 }
 
-// later calls do in this process after a delay, and when it runs.
-func (n *simCoordinator) later(d time.Duration, do func()) {
-	life := n.incarnation
-	n.world.after(d, func() { n.run(life, do) })
+// later calls do after a delay, unless the process was killed by then. While the process is stopped, the call is deferred.
+func (coord *simCoordinator) later(d time.Duration, do func()) {
+	incarnation := coord.incarnation
+	coord.sim.after(d, func() { coord.run(incarnation, do) })
 }
 
-func (n *simCoordinator) run(life int, do func()) {
+// run calls do now if the process runs, defers it if the process is stopped, and drops it if the incarnation has ended.
+func (coord *simCoordinator) run(incarnation int, do func()) {
 	switch {
-	case !n.up || life != n.incarnation:
-	case n.stopped:
-		n.backlog = append(n.backlog, func() { n.run(life, do) })
+	case !coord.up || incarnation != coord.incarnation:
+	case coord.stopped:
+		coord.backlog = append(coord.backlog, func() { coord.run(incarnation, do) })
 	default:
 		do()
 	}
 }
 
-func (n *simCoordinator) tick() {
-	n.world.after(simTick, n.tick)
-	n.run(n.incarnation, func() { n.watches.Tick(n.world.now); n.reports.Tick(n.world.now) })
+// tick ticks the process periodically.
+func (coord *simCoordinator) tick() {
+	coord.sim.after(simTick, coord.tick)
+	coord.run(coord.incarnation, func() { coord.watches.Tick(coord.sim.now); coord.reports.Tick(coord.sim.now) })
 }
 
-// requestConfirmation requests a confirmation from the leader again and again.
-func (n *simCoordinator) requestConfirmation() {
-	n.world.after(simConfirmInterval, n.requestConfirmation)
-	n.run(n.incarnation, func() {
-		requestedAt, incarnation := n.world.now, n.incarnation
-		n.world.after(n.world.delay(), func() {
-			if n.partitioned || n.world.allDown {
+// requestConfirmation requests a confirmation from the leader periodically.
+func (coord *simCoordinator) requestConfirmation() {
+	coord.sim.after(simConfirmInterval, coord.requestConfirmation)
+	coord.run(coord.incarnation, func() {
+		requestedAt, incarnation := coord.sim.now, coord.incarnation
+		coord.sim.after(coord.sim.delay(), func() {
+			if coord.partitioned || coord.sim.allDown {
 				return
 			}
-			index := len(n.world.log)
-			n.world.after(n.world.delay(), func() {
-				n.run(incarnation, func() {
-					n.confirmations = append(n.confirmations, leaderConfirmation{requestedAt, index})
-					n.confirm()
-					if n.applied < index {
-						n.follow(index)
+			index := len(coord.sim.log)
+			coord.sim.after(coord.sim.delay(), func() {
+				coord.run(incarnation, func() {
+					coord.confirmations = append(coord.confirmations, leaderConfirmation{requestedAt, index})
+					coord.confirm()
+					if coord.applied < index {
+						coord.follow(index)
 					}
 				})
 			})
@@ -234,142 +242,147 @@
 }
 
 // follow applies the log up to an index, after a delay.
-func (n *simCoordinator) follow(index int) {
-	if n.partitioned {
+func (coord *simCoordinator) follow(index int) {
+	if coord.partitioned {
 		return
 	}
-	n.later(n.world.delay(), func() {
-		if n.partitioned || n.applied >= index {
+	coord.later(coord.sim.delay(), func() {
+		if coord.partitioned || coord.applied >= index {
 			return
 		}
-		if index-n.applied > 25 { // by a snapshot
+		if index-coord.applied > 25 { // the entries are replaced by a snapshot
 			var err error
-			if n.register, err = RestoreRegister(n.world.truth.Snapshot()); err != nil {
-				n.world.t.Fatal(err)
+			if coord.register, err = RestoreRegister(coord.sim.reference.Snapshot()); err != nil {
+				coord.sim.t.Fatal(err)
 			}
-			n.world.snapshots++
-			n.applied = len(n.world.log)
-			n.watches.ChangedAll(n.world.now)
+			coord.sim.snapshots++
+			coord.applied = len(coord.sim.log)
+			coord.watches.ChangedAll(coord.sim.now)
 		}
-		for ; n.applied < index; n.applied++ {
-			n.register.Apply(n.world.log[n.applied])
-			n.watches.Changed(n.world.now, n.world.log[n.applied].Service)
+		for ; coord.applied < index; coord.applied++ {
+			coord.register.Apply(coord.sim.log[coord.applied])
+			coord.watches.Changed(coord.sim.now, coord.sim.log[coord.applied].Service)
 		}
-		n.confirm()
+		coord.confirm()
 	})
 }
 
-func (n *simCoordinator) confirm() {
-	for _, w := range n.confirmations {
-		if w.index <= n.applied {
-			n.watches.Confirmed(w.requestedAt)
+// confirm applies the confirmations whose index the register has reached.
+func (coord *simCoordinator) confirm() {
+	for _, c := range coord.confirmations {
+		if c.index <= coord.applied {
+			coord.watches.Confirmed(c.requestedAt)
 		}
 	}
-	if len(n.confirmations) > 50 {
-		n.confirmations = n.confirmations[25:]
+	if len(coord.confirmations) > 50 {
+		coord.confirmations = coord.confirmations[25:]
 	}
 }
 
-func (n *simCoordinator) kill() {
-	n.up, n.stopped = false, false
-	for _, c := range n.open {
-		n.world.after(n.world.delay(), c.failed)
+// kill ends the process: its open calls fail.
+func (coord *simCoordinator) kill() {
+	coord.up, coord.stopped = false, false
+	for _, c := range coord.open {
+		coord.sim.after(coord.sim.delay(), c.failed)
 	}
-	n.open = nil
+	coord.open = nil
 }
 
-func (n *simCoordinator) revive() { n.up = true; n.restart() }
+// start starts a process after a kill.
+func (coord *simCoordinator) start() { coord.up = true; coord.restart() }
 
-func (n *simCoordinator) resume() {
-	n.stopped = false
-	all := n.backlog
-	n.backlog = nil
+// resume continues a stopped process, which first runs what was deferred.
+func (coord *simCoordinator) resume() {
+	coord.stopped = false
+	all := coord.backlog
+	coord.backlog = nil
 	for _, do := range all {
 		do()
 	}
 }
 
-// receive takes in a call.
-func (n *simCoordinator) receive(c *call) {
-	if !n.up {
-		n.world.after(n.world.delay(), c.failed)
+// receive handles a call at the coordinator.
+func (coord *simCoordinator) receive(c *simCall) {
+	if !coord.up {
+		coord.sim.after(coord.sim.delay(), c.failed)
 		return
 	}
-	if len(n.open) > 1000 {
-		n.open = n.open[500:]
+	if len(coord.open) > 1000 {
+		coord.open = coord.open[500:]
 	}
-	n.open = append(n.open, c)
-	n.run(n.incarnation, func() {
+	coord.open = append(coord.open, c)
+	coord.run(coord.incarnation, func() {
 		if c.disconnected {
 			return
 		}
-		w := c.call.Watch
-		if err := w.Check(); err != nil {
-			n.world.t.Errorf("%+v: %v", w, err)
+		watch := c.request.Watch
+		if err := watch.Check(); err != nil {
+			coord.sim.t.Errorf("%+v: %v", watch, err)
 		}
-		if w.Reports != nil {
-			n.reports.SetReports(n.world.now, w.Service, w.Member, w.Reports)
+		if watch.Reports != nil {
+			coord.reports.SetReports(coord.sim.now, watch.Service, watch.Member, watch.Reports)
 		}
-		n.reports.Touch(n.world.now, w.Service, w.Member)
-		n.reports.SetKnownRevision(w.Service, w.Member, w.Known)
-		c.cancel = n.watches.Add(n.world.now, w, func(response WatchResponse, err error) { n.answer(c, response, err) })
+		coord.reports.Touch(coord.sim.now, watch.Service, watch.Member)
+		coord.reports.SetKnownRevision(watch.Service, watch.Member, watch.Known)
+		c.cancel = coord.watches.Add(coord.sim.now, watch, func(response WatchResponse, err error) { coord.answer(c, response, err) })
 	})
 }
 
 // answer checks a response and sends it.
-func (n *simCoordinator) answer(c *call, response WatchResponse, err error) {
-	w, watch := n.world, c.call.Watch
+func (coord *simCoordinator) answer(c *simCall, response WatchResponse, err error) {
+	sim, watch := coord.sim, c.request.Watch
 	if c.disconnected || c.answeredByServer {
-		w.t.Errorf("%v: %s is answered after it disconnected, or twice", w.now, c.sub.name)
+		sim.t.Errorf("%v: the call of %s is answered after the agent disconnected, or twice", sim.now, c.sub.name)
 	}
 	if c.answeredByServer = true; err != nil {
-		w.stale++
-		w.after(w.delay(), c.failed)
+		sim.stale++
+		sim.after(sim.delay(), c.failed)
 		return
 	}
 	known := watch.Known
 	if response.Newer != nil {
 		if known = response.Newer.Revision; known <= watch.Known {
-			w.t.Errorf("%v: %s holds %d and is sent %d", w.now, c.sub.name, watch.Known, known)
+			sim.t.Errorf("%v: %s holds %d and is sent %d", sim.now, c.sub.name, watch.Known, known)
 		}
 		c.sub.versionsSent++
-		w.sent++
+		sim.sent++
 	}
-	if least := w.newestAt(watch.Service, w.now-simFresh); known < least {
-		w.t.Errorf("%v: %s is answered that %d is the newest; %d was committed %v ago",
-			w.now, c.sub.name, known, least, simFresh)
+	if minimum := sim.newestAt(watch.Service, sim.now-simFresh); known < minimum {
+		sim.t.Errorf("%v: the answer to %s leaves %d as the newest; %d was committed at least %v ago",
+			sim.now, c.sub.name, known, minimum, simFresh)
 	}
-	response.ReportsReceived = n.reports.HasReports(watch.Service, watch.Member)
-	d := w.delay()
+	response.ReportsReceived = coord.reports.HasReports(watch.Service, watch.Member)
+	d := sim.delay()
 	switch {
-	case w.chance(w.faultRate):
-		w.faults[0]++
+	case sim.chance(sim.faultRate):
+		sim.faults[0]++
 		return // lost
-	case w.chance(w.faultRate):
-		w.faults[1]++
-		d += w.between(0, 15*time.Second) // late
-	case w.chance(w.faultRate): // duplicated
-		w.faults[2]++
-		w.after(d+w.between(0, time.Second), func() { c.answered(response) })
-	case w.chance(w.faultRate):
-		w.faults[3]++
-		response.Newer = w.corruptVersion(watch.Service)
+	case sim.chance(sim.faultRate):
+		sim.faults[1]++
+		d += sim.between(0, 15*time.Second) // late
+	case sim.chance(sim.faultRate): // duplicated
+		sim.faults[2]++
+		sim.after(d+sim.between(0, time.Second), func() { c.answered(response) })
+	case sim.chance(sim.faultRate):
+		sim.faults[3]++
+		response.Newer = sim.corruptVersion(watch.Service)
 	}
-	w.after(d, func() { c.answered(response) })
+	sim.after(d, func() { c.answered(response) })
 }
 
-// corruptVersion returns what no subscriber may accept: an older version, one of another service, or an incomplete one.
-func (w *world) corruptVersion(service string) *Version {
-	all := w.history[service]
+// corruptVersion returns a version that no subscriber may accept: an earlier one, one of another service, or one with truncated
+// content.
+func (sim *simulation) corruptVersion(service string) *Version {
+	all := sim.history[service]
 	if len(all) == 0 {
 		return nil
 	}
-	v := all[w.rand.IntN(len(all))].Version
-	switch w.rand.IntN(3) {
+	v := all[sim.rand.IntN(len(all))].Version
+	switch sim.rand.IntN(3) {
 	case 0:
-		v.Revision, v.Service = w.truth.Last()+1, "another"
+		v.Revision, v.Service = sim.reference.Last()+1, "another"
 	case 1:
-		v.Revision, v.Content = w.truth.Last()+1, v.Content[:len(v.Content)/2]
+		v.Revision, v.Content = sim.reference.Last()+1, v.Content[:len(v.Content)/2]
 	}
 	return &v
 }
--- a/internal/coordination/distribute/subscriber.go
+++ b/internal/coordination/distribute/subscriber.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// SubscriberOptions are the settings of an agent's subscription to one service. ReconnectWindow and ResponseTimeout may be 0; all other times
-// are above 0.
+// SubscriberOptions are the settings of an agent's subscription to one service. ReconnectWindow and ResponseTimeout may be 0; all
+// other durations are positive.
 type SubscriberOptions struct {
 	Service string
 	Member  string // the agent's name
 	Servers int    // the number of coordinators, which are numbered from 0
 
-	// MaxWait is the longest that a call waits for a newer version: each waits for three quarters of it to the whole, drawn at random,
-	// so that calls of many agents do not end at the same moments.
+	// MaxWait is the longest time for which a call waits for a newer version. Each call waits for a random time between three
+	// quarters of MaxWait and all of it, so that the calls of many agents do not end at the same time.
 	MaxWait time.Duration
-	// ResponseTimeout is how long after the end of its wait a call has failed.
+	// ResponseTimeout is the time after the end of its wait at which a call without a response fails.
 	ResponseTimeout time.Duration
-	// ReconnectWindow is the window of the first call, and of the first call after a coordinator was lost: N agents that lose one together
-	// are back at a mean rate of N/ReconnectWindow.
+	// ReconnectWindow is the window in which the first call is made, and the first call after a coordinator was lost. N agents
+	// that lose a coordinator at the same time reconnect at a mean rate of N/ReconnectWindow.
 	ReconnectWindow time.Duration
-	// MaxBackoff is the longest pause while no coordinator answers; at least twice ReconnectWindow.
+	// MaxBackoff is the longest pause between calls while no coordinator answers. It is at least twice ReconnectWindow.
 	MaxBackoff time.Duration
-	// RebalanceAfter is how long one coordinator is used: after half of it to the whole, drawn at random, another one is chosen, so that
-	// load spreads again after restarts.
+	// RebalanceAfter is the longest time for which one coordinator is used. Another one is drawn after a random time between half
+	// of RebalanceAfter and all of it, so that load is balanced again after restarts.
 	RebalanceAfter time.Duration
 
-	// Rand returns a random number from 0 to n-1; n is above 0.
+	// Rand returns a random number in [0, n) for a positive n.
 	Rand func(n int64) int64
 }
 
-// DefaultSubscriberOptions returns the options of an agent, for a number of coordinators.
+// DefaultSubscriberOptions returns the default options for an agent. servers is the number of coordinators.
 func DefaultSubscriberOptions(service, member string, servers int, rand func(n int64) int64) SubscriberOptions {
 	return SubscriberOptions{
 		Service: service, Member: member, Servers: servers, Rand: rand,
@@ -36,52 +36,55 @@
 	}
 }
 
-// maxDoublings bounds the doublings of the window after calls that failed; MaxBackoff is reached long before.
+// maxDoublings bounds how often the window is doubled after failed calls. The window reaches its maximum long before.
 const maxDoublings = 32
 
-// noServer stands for no coordinator.
+// noServer is the server number that stands for no coordinator.
 const noServer = -1
 
-// Subscriber is one agent's subscription to one service: which coordinator to call, when, and whether to accept a version. It has at most
-// one call in flight. It belongs to one goroutine; moments are of the agent's steady clock.
+// Subscriber is one agent's subscription to one service. It decides which coordinator to call and when, and whether to accept a
+// version. It has at most one call in flight. It must be used from a single goroutine. Times are those of the agent's monotonic
+// clock.
 //
-// Calls after a loss come in windows that do not overlap: one in each, at a random moment in it. Windows are at least ReconnectWindow
-// long and double, while no coordinator answers, to half of MaxBackoff, so that no pause is above MaxBackoff. However often agents lose
-// coordinators, calls after a loss never come at more than one each ReconnectWindow in the mean. (With windows that begin where the last
-// pause ended, of which some are short, calls would come in crowds where refusals come fast.)
+// After the loss of a coordinator, calls are made in windows that do not overlap, one call at a random time in each window. A
+// window is at least ReconnectWindow long. While no coordinator answers, its length doubles up to half of MaxBackoff, so that no
+// pause exceeds MaxBackoff. However often agents lose coordinators, each makes at most one call per ReconnectWindow on average
+// after a loss. If a window instead began at the end of the last pause, some pauses would be short, and calls would cluster when
+// coordinators refuse them fast.
 type Subscriber struct {
 	options    SubscriberOptions
-	revision   Revision      // of the version that was accepted last
-	server     int           // that is called; noServer: one is to be drawn
-	lostServer int           // that failed last, which is not drawn next; or noServer
-	drawAt     time.Duration // when another server is drawn
+	revision   Revision      // of the last accepted version
+	server     int           // the coordinator in use; noServer: one has to be drawn
+	lostServer int           // the coordinator that is not drawn next, because it failed or was left last; or noServer
+	drawAt     time.Duration // when another coordinator is drawn
 	nextCallAt time.Duration
 	inFlight   bool
-	failures   int           // calls that failed in a row
-	windowEnd  time.Duration // of the last window
+	failures   int           // consecutive failed calls
+	windowEnd  time.Duration // the end of the last window
 }
 
-// Call is a call to make.
+// Call is a watch call that the agent has to make.
 type Call struct {
 	Server   int
 	Watch    Watch         // without Reports: the caller adds them
-	Deadline time.Duration // the moment at which the call has failed
+	Deadline time.Duration // when the call fails if there is no response
 }
 
-// NewSubscriber returns the subscription of an agent that holds a revision, or none (0).
+// NewSubscriber returns the subscription of an agent that holds the given revision; 0 stands for none.
 func NewSubscriber(o SubscriberOptions, revision Revision, now time.Duration) *Subscriber {
 	s := &Subscriber{options: o, revision: revision, server: noServer, lostServer: noServer}
 	s.scheduleCall(now, o.ReconnectWindow)
 	return s
 }
 
-// scheduleCall sets the next call to a random moment in a window of that length, which begins when the last one has ended.
+// scheduleCall schedules the next call at a random time in a window of the given length, which begins no earlier than the last
+// one ends.
 func (s *Subscriber) scheduleCall(now, length time.Duration) {
 	begin := max(now, s.windowEnd)
 	s.nextCallAt, s.windowEnd = begin+s.draw(length), begin+length
 }
 
-// draw returns a random time from 0 up to d.
+// draw returns a random duration in [0, d), or 0 if d is not positive.
 func (s *Subscriber) draw(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -89,10 +92,10 @@
 	return time.Duration(s.options.Rand(int64(d)))
 }
 
-// NextCallAt returns when to begin the next call; ok is false where one is in flight.
+// NextCallAt returns when to begin the next call; ok is false if a call is in flight.
 func (s *Subscriber) NextCallAt() (at time.Duration, ok bool) { return s.nextCallAt, !s.inFlight }
 
-// Begin returns the next call to make. A call that is still in flight is given up; its response may still be given to Accept.
+// Begin returns the next call to make. A call that is still in flight is abandoned; its response may still be passed to Accept.
 func (s *Subscriber) Begin(now time.Duration) Call {
 	if s.server >= 0 && now >= s.drawAt {
 		s.lostServer, s.server = s.server, noServer
@@ -110,7 +113,7 @@
 	}
 }
 
-// drawServer draws a coordinator, but not the excluded one where there is another.
+// drawServer returns a random coordinator, other than the excluded one if there are several.
 func (s *Subscriber) drawServer(excluded int) int {
 	switch {
 	case s.options.Servers <= 1:
@@ -121,8 +124,8 @@
 	return (excluded + 1 + int(s.options.Rand(int64(s.options.Servers-1)))) % s.options.Servers
 }
 
-// Answered processes the response to the call in flight, and returns the version to apply, which counts as held from here on; nil: there
-// is none. A version that is refused makes the call a failed one.
+// Answered processes the response to the call in flight and returns the version to apply, or nil if there is none. The version
+// counts as held from now on. If the version is rejected, Answered returns an error and the call counts as failed.
 func (s *Subscriber) Answered(now time.Duration, response WatchResponse) (*Version, error) {
 	v, err := s.Accept(response)
 	if err != nil {
@@ -135,7 +138,8 @@
 	return v, nil
 }
 
-// Accept is Answered for a response that comes after its call has failed: a newer version is as good, but the time of the next call stays.
+// Accept processes a response that arrives after its call has failed. It accepts or rejects the version as Answered does, but
+// does not change when the next call is made.
 func (s *Subscriber) Accept(response WatchResponse) (*Version, error) {
 	v := response.Newer
 	switch {
@@ -152,7 +156,7 @@
 	return v, nil
 }
 
-// Failed records that the call in flight got no response, or an error.
+// Failed records that the call in flight got an error or no response.
 func (s *Subscriber) Failed(now time.Duration) {
 	if !s.inFlight {
 		return
@@ -166,12 +170,12 @@
 	s.scheduleCall(now, length)
 }
 
-// StoreFailed undoes the last version that was accepted, which the machine could not store; before is the revision of before. The version
-// is requested again after a pause.
+// StoreFailed reverts the last acceptance of a version, because the machine could not store it. before is the revision held
+// before. The version is requested again after a pause.
 func (s *Subscriber) StoreFailed(now time.Duration, before Revision) {
 	s.revision = before
 	s.scheduleCall(now, s.options.ReconnectWindow)
 }
 
-// Revision returns that of the version that was accepted last, or that the agent began with.
+// Revision returns the revision of the last accepted version, or the one that the agent started with.
 func (s *Subscriber) Revision() Revision { return s.revision }
--- a/internal/coordination/distribute/subscriber_test.go
+++ b/internal/coordination/distribute/subscriber_test.go
@@ -11,13 +11,14 @@
 	"pgregory.net/rapid"
 )
 
+// version returns a valid version.
 func version(service string, r Revision, content string) Version {
 	return Version{service, r, Digest([]byte(content)), json.RawMessage(content), false}
 }
 
 func TestAcceptedVersions(t *testing.T) {
-	broken := version("a", 8, `{"n":8}`)
-	broken.Content = broken.Content[:4]
+	truncated := version("a", 8, `{"n":8}`)
+	truncated.Content = truncated.Content[:4]
 	empty := version("a", 8, "")
 	for name, c := range map[string]struct {
 		sent Version
@@ -27,7 +28,7 @@
 		"the same":        {version("a", 7, `{"n":8}`), ErrNotNewer},
 		"older":           {version("a", 6, `{"n":8}`), ErrNotNewer},
 		"another service": {version("b", 8, `{"n":8}`), ErrWrongService},
-		"incomplete":      {broken, ErrDigestMismatch},
+		"incomplete":      {truncated, ErrDigestMismatch},
 		"without content": {empty, ErrDigestMismatch},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +53,7 @@
 	}
 }
 
-// A version that a machine could not store is requested again, after a pause, and accepted again.
+// A version that the machine could not store is requested and accepted again, after a pause.
 func TestStoreFailed(t *testing.T) {
 	s := NewSubscriber(DefaultSubscriberOptions("a", "m", 3, func(n int64) int64 { return n / 2 }), 7, 0)
 	for range 3 {
@@ -69,7 +70,7 @@
 	}
 }
 
-// One call after the other: when, to which coordinator, how long.
+// Over a random sequence of calls, checks when each is made, to which coordinator, and how long it waits.
 func TestCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -78,7 +79,7 @@
 		o := DefaultSubscriberOptions("a", "m", servers, rnd.Int64N)
 		s := NewSubscriber(o, 0, now)
 		if at, ok := s.NextCallAt(); !ok || at < now || at >= now+o.ReconnectWindow {
-			t.Fatalf("first at %v", at-now)
+			t.Fatalf("the first call is after %v", at-now)
 		}
 		server, since, failed := -1, now, false
 		for range rapid.IntRange(1, 60).Draw(t, "calls") {
@@ -86,7 +87,7 @@
 			now = max(now, at)
 			c := s.Begin(now)
 			if _, ok := s.NextCallAt(); ok {
-				t.Fatal("two calls")
+				t.Fatal("a second call while one is in flight")
 			}
 			if w := c.Watch; w.Check() != nil || w.Service != "a" || w.Member != "m" ||
 				w.MaxWait > o.MaxWait || w.MaxWait < o.MaxWait*3/4 || c.Deadline != now+w.MaxWait+o.ResponseTimeout {
@@ -97,24 +98,24 @@
 			}
 			if c.Server != server || failed {
 				if !failed && server >= 0 && now-since < o.RebalanceAfter/2 {
-					t.Fatalf("left after %v", now-since)
+					t.Fatalf("left the coordinator after %v", now-since)
 				}
 				since = now
 			} else if servers > 1 && now-since > o.RebalanceAfter {
-				t.Fatalf("stays for %v", now-since)
+				t.Fatalf("stays at the coordinator for %v", now-since)
 			}
 			server = c.Server
 			if failed = rapid.IntRange(0, 3).Draw(t, "fails") == 0; failed {
 				now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, c.Deadline - now}).Draw(t, "after")
 				s.Failed(now)
-				s.Failed(now) // the second time changes nothing
+				s.Failed(now) // has no effect the second time
 				if at, ok := s.NextCallAt(); !ok || at < now || at > now+o.MaxBackoff {
 					t.Fatalf("pause of %v", at-now)
 				}
 				pause, _ := s.NextCallAt()
-				s.Answered(now, WatchResponse{}) // after it has failed
+				s.Answered(now, WatchResponse{}) // a response after the call has failed
 				if at, _ := s.NextCallAt(); at != pause {
-					t.Fatalf("a pause to %v became one to %v", pause, at)
+					t.Fatalf("a late response moved the next call from %v to %v", pause, at)
 				}
 				continue
 			}
@@ -123,7 +124,7 @@
 				t.Fatal(v, err)
 			}
 			if at, ok := s.NextCallAt(); !ok || at != now {
-				t.Fatalf("again at %v", at-now)
+				t.Fatalf("the next call is after %v, want 0", at-now)
 			}
 			if v, err := s.Answered(now, WatchResponse{}); v != nil || err != nil { // a duplicate
 				t.Fatal(v, err)
@@ -132,8 +133,8 @@
 	})
 }
 
-// Pauses grow to MaxBackoff while no coordinator answers: one call in each window, at a random moment.
-func TestPausesGrow(t *testing.T) {
+// While no coordinator answers, the windows grow to half of MaxBackoff, with one call in each at a random time.
+func TestBackoffGrows(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var late, early int
 	for range 1000 {
@@ -152,7 +153,7 @@
 			}
 			s.Begin(at)
 			s.Failed(at)
-			if from, to = to, to+2500*time.Millisecond; n == 0 { // the first one after a loss is within ReconnectWindow
+			if from, to = to, to+2500*time.Millisecond; n == 0 { // the first window after a loss is ReconnectWindow
 				to = from + 2*time.Second
 			}
 		}
@@ -162,34 +163,34 @@
 	}
 }
 
-// Load is spread over all coordinators again some time after one came back.
-func TestLoadSpreads(t *testing.T) {
+// Some time after a coordinator has come back, the load is balanced over all coordinators again.
+func TestLoadIsBalancedAgain(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	at := make([]int, 3)
+	callers := make([]int, 3) // by coordinator
 	for range 3000 {
 		s := NewSubscriber(DefaultSubscriberOptions("a", "m", 3, rnd.Int64N), 0, 0)
 		var c Call
 		for now := time.Duration(0); now < 4*time.Minute; {
 			now, _ = s.NextCallAt()
-			if c = s.Begin(now); now < time.Minute && c.Server == 0 { // it is down for a minute
+			if c = s.Begin(now); now < time.Minute && c.Server == 0 { // coordinator 0 is down for the first minute
 				s.Failed(now)
 				continue
 			}
 			s.Answered(now+c.Watch.MaxWait, WatchResponse{})
 		}
-		at[c.Server]++
+		callers[c.Server]++
 	}
-	for server, n := range at {
+	for server, n := range callers {
 		if n < 850 || n > 1150 {
-			t.Errorf("%d ask coordinator %d: %v", n, server, at)
+			t.Errorf("%d agents call coordinator %d: %v", n, server, callers)
 		}
 	}
 }
 
-// Whatever responses come, from which coordinator and in which order, no older version is accepted, none of another service and none that
-// is incomplete. After coordinators were restored from a back-up, or began with nothing, a version that was published above what is held
-// reaches all.
-func TestNeverBack(t *testing.T) {
+// Whatever responses arrive, from any coordinator and in any order, a subscriber accepts no older version, none of another
+// service and none with incomplete content. After the coordinators were restored from a backup, or started without data, all
+// subscribers accept a version that was published above the revisions that they hold.
+func TestRevisionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		services := []string{"a", "b"}
 		r := NewRegister()
@@ -224,12 +225,12 @@
 				s.Begin(0)
 				v, err = s.Answered(0, WatchResponse{Newer: &sent})
 			}
-			good := sent.Service == s.options.Service && sent.Revision > before && sent.Digest == Digest(sent.Content)
-			if good != (v != nil) || good != (err == nil) || s.Revision() < before {
+			valid := sent.Service == s.options.Service && sent.Revision > before && sent.Digest == Digest(sent.Content)
+			if valid != (v != nil) || valid != (err == nil) || s.Revision() < before {
 				t.Fatalf("%s at %d: %+v, %v, holds %d", s.options.Service, before, sent, err, s.Revision())
 			}
-			if good && (s.Revision() != v.Revision || v.Revision <= before) || !good && s.Revision() != before {
-				t.Fatalf("%d became %d by %+v", before, s.Revision(), sent)
+			if valid && (s.Revision() != v.Revision || v.Revision <= before) || !valid && s.Revision() != before {
+				t.Fatalf("revision %d became %d after %+v", before, s.Revision(), sent)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -266,7 +267,7 @@
 				for _, s := range subs {
 					if s.options.Service == service {
 						if deliver(s, v); s.Revision() != v.Revision {
-							t.Fatalf("%d is held, not %d", s.Revision(), v.Revision)
+							t.Fatalf("holds revision %d, want %d", s.Revision(), v.Revision)
 						}
 					}
 				}
--- a/internal/coordination/distribute/summary.go
+++ b/internal/coordination/distribute/summary.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// addReport counts a report.
+// addReport adds a report to the counts.
 func (s *Summary) addReport(r Report) {
 	s.Reported++
 	if r.InForce == s.Newest {
@@ -14,14 +14,15 @@
 	s.addHeld(max(r.InForce, r.Refused))
 }
 
-// addHeld counts a revision that a member holds. One above the newest was given before the group was restored, which has forgotten it.
+// addHeld updates Ahead with a revision that a member holds. A revision above the newest was assigned before the coordinators
+// were restored from a backup, and they have lost it.
 func (s *Summary) addHeld(held Revision) {
 	if held > s.Newest {
 		s.Ahead = max(s.Ahead, held)
 	}
 }
 
-// sortOutdatedFirst sorts the sidecars, which are by name, so that those come first that do not run the newest version.
+// sortOutdatedFirst moves the sidecars that do not run the newest version to the front and otherwise keeps their order by name.
 func (s *Summary) sortOutdatedFirst() {
 	slices.SortStableFunc(s.Members, func(a, b SidecarReport) int {
 		switch current := a.InForce == s.Newest; {
@@ -34,8 +35,9 @@
 	})
 }
 
-// Merge returns one summary of those of several coordinators for one service, each with its sidecars: a sidecar's report is the one at
-// the coordinator that its agent was in contact with last, and the newest version is the largest one that any of them knows.
+// Merge merges the summaries of several coordinators for one service, each with its sidecars. Of several reports on a sidecar, it
+// uses the one whose agent was in contact with the coordinator most recently. The newest version is the largest one that any
+// coordinator knows.
 func Merge(all []Summary) Summary {
 	var merged Summary
 	latest := map[string]SidecarReport{}
--- a/internal/coordination/distribute/watches.go
+++ b/internal/coordination/distribute/watches.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// ErrStale says that this coordinator cannot confirm that it knows everything that was committed. The agent asks another one.
+// ErrStale is returned to a watch by a coordinator that cannot confirm that it knows everything that was committed. The agent
+// then calls another one.
 var ErrStale = errors.New("this coordinator has had no confirmation by a leader lately: " +
 	"it may not know the newest version; ask another one")
 
-// Check returns what is wrong with a watch. The error names the field and says what to write.
+// Check returns an error if a field of the watch is invalid. The error names the field and says what to write.
 func (w *Watch) Check() error {
 	if w.Version != WireVersion {
 		return fmt.Errorf("version: %d; write %d", w.Version, WireVersion)
@@ -48,11 +49,12 @@
 	return nil
 }
 
-// Watches are the calls of agents that wait at one coordinator. Moments are of its own steady clock, which runs on while the process is
-// stopped. They belong to one goroutine; the done functions are called on it, and may add and cancel watches.
+// Watches holds the calls of agents that wait at one coordinator. Times are those of the coordinator's monotonic clock, which
+// must also advance while the process is stopped. Watches must be used from a single goroutine. The done callbacks are called on
+// it, and may add and cancel watches.
 //
-// Each call gets one response. A change costs the calls of that service that wait, a tick those whose deadline has passed, each with the
-// logarithm of all that wait.
+// Each call gets one response. With n calls waiting in total, a change takes O(log n) time for each call that waits for the
+// service, and a tick takes O(log n) for each call whose deadline has passed.
 type Watches struct {
 	newest        func(service string) (Version, bool)
 	freshFor      time.Duration
@@ -62,23 +64,24 @@
 	byService     map[string][]*pendingWatch
 }
 
+// pendingWatch is a call that waits.
 type pendingWatch struct {
 	watch        Watch
 	done         func(WatchResponse, error)
-	deadline     time.Duration // when it is answered that there is nothing newer
-	heapIndex    int           // in byDeadline; -1: it was removed
-	serviceIndex int           // among those of its service
-	ended        bool          // it is answered, or was cancelled
+	deadline     time.Duration // when the call is answered without a newer version
+	heapIndex    int           // index in byDeadline; -1: the call was removed
+	serviceIndex int           // index in byService of its service
+	ended        bool          // the call was answered or cancelled
 }
 
-// NewWatches returns the watches of a coordinator without any calls, and without a confirmation. newest returns a service's newest version;
-// what it returns counts as fresh for a time after the moment at which the last confirmation was requested.
+// NewWatches returns the Watches of a coordinator that has neither calls nor a confirmation. newest returns a service's newest
+// version. Its result counts as fresh until freshFor has passed since the last confirmation was requested.
 func NewWatches(newest func(service string) (Version, bool), freshFor time.Duration) *Watches {
 	return &Watches{newest: newest, freshFor: freshFor, byService: map[string][]*pendingWatch{}}
 }
 
-// Add adds a watch that was checked. done is called exactly once, now or later; never after cancel. The version that it gets is
-// shared: it is only to be read. ReportsReceived is left to the caller.
+// Add adds a watch that has passed Check. done is called exactly once, during Add or later, unless cancel is called before. The
+// version that it receives is shared and must not be modified. The caller sets ReportsReceived.
 func (w *Watches) Add(now time.Duration, watch Watch, done func(WatchResponse, error)) (cancel func()) {
 	w.expire(now)
 	if !w.Fresh(now) {
@@ -93,7 +96,7 @@
 		done(WatchResponse{}, nil)
 		return func() {}
 	}
-	watch.Reports = nil // the caller has recorded them: what waits is small
+	watch.Reports = nil // the caller has recorded them; waiting calls should use little memory
 	pending := &pendingWatch{watch: watch, done: done, deadline: now + min(watch.MaxWait, MaxWatchWait)}
 	pending.serviceIndex = len(w.byService[watch.Service])
 	w.byService[watch.Service] = append(w.byService[watch.Service], pending)
@@ -104,20 +107,22 @@
 	}
 }
 
-// Changed answers the calls that wait for a service with its newest version.
+// Changed answers the calls that wait for a service with its newest version. It is called after the service's version has
+// changed.
 func (w *Watches) Changed(now time.Duration, service string) {
 	w.expire(now)
 	w.answerNewer(service, slices.Clone(w.byService[service]))
 }
 
-// ChangedAll answers all calls for whose service there is a newer version: a snapshot was restored.
+// ChangedAll answers all calls whose service has a newer version. It is called after a snapshot was restored.
 func (w *Watches) ChangedAll(now time.Duration) {
 	w.expire(now)
-	for _, pending := range slices.Clone(w.byDeadline) { // not by the map: the order is the same every time
+	for _, pending := range slices.Clone(w.byDeadline) { // not in the map's order, which is random
 		w.answerNewer(pending.watch.Service, []*pendingWatch{pending})
 	}
 }
 
+// answerNewer answers those of the calls, all of one service, that know an older version than the newest.
 func (w *Watches) answerNewer(service string, all []*pendingWatch) {
 	if len(all) == 0 {
 		return
@@ -130,19 +135,19 @@
 	w.answer(all, WatchResponse{Newer: &v}, nil)
 }
 
-// Confirmed records a confirmation by the leader: the register holds everything that was committed at requestedAt.
+// Confirmed records a confirmation by the leader that the register holds everything that was committed at requestedAt.
 func (w *Watches) Confirmed(requestedAt time.Duration) {
 	if !w.everConfirmed || requestedAt > w.confirmedAt {
 		w.everConfirmed, w.confirmedAt = true, requestedAt
 	}
 }
 
-// Fresh reports whether calls may be answered: the last confirmation is recent enough.
+// Fresh reports whether the last confirmation is recent enough for calls to be answered.
 func (w *Watches) Fresh(now time.Duration) bool {
 	return w.everConfirmed && now-w.confirmedAt < w.freshFor
 }
 
-// Tick answers the calls whose deadline has passed, and all with ErrStale where the coordinator is not fresh any more.
+// Tick answers the calls whose deadline has passed. If the coordinator is not fresh any more, it answers all calls with ErrStale.
 func (w *Watches) Tick(now time.Duration) {
 	w.expire(now)
 	var all []*pendingWatch
@@ -154,7 +159,7 @@
 	w.answer(all, WatchResponse{}, nil)
 }
 
-// NextDeadline returns when to tick next; ok is false where nothing waits.
+// NextDeadline returns when to call Tick next; ok is false if no call waits.
 func (w *Watches) NextDeadline() (at time.Duration, ok bool) {
 	if len(w.byDeadline) == 0 {
 		return 0, false
@@ -162,17 +167,17 @@
 	return min(w.byDeadline[0].deadline, w.confirmedAt+w.freshFor), true
 }
 
-// Waiting returns how many calls wait.
+// Waiting returns the number of waiting calls.
 func (w *Watches) Waiting() int { return len(w.byDeadline) }
 
-// expire answers all calls that wait where the coordinator is not fresh any more.
+// expire answers all waiting calls with ErrStale if the coordinator is not fresh any more.
 func (w *Watches) expire(now time.Duration) {
 	if !w.Fresh(now) {
 		w.answer(slices.Clone(w.byDeadline), WatchResponse{}, ErrStale)
 	}
 }
 
-// answer removes all calls before it answers any: a done function may add and cancel others.
+// answer answers calls. It removes all of them before it answers the first, because a done callback may add and cancel others.
 func (w *Watches) answer(all []*pendingWatch, response WatchResponse, err error) {
 	for _, pending := range all {
 		w.remove(pending)
@@ -185,7 +190,7 @@
 	}
 }
 
-// remove removes a call from the heap and from those of its service, unless it was removed before.
+// remove removes a call from byDeadline and byService, unless it was removed before.
 func (w *Watches) remove(pending *pendingWatch) {
 	if pending.heapIndex < 0 {
 		return
@@ -201,7 +206,7 @@
 	}
 }
 
-// watchHeap is a heap of calls, that with the next deadline first.
+// watchHeap is a heap of calls, ordered by deadline.
 type watchHeap []*pendingWatch
 
 func (h watchHeap) Len() int           { return len(h) }
--- a/internal/coordination/distribute/watches_test.go
+++ b/internal/coordination/distribute/watches_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// recorder records the responses to the calls of a test.
+// recorder records the responses to the calls of a test, in order.
 type recorder struct {
 	watches   *Watches
 	newest    map[string]Version
@@ -44,148 +44,151 @@
 }
 
 func newRecorder() *recorder {
-	h := &recorder{newest: map[string]Version{}, called: map[string]int{}}
-	h.watches = NewWatches(func(s string) (Version, bool) { v, ok := h.newest[s]; return v, ok }, time.Second)
-	return h
+	rec := &recorder{newest: map[string]Version{}, called: map[string]int{}}
+	rec.watches = NewWatches(func(s string) (Version, bool) { v, ok := rec.newest[s]; return v, ok }, time.Second)
+	return rec
 }
 
-func (h *recorder) add(now time.Duration, name, service string, known Revision, maxWait time.Duration) func() {
-	return h.watches.Add(now, Watch{Service: service, Known: known, MaxWait: maxWait}, func(response WatchResponse, err error) {
-		h.called[name]++
+// add adds a watch whose response is recorded under a name.
+func (rec *recorder) add(now time.Duration, name, service string, known Revision, maxWait time.Duration) func() {
+	return rec.watches.Add(now, Watch{Service: service, Known: known, MaxWait: maxWait}, func(response WatchResponse, err error) {
+		rec.called[name]++
 		switch {
 		case errors.Is(err, ErrStale):
-			h.responses = append(h.responses, name+" stale")
+			rec.responses = append(rec.responses, name+" stale")
 		case response.Newer != nil:
-			h.responses = append(h.responses, fmt.Sprint(name, " ", response.Newer.Service, response.Newer.Revision))
+			rec.responses = append(rec.responses, fmt.Sprint(name, " ", response.Newer.Service, response.Newer.Revision))
 		default:
-			h.responses = append(h.responses, name+" nothing")
+			rec.responses = append(rec.responses, name+" nothing")
 		}
 	})
 }
 
-func (h *recorder) want(t *testing.T, want string) {
+// requireResponses checks the responses since the last call, and forgets them.
+func (rec *recorder) requireResponses(t *testing.T, want string) {
 	t.Helper()
-	if got := strings.Join(h.responses, ", "); got != want {
+	if got := strings.Join(rec.responses, ", "); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	h.responses = nil
+	rec.responses = nil
 }
 
 func TestWatch(t *testing.T) {
 	const ms = time.Millisecond
-	h := newRecorder()
-	if h.watches.Fresh(0) {
+	rec := newRecorder()
+	if rec.watches.Fresh(0) {
 		t.Error("fresh without a confirmation")
 	}
-	h.add(0, "a", "s", 0, time.Second)
-	h.want(t, "a stale")
-	h.watches.Confirmed(0)
-	h.add(0, "b", "s", 0, time.Second) // no version yet
-	h.add(0, "c", "s", 5, time.Second) // ahead
-	h.add(0, "d", "t", 0, 300*ms)
-	cancelled := h.add(0, "e", "s", 0, 200*ms)
-	h.add(0, "f", "s", 0, 0)
-	h.want(t, "f nothing")
+	rec.add(0, "a", "s", 0, time.Second)
+	rec.requireResponses(t, "a stale")
+	rec.watches.Confirmed(0)
+	rec.add(0, "b", "s", 0, time.Second) // no version yet
+	rec.add(0, "c", "s", 5, time.Second) // holds a revision above the newest
+	rec.add(0, "d", "t", 0, 300*ms)
+	cancelled := rec.add(0, "e", "s", 0, 200*ms)
+	rec.add(0, "f", "s", 0, 0)
+	rec.requireResponses(t, "f nothing")
 	cancelled()
 	cancelled()
-	if at, ok := h.watches.NextDeadline(); !ok || at != 300*ms || h.watches.Waiting() != 3 {
-		t.Errorf("due at %v, %d wait", at, h.watches.Waiting())
+	if at, ok := rec.watches.NextDeadline(); !ok || at != 300*ms || rec.watches.Waiting() != 3 {
+		t.Errorf("due at %v, %d calls wait", at, rec.watches.Waiting())
 	}
-	h.newest["s"] = version("s", 3, `{}`)
-	h.watches.Changed(100*ms, "s")
-	h.want(t, "b s3")
-	h.watches.Changed(100*ms, "s")
-	h.watches.ChangedAll(100 * ms)
-	h.want(t, "")
-	h.add(100*ms, "g", "s", 2, time.Second)
-	h.want(t, "g s3")
-	h.watches.Tick(299 * ms)
-	h.want(t, "")
-	h.watches.Tick(300 * ms)
-	h.want(t, "d nothing")
-	if at, ok := h.watches.NextDeadline(); !ok || at != time.Second {
+	rec.newest["s"] = version("s", 3, `{}`)
+	rec.watches.Changed(100*ms, "s")
+	rec.requireResponses(t, "b s3")
+	rec.watches.Changed(100*ms, "s")
+	rec.watches.ChangedAll(100 * ms)
+	rec.requireResponses(t, "")
+	rec.add(100*ms, "g", "s", 2, time.Second)
+	rec.requireResponses(t, "g s3")
+	rec.watches.Tick(299 * ms)
+	rec.requireResponses(t, "")
+	rec.watches.Tick(300 * ms)
+	rec.requireResponses(t, "d nothing")
+	if at, ok := rec.watches.NextDeadline(); !ok || at != time.Second {
 		t.Errorf("due at %v", at)
 	}
-	h.watches.Confirmed(500 * ms)
-	h.watches.Confirmed(400 * ms) // a confirmation that comes late
-	h.add(500*ms, "h", "t", 0, 10*time.Second)
-	h.watches.Tick(1000 * ms)
-	h.want(t, "c nothing")
-	h.watches.Tick(1499 * ms)
-	h.want(t, "")
-	if at, _ := h.watches.NextDeadline(); at != 1500*ms {
+	rec.watches.Confirmed(500 * ms)
+	rec.watches.Confirmed(400 * ms) // an older confirmation that arrives late
+	rec.add(500*ms, "h", "t", 0, 10*time.Second)
+	rec.watches.Tick(1000 * ms)
+	rec.requireResponses(t, "c nothing")
+	rec.watches.Tick(1499 * ms)
+	rec.requireResponses(t, "")
+	if at, _ := rec.watches.NextDeadline(); at != 1500*ms {
 		t.Errorf("due at %v", at)
 	}
-	h.watches.Tick(1500 * ms)
-	h.want(t, "h stale")
-	h.add(1500*ms, "i", "s", 0, 10*time.Second)
-	h.want(t, "i stale")
-	if _, ok := h.watches.NextDeadline(); ok || h.watches.Waiting() != 0 || h.watches.Fresh(1500*ms) {
-		t.Errorf("%d wait", h.watches.Waiting())
+	rec.watches.Tick(1500 * ms)
+	rec.requireResponses(t, "h stale")
+	rec.add(1500*ms, "i", "s", 0, 10*time.Second)
+	rec.requireResponses(t, "i stale")
+	if _, ok := rec.watches.NextDeadline(); ok || rec.watches.Waiting() != 0 || rec.watches.Fresh(1500*ms) {
+		t.Errorf("%d calls wait", rec.watches.Waiting())
 	}
-	// A change that comes before the tick is not sent after the end of freshness, nor is a snapshot.
-	h.watches.Confirmed(1500 * ms)
-	h.add(1500*ms, "j", "s", 3, 10*time.Second)
-	h.newest["s"] = version("s", 4, `{}`)
-	h.watches.Changed(2500*ms, "s")
-	h.want(t, "j stale")
-	h.watches.Confirmed(2500 * ms)
-	h.add(2500*ms, "k", "s", 4, 10*time.Second)
-	h.newest["s"] = version("s", 5, `{}`)
-	h.watches.ChangedAll(3500 * ms)
-	h.want(t, "k stale")
-	// Nor does a new call leave others waiting.
-	h.watches.Confirmed(3500 * ms)
-	h.add(3500*ms, "l", "s", 5, 10*time.Second)
-	h.add(4500*ms, "m", "s", 5, 10*time.Second)
-	h.want(t, "l stale, m stale")
-	// A snapshot answers all calls.
-	h.watches.Confirmed(5000 * ms)
-	h.add(5000*ms, "n", "s", 5, time.Second)
-	h.add(5000*ms, "o", "t", 0, time.Second)
-	h.add(5000*ms, "p", "u", 0, time.Second)
-	h.newest["s"], h.newest["t"] = version("s", 6, `{}`), version("t", 7, `{}`)
-	h.watches.ChangedAll(5000 * ms)
-	h.want(t, "n s6, o t7")
-	if h.watches.Waiting() != 1 {
-		t.Errorf("%d wait", h.watches.Waiting())
+	// Neither a change nor a snapshot is sent once the coordinator is not fresh any more, even before the next tick.
+	rec.watches.Confirmed(1500 * ms)
+	rec.add(1500*ms, "j", "s", 3, 10*time.Second)
+	rec.newest["s"] = version("s", 4, `{}`)
+	rec.watches.Changed(2500*ms, "s")
+	rec.requireResponses(t, "j stale")
+	rec.watches.Confirmed(2500 * ms)
+	rec.add(2500*ms, "k", "s", 4, 10*time.Second)
+	rec.newest["s"] = version("s", 5, `{}`)
+	rec.watches.ChangedAll(3500 * ms)
+	rec.requireResponses(t, "k stale")
+	// A new call that finds the coordinator no longer fresh ends the wait of the others too.
+	rec.watches.Confirmed(3500 * ms)
+	rec.add(3500*ms, "l", "s", 5, 10*time.Second)
+	rec.add(4500*ms, "m", "s", 5, 10*time.Second)
+	rec.requireResponses(t, "l stale, m stale")
+	// A restored snapshot answers all calls for which it has a newer version.
+	rec.watches.Confirmed(5000 * ms)
+	rec.add(5000*ms, "n", "s", 5, time.Second)
+	rec.add(5000*ms, "o", "t", 0, time.Second)
+	rec.add(5000*ms, "p", "u", 0, time.Second)
+	rec.newest["s"], rec.newest["t"] = version("s", 6, `{}`), version("t", 7, `{}`)
+	rec.watches.ChangedAll(5000 * ms)
+	rec.requireResponses(t, "n s6, o t7")
+	if rec.watches.Waiting() != 1 {
+		t.Errorf("%d calls wait", rec.watches.Waiting())
 	}
-	// A wait beyond the bound is shortened.
-	h.add(5000*ms, "q", "t", 7, time.Hour)
-	h.watches.Confirmed(5000*ms + MaxWatchWait)
-	h.responses = nil
-	h.watches.Tick(5000*ms + MaxWatchWait)
-	h.want(t, "p nothing, q nothing")
+	// A wait above MaxWatchWait is shortened to it.
+	rec.add(5000*ms, "q", "t", 7, time.Hour)
+	rec.watches.Confirmed(5000*ms + MaxWatchWait)
+	rec.responses = nil
+	rec.watches.Tick(5000*ms + MaxWatchWait)
+	rec.requireResponses(t, "p nothing, q nothing")
 }
 
-// A done function may add calls, and cancel others that are about to be answered.
-func TestWatchFromADoneFunction(t *testing.T) {
-	h := newRecorder()
-	h.watches.Confirmed(0)
+// A done callback may add calls, and cancel others that are about to be answered.
+func TestWatchInDoneCallback(t *testing.T) {
+	rec := newRecorder()
+	rec.watches.Confirmed(0)
 	var cancel func()
-	h.watches.Add(0, Watch{Service: "s", MaxWait: time.Second}, func(response WatchResponse, err error) {
+	rec.watches.Add(0, Watch{Service: "s", MaxWait: time.Second}, func(response WatchResponse, err error) {
 		cancel()
-		h.add(0, "again", "s", response.Newer.Revision, time.Second)
-		h.newest["s"] = version("s", 2, `{}`)
-		h.watches.Changed(0, "s")
+		rec.add(0, "again", "s", response.Newer.Revision, time.Second)
+		rec.newest["s"] = version("s", 2, `{}`)
+		rec.watches.Changed(0, "s")
 	})
-	cancel = h.add(0, "cancelled", "s", 0, time.Second)
-	h.add(0, "other", "s", 0, time.Second)
-	h.newest["s"] = version("s", 1, `{}`)
-	h.watches.Changed(0, "s")
-	h.want(t, "again s2, other s1")
-	// A change is applied while a snapshot is answered: each call is answered once.
-	h.watches.Add(0, Watch{Service: "s", Known: 2, MaxWait: time.Second}, func(WatchResponse, error) { h.watches.Changed(0, "t") })
-	h.add(0, "one", "t", 0, time.Second)
-	h.newest["s"], h.newest["t"] = version("s", 3, `{}`), version("t", 4, `{}`)
-	h.watches.ChangedAll(0)
-	h.want(t, "one t4")
-	if h.watches.Waiting() != 0 {
-		t.Errorf("%d wait", h.watches.Waiting())
+	cancel = rec.add(0, "cancelled", "s", 0, time.Second)
+	rec.add(0, "other", "s", 0, time.Second)
+	rec.newest["s"] = version("s", 1, `{}`)
+	rec.watches.Changed(0, "s")
+	rec.requireResponses(t, "again s2, other s1")
+	// If a callback applies a change while a snapshot answers calls, each call is still answered once.
+	rec.watches.Add(0, Watch{Service: "s", Known: 2, MaxWait: time.Second}, func(WatchResponse, error) { rec.watches.Changed(0, "t") })
+	rec.add(0, "one", "t", 0, time.Second)
+	rec.newest["s"], rec.newest["t"] = version("s", 3, `{}`), version("t", 4, `{}`)
+	rec.watches.ChangedAll(0)
+	rec.requireResponses(t, "one t4")
+	if rec.watches.Waiting() != 0 {
+		t.Errorf("%d calls wait", rec.watches.Waiting())
 	}
 }
 
-// Each call gets one response, with the newest version where that is newer, none after it was cancelled, and none that is not fresh.
+// Each call gets one response, with the newest version if that is newer than the known one. A cancelled call gets none, and no
+// version is sent while the coordinator is not fresh.
 func TestWatchesProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, last, confirmed := time.Duration(0), Revision(0), time.Duration(-1)
@@ -193,26 +196,26 @@
 		w := NewWatches(func(s string) (Version, bool) { v, ok := newestOf[s]; return v, ok }, time.Second)
 		type call struct {
 			watch  Watch
-			at     time.Duration
-			over   bool
+			at     time.Duration // the deadline
+			ended  bool          // answered or cancelled
 			cancel func()
 		}
 		var calls []*call
 		fresh := func() bool { return confirmed >= 0 && now-confirmed < time.Second }
-		// checkWaiting checks the calls that still wait.
-		checkWaiting := func(all bool) {
-			waits := 0
+		// checkWaiting checks that the calls that still wait have to. noneDue says that none of them may be past its deadline.
+		checkWaiting := func(noneDue bool) {
+			waiting := 0
 			for _, c := range calls {
-				if c.over {
+				if c.ended {
 					continue
 				}
-				waits++
-				if !fresh() || c.at <= now && all || newestOf[c.watch.Service].Revision > c.watch.Known {
-					t.Fatalf("%v: %+v waits", now, c)
+				waiting++
+				if !fresh() || c.at <= now && noneDue || newestOf[c.watch.Service].Revision > c.watch.Known {
+					t.Fatalf("%v: %+v still waits", now, c)
 				}
 			}
-			if waits != w.Waiting() {
-				t.Fatalf("%d wait, not %d", waits, w.Waiting())
+			if waiting != w.Waiting() {
+				t.Fatalf("%d calls should wait, and %d do", waiting, w.Waiting())
 			}
 		}
 		service := func() string { return rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "service") }
@@ -223,10 +226,10 @@
 				c.watch.Known = rapid.SampledFrom([]Revision{0, last, last + 2, newestOf[c.watch.Service].Revision}).Draw(t, "holds")
 				calls = append(calls, c)
 				c.cancel = w.Add(now, c.watch, func(response WatchResponse, err error) {
-					if c.over {
+					if c.ended {
 						t.Fatalf("%+v: a second response, or one after cancel", c)
 					}
-					c.over = true
+					c.ended = true
 					newest := newestOf[c.watch.Service]
 					switch {
 					case err != nil:
@@ -234,7 +237,7 @@
 							t.Fatalf("%v: %v", now, err)
 						}
 					case !fresh():
-						t.Fatalf("%v: %+v, and it is not fresh", now, response)
+						t.Fatalf("%v: %+v, although the coordinator is not fresh", now, response)
 					case response.Newer != nil:
 						if response.Newer.Revision != newest.Revision || newest.Revision <= c.watch.Known {
 							t.Fatalf("%+v, newest %d: %+v", c, newest.Revision, response.Newer)
@@ -248,13 +251,13 @@
 				if len(calls) > 0 {
 					c := rapid.SampledFrom(calls).Draw(t, "call")
 					c.cancel()
-					c.over = true
+					c.ended = true
 				}
 			},
 			"confirm": func(*rapid.T) {
 				requestedAt := now - time.Duration(rapid.IntRange(0, 1500).Draw(t, "ago"))*time.Millisecond
 				if requestedAt >= 0 {
-					w.Tick(now) // what has ended before is answered before
+					w.Tick(now) // calls that ended before the confirmation are answered before it
 					w.Confirmed(requestedAt)
 					confirmed = max(confirmed, requestedAt)
 				}
