--- a/internal/coordination/assignment/assignment.go
+++ b/internal/coordination/assignment/assignment.go
@@ -1,11 +1,12 @@
-// Package assignment assigns singleton roles to the members of a fleet: many small tasks that one member at a time should do, such as the health
-// checks of a server for its zone, or the watch of an endpoint list for a machine. It is pure: no I/O, no clock, and its functions are
-// safe for concurrent use. An assignment grants nothing: the owner of a task is whoever holds its lease (package lease), and the
-// assignment says which member should acquire which lease, and which should release it. Members that see the same fleet compute the same.
+// Package assignment distributes singleton tasks over the members of a fleet: many small tasks that one member at a time should
+// do, such as the health checks of a server for its zone, or the watch of an endpoint list for a machine. It is pure: it does no
+// I/O and reads no clock, and its functions are safe for concurrent use. An assignment grants nothing. The owner of a task is the
+// holder of its lease (package lease), and the assignment says which member should acquire which lease and which should release
+// it. Members that see the same fleet compute the same assignment.
 //
-// Invariants: a task is left out only where no member may have it; no member has more than its bound, unless all together cannot keep it;
-// of the tasks whose owner may keep them no more than MaxMoves are moved at one time; equal input makes equal output, in whatever order it
-// comes.
+// Invariants: a task is left unassigned only if no member may have it; no member has more tasks than its bound, unless all
+// members together cannot keep to their bounds; of the tasks whose owner may keep them, at most MaxMoves are moved by one call;
+// equal input results in equal output, whatever its order.
 package assignment
 
 import (
@@ -17,35 +18,35 @@
 
 const (
 	defaultMaxImbalance = 0.25
-	// movesDivisor makes the default of MaxMoves: one in a hundred tasks.
+	// movesDivisor is the divisor of the number of tasks for the default of MaxMoves: one in a hundred.
 	movesDivisor = 100
 )
 
-// Member is a process that does tasks.
+// Member is a process that tasks can be assigned to.
 type Member struct {
 	Name     string
 	Zone     string
-	Weight   float64 // 0: 1
-	Draining bool    // it keeps nothing and gets nothing: it shuts down, is full, or is too slow
+	Weight   float64 // the share of tasks in proportion to other members; 0: 1
+	Draining bool    // it keeps and gets no tasks, because it shuts down, is full or is too slow
 }
 
-// Task is one task.
+// Task is a task that one member at a time should do.
 type Task struct {
 	Name string
-	Zone string // whose members alone may have it; "": any member
+	Zone string // only members of this zone may have the task; "": any member
 }
 
 // Limits bound an assignment.
 type Limits struct {
-	MaxImbalance float64 // by what fraction of its fair share a member may have more; 0: a quarter
-	MaxMoves     int     // tasks that are moved at one time, of those that their owner could keep; 0: one in a hundred, at least one
+	MaxImbalance float64 // the fraction of its fair share by which a member may exceed it; 0: a quarter
+	MaxMoves     int     // maximum number of tasks moved by one call that their owner could keep; 0: one in a hundred, at least one
 }
 
-// Move is a task that goes from one member to another.
+// Move is the move of a task from one member to another.
 type Move struct{ Task, From, To string }
 
-// Assign returns the member that should have each task, by the task's name, given which member has it at present. A task that no member
-// may have is left out.
+// Assign returns the member that should have each task, by the task's name, and the moves from the present owners that this
+// takes. present is the current owner of each task, by the task's name. A task that no member may have is left out of next.
 func Assign(tasks []Task, members []Member, present map[string]string, l Limits) (next map[string]string, moves []Move) {
 	if l.MaxImbalance <= 0 {
 		l.MaxImbalance = defaultMaxImbalance
@@ -70,31 +71,32 @@
 	return next, moves
 }
 
-// assignment is an assignment that is being made.
+// assignment is the state of one call of Assign.
 type assignment struct {
 	tasks []*task
-	pools map[string]*pool // by the zone of tasks
+	pools map[string]*pool // by the zone of the tasks
 }
 
-// pool is the members that may have the tasks of one zone, or of none. What each may have is counted within it.
+// pool consists of the members that may have the tasks of one zone, or the tasks without a zone. Bounds and assigned tasks are
+// counted per pool.
 type pool struct {
 	members []*member
-	tasks   int
+	tasks   int // number of tasks
 }
 
 type member struct {
 	Member
 	hash     uint64
-	bound    map[*pool]int // how many tasks it may have
-	assigned map[*pool]int // how many it has
+	bound    map[*pool]int // how many tasks the member may have
+	assigned map[*pool]int // how many tasks the member has
 }
 
 type task struct {
 	Task
 	hash      uint64
 	pool      *pool
-	owner     *member // nil: it is not assigned
-	preferred *member // which would have it if there were no bounds
+	owner     *member // nil: not assigned
+	preferred *member // the member that would have the task if there were no bounds
 }
 
 func newAssignment(tasks []Task, members []Member, l Limits) *assignment {
@@ -121,7 +123,7 @@
 	return a
 }
 
-// eligibleMembers returns the members that may have tasks, by name.
+// eligibleMembers returns the members that may have tasks, sorted by name.
 func eligibleMembers(members []Member) []*member {
 	eligible := []*member{}
 	for _, m := range members {
@@ -137,7 +139,8 @@
 	return eligible
 }
 
-// setBounds sets how many tasks of a pool each member may have: its fair share by weight, and a fraction more.
+// setBounds sets how many tasks of the pool each member may have: its fair share by weight, increased by the fraction
+// maxImbalance.
 func (p *pool) setBounds(maxImbalance float64) {
 	weight := 0.0
 	for _, m := range p.members {
@@ -148,7 +151,8 @@
 	}
 }
 
-// retain leaves tasks where they are, as far as their owners may have them. Beyond its bound a member loses the tasks that prefer it least.
+// retain assigns tasks to their present owners, as far as these may have them. A member above its bound loses the tasks that
+// prefer it least.
 func (a *assignment) retain(present map[string]string) {
 	byName := map[string]*member{}
 	for _, p := range a.pools {
@@ -172,8 +176,8 @@
 	}
 }
 
-// assignUnowned assigns each task without an owner to the member that it prefers most of those below their bound, and finds the preferred member
-// of all tasks.
+// assignUnowned assigns each task without an owner to the member that it prefers most among those below their bound. It also sets
+// the preferred member of every task.
 func (a *assignment) assignUnowned() {
 	for _, t := range a.tasks {
 		best, bestPreference, highest := (*member)(nil), math.Inf(-1), math.Inf(-1)
@@ -192,7 +196,8 @@
 	}
 }
 
-// moveToPreferred moves a few tasks to their preferred members: first those of the members that are fullest.
+// moveToPreferred moves tasks to their preferred members, up to the given number of moves, starting with the tasks of the fullest
+// members.
 func (a *assignment) moveToPreferred(moves int) {
 	displaced := slices.DeleteFunc(slices.Clone(a.tasks), func(t *task) bool { return t.owner == nil || t.owner == t.preferred })
 	slices.SortStableFunc(displaced, func(x, y *task) int { return cmp.Compare(y.fullness(y.owner), x.fullness(x.owner)) })
@@ -211,19 +216,21 @@
 // belowBound reports whether a member may have one more task of a pool.
 func (m *member) belowBound(p *pool) bool { return m.assigned[p] < m.bound[p] }
 
-// fullness is the fraction of its bound that a member has, of tasks of the same pool.
+// fullness returns the number of tasks that a member has in the task's pool, as a fraction of its bound.
 func (t *task) fullness(m *member) float64 {
 	return float64(m.assigned[t.pool]) / float64(m.bound[t.pool])
 }
 
+// assign makes a member the owner of the task.
 func (t *task) assign(m *member) {
 	t.owner = m
 	m.assigned[t.pool]++
 }
 
-// preference is how much a task prefers a member: weighted rendezvous hashing, which other members do not change.
+// preference returns how much a task prefers a member, by weighted rendezvous hashing: the value does not depend on other
+// members.
 func (t *task) preference(m *member) float64 {
-	x := t.hash ^ m.hash // mixed as splitmix64 does
+	x := t.hash ^ m.hash // mixed as in splitmix64
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/coordination/assignment/assignment_test.go
+++ b/internal/coordination/assignment/assignment_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet returns members of three zones, and tasks that any of them may have.
+// fleet returns members in three zones, and tasks that any of them may have.
 func fleet(members, tasks int) (ms []Member, ts []Task) {
 	for i := range members {
 		ms = append(ms, Member{Name: fmt.Sprint("m", i), Zone: string(rune('a' + i%3))})
@@ -32,8 +32,10 @@
 	return n
 }
 
-// A member that leaves moves its own tasks and no other; one that comes gets its share by a few moves at a time, from the fullest first, and
-// then nothing moves any more; one that flaps moves what it has, and no more. FIGURES=1 plays 2,000 members and 10,000 tasks.
+// When a member leaves, its own tasks move, and at most MaxMoves others. When it comes back, it gets its share in rounds of at
+// most MaxMoves moves, from the fullest members first, and then nothing moves any more. The total number of moves is bounded by
+// the number of tasks that the member had, so a member that flaps does not cause more. With FIGURES=1 the test also runs 2,000
+// members and 10,000 tasks.
 func TestOneMemberJoinsOrLeaves(t *testing.T) {
 	sizes := [][2]int{{20, 100}, {200, 1000}}
 	if os.Getenv("FIGURES") != "" {
@@ -42,9 +44,9 @@
 	for _, size := range sizes {
 		ms, ts := fleet(size[0], size[1])
 		l := Limits{MaxMoves: max(1, size[1]/100)}
-		began := time.Now()
+		startedAt := time.Now()
 		held, _ := Assign(ts, ms, nil, l)
-		took := time.Since(began)
+		elapsed := time.Since(startedAt)
 		has, fair := countByMember(held), float64(size[1])/float64(size[0])
 		most := 0
 		for _, n := range has {
@@ -53,34 +55,34 @@
 		if len(held) != size[1] || float64(most) > math.Ceil(fair*1.25) {
 			t.Errorf("%d tasks are assigned, %d to one member", len(held), most)
 		}
-		gone, moved := Assign(ts, ms[1:], held, l)
-		if orphans := has["m0"]; len(moved) > orphans+l.MaxMoves || len(gone) != size[1] {
-			t.Errorf("%d moved, %d were those of the member that left", len(moved), orphans)
+		without, moved := Assign(ts, ms[1:], held, l)
+		if orphans := has["m0"]; len(moved) > orphans+l.MaxMoves || len(without) != size[1] {
+			t.Errorf("%d tasks moved, %d of them were those of the member that left", len(moved), orphans)
 		}
-		back, rounds, moves := gone, 0, 0
+		back, rounds, moves := without, 0, 0
 		for ; rounds < 200; rounds++ {
 			var m []Move
 			if back, m = Assign(ts, ms, back, l); len(m) == 0 {
 				break
 			} else if len(m) > l.MaxMoves {
-				t.Errorf("%d moved at one time", len(m))
+				t.Errorf("%d tasks moved in one round", len(m))
 			}
 			moves += len(m)
 		}
 		if got := countByMember(back)["m0"]; float64(got) < 0.4*fair {
-			t.Errorf("the member that is back has %d, its fair share is %.1f", got, fair)
+			t.Errorf("the returned member has %d tasks, its fair share is %.1f", got, fair)
 		}
 		if moves > 4*has["m0"]+2*l.MaxMoves {
-			t.Errorf("%d moves for a member that is back, which had %d", moves, has["m0"])
+			t.Errorf("%d moves for a returned member, which had %d tasks", moves, has["m0"])
 		}
-		t.Logf("%d members, %d tasks: assigned in %v, the fullest has %d of %.0f; one goes: %d of its own move, %d others; it is back after %d moves in %d rounds", size[0], size[1],
-			took.Round(time.Millisecond), most, fair, has["m0"], len(moved)-has["m0"], moves, rounds)
+		t.Logf("%d members, %d tasks: assigned in %v, at most %d to one member, fair share %.0f; one leaves: %d tasks of its own move, %d others; after its return %d moves in %d rounds", size[0], size[1],
+			elapsed.Round(time.Millisecond), most, fair, has["m0"], len(moved)-has["m0"], moves, rounds)
 	}
 }
 
-// The invariants, over any fleet: zones and bounds are kept, a draining member has nothing, a task is unassigned only where no member may have
-// it, tasks that could stay move within the limit, and the order of the input does not matter.
-func TestAny(t *testing.T) {
+// Checks the invariants for random fleets: zones and bounds are respected, a draining member has no tasks, a task is unassigned
+// only if no member may have it, at most MaxMoves of the tasks that could stay move, and the order of the input does not matter.
+func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms, ts := fleet(rapid.IntRange(0, 12).Draw(t, "members"), rapid.IntRange(0, 40).Draw(t, "tasks"))
 		for i := range ms {
@@ -90,15 +92,15 @@
 		for i := range ts {
 			ts[i].Zone = rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "zone")
 		}
-		now := map[string]string{}
+		present := map[string]string{}
 		for i := range ts {
 			if n := rapid.IntRange(-1, 14).Draw(t, "holder"); n >= 0 {
-				now[ts[i].Name] = fmt.Sprint("m", n) // some are those of members that do not exist
+				present[ts[i].Name] = fmt.Sprint("m", n) // some of these members do not exist
 			}
 		}
 		l := Limits{MaxImbalance: 0.5, MaxMoves: rapid.IntRange(1, 5).Draw(t, "moves")}
-		next, moved := Assign(ts, ms, now, l)
-		may := func(task Task) (n int) {
+		next, moved := Assign(ts, ms, present, l)
+		eligible := func(task Task) (n int) {
 			for _, m := range ms {
 				if !m.Draining && (task.Zone == "" || task.Zone == m.Zone) {
 					n++
@@ -106,19 +108,20 @@
 			}
 			return n
 		}
-		by := map[string]Member{}
+		byName := map[string]Member{}
 		for _, m := range ms {
-			by[m.Name] = m
+			byName[m.Name] = m
 		}
+		// has is by member and zone of the task, sum and weight by zone of the task.
 		has, sum, weight := map[[2]string]int{}, map[string]int{}, map[string]float64{}
 		for _, task := range ts {
 			sum[task.Zone]++
 			m, held := next[task.Name]
-			if held != (may(task) > 0) {
-				t.Fatalf("%v: held %v, %d may", task, held, may(task))
+			if held != (eligible(task) > 0) {
+				t.Fatalf("%v: assigned %v, %d members are eligible", task, held, eligible(task))
 			}
-			if one := by[m]; held && (one.Draining || task.Zone != "" && task.Zone != one.Zone) {
-				t.Fatalf("%v is assigned to %v", task, one)
+			if member := byName[m]; held && (member.Draining || task.Zone != "" && task.Zone != member.Zone) {
+				t.Fatalf("%v is assigned to %v", task, member)
 			}
 			has[[2]string{m, task.Zone}]++
 		}
@@ -129,37 +132,37 @@
 				}
 			}
 		}
-		for at, n := range has {
-			if m, ok := by[at[0]]; ok {
-				if bound := math.Ceil(1.5 * float64(sum[at[1]]) * max(m.Weight, map[bool]float64{true: 1}[m.Weight == 0]) / weight[at[1]]); float64(n) > bound {
+		for key, n := range has {
+			if m, ok := byName[key[0]]; ok {
+				if bound := math.Ceil(1.5 * float64(sum[key[1]]) * max(m.Weight, map[bool]float64{true: 1}[m.Weight == 0]) / weight[key[1]]); float64(n) > bound {
 					t.Fatalf("%v has %d, its bound is %v", m, n, bound)
 				}
 			}
 		}
-		free, over := 0, 0
-		full := map[[2]string]int{}
+		voluntary, over := 0, 0       // moves from members that could keep tasks; tasks that members had above their bounds or of other zones
+		before := map[[2]string]int{} // by member and zone of the task
 		for _, task := range ts {
-			full[[2]string{now[task.Name], task.Zone}]++
+			before[[2]string{present[task.Name], task.Zone}]++
 		}
 		for _, m := range moved {
-			if one, lives := by[m.From]; lives && !one.Draining {
-				free++
+			if member, exists := byName[m.From]; exists && !member.Draining {
+				voluntary++
 			}
 		}
-		for at, n := range full {
-			if m, ok := by[at[0]]; ok && !m.Draining && (at[1] == "" || at[1] == m.Zone) {
-				bound := math.Ceil(1.5 * float64(sum[at[1]]) * max(m.Weight, map[bool]float64{true: 1}[m.Weight == 0]) / weight[at[1]])
+		for key, n := range before {
+			if m, ok := byName[key[0]]; ok && !m.Draining && (key[1] == "" || key[1] == m.Zone) {
+				bound := math.Ceil(1.5 * float64(sum[key[1]]) * max(m.Weight, map[bool]float64{true: 1}[m.Weight == 0]) / weight[key[1]])
 				over += max(0, n-int(bound))
 			} else if ok && !m.Draining {
-				over += n // of another zone
+				over += n // tasks of another zone
 			}
 		}
-		if free > over+l.MaxMoves {
-			t.Fatalf("%d moved, %d had to and %d may", free, over, l.MaxMoves)
+		if voluntary > over+l.MaxMoves {
+			t.Fatalf("%d tasks moved, %d of them had to and %d may", voluntary, over, l.MaxMoves)
 		}
 		ms, ts = rapid.Permutation(ms).Draw(t, "members' order"), rapid.Permutation(ts).Draw(t, "tasks' order")
-		if again, _ := Assign(ts, ms, maps.Clone(now), l); !reflect.DeepEqual(again, next) {
-			t.Fatal("another order of the input is another assignment")
+		if again, _ := Assign(ts, ms, maps.Clone(present), l); !reflect.DeepEqual(again, next) {
+			t.Fatal("the assignment depends on the order of the input")
 		}
 	})
 }
