--- a/internal/coordination/agent/change.go
+++ b/internal/coordination/agent/change.go
@@ -7,8 +7,8 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// ChangeRelease carries out an order to run a release in a new process. An order that is in progress or has ended has no effect. An
-// error says why the order cannot be carried out now; the driver then repeats the order.
+// ChangeRelease carries out an order to run a release in a new process. An order that is in progress or has ended has no effect.
+// An error says why the order cannot be carried out now; the driver then repeats the order.
 func (s *Sidecar) ChangeRelease(now time.Duration, order uint64, release string) ([]Action, error) {
 	switch {
 	case order != 0 && (order == s.Order || order <= s.CompletedOrder):
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// ProcessExited reports that a process has exited, for whatever reason. lastLine is the line of its log that explains the exit best, or
-// "" if there is none; it becomes part of the reason why a change failed.
+// ProcessExited reports that a process has exited, for whatever reason. lastLine is the line of its log that explains the exit
+// best, or "" if there is none; it becomes part of the reason why a change failed.
 func (s *Sidecar) ProcessExited(now time.Duration, p Process, lastLine string) []Action {
 	switch {
 	case s.Terminating != nil && *s.Terminating == p:
@@ -113,8 +113,8 @@
 	return s.Tick(now)
 }
 
-// nextExited handles the exit of the new process of a change. If failed is true, the change has failed and actions are complete: the
-// caller adds none.
+// nextExited handles the exit of the new process of a change. If failed is true, the change has failed and actions are complete:
+// the caller adds none.
 func (s *Sidecar) nextExited(now time.Duration, lastLine string) (actions []Action, failed bool) {
 	s.Next = nil
 	switch s.Phase {
@@ -154,8 +154,8 @@
 	s.resetReportedDigest()
 }
 
-// finishChange ends a change, successfully if failure is "". The result of a change to a candidate version does not overwrite the result
-// of the last order.
+// finishChange ends a change, successfully if failure is "". The result of a change to a candidate version does not overwrite the
+// result of the last order.
 func (s *Sidecar) finishChange(failure string, versionAtFault bool) {
 	if s.Candidate != 0 {
 		s.Target = ""
@@ -168,8 +168,8 @@
 	s.FailureReason, s.Order, s.Target = failure, 0, ""
 }
 
-// failChange ends a failed change and has its new process killed; the old process continues to serve. A candidate version that is not at
-// fault is tried again later.
+// failChange ends a failed change and has its new process killed; the old process continues to serve. A candidate version that is
+// not at fault is tried again later.
 func (s *Sidecar) failChange(now time.Duration, failure string, versionAtFault bool) (actions []Action) {
 	if s.Next != nil {
 		actions = append(actions, Action{Kill: s.Next})
--- a/internal/coordination/agent/configuration.go
+++ b/internal/coordination/agent/configuration.go
@@ -8,9 +8,9 @@
 	"petrelhook/internal/coordination/distribute"
 )
 
-// Check is a request to check whether a version can be applied: the program of each release that may be started with it has to accept
-// it. If a process serves, the check also finds out whether that process can apply the version by a reload. Checks are compared with ==
-// to match a result with its request.
+// Check is a request to check whether a version can be applied: the program of each release that may be started with it has to
+// accept it. If a process serves, the check also finds out whether that process can apply the version by a reload. Checks are
+// compared with == to match a result with its request.
 type Check struct {
 	Version  distribute.Revision
 	Releases [2]string // the running release, then the confirmed one if it differs; "": none
@@ -39,12 +39,12 @@
 	reservedUntil  time.Duration // no version is applied before, because a rollout's order found the sidecar busy and will be repeated
 }
 
-// crashLoopThreshold is the number of consecutive exits without readiness in between after which a sidecar counts as unable to start with
-// the version in force. From then on a newer version is applied although no process serves.
+// crashLoopThreshold is the number of consecutive exits without readiness in between after which a sidecar counts as unable to
+// start with the version in force. From then on a newer version is applied although no process serves.
 const crashLoopThreshold = 2
 
-// SetNewestVersion reports the newest version that the agent has accepted. A version that is not newer than the last reported one has no
-// effect.
+// SetNewestVersion reports the newest version that the agent has accepted. A version that is not newer than the last reported one
+// has no effect.
 func (s *Sidecar) SetNewestVersion(version distribute.Revision) {
 	if version > s.newest {
 		s.newest, s.delayReason, s.retryAt, s.failures = version, "", 0, 0
@@ -105,7 +105,8 @@
 	return check
 }
 
-// CheckCompleted reports the result of a check. If the check is outdated by now, the result is dropped and a new check is requested.
+// CheckCompleted reports the result of a check. If the check is outdated by now, the result is dropped and a new check is
+// requested.
 func (s *Sidecar) CheckCompleted(now time.Duration, check Check, result CheckResult) []Action {
 	s.pendingCheck = nil
 	switch {
@@ -132,8 +133,8 @@
 	return []Action{{Reload: s.Serving, Version: s.Candidate}}
 }
 
-// ReloadRequested reports that the file of a process was written with the given digest and that the process was asked to reload it. A
-// non-nil err says why this failed; the version is then tried again later.
+// ReloadRequested reports that the file of a process was written with the given digest and that the process was asked to reload
+// it. A non-nil err says why this failed; the version is then tried again later.
 func (s *Sidecar) ReloadRequested(now time.Duration, p Process, digest string, err error) {
 	switch {
 	case !s.ByReload || s.Serving == nil || *s.Serving != p:
@@ -145,8 +146,8 @@
 	}
 }
 
-// DigestReported reports the digest of the file that a process read last, according to the process itself, or "" if its program reports
-// none. The candidate of a reload is in force once the process reports the expected digest.
+// DigestReported reports the digest of the file that a process read last, according to the process itself, or "" if its program
+// reports none. The candidate of a reload is in force once the process reports the expected digest.
 func (s *Sidecar) DigestReported(p Process, digest string) {
 	if s.Serving == nil || *s.Serving != p {
 		return
--- a/internal/coordination/agent/configuration_test.go
+++ b/internal/coordination/agent/configuration_test.go
@@ -27,8 +27,8 @@
 	versionKindCount
 )
 
-// simulation carries out the actions of a sidecar on simulated processes that run versions of the configuration. Its agent may be killed
-// between any two actions.
+// simulation carries out the actions of a sidecar on simulated processes that run versions of the configuration. Its agent may be
+// killed between any two actions.
 type simulation struct {
 	t                testing.TB
 	sidecar          *Sidecar
@@ -178,7 +178,8 @@
 	}
 }
 
-// requireState checks the reported versions in force and rejected and the reason, and that a single process runs the version in force.
+// requireState checks the reported versions in force and rejected and the reason, and that a single process runs the version in
+// force.
 func (sim *simulation) requireState(what string, inForce, rejected distribute.Revision, reason string) {
 	sim.t.Helper()
 	r := sim.sidecar.Report("n0")
@@ -188,8 +189,8 @@
 	}
 }
 
-// Applies and rejects versions in each possible way, one after the other: a rejected version does not affect the one in force and is not
-// tried again, and the next version is applied.
+// Applies and rejects versions in each possible way, one after the other: a rejected version does not affect the one in force and
+// is not tried again, and the next version is applied.
 func TestVersions(t *testing.T) {
 	sim := newSimulation(t)
 	starts := func() uint64 { return sim.sidecar.StartCount }
@@ -315,9 +316,9 @@
 	sim.requireState("both versions were read", 2, 0, "")
 }
 
-// Orders of a rollout take precedence over versions. An order that arrives while a candidate is applied is carried out right after it,
-// before the next version. Versions neither disturb an order in progress nor overwrite its result. An order withdraws a reload that the
-// process has not confirmed.
+// Orders of a rollout take precedence over versions. An order that arrives while a candidate is applied is carried out right
+// after it, before the next version. Versions neither disturb an order in progress nor overwrite its result. An order withdraws a
+// reload that the process has not confirmed.
 func TestVersionsAndOrders(t *testing.T) {
 	sim := newSimulation(t)
 	sim.publish(byChange)
@@ -390,8 +391,8 @@
 	sim.requireState("the process reloads", 1, 0, "")
 }
 
-// A version is tried again after a failure that it did not cause: a check that cannot be made, a file that cannot be written, or a
-// start that fails.
+// A version is tried again after a failure that it did not cause: a check that cannot be made, a file that cannot be written, or
+// a start that fails.
 func TestVersionIsRetriedAfterUnrelatedFailures(t *testing.T) {
 	sim := newSimulation(t)
 	sim.checkUnavailable = true
@@ -430,7 +431,8 @@
 	sim.requireState("started", 3, 0, "")
 }
 
-// A version has to be accepted by the running release and also by the confirmed one, because a crash causes a fallback to the latter.
+// A version has to be accepted by the running release and also by the confirmed one, because a crash causes a fallback to the
+// latter.
 func TestBothReleasesAreChecked(t *testing.T) {
 	sim := newSimulation(t)
 	sim.carryOut(must(sim.sidecar.ChangeRelease(sim.now, 1, "new")))
@@ -475,9 +477,10 @@
 	sim.requireState("the version after the faulty one", 3, 0, "")
 }
 
-// Under random versions, orders, exits, failures and kills of the agent: there are never more than two processes; the version in force is
-// never replaced by an older one; a rejected version is not tried again; a process that is not started for a candidate has the version in
-// force; each order is carried out, and its result is not overwritten; and in the end the newest version is in force or rejected.
+// Under random versions, orders, exits, failures and kills of the agent: there are never more than two processes; the version in
+// force is never replaced by an older one; a rejected version is not tried again; a process that is not started for a candidate
+// has the version in force; each order is carried out, and its result is not overwritten; and in the end the newest version is in
+// force or rejected.
 func TestVersionsWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		sim := newSimulation(t)
--- a/internal/coordination/agent/doc.go
+++ b/internal/coordination/agent/doc.go
@@ -1,7 +1,7 @@
-// Package agent decides how the processes of one sidecar on one machine are supervised: which one is started, how a new release takes
-// over from the serving one, when a change is abandoned, and how a version of the configuration comes into force. Sidecar is a pure
-// state machine: orders and observations go in, actions come out. It starts no process, reads no clock and writes no file; package
-// machine does that.
+// Package agent decides how the processes of one sidecar on one machine are supervised: which one is started, how a new release
+// takes over from the serving one, when a change is abandoned, and how a version of the configuration comes into force. Sidecar
+// is a pure state machine: orders and observations go in, actions come out. It starts no process, reads no clock and writes no
+// file; package machine does that.
 //
 // The phases of a sidecar:
 //
@@ -18,10 +18,10 @@
 // the version, as in a change of the release. Every other start uses the version in force. An order of a rollout takes precedence.
 // See ConfigurationState.
 //
-// Invariants: there are never more than two processes; the old process of a change is ended only after the new one has become ready
-// and survived its trial; a change that fails leaves the serving process as it was; an order is carried out once, even if the agent is
-// killed at any moment and another one continues from the persisted state and the running processes that it finds; the version in force
-// is never replaced by an older one, and a rejected version is not tried again.
+// Invariants: there are never more than two processes; the old process of a change is ended only after the new one has become
+// ready and survived its trial; a change that fails leaves the serving process as it was; an order is carried out once, even if
+// the agent is killed at any moment and another one continues from the persisted state and the running processes that it finds;
+// the version in force is never replaced by an older one, and a rejected version is not tried again.
 //
 // A Sidecar is not safe for concurrent use.
 package agent
--- a/internal/coordination/agent/sidecar.go
+++ b/internal/coordination/agent/sidecar.go
@@ -7,9 +7,9 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// Sidecar is the state machine that supervises the processes of one sidecar. The parameter now of its methods is the time since a fixed
-// moment. The returned actions are carried out in order. The caller persists PersistedState whenever it has changed, before it carries
-// out any action.
+// Sidecar is the state machine that supervises the processes of one sidecar. The parameter now of its methods is the time since a
+// fixed moment. The returned actions are carried out in order. The caller persists PersistedState whenever it has changed, before
+// it carries out any action.
 type Sidecar struct {
 	PersistedState
 	limits             Limits
@@ -28,9 +28,10 @@
 	return &Sidecar{PersistedState: PersistedState{Confirmed: confirmed}, limits: limits, isolatedSince: -1}
 }
 
-// Restore returns a sidecar that continues from the state that an earlier agent persisted. isAlive reports whether a process still
-// runs. The earlier agent may have made the last requested start without persisting its process; found is that process. If found is nil,
-// the process is in the state or the start was not made, and the caller has made sure that it cannot be made any more.
+// Restore returns a sidecar that continues from the state that an earlier agent persisted. isAlive reports whether a process
+// still runs. The earlier agent may have made the last requested start without persisting its process; found is that process. If
+// found is nil, the process is in the state or the start was not made, and the caller has made sure that it cannot be made any
+// more.
 func Restore(state PersistedState, limits Limits, now time.Duration, isAlive func(Process) bool, found *Process) (s *Sidecar, actions []Action) {
 	s = &Sidecar{PersistedState: state, limits: limits, isolatedSince: -1}
 	if found != nil && s.Terminating != nil && found.PID == s.Terminating.PID && found.StartTicks == s.Terminating.StartTicks {
@@ -66,16 +67,16 @@
 	return s, append(actions, s.Tick(now)...)
 }
 
-// Confirm reports that the rollout of a release has ended, so that the sidecar may fall back to it. It only has an effect if the sidecar
-// runs the release, or if the release confirmed before is missing on this machine.
+// Confirm reports that the rollout of a release has ended, so that the sidecar may fall back to it. It only has an effect if the
+// sidecar runs the release, or if the release confirmed before is missing on this machine.
 func (s *Sidecar) Confirm(release string) {
 	if s.Serving != nil && s.Serving.Release == release || s.confirmedMissing {
 		s.Confirmed, s.confirmedMissing = release, false // if this release is missing too, ReleaseMissing is called again
 	}
 }
 
-// ReleaseMissing reports that the store lacks a release, as on a machine that returns after a long absence. If it is the confirmed
-// release and no process runs, the next Confirm is accepted for any release.
+// ReleaseMissing reports that the store lacks a release, as on a machine that returns after a long absence. If it is the
+// confirmed release and no process runs, the next Confirm is accepted for any release.
 func (s *Sidecar) ReleaseMissing(release string) {
 	s.confirmedMissing = s.Phase == Idle && s.Serving == nil && release == s.Confirmed
 }
@@ -89,8 +90,8 @@
 	}
 }
 
-// Serves returns the release of the serving process and whether that process is ready. If there is no serving process, it returns those
-// of the new process of a change; without any process, the release is "".
+// Serves returns the release of the serving process and whether that process is ready. If there is no serving process, it returns
+// those of the new process of a change; without any process, the release is "".
 func (s *Sidecar) Serves() (release string, ready bool) {
 	switch {
 	case s.Serving != nil:
@@ -154,8 +155,8 @@
 	return []Action{{Term: s.Serving}}
 }
 
-// requestStart returns the action that starts a process. It counts the starts, so that a restarted agent can find out whether the last
-// one was made.
+// requestStart returns the action that starts a process. It counts the starts, so that a restarted agent can find out whether the
+// last one was made.
 func (s *Sidecar) requestStart(release string) []Action {
 	s.StartCount++
 	s.startRequested = true
--- a/internal/coordination/agent/sidecar_test.go
+++ b/internal/coordination/agent/sidecar_test.go
@@ -14,7 +14,8 @@
 
 var testLimits = Limits{ReadyTimeout: 6 * time.Second, TrialPeriod: 5 * time.Second, TerminationTimeout: 4 * time.Second, IsolationTimeout: time.Minute, InitialBackoff: time.Second, MaxBackoff: 30 * time.Second}
 
-// releaseSimulation carries out the actions of a sidecar on simulated processes that run releases, without versions of the configuration.
+// releaseSimulation carries out the actions of a sidecar on simulated processes that run releases, without versions of the
+// configuration.
 type releaseSimulation struct {
 	t                   testing.TB
 	sidecar             *Sidecar
@@ -81,8 +82,8 @@
 	sim.carryOut(actions)
 }
 
-// requireState checks that one process serves, that it is ready and runs the release, that order is the last completed one, and its
-// failure reason.
+// requireState checks that one process serves, that it is ready and runs the release, that order is the last completed one, and
+// its failure reason.
 func (sim *releaseSimulation) requireState(what, release string, order uint64, reason string) {
 	sim.t.Helper()
 	got, ready := sim.sidecar.Serves()
@@ -91,8 +92,8 @@
 	}
 }
 
-// During changes that succeed and changes that fail in one way each, a process serves all the time, and there are never more than two
-// processes.
+// During changes that succeed and changes that fail in one way each, a process serves all the time, and there are never more than
+// two processes.
 func TestChanges(t *testing.T) {
 	sim := newReleaseSimulation(t)
 	sim.changeRelease(1, "new")
@@ -186,8 +187,8 @@
 	}
 }
 
-// Restore adopts a process that an earlier agent started and could not persist before it was killed, both as the serving process and as
-// the next one of a change.
+// Restore adopts a process that an earlier agent started and could not persist before it was killed, both as the serving process
+// and as the next one of a change.
 func TestUnnotedStartIsFound(t *testing.T) {
 	p := Process{PID: 7, StartTicks: 7, Release: "new"}
 	alive := func(Process) bool { return true }
@@ -199,8 +200,8 @@
 	}
 }
 
-// If an agent is killed while the old process terminates, it is unknown when SIGTERM was sent, or whether it was. The next agent sends
-// SIGTERM again and gives the process the full time to answer its last requests.
+// If an agent is killed while the old process terminates, it is unknown when SIGTERM was sent, or whether it was. The next agent
+// sends SIGTERM again and gives the process the full time to answer its last requests.
 func TestAnAgentKilledWhileTheOldProcessEnds(t *testing.T) {
 	sim := newReleaseSimulation(t)
 	sim.ignoresTERM = true
@@ -287,8 +288,8 @@
 	}
 }
 
-// The agent is killed at random moments and restored from the persisted state and the processes that are alive: there are never more
-// than two processes, one of them serves, and each order completes once.
+// The agent is killed at random moments and restored from the persisted state and the processes that are alive: there are never
+// more than two processes, one of them serves, and each order completes once.
 func TestKilledAgents(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		sim := newReleaseSimulation(t)
--- a/internal/coordination/agent/state.go
+++ b/internal/coordination/agent/state.go
@@ -20,7 +20,8 @@
 
 func (p Phase) String() string { return [...]string{"idle", "starting", "trial", "ending"}[p] }
 
-// Process identifies a process of a sidecar. The system reuses process IDs; the ID and the start time together identify one process.
+// Process identifies a process of a sidecar. The system reuses process IDs; the ID and the start time together identify one
+// process.
 type Process struct {
 	PID          int    `json:"pid"`
 	StartTicks   uint64 `json:"began"` // clock ticks between the boot of the system and the start of the process
@@ -49,8 +50,8 @@
 	return pause
 }
 
-// PersistedState is the part of a sidecar's state that outlives the agent's process. The agent writes it to the disk before it carries
-// out the actions that the state records as requested.
+// PersistedState is the part of a sidecar's state that outlives the agent's process. The agent writes it to the disk before it
+// carries out the actions that the state records as requested.
 type PersistedState struct {
 	Confirmed      string                 `json:"confirmed"`        // the release to fall back to
 	Serving        *Process               `json:"now,omitempty"`    // the process that serves; in a change the old one
--- a/internal/coordination/agent/trial_test.go
+++ b/internal/coordination/agent/trial_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A process that applies a version has a separate, shorter trial period than one of a new release, because a version has to be in force
-// within seconds.
+// A process that applies a version has a separate, shorter trial period than one of a new release, because a version has to be in
+// force within seconds.
 func TestTrials(t *testing.T) {
 	const second = time.Second
 	for name, c := range map[string]struct {
@@ -43,8 +43,9 @@
 	}
 }
 
-// An agent may be killed after it has persisted a requested start and before it makes it. The restored sidecar then requests another start,
-// and the order does not fail. The caller of Restore has made sure that the first start is not made any more, so there is only one.
+// An agent may be killed after it has persisted a requested start and before it makes it. The restored sidecar then requests
+// another start, and the order does not fail. The caller of Restore has made sure that the first start is not made any more, so
+// there is only one.
 func TestAStartThatWasNeverMade(t *testing.T) {
 	serving := Process{PID: 1, Release: "old"}
 	state := PersistedState{Confirmed: "old", Serving: &serving, Phase: Starting, Target: "new", Order: 3, StartCount: 2}
@@ -55,8 +56,8 @@
 	}
 }
 
-// The new process of a failed change is killed, and nothing is started until it has exited, neither for an order nor to replace the
-// serving process. Otherwise there could be three processes, or two of which the agent knows only one.
+// The new process of a failed change is killed, and nothing is started until it has exited, neither for an order nor to replace
+// the serving process. Otherwise there could be three processes, or two of which the agent knows only one.
 func TestNothingStartsBesideATerminatingProcess(t *testing.T) {
 	const second = time.Second
 	s := New("r", Limits{ReadyTimeout: 5 * second, TrialPeriod: 5 * second, TerminationTimeout: 4 * second, InitialBackoff: second, MaxBackoff: second})
