--- a/internal/coordination/agent/configuration_test.go
+++ b/internal/coordination/agent/configuration_test.go
@@ -20,11 +20,11 @@
 const (
 	byChange          versionKind = iota // applied by a change
 	byReload                             // applied by a reload
-	rejectedByProgram                    // the check fails
+	rejectedByProgram                    // a release's program rejects it in the check
 	neverReady                           // its process never becomes ready
 	exitsInTrial                         // its process exits in its trial
 	exitsBeforeReady                     // its process exits before it is ready
-	versionKindCount
+	versionKindCount                     // the number of kinds
 )
 
 // simulation carries out the actions of a sidecar on simulated processes that run versions of the configuration. Its agent may be
@@ -58,6 +58,7 @@
 	return sim
 }
 
+// save persists the sidecar's state.
 func (sim *simulation) save() {
 	text, err := json.Marshal(sim.sidecar.PersistedState)
 	if err != nil {
@@ -113,8 +114,10 @@
 	return true
 }
 
+// digest returns the digest of the file that a process with a version has read.
 func digest(r distribute.Revision) string { return fmt.Sprint("of ", r) }
 
+// exit ends a process, reports it, and returns the actions that follow.
 func (sim *simulation) exit(p Process) []Action {
 	i := slices.Index(sim.alive, p)
 	if i < 0 {
@@ -531,7 +534,7 @@
 				}
 			}
 		}
-		kills := rapid.IntRange(0, 40).Draw(r, "a kill in so many") // 0: none
+		kills := rapid.IntRange(0, 40).Draw(r, "kill one in") // 0: none
 		sim.agentKilled = func() bool { return kills > 0 && rapid.IntRange(0, kills).Draw(r, "killed") == 0 }
 		for range rapid.IntRange(1, 25).Draw(r, "events") {
 			switch rapid.IntRange(0, 7).Draw(r, "event") {
--- a/internal/coordination/agent/sidecar_test.go
+++ b/internal/coordination/agent/sidecar_test.go
@@ -35,6 +35,7 @@
 	return sim
 }
 
+// carryOut carries out actions and those that follow from them.
 func (sim *releaseSimulation) carryOut(actions []Action) {
 	for _, action := range actions {
 		switch {
@@ -52,6 +53,7 @@
 	}
 }
 
+// exit ends a process and carries out the actions that follow.
 func (sim *releaseSimulation) exit(p Process) {
 	if i := slices.Index(sim.alive, p); i >= 0 {
 		sim.alive = slices.Delete(sim.alive, i, i+1)
@@ -73,6 +75,7 @@
 	}
 }
 
+// changeRelease gives the sidecar an order, which has to be accepted, and carries out the actions.
 func (sim *releaseSimulation) changeRelease(order uint64, release string) {
 	sim.t.Helper()
 	actions, err := sim.sidecar.ChangeRelease(sim.now, order, release)
@@ -305,7 +308,7 @@
 				if err != nil {
 					r.Fatal(err)
 				}
-				if rapid.IntRange(0, 3).Draw(r, "one dies") == 0 && len(sim.alive) > 0 { // while no agent runs
+				if rapid.IntRange(0, 3).Draw(r, "a process exits") == 0 && len(sim.alive) > 0 { // while no agent runs
 					i := rapid.IntRange(0, len(sim.alive)-1).Draw(r, "which")
 					sim.alive = slices.Delete(sim.alive, i, i+1)
 				}
