--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// ElectionTicks is the shortest election time-out, in ticks: a follower without contact to a leader campaigns after ElectionTicks
-	// to twice as many, drawn again each time.
+	// ElectionTicks is the shortest election time-out, in ticks. A follower that hears of no leader campaigns after a random number of
+	// ticks from ElectionTicks to 2*ElectionTicks-1, drawn again for each time-out.
 	ElectionTicks  = 10
 	heartbeatTicks = 1
 
 	defaultSnapshotEvery  = 20_000
 	defaultCatchUpEntries = 5_000
 
-	// The bounds of raft's messages, in bytes, and of messages in flight to one peer.
+	// The limits on raft's messages and entries, in bytes, and on the number of messages in flight to one peer.
 	maxMessageSize      = 1 << 20
 	maxCommittedSize    = 4 << 20
 	maxUncommittedSize  = 64 << 20
@@ -38,11 +38,11 @@
 	Incarnation string // of the replica's disk
 	// Rand returns a random number from 0 to n-1.
 	Rand           func(n int) int
-	SnapshotEvery  uint64 // applied entries between two snapshots; 0: 20,000
-	CatchUpEntries uint64 // entries that stay in the log behind a snapshot, for followers that are a little behind; 0: 5,000
+	SnapshotEvery  uint64 // applied entries between two snapshots; 0: defaultSnapshotEvery
+	CatchUpEntries uint64 // entries kept in the log before a snapshot, for followers that are a little behind; 0: defaultCatchUpEntries
 }
 
-// Core is one replica. It belongs to one goroutine.
+// Core is one replica. Its methods are called from one goroutine.
 type Core struct {
 	Options
 	node    *raft.RawNode
@@ -51,50 +51,50 @@
 	state           stateMachine
 	changedServices ChangedServices
 	membership      membership
-	applied         uint64 // the index of the last entry that is applied
-	snapshotIndex   uint64 // that of the last snapshot
+	applied         uint64 // the index of the last applied entry
+	snapshotIndex   uint64 // the index of the last snapshot
 
 	leadership leadership
 	election   electionTimer
 	pending    pendingRequests
 }
 
-// leadership is what a replica knows of who leads, and what it keeps for its own term as the leader.
+// leadership holds who leads, as far as this replica knows, and the state that a leader keeps for its own term only.
 type leadership struct {
 	term     uint64 // of the last hard state
 	leader   uint64 // 0: none is known
-	isLeader bool   // this replica; it may not have applied all entries of earlier terms yet
+	isLeader bool   // this replica leads; it may not have applied all entries of earlier terms yet
 	// lessor is nil unless this replica leads and has applied an entry of its own term.
 	lessor *lease.Lessor
-	// allocators are present when lessor is.
+	// allocators is nil exactly when lessor is nil.
 	allocators *share.Allocators
 }
 
-// ready reports whether this replica leads and has applied everything that was committed before its term.
+// ready reports whether this replica leads and has applied all entries that were committed before its term.
 func (l *leadership) ready() bool { return l.lessor != nil }
 
-// stopServing ends what a leader keeps for its term.
+// stopServing drops the state that a leader keeps for its term.
 func (l *leadership) stopServing() { l.lessor, l.allocators = nil, nil }
 
-// electionTimer counts ticks since the last contact with a leader.
+// electionTimer counts the ticks since the last message from a leader, up to a time-out, in ticks.
 type electionTimer struct {
 	ticks   int
 	timeout int
 }
 
-// resetElectionTimer restarts the wait for a leader's message, with another time-out.
+// resetElectionTimer restarts the election timer with a newly drawn time-out.
 func (c *Core) resetElectionTimer() {
 	c.election = electionTimer{timeout: ElectionTicks + c.Rand(ElectionTicks)}
 }
 
-// PersistedState is what a replica's disk holds, and in a Ready what is to be added to it.
+// PersistedState is the content of a replica's disk or, in a Ready, what the owner has to add to it.
 type PersistedState struct {
 	HardState *pb.HardState
-	Snapshot  *pb.Snapshot // nil: none; a replica that is to be added to a group begins with nothing
+	Snapshot  *pb.Snapshot // nil: none; a replica that will be added to a group starts with an empty disk
 	Entries   []*pb.Entry
 }
 
-// InitialState is what the disk of every replica of a new group begins with.
+// InitialState returns the first content of the disk of every replica of a new group.
 func InitialState(members []Member, state *lease.State) *PersistedState {
 	conf := &pb.ConfState{}
 	for _, m := range members {
@@ -110,7 +110,7 @@
 	}
 }
 
-// New makes a replica from what its disk holds.
+// New returns a replica that starts from the content of its disk. An error says which part of that content cannot be used.
 func New(o Options, persisted *PersistedState) (*Core, error) {
 	if o.SnapshotEvery == 0 {
 		o.SnapshotEvery = defaultSnapshotEvery
@@ -138,7 +138,7 @@
 	return c, nil
 }
 
-// load fills the storage with what the disk holds, and restores the state of the snapshot.
+// load fills raft's storage from the content of the disk, and restores the state from the snapshot.
 func (c *Core) load(persisted *PersistedState) error {
 	if persisted.Snapshot != nil {
 		if err := c.storage.ApplySnapshot(persisted.Snapshot); err != nil {
@@ -150,7 +150,7 @@
 	}
 	if persisted.HardState != nil {
 		hard := proto.Clone(persisted.HardState).(*pb.HardState)
-		if hard.GetCommit() < c.applied { // a commit index alone is not written at once, and a snapshot is of what was committed
+		if hard.GetCommit() < c.applied { // a changed commit index alone is not synced, and a snapshot holds committed entries only
 			hard.Commit = proto.Uint64(c.applied)
 		}
 		if err := c.storage.SetHardState(hard); err != nil {
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// Tick advances the time by one tick; now is the reading of the owner's steady clock. A leader proposes the commands whose time has come by its clock; a follower campaigns at its
-// election time-out.
+// Tick advances the time by one tick; now is the reading of the owner's monotonic clock. A leader proposes the lessor's expiry commands
+// that are due; a follower campaigns at its election time-out.
 func (c *Core) Tick(now lease.Instant) {
 	if c.membership.ticksSinceRemoval > 0 {
 		c.membership.ticksSinceRemoval++
@@ -177,20 +177,20 @@
 		c.node.TickQuiesced()
 		if c.election.ticks++; c.election.ticks >= c.election.timeout {
 			c.resetElectionTimer()
-			_ = c.node.Campaign() // one that may not campaign, as a learner, stays a follower; the next time-out tries again
+			_ = c.node.Campaign() // a replica that may not campaign, such as a learner, stays a follower and tries again at the next time-out
 		}
 	}
 	c.pending.expireRead(c.leadership.leader)
 }
 
-// proposeTimed proposes what the leader's clock says is over, and the promotion of a learner that has caught up.
+// proposeTimed proposes the expiry commands that are due by the leader's clock, and the promotion of a learner that has caught up.
 func (c *Core) proposeTimed(now lease.Instant) {
 	if !c.leadership.ready() {
 		return
 	}
 	for _, cmd := range c.leadership.lessor.ExpiryCommands(now) {
 		if c.propose(entry{Lease: &cmd}) != nil {
-			return // the lessor gives the command again
+			return // the lessor returns the command again at the next tick
 		}
 	}
 	c.promoteLearner()
@@ -204,8 +204,8 @@
 	return c.node.Propose(data)
 }
 
-// Step processes a message of a peer, which CheckReceiver and CheckSender have admitted. What is of no use in the present state is
-// dropped.
+// Step processes a message from a peer that CheckReceiver and CheckSender have admitted. A message that does not apply in the present
+// state is dropped.
 func (c *Core) Step(m *pb.Message) {
 	switch m.GetType() {
 	case pb.MessageType_MsgApp, pb.MessageType_MsgHeartbeat, pb.MessageType_MsgSnap:
@@ -213,13 +213,13 @@
 			c.resetElectionTimer()
 		}
 	}
-	_ = c.node.Step(m) // an error says that the message is of no use here; raft sends again what matters
+	_ = c.node.Step(m) // an error means that the message does not apply here; the peer's raft retransmits what is needed
 }
 
-// ReportUnreachable reports that a message to a peer was not delivered.
+// ReportUnreachable tells raft that a message to a peer was not delivered.
 func (c *Core) ReportUnreachable(id uint64) { c.node.ReportUnreachable(id) }
 
-// ReportSnapshot reports whether a snapshot was delivered to a peer. Until then the peer gets no entries.
+// ReportSnapshot tells raft whether a snapshot was delivered to a peer. Raft sends the peer no entries before that.
 func (c *Core) ReportSnapshot(id uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
@@ -228,7 +228,8 @@
 	c.node.ReportSnapshot(id, status)
 }
 
-// Ready is what the owner has to do next, in this order: persist PersistedState (durably, if Sync), send Messages, call Core.Advance.
+// Ready holds what the owner has to do next, in this order: persist PersistedState (durably, if Sync is set), send Messages and call
+// Core.Advance.
 type Ready struct {
 	PersistedState
 	Sync     bool
@@ -236,7 +237,8 @@
 	raft     raft.Ready
 }
 
-// Ready returns what is to be done; ok is false when there is nothing. Each Ready is followed by one Advance before the next.
+// Ready returns the next work for the owner; ok is false if there is none. The owner calls Advance with each Ready before it takes the
+// next one.
 func (c *Core) Ready() (ready Ready, ok bool) {
 	c.confirmReads()
 	if !c.node.HasReady() {
@@ -255,9 +257,9 @@
 	return ready, true
 }
 
-// Advance says that a Ready was carried out: what is committed is applied, and requests are answered. When a snapshot is due it is
-// returned: the owner has to persist it, and may then delete the entries up to and including the index compact. After an error, which
-// says that the log or a snapshot is not what raft or this package has written, the replica has to end.
+// Advance reports that the owner has finished with a Ready. It applies the committed entries and answers requests. If a snapshot is due
+// it is returned: the owner has to persist it, and may then delete the entries up to and including the index compact. An error means that
+// the log or a snapshot is not as raft or this package wrote it; the replica has to stop then.
 func (c *Core) Advance(ready Ready, now lease.Instant) (snapshot *pb.Snapshot, compact uint64, err error) {
 	rd := ready.raft
 	if ready.Snapshot != nil {
@@ -290,13 +292,13 @@
 	return c.createSnapshot()
 }
 
-// applySoftState records who leads. A replica whose own leadership begins or ends answers all pending requests.
-func (c *Core) applySoftState(s *raft.SoftState) {
-	isLeader := s.RaftState == raft.StateLeader
-	if s.Lead != c.leadership.leader && s.Lead != 0 {
+// applySoftState records who leads. A replica that gains or loses the leadership fails all its pending requests.
+func (c *Core) applySoftState(softState *raft.SoftState) {
+	isLeader := softState.RaftState == raft.StateLeader
+	if softState.Lead != c.leadership.leader && softState.Lead != 0 {
 		c.resetElectionTimer()
 	}
-	c.leadership.leader = s.Lead
+	c.leadership.leader = softState.Lead
 	if isLeader == c.leadership.isLeader {
 		return
 	}
@@ -306,9 +308,10 @@
 	c.pending.failAll(ErrLeaderChanged, c.leadership.leader)
 }
 
-// createSnapshot makes a snapshot of what is applied.
+// createSnapshot returns a snapshot of the applied state. It compacts the log once that holds more than CatchUpEntries applied entries;
+// compact is 0 otherwise.
 func (c *Core) createSnapshot() (snapshot *pb.Snapshot, compact uint64, err error) {
-	snapshot, err = c.storage.CreateSnapshot(c.applied, c.membership.conf, c.state.encode(c.Members()))
+	snapshot, err = c.storage.CreateSnapshot(c.applied, c.membership.confState, c.state.encode(c.Members()))
 	if err != nil {
 		return nil, 0, fmt.Errorf("snapshot at %d: %w", c.applied, err)
 	}
@@ -322,47 +325,47 @@
 	return snapshot, compact, err
 }
 
-// IsLeader reports whether this replica is the log's leader. It may not have applied all entries of earlier terms yet.
+// IsLeader reports whether this replica is the raft leader. It may not have applied all entries of earlier terms yet.
 func (c *Core) IsLeader() bool { return c.leadership.isLeader }
 
-// Versions returns the newest configuration versions that this replica has applied. The register is the core's own: it is only to be
-// read, by the goroutine that owns the core.
+// Versions returns the register of the newest configuration versions that this replica has applied. The register belongs to the core:
+// callers only read it, from the goroutine that owns the core.
 func (c *Core) Versions() *distribute.Register { return c.state.versions }
 
-// ChangedServices says which services have got a newer configuration version.
+// ChangedServices holds the services that have a newer configuration version.
 type ChangedServices struct {
-	All   bool // any may have: a snapshot was restored
+	All   bool // any service may have one, because a snapshot was restored
 	Names []string
 }
 
-// TakeChangedServices returns the services that have changed since the last call.
+// TakeChangedServices returns the services that have got a newer version since the last call.
 func (c *Core) TakeChangedServices() ChangedServices {
 	changed := c.changedServices
 	c.changedServices = ChangedServices{}
 	return changed
 }
 
-// Status is what a replica knows of itself, without asking others.
+// Status is the state of a replica as the replica knows it, without asking its peers.
 type Status struct {
 	ID       uint64      `json:"ID"`
 	Leader   uint64      `json:"Leader"`  // 0: none is known
-	Term     uint64      `json:"Term"`    // of the log
-	Applied  uint64      `json:"Applied"` // the index of the last entry that is applied
-	Log      uint64      `json:"Log"`     // entries in the log, since the last compaction
+	Term     uint64      `json:"Term"`    // of the last hard state
+	Applied  uint64      `json:"Applied"` // the index of the last applied entry
+	Log      uint64      `json:"Log"`     // the number of entries in the log since the last compaction
 	IsLeader bool        `json:"Leads"`   // this replica leads and has applied an entry of its own term
 	Sessions int         `json:"Sessions"`
 	Leases   int         `json:"Leases"`
-	Token    lease.Token `json:"Token"` // the last one that was granted
+	Token    lease.Token `json:"Token"` // the token of the last grant
 	Members  []Member    `json:"Members"`
 }
 
-// Status returns what the replica knows of itself.
+// Status returns the state of this replica.
 func (c *Core) Status() Status {
-	s := Status{ID: c.ID, Leader: c.leadership.leader, Term: c.leadership.term, Applied: c.applied,
+	status := Status{ID: c.ID, Leader: c.leadership.leader, Term: c.leadership.term, Applied: c.applied,
 		IsLeader: c.leadership.isLeader && c.leadership.ready(), Members: c.Members()}
 	first, _ := c.storage.FirstIndex() // raft.MemoryStorage returns no error
 	last, _ := c.storage.LastIndex()
-	s.Log = last + 1 - first
-	s.Sessions, s.Leases, s.Token = c.state.leases.Counts()
-	return s
+	status.Log = last + 1 - first
+	status.Sessions, status.Leases, status.Token = c.state.leases.Counts()
+	return status
 }
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -1,8 +1,10 @@
-// Package disk persists one replica: its hard state, log, last snapshot, and the incarnation of the disk. It is a go.etcd.io/bbolt file,
-// whose transactions are atomic: after a torn write the file has its earlier state. Every record has a checksum of its own.
+// Package disk persists the state of one replica: its hard state, its log, its last snapshot and the incarnation of the disk. The state is
+// in a go.etcd.io/bbolt file, whose transactions are atomic: after a torn write the file has its previous state. Every record has a checksum
+// of its own.
 //
-// Invariants: what Save has returned from without an error survives a crash of the machine. What is read was written as it is, else Open
-// says in which file, and at which offset, it is not. The incarnation is drawn when the file is made, and never again.
+// Invariants: after Save has returned nil, the state survives a crash of the machine. Open returns only data that is as it was written;
+// otherwise its error names the file and, where it is known, the offset or the record. The incarnation is drawn when the file is created,
+// and never changes.
 //
 // A Disk is used by one goroutine, and its file by one process.
 package disk
@@ -29,13 +31,15 @@
 
 const (
 	fileName    = "replica.db"
-	newSuffix   = ".new" // of a file that is being made
+	newSuffix   = ".new" // of a file that is being created
 	lockTimeout = time.Second
-	// format marks the files of this package. It is the name that the program had when the format was made, and is on the disks.
+	// format identifies the files of this package. It contains the name that the program had when the format was introduced, and must not
+	// change: existing files contain it.
 	format = "petrelfleet 1"
 
 	checksumSize = 4 // bytes, before the value of each record
-	// logFillPercent is how full pages of the log become: it is written in ascending order.
+	// logFillPercent is the fraction of a page that is filled before bbolt splits it. It is high because the log is written in ascending
+	// order.
 	logFillPercent = 0.9
 )
 
@@ -54,19 +58,19 @@
 
 // Errors of Create and Open, wrapped with the path of the file.
 var (
-	// ErrExists says that the folder has a replica already.
+	// ErrExists is returned by Create if the folder holds a replica already.
 	ErrExists = errors.New("there is a replica already")
-	// ErrNoReplica says that the folder has no replica.
+	// ErrNoReplica is returned by Open if the folder holds no replica.
 	ErrNoReplica = errors.New("there is no replica")
-	// ErrLocked says that another process uses the replica.
+	// ErrLocked is returned by Open if another process has locked the file.
 	ErrLocked = errors.New("another process has it")
-	// ErrDamaged says that the file's content is not what was written.
-	ErrDamaged = errors.New("damaged")
-	// ErrTruncated says that the file is shorter than what was written.
+	// ErrCorrupted is returned by Open if the file's content differs from what was written.
+	ErrCorrupted = errors.New("damaged")
+	// ErrTruncated is returned by Open if the file is shorter than what was written.
 	ErrTruncated = errors.New("cut off")
 )
 
-// Disk is an open file.
+// Disk is the open file of one replica.
 type Disk struct {
 	db          *bbolt.DB
 	path        string
@@ -80,8 +84,8 @@
 	return !errors.Is(err, os.ErrNotExist)
 }
 
-// Create makes the file of a new replica. It is made under another name and renamed, so that there is all of it or none. The error is
-// ErrExists or one of the disk.
+// Create creates the file of a new replica with its initial state. It writes the file under another name and renames it, so that the file
+// is either complete or absent. The error wraps ErrExists, or comes from the file system or bbolt.
 func Create(dir string, id uint64, initial *replica.PersistedState) (err error) {
 	path := filepath.Join(dir, fileName)
 	if Exists(dir) {
@@ -90,7 +94,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	_ = os.Remove(path + newSuffix) // what a process left that died in Create; if it stays, its buckets make this one fail
+	_ = os.Remove(path + newSuffix) // left by a process that died in Create; if it cannot be removed, its buckets make createBuckets fail
 	db, err := bbolt.Open(path+newSuffix, 0o600, options())
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -132,8 +136,9 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Open reads a replica. An error says where the file is not what was written, and nothing is changed then. Callers may tell
-// ErrNoReplica, ErrLocked, ErrDamaged and ErrTruncated apart; others come from bbolt or from the system.
+// Open opens the file of a replica and returns the state that it holds. Before the file is opened for writing, it is opened read-only and
+// read completely, so a file that cannot be read is not changed. The error may wrap ErrNoReplica, ErrLocked, ErrCorrupted or ErrTruncated;
+// other errors come from bbolt or the file system, or describe a file that is not a complete replica.
 func Open(dir string) (d *Disk, persisted *replica.PersistedState, err error) {
 	path := filepath.Join(dir, fileName)
 	if !Exists(dir) {
@@ -141,29 +146,29 @@
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if r := recover(); r != nil { // bbolt panics at a page that is not one, and faults beyond the end of the file
-			d, persisted, err = nil, nil, fmt.Errorf("%s: %w: %v", path, ErrDamaged, r)
+		if r := recover(); r != nil { // bbolt panics at an invalid page, and reads beyond the end of the file fault
+			d, persisted, err = nil, nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupted, r)
 		}
 	}()
 	if info, err := os.Stat(path); err != nil || info.Size() == 0 { // bbolt would make a new file of it
 		return nil, nil, errors.Join(err, fmt.Errorf("%s: offset 0: %w: it is empty", path, ErrTruncated))
 	}
-	// First without the free list, which bbolt makes from pages whose content it trusts.
-	readOnly := options()
-	readOnly.ReadOnly = true
-	check, _, err := open(path, readOnly)
+	// Read-only first: for writing, bbolt builds the free list, and for that it trusts the content of pages.
+	readOnlyOptions := options()
+	readOnlyOptions.ReadOnly = true
+	readOnlyDisk, _, err := open(path, readOnlyOptions)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := check.Close(); err != nil {
+	if err := readOnlyDisk.Close(); err != nil {
 		return nil, nil, err
 	}
 	return open(path, options())
 }
 
-// open opens and reads a file that exists.
-func open(path string, o *bbolt.Options) (*Disk, *replica.PersistedState, error) {
-	db, err := bbolt.Open(path, 0o600, o)
+// open opens an existing file and reads the state in it.
+func open(path string, boltOptions *bbolt.Options) (*Disk, *replica.PersistedState, error) {
+	db, err := bbolt.Open(path, 0o600, boltOptions)
 	if errors.Is(err, berrors.ErrTimeout) {
 		return nil, nil, fmt.Errorf("%s: %w", path, ErrLocked)
 	}
@@ -177,7 +182,7 @@
 	return d, persisted, nil
 }
 
-// options returns those of every open of a file. The free list is built at each start and not stored, so that it cannot be damaged.
+// options returns the bbolt options for every open of a file. The free list is built at each start and not stored, so it cannot be corrupted.
 func options() *bbolt.Options {
 	return &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true}
 }
@@ -198,14 +203,14 @@
 	return d.readLog(log, persisted)
 }
 
-// readMeta reads the records of the meta bucket. A replica that is to be added to a group has no hard state and no snapshot yet.
+// readMeta reads the records of the meta bucket. A replica that will be added to a group has no hard state and no snapshot yet.
 func (d *Disk) readMeta(meta *bbolt.Bucket, persisted *replica.PersistedState) error {
-	mark, err := d.required(meta, keyFormat)
+	formatName, err := d.required(meta, keyFormat)
 	if err != nil {
 		return err
 	}
-	if string(mark) != format {
-		return fmt.Errorf("%s: %s: %q, ours is %q", d.path, keyFormat, mark, format)
+	if string(formatName) != format {
+		return fmt.Errorf("%s: %s: %q, ours is %q", d.path, keyFormat, formatName, format)
 	}
 	incarnation, err := d.required(meta, keyIncarnation)
 	if err != nil {
@@ -220,11 +225,11 @@
 		return fmt.Errorf("%s: %s: %d bytes", d.path, keyID, len(id))
 	}
 	d.ID = binary.BigEndian.Uint64(id)
-	hard, snapshot := &pb.HardState{}, &pb.Snapshot{}
-	if found, err := d.optional(meta, keyHardState, hard); err != nil {
+	hardState, snapshot := &pb.HardState{}, &pb.Snapshot{}
+	if found, err := d.optional(meta, keyHardState, hardState); err != nil {
 		return err
 	} else if found {
-		persisted.HardState = hard
+		persisted.HardState = hardState
 	}
 	if found, err := d.optional(meta, keySnapshot, snapshot); err != nil {
 		return err
@@ -234,7 +239,7 @@
 	return nil
 }
 
-// required returns the value of a record that every replica has.
+// required returns the value of a record of the meta bucket that every replica has; a missing record is an error.
 func (d *Disk) required(meta *bbolt.Bucket, key []byte) ([]byte, error) {
 	value, err := d.verified(key, meta.Get(key))
 	if err == nil && value == nil {
@@ -246,11 +251,11 @@
 	return value, nil
 }
 
-// optional decodes a record into m; found is false where there is none.
-func (d *Disk) optional(meta *bbolt.Bucket, key []byte, m proto.Message) (found bool, err error) {
+// optional decodes a record of the meta bucket into message; found is false if there is no record.
+func (d *Disk) optional(meta *bbolt.Bucket, key []byte, message proto.Message) (found bool, err error) {
 	value, err := d.verified(key, meta.Get(key))
 	if err == nil && value != nil {
-		found, err = true, proto.Unmarshal(value, m)
+		found, err = true, proto.Unmarshal(value, message)
 	}
 	if err != nil {
 		return false, fmt.Errorf("%s: %s: %w", d.path, key, err)
@@ -258,7 +263,7 @@
 	return found, nil
 }
 
-// readLog reads the entries, which are numbered without a gap.
+// readLog reads the entries of the log and checks that their indexes match their keys and have no gap.
 func (d *Disk) readLog(log *bbolt.Bucket, persisted *replica.PersistedState) error {
 	var last uint64
 	return log.ForEach(func(key, value []byte) error {
@@ -280,14 +285,15 @@
 	})
 }
 
-// verified returns a copy of a record's value without its checksum, which covers the key too; nil where there is no record.
+// verified returns a copy of a record's value without the checksum in front of it; nil if there is no record. The checksum covers the key
+// and the value.
 func (d *Disk) verified(key, record []byte) ([]byte, error) {
 	if record == nil {
 		return nil, nil
 	}
-	offset := uintptr(unsafe.Pointer(unsafe.SliceData(record))) - d.db.Info().Data // the file is mapped
+	offset := uintptr(unsafe.Pointer(unsafe.SliceData(record))) - d.db.Info().Data // offset in the file, which bbolt maps into memory
 	if len(record) < checksumSize || binary.BigEndian.Uint32(record) != checksum(key, record[checksumSize:]) {
-		return nil, fmt.Errorf("offset %d: %w: the checksum does not match", offset, ErrDamaged)
+		return nil, fmt.Errorf("offset %d: %w: the checksum does not match", offset, ErrCorrupted)
 	}
 	return append([]byte(nil), record[checksumSize:]...), nil
 }
@@ -302,15 +308,14 @@
 
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// Save persists what a Ready has to have persisted, durably. After an error nothing is known of what is on the disk: the process has to
-// end.
+// Save durably persists the state of a Ready. After an error the content of the disk is unknown, and the process has to stop.
 func (d *Disk) Save(ready replica.Ready) error {
 	return d.update(func(meta, log *bbolt.Bucket) error {
 		if ready.Snapshot != nil {
 			if err := putMessage(meta, keySnapshot, ready.Snapshot); err != nil {
 				return err
 			}
-			if err := deleteFirst(log, func(uint64) bool { return true }); err != nil { // the snapshot is ahead of all of the log
+			if err := deleteFirst(log, func(uint64) bool { return true }); err != nil { // a snapshot from the leader is ahead of the complete log
 				return err
 			}
 		}
@@ -326,7 +331,7 @@
 	})
 }
 
-// appendEntries writes entries, and deletes those behind them, which another leader had proposed.
+// appendEntries writes entries, and deletes the entries after the last of them, which an earlier leader had proposed.
 func appendEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
 	first, last := entries[0].GetIndex(), entries[len(entries)-1].GetIndex()
 	c := log.Cursor()
@@ -344,25 +349,26 @@
 	return nil
 }
 
-// SaveSnapshot persists a snapshot that the replica has made, and deletes the log up to and including an index.
-func (d *Disk) SaveSnapshot(s *pb.Snapshot, compact uint64) error {
+// SaveSnapshot durably persists a snapshot that the replica has made of its own state, and deletes the log up to and including
+// compactIndex. After an error the content of the disk is unknown, as with Save.
+func (d *Disk) SaveSnapshot(snapshot *pb.Snapshot, compactIndex uint64) error {
 	return d.update(func(meta, log *bbolt.Bucket) error {
-		if err := putMessage(meta, keySnapshot, s); err != nil {
+		if err := putMessage(meta, keySnapshot, snapshot); err != nil {
 			return err
 		}
-		return deleteFirst(log, func(index uint64) bool { return index <= compact })
+		return deleteFirst(log, func(index uint64) bool { return index <= compactIndex })
 	})
 }
 
-func putMessage(b *bbolt.Bucket, key []byte, m proto.Message) error {
-	value, err := proto.Marshal(m)
+func putMessage(b *bbolt.Bucket, key []byte, message proto.Message) error {
+	value, err := proto.Marshal(message)
 	if err != nil {
 		return err
 	}
 	return put(b, key, value)
 }
 
-// deleteFirst deletes entries from the first one on, as long as they match.
+// deleteFirst deletes entries from the start of the log up to the first one that does not match.
 func deleteFirst(log *bbolt.Bucket, match func(index uint64) bool) error {
 	c := log.Cursor()
 	for key, _ := c.First(); key != nil && match(binary.BigEndian.Uint64(key)); key, _ = c.First() {
@@ -381,5 +387,5 @@
 	return nil
 }
 
-// Close closes the file.
+// Close closes the file and releases its lock.
 func (d *Disk) Close() error { return d.db.Close() }
--- a/internal/coordination/replica/disk/disk_test.go
+++ b/internal/coordination/replica/disk/disk_test.go
@@ -15,7 +15,7 @@
 	"petrelhook/internal/coordination/replica"
 )
 
-// entries returns entries of a term, numbered from one index to another.
+// entries returns log entries of a term with the indexes from to to, inclusive.
 func entries(term uint64, from, to uint64) (all []*pb.Entry) {
 	for i := from; i <= to; i++ {
 		all = append(all, &pb.Entry{Term: proto.Uint64(term), Index: proto.Uint64(i), Data: []byte(strings.Repeat("entry", 50))})
@@ -23,11 +23,12 @@
 	return all
 }
 
-// filledDisk returns a folder with a replica that has entries 2 to 200, and the incarnation of its disk.
+// filledDisk returns a folder with a replica that has the entries 2 to 200, and the incarnation of its disk. The second of its two saves
+// replaces the entries 151 to 250 of term 1 by the entries 151 to 200 of term 2.
 func filledDisk(t *testing.T) (dir, incarnation string) {
 	t.Helper()
 	dir = t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, fileName+".new"), []byte("half written"), 0o600); err != nil { // by a process that died
+	if err := os.WriteFile(filepath.Join(dir, fileName+".new"), []byte("half written"), 0o600); err != nil { // as a process that died in Create leaves it
 		t.Fatal(err)
 	}
 	if err := Create(dir, 3, replica.InitialState([]replica.Member{{ID: 3}}, lease.NewState())); err != nil {
@@ -47,7 +48,7 @@
 	return dir, d.Incarnation
 }
 
-// What was saved is read again, entries of a leader that was succeeded are not, and a compacted log begins later.
+// Open returns the saved state without the entries that a later leader replaced, and without the entries that a snapshot has compacted.
 func TestSavedStateIsRead(t *testing.T) {
 	dir, incarnation := filledDisk(t)
 	d, persisted, err := Open(dir)
@@ -73,29 +74,29 @@
 	}
 }
 
-// Flipped bits in a part of the file that is in use, and a truncated file, are errors that name the file and the offset; nothing is changed.
-func TestDamage(t *testing.T) {
+// Opening a file with flipped bits in a page that is in use, or a truncated file, fails with an error that names the file and the offset.
+func TestCorruptedFileIsRejected(t *testing.T) {
 	dir, _ := filledDisk(t)
 	path := filepath.Join(dir, fileName)
 	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	flip := func(at int) []byte { b := append([]byte(nil), intact...); b[at] ^= 4; return b }
-	inLog := strings.LastIndex(string(intact), "entryentry")
+	flip := func(offset int) []byte { b := append([]byte(nil), intact...); b[offset] ^= 4; return b }
+	entryOffset := strings.LastIndex(string(intact), "entryentry")
 	for name, c := range map[string]struct {
-		text  []byte
-		want  string
-		cause error // nil: one of bbolt's
+		content []byte
+		want    string
+		cause   error // nil: the error comes from bbolt
 	}{
-		"an entry":     {flip(inLog), "offset", ErrDamaged},
-		"cut off":      {intact[:inLog], "offset", ErrTruncated},
-		"nothing":      {intact[:0], "offset 0: cut off", ErrTruncated},
-		"both headers": {append(make([]byte, 8192), intact[8192:]...), "offset 0", nil},
+		"a flipped bit in an entry": {flip(entryOffset), "offset", ErrCorrupted},
+		"a truncated file":          {intact[:entryOffset], "offset", ErrTruncated},
+		"an empty file":             {intact[:0], "offset 0: cut off", ErrTruncated},
+		"both meta pages zeroed":    {append(make([]byte, 8192), intact[8192:]...), "offset 0", nil},
 	} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, fileName)
-		if err := os.WriteFile(path, c.text, 0o600); err != nil {
+		if err := os.WriteFile(path, c.content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, _, err := Open(dir)
@@ -105,7 +106,7 @@
 	}
 }
 
-// A file without one of the records that every replica has is refused.
+// Opening a file that lacks one of the records that every replica has fails.
 func TestMissingRecords(t *testing.T) {
 	for _, key := range [][]byte{keyFormat, keyID, keyIncarnation} {
 		dir, _ := filledDisk(t)
@@ -123,21 +124,21 @@
 	}
 }
 
-// A torn last write, of which the header is half written, is undone: the state before it is there, and the replica starts.
-func TestTornTail(t *testing.T) {
+// A torn last write, which leaves one of bbolt's two meta pages half written, is undone: Open returns the state before that write.
+func TestTornWriteIsUndone(t *testing.T) {
 	dir, _ := filledDisk(t)
 	intact, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := 0
-	for page := range 2 { // the two headers are written alternately
+	withoutLastWrite := 0
+	for page := range 2 { // bbolt writes the two meta pages alternately
 		dir := t.TempDir()
-		text := append([]byte(nil), intact...)
+		content := append([]byte(nil), intact...)
 		for i := range 40 {
-			text[page*os.Getpagesize()+16+i] = 0
+			content[page*os.Getpagesize()+16+i] = 0
 		}
-		if err := os.WriteFile(filepath.Join(dir, fileName), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, fileName), content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		d, persisted, err := Open(dir)
@@ -145,11 +146,11 @@
 			t.Fatal(err)
 		}
 		d.Close()
-		if persisted.Entries[len(persisted.Entries)-1].GetIndex() == 250 { // as it was before the last write
-			before++
+		if persisted.Entries[len(persisted.Entries)-1].GetIndex() == 250 { // the state before the last write
+			withoutLastWrite++
 		}
 	}
-	if before != 1 {
-		t.Errorf("%d headers are of before the last write", before)
+	if withoutLastWrite != 1 {
+		t.Errorf("without the meta page that was written last, Open returned the state before the last write %d times, want 1", withoutLastWrite)
 	}
 }
--- a/internal/coordination/replica/disk/recorded_test.go
+++ b/internal/coordination/replica/disk/recorded_test.go
@@ -14,7 +14,7 @@
 	"petrelhook/internal/coordination/share"
 )
 
-// recordedFolder has what revision cfdfdec left on a disk; the README in it says how it was made.
+// recordedFolder holds the file that revision cfdfdec wrote; the README in it describes how it was recorded.
 const recordedFolder = "testdata/cfdfdec"
 
 // recordedDisk returns a folder with a copy of the recorded file.
@@ -31,7 +31,7 @@
 	return folder
 }
 
-// A replica starts from a disk of an earlier version, and has all of its state: that of the snapshot and that of the entries after it.
+// A replica starts from the disk of an earlier version with its complete state: that of the snapshot and of the entries after it.
 func TestRecordedDiskIsRead(t *testing.T) {
 	d, persisted, err := Open(recordedDisk(t))
 	if err != nil {
@@ -45,20 +45,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pump := func() {
+	processReady := func() {
 		t.Helper()
-		for w, ok := core.Ready(); ok; w, ok = core.Ready() {
-			if err := d.Save(w); err != nil {
+		for ready, ok := core.Ready(); ok; ready, ok = core.Ready() {
+			if err := d.Save(ready); err != nil {
 				t.Fatal(err)
 			}
-			if _, _, err := core.Advance(w, 0); err != nil {
+			if _, _, err := core.Advance(ready, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	for range 2 * replica.ElectionTicks {
 		core.Tick(0)
-		pump()
+		processReady()
 	}
 	var state []byte
 	core.Submit(replica.Request{Read: true, Done: func(r replica.Response) {
@@ -66,8 +66,8 @@
 			t.Fatal(r.Err)
 		}
 		var limits []share.Limit
-		for _, standing := range r.LimitStatuses() {
-			limits = append(limits, standing.Limit)
+		for _, status := range r.LimitStatuses() {
+			limits = append(limits, status.Limit)
 		}
 		state, err = json.MarshalIndent(map[string]any{"members": r.Members, "lease": json.RawMessage(r.State.Snapshot()),
 			"rollouts": r.Rollouts.Snapshot(), "limits": limits, "versions": r.Versions.Snapshot()}, "", " ")
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 	}})
-	pump()
+	processReady()
 	recorded, err := os.ReadFile(filepath.Join(recordedFolder, "state.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 	}
 }
 
-// What is written has the recorded buckets, keys and records, so that an earlier version reads it.
+// A new file has the recorded buckets, keys and records, so an earlier version can read it.
 func TestRecordsAreTheRecordedOnes(t *testing.T) {
 	folder := recordedDisk(t)
 	d, persisted, err := Open(folder)
@@ -95,11 +95,11 @@
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	again := t.TempDir()
-	if err := Create(again, d.ID, replica.InitialState([]replica.Member{{ID: 1}}, lease.NewState())); err != nil {
+	newFolder := t.TempDir()
+	if err := Create(newFolder, d.ID, replica.InitialState([]replica.Member{{ID: 1}}, lease.NewState())); err != nil {
 		t.Fatal(err)
 	}
-	written, _, err := Open(again)
+	written, _, err := Open(newFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,22 +109,22 @@
 	if err := written.Close(); err != nil {
 		t.Fatal(err)
 	}
-	recorded, own := records(t, folder), records(t, again)
-	if len(own) != len(recorded) {
-		t.Errorf("%d records, recorded %d", len(own), len(recorded))
+	recordedRecords, writtenRecords := records(t, folder), records(t, newFolder)
+	if len(writtenRecords) != len(recordedRecords) {
+		t.Errorf("%d records, recorded %d", len(writtenRecords), len(recordedRecords))
 	}
-	for key, value := range recorded {
-		if key == "meta/life" { // it is drawn when the file is made
-			if len(own[key]) != len(value) {
-				t.Errorf("%s: %q, recorded %q", key, own[key], value)
+	for key, value := range recordedRecords {
+		if key == "meta/life" { // the incarnation is drawn when the file is created
+			if len(writtenRecords[key]) != len(value) {
+				t.Errorf("%s: %q, recorded %q", key, writtenRecords[key], value)
 			}
-		} else if own[key] != value {
-			t.Errorf("%q: %q, recorded %q", key, own[key], value)
+		} else if writtenRecords[key] != value {
+			t.Errorf("%q: %q, recorded %q", key, writtenRecords[key], value)
 		}
 	}
 }
 
-// records returns all records of a file, by bucket and key.
+// records returns all records of a file by "bucket/key".
 func records(t *testing.T, folder string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(folder, fileName), 0o600, &bbolt.Options{ReadOnly: true})
--- a/internal/coordination/replica/members.go
+++ b/internal/coordination/replica/members.go
@@ -15,74 +15,74 @@
 type Member struct {
 	ID          uint64 `json:"id"`
 	Addr        string `json:"addr"`
-	Incarnation string `json:"life,omitempty"` // of its disk, drawn when the disk was made; "": not known yet
+	Incarnation string `json:"life,omitempty"` // of its disk, drawn when the disk was created; "": not known yet
 	Learner     bool   `json:"learner,omitempty"`
 }
 
 var (
-	// ErrLostDisk says that a replica's disk is not the one whose votes and entries the group counts on.
+	// ErrLostDisk is returned for a replica whose disk is not the one that holds the votes and entries that the group relies on.
 	ErrLostDisk = errors.New("the replica has lost its disk, and may not come back under its id: remove it, and add it with an id that was never used")
-	// ErrRemoved says that a replica is not a member of the group.
+	// ErrRemoved is returned for a replica that is not a member of the group.
 	ErrRemoved = errors.New("the replica is not a member of this group: it was removed, or is not added yet")
 )
 
 const (
-	// removalGraceTicks is how long a removed replica continues, so that the client that asked for the removal gets the response.
+	// removalGraceTicks is how many ticks a removed replica continues, so that the client that requested the removal gets the response.
 	removalGraceTicks = 2 * ElectionTicks
 	// catchUpDistance is how many entries a learner may be behind the commit index when it becomes a voter.
 	catchUpDistance = 100
 )
 
-// membership is what the log says of the group, and this replica's part in its changes.
+// membership holds the members of the group as of the applied log, and the state of membership changes.
 type membership struct {
 	members           map[uint64]Member
-	conf              *pb.ConfState
+	confState         *pb.ConfState
 	changePending     bool // a change is proposed and not yet applied
-	snapshotDue       bool // a change was applied: a snapshot from before it is of no use to a replica that was added
-	ticksSinceRemoval int  // above 0: this replica was removed
+	snapshotDue       bool // a change was applied: a snapshot taken before it lacks a replica that was added
+	ticksSinceRemoval int  // 0: this replica was not removed
 }
 
-// setIncarnation records the disk of a member whose disk was not known.
-func (ms *membership) setIncarnation(known Member) {
-	if m, ok := ms.members[known.ID]; ok && m.Incarnation == "" {
-		m.Incarnation = known.Incarnation
+// setIncarnation records the incarnation of a member's disk, unless one is recorded.
+func (ms *membership) setIncarnation(member Member) {
+	if m, ok := ms.members[member.ID]; ok && m.Incarnation == "" {
+		m.Incarnation = member.Incarnation
 		ms.members[m.ID] = m
 	}
 }
 
-// promoteLearner proposes that the first learner that has caught up becomes a voter.
+// promoteLearner proposes to make a voter of the first learner, by id, that has caught up.
 func (c *Core) promoteLearner() {
 	for _, id := range slices.Sorted(maps.Keys(c.membership.members)) {
 		if m := c.membership.members[id]; m.Learner && c.caughtUp(id) {
-			_, _ = c.proposeMembershipChange(m, pb.ConfChangeAddNode) // what is not proposed now is proposed at the next tick
+			_, _ = c.proposeMembershipChange(m, pb.ConfChangeAddNode) // after an error the next tick proposes it again
 			return
 		}
 	}
 }
 
-// caughtUp reports whether a learner has nearly all of the log.
+// caughtUp reports whether a learner's log is at most catchUpDistance entries behind the commit index.
 func (c *Core) caughtUp(id uint64) bool {
-	s := c.node.Status()
-	p, ok := s.Progress[id]
-	return ok && p.Match > 0 && p.Match+catchUpDistance >= s.GetCommit()
+	status := c.node.Status()
+	progress, ok := status.Progress[id]
+	return ok && progress.Match > 0 && progress.Match+catchUpDistance >= status.GetCommit()
 }
 
-// proposeMembershipChange proposes a change of one member. There is one change at a time.
-func (c *Core) proposeMembershipChange(m Member, kind pb.ConfChangeType) (number uint64, err error) {
+// proposeMembershipChange proposes a change of one member and returns the number of the proposal. Only one change may be pending.
+func (c *Core) proposeMembershipChange(member Member, changeType pb.ConfChangeType) (number uint64, err error) {
 	if c.membership.changePending || !c.leadership.ready() {
 		return 0, ErrMembershipChangePending
 	}
 	number = c.pending.nextNumber()
-	data, err := json.Marshal(entry{From: c.ID, Number: number, Member: &m})
+	data, err := json.Marshal(entry{Proposer: c.ID, ProposalNumber: number, Member: &member})
 	if err != nil {
-		return 0, fmt.Errorf("change of member %d: %w", m.ID, err)
+		return 0, fmt.Errorf("change of member %d: %w", member.ID, err)
 	}
-	err = c.node.ProposeConfChange(&pb.ConfChange{Type: kind.Enum(), NodeId: proto.Uint64(m.ID), Context: data})
+	err = c.node.ProposeConfChange(&pb.ConfChange{Type: changeType.Enum(), NodeId: proto.Uint64(member.ID), Context: data})
 	c.membership.changePending = err == nil
 	return number, err
 }
 
-// applyMembershipChange applies a committed change; m is nil where the entry says nothing of the member.
+// applyMembershipChange applies a committed change; m is nil where the entry has no member.
 func (c *Core) applyMembershipChange(change *pb.ConfChange, m *Member) {
 	switch {
 	case change.GetType() == pb.ConfChangeRemoveNode:
@@ -97,19 +97,19 @@
 	}
 }
 
-// RecordIncarnation has the disk of a member, as the member itself names it, recorded in the log, unless one is recorded. From then on
-// another disk under the same id is refused.
+// RecordIncarnation proposes to record the incarnation of a member's disk, as the member itself reports it, in the log. It does nothing if
+// one is recorded or this replica does not lead. From then on another disk under the same id is refused.
 func (c *Core) RecordIncarnation(id uint64, incarnation string) {
 	if m, ok := c.membership.members[id]; ok && m.Incarnation == "" && c.leadership.isLeader && c.leadership.ready() {
 		m.Incarnation = incarnation
-		_ = c.propose(entry{Member: &m}) // what is not proposed now is proposed at the member's next message
+		_ = c.propose(entry{Member: &m}) // after an error the member's next message proposes it again
 	}
 }
 
-// IncarnationOf returns the recorded incarnation of a member's disk; "": it is not known.
+// IncarnationOf returns the recorded incarnation of a member's disk; "" if none is recorded.
 func (c *Core) IncarnationOf(id uint64) string { return c.membership.members[id].Incarnation }
 
-// RemovedErr returns ErrRemoved once this replica was removed from the group and has to end; nil: it continues.
+// RemovedErr returns an error that wraps ErrRemoved once this replica was removed from the group and has to stop, else nil.
 func (c *Core) RemovedErr() error {
 	if c.membership.ticksSinceRemoval > removalGraceTicks {
 		return fmt.Errorf("replica %d: %w", c.ID, ErrRemoved)
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// CheckReceiver returns ErrLostDisk where a peer sends messages for a disk of another incarnation: the votes and entries that the peer
-// counts on are not on this disk, and this replica has to end. "" is a sender that does not know the incarnation.
+// CheckReceiver returns an error that wraps ErrLostDisk if a peer addresses its messages to a disk of another incarnation: the votes and
+// entries that the peer relies on are not on this disk, and this replica has to stop. incarnation is "" if the peer does not know it.
 func (c *Core) CheckReceiver(incarnation string) error {
 	if incarnation != "" && incarnation != c.Incarnation {
 		return fmt.Errorf("replica %d: %w", c.ID, ErrLostDisk)
@@ -126,21 +126,22 @@
 	return nil
 }
 
-// CheckSender returns why messages of a peer whose disk has that incarnation must not reach Step: ErrLostDisk where the log has another
-// incarnation recorded, ErrRemoved where the group has removed the peer. A leader records an incarnation that is not known yet.
+// CheckSender returns why messages from a peer whose disk has that incarnation must not be passed to Step: an error that wraps ErrLostDisk
+// if the log has another incarnation recorded, or ErrRemoved if the peer is not a member. A leader records an incarnation that is not known
+// yet.
 func (c *Core) CheckSender(id uint64, incarnation string) error {
-	m, member := c.membership.members[id]
+	peer, isMember := c.membership.members[id]
 	switch {
-	case member && m.Incarnation != "" && m.Incarnation != incarnation:
+	case isMember && peer.Incarnation != "" && peer.Incarnation != incarnation:
 		return fmt.Errorf("replica %d: %w", id, ErrLostDisk)
-	case !member && c.leadership.isLeader && c.leadership.ready():
+	case !isMember && c.leadership.isLeader && c.leadership.ready():
 		return fmt.Errorf("replica %d: %w", id, ErrRemoved)
 	}
 	c.RecordIncarnation(id, incarnation)
 	return nil
 }
 
-// Members returns the replicas of the group by id.
+// Members returns the replicas of the group in the order of their ids.
 func (c *Core) Members() (all []Member) {
 	for _, id := range slices.Sorted(maps.Keys(c.membership.members)) {
 		all = append(all, c.membership.members[id])
--- a/internal/coordination/replica/recorded_test.go
+++ b/internal/coordination/replica/recorded_test.go
@@ -13,7 +13,8 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// Entries and snapshots of revision cfdfdec are read, and written as the same bytes. The README in testdata/cfdfdec says how they were made.
+// Entries and snapshots that revision cfdfdec wrote are read, and written as the same bytes. The README in testdata/cfdfdec describes how
+// they were recorded.
 func TestRecordedFormsAreRead(t *testing.T) {
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/entry.json", &entry{})
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/snapshot-record.json", &snapshotRecord{})
@@ -40,7 +41,7 @@
 	}
 }
 
-// The complete state of a recorded snapshot is restored: the snapshot that is made of it has the same bytes.
+// The complete state of a recorded snapshot is restored: a snapshot of the restored state has the same bytes.
 func TestRecordedSnapshotIsRestored(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/cfdfdec/snapshot.json")
 	if err != nil {
--- a/internal/coordination/replica/request.go
+++ b/internal/coordination/replica/request.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// maxWaiting bounds the requests that are pending at one time.
-	maxWaiting = 20_000
-	// confirmTicks is how long a leader waits for a majority to confirm that it still leads.
-	confirmTicks = 2 * ElectionTicks
+	// maxPendingRequests bounds the requests that are pending at the same time.
+	maxPendingRequests = 20_000
+	// readConfirmationTicks is how many ticks a leader waits for a majority to confirm that it still leads.
+	readConfirmationTicks = 2 * ElectionTicks
 )
 
-// Request is a request of a client to the leader. Exactly one of its fields besides Done is set, and says what is requested.
+// Request is a request from a client to the leader. Exactly one of its fields besides Done is set.
 //
-// Command, Rollout, Limit and Publish are appended to the log, and answered when they are applied. AddMember and RemoveMember change the
-// membership. KeepAlive, Share and Read are answered by the leader from its own state, after a majority has confirmed that it leads.
+// Command, Rollout, Limit and Publish are appended to the log and answered when they are applied. AddMember and RemoveMember change the
+// membership. KeepAlive, Share and Read are reads: the leader answers them from its own state after a majority has confirmed that it leads.
 type Request struct {
 	Command      *lease.Command
 	Rollout      *rollout.Command
@@ -33,33 +33,34 @@
 	Publish      *distribute.Command
 	KeepAlive    *KeepAlive
 	Read         bool
-	AddMember    *Member // as a learner; it becomes a voter once it has caught up
+	AddMember    *Member // added as a learner, which becomes a voter once it has caught up
 	RemoveMember uint64
-	// Done is called exactly once, from a method of Core, by the goroutine that owns it.
+	// Done is called exactly once, from a method of Core, on the goroutine that owns the Core.
 	Done func(Response)
 }
 
-// appends reports whether a request is a command for the log.
-func (r *Request) appends() bool {
+// isCommand reports whether a request is a command that is appended to the log.
+func (r *Request) isCommand() bool {
 	return r.Command != nil || r.Rollout != nil || r.Limit != nil || r.Publish != nil
 }
 
-// KeepAlive renews a session, if it still exists.
+// KeepAlive requests the renewal of a session.
 type KeepAlive struct {
 	Session      lease.SessionID `json:"Session"`
 	KnownVersion uint64          `json:"Known"` // the version of the session's grants that the client knows
 }
 
-// ShareRequest asks for an allocation of a limit.
+// ShareRequest requests an allocation of units of a limit.
 type ShareRequest struct {
 	Limit   string                  `json:"limit"`
 	Request share.AllocationRequest `json:"ask"`
 }
 
-// ErrNoLimit says that no limit has the name.
+// ErrNoLimit is returned for a ShareRequest whose limit does not exist.
 var ErrNoLimit = errors.New("there is no such limit")
 
-// Response is the answer to a Request. State, Rollouts, LimitStatuses and Versions belong to the core and are valid until Done returns.
+// Response is the answer to a Request. State, Rollouts, LimitStatuses and Versions refer to the state of the Core and must not be used after
+// Done has returned.
 type Response struct {
 	Err           error
 	Leader        uint64 // with ErrNotLeader: the leader's id, 0 if it is not known
@@ -70,7 +71,7 @@
 	Rollout       rollout.Response
 	State         *lease.State
 	Rollouts      *rollout.Register
-	LimitErr      error // why a limit was not set, or nothing of it is allocated
+	LimitErr      error // why a limit was not set, or why nothing of it was allocated
 	Share         share.Allocation
 	LimitStatuses func() []share.LimitStatus
 	Published     distribute.Answer
@@ -78,20 +79,20 @@
 	Members       []Member
 }
 
-// pendingRequests are the requests that are not answered yet.
+// pendingRequests holds the requests that are not answered yet.
 type pendingRequests struct {
-	lastNumber uint64                    // of proposals and of read confirmations
-	proposals  map[uint64]func(Response) // by number, until the entry is applied
-	reads      []Request                 // for the next confirmation
-	confirming *readConfirmation         // nil: none is under way
+	lastNumber uint64                    // the last number given to a proposal or a read confirmation
+	proposals  map[uint64]func(Response) // Done by number of the proposal, until its entry is applied
+	reads      []Request                 // reads for the next confirmation
+	confirming *readConfirmation         // the confirmation in progress; nil: none
 }
 
-// readConfirmation is a batch of reads that waits for a majority to confirm that this replica leads, and then for the entries that were
-// committed at that time to be applied.
+// readConfirmation is a batch of reads that waits for a majority to confirm that this replica leads, and then until the entries up to the
+// commit index of that confirmation are applied.
 type readConfirmation struct {
 	number uint64
-	index  uint64 // above 0: confirmed, and to be applied up to there
-	ticks  int    // since it began
+	index  uint64 // the commit index of the confirmation; 0: not confirmed yet
+	ticks  int    // since the confirmation began
 	reads  []Request
 }
 
@@ -100,7 +101,8 @@
 	return p.lastNumber
 }
 
-// Submit processes a request. A replica that does not lead answers at once, as does one with too many pending requests (ErrBusy).
+// Submit starts to process a request. A replica that does not lead answers at once with ErrNotLeader or ErrNoLeader, and a leader with too
+// many pending requests with ErrBusy.
 func (c *Core) Submit(r Request) {
 	if !c.leadership.isLeader {
 		err := ErrNotLeader
@@ -110,12 +112,12 @@
 		r.Done(Response{Err: err, Leader: c.leadership.leader})
 		return
 	}
-	if len(c.pending.proposals)+len(c.pending.reads) > maxWaiting {
+	if len(c.pending.proposals)+len(c.pending.reads) > maxPendingRequests {
 		r.Done(Response{Err: ErrBusy})
 		return
 	}
 	switch {
-	case r.appends():
+	case r.isCommand():
 		c.submitCommand(r)
 	case r.AddMember != nil || r.RemoveMember != 0:
 		c.submitMembershipChange(r)
@@ -126,7 +128,7 @@
 
 func (c *Core) submitCommand(r Request) {
 	number := c.pending.nextNumber()
-	err := c.propose(entry{From: c.ID, Number: number, Lease: r.Command, Rollout: r.Rollout, Limit: r.Limit, Publish: r.Publish})
+	err := c.propose(entry{Proposer: c.ID, ProposalNumber: number, Lease: r.Command, Rollout: r.Rollout, Limit: r.Limit, Publish: r.Publish})
 	if err != nil {
 		r.Done(Response{Err: ErrBusy})
 		return
@@ -135,16 +137,16 @@
 }
 
 func (c *Core) submitMembershipChange(r Request) {
-	m, kind := Member{ID: r.RemoveMember}, pb.ConfChangeRemoveNode
+	member, changeType := Member{ID: r.RemoveMember}, pb.ConfChangeRemoveNode
 	if r.AddMember != nil {
-		m, kind = *r.AddMember, pb.ConfChangeAddLearnerNode
-		m.Learner = true
+		member, changeType = *r.AddMember, pb.ConfChangeAddLearnerNode
+		member.Learner = true
 	}
-	if _, member := c.membership.members[m.ID]; c.leadership.ready() && member == (r.AddMember != nil) { // it is done already
+	if _, isMember := c.membership.members[member.ID]; c.leadership.ready() && isMember == (r.AddMember != nil) { // the change is applied already
 		r.Done(Response{Members: c.Members()})
 		return
 	}
-	number, err := c.proposeMembershipChange(m, kind)
+	number, err := c.proposeMembershipChange(member, changeType)
 	if err != nil {
 		r.Done(Response{Err: err})
 		return
@@ -152,7 +154,7 @@
 	c.pending.proposals[number] = r.Done
 }
 
-// confirmReads begins the confirmation of the reads that have come, unless one is under way: one confirmation serves them all.
+// confirmReads starts one confirmation for all reads that have arrived, unless another confirmation is in progress.
 func (c *Core) confirmReads() {
 	if c.pending.confirming != nil || len(c.pending.reads) == 0 || !c.leadership.ready() {
 		return
@@ -162,20 +164,20 @@
 	c.node.ReadIndex(fmt.Appendf(nil, "%d", c.pending.lastNumber))
 }
 
-// confirmRead records that a majority has confirmed the leadership for the confirmation of that number.
+// confirmRead records that a majority has confirmed the leadership for the read confirmation with that number, at a commit index.
 func (p *pendingRequests) confirmRead(number string, index uint64) {
 	if p.confirming != nil && number == fmt.Sprint(p.confirming.number) {
 		p.confirming.index = index
 	}
 }
 
-// expireRead counts a tick, and gives up a confirmation that takes too long.
+// expireRead counts a tick, and fails the reads of a confirmation that has taken longer than readConfirmationTicks.
 func (p *pendingRequests) expireRead(leader uint64) {
 	if p.confirming == nil || p.confirming.index != 0 {
 		return
 	}
-	if p.confirming.ticks++; p.confirming.ticks > confirmTicks {
-		fail(p.confirming.reads, ErrNoLeader, leader)
+	if p.confirming.ticks++; p.confirming.ticks > readConfirmationTicks {
+		failRequests(p.confirming.reads, ErrNoLeader, leader)
 		p.confirming = nil
 	}
 }
@@ -187,7 +189,7 @@
 		reads = append(reads, p.confirming.reads...)
 		p.confirming = nil
 	}
-	fail(reads, err, leader)
+	failRequests(reads, err, leader)
 	for _, number := range slices.Sorted(maps.Keys(p.proposals)) {
 		done := p.proposals[number]
 		delete(p.proposals, number)
@@ -195,42 +197,42 @@
 	}
 }
 
-func fail(requests []Request, err error, leader uint64) {
+func failRequests(requests []Request, err error, leader uint64) {
 	for _, r := range requests {
 		r.Done(Response{Err: err, Leader: leader})
 	}
 }
 
-// answerReads answers the reads of a confirmation, once everything is applied that was committed when it was confirmed.
+// answerReads answers the reads of a confirmation once the entries up to its commit index are applied.
 func (c *Core) answerReads(now lease.Instant) {
-	confirmed := c.pending.confirming
-	if confirmed == nil || confirmed.index == 0 || c.applied < confirmed.index || !c.leadership.ready() {
+	confirmation := c.pending.confirming
+	if confirmation == nil || confirmation.index == 0 || c.applied < confirmation.index || !c.leadership.ready() {
 		return
 	}
 	c.pending.confirming = nil
-	for _, r := range confirmed.reads {
+	for _, r := range confirmation.reads {
 		r.Done(c.read(r, now))
 	}
 }
 
-// read returns the response to a read whose leadership is confirmed.
-func (c *Core) read(r Request, now lease.Instant) Response {
-	var out Response
+// read returns the response to a read. A majority has confirmed the leadership for it.
+func (c *Core) read(request Request, now lease.Instant) Response {
+	var response Response
 	switch {
-	case r.Share != nil:
-		var known bool
-		if out.Share, known = c.leadership.allocators.Allocate(r.Share.Limit, r.Share.Request, now); !known {
-			out.LimitErr = ErrNoLimit
+	case request.Share != nil:
+		var exists bool
+		if response.Share, exists = c.leadership.allocators.Allocate(request.Share.Limit, request.Share.Request, now); !exists {
+			response.LimitErr = ErrNoLimit
 		}
-	case r.KeepAlive != nil:
-		session := r.KeepAlive.Session
-		if out.SessionAlive = c.leadership.lessor.Renewable(session); out.SessionAlive {
+	case request.KeepAlive != nil:
+		session := request.KeepAlive.Session
+		if response.SessionAlive = c.leadership.lessor.Renewable(session); response.SessionAlive {
 			c.leadership.lessor.Renew(session, now)
-			out.Grants, out.GrantsVersion = c.state.leases.Grants(session, r.KeepAlive.KnownVersion)
+			response.Grants, response.GrantsVersion = c.state.leases.Grants(session, request.KeepAlive.KnownVersion)
 		}
 	default:
-		out.State, out.Rollouts, out.Versions, out.Members = c.state.leases, c.state.rollouts, c.state.versions, c.Members()
-		out.LimitStatuses = func() []share.LimitStatus { return c.leadership.allocators.Statuses(now) }
+		response.State, response.Rollouts, response.Versions, response.Members = c.state.leases, c.state.rollouts, c.state.versions, c.Members()
+		response.LimitStatuses = func() []share.LimitStatus { return c.leadership.allocators.Statuses(now) }
 	}
-	return out
+	return response
 }
--- a/internal/coordination/replica/simulation_test.go
+++ b/internal/coordination/replica/simulation_test.go
@@ -16,8 +16,9 @@
 	"petrelhook/internal/rig/group"
 )
 
-// The model accepts that a grant is reported again to its session, and no other second grant.
-func TestTheModel(t *testing.T) {
+// The linearizability model accepts a grant that is reported twice to the same session, and rejects any other second grant, an older token
+// and the release of an older grant.
+func TestModel(t *testing.T) {
 	op := func(kind lease.Kind, session lease.SessionID, token lease.Token, at int64) porcupine.Operation {
 		cmd, a := lease.Command{Kind: kind, Session: session}, lease.Answer{Status: lease.OK}
 		if kind == lease.Acquire {
@@ -31,11 +32,11 @@
 		history []porcupine.Operation
 		legal   bool
 	}{
-		"one after another":         {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Release, 1, 1, 3), op(lease.Acquire, 2, 2, 5)}, true},
-		"reported again":            {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 1, 1, 3)}, true},
-		"one token of two":          {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 2, 1, 3)}, false},
-		"an older one":              {[]porcupine.Operation{op(lease.Acquire, 1, 2, 1), op(lease.Acquire, 2, 1, 3)}, false},
-		"the release of an old one": {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 2, 2, 3), op(lease.Release, 1, 1, 5)}, false},
+		"sequential grants":             {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Release, 1, 1, 3), op(lease.Acquire, 2, 2, 5)}, true},
+		"grant reported twice":          {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 1, 1, 3)}, true},
+		"two sessions with one token":   {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 2, 1, 3)}, false},
+		"a token older than the last":   {[]porcupine.Operation{op(lease.Acquire, 1, 2, 1), op(lease.Acquire, 2, 1, 3)}, false},
+		"the release of an older token": {[]porcupine.Operation{op(lease.Acquire, 1, 1, 1), op(lease.Acquire, 2, 2, 3), op(lease.Release, 1, 1, 5)}, false},
 	} {
 		if got := porcupine.CheckOperations(group.Model, c.history); got != c.legal {
 			t.Errorf("%s: legal %v", name, got)
@@ -43,13 +44,13 @@
 	}
 }
 
-// Leaders that are stopped, or partitioned from the other replicas but not from their clients, for so long that another one leads and has
-// granted what they had: they renew no session when they go on.
+// A leader that is paused, or partitioned from the other replicas but not from its clients, renews no session once it continues: meanwhile
+// another replica has become the leader and may have granted the same leases to others.
 func TestDeposedLeadersRenewNothing(t *testing.T) {
 	t.Parallel()
-	for seed := range uint64(schedules(60)) {
+	for seed := range uint64(scheduleCount(60)) {
 		var faults []int
-		for i := range 8 { // the leader, for 1.5 to 3 s
+		for i := range 8 { // each pauses or partitions the leader for 1.5 to 3 s
 			faults = append(faults, 2+i%2+7*(5+15*(14+int(seed+uint64(i))%16)))
 		}
 		if s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 15 * time.Second, Faults: faults}); s.Violation != "" {
@@ -58,12 +59,12 @@
 	}
 }
 
-// Clients of a complete group get allocations of a limit while leaders are partitioned, crash and are succeeded: never more than the limit.
+// The clients of a group never hold more units than the limit while leaders are partitioned, crash and are replaced.
 func TestSharesOfAGroup(t *testing.T) {
 	t.Parallel()
 	largest := 0
-	for seed := range uint64(schedules(60)) {
-		var faults []int // the leader in one run, whatever comes in the other
+	for seed := range uint64(scheduleCount(60)) {
+		var faults []int // faults of the leader for odd seeds, random faults for even ones
 		for i := range 8 {
 			faults = append(faults, 2+i%2+7*(5+15*(14+int(seed+uint64(i))%16)))
 		}
@@ -81,83 +82,83 @@
 	}
 }
 
-// Beyond the bound on clock drift two clients may believe that they hold the lease; what the guard admits is in order all the same, and
-// without the guard it is not.
+// Beyond the bound on clock drift, two clients may believe that they hold the lease at the same time. The guard still admits their
+// operations in the order of their tokens; without the guard the operations are out of order.
 func TestBeyondTheClockDriftBound(t *testing.T) {
 	t.Parallel()
-	two, disorder := 0, 0
-	for seed := range uint64(schedules(60)) {
+	violations, unordered := 0, 0
+	for seed := range uint64(scheduleCount(60)) {
 		s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 20 * time.Second, ClockRateOutOfBounds: true})
 		if s.Violation != "" {
-			two++
+			violations++
 		}
 		if !slices.IsSorted(s.AdmittedTokens) {
-			t.Errorf("seed %d: the guard admitted out of order", seed)
+			t.Errorf("seed %d: the guard admitted tokens out of order", seed)
 		}
 		if s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 20 * time.Second, ClockRateOutOfBounds: true, NoFencing: true}); !slices.IsSorted(s.AdmittedTokens) {
-			disorder++
+			unordered++
 		}
 	}
-	if two == 0 || disorder == 0 {
-		t.Error("nothing goes wrong past the bound: the simulation is blind")
+	if violations == 0 || unordered == 0 {
+		t.Error("clock drift beyond the bound caused no violation: the simulation does not detect one")
 	}
-	t.Logf("two believed in %d runs, and without the guard acts came out of order in %d", two, disorder)
+	t.Logf("two clients believed that they held the lease in %d runs; without the guard operations were out of order in %d", violations, unordered)
 }
 
-// schedules returns how many schedules a test plays: SCHEDULES of the environment, or a few.
-func schedules(few int) int {
-	n := few
+// scheduleCount returns how many schedules a test runs: the environment variable SCHEDULES, or defaultCount where it is not set.
+func scheduleCount(defaultCount int) int {
+	n := defaultCount
 	fmt.Sscan(os.Getenv("SCHEDULES"), &n)
 	return n
 }
 
-// Random faults over complete groups, each from its seed: no two clients ever hold the lease, tokens grow, and the histories are those of one
-// lease.
+// Under random faults, drawn from a seed for each group, no two clients ever hold the lease at the same time, tokens increase, and the
+// histories are linearizable for one lease.
 func TestSchedules(t *testing.T) {
-	var faults, grants, refused, changes atomic.Int64
-	var wrong sync.Map
+	var faults, grants, fencedOff, holderChanges atomic.Int64
+	var violations sync.Map
 	seeds := make(chan uint64)
-	var players sync.WaitGroup
-	workers := 2 // other packages are tested at the same time
-	if schedules(0) > 0 {
-		workers = 8
+	var workers sync.WaitGroup
+	workerCount := 2 // small, because other packages are tested at the same time
+	if scheduleCount(0) > 0 {
+		workerCount = 8
 	}
-	for range workers {
-		players.Go(func() {
+	for range workerCount {
+		workers.Go(func() {
 			for seed := range seeds {
 				s := group.Simulate(group.Options{Seed: seed, Replicas: 3 + 2*int(seed%2), Length: 20 * time.Second})
 				if s.Violation != "" {
-					wrong.Store(seed, s.Violation)
+					violations.Store(seed, s.Violation)
 				}
 				faults.Add(int64(s.Faults))
 				grants.Add(int64(s.Grants))
-				refused.Add(int64(s.FencedOff))
-				changes.Add(int64(s.HolderChanges))
+				fencedOff.Add(int64(s.FencedOff))
+				holderChanges.Add(int64(s.HolderChanges))
 			}
 		})
 	}
-	n := schedules(100)
+	n := scheduleCount(100)
 	for seed := range uint64(n) {
 		seeds <- seed
 	}
 	close(seeds)
-	players.Wait()
-	wrong.Range(func(seed, what any) bool { t.Errorf("seed %d: %v", seed, what); return true })
-	t.Logf("%d schedules, %d faults, %d grants, %d changes of holder seen by the guard, %d acts refused by it", n, faults.Load(), grants.Load(), changes.Load(), refused.Load())
-	if grants.Load() < int64(n) || refused.Load() == 0 {
-		t.Error("too little happened")
+	workers.Wait()
+	violations.Range(func(seed, what any) bool { t.Errorf("seed %d: %v", seed, what); return true })
+	t.Logf("%d schedules, %d faults, %d grants, %d changes of holder seen by the guard, %d operations rejected by it", n, faults.Load(), grants.Load(), holderChanges.Load(), fencedOff.Load())
+	if grants.Load() < int64(n) || fencedOff.Load() == 0 {
+		t.Error("fewer grants than schedules, or the guard rejected nothing")
 	}
 }
 
 // The same seed gives the same run.
 func TestSameSeedSameRun(t *testing.T) {
-	a, b := group.Simulate(group.Options{Seed: 7, Replicas: 3, Length: 10 * time.Second}), group.Simulate(group.Options{Seed: 7, Replicas: 3, Length: 10 * time.Second})
-	if a.Events != b.Events || a.Grants != b.Grants || !slices.Equal(a.Uses, b.Uses) {
-		t.Errorf("%d events and %d grants, then %d and %d", a.Events, a.Grants, b.Events, b.Grants)
+	first, second := group.Simulate(group.Options{Seed: 7, Replicas: 3, Length: 10 * time.Second}), group.Simulate(group.Options{Seed: 7, Replicas: 3, Length: 10 * time.Second})
+	if first.Events != second.Events || first.Grants != second.Grants || !slices.Equal(first.Uses, second.Uses) {
+		t.Errorf("%d events and %d grants, then %d and %d", first.Events, first.Grants, second.Events, second.Grants)
 	}
 }
 
-// Faults that rapid draws, and reduces where something goes wrong.
+// Faults that rapid draws, and shrinks to a minimal sequence where a run violates the lease.
 func TestDrawnFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -168,13 +169,13 @@
 	})
 }
 
-// The check can fail: a disk that is written after the response loses a grant that was given.
-func TestAnswersBeforeTheDiskAreCaught(t *testing.T) {
+// The simulation detects a replica that responds before the sync: after a crash the disk lacks a grant that was reported.
+func TestResponseBeforeSyncIsCaught(t *testing.T) {
 	for seed := range uint64(60) {
 		if s := group.Simulate(group.Options{Seed: seed, Replicas: 3, Length: 20 * time.Second, NoSync: true}); s.Violation != "" {
 			t.Logf("seed %d: %s", seed, s.Violation)
 			return
 		}
 	}
-	t.Error("not caught")
+	t.Error("no run violated the lease without the sync")
 }
--- a/internal/coordination/replica/state.go
+++ b/internal/coordination/replica/state.go
@@ -13,18 +13,18 @@
 	"petrelhook/internal/coordination/share"
 )
 
-// entry is the data of one entry of the log: a command, or what became known of a member.
+// entry is the data of one log entry: a command, a membership change or the incarnation of a member's disk.
 type entry struct {
-	From    uint64              `json:"f,omitempty"` // the replica that proposed it; 0: no request waits for the outcome
-	Number  uint64              `json:"n,omitempty"` // the number of the request at that replica
-	Lease   *lease.Command      `json:"c,omitempty"`
-	Rollout *rollout.Command    `json:"r,omitempty"`
-	Limit   *share.Command      `json:"s,omitempty"`
-	Publish *distribute.Command `json:"v,omitempty"`
-	Member  *Member             `json:"m,omitempty"` // in a membership change the member, else its incarnation
+	Proposer       uint64              `json:"f,omitempty"` // the replica that proposed it; 0: no request waits for the result
+	ProposalNumber uint64              `json:"n,omitempty"` // the number of the proposal at that replica
+	Lease          *lease.Command      `json:"c,omitempty"`
+	Rollout        *rollout.Command    `json:"r,omitempty"`
+	Limit          *share.Command      `json:"s,omitempty"`
+	Publish        *distribute.Command `json:"v,omitempty"`
+	Member         *Member             `json:"m,omitempty"` // in a membership change the member; else a member with its incarnation
 }
 
-// stateMachine is what the entries of the log make. Equal logs make equal states.
+// stateMachine is the state that results from applying the log. Equal logs result in equal states.
 type stateMachine struct {
 	leases   *lease.State
 	rollouts *rollout.Register
@@ -36,7 +36,7 @@
 	return stateMachine{leases: lease.NewState(), rollouts: rollout.NewRegister(), limits: share.NewRegister(), versions: distribute.NewRegister()}
 }
 
-// snapshotRecord is the form of a snapshot's data. A snapshot of an earlier version may lack the optional parts.
+// snapshotRecord is the JSON form of a snapshot's data. A snapshot of an earlier version may lack the optional parts.
 type snapshotRecord struct {
 	Members  []Member        `json:"members"`
 	Lease    json.RawMessage `json:"lease"`
@@ -53,37 +53,37 @@
 	}
 	data, err := json.Marshal(record)
 	if err != nil {
-		panic(err) // every field was marshalled before
+		panic(err) // not reached: the fields are JSON already, or of types that always marshal
 	}
 	return data
 }
 
-// decodeSnapshot returns the state and the members of a snapshot's data.
-func decodeSnapshot(data []byte) (s stateMachine, members []Member, err error) {
+// decodeSnapshot returns the state and the members that a snapshot's data holds.
+func decodeSnapshot(data []byte) (state stateMachine, members []Member, err error) {
 	var record snapshotRecord
 	if err := json.Unmarshal(data, &record); err != nil {
-		return s, nil, err
+		return state, nil, err
 	}
-	if s.leases, err = lease.Restore(record.Lease); err != nil {
-		return s, nil, err
+	if state.leases, err = lease.Restore(record.Lease); err != nil {
+		return state, nil, err
 	}
-	if s.rollouts, err = rollout.RestoreRegister(record.Rollouts); err != nil {
-		return s, nil, err
+	if state.rollouts, err = rollout.RestoreRegister(record.Rollouts); err != nil {
+		return state, nil, err
 	}
-	if s.limits, err = share.RestoreRegister(record.Limits); err != nil {
-		return s, nil, err
+	if state.limits, err = share.RestoreRegister(record.Limits); err != nil {
+		return state, nil, err
 	}
-	if s.versions, err = distribute.RestoreRegister(record.Versions); err != nil {
-		return s, nil, err
+	if state.versions, err = distribute.RestoreRegister(record.Versions); err != nil {
+		return state, nil, err
 	}
-	return s, record.Members, nil
+	return state, record.Members, nil
 }
 
-// restore replaces the state by that of a snapshot.
-func (c *Core) restore(s *pb.Snapshot) error {
-	state, members, err := decodeSnapshot(s.Data)
+// restore replaces the state and the members by those of a snapshot.
+func (c *Core) restore(snapshot *pb.Snapshot) error {
+	state, members, err := decodeSnapshot(snapshot.Data)
 	if err != nil {
-		return fmt.Errorf("snapshot at %d: %w", s.Metadata.GetIndex(), err)
+		return fmt.Errorf("snapshot at %d: %w", snapshot.Metadata.GetIndex(), err)
 	}
 	c.state, c.changedServices = state, ChangedServices{All: true}
 	c.leadership.stopServing()
@@ -91,15 +91,15 @@
 	for _, m := range members {
 		c.membership.members[m.ID] = m
 	}
-	if _, member := c.membership.members[c.ID]; !member { // it was removed, and has been started again
+	if _, member := c.membership.members[c.ID]; !member { // this replica was removed, and has been started again
 		c.membership.ticksSinceRemoval = 1
 	}
-	c.membership.conf = s.Metadata.ConfState
-	c.applied, c.snapshotIndex = s.Metadata.GetIndex(), s.Metadata.GetIndex()
+	c.membership.confState = snapshot.Metadata.ConfState
+	c.applied, c.snapshotIndex = snapshot.Metadata.GetIndex(), snapshot.Metadata.GetIndex()
 	return nil
 }
 
-// apply carries out a committed entry, and answers its request where this replica proposed it in the same term.
+// apply applies a committed entry, and answers its request if this replica proposed the entry in its current term as the leader.
 func (c *Core) apply(e *pb.Entry, now lease.Instant) error {
 	c.applied = e.GetIndex()
 	data := e.Data
@@ -109,58 +109,58 @@
 		if err := proto.Unmarshal(e.Data, change); err != nil {
 			return err
 		}
-		c.membership.conf = c.node.ApplyConfChange(change)
+		c.membership.confState = c.node.ApplyConfChange(change)
 		c.membership.changePending, c.membership.snapshotDue = false, true
 		data = change.Context
 	}
-	var in entry
+	var decoded entry
 	if len(data) > 0 {
-		if err := json.Unmarshal(data, &in); err != nil {
+		if err := json.Unmarshal(data, &decoded); err != nil {
 			return err
 		}
 	}
-	var r Response
+	var response Response
 	switch {
 	case change != nil:
-		c.applyMembershipChange(change, in.Member)
-	case in.Member != nil:
-		c.membership.setIncarnation(*in.Member)
+		c.applyMembershipChange(change, decoded.Member)
+	case decoded.Member != nil:
+		c.membership.setIncarnation(*decoded.Member)
 	default:
-		c.applyCommand(in, &r, now)
+		c.applyCommand(decoded, &response, now)
 	}
 	c.beginLeadership(e.GetTerm(), now)
-	if done := c.pending.proposals[in.Number]; in.From == c.ID && done != nil && e.GetTerm() == c.leadership.term {
-		delete(c.pending.proposals, in.Number)
-		r.Members = c.Members()
-		done(r)
+	if done := c.pending.proposals[decoded.ProposalNumber]; decoded.Proposer == c.ID && done != nil && e.GetTerm() == c.leadership.term {
+		delete(c.pending.proposals, decoded.ProposalNumber)
+		response.Members = c.Members()
+		done(response)
 	}
 	return nil
 }
 
-// applyCommand applies the one command of an entry, if it has one, and sets what the response says of it.
-func (c *Core) applyCommand(in entry, r *Response, now lease.Instant) {
+// applyCommand applies the command of an entry, if it has one, and sets its result in response.
+func (c *Core) applyCommand(e entry, response *Response, now lease.Instant) {
 	switch {
-	case in.Rollout != nil:
-		r.Rollout = c.state.rollouts.Apply(*in.Rollout)
-	case in.Limit != nil:
-		if r.LimitErr = c.state.limits.Apply(*in.Limit); r.LimitErr == nil && c.leadership.ready() {
-			c.leadership.allocators.Applied(*in.Limit, now)
+	case e.Rollout != nil:
+		response.Rollout = c.state.rollouts.Apply(*e.Rollout)
+	case e.Limit != nil:
+		if response.LimitErr = c.state.limits.Apply(*e.Limit); response.LimitErr == nil && c.leadership.ready() {
+			c.leadership.allocators.Applied(*e.Limit, now)
 		}
-	case in.Publish != nil:
+	case e.Publish != nil:
 		before := c.state.versions.Last()
-		if r.Published = c.state.versions.Apply(*in.Publish); c.state.versions.Last() != before {
-			c.changedServices.Names = append(c.changedServices.Names, in.Publish.Service)
+		if response.Published = c.state.versions.Apply(*e.Publish); c.state.versions.Last() != before {
+			c.changedServices.Names = append(c.changedServices.Names, e.Publish.Service)
 		}
-	case in.Lease != nil:
-		r.Answer = c.state.leases.Apply(*in.Lease)
+	case e.Lease != nil:
+		response.Answer = c.state.leases.Apply(*e.Lease)
 		if c.leadership.ready() {
-			c.leadership.lessor.Applied(*in.Lease, r.Answer, now)
+			c.leadership.lessor.Applied(*e.Lease, response.Answer, now)
 		}
 	}
 }
 
-// beginLeadership starts the lessor and the allocators once a leader has applied an entry of its own term: by then it has applied all
-// entries of earlier terms.
+// beginLeadership starts the lessor and the allocators once a leader has applied an entry of its own term. By then it has applied all
+// committed entries of earlier terms.
 func (c *Core) beginLeadership(entryTerm uint64, now lease.Instant) {
 	if c.leadership.isLeader && !c.leadership.ready() && entryTerm == c.leadership.term {
 		c.leadership.lessor = lease.NewLessor(c.state.leases, now)
