--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// ElectionTicks is the shortest election time-out, in ticks. A follower that hears of no leader campaigns after a random number of
-	// ticks from ElectionTicks to 2*ElectionTicks-1, drawn again for each time-out.
+	// ElectionTicks is the shortest election time-out, in ticks. A follower that hears of no leader campaigns after a random number
+	// of ticks from ElectionTicks to 2*ElectionTicks-1, drawn again for each time-out.
 	ElectionTicks  = 10
 	heartbeatTicks = 1
 
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// Tick advances the time by one tick; now is the reading of the owner's monotonic clock. A leader proposes the lessor's expiry commands
-// that are due; a follower campaigns at its election time-out.
+// Tick advances the time by one tick; now is the reading of the owner's monotonic clock. A leader proposes the lessor's expiry
+// commands that are due; a follower campaigns at its election time-out.
 func (c *Core) Tick(now lease.Instant) {
 	if c.membership.ticksSinceRemoval > 0 {
 		c.membership.ticksSinceRemoval++
@@ -183,7 +183,8 @@
 	c.pending.expireRead(c.leadership.leader)
 }
 
-// proposeTimed proposes the expiry commands that are due by the leader's clock, and the promotion of a learner that has caught up.
+// proposeTimed proposes the expiry commands that are due by the leader's clock, and the promotion of a learner that has caught
+// up.
 func (c *Core) proposeTimed(now lease.Instant) {
 	if !c.leadership.ready() {
 		return
@@ -204,8 +205,8 @@
 	return c.node.Propose(data)
 }
 
-// Step processes a message from a peer that CheckReceiver and CheckSender have admitted. A message that does not apply in the present
-// state is dropped.
+// Step processes a message from a peer that CheckReceiver and CheckSender have admitted. A message that does not apply in the
+// present state is dropped.
 func (c *Core) Step(m *pb.Message) {
 	switch m.GetType() {
 	case pb.MessageType_MsgApp, pb.MessageType_MsgHeartbeat, pb.MessageType_MsgSnap:
@@ -228,8 +229,8 @@
 	c.node.ReportSnapshot(id, status)
 }
 
-// Ready holds what the owner has to do next, in this order: persist PersistedState (durably, if Sync is set), send Messages and call
-// Core.Advance.
+// Ready holds what the owner has to do next, in this order: persist PersistedState (durably, if Sync is set), send Messages and
+// call Core.Advance.
 type Ready struct {
 	PersistedState
 	Sync     bool
@@ -237,8 +238,8 @@
 	raft     raft.Ready
 }
 
-// Ready returns the next work for the owner; ok is false if there is none. The owner calls Advance with each Ready before it takes the
-// next one.
+// Ready returns the next work for the owner; ok is false if there is none. The owner calls Advance with each Ready before it
+// takes the next one.
 func (c *Core) Ready() (ready Ready, ok bool) {
 	c.confirmReads()
 	if !c.node.HasReady() {
@@ -257,9 +258,9 @@
 	return ready, true
 }
 
-// Advance reports that the owner has finished with a Ready. It applies the committed entries and answers requests. If a snapshot is due
-// it is returned: the owner has to persist it, and may then delete the entries up to and including the index compact. An error means that
-// the log or a snapshot is not as raft or this package wrote it; the replica has to stop then.
+// Advance reports that the owner has finished with a Ready. It applies the committed entries and answers requests. If a snapshot
+// is due it is returned: the owner has to persist it, and may then delete the entries up to and including the index compact. An
+// error means that the log or a snapshot is not as raft or this package wrote it; the replica has to stop then.
 func (c *Core) Advance(ready Ready, now lease.Instant) (snapshot *pb.Snapshot, compact uint64, err error) {
 	rd := ready.raft
 	if ready.Snapshot != nil {
@@ -308,8 +309,8 @@
 	c.pending.failAll(ErrLeaderChanged, c.leadership.leader)
 }
 
-// createSnapshot returns a snapshot of the applied state. It compacts the log once that holds more than CatchUpEntries applied entries;
-// compact is 0 otherwise.
+// createSnapshot returns a snapshot of the applied state. It compacts the log once that holds more than CatchUpEntries applied
+// entries; compact is 0 otherwise.
 func (c *Core) createSnapshot() (snapshot *pb.Snapshot, compact uint64, err error) {
 	snapshot, err = c.storage.CreateSnapshot(c.applied, c.membership.confState, c.state.encode(c.Members()))
 	if err != nil {
@@ -328,8 +329,8 @@
 // IsLeader reports whether this replica is the raft leader. It may not have applied all entries of earlier terms yet.
 func (c *Core) IsLeader() bool { return c.leadership.isLeader }
 
-// Versions returns the register of the newest configuration versions that this replica has applied. The register belongs to the core:
-// callers only read it, from the goroutine that owns the core.
+// Versions returns the register of the newest configuration versions that this replica has applied. The register belongs to the
+// core: callers only read it, from the goroutine that owns the core.
 func (c *Core) Versions() *distribute.Register { return c.state.versions }
 
 // ChangedServices holds the services that have a newer configuration version.
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -1,10 +1,10 @@
-// Package disk persists the state of one replica: its hard state, its log, its last snapshot and the incarnation of the disk. The state is
-// in a go.etcd.io/bbolt file, whose transactions are atomic: after a torn write the file has its previous state. Every record has a checksum
-// of its own.
+// Package disk persists the state of one replica: its hard state, its log, its last snapshot and the incarnation of the disk. The
+// state is in a go.etcd.io/bbolt file, whose transactions are atomic: after a torn write the file has its previous state. Every
+// record has a checksum of its own.
 //
-// Invariants: after Save has returned nil, the state survives a crash of the machine. Open returns only data that is as it was written;
-// otherwise its error names the file and, where it is known, the offset or the record. The incarnation is drawn when the file is created,
-// and never changes.
+// Invariants: after Save has returned nil, the state survives a crash of the machine. Open returns only data that is as it was
+// written; otherwise its error names the file and, where it is known, the offset or the record. The incarnation is drawn when the
+// file is created, and never changes.
 //
 // A Disk is used by one goroutine, and its file by one process.
 package disk
@@ -33,13 +33,13 @@
 	fileName    = "replica.db"
 	newSuffix   = ".new" // of a file that is being created
 	lockTimeout = time.Second
-	// format identifies the files of this package. It contains the name that the program had when the format was introduced, and must not
-	// change: existing files contain it.
+	// format identifies the files of this package. It contains the name that the program had when the format was introduced, and
+	// must not change: existing files contain it.
 	format = "petrelfleet 1"
 
 	checksumSize = 4 // bytes, before the value of each record
-	// logFillPercent is the fraction of a page that is filled before bbolt splits it. It is high because the log is written in ascending
-	// order.
+	// logFillPercent is the fraction of a page that is filled before bbolt splits it. It is high because the log is written in
+	// ascending order.
 	logFillPercent = 0.9
 )
 
@@ -84,8 +84,8 @@
 	return !errors.Is(err, os.ErrNotExist)
 }
 
-// Create creates the file of a new replica with its initial state. It writes the file under another name and renames it, so that the file
-// is either complete or absent. The error wraps ErrExists, or comes from the file system or bbolt.
+// Create creates the file of a new replica with its initial state. It writes the file under another name and renames it, so that
+// the file is either complete or absent. The error wraps ErrExists, or comes from the file system or bbolt.
 func Create(dir string, id uint64, initial *replica.PersistedState) (err error) {
 	path := filepath.Join(dir, fileName)
 	if Exists(dir) {
@@ -136,9 +136,10 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Open opens the file of a replica and returns the state that it holds. Before the file is opened for writing, it is opened read-only and
-// read completely, so a file that cannot be read is not changed. The error may wrap ErrNoReplica, ErrLocked, ErrCorrupted or ErrTruncated;
-// other errors come from bbolt or the file system, or describe a file that is not a complete replica.
+// Open opens the file of a replica and returns the state that it holds. Before the file is opened for writing, it is opened
+// read-only and read completely, so a file that cannot be read is not changed. The error may wrap ErrNoReplica, ErrLocked,
+// ErrCorrupted or ErrTruncated; other errors come from bbolt or the file system, or describe a file that is not a complete
+// replica.
 func Open(dir string) (d *Disk, persisted *replica.PersistedState, err error) {
 	path := filepath.Join(dir, fileName)
 	if !Exists(dir) {
@@ -182,7 +183,8 @@
 	return d, persisted, nil
 }
 
-// options returns the bbolt options for every open of a file. The free list is built at each start and not stored, so it cannot be corrupted.
+// options returns the bbolt options for every open of a file. The free list is built at each start and not stored, so it cannot
+// be corrupted.
 func options() *bbolt.Options {
 	return &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true}
 }
@@ -285,8 +287,8 @@
 	})
 }
 
-// verified returns a copy of a record's value without the checksum in front of it; nil if there is no record. The checksum covers the key
-// and the value.
+// verified returns a copy of a record's value without the checksum in front of it; nil if there is no record. The checksum covers
+// the key and the value.
 func (d *Disk) verified(key, record []byte) ([]byte, error) {
 	if record == nil {
 		return nil, nil
--- a/internal/coordination/replica/disk/disk_test.go
+++ b/internal/coordination/replica/disk/disk_test.go
@@ -23,8 +23,8 @@
 	return all
 }
 
-// filledDisk returns a folder with a replica that has the entries 2 to 200, and the incarnation of its disk. The second of its two saves
-// replaces the entries 151 to 250 of term 1 by the entries 151 to 200 of term 2.
+// filledDisk returns a folder with a replica that has the entries 2 to 200, and the incarnation of its disk. The second of its
+// two saves replaces the entries 151 to 250 of term 1 by the entries 151 to 200 of term 2.
 func filledDisk(t *testing.T) (dir, incarnation string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -48,7 +48,8 @@
 	return dir, d.Incarnation
 }
 
-// Open returns the saved state without the entries that a later leader replaced, and without the entries that a snapshot has compacted.
+// Open returns the saved state without the entries that a later leader replaced, and without the entries that a snapshot has
+// compacted.
 func TestSavedStateIsRead(t *testing.T) {
 	dir, incarnation := filledDisk(t)
 	d, persisted, err := Open(dir)
@@ -74,7 +75,8 @@
 	}
 }
 
-// Opening a file with flipped bits in a page that is in use, or a truncated file, fails with an error that names the file and the offset.
+// Opening a file with flipped bits in a page that is in use, or a truncated file, fails with an error that names the file and the
+// offset.
 func TestCorruptedFileIsRejected(t *testing.T) {
 	dir, _ := filledDisk(t)
 	path := filepath.Join(dir, fileName)
@@ -124,7 +126,8 @@
 	}
 }
 
-// A torn last write, which leaves one of bbolt's two meta pages half written, is undone: Open returns the state before that write.
+// A torn last write, which leaves one of bbolt's two meta pages half written, is undone: Open returns the state before that
+// write.
 func TestTornWriteIsUndone(t *testing.T) {
 	dir, _ := filledDisk(t)
 	intact, err := os.ReadFile(filepath.Join(dir, fileName))
--- a/internal/coordination/replica/members.go
+++ b/internal/coordination/replica/members.go
@@ -27,7 +27,8 @@
 )
 
 const (
-	// removalGraceTicks is how many ticks a removed replica continues, so that the client that requested the removal gets the response.
+	// removalGraceTicks is how many ticks a removed replica continues, so that the client that requested the removal gets the
+	// response.
 	removalGraceTicks = 2 * ElectionTicks
 	// catchUpDistance is how many entries a learner may be behind the commit index when it becomes a voter.
 	catchUpDistance = 100
@@ -97,8 +98,8 @@
 	}
 }
 
-// RecordIncarnation proposes to record the incarnation of a member's disk, as the member itself reports it, in the log. It does nothing if
-// one is recorded or this replica does not lead. From then on another disk under the same id is refused.
+// RecordIncarnation proposes to record the incarnation of a member's disk, as the member itself reports it, in the log. It does
+// nothing if one is recorded or this replica does not lead. From then on another disk under the same id is refused.
 func (c *Core) RecordIncarnation(id uint64, incarnation string) {
 	if m, ok := c.membership.members[id]; ok && m.Incarnation == "" && c.leadership.isLeader && c.leadership.ready() {
 		m.Incarnation = incarnation
@@ -117,8 +118,9 @@
 	return nil
 }
 
-// CheckReceiver returns an error that wraps ErrLostDisk if a peer addresses its messages to a disk of another incarnation: the votes and
-// entries that the peer relies on are not on this disk, and this replica has to stop. incarnation is "" if the peer does not know it.
+// CheckReceiver returns an error that wraps ErrLostDisk if a peer addresses its messages to a disk of another incarnation: the
+// votes and entries that the peer relies on are not on this disk, and this replica has to stop. incarnation is "" if the peer
+// does not know it.
 func (c *Core) CheckReceiver(incarnation string) error {
 	if incarnation != "" && incarnation != c.Incarnation {
 		return fmt.Errorf("replica %d: %w", c.ID, ErrLostDisk)
@@ -126,9 +128,9 @@
 	return nil
 }
 
-// CheckSender returns why messages from a peer whose disk has that incarnation must not be passed to Step: an error that wraps ErrLostDisk
-// if the log has another incarnation recorded, or ErrRemoved if the peer is not a member. A leader records an incarnation that is not known
-// yet.
+// CheckSender returns why messages from a peer whose disk has that incarnation must not be passed to Step: an error that wraps
+// ErrLostDisk if the log has another incarnation recorded, or ErrRemoved if the peer is not a member. A leader records an
+// incarnation that is not known yet.
 func (c *Core) CheckSender(id uint64, incarnation string) error {
 	peer, isMember := c.membership.members[id]
 	switch {
--- a/internal/coordination/replica/recorded_test.go
+++ b/internal/coordination/replica/recorded_test.go
@@ -13,8 +13,8 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// Entries and snapshots that revision cfdfdec wrote are read, and written as the same bytes. The README in testdata/cfdfdec describes how
-// they were recorded.
+// Entries and snapshots that revision cfdfdec wrote are read, and written as the same bytes. The README in testdata/cfdfdec
+// describes how they were recorded.
 func TestRecordedFormsAreRead(t *testing.T) {
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/entry.json", &entry{})
 	jsonform.CheckRecorded(t, "testdata/cfdfdec/snapshot-record.json", &snapshotRecord{})
--- a/internal/coordination/replica/request.go
+++ b/internal/coordination/replica/request.go
@@ -23,8 +23,9 @@
 
 // Request is a request from a client to the leader. Exactly one of its fields besides Done is set.
 //
-// Command, Rollout, Limit and Publish are appended to the log and answered when they are applied. AddMember and RemoveMember change the
-// membership. KeepAlive, Share and Read are reads: the leader answers them from its own state after a majority has confirmed that it leads.
+// Command, Rollout, Limit and Publish are appended to the log and answered when they are applied. AddMember and RemoveMember
+// change the membership. KeepAlive, Share and Read are reads: the leader answers them from its own state after a majority has
+// confirmed that it leads.
 type Request struct {
 	Command      *lease.Command
 	Rollout      *rollout.Command
@@ -59,8 +60,8 @@
 // ErrNoLimit is returned for a ShareRequest whose limit does not exist.
 var ErrNoLimit = errors.New("there is no such limit")
 
-// Response is the answer to a Request. State, Rollouts, LimitStatuses and Versions refer to the state of the Core and must not be used after
-// Done has returned.
+// Response is the answer to a Request. State, Rollouts, LimitStatuses and Versions refer to the state of the Core and must not be
+// used after Done has returned.
 type Response struct {
 	Err           error
 	Leader        uint64 // with ErrNotLeader: the leader's id, 0 if it is not known
@@ -87,8 +88,8 @@
 	confirming *readConfirmation         // the confirmation in progress; nil: none
 }
 
-// readConfirmation is a batch of reads that waits for a majority to confirm that this replica leads, and then until the entries up to the
-// commit index of that confirmation are applied.
+// readConfirmation is a batch of reads that waits for a majority to confirm that this replica leads, and then until the entries
+// up to the commit index of that confirmation are applied.
 type readConfirmation struct {
 	number uint64
 	index  uint64 // the commit index of the confirmation; 0: not confirmed yet
@@ -101,8 +102,8 @@
 	return p.lastNumber
 }
 
-// Submit starts to process a request. A replica that does not lead answers at once with ErrNotLeader or ErrNoLeader, and a leader with too
-// many pending requests with ErrBusy.
+// Submit starts to process a request. A replica that does not lead answers at once with ErrNotLeader or ErrNoLeader, and a leader
+// with too many pending requests with ErrBusy.
 func (c *Core) Submit(r Request) {
 	if !c.leadership.isLeader {
 		err := ErrNotLeader
--- a/internal/coordination/replica/simulation_test.go
+++ b/internal/coordination/replica/simulation_test.go
@@ -16,8 +16,8 @@
 	"petrelhook/internal/rig/group"
 )
 
-// The linearizability model accepts a grant that is reported twice to the same session, and rejects any other second grant, an older token
-// and the release of an older grant.
+// The linearizability model accepts a grant that is reported twice to the same session, and rejects any other second grant, an
+// older token and the release of an older grant.
 func TestModel(t *testing.T) {
 	op := func(kind lease.Kind, session lease.SessionID, token lease.Token, at int64) porcupine.Operation {
 		cmd, a := lease.Command{Kind: kind, Session: session}, lease.Answer{Status: lease.OK}
@@ -44,8 +44,8 @@
 	}
 }
 
-// A leader that is paused, or partitioned from the other replicas but not from its clients, renews no session once it continues: meanwhile
-// another replica has become the leader and may have granted the same leases to others.
+// A leader that is paused, or partitioned from the other replicas but not from its clients, renews no session once it continues:
+// meanwhile another replica has become the leader and may have granted the same leases to others.
 func TestDeposedLeadersRenewNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(scheduleCount(60)) {
@@ -82,8 +82,8 @@
 	}
 }
 
-// Beyond the bound on clock drift, two clients may believe that they hold the lease at the same time. The guard still admits their
-// operations in the order of their tokens; without the guard the operations are out of order.
+// Beyond the bound on clock drift, two clients may believe that they hold the lease at the same time. The guard still admits
+// their operations in the order of their tokens; without the guard the operations are out of order.
 func TestBeyondTheClockDriftBound(t *testing.T) {
 	t.Parallel()
 	violations, unordered := 0, 0
@@ -112,8 +112,8 @@
 	return n
 }
 
-// Under random faults, drawn from a seed for each group, no two clients ever hold the lease at the same time, tokens increase, and the
-// histories are linearizable for one lease.
+// Under random faults, drawn from a seed for each group, no two clients ever hold the lease at the same time, tokens increase,
+// and the histories are linearizable for one lease.
 func TestSchedules(t *testing.T) {
 	var faults, grants, fencedOff, holderChanges atomic.Int64
 	var violations sync.Map
--- a/internal/coordination/replica/state.go
+++ b/internal/coordination/replica/state.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// beginLeadership starts the lessor and the allocators once a leader has applied an entry of its own term. By then it has applied all
-// committed entries of earlier terms.
+// beginLeadership starts the lessor and the allocators once a leader has applied an entry of its own term. By then it has applied
+// all committed entries of earlier terms.
 func (c *Core) beginLeadership(entryTerm uint64, now lease.Instant) {
 	if c.leadership.isLeader && !c.leadership.ready() && entryTerm == c.leadership.term {
 		c.leadership.lessor = lease.NewLessor(c.state.leases, now)
