--- a/internal/rig/contend/contend.go
+++ b/internal/rig/contend/contend.go
@@ -161,7 +161,7 @@
 		a.Admitted = err == nil
 		r.writes = append(r.writes, a)
 		r.mu.Unlock()
-		if errors.Is(err, lease.ErrOld) {
+		if errors.Is(err, lease.ErrStaleToken) {
 			io.WriteString(c, "old\n")
 		} else {
 			io.WriteString(c, "ok\n")
--- a/lease/commands.go
+++ b/lease/commands.go
@@ -8,24 +8,25 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// enqueue takes the next position in the queue of commands: previous is closed when all commands before this one are over, and done says
-// that this one is. The caller holds Client.mu.
+// enqueue takes the next position in the queue of commands. previousOver is closed when all commands before this one have
+// finished; the caller calls done when this one has. The caller holds Client.mu.
 func (c *Client) enqueue() (previousOver <-chan struct{}, done func()) {
 	previous, own := c.lastCommand, make(chan struct{})
 	c.lastCommand = own
 	return previous, func() { close(own) }
 }
 
-// commandResult is the answer to a command, the session that it was sent in (nil: there was none), and why there is no answer.
+// commandResult is the answer to a command and the session that it was sent in (nil: there was none). err says why there is no
+// answer.
 type commandResult struct {
 	answer  lease.Answer
 	session *lease.SessionState
 	err     error
 }
 
-// startCommand sends a command in the session until it is answered, also where the caller does not wait for the result. Its position in
-// the queue is taken when startCommand returns: a grant of a later command must not be ended by an earlier one. The caller holds
-// Client.mu.
+// startCommand enqueues a command and sends it from a goroutine of its own until it is answered, even if the caller does not wait
+// for the result. The command has its position in the queue when startCommand returns, so that an earlier command cannot end the
+// grant of a later one. The caller holds Client.mu.
 func (c *Client) startCommand(cmd lease.Command) <-chan commandResult {
 	previousOver, done := c.enqueue()
 	result := make(chan commandResult, 1)
@@ -38,7 +39,7 @@
 	return result
 }
 
-// runCommand starts a command and waits for its answer, or until ctx ends: then the command goes on.
+// runCommand starts a command and waits for its answer. If ctx ends first, it returns ctx.Err() and the command continues.
 func (c *Client) runCommand(ctx context.Context, cmd lease.Command) (lease.Answer, *lease.SessionState, error) {
 	c.mu.Lock()
 	result := c.startCommand(cmd)
@@ -53,7 +54,7 @@
 	}
 }
 
-// sendCommand sends a command until it is answered, or the session is over. All commands before it are over.
+// sendCommand sends a command until it is answered or the session ends. It is called once all earlier commands have finished.
 func (c *Client) sendCommand(cmd lease.Command) (lease.Answer, *lease.SessionState, error) {
 	c.mu.Lock()
 	session := c.session
@@ -66,7 +67,7 @@
 	switch cmd.Kind {
 	case lease.Acquire:
 		session.BeginWait(cmd.Name, c.now())
-	case lease.Cancel: // ends the wait that an earlier command began, or the grant that it has got
+	case lease.Cancel: // cancels the wait that an earlier command began, or the grant that the wait has led to
 		session.Forget(cmd.Name)
 	}
 	c.mu.Unlock()
--- a/lease/held.go
+++ b/lease/held.go
@@ -8,7 +8,8 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// Held is a lease that this client holds until its context ends, or operators break it. Its methods are safe for concurrent use.
+// Held is a lease that this client holds until it is released or lost, or the client is closed. Its methods are safe for
+// concurrent use.
 type Held struct {
 	Name   string
 	Token  Token
@@ -18,19 +19,20 @@
 	timer  *time.Timer
 }
 
-// Context returns a context that ends before another session can hold the lease; context.Cause says why: ErrLost, ErrReleased, ErrBroken or
-// ErrClosed. Where operators broke the lease it ends early: the lease is still held for Left, which is time to stop and to Release, so that
-// the next holder need not wait for all of it.
+// Context returns a context that ends before another session can hold the lease. context.Cause returns the reason: ErrLost,
+// ErrReleased, ErrBroken or ErrClosed. After ErrBroken the client still holds the lease for Left; the holder should stop and call
+// Release, so that the next holder need not wait until Left has passed.
 func (h *Held) Context() context.Context { return h.ctx }
 
-// Valid reports whether the lease is held now, by a clock that counts the time for which the machine sleeps.
+// Valid reports whether the client holds the lease now, by the clock of Options, which includes the time for which the machine is
+// suspended.
 func (h *Held) Valid() bool {
 	h.client.mu.Lock()
 	defer h.client.mu.Unlock()
 	return h.valid()
 }
 
-// valid is Valid for a caller that holds Client.mu. A lease that is not held any more is ended.
+// valid implements Valid for a caller that holds Client.mu. It ends a lease that is no longer held.
 func (h *Held) valid() bool {
 	if h.client.held[h.Name] != h {
 		return false
@@ -41,13 +43,13 @@
 		}
 	}
 	h.client.endHeld(h, ErrLost)
-	if h.client.session != nil { // the session may live on: it must not keep a grant that nobody uses
+	if h.client.session != nil { // the session may still be alive at the coordinators, and must not keep a grant without a holder
 		h.client.startCommand(lease.Command{Kind: lease.Cancel, Name: h.Name})
 	}
 	return false
 }
 
-// Left returns for how long the lease is held if it is not renewed any more; 0: it is lost.
+// Left returns how long the client holds the lease without a further renewal; 0 if it no longer holds it.
 func (h *Held) Left() time.Duration {
 	h.client.mu.Lock()
 	defer h.client.mu.Unlock()
@@ -58,7 +60,7 @@
 	return until.Sub(h.client.now())
 }
 
-// endHeld ends the belief in a lease, and its context. The caller holds Client.mu.
+// endHeld ends a lease in this client, and its context with that cause. It sends nothing. The caller holds Client.mu.
 func (c *Client) endHeld(h *Held, cause error) {
 	if c.held[h.Name] != h {
 		return
@@ -71,14 +73,15 @@
 	h.cancel(cause)
 }
 
-// resetTimer has the context end at the present expiry. The caller holds Client.mu.
+// resetTimer sets the timer that ends the lease's context to the present expiry of the lease. The caller holds Client.mu.
 func (c *Client) resetTimer(h *Held) {
 	_, until, _ := c.session.Held(h.Name, c.now())
 	h.timer.Reset(max(0, until.Sub(c.now())))
 }
 
-// endBelief ends the belief in the lease, which comes before its release; it returns false where the lease was lost already.
-func (h *Held) endBelief() bool {
+// stopHolding ends the lease in this client, before the request to release it is sent. It returns false if the lease had ended
+// already.
+func (h *Held) stopHolding() bool {
 	h.client.mu.Lock()
 	defer h.client.mu.Unlock()
 	if !h.valid() {
@@ -88,9 +91,10 @@
 	return true
 }
 
-// Release releases the lease. Its context has ended before the request is sent. Where ctx ends first the request is sent all the same.
+// Release releases the lease. The lease's context ends before the request is sent. If ctx ends before the answer, Release returns
+// its error and the client continues to send the request. ErrLost means that the client no longer held the lease.
 func (h *Held) Release(ctx context.Context) error {
-	if !h.endBelief() {
+	if !h.stopHolding() {
 		return ErrLost
 	}
 	answer, _, err := h.client.runCommand(ctx, lease.Command{Kind: lease.Release, Name: h.Name, Token: h.Token})
@@ -100,13 +104,13 @@
 	return err
 }
 
-// ErrNotWaiting says that a lease was not handed over, for the other session does not wait for it. It is released all the same.
+// ErrNotWaiting is returned by Transfer if the other session does not wait for the lease. The lease is released.
 var ErrNotWaiting = errors.New("the session does not wait for the lease")
 
-// Transfer hands the lease to a session that waits for it (Client.Session), before all others. Its context has ended before the request is
-// sent.
+// Transfer hands over the lease to a session that waits for it, ahead of all other waiters; to is the other client's
+// Client.Session. The lease's context ends before the request is sent. ErrLost means that the client no longer held the lease.
 func (h *Held) Transfer(ctx context.Context, to uint64) error {
-	if !h.endBelief() {
+	if !h.stopHolding() {
 		return ErrLost
 	}
 	answer, _, err := h.client.runCommand(ctx, lease.Command{Kind: lease.Transfer, Name: h.Name, Token: h.Token, TransferTo: lease.SessionID(to)})
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease lets an application hold leases of the fleet's coordinators (petrelhook-coordinator): of all clients that want the lease of a
-// name at most one holds it. Hold returns a lease with a context, which ends before another client can hold it, and a fencing token. A
-// resource that the lease protects should keep a Guard and be sent the token, for a holder may be stopped between its check of the context
-// and its act.
+// Package lease is the client for leases of the fleet's coordinators (petrelhook-coordinator). A lease has a name, and at most
+// one client holds it at a time. Hold returns a lease with a fencing token and a context that ends before another client can hold
+// the lease. A holder may be paused between its check of the context and the operation that the lease protects. The protected
+// resource should therefore check the token of each operation with a Guard.
 //
-// A Client has one session, which lives as long as it is renewed at a majority of the coordinators. The session ends with the process. All
-// types are safe for concurrent use.
+// A Client has one session, which stays alive as long as a majority of the coordinators confirms its renewals. The client renews
+// it until it is closed or its process ends. All types are safe for concurrent use.
 package lease
 
 import (
@@ -22,49 +22,50 @@
 	"petrelhook/internal/coordination/rpc"
 )
 
-// Token is the fencing token of one grant: larger than that of every grant before it.
+// Token is the fencing token of one grant. It is larger than the token of every earlier grant.
 type Token = lease.Token
 
-// Errors of Hold and Try, which wrap them with the name of the lease, and causes of the end of a lease's context.
+// Errors that Hold and Try wrap with the name of the lease, and causes for the end of a lease's context (context.Cause).
 var (
-	// ErrTaken says that another session holds the lease.
+	// ErrTaken is returned by Try if another session holds the lease.
 	ErrTaken = errors.New("another session holds the lease")
-	// ErrLost says that the session was not renewed in time, or does not exist any more.
+	// ErrLost means that the session was not renewed in time, or no longer exists.
 	ErrLost = errors.New("the lease is lost: the coordinators were out of reach for too long")
-	// ErrReleased says that the holder released the lease.
+	// ErrReleased is the cause after the holder has released the lease.
 	ErrReleased = errors.New("the lease was released")
-	// ErrBroken says that operators broke the lease: the holder has Held.Left to release it.
+	// ErrBroken is the cause after an operator has broken the lease. The holder still holds it for Held.Left, and should release it.
 	ErrBroken = errors.New("operators broke the lease")
-	// ErrClosed says that the client was closed.
+	// ErrClosed means that the client was closed.
 	ErrClosed = errors.New("the client is closed")
-	// ErrHeldHere says that this client holds the lease, or another of its calls waits for it.
-	ErrHeldHere = errors.New("this client holds the lease already, or waits for it")
-	// ErrFull says that the coordinators have as many sessions, or the lease as many waiters, as their bounds allow.
-	ErrFull = errors.New("full")
-	// ErrEmbargoed says that the coordinators grant nothing yet, because their state was restored from a copy.
+	// ErrAlreadyHeld means that this client holds the lease already, or that another of its calls is acquiring it.
+	ErrAlreadyHeld = errors.New("this client holds the lease already, or waits for it")
+	// ErrLimitReached means that the coordinators have as many sessions, or the lease as many waiters, as their limits allow.
+	ErrLimitReached = errors.New("full")
+	// ErrEmbargoed means that the coordinators grant nothing yet, because their state was restored from a copy.
 	ErrEmbargoed = errors.New("embargoed")
 )
 
 const (
 	defaultTTL = 10 * time.Second
-	// minCallTimeout is the shortest time-out of one call to a coordinator; it is a quarter of the TTL where that is longer.
+	// minCallTimeout is the shortest time-out of one call to a coordinator. The time-out is a quarter of the TTL if that is longer.
 	minCallTimeout = 250 * time.Millisecond
 )
 
 // Options are the settings of a client.
 type Options struct {
 	Addrs []string      // of the coordinators
-	Owner string        // a name for operators; two clients may have the same
-	TTL   time.Duration // for how long the session lives without a renewal; 0: 10 s
+	Owner string        // a name that operators see; two clients may have the same name
+	TTL   time.Duration // how long the session lives without a renewal; 0: defaultTTL, 10 s
 
 	// Dial opens connections to coordinators, as net.Dialer.DialContext does; nil: TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Clock reads a steady clock that is never set and counts the time for which the machine sleeps, in nanoseconds since any moment; nil:
-	// CLOCK_BOOTTIME. It is called from any goroutine. One that stops while the machine sleeps lets two clients hold a lease.
+	// Clock reads a monotonic clock that includes the time for which the machine is suspended; its origin does not matter. nil:
+	// CLOCK_BOOTTIME. It is called from several goroutines at the same time. With a clock that stops while the machine is suspended,
+	// two clients may hold the same lease.
 	Clock func() time.Duration
 }
 
-// Client is a session, and the leases that it holds.
+// Client acquires leases in a session of its own and renews the session. It is safe for concurrent use.
 type Client struct {
 	options    Options
 	caller     fleet.Caller
@@ -73,15 +74,16 @@
 	background sync.WaitGroup
 
 	mu          sync.Mutex
-	lastCommand chan struct{}       // closed when the last command of the queue is over
-	acquiring   map[string]bool     // names for which a call of Hold or Try is under way
+	lastCommand chan struct{}       // closed when the last command of the queue has finished
+	acquiring   map[string]bool     // the names for which a call of Hold or Try is in progress
 	session     *lease.SessionState // nil: there is no session
-	lastSeq     uint64              // of the commands of the session
+	lastSeq     uint64              // the sequence number of the last command of the session
 	held        map[string]*Held
-	changed     chan struct{} // closed when a grant has come, or the session has changed
+	changed     chan struct{} // closed, and replaced, when a renewal was answered or the session has changed
 }
 
-// New returns a client. It opens a session when a lease is wanted. Close ends it.
+// New returns a client, which opens its session with the first call of Hold or Try. The caller ends it with Close. An error means
+// that an option is invalid.
 func New(o Options) (*Client, error) {
 	if o.TTL == 0 {
 		o.TTL = defaultTTL
@@ -97,13 +99,13 @@
 			return nil, fmt.Errorf("addrs: %q: write host:port", a)
 		}
 	}
-	check := lease.Command{Kind: lease.Open, TTL: o.TTL, Owner: o.Owner, Nonce: rand.Text()}
-	if err := check.Check(); err != nil {
+	openCommand := lease.Command{Kind: lease.Open, TTL: o.TTL, Owner: o.Owner, Nonce: rand.Text()}
+	if err := openCommand.Check(); err != nil {
 		return nil, err
 	}
-	first := make(chan struct{})
-	close(first)
-	c := &Client{options: o, lastCommand: first, acquiring: map[string]bool{}, held: map[string]*Held{}, changed: make(chan struct{})}
+	alreadyClosed := make(chan struct{})
+	close(alreadyClosed)
+	c := &Client{options: o, lastCommand: alreadyClosed, acquiring: map[string]bool{}, held: map[string]*Held{}, changed: make(chan struct{})}
 	c.caller.Addrs = o.Addrs
 	c.caller.Timeout, c.caller.RetryInterval = max(o.TTL/4, minCallTimeout), o.TTL/100
 	c.caller.HTTPClient = rpc.NewHTTPClient(rpc.HTTPOptions{Dial: o.Dial, DialTimeout: o.TTL / 4, MaxIdleConnsPerHost: 4})
@@ -112,30 +114,31 @@
 	return c, nil
 }
 
-// now is the reading of the client's clock.
+// now returns the reading of the client's clock.
 func (c *Client) now() lease.Instant { return lease.Instant(c.options.Clock()) }
 
-// Hold waits until this client holds the lease of a name, or ctx ends. The lease is held until it is released, lost or broken, whatever
-// becomes of ctx. A client holds a name once; a second call meanwhile is ErrHeldHere. While no coordinator answers it tries on.
+// Hold waits until this client holds the lease with that name, or ctx ends. The client then holds the lease until it is released,
+// lost or broken; the end of ctx does not end the lease. While the client holds the lease or another call is acquiring it, a
+// further call returns ErrAlreadyHeld. While no coordinator answers, Hold retries.
 func (c *Client) Hold(ctx context.Context, name string) (*Held, error) {
 	return c.acquire(ctx, name, true)
 }
 
-// Try is Hold without waiting: it returns ErrTaken where another session holds the lease.
+// Try is like Hold, but returns ErrTaken without waiting if another session holds the lease.
 func (c *Client) Try(ctx context.Context, name string) (*Held, error) {
 	return c.acquire(ctx, name, false)
 }
 
-// acquire is Hold, or Try where wait is false. A session that ends meanwhile is replaced by a new one.
+// acquire implements Hold and, if wait is false, Try. If the session ends meanwhile, it starts again in a new session.
 func (c *Client) acquire(ctx context.Context, name string, wait bool) (*Held, error) {
 	c.mu.Lock()
-	busy := c.acquiring[name] || c.held[name] != nil
-	if !busy {
+	heldOrWaiting := c.acquiring[name] || c.held[name] != nil
+	if !heldOrWaiting {
 		c.acquiring[name] = true
 	}
 	c.mu.Unlock()
-	if busy {
-		return nil, fmt.Errorf("%s: %w", name, ErrHeldHere)
+	if heldOrWaiting {
+		return nil, fmt.Errorf("%s: %w", name, ErrAlreadyHeld)
 	}
 	defer func() {
 		c.mu.Lock()
@@ -161,7 +164,7 @@
 		case answer.Status == lease.HeldByOther:
 			return nil, fmt.Errorf("%s: %w: %s", name, ErrTaken, answer.Holder)
 		case answer.Status != lease.Waiting:
-			return nil, refusal(name, answer.Status)
+			return nil, refusalError(name, answer.Status)
 		}
 		if h, err := c.awaitGrant(ctx, session, name); h != nil || err != nil {
 			return h, err
@@ -169,18 +172,20 @@
 	}
 }
 
-// refusal is the error of a command that the coordinators refuse; what names the lease, or is "session".
-func refusal(what string, status lease.Status) error {
+// refusalError returns the error for a command that the coordinators have refused. subject is the name of the lease, or
+// "session".
+func refusalError(subject string, status lease.Status) error {
 	switch status {
 	case lease.Full:
-		return fmt.Errorf("%s: %w", what, ErrFull)
+		return fmt.Errorf("%s: %w", subject, ErrLimitReached)
 	case lease.Embargoed:
-		return fmt.Errorf("%s: %w", what, ErrEmbargoed)
+		return fmt.Errorf("%s: %w", subject, ErrEmbargoed)
 	}
-	return fmt.Errorf("%s: %v", what, status)
+	return fmt.Errorf("%s: %v", subject, status)
 }
 
-// awaitGrant waits for a grant that a renewal reports. It returns neither a lease nor an error where the session is over.
+// awaitGrant waits until a renewal reports a grant of the lease. It returns neither a lease nor an error if the session has
+// ended.
 func (c *Client) awaitGrant(ctx context.Context, session *lease.SessionState, name string) (*Held, error) {
 	for {
 		c.mu.Lock()
@@ -205,7 +210,7 @@
 	}
 }
 
-// newHeld returns the lease of a grant; nil where the session, or the grant, is over already.
+// newHeld returns the lease of a grant; nil if the session or the grant has ended already.
 func (c *Client) newHeld(session *lease.SessionState, name string, token Token) *Held {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,7 +226,7 @@
 	h.timer = time.AfterFunc(time.Hour, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if h.valid() { // renewed meanwhile
+		if h.valid() { // a renewal has extended the lease meanwhile
 			c.resetTimer(h)
 		}
 	})
@@ -230,7 +235,7 @@
 	return h
 }
 
-// abandon ends the wait for a lease, and the grant that it may have got meanwhile.
+// abandon cancels the wait for a lease, and the grant that the wait may have led to meanwhile.
 func (c *Client) abandon(session *lease.SessionState, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,7 +245,8 @@
 	}
 }
 
-// Session returns the id of the client's session; 0: there is none yet. Another client names it to Transfer a lease to this one.
+// Session returns the id of the client's session; 0 if there is none. Another client passes the id to Held.Transfer to hand over
+// a lease to this one.
 func (c *Client) Session() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -250,7 +256,8 @@
 	return uint64(c.session.Session)
 }
 
-// Close ends the session and everything that it holds, and waits for the requests of the client to end.
+// Close ends the session and its leases, and waits until all requests of the client have ended. An error means that the
+// coordinators have not confirmed the end of the session: its leases then become free at the latest when its TTL has passed.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	for _, h := range c.held {
@@ -269,5 +276,5 @@
 	return err
 }
 
-// errNoSession is the error of a command where the client has no session: there is nothing that it could be about.
+// errNoSession is the error of a command that is sent while the client has no session.
 var errNoSession = errors.New("there is no session")
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -30,8 +30,8 @@
 	if err != nil {
 		panic(err)
 	}
-	var table lease.Guard // in the resource that the lease protects
-	fmt.Println(table.Admit(held.Token, func() error { fmt.Println("written"); return held.Context().Err() }))
+	var guard lease.Guard // in the resource that the lease protects
+	fmt.Println(guard.Admit(held.Token, func() error { fmt.Println("written"); return held.Context().Err() }))
 	fmt.Println(held.Release(context.Background()))
 	// Output:
 	// written
@@ -39,45 +39,47 @@
 	// <nil>
 }
 
-// world is a coordinator in memory and in virtual time, for clients.
-type world struct {
+// simulation is a coordinator in memory and in virtual time.
+type simulation struct {
 	t      *testing.T
 	memory *simcoordinator.Memory
 	group  *coordinator.Group
 }
 
-// simulate runs a test in virtual time, beside others.
-func simulate(t *testing.T, test func(t *testing.T, w *world)) {
+// runSimulated runs a test in virtual time, in parallel with others.
+func runSimulated(t *testing.T, test func(t *testing.T, sim *simulation)) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		memory := simcoordinator.New(t)
-		test(t, &world{t, memory, coordinator.NewGroupOn(t, 1, "", memory.Platform())})
+		test(t, &simulation{t, memory, coordinator.NewGroupOn(t, 1, "", memory.Platform())})
 	})
 }
 
-// client is a client that ends with the test. All of them have the same owner, and are told apart by their sessions.
-func (w *world) client(ttl time.Duration) *lease.Client {
-	w.t.Helper()
-	c, err := lease.New(w.memory.LeaseOptions(w.group.Addrs(), "same", ttl, nil))
+// newClient returns a client that is closed at the end of the test. All clients have the same owner and differ only in their
+// sessions.
+func (s *simulation) newClient(ttl time.Duration) *lease.Client {
+	s.t.Helper()
+	c, err := lease.New(s.memory.LeaseOptions(s.group.Addrs(), "same", ttl, nil))
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { c.Close() })
+	s.t.Cleanup(func() { c.Close() })
 	return c
 }
 
-// Operators break a lease: its holder learns of it with the next renewal, still holds it, and releases it; nobody else holds it before.
-func TestBroken(t *testing.T) { simulate(t, testBroken) }
+// An operator breaks a lease. The holder's context ends with the next renewal, but the holder still holds the lease until it
+// releases it, and the lease is not granted again before.
+func TestBrokenLease(t *testing.T) { runSimulated(t, testBrokenLease) }
 
-func testBroken(t *testing.T, w *world) {
+func testBrokenLease(t *testing.T, sim *simulation) {
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	a := w.client(2 * time.Second)
+	a := sim.newClient(2 * time.Second)
 	first, err := a.Hold(ctx, "x")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.group.Operator().Call(ctx, fleet.Request{Command: &core.Command{Kind: core.Break, Name: "x"}}); err != nil {
+	if _, err := sim.group.Operator().Call(ctx, fleet.Request{Command: &core.Command{Kind: core.Break, Name: "x"}}); err != nil {
 		t.Fatal(err)
 	}
 	<-first.Context().Done()
@@ -95,14 +97,14 @@
 	}
 }
 
-// A lease has one holder at a time: a second client gets it after its release, or at once when the holder's client is closed, and always with
-// a higher token. Without a coordinator the lease ends.
-func TestOneHolder(t *testing.T) { simulate(t, testOneHolder) }
+// A lease has one holder at a time. A second client gets it after its release, or at once when the holder's client is closed, and
+// always with a higher token. Without a coordinator the lease ends.
+func TestOneHolder(t *testing.T) { runSimulated(t, testOneHolder) }
 
-func testOneHolder(t *testing.T, w *world) {
+func testOneHolder(t *testing.T, sim *simulation) {
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	a, b := w.client(time.Second), w.client(time.Second)
+	a, b := sim.newClient(time.Second), sim.newClient(time.Second)
 	first, err := a.Hold(ctx, "x")
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +115,7 @@
 	second := releaseToWaiter(ctx, t, first, b)
 	checkOnlyNewestAdmitted(t, first, second)
 
-	// the session ends with the client, and what it held is free at once
+	// closing the client ends its session, and its leases are free at once
 	if err := b.Close(); err != nil {
 		t.Error(err)
 	}
@@ -121,17 +123,18 @@
 	if err != nil || third.Token <= second.Token {
 		t.Errorf("%v", err)
 	}
-	w.group.Members[0].KillAndWait()
+	sim.group.Members[0].KillAndWait()
 	checkLost(ctx, t, third)
-	short, end := context.WithTimeout(ctx, 300*time.Millisecond)
-	defer end()
-	if _, err := a.Try(short, "y"); err == nil {
+	shortCtx, cancelShort := context.WithTimeout(ctx, 300*time.Millisecond)
+	defer cancelShort()
+	if _, err := a.Try(shortCtx, "y"); err == nil {
 		t.Error("a grant without a coordinator")
 	}
 	a.Close()
 }
 
-// releaseToWaiter has another client wait for a lease, releases it, and returns it as the other holds it.
+// releaseToWaiter lets another client wait for a lease, releases the lease, and returns the lease that the other client then
+// holds.
 func releaseToWaiter(ctx context.Context, t *testing.T, held *lease.Held, waiter *lease.Client) *lease.Held {
 	t.Helper()
 	granted := make(chan *lease.Held, 1)
@@ -155,20 +158,20 @@
 	return next
 }
 
-// checkOnlyNewestAdmitted presents the tokens of two holders, one after the other, to the guard of a resource, the newer one first.
+// checkOnlyNewestAdmitted checks that a guard that has admitted the token of the newer holder rejects that of the older one.
 func checkOnlyNewestAdmitted(t *testing.T, older, newer *lease.Held) {
 	t.Helper()
 	var guard lease.Guard
 	if err := guard.Admit(newer.Token, func() error { return nil }); err != nil {
 		t.Error(err)
 	}
-	err := guard.Admit(older.Token, func() error { t.Error("the act was admitted"); return nil })
-	if !errors.Is(err, lease.ErrOld) {
+	err := guard.Admit(older.Token, func() error { t.Error("an operation with a stale token was admitted"); return nil })
+	if !errors.Is(err, lease.ErrStaleToken) {
 		t.Errorf("%v", err)
 	}
 }
 
-// checkLost waits until ctx ends for the end of a lease whose coordinator is out of reach, and checks its cause.
+// checkLost waits for the end of a lease whose coordinator is out of reach, until ctx ends, and checks that the cause is ErrLost.
 func checkLost(ctx context.Context, t *testing.T, held *lease.Held) {
 	t.Helper()
 	select {
@@ -181,42 +184,43 @@
 	}
 }
 
-// A lease is handed to the last waiter; it cannot be handed to a session that does not wait, and then the first waiter gets it.
-func TestTransfer(t *testing.T) { simulate(t, testTransfer) }
+// A lease is transferred to the last of several waiters. A transfer to a session that does not wait releases the lease, and the
+// first waiter gets it.
+func TestTransfer(t *testing.T) { runSimulated(t, testTransfer) }
 
-func testTransfer(t *testing.T, w *world) {
+func testTransfer(t *testing.T, sim *simulation) {
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	var clients []*lease.Client
-	got := make([]chan *lease.Held, 4)
-	for i := range got {
-		c := w.client(2 * time.Second)
+	granted := make([]chan *lease.Held, 4)
+	for i := range granted {
+		c := sim.newClient(2 * time.Second)
 		clients = append(clients, c)
-		got[i] = make(chan *lease.Held, 1)
+		granted[i] = make(chan *lease.Held, 1)
 		go func() {
 			h, err := c.Hold(ctx, "x")
 			if err == nil {
-				got[i] <- h
+				granted[i] <- h
 			}
 		}()
-		for there := 0; there != i+1; { // in this order
+		for queued := 0; queued != i+1; { // in this order
 			name := "x"
-			if response, err := w.group.Operator().Call(ctx, fleet.Request{ListLeases: &name}); err == nil && len(response.Leases) == 1 {
-				there = 1 + len(response.Leases[0].Queue)
+			if response, err := sim.group.Operator().Call(ctx, fleet.Request{ListLeases: &name}); err == nil && len(response.Leases) == 1 {
+				queued = 1 + len(response.Leases[0].Queue)
 			} else if ctx.Err() != nil {
 				t.Fatal("the wait did not begin")
 			}
 		}
 	}
-	first := <-got[0]
+	first := <-granted[0]
 	if err := first.Transfer(ctx, clients[3].Session()); err != nil || first.Valid() {
 		t.Errorf("%v", err)
 	}
-	last := <-got[3]
+	last := <-granted[3]
 	if err := last.Transfer(ctx, clients[0].Session()); !errors.Is(err, lease.ErrNotWaiting) {
 		t.Errorf("%v", err)
 	}
-	if next := <-got[1]; next.Token != last.Token+1 {
+	if next := <-granted[1]; next.Token != last.Token+1 {
 		t.Errorf("token %d after %d", next.Token, last.Token)
 	}
 }
--- a/lease/mutation_test.go
+++ b/lease/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each step of the argument that this package has is taken out of the code, one at a time: the test that is named with it fails.
+// Removing any one of this package's safety mechanisms from the code makes the test that is named with it fail.
 func TestTheChecksCanFail(t *testing.T) {
 	mutate.Caught(t, "..", map[string]mutate.Mutant{
 		"the fencing check":                {File: "lease/guard.go", Text: "token < g.newest || token == 0", Replacement: "token == 0", Package: "./lease", Test: "TestOneHolder"},
--- a/lease/order_test.go
+++ b/lease/order_test.go
@@ -9,13 +9,13 @@
 	"petrelhook/lease"
 )
 
-// A caller that does not wait for its release, or for its grant, asks again at once: its earlier commands are carried out before, and do not
-// end the new grant. Only one caller of a client waits for a name at a time.
+// A caller that does not wait for the answers to its Release and Hold calls Hold again at once. Its earlier commands are applied
+// first and do not end the new grant.
 func TestCommandsKeepTheirOrder(t *testing.T) {
 	addr, _ := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	client := func() *lease.Client {
+	newClient := func() *lease.Client {
 		c, err := lease.New(lease.Options{Addrs: []string{addr}, Owner: "same", TTL: 5 * time.Second})
 		if err != nil {
 			t.Fatal(err)
@@ -23,25 +23,25 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	a, b := client(), client()
-	ended, end := context.WithCancel(ctx)
-	end()
+	a, b := newClient(), newClient()
+	endedCtx, cancelEnded := context.WithCancel(ctx)
+	cancelEnded()
 	h, err := a.Hold(ctx, "x")
 	for round := range 60 {
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Release(ended)
-		a.Hold(ended, "x")
+		h.Release(endedCtx)
+		a.Hold(endedCtx, "x")
 		if h, err = a.Hold(ctx, "x"); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := a.Hold(ctx, "y"); round == 0 && err != nil { // all earlier commands are over when this one is answered
+		if _, err := a.Hold(ctx, "y"); round == 0 && err != nil { // all earlier commands have finished when this one is answered
 			t.Fatal(err)
 		}
 		if other, err := b.Try(ctx, "x"); err == nil {
 			if h.Valid() {
-				t.Fatalf("round %d: two hold, with tokens %d and %d", round, h.Token, other.Token)
+				t.Fatalf("round %d: two clients hold the lease, with tokens %d and %d", round, h.Token, other.Token)
 			}
 			other.Release(ctx)
 			if h, err = a.Hold(ctx, "x"); err != nil {
@@ -51,8 +51,8 @@
 	}
 }
 
-// A caller gives up while its client sends the request: the grant that it may have got is released, and another client gets it. (Without Cancel
-// the session keeps it.)
+// A caller cancels Hold while its client sends the request. The grant that may have been made is released, and another client
+// gets the lease. Without the Cancel command the session would keep the grant.
 func TestACancelledCallKeepsNothing(t *testing.T) {
 	addr, _ := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -67,15 +67,15 @@
 		clients = append(clients, c)
 	}
 	for round := range 200 {
-		short, end := context.WithCancel(ctx)
+		shortCtx, cancelShort := context.WithCancel(ctx)
 		go func() {
 			time.Sleep(time.Duration(round) * 10 * time.Microsecond) // at any moment of the request
-			end()
+			cancelShort()
 		}()
-		if h, err := clients[0].Hold(short, "x"); err == nil {
+		if h, err := clients[0].Hold(shortCtx, "x"); err == nil {
 			h.Release(ctx)
 		}
-		y, err := clients[0].Hold(ctx, "y") // all earlier commands are over when this one is answered
+		y, err := clients[0].Hold(ctx, "y") // all earlier commands have finished when this one is answered
 		if err != nil || y.Release(ctx) != nil {
 			t.Fatal(err)
 		}
--- a/lease/session.go
+++ b/lease/session.go
@@ -11,7 +11,8 @@
 	"petrelhook/internal/coordination/replica"
 )
 
-// ensureSession opens a session where there is none. It waits for all commands before it.
+// ensureSession opens a session if there is none, or the present one has expired. It waits until all earlier commands have
+// finished.
 func (c *Client) ensureSession(ctx context.Context) error {
 	c.mu.Lock()
 	previousOver, done := c.enqueue()
@@ -19,7 +20,7 @@
 	select {
 	case <-previousOver:
 		defer done()
-	case <-ctx.Done(): // its position in the queue stays taken until the commands before it are over
+	case <-ctx.Done(): // the position in the queue stays occupied until the earlier commands have finished
 		c.background.Go(func() { <-previousOver; done() })
 		return ctx.Err()
 	}
@@ -40,10 +41,10 @@
 			return err
 		}
 		if response.Answer.Status != lease.OK {
-			return refusal("session", response.Answer.Status)
+			return refusalError("session", response.Answer.Status)
 		}
 		session := lease.NewSessionState(requestedAt, response.Answer.Session, c.options.TTL)
-		if session.Expiry() <= c.now() { // the response came too late: this session may live or not, a new one certainly does
+		if session.Expiry() <= c.now() { // the response came after the TTL: this session may have expired already, so open another one
 			cmd.Nonce = rand.Text()
 			continue
 		}
@@ -56,13 +57,13 @@
 	}
 }
 
-// notifyChanged wakes whoever waits for a grant or for the end of the session. The caller holds Client.mu.
+// notifyChanged wakes all goroutines that wait for a grant or for the end of the session. The caller holds Client.mu.
 func (c *Client) notifyChanged() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// endSession ends a session and everything that it holds, unless another one has taken its place. The caller holds Client.mu.
+// endSession ends a session and its leases, unless another session has replaced it. The caller holds Client.mu.
 func (c *Client) endSession(session *lease.SessionState) {
 	if session == nil || c.session != session {
 		return
@@ -74,7 +75,7 @@
 	c.session = nil
 }
 
-// loseSession ends a session that does not exist any more, or whose TTL has passed.
+// loseSession ends a session that no longer exists at the coordinators, or whose TTL has passed.
 func (c *Client) loseSession(session *lease.SessionState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,8 +83,8 @@
 	c.notifyChanged()
 }
 
-// renewLoop renews the session until the client is closed, after a sixth to a third of the TTL each time: drawn at random, so that clients
-// do not renew at the same moment.
+// renewLoop renews the session until the client is closed. The interval is drawn at random from a sixth to a third of the TTL, so
+// that clients do not renew at the same moment.
 func (c *Client) renewLoop() {
 	for {
 		third := c.options.TTL / 3
@@ -104,7 +105,8 @@
 	}
 }
 
-// renew sends a keep-alive request and takes in the grants that its response reports. A request without a response changes nothing.
+// renew sends a keep-alive request and applies the grants that its response reports. A request without a response changes
+// nothing.
 func (c *Client) renew(session *lease.SessionState) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.options.TTL)
 	defer cancel()
@@ -132,7 +134,7 @@
 	}
 	session.ApplyKeepAlive(requestedAt, grants, response.GrantsVersion)
 	for _, h := range c.held {
-		if session.Broken(h.Name) { // the holder learns of it, and has the rest of the TTL to stop and release
+		if session.Broken(h.Name) { // the context ends, and the holder has the rest of the TTL to stop and release the lease
 			h.cancel(ErrBroken)
 		} else if h.valid() {
 			c.resetTimer(h)
--- a/lease/asleep_test.go
+++ b/lease/suspend_test.go
@@ -16,15 +16,16 @@
 	"petrelhook/internal/rig/coordinator"
 )
 
-// While a machine sleeps Go's timers stand still, and the clock does not. The first check after it finds the lease lost, and ends the context.
-// The session may live on; the lease is released all the same, and another client gets it within the TTL.
+// While a machine is suspended, Go's timers stop and the client's clock continues. The first check after the suspension finds the
+// lease lost and ends its context. If the session is still alive at the coordinators, the client releases the lease, so that
+// another client gets it.
 func TestASuspendedMachine(t *testing.T) {
 	addr, stop := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	var slept atomic.Int64
+	var suspendedFor atomic.Int64
 	c, err := New(Options{Addrs: []string{addr}, Owner: "o", TTL: 2 * time.Second,
-		Clock: func() time.Duration { return time.Duration(monotonic.Now()) + time.Duration(slept.Load()) }})
+		Clock: func() time.Duration { return time.Duration(monotonic.Now()) + time.Duration(suspendedFor.Load()) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slept.Store(int64(time.Hour))
+	suspendedFor.Store(int64(time.Hour))
 	if h.Valid() || h.Left() != 0 || context.Cause(h.Context()) != ErrLost { //nolint:errorlint // the sentinel itself, not wrapped
 		t.Errorf("valid %v, %v", h.Valid(), context.Cause(h.Context()))
 	}
@@ -41,14 +42,14 @@
 		t.Fatal(err)
 	}
 	if _, err := other.Hold(ctx, "x"); err != nil {
-		t.Errorf("the lease stays with a session whose client does not hold it: %v", err)
+		t.Errorf("the session keeps a lease that its client no longer holds: %v", err)
 	}
 	other.Close()
 	stop()
 	c.Close()
 }
 
-// No code that decides about leases reads the time of day.
+// No code that decides about leases reads the wall clock.
 func TestNoWallClocks(t *testing.T) {
 	for _, dir := range []string{"../internal/coordination/lease", "../internal/coordination/replica", "../internal/coordination/replica/disk", "../internal/coordination/monotonic", "."} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -67,7 +68,7 @@
 	}
 }
 
-// callRecorder records when calls begin.
+// callRecorder records the times at which calls begin, relative to start.
 type callRecorder struct {
 	http.RoundTripper
 	mu    sync.Mutex
@@ -82,13 +83,14 @@
 	return r.RoundTripper.RoundTrip(req)
 }
 
-// Clients that begin within half a second do not renew at the same moments: of their sixth renewals no tenth of a second has a third.
+// Clients that start within half a second of each other do not renew in step: of their sixth renewals, at most 33 % are in the
+// same tenth of a second.
 func TestRenewalsAreNotInStep(t *testing.T) {
 	addr, _ := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
 	const clients, renewals = 200, 6
-	began := time.Now()
+	start := time.Now()
 	var all []*Client
 	var recorders []*callRecorder
 	for i := range clients {
@@ -96,23 +98,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &callRecorder{RoundTripper: c.caller.HTTPClient.Transport, start: began}
+		r := &callRecorder{RoundTripper: c.caller.HTTPClient.Transport, start: start}
 		c.caller.HTTPClient.Transport = r
 		all, recorders = append(all, c), append(recorders, r)
 		if _, err := c.Hold(ctx, fmt.Sprint("x", i)); err != nil {
 			t.Fatal(err)
 		}
 		r.mu.Lock()
-		r.calls = nil // what follows are renewals
+		r.calls = nil // all later calls are renewals
 		r.mu.Unlock()
 	}
-	bins := map[time.Duration]int{}
+	renewalsBySlot := map[time.Duration]int{}
 	for _, r := range recorders {
 		for {
 			r.mu.Lock()
 			n := len(r.calls)
 			if n >= renewals {
-				bins[r.calls[renewals-1]/(100*time.Millisecond)]++
+				renewalsBySlot[r.calls[renewals-1]/(100*time.Millisecond)]++
 			}
 			r.mu.Unlock()
 			if n >= renewals {
@@ -124,10 +126,11 @@
 			time.Sleep(time.Millisecond) // between two checks
 		}
 	}
-	// six waits of 0.5 to 1 s each end within 3 s, a normal distribution of 0.35 s: at most 0.11 of all in a tenth of a second
-	for bin, n := range bins {
+	// the sum of six intervals of 0.5 to 1 s spans 3 s and is about normally distributed with a standard deviation of 0.35 s: about
+	// 0.11 of the renewals are in the fullest tenth of a second
+	for slot, n := range renewalsBySlot {
 		if n > clients*33/100 {
-			t.Errorf("%d of %d renew in the tenth of a second after %v", n, clients, bin*100*time.Millisecond)
+			t.Errorf("%d of %d clients renew in the tenth of a second after %v", n, clients, slot*100*time.Millisecond)
 		}
 	}
 	var closes sync.WaitGroup
