--- a/internal/common/chart/chart.go
+++ b/internal/common/chart/chart.go
@@ -1,4 +1,5 @@
-// Package chart draws plots as SVG for self-contained pages of HTML, without scripts or other files. It is pure.
+// Package chart draws plots as SVG for self-contained HTML pages, without scripts or other files. Its functions do no input or
+// output.
 package chart
 
 import (
@@ -14,7 +15,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Colours that can be distinguished on white.
+// Colours that can be told apart on a white background.
 var (
 	Green  = color.RGBA{0x2a, 0x7f, 0x3b, 0xff}
 	Orange = color.RGBA{0xd9, 0x8b, 0x1a, 0xff}
@@ -22,7 +23,8 @@
 	Blue   = color.RGBA{0x2a, 0x55, 0xa0, 0xff}
 )
 
-// Style is the style sheet of the pages. Its classes kept and broken colour a rule that was observed or violated; n is a number in a table.
+// Style is the style sheet of the pages. The class kept marks a rule that was observed, broken a rule that was violated, and n a
+// number in a table.
 const Style = template.CSS(`
 body{font:15px/1.45 system-ui,sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
 pre{overflow-x:auto;background:#f6f6f4;padding:1em} svg{max-width:100%;height:auto}
@@ -30,7 +32,7 @@
 table{border-collapse:collapse}td,th{text-align:left;padding:.15em .8em .15em 0;border-bottom:1px solid #ddd;vertical-align:top}
 td.n{text-align:right;font-variant-numeric:tabular-nums}`)
 
-// New is an empty plot with a grid and the labels x and y of its axes.
+// New returns an empty plot with a grid, and with x and y as the labels of its axes.
 func New(x, y string) *plot.Plot {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = x, y
@@ -39,7 +41,7 @@
 	return p
 }
 
-// Line adds a line with a name in the legend; without points it adds nothing.
+// Line adds a line through the points, with its name in the legend. Without points it adds nothing.
 func Line(p *plot.Plot, name string, c color.Color, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
@@ -54,12 +56,12 @@
 	return nil
 }
 
-// SVG is a plot as an HTML element, of a size in centimetres. Its texts are escaped.
+// SVG returns a plot as an svg element for HTML. The size is in centimetres. The texts of the plot are escaped.
 func SVG(p *plot.Plot, width, height float64) (template.HTML, error) {
-	c := vgsvg.New(vg.Length(width)*vg.Centimeter, vg.Length(height)*vg.Centimeter)
-	p.Draw(draw.New(c))
+	canvas := vgsvg.New(vg.Length(width)*vg.Centimeter, vg.Length(height)*vg.Centimeter)
+	p.Draw(draw.New(canvas))
 	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
+	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", err
 	}
 	_, body, _ := strings.Cut(b.String(), "<svg") // without the XML prologue
--- a/internal/common/command/command.go
+++ b/internal/common/command/command.go
@@ -1,5 +1,5 @@
-// Package command runs the command lines of the coordinators and agents, and turns their errors into exit codes: an error that a command
-// has marked with Fail is ExitFailed, and any other, such as cobra's for an unknown flag, is ExitUsage.
+// Package command runs the command lines of the coordinator and the agent, and maps their errors to exit codes: ExitFailed for an
+// error that a command has marked with Fail, and ExitUsage for any other, such as cobra's error for an unknown flag.
 package command
 
 import (
@@ -17,16 +17,17 @@
 
 // The exit codes other than 0.
 const (
-	ExitFailed = 1 // the file is invalid, or the process could not go on
-	ExitUsage  = 2 // the command line is wrong
+	ExitFailed = 1 // the command line is valid, but the command failed, for example because its settings file is invalid
+	ExitUsage  = 2 // the command line is invalid
 )
 
-// FailedError is an error of a command whose command line was right. Fail makes it and Run looks for it.
+// FailedError is the error of a command that failed although its command line is valid. Fail creates it; Run maps it to
+// ExitFailed.
 type FailedError struct{ error }
 
 func (e FailedError) Unwrap() error { return e.error }
 
-// Fail marks an error as one of a command whose command line was right; nil stays nil.
+// Fail wraps err in a FailedError, for a command that failed although its command line is valid. It returns nil for nil.
 func Fail(err error) error {
 	if err == nil {
 		return nil
@@ -34,39 +35,41 @@
 	return FailedError{err}
 }
 
-// Run runs a command and returns the exit code of the process. An error is written to errs as one line, with the command's name.
-func Run(cmd *cobra.Command, args []string, out, errs io.Writer) int {
+// Run runs a command and returns the exit code for the process. It writes an error to stderr, prefixed with the command's name.
+func Run(cmd *cobra.Command, args []string, stdout, stderr io.Writer) int {
 	cmd.SilenceErrors, cmd.SilenceUsage, cmd.CompletionOptions.HiddenDefaultCmd = true, true, true
 	cmd.SetArgs(args)
-	cmd.SetOut(out)
-	cmd.SetErr(errs)
+	cmd.SetOut(stdout)
+	cmd.SetErr(stderr)
 	err := cmd.Execute()
 	if err == nil {
 		return 0
 	}
-	fmt.Fprintf(errs, "%s: %v\n", cmd.Name(), err)
+	fmt.Fprintf(stderr, "%s: %v\n", cmd.Name(), err)
 	if errors.As(err, new(FailedError)) {
 		return ExitFailed
 	}
 	return ExitUsage
 }
 
-// SettingsFlags adds the flags that coordinators and agents have in common: the file of the settings, and that it is only to be checked.
+// SettingsFlags adds the flags that the coordinator and the agent share: --config for the path of the settings file, and --check
+// to validate the file and exit.
 func SettingsFlags(cmd *cobra.Command, path *string, check *bool) {
 	cmd.Flags().StringVar(path, "config", "", "the settings' `FILE` (YAML)")
 	cmd.Flags().BoolVar(check, "check", false, "say whether the file is good, and end")
 }
 
-// Logger returns the log of a process, which goes to errs, and logs the warnings about its settings.
-func Logger(errs io.Writer, warnings []string) *slog.Logger {
-	log := slog.New(slog.NewTextHandler(errs, nil))
+// Logger returns the logger of a process, which writes text to stderr, after it has logged the warnings about the settings.
+func Logger(stderr io.Writer, warnings []string) *slog.Logger {
+	log := slog.New(slog.NewTextHandler(stderr, nil))
 	for _, warning := range warnings {
 		log.Warn("settings", "warning", warning)
 	}
 	return log
 }
 
-// Terminated returns a context that ends with SIGTERM or an interrupt. After release they end the process, as they do by default.
+// Terminated returns a context that ends with the first SIGTERM or interrupt. release restores the default handling: a later
+// signal terminates the process.
 func Terminated() (ctx context.Context, release func()) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
--- a/internal/common/doc.go
+++ b/internal/common/doc.go
@@ -1,5 +1,5 @@
-// Package common holds packages that more than one of the products uses: sockets, command lines, files of settings and plots; and for
-// tests, scripted peers and checks of recorded forms.
+// Package common is the parent of the packages that several of the programs use: sockets, command lines, settings files and plots
+// and, for tests, scripted peers and checks of recorded formats.
 //
-// They import none of the products.
+// These packages import no other part of the module.
 package common
--- a/internal/common/gobschema/gobschema.go
+++ b/internal/common/gobschema/gobschema.go
@@ -1,6 +1,6 @@
-// Package gobschema describes what encoding/gob transmits of a type: the names and kinds of its exported fields, in order, and
-// nothing of the Go names of types. Tests compare the description with a recorded one, because gob drops a field that the reader
-// does not know, and leaves one that the writer did not send at zero, without an error.
+// Package gobschema describes the form in which encoding/gob transmits a type: the names and kinds of its exported fields, in
+// order, without the Go names of types. Tests compare the description with a recorded one, because gob reports no error for a
+// difference: it drops a field that the reader does not have, and leaves a field that the writer did not send at its zero value.
 package gobschema
 
 import (
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// Describe returns the description of a type. Types that contain themselves are not supported.
+// Describe returns the description of a type. Recursive types are not supported.
 func Describe(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Struct:
-		return "{" + strings.Join(fields(t), "; ") + "}"
+		return "{" + strings.Join(describeFields(t), "; ") + "}"
 	case reflect.Pointer:
-		return Describe(t.Elem()) // gob transmits what it points to
+		return Describe(t.Elem()) // gob transmits the value that the pointer points to
 	case reflect.Slice:
 		if t.Elem().Kind() == reflect.Uint8 {
 			return "bytes"
@@ -36,7 +36,8 @@
 	}
 }
 
-func fields(t reflect.Type) []string {
+// describeFields returns the name and description of each exported field of a struct.
+func describeFields(t reflect.Type) []string {
 	var described []string
 	for i := range t.NumField() {
 		field := t.Field(i)
--- a/internal/common/jsonform/jsonform.go
+++ b/internal/common/jsonform/jsonform.go
@@ -1,8 +1,8 @@
-// Package jsonform holds tests of stored and transmitted JSON to recorded examples: what an earlier version wrote is read, and the same
-// bytes are written again. It is used by tests alone.
+// Package jsonform compares stored and transmitted JSON with recorded examples: an example that an earlier version wrote must be
+// read, and written again as the same bytes. Only tests use it.
 //
-// An example gives every field of its type a value that is not the zero one, because encoding/json ignores a key that the reader
-// does not know and leaves out an empty field, both without an error.
+// An example has a non-zero value for every field of its type, because by default encoding/json ignores a key that the type does
+// not have, and leaves out an empty field with omitempty, both without an error.
 package jsonform
 
 import (
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// CheckRecorded reads the recorded example in path into v, a pointer to a zero value, and reports an error unless every key was known,
-// every exported field has got a value, and marshalling v gives the recorded bytes.
+// CheckRecorded unmarshals the recorded example in path into v, a pointer to a zero value. It fails the test unless every key has
+// a field, every exported field has a non-zero value, and marshalling v returns the recorded bytes.
 func CheckRecorded(t testing.TB, path string, v any) {
 	t.Helper()
 	recorded, err := os.ReadFile(path)
@@ -27,7 +27,7 @@
 	}
 }
 
-// Check is CheckRecorded for an example in memory.
+// Check does the same as CheckRecorded for an example in memory, and returns the first mismatch as an error.
 func Check(recorded []byte, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(recorded))
 	decoder.DisallowUnknownFields()
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// unset returns the path of an exported field that has the zero value, "" if there is none. Fields that JSON leaves out are skipped.
+// unset returns the path of an exported field that has the zero value, or "" if there is none. Of a list or map it checks one
+// element. It skips fields that are excluded from JSON.
 func unset(v reflect.Value, path string) string {
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/common/peertest/address.go
+++ b/internal/common/peertest/address.go
@@ -9,14 +9,15 @@
 	"petrelhook/internal/common/sock"
 )
 
-// DeadAddr is an address at which nothing listens until the test ends. It is reserved, because a caller that retries might otherwise
-// reach the peer of another test.
+// DeadAddr returns an address at which nothing listens until the test ends. The address is reserved, because a caller that
+// retries might otherwise reach the peer of another test.
 func DeadAddr(t testing.TB) string {
 	t.Helper()
 	return ReserveAddr(t)
 }
 
-// ReserveAddr is an address that a process may listen at and that the system gives nobody else until the test ends (sock.ReserveAddr).
+// ReserveAddr returns an address that the test's own programs may listen at and that the kernel assigns to no other socket until
+// the test ends; see sock.ReserveAddr.
 func ReserveAddr(t testing.TB) string {
 	t.Helper()
 	addr, release, err := sock.ReserveAddr()
@@ -27,7 +28,7 @@
 	return addr
 }
 
-// FullBacklogAddr is the address of a listener whose queue is full, so that connections to it are never established.
+// FullBacklogAddr returns the address of a listener whose backlog is full, so that connections to it are never established.
 func FullBacklogAddr(t testing.TB) string {
 	t.Helper()
 	fd, addr, err := sock.BindSocket()
@@ -38,7 +39,7 @@
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	for { // until one is not established
+	for { // until a connection is not established
 		c, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err != nil {
 			return addr
--- a/internal/common/peertest/client.go
+++ b/internal/common/peertest/client.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Dial connects to an address, with a deadline of EventTimeout. The connection is closed with the test.
+// Dial connects to an address and returns the connection and a reader of it. The deadline for all reads and writes is
+// EventTimeout from now. The connection is closed at the end of the test.
 func Dial(t testing.TB, addr string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -21,7 +22,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// SendRequest sends a request on a connection of its own and reads the response and its body.
+// SendRequest sends a request on a new connection and returns the response and its body.
 func SendRequest(t testing.TB, addr, request string) (*http.Response, string) {
 	t.Helper()
 	c, in := Dial(t, addr)
@@ -29,7 +30,7 @@
 	return ReadResponse(t, in)
 }
 
-// ReadResponse reads one response and its body.
+// ReadResponse reads one response and returns it with its body.
 func ReadResponse(t testing.TB, in *bufio.Reader) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
--- a/internal/common/peertest/discovery.go
+++ b/internal/common/peertest/discovery.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// Discovery is a discovery on loopback whose list a test changes. Subscribers (watch) get each change. It is safe for concurrent use.
+// Discovery is a discovery service on loopback whose list a test changes. A request with the query parameter watch subscribes: it
+// is sent the present list and each later one. It is safe for concurrent use.
 type Discovery struct {
 	mu          sync.Mutex
 	list        string
@@ -19,9 +20,9 @@
 	calls       int
 }
 
-// NewDiscovery starts a discovery with a first list. It ends with the test.
-func NewDiscovery(t testing.TB, first string) (d *Discovery, addr string) {
-	d = &Discovery{list: first, subscribers: map[net.Conn]struct{}{}}
+// NewDiscovery starts a discovery service with an initial list, and returns it and its address. It ends with the test.
+func NewDiscovery(t testing.TB, initialList string) (d *Discovery, addr string) {
+	d = &Discovery{list: initialList, subscribers: map[net.Conn]struct{}{}}
 	return d, NewRaw(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		req, err := http.ReadRequest(in)
@@ -45,7 +46,7 @@
 	})
 }
 
-// Publish publishes a list to all subscribers, and to later requests.
+// Publish sends a list to all subscribers, and makes it the answer to later requests.
 func (d *Discovery) Publish(list string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,28 +56,29 @@
 	}
 }
 
-// Subscribers is the number of open subscriptions.
+// Subscribers returns the number of open subscriptions.
 func (d *Discovery) Subscribers() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.subscribers)
 }
 
-// Calls is the number of requests so far.
+// Calls returns the number of requests so far, subscriptions included.
 func (d *Discovery) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// Instance is an entry of discovery's list, in its JSON form: a server of cell 3 in zone a. lifecycle is one of the platform's, such as up.
+// Instance returns an entry of the discovery service's list in its JSON form: a server of cell 3 in zone a. lifecycle is a
+// lifecycle state of the platform, such as up.
 func Instance(name, addr, lifecycle string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"m2","cell":3,"lifecycle":%q,"weight":1.0,"startedAtMs":0}`,
 		name, addr, lifecycle)
 }
 
-// Catalog is a message of discovery, in its JSON form, of a list's generation. With reset the instances are the complete list, else what has
-// changed.
+// Catalog returns a message of the discovery service in its JSON form, with the generation of the list. With reset the instances
+// are the complete list, otherwise they are changes of it.
 func Catalog(generation int, reset bool, instances ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, reset, strings.Join(instances, ","))
 }
--- a/internal/common/peertest/peertest.go
+++ b/internal/common/peertest/peertest.go
@@ -1,7 +1,7 @@
-// Package peertest has scripted peers on loopback for tests: servers and a discovery that answer what a test has them answer, addresses
-// at which nothing answers, a client, and functions to wait for events. Only tests import it.
+// Package peertest has scripted peers on loopback for tests: servers and a discovery service whose answers a test determines,
+// addresses at which nothing answers, a client, and functions that wait for events. Only tests import it.
 //
-// A function that takes a testing.TB ends the test if its set-up fails, and releases with the test's clean-up what it started.
+// A function that takes a testing.TB ends the test if its set-up fails, and registers a clean-up for everything that it starts.
 package peertest
 
 import (
@@ -13,16 +13,16 @@
 	"testing"
 )
 
-// Peer is a server or a discovery on loopback, with counts of its connections and requests.
+// Peer is a scripted HTTP server on loopback that counts its connections and requests. It is safe for concurrent use.
 type Peer struct {
 	Addr     string
 	Conns    atomic.Int32
 	Requests atomic.Int32
-	Ended    chan struct{} // gets a value for each connection that the other side ended; it has room for 100
+	Ended    chan struct{} // receives a value for each connection that the other side has ended; its buffer holds 100
 }
 
-// NewPeer starts a peer. handle answers each request on its connection, from that connection's goroutine; if it returns false the
-// connection is closed.
+// NewPeer starts a peer. handle writes the answer to each request to the connection c, from that connection's goroutine; the
+// connection is closed if handle returns false.
 func NewPeer(t testing.TB, handle func(c net.Conn, req *http.Request, body string) bool) *Peer {
 	t.Helper()
 	p := &Peer{Ended: make(chan struct{}, 100)}
@@ -33,7 +33,7 @@
 	return p
 }
 
-// serve answers the requests of one connection until either side ends it.
+// serve passes the requests of one connection to handle until the other side ends the connection or handle returns false.
 func (p *Peer) serve(c net.Conn, handle func(c net.Conn, req *http.Request, body string) bool) {
 	in := bufio.NewReader(c)
 	for {
@@ -50,7 +50,8 @@
 	}
 }
 
-// NewRaw starts a peer whose handle gets each connection, in a goroutine of its own; the connection is closed when handle returns.
+// NewRaw starts a TCP server on loopback and returns its address. It calls handle with each connection in a separate goroutine,
+// and closes the connection when handle returns.
 func NewRaw(t testing.TB, handle func(net.Conn)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +63,8 @@
 	return ln.Addr().String()
 }
 
-// acceptAll gives each connection to handle, in a goroutine of its own, and closes it after that, until the listener is closed.
+// acceptAll accepts connections until the listener is closed. It calls handle with each in a separate goroutine, and closes the
+// connection when handle returns.
 func acceptAll(ln net.Listener, handle func(net.Conn)) {
 	for {
 		c, err := ln.Accept()
@@ -76,7 +78,7 @@
 	}
 }
 
-// RespondWith is a handle for NewPeer that answers each request with a text.
+// RespondWith returns a handle for NewPeer that answers each request by writing text to the connection, unchanged.
 func RespondWith(text string) func(net.Conn, *http.Request, string) bool {
 	return func(c net.Conn, _ *http.Request, _ string) bool {
 		io.WriteString(c, text)
@@ -87,5 +89,5 @@
 // OKResponse is a successful response with a body of two bytes.
 const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-// NeverRespond is a handle for NewPeer that answers nothing and leaves the connection open.
+// NeverRespond is a handle for NewPeer that sends no answer and leaves the connection open.
 func NeverRespond(c net.Conn, _ *http.Request, _ string) bool { return true }
--- a/internal/common/peertest/settings.go
+++ b/internal/common/peertest/settings.go
@@ -1,6 +1,7 @@
 package peertest
 
-// Settings are settings of the platform's form: one class of each effect, two zones, reports in every answer.
+// Settings is a settings document in the platform's JSON form, with one request class of each effect, two zones, and servers that
+// report their load in every answer.
 const Settings = `{"classes": [
 	{"name": "look", "effect": "read_like", "on_time_ms": 8000, "hard_limit_ms": 10000},
 	{"name": "book", "effect": "idempotency_key", "group": "cell", "window_ms": 2000, "on_time_ms": 8000, "hard_limit_ms": 10000},
--- a/internal/common/peertest/wait.go
+++ b/internal/common/peertest/wait.go
@@ -8,16 +8,17 @@
 	"petrelhook/internal/common/await"
 )
 
-// EventTimeout bounds a wait for an event that must happen. No test waits so long when it passes.
+// EventTimeout bounds the wait for an event that must happen. A test that passes never waits that long.
 const EventTimeout = await.Timeout
 
-// Eventually is await.Eventually, for tests that use this package's peers.
-func Eventually(t testing.TB, what string, ok func() bool) {
+// Eventually calls await.Eventually. It is here for tests that use this package's peers.
+func Eventually(t testing.TB, condition string, ok func() bool) {
 	t.Helper()
-	await.Eventually(t, what, ok)
+	await.Eventually(t, condition, ok)
 }
 
-// Wait receives a value that must come within EventTimeout; else it fails the test. It is called from the test's goroutine.
+// Wait returns the next value of a channel, and ends the test if none is received within EventTimeout. It is called from the
+// test's goroutine.
 func Wait[T any](t testing.TB, c <-chan T) T {
 	t.Helper()
 	select {
@@ -29,7 +30,8 @@
 	}
 }
 
-// SkipUnlessMeasuring skips a measurement unless FIGURES is set: measurements are not part of the checks.
+// SkipUnlessMeasuring skips a test that only measures unless the environment variable FIGURES is set, because measurements check
+// nothing.
 func SkipUnlessMeasuring(t testing.TB) {
 	if os.Getenv("FIGURES") == "" {
 		t.Skip("FIGURES=1 measures")
--- a/internal/common/sock/later.go
+++ b/internal/common/sock/later.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// delayedListener listens at an address that another process may still have.
+// delayedListener is a listener for an address that another process may still use.
 type delayedListener struct {
-	listenAt      func(addr string) (net.Listener, error)
+	listenFunc    func(addr string) (net.Listener, error)
 	addr          string
 	retryInterval time.Duration
 
 	mu       sync.Mutex
-	listener net.Listener // nil: the address is not free yet
+	listener net.Listener // nil: it does not listen yet
 	closed   chan struct{}
 	once     sync.Once
 }
 
-// ListenLater listens at an address, with a function such as one that calls net.Listen, as soon as the process that has it releases it. It returns at once: Accept attempts to listen, at an
-// interval, until the address is free, and then waits for a connection. An error of Accept other than net.ErrClosed is of an address that
-// cannot be listened at, whoever has it.
+// ListenLater returns a listener for an address that another process may still use. It returns at once. The listener's Accept
+// calls listen, which is usually a wrapper of net.Listen, every retryInterval until the address is free, and then waits for a
+// connection. Accept returns an error of listen other than "address in use" at once, because a retry does not help. The listener
+// is safe for concurrent use.
 func ListenLater(listen func(addr string) (net.Listener, error), addr string, retryInterval time.Duration) net.Listener {
-	return &delayedListener{listenAt: listen, addr: addr, retryInterval: retryInterval, closed: make(chan struct{})}
+	return &delayedListener{listenFunc: listen, addr: addr, retryInterval: retryInterval, closed: make(chan struct{})}
 }
 
-// IsAddressInUse reports whether an error of a listen means that another process has the address.
+// IsAddressInUse reports whether an error of net.Listen means that another socket uses the address.
 func IsAddressInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
 
-// Accept waits until the address is free, and then for a connection.
+// Accept waits until the address is free, and then for a connection. It returns net.ErrClosed once the listener is closed.
 func (l *delayedListener) Accept() (net.Conn, error) {
 	for {
 		ln, err := l.listen()
@@ -48,7 +49,7 @@
 	}
 }
 
-// listen returns the listener, and makes it if there is none yet.
+// listen returns the underlying listener. The first successful call creates it.
 func (l *delayedListener) listen() (net.Listener, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +59,7 @@
 	default:
 	}
 	if l.listener == nil {
-		ln, err := l.listenAt(l.addr)
+		ln, err := l.listenFunc(l.addr)
 		if err != nil {
 			return nil, err
 		}
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// Addr is the address, also before it is free; an empty one if it cannot be parsed.
+// Addr returns the address, even before the listener listens; an empty address if it cannot be parsed.
 func (l *delayedListener) Addr() net.Addr {
 	a, err := net.ResolveTCPAddr("tcp", l.addr)
 	if err != nil {
--- a/internal/common/sock/later_test.go
+++ b/internal/common/sock/later_test.go
@@ -9,7 +9,8 @@
 
 func listenTCP(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// The listener listens once the other process has released the address; a close ends the wait for the address, and one for a connection.
+// The listener accepts connections once the address is free. Close ends an Accept that waits for the address, and one that waits
+// for a connection.
 func TestListenLater(t *testing.T) {
 	first, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/common/sock/sock.go
+++ b/internal/common/sock/sock.go
@@ -1,6 +1,7 @@
-// Package sock has functions on connections and listeners that package net lacks: whether a connection is quiet or has ended, an end by
-// reset, and listeners that two processes share or that wait for an address. It works on TCP and, apart from listeners, on connections
-// that have methods of the same names, such as those in memory of the rig's package memnet. Its functions are safe for concurrent use.
+// Package sock has functions for connections and listeners that package net lacks. They report whether a connection is idle or
+// has ended, close a connection with a reset, and open listeners that two processes share or that wait for an address to become
+// free. They work on TCP on Linux. Quiet and Ended also work on connections that have a method of the same name, such as the
+// in-memory ones of package memnet. The functions are safe for concurrent use.
 package sock
 
 import (
@@ -11,39 +12,40 @@
 	"unsafe"
 )
 
-// Quiet reports whether a connection is open and has no unread bytes. It does not wait.
+// Quiet reports whether a connection is open and has no unread bytes. It does not block.
 func Quiet(c net.Conn) bool {
-	if q, ok := c.(interface{ Quiet() bool }); ok { // a connection that implements it, as those in memory do
-		return q.Quiet()
+	if conn, ok := c.(interface{ Quiet() bool }); ok { // such as an in-memory connection
+		return conn.Quiet()
 	}
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Ended reports whether the peer has closed its sending side, or the connection, and no bytes before that are unread. It does not wait.
+// Ended reports whether the peer has closed its sending side or the connection, and all bytes sent before that have been read. It
+// does not block.
 func Ended(c net.Conn) bool {
-	if e, ok := c.(interface{ Ended() bool }); ok {
-		return e.Ended()
+	if conn, ok := c.(interface{ Ended() bool }); ok {
+		return conn.Ended()
 	}
 	n, err := peek(c)
 	return n <= 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) && !errors.Is(err, errors.ErrUnsupported)
 }
 
-// peek reads one byte without consuming it. It does not wait.
+// peek reads one byte without consuming it. It does not block.
 func peek(c net.Conn) (n int, err error) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return 0, errors.ErrUnsupported
 	}
-	failed := control(t, func(fd int) error {
+	controlErr := control(t, func(fd int) error {
 		var b [1]byte
 		n, _, err = syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return err
 	})
-	return n, failed
+	return n, controlErr
 }
 
-// Unsent reports whether bytes that were written have not been acknowledged by the peer's machine. It is false if that cannot be
+// Unsent reports whether written bytes have not yet been acknowledged by the peer's kernel. It returns false if that cannot be
 // determined.
 func Unsent(c net.Conn) bool {
 	t, ok := c.(*net.TCPConn)
@@ -51,32 +53,33 @@
 		return false
 	}
 	var n int32
-	failed := control(t, func(fd int) error {
+	controlErr := control(t, func(fd int) error {
 		if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, uintptr(fd), syscall.TIOCOUTQ, uintptr(unsafe.Pointer(&n))); errno != 0 {
 			return errno
 		}
 		return nil
 	})
-	return failed == nil && n > 0
+	return controlErr == nil && n > 0
 }
 
-// reusePort is SO_REUSEPORT, which package syscall does not name on every architecture. The number is the same on all of Linux that Go
-// supports but MIPS; there the option is refused, and two processes cannot share an address.
+// reusePort is SO_REUSEPORT, which package syscall does not define on every architecture. The number is the same on all Linux
+// architectures that Go supports except MIPS; there setting the option fails, and two processes cannot share an address.
 const reusePort = 0xf
 
-// ListenShared listens at an address at which another process of the same user may listen too, if it uses ListenShared as well.
+// ListenShared listens at an address with SO_REUSEPORT: other processes of the same user may listen at it too if they also use
+// ListenShared.
 func ListenShared(addr string) (net.Listener, error) {
 	c := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
-		if failed := raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, reusePort, 1) }); failed != nil {
-			return failed
+		if controlErr := raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, reusePort, 1) }); controlErr != nil {
+			return controlErr
 		}
 		return err
 	}}
-	c.SetMultipathTCP(false) // its listeners accept no filter, which Yield needs
+	c.SetMultipathTCP(false) // listeners with multipath TCP do not accept the filter of Yield
 	ln, err := c.Listen(context.Background(), "tcp", addr)
 	if err == nil {
-		_ = unyield(ln) // an error means that there was no filter
+		_ = unyield(ln) // an error means that there is no filter
 	}
 	return ln, err
 }
@@ -86,17 +89,17 @@
 	detachReusePortBPF  = 0x44 // SO_DETACH_REUSEPORT_BPF
 )
 
-// Yield directs new connections to the other process that listens at the same address; both use ListenShared, and this one listened
-// first. Connections in this listener's queue are still to be accepted: closing the listener resets them. If no other process listens,
-// nothing changes. An error means that the listener is not one of ListenShared, or that the kernel has refused the filter: new
-// connections then go to either process.
+// Yield directs new connections to the other process that listens at the same address. Both processes use ListenShared, and the
+// caller's process has listened first. The caller must still accept the connections in its listener's queue before it closes the
+// listener, because closing resets them. If no other process listens, nothing changes. An error means that the listener was not
+// opened by ListenShared, or that the kernel has refused the filter; new connections then go to either process.
 //
-// The kernel asks a filter which socket of the group takes a connection; this one selects the second. If there is none, the
-// kernel uses its own choice.
+// The filter tells the kernel which socket of the SO_REUSEPORT group gets a new connection. It always selects the second socket;
+// if there is none, the kernel chooses by itself.
 func Yield(ln net.Listener) error {
 	return control(ln, func(fd int) error {
-		second := []syscall.SockFilter{{Code: syscall.BPF_RET | syscall.BPF_K, K: 1}}
-		prog := syscall.SockFprog{Len: uint16(len(second)), Filter: &second[0]}
+		selectSecond := []syscall.SockFilter{{Code: syscall.BPF_RET | syscall.BPF_K, K: 1}}
+		prog := syscall.SockFprog{Len: uint16(len(selectSecond)), Filter: &selectSecond[0]}
 		_, _, errno := syscall.Syscall6(syscall.SYS_SETSOCKOPT, uintptr(fd), syscall.SOL_SOCKET, attachReusePortCBPF,
 			uintptr(unsafe.Pointer(&prog)), unsafe.Sizeof(prog), 0)
 		if errno != 0 {
@@ -106,14 +109,15 @@
 	})
 }
 
-// unyield removes the filter of an earlier process at the address: it belongs to the group of sockets, and outlives the process.
+// unyield removes the filter that an earlier process at the address has set. A filter belongs to the group of sockets, so it
+// outlives the process.
 func unyield(ln net.Listener) error {
 	return control(ln, func(fd int) error { return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, detachReusePortBPF, 0) })
 }
 
-// control calls f with the descriptor of a connection or listener.
-func control(of any, f func(fd int) error) error {
-	c, ok := of.(syscall.Conn)
+// control calls f with the file descriptor of a connection or listener, and returns the error of f.
+func control(connOrListener any, f func(fd int) error) error {
+	c, ok := connOrListener.(syscall.Conn)
 	if !ok {
 		return errors.ErrUnsupported
 	}
@@ -121,16 +125,17 @@
 	if err != nil {
 		return err
 	}
-	if failed := raw.Control(func(fd uintptr) { err = f(int(fd)) }); failed != nil {
-		return failed
+	if controlErr := raw.Control(func(fd uintptr) { err = f(int(fd)) }); controlErr != nil {
+		return controlErr
 	}
 	return err
 }
 
-// Abort closes a connection with a reset, where it can: unread and unsent bytes are dropped. The error is that of Close.
+// Abort closes a connection with a reset, if its type has a method SetLinger. Unread and unsent bytes are dropped. The error is
+// that of Close.
 func Abort(c net.Conn) error {
-	if t, ok := c.(interface{ SetLinger(int) error }); ok {
-		t.SetLinger(0)
+	if conn, ok := c.(interface{ SetLinger(int) error }); ok {
+		conn.SetLinger(0)
 	}
 	return c.Close()
 }
--- a/internal/common/yamlfile/deprecated.go
+++ b/internal/common/yamlfile/deprecated.go
@@ -6,10 +6,11 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// DeprecatedNames reads fields also under the names that earlier versions had for them, and collects which of these names a file uses. One
-// value is for one file and one goroutine. The zero value is ready for use.
+// DeprecatedNames reads renamed fields under their earlier names too, and records which of these names a file uses. A value is
+// used for one file and from one goroutine. The zero value is ready to use.
 //
-// A parser calls its Fields in place of the function Fields for each mapping that has renamed fields, and Warnings once all are read:
+// A parser calls the method Fields instead of the function Fields for each mapping that has renamed fields, and Warnings after
+// the last one:
 //
 //	var names yamlfile.DeprecatedNames
 //	err := names.Fields(file, "limits.", n, known, map[string]string{"heard": "contact_timeout"})
@@ -20,20 +21,20 @@
 	current map[string]bool // the field paths in which the file uses a current name
 }
 
-// deprecatedUse is a field that a file has under a deprecated name.
+// deprecatedUse is an occurrence of a deprecated name in a file.
 type deprecatedUse struct {
-	node        *yaml.Node // its value
-	field       string     // its path under the deprecated name, with indexes
-	path        string     // the same without indexes
+	node        *yaml.Node // the field's value
+	field       string     // the field's path under the deprecated name, with list indexes
+	path        string     // the same without list indexes
 	currentName string
-	currentPath string // the path under the current name, without indexes
+	currentPath string // the path under the current name, without list indexes
 }
 
-// listIndex is the index of a list's item in the path of a field.
+// listIndex matches the index of a list item in the path of a field.
 var listIndex = regexp.MustCompile(`\[\d+\]`)
 
-// Fields is the function Fields for a mapping in which fields may have deprecated names. renamed leads from each deprecated name to the
-// current one, which is in known and reads both.
+// Fields does the same as the function Fields for a mapping whose fields may have deprecated names. renamed maps each deprecated
+// name to the current name, whose Reader in known reads the value under either name.
 func (d *DeprecatedNames) Fields(file, prefix string, n *yaml.Node, known map[string]Reader, renamed map[string]string) error {
 	pathPrefix := listIndex.ReplaceAllString(prefix, "")
 	for i := 0; i+1 < len(n.Content); i += 2 {
@@ -56,7 +57,7 @@
 	d.current[path] = true
 }
 
-// addUse adds the first use of a deprecated name. Later uses in other items of the same list are left out.
+// addUse records the first use of a deprecated name. It ignores later uses, such as those in other items of the same list.
 func (d *DeprecatedNames) addUse(use deprecatedUse) {
 	for _, earlier := range d.uses {
 		if earlier.path == use.path {
@@ -66,8 +67,8 @@
 	d.uses = append(d.uses, use)
 }
 
-// Warnings returns one warning for each deprecated name, with the place of its first use, in the order in which the parser has read them.
-// A file that has a field under both names is an error: which value is meant is not known.
+// Warnings returns one warning for each deprecated name that the file uses, with the position of its first use, in the order in
+// which the parser read them. A file with both names of a field is an error, because it is unclear which value is meant.
 func (d *DeprecatedNames) Warnings(file string) ([]string, error) {
 	var warnings []string
 	for _, use := range d.uses {
--- a/internal/common/yamlfile/deprecated_test.go
+++ b/internal/common/yamlfile/deprecated_test.go
@@ -8,7 +8,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// parseWindows reads a file with a list of windows, in which size was once called big, and a field limit that was once called most.
+// parseWindows reads a file with a field limit, whose deprecated name is most, and a list of windows with a field size, whose
+// deprecated name is big.
 func parseWindows(text string) (sizes []int, limit int, warnings []string, err error) {
 	const file = "w.yaml"
 	top, err := Mapping(file, []byte(text), "fields such as limit: 3")
@@ -35,7 +36,8 @@
 	return sizes, limit, warnings, err
 }
 
-// A field is read under its deprecated name as under the current one. Each deprecated name gets one warning, with the place of its first use.
+// A field is read under its deprecated name as under the current one. Each deprecated name that is used causes one warning, with
+// the position of its first use.
 func TestDeprecatedNames(t *testing.T) {
 	for name, c := range map[string]struct {
 		text     string
@@ -55,7 +57,8 @@
 	}
 }
 
-// A file must not have both names of a field, not even in different items of a list. Other errors name what the file says.
+// A file with both names of a field is an error, even if they are in different items of a list. Other errors name the field as
+// the file does, under the deprecated name.
 func TestBadDeprecatedNames(t *testing.T) {
 	for text, want := range map[string]string{
 		"most: 7\nlimit: 7\nwindows: [{size: 1}]\n":     "w.yaml:1:7: most: the file has limit as well; write limit alone",
--- a/lease/suspend_test.go
+++ b/lease/suspend_test.go
@@ -90,7 +90,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
 	const clients, renewals = 200, 6
-	start := time.Now()
+	startedAt := time.Now()
 	var all []*Client
 	var recorders []*callRecorder
 	for i := range clients {
@@ -98,7 +98,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &callRecorder{RoundTripper: c.caller.HTTPClient.Transport, start: start}
+		r := &callRecorder{RoundTripper: c.caller.HTTPClient.Transport, start: startedAt}
 		c.caller.HTTPClient.Transport = r
 		all, recorders = append(all, c), append(recorders, r)
 		if _, err := c.Hold(ctx, fmt.Sprint("x", i)); err != nil {
