--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -132,7 +132,7 @@
 		Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("start of replica %d: %w", o.ID, err)
+		return nil, fmt.Errorf("starting replica %d: %w", o.ID, err)
 	}
 	c.resetElectionTimer()
 	return c, nil
@@ -142,7 +142,7 @@
 func (c *Core) load(persisted *PersistedState) error {
 	if persisted.Snapshot != nil {
 		if err := c.storage.ApplySnapshot(persisted.Snapshot); err != nil {
-			return fmt.Errorf("load of the snapshot: %w", err)
+			return fmt.Errorf("loading the snapshot: %w", err)
 		}
 		if err := c.restore(persisted.Snapshot); err != nil {
 			return err
@@ -154,12 +154,12 @@
 			hard.Commit = proto.Uint64(c.applied)
 		}
 		if err := c.storage.SetHardState(hard); err != nil {
-			return fmt.Errorf("load of the hard state: %w", err)
+			return fmt.Errorf("loading the hard state: %w", err)
 		}
 		c.leadership.term = hard.GetTerm()
 	}
 	if err := c.storage.Append(persisted.Entries); err != nil {
-		return fmt.Errorf("load of the log: %w", err)
+		return fmt.Errorf("loading the log: %w", err)
 	}
 	return nil
 }
@@ -265,21 +265,21 @@
 	rd := ready.raft
 	if ready.Snapshot != nil {
 		if err := c.storage.ApplySnapshot(ready.Snapshot); err != nil {
-			return nil, 0, fmt.Errorf("snapshot of the leader: %w", err)
+			return nil, 0, fmt.Errorf("applying the leader's snapshot: %w", err)
 		}
 		if err := c.restore(ready.Snapshot); err != nil {
 			return nil, 0, err
 		}
 	}
 	if err := c.storage.Append(rd.Entries); err != nil {
-		return nil, 0, fmt.Errorf("append to the log: %w", err)
+		return nil, 0, fmt.Errorf("appending to the log: %w", err)
 	}
 	if rd.SoftState != nil {
 		c.applySoftState(rd.SoftState)
 	}
 	for _, e := range rd.CommittedEntries {
 		if err := c.apply(e, now); err != nil {
-			return nil, 0, fmt.Errorf("entry %d: %w", e.GetIndex(), err)
+			return nil, 0, fmt.Errorf("applying entry %d: %w", e.GetIndex(), err)
 		}
 	}
 	for _, r := range rd.ReadStates {
@@ -314,13 +314,13 @@
 func (c *Core) createSnapshot() (snapshot *pb.Snapshot, compact uint64, err error) {
 	snapshot, err = c.storage.CreateSnapshot(c.applied, c.membership.confState, c.state.encode(c.Members()))
 	if err != nil {
-		return nil, 0, fmt.Errorf("snapshot at %d: %w", c.applied, err)
+		return nil, 0, fmt.Errorf("creating the snapshot at index %d: %w", c.applied, err)
 	}
 	c.snapshotIndex, c.membership.snapshotDue = c.applied, false
 	if first, _ := c.storage.FirstIndex(); c.applied > c.CatchUpEntries+first {
 		compact = c.applied - c.CatchUpEntries
 		if err = c.storage.Compact(compact); err != nil {
-			err = fmt.Errorf("compaction of the log at %d: %w", compact, err)
+			err = fmt.Errorf("compacting the log up to index %d: %w", compact, err)
 		}
 	}
 	return snapshot, compact, err
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -53,21 +53,21 @@
 var (
 	checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-	errMissing = errors.New("missing: this is not all of a replica")
+	errMissing = errors.New("missing: the replica's file is incomplete")
 )
 
 // Errors of Create and Open, wrapped with the path of the file.
 var (
 	// ErrExists is returned by Create if the folder holds a replica already.
-	ErrExists = errors.New("there is a replica already")
+	ErrExists = errors.New("a replica already exists")
 	// ErrNoReplica is returned by Open if the folder holds no replica.
-	ErrNoReplica = errors.New("there is no replica")
+	ErrNoReplica = errors.New("no replica found")
 	// ErrLocked is returned by Open if another process has locked the file.
-	ErrLocked = errors.New("another process has it")
+	ErrLocked = errors.New("locked by another process")
 	// ErrCorrupted is returned by Open if the file's content differs from what was written.
-	ErrCorrupted = errors.New("damaged")
+	ErrCorrupted = errors.New("corrupted")
 	// ErrTruncated is returned by Open if the file is shorter than what was written.
-	ErrTruncated = errors.New("cut off")
+	ErrTruncated = errors.New("truncated")
 )
 
 // Disk is the open file of one replica.
@@ -152,7 +152,7 @@
 		}
 	}()
 	if info, err := os.Stat(path); err != nil || info.Size() == 0 { // bbolt would make a new file of it
-		return nil, nil, errors.Join(err, fmt.Errorf("%s: offset 0: %w: it is empty", path, ErrTruncated))
+		return nil, nil, errors.Join(err, fmt.Errorf("%s: offset 0: %w: the file is empty", path, ErrTruncated))
 	}
 	// Read-only first: for writing, bbolt builds the free list, and for that it trusts the content of pages.
 	readOnlyOptions := options()
@@ -193,11 +193,11 @@
 	if info, err := os.Stat(d.path); err != nil {
 		return err
 	} else if info.Size() < tx.Size() {
-		return fmt.Errorf("%s: offset %d: %w; %d bytes belong to it", d.path, info.Size(), ErrTruncated, tx.Size())
+		return fmt.Errorf("%s: offset %d: %w: the file should have %d bytes", d.path, info.Size(), ErrTruncated, tx.Size())
 	}
 	meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 	if meta == nil || log == nil {
-		return fmt.Errorf("%s: offset 0: no replica is in it", d.path)
+		return fmt.Errorf("%s: offset 0: the file holds no replica", d.path)
 	}
 	if err := d.readMeta(meta, persisted); err != nil {
 		return err
@@ -212,7 +212,7 @@
 		return err
 	}
 	if string(formatName) != format {
-		return fmt.Errorf("%s: %s: %q, ours is %q", d.path, keyFormat, formatName, format)
+		return fmt.Errorf("%s: %s: %q; this version reads %q", d.path, keyFormat, formatName, format)
 	}
 	incarnation, err := d.required(meta, keyIncarnation)
 	if err != nil {
@@ -224,7 +224,7 @@
 		return err
 	}
 	if len(id) != 8 {
-		return fmt.Errorf("%s: %s: %d bytes", d.path, keyID, len(id))
+		return fmt.Errorf("%s: %s: %d bytes instead of 8", d.path, keyID, len(id))
 	}
 	d.ID = binary.BigEndian.Uint64(id)
 	hardState, snapshot := &pb.HardState{}, &pb.Snapshot{}
@@ -276,7 +276,7 @@
 			err = proto.Unmarshal(value, e)
 		}
 		if err == nil && (e.GetIndex() != index || last != 0 && index != last+1) {
-			err = fmt.Errorf("it is numbered %d, after %d", e.GetIndex(), last)
+			err = fmt.Errorf("the entry has index %d, after an entry with index %d", e.GetIndex(), last)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: entry %d: %w", d.path, index, err)
--- a/internal/coordination/replica/disk/disk_test.go
+++ b/internal/coordination/replica/disk/disk_test.go
@@ -56,7 +56,7 @@
 	if err != nil || d.Incarnation != incarnation || len(persisted.Entries) != 199 || persisted.Entries[198].GetTerm() != 2 || persisted.HardState.GetTerm() != 2 {
 		t.Fatalf("%v, %d entries", err, len(persisted.Entries))
 	}
-	if _, _, err := Open(dir); !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), "another process has it") {
+	if _, _, err := Open(dir); !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), "locked by another process") {
 		t.Errorf("%v", err)
 	}
 	if err := d.SaveSnapshot(&pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(180)}}, 170); err != nil {
@@ -93,7 +93,7 @@
 	}{
 		"a flipped bit in an entry": {flip(entryOffset), "offset", ErrCorrupted},
 		"a truncated file":          {intact[:entryOffset], "offset", ErrTruncated},
-		"an empty file":             {intact[:0], "offset 0: cut off", ErrTruncated},
+		"an empty file":             {intact[:0], "offset 0: truncated", ErrTruncated},
 		"both meta pages zeroed":    {append(make([]byte, 8192), intact[8192:]...), "offset 0", nil},
 	} {
 		dir := t.TempDir()
--- a/internal/coordination/replica/state.go
+++ b/internal/coordination/replica/state.go
@@ -83,7 +83,7 @@
 func (c *Core) restore(snapshot *pb.Snapshot) error {
 	state, members, err := decodeSnapshot(snapshot.Data)
 	if err != nil {
-		return fmt.Errorf("snapshot at %d: %w", snapshot.Metadata.GetIndex(), err)
+		return fmt.Errorf("restoring the snapshot at index %d: %w", snapshot.Metadata.GetIndex(), err)
 	}
 	c.state, c.changedServices = state, ChangedServices{All: true}
 	c.leadership.stopServing()
