--- a/internal/common/await/await.go
+++ b/internal/common/await/await.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(Timeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", Timeout, condition)
+			t.Fatalf("condition not met within %v: %s", Timeout, condition)
 		}
 	}
 }
--- a/internal/common/peertest/wait.go
+++ b/internal/common/peertest/wait.go
@@ -34,6 +34,6 @@
 // nothing.
 func SkipUnlessMeasuring(t testing.TB) {
 	if os.Getenv("FIGURES") == "" {
-		t.Skip("FIGURES=1 measures")
+		t.Skip("set FIGURES=1 to run this measurement")
 	}
 }
--- a/lease/guard.go
+++ b/lease/guard.go
@@ -7,7 +7,7 @@
 )
 
 // ErrStaleToken is returned by Guard.Admit for a token that is older than one it has seen, or zero.
-var ErrStaleToken = errors.New("a newer grant has been seen")
+var ErrStaleToken = errors.New("stale token: a newer grant has been seen")
 
 // Guard checks fencing tokens in a resource that a lease protects: it refuses tokens older than the newest one that it has seen.
 // The zero value has seen none. A resource that outlives its process stores Newest together with the protected data, and passes
@@ -27,7 +27,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if token < g.newest || token == 0 {
-		return fmt.Errorf("%w: token %d, and %d was seen", ErrStaleToken, token, g.newest)
+		return fmt.Errorf("%w: token %d, newest seen %d", ErrStaleToken, token, g.newest)
 	}
 	g.newest = token
 	return act()
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -34,15 +34,15 @@
 	// ErrReleased is the cause after the holder has released the lease.
 	ErrReleased = errors.New("the lease was released")
 	// ErrBroken is the cause after an operator has broken the lease. The holder still holds it for Held.Left, and should release it.
-	ErrBroken = errors.New("operators broke the lease")
+	ErrBroken = errors.New("an operator broke the lease")
 	// ErrClosed means that the client was closed.
 	ErrClosed = errors.New("the client is closed")
 	// ErrAlreadyHeld means that this client holds the lease already, or that another of its calls is acquiring it.
-	ErrAlreadyHeld = errors.New("this client holds the lease already, or waits for it")
+	ErrAlreadyHeld = errors.New("this client already holds the lease or is acquiring it")
 	// ErrLimitReached means that the coordinators have as many sessions, or the lease as many waiters, as their limits allow.
-	ErrLimitReached = errors.New("full")
+	ErrLimitReached = errors.New("too many sessions, or too many waiters for the lease")
 	// ErrEmbargoed means that the coordinators grant nothing yet, because their state was restored from a copy.
-	ErrEmbargoed = errors.New("embargoed")
+	ErrEmbargoed = errors.New("the coordinators grant no leases yet: their state was restored from a copy")
 )
 
 const (
