--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// ElectionTicks is the shortest election time-out, in ticks. A follower that hears of no leader campaigns after a random number
-	// of ticks from ElectionTicks to 2*ElectionTicks-1, drawn again for each time-out.
+	// ElectionTicks is the shortest election time-out, in ticks. A follower without a message from a leader campaigns after a random
+	// number of ticks from ElectionTicks to 2*ElectionTicks-1, drawn again for each time-out.
 	ElectionTicks  = 10
 	heartbeatTicks = 1
 
--- a/internal/coordination/replica/disk/disk.go
+++ b/internal/coordination/replica/disk/disk.go
@@ -31,8 +31,8 @@
 
 const (
 	fileName    = "replica.db"
-	newSuffix   = ".new" // of a file that is being created
-	lockTimeout = time.Second
+	newSuffix   = ".new"      // of a file that is being created
+	lockTimeout = time.Second // how long an open waits for a lock that another process holds
 	// format identifies the files of this package. It contains the name that the program had when the format was introduced, and
 	// must not change: existing files contain it.
 	format = "petrelfleet 1"
@@ -74,11 +74,11 @@
 type Disk struct {
 	db          *bbolt.DB
 	path        string
-	Incarnation string
+	Incarnation string // of the disk, drawn when the file was created
 	ID          uint64 // of the replica
 }
 
-// Exists reports whether a folder holds a replica.
+// Exists reports whether a folder holds the file of a replica. It returns true if the file cannot be examined.
 func Exists(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, fileName))
 	return !errors.Is(err, os.ErrNotExist)
--- a/internal/coordination/replica/members.go
+++ b/internal/coordination/replica/members.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// promoteLearner proposes to make a voter of the first learner, by id, that has caught up.
+// promoteLearner proposes to promote a learner that has caught up to a voter: the one with the lowest id, if there are several.
 func (c *Core) promoteLearner() {
 	for _, id := range slices.Sorted(maps.Keys(c.membership.members)) {
 		if m := c.membership.members[id]; m.Learner && c.caughtUp(id) {
--- a/internal/coordination/replica/request.go
+++ b/internal/coordination/replica/request.go
@@ -45,7 +45,7 @@
 	return r.Command != nil || r.Rollout != nil || r.Limit != nil || r.Publish != nil
 }
 
-// KeepAlive requests the renewal of a session.
+// KeepAlive requests the renewal of a session, which may no longer exist.
 type KeepAlive struct {
 	Session      lease.SessionID `json:"Session"`
 	KnownVersion uint64          `json:"Known"` // the version of the session's grants that the client knows
@@ -216,7 +216,7 @@
 	}
 }
 
-// read returns the response to a read. A majority has confirmed the leadership for it.
+// read returns the response to a read. It is called once a majority has confirmed this replica's leadership.
 func (c *Core) read(request Request, now lease.Instant) Response {
 	var response Response
 	switch {
--- a/internal/coordination/replica/simulation_test.go
+++ b/internal/coordination/replica/simulation_test.go
@@ -16,8 +16,8 @@
 	"petrelhook/internal/rig/group"
 )
 
-// The linearizability model accepts a grant that is reported twice to the same session, and rejects any other second grant, an
-// older token and the release of an older grant.
+// The linearizability model accepts a grant that is reported twice to the same session. It rejects a token that is granted to two
+// sessions, a token that is older than the last one, and the release of a lease with an older token.
 func TestModel(t *testing.T) {
 	op := func(kind lease.Kind, session lease.SessionID, token lease.Token, at int64) porcupine.Operation {
 		cmd, a := lease.Command{Kind: kind, Session: session}, lease.Answer{Status: lease.OK}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -25,7 +25,7 @@
 // Token is the fencing token of one grant. It is larger than the token of every earlier grant.
 type Token = lease.Token
 
-// Errors that Hold and Try wrap with the name of the lease, and causes for the end of a lease's context (context.Cause).
+// Errors of Hold and Try, which may be wrapped with the name of the lease, and causes of the end of a lease's context.
 var (
 	// ErrTaken is returned by Try if another session holds the lease.
 	ErrTaken = errors.New("another session holds the lease")
@@ -257,7 +257,7 @@
 }
 
 // Close ends the session and its leases, and waits until all requests of the client have ended. An error means that the
-// coordinators have not confirmed the end of the session: its leases then become free at the latest when its TTL has passed.
+// coordinators have not confirmed the end of the session: its leases then become free when the session expires.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	for _, h := range c.held {
--- a/lease/suspend_test.go
+++ b/lease/suspend_test.go
@@ -18,7 +18,7 @@
 
 // While a machine is suspended, Go's timers stop and the client's clock continues. The first check after the suspension finds the
 // lease lost and ends its context. If the session is still alive at the coordinators, the client releases the lease, so that
-// another client gets it.
+// another client gets it within the TTL.
 func TestASuspendedMachine(t *testing.T) {
 	addr, stop := coordinator.StartForTest(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
