--- a/internal/sidecar/wiring/cost_test.go
+++ b/internal/sidecar/wiring/bench_test.go
@@ -12,8 +12,8 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// BenchmarkSmallRequest measures a request of the usual size through a complete sidecar, on a connection that stays open. Client and server
-// are in the same process and are measured too.
+// BenchmarkSmallRequest measures a request of the usual size through a complete sidecar, on a connection that stays open. The measurement
+// includes the client and the server, which run in the same process.
 func BenchmarkSmallRequest(b *testing.B) {
 	addr := peertest.NewRaw(b, func(c net.Conn) {
 		for in := bufio.NewReader(c); ; {
--- a/internal/sidecar/wiring/drain_test.go
+++ b/internal/sidecar/wiring/drain_test.go
@@ -20,12 +20,12 @@
 
 const (
 	drainAddr = "127.0.0.1:80" // of the server
-	// A stream is requested streamHead before the drain, and lasts until about the time after its begin that its trace ID says.
+	// A stream is requested streamHead before the drain. Its trace ID says how long after the start of the drain it ends, approximately.
 	streamHead  = time.Second
 	streamBytes = 600_000
 )
 
-// drainRig is a sidecar on a simulated network, and a server whose responses end at a given time.
+// drainRig is a sidecar on a simulated network with a server whose responses end at a given time.
 type drainRig struct {
 	t       *testing.T
 	network *memnet.Network
@@ -37,12 +37,12 @@
 func startDrainRig(t *testing.T) *drainRig {
 	t.Helper()
 	network := memnet.New(200 * time.Microsecond)
-	servers, err := network.Listen(drainAddr)
+	serverListener, err := network.Listen(drainAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(streamUntilTraceTime)}
-	go server.Serve(servers)
+	go server.Serve(serverListener)
 	t.Cleanup(func() { server.Close() })
 
 	cfg, err := config.Parse("test", []byte(fmt.Sprintf(
@@ -63,8 +63,8 @@
 	return &drainRig{t: t, network: network, sidecar: sidecar, addr: cfg.Listen}
 }
 
-// streamUntilTraceTime writes a response of streamBytes that ends when the trace ID says, a duration from the drain on. Without a duration
-// the response is short.
+// streamUntilTraceTime writes a response of streamBytes. The trace ID is the duration from the start of the drain to the end of the
+// response. If it is not a duration, the response is short and is sent at once.
 func streamUntilTraceTime(w http.ResponseWriter, req *http.Request) {
 	until, err := time.ParseDuration(req.Header.Get("X-Trace-Id"))
 	if err != nil {
@@ -75,21 +75,22 @@
 	w.Write(make([]byte, streamBytes/2))
 	http.NewResponseController(w).Flush()
 	const parts = 10
-	for range parts { // a pace that is served
+	for range parts { // fast enough to be relayed to the end
 		time.Sleep((until + streamHead) / parts)
 		w.Write(make([]byte, streamBytes/2/parts))
 		http.NewResponseController(w).Flush()
 	}
 }
 
-// drainClient is a client's connection, and the response that it is reading.
+// drainClient is a client's connection with the response that is being read from it.
 type drainClient struct {
 	net.Conn
 	in       *bufio.Reader
 	response *http.Response
 }
 
-// stream requests a response that ends that long after the drain, and reads its head, which keeps the connection open.
+// stream requests a response that ends the duration until after the start of the drain. It reads the head of the response, which says that
+// the connection stays open.
 func (r *drainRig) stream(until time.Duration) *drainClient {
 	r.t.Helper()
 	conn, err := r.network.Dial(r.t.Context(), "tcp", r.addr)
@@ -104,39 +105,39 @@
 	return client
 }
 
-// An evacuation begins while two responses are relayed, whose heads were written before and keep their connections open. One response ends
-// just before 4 s and its client sends a request at once: that is served, and ends the connection. The other client sends nothing more, and
-// its connection is closed before 4 s.
-func TestTheLastMomentOfADrain(t *testing.T) {
+// An evacuation begins while two responses are being relayed. Their heads were written before and say that the connections stay open. Both
+// responses end just before the drain time of 4 s. One client sends another request at once: it is served, and its response ends the
+// connection. The other client sends nothing more, and its connection is closed before the 4 s are over.
+func TestARequestAtTheEndOfADrain(t *testing.T) {
 	const (
-		drainTime = 4 * time.Second
-		late      = 3800 * time.Millisecond // both streams end after it
+		drainTime   = 4 * time.Second
+		earliestEnd = 3800 * time.Millisecond // both streams end after it
 	)
 	synctest.Test(t, func(t *testing.T) {
 		r := startDrainRig(t)
 		began := time.Now()
-		asking, quiet := r.stream(3870*time.Millisecond), r.stream(3860*time.Millisecond)
-		defer asking.Close()
-		defer quiet.Close()
+		active, idle := r.stream(3870*time.Millisecond), r.stream(3860*time.Millisecond)
+		defer active.Close()
+		defer idle.Close()
 		time.Sleep(streamHead - time.Since(began))
 		r.sidecar.lifecycle.Apply(lifecycle.Evacuate)
 		drainBegan := time.Now()
 
-		quietClosed := make(chan time.Duration, 1)
+		idleClosed := make(chan time.Duration, 1)
 		go func() {
-			io.Copy(io.Discard, quiet.response.Body)
-			quiet.in.ReadByte()
-			quietClosed <- time.Since(drainBegan)
+			io.Copy(io.Discard, idle.response.Body)
+			idle.in.ReadByte()
+			idleClosed <- time.Since(drainBegan)
 		}()
-		got, err := io.Copy(io.Discard, asking.response.Body)
-		if err != nil || got != streamBytes || time.Since(drainBegan) < late {
+		got, err := io.Copy(io.Discard, active.response.Body)
+		if err != nil || got != streamBytes || time.Since(drainBegan) < earliestEnd {
 			t.Fatalf("%d bytes, %v after %v", got, err, time.Since(drainBegan))
 		}
-		io.WriteString(asking, lookRequest("again"))
-		if resp, err := http.ReadResponse(asking.in, nil); err != nil || resp.StatusCode != 200 || !resp.Close {
+		io.WriteString(active, lookRequest("again"))
+		if resp, err := http.ReadResponse(active.in, nil); err != nil || resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("a request after %v: %v, %v", time.Since(drainBegan), resp, err)
 		}
-		if after := <-quietClosed; after < late || after >= drainTime {
+		if after := <-idleClosed; after < earliestEnd || after >= drainTime {
 			t.Errorf("a connection without a request is closed after %v", after)
 		}
 		time.Sleep(drainTime - time.Since(drainBegan))
--- a/internal/sidecar/wiring/environment.go
+++ b/internal/sidecar/wiring/environment.go
@@ -12,17 +12,17 @@
 	"petrelhook/internal/sidecar/handover"
 )
 
-// Environment is what a process of a sidecar uses of its machine: System in service, and in tests a machine in memory. Its functions are
+// Environment is what a process of a sidecar uses of its machine: System in production, and a simulated machine in tests. Its functions are
 // called from any goroutine.
 type Environment struct {
 	Dial   Dial
 	Listen func(addr string) (net.Listener, error)
-	// ListenShared listens at an address that another process of the sidecar may have, and that shares it in the same way.
+	// ListenShared listens at an address at which other processes of the sidecar may listen at the same time, also by ListenShared.
 	ListenShared func(addr string) (net.Listener, error)
-	// Rendezvous returns the place where the processes of the sidecar with a name and a listening address find each other.
+	// Rendezvous returns the rendezvous of the sidecar that has this name and listening address.
 	Rendezvous func(name, listen string) Rendezvous
-	// Limit limits the process to some processors and MiB of memory (0: no limit); with shared to half of the memory, because another
-	// process of the sidecar lives. It may be called again.
+	// Limit limits the process to a number of processors and to memoryMiB of memory (0: no limit). If shared is set it allows half of that
+	// memory, because another process of the sidecar is running. It may be called again.
 	Limit func(processors, memoryMiB int, shared bool)
 }
 
@@ -30,27 +30,28 @@
 type Rendezvous interface {
 	// Request asks the process in service for a hand-over. Its errors are those of handover.Rendezvous.Request.
 	Request(timeout time.Duration) (*handover.Handover, error)
-	// Offer answers the requests of successors, in place of the process that did so before, until end is called. end waits until all
-	// functions of the offer have returned.
+	// Offer answers the requests of successors until end is called, and replaces the process that answered them before. end waits until
+	// all functions of the offer have returned.
 	Offer(Offer) (end func(), err error)
 }
 
-// Offer is what a process in service offers to successors. Its functions are called from a goroutine for each successor.
+// Offer is what a process in service offers to successors. Its functions are called from one goroutine per successor.
 type Offer struct {
-	Listener net.Listener // whose socket a successor gets
-	// State returns what a successor gets beside the socket. From then on this process keeps to its share of the connections: the socket
-	// is ready to be sent when State is called.
+	Listener net.Listener // a successor gets its socket
+	// State returns the state that a successor gets with the socket. This process is limited to its share of the connections from then on,
+	// so State is called only when the socket is ready to be sent.
 	State func() ([]byte, error)
-	// OnSuccessor is called with the link to a successor that was sent both. The link is closed when it returns.
+	// OnSuccessor is called with the link to a successor that was sent the socket and the state. The link is closed when it returns.
 	OnSuccessor func(*handover.Link)
-	// OnError is called when a request failed. Later requests are answered all the same.
+	// OnError is called when a request failed. Later requests are still answered.
 	OnError func(error)
 }
 
-// memoryFraction of the limit is what the Go runtime keeps to. C stacks and kernel buffers come on top.
+// memoryFraction is the fraction of the memory limit that is set as the Go runtime's limit, which does not include C stacks and kernel
+// buffers.
 const memoryFraction = 0.7
 
-// System is the environment of a process of the operating system.
+// System returns the environment of a process of the operating system.
 func System(dial Dial) *Environment {
 	return &Environment{
 		Dial: dial, ListenShared: sock.ListenShared, Limit: limitProcess,
@@ -77,7 +78,7 @@
 // socketRendezvous is a rendezvous at a Unix socket.
 type socketRendezvous struct{ handover.Rendezvous }
 
-// errNoSocket says that a listener has no socket that could be passed on.
+// errNoSocket is returned for a listener that has no socket to pass on.
 var errNoSocket = errors.New("the listener has no socket")
 
 // Offer implements Rendezvous.
--- a/internal/sidecar/wiring/imports_test.go
+++ b/internal/sidecar/wiring/imports_test.go
@@ -10,9 +10,10 @@
 
 const module = "petrelhook/"
 
-// layers lists which packages of this module each package may import, directly and through others. A pattern that ends in a star matches all
-// packages below it. The test fails for a package that matches no line: whoever adds one decides where it belongs.
-var layers = []struct{ name, may string }{
+// layers lists which packages of this module each package may import, directly or through others. The first line that matches a package
+// applies. A pattern that ends in a star matches all names with that prefix. The test fails for a package that matches no line, so that
+// whoever adds a package decides what it may import.
+var layers = []struct{ name, allowed string }{
 	{"balance", ""},
 	{"internal/router", ""},
 	{"internal/sidecar", ""},
@@ -111,8 +112,8 @@
 	{"cmd/adapter", "balance internal/sidecar/wire"},
 }
 
-// never lists what must not be imported even where a line of layers allows it.
-var never = []struct{ name, not string }{
+// forbidden lists imports that are not allowed even where a line of layers allows them.
+var forbidden = []struct{ name, denied string }{
 	{"internal/sidecar/wiring", "internal/rig/* internal/common/peertest internal/common/await"},
 	{"cmd/petrelhook", "internal/rig/* internal/common/peertest internal/common/await"},
 	{"internal/rig/*", "internal/common/peertest"},
@@ -125,13 +126,13 @@
 }
 
 func matches(pattern, name string) bool {
-	if under, ok := strings.CutSuffix(pattern, "*"); ok {
-		return strings.HasPrefix(name, under)
+	if prefix, ok := strings.CutSuffix(pattern, "*"); ok {
+		return strings.HasPrefix(name, prefix)
 	}
 	return pattern == name
 }
 
-func anyOf(patterns, name string) bool {
+func matchesAny(patterns, name string) bool {
 	for _, p := range strings.Fields(patterns) {
 		if matches(p, name) {
 			return true
@@ -140,33 +141,33 @@
 	return false
 }
 
-// misplaced reports the imports of a package that the layers do not allow.
-func misplaced(name string, imports []string) (wrong []string) {
-	may, found := "", false
-	for _, r := range layers {
-		if found = matches(r.name, name); found {
-			may = r.may
+// disallowedImports returns a message for each import of a package that the layers do not allow, or one message for a package in no layer.
+func disallowedImports(name string, imports []string) (wrong []string) {
+	allowed, found := "", false
+	for _, layer := range layers {
+		if found = matches(layer.name, name); found {
+			allowed = layer.allowed
 			break
 		}
 	}
 	if !found {
-		return []string{fmt.Sprintf("%s is in no layer: say in this test what it may import", name)}
+		return []string{fmt.Sprintf("%s is in no layer: add a line to layers for it", name)}
 	}
-	for _, to := range imports {
-		bad := !anyOf(may, to)
-		for _, n := range never {
-			bad = bad || matches(n.name, name) && anyOf(n.not, to)
+	for _, imported := range imports {
+		disallowed := !matchesAny(allowed, imported)
+		for _, rule := range forbidden {
+			disallowed = disallowed || matches(rule.name, name) && matchesAny(rule.denied, imported)
 		}
-		if bad {
-			wrong = append(wrong, fmt.Sprintf("%s imports %s", name, to))
+		if disallowed {
+			wrong = append(wrong, fmt.Sprintf("%s imports %s", name, imported))
 		}
 	}
 	return wrong
 }
 
-// Imports point down: a front does not depend on servers, a source of lists not on requests, and only the core and the packages that read
-// settings depend on the decision module. Go itself excludes cycles.
-func TestImportsPointDown(t *testing.T) {
+// Each package imports only what its layer allows. A front does not depend on servers, a source of server lists does not depend on requests,
+// and only the core and the packages that read settings depend on the decision module. Go itself excludes cycles.
+func TestImportsFollowTheLayers(t *testing.T) {
 	out, err := exec.Command("go", "list", "-json=ImportPath,Deps,Imports", "petrelhook/...").Output()
 	if err != nil {
 		t.Fatal(err)
@@ -181,28 +182,28 @@
 			t.Fatal(err)
 		}
 		name := strings.TrimPrefix(p.ImportPath, module)
-		var own []string
+		var moduleImports []string
 		for _, to := range p.Deps {
 			if rest, ok := strings.CutPrefix(to, module); ok {
-				own = append(own, rest)
+				moduleImports = append(moduleImports, rest)
 			}
 		}
-		for _, wrong := range misplaced(name, own) {
+		for _, wrong := range disallowedImports(name, moduleImports) {
 			t.Error(wrong)
 		}
 		for _, to := range p.Imports {
 			if net := to == "net" || strings.HasPrefix(to, "net/") || to == "os" || to == "syscall"; net && (name == "balance" || name == "internal/sidecar/core" || name == "internal/sidecar/front" || name == "internal/sidecar/member" || name == "internal/sidecar/upstream" || name == "internal/sidecar/message") {
-				t.Errorf("%s imports %s: it knows neither sockets nor files", name, to)
+				t.Errorf("%s imports %s: it must not use sockets or files", name, to)
 			}
 		}
 	}
 	if packages < len(layers) {
-		t.Errorf("%d packages: too few to be all", packages)
+		t.Errorf("%d packages: fewer than lines in layers", packages)
 	}
 }
 
-// The check itself finds each way in which layers could come to depend on one another.
-func TestMisplacedImportsAreSeen(t *testing.T) {
+// disallowedImports finds each kind of dependency between layers that is not allowed.
+func TestDisallowedImportsAreDetected(t *testing.T) {
 	for _, c := range []struct{ from, to string }{
 		{"internal/sidecar/front/platform", "internal/sidecar/upstream"}, {"internal/sidecar/front/platform", "internal/sidecar/core"},
 		{"internal/sidecar/front/graphql", "internal/sidecar/member"}, {"internal/sidecar/front/graphql", "balance"},
@@ -215,11 +216,11 @@
 		{"internal/rig/memnet", "internal/rig/standin"}, {"cmd/petrelhook", "internal/rig/load"}, {"internal/sidecar/connlimit", "internal/sidecar/front"},
 		{"internal/unheard-of", "balance"},
 	} {
-		if len(misplaced(c.from, []string{c.to})) == 0 {
+		if len(disallowedImports(c.from, []string{c.to})) == 0 {
 			t.Errorf("%s may import %s", c.from, c.to)
 		}
 	}
-	if wrong := misplaced("internal/sidecar/core", []string{"balance", "internal/sidecar/front"}); wrong != nil {
+	if wrong := disallowedImports("internal/sidecar/core", []string{"balance", "internal/sidecar/front"}); wrong != nil {
 		t.Error(wrong)
 	}
 }
--- a/internal/sidecar/wiring/file_test.go
+++ b/internal/sidecar/wiring/loaded_file_test.go
@@ -14,10 +14,11 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// reportedFile is the file that GET /api/counts reports. The rest of the report is read and checked as drivers of rolling changes read it.
-func reportedFile(t *testing.T, operators string) counts.File {
+// reportedFile returns the file that GET /api/counts reports. It decodes and checks the rest of the report as the drivers of rolling changes
+// do.
+func reportedFile(t *testing.T, adminAddr string) counts.File {
 	t.Helper()
-	resp, err := http.Get("http://" + operators + "/api/counts")
+	resp, err := http.Get("http://" + adminAddr + "/api/counts")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,18 +37,18 @@
 	return file.File
 }
 
-// GET /api/counts says which configuration file was read last, at the start and after each reload that succeeded.
+// GET /api/counts says which configuration was loaded last, at the start or by a successful reload.
 func TestTheLoadedFileIsReported(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	operators := listener.Addr().String()
-	log := make(lines, 99)
+	adminAddr := listener.Addr().String()
+	log := make(logLines, 99)
 	dead := peertest.DeadAddr(t)
-	r := newRigWith(t, dead, peertest.Catalog(1, true, peertest.Instance("s", dead, "up")), `"admin_addr":"`+operators+`",`, listener,
+	r := newRigWith(t, dead, peertest.Catalog(1, true, peertest.Instance("s", dead, "up")), `"admin_addr":"`+adminAddr+`",`, listener,
 		slog.New(slog.NewTextHandler(log, nil)))
-	first := reportedFile(t, operators)
+	first := reportedFile(t, adminAddr)
 	if len(first.Digest) != 64 || first.Reloads != 0 {
 		t.Errorf("%+v", first)
 	}
@@ -55,7 +56,7 @@
 	reload := startReloads(t, r.sidecar, log)
 	reload.reloadWith("{")
 	reload.waitRefused()
-	if file := reportedFile(t, operators); file != first {
+	if file := reportedFile(t, adminAddr); file != first {
 		t.Errorf("%+v after a bad file, %+v before", file, first)
 	}
 
@@ -65,7 +66,7 @@
 		t.Fatal(err)
 	}
 	peertest.Eventually(t, "it is reported", func() bool {
-		return reportedFile(t, operators) == counts.File{Digest: loaded.Digest, Reloads: 1}
+		return reportedFile(t, adminAddr) == counts.File{Digest: loaded.Digest, Reloads: 1}
 	})
 	reload.stop()
 }
--- a/internal/sidecar/wiring/mutation_test.go
+++ b/internal/sidecar/wiring/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each guard of a rare moment is removed from a copy of the source: the test that forces that moment fails then.
+// Each mutant removes, from a copy of the source, a guard against a rare interleaving. The test that forces the interleaving must fail then.
 func TestGuardsOfRareMoments(t *testing.T) {
 	const (
 		client    = "internal/sidecar/connlimit/client.go"
--- a/internal/sidecar/wiring/peer.go
+++ b/internal/sidecar/wiring/peer.go
@@ -11,36 +11,37 @@
 	"petrelhook/internal/sidecar/member/relay"
 )
 
-// The lines of a link. A process passes over lines that it does not know: the other may be of a later version.
+// The lines that two processes send each other on a link. A process ignores lines that it does not know, because the other process may be of
+// a later version.
 const (
-	// lineReady is sent by the successor once it serves. The predecessor counts as succeeded, and acknowledges.
+	// lineReady is sent by the successor once it serves. The predecessor records that it has a successor, and acknowledges.
 	lineReady = "ready"
-	// lineAcknowledged is the predecessor's answer to lineReady. The successor waits for it before it becomes ready for others.
+	// lineAcknowledged is the predecessor's answer to lineReady. The successor waits for it before it reports that it is ready.
 	lineAcknowledged = "heard"
-	// lineEvacuate and lineRejoin are sent by either process when operators have asked it so; the other does the same.
+	// lineEvacuate and lineRejoin are sent by either process when operators have made that call to it. The receiver does the same.
 	lineEvacuate = "evacuate"
 	lineRejoin   = "rejoin"
-	// lineFollows is sent by the predecessor after lineAcknowledged: it can follow the successor's watch of discovery. The successor
-	// publishes that watch from then on.
+	// lineFollows is sent by the predecessor after lineAcknowledged. It says that the predecessor can use updates of the successor's watch
+	// of discovery. The successor sends these updates from then on.
 	lineFollows = "follows"
-	// lineWatch begins a line of the successor, to a predecessor that follows; a relay.Update in JSON is the rest of it. The predecessor
-	// gives it to its relay.
+	// lineWatch is the prefix of a line that the successor sends to a predecessor that has sent lineFollows. The rest of the line is a
+	// relay.Update in JSON. The predecessor passes it to its relay.
 	lineWatch = "watch "
 )
 
-// peer is the other process of the sidecar at the end of a link, while both live: the predecessor or a successor.
+// peer is the other process of the sidecar at the far end of a link: the predecessor or a successor.
 type peer struct {
 	sidecar     *Sidecar
 	link        *handover.Link
 	isSuccessor bool
 
 	mu                 sync.Mutex
-	reportedEvacuation bool // the evacuation or its end that the other process knows of
+	reportedEvacuation bool // whether, as far as the other process knows, an evacuation is requested
 
-	publishing bool // to the predecessor; used by the goroutine that reads lines
+	publishing bool // whether updates are sent to the predecessor; used by the goroutine that reads lines
 }
 
-// serve handles the lines of the other process, and notifies it of evacuations, until it has ended or the link is closed.
+// serve handles the lines of the other process and notifies it of evacuations, until that process has ended or the link is closed.
 func (p *peer) serve() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
@@ -70,7 +71,8 @@
 	tasks.Wait()
 }
 
-// reportEvacuations notifies the other process of each evacuation and its end that it does not know of, until ctx ends.
+// reportEvacuations notifies the other process, until ctx ends, when an evacuation has been requested or revoked and that process does not
+// know it.
 func (p *peer) reportEvacuations(ctx context.Context) {
 	for {
 		status, changed := p.sidecar.lifecycle.Watch()
@@ -92,7 +94,7 @@
 	}
 }
 
-// handleEvacuation does as operators asked the other process.
+// handleEvacuation applies a call that operators made to the other process.
 func (p *peer) handleEvacuation(requested bool, event lifecycle.Event) {
 	p.mu.Lock()
 	p.reportedEvacuation = requested
@@ -100,7 +102,7 @@
 	p.sidecar.lifecycle.Apply(event)
 }
 
-// handleReady notes that the successor serves, and acknowledges it.
+// handleReady records that the successor serves, and acknowledges it.
 func (p *peer) handleReady() {
 	if !p.isSuccessor {
 		return
@@ -110,8 +112,8 @@
 	p.send(lineFollows)
 }
 
-// handleWatch applies an update of the successor's watch of discovery. One that cannot be decoded is of another version, and ignored: the
-// relay opens a watch of its own when no update comes.
+// handleWatch applies an update of the successor's watch of discovery. An update that cannot be decoded comes from another version and is
+// ignored: the relay opens its own watch when no updates come.
 func (p *peer) handleWatch(text string) {
 	var update relay.Update
 	if err := json.Unmarshal([]byte(text), &update); p.isSuccessor && err == nil {
@@ -128,5 +130,5 @@
 	return p.link.Send(lineWatch + string(text))
 }
 
-// send sends a line. It ignores an error: that process has ended, which ReadLines sees, or hangs.
+// send sends a line. It ignores an error: either the other process has ended, which ReadLines notices, or it hangs.
 func (p *peer) send(line string) { _ = p.link.Send(line) }
--- a/internal/sidecar/wiring/reload.go
+++ b/internal/sidecar/wiring/reload.go
@@ -8,8 +8,8 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// Reload reads the configuration file again at each signal, and uses its discovery address, until ctx ends. Where the file is not valid,
-// nothing changes.
+// Reload reads the configuration file again at each signal and switches to its discovery address, until ctx ends. A file that is not valid
+// changes nothing.
 func (s *Sidecar) Reload(ctx context.Context, path string, signals <-chan os.Signal) {
 	for {
 		select {
--- a/internal/sidecar/wiring/reload_test.go
+++ b/internal/sidecar/wiring/reload_test.go
@@ -16,36 +16,36 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// lines is a log whose lines are received as they are written.
-type lines chan string
+// logLines is a log writer that sends each line on the channel.
+type logLines chan string
 
-func (l lines) Write(text []byte) (int, error) {
+func (l logLines) Write(text []byte) (int, error) {
 	l <- string(text)
 	return len(text), nil
 }
 
-// until reads lines up to one that holds a text.
-func (l lines) until(t *testing.T, text string) {
+// waitFor receives lines until one contains the text.
+func (l logLines) waitFor(t *testing.T, text string) {
 	t.Helper()
 	for !strings.Contains(peertest.Wait(t, l), text) {
 	}
 }
 
-// reloads is a sidecar's running Reload, with a configuration file that doesn't exist yet.
-type reloads struct {
+// reloader runs Sidecar.Reload with a configuration file that doesn't exist at first.
+type reloader struct {
 	t      *testing.T
-	log    lines // of the sidecar
+	log    logLines // of the sidecar
 	path   string
 	hup    chan os.Signal
 	cancel context.CancelFunc
 	ended  chan struct{}
 }
 
-// startReloads runs Reload until stop or the end of the test.
-func startReloads(t *testing.T, sidecar *Sidecar, log lines) *reloads {
+// startReloads starts Reload, which runs until stop is called or the test ends.
+func startReloads(t *testing.T, sidecar *Sidecar, log logLines) *reloader {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	r := &reloads{
+	r := &reloader{
 		t: t, log: log, path: filepath.Join(t.TempDir(), "config.json"),
 		hup: make(chan os.Signal), cancel: cancel, ended: make(chan struct{}),
 	}
@@ -56,11 +56,11 @@
 	return r
 }
 
-// hangUp signals that the file is to be read, and returns once that is received.
-func (r *reloads) hangUp() { r.hup <- syscall.SIGHUP }
+// hangUp sends the reload signal, and returns once Reload has received it.
+func (r *reloader) hangUp() { r.hup <- syscall.SIGHUP }
 
-// reloadWith writes the file and signals.
-func (r *reloads) reloadWith(text string) {
+// reloadWith writes the file and sends the reload signal.
+func (r *reloader) reloadWith(text string) {
 	r.t.Helper()
 	if err := os.WriteFile(r.path, []byte(text), 0o600); err != nil {
 		r.t.Fatal(err)
@@ -68,57 +68,58 @@
 	r.hangUp()
 }
 
-// waitRefused waits for the log line of a file that changed nothing.
-func (r *reloads) waitRefused() {
+// waitRefused waits for the log line which says that a file was rejected.
+func (r *reloader) waitRefused() {
 	r.t.Helper()
-	r.log.until(r.t, "stays as it was")
+	r.log.waitFor(r.t, "stays as it was")
 }
 
-func (r *reloads) stop() {
+func (r *reloader) stop() {
 	r.t.Helper()
 	r.cancel()
 	peertest.Wait(r.t, r.ended)
 }
 
-// configFor is a valid configuration file with this address of discovery.
+// configFor returns a valid configuration file with this address of discovery.
 func configFor(discovery string) string {
 	return `{"listen":"127.0.0.1:0","discovery":"` + discovery + `","seed":"1f","settings":` + peertest.Settings + `}`
 }
 
-// newLister is a discovery that answers each call with a list; asked receives after which generation the calls ask.
-func newLister(t *testing.T, list string, asked chan<- string) *peertest.Peer {
+// newListDiscovery starts a discovery that answers each call with the list. askedAfter receives the generation after which each call asks
+// for changes.
+func newListDiscovery(t *testing.T, list string, askedAfter chan<- string) *peertest.Peer {
 	t.Helper()
 	return peertest.NewPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
-		asked <- req.URL.Query().Get("after")
+		askedAfter <- req.URL.Query().Get("after")
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+list+"\n")
 		return true
 	})
 }
 
-// After a reload the new discovery is asked for its complete list at once, the old one is ignored, and requests continue. A file that is not
-// valid changes nothing.
+// After a reload the sidecar asks the new discovery for its complete list at once, ignores the old one, and continues to serve requests. A
+// file that is not valid changes nothing.
 func TestReload(t *testing.T) {
-	got, release := make(chan struct{}, 1), make(chan struct{})
+	requestReceived, release := make(chan struct{}, 1), make(chan struct{})
 	server := peertest.NewPeer(t, func(c net.Conn, req *http.Request, _ string) bool {
 		if req.Header.Get("X-Trace-Id") == "open" {
-			got <- struct{}{}
+			requestReceived <- struct{}{}
 			<-release
 		}
 		io.WriteString(c, peertest.OKResponse)
 		return true
 	})
-	asked := make(chan string, 9)
+	askedAfter := make(chan string, 9)
 	oldInstance := peertest.Instance("s-0", server.Addr, "up")
-	oldDiscovery := newLister(t, peertest.Catalog(900, true, oldInstance), asked)
-	newDiscovery := newLister(t, peertest.Catalog(3, true, peertest.Instance("s-1", server.Addr, "up")), asked)
-	log := make(lines, 99)
+	oldDiscovery := newListDiscovery(t, peertest.Catalog(900, true, oldInstance), askedAfter)
+	newDiscovery := newListDiscovery(t, peertest.Catalog(3, true, peertest.Instance("s-1", server.Addr, "up")), askedAfter)
+	log := make(logLines, 99)
 	r := newRig(t, oldDiscovery.Addr, peertest.Catalog(899, true, oldInstance), slog.New(slog.NewTextHandler(log, nil)))
-	if after := peertest.Wait(t, asked); after != "899" {
+	if after := peertest.Wait(t, askedAfter); after != "899" {
 		t.Errorf("the first watch is after %s", after)
 	}
 	conn, in := r.open()
 	io.WriteString(conn, lookRequest("open"))
-	peertest.Wait(t, got)
+	peertest.Wait(t, requestReceived)
 
 	reload := startReloads(t, r.sidecar, log)
 	reload.hangUp() // there is no file
@@ -126,11 +127,11 @@
 	reload.reloadWith("{")
 	reload.waitRefused()
 	valid := configFor(newDiscovery.Addr)
-	reload.reloadWith(`{"name":"n9",` + valid[1:]) // another sidecar's, of another customer perhaps
+	reload.reloadWith(`{"name":"n9",` + valid[1:]) // the file of another sidecar, perhaps of another customer
 	reload.waitRefused()
 
 	reload.reloadWith(valid)
-	if after := peertest.Wait(t, asked); after != "0" {
+	if after := peertest.Wait(t, askedAfter); after != "0" {
 		t.Errorf("the new watch is after %s", after)
 	}
 	peertest.Wait(t, oldDiscovery.Ended)
@@ -144,10 +145,10 @@
 	}
 
 	reload.hangUp() // the same file again: the watch stays
-	log.until(t, "moved=false")
+	log.waitFor(t, "moved=false")
 	reload.stop()
-	r.sidecar.core.Stats() // returns after all that was posted to the core before
-	if n := len(asked); n != 0 {
+	r.sidecar.core.Stats() // returns after the core has handled everything that was posted to it before
+	if n := len(askedAfter); n != 0 {
 		t.Errorf("%d more calls", n)
 	}
 }
--- a/internal/sidecar/wiring/rig_test.go
+++ b/internal/sidecar/wiring/rig_test.go
@@ -13,7 +13,7 @@
 	"petrelhook/internal/sidecar/config"
 )
 
-// rig runs a complete sidecar.
+// rig is a complete sidecar that runs until stop is called or the test ends.
 type rig struct {
 	t       *testing.T
 	sidecar *Sidecar
@@ -26,17 +26,17 @@
 	return newRigWith(t, discovery, known, "", nil, log)
 }
 
-// newRigWith adds fields to the configuration, and a listener for operators.
-func newRigWith(t *testing.T, discovery, known, more string, calls net.Listener, log *slog.Logger) *rig {
+// newRigWith is newRig with additional fields of the configuration and a listener for operators, which may be nil.
+func newRigWith(t *testing.T, discovery, known, extraFields string, operators net.Listener, log *slog.Logger) *rig {
 	t.Helper()
-	return newRigOn(t, TCP(), discovery, known, more, peertest.Settings, calls, log)
+	return newRigOn(t, TCP(), discovery, known, extraFields, peertest.Settings, operators, log)
 }
 
-// newRigOn has a Dial and settings of its own.
-func newRigOn(t *testing.T, dial Dial, discovery, known, more, settings string, calls net.Listener, log *slog.Logger) *rig {
+// newRigOn is newRigWith with a Dial and the settings of the configuration.
+func newRigOn(t *testing.T, dial Dial, discovery, known, extraFields, settings string, operators net.Listener, log *slog.Logger) *rig {
 	t.Helper()
 	cfg, err := config.Parse("test", []byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",%s"known":%s,"settings":%s}`,
-		discovery, more, known, settings)))
+		discovery, extraFields, known, settings)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,17 +47,17 @@
 	r := &rig{t: t, sidecar: New(&cfg, dial, log), addr: ln.Addr().String(), ended: make(chan error, 1)}
 	stop, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	go func() { r.ended <- r.sidecar.Run(stop, ln, calls, nil) }()
+	go func() { r.ended <- r.sidecar.Run(stop, ln, operators, nil) }()
 	t.Cleanup(cancel)
 	return r
 }
 
-// newRigWithServers has a sidecar that knows these servers, and whose discovery is down.
+// newRigWithServers starts a sidecar that knows these servers and whose discovery is down.
 func newRigWithServers(t *testing.T, addrs ...string) *rig {
 	return newRig(t, peertest.DeadAddr(t), catalogOf(addrs), slog.New(slog.DiscardHandler))
 }
 
-// catalogOf is the list of the servers at these addresses, in discovery's form.
+// catalogOf returns the list of the servers at these addresses, as discovery sends it.
 func catalogOf(addrs []string) string {
 	var list []string
 	for i, addr := range addrs {
--- a/internal/sidecar/wiring/run.go
+++ b/internal/sidecar/wiring/run.go
@@ -12,8 +12,8 @@
 	"petrelhook/internal/sidecar/lifecycle"
 )
 
-// Run serves clients, and operators where their listener is not nil, until stop ends, and then drains. It returns when all accepted requests
-// are answered and the core has ended. Where succession is not nil the process takes part in hand-overs. It is called once.
+// Run serves clients until stop ends, and then drains. It returns when all accepted requests are answered and the core has ended. It also
+// serves operators if their listener is not nil, and takes part in hand-overs if succession is not nil. It is called once.
 func (s *Sidecar) Run(stop context.Context, clients, operators net.Listener, succession *Succession) error {
 	stopWaiting := context.AfterFunc(stop, func() { s.terminate(clients, succession) })
 	defer stopWaiting()
@@ -43,7 +43,8 @@
 	return err
 }
 
-// terminate begins the drain. Where another process listens at the same address with a socket of its own, new connections go there.
+// terminate begins the drain. Where another process listens at the same address with its own socket, new connections go to that socket from
+// then on.
 func (s *Sidecar) terminate(clients net.Listener, succession *Succession) {
 	if succession != nil && s.lifecycle.Status().After(lifecycle.Terminate).YieldsListener() {
 		if err := sock.Yield(clients); err != nil {
@@ -64,7 +65,7 @@
 	}
 }
 
-// operatorCounts is the answer to GET /api/counts.
+// operatorCounts returns the response body of GET /api/counts.
 func (s *Sidecar) operatorCounts() any {
 	return struct {
 		counts.Report
@@ -72,16 +73,17 @@
 	}{counts.Report{Classes: s.requestCounts.Snapshot(), ServerUse: s.serverCounts.Snapshot()}, s.loadedFile.Load()}
 }
 
-// becomeReady makes the process ready once a server is known. A process that takes part in no hand-overs is ready without one after
-// lifecycle.MaxStartWait. One that does waits without limit: a predecessor stays in service until its successor can serve.
+// becomeReady makes the process ready once a server is known. A process that takes part in no hand-overs becomes ready after
+// lifecycle.MaxStartWait even without a server. A process that takes part in them waits without limit, because its predecessor stays in
+// service until this process can serve.
 func (s *Sidecar) becomeReady(ctx context.Context, succession *Succession) {
-	var waitedEnough <-chan time.Time
+	var maxWaitElapsed <-chan time.Time
 	if succession == nil {
-		waitedEnough = time.After(lifecycle.MaxStartWait)
+		maxWaitElapsed = time.After(lifecycle.MaxStartWait)
 	}
 	select {
 	case <-s.serverKnown:
-	case <-waitedEnough:
+	case <-maxWaitElapsed:
 		s.log.Warn("ready without a server", "waited", lifecycle.MaxStartWait)
 	case <-ctx.Done():
 		return
--- a/internal/sidecar/wiring/serve.go
+++ b/internal/sidecar/wiring/serve.go
@@ -15,16 +15,16 @@
 const (
 	// handoverTimeout is how long the process in service may take to hand over.
 	handoverTimeout = time.Second
-	// adminRetryInterval is how often a successor tries to listen at the operators' address that its predecessor has.
+	// adminRetryInterval is how often a successor tries to listen at the operators' address while its predecessor uses it.
 	adminRetryInterval = 50 * time.Millisecond
 )
 
-// Serve runs a complete process of a sidecar: it listens or takes over from a predecessor, and serves until stop ends and all accepted
-// requests are answered. At each signal on reload the configuration file at path is read again.
+// Serve runs a complete process of a sidecar. It listens or takes over from a predecessor, and serves until stop ends and all accepted
+// requests are answered. At each signal on reload it reads the configuration file at path again.
 func Serve(stop context.Context, path string, cfg *config.Config, env *Environment, reload <-chan os.Signal, log *slog.Logger) error {
 	limit := func(shared bool) { env.Limit(int(cfg.Limits.Cores), cfg.Limits.MemoryMB, shared) }
 	limit(false)
-	start, err := env.open(cfg, log)
+	start, err := env.openListeners(cfg, log)
 	if err != nil {
 		return err
 	}
@@ -39,16 +39,17 @@
 	return nil
 }
 
-// startup is what a process of a sidecar begins with.
+// startup holds what a process of a sidecar starts with.
 type startup struct {
 	clients, operators net.Listener   // operators is nil where the configuration has no address for them
 	succession         *Succession    // nil: there are no hand-overs
 	state              *HandoverState // nil: there is no predecessor
 }
 
-// open opens the listeners. Where the configuration has an address for operators there are hand-overs: then the clients' listener comes
-// from the process in service if there is one, or shares the address with it where the hand-over fails.
-func (e *Environment) open(cfg *config.Config, log *slog.Logger) (start startup, err error) {
+// openListeners opens the listeners. The process takes part in hand-overs only where the configuration has an address for operators. Then
+// the clients' listener comes from the process in service, if there is one; where the hand-over fails, a new listener shares the address
+// with that process.
+func (e *Environment) openListeners(cfg *config.Config, log *slog.Logger) (start startup, err error) {
 	if cfg.Admin == "" {
 		if start.clients, err = e.Listen(cfg.Listen); err != nil {
 			return start, fmt.Errorf("listen: %w", err)
@@ -60,14 +61,14 @@
 	if err != nil && !addressInUse {
 		return start, fmt.Errorf("listen at admin_addr: %w", err)
 	}
-	if _, port, _ := net.SplitHostPort(cfg.Listen); port != "0" { // else each process has an address of its own
+	if _, port, _ := net.SplitHostPort(cfg.Listen); port != "0" { // with port 0 each process listens at its own address
 		rendezvous := e.Rendezvous(cfg.Name, cfg.Listen)
 		start.clients, start.state, start.succession, err = RequestHandover(rendezvous, cfg.Listen, handoverTimeout)
 		if err != nil {
 			log.Warn("nothing is taken over", "err", err)
 		}
 	}
-	if addressInUse { // by the predecessor, in an upgrade: operators call that process until it ends
+	if addressInUse { // by the predecessor during an upgrade; operators reach that process until it ends
 		if start.state == nil {
 			return start, fmt.Errorf("listen at admin_addr: %s is taken, and no process in service hands over", cfg.Admin)
 		}
--- a/internal/sidecar/wiring/ending_test.go
+++ b/internal/sidecar/wiring/shutdown_test.go
@@ -18,25 +18,25 @@
 	"petrelhook/internal/sidecar/config"
 )
 
-// inMemory runs a test with a complete sidecar in virtual time, on a network in memory, whose servers hang. The test plays the clients, and
-// stop terminates the sidecar.
-func inMemory(t *testing.T, known string, test func(t *testing.T, n *memnet.Network, listen string, stop func(), ended <-chan error)) {
+// runInMemory runs a test in virtual time with a complete sidecar on an in-memory network. The server at 127.0.0.1:80 never answers. The test
+// plays the clients, and its argument stop terminates the sidecar.
+func runInMemory(t *testing.T, known string, test func(t *testing.T, n *memnet.Network, listen string, stop func(), ended <-chan error)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(200 * time.Microsecond)
-		servers, err := n.Listen("127.0.0.1:80")
+		serverListener, err := n.Listen("127.0.0.1:80")
 		if err != nil {
 			t.Fatal(err)
 		}
-		var hung sync.WaitGroup
-		defer hung.Wait()
-		defer servers.Close()
-		hung.Go(func() {
+		var serverTasks sync.WaitGroup
+		defer serverTasks.Wait()
+		defer serverListener.Close()
+		serverTasks.Go(func() {
 			for {
-				c, err := servers.Accept()
+				c, err := serverListener.Accept()
 				if err != nil {
 					return
 				}
-				hung.Go(func() { holdOpen(c); c.Close() })
+				serverTasks.Go(func() { holdOpen(c); c.Close() })
 			}
 		})
 		cfg, err := config.Parse("test", []byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:81","discovery":"127.0.0.1:82","seed":"1f","known":%s,"settings":%s}`,
@@ -48,27 +48,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		side, ended := New(&cfg, n.Dial, slog.New(slog.DiscardHandler)), make(chan error, 1)
-		stop, end := context.WithCancel(t.Context())
+		sidecar, ended := New(&cfg, n.Dial, slog.New(slog.DiscardHandler)), make(chan error, 1)
+		stop, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			ended <- side.Run(stop, ln, nil, nil)
+			ended <- sidecar.Run(stop, ln, nil, nil)
 		}()
 		synctest.Wait()
-		test(t, n, cfg.Listen, end, ended)
-		end()
+		test(t, n, cfg.Listen, cancel, ended)
+		cancel()
 		<-done
-		time.Sleep(time.Second) // what is closed last arrives
+		time.Sleep(time.Second) // so that the last close arrives at the other side
 	})
 }
 
-// Connections are accepted until 0.6 s after SIGTERM, and their clients may send the first request 0.2 s later. Such a request, with the
-// longest deadline and a server that hangs, is answered before the process ends, and does not delay that end.
+// Connections are accepted until 0.6 s after SIGTERM, and their clients may send the first request up to 0.2 s later. Even if such a request
+// has the longest deadline and its server hangs, it is answered before the process ends, and does not delay the end.
 func TestARequestReadLateInTheEndIsAnswered(t *testing.T) {
 	for _, request := range []string{lookRequest("t"), onceRequest("t"), "POST /book HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: book\r\nIdempotency-Key: k\r\nContent-Length: 0\r\nX-Expires-In: 9000m\r\n\r\n"} {
-		request = strings.Replace(request, "9000m", "10000m", 1) // as long as the class's
-		inMemory(t, catalogOf([]string{"127.0.0.1:80"}), func(t *testing.T, n *memnet.Network, listen string, stop func(), ended <-chan error) {
+		request = strings.Replace(request, "9000m", "10000m", 1) // the longest deadline of the class
+		runInMemory(t, catalogOf([]string{"127.0.0.1:80"}), func(t *testing.T, n *memnet.Network, listen string, stop func(), ended <-chan error) {
 			stop()
 			began := time.Now()
 			time.Sleep(590 * time.Millisecond)
@@ -90,7 +90,7 @@
 	}
 }
 
-// Without an available server a sidecar is ready after some seconds, whatever discovery does, and refuses requests at once.
+// Without an available server a sidecar becomes ready after some seconds, whatever discovery does, and rejects requests at once.
 func TestReadyWithoutAServer(t *testing.T) {
 	for name, known := range map[string]string{
 		"nothing known": peertest.Catalog(1, true),
@@ -98,7 +98,7 @@
 		"of another deployment": strings.NewReplacer(`"zone":"a"`, `"zone":"elsewhere"`).Replace(
 			peertest.Catalog(1, true, peertest.Instance("s", "127.0.0.1:80", "up"))),
 	} {
-		inMemory(t, known, func(t *testing.T, n *memnet.Network, listen string, _ func(), _ <-chan error) {
+		runInMemory(t, known, func(t *testing.T, n *memnet.Network, listen string, _ func(), _ <-chan error) {
 			ask := func(request string) int {
 				c, err := n.Dial(t.Context(), "tcp", listen)
 				if err != nil {
--- a/internal/sidecar/wiring/sidecar_test.go
+++ b/internal/sidecar/wiring/sidecar_test.go
@@ -12,12 +12,13 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// What a server must get unchanged, and what the client gets back.
-func TestServesUnchanged(t *testing.T) {
-	seen := make(chan *http.Request, 1)
+// The server gets the method, the path, the body and the headers of a request unchanged, except for the remaining time. The client gets the
+// server's response.
+func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
+	requests := make(chan *http.Request, 1)
 	bodies := make(chan string, 1)
 	p := peertest.NewPeer(t, func(c net.Conn, req *http.Request, body string) bool {
-		seen <- req
+		requests <- req
 		bodies <- body
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: a/b\r\n\r\n2\r\nhi\r\n0\r\n\r\n")
 		return true
@@ -28,7 +29,7 @@
 	if resp.StatusCode != 200 || body != "hi" || resp.ContentLength != 2 || resp.Header.Get("Content-Type") != "a/b" {
 		t.Errorf("%+v %q", resp, body)
 	}
-	req := peertest.Wait(t, seen)
+	req := peertest.Wait(t, requests)
 	if req.Method != "POST" || req.RequestURI != "/book/%41;x?sid=7f&b=%2F" || peertest.Wait(t, bodies) != "hello" ||
 		req.Header.Get("X-Trace-Id") != "t1" || req.Header.Get("Idempotency-Key") != "k1" {
 		t.Errorf("%+v", req)
@@ -39,8 +40,8 @@
 	}
 }
 
-// A second request with the same trace id is not executed.
-func TestARepeatedID(t *testing.T) {
+// A second request with the trace ID of an earlier one is rejected, during that request and after it.
+func TestARepeatedTraceIDIsRejected(t *testing.T) {
 	got, release := make(chan struct{}, 1), make(chan struct{})
 	p := peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		got <- struct{}{}
@@ -64,7 +65,7 @@
 	}
 }
 
-// When a client goes away its request's attempts are ended, and nothing is left in the tables.
+// When a client disconnects, the attempts of its request are ended, and nothing of the request is left in the tables.
 func TestAClientThatDisconnects(t *testing.T) {
 	got := make(chan struct{}, 1)
 	p := peertest.NewPeer(t, func(net.Conn, *http.Request, string) bool { got <- struct{}{}; return true })
--- a/internal/sidecar/wiring/succession.go
+++ b/internal/sidecar/wiring/succession.go
@@ -15,32 +15,31 @@
 	"petrelhook/internal/sidecar/lifecycle"
 )
 
-// acknowledgeTimeout is how long a successor waits for the acknowledgement that it serves before it goes on without: the predecessor may
-// hang.
+// acknowledgeTimeout is how long a successor waits for lineAcknowledged before it continues without it, because the predecessor may hang.
 const acknowledgeTimeout = 500 * time.Millisecond
 
-// Succession is what a process knows of the hand-overs of its sidecar: the link to its predecessor, and where successors find it.
+// Succession is what a process needs for the hand-overs of its sidecar: the link to its predecessor, and the rendezvous for its successors.
 type Succession struct {
 	Rendezvous          Rendezvous
 	Predecessor         *handover.Link             // nil: there is none
 	EvacuationRequested bool                       // by operators, at the predecessor
-	Share               *lifecycle.ConnectionShare // what the predecessor leaves while it lives; nil: everything
+	Share               *lifecycle.ConnectionShare // the connections that this process may open while the predecessor runs; nil: all
 }
 
-// HandoverState is what a process hands over to its successor, in JSON. The names are those of the first version.
+// HandoverState is the state that a process hands over to its successor, in JSON. The names in JSON are those of the first version.
 type HandoverState struct {
-	EvacuationRequested bool                      `json:"out"` // operators want no clients here
+	EvacuationRequested bool                      `json:"out"` // by operators
 	Share               lifecycle.ConnectionShare `json:"room"`
 	Core                core.Snapshot             `json:"core"`
 }
 
-// handoverProgress is how far the hand-overs from and to a process are.
+// handoverProgress is the progress of the hand-overs from and to a process.
 type handoverProgress struct {
 	offered       chan struct{} // closed when a successor can take over
-	successorLost chan struct{} // a successor has ended
+	successorLost chan struct{} // receives when a successor has ended
 	acknowledged  chan struct{} // closed when the predecessor knows that this process serves
 	acknowledge   func()        // closes acknowledged, once
-	// evacuationSent is what the last hand-over said of an evacuation.
+	// evacuationSent is the EvacuationRequested of the last state that was handed over.
 	evacuationSent atomic.Bool
 }
 
@@ -50,9 +49,9 @@
 	p.acknowledge = sync.OnceFunc(func() { close(p.acknowledged) })
 }
 
-// RequestHandover asks the process in service, if there is one, for its listening socket, which must be that of an address, and for its
-// state. Without a predecessor both are nil and so is err; where the hand-over fails err says why, and the sidecar starts without a
-// predecessor. The succession is never nil.
+// RequestHandover asks the process in service, if there is one, for its listening socket and its state. The socket must listen at the
+// address listen. Without a predecessor the listener, the state and the error are nil. Where the hand-over fails, the error says why, the
+// listener and the state are nil, and the sidecar starts without a predecessor. The succession is never nil.
 func RequestHandover(rendezvous Rendezvous, listen string, timeout time.Duration) (net.Listener, *HandoverState, *Succession, error) {
 	succession := &Succession{Rendezvous: rendezvous}
 	received, err := rendezvous.Request(timeout)
@@ -65,7 +64,7 @@
 	state, err := readState(received, listen)
 	if err != nil {
 		received.Listener.Close()
-		_ = received.Link.Close() // err says why already
+		_ = received.Link.Close() // err already says why the hand-over fails
 		return nil, nil, succession, err
 	}
 	succession.Predecessor, succession.Share = received.Link, &state.Share
@@ -73,7 +72,7 @@
 	return received.Listener, state, succession, nil
 }
 
-// readState reads the state of a hand-over whose socket must listen at an address.
+// readState decodes and checks the state of a hand-over, whose socket must listen at the address listen.
 func readState(received *handover.Handover, listen string) (*HandoverState, error) {
 	if addr := received.Listener.Addr().String(); addr != listen {
 		return nil, fmt.Errorf("the socket is that of %s", addr)
@@ -88,7 +87,7 @@
 	return state, nil
 }
 
-// Why a hand-over fails that is complete by its form.
+// Reasons why a hand-over fails whose messages are well formed.
 var (
 	errNegativeShare = errors.New("the share of connections is below 0")
 	errCoreEnded     = errors.New("this process has ended")
@@ -109,7 +108,7 @@
 	case <-ctx.Done():
 		return
 	}
-	for { // again after a successor that ended, which may have listened at the rendezvous by then
+	for { // offers again after a successor has ended, because it may have replaced this process at the rendezvous
 		end, err := succession.Rendezvous.Offer(Offer{
 			Listener: listener, State: s.stateForSuccessor, OnSuccessor: s.followSuccessor,
 			OnError: func(err error) { s.log.Warn("nothing is handed over", "err", err) },
@@ -136,7 +135,7 @@
 	s.restoreLimits()
 }
 
-// followSuccessor serves the link to a successor until that process has ended. Then this one has the sidecar to itself again.
+// followSuccessor serves the link to a successor until that process has ended. Then this process is the only one of the sidecar again.
 func (s *Sidecar) followSuccessor(link *handover.Link) {
 	(&peer{sidecar: s, link: link, isSuccessor: true, reportedEvacuation: s.handover.evacuationSent.Load()}).serve()
 	s.relay.PeerGone()
@@ -144,20 +143,20 @@
 	if status, _ := s.lifecycle.Apply(lifecycle.SuccessorLost); status.State() != lifecycle.Stopping {
 		select {
 		case s.handover.successorLost <- struct{}{}:
-		default: // a new server is about to be started already
+		default: // serveHandovers is already about to offer again
 		}
 	}
 }
 
-// stateForSuccessor returns what a successor gets. From then on this process keeps to its own share of the connections.
+// stateForSuccessor returns the encoded state for a successor, and limits this process to its own share of the connections.
 func (s *Sidecar) stateForSuccessor() ([]byte, error) {
 	state := HandoverState{EvacuationRequested: s.lifecycle.Status().EvacuationRequested()}
 	s.handover.evacuationSent.Store(state.EvacuationRequested)
 	var encoded []byte
 	var err error
-	own, next := s.limits.Divide(lifecycle.ConnectionShare{Clients: s.front.OpenConnections(), Servers: s.upstream.Open()})
-	state.Share = next
-	if !s.core.Snapshot(func(snapshot core.Snapshot) { // on the core's goroutine: the snapshot is not to be kept
+	own, remaining := s.limits.Divide(lifecycle.ConnectionShare{Clients: s.front.OpenConnections(), Servers: s.upstream.Open()})
+	state.Share = remaining
+	if !s.core.Snapshot(func(snapshot core.Snapshot) { // runs on the core's goroutine; the snapshot must not be kept
 		state.Core = snapshot
 		encoded, err = json.Marshal(state)
 	}) {
@@ -170,8 +169,8 @@
 	return encoded, nil
 }
 
-// announceReady makes the process ready. The predecessor is notified first: it must know that it has a successor before it is terminated,
-// and whoever sees that this process is ready may terminate it. For the same reason the next hand-over is possible before.
+// announceReady makes the process ready. It notifies the predecessor first: whoever sees that this process is ready may terminate the
+// predecessor, which must know by then that it has a successor. For the same reason it first waits until this process can hand over in turn.
 func (s *Sidecar) announceReady(succession *Succession) {
 	if succession != nil && succession.Predecessor != nil && succession.Predecessor.Send(lineReady) == nil {
 		select {
@@ -185,7 +184,7 @@
 	s.lifecycle.Apply(lifecycle.ServersKnown)
 }
 
-// limitToShare bounds the connections and the memory of this process while there are two.
+// limitToShare limits the connections and the memory of this process while the sidecar has two processes.
 func (s *Sidecar) limitToShare(share lifecycle.ConnectionShare) {
 	s.front.SetMaxConnections(max(1, share.Clients))
 	s.upstream.SetMaxConnections(max(1, share.Servers))
@@ -194,7 +193,7 @@
 	}
 }
 
-// restoreLimits ends limitToShare: this process has the sidecar's limits to itself again.
+// restoreLimits reverts limitToShare once this process is the only one of the sidecar.
 func (s *Sidecar) restoreLimits() {
 	s.front.SetMaxConnections(s.limits.Clients)
 	s.upstream.SetMaxConnections(s.limits.Servers)
--- a/internal/sidecar/wiring/news_test.go
+++ b/internal/sidecar/wiring/update_delay_test.go
@@ -19,49 +19,50 @@
 	"petrelhook/internal/sidecar/config"
 )
 
-// maxUpdateDelay is how long a change of the list may take to arrive, from the moment on at which discovery has it and can be reached.
+// maxUpdateDelay is how long a change of the list may take to arrive, from the moment at which discovery has it and can be reached.
 const maxUpdateDelay = 6 * time.Second
 
-// slowestAnswer is how long discovery may take to answer for its change to arrive in that time; see package discovery.
+// slowestAnswer is the longest time that discovery may take to answer if the change is to arrive within maxUpdateDelay; see package
+// discovery.
 const slowestAnswer = 2300 * time.Millisecond
 
-// scriptedDiscovery is the state of discovery in a case of the test, which scripts its answers.
+// scriptedDiscovery is the state of a discovery whose answers a test case scripts.
 type scriptedDiscovery struct {
-	move func() // reloads the sidecar with the second address of discovery
+	moveToSecondAddress func() // reloads the sidecar with the second address of discovery
 
-	mu            sync.Mutex
-	reachableFrom time.Time      // from when on the change could be reported
-	calls         map[string]int // by address
-	unreachable   bool           // dials get no answer
+	mu             sync.Mutex
+	reportableFrom time.Time      // when a working discovery could first report the change
+	calls          map[string]int // by address
+	unreachable    bool           // dials get no answer
 }
 
-// setReachable notes that a working discovery could report the change from now on.
-func (d *scriptedDiscovery) setReachable() { d.setReachableFrom(time.Now()) }
+// setReportable records that a working discovery could report the change from now on.
+func (d *scriptedDiscovery) setReportable() { d.setReportableFrom(time.Now()) }
 
-// setReachableFrom notes from when on it could. Until then dials get no answer where unreachable is set.
-func (d *scriptedDiscovery) setReachableFrom(t time.Time) {
+// setReportableFrom records when a working discovery can first report the change. Until then dials get no answer if unreachable is set.
+func (d *scriptedDiscovery) setReportableFrom(t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reachableFrom = t
+	d.reportableFrom = t
 }
 
-// reachableFor is for how long it could have; below 0: it could not yet.
-func (d *scriptedDiscovery) reachableFor() time.Duration {
+// reportableFor returns for how long a working discovery could have reported the change. It is negative if it could not yet.
+func (d *scriptedDiscovery) reportableFor() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.reachableFrom.IsZero() {
+	if d.reportableFrom.IsZero() {
 		return -1
 	}
-	return time.Since(d.reachableFrom)
+	return time.Since(d.reportableFrom)
 }
 
 func (d *scriptedDiscovery) isUnreachable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.unreachable && time.Now().Before(d.reachableFrom)
+	return d.unreachable && time.Now().Before(d.reportableFrom)
 }
 
-// countCall counts a call to an address, and returns how many there were before.
+// countCall counts a call to an address, and returns the number of earlier calls.
 func (d *scriptedDiscovery) countCall(addr string) (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,15 +79,15 @@
 	changedGeneration = 42 // of the list that has to arrive in time
 	olderGeneration   = 3
 
-	okHead = "HTTP/1.1 200 OK\r\n\r\n" // what follows lasts until the connection ends
+	okHead = "HTTP/1.1 200 OK\r\n\r\n" // of a response that lasts until the connection ends
 )
 
-// listOf is the complete list of a generation, as a line of a response of discovery.
+// listOf returns the complete list of a generation, as a line of a response of discovery.
 func listOf(generation int) string {
 	return peertest.Catalog(generation, true, peertest.Instance("s", "127.0.0.1:80", "up")) + "\n"
 }
 
-// answerSlowly sends the changed list as late as discovery may.
+// answerSlowly sends the changed list after slowestAnswer.
 func answerSlowly(_ *scriptedDiscovery, conn net.Conn) {
 	time.Sleep(slowestAnswer)
 	io.WriteString(conn, okHead+listOf(changedGeneration))
@@ -95,29 +96,29 @@
 
 // neverAnswer reads the request and sends nothing.
 func neverAnswer(d *scriptedDiscovery, conn net.Conn) {
-	d.setReachable()
+	d.setReportable()
 	holdOpen(conn)
 }
 
 // sendKnownList sends the list that the sidecar has, and then nothing.
 func sendKnownList(d *scriptedDiscovery, conn net.Conn) {
 	io.WriteString(conn, okHead+listOf(knownGeneration))
-	d.setReachable()
+	d.setReportable()
 	holdOpen(conn)
 }
 
-// sendThenHang sends a text, which isn't the changed list, and then nothing.
+// sendThenHang returns a call that sends a text, which isn't the complete changed list, and then nothing.
 func sendThenHang(text string) scriptedCall {
 	return func(d *scriptedDiscovery, conn net.Conn) {
-		d.setReachable()
+		d.setReportable()
 		io.WriteString(conn, text)
 		holdOpen(conn)
 	}
 }
 
-// sendByteByByte sends the changed list at a pace at which it would take minutes.
+// sendByteByByte sends the changed list so slowly that it would take minutes.
 func sendByteByByte(d *scriptedDiscovery, conn net.Conn) {
-	d.setReachable()
+	d.setReportable()
 	io.WriteString(conn, okHead)
 	for _, b := range []byte(listOf(changedGeneration)) {
 		if _, err := conn.Write([]byte{b}); err != nil {
@@ -127,10 +128,10 @@
 	}
 }
 
-// reloadThenHang moves the sidecar to the second address of discovery, and answers nothing.
+// reloadThenHang reloads the sidecar with the second address of discovery, and sends nothing.
 func reloadThenHang(d *scriptedDiscovery, conn net.Conn) {
-	d.setReachable()
-	d.move()
+	d.setReportable()
+	d.moveToSecondAddress()
 	holdOpen(conn)
 }
 
@@ -138,24 +139,25 @@
 	io.WriteString(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 }
 
-// resetConnection has the connection end with a reset, as soon as the call returns.
+// resetConnection makes the connection end with a reset once the call returns.
 func resetConnection(_ *scriptedDiscovery, conn net.Conn) {
 	conn.(interface{ SetLinger(int) error }).SetLinger(0)
 }
 
-// failingForAMinute is the script of a discovery that fails each call of its first minute. Where fail is nil, dials get no answer in that time.
+// failingForAMinute returns the script of a discovery that fails each call in its first minute. If fail is nil, dials get no answer in that
+// minute.
 func failingForAMinute(fail scriptedCall) []scriptedCall {
 	first := func(d *scriptedDiscovery, conn net.Conn) {
 		d.mu.Lock()
 		d.unreachable = fail == nil
 		d.mu.Unlock()
-		d.setReachableFrom(time.Now().Add(time.Minute))
+		d.setReportableFrom(time.Now().Add(time.Minute))
 		if fail != nil {
 			fail(d, conn)
 		}
 	}
 	later := func(d *scriptedDiscovery, conn net.Conn) {
-		if d.reachableFor() < 0 {
+		if d.reportableFor() < 0 {
 			fail(d, conn)
 			return
 		}
@@ -164,25 +166,25 @@
 	return []scriptedCall{first, later}
 }
 
-// Whatever failed before, a change of the list arrives in time. Each case scripts discovery from its first call on, and notes from when on
-// the change could be reported. The last call of a script is repeated.
+// A change of the list arrives within maxUpdateDelay, whatever failed before. Each case scripts the calls of discovery and records when the
+// change could first be reported. The last call of a script is repeated.
 func TestChangesArriveInTime(t *testing.T) {
-	noList := sendThenHang(okHead)
-	halfAList := sendThenHang(okHead + listOf(changedGeneration)[:40])
+	headOnly := sendThenHang(okHead)
+	truncatedList := sendThenHang(okHead + listOf(changedGeneration)[:40])
 	olderList := sendThenHang(okHead + listOf(olderGeneration))
 	for name, script := range map[string][]scriptedCall{
-		"silent after a line":    {sendKnownList, answerSlowly},
-		"taken and not answered": {neverAnswer, answerSlowly},
-		"... after failures": {answerBusy, resetConnection, answerBusy, resetConnection, answerBusy,
+		"silent after a list":       {sendKnownList, answerSlowly},
+		"accepted and not answered": {neverAnswer, answerSlowly},
+		"not answered after failures": {answerBusy, resetConnection, answerBusy, resetConnection, answerBusy,
 			neverAnswer, answerSlowly},
-		"opened without a list":       {noList, answerSlowly},
-		"half a list":                 {halfAList, answerSlowly},
-		"a list in drops":             {sendByteByByte, answerSlowly},
-		"an older list":               {sendKnownList, olderList, answerSlowly},
-		"silent, then moved by a HUP": {sendKnownList, reloadThenHang},
-		"busy for long":               failingForAMinute(answerBusy),
-		"resets for long":             failingForAMinute(resetConnection),
-		"out of reach for long":       failingForAMinute(nil),
+		"a head without a list":              {headOnly, answerSlowly},
+		"a truncated list":                   {truncatedList, answerSlowly},
+		"a list byte by byte":                {sendByteByByte, answerSlowly},
+		"an older list":                      {sendKnownList, olderList, answerSlowly},
+		"silent, then reloaded by a SIGHUP":  {sendKnownList, reloadThenHang},
+		"answers 503 for a minute":           failingForAMinute(answerBusy),
+		"resets connections for a minute":    failingForAMinute(resetConnection),
+		"does not answer dials for a minute": failingForAMinute(nil),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { checkChangeArrivesInTime(t, script) })
@@ -190,34 +192,35 @@
 	}
 }
 
-// checkChangeArrivesInTime runs a sidecar, in simulated time, against a discovery that plays a script.
+// checkChangeArrivesInTime runs a sidecar in simulated time with a discovery that plays a script, and fails if the change arrives late.
 func checkChangeArrivesInTime(t *testing.T, script []scriptedCall) {
 	t.Helper()
 	d := &scriptedDiscovery{calls: map[string]int{}}
 	network := memnet.New(200 * time.Microsecond)
-	var played sync.WaitGroup // the end of a connection takes time to arrive
-	d.serve(t, network, "127.0.0.1:82", script, &played)
-	d.serve(t, network, "127.0.0.1:83", []scriptedCall{answerSlowly}, &played)
+	var connections sync.WaitGroup // waited for, because the end of a connection takes time to arrive
+	d.serve(t, network, "127.0.0.1:82", script, &connections)
+	d.serve(t, network, "127.0.0.1:83", []scriptedCall{answerSlowly}, &connections)
 
 	sidecar, listener := newScriptedSidecar(t, network, d)
-	d.move = func() { sidecar.core.Replace(sidecar.source("127.0.0.1:83")) }
+	d.moveToSecondAddress = func() { sidecar.core.Replace(sidecar.source("127.0.0.1:83")) }
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	defer func() { cancel(); <-ended; played.Wait() }()
+	defer func() { cancel(); <-ended; connections.Wait() }()
 	go func() { ended <- sidecar.Run(ctx, listener, nil, nil) }()
 
-	for time.Sleep(time.Millisecond); d.reachableFor() < 0; time.Sleep(time.Millisecond) {
+	for time.Sleep(time.Millisecond); d.reportableFor() < 0; time.Sleep(time.Millisecond) {
 	}
 	for sidecar.core.Stats().Generation != changedGeneration {
-		if d.reachableFor() > maxUpdateDelay {
+		if d.reportableFor() > maxUpdateDelay {
 			t.Fatalf("the change has not arrived after %v", maxUpdateDelay)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Logf("after %v", d.reachableFor().Round(10*time.Millisecond))
+	t.Logf("after %v", d.reportableFor().Round(10*time.Millisecond))
 }
 
-// newScriptedSidecar is a sidecar that knows the list of knownGeneration and watches discovery at 127.0.0.1:82, and the listener to run it on.
+// newScriptedSidecar returns a sidecar that knows the list of knownGeneration and watches discovery at 127.0.0.1:82, and the listener for its
+// clients.
 func newScriptedSidecar(t *testing.T, network *memnet.Network, d *scriptedDiscovery) (*Sidecar, net.Listener) {
 	t.Helper()
 	cfg, err := config.Parse("test", []byte(fmt.Sprintf(
@@ -240,8 +243,8 @@
 	return New(&cfg, dial, slog.New(slog.DiscardHandler)), listener
 }
 
-// serve plays a script at an address, one call of it a connection, until the test ends. Each connection that is served counts in played.
-func (d *scriptedDiscovery) serve(t *testing.T, network *memnet.Network, addr string, script []scriptedCall, played *sync.WaitGroup) {
+// serve plays a script at an address, one call per connection, until the test ends. connections counts the connections being served.
+func (d *scriptedDiscovery) serve(t *testing.T, network *memnet.Network, addr string, script []scriptedCall, connections *sync.WaitGroup) {
 	t.Helper()
 	listener, err := network.Listen(addr)
 	if err != nil {
@@ -254,12 +257,12 @@
 			if err != nil {
 				return
 			}
-			played.Go(func() { d.play(conn, addr, script) })
+			connections.Go(func() { d.play(conn, addr, script) })
 		}
 	}()
 }
 
-// play reads the request of a connection, and plays the call that is due at this address.
+// play reads the request of a connection and plays the script's next call for this address.
 func (d *scriptedDiscovery) play(conn net.Conn, addr string, script []scriptedCall) {
 	defer conn.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -1,8 +1,8 @@
-// Package wiring makes one sidecar of its parts: the core, the front for clients, the connections to servers and the source of their
-// list, each with its part of the configuration. It also runs the process: listeners, hand-overs to successors, reloads. The program and
-// the rehearsals in virtual time use the same wiring.
+// Package wiring assembles one sidecar from its parts: the core, the front for clients, the connections to servers and the source of the
+// server list. It also runs the process: listeners, hand-overs to successors and reloads. The program and the rehearsals in virtual time use
+// the same wiring.
 //
-// It is the only package that knows all the others, and decides nothing itself. A part gets its own settings and no others.
+// It is the only package that imports all the others, and makes no decisions itself. Each part gets its own settings and no others.
 package wiring
 
 import (
@@ -30,36 +30,36 @@
 )
 
 const (
-	// idleFraction of the time after which a server closes an idle connection is when this side closes it, so that it is first.
+	// idleFraction is the fraction of a server's idle timeout after which this side closes an idle connection, so that it closes first.
 	idleFraction            = 0.8
 	defaultIdleTimeoutMS    = 10000
 	defaultConnectTimeoutMS = 1000
 )
 
 // Dial opens a connection to a server or to discovery, as net.Dialer.DialContext does. It is a parameter so that a complete sidecar can run
-// on a network in memory.
+// on an in-memory network.
 type Dial = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// TCP is the Dial of a sidecar on sockets. TCP keep-alive probes are off: attempts have deadlines.
+// TCP returns a Dial that opens TCP connections. TCP keep-alive probes are off, because attempts have deadlines.
 func TCP() Dial { return (&net.Dialer{KeepAlive: -1}).DialContext }
 
-// Sidecar is one sidecar.
+// Sidecar is one process of a sidecar.
 type Sidecar struct {
-	// OnMemoryShared is called when memory is shared with another process of the sidecar from now on, and when that has ended, from the
-	// goroutines of hand-overs. It is set before Run; nil: nobody is notified.
+	// OnMemoryShared, if not nil, is called with true when this process begins to share the sidecar's memory with another process of the
+	// sidecar, and with false when that process has ended. It is called from the goroutines of hand-overs, and must be set before Run.
 	OnMemoryShared func(shared bool)
 
 	name      string
 	log       *slog.Logger
 	dial      Dial
-	limits    lifecycle.ConnectionShare // of connections, while there is one process
+	limits    lifecycle.ConnectionShare // on connections, while this is the only process of the sidecar
 	lifecycle *lifecycle.Machine
 	core      *core.Loop
 	front     *platform.Server
 	upstream  *http1.Pool
 	relay     *relay.Hub
 
-	// Counts for operators; nil where the configuration has no address for them.
+	// Counters for operators. requestCounts and serverCounts are nil where the configuration has no address for operators.
 	requestCounts *counts.Front
 	serverCounts  *counts.Servers
 	loadedFile    atomic.Pointer[counts.File]
@@ -68,12 +68,12 @@
 	handover    handoverProgress
 }
 
-// New makes a sidecar; Run runs it.
+// New returns a sidecar without a predecessor. Run runs it.
 func New(cfg *config.Config, dial Dial, log *slog.Logger) *Sidecar {
 	return NewFrom(cfg, nil, dial, log)
 }
 
-// NewFrom makes a sidecar that continues with the state of its predecessor; nil: there is none.
+// NewFrom returns a sidecar that continues with the state of its predecessor. The state is nil where there is no predecessor.
 func NewFrom(cfg *config.Config, state *HandoverState, dial Dial, log *slog.Logger) *Sidecar {
 	s := &Sidecar{
 		name: cfg.Name, log: log, dial: dial, lifecycle: lifecycle.New(), relay: relay.New(), serverKnown: make(chan struct{}),
@@ -94,17 +94,17 @@
 		Known: cfg.KnownServers, Previous: previous, OnServerAvailable: func() { close(s.serverKnown) },
 	}, s.source(cfg.Discovery), servers, log)
 	settings := frontSettings(cfg, budget)
-	var answerer front.Core = s.core
+	var frontCore front.Core = s.core
 	if cfg.Admin != "" {
 		s.requestCounts = counts.New(s.core, settings.Classes)
-		answerer = s.requestCounts
+		frontCore = s.requestCounts
 	}
-	s.front = platform.New(settings, answerer, s.lifecycle, log)
+	s.front = platform.New(settings, frontCore, s.lifecycle, log)
 	s.limits = lifecycle.ConnectionShare{Clients: settings.Admission.MaxConnections, Servers: cfg.Limits.ServerConnections()}
 	return s
 }
 
-// newServers makes the connections to servers, counted where operators can ask for the counts.
+// newServers returns the connections to servers. Their use is counted where the configuration has an address for operators.
 func (s *Sidecar) newServers(cfg *config.Config, budget *membudget.Budget) upstream.Servers {
 	module := &cfg.Profile.Config
 	settings := http1.Settings{
@@ -126,12 +126,12 @@
 	return s.serverCounts
 }
 
-// frontSettings are the settings of the front.
+// frontSettings returns the settings of the front.
 func frontSettings(cfg *config.Config, budget *membudget.Budget) platform.Settings {
 	settings := platform.Settings{
 		Tenants: cfg.Profile.Tenants, MemoryBudget: budget, Admission: admission.Config{MaxConnections: cfg.Limits.ClientConnections()},
 	}
-	if cfg.Admin != "" && cfg.Limits.Sockets > 0 { // operators' connections are taken from those of clients
+	if cfg.Admin != "" && cfg.Limits.Sockets > 0 { // connections of operators count against the clients' limit
 		settings.Admission.MaxConnections = max(1, settings.Admission.MaxConnections-admin.MaxCalls)
 	}
 	for i, class := range cfg.Profile.Config.Classes {
@@ -144,17 +144,18 @@
 	return settings
 }
 
-// source is the discovery at an address. The two processes of a sidecar share its watch.
+// source returns a discovery client for an address, wrapped so that two processes of a sidecar share one watch.
 func (s *Sidecar) source(addr string) member.Source {
 	d := discovery.New(addr, discovery.Dial(s.dial))
 	d.OnWatchOpened = func() { s.relay.WatchOpened(addr) }
 	return s.relay.Wrap(d)
 }
 
-// frontEffects are the front's effects by those of the decision module.
+// frontEffects maps the effects of the decision module to those of the front.
 var frontEffects = [...]front.Effect{balance.Safe: front.Safe, balance.Keyed: front.Keyed, balance.Unsafe: front.Unsafe}
 
-// healthCheckPath is the cheapest request that is answered with a load report, where servers send any.
+// healthCheckPath returns the path of health checks. Where servers send load reports, it is that of the cheapest request that is answered
+// with one.
 func healthCheckPath(module *balance.Config) string {
 	if module.Reports != balance.ReportNone {
 		return "/_load"
@@ -164,9 +165,9 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func orDefault(value, otherwise float64) float64 {
+func orDefault(value, fallback float64) float64 {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
