--- a/cmd/petrelhook/args.go
+++ b/cmd/petrelhook/args.go
@@ -34,10 +34,10 @@
 	check                 bool
 }
 
-// errDone is parseArgs' error where the command line asked for the help or the version, and it has been printed.
+// errDone is the error of parseArgs after it has printed the help or the version.
 var errDone = errors.New("done")
 
-// parseArgs reads the command line. It prints the help or the version to out where that is asked for, and then returns errDone. Any other
+// parseArgs parses the command line. If it asks for the help or the version, parseArgs prints that to out and returns errDone. Any other
 // error means wrong usage.
 func parseArgs(args []string, env func(string) string, out io.Writer) (options, error) {
 	var parsed options
@@ -68,7 +68,7 @@
 	return parsed, nil
 }
 
-// logger writes to w, at the level and in the format of the options.
+// logger returns a logger that writes to w, at the level and in the format of the options.
 func (o options) logger(w io.Writer) *slog.Logger {
 	handlerOptions := &slog.HandlerOptions{Level: o.logLevel}
 	if o.logFormat == "json" {
@@ -77,7 +77,7 @@
 	return slog.New(slog.NewTextHandler(w, handlerOptions))
 }
 
-// buildInfo says what the program was built from, as recorded by the toolchain.
+// buildInfo returns what the program was built from, as recorded by the toolchain.
 func buildInfo() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/petrelhook/idle_clients_test.go
+++ b/cmd/petrelhook/idle_clients_test.go
@@ -16,8 +16,8 @@
 	"petrelhook/internal/rig/process"
 )
 
-// Idle clients connect until no descriptor is left for them, while discovery is down: health is answered, servers are reached, and the watch
-// opens when discovery is back. The process has no more descriptors open than its configuration allows.
+// While discovery is down, idle clients connect until no descriptor is left for them. Health checks are answered, servers are reached, and the
+// watch opens when discovery is back. The process opens no more descriptors than its configuration allows.
 func TestManyClientsWhileDiscoveryIsDown(t *testing.T) {
 	const limit = 384
 	f := newFleet(t, peertest.Settings)
@@ -44,7 +44,7 @@
 		return resp.StatusCode
 	}
 	peertest.Eventually(t, "it is ready", func() bool { return ask(health) == 200 })
-	for i := range 3 * limit { // idle ones without a request, after a request, and within a head
+	for i := range 3 * limit { // idle connections without a request, after a request, and in the middle of a head
 		c, err := net.Dial("tcp", f.listen)
 		if err != nil {
 			t.Fatal(err)
@@ -55,7 +55,7 @@
 	n := 0
 	peertest.Eventually(t, "a request is served", func() bool { n++; return ask(request("GET", "look", fmt.Sprint("c", n), "", 0)) == 200 })
 	peertest.Eventually(t, "health answers", func() bool { return ask(health) == 200 })
-	addr := value([]byte(f.config), "discovery").(string)
+	addr := valueAt([]byte(f.config), "discovery").(string)
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/petrelhook/log_blocked_test.go
+++ b/cmd/petrelhook/log_blocked_test.go
@@ -17,8 +17,9 @@
 	"petrelhook/internal/rig/process"
 )
 
-// Standard error is full and not read any more: each request still gets its response before its deadline, and the process ends normally.
-func TestALogThatIsNotRead(t *testing.T) {
+// The pipe at standard error is full and no longer read. Each request still gets its response before its deadline, and the process ends
+// normally.
+func TestABlockedLogDelaysNoResponse(t *testing.T) {
 	const deadline = time.Second
 	server := peertest.NewPeer(t, peertest.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")) // a line for each attempt
 	listen, dir := peertest.ReserveAddr(t), t.TempDir()
@@ -28,25 +29,25 @@
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	log, to, err := os.Pipe()
+	logReader, logWriter, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
-	if _, _, no := syscall.Syscall(syscall.SYS_FCNTL, to.Fd(), syscall.F_SETPIPE_SZ, 4096); no != 0 {
-		t.Fatal(no)
+	defer logReader.Close()
+	if _, _, errno := syscall.Syscall(syscall.SYS_FCNTL, logWriter.Fd(), syscall.F_SETPIPE_SZ, 4096); errno != 0 {
+		t.Fatal(errno)
 	}
 	cmd := process.Self("PETRELHOOK_TEST_RUN", "1")
 	cmd.Env = append(cmd.Env, "LB_CONFIG="+path, "LB_ADMIN_ADDR=", "TMPDIR="+dir)
-	cmd.Stderr = to
+	cmd.Stderr = logWriter
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	to.Close()
+	logWriter.Close()
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() { cmd.Process.Kill() })
-	if line, err := bufio.NewReaderSize(log, 16).ReadString('\n'); err != nil || !strings.Contains(line, "serving") {
+	if line, err := bufio.NewReaderSize(logReader, 16).ReadString('\n'); err != nil || !strings.Contains(line, "serving") {
 		t.Fatalf("%q, %v", line, err)
 	}
 	attempts := 0
@@ -55,7 +56,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(deadline + peertest.EventTimeout/4)) // on a busy machine the response is late, from a blocked process it never comes
+		c.SetDeadline(time.Now().Add(deadline + peertest.EventTimeout/4)) // on a busy machine the response is late; a blocked process never sends it
 		io.WriteString(c, request("GET", "look", fmt.Sprint("blocked-", i), "Connection: close\r\n", 0))
 		_, err = http.ReadResponse(bufio.NewReader(c), nil)
 		c.Close()
@@ -64,7 +65,7 @@
 		}
 		attempts = int(server.Requests.Load())
 	}
-	if attempts < 100 { // of which 30 lines or so fill the pipe
+	if attempts < 100 { // each logs a line, and about 30 lines fill the pipe
 		t.Fatalf("%d attempts were made", attempts)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
--- a/cmd/petrelhook/log_test.go
+++ b/cmd/petrelhook/log_test.go
@@ -13,7 +13,8 @@
 	"testing"
 )
 
-// Every log line of the sidecar is on the operators' page with all of its fields: programs that read logs rely on the names.
+// Every log line of the programs is on an operators' page with its level and all of its fields, because programs that read logs rely on the
+// names.
 func TestLogLinesAreOnThePage(t *testing.T) {
 	rows := func(name string) map[string]string {
 		page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operate", name))
@@ -75,7 +76,7 @@
 	keys           []string
 }
 
-// logLines returns the calls of a logger named log or Log in a file, however many lines of the source each takes.
+// logLines returns the calls in a file of a logger named log or Log, which may span several source lines.
 func logLines(file *ast.File) (lines []logLine) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		call, ok := node.(*ast.CallExpr)
@@ -102,7 +103,7 @@
 	return lines
 }
 
-// isLogger reports whether an expression is a variable or a field of the name log or Log.
+// isLogger reports whether an expression is a variable or a field named log or Log.
 func isLogger(x ast.Expr) bool {
 	switch x := x.(type) {
 	case *ast.Ident:
--- a/cmd/petrelhook/main.go
+++ b/cmd/petrelhook/main.go
@@ -1,5 +1,5 @@
-// Command petrelhook is the sidecar: it accepts the requests of one application and has them served by the servers that discovery lists.
-// This package reads the command line and the configuration, and runs package wiring.
+// Command petrelhook is the sidecar: it accepts the requests of one application and forwards them to the servers that discovery lists. This
+// package reads the command line and the configuration, and runs package wiring.
 package main
 
 import (
@@ -19,16 +19,16 @@
 
 // The exit codes; 0 is success.
 const (
-	exitFailed = 1 // the configuration is bad, or the sidecar could not serve
-	exitUsage  = 2 // the command line is wrong
+	exitFailed = 1 // the configuration is invalid, or the sidecar could not serve
+	exitUsage  = 2 // the command line is invalid
 )
 
-// logFlushTimeout is how long the process waits at its end for the last lines of its log to be written.
+// logFlushTimeout is how long the process waits before it exits for the last lines of its log to be written.
 const logFlushTimeout = 500 * time.Millisecond
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run is the program with its arguments and outputs; it returns the exit code.
+// run runs the program with these arguments and outputs, and returns its exit code.
 func run(args []string, out, errOut io.Writer) int {
 	options, err := parseArgs(args, os.Getenv, out)
 	switch {
@@ -38,8 +38,8 @@
 		fmt.Fprintln(errOut, "petrelhook:", err)
 		return exitUsage
 	}
-	// A SIGHUP that comes while the configuration is read neither ends the process nor is lost.
-	reload := make(chan os.Signal, 1) // one is enough: the file is read after the last signal
+	// Registered before the configuration is read, so that a SIGHUP in that time neither ends the process nor is lost.
+	reload := make(chan os.Signal, 1) // one pending signal is enough: the file is read after the last signal
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 	cfg, err := config.Read(options.configPath)
@@ -55,12 +55,12 @@
 		fmt.Fprintf(out, "%s: good: %d classes, %d servers known\n", options.configPath, len(cfg.Profile.Classes), len(cfg.KnownServers.Instances))
 		return 0
 	}
-	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt) // until here nothing is accepted
+	stop, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt) // no request has been accepted before, so the signals may end the process
 	defer release()
-	log := options.logger(errOut) // for the log writer itself
-	lines := logwriter.New(errOut, func(n int) { log.Warn("log lines were dropped", "lines", n) })
-	err = wiring.Serve(stop, options.configPath, &cfg, wiring.System(wiring.TCP()), reload, options.logger(lines))
-	lines.Close(logFlushTimeout)
+	log := options.logger(errOut) // for the log writer's own lines
+	logWriter := logwriter.New(errOut, func(n int) { log.Warn("log lines were dropped", "lines", n) })
+	err = wiring.Serve(stop, options.configPath, &cfg, wiring.System(wiring.TCP()), reload, options.logger(logWriter))
+	logWriter.Close(logFlushTimeout)
 	if err != nil {
 		fmt.Fprintln(errOut, "petrelhook:", err)
 		return exitFailed
--- a/cmd/petrelhook/main_test.go
+++ b/cmd/petrelhook/main_test.go
@@ -26,7 +26,7 @@
 	return path
 }
 
-// Each command line ends with its exit code and prints to the right output, one line where something is wrong.
+// Each command line gives its exit code and prints to the right output. An error is printed as one line.
 func TestCommandLine(t *testing.T) {
 	path := writeConfig(t, goodConfig)
 	bad := writeConfig(t, strings.Replace(goodConfig, `"read_like"`, `"odd"`, 1))
@@ -60,8 +60,9 @@
 	}
 }
 
-// The operators' address in the environment variable overrides that of the file, and is checked like it.
-func TestWhereOperatorsCall(t *testing.T) {
+// The operators' address in the environment variable overrides that of the file, and is checked in the same way. An address that is in use is
+// reported.
+func TestAdminAddressFromTheEnvironment(t *testing.T) {
 	path := writeConfig(t, goodConfig)
 	for addr, want := range map[string]string{"127.0.0.1:9600": "", "9600": `LB_ADMIN_ADDR: "9600" is no address; write host:port`} {
 		t.Setenv("LB_ADMIN_ADDR", addr)
@@ -70,12 +71,12 @@
 			t.Errorf("%s: code %d, %q", addr, code, &errs)
 		}
 	}
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	t.Setenv("LB_ADMIN_ADDR", taken.Addr().String())
+	defer listener.Close()
+	t.Setenv("LB_ADMIN_ADDR", listener.Addr().String())
 	t.Setenv("TMPDIR", t.TempDir())
 	var out, errs bytes.Buffer
 	if code := run([]string{"--config", path}, &out, &errs); code != 1 || !strings.Contains(errs.String(), "is taken") || strings.Count(errs.String(), "\n") != 1 {
@@ -83,8 +84,8 @@
 	}
 }
 
-// The flag overrides the environment variable.
-func TestWhichFile(t *testing.T) {
+// The --config flag overrides the environment variable.
+func TestConfigPathPrecedence(t *testing.T) {
 	env := func(name string) string { return map[string]string{"LB_CONFIG": "from-env"}[name] }
 	for want, args := range map[string][]string{"from-env": nil, "given": {"--config", "given"}} {
 		if c, err := parseArgs(args, env, io.Discard); err != nil || c.configPath != want {
--- a/cmd/petrelhook/norace_test.go
+++ b/cmd/petrelhook/norace_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raced = false
+const raceEnabled = false
--- a/cmd/petrelhook/recorded_link_test.go
+++ b/cmd/petrelhook/recorded_link_test.go
@@ -17,11 +17,11 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// recordedLink is what two processes of a sidecar write on the socket of a hand-over, as revision cfdfdec wrote it; the numbers that
-// differ from run to run are replaced. LINK_RECORD=1 go test ./cmd/petrelhook -run TestRecordedLink writes it.
+// recordedLink is the file with what two processes of a sidecar write on the socket of a hand-over, as revision cfdfdec wrote it. Numbers that
+// differ between runs are replaced. LINK_RECORD=1 go test ./cmd/petrelhook -run TestRecordedLink writes the file.
 const recordedLink = "testdata/cfdfdec/link.txt"
 
-// transcript is what a process wrote on a hand-over's socket.
+// transcript reads and records the lines that a process writes on the socket of a hand-over.
 type transcript struct {
 	t     *testing.T
 	conn  *net.UnixConn
@@ -37,7 +37,7 @@
 	return &transcript{t: t, conn: conn, in: bufio.NewReader(conn)}
 }
 
-// read notes the next line of the process.
+// read reads the next line of the process, records it and returns it.
 func (c *transcript) read() string {
 	c.t.Helper()
 	line, err := c.in.ReadString('\n')
@@ -48,7 +48,7 @@
 	return line
 }
 
-// readUntil notes the next line of the process that is wanted, and passes over those before it.
+// readUntil records the next line of the process that is wanted, and discards the lines before it.
 func (c *transcript) readUntil(wanted func(line string) bool) {
 	c.t.Helper()
 	for !wanted(c.read()) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// send writes to the process.
+// send writes text to the process.
 func (c *transcript) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
@@ -64,12 +64,12 @@
 	}
 }
 
-// stateHeader is the line that announces a state, by the description of the format.
+// stateHeader returns the line that precedes a state, according to the description of the format.
 func stateHeader(state []byte) string {
 	return fmt.Sprintf("petrelhook handover 1 %d %08x\n", len(state), crc32.Checksum(state, crc32.MakeTable(crc32.Castagnoli)))
 }
 
-// recordPredecessor notes what a process in service writes to its successor, which the test plays.
+// recordPredecessor returns the lines that a process in service writes to its successor, which the test plays.
 func recordPredecessor(t *testing.T, f *fleet) (lines []string, socket string) {
 	t.Helper()
 	s := f.start()
@@ -112,7 +112,7 @@
 	return c.lines, sockets[0]
 }
 
-// recordSuccessor notes what a process that takes over writes to the one in service, which the test plays.
+// recordSuccessor returns the lines that a process that takes over writes to the process in service, which the test plays.
 func recordSuccessor(t *testing.T, f *fleet, socket string, lists *peertest.Discovery) (lines []string) {
 	t.Helper()
 	if err := os.Remove(socket); err != nil {
@@ -142,7 +142,7 @@
 	go func() { started <- f.start() }()
 	c := newTranscript(t, peertest.Wait(t, accepted))
 	c.read()
-	state, err := os.ReadFile(filepath.Join(recorded, "2-by-name.json"))
+	state, err := os.ReadFile(filepath.Join(recordedStates, "2-by-name.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 	c.send("heard\nfollows\n")
 	s := peertest.Wait(t, started)
 	isHeartbeat := func(line string) bool { return strings.HasPrefix(line, "watch ") && !strings.Contains(line, `"list"`) }
-	c.readUntil(isHeartbeat) // a list may come before, where its watch was open in time
+	c.readUntil(isHeartbeat) // a list may come first, if the watch was already open
 	lists.Publish(peertest.Catalog(2, true, peertest.Instance("s-1", "127.0.0.1:9", "up")))
 	c.readUntil(func(line string) bool { return !isHeartbeat(line) })
 	for _, call := range []string{"PUT /api/evacuate", "PUT /api/rejoin"} {
@@ -172,7 +172,8 @@
 	return c.lines
 }
 
-// What either process writes on the socket of a hand-over is what it was, byte for byte: the other may be of another version.
+// Both processes write on the socket of a hand-over what they wrote at the recorded revision, byte for byte, because the other process may be
+// of another version.
 func TestRecordedLink(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	before, socket := recordPredecessor(t, f)
--- a/cmd/petrelhook/recorded_test.go
+++ b/cmd/petrelhook/recorded_test.go
@@ -15,11 +15,11 @@
 	"petrelhook/internal/sidecar/handover"
 )
 
-// recorded has the states that sidecars of some versions handed over, byte for byte; the newest is this version's. A version that hands
-// over something else gets a recording of its own: HANDOVER_RECORD=NAME go test ./cmd/petrelhook -run TestRecordedHandOvers
-const recorded = "testdata/handover"
+// recordedStates is the folder of the states that sidecars of several versions handed over, byte for byte. The newest is that of this version.
+// A version that hands over a different state gets its own recording: HANDOVER_RECORD=NAME go test ./cmd/petrelhook -run TestRecordedHandOvers
+const recordedStates = "testdata/handover"
 
-// requestHandover has a process of the fleet's sidecar hand over to the test, as to its successor.
+// requestHandover takes over from a process of the fleet's sidecar, as its successor does, and returns the state and the link.
 func (f *fleet) requestHandover() (state []byte, link *handover.Link) {
 	f.t.Helper()
 	received, err := handover.NewRendezvous(f.dir, "n0", f.listen).Request(peertest.EventTimeout)
@@ -30,8 +30,8 @@
 	return received.State, received.Link
 }
 
-// value is the value at a path in a state; nil: there is none.
-func value(state []byte, path ...string) (v any) {
+// valueAt returns the value at a path in a JSON state, or nil if there is none.
+func valueAt(state []byte, path ...string) (v any) {
 	if json.Unmarshal(state, &v) != nil {
 		return nil
 	}
@@ -42,35 +42,35 @@
 	return v
 }
 
-// shape adds the types of all values by their path, those of lists by their first entry.
-func shape(v any, path string, all map[string]string) map[string]string {
-	all[path] = fmt.Sprintf("%T", v)
+// typesByPath adds the types of v and of all values below it to types, by path, and returns types. It visits only the first entry of a list.
+func typesByPath(v any, path string, types map[string]string) map[string]string {
+	types[path] = fmt.Sprintf("%T", v)
 	switch v := v.(type) {
 	case map[string]any:
-		if strings.HasSuffix(path, "IDs") || strings.HasSuffix(path, "Zones") || strings.HasSuffix(path, "Kinds") { // maps whose keys are data
+		if strings.HasSuffix(path, "IDs") || strings.HasSuffix(path, "Zones") || strings.HasSuffix(path, "Kinds") { // the keys of these maps are data
 			break
 		}
-		for name, one := range v {
-			shape(one, path+"."+name, all)
+		for name, field := range v {
+			typesByPath(field, path+"."+name, types)
 		}
 	case []any:
 		if len(v) > 0 {
-			shape(v[0], path+"[]", all)
+			typesByPath(v[0], path+"[]", types)
 		}
 	}
-	return all
+	return types
 }
 
-// Versions side by side: this version continues with the state of each recorded one, with its list and what it had learned, and hands over
-// everything that each of them reads.
+// This version continues with the state of each recorded version, including its list and learned values, and hands over everything that each
+// of these versions reads.
 func TestRecordedHandOvers(t *testing.T) {
 	own := handoverAfterRequests(t)
 	if name := os.Getenv("HANDOVER_RECORD"); name != "" {
-		if err := os.WriteFile(filepath.Join(recorded, name+".json"), own, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(recordedStates, name+".json"), own, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	files, err := filepath.Glob(filepath.Join(recorded, "*.json"))
+	files, err := filepath.Glob(filepath.Join(recordedStates, "*.json"))
 	if err != nil || len(files) < 2 {
 		t.Fatal(files, err)
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-// handoverAfterRequests is the state that a process of this version hands over after a request of each kind.
+// handoverAfterRequests returns the state that a process of this version hands over after a request of each kind.
 func handoverAfterRequests(t *testing.T) (state []byte) {
 	t.Helper()
 	f := newFleet(t, peertest.Settings)
@@ -101,29 +101,29 @@
 	return state
 }
 
-// checkHandsOverAllOf fails where a recorded state has a value, of a path and type, that this version's own doesn't have.
+// checkHandsOverAllOf fails if a recorded state has a value whose path is missing, or has another type, in this version's own state.
 func checkHandsOverAllOf(t *testing.T, file string, own, state []byte) {
 	t.Helper()
-	written := shape(value(own), "", map[string]string{})
-	for path, kind := range shape(value(state), "", map[string]string{}) {
-		if written[path] != kind {
-			t.Errorf("%s reads %s (%s), and this version hands over %q", file, path, kind, written[path])
+	written := typesByPath(valueAt(own), "", map[string]string{})
+	for path, valueType := range typesByPath(valueAt(state), "", map[string]string{}) {
+		if written[path] != valueType {
+			t.Errorf("%s reads %s (%s), and this version hands over %q", file, path, valueType, written[path])
 		}
 	}
 }
 
-// checkContinuesWith starts a process of this version as the successor of one that hands over a recorded state. What it hands over in turn has
-// the list and the learned values of that state.
+// checkContinuesWith starts a process of this version as the successor of a process that hands over a recorded state. It fails unless the
+// state that the successor hands over in turn has the list and the learned values of the recorded one.
 func checkContinuesWith(t *testing.T, file string, state []byte) {
 	t.Helper()
 	f := newFleet(t, peertest.Settings)
-	ownDiscovery, recordedDiscovery := value([]byte(f.config), "discovery").(string), value(state, "core", "Source").(string)
+	ownDiscovery, recordedDiscovery := valueAt([]byte(f.config), "discovery").(string), valueAt(state, "core", "Source").(string)
 	f.config = strings.Replace(f.config, `"discovery":"`+ownDiscovery, `"discovery":"`+recordedDiscovery, 1)
 	successor := f.startAfter(state)
-	again, link := f.requestHandover()
+	handedOn, link := f.requestHandover()
 	for _, path := range [][]string{{"core", "List"}, {"core", "Module", "Classes"}, {"core", "Module", "Quickest"}} {
-		if was, is := value(state, path...), value(again, path...); was == nil || !reflect.DeepEqual(was, is) {
-			t.Errorf("%s: %v: %v, and then %v", file, path, was, is)
+		if want, got := valueAt(state, path...), valueAt(handedOn, path...); want == nil || !reflect.DeepEqual(want, got) {
+			t.Errorf("%s: %v: recorded %v, handed over %v", file, path, want, got)
 		}
 	}
 	link.Close()
@@ -132,7 +132,8 @@
 	}
 }
 
-// startAfter starts a process as the successor of the test, which hands over its listener and a state and then closes both.
+// startAfter starts a process as the successor of the test, which hands over a listener and the state, and then closes the listener and the
+// rendezvous.
 func (f *fleet) startAfter(state []byte) *sidecar {
 	f.t.Helper()
 	listener, err := net.Listen("tcp", f.listen)
--- a/cmd/petrelhook/signals_test.go
+++ b/cmd/petrelhook/signals_test.go
@@ -17,7 +17,7 @@
 	"petrelhook/internal/rig/process"
 )
 
-// A SIGHUP while the file is read for the first time neither ends the process nor is lost.
+// A SIGHUP while the configuration file is read for the first time neither ends the process nor is lost.
 func TestAHangUpSignalDuringTheStart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -52,39 +52,39 @@
 	}
 }
 
-// shutdownStep is what is in progress as a process gets SIGTERM.
+// shutdownStep is what is in progress when a process gets SIGTERM.
 type shutdownStep string
 
 const (
 	headHalfRead     shutdownStep = "a head is half read"
 	bodyHalfRead     shutdownStep = "a body is half read"
 	serverHangs      shutdownStep = "a server hangs"
-	responseHalfSent shutdownStep = "an answer is half written"
+	responseHalfSent shutdownStep = "a response is half sent"
 	connectionIsIdle shutdownStep = "a connection is idle"
 )
 
 const halfResponseLength = 100_000
 
-// stepServer behaves as a step needs it.
+// stepServer is a server that behaves as a shutdownStep requires.
 type stepServer struct {
 	*peertest.Peer
-	taken   chan struct{} // receives when a request has come, or its response is half sent
-	release chan struct{} // closed to have the other half sent
+	reached chan struct{} // receives when a request has arrived or its response is half sent
+	release chan struct{} // closed to make the server send the other half
 }
 
 func newStepServer(t *testing.T, step shutdownStep) *stepServer {
 	t.Helper()
-	s := &stepServer{taken: make(chan struct{}, 1), release: make(chan struct{})}
+	s := &stepServer{reached: make(chan struct{}, 1), release: make(chan struct{})}
 	s.Peer = peertest.NewPeer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		half := strings.Repeat("x", halfResponseLength)
 		switch step {
 		case responseHalfSent:
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*halfResponseLength, half)
-			s.taken <- struct{}{}
+			s.reached <- struct{}{}
 			<-s.release
 			io.WriteString(c, half)
 		case serverHangs:
-			s.taken <- struct{}{}
+			s.reached <- struct{}{}
 		default:
 			io.WriteString(c, peertest.OKResponse)
 		}
@@ -93,7 +93,7 @@
 	return s
 }
 
-// split is what a client sends before SIGTERM and after it.
+// split returns what a client sends before and after SIGTERM.
 func (step shutdownStep) split() (before, after string) {
 	whole := request("POST", "once", "t", "", 1000)
 	switch step {
@@ -108,23 +108,23 @@
 	}
 }
 
-// waitReached waits until what the client has sent has brought the sidecar to the step.
+// waitReached waits until the sidecar has reached the step, after the client has sent its first part.
 func (step shutdownStep) waitReached(t *testing.T, server *stepServer, listen string, in *bufio.Reader) {
 	t.Helper()
 	switch step {
 	case serverHangs, responseHalfSent:
-		peertest.Wait(t, server.taken)
+		peertest.Wait(t, server.reached)
 	case connectionIsIdle:
 		if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 {
 			t.Fatalf("before the end: %d", resp.StatusCode)
 		}
-	default: // it has been read when a request behind it on another connection is answered
+	default: // the sidecar has read it once a later request on another connection is answered
 		peertest.SendRequest(t, listen, request("GET", "look", "v", "", 0))
 	}
 }
 
-// checkResponse fails unless the request is answered completely. Only that of an idle connection, which was not read before SIGTERM, may be
-// left without an answer, its connection closed.
+// checkResponse fails unless the request gets a complete response. Only on an idle connection, whose request is sent after SIGTERM, may the
+// connection be closed without a response.
 func (step shutdownStep) checkResponse(t *testing.T, in *bufio.Reader) {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
@@ -143,21 +143,21 @@
 	}
 }
 
-// Signals at each step of a shutdown: whatever comes after SIGTERM, accepted requests are answered, and the process ends with success and in
-// time. The longest deadline in the settings is a second.
+// A signal arrives after SIGTERM, while a request is in progress in each of several ways. Accepted requests are answered, and the process ends
+// in time with exit code 0. The longest deadline in the settings is a second.
 func TestSignalsInTheEnd(t *testing.T) {
-	for _, again := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
+	for _, secondSignal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
 		for _, step := range []shutdownStep{headHalfRead, bodyHalfRead, serverHangs, responseHalfSent, connectionIsIdle} {
-			t.Run(fmt.Sprint(again, " while ", step), func(t *testing.T) {
+			t.Run(fmt.Sprint(secondSignal, " while ", step), func(t *testing.T) {
 				t.Parallel()
-				checkSignalsInTheEnd(t, again, step)
+				checkSignalsInTheEnd(t, secondSignal, step)
 			})
 		}
 	}
 }
 
-// checkSignalsInTheEnd ends a process at a step by SIGTERM, and sends it another signal twice once it is stopping.
-func checkSignalsInTheEnd(t *testing.T, again syscall.Signal, step shutdownStep) {
+// checkSignalsInTheEnd sends SIGTERM to a process at a step, and sends it secondSignal twice once it is stopping.
+func checkSignalsInTheEnd(t *testing.T, secondSignal syscall.Signal, step shutdownStep) {
 	t.Helper()
 	const longestDeadline = time.Second
 	server := newStepServer(t, step)
@@ -172,8 +172,8 @@
 	began := time.Now()
 	s.Signal(syscall.SIGTERM)
 	peertest.Eventually(t, "it ends", func() bool { return s.Log.Has("now=stopping") })
-	s.Signal(again)
-	s.Signal(again)
+	s.Signal(secondSignal)
+	s.Signal(secondSignal)
 	io.WriteString(conn, after)
 	close(server.release)
 	step.checkResponse(t, in)
--- a/cmd/petrelhook/streams_test.go
+++ b/cmd/petrelhook/streams_test.go
@@ -17,17 +17,18 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// streams is how many long messages go both ways at once, and how long they are: STREAMS and STREAM_MB in the environment.
-func streams() (n int, size int64) {
-	mb := int64(4)
+// longMessageLoad returns how many long messages are sent each way at once, and their size in bytes. STREAMS and STREAM_MB in the environment
+// override the number and the size in MiB.
+func longMessageLoad() (n int, size int64) {
+	sizeMB := int64(4)
 	n = 12
 	fmt.Sscan(os.Getenv("STREAMS"), &n)
-	fmt.Sscan(os.Getenv("STREAM_MB"), &mb)
-	return n, mb << 20
+	fmt.Sscan(os.Getenv("STREAM_MB"), &sizeMB)
+	return n, sizeMB << 20
 }
 
-// peak is the most memory that a process ever had, in bytes.
-func (s *sidecar) peak() (bytes int64) {
+// peakMemory returns the peak resident memory of a process in bytes.
+func (s *sidecar) peakMemory() (bytes int64) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.Pid))
 	if err != nil {
 		s.f.t.Fatal(err)
@@ -40,24 +41,25 @@
 	return bytes << 10
 }
 
-// inChunks writes or reads n random bytes in chunks of 1 byte to 1 MiB, and returns their digest.
-func inChunks(seed uint64, n int64, move func([]byte) (int, error)) (string, error) {
+// transferInChunks writes or reads n bytes by calls of transfer with chunks of 1 byte to 1 MiB, and returns their digest. The sizes of the
+// chunks, and the bytes to write, are random and determined by the seed.
+func transferInChunks(seed uint64, n int64, transfer func([]byte) (int, error)) (string, error) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	sum := sha256.New()
 	buffer := make([]byte, 1<<20)
 	rand.NewChaCha8([32]byte{byte(seed)}).Read(buffer)
 	for left := n; left > 0; {
 		piece := buffer[:min(left, int64(1)<<random.IntN(21))]
-		moved, err := move(piece)
-		sum.Write(piece[:moved])
-		if left -= int64(moved); err != nil {
+		transferred, err := transfer(piece)
+		sum.Write(piece[:transferred])
+		if left -= int64(transferred); err != nil {
 			return fmt.Sprintf("%x", sum.Sum(nil)), err
 		}
 	}
 	return fmt.Sprintf("%x", sum.Sum(nil)), nil
 }
 
-// digestServer keeps the digests of the bodies that it has read to the end, and answers with a long response.
+// digestServer records the digests of the bodies that it has read completely, and answers with a long response.
 type digestServer struct {
 	addr         string
 	responseSize int64
@@ -91,7 +93,7 @@
 	io.CopyN(w, rand.NewChaCha8([32]byte{byte(len(id))}), d.responseSize)
 }
 
-// body is the digest of the body of a request, or "" where none was read to the end.
+// body returns the digest of the body of a request, or "" if the body was not read completely.
 func (d *digestServer) body(id string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,12 +108,12 @@
 
 func (c longClient) id() string { return fmt.Sprint("long", c.number) }
 
-// leaves is whether the client goes away half way through its body.
-func (c longClient) leaves() bool { return c.number%5 == 4 }
+// disconnects reports whether the client disconnects in the middle of its body.
+func (c longClient) disconnects() bool { return c.number%5 == 4 }
 
 func (c longClient) isChunked() bool { return c.number%2 == 1 }
 
-// exchange sends the request, and checks the response and the body that the server has seen.
+// exchange sends the request, and checks the response and the body that the server got.
 func (c longClient) exchange(t *testing.T, addr string, server *digestServer) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -121,7 +123,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(10 * peertest.EventTimeout))
-	if c.leaves() {
+	if c.disconnects() {
 		c.send(conn, c.size/2)
 		return
 	}
@@ -137,21 +139,21 @@
 		return
 	}
 	if server.body(c.id()) != sent {
-		t.Errorf("%s: the server had another body", c.id())
+		t.Errorf("%s: the server got another body", c.id())
 	}
 }
 
-// send writes the request's head and bodySize bytes of its body, and returns their digest.
+// send writes the request's head and bodySize bytes of its body, and returns the digest of these bytes.
 func (c longClient) send(conn net.Conn, bodySize int64) (digest string, err error) {
 	framing, write := fmt.Sprint("Content-Length: ", c.size), conn.Write
 	if c.isChunked() {
 		framing, write = "Transfer-Encoding: chunked", func(p []byte) (int, error) { return writeChunk(conn, p) }
 	}
 	fmt.Fprintf(conn, "POST /once HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: once\r\nX-Expires-In: 9000m\r\n%s\r\n\r\n", c.id(), framing)
-	return inChunks(uint64(c.number), bodySize, write)
+	return transferInChunks(uint64(c.number), bodySize, write)
 }
 
-// writeChunk writes one chunk of a chunked body, and returns how many bytes of p it has written.
+// writeChunk writes p as one chunk of a chunked body, and returns how many bytes of p it has written.
 func writeChunk(conn net.Conn, p []byte) (n int, err error) {
 	fmt.Fprintf(conn, "%x\r\n", len(p))
 	n, err = conn.Write(p)
@@ -159,8 +161,8 @@
 	return n, err
 }
 
-// readResponse checks the status and the size of the response, which it reads in pieces of any size. It reports whether there was a response
-// with the status 200.
+// readResponse reads the response in chunks of random sizes, and checks its status and size. It reports whether there was a response with
+// the status 200.
 func (c longClient) readResponse(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -169,7 +171,7 @@
 		return false
 	}
 	got := int64(0)
-	_, err = inChunks(uint64(c.number), c.size, func(p []byte) (int, error) {
+	_, err = transferInChunks(uint64(c.number), c.size, func(p []byte) (int, error) {
 		n, err := io.ReadFull(resp.Body, p)
 		got += int64(n)
 		return n, err
@@ -180,11 +182,12 @@
 	return true
 }
 
-// Long bodies and responses in chunks of any size, many at once and far more than the memory limit, with clients that pause and some that go
-// away half way: each of the others gets its own response, and the process stays within its memory limit.
-func TestLongMessagesInLittleMemory(t *testing.T) {
+// Clients send long bodies and read long responses in chunks of random sizes, many at once and together far larger than the memory limit. Some
+// clients disconnect in the middle of their body. Each of the others gets its complete response, and the process stays within its memory
+// limit.
+func TestLongMessagesWithinTheMemoryLimit(t *testing.T) {
 	const memoryMB = 32
-	n, size := streams()
+	n, size := longMessageLoad()
 	server := newDigestServer(t, size)
 	f := newFleet(t, peertest.Settings)
 	f.config = strings.Replace(f.config, `"memory_mb":64`, fmt.Sprintf(`"memory_mb":%d`, memoryMB), 1)
@@ -197,14 +200,14 @@
 		clients.Go(func() { longClient{number: i, size: size}.exchange(t, f.listen, server) })
 	}
 	clients.Wait()
-	took, peak := time.Since(began), s.peak()
-	t.Logf("%d messages of %d MB both ways in %v: %.1f MB of memory at most", n, size>>20, took.Round(time.Millisecond), float64(peak)/(1<<20))
-	if peak > memoryMB<<20 && !raced { // the race detector takes several times the memory
-		t.Errorf("%d bytes of memory, of %d MB", peak, memoryMB)
+	took, peakMemory := time.Since(began), s.peakMemory()
+	t.Logf("%d messages of %d MB both ways in %v: %.1f MB of memory at most", n, size>>20, took.Round(time.Millisecond), float64(peakMemory)/(1<<20))
+	if peakMemory > memoryMB<<20 && !raceEnabled { // the race detector takes several times the memory
+		t.Errorf("%d bytes of memory, of %d MB", peakMemory, memoryMB)
 	}
 	for i := range n {
-		if c := (longClient{number: i, size: size}); c.leaves() && server.body(c.id()) != "" {
-			t.Errorf("%s: half a body passed for a whole one", c.id())
+		if c := (longClient{number: i, size: size}); c.disconnects() && server.body(c.id()) != "" {
+			t.Errorf("%s: the server read a truncated body as a complete one", c.id())
 		}
 	}
 	s.end()
--- a/cmd/petrelhook/upgrade_limits_test.go
+++ b/cmd/petrelhook/upgrade_limits_test.go
@@ -12,33 +12,33 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// descriptors is how many a process has open.
+// descriptors returns the number of open file descriptors of a process.
 func (s *sidecar) descriptors() int {
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.Pid))
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.Pid))
 	if err != nil {
 		s.f.t.Fatal(err)
 	}
-	return len(all)
+	return len(entries)
 }
 
-// Clients open all connections that the process in service accepts, and go on connecting: both processes of an upgrade together stay within
-// the limit of one, the successor serves all the same, and has the complete limit once its predecessor has ended.
-func TestBothProcessesWithinTheDescriptors(t *testing.T) {
+// Clients open all connections that the process in service accepts, and continue to connect during an upgrade. Both processes together stay
+// within the descriptor limit of one, the successor still serves, and it has the complete limit once its predecessor has ended.
+func TestUpgradeStaysWithinTheDescriptorLimit(t *testing.T) {
 	const limit = 384
 	f := newFleet(t, peertest.Settings)
 	f.config = strings.Replace(f.config, `"sockets":384`, fmt.Sprintf(`"sockets":%d`, limit), 1)
 	first := f.start()
-	within := func(when string, all ...*sidecar) {
+	checkDescriptors := func(when string, processes ...*sidecar) {
 		t.Helper()
 		sum := 0
-		for _, s := range all {
+		for _, s := range processes {
 			sum += s.descriptors()
 		}
 		if sum > limit {
 			t.Errorf("%s: %d descriptors, of %d", when, sum, limit)
 		}
 	}
-	crowd := func(n int) {
+	connectClients := func(n int) {
 		for range n {
 			c, err := net.Dial("tcp", f.listen)
 			if err != nil {
@@ -48,18 +48,18 @@
 			io.WriteString(c, "GET /half HTTP/1.1\r\n")
 		}
 	}
-	crowd(limit)
-	within("a crowd", first)
+	connectClients(limit)
+	checkDescriptors("many clients", first)
 	second := f.start()
-	within("an upgrade", first, second)
-	crowd(limit)
+	checkDescriptors("an upgrade", first, second)
+	connectClients(limit)
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		within("a crowd in an upgrade", first, second)
+		checkDescriptors("many clients during an upgrade", first, second)
 	}
 	first.end()
-	crowd(limit)
+	connectClients(limit)
 	peertest.Eventually(t, "the second serves", func() bool {
-		within("afterwards", second)
+		checkDescriptors("afterwards", second)
 		c, in := peertest.Dial(t, f.listen)
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(time.Second))
--- a/cmd/petrelhook/upgrade_test.go
+++ b/cmd/petrelhook/upgrade_test.go
@@ -20,7 +20,7 @@
 	"petrelhook/internal/rig/process"
 )
 
-// TestMain runs the sidecar instead of the tests in the processes that tests start.
+// TestMain runs the sidecar instead of the tests in processes that the tests start.
 func TestMain(m *testing.M) {
 	if os.Getenv("PETRELHOOK_TEST_RUN") != "" {
 		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
@@ -28,7 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// fleet is a server that counts how often each request was executed, and clients that send requests without a pause.
+// fleet is the environment of the sidecar's processes: a server that counts how often each request is executed, clients that send requests
+// without a pause, and the configuration.
 type fleet struct {
 	t      *testing.T
 	listen string // of the sidecar
@@ -37,16 +38,16 @@
 	starts int
 
 	mu       sync.Mutex
-	executed map[string]int
+	executed map[string]int // by trace ID
 
-	served, unread atomic.Int64
-	unreadNew      atomic.Int64 // connections that ended unread before their first answer, dialled while queued
-	queued         atomic.Bool  // the process that ends is stopped: it accepts nothing, and what comes to its queue stays there
-	kills          atomic.Bool  // processes are killed: requests that one had accepted are lost with it
+	served, unread  atomic.Int64
+	unreadNew       atomic.Int64 // connections, dialled while queued is set, that ended unread before their first response
+	queued          atomic.Bool  // the old process is paused by a signal: connections that come to its accept queue stay there
+	processesKilled atomic.Bool  // the test kills processes, and the requests that they had accepted are lost
 }
 
 // longBody is the size of the responses and bodies that are relayed as they come.
-const longBody = 300_000
+const longBodySize = 300_000
 
 func newFleet(t *testing.T, settings string) *fleet {
 	f := &fleet{t: t, listen: peertest.ReserveAddr(t), dir: t.TempDir(), executed: map[string]int{}}
@@ -60,8 +61,8 @@
 			f.executed[key]++
 			f.mu.Unlock()
 		}
-		if n == longBody {
-			w.Write(make([]byte, longBody))
+		if n == longBodySize {
+			w.Write(make([]byte, longBodySize))
 			return
 		}
 		io.WriteString(w, "hi")
@@ -77,7 +78,7 @@
 	return f
 }
 
-// setServers replaces the servers of the configuration by these, in discovery's form.
+// setServers replaces the servers of the configuration by these, which have the form that discovery sends.
 func (f *fleet) setServers(instances ...string) {
 	before, rest, _ := strings.Cut(f.config, `"known":`)
 	_, settings, _ := strings.Cut(rest, `,"settings"`)
@@ -91,7 +92,7 @@
 	admin string
 }
 
-// start starts a process beside those that run, with an address of its own for operators.
+// start starts one more process, with its own address for operators, and waits until it is ready.
 func (f *fleet) start() *sidecar { return f.startAt(peertest.ReserveAddr(f.t)) }
 
 func (f *fleet) startAt(admin string) *sidecar {
@@ -101,26 +102,26 @@
 		f.t.Fatal(err)
 	}
 	cmd := process.Self("PETRELHOOK_TEST_RUN", "1")
-	if f.starts++; f.starts%2 == 1 && os.Getenv("OTHER_VERSION") != "" { // every other process is of that program
+	if f.starts++; f.starts%2 == 1 && os.Getenv("OTHER_VERSION") != "" { // every second process runs that program
 		cmd = exec.Command(os.Getenv("OTHER_VERSION"))
 		cmd.Env = os.Environ()
 	}
 	cmd.Env = append(cmd.Env, "LB_CONFIG="+path, "LB_ADMIN_ADDR="+admin, "TMPDIR="+f.dir)
-	cmd.Env = append(cmd.Env, "GORACE=atexit_sleep_ms=0") // its end is timed
+	cmd.Env = append(cmd.Env, "GORACE=atexit_sleep_ms=0") // tests measure how long the process takes to end
 	s := &sidecar{process.Start(f.t, cmd), f, admin}
 	peertest.Eventually(f.t, "ready", func() bool { return s.call("GET /api/ready") == 200 })
 	return s
 }
 
-// call makes a call of operators; 0: there is no answer.
-func (s *sidecar) call(what string) int {
+// call makes an operators' call and returns the status, or 0 if there is no response.
+func (s *sidecar) call(requestLine string) int {
 	c, err := net.Dial("tcp", s.admin)
 	if err != nil {
 		return 0
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(peertest.EventTimeout))
-	io.WriteString(c, what+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+	io.WriteString(c, requestLine+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0
@@ -137,26 +138,27 @@
 	}
 }
 
-// requestKinds make the requests: one of each class, and one with a long body and a long response.
+// requestKinds are functions that return a request: one of each class, and one with a long body and a long response.
 var requestKinds = []func(id string) string{
 	func(id string) string { return request("GET", "look", id, "", 0) },
 	func(id string) string { return request("POST", "book", id, "Idempotency-Key: "+id+"\r\n", 212) },
 	func(id string) string { return request("POST", "once", id, "", 0) },
-	func(id string) string { return request("POST", "once", id, "", longBody) },
+	func(id string) string { return request("POST", "once", id, "", longBodySize) },
 }
 
-func request(method, class, id, more string, size int) string {
+func request(method, class, id, extraHeaders string, size int) string {
 	length := ""
 	if method == "POST" {
 		length = fmt.Sprintf("Content-Length: %d\r\n", size)
 	}
 	return fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: 9000m\r\n%s%s\r\n%s",
-		method, class, id, class, more, length, strings.Repeat("x", size))
+		method, class, id, class, extraHeaders, length, strings.Repeat("x", size))
 }
 
-// client sends requests without a pause until stop, on one connection or on a new one each time. A connection that ends before any byte of a
-// response was not read by the sidecar, which the platform's protocol allows between requests; it is counted.
-func (f *fleet) client(name string, keeps bool, stop <-chan struct{}) {
+// client sends requests without a pause until stop is closed, with keepAlive on one connection and otherwise on a new one each time. The
+// platform's protocol lets the sidecar close a connection between requests without reading the next one. So a connection may end before any
+// byte of a response: client counts it in unread, and fails if the request was executed, unless processes are killed.
+func (f *fleet) client(name string, keepAlive bool, stop <-chan struct{}) {
 	var c net.Conn
 	var in *bufio.Reader
 	answered, queued := false, false
@@ -167,8 +169,8 @@
 		default:
 		}
 		id := fmt.Sprint(name, "-", i)
-		for again := true; again; {
-			if again = false; c == nil {
+		for retry := true; retry; {
+			if retry = false; c == nil {
 				var err error
 				queued = f.queued.Load()
 				if c, err = net.Dial("tcp", f.listen); err != nil {
@@ -180,33 +182,33 @@
 			c.SetDeadline(time.Now().Add(peertest.EventTimeout))
 			io.WriteString(c, requestKinds[i%len(requestKinds)](id))
 			resp, err := http.ReadResponse(in, nil)
-			if err != nil { // it was not executed, or it is lost
+			if err != nil { // the request was not executed, or its response is lost
 				f.mu.Lock()
 				ran := f.executed[id]
 				f.mu.Unlock()
 				f.t.Logf("%s: %v at %s, from %s", id, err, time.Now().Format("05.000000"), c.LocalAddr())
-				if f.unread.Add(1); ran > 0 && !f.kills.Load() {
+				if f.unread.Add(1); ran > 0 && !f.processesKilled.Load() {
 					f.t.Errorf("%s: lost, and it ran: %v", id, err)
 				}
 				if !answered && queued {
 					f.unreadNew.Add(1)
 				}
 				c.Close()
-				c, again = nil, ran == 0
+				c, retry = nil, ran == 0
 				continue
 			}
 			answered = true
 			n, err := io.Copy(io.Discard, resp.Body)
-			if err != nil && f.kills.Load() { // it broke off with its process, and the client can tell
+			if err != nil && f.processesKilled.Load() { // truncated when the process was killed, which the client notices
 				c.Close()
 				c = nil
 				continue
 			}
-			if want := map[bool]int64{false: 2, true: longBody}[i%len(requestKinds) == 3]; err != nil || resp.StatusCode != 200 || n != want {
+			if want := map[bool]int64{false: 2, true: longBodySize}[i%len(requestKinds) == 3]; err != nil || resp.StatusCode != 200 || n != want {
 				f.t.Errorf("%s: status %d, %d bytes, %v", id, resp.StatusCode, n, err)
 			}
 			f.served.Add(1)
-			if resp.Close || !keeps {
+			if resp.Close || !keepAlive {
 				c.Close()
 				c = nil
 			}
@@ -214,15 +216,15 @@
 	}
 }
 
-// underLoad runs clients while do runs, and checks that every request is answered and none is executed twice.
-func (f *fleet) underLoad(do func()) {
+// underLoad runs clients while action runs, and checks that every request is answered and none is executed twice.
+func (f *fleet) underLoad(action func()) {
 	f.t.Helper()
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for i := range 6 {
 		clients.Go(func() { f.client(fmt.Sprint("c", i), i%2 == 0, stop) })
 	}
-	do()
+	action()
 	close(stop)
 	clients.Wait()
 	f.mu.Lock()
@@ -235,59 +237,59 @@
 	f.t.Logf("%d requests served, %d met a connection that ended unread", f.served.Load(), f.unread.Load())
 }
 
-// rounds is how many upgrades a test makes: UPGRADES in the environment, else a few.
+// rounds returns how many upgrades a test makes: UPGRADES in the environment, or 4.
 func rounds() int {
 	n := 4
 	fmt.Sscan(os.Getenv("UPGRADES"), &n)
 	return n
 }
 
-// waitForRequests waits until n more requests have been served, so that what comes next happens under load.
+// waitForRequests waits until n more requests have been served, so that the next step happens under load.
 func (f *fleet) waitForRequests(n int64) {
 	f.t.Helper()
 	want := f.served.Load() + n
 	peertest.Eventually(f.t, "more requests", func() bool { return f.served.Load() >= want || f.t.Failed() })
 }
 
-// Upgrades under load, each process taking over from the one before: no request is lost, refused or executed twice.
+// Repeated upgrades under load, in which each process takes over from the previous one: no request is lost, rejected or executed twice.
 func TestUpgradesUnderLoad(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
-	now := f.start()
+	current := f.start()
 	f.underLoad(func() {
 		for range rounds() {
 			f.waitForRequests(100)
 			next := f.start()
-			now.end()
-			now = next
+			current.end()
+			current = next
 		}
 		f.waitForRequests(100)
 	})
-	if now.Log.Has("nothing is taken over") {
-		t.Error("the last process started from nothing")
+	if current.Log.Has("nothing is taken over") {
+		t.Error("the last process started without a hand-over")
 	}
-	now.end()
+	current.end()
 }
 
-// Evacuations and rejoins under load: no request is lost, refused or executed twice.
+// Evacuations and rejoins under load: no request is lost, rejected or executed twice.
 func TestEvacuationsUnderLoad(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
-	now := f.start()
+	current := f.start()
 	f.underLoad(func() {
 		for range rounds() {
 			for _, call := range []string{"PUT /api/evacuate", "PUT /api/rejoin"} {
 				f.waitForRequests(50)
-				if status := now.call(call); status != 200 {
+				if status := current.call(call); status != 200 {
 					t.Errorf("%s: %d", call, status)
 				}
 			}
 		}
 		f.waitForRequests(50)
 	})
-	now.end()
+	current.end()
 }
 
-// Operators' calls during an upgrade apply to both processes, and an evacuation from before it applies to the successor.
-func TestEvacuatedAcrossAnUpgrade(t *testing.T) {
+// Operators' calls during an upgrade apply to both processes, and an evacuation that began before the upgrade applies to the successor.
+func TestEvacuationAcrossAnUpgrade(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	health := func() int {
 		resp, _ := peertest.SendRequest(t, f.listen, "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -304,7 +306,7 @@
 	if second.call("PUT /api/rejoin") != 200 {
 		t.Error("no")
 	}
-	peertest.Eventually(t, "the first is notified of the rejoin", func() bool { // health may be the second's each time
+	peertest.Eventually(t, "the first is notified of the rejoin", func() bool { // the second may answer every health check
 		log := first.Log.String()
 		return strings.LastIndex(log, `now="handing over"`) > strings.LastIndex(log, "now=away")
 	})
@@ -330,34 +332,33 @@
 	second.end()
 }
 
-// A successor that dies, before it is ready or just after, leaves the process in service as it was. A process in service that is killed
-// leaves its successor all connections in the queue.
+// If a successor is killed just after it has become ready, the process in service continues as before and can hand over to the next one.
 func TestProcessesThatDie(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
-	f.kills.Store(true)
-	now := f.start()
+	f.processesKilled.Store(true)
+	current := f.start()
 	f.underLoad(func() {
 		for range 2 {
 			next := f.start()
-			next.Pause() // it accepts no connection, which it would lose
+			next.Pause() // so that it accepts no connections, which would be lost when it is killed
 			f.waitForRequests(20)
 			next.Kill()
 			next.Wait()
-			peertest.Eventually(t, "alone again", func() bool { return strings.Count(now.Log.String(), "now=ready") > 0 })
+			peertest.Eventually(t, "alone again", func() bool { return strings.Count(current.Log.String(), "now=ready") > 0 })
 			f.waitForRequests(50)
 		}
 		next := f.start()
-		now.end()
-		now = next
+		current.end()
+		current = next
 		f.waitForRequests(50)
 	})
-	if log := now.Log.String(); !strings.Contains(log, "now=ready") || strings.Contains(log, "nothing is taken over") {
+	if log := current.Log.String(); !strings.Contains(log, "now=ready") || strings.Contains(log, "nothing is taken over") {
 		t.Error("the last process did not take over")
 	}
-	now.end()
+	current.end()
 }
 
-// The process in service hangs: its successor waits no longer than the time-out, starts without its state beside it, and serves. A third
+// The process in service hangs. Its successor waits no longer than the time-out, then starts beside it without its state, and serves. A third
 // process takes over from the second.
 func TestTheProcessInServiceHangs(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
@@ -378,7 +379,7 @@
 		third := f.start()
 		second.end()
 		if third.Log.Has("nothing is taken over") {
-			t.Error("the third started from nothing")
+			t.Error("the third process started without a hand-over")
 		}
 		second = third
 		f.waitForRequests(50)
@@ -386,14 +387,15 @@
 	second.end()
 }
 
-// A request that is half written when the successor takes over is served by the process that has its first half, which does not end before.
+// A request that is half written when the successor takes over is served by the process that has read its first half. That process ends only
+// after it has answered.
 func TestARequestHalfWrittenInAnUpgrade(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	first := f.start()
 	var halves []net.Conn
 	for i := range requestKinds {
 		c, in := peertest.Dial(t, f.listen)
-		io.WriteString(c, requestKinds[0](fmt.Sprint("before", i))) // so that the first process has accepted the connection
+		io.WriteString(c, requestKinds[0](fmt.Sprint("before", i))) // makes the first process accept the connection
 		peertest.ReadResponse(t, in)
 		text := requestKinds[i](fmt.Sprint("half", i))
 		io.WriteString(c, text[:len(text)/2])
@@ -422,8 +424,8 @@
 	second.end()
 }
 
-// An upgrade in which both processes have the same address for operators: calls reach the first until it ends, then the second.
-func TestOneAddressForOperators(t *testing.T) {
+// Both processes of an upgrade have the same address for operators: calls reach the first process until it ends, and then the second.
+func TestUpgradeWithOneAdminAddress(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	first := f.start()
 	second := f.startAt(first.admin)
@@ -433,24 +435,25 @@
 	second.end()
 }
 
-// The hand-over fails, and both processes listen at one address: when the first ends, no connection is lost in its queue.
+// The hand-over fails, and both processes listen at one address with their own sockets. When the first process ends, no connection in its
+// accept queue is lost.
 func TestAFailedHandOverLosesNoConnection(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
-	now := f.start()
+	current := f.start()
 	f.underLoad(func() {
 		for round := range rounds() {
 			f.waitForRequests(50)
-			now.Pause() // it does not hand over in time
+			current.Pause() // so that it does not hand over in time
 			next := f.start()
-			now.Resume()
+			current.Resume()
 			if !next.Log.Has("nothing is taken over") {
 				t.Error("there was a hand-over")
 			}
 			f.waitForRequests(100)
-			now.Signal(syscall.SIGTERM)
-			peertest.Eventually(t, "it stops", func() bool { return now.Log.Has("now=stopping") })
-			now.Pause() // what comes to its queue now stays there; what it had accepted may cross with its close
-			peertest.Eventually(t, "it is stopped", func() bool { return now.State() == "T" })
+			current.Signal(syscall.SIGTERM)
+			peertest.Eventually(t, "it stops", func() bool { return current.Log.Has("now=stopping") })
+			current.Pause() // connections that come to its queue now stay there; requests on accepted ones may cross with its close
+			peertest.Eventually(t, "it is stopped", func() bool { return current.State() == "T" })
 			f.queued.Store(true)
 			for i := range 40 {
 				id := fmt.Sprint("beside-", round, "-", i)
@@ -459,42 +462,43 @@
 				}
 			}
 			f.queued.Store(false)
-			now.Resume()
-			now.end()
-			now = next
+			current.Resume()
+			current.end()
+			current = next
 		}
 		f.waitForRequests(50)
 	})
-	if n := f.unreadNew.Load(); n > 0 { // those that are kept may cross with their close, which a process that was stopped makes likely
+	if n := f.unreadNew.Load(); n > 0 { // not on kept connections: their requests may cross with the close, likely after a pause
 		t.Errorf("%d new connections ended unread", n)
 	}
-	now.end()
+	current.end()
 }
 
-// A keyed request is in progress at its server when the sidecar is upgraded. Its client gives up and retries at the second process, which
-// sends the key to a server of the group that drops repeats. It is executed once, and the first process sends nothing more for it.
-func TestAKeyedRequestThatComesAgainToTheNextProcess(t *testing.T) {
+// A request with an idempotency key is in progress at its server when the sidecar is upgraded. Its client gives up and retries at the second
+// process, which sends the key to a server of the same group, whose servers drop repeated keys. The request is executed once, and the first
+// process does not send it again.
+func TestAKeyedRequestRetriedAtTheSuccessor(t *testing.T) {
 	var mu sync.Mutex
-	ran, sent := map[string]int{}, map[string]int{} // by key, by trace
-	release, got := make(chan struct{}), make(chan string, 9)
+	executed, sent := map[string]int{}, map[string]int{} // by idempotency key and by trace ID
+	release, executing := make(chan struct{}), make(chan string, 9)
 	handle := func(c net.Conn, req *http.Request, _ string) bool {
 		mu.Lock()
 		key, trace := req.Header.Get("Idempotency-Key"), req.Header.Get("X-Trace-Id")
 		sent[trace]++
-		known := ran[key] > 0
+		known := executed[key] > 0
 		if !known {
-			ran[key]++
+			executed[key]++
 		}
 		mu.Unlock()
 		if !known {
-			got <- trace
+			executing <- trace
 			<-release
-			return false // its answer is lost
+			return false // the response is lost
 		}
 		io.WriteString(c, peertest.OKResponse)
 		return true
 	}
-	// both servers are of one group, which shares the keys
+	// Both servers are in one group, whose servers share the idempotency keys.
 	a, b := peertest.NewPeer(t, handle), peertest.NewPeer(t, handle)
 	f := newFleet(t, peertest.Settings)
 	f.setServers(peertest.Instance("a", a.Addr, "up"), peertest.Instance("b", b.Addr, "up"))
@@ -502,22 +506,22 @@
 	book := func(trace string) string { return request("POST", "book", trace, "Idempotency-Key: k\r\n", 9) }
 	c, _ := peertest.Dial(t, f.listen)
 	io.WriteString(c, book("one"))
-	peertest.Wait(t, got)
+	peertest.Wait(t, executing)
 	second := f.start()
 	first.Signal(syscall.SIGTERM)
 	peertest.Eventually(t, "it stops", func() bool { return first.Log.Has("now=stopping") })
 	c.Close() // the client gives up
 	resp, _ := peertest.SendRequest(t, f.listen, book("two"))
 	if resp.StatusCode != 200 {
-		t.Errorf("come again: %d", resp.StatusCode)
+		t.Errorf("the retry: %d", resp.StatusCode)
 	}
 	close(release)
 	if err := first.Wait(); err != nil {
 		t.Error(err)
 	}
 	mu.Lock()
-	if ran["k"] != 1 || sent["one"] != 1 {
-		t.Errorf("it ran %d times; the first process sent it %d times", ran["k"], sent["one"])
+	if executed["k"] != 1 || sent["one"] != 1 {
+		t.Errorf("it ran %d times; the first process sent it %d times", executed["k"], sent["one"])
 	}
 	mu.Unlock()
 	second.end()
--- a/cmd/petrelhook/watch_test.go
+++ b/cmd/petrelhook/watch_test.go
@@ -11,17 +11,17 @@
 	"petrelhook/internal/common/peertest"
 )
 
-// watchedDiscovery is a discovery whose list has one of several servers at a time. A server answers with its name.
+// watchedDiscovery is a discovery that lists one of several servers at a time. Each server answers with its name.
 type watchedDiscovery struct {
 	*peertest.Discovery
 	f          *fleet
 	names      []string
-	instances  []string // in discovery's form
+	instances  []string // as discovery sends them
 	generation int
-	requests   int // that were sent to the sidecar
+	requests   int // sent to the sidecar so far
 }
 
-// newWatchedDiscovery has the fleet's sidecars watch a discovery, which lists the first of its servers.
+// newWatchedDiscovery starts servers and a discovery that lists the first of them, and makes the fleet's sidecars watch it.
 func newWatchedDiscovery(t *testing.T, f *fleet, names ...string) *watchedDiscovery {
 	t.Helper()
 	d := &watchedDiscovery{f: f, names: names, generation: 1}
@@ -35,7 +35,7 @@
 	return d
 }
 
-// publishOnly publishes a list with one server alone, and returns the server's name.
+// publishOnly publishes a list with a single server, and returns the server's name.
 func (d *watchedDiscovery) publishOnly(server int) (name string) {
 	d.generation++
 	d.Publish(peertest.Catalog(d.generation, true, d.instances[server]))
@@ -53,14 +53,14 @@
 	})
 }
 
-// waitOneSubscriber waits until there is one watch.
+// waitOneSubscriber waits until discovery has exactly one watch.
 func (d *watchedDiscovery) waitOneSubscriber(what string) {
 	d.f.t.Helper()
 	peertest.Eventually(d.f.t, what, func() bool { return d.Subscribers() == 1 })
 }
 
-// Two processes have one watch of discovery between them, and both get its updates; a successor that is stopped does not cost
-// the first its updates, and one that dies leaves it with a watch of its own.
+// During an upgrade the two processes share one watch of discovery, and both get its updates. The first process gets updates even while its
+// successor is stopped, and opens its own watch when the successor dies.
 func TestOneWatchOfDiscovery(t *testing.T) {
 	f := newFleet(t, peertest.Settings)
 	d := newWatchedDiscovery(t, f, "s1", "s2", "s3", "s4")
@@ -69,11 +69,11 @@
 	d.waitServedBy(conn, in, "s1")
 
 	second := f.start()
-	peertest.Eventually(t, "one watch, of the second", func() bool { // which says that it serves before its watch is open
+	peertest.Eventually(t, "one watch, of the second", func() bool { // the second announces that it serves before its watch is open
 		return d.Calls() >= 2 && d.Subscribers() == 1 && first.Log.Has("handing over")
 	})
 	callsBefore := d.Calls()
-	d.waitServedBy(conn, in, d.publishOnly(1)) // by way of the second
+	d.waitServedBy(conn, in, d.publishOnly(1)) // relayed by the second
 	if d.Subscribers() != 1 || d.Calls() != callsBefore {
 		t.Errorf("%d watches, %d calls", d.Subscribers(), d.Calls()-callsBefore)
 	}
