--- a/cmd/petrelhook/args.go
+++ b/cmd/petrelhook/args.go
@@ -54,14 +54,14 @@
 		fmt.Fprint(out, usage)
 		return parsed, errDone
 	case err != nil:
-		return parsed, fmt.Errorf("%w (petrelhook --help lists what there is)", err)
+		return parsed, fmt.Errorf("%w (petrelhook --help lists the flags)", err)
 	case version:
 		fmt.Fprintln(out, "petrelhook", buildInfo())
 		return parsed, errDone
 	case flags.NArg() > 0:
-		return parsed, fmt.Errorf("%q is no flag, and there are no other arguments (petrelhook --help lists what there is)", flags.Arg(0))
+		return parsed, fmt.Errorf("unexpected argument %q: only flags are allowed (petrelhook --help lists them)", flags.Arg(0))
 	case parsed.logFormat != "text" && parsed.logFormat != "json":
-		return parsed, fmt.Errorf("--log-format %q: text and json are the formats", parsed.logFormat)
+		return parsed, fmt.Errorf("--log-format %q: must be text or json", parsed.logFormat)
 	case parsed.configPath == "":
 		return parsed, errors.New("no configuration: give --config FILE, or name the file in LB_CONFIG")
 	}
--- a/cmd/petrelhook/main_test.go
+++ b/cmd/petrelhook/main_test.go
@@ -41,8 +41,8 @@
 		{[]string{"--version"}, 0, "go1.", ""},
 		{nil, 2, "", "no configuration: give --config FILE"},
 		{[]string{"--odd"}, 2, "", "not defined: -odd"},
-		{[]string{"--check", "now"}, 2, "", `"now" is no flag`},
-		{[]string{"--log-format", "xml", "--check", "--config", path}, 2, "", "text and json"},
+		{[]string{"--check", "now"}, 2, "", `unexpected argument "now"`},
+		{[]string{"--log-format", "xml", "--check", "--config", path}, 2, "", "must be text or json"},
 		{[]string{"--log-level", "loud", "--check", "--config", path}, 2, "", "loud"},
 		{[]string{"--check", "--config", path}, 0, "good: 1 classes, 1 servers known", ""},
 		{[]string{"--check", "--config", bad}, 1, "", bad + `:4:54: settings.classes[0].effect: unknown effect "odd"; write`},
@@ -79,7 +79,7 @@
 	t.Setenv("LB_ADMIN_ADDR", listener.Addr().String())
 	t.Setenv("TMPDIR", t.TempDir())
 	var out, errs bytes.Buffer
-	if code := run([]string{"--config", path}, &out, &errs); code != 1 || !strings.Contains(errs.String(), "is taken") || strings.Count(errs.String(), "\n") != 1 {
+	if code := run([]string{"--config", path}, &out, &errs); code != 1 || !strings.Contains(errs.String(), "is in use") || strings.Count(errs.String(), "\n") != 1 {
 		t.Errorf("code %d, %q", code, &errs)
 	}
 }
--- a/internal/sidecar/wiring/environment.go
+++ b/internal/sidecar/wiring/environment.go
@@ -79,7 +79,7 @@
 type socketRendezvous struct{ handover.Rendezvous }
 
 // errNoSocket is returned for a listener that has no socket to pass on.
-var errNoSocket = errors.New("the listener has no socket")
+var errNoSocket = errors.New("the listener has no socket to pass on")
 
 // Offer implements Rendezvous.
 func (r socketRendezvous) Offer(o Offer) (end func(), err error) {
--- a/internal/sidecar/wiring/serve.go
+++ b/internal/sidecar/wiring/serve.go
@@ -70,7 +70,7 @@
 	}
 	if addressInUse { // by the predecessor during an upgrade; operators reach that process until it ends
 		if start.state == nil {
-			return start, fmt.Errorf("listen at admin_addr: %s is taken, and no process in service hands over", cfg.Admin)
+			return start, fmt.Errorf("listen at admin_addr: %s is in use, and no process in service hands over", cfg.Admin)
 		}
 		start.operators = sock.ListenLater(e.Listen, cfg.Admin, adminRetryInterval)
 	}
--- a/internal/sidecar/wiring/succession.go
+++ b/internal/sidecar/wiring/succession.go
@@ -75,7 +75,7 @@
 // readState decodes and checks the state of a hand-over, whose socket must listen at the address listen.
 func readState(received *handover.Handover, listen string) (*HandoverState, error) {
 	if addr := received.Listener.Addr().String(); addr != listen {
-		return nil, fmt.Errorf("the socket is that of %s", addr)
+		return nil, fmt.Errorf("the received socket listens at %s", addr)
 	}
 	state := &HandoverState{}
 	if err := json.Unmarshal(received.State, state); err != nil {
@@ -89,8 +89,8 @@
 
 // Reasons why a hand-over fails whose messages are well formed.
 var (
-	errNegativeShare = errors.New("the share of connections is below 0")
-	errCoreEnded     = errors.New("this process has ended")
+	errNegativeShare = errors.New("the share of connections is negative")
+	errCoreEnded     = errors.New("the core of this process has ended")
 )
 
 // serveHandovers serves the links to the predecessor and to successors until ctx ends.
