--- a/cmd/petrelhook/signals_test.go
+++ b/cmd/petrelhook/signals_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// waitReached waits until the sidecar has reached the step, after the client has sent its first part.
+// waitReached waits until the sidecar has reached the step. The client has sent the part before SIGTERM.
 func (step shutdownStep) waitReached(t *testing.T, server *stepServer, listen string, in *bufio.Reader) {
 	t.Helper()
 	switch step {
@@ -143,8 +143,8 @@
 	}
 }
 
-// A signal arrives after SIGTERM, while a request is in progress in each of several ways. Accepted requests are answered, and the process ends
-// in time with exit code 0. The longest deadline in the settings is a second.
+// At each shutdownStep a process gets SIGTERM and then another signal, twice. Accepted requests are answered, and the process ends in time with
+// exit code 0. The longest deadline in the settings is a second.
 func TestSignalsInTheEnd(t *testing.T) {
 	for _, secondSignal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
 		for _, step := range []shutdownStep{headHalfRead, bodyHalfRead, serverHangs, responseHalfSent, connectionIsIdle} {
--- a/cmd/petrelhook/upgrade_test.go
+++ b/cmd/petrelhook/upgrade_test.go
@@ -468,7 +468,7 @@
 		}
 		f.waitForRequests(50)
 	})
-	if n := f.unreadNew.Load(); n > 0 { // not on kept connections: their requests may cross with the close, likely after a pause
+	if n := f.unreadNew.Load(); n > 0 { // older connections are not counted: a request may cross with the close, which a pause makes likely
 		t.Errorf("%d new connections ended unread", n)
 	}
 	current.end()
--- a/internal/sidecar/wiring/drain_test.go
+++ b/internal/sidecar/wiring/drain_test.go
@@ -89,8 +89,8 @@
 	response *http.Response
 }
 
-// stream requests a response that ends the duration until after the start of the drain. It reads the head of the response, which says that
-// the connection stays open.
+// stream requests a response that ends a given time after the start of the drain. It reads the head of the response, which says that the
+// connection stays open.
 func (r *drainRig) stream(until time.Duration) *drainClient {
 	r.t.Helper()
 	conn, err := r.network.Dial(r.t.Context(), "tcp", r.addr)
--- a/internal/sidecar/wiring/peer.go
+++ b/internal/sidecar/wiring/peer.go
@@ -71,8 +71,8 @@
 	tasks.Wait()
 }
 
-// reportEvacuations notifies the other process, until ctx ends, when an evacuation has been requested or revoked and that process does not
-// know it.
+// reportEvacuations sends lineEvacuate or lineRejoin when the other process does not know whether an evacuation is requested here, until ctx
+// ends.
 func (p *peer) reportEvacuations(ctx context.Context) {
 	for {
 		status, changed := p.sidecar.lifecycle.Watch()
