--- a/internal/sidecar/front/front.go
+++ b/internal/sidecar/front/front.go
@@ -1,8 +1,9 @@
-// Package front is the interface between the code that accepts clients' requests and the core. A front parses bytes into a Request and
-// writes the Answer that it gets. It knows nothing of servers, attempts or decisions, and decides nothing about them.
+// Package front defines the interface between a front, which is the code that accepts clients' requests, and the core. A front parses
+// bytes into a Request, passes it to Core.Answer and writes the Answer that is returned. It has no access to servers or attempts and
+// makes no decision about them.
 //
-// Invariants: a front passes each request that it accepted to the core exactly once, and writes exactly one answer for it, at once. If
-// the client goes away the front cancels the context and writes nothing.
+// Invariants: a front passes each request that it has accepted to the core exactly once, and writes exactly one answer for it as soon as
+// it has that answer. If the client disconnects, the front cancels the context and writes nothing.
 package front
 
 import (
@@ -18,30 +19,30 @@
 
 // The three effects.
 const (
-	Safe   Effect = iota // idempotent: it may be repeated at any time
-	Keyed                // it carries an idempotency key, by which the servers of one group drop repeats within a window
-	Unsafe               // it must never be executed twice
+	Safe   Effect = iota // the request is idempotent and may be repeated at any time
+	Keyed                // the request carries an idempotency key; the servers of one group drop repeats of it within a window
+	Unsafe               // the request must never be executed twice
 )
 
-// Class is what a front must know of a class of requests. A Request refers to it by its position in the list of classes.
+// Class holds what a front needs to know about a class of requests. A Request refers to its class by the index in the list of classes.
 type Class struct {
 	Name     string
 	Effect   Effect
-	Deadline time.Duration // the longest that a client waits
+	Deadline time.Duration // the longest time that a client waits
 }
 
-// Request is one client's request as parsed.
+// Request is one parsed request of a client.
 type Request struct {
-	TraceID       string // unique until the request's deadline has passed: no other request with it is accepted before
-	Class, Tenant int    // positions in the settings; -1: no tenant
-	AffinityKey   string // requests with the same key do best at the same server; "": none
+	TraceID       string // unique until the request's deadline has passed: until then no other request with this id is accepted
+	Class, Tenant int    // indexes in the settings; Tenant -1: none
+	AffinityKey   string // requests with the same key are preferably sent to the same server; "": none
 	WorkHint      time.Duration
-	ClientRetry   bool // the client says that it has tried before
+	ClientRetry   bool // the client marked the request as a retry
 	Arrived       time.Time
-	Wait          time.Duration // how long the client waits from Arrived on
+	Wait          time.Duration // how long the client waits, counted from Arrived
 	Message       message.Request
-	// ClientGone reports whether the client has gone, which may be visible on its connection before the context is cancelled. It is
-	// called from the goroutines that send attempts; nil: nothing but the context tells.
+	// ClientGone reports whether the client has disconnected, which may be visible on its connection before the context is cancelled.
+	// It is called from the goroutines that send attempts. Nil: only the context reports a disconnect.
 	ClientGone func() bool
 }
 
@@ -51,8 +52,8 @@
 // The verdicts.
 const (
 	Served  Verdict = iota // Reply holds a server's response
-	Refused                // a retry does no harm; RetryAfter says when, if it is not 0
-	Failed                 // the request may have been executed or not
+	Refused                // the request was not executed and may be retried, after RetryAfter if that is not 0
+	Failed                 // it is unknown whether the request was executed
 )
 
 // Answer is the one final answer to a request.
@@ -64,10 +65,10 @@
 
 // Core answers requests. It is safe for concurrent use.
 type Core interface {
-	// Answer waits for the answer to a request. If ctx ends first the client has gone: nothing more is sent for the request, and the
-	// error is the context's. ErrInUse and ErrInvalid mean that the request was not accepted and nothing of it was executed; ErrEnded
-	// that the core has ended and it is unknown whether the request was executed; ErrClientGone that Request.ClientGone reported so.
-	// The caller calls Done on the Reply once it is written.
+	// Answer blocks until the request is answered. The front cancels ctx when the client disconnects: then no further attempt is sent
+	// for the request, and the context's error is returned. ErrInUse and ErrInvalid mean that the request was not accepted and not
+	// executed. ErrEnded means that the core has ended, and it is unknown whether the request was executed. ErrClientGone means that
+	// Request.ClientGone reported a disconnect. The caller calls Done on the Reply once it is written.
 	Answer(ctx context.Context, r Request) (Answer, error)
 }
 
--- a/internal/sidecar/front/platform/body.go
+++ b/internal/sidecar/front/platform/body.go
@@ -16,44 +16,44 @@
 )
 
 const (
-	// minBodyBytes of a body must come in each bodyInterval: a quarter of the 64 kB a second that the platform promises.
+	// minBodyBytes of a body must arrive in each bodyInterval: a quarter of the 64 kB/s that the platform guarantees.
 	minBodyBytes = 32 << 10
 	bodyInterval = 2 * time.Second
-	// writeTimeout is for how long a client may read nothing of its response.
+	// writeTimeout is how long a client may stop reading its response before the connection is closed.
 	writeTimeout = 10 * time.Second
-	// uncountedSize is how much of each body may be in memory without being reserved; nearly all bodies are no longer.
+	// uncountedSize is how many bytes of each body may be in memory without a reservation; nearly all bodies are no longer than this.
 	uncountedSize = 4 << 10
-	// readSize is the most that is read at once of a body that is kept in memory.
+	// readSize is the largest single read of a body that is kept in memory.
 	readSize = 4 << 10
-	// reserveTimeout is for how long a body waits for memory before its request is rejected. Nothing of it was executed, and those that
-	// have memory reserved and make no progress are ended in about the same time.
+	// reserveTimeout is how long a body waits for memory before its request is rejected. The rejected request was not executed, and
+	// requests that hold memory without making progress are ended in about the same time.
 	reserveTimeout = time.Second
 )
 
 var (
-	errHalted   = errors.New("the rest of the body is not wanted any more")
+	errHalted   = errors.New("reading of the body was halted")
 	errNoMemory = errors.New("no room for the body")
 	errTooLong  = errors.New("body over 40 MiB")
 )
 
-// isEnd reports whether a body was read to its end. An error that wraps io.EOF is none: that body was cut short.
+// isEnd reports whether a body was read to its end. An error that wraps io.EOF does not count: that body was cut short.
 func isEnd(err error) bool {
-	return err == io.EOF //nolint:errorlint // only the plain value is an end
+	return err == io.EOF //nolint:errorlint // only the plain value means the end
 }
 
-// body reads a request's body and ends the reading where the client sends too slowly. One goroutine reads at a time: the handler's, then
-// that of pump; halt may be called meanwhile.
+// body reads a request's body and aborts the read if the client sends too slowly. One goroutine reads at a time: first the handler's, then
+// that of pump. halt may be called concurrently.
 type body struct {
 	io.Reader
 	control          *http.ResponseController
-	earliestDeadline time.Time // no read is ended before it
+	earliestDeadline time.Time // no read times out before it
 	progress         progress.Deadline
 	halted           atomic.Bool
-	ended            atomic.Bool     // it was read to its end
-	upload           *message.Upload // nil where the body is in memory
+	ended            atomic.Bool     // the body was read to its end
+	upload           *message.Upload // nil if the body is in memory
 	budget           *membudget.Budget
-	reserved         int64         // bytes of the budget
-	pumpDone         chan struct{} // closed when the pump has ended; nil: there is none
+	reserved         int64         // bytes reserved from the budget
+	pumpDone         chan struct{} // closed when the pump has ended; nil: no pump was started
 }
 
 func newBody(w http.ResponseWriter, req *http.Request, earliestDeadline time.Time) *body {
@@ -65,7 +65,8 @@
 	return b
 }
 
-// Read reads until the client's time for the current interval is up; then the error is os.ErrDeadlineExceeded. After halt it is errHalted.
+// Read implements io.Reader. It returns os.ErrDeadlineExceeded if the client misses the deadline of the current interval, and errHalted
+// after halt.
 func (b *body) Read(p []byte) (int, error) {
 	deadline := b.progress.Expires()
 	if deadline.Before(b.earliestDeadline) {
@@ -87,8 +88,9 @@
 	return n, err
 }
 
-// halt ends the reading and waits for the pump; the rest of the body stays unread. A body that was read to its end leaves the connection
-// alone: net/http already waits on it for the client's end, and would take a deadline for that and give up the next request.
+// halt aborts reading and waits for the pump; the rest of the body stays unread. For a body that was read to its end it sets no deadline on
+// the connection: net/http already reads there to detect a disconnect, would take an expired deadline for one, and would drop the next
+// request.
 func (b *body) halt() {
 	if !b.ended.Load() {
 		b.halted.Store(true)
@@ -102,8 +104,8 @@
 	}
 }
 
-// pump starts to pass the body on through the upload as it comes. Where the body breaks off, onError is called with the reason. halt waits
-// for the pump's goroutine.
+// pump starts a goroutine that forwards the body through the upload as it arrives. If the body is cut short, onError is called on that
+// goroutine with the reason. halt waits for the goroutine.
 func (b *body) pump(onError func(error)) {
 	b.pumpDone = make(chan struct{})
 	go func() {
@@ -112,7 +114,8 @@
 	}()
 }
 
-// statusOfBodyError is the HTTP status for a body that could not be read to its end; 0: the client has gone, and there is none to answer.
+// statusOfBodyError returns the HTTP status for a body that could not be read to its end, or 0 if the client has disconnected and gets no
+// response.
 func statusOfBodyError(err error) int {
 	var netError net.Error
 	switch {
@@ -126,7 +129,7 @@
 	return http.StatusBadRequest
 }
 
-// readInto reads a short body into the message; a long one becomes an upload of the message, which pump passes on.
+// readInto reads a short body into the message. A long one becomes the message's upload, which pump forwards.
 func (b *body) readInto(req *http.Request, into *message.Request) error {
 	size := req.ContentLength
 	if size > message.MaxBuffered {
@@ -140,7 +143,7 @@
 	}
 	buffer := make([]byte, min(max(size, 512), readSize))
 	for err == nil {
-		if len(into.Body) > message.MaxBuffered { // a chunked body, and longer than what is kept in memory
+		if len(into.Body) > message.MaxBuffered { // a chunked body that is too long to be kept in memory
 			b.upload = message.NewUpload(-1)
 			into.Remainder = b.upload
 			return nil
@@ -158,7 +161,7 @@
 	return err
 }
 
-// reserve waits until n bytes of the body may be in memory, and reports whether they may.
+// reserve waits until memory for n bytes of the body in total is reserved. It returns false if that takes longer than reserveTimeout.
 func (b *body) reserve(ctx context.Context, n int) bool {
 	if n <= uncountedSize || int64(n) <= b.reserved {
 		return true
@@ -170,11 +173,11 @@
 		return false
 	}
 	b.reserved = wanted
-	b.progress.Start(time.Now()) // the wait was not the client's
+	b.progress.Start(time.Now()) // the client is not charged for the wait
 	return true
 }
 
-// release gives the reserved memory back.
+// release returns the reserved memory to the budget.
 func (b *body) release() {
 	if b.reserved > 0 {
 		b.budget.Release(b.reserved)
@@ -182,14 +185,15 @@
 	b.reserved = 0
 }
 
-// limitedBody reads no more than a number of bytes, and reports an error that is neither the body's end nor halt.
+// limitedBody is a body that fails with errTooLong once more than remaining bytes were read. It passes each error other than the end of
+// the body and errHalted to onError.
 type limitedBody struct {
 	*body
 	remaining int64
 	onError   func(error)
 }
 
-// Read is that of io.Reader.
+// Read implements io.Reader.
 func (l *limitedBody) Read(p []byte) (int, error) {
 	n, err := l.body.Read(p)
 	if l.remaining -= int64(n); l.remaining < 0 && !errors.Is(err, errHalted) {
--- a/internal/sidecar/front/platform/gone_test.go
+++ b/internal/sidecar/front/platform/disconnect_test.go
@@ -14,15 +14,15 @@
 	"petrelhook/internal/sidecar/message"
 )
 
-// clientEnds are the ways in which a client may end its connection.
-var clientEnds = map[string]func(net.Conn){
+// disconnects are the ways in which a client may disconnect.
+var disconnects = map[string]func(net.Conn){
 	"closes":      func(c net.Conn) { c.Close() },
 	"half-closes": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 	"resets":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 }
 
-// A client that goes while its request is in progress is noticed at once, whatever it sent after the request. net/http reads no further
-// than one byte of the next request, and would notice only with the response.
+// A client that disconnects while its request is in progress is detected at once, whatever it has sent after the request. net/http alone
+// reads only one byte of the next request, and would detect the disconnect only when the response is written.
 func TestAClientThatDisconnectedIsNoticed(t *testing.T) {
 	for sent, text := range map[string]string{
 		"nothing more":       "",
@@ -31,8 +31,8 @@
 		"a hundred of them":  strings.Repeat(lookRequest("next"), 100),
 		"a flood of garbage": strings.Repeat("\x00garbage", 100_000),
 	} {
-		for how, end := range clientEnds {
-			t.Run(sent+", "+how, func(t *testing.T) {
+		for disconnectName, disconnect := range disconnects {
+			t.Run(sent+", "+disconnectName, func(t *testing.T) {
 				accepted, noticed := make(chan front.Request, 1), make(chan struct{})
 				r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
 					if req.TraceID == "first" {
@@ -46,20 +46,20 @@
 				io.WriteString(c, lookRequest("first"))
 				req := peertest.Wait(t, accepted)
 				if req.ClientGone() {
-					t.Error("gone while it waits")
+					t.Error("ClientGone is true while the client waits")
 				}
 				io.WriteString(c, text)
-				end(c)
+				disconnect(c)
 				peertest.Wait(t, noticed)
-				peertest.Eventually(t, "the loop can see it too", req.ClientGone)
+				peertest.Eventually(t, "ClientGone is true", req.ClientGone)
 				peertest.Eventually(t, "no memory is reserved", func() bool { return r.memory.Reserved() == 0 })
 			})
 		}
 	}
 }
 
-// What a client sends ahead of an answer is not lost by being read early: each is answered, in order.
-func TestRequestsAheadAreAnsweredInOrder(t *testing.T) {
+// Requests that a client pipelines are not lost when the limiter reads them ahead: each one is answered, in order.
+func TestRequestsReadAheadAreAnsweredInOrder(t *testing.T) {
 	accepted, release := make(chan struct{}), make(chan struct{})
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
 		if req.TraceID == "1" {
@@ -74,7 +74,7 @@
 	io.WriteString(c, lookRequest("2")+strings.Replace(lookRequest("3"), "GET", "G", 1)[:1]) // a request, and a byte of the next
 	body := strings.Repeat("x", 40_000)
 	io.WriteString(c, lookRequest("3")[1:]+"POST /once HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 4\r\nX-Qos: once\r\nContent-Length: 40000\r\n\r\n"+body+lookRequest("5"))
-	peertest.Eventually(t, "they are read ahead", func() bool { return r.memory.Reserved() > 40_000 })
+	peertest.Eventually(t, "the requests are read ahead", func() bool { return r.memory.Reserved() > 40_000 })
 	close(release)
 	for _, want := range []string{"1", "2", "3", "4" + body, "5"} {
 		if resp, got := peertest.ReadResponse(t, in); resp.StatusCode != 200 || got != want {
@@ -84,26 +84,27 @@
 	peertest.Eventually(t, "no memory is reserved", func() bool { return r.memory.Reserved() == 0 })
 }
 
-// An answer that breaks off on its way is not taken for complete: over HTTP/1.0, where it says no length, by the reset alone.
+// A client does not mistake a truncated response for a complete one. In HTTP/1.0, where the response has no length, only the reset of the
+// connection shows the truncation.
 func TestATruncatedAnswerIsNotComplete(t *testing.T) {
 	for _, version := range []string{"1.0", "1.1"} {
-		for cut, rest := range map[bool]error{true: errors.New("reset"), false: io.EOF} {
+		for truncated, remainderErr := range map[bool]error{true: errors.New("reset"), false: io.EOF} {
 			r := newRig(t, func(context.Context, front.Request) (front.Answer, error) {
-				return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi"), Remainder: &restOf{rest}, Size: -1}}, nil
+				return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi"), Remainder: &failingRemainder{remainderErr}, Size: -1}}, nil
 			})
 			c, in := peertest.Dial(t, r.addr)
 			io.WriteString(c, strings.Replace(lookRequest("t"), "HTTP/1.1", "HTTP/"+version+"\r\nConnection: close", 1))
 			got, err := io.ReadAll(in)
 			complete := err == nil && (version == "1.0" || strings.HasSuffix(string(got), "0\r\n\r\n"))
-			if complete == cut || !complete && version == "1.0" && !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("HTTP/%s, cut %v: %q, %v", version, cut, got, err)
+			if complete == truncated || !complete && version == "1.0" && !errors.Is(err, syscall.ECONNRESET) {
+				t.Errorf("HTTP/%s, cut %v: %q, %v", version, truncated, got, err)
 			}
 		}
 	}
 }
 
-// restOf is the remainder of a response: empty, with an error at its end.
-type restOf struct{ err error }
+// failingRemainder is an empty remainder of a response that ends with err.
+type failingRemainder struct{ err error }
 
-func (f *restOf) Read([]byte) (int, error) { return 0, f.err }
-func (f *restOf) Close() error             { return nil }
+func (r *failingRemainder) Read([]byte) (int, error) { return 0, r.err }
+func (r *failingRemainder) Close() error             { return nil }
--- a/internal/sidecar/front/platform/parse.go
+++ b/internal/sidecar/front/platform/parse.go
@@ -13,7 +13,7 @@
 	"petrelhook/internal/sidecar/message"
 )
 
-// rejection says why a request is not valid, and with which HTTP status it is answered.
+// rejection is the reason why a request is not valid, with the HTTP status of the response.
 type rejection struct {
 	status int
 	reason error
@@ -21,7 +21,7 @@
 
 func badRequest(reason error) *rejection { return &rejection{http.StatusBadRequest, reason} }
 
-// Why a request is not valid: its class, its method, its path, its key and its body have to fit each other.
+// The reasons why a request is not valid: its class, method, path, idempotency key and body must be consistent with each other.
 var (
 	errSafeWithBody  = errors.New("a GET has no body")
 	errNoTraceID     = errors.New("no X-Trace-Id")
@@ -29,19 +29,19 @@
 	errMethodOfClass = errors.New("method and key do not fit the class")
 )
 
-// headerError is a header field that has no possible value.
+// headerError reports a header field with an invalid value.
 type headerError struct{ name, value string }
 
 func (e *headerError) Error() string { return fmt.Sprintf("%s: %q", e.name, e.value) }
 
-// singleHeaders must not come twice: which of two counts would be a guess.
+// singleHeaders are the headers that a request must not repeat, because the choice between two values would be arbitrary.
 var singleHeaders = []string{"X-Trace-Id", "X-Qos", "X-Customer", "X-Expires-In", "X-Second-Try", "X-Size-Hint", "Idempotency-Key"}
 
-// forwardedHeaders are the client's headers that servers get.
+// forwardedHeaders are the client's headers that are forwarded to servers.
 var forwardedHeaders = []string{"X-Trace-Id", "Idempotency-Key", "X-Qos", "X-Customer", "Content-Type"}
 
-// parse reads a request. The body is nil where the request has none; else the caller releases it. Where the request is not valid err says
-// why, and there is nothing to release.
+// parse reads a request. The body is nil if the request has none; otherwise the caller must release it. If the request is not valid, err
+// is the reason, and there is nothing to release.
 func (s *Server) parse(w http.ResponseWriter, req *http.Request) (request front.Request, b *body, err *rejection) {
 	if err := s.checkHead(req); err != nil {
 		return front.Request{}, nil, badRequest(err)
@@ -82,7 +82,7 @@
 	return request, b, nil
 }
 
-// checkHead reports what is ambiguous in the head of a request.
+// checkHead returns an error if the head of a request is ambiguous.
 func (s *Server) checkHead(req *http.Request) error {
 	if err := checkFraming(s.limiter.RequestHead(req.Context()), req); err != nil {
 		return err
@@ -95,7 +95,8 @@
 	return nil
 }
 
-// checkClass reports what in a request does not fit the effect of its class: a keyed request without its key could not be retried.
+// checkClass rejects a request that is inconsistent with the effect of its class: a keyed request without its key, for instance, could
+// not be retried.
 func checkClass(req *http.Request, effect front.Effect) *rejection {
 	key := req.Header.Get("Idempotency-Key")
 	firstSegment, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// readBody reads a body into a message: completely where it is short, else the message has an upload that the caller pumps.
+// readBody reads a body into a message. A short body is read completely; for a long one the message gets an upload that the caller pumps.
 func (s *Server) readBody(w http.ResponseWriter, req *http.Request, effect front.Effect, into *message.Request) (*body, *rejection) {
 	b := newBody(w, req, s.limiter.RequestDeadline(req.Context()))
 	b.budget = s.settings.MemoryBudget
@@ -145,7 +146,7 @@
 	return time.Duration(value * unit), nil
 }
 
-// parseSizeHint reads the client's estimate of the work, in microseconds. What is no estimate counts as none.
+// parseSizeHint reads the client's estimate of the work, in microseconds. It returns 0 for an invalid estimate, as for a missing one.
 func parseSizeHint(text string) time.Duration {
 	if text == "" {
 		return 0
--- a/internal/sidecar/front/platform/platform.go
+++ b/internal/sidecar/front/platform/platform.go
@@ -1,11 +1,12 @@
 // Package platform is the front for clients that speak the platform's protocol: HTTP/1.1, with class, tenant and trace id in headers. It
 // reads a request, passes it to the core, and writes the one answer that comes back.
 //
-// It decides nothing about a valid request. It answers by itself only the health check, and requests that are not valid: those reach no
-// server, and their connection is closed after the response.
+// It makes no decision about a valid request. It answers only the health check and invalid requests itself: an invalid request reaches no
+// server, and its connection is closed after the response.
 //
-// Invariants: each accepted request is passed to the core once and gets one response; an answer to a client that has gone is not written;
-// a response that breaks off ends its connection so that the client can tell. net/http calls ServeHTTP on a goroutine for each connection.
+// Invariants: each accepted request is passed to the core once and gets one response; an answer to a client that has disconnected is not
+// written; a response that is cut short closes its connection, so that the client can detect the truncation. net/http calls ServeHTTP on
+// one goroutine for each connection.
 package platform
 
 import (
@@ -26,24 +27,26 @@
 
 const (
 	healthPath = "/_health"
-	// acceptTimeAfterTerminate is for how long the listener stays open after SIGTERM: new connections come for up to 0.4 s.
+	// acceptTimeAfterTerminate is how long the listener stays open after SIGTERM: new connections arrive for up to 0.4 s.
 	acceptTimeAfterTerminate = 600 * time.Millisecond
-	// headTimeout: a client that does not send a complete request gets an error or a close within 3 s of connecting.
+	// headTimeout bounds the time to read a request's head: a client that does not send a complete request must get an error response or
+	// a closed connection within 3 s of connecting.
 	headTimeout = 2500 * time.Millisecond
-	// bodyTimeout is the same for head and body together.
+	// bodyTimeout bounds the time to read head and body together, for the same reason.
 	bodyTimeout = 2700 * time.Millisecond
-	// idleTimeout is after what time net/http closes a connection without a request.
+	// idleTimeout is how long net/http keeps a connection open without a request.
 	idleTimeout = 20 * time.Second
-	// idleCheckInterval is how often idle connections are looked for during an evacuation and at shutdown.
+	// idleCheckInterval is the interval between scans for idle connections during an evacuation and at shutdown.
 	idleCheckInterval = 50 * time.Millisecond
-	// evacuationMinIdle is for how long a connection has been idle when it is closed during an evacuation. There is time, and until
-	// then its client may have its next request on the way, whose response ends the connection.
+	// evacuationMinIdle is how long a connection must have been idle before an evacuation closes it. An evacuation is not urgent, and a
+	// connection that was idle for less may have its client's next request in transit; the response to that request ends the connection.
 	evacuationMinIdle = 200 * time.Millisecond
-	// evacuationCloseAllAfter is from when on in an evacuation connections are closed however short they have been idle: at 4 s none may
-	// be left, and a client whose request crosses with the close sends it to another sidecar.
+	// evacuationCloseAllAfter is how long after the start of an evacuation connections are closed regardless of their idle time: none may
+	// be left after 4 s, and a client whose request crosses with the close sends it to another sidecar.
 	evacuationCloseAllAfter = 3700 * time.Millisecond
-	// shutdownMinIdle is the same for a process that ends, whose clients should connect again while it still accepts. A client that
-	// sends requests more often than this is not disconnected between two of them, when the next is likely on its way.
+	// shutdownMinIdle is how long a connection must have been idle before a shutdown closes it. It is shorter than evacuationMinIdle
+	// because clients should reconnect while this process still accepts connections. A client that sends requests more often than this
+	// is not disconnected between two of them, when its next request is likely in transit.
 	shutdownMinIdle = 100 * time.Millisecond
 )
 
@@ -52,10 +55,10 @@
 	Classes      []front.Class
 	Tenants      []string
 	Admission    admission.Config  // which connections stay open
-	MemoryBudget *membudget.Budget // bytes of request bodies in memory; responses spend from the same budget
+	MemoryBudget *membudget.Budget // bytes of request bodies in memory; responses are charged to the same budget
 }
 
-// Server serves the application's connections.
+// Server serves the connections of the application's clients.
 type Server struct {
 	core        front.Core
 	settings    Settings
@@ -68,7 +71,7 @@
 	after       func(time.Duration) <-chan time.Time // time.After, replaced by tests
 }
 
-// New makes a server; Serve runs it.
+// New returns a server; Serve runs it.
 func New(settings Settings, core front.Core, machine *lifecycle.Machine, log *slog.Logger) *Server {
 	s := &Server{core: core, lifecycle: machine, settings: settings, classes: map[string]int{}, after: time.After}
 	s.limiter = connlimit.New(nil, settings.Admission, bodyTimeout)
@@ -84,9 +87,9 @@
 	return s
 }
 
-// Serve serves the connections of a listener until the process is terminated by its lifecycle, then drains, and returns when all accepted
-// requests are answered. During an evacuation it closes idle connections and goes on serving. It is called once. An error means that the
-// listener failed.
+// Serve accepts and serves connections until the lifecycle is in the state Stopping. It then drains, and returns when all accepted
+// requests are answered or the shutdown window has passed. During an evacuation it closes idle connections and goes on serving. It is
+// called once. An error means that the listener failed.
 func (s *Server) Serve(listener net.Listener) error {
 	failed := make(chan error, 1)
 	s.limiter.Listener = listener
@@ -102,7 +105,7 @@
 		var nextCheck <-chan time.Time
 		if !status.EvacuationRequested() {
 			closeAll, minIdle = nil, evacuationMinIdle
-		} else { // until clients are wanted again, also for connections that were accepted meanwhile
+		} else { // repeated until a rejoin: it covers connections that were accepted meanwhile
 			if closeAll == nil {
 				closeAll = s.after(evacuationCloseAllAfter)
 			}
@@ -123,8 +126,8 @@
 	}
 }
 
-// drain closes each connection once it carries no request, and returns when all are closed. New connections are accepted for
-// acceptTimeAfterTerminate, unless a successor process accepts them.
+// drain closes each connection once it carries no request. It returns when all are closed, or at the end of the shutdown window. New
+// connections are accepted for acceptTimeAfterTerminate, unless a successor process accepts them.
 func (s *Server) drain(failed <-chan error) error {
 	defer s.http.Close()
 	window := &lifecycle.ShutdownWindow{Began: time.Now(), AcceptTime: acceptTimeAfterTerminate, MaxDeadline: s.maxDeadline}
@@ -138,14 +141,14 @@
 			accepting = false
 			s.limiter.Listener.Close()
 		}
-		if !accepting && failed == nil && s.limiter.Open() == 0 { // http.Serve has returned: what it accepted last is counted
+		if !accepting && failed == nil && s.limiter.Open() == 0 { // http.Serve has returned, so Open counts the last accepted connection
 			return nil
 		}
 		select {
 		case <-acceptEnd:
 			accepting, acceptEnd = false, nil
 			s.limiter.Listener.Close()
-		case <-windowEnd: // what is left has no complete request, or does not read its response
+		case <-windowEnd: // the remaining clients have sent no complete request or do not read their responses
 			return nil
 		case <-check.C:
 		case err := <-failed:
@@ -157,8 +160,8 @@
 	}
 }
 
-// OpenConnections is the number of clients' connections.
+// OpenConnections returns the number of open client connections.
 func (s *Server) OpenConnections() int { return s.limiter.Open() }
 
-// SetMaxConnections changes the bound on clients' connections.
+// SetMaxConnections changes the limit on open client connections.
 func (s *Server) SetMaxConnections(n int) { s.limiter.SetMaxConnections(n) }
--- a/internal/sidecar/front/platform/platform_test.go
+++ b/internal/sidecar/front/platform/platform_test.go
@@ -19,7 +19,7 @@
 	"petrelhook/internal/sidecar/message"
 )
 
-// fakeCore answers each request with a function.
+// fakeCore is a front.Core that answers each request by calling answer.
 type fakeCore struct {
 	accepted atomic.Int32
 	answer   func(ctx context.Context, r front.Request) (front.Answer, error)
@@ -34,19 +34,19 @@
 	return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi")}}, nil
 }
 
-// testMemory is enough for a few of the longest bodies that are kept in memory.
+// testMemory is the memory budget of a rig in bytes: enough for a few of the longest bodies that are kept in memory.
 const testMemory = 300_000
 
-// rig is the front alone.
+// rig runs the front with a fake core.
 type rig struct {
 	t    *testing.T
 	core *fakeCore
-	// lingered ends the time in which the listener stays open after stop.
-	lingered  chan time.Time
-	addr      string
-	lifecycle *lifecycle.Machine
-	memory    *membudget.Budget
-	ended     chan error
+	// closeListener replaces the timer that closes the listener after stop: a send closes it.
+	closeListener chan time.Time
+	addr          string
+	lifecycle     *lifecycle.Machine
+	memory        *membudget.Budget
+	ended         chan error
 }
 
 func newRig(t *testing.T, answer func(context.Context, front.Request) (front.Answer, error)) *rig {
@@ -55,19 +55,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, core: &fakeCore{answer: answer}, lingered: make(chan time.Time, 1), addr: ln.Addr().String(), lifecycle: lifecycle.New(), memory: membudget.New(testMemory), ended: make(chan error, 1)}
-	long := 10 * time.Second
+	r := &rig{t: t, core: &fakeCore{answer: answer}, closeListener: make(chan time.Time, 1), addr: ln.Addr().String(), lifecycle: lifecycle.New(), memory: membudget.New(testMemory), ended: make(chan error, 1)}
+	maxDeadline := 10 * time.Second
 	server := New(Settings{MemoryBudget: r.memory, Admission: admission.Config{MaxConnections: 100, Horizon: time.Second}, Tenants: []string{"acme"}, Classes: []front.Class{
-		{Name: "look", Effect: front.Safe, Deadline: long}, {Name: "book", Effect: front.Keyed, Deadline: long}, {Name: "once", Effect: front.Unsafe, Deadline: long},
+		{Name: "look", Effect: front.Safe, Deadline: maxDeadline}, {Name: "book", Effect: front.Keyed, Deadline: maxDeadline}, {Name: "once", Effect: front.Unsafe, Deadline: maxDeadline},
 	}}, r.core, r.lifecycle, slog.New(slog.DiscardHandler))
 	server.after = func(d time.Duration) <-chan time.Time {
-		if d > long {
-			return nil // the end, whatever is open
+		if d > maxDeadline {
+			return nil // the end of the shutdown window, which the tests never reach
 		}
-		if d < 500*time.Millisecond { // new connections come for 0.4 s
+		if d < 500*time.Millisecond { // new connections arrive for up to 0.4 s
 			t.Errorf("the listener stays open for %v", d)
 		}
-		return r.lingered
+		return r.closeListener
 	}
 	r.lifecycle.Apply(lifecycle.ServersKnown)
 	go func() { r.ended <- server.Serve(ln) }()
@@ -77,7 +77,7 @@
 
 func (r *rig) stop() { r.lifecycle.Apply(lifecycle.Terminate) }
 
-func (r *rig) ask(request string) (status int, closes bool) {
+func (r *rig) send(request string) (status int, closesConnection bool) {
 	r.t.Helper()
 	resp, _ := peertest.SendRequest(r.t, r.addr, request)
 	return resp.StatusCode, resp.Close
@@ -87,7 +87,7 @@
 	return "GET /look?sid=7f HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: look\r\nX-Customer: acme\r\nX-Expires-In: 9000m\r\n\r\n"
 }
 
-// Requests that are not valid reach no server.
+// Invalid requests do not reach the core.
 func TestBadRequests(t *testing.T) {
 	r := newRig(t, served)
 	head := " HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: t\r\n"
@@ -124,25 +124,25 @@
 		"a head without end": {"GET /look" + head + strings.Repeat("X: 1\r\n", 9000), 431},
 		"no HTTP":            {"nonsense\r\n\r\n", 400},
 	} {
-		// Each ends its connection: nothing behind it is read as a request.
+		// The response closes the connection: nothing after the invalid request is read as a request.
 		conn, in := peertest.Dial(t, r.addr)
 		io.WriteString(conn, c.request+lookRequest("hidden"))
 		if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != c.status || !resp.Close {
 			t.Errorf("%s: %d, want %d; close %v", name, resp.StatusCode, c.status, resp.Close)
 		}
 		if more, _ := io.ReadAll(in); len(more) > 0 {
-			t.Errorf("%s: %q follows", name, more)
+			t.Errorf("%s: unexpected data %q after the response", name, more)
 		}
 	}
 	if n := r.core.accepted.Load(); n != 0 {
 		t.Errorf("%d requests reached the core", n)
 	}
-	if status, _ := r.ask(lookRequest("t")); status != 200 {
+	if status, _ := r.send(lookRequest("t")); status != 200 {
 		t.Errorf("afterwards: %d", status)
 	}
 }
 
-// A response that refuses a request says when to retry; one that reports a failure does not.
+// A response that refuses a request has a Retry-After header if the answer has a delay; one that reports a failure has none.
 func TestFinalAnswers(t *testing.T) {
 	for _, c := range []struct {
 		a      front.Answer
@@ -161,9 +161,9 @@
 	}
 }
 
-// After SIGTERM the listener stays open while connections still come, idle ones are closed meanwhile, and what
-// was accepted is answered before the end.
-func TestStopping(t *testing.T) {
+// After SIGTERM the listener stays open while new connections still arrive, idle connections are closed meanwhile, and Serve returns only
+// once all accepted requests are answered.
+func TestGracefulShutdown(t *testing.T) {
 	got, release := make(chan struct{}, 2), make(chan struct{})
 	r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
 		if req.TraceID == "slow" {
@@ -180,12 +180,12 @@
 	peertest.Wait(t, got)
 	r.stop()
 	if _, err := idleIn.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection: %v", err)
+		t.Errorf("an idle connection: %v, want io.EOF", err)
 	}
-	if status, closes := r.ask(lookRequest("late")); status != 200 || !closes {
+	if status, closes := r.send(lookRequest("late")); status != 200 || !closes {
 		t.Errorf("on a new connection: %d, close %v", status, closes)
 	}
-	r.lingered <- time.Now()
+	r.closeListener <- time.Now()
 	peertest.Eventually(t, "the listener closes", func() bool {
 		c, err := net.Dial("tcp", r.addr)
 		if err == nil {
@@ -200,26 +200,26 @@
 	}
 	close(release)
 	if resp, body := peertest.ReadResponse(t, slowIn); resp.StatusCode != 200 || body != "hi" || !resp.Close {
-		t.Errorf("what was accepted before: %d %q, close %v", resp.StatusCode, body, resp.Close)
+		t.Errorf("a request accepted before SIGTERM: %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
 	if err := peertest.Wait(t, r.ended); err != nil {
 		t.Error(err)
 	}
 }
 
-// The fields of a request as the core gets them, and the responses where the core does not accept it or has ended.
-func TestRequestsAsTheCoreSeesThem(t *testing.T) {
+// The core gets each field of a request as the client sent it, and each error of the core has its own response.
+func TestRequestFieldsAndErrorsOfTheCore(t *testing.T) {
 	var got front.Request
-	var give error
+	var coreErr error
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
 		got = req
-		return front.Answer{}, give
+		return front.Answer{}, coreErr
 	})
 	request := "POST /book/1?sid=7f HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: book\r\nX-Customer: acme\r\nX-Expires-In: 1500u\r\n" +
 		"X-Second-Try: 1\r\nX-Size-Hint: 2500\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi"
 	for err, want := range map[error]int{nil: 200, front.ErrInUse: 409, front.ErrInvalid: 400, front.ErrEnded: 502} {
-		give = err
-		if status, _ := r.ask(request); status != want {
+		coreErr = err
+		if status, _ := r.send(request); status != want {
 			t.Errorf("%v: status %d, want %d", err, status, want)
 		}
 	}
@@ -227,7 +227,7 @@
 		got.WorkHint != 2500*time.Microsecond || got.Message.Target != "/book/1?sid=7f" || string(got.Message.Body) != "hi" {
 		t.Errorf("%+v", got)
 	}
-	give = context.Canceled // as where the client has gone: no answer is made up
+	coreErr = context.Canceled // as after a disconnect: nothing is written
 	c, in := peertest.Dial(t, r.addr)
 	io.WriteString(c, request)
 	if more, err := in.ReadByte(); err != io.EOF {
--- a/internal/sidecar/front/platform/response.go
+++ b/internal/sidecar/front/platform/response.go
@@ -10,13 +10,13 @@
 	"petrelhook/internal/sidecar/message"
 )
 
-// relayBufferSize is the most that is read at once of a response that is relayed.
+// relayBufferSize is the largest single read of a response that is relayed.
 const relayBufferSize = 32 << 10
 
 var relayBuffers = sync.Pool{New: func() any { b := make([]byte, relayBufferSize); return &b }}
 
-// relayReply passes a long response on as it comes. Where it breaks off it ends the connection before the announced end, so that the client
-// can tell.
+// relayReply forwards a long response as it arrives. If the response is cut short, relayReply aborts the connection before the announced
+// end, so that the client can detect the truncation.
 func relayReply(w http.ResponseWriter, reply *message.Reply) {
 	control := http.NewResponseController(w)
 	if reply.Size >= 0 {
@@ -44,21 +44,21 @@
 	}
 }
 
-// reject answers a request that cannot be served, and ends its connection. What else comes on it is not read: neither the rest of a body,
-// which may never come, nor a further request, which may be a part of that body.
+// reject answers a request that cannot be served, and closes its connection. Nothing more is read from it: the rest of a body may never
+// arrive, and what looks like another request may be part of that body.
 func reject(w http.ResponseWriter, reason error, status int) {
 	http.NewResponseController(w).SetReadDeadline(time.Now())
 	w.Header().Set("Connection", "close")
 	http.Error(w, reason.Error(), status)
 }
 
-// writeAnswer writes an answer: complete and with its length, or relayed as it comes.
+// writeAnswer writes an answer. A buffered reply is written with its length; a streamed one is relayed as it arrives.
 func writeAnswer(w http.ResponseWriter, answer front.Answer) {
 	defer answer.Reply.Done()
 	switch answer.Verdict {
 	case front.Served:
 		for _, name := range []string{"Content-Type", "Content-Encoding"} {
-			w.Header()[name] = answer.Reply.Header[name] // nil where there is none, which keeps net/http from guessing one
+			w.Header()[name] = answer.Reply.Header[name] // a nil value keeps net/http from guessing the header
 		}
 		if answer.Reply.Remainder != nil {
 			relayReply(w, &answer.Reply)
--- a/internal/sidecar/front/platform/long_test.go
+++ b/internal/sidecar/front/platform/streaming_test.go
@@ -28,7 +28,7 @@
 	return "POST /once HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: once\r\nX-Expires-In: 9000m\r\n" + framing + "\r\n\r\n"
 }
 
-// verdictOf is the verdict for a request whose body ended with an error, or well.
+// verdictOf returns the verdict for a request whose body ended with err; nil means that it is complete.
 func verdictOf(err error) front.Verdict {
 	if err != nil {
 		return front.Failed
@@ -36,7 +36,7 @@
 	return front.Served
 }
 
-// echo serves a request with its own body.
+// echo answers a request with the request's body.
 func echo(_ context.Context, r front.Request) (front.Answer, error) {
 	a := front.Answer{Verdict: front.Served, Reply: message.Reply{Body: r.Message.Body}}
 	if r.Message.Remainder != nil {
@@ -47,44 +47,44 @@
 	return a, nil
 }
 
-// reader makes an io.Reader of an upload.
-type reader struct{ *message.Upload }
+// uploadReader adapts an upload to io.Reader.
+type uploadReader struct{ *message.Upload }
 
-func (r reader) Read(p []byte) (int, error) {
-	piece, err := r.Next(nil)
-	if len(piece) > len(p) {
+func (r uploadReader) Read(p []byte) (int, error) {
+	chunk, err := r.Next(nil)
+	if len(chunk) > len(p) {
 		return 0, io.ErrShortBuffer
 	}
-	return copy(p, piece), err
+	return copy(p, chunk), err
 }
 
 func readAll(u *message.Upload) ([]byte, error) {
 	var all bytes.Buffer
-	_, err := reader{u}.WriteTo(&all)
+	_, err := uploadReader{u}.WriteTo(&all)
 	return all.Bytes(), err
 }
 
-// WriteTo has io.Copy write chunks as they come.
-func (r reader) WriteTo(w io.Writer) (n int64, err error) {
+// WriteTo implements io.WriterTo, so that io.Copy writes each chunk as it arrives.
+func (r uploadReader) WriteTo(w io.Writer) (n int64, err error) {
 	for err == nil {
-		var piece []byte
-		piece, err = r.Next(nil)
-		n += int64(len(piece))
-		w.Write(piece)
+		var chunk []byte
+		chunk, err = r.Next(nil)
+		n += int64(len(chunk))
+		w.Write(chunk)
 	}
-	if err == io.EOF { //nolint:errorlint // the plain value, as io.Reader asks
+	if err == io.EOF { //nolint:errorlint // the plain value, as io.Reader requires
 		err = nil
 	}
 	return n, err
 }
 
-// Bodies of any length and framing arrive completely, in chunks of any size, and the connection is used again.
-func TestBodiesOfAnyForm(t *testing.T) {
+// Bodies of any length and framing arrive completely, whatever the sizes in which they are sent, and the connection is reused.
+func TestBodiesOfAnyLengthAndFraming(t *testing.T) {
 	r := newRig(t, echo)
 	for _, size := range []int{0, 1, 1000, message.MaxBuffered, message.MaxBuffered + 1, 300_000, 5_000_000} {
 		for _, chunked := range []bool{false, true} {
-			for _, piece := range []int{1, 977, 1 << 20} {
-				if size/piece > 10_000 {
+			for _, pieceSize := range []int{1, 977, 1 << 20} {
+				if size/pieceSize > 10_000 {
 					continue
 				}
 				c, in := peertest.Dial(t, r.addr)
@@ -96,14 +96,14 @@
 						} else {
 							io.WriteString(c, onceRequestHead(fmt.Sprint(i), "Transfer-Encoding: chunked"))
 						}
-						for left := body; len(left) > 0; {
-							n := min(piece, len(left))
+						for remaining := body; len(remaining) > 0; {
+							n := min(pieceSize, len(remaining))
 							if chunked {
-								fmt.Fprintf(c, "%x;ext=\"a\"\r\n%s\r\n", n, left[:n])
+								fmt.Fprintf(c, "%x;ext=\"a\"\r\n%s\r\n", n, remaining[:n])
 							} else {
-								io.WriteString(c, left[:n])
+								io.WriteString(c, remaining[:n])
 							}
-							left = left[n:]
+							remaining = remaining[n:]
 						}
 						if chunked {
 							io.WriteString(c, "0\r\nX-Trailer: a\r\n\r\n")
@@ -111,17 +111,17 @@
 					}()
 					resp, got := peertest.ReadResponse(t, in)
 					if resp.StatusCode != 200 || got != body || resp.Close {
-						t.Fatalf("%d bytes, chunked %v, pieces of %d: status %d, %d bytes, close %v", size, chunked, piece, resp.StatusCode, len(got), resp.Close)
+						t.Fatalf("%d bytes, chunked %v, pieces of %d: status %d, %d bytes, close %v", size, chunked, pieceSize, resp.StatusCode, len(got), resp.Close)
 					}
 				}
-				c.Close() // the limiter ends connections sooner, the more there are
+				c.Close() // the more connections are open, the sooner the limiter closes idle ones
 			}
 		}
 	}
 }
 
-// A body that waits for 100 Continue is asked for, long or short.
-func TestExpectations(t *testing.T) {
+// A client that waits for 100 Continue before it sends its body gets one, whether the body is buffered or streamed.
+func TestExpectContinue(t *testing.T) {
 	r := newRig(t, echo)
 	for _, size := range []int{2, 100_000} {
 		c, in := peertest.Dial(t, r.addr)
@@ -136,11 +136,11 @@
 	}
 }
 
-// An answer may be passed on while its request still comes: both go on to their ends, and then the connection ends.
-func TestBothWaysAtOnce(t *testing.T) {
+// A response may be relayed while its request is still arriving: both are transferred completely, and then the connection is closed.
+func TestResponseDuringTheRequestBody(t *testing.T) {
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
 		rest := req.Message.Remainder
-		return front.Answer{Verdict: front.Served, Reply: message.Reply{Remainder: io.NopCloser(reader{rest}), Size: rest.Size}}, nil
+		return front.Answer{Verdict: front.Served, Reply: message.Reply{Remainder: io.NopCloser(uploadReader{rest}), Size: rest.Size}}, nil
 	})
 	const size = 3_000_000
 	c, in := peertest.Dial(t, r.addr)
@@ -150,8 +150,8 @@
 	}
 }
 
-// An older client gets an answer of unknown length to the end of its connection, one that keeps its connection in the old way
-// keeps it.
+// An HTTP/1.0 client gets a response of unknown length that is ended by the close of the connection. A connection with HTTP/1.0
+// keep-alive stays open.
 func TestHTTP10(t *testing.T) {
 	r := newRig(t, func(context.Context, front.Request) (front.Answer, error) {
 		return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("a"), Remainder: io.NopCloser(strings.NewReader("bc")), Size: -1}}, nil
@@ -171,8 +171,8 @@
 	}
 }
 
-// The memory of bodies is reserved while their requests are in progress, and released with their responses. A body for which there is none
-// waits, and its request is rejected after a second, before anything of it was sent; small ones are served meanwhile.
+// The memory of bodies is reserved while their requests are in progress, and released with their responses. A body for which no memory is
+// left waits, and its request is rejected after a second, before the core gets it. Small bodies are served meanwhile.
 func TestMemoryForBodies(t *testing.T) {
 	got, release := make(chan struct{}, 9), make(chan struct{})
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
@@ -183,30 +183,30 @@
 		return front.Answer{Verdict: front.Served}, nil
 	})
 	const size = 60_000
-	ask := func(trace string) (net.Conn, *bufio.Reader) {
+	send := func(trace string) (net.Conn, *bufio.Reader) {
 		c, in := peertest.Dial(t, r.addr)
 		io.WriteString(c, onceRequestHead(trace, fmt.Sprint("Content-Length: ", size))+strings.Repeat("x", size))
 		return c, in
 	}
 	var inProgress []*bufio.Reader
 	for i := range testMemory / (message.MaxBuffered + readSize) {
-		_, in := ask(fmt.Sprint(i))
+		_, in := send(fmt.Sprint(i))
 		peertest.Wait(t, got)
 		inProgress = append(inProgress, in)
 	}
 	if n := r.memory.Reserved(); n < int64(len(inProgress))*size || n > testMemory {
 		t.Errorf("%d bytes are reserved for %d bodies", n, len(inProgress))
 	}
-	_, refused := ask("refused")
-	if status, _ := r.ask(onceRequestHead("small", "Content-Length: 2") + "hi"); status != 200 {
-		t.Errorf("a small one: %d", status)
+	_, rejected := send("refused")
+	if status, _ := r.send(onceRequestHead("small", "Content-Length: 2") + "hi"); status != 200 {
+		t.Errorf("a small body: %d", status)
 	}
-	if resp, _ := peertest.ReadResponse(t, refused); resp.StatusCode != 503 || !resp.Close {
+	if resp, _ := peertest.ReadResponse(t, rejected); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("without memory: %d, close %v", resp.StatusCode, resp.Close)
 	}
-	_, waits := ask("waits")
+	_, waiting := send("waits")
 	close(release)
-	for _, in := range append(inProgress, waits) {
+	for _, in := range append(inProgress, waiting) {
 		if resp, _ := peertest.ReadResponse(t, in); resp.StatusCode != 200 {
 			t.Errorf("%d", resp.StatusCode)
 		}
@@ -214,11 +214,12 @@
 	peertest.Eventually(t, "no memory is reserved", func() bool { return r.memory.Reserved() == 0 })
 }
 
-// An answer that breaks off after its beginning ends its connection so that the client can tell, whatever its form.
-func TestAnAnswerThatBreaksOff(t *testing.T) {
+// A response that is cut short after it has begun aborts its connection, so that the client detects the truncation, with a length as well
+// as in chunks.
+func TestTruncatedResponsesAbortTheirConnections(t *testing.T) {
 	for _, size := range []int64{10, -1} {
 		r := newRig(t, func(context.Context, front.Request) (front.Answer, error) {
-			rest := io.MultiReader(strings.NewReader("bc"), failing{})
+			rest := io.MultiReader(strings.NewReader("bc"), failingReader{})
 			return front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("a"), Remainder: io.NopCloser(rest), Size: size}}, nil
 		})
 		c, in := peertest.Dial(t, r.addr)
@@ -233,15 +234,16 @@
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, errors.New("broken off") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("broken off") }
 
-// An answer that comes before the body is complete is given at once and ends the connection, also while the client still writes.
+// An answer that is available before the body is complete is written at once and closes the connection, even if the client is still
+// sending.
 func TestAnEarlyAnswer(t *testing.T) {
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
-		if piece, err := req.Message.Remainder.Next(nil); string(piece) != "half" || err != nil {
-			t.Errorf("%q, %v", piece, err)
+		if chunk, err := req.Message.Remainder.Next(nil); string(chunk) != "half" || err != nil {
+			t.Errorf("%q, %v", chunk, err)
 		}
 		return front.Answer{Verdict: front.Refused}, nil
 	})
@@ -252,8 +254,8 @@
 	}
 }
 
-// The request of a client that breaks its body off is cancelled; one whose chunks are malformed is answered with 400.
-func TestBodiesThatBreakOff(t *testing.T) {
+// The request of a client that cuts its body short is cancelled; a request with malformed chunks is answered with 400.
+func TestTruncatedAndMalformedBodies(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   string
 		status int
@@ -264,7 +266,7 @@
 	} {
 		ended := make(chan error, 1)
 		r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
-			_, err := reader{req.Message.Remainder}.WriteTo(io.Discard)
+			_, err := uploadReader{req.Message.Remainder}.WriteTo(io.Discard)
 			if err == nil {
 				t.Errorf("%s: the body is complete", name)
 			}
@@ -273,7 +275,7 @@
 			return front.Answer{}, ctx.Err()
 		})
 		conn, in := peertest.Dial(t, r.addr)
-		if c.status == 0 && name == "chunks" { // the rest is read only beyond what is short
+		if c.status == 0 && name == "chunks" { // a chunked body is streamed only once it exceeds MaxBuffered
 			c.text += strings.Repeat("x", 2*message.MaxBuffered)
 		}
 		io.WriteString(conn, c.text)
@@ -288,8 +290,8 @@
 	}
 }
 
-// Pipelined requests are answered in order, each with its own framing. A chunked request that came in the same read as the one before
-// is rejected, for its head was not seen.
+// Pipelined requests are answered in order, each with its own framing. A chunked request that arrived in the same read as the one before
+// is rejected, because its head could not be checked.
 func TestPipelining(t *testing.T) {
 	r := newRig(t, echo)
 	c, in := peertest.Dial(t, r.addr)
@@ -304,7 +306,7 @@
 	}
 }
 
-// Whatever a head holds: a request that is accepted means the same to a parser that follows the RFC strictly.
+// Every accepted request has the same framing for net/http as for a parser that applies RFC 9112 strictly.
 func FuzzFraming(f *testing.F) {
 	for _, lines := range []string{
 		"Content-Length: 2", "Transfer-Encoding: chunked", "Content-Length: 2\r\nTransfer-Encoding: chunked", "Content-Length: 2\r\nContent-Length: 2",
@@ -321,16 +323,16 @@
 		if err != nil || checkFraming([]byte(head), req) != nil {
 			return
 		}
-		length, chunked := strictly(head)
+		length, chunked := strictFraming(head)
 		if chunked != (len(req.TransferEncoding) > 0) || !chunked && length != req.ContentLength {
-			t.Errorf("%q: we read length %d, chunked %v; strictly it is %d, %v", head, req.ContentLength, len(req.TransferEncoding) > 0, length, chunked)
+			t.Errorf("%q: parsed as length %d, chunked %v; strictly it is %d, %v", head, req.ContentLength, len(req.TransferEncoding) > 0, length, chunked)
 		}
 	})
 }
 
-// strictly is the framing by RFC 9112, line by line, with every line that could mean anything else taken for what it would be
-// to a lenient reader; -2: such readers differ.
-func strictly(head string) (length int64, chunked bool) {
+// strictFraming returns the framing of a head by RFC 9112, parsed line by line. It interprets each malformed line as a lenient parser would. The
+// length is -2 if lenient parsers could disagree.
+func strictFraming(head string) (length int64, chunked bool) {
 	for _, line := range strings.FieldsFunc(head, func(r rune) bool { return r == '\r' || r == '\n' })[1:] {
 		name, value, _ := strings.Cut(line, ":")
 		switch value = strings.Trim(value, " \t"); strings.ToLower(strings.Trim(name, " \t")) {
@@ -350,7 +352,7 @@
 	return length, chunked
 }
 
-// deadlines records the read deadlines that are set.
+// deadlines is a ResponseWriter that records the read deadlines that are set.
 type deadlines struct {
 	http.ResponseWriter
 	set []time.Time
@@ -358,7 +360,8 @@
 
 func (d *deadlines) SetReadDeadline(t time.Time) error { d.set = append(d.set, t); return nil }
 
-// A body that was read to its end leaves no deadline behind, whenever it is given up: the connection is the next request's.
+// A body that was read to its end leaves no read deadline on the connection, whenever halt is called: the next request uses the
+// connection.
 func TestAnEndedBodyLeavesNoDeadline(t *testing.T) {
 	w := &deadlines{}
 	b := newBody(w, &http.Request{Body: io.NopCloser(strings.NewReader("whole"))}, time.Now())
@@ -373,8 +376,8 @@
 	}
 }
 
-// In virtual time: a body that comes at 64 kB a second for a minute is served, also with a short answer, and so is a client that
-// takes nothing of a long answer for some seconds; one that takes nothing any more is ended.
+// A body that arrives at 64 kB/s for a minute is read to its end. A client that pauses while it reads a long response is served; one that
+// pauses for longer than writeTimeout is disconnected. Time is virtual.
 func TestSlowClients(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(time.Millisecond)
@@ -383,19 +386,19 @@
 			t.Fatal(err)
 		}
 		const size = 64_000 * 60
-		life := lifecycle.New()
+		machine := lifecycle.New()
 		core := &fakeCore{answer: func(_ context.Context, r front.Request) (front.Answer, error) {
 			a := front.Answer{Verdict: front.Served, Reply: message.Reply{Body: []byte("hi")}}
 			if r.Message.Remainder != nil {
-				reader{r.Message.Remainder}.WriteTo(io.Discard)
+				uploadReader{r.Message.Remainder}.WriteTo(io.Discard)
 			} else {
-				a.Reply.Remainder, a.Reply.Size = io.NopCloser(io.LimitReader(zeros{}, size-2)), size
+				a.Reply.Remainder, a.Reply.Size = io.NopCloser(io.LimitReader(zeroReader{}, size-2)), size
 			}
 			return a, nil
 		}}
 		server := New(Settings{MemoryBudget: membudget.New(0), Admission: admission.Config{MaxConnections: 9, Horizon: time.Second}, Classes: []front.Class{
 			{Name: "look", Effect: front.Safe, Deadline: time.Second}, {Name: "book"}, {Name: "once", Effect: front.Unsafe, Deadline: time.Second},
-		}}, core, life, slog.New(slog.DiscardHandler))
+		}}, core, machine, slog.New(slog.DiscardHandler))
 		ended := make(chan error, 1)
 		go func() { ended <- server.Serve(ln) }()
 		dial := func() (net.Conn, *bufio.Reader) {
@@ -428,13 +431,13 @@
 			}
 			c.Close()
 		}
-		life.Apply(lifecycle.Terminate)
+		machine.Apply(lifecycle.Terminate)
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) { return len(p), nil }
+func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
