--- a/internal/sidecar/handover/frame.go
+++ b/internal/sidecar/handover/frame.go
@@ -10,33 +10,33 @@
 const (
 	version = 1
 	magic   = "petrelhook handover"
-	// maxState is more than the largest fleets need.
+	// maxState is the largest state in bytes, more than the largest fleets need.
 	maxState = 64 << 20
-	// maxHelloLine is the most that is read of a hello.
+	// maxHelloLine is the longest hello in bytes.
 	maxHelloLine = 128
-	// maxLinkLine is the longest line of a link: a complete list of servers of the largest fleets.
+	// maxLinkLine is the longest line of a link in bytes: a complete list of servers of the largest fleets.
 	maxLinkLine = 8 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Why nothing is handed over: what the other process sent is of another version of the format, is none of this format, or is not what was
-// announced.
+// The errors of a hand-over: the other process uses another version of the format, sent something that is not in this format, or sent a
+// state that does not match the announced checksum.
 var (
 	ErrVersion   = errors.New("another version")
 	ErrMalformed = errors.New("no hand-over")
 	ErrDamaged   = errors.New("the state is damaged")
 )
 
-// hello is the first line of the successor. The process in service answers it with a header.
+// hello returns the first line that the successor sends. The process in service answers it with a header.
 func hello() string { return fmt.Sprintf("%s %d\n", magic, version) }
 
-// header is the line that announces a state. The listening socket is sent with its first byte, and the state follows.
+// header returns the line that announces a state. The listening socket is sent with its first byte, and the state follows.
 func header(state []byte) string {
 	return fmt.Sprintf("%s %d %d %08x\n", magic, version, len(state), crc32.Checksum(state, castagnoli))
 }
 
-// parseVersion reads a hello or a header up to its version, and returns what follows. Of another version it returns ErrVersion.
+// parseVersion parses a hello or a header up to its version, and returns the rest. It returns ErrVersion if the version is not ours.
 func parseVersion(line string) (rest string, err error) {
 	var got int
 	afterMagic, ok := strings.CutPrefix(line, magic+" ")
@@ -53,7 +53,7 @@
 	return rest, nil
 }
 
-// parseHeader reads the length and the checksum of the state that a header announces.
+// parseHeader returns the length and the checksum of the state that a header announces.
 func parseHeader(line string) (length int, checksum uint32, err error) {
 	rest, err := parseVersion(line)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return length, checksum, nil
 }
 
-// verifyChecksum reports a state that differs from what was announced.
+// verifyChecksum returns ErrDamaged if the state does not match the announced checksum.
 func verifyChecksum(state []byte, announced uint32) error {
 	if got := crc32.Checksum(state, castagnoli); got != announced {
 		return fmt.Errorf("%w: checksum %08x, announced %08x", ErrDamaged, got, announced)
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -13,21 +13,22 @@
 	"time"
 )
 
-const patience = 20 * time.Second // for what must come
+// eventTimeout bounds the wait for an event that must happen.
+const eventTimeout = 20 * time.Second
 
 func wait[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatal("waited in vain")
+	case <-time.After(eventTimeout):
+		t.Fatal("timed out waiting for an event")
 		panic("not reached")
 	}
 }
 
-// inService is a process in service: a listener and the server that hands it over.
-type inService struct {
+// serviceProcess represents a process in service: a listener and the server that hands it over.
+type serviceProcess struct {
 	*Server
 	ln        *net.TCPListener
 	successor chan *Link
@@ -35,9 +36,9 @@
 	failed    chan error
 }
 
-func serving(t *testing.T, r Rendezvous, ln *net.TCPListener, state string) *inService {
+func startServing(t *testing.T, r Rendezvous, ln *net.TCPListener, state string) *serviceProcess {
 	t.Helper()
-	s := &inService{ln: ln, successor: make(chan *Link, 9), linkEnded: make(chan struct{}, 9), failed: make(chan error, 9)}
+	s := &serviceProcess{ln: ln, successor: make(chan *Link, 9), linkEnded: make(chan struct{}, 9), failed: make(chan error, 9)}
 	s.Server = &Server{
 		Snapshot: func() (*os.File, []byte, error) { f, err := ln.File(); return f, []byte(state), err },
 		OnSuccessor: func(l *Link) {
@@ -64,26 +65,27 @@
 	return ln.(*net.TCPListener)
 }
 
-// Three processes, one after another, in a folder with a short path and in one whose path no socket address holds: each has the listening
-// socket of the first, which goes on accepting after that process has closed it, and a connection in its queue is not lost.
-func TestThreeInARow(t *testing.T) {
-	long := t.TempDir()
+// Three hand-overs follow one another, in a folder with a short path and in one whose path is too long for a socket address. Each successor
+// gets the listening socket of the first process. The socket goes on accepting after the predecessor has closed its descriptor, and a
+// connection in the accept queue is not lost.
+func TestThreeHandoversInARow(t *testing.T) {
+	longPath := t.TempDir()
 	for range 3 {
-		long = filepath.Join(long, strings.Repeat("x", 60))
+		longPath = filepath.Join(longPath, strings.Repeat("x", 60))
 	}
-	if err := os.MkdirAll(long, 0o700); err != nil {
+	if err := os.MkdirAll(longPath, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for _, dir := range []string{t.TempDir(), long} {
+	for _, dir := range []string{t.TempDir(), longPath} {
 		r, ln := NewRendezvous(dir, "n0", "127.0.0.1:8080"), listen(t)
 		addr := ln.Addr().String()
 		for _, state := range []string{"", "one", strings.Repeat("two", 1_000_000)} {
-			s := serving(t, r, ln, state)
+			s := startServing(t, r, ln, state)
 			waiting, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			received, err := r.Request(patience)
+			received, err := r.Request(eventTimeout)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -112,49 +114,51 @@
 	}
 }
 
-// No process is in service, or one has died and left its socket file behind: there is no predecessor, and the rendezvous can be listened at.
+// There is no predecessor if no process is in service, or if one has crashed and left its socket file behind. A new process can listen at
+// the rendezvous in either case.
 func TestNoPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	r := NewRendezvous(dir, "n/0 ü", "a:1")
 	if r == NewRendezvous(dir, "n/0 ü", "a:2") || r == NewRendezvous(dir, "n_0 ü", "a:1") {
-		t.Error("two sidecars have one rendezvous")
+		t.Error("two sidecars share a rendezvous")
 	}
 	for range 2 {
-		if _, err := r.Request(patience); err != ErrNoPredecessor { //nolint:errorlint // the sentinel itself, not wrapped
+		if _, err := r.Request(eventTimeout); err != ErrNoPredecessor { //nolint:errorlint // the sentinel itself, not wrapped
 			t.Errorf("%v", err)
 		}
 		ln, err := r.listen()
 		if err != nil {
 			t.Fatal(err)
 		}
-		ln.Close() // as after a crash: its file stays
+		ln.Close() // as after a crash: the socket file remains
 		if _, err := os.Stat(r.path()); err != nil {
 			t.Error(err)
 		}
 	}
-	s := serving(t, r, listen(t), "x")
-	if received, err := r.Request(patience); err != nil {
+	s := startServing(t, r, listen(t), "x")
+	if received, err := r.Request(eventTimeout); err != nil {
 		t.Error(err)
 	} else {
 		received.Link.Close()
 	}
 	s.Close()
-	if _, err := (Rendezvous{filepath.Join(dir, "none"), "x"}).Request(patience); err != ErrNoPredecessor { //nolint:errorlint // the sentinel itself, not wrapped
+	if _, err := (Rendezvous{filepath.Join(dir, "none"), "x"}).Request(eventTimeout); err != ErrNoPredecessor { //nolint:errorlint // the sentinel itself, not wrapped
 		t.Errorf("%v", err)
 	}
 	if err := (&Server{}).Start(Rendezvous{filepath.Join(dir, "none"), "x"}); err == nil {
-		t.Error("a rendezvous in no folder")
+		t.Error("Start succeeded in a folder that does not exist")
 	}
 }
 
-// scriptedAnswer is what a process answers to a request: a text that carries some sockets, and then the end of the connection or silence.
+// scriptedAnswer is the answer of a fake process in service: a text that carries some sockets. Then the connection is closed or stays
+// silent.
 type scriptedAnswer struct {
 	text    string
 	sockets int
 	hangs   bool // the connection stays open
 }
 
-// answerOnce gives the answer to the first request at a rendezvous. A connection that hangs is closed at the end of the test.
+// answerOnce answers the first request at a rendezvous. A connection that hangs is closed at the end of the test.
 func answerOnce(t *testing.T, r Rendezvous, answer scriptedAnswer) {
 	t.Helper()
 	listener, err := r.listen()
@@ -186,32 +190,32 @@
 	}()
 }
 
-// An answer that is not a complete hand-over gives an error and nothing else; a process that does not answer is not waited for beyond the
-// time-out.
+// Request returns an error for an answer that is not a complete hand-over, and waits for a process that does not answer only until its
+// timeout.
 func TestIncompleteHandoverIsAnError(t *testing.T) {
-	good := header([]byte("state"))
+	validHeader := header([]byte("state"))
 	for name, c := range map[string]struct {
 		answer scriptedAnswer
 		want   string // in the error's text
 	}{
-		"another version": {scriptedAnswer{text: strings.Replace(good, " 1 ", " 2 ", 1), sockets: 1}, "another version"},
-		"an older one":    {scriptedAnswer{text: strings.Replace(good, " 1 ", " 0 ", 1), sockets: 1}, "another version"},
-		"flipped bits":    {scriptedAnswer{text: good + "stAte", sockets: 1}, "damaged"},
-		"cut short":       {scriptedAnswer{text: good + "stat", sockets: 1}, "the state"},
-		"half a header":   {scriptedAnswer{text: good[:9], sockets: 1}, "header"},
-		"no socket":       {scriptedAnswer{text: good + "state", sockets: 0}, "0 sockets"},
-		"two sockets":     {scriptedAnswer{text: good + "state", sockets: 2}, "2 sockets"},
+		"another version": {scriptedAnswer{text: strings.Replace(validHeader, " 1 ", " 2 ", 1), sockets: 1}, "another version"},
+		"an older one":    {scriptedAnswer{text: strings.Replace(validHeader, " 1 ", " 0 ", 1), sockets: 1}, "another version"},
+		"flipped bits":    {scriptedAnswer{text: validHeader + "stAte", sockets: 1}, "damaged"},
+		"cut short":       {scriptedAnswer{text: validHeader + "stat", sockets: 1}, "the state"},
+		"half a header":   {scriptedAnswer{text: validHeader[:9], sockets: 1}, "header"},
+		"no socket":       {scriptedAnswer{text: validHeader + "state", sockets: 0}, "0 sockets"},
+		"two sockets":     {scriptedAnswer{text: validHeader + "state", sockets: 2}, "2 sockets"},
 		"nonsense":        {scriptedAnswer{text: "HTTP/1.1 200 OK\r\n\r\n", sockets: 1}, "no hand-over"},
 		"a huge state":    {scriptedAnswer{text: "petrelhook handover 1 99999999999 0\n", sockets: 1}, "no hand-over"},
 		"a negative one":  {scriptedAnswer{text: "petrelhook handover 1 -1 0\n", sockets: 1}, "no hand-over"},
 		"nothing":         {scriptedAnswer{}, "EOF"},
 		"silence":         {scriptedAnswer{hangs: true}, "timeout"},
-		"a silent state":  {scriptedAnswer{text: good + "st", sockets: 1, hangs: true}, "timeout"},
+		"a silent state":  {scriptedAnswer{text: validHeader + "st", sockets: 1, hangs: true}, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewRendezvous(t.TempDir(), "n0", "a:1")
 			answerOnce(t, r, c.answer)
-			timeout := patience
+			timeout := eventTimeout
 			if c.answer.hangs {
 				timeout = 20 * time.Millisecond
 			}
@@ -223,24 +227,25 @@
 	}
 }
 
-// A request that is malformed, of another version or broken off is reported, and does no harm: the next one gets the complete state.
+// A request that is malformed, has another version or is cut short is reported, and does not affect the next one, which gets the complete
+// state.
 func TestMalformedRequests(t *testing.T) {
 	r := NewRendezvous(t.TempDir(), "n0", "a:1")
-	s := serving(t, r, listen(t), strings.Repeat("state", 1_000_000))
-	for _, says := range []string{"nonsense\n", "petrelhook handover 2\n", strings.Repeat("x", 1000), "petrel", hello()} {
+	s := startServing(t, r, listen(t), strings.Repeat("state", 1_000_000))
+	for _, request := range []string{"nonsense\n", "petrelhook handover 2\n", strings.Repeat("x", 1000), "petrel", hello()} {
 		conn, err := net.Dial("unix", r.path())
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(conn, says)
+		io.WriteString(conn, request)
 		conn.(*net.UnixConn).CloseWrite()
-		if says == hello() {
-			io.ReadFull(conn, make([]byte, 100)) // and dies during the state
+		if request == hello() {
+			io.ReadFull(conn, make([]byte, 100)) // the successor ends while it receives the state
 		}
 		conn.Close()
 		wait(t, s.failed)
 	}
-	received, err := r.Request(patience)
+	received, err := r.Request(eventTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -251,11 +256,11 @@
 	wait(t, s.linkEnded)
 }
 
-// The process in service ends: its successor sees the end of the link.
+// When the process in service ends, its successor sees the end of the link.
 func TestPredecessorEnds(t *testing.T) {
 	r := NewRendezvous(t.TempDir(), "n0", "a:1")
-	s := serving(t, r, listen(t), "x")
-	received, err := r.Request(patience)
+	s := startServing(t, r, listen(t), "x")
+	received, err := r.Request(eventTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -264,7 +269,7 @@
 	wait(t, s.successor)
 	s.Close()
 	wait(t, ended)
-	if _, err := r.Request(patience); err != ErrNoPredecessor { //nolint:errorlint // the sentinel itself, not wrapped
+	if _, err := r.Request(eventTimeout); err != ErrNoPredecessor { //nolint:errorlint // the sentinel itself, not wrapped
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/sidecar/handover/link.go
+++ b/internal/sidecar/handover/link.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// writeTimeout is how long a line may take to be written: the other process may hang.
+	// writeTimeout bounds the time to write a line, because the other process may hang.
 	writeTimeout = 500 * time.Millisecond
-	// maxReusedBuffer is the largest buffer that is used again for the next line.
+	// maxReusedBuffer is the largest buffer, in bytes, that is reused for the next line.
 	maxReusedBuffer = 64 << 10
 )
 
-// Link connects two processes of one sidecar while both live. Send is safe for concurrent use; ReadLines is called by one goroutine.
+// Link connects two processes of one sidecar while both run. Send is safe for concurrent use; ReadLines is called by one goroutine.
 type Link struct {
 	conn    net.Conn
 	reader  *bufio.Reader
 	writeMu sync.Mutex
 }
 
-// NewLink returns the link over a connection that is not a Unix socket's, such as one in memory.
+// NewLink returns a link over a connection other than a Unix socket, such as one in memory.
 func NewLink(conn net.Conn) *Link {
 	return &Link{conn: conn, reader: bufio.NewReaderSize(conn, readerSize)}
 }
 
-// Send sends a line, which has no line end in it, to the other process. An error means that the other process has ended or
-// hangs: the line may not have arrived, or not completely.
+// Send sends a line to the other process. The line must not contain a newline. An error means that the other process has ended or hangs:
+// the line may not have arrived, or only a part of it.
 func (l *Link) Send(line string) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
@@ -41,8 +41,8 @@
 	return err
 }
 
-// ReadLines calls handle with each line of the other process, on the caller's goroutine. It returns when the other process has ended, when
-// a line is too long, or after Close.
+// ReadLines calls handle with each line from the other process, on the caller's goroutine. It returns when the other process has ended,
+// when a line is too long, or after Close.
 func (l *Link) ReadLines(handle func(line string)) {
 	var line []byte
 	for {
@@ -60,5 +60,5 @@
 	}
 }
 
-// Close ends the link. The other process takes that for the end of this one.
+// Close closes the link. The other process treats that as the end of this process.
 func (l *Link) Close() error { return l.conn.Close() }
--- a/internal/sidecar/handover/rendezvous.go
+++ b/internal/sidecar/handover/rendezvous.go
@@ -11,13 +11,14 @@
 	"syscall"
 )
 
-// maxSocketPath is the longest path that the address of a Unix socket holds.
+// maxSocketPath is the longest path, in bytes, that fits the address of a Unix socket.
 const maxSocketPath = 107
 
-// Rendezvous is the Unix socket at which the processes of one sidecar find each other: a file in a folder that they share.
+// Rendezvous identifies the Unix socket at which a successor contacts the process in service: a file in a folder that they share.
 type Rendezvous struct{ folder, fileName string }
 
-// NewRendezvous returns the rendezvous of the sidecar with a name and a listening address. Sidecars that differ in either have different ones.
+// NewRendezvous returns the rendezvous of the sidecar with this name and listening address. Sidecars that differ in either use different
+// socket files.
 func NewRendezvous(folder, name, listen string) Rendezvous {
 	printable := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' {
@@ -29,11 +30,11 @@
 	return Rendezvous{folder, fmt.Sprintf("petrelhook-%.40s-%08x.sock", printable, digest)}
 }
 
-// path is that of the socket file.
+// path returns the path of the socket file.
 func (r Rendezvous) path() string { return filepath.Join(r.folder, r.fileName) }
 
-// withAddr calls use with the address of a file in the folder. Where the path is longer than an address holds it goes through a descriptor
-// of the folder, which is open until use returns.
+// withAddr calls use with the socket address of a file in the folder. If the path is too long for an address, the address goes through
+// /proc/self/fd and a descriptor of the folder, which stays open until use returns.
 func (r Rendezvous) withAddr(fileName string, use func(*net.UnixAddr) error) error {
 	path := filepath.Join(r.folder, fileName)
 	if len(path) > maxSocketPath {
@@ -47,8 +48,8 @@
 	return use(&net.UnixAddr{Name: path, Net: "unix"})
 }
 
-// listen listens at the rendezvous. It replaces the socket file of any process that listened before, or that a crash left behind, by a
-// rename: at any moment the file is that of one process.
+// listen listens at the rendezvous. It replaces the socket file of the process that listened before, or one that a crash left behind, by a
+// rename, so that the file always belongs to exactly one process.
 func (r Rendezvous) listen() (listener *net.UnixListener, err error) {
 	ownName := fmt.Sprintf("%s.%d", r.fileName, os.Getpid())
 	ownPath := filepath.Join(r.folder, ownName)
@@ -59,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // by then the file may be another process'
+	listener.SetUnlinkOnClose(false) // by then the file may belong to another process
 	if err = os.Chmod(ownPath, 0o600); err == nil {
 		err = os.Rename(ownPath, r.path())
 	}
--- a/internal/sidecar/handover/request.go
+++ b/internal/sidecar/handover/request.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// ErrNoPredecessor is the result of a request where no process is in service: there is nothing to hand over.
+// ErrNoPredecessor is the error of a request when no process is in service, so that there is nothing to hand over.
 var ErrNoPredecessor = errors.New("no process is in service")
 
-// Handover is what a successor gets from the process in service. The receiver closes the listener and the link.
+// Handover holds what a successor receives from the process in service. The receiver must close the listener and the link.
 type Handover struct {
 	Listener net.Listener
 	State    []byte
@@ -22,14 +22,15 @@
 }
 
 const (
-	// maxDescriptors is how many descriptors are received with a header; more than one is an error.
+	// maxDescriptors is how many descriptors are received with a header at most; more than one is an error.
 	maxDescriptors = 4
 	descriptorSize = 4 // bytes of a descriptor in a control message
 	readerSize     = 4 << 10
 )
 
-// Request asks the process in service for a hand-over, and waits for it no longer than the time-out. Where no process is in service the
-// error is ErrNoPredecessor. After any error nothing of the hand-over is left open, and the sidecar starts without a predecessor.
+// Request asks the process in service for a hand-over. Connecting and the exchange may each take as long as timeout. The error is
+// ErrNoPredecessor if no process is in service. After any error all descriptors of the hand-over are closed, and the sidecar starts without
+// a predecessor.
 func (r Rendezvous) Request(timeout time.Duration) (*Handover, error) {
 	var conn *net.UnixConn
 	err := r.withAddr(r.fileName, func(addr *net.UnixAddr) error {
@@ -47,13 +48,13 @@
 	}
 	handover, err := receive(conn, timeout)
 	if err != nil {
-		_ = conn.Close() // err says why already
+		_ = conn.Close() // the error of the exchange is returned
 		return nil, err
 	}
 	return handover, nil
 }
 
-// receive does the successor's side of the exchange on a connection.
+// receive carries out the successor's side of the exchange on a connection.
 func receive(conn *net.UnixConn, timeout time.Duration) (*Handover, error) {
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
@@ -99,7 +100,8 @@
 	return &Handover{Listener: listener, State: state, Link: &Link{conn: conn, reader: reader}}, nil
 }
 
-// receiveDescriptors reads the first byte of the header, with which the descriptors come. The caller closes the files, also after an error.
+// receiveDescriptors reads the first byte of the header and the descriptors that are sent with it. The caller must close the files, also
+// after an error.
 func receiveDescriptors(conn *net.UnixConn) (first []byte, files []*os.File, err error) {
 	first = make([]byte, 1)
 	control := make([]byte, syscall.CmsgSpace(maxDescriptors*descriptorSize))
@@ -114,7 +116,7 @@
 	return first, files, parseErr
 }
 
-// parseDescriptors makes files of the descriptors in a control message. The caller closes them, also after an error.
+// parseDescriptors returns the descriptors in a control message as files. The caller must close them, also after an error.
 func parseDescriptors(control []byte) (files []*os.File, err error) {
 	if len(control) == 0 {
 		return nil, nil
--- a/internal/sidecar/handover/server.go
+++ b/internal/sidecar/handover/server.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// requestTimeout is how long the request of a successor and the answer to it may take.
+// requestTimeout bounds the time to read the request of a successor and to answer it.
 const requestTimeout = 2 * time.Second
 
-// Server answers the requests of successors in a process in service. Its functions are set before Start, and are called from a goroutine
-// for each connection.
+// Server answers the requests of successors in the process in service. Its functions must be set before Start. They are called from one
+// goroutine for each connection, so they must be safe for concurrent use.
 type Server struct {
-	// Snapshot returns what a successor gets: the listening socket, which is closed when the link has ended, and the state.
+	// Snapshot returns the listening socket and the state for a successor. The server closes socket when the link has ended.
 	Snapshot func() (socket *os.File, state []byte, err error)
-	// OnSuccessor is called with the link to a successor that was sent both. The link is closed when it returns.
+	// OnSuccessor is called with the link to a successor once the socket and the state are sent. The link is closed when it returns.
 	OnSuccessor func(*Link)
-	// OnError is called when a request failed. Later requests are answered all the same.
+	// OnError is called with the error of a failed request. The server goes on to answer later requests.
 	OnError func(error)
 
 	listener    *net.UnixListener
-	connections sync.WaitGroup // and the goroutine that accepts them
+	connections sync.WaitGroup // the goroutines of connections and the one that accepts them
 	mu          sync.Mutex
 	open        map[net.Conn]struct{}
 	closed      bool
 }
 
-// Start listens at the rendezvous, in place of the process that did so before, and answers requests until Close.
+// Start listens at the rendezvous, replacing the process that listened there before, and answers requests until Close.
 func (s *Server) Start(r Rendezvous) error {
 	listener, err := r.listen()
 	if err != nil {
@@ -55,14 +55,14 @@
 		s.open[conn] = struct{}{}
 		s.mu.Unlock()
 		if closed {
-			_ = conn.Close() // nothing was written
+			_ = conn.Close() // nothing was written to it
 			return
 		}
 		s.connections.Go(func() {
 			if err := s.serve(conn); err != nil {
 				s.OnError(err)
 			}
-			_ = conn.Close() // a write that failed was reported
+			_ = conn.Close() // a failed write was reported already
 			s.mu.Lock()
 			delete(s.open, conn)
 			s.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// Close stops listening, ends all links and waits until OnSuccessor has returned for each.
+// Close stops listening, closes all links and waits until OnSuccessor has returned for each of them.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -82,7 +82,7 @@
 	s.connections.Wait()
 }
 
-// serve answers the request on a connection, and returns when its link has ended.
+// serve answers the request on a connection. It returns when the link over the connection has ended.
 func (s *Server) serve(conn *net.UnixConn) error {
 	if err := conn.SetDeadline(time.Now().Add(requestTimeout)); err != nil {
 		return err
@@ -93,7 +93,7 @@
 		return fmt.Errorf("read the request of a successor: %w", err)
 	}
 	if _, err := parseVersion(string(line)); err != nil {
-		_, _ = io.WriteString(conn, header(nil)) // shows our version to the successor; err is reported in any case
+		_, _ = io.WriteString(conn, header(nil)) // tells the successor our version; err is reported in any case
 		return err
 	}
 	socket, state, err := s.Snapshot()
@@ -104,14 +104,14 @@
 	if err := sendState(conn, socket, state); err != nil {
 		return err
 	}
-	_ = conn.SetDeadline(time.Time{}) // fails only after Close, which ends ReadLines as well
+	_ = conn.SetDeadline(time.Time{}) // fails only after Close, which ends ReadLines too
 	s.OnSuccessor(&Link{conn: conn, reader: reader})
 	return nil
 }
 
-// sendState sends the header with the socket, and the state.
+// sendState sends the header with the socket, then the state.
 func sendState(conn *net.UnixConn, socket *os.File, state []byte) error {
-	raw, err := socket.SyscallConn() // File.Fd would make the socket blocking, in both processes
+	raw, err := socket.SyscallConn() // File.Fd would make the socket blocking in both processes
 	if err != nil {
 		return err
 	}
