--- a/internal/sidecar/handover/frame.go
+++ b/internal/sidecar/handover/frame.go
@@ -24,7 +24,7 @@
 // state that does not match the announced checksum.
 var (
 	ErrVersion   = errors.New("another version")
-	ErrMalformed = errors.New("no hand-over")
+	ErrMalformed = errors.New("malformed hand-over")
 	ErrDamaged   = errors.New("the state is damaged")
 )
 
@@ -48,7 +48,7 @@
 		return "", fmt.Errorf("%w: %q", ErrMalformed, line)
 	}
 	if got != version {
-		return "", fmt.Errorf("%w: %d, ours is %d", ErrVersion, got, version)
+		return "", fmt.Errorf("%w: %d, want %d", ErrVersion, got, version)
 	}
 	return rest, nil
 }
--- a/internal/sidecar/handover/request.go
+++ b/internal/sidecar/handover/request.go
@@ -74,18 +74,18 @@
 	reader := bufio.NewReaderSize(conn, readerSize)
 	line, err := reader.ReadSlice('\n')
 	if err != nil {
-		return nil, fmt.Errorf("the header: %w", err)
+		return nil, fmt.Errorf("read the header: %w", err)
 	}
 	length, checksum, err := parseHeader(string(first) + string(line))
 	if err != nil {
 		return nil, err
 	}
 	if len(files) != 1 {
-		return nil, fmt.Errorf("%d sockets came, and one was to come", len(files))
+		return nil, fmt.Errorf("received %d sockets, want 1", len(files))
 	}
 	state := make([]byte, length)
 	if _, err := io.ReadFull(reader, state); err != nil {
-		return nil, fmt.Errorf("the state: %w", err)
+		return nil, fmt.Errorf("read the state: %w", err)
 	}
 	if err := verifyChecksum(state, checksum); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	}
 	listener, err := net.FileListener(files[0])
 	if err != nil {
-		return nil, fmt.Errorf("the socket: %w", err)
+		return nil, fmt.Errorf("use the received socket: %w", err)
 	}
 	return &Handover{Listener: listener, State: state, Link: &Link{conn: conn, reader: reader}}, nil
 }
