--- a/internal/sidecar/lifecycle/connection_share.go
+++ b/internal/sidecar/lifecycle/connection_share.go
@@ -1,14 +1,14 @@
 package lifecycle
 
-// ConnectionShare is a number of connections that one process may have open: of clients and to servers. It is sent in hand-over
-// frames.
+// ConnectionShare is how many connections one process may have open, from clients and to servers. It is sent to the other process during
+// a hand-over.
 type ConnectionShare struct {
 	Clients int `json:"clients"`
 	Servers int `json:"servers"`
 }
 
-// Divide divides the total between the process in service, which has some connections in use already, and its successor: the one in
-// service keeps what it uses or half, whichever is more. The two shares are never more than the total.
+// Divide divides the total between the process in service, which has inUse connections open, and its successor. The process in service
+// keeps as many as it uses, or half of the total if that is more, but never more than the total. The two shares add up to the total.
 func (total ConnectionShare) Divide(inUse ConnectionShare) (own, next ConnectionShare) {
 	split := func(total, inUse int) (int, int) {
 		own := min(total, max(total/2, inUse))
--- a/internal/sidecar/lifecycle/lifecycle.go
+++ b/internal/sidecar/lifecycle/lifecycle.go
@@ -1,7 +1,7 @@
-// Package lifecycle is the state of a sidecar process as its clients and operators see it: starting, ready, evacuating its clients,
-// handing over to its successor process, or stopping. It is pure: events go in, and the resulting status can be read. It closes no
-// connection and opens no listener. Health checks, the operators' endpoint, signals and upgrades all use this one state machine; no
-// other component keeps a flag of its own.
+// Package lifecycle holds the state machine of a sidecar process as its clients and operators see it: starting, ready, evacuating its
+// clients, handing over to its successor process, or stopping. It has no side effects: events are applied, and the resulting status is
+// read. It closes no connection and opens no listener. Health checks, the admin endpoint, signals and upgrades all use this state machine;
+// no other component keeps a flag of its own.
 //
 // The status consists of five facts, each changed by its own events, so every order of events has a defined result:
 //
@@ -12,9 +12,9 @@
 //	hasSuccessor          Succeeded         SuccessorLost (1)  the successor process has the listener too
 //	terminating           Terminate         -                  the process finishes its requests and ends
 //
-// (1) Not while terminating: a process that ends in favour of a successor goes on as it began.
+// (1) Not while terminating: a process that terminates in favour of a successor does not accept connections again.
 //
-// The state is the first line that applies:
+// The state is given by the first line that applies:
 //
 //	Stopping     terminating
 //	Evacuated    evacuationRequested and evacuationDone
@@ -24,8 +24,8 @@
 //	HandingOver  hasSuccessor
 //	Ready        otherwise
 //
-// Invariants: an event that changes no fact has no effect, so every event may occur twice; nothing leads out of Stopping; a sidecar
-// with a successor is healthy until it ends, because the two processes are one sidecar to its clients.
+// Invariants: an event that changes no fact has no effect, so every event may be applied twice; Stopping is final; a sidecar with a
+// successor stays healthy until it ends, because to its clients the two processes are one sidecar.
 package lifecycle
 
 import "sync"
@@ -55,18 +55,18 @@
 // The events.
 const (
 	ServersKnown   Event = iota // a server that accepts requests is known, or MaxStartWait has passed without one
-	Evacuate                    // operators want the clients to use other sidecars
-	Rejoin                      // operators want the clients back
-	EvacuationDone              // the last evacuated client has closed its connection
-	Succeeded                   // the successor process has the listener, and serves soon
+	Evacuate                    // an operator wants the clients to use other sidecars
+	Rejoin                      // an operator wants the clients back
+	EvacuationDone              // the last connection of an evacuated client has been closed
+	Succeeded                   // the successor process has the listener, and will serve soon
 	SuccessorLost               // the successor process has ended
-	Terminate                   // finish the requests in progress, then end
+	Terminate                   // the process has to finish the requests in progress, then end
 )
 
-// Status is the five facts at one moment, an immutable value. The zero value is a sidecar that starts.
+// Status holds the five facts at one moment. It is an immutable value; the zero value is the status of a sidecar that starts.
 type Status struct {
 	serversKnown, evacuationRequested, evacuationDone, hasSuccessor, terminating bool
-	rejoined                                                                     bool // an evacuation was taken back before
+	rejoined                                                                     bool // an evacuation was ended by Rejoin before
 }
 
 // After returns the status after an event.
@@ -89,14 +89,14 @@
 	case Succeeded:
 		s.hasSuccessor = true
 	case SuccessorLost:
-		s.hasSuccessor = s.hasSuccessor && s.terminating // a process that terminates in favour of a successor goes on as it began
+		s.hasSuccessor = s.hasSuccessor && s.terminating // a terminating process does not accept connections again
 	case Terminate:
 		s.terminating = true
 	}
 	return s
 }
 
-// State returns the state that the facts amount to.
+// State returns the state that follows from the facts.
 func (s Status) State() State {
 	switch {
 	case s.terminating:
@@ -115,24 +115,24 @@
 	return Ready
 }
 
-// Healthy is the answer to health checks: whether clients may connect.
+// Healthy reports whether clients may connect. Health checks are answered with it.
 func (s Status) Healthy() bool {
 	return s.serversKnown && !s.evacuationRequested && (!s.terminating || s.hasSuccessor)
 }
 
-// Ready is the answer to operators: whether this process can serve. One whose clients were evacuated can, because it accepts them
-// again when it is told to rejoin.
+// Ready reports whether this process can serve. It is the answer to operators. A process whose clients were evacuated is ready too, because
+// it accepts them again as soon as it is told to rejoin.
 func (s Status) Ready() bool { return s.serversKnown && !s.terminating }
 
 // KeepsConnections reports whether a client's connection may stay open after a response.
 func (s Status) KeepsConnections() bool { return !s.evacuationRequested && !s.terminating }
 
-// Accepts reports whether new connections are accepted. Where a successor has the listener too, it accepts all new ones as soon as
-// this process terminates.
+// Accepts reports whether this process accepts new connections. If a successor has the listener too, the successor alone accepts new
+// connections once this process is terminating.
 func (s Status) Accepts() bool { return !s.terminating || !s.hasSuccessor }
 
-// YieldsListener reports whether new connections should go to any other process that listens at the address: to a successor to which
-// the hand-over failed.
+// YieldsListener reports whether new connections should go to another process that listens at the same address, if there is one. That is
+// a successor whose hand-over failed, so that it opened a listener of its own.
 func (s Status) YieldsListener() bool { return s.terminating && !s.hasSuccessor }
 
 // HasSuccessor reports whether the successor process has the listener.
@@ -141,7 +141,7 @@
 // EvacuationRequested reports whether operators want no clients at this sidecar.
 func (s Status) EvacuationRequested() bool { return s.evacuationRequested }
 
-// Machine is a Status that several goroutines may change and read.
+// Machine holds the current Status. It is safe for concurrent use.
 type Machine struct {
 	mu      sync.Mutex
 	status  Status
@@ -151,7 +151,7 @@
 // New returns the state machine of a sidecar that starts.
 func New() *Machine { return &Machine{changed: make(chan struct{})} }
 
-// Apply applies an event. It returns the status after it, and whether that differs from the one before.
+// Apply applies an event. It returns the status after the event, and whether the event changed it.
 func (m *Machine) Apply(e Event) (now Status, changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,14 +163,14 @@
 	return m.status, m.status != before
 }
 
-// Watch returns the status, and a channel that is closed at its next change.
+// Watch returns the current status, and a channel that is closed at the next change.
 func (m *Machine) Watch() (Status, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.status, m.changed
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (m *Machine) Status() Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/sidecar/lifecycle/lifecycle_test.go
+++ b/internal/sidecar/lifecycle/lifecycle_test.go
@@ -8,39 +8,39 @@
 	"pgregory.net/rapid"
 )
 
-// Each row has events and the status after them: the state, the answers to health checks and to operators, whether connections stay open,
-// and whether new ones are accepted.
+// Each row lists events and the status after them: the state, the answers to health checks and to operators, whether connections stay
+// open, and whether new ones are accepted.
 func TestStatusAfterEvents(t *testing.T) {
-	all := func(e ...Event) []Event { return e }
+	events := func(e ...Event) []Event { return e }
 	for _, c := range []struct {
 		events []Event
 		want   string
 	}{
 		{nil, "starting no no keeps accepts"},
-		{all(ServersKnown), "ready yes yes keeps accepts"},
-		{all(ServersKnown, Evacuate), "evacuating no yes closes accepts"},
-		{all(ServersKnown, Evacuate, Evacuate), "evacuating no yes closes accepts"},
-		{all(ServersKnown, Evacuate, EvacuationDone), "away no yes closes accepts"},
-		{all(ServersKnown, Evacuate, EvacuationDone, Evacuate), "away no yes closes accepts"},
-		{all(ServersKnown, EvacuationDone), "ready yes yes keeps accepts"},
-		{all(ServersKnown, Evacuate, Rejoin), "ready yes yes keeps accepts"},
-		{all(ServersKnown, Evacuate, EvacuationDone, Rejoin, Rejoin), "ready yes yes keeps accepts"},
-		{all(ServersKnown, Evacuate, EvacuationDone, Rejoin, Evacuate), "evacuating no yes closes accepts"},
-		{all(Evacuate), "evacuating no no closes accepts"}, // during a start
-		{all(Evacuate, ServersKnown), "evacuating no yes closes accepts"},
-		{all(Evacuate, Rejoin), "rejoining no no keeps accepts"},
-		{all(Evacuate, Rejoin, ServersKnown), "ready yes yes keeps accepts"},
-		{all(Rejoin), "starting no no keeps accepts"},
-		{all(ServersKnown, Succeeded), "handing over yes yes keeps accepts"},
-		{all(ServersKnown, Succeeded, SuccessorLost), "ready yes yes keeps accepts"},
-		{all(ServersKnown, Succeeded, Terminate), "stopping yes no closes leaves"},
-		{all(ServersKnown, Succeeded, Terminate, SuccessorLost), "stopping yes no closes leaves"},
-		{all(ServersKnown, Terminate), "stopping no no closes accepts"},
-		{all(ServersKnown, Terminate, Succeeded), "stopping yes no closes leaves"}, // the signal came first
-		{all(ServersKnown, Terminate, Rejoin), "stopping no no closes accepts"},
-		{all(ServersKnown, Evacuate, Terminate, Rejoin), "stopping no no closes accepts"},
-		{all(ServersKnown, Succeeded, Evacuate), "evacuating no yes closes accepts"},
-		{all(ServersKnown, Succeeded, Evacuate, Terminate), "stopping no no closes leaves"},
+		{events(ServersKnown), "ready yes yes keeps accepts"},
+		{events(ServersKnown, Evacuate), "evacuating no yes closes accepts"},
+		{events(ServersKnown, Evacuate, Evacuate), "evacuating no yes closes accepts"},
+		{events(ServersKnown, Evacuate, EvacuationDone), "away no yes closes accepts"},
+		{events(ServersKnown, Evacuate, EvacuationDone, Evacuate), "away no yes closes accepts"},
+		{events(ServersKnown, EvacuationDone), "ready yes yes keeps accepts"},
+		{events(ServersKnown, Evacuate, Rejoin), "ready yes yes keeps accepts"},
+		{events(ServersKnown, Evacuate, EvacuationDone, Rejoin, Rejoin), "ready yes yes keeps accepts"},
+		{events(ServersKnown, Evacuate, EvacuationDone, Rejoin, Evacuate), "evacuating no yes closes accepts"},
+		{events(Evacuate), "evacuating no no closes accepts"}, // during a start
+		{events(Evacuate, ServersKnown), "evacuating no yes closes accepts"},
+		{events(Evacuate, Rejoin), "rejoining no no keeps accepts"},
+		{events(Evacuate, Rejoin, ServersKnown), "ready yes yes keeps accepts"},
+		{events(Rejoin), "starting no no keeps accepts"},
+		{events(ServersKnown, Succeeded), "handing over yes yes keeps accepts"},
+		{events(ServersKnown, Succeeded, SuccessorLost), "ready yes yes keeps accepts"},
+		{events(ServersKnown, Succeeded, Terminate), "stopping yes no closes leaves"},
+		{events(ServersKnown, Succeeded, Terminate, SuccessorLost), "stopping yes no closes leaves"},
+		{events(ServersKnown, Terminate), "stopping no no closes accepts"},
+		{events(ServersKnown, Terminate, Succeeded), "stopping yes no closes leaves"}, // the signal came first
+		{events(ServersKnown, Terminate, Rejoin), "stopping no no closes accepts"},
+		{events(ServersKnown, Evacuate, Terminate, Rejoin), "stopping no no closes accepts"},
+		{events(ServersKnown, Succeeded, Evacuate), "evacuating no yes closes accepts"},
+		{events(ServersKnown, Succeeded, Evacuate, Terminate), "stopping no no closes leaves"},
 	} {
 		var s Status
 		for _, e := range c.events {
@@ -60,9 +60,9 @@
 	}
 }
 
-// In any order of events: each may come twice, nothing leads out of Stopping, and no process is healthy that would close the connections of
-// the clients that it invites.
-func TestAnyOrder(t *testing.T) {
+// In any order of events, a repeated event changes nothing and Stopping is final. A process without a successor is healthy only if it keeps
+// the connections of its clients open.
+func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Status
 		for range rapid.IntRange(0, 30).Draw(t, "events") {
@@ -73,7 +73,7 @@
 				t.Fatalf("%v twice: %v, then %v", e, s, s.After(e))
 			}
 			if before.State() == Stopping && s.State() != Stopping {
-				t.Fatalf("%v after %v", e, before)
+				t.Fatalf("event %v leads out of Stopping: %v", e, before)
 			}
 			if s.Healthy() && !s.KeepsConnections() && !s.HasSuccessor() {
 				t.Fatalf("%v is healthy and closes its clients' connections", s)
@@ -85,7 +85,7 @@
 	})
 }
 
-// The channel of Watch is closed by each event that changes the status, and by no other.
+// The channel of Watch is closed by each event that changes the status, and by no other event.
 func TestWatchReportsChanges(t *testing.T) {
 	m := New()
 	var changes []bool
@@ -99,7 +99,7 @@
 		default:
 		}
 		if closed != changed || now != m.Status() {
-			t.Errorf("%v: reported %v, changed %v", e, closed, changed)
+			t.Errorf("%v: channel closed %v, changed %v", e, closed, changed)
 		}
 		changes = append(changes, changed)
 	}
@@ -108,7 +108,8 @@
 	}
 }
 
-// However many connections are in use: the two shares are the total together, and the process in service keeps what it uses.
+// The two shares add up to the total however many connections are in use, and the process in service keeps as many as it uses, up to the
+// total.
 func TestDivide(t *testing.T) {
 	for inUse, want := range map[ConnectionShare][2]ConnectionShare{
 		{0, 0}: {{50, 20}, {50, 20}}, {80, 10}: {{80, 20}, {20, 20}}, {100, 40}: {{100, 40}, {0, 0}}, {120, 41}: {{100, 40}, {0, 0}},
--- a/internal/sidecar/lifecycle/shutdown_window_test.go
+++ b/internal/sidecar/lifecycle/shutdown_window_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Whatever is read after the end has begun is answered before the last moment, however late it comes.
-func TestWhatIsReadLateIsAnsweredInTime(t *testing.T) {
+// A request that is read after SIGTERM is answered before the process ends, however late it arrives.
+func TestRequestsReadLateAreAnsweredInTime(t *testing.T) {
 	began := time.Unix(1000, 0)
 	window := ShutdownWindow{Began: began, AcceptTime: 600 * time.Millisecond, MaxDeadline: 3 * time.Second}
 	for _, c := range []struct{ read, wait, want time.Duration }{
@@ -22,7 +22,7 @@
 			t.Errorf("read after %v, waiting %v: %v, want %v", c.read, c.wait, got, c.want)
 		}
 	}
-	if window.Duration() >= window.MaxDeadline+700*time.Millisecond { // when the platform may kill it
-		t.Errorf("it ends after %v", window.Duration())
+	if window.Duration() >= window.MaxDeadline+700*time.Millisecond { // the platform may kill the process from then on
+		t.Errorf("the process ends after %v", window.Duration())
 	}
 }
