--- a/internal/sidecar/lifecycle/lifecycle_test.go
+++ b/internal/sidecar/lifecycle/lifecycle_test.go
@@ -11,36 +11,36 @@
 // Each row lists events and the status after them: the state, the answers to health checks and to operators, whether connections stay
 // open, and whether new ones are accepted.
 func TestStatusAfterEvents(t *testing.T) {
-	events := func(e ...Event) []Event { return e }
+	eventsOf := func(e ...Event) []Event { return e }
 	for _, c := range []struct {
 		events []Event
 		want   string
 	}{
 		{nil, "starting no no keeps accepts"},
-		{events(ServersKnown), "ready yes yes keeps accepts"},
-		{events(ServersKnown, Evacuate), "evacuating no yes closes accepts"},
-		{events(ServersKnown, Evacuate, Evacuate), "evacuating no yes closes accepts"},
-		{events(ServersKnown, Evacuate, EvacuationDone), "away no yes closes accepts"},
-		{events(ServersKnown, Evacuate, EvacuationDone, Evacuate), "away no yes closes accepts"},
-		{events(ServersKnown, EvacuationDone), "ready yes yes keeps accepts"},
-		{events(ServersKnown, Evacuate, Rejoin), "ready yes yes keeps accepts"},
-		{events(ServersKnown, Evacuate, EvacuationDone, Rejoin, Rejoin), "ready yes yes keeps accepts"},
-		{events(ServersKnown, Evacuate, EvacuationDone, Rejoin, Evacuate), "evacuating no yes closes accepts"},
-		{events(Evacuate), "evacuating no no closes accepts"}, // during a start
-		{events(Evacuate, ServersKnown), "evacuating no yes closes accepts"},
-		{events(Evacuate, Rejoin), "rejoining no no keeps accepts"},
-		{events(Evacuate, Rejoin, ServersKnown), "ready yes yes keeps accepts"},
-		{events(Rejoin), "starting no no keeps accepts"},
-		{events(ServersKnown, Succeeded), "handing over yes yes keeps accepts"},
-		{events(ServersKnown, Succeeded, SuccessorLost), "ready yes yes keeps accepts"},
-		{events(ServersKnown, Succeeded, Terminate), "stopping yes no closes leaves"},
-		{events(ServersKnown, Succeeded, Terminate, SuccessorLost), "stopping yes no closes leaves"},
-		{events(ServersKnown, Terminate), "stopping no no closes accepts"},
-		{events(ServersKnown, Terminate, Succeeded), "stopping yes no closes leaves"}, // the signal came first
-		{events(ServersKnown, Terminate, Rejoin), "stopping no no closes accepts"},
-		{events(ServersKnown, Evacuate, Terminate, Rejoin), "stopping no no closes accepts"},
-		{events(ServersKnown, Succeeded, Evacuate), "evacuating no yes closes accepts"},
-		{events(ServersKnown, Succeeded, Evacuate, Terminate), "stopping no no closes leaves"},
+		{eventsOf(ServersKnown), "ready yes yes keeps accepts"},
+		{eventsOf(ServersKnown, Evacuate), "evacuating no yes closes accepts"},
+		{eventsOf(ServersKnown, Evacuate, Evacuate), "evacuating no yes closes accepts"},
+		{eventsOf(ServersKnown, Evacuate, EvacuationDone), "away no yes closes accepts"},
+		{eventsOf(ServersKnown, Evacuate, EvacuationDone, Evacuate), "away no yes closes accepts"},
+		{eventsOf(ServersKnown, EvacuationDone), "ready yes yes keeps accepts"},
+		{eventsOf(ServersKnown, Evacuate, Rejoin), "ready yes yes keeps accepts"},
+		{eventsOf(ServersKnown, Evacuate, EvacuationDone, Rejoin, Rejoin), "ready yes yes keeps accepts"},
+		{eventsOf(ServersKnown, Evacuate, EvacuationDone, Rejoin, Evacuate), "evacuating no yes closes accepts"},
+		{eventsOf(Evacuate), "evacuating no no closes accepts"}, // during a start
+		{eventsOf(Evacuate, ServersKnown), "evacuating no yes closes accepts"},
+		{eventsOf(Evacuate, Rejoin), "rejoining no no keeps accepts"},
+		{eventsOf(Evacuate, Rejoin, ServersKnown), "ready yes yes keeps accepts"},
+		{eventsOf(Rejoin), "starting no no keeps accepts"},
+		{eventsOf(ServersKnown, Succeeded), "handing over yes yes keeps accepts"},
+		{eventsOf(ServersKnown, Succeeded, SuccessorLost), "ready yes yes keeps accepts"},
+		{eventsOf(ServersKnown, Succeeded, Terminate), "stopping yes no closes leaves"},
+		{eventsOf(ServersKnown, Succeeded, Terminate, SuccessorLost), "stopping yes no closes leaves"},
+		{eventsOf(ServersKnown, Terminate), "stopping no no closes accepts"},
+		{eventsOf(ServersKnown, Terminate, Succeeded), "stopping yes no closes leaves"}, // the signal came first
+		{eventsOf(ServersKnown, Terminate, Rejoin), "stopping no no closes accepts"},
+		{eventsOf(ServersKnown, Evacuate, Terminate, Rejoin), "stopping no no closes accepts"},
+		{eventsOf(ServersKnown, Succeeded, Evacuate), "evacuating no yes closes accepts"},
+		{eventsOf(ServersKnown, Succeeded, Evacuate, Terminate), "stopping no no closes leaves"},
 	} {
 		var s Status
 		for _, e := range c.events {
