--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads a sidecar's configuration: the platform's JSON file, checked completely before anything uses it. It starts
-// nothing and opens nothing but the file. Keys that it does not know are skipped: the platform adds some from time to time. What is
-// wrong with a file is an *Error, with the line, column and field. Functions may be called from any goroutine.
+// Package config reads a sidecar's configuration, which is a JSON file of the platform, and checks it completely before it is used. It
+// starts no goroutine and opens only that file. Unknown keys are ignored, because the platform adds some from time to time. An invalid file
+// is reported as an *Error with line, column and field. Functions may be called from any goroutine.
 package config
 
 import (
@@ -19,23 +19,23 @@
 
 // Config is the configuration of one sidecar.
 type Config struct {
-	Name              string // of the sidecar; "": the file is for any
+	Name              string // name of the sidecar; "": the file is valid for any sidecar
 	Listen, Discovery string // addresses, host:port
 	Admin             string // the operators' address; "": none
 	Limits            Limits
-	KnownServers      member.List // the list of servers that was last known
+	KnownServers      member.List // the last known list of servers, for the start
 	Profile           wire.Profile
-	Digest            string // of the text: SHA-256 in hexadecimal
+	Digest            string // SHA-256 of the text, in hexadecimal
 }
 
-// Limits bound the process; 0 is no bound.
+// Limits bound the resources of the process; 0 means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"` // MiB
-	Sockets  int     `json:"sockets"`   // open descriptors
+	Sockets  int     `json:"sockets"`   // open file descriptors
 }
 
-// Read reads the configuration file at path. What is wrong with its text is an *Error.
+// Read reads the configuration file at path. It returns an *Error if the text is not valid.
 func Read(path string) (Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return Parse(path, raw)
 }
 
-// CheckName returns a *NameError if a configuration that is read again is not that of the sidecar with a name; one without a name is
-// for any. A file that was mixed up must not send one customer's clients to another's servers.
+// CheckName returns a *NameError if a reloaded configuration belongs to another sidecar than name. A configuration without a name belongs to
+// any. The check keeps a mixed-up file from sending one customer's clients to another customer's servers.
 func (c *Config) CheckName(name string) error {
 	if c.Name == "" || c.Name == name {
 		return nil
@@ -53,14 +53,14 @@
 	return &NameError{InFile: c.Name, Running: name}
 }
 
-// NameError is the error of a configuration that is another sidecar's.
+// NameError is the error of a configuration that belongs to another sidecar.
 type NameError struct{ InFile, Running string }
 
 func (e *NameError) Error() string {
 	return fmt.Sprintf("the configuration is of %q, and this is %q", e.InFile, e.Running)
 }
 
-// Parse reads the text of a configuration file; name is the file's name in errors. An error is an *Error.
+// Parse parses the text of a configuration file; name is the file's name in errors. Every error is an *Error.
 func Parse(name string, raw []byte) (Config, error) {
 	var file struct {
 		Name         string          `json:"name"`
@@ -104,7 +104,7 @@
 	return c, nil
 }
 
-// checkAddresses checks that all addresses are host:port and that operators have one of their own.
+// checkAddresses checks that all addresses have the form host:port and that the admin address differs from the listening address.
 func (c *Config) checkAddresses(text source) error {
 	for _, address := range []struct{ field, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, port, err := net.SplitHostPort(address.value); err != nil || port == "" {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// checkAdmin says what is wrong with the operators' address, and what would be right; "": nothing is.
+// checkAdmin returns what is wrong with the operators' address and what to write instead. Both are "" if the address is valid.
 func (c *Config) checkAdmin() (problem, remedy string) {
 	if c.Admin == "" {
 		return "", ""
@@ -131,7 +131,7 @@
 	return "", ""
 }
 
-// SetAdmin replaces the operators' address of the file; origin says in errors where it is from. "" changes nothing.
+// SetAdmin replaces the operators' address from the file by addr, unless addr is "". origin names the source of addr in errors.
 func (c *Config) SetAdmin(origin, addr string) error {
 	if addr == "" {
 		return nil
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -9,8 +9,8 @@
 	"petrelhook/internal/sidecar/connlimit"
 )
 
-// Descriptors: both sides and what is kept for discovery fit under the limit.
-func TestTheSharesOfTheDescriptors(t *testing.T) {
+// The connections of clients, those to servers and the reserved descriptors fit within the limit on descriptors.
+func TestConnectionsFitTheDescriptorLimit(t *testing.T) {
 	for _, sockets := range []int{256, 384, 1024} {
 		l := Limits{Sockets: sockets}
 		if n := l.ClientConnections() + l.ServerConnections() + connlimit.MaxRejecting; n > sockets-16 || l.ClientConnections() <= sockets/3 || l.ServerConnections() < sockets/3 {
@@ -19,7 +19,7 @@
 	}
 }
 
-// Each slip gets one line that names file, line, column and field, and what would be right.
+// The error of each mistake is one line with the file, line, column and field, and what to write instead.
 func TestErrorsNameTheirPosition(t *testing.T) {
 	const good = `{"listen": "127.0.0.1:0",
  "discovery": "127.0.0.1:1", "seed": "8c", "limits": {"cores": 1, "sockets": 1024},
@@ -71,14 +71,14 @@
 	}
 }
 
-// Whatever a file holds, it is taken or there is one line about it.
+// Parse accepts any input or returns an *Error of one line with a valid position.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c","known":{"instances":[{"instanceId":"a"}]},"settings":` + peertest.Settings + `}`))
 	f.Add([]byte(`{"seed":[{"a":[1,{"b":`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		_, err := Parse("f", raw)
-		var placed *Error
-		if err != nil && (!errors.As(err, &placed) || placed.Line < 1 || placed.Column < 1 || strings.Contains(err.Error(), "\n")) {
+		var configErr *Error
+		if err != nil && (!errors.As(err, &configErr) || configErr.Line < 1 || configErr.Column < 1 || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%q", err)
 		}
 	})
--- a/internal/sidecar/config/error.go
+++ b/internal/sidecar/config/error.go
@@ -11,13 +11,13 @@
 	"petrelhook/internal/sidecar/wire"
 )
 
-// Error is what is wrong with a configuration, and where. It is one line: file:line:column: field: problem; remedy.
+// Error reports what is wrong with a configuration, and where. Its text is one line: file:line:column: field: problem; remedy.
 type Error struct {
 	File         string
 	Line, Column int    // from 1; columns are bytes
-	Field        string // as settings.classes[2].effect; "" where the text is no JSON
+	Field        string // such as settings.classes[2].effect; "" if the text is not JSON
 	Problem      string
-	Remedy       string // what would be right; "" where the problem says it
+	Remedy       string // what to write instead; "" if Problem implies it
 }
 
 func (e *Error) Error() string {
@@ -33,33 +33,33 @@
 	return b.String()
 }
 
-// source is the text of a configuration, for finding where in it a field is.
+// source is the text of a configuration. It locates fields in the text.
 type source struct {
 	file string
 	raw  []byte
 }
 
-// span is where a value is: from its first byte to behind its last.
+// span is the position of a field's value: the bytes from start up to, but not including, end.
 type span struct {
 	field      string
 	start, end int
 }
 
-// spans lists the values of the text, inner ones before those that contain them, as far as it can be read.
+// spans returns the spans of all values in the text, each after those of the values inside it. It stops where the text is not valid JSON.
 func (t source) spans() []span {
 	walker := spanWalker{raw: t.raw, decoder: json.NewDecoder(bytes.NewReader(t.raw))}
 	walker.walk("")
 	return walker.spans
 }
 
-// spanWalker reads a text value by value.
+// spanWalker reads a text value by value and collects their spans.
 type spanWalker struct {
 	raw     []byte
 	decoder *json.Decoder
 	spans   []span
 }
 
-// walk reads the value of a field with all in it, and reports whether the text could be read that far.
+// walk reads the value of a field and all values inside it. It returns false if the text is not valid JSON up to the end of the value.
 func (w *spanWalker) walk(field string) bool {
 	start := int(w.decoder.InputOffset())
 	for start < len(w.raw) && strings.IndexByte(" \t\r\n,:", w.raw[start]) >= 0 {
@@ -77,20 +77,20 @@
 				return false
 			}
 		}
-		_, _ = w.decoder.Token() // the brace; without it the value ends with the text
+		_, _ = w.decoder.Token() // the closing brace; if it is missing, the value ends at the end of the text
 	case json.Delim('['):
 		for i := 0; w.decoder.More(); i++ {
 			if !w.walk(fmt.Sprintf("%s[%d]", field, i)) {
 				return false
 			}
 		}
-		_, _ = w.decoder.Token() // the bracket; the same
+		_, _ = w.decoder.Token() // the closing bracket; as above
 	}
 	w.spans = append(w.spans, span{field, start, int(w.decoder.InputOffset())})
 	return true
 }
 
-// errorAt is an error at an offset.
+// errorAt returns an *Error at an offset.
 func (t source) errorAt(offset int, field, problem, remedy string) error {
 	offset = max(0, min(offset, len(t.raw)))
 	before := t.raw[:offset]
@@ -100,22 +100,24 @@
 	}
 }
 
-// errorIn is an error in a field. Where the text does not have the field, it is at the value that should contain it.
+// errorIn returns an *Error at a field. If the text does not have the field, the position is that of the innermost value that should
+// contain it.
 func (t source) errorIn(field, problem, remedy string) error {
 	all := t.spans()
-	for holder := field; ; holder = holder[:max(0, strings.LastIndexAny(holder, ".["))] {
-		for _, s := range all { // encoding/json accepts names in any case
-			if strings.EqualFold(s.field, holder) {
+	for ancestor := field; ; ancestor = ancestor[:max(0, strings.LastIndexAny(ancestor, ".["))] {
+		for _, s := range all { // encoding/json matches names regardless of case
+			if strings.EqualFold(s.field, ancestor) {
 				return t.errorAt(s.start, field, problem, remedy)
 			}
 		}
-		if holder == "" {
+		if ancestor == "" {
 			return t.errorAt(0, field, problem, remedy)
 		}
 	}
 }
 
-// wrap turns an error of a reader of the text, or of the value of a field of it, into an *Error; base is where that value starts.
+// wrap converts an error from parsing the text, or the value of one of its fields, into an *Error. base is the offset at which that value
+// starts.
 func (t source) wrap(err error, base int, field string) error {
 	var syntaxError *json.SyntaxError
 	var typeError *json.UnmarshalTypeError
@@ -136,7 +138,7 @@
 	return t.errorIn(field, err.Error(), "")
 }
 
-// innermost returns the smallest value that an offset is in or directly behind, or the given one if none is smaller.
+// innermost returns the smallest span that contains the offset or ends there, or best if no such span is smaller than best.
 func (t source) innermost(offset int, best span) span {
 	for _, s := range t.spans() {
 		if s.start < offset && offset <= s.end && s.end-s.start < best.end-best.start {
@@ -146,7 +148,7 @@
 	return best
 }
 
-// describeGiven names the value that is there, from encoding/json's name for it.
+// describeGiven describes the value that the text has, from encoding/json's name for it.
 func describeGiven(value string) string {
 	switch what, exact, _ := strings.Cut(value, " "); {
 	case exact != "":
@@ -159,7 +161,7 @@
 	return "a " + value
 }
 
-// describeWanted names a kind of value as JSON has it.
+// describeWanted describes a kind of Go value in terms of JSON.
 func describeWanted(kind string) string {
 	switch {
 	case strings.HasPrefix(kind, "int"):
@@ -178,7 +180,7 @@
 	return "a " + kind
 }
 
-// startOf is the offset of the value of a field; 0 where there is none.
+// startOf returns the offset of the value of a field, or 0 if the text does not have the field.
 func (t source) startOf(field string) int {
 	for _, s := range t.spans() {
 		if strings.EqualFold(s.field, field) {
--- a/internal/sidecar/config/limits.go
+++ b/internal/sidecar/config/limits.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// reservedDescriptors are kept for discovery, the listener, the runtime and connections of clients that are rejected.
+// reservedDescriptors is how many descriptors are kept for discovery, the listener, the runtime and connections that are being rejected.
 const reservedDescriptors = 32
 
-// unlimitedConnections is the number of connections where Sockets is no bound.
+// unlimitedConnections is the number of allowed connections if Sockets sets no limit.
 const unlimitedConnections = 1 << 20
 
-// check reports a bound below 0.
+// check returns an error if a limit is below 0.
 func (l Limits) check(text source) error {
 	for _, limit := range []struct {
 		field string
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// ClientConnections is how many connections clients may have. Up to a third of the descriptors are for clients with requests, as
-// many are for servers; connections of clients without a request, which can be closed to free descriptors, may use the rest.
+// ClientConnections returns how many connections clients may have. Up to a third of the descriptors are for clients with requests, and
+// another third is for servers. Idle client connections, which can be closed to free descriptors, may use the rest.
 func (l Limits) ClientConnections() int {
 	if l.Sockets <= 0 {
 		return unlimitedConnections
@@ -30,7 +30,7 @@
 	return max(1, l.Sockets-reservedDescriptors-l.ServerConnections())
 }
 
-// ServerConnections is how many connections to servers there may be.
+// ServerConnections returns how many connections to servers may be open.
 func (l Limits) ServerConnections() int {
 	if l.Sockets <= 0 {
 		return unlimitedConnections
@@ -38,6 +38,7 @@
 	return max(1, l.Sockets/3)
 }
 
-// MessageBytes is how many bytes of bodies and responses may be in memory at once, a quarter of the limit; 0 is no bound. Most of the rest
-// is for headers and messages under 4 KiB, of which there are as many as connections, for buffers of streamed messages, and for garbage.
+// MessageBytes returns how many bytes of bodies and responses may be in memory at once: a quarter of the memory limit, or 0 for no limit.
+// Most of the rest is for headers and messages under 4 KiB, of which each connection may have one, for buffers of streamed messages, and for
+// garbage.
 func (l Limits) MessageBytes() int64 { return int64(l.MemoryMB) << 20 / 4 }
