--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -57,7 +57,7 @@
 type NameError struct{ InFile, Running string }
 
 func (e *NameError) Error() string {
-	return fmt.Sprintf("the configuration is of %q, and this is %q", e.InFile, e.Running)
+	return fmt.Sprintf("the configuration belongs to sidecar %q, but this is sidecar %q", e.InFile, e.Running)
 }
 
 // Parse parses the text of a configuration file; name is the file's name in errors. Every error is an *Error.
@@ -88,7 +88,7 @@
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return Config{}, text.errorIn("seed", fmt.Sprintf("%q is no seed", file.Seed), "write 1 to 16 hexadecimal digits")
+		return Config{}, text.errorIn("seed", fmt.Sprintf("%q is not a seed", file.Seed), "write 1 to 16 hexadecimal digits")
 	}
 	if len(file.Settings) == 0 {
 		return Config{}, text.errorIn("settings", "missing", "write an object with the classes at least")
--- a/internal/sidecar/config/error.go
+++ b/internal/sidecar/config/error.go
@@ -125,7 +125,7 @@
 	var entryError *discovery.EntryError
 	switch {
 	case errors.As(err, &syntaxError):
-		return t.errorAt(base+int(syntaxError.Offset)-1, "", "no JSON: "+syntaxError.Error(), "")
+		return t.errorAt(base+int(syntaxError.Offset)-1, "", "not valid JSON: "+syntaxError.Error(), "")
 	case errors.As(err, &typeError):
 		value := t.innermost(base+int(typeError.Offset), span{field, base, len(t.raw)})
 		problem, remedy := "is "+describeGiven(typeError.Value), "write "+describeWanted(typeError.Type.Kind().String())
