--- a/internal/sidecar/admin/admin.go
+++ b/internal/sidecar/admin/admin.go
@@ -17,19 +17,20 @@
 const (
 	// MaxCalls is how many calls may be open at the same time.
 	MaxCalls = 24
-	// evictAfter is how long a caller may stay before it is closed for a new one: its call may be on the way.
+	// evictAfter is how long a caller is protected from being evicted for a new one, because its call may still be in transit.
 	evictAfter = 50 * time.Millisecond
-	// callTime bounds the time for a call to arrive completely, and lingerTime the time for an answered caller to close.
+	// callTime bounds the time for a call to arrive completely, and lingerTime the time for an answered caller to close its connection.
 	callTime   = 2 * time.Second
 	lingerTime = 500 * time.Millisecond
 
-	maxHead = 8 << 10
-	maxBody = 4 << 10
+	maxHead = 8 << 10 // bytes
+	maxBody = 4 << 10 // bytes
 )
 
 // Server answers the operators' calls. It is safe for concurrent use.
 type Server struct {
-	// Counts returns the value that GET /api/counts answers as JSON. It must not block. Nil: nothing is counted.
+	// Counts returns the value that is the answer to GET /api/counts, as JSON. It must not block. It is set before Serve; nil: nothing is
+	// counted.
 	Counts func() any
 
 	lifecycle  *lifecycle.Machine
@@ -37,7 +38,7 @@
 
 	mu         sync.Mutex
 	open       list.List     // of *caller, the oldest first
-	callerLeft chan struct{} // closed and replaced when a caller has left
+	callerLeft chan struct{} // closed and replaced when a caller is removed from open
 	ended      bool
 	callers    sync.WaitGroup
 }
@@ -46,8 +47,8 @@
 type caller struct {
 	net.Conn
 	accepted time.Time
-	answered bool // it only has to close
-	element  *list.Element
+	answered bool          // the answer is written; the caller only has to close its connection
+	element  *list.Element // of Server.open; nil once removed
 }
 
 // New returns a server that reads and changes a sidecar's lifecycle. Serve runs it.
@@ -55,24 +56,24 @@
 	return &Server{lifecycle: m, evictAfter: evictAfter, callerLeft: make(chan struct{})}
 }
 
-// Serve answers calls on ln until that is closed. It then closes the open ones, waits for their goroutines and returns nil. Any other
-// error of Accept counts as temporary: it is tried again when a caller has left, or after evictAfter. Serve is called once.
+// Serve answers calls on ln until ln is closed. It then closes the open connections, waits for their goroutines and returns nil. Any other
+// error of Accept is treated as temporary: Accept is retried when a caller has left, or after evictAfter. Serve is called once.
 func (s *Server) Serve(ln net.Listener) error {
 	defer s.end()
 	for {
-		nc, err := ln.Accept()
+		conn, err := ln.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case err != nil: // no descriptor is free, or the caller has left: the next Accept may succeed
+		case err != nil: // no descriptor is free or the caller has disconnected: the next Accept may succeed
 			if !s.waitForCaller(s.evictAfter) {
 				return err
 			}
 			continue
 		}
-		c := s.admit(nc)
+		c := s.admit(conn)
 		if c == nil {
-			nc.Close()
+			conn.Close()
 			return nil
 		}
 		s.callers.Add(1)
@@ -84,9 +85,10 @@
 	}
 }
 
-// admit makes a connection an open caller. Where MaxCalls are open it closes one that is answered already or, once that is older than
-// evictAfter, the oldest one; until then it waits, and the others wait in the listener's queue. It returns nil once the server has ended.
-func (s *Server) admit(nc net.Conn) *caller {
+// admit adds a connection to the open callers. If MaxCalls are open, it evicts a caller that is already answered, otherwise the oldest one
+// as soon as that is older than evictAfter. Meanwhile further connections wait in the listener's queue. It returns nil once the server has
+// ended.
+func (s *Server) admit(conn net.Conn) *caller {
 	for {
 		s.mu.Lock()
 		if s.ended {
@@ -95,7 +97,7 @@
 		}
 		now := time.Now()
 		if s.open.Len() < MaxCalls {
-			c := &caller{Conn: nc, accepted: now}
+			c := &caller{Conn: conn, accepted: now}
 			c.element = s.open.PushBack(c)
 			s.mu.Unlock()
 			return c
@@ -112,7 +114,7 @@
 	}
 }
 
-// evictionCandidate returns the caller to close for a new one, or how long there is none. The caller of it holds mu.
+// evictionCandidate returns the caller to evict, or nil and the time until there is one. The calling function holds mu.
 func (s *Server) evictionCandidate(now time.Time) (*caller, time.Duration) {
 	for e := s.open.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*caller); c.answered {
@@ -126,7 +128,7 @@
 	return c, 0
 }
 
-// waitForCaller waits until a caller has left, or for a time. It returns false once the server has ended.
+// waitForCaller waits until a caller has left, but no longer than limit. It returns false at once if the server has ended.
 func (s *Server) waitForCaller(limit time.Duration) bool {
 	s.mu.Lock()
 	changed, ended := s.callerLeft, s.ended
@@ -143,7 +145,7 @@
 	return true
 }
 
-// remove removes a caller from the open ones, at most once. The caller of it holds mu.
+// remove removes a caller from the open ones. It does nothing if the caller was removed before. The calling function holds mu.
 func (s *Server) remove(c *caller) {
 	if c.element == nil {
 		return
@@ -154,7 +156,7 @@
 	s.callerLeft = make(chan struct{})
 }
 
-// finish closes a caller that was served.
+// finish closes the connection of a caller after serve has returned.
 func (s *Server) finish(c *caller) {
 	c.Close()
 	s.mu.Lock()
@@ -162,7 +164,7 @@
 	s.remove(c)
 }
 
-// end closes all open callers and waits for their goroutines.
+// end closes the connections of all open callers and waits for their goroutines.
 func (s *Server) end() {
 	s.mu.Lock()
 	s.ended = true
@@ -173,12 +175,12 @@
 	s.callers.Wait()
 }
 
-// serve reads one call and answers it. A caller that leaves, or sends no complete call in time, gets no answer.
+// serve reads one call and answers it. A caller that disconnects or does not send a complete call in time gets no answer.
 func (s *Server) serve(c *caller) {
 	c.SetDeadline(c.accepted.Add(callTime))
-	limit := &io.LimitedReader{R: c, N: maxHead}
-	in := bufio.NewReaderSize(limit, 1<<10)
-	a, ok := s.read(c, in, limit)
+	limited := &io.LimitedReader{R: c, N: maxHead}
+	reader := bufio.NewReaderSize(limited, 1<<10)
+	a, ok := s.read(c, reader, limited)
 	if !ok {
 		return
 	}
@@ -193,17 +195,18 @@
 	s.mu.Lock()
 	c.answered = true
 	s.mu.Unlock()
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok { // a close over unread bytes would reset the answer away
-		_ = half.CloseWrite() // the connection is closed in any case
+	// A close with unread bytes would reset the connection, and the caller could lose the answer.
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		_ = halfCloser.CloseWrite() // the connection is closed in any case
 		_, _ = io.Copy(io.Discard, io.LimitReader(c, maxBody))
 	}
 }
 
-// read reads a call and carries it out once it has arrived completely. It is not ok where the caller is to get no answer.
-func (s *Server) read(c *caller, in *bufio.Reader, limit *io.LimitedReader) (a answer, ok bool) {
-	req, err := http.ReadRequest(in)
+// read reads a call, and carries it out once it has arrived completely. ok is false if the caller gets no answer.
+func (s *Server) read(c *caller, reader *bufio.Reader, limited *io.LimitedReader) (a answer, ok bool) {
+	req, err := http.ReadRequest(reader)
 	switch {
-	case err != nil && limit.N <= 0:
+	case err != nil && limited.N <= 0:
 		return answer{status: http.StatusRequestHeaderFieldsTooLarge, text: "a head over 8 KiB"}, true
 	case err != nil && incomplete(err):
 		return a, false
@@ -215,9 +218,9 @@
 	if req.Header.Get("Expect") == "100-continue" {
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
-	limit.N = maxBody + maxHead // chunks have heads too
+	limited.N = maxBody + maxHead // the framing of chunks counts too
 	switch n, err := io.Copy(io.Discard, io.LimitReader(req.Body, maxBody+1)); {
-	case n > maxBody || err != nil && limit.N <= 0:
+	case n > maxBody || err != nil && limited.N <= 0:
 		return answer{status: http.StatusRequestEntityTooLarge, text: "a body over 4 KiB"}, true
 	case err != nil && incomplete(err):
 		return a, false
@@ -227,8 +230,8 @@
 	return handle(s, req.Method, req.URL.Path), true
 }
 
-// incomplete reports whether an error means that the caller sent no more, rather than something invalid.
+// incomplete reports whether an error means that the call did not arrive completely, rather than that it is invalid.
 func incomplete(err error) bool {
-	var failed net.Error
-	return errors.As(err, &failed) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+	var netErr net.Error
+	return errors.As(err, &netErr) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
--- a/internal/sidecar/admin/admin_test.go
+++ b/internal/sidecar/admin/admin_test.go
@@ -17,13 +17,13 @@
 	"petrelhook/internal/sidecar/lifecycle"
 )
 
-// endpoint starts an operators' endpoint on loopback.
+// endpoint starts an admin endpoint on the loopback interface.
 func endpoint(t *testing.T) (addr string, m *lifecycle.Machine) {
-	return patientEndpoint(t, evictAfter)
+	return endpointEvictingAfter(t, evictAfter)
 }
 
-// patientEndpoint starts one that waits for a caller for a time before it closes it for another.
-func patientEndpoint(t *testing.T, wait time.Duration) (addr string, m *lifecycle.Machine) {
+// endpointEvictingAfter starts an admin endpoint that evicts a caller only after wait.
+func endpointEvictingAfter(t *testing.T, wait time.Duration) (addr string, m *lifecycle.Machine) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,57 +44,57 @@
 	return ln.Addr().String(), m
 }
 
-func line(method, path string) string {
+func callText(method, path string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: admin\r\nContent-Length: 0\r\n\r\n"
 }
 
-// Calls, one after another, with the status and the text of each answer; every answer ends its connection.
+// Each call, made after those before it, gets an answer with the expected status and text, and the answer closes the connection.
 func TestCalls(t *testing.T) {
 	addr, m := endpoint(t)
 	for _, c := range []struct {
 		before []lifecycle.Event
 		call   string
 		status int
-		says   string
+		text   string
 	}{
-		{nil, line("GET", "/api/ready"), 503, "starting"},
-		{nil, line("PUT", "/api/rejoin"), 503, "starting"},
-		{nil, line("GET", "/api/counts"), 200, `["counted"]`},
-		{[]lifecycle.Event{lifecycle.ServersKnown}, line("GET", "/api/ready"), 200, "ready"},
-		{nil, line("PUT", "/api/evacuate"), 200, "evacuating"},
-		{nil, line("PUT", "/api/evacuate"), 200, "evacuating"},
-		{[]lifecycle.Event{lifecycle.EvacuationDone}, line("PUT", "/api/evacuate?x=1"), 200, "away"},
-		{nil, line("GET", "/api/ready"), 200, "away"},
+		{nil, callText("GET", "/api/ready"), 503, "starting"},
+		{nil, callText("PUT", "/api/rejoin"), 503, "starting"},
+		{nil, callText("GET", "/api/counts"), 200, `["counted"]`},
+		{[]lifecycle.Event{lifecycle.ServersKnown}, callText("GET", "/api/ready"), 200, "ready"},
+		{nil, callText("PUT", "/api/evacuate"), 200, "evacuating"},
+		{nil, callText("PUT", "/api/evacuate"), 200, "evacuating"},
+		{[]lifecycle.Event{lifecycle.EvacuationDone}, callText("PUT", "/api/evacuate?x=1"), 200, "away"},
+		{nil, callText("GET", "/api/ready"), 200, "away"},
 		{nil, "PUT /api/rejoin HTTP/1.0\r\n\r\n", 200, "ready"},
 		{nil, "PUT /api/evacuate HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\n{}\r\n0\r\nA: b\r\n\r\n", 200, "evacuating"},
-		{nil, line("PUT", "/api/rejoin"), 200, "ready"},
-		{nil, line("GET", "/api/evacuate"), 405, "PUT"},
-		{nil, line("PUT", "/api/ready"), 405, "GET"},
-		{nil, line("GET", "/"), 404, "there are GET /api/ready"},
+		{nil, callText("PUT", "/api/rejoin"), 200, "ready"},
+		{nil, callText("GET", "/api/evacuate"), 405, "PUT"},
+		{nil, callText("PUT", "/api/ready"), 405, "GET"},
+		{nil, callText("GET", "/"), 404, "there are GET /api/ready"},
 		{nil, "nonsense\r\n\r\n", 400, ""},
 		{nil, "PUT /api/evacuate HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nodd\r\n", 400, ""},
 		{nil, "PUT /api/evacuate HTTP/1.1\r\nHost: a\r\nContent-Length: 9999\r\n\r\n", 413, ""},
 		{nil, "GET /api/ready HTTP/1.1\r\nX: " + strings.Repeat("x", maxHead) + "\r\n\r\n", 431, ""},
-		{nil, line("GET", "/api/ready"), 200, "ready"}, // none of these changed anything
-		{[]lifecycle.Event{lifecycle.Terminate}, line("PUT", "/api/evacuate"), 409, "stopping"},
-		{nil, line("PUT", "/api/rejoin"), 409, "stopping"},
-		{nil, line("GET", "/api/ready"), 503, "stopping"},
+		{nil, callText("GET", "/api/ready"), 200, "ready"}, // none of the invalid calls changed anything
+		{[]lifecycle.Event{lifecycle.Terminate}, callText("PUT", "/api/evacuate"), 409, "stopping"},
+		{nil, callText("PUT", "/api/rejoin"), 409, "stopping"},
+		{nil, callText("GET", "/api/ready"), 503, "stopping"},
 	} {
 		for _, e := range c.before {
 			m.Apply(e)
 		}
 		resp, body := peertest.SendRequest(t, addr, c.call)
-		if resp.StatusCode != c.status || !strings.Contains(body, c.says) || !resp.Close || strings.Count(body, "\n") != 1 {
-			t.Errorf("%.40q: %d %q, want %d %q; close %v", c.call, resp.StatusCode, body, c.status, c.says, resp.Close)
+		if resp.StatusCode != c.status || !strings.Contains(body, c.text) || !resp.Close || strings.Count(body, "\n") != 1 {
+			t.Errorf("%.40q: %d %q, want %d %q; close %v", c.call, resp.StatusCode, body, c.status, c.text, resp.Close)
 		}
-		if c.status == 405 && resp.Header.Get("Allow") != c.says {
+		if c.status == 405 && resp.Header.Get("Allow") != c.text {
 			t.Errorf("%.40q: Allow %q", c.call, resp.Header.Get("Allow"))
 		}
 	}
 }
 
-// A caller that sends nothing, half a call, or all but the last byte of one delays nobody and changes nothing. Time is virtual: what a
-// busy machine takes does not count, only what the server waits.
+// A caller that sends nothing, half a call, or all but the last byte of one delays no other caller and changes nothing. Time is virtual: it
+// includes only the waits of the server, not the delays of a busy machine.
 func TestIdleCallersDelayNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const addr = "10.0.0.1:80"
@@ -119,7 +119,7 @@
 				began := time.Now()
 				call, err := network.Dial(t.Context(), "tcp", addr)
 				require.NoError(t, err)
-				io.WriteString(call, line("GET", "/api/ready"))
+				io.WriteString(call, callText("GET", "/api/ready"))
 				resp, body := peertest.ReadResponse(t, bufio.NewReader(call))
 				call.Close()
 				if resp.StatusCode != http.StatusOK || body != "ready\n" {
@@ -137,9 +137,9 @@
 	})
 }
 
-// 200 callers that send nothing connect at the same time, and one among them sends its call a little later: it is answered.
+// A caller that connects before 200 callers that send nothing, and sends its call after they have connected, is answered.
 func TestACallAmongSilentCallers(t *testing.T) {
-	addr, m := patientEndpoint(t, peertest.EventTimeout)
+	addr, m := endpointEvictingAfter(t, peertest.EventTimeout)
 	m.Apply(lifecycle.ServersKnown)
 	call, in := peertest.Dial(t, addr)
 	for range 200 {
@@ -149,7 +149,7 @@
 		}
 		defer c.Close()
 	}
-	io.WriteString(call, line("GET", "/api/ready"))
+	io.WriteString(call, callText("GET", "/api/ready"))
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("%+v, %v", resp, err)
 	}
--- a/internal/sidecar/admin/calls.go
+++ b/internal/sidecar/admin/calls.go
@@ -11,11 +11,11 @@
 // answer is the response to a call: one line of text.
 type answer struct {
 	status int
-	allow  string // the method of the path, where the call used another
+	allow  string // the method of the path if the call used another one; otherwise ""
 	text   string
 }
 
-// calls has the method and the handler of each path.
+// calls holds the method and the handler of each path.
 var calls = map[string]struct {
 	method string
 	handle func(*Server) answer
@@ -38,12 +38,12 @@
 	return c.handle(s)
 }
 
-// stateAnswer returns an answer with the name of the lifecycle's state.
+// stateAnswer returns an answer whose text is the name of the lifecycle state.
 func stateAnswer(status int, s lifecycle.Status) answer {
 	return answer{status: status, text: s.State().String()}
 }
 
-// ready says whether this process can serve, which an evacuated one can.
+// ready answers whether this process can serve. A process whose clients were evacuated can.
 func ready(s *Server) answer {
 	status := s.lifecycle.Status()
 	if !status.Ready() {
@@ -64,7 +64,7 @@
 	return answer{status: http.StatusOK, text: string(text)}
 }
 
-// evacuate has the clients go to other sidecars. A process that ends cannot be evacuated.
+// evacuate makes the clients go to other sidecars. A stopping process cannot be evacuated.
 func evacuate(server *Server) answer {
 	status, _ := server.lifecycle.Apply(lifecycle.Evacuate)
 	if !status.EvacuationRequested() || status.State() == lifecycle.Stopping {
@@ -73,12 +73,12 @@
 	return stateAnswer(http.StatusOK, status)
 }
 
-// rejoin takes an evacuation back.
+// rejoin ends an evacuation.
 func rejoin(server *Server) answer {
 	switch status, _ := server.lifecycle.Apply(lifecycle.Rejoin); {
 	case status.State() == lifecycle.Stopping:
 		return stateAnswer(http.StatusConflict, status)
-	case !status.Healthy(): // it is accepted, and takes effect as soon as a server is known
+	case !status.Healthy(): // the call is accepted, and takes effect as soon as a server is known
 		return stateAnswer(http.StatusServiceUnavailable, status)
 	default:
 		return stateAnswer(http.StatusOK, status)
