--- a/internal/sidecar/counts/counts_test.go
+++ b/internal/sidecar/counts/counts_test.go
@@ -13,24 +13,25 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-type core func(context.Context) (front.Answer, error)
+// coreFunc is a front.Core that answers requests by calling the function.
+type coreFunc func(context.Context) (front.Answer, error)
 
-func (c core) Answer(ctx context.Context, _ front.Request) (front.Answer, error) { return c(ctx) }
+func (c coreFunc) Answer(ctx context.Context, _ front.Request) (front.Answer, error) { return c(ctx) }
 
-// Each end of a request is counted once, under its own name, and what was not taken nowhere.
+// Each outcome of a request is counted once in its own counter. A request that was not accepted or has an unknown class is not counted.
 func TestOutcomesAreCounted(t *testing.T) {
 	var a front.Answer
 	var err error
-	f := New(core(func(context.Context) (front.Answer, error) { return a, err }), []front.Class{{Name: "a"}, {Name: "b"}})
-	gone, leave := context.WithCancel(t.Context())
-	leave()
+	f := New(coreFunc(func(context.Context) (front.Answer, error) { return a, err }), []front.Class{{Name: "a"}, {Name: "b"}})
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
 	for i, c := range []struct {
-		ctx context.Context
-		v   front.Verdict
-		err error
+		ctx     context.Context
+		verdict front.Verdict
+		err     error
 	}{{t.Context(), front.Served, nil}, {t.Context(), front.Refused, nil}, {t.Context(), front.Refused, nil}, {t.Context(), front.Failed, nil},
-		{gone, 0, context.Canceled}, {t.Context(), 0, front.ErrInvalid}} {
-		a.Verdict, err = c.v, c.err
+		{cancelled, 0, context.Canceled}, {t.Context(), 0, front.ErrInvalid}} {
+		a.Verdict, err = c.verdict, c.err
 		if _, got := f.Answer(c.ctx, front.Request{Class: 1, Arrived: time.Now().Add(-time.Second)}); !errors.Is(got, c.err) {
 			t.Errorf("%d: %v", i, got)
 		}
@@ -44,26 +45,27 @@
 }
 
 func TestBucket(t *testing.T) {
-	for took, want := range map[time.Duration]int{0: 0, 250 * time.Microsecond: 0, 251 * time.Microsecond: 1, 500 * time.Microsecond: 4, time.Millisecond: 8, 2 * time.Millisecond: 12, time.Hour: Buckets - 1} {
-		if got := Bucket(took); got != want {
-			t.Errorf("%v: %d, want %d", took, got, want)
+	for latency, want := range map[time.Duration]int{0: 0, 250 * time.Microsecond: 0, 251 * time.Microsecond: 1, 500 * time.Microsecond: 4, time.Millisecond: 8, 2 * time.Millisecond: 12, time.Hour: Buckets - 1} {
+		if got := Bucket(latency); got != want {
+			t.Errorf("%v: %d, want %d", latency, got, want)
 		}
 	}
 }
 
-type servers struct{}
+// fakeServers is an upstream.Servers that does nothing.
+type fakeServers struct{}
 
-func (s servers) NewEndpoint() upstream.Endpoint                            { return s }
-func (servers) Update(string, bool)                                         {}
-func (servers) CloseIdle()                                                  {}
-func (servers) Send(context.Context, *upstream.Call) (out upstream.Outcome) { return }
-func (servers) CheckHealth(context.Context) (out upstream.Outcome)          { return }
-func dial(context.Context, string, string) (c net.Conn, err error)          { return }
+func (s fakeServers) NewEndpoint() upstream.Endpoint                            { return s }
+func (fakeServers) Update(string, bool)                                         {}
+func (fakeServers) CloseIdle()                                                  {}
+func (fakeServers) Send(context.Context, *upstream.Call) (out upstream.Outcome) { return }
+func (fakeServers) CheckHealth(context.Context) (out upstream.Outcome)          { return }
+func dial(context.Context, string, string) (c net.Conn, err error)              { return }
 
-// What is asked of servers is counted by its kind; what a process tells is read again, and so is what one of an earlier version tells,
-// which has no effort rather than none used.
+// Attempts, connections and health checks are counted separately. A report can be decoded, and so can one of an earlier version, whose
+// ServerUse is nil rather than zero.
 func TestServerUse(t *testing.T) {
-	s := &Servers{Servers: servers{}}
+	s := &Servers{Servers: fakeServers{}}
 	for range 3 {
 		s.NewEndpoint().Send(t.Context(), nil)
 	}
--- a/internal/sidecar/counts/report.go
+++ b/internal/sidecar/counts/report.go
@@ -10,42 +10,42 @@
 	"petrelhook/internal/sidecar/upstream"
 )
 
-// Report is what a process reports of its requests.
+// Report is a process's report of its counters.
 type Report struct {
 	Classes   []Class    `json:"classes"`
-	ServerUse *ServerUse `json:"effort,omitempty"` // nil: the process is of a version that does not report it
+	ServerUse *ServerUse `json:"effort,omitempty"` // nil: the process runs a version that does not report it
 }
 
-// ServerUse counts what a process did at its servers for all its clients.
+// ServerUse counts a process's use of its servers for all its clients.
 type ServerUse struct {
-	Attempts     uint64 `json:"tries"`       // exchanges that were begun for requests
-	Connections  uint64 `json:"connections"` // that were opened, or tried to
+	Attempts     uint64 `json:"tries"`       // exchanges begun for requests
+	Connections  uint64 `json:"connections"` // connections opened, and failed attempts to open one
 	HealthChecks uint64 `json:"probes"`
 }
 
-// File is the configuration file that a process has read last. It is reported beside Report.
+// File describes the configuration file that a process has read last. It is reported beside Report.
 type File struct {
-	Digest  string `json:"digest"`  // of its content: SHA-256 in hexadecimal
-	Reloads uint64 `json:"reloads"` // how often it was read again and accepted
+	Digest  string `json:"digest"`  // SHA-256 of the content, in hexadecimal
+	Reloads uint64 `json:"reloads"` // number of reloads whose file was accepted
 }
 
-// UnmarshalJSON also reads what earlier versions report: the classes alone.
-func (t *Report) UnmarshalJSON(text []byte) error {
+// UnmarshalJSON also accepts the format of earlier versions, which is the list of classes alone.
+func (r *Report) UnmarshalJSON(text []byte) error {
 	if trimmed := bytes.TrimSpace(text); len(trimmed) > 0 && trimmed[0] == '[' {
-		*t = Report{}
-		return json.Unmarshal(text, &t.Classes)
+		*r = Report{}
+		return json.Unmarshal(text, &r.Classes)
 	}
-	type plain Report
-	return json.Unmarshal(text, (*plain)(t))
+	type withoutMethods Report
+	return json.Unmarshal(text, (*withoutMethods)(r))
 }
 
-// Servers is an upstream.Servers that counts the use of another.
+// Servers is an upstream.Servers that counts the use of the embedded one.
 type Servers struct {
 	upstream.Servers
 	attempts, connections, healthChecks atomic.Uint64
 }
 
-// Dial returns a dial function that counts the connections which another opens.
+// Dial returns a function that counts its calls and calls dial.
 func (s *Servers) Dial(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		s.connections.Add(1)
@@ -53,7 +53,7 @@
 	}
 }
 
-// NewEndpoint returns a counting endpoint.
+// NewEndpoint returns an endpoint that counts attempts and health checks.
 func (s *Servers) NewEndpoint() upstream.Endpoint { return &endpoint{s.Servers.NewEndpoint(), s} }
 
 // Snapshot returns the counters.
