--- a/internal/sidecar/logwriter/logwriter.go
+++ b/internal/sidecar/logwriter/logwriter.go
@@ -1,9 +1,10 @@
-// Package logwriter writes log lines without blocking the code that logs: a standard error that accepts nothing for a while (a full
-// pipe, a busy disk) must not stop the loop that answers requests.
+// Package logwriter writes log lines without blocking the code that logs for long: a standard error that accepts nothing for a while (a
+// full pipe, a busy disk) must not stop the loop that answers requests.
 //
-// It does not format lines and knows no levels. Invariants: lines are written completely and in order; Write returns within MaxWait,
-// and at once while earlier lines are late; at most MaxQueued lines wait; further ones are dropped, counted, and reported once the
-// queue is empty. A line whose Write returned in time has been written, so whoever sees a later effect of the process finds the line.
+// It does not format lines and does not interpret log levels. Invariants: lines are written completely and in order; Write returns within
+// MaxWait, and at once while earlier lines are late; at most MaxQueued lines wait; further lines are dropped, counted, and reported once
+// the queue is empty. Unless the output is late, a line has been written when Write returns, so that an observer of a later effect of the
+// process finds the line in the log.
 package logwriter
 
 import (
@@ -14,23 +15,23 @@
 )
 
 const (
-	// MaxWait is how long a Write may block.
+	// MaxWait is how long Write may block.
 	MaxWait = 5 * time.Millisecond
 	// MaxQueued is how many lines may wait to be written.
 	MaxQueued = 512
 )
 
-// Writer is an io.Writer for log lines. It has to be closed. It is safe for concurrent use.
+// Writer is an io.Writer for log lines. The caller of New must close it. It is safe for concurrent use.
 type Writer struct {
 	output    io.Writer
-	onDropped func(lines int) // logs to the same output how many lines were dropped
+	onDropped func(lines int) // reports to the same output how many lines were dropped
 	lines     chan line
 	ended     chan struct{}
 
 	mu         sync.Mutex
 	closed     bool
-	behind     bool // a line was late, and those behind it are not all written yet
-	unreported int  // dropped lines that were not reported yet
+	behind     bool // a line was late, and the queue has not been empty since
+	unreported int  // number of dropped lines that onDropped has not been called for
 }
 
 // line is a queued line; written is closed once it is written.
@@ -39,7 +40,7 @@
 	written chan struct{}
 }
 
-// New starts a writer. onDropped is called from its goroutine when the queue is empty again after lines were dropped.
+// New starts a writer to output. After lines were dropped, the writer's goroutine calls onDropped once the queue is empty.
 func New(output io.Writer, onDropped func(lines int)) *Writer {
 	w := &Writer{output: output, onDropped: onDropped, lines: make(chan line, MaxQueued), ended: make(chan struct{})}
 	go w.run()
@@ -50,7 +51,7 @@
 func (w *Writer) run() {
 	defer close(w.ended)
 	for l := range w.lines {
-		_, _ = w.output.Write(l.text) // there is nowhere to report an error of the log itself
+		_, _ = w.output.Write(l.text) // an error of the log output cannot be reported anywhere
 		close(l.written)
 		if len(w.lines) > 0 {
 			continue
@@ -65,7 +66,7 @@
 	}
 }
 
-// Write implements io.Writer: text is one or more complete lines. It never returns an error.
+// Write implements io.Writer. text must consist of one or more complete lines; Write copies it. It never returns an error.
 func (w *Writer) Write(text []byte) (int, error) {
 	l := line{bytes.Clone(text), make(chan struct{})}
 	w.mu.Lock()
@@ -94,7 +95,7 @@
 	return len(text), nil
 }
 
-// Close accepts no more lines, and waits until all are written, for a time at most.
+// Close waits until all accepted lines are written, but no longer than limit. Lines written after Close are dropped.
 func (w *Writer) Close(limit time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
--- a/internal/sidecar/logwriter/logwriter_test.go
+++ b/internal/sidecar/logwriter/logwriter_test.go
@@ -14,18 +14,18 @@
 	text    strings.Builder
 }
 
-func (s *blockedOutput) Write(p []byte) (int, error) {
-	if s.unblock != nil {
-		<-s.unblock
+func (o *blockedOutput) Write(p []byte) (int, error) {
+	if o.unblock != nil {
+		<-o.unblock
 	}
-	return s.text.Write(p)
+	return o.text.Write(p)
 }
 
-// While the output accepts lines, each is written when Write returns.
-func TestInOrderAndAtOnce(t *testing.T) {
+// While the output accepts lines, each line has been written when Write returns.
+func TestLinesAreWrittenInOrderAndAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		output := &blockedOutput{}
-		w := New(output, func(int) { t.Error("lines are dropped") })
+		w := New(output, func(int) { t.Error("lines were dropped") })
 		want := ""
 		for i := range 2 * MaxQueued {
 			text := fmt.Sprintln("line", i)
@@ -38,15 +38,15 @@
 	})
 }
 
-// An output that accepts nothing delays the first line by MaxWait, and none after it; lines beyond the queue are counted; and once it accepts
-// again lines are written at once.
-func TestAnOutputThatAcceptsNothing(t *testing.T) {
+// An output that accepts nothing delays only the first Write, by MaxWait. Lines that do not fit the queue are dropped and counted. Once
+// the output accepts lines again, they are written at once.
+func TestBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		output, lost := &blockedOutput{unblock: make(chan struct{})}, 0
-		w := New(output, func(n int) { lost += n })
+		output, dropped := &blockedOutput{unblock: make(chan struct{})}, 0
+		w := New(output, func(n int) { dropped += n })
 		began := time.Now()
-		const more = 40
-		for i := range 1 + MaxQueued + more {
+		const overflow = 40
+		for i := range 1 + MaxQueued + overflow {
 			fmt.Fprintln(w, "line", i)
 			if delay := time.Since(began); delay != MaxWait {
 				t.Fatalf("line %d: delayed by %v", i, delay)
@@ -54,8 +54,8 @@
 		}
 		close(output.unblock)
 		synctest.Wait()
-		if lines := strings.Count(output.text.String(), "\n"); lines != 1+MaxQueued || lost != more {
-			t.Errorf("%d lines, %d reported as dropped", lines, lost)
+		if lines := strings.Count(output.text.String(), "\n"); lines != 1+MaxQueued || dropped != overflow {
+			t.Errorf("%d lines, %d reported as dropped", lines, dropped)
 		}
 		if !strings.HasPrefix(output.text.String(), "line 0\nline 1\n") {
 			t.Errorf("%.40q", output.text.String())
@@ -63,13 +63,13 @@
 		before := output.text.Len()
 		fmt.Fprintln(w, "again")
 		if !strings.HasSuffix(output.text.String()[before:], "again\n") {
-			t.Error("a line after it is not written at once")
+			t.Error("a line after the block is not written at once")
 		}
 		w.Close(time.Second)
 	})
 }
 
-// Close waits for lines that are written late, but not for ever; lines after it are dropped.
+// Close waits for lines that are written late, but no longer than its limit. Lines written after it are dropped.
 func TestClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		output := &blockedOutput{unblock: make(chan struct{})}
@@ -82,14 +82,14 @@
 		}
 		fmt.Fprintln(w, "after")
 
-		never := &blockedOutput{unblock: make(chan struct{})}
-		w = New(never, func(int) {})
+		neverUnblocked := &blockedOutput{unblock: make(chan struct{})}
+		w = New(neverUnblocked, func(int) {})
 		fmt.Fprintln(w, "never")
 		began := time.Now()
 		w.Close(time.Second)
 		if took := time.Since(began); took != time.Second {
-			t.Errorf("it waited for %v", took)
+			t.Errorf("Close waited for %v", took)
 		}
-		close(never.unblock)
+		close(neverUnblocked.unblock)
 	})
 }
