--- a/internal/sidecar/membudget/membudget.go
+++ b/internal/sidecar/membudget/membudget.go
@@ -1,9 +1,9 @@
-// Package membudget bounds the memory that a process uses for messages: request bodies that arrive, and responses that are buffered.
-// Code that needs memory reserves it first. Where none is left it passes on what it has, waits for a bounded time, or refuses the
-// request. A reservation is granted completely or not at all, so nobody waits while holding a part of what one call asked for.
+// Package membudget bounds the memory that a process uses for messages: arriving request bodies and buffered responses. Code that needs
+// memory reserves it first. If none is left, the code forwards what it has, waits for a bounded time or refuses the request. A reservation
+// is granted completely or not at all, so no call holds a part of its reservation while it waits for the rest.
 //
-// Invariants: reservations never exceed the limit; waiting ones are granted in the order in which they were made, so that a large
-// one is not overtaken for ever by small ones.
+// Invariants: reservations never exceed the limit; waiting reservations are granted in the order in which they were requested, so that
+// small ones cannot starve a large one.
 package membudget
 
 import (
@@ -12,27 +12,27 @@
 	"sync"
 )
 
-// Budget is a limit and its reservations. The zero value has no limit. It is safe for concurrent use.
+// Budget is a memory limit with its reservations. The zero value has no limit. It is safe for concurrent use.
 type Budget struct {
 	mu       sync.Mutex
-	limit    int64 // bytes; 0: no limit
-	reserved int64
-	waiters  list.List // of *waiter, the first to be granted first
+	limit    int64     // in bytes; 0: no limit
+	reserved int64     // in bytes
+	waiters  list.List // of *waiter, in the order of their requests
 }
 
-// waiter is a reservation that waits.
+// waiter is a waiting reservation.
 type waiter struct {
 	bytes   int64
-	granted chan struct{} // closed when they are reserved for it
+	granted chan struct{} // closed when the bytes are reserved
 }
 
-// New returns a budget of a number of bytes; 0 is no limit.
+// New returns a budget with a limit in bytes; 0 means no limit.
 func New(limit int64) *Budget { return &Budget{limit: limit} }
 
 // fits reports whether n more bytes are within the limit. The caller holds mu.
 func (b *Budget) fits(n int64) bool { return b.limit <= 0 || n <= b.limit-b.reserved }
 
-// TryAcquire reserves n bytes, if they are free now and nobody waits for them.
+// TryAcquire reserves n bytes and returns true if they are free now and no other reservation waits; otherwise it returns false.
 func (b *Budget) TryAcquire(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,8 +43,7 @@
 	return true
 }
 
-// Acquire reserves n bytes as soon as they are free. It returns false, with nothing reserved, where ctx ends first or n exceeds the
-// limit.
+// Acquire waits until n bytes are free and reserves them. It returns false, with nothing reserved, if ctx ends first or n exceeds the limit.
 func (b *Budget) Acquire(ctx context.Context, n int64) bool {
 	b.mu.Lock()
 	if b.waiters.Len() == 0 && b.fits(n) {
@@ -67,12 +66,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
-	case <-w.granted: // granted at the same moment
+	case <-w.granted: // granted at the same time as ctx ended
 		b.reserved -= n
 	default:
 		b.waiters.Remove(element)
 	}
-	b.grant() // what waited behind it
+	b.grant() // the waiters behind this one
 	return false
 }
 
@@ -84,7 +83,7 @@
 	b.grant()
 }
 
-// grant grants waiting reservations in their order, as far as there is memory. The caller holds mu.
+// grant grants waiting reservations in order until the next one does not fit. The caller holds mu.
 func (b *Budget) grant() {
 	for e := b.waiters.Front(); e != nil && b.fits(e.Value.(*waiter).bytes); e = b.waiters.Front() {
 		w := b.waiters.Remove(e).(*waiter)
