--- a/internal/sidecar/message/message.go
+++ b/internal/sidecar/message/message.go
@@ -1,19 +1,19 @@
-// Package message defines the two messages that pass through a sidecar, a request on its way to a server and a server's reply, and the
-// limits on their sizes. The core carries them between the front and the servers' side and does not look into them.
+// Package message defines the two messages that pass through a sidecar, a request to a server and a server's reply, and the limits on
+// their sizes. The core passes them between the front and package upstream without inspecting them.
 //
-// A short body is buffered as bytes. A long body is streamed: it is read at the pace at which it is written, and no more than a few
-// chunks of it are in memory at a time. Package message parses nothing and opens no connection.
+// A short body is buffered. A long body is streamed: it is read as fast as it can be written, and no more than a few chunks of it are in
+// memory at a time. The package parses nothing and opens no connection.
 package message
 
 import "io"
 
 // The limits of one message, in bytes.
 const (
-	// MaxBuffered is the largest body that is buffered completely before it is sent on. A longer one is streamed.
+	// MaxBuffered is the largest body that is buffered completely before it is forwarded. A longer one is streamed.
 	MaxBuffered = 64 << 10
-	// MaxBody is the largest body that is accepted at all.
+	// MaxBody is the largest accepted body.
 	MaxBody = 40 << 20
-	// MaxHead is the largest head: the first line and all header fields.
+	// MaxHead is the largest accepted head: the first line and all header fields.
 	MaxHead = 32 << 10
 )
 
@@ -29,16 +29,16 @@
 type Reply struct {
 	Header    map[string][]string // names in canonical form
 	Body      []byte
-	Remainder io.ReadCloser // the part of the body that follows Body; io.EOF only at a complete end; nil: Body is the complete body
-	Size      int64         // of the complete body if there is a Remainder; -1: unknown
-	// Release frees the memory that the reply was counted in; nil: it was not counted.
+	Remainder io.ReadCloser // the part of the body that follows Body; returns io.EOF only if the body is complete; nil: Body is the complete body
+	Size      int64         // if there is a Remainder, the size of the complete body in bytes; -1: unknown
+	// Release frees the memory that is reserved for the reply; nil: none is reserved.
 	Release func()
 }
 
-// Done closes the remainder and frees the reply's memory. Whoever has written the reply, or discards it, calls it once.
+// Done closes the remainder and frees the reply's memory. The code that writes or discards the reply must call it once, afterwards.
 func (r *Reply) Done() {
 	if r.Remainder != nil {
-		_ = r.Remainder.Close() // it is only read from: no data can be lost
+		_ = r.Remainder.Close() // it is only read from, so no data can be lost
 	}
 	if r.Release != nil {
 		r.Release()
--- a/internal/sidecar/message/upload.go
+++ b/internal/sidecar/message/upload.go
@@ -7,42 +7,43 @@
 	"sync/atomic"
 )
 
-// Upload is the part of a request body that is streamed. The goroutine that owns the client's connection runs Pump; one exchange with a
-// server at a time reads chunk by chunk with Next. A chunk that an exchange has not read when it ends is there for the next exchange; a
-// chunk that was read is not available again.
+// Upload is the streamed part of a request body. One goroutine of the front runs Pump; one exchange with a server at a time reads chunk by
+// chunk with Next. A chunk that an exchange has not read when it ends is available to the next exchange; a chunk that was read is not
+// available again.
 type Upload struct {
-	Size int64 // of the complete body; -1: unknown until its end
+	Size int64 // size of the complete body in bytes; -1: unknown until its end
 
 	chunks    chan chunk
 	closed    chan struct{}
 	closeOnce func()
-	finalErr  error // the end of the body, once Next has returned it; owned by the goroutine that calls Next
+	finalErr  error // the error with which the body ended, once Next has returned it; used only by the goroutine that calls Next
 	consumed  atomic.Bool
 }
 
+// chunk is the result of one read of the body.
 type chunk struct {
 	data []byte
 	err  error
 }
 
-// chunkSize is the size of each of two buffers: one chunk is read from the client while another is written to the server.
+// chunkSize is the size in bytes of each of two buffers: one chunk is read from the client while the other is written to the server.
 const chunkSize = 16 << 10
 
-// Errors of Next that do not come from the body itself.
+// Errors of Next that are not errors of the body itself.
 var (
 	ErrStopped = errors.New("stopped before a chunk arrived")
 	ErrClosed  = errors.New("the upload was closed")
 )
 
-// NewUpload returns an upload; Pump fills it.
+// NewUpload returns an upload for a body of size bytes; -1: unknown. Pump feeds it.
 func NewUpload(size int64) *Upload {
 	u := &Upload{Size: size, chunks: make(chan chunk), closed: make(chan struct{})}
 	u.closeOnce = sync.OnceFunc(func() { close(u.closed) })
 	return u
 }
 
-// Pump passes on what r yields until r ends or the upload is closed. r must return io.EOF itself if the body is complete, and only then:
-// an error that wraps it is an end before the last byte.
+// Pump passes the data of r to Next until r returns an error or the upload is closed. r must return io.EOF itself if the body is complete,
+// and only then: an error that wraps io.EOF means that the body was cut short.
 func (u *Upload) Pump(r io.Reader) {
 	var buffers [2][chunkSize]byte
 	for i := 0; ; i++ {
@@ -52,7 +53,7 @@
 			continue
 		}
 		select {
-		case u.chunks <- chunk{buffer[:n], err}: // the receiver no longer uses the previous chunk, whose buffer is next
+		case u.chunks <- chunk{buffer[:n], err}: // the receiver no longer uses the previous chunk, whose buffer is filled next
 		case <-u.closed:
 			return
 		}
@@ -62,21 +63,21 @@
 	}
 }
 
-// Consumed reports whether a chunk was read: then the body cannot be sent again. It is safe for concurrent use.
+// Consumed reports whether a chunk was read by Next, after which the body cannot be sent again. It is safe for concurrent use.
 func (u *Upload) Consumed() bool { return u.consumed.Load() }
 
-// Close ends Next at once and Pump as soon as its reader returns. It may be called more than once and from any goroutine.
+// Close makes Next return at once, and Pump as soon as its reader returns. It may be called more than once and from any goroutine.
 func (u *Upload) Close() { u.closeOnce() }
 
-// Next returns the next chunk, which is valid until the following call. The end of the body comes with the last chunk or after it: io.EOF
-// if the body is complete, otherwise the reader's error. ErrStopped means that stop was closed and nothing was read, ErrClosed that the
-// upload was closed.
+// Next returns the next chunk, which is valid until the next call. The error that ends the body comes with the last chunk or after it: io.EOF
+// if the body is complete, otherwise the error of Pump's reader. ErrStopped means that stop was closed and no chunk was read. ErrClosed
+// means that the upload was closed.
 func (u *Upload) Next(stop <-chan struct{}) ([]byte, error) {
 	if u.finalErr != nil {
 		return nil, u.finalErr
 	}
 	select {
-	case <-stop: // checked first: a chunk that is available as well is left to the next exchange
+	case <-stop: // checked first, so that an available chunk is left to the next exchange
 		return nil, ErrStopped
 	default:
 	}
--- a/internal/sidecar/message/upload_test.go
+++ b/internal/sidecar/message/upload_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 )
 
-// Chunks arrive in order, whatever the sizes in which the body is read, and then its end.
+// Chunks arrive in order, followed by the end of the body, whatever the sizes in which the body is read.
 func TestChunks(t *testing.T) {
 	body := strings.Repeat("0123456789", 10_000)
 	for name, r := range map[string]io.Reader{
@@ -37,12 +37,13 @@
 	}
 }
 
-// One exchange waits and is stopped: the next gets what arrives then. A chunk that is available is not read by a stopped exchange.
-func TestWhatOneExchangeHasNotReadIsForTheNext(t *testing.T) {
+// If an exchange is stopped while it waits, the next exchange gets the chunk that arrives afterwards. A stopped exchange does not read an
+// available chunk.
+func TestUnreadChunksAreLeftToTheNextExchange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		in, out := io.Pipe()
+		pipeReader, pipeWriter := io.Pipe()
 		u := NewUpload(10)
-		go u.Pump(in)
+		go u.Pump(pipeReader)
 		stop, stopped := make(chan struct{}), make(chan error, 1)
 		go func() {
 			_, err := u.Next(stop)
@@ -53,7 +54,7 @@
 		if err := <-stopped; err != ErrStopped { //nolint:errorlint // the sentinel itself, not wrapped
 			t.Errorf("%v", err)
 		}
-		go io.WriteString(out, "0123")
+		go io.WriteString(pipeWriter, "0123")
 		synctest.Wait()
 		if chunk, err := u.Next(stop); err != ErrStopped { //nolint:errorlint // the sentinel itself, not wrapped
 			t.Errorf("%q, %v", chunk, err)
@@ -61,15 +62,15 @@
 		if chunk, err := u.Next(nil); string(chunk) != "0123" || err != nil {
 			t.Errorf("%q, %v", chunk, err)
 		}
-		out.CloseWithError(errors.New("broken off"))
+		pipeWriter.CloseWithError(errors.New("broken off"))
 		if _, err := u.Next(nil); err == nil || err == io.EOF { //nolint:errorlint // the plain value, as io.Reader asks
 			t.Errorf("%v", err)
 		}
 	})
 }
 
-// Close ends the goroutines that wait on either side.
-func TestCloseEndsBothSides(t *testing.T) {
+// Close ends a Pump and a Next that wait.
+func TestCloseEndsPumpAndNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u, pumped, waited := NewUpload(10), make(chan struct{}), make(chan error, 1)
 		go func() { u.Pump(strings.NewReader("0123")); close(pumped) }()
