--- a/internal/sidecar/doc.go
+++ b/internal/sidecar/doc.go
@@ -1,4 +1,4 @@
-// Package sidecar holds what the sidecar in service is made of, beside the decisions in balance: cmd/petrelhook links it.
+// Package sidecar contains the packages of the sidecar program, cmd/petrelhook, except for the decisions, which package balance makes.
 //
-// It imports nothing of the router fleet and nothing of coordination; coordination reads a few of its types (counts, messages).
+// They import nothing from the router fleet or from coordination. Coordination uses a few of their types (counts, messages).
 package sidecar
--- a/internal/sidecar/progress/progress_test.go
+++ b/internal/sidecar/progress/progress_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// A peer with the same mean rate, in chunks of any size, is never timed out; one that stops, or is too slow, is in time.
+// A peer that is fast enough on average never times out, whatever the size of its chunks. A peer that stops or is too slow times out at the
+// end of the interval.
 func TestDeadline(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		chunk int
-		every time.Duration
-		ended time.Duration // 0: never
+		name          string
+		chunkBytes    int
+		every         time.Duration
+		timedOutAfter time.Duration // the expected time; 0: never
 	}{
 		{"64 kB a second at once", 64000, time.Second, 0},
 		{"... in small chunks", 64, time.Millisecond, 0},
@@ -22,17 +23,17 @@
 		deadline := Deadline{MinBytes: 32 << 10, Interval: 2 * time.Second}
 		start := time.Unix(1000, 0)
 		deadline.Start(start)
-		ended := time.Duration(0)
+		timedOutAfter := time.Duration(0)
 		for at := c.every; at < 10*time.Second; at += c.every {
 			if now := start.Add(at); now.After(deadline.Expires()) {
-				ended = deadline.Expires().Sub(start)
+				timedOutAfter = deadline.Expires().Sub(start)
 				break
 			} else {
-				deadline.Progressed(c.chunk, now)
+				deadline.Progressed(c.chunkBytes, now)
 			}
 		}
-		if ended != c.ended {
-			t.Errorf("%s: ended after %v, want %v", c.name, ended, c.ended)
+		if timedOutAfter != c.timedOutAfter {
+			t.Errorf("%s: timed out after %v, want %v", c.name, timedOutAfter, c.timedOutAfter)
 		}
 	}
 }
