--- a/internal/sidecar/admin/admin.go
+++ b/internal/sidecar/admin/admin.go
@@ -19,7 +19,8 @@
 	MaxCalls = 24
 	// evictAfter is how long a caller is protected from being evicted for a new one, because its call may still be in transit.
 	evictAfter = 50 * time.Millisecond
-	// callTime bounds the time for a call to arrive completely, and lingerTime the time for an answered caller to close its connection.
+	// callTime bounds the time for a call to arrive completely, and lingerTime the time for an answered caller to close its
+	// connection.
 	callTime   = 2 * time.Second
 	lingerTime = 500 * time.Millisecond
 
@@ -29,8 +30,8 @@
 
 // Server answers the operators' calls. It is safe for concurrent use.
 type Server struct {
-	// Counts returns the value that is the answer to GET /api/counts, as JSON. It must not block. It is set before Serve; nil: nothing is
-	// counted.
+	// Counts returns the value that is the answer to GET /api/counts, as JSON. It must not block. It is set before Serve; nil:
+	// nothing is counted.
 	Counts func() any
 
 	lifecycle  *lifecycle.Machine
@@ -56,8 +57,9 @@
 	return &Server{lifecycle: m, evictAfter: evictAfter, callerLeft: make(chan struct{})}
 }
 
-// Serve answers calls on ln until ln is closed. It then closes the open connections, waits for their goroutines and returns nil. Any other
-// error of Accept is treated as temporary: Accept is retried when a caller has left, or after evictAfter. Serve is called once.
+// Serve answers calls on ln until ln is closed. It then closes the open connections, waits for their goroutines and returns nil.
+// Any other error of Accept is treated as temporary: Accept is retried when a caller has left, or after evictAfter. Serve is
+// called once.
 func (s *Server) Serve(ln net.Listener) error {
 	defer s.end()
 	for {
@@ -85,9 +87,9 @@
 	}
 }
 
-// admit adds a connection to the open callers. If MaxCalls are open, it evicts a caller that is already answered, otherwise the oldest one
-// as soon as that is older than evictAfter. Meanwhile further connections wait in the listener's queue. It returns nil once the server has
-// ended.
+// admit adds a connection to the open callers. If MaxCalls are open, it evicts a caller that is already answered, otherwise the
+// oldest one as soon as that is older than evictAfter. Meanwhile further connections wait in the listener's queue. It returns nil
+// once the server has ended.
 func (s *Server) admit(conn net.Conn) *caller {
 	for {
 		s.mu.Lock()
--- a/internal/sidecar/admin/admin_test.go
+++ b/internal/sidecar/admin/admin_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// A caller that sends nothing, half a call, or all but the last byte of one delays no other caller and changes nothing. Time is virtual: it
-// includes only the waits of the server, not the delays of a busy machine.
+// A caller that sends nothing, half a call, or all but the last byte of one delays no other caller and changes nothing. Time is
+// virtual: it includes only the waits of the server, not the delays of a busy machine.
 func TestIdleCallersDelayNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const addr = "10.0.0.1:80"
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads a sidecar's configuration, which is a JSON file of the platform, and checks it completely before it is used. It
-// starts no goroutine and opens only that file. Unknown keys are ignored, because the platform adds some from time to time. An invalid file
-// is reported as an *Error with line, column and field. Functions may be called from any goroutine.
+// Package config reads a sidecar's configuration, which is a JSON file of the platform, and checks it completely before it is
+// used. It starts no goroutine and opens only that file. Unknown keys are ignored, because the platform adds some from time to
+// time. An invalid file is reported as an *Error with line, column and field. Functions may be called from any goroutine.
 package config
 
 import (
@@ -44,8 +44,8 @@
 	return Parse(path, raw)
 }
 
-// CheckName returns a *NameError if a reloaded configuration belongs to another sidecar than name. A configuration without a name belongs to
-// any. The check keeps a mixed-up file from sending one customer's clients to another customer's servers.
+// CheckName returns a *NameError if a reloaded configuration belongs to another sidecar than name. A configuration without a name
+// belongs to any. The check keeps a mixed-up file from sending one customer's clients to another customer's servers.
 func (c *Config) CheckName(name string) error {
 	if c.Name == "" || c.Name == name {
 		return nil
--- a/internal/sidecar/config/error.go
+++ b/internal/sidecar/config/error.go
@@ -45,7 +45,8 @@
 	start, end int
 }
 
-// spans returns the spans of all values in the text, each after those of the values inside it. It stops where the text is not valid JSON.
+// spans returns the spans of all values in the text, each after those of the values inside it. It stops where the text is not
+// valid JSON.
 func (t source) spans() []span {
 	walker := spanWalker{raw: t.raw, decoder: json.NewDecoder(bytes.NewReader(t.raw))}
 	walker.walk("")
@@ -59,7 +60,8 @@
 	spans   []span
 }
 
-// walk reads the value of a field and all values inside it. It returns false if the text is not valid JSON up to the end of the value.
+// walk reads the value of a field and all values inside it. It returns false if the text is not valid JSON up to the end of the
+// value.
 func (w *spanWalker) walk(field string) bool {
 	start := int(w.decoder.InputOffset())
 	for start < len(w.raw) && strings.IndexByte(" \t\r\n,:", w.raw[start]) >= 0 {
@@ -100,8 +102,8 @@
 	}
 }
 
-// errorIn returns an *Error at a field. If the text does not have the field, the position is that of the innermost value that should
-// contain it.
+// errorIn returns an *Error at a field. If the text does not have the field, the position is that of the innermost value that
+// should contain it.
 func (t source) errorIn(field, problem, remedy string) error {
 	all := t.spans()
 	for ancestor := field; ; ancestor = ancestor[:max(0, strings.LastIndexAny(ancestor, ".["))] {
@@ -116,8 +118,8 @@
 	}
 }
 
-// wrap converts an error from parsing the text, or the value of one of its fields, into an *Error. base is the offset at which that value
-// starts.
+// wrap converts an error from parsing the text, or the value of one of its fields, into an *Error. base is the offset at which
+// that value starts.
 func (t source) wrap(err error, base int, field string) error {
 	var syntaxError *json.SyntaxError
 	var typeError *json.UnmarshalTypeError
--- a/internal/sidecar/config/limits.go
+++ b/internal/sidecar/config/limits.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// reservedDescriptors is how many descriptors are kept for discovery, the listener, the runtime and connections that are being rejected.
+// reservedDescriptors is how many descriptors are kept for discovery, the listener, the runtime and connections that are being
+// rejected.
 const reservedDescriptors = 32
 
 // unlimitedConnections is the number of allowed connections if Sockets sets no limit.
@@ -21,8 +22,8 @@
 	return nil
 }
 
-// ClientConnections returns how many connections clients may have. Up to a third of the descriptors are for clients with requests, and
-// another third is for servers. Idle client connections, which can be closed to free descriptors, may use the rest.
+// ClientConnections returns how many connections clients may have. Up to a third of the descriptors are for clients with
+// requests, and another third is for servers. Idle client connections, which can be closed to free descriptors, may use the rest.
 func (l Limits) ClientConnections() int {
 	if l.Sockets <= 0 {
 		return unlimitedConnections
@@ -38,7 +39,7 @@
 	return max(1, l.Sockets/3)
 }
 
-// MessageBytes returns how many bytes of bodies and responses may be in memory at once: a quarter of the memory limit, or 0 for no limit.
-// Most of the rest is for headers and messages under 4 KiB, of which each connection may have one, for buffers of streamed messages, and for
-// garbage.
+// MessageBytes returns how many bytes of bodies and responses may be in memory at once: a quarter of the memory limit, or 0 for
+// no limit. Most of the rest is for headers and messages under 4 KiB, of which each connection may have one, for buffers of
+// streamed messages, and for garbage.
 func (l Limits) MessageBytes() int64 { return int64(l.MemoryMB) << 20 / 4 }
--- a/internal/sidecar/counts/counts.go
+++ b/internal/sidecar/counts/counts.go
@@ -1,10 +1,10 @@
-// Package counts counts the requests of a sidecar process by class and outcome, the latencies of the served ones, measured from arrival,
-// and the use of the servers: attempts, connections and health checks. It compares nothing and decides nothing. The judge of releases
-// (package judge) gets the counts from the agents.
+// Package counts counts the requests of a sidecar process by class and outcome, the latencies of the served ones, measured from
+// arrival, and the use of the servers: attempts, connections and health checks. It compares nothing and decides nothing. The
+// judge of releases (package judge) gets the counts from the agents.
 //
-// Counters belong to one process and only grow: a reader computes differences, and starts anew with another process. A request is counted
-// once, when it ends. Latencies are counted in exponential buckets, four per factor of two. The counters of a class are read one after
-// another, so a snapshot may be inconsistent by the requests that end in between.
+// Counters belong to one process and only grow: a reader computes differences, and starts anew with another process. A request is
+// counted once, when it ends. Latencies are counted in exponential buckets, four per factor of two. The counters of a class are
+// read one after another, so a snapshot may be inconsistent by the requests that end in between.
 package counts
 
 import (
@@ -17,8 +17,8 @@
 	"petrelhook/internal/sidecar/front"
 )
 
-// Buckets is the number of latency buckets. The first ends at firstBucket, four more span each factor of two, and the last has no upper
-// bound.
+// Buckets is the number of latency buckets. The first ends at firstBucket, four more span each factor of two, and the last has no
+// upper bound.
 const Buckets = 64
 
 const firstBucket = 250 * time.Microsecond
--- a/internal/sidecar/counts/counts_test.go
+++ b/internal/sidecar/counts/counts_test.go
@@ -18,7 +18,8 @@
 
 func (c coreFunc) Answer(ctx context.Context, _ front.Request) (front.Answer, error) { return c(ctx) }
 
-// Each outcome of a request is counted once in its own counter. A request that was not accepted or has an unknown class is not counted.
+// Each outcome of a request is counted once in its own counter. A request that was not accepted or has an unknown class is not
+// counted.
 func TestOutcomesAreCounted(t *testing.T) {
 	var a front.Answer
 	var err error
@@ -62,8 +63,8 @@
 func (fakeServers) CheckHealth(context.Context) (out upstream.Outcome)          { return }
 func dial(context.Context, string, string) (c net.Conn, err error)              { return }
 
-// Attempts, connections and health checks are counted separately. A report can be decoded, and so can one of an earlier version, whose
-// ServerUse is nil rather than zero.
+// Attempts, connections and health checks are counted separately. A report can be decoded, and so can one of an earlier version,
+// whose ServerUse is nil rather than zero.
 func TestServerUse(t *testing.T) {
 	s := &Servers{Servers: fakeServers{}}
 	for range 3 {
--- a/internal/sidecar/front/front.go
+++ b/internal/sidecar/front/front.go
@@ -1,9 +1,9 @@
-// Package front defines the interface between a front, which is the code that accepts clients' requests, and the core. A front parses
-// bytes into a Request, passes it to Core.Answer and writes the Answer that is returned. It has no access to servers or attempts and
-// makes no decision about them.
+// Package front defines the interface between a front, which is the code that accepts clients' requests, and the core. A front
+// parses bytes into a Request, passes it to Core.Answer and writes the Answer that is returned. It has no access to servers or
+// attempts and makes no decision about them.
 //
-// Invariants: a front passes each request that it has accepted to the core exactly once, and writes exactly one answer for it as soon as
-// it has that answer. If the client disconnects, the front cancels the context and writes nothing.
+// Invariants: a front passes each request that it has accepted to the core exactly once, and writes exactly one answer for it as
+// soon as it has that answer. If the client disconnects, the front cancels the context and writes nothing.
 package front
 
 import (
@@ -24,7 +24,8 @@
 	Unsafe               // the request must never be executed twice
 )
 
-// Class holds what a front needs to know about a class of requests. A Request refers to its class by the index in the list of classes.
+// Class holds what a front needs to know about a class of requests. A Request refers to its class by the index in the list of
+// classes.
 type Class struct {
 	Name     string
 	Effect   Effect
@@ -35,14 +36,14 @@
 type Request struct {
 	TraceID       string // unique until the request's deadline has passed: until then no other request with this id is accepted
 	Class, Tenant int    // indexes in the settings; Tenant -1: none
-	AffinityKey   string // requests with the same key are preferably sent to the same server; "": none
+	AffinityKey   string // requests with the same key are best served by the same server; "": none
 	WorkHint      time.Duration
 	ClientRetry   bool // the client marked the request as a retry
 	Arrived       time.Time
 	Wait          time.Duration // how long the client waits, counted from Arrived
 	Message       message.Request
-	// ClientGone reports whether the client has disconnected, which may be visible on its connection before the context is cancelled.
-	// It is called from the goroutines that send attempts. Nil: only the context reports a disconnect.
+	// ClientGone reports whether the client has disconnected, which may be visible on its connection before the context is
+	// cancelled. It is called from the goroutines that send attempts. Nil: only the context reports a disconnect.
 	ClientGone func() bool
 }
 
@@ -52,7 +53,7 @@
 // The verdicts.
 const (
 	Served  Verdict = iota // Reply holds a server's response
-	Refused                // the request was not executed and may be retried, after RetryAfter if that is not 0
+	Refused                // a retry does no harm; RetryAfter says when, if it is not 0
 	Failed                 // it is unknown whether the request was executed
 )
 
@@ -65,10 +66,10 @@
 
 // Core answers requests. It is safe for concurrent use.
 type Core interface {
-	// Answer blocks until the request is answered. The front cancels ctx when the client disconnects: then no further attempt is sent
-	// for the request, and the context's error is returned. ErrInUse and ErrInvalid mean that the request was not accepted and not
-	// executed. ErrEnded means that the core has ended, and it is unknown whether the request was executed. ErrClientGone means that
-	// Request.ClientGone reported a disconnect. The caller calls Done on the Reply once it is written.
+	// Answer blocks until the request is answered. The front cancels ctx when the client disconnects: then no further attempt is
+	// sent for the request, and the context's error is returned. ErrInUse and ErrInvalid mean that the request was not accepted
+	// and not executed. ErrEnded means that the core has ended, and it is unknown whether the request was executed. ErrClientGone
+	// means that Request.ClientGone reported a disconnect. The caller calls Done on the Reply once it is written.
 	Answer(ctx context.Context, r Request) (Answer, error)
 }
 
--- a/internal/sidecar/front/platform/body.go
+++ b/internal/sidecar/front/platform/body.go
@@ -21,12 +21,13 @@
 	bodyInterval = 2 * time.Second
 	// writeTimeout is how long a client may stop reading its response before the connection is closed.
 	writeTimeout = 10 * time.Second
-	// uncountedSize is how many bytes of each body may be in memory without a reservation; nearly all bodies are no longer than this.
+	// uncountedSize is how many bytes of each body may be in memory without a reservation; nearly all bodies are no longer than
+	// this.
 	uncountedSize = 4 << 10
 	// readSize is the largest single read of a body that is kept in memory.
 	readSize = 4 << 10
-	// reserveTimeout is how long a body waits for memory before its request is rejected. The rejected request was not executed, and
-	// requests that hold memory without making progress are ended in about the same time.
+	// reserveTimeout is how long a body waits for memory before its request is rejected. The rejected request was not executed,
+	// and requests that hold memory without making progress are ended in about the same time.
 	reserveTimeout = time.Second
 )
 
@@ -41,8 +42,8 @@
 	return err == io.EOF //nolint:errorlint // only the plain value means the end
 }
 
-// body reads a request's body and aborts the read if the client sends too slowly. One goroutine reads at a time: first the handler's, then
-// that of pump. halt may be called concurrently.
+// body reads a request's body and aborts the read if the client sends too slowly. One goroutine reads at a time: first the
+// handler's, then that of pump. halt may be called concurrently.
 type body struct {
 	io.Reader
 	control          *http.ResponseController
@@ -65,8 +66,8 @@
 	return b
 }
 
-// Read implements io.Reader. It returns os.ErrDeadlineExceeded if the client misses the deadline of the current interval, and errHalted
-// after halt.
+// Read implements io.Reader. It returns os.ErrDeadlineExceeded if the client misses the deadline of the current interval, and
+// errHalted after halt.
 func (b *body) Read(p []byte) (int, error) {
 	deadline := b.progress.Expires()
 	if deadline.Before(b.earliestDeadline) {
@@ -88,9 +89,9 @@
 	return n, err
 }
 
-// halt aborts reading and waits for the pump; the rest of the body stays unread. For a body that was read to its end it sets no deadline on
-// the connection: net/http already reads there to detect a disconnect, would take an expired deadline for one, and would drop the next
-// request.
+// halt aborts reading and waits for the pump; the rest of the body stays unread. For a body that was read to its end it sets no
+// deadline on the connection: net/http already reads there to detect a disconnect. It would take an expired deadline for a
+// disconnect, and drop the next request.
 func (b *body) halt() {
 	if !b.ended.Load() {
 		b.halted.Store(true)
@@ -104,8 +105,8 @@
 	}
 }
 
-// pump starts a goroutine that forwards the body through the upload as it arrives. If the body is cut short, onError is called on that
-// goroutine with the reason. halt waits for the goroutine.
+// pump starts a goroutine that forwards the body through the upload as it arrives. If the body is cut short, onError is called on
+// that goroutine with the reason. halt waits for the goroutine.
 func (b *body) pump(onError func(error)) {
 	b.pumpDone = make(chan struct{})
 	go func() {
@@ -114,8 +115,8 @@
 	}()
 }
 
-// statusOfBodyError returns the HTTP status for a body that could not be read to its end, or 0 if the client has disconnected and gets no
-// response.
+// statusOfBodyError returns the HTTP status for a body that could not be read to its end, or 0 if the client has disconnected and
+// gets no response.
 func statusOfBodyError(err error) int {
 	var netError net.Error
 	switch {
@@ -161,7 +162,8 @@
 	return err
 }
 
-// reserve waits until memory for n bytes of the body in total is reserved. It returns false if that takes longer than reserveTimeout.
+// reserve waits until memory for n bytes of the body in total is reserved. It returns false if that takes longer than
+// reserveTimeout.
 func (b *body) reserve(ctx context.Context, n int) bool {
 	if n <= uncountedSize || int64(n) <= b.reserved {
 		return true
@@ -185,8 +187,8 @@
 	b.reserved = 0
 }
 
-// limitedBody is a body that fails with errTooLong once more than remaining bytes were read. It passes each error other than the end of
-// the body and errHalted to onError.
+// limitedBody is a body that fails with errTooLong once more than remaining bytes were read. It passes each error other than the
+// end of the body and errHalted to onError.
 type limitedBody struct {
 	*body
 	remaining int64
--- a/internal/sidecar/front/platform/disconnect_test.go
+++ b/internal/sidecar/front/platform/disconnect_test.go
@@ -21,8 +21,8 @@
 	"resets":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 }
 
-// A client that disconnects while its request is in progress is detected at once, whatever it has sent after the request. net/http alone
-// reads only one byte of the next request, and would detect the disconnect only when the response is written.
+// A client that disconnects while its request is in progress is detected at once, whatever it has sent after the request.
+// net/http alone reads only one byte of the next request, and would detect the disconnect only when the response is written.
 func TestAClientThatDisconnectedIsNoticed(t *testing.T) {
 	for sent, text := range map[string]string{
 		"nothing more":       "",
@@ -84,8 +84,8 @@
 	peertest.Eventually(t, "no memory is reserved", func() bool { return r.memory.Reserved() == 0 })
 }
 
-// A client does not mistake a truncated response for a complete one. In HTTP/1.0, where the response has no length, only the reset of the
-// connection shows the truncation.
+// A client does not mistake a truncated response for a complete one. In HTTP/1.0, where the response has no length, only the
+// reset of the connection shows the truncation.
 func TestATruncatedAnswerIsNotComplete(t *testing.T) {
 	for _, version := range []string{"1.0", "1.1"} {
 		for truncated, remainderErr := range map[bool]error{true: errors.New("reset"), false: io.EOF} {
--- a/internal/sidecar/front/platform/framing.go
+++ b/internal/sidecar/front/platform/framing.go
@@ -6,8 +6,9 @@
 	"net/http"
 )
 
-// The errors of checkFraming. net/http hides from its handlers what makes the framing of a request ambiguous: it drops a Content-Length
-// beside a chunked encoding and joins folded lines. The check therefore reads the head as it arrived on the connection.
+// The errors of checkFraming. net/http hides from its handlers what makes the framing of a request ambiguous: it drops a
+// Content-Length beside a chunked encoding and joins folded lines. The check therefore reads the head as it arrived on the
+// connection.
 var (
 	errAmbiguousLength = errors.New("a body with a length and in chunks")
 	errFoldedLine      = errors.New("a folded header line")
@@ -16,9 +17,9 @@
 	errHeadNotSeen     = errors.New("a body in chunks needs a head of its own")
 )
 
-// checkFraming returns an error if the framing of a request is ambiguous. head is the request's head as it arrived on the connection. It
-// may be missing, or be another request's if this one arrived in the same read as the one before it; that is accepted only if the body is
-// not chunked.
+// checkFraming returns an error if the framing of a request is ambiguous. head is the request's head as it arrived on the
+// connection. It may be missing, or be another request's if this one arrived in the same read as the one before it; that is
+// accepted only if the body is not chunked.
 func checkFraming(head []byte, req *http.Request) error {
 	chunked := len(req.TransferEncoding) > 0
 	line, rest, complete := bytes.Cut(head, []byte("\n"))
--- a/internal/sidecar/front/platform/parse.go
+++ b/internal/sidecar/front/platform/parse.go
@@ -40,8 +40,8 @@
 // forwardedHeaders are the client's headers that are forwarded to servers.
 var forwardedHeaders = []string{"X-Trace-Id", "Idempotency-Key", "X-Qos", "X-Customer", "Content-Type"}
 
-// parse reads a request. The body is nil if the request has none; otherwise the caller must release it. If the request is not valid, err
-// is the reason, and there is nothing to release.
+// parse reads a request. The body is nil if the request has none; otherwise the caller must release it. If the request is not
+// valid, err is the reason, and there is nothing to release.
 func (s *Server) parse(w http.ResponseWriter, req *http.Request) (request front.Request, b *body, err *rejection) {
 	if err := s.checkHead(req); err != nil {
 		return front.Request{}, nil, badRequest(err)
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// checkClass rejects a request that is inconsistent with the effect of its class: a keyed request without its key, for instance, could
-// not be retried.
+// checkClass rejects a request that is inconsistent with the effect of its class: a keyed request without its key, for instance,
+// could not be retried.
 func checkClass(req *http.Request, effect front.Effect) *rejection {
 	key := req.Header.Get("Idempotency-Key")
 	firstSegment, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// readBody reads a body into a message. A short body is read completely; for a long one the message gets an upload that the caller pumps.
+// readBody reads a body into a message. A short body is read completely; for a long one the message gets an upload that the
+// caller pumps.
 func (s *Server) readBody(w http.ResponseWriter, req *http.Request, effect front.Effect, into *message.Request) (*body, *rejection) {
 	b := newBody(w, req, s.limiter.RequestDeadline(req.Context()))
 	b.budget = s.settings.MemoryBudget
@@ -146,7 +147,8 @@
 	return time.Duration(value * unit), nil
 }
 
-// parseSizeHint reads the client's estimate of the work, in microseconds. It returns 0 for an invalid estimate, as for a missing one.
+// parseSizeHint reads the client's estimate of the work, in microseconds. It returns 0 for an invalid estimate, as for a missing
+// one.
 func parseSizeHint(text string) time.Duration {
 	if text == "" {
 		return 0
--- a/internal/sidecar/front/platform/platform.go
+++ b/internal/sidecar/front/platform/platform.go
@@ -1,12 +1,12 @@
 // Package platform is the front for clients that speak the platform's protocol: HTTP/1.1, with class, tenant and trace id in headers. It
 // reads a request, passes it to the core, and writes the one answer that comes back.
 //
-// It makes no decision about a valid request. It answers only the health check and invalid requests itself: an invalid request reaches no
-// server, and its connection is closed after the response.
+// It makes no decision about a valid request. It answers only the health check and invalid requests itself: an invalid request
+// reaches no server, and its connection is closed after the response.
 //
-// Invariants: each accepted request is passed to the core once and gets one response; an answer to a client that has disconnected is not
-// written; a response that is cut short closes its connection, so that the client can detect the truncation. net/http calls ServeHTTP on
-// one goroutine for each connection.
+// Invariants: each accepted request is passed to the core once and gets one response; an answer to a client that has disconnected
+// is not written; a response that is cut short closes its connection, so that the client can detect the truncation. net/http
+// calls ServeHTTP on one goroutine for each connection.
 package platform
 
 import (
@@ -29,8 +29,8 @@
 	healthPath = "/_health"
 	// acceptTimeAfterTerminate is how long the listener stays open after SIGTERM: new connections arrive for up to 0.4 s.
 	acceptTimeAfterTerminate = 600 * time.Millisecond
-	// headTimeout bounds the time to read a request's head: a client that does not send a complete request must get an error response or
-	// a closed connection within 3 s of connecting.
+	// headTimeout bounds the time to read a request's head: a client that does not send a complete request must get an error
+	// response or a closed connection within 3 s of connecting.
 	headTimeout = 2500 * time.Millisecond
 	// bodyTimeout bounds the time to read head and body together, for the same reason.
 	bodyTimeout = 2700 * time.Millisecond
@@ -38,15 +38,16 @@
 	idleTimeout = 20 * time.Second
 	// idleCheckInterval is the interval between scans for idle connections during an evacuation and at shutdown.
 	idleCheckInterval = 50 * time.Millisecond
-	// evacuationMinIdle is how long a connection must have been idle before an evacuation closes it. An evacuation is not urgent, and a
-	// connection that was idle for less may have its client's next request in transit; the response to that request ends the connection.
+	// evacuationMinIdle is how long a connection must have been idle before an evacuation closes it. An evacuation is not urgent,
+	// and a connection that was idle for less may have its client's next request in transit; the response to that request ends
+	// the connection.
 	evacuationMinIdle = 200 * time.Millisecond
-	// evacuationCloseAllAfter is how long after the start of an evacuation connections are closed regardless of their idle time: none may
-	// be left after 4 s, and a client whose request crosses with the close sends it to another sidecar.
+	// evacuationCloseAllAfter is how long after the start of an evacuation connections are closed regardless of their idle time:
+	// none may be left after 4 s, and a client whose request crosses with the close sends it to another sidecar.
 	evacuationCloseAllAfter = 3700 * time.Millisecond
-	// shutdownMinIdle is how long a connection must have been idle before a shutdown closes it. It is shorter than evacuationMinIdle
-	// because clients should reconnect while this process still accepts connections. A client that sends requests more often than this
-	// is not disconnected between two of them, when its next request is likely in transit.
+	// shutdownMinIdle is how long a connection must have been idle before a shutdown closes it. It is shorter than
+	// evacuationMinIdle because clients should reconnect while this process still accepts connections. A client that sends
+	// requests more often than this is not disconnected between two of them, when its next request is likely in transit.
 	shutdownMinIdle = 100 * time.Millisecond
 )
 
@@ -87,9 +88,9 @@
 	return s
 }
 
-// Serve accepts and serves connections until the lifecycle is in the state Stopping. It then drains, and returns when all accepted
-// requests are answered or the shutdown window has passed. During an evacuation it closes idle connections and goes on serving. It is
-// called once. An error means that the listener failed.
+// Serve accepts and serves connections until the lifecycle is in the state Stopping. It then drains, and returns when all
+// accepted requests are answered or the shutdown window has passed. During an evacuation it closes idle connections and goes on
+// serving. It is called once. An error means that the listener failed.
 func (s *Server) Serve(listener net.Listener) error {
 	failed := make(chan error, 1)
 	s.limiter.Listener = listener
@@ -126,8 +127,8 @@
 	}
 }
 
-// drain closes each connection once it carries no request. It returns when all are closed, or at the end of the shutdown window. New
-// connections are accepted for acceptTimeAfterTerminate, unless a successor process accepts them.
+// drain closes each connection once it carries no request. It returns when all are closed, or at the end of the shutdown window.
+// New connections are accepted for acceptTimeAfterTerminate, unless a successor process accepts them.
 func (s *Server) drain(failed <-chan error) error {
 	defer s.http.Close()
 	window := &lifecycle.ShutdownWindow{Began: time.Now(), AcceptTime: acceptTimeAfterTerminate, MaxDeadline: s.maxDeadline}
--- a/internal/sidecar/front/platform/platform_test.go
+++ b/internal/sidecar/front/platform/platform_test.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// After SIGTERM the listener stays open while new connections still arrive, idle connections are closed meanwhile, and Serve returns only
-// once all accepted requests are answered.
+// After SIGTERM the listener stays open while new connections still arrive, idle connections are closed meanwhile, and Serve
+// returns only once all accepted requests are answered.
 func TestGracefulShutdown(t *testing.T) {
 	got, release := make(chan struct{}, 2), make(chan struct{})
 	r := newRig(t, func(ctx context.Context, req front.Request) (front.Answer, error) {
--- a/internal/sidecar/front/platform/request.go
+++ b/internal/sidecar/front/platform/request.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// serveBuffered answers a request whose body, if it has one, is in memory. No other goroutine reads the connection meanwhile, so the
-// limiter may watch it for the client's disconnect.
+// serveBuffered answers a request whose body, if it has one, is in memory. No other goroutine reads the connection meanwhile, so
+// the limiter may watch it for the client's disconnect.
 func (s *Server) serveBuffered(w http.ResponseWriter, req *http.Request, request front.Request, b *body) {
 	ctx := req.Context()
 	request.ClientGone = func() bool { return s.limiter.ClientGone(ctx) }
@@ -57,7 +57,8 @@
 
 // serveStreamed answers a request whose body is forwarded while it arrives.
 func (s *Server) serveStreamed(w http.ResponseWriter, req *http.Request, request front.Request, b *body) {
-	// net/http cancels the request's context when any read fails. Until the body has ended the pump cancels with the cause instead.
+	// net/http cancels the request's context when any read fails. Until the body has ended the pump cancels with the cause
+	// instead.
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(req.Context()))
 	defer cancel(nil)
 	defer context.AfterFunc(req.Context(), func() {
@@ -65,7 +66,8 @@
 			cancel(context.Canceled)
 		}
 	})()
-	// Without full duplex, a response that starts before the end of the body would wait for that end. HTTP/1 connections support it.
+	// Without full duplex, a response that starts before the end of the body would wait for that end. HTTP/1 connections support
+	// it.
 	_ = b.control.EnableFullDuplex()
 	b.pump(cancel)
 	defer b.halt()
@@ -73,12 +75,12 @@
 	s.respond(ctx, w, req, b, answer, err)
 }
 
-// respond writes the core's answer or error. b is nil if the request has no body. The cause of ctx is the reason why a streamed body was
-// cut short.
+// respond writes the core's answer or error. b is nil if the request has no body. The cause of ctx is the reason why a streamed
+// body was cut short.
 func (s *Server) respond(ctx context.Context, w http.ResponseWriter, req *http.Request, b *body, answer front.Answer, err error) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)) // a long body may have used up the earlier deadline
-	// The connection cannot be reused if the rest of the body stays unread. It is also closed if the body may still be read to its end
-	// while the response is relayed.
+	// The connection cannot be reused if the rest of the body stays unread. It is also closed if the body may still be read to
+	// its end while the response is relayed.
 	if b != nil && !b.ended.Load() {
 		w.Header().Set("Connection", "close")
 		if cause := context.Cause(ctx); err != nil && cause != nil && statusOfBodyError(cause) != 0 {
@@ -100,8 +102,8 @@
 	}
 }
 
-// respondWith writes an answer of the core. The response closes its connection during an evacuation, at shutdown, and where the limiter
-// does not expect the connection to be used again.
+// respondWith writes an answer of the core. The response closes its connection during an evacuation, at shutdown, and where the
+// limiter does not expect the connection to be used again.
 func (s *Server) respondWith(w http.ResponseWriter, req *http.Request, answer front.Answer) {
 	if !s.endConnectionIfLeaving(w) && s.limiter.ResponseStarted(req.Context()) {
 		w.Header().Set("Connection", "close")
@@ -113,7 +115,8 @@
 	s.limiter.SetResponseOpen(req.Context(), false)
 }
 
-// endConnectionIfLeaving makes the response close its connection during an evacuation and at shutdown, and reports whether it does.
+// endConnectionIfLeaving makes the response close its connection during an evacuation and at shutdown, and reports whether it
+// does.
 func (s *Server) endConnectionIfLeaving(w http.ResponseWriter) bool {
 	if s.lifecycle.Status().KeepsConnections() {
 		return false
--- a/internal/sidecar/front/platform/response.go
+++ b/internal/sidecar/front/platform/response.go
@@ -15,8 +15,8 @@
 
 var relayBuffers = sync.Pool{New: func() any { b := make([]byte, relayBufferSize); return &b }}
 
-// relayReply forwards a long response as it arrives. If the response is cut short, relayReply aborts the connection before the announced
-// end, so that the client can detect the truncation.
+// relayReply forwards a long response as it arrives. If the response is cut short, relayReply aborts the connection before the
+// announced end, so that the client can detect the truncation.
 func relayReply(w http.ResponseWriter, reply *message.Reply) {
 	control := http.NewResponseController(w)
 	if reply.Size >= 0 {
@@ -44,8 +44,8 @@
 	}
 }
 
-// reject answers a request that cannot be served, and closes its connection. Nothing more is read from it: the rest of a body may never
-// arrive, and what looks like another request may be part of that body.
+// reject answers a request that cannot be served, and closes its connection. Nothing more is read from it: the rest of a body may
+// never arrive, and what looks like another request may be part of that body.
 func reject(w http.ResponseWriter, reason error, status int) {
 	http.NewResponseController(w).SetReadDeadline(time.Now())
 	w.Header().Set("Connection", "close")
--- a/internal/sidecar/front/platform/streaming_test.go
+++ b/internal/sidecar/front/platform/streaming_test.go
@@ -136,7 +136,8 @@
 	}
 }
 
-// A response may be relayed while its request is still arriving: both are transferred completely, and then the connection is closed.
+// A response may be relayed while its request is still arriving: both are transferred completely, and then the connection is
+// closed.
 func TestResponseDuringTheRequestBody(t *testing.T) {
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
 		rest := req.Message.Remainder
@@ -171,8 +172,8 @@
 	}
 }
 
-// The memory of bodies is reserved while their requests are in progress, and released with their responses. A body for which no memory is
-// left waits, and its request is rejected after a second, before the core gets it. Small bodies are served meanwhile.
+// The memory of bodies is reserved while their requests are in progress, and released with their responses. A body for which no
+// memory is left waits, and its request is rejected after a second, before the core gets it. Small bodies are served meanwhile.
 func TestMemoryForBodies(t *testing.T) {
 	got, release := make(chan struct{}, 9), make(chan struct{})
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
@@ -214,8 +215,8 @@
 	peertest.Eventually(t, "no memory is reserved", func() bool { return r.memory.Reserved() == 0 })
 }
 
-// A response that is cut short after it has begun aborts its connection, so that the client detects the truncation, with a length as well
-// as in chunks.
+// A response that is cut short after it has begun aborts its connection, so that the client detects the truncation, with a length
+// as well as in chunks.
 func TestTruncatedResponsesAbortTheirConnections(t *testing.T) {
 	for _, size := range []int64{10, -1} {
 		r := newRig(t, func(context.Context, front.Request) (front.Answer, error) {
@@ -238,8 +239,8 @@
 
 func (failingReader) Read([]byte) (int, error) { return 0, errors.New("broken off") }
 
-// An answer that is available before the body is complete is written at once and closes the connection, even if the client is still
-// sending.
+// An answer that is available before the body is complete is written at once and closes the connection, even if the client is
+// still sending.
 func TestAnEarlyAnswer(t *testing.T) {
 	r := newRig(t, func(_ context.Context, req front.Request) (front.Answer, error) {
 		if chunk, err := req.Message.Remainder.Next(nil); string(chunk) != "half" || err != nil {
@@ -290,8 +291,8 @@
 	}
 }
 
-// Pipelined requests are answered in order, each with its own framing. A chunked request that arrived in the same read as the one before
-// is rejected, because its head could not be checked.
+// Pipelined requests are answered in order, each with its own framing. A chunked request that arrived in the same read as the one
+// before is rejected, because its head could not be checked.
 func TestPipelining(t *testing.T) {
 	r := newRig(t, echo)
 	c, in := peertest.Dial(t, r.addr)
@@ -330,8 +331,8 @@
 	})
 }
 
-// strictFraming returns the framing of a head by RFC 9112, parsed line by line. It interprets each malformed line as a lenient parser would. The
-// length is -2 if lenient parsers could disagree.
+// strictFraming returns the framing of a head by RFC 9112, parsed line by line. It interprets each malformed line as a lenient
+// parser would. The length is -2 if lenient parsers could disagree.
 func strictFraming(head string) (length int64, chunked bool) {
 	for _, line := range strings.FieldsFunc(head, func(r rune) bool { return r == '\r' || r == '\n' })[1:] {
 		name, value, _ := strings.Cut(line, ":")
@@ -376,8 +377,8 @@
 	}
 }
 
-// A body that arrives at 64 kB/s for a minute is read to its end. A client that pauses while it reads a long response is served; one that
-// pauses for longer than writeTimeout is disconnected. Time is virtual.
+// A body that arrives at 64 kB/s for a minute is read to its end. A client that pauses while it reads a long response is served;
+// one that pauses for longer than writeTimeout is disconnected. Time is virtual.
 func TestSlowClients(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := memnet.New(time.Millisecond)
--- a/internal/sidecar/handover/frame.go
+++ b/internal/sidecar/handover/frame.go
@@ -20,8 +20,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// The errors of a hand-over: the other process uses another version of the format, sent something that is not in this format, or sent a
-// state that does not match the announced checksum.
+// The errors of a hand-over: the other process uses another version of the format, sent something that is not in this format, or
+// sent a state that does not match the announced checksum.
 var (
 	ErrVersion   = errors.New("another version")
 	ErrMalformed = errors.New("malformed hand-over")
@@ -36,7 +36,8 @@
 	return fmt.Sprintf("%s %d %d %08x\n", magic, version, len(state), crc32.Checksum(state, castagnoli))
 }
 
-// parseVersion parses a hello or a header up to its version, and returns the rest. It returns ErrVersion if the version is not ours.
+// parseVersion parses a hello or a header up to its version, and returns the rest. It returns ErrVersion if the version is not
+// ours.
 func parseVersion(line string) (rest string, err error) {
 	var got int
 	afterMagic, ok := strings.CutPrefix(line, magic+" ")
--- a/internal/sidecar/handover/handover_test.go
+++ b/internal/sidecar/handover/handover_test.go
@@ -65,9 +65,9 @@
 	return ln.(*net.TCPListener)
 }
 
-// Three hand-overs follow one another, in a folder with a short path and in one whose path is too long for a socket address. Each successor
-// gets the listening socket of the first process. The socket goes on accepting after the predecessor has closed its descriptor, and a
-// connection in the accept queue is not lost.
+// Three hand-overs follow one another, in a folder with a short path and in one whose path is too long for a socket address. Each
+// successor gets the listening socket of the first process. The socket goes on accepting after the predecessor has closed its
+// descriptor, and a connection in the accept queue is not lost.
 func TestThreeHandoversInARow(t *testing.T) {
 	longPath := t.TempDir()
 	for range 3 {
@@ -114,8 +114,8 @@
 	}
 }
 
-// There is no predecessor if no process is in service, or if one has crashed and left its socket file behind. A new process can listen at
-// the rendezvous in either case.
+// There is no predecessor if no process is in service, or if one has crashed and left its socket file behind. A new process can
+// listen at the rendezvous in either case.
 func TestNoPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	r := NewRendezvous(dir, "n/0 ü", "a:1")
@@ -150,8 +150,8 @@
 	}
 }
 
-// scriptedAnswer is the answer of a fake process in service: a text that carries some sockets. Then the connection is closed or stays
-// silent.
+// scriptedAnswer is the answer of a fake process in service: a text that carries some sockets. Then the connection is closed or
+// stays silent.
 type scriptedAnswer struct {
 	text    string
 	sockets int
@@ -190,8 +190,8 @@
 	}()
 }
 
-// Request returns an error for an answer that is not a complete hand-over, and waits for a process that does not answer only until its
-// timeout.
+// Request returns an error for an answer that is not a complete hand-over, and waits for a process that does not answer only
+// until its timeout.
 func TestIncompleteHandoverIsAnError(t *testing.T) {
 	validHeader := header([]byte("state"))
 	for name, c := range map[string]struct {
@@ -227,8 +227,8 @@
 	}
 }
 
-// A request that is malformed, has another version or is cut short is reported, and does not affect the next one, which gets the complete
-// state.
+// A request that is malformed, has another version or is cut short is reported, and does not affect the next one, which gets the
+// complete state.
 func TestMalformedRequests(t *testing.T) {
 	r := NewRendezvous(t.TempDir(), "n0", "a:1")
 	s := startServing(t, r, listen(t), strings.Repeat("state", 1_000_000))
--- a/internal/sidecar/handover/link.go
+++ b/internal/sidecar/handover/link.go
@@ -17,7 +17,8 @@
 	maxReusedBuffer = 64 << 10
 )
 
-// Link connects two processes of one sidecar while both run. Send is safe for concurrent use; ReadLines is called by one goroutine.
+// Link connects two processes of one sidecar while both run. Send is safe for concurrent use; ReadLines is called by one
+// goroutine.
 type Link struct {
 	conn    net.Conn
 	reader  *bufio.Reader
@@ -29,8 +30,8 @@
 	return &Link{conn: conn, reader: bufio.NewReaderSize(conn, readerSize)}
 }
 
-// Send sends a line to the other process. The line must not contain a newline. An error means that the other process has ended or hangs:
-// the line may not have arrived, or only a part of it.
+// Send sends a line to the other process. The line must not contain a newline. An error means that the other process has ended or
+// hangs: the line may not have arrived, or only a part of it.
 func (l *Link) Send(line string) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
@@ -41,8 +42,8 @@
 	return err
 }
 
-// ReadLines calls handle with each line from the other process, on the caller's goroutine. It returns when the other process has ended,
-// when a line is too long, or after Close.
+// ReadLines calls handle with each line from the other process, on the caller's goroutine. It returns when the other process has
+// ended, when a line is too long, or after Close.
 func (l *Link) ReadLines(handle func(line string)) {
 	var line []byte
 	for {
--- a/internal/sidecar/handover/rendezvous.go
+++ b/internal/sidecar/handover/rendezvous.go
@@ -17,8 +17,8 @@
 // Rendezvous identifies the Unix socket at which a successor contacts the process in service: a file in a folder that they share.
 type Rendezvous struct{ folder, fileName string }
 
-// NewRendezvous returns the rendezvous of the sidecar with this name and listening address. Sidecars that differ in either use different
-// socket files.
+// NewRendezvous returns the rendezvous of the sidecar with this name and listening address. Sidecars that differ in either use
+// different socket files.
 func NewRendezvous(folder, name, listen string) Rendezvous {
 	printable := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' {
@@ -33,8 +33,8 @@
 // path returns the path of the socket file.
 func (r Rendezvous) path() string { return filepath.Join(r.folder, r.fileName) }
 
-// withAddr calls use with the socket address of a file in the folder. If the path is too long for an address, the address goes through
-// /proc/self/fd and a descriptor of the folder, which stays open until use returns.
+// withAddr calls use with the socket address of a file in the folder. If the path is too long for an address, the address goes
+// through /proc/self/fd and a descriptor of the folder, which stays open until use returns.
 func (r Rendezvous) withAddr(fileName string, use func(*net.UnixAddr) error) error {
 	path := filepath.Join(r.folder, fileName)
 	if len(path) > maxSocketPath {
@@ -48,8 +48,8 @@
 	return use(&net.UnixAddr{Name: path, Net: "unix"})
 }
 
-// listen listens at the rendezvous. It replaces the socket file of the process that listened before, or one that a crash left behind, by a
-// rename, so that the file always belongs to exactly one process.
+// listen listens at the rendezvous. It replaces the socket file of the process that listened before, or one that a crash left
+// behind, by a rename, so that the file always belongs to exactly one process.
 func (r Rendezvous) listen() (listener *net.UnixListener, err error) {
 	ownName := fmt.Sprintf("%s.%d", r.fileName, os.Getpid())
 	ownPath := filepath.Join(r.folder, ownName)
--- a/internal/sidecar/handover/request.go
+++ b/internal/sidecar/handover/request.go
@@ -29,8 +29,8 @@
 )
 
 // Request asks the process in service for a hand-over. Connecting and the exchange may each take as long as timeout. The error is
-// ErrNoPredecessor if no process is in service. After any error all descriptors of the hand-over are closed, and the sidecar starts without
-// a predecessor.
+// ErrNoPredecessor if no process is in service. After any error all descriptors of the hand-over are closed, and the sidecar
+// starts without a predecessor.
 func (r Rendezvous) Request(timeout time.Duration) (*Handover, error) {
 	var conn *net.UnixConn
 	err := r.withAddr(r.fileName, func(addr *net.UnixAddr) error {
@@ -100,8 +100,8 @@
 	return &Handover{Listener: listener, State: state, Link: &Link{conn: conn, reader: reader}}, nil
 }
 
-// receiveDescriptors reads the first byte of the header and the descriptors that are sent with it. The caller must close the files, also
-// after an error.
+// receiveDescriptors reads the first byte of the header and the descriptors that are sent with it. The caller must close the
+// files, also after an error.
 func receiveDescriptors(conn *net.UnixConn) (first []byte, files []*os.File, err error) {
 	first = make([]byte, 1)
 	control := make([]byte, syscall.CmsgSpace(maxDescriptors*descriptorSize))
--- a/internal/sidecar/handover/server.go
+++ b/internal/sidecar/handover/server.go
@@ -15,12 +15,13 @@
 // requestTimeout bounds the time to read the request of a successor and to answer it.
 const requestTimeout = 2 * time.Second
 
-// Server answers the requests of successors in the process in service. Its functions must be set before Start. They are called from one
-// goroutine for each connection, so they must be safe for concurrent use.
+// Server answers the requests of successors in the process in service. Its functions must be set before Start. They are called
+// from one goroutine for each connection, so they must be safe for concurrent use.
 type Server struct {
 	// Snapshot returns the listening socket and the state for a successor. The server closes socket when the link has ended.
 	Snapshot func() (socket *os.File, state []byte, err error)
-	// OnSuccessor is called with the link to a successor once the socket and the state are sent. The link is closed when it returns.
+	// OnSuccessor is called with the link to a successor once the socket and the state are sent. The link is closed when it
+	// returns.
 	OnSuccessor func(*Link)
 	// OnError is called with the error of a failed request. The server goes on to answer later requests.
 	OnError func(error)
--- a/internal/sidecar/lifecycle/lifecycle.go
+++ b/internal/sidecar/lifecycle/lifecycle.go
@@ -1,7 +1,7 @@
-// Package lifecycle holds the state machine of a sidecar process as its clients and operators see it: starting, ready, evacuating its
-// clients, handing over to its successor process, or stopping. It has no side effects: events are applied, and the resulting status is
-// read. It closes no connection and opens no listener. Health checks, the admin endpoint, signals and upgrades all use this state machine;
-// no other component keeps a flag of its own.
+// Package lifecycle holds the state machine of a sidecar process as its clients and operators see it: starting, ready, evacuating
+// its clients, handing over to its successor process, or stopping. It has no side effects: events are applied, and the resulting
+// status is read. It closes no connection and opens no listener. Health checks, the admin endpoint, signals and upgrades all use
+// this state machine; no other component keeps a flag of its own.
 //
 // The status consists of five facts, each changed by its own events, so every order of events has a defined result:
 //
@@ -24,8 +24,8 @@
 //	HandingOver  hasSuccessor
 //	Ready        otherwise
 //
-// Invariants: an event that changes no fact has no effect, so every event may be applied twice; Stopping is final; a sidecar with a
-// successor stays healthy until it ends, because to its clients the two processes are one sidecar.
+// Invariants: an event that changes no fact has no effect, so every event may be applied twice; Stopping is final; a sidecar with
+// a successor stays healthy until it ends, because to its clients the two processes are one sidecar.
 package lifecycle
 
 import "sync"
@@ -120,19 +120,19 @@
 	return s.serversKnown && !s.evacuationRequested && (!s.terminating || s.hasSuccessor)
 }
 
-// Ready reports whether this process can serve. It is the answer to operators. A process whose clients were evacuated is ready too, because
-// it accepts them again as soon as it is told to rejoin.
+// Ready reports whether this process can serve. It is the answer to operators. A process whose clients were evacuated is ready
+// too, because it accepts them again as soon as it is told to rejoin.
 func (s Status) Ready() bool { return s.serversKnown && !s.terminating }
 
 // KeepsConnections reports whether a client's connection may stay open after a response.
 func (s Status) KeepsConnections() bool { return !s.evacuationRequested && !s.terminating }
 
-// Accepts reports whether this process accepts new connections. If a successor has the listener too, the successor alone accepts new
-// connections once this process is terminating.
+// Accepts reports whether this process accepts new connections. If a successor has the listener too, the successor alone accepts
+// new connections once this process is terminating.
 func (s Status) Accepts() bool { return !s.terminating || !s.hasSuccessor }
 
-// YieldsListener reports whether new connections should go to another process that listens at the same address, if there is one. That is
-// a successor whose hand-over failed, so that it opened a listener of its own.
+// YieldsListener reports whether new connections should go to another process that listens at the same address, if there is one.
+// That is a successor whose hand-over failed, so that it opened a listener of its own.
 func (s Status) YieldsListener() bool { return s.terminating && !s.hasSuccessor }
 
 // HasSuccessor reports whether the successor process has the listener.
--- a/internal/sidecar/lifecycle/lifecycle_test.go
+++ b/internal/sidecar/lifecycle/lifecycle_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Each row lists events and the status after them: the state, the answers to health checks and to operators, whether connections stay
-// open, and whether new ones are accepted.
+// Each row lists events and the status after them: the state, the answers to health checks and to operators, whether connections
+// stay open, and whether new ones are accepted.
 func TestStatusAfterEvents(t *testing.T) {
 	eventsOf := func(e ...Event) []Event { return e }
 	for _, c := range []struct {
@@ -60,8 +60,8 @@
 	}
 }
 
-// In any order of events, a repeated event changes nothing and Stopping is final. A process without a successor is healthy only if it keeps
-// the connections of its clients open.
+// In any order of events, a repeated event changes nothing and Stopping is final. A process without a successor is healthy only
+// if it keeps the connections of its clients open.
 func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Status
@@ -108,8 +108,8 @@
 	}
 }
 
-// The two shares add up to the total however many connections are in use, and the process in service keeps as many as it uses, up to the
-// total.
+// The two shares add up to the total however many connections are in use, and the process in service keeps as many as it uses, up
+// to the total.
 func TestDivide(t *testing.T) {
 	for inUse, want := range map[ConnectionShare][2]ConnectionShare{
 		{0, 0}: {{50, 20}, {50, 20}}, {80, 10}: {{80, 20}, {20, 20}}, {100, 40}: {{100, 40}, {0, 0}}, {120, 41}: {{100, 40}, {0, 0}},
--- a/internal/sidecar/logwriter/logwriter.go
+++ b/internal/sidecar/logwriter/logwriter.go
@@ -1,10 +1,10 @@
-// Package logwriter writes log lines without blocking the code that logs for long: a standard error that accepts nothing for a while (a
-// full pipe, a busy disk) must not stop the loop that answers requests.
+// Package logwriter writes log lines without blocking the code that logs for long: a standard error that accepts nothing for a
+// while (a full pipe, a busy disk) must not stop the loop that answers requests.
 //
-// It does not format lines and does not interpret log levels. Invariants: lines are written completely and in order; Write returns within
-// MaxWait, and at once while earlier lines are late; at most MaxQueued lines wait; further lines are dropped, counted, and reported once
-// the queue is empty. Unless the output is late, a line has been written when Write returns, so that an observer of a later effect of the
-// process finds the line in the log.
+// It does not format lines and does not interpret log levels. Invariants: lines are written completely and in order; Write
+// returns within MaxWait, and at once while earlier lines are late; at most MaxQueued lines wait; further lines are dropped,
+// counted, and reported once the queue is empty. Unless the output is late, a line has been written when Write returns, so that
+// an observer of a later effect of the process finds the line in the log.
 package logwriter
 
 import (
--- a/internal/sidecar/logwriter/logwriter_test.go
+++ b/internal/sidecar/logwriter/logwriter_test.go
@@ -38,8 +38,8 @@
 	})
 }
 
-// An output that accepts nothing delays only the first Write, by MaxWait. Lines that do not fit the queue are dropped and counted. Once
-// the output accepts lines again, they are written at once.
+// An output that accepts nothing delays only the first Write, by MaxWait. Lines that do not fit the queue are dropped and
+// counted. Once the output accepts lines again, they are written at once.
 func TestBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		output, dropped := &blockedOutput{unblock: make(chan struct{})}, 0
--- a/internal/sidecar/membudget/membudget.go
+++ b/internal/sidecar/membudget/membudget.go
@@ -1,9 +1,10 @@
-// Package membudget bounds the memory that a process uses for messages: arriving request bodies and buffered responses. Code that needs
-// memory reserves it first. If none is left, the code forwards what it has, waits for a bounded time or refuses the request. A reservation
-// is granted completely or not at all, so no call holds a part of its reservation while it waits for the rest.
+// Package membudget bounds the memory that a process uses for messages: arriving request bodies and buffered responses. Code that
+// needs memory reserves it first. If none is left, the code forwards what it has, waits for a bounded time or refuses the
+// request. A reservation is granted completely or not at all, so no call holds a part of its reservation while it waits for the
+// rest.
 //
-// Invariants: reservations never exceed the limit; waiting reservations are granted in the order in which they were requested, so that
-// small ones cannot starve a large one.
+// Invariants: reservations never exceed the limit; waiting reservations are granted in the order in which they were requested, so
+// that small ones cannot starve a large one.
 package membudget
 
 import (
@@ -43,7 +44,8 @@
 	return true
 }
 
-// Acquire waits until n bytes are free and reserves them. It returns false, with nothing reserved, if ctx ends first or n exceeds the limit.
+// Acquire waits until n bytes are free and reserves them. It returns false, with nothing reserved, if ctx ends first or n exceeds
+// the limit.
 func (b *Budget) Acquire(ctx context.Context, n int64) bool {
 	b.mu.Lock()
 	if b.waiters.Len() == 0 && b.fits(n) {
--- a/internal/sidecar/membudget/membudget_test.go
+++ b/internal/sidecar/membudget/membudget_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// Reservations are granted in the order of their requests, even if a later one would fit earlier. One whose context ends no longer blocks
-// those behind it.
+// Reservations are granted in the order of their requests, even if a later one would fit earlier. One whose context ends no
+// longer blocks those behind it.
 func TestReservationsAreGrantedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := New(10)
@@ -67,7 +67,8 @@
 	}
 }
 
-// In any order of reservations, releases and timeouts, the limit is respected, and in the end nothing is reserved and nothing waits.
+// In any order of reservations, releases and timeouts, the limit is respected, and in the end nothing is reserved and nothing
+// waits.
 func TestAnyOrderOfReservations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sizes := rapid.SliceOfN(rapid.IntRange(1, 12), 1, 60).Draw(rt, "steps")
--- a/internal/sidecar/message/message.go
+++ b/internal/sidecar/message/message.go
@@ -1,8 +1,8 @@
-// Package message defines the two messages that pass through a sidecar, a request to a server and a server's reply, and the limits on
-// their sizes. The core passes them between the front and package upstream without inspecting them.
+// Package message defines the two messages that pass through a sidecar, a request to a server and a server's reply, and the
+// limits on their sizes. The core passes them between the front and package upstream without inspecting them.
 //
-// A short body is buffered. A long body is streamed: it is read as fast as it can be written, and no more than a few chunks of it are in
-// memory at a time. The package parses nothing and opens no connection.
+// A short body is buffered. A long body is streamed: it is read as fast as it can be written, and no more than a few chunks of it
+// are in memory at a time. The package parses nothing and opens no connection.
 package message
 
 import "io"
@@ -29,13 +29,14 @@
 type Reply struct {
 	Header    map[string][]string // names in canonical form
 	Body      []byte
-	Remainder io.ReadCloser // the part of the body that follows Body; returns io.EOF only if the body is complete; nil: Body is the complete body
+	Remainder io.ReadCloser // the part that follows Body; its Read returns io.EOF only at a complete end; nil: Body is complete
 	Size      int64         // if there is a Remainder, the size of the complete body in bytes; -1: unknown
 	// Release frees the memory that is reserved for the reply; nil: none is reserved.
 	Release func()
 }
 
-// Done closes the remainder and frees the reply's memory. The code that writes or discards the reply must call it once, afterwards.
+// Done closes the remainder and frees the reply's memory. The code that writes or discards the reply must call it once,
+// afterwards.
 func (r *Reply) Done() {
 	if r.Remainder != nil {
 		_ = r.Remainder.Close() // it is only read from, so no data can be lost
--- a/internal/sidecar/message/upload.go
+++ b/internal/sidecar/message/upload.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// Upload is the streamed part of a request body. One goroutine of the front runs Pump; one exchange with a server at a time reads chunk by
-// chunk with Next. A chunk that an exchange has not read when it ends is available to the next exchange; a chunk that was read is not
-// available again.
+// Upload is the streamed part of a request body. One goroutine of the front runs Pump; one exchange with a server at a time reads
+// chunk by chunk with Next. A chunk that an exchange has not read when it ends is available to the next exchange; a chunk that
+// was read is not available again.
 type Upload struct {
 	Size int64 // size of the complete body in bytes; -1: unknown until its end
 
@@ -26,7 +26,8 @@
 	err  error
 }
 
-// chunkSize is the size in bytes of each of two buffers: one chunk is read from the client while the other is written to the server.
+// chunkSize is the size in bytes of each of two buffers: one chunk is read from the client while the other is written to the
+// server.
 const chunkSize = 16 << 10
 
 // Errors of Next that are not errors of the body itself.
@@ -42,8 +43,8 @@
 	return u
 }
 
-// Pump passes the data of r to Next until r returns an error or the upload is closed. r must return io.EOF itself if the body is complete,
-// and only then: an error that wraps io.EOF means that the body was cut short.
+// Pump passes the data of r to Next until r returns an error or the upload is closed. r must return io.EOF itself if the body is
+// complete, and only then: an error that wraps io.EOF means that the body was cut short.
 func (u *Upload) Pump(r io.Reader) {
 	var buffers [2][chunkSize]byte
 	for i := 0; ; i++ {
@@ -66,12 +67,13 @@
 // Consumed reports whether a chunk was read by Next, after which the body cannot be sent again. It is safe for concurrent use.
 func (u *Upload) Consumed() bool { return u.consumed.Load() }
 
-// Close makes Next return at once, and Pump as soon as its reader returns. It may be called more than once and from any goroutine.
+// Close makes Next return at once, and Pump as soon as its reader returns. It may be called more than once and from any
+// goroutine.
 func (u *Upload) Close() { u.closeOnce() }
 
-// Next returns the next chunk, which is valid until the next call. The error that ends the body comes with the last chunk or after it: io.EOF
-// if the body is complete, otherwise the error of Pump's reader. ErrStopped means that stop was closed and no chunk was read. ErrClosed
-// means that the upload was closed.
+// Next returns the next chunk, which is valid until the next call. The error that ends the body comes with the last chunk or
+// after it: io.EOF if the body is complete, otherwise the error of Pump's reader. ErrStopped means that stop was closed and no
+// chunk was read. ErrClosed means that the upload was closed.
 func (u *Upload) Next(stop <-chan struct{}) ([]byte, error) {
 	if u.finalErr != nil {
 		return nil, u.finalErr
--- a/internal/sidecar/message/upload_test.go
+++ b/internal/sidecar/message/upload_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// If an exchange is stopped while it waits, the next exchange gets the chunk that arrives afterwards. A stopped exchange does not read an
-// available chunk.
+// If an exchange is stopped while it waits, the next exchange gets the chunk that arrives afterwards. A stopped exchange does not
+// read an available chunk.
 func TestUnreadChunksAreLeftToTheNextExchange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pipeReader, pipeWriter := io.Pipe()
--- a/internal/sidecar/progress/progress.go
+++ b/internal/sidecar/progress/progress.go
@@ -1,11 +1,11 @@
-// Package progress decides whether a peer that sends or receives a long message makes progress, that is, transfers a minimum number of
-// bytes in every interval. It has no side effects; the code that reads or writes asks how long it may wait.
+// Package progress decides whether a peer that sends or receives a long message makes progress, that is, transfers a minimum
+// number of bytes in every interval. It has no side effects; the code that reads or writes asks how long it may wait.
 package progress
 
 import "time"
 
-// Deadline is the moving deadline of one transfer. It expires Interval after Start, or after the peer last completed MinBytes. A peer that
-// transfers at least MinBytes in every Interval never times out. It is not safe for concurrent use.
+// Deadline is the moving deadline of one transfer. It expires Interval after Start, or after the peer last completed MinBytes. A
+// peer that transfers at least MinBytes in every Interval never times out. It is not safe for concurrent use.
 type Deadline struct {
 	MinBytes int64
 	Interval time.Duration
--- a/internal/sidecar/progress/progress_test.go
+++ b/internal/sidecar/progress/progress_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A peer that is fast enough on average never times out, whatever the size of its chunks. A peer that stops or is too slow times out at the
-// end of the interval.
+// A peer that is fast enough on average never times out, whatever the size of its chunks. A peer that stops or is too slow times
+// out at the end of the interval.
 func TestDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name          string
