--- a/internal/sidecar/logwriter/logwriter.go
+++ b/internal/sidecar/logwriter/logwriter.go
@@ -1,4 +1,4 @@
-// Package logwriter writes log lines without blocking the code that logs for long: a standard error that accepts nothing for a
+// Package logwriter writes log lines and delays the code that logs only briefly: a standard error that accepts nothing for a
 // while (a full pipe, a busy disk) must not stop the loop that answers requests.
 //
 // It does not format lines and does not interpret log levels. Invariants: lines are written completely and in order; Write
