--- a/internal/coordination/machine/check.go
+++ b/internal/coordination/machine/check.go
@@ -15,24 +15,26 @@
 	"petrelhook/internal/coordination/release"
 )
 
-// checkTimeout bounds the check of settings by programs of releases.
+// checkTimeout bounds the time that the programs of releases have to check settings.
 const checkTimeout = 10 * time.Second
 
-// maxConcurrentChecks bounds the checks that run at the same time: all sidecars of a machine get a version at the same moment.
+// maxConcurrentChecks bounds the number of checks that run at the same time, because all sidecars of a machine get a version at
+// once.
 const maxConcurrentChecks = 4
 
-// versionCheck is a check of a version for one sidecar, with copies of all that it needs: it runs beside the owner.
+// versionCheck is a check of a version for one sidecar. It runs on its own goroutine, and therefore has copies of the state that
+// it needs.
 type versionCheck struct {
 	agent.Check
 	host       Host
 	config     *SidecarConfig
 	candidate  distribute.Version
-	inForce    []byte // the content of the version in force; nil: none
-	servedFile string // the settings file of the serving process; "": none serves
-	checkFile  string // where the settings that are checked are written
+	inForce    []byte // the content of the version in force; nil if there is none
+	servedFile string // the settings file of the serving process; "" if there is none
+	checkFile  string // the file that the settings to check are written to
 }
 
-// checkInBackground checks a version beside the owner and reports the result to the sidecar.
+// checkInBackground checks a version on another goroutine and posts the result to the sidecar.
 func (m *Machine) checkInBackground(managed *managedSidecar, check agent.Check) {
 	c := versionCheck{Check: check, host: m.config.Host, config: managed.config, candidate: m.versions.byRevision[check.Version],
 		inForce: m.versions.content(managed.InForce), checkFile: m.data.path("checked-" + managed.config.Name + ".json")}
@@ -47,12 +49,12 @@
 		}
 		defer func() { <-m.checkSlots }()
 		result := c.run(m.runContext, m.store)
-		m.post(func() error { return m.carryOut(managed, managed.CheckCompleted(m.now(), check, result)) })
+		m.post(func() error { return m.execute(managed, managed.CheckCompleted(m.now(), check, result)) })
 	})
 }
 
-// run has the program of each release check the version.
-func (c *versionCheck) run(ctx context.Context, store *release.Store) (all agent.CheckResult) {
+// run checks the version with the program of each release. It returns the first result that is not a success.
+func (c *versionCheck) run(ctx context.Context, store *release.Store) (combined agent.CheckResult) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	for i, id := range c.Releases {
@@ -63,13 +65,13 @@
 		if result.Rejection != "" || result.Unavailable != "" {
 			return result
 		}
-		all.Reloadable = all.Reloadable || result.Reloadable
+		combined.Reloadable = combined.Reloadable || result.Reloadable
 	}
-	return all
+	return combined
 }
 
-// checkRelease has the program of one release check the version. The first release is the one that runs, if one does; a result for
-// another one says that it is the confirmed release.
+// checkRelease checks the version with the program of one release. The first release is the running one, if there is one; the
+// rejection by any other release says that it is the confirmed one.
 func (c *versionCheck) checkRelease(ctx context.Context, store *release.Store, id release.ID, first bool) (result agent.CheckResult) {
 	unavailable := func(err error) agent.CheckResult { return agent.CheckResult{Unavailable: err.Error()} }
 	r, err := store.Open(id)
@@ -91,11 +93,11 @@
 	if first && c.servedFile != "" {
 		result.Reloadable = reloadable(c.servedFile, after)
 	}
-	var lines bytes.Buffer // one field a line, so that the program can name a place
-	if err := json.Indent(&lines, after, "", " "); err != nil {
+	var indented bytes.Buffer // one field per line, so that the program can report a line number
+	if err := json.Indent(&indented, after, "", " "); err != nil {
 		return unavailable(err)
 	}
-	if err := os.WriteFile(c.checkFile, lines.Bytes(), 0o600); err != nil {
+	if err := os.WriteFile(c.checkFile, indented.Bytes(), 0o600); err != nil {
 		return unavailable(err)
 	}
 	output, err := c.host.CheckSettings(ctx, r.Program, c.checkFile)
@@ -118,26 +120,26 @@
 	return agent.CheckResult{Unavailable: fmt.Sprintf("%s: its program was not asked: %v", id, errors.Join(ctx.Err(), err))}
 }
 
-// incompatibility says why processes with two settings must not run side by side; "": they may. They do while a version is applied: at
-// each sidecar during a trial, and over all sidecars for longer.
+// incompatibility returns the reason why processes with the two settings must not run side by side, "" if they may. While a
+// version is applied they do: at each sidecar during its trial, and across the fleet until all sidecars have the version.
 func incompatibility(before, after []byte, stepsDone bool) string {
 	findings, err := release.Compare(before, after)
-	if err != nil { // the program says where the settings are wrong
+	if err != nil { // the program itself reports invalid settings
 		return ""
 	}
-	for _, f := range findings {
+	for _, finding := range findings {
 		switch {
-		case f.Kind == release.Refused:
-			return fmt.Sprintf("old and new must not run side by side: %v", f)
-		case f.Kind == release.TwoSteps && !stepsDone:
-			return fmt.Sprintf("%v; publish it with --steps-done once that was done", f)
+		case finding.Kind == release.Refused:
+			return fmt.Sprintf("old and new must not run side by side: %v", finding)
+		case finding.Kind == release.TwoSteps && !stepsDone:
+			return fmt.Sprintf("%v; publish it with --steps-done once that was done", finding)
 		}
 	}
 	return ""
 }
 
-// reloadable reports whether a process that was started with a file can reload for other settings: it reads again only the field that
-// says where its servers are listed.
+// reloadable reports whether a process that was started with a settings file can apply other settings by a reload. A reload
+// applies only the discovery field, the source of the server list.
 func reloadable(file string, settings []byte) bool {
 	current, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/coordination/machine/config.go
+++ b/internal/coordination/machine/config.go
@@ -9,39 +9,39 @@
 	"petrelhook/internal/coordination/agent"
 )
 
-// Config is the settings of an agent.
+// Config holds the settings of an agent.
 type Config struct {
 	Application    string
-	Listen         string // where drivers and operators reach the agent
+	Listen         string // the address that drivers and operators call
 	Data           string // the folder for the agent's state and the sidecars' files
-	Releases       string // the folder of the store
-	Release        string // what a sidecar without state begins with
+	Releases       string // the folder of the release store
+	Release        string // the initial release of a sidecar without persisted state
 	Limits         agent.Limits
-	ContactTimeout time.Duration // the machine is isolated once no driver called for so long
-	PollInterval   time.Duration // between two polls of the processes
+	ContactTimeout time.Duration // the machine counts as isolated after this time without a call of a driver
+	PollInterval   time.Duration // the time between two polls of the processes
 	Sidecars       []SidecarConfig
 
-	Coordinators []string // that send versions of the application's configuration; none: there are no versions
-	Member       string   // the agent's name at the coordinators
+	Coordinators []string // addresses; they send versions of the application's configuration. Empty: no versions are received
+	Member       string   // the name that the agent reports to the coordinators
 
-	Host Host // nil: the operating system; no file has it
+	Host Host // nil: the operating system; it cannot be set in the file
 
-	Warnings []string // what the file should say otherwise, each with its place; the program logs them
+	Warnings []string // deprecated names in the file, each with its position; the program logs them
 }
 
-// SidecarConfig is the settings of one sidecar of the machine.
+// SidecarConfig holds the settings of one sidecar of the machine.
 type SidecarConfig struct {
 	Name, Zone, Listen string
-	AdminAddresses     [2]string                  // of the operators' endpoint: one each for the two processes of a change
-	Overrides          map[string]json.RawMessage // fields of the release's settings that are this sidecar's own
+	AdminAddresses     [2]string                  // of the operators' endpoint, one for each of the two processes that run during a release change
+	Overrides          map[string]json.RawMessage // values that replace fields of the release's settings for this sidecar
 }
 
-// The defaults.
+// The defaults of settings.
 const (
 	DefaultListen         = "127.0.0.1:7500"
 	defaultContactTimeout = 5 * time.Second
 	defaultPollInterval   = 200 * time.Millisecond
-	// defaultVersionTrialPeriod is short: a version has to be in force within seconds of its publication.
+	// defaultVersionTrialPeriod is short because a version must be in force within seconds of its publication.
 	defaultVersionTrialPeriod = 2 * time.Second
 )
 
@@ -54,7 +54,7 @@
 	MaxBackoff:         time.Minute,
 }
 
-// Read reads the settings in a file. Relative folders are taken from the file's own.
+// Read reads a settings file. Relative folders are resolved against the folder of the file.
 func Read(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/coordination/machine/data.go
+++ b/internal/coordination/machine/data.go
@@ -13,25 +13,25 @@
 	"petrelhook/internal/coordination/agent"
 )
 
-// The kinds of files that each start of a sidecar has of its own; see Machine.startFile.
+// The kinds of files that each start of a sidecar has; see Machine.startFile.
 const (
-	claimFile  = "start"  // names the process of the start; see startProgram
-	configFile = "config" // the settings that its program reads
-	logFile    = "log"    // what its program writes
+	claimFile  = "start"  // identifies the process of the start; see ClaimStart
+	configFile = "config" // the settings file of its program
+	logFile    = "log"    // the output of its program
 )
 
-// temporaryFolder is the folder in the data folder where sidecars make temporary files.
+// temporaryFolder is the folder in the data folder for the temporary files of sidecars.
 const temporaryFolder = "tmp"
 
-// retainedStarts is the number of starts whose files are left for people to read.
+// retainedStarts is the number of starts whose files are kept for debugging.
 const retainedStarts = 8
 
-// dataFolder is the folder for the agent's state.
+// dataFolder is the path of the folder with the agent's state.
 type dataFolder string
 
 func (d dataFolder) path(name string) string { return filepath.Join(string(d), name) }
 
-// readJSON reads what was written under a name. found is false if nothing was.
+// readJSON reads the value that writeJSON stored under a name. found is false if there is none.
 func (d dataFolder) readJSON(name string, v any) (found bool, err error) {
 	path := d.path(name + ".json")
 	text, err := os.ReadFile(path)
@@ -47,7 +47,7 @@
 	return true, nil
 }
 
-// writeJSON replaces what was written under a name. It is on the disk when writeJSON returns.
+// writeJSON stores a value under a name, in place of an earlier one. It is on the disk when writeJSON returns.
 func (d dataFolder) writeJSON(name string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -56,7 +56,8 @@
 	return replaceFile(d.path(name+".json"), text)
 }
 
-// replaceFile replaces a file atomically and durably: a reader finds the old or the new content, also after a failure of the machine.
+// replaceFile replaces a file atomically and durably: a reader finds the complete old or new content, also after a crash of the
+// machine.
 func replaceFile(path string, text []byte) error {
 	f, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -79,17 +80,17 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// startFile is the path of a file of one of a sidecar's starts.
+// startFile returns the path of the file of a kind that belongs to one start of a sidecar.
 func (m *Machine) startFile(managed *managedSidecar, kind string, startNumber uint64) string {
 	return m.data.path(fmt.Sprintf("%s-%s-%d", kind, managed.config.Name, startNumber))
 }
 
-// lastStartFile is the path of a file of a sidecar's last start.
+// lastStartFile returns the path of the file of a kind that belongs to the last start of a sidecar.
 func (m *Machine) lastStartFile(managed *managedSidecar, kind string) string {
 	return m.startFile(managed, kind, managed.StartCount)
 }
 
-// removeOldFiles removes the files of old starts, but not those of a process that is alive, which may reload its settings. A file that
+// removeOldFiles removes the files of old starts, except those of a running process, which may reload its settings. A file that
 // cannot be removed does no harm; the next start tries again.
 func (m *Machine) removeOldFiles(managed *managedSidecar) {
 	entries, _ := os.ReadDir(string(m.data))
@@ -100,8 +101,8 @@
 			if !ok || err != nil || startNumber+retainedStarts > managed.StartCount {
 				continue
 			}
-			startedBy := func(p *agent.Process) bool { return p != nil && p.StartNumber == startNumber }
-			if !slices.ContainsFunc([]*agent.Process{managed.Serving, managed.Next, managed.Terminating}, startedBy) {
+			isStart := func(p *agent.Process) bool { return p != nil && p.StartNumber == startNumber }
+			if !slices.ContainsFunc([]*agent.Process{managed.Serving, managed.Next, managed.Terminating}, isStart) {
 				_ = os.Remove(m.data.path(e.Name()))
 			}
 		}
--- a/internal/coordination/machine/doc.go
+++ b/internal/coordination/machine/doc.go
@@ -1,10 +1,11 @@
-// Package machine runs the sidecars of one machine: it starts, probes, signals and restores their processes, keeps their state on the
-// disk and answers the calls of drivers. It decides nothing about them: agent.Sidecar says what is to be done with a sidecar, and
-// rollout.Fence which orders are accepted.
+// Package machine is the agent of one machine. It starts, probes, signals and restores the processes of the machine's sidecars,
+// persists their state and serves the calls of drivers. It makes no decisions about sidecars: agent.Sidecar decides which actions
+// to take, and rollout.Fence which orders to accept.
 //
-// One goroutine, that of Machine.Run, owns all state. Probes, checks and calls run beside it and hand it functions by Machine.post.
+// One goroutine, that of Machine.Run, owns all state. Probes, checks and calls run on other goroutines and pass functions to the
+// owner by Machine.post.
 //
-// Invariants: state is on the disk before anything that rests on it is carried out or answered; a signal goes to the process that is
-// meant or to none; a start is made once, even if the agent is killed in the middle of it; an agent that ends leaves its sidecars as
-// they are.
+// Invariants: state is on the disk before an action that depends on it is executed or a call that depends on it is answered; a
+// signal reaches the intended process or none; a start creates at most one process, even if the agent is killed in the middle of
+// it; an agent that exits leaves its sidecars running.
 package machine
--- a/internal/coordination/machine/host.go
+++ b/internal/coordination/machine/host.go
@@ -12,34 +12,35 @@
 	"petrelhook/internal/coordination/agent"
 )
 
-// Host runs the processes of a machine's sidecars: the operating system, or in tests a simulation of one. Its methods are called from any
-// goroutine. Files are not part of it: the agent's state and those of starts are on the real disk in any case.
+// Host runs the processes of a machine's sidecars. It is the operating system, or in tests a simulation of one. Its methods may
+// be called from any goroutine. Files are not part of it: the agent's state and the files of starts are always on the real disk.
 type Host interface {
-	// Start starts a program. It makes a start at most once, by ClaimStart before the program runs, and it may be found out with the claim
-	// file alone whether it was made.
+	// Start starts a program. The new process must call ClaimStart before the program runs, so that one start creates at most one
+	// process and the claim file alone tells whether it did.
 	Start(o StartOptions) (agent.Process, error)
-	// Lives reports whether a process runs. Another process with its ID does not count.
+	// Lives reports whether a process is running. A later process that reuses its ID does not count.
 	Lives(p agent.Process) bool
-	// Signal sends a signal to a process, if it is alive. There is no error: the process may have ended meanwhile, and the next poll
-	// detects that.
+	// Signal sends a signal to a process if it is running. It returns no error because the process may have exited meanwhile,
+	// which the next poll detects.
 	Signal(p agent.Process, s syscall.Signal)
-	// Usage returns the processor time that a process has used, in clock ticks, and its resident bytes; zeros if it does not run.
+	// Usage returns the processor time that a process has used, in clock ticks, and its resident bytes; zeros if it is not
+	// running.
 	Usage(p agent.Process) (ticks, resident uint64)
-	// CheckSettings has a program check a file of settings, and returns what the program wrote, without space around it. The error is a
-	// *ProgramError if the program ended by itself and reported a failure; after another error it is not known what it would have said.
+	// CheckSettings runs a program to check a settings file, and returns the program's output without surrounding space. The
+	// error is a *ProgramError if the program exited with a failure; any other error means that the check gave no result.
 	CheckSettings(ctx context.Context, program, settings string) (output string, err error)
 	// Dial connects to an operators' endpoint or a coordinator, as net.Dialer.DialContext does.
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// ProgramError says that a program ended by itself with a failure.
+// ProgramError means that a program exited by itself with a failure status.
 type ProgramError struct{ Err error }
 
 func (e *ProgramError) Error() string { return e.Err.Error() }
 
 func (e *ProgramError) Unwrap() error { return e.Err }
 
-// operatingSystem is the Host of an agent in service.
+// operatingSystem is the Host that agents use in production.
 type operatingSystem struct{}
 
 func (operatingSystem) Start(o StartOptions) (agent.Process, error) { return startProgram(o) }
@@ -50,7 +51,7 @@
 
 func (operatingSystem) Usage(p agent.Process) (ticks, resident uint64) { return usage(p) }
 
-// checkWaitDelay is how long the output of a program that checks settings is awaited after its end.
+// checkWaitDelay bounds the wait for the output of a settings check after its program has exited or been killed.
 const checkWaitDelay = time.Second
 
 func (operatingSystem) CheckSettings(ctx context.Context, program, settings string) (string, error) {
--- a/internal/coordination/machine/machine.go
+++ b/internal/coordination/machine/machine.go
@@ -19,39 +19,40 @@
 	"petrelhook/internal/coordination/subscribe"
 )
 
-// Machine is the agent of one machine. Open makes one, and Run is called once.
+// Machine is the agent of one machine. Open returns one, and Run must be called once.
 type Machine struct {
 	config       *Config
 	log          *slog.Logger
 	store        *release.Store
 	data         dataFolder
-	lockFile     *os.File // locked while this agent is in charge of the data folder
+	lockFile     *os.File // locked while this agent uses the data folder
 	startedAt    time.Time
 	sidecars     []*managedSidecar
 	driver       driverContact
 	versions     versionStore
-	adminClient  *http.Client        // of probes
-	subscription versionSubscription // nil: the settings name no coordinators
+	adminClient  *http.Client        // for probes
+	subscription versionSubscription // nil if the settings name no coordinators
 
-	posted     chan func() error // what the owner has to run; an error ends the agent
-	ended      chan struct{}     // closed when the owner has ended
-	runContext context.Context   // of Run
+	posted     chan func() error // functions for the owner to run; an error ends the agent
+	ended      chan struct{}     // closed when the owner runs no more functions
+	runContext context.Context   // the context of Run, canceled when Run returns
 	background sync.WaitGroup    // probes, checks, the server and the subscription
-	checkSlots chan struct{}     // one for each version check that may run at the same time
+	checkSlots chan struct{}     // a semaphore that limits concurrent version checks
 }
 
-// versionSubscription delivers newer versions of the configuration to the function that it was made with, and reports to the
-// coordinators which version each sidecar has in force. *subscribe.Client is one; tests have another.
+// versionSubscription delivers newer versions of the configuration to the accept function of newSubscription, and reports to the
+// coordinators which version each sidecar has in force. It is a *subscribe.Client except in tests.
 type versionSubscription interface {
 	Run(context.Context)
 	Report(distribute.Report)
 }
 
-// newSubscription makes the subscription of an agent whose newest version is newest. accept returns once a version is on the disk, or
-// an error that says why it is not accepted. It may return nil.
+// newSubscription returns the subscription of an agent whose newest stored version is newest, or nil for no subscription. accept
+// returns nil once the version is on the disk, or the reason why the version is not accepted.
 type newSubscription func(newest distribute.Revision, accept func(distribute.Version) error) versionSubscription
 
-// Open restores the machine from its data folder and the processes that still run. It fails if another agent has the folder.
+// Open restores the machine from its data folder and from the processes that are still running. It returns an error if another
+// agent uses the folder.
 func Open(config *Config, log *slog.Logger) (*Machine, error) {
 	return open(config, log, func(newest distribute.Revision, accept func(distribute.Version) error) versionSubscription {
 		if len(config.Coordinators) == 0 {
@@ -79,13 +80,13 @@
 		checkSlots: make(chan struct{}, maxConcurrentChecks),
 	}
 	if err := m.restore(subscription); err != nil {
-		_ = lockFile.Close() // it holds nothing but the lock
+		_ = lockFile.Close() // the file is empty
 		return nil, err
 	}
 	return m, nil
 }
 
-// lockFolder makes the data folder and locks it, for as long as the file stays open.
+// lockFolder creates the data folder if necessary and locks it until the returned file is closed.
 func lockFolder(dir string) (*os.File, error) {
 	if err := os.MkdirAll(filepath.Join(dir, temporaryFolder), 0o700); err != nil {
 		return nil, err
@@ -95,13 +96,13 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = lockFile.Close() // it holds nothing but the lock
+		_ = lockFile.Close() // the file is empty
 		return nil, fmt.Errorf("%s: another agent is in charge of it: %w", dir, err)
 	}
 	return lockFile, nil
 }
 
-// restore reads what an earlier agent left.
+// restore loads the state that an earlier agent persisted.
 func (m *Machine) restore(subscription newSubscription) (err error) {
 	if m.store, err = release.NewStore(m.config.Releases); err != nil {
 		return err
@@ -121,13 +122,14 @@
 	return nil
 }
 
-// now is the time that agent.Sidecar is given.
+// now returns the time since the agent started, which is the clock of agent.Sidecar.
 func (m *Machine) now() time.Duration { return time.Since(m.startedAt) }
 
-// Run serves calls on ln and supervises the sidecars until ctx ends. An error is one of the disk or of the listener; after an error of
-// the disk the state on it is unknown, and the agent has to be restarted. Run returns after all that it began has ended.
+// Run serves calls on ln and supervises the sidecars until ctx ends, and then returns nil. It returns an error if the disk or the
+// listener fails; after a disk error the state on the disk is unknown, and the agent has to be restarted. When Run returns, all
+// goroutines that it started have ended.
 func (m *Machine) Run(ctx context.Context, ln net.Listener) error {
-	defer func() { _ = m.lockFile.Close() }() // it holds nothing but the lock
+	defer func() { _ = m.lockFile.Close() }() // the file is empty; this releases the lock
 	defer m.background.Wait()
 	defer close(m.ended)
 	ctx, cancel := context.WithCancel(ctx)
@@ -139,7 +141,7 @@
 	server := m.server()
 	serverFailed := make(chan error, 1)
 	m.background.Go(func() { serverFailed <- server.Serve(ln) })
-	defer func() { _ = server.Close() }() // drivers repeat the calls that this interrupts
+	defer func() { _ = server.Close() }() // drivers retry the calls that this interrupts
 	ticker := time.NewTicker(m.config.PollInterval)
 	defer ticker.Stop()
 	for {
@@ -159,6 +161,7 @@
 	}
 }
 
+// server returns the HTTP server of the agent's calls.
 func (m *Machine) server() *http.Server {
 	mux := http.NewServeMux()
 	rpc.Handle(mux, PathStatus, maxRequestBytes, m.handleStatus)
@@ -178,8 +181,8 @@
 	return nil
 }
 
-// poll reports processes that have ended to the sidecar, carries out what it asks for at this time, and probes the processes that are
-// alive.
+// poll reports processes that have exited to the sidecar, executes the actions that are due, and starts probes of the processes
+// that are alive.
 func (m *Machine) poll(ctx context.Context, managed *managedSidecar) error {
 	var actions []agent.Action
 	for _, p := range []*agent.Process{managed.Serving, managed.Next, managed.Terminating} {
@@ -187,13 +190,13 @@
 			continue
 		}
 		lastLine := ""
-		if p == managed.Next { // only then is the log of the last start its own
+		if p == managed.Next { // the log of the last start belongs to the next process only
 			lastLine = lastLogLine(m.lastStartFile(managed, logFile))
 		}
 		actions = append(actions, managed.ProcessExited(m.now(), *p, lastLine)...)
 	}
 	managed.SetIsolated(m.now(), m.now()-m.driver.lastContact >= m.config.ContactTimeout)
-	if err := m.carryOut(managed, append(actions, managed.Tick(m.now())...)); err != nil {
+	if err := m.execute(managed, append(actions, managed.Tick(m.now())...)); err != nil {
 		return err
 	}
 	for p := range managed.counts {
@@ -210,7 +213,8 @@
 	return nil
 }
 
-// post has f run by the goroutine that owns the machine; an error of f ends the agent. It returns false if the agent has ended.
+// post queues f for the goroutine that owns the machine; an error of f ends the agent. It returns false if the agent has ended; a
+// queued f does not run if the agent ends first. It may be called from any goroutine except the owner's.
 func (m *Machine) post(f func() error) bool {
 	select {
 	case m.posted <- f:
--- a/internal/coordination/machine/parse.go
+++ b/internal/coordination/machine/parse.go
@@ -14,7 +14,7 @@
 	"petrelhook/internal/coordination/distribute"
 )
 
-// The names that earlier versions had for fields, each with the current one. They are still read; see yamlfile.DeprecatedNames.
+// Deprecated field names, each with the current name. They are still accepted; see yamlfile.DeprecatedNames.
 var (
 	renamedLimits = map[string]string{
 		"ready":              "ready_timeout",
@@ -30,19 +30,19 @@
 	renamedSidecarFields       = map[string]string{"doors": "admin_addresses"}
 )
 
-// parser reads one file of settings.
+// parser parses one settings file.
 type parser struct {
 	file        string
 	config      *Config
 	allowRemote bool
 
-	// Sections, which are read after the fields of the top; the zero node: the file does not have it.
+	// Sections, which are parsed after the top-level fields. A zero node means that the file does not have the section.
 	limits, sidecars, configuration yaml.Node
 
 	deprecated yamlfile.DeprecatedNames
 }
 
-// Parse reads the text of a file. Every error names file, line, column and field, and says what to write.
+// Parse parses the text of a settings file. Every error names the file, line, column and field, and says what to write.
 func Parse(file string, text []byte) (*Config, error) {
 	top, err := yamlfile.Mapping(file, text, "fields such as application: permits")
 	if err != nil {
@@ -85,7 +85,7 @@
 	return yamlfile.Problem(p.file, n, field, what)
 }
 
-// maxDuration bounds all times of the file.
+// maxDuration bounds all durations in the file.
 const maxDuration = 24 * time.Hour
 
 func (p *parser) readTop(top *yaml.Node) error {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// reachable reports whether the file allows an address: any address of loopback, and others only with allow_remote.
+// reachable reports whether the file permits an address: any loopback address, and others only with allow_remote.
 func (p *parser) reachable(address string) bool {
 	host, _, _ := net.SplitHostPort(address)
 	return p.allowRemote || yamlfile.Loopback(host)
@@ -145,7 +145,7 @@
 	}, renamedLimits)
 }
 
-// readConfiguration reads where versions of the configuration come from.
+// readConfiguration reads the section on the distribution of configuration versions.
 func (p *parser) readConfiguration(n *yaml.Node) error {
 	const section = "configuration"
 	if n.Kind != yaml.MappingNode {
@@ -165,7 +165,7 @@
 		return p.problem(n, section+".coordinators", "missing; write the coordinators' addresses")
 	}
 	if c.Member == "" {
-		host, _ := os.Hostname() // without a name the address has to do
+		host, _ := os.Hostname() // without a host name the address alone is the name
 		c.Member = host[:min(len(host), distribute.MaxNameBytes/2)] + "/" + c.Listen
 	}
 	return nil
@@ -186,9 +186,9 @@
 	if err := yamlfile.Decode(n, &p.config.Coordinators, `a list such as ["127.0.0.1:7400"]`); err != nil {
 		return err
 	}
-	for _, one := range n.Content {
+	for _, node := range n.Content {
 		var address string
-		if err := yamlfile.Address(one, &address); err != nil {
+		if err := yamlfile.Address(node, &address); err != nil {
 			return err
 		}
 		if !p.reachable(address) {
@@ -199,19 +199,19 @@
 	return nil
 }
 
-// readSidecars reads all sidecars. No two may have the same name or address.
+// readSidecars reads the list of sidecars. No two may have the same name or address.
 func (p *parser) readSidecars() error {
-	lines := map[string]int{} // where a name or address was used first
+	lines := map[string]int{} // the line of each name and address
 	return yamlfile.EachMapping(p.file, "sidecars", &p.sidecars, func(path string, n *yaml.Node) error {
 		s, err := p.readSidecar(path, n)
 		if err != nil {
 			return err
 		}
-		for _, own := range []string{"name " + s.Name, s.Listen, s.AdminAddresses[0], s.AdminAddresses[1]} {
-			if lines[own] != 0 {
-				return p.problem(n, path, fmt.Sprintf("%s is in line %d already", own, lines[own]))
+		for _, key := range []string{"name " + s.Name, s.Listen, s.AdminAddresses[0], s.AdminAddresses[1]} {
+			if lines[key] != 0 {
+				return p.problem(n, path, fmt.Sprintf("%s is in line %d already", key, lines[key]))
 			}
-			lines[own] = n.Line
+			lines[key] = n.Line
 		}
 		p.config.Sidecars = append(p.config.Sidecars, s)
 		return nil
@@ -248,8 +248,8 @@
 	if err := yamlfile.Decode(n, &addresses, "two addresses"); err != nil {
 		return nil, err
 	}
-	for _, one := range n.Content {
-		if err := yamlfile.Address(one, new(string)); err != nil {
+	for _, node := range n.Content {
+		if err := yamlfile.Address(node, new(string)); err != nil {
 			return nil, err
 		}
 	}
@@ -259,7 +259,7 @@
 	return addresses, nil
 }
 
-// readOverrides converts a sidecar's own fields to JSON. None of them may be one that the agent writes.
+// readOverrides converts the overrides of a sidecar to JSON. Fields that the agent itself sets are an error.
 func (p *parser) readOverrides(path string, n *yaml.Node, fields map[string]any) (map[string]json.RawMessage, error) {
 	overrides := map[string]json.RawMessage{}
 	for name, value := range fields {
@@ -277,7 +277,7 @@
 	return overrides, nil
 }
 
-// checkMember checks what the coordinators would refuse in the agent's watches.
+// checkMember returns an error if the coordinators would reject the agent's watches, for example for a name that is too long.
 func (p *parser) checkMember() error {
 	if p.configuration.IsZero() {
 		return nil
--- a/internal/coordination/machine/parse_test.go
+++ b/internal/coordination/machine/parse_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// agentFile is an agent's file with one setting of each kind that has had another name.
+// agentFile is an agent's settings file with every setting that has a deprecated name.
 const agentFile = `application: permits
 data: /d
 releases: /r
@@ -27,8 +27,8 @@
 configuration: {coordinators: ["127.0.0.1:7"], member: m, trial_period: 1s}
 `
 
-// A setting under the name that earlier versions had for it is read as under its current name, with one warning that says the current one. A
-// file with both names is an error.
+// A setting under its deprecated name has the same effect as under its current name, with one warning that gives the current
+// name. A file with both names is an error.
 func TestDeprecatedAgentSettings(t *testing.T) {
 	want, err := Parse("a", []byte(agentFile))
 	if err != nil || len(want.Warnings) != 0 {
--- a/internal/coordination/machine/recorded_test.go
+++ b/internal/coordination/machine/recorded_test.go
@@ -12,10 +12,10 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// recordedFolder has what revision cfdfdec wrote; the README in it says how it was made.
+// recordedFolder has messages and state that revision cfdfdec wrote; the README in it says how they were made.
 const recordedFolder = "testdata/cfdfdec"
 
-// The messages of an agent's calls and the state of a sidecar are read, and written in the same form.
+// The recorded messages of an agent's calls and the recorded state of a sidecar are read, and written again in the same form.
 func TestRecordedMessagesAreRead(t *testing.T) {
 	for name, v := range map[string]any{
 		"status-request.json": &StatusRequest{},
@@ -37,7 +37,7 @@
 	}
 }
 
-// An agent takes up the data folder that an earlier version left.
+// An agent restores its state from the data folder of an earlier version.
 func TestRecordedDataIsRead(t *testing.T) {
 	g := newTestAgent(t)
 	g.stop()
@@ -62,15 +62,15 @@
 	if m.versions.newest != 6 || string(m.versions.content(5)) != `{"discovery":"b","settings":{"y":2}}` {
 		t.Errorf("%d, %+v", m.versions.newest, m.versions.byRevision)
 	}
-	k := m.sidecars[0].PersistedState
-	if k.Confirmed != "dd2d610c130bf85e584e3bbb283828c2" || k.CompletedOrder != 4 || k.StartCount != 3 || k.InForce != 5 || k.Rejected != 6 {
-		t.Errorf("%+v", k)
+	state := m.sidecars[0].PersistedState
+	if state.Confirmed != "dd2d610c130bf85e584e3bbb283828c2" || state.CompletedOrder != 4 || state.StartCount != 3 || state.InForce != 5 || state.Rejected != 6 {
+		t.Errorf("%+v", state)
 	}
-	if k.Serving != nil { // its process has ended long ago
-		t.Errorf("%+v", k.Serving)
+	if state.Serving != nil { // the recorded process has exited
+		t.Errorf("%+v", state.Serving)
 	}
 	if serving == nil || !Lives(*serving) {
-		t.Errorf("the process of another agent was touched: %+v", serving)
+		t.Errorf("the process of another agent was stopped: %+v", serving)
 	}
 
 	found, err := resolveStart(filepath.Join(c.Data, "start-n0-3"))
@@ -78,7 +78,7 @@
 		t.Errorf("%+v, %v", found, err)
 	}
 	version := distribute.Version{}
-	if was, err := m.data.readJSON("version-6", &version); !was || err != nil || version.Revision != 6 {
-		t.Errorf("%v, %v, %+v", was, err, version)
+	if ok, err := m.data.readJSON("version-6", &version); !ok || err != nil || version.Revision != 6 {
+		t.Errorf("%v, %v, %+v", ok, err, version)
 	}
 }
--- a/internal/coordination/machine/service.go
+++ b/internal/coordination/machine/service.go
@@ -16,11 +16,11 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// driverContact is what an agent knows of the drivers that called it.
+// driverContact records which drivers and orders an agent has accepted, and the time of the last call of a driver.
 type driverContact struct {
 	fence       rollout.Fence
-	savedFence  rollout.Fence // as it is on the disk
-	lastContact time.Duration // by Machine.now
+	savedFence  rollout.Fence // the fence on the disk
+	lastContact time.Duration // a reading of Machine.now
 }
 
 const fenceName = "fence"
@@ -33,7 +33,7 @@
 	return err
 }
 
-// save writes the fence if it has changed.
+// save persists the fence if it has changed.
 func (d *driverContact) save(data dataFolder) error {
 	if d.savedFence.Equal(d.fence) {
 		return nil
@@ -45,15 +45,15 @@
 	return nil
 }
 
-// errStopping answers calls that the agent can no longer carry out.
+// errStopping is the response to calls that the agent can no longer execute.
 var errStopping = connect.NewError(connect.CodeUnavailable, errors.New("this agent is stopping"))
 
-// diskError is an error of the agent's disk. It ends the agent: the state on the disk is unknown.
+// diskError wraps an error of the agent's disk. It ends the agent, because the state on the disk is then unknown.
 type diskError struct{ error }
 
 func (e diskError) Unwrap() error { return e.error }
 
-// asDiskError marks an error, if there is one, as one of the disk.
+// asDiskError wraps err in a diskError; nil stays nil.
 func asDiskError(err error) error {
 	if err == nil {
 		return nil
@@ -61,37 +61,38 @@
 	return diskError{err}
 }
 
-// runOwned has f run by the goroutine that owns the machine, and returns its result. A diskError of f ends the agent.
-func runOwned[T any](ctx context.Context, m *Machine, f func() (T, error)) (T, error) {
+// runOnOwner runs f on the goroutine that owns the machine, and waits for its result. A diskError of f ends the agent. If ctx
+// ends first, runOnOwner returns ctx.Err(), and f may still run. The owner itself must not call it.
+func runOnOwner[T any](ctx context.Context, m *Machine, f func() (T, error)) (T, error) {
 	type result struct {
 		value T
 		err   error
 	}
-	var none T
+	var zero T
 	done := make(chan result, 1)
 	posted := m.post(func() error {
 		value, err := f()
 		done <- result{value, err}
-		var onDisk diskError
-		if errors.As(err, &onDisk) {
-			return onDisk.error
+		var diskErr diskError
+		if errors.As(err, &diskErr) {
+			return diskErr.error
 		}
 		return nil
 	})
 	if !posted {
-		return none, errStopping
+		return zero, errStopping
 	}
 	select {
 	case r := <-done:
 		return r.value, r.err
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	case <-m.ended:
-		return none, errStopping
+		return zero, errStopping
 	}
 }
 
-// checkAddressee refuses a message of another version or for another application's agent.
+// checkAddressee rejects a message of another protocol version or for the agent of another application.
 func (m *Machine) checkAddressee(version int, application string) error {
 	if version != Version {
 		return connect.NewError(connect.CodeFailedPrecondition, fmt.Errorf("version %d; this agent speaks %d", version, Version))
@@ -106,7 +107,7 @@
 	if err := m.checkAddressee(request.Version, request.Application); err != nil {
 		return nil, err
 	}
-	return runOwned(ctx, m, func() (*Status, error) {
+	return runOnOwner(ctx, m, func() (*Status, error) {
 		if request.Token != 0 {
 			if err := m.observeToken(request.Token); err != nil {
 				return nil, err
@@ -116,7 +117,7 @@
 		for _, managed := range m.sidecars {
 			if request.Token != 0 && request.Confirmed != "" {
 				managed.Confirm(request.Confirmed)
-				if err := asDiskError(m.carryOut(managed, nil)); err != nil {
+				if err := asDiskError(m.execute(managed, nil)); err != nil {
 					return nil, err
 				}
 			}
@@ -126,7 +127,8 @@
 	})
 }
 
-// observeToken notes a call of the driver with a fencing token. Drivers with older tokens are refused from then on.
+// observeToken records a call of the driver with a fencing token, and persists the token. Calls of drivers with older tokens are
+// rejected from then on. Only the goroutine that owns the machine may call it.
 func (m *Machine) observeToken(token uint64) error {
 	if err := m.driver.fence.ObserveToken(token); err != nil {
 		return connect.NewError(connect.CodeAborted, err)
@@ -135,7 +137,7 @@
 	return asDiskError(m.driver.save(m.data))
 }
 
-// status is what a driver is answered of a sidecar.
+// status returns the status of a sidecar for a driver.
 func (s *managedSidecar) status(host Host) SidecarStatus {
 	status := SidecarStatus{Zone: s.config.Zone, Phase: s.Phase.String(), Confirmed: s.Confirmed}
 	status.Report = rollout.Report{Sidecar: s.config.Name, CompletedOrder: s.CompletedOrder, FailureReason: s.FailureReason,
@@ -152,7 +154,7 @@
 	if err := m.checkAddressee(request.Version, request.Application); err != nil {
 		return nil, err
 	}
-	return runOwned(ctx, m, func() (*OrderResponse, error) {
+	return runOnOwner(ctx, m, func() (*OrderResponse, error) {
 		for _, managed := range m.sidecars {
 			if managed.config.Name == request.Order.Sidecar {
 				return m.acceptOrder(managed, request.Token, request.Order)
@@ -162,7 +164,7 @@
 	})
 }
 
-// acceptOrder begins to carry out an order. The fence with its number is on the disk before anything is done.
+// acceptOrder starts to execute an order. The fence with the number of the order is on the disk before the first action.
 func (m *Machine) acceptOrder(managed *managedSidecar, token uint64, order rollout.Order) (*OrderResponse, error) {
 	known, err := m.driver.fence.Admit(token, order)
 	if stale := (*rollout.StaleTokenError)(nil); errors.As(err, &stale) {
@@ -174,30 +176,31 @@
 	if err := asDiskError(m.driver.save(m.data)); err != nil {
 		return nil, err
 	}
-	// The sidecar is asked even if the fence knows the order: the agent may have been killed in between, and the sidecar ignores
-	// an order that it has carried out.
+	// The sidecar gets the order even if the fence knows it: the agent may have been killed after it saved the fence, and the
+	// sidecar ignores an order that it has completed.
 	actions, err := managed.ChangeRelease(m.now(), order.Number, order.Release)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	return &OrderResponse{known}, asDiskError(m.carryOut(managed, actions))
+	return &OrderResponse{known}, asDiskError(m.execute(managed, actions))
 }
 
-// handleCheck has the program of a release check its settings for each sidecar, with the version that the sidecar has in force.
+// handleCheck runs the program of a release to check its settings for each sidecar, with the version that the sidecar has in
+// force.
 func (m *Machine) handleCheck(ctx context.Context, request *CheckRequest) (*CheckResponse, error) {
 	if err := m.checkAddressee(request.Version, m.config.Application); err != nil {
 		return nil, err
 	}
-	rejected := func(err error) error { return connect.NewError(connect.CodeFailedPrecondition, err) }
+	reject := func(err error) error { return connect.NewError(connect.CodeFailedPrecondition, err) }
 	r, err := m.store.Open(release.ID(request.Release))
 	if err != nil {
-		return nil, rejected(err)
+		return nil, reject(err)
 	}
 	settings, err := os.ReadFile(r.Settings)
 	if err != nil {
-		return nil, rejected(err)
+		return nil, reject(err)
 	}
-	inForce, err := runOwned(ctx, m, func() ([]json.RawMessage, error) {
+	inForce, err := runOnOwner(ctx, m, func() ([]json.RawMessage, error) {
 		var contents []json.RawMessage
 		for _, managed := range m.sidecars {
 			contents = append(contents, m.versions.content(managed.InForce))
@@ -209,20 +212,20 @@
 	}
 	dir, err := os.MkdirTemp(string(m.data), ".check-")
 	if err != nil {
-		return nil, rejected(err)
+		return nil, reject(err)
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left of it is read by nobody
+	defer func() { _ = os.RemoveAll(dir) }() // a leftover folder does no harm
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	for i := range m.config.Sidecars {
 		if err := checkRelease(ctx, m.config.Host, r, &m.config.Sidecars[i], inForce[i], dir); err != nil {
-			return nil, rejected(err)
+			return nil, reject(err)
 		}
 	}
 	return &CheckResponse{settings}, nil
 }
 
-// checkRelease has the program of a release check the settings of one sidecar, which it writes into dir.
+// checkRelease runs the program of a release to check the settings of one sidecar, which it writes to a file in dir.
 func checkRelease(ctx context.Context, host Host, r release.Release, config *SidecarConfig, version []byte, dir string) error {
 	text, err := config.releaseSettings(r, version)
 	if err != nil {
--- a/internal/coordination/machine/settings.go
+++ b/internal/coordination/machine/settings.go
@@ -13,10 +13,11 @@
 	"petrelhook/internal/coordination/release"
 )
 
-// agentFields are the fields of the settings that an agent writes for each sidecar.
+// agentFields are the settings that the agent itself sets for each sidecar.
 var agentFields = []string{"name", "listen", "admin_addr"}
 
-// releaseSettings returns the settings that a process of a release is started with; see settings.
+// releaseSettings returns the settings with which a process of a release is started: the merge of the settings method, with the
+// release's settings read from its file.
 func (s *SidecarConfig) releaseSettings(r release.Release, version []byte) ([]byte, error) {
 	text, err := os.ReadFile(r.Settings)
 	if err != nil {
@@ -25,8 +26,9 @@
 	return s.settings(text, version)
 }
 
-// settings merges the settings of a release, a version of the configuration over them (nil: none), and the sidecar's own over both. A
-// name in Overrides may lead into fields by dots, as settings.my_number.
+// settings returns the settings of a release, overridden by a version of the configuration (nil: none), then by the sidecar's
+// Overrides, and finally by the fields that the agent sets. A dotted name in Overrides, such as settings.my_number, addresses a
+// nested field.
 func (s *SidecarConfig) settings(release, version []byte) ([]byte, error) {
 	fields, versionFields := map[string]any{}, map[string]any{}
 	if err := decodeFields(release, &fields); err != nil {
@@ -52,13 +54,13 @@
 	return json.Marshal(fields)
 }
 
-// override sets the field that a dotted name leads to.
+// override sets the field that a dotted name addresses. It returns an error if an outer field of the name is not an object.
 func override(fields map[string]any, name string, value json.RawMessage) error {
 	path := strings.Split(name, ".")
-	for _, outer := range path[:len(path)-1] {
-		inner, ok := fields[outer].(map[string]any)
+	for _, field := range path[:len(path)-1] {
+		inner, ok := fields[field].(map[string]any)
 		if !ok {
-			return fmt.Errorf("set.%s: the settings of the release have no fields in %s", name, outer)
+			return fmt.Errorf("set.%s: the settings of the release have no fields in %s", name, field)
 		}
 		fields = inner
 	}
@@ -66,14 +68,15 @@
 	return nil
 }
 
-// decodeFields reads an object and keeps its numbers as they are written.
+// decodeFields decodes a JSON object and keeps the text of its numbers, so that large ones lose no digits.
 func decodeFields(text []byte, to *map[string]any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	return d.Decode(to)
 }
 
-// setField sets a field, under the name in another case if there is one: a reader that uses encoding/json takes them for the same.
+// setField sets a field. If fields has the name in another case, the value replaces that field under its existing name, because
+// encoding/json matches names without regard to case.
 func setField(fields map[string]any, name string, value any) {
 	same := slices.Sorted(func(yield func(string) bool) {
 		for other := range fields {
@@ -89,8 +92,8 @@
 	fields[name] = value
 }
 
-// differingFields returns the top fields in which two settings of one sidecar differ. Both were written by SidecarConfig.settings, so
-// that equal values have equal texts.
+// differingFields returns the names of the top-level fields in which two settings of one sidecar differ. Both must come from
+// SidecarConfig.settings, so that equal values have equal texts.
 func differingFields(a, b []byte) (names []string, err error) {
 	var fields, others map[string]json.RawMessage
 	if err := errors.Join(json.Unmarshal(a, &fields), json.Unmarshal(b, &others)); err != nil {
--- a/internal/coordination/machine/sidecar.go
+++ b/internal/coordination/machine/sidecar.go
@@ -12,22 +12,23 @@
 	"petrelhook/internal/coordination/release"
 )
 
-// managedSidecar is one sidecar of the machine, with what its processes reported.
+// managedSidecar is one sidecar of the machine, with the results of the probes of its processes. The goroutine that owns the
+// machine owns it.
 type managedSidecar struct {
 	*agent.Sidecar
 	config     *SidecarConfig
-	savedState agent.PersistedState              // as it is on the disk
-	probing    map[agent.Process]bool            // a probe of the process is under way
-	counts     map[agent.Process]json.RawMessage // the last counts of each process that is alive
-	lastReport distribute.Report                 // handed to the subscription
+	savedState agent.PersistedState              // the state on the disk
+	probing    map[agent.Process]bool            // the processes with a probe in flight
+	counts     map[agent.Process]json.RawMessage // the last counts that each running process reported
+	lastReport distribute.Report                 // the last report that was passed to the subscription
 }
 
-// runs reports whether a process is the serving or the next one.
+// runs reports whether p is the serving or the next process.
 func (s *managedSidecar) runs(p agent.Process) bool {
 	return s.Serving != nil && *s.Serving == p || s.Next != nil && *s.Next == p
 }
 
-// nextAdminAddress is the operators' address of a process that is started beside the serving one.
+// nextAdminAddress returns the address of the operators' endpoint for a process that is started beside the serving one.
 func (s *managedSidecar) nextAdminAddress() string {
 	for _, address := range s.config.AdminAddresses {
 		if s.savedState.Serving == nil || s.savedState.Serving.AdminAddress != address {
@@ -37,7 +38,8 @@
 	return ""
 }
 
-// restoreSidecar continues with the state of a sidecar that an earlier agent left, or begins with the release of the settings.
+// restoreSidecar restores a sidecar from the state that an earlier agent persisted. A sidecar without state begins with the
+// release in the agent's settings.
 func (m *Machine) restoreSidecar(config *SidecarConfig) error {
 	managed := &managedSidecar{config: config, probing: map[agent.Process]bool{}, counts: map[agent.Process]json.RawMessage{}}
 	m.sidecars = append(m.sidecars, managed)
@@ -51,7 +53,7 @@
 		}
 		managed.Sidecar = agent.New(m.config.Release, m.config.Limits)
 		m.adoptNewestVersion(managed)
-		return m.carryOut(managed, nil)
+		return m.execute(managed, nil)
 	}
 	for _, version := range []distribute.Revision{managed.savedState.InForce, managed.savedState.Candidate} {
 		if !m.versions.has(version) {
@@ -68,11 +70,11 @@
 	m.adoptNewestVersion(managed)
 	m.log.Info("sidecar restored", "sidecar", config.Name, "phase", phase.String(), "now", managed.Serving, "next", managed.Next,
 		"found", found != nil)
-	return m.carryOut(managed, actions)
+	return m.execute(managed, actions)
 }
 
-// findLastStart returns the process of the last start that the state requested, if the state does not say what came of it. nil: the
-// state says so, or the start was not made and cannot be made any more.
+// findLastStart returns the process of the last start that the state requested, if the state does not record the outcome. It
+// returns nil if the state does record it, or if the start created no process; then it never will.
 func (m *Machine) findLastStart(managed *managedSidecar) (*agent.Process, error) {
 	state := &managed.savedState
 	undecided := state.Serving == nil || state.Phase == agent.Starting && state.Next == nil
@@ -90,9 +92,9 @@
 	return found, nil
 }
 
-// carryOut saves the state of a sidecar and carries out its actions, with those that follow from them. The state is on the disk before
-// each action. An error is one of the disk.
-func (m *Machine) carryOut(managed *managedSidecar, actions []agent.Action) error {
+// execute saves the state of a sidecar, and executes actions and the further actions that result from them. The state is saved
+// before each action, and before it is reported to the coordinators. A returned error is always a disk error.
+func (m *Machine) execute(managed *managedSidecar, actions []agent.Action) error {
 	for first := true; first || len(actions) > 0; first = false {
 		if err := m.saveState(managed); err != nil {
 			return err
@@ -101,12 +103,12 @@
 			break
 		}
 		action := actions[0]
-		actions = append(actions[1:], m.carryOutOne(managed, action)...)
+		actions = append(actions[1:], m.executeOne(managed, action)...)
 	}
 	if err := m.saveState(managed); err != nil {
 		return err
 	}
-	if report := managed.Report(managed.config.Name); report != managed.lastReport { // what is reported is on the disk
+	if report := managed.Report(managed.config.Name); report != managed.lastReport { // the reported state was saved above
 		managed.lastReport = report
 		if m.subscription != nil {
 			m.subscription.Report(report)
@@ -115,8 +117,8 @@
 	return nil
 }
 
-// carryOutOne carries out one action and returns those that follow from it.
-func (m *Machine) carryOutOne(managed *managedSidecar, action agent.Action) []agent.Action {
+// executeOne executes one action and returns the actions that result from it.
+func (m *Machine) executeOne(managed *managedSidecar, action agent.Action) []agent.Action {
 	switch {
 	case action.Start != "":
 		return m.startProcess(managed, action.Start, action.Version)
@@ -133,12 +135,12 @@
 	return nil
 }
 
-// stateName is the name of a sidecar's state in the data folder.
+// stateName returns the name of a sidecar's state in the data folder.
 func (s *managedSidecar) stateName() string { return "sidecar-" + s.config.Name }
 
 // saveState writes the state of a sidecar if it has changed.
 func (m *Machine) saveState(managed *managedSidecar) error {
-	saved, _ := json.Marshal(managed.savedState) // no field can fail
+	saved, _ := json.Marshal(managed.savedState) // no field can fail to marshal
 	state, _ := json.Marshal(managed.PersistedState)
 	if string(saved) == string(state) {
 		return nil
@@ -158,7 +160,7 @@
 	return nil
 }
 
-// cloneState returns a copy that shares no process with the original.
+// cloneState returns a deep copy of a state.
 func cloneState(state agent.PersistedState) agent.PersistedState {
 	for _, p := range []**agent.Process{&state.Serving, &state.Next, &state.Terminating} {
 		if *p != nil {
@@ -169,7 +171,7 @@
 	return state
 }
 
-// startProcess starts a process of a release with a version of the configuration, and returns the actions that follow.
+// startProcess starts a process of a release with a version of the configuration, and returns the actions that result.
 func (m *Machine) startProcess(managed *managedSidecar, id string, version distribute.Revision) []agent.Action {
 	p, err := m.launch(managed, release.ID(id), version)
 	if err != nil {
@@ -184,8 +186,8 @@
 	return managed.ProcessStarted(m.now(), p)
 }
 
-// launch writes the settings of a start and starts the program. The settings need not be synced: a failure of the machine ends the
-// process as well, and its successor has settings of its own.
+// launch writes the settings file of a start and starts the program. The file need not be synced: a crash of the machine ends the
+// process as well, and the next process gets its own file.
 func (m *Machine) launch(managed *managedSidecar, id release.ID, version distribute.Revision) (agent.Process, error) {
 	r, err := m.store.Open(id)
 	if err != nil {
@@ -206,7 +208,8 @@
 	})
 }
 
-// reloadProcess replaces the settings of a process by those with a version, and asks the process to read them. It returns their digest.
+// reloadProcess replaces the settings file of a process by one with a version of the configuration, and sends the process SIGHUP
+// to reload it. It returns the digest of the new settings.
 func (m *Machine) reloadProcess(managed *managedSidecar, p agent.Process, version distribute.Revision) (string, error) {
 	r, err := m.store.Open(release.ID(p.Release))
 	if err != nil {
--- a/internal/coordination/machine/start.go
+++ b/internal/coordination/machine/start.go
@@ -13,16 +13,17 @@
 	"petrelhook/internal/coordination/agent"
 )
 
-// A start is made at most once, and it can always be found out whether it was made. The agent starts its own program with the argument
-// once; that helper links a file with its own process ID to the name of the start's claim file, and only then becomes the sidecar's
-// program, as the same process. An agent that is started after one that was killed links a file of its own to that name. If that works,
-// no process was started, and none will be, because the helper's link fails from then on. If it fails, the file says which process it is.
+// A start creates at most one process, and a later agent can always find out whether it did. The agent runs its own executable
+// with the argument "once"; this helper process hard-links a file with its process ID to the path of the start's claim file, and
+// only then executes the sidecar's program in the same process. An agent that takes over after a crash tries to link a file of
+// its own to that path. If the link succeeds, no sidecar was started, and none will be, because the helper's link now fails. If
+// it fails because the claim file exists, the file identifies the process.
 
-// claimedByAgent is the content of the claim file of a start that was given up.
+// claimedByAgent is the content of the claim file of a start that an agent has abandoned.
 const claimedByAgent = "claimed"
 
-// BecomeSidecar is the helper's work: it claims a start and replaces this process by program. It returns only with an error, such as that
-// the start was given up.
+// BecomeSidecar runs in the helper process. It claims a start and replaces this process by program. It returns only on an error,
+// for example if an agent has abandoned the start.
 func BecomeSidecar(claimFile, program string, args []string) error {
 	ticks, err := startTicks(os.Getpid())
 	if err != nil {
@@ -34,8 +35,8 @@
 	return syscall.Exec(program, append([]string{program}, args...), os.Environ())
 }
 
-// ClaimStart records in the claim file of a start which process it is, before the program runs. An error says that the start was given up,
-// or made by another process: then the program must not run.
+// ClaimStart records process p in the claim file of a start. It is called in p before the program runs. After an error the
+// program must not run: an agent has abandoned the start, another process has claimed it, or the file cannot be written.
 func ClaimStart(claimFile string, p agent.Process) error {
 	if err := createExclusive(claimFile, fmt.Sprintf("%d %d", p.PID, p.StartTicks)); err != nil {
 		return fmt.Errorf("this start is not to be made any more: %w", err)
@@ -43,13 +44,13 @@
 	return nil
 }
 
-// createExclusive creates path with its whole text at once; os.ErrExist where there is such a file.
+// createExclusive atomically creates path with its complete text. The error is os.ErrExist if path exists.
 func createExclusive(path, text string) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".start-")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // what is left of it is read by nobody
+	defer func() { _ = os.Remove(f.Name()) }() // a leftover file does no harm
 	_, err = f.WriteString(text)
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
@@ -57,7 +58,8 @@
 	return os.Link(f.Name(), path)
 }
 
-// resolveStart returns the process of a start. Where none was made it makes sure that none ever is, and returns nil.
+// resolveStart returns the process that a start created. If it created none, resolveStart abandons the start, so that it never
+// will, and returns nil.
 func resolveStart(claimFile string) (*agent.Process, error) {
 	err := createExclusive(claimFile, claimedByAgent)
 	if !errors.Is(err, os.ErrExist) {
@@ -74,18 +76,18 @@
 	return p, nil
 }
 
-// StartOptions are what a Host needs to start a program.
+// StartOptions are the parameters of Host.Start.
 type StartOptions struct {
 	ClaimFile    string // see ClaimStart
-	LogFile      string // gets what the program writes
+	LogFile      string // receives standard output and standard error of the program
 	Program      string
-	Settings     string // the path of its settings
-	Temporary    string // its folder for temporary files
-	AdminAddress string // where it serves its operators' endpoint
+	Settings     string // the path of its settings file
+	Temporary    string // the folder for its temporary files
+	AdminAddress string // the address of its operators' endpoint
 }
 
-// startProgram starts a sidecar's program by way of the helper. The process outlives the agent: it has a session of its own and writes
-// to a file.
+// startProgram starts a sidecar's program by way of the helper. The process can outlive the agent: it has its own session and
+// writes to a file.
 func startProgram(o StartOptions) (agent.Process, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -95,7 +97,7 @@
 	if err != nil {
 		return agent.Process{}, err
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own; nothing is written by this one
+	defer func() { _ = log.Close() }() // the process has its own descriptor; the agent writes nothing to this one
 	cmd := exec.Command(self, "once", o.ClaimFile, o.Program, "--config", o.Settings)
 	cmd.Env = append(os.Environ(), "LB_ADMIN_ADDR="+o.AdminAddress, "LB_CONFIG="+o.Settings, "TMPDIR="+o.Temporary)
 	cmd.Stdout, cmd.Stderr = log, log
@@ -104,27 +106,27 @@
 		return agent.Process{}, err
 	}
 	ticks, err := startTicks(cmd.Process.Pid)
-	go func() { _ = cmd.Wait() }() // reaps the process, which may outlive the agent; Lives says whether it has ended
+	go func() { _ = cmd.Wait() }() // reaps the process; Lives reports whether it has exited
 	if err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return agent.Process{}, err
 	}
 	return agent.Process{PID: cmd.Process.Pid, StartTicks: ticks, AdminAddress: o.AdminAddress}, nil
 }
 
-// maxLogTail is how many bytes at the end of a log are searched for the reason of an exit, and maxLogLine how many of the line are
-// reported.
+// maxLogTail is how many bytes at the end of a log are searched for the reason of an exit, and maxLogLine how many bytes of the
+// line that was found are reported.
 const maxLogTail, maxLogLine = 16 << 10, 240
 
-// lastLogLine returns the line of a log that explains best why its process ended: the first of a panic, or else the last one. "": there
-// is none, or the log cannot be read.
+// lastLogLine returns the line of a log that best explains why the process exited: the first line of a panic, or else the last
+// line. It returns "" if there is none or the log cannot be read.
 func lastLogLine(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
 		return ""
 	}
-	defer func() { _ = f.Close() }() // it was read only
+	defer func() { _ = f.Close() }() // opened for reading only
 	if end, err := f.Seek(0, io.SeekEnd); err == nil {
-		_, _ = f.Seek(max(0, end-maxLogTail), io.SeekStart) // otherwise the rest is empty
+		_, _ = f.Seek(max(0, end-maxLogTail), io.SeekStart) // after an error nothing is left to read
 	}
 	text, _ := io.ReadAll(io.LimitReader(f, maxLogTail))
 	found := ""
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -25,14 +25,14 @@
 	"petrelhook/internal/rig/process"
 )
 
-// The test's program is also the helper, and the program of a fake release.
+// The test binary is also the helper process of starts, and the program of a fake release.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("MACHINE_TEST_START"); file != "" {
 		fmt.Println(BecomeSidecar(file, "/bin/echo", []string{"it", "runs"}))
 		os.Exit(1)
 	}
 	if os.Getenv("MACHINE_TEST_THREADS") != "" {
-		syscall.RawSyscall(syscall.SYS_EXIT, 0, 0, 0) // of this thread alone
+		syscall.RawSyscall(syscall.SYS_EXIT, 0, 0, 0) // exits this thread only
 	}
 	if os.Getenv(fakeVariable) != "" {
 		runFakeProgram(os.Args[1:])
@@ -46,26 +46,27 @@
 
 func init() {
 	if os.Getenv("MACHINE_TEST_THREADS") != "" || len(os.Args) > 1 && os.Args[1] == "once" {
-		// What ends, or becomes the program, is the first thread: see cmd/petrelhook-agent.
+		// The thread that exits, or executes the program, must be the first one; see cmd/petrelhook-agent.
 		runtime.LockOSThread()
 	}
 }
 
-// A process whose first thread has ended lives as long as another thread does; a start looks like that for a moment while the helper
-// becomes the program. An agent that took it for ended would kill a healthy sidecar, and the rollout would stop without a fault of the
-// release.
+// A process whose first thread has exited is alive as long as another thread runs. A start is in this state for a moment while
+// the helper executes the program. An agent that considered the process dead would kill a healthy sidecar, and the rollout would
+// stop although the release has no fault.
 func TestAFirstThreadIsNotAProcess(t *testing.T) {
 	s := process.Start(t, process.Self("MACHINE_TEST_THREADS", "1"))
-	peertest.Eventually(t, "its first thread has ended", func() bool { return s.State() == "Z" })
-	began, _ := startTicks(s.Pid)
-	if p := (agent.Process{PID: s.Pid, StartTicks: began}); !Lives(p) {
-		t.Error("it is taken for ended")
+	peertest.Eventually(t, "its first thread has exited", func() bool { return s.State() == "Z" })
+	startTime, _ := startTicks(s.Pid)
+	if p := (agent.Process{PID: s.Pid, StartTicks: startTime}); !Lives(p) {
+		t.Error("the process counts as exited")
 	}
 	s.Kill()
-	peertest.Eventually(t, "it ends", func() bool { _, err := startTicks(s.Pid); return err != nil })
+	peertest.Eventually(t, "the process exits", func() bool { _, err := startTicks(s.Pid); return err != nil })
 }
 
-// A start is either made or given up: one that was given up is not made any more, and one that was made is found.
+// A start is either claimed by its process or abandoned: the process of a claimed start is found, and an abandoned start never
+// runs.
 func TestAStartIsMadeOnce(t *testing.T) {
 	helper := func(file string) (string, int) {
 		cmd := exec.Command(os.Args[0])
@@ -73,46 +74,47 @@
 		out, _ := cmd.CombinedOutput()
 		return string(out), cmd.Process.Pid
 	}
-	made, unmade := filepath.Join(t.TempDir(), "made"), filepath.Join(t.TempDir(), "unmade")
-	out, pid := helper(made)
+	claimed, unclaimed := filepath.Join(t.TempDir(), "made"), filepath.Join(t.TempDir(), "unmade")
+	out, pid := helper(claimed)
 	if out != "it runs\n" {
 		t.Fatal(out)
 	}
 	for range 2 {
-		if p, err := resolveStart(made); err != nil || p == nil || p.PID != pid || p.StartTicks == 0 || Lives(*p) {
+		if p, err := resolveStart(claimed); err != nil || p == nil || p.PID != pid || p.StartTicks == 0 || Lives(*p) {
 			t.Errorf("%v, %v", p, err)
 		}
-		if p, err := resolveStart(unmade); err != nil || p != nil {
+		if p, err := resolveStart(unclaimed); err != nil || p != nil {
 			t.Errorf("%v, %v", p, err)
 		}
 	}
-	if out, _ := helper(unmade); out == "it runs\n" {
-		t.Error("it was made after it was claimed")
+	if out, _ := helper(unclaimed); out == "it runs\n" {
+		t.Error("an abandoned start ran")
 	}
-	if out, _ := helper(made); out == "it runs\n" {
-		t.Error("it was made twice")
+	if out, _ := helper(claimed); out == "it runs\n" {
+		t.Error("a start ran twice")
 	}
 }
 
-// A process is identified by its ID and its start time: another process with the same ID does not count.
+// A process is identified by its ID and its start time: another process that has the same ID does not count.
 func TestLives(t *testing.T) {
-	began, err := startTicks(os.Getpid())
+	startTime, err := startTicks(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := agent.Process{PID: os.Getpid(), StartTicks: began}
+	p := agent.Process{PID: os.Getpid(), StartTicks: startTime}
 	if ticks, memory := usage(p); !Lives(p) || memory < 1<<20 {
 		t.Errorf("%d ticks, %d bytes", ticks, memory)
 	}
 	if p.StartTicks++; Lives(p) {
-		t.Error("another process is taken for it")
+		t.Error("a process with another start time counts as the same")
 	}
 	if _, memory := usage(p); memory != 0 {
-		t.Error("another one's memory")
+		t.Error("the memory of another process was reported")
 	}
 }
 
-// A restarted agent refuses a driver with an older token than one that an earlier agent had seen; two agents cannot have one data folder.
+// A restarted agent rejects a driver whose token is older than one that the agent saw before the restart. Two agents cannot use
+// one data folder.
 func TestFenceIsPersisted(t *testing.T) {
 	dir := t.TempDir()
 	c := &Config{Application: "a", Data: filepath.Join(dir, "data"), Releases: filepath.Join(dir, "releases"), PollInterval: time.Second}
@@ -139,7 +141,7 @@
 		if (err != nil) != (call.code != 0) || err != nil && connect.CodeOf(err) != call.code {
 			t.Errorf("token %d: %v", call.token, err)
 		}
-		in = &StatusRequest{Version: Version + 1, Application: "a"} // a driver of another version, or of another application
+		in = &StatusRequest{Version: Version + 1, Application: "a"} // the message of another version; that of another application is in the map
 		for want, in := range map[string]*StatusRequest{"version 2; this agent speaks 1": in, `this agent is of "a"`: {Version: Version, Application: "b"}} {
 			_, err = rpc.Client[StatusRequest, Status](http.DefaultClient, ln.Addr().String(), PathStatus, MaxResponseBytes).CallUnary(ctx, connect.NewRequest(in))
 			if err == nil || !strings.Contains(err.Error(), want) {
@@ -153,7 +155,8 @@
 	}
 }
 
-// An order of an older driver is refused with another code than an order that came after a later one: a driver ends by the first alone.
+// An order of a stale driver is rejected with CodeAborted, and one that arrives after a later order with CodeFailedPrecondition:
+// only the former stops the driver.
 func TestCodesOfRefusedOrders(t *testing.T) {
 	m := &Machine{driver: driverContact{fence: rollout.Fence{Token: 5, LastOrders: map[string]uint64{"n0": 3}}}}
 	for _, c := range []struct {
--- a/internal/coordination/machine/version.go
+++ b/internal/coordination/machine/version.go
@@ -12,21 +12,21 @@
 	"petrelhook/internal/coordination/distribute"
 )
 
-// versionStore holds the versions of the configuration that are on the disk, each as it was received in a file version-N.json, N its
-// revision. The state of a sidecar names by revision which one it runs with. A version that is not newer than the newest is never
-// accepted, also after a restart of the agent.
+// versionStore holds the versions of the configuration that are on the disk. Each is in the form in which it was received, in a
+// file version-N.json, where N is its revision. The state of a sidecar refers to its version by revision. A version is accepted
+// only if it is newer than the newest stored one, also after a restart of the agent.
 type versionStore struct {
 	byRevision map[distribute.Revision]distribute.Version
-	newest     distribute.Revision // 0: there is none
+	newest     distribute.Revision // 0 if there is none
 }
 
-// has reports whether a version is there; revision 0, the settings of a release alone, always is.
+// has reports whether a version is stored. Revision 0, which stands for the settings of a release alone, always is.
 func (v *versionStore) has(revision distribute.Revision) bool {
 	_, known := v.byRevision[revision]
 	return known || revision == 0
 }
 
-// content is the content of a version; nil for revision 0.
+// content returns the content of a version, nil for revision 0.
 func (v *versionStore) content(revision distribute.Revision) json.RawMessage {
 	return v.byRevision[revision].Content
 }
@@ -41,8 +41,8 @@
 	return m.data.path(fmt.Sprintf("%s%d.json", versionName, revision))
 }
 
-// loadVersions reads the versions on the disk. A damaged file counts as none: the coordinators send the version again, and a sidecar that
-// runs with it is reported by restoreSidecar. A version of another service is an error.
+// loadVersions reads the versions on the disk. A damaged file is skipped: the coordinators send the version again, and
+// restoreSidecar returns an error if a sidecar runs with it. A version of another service is an error.
 func (m *Machine) loadVersions() error {
 	files, err := filepath.Glob(m.data.path(versionName + "*.json"))
 	if err != nil {
@@ -52,7 +52,7 @@
 		name, _ := strings.CutSuffix(strings.TrimPrefix(filepath.Base(path), versionName), ".json")
 		revision, err := strconv.ParseUint(name, 10, 64)
 		if err != nil {
-			continue // it is no version's
+			continue // not the file of a version
 		}
 		version, err := readVersion(path)
 		if err == nil && version.Service != m.config.Application {
@@ -79,9 +79,10 @@
 	return version, err
 }
 
-// acceptVersion accepts a newer version, which is on the disk when it returns. The subscription calls it from its own goroutine.
+// acceptVersion stores a newer version, and makes it the target of the sidecars. The version is on the disk when acceptVersion
+// returns nil. The subscription calls it from its own goroutine.
 func (m *Machine) acceptVersion(v distribute.Version) error {
-	_, err := runOwned(m.runContext, m, func() (struct{}, error) {
+	_, err := runOnOwner(m.runContext, m, func() (struct{}, error) {
 		content, err := distribute.Canonical(v.Content)
 		switch {
 		case v.Service != m.config.Application:
@@ -98,7 +99,7 @@
 		m.versions.add(v)
 		for _, managed := range m.sidecars {
 			m.adoptNewestVersion(managed)
-			if err := m.carryOut(managed, managed.Tick(m.now())); err != nil {
+			if err := m.execute(managed, managed.Tick(m.now())); err != nil {
 				return struct{}{}, asDiskError(err)
 			}
 		}
@@ -108,19 +109,20 @@
 	return err
 }
 
-// adoptNewestVersion has a sidecar brought to the newest version. An agent without coordinators leaves the version in force as it is.
+// adoptNewestVersion makes the newest version the target of a sidecar. In an agent without coordinators the version in force
+// stays.
 func (m *Machine) adoptNewestVersion(managed *managedSidecar) {
 	if m.subscription != nil {
 		managed.SetNewestVersion(m.versions.newest)
 	}
 }
 
-// removeOldVersions removes the versions that no sidecar needs, except the newest. A file that cannot be removed does no harm: an older
-// version is read again and not used.
+// removeOldVersions removes the versions that no sidecar uses, except the newest. A file that cannot be removed does no harm: the
+// old version is loaded again at the next start and not used.
 func (m *Machine) removeOldVersions() {
 	for revision := range m.versions.byRevision {
-		needed := func(s *managedSidecar) bool { return s.InForce == revision || s.Candidate == revision }
-		if revision != m.versions.newest && !slices.ContainsFunc(m.sidecars, needed) {
+		inUse := func(s *managedSidecar) bool { return s.InForce == revision || s.Candidate == revision }
+		if revision != m.versions.newest && !slices.ContainsFunc(m.sidecars, inUse) {
 			delete(m.versions.byRevision, revision)
 			_ = os.Remove(m.versionFile(revision))
 		}
--- a/internal/coordination/machine/version_test.go
+++ b/internal/coordination/machine/version_test.go
@@ -27,7 +27,8 @@
 
 const fakeVariable = "MACHINE_TEST_FAKE"
 
-// runFakeProgram is the program of a release as agents see one: it checks settings, serves the operators' endpoint and reloads its file.
+// runFakeProgram is the program of a fake release: it checks settings, serves the operators' endpoint and reloads its settings
+// file. The fields bad, dies and never in the settings make it reject them, exit at the start, and never become ready.
 func runFakeProgram(args []string) {
 	path := args[len(args)-1]
 	read := func() (text []byte, fields map[string]any) {
@@ -58,12 +59,12 @@
 	}
 	hup := make(chan os.Signal, 1)
 	signals.Notify(hup, syscall.SIGHUP)
-	var told atomic.Value
-	told.Store(fmt.Sprintf(`{"classes": [], "file": {"digest": %q}}`, distribute.Digest(text)))
+	var counts atomic.Value
+	counts.Store(fmt.Sprintf(`{"classes": [], "file": {"digest": %q}}`, distribute.Digest(text)))
 	go func() {
 		for range hup {
 			text, _ := read()
-			told.Store(fmt.Sprintf(`{"classes": [], "file": {"digest": %q, "reloads": 1}}`, distribute.Digest(text)))
+			counts.Store(fmt.Sprintf(`{"classes": [], "file": {"digest": %q, "reloads": 1}}`, distribute.Digest(text)))
 		}
 	}()
 	http.HandleFunc("/api/ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -71,35 +72,35 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	http.HandleFunc("/api/counts", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, told.Load()) })
+	http.HandleFunc("/api/counts", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, counts.Load()) })
 	fmt.Fprintln(os.Stderr, http.ListenAndServe(os.Getenv("LB_ADMIN_ADDR"), nil))
 	os.Exit(1)
 }
 
-// fakeSubscription lets a test deliver versions, and records the machine's reports.
+// fakeSubscription lets a test deliver versions, and records the reports of the machine.
 type fakeSubscription struct {
 	newest distribute.Revision
 	accept func(distribute.Version) error
 
-	mu  sync.Mutex
-	all []distribute.Report
+	mu      sync.Mutex
+	reports []distribute.Report
 }
 
-func (r *fakeSubscription) Run(ctx context.Context) { <-ctx.Done() }
+func (s *fakeSubscription) Run(ctx context.Context) { <-ctx.Done() }
 
-func (r *fakeSubscription) Report(one distribute.Report) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.all = append(r.all, one)
+func (s *fakeSubscription) Report(report distribute.Report) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reports = append(s.reports, report)
 }
 
-func (r *fakeSubscription) last() distribute.Report {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.all[len(r.all)-1]
+func (s *fakeSubscription) last() distribute.Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.reports[len(s.reports)-1]
 }
 
-// testAgent is the agent of a machine with one sidecar, which a test stops and starts again.
+// testAgent is the agent of a machine with one sidecar, n0. Tests can stop and restart it.
 type testAgent struct {
 	*fakeSubscription
 	t       *testing.T
@@ -133,15 +134,15 @@
 			}
 		}
 	})
-	peertest.Eventually(t, "it serves", func() bool { return g.persisted().Serving != nil && g.servedSettings() != nil })
+	peertest.Eventually(t, "the sidecar serves", func() bool { return g.persisted().Serving != nil && g.servedSettings() != nil })
 	return g
 }
 
-// start starts the agent on its data folder as it is.
+// start starts the agent with the data folder in its present state.
 func (g *testAgent) start() {
 	g.t.Helper()
-	m, err := open(g.config, slog.New(slog.DiscardHandler), func(holds distribute.Revision, take func(distribute.Version) error) versionSubscription {
-		g.fakeSubscription = &fakeSubscription{newest: holds, accept: take}
+	m, err := open(g.config, slog.New(slog.DiscardHandler), func(newestRevision distribute.Revision, acceptVersion func(distribute.Version) error) versionSubscription {
+		g.fakeSubscription = &fakeSubscription{newest: newestRevision, accept: acceptVersion}
 		return g.fakeSubscription
 	})
 	if err != nil {
@@ -162,23 +163,23 @@
 	})
 }
 
-// persisted is the state on the disk.
-func (g *testAgent) persisted() (k agent.PersistedState) {
+// persisted returns the state of the sidecar on the disk.
+func (g *testAgent) persisted() (state agent.PersistedState) {
 	text, _ := os.ReadFile(filepath.Join(g.config.Data, "sidecar-n0.json"))
-	json.Unmarshal(text, &k)
-	return k
+	json.Unmarshal(text, &state)
+	return state
 }
 
-// servedSettings is the settings file of the serving process; nil: no process answers.
+// servedSettings returns the fields of the settings file of the serving process, nil if no process answers.
 func (g *testAgent) servedSettings() map[string]any {
-	k := g.persisted()
-	if k.Serving == nil {
+	state := g.persisted()
+	if state.Serving == nil {
 		return nil
 	}
-	if _, yes := g.machine.adminGet(g.t.Context(), k.Serving.AdminAddress, "/api/counts"); !yes {
+	if _, ok := g.machine.adminGet(g.t.Context(), state.Serving.AdminAddress, "/api/counts"); !ok {
 		return nil
 	}
-	text, _ := os.ReadFile(filepath.Join(g.config.Data, fmt.Sprintf("config-n0-%d", k.Serving.StartNumber)))
+	text, _ := os.ReadFile(filepath.Join(g.config.Data, fmt.Sprintf("config-n0-%d", state.Serving.StartNumber)))
 	var fields map[string]any
 	json.Unmarshal(text, &fields)
 	return fields
@@ -199,17 +200,18 @@
 		g.t.Fatal(err)
 	}
 	if _, err := os.Stat(g.machine.versionFile(r)); err != nil {
-		g.t.Errorf("it was taken and is not kept: %v", err)
+		g.t.Errorf("the version was accepted but is not on the disk: %v", err)
 	}
-	peertest.Eventually(g.t, "it has come to something", func() bool {
+	peertest.Eventually(g.t, "the version is in force or rejected", func() bool {
 		last := g.last()
 		return last.InForce >= r || last.Refused >= r
 	})
 	return g.last()
 }
 
-// Versions are applied by a reload or by a new process, or rejected by the program, which names the place in a file that is there; the
-// versions in force and rejected outlive the agent, and a process that ends is restarted with the version in force.
+// Versions are applied by a reload or by a new process, or rejected by the program, whose error names a line of an existing file.
+// The revisions in force and rejected survive a restart of the agent, and a process that exits is restarted with the version in
+// force.
 func TestVersionsOnAMachine(t *testing.T) {
 	g := newTestAgent(t)
 	first := g.persisted().Serving.PID
@@ -222,15 +224,15 @@
 	if r := g.publish(5, `{"discovery": "b", "settings": {"y": 2}}`); r != (distribute.Report{Sidecar: "n0", InForce: 5}) {
 		t.Errorf("%+v", r)
 	}
-	peertest.Eventually(t, "the one before ends", func() bool { k := g.persisted(); return k.Phase == agent.Idle && k.Serving.PID != first })
+	peertest.Eventually(t, "the old process exits", func() bool { state := g.persisted(); return state.Phase == agent.Idle && state.Serving.PID != first })
 	if f := g.servedSettings(); fmt.Sprint(f["settings"]) != "map[mine:7 y:2]" {
 		t.Errorf("%v", f)
 	}
 
 	r := g.publish(6, `{"bad": 1, "discovery": "c"}`)
-	file, why, _ := strings.Cut(strings.TrimPrefix(r.Reason, "fake: "), ":")
+	file, place, _ := strings.Cut(strings.TrimPrefix(r.Reason, "fake: "), ":")
 	lines, _ := os.ReadFile(file)
-	if r.InForce != 5 || r.Refused != 6 || why != "2:2: bad: is there; leave it out" || !strings.Contains(strings.Split(string(lines), "\n")[1], `"bad"`) {
+	if r.InForce != 5 || r.Refused != 6 || place != "2:2: bad: is there; leave it out" || !strings.Contains(strings.Split(string(lines), "\n")[1], `"bad"`) {
 		t.Errorf("%+v in %s", r, lines)
 	}
 	if r := g.publish(7, `{"never": 1}`); r.InForce != 5 || r.Refused != 7 || r.Reason != "not ready in 5s" {
@@ -244,22 +246,22 @@
 	}
 
 	g.stop()
-	serves := *g.persisted().Serving
-	syscall.Kill(serves.PID, syscall.SIGKILL)
-	peertest.Eventually(t, "it is gone", func() bool { return !Lives(serves) })
+	serving := *g.persisted().Serving
+	syscall.Kill(serving.PID, syscall.SIGKILL)
+	peertest.Eventually(t, "the process exits", func() bool { return !Lives(serving) })
 	g.start()
 	if g.newest != 7 || g.last().InForce != 5 || g.last().Refused != 7 {
-		t.Errorf("it holds %d: %+v", g.newest, g.last())
+		t.Errorf("newest version %d: %+v", g.newest, g.last())
 	}
-	peertest.Eventually(t, "it is started again", func() bool {
+	peertest.Eventually(t, "the sidecar is restarted", func() bool {
 		p := g.persisted().Serving
-		return p != nil && p.PID != serves.PID && g.servedSettings() != nil
+		return p != nil && p.PID != serving.PID && g.servedSettings() != nil
 	})
 	if f := g.servedSettings(); fmt.Sprint(f["settings"]) != "map[mine:7 y:2]" || f["discovery"] != "b" {
 		t.Errorf("%v", f)
 	}
 	starts := g.persisted().StartCount
-	if r := g.publish(8, `{}`); r.InForce != 8 || g.persisted().StartCount != starts+1 { // the rejected version is not tried again meanwhile
+	if r := g.publish(8, `{}`); r.InForce != 8 || g.persisted().StartCount != starts+1 { // the rejected version was not tried again
 		t.Errorf("%+v, %d starts after %d", r, g.persisted().StartCount, starts)
 	}
 	peertest.Eventually(t, "old versions are removed", func() bool {
@@ -269,7 +271,8 @@
 	})
 }
 
-// A reload that was not confirmed before the agent was killed is requested again; the file of the process is complete at any moment.
+// A reload that was not confirmed before the agent stopped is requested again by the next agent. The settings file of the process
+// is complete at every moment.
 func TestReloadOutlivesTheAgent(t *testing.T) {
 	g := newTestAgent(t)
 	pid := g.persisted().Serving.PID
@@ -278,28 +281,31 @@
 	if err := g.accept(version(2, `{"discovery": "c"}`)); err != nil {
 		t.Fatal(err)
 	}
-	told := func() bool { k := g.persisted(); return k.Candidate == 2 && k.ByReload && k.InForce == 1 }
-	peertest.Eventually(t, "it is told", told)
+	reloadRequested := func() bool {
+		state := g.persisted()
+		return state.Candidate == 2 && state.ByReload && state.InForce == 1
+	}
+	peertest.Eventually(t, "the reload is requested", reloadRequested)
 	g.stop()
 	g.start()
-	if !told() || g.newest != 2 {
-		t.Errorf("%+v, holds %d", g.persisted(), g.newest)
+	if !reloadRequested() || g.newest != 2 {
+		t.Errorf("%+v, newest version %d", g.persisted(), g.newest)
 	}
 	syscall.Kill(pid, syscall.SIGCONT)
-	peertest.Eventually(t, "it is in force", func() bool { return g.last().InForce == 2 })
-	if k := g.persisted(); k.Serving.PID != pid || k.StartCount != 1 {
-		t.Errorf("%+v", k)
+	peertest.Eventually(t, "the version is in force", func() bool { return g.last().InForce == 2 })
+	if state := g.persisted(); state.Serving.PID != pid || state.StartCount != 1 {
+		t.Errorf("%+v", state)
 	}
 }
 
-// However many versions have failed, the file of the serving process is there, and the process reloads it. The check of another release
-// is of what would be started: that release with the version in force.
+// However many versions have failed, the settings file of the serving process is not removed, and the process can reload it. The
+// check of another release covers the settings that it would be started with: its own with the version in force.
 func TestManyVersionsThatFail(t *testing.T) {
 	g := newTestAgent(t)
 	pid := g.persisted().Serving.PID
 	for r := range distribute.Revision(retainedStarts + 2) {
-		if told := g.publish(r+1, fmt.Sprintf(`{"dies": %d}`, r)); told.InForce != 0 || !strings.Contains(told.Reason, "it ended before it was ready") {
-			t.Errorf("%+v", told)
+		if report := g.publish(r+1, fmt.Sprintf(`{"dies": %d}`, r)); report.InForce != 0 || !strings.Contains(report.Reason, "it ended before it was ready") {
+			t.Errorf("%+v", report)
 		}
 	}
 	if files, _ := filepath.Glob(filepath.Join(g.config.Data, "config-n0-*")); len(files) > retainedStarts+1 {
@@ -314,11 +320,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	was, err := store.Open(release.ID(g.config.Release))
+	current, err := store.Open(release.ID(g.config.Release))
 	if err != nil {
 		t.Fatal(err)
 	}
-	program, err := os.Open(was.Program)
+	program, err := os.Open(current.Program)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -335,8 +341,9 @@
 	}
 }
 
-// The newest complete version on the disk counts, whatever else lies there; the version that a sidecar runs with has to be there; that of
-// another service is an error. Without coordinators no version is applied, and the one in force stays.
+// An agent loads the newest undamaged version on the disk and ignores other files. It does not start if the version that a
+// sidecar runs with is missing or damaged, or if a version is of another service. Without coordinators no version is applied, and
+// the one in force stays.
 func TestStoredVersions(t *testing.T) {
 	g := newTestAgent(t)
 	g.publish(4, `{"discovery": "b"}`)
@@ -347,19 +354,19 @@
 			t.Fatal(err)
 		}
 	}
-	whole, _ := json.Marshal(version(9, `{"discovery": "c"}`))
-	write("version-9.json", string(whole[:len(whole)-3]))
-	write("version-8.json", string(whole)) // of another revision
-	write("version-6.json", strings.NewReplacer(`"c"`, `"d"`, ":9", ":6").Replace(string(whole)))
-	write("version-7.json.new", string(whole))
-	write("version-x.json", string(whole))
+	complete, _ := json.Marshal(version(9, `{"discovery": "c"}`))
+	write("version-9.json", string(complete[:len(complete)-3]))
+	write("version-8.json", string(complete)) // of another revision
+	write("version-6.json", strings.NewReplacer(`"c"`, `"d"`, ":9", ":6").Replace(string(complete)))
+	write("version-7.json.new", string(complete))
+	write("version-x.json", string(complete))
 	g.start()
 	if g.newest != 4 {
-		t.Errorf("it holds %d", g.newest)
+		t.Errorf("newest version %d", g.newest)
 	}
 	g.stop()
 
-	write("version-9.json", string(whole))
+	write("version-9.json", string(complete))
 	m, err := Open(g.config, slog.New(slog.DiscardHandler)) // without coordinators
 	if err != nil || m.subscription != nil {
 		t.Fatal(err)
@@ -367,23 +374,24 @@
 	if r := m.sidecars[0].Report("n0"); r.InForce != 4 || r.Reason != "" {
 		t.Errorf("%+v", r)
 	}
-	if todo := m.sidecars[0].Tick(time.Hour); len(todo) != 0 {
-		t.Errorf("%+v", todo)
+	if actions := m.sidecars[0].Tick(time.Hour); len(actions) != 0 {
+		t.Errorf("%+v", actions)
 	}
 	m.lockFile.Close()
 
-	kept, _ := os.ReadFile(filepath.Join(g.config.Data, "version-4.json"))
-	for text, want := range map[string]string{string(kept[:9]): "version-4.json: sidecar n0 runs with it, and it is not there or damaged",
-		strings.Replace(string(kept), `"app"`, `"else"`, 1): "it is of else, and this agent is of app"} {
+	content, _ := os.ReadFile(filepath.Join(g.config.Data, "version-4.json"))
+	for text, want := range map[string]string{string(content[:9]): "version-4.json: sidecar n0 runs with it, and it is not there or damaged",
+		strings.Replace(string(content), `"app"`, `"else"`, 1): "it is of else, and this agent is of app"} {
 		write("version-4.json", text)
 		if _, err := Open(g.config, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
-	write("version-4.json", string(kept))
+	write("version-4.json", string(content))
 }
 
-// The top fields of a version replace those of the release, and the sidecar's own replace both, in whatever case they are written.
+// The top-level fields of a version replace those of the release, and the overrides of the sidecar replace both. The case of
+// names does not matter.
 func TestSettings(t *testing.T) {
 	s := &SidecarConfig{Name: "n0", Listen: "127.0.0.1:1", Overrides: map[string]json.RawMessage{"seed": []byte(`"1f"`), "settings.mine": []byte("7")}}
 	const release = `{"name": "x", "discovery": "a", "seed": "0", "settings": {"a": 1, "mine": 0}, "n": 12345678901234567890}`
@@ -396,11 +404,11 @@
 		`{"settings":{"MINE":9,"Mine":8}}`: `{"discovery":"a","listen":"127.0.0.1:1","n":12345678901234567890,"name":"n0","seed":"1f","settings":{"Mine":7}}`,
 		`{"li\u017ften":"x","NAME":"y"}`:   `{"discovery":"a","listen":"127.0.0.1:1","n":12345678901234567890,"name":"n0","seed":"1f","settings":{"a":1,"mine":7}}`,
 	} {
-		var over []byte
+		var versionText []byte
 		if version != "" {
-			over = []byte(version)
+			versionText = []byte(version)
 		}
-		if got, err := s.settings([]byte(release), over); err != nil || string(got) != want {
+		if got, err := s.settings([]byte(release), versionText); err != nil || string(got) != want {
 			t.Errorf("%s: %v\n got %s\nwant %s", version, err, got, want)
 		}
 	}
@@ -409,7 +417,7 @@
 	}
 }
 
-// A process reloads only the field that says where its servers are listed.
+// Only a change of the discovery field can be applied by a reload.
 func TestReloadable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	if err := os.WriteFile(path, []byte(`{"discovery":"a","settings":{"x":1},"seed":"1"}`), 0o600); err != nil {
@@ -429,6 +437,6 @@
 		}
 	}
 	if reloadable(path+"x", []byte(`{}`)) {
-		t.Error("no file")
+		t.Error("a process without a settings file counts as reloadable")
 	}
 }
