--- a/internal/coordination/machine/check.go
+++ b/internal/coordination/machine/check.go
@@ -127,12 +127,12 @@
 	if err != nil { // the program itself reports invalid settings
 		return ""
 	}
-	for _, finding := range findings {
+	for _, f := range findings {
 		switch {
-		case finding.Kind == release.Refused:
-			return fmt.Sprintf("old and new must not run side by side: %v", finding)
-		case finding.Kind == release.TwoSteps && !stepsDone:
-			return fmt.Sprintf("%v; publish it with --steps-done once that was done", finding)
+		case f.Kind == release.Refused:
+			return fmt.Sprintf("old and new must not run side by side: %v", f)
+		case f.Kind == release.TwoSteps && !stepsDone:
+			return fmt.Sprintf("%v; publish it with --steps-done once that was done", f)
 		}
 	}
 	return ""
