--- a/internal/coordination/machine/machine.go
+++ b/internal/coordination/machine/machine.go
@@ -97,7 +97,7 @@
 	}
 	if err := syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lockFile.Close() // the file is empty
-		return nil, fmt.Errorf("%s: another agent is in charge of it: %w", dir, err)
+		return nil, fmt.Errorf("%s: locked by another agent: %w", dir, err)
 	}
 	return lockFile, nil
 }
--- a/internal/coordination/machine/parse.go
+++ b/internal/coordination/machine/parse.go
@@ -96,7 +96,7 @@
 		"allow_remote": yamlfile.Into(&p.allowRemote, "true or false"),
 		"data":         yamlfile.Into(&c.Data, "a folder"),
 		"releases":     yamlfile.Into(&c.Releases, "a folder"),
-		"release":      yamlfile.Into(&c.Release, "the name of a release"),
+		"release":      yamlfile.Into(&c.Release, "the ID of a release"),
 
 		"limits":        yamlfile.Into(&p.limits, "fields"),
 		"sidecars":      yamlfile.Into(&p.sidecars, "a list"),
@@ -108,16 +108,16 @@
 	c := p.config
 	for _, f := range []struct{ name, value, what string }{
 		{"application", c.Application, "a name"},
-		{"data", c.Data, "the folder for what is kept"},
+		{"data", c.Data, "the folder for the agent's state"},
 		{"releases", c.Releases, "the folder of releases"},
-		{"release", c.Release, "the release to begin with, as petrelhookctl release add names it"},
+		{"release", c.Release, "the ID of the initial release, as printed by petrelhookctl release add"},
 	} {
 		if f.value == "" {
 			return p.problem(top, f.name, "missing; write "+f.what)
 		}
 	}
 	if !p.reachable(c.Listen) {
-		return p.problem(top, "listen", c.Listen+" is not of loopback; write allow_remote: true where everybody who reaches it may give orders")
+		return p.problem(top, "listen", c.Listen+" is not a loopback address; write allow_remote: true if everyone who can reach it may give orders")
 	}
 	return nil
 }
@@ -192,8 +192,8 @@
 			return err
 		}
 		if !p.reachable(address) {
-			return fmt.Errorf("%s is not of loopback; "+
-				"write allow_remote: true where everybody who reaches it may give versions", address)
+			return fmt.Errorf("%s is not a loopback address; "+
+				"write allow_remote: true if everyone who can reach it may send versions", address)
 		}
 	}
 	return nil
@@ -209,7 +209,7 @@
 		}
 		for _, key := range []string{"name " + s.Name, s.Listen, s.AdminAddresses[0], s.AdminAddresses[1]} {
 			if lines[key] != 0 {
-				return p.problem(n, path, fmt.Sprintf("%s is in line %d already", key, lines[key]))
+				return p.problem(n, path, fmt.Sprintf("%s is already used in line %d", key, lines[key]))
 			}
 			lines[key] = n.Line
 		}
@@ -235,7 +235,7 @@
 	case err != nil:
 		return s, err
 	case s.Name == "" || s.Name != filepath.Base(s.Name) || s.Name[0] == '.':
-		return s, p.problem(n, path+".name", fmt.Sprintf("%q; write a name without slashes that begins with no dot", s.Name))
+		return s, p.problem(n, path+".name", fmt.Sprintf("%q; write a name without slashes that does not begin with a dot", s.Name))
 	case s.Listen == "" || addresses == nil:
 		return s, p.problem(n, path, "write listen, and two admin_addresses")
 	}
@@ -254,7 +254,7 @@
 		}
 	}
 	if len(addresses) != 2 {
-		return nil, fmt.Errorf("%d addresses; write two: both processes of a hand-over have one", len(addresses))
+		return nil, fmt.Errorf("%d addresses; write two: each of the two processes of a handover has one", len(addresses))
 	}
 	return addresses, nil
 }
--- a/internal/coordination/machine/sidecar.go
+++ b/internal/coordination/machine/sidecar.go
@@ -57,7 +57,7 @@
 	}
 	for _, version := range []distribute.Revision{managed.savedState.InForce, managed.savedState.Candidate} {
 		if !m.versions.has(version) {
-			return fmt.Errorf("%s: sidecar %s runs with it, and it is not there or damaged", m.versionFile(version), config.Name)
+			return fmt.Errorf("%s: missing or damaged, but sidecar %s runs with this version", m.versionFile(version), config.Name)
 		}
 	}
 	found, err := m.findLastStart(managed)
--- a/internal/coordination/machine/start.go
+++ b/internal/coordination/machine/start.go
@@ -71,7 +71,7 @@
 	}
 	p := &agent.Process{}
 	if n, _ := fmt.Sscan(string(text), &p.PID, &p.StartTicks); n != 2 {
-		return nil, fmt.Errorf("%s: %q is no process", claimFile, text)
+		return nil, fmt.Errorf("%s: %q is not a process ID and a start time", claimFile, text)
 	}
 	return p, nil
 }
--- a/internal/coordination/machine/version.go
+++ b/internal/coordination/machine/version.go
@@ -56,7 +56,7 @@
 		}
 		version, err := readVersion(path)
 		if err == nil && version.Service != m.config.Application {
-			return fmt.Errorf("%s: it is of %s, and this agent is of %s; write another folder for data",
+			return fmt.Errorf("%s: a version of service %s, but this agent runs application %s; configure another data folder",
 				path, version.Service, m.config.Application)
 		}
 		if err == nil && (version.Revision != distribute.Revision(revision) || distribute.Digest(version.Content) != version.Digest) {
--- a/internal/coordination/machine/version_test.go
+++ b/internal/coordination/machine/version_test.go
@@ -380,8 +380,8 @@
 	m.lockFile.Close()
 
 	content, _ := os.ReadFile(filepath.Join(g.config.Data, "version-4.json"))
-	for text, want := range map[string]string{string(content[:9]): "version-4.json: sidecar n0 runs with it, and it is not there or damaged",
-		strings.Replace(string(content), `"app"`, `"else"`, 1): "it is of else, and this agent is of app"} {
+	for text, want := range map[string]string{string(content[:9]): "version-4.json: missing or damaged, but sidecar n0 runs with this version",
+		strings.Replace(string(content), `"app"`, `"else"`, 1): "a version of service else, but this agent runs application app"} {
 		write("version-4.json", text)
 		if _, err := Open(g.config, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
