--- a/internal/coordination/release/compare.go
+++ b/internal/coordination/release/compare.go
@@ -7,19 +7,20 @@
 	"strings"
 )
 
-// Kind says whether a field may differ while old and new sidecars run side by side.
+// Kind classifies a difference in a field by whether old and new sidecars may run side by side with it.
 type Kind uint8
 
-// The kinds, from harmless to refused.
+// The kinds, in increasing order of severity.
 const (
-	SideBySide Kind = iota
-	TwoSteps        // in the order that Finding.Reason says
-	Refused
+	SideBySide Kind = iota // both may run at the same time
+	TwoSteps               // another change has to be made before or after, as Finding.Reason says
+	Refused                // the rollout is refused
 )
 
 func (k Kind) String() string { return [...]string{"side by side", "two steps", "refused"}[k] }
 
-// Finding is one field that differs between old and new settings. Old and New are its values; "none" stands for a field that is absent.
+// Finding describes one field that differs between old and new settings. Old and New are its values, or "none" if the field is
+// absent.
 type Finding struct {
 	Field   string `json:"field"` // its path, such as settings.classes[plate-reserve].window_ms
 	Old     string `json:"Old"`
@@ -41,8 +42,8 @@
 	return worst
 }
 
-// Compare returns the fields in which two settings differ, in the order of their names, and what each means while both are in use. An
-// error says which of them is not a JSON object.
+// Compare returns a finding for each field in which two settings differ, in the order of the field names. It returns an error if
+// one of them is not a JSON object.
 func Compare(old, new []byte) ([]Finding, error) {
 	oldFields, err := flattenSettings(old)
 	if err != nil {
@@ -77,7 +78,8 @@
 	return findings, nil
 }
 
-// coveredByEntry reports whether a field belongs to a class or tenant that only one side has: the entry is one finding.
+// coveredByEntry reports whether a field belongs to a named list entry, such as a class or a tenant, that only one side has. Such
+// an entry is one finding, without findings for its fields.
 func coveredByEntry(field string, oldFields, newFields map[string]any) bool {
 	end := strings.LastIndex(field, "].")
 	if end < 0 {
@@ -89,6 +91,7 @@
 	return inOld != inNew
 }
 
+// display returns the text of a value in a Finding.
 func display(value any, present bool) string {
 	if !present {
 		return "none"
@@ -96,9 +99,10 @@
 	return fmt.Sprint(value)
 }
 
-// warmUpBudget finds whether servers that are warming up can bear old and new sidecars together. A sidecar gives a server that bears the
-// fraction s of its full work while it warms up that fraction, and f times that overloads it, s x f / 2 of the sidecar's own share. The
-// settings with the smaller s x f may be the right ones.
+// warmUpBudget checks whether servers that are warming up can bear the load of old and new sidecars together. With the settings s
+// (cold_from) and f (fall_multiple), a sidecar assumes that a server that is warming up can bear the fraction s of its full work
+// and is overloaded at s x f, and gives it up to the fraction max(s, s x f / 2) of the sidecar's own share. Old and new
+// sidecars may assume different values of s x f, and the smaller one may be right.
 func warmUpBudget(oldFields, newFields map[string]any) (finding Finding, refused bool) {
 	budget := func(fields map[string]any) (overload, used float64) {
 		size, multiple := number(fields["settings.rules.cold_from"], 1), number(fields["settings.rules.fall_multiple"], 0)
--- a/internal/coordination/release/flatten.go
+++ b/internal/coordination/release/flatten.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// flattenSettings returns settings as a map from paths of fields to their values. Entries of lists that have a name are addressed by it, as
-// in settings.classes[book].group, others by their index. A list of named entries has a value of its own, the order of the names.
+// flattenSettings returns settings as a map from field paths to values. List entries with a name are addressed by their name, as
+// in settings.classes[book].group, and others by their index. The path of a list of named entries maps to the names in their
+// order.
 func flattenSettings(text []byte) (map[string]any, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -16,7 +17,7 @@
 	if err := d.Decode(&settings); err != nil {
 		return nil, err
 	}
-	delete(settings, "known") // the last answer of discovery is not a setting
+	delete(settings, "known") // the last response of discovery, which is not a setting
 	fields := map[string]any{}
 	for name, value := range settings {
 		flatten(fields, name, value)
@@ -24,6 +25,7 @@
 	return fields, nil
 }
 
+// flatten adds the fields of a value at a path.
 func flatten(fields map[string]any, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/coordination/release/recorded_test.go
+++ b/internal/coordination/release/recorded_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A store that revision cfdfdec made is opened, and its release has the content that its name says.
+// A store that revision cfdfdec created can be opened, and the content of its release matches the release ID.
 func TestRecordedStoreIsOpened(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	if err := os.CopyFS(dir, os.DirFS("testdata/cfdfdec/store")); err != nil {
@@ -29,12 +29,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = program.Close() }() // read only
+	defer func() { _ = program.Close() }() // opened for reading only
 	settings, err := os.Open(r.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = settings.Close() }() // read only
+	defer func() { _ = settings.Close() }() // opened for reading only
 	if again, err := s.Add(program, settings); err != nil || again.ID != id {
 		t.Errorf("%+v, %v", again, err)
 	}
--- a/internal/coordination/release/release_test.go
+++ b/internal/coordination/release/release_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-const base = `{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "limits": {"memory_mb": 64},
+const baseSettings = `{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "limits": {"memory_mb": 64},
  "known": {"generation": 1},
  "settings": {"classes": [
   {"name": "look", "effect": "read_like", "hard_limit_ms": 1000, "worth": 1},
@@ -24,101 +24,101 @@
  "tenants": [{"name": "acme", "share": 1}], "zones": ["a", "b"], "peers_total": 4,
  "limits": {"probes": false, "conn_idle_ms": 9000}, "rules": {"drain_grace_ms": 250, "cold_from": 0.1, "cold_ms": 8000, "fall_multiple": 3}}}`
 
-// Each change of one field, with its kind and a part of the reason.
+// Compare reports each change of one field with the expected kind and reason.
 func TestCompare(t *testing.T) {
 	for name, c := range map[string]struct {
-		from, to, field string
-		kind            Kind
-		why             string
+		oldText, newText, field string
+		kind                    Kind
+		reason                  string
 	}{
-		"freely repeatable":        {`"non_idempotent"`, `"idempotency_key"`, "settings.classes[once].effect", Refused, "freely repeatable"},
-		"wholly repeatable":        {`"idempotency_key"`, `"read_like"`, "settings.classes[book].effect", Refused, "freely repeatable"},
-		"less repeatable":          {`"idempotency_key"`, `"non_idempotent"`, "settings.classes[book].effect", TwoSteps, "another name"},
-		"a window shrinks":         {`"window_ms": 500`, `"window_ms": 400`, "settings.classes[book].window_ms", Refused, "longer window"},
-		"a window grows":           {`"window_ms": 500`, `"window_ms": 600`, "settings.classes[book].window_ms", TwoSteps, "first servers"},
-		"a window for ever":        {`"window_ms": 500, `, ``, "settings.classes[book].window_ms", TwoSteps, "first servers"},
-		"keys go further":          {`"group": "zone"`, `"group": "all"`, "settings.classes[book].group", TwoSteps, "wider group"},
-		"keys go less far":         {`"group": "zone"`, `"group": "cell"`, "settings.classes[book].group", SideBySide, "fewer"},
-		"a grace shrinks":          {`"drain_grace_ms": 250`, `"drain_grace_ms": 200`, "settings.rules.drain_grace_ms", Refused, "longer grace"},
-		"a deadline grows":         {`"hard_limit_ms": 1000`, `"hard_limit_ms": 1001`, "settings.classes[look].hard_limit_ms", Refused, "clients wait no longer"},
-		"a deadline shrinks":       {`"hard_limit_ms": 1000`, `"hard_limit_ms": 900`, "settings.classes[look].hard_limit_ms", SideBySide, "sooner"},
-		"a worth":                  {`"worth": 1`, `"worth": 2`, "settings.classes[look].worth", SideBySide, "sheds"},
-		"a class more":             {`"hard_limit_ms": 800}],`, `"hard_limit_ms": 800}, {"name": "more", "effect": "read_like", "hard_limit_ms": 1}],`, "settings.classes[more]", TwoSteps, "first change all sidecars"},
-		"classes in another order": {`"name": "look", "effect": "read_like", "hard_limit_ms": 1000, "worth": 1},`, `"name": "other", "effect": "read_like", "hard_limit_ms": 1000},`, "settings.classes", Refused, "by position"},
-		"fewer peers":              {`"peers_total": 4`, `"peers_total": 2`, "settings.peers_total", TwoSteps, "larger part"},
-		"probes":                   {`"probes": false`, `"probes": true`, "settings.limits.probes", TwoSteps, "answer them first"},
-		"cold budgets":             {`"fall_multiple": 3`, `"fall_multiple": 9`, "settings.rules (cold budgets)", Refused, "smaller steps"},
-		"warm sooner":              {`"cold_ms": 8000`, `"cold_ms": 100`, "settings.rules.cold_ms", Refused, "for warm"},
-		"another listener":         {`127.0.0.1:1`, `127.0.0.1:9`, "listen", Refused, "find the sidecar"},
-		"another limit":            {`"memory_mb": 64`, `"memory_mb": 32`, "limits.memory_mb", SideBySide, "its own"},
-		"what nobody reads":        {`"peers_total": 4`, `"peers_total": 4, "later": {"x": 1}`, "settings.later.x", SideBySide, "does not read it"},
+		"an effect becomes idempotent":     {`"non_idempotent"`, `"idempotency_key"`, "settings.classes[once].effect", Refused, "freely repeatable"},
+		"an effect becomes read-like":      {`"idempotency_key"`, `"read_like"`, "settings.classes[book].effect", Refused, "freely repeatable"},
+		"an effect becomes non-idempotent": {`"idempotency_key"`, `"non_idempotent"`, "settings.classes[book].effect", TwoSteps, "another name"},
+		"a window shrinks":                 {`"window_ms": 500`, `"window_ms": 400`, "settings.classes[book].window_ms", Refused, "longer window"},
+		"a window grows":                   {`"window_ms": 500`, `"window_ms": 600`, "settings.classes[book].window_ms", TwoSteps, "first servers"},
+		"a window without a limit":         {`"window_ms": 500, `, ``, "settings.classes[book].window_ms", TwoSteps, "first servers"},
+		"a wider group":                    {`"group": "zone"`, `"group": "all"`, "settings.classes[book].group", TwoSteps, "wider group"},
+		"a narrower group":                 {`"group": "zone"`, `"group": "cell"`, "settings.classes[book].group", SideBySide, "fewer"},
+		"a drain grace shrinks":            {`"drain_grace_ms": 250`, `"drain_grace_ms": 200`, "settings.rules.drain_grace_ms", Refused, "longer grace"},
+		"a deadline grows":                 {`"hard_limit_ms": 1000`, `"hard_limit_ms": 1001`, "settings.classes[look].hard_limit_ms", Refused, "clients wait no longer"},
+		"a deadline shrinks":               {`"hard_limit_ms": 1000`, `"hard_limit_ms": 900`, "settings.classes[look].hard_limit_ms", SideBySide, "sooner"},
+		"another worth":                    {`"worth": 1`, `"worth": 2`, "settings.classes[look].worth", SideBySide, "sheds"},
+		"one more class":                   {`"hard_limit_ms": 800}],`, `"hard_limit_ms": 800}, {"name": "more", "effect": "read_like", "hard_limit_ms": 1}],`, "settings.classes[more]", TwoSteps, "first change all sidecars"},
+		"classes in another order":         {`"name": "look", "effect": "read_like", "hard_limit_ms": 1000, "worth": 1},`, `"name": "other", "effect": "read_like", "hard_limit_ms": 1000},`, "settings.classes", Refused, "by position"},
+		"fewer peers":                      {`"peers_total": 4`, `"peers_total": 2`, "settings.peers_total", TwoSteps, "larger part"},
+		"probes are allowed":               {`"probes": false`, `"probes": true`, "settings.limits.probes", TwoSteps, "answer them first"},
+		"a larger fall multiple":           {`"fall_multiple": 3`, `"fall_multiple": 9`, "settings.rules (cold budgets)", Refused, "smaller steps"},
+		"a shorter warm-up":                {`"cold_ms": 8000`, `"cold_ms": 100`, "settings.rules.cold_ms", Refused, "for warm"},
+		"another listener":                 {`127.0.0.1:1`, `127.0.0.1:9`, "listen", Refused, "find the sidecar"},
+		"another memory limit":             {`"memory_mb": 64`, `"memory_mb": 32`, "limits.memory_mb", SideBySide, "its own"},
+		"an unknown field":                 {`"peers_total": 4`, `"peers_total": 4, "later": {"x": 1}`, "settings.later.x", SideBySide, "does not read it"},
 	} {
-		all, err := Compare([]byte(base), []byte(strings.Replace(base, c.from, c.to, 1)))
+		findings, err := Compare([]byte(baseSettings), []byte(strings.Replace(baseSettings, c.oldText, c.newText, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		found := false
-		for _, f := range all {
-			found = found || f.Field == c.field && f.Kind == c.kind && strings.Contains(f.Reason, c.why)
+		for _, finding := range findings {
+			found = found || finding.Field == c.field && finding.Kind == c.kind && strings.Contains(finding.Reason, c.reason)
 		}
-		if !found || Worst(all) != c.kind {
-			t.Errorf("%s: %v", name, all)
+		if !found || Worst(findings) != c.kind {
+			t.Errorf("%s: %v", name, findings)
 		}
 	}
-	if all, err := Compare([]byte(base), []byte(strings.Replace(base, `"generation": 1`, `"generation": 2`, 1))); err != nil || len(all) > 0 {
-		t.Errorf("nothing differs: %v, %v", all, err)
+	if findings, err := Compare([]byte(baseSettings), []byte(strings.Replace(baseSettings, `"generation": 1`, `"generation": 2`, 1))); err != nil || len(findings) > 0 {
+		t.Errorf("nothing differs: %v, %v", findings, err)
 	}
-	if _, err := Compare([]byte(base), []byte("{")); err == nil || !strings.HasPrefix(err.Error(), "the new settings: ") {
+	if _, err := Compare([]byte(baseSettings), []byte("{")); err == nil || !strings.HasPrefix(err.Error(), "the new settings: ") {
 		t.Errorf("%v", err)
 	}
 }
 
-// Every setting that the program reads has a rule: none is taken for one that it does not read.
+// Every setting that the sidecar reads has a rule, so that none counts as unknown and therefore harmless.
 func TestEveryFieldHasARule(t *testing.T) {
 	text, err := os.ReadFile("../../sidecar/wire/settings.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := []string{"settings"}
+	path := []string{"settings"}
 	open := regexp.MustCompile(`(?:\[\])?struct \{`)
 	tag := regexp.MustCompile("json:\"(\\w+)\"")
-	n := 0
+	count := 0
 	body := string(text)
 	body = body[strings.Index(body, "type settings struct"):]
 	body = body[:strings.Index(body, "\n}\n")]
 	lines := strings.Split(body, "\n")[1:]
 	for i, line := range lines {
-		name := tag.FindStringSubmatch(line)
+		nameTag := tag.FindStringSubmatch(line)
 		switch {
-		case open.MatchString(line): // its name comes at its end
+		case open.MatchString(line): // the tag with its name is on its last line
 			for _, end := range lines[i+1:] {
 				if strings.HasPrefix(strings.TrimSpace(end), "}") {
 					part := tag.FindStringSubmatch(end)[1]
 					if strings.Contains(line, "[]struct") {
 						part += "[x]"
 					}
-					at = append(at, part)
+					path = append(path, part)
 					break
 				}
 			}
 		case strings.HasPrefix(strings.TrimSpace(line), "}"):
-			at = at[:len(at)-1]
-		case name != nil:
-			field := strings.Join(append(append([]string{}, at...), name[1]), ".")
+			path = path[:len(path)-1]
+		case nameTag != nil:
+			field := strings.Join(append(append([]string{}, path...), nameTag[1]), ".")
 			if strings.HasSuffix(field, "].name") {
 				continue
 			}
-			if n++; ruleFor(field) == nil {
+			if count++; ruleFor(field) == nil {
 				t.Errorf("%s: no rule", field)
 			}
 		}
 	}
-	if n < 40 {
-		t.Errorf("%d fields were found", n)
+	if count < 40 {
+		t.Errorf("%d fields were found", count)
 	}
 }
 
-// A store adds complete releases or none, names them by their content, and does not open one that was changed.
+// A store adds complete releases only, derives their IDs from the content, and does not open a release that was modified.
 func TestStore(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "releases")
 	s, err := NewStore(dir)
@@ -166,12 +166,13 @@
 	}
 }
 
+// broken is a reader that fails.
 type broken struct{}
 
 func (broken) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// Another process opens the store while this one adds a release: the addition is not removed, and completes. One whose process was killed
-// is removed.
+// An addition completes although another process opens the store meanwhile and removes abandoned staging folders. The staging
+// folder of an addition whose process was killed is removed by the next process that opens the store.
 func TestTwoProcessesAndOneStore(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "releases")
 	s, err := NewStore(dir)
@@ -185,8 +186,8 @@
 			t.Errorf("%v: %s", err, out)
 		}
 	}
-	crossing := readerFunc(func() { open() }) // after half of the program is in the staging folder
-	r, err := s.Add(io.MultiReader(strings.NewReader("half"), crossing, strings.NewReader("half")), strings.NewReader("{}"))
+	openBetween := readerFunc(func() { open() }) // runs after half of the program was written to the staging folder
+	r, err := s.Add(io.MultiReader(strings.NewReader("half"), openBetween, strings.NewReader("half")), strings.NewReader("{}"))
 	if err != nil {
 		t.Fatalf("the addition was removed: %v", err)
 	}
@@ -204,7 +205,7 @@
 	}
 }
 
-// readerFunc is a reader that calls a function once and has no bytes.
+// readerFunc is a reader without content that calls a function when it is read.
 type readerFunc func()
 
 func (f readerFunc) Read([]byte) (int, error) { f(); return 0, io.EOF }
@@ -225,20 +226,20 @@
 		fmt.Println(err)
 		os.Exit(0)
 	}
-	if dir := os.Getenv("RELEASE_TEST_STORE"); dir != "" { // no file of this process may have more than 8 KiB
+	if dir := os.Getenv("RELEASE_TEST_STORE"); dir != "" { // files of this process are limited to 8 KiB
 		signal.Ignore(syscall.SIGXFSZ)
 		err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: 8 << 10, Max: 8 << 10})
-		s, failed := NewStore(dir)
-		if err == nil && failed == nil {
+		s, openErr := NewStore(dir)
+		if err == nil && openErr == nil {
 			_, err = s.Add(bytes.NewReader(make([]byte, 1<<20)), strings.NewReader("{}"))
 		}
-		fmt.Println(err, failed)
+		fmt.Println(err, openErr)
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// Without room on the disk nothing is added, and the error names the file.
+// If a write fails for lack of space nothing is added, and the error names the file.
 func TestNoSpaceOnTheDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "releases")
 	cmd := exec.Command(os.Args[0])
@@ -252,15 +253,15 @@
 	}
 }
 
-// What is no name of a release is refused, and nothing outside the store's folder is touched.
+// Open and Remove reject malformed release IDs, such as paths that lead out of the store, and change nothing outside its folder.
 func TestBadIDs(t *testing.T) {
 	dir := t.TempDir()
 	s, err := NewStore(filepath.Join(dir, "releases"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	beside := filepath.Join(dir, "beside", "file")
-	if err := errors.Join(os.Mkdir(filepath.Dir(beside), 0o700), os.WriteFile(beside, []byte("x"), 0o600)); err != nil {
+	outside := filepath.Join(dir, "beside", "file")
+	if err := errors.Join(os.Mkdir(filepath.Dir(outside), 0o700), os.WriteFile(outside, []byte("x"), 0o600)); err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []ID{"", ".", "..", "../beside", "x/../../beside", "x", "x/../../beside/file", "9a3f74c8a7754141858e9dc4c4c0ef17/../x",
@@ -273,12 +274,12 @@
 			t.Errorf("Remove: %v, want %s", err, want)
 		}
 	}
-	if text, err := os.ReadFile(beside); err != nil || string(text) != "x" {
+	if text, err := os.ReadFile(outside); err != nil || string(text) != "x" {
 		t.Errorf("beside the store: %q, %v", text, err)
 	}
 }
 
-// A release that is damaged can be removed, and added again.
+// A damaged release can be removed and added again.
 func TestRemoveOfADamagedRelease(t *testing.T) {
 	s, err := NewStore(t.TempDir())
 	if err != nil {
--- a/internal/coordination/release/rules.go
+++ b/internal/coordination/release/rules.go
@@ -7,14 +7,15 @@
 	"strings"
 )
 
-// rule says what a change of a field means. In the pattern, a star stands for any text, as for the name of an entry in brackets. classify
-// is given nil for a side that does not have the field, and returns the reason as well.
+// rule classifies changes of the fields whose paths match a pattern. In a pattern a star stands for any text, such as the name of
+// an entry in brackets. classify gets the old and the new value, nil for a side without the field, and returns the kind and its
+// reason.
 type rule struct {
 	pattern  string
 	classify func(old, new any) (Kind, string)
 }
 
-// The reasons of rules for what a sidecar decides by itself.
+// Reasons for settings that affect only the sidecar that has them.
 const (
 	localWeight = "it weighs what each sidecar does by itself"
 	localLimit  = "each sidecar keeps to its own"
@@ -22,8 +23,8 @@
 	localTarget = "it is a latency target of each sidecar"
 )
 
-// rules has all fields that the program reads; the first pattern that matches counts. A field without a rule is one that the program does
-// not read, which may differ. TestEveryFieldHasARule compares the table with the program.
+// rules covers all fields that the sidecar reads; the first rule whose pattern matches applies. Fields without a rule are not
+// read by the sidecar and may differ. TestEveryFieldHasARule compares the table with the sidecar's source.
 var rules = []rule{
 	{"name", alwaysKind(Refused, "the processes of a sidecar find each other by its name: the next one would not find the one in service")},
 	{"listen", alwaysKind(Refused, "clients, and the next process, find the sidecar there; move clients to a sidecar of its own")},
@@ -39,8 +40,8 @@
 		return TwoSteps, "new sidecars refuse the class as unknown: first have clients stop to send it"
 	}},
 	{"settings.classes[*].effect", func(old, new any) (Kind, string) {
-		free := map[any]int{"read_like": 2, "idempotency_key": 1, "non_idempotent": 0}
-		if free[new] > free[old] {
+		repeatability := map[any]int{"read_like": 2, "idempotency_key": 1, "non_idempotent": 0}
+		if repeatability[new] > repeatability[old] {
 			return Refused, "it becomes freely repeatable: what runs under the old effect would run twice; add a class of another name"
 		}
 		return TwoSteps, "method and key of a request fit one effect only: add a class of another name, move clients to it, then remove this one"
@@ -103,8 +104,8 @@
 	{"settings.family_info.warm_keys", alwaysKind(SideBySide, "keys move to other servers until all are changed")},
 }
 
-// appendedOnly classifies an ordered list of names: what was learned is handed over by position, so that names may be added and removed at
-// the end alone.
+// appendedOnly classifies a change of an ordered list of names. Learned state is handed over by position, so names may be added
+// and removed only at the end.
 func appendedOnly(old, new any) (Kind, string) {
 	a, b := fmt.Sprint(old)+", ", fmt.Sprint(new)+", "
 	if strings.HasPrefix(a, b) || strings.HasPrefix(b, a) {
@@ -113,12 +114,13 @@
 	return Refused, "what was learned is handed over by position: keep the order, add at the end and remove from the end"
 }
 
-// immutableList classifies an ordered list that must not change.
-func immutableList(of string) func(any, any) (Kind, string) {
-	return alwaysKind(Refused, "what was learned of "+of+" is handed over by position: keep the list, or restart from nothing")
+// immutableList classifies a change of an ordered list whose learned state is handed over by position, so that the list must not
+// change.
+func immutableList(what string) func(any, any) (Kind, string) {
+	return alwaysKind(Refused, "what was learned of "+what+" is handed over by position: keep the list, or restart from nothing")
 }
 
-// permission classifies a permission: what has to be done elsewhere before it is given.
+// permission classifies a change of a boolean permission. first says what has to be done before it is granted.
 func permission(first string) func(any, any) (Kind, string) {
 	return func(_, new any) (Kind, string) {
 		if new == true {
@@ -128,11 +130,12 @@
 	}
 }
 
-func alwaysKind(k Kind, why string) func(any, any) (Kind, string) {
-	return func(any, any) (Kind, string) { return k, why }
+// alwaysKind classifies every change alike.
+func alwaysKind(kind Kind, reason string) func(any, any) (Kind, string) {
+	return func(any, any) (Kind, string) { return kind, reason }
 }
 
-// number returns a setting as a number; absent stands for one that is not there.
+// number returns a setting as a number, absent if it is missing or not a number.
 func number(value any, absent float64) float64 {
 	if n, ok := value.(json.Number); ok {
 		if f, err := strconv.ParseFloat(n.String(), 64); err == nil {
@@ -142,23 +145,23 @@
 	return absent
 }
 
-// byGrowth classifies a number by whether it becomes larger.
-func byGrowth(absent float64, more Kind, whyMore string, less Kind, whyLess string) func(any, any) (Kind, string) {
+// byGrowth classifies a change of a number by whether it increases. absent is the value that stands for a missing field.
+func byGrowth(absent float64, larger Kind, largerReason string, smaller Kind, smallerReason string) func(any, any) (Kind, string) {
 	return func(old, new any) (Kind, string) {
 		if number(new, absent) > number(old, absent) {
-			return more, whyMore
+			return larger, largerReason
 		}
-		return less, whyLess
+		return smaller, smallerReason
 	}
 }
 
-// noWindow stands for a window that is absent, which is larger than any.
+// noWindow is the value for an absent window, which is unlimited and therefore larger than any other.
 const noWindow = 1e300
 
-// groupReach orders groups by how many servers their retries reach.
+// groupReach orders groups of servers by how many servers the retries of a request may reach.
 var groupReach = map[any]int{nil: 2, "": 2, "all": 2, "zone": 1, "cell": 0}
 
-// ruleFor returns the rule of a field, nil if there is none.
+// ruleFor returns the rule for a field, nil if there is none.
 func ruleFor(field string) *rule {
 	for i := range rules {
 		if matches(rules[i].pattern, field) {
@@ -168,22 +171,22 @@
 	return nil
 }
 
-// matches reports whether a path of a field matches a pattern. The last star does not reach into the fields of an entry.
+// matches reports whether a field path matches a pattern. The last star does not match paths into the fields of a list entry.
 func matches(pattern, field string) bool {
-	parts := strings.Split(pattern, "*")
-	if !strings.HasPrefix(field, parts[0]) {
+	literals := strings.Split(pattern, "*")
+	if !strings.HasPrefix(field, literals[0]) {
 		return false
 	}
-	field = field[len(parts[0]):]
-	for i, p := range parts[1:] {
-		if i == len(parts)-2 {
-			return strings.HasSuffix(field, p) && (p == "" || strings.Count(field, "].") == strings.Count(p, "]."))
+	field = field[len(literals[0]):]
+	for i, literal := range literals[1:] {
+		if i == len(literals)-2 {
+			return strings.HasSuffix(field, literal) && (literal == "" || strings.Count(field, "].") == strings.Count(literal, "]."))
 		}
-		at := strings.Index(field, p)
+		at := strings.Index(field, literal)
 		if at < 0 {
 			return false
 		}
-		field = field[at+len(p):]
+		field = field[at+len(literal):]
 	}
 	return field == ""
 }
--- a/internal/coordination/release/store.go
+++ b/internal/coordination/release/store.go
@@ -12,29 +12,30 @@
 	"syscall"
 )
 
-// ID names a release by its content: the hash of the hashes of its program and its settings.
+// ID identifies a release by its content: it is a hash of the hashes of the program and the settings.
 type ID string
 
-// Release is a release in a store.
+// Release holds the paths of a release in a store.
 type Release struct {
 	ID       ID
 	Program  string // the path of the executable
-	Settings string // the path of its settings
+	Settings string // the path of the settings file
 }
 
-// The files of a release's folder, and the prefix of folders of releases that are being added or removed.
+// The names of the files in the folder of a release, and the prefix of the names of staging folders.
 const (
 	programName   = "program"
 	settingsName  = "settings.json"
 	stagingPrefix = ".adding-"
 )
 
-// Store is a folder of releases, each in a folder that is named by its ID. Any number of processes may use it at the same time: one that adds
-// a release holds a lock on its staging folder, and NewStore removes only those that nobody holds.
+// Store is a folder of releases, each in a subfolder that is named by its ID. Any number of processes and goroutines may use it
+// at the same time: a process that adds a release holds a lock on its staging folder, and NewStore removes only staging folders
+// that are not locked.
 type Store struct{ dir string }
 
-// NewStore returns the store in a folder, which is made if it is not there. What a process had begun to add or to remove before it ended is
-// removed.
+// NewStore returns the store in a folder, which it creates if necessary. It removes the staging folders of additions and removals
+// that were interrupted by the end of their process.
 func NewStore(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -54,10 +55,10 @@
 	return &Store{dir}, nil
 }
 
-// removeAbandoned removes a staging folder unless a process holds it.
+// removeAbandoned removes a staging folder unless it is locked.
 func removeAbandoned(path string) error {
 	lock, err := lockFolder(path)
-	if errors.Is(err, errHeld) || errors.Is(err, os.ErrNotExist) {
+	if errors.Is(err, errLocked) || errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
@@ -66,11 +67,11 @@
 	return errors.Join(os.RemoveAll(path), lock.Close())
 }
 
-// errHeld says that another process, or another call of this one, holds a folder's lock.
-var errHeld = errors.New("the folder is locked")
+// errLocked means that another process, or another call in this process, holds the lock of a folder.
+var errLocked = errors.New("the folder is locked")
 
-// lockFolder locks a folder until the returned file is closed, or the process ends. It does not wait: the error is errHeld if the folder is
-// locked, and os.ErrNotExist if it is not there or is removed at this moment.
+// lockFolder locks a folder until the returned file is closed or the process ends. It does not wait: the error is errLocked if
+// the folder is locked, and os.ErrNotExist if it does not exist or was removed or renamed meanwhile.
 func lockFolder(path string) (*os.File, error) {
 	folder, err := os.Open(path)
 	if err != nil {
@@ -78,10 +79,10 @@
 	}
 	err = syscall.Flock(int(folder.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
-		err = errHeld
+		err = errLocked
 	}
 	if err == nil {
-		_, err = os.Stat(path) // whoever had the lock before may have removed or renamed the folder
+		_, err = os.Stat(path) // the previous holder of the lock may have removed or renamed the folder
 	}
 	if err != nil {
 		return nil, errors.Join(err, folder.Close())
@@ -89,11 +90,11 @@
 	return folder, nil
 }
 
-// maxStagingAttempts is how many staging folders an addition makes before it gives up: one that is not locked yet may be taken for abandoned
-// by a NewStore at the same moment.
+// maxStagingAttempts bounds the staging folders that one addition creates. An attempt fails if a concurrent NewStore finds the
+// new folder before it is locked, and removes it as abandoned.
 const maxStagingAttempts = 10
 
-// makeStaging makes a staging folder and locks it.
+// makeStaging creates a staging folder and locks it. The lock is released when the returned file is closed.
 func (s *Store) makeStaging() (path string, lock *os.File, err error) {
 	for range maxStagingAttempts {
 		if path, err = os.MkdirTemp(s.dir, stagingPrefix); err != nil {
@@ -103,14 +104,14 @@
 		if err == nil {
 			return path, lock, nil
 		}
-		if !errors.Is(err, errHeld) && !errors.Is(err, os.ErrNotExist) {
+		if !errors.Is(err, errLocked) && !errors.Is(err, os.ErrNotExist) {
 			break
 		}
 	}
 	return "", nil, errors.Join(err, os.RemoveAll(path))
 }
 
-// idBytes is how many bytes of a hash an ID has, each as two hexadecimal digits.
+// idBytes is how many bytes of the hash an ID contains, each as two hexadecimal digits.
 const idBytes = 16
 
 // contentID returns the ID of a release from the hashes of its program and its settings.
@@ -119,29 +120,30 @@
 	return ID(hex.EncodeToString(sum[:idBytes]))
 }
 
-// Add copies a program and its settings into the store. They are written to a staging folder and synced, and the folder is renamed, so that
-// a release is complete on the disk when it is first seen. A release that is there already is checked and left as it is.
+// Add copies a program and its settings into the store. It writes them to a staging folder, syncs them and renames the folder, so
+// that a release is completely on the disk when it becomes visible. If the store has the release already, Add verifies it and
+// leaves it unchanged.
 func (s *Store) Add(program, settings io.Reader) (Release, error) {
 	staging, lock, err := s.makeStaging()
 	if err != nil {
 		return Release{}, err
 	}
-	defer func() { _ = lock.Close() }()          // it holds nothing but the lock
-	defer func() { _ = os.RemoveAll(staging) }() // renamed after success; otherwise NewStore removes what is left
-	p, err := writeAndHash(filepath.Join(staging, programName), program, 0o500)
+	defer func() { _ = lock.Close() }()          // releases the lock
+	defer func() { _ = os.RemoveAll(staging) }() // after a success it was renamed; NewStore removes anything left behind
+	programHash, err := writeAndHash(filepath.Join(staging, programName), program, 0o500)
 	if err != nil {
 		return Release{}, err
 	}
-	c, err := writeAndHash(filepath.Join(staging, settingsName), settings, 0o400)
+	settingsHash, err := writeAndHash(filepath.Join(staging, settingsName), settings, 0o400)
 	if err != nil {
 		return Release{}, err
 	}
-	id := contentID(p, c)
+	id := contentID(programHash, settingsHash)
 	if err := syncDir(staging); err != nil {
 		return Release{}, err
 	}
 	if err := os.Rename(staging, filepath.Join(s.dir, string(id))); err != nil {
-		if r, failed := s.Open(id); failed == nil { // it was there before
+		if r, openErr := s.Open(id); openErr == nil { // the store has it already
 			return r, nil
 		}
 		return Release{}, err
@@ -152,14 +154,14 @@
 	return s.Open(id)
 }
 
-// writeAndHash writes and syncs a file and returns the hash of its content. After a failure the file may be there in part.
-func writeAndHash(path string, from io.Reader, mode os.FileMode) (sum []byte, err error) {
+// writeAndHash creates, writes and syncs a file, and returns the hash of its content. After an error a partial file may remain.
+func writeAndHash(path string, content io.Reader, mode os.FileMode) (sum []byte, err error) {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return nil, err
 	}
 	h := sha256.New()
-	_, err = io.Copy(io.MultiWriter(f, h), from)
+	_, err = io.Copy(io.MultiWriter(f, h), content)
 	if err == nil {
 		err = f.Sync()
 	}
@@ -176,15 +178,16 @@
 
 // Errors of Open and Remove.
 var (
-	// ErrNotFound says that the release is not in the store.
+	// ErrNotFound means that the release is not in the store.
 	ErrNotFound = errors.New("there is no such release here")
-	// ErrInvalidID says that an ID has not the form of one.
+	// ErrInvalidID means that an ID is malformed.
 	ErrInvalidID = errors.New("no name of a release")
-	// ErrDamaged says that the content of a release is not that of its ID. Such a release can be removed.
+	// ErrDamaged means that the content of a release does not match its ID. Such a release can be removed.
 	ErrDamaged = errors.New("damaged")
 )
 
-// check returns ErrInvalidID unless an ID has the form that contentID returns. Only then it names a folder in the store.
+// check returns ErrInvalidID unless an ID has the form of those that contentID returns. Only such IDs are safe as names of
+// folders in the store.
 func (id ID) check() error {
 	if text, err := hex.DecodeString(string(id)); err != nil || len(text) != idBytes {
 		return fmt.Errorf("%q is %w: write %d hexadecimal digits", string(id), ErrInvalidID, hex.EncodedLen(idBytes))
@@ -192,7 +195,8 @@
 	return nil
 }
 
-// Open returns a release after it has checked that the content is that of the ID. The error for another content names the folder.
+// Open returns a release after it has verified the content against the ID. The error is ErrInvalidID, ErrNotFound, ErrDamaged,
+// with the folder in its text, or an error of the disk.
 func (s *Store) Open(id ID) (Release, error) {
 	if err := id.check(); err != nil {
 		return Release{}, err
@@ -221,14 +225,14 @@
 	return r, nil
 }
 
-// Remove removes a release. The folder is renamed first, so that no one opens a part of it.
+// Remove removes a release. It renames the folder first, so that no process opens a partly removed release.
 func (s *Store) Remove(id ID) error {
 	if _, err := s.Open(id); errors.Is(err, ErrInvalidID) || errors.Is(err, ErrNotFound) {
-		return err // a damaged release is removed
+		return err // a damaged release is removed all the same
 	}
-	away := filepath.Join(s.dir, stagingPrefix+string(id))
-	if err := os.Rename(filepath.Join(s.dir, string(id)), away); err != nil {
+	staging := filepath.Join(s.dir, stagingPrefix+string(id))
+	if err := os.Rename(filepath.Join(s.dir, string(id)), staging); err != nil {
 		return err
 	}
-	return errors.Join(os.RemoveAll(away), syncDir(s.dir))
+	return errors.Join(os.RemoveAll(staging), syncDir(s.dir))
 }
