--- a/internal/coordination/subscribe/subscribe.go
+++ b/internal/coordination/subscribe/subscribe.go
@@ -1,9 +1,10 @@
-// Package subscribe is an agent's side of the distribution of configuration versions, on the network: it calls one coordinator at a time
-// for a version newer than the one it holds, has it stored, and reports what is in force. Which coordinator to call, when, and whether to
-// accept a version is decided by distribute.Subscriber; which reports to send by distribute.Outbox.
+// Package subscribe is the network client of an agent's subscription to configuration versions. It asks one coordinator at a time
+// for a version newer than the one that the agent has, passes a new version to the agent to store, and reports which versions are
+// in force. distribute.Subscriber decides which coordinator to call, when, and whether to accept a version; distribute.Outbox
+// decides which reports to send.
 //
-// Invariants: one watch is in flight at a time, and beside it one call that only carries reports; no version counts as held that
-// Options.Store has not stored; when Run returns everything that it began has ended.
+// Invariants: at most one watch is in flight at a time, and beside it one call that only carries reports; a version counts as
+// known only once Options.Store has stored it; when Run returns, all goroutines that it started have ended.
 package subscribe
 
 import (
@@ -30,28 +31,28 @@
 
 // Options are the settings of a client.
 type Options struct {
-	Addrs    []string // of the coordinators
+	Addrs    []string // the addresses of the coordinators
 	Service  string
 	Member   string                         // the agent's name, unique in the service
-	Revision distribute.Revision            // of the version that is stored from before; 0: none
+	Revision distribute.Revision            // the revision of the newest stored version; 0 if there is none
 	Store    func(distribute.Version) error // stores a newer version; after an error the version is requested again
 	Log      *slog.Logger                   // nil: nothing is logged
-	// HTTPClient is nil for one of the client's own, which connects by Dial; nil: TCP.
+	// HTTPClient makes the calls. If it is nil, the client creates one, which connects by Dial.
 	HTTPClient *http.Client
-	Dial       rpc.Dial
+	Dial       rpc.Dial // nil: TCP
 }
 
-// Client is one agent's subscription. Report may be called from any goroutine, before and while Run runs.
+// Client is the subscription of one agent. Report may be called from any goroutine, before and during Run.
 type Client struct {
 	options    Options
 	httpClient *http.Client
-	wake       chan struct{} // there are reports to send
+	wake       chan struct{} // signals that there are reports to send
 
 	mu     sync.Mutex
 	outbox distribute.Outbox
 }
 
-// New returns a client; Run runs it.
+// New returns a client. It makes no calls before Run.
 func New(o Options) *Client {
 	c := &Client{options: o, httpClient: o.HTTPClient, wake: make(chan struct{}, 1)}
 	if c.httpClient == nil {
@@ -63,8 +64,8 @@
 	return c
 }
 
-// Report replaces the report of a sidecar and has it sent soon, together with others that come within reportDelay. It is safe for
-// concurrent use.
+// Report replaces the report of a sidecar, which is sent soon, together with other reports of the next reportDelay. It is safe
+// for concurrent use.
 func (c *Client) Report(r distribute.Report) {
 	c.mu.Lock()
 	c.outbox.Set(r)
@@ -75,13 +76,13 @@
 	}
 }
 
-// Run watches until ctx ends. It is called once; Options.Store is called by its goroutine.
+// Run watches for newer versions until ctx ends. It must be called once. Options.Store is called on its goroutine.
 func (c *Client) Run(ctx context.Context) {
 	defer c.httpClient.CloseIdleConnections()
-	began := time.Now()
-	now := func() time.Duration { return time.Since(began) }
+	start := time.Now()
+	now := func() time.Duration { return time.Since(start) }
 	options := distribute.DefaultSubscriberOptions(c.options.Service, c.options.Member, len(c.options.Addrs), rand.Int64N)
-	s := distribute.NewSubscriber(options, c.options.Revision, now())
+	subscriber := distribute.NewSubscriber(options, c.options.Revision, now())
 	var background sync.WaitGroup
 	defer background.Wait()
 	watches := make(chan watch, 1)
@@ -89,11 +90,11 @@
 	defer cancel()
 	background.Go(func() { c.sendReports(ctx, watches) })
 	for {
-		at, _ := s.NextCallAt()
-		if !rpc.Sleep(ctx, at-now()) {
+		callAt, _ := subscriber.NextCallAt()
+		if !rpc.Sleep(ctx, callAt-now()) {
 			return
 		}
-		call := s.Begin(now())
+		call := subscriber.Begin(now())
 		replace(watches, watch{call.Server, call.Watch})
 		response, err := c.call(ctx, call.Server, call.Watch, call.Deadline-now())
 		if ctx.Err() != nil {
@@ -101,17 +102,17 @@
 		}
 		if err != nil {
 			c.options.Log.Info("watch failed", "addr", c.options.Addrs[call.Server], "err", err)
-			s.Failed(now())
+			subscriber.Failed(now())
 			continue
 		}
-		c.handle(s, now, call.Server, response)
+		c.handle(subscriber, now, call.Server, response)
 	}
 }
 
-// handle passes a response to the subscriber, and has a newer version stored.
-func (c *Client) handle(s *distribute.Subscriber, now func() time.Duration, server int, response *distribute.WatchResponse) {
-	before := s.Revision()
-	newer, err := s.Answered(now(), *response)
+// handle passes a response to the subscriber, and stores a newer version by Options.Store.
+func (c *Client) handle(subscriber *distribute.Subscriber, now func() time.Duration, server int, response *distribute.WatchResponse) {
+	previous := subscriber.Revision()
+	newer, err := subscriber.Answered(now(), *response)
 	if err != nil {
 		c.options.Log.Warn("version refused", "addr", c.options.Addrs[server], "err", err)
 		return
@@ -121,28 +122,29 @@
 	}
 	if err := c.options.Store(*newer); err != nil {
 		c.options.Log.Warn("version not stored", "revision", uint64(newer.Revision), "err", err)
-		s.StoreFailed(now(), before)
+		subscriber.StoreFailed(now(), previous)
 		return
 	}
 	c.options.Log.Info("version stored", "revision", uint64(newer.Revision), "digest", newer.Digest)
 }
 
-// watch is a watch and the coordinator that it is sent to.
+// watch is a watch request and the coordinator to which it is sent.
 type watch struct {
-	server int
+	server int // the index of the coordinator in Options.Addrs
 	watch  distribute.Watch
 }
 
-// replace puts a value into a channel of one, in place of one that was not taken out.
-func replace(to chan watch, w watch) {
+// replace sends a value to a channel with a buffer of one, and drops an earlier value that was not received. Only one goroutine
+// may call it for a channel.
+func replace(channel chan watch, w watch) {
 	select {
-	case <-to:
+	case <-channel:
 	default:
 	}
-	to <- w
+	channel <- w
 }
 
-// call makes one call, with the reports that its coordinator has not acknowledged.
+// call sends a watch request with the reports that the coordinator has not acknowledged.
 func (c *Client) call(ctx context.Context, server int, w distribute.Watch, timeout time.Duration) (*distribute.WatchResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -161,7 +163,7 @@
 	return res.Msg, nil
 }
 
-// sendReports sends reports that come while a watch is in flight to the same coordinator, until ctx ends.
+// sendReports sends reports that are set while a watch is in flight, to the coordinator of the watch, until ctx ends.
 func (c *Client) sendReports(ctx context.Context, watches <-chan watch) {
 	var current *watch
 	for {
@@ -170,14 +172,14 @@
 			return
 		case w := <-watches:
 			current = &w
-			continue // that call carries the reports that there are
+			continue // the watch itself carries the reports of that time
 		case <-c.wake:
 		}
-		if !rpc.Sleep(ctx, reportDelay) { // reports that come together are sent together
+		if !rpc.Sleep(ctx, reportDelay) { // reports that are set at about the same time are sent together
 			continue
 		}
 		select {
-		case w := <-watches: // the known revision may have changed meanwhile: for the older one the version would be sent again
+		case w := <-watches: // with a revision that is out of date the coordinator would send the version again
 			current = &w
 		default:
 		}
@@ -190,7 +192,7 @@
 		reports := c.outbox.Unacknowledged(current.server)
 		c.mu.Unlock()
 		if reports != nil {
-			_, _ = c.call(ctx, current.server, w, reportTimeout) // what is not delivered goes with the next watch
+			_, _ = c.call(ctx, current.server, w, reportTimeout) // the next watch carries reports that were not delivered
 		}
 	}
 }
--- a/internal/coordination/subscribe/subscribe_test.go
+++ b/internal/coordination/subscribe/subscribe_test.go
@@ -12,7 +12,7 @@
 	"petrelhook/internal/coordination/rpc"
 )
 
-// A version is sent once: a call that reports it while the next watch is in flight says that it is held.
+// A version is sent once: the call that reports it while the next watch is in flight names it as the known revision.
 func TestAVersionIsSentOnce(t *testing.T) {
 	content := json.RawMessage(`{"a":1}`)
 	version := distribute.Version{Service: "s", Revision: 7, Digest: distribute.Digest(content), Content: content}
