--- a/internal/coordination/rpc/sleep.go
+++ b/internal/coordination/rpc/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits before the next attempt of a call. It returns false when ctx has ended.
+// Sleep waits for d before the next attempt of a call. It returns false, at once, if ctx has ended or ends meanwhile.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/coordination/rpc/sleep_test.go
+++ b/internal/coordination/rpc/sleep_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A wait that passes lets the caller go on; a context that has ended, before or meanwhile, does not.
+// Sleep returns true after the full wait, and false if the context has ended before or ends meanwhile.
 func TestSleep(t *testing.T) {
-	ended, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	soon, cancel := context.WithTimeout(context.Background(), time.Millisecond)
+	expiring, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	for _, c := range []struct {
 		ctx  context.Context
@@ -18,11 +18,11 @@
 		want bool
 	}{
 		{context.Background(), 0, true}, {context.Background(), time.Millisecond, true},
-		{ended, 0, false}, {ended, time.Hour, false}, {soon, time.Hour, false},
+		{canceled, 0, false}, {canceled, time.Hour, false}, {expiring, time.Hour, false},
 	} {
-		began := time.Now()
-		if got := Sleep(c.ctx, c.d); got != c.want || got && time.Since(began) < c.d {
-			t.Errorf("%v, %v: %v after %v", c.ctx, c.d, got, time.Since(began))
+		start := time.Now()
+		if got := Sleep(c.ctx, c.d); got != c.want || got && time.Since(start) < c.d {
+			t.Errorf("%v, %v: %v after %v", c.ctx, c.d, got, time.Since(start))
 		}
 	}
 }
