--- a/internal/coordination/monotonic/monotonic.go
+++ b/internal/coordination/monotonic/monotonic.go
@@ -1,4 +1,5 @@
-// Package monotonic reads the clock by which leases are measured: it is never set, and it includes the time for which the machine sleeps.
+// Package monotonic reads the clock that measures leases. The clock is never set, and it includes the time during which the
+// machine is suspended.
 package monotonic
 
 import (
@@ -7,12 +8,13 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// Now returns the reading of CLOCK_BOOTTIME, in nanoseconds since the machine was started. Go's own monotonic clock stops while a
-// machine sleeps: with them a holder would believe in its lease after another one got it. Now is safe for concurrent use.
+// Now returns the reading of CLOCK_BOOTTIME, in nanoseconds since the machine booted. Go's monotonic clock stops while the
+// machine is suspended: by it a holder would consider its lease valid after another holder has acquired it. Now is safe for
+// concurrent use.
 func Now() lease.Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has this clock since 2.6.39
+		panic(err) // Linux has had this clock since 2.6.39
 	}
 	return lease.Instant(t.Nano())
 }
