--- a/internal/coordination/fleet/caller.go
+++ b/internal/coordination/fleet/caller.go
@@ -16,23 +16,26 @@
 	"petrelhook/internal/coordination/rpc"
 )
 
-// Caller sends requests to coordinators, beginning with the one that answered last, until one that leads has answered. Requests have to be
-// idempotent, for one whose response is lost is sent again; a change of the membership is not. A Caller is safe for concurrent use.
+// Caller sends requests to coordinators until the leader has answered. It begins with the coordinator that answered last.
+// Requests must be idempotent, because a request whose response is lost is sent again; changes of the membership are the
+// exception, see Call. A Caller is safe for concurrent use.
 type Caller struct {
 	Addrs      []string
 	HTTPClient *http.Client
-	// Timeout bounds one call; 0: only the context does.
+	// Timeout bounds one attempt; 0: only the context does.
 	Timeout time.Duration
-	// RetryInterval is the longest delay before the next coordinator is tried. Once all have been, the last one's response says how long.
+	// RetryInterval is the maximum delay before the next coordinator is tried. After all have been tried, the last response gives
+	// the maximum delay.
 	RetryInterval time.Duration
 
-	mu      sync.Mutex
-	current int // the index of the coordinator to try next
+	mu           sync.Mutex
+	currentIndex int // the index of the coordinator to try next
 }
 
-// Call sends a request until a leader answers it, or a coordinator refuses it permanently (IsPermanent), or ctx ends. A change of the
-// membership ends with an error, too, where its outcome is unknown or another one is pending (replica.ErrMembershipChangePending). An
-// error names the coordinator that was called last. beforeAttempt, unless it is nil, is called before each attempt.
+// Call sends a request until the leader answers it, a coordinator rejects it permanently (see IsPermanent), or ctx ends. It sets
+// the version of the request. A change of the membership also ends with an error if its outcome is unknown or another change is
+// pending (replica.ErrMembershipChangePending). An error names the coordinator that was called last. beforeAttempt, unless nil,
+// is called before each attempt.
 func (c *Caller) Call(ctx context.Context, in *Request, beforeAttempt func()) (*Response, error) {
 	in.Version = Version
 	for attempt := 1; ; attempt++ {
@@ -56,7 +59,7 @@
 		} else if IsPermanent(err) {
 			return nil, fmt.Errorf("%s: %w", addr, err)
 		}
-		c.moveOn(leader)
+		c.selectNext(leader)
 		if !rpc.Sleep(ctx, withJitter(delay)) {
 			return nil, fmt.Errorf("%s: %w: %w", addr, err, context.Cause(ctx))
 		}
@@ -66,24 +69,25 @@
 func (c *Caller) currentAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.Addrs[c.current]
+	return c.Addrs[c.currentIndex]
 }
 
-// moveOn goes to the leader where it is known, else to the next coordinator.
-func (c *Caller) moveOn(leader string) {
+// selectNext selects the coordinator of the next attempt: the leader if its address is known, or else the next in the list.
+func (c *Caller) selectNext(leader string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if i := slices.Index(c.Addrs, leader); i >= 0 {
-		c.current = i
+		c.currentIndex = i
 	} else {
-		c.current = (c.current + 1) % len(c.Addrs)
+		c.currentIndex = (c.currentIndex + 1) % len(c.Addrs)
 	}
 }
 
-// withJitter returns half to the whole of a delay, so that callers do not come back at the same moment.
+// withJitter returns a random duration between half of a delay and the whole delay, so that callers do not retry at the same
+// moment.
 func withJitter(delay time.Duration) time.Duration { return delay/2 + rand.N(delay/2+1) }
 
-// attempt makes one call at one coordinator.
+// attempt makes one call to one coordinator.
 func (c *Caller) attempt(ctx context.Context, addr string, in *Request) (*codedResponse, error) {
 	if c.Timeout > 0 {
 		var cancel context.CancelFunc
@@ -101,10 +105,10 @@
 	return out, nil
 }
 
-// sentOnce reports whether a request must not be sent again where the outcome is not known.
+// sentOnce reports whether a request must not be sent again if its outcome is unknown.
 func sentOnce(in *Request) bool { return in.AddMember != nil || in.RemoveMember != 0 }
 
-// IsPermanent reports whether an error of a call refuses the request permanently, so that it need not be sent again.
+// IsPermanent reports whether an error of a call means that the request is rejected permanently, so that a retry is useless.
 func IsPermanent(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument, connect.CodeFailedPrecondition, connect.CodeUnimplemented, connect.CodeResourceExhausted:
--- a/internal/coordination/fleet/config.go
+++ b/internal/coordination/fleet/config.go
@@ -15,21 +15,21 @@
 	"petrelhook/internal/coordination/rpc"
 )
 
-// Config is the settings of a coordinator.
+// Config holds the settings of a coordinator.
 type Config struct {
 	ID            uint64
-	Data          string // the folder of its replica
+	Data          string // the folder with the replica's state
 	Replicas      []replica.Member
-	Listen        string               // "": the address among the replicas; another one where others reach it by way of something
-	Join          bool                 // it is added to a group that exists: it begins with an empty replica
-	MaxTTL        time.Duration        // that a session may have
-	Tick          time.Duration        // of the replica
-	AllowRemote   bool                 // addresses that are not of loopback are allowed
-	Drive         bool                 // it may drive rolling changes too
-	DriveInterval time.Duration        // between two polls of the agents by the driver
-	Dial          rpc.Dial             // to other coordinators; nil: TCP. No file has it, nor Clock
+	Listen        string               // "": the address in Replicas; set if other processes reach the coordinator through a proxy or a port mapping
+	Join          bool                 // the replica joins an existing group, and begins empty
+	MaxTTL        time.Duration        // the longest TTL of a session
+	Tick          time.Duration        // the time between two ticks of the replica
+	AllowRemote   bool                 // permits addresses that are not loopback addresses
+	Drive         bool                 // the coordinator may also drive rollouts
+	DriveInterval time.Duration        // the time between two polls of the agents by the driver
+	Dial          rpc.Dial             // connects to other coordinators; nil: TCP. Dial and Clock cannot be set in the file
 	Clock         func() lease.Instant // nil: monotonic.Now
-	Warnings      []string             // what is valid and unwise, and fields under deprecated names; the program logs them
+	Warnings      []string             // valid but inadvisable settings, and deprecated field names; the program logs them
 }
 
 // Addr returns the address to listen on.
@@ -53,19 +53,19 @@
 	defaultDriveInterval = time.Second
 )
 
-// renamedFields has the names that earlier versions had for fields, each with the current one. They are still read; see
+// renamedFields has the deprecated field names, each with the current name. They are still accepted; see
 // yamlfile.DeprecatedNames.
 var renamedFields = map[string]string{
 	"drive_every": "drive_interval",
 	"longest_ttl": "max_ttl",
 }
 
-// SingleConfig returns the settings of the only coordinator of a machine, which needs no file.
+// SingleConfig returns the settings of a coordinator that is the only replica of its group, which needs no settings file.
 func SingleConfig(data, addr string) *Config {
 	return &Config{ID: 1, Data: data, Replicas: []replica.Member{{ID: 1, Addr: addr}}, MaxTTL: defaultMaxTTL, Tick: defaultTick}
 }
 
-// ReadConfig reads a file. A relative data folder is one beside the file.
+// ReadConfig reads a settings file. A relative data folder is resolved against the folder of the file.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return c, err
 }
 
-// ParseConfig reads the text of a file. Every error names file, line, column and field, and says what to write.
+// ParseConfig parses the text of a settings file. Every error names the file, line, column and field, and says what to write.
 func ParseConfig(file string, text []byte) (*Config, error) {
 	top, err := yamlfile.Mapping(file, text, "fields such as id: 1")
 	if err != nil {
@@ -113,14 +113,14 @@
 	return c, nil
 }
 
-// reachable reports whether the file allows an address: any address of loopback, and others only with allow_remote.
+// reachable reports whether the file permits an address: any loopback address, and others only with allow_remote.
 func (c *Config) reachable(address string) bool {
 	host, _, _ := net.SplitHostPort(address)
 	return c.AllowRemote || yamlfile.Loopback(host)
 }
 
-// parseFields reads the fields of the file, and returns the node of the replicas, which are read once all other fields are known; the zero
-// node: there is none.
+// parseFields reads the fields of the file. It returns the node of the replicas, which are parsed once all other fields are
+// known; a zero node means that the file has none.
 func (c *Config) parseFields(file string, top *yaml.Node, deprecated *yamlfile.DeprecatedNames) (replicas yaml.Node, err error) {
 	err = deprecated.Fields(file, "", top, map[string]yamlfile.Reader{
 		"id":             yamlfile.Into(&c.ID, "a number from 1 on"),
@@ -137,7 +137,7 @@
 	return replicas, err
 }
 
-// parseReplicas reads the list of replicas. Ids and addresses are different, and this coordinator is among them.
+// parseReplicas reads the list of replicas. IDs and addresses must be unique, and this coordinator must be in the list.
 func (c *Config) parseReplicas(file string, replicas *yaml.Node) error {
 	lineOfID, lineOfAddr := map[uint64]int{}, map[string]int{}
 	for i, n := range replicas.Content {
@@ -146,10 +146,10 @@
 		if err != nil {
 			return err
 		}
-		switch line, twice := lineOfID[m.ID]; {
+		switch line, duplicate := lineOfID[m.ID]; {
 		case m.ID == 0:
 			return yamlfile.Problem(file, n, field+".id", "missing or 0; write a number from 1 on")
-		case twice:
+		case duplicate:
 			return yamlfile.Problem(file, n, field+".id", fmt.Sprintf("%d is that of line %d; each replica has its own", m.ID, line))
 		case m.Addr == "":
 			return yamlfile.Problem(file, n, field+".address", "missing; write host:port")
--- a/internal/coordination/fleet/config_test.go
+++ b/internal/coordination/fleet/config_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A setting under the name that earlier versions had for it is read as under its current name, with one warning that says the current one. A
-// file with both names is an error.
+// A setting under its deprecated name has the same effect as under its current name, with one warning that gives the current
+// name. A file with both names is an error.
 func TestDeprecatedCoordinatorSettings(t *testing.T) {
 	const file = "id: 1\ndata: d\nmax_ttl: 2s\ndrive_interval: 3s\nreplicas: [{id: 1, address: \"127.0.0.1:1\"}]\n"
 	want, err := ParseConfig("c", []byte(file))
--- a/internal/coordination/fleet/distribute.go
+++ b/internal/coordination/fleet/distribute.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// freshTicks is for how long a coordinator answers watches after the last confirmation that it knows all versions: longer than an
-	// election takes, so that agents do not all leave at a change of the leader. confirmTicks is the time between two confirmations.
+	// freshTicks is how long a coordinator answers watches after the last confirmation that it knows all versions. It is longer
+	// than an election, so that a change of the leader does not make all agents switch coordinators. confirmTicks is the time
+	// between two requests for a confirmation.
 	freshTicks   = 8 * replica.ElectionTicks
 	confirmTicks = replica.ElectionTicks
 	// watchTickInterval is the time between two checks of the deadlines of watches.
@@ -21,28 +22,29 @@
 	confirmDialTimeout = time.Second
 )
 
-// distributor is the part of a coordinator that answers agents' watches. Followers do so as well as the leader: what they know is
-// confirmed by a request to the leader, not by the log's own messages, which may be lost in one direction alone. But for confirm it
-// belongs to the goroutine that owns the replica.
+// distributor answers the watches of agents, on followers as well as on the leader. Each coordinator confirms that it knows all
+// versions by a request to the leader. The messages of the log do not confirm it, because messages may be lost in one direction
+// only. All methods run on the goroutine that owns the replica, except confirm and the methods that confirm calls.
 type distributor struct {
 	server    *Server
-	began     time.Time
+	startedAt time.Time
 	watches   *distribute.Watches
 	reports   *distribute.ReportTable
 	revisions distribute.RevisionTracker
 }
 
 func newDistributor(s *Server) *distributor {
-	d := &distributor{server: s, began: time.Now(), reports: distribute.NewReportTable()}
+	d := &distributor{server: s, startedAt: time.Now(), reports: distribute.NewReportTable()}
 	d.watches = distribute.NewWatches(func(service string) (distribute.Version, bool) {
 		return s.core.Versions().Newest(service)
 	}, freshTicks*s.config.Tick)
 	return d
 }
 
-func (d *distributor) now() time.Duration { return time.Since(d.began) }
+// now returns the time since the distributor was created.
+func (d *distributor) now() time.Duration { return time.Since(d.startedAt) }
 
-// applied answers the watches of services that have a newer version.
+// applied answers the watches of the services to which the replica has just applied a newer version.
 func (d *distributor) applied() {
 	if changed := d.server.core.TakeChangedServices(); changed.All {
 		d.watches.ChangedAll(d.now())
@@ -54,14 +56,14 @@
 	d.applyConfirmation()
 }
 
-// applyConfirmation applies a leader's confirmation once this replica has applied what it is about.
+// applyConfirmation applies the leader's confirmation once this replica has applied the revision that the leader named.
 func (d *distributor) applyConfirmation() {
 	if requestedAt, ok := d.revisions.ConfirmedAt(d.server.core.Versions().Last()); ok {
 		d.watches.Confirmed(requestedAt)
 	}
 }
 
-// prepare records the revision that a request reports, and sets the revision that a new version has to be above.
+// prepare records the revision that a request reports, and sets the revision that a newly published version must exceed.
 func (d *distributor) prepare(r *replica.Request, in *Request) {
 	last := d.server.core.Versions().Last()
 	if in.LastRevision != nil {
@@ -74,19 +76,19 @@
 	}
 }
 
-// tick answers watches whose deadline has passed, and removes reports that are too old.
+// tick answers watches whose deadline has passed, and removes expired reports.
 func (d *distributor) tick() {
 	d.watches.Tick(d.now())
 	d.reports.Tick(d.now())
 }
 
-// confirm asks the leader again and again for the last revision, until ctx ends. It has a goroutine of its own.
+// confirm periodically requests the last revision from the leader, until ctx ends. It runs on its own goroutine.
 func (d *distributor) confirm(ctx context.Context) {
 	httpClient := rpc.NewHTTPClient(rpc.HTTPOptions{Dial: d.server.config.Dial, DialTimeout: confirmDialTimeout, MaxIdleConnsPerHost: 1})
 	defer httpClient.CloseIdleConnections()
 	interval := confirmTicks * d.server.config.Tick
-	tick := time.NewTicker(interval)
-	defer tick.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		target, err := d.confirmationTarget(ctx)
 		if err != nil {
@@ -99,18 +101,18 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// confirmationTarget is where to send a request for the last revision, and what to report in it.
+// confirmationTarget holds the recipients of a request for the last revision, and the revision to report in it.
 type confirmationTarget struct {
-	addrs   []string // of the replicas, the leader's first if it is known
+	addrs   []string // the addresses of the replicas, that of the leader first if it is known
 	maxHeld distribute.Revision
 }
 
-// confirmationTarget reads the present target. An error says that the coordinator shuts down.
+// confirmationTarget returns the current target. An error means that the coordinator is shutting down.
 func (d *distributor) confirmationTarget(ctx context.Context) (confirmationTarget, error) {
 	target := make(chan confirmationTarget, 1)
 	if !d.server.post(func() { target <- confirmationTarget{d.server.replicaAddrs(), d.revisions.MaxHeld()} }) {
@@ -119,7 +121,7 @@
 	return await(ctx, d.server, target)
 }
 
-// confirmOnce asks for the last revision. Where it gets no answer the confirmation of before runs out by itself.
+// confirmOnce requests the last revision from the leader. If it gets no response, the earlier confirmation expires in time.
 func (d *distributor) confirmOnce(ctx context.Context, c *Caller, timeout time.Duration, maxHeld distribute.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -134,20 +136,21 @@
 	})
 }
 
-// replicaAddrs returns the addresses of all replicas, the leader's first if it is known.
-func (s *Server) replicaAddrs() (all []string) {
+// replicaAddrs returns the addresses of all replicas, that of the leader first if it is known. Only the goroutine that owns the
+// replica may call it.
+func (s *Server) replicaAddrs() (addrs []string) {
 	leader := s.core.Status().Leader
 	for _, m := range s.core.Members() {
 		if addr := s.addr(m.ID); addr != "" && m.ID == leader {
-			all = append([]string{addr}, all...)
+			addrs = append([]string{addr}, addrs...)
 		} else if addr != "" {
-			all = append(all, addr)
+			addrs = append(addrs, addr)
 		}
 	}
-	return all
+	return addrs
 }
 
-// handleWatch answers an agent when its service has a newer version, or when its wait is over.
+// handleWatch responds to an agent's watch once its service has a newer version, or after the agent's maximum wait.
 func (s *Server) handleWatch(ctx context.Context, in *distribute.Watch) (*distribute.WatchResponse, error) {
 	if err := in.Check(); err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
@@ -169,14 +172,14 @@
 		}
 		return &r.response, nil
 	case <-ctx.Done():
-		s.post(func() { (<-cancel)() }) // it runs after the function above, which has filled the channel
+		s.post(func() { (<-cancel)() }) // it runs after the function posted above, which has filled the channel
 		return nil, ctx.Err()
 	case <-s.ended:
 		return nil, errShutdown
 	}
 }
 
-// watch records the reports of a watch, and adds it to those that wait. done is called once, unless cancel is called before.
+// watch records the reports of a watch, and adds it to the pending watches. done is called once, unless cancel is called first.
 func (d *distributor) watch(in *distribute.Watch, done func(distribute.WatchResponse, error)) (cancel func()) {
 	now, reportsReceived := d.now(), true
 	if len(in.Reports) > 0 {
@@ -193,7 +196,7 @@
 	})
 }
 
-// handleSummary answers what is in force by the reports at this coordinator.
+// handleSummary returns the summary of the versions in force, from the reports that this coordinator has.
 func (s *Server) handleSummary(ctx context.Context, in *distribute.SummaryRequest) (*distribute.SummaryResponse, error) {
 	if in.Version != distribute.WireVersion {
 		return nil, CheckVersion(in.Version)
@@ -205,7 +208,7 @@
 	return await(ctx, s, done)
 }
 
-// summarize returns the summary of a service, "": of all.
+// summarize returns the summary of a service, or of all services if service is empty.
 func (d *distributor) summarize(service string) *distribute.SummaryResponse {
 	versions := d.server.core.Versions()
 	out := &distribute.SummaryResponse{Last: versions.Last(), Fresh: d.watches.Fresh(d.now())}
--- a/internal/coordination/fleet/doc.go
+++ b/internal/coordination/fleet/doc.go
@@ -1,13 +1,13 @@
-// Package fleet is the process around one replica of the coordinators, and the clients' side of its calls. The server carries out what
-// package replica returns, on a disk and over the network, and answers clients. It decides nothing about leases, limits or versions.
-// The network is connectrpc.com/connect over HTTP/1.1 with messages in JSON. There is no sign-in and no TLS: whoever reaches the address
-// may send requests, so it listens on loopback unless its file says otherwise.
+// Package fleet contains the coordinator's server, which runs one replica, and the clients of its calls. The server persists and
+// sends what package replica returns, and answers clients. It makes no decisions about leases, limits or versions. The protocol
+// is connectrpc.com/connect over HTTP/1.1 with messages in JSON. There is neither authentication nor TLS: anyone who can reach
+// the address may send requests, so the server listens on a loopback address unless its settings allow others.
 //
-// Invariants: one goroutine owns the replica. Nothing is sent or answered before what it rests on is on the disk. An error of the disk
-// ends the process. A peer that is slow or gone costs the others nothing but a bounded queue.
+// Invariants: one goroutine owns the replica. The state on which a message or a response depends is on the disk before it is
+// sent. A disk error ends the process. A slow or unreachable peer does not delay the others; it only occupies a bounded queue.
 //
 //	Server        one coordinator
-//	Caller        sends requests to whichever coordinator leads
-//	Operator      the calls of the operators' tool, with a Caller
+//	Caller        sends requests to the coordinator that leads
+//	Operator      the calls of the operators' tool, by a Caller
 //	LimitClient   one member's allocations of one limit
 package fleet
--- a/internal/coordination/fleet/errorcode.go
+++ b/internal/coordination/fleet/errorcode.go
@@ -7,46 +7,49 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// errorCode names, for programs, the error of a Response. The text that is sent beside it is for people.
+// errorCode identifies the error of a Response for programs. The error text that is sent with it is for people.
 type errorCode string
 
-// The codes of the errors that clients tell apart.
+// The codes of the errors that clients handle specially.
 const (
 	codeMembershipChangePending errorCode = "membership_change_pending"
 	codeStaleDriver             errorCode = "stale_driver"
 )
 
+// codedErrors maps each code to its error.
 var codedErrors = map[errorCode]error{
 	codeMembershipChangePending: replica.ErrMembershipChangePending,
 	codeStaleDriver:             rollout.ErrStaleDriver,
 }
 
-// codedResponse is the form in which a Response is sent. Earlier programs send and read a Response alone.
+// codedResponse is the form in which a Response is sent. Earlier versions send and read a plain Response.
 type codedResponse struct {
 	Response
-	ErrorCode errorCode `json:"err_code,omitempty"` // of Response.Err, or of the error of Response.Rollout; "": it has none
+	ErrorCode errorCode `json:"err_code,omitempty"` // the code of Response.Err or of the error of Response.Rollout; "" if it has none
 }
 
-// codeOf returns the code of an error; "": it has none.
+// codeOf returns the code of an error, "" if it has none.
 func codeOf(err error) errorCode {
-	for code, known := range codedErrors {
-		if errors.Is(err, known) {
+	for code, coded := range codedErrors {
+		if errors.Is(err, coded) {
 			return code
 		}
 	}
 	return ""
 }
 
-// responseError is an error that a coordinator has sent: the coordinator's text, and the error that it is known to be.
+// responseError is an error that a coordinator has sent. It has the coordinator's text, and wraps the error that the code or the
+// text identifies.
 type responseError struct {
 	text  string
-	cause error // nil: it is none that clients tell apart
+	cause error // nil if the error is not one of codedErrors
 }
 
 func (e *responseError) Error() string { return e.text }
 func (e *responseError) Unwrap() error { return e.cause }
 
-// newResponseError returns the error of a response. An earlier coordinator sends no code: then the text says which error it is.
+// newResponseError returns the error of a response. Coordinators of earlier versions send no code; then the text identifies the
+// error.
 func newResponseError(code errorCode, text string) error {
 	if known, ok := codedErrors[code]; ok {
 		return &responseError{text, known}
--- a/internal/coordination/fleet/errorcode_test.go
+++ b/internal/coordination/fleet/errorcode_test.go
@@ -20,18 +20,19 @@
 	"petrelhook/internal/coordination/rpc"
 )
 
-// answering is a coordinator that gives every request one response, in the form of Res.
+// answering starts a fake coordinator that sends the same response, of type Res, to every request, and returns a Caller for it.
 func answering[Res any](t *testing.T, response Res) *Caller {
 	t.Helper()
 	mux := http.NewServeMux()
-	rpc.Handle(mux, PathRequest, maxRequest, func(context.Context, *Request) (*Res, error) { return &response, nil })
+	rpc.Handle(mux, PathRequest, maxRequestBytes, func(context.Context, *Request) (*Res, error) { return &response, nil })
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	return &Caller{Addrs: []string{server.Listener.Addr().String()}, HTTPClient: server.Client()}
 }
 
-// A pending change of the membership ends a request that is sent once: by its code, whatever the text says, and by its text where an
-// earlier coordinator sends no code. Any other error is followed by further attempts.
+// The error of a pending change of the membership ends a request that must not be repeated. The code identifies it whatever the
+// text says, and the text does if a coordinator of an earlier version sends no code. After any other error the request is
+// attempted again.
 func TestPendingMembershipChangeIsRecognized(t *testing.T) {
 	const text = "a change of the replicas is on its way"
 	for name, caller := range map[string]*Caller{
@@ -68,7 +69,8 @@
 	}
 }
 
-// The form of an error has the text under its recorded key, and the code beside it; a response without an error has the recorded form.
+// A response with an error has the text under its recorded key, and the code under an additional key. A response without an error
+// has the recorded form.
 func TestFormOfCodedResponses(t *testing.T) {
 	for want, response := range map[string]codedResponse{
 		`{"err":"a change of the replicas is on its way","err_code":"membership_change_pending"}`: {
@@ -85,7 +87,8 @@
 	}
 }
 
-// A driver whose token is not the newest is told so by code and text; an earlier client, which reads a Response alone, gets the same text.
+// The error for a driver with a stale token has a code and a text. A client of an earlier version, which reads a plain Response,
+// gets the same text.
 func TestStaleDriverIsRecognized(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/coordination/fleet/handlers.go
+++ b/internal/coordination/fleet/handlers.go
@@ -16,7 +16,7 @@
 	"petrelhook/internal/coordination/replica"
 )
 
-// handleRequest answers a request of a client.
+// handleRequest submits a client's request to the replica and waits for the response.
 func (s *Server) handleRequest(ctx context.Context, in *Request) (*codedResponse, error) {
 	if err := CheckVersion(in.Version); err != nil {
 		return nil, err
@@ -35,10 +35,10 @@
 	return await(ctx, s, response)
 }
 
-// errEmptyRequest is the answer to a request that requests nothing that this version knows.
+// errEmptyRequest rejects a request that has none of the fields that this version knows.
 var errEmptyRequest = errors.New("the request is empty")
 
-// toReplica checks a client's request, and returns it in the form of the replica.
+// toReplica validates a client's request and converts it to a request to the replica.
 func (s *Server) toReplica(in *Request) (r replica.Request, err error) {
 	switch {
 	case in.Command != nil:
@@ -59,7 +59,7 @@
 			err = fmt.Errorf("member: %q; write a name of 1 to %d bytes", in.Share.Request.Member, lease.MaxNameBytes)
 		}
 	case in.AddMember != nil:
-		if _, _, bad := net.SplitHostPort(in.AddMember.Addr); in.AddMember.ID == 0 || bad != nil {
+		if _, _, addrErr := net.SplitHostPort(in.AddMember.Addr); in.AddMember.ID == 0 || addrErr != nil {
 			err = fmt.Errorf("add: %d, %q: write an id from 1 on and host:port", in.AddMember.ID, in.AddMember.Addr)
 		}
 		r.AddMember = &replica.Member{ID: in.AddMember.ID, Addr: in.AddMember.Addr}
@@ -73,7 +73,7 @@
 	return r, err
 }
 
-// toClient returns the response to a client's request. It is called by the goroutine that owns the replica.
+// toClient converts the replica's response to a request of a client. Only the goroutine that owns the replica may call it.
 func (s *Server) toClient(in *Request, r replica.Response) *Response {
 	out := &Response{Answer: r.Answer, SessionAlive: r.SessionAlive, Grants: r.Grants, GrantsVersion: r.GrantsVersion, Members: r.Members,
 		Rollout: r.Rollout, Share: r.Share, Published: r.Published}
@@ -100,13 +100,14 @@
 	}
 	if r.Rollouts != nil && in.Changes != nil {
 		if out.Changes = r.Rollouts.Application(*in.Changes, in.StageResults); *in.Changes == "" {
-			out.Changes, _ = json.Marshal(r.Rollouts.Applications()) // strings can always be marshalled
+			out.Changes, _ = json.Marshal(r.Rollouts.Applications()) // strings cannot fail to marshal
 		}
 	}
 	return out
 }
 
-// setError sets an error, the leader where it is known, and when to try again: a tick later at the leader, else half an election later.
+// setError sets the error, the leader if it is known, and the delay before the next attempt: one tick if the leader is known, or
+// else half the time of an election.
 func (s *Server) setError(out *Response, r replica.Response) {
 	out.Err, out.OutcomeUnknown, out.Leader = r.Err.Error(), errors.Is(r.Err, replica.ErrLeaderChanged), s.addr(r.Leader)
 	out.RetryAfterMs = int(s.config.Tick.Milliseconds() * replica.ElectionTicks / 2)
@@ -115,7 +116,8 @@
 	}
 }
 
-// newestVersions returns the newest version of a service, with its content; of all services, without, where none is named.
+// newestVersions returns the newest version of a service with its content. If service is empty, it returns those of all services
+// without content.
 func newestVersions(r *distribute.Register, service string) []distribute.Version {
 	if service == "" {
 		return r.Services()
@@ -126,13 +128,13 @@
 	return nil
 }
 
-// Status is what a coordinator knows of itself.
+// Status is the status of one coordinator.
 type Status struct {
 	replica.Status
 	Addr string `json:"addr"`
 }
 
-// handleStatus answers what this coordinator knows of itself, leader or not.
+// handleStatus returns the status of this coordinator, whether it leads or not.
 func (s *Server) handleStatus(ctx context.Context, in *Empty) (*Status, error) {
 	if err := CheckVersion(in.Version); err != nil {
 		return nil, err
@@ -144,8 +146,8 @@
 	return await(ctx, s, status)
 }
 
-// handleStep passes messages of another replica to this one. A sender whose disk is not the recorded one, or that was removed, is
-// refused.
+// handleStep passes messages from another replica to this one. It rejects a sender that was removed from the group or whose disk
+// is not the recorded one.
 func (s *Server) handleStep(_ context.Context, in *StepRequest) (*Empty, error) {
 	if err := CheckVersion(in.Version); err != nil {
 		return nil, err
@@ -175,7 +177,8 @@
 	}
 }
 
-// step is called by the goroutine that owns the replica.
+// step passes messages to the core, if sender and receiver have the recorded disks. Only the goroutine that owns the replica may
+// call it.
 func (s *Server) step(in *StepRequest, messages []*pb.Message) error {
 	if err := s.core.CheckReceiver(in.ToIncarnation); err != nil {
 		s.fail(err)
--- a/internal/coordination/fleet/limitclient.go
+++ b/internal/coordination/fleet/limitclient.go
@@ -10,22 +10,24 @@
 	"petrelhook/internal/coordination/share"
 )
 
-// idleWait is how long Run waits while nothing is wanted, unless a use is attempted.
+// idleWait is how long Run waits without a demand for an allocation, unless Allow is called.
 const idleWait = time.Hour
 
-// LimitClient is one member's use of one limit. Run requests allocations from the coordinators while Allow, from any goroutine, spends
-// them. Allow never waits: while the coordinators are out of reach it spends what is allocated, and then the floor.
+// LimitClient is one member's use of one limit. Run requests allocations from the coordinators; Allow, which may be called from
+// any goroutine, spends them. Allow never waits for the coordinators: while they are unreachable it spends the remaining
+// allocation, and then the floor.
 type LimitClient struct {
 	caller *Caller
 	limit  share.Limit
 	clock  func() lease.Instant
-	wake   chan struct{} // a use was attempted
+	wake   chan struct{} // signals a call of Allow
 
 	mu       sync.Mutex
 	consumer *share.Consumer
 }
 
-// NewLimitClient returns the client of a member with that name and weight. clock reads a steady clock, such as monotonic.Now.
+// NewLimitClient returns the client of the member with the given name and weight. clock reads a monotonic clock, such as
+// monotonic.Now.
 func NewLimitClient(caller *Caller, l share.Limit, member string, weight float64, clock func() lease.Instant) *LimitClient {
 	return &LimitClient{caller: caller, limit: l, clock: clock, wake: make(chan struct{}, 1), consumer: share.NewConsumer(l, member, weight)}
 }
@@ -42,7 +44,7 @@
 	return ok
 }
 
-// Run sends requests whenever something is wanted, until ctx ends.
+// Run requests allocations whenever there is a demand, until ctx ends.
 func (c *LimitClient) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
@@ -57,7 +59,7 @@
 	}
 }
 
-// wait waits for the next request's time, or where nothing is wanted for an attempt to spend.
+// wait waits for the time of the next request or, if nothing is wanted, for a call of Allow.
 func (c *LimitClient) wait(ctx context.Context, delay time.Duration, wanted bool) {
 	if !wanted {
 		delay = idleWait
@@ -68,7 +70,7 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	case <-c.wake:
-		if wanted { // an attempt does not bring the time forward
+		if wanted { // a call of Allow does not advance the time of the request
 			select {
 			case <-ctx.Done():
 			case <-timer.C:
@@ -77,6 +79,7 @@
 	}
 }
 
+// request requests an allocation, and applies the response.
 func (c *LimitClient) request(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, c.limit.Period)
 	defer cancel()
--- a/internal/coordination/fleet/operator.go
+++ b/internal/coordination/fleet/operator.go
@@ -20,22 +20,23 @@
 // Operator sends the requests of the operators' tool to coordinators. It is safe for concurrent use.
 type Operator struct {
 	Addrs      []string
-	HTTPClient *http.Client // nil: one that all operators of the process share
+	HTTPClient *http.Client // nil: http.DefaultClient
 
 	mu     sync.Mutex
-	caller *Caller // kept, so that the next request goes to the coordinator that answered last
+	caller *Caller // reused, so that the next request goes to the coordinator that answered last
 }
 
-// ErrUnanswered says that no coordinator that leads has answered in time.
+// ErrUnanswered means that no leader has answered in time.
 var ErrUnanswered = errors.New("no answer")
 
 const (
 	operatorRetryInterval = 50 * time.Millisecond
-	// operatorTimeout bounds a call to one coordinator: one that is stopped accepts calls and answers none.
+	// operatorTimeout bounds a call to one coordinator, because a stopped process still accepts connections but never responds.
 	operatorTimeout = 3 * time.Second
 )
 
-// Call sends a request until a coordinator that leads has answered, or ctx ends; then the error is ErrUnanswered.
+// Call sends a request until the leader has answered. The error wraps ErrUnanswered if ctx ends first; see Caller.Call for other
+// errors.
 func (o *Operator) Call(ctx context.Context, in Request) (*Response, error) {
 	o.mu.Lock()
 	if o.caller == nil {
@@ -43,7 +44,7 @@
 	}
 	c := o.caller
 	o.mu.Unlock()
-	if sentOnce(&in) { // without a time-out: it is not abandoned while it may be carried out
+	if sentOnce(&in) { // without a timeout, so that it is not abandoned while it may still be executed
 		c = &Caller{Addrs: o.Addrs, HTTPClient: o.client(), RetryInterval: operatorRetryInterval}
 	}
 	out, err := c.Call(ctx, &in, nil)
@@ -53,7 +54,7 @@
 	return out, err
 }
 
-// client returns the HTTP client of all calls.
+// client returns the HTTP client for all calls.
 func (o *Operator) client() *http.Client {
 	if o.HTTPClient == nil {
 		return http.DefaultClient
@@ -61,7 +62,7 @@
 	return o.HTTPClient
 }
 
-// Status returns what one coordinator knows of itself.
+// Status returns the status of one coordinator.
 func (o *Operator) Status(ctx context.Context, addr string) (*Status, error) {
 	res, err := Client[Empty, Status](o.client(), addr, PathStatus).CallUnary(ctx, connect.NewRequest(&Empty{Version}))
 	if err != nil {
@@ -73,7 +74,7 @@
 // errNoAddrs is the error of an Operator without addresses.
 var errNoAddrs = errors.New("--addrs: write the address of a coordinator")
 
-// Check returns what is wrong with the addresses, which petrelhookctl has from its flag --addrs.
+// Check returns an error if the addresses are missing or malformed. The error names the flag --addrs of petrelhookctl.
 func (o *Operator) Check() error {
 	if len(o.Addrs) == 0 {
 		return errNoAddrs
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// Restore makes the disk of a replica of a new group from a back-up. Every replica of the group has to be made from the same one.
-// minToken is the largest fencing token that is known to have been granted after the back-up, or 0.
+// Restore creates the disk of a replica of a new group from a backup. Every replica of the group must be created from the same
+// backup. minToken is the largest fencing token that is known to have been granted after the backup, or 0.
 func Restore(c *Config, path string, minToken lease.Token) error {
 	backup, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/coordination/fleet/peer.go
+++ b/internal/coordination/fleet/peer.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	peerQueue       = 1024 // messages that wait for one peer
-	maxStepBatch    = 256  // messages in one call
+	peerQueueLength = 1024 // the number of messages that are queued for one peer
+	maxStepBatch    = 256  // the number of messages in one call
 	peerDialTimeout = time.Second
 	// stepTimeout bounds one call, snapshotTimeout one that carries a snapshot.
 	stepTimeout     = 2 * time.Second
 	snapshotTimeout = 30 * time.Second
-	// peerRetryDelay is the pause after a call that failed.
+	// peerRetryDelay is the delay after a failed call.
 	peerRetryDelay = 50 * time.Millisecond
 )
 
-// peer sends messages to another replica. What is not delivered is lost; raft sends it again.
+// peer sends messages to another replica. Messages that cannot be delivered are dropped; raft sends them again.
 type peer struct {
 	server      *Server
 	id          uint64
 	queue       chan *pb.Message
-	incarnation atomic.Pointer[string] // of the peer's disk, as the log has it
+	incarnation atomic.Pointer[string] // the incarnation of the peer's disk that the log has recorded
 }
 
-// peer returns the sender to a replica, which is started when it is first needed.
+// peer returns the sender for a replica, and starts it at the first call. Only the goroutine that owns the replica may call it.
 func (s *Server) peer(ctx context.Context, background *sync.WaitGroup, id uint64) *peer {
 	p := s.peers[id]
 	if p == nil {
-		p = &peer{server: s, id: id, queue: make(chan *pb.Message, peerQueue)}
+		p = &peer{server: s, id: id, queue: make(chan *pb.Message, peerQueueLength)}
 		s.peers[id] = p
 		addr := s.addr(id)
 		background.Go(func() { p.run(ctx, addr) })
@@ -44,20 +44,21 @@
 	return p
 }
 
-// send queues a message. It is called by the goroutine that owns the replica, and never blocks.
+// send queues a message, and drops it if the queue is full. It never blocks. Only the goroutine that owns the replica may call
+// it.
 func (p *peer) send(m *pb.Message) {
 	incarnation := p.server.core.IncarnationOf(p.id)
 	p.incarnation.Store(&incarnation)
 	select {
 	case p.queue <- m:
-	default: // the peer is slow, or gone
+	default: // the peer is slow or unreachable
 		if m.GetType() == pb.MessageType_MsgSnap {
 			p.server.core.ReportSnapshot(p.id, false)
 		}
 	}
 }
 
-// run sends what is queued, one call at a time, until ctx ends or the peer refuses this replica.
+// run sends the queued messages, one call at a time, until ctx ends or the peer rejects this replica.
 func (p *peer) run(ctx context.Context, addr string) {
 	httpClient := rpc.NewHTTPClient(rpc.HTTPOptions{Dial: p.server.config.Dial, DialTimeout: peerDialTimeout, MaxIdleConnsPerHost: 2})
 	defer httpClient.CloseIdleConnections()
@@ -71,7 +72,7 @@
 		if err == nil {
 			continue
 		}
-		if connect.CodeOf(err) == connect.CodeFailedPrecondition { // the group refuses this replica, or its version
+		if connect.CodeOf(err) == connect.CodeFailedPrecondition { // the group rejects this replica or its protocol version
 			p.server.fail(err)
 			return
 		}
@@ -82,7 +83,7 @@
 	}
 }
 
-// nextBatch waits for a message, and returns it with those that are queued behind it; ok is false when ctx has ended.
+// nextBatch waits for a message, and returns it with the messages that are queued behind it. ok is false if ctx has ended.
 func (p *peer) nextBatch(ctx context.Context) (batch []*pb.Message, ok bool) {
 	select {
 	case <-ctx.Done():
@@ -101,7 +102,7 @@
 	return batch, true
 }
 
-// call sends a batch, and reports what became of a snapshot in it.
+// call sends a batch, and reports to the core whether a snapshot in it was delivered.
 func (p *peer) call(ctx context.Context, client *connect.Client[StepRequest, Empty], batch []*pb.Message) error {
 	s := p.server
 	request := &StepRequest{Version: Version, From: s.config.ID, To: p.id, Incarnation: s.disk.Incarnation, ToIncarnation: *p.incarnation.Load()}
--- a/internal/coordination/fleet/publish.go
+++ b/internal/coordination/fleet/publish.go
@@ -12,14 +12,16 @@
 	"petrelhook/internal/coordination/distribute"
 )
 
-// summaryTimeout bounds the time of all coordinators for their summaries.
+// summaryTimeout bounds the calls for the summaries of all coordinators, which run concurrently.
 const summaryTimeout = 2 * time.Second
 
-// ErrOvertaken says that another version was published between the read of the newest one and this one.
+// ErrOvertaken means that another version was published after Publish had read the newest one.
 var ErrOvertaken = errors.New("another version was published meanwhile")
 
-// Publish publishes a configuration of a service. Content that is the newest already keeps its revision, and then unchanged is true. The
-// log decides that: where agents hold a newer revision that a restored group has forgotten, the content gets another one.
+// Publish publishes the configuration of a service. If the newest version has the same content, it keeps its revision and
+// unchanged is true. The replicated log decides this: if agents have a newer revision, which a group that was restored from a
+// backup does not know, the content gets a new revision all the same. The error is ErrOvertaken if another version was published
+// at the same time.
 func (o *Operator) Publish(ctx context.Context, service string, content []byte, stepsDone bool) (revision distribute.Revision, unchanged bool, err error) {
 	if content, err = distribute.Canonical(content); err != nil {
 		return 0, false, fmt.Errorf("content: %w", err)
@@ -45,15 +47,15 @@
 	return out.Published.Revision, out.Published.Revision == c.After, nil
 }
 
-// CoordinatorSummary is one coordinator's summary, or why there is none.
+// CoordinatorSummary is the summary of one coordinator, or the error of the call.
 type CoordinatorSummary struct {
 	Addr string
 	Err  error
 	distribute.SummaryResponse
 }
 
-// Summaries asks all coordinators at once, also those that follow: each has the reports of the agents that watch at it. Service "": of
-// all services.
+// Summaries requests the summaries of a service, or of all services if service is empty. It calls all coordinators concurrently,
+// followers as well, because each has only the reports of the agents that watch at it.
 func (o *Operator) Summaries(ctx context.Context, service string) []CoordinatorSummary {
 	ctx, cancel := context.WithTimeout(ctx, summaryTimeout)
 	defer cancel()
@@ -76,8 +78,8 @@
 	return CoordinatorSummary{Addr: addr, SummaryResponse: *res.Msg}
 }
 
-// InForce returns by service on how many sidecars the newest version is in force, merged over all coordinators that answer, and the
-// summaries of each. Service "": of all services.
+// InForce returns, by service, the summaries merged over all coordinators that answered, which tell on how many sidecars the
+// newest version is in force. It also returns the summary of each coordinator. An empty service stands for all services.
 func (o *Operator) InForce(ctx context.Context, service string) (map[string]distribute.Summary, []CoordinatorSummary) {
 	all := o.Summaries(ctx, service)
 	byService := map[string][]distribute.Summary{}
--- a/internal/coordination/fleet/recorded_test.go
+++ b/internal/coordination/fleet/recorded_test.go
@@ -9,7 +9,8 @@
 	"petrelhook/internal/coordination/replica"
 )
 
-// Each message of revision cfdfdec is read, and written as the same bytes. The README in testdata/cfdfdec says how they were made.
+// Each recorded message of revision cfdfdec is read, and written again as the same bytes. The README in testdata/cfdfdec says how
+// the messages were made.
 func TestRecordedMessagesAreRead(t *testing.T) {
 	for name, message := range map[string]any{
 		"request": &Request{}, "response": &Response{},
@@ -24,17 +25,17 @@
 	}
 }
 
-// The paths of the calls are those that every released process uses.
+// The paths of the calls are those that released versions use.
 func TestPathsAreTheRecordedOnes(t *testing.T) {
-	for path, recorded := range map[string]string{
+	for path, want := range map[string]string{
 		PathRequest:            "/petrelfleet.v1.Fleet/Ask",
 		PathStatus:             "/petrelfleet.v1.Fleet/Status",
 		PathStep:               "/petrelfleet.v1.Replica/Step",
 		distribute.PathWatch:   "/petrelfleet.v1.Distribute/Watch",
 		distribute.PathSummary: "/petrelfleet.v1.Distribute/Summary",
 	} {
-		if path != recorded {
-			t.Errorf("%s, recorded %s", path, recorded)
+		if path != want {
+			t.Errorf("%s, recorded %s", path, want)
 		}
 	}
 }
--- a/internal/coordination/fleet/server.go
+++ b/internal/coordination/fleet/server.go
@@ -22,15 +22,16 @@
 )
 
 const (
-	// eventQueue bounds the events that wait for the goroutine that owns the replica; maxBatch those that it processes before one write.
-	eventQueue = 4096
-	maxBatch   = 512
+	// eventQueueLength bounds the events that are queued for the goroutine that owns the replica, and maxEventBatch those that it
+	// processes before one write to the disk.
+	eventQueueLength = 4096
+	maxEventBatch    = 512
 
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 )
 
-// Server is one coordinator. Run's goroutine owns the core; the goroutines of calls run functions on it with post.
+// Server is one coordinator. The goroutine of Run owns the core; the goroutines of calls pass functions to it by post.
 type Server struct {
 	config *Config
 	log    *slog.Logger
@@ -38,14 +39,14 @@
 	disk   *disk.Disk
 	core   *replica.Core
 	events chan func()
-	ended  chan struct{} // closed when Run takes no more events
-	fatal  chan error    // takes the first error that ends Run
+	ended  chan struct{} // closed when Run processes no more events
+	fatal  chan error    // receives the first error that ends Run
 	peers  map[uint64]*peer
 
 	distribute *distributor
 }
 
-// Open opens the coordinator's replica, or makes a new one where its folder holds none.
+// Open opens the coordinator's replica, or creates it if its data folder has none.
 func Open(c *Config, log *slog.Logger) (*Server, error) {
 	if err := createIfMissing(c, log); err != nil {
 		return nil, err
@@ -62,7 +63,7 @@
 	if err != nil {
 		return nil, errors.Join(err, d.Close())
 	}
-	s := &Server{config: c, log: log, clock: c.Clock, disk: d, core: core, events: make(chan func(), eventQueue), ended: make(chan struct{}),
+	s := &Server{config: c, log: log, clock: c.Clock, disk: d, core: core, events: make(chan func(), eventQueueLength), ended: make(chan struct{}),
 		peers: map[uint64]*peer{}, fatal: make(chan error, 1)}
 	if s.clock == nil {
 		s.clock = monotonic.Now
@@ -71,7 +72,8 @@
 	return s, nil
 }
 
-// createIfMissing makes the disk of a replica that has none: of a new group, or empty where it joins a group that exists.
+// createIfMissing creates the disk of a replica that has none: with the initial state of a new group, or empty if the replica
+// joins an existing group.
 func createIfMissing(c *Config, log *slog.Logger) error {
 	if disk.Exists(c.Data) {
 		return nil
@@ -87,11 +89,11 @@
 	return nil
 }
 
-// Run serves on ln until ctx ends, and then returns nil. An error says why the replica cannot go on: its disk or listener has failed, or the
-// group has removed it (replica.ErrRemoved) or counts on another disk (replica.ErrLostDisk). Run is called once; when it returns, all
-// goroutines that it began have ended.
+// Run serves on ln until ctx ends, and then returns nil. It returns an error if the replica cannot continue: its disk or listener
+// has failed, the group has removed it (replica.ErrRemoved), or the group has recorded another disk for it (replica.ErrLostDisk).
+// Run must be called once; when it returns, all goroutines that it started have ended.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
-	defer func() { _ = s.disk.Close() }() // what was saved is synced already
+	defer func() { _ = s.disk.Close() }() // saved state is synced already
 	server := s.httpServer()
 	var background sync.WaitGroup
 	defer background.Wait()
@@ -108,22 +110,24 @@
 	return s.loop(ctx, peers, &background)
 }
 
+// httpServer returns the HTTP server of the coordinator's calls.
 func (s *Server) httpServer() *http.Server {
 	mux := http.NewServeMux()
-	rpc.Handle(mux, PathRequest, maxRequest, s.handleRequest)
-	rpc.Handle(mux, PathStatus, maxRequest, s.handleStatus)
+	rpc.Handle(mux, PathRequest, maxRequestBytes, s.handleRequest)
+	rpc.Handle(mux, PathStatus, maxRequestBytes, s.handleStatus)
 	rpc.Handle(mux, PathStep, MaxMessage+1<<20, s.handleStep)
 	rpc.Handle(mux, distribute.PathWatch, distribute.MaxWatchRequest, s.handleWatch)
-	rpc.Handle(mux, distribute.PathSummary, maxRequest, s.handleSummary)
+	rpc.Handle(mux, distribute.PathSummary, maxRequestBytes, s.handleSummary)
 	return &http.Server{
 		Handler: mux, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
-		// The read time-out runs on while a call waits for its response, and would end it: it is longer than distribute.MaxWatchWait.
+		// The read timeout continues while a call waits for its response, and would end the call. It must be longer than
+		// distribute.MaxWatchWait.
 		ReadTimeout: snapshotTimeout + 5*time.Second,
 		ErrorLog:    slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 	}
 }
 
-// loop owns the replica until ctx ends or the replica cannot go on.
+// loop owns the replica until ctx ends or the replica cannot continue.
 func (s *Server) loop(ctx, peers context.Context, background *sync.WaitGroup) error {
 	tick := time.NewTicker(s.config.Tick)
 	defer tick.Stop()
@@ -145,7 +149,7 @@
 			s.distribute.tick()
 		case event := <-s.events:
 			event()
-			s.handleWaitingEvents()
+			s.handleQueuedEvents()
 		}
 		if err := s.processReady(peers, background); err != nil {
 			return err
@@ -159,9 +163,9 @@
 	}
 }
 
-// handleWaitingEvents processes the events that have come meanwhile, so that one write to the disk serves them all.
-func (s *Server) handleWaitingEvents() {
-	for range maxBatch {
+// handleQueuedEvents processes the queued events, up to maxEventBatch, so that they share one write to the disk.
+func (s *Server) handleQueuedEvents() {
+	for range maxEventBatch {
 		select {
 		case event := <-s.events:
 			event()
@@ -171,7 +175,7 @@
 	}
 }
 
-// processReady carries out what the core returns: first the disk, then the network, then the responses.
+// processReady persists what the core returns, then sends its messages, and then has the core answer requests.
 func (s *Server) processReady(peers context.Context, background *sync.WaitGroup) error {
 	for {
 		ready, ok := s.core.Ready()
@@ -180,7 +184,7 @@
 		}
 		if ready.Sync {
 			if err := s.disk.Save(ready); err != nil {
-				return fmt.Errorf("the disk: %w", err) // what is on it is not known: only a new start can tell
+				return fmt.Errorf("the disk: %w", err) // the state on the disk is now unknown; a restart reads it again
 			}
 		}
 		for _, m := range ready.Messages {
@@ -198,7 +202,7 @@
 	}
 }
 
-// fail ends Run with an error, unless another one does already.
+// fail ends Run with an error, unless an earlier error already does. It may be called from any goroutine.
 func (s *Server) fail(err error) {
 	select {
 	case s.fatal <- err:
@@ -206,7 +210,8 @@
 	}
 }
 
-// post has f run by the goroutine that owns the replica; it returns false where that has ended.
+// post queues f for the goroutine that owns the replica. It returns false if that goroutine has ended; a queued f does not run if
+// it ends first. post may be called from any goroutine except the owner's.
 func (s *Server) post(f func()) bool {
 	select {
 	case s.events <- f:
@@ -216,10 +221,10 @@
 	}
 }
 
-// errShutdown is the answer to calls that the end of the process overtakes.
+// errShutdown is the response to calls that are pending when the coordinator shuts down.
 var errShutdown = connect.NewError(connect.CodeUnavailable, errors.New("this coordinator is shutting down"))
 
-// await waits for a result of the goroutine that owns the replica.
+// await waits for a result from the goroutine that owns the replica. It returns an error if ctx or the server ends first.
 func await[T any](ctx context.Context, s *Server, result <-chan T) (out T, err error) {
 	select {
 	case out = <-result:
@@ -231,7 +236,8 @@
 	}
 }
 
-// addr returns the address of a replica: that of the settings, else that of the log.
+// addr returns the address of a replica from the settings, or else from the replicated membership. It returns "" for an unknown
+// replica. Only the goroutine that owns the replica may call it.
 func (s *Server) addr(id uint64) string {
 	for _, m := range s.config.Replicas {
 		if m.ID == id {
