--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/hard_test.go
@@ -96,18 +96,18 @@
 	dir := t.TempDir()
 	good := "id: 1\ndata: d\nreplicas:\n  - {id: 1, address: 127.0.0.1:7001}\n"
 	for want, text := range map[string]string{
-		"c.yaml:1:1: id: missing":                                 strings.Replace(good, "id: 1\n", "", 1),
-		"c.yaml:2:1: port: unknown field; known are allow_remote": strings.Replace(good, "data: d", "port: 1", 1),
-		"c.yaml:3:1: id: comes twice":                             strings.Replace(good, "replicas:", "id: 2\nreplicas:", 1),
-		`c.yaml:1:5: id: "one"; write a number`:                   strings.Replace(good, "id: 1\n", "id: one\n", 1),
-		"c.yaml:5:5: replicas[1].id: 1 is that of line 4":         good + "  - {id: 1, address: 127.0.0.1:7002}\n",
-		"c.yaml:5:5: replicas[1].address: 127.0.0.1:7001 is that": good + "  - {id: 2, address: 127.0.0.1:7001}\n",
-		`c.yaml:4:22: replicas[0].address: "x" is no address`:     strings.Replace(good, "127.0.0.1:7001", "x", 1),
-		"replicas[0].address: 10.0.0.1:7001 is not of loopback":   strings.Replace(good, "127.0.0.1", "10.0.0.1", 1),
-		"c.yaml:4:3: replicas: id 7 is not among them":            strings.Replace(good, "id: 1\n", "id: 7\n", 1),
-		`max_ttl: "1d"; write a time from`:                        good + "max_ttl: 1d\n",
-		"c.yaml: line 1: did not find expected":                   "id: [1\n",
-		"c.yaml:1:1: write fields":                                "",
+		"c.yaml:1:1: id: missing":                                         strings.Replace(good, "id: 1\n", "", 1),
+		"c.yaml:2:1: port: unknown field; known are allow_remote":         strings.Replace(good, "data: d", "port: 1", 1),
+		"c.yaml:3:1: id: comes twice":                                     strings.Replace(good, "replicas:", "id: 2\nreplicas:", 1),
+		`c.yaml:1:5: id: "one"; write a number`:                           strings.Replace(good, "id: 1\n", "id: one\n", 1),
+		"c.yaml:5:5: replicas[1].id: 1 is already used in line 4":         good + "  - {id: 1, address: 127.0.0.1:7002}\n",
+		"c.yaml:5:5: replicas[1].address: 127.0.0.1:7001 is already used": good + "  - {id: 2, address: 127.0.0.1:7001}\n",
+		`c.yaml:4:22: replicas[0].address: "x" is no address`:             strings.Replace(good, "127.0.0.1:7001", "x", 1),
+		"replicas[0].address: 10.0.0.1:7001 is not a loopback":            strings.Replace(good, "127.0.0.1", "10.0.0.1", 1),
+		"c.yaml:4:3: replicas: id 7 is not in the list":                   strings.Replace(good, "id: 1\n", "id: 7\n", 1),
+		`max_ttl: "1d"; write a time from`:                                good + "max_ttl: 1d\n",
+		"c.yaml: line 1: did not find expected":                           "id: [1\n",
+		"c.yaml:1:1: write fields":                                        "",
 	} {
 		path := filepath.Join(dir, "c.yaml")
 		os.WriteFile(path, []byte(text), 0o600)
@@ -122,7 +122,7 @@
 	path := filepath.Join(dir, "c.yaml")
 	os.WriteFile(path, []byte(good+"  - {id: 2, address: 127.0.0.1:7002}\n"), 0o600)
 	var out, errs strings.Builder
-	if code := run([]string{"--config", path, "--check"}, &out, &errs); code != 0 || !strings.Contains(errs.String(), "2 bear no more failures than 1") {
+	if code := run([]string{"--config", path, "--check"}, &out, &errs); code != 0 || !strings.Contains(errs.String(), "2 tolerate no more failures than 1") {
 		t.Errorf("%d: %q %q", code, out.String(), errs.String())
 	}
 	if code := run(nil, &out, &errs); code != command.ExitUsage {
--- a/internal/coordination/fleet/config.go
+++ b/internal/coordination/fleet/config.go
@@ -95,9 +95,9 @@
 	}
 	switch {
 	case c.ID == 0:
-		return nil, yamlfile.Problem(file, top, "id", "missing or 0; write a number from 1 on, which no other replica has or had")
+		return nil, yamlfile.Problem(file, top, "id", "missing or 0; write a number from 1 on that no other replica has or had")
 	case c.Data == "":
-		return nil, yamlfile.Problem(file, top, "data", "missing; write the folder for what is kept")
+		return nil, yamlfile.Problem(file, top, "data", "missing; write the folder for the replica's state")
 	case replicas.Kind != yaml.SequenceNode || len(replicas.Content) == 0:
 		return nil, yamlfile.Problem(file, top, "replicas", "missing; write a list of id and address")
 	}
@@ -105,10 +105,10 @@
 		return nil, err
 	}
 	if !c.reachable(c.Addr()) {
-		return nil, yamlfile.Problem(file, top, "listen", c.Addr()+" is not of loopback; write allow_remote: true where everybody who reaches it may ask")
+		return nil, yamlfile.Problem(file, top, "listen", c.Addr()+" is not a loopback address; write allow_remote: true if everyone who can reach it may send requests")
 	}
 	if n := len(c.Replicas); n%2 == 0 && !c.Join {
-		c.Warnings = append(c.Warnings, fmt.Sprintf("%s:%d: replicas: %d bear no more failures than %d; an odd number is better", file, replicas.Line, n, n-1))
+		c.Warnings = append(c.Warnings, fmt.Sprintf("%s:%d: replicas: %d tolerate no more failures than %d; an odd number is better", file, replicas.Line, n, n-1))
 	}
 	return c, nil
 }
@@ -150,19 +150,19 @@
 		case m.ID == 0:
 			return yamlfile.Problem(file, n, field+".id", "missing or 0; write a number from 1 on")
 		case duplicate:
-			return yamlfile.Problem(file, n, field+".id", fmt.Sprintf("%d is that of line %d; each replica has its own", m.ID, line))
+			return yamlfile.Problem(file, n, field+".id", fmt.Sprintf("%d is already used in line %d; each replica needs its own", m.ID, line))
 		case m.Addr == "":
 			return yamlfile.Problem(file, n, field+".address", "missing; write host:port")
 		case lineOfAddr[m.Addr] > 0:
-			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is that of line %d", m.Addr, lineOfAddr[m.Addr]))
+			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is already used in line %d", m.Addr, lineOfAddr[m.Addr]))
 		case !c.reachable(m.Addr):
-			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is not of loopback; write allow_remote: true where everybody who reaches it may ask", m.Addr))
+			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is not a loopback address; write allow_remote: true if everyone who can reach it may send requests", m.Addr))
 		}
 		lineOfID[m.ID], lineOfAddr[m.Addr] = n.Line, n.Line
 		c.Replicas = append(c.Replicas, m)
 	}
 	if lineOfID[c.ID] == 0 {
-		return yamlfile.Problem(file, replicas, "replicas", fmt.Sprintf("id %d is not among them", c.ID))
+		return yamlfile.Problem(file, replicas, "replicas", fmt.Sprintf("id %d is not in the list", c.ID))
 	}
 	return nil
 }
--- a/internal/coordination/fleet/server.go
+++ b/internal/coordination/fleet/server.go
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	if d.ID != c.ID {
-		err := fmt.Errorf("%s: it is of replica %d, and the file says id %d", c.Data, d.ID, c.ID)
+		err := fmt.Errorf("%s: the folder belongs to replica %d, but the settings have id %d", c.Data, d.ID, c.ID)
 		return nil, errors.Join(err, d.Close())
 	}
 	core, err := replica.New(replica.Options{ID: c.ID, Incarnation: d.Incarnation, Rand: rand.IntN}, persisted)
