--- a/internal/coordination/machine/host.go
+++ b/internal/coordination/machine/host.go
@@ -18,8 +18,8 @@
 	// Start starts a program. The new process must call ClaimStart before the program runs, so that one start creates at most one
 	// process and the claim file alone tells whether it did.
 	Start(o StartOptions) (agent.Process, error)
-	// Lives reports whether a process is running. A later process that reuses its ID does not count.
-	Lives(p agent.Process) bool
+	// IsRunning reports whether a process is running. A later process that reuses its ID does not count.
+	IsRunning(p agent.Process) bool
 	// Signal sends a signal to a process if it is running. It returns no error because the process may have exited meanwhile,
 	// which the next poll detects.
 	Signal(p agent.Process, s syscall.Signal)
@@ -45,7 +45,7 @@
 
 func (operatingSystem) Start(o StartOptions) (agent.Process, error) { return startProgram(o) }
 
-func (operatingSystem) Lives(p agent.Process) bool { return Lives(p) }
+func (operatingSystem) IsRunning(p agent.Process) bool { return IsRunning(p) }
 
 func (operatingSystem) Signal(p agent.Process, s syscall.Signal) { signal(p, s) }
 
--- a/internal/coordination/machine/machine.go
+++ b/internal/coordination/machine/machine.go
@@ -186,7 +186,7 @@
 func (m *Machine) poll(ctx context.Context, managed *managedSidecar) error {
 	var actions []agent.Action
 	for _, p := range []*agent.Process{managed.Serving, managed.Next, managed.Terminating} {
-		if p == nil || m.config.Host.Lives(*p) {
+		if p == nil || m.config.Host.IsRunning(*p) {
 			continue
 		}
 		lastLine := ""
--- a/internal/coordination/machine/process.go
+++ b/internal/coordination/machine/process.go
@@ -53,8 +53,8 @@
 	return strconv.ParseUint(fields[statStartTicks], 10, 64)
 }
 
-// Lives reports whether a process is running. A later process that reuses its ID does not count.
-func Lives(p agent.Process) bool {
+// IsRunning reports whether a process is running. A later process that reuses its ID does not count.
+func IsRunning(p agent.Process) bool {
 	ticks, err := startTicks(p.PID)
 	return err == nil && ticks == p.StartTicks
 }
@@ -62,7 +62,7 @@
 // signal sends a signal to a process if it is running. Errors are ignored because the process may have exited meanwhile, which
 // the next poll detects.
 func signal(p agent.Process, s syscall.Signal) {
-	if Lives(p) {
+	if IsRunning(p) {
 		_ = syscall.Kill(p.PID, s)
 	}
 }
--- a/internal/coordination/machine/recorded_test.go
+++ b/internal/coordination/machine/recorded_test.go
@@ -69,7 +69,7 @@
 	if state.Serving != nil { // the recorded process has exited
 		t.Errorf("%+v", state.Serving)
 	}
-	if serving == nil || !Lives(*serving) {
+	if serving == nil || !IsRunning(*serving) {
 		t.Errorf("the process of another agent was stopped: %+v", serving)
 	}
 
--- a/internal/coordination/machine/sidecar.go
+++ b/internal/coordination/machine/sidecar.go
@@ -66,7 +66,7 @@
 	}
 	phase := managed.savedState.Phase
 	var actions []agent.Action
-	managed.Sidecar, actions = agent.Restore(managed.savedState, m.config.Limits, m.now(), m.config.Host.Lives, found)
+	managed.Sidecar, actions = agent.Restore(managed.savedState, m.config.Limits, m.now(), m.config.Host.IsRunning, found)
 	m.adoptNewestVersion(managed)
 	m.log.Info("sidecar restored", "sidecar", config.Name, "phase", phase.String(), "now", managed.Serving, "next", managed.Next,
 		"found", found != nil)
@@ -204,7 +204,7 @@
 	m.removeOldFiles(managed)
 	return m.config.Host.Start(StartOptions{
 		ClaimFile: m.lastStartFile(managed, claimFile), LogFile: m.lastStartFile(managed, logFile),
-		Program: r.Program, Settings: settings, Temporary: m.data.path(temporaryFolder), AdminAddress: managed.nextAdminAddress(),
+		Program: r.Program, Settings: settings, TempDir: m.data.path(temporaryFolder), AdminAddress: managed.nextAdminAddress(),
 	})
 }
 
--- a/internal/coordination/machine/start.go
+++ b/internal/coordination/machine/start.go
@@ -82,7 +82,7 @@
 	LogFile      string // receives standard output and standard error of the program
 	Program      string
 	Settings     string // the path of its settings file
-	Temporary    string // the folder for its temporary files
+	TempDir      string // the folder for its temporary files
 	AdminAddress string // the address of its operators' endpoint
 }
 
@@ -99,14 +99,14 @@
 	}
 	defer func() { _ = log.Close() }() // the process has its own descriptor; the agent writes nothing to this one
 	cmd := exec.Command(self, "once", o.ClaimFile, o.Program, "--config", o.Settings)
-	cmd.Env = append(os.Environ(), "LB_ADMIN_ADDR="+o.AdminAddress, "LB_CONFIG="+o.Settings, "TMPDIR="+o.Temporary)
+	cmd.Env = append(os.Environ(), "LB_ADMIN_ADDR="+o.AdminAddress, "LB_CONFIG="+o.Settings, "TMPDIR="+o.TempDir)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
 	if err := cmd.Start(); err != nil {
 		return agent.Process{}, err
 	}
 	ticks, err := startTicks(cmd.Process.Pid)
-	go func() { _ = cmd.Wait() }() // reaps the process; Lives reports whether it has exited
+	go func() { _ = cmd.Wait() }() // reaps the process; the polls detect its exit by IsRunning
 	if err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return agent.Process{}, err
 	}
--- a/internal/coordination/machine/start_test.go
+++ b/internal/coordination/machine/start_test.go
@@ -58,7 +58,7 @@
 	s := process.Start(t, process.Self("MACHINE_TEST_THREADS", "1"))
 	peertest.Eventually(t, "its first thread has exited", func() bool { return s.State() == "Z" })
 	startTime, _ := startTicks(s.Pid)
-	if p := (agent.Process{PID: s.Pid, StartTicks: startTime}); !Lives(p) {
+	if p := (agent.Process{PID: s.Pid, StartTicks: startTime}); !IsRunning(p) {
 		t.Error("the process counts as exited")
 	}
 	s.Kill()
@@ -80,7 +80,7 @@
 		t.Fatal(out)
 	}
 	for range 2 {
-		if p, err := resolveStart(claimed); err != nil || p == nil || p.PID != pid || p.StartTicks == 0 || Lives(*p) {
+		if p, err := resolveStart(claimed); err != nil || p == nil || p.PID != pid || p.StartTicks == 0 || IsRunning(*p) {
 			t.Errorf("%v, %v", p, err)
 		}
 		if p, err := resolveStart(unclaimed); err != nil || p != nil {
@@ -96,16 +96,16 @@
 }
 
 // A process is identified by its ID and its start time: another process that has the same ID does not count.
-func TestLives(t *testing.T) {
+func TestIsRunning(t *testing.T) {
 	startTime, err := startTicks(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := agent.Process{PID: os.Getpid(), StartTicks: startTime}
-	if ticks, memory := usage(p); !Lives(p) || memory < 1<<20 {
+	if ticks, memory := usage(p); !IsRunning(p) || memory < 1<<20 {
 		t.Errorf("%d ticks, %d bytes", ticks, memory)
 	}
-	if p.StartTicks++; Lives(p) {
+	if p.StartTicks++; IsRunning(p) {
 		t.Error("a process with another start time counts as the same")
 	}
 	if _, memory := usage(p); memory != 0 {
--- a/internal/coordination/machine/version_test.go
+++ b/internal/coordination/machine/version_test.go
@@ -129,7 +129,7 @@
 	t.Cleanup(func() {
 		g.stop()
 		for _, p := range []*agent.Process{g.persisted().Serving, g.persisted().Next} {
-			if p != nil && Lives(*p) {
+			if p != nil && IsRunning(*p) {
 				syscall.Kill(p.PID, syscall.SIGKILL)
 			}
 		}
@@ -248,7 +248,7 @@
 	g.stop()
 	serving := *g.persisted().Serving
 	syscall.Kill(serving.PID, syscall.SIGKILL)
-	peertest.Eventually(t, "the process exits", func() bool { return !Lives(serving) })
+	peertest.Eventually(t, "the process exits", func() bool { return !IsRunning(serving) })
 	g.start()
 	if g.newest != 7 || g.last().InForce != 5 || g.last().Refused != 7 {
 		t.Errorf("newest version %d: %+v", g.newest, g.last())
--- a/internal/rig/deployment/platform.go
+++ b/internal/rig/deployment/platform.go
@@ -79,7 +79,7 @@
 	return process.Start(p.t, exec.Command(p.path("petrelhook-agent"), "--config", configFile))
 }
 
-func (p *processes) lives(of agent.Process) bool { return machine.Lives(of) }
+func (p *processes) lives(of agent.Process) bool { return machine.IsRunning(of) }
 
 func (p *processes) signal(of agent.Process, s syscall.Signal) { _ = syscall.Kill(of.PID, s) } // it may have ended
 
--- a/internal/rig/deployment/simulated.go
+++ b/internal/rig/deployment/simulated.go
@@ -46,7 +46,7 @@
 
 func (s *simulated) reserveAddr() string { return s.memory.Network.ReserveAddr() }
 
-func (s *simulated) lives(p agent.Process) bool { return s.host.Lives(p) }
+func (s *simulated) lives(p agent.Process) bool { return s.host.IsRunning(p) }
 
 func (s *simulated) signal(p agent.Process, sig syscall.Signal) { s.host.Signal(p, sig) }
 
--- a/internal/rig/scale/minder.go
+++ b/internal/rig/scale/minder.go
@@ -18,7 +18,7 @@
 	for _, f := range files {
 		var p agent.Process
 		text, _ := os.ReadFile(f)
-		if n, _ := fmt.Sscan(string(text), &p.PID, &p.StartTicks); n == 2 && machine.Lives(p) {
+		if n, _ := fmt.Sscan(string(text), &p.PID, &p.StartTicks); n == 2 && machine.IsRunning(p) {
 			all = append(all, p)
 		}
 	}
--- a/internal/rig/simhost/host.go
+++ b/internal/rig/simhost/host.go
@@ -113,8 +113,8 @@
 	return found
 }
 
-// Lives implements machine.Host.
-func (h *Host) Lives(p agent.Process) bool { return h.find(p) != nil }
+// IsRunning implements machine.Host.
+func (h *Host) IsRunning(p agent.Process) bool { return h.find(p) != nil }
 
 // Signal implements machine.Host, for SIGTERM, SIGHUP and SIGKILL.
 func (h *Host) Signal(p agent.Process, s syscall.Signal) {
