--- a/internal/coordination/fleet/errorcode_test.go
+++ b/internal/coordination/fleet/errorcode_test.go
@@ -20,8 +20,9 @@
 	"petrelhook/internal/coordination/rpc"
 )
 
-// answering starts a fake coordinator that sends the same response, of type Res, to every request, and returns a Caller for it.
-func answering[Res any](t *testing.T, response Res) *Caller {
+// fakeCoordinator starts a fake coordinator that sends the same response, of type Res, to every request, and returns a Caller for
+// it.
+func fakeCoordinator[Res any](t *testing.T, response Res) *Caller {
 	t.Helper()
 	mux := http.NewServeMux()
 	rpc.Handle(mux, PathRequest, maxRequestBytes, func(context.Context, *Request) (*Res, error) { return &response, nil })
@@ -30,15 +31,15 @@
 	return &Caller{Addrs: []string{server.Listener.Addr().String()}, HTTPClient: server.Client()}
 }
 
-// The error of a pending change of the membership ends a request that must not be repeated. The code identifies it whatever the
-// text says, and the text does if a coordinator of an earlier version sends no code. After any other error the request is
-// attempted again.
+// The error of a pending change of the membership ends a request that must not be repeated. The error is identified by its
+// code, whatever the text says, or by its text if a coordinator of an earlier version sends no code. After any other error the
+// request is attempted again.
 func TestPendingMembershipChangeIsRecognized(t *testing.T) {
 	const text = "a change of the replicas is on its way"
 	for name, caller := range map[string]*Caller{
-		"by its code": answering(t, codedResponse{Response{Err: "one change at a time"}, codeMembershipChangePending}),
-		"by its text": answering(t, Response{Err: text}),
-		"by both":     answering(t, codedResponse{Response{Err: text}, codeMembershipChangePending}),
+		"by its code": fakeCoordinator(t, codedResponse{Response{Err: "one change at a time"}, codeMembershipChangePending}),
+		"by its text": fakeCoordinator(t, Response{Err: text}),
+		"by both":     fakeCoordinator(t, codedResponse{Response{Err: text}, codeMembershipChangePending}),
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 		_, err := caller.Call(ctx, &Request{RemoveMember: 2}, nil)
@@ -51,9 +52,9 @@
 		cancel()
 	}
 	for name, caller := range map[string]*Caller{
-		"another error":    answering(t, Response{Err: "another replica leads"}),
-		"an unknown code":  answering(t, codedResponse{Response{Err: "too many requests are pending"}, "of_a_later_version"}),
-		"a text around it": answering(t, Response{Err: "it seems that " + text}),
+		"another error":    fakeCoordinator(t, Response{Err: "another replica leads"}),
+		"an unknown code":  fakeCoordinator(t, codedResponse{Response{Err: "too many requests are pending"}, "of_a_later_version"}),
+		"a text around it": fakeCoordinator(t, Response{Err: "it seems that " + text}),
 	} {
 		ctx, cancel := context.WithCancel(context.Background())
 		attempts := 0
@@ -133,7 +134,7 @@
 		t.Errorf("%+v, %v", earlier, err)
 	}
 	for _, response := range []Response{{Rollout: rollout.Response{Error: "a newer driver was heard"}}, {Rollout: rollout.Response{Error: "there is no such change"}}} {
-		out, err := answering(t, response).Call(ctx, stale, nil)
+		out, err := fakeCoordinator(t, response).Call(ctx, stale, nil)
 		if err != nil || errors.Is(out.Rollout.Err, rollout.ErrStaleDriver) != (response.Rollout.Error == "a newer driver was heard") || out.Rollout.Err.Error() != response.Rollout.Error {
 			t.Errorf("%+v, %v", out, err)
 		}
--- a/internal/coordination/fleet/limitclient.go
+++ b/internal/coordination/fleet/limitclient.go
@@ -49,9 +49,9 @@
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		now := c.clock()
-		at, wanted := c.consumer.NextRequestAt(now)
+		requestAt, wanted := c.consumer.NextRequestAt(now)
 		c.mu.Unlock()
-		if delay := at.Sub(now); !wanted || delay > 0 {
+		if delay := requestAt.Sub(now); !wanted || delay > 0 {
 			c.wait(ctx, delay, wanted)
 			continue
 		}
--- a/internal/coordination/machine/version_test.go
+++ b/internal/coordination/machine/version_test.go
@@ -28,7 +28,8 @@
 const fakeVariable = "MACHINE_TEST_FAKE"
 
 // runFakeProgram is the program of a fake release: it checks settings, serves the operators' endpoint and reloads its settings
-// file. The fields bad, dies and never in the settings make it reject them, exit at the start, and never become ready.
+// file. The fields bad, dies and never in the settings make it reject them, exit at the start, or never become ready,
+// respectively.
 func runFakeProgram(args []string) {
 	path := args[len(args)-1]
 	read := func() (text []byte, fields map[string]any) {
