--- a/internal/coordination/lease/explore_test.go
+++ b/internal/coordination/lease/explore_test.go
@@ -13,24 +13,26 @@
 	"time"
 )
 
-// The model has two clients, three replicas, of which one leads and others may still act as leaders of earlier terms, clocks at either
-// end of the drift bound, requests and responses that are delayed or lost, and proposals that a later leader may or may not find in its
-// log. The exploration visits every reachable state and runs the real code: State, Lessor and SessionState.
+// The model has two clients and three replicas. One replica leads; others may still act as leaders of earlier terms. Each clock runs at
+// either end of the drift bound. Requests and responses may be delayed or lost, and a later leader may or may not find a proposal in its
+// log. The exploration visits every reachable world, which is a state of the whole model, and runs the real code: State, Lessor and
+// SessionState.
 //
-// One tick of true time advances a fast clock by 404 and a slow clock by 400, so that their rates differ by MaxDrift. A TTL is two ticks
-// of a fast clock.
+// One tick of true time advances a fast clock by 404 ns and a slow clock by 400 ns, so that their rates differ by MaxDrift. A TTL is two
+// ticks of a fast clock.
 const (
-	fast, slow = 404, 400
-	modelTTL   = time.Duration(2 * fast)
+	fastTick, slowTick = 404, 400
+	modelTTL           = time.Duration(2 * fastTick)
 )
 
-// The bounds of the exploration: ticks of true time and elections. The environment variable LEASE_EXPLORE="5 2" changes them; the defaults
-// suffice for the tests.
+// maxTicks and maxElections bound the exploration: the ticks of true time and the elections in a world. The environment variable
+// LEASE_EXPLORE="5 2" sets them to 5 and 2. The defaults suffice to find the violations that TestExploration and TestTheChecksCanFail
+// provoke.
 var maxTicks, maxElections uint8 = 3, 1
 
 func init() { fmt.Sscan(os.Getenv("LEASE_EXPLORE"), &maxTicks, &maxElections) }
 
-// maxRequests is how many requests each client sends after the initial state.
+// maxRequests is the largest number of requests that each client sends after the initial state.
 var maxRequests = [2]uint8{2, 1}
 
 type phase uint8
@@ -38,39 +40,41 @@
 const (
 	noRequest    phase = iota
 	requestSent        // on its way to the leader, or to a replica that has not noticed that it was replaced
-	confirmed          // received, after which a majority has confirmed that the replica leads
+	confirmed          // received by a replica; then a majority confirmed that the replica leads
 	responseSent       // the response is on its way back
 )
 
+// modelRequest is the request that a client has in progress, with the response once there is one.
 type modelRequest struct {
 	phase       phase
-	kind        Kind // Acquire, Release; 0: keep-alive
-	requestedAt Instant
-	leader      uint8
-	answer      Answer
-	alive       bool
-	grants      []Grant
+	kind        Kind    // Acquire, Release; 0: keep-alive
+	requestedAt Instant // by the client's clock
+	replica     uint8   // the index of the replica that received the request
+	answer      Answer  // the response to a command
+	renewed     bool    // the response to a keep-alive: the session was renewed
+	grants      []Grant // the response to a keep-alive, with version
 	version     uint64
-	token       Token
+	token       Token // of the grant that a Release ends
 }
 
 type modelClient struct {
-	clock    Instant
-	session  *SessionState
-	request  modelRequest
-	requests uint8
-	seq      uint64
+	clock        Instant
+	session      *SessionState
+	request      modelRequest
+	requestsSent uint8  // since the initial state
+	seq          uint64 // of the last command
 }
 
-type modelLeader struct {
+type modelReplica struct {
 	clock  Instant // advances whether or not the replica leads
 	lessor *Lessor // nil: the replica does not act as leader
 }
 
+// world is one state of the model.
 type world struct {
 	state     *State // after all committed commands
 	clients   [2]modelClient
-	leaders   [3]modelLeader
+	replicas  [3]modelReplica
 	leader    uint8     // the index of the current leader
 	proposed  []Command // proposed by the current leader, not yet committed
 	tick      uint8
@@ -102,11 +106,11 @@
 func (w *world) clone() *world {
 	n := *w
 	n.state, n.proposed = w.state.clone(), slices.Clone(w.proposed)
-	for i := range n.leaders {
-		if ls := w.leaders[i].lessor; ls != nil && i == int(w.leader) {
-			n.leaders[i].lessor = ls.clone(n.state)
-		} else if ls != nil { // a replaced leader keeps the state of its last moment, which does not change any more
-			n.leaders[i].lessor = ls.clone(ls.state)
+	for i := range n.replicas {
+		if ls := w.replicas[i].lessor; ls != nil && i == int(w.leader) {
+			n.replicas[i].lessor = ls.clone(n.state)
+		} else if ls != nil { // the state of a replaced leader does not change any more
+			n.replicas[i].lessor = ls.clone(ls.state)
 		}
 	}
 	for i := range n.clients {
@@ -123,59 +127,60 @@
 	return &n
 }
 
-// key returns an encoding that differs if the worlds differ.
+// key returns an encoding that differs if the worlds differ. -1 marks a replica that does not act as leader, -2 an Expire that has been
+// proposed, and -3 a keep-alive that renewed the session.
 func (w *world) key() []byte {
 	var encoded []byte
-	num := func(all ...int64) {
-		for _, n := range all {
+	appendInts := func(values ...int64) {
+		for _, n := range values {
 			encoded = binary.AppendVarint(encoded, n)
 		}
 	}
-	state := func(s *State) {
+	appendState := func(s *State) {
 		l := s.leases["x"]
-		if num(int64(s.lastToken), int64(len(s.sessions))); l != nil {
-			num(int64(l.holder), int64(l.token))
+		if appendInts(int64(s.lastToken), int64(len(s.sessions))); l != nil {
+			appendInts(int64(l.holder), int64(l.token))
 		}
 		for _, id := range slices.Sorted(maps.Keys(s.sessions)) {
 			sess := s.sessions[id]
-			num(int64(id), int64(sess.lastSeq), int64(sess.lastAnswer.Status), int64(sess.version))
+			appendInts(int64(id), int64(sess.lastSeq), int64(sess.lastAnswer.Status), int64(sess.version))
 		}
 	}
-	state(w.state)
-	num(int64(w.leader), int64(w.tick), int64(w.elections))
-	for i := range w.leaders {
-		l := &w.leaders[i]
+	appendState(w.state)
+	appendInts(int64(w.leader), int64(w.tick), int64(w.elections))
+	for i := range w.replicas {
+		l := &w.replicas[i]
 		if l.lessor == nil {
-			num(-1)
+			appendInts(-1)
 			continue
 		}
 		for _, id := range slices.Sorted(maps.Keys(l.lessor.expiry)) {
-			num(int64(id), int64(l.lessor.expiry[id]), int64(len(l.lessor.expiring)))
+			appendInts(int64(id), int64(l.lessor.expiry[id]), int64(len(l.lessor.expiring)))
 			if l.lessor.expiring[id] {
-				num(-2)
+				appendInts(-2)
 			}
 		}
 		if i != int(w.leader) {
-			state(l.lessor.state)
+			appendState(l.lessor.state)
 		}
 	}
 	for i := range w.clients {
 		c := &w.clients[i]
-		num(int64(c.request.phase), int64(c.request.kind), int64(c.request.requestedAt), int64(c.request.leader), int64(c.request.answer.Status), int64(c.request.answer.Token),
-			int64(c.request.answer.Session), int64(c.request.version), int64(len(c.request.grants)), int64(c.requests), int64(c.seq))
-		if c.request.alive {
-			num(-3)
+		appendInts(int64(c.request.phase), int64(c.request.kind), int64(c.request.requestedAt), int64(c.request.replica), int64(c.request.answer.Status), int64(c.request.answer.Token),
+			int64(c.request.answer.Session), int64(c.request.version), int64(len(c.request.grants)), int64(c.requestsSent), int64(c.seq))
+		if c.request.renewed {
+			appendInts(-3)
 		}
 		if c.session != nil {
-			num(int64(c.session.Session), int64(c.session.expiry), int64(c.session.grantsVersion))
+			appendInts(int64(c.session.Session), int64(c.session.expiry), int64(c.session.grantsVersion))
 			for name, l := range c.session.grants {
 				encoded = append(encoded, name...)
-				num(int64(l.token), int64(l.expiry), int64(l.learnedAt))
+				appendInts(int64(l.token), int64(l.expiry), int64(l.learnedAt))
 			}
 		}
 	}
 	for _, c := range w.proposed {
-		num(int64(c.Kind), int64(c.Session))
+		appendInts(int64(c.Kind), int64(c.Session))
 	}
 	return encoded
 }
@@ -183,13 +188,15 @@
 // omissions states which steps of the protocol the model leaves out, to show that they are necessary.
 type omissions struct{ confirmation bool }
 
+// apply commits a command at the current leader.
 func (w *world) apply(c Command) Answer {
 	a := w.state.Apply(c)
-	w.leaders[w.leader].lessor.Applied(c, a, w.leaders[w.leader].clock)
+	w.replicas[w.leader].lessor.Applied(c, a, w.replicas[w.leader].clock)
 	return a
 }
 
-// successors calls visit with each world that can follow in one step.
+// successors calls visit with each world that can follow in one step. rates holds by how much the clocks of the two clients and of the
+// three replicas, in this order, advance in a tick.
 func (w *world) successors(rates [5]Instant, omit omissions, visit func(*world)) {
 	if w.tick < maxTicks {
 		n := w.clone()
@@ -197,15 +204,15 @@
 		for i := range n.clients {
 			n.clients[i].clock += rates[i]
 		}
-		for i := range n.leaders {
-			n.leaders[i].clock += rates[2+i]
+		for i := range n.replicas {
+			n.replicas[i].clock += rates[2+i]
 		}
 		visit(n)
 	}
-	leader := &w.leaders[w.leader]
+	leader := &w.replicas[w.leader]
 	if len(w.proposed) == 0 {
 		if n := w.clone(); true {
-			if n.proposed = n.leaders[n.leader].lessor.ExpiryCommands(leader.clock); len(n.proposed) > 0 {
+			if n.proposed = n.replicas[n.leader].lessor.ExpiryCommands(leader.clock); len(n.proposed) > 0 {
 				visit(n)
 			}
 		}
@@ -216,17 +223,18 @@
 		visit(n)
 	}
 	if w.elections < maxElections {
-		for kept := range len(w.proposed) + 1 { // the number of proposed commands that are in the next leader's log
+		for keptCommands := range len(w.proposed) + 1 { // the number of proposed commands that are in the next leader's log
 			n := w.clone()
 			n.elections++
-			old := &n.leaders[n.leader]
-			old.lessor = old.lessor.clone(old.lessor.state.clone()) // the old leader still acts as one, on its own state
+			replaced := &n.replicas[n.leader]
+			// The replaced leader still acts as a leader, on a state of its own.
+			replaced.lessor = replaced.lessor.clone(replaced.lessor.state.clone())
 			n.leader = (n.leader + 1) % 3
-			for _, c := range n.proposed[:kept] {
+			for _, c := range n.proposed[:keptCommands] {
 				n.state.Apply(c)
 			}
 			n.proposed = nil
-			n.leaders[n.leader].lessor = NewLessor(n.state, n.leaders[n.leader].clock)
+			n.replicas[n.leader].lessor = NewLessor(n.state, n.replicas[n.leader].clock)
 			visit(n)
 		}
 	}
@@ -235,26 +243,28 @@
 	}
 }
 
+// clientSuccessors calls visit with each world that can follow when the current request of client i makes progress or is lost, or when
+// the client sends a new one.
 func (w *world) clientSuccessors(i int, omit omissions, visit func(*world)) {
 	c := &w.clients[i]
 	sendRequest := func(commandKind Kind, token Token) {
 		n := w.clone()
-		c := &n.clients[i]
-		c.request = modelRequest{phase: requestSent, kind: commandKind, requestedAt: c.clock, token: token}
-		if c.requests++; commandKind != 0 {
-			c.seq++
+		next := &n.clients[i]
+		next.request = modelRequest{phase: requestSent, kind: commandKind, requestedAt: next.clock, token: token}
+		if next.requestsSent++; commandKind != 0 {
+			next.seq++
 		}
 		if commandKind == Release {
-			c.session.Forget("x")
+			next.session.Forget("x")
 		}
 		visit(n)
 	}
 	switch c.request.phase {
 	case noRequest:
-		if c.requests >= maxRequests[i] {
+		if c.requestsSent >= maxRequests[i] {
 			return
 		}
-		if c.session.Expiry() < 0 {
+		if c.session.Expiry() < 0 { // the session was invalidated
 			return
 		}
 		if token, _, ok := c.session.Held("x", c.clock); ok {
@@ -262,32 +272,34 @@
 		} else {
 			sendRequest(Acquire, 0)
 		}
-		if i == 0 { // the other client's session does not expire within the model's bounds
+		if i == 0 { // the other client needs no keep-alive: its session does not expire within the model's bounds
 			sendRequest(0, 0)
 		}
 	case requestSent:
-		for l := range w.leaders {
-			if w.leaders[l].lessor == nil || l != int(w.leader) && (c.request.kind != 0 || !omit.confirmation) {
-				continue // a replica that does not lead can commit nothing and gets no confirmation
+		for index := range w.replicas {
+			if w.replicas[index].lessor == nil || index != int(w.leader) && (c.request.kind != 0 || !omit.confirmation) {
+				// A replica that does not lead cannot commit a command. It gets no confirmation for a keep-alive, but answers nevertheless if
+				// the model omits the confirmation.
+				continue
 			}
 			n := w.clone()
 			next := &n.clients[i]
-			next.request.phase, next.request.leader = confirmed, uint8(l)
+			next.request.phase, next.request.replica = confirmed, uint8(index)
 			switch next.request.kind {
 			case Acquire, Release:
 				next.request.phase = responseSent
 				next.request.answer = n.apply(Command{Kind: next.request.kind, Session: next.session.Session, Seq: next.seq, Name: "x", Token: next.request.token})
 			default:
-				next.request.grants, next.request.version = n.leaders[l].lessor.state.Grants(next.session.Session, next.session.grantsVersion)
+				next.request.grants, next.request.version = n.replicas[index].lessor.state.Grants(next.session.Session, next.session.grantsVersion)
 			}
 			visit(n)
 		}
 	case confirmed: // the replica answers; another replica may be the leader by now
 		n := w.clone()
-		next, l := &n.clients[i], &n.leaders[c.request.leader]
+		next, replica := &n.clients[i], &n.replicas[c.request.replica]
 		if next.request.phase = responseSent; next.request.kind == 0 {
-			if next.request.alive = l.lessor.Renewable(next.session.Session); next.request.alive {
-				l.lessor.Renew(next.session.Session, l.clock)
+			if next.request.renewed = replica.lessor.Renewable(next.session.Session); next.request.renewed {
+				replica.lessor.Renew(next.session.Session, replica.clock)
 			}
 		}
 		visit(n)
@@ -300,7 +312,7 @@
 		switch r := next.request; {
 		case r.kind == Acquire && r.answer.Status == OK:
 			next.session.ApplyGrant(next.clock, "x", r.answer.Token)
-		case r.answer.Status == NoSession || r.kind == 0 && !r.alive:
+		case r.answer.Status == NoSession || r.kind == 0 && !r.renewed:
 			next.session.Invalidate()
 		case r.kind == 0:
 			next.session.ApplyKeepAlive(r.requestedAt, r.grants, r.version)
@@ -310,12 +322,12 @@
 	}
 }
 
-// explore visits the reachable worlds until two clients hold the lease. It returns how many worlds there are, in how many some client holds
-// the lease, and whether two clients hold it in any.
-func explore(rates [5]Instant, omit omissions) (states, held int, twoHold bool) {
+// explore visits the reachable worlds, and stops at a world in which two clients hold the lease. It returns the number of worlds found,
+// the number of visited worlds in which at least one client holds the lease, and whether two clients hold it in one of them.
+func explore(rates [5]Instant, omit omissions) (worlds, worldsWithHolder int, twoHolders bool) {
 	s := NewState()
-	first := &world{state: s} // the first client holds the lease; the second one's session has a longer TTL
-	first.leaders[0].lessor = NewLessor(s, 0)
+	first := &world{state: s} // the first client holds the lease; the session of the second client has a longer TTL
+	first.replicas[0].lessor = NewLessor(s, 0)
 	for i := range first.clients {
 		a := first.apply(Command{Kind: Open, Nonce: fmt.Sprint(i), Owner: "same", TTL: modelTTL * time.Duration(1+4*i)})
 		first.clients[i].session = NewSessionState(0, a.Session, modelTTL*time.Duration(1+4*i))
@@ -324,53 +336,54 @@
 	first.clients[0].session.ApplyGrant(0, "x", first.apply(Command{Kind: Acquire, Session: 1, Seq: 1, Name: "x"}).Token)
 	type hash [32]byte
 	seen, pending := map[hash]struct{}{}, []*world{first}
-	for len(pending) > 0 && !twoHold {
+	for len(pending) > 0 && !twoHolders {
 		w := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
-		n := 0
+		holders := 0
 		for i := range w.clients {
 			if sess := w.clients[i].session; sess != nil {
 				if _, _, ok := sess.Held("x", w.clients[i].clock); ok {
-					n++
+					holders++
 				}
 			}
 		}
-		held += min(n, 1)
-		twoHold = n > 1
-		w.successors(rates, omit, func(n *world) {
-			k := hash(sha256.Sum256(n.key()))
+		worldsWithHolder += min(holders, 1)
+		twoHolders = holders > 1
+		w.successors(rates, omit, func(next *world) {
+			k := hash(sha256.Sum256(next.key()))
 			if _, known := seen[k]; !known {
 				seen[k] = struct{}{}
-				pending = append(pending, n)
+				pending = append(pending, next)
 			}
 		})
 	}
-	return len(seen), held, twoHold
+	return len(seen), worldsWithHolder, twoHolders
 }
 
-// In no state of the model do two clients hold the lease, with the clocks of clients and leaders at either end of the drift bound. Without
-// the confirmation by a majority there is a state in which they do. TestTheChecksCanFail here and in package replica removes the other
-// steps of the argument from the code.
+// Two clients never hold the lease at the same time, in any world of the model and with the clocks of clients and replicas at either end of
+// the drift bound. If the model omits the confirmation by a majority, there is a world in which two clients hold it. For the other steps of
+// the argument in the package documentation, TestTheChecksCanFail here and in package replica checks that tests fail without the step.
 func TestExploration(t *testing.T) {
-	var all atomic.Int64
+	var total atomic.Int64
 	var explorers sync.WaitGroup
 	slots := make(chan struct{}, 2) // leaves processors to other packages' tests, which run at the same time
 	for _, rates := range [][5]Instant{
-		{slow, slow, fast, fast, fast}, {fast, fast, slow, slow, slow}, {slow, fast, fast, slow, fast}, {fast, slow, slow, fast, slow},
+		{slowTick, slowTick, fastTick, fastTick, fastTick}, {fastTick, fastTick, slowTick, slowTick, slowTick},
+		{slowTick, fastTick, fastTick, slowTick, fastTick}, {fastTick, slowTick, slowTick, fastTick, slowTick},
 	} {
 		slots <- struct{}{}
 		explorers.Go(func() {
 			defer func() { <-slots }()
-			states, held, twoHold := explore(rates, omissions{})
-			if twoHold || held == 0 {
-				t.Errorf("rates %v: two hold: %v; in %d of %d states one holds", rates, twoHold, held, states)
+			worlds, worldsWithHolder, twoHolders := explore(rates, omissions{})
+			if twoHolders || worldsWithHolder == 0 {
+				t.Errorf("rates %v: two clients hold the lease: %v; at least one client holds it in %d of %d worlds", rates, twoHolders, worldsWithHolder, worlds)
 			}
-			all.Add(int64(states))
+			total.Add(int64(worlds))
 		})
 	}
 	explorers.Wait()
-	t.Logf("%d states", all.Load())
-	if _, _, twoHold := explore([5]Instant{slow, slow, fast, fast, fast}, omissions{confirmation: true}); !twoHold {
-		t.Error("without the confirmation no two clients hold the lease: the model cannot find the violation")
+	t.Logf("%d worlds", total.Load())
+	if _, _, twoHolders := explore([5]Instant{slowTick, slowTick, fastTick, fastTick, fastTick}, omissions{confirmation: true}); !twoHolders {
+		t.Error("the exploration found no two holders although the model omits the confirmation by a majority")
 	}
 }
--- a/internal/coordination/lease/state_test.go
+++ b/internal/coordination/lease/state_test.go
@@ -20,14 +20,14 @@
 	return s
 }
 
-// A command that is repeated or arrives late is applied once, and a late release of an old grant does not end the new one. Two sessions
-// with the same owner are different sessions.
+// A repeated command is applied only once, a command that arrives after a later one is not applied, and a release of an old grant does not
+// end a new grant. Two sessions with the same owner are different sessions.
 func TestRepeatedCommandsActOnce(t *testing.T) {
 	s := stateWithSessions(2)
 	apply := func(kind Kind, id SessionID, seq uint64, token Token, want Status, wantToken Token) {
 		t.Helper()
 		if a := s.Apply(Command{Kind: kind, Session: id, Seq: seq, Name: "x", Token: token}); a.Status != want || a.Token != wantToken {
-			t.Errorf("%v %d/%d: %v", kind, id, seq, a)
+			t.Errorf("%v by session %d with number %d: %v, want status %v, token %d", kind, id, seq, a, want, wantToken)
 		}
 	}
 	if a := s.Apply(Command{Kind: Open, Nonce: "nonce1", Owner: "other", TTL: time.Second}); a.Session != 2 {
@@ -39,7 +39,7 @@
 	apply(Acquire, 2, 1, 0, HeldByOther, 0)
 	apply(Release, 1, 3, 1, OK, 0)
 	apply(Release, 1, 3, 1, OK, 0)
-	apply(Acquire, 1, 2, 0, Stale, 0) // a duplicate that the network had delayed: no client would learn of its grant
+	apply(Acquire, 1, 2, 0, Stale, 0) // a delayed duplicate: the client no longer waits for its response, so nobody would use a grant
 	apply(Acquire, 2, 2, 0, OK, 2)
 	apply(Release, 1, 4, 1, NotHeld, 0)
 	apply(Release, 2, 3, 1, NotHeld, 0)
@@ -69,7 +69,7 @@
 	s.Apply(Command{Kind: Transfer, Session: 1, Seq: 2, Name: "x", Token: 1, TransferTo: 5})
 	checkHolder(5, 2)
 	if a := s.Apply(Command{Kind: Transfer, Session: 5, Seq: 2, Name: "x", Token: 2, TransferTo: 4}); a.Status != NotHeld {
-		t.Errorf("to a session that does not wait: %v", a)
+		t.Errorf("transfer to a session that does not wait: %v", a)
 	}
 	s.Apply(Command{Kind: Close, Session: 5, Seq: 3})
 	checkHolder(3, 3)
@@ -90,10 +90,10 @@
 	}
 	grants, version := s.Grants(1, client.KnownVersion())
 	if got := client.ApplyKeepAlive(2, grants, version); len(got) != 1 || got[0].Name != "x" || client.KnownVersion() != version {
-		t.Errorf("%v, known %d of %d", got, client.KnownVersion(), version)
+		t.Errorf("new grants %v, the client knows version %d, want x and version %d", got, client.KnownVersion(), version)
 	}
-	if grants, same := s.Grants(1, client.KnownVersion()); grants != nil || same != version {
-		t.Errorf("reported again: %v, %d", grants, same)
+	if grants, unchanged := s.Grants(1, client.KnownVersion()); grants != nil || unchanged != version {
+		t.Errorf("unchanged grants are sent again: %v, version %d", grants, unchanged)
 	}
 	client.ApplyKeepAlive(Instant(time.Second/2), nil, version)
 	if _, until, ok := client.Held("x", Instant(time.Second)); !ok || until <= Instant(time.Second) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// A lease whose grant operators break is free a TTL later and no sooner. A leader of a later term counts a complete TTL anew. The session's
-// other leases are renewed as before, but the broken grant is not.
+// When operators break a grant, the lease becomes free a TTL later and no sooner. A leader of a later term waits for a complete TTL from the
+// beginning of its term. The session's other grants are renewed as before, but the broken grant is not.
 func TestBreak(t *testing.T) {
 	s := stateWithSessions(1)
 	lessor := NewLessor(s, 0)
@@ -129,18 +129,18 @@
 	if due := lessor.ExpiryCommands(at(1499)); len(due) != 0 {
 		t.Errorf("%v", due)
 	}
-	next := NewLessor(s, at(1400)) // a new leader counts from the beginning of its term
-	next.Renew(1, at(2000))
-	if due := next.ExpiryCommands(at(2399)); len(due) != 0 {
+	newLessor := NewLessor(s, at(1400)) // the TTL counts from the beginning of the new term
+	newLessor.Renew(1, at(2000))
+	if due := newLessor.ExpiryCommands(at(2399)); len(due) != 0 {
 		t.Errorf("%v", due)
 	}
-	if due := next.ExpiryCommands(at(2400)); len(due) != 1 || due[0] != (Command{Kind: Free, Name: "x", Token: 1}) {
+	if due := newLessor.ExpiryCommands(at(2400)); len(due) != 1 || due[0] != (Command{Kind: Free, Name: "x", Token: 1}) {
 		t.Errorf("%v", due)
 	}
 }
 
-// A back-up is restored while holders of the old group are still alive: they keep their leases, nothing is granted until every session that
-// the back-up lacks has expired, and tokens are beyond any of the old group, also after a second restore.
+// A back-up is restored while holders of the old group are still alive. They keep their leases, nothing is granted until every session that
+// the back-up lacks has expired, and new tokens are larger than all tokens of the old group. The same holds for a second restore.
 func TestRestored(t *testing.T) {
 	s := stateWithSessions(2)
 	s.Apply(Command{Kind: Acquire, Session: 1, Seq: 1, Name: "x"})
@@ -171,13 +171,13 @@
 		}
 		last = leases[0].Token
 		if a := restored.Apply(Command{Kind: Open, Nonce: "another one", TTL: time.Second}); a.Session <= 1<<40 {
-			t.Errorf("a session id of the old group: %v", a)
+			t.Errorf("the new session has an id that the old group may have used: %v", a)
 		}
 	}
 }
 
-// After any sequence of commands the invariants of the state hold, tokens have only grown, and a state restored from a snapshot is equal
-// and gives the same answer to the next command.
+// After any sequence of commands the invariants of the state hold, the last token has not decreased, and a state restored from a snapshot is
+// equal and gives the same answer to the next command.
 func TestAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := stateWithSessions(3)
@@ -190,24 +190,24 @@
 				Token: Token(rapid.IntRange(0, 9).Draw(t, "token")), TTL: time.Second, Nonce: fmt.Sprint("n", i%7),
 			}
 			before := s.Snapshot()
-			twin, err := Restore(before)
-			if err != nil || !bytes.Equal(twin.Snapshot(), before) {
+			restored, err := Restore(before)
+			if err != nil || !bytes.Equal(restored.Snapshot(), before) {
 				t.Fatalf("the snapshot of a restored state differs: %v", err)
 			}
 			a := s.Apply(c)
-			if b := twin.Apply(c); a != b || !bytes.Equal(twin.Snapshot(), s.Snapshot()) {
-				t.Fatalf("%v: %v, but %v after a restore", c, a, b)
+			if restoredAnswer := restored.Apply(c); a != restoredAnswer || !bytes.Equal(restored.Snapshot(), s.Snapshot()) {
+				t.Fatalf("%v: %v, but %v by the restored state, or the states differ", c, a, restoredAnswer)
 			}
 			if s.lastToken < last {
-				t.Fatal("tokens do not grow")
+				t.Fatalf("the last token decreased from %d to %d", last, s.lastToken)
 			}
 			last = s.lastToken
-			holds := map[SessionID]int{}
+			heldLeases := map[SessionID]int{}
 			for name, l := range s.leases {
 				if l.holder == 0 || s.sessions[l.holder] == nil || l.token == 0 || l.token > s.lastToken {
 					t.Fatalf("%s: held by %d with %d", name, l.holder, l.token)
 				}
-				holds[l.holder]++
+				heldLeases[l.holder]++
 				all := append([]SessionID{l.holder}, l.waiters...)
 				slices.Sort(all)
 				if len(slices.Compact(all)) != len(l.waiters)+1 {
@@ -220,8 +220,8 @@
 				}
 			}
 			for _, id := range slices.Sorted(maps.Keys(s.sessions)) {
-				if len(s.sessions[id].holds) != holds[id] {
-					t.Fatalf("%d holds %v", id, s.sessions[id].holds)
+				if len(s.sessions[id].holds) != heldLeases[id] {
+					t.Fatalf("session %d records that it holds %v, but %d leases name it as the holder", id, s.sessions[id].holds, heldLeases[id])
 				}
 			}
 		}
@@ -230,13 +230,13 @@
 
 // Check rejects invalid commands of clients, and its error names the field.
 func TestCheck(t *testing.T) {
-	long := string(bytes.Repeat([]byte("x"), MaxNameBytes+1))
-	good := Command{Kind: Acquire, Session: 1, Seq: 1, Name: "a/b"}
+	longName := string(bytes.Repeat([]byte("x"), MaxNameBytes+1))
+	valid := Command{Kind: Acquire, Session: 1, Seq: 1, Name: "a/b"}
 	for want, c := range map[string]Command{
 		"ttl: 1ms is out of bounds":           {Kind: Open, TTL: time.Millisecond, Nonce: "12345678", Owner: "o"},
 		"nonce: 1 bytes":                      {Kind: Open, TTL: time.Second, Nonce: "1", Owner: "o"},
 		"owner: 0 bytes":                      {Kind: Open, TTL: time.Second, Nonce: "12345678"},
-		"lease: 201 bytes":                    {Kind: Acquire, Session: 1, Seq: 1, Name: long},
+		"lease: 201 bytes":                    {Kind: Acquire, Session: 1, Seq: 1, Name: longName},
 		`lease: "a b" has a character at 2`:   {Kind: Acquire, Session: 1, Seq: 1, Name: "a b"},
 		"token: missing":                      {Kind: Release, Session: 1, Seq: 1, Name: "x"},
 		"to: missing":                         {Kind: Transfer, Session: 1, Seq: 1, Name: "x", Token: 1},
@@ -248,7 +248,7 @@
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
-	if err := good.Check(); err != nil {
+	if err := valid.Check(); err != nil {
 		t.Error(err)
 	}
 }
