--- a/internal/sidecar/admission/controller.go
+++ b/internal/sidecar/admission/controller.go
@@ -44,11 +44,11 @@
 // Stats holds the number of current connections by state, and totals since the start.
 type Stats struct {
 	Busy, Closing int
-	Idle          [histories]int // by history: no request yet, one, a few or many
+	Idle          [historyCount]int // by history: no request yet, one, a few or many
 
 	Arrived, Rejected uint64
-	Evicted           [histories]uint64 // idle connections that were evicted for new ones, by history
-	ClosedEarly       uint64            // closing connections that were closed at once for new ones
+	Evicted           [historyCount]uint64 // idle connections that were evicted for new ones, by history
+	ClosedEarly       uint64               // closing connections that were closed at once for new ones
 }
 
 // Controller decides which connections stay open. It is not safe for concurrent use. The times given to its methods must not
@@ -57,7 +57,7 @@
 	Config
 	requestRates rates
 	open         int
-	idle         [histories]list.List // of *Conn, longest idle first
+	idle         [historyCount]list.List // of *Conn, longest idle first
 	busy         list.List
 	closing      list.List
 	stats        Stats
@@ -101,14 +101,14 @@
 		return e.Value.(*Conn)
 	}
 	responseValues := ctl.responseValues()
-	newcomerValue := ctl.requestRates.probability(never, 0, ctl.Horizon)
-	var next [histories]*list.Element
+	newcomerValue := ctl.requestRates.probability(unused, 0, ctl.Horizon)
+	var next [historyCount]*list.Element
 	for h := range ctl.idle {
 		next[h] = ctl.idle[h].Front()
 	}
 	for {
-		minValue, candidate := math.Inf(1), histories
-		for h := range histories {
+		minValue, candidate := math.Inf(1), historyCount
+		for h := range historyCount {
 			if next[h] == nil {
 				continue
 			}
@@ -118,11 +118,11 @@
 				continue
 			}
 			value := ctl.requestRates.probability(h, idleTime, ctl.Horizon) * responseValues[h]
-			if value < minValue && (h <= once || value < newcomerValue) {
+			if value < minValue && (h <= usedOnce || value < newcomerValue) {
 				minValue, candidate = value, h
 			}
 		}
-		if candidate == histories {
+		if candidate == historyCount {
 			return nil
 		}
 		c := next[candidate].Value.(*Conn)
@@ -136,9 +136,9 @@
 
 // responseValues returns the value of a response by the history of its connection: 1 for the response itself, plus the number of
 // responses that are expected to follow it on the same connection within the horizon.
-func (ctl *Controller) responseValues() (values [histories]float64) {
-	values[regular] = 1 + ctl.requestRates.mean(regular)*ctl.Horizon.Seconds()
-	for h := regular; h > never; h-- {
+func (ctl *Controller) responseValues() (values [historyCount]float64) {
+	values[regular] = 1 + ctl.requestRates.meanRate(regular)*ctl.Horizon.Seconds()
+	for h := regular; h > unused; h-- {
 		values[h-1] = 1 + ctl.requestRates.probability(h, 0, ctl.Horizon)*values[h]
 	}
 	return values
@@ -162,7 +162,7 @@
 		return false
 	}
 	ctl.observe(c, now)
-	ctl.requestRates.ended(historyOf(c.responses), now.Sub(c.idleSince))
+	ctl.requestRates.recordResponse(historyOf(c.responses), now.Sub(c.idleSince))
 	c.responses++
 	c.idleSince, c.observed = now, 0
 	return ctl.requestRates.probability(historyOf(c.responses), 0, ctl.Horizon) < minReuseProbability*float64(ctl.open)/float64(ctl.MaxConnections)
@@ -190,7 +190,7 @@
 // observe adds to the rates the part of the time since the connection's last response that was not added before.
 func (ctl *Controller) observe(c *Conn, now time.Time) {
 	idleTime := now.Sub(c.idleSince)
-	ctl.requestRates.observe(historyOf(c.responses), c.observed, idleTime)
+	ctl.requestRates.addIdleTime(historyOf(c.responses), c.observed, idleTime)
 	c.observed = idleTime
 }
 
--- a/internal/sidecar/admission/controller_test.go
+++ b/internal/sidecar/admission/controller_test.go
@@ -211,11 +211,11 @@
 		rnd := rand.New(rand.NewPCG(1, 2))
 		for range 200000 {
 			idleTime := time.Duration(rnd.ExpFloat64() * float64(mean))
-			r.observe(regular, 0, idleTime)
-			r.ended(regular, idleTime)
+			r.addIdleTime(regular, 0, idleTime)
+			r.recordResponse(regular, idleTime)
 		}
 		for _, at := range []time.Duration{0, mean / 3, mean} {
-			if got := r.expected(regular, at) * mean.Seconds(); got < 0.85 || got > 1.15 {
+			if got := r.rateAt(regular, at) * mean.Seconds(); got < 0.85 || got > 1.15 {
 				t.Errorf("after %v: %.2f of the rate", at, got)
 			}
 		}
@@ -233,17 +233,17 @@
 		at := time.Duration(0)
 		for _, c := range cuts {
 			if d := time.Duration(c); d > at {
-				inParts.observe(once, at, d)
+				inParts.addIdleTime(usedOnce, at, d)
 				at = d
 			}
 		}
-		atOnce.observe(once, 0, at)
+		atOnce.addIdleTime(usedOnce, 0, at)
 		sum := 0.0
-		for c := range buckets {
-			if d := atOnce.idleSeconds[once][c] - inParts.idleSeconds[once][c]; d > 1e-6 || d < -1e-6 {
-				t.Errorf("bucket %d: %v and %v", c, atOnce.idleSeconds[once][c], inParts.idleSeconds[once][c])
+		for c := range bucketCount {
+			if d := atOnce.idleSeconds[usedOnce][c] - inParts.idleSeconds[usedOnce][c]; d > 1e-6 || d < -1e-6 {
+				t.Errorf("bucket %d: %v and %v", c, atOnce.idleSeconds[usedOnce][c], inParts.idleSeconds[usedOnce][c])
 			}
-			sum += inParts.idleSeconds[once][c]
+			sum += inParts.idleSeconds[usedOnce][c]
 		}
 		if d := sum - at.Seconds(); d > 1e-6 || d < -1e-6 {
 			t.Errorf("%v s of %v", sum, at)
