--- a/internal/router/gateway/stall.go
+++ b/internal/router/gateway/stall.go
@@ -13,25 +13,27 @@
 var errStalled = errors.New("the stream stalled")
 
 const (
-	firstEventMultiple = 2   // time reserved for another server's first event, as a multiple of the typical one
-	minTimeoutFraction = 0.5 // lower bound of a stall timeout, as a fraction of the target
+	firstEventMultiple = 2   // time reserved for another server's first event, as a multiple of the typical time to a first event
+	minTimeoutFraction = 0.5 // lower bound of a stall timeout, as a fraction of the target latency or target gap
 )
 
-// stallWatchdog migrates a resumable stream to another server when its next event is so late that only another server can still
-// send it in time, that is, once the target less the time reserved for another server's first event has passed (see
-// stallTimeout). Each migration counts as one of the attempts that the route allows, and needs a permit of the retry budget and
-// another usable server. Its timer calls onStall on a goroutine of its own, which accesses the request under the gateway's lock
-// and only until stop is called.
+// stallWatchdog migrates a resumable stream to another server when its next event is late. Of the route's target for the event, a
+// part is reserved for the first event of another server (see stallTimeout); the stream migrates when the rest has passed. Each
+// migration counts as one of the attempts that the route allows, and needs a permit of the retry budget and another usable server.
+//
+// The timer calls onStall on a separate goroutine. onStall accesses the request only under the gateway's lock and only until stop
+// is called.
 type stallWatchdog struct {
 	gateway    *Gateway
 	req        *request
 	cancel     context.CancelCauseFunc
-	timer      *time.Timer // nil: the attempt is not monitored
-	gapTimeout time.Duration
-	stopped    bool // guarded by the gateway's lock; once set, onStall does not access the request
+	timer      *time.Timer   // nil: the attempt is not monitored
+	gapTimeout time.Duration // the stall timeout between two events
+	stopped    bool          // guarded by the gateway's lock; once set, onStall does not access the request
 }
 
-// startStallWatchdog starts the watchdog of an attempt. The caller must call stop when the attempt ends.
+// startStallWatchdog starts the watchdog of an attempt. The attempt is not monitored if the request must not be sent again, or if
+// the typical time to a first event is not known yet. The caller must call stop when the attempt ends.
 func (g *Gateway) startStallWatchdog(req *request, cancel context.CancelCauseFunc) *stallWatchdog {
 	w := &stallWatchdog{gateway: g, req: req, cancel: cancel}
 	if !req.route.Idempotent() || req.attempts.arrived+1 >= req.route.Attempts {
@@ -63,8 +65,8 @@
 	return 0
 }
 
-// stallTimeout returns how long to wait for the next event of one server, given the target for that event and the typical time
-// to another server's first event.
+// stallTimeout returns how long to wait for the next event of the current server, given the target for that event and the typical
+// time to another server's first event.
 func stallTimeout(target, typicalFirstEvent time.Duration) time.Duration {
 	return max(time.Duration(minTimeoutFraction*float64(target)), target-firstEventMultiple*typicalFirstEvent)
 }
--- a/internal/router/node/operator_http.go
+++ b/internal/router/node/operator_http.go
@@ -12,10 +12,10 @@
 const (
 	maxHeartbeatBytes = 4 << 10
 	maxOrderBytes     = 16 << 20
-	// orderTimeout bounds the wait for the core's decision on an order. Operators' clients time out after a second, as
-	// servers do.
+	// orderTimeout bounds the wait for the core's decision on an order. The clients of operators and the model servers time
+	// out after a second.
 	orderTimeout = 900 * time.Millisecond
-	// readTimeout bounds the wait for the confirmation of the primary before a read.
+	// readTimeout bounds the wait for a majority's confirmation, before a read, that this router is still the primary.
 	readTimeout = 700 * time.Millisecond
 )
 
@@ -90,9 +90,10 @@
 	w.Write(config.Encode())
 }
 
-// redirectToPrimary redirects the caller to the primary if that is another router, or answers 503 if the primary is not
-// known, and returns true. It returns false, without an answer, if this router is the primary. A router without contact
-// with the core names no primary, because the one that it knows may have been replaced. It acquires the lock.
+// redirectToPrimary returns false, without an answer, if this router is the primary. Otherwise it redirects the caller to
+// the primary, or answers 503 if the primary is not known, and returns true. Without contact with the core the primary
+// counts as unknown, because the last known primary may have been replaced. redirectToPrimary is called without the lock,
+// and acquires it.
 func (n *Node) redirectToPrimary(w http.ResponseWriter, r *http.Request) bool {
 	n.mutex.Lock()
 	isPrimary := n.control.replica.IsPrimary()
--- a/internal/router/placement/request.go
+++ b/internal/router/placement/request.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	minAffinityTokens = 600     // shared tokens from which a request prefers servers that have them cached
-	maxPartTokens     = 1 << 30 // tokens of one part of a prompt that a header may state
+	minAffinityTokens = 600     // least number of shared tokens for which a request prefers servers that have them cached
+	maxHeaderTokens   = 1 << 30 // largest number of tokens that a header may state in one place
 )
 
-// Request describes a request to be placed. A prompt consists of parts, which the header X-Prompt-Prefix lists; the shared
-// prefix is the prompt up to the last part that other requests may have in common with it.
+// Request describes a request to be placed. A prompt consists of parts, which the header X-Prompt-Prefix lists. All parts but
+// the last may also occur in the prompts of other requests; together they are the shared prefix.
 type Request struct {
 	PrefixKey       string          // ID of the last part of the shared prefix; "": no shared prefix
 	SharedTokens    int             // tokens of the complete shared prefix
 	PrefixTokens    int             // tokens of the part that PrefixKey names
 	PromptTokens    int             // tokens of the complete prompt; 0: unknown
 	MaxOutputTokens int             // upper bound of the tokens that are generated
-	MaxGap          time.Duration   // gap target: the longest acceptable time between two parts of the answer; 0: none
+	MaxGap          time.Duration   // gap target: the longest acceptable time between two events of the answer; 0: none
 	Tried           map[string]bool // IDs of the servers to which the request was sent
 }
 
 // HasAffinity reports whether a request prefers servers that have its shared prefix cached.
 func (r *Request) HasAffinity() bool { return r.PrefixKey != "" && r.SharedTokens >= minAffinityTokens }
 
-// DecodeHeavy reports whether a request may generate more tokens than its prompt has. Its answer is called a long answer,
-// or a stream.
+// DecodeHeavy reports whether a request may generate more tokens than its prompt has. Such a request has a long answer, and
+// is counted in Work.Streams.
 func (r *Request) DecodeHeavy() bool { return r.MaxOutputTokens > max(r.PromptTokens, 0) }
 
 // PrefillTokens returns the number of prompt tokens that a server has to process; cached says whether the server has the
-// last part of the shared prefix in its cache. The parts before the last one are shared by so many requests that all
-// servers have them cached.
+// last part of the shared prefix in its cache. All servers are assumed to have the earlier parts cached, because many
+// requests share them.
 func (r *Request) PrefillTokens(cached bool) float64 {
 	tokens := r.PromptTokens - r.SharedTokens
 	if !cached {
@@ -61,7 +61,7 @@
 	for _, part := range parts[:len(parts)-1] {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(part), ":")
 		n, err := strconv.Atoi(tokens)
-		if !ok || err != nil || id == "" || n < 0 || n > maxPartTokens {
+		if !ok || err != nil || id == "" || n < 0 || n > maxHeaderTokens {
 			return "", 0, 0
 		}
 		key, prefixTokens = id, n
@@ -70,13 +70,13 @@
 	return key, sharedTokens, prefixTokens
 }
 
-// ParseUsage parses the header X-Token-Usage, PROMPT,OUTPUT: the tokens of the prompt and the upper bound of the tokens
-// that are generated. It returns false if the header is invalid.
+// ParseUsage parses the header X-Token-Usage, whose form is PROMPT,OUTPUT. It returns the number of tokens of the prompt and
+// the upper bound of the number of generated tokens; ok is false if the header is invalid.
 func ParseUsage(header string) (prompt, output int, ok bool) {
-	in, out, found := strings.Cut(header, ",")
-	prompt, errIn := strconv.Atoi(strings.TrimSpace(in))
-	output, errOut := strconv.Atoi(strings.TrimSpace(out))
-	if !found || errIn != nil || errOut != nil || prompt < 0 || output < 0 || prompt > maxPartTokens || output > maxPartTokens {
+	promptText, outputText, found := strings.Cut(header, ",")
+	prompt, promptErr := strconv.Atoi(strings.TrimSpace(promptText))
+	output, outputErr := strconv.Atoi(strings.TrimSpace(outputText))
+	if !found || promptErr != nil || outputErr != nil || prompt < 0 || output < 0 || prompt > maxHeaderTokens || output > maxHeaderTokens {
 		return 0, 0, false
 	}
 	return prompt, output, true
--- a/internal/router/registry/changes.go
+++ b/internal/router/registry/changes.go
@@ -11,11 +11,11 @@
 // registry learn that it ended.
 const endedRetention = 2 * time.Minute
 
-// compactionSlack is how many superseded changes may accumulate, in addition to two changes for each entry, before the
-// superseded ones are removed together.
+// compactionSlack determines when the superseded changes are removed: when there are more changes than twice the number of
+// entries plus compactionSlack.
 const compactionSlack = 64
 
-// change records that an entry changed at a stamp.
+// change records that an entry changed. Its stamp is the number of the change in the registry.
 type change struct {
 	stamp uint64
 	entry *Entry
@@ -92,10 +92,10 @@
 }
 
 // Forget removes the instances that have been unusable for longer than endedRetention. It keeps an entry whose stamp is
-// greater than applied, the last stamp that the data plane of this router has applied.
-func (g *Registry) Forget(applied uint64, now time.Duration) {
+// greater than appliedStamp, the last stamp that the data plane of this router has applied.
+func (g *Registry) Forget(appliedStamp uint64, now time.Duration) {
 	for id, entry := range g.entries {
-		if entry.Usable() || entry.Stamp > applied || now-entry.lastChange <= endedRetention {
+		if entry.Usable() || entry.Stamp > appliedStamp || now-entry.lastChange <= endedRetention {
 			continue
 		}
 		delete(g.entries, id)
--- a/internal/router/replication/proposals.go
+++ b/internal/router/replication/proposals.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Reasons of answers with status 503.
+// Reasons of decisions with status 503, for the response to the client.
 const (
 	reasonNotPrimary      = "not the primary"
 	reasonNoLongerPrimary = "no longer primary"
 	reasonViewChanges     = "the view changes"
 )
 
-// unavailable returns a decision with status 503, which leaves the outcome open: the caller may retry.
+// unavailable returns a decision with status 503. It does not say whether the request had an effect; the caller may retry.
 func unavailable(reason string) Decision {
 	return Decision{Status: http.StatusServiceUnavailable, Reason: reason}
 }
@@ -27,7 +27,7 @@
 type stagedEntry struct {
 	proposal *proposal // nil: there is none
 	stagedAt time.Duration
-	acks     map[string]bool // IDs of in-sync members that have the entry on the disk
+	acks     map[string]bool // IDs of in-sync members that have the entry on their disks
 }
 
 // timedOut reports whether the entry has not been committed within its timeout.
@@ -37,12 +37,13 @@
 
 // Propose submits an entry. The replica keeps data: the caller must not change it afterwards. An Answer with the token
 // follows unless the process ends: with Accept once the entry is committed, with the machine's decision if the machine
-// rejects the entry, and with status 503 if this is not the primary, if too many proposals are queued, or if it is unclear
-// whether the entry will be committed. In the last case the caller may propose it again, and the machine has to recognize
-// an entry that it has already applied.
+// rejects the entry, and with status 503 if this replica is not the primary, if too many proposals are queued, or if it is
+// unclear whether the entry will be committed. After status 503 the caller may propose the entry again, so the machine has
+// to recognize an entry that it has already applied.
 func (r *Replica) Propose(token uint64, data []byte, now time.Duration) {
 	r.now = now
 	l := &r.leadership
+	// A primary that campaigns for its next view keeps its leadership, and queues proposals until the view is in force.
 	campaignsAsPrimary := r.role == candidate && l.statuses != nil
 	if r.role != primary && !campaignsAsPrimary || len(l.proposals) >= maxProposals {
 		r.answer(token, unavailable(reasonNotPrimary))
@@ -52,8 +53,9 @@
 	r.stageNextProposal()
 }
 
-// stageNextProposal takes proposals from the queue until one is staged. The next is decided only when the staged one is
-// committed.
+// stageNextProposal takes proposals from the queue until the machine accepts one, and stages that proposal. A rejected
+// proposal is answered once a majority confirms that this replica is still the primary. The machine decides on the next
+// proposal only when the staged entry is committed.
 func (r *Replica) stageNextProposal() {
 	l := &r.leadership
 	for r.role == primary && l.staged.proposal == nil && len(l.proposals) > 0 {
@@ -85,9 +87,9 @@
 	}
 }
 
-// handleReplicate applies the primary's next entry, and acknowledges it once it is on the disk. An entry of another epoch
-// than the promised and accepted one is dropped: if it were acknowledged after this replica left its epoch, the next view
-// could lack it.
+// handleReplicate applies the primary's next entry, and acknowledges it once it is on the disk. An entry is dropped unless
+// its epoch is both the promised and the accepted one: if this replica acknowledged an entry of an epoch that it has left,
+// the entry could be committed and yet be missing from the next view. An entry whose sequence is not the next one is dropped too.
 func (r *Replica) handleReplicate(m Replicate, from string) {
 	if m.Epoch != r.hard.Promised || m.Epoch != r.hard.Accepted.Epoch || r.Diskless {
 		return
@@ -102,7 +104,7 @@
 	}))
 }
 
-// handleReplicated counts an acknowledgement. With the last one it commits the staged entry.
+// handleReplicated records an acknowledgement, and commits the staged entry once the whole in-sync set has acknowledged it.
 func (r *Replica) handleReplicated(m Replicated) {
 	l := &r.leadership
 	if r.role != primary || m.Epoch != l.view.Epoch || l.staged.proposal == nil || m.Sequence != r.state.position.Sequence {
@@ -117,7 +119,8 @@
 	r.commitStaged()
 }
 
-// commitStaged commits the staged entry. It is called when all members of the in-sync set have it on the disk.
+// commitStaged commits the staged entry. It is called when all members of the in-sync set have the entry on
+// their disks.
 func (r *Replica) commitStaged() {
 	l := &r.leadership
 	token := l.staged.proposal.token
