--- a/internal/coordination/evidence/baseline.go
+++ b/internal/coordination/evidence/baseline.go
@@ -10,7 +10,7 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// byClass sums up counts over all zones.
+// byClass returns the counts of each class, summed over all zones.
 func (c countsByCell) byClass() countsByCell {
 	sums := countsByCell{}
 	for key, counted := range c {
@@ -19,7 +19,8 @@
 	return sums
 }
 
-// baselineDifference says how the old sidecars that the change has not touched do worse than all did before it; "": they are not known to.
+// baselineDifference compares the old sidecars that the change has not touched with all sidecars before the change. It returns a
+// description of the first metric that is worse now; "": none is known to be worse.
 func (e *Evidence) baselineDifference(config rollout.JudgeConfig) string {
 	now, before := e.untouched.byClass(), e.baseline.byClass()
 	alpha := config.FalseStopRate / float64((len(outcomeMetrics)+1)*len(now))
--- a/internal/coordination/evidence/evidence.go
+++ b/internal/coordination/evidence/evidence.go
@@ -11,7 +11,7 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// Reading is what is known of one sidecar's process at one moment.
+// Reading holds the counts and the resource usage of one sidecar's process at one moment.
 type Reading struct {
 	Process agent.Process
 	counts.Report
@@ -19,26 +19,26 @@
 	ResidentBytes uint64
 }
 
-// Evidence is the evidence of one change, as far as one driver has watched it. The zero value is ready to use; it is not safe for concurrent
-// use.
+// Evidence collects what one driver observes of a change, and judges it. It starts over when the change or its stage differs from
+// that of the call before. The zero value is ready to use. It is not safe for concurrent use.
 type Evidence struct {
 	change       string
 	stage        int
 	judge        *judge.Judge              // nil until both sides have counts of one cell
 	lastReadings map[string]Reading        // by sidecar
 	slowBounds   map[cellKey]*slowBound    // what counts as slow
-	incomplete   map[cellKey]*windowCounts // counts of which one side has none yet
+	incomplete   map[cellKey]*windowCounts // cells in which one side has no counts yet
 	baseline     countsByCell              // of all sidecars, before anything was changed
 	untouched    countsByCell              // of the old sidecars that the change has not touched, since it began
 	shortSpan    usageSpan                 // usage since the last comparison over a short span
 	longSpan     usageSpan                 // the same over a long span
 
-	lastKind       judge.Kind    // of the last verdict with cells
+	lastKind       judge.Kind    // of the last verdict that had cells
 	sinceLastCells time.Duration // since that verdict
 }
 
-// Window takes the readings of a poll and the time since the last one, and returns what holds now, nil if there is no verdict yet. The error
-// is that of judge.Judge.Add.
+// Window adds the readings of a poll, by sidecar, and the time since the poll before. It returns the current verdict; nil: there
+// is none yet. An error comes from package judge.
 func (e *Evidence) Window(c *rollout.Change, readings map[string]Reading, elapsed time.Duration) (*rollout.Verdict, error) {
 	s := c.State
 	if s.Phase != rollout.Running {
@@ -71,7 +71,8 @@
 	return e.verdict(s, elapsed), nil
 }
 
-// follow starts over if the change or its stage differs from before.
+// follow discards the evidence if the change or its stage differs from that of the last call. The counts of the baseline and of
+// the untouched sidecars are kept across the stages of a change.
 func (e *Evidence) follow(c *rollout.Change) {
 	if e.change != c.Name {
 		e.baseline, e.untouched = countsByCell{}, countsByCell{}
@@ -90,8 +91,8 @@
 	return sidecar.OpenOrder == 0 && sidecar.AbandonedReason == ""
 }
 
-// comparedSidecars says which sidecars are the new ones and which their control: those that were restarted, or all others if the plan has
-// none restarted. comparable is false if no sidecar is left for the control.
+// comparedSidecars returns which sidecars are the new ones and which are their control: the old sidecars that the plan restarts
+// as a control or, if it restarts none, all others that are untouched. comparable is false if no sidecar is left for the control.
 func comparedSidecars(s *rollout.State) (isNew, isControl func(rollout.Sidecar) bool, comparable bool) {
 	changed, control := s.Groups()
 	among := func(names []string) func(rollout.Sidecar) bool {
@@ -106,7 +107,8 @@
 	return isNew, isControl, comparable
 }
 
-// verdict returns what the judge says, and otherwise whether the old sidecars do worse than before the change.
+// verdict returns the verdict of the judge. Unless that is worse, a verdict that the old sidecars do worse than before the change
+// takes precedence.
 func (e *Evidence) verdict(s *rollout.State, elapsed time.Duration) *rollout.Verdict {
 	v := e.judge.Verdict()
 	if v.Kind != judge.Worse {
@@ -118,11 +120,11 @@
 		Cells: e.cellResults(v.Kind, elapsed, s.Plan.ProgressTimeout)}
 }
 
-// maxCells is how many cells a verdict has.
+// maxCells is the maximum number of cells of a verdict.
 const maxCells = 256
 
-// cellResults returns the cells that a verdict rests on, if it is another one than before or the last cells are some time ago. What is worse
-// comes first, then what is waited for.
+// cellResults returns the cells that a verdict is based on if its kind has changed or enough time has passed since the last
+// cells, otherwise nil. Cells that are worse come first, then those that have to be shown to be no worse.
 func (e *Evidence) cellResults(kind judge.Kind, elapsed, evidenceTimeout time.Duration) (results []rollout.CellResult) {
 	if e.sinceLastCells += elapsed; kind == e.lastKind && e.sinceLastCells < evidenceTimeout/comparisonsPerTimeout {
 		return nil
@@ -140,7 +142,7 @@
 	return results
 }
 
-// importance orders cells for people; the smallest comes first.
+// importance returns the rank of a cell in the output for operators; the smallest comes first.
 func importance(v judge.Verdict) int {
 	switch {
 	case v.Kind == judge.Worse:
--- a/internal/coordination/evidence/judging.go
+++ b/internal/coordination/evidence/judging.go
@@ -10,14 +10,14 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// windowCounts are the counts of new and control in one cell, of as many polls as both sides need to have some.
+// windowCounts holds the counts of new and control in one cell, added up over polls until both sides have finished requests.
 type windowCounts struct {
 	cellKey
 	new, control counts.Class
 }
 
-// judgeWindow adds the counts of a poll to the judge, where both sides have some, and compares usage. The judge is made when the first cell
-// has counts of both sides.
+// judgeWindow passes the cells in which both sides have counts to the judge, and compares usage. The judge is created when the
+// first cell has counts of both sides.
 func (e *Evidence) judgeWindow(c *rollout.Change, newCounts, controlCounts countsByCell) error {
 	e.collect(newCounts, controlCounts)
 	complete, classes := e.takeComplete()
@@ -37,7 +37,7 @@
 	return e.compareUsage(c.State.Plan.ProgressTimeout)
 }
 
-// collect adds counts to the incomplete windows. A zone without new sidecars has none.
+// collect adds the counts of a poll to the incomplete windows. Control counts are dropped until the same cell has new counts.
 func (e *Evidence) collect(newCounts, controlCounts countsByCell) {
 	for key, counted := range newCounts {
 		w := e.incomplete[key]
@@ -54,7 +54,8 @@
 	}
 }
 
-// takeComplete removes the windows that have counts of both sides and returns them by class, with the number of classes that have any.
+// takeComplete removes the windows that have counts of both sides and returns them by class. classes is the number of classes
+// that had a window.
 func (e *Evidence) takeComplete() (complete map[string][]windowCounts, classes int) {
 	complete, known := map[string][]windowCounts{}, map[string]bool{}
 	keys := slices.SortedFunc(maps.Keys(e.incomplete), func(a, b cellKey) int {
@@ -70,22 +71,22 @@
 	return complete, len(known)
 }
 
-// newJudge begins the judgement of a stage. Its cells share one rate of false stops with those of all stages.
+// newJudge creates the judge of a stage. The plan's rate of false stops is shared by the cells of all stages.
 func (e *Evidence) newJudge(c *rollout.Change, classes int) (err error) {
 	s, zones := c.State, map[string]bool{}
 	for _, m := range c.Members {
 		zones[m.Zone] = true
 	}
-	for _, r := range e.lastReadings { // classes without a request so far may have some later
+	for _, r := range e.lastReadings { // classes that have no requests yet may have some later
 		classes = max(classes, len(r.Classes))
 	}
-	rates, zoneCells := len(outcomeMetrics)+1, len(zones)+1 // with slow requests, and with all zones together
+	rates, zoneCells := len(outcomeMetrics)+1, len(zones)+1 // one more rate for slow requests, one more zone for all zones together
 	e.judge, err = judge.New(judge.Plan{FalseStopRate: s.Plan.Judge.FalseStopRate, MissedStopRate: s.Plan.Judge.MissedStopRate,
 		MinEffect: s.Plan.Judge.MinEffect, MaxCells: (rates*classes*zoneCells + pairedMetrics) * len(s.Plan.Stages)})
 	return err
 }
 
-// addWindow adds a window of a class to the judge: each zone by itself, and all together.
+// addWindow passes a window of a class to the judge: each zone by itself, and all zones together.
 func (e *Evidence) addWindow(class string, zones []windowCounts) error {
 	var slow []comparison // of each zone that has a bound
 	for _, w := range zones {
@@ -106,19 +107,19 @@
 			return err
 		}
 	}
-	// Without any bound yet there are no counts of slow requests, so that the class is not shown to be no worse.
+	// While no zone has a bound, the slow requests of the class have no counts, so that the class cannot be shown to be no worse.
 	return e.addComparison(judge.Cell{Class: class, Zone: allZones, Metric: slowMetric}, weightByZone(slow))
 }
 
-// comparison is one metric's counts of new and control in the same time.
+// comparison holds the counts of one metric of new and control over the same time.
 type comparison struct{ new, control judge.Counts }
 
 func (e *Evidence) addComparison(cell judge.Cell, c comparison) error {
 	return e.judge.Add(cell, c.new, c.control)
 }
 
-// addZone adds a window of a class in one zone to the judge. It returns the slow requests; bounded is false while the requests that the
-// bound is drawn from are counted.
+// addZone passes a window of a class in one zone to the judge. It returns the counts of slow requests. bounded is false as long
+// as the requests that the bound is computed from are counted, which includes the window that completes them.
 func (e *Evidence) addZone(class string, w windowCounts) (slow comparison, bounded bool, err error) {
 	for _, m := range outcomeMetrics {
 		cell := judge.Cell{Class: class, Zone: w.zone, Metric: m.name, Advisory: true}
@@ -143,8 +144,8 @@
 	return slow, true, nil
 }
 
-// weightByZone sums up the zones of a class. Each zone's control is weighted in proportion to its new requests, so that a zone counts for
-// as much on both sides; the largest weight is 1.
+// weightByZone sums up the zones of a class that have counts of both sides. Each zone's control is weighted so that the zone has
+// the same share of the sum on both sides; the largest weight is 1.
 func weightByZone(zones []comparison) (sum comparison) {
 	maxRatio := 0.0
 	for _, zone := range zones {
--- a/internal/coordination/evidence/slow.go
+++ b/internal/coordination/evidence/slow.go
@@ -8,17 +8,18 @@
 // slowMetric is the rate of requests that took longer than the bound.
 const slowMetric = "slow"
 
-// slowBoundSample is the number of requests that a bound is drawn from.
+// slowBoundSample is the minimum number of requests that a bound is computed from.
 const slowBoundSample = 100
 
-// slowBound is the step of the histogram of times that a tenth of some requests took longer than.
+// slowBound computes the bound of slow requests: the lowest step of the latency histogram that at most a tenth of the sampled
+// requests exceed.
 type slowBound struct {
-	latency  [counts.Buckets]uint64 // the histogram
+	latency  [counts.Buckets]uint64 // the histogram of the sample
 	requests uint64
-	step     int // -1: it is not known yet
+	step     int // the bound; -1: not known yet
 }
 
-// add adds requests, until there are enough to know the bound.
+// add adds requests to the sample and sets the bound once there are slowBoundSample of them.
 func (b *slowBound) add(c counts.Class) {
 	for i, n := range c.Latency {
 		b.latency[i] += n
@@ -36,7 +37,7 @@
 	}
 }
 
-// slow counts the served requests that took longer than the bound.
+// slow returns the counts of served requests and, as hits, of those that took longer than the bound.
 func (b *slowBound) slow(c counts.Class) judge.Counts {
 	slow := judge.Counts{Total: float64(c.Served)}
 	for _, n := range c.Latency[b.step+1:] {
--- a/internal/coordination/evidence/usage.go
+++ b/internal/coordination/evidence/usage.go
@@ -7,39 +7,38 @@
 	"petrelhook/internal/sidecar/counts"
 )
 
-// Usage is compared so many times in the plan's evidence time-out. Growth of memory comes in bursts, so that it is compared over spans that
-// are so many times as long as well.
+// Usage is compared once per short span. Memory grows in bursts, so that its growth is compared over long spans as well.
 const (
-	comparisonsPerTimeout = 100
-	longSpanFactor        = 5
+	comparisonsPerTimeout = 100 // short spans in the evidence timeout, which is the plan's ProgressTimeout
+	longSpanFactor        = 5   // short spans in a long span
 )
 
-// One side counts as larger in a comparison from these fractions on.
+// In a comparison one side counts as larger if it exceeds the other by more than these fractions.
 const (
-	maxGrowthFraction      = 0.01 // of the memory that there is
+	maxGrowthFraction      = 0.01 // of the side's memory
 	maxCPUFraction         = 0.25 // of the processor time per request
 	maxAttemptsFraction    = 0.1  // of the attempts per request
 	maxConnectionsFraction = 0.5  // of the connections opened per request, and of the health checks
 )
 
-// maxLoadFraction is by how much the load of one side's sidecars may be larger for a comparison.
+// maxLoadFraction is the fraction by which the load of one side's sidecars may exceed that of the other in a comparison.
 const maxLoadFraction = 0.25
 
-// pairedMetrics is the number of cells that compareUsage may make.
+// pairedMetrics is the number of cells that compareUsage may add to the judge.
 const pairedMetrics = 6
 
-// usage is what some sidecars have used in some time.
+// usage holds what a group of sidecars used over some time.
 type usage struct {
-	growthBytes      float64 // of memory
+	growthBytes      float64 // growth of memory; negative if it shrank
 	memoryBytes      float64 // at the end
 	cpuTicks         float64
 	requests         float64
-	sidecarWindows   float64 // polls, counted for each sidecar
+	sidecarWindows   float64 // number of polls, summed over the sidecars
 	serverUse        counts.ServerUse
-	serverUseMissing bool // one of the processes does not report its use of servers
+	serverUseMissing bool // at least one process does not report its use of servers
 }
 
-// add adds what was used afterwards.
+// add adds the usage of a later time. The memory is that of the later time.
 func (u *usage) add(more usage) {
 	u.growthBytes += more.growthBytes
 	u.memoryBytes = more.memoryBytes
@@ -52,8 +51,9 @@
 	u.serverUse.HealthChecks += more.serverUse.HealthChecks
 }
 
-// similarLoad reports whether the sidecars of both sides had about the same load. What a process uses for itself is spread over its requests:
-// with fewer of them each costs more, and memory grows differently, whatever the release is.
+// similarLoad reports whether the sidecars of both sides had about the same load per sidecar and poll. The fixed cost of a
+// process is spread over its requests: with fewer requests each of them costs more, and memory grows differently, whatever the
+// release is.
 func similarLoad(newUsage, controlUsage usage) bool {
 	if newUsage.sidecarWindows == 0 || controlUsage.sidecarWindows == 0 {
 		return false
@@ -62,7 +62,7 @@
 	return newLoad <= (1+maxLoadFraction)*controlLoad && controlLoad <= (1+maxLoadFraction)*newLoad
 }
 
-// usageSpan is what new and control have used since the last comparison.
+// usageSpan holds the usage of new and control since the last comparison.
 type usageSpan struct {
 	newUsage, controlUsage usage
 	length                 time.Duration
@@ -74,7 +74,7 @@
 	s.length += elapsed
 }
 
-// compareUsage compares what new and control have used in the same time, once that is long enough.
+// compareUsage compares the usage of new and control over each span that is long enough, and begins that span anew.
 func (e *Evidence) compareUsage(evidenceTimeout time.Duration) error {
 	interval := evidenceTimeout / comparisonsPerTimeout
 	if e.longSpan.length >= longSpanFactor*interval {
@@ -126,7 +126,7 @@
 		float64(controlServerUse.Connections)/controlUsage.requests, maxConnectionsFraction)
 }
 
-// compareGrowth compares by what fraction of the memory of each side that memory has grown.
+// compareGrowth compares the growth of memory of each side, as a fraction of the side's memory.
 func (e *Evidence) compareGrowth(name string, span usageSpan) error {
 	newUsage, controlUsage := span.newUsage, span.controlUsage
 	if newUsage.memoryBytes == 0 || controlUsage.memoryBytes == 0 || !similarLoad(newUsage, controlUsage) {
@@ -136,8 +136,8 @@
 	return e.addPair(name, newGrowth > controlGrowth+maxGrowthFraction, controlGrowth > newGrowth+maxGrowthFraction)
 }
 
-// addPair adds a comparison to the judge. If neither side is larger by what matters it is left out: memory does not grow between its
-// bursts.
+// addPair adds a paired comparison to the judge. A comparison in which neither side counts as larger is left out: between bursts
+// memory does not grow on either side.
 func (e *Evidence) addPair(metric string, newLarger, controlLarger bool) error {
 	if newLarger == controlLarger {
 		return nil
--- a/internal/coordination/evidence/window.go
+++ b/internal/coordination/evidence/window.go
@@ -9,10 +9,10 @@
 // allZones is the zone of cells over all zones, and the class of cells over all classes.
 const allZones = "*"
 
-// cellKey names the counts of one class in one zone.
+// cellKey identifies the counts of one class in one zone.
 type cellKey struct{ class, zone string }
 
-// countsByCell are counts by class and zone.
+// countsByCell holds counts by class and zone.
 type countsByCell map[cellKey]counts.Class
 
 func (c countsByCell) add(key cellKey, more counts.Class) { c[key] = addClasses(c[key], more) }
@@ -35,7 +35,7 @@
 	return a
 }
 
-// difference returns what was counted since an earlier reading of the same process.
+// difference returns the counts since an earlier reading of the same process.
 func difference(now, before counts.Class) counts.Class {
 	now.Served -= before.Served
 	now.Refused -= before.Refused
@@ -46,7 +46,7 @@
 	return now
 }
 
-// finished is how many requests have ended, in whatever way.
+// finished returns the number of requests that ended: served, refused or failed.
 func finished(c counts.Class) float64 { return float64(c.Served + c.Refused + c.Failed) }
 
 // rateMetric is a rate that is compared.
@@ -55,20 +55,21 @@
 	counts func(counts.Class) judge.Counts
 }
 
-// outcomeMetrics are the rates that need no bound. The third one, of slow requests, is slowBound.slow.
+// outcomeMetrics are the rates that need no bound. The third rate, that of slow requests, is counted by slowBound.slow.
 var outcomeMetrics = []rateMetric{
 	{"refused", func(c counts.Class) judge.Counts { return judge.Counts{Hits: float64(c.Refused), Total: finished(c)} }},
 	{"failed", func(c counts.Class) judge.Counts { return judge.Counts{Hits: float64(c.Failed), Total: finished(c)} }},
 }
 
-// increment is what one process has counted and used between two readings.
+// increment holds the counts and the usage of one process between two readings.
 type increment struct {
 	release string
 	classes []counts.Class
 	usage
 }
 
-// increments returns what was counted and used since the last readings, by sidecar. A process that is read for the first time has none.
+// increments returns the counts and the usage since the last readings, by sidecar, and keeps the readings for the next call. A
+// process that is read for the first time has no increment.
 func (e *Evidence) increments(readings map[string]Reading) map[string]increment {
 	all := map[string]increment{}
 	for name, now := range readings {
@@ -81,7 +82,7 @@
 	return all
 }
 
-// incrementBetween returns what a process has counted and used between two readings of it.
+// incrementBetween returns the counts and the usage of a process between two readings of it.
 func incrementBetween(before, now Reading) increment {
 	delta := increment{release: now.Process.Release, usage: usage{
 		growthBytes:      float64(now.ResidentBytes) - float64(before.ResidentBytes),
@@ -104,13 +105,13 @@
 	return delta
 }
 
-// window is what the sidecars of a change have counted and used since the last poll.
+// window holds the counts and the usage of a change's sidecars since the last poll.
 type window struct {
 	state      *rollout.State
 	increments map[string]increment
 }
 
-// sum returns what the selected sidecars have that run a release.
+// sum returns the total counts, by cell, and the total usage of the selected sidecars that run a release.
 func (w window) sum(release string, selected func(rollout.Sidecar) bool) (counted countsByCell, used usage) {
 	counted = countsByCell{}
 	for _, sidecar := range w.state.Sidecars() {
@@ -120,7 +121,7 @@
 		}
 		memory := used.memoryBytes + delta.memoryBytes
 		used.add(delta.usage)
-		used.memoryBytes = memory // of all sidecars, where add takes the newer one
+		used.memoryBytes = memory // the sum over the sidecars; add keeps only the memory of the last one
 		for _, c := range delta.classes {
 			counted.add(cellKey{c.Name, sidecar.Zone}, c)
 		}
