--- a/internal/coordination/capacity/assume.go
+++ b/internal/coordination/capacity/assume.go
@@ -12,23 +12,23 @@
 	"petrelhook/internal/common/yamlfile"
 )
 
-// Assumption is a field of the file: a target, or what is assumed without a measurement.
+// Assumption is a field of the file: a target of the operators, or a value that is assumed because nobody measured it.
 type Assumption struct {
-	Name   string  `json:"name"` // with its section, as shape.fan_out
+	Name   string  `json:"name"` // full name, with the section: shape.fan_out
 	Value  float64 `json:"value"`
 	Unit   string  `json:"unit"` // "s", "bytes", ...; "": a plain number
 	Reason string  `json:"why"`  // the comment beside it
 }
 
-// Assumptions has all fields of a file.
+// Assumptions holds all fields of a file. It is not modified after Parse.
 type Assumptions struct {
 	File     string
-	Warnings []string // what the file should say otherwise, each with its place; petrelhookctl prints them
+	Warnings []string // deprecated names in the file, each with its position and the current name; petrelhookctl prints them
 	all      map[string]Assumption
 }
 
-// Parse reads the text of a file of assumptions. Every error names file, line, column and field, and says what to write. Each field has to
-// be there, with a comment at its line that gives the reason of its value.
+// Parse reads the text of a file of assumptions. Every field is required, with a comment on its line that gives the reason for
+// its value. An error names the file, line, column and field, and says what to write.
 func Parse(file string, text []byte) (*Assumptions, error) {
 	top, err := yamlfile.Mapping(file, text, "sections such as target: {servers: 12000}")
 	if err != nil {
@@ -61,7 +61,7 @@
 	deprecated yamlfile.DeprecatedNames
 }
 
-// readSections finds the sections of a file. Their fields are read by readSection.
+// readSections finds the sections of a file, and rejects unknown ones. readSection reads their fields.
 func (p *parser) readSections(top *yaml.Node) error {
 	readers := map[string]yamlfile.Reader{}
 	for _, section := range sectionSpecs {
@@ -75,7 +75,7 @@
 	return p.deprecated.Fields(p.result.File, "", top, readers, renamedSections)
 }
 
-// readSection reads all fields of a section.
+// readSection reads all fields of a section. A section or field that is missing is an error.
 func (p *parser) readSection(top *yaml.Node, section sectionSpec) error {
 	n := p.sections[section.name]
 	if n == nil {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// readField reads a field of a section by its full name.
+// readField reads the value of a field and its reason. name is the full name.
 func (p *parser) readField(name string, f fieldSpec, n *yaml.Node) error {
 	value, err := f.read(n)
 	if err == nil && n.LineComment == "" {
@@ -108,7 +108,7 @@
 	return err
 }
 
-// checkConsistency checks the conditions between fields.
+// checkConsistency checks the conditions between fields. nodes gives their positions, by full name.
 func (a *Assumptions) checkConsistency(file string, nodes map[string]*yaml.Node) error {
 	problem := func(name, what string) error { return yamlfile.Problem(file, nodes[name], name, what) }
 	servers, services, largest := a.Get("target.servers"), a.Get("target.services"), a.Get("shape.largest")
@@ -131,16 +131,17 @@
 	return nil
 }
 
-// Get returns the value of a field. It panics if there is no such field, which is an error of the model and found by any of its tests.
+// Get returns the value of a field by its full name. It panics if there is no such field: that is a programming error in the
+// model, which any test of the model finds.
 func (a *Assumptions) Get(name string) float64 {
-	one, ok := a.all[name]
+	assumption, ok := a.all[name]
 	if !ok {
 		panic("capacity: no assumption " + name)
 	}
-	return one.Value
+	return assumption.Value
 }
 
-// All returns the fields, in the order of the page.
+// All returns all fields, in the order of the page.
 func (a *Assumptions) All() (all []Assumption) {
 	for _, f := range fieldSpecs {
 		all = append(all, a.all[f.name])
@@ -148,8 +149,8 @@
 	return all
 }
 
-// Scaled returns the assumptions with one field multiplied, but kept within its bounds and its conditions with other fields, and the factor
-// by which it was multiplied in the end.
+// Scaled returns a copy of the assumptions in which one field is multiplied by a factor, and the factor that was applied: the
+// product is clamped to the field's bounds and to the conditions between fields.
 func (a *Assumptions) Scaled(name string, factor float64) (*Assumptions, float64) {
 	minimum, maximum := a.bounds(name)
 	scaled := &Assumptions{File: a.File, all: maps.Clone(a.all)}
@@ -163,7 +164,8 @@
 	return scaled, field.Value / before
 }
 
-// bounds returns the values that a field may have as the other fields are. It is the reverse of checkConsistency.
+// bounds returns the range that a field may have, given the values of the other fields. Its conditions are those of
+// checkConsistency, and have to change together with them.
 func (a *Assumptions) bounds(name string) (minimum, maximum float64) {
 	f := fieldSpecs[slices.IndexFunc(fieldSpecs, func(f fieldSpec) bool { return f.name == name })]
 	minimum, maximum = f.min, f.max
--- a/internal/coordination/capacity/assume_test.go
+++ b/internal/coordination/capacity/assume_test.go
@@ -14,8 +14,8 @@
 	"petrelhook/internal/coordination/fleet"
 )
 
-// theFile is the committed file of assumptions.
-func theFile(t *testing.T) (path, text string) {
+// committedFile returns the path and the text of the committed file of assumptions.
+func committedFile(t *testing.T) (path, text string) {
 	t.Helper()
 	path = filepath.Join("..", "..", "..", "deploy", "capacity.yaml")
 	raw, err := os.ReadFile(path)
@@ -25,9 +25,10 @@
 	return path, string(raw)
 }
 
-func theAssumptions(t *testing.T) *Assumptions {
+// committedAssumptions returns the parsed assumptions of the committed file.
+func committedAssumptions(t *testing.T) *Assumptions {
 	t.Helper()
-	path, text := theFile(t)
+	path, text := committedFile(t)
 	a, err := Parse(path, []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -35,9 +36,9 @@
 	return a
 }
 
-// Each mistake gets one line that names file, line, column and field, and what to write.
+// Each mistake in the file gives an error of one line that names the file, line, column and field, and says what to write.
 func TestMistakesAreReportedWithTheirPosition(t *testing.T) {
-	_, good := theFile(t)
+	_, good := committedFile(t)
 	line := func(part string) string {
 		at := strings.Index(good, part)
 		if at < 0 {
@@ -90,9 +91,9 @@
 	}
 }
 
-// The limits in the file are those of the code.
+// The limits and periods in the file have the same values as the constants in the code.
 func TestLimitsAreThoseOfTheCode(t *testing.T) {
-	a := theAssumptions(t)
+	a := committedAssumptions(t)
 	for name, want := range map[string]float64{
 		"limits.max_message": fleet.MaxMessage, "limits.max_content": distribute.MaxContent,
 		"limits.max_total":          distribute.MaxTotalContent,
@@ -109,7 +110,7 @@
 		}
 	}
 	o := distribute.DefaultSubscriberOptions("s", "m", 3, func(n int64) int64 { return n / 2 })
-	// each is drawn from 3/4 of it up to all of it
+	// a wait is drawn from 3/4 of MaxWait to all of it; the file has the mean
 	if got, want := a.Get("periods.watch_timeout"), o.MaxWait.Seconds()*7/8; got != want {
 		t.Errorf("periods.watch_timeout: %v in the file, %v in the code", got, want)
 	}
@@ -118,7 +119,7 @@
 	}
 }
 
-// constant reads the value of a constant in a source file, as 20_000 or 4 << 20.
+// constant returns the value of a constant that a source file declares as a literal such as 20_000 or 4 << 20.
 func constant(t *testing.T, path, name string) float64 {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -137,7 +138,7 @@
 	return v * math.Pow(2, float64(shift))
 }
 
-// The sizes of services add up to the fleet, the largest first, and each is at least one.
+// The sizes of services add up to the fleet within 1%, are sorted from the largest, and are at least 1.
 func TestSizes(t *testing.T) {
 	for _, c := range []struct{ servers, services, largest float64 }{
 		{12000, 1100, 600}, {12000, 1100, 11}, {12000, 1100, 10901}, {100, 100, 1}, {30, 1, 30}, {24000, 1100, 600},
@@ -155,15 +156,15 @@
 		}
 	}
 	if got := sizeWeightedMean([]float64{3, 1}); got != 2.5 {
-		t.Errorf("three servers see three, one sees one: %v", got)
+		t.Errorf("services of 3 servers and 1 server: mean size %v, want 2.5", got)
 	}
 }
 
-// A field or section under the name that earlier versions had for it is read as under its current name, with one warning that says the
-// current one. A file with both names is an error.
+// A field or section under a deprecated name is read like one under its current name, with one warning that gives the current
+// name. A file with both names is an error.
 func TestDeprecatedAssumptions(t *testing.T) {
-	path, good := theFile(t)
-	want := theAssumptions(t)
+	path, good := committedFile(t)
+	want := committedAssumptions(t)
 	if len(want.Warnings) != 0 {
 		t.Fatal(want.Warnings)
 	}
--- a/internal/coordination/capacity/chain.go
+++ b/internal/coordination/capacity/chain.go
@@ -9,33 +9,35 @@
 	"strconv"
 )
 
-// The size of a point of calls is the depth of the chain. The metric begins with the class of the calls, if it matters, and ends with the
-// load of the run, as look_added_p99_us_at_250_s or once_attempts_call_fail_50_pc; see internal/rig/chain.
+// In the points of the workloads "calls" and "chain" the size is the depth of a chain of calls. The metric begins with the class
+// of the calls, if it depends on that, and ends with the load of the run: look_added_p99_us_at_250_s,
+// once_attempts_call_fail_50_pc. internal/rig/chain makes them.
 
-// measuredAtRate returns a metric of calls at a depth and at a rate, or at the next larger rate: the largest of the classes and runs.
+// measuredAtRate returns a metric of calls at a depth and a rate, each of them rounded up to the next measured value: the largest
+// value of all classes and runs.
 func (in *inputs) measuredAtRate(metric string, depth, rate Figure) Figure {
-	name := regexp.MustCompile(`^(?:[a-z]+_)?` + metric + `_at_([0-9.]+)_s$`)
-	chosen := math.Inf(1) // the rate
-	var best []Key
+	pattern := regexp.MustCompile(`^(?:[a-z]+_)?` + metric + `_at_([0-9.]+)_s$`)
+	chosenRate := math.Inf(1)
+	var keys []Key
 	for _, k := range slices.SortedFunc(maps.Keys(in.points), byName) {
-		m := name.FindStringSubmatch(k.Metric)
+		m := pattern.FindStringSubmatch(k.Metric)
 		if m == nil || k.Workload != "calls" || k.Role != "sidecar" || in.nextSize(k, depth) == 0 {
 			continue
 		}
-		if r, err := strconv.ParseFloat(m[1], 64); err != nil || r < rate.Value*(1-1e-9) || r > chosen {
+		if r, err := strconv.ParseFloat(m[1], 64); err != nil || r < rate.Value*(1-1e-9) || r > chosenRate {
 			continue
-		} else if r < chosen {
-			chosen, best = r, nil
+		} else if r < chosenRate {
+			chosenRate, keys = r, nil
 		}
-		best = append(best, k)
+		keys = append(keys, k)
 	}
-	what := fmt.Sprintf("calls/sidecar/%s at %s calls a second, depth %s", metric, number(rate.Value),
+	missing := fmt.Sprintf("calls/sidecar/%s at %s calls a second, depth %s", metric, number(rate.Value),
 		number(depth.Value))
-	return in.largest(best, what, depth).with(rate)
+	return in.largest(keys, missing, depth).with(rate)
 }
 
-// measuredWithFailures returns a metric of runs in which a fraction of the leaf's requests failed, at a depth or the next larger one: the
-// largest of the fractions, classes and runs.
+// measuredWithFailures returns a metric of runs in which a fraction of the requests to the leaf fails, at a depth or the next
+// larger one that was measured: the largest value of all fractions, classes and runs.
 func (in *inputs) measuredWithFailures(metric string, depth Figure) Figure {
 	name := regexp.MustCompile(`^(?:[a-z]+_)?` + metric + `_fail_[0-9.]+_pc$`)
 	var all []Key
@@ -47,7 +49,7 @@
 	return in.largest(all, fmt.Sprintf("chain/leaf/%s at depth %s", metric, number(depth.Value)), depth)
 }
 
-// byName orders series by name.
+// byName compares the keys of two series by name.
 func byName(a, b Key) int {
 	if a.String() < b.String() {
 		return -1
@@ -55,7 +57,7 @@
 	return 1
 }
 
-// nextSize returns the smallest size of a series' points that is at least minSize; 0: there is none.
+// nextSize returns the smallest measured size of a series that is at least minSize; 0: there is none.
 func (in *inputs) nextSize(k Key, minSize Figure) int {
 	for _, s := range slices.Sorted(maps.Keys(in.points[k])) {
 		if float64(s) >= minSize.Value*(1-1e-9) {
@@ -65,12 +67,13 @@
 	return 0
 }
 
-// largest returns the largest value of some series at a size. what names what is missing if there is none.
-func (in *inputs) largest(all []Key, what string, size Figure) Figure {
-	f := Figure{Missing: []string{what}}
+// largest returns the largest value of the series at a size or the next larger one. missing describes the measurement that the
+// figure lacks if none of them has such a size.
+func (in *inputs) largest(all []Key, missing string, size Figure) Figure {
+	f := Figure{Missing: []string{missing}}
 	for _, k := range all {
-		if one := in.observed(k, size); len(f.Missing) > 0 || one.Value > f.Value {
-			f = one
+		if candidate := in.observed(k, size); len(f.Missing) > 0 || candidate.Value > f.Value {
+			f = candidate
 		}
 	}
 	return f.with(size)
--- a/internal/coordination/capacity/doc.go
+++ b/internal/coordination/capacity/doc.go
@@ -1,14 +1,15 @@
-// Package capacity computes what a fleet of a stated size needs of each role, and compares it with what the role has: state, messages,
-// processor time and memory, each with a budget and a verdict. It is pure, and safe for concurrent use.
+// Package capacity computes the resources that each role of a fleet of a stated size needs (state, messages, processor time,
+// memory) and compares them with budgets. It reads no clock, does no I/O of its own and is safe for concurrent use.
 //
-// Two files go in: assumptions (Parse), which are the targets of the operators and what nobody has measured, and the points of a scale run
-// (ParseMeasured), which may be missing. Straight lines are fitted to the points (Fit) and checked at a larger size. The model makes rows of
-// both; each Figure names its sources, and what it lacks. A report has the rows and their ranking:
+// The input is the text of two files: the assumptions (Parse), which are the targets of the operators and values that nobody
+// measured, and the points of a scale run (ParseMeasured), which are optional. Fit fits straight lines to the points and checks
+// them at a larger size. The model computes a Row for each need; each Figure names its sources and the measurements that it
+// lacks. A Report has the rows and ranks those that do not fit:
 //
 //	assumptions, err := capacity.Parse("deploy/capacity.yaml", text)
 //	...
 //	report := capacity.NewReport(assumptions, nil) // nil: nothing was measured
 //	err = report.WriteText(os.Stdout)
 //
-// Page writes the tables of a report into a page that has text besides, docs/CAPACITY-sidecars.md.
+// Report.Page puts the tables of a report into a page that has other text as well, docs/CAPACITY-sidecars.md.
 package capacity
--- a/internal/coordination/capacity/fields.go
+++ b/internal/coordination/capacity/fields.go
@@ -21,12 +21,12 @@
 
 // fieldSpec is a field that the file must have, with the bounds of its value.
 type fieldSpec struct {
-	name     string // with its section, as shape.fan_out
+	name     string // in fieldSpecs the full name, with the section: shape.fan_out
 	unit     string
 	min, max float64
 }
 
-// sectionSpec is a section that the file must have. The names of its fields have no section.
+// sectionSpec is a section that the file must have. The names of its fields are without the section.
 type sectionSpec struct {
 	name   string
 	fields []fieldSpec
@@ -129,6 +129,7 @@
 // fieldSpecs has all fields with their full names, in the order of the page.
 var fieldSpecs = allFields(sectionSpecs)
 
+// allFields returns the fields of all sections, with their full names.
 func allFields(sections []sectionSpec) (all []fieldSpec) {
 	for _, s := range sections {
 		for _, f := range s.fields {
@@ -139,11 +140,11 @@
 	return all
 }
 
-// renamedSections has the names that earlier versions had for sections, each with the current one. They are still read; see
+// renamedSections maps the names that earlier versions had for sections to the current ones. The old names are still read; see
 // yamlfile.DeprecatedNames.
 var renamedSections = map[string]string{"places": "topology"}
 
-// renamedFields has the same for the fields of each section.
+// renamedFields maps the earlier names of fields to the current ones, by section.
 var renamedFields = map[string]map[string]string{
 	"target": {
 		"added":   "added_latency",
@@ -171,7 +172,7 @@
 	},
 }
 
-// read reads a value in the field's unit.
+// read returns the value of a field in the field's unit. Times are written as durations.
 func (f fieldSpec) read(n *yaml.Node) (float64, error) {
 	v, err := strconv.ParseFloat(n.Value, 64)
 	if f.unit == unitSeconds {
@@ -197,5 +198,5 @@
 	return fmt.Sprintf("a number%s from %v to %v", unit, f.min, f.max)
 }
 
-// duration returns a number of seconds as a time.
+// duration converts seconds to a time.Duration.
 func duration(v float64) time.Duration { return time.Duration(math.Round(v * 1e9)) }
--- a/internal/coordination/capacity/figure.go
+++ b/internal/coordination/capacity/figure.go
@@ -6,21 +6,22 @@
 	"slices"
 )
 
-// Figure is a number with its sources. A sum of figures of which some are missing is a lower bound.
+// Figure is a number with its sources. If measurements are missing, Value is a lower bound.
 type Figure struct {
 	Value   float64  `json:"value"`
 	From    []string `json:"from,omitempty"`    // names of assumptions, slopes and points
 	Missing []string `json:"missing,omitempty"` // what was not measured
-	Error   float64  `json:"error,omitempty"`   // the largest error of its slopes at their check
+	Error   float64  `json:"error,omitempty"`   // the largest relative error of the slopes among its sources, at their check
 }
 
+// union returns the distinct elements of both, in order.
 func union(a, b []string) []string {
 	all := slices.Concat(a, b)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// with returns the figure with the sources of others added.
+// with returns the figure with the sources, missing measurements and error of others added.
 func (f Figure) with(others ...Figure) Figure {
 	for _, o := range others {
 		f.From, f.Missing, f.Error = union(f.From, o.From), union(f.Missing, o.Missing), max(f.Error, o.Error)
@@ -28,7 +29,7 @@
 	return f
 }
 
-// add returns the sum. Missing terms count as 0 and are named.
+// add returns the sum. A term without a measurement counts as 0, and the sum names what is missing.
 func add(all ...Figure) Figure {
 	sum := 0.0
 	for _, f := range all {
@@ -37,7 +38,7 @@
 	return Figure{Value: sum}.with(all...)
 }
 
-// mul returns the product. It is a lower bound if a factor is one.
+// mul returns the product. It is a lower bound if one of the factors is a lower bound.
 func mul(all ...Figure) Figure {
 	product := 1.0
 	for _, f := range all {
@@ -46,7 +47,7 @@
 	return Figure{Value: product}.with(all...)
 }
 
-// div returns the quotient. It is unknown if the divisor is a lower bound or missing.
+// div returns the quotient. If the divisor is a lower bound or missing, the quotient is unknown: its value is 0.
 func div(a, b Figure) Figure {
 	f := Figure{}.with(a, b)
 	if len(b.Missing) == 0 {
@@ -55,15 +56,16 @@
 	return f
 }
 
-// times multiplies by a number without a source, such as a conversion of units.
+// times multiplies by a number that has no source, such as a conversion of units.
 func (f Figure) times(n float64) Figure { f.Value *= n; return f }
 
-// inputs are what figures are computed from: assumptions and measurements.
+// inputs holds what figures are computed from: assumptions and measurements.
 type inputs struct {
 	assumptions *Assumptions
 	lines       map[Key]Line
 	points      map[Key]series
-	// The results of sizeWeightedMean by servers, services and largest: it takes long, and few of them differ.
+	// A cache of sizeWeightedMean by servers, services and largest: computing it takes long, and Sensitivities needs few
+	// different results.
 	weightedMeanSizes map[[3]float64]float64
 }
 
@@ -78,7 +80,7 @@
 	return in
 }
 
-// weightedMeanSize is the mean size of the service of a server.
+// weightedMeanSize returns the mean, over all servers, of the size of the server's service.
 func (in *inputs) weightedMeanSize() Figure {
 	key := [3]float64{in.assumptions.Get("target.servers"), in.assumptions.Get("target.services"),
 		in.assumptions.Get("shape.largest")}
@@ -95,8 +97,8 @@
 	return Figure{Value: in.assumptions.Get(name), From: []string{name}}
 }
 
-// measured returns the value of a series at a size: that of its line if the line is trusted, otherwise the largest of the runs at that size
-// or the next larger one; otherwise it is missing.
+// measured returns the value of a series at a size: the prediction of its line if that is trusted, otherwise the largest of the
+// runs at that size or the next larger one. If there is no such run either, the figure is missing.
 func (in *inputs) measured(workload, role, metric string, size Figure) Figure {
 	k := Key{workload, role, metric}
 	n := size.Value
@@ -106,7 +108,7 @@
 	return in.observed(k, size)
 }
 
-// observed returns the largest of the runs at a size or the next larger one.
+// observed returns the largest value of the runs at a size or the next larger one. Without such a run the figure is missing.
 func (in *inputs) observed(k Key, size Figure) Figure {
 	if measuredSize := in.nextSize(k, size); measuredSize > 0 {
 		return Figure{Value: slices.Max(in.points[k][measuredSize]),
@@ -115,7 +117,7 @@
 	return Figure{Missing: []string{in.missingReason(k, size.Value)}}.with(size)
 }
 
-// inForce is when a change was in force at the last of the members. Workloads have two names for it.
+// inForce returns how long a change took until it was in force at the last member. The workloads have two names for this metric.
 func (in *inputs) inForce(workload, role string, size Figure) Figure {
 	if len(in.points[Key{workload, role, "in_force_s"}]) > 0 {
 		return in.measured(workload, role, "in_force_s", size)
@@ -123,7 +125,7 @@
 	return in.measured(workload, role, "in_force_max_s", size)
 }
 
-// missingReason says which measurement is missing.
+// missingReason describes the measurement that is missing at a size.
 func (in *inputs) missingReason(k Key, size float64) string {
 	if l, ok := in.lines[k]; ok {
 		return fmt.Sprintf("%s (its slope is not trusted: %s)", k, l.Reason)
--- a/internal/coordination/capacity/fit.go
+++ b/internal/coordination/capacity/fit.go
@@ -11,10 +11,10 @@
 
 // The conditions of a fit.
 const (
-	minSizes          = 4    // a line is fitted on at least so many
-	minRuns           = 3    // at each of these sizes, at least
-	maxError          = 0.2  // by which fraction of the measurement a prediction may be wrong
-	maxLinearExponent = 1.15 // a larger exponent counts as growth faster than linear
+	minSizes          = 4    // minimum number of sizes that a line is fitted on
+	minRuns           = 3    // minimum number of runs at each of these sizes
+	maxError          = 0.2  // largest error of a trusted prediction, as a fraction of the measured mean
+	maxLinearExponent = 1.15 // a larger exponent counts as growth that is faster than linear
 )
 
 // Line is a straight line through the points of a series, Intercept + Slope × members, and how well it fits.
@@ -22,7 +22,7 @@
 	Key
 	Intercept float64     `json:"base"`
 	Slope     float64     `json:"each"`
-	Sizes     []int       `json:"sizes"`    // those it was fitted on
+	Sizes     []int       `json:"sizes"`    // the sizes that it was fitted on
 	Spread    float64     `json:"spread"`   // root mean square of the residuals, divided by the mean
 	Exponent  float64     `json:"exponent"` // of a fit of the logarithms of all sizes: 1 is linear
 	Check     *Prediction `json:"check,omitempty"`
@@ -43,11 +43,11 @@
 // Predict returns the value of the line for a number of members.
 func (l *Line) Predict(members float64) float64 { return l.Intercept + l.Slope*members }
 
-// Steep reports whether it grows faster than linear.
-func (l *Line) Steep() bool { return l.Exponent > maxLinearExponent }
+// Superlinear reports whether the series grows faster than linear.
+func (l *Line) Superlinear() bool { return l.Exponent > maxLinearExponent }
 
-// Fit fits a line to each series that has enough sizes and runs up to FitUpTo, and checks it at the largest size above. If there is none
-// above, the largest size is held out for the check, provided that enough are left.
+// Fit fits a line to each series that has enough sizes and runs up to FitUpTo, and checks it at the largest size above FitUpTo.
+// If there is no larger size, the largest of all is held out for the check, provided that enough sizes remain for the fit.
 func Fit(m *Measured) (all []Line) {
 	keys, points := m.bySeries()
 	for _, k := range keys {
@@ -99,14 +99,15 @@
 	return l, true
 }
 
-// check decides whether a line is trusted: its prediction at a larger size is wrong by no more than maxError, or lies within the runs.
+// check decides whether a line is trusted: its prediction at a larger size has an error of at most maxError, or lies between the
+// smallest and the largest run.
 func (l *Line) check(runs []float64, size int) {
-	grows := fmt.Sprintf("grows with the power %.2f", l.Exponent)
-	if l.Steep() {
-		grows = fmt.Sprintf("grows faster than linear, with the power %.2f", l.Exponent)
+	growth := fmt.Sprintf("grows with the power %.2f", l.Exponent)
+	if l.Superlinear() {
+		growth = fmt.Sprintf("grows faster than linear, with the power %.2f", l.Exponent)
 	}
 	if len(runs) == 0 {
-		l.Reason = "no run above the sizes that it was fitted on checks it; it " + grows
+		l.Reason = "no run above the sizes that it was fitted on checks it; it " + growth
 		return
 	}
 	c := &Prediction{Size: size, Predicted: l.Predict(float64(size)), MeasuredMean: stat.Mean(runs, nil), MeasuredMin: slices.Min(runs),
@@ -117,15 +118,15 @@
 	} else if c.Predicted != 0 {
 		c.Error = math.Copysign(1, c.Predicted)
 	}
-	within := c.Predicted >= c.MeasuredMin && c.Predicted <= c.MeasuredMax
-	l.Trusted = math.Abs(c.Error) <= maxError || within
-	what := fmt.Sprintf("%+.0f%% at %s", 100*c.Error, number(float64(size)))
+	withinRuns := c.Predicted >= c.MeasuredMin && c.Predicted <= c.MeasuredMax
+	l.Trusted = math.Abs(c.Error) <= maxError || withinRuns
+	errorAtSize := fmt.Sprintf("%+.0f%% at %s", 100*c.Error, number(float64(size)))
 	switch {
 	case !l.Trusted:
-		l.Reason = "wrong by " + what + "; it " + grows
+		l.Reason = "wrong by " + errorAtSize + "; it " + growth
 	case math.Abs(c.Error) > maxError:
-		l.Reason = "within the runs, " + what + "; it " + grows
+		l.Reason = "within the runs, " + errorAtSize + "; it " + growth
 	default:
-		l.Reason = what + "; it " + grows
+		l.Reason = errorAtSize + "; it " + growth
 	}
 }
--- a/internal/coordination/capacity/model.go
+++ b/internal/coordination/capacity/model.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The situations that the page looks at. Their texts are titles of the page.
+// The situations that the model evaluates. Their texts are titles on the page.
 const (
 	Ordinary         = "an ordinary minute"
 	Busiest          = "the busiest minute"
@@ -13,12 +13,12 @@
 	CoordinatorsLost = "all coordinators lost, and their return"
 )
 
-// Times returns all situations, in the order of the page.
-func Times() []string {
+// Situations returns all situations, in the order of the page.
+func Situations() []string {
 	return []string{Ordinary, Busiest, ByRollout, ByVersion, RackLost, ZoneLost, RegionIsolated, AllRestarted, CoordinatorsLost}
 }
 
-// The roles. Their texts are in the page.
+// The roles. Their texts are on the page.
 const (
 	SidecarCalls   = "sidecar: calls"
 	SidecarControl = "sidecar: control"
@@ -36,19 +36,19 @@
 // model has the figures that rows have in common, and the rows as they are computed.
 type model struct {
 	*inputs
-	servers, machines, sessions Figure // sessions: one a machine, its agent's
-	meanServiceSize             Figure // servers of a mean service
-	weightedServiceSize         Figure // ... as a server sees it, on the average
+	servers, machines, sessions Figure // sessions: those of the agents
+	meanServiceSize             Figure // servers of a mean service, each service counted once
+	weightedServiceSize         Figure // servers of a service, on the average over all servers
 	knownServers                Figure // servers that a sidecar has in its lists
 	watchers                    Figure // sidecars that have a server in their lists
 	listChangeRate              Figure // changes of lists, 1/s, on an ordinary day
 	changeRate                  Figure // changes of configuration, 1/s, on an ordinary day
-	listMachines                Figure // machines set aside that tell lists
+	listMachines                Figure // control machines that serve lists, which are those without a replica
 	derived                     []Derived
 	evaluated                   []Row
 }
 
-// Derived is a figure that many rows rest on: they name it as their source, and it names its own.
+// Derived is a figure that many rows use. Rows name it as their source, and it names its own sources.
 type Derived struct {
 	Name string `json:"name"`
 	Unit string `json:"unit"`
@@ -62,9 +62,9 @@
 	m.sessions = m.derive("sessions", unitNone, mul(m.machines, in.assumption("topology.sessions_a_machine")))
 	m.meanServiceSize = m.derive("servers of a mean service", unitNone, div(m.servers, in.assumption("target.services")))
 	m.weightedServiceSize = m.derive("servers of a service, as a server sees its own", unitNone, in.weightedMeanSize())
-	// A service is called by others in proportion to its size, so that each of a sidecar's lists has the size that a server sees of its
-	// own service. Each pair of a sidecar and a server that it knows counts at both ends: on the average as many sidecars know a server
-	// as a sidecar knows servers.
+	// Services are assumed to be called in proportion to their size, so that each list of a sidecar has, on the average,
+	// weightedServiceSize servers. Each pair of a sidecar and a server that it knows counts once for either, so that on the
+	// average as many sidecars know a server as a sidecar knows servers.
 	m.knownServers = m.derive("servers known to a sidecar, and sidecars that know a server", unitNone,
 		smaller(mul(in.assumption("shape.fan_out"), m.weightedServiceSize), m.servers))
 	m.watchers = m.knownServers
@@ -77,7 +77,7 @@
 	return m
 }
 
-// derive adds a derived figure. Rows name it in place of its own sources.
+// derive adds a derived figure and returns it with its name as the only source, so that rows name it in place of its own sources.
 func (m *model) derive(name, unit string, f Figure) Figure {
 	m.derived = append(m.derived, Derived{name, unit, f})
 	f.From = []string{name}
@@ -95,7 +95,7 @@
 	return f.with(a, b)
 }
 
-// addRow adds a row with its verdict.
+// addRow sets the verdict of a row and adds the row.
 func (m *model) addRow(r Row) {
 	r.setVerdict()
 	m.evaluated = append(m.evaluated, r)
@@ -122,13 +122,13 @@
 // limit returns an assumption as the budget of a row.
 func (m *model) limit(name string) *Figure { return pointerTo(m.assumption(name)) }
 
-// usableLimit returns the usable part of a resource of a machine set aside as the budget of a row.
+// usableLimit returns the usable part of a resource of a control machine as the budget of a row.
 func (m *model) usableLimit(name string) *Figure { return pointerTo(m.usable(name)) }
 
-// usable is the part of a resource of a machine set aside that may be used.
+// usable returns the part of a resource of a control machine that may be used.
 func (m *model) usable(name string) Figure {
 	return mul(m.assumption(name), m.assumption("machines.used_share"))
 }
 
-// coresFromMicros converts microseconds of processor time per second.
+// coresFromMicros converts microseconds of processor time per second to cores.
 func coresFromMicros(f Figure) Figure { return f.times(1e-6) }
--- a/internal/coordination/capacity/model_test.go
+++ b/internal/coordination/capacity/model_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// with returns the committed file with other values of some fields.
-func with(t *testing.T, values map[string]string) *Assumptions {
+// committedWith returns the committed assumptions with other values of some fields, by full name.
+func committedWith(t *testing.T, values map[string]string) *Assumptions {
 	t.Helper()
-	path, text := theFile(t)
+	path, text := committedFile(t)
 	for name, value := range values {
 		section, field, _ := strings.Cut(name, ".")
 		re := regexp.MustCompile(`(?ms)(^` + section + `:.*?^  ` + field + `: )\S+`)
@@ -29,9 +29,10 @@
 	return a
 }
 
-// small is a fleet whose figures can be worked out by hand: 100 servers in 10 services of 10, each calling 2.
-func small(t *testing.T) *Assumptions {
-	return with(t, map[string]string{"target.servers": "100", "target.services": "10", "target.calls": "5000",
+// smallFleet returns the assumptions of a fleet whose figures can be computed by hand: 100 servers in 10 services of 10, each of
+// which calls 2 services.
+func smallFleet(t *testing.T) *Assumptions {
+	return committedWith(t, map[string]string{"target.servers": "100", "target.services": "10", "target.calls": "5000",
 		"target.changes_a_day": "86400",
 		"shape.largest":        "10", "shape.fan_out": "2", "topology.rack": "6", "topology.zone_share": "0.1",
 		"topology.region_share": "0.5",
@@ -50,21 +51,22 @@
 		"periods.idle_poll_divisor": "3", "periods.poll_interval": "1s", "limits.max_request": "8000", "periods.retry_interval": "100ms"})
 }
 
-func row(t *testing.T, rows []Row, time, role, what string) Row {
+// findRow returns the row of a situation, role and quantity.
+func findRow(t *testing.T, rows []Row, situation, role, quantity string) Row {
 	t.Helper()
-	i := slices.IndexFunc(rows, func(r Row) bool { return r.Time == time && r.Role == role && r.Quantity == what })
+	i := slices.IndexFunc(rows, func(r Row) bool { return r.Situation == situation && r.Role == role && r.Quantity == quantity })
 	if i < 0 {
-		t.Fatalf("no row %s: %s: %s", time, role, what)
+		t.Fatalf("no row %s: %s: %s", situation, role, quantity)
 	}
 	return rows[i]
 }
 
-// measuredSmall are points of straight lines, and single points of calls.
-func measuredSmall() *Measured {
+// smallFleetMeasurements returns points on straight lines, and single points of calls.
+func smallFleetMeasurements() *Measured {
 	m := &Measured{FitUpTo: 40}
 	sizes := []int{10, 20, 30, 40, 100}
 	line := func(workload, role string, intercept, slope float64) {
-		m.Points = append(m.Points, made(Key{workload, role, "cpu_us_s"}, sizes,
+		m.Points = append(m.Points, pointsFrom(Key{workload, role, "cpu_us_s"}, sizes,
 			func(n, _ int) float64 { return intercept + slope*float64(n) })...)
 	}
 	line("renewals", "leader", 1000, 20000)
@@ -73,7 +75,7 @@
 	line("watches", "agent", 150, 0.5)
 	line("watches", "sidecar", 0, 0)
 	line("looks", "agent", 300, 0)
-	m.Points = append(m.Points, made(Key{"publish", "member", "in_force_max_s"}, []int{100},
+	m.Points = append(m.Points, pointsFrom(Key{"publish", "member", "in_force_max_s"}, []int{100},
 		func(_, run int) float64 { return float64(run) })...)
 	m.Points = append(m.Points, Point{"publish", "agent", "in_force_max_s", 100, 1, 0.5},
 		Point{"publish", "agent", "hand_over_in_force_max_s", 100, 1, 2}, Point{"publish", "sidecar", "busy_memory_bytes", 100, 1, 100e6},
@@ -102,18 +104,18 @@
 
 // The needs of a small fleet are those computed by hand.
 func TestKnownResults(t *testing.T) {
-	rows := Evaluate(small(t), measuredSmall())
+	rows := Evaluate(smallFleet(t), smallFleetMeasurements())
 	for _, c := range []struct {
-		time, role, what string
-		need             float64
-		verdict          string
+		situation, role, quantity string
+		need                      float64
+		verdict                   string
 	}{
 		{Ordinary, SidecarCalls, "mean rate of calls", 50, "no budget is stated"},
-		// the worse class at 60
+		// at the next larger measured rate, 60; the worse class
 		{Ordinary, SidecarCalls, "latency added to a call, p99, at the mean rate", 0.0002, "fits by 2.5 times"},
-		// ... at 500
+		// at the rate 500; the worse class
 		{Busiest, SidecarCalls, "latency added to a call, p99, at the busiest sidecar", 0.0006, "does not: 1.2 times over"},
-		// 55.6 calls, of which 60 were seen deeper
+		// 55.6 calls/s; the next measured rate is 60, at depth 15
 		{ZoneLost, SidecarCalls, "latency added to a call, p99, at the sidecars that are left", 0.0025, "does not: 5 times over"},
 		{Ordinary, SidecarCalls, "latency added over the deepest chain, p99, at the mean rate", 0.0025, "fits by 3 times"},
 		{Ordinary, SidecarCalls, "processor time for calls, at the mean rate", 50 * 400e-6, "no budget is stated"},
@@ -122,28 +124,28 @@
 		{Busiest, SidecarCalls,
 			"attempts at the leaf of the deepest chain per call, if all fail, as each sidecar's retry budget allows",
 			math.Pow(1.2, 15), "does not: 7.8 times over"},
-		// 1,728 changes a day
+		// the lists change 1,728 times a day
 		{Ordinary, SidecarControl, "bytes of lists alone", 2*25 + 0.02*0.2*150, "fits by 170 times"},
-		// 20 servers
+		// entries of 20 servers
 		{Ordinary, SidecarControl, "lists in memory, as text", 2000, "fits by 120,000 times"},
 		{Ordinary, Leader, "renewals, against a trial with as many sessions", 40, "fits by 2.5 times"},
-		// of half of 10
+		// of 5 cores, which are half of 10
 		{Ordinary, Leader, "processor time of renewals and watches", 5.001, "does not: 1.01 times over"},
 		{Ordinary, Leader, "snapshot: sessions, versions, changes of all", 100*56 + 10*1000 + 10000,
 			"fits by 2,600 times"},
 		{Ordinary, Driver, "a poll of all applications, each changed once", 0.1 + 100*0.001/3, "fits by 7.5 times"},
-		// as with 20
+		// as at the smallest measured size, 20
 		{ByRollout, Driver, "staged, by time alone, in a mean service", 8, "fits by 1.75 times"},
-		// between 20 and 200
+		// interpolated between 20 and 200
 		{ByRollout, Driver, "staged, by time alone, of all sidecars, if it could begin", 8 - 2*80./180,
 			"fits by 1.96 times"},
 		{ByRollout, Leader, "message that begins a change of all", 10000, "does not: 1.25 times over"},
-		// the worst run
+		// the slowest run
 		{ByVersion, SidecarControl, "received everywhere", 3, "fits by 4.6 times"},
 		{ByVersion, SidecarControl, "in force at the last real sidecar, by a reload", 0.5, "fits by 28 times"},
 		{ByVersion, SidecarControl, "in force at the last real sidecar, by a hand-over", 2, "fits by 7 times"},
 		{Ordinary, SidecarControl, "memory of a real agent and sidecar, as versions come into force", 128e6, "fits by 2 times"},
-		{ByRollout, Driver, "all at once, without a judge, in the largest service", 4, "fits by 3.5 times"}, // as 20 had it
+		{ByRollout, Driver, "all at once, without a judge, in the largest service", 4, "fits by 3.5 times"}, // as in the run of 20
 		{Busiest, Leader, "changes of configuration", 10, "fits by 5 times"},
 		{RackLost, SidecarControl, "bytes of list updates, of a minute's budget", 6 * 0.2 * 150, "fits by 3,000 times"},
 		{RackLost, ListServer, "list updates sent by a machine", 6 * 20 / 6. / 2, "no budget is stated"},
@@ -154,7 +156,7 @@
 		{CoordinatorsLost, Follower, "requests of sessions without a leader, beside what three replicas answered",
 			1000 / 3., "fits by 43 times"},
 	} {
-		r := row(t, rows, c.time, c.role, c.what)
+		r := findRow(t, rows, c.situation, c.role, c.quantity)
 		if math.Abs(r.Need.Value-c.need) > 1e-9*math.Max(1, c.need) || r.Verdict != c.verdict ||
 			len(r.Need.Missing) > 0 {
 			t.Errorf("%s: %v, %s; missing %v; want %v, %s", r.Name(), r.Need.Value, r.Verdict, r.Need.Missing, c.need,
@@ -163,11 +165,11 @@
 	}
 }
 
-// A sum of which a part is missing gets a verdict only if the known part exceeds the budget.
+// A sum with a missing term has a verdict only if the known terms exceed the budget.
 func TestMissingMeasurements(t *testing.T) {
-	m := measuredSmall()
-	r := row(t, Evaluate(small(t), m), Ordinary, SidecarControl, "processor time")
-	if r.Class != NotMeasured || !near(r.Need.Value, 600e-6) ||
+	m := smallFleetMeasurements()
+	r := findRow(t, Evaluate(smallFleet(t), m), Ordinary, SidecarControl, "processor time")
+	if r.Class != NotMeasured || !almostEqual(r.Need.Value, 600e-6) ||
 		!slices.Equal(r.Missing(), []string{"lists/sidecar/cpu_us_s"}) {
 		t.Errorf("%+v", r)
 	}
@@ -176,28 +178,28 @@
 			m.Points[i].Value *= 100
 		}
 	}
-	rest := row(t, Evaluate(small(t), m), Ordinary, SidecarControl, "processor time of a real agent and sidecar at rest, with one short list")
-	if rest.Class != DoesNotFit || rest.Verdict != "does not: 1.54 times over" { // 20 of 13 ms a second
+	rest := findRow(t, Evaluate(smallFleet(t), m), Ordinary, SidecarControl, "processor time of a real agent and sidecar at rest, with one short list")
+	if rest.Class != DoesNotFit || rest.Verdict != "does not: 1.54 times over" { // 20 ms of a budget of 13 ms per second
 		t.Errorf("%+v", rest)
 	}
-	r = row(t, Evaluate(small(t), m), Ordinary, SidecarControl, "processor time")
-	if r.Class != DoesNotFit || r.Verdict != "does not: at least 1.57 times over" { // 20.4 of 13 ms a second
+	r = findRow(t, Evaluate(smallFleet(t), m), Ordinary, SidecarControl, "processor time")
+	if r.Class != DoesNotFit || r.Verdict != "does not: at least 1.57 times over" { // 20.4 ms of a budget of 13 ms per second
 		t.Errorf("%+v", r)
 	}
 }
 
-// A slope that is not trusted gives no figure, and the row says why; a point of the size itself does.
+// A slope that is not trusted gives no figure, and the row says why. A point at the size itself gives a figure all the same.
 func TestAnUntrustedSlopeGivesNoFigure(t *testing.T) {
-	m := measuredSmall()
-	grow := func(upTo int) {
+	m := smallFleetMeasurements()
+	doubleAbove := func(upTo int) {
 		for i, p := range m.Points {
 			if p.Workload == "watches" && p.Role == "leader" && p.Size > upTo {
 				m.Points[i].Value *= 2
 			}
 		}
 	}
-	grow(40)
-	r := row(t, Evaluate(small(t), m), Ordinary, Leader, "processor time of renewals and watches")
+	doubleAbove(40)
+	r := findRow(t, Evaluate(smallFleet(t), m), Ordinary, Leader, "processor time of renewals and watches")
 	if r.Class != DoesNotFit || !slices.Contains(r.Need.From, "point watches/leader/cpu_us_s at 100") {
 		t.Errorf("%+v", r)
 	}
@@ -205,16 +207,17 @@
 		return p.Workload == "watches" &&
 			p.Role == "leader" && p.Size == 100
 	})
-	r = row(t, Evaluate(small(t), m), Ordinary, Leader, "processor time of renewals and watches")
+	r = findRow(t, Evaluate(smallFleet(t), m), Ordinary, Leader, "processor time of renewals and watches")
 	if r.Class != NotMeasured || len(r.Missing()) != 1 || !strings.HasPrefix(r.Missing()[0],
 		"watches/leader/cpu_us_s (its slope is not trusted: no run above") {
 		t.Errorf("%+v", r)
 	}
 }
 
-// Without any points there is no figure of a run, and each figure has a source.
+// Without any points no figure names a slope or a point as its source, and no row with a missing figure fits. A row that
+// does not fit says what it breaks.
 func TestNothingMeasured(t *testing.T) {
-	for _, r := range Evaluate(theAssumptions(t), nil) {
+	for _, r := range Evaluate(committedAssumptions(t), nil) {
 		for _, f := range r.Need.From {
 			if strings.HasPrefix(f, "slope") || strings.HasPrefix(f, "point") {
 				t.Errorf("%s: %s", r.Name(), f)
@@ -224,20 +227,20 @@
 			t.Errorf("%s: %s, and %v is missing", r.Name(), r.Verdict, r.Need.Missing)
 		}
 		if r.Class == DoesNotFit && r.Breaks == "" {
-			t.Errorf("%s: it does not say what breaks", r.Name())
+			t.Errorf("%s: does not fit, and Breaks is empty", r.Name())
 		}
 	}
 }
 
-// A sidecar knows no more servers than there are.
+// The number of servers that a sidecar knows is limited to the servers of the fleet.
 func TestKnownServers(t *testing.T) {
-	a, _ := small(t).Scaled("shape.fan_out", 20)
+	a, _ := smallFleet(t).Scaled("shape.fan_out", 20)
 	if m := newModel(newInputs(a, nil)); m.knownServers.Value != 100 {
 		t.Error(m.knownServers)
 	}
 }
 
-// A quotient is unknown if its divisor is; that of a lower bound is a lower bound.
+// A quotient is unknown if its divisor is a lower bound. The quotient of a lower bound is a lower bound.
 func TestQuotients(t *testing.T) {
 	some := Figure{Value: 6, Missing: []string{"x"}}
 	if f := div(some, Figure{Value: 2}); f.Value != 3 || len(f.Missing) != 1 {
@@ -248,20 +251,20 @@
 	}
 }
 
-// Each row has a source, a mechanism, a situation of the page and a name of its own; so has each figure that rows name.
+// Each row has a source, a mechanism, a situation of the page and a unique name. Each derived figure has a source.
 func TestEachRowIsComplete(t *testing.T) {
-	model := newModel(newInputs(theAssumptions(t), nil))
+	model := newModel(newInputs(committedAssumptions(t), nil))
 	seen := map[string]bool{}
 	for _, r := range model.rows() {
-		if r.Mechanism == "" || len(r.Need.From)+len(r.Need.Missing) == 0 || !slices.Contains(Times(), r.Time) ||
+		if r.Mechanism == "" || len(r.Need.From)+len(r.Need.Missing) == 0 || !slices.Contains(Situations(), r.Situation) ||
 			seen[r.Name()] {
 			t.Errorf("%+v", r)
 		}
 		seen[r.Name()] = true
 	}
-	for _, time := range Times() {
-		if !slices.ContainsFunc(model.evaluated, func(r Row) bool { return r.Time == time }) {
-			t.Errorf("%s: no row", time)
+	for _, situation := range Situations() {
+		if !slices.ContainsFunc(model.evaluated, func(r Row) bool { return r.Situation == situation }) {
+			t.Errorf("%s: no row", situation)
 		}
 	}
 	for _, d := range model.derived {
@@ -312,19 +315,19 @@
 	}
 }
 
-// The sensitivities of assumptions are the verdicts that they change, and the file's own bounds hold.
-func TestWeights(t *testing.T) {
-	var moved []string
-	for _, w := range Sensitivities(small(t), measuredSmall()) {
+// Sensitivities returns the verdicts that an assumption changes, and keeps each field within its bounds.
+func TestSensitivities(t *testing.T) {
+	var changed []string
+	for _, w := range Sensitivities(smallFleet(t), smallFleetMeasurements()) {
 		if w.Name == "earlier.start_bytes_12000" || w.Name == "changes.overhead_bytes" || w.Name == "earlier.staged_2000" {
 			for _, m := range w.Changes {
-				moved = append(moved, w.Name+" "+m.Variation+": "+m.Row+": "+m.Before+" -> "+m.After)
+				changed = append(changed, w.Name+" "+m.Variation+": "+m.Row+": "+m.Before+" -> "+m.After)
 			}
 			if w.DoubleFactor != 2 || w.HalfFactor != 0.5 {
 				t.Errorf("%+v", w)
 			}
 		}
-		// no service can have more than a mean of 10, with the largest below it
+		// halved, the largest service would be smaller than the mean of 10
 		if w.Name == "shape.largest" && (w.HalfFactor != 1 || w.DoubleFactor != 2) {
 			t.Errorf("%+v", w)
 		}
@@ -335,17 +338,17 @@
 		"earlier.start_bytes_12000 half: " + AllRestarted + ": " + Leader +
 			": message that begins one change of all: does not: 1.25 times over -> fits by 1.6 times",
 	}
-	if !slices.Equal(moved, want) {
-		t.Errorf("%s", strings.Join(moved, "\n"))
+	if !slices.Equal(changed, want) {
+		t.Errorf("%s", strings.Join(changed, "\n"))
 	}
-	if _, times := small(t).Scaled("topology.zone_share", 20); times != 5 { // the region's share
+	if _, times := smallFleet(t).Scaled("topology.zone_share", 20); times != 5 { // the region's share
 		t.Error(times)
 	}
 }
 
-// A page keeps its prose and gets each table between its markers.
+// Page replaces the text between the markers and keeps the rest of the page.
 func TestPage(t *testing.T) {
-	r := NewReport(small(t), measuredSmall())
+	r := NewReport(smallFleet(t), smallFleetMeasurements())
 	const page = "# Title\n\nprose\n\n<!-- tables: begin ranking -->\nof-before\n<!-- tables: end -->\n\n" +
 		"more\n<!-- tables: begin -->\n<!-- tables: end -->\nlast\n"
 	got, err := r.Page("f", page)
@@ -359,7 +362,7 @@
 		t.Error(got)
 	}
 	if again, err := r.Page("f", got); err != nil || again != got {
-		t.Error("a page that is written twice is another", err)
+		t.Error("writing the tables a second time changed the page", err)
 	}
 	for _, c := range []struct{ page, want string }{
 		{"no markers\n", "f: no markers; write a line"},
@@ -376,9 +379,9 @@
 	}
 }
 
-// All forms of a report have all its rows.
-func TestForms(t *testing.T) {
-	r := NewReport(small(t), measuredSmall())
+// Text, Markdown and JSON of a report have all its rows.
+func TestReportFormats(t *testing.T) {
+	r := NewReport(smallFleet(t), smallFleetMeasurements())
 	var text, markdown bytes.Buffer
 	if err := r.WriteText(&text); err != nil {
 		t.Fatal(err)
--- a/internal/coordination/capacity/page.go
+++ b/internal/coordination/capacity/page.go
@@ -66,17 +66,22 @@
 	return b.String()
 }
 
-// The markers of tables in a page. The program writes what stands between them, and leaves the rest as it is.
+// The markers of tables in a page. Page replaces the text between them and keeps the rest.
 const (
 	beginMarker = "<!-- tables: begin"
 	endMarker   = "<!-- tables: end -->"
 )
 
-// beginMarkerLine is a line that begins a section; its group is the names of the section's tables.
+// beginMarkerLine matches the line that begins a section. Its group holds the names of the section's tables.
 var beginMarkerLine = regexp.MustCompile(`(?m)^<!-- tables: begin((?: [a-z0-9-]+)*) -->\n`)
 
-// Page puts the tables into a page between their markers: a line `<!-- tables: begin NAME ... -->`, where no name stands for all tables that
-// no other marker names, and `<!-- tables: end -->`. Every error names the file and line.
+// Page returns the page with the tables between their markers, which are the lines
+//
+//	<!-- tables: begin NAME ... -->
+//	<!-- tables: end -->
+//
+// A marker without a name stands for all tables that no other marker names. An error names the file and, if a marker is at fault,
+// its line.
 func (r *Report) Page(file, page string) (string, error) {
 	tables := r.Tables()
 	sections, err := findSections(file, page)
@@ -98,16 +103,16 @@
 	return b.String(), nil
 }
 
-// section is what stands between a pair of markers.
+// section is the text between a pair of markers.
 type section struct {
 	line       int      // of the marker that begins it
-	names      []string // of its tables; none: all that no section names
+	names      []string // of its tables; empty: all tables that no other section names
 	begin, end int      // offsets of the text between the markers
 }
 
 // findSections finds the markers of a page.
 func findSections(file, page string) (sections []section, err error) {
-	end := 0 // of the section before
+	end := 0 // end of the section before
 	for _, m := range beginMarkerLine.FindAllStringSubmatchIndex(page, -1) {
 		s := section{line: 1 + strings.Count(page[:m[0]], "\n"), names: strings.Fields(page[m[2]:m[3]]), begin: m[1]}
 		if m[0] < end {
@@ -127,7 +132,8 @@
 	return sections, nil
 }
 
-// namedTables returns the names that sections have. Each has to be that of a table, and none may be there twice.
+// namedTables returns the names of tables that the sections list. It is an error if there is no table of that name, or a name
+// occurs twice.
 func namedTables(file string, sections []section, tables []Table) (map[string]bool, error) {
 	named := map[string]bool{}
 	for _, s := range sections {
@@ -144,7 +150,7 @@
 	return named, nil
 }
 
-// write writes the tables of a section. A table that is alone by its name has no title: the writer's text introduces it.
+// write writes the tables of a section. A table that is the only one listed has no title: the text of the page introduces it.
 func (s *section) write(b *strings.Builder, tables []Table, named map[string]bool) {
 	first := true
 	for _, t := range tables {
--- a/internal/coordination/capacity/points.go
+++ b/internal/coordination/capacity/points.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ParseMeasured reads the result of a scale run. Every error names the file and the point.
+// ParseMeasured reads the result of a scale run from JSON. An error names the file and, if one is invalid, the point.
 func ParseMeasured(file string, text []byte) (*Measured, error) {
 	m := &Measured{}
 	d := json.NewDecoder(strings.NewReader(string(text)))
@@ -29,7 +29,7 @@
 	return m, nil
 }
 
-// Key names a series of points.
+// Key identifies a series of points.
 type Key struct {
 	Workload string `json:"workload"`
 	Role     string `json:"role"`
@@ -38,10 +38,10 @@
 
 func (k Key) String() string { return k.Workload + "/" + k.Role + "/" + k.Metric }
 
-// series has the values of a key by size, in the order of the runs.
+// series holds the values of a Key by size, in the order of the points.
 type series map[int][]float64
 
-// bySeries groups the points by series. The keys are in order.
+// bySeries groups the points by series. The keys are sorted by name. m may be nil.
 func (m *Measured) bySeries() (keys []Key, all map[Key]series) {
 	all = map[Key]series{}
 	if m == nil {
--- a/internal/coordination/capacity/rank.go
+++ b/internal/coordination/capacity/rank.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// RankMisfits returns the rows that do not fit: those that break a rule first, then by how far, then by how much else needs them.
+// RankMisfits returns the rows that do not fit: those that break a rule first, then by the factor by which they exceed the
+// budget, then by the number of dependents in NeededBy.
 func RankMisfits(rows []Row) (all []Row) {
 	for _, r := range rows {
 		if r.Class == DoesNotFit {
@@ -13,14 +14,14 @@
 		}
 	}
 	slices.SortStableFunc(all, func(a, b Row) int {
-		return cmp.Or(-cmp.Compare(rule(a), rule(b)), -cmp.Compare(a.Factor, b.Factor),
+		return cmp.Or(-cmp.Compare(rulePriority(a), rulePriority(b)), -cmp.Compare(a.Factor, b.Factor),
 			-cmp.Compare(len(a.NeededBy), len(b.NeededBy)))
 	})
 	return all
 }
 
-// rule is 1 for a row that breaks a rule.
-func rule(r Row) int {
+// rulePriority returns 1 for a row that breaks a rule, otherwise 0.
+func rulePriority(r Row) int {
 	if r.Breaks == BreaksRule {
 		return 1
 	}
--- a/internal/coordination/capacity/report.go
+++ b/internal/coordination/capacity/report.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Report has all results for a size of the fleet.
+// Report holds all results for a fleet of one size.
 type Report struct {
-	Assumptions []Assumption  `json:"assumptions"`
-	Measured    *Origin       `json:"measured,omitempty"` // nil: nothing was measured
-	Derived     []Derived     `json:"derived"`
-	Lines       []Line        `json:"lines,omitempty"`
-	Rows        []Row         `json:"rows"`
-	Ranking     []Row         `json:"ranking"`
-	Weights     []Sensitivity `json:"weights"`
+	Assumptions   []Assumption  `json:"assumptions"`
+	Measured      *Origin       `json:"measured,omitempty"` // nil: nothing was measured
+	Derived       []Derived     `json:"derived"`
+	Lines         []Line        `json:"lines,omitempty"`
+	Rows          []Row         `json:"rows"`
+	Ranking       []Row         `json:"ranking"`
+	Sensitivities []Sensitivity `json:"weights"`
 }
 
 // Origin describes the run that measured the points.
@@ -31,7 +31,7 @@
 
 // NewReport computes a report. m may be nil: nothing was measured.
 func NewReport(a *Assumptions, m *Measured) *Report {
-	r := &Report{Assumptions: a.All(), Weights: Sensitivities(a, m)}
+	r := &Report{Assumptions: a.All(), Sensitivities: Sensitivities(a, m)}
 	model := newModel(newInputs(a, m))
 	r.Rows, r.Derived = model.rows(), model.derived
 	r.Ranking = RankMisfits(r.Rows)
@@ -42,7 +42,7 @@
 	return r
 }
 
-// Table is a table of a report. Name is how the markers of a page name it.
+// Table is a table of a report. The markers of a page refer to it by Name.
 type Table struct {
 	Name  string
 	Title string
@@ -54,7 +54,7 @@
 // Tables returns all tables of a report, in the order of the page.
 func (r *Report) Tables() []Table {
 	all := []Table{r.targetTable(), r.verdictTable(), r.derivedTable(), r.slopeTable()}
-	all = append(all, r.timeTables()...)
+	all = append(all, r.situationTables()...)
 	return append(all, r.rankingTable(), r.assumptionTable(), r.missingTable(), r.runTable())
 }
 
@@ -108,6 +108,7 @@
 	return t
 }
 
+// sizes formats a list of sizes.
 func sizes(all []int) string {
 	var texts []string
 	for _, n := range all {
@@ -116,12 +117,12 @@
 	return strings.Join(texts, "; ")
 }
 
-func (r *Report) timeTables() (all []Table) {
-	for i, time := range Times() {
-		t := Table{Name: fmt.Sprintf("time-%d", i+1), Title: strings.ToUpper(time[:1]) + time[1:],
+func (r *Report) situationTables() (all []Table) {
+	for i, situation := range Situations() {
+		t := Table{Name: fmt.Sprintf("time-%d", i+1), Title: strings.ToUpper(situation[:1]) + situation[1:],
 			Head: []string{"role", "quantity", "need", "budget", "verdict", "mechanism", "sources"}}
 		for _, row := range r.Rows {
-			if row.Time == time {
+			if row.Situation == situation {
 				t.Rows = append(t.Rows, []string{row.Role, row.Quantity, row.need(), row.budget(), row.Verdict,
 					row.Mechanism, row.from()})
 			}
@@ -131,7 +132,7 @@
 	return all
 }
 
-// need writes what is needed, or the lower bound if a part is missing.
+// need formats the need; it is marked as a lower bound if a part is missing, and empty if nothing is known.
 func (r *Row) need() string {
 	switch text := quantity(r.Need.Value, r.Unit); {
 	case len(r.Need.Missing) == 0:
@@ -142,6 +143,7 @@
 	return ""
 }
 
+// budget formats the budget; it is empty if there is none or a part of it is missing.
 func (r *Row) budget() string {
 	if r.Budget == nil || len(r.Budget.Missing) > 0 {
 		return ""
@@ -149,6 +151,7 @@
 	return quantity(r.Budget.Value, r.Unit)
 }
 
+// from lists the sources of the need and the budget.
 func (r *Row) from() string {
 	from := r.Need.From
 	if r.Budget != nil {
@@ -157,7 +160,7 @@
 	return strings.Join(from, ", ")
 }
 
-// breaksDescription says what a row breaks, for people.
+// breaksDescription is the text of Row.Breaks in a table.
 var breaksDescription = map[string]string{BreaksRule: "a rule", BreaksTime: "a time or cost"}
 
 func (r *Report) rankingTable() Table {
@@ -165,7 +168,7 @@
 		"needed by", "mechanism"},
 		Empty: "Nothing that could be judged is over."}
 	for _, row := range r.Ranking {
-		t.Rows = append(t.Rows, []string{row.Time, row.Role, row.Quantity, strings.TrimPrefix(row.Verdict, "does not: "),
+		t.Rows = append(t.Rows, []string{row.Situation, row.Role, row.Quantity, strings.TrimPrefix(row.Verdict, "does not: "),
 			breaksDescription[row.Breaks],
 			strings.Join(row.NeededBy, "; "), row.Mechanism})
 	}
@@ -175,7 +178,7 @@
 func (r *Report) assumptionTable() Table {
 	t := Table{Name: "assumptions", Title: "Assumptions, and their weight",
 		Head: []string{"field", "value", "reason", "verdicts that change at twice or half of it"}}
-	for _, w := range r.Weights {
+	for _, w := range r.Sensitivities {
 		var changes []string
 		for _, c := range w.Changes {
 			changes = append(changes, fmt.Sprintf("%s: %s (%s -> %s)", c.Variation, c.Row, c.Before, c.After))
@@ -190,7 +193,7 @@
 		Empty: "Nothing is missing."}
 	for _, row := range r.Rows {
 		if len(row.Missing()) > 0 {
-			t.Rows = append(t.Rows, []string{row.Time, row.Role, row.Quantity, strings.Join(row.Missing(), "; ")})
+			t.Rows = append(t.Rows, []string{row.Situation, row.Role, row.Quantity, strings.Join(row.Missing(), "; ")})
 		}
 	}
 	return t
@@ -210,7 +213,7 @@
 	return t
 }
 
-// number writes whole numbers in full, with commas, and others with three or four digits.
+// number formats whole numbers in full, with commas, and others with three or four significant digits.
 func number(v float64) string {
 	switch a := math.Abs(v); {
 	case v == 0 || math.IsNaN(v) || math.IsInf(v, 0):
@@ -229,6 +232,7 @@
 	return fmt.Sprintf("%.2e", v)
 }
 
+// commas inserts commas between groups of three digits.
 func commas(text string) string {
 	digits := strings.TrimPrefix(text, "-")
 	for i := len(digits) - 3; i > 0; i -= 3 {
@@ -240,7 +244,7 @@
 	return digits
 }
 
-// quantity writes a number with its unit.
+// quantity formats a number with its unit.
 func quantity(v float64, unit string) string {
 	if unit == unitSeconds {
 		switch {
--- a/internal/coordination/capacity/row.go
+++ b/internal/coordination/capacity/row.go
@@ -22,9 +22,9 @@
 	NoBudget    Class = "no budget"
 )
 
-// Row is one result: what a role needs in a situation, and what it has.
+// Row is one result: how much of a quantity a role needs in a situation, and the budget for it.
 type Row struct {
-	Time      string   `json:"time"`
+	Situation string   `json:"time"`
 	Role      string   `json:"role"`
 	Quantity  string   `json:"what"`
 	Unit      string   `json:"unit"`
@@ -32,16 +32,17 @@
 	Budget    *Figure  `json:"budget,omitempty"`
 	Breaks    string   `json:"breaks,omitempty"` // BreaksRule or BreaksTime, if it does not fit
 	Mechanism string   `json:"mechanism"`        // the packages that do the work
-	NeededBy  []string `json:"needs,omitempty"`  // what else depends on it
+	NeededBy  []string `json:"needs,omitempty"`  // situations and functions that depend on it
 	Class     Class    `json:"class"`
 	Factor    float64  `json:"times,omitempty"` // how many times it fits, or exceeds the budget
 	Verdict   string   `json:"verdict"`
 }
 
 // Name identifies the row.
-func (r *Row) Name() string { return r.Time + ": " + r.Role + ": " + r.Quantity }
+func (r *Row) Name() string { return r.Situation + ": " + r.Role + ": " + r.Quantity }
 
-// setVerdict sets the verdict. A need of which a part is missing is a lower bound: if that exceeds the budget the row does not fit.
+// setVerdict sets Class, Factor and Verdict. A need of which a part is missing is a lower bound: if that exceeds the budget, the
+// row does not fit.
 func (r *Row) setVerdict() {
 	var missing []string
 	if missing = r.Need.Missing; r.Budget != nil {
@@ -79,19 +80,19 @@
 	return union(r.Need.Missing, r.Budget.Missing)
 }
 
-// atLeast writes a factor rounded down, so that no margin is written larger than it is.
+// atLeast formats a factor rounded down, so that a margin is never overstated.
 func atLeast(v float64) string {
 	unit := step(v)
 	return number(math.Floor(v/unit+1e-9) * unit)
 }
 
-// atMost writes a factor rounded up, so that no excess is written smaller than it is.
+// atMost formats a factor rounded up, so that an excess is never understated.
 func atMost(v float64) string {
 	unit := step(v)
 	return number(math.Ceil(v/unit-1e-9) * unit)
 }
 
-// step is the unit of the last digit that a factor is written with.
+// step returns the unit of the last digit of a formatted factor.
 func step(v float64) float64 {
 	switch {
 	case v < 2:
--- a/internal/coordination/capacity/sensitivity.go
+++ b/internal/coordination/capacity/sensitivity.go
@@ -1,14 +1,14 @@
 package capacity
 
-// Sensitivity says which verdicts an assumption decides: those that differ if it is doubled or halved.
+// Sensitivity holds the verdicts that depend on an assumption: those that differ if it is doubled or halved.
 type Sensitivity struct {
 	Assumption
-	DoubleFactor float64         `json:"double"` // by which it was multiplied within its bounds
+	DoubleFactor float64         `json:"double"` // the factor that was applied, which the field's bounds may limit
 	HalfFactor   float64         `json:"half"`
 	Changes      []VerdictChange `json:"moves,omitempty"`
 }
 
-// VerdictChange is a verdict that differs.
+// VerdictChange is a verdict that differs in a variation.
 type VerdictChange struct {
 	Row       string `json:"row"`
 	Variation string `json:"times"` // "double" or "half"
@@ -16,7 +16,7 @@
 	After     string `json:"after"`
 }
 
-// Sensitivities doubles and halves each assumption. m may be nil: nothing was measured.
+// Sensitivities doubles and halves each assumption and returns the verdicts that differ. m may be nil: nothing was measured.
 func Sensitivities(a *Assumptions, m *Measured) (all []Sensitivity) {
 	in := newInputs(a, m)
 	before := newModel(in).rows()
@@ -33,7 +33,8 @@
 	return all
 }
 
-// verdictChanges returns the verdicts that differ with other assumptions and the same measurements. before are the rows of the inputs.
+// verdictChanges returns the verdicts that differ with other assumptions and the same measurements. before holds the rows of the
+// inputs.
 func (in *inputs) verdictChanges(a *Assumptions, variation string, before []Row) (changes []VerdictChange) {
 	varied := *in
 	varied.assumptions = a
