--- a/internal/coordination/doc.go
+++ b/internal/coordination/doc.go
@@ -1,5 +1,6 @@
-// Package coordination holds leases, budgets, rolling changes and the distribution of configurations: what cmd/petrelhook-coordinator, cmd/petrelhook-agent and
-// the package lease are made of.
+// Package coordination is the parent of the packages behind cmd/petrelhook-coordinator, cmd/petrelhook-agent and package lease. They
+// implement leases, limits of the whole fleet (package share), rolling changes of releases, and the distribution of configuration
+// versions.
 //
-// It imports nothing of the router fleet.
+// None of these packages imports a package of the router fleet (internal/router).
 package coordination
