--- a/cmd/petrelhook-agent/version_test.go
+++ b/cmd/petrelhook-agent/version_test.go
@@ -43,7 +43,7 @@
 	}
 	s.AwaitInForce(inForceTimeout, s.Publish(quantum(s, 20)))
 	end()
-	for _, m := range s.InForce().Members {
+	for _, m := range s.InForce().Sidecars {
 		if m.Refused != 0 {
 			t.Errorf("%+v has refused a good version", m)
 		}
--- a/cmd/petrelhook-router/commands.go
+++ b/cmd/petrelhook-router/commands.go
@@ -176,7 +176,7 @@
 	if c.Args().Len() > 0 {
 		return cli.Exit("router takes no arguments", exitUsage)
 	}
-	s, err := settings.Load(os.Getenv(settings.Variable))
+	s, err := settings.Load(os.Getenv(settings.PathVariable))
 	if err != nil {
 		return exitError(err)
 	}
--- a/cmd/petrelhookctl/revision.go
+++ b/cmd/petrelhookctl/revision.go
@@ -132,7 +132,7 @@
 	for _, service := range slices.Sorted(maps.Keys(summaries)) {
 		s := summaries[service]
 		behind = behind || s.InForce != s.Reported
-		s.Members = nil
+		s.Sidecars = nil
 		all = append(all, s)
 	}
 	err := a.print(cmd, all, func(w *tabwriter.Writer) {
@@ -164,7 +164,7 @@
 func (a *coordinatorFlags) printSummary(cmd *cobra.Command, s distribute.Summary, coordinators []fleet.CoordinatorSummary) error {
 	return a.print(cmd, s, func(w *tabwriter.Writer) {
 		fmt.Fprintf(w, "%s\trevision %d\tin force at %d of %d\n", s.Service, s.Newest, s.InForce, s.Reported)
-		for _, m := range s.Members {
+		for _, m := range s.Sidecars {
 			if m.InForce == s.Newest {
 				continue
 			}
--- a/internal/common/yamlfile/deprecated.go
+++ b/internal/common/yamlfile/deprecated.go
@@ -73,9 +73,9 @@
 	var warnings []string
 	for _, use := range d.uses {
 		if d.current[use.currentPath] {
-			return nil, Problem(file, use.node, use.field, "the file has "+use.currentName+" as well; write "+use.currentName+" alone")
+			return nil, NewError(file, use.node, use.field, "the file has "+use.currentName+" as well; write "+use.currentName+" alone")
 		}
-		warnings = append(warnings, Problem(file, use.node, use.field, "this is called "+use.currentName+" now; write that").Error())
+		warnings = append(warnings, NewError(file, use.node, use.field, "this is called "+use.currentName+" now; write that").Error())
 	}
 	return warnings, nil
 }
--- a/internal/common/yamlfile/yamlfile.go
+++ b/internal/common/yamlfile/yamlfile.go
@@ -41,12 +41,12 @@
 // the first error. An empty list is an error.
 func EachMapping(file, field string, n *yaml.Node, read func(field string, n *yaml.Node) error) error {
 	if n.Kind != yaml.SequenceNode || len(n.Content) == 0 {
-		return Problem(file, n, field, "write a list")
+		return NewError(file, n, field, "write a list")
 	}
 	for i, item := range n.Content {
 		itemField := fmt.Sprintf("%s[%d]", field, i)
 		if item.Kind != yaml.MappingNode {
-			return Problem(file, item, itemField, "write fields")
+			return NewError(file, item, itemField, "write fields")
 		}
 		if err := read(itemField, item); err != nil {
 			return err
@@ -69,8 +69,8 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Problem returns an Error at a node of a file. message says what is wrong, and what to write instead.
-func Problem(file string, n *yaml.Node, field, message string) error {
+// NewError returns an Error at a node of a file. message says what is wrong, and what to write instead.
+func NewError(file string, n *yaml.Node, field, message string) error {
 	return errorAt(file, n, field, errors.New(message))
 }
 
@@ -101,10 +101,10 @@
 			read = known[renamed[name]]
 		}
 		if read == nil {
-			return Problem(file, n.Content[i], prefix+name, "unknown field; known are "+strings.Join(slices.Sorted(maps.Keys(known)), ", "))
+			return NewError(file, n.Content[i], prefix+name, "unknown field; known are "+strings.Join(slices.Sorted(maps.Keys(known)), ", "))
 		}
 		if seen[name] {
-			return Problem(file, n.Content[i], prefix+name, "comes twice")
+			return NewError(file, n.Content[i], prefix+name, "comes twice")
 		}
 		seen[name] = true
 		if err := read(n.Content[i+1]); err != nil {
--- a/internal/coordination/capacity/assume.go
+++ b/internal/coordination/capacity/assume.go
@@ -79,7 +79,7 @@
 func (p *parser) readSection(top *yaml.Node, section sectionSpec) error {
 	n := p.sections[section.name]
 	if n == nil {
-		return yamlfile.Problem(p.result.File, top, section.name, "missing; write this section")
+		return yamlfile.NewError(p.result.File, top, section.name, "missing; write this section")
 	}
 	prefix := section.name + "."
 	readers := map[string]yamlfile.Reader{}
@@ -91,7 +91,7 @@
 	}
 	for _, f := range section.fields {
 		if p.values[prefix+f.name] == nil {
-			return yamlfile.Problem(p.result.File, n, prefix+f.name, "missing; write "+f.expected()+", as "+f.name+": ... # why")
+			return yamlfile.NewError(p.result.File, n, prefix+f.name, "missing; write "+f.expected()+", as "+f.name+": ... # why")
 		}
 	}
 	return nil
@@ -110,7 +110,7 @@
 
 // checkConsistency checks the conditions between fields.
 func (a *Assumptions) checkConsistency(file string, nodes map[string]*yaml.Node) error {
-	problem := func(name, what string) error { return yamlfile.Problem(file, nodes[name], name, what) }
+	problem := func(name, what string) error { return yamlfile.NewError(file, nodes[name], name, what) }
 	servers, services, largest := a.Get("target.servers"), a.Get("target.services"), a.Get("shape.largest")
 	switch {
 	case services > servers:
--- a/internal/coordination/distribute/distribute.go
+++ b/internal/coordination/distribute/distribute.go
@@ -144,7 +144,7 @@
 	InForce  int             `json:"in_force"` // sidecars that run the newest version
 	Reported int             `json:"known"`    // sidecars that were reported to the coordinator
 	Ahead    Revision        `json:"ahead,omitempty"`
-	Members  []SidecarReport `json:"members,omitempty"` // per sidecar; several coordinators list a sidecar whose agent has changed coordinators
+	Sidecars []SidecarReport `json:"members,omitempty"` // per sidecar; several coordinators list a sidecar whose agent has changed coordinators
 }
 
 // SidecarReport is a sidecar's last report at a coordinator.
--- a/internal/coordination/distribute/reporttable.go
+++ b/internal/coordination/distribute/reporttable.go
@@ -138,7 +138,7 @@
 	sidecars := t.services[service]
 	for _, name := range slices.Sorted(maps.Keys(sidecars)) {
 		sidecar := sidecars[name]
-		summary.Members = append(summary.Members, SidecarReport{sidecar.report, sidecar.reporter.member, now - sidecar.reporter.lastContact})
+		summary.Sidecars = append(summary.Sidecars, SidecarReport{sidecar.report, sidecar.reporter.member, now - sidecar.reporter.lastContact})
 	}
 	summary.sortOutdatedFirst()
 	return summary
--- a/internal/coordination/distribute/reporttable_test.go
+++ b/internal/coordination/distribute/reporttable_test.go
@@ -116,7 +116,7 @@
 		t.Error("wrong members have reports")
 	}
 	got := s.Summary(3*time.Second, "a", newest)
-	want := Summary{Service: "a", Newest: 7, Digest: newest.Digest, InForce: 2, Reported: 3, Members: []SidecarReport{
+	want := Summary{Service: "a", Newest: 7, Digest: newest.Digest, InForce: 2, Reported: 3, Sidecars: []SidecarReport{
 		{Report{"m2", 6, 7, "port"}, "m", 2 * time.Second},
 		{Report{"m1", 7, 0, ""}, "m", 2 * time.Second},
 		{Report{"n1", 7, 0, ""}, "n", 3 * time.Second},
@@ -139,7 +139,7 @@
 		t.Errorf("%+v", got)
 	}
 	all := s.Summaries(3*time.Second, []Version{newest, {Service: "b"}, {Service: "c", Revision: 3}})
-	want.Members, want.Ahead = nil, 9
+	want.Sidecars, want.Ahead = nil, 9
 	if !reflect.DeepEqual(all, []Summary{want, {Service: "b", InForce: 1, Reported: 1}, {Service: "c", Newest: 3}}) {
 		t.Errorf("%+v", all)
 	}
@@ -148,7 +148,7 @@
 	s.SetReports(5*time.Second, "a", "m", []Report{{Sidecar: "m3", InForce: 7}})
 	got = s.Summary(5*time.Second, "a", newest)
 	if got.Reported != 3 || got.InForce != 3 || s.sidecars != 4 ||
-		got.Members[0].Member != "n" || got.Members[1].Sidecar != "m3" {
+		got.Sidecars[0].Member != "n" || got.Sidecars[1].Sidecar != "m3" {
 		t.Errorf("%+v, %d sidecars", got, s.sidecars)
 	}
 	// After MemberTimeout without contact, a member's sidecars are removed, but not the one that has moved to another member.
@@ -200,13 +200,13 @@
 	}
 	got := Merge([]Summary{ // of three coordinators, and of one that lags
 		{Service: "a", Newest: 5, Digest: "five", Reported: 3, InForce: 1, Ahead: 6,
-			Members: []SidecarReport{of("x", 4, 9), of("y", 4, 1), of("z", 5, 3)}},
-		{Service: "a", Newest: 6, Digest: "six", Reported: 2, InForce: 2, Members: []SidecarReport{of("x", 6, 2), of("y", 6, 2)}},
-		{Service: "a", Newest: 6, Digest: "six", Members: []SidecarReport{of("a", 5, 3)}},
+			Sidecars: []SidecarReport{of("x", 4, 9), of("y", 4, 1), of("z", 5, 3)}},
+		{Service: "a", Newest: 6, Digest: "six", Reported: 2, InForce: 2, Sidecars: []SidecarReport{of("x", 6, 2), of("y", 6, 2)}},
+		{Service: "a", Newest: 6, Digest: "six", Sidecars: []SidecarReport{of("a", 5, 3)}},
 		{Service: "a", Newest: 4, Digest: "four"},
 	})
 	want := Summary{Service: "a", Newest: 6, Digest: "six", Reported: 4, InForce: 1,
-		Members: []SidecarReport{of("a", 5, 3), of("y", 4, 1), of("z", 5, 3), of("x", 6, 2)}}
+		Sidecars: []SidecarReport{of("a", 5, 3), of("y", 4, 1), of("z", 5, 3), of("x", 6, 2)}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
--- a/internal/coordination/distribute/summary.go
+++ b/internal/coordination/distribute/summary.go
@@ -24,7 +24,7 @@
 
 // sortOutdatedFirst moves the sidecars that do not run the newest version to the front and otherwise keeps their order by name.
 func (s *Summary) sortOutdatedFirst() {
-	slices.SortStableFunc(s.Members, func(a, b SidecarReport) int {
+	slices.SortStableFunc(s.Sidecars, func(a, b SidecarReport) int {
 		switch current := a.InForce == s.Newest; {
 		case current == (b.InForce == s.Newest):
 			return 0
@@ -46,7 +46,7 @@
 		if summary.Newest > merged.Newest {
 			merged.Newest, merged.Digest = summary.Newest, summary.Digest
 		}
-		for _, r := range summary.Members {
+		for _, r := range summary.Sidecars {
 			if present, known := latest[r.Sidecar]; !known || r.Age < present.Age {
 				latest[r.Sidecar] = r
 			}
@@ -57,7 +57,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(latest)) {
 		merged.addReport(latest[name].Report)
-		merged.Members = append(merged.Members, latest[name])
+		merged.Sidecars = append(merged.Sidecars, latest[name])
 	}
 	merged.sortOutdatedFirst()
 	return merged
--- a/internal/coordination/driver/planfile.go
+++ b/internal/coordination/driver/planfile.go
@@ -89,7 +89,7 @@
 }
 
 func (p *planParser) problem(n *yaml.Node, field, what string) error {
-	return yamlfile.Problem(p.file, n, field, what)
+	return yamlfile.NewError(p.file, n, field, what)
 }
 
 func (p *planParser) readTop(top *yaml.Node) error {
--- a/internal/coordination/fleet/config.go
+++ b/internal/coordination/fleet/config.go
@@ -95,17 +95,17 @@
 	}
 	switch {
 	case c.ID == 0:
-		return nil, yamlfile.Problem(file, top, "id", "missing or 0; write a number from 1 on, which no other replica has or had")
+		return nil, yamlfile.NewError(file, top, "id", "missing or 0; write a number from 1 on, which no other replica has or had")
 	case c.Data == "":
-		return nil, yamlfile.Problem(file, top, "data", "missing; write the folder for what is kept")
+		return nil, yamlfile.NewError(file, top, "data", "missing; write the folder for what is kept")
 	case replicas.Kind != yaml.SequenceNode || len(replicas.Content) == 0:
-		return nil, yamlfile.Problem(file, top, "replicas", "missing; write a list of id and address")
+		return nil, yamlfile.NewError(file, top, "replicas", "missing; write a list of id and address")
 	}
 	if err := c.parseReplicas(file, &replicas); err != nil {
 		return nil, err
 	}
 	if !c.reachable(c.Addr()) {
-		return nil, yamlfile.Problem(file, top, "listen", c.Addr()+" is not of loopback; write allow_remote: true where everybody who reaches it may ask")
+		return nil, yamlfile.NewError(file, top, "listen", c.Addr()+" is not of loopback; write allow_remote: true where everybody who reaches it may ask")
 	}
 	if n := len(c.Replicas); n%2 == 0 && !c.Join {
 		c.Warnings = append(c.Warnings, fmt.Sprintf("%s:%d: replicas: %d bear no more failures than %d; an odd number is better", file, replicas.Line, n, n-1))
@@ -148,28 +148,28 @@
 		}
 		switch line, twice := lineOfID[m.ID]; {
 		case m.ID == 0:
-			return yamlfile.Problem(file, n, field+".id", "missing or 0; write a number from 1 on")
+			return yamlfile.NewError(file, n, field+".id", "missing or 0; write a number from 1 on")
 		case twice:
-			return yamlfile.Problem(file, n, field+".id", fmt.Sprintf("%d is that of line %d; each replica has its own", m.ID, line))
+			return yamlfile.NewError(file, n, field+".id", fmt.Sprintf("%d is that of line %d; each replica has its own", m.ID, line))
 		case m.Addr == "":
-			return yamlfile.Problem(file, n, field+".address", "missing; write host:port")
+			return yamlfile.NewError(file, n, field+".address", "missing; write host:port")
 		case lineOfAddr[m.Addr] > 0:
-			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is that of line %d", m.Addr, lineOfAddr[m.Addr]))
+			return yamlfile.NewError(file, n, field+".address", fmt.Sprintf("%s is that of line %d", m.Addr, lineOfAddr[m.Addr]))
 		case !c.reachable(m.Addr):
-			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is not of loopback; write allow_remote: true where everybody who reaches it may ask", m.Addr))
+			return yamlfile.NewError(file, n, field+".address", fmt.Sprintf("%s is not of loopback; write allow_remote: true where everybody who reaches it may ask", m.Addr))
 		}
 		lineOfID[m.ID], lineOfAddr[m.Addr] = n.Line, n.Line
 		c.Replicas = append(c.Replicas, m)
 	}
 	if lineOfID[c.ID] == 0 {
-		return yamlfile.Problem(file, replicas, "replicas", fmt.Sprintf("id %d is not among them", c.ID))
+		return yamlfile.NewError(file, replicas, "replicas", fmt.Sprintf("id %d is not among them", c.ID))
 	}
 	return nil
 }
 
 func parseReplica(file, field string, n *yaml.Node) (m replica.Member, err error) {
 	if n.Kind != yaml.MappingNode {
-		return m, yamlfile.Problem(file, n, field, "write id and address")
+		return m, yamlfile.NewError(file, n, field, "write id and address")
 	}
 	err = yamlfile.Fields(file, field+".", n, map[string]yamlfile.Reader{
 		"id":      yamlfile.Into(&m.ID, "a number from 1 on"),
--- a/internal/coordination/machine/parse.go
+++ b/internal/coordination/machine/parse.go
@@ -82,7 +82,7 @@
 }
 
 func (p *parser) problem(n *yaml.Node, field, what string) error {
-	return yamlfile.Problem(p.file, n, field, what)
+	return yamlfile.NewError(p.file, n, field, what)
 }
 
 // maxDuration bounds all times of the file.
--- a/internal/coordination/machine/probe.go
+++ b/internal/coordination/machine/probe.go
@@ -52,7 +52,7 @@
 // reportedDigest is the digest of the settings that a process has read last, by its counts; "": its program does not report one.
 func reportedDigest(processCounts []byte) string {
 	var document struct {
-		File counts.File `json:"file"`
+		File counts.ConfigFile `json:"file"`
 	}
 	if json.Unmarshal(processCounts, &document) != nil { // the form of earlier programs
 		return ""
--- a/internal/rig/deployment/version_test.go
+++ b/internal/rig/deployment/version_test.go
@@ -125,7 +125,7 @@
 	bad := s.Publish(s.changed(1, `"effect":"read_like"`, `"effect":"odd"`))
 	s.AwaitSummary(20*time.Second, "all have refused it", func(sum distribute.Summary) bool {
 		n := 0
-		for _, m := range sum.Members {
+		for _, m := range sum.Sidecars {
 			if m.Refused == bad {
 				n++
 			}
@@ -136,7 +136,7 @@
 	if sum.Newest != bad || sum.InForce != 0 || sum.Reported != 6 {
 		t.Errorf("%+v", sum)
 	}
-	for _, m := range sum.Members {
+	for _, m := range sum.Sidecars {
 		place, rest, _ := strings.Cut(strings.TrimPrefix(m.Reason, "petrelhook: "), ".json:")
 		var line, column int
 		fmt.Sscanf(rest, "%d:%d:", &line, &column)
@@ -304,7 +304,7 @@
 	t.Logf("%d kills of agents; the last version took %v", killed(), took.Round(100*time.Millisecond))
 	end()
 	refused := 0
-	for _, m := range s.InForce().Members {
+	for _, m := range s.InForce().Sidecars {
 		if m.Refused != 0 {
 			refused++
 		}
--- a/internal/rig/engines/doc.go
+++ b/internal/rig/engines/doc.go
@@ -6,8 +6,8 @@
 // stay in a prefix cache from which the least recently used parts are evicted. A full batch queues, a full queue rejects.
 //
 // The decisions of routers are the real ones: each has a placement.Pool of its own and receives the others' reports as late as the
-// real ones do, by way of distributors (placement.LoadBoard, placement.PrefixUses). Arrivals are drawn from a seed, the same for all policies. A
-// simulation is a function of the spec, the policy and the seed.
+// real ones do, by way of distributors (placement.LoadAggregator, placement.PrefixUses). Arrivals are drawn from a seed, the same for
+// all policies. A simulation is a function of the spec, the policy and the seed.
 //
 // What it leaves out: connections, tenants' limits, the routers' processor time, the health of servers beyond what attempts show. Its
 // results are compared with the users' bench in docs/design/deciding.md.
--- a/internal/rig/engines/router.go
+++ b/internal/rig/engines/router.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// name identifies it on load boards.
+// name identifies it in load reports.
 func (r *router) name() string { return fmt.Sprint("r", r.index) }
 
 // distributor forwards reports between its routers and the other distributors.
@@ -61,13 +61,13 @@
 	sim        *simulation
 	index      int
 	zone       int
-	board      *placement.LoadBoard
+	board      *placement.LoadAggregator
 	routers    []*router
 	forRouters []placement.PrefixUses // not yet forwarded
 	forPeers   []placement.PrefixUses // not yet forwarded
 }
 
-// name identifies it on load boards.
+// name identifies it in load reports.
 func (d *distributor) name() string { return fmt.Sprint("h", d.index) }
 
 // delayTo is the delay of a message to another distributor.
--- a/internal/rig/engines/simulation.go
+++ b/internal/rig/engines/simulation.go
@@ -30,7 +30,7 @@
 		sim.servers = append(sim.servers, newServer(sim.schedule, &s.Engine, i, i%s.Zones))
 	}
 	for i := range s.Zones * s.Distributors {
-		sim.distributors = append(sim.distributors, &distributor{sim: sim, index: i, zone: i % s.Zones, board: placement.NewLoadBoard()})
+		sim.distributors = append(sim.distributors, &distributor{sim: sim, index: i, zone: i % s.Zones, board: placement.NewLoadAggregator()})
 	}
 	for i := range s.Routers {
 		sim.addRouter(i)
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -12,7 +12,7 @@
 //     choice of the core member that sends them), registry (servers) and membership (routers);
 //   - for the path of a client's request: gateway, which calls routetable (route and tenant), quota (limits), placement (choice
 //     of the server) and backend (the exchange with the server);
-//   - for what the routers aggregate: outlier (failing servers), placement.LoadBoard (loads) and quotapool (limits without a
+//   - for what the routers aggregate: outlier (failing servers), placement.LoadAggregator (loads) and quotapool (limits without a
 //     primary).
 //
 // Most of these packages do no I/O and read no clock: the caller passes the time in, and sends the messages.
--- a/internal/router/gateway/health_signal_test.go
+++ b/internal/router/gateway/health_signal_test.go
@@ -22,7 +22,7 @@
 	cancel()
 	deadlinePassed, cancelLate := context.WithDeadline(t.Context(), time.Unix(1, 0))
 	defer cancelLate()
-	req := &request{route: &routetable.Compiled{TargetLatency: 300 * time.Millisecond}}
+	req := &request{route: &routetable.CompiledRoute{TargetLatency: 300 * time.Millisecond}}
 	broken, unsent := errors.Join(backend.ErrBroken), errors.Join(backend.ErrNotSent)
 	for _, c := range []struct {
 		name string
--- a/internal/router/gateway/request.go
+++ b/internal/router/gateway/request.go
@@ -24,7 +24,7 @@
 type request struct {
 	id       string
 	body     []byte
-	route    *routetable.Compiled
+	route    *routetable.CompiledRoute
 	tenant   *routetable.Tenant // nil: a request without a tenant
 	service  string
 	units    float64 // charged to the tenant's quota
--- a/internal/router/gateway/route_state.go
+++ b/internal/router/gateway/route_state.go
@@ -27,7 +27,7 @@
 
 // chooseService returns the service for the next request of a route. A route with several backends rotates among them by their
 // weights. The caller holds the lock.
-func (g *Gateway) chooseService(route *routetable.Compiled) string {
+func (g *Gateway) chooseService(route *routetable.CompiledRoute) string {
 	if len(route.Backends) == 1 {
 		return route.Backends[0].Service
 	}
--- a/internal/router/homeselection/homeselection.go
+++ b/internal/router/homeselection/homeselection.go
@@ -53,13 +53,15 @@
 // TimedOut reports whether the home has been silent for longer than Timeout.
 func (s *Selector) TimedOut(now time.Duration) bool { return now-s.lastContact > Timeout }
 
-// InTouch reports whether this router has contact with a majority of the core through its home: the home said so in its
+// HasQuorumContact reports whether this router has contact with a majority of the core through its home: the home said so in its
 // last message and has not timed out.
-func (s *Selector) InTouch(now time.Duration) bool { return s.quorumContact && !s.TimedOut(now) }
+func (s *Selector) HasQuorumContact(now time.Duration) bool {
+	return s.quorumContact && !s.TimedOut(now)
+}
 
-// LastInTouch reports whether the home's last message said that it has contact with a majority of the core, however old
+// LastQuorumContact reports whether the home's last message said that it has contact with a majority of the core, however old
 // that message is.
-func (s *Selector) LastInTouch() bool { return s.quorumContact }
+func (s *Selector) LastQuorumContact() bool { return s.quorumContact }
 
 // Review selects another home if the current one is no longer a member of the core, is silent, has lost contact with a
 // majority, or has been in another zone for longer than reviewInterval. Argument starting is true for a router that has
--- a/internal/router/node/core.go
+++ b/internal/router/node/core.go
@@ -42,9 +42,9 @@
 // hasCoreContact reports whether this router has contact with a majority of the core, directly or through its home.
 func (n *Node) hasCoreContact(now time.Duration) bool {
 	if n.isCoreMember() {
-		return n.control.replica.InTouch()
+		return n.control.replica.HasContact()
 	}
-	return n.subscription.home.InTouch(now)
+	return n.subscription.home.HasQuorumContact(now)
 }
 
 // addEligible records that a router can become a core member.
@@ -114,7 +114,7 @@
 	}
 	// A core member that loaded the servers from its disk has the complete list once it has contact with a majority: the
 	// others push all later changes to it.
-	if !n.subscription.serversComplete && n.serversCache.loaded && n.isCoreMember() && n.control.replica.InTouch() {
+	if !n.subscription.serversComplete && n.serversCache.loaded && n.isCoreMember() && n.control.replica.HasContact() {
 		n.subscription.serversComplete = true
 		n.pushAll()
 	}
--- a/internal/router/node/distributor.go
+++ b/internal/router/node/distributor.go
@@ -88,7 +88,7 @@
 func (n *Node) push(s *subscriber, now time.Duration) {
 	p := dissemination.Push{
 		Incarnation: n.self.Incarnation,
-		InTouch:     n.control.replica.InTouch(),
+		InTouch:     n.control.replica.HasContact(),
 		Complete:    n.subscription.serversComplete,
 		FleetSize:   n.fleetSize,
 		Stamp:       n.registry.Stamp(),
--- a/internal/router/node/loads.go
+++ b/internal/router/node/loads.go
@@ -18,8 +18,8 @@
 
 // loads is the state of a router's exchange of load reports: the work that open requests still have at each server.
 type loads struct {
-	board    *placement.LoadBoard // used by a core member: the last report of each router
-	reported bool                 // the last report to the home was not empty
+	board    *placement.LoadAggregator // used by a core member: the last report of each router
+	reported bool                      // the last report to the home was not empty
 }
 
 // tickLoads reports this router's loads to the home; after the last load has ended it sends one empty report. A core
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -91,7 +91,7 @@
 	locality := proximity.Locality{Zone: s.Zone, Region: s.Region, RegionOf: s.Zones}
 	n.subscription = newSubscription(n.self.Address, locality)
 	n.quotas = newQuotas(locality)
-	n.loads.board = placement.NewLoadBoard()
+	n.loads.board = placement.NewLoadAggregator()
 	n.outliers.detector = outlier.NewDetector(usableServers{n})
 	n.timers.storeServers.restart(0) // the copy on the disk is recent enough at the start
 	n.timers.expireServers.restart(0)
@@ -157,7 +157,7 @@
 // reload reads the settings again and replaces the seeds by theirs. Invalid settings are logged and change nothing. It
 // acquires the lock.
 func (n *Node) reload(load func(path string) (*settings.Settings, error)) {
-	reloaded, err := load(os.Getenv(settings.Variable))
+	reloaded, err := load(os.Getenv(settings.PathVariable))
 	if err != nil {
 		n.logger.Error().Err(err).Msg("settings not reloaded")
 		return
--- a/internal/router/node/operator_http.go
+++ b/internal/router/node/operator_http.go
@@ -106,7 +106,7 @@
 		w.Header().Set("Retry-After", "0.3")
 		http.Error(w, "the primary is not known", http.StatusServiceUnavailable)
 	default:
-		w.Header().Set("Location", "http://"+n.settings.ControlOf(primary)+r.URL.Path)
+		w.Header().Set("Location", "http://"+n.settings.ControlAddressOf(primary)+r.URL.Path)
 		w.WriteHeader(http.StatusTemporaryRedirect)
 	}
 	return true
--- a/internal/router/node/partition_test.go
+++ b/internal/router/node/partition_test.go
@@ -108,13 +108,13 @@
 // then names no primary to callers.
 func TestSubscribersLearnOfAPartition(t *testing.T) {
 	n := newIsolatedMember(t)
-	require.False(t, n.control.replica.InTouch())
+	require.False(t, n.control.replica.HasContact())
 	subscriber := newNode(t, "")
 	subscriber.control.view = n.control.view
 	subscriber.reviewHome(0)
 	subscriber.subscription.home.Observe(true, 0)
-	subscriber.receivePush(subscriber.subscription.home.Current(), &dissemination.Push{Incarnation: 1, InTouch: n.control.replica.InTouch(), Stamp: 1}, time.Millisecond)
-	require.False(t, subscriber.subscription.home.LastInTouch())
+	subscriber.receivePush(subscriber.subscription.home.Current(), &dissemination.Push{Incarnation: 1, InTouch: n.control.replica.HasContact(), Stamp: 1}, time.Millisecond)
+	require.False(t, subscriber.subscription.home.LastQuorumContact())
 	r := httptest.NewRequest(http.MethodGet, "/-/config/read", nil)
 	w := httptest.NewRecorder()
 	subscriber.controlHandler().ServeHTTP(w, r)
--- a/internal/router/node/pool.go
+++ b/internal/router/node/pool.go
@@ -14,7 +14,7 @@
 // tickPool requests deposits for the pool hosted here, and offers this router's deposit to a pool while the router has no
 // contact with the primary.
 func (n *Node) tickPool(now time.Duration) {
-	for _, address := range n.quotas.pool.Review(now) {
+	for _, address := range n.quotas.pool.DueForCollection(now) {
 		n.collectDeposit(address, now)
 	}
 	lost := n.lacksPrimary(now)
--- a/internal/router/node/quota.go
+++ b/internal/router/node/quota.go
@@ -71,7 +71,7 @@
 
 // allocatesQuota reports whether this router may allocate quota now: it is the primary and has contact with a majority.
 func (n *Node) allocatesQuota() bool {
-	return n.quotas.allocator != nil && n.control.replica.InTouch() && n.control.view.Primary == n.control.replica.Self.ID
+	return n.quotas.allocator != nil && n.control.replica.HasContact() && n.control.view.Primary == n.control.replica.Self.ID
 }
 
 // lacksPrimary reports whether this router has no contact with a primary.
--- a/internal/router/node/sessions.go
+++ b/internal/router/node/sessions.go
@@ -73,7 +73,7 @@
 	if home.Current() != "" {
 		n.sendSubscriptionHeartbeat(home.Current())
 	}
-	homeIsolated := n.starting(now) && !home.LastInTouch() && n.timers.seeds.elapsed(seedInterval, now)
+	homeIsolated := n.starting(now) && !home.LastQuorumContact() && n.timers.seeds.elapsed(seedInterval, now)
 	if homeIsolated || home.TimedOut(now) {
 		n.contactSeeds()
 	}
--- a/internal/router/node/start.go
+++ b/internal/router/node/start.go
@@ -17,7 +17,7 @@
 	options := replication.Options{Self: replication.Member{Address: n.self.Address, Zone: s.Zone}, Seeds: s.SeedAddresses(),
 		Bootstrap: s.Bootstrap, FaultTolerance: s.FaultTolerance.Machines}
 	var persisted *replication.PersistedState
-	if s.Core() {
+	if s.CanJoinCore() {
 		disk, found, err := storage.Open(s.DataDir, n.self.Address, s.Bootstrap)
 		if err != nil {
 			return err
--- a/internal/router/node/tick.go
+++ b/internal/router/node/tick.go
@@ -49,7 +49,7 @@
 func (n *Node) tickCore(now time.Duration) {
 	n.distributor.sessions.Expire(now)
 	n.countFleet()
-	if !n.control.replica.InTouch() {
+	if !n.control.replica.HasContact() {
 		n.control.inTouchSince = -1
 		return
 	}
--- a/internal/router/placement/load_board.go
+++ b/internal/router/placement/load_aggregator.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// LoadBoard aggregates the load reports of many senders. Each home has one: the routers that subscribe to it report the
+// LoadAggregator aggregates the load reports of many senders. Each home has one: the routers that subscribe to it report the
 // work that they have in flight, and each other home reports the sum for its own subscribers. A report replaces the
-// previous one of the same sender, and expires after loadReportTTL. The size of a LoadBoard grows with the number of
+// previous one of the same sender, and expires after loadReportTTL. The size of a LoadAggregator grows with the number of
 // senders and of the servers in their reports. It must not be used by two goroutines at the same time.
-type LoadBoard struct{ reports map[string]loadReport }
+type LoadAggregator struct{ reports map[string]loadReport }
 
 // loadReport is the latest report of a sender.
 type loadReport struct {
@@ -21,22 +21,22 @@
 // loadReportTTL is how long a sender's report counts.
 const loadReportTTL = time.Second
 
-// NewLoadBoard returns a LoadBoard without reports.
-func NewLoadBoard() *LoadBoard { return &LoadBoard{reports: map[string]loadReport{}} }
+// NewLoadAggregator returns a LoadAggregator without reports.
+func NewLoadAggregator() *LoadAggregator { return &LoadAggregator{reports: map[string]loadReport{}} }
 
 // Put replaces a sender's report. If peer is set, the sender is another home, and the report is the sum for the routers
-// that subscribe to that home. The LoadBoard keeps the map.
-func (b *LoadBoard) Put(sender string, peer bool, sums LoadSums, now time.Duration) {
+// that subscribe to that home. The LoadAggregator keeps the map.
+func (b *LoadAggregator) Put(sender string, peer bool, sums LoadSums, now time.Duration) {
 	b.reports[sender] = loadReport{sums, now, peer}
 }
 
 // Expire removes the reports that were not renewed within loadReportTTL.
-func (b *LoadBoard) Expire(now time.Duration) {
+func (b *LoadAggregator) Expire(now time.Duration) {
 	maps.DeleteFunc(b.reports, func(_ string, r loadReport) bool { return now-r.receivedAt >= loadReportTTL })
 }
 
 // ForPeers returns the work of the routers that subscribe to this home, which the home reports to the other homes.
-func (b *LoadBoard) ForPeers() LoadSums {
+func (b *LoadAggregator) ForPeers() LoadSums {
 	sums := LoadSums{}
 	for _, report := range b.reports {
 		if !report.peer {
@@ -47,7 +47,7 @@
 }
 
 // All returns the work of all routers, in a new map that the caller may keep.
-func (b *LoadBoard) All() LoadSums {
+func (b *LoadAggregator) All() LoadSums {
 	sums := LoadSums{}
 	for _, report := range b.reports {
 		sums.addAll(report.sums)
@@ -57,7 +57,7 @@
 
 // Others returns the work of all senders except one. The argument all is the result of the method All. Others does not
 // change it, but returns the map itself if the sender has no work: the caller must not change the result.
-func (b *LoadBoard) Others(all LoadSums, sender string) LoadSums {
+func (b *LoadAggregator) Others(all LoadSums, sender string) LoadSums {
 	own := b.reports[sender].sums
 	if len(own) == 0 {
 		return all
--- a/internal/router/placement/loads_test.go
+++ b/internal/router/placement/loads_test.go
@@ -32,9 +32,9 @@
 
 // A router receives the work of all other routers; another home receives only that of the routers that subscribe to this
 // home. A report that is not renewed expires.
-func TestLoadBoard(t *testing.T) {
+func TestLoadAggregator(t *testing.T) {
 	withRequests := func(requests float64) LoadSums { return LoadSums{1: {Requests: requests}} }
-	b := NewLoadBoard()
+	b := NewLoadAggregator()
 	b.Put("a", false, withRequests(1), 0)
 	b.Put("b", false, withRequests(2), 0)
 	b.Put("peer", true, withRequests(4), 0)
--- a/internal/router/quotapool/host.go
+++ b/internal/router/quotapool/host.go
@@ -38,9 +38,9 @@
 	h.offers[address].lastContact = now
 }
 
-// Review removes the routers that have sent neither an offer nor a deposit within OfferValidity, and returns the
+// DueForCollection removes the routers that have sent neither an offer nor a deposit within OfferValidity, and returns the
 // addresses of those whose deposits are to be requested now. The caller calls Collect for each, and sends the request.
-func (h *Host) Review(now time.Duration) (due []string) {
+func (h *Host) DueForCollection(now time.Duration) (due []string) {
 	for address, o := range h.offers {
 		if now-o.lastContact > OfferValidity {
 			delete(h.offers, address)
--- a/internal/router/quotapool/quotapool_test.go
+++ b/internal/router/quotapool/quotapool_test.go
@@ -64,20 +64,20 @@
 	deposit := quota.Deposit{Standing: 0.5, For: time.Hour}
 	now := time.Second
 	h.ReceiveOffer("a", now)
-	require.Equal(t, []string{"a"}, h.Review(now))
+	require.Equal(t, []string{"a"}, h.DueForCollection(now))
 	h.Collect("a", 7, now)
-	require.Empty(t, h.Review(now+CollectInterval-1))
+	require.Empty(t, h.DueForCollection(now+CollectInterval-1))
 	h.ReceiveDeposit("a", 6, deposit, now)
 	require.Zero(t, h.Deposits(now), "the deposit answers another request")
 	h.ReceiveDeposit("a", 7, deposit, now)
 	require.Equal(t, 1, h.Deposits(now))
-	require.Equal(t, []string{"a"}, h.Review(now+CollectInterval))
+	require.Equal(t, []string{"a"}, h.DueForCollection(now+CollectInterval))
 	h.Collect("a", 8, now+CollectInterval)
 	h.ReceiveDeposit("a", 8, quota.Deposit{}, now+CollectInterval)
 	require.Zero(t, h.Deposits(now+CollectInterval))
 	require.Zero(t, h.Offers())
 
 	h.ReceiveOffer("b", now)
-	require.Empty(t, h.Review(now+OfferValidity+1))
+	require.Empty(t, h.DueForCollection(now+OfferValidity+1))
 	require.Zero(t, h.Offers())
 }
--- a/internal/router/replication/replica.go
+++ b/internal/router/replication/replica.go
@@ -93,9 +93,9 @@
 // read that must not be stale needs Confirm.
 func (r *Replica) IsPrimary() bool { return r.role == primary }
 
-// InTouch reports whether this replica had contact with the core within the election timeout: as primary with a majority
+// HasContact reports whether this replica had contact with the core within the election timeout: as primary with a majority
 // of the members, otherwise with the primary or a candidate.
-func (r *Replica) InTouch() bool {
+func (r *Replica) HasContact() bool {
 	if r.role == primary {
 		return r.majorityReachable()
 	}
--- a/internal/router/replication/sim_test.go
+++ b/internal/router/replication/sim_test.go
@@ -320,7 +320,7 @@
 func (s *simulation) primary() *process {
 	for _, address := range s.addresses() {
 		h := s.hosts[address]
-		if h.process != nil && h.process.replica.IsPrimary() && h.process.replica.InTouch() {
+		if h.process != nil && h.process.replica.IsPrimary() && h.process.replica.HasContact() {
 			return h.process
 		}
 	}
--- a/internal/router/routetable/table.go
+++ b/internal/router/routetable/table.go
@@ -15,8 +15,8 @@
 	Streaming             // the answer is a stream of events; like Unsafe, unless the route allows resuming the stream
 )
 
-// Compiled is a route prepared for the data plane. It is immutable.
-type Compiled struct {
+// CompiledRoute is a route prepared for the data plane. It is immutable.
+type CompiledRoute struct {
 	Route
 	Kind          Kind
 	Timeout       time.Duration
@@ -27,7 +27,7 @@
 }
 
 // Idempotent reports whether a request of the route may be retried even if a server may already have run it.
-func (r *Compiled) Idempotent() bool {
+func (r *CompiledRoute) Idempotent() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.StreamResume
 }
 
@@ -36,8 +36,8 @@
 type Table struct {
 	Generation int64
 	Limits     ClientLimits
-	hosts      map[string]map[string]*Compiled // by lower-case host and path prefix
-	routes     map[*Route]*Compiled
+	hosts      map[string]map[string]*CompiledRoute // by lower-case host and path prefix
+	routes     map[*Route]*CompiledRoute
 	routeNames map[string]bool
 	services   map[string]*Service
 	*tenantIndex
@@ -72,8 +72,8 @@
 	t := &Table{
 		tenantIndex: previous.tenantIndex,
 		Generation:  c.Generation,
-		hosts:       map[string]map[string]*Compiled{},
-		routes:      make(map[*Route]*Compiled, len(c.Routes)),
+		hosts:       map[string]map[string]*CompiledRoute{},
+		routes:      make(map[*Route]*CompiledRoute, len(c.Routes)),
 		routeNames:  make(map[string]bool, len(c.Routes)),
 		services:    map[string]*Service{},
 	}
@@ -95,8 +95,8 @@
 	return t
 }
 
-func compileRoute(r *Route) *Compiled {
-	compiled := &Compiled{
+func compileRoute(r *Route) *CompiledRoute {
+	compiled := &CompiledRoute{
 		Route:         *r,
 		Timeout:       time.Duration(r.TimeoutMs * float64(time.Millisecond)),
 		TargetLatency: time.Duration(r.TargetLatencyMs * float64(time.Millisecond)),
@@ -117,19 +117,19 @@
 }
 
 // addRoute adds a route to the indexes of the table.
-func (t *Table) addRoute(r *Route, compiled *Compiled) {
+func (t *Table) addRoute(r *Route, compiled *CompiledRoute) {
 	t.routes[r] = compiled
 	t.routeNames[r.Name] = true
 	host := strings.ToLower(r.Host)
 	if t.hosts[host] == nil {
-		t.hosts[host] = map[string]*Compiled{}
+		t.hosts[host] = map[string]*CompiledRoute{}
 	}
 	t.hosts[host][r.PathPrefix] = compiled
 }
 
 // Route returns the route of a host with the longest prefix of a path, or nil if there is none. It does one map lookup
 // per slash of the path.
-func (t *Table) Route(host, path string) *Compiled {
+func (t *Table) Route(host, path string) *CompiledRoute {
 	prefixes := t.hosts[strings.ToLower(stripPort(host))]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if r := prefixes[path[:end+1]]; r != nil {
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -22,8 +22,8 @@
 // github.com/cockroachdb/errors; the standard library does not find marks.
 var ErrInvalid = errors.New("invalid settings")
 
-// Variable is the environment variable that holds the path of the settings file.
-const Variable = "PETRELHOOK_SETTINGS"
+// PathVariable is the environment variable that holds the path of the settings file.
+const PathVariable = "PETRELHOOK_SETTINGS"
 
 // Listen holds the addresses that a router listens on, as HOST:PORT. A service with an empty address is not started.
 type Listen struct {
@@ -169,8 +169,8 @@
 	return addresses
 }
 
-// ControlOf returns the control address of the router with an internal address, or "" if the routers have none.
-func (s *Settings) ControlOf(internal string) string {
+// ControlAddressOf returns the control address of the router with an internal address, or "" if the routers have none.
+func (s *Settings) ControlAddressOf(internal string) string {
 	ip, _, err := net.SplitHostPort(internal)
 	if err != nil {
 		return ""
@@ -182,8 +182,8 @@
 	return net.JoinHostPort(ip, port)
 }
 
-// Core reports whether this router can be a core member.
-func (s *Settings) Core() bool { return s.CountsForQuorum && s.DataDir != "" }
+// CanJoinCore reports whether this router can be a core member.
+func (s *Settings) CanJoinCore() bool { return s.CountsForQuorum && s.DataDir != "" }
 
 // Milliseconds converts a setting in milliseconds to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -28,10 +28,10 @@
 	require.NoError(t, err)
 	require.Equal(t, "10.1.0.14:7680", s.InternalAddress())
 	require.Equal(t, []string{"10.1.0.14:7680", "10.2.0.32:7680"}, s.SeedAddresses())
-	require.Equal(t, "10.2.0.32:8665", s.ControlOf("10.2.0.32:7680"))
+	require.Equal(t, "10.2.0.32:8665", s.ControlAddressOf("10.2.0.32:7680"))
 	require.Equal(t, 8*time.Second, Seconds(s.Bounds.GraceS))
 	require.Equal(t, 120.0, s.Bounds.PassMs)
-	require.False(t, s.Core())
+	require.False(t, s.CanJoinCore())
 }
 
 func TestBadSettings(t *testing.T) {
--- a/internal/sidecar/core/core_test.go
+++ b/internal/sidecar/core/core_test.go
@@ -205,12 +205,12 @@
 		x := <-core.servers.sent
 		core.stop()
 		<-core.stopped
-		core.expect(pending, 0, front.ErrEnded)
+		core.expect(pending, 0, front.ErrCoreEnded)
 		if x.ctx.Err() == nil {
 			t.Error("the attempt was not cancelled")
 		}
 		x.serve()
-		core.expect(core.request("2", safe), 0, front.ErrEnded)
+		core.expect(core.request("2", safe), 0, front.ErrCoreEnded)
 		if s := core.Stats(); s.Requests != 0 {
 			t.Errorf("%+v", s)
 		}
@@ -257,9 +257,9 @@
 // same name changes nothing.
 func TestReplace(t *testing.T) {
 	withCore(t, []string{"a"}, func(core *testCore) {
-		core.Replace(&fakeSource{lists: make(chan member.List)})
+		core.ReplaceSource(&fakeSource{lists: make(chan member.List)})
 		next := &otherSource{fakeSource: fakeSource{lists: make(chan member.List)}}
-		core.Replace(next)
+		core.ReplaceSource(next)
 		synctest.Wait()
 		if s := core.Stats(); len(s.Servers) != 1 || s.Generation != 0 {
 			t.Errorf("%+v", s)
@@ -273,7 +273,7 @@
 		blocked, last := make(chan struct{}), &otherSource{fakeSource: fakeSource{lists: make(chan member.List)}}
 		last.name = "last"
 		core.post(func() { <-blocked })
-		core.Replace(last)
+		core.ReplaceSource(last)
 		next.lists <- completeList(8, "d")
 		close(blocked)
 		synctest.Wait()
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -8,7 +8,7 @@
 // until its last attempt has ended; an attempt ends once, and its outcome is passed to the module once; a trace id is not
 // accepted again before the deadline of its request has passed.
 //
-// Answer, Replace, Snapshot and Stats are safe for concurrent use; all other methods run in the loop's goroutine.
+// Answer, ReplaceSource, Snapshot and Stats are safe for concurrent use; all other methods run in the loop's goroutine.
 package core
 
 import (
@@ -72,7 +72,7 @@
 }
 
 // Run runs the loop until ctx ends, and is called once. The contexts of watches and attempts are derived from ctx, so that they
-// end with it. Requests that have no answer by then get front.ErrEnded.
+// end with it. Requests that have no answer by then get front.ErrCoreEnded.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.ended)
 	l.ctx = ctx
--- a/internal/sidecar/core/request.go
+++ b/internal/sidecar/core/request.go
@@ -64,7 +64,7 @@
 	case a := <-r.answer: // given before the loop ended
 		return a.Answer, a.err
 	default:
-		return front.Answer{}, front.ErrEnded
+		return front.Answer{}, front.ErrCoreEnded
 	}
 }
 
--- a/internal/sidecar/core/servers.go
+++ b/internal/sidecar/core/servers.go
@@ -171,10 +171,10 @@
 	}()
 }
 
-// Replace replaces the source of the lists, unless the new one has the same name. The current list stays until the new source has
-// delivered its own; requests and attempts go on. The new source may number its generations differently, so its complete list is
-// requested.
-func (l *Loop) Replace(source member.Source) {
+// ReplaceSource replaces the source of the lists, unless the new one has the same name. The current list stays until the new
+// source has delivered its own; requests and attempts go on. The new source may number its generations differently, so its
+// complete list is requested.
+func (l *Loop) ReplaceSource(source member.Source) {
 	l.post(func() {
 		moved := source.Name() != l.source.Name()
 		l.log.Info("reloaded", "discovery", source.Name(), "moved", moved)
--- a/internal/sidecar/counts/report.go
+++ b/internal/sidecar/counts/report.go
@@ -23,8 +23,8 @@
 	HealthChecks uint64 `json:"probes"`
 }
 
-// File describes the configuration file that a process has read last. It is reported beside Report.
-type File struct {
+// ConfigFile describes the configuration file that a process has read last. It is reported beside Report.
+type ConfigFile struct {
 	Digest  string `json:"digest"`  // SHA-256 of the content, in hexadecimal
 	Reloads uint64 `json:"reloads"` // number of reloads whose file was accepted
 }
--- a/internal/sidecar/front/front.go
+++ b/internal/sidecar/front/front.go
@@ -68,8 +68,8 @@
 type Core interface {
 	// Answer blocks until the request is answered. The front cancels ctx when the client disconnects: then no further attempt is
 	// sent for the request, and the context's error is returned. ErrInUse and ErrInvalid mean that the request was not accepted
-	// and not executed. ErrEnded means that the core has ended, and it is unknown whether the request was executed. ErrClientGone
-	// means that Request.ClientGone reported a disconnect. The caller calls Done on the Reply once it is written.
+	// and not executed. ErrCoreEnded means that the core has ended, and it is unknown whether the request was executed.
+	// ErrClientGone means that Request.ClientGone reported a disconnect. The caller calls Done on the Reply once it is written.
 	Answer(ctx context.Context, r Request) (Answer, error)
 }
 
@@ -77,6 +77,6 @@
 var (
 	ErrInUse      = errors.New("trace id in use")
 	ErrInvalid    = errors.New("the request is not valid")
-	ErrEnded      = errors.New("the sidecar has ended")
+	ErrCoreEnded  = errors.New("the sidecar has ended")
 	ErrClientGone = errors.New("the client has gone")
 )
--- a/internal/sidecar/front/platform/platform_test.go
+++ b/internal/sidecar/front/platform/platform_test.go
@@ -217,7 +217,7 @@
 	})
 	request := "POST /book/1?sid=7f HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: book\r\nX-Customer: acme\r\nX-Expires-In: 1500u\r\n" +
 		"X-Second-Try: 1\r\nX-Size-Hint: 2500\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi"
-	for err, want := range map[error]int{nil: 200, front.ErrInUse: 409, front.ErrInvalid: 400, front.ErrEnded: 502} {
+	for err, want := range map[error]int{nil: 200, front.ErrInUse: 409, front.ErrInvalid: 400, front.ErrCoreEnded: 502} {
 		coreErr = err
 		if status, _ := r.send(request); status != want {
 			t.Errorf("%v: status %d, want %d", err, status, want)
--- a/internal/sidecar/front/platform/request.go
+++ b/internal/sidecar/front/platform/request.go
@@ -95,7 +95,7 @@
 		reject(w, err, http.StatusConflict)
 	case errors.Is(err, front.ErrInvalid):
 		reject(w, err, http.StatusBadRequest)
-	case errors.Is(err, front.ErrEnded): // it is unknown whether the request was executed
+	case errors.Is(err, front.ErrCoreEnded): // it is unknown whether the request was executed
 		writeAnswer(w, front.Answer{Verdict: front.Failed})
 	default: // the client has disconnected or has cut its body short
 		panic(http.ErrAbortHandler) // otherwise net/http would write an empty 200
--- a/internal/sidecar/lifecycle/lifecycle.go
+++ b/internal/sidecar/lifecycle/lifecycle.go
@@ -9,7 +9,7 @@
 //	serversKnown          ServersKnown      -                  a server that accepts requests is known, or MaxStartWait has passed
 //	evacuationRequested   Evacuate          Rejoin             operators want no clients at this sidecar
 //	evacuationDone        EvacuationDone    Evacuate, Rejoin   no evacuated client is left
-//	hasSuccessor          Succeeded         SuccessorLost (1)  the successor process has the listener too
+//	hasSuccessor          SuccessorStarted  SuccessorLost (1)  the successor process has the listener too
 //	terminating           Terminate         -                  the process finishes its requests and ends
 //
 // (1) Not while terminating: a process that terminates in favour of a successor does not accept connections again.
@@ -54,13 +54,13 @@
 
 // The events.
 const (
-	ServersKnown   Event = iota // a server that accepts requests is known, or MaxStartWait has passed without one
-	Evacuate                    // an operator wants the clients to use other sidecars
-	Rejoin                      // an operator wants the clients back
-	EvacuationDone              // the last connection of an evacuated client has been closed
-	Succeeded                   // the successor process has the listener, and will serve soon
-	SuccessorLost               // the successor process has ended
-	Terminate                   // the process has to finish the requests in progress, then end
+	ServersKnown     Event = iota // a server that accepts requests is known, or MaxStartWait has passed without one
+	Evacuate                      // an operator wants the clients to use other sidecars
+	Rejoin                        // an operator wants the clients back
+	EvacuationDone                // the last connection of an evacuated client has been closed
+	SuccessorStarted              // the successor process has the listener, and will serve soon
+	SuccessorLost                 // the successor process has ended
+	Terminate                     // the process has to finish the requests in progress, then end
 )
 
 // Status holds the five facts at one moment. It is an immutable value; the zero value is the status of a sidecar that starts.
@@ -71,7 +71,7 @@
 
 // After returns the status after an event.
 func (s Status) After(e Event) Status {
-	if s.terminating && e != SuccessorLost && e != Succeeded {
+	if s.terminating && e != SuccessorLost && e != SuccessorStarted {
 		return s
 	}
 	switch e {
@@ -86,7 +86,7 @@
 		s.evacuationRequested, s.evacuationDone = false, false
 	case EvacuationDone:
 		s.evacuationDone = s.evacuationRequested
-	case Succeeded:
+	case SuccessorStarted:
 		s.hasSuccessor = true
 	case SuccessorLost:
 		s.hasSuccessor = s.hasSuccessor && s.terminating // a terminating process does not accept connections again
--- a/internal/sidecar/lifecycle/lifecycle_test.go
+++ b/internal/sidecar/lifecycle/lifecycle_test.go
@@ -31,16 +31,16 @@
 		{eventsOf(Evacuate, Rejoin), "rejoining no no keeps accepts"},
 		{eventsOf(Evacuate, Rejoin, ServersKnown), "ready yes yes keeps accepts"},
 		{eventsOf(Rejoin), "starting no no keeps accepts"},
-		{eventsOf(ServersKnown, Succeeded), "handing over yes yes keeps accepts"},
-		{eventsOf(ServersKnown, Succeeded, SuccessorLost), "ready yes yes keeps accepts"},
-		{eventsOf(ServersKnown, Succeeded, Terminate), "stopping yes no closes leaves"},
-		{eventsOf(ServersKnown, Succeeded, Terminate, SuccessorLost), "stopping yes no closes leaves"},
+		{eventsOf(ServersKnown, SuccessorStarted), "handing over yes yes keeps accepts"},
+		{eventsOf(ServersKnown, SuccessorStarted, SuccessorLost), "ready yes yes keeps accepts"},
+		{eventsOf(ServersKnown, SuccessorStarted, Terminate), "stopping yes no closes leaves"},
+		{eventsOf(ServersKnown, SuccessorStarted, Terminate, SuccessorLost), "stopping yes no closes leaves"},
 		{eventsOf(ServersKnown, Terminate), "stopping no no closes accepts"},
-		{eventsOf(ServersKnown, Terminate, Succeeded), "stopping yes no closes leaves"}, // the signal came first
+		{eventsOf(ServersKnown, Terminate, SuccessorStarted), "stopping yes no closes leaves"}, // the signal came first
 		{eventsOf(ServersKnown, Terminate, Rejoin), "stopping no no closes accepts"},
 		{eventsOf(ServersKnown, Evacuate, Terminate, Rejoin), "stopping no no closes accepts"},
-		{eventsOf(ServersKnown, Succeeded, Evacuate), "evacuating no yes closes accepts"},
-		{eventsOf(ServersKnown, Succeeded, Evacuate, Terminate), "stopping no no closes leaves"},
+		{eventsOf(ServersKnown, SuccessorStarted, Evacuate), "evacuating no yes closes accepts"},
+		{eventsOf(ServersKnown, SuccessorStarted, Evacuate, Terminate), "stopping no no closes leaves"},
 	} {
 		var s Status
 		for _, e := range c.events {
--- a/internal/sidecar/wiring/loaded_file_test.go
+++ b/internal/sidecar/wiring/loaded_file_test.go
@@ -16,7 +16,7 @@
 
 // reportedFile returns the file that GET /api/counts reports. It decodes and checks the rest of the report as the drivers of rolling changes
 // do.
-func reportedFile(t *testing.T, adminAddr string) counts.File {
+func reportedFile(t *testing.T, adminAddr string) counts.ConfigFile {
 	t.Helper()
 	resp, err := http.Get("http://" + adminAddr + "/api/counts")
 	if err != nil {
@@ -26,7 +26,7 @@
 	text, err := io.ReadAll(resp.Body)
 	var report counts.Report
 	var file struct {
-		File counts.File `json:"file"`
+		File counts.ConfigFile `json:"file"`
 	}
 	if err == nil {
 		err = errors.Join(json.Unmarshal(text, &report), json.Unmarshal(text, &file))
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	peertest.Eventually(t, "it is reported", func() bool {
-		return reportedFile(t, adminAddr) == counts.File{Digest: loaded.Digest, Reloads: 1}
+		return reportedFile(t, adminAddr) == counts.ConfigFile{Digest: loaded.Digest, Reloads: 1}
 	})
 	reload.stop()
 }
--- a/internal/sidecar/wiring/peer.go
+++ b/internal/sidecar/wiring/peer.go
@@ -107,7 +107,7 @@
 	if !p.isSuccessor {
 		return
 	}
-	p.sidecar.lifecycle.Apply(lifecycle.Succeeded)
+	p.sidecar.lifecycle.Apply(lifecycle.SuccessorStarted)
 	p.send(lineAcknowledged)
 	p.send(lineFollows)
 }
--- a/internal/sidecar/wiring/reload.go
+++ b/internal/sidecar/wiring/reload.go
@@ -25,7 +25,7 @@
 			s.log.Error("the configuration stays as it was", "err", err)
 			continue
 		}
-		s.core.Replace(s.source(cfg.Discovery))
-		s.loadedFile.Store(&counts.File{Digest: cfg.Digest, Reloads: s.loadedFile.Load().Reloads + 1})
+		s.core.ReplaceSource(s.source(cfg.Discovery))
+		s.loadedFile.Store(&counts.ConfigFile{Digest: cfg.Digest, Reloads: s.loadedFile.Load().Reloads + 1})
 	}
 }
--- a/internal/sidecar/wiring/run.go
+++ b/internal/sidecar/wiring/run.go
@@ -69,7 +69,7 @@
 func (s *Sidecar) operatorCounts() any {
 	return struct {
 		counts.Report
-		File *counts.File `json:"file"`
+		File *counts.ConfigFile `json:"file"`
 	}{counts.Report{Classes: s.requestCounts.Snapshot(), ServerUse: s.serverCounts.Snapshot()}, s.loadedFile.Load()}
 }
 
--- a/internal/sidecar/wiring/update_delay_test.go
+++ b/internal/sidecar/wiring/update_delay_test.go
@@ -202,7 +202,7 @@
 	d.serve(t, network, "127.0.0.1:83", []scriptedCall{answerSlowly}, &connections)
 
 	sidecar, listener := newScriptedSidecar(t, network, d)
-	d.moveToSecondAddress = func() { sidecar.core.Replace(sidecar.source("127.0.0.1:83")) }
+	d.moveToSecondAddress = func() { sidecar.core.ReplaceSource(sidecar.source("127.0.0.1:83")) }
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	defer func() { cancel(); <-ended; connections.Wait() }()
--- a/internal/sidecar/wiring/wiring.go
+++ b/internal/sidecar/wiring/wiring.go
@@ -62,7 +62,7 @@
 	// Counters for operators. requestCounts and serverCounts are nil where the configuration has no address for operators.
 	requestCounts *counts.Front
 	serverCounts  *counts.Servers
-	loadedFile    atomic.Pointer[counts.File]
+	loadedFile    atomic.Pointer[counts.ConfigFile]
 
 	serverKnown chan struct{} // closed when a server is known
 	handover    handoverProgress
@@ -79,7 +79,7 @@
 		name: cfg.Name, log: log, dial: dial, lifecycle: lifecycle.New(), relay: relay.New(), serverKnown: make(chan struct{}),
 	}
 	s.handover.init()
-	s.loadedFile.Store(&counts.File{Digest: cfg.Digest})
+	s.loadedFile.Store(&counts.ConfigFile{Digest: cfg.Digest})
 	var previous *core.Snapshot
 	if state != nil {
 		previous = &state.Core
