--- a/cmd/petrelhook/recorded_test.go
+++ b/cmd/petrelhook/recorded_test.go
@@ -127,7 +127,7 @@
 		}
 	}
 	link.Close()
-	if successor.Signal(syscall.SIGTERM); successor.Wait() != nil || successor.Log.Has("nothing is taken over") {
+	if successor.Signal(syscall.SIGTERM); successor.Wait() != nil || successor.Log.Has("hand-over from the process in service failed") {
 		t.Errorf("%s: %s", file, successor.Log)
 	}
 }
--- a/cmd/petrelhook/upgrade_test.go
+++ b/cmd/petrelhook/upgrade_test.go
@@ -264,7 +264,7 @@
 		}
 		f.waitForRequests(100)
 	})
-	if current.Log.Has("nothing is taken over") {
+	if current.Log.Has("hand-over from the process in service failed") {
 		t.Error("the last process started without a hand-over")
 	}
 	current.end()
@@ -352,7 +352,7 @@
 		current = next
 		f.waitForRequests(50)
 	})
-	if log := current.Log.String(); !strings.Contains(log, "now=ready") || strings.Contains(log, "nothing is taken over") {
+	if log := current.Log.String(); !strings.Contains(log, "now=ready") || strings.Contains(log, "hand-over from the process in service failed") {
 		t.Error("the last process did not take over")
 	}
 	current.end()
@@ -369,7 +369,7 @@
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("ready after %v", took)
 	}
-	if !second.Log.Has("nothing is taken over") {
+	if !second.Log.Has("hand-over from the process in service failed") {
 		t.Error("the failed hand-over is not logged")
 	}
 	first.Kill()
@@ -378,7 +378,7 @@
 		f.waitForRequests(50)
 		third := f.start()
 		second.end()
-		if third.Log.Has("nothing is taken over") {
+		if third.Log.Has("hand-over from the process in service failed") {
 			t.Error("the third process started without a hand-over")
 		}
 		second = third
@@ -446,7 +446,7 @@
 			current.Pause() // so that it does not hand over in time
 			next := f.start()
 			current.Resume()
-			if !next.Log.Has("nothing is taken over") {
+			if !next.Log.Has("hand-over from the process in service failed") {
 				t.Error("there was a hand-over")
 			}
 			f.waitForRequests(100)
--- a/internal/sidecar/core/attempt.go
+++ b/internal/sidecar/core/attempt.go
@@ -30,7 +30,7 @@
 func (l *Loop) send(action *balance.Action) {
 	r := l.requests[action.Request]
 	if r == nil {
-		l.log.Error("the module sends for a request that is over", "request", action.Request)
+		l.log.Error("the decision module sent an attempt for a request that is no longer in the table", "request", action.Request)
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -102,7 +102,7 @@
 	l.cursor = member.Cursor{Zones: l.config.Zones, Kinds: l.config.Kinds}
 	l.config.Known.Complete = true
 	if err := l.cursor.Accept(l.config.Known); err != nil {
-		l.log.Warn("the list last known is not taken", "err", err)
+		l.log.Warn("ignoring the last known list of servers", "err", err)
 		l.config.Known = member.List{}
 	}
 	l.carryOut(l.balancer.Start(l.clock.nowMillis())) // the first watch requests the changes since the known list
@@ -145,7 +145,7 @@
 func (l *Loop) handle(event balance.Event) error {
 	actions, err := l.balancer.Handle(l.clock.nowMillis(), event)
 	if err != nil {
-		l.log.Warn("the module refuses an event", "err", err)
+		l.log.Warn("the decision module rejected an event", "err", err)
 		return err
 	}
 	l.carryOut(actions)
--- a/internal/sidecar/core/snapshot.go
+++ b/internal/sidecar/core/snapshot.go
@@ -143,7 +143,7 @@
 	}
 	before, now := previous.Names, l.names()
 	if before != nil && len(before.Rules) > 0 && (!slices.Equal(before.Classes, now.Classes) || !slices.Equal(before.Rules, now.Rules)) {
-		l.log.Info("other settings than before: learned times are taken where class, effect and window agree",
+		l.log.Info("the classes have changed: learned statistics are kept for those with the same name, effect, group and window",
 			"before", before.Classes, "now", now.Classes)
 	}
 	l.balancer.Restore(remapSnapshot(previous.Module, previous.Names, *now))
--- a/internal/sidecar/wiring/reload.go
+++ b/internal/sidecar/wiring/reload.go
@@ -22,7 +22,7 @@
 			err = cfg.CheckName(s.name)
 		}
 		if err != nil {
-			s.log.Error("the configuration stays as it was", "err", err)
+			s.log.Error("reload failed; keeping the current configuration", "err", err)
 			continue
 		}
 		s.core.ReplaceSource(s.source(cfg.Discovery))
--- a/internal/sidecar/wiring/reload_test.go
+++ b/internal/sidecar/wiring/reload_test.go
@@ -71,7 +71,7 @@
 // waitRefused waits for the log line which says that a file was rejected.
 func (r *reloader) waitRefused() {
 	r.t.Helper()
-	r.log.waitFor(r.t, "stays as it was")
+	r.log.waitFor(r.t, "reload failed; keeping the current configuration")
 }
 
 func (r *reloader) stop() {
--- a/internal/sidecar/wiring/run.go
+++ b/internal/sidecar/wiring/run.go
@@ -48,7 +48,7 @@
 func (s *Sidecar) terminate(clients net.Listener, succession *Succession) {
 	if succession != nil && s.lifecycle.Status().After(lifecycle.Terminate).YieldsListener() {
 		if err := sock.Yield(clients); err != nil {
-			s.log.Warn("new connections may still come to this process", "err", err)
+			s.log.Warn("could not direct new connections to the other process", "err", err)
 		}
 	}
 	s.lifecycle.Apply(lifecycle.Terminate)
@@ -61,7 +61,7 @@
 		endpoint.Counts = s.operatorCounts
 	}
 	if err := endpoint.Serve(listener); err != nil {
-		s.log.Error("operators are not served any more", "err", err)
+		s.log.Error("admin listener failed; operators are no longer served", "err", err)
 	}
 }
 
@@ -84,7 +84,7 @@
 	select {
 	case <-s.serverKnown:
 	case <-maxWaitElapsed:
-		s.log.Warn("ready without a server", "waited", lifecycle.MaxStartWait)
+		s.log.Warn("became ready without a known server", "waited", lifecycle.MaxStartWait)
 	case <-ctx.Done():
 		return
 	}
@@ -97,7 +97,7 @@
 		status, changed := s.lifecycle.Watch()
 		if status.State() != last {
 			last = status.State()
-			s.log.Info("state", "now", last.String())
+			s.log.Info("lifecycle state changed", "now", last.String())
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/sidecar/wiring/serve.go
+++ b/internal/sidecar/wiring/serve.go
@@ -65,7 +65,7 @@
 		rendezvous := e.Rendezvous(cfg.Name, cfg.Listen)
 		start.clients, start.state, start.succession, err = RequestHandover(rendezvous, cfg.Listen, handoverTimeout)
 		if err != nil {
-			log.Warn("nothing is taken over", "err", err)
+			log.Warn("hand-over from the process in service failed", "err", err)
 		}
 	}
 	if addressInUse { // by the predecessor during an upgrade; operators reach that process until it ends
--- a/internal/sidecar/wiring/succession.go
+++ b/internal/sidecar/wiring/succession.go
@@ -111,10 +111,10 @@
 	for { // offers again after a successor has ended, because it may have replaced this process at the rendezvous
 		end, err := succession.Rendezvous.Offer(Offer{
 			Listener: listener, State: s.stateForSuccessor, OnSuccessor: s.followSuccessor,
-			OnError: func(err error) { s.log.Warn("nothing is handed over", "err", err) },
+			OnError: func(err error) { s.log.Warn("hand-over to a successor failed", "err", err) },
 		})
 		if err != nil {
-			s.log.Warn("nobody can take over", "err", err)
+			s.log.Warn("cannot listen for successors", "err", err)
 		} else {
 			defer end()
 		}
