--- a/internal/coordination/fleet/config.go
+++ b/internal/coordination/fleet/config.go
@@ -95,17 +95,17 @@
 	}
 	switch {
 	case c.ID == 0:
-		return nil, yamlfile.Problem(file, top, "id", "missing or 0; write a number from 1 on that no other replica has or had")
+		return nil, yamlfile.NewError(file, top, "id", "missing or 0; write a number from 1 on that no other replica has or had")
 	case c.Data == "":
-		return nil, yamlfile.Problem(file, top, "data", "missing; write the folder for the replica's state")
+		return nil, yamlfile.NewError(file, top, "data", "missing; write the folder for the replica's state")
 	case replicas.Kind != yaml.SequenceNode || len(replicas.Content) == 0:
-		return nil, yamlfile.Problem(file, top, "replicas", "missing; write a list of id and address")
+		return nil, yamlfile.NewError(file, top, "replicas", "missing; write a list of id and address")
 	}
 	if err := c.parseReplicas(file, &replicas); err != nil {
 		return nil, err
 	}
 	if !c.reachable(c.Addr()) {
-		return nil, yamlfile.Problem(file, top, "listen", c.Addr()+" is not a loopback address; write allow_remote: true if everyone who can reach it may send requests")
+		return nil, yamlfile.NewError(file, top, "listen", c.Addr()+" is not a loopback address; write allow_remote: true if everyone who can reach it may send requests")
 	}
 	if n := len(c.Replicas); n%2 == 0 && !c.Join {
 		c.Warnings = append(c.Warnings, fmt.Sprintf("%s:%d: replicas: %d tolerate no more failures than %d; an odd number is better", file, replicas.Line, n, n-1))
@@ -148,28 +148,28 @@
 		}
 		switch line, duplicate := lineOfID[m.ID]; {
 		case m.ID == 0:
-			return yamlfile.Problem(file, n, field+".id", "missing or 0; write a number from 1 on")
+			return yamlfile.NewError(file, n, field+".id", "missing or 0; write a number from 1 on")
 		case duplicate:
-			return yamlfile.Problem(file, n, field+".id", fmt.Sprintf("%d is already used in line %d; each replica needs its own", m.ID, line))
+			return yamlfile.NewError(file, n, field+".id", fmt.Sprintf("%d is already used in line %d; each replica needs its own", m.ID, line))
 		case m.Addr == "":
-			return yamlfile.Problem(file, n, field+".address", "missing; write host:port")
+			return yamlfile.NewError(file, n, field+".address", "missing; write host:port")
 		case lineOfAddr[m.Addr] > 0:
-			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is already used in line %d", m.Addr, lineOfAddr[m.Addr]))
+			return yamlfile.NewError(file, n, field+".address", fmt.Sprintf("%s is already used in line %d", m.Addr, lineOfAddr[m.Addr]))
 		case !c.reachable(m.Addr):
-			return yamlfile.Problem(file, n, field+".address", fmt.Sprintf("%s is not a loopback address; write allow_remote: true if everyone who can reach it may send requests", m.Addr))
+			return yamlfile.NewError(file, n, field+".address", fmt.Sprintf("%s is not a loopback address; write allow_remote: true if everyone who can reach it may send requests", m.Addr))
 		}
 		lineOfID[m.ID], lineOfAddr[m.Addr] = n.Line, n.Line
 		c.Replicas = append(c.Replicas, m)
 	}
 	if lineOfID[c.ID] == 0 {
-		return yamlfile.Problem(file, replicas, "replicas", fmt.Sprintf("id %d is not in the list", c.ID))
+		return yamlfile.NewError(file, replicas, "replicas", fmt.Sprintf("id %d is not in the list", c.ID))
 	}
 	return nil
 }
 
 func parseReplica(file, field string, n *yaml.Node) (m replica.Member, err error) {
 	if n.Kind != yaml.MappingNode {
-		return m, yamlfile.Problem(file, n, field, "write id and address")
+		return m, yamlfile.NewError(file, n, field, "write id and address")
 	}
 	err = yamlfile.Fields(file, field+".", n, map[string]yamlfile.Reader{
 		"id":      yamlfile.Into(&m.ID, "a number from 1 on"),
--- a/internal/coordination/machine/probe.go
+++ b/internal/coordination/machine/probe.go
@@ -54,7 +54,7 @@
 // the program does not report one.
 func reportedDigest(processCounts []byte) string {
 	var document struct {
-		File counts.File `json:"file"`
+		File counts.ConfigFile `json:"file"`
 	}
 	if json.Unmarshal(processCounts, &document) != nil { // counts of earlier programs have another form
 		return ""
--- a/internal/sidecar/core/loop.go
+++ b/internal/sidecar/core/loop.go
@@ -8,7 +8,7 @@
 // until its last attempt has ended; an attempt ends once, and its outcome is passed to the module once; a trace id is not
 // accepted again before the deadline of its request has passed.
 //
-// Answer, Replace, Snapshot and Stats are safe for concurrent use; all other methods run in the loop's goroutine.
+// Answer, ReplaceSource, Snapshot and Stats are safe for concurrent use; all other methods run in the loop's goroutine.
 package core
 
 import (
@@ -72,7 +72,7 @@
 }
 
 // Run runs the loop until ctx ends, and is called once. The contexts of watches and attempts are derived from ctx, so that they
-// end with it. Requests that have no answer by then get front.ErrEnded.
+// end with it. Requests that have no answer by then get front.ErrCoreEnded.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.ended)
 	l.ctx = ctx
@@ -102,7 +102,7 @@
 	l.cursor = member.Cursor{Zones: l.config.Zones, Kinds: l.config.Kinds}
 	l.config.Known.Complete = true
 	if err := l.cursor.Accept(l.config.Known); err != nil {
-		l.log.Warn("the list last known is not taken", "err", err)
+		l.log.Warn("ignoring the last known list of servers", "err", err)
 		l.config.Known = member.List{}
 	}
 	l.carryOut(l.balancer.Start(l.clock.nowMillis())) // the first watch requests the changes since the known list
@@ -145,7 +145,7 @@
 func (l *Loop) handle(event balance.Event) error {
 	actions, err := l.balancer.Handle(l.clock.nowMillis(), event)
 	if err != nil {
-		l.log.Warn("the module refuses an event", "err", err)
+		l.log.Warn("the decision module rejected an event", "err", err)
 		return err
 	}
 	l.carryOut(actions)
--- a/internal/sidecar/wiring/reload.go
+++ b/internal/sidecar/wiring/reload.go
@@ -22,10 +22,10 @@
 			err = cfg.CheckName(s.name)
 		}
 		if err != nil {
-			s.log.Error("the configuration stays as it was", "err", err)
+			s.log.Error("reload failed; keeping the current configuration", "err", err)
 			continue
 		}
-		s.core.Replace(s.source(cfg.Discovery))
-		s.loadedFile.Store(&counts.File{Digest: cfg.Digest, Reloads: s.loadedFile.Load().Reloads + 1})
+		s.core.ReplaceSource(s.source(cfg.Discovery))
+		s.loadedFile.Store(&counts.ConfigFile{Digest: cfg.Digest, Reloads: s.loadedFile.Load().Reloads + 1})
 	}
 }
