--- a/cmd/petrelhook-coordinator/distribute_test.go
+++ b/cmd/petrelhook-coordinator/distribute_test.go
@@ -8,37 +8,37 @@
 	"petrelhook/internal/rig/coordinator"
 )
 
-// Coordinators are stopped and continue, a follower as well as the leader, which may then believe for a moment that it leads: versions that
-// are published meanwhile or next reach all agents, and none stores an older one. internal/rig/simcoordinator has coordinators that are killed
-// and partitioned.
+// A follower is suspended and resumed, then the leader, which may believe for a moment after it resumes that it still leads. Versions that
+// are published meanwhile and afterwards must reach all agents, and no agent may store an older version. internal/rig/simcoordinator covers
+// coordinators that are killed or partitioned.
 func TestVersionsReachAgentsWhileCoordinatorsAreStopped(t *testing.T) {
 	t.Parallel()
-	g := newGroup(t, 3)
+	group := newGroup(t, 3)
 	const services = 12
-	r := coordinator.StartReceivers(t, g, nil, 5*services, services)
-	n, newest := 0, map[string]distribute.Revision{}
-	all := func(what string) {
+	receivers := coordinator.StartReceivers(t, group, nil, 5*services, services)
+	number, newest := 0, map[string]distribute.Revision{}
+	publishAndAwait := func(situation string) {
 		t.Helper()
 		for i := range services {
-			n++
+			number++
 			service := fmt.Sprintf("service-%d", i)
-			newest[service] = g.PublishNumbered(service, n)
+			newest[service] = group.PublishNumbered(service, number)
 		}
-		r.AwaitAll(newest)
-		t.Log("reached all: ", what)
+		receivers.AwaitAll(newest)
+		t.Log("all agents have the newest versions: ", situation)
 	}
-	all("nothing fails")
+	publishAndAwait("no fault")
 
-	follower := g.Members[(g.AwaitNewLeader(-1)+1)%3]
+	follower := group.Members[(group.AwaitNewLeader(-1)+1)%3]
 	follower.Pause()
-	all("a follower is stopped")
+	publishAndAwait("a follower is suspended")
 	follower.Resume()
-	all("and goes on")
+	publishAndAwait("the follower is resumed")
 
-	leader := g.AwaitNewLeader(-1)
-	g.Members[leader].Pause()
-	g.AwaitNewLeader(leader)
-	all("the leader is stopped")
-	g.Members[leader].Resume() // it may believe that it leads, for a moment
-	all("and goes on")
+	leader := group.AwaitNewLeader(-1)
+	group.Members[leader].Pause()
+	group.AwaitNewLeader(leader)
+	publishAndAwait("the leader is suspended")
+	group.Members[leader].Resume() // it may believe for a moment that it still leads
+	publishAndAwait("the former leader is resumed")
 }
--- a/cmd/petrelhook-coordinator/hard_test.go
+++ b/cmd/petrelhook-coordinator/faults_test.go
@@ -22,14 +22,14 @@
 	"petrelhook/lease"
 )
 
-func client(t *testing.T, g *coordinator.Group) *lease.Client { return clientFor(t, g, ttl) }
+func newClient(t *testing.T, g *coordinator.Group) *lease.Client { return newClientWithTTL(t, g, ttl) }
 
-// patient returns a client whose session outlives a few elections, on a slow machine too.
-func patient(t *testing.T, g *coordinator.Group) *lease.Client {
-	return clientFor(t, g, 20*time.Second)
+// newLongLivedClient returns a client whose session outlives a few elections even on a slow machine.
+func newLongLivedClient(t *testing.T, g *coordinator.Group) *lease.Client {
+	return newClientWithTTL(t, g, 20*time.Second)
 }
 
-func clientFor(t *testing.T, g *coordinator.Group, ttl time.Duration) *lease.Client {
+func newClientWithTTL(t *testing.T, g *coordinator.Group, ttl time.Duration) *lease.Client {
 	t.Helper()
 	c, err := lease.New(lease.Options{Addrs: g.Addrs(), Owner: "same", TTL: ttl})
 	if err != nil {
@@ -50,27 +50,28 @@
 	return h
 }
 
-// A holder is stopped between its check and its act, for longer than its lease, and goes on when another one has acted: the guard
-// refuses it.
+// A holder is suspended between checking its lease and acting, for longer than the lease's TTL, and is resumed after another holder has
+// acted. The guard must refuse its older token.
 func TestStoppedBetweenCheckAndAct(t *testing.T) {
 	t.Parallel()
 	g, r := newGroup(t, 1), &contend.Resource{}
 	guarded := peertest.NewRaw(t, r.Serve)
 	out := &process.Buffer{}
 	first := start(t, contend.RolePausedHolder, out, guarded, strings.Join(g.Addrs(), ","))
-	peertest.Eventually(t, "it has checked the lease, and is paused", func() bool { return strings.Contains(out.String(), contend.CheckedMessage) && first.State() == "T" })
-	other := hold(t, client(t, g), "task") // its TTL has passed
+	peertest.Eventually(t, "the first holder has checked its lease and is suspended", func() bool { return strings.Contains(out.String(), contend.CheckedMessage) && first.State() == "T" })
+	other := hold(t, newClient(t, g), "task") // granted once the TTL of the first holder's lease has passed
 	if err := r.Guard.Admit(other.Token, func() error { return nil }); err != nil {
 		t.Error(err)
 	}
 	first.Resume()
-	peertest.Eventually(t, "it acts", func() bool { return strings.Count(out.String(), "\n") == 2 })
+	peertest.Eventually(t, "the first holder acts", func() bool { return strings.Count(out.String(), "\n") == 2 })
 	if !strings.Contains(out.String(), "old") {
-		t.Error("its act was admitted")
+		t.Error("the guard admitted the first holder's outdated token")
 	}
 }
 
-// A disk that is full ends the process, which says so; the others go on, and with free space it comes back.
+// The leader's process ends when its disk is full, and reports the disk as the cause. The other replicas continue, and the process can be
+// restarted once there is space.
 func TestDiskFull(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t, 3)
@@ -79,20 +80,20 @@
 	if err := unix.Prlimit(c.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: unix.RLIM_INFINITY}, nil); err != nil {
 		t.Fatal(err)
 	}
-	hold(t, client(t, g), "x")
+	hold(t, newClient(t, g), "x")
 	if err := c.Wait(); err == nil {
-		t.Error("it ended well")
+		t.Error("the process ended without an error")
 	}
 	if !strings.Contains(c.Log.String(), "the disk") {
 		t.Errorf("%s", c.Log)
 	}
 	c.Start()
-	g.Members[(leader+1)%3].KillAndWait() // a majority needs it
-	hold(t, client(t, g), "y")
+	g.Members[(leader+1)%3].KillAndWait() // the restarted replica is now needed for a majority
+	hold(t, newClient(t, g), "y")
 }
 
-// Bad settings are one clear error, with its position, and nothing is started.
-func TestBadFiles(t *testing.T) {
+// Each invalid settings file yields a one-line error with the position of the mistake, and nothing is started or created.
+func TestInvalidSettings(t *testing.T) {
 	dir := t.TempDir()
 	good := "id: 1\ndata: d\nreplicas:\n  - {id: 1, address: 127.0.0.1:7001}\n"
 	for want, text := range map[string]string{
@@ -135,8 +136,8 @@
 	}
 }
 
-// The leader is stopped for 10 s, and goes on as if nothing had happened: it renews no session that has ended meanwhile, and the next
-// holder keeps the lease all the time.
+// The leader is suspended for 10 s and resumed with a renewal in its queue. It must not renew a session that has ended meanwhile, and the
+// next holder must keep the lease throughout.
 func TestALeaderThatIsStoppedForTenSeconds(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t, 3)
@@ -151,18 +152,18 @@
 	}
 	leader := g.Leader()
 	g.Members[leader].Pause()
-	next := hold(t, patient(t, g), "task")
+	next := hold(t, newLongLivedClient(t, g), "task")
 	<-time.After(10 * time.Second)
 	renewed := make(chan *fleet.Response, 1)
-	go func() { // the request is in its queue when it goes on
+	go func() { // the request waits in the leader's queue until the leader is resumed
 		response, _ := call(t.Context(), g.ClientLinks[leader].Addr, fleet.Request{Version: fleet.Version, KeepAlive: &replica.KeepAlive{Session: session}})
 		renewed <- response
 	}()
 	g.Members[leader].Resume()
 	if response := peertest.Wait(t, renewed); response != nil && response.SessionAlive {
-		t.Error("it says yes")
+		t.Error("the resumed leader renewed a session that had ended")
 	}
 	if !next.Valid() {
-		t.Error("the next one has lost it")
+		t.Error("the next holder has lost the lease")
 	}
 }
--- a/cmd/petrelhook-coordinator/figures_test.go
+++ b/cmd/petrelhook-coordinator/figures_test.go
@@ -21,34 +21,35 @@
 	"petrelhook/lease"
 )
 
-// figureTime is the length of one measurement.
-const figureTime = 2 * time.Second
+// measurementTime is the duration of one measurement.
+const measurementTime = 2 * time.Second
 
-// timed calls f from some goroutines for figureTime, and returns how often a second, and the times.
-func timed(goroutines int, f func(worker, n int)) (rate float64, p50, p99 time.Duration) {
+// measureCalls calls operation from several goroutines at once for measurementTime. It returns the calls per second, and the median and the
+// 99th percentile of their durations.
+func measureCalls(goroutines int, operation func(worker, n int)) (rate float64, p50, p99 time.Duration) {
 	var mu sync.Mutex
-	var all []time.Duration
+	var durations []time.Duration
 	var workers sync.WaitGroup
-	end := time.Now().Add(figureTime)
-	for w := range goroutines {
+	end := time.Now().Add(measurementTime)
+	for worker := range goroutines {
 		workers.Go(func() {
 			var own []time.Duration
 			for n := 0; time.Now().Before(end); n++ {
 				began := time.Now()
-				f(w, n)
+				operation(worker, n)
 				own = append(own, time.Since(began))
 			}
 			mu.Lock()
-			all = append(all, own...)
+			durations = append(durations, own...)
 			mu.Unlock()
 		})
 	}
 	workers.Wait()
-	slices.Sort(all)
-	return float64(len(all)) / figureTime.Seconds(), all[len(all)/2], all[len(all)*99/100]
+	slices.Sort(durations)
+	return float64(len(durations)) / measurementTime.Seconds(), durations[len(durations)/2], durations[len(durations)*99/100]
 }
 
-// Grants and renewals of 1, 3 and 5 replicas in one run, with more and more leases and sessions.
+// Measures the rate and latency of grants and renewals with 1, 3 and 5 replicas, for growing numbers of leases and sessions.
 func TestFigures(t *testing.T) {
 	peertest.SkipUnlessMeasuring(t)
 	for _, n := range []int{1, 3, 5} {
@@ -81,14 +82,14 @@
 				seqs[w]++
 				request(fleet.Request{Command: &core.Command{Kind: core.Acquire, Session: own[w], Seq: seqs[w], Name: fmt.Sprintf("w%d-%d-%d-%d", w, seqs[w], size[0], size[1])}})
 			}
-			_, g50, g99 := timed(1, grant)
-			grants, _, _ := timed(8, grant)
-			each := uint64(max(1, size[0]/size[1])) // grants, and so the version, of each session
+			_, g50, g99 := measureCalls(1, grant)
+			grants, _, _ := measureCalls(8, grant)
+			each := uint64(max(1, size[0]/size[1])) // the number of grants of each session, which is also the version that it knows
 			renew := func(w, n int) {
 				request(fleet.Request{KeepAlive: &replica.KeepAlive{Session: sessions[(w*7919+n)%len(sessions)], KnownVersion: each}})
 			}
-			_, r50, r99 := timed(1, func(w, n int) { renew(0, n) })
-			renewals, _, _ := timed(32, renew)
+			_, r50, r99 := measureCalls(1, func(w, n int) { renew(0, n) })
+			renewals, _, _ := measureCalls(32, renew)
 			t.Logf("%d replicas, %5d leases, %4d sessions: grant p50 %v p99 %v, %.0f/s; renewal p50 %v p99 %v, %.0f/s", n, size[0], size[1],
 				g50.Round(10*time.Microsecond), g99.Round(10*time.Microsecond), grants, r50.Round(10*time.Microsecond), r99.Round(10*time.Microsecond), renewals)
 		}
@@ -98,58 +99,58 @@
 	}
 }
 
-// How long no client holds the lease after a kill, beside the bound by the settings.
+// Measures how long no client holds the lease after the holder, the leader or both are killed, beside the settings that bound that time.
 func TestFiguresWithoutAHolder(t *testing.T) {
 	peertest.SkipUnlessMeasuring(t)
 	g, r := newGroup(t, 3), &contend.Resource{}
 	guarded := peertest.NewRaw(t, r.Serve)
-	for _, what := range []string{"holder", "leader", "both"} {
-		var longest, sum time.Duration
-		const times = 10
-		for i := range times {
+	for _, target := range []string{"holder", "leader", "both"} {
+		var longest, total time.Duration
+		const kills = 10
+		for i := range kills {
 			out := &process.Buffer{}
-			holder := start(t, contend.RoleIdleHolder, out, guarded, fmt.Sprintf("%s,%s,%s", g.ClientLinks[0].Addr, g.ClientLinks[1].Addr, g.ClientLinks[2].Addr), fmt.Sprint(what, i))
-			peertest.Eventually(t, "it holds", func() bool { return out.String() != "" })
+			holder := start(t, contend.RoleIdleHolder, out, guarded, fmt.Sprintf("%s,%s,%s", g.ClientLinks[0].Addr, g.ClientLinks[1].Addr, g.ClientLinks[2].Addr), fmt.Sprint(target, i))
+			peertest.Eventually(t, "the holder has the lease", func() bool { return out.String() != "" })
 			next, err := lease.New(lease.Options{Addrs: g.Addrs(), Owner: "next", TTL: ttl})
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := make(chan time.Time, 1)
+			acquired := make(chan time.Time, 1)
 			go func() {
-				if _, err := next.Hold(t.Context(), fmt.Sprint(what, i)); err == nil {
-					got <- time.Now()
+				if _, err := next.Hold(t.Context(), fmt.Sprint(target, i)); err == nil {
+					acquired <- time.Now()
 				}
 			}()
-			<-time.After(time.Duration(rand.IntN(int(ttl)))) // at any moment of a renewal
+			<-time.After(time.Duration(rand.IntN(int(ttl)))) // a random moment between two renewals
 			leader := g.Leader()
 			began := time.Now()
-			if what != "leader" {
+			if target != "leader" {
 				holder.Kill()
 			}
-			if what != "holder" && leader >= 0 {
+			if target != "holder" && leader >= 0 {
 				g.Members[leader].Kill()
 			}
-			if what == "leader" { // until a renewal is answered again: the holder keeps it
+			if target == "leader" { // the holder keeps the lease: measure until a new leader answers
 				g.AwaitNewLeader(leader)
 				took := time.Since(began)
-				longest, sum = max(longest, took), sum+took
+				longest, total = max(longest, took), total+took
 				holder.Kill()
-				peertest.Wait(t, got)
+				peertest.Wait(t, acquired)
 			} else {
-				took := peertest.Wait(t, got).Sub(began)
-				longest, sum = max(longest, took), sum+took
+				took := peertest.Wait(t, acquired).Sub(began)
+				longest, total = max(longest, took), total+took
 			}
 			next.Close()
-			if what != "holder" && leader >= 0 {
+			if target != "holder" && leader >= 0 {
 				g.Members[leader].Wait()
 				g.Members[leader].Start()
 			}
 		}
-		t.Logf("kill of %s: mean %v, longest %v; a session lives %v, an election takes 200 to 400 ms and more", what, (sum / times).Round(time.Millisecond), longest.Round(time.Millisecond), ttl)
+		t.Logf("kill of %s: mean %v, longest %v; the TTL of a session is %v, and an election takes 200 to 400 ms or more", target, (total / kills).Round(time.Millisecond), longest.Round(time.Millisecond), ttl)
 	}
 }
 
-// Memory of a lease, and disk, log and start after a million commands.
+// Measures the memory that a lease takes, and the size on disk, the length of the log and the time to restart after a million commands.
 func TestFiguresOfAMillionCommands(t *testing.T) {
 	peertest.SkipUnlessMeasuring(t)
 	heap := func() float64 {
@@ -166,7 +167,7 @@
 	for i := range 100_000 {
 		s.Apply(core.Command{Kind: core.Acquire, Session: core.SessionID(i%1000 + 1), Seq: uint64(i + 1), Name: fmt.Sprintf("duty/probe/%06d", i)})
 	}
-	t.Logf("%.0f bytes of memory a lease, %d in a snapshot", (heap()-before)/100_000, len(s.Snapshot())/100_000)
+	t.Logf("%.0f bytes of memory per lease, %d in a snapshot", (heap()-before)/100_000, len(s.Snapshot())/100_000)
 	runtime.KeepAlive(s)
 
 	dir := t.TempDir()
@@ -232,6 +233,6 @@
 		c.Tick(now)
 		pump()
 	}
-	t.Logf("1,000,000 commands in %v, %d entries and %d MB on disk, %v from start to lead (ticks not counted)", took.Round(time.Millisecond), log, info.Size()>>20, time.Since(began).Round(time.Millisecond))
+	t.Logf("1,000,000 commands in %v, %d log entries and %d MB on disk, %v from the start until it leads (without waiting for ticks)", took.Round(time.Millisecond), log, info.Size()>>20, time.Since(began).Round(time.Millisecond))
 	d.Close()
 }
--- a/cmd/petrelhook-coordinator/main.go
+++ b/cmd/petrelhook-coordinator/main.go
@@ -1,5 +1,5 @@
-// Command petrelhook-coordinator is a coordinator: one, three or five of them keep the fleet's leases, limits, rolling changes and
-// configuration versions. Package fleet is its server. Exit codes are those of package command.
+// Command petrelhook-coordinator runs a coordinator. A group of one, three or five coordinators stores the fleet's leases, limits, rolling
+// changes and configuration versions. Package fleet implements the server. Package command defines the exit codes.
 package main
 
 import (
@@ -19,19 +19,19 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// flags are the command line's.
+// flags holds the values of the command line's flags.
 type flags struct {
-	config string // the settings' file
-	data   string // without a file: the folder of the only coordinator of a machine
-	listen string // with data
-	check  bool
+	config string // the path of the settings file
+	data   string // in place of a settings file: the data folder of a machine's only coordinator
+	listen string // the address to listen on, used with data
+	check  bool   // check the settings and exit
 }
 
-// run is the program with its arguments and outputs; it returns the exit code.
+// run runs the program with the given arguments and outputs, and returns the exit code.
 func run(args []string, out, errs io.Writer) int {
 	var f flags
 	cmd := &cobra.Command{
-		Use: "petrelhook-coordinator [--config FILE | --data FOLDER]", Short: "A coordinator of petrelhook's fleet: who holds which lease",
+		Use: "petrelhook-coordinator [--config FILE | --data FOLDER]", Short: "A coordinator of petrelhook's fleet: leases, limits, rolling changes and configuration versions",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			c, err := f.settings()
@@ -48,15 +48,15 @@
 	}
 	command.SettingsFlags(cmd, &f.config, &f.check)
 	set := cmd.Flags()
-	set.StringVar(&f.data, "data", "", "`FOLDER` of the one coordinator of a machine; it needs no file")
-	set.StringVar(&f.listen, "listen", fleet.DefaultAddr, "with --data: `HOST:PORT`")
+	set.StringVar(&f.data, "data", "", "data `FOLDER` of a machine's only coordinator, which needs no settings file")
+	set.StringVar(&f.listen, "listen", fleet.DefaultAddr, "with --data: `HOST:PORT` to listen on")
 	return command.Run(cmd, args, out, errs)
 }
 
-// settings returns those of the file, or those of the only coordinator of a machine.
+// settings returns the settings in the file that --config names, or with --data those of a machine's only coordinator.
 func (f *flags) settings() (*fleet.Config, error) {
 	if (f.config == "") == (f.data == "") {
-		return nil, errors.New("write --config FILE, or --data FOLDER for the one coordinator of this machine")
+		return nil, errors.New("write --config FILE, or --data FOLDER for the only coordinator of this machine")
 	}
 	if f.config == "" {
 		return fleet.SingleConfig(f.data, f.listen), nil
@@ -68,7 +68,7 @@
 	return c, nil
 }
 
-// serve runs until SIGTERM or an interrupt.
+// serve runs the coordinator until it receives SIGTERM or an interrupt.
 func serve(c *fleet.Config, log *slog.Logger) error {
 	ctx, release := command.Terminated()
 	defer release()
--- a/cmd/petrelhook-coordinator/process_test.go
+++ b/cmd/petrelhook-coordinator/process_test.go
@@ -26,7 +26,7 @@
 	ttl          = contend.TTL
 )
 
-// The test program is a coordinator and a holder as well, by its role.
+// The test binary also runs as a coordinator or as a holder, depending on the role in its environment.
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVariable) {
 	case "coordinator":
@@ -38,7 +38,7 @@
 	os.Exit(m.Run())
 }
 
-// call makes one call to one coordinator.
+// call sends one request to one coordinator, without retries.
 func call(ctx context.Context, addr string, in fleet.Request) (*fleet.Response, error) {
 	res, err := fleet.Client[fleet.Request, fleet.Response](http.DefaultClient, addr, fleet.PathRequest).CallUnary(ctx, connect.NewRequest(&in))
 	if err != nil {
@@ -47,7 +47,7 @@
 	return res.Msg, nil
 }
 
-// start starts this program in a role.
+// start starts the test binary as a process in the given role.
 func start(t *testing.T, role string, out io.Writer, args ...string) *process.Process {
 	t.Helper()
 	cmd := process.Self(roleVariable, role, args...)
@@ -60,22 +60,22 @@
 	return coordinator.NewGroup(t, n, func(args ...string) *exec.Cmd { return process.Self(roleVariable, "coordinator", args...) })
 }
 
-// rounds returns how many rounds a test plays: ROUNDS of the environment, else a few.
-func rounds(few int) int {
-	n := few
+// faultRounds returns the number of faults that a test injects: the value of the environment variable ROUNDS, or else defaultRounds.
+func faultRounds(defaultRounds int) int {
+	n := defaultRounds
 	fmt.Sscan(os.Getenv("ROUNDS"), &n)
 	return n
 }
 
-// Real processes, coordinators and eight holders, under random faults of processes and of the links between them: no two hold at
-// once, no token is granted twice, and the guard admits in order.
+// Coordinators and eight holders run as real processes under random faults of the processes and of the links between them. No two holders
+// may hold the lease at once, no token may be granted twice, and the guard must admit tokens in order.
 func TestProcessesUnderFaults(t *testing.T) {
 	for _, n := range []int{3, 5} {
-		t.Run(fmt.Sprint(n), func(t *testing.T) { underFaults(t, n, rounds(8), rand.New(rand.NewPCG(uint64(n), 1))) })
+		t.Run(fmt.Sprint(n), func(t *testing.T) { runUnderFaults(t, n, faultRounds(8), rand.New(rand.NewPCG(uint64(n), 1))) })
 	}
 }
 
-func underFaults(t *testing.T, n, rounds int, random *rand.Rand) {
+func runUnderFaults(t *testing.T, n, rounds int, random *rand.Rand) {
 	t.Parallel()
 	g, r := newGroup(t, n), &contend.Resource{}
 	guarded := peertest.NewRaw(t, r.Serve)
@@ -86,32 +86,32 @@
 		outs = append(outs, out)
 		holders = append(holders, start(t, contend.RoleHolder, out, fmt.Sprint("h", i), guarded, strings.Join(g.Addrs(), ",")))
 	}
-	progress := func() {
+	awaitProgress := func() {
 		t.Helper()
-		was := len(r.Writes())
-		peertest.Eventually(t, "a holder acts", func() bool { return len(r.Writes()) > was+20 })
+		before := len(r.Writes())
+		peertest.Eventually(t, "holders act", func() bool { return len(r.Writes()) > before+20 })
 	}
-	progress()
+	awaitProgress()
 	faults := map[string]int{}
 	for range rounds {
-		what := g.InjectFault(random, ttl, holders)
-		faults[what]++
-		progress() // the fault is over, and the fleet goes on
+		fault := g.InjectFault(random, ttl, holders)
+		faults[fault]++
+		awaitProgress() // the fault is over, and holders act again
 	}
 	for _, h := range holders {
 		h.Input.Close()
 		h.Wait()
 	}
-	var looks []belief.Belief
+	var beliefs []belief.Belief
 	for i, out := range outs {
-		looks = append(looks, contend.ParseBeliefs(fmt.Sprint("h", i), out.String())...)
+		beliefs = append(beliefs, contend.ParseBeliefs(fmt.Sprint("h", i), out.String())...)
 	}
-	v := belief.Check(looks, r.Writes())
-	t.Logf("%d coordinators, %d faults %v: %d checks, %d acts, %d holders one after another, %d acts refused by the guard", n, rounds, faults, v.Beliefs, v.Writes, v.HolderChanges, v.Rejected)
-	for _, w := range v.Violations {
+	result := belief.Check(beliefs, r.Writes())
+	t.Logf("%d coordinators, %d faults %v: %d checks, %d writes, %d changes of the holder, %d writes refused by the guard", n, rounds, faults, result.Beliefs, result.Writes, result.HolderChanges, result.Rejected)
+	for _, w := range result.Violations {
 		t.Error(w)
 	}
-	if v.HolderChanges < rounds {
-		t.Errorf("%d holders one after another", v.HolderChanges)
+	if result.HolderChanges < rounds {
+		t.Errorf("%d changes of the holder", result.HolderChanges)
 	}
 }
