--- a/cmd/petrelhook-coordinator/figures_test.go
+++ b/cmd/petrelhook-coordinator/figures_test.go
@@ -31,12 +31,12 @@
 	var durations []time.Duration
 	var workers sync.WaitGroup
 	end := time.Now().Add(measurementTime)
-	for worker := range goroutines {
+	for goroutine := range goroutines {
 		workers.Go(func() {
 			var own []time.Duration
 			for n := 0; time.Now().Before(end); n++ {
 				began := time.Now()
-				operation(worker, n)
+				operation(goroutine, n)
 				own = append(own, time.Since(began))
 			}
 			mu.Lock()
--- a/cmd/petrelhook-coordinator/share_test.go
+++ b/cmd/petrelhook-coordinator/share_test.go
@@ -48,11 +48,11 @@
 	for i := range members {
 		processes = append(processes, start(t, contend.RoleSpender, &logs[i], fmt.Sprint("m", i), "4ms", string(limit), strings.Join(g.Addrs(), ",")))
 	}
-	countUses := func() (n int) {
+	countUses := func() (count int) {
 		for i := range logs {
-			n += len(contend.ParseUses(logs[i].String()))
+			count += len(contend.ParseUses(logs[i].String()))
 		}
-		return n
+		return count
 	}
 	awaitUses := func(what string, count int) {
 		before := countUses()
