--- a/cmd/petrelhook-agent/deployment_test.go
+++ b/cmd/petrelhook-agent/deployment_test.go
@@ -11,7 +11,7 @@
 	"petrelhook/internal/rig/deployment"
 )
 
-// The test's program is also the sidecar of a bad release.
+// The test binary also runs as the sidecar of a faulty release, if the environment names the fault.
 func TestMain(m *testing.M) {
 	if kind := os.Getenv(deployment.FaultVariable); kind != "" {
 		if err := deployment.RunFaultySidecar(kind); err != nil {
@@ -25,38 +25,39 @@
 	os.Exit(code)
 }
 
-// Real processes are judged by what happens, not by when: the machine may be busy with something else. Requests may take very long before
-// they are late, and agents wait very long before they give a sidecar up. internal/rig/deployment plays the same deployments in virtual
-// time, with the times that operators have.
+// The tests of real processes check what happens and not when, since the machine may be busy with other work. The deadline of requests and
+// the time-outs of agents are therefore very long. internal/rig/deployment simulates the same deployments in virtual time, with the
+// time-outs that operators use.
 const (
-	patientDeadline = 20 * time.Second
-	patientLimits   = "{ready_timeout: 60s, trial_period: 300ms, termination_timeout: 60s, poll_interval: 50ms, isolation_timeout: 60s, contact_timeout: 4s, initial_restart_backoff: 200ms}"
+	longDeadline = 20 * time.Second
+	longLimits   = "{ready_timeout: 60s, trial_period: 300ms, termination_timeout: 60s, poll_interval: 50ms, isolation_timeout: 60s, contact_timeout: 4s, initial_restart_backoff: 200ms}"
 )
 
-// startProcesses is a deployment of processes under load, beside those of other tests. The programs that it starts are built without the race
-// detector, which would see the rig alone: one test is run under it, the others are not.
+// startProcesses starts a deployment of real processes under load, in parallel with those of other tests. It skips the test under the race
+// detector, except for TestStoppedProcesses: the programs that it starts are built without the detector, which would check only the test's
+// own code.
 func startProcesses(t *testing.T, sidecars, rate int, configure func(*deployment.Deployment)) *deployment.LoadTest {
 	t.Helper()
-	if raced && t.Name() != "TestStoppedProcesses" {
-		t.Skip("the programs are not built with the race detector")
+	if raceDetectorEnabled && t.Name() != "TestStoppedProcesses" {
+		t.Skip("the programs that the test starts are built without the race detector")
 	}
 	t.Parallel()
 	platform := deployment.Processes(t, func() string { return peertest.ReserveAddr(t) })
-	return deployment.StartLoadTest(t, platform, deployment.Load{Sidecars: sidecars, Rate: rate, Deadline: patientDeadline,
+	return deployment.StartLoadTest(t, platform, deployment.Load{Sidecars: sidecars, Rate: rate, Deadline: longDeadline,
 		Configure: func(d *deployment.Deployment) {
-			d.Limits = patientLimits
+			d.Limits = longLimits
 			if configure != nil {
 				configure(d)
 			}
 		}})
 }
 
-// kill kills agents in turn, each at a random moment within some time after it began to serve, and starts it again. It fails the test if
-// a sidecar ever has a third process.
-func kill(t *testing.T, s *deployment.LoadTest, times int, within time.Duration) {
+// killAgentsInTurn kills one agent after another, the given number of times in all, and restarts each. It waits for a random time below
+// within before each kill. It fails the test if a sidecar ever has a third process.
+func killAgentsInTurn(t *testing.T, s *deployment.LoadTest, times int, within time.Duration) {
 	t.Helper()
 	for i := range times {
-		<-time.After(rand.N(within)) // at any moment: which one it is must not matter
+		<-time.After(rand.N(within)) // the moment of the kill must not matter
 		a := s.Agents[i%len(s.Agents)]
 		a.KillAndWait()
 		a.StartProcess()
--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -10,23 +10,24 @@
 	"petrelhook/internal/rig/deployment"
 )
 
-// The harm that a bad release does within some time: judged in stages, in stages by the clock, and all at once; 12 sidecars, the same load.
+// Measures the fraction of requests that a faulty release harms within a fixed time under the same load on 12 sidecars, if it is rolled out
+// in stages with a judge, in stages of a fixed duration, and on all sidecars at once.
 func TestFiguresOfHarm(t *testing.T) {
 	peertest.SkipUnlessMeasuring(t)
 	const horizon = 40 * time.Second
 	s := startProcesses(t, 12, 360, nil)
 	bad := s.FaultyRelease(deployment.FaultOneClass)
-	zero := time.Now()
-	var froms []time.Duration
-	names := []string{"judged", "by the clock", "at once"}
-	for i, p := range []string{
+	start := time.Now()
+	var starts []time.Duration
+	names := []string{"judged stages", "timed stages", "all at once"}
+	for i, plan := range []string{
 		"max_concurrent: 2\nstages:\n  - {count: 1, control: 1, min_bake_time: 10s}\n  - {share: 0.25, control: 2, min_bake_time: 10s}\n  - {share: 1}\n",
 		"max_concurrent: 2\njudge: none\nstages:\n  - {count: 1, min_bake_time: 10s}\n  - {share: 0.25, min_bake_time: 10s}\n  - {share: 1}\n",
 		"max_concurrent: 12\njudge: none\nstages:\n  - {share: 1}\n",
 	} {
-		from := time.Since(zero)
-		froms = append(froms, from)
-		if _, err := s.Begin(deployment.PlanText(s.Initial, bad, p)); err != nil {
+		startedAt := time.Since(start)
+		starts = append(starts, startedAt)
+		if _, err := s.Begin(deployment.PlanText(s.Initial, bad, plan)); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(horizon)
@@ -42,31 +43,32 @@
 			s.AwaitEnd(time.Minute)
 		}
 	}
-	began := time.Since(zero)
-	out := s.Check()
-	offset := out.Records.Calls[len(out.Records.Calls)-1].ScheduledAt - began // of the records' clock from this one, about
-	for i, from := range froms {
-		all, hurt := 0, 0
-		for _, c := range out.Records.Calls {
-			if c.ScheduledAt < from+offset || c.ScheduledAt > from+offset+horizon {
+	began := time.Since(start)
+	outcome := s.Check()
+	offset := outcome.Records.Calls[len(outcome.Records.Calls)-1].ScheduledAt - began // approximate offset of the records' clock from this one
+	for i, startedAt := range starts {
+		total, affected := 0, 0
+		for _, c := range outcome.Records.Calls {
+			if c.ScheduledAt < startedAt+offset || c.ScheduledAt > startedAt+offset+horizon {
 				continue
 			}
-			if all++; c.Result != audit.Served {
-				hurt++
+			if total++; c.Result != audit.Served {
+				affected++
 			}
 		}
-		t.Logf("%s: %d of %d requests hurt within %v: %.4f", names[i], hurt, all, horizon, float64(hurt)/float64(all))
+		t.Logf("%s: %d of %d requests were harmed within %v: %.4f", names[i], affected, total, horizon, float64(affected)/float64(total))
 	}
 }
 
-// Good changes of 12 sidecars in three stages, one after the other, forth and back: none is stopped, and no request is affected.
+// Twenty changes of 12 sidecars in three stages alternate between two equivalent releases. None may be stopped, and no request may be
+// affected.
 func TestFiguresOfGoodChanges(t *testing.T) {
 	peertest.SkipUnlessMeasuring(t)
 	s := startProcesses(t, 12, 1500, nil)
-	now, next := s.Initial, s.Renamed("another-name")
+	current, next := s.Initial, s.Renamed("another-name")
 	for i := range 20 {
 		began := time.Now()
-		if _, err := s.Begin(deployment.PlanText(now, next, "max_concurrent: 4\nmax_unavailable: 4\nprogress_timeout: 3m\njudge: {min_effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {count: 4, control: 2}\n  - {share: 1}\n")); err != nil {
+		if _, err := s.Begin(deployment.PlanText(current, next, "max_concurrent: 4\nmax_unavailable: 4\nprogress_timeout: 3m\njudge: {min_effect: 0.2}\nstages:\n  - {count: 2, control: 2}\n  - {count: 4, control: 2}\n  - {share: 1}\n")); err != nil {
 			t.Fatal(err)
 		}
 		c := s.AwaitEnd(3 * time.Minute)
@@ -74,12 +76,12 @@
 		if c.State.Phase != rollout.Done {
 			t.Fatal(c.State.Reason)
 		}
-		now, next = next, now
+		current, next = next, current
 	}
 	s.Check()
 }
 
-// A release that leaks memory is stopped in its first stage.
+// A release that leaks memory must be stopped in its first stage.
 func TestFiguresOfALeak(t *testing.T) {
 	peertest.SkipUnlessMeasuring(t)
 	s := startProcesses(t, 6, 240, nil)
--- a/cmd/petrelhook-agent/main.go
+++ b/cmd/petrelhook-agent/main.go
@@ -1,5 +1,5 @@
-// Command petrelhook-agent runs the sidecars of one machine: it starts them, replaces their processes when a rolling change orders so, and
-// supervises them again after a restart.
+// Command petrelhook-agent runs the sidecars of one machine. It starts them, replaces their processes when a rolling change orders it, and
+// supervises the running ones again after a restart of the agent.
 package main
 
 import (
@@ -20,11 +20,11 @@
 	"petrelhook/internal/coordination/machine"
 )
 
-// startCommand is the hidden subcommand by which the agent starts a sidecar: see machine.BecomeSidecar.
+// startCommand is the hidden subcommand that the agent runs to start a sidecar. See machine.BecomeSidecar.
 const startCommand = "once"
 
-// The process of a start becomes the sidecar's program from its first thread. From another thread, the first would be a zombie for a
-// moment, and an observer would take the process for ended.
+// Locks the main goroutine to the first thread, because the process that starts a sidecar has to call execve from it. If another thread
+// did so, the first one would be a zombie for a moment, and an observer would take the process for ended.
 func init() {
 	if len(os.Args) > 1 && os.Args[1] == startCommand {
 		runtime.LockOSThread()
@@ -33,12 +33,12 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run is the program with its arguments and outputs; it returns the exit code.
+// run runs the program with the given arguments and outputs, and returns the exit code.
 func run(args []string, out, errs io.Writer) int {
 	var path string
 	var check bool
 	cmd := &cobra.Command{
-		Use: "petrelhook-agent --config FILE", Short: "The agent of one machine: starts its sidecars, and changes them as a rolling change orders",
+		Use: "petrelhook-agent --config FILE", Short: "The agent of one machine: starts its sidecars, and replaces them when a rolling change orders it",
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if path == "" {
@@ -64,7 +64,7 @@
 	return command.Run(cmd, args, out, errs)
 }
 
-// serve runs the agent until SIGTERM or an interrupt. The sidecars outlive it.
+// serve runs the agent until it receives SIGTERM or an interrupt. The sidecars keep running afterwards.
 func serve(c *machine.Config, log *slog.Logger) error {
 	ctx, release := command.Terminated()
 	defer release()
@@ -84,15 +84,16 @@
 	return nil
 }
 
-// An agent that is killed while it starts a process leaves its address and its lock for a moment to that process, which has its descriptors
-// until it runs its program. One that is started meanwhile waits for them.
+// If an agent is killed while it starts a process, that process inherits its descriptors, and so holds its address and its lock until it
+// executes the sidecar's program. An agent that is started meanwhile waits for heldTimeout at most, and tries again after each
+// heldRetryInterval.
 const (
 	heldTimeout       = 5 * time.Second
 	heldRetryInterval = 20 * time.Millisecond
 )
 
-// retryWhileHeld calls open until it returns something else than the error that another process holds what it opens, until heldTimeout has
-// passed, or until ctx ends.
+// retryWhileHeld calls open repeatedly while open fails with the error held, which means that another process holds the resource. It returns
+// the last result of open once that is a success or another error, once heldTimeout has passed, or once ctx is done.
 func retryWhileHeld[T any](ctx context.Context, held syscall.Errno, open func() (T, error)) (T, error) {
 	for until := time.Now().Add(heldTimeout); ; {
 		opened, err := open()
--- a/cmd/petrelhook-agent/main_test.go
+++ b/cmd/petrelhook-agent/main_test.go
@@ -16,13 +16,13 @@
 	"petrelhook/internal/common/command"
 )
 
-// Slips in an agent's file are errors with their place, and the example is good.
-func TestBadFiles(t *testing.T) {
+// Each mistake in an agent's file must be reported in one line with its position, and the example file must be valid.
+func TestInvalidFiles(t *testing.T) {
 	example, err := os.ReadFile("../../deploy/agent.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := strings.Replace(string(example), "# configuration:", "configuration:", 1) // the example has it off
+	good := strings.Replace(string(example), "# configuration:", "configuration:", 1) // the example has this line commented out
 	call := func(args ...string) (int, string) {
 		var out bytes.Buffer
 		return run(args, &out, &out), out.String()
@@ -31,7 +31,7 @@
 		t.Errorf("%d %s", code, out)
 	}
 	path := filepath.Join(t.TempDir(), "a.yaml")
-	for want, c := range map[string][2]string{
+	for want, replacement := range map[string][2]string{
 		"a.yaml:2:1: app: unknown field":                                   {"application:", "app:"},
 		"a.yaml:2:1: data: missing":                                        {"data: /var/lib/petrelagent\n", ""},
 		"a.yaml:2:1: release: missing":                                     {"release: 0123", "#"},
@@ -55,7 +55,7 @@
 		`a.yaml:11:31: configuration.trial_period: "2"; write a time`:        {`{coordinators`, `{trial_period: 2, coordinators`},
 		`a.yaml:11:16: configuration: service: "per mits"; write printable`:  {`permits`, `per mits`},
 	} {
-		text := strings.Replace(good, c[0], c[1], 1)
+		text := strings.Replace(good, replacement[0], replacement[1], 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -76,8 +76,7 @@
 	}
 }
 
-// The name that earlier versions had for admin_addresses is read as before, with one warning that says the new one. A file with both
-// names is an error.
+// The former name of admin_addresses must still be read, with one warning that names the new one. A file with both names must be refused.
 func TestAdminAddressesUnderTheirOldName(t *testing.T) {
 	example, err := os.ReadFile("../../deploy/agent.yaml")
 	if err != nil {
@@ -95,7 +94,7 @@
 	}
 	const key, oldKey = "admin_addresses:", "doors:"
 	if n := strings.Count(string(example), key); n != 2 {
-		t.Fatalf("the example has %d", n)
+		t.Fatalf("the example has %d fields admin_addresses, want 2", n)
 	}
 
 	if code, out, errs := check(string(example)); code != 0 || errs != "" {
@@ -110,22 +109,22 @@
 		t.Errorf("the old name: warned %q, want one line with %q", errs, warning)
 	}
 
-	for what, text := range map[string]string{
+	for name, text := range map[string]string{
 		"one sidecar each": strings.Replace(string(example), key, oldKey, 1),
 		"in one sidecar":   strings.Replace(string(example), key, `doors: ["127.0.0.1:9600", "127.0.0.1:9601"], `+key, 1),
 	} {
 		const want = "a.yaml:9:58: sidecars[0].doors: the file has admin_addresses as well; write admin_addresses alone"
 		code, out, errs := check(text)
 		if code != 1 || out != "" || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, want) {
-			t.Errorf("%s: %d %s%s, want %q", what, code, out, errs, want)
+			t.Errorf("%s: %d %s%s, want %q", name, code, out, errs, want)
 		}
 	}
 }
 
-// An agent waits for an address or a lock that another process holds for a moment, not for long, and not after another error.
-func TestWhatIsHeldIsAwaited(t *testing.T) {
+// The agent must retry while another process holds an address or a lock, give up after heldTimeout, and not retry after any other error.
+func TestRetryWhileHeld(t *testing.T) {
 	for name, c := range map[string]struct {
-		errs []error // of one call after another; then there is none
+		errs []error // the errors of successive calls; later calls succeed
 		want error
 		took time.Duration
 	}{
--- a/cmd/petrelhook-agent/norace_test.go
+++ b/cmd/petrelhook-agent/norace_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raced = false
+const raceDetectorEnabled = false
--- a/cmd/petrelhook-agent/race_test.go
+++ b/cmd/petrelhook-agent/race_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raced = true
+const raceDetectorEnabled = true
--- a/cmd/petrelhook-agent/version_test.go
+++ b/cmd/petrelhook-agent/version_test.go
@@ -10,11 +10,12 @@
 	"petrelhook/internal/rig/deployment"
 )
 
-// inForceTimeout bounds the wait for a version that must come into force. No test waits so long when it passes.
+// inForceTimeout bounds the wait until a version is in force. Passing tests wait much less.
 const inForceTimeout = 2 * time.Minute
 
-// subscribed is a deployment whose agents receive versions and whose servers are listed at one address for all sidecars.
-func subscribed(t *testing.T) *deployment.LoadTest {
+// startSubscribed starts a deployment whose agents subscribe to configuration versions and whose sidecars all use the same discovery
+// address.
+func startSubscribed(t *testing.T) *deployment.LoadTest {
 	t.Helper()
 	return startProcesses(t, 6, 60, func(d *deployment.Deployment) {
 		d.SubscribeVersions = true
@@ -22,8 +23,8 @@
 	})
 }
 
-// quantum is a version that needs new processes.
-func quantum(s *deployment.LoadTest, ms int) string {
+// versionWithQuantum returns a version with another quantum_ms, which comes into force only in new processes.
+func versionWithQuantum(s *deployment.LoadTest, ms int) string {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(s.ReplaceSetting(`"quantum_ms":2`, fmt.Sprintf(`"quantum_ms":%d`, ms)), &fields); err != nil {
 		panic(err)
@@ -31,38 +32,38 @@
 	return fmt.Sprintf(`{"settings": %s}`, fields["settings"])
 }
 
-// Agents are killed at random moments while versions are applied by new processes: no older version comes back, no sidecar has a third
-// process, none refuses a good version, and the newest is in force on all.
+// Agents are killed at random moments while versions are applied by starting new processes. No older version may come into force again, no
+// sidecar may have a third process or refuse a valid version, and the newest version must be in force on all sidecars.
 func TestAgentsKilledInAVersion(t *testing.T) {
-	s := subscribed(t)
-	end := s.WatchRevisions(t)
+	s := startSubscribed(t)
+	stopWatching := s.WatchRevisions(t)
 	for i := range 3 {
-		newest := s.Publish(quantum(s, 3+i))
-		kill(t, s, 4, 900*time.Millisecond)
+		newest := s.Publish(versionWithQuantum(s, 3+i))
+		killAgentsInTurn(t, s, 4, 900*time.Millisecond)
 		s.AwaitInForce(inForceTimeout, newest)
 	}
-	s.AwaitInForce(inForceTimeout, s.Publish(quantum(s, 20)))
-	end()
+	s.AwaitInForce(inForceTimeout, s.Publish(versionWithQuantum(s, 20)))
+	stopWatching()
 	for _, m := range s.InForce().Members {
 		if m.Refused != 0 {
-			t.Errorf("%+v has refused a good version", m)
+			t.Errorf("%+v has refused a valid version", m)
 		}
 	}
 	s.Check()
 }
 
-// The coordinator that leads is paused while a version is published. When it continues it knows an older one, and sends nothing until it has
-// caught up: no older version comes into force again.
+// The leader is suspended while a version is published. When it is resumed it knows only an older version, and must send nothing until it
+// has caught up: no older version may come into force again.
 func TestACoordinatorThatIsPaused(t *testing.T) {
-	s := subscribed(t)
-	end := s.WatchRevisions(t)
-	s.AwaitInForce(inForceTimeout, s.Publish(quantum(s, 3)))
+	s := startSubscribed(t)
+	stopWatching := s.WatchRevisions(t)
+	s.AwaitInForce(inForceTimeout, s.Publish(versionWithQuantum(s, 3)))
 	paused := s.Members[s.AwaitNewLeader(-1)]
 	paused.Pause()
-	newest := s.Publish(quantum(s, 4))
-	s.AwaitSummary(inForceTimeout, "the others tell", func(sum distribute.Summary) bool { return sum.Newest == newest && sum.InForce > 0 })
+	newest := s.Publish(versionWithQuantum(s, 4))
+	s.AwaitSummary(inForceTimeout, "the other coordinators have distributed the version", func(summary distribute.Summary) bool { return summary.Newest == newest && summary.InForce > 0 })
 	paused.Resume()
 	s.AwaitInForce(inForceTimeout, newest)
-	end()
+	stopWatching()
 	s.Check()
 }
