--- a/cmd/petrelhookctl/capacity.go
+++ b/cmd/petrelhookctl/capacity.go
@@ -14,11 +14,11 @@
 	var assumed, measured, output, page string
 	cmd := &cobra.Command{
 		Use: "capacity", Args: cobra.NoArgs,
-		Short: "What a fleet of a stated size needs of each role, beside what each has",
+		Short: "Compute what a fleet of a given size needs of each role, and compare it with the budgets",
 		Long: "Computes state, messages, processor time and memory of each role from assumptions and the measurements of\n" +
-			"a scale run, with a verdict beside each budget. What needs a run that was not made has the verdict not\n" +
-			"measured. With --write the tables replace those between the markers of a page; the rest of it stays.\n" +
-			"0: it was computed, whatever the verdicts are; 1: a file is bad.",
+			"a scale run, with a verdict beside each budget. A figure that depends on a run that was not made has the\n" +
+			"verdict not measured. With --write the tables replace those between the markers of a page; the rest of the\n" +
+			"page stays. Exit codes: 0: computed, whatever the verdicts are; 1: a file is invalid.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := checkOutput(output, outputText, outputJSON, outputMarkdown); err != nil {
 				return err
@@ -43,15 +43,15 @@
 			return r.WriteText(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().StringVar(&assumed, "assume", "deploy/capacity.yaml", "the size and the assumptions, a `FILE`")
+	cmd.Flags().StringVar(&assumed, "assume", "deploy/capacity.yaml", "`FILE` with the fleet's size and the assumptions")
 	cmd.Flags().StringVar(&measured, "measured", "deploy/capacity-measured.json",
-		"what a scale run has left, a `FILE`; it may be missing")
+		"`FILE` with the measurements of a scale run; it may be missing")
 	cmd.Flags().StringVar(&output, "output", outputText, "text, json or markdown")
-	cmd.Flags().StringVar(&page, "write", "", "put the tables into a page, a `FILE`, and print nothing")
+	cmd.Flags().StringVar(&page, "write", "", "replace the tables in this page, a `FILE`, and print nothing")
 	return cmd
 }
 
-// capacityReport reads both files. The warnings are those of the file of assumptions.
+// capacityReport reads both files and computes the report. The warnings are those about the file of assumptions.
 func capacityReport(assumed, measured string) (r *capacity.Report, warnings []string, err error) {
 	text, err := os.ReadFile(assumed)
 	if err != nil {
@@ -68,7 +68,8 @@
 	return capacity.NewReport(a, m), a.Warnings, nil
 }
 
-// readMeasured reads a file of measurements; nil: there is no such file, and nothing was measured.
+// readMeasured reads a file of measurements. It returns nil without an error if the file does not exist, which means that nothing was
+// measured.
 func readMeasured(path string) (*capacity.Measured, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -80,7 +81,7 @@
 	return capacity.ParseMeasured(path, text)
 }
 
-// writePage replaces the tables in a page that exists.
+// writePage replaces the tables in an existing page. It leaves the file alone if they are up to date.
 func writePage(r *capacity.Report, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/petrelhookctl/capacity_test.go
+++ b/cmd/petrelhookctl/capacity_test.go
@@ -19,29 +19,29 @@
 	capacityPage = "../../docs/CAPACITY-sidecars.md"
 )
 
-// The page has the tables that the committed files give.
+// The committed page must have exactly the tables that the committed files yield.
 func TestCapacityPageIsUpToDate(t *testing.T) {
 	page, err := os.ReadFile(capacityPage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied := write(t, "page.md", string(page))
+	copyPath := writeFile(t, "page.md", string(page))
 	if code, _, stderr := call(t.Context(), "capacity", "--assume", assumedFile, "--measured", measuredFile,
-		"--write", copied); code != 0 {
+		"--write", copyPath); code != 0 {
 		t.Fatal(stderr)
 	}
-	now, err := os.ReadFile(copied)
+	updated, err := os.ReadFile(copyPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(now, page) {
-		t.Error("docs/CAPACITY-sidecars.md is not what the figures say: petrelhookctl capacity --write docs/CAPACITY-sidecars.md")
+	if !bytes.Equal(updated, page) {
+		t.Error("docs/CAPACITY-sidecars.md is out of date; run petrelhookctl capacity --write docs/CAPACITY-sidecars.md")
 	}
 	r, _, err := capacityReport(assumedFile, measuredFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, table := range r.Tables() { // none is left out
+	for _, table := range r.Tables() { // the page must leave none out
 		if !regexp.MustCompile(`(?m)^<!-- tables: begin.* ` + table.Name + `\b.* -->$`).Match(page) {
 			t.Errorf("the page has no table %s", table.Name)
 		}
@@ -49,46 +49,46 @@
 }
 
 var (
-	tablesOf = regexp.MustCompile(`(?s)<!-- tables: begin.*?<!-- tables: end -->`)
-	codeOf   = regexp.MustCompile(`(?m)^    .*$`)
-	// has figures of its own, each with where it is from
-	paperOf  = regexp.MustCompile(`(?s)\n## What follows, on paper\n.*?\n## `)
-	figureOf = regexp.MustCompile(`[0-9][0-9,.]*`)
+	tablesPattern = regexp.MustCompile(`(?s)<!-- tables: begin.*?<!-- tables: end -->`)
+	codePattern   = regexp.MustCompile(`(?m)^    .*$`)
+	// estimatesPattern matches the section that may have figures of its own, each with its source.
+	estimatesPattern = regexp.MustCompile(`(?s)\n## What follows, on paper\n.*?\n## `)
+	figurePattern    = regexp.MustCompile(`[0-9][0-9,.]*`)
 )
 
-// The prose of the page has no figure that its tables have not.
+// The prose of the page may mention only figures that its tables have.
 func TestCapacityProseHasNoFiguresOfItsOwn(t *testing.T) {
 	page, err := os.ReadFile(capacityPage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := figureOf.FindAllString(strings.Join(tablesOf.FindAllString(string(page), -1), "\n"), -1)
-	prose := paperOf.ReplaceAllString(codeOf.ReplaceAllString(tablesOf.ReplaceAllString(string(page), ""), ""), "\n")
-	for _, figure := range figureOf.FindAllString(prose, -1) {
+	known := figurePattern.FindAllString(strings.Join(tablesPattern.FindAllString(string(page), -1), "\n"), -1)
+	prose := estimatesPattern.ReplaceAllString(codePattern.ReplaceAllString(tablesPattern.ReplaceAllString(string(page), ""), ""), "\n")
+	for _, figure := range figurePattern.FindAllString(prose, -1) {
 		if !slices.Contains(known, strings.Trim(figure, ".,")) {
-			t.Errorf("%s is in no table", figure)
+			t.Errorf("the prose has %s, which is in no table", figure)
 		}
 	}
 }
 
 func TestCapacity(t *testing.T) {
-	none := filepath.Join(t.TempDir(), "none.json")
+	missingFile := filepath.Join(t.TempDir(), "none.json")
 	points, err := json.Marshal(capacity.Measured{FitUpTo: 10, Points: []capacity.Point{
 		{Workload: "calls", Role: "sidecar", Metric: "look_added_p99_us_at_250_s", Size: 1, Run: 1, Value: 400}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	some := write(t, "points.json", string(points))
+	onePoint := writeFile(t, "points.json", string(points))
 	for _, c := range []struct {
 		name, measured, output string
 		want                   []string
 	}{
-		{"nothing measured", none, "text", []string{"latency added to a call, p99, at the mean rate", "not measured",
+		{"nothing measured", missingFile, "text", []string{"latency added to a call, p99, at the mean rate", "not measured",
 			"Not measured: there is no file of points."}},
-		{"a point", some, "text", []string{"400 us", "fits by 1.25 times",
+		{"a point", onePoint, "text", []string{"400 us", "fits by 1.25 times",
 			"point calls/sidecar/look_added_p99_us_at_250_s at 1"}},
-		{"markdown", some, "markdown", []string{"### What does not fit\n\n| situation | role |", "| fits by 1.25 times |"}},
-		{"json", some, "json", []string{`"verdict": "fits by 1.25 times"`, `"ranking": [`}},
+		{"markdown", onePoint, "markdown", []string{"### What does not fit\n\n| situation | role |", "| fits by 1.25 times |"}},
+		{"json", onePoint, "json", []string{`"verdict": "fits by 1.25 times"`, `"ranking": [`}},
 	} {
 		code, stdout, stderr := call(t.Context(), "capacity", "--assume", assumedFile, "--measured", c.measured,
 			"--output", c.output)
@@ -105,19 +105,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := write(t, "bad.yaml", strings.Replace(string(text), "servers: 12000", "servers: few", 1))
-	odd := write(t, "odd.json", `{"points": [{}]}`)
-	empty := write(t, "empty.md", "prose\n")
+	bad := writeFile(t, "bad.yaml", strings.Replace(string(text), "servers: 12000", "servers: few", 1))
+	incomplete := writeFile(t, "odd.json", `{"points": [{}]}`)
+	noMarkers := writeFile(t, "empty.md", "prose\n")
 	for _, c := range []struct {
 		args, want string
 		code       int
 	}{
 		{"--assume " + bad, bad + `:4:12: target.servers: "few"; write a number`, 1},
-		{"--assume " + none, "none.json: no such file", 1},
-		{"--assume " + assumedFile + " --measured " + odd, odd + ": points[0]: workload, role or metric is missing", 1},
-		{"--assume " + assumedFile + " --measured " + none + " --write " + empty, empty + ": no markers; write a line",
+		{"--assume " + missingFile, "none.json: no such file", 1},
+		{"--assume " + assumedFile + " --measured " + incomplete, incomplete + ": points[0]: workload, role or metric is missing", 1},
+		{"--assume " + assumedFile + " --measured " + missingFile + " --write " + noMarkers, noMarkers + ": no markers; write a line",
 			1},
-		{"--assume " + assumedFile + " --measured " + none + " --write " + none, "none.json: no such file", 1},
+		{"--assume " + assumedFile + " --measured " + missingFile + " --write " + missingFile, "none.json: no such file", 1},
 		{"--output xml", `--output: "xml": write text, json or markdown`, 2},
 		{"more", "unknown command", 2},
 	} {
--- a/cmd/petrelhookctl/chain.go
+++ b/cmd/petrelhookctl/chain.go
@@ -14,11 +14,11 @@
 	"petrelhook/internal/rig/chain"
 )
 
-// chainOptions are the flags of the chain command besides those of the study.
+// chainOptions holds the flags of the chain command, and the study that they configure.
 type chainOptions struct {
-	study               *chain.Study
-	bin, output, pass   string
-	onlyAdded, onlyFail bool
+	study             *chain.Study
+	bin, output, pass string
+	added, fail       bool // the studies to run; if neither is set, both
 }
 
 func chainCommand() *cobra.Command {
@@ -30,10 +30,10 @@
 		Use:   "chain [--added] [--fail]",
 		Short: "Measure what sidecars add to a call, and how retries multiply over a chain of calls",
 		Long: "Starts chains of real sidecars with stand-in applications between them, on loopback, and sends load on\n" +
-			"schedule. Latency counts from when a call was due.\n\n" +
-			"  --added  p50 and p99 with and without sidecars, where nothing fails; what the sidecars' processes use\n" +
-			"  --fail   attempts at the leaf for a call at the top, if a fraction of the leaf's requests fails\n\n" +
-			"Without either, both.",
+			"schedule. Latency is measured from the time at which a call was scheduled.\n\n" +
+			"  --added  p50 and p99 with and without sidecars, without failures; resource usage of the sidecars' processes\n" +
+			"  --fail   attempts at the leaf per call at the top, if a fraction of the leaf's requests fails\n\n" +
+			"Without either flag, both are measured.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
 	}
@@ -45,21 +45,21 @@
 	f, s := cmd.Flags(), o.study
 	f.StringVar(&o.bin, "bin", "", "`FOLDER` of petrelhook (default: that of this program)")
 	f.StringVar(&o.output, "output", outputText, "form of the report: text or json")
-	f.BoolVar(&o.onlyAdded, "added", false, "measure the added latency alone, or with --fail both")
-	f.BoolVar(&o.onlyFail, "fail", false, "measure the retries alone, or with --added both")
+	f.BoolVar(&o.added, "added", false, "measure only the added latency, or with --fail both")
+	f.BoolVar(&o.fail, "fail", false, "measure only the retries, or with --added both")
 	f.IntSliceVar(&s.FailDepths, "depths", s.FailDepths, "depths of the chains with failures, in sidecars")
 	f.Float64SliceVar(&s.FailFractions, "parts", s.FailFractions, "fractions of the leaf's requests that fail")
-	f.Float64SliceVar(&s.Rates, "rates", s.Rates, "calls a second at which one sidecar is measured")
+	f.Float64SliceVar(&s.Rates, "rates", s.Rates, "calls per second at which one sidecar is measured")
 	f.IntSliceVar(&s.ChainDepths, "chains", s.ChainDepths, "depths of the chains without failures, in sidecars, at the first of the rates")
-	f.Float64Var(&s.Rate, "rate", 80, "calls a second in chains with failures")
+	f.Float64Var(&s.Rate, "rate", 80, "calls per second in chains with failures")
 	f.Float64Var(&s.UnsafeFraction, "unsafe", 0.5, "fraction of the calls that are not idempotent")
-	f.DurationVar(&s.Length, "length", 10*time.Second, "of the load of each run")
-	f.DurationVar(&s.LatencyTarget, "aim", 500*time.Millisecond, "latency target: until then an answer has its full value")
-	f.DurationVar(&s.Deadline, "deadline", 2*time.Second, "deadline of a call at the top; the rest of it is passed on")
+	f.DurationVar(&s.Length, "length", 10*time.Second, "duration of the load of each run")
+	f.DurationVar(&s.LatencyTarget, "aim", 500*time.Millisecond, "latency target up to which an answer has its full value")
+	f.DurationVar(&s.Deadline, "deadline", 2*time.Second, "deadline of a call at the top; the remaining time is passed on down the chain")
 	f.DurationVar(&s.Work, "work", 0, "service time of the leaf")
 	f.IntVar(&s.Servers, "servers", 3, "servers per level")
 	f.StringVar(&o.pass, "pass", string(chain.PassStatus),
-		"what an application answers for a call that was not served: status (the same), marked (a rejection marked as not executed), error (500)")
+		"an application's answer to a call that was not served: status (the same status), marked (a rejection marked as not executed), error (500)")
 	f.Uint64Var(&s.Seed, "seed", 1, "seed of all random draws")
 }
 
@@ -106,14 +106,14 @@
 	return nil
 }
 
-// measure runs the studies that the flags name; without either flag, both.
+// measure runs the studies that the flags name, or both if neither flag is set.
 func (o *chainOptions) measure(ctx context.Context) error {
-	if o.onlyAdded || !o.onlyFail {
+	if o.added || !o.fail {
 		if err := o.study.MeasureAddedLatency(ctx); err != nil {
 			return err
 		}
 	}
-	if o.onlyFail || !o.onlyAdded {
+	if o.fail || !o.added {
 		return o.study.MeasureFailures(ctx)
 	}
 	return nil
--- a/cmd/petrelhookctl/chain_test.go
+++ b/cmd/petrelhookctl/chain_test.go
@@ -12,12 +12,12 @@
 	"petrelhook/internal/rig/chain"
 )
 
-// The whole way on sockets, in both forms of the report: what is measured has its points.
+// Runs both studies end to end on sockets, and checks the points of the JSON report and the tables of the text report.
 func TestChain(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	bin := filepath.Dir(program(t))
-	short := []string{"chain", "--bin", bin, "--length", "500ms", "--rate", "60"}
-	fail := append(short, "--fail", "--depths", "2", "--parts", "1", "--output", "json")
+	bin := filepath.Dir(buildSidecar(t))
+	shortRun := []string{"chain", "--bin", bin, "--length", "500ms", "--rate", "60"}
+	fail := append(shortRun, "--fail", "--depths", "2", "--parts", "1", "--output", "json")
 	code, stdout, stderr := call(t.Context(), fail...)
 	var r chain.Report
 	if err := json.Unmarshal([]byte(stdout), &r); err != nil || code != 0 || stderr != "" {
@@ -27,11 +27,11 @@
 	for _, p := range r.Measured.Points {
 		got[p.Workload+" "+p.Role+" "+p.Metric] = p.Value
 	}
-	once := got["chain leaf once_attempts_call_fail_100_pc"]
-	if len(r.Runs) != 1 || r.Measured.Seed != 1 || once != 1 || got["chain leaf look_attempts_call_fail_100_pc"] <= 1 {
+	attemptsWithoutRetries := got["chain leaf once_attempts_call_fail_100_pc"]
+	if len(r.Runs) != 1 || r.Measured.Seed != 1 || attemptsWithoutRetries != 1 || got["chain leaf look_attempts_call_fail_100_pc"] <= 1 {
 		t.Errorf("%+v", r.Measured)
 	}
-	code, stdout, stderr = call(t.Context(), append(short, "--added", "--rates", "60", "--chains", "1")...)
+	code, stdout, stderr = call(t.Context(), append(shortRun, "--added", "--rates", "60", "--chains", "1")...)
 	for _, want := range []string{"1 direct", "added p50", "cpu us/call"} {
 		if code != 0 || !strings.Contains(stdout, want) {
 			t.Errorf("exit %d, no %q: %s\n%s", code, want, stdout, stderr)
@@ -39,19 +39,19 @@
 	}
 }
 
-// Ctrl-C at the first run's start ends it with a line. What is wrong with the flags is said before anything starts.
-func TestChainStoppedOrWrong(t *testing.T) {
+// An interrupt at the start of the first run must end the command with one line. Invalid flags must be reported before anything starts.
+func TestChainInterruptedOrInvalid(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	bin := filepath.Dir(program(t))
+	bin := filepath.Dir(buildSidecar(t))
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	began := &trigger{text: "depth 3", do: stop}
+	stopAtStart := &trigger{text: "depth 3", do: stop}
 	var out strings.Builder
-	long := []string{"chain", "--bin", bin, "--fail", "--depths", "3", "--parts", "1", "--length", "60s"}
-	code := run(ctx, long, &out, began)
-	said := string(began.all)
-	if code != 1 || !strings.Contains(said, "petrelhookctl: stopped early\n") || strings.Contains(out.String(), "look") {
-		t.Errorf("exit %d: %s\n%s", code, &out, said)
+	longRun := []string{"chain", "--bin", bin, "--fail", "--depths", "3", "--parts", "1", "--length", "60s"}
+	code := run(ctx, longRun, &out, stopAtStart)
+	progress := string(stopAtStart.received)
+	if code != 1 || !strings.Contains(progress, "petrelhookctl: stopped early\n") || strings.Contains(out.String(), "look") {
+		t.Errorf("exit %d: %s\n%s", code, &out, progress)
 	}
 	for _, c := range []struct {
 		args, want string
--- a/cmd/petrelhookctl/coordinators.go
+++ b/cmd/petrelhookctl/coordinators.go
@@ -15,11 +15,11 @@
 	"petrelhook/internal/coordination/rollout"
 )
 
-// coordinatorFlags are the flags of the subcommands that call coordinators.
+// coordinatorFlags holds the flags of the subcommands that call coordinators.
 type coordinatorFlags struct {
 	addrs   []string
 	output  string
-	timeout time.Duration // of one call
+	timeout time.Duration // time-out of one call
 }
 
 func (a *coordinatorFlags) add(cmd *cobra.Command) {
@@ -27,12 +27,12 @@
 	if text := os.Getenv("PETRELFLEET_ADDRS"); text != "" {
 		addrs = strings.Split(text, ",")
 	}
-	cmd.PersistentFlags().StringSliceVar(&a.addrs, "addrs", addrs, "`HOST:PORT,...` of the coordinators; else $PETRELFLEET_ADDRS")
+	cmd.PersistentFlags().StringSliceVar(&a.addrs, "addrs", addrs, "`HOST:PORT,...` of the coordinators; by default $PETRELFLEET_ADDRS")
 	cmd.PersistentFlags().StringVar(&a.output, "output", outputText, "text or json")
 	cmd.PersistentFlags().DurationVar(&a.timeout, "within", 10*time.Second, "time-out of a call")
 }
 
-// operator checks the flags, and returns the client of the coordinators.
+// operator checks the flags and returns a client of the coordinators.
 func (a *coordinatorFlags) operator() (*fleet.Operator, error) {
 	if err := checkOutput(a.output, outputText, outputJSON); err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	return context.WithTimeout(cmd.Context(), a.timeout)
 }
 
-// call sends a request to the leader.
+// call sends a request to the leader and returns its response.
 func (a *coordinatorFlags) call(cmd *cobra.Command, request fleet.Request) (*fleet.Response, error) {
 	o, err := a.operator()
 	if err != nil {
@@ -61,7 +61,8 @@
 	return response, nil
 }
 
-// application returns an application's changes, with or without the results of the last one's stages.
+// application returns an application's changes. If results is set, the last change has the results of its stages. It is an error if no
+// change was ever begun.
 func (a *coordinatorFlags) application(cmd *cobra.Command, name string, results bool) (*rollout.Application, error) {
 	response, err := a.call(cmd, fleet.Request{Changes: &name, StageResults: results})
 	if err != nil {
@@ -77,7 +78,7 @@
 	return app, nil
 }
 
-// print writes a result in the form of --output.
+// print writes a result in the format of --output.
 func (a *coordinatorFlags) print(cmd *cobra.Command, v any, text func(w *tabwriter.Writer)) error {
 	return writeResult(cmd, a.output, v, text)
 }
--- a/cmd/petrelhookctl/experiment.go
+++ b/cmd/petrelhookctl/experiment.go
@@ -10,6 +10,7 @@
 	"petrelhook/internal/rig/engines"
 )
 
+// maxExperimentRouters is the largest number of routers that --routers accepts.
 const maxExperimentRouters = 1000
 
 func experimentCommand() *cobra.Command {
@@ -19,10 +20,10 @@
 	var routers []int
 	cmd := &cobra.Command{
 		Use: "experiment FILE", Args: cobra.ExactArgs(1),
-		Short: "Routing policies side by side before model servers, in virtual time",
-		Long: "Simulates a day of a file under several policies, on the same arrivals and many seeds, and prints value by class, late\n" +
-			"requests and why, tokens read again and the busiest server, with intervals. docs/operate/experiments.md explains\n" +
-			"the file and the figures. 0: it was simulated; 1: the file is bad.",
+		Short: "Compare routing policies for model servers in virtual time",
+		Long: "Simulates the day that a file describes under several policies, with the same arrivals and many seeds, and prints\n" +
+			"value by class, late requests and their causes, tokens read again and the busiest server, with intervals.\n" +
+			"docs/operate/experiments.md explains the file and the figures. Exit codes: 0: simulated; 1: the file is invalid.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := checkOutput(output, outputText, outputJSON); err != nil {
 				return err
@@ -45,13 +46,13 @@
 		},
 	}
 	cmd.Flags().StringVar(&output, "output", outputText, "text or json")
-	cmd.Flags().IntVar(&seeds, "seeds", 0, "how many seeds, in place of the file's")
-	cmd.Flags().StringSliceVar(&policies, "policies", nil, "policies by name, in place of the file's")
+	cmd.Flags().IntVar(&seeds, "seeds", 0, "number of seeds, in place of the file's")
+	cmd.Flags().StringSliceVar(&policies, "policies", nil, "names of policies, in place of the file's")
 	cmd.Flags().IntSliceVar(&routers, "routers", nil, "numbers of routers to simulate; servers and requests grow with them")
 	return cmd
 }
 
-// applyOverrides replaces fields of the file by those of the command line.
+// applyOverrides replaces the fields of the file that the command line sets, and checks the result.
 func applyOverrides(spec *engines.Spec, seeds int, policies []string) error {
 	if seeds > 0 {
 		spec.Seeds = seeds
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// simulateSizes simulates each size and writes the report.
+// simulateSizes simulates the fleet with each number of routers and writes one report on all of them.
 func simulateSizes(cmd *cobra.Command, spec *engines.Spec, routers []int, output string) error {
 	var reports []engines.Report
 	for _, n := range routers {
--- a/cmd/petrelhookctl/fleet.go
+++ b/cmd/petrelhookctl/fleet.go
@@ -20,21 +20,21 @@
 
 func fleetCommand() *cobra.Command {
 	a := &coordinatorFlags{}
-	cmd := &cobra.Command{Use: "fleet", Short: "The coordinators: their status, add or remove one, back up and restore"}
+	cmd := &cobra.Command{Use: "fleet", Short: "Show the coordinators' status, add or remove a coordinator, back up and restore"}
 	a.add(cmd)
-	cmd.AddCommand(a.statusCommand(), a.addCommand(), a.removeCommand(), a.backupCommand(), restoreCommand())
+	cmd.AddCommand(a.fleetStatusCommand(), a.addCoordinatorCommand(), a.removeCoordinatorCommand(), a.backupCommand(), restoreCommand())
 	return cmd
 }
 
-// coordinatorStatus is one coordinator in the output of status. Its JSON is an interface.
+// coordinatorStatus is one coordinator in the output of fleet status. Other programs read its JSON, so its keys must not change.
 type coordinatorStatus struct {
 	Addr   string        `json:"addr"`
 	Err    string        `json:"err,omitempty"`
-	Status *fleet.Status `json:"status,omitempty"` // nil: it did not answer
+	Status *fleet.Status `json:"status,omitempty"` // nil if the coordinator did not answer
 }
 
-func (a *coordinatorFlags) statusCommand() *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "The status of each coordinator; 1: no majority follows a leader", Args: cobra.NoArgs,
+func (a *coordinatorFlags) fleetStatusCommand() *cobra.Command {
+	return &cobra.Command{Use: "status", Short: "Show the status of each coordinator; exit code 1: no majority follows a leader", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			o, err := a.operator()
 			if err != nil {
@@ -65,7 +65,7 @@
 	return coordinatorStatus{Addr: addr, Status: s}
 }
 
-// writeFleetStatus writes a table with a line for each coordinator.
+// writeFleetStatus writes a table with a row for each coordinator.
 func writeFleetStatus(w *tabwriter.Writer, all []coordinatorStatus) {
 	fmt.Fprintln(w, "ADDRESS\tID\tLEADER\tTERM\tAPPLIED\tLOG\tSESSIONS\tLEASES\tTOKEN\t")
 	for _, c := range all {
@@ -95,7 +95,7 @@
 	return mostFollowers > groupSize/2
 }
 
-// changeMembers sends a change of the group of coordinators, and prints the members after it.
+// changeMembers sends a membership change to the coordinators and prints the members after it.
 func (a *coordinatorFlags) changeMembers(cmd *cobra.Command, request fleet.Request) error {
 	response, err := a.call(cmd, request)
 	if err != nil {
@@ -112,7 +112,7 @@
 	})
 }
 
-// parseCoordinatorID parses the id of a coordinator. expected says what is valid, for the error.
+// parseCoordinatorID parses the id of a coordinator. The error for an invalid id uses expected as the description of a valid one.
 func parseCoordinatorID(text, expected string) (uint64, error) {
 	id, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || id == 0 {
@@ -121,8 +121,8 @@
 	return id, nil
 }
 
-func (a *coordinatorFlags) addCommand() *cobra.Command {
-	return &cobra.Command{Use: "add ID HOST:PORT", Short: "Add a coordinator, started with join: true; it votes once it has the log", Args: cobra.ExactArgs(2),
+func (a *coordinatorFlags) addCoordinatorCommand() *cobra.Command {
+	return &cobra.Command{Use: "add ID HOST:PORT", Short: "Add a coordinator that was started with join: true; it votes once it has caught up with the log", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id, err := parseCoordinatorID(args[0], "an id from 1 on that was never used")
 			if err != nil {
@@ -132,8 +132,8 @@
 		}}
 }
 
-func (a *coordinatorFlags) removeCommand() *cobra.Command {
-	return &cobra.Command{Use: "remove ID", Short: "Remove a coordinator; it ends, and its id is never used again", Args: cobra.ExactArgs(1),
+func (a *coordinatorFlags) removeCoordinatorCommand() *cobra.Command {
+	return &cobra.Command{Use: "remove ID", Short: "Remove a coordinator; its process ends, and its id must never be used again", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id, err := parseCoordinatorID(args[0], "the id of a coordinator")
 			if err != nil {
@@ -144,7 +144,7 @@
 }
 
 func (a *coordinatorFlags) backupCommand() *cobra.Command {
-	return &cobra.Command{Use: "backup FILE", Short: "Write the sessions and leases as of now to a new file", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "backup FILE", Short: "Write the current sessions and leases to a new file", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			response, err := a.call(cmd, fleet.Request{Backup: true})
 			if err != nil {
@@ -157,7 +157,7 @@
 		}}
 }
 
-// writeNewFile writes a file that must not exist and syncs it. After an error there is no partial file.
+// writeNewFile writes a file that must not exist yet, and syncs it. After an error it leaves no partial file.
 func writeNewFile(path string, content []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
@@ -178,7 +178,7 @@
 func restoreCommand() *cobra.Command {
 	var config string
 	var above uint64
-	cmd := &cobra.Command{Use: "restore FILE --config FILE", Short: "Create the replica of a new group from a back-up; the old group must have ended", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "restore FILE --config FILE", Short: "Create a replica of a new group from a back-up; all coordinators of the old group must have ended", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if config == "" {
 				return fmt.Errorf("--config: missing: the coordinator's settings")
@@ -190,10 +190,10 @@
 			if err != nil {
 				return runError{err}
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: restored; once its group runs it grants nothing for %v\n", c.Data, c.MaxTTL)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: restored; the new group grants nothing for the first %v after its start\n", c.Data, c.MaxTTL)
 			return nil
 		}}
-	cmd.Flags().StringVar(&config, "config", "", "the coordinator's settings, a `FILE` (YAML)")
-	cmd.Flags().Uint64Var(&above, "above", 0, "the largest `TOKEN` that is known to have been granted after the back-up")
+	cmd.Flags().StringVar(&config, "config", "", "`FILE` of the coordinator's settings (YAML)")
+	cmd.Flags().Uint64Var(&above, "above", 0, "the largest `TOKEN` known to have been granted after the back-up")
 	return cmd
 }
--- a/cmd/petrelhookctl/lease.go
+++ b/cmd/petrelhookctl/lease.go
@@ -15,19 +15,19 @@
 
 func leaseCommand() *cobra.Command {
 	a := &coordinatorFlags{}
-	cmd := &cobra.Command{Use: "lease", Short: "Leases for tasks of the fleet: who holds them, hold one while a command runs"}
+	cmd := &cobra.Command{Use: "lease", Short: "Show and break leases, or hold one while a command runs"}
 	a.add(cmd)
 	cmd.AddCommand(
 		a.listLeasesCommand(),
 		a.showLeaseCommand(),
 		a.breakLeaseCommand("break NAME", "Reject further renewals of a lease: its holder releases it, or it expires", false),
-		a.breakLeaseCommand("release NAME", "As break, and wait until the holder has released it or it has expired", true),
-		a.runCommand())
+		a.breakLeaseCommand("release NAME", "Break a lease and wait until its holder has released it or it has expired", true),
+		a.runLeaseCommand())
 	return cmd
 }
 
 func (a *coordinatorFlags) listLeasesCommand() *cobra.Command {
-	return &cobra.Command{Use: "list [PREFIX]", Short: "Who holds which lease, and how many wait", Args: cobra.MaximumNArgs(1),
+	return &cobra.Command{Use: "list [PREFIX]", Short: "List the leases with their holders and the number of waiting sessions", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			all, err := a.leases(cmd, strings.Join(args, ""))
 			if err != nil {
@@ -38,7 +38,7 @@
 }
 
 func (a *coordinatorFlags) showLeaseCommand() *cobra.Command {
-	return &cobra.Command{Use: "show NAME", Short: "Who holds a lease, and who waits for it", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "show NAME", Short: "Show the holder of a lease and the sessions that wait for it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			info, err := a.lease(cmd, args[0])
 			if err != nil {
@@ -52,7 +52,7 @@
 		}}
 }
 
-// leases returns the leases whose names begin with a prefix.
+// leases returns the leases whose names begin with prefix.
 func (a *coordinatorFlags) leases(cmd *cobra.Command, prefix string) ([]core.Info, error) {
 	response, err := a.call(cmd, fleet.Request{ListLeases: &prefix})
 	if err != nil {
@@ -61,7 +61,7 @@
 	return response.Leases, nil
 }
 
-// lease returns the lease with a name; nil: nobody holds it, and nobody waits for it.
+// lease returns the lease of the given name. It returns nil without an error if no session holds the lease or waits for it.
 func (a *coordinatorFlags) lease(cmd *cobra.Command, name string) (*core.Info, error) {
 	all, err := a.leases(cmd, name)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil, nil
 }
 
-// writeLeases writes a table of leases, with the sessions that wait for them if waiters is set.
+// writeLeases writes a table of leases. If waiters is set, it lists the waiting sessions below each lease.
 func writeLeases(w *tabwriter.Writer, all []core.Info, waiters bool) {
 	fmt.Fprintln(w, "LEASE\tHOLDER\tSESSION\tTOKEN\tTTL\tWAIT\t")
 	for _, info := range all {
@@ -92,7 +92,7 @@
 	}
 }
 
-// releasePollInterval is the interval of polls whether the holder of a broken lease has released it.
+// releasePollInterval is the interval at which awaitRelease asks whether a lease is still held.
 const releasePollInterval = 100 * time.Millisecond
 
 func (a *coordinatorFlags) breakLeaseCommand(use, short string, wait bool) *cobra.Command {
@@ -117,7 +117,7 @@
 	}}
 }
 
-// awaitRelease waits until a lease is no longer held under a token.
+// awaitRelease waits until the grant of a lease with the given token has ended by a release or by expiry.
 func (a *coordinatorFlags) awaitRelease(cmd *cobra.Command, name string, token lease.Token) error {
 	for {
 		info, err := a.lease(cmd, name)
--- a/cmd/petrelhookctl/lease_test.go
+++ b/cmd/petrelhookctl/lease_test.go
@@ -14,18 +14,19 @@
 	"petrelhook/internal/rig/coordinator"
 )
 
-// What lease run ends with, and that the command is gone by then: its own code, no lease, lost and told, lost and killed, broken.
+// Checks the exit code of lease run, and that the command has ended by then: after its own exit, after the lease was lost, where the command
+// either heeds SIGTERM or has to be killed, after the lease was broken, and without a lease.
 func TestLeaseRun(t *testing.T) {
-	held := func(addr string) bool {
+	leaseIsHeld := func(addr string) bool {
 		_, out, _ := call(t.Context(), "lease", "list", "--addrs", addr, "--output", "json")
 		var all []core.Info
 		return json.Unmarshal([]byte(out), &all) == nil && len(all) == 1
 	}
 	for name, c := range map[string]struct {
-		script string
-		then   func(addr string, stop func())
-		code   int
-		ttl    time.Duration // of which half is between TERM and the end: a command that heeds TERM has to have ended by then on a busy machine too
+		script       string
+		whileRunning func(addr string, stop func())
+		code         int
+		ttl          time.Duration // half of it is the grace, long enough for a command that heeds TERM to end on a busy machine
 	}{
 		"its own code":     {`test "$LEASE_NAME" = job && test "$LEASE_TOKEN" = 1 && exit 7`, nil, 7, 2 * time.Second},
 		"lost":             {"sleep 60", func(_ string, stop func()) { stop() }, exitLeaseLost, 12 * time.Second},
@@ -39,24 +40,24 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr, stop := coordinator.StartForTest(t)
-			pid := filepath.Join(t.TempDir(), "pid")
+			pidFile := filepath.Join(t.TempDir(), "pid")
 			type result struct {
 				code int
 				errs string
 			}
 			done := make(chan result, 1)
 			go func() {
-				code, _, errs := call(context.Background(), "lease", "run", "job", "--addrs", addr, "--ttl", c.ttl.String(), "--grace", (c.ttl / 2).String(), "--", "sh", "-c", "echo $$ > "+pid+"; "+c.script)
+				code, _, errs := call(context.Background(), "lease", "run", "job", "--addrs", addr, "--ttl", c.ttl.String(), "--grace", (c.ttl / 2).String(), "--", "sh", "-c", "echo $$ > "+pidFile+"; "+c.script)
 				done <- result{code, errs}
 			}()
-			if c.then != nil {
-				peertest.Eventually(t, "it runs", func() bool { _, err := os.Stat(pid); return err == nil && held(addr) })
-				c.then(addr, stop)
+			if c.whileRunning != nil {
+				peertest.Eventually(t, "the command runs and the lease is held", func() bool { _, err := os.Stat(pidFile); return err == nil && leaseIsHeld(addr) })
+				c.whileRunning(addr, stop)
 			}
 			if r := peertest.Wait(t, done); r.code != c.code {
 				t.Errorf("%d %s, want %d", r.code, r.errs, c.code)
 			}
-			text, _ := os.ReadFile(pid)
+			text, _ := os.ReadFile(pidFile)
 			if _, err := os.Stat("/proc/" + strings.TrimSpace(string(text))); err == nil {
 				t.Error("the command still runs")
 			}
@@ -67,13 +68,13 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	dead := peertest.DeadAddr(t)
-	if code, _, errs := call(ctx, "lease", "run", "job", "--addrs", dead, "--", "true"); code != exitNoLease || !strings.Contains(errs, dead) {
+	deadAddr := peertest.DeadAddr(t)
+	if code, _, errs := call(ctx, "lease", "run", "job", "--addrs", deadAddr, "--", "true"); code != exitNoLease || !strings.Contains(errs, deadAddr) {
 		t.Errorf("no coordinator: %d %s", code, errs)
 	}
 }
 
-// What operators ask, and what they are told where it is wrong.
+// Checks the exit codes and the output of the lease and fleet subcommands, for valid and invalid arguments.
 func TestLeaseAndFleet(t *testing.T) {
 	addr, _ := coordinator.StartForTest(t)
 	backup := filepath.Join(t.TempDir(), "backup")
@@ -103,7 +104,7 @@
 		}
 		var code int
 		var out, errs string
-		peertest.Eventually(t, c.args, func() bool { // until it leads
+		peertest.Eventually(t, c.args, func() bool { // fleet status fails until the coordinator leads
 			code, out, errs = call(t.Context(), args...)
 			return c.args != "fleet status" || code == 0
 		})
--- a/cmd/petrelhookctl/load.go
+++ b/cmd/petrelhookctl/load.go
@@ -18,9 +18,9 @@
 	var targets []string
 	cmd := &cobra.Command{
 		Use:   "load SCENARIO | FILE --target ADDRESS",
-		Short: "Send a scenario's load to an address, on schedule",
-		Long: "Sends the arrivals of a scenario, without its fleet and faults, to sidecars that run already.\n" +
-			"Memory does not grow with the length of the run; nothing is audited.",
+		Short: "Send a scenario's load to running sidecars, on schedule",
+		Long: "Sends the arrivals of a scenario to sidecars that are already running, without starting its fleet or injecting its\n" +
+			"faults. Memory does not grow with the length of the run; the four rules are not checked.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := o.check(); err != nil {
@@ -61,6 +61,6 @@
 		},
 	}
 	o.addFlags(cmd)
-	cmd.Flags().StringSliceVar(&targets, "target", nil, "`ADDRESS` of a sidecar; several get arrivals in turn")
+	cmd.Flags().StringSliceVar(&targets, "target", nil, "`ADDRESS` of a sidecar; several addresses get arrivals in turn")
 	return cmd
 }
--- a/cmd/petrelhookctl/main.go
+++ b/cmd/petrelhookctl/main.go
@@ -1,4 +1,4 @@
-// Command petrelhookctl is the operators' tool. Each subcommand is a thin shell over a package.
+// Command petrelhookctl is the operators' tool. Each subcommand is a thin layer over a package.
 //
 // Exit codes: 0 success, 1 a negative result or a failure, 2 wrong usage; some subcommands have further ones. Results go to standard
 // output; progress and errors, one line each, to standard error.
@@ -25,16 +25,16 @@
 	os.Exit(code)
 }
 
-// errNegativeResult is the error of a subcommand whose result is negative. The result has been written.
-var errNegativeResult = errors.New("bad")
+// errNegativeResult is returned by a subcommand that has written a negative result: exit code 1 without a message.
+var errNegativeResult = errors.New("negative result")
 
-// runError is an error of a subcommand whose usage was right: exit code 1.
+// runError wraps an error that is not a usage error: exit code 1 in place of 2.
 type runError struct{ error }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e runError) Unwrap() error { return e.error }
 
-// run runs the subcommand that args name, and returns the exit code.
+// run runs the subcommand that args name and returns the exit code. The end of ctx interrupts the subcommand.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) (code int) {
 	root := &cobra.Command{
 		Use: "petrelhookctl", Short: "The operators' tool of petrelhook", SilenceErrors: true, SilenceUsage: true,
@@ -45,7 +45,7 @@
 	root.SetOut(stdout)
 	root.SetErr(stderr)
 	err := root.ExecuteContext(ctx)
-	var ran runError
+	var failure runError
 	var exit exitCodeError
 	switch {
 	case err == nil:
@@ -54,7 +54,7 @@
 		return 1
 	case errors.As(err, &exit):
 		return int(exit)
-	case errors.As(err, &ran):
+	case errors.As(err, &failure):
 		fmt.Fprintln(stderr, "petrelhookctl:", err)
 		return 1
 	default: // usage errors of cobra, and of a subcommand's flags
--- a/cmd/petrelhookctl/main_test.go
+++ b/cmd/petrelhookctl/main_test.go
@@ -19,14 +19,14 @@
 	"petrelhook/internal/rig/rehearse"
 )
 
-// call runs petrelhookctl in this process.
+// call runs petrelhookctl in the test's process.
 func call(ctx context.Context, args ...string) (code int, stdout, stderr string) {
 	var out, err bytes.Buffer
 	code = run(ctx, args, &out, &err)
 	return code, out.String(), err.String()
 }
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -35,7 +35,7 @@
 	return path
 }
 
-const small = `
+const smallScenario = `
 length 2s
 sidecars 2
 fleet 4 cells=2 cores=4
@@ -48,8 +48,8 @@
 at 500ms s3 silent for 700ms
 `
 
-// program builds the sidecar once for all tests.
-func program(t *testing.T) string {
+// buildSidecar builds the sidecar's program in a temporary folder and returns its path.
+func buildSidecar(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "petrelhook")
 	if out, err := exec.Command("go", "build", "-o", path, "petrelhook/cmd/petrelhook").CombinedOutput(); err != nil {
@@ -58,12 +58,13 @@
 	return path
 }
 
-// The whole way on sockets: processes, stand-ins, a machine that is cut off, the report in all its forms.
+// Runs a rehearsal end to end on sockets, with sidecar processes, stand-in servers and a server that goes silent, and checks the JSON
+// report, the HTML page and the recorded trace.
 func TestRehearse(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir := t.TempDir()
 	page, trace := filepath.Join(dir, "r.html"), filepath.Join(dir, "r.jsonl")
-	code, stdout, stderr := call(t.Context(), "rehearse", write(t, "s.txt", small), "--sidecar", program(t), "--output", "json",
+	code, stdout, stderr := call(t.Context(), "rehearse", writeFile(t, "s.txt", smallScenario), "--sidecar", buildSidecar(t), "--output", "json",
 		"--html", page, "--record", trace, "--max-lag", "10s")
 	var r rehearse.Report
 	if err := json.Unmarshal([]byte(stdout), &r); err != nil {
@@ -82,64 +83,64 @@
 	if n := strings.Count(string(html), "<svg"); n != 3 {
 		t.Errorf("%d plots on the page", n)
 	}
-	if outside := regexp.MustCompile(`(src|href)="?http|@import|<script|<link`).FindString(string(html)); outside != "" {
-		t.Errorf("the page needs something else: %s", outside)
+	if external := regexp.MustCompile(`(src|href)="?http|@import|<script|<link`).FindString(string(html)); external != "" {
+		t.Errorf("the page loads an external resource: %s", external)
 	}
-	// What was recorded plays again.
-	again := strings.Replace(small, "arrive constant 60/s", "arrive trace "+trace, 1)
-	code, stdout, _ = call(t.Context(), "rehearse", write(t, "again.txt", again), "--direct", "--output", "json", "--max-lag", "10s")
+	// The recorded trace can be replayed.
+	replayed := strings.Replace(smallScenario, "arrive constant 60/s", "arrive trace "+trace, 1)
+	code, stdout, _ = call(t.Context(), "rehearse", writeFile(t, "again.txt", replayed), "--direct", "--output", "json", "--max-lag", "10s")
 	var second rehearse.Report
 	if err := json.Unmarshal([]byte(stdout), &second); err != nil || second.Classes[0].Count != 120 || second.Classes[1].Count != r.Classes[1].Count {
 		t.Errorf("exit %d, %v: %+v, first %+v", code, err, second.Classes, r.Classes)
 	}
 }
 
-// Ctrl-C in the middle: a report that is true and marked as partial, and nothing is left.
+// An interrupt in the middle of a rehearsal must yield a correct report that is marked as partial, and leave no process running.
 func TestEarlyStop(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	sidecar := program(t)
-	text := strings.Replace(small, "length 2s", "length 60s", 1)
+	sidecar := buildSidecar(t)
+	text := strings.Replace(smallScenario, "length 2s", "length 60s", 1)
 	var stdout bytes.Buffer
-	failed := &trigger{text: "msg=attempt", do: stop} // the first fault is felt: the load is under way
-	code := run(ctx, []string{"rehearse", write(t, "s.txt", text), "--sidecar", sidecar, "--output", "json", "--max-lag", "10s", "--verbose"}, &stdout, failed)
+	stopAtAttempt := &trigger{text: "msg=attempt", do: stop} // the first failed attempt is logged: the load is running
+	code := run(ctx, []string{"rehearse", writeFile(t, "s.txt", text), "--sidecar", sidecar, "--output", "json", "--max-lag", "10s", "--verbose"}, &stdout, stopAtAttempt)
 	var r rehearse.Report
 	if err := json.Unmarshal(stdout.Bytes(), &r); err != nil {
-		t.Fatalf("%v: %s\n%s", err, &stdout, failed.all)
+		t.Fatalf("%v: %s\n%s", err, &stdout, stopAtAttempt.received)
 	}
 	if code != 1 || !r.Partial || r.Classes[0].Count == 0 || r.Classes[0].Count > 3000 || !r.Rules.Kept {
 		t.Errorf("exit %d: %s", code, &stdout)
 	}
 	if out, _ := exec.Command("pgrep", "-f", sidecar).Output(); len(out) > 0 {
-		t.Errorf("processes are left: %s", out)
+		t.Errorf("processes still run: %s", out)
 	}
-	if _, shown, _ := call(ctx, "rehearse", write(t, "s.txt", text), "--direct"); !strings.Contains(shown, "PARTIAL") {
+	if _, shown, _ := call(ctx, "rehearse", writeFile(t, "s.txt", text), "--direct"); !strings.Contains(shown, "PARTIAL") {
 		t.Errorf("not marked:\n%s", shown)
 	}
 }
 
-// trigger is a writer that does something when a text has come.
+// trigger is a writer that calls do whenever it is written to and has received text. It may be used by several goroutines.
 type trigger struct {
-	text string
-	do   func()
-	mu   sync.Mutex
-	all  []byte
+	text     string
+	do       func()
+	mu       sync.Mutex
+	received []byte
 }
 
 func (w *trigger) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.all = append(w.all, p...); bytes.Contains(w.all, []byte(w.text)) {
+	if w.received = append(w.received, p...); bytes.Contains(w.received, []byte(w.text)) {
 		w.do()
 	}
 	return len(p), nil
 }
 
-// load and standin, with a sidecar that was started by hand.
+// Runs load against a sidecar that was started separately, with a configuration that standin wrote, and checks the counts of both commands.
 func TestLoadAndStandin(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	configs, scenario := t.TempDir(), write(t, "s.txt", strings.Replace(small, "sidecars 2", "sidecars 1", 1))
+	configs, scenario := t.TempDir(), writeFile(t, "s.txt", strings.Replace(smallScenario, "sidecars 2", "sidecars 1", 1))
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	type result struct {
@@ -166,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	processes := &rehearse.Processes{Program: program(t)}
+	processes := &rehearse.Processes{Program: buildSidecar(t)}
 	addr, err := processes.Start(0, text)
 	if err != nil {
 		t.Fatal(err)
@@ -194,12 +195,12 @@
 	}
 }
 
-// Whatever is wrong is one line, with 2 for wrong usage and 1 for a bad file, before anything is started.
-func TestBadInput(t *testing.T) {
-	bad := write(t, "bad.txt", "fleet 2\nclass a deadline=soon\narrive constant 1/s")
-	trace := write(t, "bad.jsonl", "{\"due_us\":5}\n{\"due_us\":4}\n")
-	traced := write(t, "traced.txt", "fleet 2\nclass a deadline=1s\narrive trace "+trace)
-	good := write(t, "good.txt", small)
+// Each invalid input must be reported in one line before anything is started, with exit code 2 for wrong usage and 1 for an invalid file.
+func TestInvalidInput(t *testing.T) {
+	bad := writeFile(t, "bad.txt", "fleet 2\nclass a deadline=soon\narrive constant 1/s")
+	trace := writeFile(t, "bad.jsonl", "{\"due_us\":5}\n{\"due_us\":4}\n")
+	traced := writeFile(t, "traced.txt", "fleet 2\nclass a deadline=1s\narrive trace "+trace)
+	good := writeFile(t, "good.txt", smallScenario)
 	for _, c := range []struct {
 		args []string
 		code int
@@ -235,7 +236,7 @@
 	}
 }
 
-// The tool as a process: SIGINT ends it in order.
+// Runs the tool as a process: SIGINT must end a rehearsal gracefully, with a partial report.
 func TestInterrupt(t *testing.T) {
 	tool := filepath.Join(t.TempDir(), "petrelhookctl")
 	if out, err := exec.Command("go", "build", "-o", tool, "petrelhook/cmd/petrelhookctl").CombinedOutput(); err != nil {
@@ -248,7 +249,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(time.Minute); time.Now().Before(end); { // it is there when the rehearsal begins
+	for end := time.Now().Add(time.Minute); time.Now().Before(end); { // the trace is created when the rehearsal begins
 		if _, err := os.Stat(trace); err == nil {
 			break
 		}
--- a/cmd/petrelhookctl/options.go
+++ b/cmd/petrelhookctl/options.go
@@ -22,22 +22,22 @@
 // reservedDescriptors is the number of descriptors that a rehearsal reserves for itself; the rest is for clients' connections.
 const reservedDescriptors = 64
 
-// runOptions are the flags that the subcommands rehearse and load share. Of them standin has the seed alone.
+// runOptions holds the flags that the subcommands rehearse and load share. The subcommand standin has only the seed.
 type runOptions struct {
-	output, page, record string
-	seed                 uint64
-	maxLag               time.Duration
-	connections          int
+	output, htmlPath, tracePath string
+	seed                        uint64
+	maxLag                      time.Duration
+	connections                 int
 }
 
 func (o *runOptions) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
-	f.StringVar(&o.output, "output", outputText, "form of the report: text or json")
-	f.StringVar(&o.page, "html", "", "also write the report as a self-contained page to `FILE`")
-	f.StringVar(&o.record, "record", "", "also record the arrivals as a trace to `FILE`")
+	f.StringVar(&o.output, "output", outputText, "format of the report: text or json")
+	f.StringVar(&o.htmlPath, "html", "", "also write the report as a self-contained page to `FILE`")
+	f.StringVar(&o.tracePath, "record", "", "also record the arrivals as a trace to `FILE`")
 	f.Uint64Var(&o.seed, "seed", 0, "seed of all random draws, in place of the scenario's")
-	f.DurationVar(&o.maxLag, "max-lag", load.DefaultMaxLag, "99th percentile of the lag behind the schedule over which the run is not valid")
-	f.IntVar(&o.connections, "connections", 0, "clients' concurrent connections (0: as many as the limit of descriptors leaves)")
+	f.DurationVar(&o.maxLag, "max-lag", load.DefaultMaxLag, "largest 99th percentile of the lag behind the schedule with which a run is valid")
+	f.IntVar(&o.connections, "connections", 0, "clients' concurrent connections (0: as many as the limit of descriptors allows)")
 }
 
 func (o *runOptions) check() error {
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// readScenario reads a file, if the name has a slash or a dot, or else a scenario of the library.
+// readScenario reads the scenario file called name if the name has a slash or a dot, or else a scenario of the library, and checks its
+// traces.
 func (o *runOptions) readScenario(name string) (s *scenario.Scenario, err error) {
 	if strings.ContainsAny(name, "/.") {
 		s, err = scenario.Read(name)
@@ -76,7 +77,8 @@
 	return s, nil
 }
 
-// clientConnections is the number of connections that clients may have open, if so many descriptors are reserved for others.
+// clientConnections returns the number of connections that clients may have open. reserved is the number of descriptors that other
+// connections and listeners of the run need.
 func (o *runOptions) clientConnections(reserved int) (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -92,33 +94,33 @@
 	return free, nil
 }
 
-// generator is what a run of rehearse or load needs to send its load, and what is measured of sending it.
+// generator holds what a run of rehearse or load needs to send its load, and measures the processor time of the run.
 type generator struct {
-	connections int                  // that clients may have open
-	trace       *arrival.TraceWriter // of --record; nil: it was not given
-	traceFile   *os.File             // nil as well
+	connections int                  // the number that clients may have open
+	trace       *arrival.TraceWriter // writes the file of --record; nil if there is none
+	traceFile   *os.File             // nil if trace is nil
 	cpuBefore   time.Duration        // the processor time of this process before the run
 }
 
-// newGenerator opens what a run needs. reserved is the number of descriptors that the run needs besides those of clients' connections. The
-// caller calls close after the last request was recorded.
+// newGenerator opens the trace of --record and computes the number of connections. reserved is the number of descriptors that the run needs
+// besides those of clients' connections. The caller must call close after the last request was recorded.
 func (o *runOptions) newGenerator(reserved int) (*generator, error) {
 	connections, err := o.clientConnections(reserved)
 	if err != nil {
 		return nil, err
 	}
 	g := &generator{connections: connections, cpuBefore: ownCPUTime()}
-	if o.record == "" {
+	if o.tracePath == "" {
 		return g, nil
 	}
-	if g.traceFile, err = os.Create(o.record); err != nil {
+	if g.traceFile, err = os.Create(o.tracePath); err != nil {
 		return nil, runError{err}
 	}
 	g.trace = arrival.NewTraceWriter(g.traceFile)
 	return g, nil
 }
 
-// close completes the trace.
+// close flushes and closes the trace, if there is one.
 func (g *generator) close() error {
 	if g.trace == nil {
 		return nil
@@ -129,10 +131,10 @@
 // cpuSeconds returns the processor time of this process since newGenerator.
 func (g *generator) cpuSeconds() float64 { return (ownCPUTime() - g.cpuBefore).Seconds() }
 
-// writeReport writes the report. It returns errNegativeResult if the report is not OK.
+// writeReport writes the report in the format of --output, and to the page of --html. It returns errNegativeResult if the report is not OK.
 func (o *runOptions) writeReport(cmd *cobra.Command, r *rehearse.Report) error {
-	if o.page != "" {
-		f, err := os.Create(o.page)
+	if o.htmlPath != "" {
+		f, err := os.Create(o.htmlPath)
 		if err != nil {
 			return runError{err}
 		}
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// ownCPUTime is the processor time of this process so far.
+// ownCPUTime returns the processor time of this process so far, or 0 if it cannot be read.
 func ownCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -165,16 +167,16 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// progressLine shows the progress of a run on a terminal, as one line that is rewritten.
+// progressLine shows the progress of a run on a terminal, in one line that it rewrites at each progressInterval.
 type progressLine struct {
 	writer io.Writer
 
-	mu     sync.Mutex
-	began  time.Time
-	counts [5]int // by result, since the line was last written
-	worst  time.Duration
-	stop   chan struct{}
-	done   chan struct{}
+	mu      sync.Mutex
+	began   time.Time
+	counts  [5]int // operations by result since the line was last written
+	slowest time.Duration
+	stop    chan struct{}
+	done    chan struct{}
 }
 
 const progressInterval = 500 * time.Millisecond
@@ -197,10 +199,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts[op.Result]++
-	l.worst = max(l.worst, op.Latency)
+	l.slowest = max(l.slowest, op.Latency)
 }
 
-// run rewrites the line at an interval until end is called.
+// run rewrites the line at each progressInterval until end is called.
 func (l *progressLine) run() {
 	defer close(l.done)
 	l.mu.Lock()
@@ -217,16 +219,16 @@
 		}
 		l.mu.Lock()
 		c := l.counts
-		per := float64(time.Second) / float64(progressInterval)
+		intervalsPerSecond := float64(time.Second) / float64(progressInterval)
 		fmt.Fprintf(l.writer, "\r\033[K%5.1f s  %5.0f/s served  %4.0f refused  %4.0f failed  %4.0f lost  slowest %v",
-			time.Since(l.began).Seconds(), float64(c[audit.Served])*per, float64(c[audit.Refused])*per,
-			float64(c[audit.Failed])*per, float64(c[audit.Lost]+c[audit.Unreached])*per, l.worst.Round(time.Millisecond))
-		l.counts, l.worst = [5]int{}, 0
+			time.Since(l.began).Seconds(), float64(c[audit.Served])*intervalsPerSecond, float64(c[audit.Refused])*intervalsPerSecond,
+			float64(c[audit.Failed])*intervalsPerSecond, float64(c[audit.Lost]+c[audit.Unreached])*intervalsPerSecond, l.slowest.Round(time.Millisecond))
+		l.counts, l.slowest = [5]int{}, 0
 		l.mu.Unlock()
 	}
 }
 
-// end removes the line and waits for run.
+// end stops run, waits until it has removed the line, and returns.
 func (l *progressLine) end() {
 	close(l.stop)
 	<-l.done
--- a/cmd/petrelhookctl/output.go
+++ b/cmd/petrelhookctl/output.go
@@ -11,23 +11,23 @@
 	"github.com/spf13/cobra"
 )
 
-// The forms of --output.
+// The values of --output.
 const (
 	outputText     = "text"
 	outputJSON     = "json"
 	outputMarkdown = "markdown"
 )
 
-// checkOutput refuses a value of --output that is none of a subcommand's forms.
-func checkOutput(value string, forms ...string) error {
-	if slices.Contains(forms, value) {
+// checkOutput returns an error if a value of --output is none of the subcommand's formats.
+func checkOutput(value string, formats ...string) error {
+	if slices.Contains(formats, value) {
 		return nil
 	}
-	last := len(forms) - 1
-	return fmt.Errorf("--output: %q: write %s or %s", value, strings.Join(forms[:last], ", "), forms[last])
+	last := len(formats) - 1
+	return fmt.Errorf("--output: %q: write %s or %s", value, strings.Join(formats[:last], ", "), formats[last])
 }
 
-// printWarnings prints what is valid in a file and should be written otherwise, a line each.
+// printWarnings prints a file's warnings, one per line: parts that are valid but should be written differently.
 func printWarnings(cmd *cobra.Command, warnings []string) {
 	for _, warning := range warnings {
 		fmt.Fprintln(cmd.ErrOrStderr(), "petrelhookctl: warning:", warning)
@@ -41,7 +41,7 @@
 	return e.Encode(v)
 }
 
-// writeResult writes a result in the form of --output: JSON, or a table that the function text fills.
+// writeResult writes a result in the format of --output: v as JSON, or a table that the function text fills.
 func writeResult(cmd *cobra.Command, output string, v any, text func(w *tabwriter.Writer)) error {
 	if output == outputJSON {
 		return writeJSON(cmd.OutOrStdout(), v)
--- a/cmd/petrelhookctl/rehearse.go
+++ b/cmd/petrelhookctl/rehearse.go
@@ -15,7 +15,7 @@
 	"petrelhook/internal/rig/scenario"
 )
 
-// defaultScenario is run if none is named: it has draining servers and slow starts.
+// defaultScenario is run if no scenario is named. It has draining servers and slow starts.
 const defaultScenario = "rolling-deploy"
 
 func rehearseCommand() *cobra.Command {
@@ -51,8 +51,8 @@
 	}
 	o.addFlags(cmd)
 	cmd.Flags().StringVar(&program, "sidecar", "", "`PROGRAM` of the sidecar (default: petrelhook beside this program)")
-	cmd.Flags().BoolVar(&direct, "direct", false, "send straight to the servers, without sidecars: a baseline for latencies")
-	cmd.Flags().BoolVar(&verbose, "verbose", false, "pass the sidecars' logs on to standard error")
+	cmd.Flags().BoolVar(&direct, "direct", false, "send directly to the servers, without sidecars, as a baseline for latencies")
+	cmd.Flags().BoolVar(&verbose, "verbose", false, "copy the sidecars' logs to standard error")
 	return cmd
 }
 
@@ -72,14 +72,14 @@
 	return filepath.Abs(path)
 }
 
-// runRehearsal runs a scenario with sidecars of a program, or without any, and writes the report.
+// runRehearsal runs a scenario with the sidecar processes of a program, or without any if the scenario has none, and writes the report.
 func runRehearsal(cmd *cobra.Command, o *runOptions, s *scenario.Scenario, program string, verbose bool) error {
-	// Reserved for others: listeners, and some connections from each sidecar to each server and to discovery.
+	// Reserves descriptors for listeners, and for some connections from each sidecar to each server and to discovery.
 	g, err := o.newGenerator(8 * (len(s.Servers) + 1) * max(s.Sidecars.Count, 1) * 2)
 	if err != nil {
 		return err
 	}
-	// This process has both the clients' ends of connections and the servers' ends of those that sidecars open.
+	// Clients get half of the connections, since this process also holds the servers' ends of the connections that sidecars open.
 	r := &rehearse.Rehearsal{
 		Scenario: s, Network: loopback.New(), MaxConnections: max(1, g.connections/2), MaxLag: o.maxLag, WaitUntil: load.WaitPrecisely, Trace: g.trace,
 	}
--- a/cmd/petrelhookctl/release.go
+++ b/cmd/petrelhookctl/release.go
@@ -12,7 +12,7 @@
 
 func releaseCommand() *cobra.Command {
 	var dir, program, settings string
-	cmd := &cobra.Command{Use: "release", Short: "Releases: a program and its settings, named by their content"}
+	cmd := &cobra.Command{Use: "release", Short: "Releases, each a sidecar's program and its settings, named by a hash of their content"}
 	add := &cobra.Command{Use: "add --store FOLDER --program FILE --settings FILE", Args: cobra.NoArgs, Short: "Add a release to a machine's store, and print its name",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if dir == "" || program == "" || settings == "" {
@@ -25,20 +25,20 @@
 			fmt.Fprintln(cmd.OutOrStdout(), r.ID)
 			return nil
 		}}
-	add.Flags().StringVar(&dir, "store", "", "the `FOLDER` of releases, as the agent's file names it")
-	add.Flags().StringVar(&program, "program", "", "the sidecar, a `FILE`")
-	add.Flags().StringVar(&settings, "settings", "", "its settings, a `FILE` (JSON) without the fields that are one sidecar's own")
+	add.Flags().StringVar(&dir, "store", "", "`FOLDER` of releases, as in the agent's settings")
+	add.Flags().StringVar(&program, "program", "", "`FILE` of the sidecar's program")
+	add.Flags().StringVar(&settings, "settings", "", "`FILE` of its settings (JSON), without the fields that differ between sidecars")
 	cmd.AddCommand(add)
 	return cmd
 }
 
-// addRelease adds a program and its settings to a store, which is created if there is none.
+// addRelease adds a program and its settings to the store in dir, which it creates if there is none.
 func addRelease(dir, program, settings string) (r release.Release, err error) {
 	p, err := os.Open(program)
 	if err != nil {
 		return r, err
 	}
-	defer func() { _ = p.Close() }() // it was only read
+	defer func() { _ = p.Close() }() // the file was only read
 	s, err := os.Open(settings)
 	if err != nil {
 		return r, err
--- a/cmd/petrelhookctl/revision.go
+++ b/cmd/petrelhookctl/revision.go
@@ -16,7 +16,7 @@
 )
 
 func revisionCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "revision", Short: "Versions of a service's configuration, distributed to all its sidecars"}
+	cmd := &cobra.Command{Use: "revision", Short: "Publish and show the versions of a service's configuration, which all its sidecars receive"}
 	cmd.AddCommand(revisionPublishCommand(), revisionStatusCommand(), revisionShowCommand())
 	return cmd
 }
@@ -28,8 +28,8 @@
 	cmd := &cobra.Command{
 		Use: "publish SERVICE FILE", Args: cobra.ExactArgs(2),
 		Short: "Publish a service's configuration: a JSON object whose fields replace those of the sidecars' release",
-		Long: `Publish accepts the version once, prints its revision, and with --wait waits until it is in force on all sidecars of the
-service that the coordinators have had reports of. 1: it was refused, or not in force everywhere in time.`,
+		Long: `Publishes the version exactly once and prints its revision. With --wait it waits until the version is in force on all sidecars
+of the service from which the coordinators have reports. Exit code 1: the version was refused, or not in force everywhere in time.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := a.operator()
 			if err != nil {
@@ -42,7 +42,7 @@
 			}
 			ctx, cancel := a.withTimeout(cmd)
 			defer cancel()
-			revision, already, err := o.Publish(ctx, service, content, stepsDone)
+			revision, alreadyPublished, err := o.Publish(ctx, service, content, stepsDone)
 			switch {
 			case errors.Is(err, fleet.ErrOvertaken) || errors.Is(err, fleet.ErrUnanswered):
 				return runError{fmt.Errorf("%s: %w", service, err)}
@@ -52,9 +52,9 @@
 			if wait > 0 {
 				return a.awaitInForce(cmd, o, service, revision, wait)
 			}
-			return a.print(cmd, map[string]any{"service": service, "revision": revision, "already": already}, func(w *tabwriter.Writer) {
+			return a.print(cmd, map[string]any{"service": service, "revision": revision, "already": alreadyPublished}, func(w *tabwriter.Writer) {
 				note := ""
-				if already {
+				if alreadyPublished {
 					note = "\tit is the newest already"
 				}
 				fmt.Fprintf(w, "%s\trevision %d%s\n", service, revision, note)
@@ -62,15 +62,16 @@
 		},
 	}
 	a.add(cmd)
-	cmd.Flags().BoolVar(&stepsDone, "steps-done", false, "what has to be done elsewhere first was done (petrelhookctl rollout plan says what)")
-	cmd.Flags().DurationVar(&wait, "wait", 0, "how long to wait until it is in force everywhere; 0: do not")
+	cmd.Flags().BoolVar(&stepsDone, "steps-done", false, "the steps that must be done elsewhere first have been done (petrelhookctl rollout plan names them)")
+	cmd.Flags().DurationVar(&wait, "wait", 0, "how long to wait until the version is in force everywhere; 0: do not wait")
 	return cmd
 }
 
-// pollInterval is the interval of polls of what is in force.
+// pollInterval is the interval at which awaitInForce asks which revision is in force.
 const pollInterval = 500 * time.Millisecond
 
-// awaitInForce waits until a revision is in force on all sidecars of a service, or the wait is over, and prints the summary.
+// awaitInForce waits until a revision is in force on all sidecars of a service or the time wait has passed, and prints the summary. It
+// returns errNegativeResult if the revision is not in force everywhere by then.
 func (a *coordinatorFlags) awaitInForce(cmd *cobra.Command, o *fleet.Operator, service string, revision distribute.Revision, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -100,7 +101,7 @@
 	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
 		Use: "status [SERVICE]", Args: cobra.MaximumNArgs(1),
-		Short: "Which version is in force, on how many sidecars, and where and why it is not; 1: the newest is not in force everywhere",
+		Short: "Show which version is in force on how many sidecars, and where and why it is not; exit code 1: the newest is not in force everywhere",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := a.operator()
 			if err != nil {
@@ -124,7 +125,8 @@
 	return cmd
 }
 
-// printServices prints a line for each service that has a version, and the coordinators that cannot answer.
+// printServices prints a row for each service that has a version, and the coordinators that cannot answer. It returns errNegativeResult if
+// the newest version of a service is not in force on all its sidecars.
 func (a *coordinatorFlags) printServices(cmd *cobra.Command, o *fleet.Operator) error {
 	summaries, coordinators := o.InForce(cmd.Context(), "")
 	all := make([]distribute.Summary, 0, len(summaries))
@@ -148,14 +150,14 @@
 	return err
 }
 
-// printCoordinators prints the coordinators that cannot answer.
+// printCoordinators prints the coordinators that failed to answer or are not in contact with a leader.
 func printCoordinators(w *tabwriter.Writer, coordinators []fleet.CoordinatorSummary) {
 	for _, c := range coordinators {
 		switch {
 		case c.Err != nil:
 			fmt.Fprintf(w, "coordinator %s\t%v\n", c.Addr, c.Err)
 		case !c.Fresh:
-			fmt.Fprintf(w, "coordinator %s\tit reaches no leader, and answers no watch\n", c.Addr)
+			fmt.Fprintf(w, "coordinator %s\tit reaches no leader, and serves no watches\n", c.Addr)
 		}
 	}
 }
@@ -170,7 +172,7 @@
 			}
 			reason := m.Reason
 			if m.InForce > s.Newest {
-				reason = "it holds what these coordinators have forgotten; publish once more"
+				reason = "it has a version that these coordinators have lost; publish again"
 			}
 			fmt.Fprintf(w, "  %s\trevision %d\tlast contact %v ago\t%s\n", m.Sidecar, m.InForce, m.Age.Round(100*time.Millisecond), reason)
 		}
@@ -181,7 +183,7 @@
 func revisionShowCommand() *cobra.Command {
 	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
-		Use: "show SERVICE", Args: cobra.ExactArgs(1), Short: "A service's newest version, with its content",
+		Use: "show SERVICE", Args: cobra.ExactArgs(1), Short: "Show a service's newest version with its content",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			response, err := a.call(cmd, fleet.Request{Versions: &args[0]})
 			if err == nil && len(response.Versions) == 0 {
--- a/cmd/petrelhookctl/rollout.go
+++ b/cmd/petrelhookctl/rollout.go
@@ -15,17 +15,17 @@
 	"petrelhook/internal/sidecar/config"
 )
 
-// checkTimeout bounds the time that a new program takes to check its settings.
+// checkTimeout bounds the time in which a new program must have checked its settings.
 const checkTimeout = 10 * time.Second
 
 func rolloutCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "rollout", Short: "Rolling changes: check one, start it, watch it, stop it"}
+	cmd := &cobra.Command{Use: "rollout", Short: "Check, start, watch and stop rolling changes"}
 	cmd.AddCommand(rolloutPlanCommand(), rolloutStartCommand(), rolloutStatusCommand(), rolloutHistoryCommand(), rolloutExplainCommand(), rolloutReportCommand())
 	cmd.AddCommand(rolloutEventCommands()...)
 	return cmd
 }
 
-// rolloutPlan is the output of rollout plan. Its JSON is an interface.
+// rolloutPlan is the output of rollout plan. Other programs read its JSON, so its keys must not change.
 type rolloutPlan struct {
 	Verdict  string            `json:"verdict"`
 	Findings []release.Finding `json:"findings"`
@@ -35,8 +35,8 @@
 	var from, to, program, output string
 	cmd := &cobra.Command{
 		Use: "plan --from FILE --to FILE", Args: cobra.NoArgs, Short: "Compare two configurations: which fields may differ side by side, which need two steps, and which are refused",
-		Long: "Checks both configurations, the new one also by the new program where --program names it, and compares them field by\n" +
-			"field. Nothing is changed. 0: all may differ side by side; 1: something needs two steps, or is refused, or is bad.",
+		Long: "Checks both configurations, the new one also with the new program if --program names it, and compares them by field. Nothing\n" +
+			"is changed. Exit codes: 0: all fields may differ side by side; 1: a field needs two steps or is refused, or a file is invalid.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := checkOutput(output, outputText, outputJSON); err != nil {
 				return err
@@ -71,9 +71,9 @@
 			return err
 		},
 	}
-	cmd.Flags().StringVar(&from, "from", "", "the configuration in use, a `FILE`")
-	cmd.Flags().StringVar(&to, "to", "", "the new one, a `FILE`")
-	cmd.Flags().StringVar(&program, "program", "", "the new sidecar, a `FILE`: it checks the new configuration")
+	cmd.Flags().StringVar(&from, "from", "", "`FILE` of the configuration in use")
+	cmd.Flags().StringVar(&to, "to", "", "`FILE` of the new configuration")
+	cmd.Flags().StringVar(&program, "program", "", "`FILE` of the new sidecar program, which then checks the new configuration")
 	cmd.Flags().StringVar(&output, "output", outputText, "text or json")
 	return cmd
 }
@@ -93,7 +93,7 @@
 	return text, nil
 }
 
-// checkWithProgram has a sidecar's program check a configuration.
+// checkWithProgram runs a sidecar's program to check a configuration.
 func checkWithProgram(ctx context.Context, program, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
--- a/cmd/petrelhookctl/rollout_run.go
+++ b/cmd/petrelhookctl/rollout_run.go
@@ -18,9 +18,9 @@
 	a := &coordinatorFlags{}
 	var stepsDone bool
 	cmd := &cobra.Command{
-		Use: "start PLAN", Args: cobra.ExactArgs(1), Short: "Start a change by a plan (YAML), after all checks have passed",
-		Long: "Asks all agents whether they have both releases and whether the new program takes its settings, compares old and new\n" +
-			"settings, and has the coordinators begin the change. If a check fails nothing has been changed.",
+		Use: "start PLAN", Args: cobra.ExactArgs(1), Short: "Check a plan (YAML) and start its change if all checks pass",
+		Long: "Asks all agents whether they have both releases and whether the new program accepts its settings, compares the old and\n" +
+			"the new settings, and makes the coordinators begin the change. If a check fails, nothing is changed.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o, err := a.operator()
 			if err != nil {
@@ -41,7 +41,7 @@
 		},
 	}
 	a.add(cmd)
-	cmd.Flags().BoolVar(&stepsDone, "steps-done", false, "the steps elsewhere that rollout plan names have been done")
+	cmd.Flags().BoolVar(&stepsDone, "steps-done", false, "the steps elsewhere that petrelhookctl rollout plan names have been done")
 	return cmd
 }
 
@@ -50,7 +50,7 @@
 	var live bool
 	var every time.Duration
 	cmd := &cobra.Command{
-		Use: "status APPLICATION", Args: cobra.ExactArgs(1), Short: "The state of the change, and what it waits for; 1: it is paused, is being rolled back or was stopped",
+		Use: "status APPLICATION", Args: cobra.ExactArgs(1), Short: "Show the state of the change and what it waits for; exit code 1: it is paused, is being rolled back or was stopped",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if live {
 				if every < 100*time.Millisecond {
@@ -73,8 +73,8 @@
 		},
 	}
 	a.add(cmd)
-	cmd.Flags().BoolVar(&live, "watch", false, "show it until it is over or paused: redrawn on a terminal, otherwise a line for each step")
-	cmd.Flags().DurationVar(&every, "every", time.Second, "the interval of polls, with --watch")
+	cmd.Flags().BoolVar(&live, "watch", false, "show the change until it is over or paused: redrawn on a terminal, otherwise one line per step")
+	cmd.Flags().DurationVar(&every, "every", time.Second, "interval of polls, with --watch")
 	return cmd
 }
 
@@ -85,19 +85,20 @@
 		fmt.Fprintf(w, "waits for\t%s\n", s.WaitingFor())
 	}
 	fmt.Fprintln(w, "SIDECAR\tSTAGE\tRELEASE\tREADY\tORDER\t")
-	for _, side := range s.Sidecars() {
+	for _, sidecar := range s.Sidecars() {
 		order := ""
 		switch {
-		case side.AbandonedReason != "":
-			order = "left alone: " + side.AbandonedReason
-		case side.OpenOrder != 0:
-			order = fmt.Sprintf("%d: to %s", side.OpenOrder, side.OrderedRelease)
+		case sidecar.AbandonedReason != "":
+			order = "left alone: " + sidecar.AbandonedReason
+		case sidecar.OpenOrder != 0:
+			order = fmt.Sprintf("%d: to %s", sidecar.OpenOrder, sidecar.OrderedRelease)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%s\t\n", side.Name, s.StageOf(side.Name), side.Release, side.Ready, order)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%v\t%s\t\n", sidecar.Name, s.StageOf(sidecar.Name), sidecar.Release, sidecar.Ready, order)
 	}
 }
 
-// rolloutEventCommand is a subcommand that sends an operator's event for the current change.
+// rolloutEventCommand returns a subcommand that sends an operator's event for the current change and prints the change's new state. It calls
+// event after the flags were parsed.
 func rolloutEventCommand(use, short string, flags func(*cobra.Command), event func() rollout.Event) *cobra.Command {
 	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
@@ -118,7 +119,7 @@
 	return cmd
 }
 
-// sendEvent sends an event for the current change of an application.
+// sendEvent sends an event for an application's current change. It returns the coordinators' reason as an error if they refuse the event.
 func (a *coordinatorFlags) sendEvent(cmd *cobra.Command, application string, event rollout.Event) error {
 	app, err := a.application(cmd, application, false)
 	if err != nil {
@@ -139,26 +140,26 @@
 	var pauseReason, abortReason string
 	var accept bool
 	return []*cobra.Command{
-		rolloutEventCommand("pause", "Change no further sidecar for now", func(c *cobra.Command) {
-			c.Flags().StringVar(&pauseReason, "why", "an operator paused it", "the reason, which others see")
+		rolloutEventCommand("pause", "Change no further sidecars until the change is resumed", func(c *cobra.Command) {
+			c.Flags().StringVar(&pauseReason, "why", "an operator paused it", "the reason, which is shown to others")
 		}, func() rollout.Event { return rollout.Event{Pause: pauseReason} }),
-		rolloutEventCommand("resume", "Continue after a pause; the stage is watched again from its start", func(c *cobra.Command) {
-			c.Flags().BoolVar(&accept, "accept", false, "treat the stage as no worse, although there is not enough evidence")
+		rolloutEventCommand("resume", "Continue after a pause; the stage is observed again from its start", func(c *cobra.Command) {
+			c.Flags().BoolVar(&accept, "accept", false, "treat the stage as no worse although there is not enough evidence")
 		}, func() rollout.Event { return rollout.Event{Resume: true, Accept: accept} }),
-		rolloutEventCommand("abort", "End the change: what was changed is rolled back, unless the plan says disable_rollback", func(c *cobra.Command) {
-			c.Flags().StringVar(&abortReason, "why", "an operator aborted it", "the reason, which others see")
+		rolloutEventCommand("abort", "End the change; sidecars that were changed are rolled back unless the plan sets disable_rollback", func(c *cobra.Command) {
+			c.Flags().StringVar(&abortReason, "why", "an operator aborted it", "the reason, which is shown to others")
 		}, func() rollout.Event { return rollout.Event{Abort: abortReason} }),
 	}
 }
 
 func rolloutHistoryCommand() *cobra.Command {
-	return showChangesCommand("history", "The transitions of this change and of earlier ones", false, func(cmd *cobra.Command, a *coordinatorFlags, app *rollout.Application) error {
+	return showChangesCommand("history", "Show the transitions of the current change and of earlier ones", false, func(cmd *cobra.Command, a *coordinatorFlags, app *rollout.Application) error {
 		return a.print(cmd, app, func(w *tabwriter.Writer) { writeHistory(w, app) })
 	})
 }
 
-// showChangesCommand returns a subcommand that shows an application's changes. results: show also needs the results of the stages of the
-// last one.
+// showChangesCommand returns a subcommand that shows an application's changes. results must be set if show needs the results of the last
+// change's stages.
 func showChangesCommand(use, short string, results bool, show func(*cobra.Command, *coordinatorFlags, *rollout.Application) error) *cobra.Command {
 	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
@@ -175,7 +176,7 @@
 	return cmd
 }
 
-// writeHistory writes the transitions of an application's changes, the oldest first.
+// writeHistory writes the transitions of an application's changes, oldest first.
 func writeHistory(w *tabwriter.Writer, app *rollout.Application) {
 	for _, past := range app.Past {
 		writeTransitions(w, past.Name, past.Plan, past.Transitions)
--- a/cmd/petrelhookctl/rollout_run_test.go
+++ b/cmd/petrelhookctl/rollout_run_test.go
@@ -14,19 +14,19 @@
 	"petrelhook/internal/rig/coordinator"
 )
 
-// What operators say of a change, and what they are shown, in the order of a bad day.
+// Runs the rollout subcommands through the life of a change that is paused, resumed and aborted, and checks their exit codes and output.
 func TestRolloutCommands(t *testing.T) {
 	addr, _ := coordinator.StartForTest(t)
 	start := &rollout.Start{Plan: rollout.Plan{Application: "permits", From: "old", To: "new", MaxConcurrent: 1, MaxUnavailable: 1, ProgressTimeout: time.Hour,
 		Stages: []rollout.Stage{{Selector: rollout.Selector{Share: 1}}}}, Members: []rollout.Member{{Name: "n0"}}, Reports: []rollout.Report{{Sidecar: "n0", Release: "old", Ready: true}}}
 	begin := func() {
-		told, err := (&fleet.Operator{Addrs: []string{addr}}).Call(t.Context(), fleet.Request{Rollout: &rollout.Command{Application: "permits", Change: "c1", Start: start}})
-		if err != nil || told.Rollout.Error != "" {
-			t.Fatal(err, told)
+		response, err := (&fleet.Operator{Addrs: []string{addr}}).Call(t.Context(), fleet.Request{Rollout: &rollout.Command{Application: "permits", Change: "c1", Start: start}})
+		if err != nil || response.Rollout.Error != "" {
+			t.Fatal(err, response)
 		}
 	}
 	planText := "application: permits\nfrom: old\nto: new\nagents: [\"" + peertest.DeadAddr(t) + "\"]\nstages: [{share: 1}]\n"
-	plan := write(t, "plan.yaml", planText)
+	plan := writeFile(t, "plan.yaml", planText)
 	page := filepath.Join(t.TempDir(), "page.html")
 	for i, c := range []struct {
 		args string
@@ -34,9 +34,9 @@
 		want string
 	}{
 		{"status permits", 1, "permits: no change was ever begun"},
-		{"start " + write(t, "bad.yaml", "application: permits\nfrom: a\n"), 1, "bad.yaml:1:1: application, from, to: write all three"},
+		{"start " + writeFile(t, "bad.yaml", "application: permits\nfrom: a\n"), 1, "bad.yaml:1:1: application, from, to: write all three"},
 		{"start " + plan, 1, "agent 127.0.0.1:"},
-		{"start " + write(t, "old.yaml", planText+"patience: 1m\n"), 1, "old.yaml:6:11: patience: this is called progress_timeout now; write that\npetrelhookctl: agent 127.0.0.1:"},
+		{"start " + writeFile(t, "old.yaml", planText+"patience: 1m\n"), 1, "old.yaml:6:11: patience: this is called progress_timeout now; write that\npetrelhookctl: agent 127.0.0.1:"},
 		{"", 0, ""},
 		{"status permits", 0, "sidecars: n0"},
 		{"pause permits --why lunch", 0, "paused"},
@@ -61,7 +61,8 @@
 	}
 }
 
-// checkCommand runs the step i of a test, a subcommand that calls the coordinator at addr, and checks its exit code and a part of its output.
+// checkCommand runs a subcommand against the coordinator at addr, and checks its exit code and that its output contains want. i is the number
+// of the test's step, for the error.
 func checkCommand(t *testing.T, i int, addr, command string, wantCode int, want string) {
 	t.Helper()
 	args := append(strings.Fields(command), "--addrs", addr)
@@ -70,9 +71,9 @@
 	}
 }
 
-// A release has one name, whoever adds it and however often.
+// A release must get the same name each time it is added.
 func TestReleaseAdd(t *testing.T) {
-	program, settings, store := write(t, "p", "#!/bin/sh\n"), write(t, "s.json", "{}"), filepath.Join(t.TempDir(), "store")
+	program, settings, store := writeFile(t, "p", "#!/bin/sh\n"), writeFile(t, "s.json", "{}"), filepath.Join(t.TempDir(), "store")
 	var names []string
 	for range 2 {
 		code, out, errs := call(t.Context(), "release", "add", "--store", store, "--program", program, "--settings", settings)
@@ -89,7 +90,8 @@
 	}
 }
 
-// A limit is created and changed, and a change of its fixed fields is refused; a member with demand is shown with its allocation.
+// A limit can be created and changed, a change of its fixed fields must be refused, and a member with demand must be listed with its
+// allocation.
 func TestShareCommands(t *testing.T) {
 	addr, _ := coordinator.StartForTest(t)
 	o := &fleet.Operator{Addrs: []string{addr}}
@@ -108,9 +110,9 @@
 		{"list", 0, "allocated 5, demand 5, fair share 5.00 per period  weight 1, without contact 1.00"},
 	} {
 		if c.args == "" {
-			peertest.Eventually(t, "a part is given", func() bool {
-				told, err := o.Call(t.Context(), fleet.Request{Share: &replica.ShareRequest{Limit: "probes", Request: share.AllocationRequest{Member: "m1", Demand: 5}}})
-				return err == nil && told.Share.Units > 0
+			peertest.Eventually(t, "the member gets an allocation", func() bool {
+				response, err := o.Call(t.Context(), fleet.Request{Share: &replica.ShareRequest{Limit: "probes", Request: share.AllocationRequest{Member: "m1", Demand: 5}}})
+				return err == nil && response.Share.Units > 0
 			})
 			continue
 		}
--- a/cmd/petrelhookctl/scale.go
+++ b/cmd/petrelhookctl/scale.go
@@ -24,22 +24,22 @@
 	var output, file, memory string
 	cmd := &cobra.Command{
 		Use: "scale", Args: cobra.NoArgs,
-		Short: "Measure what a fleet of some sizes costs each role, with real coordinators and simulated members",
-		Long: "Starts petrelhook-coordinator processes and, beside them, simulated members that make and answer the calls of real ones,\n" +
-			"many to a process, and measures each role's processes from outside. Everything is on loopback, and has ended\n" +
-			"when it returns.\n\n" +
+		Short: "Measure the cost to each role of fleets of several sizes, with real coordinators and simulated members",
+		Long: "Starts petrelhook-coordinator processes and simulated members, which make and answer the same calls as real ones and of\n" +
+			"which one process runs many, and measures each role's processes from outside. Everything runs on loopback, and\n" +
+			"all processes have ended when the command returns.\n\n" +
 			"Workloads:\n" +
 			"  renewals  sessions of the lease client (TTL 10s, its default), each with one lease\n" +
 			"  looks     a driver's polls of the agents of one change, and then a change of all of them at once\n" +
-			"  watches   agents that wait for versions of their service's configuration, at rest, for 8.75s at least\n" +
-			"  publish   the same with versions of 4 KiB on their way, for 8s or longer each: ordinary, as in the busiest\n" +
-			"            minute (busy_), for all services at once (all_); at 250 members and at --check also while a\n" +
-			"            coordinator that follows, and then the one that leads, is killed (killed_, leader_killed_)\n\n" +
-			"With --real, machines with a real agent and sidecar stand beside the simulated members of watches and publish;\n" +
-			"their sidecars serve calls, judged by the four rules. Versions come into force there as they run, and one by a\n" +
-			"hand-over (hand_over_); what calls take is measured without versions (quiet_) and with them (versions_).\n\n" +
-			"Figures are rates over a window of --steady; the table has the median of the runs, --json all of them. It\n" +
-			"ends with 1 where a run has failed or was not made; what the product refuses at a size is a finding, and no\n" +
+			"  watches   agents that wait for versions of their service's configuration; none is published for 8.75s or more\n" +
+			"  publish   the same while versions of 4 KiB are distributed, for 8s or longer each: at the ordinary rate, at\n" +
+			"            that of the busiest minute (busy_), for all services at once (all_); at 250 members and at --check\n" +
+			"            also while a follower, and then the leader, of the coordinators is killed (killed_, leader_killed_)\n\n" +
+			"With --real, machines with a real agent and sidecar run beside the simulated members of watches and publish;\n" +
+			"their sidecars serve calls, which are checked against the four rules. Versions come into force there in running\n" +
+			"processes, and one by a hand-over (hand_over_); calls are timed without versions (quiet_) and with (versions_).\n\n" +
+			"Figures are rates over a window of --steady; the table has the median of the runs, --json has all runs.\n" +
+			"Exit code 1: a run failed or was not made. A size at which the product refuses the load is a finding, not a\n" +
 			"failure.",
 		RunE: func(cmd *cobra.Command, _ []string) (err error) {
 			if err := checkOutput(output, outputText, outputJSON); err != nil {
@@ -62,26 +62,26 @@
 		},
 	}
 	addScaleFlags(cmd.Flags(), &o)
-	cmd.Flags().StringVar(&memory, "memory", "", "memory of all processes together, such as 6G (default: a quarter of the machine's)")
-	cmd.Flags().StringVar(&output, "output", outputText, "form of what is measured: text or json")
-	cmd.Flags().StringVar(&file, "json", "", "also write what is measured to `FILE`")
+	cmd.Flags().StringVar(&memory, "memory", "", "memory limit of all processes together, such as 6G (default: a quarter of the machine's memory)")
+	cmd.Flags().StringVar(&output, "output", outputText, "format of the measurements: text or json")
+	cmd.Flags().StringVar(&file, "json", "", "also write the measurements to `FILE`")
 	cmd.AddCommand(scaleMembersCommand(), scaleMinderCommand())
 	return cmd
 }
 
 func addScaleFlags(f *pflag.FlagSet, o *scale.Options) {
 	f.StringVar(&o.ProgramDir, "bin", "", "`FOLDER` of the programs (default: that of this program)")
-	f.StringSliceVar(&o.Workloads, "workloads", scale.Workloads, "what members do")
-	f.IntSliceVar(&o.Sizes, "sizes", []int{250, 500, 1000, 2000, 4000}, "numbers of members; a line is fitted on these")
-	f.IntVar(&o.CheckSize, "check", 12_000, "a larger size, at which the line is checked; 0: none")
-	f.IntVar(&o.Runs, "runs", 3, "of each workload at each size")
-	f.IntVar(&o.RealMachines, "real", 0, "machines with a real agent and sidecar beside simulated members")
-	f.DurationVar(&o.Window, "steady", 4*time.Second, "the time of measurement once all members have joined")
+	f.StringSliceVar(&o.Workloads, "workloads", scale.Workloads, "workloads of the members")
+	f.IntSliceVar(&o.Sizes, "sizes", []int{250, 500, 1000, 2000, 4000}, "numbers of members, to whose measurements a line is fitted")
+	f.IntVar(&o.CheckSize, "check", 12_000, "larger number of members, at which the fitted line is checked; 0: no check")
+	f.IntVar(&o.Runs, "runs", 3, "number of runs of each workload at each size")
+	f.IntVar(&o.RealMachines, "real", 0, "number of machines with a real agent and sidecar beside the simulated members")
+	f.DurationVar(&o.Window, "steady", 4*time.Second, "duration of a measurement once all members have joined")
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of the members; the same seed gives the same members")
-	f.DurationVar(&o.Timeout, "within", 40*time.Minute, "time-out of the whole; the default sizes and runs take about 30m")
+	f.DurationVar(&o.Timeout, "within", 40*time.Minute, "time-out of the whole command; the default sizes and runs take about 30m")
 }
 
-// scaleMembersCommand runs a process of simulated members, which scale starts.
+// scaleMembersCommand returns the hidden subcommand that scale starts as a process of simulated members.
 func scaleMembersCommand() *cobra.Command {
 	return &cobra.Command{Use: "members", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -92,7 +92,8 @@
 		}}
 }
 
-// scaleMinderCommand runs the process that ends what scale has started if scale itself is killed.
+// scaleMinderCommand returns the hidden subcommand that scale starts as a watchdog: it ends the sidecars that are left over if scale itself
+// is killed.
 func scaleMinderCommand() *cobra.Command {
 	return &cobra.Command{Use: "minder FOLDER", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -103,7 +104,7 @@
 		}}
 }
 
-// measure does the runs and writes the result, also what was measured before an error.
+// measure makes the runs and writes their measurements. After an error it writes what was measured before it.
 func measure(cmd *cobra.Command, o scale.Options, output, file string) error {
 	m, err := scale.Run(cmd.Context(), o)
 	if m == nil {
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// writeMeasurements writes what was measured in the form of --output, and as JSON to a file if one is named.
+// writeMeasurements writes the measurements in the format of --output, and as JSON to a file if one is named.
 func writeMeasurements(out io.Writer, m *capacity.Measured, output, file string) error {
 	text, err := json.MarshalIndent(m, "", "  ")
 	if err != nil {
@@ -134,7 +135,7 @@
 	return scale.WriteText(out, m)
 }
 
-// programDir is the folder of the programs: the given one, or that of this program.
+// programDir returns the folder of the programs: the given one, or by default that of this program.
 func programDir(given string) (string, error) {
 	if given == "" {
 		self, err := os.Executable()
@@ -143,7 +144,7 @@
 	return filepath.Abs(given)
 }
 
-// parseMemoryLimit parses a number of bytes; "": a quarter of the machine's memory.
+// parseMemoryLimit parses a number of bytes with an optional suffix K, M or G. For "" it returns a quarter of the machine's memory.
 func parseMemoryLimit(text string) (int64, error) {
 	if text == "" {
 		all, err := usage.MachineMemory()
--- a/cmd/petrelhookctl/scale_test.go
+++ b/cmd/petrelhookctl/scale_test.go
@@ -13,7 +13,7 @@
 	"petrelhook/internal/coordination/capacity"
 )
 
-// What is wrong with the flags is one line, before anything is started.
+// Invalid flags must be reported in one line before anything is started.
 func TestScaleFlags(t *testing.T) {
 	empty := t.TempDir()
 	for _, c := range []struct {
@@ -48,7 +48,8 @@
 	}
 }
 
-// The tool as a whole: JSON on standard output and in a file; and an interrupt ends it in order, with what it has.
+// Runs scale end to end, with JSON on standard output and in a file, and checks that an interrupted command ends gracefully and reports the
+// runs that were not made.
 func TestScale(t *testing.T) {
 	bin := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", bin+"/", "petrelhook/cmd/petrelhook-coordinator", "petrelhook/cmd/petrelhookctl").CombinedOutput()
@@ -58,12 +59,12 @@
 	file := filepath.Join(t.TempDir(), "m.json")
 	args := []string{"scale", "--bin", bin, "--workloads", "looks", "--sizes", "20", "--check", "0", "--runs", "1", "--steady", "1s"}
 	code, stdout, stderr := call(t.Context(), append(args, "--output", "json", "--json", file)...)
-	var m, same capacity.Measured
+	var m, fromFile capacity.Measured
 	text, _ := os.ReadFile(file)
-	if code != 0 || stderr != "" || json.Unmarshal([]byte(stdout), &m) != nil || json.Unmarshal(text, &same) != nil {
+	if code != 0 || stderr != "" || json.Unmarshal([]byte(stdout), &m) != nil || json.Unmarshal(text, &fromFile) != nil {
 		t.Fatalf("exit %d: %s\n%s\n%s", code, stderr, stdout, text)
 	}
-	if len(m.Points) < 30 || len(m.Points) != len(same.Points) || m.FitUpTo != 20 || m.Seed != 1 || len(m.Findings) > 0 {
+	if len(m.Points) < 30 || len(m.Points) != len(fromFile.Points) || m.FitUpTo != 20 || m.Seed != 1 || len(m.Findings) > 0 {
 		t.Errorf("%+v", m)
 	}
 	ctx, stop := context.WithCancel(t.Context())
--- a/cmd/petrelhookctl/share.go
+++ b/cmd/petrelhookctl/share.go
@@ -13,7 +13,7 @@
 )
 
 func shareCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "share", Short: "Limits of the whole fleet, divided into allocations that expire by themselves"}
+	cmd := &cobra.Command{Use: "share", Short: "Set and list limits of the whole fleet, which are divided into allocations that expire by themselves"}
 	cmd.AddCommand(shareSetCommand(), shareListCommand())
 	return cmd
 }
@@ -23,7 +23,7 @@
 	var l share.Limit
 	cmd := &cobra.Command{
 		Use: "set NAME --units N --period D --members N [--floor N]", Args: cobra.ExactArgs(1), Short: "Create a limit, or change its units",
-		Long: "Period, floor and members of a limit never change: use another name. To end one, set its units to its floor.",
+		Long: "Only the units of a limit can change; for another period, floor or members use another name. To end it, set its units to its floor.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if l.Name = args[0]; l.Check() != nil {
 				return l.Check()
@@ -36,9 +36,9 @@
 		},
 	}
 	a.add(cmd)
-	cmd.Flags().IntVar(&l.Units, "units", -1, "uses a period, of all members together")
-	cmd.Flags().DurationVar(&l.Period, "period", time.Second, "how long an allocation lasts")
-	cmd.Flags().IntVar(&l.Floor, "floor", 0, "of the units, those that all members together use without contact to a coordinator")
+	cmd.Flags().IntVar(&l.Units, "units", -1, "uses per period of all members together")
+	cmd.Flags().DurationVar(&l.Period, "period", time.Second, "duration of an allocation")
+	cmd.Flags().IntVar(&l.Floor, "floor", 0, "the part of the units that all members together may use without contact to a coordinator")
 	cmd.Flags().IntVar(&l.Members, "members", 0, "the largest number of members")
 	return cmd
 }
@@ -46,7 +46,7 @@
 func shareListCommand() *cobra.Command {
 	a := &coordinatorFlags{}
 	cmd := &cobra.Command{
-		Use: "list", Args: cobra.NoArgs, Short: "All limits: what is allocated, and the allocation, demand and fair share of each member",
+		Use: "list", Args: cobra.NoArgs, Short: "List all limits with what is allocated, and the allocation, demand and fair share of each member",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			response, err := a.call(cmd, fleet.Request{ListLimits: true})
 			if err != nil {
@@ -59,7 +59,7 @@
 	return cmd
 }
 
-// writeLimits writes a line for each limit, and one for each of its members.
+// writeLimits writes a row for each limit, and one for each of its members.
 func writeLimits(w *tabwriter.Writer, all []share.LimitStatus) {
 	for _, s := range all {
 		l, note := s.Limit, ""
@@ -74,7 +74,7 @@
 	}
 }
 
-// isolatedAllowance returns the uses a period that a member of a limit has without contact to a coordinator.
+// isolatedAllowance returns the number of uses per period that a member of a limit has without contact to a coordinator.
 func isolatedAllowance(l share.Limit) float64 {
 	if l.Members == 0 {
 		return 0
--- a/cmd/petrelhookctl/standin.go
+++ b/cmd/petrelhookctl/standin.go
@@ -21,10 +21,10 @@
 	var faultsAfter time.Duration
 	cmd := &cobra.Command{
 		Use:   "standin SCENARIO | FILE --configs FOLDER",
-		Short: "Run a scenario's stand-in servers and discovery, for sidecars started by hand",
-		Long: "Starts the fleet and discovery of a scenario on loopback and writes, for each of its sidecars, a configuration\n" +
-			"file nN.json to a folder; start them with LB_CONFIG=FOLDER/nN.json. The faults begin after --faults-after.\n" +
-			"It runs until it is interrupted, and then writes what each server was sent, as JSON.",
+		Short: "Run a scenario's stand-in servers and discovery for sidecars that are started separately",
+		Long: "Starts the fleet and discovery of a scenario on loopback and writes a configuration file nN.json for each of its\n" +
+			"sidecars to a folder. Start the sidecars with LB_CONFIG=FOLDER/nN.json. The faults begin after --faults-after.\n" +
+			"The command runs until it is interrupted, and then writes the numbers of requests to each server as JSON.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if configs == "" {
@@ -40,8 +40,8 @@
 			if s.Sidecars.Count == 0 {
 				return runError{fmt.Errorf("%s: sidecars: there are none to configure", s.Name)}
 			}
-			rec := &audit.Recorder{}
-			fleet, err := standin.Start(s, loopback.New(), rec, time.Now())
+			recorder := &audit.Recorder{}
+			fleet, err := standin.Start(s, loopback.New(), recorder, time.Now())
 			if err != nil {
 				return runError{err}
 			}
@@ -62,19 +62,19 @@
 				<-cmd.Context().Done()
 			}
 			fleet.Close()
-			if err := writeJSON(cmd.OutOrStdout(), summarizeByServer(rec.Records())); err != nil {
+			if err := writeJSON(cmd.OutOrStdout(), summarizeByServer(recorder.Records())); err != nil {
 				return runError{err}
 			}
 			return nil
 		},
 	}
 	cmd.Flags().StringVar(&configs, "configs", "", "`FOLDER` for the sidecars' configuration files")
-	cmd.Flags().DurationVar(&faultsAfter, "faults-after", 5*time.Second, "when the faults begin")
-	cmd.Flags().Uint64Var(&o.seed, "seed", 0, "draw with this seed in place of the scenario's")
+	cmd.Flags().DurationVar(&faultsAfter, "faults-after", 5*time.Second, "time after the start at which the faults begin")
+	cmd.Flags().Uint64Var(&o.seed, "seed", 0, "seed of all random draws, in place of the scenario's")
 	return cmd
 }
 
-// serverLine is the output for one server. Its JSON is an interface.
+// serverLine is the output for one server. Other programs read its JSON, so its keys must not change.
 type serverLine struct {
 	Server   string `json:"server"`
 	Attempts int    `json:"attempts"`
@@ -83,17 +83,17 @@
 	NeverRan int    `json:"never_ran"`
 }
 
-// summarizeByServer counts the attempts at each server.
+// summarizeByServer counts the attempts at each server by what became of them.
 func summarizeByServer(r audit.Records) (lines []serverLine) {
-	at := map[string]int{}
+	indexes := map[string]int{}
 	for _, l := range r.Incarnations {
-		if _, ok := at[l.Server]; !ok {
-			at[l.Server] = len(lines)
+		if _, ok := indexes[l.Server]; !ok {
+			indexes[l.Server] = len(lines)
 			lines = append(lines, serverLine{Server: l.Server})
 		}
 	}
 	for _, a := range r.Attempts {
-		i, ok := at[a.Server]
+		i, ok := indexes[a.Server]
 		if !ok {
 			continue
 		}
