--- a/cmd/petrelhook-agent/deployment_test.go
+++ b/cmd/petrelhook-agent/deployment_test.go
@@ -52,8 +52,8 @@
 		}})
 }
 
-// killAgentsInTurn kills one agent after another, the given number of times in all, and restarts each. It waits for a random time below
-// within before each kill. It fails the test if a sidecar ever has a third process.
+// killAgentsInTurn kills one agent after another, the given number of times in all, and restarts each. Before each kill it waits for a
+// random time of less than within. It fails the test if a sidecar ever has a third process.
 func killAgentsInTurn(t *testing.T, s *deployment.LoadTest, times int, within time.Duration) {
 	t.Helper()
 	for i := range times {
--- a/cmd/petrelhook-agent/figures_test.go
+++ b/cmd/petrelhook-agent/figures_test.go
@@ -18,15 +18,15 @@
 	s := startProcesses(t, 12, 360, nil)
 	bad := s.FaultyRelease(deployment.FaultOneClass)
 	start := time.Now()
-	var starts []time.Duration
+	var startOffsets []time.Duration
 	names := []string{"judged stages", "timed stages", "all at once"}
 	for i, plan := range []string{
 		"max_concurrent: 2\nstages:\n  - {count: 1, control: 1, min_bake_time: 10s}\n  - {share: 0.25, control: 2, min_bake_time: 10s}\n  - {share: 1}\n",
 		"max_concurrent: 2\njudge: none\nstages:\n  - {count: 1, min_bake_time: 10s}\n  - {share: 0.25, min_bake_time: 10s}\n  - {share: 1}\n",
 		"max_concurrent: 12\njudge: none\nstages:\n  - {share: 1}\n",
 	} {
-		startedAt := time.Since(start)
-		starts = append(starts, startedAt)
+		startOffset := time.Since(start)
+		startOffsets = append(startOffsets, startOffset)
 		if _, err := s.Begin(deployment.PlanText(s.Initial, bad, plan)); err != nil {
 			t.Fatal(err)
 		}
@@ -45,11 +45,11 @@
 	}
 	began := time.Since(start)
 	outcome := s.Check()
-	offset := outcome.Records.Calls[len(outcome.Records.Calls)-1].ScheduledAt - began // approximate offset of the records' clock from this one
-	for i, startedAt := range starts {
+	clockOffset := outcome.Records.Calls[len(outcome.Records.Calls)-1].ScheduledAt - began // approximate offset of the records' clock from this one
+	for i, startOffset := range startOffsets {
 		total, affected := 0, 0
 		for _, c := range outcome.Records.Calls {
-			if c.ScheduledAt < startedAt+offset || c.ScheduledAt > startedAt+offset+horizon {
+			if c.ScheduledAt < startOffset+clockOffset || c.ScheduledAt > startOffset+clockOffset+horizon {
 				continue
 			}
 			if total++; c.Result != audit.Served {
--- a/cmd/petrelhook-agent/main.go
+++ b/cmd/petrelhook-agent/main.go
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// If an agent is killed while it starts a process, that process inherits its descriptors, and so holds its address and its lock until it
-// executes the sidecar's program. An agent that is started meanwhile waits for heldTimeout at most, and tries again after each
-// heldRetryInterval.
+// A process that an agent starts inherits the agent's descriptors and keeps them until it executes the sidecar's program. If the agent is
+// killed in between, the process holds the agent's address and lock for that moment. An agent that is started meanwhile retries at each
+// heldRetryInterval, for heldTimeout at most.
 const (
 	heldTimeout       = 5 * time.Second
 	heldRetryInterval = 20 * time.Millisecond
--- a/cmd/petrelhookctl/capacity.go
+++ b/cmd/petrelhookctl/capacity.go
@@ -17,7 +17,7 @@
 		Short: "Compute what a fleet of a given size needs of each role, and compare it with the budgets",
 		Long: "Computes state, messages, processor time and memory of each role from assumptions and the measurements of\n" +
 			"a scale run, with a verdict beside each budget. A figure that depends on a run that was not made has the\n" +
-			"verdict not measured. With --write the tables replace those between the markers of a page; the rest of the\n" +
+			"verdict \"not measured\". With --write the tables replace those between the markers of a page; the rest of the\n" +
 			"page stays. Exit codes: 0: computed, whatever the verdicts are; 1: a file is invalid.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := checkOutput(output, outputText, outputJSON, outputMarkdown); err != nil {
