--- a/internal/common/sock/yield_test.go
+++ b/internal/common/sock/yield_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A process that yields, and accepts the connections in its queue before it closes its listener, loses no connection: new ones go
-// to the other process. This also holds if an earlier process at the address has yielded and ended.
+// No connection is lost if a process calls Yield and then accepts the connections in its listener's queue before it closes the
+// listener: new connections go to the other process. This also holds if an earlier process at the address called Yield and ended.
 func TestYield(t *testing.T) {
 	first, err := ListenShared("127.0.0.1:0")
 	if err != nil {
@@ -23,9 +23,10 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { next.Close() })
-		const phases, perPhase = 3, 40
-		accepted := 0               // by the first listener, just before its close
-		for phase := range phases { // both listen; both listen and the first yields; the first is closed
+		const phases, connectionsPerPhase = 3, 40
+		accepted := 0 // by the first listener, just before it is closed
+		// Phase 0: both listen. Phase 1: the first has yielded. Phase 2: the first is closed.
+		for phase := range phases {
 			switch phase {
 			case 1:
 				if err := Yield(first); err != nil {
@@ -35,17 +36,19 @@
 				accepted = drain(t, first)
 				first.Close()
 			}
-			for range perPhase {
-				c, err := net.Dial("tcp", addr)
+			for range connectionsPerPhase {
+				conn, err := net.Dial("tcp", addr)
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer c.Close()
+				defer conn.Close()
 			}
 		}
-		if n := drain(t, next); accepted+n != phases*perPhase || round == 0 && accepted == 0 {
-			t.Errorf("round %d: the first listener got %d connections and the second %d, of %d", round, accepted, n, phases*perPhase)
-		} else if accepted > perPhase {
+		// In round 0, the first listener must get some of the connections of phase 0: the filter that the Yield before the rounds has
+		// set was removed when next started to listen.
+		if acceptedByNext := drain(t, next); accepted+acceptedByNext != phases*connectionsPerPhase || round == 0 && accepted == 0 {
+			t.Errorf("round %d: the first listener got %d connections and the second %d, of %d", round, accepted, acceptedByNext, phases*connectionsPerPhase)
+		} else if accepted > connectionsPerPhase {
 			t.Errorf("round %d: the yielding listener got %d connections, more than were opened before it yielded", round, accepted)
 		}
 		first = next
--- a/internal/common/yamlfile/deprecated_test.go
+++ b/internal/common/yamlfile/deprecated_test.go
@@ -8,24 +8,24 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// parseWindows reads a file with a field limit, whose deprecated name is most, and a list of windows with a field size, whose
-// deprecated name is big.
+// parseWindows parses a file with two fields: "limit", whose deprecated name is "most", and "windows", a list of mappings with the
+// field "size", whose deprecated name is "big".
 func parseWindows(text string) (sizes []int, limit int, warnings []string, err error) {
 	const file = "w.yaml"
-	top, err := Mapping(file, []byte(text), "fields such as limit: 3")
+	root, err := Mapping(file, []byte(text), "fields such as limit: 3")
 	if err != nil {
 		return nil, 0, nil, err
 	}
 	var names DeprecatedNames
 	var list yaml.Node
-	err = names.Fields(file, "", top, map[string]Reader{"limit": Into(&limit, "a number"), "windows": Into(&list, "a list")},
+	err = names.Fields(file, "", root, map[string]Reader{"limit": Into(&limit, "a number"), "windows": Into(&list, "a list")},
 		map[string]string{"most": "limit"})
 	if err != nil {
 		return nil, 0, nil, err
 	}
-	err = EachMapping(file, "windows", &list, func(field string, n *yaml.Node) error {
+	err = EachMapping(file, "windows", &list, func(field string, window *yaml.Node) error {
 		var size int
-		err := names.Fields(file, field+".", n, map[string]Reader{"size": Into(&size, "a number")}, map[string]string{"big": "size"})
+		err := names.Fields(file, field+".", window, map[string]Reader{"size": Into(&size, "a number")}, map[string]string{"big": "size"})
 		sizes = append(sizes, size)
 		return err
 	})
@@ -36,16 +36,16 @@
 	return sizes, limit, warnings, err
 }
 
-// A field is read under its deprecated name as under the current one. Each deprecated name that is used causes one warning, with
-// the position of its first use.
+// A field has the same effect under its deprecated name as under its current name. Each deprecated name that the file uses causes one
+// warning, which gives the position of its first use.
 func TestDeprecatedNames(t *testing.T) {
 	for name, c := range map[string]struct {
 		text     string
 		warnings []string
 	}{
-		"current names": {"limit: 7\nwindows: [{size: 1}, {size: 2}]\n", nil},
-		"one of them":   {"most: 7\nwindows: [{size: 1}, {size: 2}]\n", []string{"w.yaml:1:7: most: this is called limit now; write that"}},
-		"all of them": {"most: 7\nwindows:\n  - {big: 1}\n  - {big: 2}\n", []string{
+		"current names":       {"limit: 7\nwindows: [{size: 1}, {size: 2}]\n", nil},
+		"one deprecated name": {"most: 7\nwindows: [{size: 1}, {size: 2}]\n", []string{"w.yaml:1:7: most: this is called limit now; write that"}},
+		"all deprecated names": {"most: 7\nwindows:\n  - {big: 1}\n  - {big: 2}\n", []string{
 			"w.yaml:1:7: most: this is called limit now; write that",
 			"w.yaml:3:11: windows[0].big: this is called size now; write that",
 		}},
@@ -57,8 +57,8 @@
 	}
 }
 
-// A file with both names of a field is an error, even if they are in different items of a list. Other errors name the field as
-// the file does, under the deprecated name.
+// A file that uses both names of a field is rejected, even if the names are in different items of a list. Other errors name the field
+// by the name that the file uses.
 func TestBadDeprecatedNames(t *testing.T) {
 	for text, want := range map[string]string{
 		"most: 7\nlimit: 7\nwindows: [{size: 1}]\n":     "w.yaml:1:7: most: the file has limit as well; write limit alone",
--- a/internal/coordination/agent/configuration.go
+++ b/internal/coordination/agent/configuration.go
@@ -8,39 +8,39 @@
 	"petrelhook/internal/coordination/distribute"
 )
 
-// Check is a request to check whether a version can be applied: the program of each release that may be started with it has to
-// accept it. If a process serves, the check also finds out whether that process can apply the version by a reload. Checks are
-// compared with == to match a result with its request.
+// Check is a request to check whether a version can be applied: the program of each release that may be started with the version
+// has to accept it. If a process serves, the check also finds out whether that process can apply the version by a reload. Checks
+// are compared with == to match a result with its request.
 type Check struct {
 	Version  distribute.Revision
-	Releases [2]string // the running release, then the confirmed one if it differs; "": none
-	Process  Process   // the serving process; the zero value: there is none
+	Releases [2]string // of the serving process, if any, and the confirmed one; "" follows if that is only one release
+	Process  Process   // the serving process; the zero value: no process serves
 }
 
 // CheckResult is the result of a Check.
 type CheckResult struct {
 	Rejection   string // why a release's program rejects the version; "": all accept it
 	Unavailable string // why the check could not be made now; "": it has been made
-	Reloadable  bool   // the serving process can reload: no field differs that is only read at a start
+	Reloadable  bool   // the serving process can reload: no field that is read only at a start differs
 }
 
-// configurationProgress is the part of a sidecar's state on versions of its configuration that is not persisted.
+// configurationProgress is the state of a sidecar's configuration versions that is not persisted.
 type configurationProgress struct {
 	newest         distribute.Revision // the newest version that the agent has accepted
 	pendingCheck   *Check              // the check that was requested and has not completed
-	lastCheck      Check               // the last accepted check; its result is lastResult
+	lastCheck      Check               // the last check that no release rejected; its result is lastResult
 	lastResult     CheckResult
 	digestReported bool          // DigestReported was called for the serving process
 	reportedDigest string        // the digest of the file that the serving process read last; "": its program reports none
-	expectedDigest string        // the digest of the file that was written for its reload; "": no file was
-	retryAt        time.Duration // when to try the version or request the reload again
+	expectedDigest string        // the digest of the file that was written for its reload; "": no file was written
+	retryAt        time.Duration // the earliest time to try the version or request the reload again
 	failures       int           // consecutive attempts that failed for reasons other than the version
-	delayReason    string        // why the last of them failed
-	reservedUntil  time.Duration // no version is applied before, because a rollout's order found the sidecar busy and will be repeated
+	delayReason    string        // why the last of these attempts failed
+	reservedUntil  time.Duration // no version is applied earlier: a rollout's order found the sidecar busy and will be repeated
 }
 
-// crashLoopThreshold is the number of consecutive exits without readiness in between after which a sidecar counts as unable to
-// start with the version in force. From then on a newer version is applied although no process serves.
+// crashLoopThreshold is the number of consecutive exits, without a ready process in between, after which a sidecar counts as unable
+// to start with the version in force. From then on, a newer version is applied although no process serves.
 const crashLoopThreshold = 2
 
 // SetNewestVersion reports the newest version that the agent has accepted. A version that is not newer than the last reported one
@@ -75,7 +75,7 @@
 		return nil
 	case s.Serving == nil && (s.startRequested || s.consecutiveCrashes < crashLoopThreshold): // restarts with the version in force come first
 		return nil
-	case s.Serving != nil && (!s.servingReady || !s.digestReported) && now < s.deadline: // it was started only recently
+	case s.Serving != nil && (!s.servingReady || !s.digestReported) && now < s.deadline: // wait until it is ready and has reported
 		return nil
 	}
 	if check := s.nextCheck(); s.lastCheck != check {
@@ -106,11 +106,11 @@
 }
 
 // CheckCompleted reports the result of a check. If the check is outdated by now, the result is dropped and a new check is
-// requested.
+// requested, if one is still needed.
 func (s *Sidecar) CheckCompleted(now time.Duration, check Check, result CheckResult) []Action {
 	s.pendingCheck = nil
 	switch {
-	case s.Phase != Idle || !s.hasPendingVersion() || check != s.nextCheck(): // outdated
+	case s.Phase != Idle || !s.hasPendingVersion() || check != s.nextCheck(): // the result is outdated
 	case result.Unavailable != "":
 		s.retryVersionLater(now, result.Unavailable)
 	case result.Rejection != "":
@@ -121,7 +121,8 @@
 	return s.Tick(now)
 }
 
-// retryVersionLater schedules another attempt after one that failed for a reason other than the version.
+// retryVersionLater schedules another attempt to apply the newest version, after an attempt that failed for a reason other than the
+// version itself.
 func (s *Sidecar) retryVersionLater(now time.Duration, reason string) {
 	s.delayReason, s.retryAt, s.lastCheck = reason, now+s.limits.backoff(s.failures), Check{}
 	s.failures++
@@ -137,7 +138,7 @@
 // it. A non-nil err says why this failed; the version is then tried again later.
 func (s *Sidecar) ReloadRequested(now time.Duration, p Process, digest string, err error) {
 	switch {
-	case !s.ByReload || s.Serving == nil || *s.Serving != p:
+	case !s.ByReload || s.Serving == nil || *s.Serving != p: // the reload has been withdrawn
 	case err != nil:
 		s.Candidate, s.ByReload = 0, false
 		s.retryVersionLater(now, err.Error())
@@ -158,8 +159,9 @@
 	}
 }
 
-// finishCandidate ends the attempt to apply the candidate, which comes into force if failure is "". A version in force remains so
-// whatever happens to its process afterwards. A failed candidate is rejected if it is at fault, and stays pending otherwise.
+// finishCandidate ends the attempt to apply the candidate. If failure is "", the candidate comes into force. A failed candidate is
+// rejected if versionAtFault is true, and stays pending otherwise. A candidate that is already in force stays in force, whatever
+// happens to its process afterwards.
 func (s *Sidecar) finishCandidate(failure string, versionAtFault bool) {
 	switch {
 	case failure == "":
@@ -170,8 +172,8 @@
 	s.Candidate, s.ByReload = 0, false
 }
 
-// resetReportedDigest discards the report of the last serving process, because another one serves now, or none does. A reload in
-// progress is withdrawn.
+// resetReportedDigest discards the digest that the last serving process reported. It is called when another process serves, or none.
+// A reload in progress is withdrawn.
 func (s *Sidecar) resetReportedDigest() {
 	s.digestReported, s.reportedDigest, s.expectedDigest = false, "", ""
 	s.withdrawReload()
--- a/internal/coordination/share/allocators.go
+++ b/internal/coordination/share/allocators.go
@@ -7,7 +7,7 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// Allocators has the allocator of each limit, for one term of one leader. It is not safe for concurrent use.
+// Allocators holds the allocator of each limit for one term of one leader. It is not safe for concurrent use.
 type Allocators struct {
 	term    uint64
 	byLimit map[string]*Allocator
@@ -23,8 +23,9 @@
 	return a
 }
 
-// Applied updates the allocators. The leader calls it after each command of its term that Register.Apply has accepted. For a new limit
-// nothing is allocated for a period either, because the limit may have existed before the group was restored from a back-up without it.
+// Applied updates the allocators. The leader calls it after each command of its term that Register.Apply has accepted. For a new
+// limit nothing is allocated during its first period, as at the start of a term: if the group was restored from a backup without the
+// limit, allocations from before may still be in use.
 func (a *Allocators) Applied(c Command, now lease.Instant) {
 	if allocator := a.byLimit[c.Set.Name]; allocator != nil {
 		allocator.SetUnits(c.Set.Units)
@@ -33,7 +34,7 @@
 	a.byLimit[c.Set.Name] = NewAllocator(c.Set, a.term, now)
 }
 
-// Allocate answers a request for units of a limit, as Allocator.Allocate does; ok is false if there is no such limit.
+// Allocate returns the result of Allocator.Allocate for the limit with the given name. ok is false if there is no such limit.
 func (a *Allocators) Allocate(limit string, r AllocationRequest, now lease.Instant) (allocation Allocation, ok bool) {
 	allocator := a.byLimit[limit]
 	if allocator == nil {
@@ -46,7 +47,7 @@
 type LimitStatus struct {
 	Limit       Limit          `json:"limit"`
 	Outstanding int            `json:"out"`             // units of all active allocations
-	Starting    bool           `json:"waits,omitempty"` // nothing is allocated yet, because the leader is in its first period
+	Starting    bool           `json:"waits,omitempty"` // nothing is allocated yet: the allocator's first period has not ended
 	Members     []MemberStatus `json:"members,omitempty"`
 }
 
@@ -54,9 +55,9 @@
 type MemberStatus struct {
 	Name        string  `json:"name"`
 	Weight      float64 `json:"weight"`
-	Demand      int     `json:"want"` // units per period, as stated in its last request
-	FairShare   float64 `json:"fair"` // units per period that it is entitled to
-	Outstanding int     `json:"out"`  // units of its active allocations, spent or not
+	Demand      int     `json:"want"` // units per period, as stated in the member's last request
+	FairShare   float64 `json:"fair"` // units per period that the member is entitled to
+	Outstanding int     `json:"out"`  // units of the member's active allocations, spent or not
 }
 
 // Statuses returns the state of all limits, sorted by name.
--- a/internal/router/membership/membership_test.go
+++ b/internal/router/membership/membership_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A session ends when no heartbeat has renewed it for the session timeout.
 func TestSessionsEnd(t *testing.T) {
 	s := New(3 * time.Second)
 	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
@@ -16,18 +17,18 @@
 	require.Contains(t, s.Fleet(), "b")
 }
 
-// The stamp changes when a session is opened, ends or belongs to a new incarnation, but not with a heartbeat that only
-// renews a session.
-func TestTheStampOfSessions(t *testing.T) {
+// The stamp changes when a session is opened, when it ends, and when its router has a new incarnation. A heartbeat that only
+// renews a session does not change the stamp.
+func TestStampChangesWithSessions(t *testing.T) {
 	s := New(3 * time.Second)
 	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, 0)
-	_, first := s.Own()
+	_, opened := s.Own()
 	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 1}, time.Second)
-	_, again := s.Own()
-	require.Equal(t, first, again)
+	_, renewed := s.Own()
+	require.Equal(t, opened, renewed)
 	s.ReceiveHeartbeat(Router{Address: "a", Incarnation: 2}, time.Second)
 	_, restarted := s.Own()
-	require.Greater(t, restarted, first)
+	require.Greater(t, restarted, opened)
 	s.Expire(time.Minute)
 	_, ended := s.Own()
 	require.Greater(t, ended, restarted)
@@ -41,9 +42,9 @@
 	s.UpdatePeer("peer", 7, 4, []Router{{Address: "b"}, {Address: "c"}}, 0)
 	require.Len(t, s.Fleet(), 3)
 	require.Equal(t, uint64(4), s.PeerStamp("peer", 7))
-	require.Zero(t, s.PeerStamp("peer", 8), "another process holds other sessions")
+	require.Zero(t, s.PeerStamp("peer", 8), "the stamp of another incarnation of the peer is unknown")
 	s.UpdatePeer("peer", 7, 4, nil, 10*time.Second)
-	require.Len(t, s.Fleet(), 3, "nothing changed")
+	require.Len(t, s.Fleet(), 3, "a report without routers means that they did not change")
 	s.Expire(21 * time.Second)
 	require.Contains(t, s.Fleet(), "b")
 	s.Expire(23 * time.Second)
--- a/internal/router/node/tick.go
+++ b/internal/router/node/tick.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// maxMissedHeartbeats is the number of missed heartbeats after which a server is lost.
+	// maxMissedHeartbeats is the number of heartbeat intervals without a heartbeat after which a server counts as lost.
 	maxMissedHeartbeats = 4.5
 	// expireInterval is the time between two checks for lost servers.
 	expireInterval = 250 * time.Millisecond
-	// heartbeatsUntilComplete is the number of heartbeat intervals of servers, in contact with a majority, after which a
-	// core member has the complete list of servers: every live server has called some core member by then.
+	// heartbeatsUntilComplete is the number of server heartbeat intervals after which a core member that is in contact with a
+	// majority has the complete list of servers: by then, every live server has sent a heartbeat to some core member.
 	heartbeatsUntilComplete = 2
 )
 
@@ -27,7 +27,7 @@
 		n.tickCore(now)
 	}
 	if n.distributor.pushPending {
-		n.pushAll() // during shutdown Run does not receive from the timer
+		n.pushAll() // normally Run does this when the push timer fires, but not during shutdown
 	}
 	n.tickSessions(now)
 	n.tickQuota(now)
@@ -44,11 +44,11 @@
 	n.apply()
 }
 
-// tickCore does the periodic work of core members: it counts the fleet and, in contact with a majority, stores the servers
-// and decides which of them are lost.
+// tickCore does the periodic work of core members: it updates the fleet size and, while this router is in contact with
+// a majority, stores the servers and decides which of them are lost.
 func (n *Node) tickCore(now time.Duration) {
 	n.distributor.sessions.Expire(now)
-	n.countFleet()
+	n.updateFleetSize()
 	if !n.control.replica.InTouch() {
 		n.control.inTouchSince = -1
 		return
@@ -69,8 +69,8 @@
 	}
 }
 
-// countFleet sets the fleet's size to the number of routers with a session, counting this router.
-func (n *Node) countFleet() {
+// updateFleetSize sets the fleet size to the number of routers with a session, including this router even if it has none.
+func (n *Node) updateFleetSize() {
 	fleet := n.distributor.sessions.Fleet()
 	size := len(fleet)
 	if _, ok := fleet[n.self.Address]; !ok {
--- a/internal/router/operatorapi/register.go
+++ b/internal/router/operatorapi/register.go
@@ -5,8 +5,8 @@
 //
 // Register is deterministic: the same orders in the same sequence give the same configuration on every replica.
 // Invariants: an accepted order is recognized by its content until maxRememberedOrders later orders have been accepted.
-// It is never rejected: an order that is so old that it may have been accepted and forgotten gets status 503. Versions
-// only increase, and no two contents have the same version number.
+// An accepted order that is sent again is never reported as invalid or outdated: it gets status 200, or status 503 if it is
+// so old that it may have been forgotten. Version numbers only increase, and no two contents have the same version number.
 //
 // A Register is not safe for concurrent use: only the replica calls it, under the router's lock. The configurations
 // that it returns are immutable.
@@ -19,10 +19,10 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// Reasons that the operator gets with a status.
+// Reasons that are sent to the operator with an HTTP status.
 const (
-	reasonUnclear      = "the order is too old to tell whether it was accepted"
-	reasonOtherVersion = "another version is current"
+	reasonMaybeForgotten = "the order is too old to tell whether it was accepted"
+	reasonOtherVersion   = "another version is current"
 )
 
 // Register is the replicated configuration. It implements replication.StateMachine.
@@ -30,8 +30,8 @@
 	config   *routetable.Config // nil before the first order
 	accepted acceptedOrders
 
-	// The configuration that results from the order with pendingDigest, or nil. Decide stores it for Apply, so that an
-	// order is parsed and validated only once.
+	// pendingConfig is the configuration that results from the order with the digest pendingDigest, or nil if there is
+	// none. Decide stores it for Apply, so that the configuration is built and validated only once.
 	pendingDigest Digest
 	pendingConfig *routetable.Config
 }
@@ -55,9 +55,9 @@
 	return g.config.Generation
 }
 
-// Decide returns whether an encoded order can be accepted, and the HTTP status for the operator: 200 if the order was
-// accepted before or can be accepted now (only then Accept is set), 400 if it is invalid, 412 if it is not based on the
-// current version, 503 if it may have been accepted and forgotten.
+// Decide returns whether an encoded order can be accepted, and the HTTP status for the operator: 200 if the order can
+// be accepted now or was accepted before, 400 if it is invalid, 412 if it is not based on the current version, 503 if it
+// may have been accepted and forgotten. Accept is set only if the order can be accepted now.
 func (g *Register) Decide(entry []byte) replication.Decision {
 	o, err := DecodeOrder(entry)
 	if err != nil {
@@ -67,24 +67,24 @@
 		return replication.Decision{Status: http.StatusOK}
 	}
 	if g.accepted.mayHaveForgotten(o.Base) {
-		return replication.Decision{Status: http.StatusServiceUnavailable, Reason: reasonUnclear}
+		return replication.Decision{Status: http.StatusServiceUnavailable, Reason: reasonMaybeForgotten}
 	}
 	if o.Base != g.Generation() {
 		return replication.Decision{Status: http.StatusPreconditionFailed, Reason: reasonOtherVersion}
 	}
-	if _, err := g.result(o); err != nil {
+	if _, err := g.resultingConfig(o); err != nil {
 		return replication.Decision{Status: http.StatusBadRequest, Reason: err.Error()}
 	}
 	return replication.Decision{Accept: true, Status: http.StatusOK}
 }
 
-// Apply applies an order that Decide accepted on this replica or another one.
+// Apply applies an order that Decide accepted on this replica or another one. An order that is invalid has no effect.
 func (g *Register) Apply(entry []byte) {
 	o, err := DecodeOrder(entry)
 	if err != nil {
 		return
 	}
-	next, err := g.result(o)
+	next, err := g.resultingConfig(o)
 	if err != nil {
 		return
 	}
@@ -92,8 +92,8 @@
 	g.accepted.add(o.Digest(), o.Base)
 }
 
-// result returns the validated configuration that results from an order.
-func (g *Register) result(o *Order) (*routetable.Config, error) {
+// resultingConfig returns the validated configuration that results from an order, and stores it as pendingConfig.
+func (g *Register) resultingConfig(o *Order) (*routetable.Config, error) {
 	digest := o.Digest()
 	if g.pendingConfig != nil && g.pendingDigest == digest {
 		return g.pendingConfig, nil
--- a/internal/sidecar/core/snapshot.go
+++ b/internal/sidecar/core/snapshot.go
@@ -18,7 +18,7 @@
 	List   member.List          `json:"List"`
 	IDs    map[string]time.Time `json:"IDs"` // until when each id is reserved, including those of open requests
 	Module balance.Snapshot     `json:"Module"`
-	Names  *Names               `json:"Names"` // of the positions in Module; nil if written by a version without names
+	Names  *Names               `json:"Names"` // for the positions in Module; nil if the version that wrote the snapshot recorded none
 }
 
 // Names holds the names of the classes, zones and kinds that the module knows only by their positions.
@@ -26,11 +26,12 @@
 	Classes []string `json:"Classes"`
 	Zones   []string `json:"Zones"`
 	Kinds   []string `json:"Kinds"`
-	// Rules holds the effect, group and window of each class. It is empty if written by a version without rules.
+	// Rules holds the effect, group and window of each class. It is empty if the version that wrote the snapshot
+	// recorded no rules.
 	Rules []string `json:",omitempty"`
 }
 
-// classRules returns the rules of each class as a text that can be compared with those of another process.
+// classRules returns the rules of each class as a string, so that they can be compared with the rules of another process.
 func classRules(classes []balance.Class) []string {
 	var rules []string
 	for _, c := range classes {
@@ -39,9 +40,9 @@
 	return rules
 }
 
-// remapSnapshot moves learned statistics to the positions that their names have in this process. It drops the statistics of names
-// that this process does not have and of classes whose rules differ. If the previous version gave no names, all positions are
-// kept if the number of classes is the same; otherwise everything is dropped.
+// remapSnapshot moves the statistics of each class, zone and kind to the position that its name has in this process. It drops the
+// statistics of names that this process does not have and of classes whose rules differ. If the previous version recorded no names,
+// all positions are kept if the number of classes is the same; otherwise everything is dropped.
 func remapSnapshot(learned balance.Snapshot, previous *Names, current Names) balance.Snapshot {
 	if previous == nil {
 		if len(learned.Classes) != len(current.Classes) {
@@ -58,13 +59,14 @@
 	return learned
 }
 
-// equal reports whether all positions have the same meaning in both. Rules are compared only if n has them.
+// equal reports whether each position has the same meaning in n and other. Rules are compared only if n has them.
 func (n *Names) equal(other Names) bool {
 	sameRules := len(n.Rules) == 0 || slices.Equal(n.Rules, other.Rules)
 	return sameRules && slices.Equal(n.Classes, other.Classes) && slices.Equal(n.Zones, other.Zones) && slices.Equal(n.Kinds, other.Kinds)
 }
 
-// remapClasses moves the statistics of each class to its position in current, if its rules are the same there.
+// remapClasses moves the statistics of each class to its position in current. It drops them if current lacks the class or has
+// different rules for it. Rules are compared only if previous has them.
 func remapClasses(learned []balance.ClassSnapshot, previous *Names, current Names) []balance.ClassSnapshot {
 	sameRules := func(from, to int) bool {
 		return from >= len(previous.Rules) || to < len(current.Rules) && previous.Rules[from] == current.Rules[to]
@@ -78,7 +80,7 @@
 	return remapped
 }
 
-// remapPositions moves each value to the position that its name has in current, and drops those without one.
+// remapPositions moves each value to the position that its name has in current, and drops the values whose name is not in current.
 func remapPositions(values map[int]float64, previous, current []string) map[int]float64 {
 	remapped := map[int]float64{}
 	for from, value := range values {
@@ -89,8 +91,8 @@
 	return remapped
 }
 
-// newPosition returns the position in current of the name that has position from in previous. If both are empty, position 0 is
-// the only one and stays.
+// newPosition returns the position in current of the name at position from in previous. If both lists are empty, the only valid
+// position is 0, which stays the same.
 func newPosition(from int, previous, current []string) (to int, ok bool) {
 	if len(previous) == 0 && len(current) == 0 {
 		return from, from == 0
@@ -102,8 +104,8 @@
 	return to, to >= 0
 }
 
-// Snapshot calls encode in the loop with the state that the core would hand over now, and waits for it. encode must not keep the
-// snapshot, because it shares memory with the loop. Snapshot returns false if the loop has ended.
+// Snapshot calls encode in the loop's goroutine with the state that the core would hand over now, and waits until encode has
+// returned. encode must not keep the snapshot, which shares memory with the loop. Snapshot returns false if the loop has ended.
 func (l *Loop) Snapshot(encode func(Snapshot)) (ok bool) {
 	done := make(chan struct{})
 	l.post(func() {
@@ -141,10 +143,10 @@
 			l.ids.releaseAt(id, expiry)
 		}
 	}
-	before, now := previous.Names, l.names()
-	if before != nil && len(before.Rules) > 0 && (!slices.Equal(before.Classes, now.Classes) || !slices.Equal(before.Rules, now.Rules)) {
+	recorded, current := previous.Names, l.names()
+	if recorded != nil && len(recorded.Rules) > 0 && (!slices.Equal(recorded.Classes, current.Classes) || !slices.Equal(recorded.Rules, current.Rules)) {
 		l.log.Info("other settings than before: learned times are taken where class, effect and window agree",
-			"before", before.Classes, "now", now.Classes)
+			"before", recorded.Classes, "now", current.Classes)
 	}
-	l.balancer.Restore(remapSnapshot(previous.Module, previous.Names, *now))
+	l.balancer.Restore(remapSnapshot(previous.Module, previous.Names, *current))
 }
--- a/internal/sidecar/core/snapshot_test.go
+++ b/internal/sidecar/core/snapshot_test.go
@@ -14,20 +14,20 @@
 )
 
 // snapshot returns the snapshot that a core hands over, after encoding and decoding it.
-func (core *testCore) snapshot() (l Snapshot) {
+func (core *testCore) snapshot() (decoded Snapshot) {
 	core.t.Helper()
 	var text []byte
 	var err error
-	if !core.Snapshot(func(l Snapshot) { text, err = json.Marshal(l) }) || err != nil {
+	if !core.Snapshot(func(s Snapshot) { text, err = json.Marshal(s) }) || err != nil {
 		core.t.Fatal(err)
 	}
-	if err := json.Unmarshal(text, &l); err != nil {
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		core.t.Fatal(err)
 	}
-	return l
+	return decoded
 }
 
-// successor runs a core that starts from another's snapshot; stop ends it.
+// successor starts a core that restores the snapshot of another core, and returns it with a function that stops it.
 func (core *testCore) successor(from Snapshot) (next *testCore, stop func()) {
 	core.t.Helper()
 	next = &testCore{
@@ -40,8 +40,8 @@
 	return next, func() { cancel(); <-next.stopped }
 }
 
-// The next process starts with the list of the previous one, including changed, draining and removed servers, and with its
-// generation. It never sends to a draining server, not even with its first request.
+// The next process starts with the server list of the previous process and the generation of that list. The list includes changed,
+// draining and removed servers. The next process sends no request to a draining server, not even its first request.
 func TestServerListIsHandedOver(t *testing.T) {
 	withCore(t, []string{"a", "b", "c", "d"}, func(core *testCore) {
 		core.source.lists <- member.List{Generation: 7, Instances: []member.Instance{
@@ -51,15 +51,15 @@
 		synctest.Wait()
 		from := core.snapshot()
 		if from.List.Generation != 7 || len(from.List.Instances) != 3 {
-			t.Fatalf("%+v", from.List)
+			t.Fatalf("the list in the snapshot is %+v; want generation 7 and 3 servers", from.List)
 		}
 		next, stop := core.successor(from)
 		defer stop()
 		if again := next.snapshot(); !reflect.DeepEqual(again.List, from.List) {
-			t.Errorf("%+v\n%+v", again.List, from.List)
+			t.Errorf("the next core has the list\n%+v\nwant\n%+v", again.List, from.List)
 		}
 		for range 20 {
-			pending := next.request(time.Now().String(), safe)
+			pending := next.request(time.Now().String(), safe) // the time serves as a unique id
 			x := <-next.servers.sent
 			if x.addr != "c2" && x.addr != "d" {
 				t.Errorf("sent to %q", x.addr)
@@ -71,7 +71,7 @@
 	})
 }
 
-// The id of a request that is open, or was answered before its deadline, is reserved in the next process too, until the deadline.
+// The next process, too, reserves the id of each request that is open or was answered, until the deadline of that request.
 func TestIDsAreHandedOver(t *testing.T) {
 	withCore(t, []string{"a"}, func(core *testCore) {
 		answered := core.request("answered", unsafe)
@@ -92,9 +92,9 @@
 	})
 }
 
-// Learned statistics move to the positions that their names have in the next process, and are dropped if they have no name there
-// or their class has other rules. If the previous version gave no names, positions are kept, unless the number of classes
-// differs.
+// Learned statistics are stored by the position of their class, zone or kind. The next process moves them to the position that the
+// same name has there. It drops them if it does not have the name, or if the rules of the class differ. If the previous version
+// recorded no names, the positions are kept if the number of classes is the same; otherwise everything is dropped.
 func TestLearnedByName(t *testing.T) {
 	learned := balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 1}, {Count: 2}, {Count: 3}}, Zones: map[int]float64{0: 10, 1: 11}, Kinds: map[int]float64{0: 7}}
 	previous := &Names{Classes: []string{"a", "b", "c"}, Zones: []string{"x", "y"}}
@@ -108,10 +108,10 @@
 		"one gone, one new": {previous, Names{Classes: []string{"new", "b"}, Zones: []string{"z"}, Kinds: []string{"k"}},
 			balance.Snapshot{Classes: []balance.ClassSnapshot{{}, {Count: 2}}, Zones: map[int]float64{}, Kinds: map[int]float64{}}},
 		"no names": {nil, *previous, learned},
-		"another order, other rules of one": {&Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "2/0/500"}},
+		"another order, changed rules of one class": {&Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "2/0/500"}},
 			Names{Classes: []string{"b", "a", "c"}, Rules: []string{"1/2/900", "0/0/500", "2/0/500"}},
 			balance.Snapshot{Classes: []balance.ClassSnapshot{{}, {Count: 1}, {Count: 3}}, Zones: map[int]float64{0: 10}, Kinds: learned.Kinds}},
-		"same names, other rules": {&Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "2/0/500"}},
+		"same names, changed rules of one class": {&Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "2/0/500"}},
 			Names{Classes: []string{"a", "b", "c"}, Rules: []string{"0/0/500", "1/2/500", "1/0/500"}},
 			balance.Snapshot{Classes: []balance.ClassSnapshot{{Count: 1}, {Count: 2}, {}}, Zones: map[int]float64{0: 10}, Kinds: learned.Kinds}},
 		"no names, another number of classes": {nil, Names{Classes: []string{"a"}}, balance.Snapshot{}},
--- a/internal/sidecar/member/relay/relay.go
+++ b/internal/sidecar/member/relay/relay.go
@@ -9,7 +9,7 @@
 	"petrelhook/internal/sidecar/member"
 )
 
-// Hub is one process's side of the relay. It serves all sources that the process uses one after another.
+// Hub is one process's side of the relay. The process may change its source; one Hub serves all sources in turn.
 type Hub struct {
 	mu         sync.Mutex
 	follower   follower
@@ -19,7 +19,7 @@
 	publishers map[chan Update]struct{} // the queues of running calls of Publish
 }
 
-// New returns the hub of a process that is alone.
+// New returns the hub of a process that is not connected to a next or previous process.
 func New() *Hub {
 	return &Hub{changed: make(chan struct{}), publishers: map[chan Update]struct{}{}}
 }
@@ -30,8 +30,8 @@
 	h.changed = make(chan struct{})
 }
 
-// Receive handles an update of the next process. If the queue of received lists is full, it drops them all, and the process
-// watches by itself.
+// Receive handles an update from the next process. If the queue of received lists is full, Receive drops all of them, and this
+// process watches the source itself.
 func (h *Hub) Receive(update Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// PeerGone records that there is no next process any more.
+// PeerGone records that there is no longer a next process.
 func (h *Hub) PeerGone() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,8 +64,8 @@
 	h.notifyChanged()
 }
 
-// Publish sends the lists that this process's watch delivers, and heartbeats, to the previous process. It returns when ctx ends,
-// when send fails, or when the other side does not keep up; that one then watches by itself. send may block.
+// Publish sends heartbeats and the lists that this process's watch delivers to the previous process. It returns when ctx ends, when
+// send fails, or when the previous process does not keep up; the previous process then watches the source itself. send may block.
 func (h *Hub) Publish(ctx context.Context, send func(Update) error) {
 	updates := make(chan Update, maxPending)
 	h.mu.Lock()
@@ -84,7 +84,7 @@
 		case <-ctx.Done():
 			return
 		case next, ok := <-updates:
-			if update = next; !ok { // publishList has closed the queue, because the other side does not keep up
+			if update = next; !ok { // publishList has closed the queue, because the previous process does not keep up
 				return
 			}
 		case <-heartbeat.C:
@@ -98,8 +98,8 @@
 	}
 }
 
-// publishList passes a list that a watch delivered to the running calls of Publish, without waiting for them. It closes queues
-// that are full.
+// publishList passes a list of a source to each running call of Publish, without waiting for the calls. It closes the queues that
+// are full.
 func (h *Hub) publishList(source string, list member.List) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,7 +121,7 @@
 	h.openSource = source
 }
 
-// watchClosed records that the watch of a source is no longer open. It has no effect if that of another source is open.
+// watchClosed records that the watch of a source is no longer open. It has no effect if the watch of another source is open.
 func (h *Hub) watchClosed(source string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -130,8 +130,9 @@
 	}
 }
 
-// nextList removes and returns the next received list if there is one. Otherwise, if follows is true, the caller waits until
-// changed is closed or until expiry.
+// nextList removes and returns the next received list of a source, or nil if there is none. follows reports whether this process
+// follows the next process's watch of the source. If it does and list is nil, the caller waits until changed is closed or until
+// expiry.
 func (h *Hub) nextList(source string) (list *member.List, expiry time.Time, changed <-chan struct{}, follows bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -142,8 +143,8 @@
 	return list, expiry, h.changed, follows
 }
 
-// followsPeer reports whether the process follows the other's watch of a source, and returns a channel that is closed when that
-// may have changed.
+// followsPeer reports whether this process follows the next process's watch of a source. It also returns a channel that is closed
+// when the result may have changed.
 func (h *Hub) followsPeer(source string) (follows bool, changed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -151,10 +152,10 @@
 	return follows, h.changed
 }
 
-// Wrap returns a source that delivers the lists from the next process while that one watches, and otherwise watches inner.
+// Wrap returns a source that delivers the lists from the next process while the next process watches, and otherwise watches inner.
 func (h *Hub) Wrap(inner member.Source) member.Source { return &relayedSource{Source: inner, hub: h} }
 
-// relayedSource is a source that either follows the other process or watches the inner source.
+// relayedSource is a source that either follows the next process or watches the inner source.
 type relayedSource struct {
 	member.Source
 	hub *Hub
@@ -185,8 +186,8 @@
 	}
 }
 
-// followPeer passes the received lists to onList for as long as the other process is followed. It returns an error only if ctx
-// ends: the cause of that.
+// followPeer passes the received lists to onList for as long as this process follows the next process. It then returns nil. If ctx
+// ends before, followPeer returns the cause.
 func (s *relayedSource) followPeer(ctx context.Context, name string, onList func(*member.List)) error {
 	for {
 		list, expiry, changed, follows := s.hub.nextList(name)
@@ -204,7 +205,7 @@
 	}
 }
 
-// waitForChange waits until changed is closed or until a time. It returns an error only if ctx ends: the cause of that.
+// waitForChange waits until changed is closed or until the time until, and returns nil. If ctx ends, it returns the cause.
 func waitForChange(ctx context.Context, changed <-chan struct{}, until time.Time) error {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -222,8 +223,8 @@
 // errPeerWatches ends a watch because the next process watches.
 var errPeerWatches = errors.New("the next process watches")
 
-// watchAlone watches the inner source until its watch ends. When the next process watches, it closes the watch and returns
-// errPeerWatches.
+// watchAlone watches the inner source until that watch ends. If the next process starts to watch, watchAlone closes the watch and
+// returns errPeerWatches.
 func (s *relayedSource) watchAlone(ctx context.Context, after uint64, onList func(member.List)) error {
 	watchCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
