--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -2,9 +2,11 @@
 
 import "math"
 
-// The end of an attempt: what it shows about its server and the load, and what follows for its request.
+// This file handles the end of an attempt: it updates the state of the server and of the load, and ends or
+// retries the request.
 
-// onOutcome ends an attempt. The request ends too if it has its answer; otherwise it may be retried.
+// onOutcome ends an attempt. It also ends the request if the request needs no further answer; otherwise the
+// request may be retried.
 func (b *Balancer) onOutcome(r *request, ev Outcome) {
 	a := &r.attempts[ev.Attempt]
 	r.endAttempt(a, ev.Result)
@@ -19,11 +21,11 @@
 }
 
 // attemptCost returns the work that an attempt cost the servers, as a fraction of an answer's work. An
-// attempt that broke off at once cost next to nothing, so that its retry is harmless. A rejection, an error
-// or a time-out counts in full.
+// attempt that failed immediately cost the servers almost nothing, so a retry adds little load. A rejection,
+// an error or a time-out counts in full.
 func (b *Balancer) attemptCost(r *request, ev Outcome) float64 {
 	if ev.Result == Rejected || ev.Result == TimedOut || ev.Result == Failed || r.stats.Count == 0 {
-		return 1 // Failed: the request itself may cause the error, and must not reach every server
+		return 1 // Failed: the request itself may cause the error, so the cost limits the servers it reaches
 	}
 	return clamp(ev.Latency/math.Max(r.stats.Mean, 1e-3), 0, 1)
 }
@@ -33,8 +35,8 @@
 	s := a.server
 	switch ev.Result {
 	case OK:
-		// A server that answers again after a lost connection and further errors has restarted, even if no
-		// list says so yet. A single lost connection does not show a restart.
+		// A server that answers again after a lost connection and further errors has restarted, even if the
+		// list of servers does not show it yet. A single lost connection does not show a restart.
 		if s.ConnectionLost && s.Errors > 1 && !b.warmingUp(s) {
 			b.beginSlowStart(s, b.now)
 		}
@@ -52,11 +54,11 @@
 		r.stats.add(ev.Latency)
 	case Cancelled, NotSent:
 	default:
-		if ev.Result == TimedOut { // counted as an answer, or the slowest answers would be missing
+		if ev.Result == TimedOut { // without these, b.latencies would lack the slowest answers
 			b.latencies.record(ev.Latency / r.class.LatencyTarget)
 			b.recordTimeout(r, a, ev.Latency)
 		}
-		// A failure to connect is no lost connection: a server with a full connection table refuses as well.
+		// A failure to connect is not a lost connection: a server with a full connection table also refuses.
 		s.ConnectionLost = s.ConnectionLost || ev.Result == Reset
 		if unreachable := ev.Result == ConnectFailed; unreachable || !a.overdue {
 			b.recordFault(s, unreachable)
--- a/internal/coordination/agent/sidecar.go
+++ b/internal/coordination/agent/sidecar.go
@@ -29,13 +29,13 @@
 }
 
 // Restore returns a sidecar that continues from the state that an earlier agent persisted. isAlive reports whether a process
-// still runs. The earlier agent may have made the last requested start without persisting its process; found is that process. If
-// found is nil, the process is in the state or the start was not made, and the caller has made sure that it cannot be made any
+// still runs. The earlier agent may have started the last requested process without persisting it; found is that process. If
+// found is nil, the process is in the state or was not started, and the caller has made sure that it cannot be started any
 // more.
 func Restore(state PersistedState, limits Limits, now time.Duration, isAlive func(Process) bool, found *Process) (s *Sidecar, actions []Action) {
 	s = &Sidecar{PersistedState: state, limits: limits, isolatedSince: -1}
 	if found != nil && s.Terminating != nil && found.PID == s.Terminating.PID && found.StartTicks == s.Terminating.StartTicks {
-		found = nil // the state has it as Terminating
+		found = nil // found is the persisted process Terminating
 	}
 	switch {
 	case s.Phase == Starting && s.Next == nil && found != nil:
@@ -48,7 +48,7 @@
 	case Trial:
 		s.deadline = now + s.trialPeriod() // the trial starts over, because no agent observed the process meanwhile
 	case Ending:
-		s.deadline = now + s.limits.TerminationTimeout // it is unknown when SIGTERM was sent, or whether it was
+		s.deadline = now + s.limits.TerminationTimeout // it is unknown when SIGTERM was sent, or whether it was sent
 	}
 	for _, p := range []*Process{s.Serving, s.Next, s.Terminating} {
 		if p != nil && !isAlive(*p) {
@@ -61,27 +61,27 @@
 	if s.Phase == Ending && s.Serving != nil {
 		actions = append(actions, Action{Term: s.Serving}) // a repeated SIGTERM has no effect on a process that is already terminating
 	}
-	if s.Phase == Starting && s.Next == nil { // the start was persisted as requested and never made
+	if s.Phase == Starting && s.Next == nil { // the start was requested, but no process was started
 		actions = append(actions, s.requestStart(s.Target)...)
 	}
 	return s, append(actions, s.Tick(now)...)
 }
 
-// Confirm reports that the rollout of a release has ended, so that the sidecar may fall back to it. It only has an effect if the
-// sidecar runs the release, or if the release confirmed before is missing on this machine.
+// Confirm records that the rollout of a release has ended, so that the sidecar may fall back to this release. Confirm only has an
+// effect if the sidecar runs the release, or if the currently confirmed release is missing on this machine.
 func (s *Sidecar) Confirm(release string) {
 	if s.Serving != nil && s.Serving.Release == release || s.confirmedMissing {
 		s.Confirmed, s.confirmedMissing = release, false // if this release is missing too, ReleaseMissing is called again
 	}
 }
 
-// ReleaseMissing reports that the store lacks a release, as on a machine that returns after a long absence. If it is the
+// ReleaseMissing records that the store lacks a release, as on a machine that returns after a long absence. If the release is the
 // confirmed release and no process runs, the next Confirm is accepted for any release.
 func (s *Sidecar) ReleaseMissing(release string) {
 	s.confirmedMissing = s.Phase == Idle && s.Serving == nil && release == s.Confirmed
 }
 
-// SetIsolated reports whether the machine has lost contact with the coordinators' driver.
+// SetIsolated records whether the machine has lost contact with the coordinators' driver.
 func (s *Sidecar) SetIsolated(now time.Duration, isolated bool) {
 	if !isolated {
 		s.isolatedSince = -1
@@ -91,7 +91,7 @@
 }
 
 // Serves returns the release of the serving process and whether that process is ready. If there is no serving process, it returns
-// those of the new process of a change; without any process, the release is "".
+// the release and readiness of Next, the new process of a change. If there is no process at all, the release is "".
 func (s *Sidecar) Serves() (release string, ready bool) {
 	switch {
 	case s.Serving != nil:
@@ -156,7 +156,7 @@
 }
 
 // requestStart returns the action that starts a process. It counts the starts, so that a restarted agent can find out whether the
-// last one was made.
+// last requested process was started.
 func (s *Sidecar) requestStart(release string) []Action {
 	s.StartCount++
 	s.startRequested = true
--- a/internal/coordination/machine/process.go
+++ b/internal/coordination/machine/process.go
@@ -11,7 +11,7 @@
 	"petrelhook/internal/coordination/agent"
 )
 
-// The fields of /proc/PID/stat that are used, counted from the state of the process; see proc(5).
+// The indices of the used fields of /proc/PID/stat in the result of readStat; see proc(5).
 const (
 	statState         = 0
 	statUserTicks     = 11
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	endOfName := bytes.LastIndexByte(text, ')') // the process name before it may itself contain a parenthesis
+	endOfName := bytes.LastIndexByte(text, ')') // the process name may itself contain parentheses
 	fields := strings.Fields(string(text[endOfName+1:]))
 	if endOfName < 0 || len(fields) < statFields {
 		return nil, fmt.Errorf("/proc/%d/stat: it cannot be read", pid)
@@ -67,7 +67,8 @@
 	}
 }
 
-// usage returns the processor time that a process has used, in clock ticks, and its resident bytes; zeros if it is not running.
+// usage returns the processor time that a process has used, in clock ticks, and its resident bytes. It returns zeros if the
+// process is not running.
 func usage(p agent.Process) (ticks, resident uint64) {
 	fields, err := readStat(p.PID)
 	if err != nil || fields[statStartTicks] != strconv.FormatUint(p.StartTicks, 10) {
--- a/internal/coordination/share/consumer.go
+++ b/internal/coordination/share/consumer.go
@@ -7,7 +7,7 @@
 	"petrelhook/internal/coordination/lease"
 )
 
-// maxFinished bounds the usages in one request. The unspent units of usages that are left out are free when their allocations expire.
+// maxFinished bounds the usages in one request. The allocator gets the unspent units of omitted usages back when the allocations expire.
 const maxFinished = 64
 
 // Consumer tracks what one member may spend of one limit. Instants are of the member's own steady clock. It is not safe for concurrent use.
@@ -24,8 +24,8 @@
 
 // heldAllocation is an allocation that has not expired.
 type heldAllocation struct {
-	usage Usage // what was spent of it so far
-	units int   // how much may be spent of it in all
+	usage Usage // the units spent so far
+	units int   // the units that may be spent in total
 	until lease.Instant
 }
 
@@ -47,7 +47,7 @@
 	return &Consumer{limit: l, name: name, weight: weight}
 }
 
-// Demand returns how many uses per period are attempted: the larger of the numbers of the current and the previous period.
+// Demand returns the number of attempted uses per period: the larger of the numbers in the current and in the previous period.
 func (c *Consumer) Demand(now lease.Instant) int {
 	d := &c.demand
 	if past := now.Sub(d.since); past >= c.limit.Period {
@@ -69,14 +69,15 @@
 	c.nextRequestAt = now.Add(c.limit.Period / 2)
 }
 
-// NewRequest returns the request for the units that the member would spend in the next period. It returns units that the member holds
-// beyond demand to the allocator; these are not spent from here on, even if the request is lost.
+// NewRequest returns a request for the units that the member lacks to spend demand units in the next period. If the member holds more
+// than demand units, the request returns the unspent units of some allocations to the allocator. The member does not spend returned
+// units any more, even if the request is lost.
 func (c *Consumer) NewRequest(demand int, now lease.Instant) AllocationRequest {
 	c.expire(now)
 	for i := range c.allocations {
 		held := &c.allocations[i]
 		if left := held.units - held.usage.Units; left > 0 && c.Remaining(now) > demand {
-			held.units = held.usage.Units // what was spent counts until the end
+			held.units = held.usage.Units // the spent units count until the allocation expires
 			c.finished = append(c.finished, held.usage)
 		}
 	}
@@ -87,8 +88,8 @@
 	return AllocationRequest{Member: c.name, Weight: c.weight, Demand: max(0, demand-c.Remaining(now)), Finished: append([]Usage(nil), finished...)}
 }
 
-// ApplyAllocation applies the response to a request that was sent at requestedAt and reported these usages. A response that arrives twice
-// counts as one allocation.
+// ApplyAllocation applies the response to a request that was sent at requestedAt and whose Finished was reported. An allocation that
+// arrives twice counts once.
 func (c *Consumer) ApplyAllocation(requestedAt lease.Instant, a Allocation, reported []Usage) {
 	c.finished = withoutReported(c.finished, reported)
 	c.nextRequestAt = requestedAt.Add(max(a.RetryAfter, c.limit.Period/2))
@@ -99,14 +100,14 @@
 	}
 }
 
-// withoutReported returns the usages of all that are not in reported.
-func withoutReported(all, reported []Usage) (left []Usage) {
-	known := map[AllocationID]bool{}
+// withoutReported returns the usages whose allocations are not in reported.
+func withoutReported(usages, reported []Usage) (left []Usage) {
+	isReported := map[AllocationID]bool{}
 	for _, usage := range reported {
-		known[usage.Allocation] = true
+		isReported[usage.Allocation] = true
 	}
-	for _, usage := range all {
-		if !known[usage.Allocation] {
+	for _, usage := range usages {
+		if !isReported[usage.Allocation] {
 			left = append(left, usage)
 		}
 	}
--- a/internal/coordination/share/mutation_test.go
+++ b/internal/coordination/share/mutation_test.go
@@ -8,7 +8,7 @@
 	"petrelhook/internal/rig/mutate"
 )
 
-// Each mutant removes one step of the package's safety argument from the code; TestNeverOverTheLimit must fail with it.
+// Each mutant removes one step of the package's safety argument from the code. TestNeverOverTheLimit must fail for every mutant.
 func TestTheChecksCanFail(t *testing.T) {
 	const allocator, pkg, test = "internal/coordination/share/allocator.go", "./internal/coordination/share", "TestNeverOverTheLimit"
 	mutate.Caught(t, "../../..", map[string]mutate.Mutant{
@@ -18,7 +18,7 @@
 		"the floors":                   {File: allocator, Text: "free := a.limit.Units - a.limit.Floor - a.outstanding", Replacement: "free := a.limit.Units - a.outstanding", Package: pkg, Test: test},
 		"a lower limit":                {File: allocator, Text: "func (a *Allocator) SetUnits(units int) { a", Replacement: "func (a *Allocator) SetUnits(units int) { units = max(units, a.limit.Units); a", Package: pkg, Test: test},
 		"spent units count":            {File: allocator, Text: "a.giveBack(allocation, allocation.units-usage.Units)", Replacement: "a.giveBack(allocation, allocation.units)", Package: pkg, Test: test},
-		"returned units are not spent": {File: "internal/coordination/share/consumer.go", Text: "held.units = held.usage.Units // what was spent counts until the end", Replacement: "_ = 0", Package: pkg, Test: test},
+		"returned units are not spent": {File: "internal/coordination/share/consumer.go", Text: "held.units = held.usage.Units // the spent units count until the allocation expires", Replacement: "_ = 0", Package: pkg, Test: test},
 		"reported twice is once":       {File: allocator, Text: "usage.Units < allocation.units {", Replacement: "usage.Units < allocation.units+1 {\n			a.outstanding--", Package: pkg, Test: test},
 	})
 }
--- a/internal/coordination/share/share_test.go
+++ b/internal/coordination/share/share_test.go
@@ -52,8 +52,8 @@
 	now          time.Duration
 	events       events
 	limit        Limit
-	earlierUntil []time.Duration // until when each earlier limit still counts
-	earlierUnits []int           // the units of each earlier limit
+	earlierUntil []time.Duration // for each earlier limit, the time until which it is still in effect
+	earlierUnits []int           // for each earlier limit, its units
 	term         uint64
 	leader       *Allocator
 	clocks       map[*Allocator]clock
@@ -64,10 +64,11 @@
 	spent        int
 }
 
-func (w *world) after(d time.Duration, do func()) { heap.Push(&w.events, event{w.now + d, do}) }
+// schedule makes do run after d of true time.
+func (w *world) schedule(d time.Duration, do func()) { heap.Push(&w.events, event{w.now + d, do}) }
 
-// upTo draws a delay below limit; in one of three cases it is 1 ns.
-func (w *world) upTo(limit time.Duration) time.Duration {
+// randomDelay draws a delay below limit; in one of three cases it is 1 ns.
+func (w *world) randomDelay(limit time.Duration) time.Duration {
 	if w.rand.IntN(3) == 0 {
 		return 1
 	}
@@ -76,39 +77,39 @@
 
 func (w *world) elect() {
 	w.term++
-	c := clock{w.rand.IntN(2) == 0, lease.Instant(w.upTo(time.Hour))}
+	c := clock{w.rand.IntN(2) == 0, lease.Instant(w.randomDelay(time.Hour))}
 	w.leader = NewAllocator(w.limit, w.term, c.at(w.now))
 	w.clocks[w.leader] = c
 }
 
-// requestAgain makes a member send requests repeatedly. Each request is confirmed some time later by the leader of that time, then
-// answered, and the response arrives later still.
+// requestAgain makes a member send requests repeatedly. Some time after each request, the current leader has its leadership confirmed;
+// later this leader answers the request, and the response arrives later still.
 func (w *world) requestAgain(i int) {
 	w.request(i, w.limit.Period)
-	w.after(w.upTo(w.limit.Period)+w.limit.Period/50, func() { w.requestAgain(i) })
+	w.schedule(w.randomDelay(w.limit.Period)+w.limit.Period/50, func() { w.requestAgain(i) })
 }
 
 func (w *world) request(i int, maxDelay time.Duration) {
 	consumer, requestedAt := w.members[i], w.memberClocks[i].at(w.now)
 	request := consumer.NewRequest(w.rand.IntN(w.limit.Units), requestedAt)
-	w.after(w.upTo(maxDelay/2), func() {
+	w.schedule(w.randomDelay(maxDelay/2), func() {
 		allocator := w.leader
-		w.after(w.upTo(maxDelay/2), func() {
+		w.schedule(w.randomDelay(maxDelay/2), func() {
 			allocation := allocator.Allocate(request, w.clocks[allocator].at(w.now))
-			for range 1 + w.rand.IntN(10)/9 { // some requests arrive twice, but only one response arrives
+			for range 1 + w.rand.IntN(10)/9 { // some requests arrive twice; at most one response arrives
 				if w.rand.IntN(10) == 0 {
 					allocation = allocator.Allocate(request, w.clocks[allocator].at(w.now))
 				}
 			}
-			if allocation.Units > 0 && w.rand.IntN(4) == 0 { // some member sends a request at the moment at which this allocation expires at the leader
+			if allocation.Units > 0 && w.rand.IntN(4) == 0 { // a random member sends a request when this allocation expires at the leader
 				period := w.limit.Period
 				if w.clocks[allocator].fast {
 					period = time.Duration(float64(period) / (1 + lease.MaxDrift))
 				}
-				w.after(period+time.Microsecond, func() { w.request(w.rand.IntN(len(w.members)), 2) })
+				w.schedule(period+time.Microsecond, func() { w.request(w.rand.IntN(len(w.members)), 2) })
 			}
 			if w.rand.IntN(5) > 0 {
-				w.after(w.upTo(maxDelay), func() { consumer.ApplyAllocation(requestedAt, allocation, request.Finished) })
+				w.schedule(w.randomDelay(maxDelay), func() { consumer.ApplyAllocation(requestedAt, allocation, request.Finished) })
 			}
 		})
 	})
@@ -126,7 +127,7 @@
 		}
 	}
 	if w.largest = max(w.largest, float64(sum)/float64(limit)); sum > limit && w.violation == "" {
-		w.violation = fmt.Sprintf("%v: %d of %d", w.now, sum, limit)
+		w.violation = fmt.Sprintf("at %v: the allocations and the floor add up to %d units, more than the limit of %d", w.now, sum, limit)
 	}
 }
 
@@ -138,18 +139,18 @@
 	w.elect()
 	for i := range 2 + w.rand.IntN(5) {
 		w.members = append(w.members, NewConsumer(w.limit, fmt.Sprint("m", i), 1))
-		w.memberClocks = append(w.memberClocks, clock{w.rand.IntN(2) == 0, lease.Instant(w.upTo(time.Hour))})
-		w.after(w.upTo(time.Second), func() { w.requestAgain(i) })
+		w.memberClocks = append(w.memberClocks, clock{w.rand.IntN(2) == 0, lease.Instant(w.randomDelay(time.Hour))})
+		w.schedule(w.randomDelay(time.Second), func() { w.requestAgain(i) })
 	}
-	var spend, change func()
+	var spend, changeLeaderOrLimit func()
 	spend = func() {
 		i := w.rand.IntN(len(w.members))
 		if w.members[i].Spend(w.memberClocks[i].at(w.now)) {
 			w.spent++
 		}
-		w.after(w.upTo(40*time.Millisecond)+5*time.Millisecond, spend)
+		w.schedule(w.randomDelay(40*time.Millisecond)+5*time.Millisecond, spend)
 	}
-	change = func() {
+	changeLeaderOrLimit = func() {
 		if w.rand.IntN(3) > 0 {
 			w.elect()
 		} else {
@@ -159,10 +160,10 @@
 			w.limit.Units = units
 			w.leader.SetUnits(units)
 		}
-		w.after(w.upTo(4*time.Second), change)
+		w.schedule(w.randomDelay(4*time.Second), changeLeaderOrLimit)
 	}
 	spend()
-	w.after(2*time.Second, change)
+	w.schedule(2*time.Second, changeLeaderOrLimit)
 	for w.now < 20*time.Second && w.violation == "" {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -197,7 +198,7 @@
 		})
 	}
 	workers.Wait()
-	t.Logf("%d schedules, %d uses, at most %.3f of the limit", n, spent, largest)
+	t.Logf("%d schedules, %d uses, largest sum of allocations and floors: %.3f of the limit", n, spent, largest)
 	if largest < 0.99 {
 		t.Error("the limit is never used up, so the test cannot find a violation")
 	}
@@ -211,7 +212,7 @@
 	requests  int
 }
 
-// run simulates the members from one moment to another and returns the units that they got.
+// run simulates the members between the times from and to, and returns the units that they got. demand returns the demand of member i.
 func (c *crowd) run(from, to time.Duration, members int, demand func(i int) int) (got int) {
 	next := map[int]time.Duration{}
 	step := c.limit.Period / 50
@@ -261,7 +262,7 @@
 
 	c = begin(100) // one member demands as much as all others together, and the sum exceeds the limit
 	large := func(i int) int { return map[bool]int{true: 100, false: 10}[i == 0] }
-	c.run(period, 3*period, 11, large) // the first member to send a request gets all units for a period
+	c.run(period, 3*period, 11, large) // not measured: in the first period, the first member to send a request gets all units
 	c.received = map[string]int{}
 	c.run(3*period, 23*period, 11, large)
 	within("the member with the large demand", c.received["m0"], 20*6, 20*12)
@@ -272,19 +273,19 @@
 	before := c.received["m0"]
 	c.allocator.SetUnits(50)
 	if got := c.allocator.Outstanding(lease.Instant(6*period + period/2)); got < 90 {
-		t.Errorf("%d are outstanding", got)
+		t.Errorf("%d units are outstanding just after the limit was halved, want at least 90", got)
 	}
 	within("all members, in nine and a half periods of the halved limit", c.run(6*period+period/2, 16*period, 20, func(int) int { return 10 }), 9*50*10/13, 10*50)
 	within("a member of weight 1 that was there before", c.received["m0"]-before, 8, 25)
 	if got := c.allocator.Outstanding(lease.Instant(16 * period)); got > 50 {
-		t.Errorf("%d of 50 are outstanding", got)
+		t.Errorf("%d units are outstanding, want at most the limit of 50", got)
 	}
 
 	l := Limit{Name: "l", Units: 10, Period: period, Members: 2}
 	allocator := NewAllocator(l, 1, 0)
 	for i, want := range []int{1, 1, 0} { // a member beyond Limit.Members gets nothing
 		if allocation := allocator.Allocate(AllocationRequest{Member: fmt.Sprint(i), Demand: 5}, lease.Instant(period+time.Duration(i))); min(allocation.Units, 1) != want {
-			t.Errorf("member %d: %+v", i, allocation)
+			t.Errorf("member %d: %+v, want units only for the first two members", i, allocation)
 		}
 	}
 }
@@ -299,7 +300,7 @@
 		}
 	}
 	if uses < 18 || uses > 20 {
-		t.Errorf("%d uses of the floor in ten periods", uses)
+		t.Errorf("%d uses of the floor in ten periods, want 18 to 20", uses)
 	}
 	now := lease.Instant(10 * time.Second)
 	consumer.ApplyAllocation(now, Allocation{ID: 1, Units: 4}, nil)
@@ -309,21 +310,21 @@
 	}
 	request := consumer.NewRequest(3, now)
 	if len(request.Finished) != 1 || request.Finished[0] != (Usage{1, 1}) || request.Demand != 0 || consumer.Remaining(now) != 3 {
-		t.Errorf("%+v", request)
+		t.Errorf("%+v, want one usage {1 1}, no demand, and 3 remaining units", request)
 	}
 	if again := consumer.NewRequest(3, now); len(again.Finished) != 1 {
-		t.Error("a usage that was not acknowledged must be reported again")
+		t.Error("a usage that was not acknowledged is not reported again")
 	}
 	consumer.ApplyAllocation(now, Allocation{}, request.Finished)
 	if again := consumer.NewRequest(3, now); len(again.Finished) != 0 {
 		t.Error("a usage that was acknowledged is reported again")
 	}
 	if end := now + lease.Instant(time.Second); consumer.Remaining(end-lease.Instant(9*time.Millisecond)) != 0 {
-		t.Error("the member may spend an allocation for as long as the leader counts it")
+		t.Error("the member may spend an allocation just before it expires by the leader's clock")
 	}
 	for want, bad := range map[string]Limit{"name": {}, "units": {Name: "l", Units: -1}, "period": {Name: "l", Units: 1}, "floor": {Name: "l", Units: 1, Period: time.Second, Floor: 2}, "members": {Name: "l", Units: 1, Period: time.Second}} {
 		if err := bad.Check(); err == nil || err.Error()[:len(want)] != want {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("%v, want an error that begins with %q", err, want)
 		}
 	}
 }
--- a/internal/router/node/prefixes.go
+++ b/internal/router/node/prefixes.go
@@ -7,11 +7,12 @@
 	"petrelhook/internal/router/placement"
 )
 
-// prefixInterval is the time between two reports of which servers have prefilled shared prefixes of prompts.
+// prefixInterval is the time between two reports about which servers have prefilled shared prefixes of prompts.
 const prefixInterval = 100 * time.Millisecond
 
-// tickPrefixes reports to the home to which servers this router sent shared prefixes. A core member sends the reports
-// that it received, merged by service, to its subscribers.
+// tickPrefixes sends a report of the servers to which this router sent shared prefixes. A router outside the core sends
+// the report to its home. A core member merges its report with the received reports by service, and sends the result to
+// its subscribers.
 func (n *Node) tickPrefixes(now time.Duration) {
 	if !n.timers.prefixes.elapsed(prefixInterval, now) {
 		return
@@ -47,7 +48,7 @@
 }
 
 // queuePrefixes merges a router's report into the unsent reports of the other subscribers. A report from another core
-// member is queued only for subscribers that cannot be core members, since its sender reports to those itself.
+// member is queued only for subscribers that cannot be core members, since the sender reports to core members itself.
 func (n *Node) queuePrefixes(from string, fromCore bool, uses []placement.PrefixUses) {
 	for _, u := range uses {
 		for address, s := range n.distributor.subscribers {
--- a/internal/router/wireformat/dissemination.go
+++ b/internal/router/wireformat/dissemination.go
@@ -6,7 +6,7 @@
 	"petrelhook/internal/router/replication"
 )
 
-// wireRouter is membership.Router as it is sent.
+// wireRouter is the wire type of membership.Router.
 type wireRouter struct {
 	Address string
 	Zone    string
@@ -44,9 +44,10 @@
 	return routers
 }
 
-// wireSubscriptionHeartbeat is dissemination.SubscriptionHeartbeat as it is sent.
+// wireSubscriptionHeartbeat is the wire type of dissemination.SubscriptionHeartbeat. A comment on a field names the field of
+// the message if the names differ.
 type wireSubscriptionHeartbeat struct {
-	Node      wireRouter
+	Node      wireRouter // Router
 	Subscribe bool
 	View      replication.Epoch
 	Version   uint64
@@ -85,14 +86,15 @@
 	}
 }
 
-// wirePush is dissemination.Push as it is sent.
+// wirePush is the wire type of dissemination.Push. A comment on a field names the field of the message if the names
+// differ.
 type wirePush struct {
 	Life     uint64 // Incarnation
 	View     *replication.View
 	Eligible []replication.Member
 	InTouch  bool
 	Complete bool
-	Fleet    int
+	Fleet    int // FleetSize
 
 	FromStamp, Stamp uint64
 	Instances        []wireUpdate
@@ -106,7 +108,7 @@
 	Snapshot    []byte
 
 	SessionsStamp uint64
-	Nodes         []wireRouter
+	Nodes         []wireRouter // Routers
 }
 
 func toWirePush(m dissemination.Push) wirePush {
@@ -155,24 +157,25 @@
 	}
 }
 
-// wireForwardedHeartbeat is dissemination.ForwardedHeartbeat as it is sent.
+// wireForwardedHeartbeat is the wire type of dissemination.ForwardedHeartbeat.
 type wireForwardedHeartbeat struct {
 	Request  uint64
 	Instance wireInstance
 }
 
-// wireDrain is dissemination.Drain as it is sent.
+// wireDrain is the wire type of dissemination.Drain.
 type wireDrain struct {
 	Request  uint64
 	Instance wireInstance
 }
 
-// wireQuotaRequest is dissemination.QuotaRequest as it is sent.
+// wireQuotaRequest is the wire type of dissemination.QuotaRequest. A comment on a field names the field of the message if
+// the names differ.
 type wireQuotaRequest struct {
 	Nonce  uint64
 	Life   uint64 // Incarnation
 	Demand map[string]float64
-	Held   map[string]float64
+	Held   map[string]float64 // HeldShares
 }
 
 func toWireQuotaRequest(m dissemination.QuotaRequest) wireQuotaRequest {
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -9,12 +9,12 @@
 	"petrelhook/internal/sidecar/connlimit"
 )
 
-// The connections of clients, those to servers and the reserved descriptors fit within the limit on descriptors.
+// The client connections, the server connections and the reserved descriptors fit within the limit on descriptors.
 func TestConnectionsFitTheDescriptorLimit(t *testing.T) {
 	for _, sockets := range []int{256, 384, 1024} {
 		l := Limits{Sockets: sockets}
 		if n := l.ClientConnections() + l.ServerConnections() + connlimit.MaxRejecting; n > sockets-16 || l.ClientConnections() <= sockets/3 || l.ServerConnections() < sockets/3 {
-			t.Errorf("%d: %d and %d", sockets, l.ClientConnections(), l.ServerConnections())
+			t.Errorf("%d descriptors: %d client connections and %d server connections", sockets, l.ClientConnections(), l.ServerConnections())
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		_, err := Parse("f", raw)
 		var configErr *Error
 		if err != nil && (!errors.As(err, &configErr) || configErr.Line < 1 || configErr.Column < 1 || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%q", err)
+			t.Errorf("not an *Error of one line with a valid position: %q", err)
 		}
 	})
 }
--- a/internal/sidecar/counts/report.go
+++ b/internal/sidecar/counts/report.go
@@ -13,17 +13,17 @@
 // Report is a process's report of its counters.
 type Report struct {
 	Classes   []Class    `json:"classes"`
-	ServerUse *ServerUse `json:"effort,omitempty"` // nil: the process runs a version that does not report it
+	ServerUse *ServerUse `json:"effort,omitempty"` // nil: the process runs a version that does not report its server use
 }
 
-// ServerUse counts a process's use of its servers for all its clients.
+// ServerUse counts the load that a process puts on its servers, on behalf of all its clients.
 type ServerUse struct {
 	Attempts     uint64 `json:"tries"`       // exchanges begun for requests
 	Connections  uint64 `json:"connections"` // connections opened, and failed attempts to open one
 	HealthChecks uint64 `json:"probes"`
 }
 
-// File describes the configuration file that a process has read last. It is reported beside Report.
+// File describes the configuration file that a process read last. The process reports File separately from Report.
 type File struct {
 	Digest  string `json:"digest"`  // SHA-256 of the content, in hexadecimal
 	Reloads uint64 `json:"reloads"` // number of reloads whose file was accepted
@@ -39,7 +39,7 @@
 	return json.Unmarshal(text, (*withoutMethods)(r))
 }
 
-// Servers is an upstream.Servers that counts the use of the embedded one.
+// Servers wraps an upstream.Servers and counts its use. It is safe for concurrent use if the wrapped Servers is.
 type Servers struct {
 	upstream.Servers
 	attempts, connections, healthChecks atomic.Uint64
@@ -53,7 +53,7 @@
 	}
 }
 
-// NewEndpoint returns an endpoint that counts attempts and health checks.
+// NewEndpoint returns an endpoint that counts its attempts and health checks in s.
 func (s *Servers) NewEndpoint() upstream.Endpoint { return &endpoint{s.Servers.NewEndpoint(), s} }
 
 // Snapshot returns the counters.
--- a/internal/sidecar/message/message.go
+++ b/internal/sidecar/message/message.go
@@ -9,11 +9,11 @@
 
 // The limits of one message, in bytes.
 const (
-	// MaxBuffered is the largest body that is buffered completely before it is forwarded. A longer one is streamed.
+	// MaxBuffered is the size of the largest body that is buffered completely before it is forwarded. A longer body is streamed.
 	MaxBuffered = 64 << 10
-	// MaxBody is the largest accepted body.
+	// MaxBody is the size of the largest accepted body.
 	MaxBody = 40 << 20
-	// MaxHead is the largest accepted head: the first line and all header fields.
+	// MaxHead is the size of the largest accepted head: the first line and all header fields.
 	MaxHead = 32 << 10
 )
 
@@ -29,17 +29,17 @@
 type Reply struct {
 	Header    map[string][]string // names in canonical form
 	Body      []byte
-	Remainder io.ReadCloser // the part that follows Body; its Read returns io.EOF only at a complete end; nil: Body is complete
+	Remainder io.ReadCloser // the part that follows Body; Read returns io.EOF only if the body arrived completely; nil: Body is complete
 	Size      int64         // if there is a Remainder, the size of the complete body in bytes; -1: unknown
 	// Release frees the memory that is reserved for the reply; nil: none is reserved.
 	Release func()
 }
 
-// Done closes the remainder and frees the reply's memory. The code that writes or discards the reply must call it once,
-// afterwards.
+// Done closes the remainder and frees the reply's memory. The code that writes or discards the reply must call Done exactly once,
+// after it has written or discarded the reply.
 func (r *Reply) Done() {
 	if r.Remainder != nil {
-		_ = r.Remainder.Close() // it is only read from, so no data can be lost
+		_ = r.Remainder.Close() // the remainder is only read, so an error of Close loses no data
 	}
 	if r.Release != nil {
 		r.Release()
