--- a/internal/coordination/machine/process.go
+++ b/internal/coordination/machine/process.go
@@ -32,7 +32,7 @@
 	endOfName := bytes.LastIndexByte(text, ')') // the process name may itself contain parentheses
 	fields := strings.Fields(string(text[endOfName+1:]))
 	if endOfName < 0 || len(fields) < statFields {
-		return nil, fmt.Errorf("/proc/%d/stat: it cannot be read", pid)
+		return nil, fmt.Errorf("/proc/%d/stat: unexpected format", pid)
 	}
 	// A process may continue after its first thread has exited: while another thread executes a new program, as in BecomeSidecar,
 	// the first thread is briefly a zombie.
