--- a/internal/coordination/capacity/rows_change.go
+++ b/internal/coordination/capacity/rows_change.go
@@ -77,7 +77,7 @@
 func (m *model) addRolloutLoadRows() {
 	m.addRow(Row{Situation: ByRollout, Role: Leader, Quantity: "message that begins a change of all", Unit: unitBytes,
 		Need: m.changeBytes(m.servers), Budget: m.limit("limits.max_request"), Breaks: BreaksRule,
-		Mechanism: "internal/coordination/fleet (maxRequest)", NeededBy: []string{AllRestarted, "a release for all"}})
+		Mechanism: "internal/coordination/fleet (maxRequestBytes)", NeededBy: []string{AllRestarted, "a release for all"}})
 	rate := mul(m.changeRate, m.assumption("changes.busiest_minute"))
 	mostChanged := mul(rate, m.assumption("changes.most_changed_share")) // of the service that changes most
 	m.addRow(Row{Situation: ByRollout, Role: Leader,
--- a/internal/coordination/capacity/rows_fault.go
+++ b/internal/coordination/capacity/rows_fault.go
@@ -102,7 +102,7 @@
 		Mechanism: "internal/coordination/rollout, internal/coordination/driver"})
 	m.addRow(Row{Situation: AllRestarted, Role: Leader, Quantity: "message that begins one change of all", Unit: unitBytes,
 		Need: m.changeBytes(m.servers), Budget: m.limit("limits.max_request"), Breaks: BreaksRule,
-		Mechanism: "internal/coordination/fleet (maxRequest)", NeededBy: []string{ByRollout}})
+		Mechanism: "internal/coordination/fleet (maxRequestBytes)", NeededBy: []string{ByRollout}})
 	m.addRow(Row{Situation: AllRestarted, Role: Leader, Quantity: "events in the log, spread over the day", Unit: unitPerSecond,
 		Need:   mul(m.servers, m.assumption("changes.events_a_sidecar")).times(1. / secondsPerDay),
 		Budget: m.limit("earlier.grants_a_second"), Breaks: BreaksTime,
@@ -117,7 +117,7 @@
 	window := m.assumption("periods.reconnect_window")
 	m.addRow(Row{Situation: CoordinatorsLost, Role: Leader, Quantity: "concurrent requests, if all sessions send one", Unit: unitNone,
 		Need: m.sessions, Budget: m.limit("limits.max_waiting"), Breaks: BreaksTime,
-		Mechanism: "internal/coordination/replica (maxWaiting)", NeededBy: []string{ZoneLost}})
+		Mechanism: "internal/coordination/replica (maxPendingRequests)", NeededBy: []string{ZoneLost}})
 	m.addRow(Row{Situation: CoordinatorsLost, Role: Leader, Quantity: "sessions opened again, one after the other", Unit: unitSeconds,
 		Need: div(m.sessions, m.assumption("earlier.grants_a_second")), Budget: m.limit("periods.lease_ttl"),
 		Breaks: BreaksTime, Mechanism: "lease, internal/coordination/replica, internal/coordination/replica/disk"})
