--- a/internal/coordination/machine/version.go
+++ b/internal/coordination/machine/version.go
@@ -20,13 +20,14 @@
 	newest     distribute.Revision // 0 if there is none
 }
 
-// has reports whether a version is stored. Revision 0, which stands for the settings of a release alone, always is.
+// has reports whether a version is stored. It returns true for revision 0, which means the settings of a release without a
+// version.
 func (v *versionStore) has(revision distribute.Revision) bool {
 	_, known := v.byRevision[revision]
 	return known || revision == 0
 }
 
-// content returns the content of a version, nil for revision 0.
+// content returns the content of a version, or nil for revision 0 and versions that are not stored.
 func (v *versionStore) content(revision distribute.Revision) json.RawMessage {
 	return v.byRevision[revision].Content
 }
@@ -42,7 +43,8 @@
 }
 
 // loadVersions reads the versions on the disk. A damaged file is skipped: the coordinators send the version again, and
-// restoreSidecar returns an error if a sidecar runs with it. A version of another service is an error.
+// restoreSidecar returns an error if a sidecar runs with the damaged version. loadVersions returns an error if a version belongs
+// to another service.
 func (m *Machine) loadVersions() error {
 	files, err := filepath.Glob(m.data.path(versionName + "*.json"))
 	if err != nil {
@@ -80,7 +82,7 @@
 }
 
 // acceptVersion stores a newer version, and makes it the target of the sidecars. The version is on the disk when acceptVersion
-// returns nil. The subscription calls it from its own goroutine.
+// returns nil. The subscription calls acceptVersion from the subscription's goroutine.
 func (m *Machine) acceptVersion(v distribute.Version) error {
 	_, err := runOnOwner(m.runContext, m, func() (struct{}, error) {
 		content, err := distribute.Canonical(v.Content)
@@ -109,8 +111,7 @@
 	return err
 }
 
-// adoptNewestVersion makes the newest version the target of a sidecar. In an agent without coordinators the version in force
-// stays.
+// adoptNewestVersion makes the newest version the target of a sidecar. An agent without coordinators keeps the version in force.
 func (m *Machine) adoptNewestVersion(managed *managedSidecar) {
 	if m.subscription != nil {
 		managed.SetNewestVersion(m.versions.newest)
--- a/internal/router/gateway/fleet.go
+++ b/internal/router/gateway/fleet.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// fleetShrinkDelay is how long a smaller reported fleet size is ignored. A home that has just started knows only few of the other
-// routers; if its number took effect at once, each router would take too large a share of the limits that they divide.
+// fleetShrinkDelay is the time for which reports of a smaller fleet size are ignored. A home, which is a core member that serves
+// other routers, knows only few routers when it has just started. If the size that it reports took effect at once, each router
+// would take too large a share of the limits that the routers divide.
 const fleetShrinkDelay = 10 * time.Second
 
 // fleetSize is the number of routers among which limits are divided.
 type fleetSize struct {
 	size        int
-	largest     int           // the largest of the sizes below size that were reported since confirmedAt
-	confirmedAt time.Duration // when a size of at least size was last reported, or a smaller one took effect
+	largest     int           // the largest size reported since confirmedAt, or 0; it is below size
+	confirmedAt time.Duration // when size was last set, or reported again
 }
 
 // set records a reported size, and reports whether the effective size changed.
--- a/internal/router/node/shutdown.go
+++ b/internal/router/node/shutdown.go
@@ -9,7 +9,8 @@
 	"petrelhook/internal/router/settings"
 )
 
-// listeners holds the listener and the HTTP servers of a router. The server of an address that the settings omit is nil.
+// listeners holds the listener and the HTTP servers of a router. A server is nil if the settings do not
+// contain its address.
 type listeners struct {
 	internal net.Listener // for other routers
 	front    *http.Server // for clients
@@ -17,10 +18,11 @@
 	control  *http.Server // for model servers and operators
 }
 
-// Limits on HTTP callers. They hold before the configuration is known, and bound the limits that it may set.
+// Limits on HTTP callers. They apply even before the configuration is known, and bound the limits that the configuration may
+// set.
 const (
 	headerTimeout = 10 * time.Second
-	// idleTimeout is the longest time between two requests on a connection. Clients may reuse a connection that has been
+	// idleTimeout is the time after which a connection without a request is closed. Clients may reuse a connection that has been
 	// idle for four fifths of the configured time.
 	idleTimeout    = 90 * time.Second
 	maxHeaderBytes = 256 << 10
@@ -62,9 +64,10 @@
 	}
 }
 
-// gracefulShutdown reports to the platform that the router is not ready, so that it sends no new connections; makes the
-// replica leave, so that another one becomes primary; and answers the requests that were read. It returns when all
-// listeners and connections are closed. Run calls it without the lock, with the ticker of its loop.
+// gracefulShutdown reports to the platform that the router is not ready, so that the platform sends no new connections. It
+// makes the replica leave, so that another replica becomes primary, and answers the requests that were already read. It
+// returns when all listeners and connections are closed. Run calls gracefulShutdown without holding the lock, and passes
+// the ticker of its loop.
 func (n *Node) gracefulShutdown(opened *listeners, ticker *time.Ticker) {
 	n.shuttingDown.Store(true)
 	schedule := newShutdownSchedule(time.Now(), settings.Seconds(n.settings.Bounds.GraceS))
@@ -106,7 +109,7 @@
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), forceCloseAt)
 		defer cancel()
-		_ = l.front.Shutdown(ctx) // it fails at the deadline; close then ends the remaining connections
+		_ = l.front.Shutdown(ctx) // Shutdown fails at the deadline; listeners.close then ends the remaining connections
 	}()
 	return done
 }
--- a/internal/router/replication/handover.go
+++ b/internal/router/replication/handover.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Leave announces that this process is about to end. The replica transfers its leadership, and a caught-up replica of its
-// zone replaces it among the members as soon as there is one.
+// Leave announces that this process is about to end. If this replica is the primary, it resigns. The primary replaces
+// this replica among the members as soon as another replica of the same zone has caught up.
 func (r *Replica) Leave(now time.Duration) {
 	r.leaving = true
 	r.Resign(now)
 }
 
-// Resign steps down as primary, and asks another in-sync replica to campaign if there is a suitable one. It does nothing if
-// this replica is not the primary.
+// Resign steps down as primary, and asks the replica that successor returns, if any, to campaign. It does nothing if this
+// replica is not the primary.
 func (r *Replica) Resign(now time.Duration) {
 	r.now = now
 	if r.role != primary {
@@ -23,7 +23,8 @@
 	}
 }
 
-// successor returns the address of the in-sync replica with the most recent contact among those that could be primary, or "".
+// successor returns the address of the other in-sync replica with the most recent contact. It ignores replicas that are
+// leaving or whose disk fails, and returns "" if no replica is left.
 func (r *Replica) successor() string {
 	l := &r.leadership
 	address, latest := "", time.Duration(-1)
--- a/internal/router/replication/state.go
+++ b/internal/router/replication/state.go
@@ -3,7 +3,7 @@
 // replicatedState is the state machine, its position, and the latest entries that were applied to it.
 type replicatedState struct {
 	machine   StateMachine
-	position  Position // of machine; its last entry may be staged, or not be on the disk yet
+	position  Position // of machine; the last entry may be staged, or not be on the disk yet
 	published Position // of the state that was published last
 	history   history
 }
@@ -15,7 +15,7 @@
 	s.history.add(e)
 }
 
-// restore replaces the state by a snapshot. On an error it is as before.
+// restore replaces the state by a snapshot. After an error the state is unchanged.
 func (s *replicatedState) restore(snapshot []byte, position Position) error {
 	if err := s.machine.Restore(snapshot); err != nil {
 		return err
@@ -25,7 +25,8 @@
 	return nil
 }
 
-// publish adds a Publish effect: the machine's state is committed. It does so once for each position.
+// publish adds a Publish effect, unless the current position was already published. The caller must know that the machine's
+// state is committed.
 func (r *Replica) publish() {
 	s := &r.state
 	if s.published == s.position {
--- a/internal/router/rotation/rotation.go
+++ b/internal/router/rotation/rotation.go
@@ -1,6 +1,6 @@
 // Package rotation picks one of a set of servers by smooth weighted round robin. The weight of a server is
-// 100 × multiplier, where errors lower the multiplier and time and success restore it. The package is pure. Its values
-// must not be used by two goroutines at the same time.
+// 100 × multiplier, where errors lower the multiplier and time and success restore it. The package performs no I/O
+// and reads no clock. Its values must not be used by two goroutines at the same time.
 //
 // The multiplier is clamp(0.5, 1, 1 − 0.1 × errors × decay), where errors is the number of errors since the last success
 // and decay = exp(−ln2 × (now − last error) / half-life). A server that cannot be reached is also put in cooldown,
@@ -21,11 +21,11 @@
 	errorHalfLife = 10 * time.Minute
 	errorStep     = 0.1 // the amount by which one error lowers the multiplier
 	minMultiplier = 0.5
-	baseWeight    = 100.0
+	baseWeight    = 100.0 // the weight of a server without errors
 
 	initialCooldown    = 250 * time.Millisecond // doubled for each further cooldown without a success in between
 	maxCooldown        = 4 * time.Second
-	failuresToCooldown = 3 // consecutive errors after which a reachable server enters cooldown too
+	failuresToCooldown = 3 // consecutive errors after which a cooldown begins although the server can be reached
 )
 
 // Health is the state of one server as observed by a router's own requests. The zero value is a healthy server. Times
--- a/internal/router/storage/storage.go
+++ b/internal/router/storage/storage.go
@@ -5,11 +5,11 @@
 // The state is one bbolt file, in which a transaction is either complete or absent. The design note says why it is not
 // pebble: pebble terminates the process if its log cannot be written, and a full disk must not terminate a router.
 //
-// Invariants: after any power failure, Open finds the saves for which Save returned nil; after a failed Save, nothing
-// that depends on it is accepted until a save with a snapshot succeeds.
+// Invariants: after any power failure, Open returns the state of all saves for which Save returned nil; after a failed
+// Save, saves without a snapshot are refused until a save with a snapshot succeeds.
 //
-// A Disk may be used by one goroutine at a time. The router has one goroutine for all saves, because a disk may hang.
-// The caches have no state in memory.
+// A Disk may be used by one goroutine at a time. The router makes all saves on a goroutine of their own, because a disk
+// may hang. The caches have no state in memory, so different files may be written at the same time.
 //
 // The encoding is gob, with the field names of replication's types; the tests read a recorded disk in testdata/cfdfdec.
 package storage
@@ -52,8 +52,8 @@
 	snapshotRequired bool // the last save failed
 }
 
-// Open opens the state in a folder, or creates an empty one: address becomes part of its identity, and genesis says
-// that this is the first start of the whole system. Open fails if another process still has the file open after one
+// Open opens the state in a folder, or creates an empty state: address becomes part of the replica's identity, and genesis
+// says that this is the first start of the whole system. Open fails if another process still has the file open after one
 // second. Its error is ErrNoIdentity if the file does not contain the state of a replica. The caller closes the Disk,
 // and may keep the state that is returned.
 func Open(folder, address string, genesis bool) (*Disk, *replication.PersistedState, error) {
@@ -135,8 +135,8 @@
 // Save writes one save of the replica and syncs it to the disk. See SaveAll.
 func (d *Disk) Save(s replication.Save) error { return d.SaveAll([]replication.Save{s})[0] }
 
-// SaveAll writes saves of the replica in order and syncs them together, in one transaction. It returns one error or nil
-// for each. After an error it is unknown whether the disk has the save, and the next save needs a snapshot: saves
+// SaveAll writes saves of the replica in order and syncs them together, in one transaction. The result has an error or
+// nil for each save. After an error it is unknown whether the disk has the save, and the next save needs a snapshot: saves
 // before the next snapshot are not written and return ErrSnapshotRequired.
 func (d *Disk) SaveAll(saves []replication.Save) []error {
 	errs := make([]error, len(saves))
--- a/internal/sidecar/handover/link.go
+++ b/internal/sidecar/handover/link.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// writeTimeout bounds the time to write a line, because the other process may hang.
+	// writeTimeout bounds the time to write a line, so that Send returns if the other process hangs.
 	writeTimeout = 500 * time.Millisecond
 	// maxReusedBuffer is the largest buffer, in bytes, that is reused for the next line.
 	maxReusedBuffer = 64 << 10
@@ -30,8 +30,8 @@
 	return &Link{conn: conn, reader: bufio.NewReaderSize(conn, readerSize)}
 }
 
-// Send sends a line to the other process. The line must not contain a newline. An error means that the other process has ended or
-// hangs: the line may not have arrived, or only a part of it.
+// Send sends a line to the other process. The line must not contain a newline. After an error, the line may
+// have arrived in part or not at all: the other process has ended or hangs, or the link is closed.
 func (l *Link) Send(line string) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
--- a/internal/sidecar/member/discovery/list.go
+++ b/internal/sidecar/member/discovery/list.go
@@ -28,14 +28,15 @@
 	StartedMillis float64 `json:"startedAtMs"` // Unix time
 }
 
-// maxStartedMillis is the limit of plausible start times, in milliseconds of Unix time; later ones count as unknown.
+// maxStartedMillis bounds plausible start times, in milliseconds of Unix time. Start times that are not below it count
+// as unknown.
 const maxStartedMillis = 1e15
 
-// EntryError is the error of a message with an invalid entry or field.
+// EntryError is returned by Parse for a message in which an entry or a field is invalid.
 type EntryError struct {
 	Field   string // for example instances[3].hostPort
 	Problem string
-	Remedy  string // what to write instead; empty if Problem says it
+	Remedy  string // what to write instead; empty if Problem already says so
 }
 
 func (e *EntryError) Error() string { return fmt.Sprintf("catalog: %s: %s", e.Field, e.Problem) }
--- a/internal/sidecar/upstream/reuse/reuse.go
+++ b/internal/sidecar/upstream/reuse/reuse.go
@@ -1,11 +1,11 @@
 // Package reuse estimates how long a connection to a server may have been idle and still be used for a request. It learns from
-// the ends of exchanges. Servers, and network devices between the sidecar and the servers, close idle connections after times
-// that no setting gives. A request that is written to such a connection ends as a reset: it may have been executed, so an unsafe
-// request cannot be retried.
+// the ends of exchanges. Servers, and network devices between the sidecar and the servers, close idle connections after a time
+// that the sidecar does not know. A request that is written to such a connection fails with a reset: the server may have executed
+// the request, so an unsafe request cannot be retried.
 //
-// The package performs no I/O and reads no clock: it gets idle times and results with their times, and returns a limit. It does
-// not distinguish servers, because devices on the network are common to all of them, and because a sidecar with little traffic
-// would learn about each server too late.
+// The package performs no I/O and reads no clock: its caller passes idle times, results and the current time, and gets a limit.
+// It does not distinguish servers, because devices on the network are common to all of them, and because a sidecar with little
+// traffic would learn about each server too late.
 //
 // Invariants: if connections do not break more often after having been idle, there is no limit; observations decay, so that
 // longer idle times are tried again when the cause of a limit may have gone; the limit is never below firstBucket.
@@ -26,11 +26,12 @@
 	// decayStep is the minimum time between two decays. The limit is computed for each use of a connection, and need not decay
 	// each time.
 	decayStep = halfLife / 20
-	// tolerance is by how much the probability to break may exceed that of connections that were idle for a shorter time. A break
-	// costs the request if it is unsafe, but a new connection costs one or two round trips and some work of the server.
+	// tolerance is the accepted difference between the probability that a connection breaks and the same probability for
+	// connections that were idle for a shorter time. If a connection breaks, an unsafe request fails; but a new connection costs
+	// one or two round trips and some work of the server.
 	tolerance = 0.05
-	// minDeviations is by how many standard deviations the number of breaks must exceed the expected one. It is high because all
-	// buckets are tested for each use of a connection.
+	// minDeviations is the number of standard deviations by which the breaks must exceed the expected number of breaks. It is
+	// high because all buckets are tested for each use of a connection.
 	minDeviations = 3
 )
 
@@ -40,8 +41,8 @@
 // Fresh is the idle time of a connection that carries its first request.
 const Fresh = time.Duration(-1)
 
-// Estimator holds the observations from which MaxIdle is computed. Its zero value has none. It is not safe for concurrent use.
-// The times given to its methods must not decrease.
+// Estimator holds the observations from which MaxIdle is computed. Its zero value has no observations. It is not safe for
+// concurrent use. The times given to its methods must not decrease.
 type Estimator struct {
 	fresh     tally
 	buckets   [bucketCount]tally
@@ -78,7 +79,7 @@
 		bucket := e.buckets[i]
 		rate := shorter.breaks / math.Max(shorter.uses, 1)
 		excess, deviation := bucket.breaks-rate*bucket.uses, math.Sqrt(rate*(1-rate)*bucket.uses+1)
-		if i > 0 && excess > tolerance*bucket.uses && excess > minDeviations*deviation { // longer idle connections are closed too
+		if i > 0 && excess > tolerance*bucket.uses && excess > minDeviations*deviation { // longer idle times are excluded too
 			return firstBucket << (i - 1)
 		}
 		shorter.uses += bucket.uses
