--- a/cmd/petrelhook-coordinator/figures_test.go
+++ b/cmd/petrelhook-coordinator/figures_test.go
@@ -84,7 +84,8 @@
 			}
 			_, g50, g99 := measureCalls(1, grant)
 			grants, _, _ := measureCalls(8, grant)
-			each := uint64(max(1, size[0]/size[1])) // the number of grants of each session, which is also the version that it knows
+			// each is the number of grants of each session, which equals the version that the client knows.
+			each := uint64(max(1, size[0]/size[1]))
 			renew := func(w, n int) {
 				request(fleet.Request{KeepAlive: &replica.KeepAlive{Session: sessions[(w*7919+n)%len(sessions)], KnownVersion: each}})
 			}
@@ -99,7 +100,8 @@
 	}
 }
 
-// Measures how long no client holds the lease after the holder, the leader or both are killed, beside the settings that bound that time.
+// Measures how long no client holds the lease after the holder, the leader or both are killed. Logs the
+// results with the settings that bound that time.
 func TestFiguresWithoutAHolder(t *testing.T) {
 	peertest.SkipUnlessMeasuring(t)
 	g, r := newGroup(t, 3), &contend.Resource{}
--- a/cmd/petrelhookctl/chain_test.go
+++ b/cmd/petrelhookctl/chain_test.go
@@ -12,7 +12,9 @@
 	"petrelhook/internal/rig/chain"
 )
 
-// Runs both studies end to end on sockets, and checks the points of the JSON report and the tables of the text report.
+// Runs the study of failing calls (--fail) and the study of added latency (--added) end to end on sockets.
+// Checks the measured points in the JSON report of the first study and the tables in the text report of
+// the second study.
 func TestChain(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	bin := filepath.Dir(buildSidecar(t))
@@ -29,7 +31,7 @@
 	}
 	attemptsWithoutRetries := got["chain leaf once_attempts_call_fail_100_pc"]
 	if len(r.Runs) != 1 || r.Measured.Seed != 1 || attemptsWithoutRetries != 1 || got["chain leaf look_attempts_call_fail_100_pc"] <= 1 {
-		t.Errorf("%+v", r.Measured)
+		t.Errorf("measurement of failing calls: %+v", r.Measured)
 	}
 	code, stdout, stderr = call(t.Context(), append(shortRun, "--added", "--rates", "60", "--chains", "1")...)
 	for _, want := range []string{"1 direct", "added p50", "cpu us/call"} {
@@ -39,7 +41,8 @@
 	}
 }
 
-// An interrupt at the start of the first run must end the command with one line. Invalid flags must be reported before anything starts.
+// An interrupt at the start of the first run must end the command, which reports that it stopped early.
+// Invalid flags must be reported before anything starts.
 func TestChainInterruptedOrInvalid(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	bin := filepath.Dir(buildSidecar(t))
--- a/internal/common/yamlfile/deprecated.go
+++ b/internal/common/yamlfile/deprecated.go
@@ -67,8 +67,9 @@
 	d.uses = append(d.uses, use)
 }
 
-// Warnings returns one warning for each deprecated name that the file uses, with the position of its first use, in the order in
-// which the parser read them. A file with both names of a field is an error, because it is unclear which value is meant.
+// Warnings returns one warning for each deprecated name that the file uses, with the position of its first
+// use, in the order in which the parser read the names. It returns an error if the file has both names of a
+// field, because it is unclear which value is meant.
 func (d *DeprecatedNames) Warnings(file string) ([]string, error) {
 	var warnings []string
 	for _, use := range d.uses {
--- a/internal/coordination/capacity/rank.go
+++ b/internal/coordination/capacity/rank.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// RankMisfits returns the rows that do not fit: those that break a rule first, then by the factor by which they exceed the
-// budget, then by the number of dependents in NeededBy.
+// RankMisfits returns the rows that do not fit. Rows that break a rule come first. Within both groups,
+// rows are in descending order of the factor by which they exceed the budget, then of the number of
+// dependents in NeededBy.
 func RankMisfits(rows []Row) (all []Row) {
 	for _, r := range rows {
 		if r.Class == DoesNotFit {
--- a/internal/coordination/distribute/summary.go
+++ b/internal/coordination/distribute/summary.go
@@ -14,8 +14,8 @@
 	s.addHeld(max(r.InForce, r.Refused))
 }
 
-// addHeld updates Ahead with a revision that a member holds. A revision above the newest was assigned before the coordinators
-// were restored from a backup, and they have lost it.
+// addHeld updates Ahead with a revision that a member holds. A revision above the newest was assigned
+// before the coordinators were restored from a backup that lacks this revision.
 func (s *Summary) addHeld(held Revision) {
 	if held > s.Newest {
 		s.Ahead = max(s.Ahead, held)
@@ -35,9 +35,9 @@
 	})
 }
 
-// Merge merges the summaries of several coordinators for one service, each with its sidecars. Of several reports on a sidecar, it
-// uses the one whose agent was in contact with the coordinator most recently. The newest version is the largest one that any
-// coordinator knows.
+// Merge merges the summaries of several coordinators for one service. Each summary must list its sidecars.
+// Of several reports on a sidecar, Merge uses the report whose agent was in contact with its coordinator
+// most recently. The newest version is the largest version that any coordinator knows.
 func Merge(all []Summary) Summary {
 	var merged Summary
 	latest := map[string]SidecarReport{}
--- a/internal/coordination/lease/command.go
+++ b/internal/coordination/lease/command.go
@@ -46,7 +46,7 @@
 type Command struct {
 	Kind       Kind          `json:"k"`
 	Session    SessionID     `json:"s,omitempty"`
-	Seq        uint64        `json:"n,omitempty"` // 1, 2, ... in the session; only commands of clients have one
+	Seq        uint64        `json:"n,omitempty"` // 1, 2, ... in the session; 0 unless OfClient is true
 	Name       string        `json:"l,omitempty"` // name of the lease
 	Token      Token         `json:"t,omitempty"` // Release, Transfer, Break, Free: token of the grant
 	Wait       bool          `json:"w,omitempty"` // Acquire: wait in the queue if another session holds the lease
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// minNonceBytes is the length of the shortest nonce that makes it unlikely that two clients choose the same one.
+// minNonceBytes is the minimum length of a nonce. Random nonces of this length are unlikely to be equal.
 const minNonceBytes = 8
 
 // checkOpen validates an Open command.
@@ -119,7 +119,7 @@
 // The statuses.
 const (
 	OK          Status = iota + 1
-	Waiting            // another session holds the lease; this one is in the queue
+	Waiting            // another session holds the lease; this session is in the queue
 	HeldByOther        // another session holds the lease, and the command did not ask to wait
 	NoSession          // the session never existed or has ended
 	NotHeld            // the session does not hold the grant with this token
@@ -139,5 +139,5 @@
 	Session      SessionID `json:"session,omitempty"`
 	Token        Token     `json:"token,omitempty"`
 	Holder       string    `json:"holder,omitempty"` // HeldByOther and Waiting: the owner of the session that holds the lease
-	WaitersAhead int       `json:"ahead,omitempty"`  // Waiting: how many sessions are ahead of it in the queue
+	WaitersAhead int       `json:"ahead,omitempty"`  // Waiting: sessions ahead of this session in the queue
 }
--- a/internal/coordination/release/recorded_test.go
+++ b/internal/coordination/release/recorded_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A store that revision cfdfdec created can be opened, and the content of its release matches the release ID.
+// A store that the program built from source revision cfdfdec wrote can be opened. Adding the content of its
+// release again yields the same release ID.
 func TestRecordedStoreIsOpened(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	if err := os.CopyFS(dir, os.DirFS("testdata/cfdfdec/store")); err != nil {
@@ -23,7 +24,7 @@
 	}
 	text, err := os.ReadFile(r.Settings)
 	if err != nil || string(text) != `{"discovery": "a", "settings": {"x": 1}}` {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("settings of the recorded release: %s, %v", text, err)
 	}
 	program, err := os.Open(r.Program)
 	if err != nil {
@@ -36,6 +37,6 @@
 	}
 	defer func() { _ = settings.Close() }() // opened for reading only
 	if again, err := s.Add(program, settings); err != nil || again.ID != id {
-		t.Errorf("%+v, %v", again, err)
+		t.Errorf("the same content added again: %+v, %v", again, err)
 	}
 }
--- a/internal/coordination/rollout/stages.go
+++ b/internal/coordination/rollout/stages.go
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// pick returns the names of the members that a stage changes. left are the members that no earlier stage changes, out of total. A count
-// or a share of members is spread over the zones.
+// pick returns the names of the members that a stage changes. left holds the members that no earlier stage
+// changes; total is the number of all members. A count or a share of members is spread over the zones.
 func (s Selector) pick(left []Member, total int) (selected []string, err error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -85,6 +85,7 @@
 	return selected, nil
 }
 
+// pickNames returns the names of the selector. Each must be in left and occur only once.
 func (s Selector) pickNames(left []Member) (selected []string, err error) {
 	for _, name := range s.Names {
 		if !slices.ContainsFunc(left, func(m Member) bool { return m.Name == name }) || slices.Contains(selected, name) {
@@ -95,9 +96,11 @@
 	return selected, nil
 }
 
+// pickNumber returns as many names from left as the selector's count, or as its share of total, rounded up.
 func (s Selector) pickNumber(left []Member, total int) ([]string, error) {
 	n := s.Count
 	if s.Share > 0 {
+		// Adding less than 1 keeps a rounding error of the product from adding a member.
 		n = min(len(left), int(float64(total)*s.Share+0.999999))
 	}
 	if n > len(left) {
--- a/internal/coordination/share/allocator.go
+++ b/internal/coordination/share/allocator.go
@@ -13,19 +13,21 @@
 )
 
 const (
-	// recomputations is how many times per period the fair level is computed.
+	// recomputations is the maximum number of times per period that the fair level is computed, if the
+	// limit has several members. With one member, the level is computed for each request.
 	recomputations = 16
 	// The shortest wait before the next request is the period divided by minRetryFraction; the longest is maxRetryPeriods periods.
 	minRetryFraction = 8
 	maxRetryPeriods  = 4
-	// forgetAfterPeriods is after how many periods without a request a member without active allocations is forgotten.
+	// A member without active allocations is forgotten after forgetAfterPeriods periods without a request.
 	forgetAfterPeriods = 8
 
 	// neverRequested is the time of the last request of a member whose first request is being answered.
 	neverRequested lease.Instant = math.MinInt64
 )
 
-// Allocator allocates the units of one limit, for one term of one leader. Instants are of its own steady clock.
+// Allocator allocates the units of one limit, for one term of one leader. Its instants are readings of that
+// leader's steady clock.
 type Allocator struct {
 	limit       Limit
 	term        uint64
@@ -47,7 +49,7 @@
 type member struct {
 	weight      float64
 	demand      int           // units per period
-	entitled    float64       // units that it is entitled to and that are not allocated yet
+	entitled    float64       // units that the member is entitled to and that are not allocated yet
 	requestedAt lease.Instant // when its last request arrived
 	outstanding int           // units of its active allocations
 }
@@ -59,7 +61,8 @@
 		active: map[AllocationID]*activeAllocation{}, members: map[string]*member{}}
 }
 
-// SetUnits changes the units of the limit. Existing allocations stay until they expire. The other fields of a limit never change.
+// SetUnits changes the units of the limit, to at least its floor. Existing allocations stay until they
+// expire. The other fields of a limit never change.
 func (a *Allocator) SetUnits(units int) { a.limit.Units = max(units, a.limit.Floor) }
 
 // Allocate answers a request of a member. Before the call a majority must have confirmed, after the request arrived, that this leader
@@ -92,8 +95,9 @@
 	return Allocation{ID: a.lastID, Units: units}
 }
 
-// returnUnspent frees the units of finished allocations that the member has not spent. What it has spent counts until the allocation
-// expires. A usage that is reported twice changes nothing the second time.
+// returnUnspent frees the units of finished allocations that the member has not spent. The spent units
+// count as outstanding until the allocation expires. A usage that is reported twice changes nothing the
+// second time.
 func (a *Allocator) returnUnspent(r AllocationRequest) {
 	for _, usage := range r.Finished {
 		allocation := a.active[usage.Allocation]
@@ -114,7 +118,7 @@
 		a.computeFairLevel(now)
 	}
 	fair = a.fairShare(m)
-	if m.requestedAt == neverRequested { // a new member is entitled to a complete period
+	if m.requestedAt == neverRequested { // a new member starts with the fair share of a whole period
 		m.requestedAt, m.entitled = now, fair+initialEntitlement(r.Member, a.term)
 	}
 	m.entitled = min(m.entitled+fair*float64(now.Sub(m.requestedAt))/float64(a.limit.Period), max(fair, 1))
@@ -146,7 +150,8 @@
 	return min(wait, maxRetryPeriods*a.limit.Period)
 }
 
-// expire removes the allocations whose period has passed, and the members that have sent no request for forgetAfterPeriods.
+// expire removes the allocations whose period has passed, and the members without active allocations that
+// have sent no request for more than forgetAfterPeriods periods.
 func (a *Allocator) expire(now lease.Instant) {
 	for id, allocation := range a.active {
 		if allocation.until <= now {
@@ -173,8 +178,9 @@
 // fairShare returns the units per period that a member is entitled to.
 func (a *Allocator) fairShare(m *member) float64 { return min(float64(m.demand), a.fairLevel*m.weight) }
 
-// computeFairLevel computes the weighted max-min fair level. If the units suffice, every member gets its demand. Otherwise the members with
-// the largest demand for their weight get the same number of units for a weight of 1, and the others get their demand.
+// computeFairLevel computes the weighted max-min fair level. If the units suffice, every member gets its
+// demand. Otherwise the members with the largest ratio of demand to weight get units in proportion to their
+// weight, and the others get their demand.
 func (a *Allocator) computeFairLevel(now lease.Instant) {
 	a.computedAt, a.fairLevel = now, math.Inf(1)
 	byDemand := slices.SortedFunc(maps.Values(a.members), func(x, y *member) int { // the member with the least demand for its weight first
@@ -185,7 +191,7 @@
 		weight += m.weight
 	}
 	for _, m := range byDemand {
-		if float64(m.demand) > left*m.weight/weight { // and so do the demands of all members that follow
+		if float64(m.demand) > left*m.weight/weight { // the members that follow exceed their shares too
 			a.fairLevel = left / weight
 			return
 		}
--- a/internal/router/wireformat/servers.go
+++ b/internal/router/wireformat/servers.go
@@ -19,7 +19,7 @@
 	Generation string
 	Slots      int
 	State      registry.State
-	ColdUntil  time.Duration // registry.Instance.WarmupRemaining
+	ColdUntil  time.Duration // registry.Instance.WarmupRemaining; gob sends this name
 	Sequence   int64
 }
 
--- a/internal/sidecar/wiring/drain_test.go
+++ b/internal/sidecar/wiring/drain_test.go
@@ -19,8 +19,9 @@
 )
 
 const (
-	drainAddr = "127.0.0.1:80" // of the server
-	// A stream is requested streamHead before the drain. Its trace ID says how long after the start of the drain it ends, approximately.
+	drainAddr = "127.0.0.1:80" // address of the server
+	// streamHead is the time from the request for a stream to the start of the drain. The trace ID of the
+	// request is the approximate time from the start of the drain to the end of the stream.
 	streamHead  = time.Second
 	streamBytes = 600_000
 )
@@ -30,7 +31,7 @@
 	t       *testing.T
 	network *memnet.Network
 	sidecar *Sidecar
-	addr    string // of the sidecar
+	addr    string // address of the sidecar
 }
 
 // startDrainRig runs the server and the sidecar until the test ends.
@@ -100,7 +101,7 @@
 	client := &drainClient{Conn: conn, in: bufio.NewReader(conn)}
 	io.WriteString(client, lookRequest(fmt.Sprint(until.Milliseconds(), "ms")))
 	if client.response, err = http.ReadResponse(client.in, nil); err != nil || client.response.Close {
-		r.t.Fatalf("%v, %v", client.response, err)
+		r.t.Fatalf("head of a response before the drain: %v, %v", client.response, err)
 	}
 	return client
 }
@@ -111,7 +112,7 @@
 func TestARequestAtTheEndOfADrain(t *testing.T) {
 	const (
 		drainTime   = 4 * time.Second
-		earliestEnd = 3800 * time.Millisecond // both streams end after it
+		earliestEnd = 3800 * time.Millisecond // both streams end after this time
 	)
 	synctest.Test(t, func(t *testing.T) {
 		r := startDrainRig(t)
@@ -131,18 +132,20 @@
 		}()
 		got, err := io.Copy(io.Discard, active.response.Body)
 		if err != nil || got != streamBytes || time.Since(drainBegan) < earliestEnd {
-			t.Fatalf("%d bytes, %v after %v", got, err, time.Since(drainBegan))
+			t.Fatalf("the active stream ended after %d bytes: %v, %v into the drain",
+				got, err, time.Since(drainBegan))
 		}
 		io.WriteString(active, lookRequest("again"))
 		if resp, err := http.ReadResponse(active.in, nil); err != nil || resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("a request after %v: %v, %v", time.Since(drainBegan), resp, err)
+			t.Errorf("a request %v after the start of the drain: %v, %v", time.Since(drainBegan), resp, err)
 		}
 		if after := <-idleClosed; after < earliestEnd || after >= drainTime {
-			t.Errorf("a connection without a request is closed after %v", after)
+			t.Errorf("the idle connection was closed %v after the start of the drain", after)
 		}
 		time.Sleep(drainTime - time.Since(drainBegan))
 		if now := r.sidecar.lifecycle.Status().State(); now != lifecycle.Evacuated || r.sidecar.front.OpenConnections() != 0 {
-			t.Errorf("at %v: %v, %d open", drainTime, now, r.sidecar.front.OpenConnections())
+			t.Errorf("%v into the drain: %v, %d connections open",
+				drainTime, now, r.sidecar.front.OpenConnections())
 		}
 	})
 }
