--- a/cmd/petrelhook-router/commands_test.go
+++ b/cmd/petrelhook-router/commands_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The state command rejects the disk of a coordinator, whose file has the same name, with an error of one line.
+// The state command rejects the replica.db of a coordinator, which has the same name as that of a router, and prints an
+// error of a single line.
 func TestStateOfACoordinatorsDisk(t *testing.T) {
 	coordinatorState, err := os.ReadFile("../../internal/coordination/replica/disk/testdata/cfdfdec/replica.db")
 	require.NoError(t, err)
--- a/internal/coordination/capacity/chain.go
+++ b/internal/coordination/capacity/chain.go
@@ -9,12 +9,12 @@
 	"strconv"
 )
 
-// In the points of the workloads "calls" and "chain" the size is the depth of a chain of calls. The metric begins with the class
-// of the calls, if it depends on that, and ends with the load of the run: look_added_p99_us_at_250_s,
-// once_attempts_call_fail_50_pc. internal/rig/chain makes them.
+// For the workloads "calls" and "chain", the size of a measured point is the depth of a chain of calls. The name of the metric
+// begins with the class of the calls, if the metric depends on the class, and ends with the load of the run:
+// look_added_p99_us_at_250_s, once_attempts_call_fail_50_pc. Package internal/rig/chain produces these points.
 
-// measuredAtRate returns a metric of calls at a depth and a rate, each of them rounded up to the next measured value: the largest
-// value of all classes and runs.
+// measuredAtRate returns the largest value of a metric of calls, over all classes and runs, at a depth and a rate. The depth and
+// the rate are each rounded up to the next measured one.
 func (in *inputs) measuredAtRate(metric string, depth, rate Figure) Figure {
 	pattern := regexp.MustCompile(`^(?:[a-z]+_)?` + metric + `_at_([0-9.]+)_s$`)
 	chosenRate := math.Inf(1)
@@ -68,7 +68,7 @@
 }
 
 // largest returns the largest value of the series at a size or the next larger one. missing describes the measurement that the
-// figure lacks if none of them has such a size.
+// figure lacks if no series has such a size.
 func (in *inputs) largest(all []Key, missing string, size Figure) Figure {
 	f := Figure{Missing: []string{missing}}
 	for _, k := range all {
--- a/internal/coordination/capacity/row.go
+++ b/internal/coordination/capacity/row.go
@@ -5,10 +5,10 @@
 	"math"
 )
 
-// What a row breaks if it does not fit.
+// The values of Row.Breaks: what happens if the need of a row exceeds its budget.
 const (
 	BreaksRule = "rule" // something is refused, lost or impossible
-	BreaksTime = "time" // it is done, but later or at a higher cost than required
+	BreaksTime = "time" // the work is done, but later or at a higher cost than required
 )
 
 // Class is the kind of a verdict.
@@ -30,19 +30,19 @@
 	Unit      string   `json:"unit"`
 	Need      Figure   `json:"need"`
 	Budget    *Figure  `json:"budget,omitempty"`
-	Breaks    string   `json:"breaks,omitempty"` // BreaksRule or BreaksTime, if it does not fit
+	Breaks    string   `json:"breaks,omitempty"` // BreaksRule or BreaksTime: what happens if the row does not fit
 	Mechanism string   `json:"mechanism"`        // the packages that do the work
 	NeededBy  []string `json:"needs,omitempty"`  // situations and functions that depend on it
 	Class     Class    `json:"class"`
-	Factor    float64  `json:"times,omitempty"` // how many times it fits, or exceeds the budget
+	Factor    float64  `json:"times,omitempty"` // budget / need if the row fits, need / budget if it does not; 0: none
 	Verdict   string   `json:"verdict"`
 }
 
 // Name identifies the row.
 func (r *Row) Name() string { return r.Situation + ": " + r.Role + ": " + r.Quantity }
 
-// setVerdict sets Class, Factor and Verdict. A need of which a part is missing is a lower bound: if that exceeds the budget, the
-// row does not fit.
+// setVerdict sets Class, Factor and Verdict. A need of which a part is missing is a lower bound: if this bound exceeds the
+// budget, the row does not fit.
 func (r *Row) setVerdict() {
 	var missing []string
 	if missing = r.Need.Missing; r.Budget != nil {
--- a/internal/coordination/release/store.go
+++ b/internal/coordination/release/store.go
@@ -129,7 +129,7 @@
 		return Release{}, err
 	}
 	defer func() { _ = lock.Close() }()          // releases the lock
-	defer func() { _ = os.RemoveAll(staging) }() // after a success it was renamed; NewStore removes anything left behind
+	defer func() { _ = os.RemoveAll(staging) }() // has no effect after the rename; NewStore removes what remains after an error
 	programHash, err := writeAndHash(filepath.Join(staging, programName), program, 0o500)
 	if err != nil {
 		return Release{}, err
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// Open returns a release after it has verified the content against the ID. The error is ErrInvalidID, ErrNotFound, ErrDamaged,
-// with the folder in its text, or an error of the disk.
+// Open returns a release after it has verified the content against the ID. The error is ErrInvalidID, ErrNotFound,
+// ErrDamaged (its text names the folder) or an error of the disk.
 func (s *Store) Open(id ID) (Release, error) {
 	if err := id.check(); err != nil {
 		return Release{}, err
--- a/internal/coordination/replica/disk/disk_test.go
+++ b/internal/coordination/replica/disk/disk_test.go
@@ -23,12 +23,12 @@
 	return all
 }
 
-// filledDisk returns a folder with a replica that has the entries 2 to 200, and the incarnation of its disk. The second of its
-// two saves replaces the entries 151 to 250 of term 1 by the entries 151 to 200 of term 2.
+// filledDisk returns a folder with a replica that has the entries 2 to 200, and the incarnation of its disk. The entries are
+// saved in two steps: the second save replaces the entries 151 to 250 of term 1 by the entries 151 to 200 of term 2.
 func filledDisk(t *testing.T) (dir, incarnation string) {
 	t.Helper()
 	dir = t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, fileName+".new"), []byte("half written"), 0o600); err != nil { // as a process that died in Create leaves it
+	if err := os.WriteFile(filepath.Join(dir, fileName+".new"), []byte("half written"), 0o600); err != nil { // left behind by a process that died in Create
 		t.Fatal(err)
 	}
 	if err := Create(dir, 3, replica.InitialState([]replica.Member{{ID: 3}}, lease.NewState())); err != nil {
@@ -36,7 +36,7 @@
 	}
 	d, persisted, err := Open(dir)
 	if err != nil || persisted.Snapshot.Metadata.GetIndex() != 1 || d.ID != 3 {
-		t.Fatalf("%v, %v", err, persisted)
+		t.Fatalf("Open of a new replica: error %v, state %v", err, persisted)
 	}
 	defer d.Close()
 	if err := d.Save(replica.Ready{PersistedState: replica.PersistedState{Entries: entries(1, 2, 250)}}); err != nil {
@@ -54,24 +54,24 @@
 	dir, incarnation := filledDisk(t)
 	d, persisted, err := Open(dir)
 	if err != nil || d.Incarnation != incarnation || len(persisted.Entries) != 199 || persisted.Entries[198].GetTerm() != 2 || persisted.HardState.GetTerm() != 2 {
-		t.Fatalf("%v, %d entries", err, len(persisted.Entries))
+		t.Fatalf("Open after two saves: error %v, %d entries", err, len(persisted.Entries))
 	}
 	if _, _, err := Open(dir); !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), "locked by another process") {
-		t.Errorf("%v", err)
+		t.Errorf("Open of a folder that is already open: error %v, want ErrLocked", err)
 	}
 	if err := d.SaveSnapshot(&pb.Snapshot{Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(180)}}, 170); err != nil {
 		t.Fatal(err)
 	}
 	d.Close()
 	if d, persisted, err = Open(dir); err != nil || len(persisted.Entries) != 30 || persisted.Snapshot.Metadata.GetIndex() != 180 {
-		t.Fatalf("%v, %v", err, persisted)
+		t.Fatalf("Open after SaveSnapshot: error %v, state %v", err, persisted)
 	}
 	d.Close()
 	if err := Create(dir, 3, &replica.PersistedState{}); !errors.Is(err, ErrExists) {
-		t.Errorf("a second replica in the folder: %v", err)
+		t.Errorf("Create in the folder of a replica: error %v, want ErrExists", err)
 	}
 	if _, _, err := Open(t.TempDir()); !errors.Is(err, ErrNoReplica) {
-		t.Errorf("%v", err)
+		t.Errorf("Open of an empty folder: error %v, want ErrNoReplica", err)
 	}
 }
 
@@ -103,7 +103,7 @@
 		}
 		_, _, err := Open(dir)
 		if err == nil || !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), c.want) || c.cause != nil && !errors.Is(err, c.cause) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Open of %s: unexpected error %v", name, err)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 			t.Fatal(err)
 		}
 		if _, _, err := Open(dir); err == nil || !strings.Contains(err.Error(), string(key)+": missing") {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("Open without the record %s: error %v", key, err)
 		}
 	}
 }
--- a/internal/router/operatorapi/register_test.go
+++ b/internal/router/operatorapi/register_test.go
@@ -79,7 +79,7 @@
 	require.Contains(t, string(restored.Config().Encode()), `"Unknown":{"kept":true}`)
 	require.Equal(t, http.StatusOK, decideAndApply(restored, first))
 	require.Equal(t, int64(5), restored.Generation())
-	g.accepted.bases = nil // as an earlier version wrote it
+	g.accepted.bases = nil // snapshots of an earlier version lack the bases
 	require.NoError(t, restored.Restore(g.Snapshot()))
 	require.Equal(t, http.StatusOK, decideAndApply(restored, first))
 	empty := NewRegister()
@@ -92,8 +92,9 @@
 	return order(Replace, n-1, fmt.Sprintf(`{"Generation":%d,"Routes":[],"Services":[{"Name":"s%d"}]}`, n, n))
 }
 
-// An accepted order is acknowledged again by its content while it is remembered, and is never rejected. Once it is
-// forgotten the status is 503, also from a replica that was restored from a snapshot.
+// While the register remembers an accepted order, it acknowledges an order with the same content again. Once the
+// register has forgotten the order, the status is 503: an accepted order is never reported as rejected. The same holds for a register that
+// was restored from a snapshot.
 func TestAnOrderIsNeverRejectedLater(t *testing.T) {
 	g := NewRegister()
 	const orders = maxRememberedOrders + 10
@@ -118,15 +119,15 @@
 	t.Logf("a snapshot has %d bytes", len(g.Snapshot()))
 }
 
-// Two operators choose the same new version number on top of the same version: only one content gets it. If both send
-// the same bytes, both get status 200.
+// Two operators choose the same new version number on top of the same version: only one of two different
+// contents is accepted under that number. If both send the same bytes, both get status 200.
 func TestOneNumberNamesOneContent(t *testing.T) {
 	g := NewRegister()
 	require.Equal(t, http.StatusOK, decideAndApply(g, order(Replace, 0, completeConfig)))
 	one, other := order(Update, 3, `{"Generation":5,"Upsert":{"Routes":[`+secondRoute("/y/")+`]}}`), order(Update, 3, `{"Generation":5}`)
 	require.Equal(t, http.StatusOK, decideAndApply(g, one))
-	require.Equal(t, http.StatusOK, decideAndApply(g, one), "another operator, the same bytes")
+	require.Equal(t, http.StatusOK, decideAndApply(g, one), "the same bytes from another operator are acknowledged")
 	require.Equal(t, http.StatusPreconditionFailed, decideAndApply(g, other))
-	require.Equal(t, http.StatusPreconditionFailed, decideAndApply(g, other), "rejected once, rejected again")
+	require.Equal(t, http.StatusPreconditionFailed, decideAndApply(g, other), "a rejected order is rejected again")
 	require.Len(t, g.Config().Routes, 2)
 }
--- a/internal/router/placement/loads_test.go
+++ b/internal/router/placement/loads_test.go
@@ -30,8 +30,8 @@
 	require.NotContains(t, message.Sums(), ServerHash(0))
 }
 
-// A router receives the work of all other routers; another home receives only that of the routers that subscribe to this
-// home. A report that is not renewed expires.
+// A router receives the work of all other routers; another home receives only the work of the routers that
+// subscribe to the home of the aggregator. A report that is not renewed expires.
 func TestLoadAggregator(t *testing.T) {
 	withRequests := func(requests float64) LoadSums { return LoadSums{1: {Requests: requests}} }
 	b := NewLoadAggregator()
@@ -94,7 +94,7 @@
 		s.Begin(longAnswer.Work(true))
 		got[s.ID]++
 	}
-	require.Len(t, got, 1, "9 long answers fit into 0.6 of one server's 16 slots")
+	require.Len(t, got, 1, "9 long answers fit into the fraction of one server's slots that streams may use: 0.6 of 16")
 	for range 9 {
 		s := p.Pick(longAnswer, anyServer, time.Second)
 		s.Begin(longAnswer.Work(true))
@@ -107,8 +107,8 @@
 	}
 }
 
-// A router that has received no peer loads recently does not pack long answers: without them all routers would choose
-// the same few servers, unaware of each other.
+// A router that has received no peer loads recently does not pack long answers: without peer loads, all routers
+// would choose the same few servers, unaware of each other.
 func TestLongAnswersWithoutPeerLoads(t *testing.T) {
 	longAnswer := Request{PromptTokens: 200, MaxOutputTokens: 4000}
 	for name, receivedAt := range map[string]time.Duration{"never received": 0, "not recently": time.Second} {
--- a/internal/router/placement/names_test.go
+++ b/internal/router/placement/names_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestNamesDecideNothing can fail: a fleet in which names do affect the decisions, through the hash, yields others.
+// TestNamesDecideNothing can fail: if names do affect the decisions, through the hash, the decisions differ.
 func TestADecisionThatDependsOnNamesIsDetected(t *testing.T) {
 	original := namedFleet{server: func(i int) string { return fmt.Sprint("i-", i) }, zone: func(i int) string { return fmt.Sprint("zone-", i) }, hash: rendezvous}
 	reversed := namedFleet{server: func(i int) string { return fmt.Sprint("i-", 11-i) }, zone: original.zone, hash: rendezvous}
--- a/internal/router/replication/abandoned_test.go
+++ b/internal/router/replication/abandoned_test.go
@@ -31,7 +31,7 @@
 	return ""
 }
 
-// writeAndRead proposes a value to every process that considers itself primary, and reads there.
+// writeAndRead sends a write and a read to every process that considers itself primary.
 func (s *simulation) writeAndRead(round int) {
 	for client, address := range s.addresses() {
 		h := s.hosts[address]
@@ -42,7 +42,8 @@
 	}
 }
 
-// abandonedChange is a core of three whose primary has proposed a view of five, which only the primary's own disk holds.
+// abandonedChange is a core of three whose primary has proposed a view of five members, which
+// is stored only on the primary's disk.
 type abandonedChange struct {
 	*simulation
 	oldPrimary     *process
@@ -64,7 +65,7 @@
 		return m
 	}
 	for !old.host.disk.Hard.Accepted.joint() {
-		require.Less(t, s.now, time.Minute, "no view of five is proposed")
+		require.Less(t, s.now, time.Minute, "the primary proposes no view of five members")
 		s.run(s.now + time.Millisecond)
 	}
 	require.Len(t, old.host.disk.Hard.Accepted.Members, 5)
@@ -87,8 +88,9 @@
 func (a *abandonedChange) isFollower(h *host) bool { return h == a.followers[0] || h == a.followers[1] }
 
 // The primary proposes again, and a majority of the five accepts the second view. The two previous members that do not
-// accept it are partitioned from the others. They know only the view of three, of which they are a majority, and go on: if
-// the second view needed only votes of the five, both sides would decide.
+// accept it are partitioned from the others. They know only the view of three members and are
+// a majority of it, so they elect a primary and continue to commit. If the second view needed only votes of the five,
+// both sides would commit values.
 func TestAnAbandonedChangeOfMembers(t *testing.T) {
 	s := newAbandonedChange(t)
 	partitioned := false
@@ -115,7 +117,7 @@
 		s.run(s.now + 500*time.Millisecond)
 	}
 	require.NotEqual(t, porcupine.Illegal, checkHistory(s.history))
-	require.NotNil(t, leaderAmong(s.followers), "a majority of the members goes on")
+	require.NotNil(t, leaderAmong(s.followers), "the majority of the view of three has no primary")
 	s.intercept = nil
 	s.heal()
 	s.run(s.now + 12*time.Second)
@@ -125,8 +127,9 @@
 	require.NotEqual(t, porcupine.Illegal, checkHistory(s.history))
 }
 
-// The two other previous members elect a primary and commit a value. Then the old primary finishes its change, and gets
-// no promise of these two, though they would accept its view: the committed value must not be lost.
+// The two other previous members elect a primary and commit a value. Then the old primary completes its change of
+// members. It receives no promise from these two members, although they would accept its view. The committed value must
+// not be lost.
 func TestAnAbandonedChangeHidesNoLaterView(t *testing.T) {
 	s := newAbandonedChange(t)
 	s.partition(s.followers, s.joiningSide)
@@ -174,8 +177,8 @@
 	require.NotEqual(t, porcupine.Illegal, checkHistory(s.history))
 }
 
-// A process that starts with a view on its disk that may never have been in force does not report that view, but requests
-// pre-votes of its members.
+// The view that a process finds on its disk at its start may never have been in force. The process does not report such
+// a view, but requests pre-votes from the members of the view.
 func TestAnAbandonedViewIsNotReported(t *testing.T) {
 	joint := viewOf(5, "a", "b")
 	joint.Old = joint.Members[:3]
--- a/internal/router/settings/deploy.go
+++ b/internal/router/settings/deploy.go
@@ -21,7 +21,7 @@
 	On     string   `toml:"on" validate:"required"`                          // class of machines
 	Share  float64  `toml:"share" validate:"gte=0,lte=1"`                    // fraction of the class in each zone; excludes Count
 	Count  int      `toml:"count" validate:"gte=0"`                          // number of machines of the class in each zone
-	Apart  bool     `toml:"apart"`                                           // read but not checked
+	Apart  bool     `toml:"apart"`                                           // accepted in the file, but has no effect
 	Serves []string `toml:"serves" validate:"dive,oneof=edge control_plane"` // callers that it serves; unique within the class
 }
 
@@ -53,8 +53,8 @@
 	return d, d.checkClasses()
 }
 
-// checkClasses returns an error if two roles on a class of machines serve the same callers, or if a machine would run
-// too many roles.
+// checkClasses returns an error if two roles on a class of machines serve the same callers, or if more than
+// maxRolesPerMachine roles run on all machines of a class. Roles that run on only some of the machines are not counted.
 func (d *Deploy) checkClasses() error {
 	type service struct{ class, callers string }
 	servedBy := map[service]string{}
--- a/internal/sidecar/wiring/succession.go
+++ b/internal/sidecar/wiring/succession.go
@@ -15,20 +15,21 @@
 	"petrelhook/internal/sidecar/lifecycle"
 )
 
-// acknowledgeTimeout is how long a successor waits for lineAcknowledged before it continues without it, because the predecessor may hang.
+// acknowledgeTimeout is how long a successor waits for lineAcknowledged. After that it continues without an acknowledgement, because the
+// predecessor may hang.
 const acknowledgeTimeout = 500 * time.Millisecond
 
 // Succession is what a process needs for the hand-overs of its sidecar: the link to its predecessor, and the rendezvous for its successors.
 type Succession struct {
 	Rendezvous          Rendezvous
 	Predecessor         *handover.Link             // nil: there is none
-	EvacuationRequested bool                       // by operators, at the predecessor
+	EvacuationRequested bool                       // whether operators had requested it from the predecessor
 	Share               *lifecycle.ConnectionShare // the connections that this process may open while the predecessor runs; nil: all
 }
 
 // HandoverState is the state that a process hands over to its successor, in JSON. The names in JSON are those of the first version.
 type HandoverState struct {
-	EvacuationRequested bool                      `json:"out"` // by operators
+	EvacuationRequested bool                      `json:"out"` // whether operators have requested it
 	Share               lifecycle.ConnectionShare `json:"room"`
 	Core                core.Snapshot             `json:"core"`
 }
@@ -87,7 +88,7 @@
 	return state, nil
 }
 
-// Reasons why a hand-over fails whose messages are well formed.
+// Reasons why a hand-over fails although its messages are well formed.
 var (
 	errNegativeShare = errors.New("the share of connections is negative")
 	errCoreEnded     = errors.New("the core of this process has ended")
@@ -169,8 +170,9 @@
 	return encoded, nil
 }
 
-// announceReady makes the process ready. It notifies the predecessor first: whoever sees that this process is ready may terminate the
-// predecessor, which must know by then that it has a successor. For the same reason it first waits until this process can hand over in turn.
+// announceReady makes the process ready. It first notifies the predecessor and waits for the acknowledgement: once this process is ready,
+// the predecessor may be terminated at any time, and it must know by then that it has a successor. For the same reason announceReady
+// waits until this process can itself hand over to a successor.
 func (s *Sidecar) announceReady(succession *Succession) {
 	if succession != nil && succession.Predecessor != nil && succession.Predecessor.Send(lineReady) == nil {
 		select {
