--- a/balance/failures_test.go
+++ b/balance/failures_test.go
@@ -29,8 +29,8 @@
 	return after
 }
 
-// A server whose probe fails gets a cooldown. When a network partition lost most probes, the unreachable servers stayed
-// next in turn and were probed again for every request.
+// A server whose probe fails gets a cooldown. Without it, when a network partition lost most probes, the
+// unreachable servers stayed first in the rotation and were probed again for every request.
 func TestUnreachableServersHaveACooldown(t *testing.T) {
 	g := newHarness(t, probeConfig(), fleet(3)...)
 	unreachable := map[ServerID]bool{1: true, 2: true}
@@ -40,7 +40,7 @@
 			t.Fatalf("request %d: %d servers probed though two are unreachable", id, asked)
 		}
 		if s, ok := sentTo(g.answerProbes(acts, 0, unreachable)); !ok || s != 3 {
-			t.Fatalf("request %d went to %d", id, s)
+			t.Fatalf("request %d went to server %d, want server 3", id, s)
 		}
 		g.answer(id, 0, OK, 10)
 	}
@@ -53,14 +53,14 @@
 		g.answer(id, 0, OK, 10)
 	}
 	if !used[1] || !used[2] {
-		t.Fatalf("used %v after they came back", used)
+		t.Fatalf("servers used after the cooldown: %v, want also 1 and 2", used)
 	}
 }
 
 // A probed server with a queue is skipped: a sidecar with little traffic cannot infer the load of others from its own requests.
 func TestProbedQueueIsPassedOver(t *testing.T) {
 	g := newHarness(t, probeConfig(), fleet(3)...)
-	g.b.servers.all[0].currentWeight = 1000 // its turn
+	g.b.servers.all[0].currentWeight = 1000 // server 1 is first in the rotation
 	id, acts := g.request(safeClass)
 	if has(acts, Send) {
 		t.Fatal("sent before the probes were answered")
@@ -77,7 +77,7 @@
 	id, _ := g.request(safeClass)
 	g.now = g.b.requests.byID[id].wakeAt
 	if acts := g.handle(Timer{Token: uint64(id)}); !has(acts, Send) || g.now > 1000+0.1*300 {
-		t.Fatalf("at %v: %+v", g.now, acts)
+		t.Fatalf("at %v ms the actions are %+v, want a Send by 1030 ms", g.now, acts)
 	}
 }
 
@@ -94,7 +94,7 @@
 		id, acts := g.request(safeClass)
 		s, ok := sentTo(acts)
 		if !ok {
-			t.Fatalf("request %d was rejected; integral %v", id, g.b.shedding.integral)
+			t.Fatalf("request %d was rejected with integral part %v of the shed fraction", id, g.b.shedding.integral)
 		}
 		if s == 1 {
 			hung++
@@ -119,8 +119,8 @@
 	return list
 }
 
-// In overload, requests that cannot be answered in time are rejected before they are sent, those of least value first. Without
-// that every queue fills and all answers are late.
+// In overload, requests that cannot be answered in time are rejected before they are sent, those of least
+// value first. Otherwise every queue fills and all answers are late.
 func TestOverloadIsShedLeastValueFirst(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(4)...)
 	rejected := map[int]int{}
@@ -197,8 +197,8 @@
 	}
 }
 
-// setLoad sets the integral part of the shed fraction, and loads the fleet so that the latency exceeds the permitted one by the
-// given fraction of the latency target.
+// setLoad sets the integral part of the shed fraction, and loads the fleet so that the latency exceeds the
+// permitted latency by over, a fraction of the latency target.
 func (g *harness) setLoad(integral, over float64) {
 	full := g.b.latencies.min + queueAllowance*(1-g.b.latencies.min)
 	g.b.shedding.integral = integral
@@ -206,8 +206,8 @@
 	g.b.latencies.recent = 1
 }
 
-// rejectedFractions hands in 4000 requests, drawn from turns of (class, tenant), while 0.4 of the work is to be shed. It returns
-// the rejected fraction of each class and of each tenant.
+// rejectedFractions sends 4000 requests while 0.4 of the work is to be shed. The class and the tenant of each
+// request are a random element of turns. It returns the rejected fraction of each class and of each tenant.
 func rejectedFractions(t *testing.T, cfg Config, turns ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
 	g := newHarness(t, cfg, fleet(4)...)
@@ -235,9 +235,10 @@
 	return byClass, byTenant
 }
 
-// The shed fraction follows the load at once, between nothing and twice its integral part. Without the immediate part busy
-// sidecars let queues grow for seconds before enough was shed, and overloaded servers stayed slow. A sidecar that has not shed
-// recently rejects nothing at once, as its few requests may coincide by chance.
+// The shed fraction follows the load immediately, between zero and twice its integral part. Without this
+// immediate part, busy sidecars let queues grow for seconds before enough was shed, and overloaded servers
+// stayed slow. A sidecar that has not shed recently does not reject immediately, as its few requests may
+// coincide by chance.
 func TestShedFollowsTheLoadAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		lasting, over float64 // integral part; latency above the permitted one, in latency targets
@@ -262,8 +263,8 @@
 	}
 }
 
-// Of two tenants with equal shares, the one with three times the requests loses those beyond its share. With equal requests both
-// lose the same fraction.
+// Of two tenants with equal shares, the one that sends three times as many requests has its requests beyond
+// the share rejected. If both send equally many, the same fraction of each is rejected.
 func TestTenantsBeyondTheirShareAreRejectedFirst(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Share: 0.5}, {Share: 0.5}}
@@ -337,10 +338,10 @@
 		g.answer(id, 0, OK, map[bool]float64{true: 20, false: 40}[s > 2])
 	}
 	if hits[3]+hits[4] < 3*(hits[1]+hits[2])/2 {
-		t.Fatalf("hits %v", hits)
+		t.Fatalf("requests by server: %v, want 1.5 times as many at 3 and 4 as at 1 and 2", hits)
 	}
 	if g.b.capacities.kinds[1] <= g.b.capacities.kinds[0] {
-		t.Fatalf("kinds %v", g.b.capacities.kinds)
+		t.Fatalf("capacities by kind: %v, want a higher one for kind 1", g.b.capacities.kinds)
 	}
 }
 
@@ -365,14 +366,14 @@
 			Request: Request{Remaining: c.remaining}, class: &g.b.cfg.Classes[safeClass], stats: &g.b.traffic.classes[safeClass],
 		}
 		if got := g.b.lateRetry(r) && g.b.shedding.integral >= r.class.LateValue; got != c.rejected {
-			t.Errorf("%+v: rejected: %v", c, got)
+			t.Errorf("%+v: got rejected %v", c, got)
 		}
 		if !c.rejected {
 			continue
 		}
 		g.b.shedding.integral = c.shed
 		if acts := g.handle(Request{ID: 77, Remaining: c.remaining}); !has(acts, Reject) {
-			t.Errorf("%+v: %+v", c, acts)
+			t.Errorf("%+v: the actions are %+v, want a Reject", c, acts)
 		}
 	}
 }
@@ -409,7 +410,7 @@
 	t.Fatal("the server was not tried after its cooldown")
 }
 
-// If all servers are in a cooldown they are used all the same, as they are hardly the cause.
+// If all servers are in a cooldown, they are still used, as the cause is probably not in the servers.
 func TestAllInACooldownAreUsed(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(3)...)
 	for _, s := range g.b.servers.all {
@@ -538,7 +539,8 @@
 	}
 }
 
-// Retries are limited by a budget. Without one every request to a failing fleet was sent twice, which doubled the load.
+// Retries are limited by a budget. Without a budget every request to a failing fleet was sent twice,
+// which doubled the load.
 func TestRetriesKeepTheirBudget(t *testing.T) {
 	g := newHarness(t, baseConfig(), fleet(6)...)
 	retries := 0
@@ -568,13 +570,13 @@
 		id, _ := g.request(safeClass)
 		g.now += cfg.Classes[safeClass].LatencyTarget + 1
 		if acts := g.answer(id, 0, Failed, 301); has(acts, Send) != sent || has(acts, Reject) == sent {
-			t.Errorf("value %v of late answers: %+v", value, acts)
+			t.Errorf("late answers of value %v: the actions are %+v", value, acts)
 		}
 	}
 }
 
-// While answers are quick nothing is shed, whatever is in flight. A few requests of a sidecar with little traffic often coincide
-// by chance; they were taken for an overload and some were rejected.
+// While answers are quick nothing is shed, whatever is in flight. A few requests of a sidecar with little
+// traffic often coincide by chance. This was mistaken for an overload, and some were rejected.
 func TestQuickAnswersShedNothing(t *testing.T) {
 	for quick, rejects := range map[bool]bool{true: false, false: true} {
 		g := newHarness(t, baseConfig(), fleet(4)...)
@@ -590,7 +592,7 @@
 			rejected = rejected || has(acts, Reject)
 		}
 		if rejected != rejects {
-			t.Errorf("quick answers %v: rejected %v", quick, rejected)
+			t.Errorf("quick answers %v: got rejections %v", quick, rejected)
 		}
 	}
 }
@@ -627,7 +629,7 @@
 		steps[gap] = g.b.shedding.integral - 0.1
 	}
 	if steps[300] < 2*steps[3] || steps[3] <= 0 {
-		t.Fatalf("a request moved the integral part by %v", steps)
+		t.Fatalf("changes of the integral part by gap between requests in ms: %v", steps)
 	}
 }
 
--- a/balance/ramp_test.go
+++ b/balance/ramp_test.go
@@ -13,20 +13,20 @@
 type ramp struct {
 	sidecars, servers, warming int
 	uneven                     bool    // some sidecars have several times the mean traffic
-	maxDelay                   float64 // ms within which the sidecars learn of a restart
+	maxDelay                   float64 // longest time until a sidecar learns of a restart, in ms
 	restarts                   bool    // half of the sidecars restart during the slow start
-	oldLists                   bool    // ... with the list from before the servers' restart, and get the new one half a second later
-	slow                       bool    // servers have a tenth of the rate: one that warms up may be sent only a few requests
-	unknown                    bool    // each sidecar is configured as the only one
+	oldLists                   bool    // restarted sidecars get the servers' new start times half a second late
+	slow                       bool    // servers have a tenth of rampServerRate, so the bound is a few requests
+	unknown                    bool    // each sidecar is configured as the only sidecar
 	failing                    float64 // fraction of the answers of warm servers that are errors, each retried
-	multiple, overloadTime     float64
+	multiple, overloadTime     float64 // Config.OverloadMultiple and Config.OverloadTime
 }
 
 const (
 	rampLoad          = 0.7      // requests as a fraction of the servers' capacity
 	rampWork          = 40.0     // mean time of a request, in ms
 	rampServerRate    = 50.0     // requests a second that a warm server can handle
-	rampStartFraction = 0.2      // fraction of that at the start
+	rampStartFraction = 0.2      // fraction of rampServerRate at the start of a slow start
 	rampTime          = 10_000.0 // length of the slow start, in ms
 )
 
@@ -184,9 +184,10 @@
 	}
 }
 
-// simulate runs a ramp. maxUse is the largest number of requests sent to a server that warms up within an overloadTime, as a
-// fraction of the bound N + 2 x sqrt(N) + 2. utilization is the number sent to such servers over their slow start, as a fraction
-// of their capacity.
+// simulate runs a ramp. maxUse is the largest number of requests that a server in its slow start gets within
+// an overloadTime, as a fraction of the bound N + 2 x sqrt(N) + 2, where N is multiple times the number of
+// requests that the server can handle in that time at the rate of the window's start. utilization is the
+// number of requests sent to such servers over their slow start, as a fraction of those that they can handle.
 func (c ramp) simulate(seed uint64) (maxUse, utilization float64) {
 	run := newRampRun(c, seed)
 	run.start()
@@ -258,7 +259,7 @@
 			t.Logf("%3d sidecars, %-17s largest use %.2f of the bound, sent %.2f of the warming servers' capacity",
 				sidecars, name+":", maxUse, utilization)
 			if maxUse > 1 || utilization < 0.5 {
-				t.Errorf("%d sidecars, %s: a server that warms up got %.2f times its bound, and %.2f of its capacity",
+				t.Errorf("%d sidecars, %s: %.2f of the bound, want at most 1; %.2f of capacity, want at least 0.5",
 					sidecars, name, maxUse, utilization)
 			}
 		}
--- a/cmd/petrelhookctl/experiment.go
+++ b/cmd/petrelhookctl/experiment.go
@@ -52,7 +52,7 @@
 	return cmd
 }
 
-// applyOverrides replaces the fields of the file that the command line sets, and checks the result.
+// applyOverrides replaces the seeds and the policies of spec by those of the command line, if given, and checks the result.
 func applyOverrides(spec *engines.Spec, seeds int, policies []string) error {
 	if seeds > 0 {
 		spec.Seeds = seeds
--- a/internal/coordination/distribute/reporttable.go
+++ b/internal/coordination/distribute/reporttable.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// MaxReporters bounds a ReportTable: it is the maximum number of members of all services, and also that of their sidecars. When
-// it is exceeded, the member with the oldest contact is removed.
+// MaxReporters is the maximum number of members in a ReportTable, and also the maximum number of sidecars. Both count all services.
+// While either number is larger, the member with the oldest contact is removed, but never the last member.
 const MaxReporters = 65_536
 
 // MemberTimeout is the time after its last contact for which a member is kept.
@@ -76,13 +76,13 @@
 	}
 }
 
-// HasReports reports whether the table holds reports of the member.
+// HasReports reports whether the table holds the member, also if its last reports were empty.
 func (t *ReportTable) HasReports(service, member string) bool {
 	return t.reporters[memberKey{service, member}] != nil
 }
 
-// Touch records a contact of a member that sent no reports, so that its earlier ones remain valid. It has no effect for an
-// unknown member.
+// Touch records a contact of a member that sent no new reports, so that its earlier reports are kept for another MemberTimeout.
+// It has no effect for an unknown member.
 func (t *ReportTable) Touch(now time.Duration, service, member string) {
 	if m := t.reporters[memberKey{service, member}]; m != nil {
 		m.lastContact = now
@@ -130,8 +130,8 @@
 	delete(t.reporters, m.memberKey)
 }
 
-// Summary returns the summary of a service with all of its sidecars. Those that do not run the newest version come first. newest
-// is the zero Version if the service has none.
+// Summary returns the summary of a service with all of its sidecars. Sidecars that do not run the newest version come
+// first. newest is the zero Version if the service has no version.
 func (t *ReportTable) Summary(now time.Duration, service string, newest Version) Summary {
 	t.Tick(now)
 	summary := t.count(service, newest)
@@ -144,7 +144,7 @@
 	return summary
 }
 
-// Summaries returns, in the order of the given newest versions, the summary of each one's service without the sidecars.
+// Summaries returns the summaries, without sidecars, of the services of the given newest versions, in the same order.
 func (t *ReportTable) Summaries(now time.Duration, newest []Version) []Summary {
 	t.Tick(now)
 	all := make([]Summary, 0, len(newest))
--- a/internal/coordination/evidence/evidence.go
+++ b/internal/coordination/evidence/evidence.go
@@ -20,7 +20,7 @@
 }
 
 // Evidence collects what one driver observes of a change, and judges it. It starts over when the change or its stage differs from
-// that of the call before. The zero value is ready to use. It is not safe for concurrent use.
+// that of the previous call of Window. The zero value is ready to use. It is not safe for concurrent use.
 type Evidence struct {
 	change       string
 	stage        int
@@ -37,8 +37,8 @@
 	sinceLastCells time.Duration // since that verdict
 }
 
-// Window adds the readings of a poll, by sidecar, and the time since the poll before. It returns the current verdict; nil: there
-// is none yet. An error comes from package judge.
+// Window adds the readings of a poll, by sidecar, and the time since the poll before. It returns the current verdict,
+// or nil if there is none yet or the change is not running. Errors are those of package judge.
 func (e *Evidence) Window(c *rollout.Change, readings map[string]Reading, elapsed time.Duration) (*rollout.Verdict, error) {
 	s := c.State
 	if s.Phase != rollout.Running {
@@ -107,8 +107,8 @@
 	return isNew, isControl, comparable
 }
 
-// verdict returns the verdict of the judge. Unless that is worse, a verdict that the old sidecars do worse than before the change
-// takes precedence.
+// verdict returns the verdict of the judge. If the judge does not find the new sidecars worse, but the old sidecars do worse than
+// before the change, it returns a verdict with BaselineWorse instead.
 func (e *Evidence) verdict(s *rollout.State, elapsed time.Duration) *rollout.Verdict {
 	v := e.judge.Verdict()
 	if v.Kind != judge.Worse {
--- a/internal/coordination/rollout/report/explain.go
+++ b/internal/coordination/rollout/report/explain.go
@@ -78,8 +78,8 @@
 	return l
 }
 
-// addSidecars adds the reasons why sidecars have not changed yet: abandoned ones, open orders, sidecars that are not ready, and the
-// limits that other sidecars of the stage wait for.
+// addSidecars adds the reasons why sidecars have not changed yet: a sidecar was abandoned, has an open order or is not ready, or the
+// stage's remaining sidecars wait because a limit of the plan is reached.
 func (l *lines) addSidecars(s *rollout.State) {
 	waiting := 0
 	for _, c := range s.Sidecars() {
@@ -135,8 +135,8 @@
 	}
 }
 
-// addCell adds that a cell is worse, or which evidence it lacks. It adds nothing for a cell that is judged to be no worse, for an advisory
-// cell that is not worse, and for missing evidence once the change is rolled back or stopped.
+// addCell adds a line for a cell that is worse or that lacks evidence. It adds nothing for a cell that is judged to be no worse or
+// for an advisory cell that is not worse. Once the change is stopped or rolling back, it does not add missing evidence.
 func (l *lines) addCell(s *rollout.State, r rollout.CellResult) {
 	cell := judge.Cell{Class: r.Class, Zone: r.Zone, Metric: r.Metric}
 	counted := fmt.Sprintf("%v: new %v of %v, control %.6g of %.6g", cell, r.NewHits, r.NewTotal, r.ControlHits, r.ControlTotal)
--- a/internal/coordination/rpc/httpclient_test.go
+++ b/internal/coordination/rpc/httpclient_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// DialTimeout bounds a connection attempt by a given Dial function, also if the call itself has no timeout.
+// DialTimeout limits a connection attempt of a custom Dial function even if the request has no deadline.
 func TestDialTimeoutOfAGivenNetwork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hangingDial := func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
@@ -21,7 +21,7 @@
 		}
 		start := time.Now()
 		if _, err := client.Do(request); !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != time.Second {
-			t.Errorf("%v after %v", err, time.Since(start))
+			t.Errorf("got error %v after %v, want a deadline error after 1s", err, time.Since(start))
 		}
 	})
 }
--- a/internal/router/node/loads.go
+++ b/internal/router/node/loads.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// loadsInterval is the time between two load reports. It is a little shorter than a tick, so that each tick sends one
-	// even if it comes early.
+	// loadsInterval is the time between two load reports. It is a little shorter than tickInterval, so that a tick
+	// that comes slightly early sends a report too.
 	loadsInterval = tickInterval - tickInterval/8
-	// loadsIntervalPerSubscriber, times the number of subscribers, is the interval if that is longer. It keeps the cost to
-	// a core member at a few percent of a processor.
+	// loadsIntervalPerSubscriber times the number of subscribers is the shortest time between two load reports if it is
+	// longer than loadsInterval. It limits the cost for a core member to a few percent of a processor.
 	loadsIntervalPerSubscriber = 2 * time.Millisecond
 )
 
--- a/internal/router/node/receive.go
+++ b/internal/router/node/receive.go
@@ -5,8 +5,9 @@
 	"petrelhook/internal/router/replication"
 )
 
-// receive is the transport's handler of messages from other routers. It passes each message to the method for its type,
-// then sends due heartbeats and applies what has changed. Messages of other types are ignored. It acquires the lock.
+// receive is the transport's handler of messages from other routers. It passes each message to the method for its type
+// and ignores messages of unknown types. After any message it sends the heartbeats that are due and applies the changes to
+// the gateway. It acquires the lock.
 func (n *Node) receive(from string, body any) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/router/replication/replacement_test.go
+++ b/internal/router/replication/replacement_test.go
@@ -11,7 +11,7 @@
 
 const (
 	successorLead = time.Second     // from a successor's start to the end of the machine that it replaces
-	catchUpTime   = 4 * time.Second // CatchUpS: the time after its start during which a successor counts as lost
+	catchUpTime   = 4 * time.Second // the time after its start during which a successor counts as lost (CatchUpS)
 )
 
 // replace starts a successor in a machine's zone, and ends that machine: with a notice if planned, otherwise by a kill.
@@ -28,8 +28,8 @@
 	s.after(300*time.Millisecond, func() { delete(s.hosts, old.address) })
 }
 
-// A member is replaced, and another one loses its disk as soon as the first no longer counts as lost. No acknowledged entry
-// is lost, and all machines are in sync again.
+// A member is replaced, and another one loses its disk once its successor no longer counts as lost. No acknowledged
+// entry is lost, and all machines are in sync again.
 func TestALostDiskAfterAReplacement(t *testing.T) {
 	for seed := range int64(10) {
 		for _, planned := range []bool{true, false} {
@@ -59,7 +59,7 @@
 	s.boot(lost)
 	s.run(s.now + 6*time.Second)
 	p := s.primary()
-	require.NotNil(t, p, "no majority")
+	require.NotNil(t, p, "no primary after the loss of a disk")
 	require.Equal(t, "a", p.machine.Value)
 	require.Len(t, p.replica.View().Members, machines)
 	require.Len(t, p.replica.View().InSync, machines)
--- a/internal/sidecar/upstream/http1/response_reader.go
+++ b/internal/sidecar/upstream/http1/response_reader.go
@@ -26,15 +26,15 @@
 	source timedConn
 }
 
-// timedConn is a connection whose reads have one of two kinds of deadline: a single one, at which onDeadline is called and after
-// which reading continues, or a new one for each read, after which a connection without progress fails.
+// timedConn is a connection with a read deadline. The first time that a read exceeds the deadline while onDeadline is set, it calls
+// onDeadline and continues. With deadlinePerRead, each read gets a new deadline of stallTimeout and fails when it is exceeded.
 type timedConn struct {
 	net.Conn
 	onDeadline      func() // called once, from Read; if nil, a deadline is an error
 	deadlinePerRead bool
 }
 
-// Read reads from the connection. It continues after the single deadline, so that its caller does not get an error for that.
+// Read reads from the connection. After it has called onDeadline it continues, so that its caller does not get a deadline error.
 func (c *timedConn) Read(p []byte) (int, error) {
 	if c.deadlinePerRead {
 		_ = c.SetReadDeadline(time.Now().Add(stallTimeout)) // fails only if the connection is closed, and then so does Read
@@ -73,10 +73,10 @@
 	readerPool.Put(r)
 }
 
-// read reads one response, after any 1xx ones, and returns whether the connection can be used again. Only a complete 200 response
-// is Served, and the result is Rejected only if the server states that it did not execute the request. A malformed response
-// proves that the server is alive, so the result is Failed; Reset means that the connection ended. If onStarted is not nil, a
-// long 200 response is passed to it when it has started to arrive, and the returned outcome tells how it ended.
+// read reads one response, after any 1xx responses, and returns whether the connection can be used again. The result is Served
+// only for a complete 200 response, and Rejected only if the server states that it did not execute the request. A malformed
+// response proves that the server is alive, so the result is Failed; Reset means that the connection failed or ended. If onStarted
+// is not nil, it is called when a long 200 response has started to arrive, and the returned outcome tells how the response ended.
 func (r *responseReader) read(
 	method string, reportFields []string, budget *membudget.Budget, onStarted func(upstream.Outcome),
 ) (out upstream.Outcome, reusable bool) {
