--- a/internal/common/sock/yield_test.go
+++ b/internal/common/sock/yield_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// A process that yields and accepts what is in its queue loses no connection when it closes: new ones go to the other process. That holds
-// also if an earlier process at the address had yielded and ended.
+// No connection is lost if a process calls Yield and then accepts the connections in its listener's queue before it closes the
+// listener: new connections go to the other process. This also holds if an earlier process at the address called Yield and ended.
 func TestYield(t *testing.T) {
 	first, err := ListenShared("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := first.Addr().String()
-	if err := Yield(first); err != nil { // nobody else listens
+	if err := Yield(first); err != nil { // no other socket listens yet
 		t.Fatal(err)
 	}
 	for round := range 4 {
@@ -23,36 +23,39 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { next.Close() })
-		const phases, perPhase = 3, 40
-		accepted := 0               // by the first listener, at its end
-		for phase := range phases { // before, while both listen and one yields, after the close
+		const phases, connectionsPerPhase = 3, 40
+		accepted := 0 // by the first listener, just before it is closed
+		// Phase 0: both listen. Phase 1: the first has yielded. Phase 2: the first is closed.
+		for phase := range phases {
 			switch phase {
 			case 1:
 				if err := Yield(first); err != nil {
 					t.Fatal(err)
 				}
 			case 2:
-				accepted = drain(t, first) // those that were queued before
+				accepted = drain(t, first)
 				first.Close()
 			}
-			for range perPhase {
-				c, err := net.Dial("tcp", addr)
+			for range connectionsPerPhase {
+				conn, err := net.Dial("tcp", addr)
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer c.Close()
+				defer conn.Close()
 			}
 		}
-		if n := drain(t, next); accepted+n != phases*perPhase || round == 0 && accepted == 0 {
-			t.Errorf("round %d: %d and %d of %d connections", round, accepted, n, phases*perPhase)
-		} else if accepted > perPhase {
-			t.Errorf("round %d: %d connections came to the one that yields", round, accepted)
+		// In round 0, the first listener must get some of the connections of phase 0: the filter that the Yield before the rounds has
+		// set was removed when next started to listen.
+		if acceptedByNext := drain(t, next); accepted+acceptedByNext != phases*connectionsPerPhase || round == 0 && accepted == 0 {
+			t.Errorf("round %d: the first listener got %d connections and the second %d, of %d", round, accepted, acceptedByNext, phases*connectionsPerPhase)
+		} else if accepted > connectionsPerPhase {
+			t.Errorf("round %d: the yielding listener got %d connections, more than were opened before it yielded", round, accepted)
 		}
 		first = next
 	}
 }
 
-// drain accepts what is in a queue.
+// drain accepts and closes the connections in a listener's queue, and returns their number.
 func drain(t *testing.T, ln net.Listener) (n int) {
 	t.Helper()
 	for {
--- a/internal/coordination/release/recorded_test.go
+++ b/internal/coordination/release/recorded_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A store that revision cfdfdec made is opened, and its release has the content that its name says.
+// A store that the program built from source revision cfdfdec wrote can be opened. Adding the content of its
+// release again yields the same release ID.
 func TestRecordedStoreIsOpened(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	if err := os.CopyFS(dir, os.DirFS("testdata/cfdfdec/store")); err != nil {
@@ -23,19 +24,19 @@
 	}
 	text, err := os.ReadFile(r.Settings)
 	if err != nil || string(text) != `{"discovery": "a", "settings": {"x": 1}}` {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("settings of the recorded release: %s, %v", text, err)
 	}
 	program, err := os.Open(r.Program)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = program.Close() }() // read only
+	defer func() { _ = program.Close() }() // opened for reading only
 	settings, err := os.Open(r.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = settings.Close() }() // read only
+	defer func() { _ = settings.Close() }() // opened for reading only
 	if again, err := s.Add(program, settings); err != nil || again.ID != id {
-		t.Errorf("%+v, %v", again, err)
+		t.Errorf("the same content added again: %+v, %v", again, err)
 	}
 }
--- a/internal/router/node/tick.go
+++ b/internal/router/node/tick.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// maxMissedHeartbeats is how many heartbeats a server may miss before it is lost.
+	// maxMissedHeartbeats is the number of heartbeat intervals without a heartbeat after which a server counts as lost.
 	maxMissedHeartbeats = 4.5
-	// expireInterval is the time between two searches for servers that are lost.
+	// expireInterval is the time between two checks for lost servers.
 	expireInterval = 250 * time.Millisecond
-	// heartbeatsUntilComplete is after how many intervals of heartbeats, in contact with a majority, a core member has
-	// the complete list of servers: every server that lives has called some core member by then.
+	// heartbeatsUntilComplete is the number of server heartbeat intervals after which a core member that is in contact with a
+	// majority has the complete list of servers: by then, every live server has sent a heartbeat to some core member.
 	heartbeatsUntilComplete = 2
 )
 
-// tick does what depends on time alone, each part at its own interval. It acquires the lock.
+// tick does the periodic work, each part at its own interval. Run calls it every tickInterval. It acquires the lock.
 func (n *Node) tick() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -27,7 +27,7 @@
 		n.tickCore(now)
 	}
 	if n.distributor.pushPending {
-		n.pushAll() // while the router shuts down nobody waits for the timer
+		n.pushAll() // normally Run does this when the push timer fires, but not during shutdown
 	}
 	n.tickSessions(now)
 	n.tickQuota(now)
@@ -44,12 +44,12 @@
 	n.apply()
 }
 
-// tickCore does what only core members do: count the fleet, and judge which servers are lost while in contact with a
-// majority.
+// tickCore does the periodic work of core members: it updates the fleet size and, while this router is in contact with
+// a majority, stores the servers and decides which of them are lost.
 func (n *Node) tickCore(now time.Duration) {
 	n.distributor.sessions.Expire(now)
-	n.countFleet()
-	if !n.control.replica.InTouch() {
+	n.updateFleetSize()
+	if !n.control.replica.HasContact() {
 		n.control.inTouchSince = -1
 		return
 	}
@@ -57,20 +57,20 @@
 		n.control.inTouchSince = now
 	}
 	n.storeServers(now)
-	interval := settings.Milliseconds(n.settings.HeartbeatMs) // of servers
-	if now-n.control.inTouchSince > heartbeatsUntilComplete*interval {
+	serverHeartbeatInterval := settings.Milliseconds(n.settings.HeartbeatMs)
+	if now-n.control.inTouchSince > heartbeatsUntilComplete*serverHeartbeatInterval {
 		n.subscription.serversComplete = true
 	}
 	if !n.timers.expireServers.elapsed(expireInterval, now) {
 		return
 	}
-	if n.registry.Expire(time.Duration(maxMissedHeartbeats*float64(interval)), now) {
+	if n.registry.Expire(time.Duration(maxMissedHeartbeats*float64(serverHeartbeatInterval)), now) {
 		n.pushAll()
 	}
 }
 
-// countFleet sets the fleet's size to the number of routers with a session and this one.
-func (n *Node) countFleet() {
+// updateFleetSize sets the fleet size to the number of routers with a session, including this router even if it has none.
+func (n *Node) updateFleetSize() {
 	fleet := n.distributor.sessions.Fleet()
 	size := len(fleet)
 	if _, ok := fleet[n.self.Address]; !ok {
@@ -79,6 +79,7 @@
 	n.setFleetSize(size)
 }
 
+// setFleetSize records the number of routers. It ignores a size that is not positive.
 func (n *Node) setFleetSize(size int) {
 	if size > 0 {
 		n.fleetSize = size
--- a/internal/router/operatorapi/register.go
+++ b/internal/router/operatorapi/register.go
@@ -1,15 +1,15 @@
-// Package operatorapi is the state machine that the core replicates: the newest configuration, and which of the
-// operator's orders led to it. It answers what becomes of an order to replace or update the configuration. It does not
-// serve the HTTP calls that bring orders (internal/router/node does), and it does not know how orders are replicated
+// Package operatorapi implements the state machine that the core replicates: the newest configuration, and the
+// operator's orders that led to it. It decides whether an order to replace or update the configuration is accepted. It
+// does not serve the HTTP calls that carry orders (internal/router/node does), and it does not replicate orders
 // (internal/router/replication does).
 //
-// Register is deterministic: the same orders in the same order give the same configuration on every replica.
-// Invariants: an order that was accepted is recognized by its content for as long as maxRememberedOrders later ones,
-// and is never rejected: one that may have been accepted before that gets no clear answer. Versions only rise, and one
-// number names one content.
+// Register is deterministic: the same orders in the same sequence give the same configuration on every replica.
+// Invariants: an accepted order is recognized by its content until maxRememberedOrders later orders have been accepted.
+// An accepted order that is sent again is never reported as invalid or outdated: it gets status 200, or status 503 if it is
+// so old that it may have been forgotten. Version numbers only increase, and no two contents have the same version number.
 //
-// A Register is not safe for concurrent use: the replica alone calls it, under the router's lock. Configurations that
-// it returns are immutable.
+// A Register is not safe for concurrent use: only the replica calls it, under the router's lock. The configurations
+// that it returns are immutable.
 package operatorapi
 
 import (
@@ -19,18 +19,19 @@
 	"petrelhook/internal/router/routetable"
 )
 
-// Reasons that the operator gets with a status.
+// Reasons that are sent to the operator with an HTTP status.
 const (
-	reasonUnclear      = "the order is too old to tell whether it was accepted"
-	reasonOtherVersion = "another version is current"
+	reasonMaybeForgotten = "the order is too old to tell whether it was accepted"
+	reasonOtherVersion   = "another version is current"
 )
 
 // Register is the replicated configuration. It implements replication.StateMachine.
 type Register struct {
-	config   *routetable.Config // nil before the first
+	config   *routetable.Config // nil before the first order
 	accepted acceptedOrders
 
-	// The configuration that Decide worked out, for Apply: an order is parsed and validated once.
+	// pendingConfig is the configuration that results from the order with the digest pendingDigest, or nil if there is
+	// none. Decide stores it for Apply, so that the configuration is built and validated only once.
 	pendingDigest Digest
 	pendingConfig *routetable.Config
 }
@@ -40,13 +41,13 @@
 // NewRegister returns an empty register.
 func NewRegister() *Register { return &Register{accepted: newAcceptedOrders()} }
 
-// Config returns the newest configuration, or nil before the first.
+// Config returns the newest configuration, or nil before the first order.
 func (g *Register) Config() *routetable.Config { return g.config }
 
 // Value returns the newest configuration as a *routetable.Config.
 func (g *Register) Value() any { return g.config }
 
-// Generation returns the newest configuration's number, or 0 before the first.
+// Generation returns the version number of the newest configuration, or 0 before the first order.
 func (g *Register) Generation() int64 {
 	if g.config == nil {
 		return 0
@@ -54,9 +55,9 @@
 	return g.config.Generation
 }
 
-// Decide says what becomes of an encoded order, with the status for the operator: 200 if it was accepted before or can
-// be now (then Accept is set), 400 if it is invalid, 412 if it is not on top of the current version, 503 if it may have
-// been accepted long ago.
+// Decide returns whether an encoded order can be accepted, and the HTTP status for the operator: 200 if the order can
+// be accepted now or was accepted before, 400 if it is invalid, 412 if it is not based on the current version, 503 if it
+// may have been accepted and forgotten. Accept is set only if the order can be accepted now.
 func (g *Register) Decide(entry []byte) replication.Decision {
 	o, err := DecodeOrder(entry)
 	if err != nil {
@@ -66,24 +67,24 @@
 		return replication.Decision{Status: http.StatusOK}
 	}
 	if g.accepted.mayHaveForgotten(o.Base) {
-		return replication.Decision{Status: http.StatusServiceUnavailable, Reason: reasonUnclear}
+		return replication.Decision{Status: http.StatusServiceUnavailable, Reason: reasonMaybeForgotten}
 	}
 	if o.Base != g.Generation() {
 		return replication.Decision{Status: http.StatusPreconditionFailed, Reason: reasonOtherVersion}
 	}
-	if _, err := g.result(o); err != nil {
+	if _, err := g.resultingConfig(o); err != nil {
 		return replication.Decision{Status: http.StatusBadRequest, Reason: err.Error()}
 	}
 	return replication.Decision{Accept: true, Status: http.StatusOK}
 }
 
-// Apply applies an order that Decide accepted, here or on another replica.
+// Apply applies an order that Decide accepted on this replica or another one. An order that is invalid has no effect.
 func (g *Register) Apply(entry []byte) {
 	o, err := DecodeOrder(entry)
 	if err != nil {
 		return
 	}
-	next, err := g.result(o)
+	next, err := g.resultingConfig(o)
 	if err != nil {
 		return
 	}
@@ -91,8 +92,8 @@
 	g.accepted.add(o.Digest(), o.Base)
 }
 
-// result returns the valid configuration that an order leads to.
-func (g *Register) result(o *Order) (*routetable.Config, error) {
+// resultingConfig returns the validated configuration that results from an order, and stores it as pendingConfig.
+func (g *Register) resultingConfig(o *Order) (*routetable.Config, error) {
 	digest := o.Digest()
 	if g.pendingConfig != nil && g.pendingDigest == digest {
 		return g.pendingConfig, nil
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -9,17 +9,17 @@
 	"petrelhook/internal/sidecar/connlimit"
 )
 
-// Descriptors: both sides and what is kept for discovery fit under the limit.
-func TestTheSharesOfTheDescriptors(t *testing.T) {
+// The client connections, the server connections and the reserved descriptors fit within the limit on descriptors.
+func TestConnectionsFitTheDescriptorLimit(t *testing.T) {
 	for _, sockets := range []int{256, 384, 1024} {
 		l := Limits{Sockets: sockets}
 		if n := l.ClientConnections() + l.ServerConnections() + connlimit.MaxRejecting; n > sockets-16 || l.ClientConnections() <= sockets/3 || l.ServerConnections() < sockets/3 {
-			t.Errorf("%d: %d and %d", sockets, l.ClientConnections(), l.ServerConnections())
+			t.Errorf("%d descriptors: %d client connections and %d server connections", sockets, l.ClientConnections(), l.ServerConnections())
 		}
 	}
 }
 
-// Each slip gets one line that names file, line, column and field, and what would be right.
+// The error of each mistake is one line with the file, line, column and field, and what to write instead.
 func TestErrorsNameTheirPosition(t *testing.T) {
 	const good = `{"listen": "127.0.0.1:0",
  "discovery": "127.0.0.1:1", "seed": "8c", "limits": {"cores": 1, "sockets": 1024},
@@ -35,12 +35,12 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ from, to, want string }{
-		{good, "", "f:1:1: no JSON: unexpected end of JSON input"},
+		{good, "", "f:1:1: not valid JSON: unexpected end of JSON input"},
 		{good, "[]", "f:1:1: is a list; write an object in braces"},
-		{`"seed": "8c",`, `"seed": "8c"`, `f:2:43: no JSON: invalid character '"' after object key:value pair`},
+		{`"seed": "8c",`, `"seed": "8c"`, `f:2:43: not valid JSON: invalid character '"' after object key:value pair`},
 		{`"seed": "8c"`, `"seed": 8`, "f:2:38: seed: is a number; write a string"},
-		{`"seed": "8c"`, `"seed": "none"`, `f:2:38: seed: "none" is no seed; write 1 to 16 hexadecimal digits`},
-		{`"seed": "8c", `, ``, `f:1:1: seed: "" is no seed`},
+		{`"seed": "8c"`, `"seed": "none"`, `f:2:38: seed: "none" is not a seed; write 1 to 16 hexadecimal digits`},
+		{`"seed": "8c", `, ``, `f:1:1: seed: "" is not a seed`},
 		{`"127.0.0.1:0"`, `"nowhere"`, `f:1:12: listen: "nowhere" is no address; write host:port`},
 		{`"cores": 1`, `"cores": "1"`, "f:2:64: limits.cores: is a string; write a number"},
 		{`"sockets": 1024`, `"sockets": 10.5`, "f:2:78: limits.sockets: is the number 10.5; write a whole number"},
@@ -71,15 +71,15 @@
 	}
 }
 
-// Whatever a file holds, it is taken or there is one line about it.
+// Parse accepts any input or returns an *Error of one line with a valid position.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c","known":{"instances":[{"instanceId":"a"}]},"settings":` + peertest.Settings + `}`))
 	f.Add([]byte(`{"seed":[{"a":[1,{"b":`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		_, err := Parse("f", raw)
-		var placed *Error
-		if err != nil && (!errors.As(err, &placed) || placed.Line < 1 || placed.Column < 1 || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%q", err)
+		var configErr *Error
+		if err != nil && (!errors.As(err, &configErr) || configErr.Line < 1 || configErr.Column < 1 || strings.Contains(err.Error(), "\n")) {
+			t.Errorf("not an *Error of one line with a valid position: %q", err)
 		}
 	})
 }
