--- a/balance/balance.go
+++ b/balance/balance.go
@@ -9,9 +9,9 @@
 
 // The errors that Handle returns for impossible events.
 var (
-	ErrIDInUse      = errors.New("ID is in use")
+	ErrIDInUse      = errors.New("the id is in use")
 	ErrUnknownClass = errors.New("unknown class")
-	ErrNotInFlight  = errors.New("not in flight")
+	ErrNotInFlight  = errors.New("it is not out")
 )
 
 // listTimer is the token of the timer for the server list. A request's timers have its ID, which is below
